--- /dev/null
+++ b/internal/decide/member/wire_form_test.go
@@ -0,0 +1,80 @@
+package member
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+func wireRecord(state State) Record {
+	return Record{ID: 0x0123456789abcdef, Version: Version{Incarnation: 5<<32 + 1, Life: 7}, State: state, Name: "n1", Address: "127.0.0.1:7000", By: []ID{3, 4}, AgeS: 12.5, Keeps: true}
+}
+
+// requireComplete fails where a field of a value, at any depth, is zero.
+func requireComplete(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	require.False(t, v.IsZero(), "%s is not set", path)
+	switch v.Kind() {
+	case reflect.Pointer:
+		requireComplete(t, path, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			requireComplete(t, path+"."+v.Type().Field(i).Name, v.Field(i))
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			requireComplete(t, path, v.Index(i))
+		}
+	}
+}
+
+// What goes over a link keeps its form: processes of the version before are at the other end.
+func TestWireForm(t *testing.T) {
+	for name, value := range map[string]any{
+		"hello":   Hello{Self: wireRecord(Suspected), Beat: Beat{Sum: 9, Wanted: true}},
+		"message": Message{Beat: &Beat{Sum: 9, Wanted: true}, Records: []Record{wireRecord(Suspected), wireRecord(Dead), wireRecord(Left)}, Sums: []uint64{1, 2}, Want: []uint64{3}, Bye: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			requireComplete(t, name, reflect.ValueOf(value))
+			golden, err := os.ReadFile(filepath.Join("testdata", "wire", name+".msgpack"))
+			require.NoError(t, err)
+			encoded, err := msgpack.Marshal(value)
+			require.NoError(t, err)
+			assert.Equal(t, golden, encoded)
+			decoded := reflect.New(reflect.TypeOf(value))
+			require.NoError(t, msgpack.Unmarshal(golden, decoded.Interface()))
+			assert.Equal(t, value, decoded.Elem().Interface())
+		})
+	}
+}
+
+// What the admin endpoint tells of the counts keeps its form.
+func TestFiguresForm(t *testing.T) {
+	value := Figures{Accusations: 1, Refutations: 2, Deaths: 3, Stalls: 4, Refused: 5, Syncs: 6}
+	requireComplete(t, "figures", reflect.ValueOf(value))
+	golden, err := os.ReadFile(filepath.Join("testdata", "wire", "figures.json"))
+	require.NoError(t, err)
+	encoded, err := json.MarshalIndent(value, "", "\t")
+	require.NoError(t, err)
+	assert.Equal(t, string(golden), string(encoded)+"\n")
+	var decoded Figures
+	require.NoError(t, json.Unmarshal(golden, &decoded))
+	assert.Equal(t, value, decoded)
+}
+
+// The numbers of states are sent, and their names and that of an identity are shown.
+func TestWireNumbersAndNames(t *testing.T) {
+	assert.Equal(t, []State{0, 1, 2, 3}, []State{Alive, Suspected, Dead, Left})
+	var names []string
+	for s := Alive; s <= Left+1; s++ {
+		names = append(names, s.String())
+	}
+	assert.Equal(t, []string{"alive", "suspected", "dead", "left", "unknown"}, names)
+	assert.Equal(t, "0000000000abcdef", ID(0xabcdef).String())
+}
