--- a/internal/decide/member/links.go
+++ b/internal/decide/member/links.go
@@ -8,8 +8,8 @@
 
 // Hello is how each end of a link begins.
 type Hello struct {
-	Self Record
-	Beat Beat
+	Self Record `msgpack:"Self"`
+	Beat Beat   `msgpack:"Beat"`
 }
 
 // Hello returns what this member says first on a link.
