--- /dev/null
+++ b/internal/cluster/wire_form_test.go
@@ -0,0 +1,84 @@
+package cluster
+
+import (
+	"context"
+	"encoding/hex"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"hazelwheel/internal/decide/membership"
+	"hazelwheel/internal/decide/register"
+	"hazelwheel/internal/message"
+)
+
+// listedServers is what the platform's page in testdata holds.
+var listedServers = []message.Instance{
+	{ID: "i-1", Service: "chat", Address: "10.2.0.1:9000", Zone: "north", Slots: 64, Draining: true, Stage: message.Prefill},
+	{ID: "i-2", Service: "chat", Address: "10.2.0.2:9000", Zone: "south", Slots: 32, Stage: message.Decode},
+}
+
+// TestWireForm pins the bytes of one half of an exchange. Processes of other versions read these bytes.
+func TestWireForm(t *testing.T) {
+	voter := register.Voter{ID: "v-1", Address: "10.1.0.16:7720"}
+	record := membership.Record{Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", Zone: "north", Incarnation: 1700000000000,
+		Life: 3, Heartbeat: 70000, Revision: 12, Voter: "v-1"}
+	checkForm(t, "gossip", message.Gossip{
+		Format: message.FormatVersion, Records: []membership.Record{record}, Beats: []membership.Beat{{Key: 7, Heartbeat: 70000}},
+		Voters: register.Value{Epoch: 5, Voters: []register.Voter{voter}}, Grants: []register.Grant{{Role: "stages", Holder: "core-1/control", Token: 9}},
+		Plan: message.StagePlan{Token: 9, Sequence: 4, Stages: map[string]message.Stage{"i-1": message.Decode}}, Version: 300,
+		Table: &message.Table{Version: 300, Data: []byte("table")}, List: message.List{Digest: 1 << 60, AgeMs: 12.5, Data: []byte("list")},
+		Loads: []message.Load{{Key: 7, Running: 3, Waiting: 2, AgeMs: 900}}, TakeTable: true, TakeList: true, News: true,
+	})
+	assert.Equal(t, "/fleet/v1/gossip", gossipPath)
+}
+
+// TestListDigest pins the digest of a list, which peers of other versions compare with their own.
+func TestListDigest(t *testing.T) {
+	assert.Equal(t, uint64(0xcfdacb3bf4ae1f05), listDigest(listedServers))
+	assert.Equal(t, uint64(1), listDigest(nil))
+}
+
+// TestPlatformPage pins the names of the fields in which the platform lists its servers.
+func TestPlatformPage(t *testing.T) {
+	page, err := os.ReadFile(filepath.Join("testdata", "wire_form", "platform_page.json"))
+	require.NoError(t, err)
+	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		if request.URL.Query().Get("PageToken") == "next" {
+			_, _ = writer.Write([]byte(`{"Instances":[],"NextPageToken":null}`))
+			return
+		}
+		_, _ = writer.Write(page)
+	}))
+	defer server.Close()
+	instances, err := NewPlatform(server.Listener.Addr().String()).Read(context.Background())
+	require.NoError(t, err)
+	assert.Equal(t, listedServers, instances)
+}
+
+// checkForm compares a value's encoding with a golden file, and what the golden file decodes to with the value.
+func checkForm[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	fields := reflect.ValueOf(value)
+	for i := range fields.NumField() {
+		assert.False(t, fields.Field(i).IsZero(), "%s: field %s is zero", name, fields.Type().Field(i).Name)
+	}
+	text, err := os.ReadFile(filepath.Join("testdata", "wire_form", name+".hex"))
+	require.NoError(t, err)
+	golden, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	require.NoError(t, err)
+	encoded, err := msgpack.Marshal(value)
+	require.NoError(t, err)
+	assert.Equal(t, golden, encoded, name)
+	var decoded T
+	require.NoError(t, msgpack.Unmarshal(golden, &decoded), name)
+	assert.Equal(t, value, decoded, name)
+}
--- /dev/null
+++ b/internal/decide/membership/wire_form_test.go
@@ -0,0 +1,61 @@
+package membership_test
+
+import (
+	"encoding/hex"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"hazelwheel/internal/decide/membership"
+)
+
+// TestWireForm pins the bytes of what processes tell one another of the membership. Processes of other versions read these bytes.
+func TestWireForm(t *testing.T) {
+	demand := membership.Demand{Service: "chat", ReadPerS: 1234.5, Streams: 17, Held: 98765.25}
+	record := membership.Record{
+		Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", Zone: "north", Incarnation: 1700000000000,
+		Life: 0xfedcba9876543210, Heartbeat: 70000, Revision: 12, Leaving: true, Voter: "v-1", Operator: "10.1.0.16:8166", Released: 9,
+		Demands: []membership.Demand{demand},
+	}
+	checkForm(t, "demand", demand)
+	checkForm(t, "record", record)
+	checkForm(t, "beat", membership.Beat{Key: 0xfedcba98, Heartbeat: 70000})
+	assert.Equal(t, []membership.Kind{"control", "agent", "gateway"}, []membership.Kind{membership.Control, membership.Agent, membership.Gateway})
+}
+
+// TestBeatKey pins the key by which a heartbeat without its record is matched. Peers of other versions derive the same one.
+func TestBeatKey(t *testing.T) {
+	self := membership.Record{Name: "self", Kind: membership.Agent, Address: "127.0.0.1:1"}
+	view := membership.New(membership.Settings{SuspectAfterS: 3, ForgetAfterS: 12, ViewSize: 8, SampleSize: 12, BeatSize: 200}, self, nil, nil)
+	record := membership.Record{Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", Life: 0xfedcba9876543210, Heartbeat: 7}
+	view.Merge(0, []membership.Record{record})
+	beats := view.Beats(0)
+	require.Len(t, beats, 1)
+	assert.Equal(t, membership.Beat{Key: 0x9a55167b, Heartbeat: 7}, beats[0])
+}
+
+// checkForm compares a value's encoding with a golden file, and what the golden file decodes to with the value.
+func checkForm[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	fields := reflect.ValueOf(value)
+	for i := range fields.NumField() {
+		field := fields.Type().Field(i)
+		assert.True(t, field.Name == "_msgpack" || !fields.Field(i).IsZero(), "%s: field %s is zero", name, field.Name)
+	}
+	text, err := os.ReadFile(filepath.Join("testdata", "wire_form", name+".hex"))
+	require.NoError(t, err)
+	golden, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	require.NoError(t, err)
+	encoded, err := msgpack.Marshal(value)
+	require.NoError(t, err)
+	assert.Equal(t, golden, encoded, name)
+	var decoded T
+	require.NoError(t, msgpack.Unmarshal(golden, &decoded), name)
+	assert.Equal(t, value, decoded, name)
+}
--- /dev/null
+++ b/internal/decide/register/stored_form_test.go
@@ -0,0 +1,77 @@
+package register_test
+
+import (
+	"encoding/hex"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"hazelwheel/internal/decide/register"
+)
+
+// TestStoredForm pins the bytes of what voters store and send. Processes of other versions read these bytes.
+func TestStoredForm(t *testing.T) {
+	ballot := register.Ballot{Round: 70000, Proposer: "m-1"}
+	other := register.Ballot{Round: 69999, Proposer: "m-2"}
+	voters := []register.Voter{{ID: "v-1", Address: "10.1.0.16:7720"}, {ID: "v-2", Address: "10.1.0.17:7720"}}
+	value := register.Value{
+		Epoch: 5, Voters: voters, Previous: voters[:1], Version: 300, Config: register.DigestOf([]byte("configuration")),
+		Accepted: []register.Digest{register.DigestOf([]byte("older")), register.DigestOf([]byte("configuration"))},
+		Grants:   []register.Grant{{Role: "stages", Holder: "core-1/control", Token: 9}},
+	}
+	checkForm(t, "ballot", ballot)
+	checkForm(t, "voter", voters[0])
+	checkForm(t, "grant", value.Grants[0])
+	checkForm(t, "digest", value.Config)
+	checkForm(t, "value", value)
+	checkForm(t, "state", register.State{ID: "v-1", Promised: ballot, Ballot: other, Value: value})
+	checkForm(t, "prepare", register.Prepare{To: "v-1", Ballot: ballot})
+	checkForm(t, "promise", register.Promise{OK: true, Stranger: true, Promised: ballot, Ballot: other, Value: value})
+	checkForm(t, "accept", register.Accept{To: "v-1", Ballot: ballot, Value: value, Config: []byte("configuration")})
+	checkForm(t, "accepted", register.Accepted{OK: true, Stranger: true, NeedConfig: true, Promised: ballot})
+	checkForm(t, "read", register.Read{To: "v-1"})
+}
+
+// TestStoredFormEmpty pins the bytes of a state that has accepted nothing, as a founder stores it.
+func TestStoredFormEmpty(t *testing.T) {
+	assert.Equal(t, golden(t, "state_empty"), encode(t, register.State{}))
+	var state register.State
+	require.NoError(t, msgpack.Unmarshal(golden(t, "state_empty"), &state))
+	assert.Equal(t, register.State{}, state)
+}
+
+// checkForm compares a value's encoding with a golden file, and what the golden file decodes to with the value.
+func checkForm[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	if fields := reflect.ValueOf(value); fields.Kind() == reflect.Struct {
+		for i := range fields.NumField() {
+			assert.False(t, fields.Field(i).IsZero(), "%s: field %s is zero", name, fields.Type().Field(i).Name)
+		}
+	}
+	assert.Equal(t, golden(t, name), encode(t, value), name)
+	var decoded T
+	require.NoError(t, msgpack.Unmarshal(golden(t, name), &decoded), name)
+	assert.Equal(t, value, decoded, name)
+}
+
+func encode(t *testing.T, value any) []byte {
+	t.Helper()
+	data, err := msgpack.Marshal(value)
+	require.NoError(t, err)
+	return data
+}
+
+func golden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "stored_form", name+".hex"))
+	require.NoError(t, err)
+	data, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	require.NoError(t, err)
+	return data
+}
