--- a/internal/cluster/platform.go
+++ b/internal/cluster/platform.go
@@ -37,19 +37,19 @@
 }
 
 type listedInstance struct {
-	ID              string `json:"Id"`
-	Service         string
-	Address         string
-	Zone            string
-	Slots           int
-	State           string
-	ColdRemainingMs float64
-	Stage           string
+	ID              string  `json:"Id"`
+	Service         string  `json:"Service"`
+	Address         string  `json:"Address"`
+	Zone            string  `json:"Zone"`
+	Slots           int     `json:"Slots"`
+	State           string  `json:"State"`
+	ColdRemainingMs float64 `json:"ColdRemainingMs"`
+	Stage           string  `json:"Stage"`
 }
 
 type listPage struct {
-	Instances     []listedInstance
-	NextPageToken *string
+	Instances     []listedInstance `json:"Instances"`
+	NextPageToken *string          `json:"NextPageToken"`
 }
 
 const stateDraining = "draining"
--- a/internal/routes/patch.go
+++ b/internal/routes/patch.go
@@ -228,7 +228,9 @@
 	}
 	list := make([]item, 0, len(texts))
 	for i, text := range texts {
-		var named struct{ Name string }
+		var named struct {
+			Name string `json:"Name"`
+		}
 		if err := json.Unmarshal(text, &named); err != nil {
 			return nil, Error.New("%s[%d]: want an object with a Name, not %s", place, i, short(text))
 		}
