--- /dev/null
+++ b/internal/control/stored_form_test.go
@@ -0,0 +1,133 @@
+package control
+
+import (
+	"context"
+	"flag"
+	"os"
+	"path/filepath"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+	"github.com/sirupsen/logrus"
+
+	"hazelwheel/internal/boot"
+	"hazelwheel/internal/decide/register"
+)
+
+// update writes the golden files anew. Only for a form that is new: disks of the version before must stay readable.
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// storedFolder is a disk that version 1 of the format has written; see writeStored.
+var storedFolder = filepath.Join("testdata", "stored")
+
+// openStored opens the replica of a founder on a folder.
+func openStored(dir string) *replica {
+	settings, err := boot.Parse([]byte("NodeId: c0\nIp: 127.0.5.10\nZone: z\nBootstrap: true\nInternalPortRange: [20000, 20015]\nSeeds:\n" +
+		"  - 127.0.5.10:20020\n  - 127.0.5.11:20020\n  - 127.0.5.12:20020\nFaultTolerance: {Machines: 1}\nBounds: {GraceS: 4}\n" +
+		"Cloud: {Address: \"127.0.0.1:1\"}\nListen: {Control: \"127.0.5.10:20020\"}\n"))
+	Expect(err).NotTo(HaveOccurred())
+	settings.DataDir = dir
+	log := logrus.New()
+	log.SetOutput(GinkgoWriter)
+	opened, err := openReplica(settings, logrus.NewEntry(log))
+	Expect(err).NotTo(HaveOccurred())
+	return opened
+}
+
+func storedBallot(round uint64) register.Ballot {
+	return register.Ballot{Round: round, Proposer: "c1/00000000000000aa"}
+}
+
+// storedValue is the value after so many configurations. From the third one on the voters are changing.
+func storedValue(configs int) register.Value {
+	founder := func(ip string) register.Voter {
+		return register.Voter{ID: "founder@" + ip + ":20000", Address: ip + ":20000"}
+	}
+	value := register.Value{Epoch: 1, Voters: []register.Voter{founder("127.0.5.10"), founder("127.0.5.11"), founder("127.0.5.12")}}
+	for version := 1; version <= configs; version++ {
+		value.Version, value.Config = uint64(version), register.DigestOf(configuration(version, 0))
+		value.Accepted = append(value.Accepted, value.Config)
+		value.Grants = []register.Grant{{Role: "stages", Holder: "c1", Token: uint64(version)}, {Role: "other", Holder: "c2", Token: 70000}}
+	}
+	if configs >= 3 {
+		value.Epoch, value.Previous = 2, value.Voters
+		value.Voters = []register.Voter{founder("127.0.5.10"), founder("127.0.5.11"), {ID: "127.0.5.13:20000#0102030405060708", Address: "127.0.5.13:20000"}}
+	}
+	return value
+}
+
+// writeStored writes a disk: in a first life two configurations, in a second one, behind a snapshot, a third one beside a change of the
+// voters, a promise of a higher ballot and an end that is torn.
+func writeStored(dir string) {
+	ctx := context.Background()
+	accept := func(r *replica, version int) {
+		answer, err := r.accept(ctx, &register.Accept{To: r.state().ID, Ballot: storedBallot(uint64(100 * version)), Value: storedValue(version),
+			Config: configuration(version, 0)})
+		Expect(err).NotTo(HaveOccurred())
+		Expect(answer.OK).To(BeTrue())
+	}
+	prepare := func(r *replica, round uint64) {
+		answer, err := r.prepare(ctx, &register.Prepare{To: r.state().ID, Ballot: storedBallot(round)})
+		Expect(err).NotTo(HaveOccurred())
+		Expect(answer.OK).To(BeTrue())
+	}
+	first := openStored(dir)
+	Expect(first.begin(ctx)).To(Succeed())
+	accept(first, 1)
+	accept(first, 2)
+	Expect(first.store.Close()).To(Succeed())
+	second := openStored(dir)
+	Expect(second.begin(ctx)).To(Succeed())
+	accept(second, 3)
+	prepare(second, 400)
+	prepare(second, 500)
+	Expect(second.store.Close()).To(Succeed())
+	segments, err := filepath.Glob(filepath.Join(dir, "*.seg"))
+	Expect(err).NotTo(HaveOccurred())
+	Expect(segments).To(HaveLen(1))
+	info, err := os.Stat(segments[0])
+	Expect(err).NotTo(HaveOccurred())
+	Expect(os.Truncate(segments[0], info.Size()-3)).To(Succeed())
+}
+
+// folderContent returns the bytes of a folder's files by name.
+func folderContent(dir string) map[string]string {
+	entries, err := os.ReadDir(dir)
+	Expect(err).NotTo(HaveOccurred())
+	files := map[string]string{}
+	for _, entry := range entries {
+		data, err := os.ReadFile(filepath.Join(dir, entry.Name()))
+		Expect(err).NotTo(HaveOccurred())
+		files[entry.Name()] = string(data)
+	}
+	return files
+}
+
+var _ = Describe("the stored form of the register", func() {
+	It("is written to the same bytes", func() {
+		if *update {
+			Expect(os.RemoveAll(storedFolder)).To(Succeed())
+			writeStored(storedFolder)
+		}
+		dir := GinkgoT().TempDir()
+		writeStored(dir)
+		Expect(folderContent(dir)).To(Equal(folderContent(storedFolder)))
+	})
+
+	It("is read: configurations, a change of the voters under way and grants, up to the torn end", func() {
+		dir := GinkgoT().TempDir()
+		Expect(os.CopyFS(dir, os.DirFS(storedFolder))).To(Succeed())
+		r := openStored(dir)
+		want := register.State{ID: "founder@127.0.5.10:20000", Promised: storedBallot(400), Ballot: storedBallot(300), Value: storedValue(3)}
+		Expect(r.found).To(BeTrue())
+		Expect(r.state()).To(Equal(want))
+		for version := 2; version <= 3; version++ {
+			Expect(r.config(register.DigestOf(configuration(version, 0)))).To(Equal(configuration(version, 0)))
+		}
+		Expect(r.config(register.DigestOf(configuration(1, 0)))).To(BeNil(), "the two newest are kept")
+		Expect(r.begin(context.Background())).To(Succeed())
+		Expect(r.store.Close()).To(Succeed())
+		again := openStored(dir)
+		Expect(again.state()).To(Equal(want))
+	})
+})
--- /dev/null
+++ b/internal/control/wire_form_test.go
@@ -0,0 +1,117 @@
+package control
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"hazelwheel/internal/decide/register"
+	"hazelwheel/internal/message"
+)
+
+// expectGolden compares a text with a file under testdata.
+func expectGolden(file, now string) {
+	GinkgoHelper()
+	path := filepath.Join("testdata", file)
+	if *update {
+		Expect(os.WriteFile(path, []byte(now), 0o644)).To(Succeed())
+	}
+	want, err := os.ReadFile(path)
+	Expect(err).NotTo(HaveOccurred())
+	Expect(now).To(Equal(string(want)))
+}
+
+// transcript holds calls of the operator with their answers.
+type transcript struct {
+	handler http.Handler
+	text    strings.Builder
+}
+
+// call sends a request and notes its answer, but for the date.
+func (t *transcript) call(method, ifMatch, body string) {
+	request := httptest.NewRequest(method, "/config", strings.NewReader(body))
+	if ifMatch != "" {
+		request.Header.Set("If-Match", ifMatch)
+	}
+	answer := httptest.NewRecorder()
+	t.handler.ServeHTTP(answer, request)
+	shown := body
+	if len(shown) > 1000 {
+		shown = fmt.Sprintf("(%d bytes)", len(shown))
+	}
+	fmt.Fprintf(&t.text, "> %s /config If-Match=%q %s\n< %d\n", method, ifMatch, shown, answer.Code)
+	for _, name := range []string{"Allow", "Content-Length", "Content-Type", "Retry-After"} {
+		if value := answer.Header().Get(name); value != "" {
+			fmt.Fprintf(&t.text, "< %s: %s\n", name, value)
+		}
+	}
+	data, err := io.ReadAll(answer.Body)
+	Expect(err).NotTo(HaveOccurred())
+	fmt.Fprintf(&t.text, "%s\n", bytes.TrimRight(data, "\n"))
+}
+
+var _ = Describe("the form of the configuration API", func() {
+	It("has the same statuses, headers and bodies", func() {
+		s := newSide(1)
+		c := s.machines[0].control
+		Eventually(c.reachesMajority, within).Should(BeTrue())
+		t := &transcript{handler: c.operatorRouter()}
+		text := func(version int) string { return string(configuration(version, 0)) }
+		t.call("GET", "", "")
+		t.call("PATCH", "0", string(patchText(1, 1)))
+		t.call("PUT", "", text(1))
+		t.call("PUT", "zero", text(1))
+		t.call("PUT", "0", strings.Repeat("x", maxConfig+1))
+		t.call("PUT", "0", `{"Version":0}`)
+		t.call("PUT", "0", `{"Version":1,"Services":[{"Name":"s"},{"Name":"s"}]}`)
+		t.call("PUT", "0", text(1))
+		t.call("PUT", "0", text(1))
+		t.call("PUT", "0", text(2))
+		t.call("PUT", "1", text(1)+" ")
+		t.call("GET", "", "")
+		t.call("PATCH", "1", `{`)
+		t.call("PATCH", "1", `{"Version":3,"Remove":{"Routes":["none"]}}`)
+		t.call("PATCH", "1", `{"Version":3,"Remove":{"Services":["s"]}}`)
+		t.call("PATCH", "1", string(patchText(3, 1)))
+		t.call("PATCH", "1", string(patchText(3, 1)))
+		t.call("PATCH", "1", string(patchText(4, 2)))
+		t.call("PATCH", "3", string(patchText(3, 2)))
+		t.call("GET", "", "")
+		t.call("POST", "", "")
+		expectGolden("operator.txt", t.text.String())
+	})
+
+	It("has a status for each verdict on a change", func() {
+		var out strings.Builder
+		for _, judged := range []register.Verdict{register.Fits, register.Repeated, register.Stale, register.NotAbove} {
+			got := unfit(register.Value{Version: 7}, judged)
+			fmt.Fprintf(&out, "%d: %d %s\n", judged, got.status, got.text)
+		}
+		for _, got := range []verdict{accepted, invalid(errNoVoters), unavailable(errNoVoters)} {
+			fmt.Fprintf(&out, "%d %s\n", got.status, got.text)
+		}
+		expectGolden("verdicts.txt", out.String())
+	})
+})
+
+var _ = Describe("the form of what is told to people and servers", func() {
+	It("has the same JSON keys", func() {
+		data, err := json.MarshalIndent([]any{
+			holdings{Identity: "i", Votes: true, Epoch: 2, Version: 3, Bytes: 4, Ballot: 5, Told: 6, TouchMajority: true,
+				Voters: []voterTouch{{Identity: "v", Address: "a", InTouch: true}}},
+			holdings{},
+			orderBody{Op: orderStage, Stage: message.Prefill, Holder: "c0", FenceToken: 9},
+		}, "", "  ")
+		Expect(err).NotTo(HaveOccurred())
+		expectGolden("json.txt", string(data)+"\n")
+	})
+})
--- /dev/null
+++ b/internal/message/wire_form_test.go
@@ -0,0 +1,166 @@
+package message_test
+
+import (
+	"bytes"
+	"compress/flate"
+	"encoding/hex"
+	"flag"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"hazelwheel/internal/decide/membership"
+	"hazelwheel/internal/decide/register"
+	"hazelwheel/internal/message"
+	"hazelwheel/internal/routes"
+)
+
+// update writes the golden files anew. Only for a type that is new: what is sent between processes never changes its form.
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// wireValues holds a value of each type that is sent between processes, with every field set.
+func wireValues() map[string]any {
+	digest := register.DigestOf([]byte("configuration"))
+	ballot := register.Ballot{Round: 300, Proposer: "control-1/00000000000000aa"}
+	value := register.Value{Epoch: 5, Voters: []register.Voter{{ID: "founder@10.0.0.1:7000", Address: "10.0.0.1:7000"}},
+		Previous: []register.Voter{{ID: "10.0.0.2:7000#0102", Address: "10.0.0.2:7000"}}, Version: 70000, Config: digest,
+		Accepted: []register.Digest{digest}, Grants: []register.Grant{{Role: "stages", Holder: "control-1", Token: 9}}}
+	demand := membership.Demand{Service: "chat", ReadPerS: 1500.5, Streams: 12.25, Held: 80000}
+	record := membership.Record{Name: "control-1/control", Kind: membership.Control, Address: "10.0.0.1:7000", Zone: "a", Incarnation: 1700000000000,
+		Life: 1 << 63, Heartbeat: 70, Revision: 3, Leaving: true, Voter: "founder@10.0.0.1:7000", Operator: "10.0.0.1:80", Released: 4,
+		Demands: []membership.Demand{demand}}
+	beat := membership.Beat{Key: 0xdeadbeef, Heartbeat: 70000}
+	load := message.Load{Key: message.LoadKey("i-1"), Running: 3, Waiting: 300, AgeMs: 900}
+	plan := message.StagePlan{Token: 9, Sequence: 130, Stages: map[string]message.Stage{"i-1": message.Decode}}
+	list := message.List{Digest: 1 << 62, AgeMs: 12.5, Data: []byte("packed list")}
+	table := message.Table{Version: 70000, Data: []byte("packed table")}
+	return map[string]any{
+		"Instance": message.Instance{ID: "i-1", Service: "chat", Address: "10.0.1.1:9000", Zone: "a", Slots: 8, Draining: true,
+			Stage: message.Prefill, ColdMs: 2500.5},
+		"List":  list,
+		"Table": table,
+		"Gossip": message.Gossip{Format: message.FormatVersion, Records: []membership.Record{record}, Beats: []membership.Beat{beat}, Voters: value,
+			Grants: value.Grants, Plan: plan, Version: 70000, Table: &table, List: list, Loads: []message.Load{load}, TakeTable: true,
+			TakeList: true, News: true},
+		"ConfigRequest": message.ConfigRequest{Digest: digest, Offset: 131072, Length: 131072},
+		"ConfigReply":   message.ConfigReply{Data: []byte("piece"), Size: 200000},
+		"Learn":         message.Learn{To: "founder@10.0.0.1:7000", At: ballot, Value: value, Since: register.Ballot{Round: 299, Proposer: "control-2"}},
+		"Learned":       message.Learned{Held: true},
+		"Feed": message.Feed{Table: &table, List: &list, Loads: []message.Load{load}, Plan: &plan, Rank: 2,
+			Count: 300},
+		"Load":        load,
+		"ProxyReport": message.ProxyReport{Version: 70000, Demands: []membership.Demand{demand}, Loads: []message.Load{load}},
+		"StagePlan":   plan,
+		// What Table and List hold once they are unpacked.
+		"routes.Table": routes.Table{Version: 70000, Limits: routes.Limits{MaxHeaderBytes: 32768, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 4000.5, IdleTimeoutMs: 55000},
+			Routes: []routes.Route{{Name: "r", Host: "h.example", PathPrefix: "/p/", Kind: routes.Streaming, TimeoutMs: 30000, TargetMs: 800.5,
+				Priority: 2, Targets: []routes.Target{{Service: "chat", Weight: 0.75}}, MaxAttempts: 3, Sticky: true, Resumable: true, GapMs: 250.5}},
+			Services: []routes.Service{{Name: "chat", HealthPath: "/health", MaxConnections: 100, Engine: &routes.Engine{Slots: 8, KVTokens: 1e6,
+				KVTokenBytes: 1000.5, LinkMbps: 10000, HandleTTLS: 5.5, SwitchS: 2.5}}}},
+		"instances": []message.Instance{{ID: "i-1", Service: "chat", Address: "10.0.1.1:9000", Zone: "a", Slots: 8, Draining: true,
+			Stage: message.Decode, ColdMs: 2500.5}},
+	}
+}
+
+// golden returns the content of a file that was written by the version that first sent this form.
+func golden(t *testing.T, name string, now []byte) []byte {
+	t.Helper()
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755))
+		require.NoError(t, os.WriteFile(goldenPath(name), []byte(hex.Dump(now)), 0o644))
+	}
+	return readGolden(t, name)
+}
+
+func goldenPath(name string) string { return filepath.Join("testdata", "wire", name+".hex") }
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	dump, err := os.ReadFile(goldenPath(name))
+	require.NoError(t, err)
+	return undump(t, string(dump))
+}
+
+// undump reverses hex.Dump.
+func undump(t *testing.T, dump string) (out []byte) {
+	t.Helper()
+	for line := range strings.Lines(dump) {
+		_, rest, _ := strings.Cut(line, "  ")
+		digits, _, _ := strings.Cut(rest, "|")
+		data, err := hex.DecodeString(strings.Join(strings.Fields(digits), ""))
+		require.NoError(t, err)
+		out = append(out, data...)
+	}
+	return out
+}
+
+func TestWireForm(t *testing.T) {
+	for name, value := range wireValues() {
+		t.Run(name, func(t *testing.T) {
+			requireFieldsSet(t, name, reflect.ValueOf(value))
+			now, err := msgpack.Marshal(value)
+			require.NoError(t, err)
+			sent := golden(t, name, now)
+			assert.Equal(t, sent, now, "the bytes have changed")
+			decoded := reflect.New(reflect.TypeOf(value))
+			require.NoError(t, msgpack.Unmarshal(sent, decoded.Interface()))
+			assert.Equal(t, value, decoded.Elem().Interface())
+		})
+	}
+}
+
+// TestPackedForm pins what Table and List hold packed. A compressor may choose other bytes for it, so that what they unpack to counts.
+func TestPackedForm(t *testing.T) {
+	values := wireValues()
+	table := values["routes.Table"].(routes.Table)
+	packed, err := message.PackTable(&table)
+	require.NoError(t, err)
+	assert.Equal(t, table.Version, packed.Version)
+	assert.Equal(t, readGolden(t, "routes.Table"), inflated(t, packed.Data))
+	unpacked, err := (&message.Table{Version: table.Version, Data: golden(t, "packed.Table", packed.Data)}).Unpack()
+	require.NoError(t, err)
+	assert.Equal(t, &table, unpacked)
+
+	instances := values["instances"].([]message.Instance)
+	data, err := message.PackList(instances)
+	require.NoError(t, err)
+	assert.Equal(t, readGolden(t, "instances"), inflated(t, data))
+	got, err := message.UnpackList(golden(t, "packed.instances", data))
+	require.NoError(t, err)
+	assert.Equal(t, instances, got)
+}
+
+func inflated(t *testing.T, data []byte) []byte {
+	t.Helper()
+	out, err := io.ReadAll(flate.NewReader(bytes.NewReader(data)))
+	require.NoError(t, err)
+	return out
+}
+
+// requireFieldsSet fails where a field has its zero value: its form would not be pinned.
+func requireFieldsSet(t *testing.T, path string, value reflect.Value) {
+	t.Helper()
+	switch value.Kind() {
+	case reflect.Pointer:
+		require.False(t, value.IsNil(), path)
+		requireFieldsSet(t, path, value.Elem())
+	case reflect.Slice:
+		require.NotZero(t, value.Len(), path)
+		requireFieldsSet(t, path+"[0]", value.Index(0))
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if field := value.Type().Field(i); field.IsExported() {
+				requireFieldsSet(t, path+"."+field.Name, value.Field(i))
+			}
+		}
+	default:
+		require.False(t, value.IsZero(), path)
+	}
+}
