--- a/internal/control/holdings.go
+++ b/internal/control/holdings.go
@@ -7,22 +7,22 @@
 
 // holdings is what a control process tells of its copy, for people and their tools.
 type holdings struct {
-	Identity      string // of the disk
-	Votes         bool   // as far as this process has heard
-	Epoch         uint64 // of the value on the disk
-	Version       uint64 // of the configuration on the disk
-	Bytes         int    // of that configuration, 0: they are not here
-	Ballot        uint64 // round of the ballot at which the value was accepted or learned
-	Told          uint64 // version that this process tells others, 0: none
-	TouchMajority bool   // whether it is in touch with a majority of the voters
-	Voters        []voterTouch
+	Identity      string       `json:"Identity"`      // of the disk
+	Votes         bool         `json:"Votes"`         // as far as this process has heard
+	Epoch         uint64       `json:"Epoch"`         // of the value on the disk
+	Version       uint64       `json:"Version"`       // of the configuration on the disk
+	Bytes         int          `json:"Bytes"`         // of that configuration, 0: they are not here
+	Ballot        uint64       `json:"Ballot"`        // round of the ballot at which the value was accepted or learned
+	Told          uint64       `json:"Told"`          // version that this process tells others, 0: none
+	TouchMajority bool         `json:"TouchMajority"` // whether it is in touch with a majority of the voters
+	Voters        []voterTouch `json:"Voters"`
 }
 
 // voterTouch is a voter as a control process sees it.
 type voterTouch struct {
-	Identity string
-	Address  string
-	InTouch  bool
+	Identity string `json:"Identity"`
+	Address  string `json:"Address"`
+	InTouch  bool   `json:"InTouch"`
 }
 
 func (c *Control) holdings() holdings {
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -231,10 +231,10 @@
 }
 
 type orderBody struct {
-	Op         string
-	Stage      message.Stage
-	Holder     string
-	FenceToken uint64
+	Op         string        `json:"Op"`
+	Stage      message.Stage `json:"Stage"`
+	Holder     string        `json:"Holder"`
+	FenceToken uint64        `json:"FenceToken"`
 }
 
 // order sends one order. An order without an answer may have been taken and counts as such.
--- a/internal/proxy/reading.go
+++ b/internal/proxy/reading.go
@@ -63,7 +63,7 @@
 }
 
 type handleAnswer struct {
-	KvHandle string
+	KvHandle string `json:"KvHandle"`
 }
 
 func (p *Proxy) callReader(ctx context.Context, j *job, reader *placement.Endpoint) (string, Verdict) {
