--- /dev/null
+++ b/internal/front/ops/wire_form_test.go
@@ -0,0 +1,52 @@
+package ops
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"hazelwheel/internal/sidecar"
+)
+
+// figuresDesk is a desk with figures.
+type figuresDesk struct {
+	desk
+	figures *sidecar.Figures
+}
+
+func (d *figuresDesk) Figures() *sidecar.Figures { return d.figures }
+
+// Operators' tools read HEALTH and DUMP: each answer stays as it is to the byte.
+func TestAnswersForm(t *testing.T) {
+	figures := &sidecar.Figures{At: 100, Written: 11, Open: 12, Members: 13, Unavailable: 14, Fleet: []sidecar.Figure{{Name: "peers_alive", Value: 15}}}
+	require.NoError(t, json.Unmarshal([]byte(`[{"class":"read","served":1,"throttled":2,"failed":3,"abandoned":4},{"class":"write","served":5}]`), &figures.Classes))
+	d := &figuresDesk{figures: figures}
+	now := 103.0
+	door := &Door{desk: d, now: func() float64 { return now }}
+	raw, err := os.ReadFile("testdata/answers/dump")
+	require.NoError(t, err)
+	assert.Equal(t, string(raw), string(door.call("DUMP")))
+	assert.Equal(t, "OK serving\n", string(door.call("HEALTH")))
+	now = 103.25
+	assert.Equal(t, "ERR the event loop has stood still for 3.2 s\n", string(door.call("health")))
+	figures.Ending = true
+	assert.Equal(t, "ERR this process has been told to end\n", string(door.call("HEALTH")))
+	d.figures = nil
+	assert.Equal(t, "ERR not serving yet\n", string(door.call("HEALTH")))
+	assert.Equal(t, "ERR no figures yet\n", string(door.call("DUMP")))
+	for call, answer := range map[string]string{
+		"":            "ERR an empty line\n",
+		"OFFLINE":     "ERR OFFLINE needs a server's id\n",
+		"OFFLINE s-1": "OK s-1 is left out\n",
+		"ONLINE s-1":  "OK s-1 may serve\n",
+		"LEAVE":       "OK draining\n",
+		"JOIN":        "OK serving\n",
+		"JOIN now":    "ERR JOIN takes nothing after \"JOIN\"\n",
+		"PEERS":       "ERR unknown call \"PEERS\"\n",
+	} {
+		assert.Equal(t, answer, string(door.call(call)), call)
+	}
+}
--- /dev/null
+++ b/internal/handover/stored_form_test.go
@@ -0,0 +1,61 @@
+package handover
+
+import (
+	"encoding/json"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// A process of a new version takes the place of an old one, and the other way round: the state has the bytes of the golden file,
+// and a folder as it was written is read.
+func TestStoredForm(t *testing.T) {
+	want := State{At: 1700000000.25, Settings: "0123456789abcdef", List: json.RawMessage(`{"Index":7}`), Module: []byte{1, 2, 3}}
+	text, err := Encode(want)
+	require.NoError(t, err)
+	raw, err := os.ReadFile("testdata/folder/state")
+	require.NoError(t, err)
+	assert.Equal(t, string(raw), string(text))
+
+	dir := t.TempDir()
+	require.NoError(t, os.CopyFS(dir, os.DirFS("testdata/folder")))
+	s, err := Open(dir, func(err error) { t.Error(err) })
+	require.NoError(t, err)
+	defer s.Close()
+	got, err := s.Load()
+	require.NoError(t, err)
+	assert.Equal(t, want, got)
+	bans, away, err := s.Read()
+	require.NoError(t, err)
+	assert.Equal(t, []string{"../../etc", "a b", "s-1"}, bans)
+	assert.True(t, away)
+}
+
+// The names of the files are what another version looks for.
+func TestStoredNames(t *testing.T) {
+	dir := t.TempDir()
+	s, err := Open(dir, func(err error) { t.Error(err) })
+	require.NoError(t, err)
+	require.NoError(t, s.Ban("s-1"))
+	require.NoError(t, s.Away(true))
+	require.NoError(t, s.Serving())
+	lives, err := filepath.Glob(filepath.Join(dir, "lives", "*"))
+	require.NoError(t, err)
+	require.Len(t, lives, 1)
+	assert.Regexp(t, `^[0-9]{20}-[A-Z2-7]{8}$`, filepath.Base(lives[0]))
+	word, err := os.ReadFile(lives[0])
+	require.NoError(t, err)
+	assert.Equal(t, "serving", string(word))
+	var names []string
+	require.NoError(t, fs.WalkDir(os.DirFS(filepath.Join(dir, "bans")), ".", func(path string, _ fs.DirEntry, err error) error {
+		names = append(names, path)
+		return err
+	}))
+	assert.Equal(t, []string{".", "%away", "s-1"}, names)
+	s.Close()
+	assert.NoFileExists(t, lives[0])
+}
--- /dev/null
+++ b/internal/sidecar/counters_form_test.go
@@ -0,0 +1,58 @@
+package sidecar
+
+import (
+	"os"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// Operators' tools read /counters: with every field set the answer is that of the golden file.
+func TestCountersForm(t *testing.T) {
+	c := counters{}
+	set(reflect.ValueOf(&c).Elem())
+	for i := range c.attempts {
+		c.attempts[i], c.probes[i] = uint64(i+1), uint64(i+1)
+	}
+	raw, err := os.ReadFile("testdata/counters.json")
+	require.NoError(t, err)
+	assert.Equal(t, string(raw), string(c.text()))
+}
+
+// set gives every exported field, and one element of every slice, a value that is not zero.
+func set(v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		set(v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				set(v.Field(i))
+			}
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		set(v.Index(0))
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		set(key)
+		set(value)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.Interface:
+		v.Set(reflect.ValueOf("x"))
+	case reflect.String:
+		v.SetString("x")
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Float64:
+		v.SetFloat(0.5)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(1)
+	case reflect.Uint8, reflect.Uint64:
+		v.SetUint(1)
+	}
+}
