--- /dev/null
+++ b/internal/capture/stored_form_test.go
@@ -0,0 +1,99 @@
+package capture
+
+import (
+	"bytes"
+	"flag"
+	"iter"
+	"maps"
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"hazelwheel/policy"
+)
+
+var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
+
+// ordered names open requests in the order of their numbers, so that a checkpoint's line is the same each time.
+type ordered struct{ *rig }
+
+func (o ordered) RequestLabels() iter.Seq2[uint32, Label] {
+	return func(yield func(uint32, Label) bool) {
+		for _, id := range slices.Sorted(maps.Keys(o.open)) {
+			if !yield(id, o.open[id]) {
+				return
+			}
+		}
+	}
+}
+
+// TestRecordFormIsKept records the same events as released versions do, to the byte, and replays what one has recorded: the start with
+// the settings, every kind of input and decision, and segments that begin with a checkpoint.
+func TestRecordFormIsKept(t *testing.T) {
+	r := newRig(t, Settings{On: true, MaxBytes: 128 << 10, Files: 2}, 5)
+	r.Recorder.source = ordered{r}
+	r.run(60)
+	r.Recorder.Stalled(r.now, 0.75)
+	r.Balancer.Stalled(r.now, 0.75)
+	r.Recorder.Place(r.now, 1, 3)
+	r.Balancer.Place(r.now, 1, 3)
+	r.run(40)
+	r.Recorder.Resume()
+	r.run(40)
+	got := r.Dump(r.now)
+	path := filepath.Join("testdata", "record.jsonl")
+	if *update {
+		require.NoError(t, os.MkdirAll("testdata", 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.True(t, bytes.Equal(want, got), "the same events are recorded by other lines")
+	for _, kind := range []string{kindDump, kindEnd, kindStart, kindState, kindHosts, kindRequest, kindOutcome, kindProbe, kindWake, kindStalled, kindPlace, kindDecision} {
+		assert.True(t, bytes.Contains(want, []byte(`"k":"`+kind+`"`)), kind)
+	}
+	tally, out := replayed(t, string(want))
+	assert.Zero(t, tally.Differ+tally.Skipped+tally.Truncated, out)
+	assert.Equal(t, 2, tally.Segments)
+	assert.Greater(t, tally.Compared, 50)
+}
+
+// TestLineFormIsKept writes one line of each input and decision, all fields set.
+func TestLineFormIsKept(t *testing.T) {
+	r := newRig(t, small, 2)
+	r.now += 0.0625
+	l := Label{"9b1f03aa5c7e2d41", "raise-alert"}
+	from := len(r.ring[r.at])
+	writeEachKind(r, l)
+	got := string(r.ring[r.at][from:])
+	path := filepath.Join("testdata", "lines.jsonl")
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, strings.Split(string(want), "\n"), strings.Split(got, "\n"))
+}
+
+func writeEachKind(r *rig, l Label) {
+	c := r.Recorder
+	c.Hosts(r.now, policy.ListCached, []policy.HostInfo{{ID: 1, Zone: 2, Kind: 3, Cell: 4, State: policy.Draining, Size: 0.5, Started: 1.6e9}})
+	c.Request(r.now, policy.Request{ID: 5, Class: 1, Tenant: 2, Key: 1 << 63, Deadline: r.now + 1, Work: 0.25, HasWork: true, Repeat: true, Held: 0.125}, l)
+	result := policy.Result{ID: 5, Attempt: 1, Host: 1, Outcome: policy.Outcome(3), DelayS: 0.0625, LateS: 0.5, Final: true,
+		Report: policy.Report{N: 3, Values: [4]float32{0.5, float32(math.NaN()), float32(math.Inf(1))}}}
+	c.Outcome(r.now, result, l)
+	c.Probe(r.now, result)
+	c.Wake(r.now)
+	c.Stalled(r.now, 0.75)
+	c.Place(r.now, 1, 3)
+	c.Gone(r.now, 5, l)
+	for _, do := range []string{Send, Cancel, Probe, CloseIdle, Refuse, Fail, Wake, Watch, Log} {
+		c.Decide(Decision{ID: l.ID, Class: l.Class, To: "s-00000001", Do: do, Request: 5, Host: 1, Attempt: 1, After: 1e-7, Text: "text \"\\\n\xff"})
+	}
+}
--- /dev/null
+++ b/internal/decide/tenure/stored_form_test.go
@@ -0,0 +1,93 @@
+package tenure
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"hazelwheel/internal/decide/member"
+)
+
+var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
+
+// golden compares bytes with a file under testdata.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.True(t, bytes.Equal(want, got), "%s: the bytes differ: want %q, got %q", name, want, got)
+	return want
+}
+
+// TestWireAndStoredForm encodes values of every message, log entry and stored record, all fields set, to the bytes that released
+// versions write, and reads these bytes back.
+func TestWireAndStoredForm(t *testing.T) {
+	grant := Grant{Job: "list", Owner: math.MaxUint64, Token: 7<<counterBits + 3, Life: 1 << 63}
+	record := Record{Job: "works", Version: 9, Token: 7<<counterBits + 4, Body: []byte{0, 1, 255}}
+	founding := Founding{Ballot: 1<<32 | 0x1200 | 2, Accepted: 1<<32 | 1, Epoch: 7, Members: []member.ID{11, 12, 13}, Step: stepAccepted}
+	renewal := Renewal{Number: 21, Grants: []Grant{grant}, Records: []Record{record}}
+	wire := map[string]any{
+		"message": &Message{Epoch: 7, Raft: []byte("raft"), Serial: 31, Writer: 32, Lineage: []Writer{{33, 34}, {35, 36}}, Found: &founding,
+			Table: &Table{Epoch: 7, Index: 41, Term: 42, Leader: 11, Electors: []member.ID{11, 12, 13}, Grants: []Grant{grant}},
+			Renew: &renewal, Renewed: &Renewal{Number: 22}, Back: []Grant{grant}, Decline: []string{"list"}, Wish: []string{"works", "report"},
+			Offer: []string{"a"}, Life: 51, Write: &record, Records: []Record{record}, Move: "report"},
+		"message-empty":   &Message{},
+		"message-renewed": &Message{Renewed: &renewal},
+		"commands":        &[]command{{Job: "list", Owner: 11, Life: 12, Was: 13}, {Job: "works", Was: 14}, {Put: &record}},
+		"machine":         &machine{Epoch: 7, Grants: []Grant{grant, {Job: "report", Token: 7 << counterBits}}, Records: []Record{record}},
+		"saved": &saved{Version: stateVersion, Self: 11, Serial: 31, Lineage: lineage{{33, 34}}, Epoch: 7, Promised: 61, Accepted: &founding,
+			Group: &founding, Hard: []byte("hard"), Snapshot: []byte("snapshot"), Entries: [][]byte{[]byte("one"), []byte("two")}},
+	}
+	fresh := map[string]func() any{
+		"message": func() any { return &Message{} }, "message-empty": func() any { return &Message{} }, "message-renewed": func() any { return &Message{} },
+		"commands": func() any { return &[]command{} }, "machine": func() any { return &machine{} }, "saved": func() any { return &saved{} },
+	}
+	for name, value := range wire {
+		t.Run(name, func(t *testing.T) {
+			raw := golden(t, "form/"+name+".msgpack", pack(value))
+			read := fresh[name]()
+			require.NoError(t, unpack(raw, read))
+			require.Equal(t, value, read)
+		})
+	}
+}
+
+// TestStateOfReleasedVersionIsRead starts members with the states that an earlier version has written. They go on with the group, its
+// grants and its records.
+func TestStateOfReleasedVersionIsRead(t *testing.T) {
+	h := newHall(t, 3, "list", "report")
+	h.until(110)
+	o, token := h.owner("list")
+	require.NotNil(t, o)
+	o.t.Write(h.now, "list", 1, []byte("kept"))
+	h.until(h.now + 1)
+	for _, s := range h.all {
+		raw := golden(t, fmt.Sprintf("state/member-%d.msgpack", s.id), s.saved)
+		set := s.t.set
+		set.Seed += 1000 // another process
+		next, err := New(h.now, s.id, set, raw, s)
+		require.NoError(t, err)
+		require.Equal(t, raw, next.state(), "what is read is written the same")
+		next.Members(h.now, s.t.members)
+		s.t = next
+	}
+	h.until(h.now + 10)
+	next, later := h.owner("list")
+	require.NotNil(t, next)
+	require.Greater(t, later, token, "a token that was granted is not granted again")
+	require.Equal(t, []byte("kept"), next.agreed.Body)
+	for _, s := range h.all {
+		require.Empty(t, s.gone)
+	}
+}
--- /dev/null
+++ b/internal/sim/stored_form_test.go
@@ -0,0 +1,92 @@
+package sim
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"hazelwheel/internal/judge"
+	"hazelwheel/internal/world"
+)
+
+var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
+
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	wantLines, gotLines := bytes.Split(want, []byte("\n")), bytes.Split(got, []byte("\n"))
+	for i := range min(len(wantLines), len(gotLines)) {
+		require.Equal(t, string(wantLines[i]), string(gotLines[i]), "%s, line %d", name, i+1)
+	}
+	require.Len(t, gotLines, len(wantLines), name)
+}
+
+// TestTraceFormIsKept writes a trace's line of each kind of event, all fields set, and the first lines of a day of a kept script.
+func TestTraceFormIsKept(t *testing.T) {
+	var text bytes.Buffer
+	for _, kind := range slices.Sorted(maps.Keys(kindNames)) {
+		e := judge.Event{Kind: kind, Sidecar: 1, Box: 2, Status: 503, N: 4, NotStarted: true, Spoilt: true, Request: 0xabc, First: 0xdef, Text: "text"}
+		fmt.Fprintln(&text, describe(&e))
+		fmt.Fprintln(&text, describe(&judge.Event{Kind: kind, Sidecar: -1, Box: -1}))
+	}
+	golden(t, "trace-events.txt", text.Bytes())
+
+	const file = "testdata/scripts/sweep-while-links-go.toml"
+	raw, err := os.ReadFile(file)
+	require.NoError(t, err)
+	s, err := world.ReadScript(file, raw, world.Usual())
+	require.NoError(t, err)
+	s.LengthS, s.Troubles = 3, nil
+	text.Reset()
+	lines := 0
+	_, err = Play(*s, Options{Trace: func(at float64, line string) {
+		if strings.Contains(line, " log: ") { // log lines are no part of the form
+			return
+		}
+		if lines++; lines <= 200 {
+			fmt.Fprintf(&text, "%11.6f %s\n", at, line)
+		}
+	}})
+	require.NoError(t, err)
+	golden(t, "trace-day.txt", text.Bytes())
+}
+
+// TestResultFormIsKept writes the results that commands print as JSON, all fields set, and reads them back.
+func TestResultFormIsKept(t *testing.T) {
+	event := judge.Event{Kind: judge.Replied, Sidecar: 1, Box: 2, Class: 3, Status: 200, Zone: 4, Cell: 5, N: 6, Reused: true, Read: true, NotStarted: true,
+		Spoilt: true, ByBox: true, Uncounted: true, At: 1.5, FirstSent: 2.5, Sent: 3.5, Until: 4.5, Since: 5.5, Work: 6.5, Request: 7, First: 8, Link: 9, Digest: 10,
+		Index: 11, Address: "address", Text: "text"}
+	r := Result{Seed: 1, Hash: 2, Steps: 3, Start: 4.5, SimulatedS: 5.5, Granted: 6, Worked: 7,
+		Findings: []judge.Finding{{Rule: judge.SafeDrain, At: 1.5, Sidecar: 1, Box: 2, Request: 3, Why: "why", Events: []judge.Event{event}}},
+		Report:   judge.Report{Service: 0.5, Classes: []judge.ClassService{{}}}}
+	raw, err := json.MarshalIndent(&r, "", " ")
+	require.NoError(t, err)
+	golden(t, "result.json", raw)
+	var read Result
+	require.NoError(t, json.Unmarshal(raw, &read))
+	require.Equal(t, r, read)
+
+	weighed := Weighed{TotalS: 1.5, Service: 0.5, Worst: 0.25, At: 2, Refused: 3, Rules: 4}
+	raw, err = json.MarshalIndent([]*Weighed{&weighed}, "", " ")
+	require.NoError(t, err)
+	golden(t, "weighed.json", raw)
+
+	raw, err = json.MarshalIndent(&Tally{Days: 1, History: "h", SimulatedS: 2.5, Steps: 3, Broken: []BrokenRule{{judge.SafeDrain, 1, []uint64{2}}}, Service: 0.5,
+		Worked: 4, Classes: []ClassTally{{Name: "a", Asked: 1, InAim: 2, Late: 3, Refused: 4, Failed: 5, Service: 0.5}}}, "", " ")
+	require.NoError(t, err)
+	golden(t, "tally.json", raw)
+}
