--- a/internal/sim/owners/world.go
+++ b/internal/sim/owners/world.go
@@ -51,15 +51,15 @@
 
 // Counts are what a day was about.
 type Counts struct {
-	Grants   int // leases that began
-	Moves    int // of these: to another member than before
-	Effects  int // that were taken
-	Refused  int // that came under a token lower than one taken before
-	Stalls   int // between the check of a lease and the effect
-	Elected  int // leaders
-	Lost     int // identities that ended with their state
-	Founded  int // groups
-	Replaced int // electors
+	Grants   int `json:"Grants"`   // leases that began
+	Moves    int `json:"Moves"`    // of these: to another member than before
+	Effects  int `json:"Effects"`  // that were taken
+	Refused  int `json:"Refused"`  // that came under a token lower than one taken before
+	Stalls   int `json:"Stalls"`   // between the check of a lease and the effect
+	Elected  int `json:"Elected"`  // leaders
+	Lost     int `json:"Lost"`     // identities that ended with their state
+	Founded  int `json:"Founded"`  // groups
+	Replaced int `json:"Replaced"` // electors
 }
 
 // identity is one that a member had.
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -103,15 +103,15 @@
 
 // Result is what came of a day.
 type Result struct {
-	Seed       uint64
-	Hash       uint64  // of the history
-	Steps      uint64  // events
-	Start      float64 // of the day, in Unix time
-	SimulatedS float64
-	Findings   []judge.Finding
-	Report     judge.Report
-	Granted    uint64 // the greatest token under which a sidecar was heard; 0: none was
-	Worked     int    // boxes on which work has ended
+	Seed       uint64          `json:"Seed"`
+	Hash       uint64          `json:"Hash"`  // of the history
+	Steps      uint64          `json:"Steps"` // events
+	Start      float64         `json:"Start"` // of the day, in Unix time
+	SimulatedS float64         `json:"SimulatedS"`
+	Findings   []judge.Finding `json:"Findings"`
+	Report     judge.Report    `json:"Report"`
+	Granted    uint64          `json:"Granted"` // the greatest token under which a sidecar was heard; 0: none was
+	Worked     int             `json:"Worked"`  // boxes on which work has ended
 }
 
 // Since returns how long after the day's start a time is.
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -172,12 +172,12 @@
 
 // Weighed is what came of a day in one way.
 type Weighed struct {
-	TotalS  float64 // from when the plan was given to when the last box was done; NaN: it was not
-	Service float64 // meanwhile
-	Worst   float64 // of 10 s
-	At      int     // when these began
-	Refused int     // tries, meanwhile
-	Rules   int     // that were broken
+	TotalS  float64 `json:"TotalS"`  // from when the plan was given to when the last box was done; NaN: it was not
+	Service float64 `json:"Service"` // meanwhile
+	Worst   float64 `json:"Worst"`   // of 10 s
+	At      int     `json:"At"`      // when these began
+	Refused int     `json:"Refused"` // tries, meanwhile
+	Rules   int     `json:"Rules"`   // that were broken
 	m       *meter
 }
 
