--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -357,11 +357,28 @@
 		Eventually(func() bool { return s.votes(3) }, within).Should(BeTrue())
 		Expect(s.held(3)).To(Equal(1))
 		s.stop(1)
-		facts, _ := s.machines[0].control.node.Facts()
-		Expect(facts.Voters.Voters).To(HaveLen(3), "the one that left does not vote any longer")
+		value, err := s.machines[0].control.registrar.Read(context.Background())
+		Expect(err).NotTo(HaveOccurred())
+		Expect(value.Everyone()).To(HaveLen(3), "the one that left does not vote any longer")
 		s.stop(2)
 		Eventually(func() int { return s.put(3, 1, configuration(2, 0)) }, within).Should(Equal(http.StatusOK))
 	})
+
+	It("have a voter that ends wait for its place to be taken, though it has not heard of the newcomer", func() {
+		s := newSide(3)
+		s.begin()
+		unaware := func() *Control { // a process that has heard of no other, and of the first voters alone
+			m := s.machines[1]
+			c := newControl(m.control.settings, m.control.replica, m.control.registrar.client, m.control.log)
+			c.node.SetVoters(founding(m.control.settings.SeedAddresses()))
+			return c
+		}
+		Expect(unaware().isReplaceable()).To(BeFalse(), "three voters")
+		s.start(3, false)
+		Eventually(func() bool { return s.votes(3) }, within).Should(BeTrue())
+		Expect(unaware().othersStaying()).To(BeZero())
+		Expect(unaware().isReplaceable()).To(BeTrue(), "four voters")
+	})
 })
 
 var _ = Describe("a member that comes back after many changes", func() {
--- a/internal/control/upkeep.go
+++ b/internal/control/upkeep.go
@@ -23,6 +23,8 @@
 	// leavePart is the part of the grace period for which a voter that ends stays for others to take its place.
 	leavePart = 0.4
 	leaveLook = 50 * time.Millisecond
+	// leaveReadTimeout bounds the read of the voters by a process that ends.
+	leaveReadTimeout = 500 * time.Millisecond
 )
 
 // upkeep has lost voters replaced and newcomers join.
@@ -145,13 +147,28 @@
 	deadline := time.Now().Add(boot.Seconds(leavePart * c.settings.Bounds.GraceS))
 	for time.Now().Before(deadline) {
 		facts, _ := c.node.Facts()
-		if !c.votes(&facts.Voters) || c.othersStaying() < c.wantedVoters() {
+		if !c.votes(&facts.Voters) || !c.isReplaceable() {
 			return
 		}
 		time.Sleep(leaveLook)
 	}
 }
 
+// isReplaceable tells whether as many voters as wanted are left without this process. Where it knows too few other processes it reads
+// the register: a voter that joined a moment ago may be unknown here, and this process must not end before that one has its place.
+func (c *Control) isReplaceable() bool {
+	if c.othersStaying() >= c.wantedVoters() {
+		return true
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), leaveReadTimeout)
+	defer cancel()
+	value, err := c.registrar.Read(ctx)
+	if err != nil {
+		return false // without a majority nobody can change the voters
+	}
+	return c.votes(&value.Value) && len(value.Everyone()) > c.wantedVoters()
+}
+
 func (c *Control) votes(value *register.Value) bool {
 	for _, voter := range value.Everyone() {
 		if voter.ID == c.registrar.self.ID {
