--- a/cmd/hazellab/demo_test.go
+++ b/cmd/hazellab/demo_test.go
@@ -27,8 +27,17 @@
 		began := time.Now()
 		p := start(t, "demo", "--binary", binary)
 		var pids map[int]string
-		eventually(t, "the sidecar", func() bool { pids = children(p.Process.Pid); return len(pids) == 1 })
-		_ = p.Wait()
+		ended := make(chan error, 1)
+		go func() { ended <- p.Wait() }()
+		require.Eventually(t, func() bool {
+			pids = children(p.Process.Pid)
+			return len(pids) == 1 || len(ended) > 0
+		}, patience, 2*time.Millisecond, "the sidecar")
+		if len(pids) != 1 {
+			<-ended
+			require.Fail(t, "the demo ended without a sidecar", p.out.String()+p.err.String())
+		}
+		<-ended
 		gone(t, pids)
 		out := p.out.String()
 		if strings.Contains(out, "too busy") && try < 3 {
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -63,6 +63,8 @@
 	sidecars []*sidecar
 	late     float64 // how long after the day's start the last sidecar was up
 	stop     context.CancelCauseFunc
+	// reservation keeps other plays on this machine out of the block of addresses.
+	reservation net.Listener
 }
 
 // leadS is how long before the day's start all but the clients begin: the sidecars' processes need it to come up.
@@ -81,6 +83,7 @@
 	if err := p.move(); err != nil {
 		return nil, err
 	}
+	defer func() { _ = p.reservation.Close() }() // the play is over
 	rules := s.Day.Rules()
 	if rules.MostAskS = s.MostAskS; s.Crew == nil { // waits go by how many there are
 		rules.MostAskS = max(rules.MostAskS, 0.75*float64(len(s.Day.Sidecars)))
@@ -234,10 +237,11 @@
 func (p *Play) move() error {
 	d := p.Day
 	d.Start = p.ground.Now() + leadS
-	shift, err := freeShift(d)
+	shift, reservation, err := reserveBlock(d)
 	if err != nil {
 		return err
 	}
+	p.reservation = reservation
 	for i := range d.Sidecars {
 		s := &d.Sidecars[i]
 		s.IP = moved(s.IP, shift)
@@ -278,17 +282,34 @@
 	return netip.AddrPortFrom(netip.MustParseAddr(moved(a.Addr().String(), shift)), a.Port()).String()
 }
 
-// freeShift finds a block in which nobody listens where discovery will.
-func freeShift(d *world.Day) (byte, error) {
-	var err error
+// reservationPort is the port at discovery's address that a play listens on for as long as it uses the block.
+const reservationPort = 61999
+
+// reserveBlock finds a block that no other play has reserved and in which nobody listens where discovery will. The block stays reserved
+// until the listener is closed. Danger: plays of several processes begin at the same moment. Where a block was only looked at, two of
+// them could choose the same one before either listened.
+func reserveBlock(d *world.Day) (shift byte, reservation net.Listener, err error) {
 	for range 10 {
-		shift := byte(blockSize * (1 + rand.IntN(blocks-1)))
-		var l net.Listener
-		if l, err = net.Listen("tcp", movedAddress(d.Registry.Addresses[0], shift)); err == nil {
-			return shift, l.Close()
+		shift = byte(blockSize * (1 + rand.IntN(blocks-1)))
+		if reservation, err = reserve(d, shift); err == nil {
+			return shift, reservation, nil
 		}
 	}
-	return 0, err
+	return 0, nil, err
+}
+
+func reserve(d *world.Day, shift byte) (net.Listener, error) {
+	discovery := movedAddress(d.Registry.Addresses[0], shift)
+	ip := netip.MustParseAddrPort(discovery).Addr()
+	reservation, err := net.Listen("tcp", netip.AddrPortFrom(ip, reservationPort).String())
+	if err != nil {
+		return nil, err
+	}
+	probe, err := net.Listen("tcp", discovery)
+	if err != nil {
+		return nil, errors.Join(err, reservation.Close())
+	}
+	return reservation, probe.Close()
 }
 
 // delay returns how long bytes take one way.
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -7,6 +7,7 @@
 	"path/filepath"
 	"regexp"
 	"strconv"
+	"syscall"
 	"testing"
 	"time"
 
@@ -120,3 +121,18 @@
 		return
 	}
 }
+
+// Two plays that begin at the same moment can't use one block of addresses, though neither listens for its discovery yet.
+func TestBlockIsReservedOnce(t *testing.T) {
+	t.Parallel()
+	d := &world.Day{}
+	d.Registry.Addresses = []string{"10.0.200.7:18753"}
+	shift, reservation, err := reserveBlock(d)
+	require.NoError(t, err)
+	_, err = reserve(d, shift)
+	require.ErrorIs(t, err, syscall.EADDRINUSE)
+	require.NoError(t, reservation.Close())
+	again, err := reserve(d, shift)
+	require.NoError(t, err)
+	require.NoError(t, again.Close())
+}
