--- a/internal/sim/crowd/ways.go
+++ b/internal/sim/crowd/ways.go
@@ -34,7 +34,7 @@
 // Ways returns the ways that were weighed, for a fleet of a size.
 func Ways(n int, seed uint64) []Way {
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
-	return []Way{allToAll(n, rng), swim(n, rng), activeViews(n, rng)}
+	return []Way{allToAll(n, rng), randomProbing(n, rng), activeViews(n, rng)}
 }
 
 // allToAll has each beat to each. Who is silent for long enough is dead, by everybody's own word.
@@ -48,9 +48,9 @@
 	return Way{"all to all", quantile(known, 0.5), quantile(known, 0.99), float64(n-1) / waysBeatS * beatLen, 0, fmt.Sprint(n - 1)}
 }
 
-// swim has each call one a round, in an order of its own, and others in its place where no answer comes; suspicion lasts for
+// randomProbing has each call one a round, in an order of its own, and others in its place where no answer comes; suspicion lasts for
 // a number of rounds that grows with the logarithm of the fleet, and news rides on calls and answers.
-func swim(n int, rng *rand.Rand) Way {
+func randomProbing(n int, rng *rand.Rand) Way {
 	var known []float64
 	rounds := math.Ceil(3 * math.Log10(float64(n)+1)) // that news rides along for, and that suspicion lasts
 	for range deaths {
