--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/lab/troupe"
 	"hazelwheel/internal/peers/frames"
@@ -447,8 +447,8 @@
 	c.agree(c.all...)
 	stop, victim := c.serveAll(), c.all[0]
 	hello := func(fleetName string) []byte {
-		self := member.Record{ID: 7, Version: member.Version{Incarnation: 1 << 32, Life: 1}, Name: "liar", Address: "127.0.0.1:1"}
-		inner, err := frames.Pack(member.Hello{Self: self})
+		self := swim.Record{ID: 7, Version: swim.Version{Incarnation: 1 << 32, Life: 1}, Name: "liar", Address: "127.0.0.1:1"}
+		inner, err := frames.Pack(swim.Hello{Self: self})
 		require.NoError(t, err)
 		body, err := frames.Pack(frames.Hello{Fleet: fleetName, Name: "liar", ID: 7, Address: self.Address, Body: inner})
 		require.NoError(t, err)
@@ -458,9 +458,9 @@
 	}
 	records := func(n int, seed uint64) []byte {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var m member.Message
+		var m swim.Message
 		for range n {
-			m.Records = append(m.Records, member.Record{ID: member.ID(rng.Uint64()), Version: member.Version{Incarnation: 1 << 32, Life: 1}, Name: "phantom",
+			m.Records = append(m.Records, swim.Record{ID: swim.ID(rng.Uint64()), Version: swim.Version{Incarnation: 1 << 32, Life: 1}, Name: "phantom",
 				Address: fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(9))})
 		}
 		body, err := frames.Pack(m)
--- a/internal/decide/member/doc.go
+++ b/internal/decide/swim/doc.go
@@ -1,4 +1,4 @@
-// Package member decides who is there: which sidecars of a fleet live, are suspected, have left or are dead. It is a pure
+// Package swim decides who is there: which sidecars of a fleet live, are suspected, have left or are dead. It is a pure
 // state machine: it is told the time, of links and of messages, and asks for links and messages. The same calls give the
 // same calls back.
 //
@@ -7,7 +7,7 @@
 // greater incarnation (SWIM); accusations by several count sooner than one alone, and who has doubts about itself waits
 // longer (Lifeguard). What is new goes to all links at once, and what was missed is found by comparing sums of views.
 // docs/design/peers.md weighs the ways.
-package member
+package swim
 
 import (
 	"cmp"
--- a/internal/decide/member/links.go
+++ b/internal/decide/swim/links.go
@@ -1,4 +1,4 @@
-package member
+package swim
 
 import (
 	"cmp"
--- a/internal/decide/member/part.go
+++ b/internal/decide/swim/part.go
@@ -1,4 +1,4 @@
-package member
+package swim
 
 // Part is a sidecar's place in its fleet as its decisions are told it. It follows the live count late: a rank or a count
 // moves the subset, and with it links and what is known of hosts.
--- a/internal/decide/tenure/doc.go
+++ b/internal/decide/tenure/doc.go
@@ -7,32 +7,32 @@
 // seen for the job (Greatest) and turns lower ones away. docs/design/owner.md weighs the ways.
 package tenure
 
-import "hazelwheel/internal/decide/member"
+import "hazelwheel/internal/decide/swim"
 
 // Grant is a job in one member's hands, or, without an owner, the last token of one that nobody has.
 type Grant struct {
-	Job   string    `msgpack:"j"`
-	Owner member.ID `msgpack:"o,omitempty"` // 0: nobody
-	Token uint64    `msgpack:"t"`           // of this grant; the job's next one is greater
-	Life  uint64    `msgpack:"l,omitempty"` // of the owner's process: another one with its identity gives the job back
+	Job   string  `msgpack:"j"`
+	Owner swim.ID `msgpack:"o,omitempty"` // 0: nobody
+	Token uint64  `msgpack:"t"`           // of this grant; the job's next one is greater
+	Life  uint64  `msgpack:"l,omitempty"` // of the owner's process: another one with its identity gives the job back
 }
 
 // Table is what is known of all grants. Of two the one of the greater Epoch, then Index, then Term, is newer; it goes to all
 // members, each over all its links, once. Without Electors it only asks whether the other has a newer one.
 type Table struct {
-	Epoch    uint64      `msgpack:"e"` // of the electors' founding
-	Index    uint64      `msgpack:"i"` // of the electors' log up to which it holds
-	Term     uint64      `msgpack:"t"`
-	Leader   member.ID   `msgpack:"l"`
-	Electors []member.ID `msgpack:"m,omitempty"`
-	Grants   []Grant     `msgpack:"g,omitempty"` // by job
+	Epoch    uint64    `msgpack:"e"` // of the electors' founding
+	Index    uint64    `msgpack:"i"` // of the electors' log up to which it holds
+	Term     uint64    `msgpack:"t"`
+	Leader   swim.ID   `msgpack:"l"`
+	Electors []swim.ID `msgpack:"m,omitempty"`
+	Grants   []Grant   `msgpack:"g,omitempty"` // by job
 }
 
 // Member is what is known of one, from the decisions about who is there.
 type Member struct {
-	ID      member.ID
+	ID      swim.ID
 	Address string
-	State   member.State
+	State   swim.State
 	Keeps   bool    // its identity is on disk: it can be an elector
 	SinceS  float64 // for how long the state has held
 }
@@ -82,11 +82,11 @@
 // Actions is what a Tenure asks for. None may call back into it.
 type Actions interface {
 	// Send sends a message to a member; what can't be sent is lost.
-	Send(to member.ID, m *Message)
+	Send(to swim.ID, m *Message)
 	// Flood sends a message over all links but those to one member (0: over all).
-	Flood(m *Message, except member.ID)
+	Flood(m *Message, except swim.ID)
 	// Want asks for links to these members, beside those that there are, in place of what was asked for before.
-	Want(members []member.ID)
+	Want(members []swim.ID)
 	// Save keeps the state: with the member's identity in one write, synced. Saved follows, and until then nothing that
 	// depends on it is said. One Save at a time.
 	Save(state []byte)
@@ -107,11 +107,11 @@
 // Founding is a word of the agreement on who the first electors are: one decree of Paxos among the listed addresses, which
 // wants all of them, so that nobody who kept its state can be passed over.
 type Founding struct {
-	Ballot   uint64      `msgpack:"b"`
-	Accepted uint64      `msgpack:"a,omitempty"` // the ballot at which Members was accepted
-	Epoch    uint64      `msgpack:"e,omitempty"` // the group's; of who promises, the greatest that it knows of
-	Members  []member.ID `msgpack:"m,omitempty"` // in the order of Settings.Electors
-	Step     uint8       `msgpack:"s"`           // prepare, promise, accept, accepted, chosen, refused, asked
+	Ballot   uint64    `msgpack:"b"`
+	Accepted uint64    `msgpack:"a,omitempty"` // the ballot at which Members was accepted
+	Epoch    uint64    `msgpack:"e,omitempty"` // the group's; of who promises, the greatest that it knows of
+	Members  []swim.ID `msgpack:"m,omitempty"` // in the order of Settings.Electors
+	Step     uint8     `msgpack:"s"`           // prepare, promise, accept, accepted, chosen, refused, asked
 }
 
 // Lapsed is why a job has ended whose lease was not confirmed in time: nobody need have been granted it since.
--- a/internal/decide/tenure/electors.go
+++ b/internal/decide/tenure/electors.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"go.etcd.io/raft/v3/tracker"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // Times of changes of electors, in seconds.
@@ -32,7 +32,7 @@
 	}
 	gone, longest := uint64(0), 0.0
 	for _, id := range g.conf.GetVoters() {
-		if s := t.goneS(member.ID(id)); s >= gonesS && s > longest {
+		if s := t.goneS(swim.ID(id)); s >= gonesS && s > longest {
 			gone, longest = id, s
 		}
 	}
@@ -69,7 +69,7 @@
 }
 
 // goneS tells for how long a member is gone; 0: it is there. Of one that nobody knows it is as long as this member leads.
-func (t *Tenure) goneS(id member.ID) float64 {
+func (t *Tenure) goneS(id swim.ID) float64 {
 	switch m := t.member(id); {
 	case id == t.self:
 		return 0
@@ -86,7 +86,7 @@
 	var best *Member
 	for i := range t.members {
 		m := &t.members[i]
-		if m.State == member.Alive && m.Keeps && t.sinceS(m) >= settledS && !slices.Contains(t.group.peers(), uint64(m.ID)) &&
+		if m.State == swim.Alive && m.Keeps && t.sinceS(m) >= settledS && !slices.Contains(t.group.peers(), uint64(m.ID)) &&
 			!slices.ContainsFunc(t.passed, func(p passed) bool { return p.job == "" && p.id == m.ID && t.now < p.until }) &&
 			(best == nil || m.SinceS > best.SinceS) {
 			best = m
@@ -109,8 +109,8 @@
 		t.learnedAt = t.now
 	}
 	switch {
-	case gone == 0 && !grow, t.goneS(member.ID(learner)) > learnerS || !caughtUp && t.now-t.learnedAt > learnerS:
-		t.passOver("", member.ID(learner), passS)
+	case gone == 0 && !grow, t.goneS(swim.ID(learner)) > learnerS || !caughtUp && t.now-t.learnedAt > learnerS:
+		t.passOver("", swim.ID(learner), passS)
 		t.change(single(raftpb.ConfChangeRemoveNode, learner))
 	case !caughtUp:
 	case gone == 0:
--- a/internal/decide/tenure/found.go
+++ b/internal/decide/tenure/found.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // The steps of the founding.
@@ -33,8 +33,8 @@
 )
 
 // listed returns the members at the listed addresses, 0 where there is none that lives and keeps its state.
-func (t *Tenure) listed() []member.ID {
-	ids := make([]member.ID, len(t.set.Electors))
+func (t *Tenure) listed() []swim.ID {
+	ids := make([]swim.ID, len(t.set.Electors))
 	for i, address := range t.set.Electors {
 		for _, m := range t.members {
 			if m.Address == address && !m.State.Gone() && m.Keeps {
@@ -82,7 +82,7 @@
 }
 
 // hearFounding takes a word of the founding.
-func (t *Tenure) hearFounding(from member.ID, f *Founding) {
+func (t *Tenure) hearFounding(from swim.ID, f *Founding) {
 	if len(f.Members) > mostList {
 		return
 	}
@@ -121,7 +121,7 @@
 }
 
 // answered takes an answer to a proposal of this member.
-func (t *Tenure) answered(from member.ID, f *Founding) {
+func (t *Tenure) answered(from swim.ID, f *Founding) {
 	t.round = max(t.round, f.Ballot>>32)
 	p := t.proposal
 	ids := t.listed()
--- a/internal/decide/tenure/group.go
+++ b/internal/decide/tenure/group.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // Raft's times, in seconds and in its ticks.
@@ -29,7 +29,7 @@
 	term    uint64 // of the last entry applied
 	conf    *raftpb.ConfState
 	ready   *raft.Ready // that waits for its state to be kept
-	lead    member.ID
+	lead    swim.ID
 	leads   bool
 	known   uint64 // up to which the disk said at the start that all is agreed
 	current uint64 // the term
@@ -168,7 +168,7 @@
 func (t *Tenure) mayVote() bool { return !t.unkept && !(t.leaving && t.handed) }
 
 // stepGroup takes a message of the group.
-func (t *Tenure) stepGroup(from member.ID, body []byte) {
+func (t *Tenure) stepGroup(from swim.ID, body []byte) {
 	g := t.group
 	var m raftpb.Message
 	if err := proto.Unmarshal(body, &m); err != nil || m.GetFrom() != uint64(from) || m.GetTo() != uint64(t.self) || !t.mayVote() {
@@ -241,7 +241,7 @@
 	rd := g.ready
 	g.ready = nil
 	for _, m := range rd.Messages {
-		t.say(member.ID(m.GetTo()), marshal(m))
+		t.say(swim.ID(m.GetTo()), marshal(m))
 	}
 	t.try(func() {
 		if !raft.IsEmptySnap(rd.Snapshot) {
@@ -308,7 +308,7 @@
 func (t *Tenure) ledBy(rd *raft.Ready) {
 	g := t.group
 	if rd.SoftState != nil {
-		g.lead = member.ID(rd.SoftState.Lead)
+		g.lead = swim.ID(rd.SoftState.Lead)
 		if leads := rd.SoftState.RaftState == raft.StateLeader; leads != g.leads {
 			g.leads = leads
 			t.turned(leads)
--- a/internal/decide/tenure/holder.go
+++ b/internal/decide/tenure/holder.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // Times of leases, in seconds. Danger: clocks may run 5 % apart either way. An owner counts from when it sent the renewal, to
@@ -264,7 +264,7 @@
 }
 
 // offered answers who would do jobs.
-func (t *Tenure) offered(from member.ID, jobs []string) {
+func (t *Tenure) offered(from swim.ID, jobs []string) {
 	var wish, not []string
 	for _, job := range jobs {
 		if t.can(job) {
@@ -320,7 +320,7 @@
 }
 
 // holderWants are the links that who owns anything needs.
-func (t *Tenure) holderWants() []member.ID {
+func (t *Tenure) holderWants() []swim.ID {
 	if len(t.held) == 0 && len(t.done) == 0 {
 		return nil
 	}
--- a/internal/decide/tenure/leader.go
+++ b/internal/decide/tenure/leader.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // Times of a leader, in seconds.
@@ -51,27 +51,27 @@
 	writing   uint64 // the version of its record that is in the log and has not been applied; 0: none is
 	pending   bool   // a command about it is in the log and has not been applied
 	offeredAt float64
-	offered   []member.ID // who was asked last
-	moveAt    float64     // the owner was asked to give it up
+	offered   []swim.ID // who was asked last
+	moveAt    float64   // the owner was asked to give it up
 }
 
 // bid is a member's word that it would do jobs.
 type bid struct {
-	id   member.ID
+	id   swim.ID
 	life uint64
 	jobs []string
 	at   float64
 }
 
 type waitingRenewal struct {
-	from  member.ID
+	from  swim.ID
 	round uint64 // that it waits for
 	*Renewal
 }
 
 type passed struct {
 	job   string
-	id    member.ID
+	id    swim.ID
 	until float64
 }
 
@@ -123,7 +123,7 @@
 }
 
 // hearAsLeader takes what only a leader can answer.
-func (t *Tenure) hearAsLeader(from member.ID, m *Message) {
+func (t *Tenure) hearAsLeader(from swim.ID, m *Message) {
 	if m.Renew == nil && m.Back == nil && m.Decline == nil && m.Wish == nil && m.Move == "" && m.Write == nil {
 		return
 	}
@@ -160,11 +160,11 @@
 	}
 }
 
-func (t *Tenure) bid(from member.ID, m *Message) {
+func (t *Tenure) bid(from swim.ID, m *Message) {
 	for _, job := range m.Wish {
 		t.post(job)
 	}
-	i, known := slices.BinarySearchFunc(t.bids, from, func(b bid, id member.ID) int { return cmp.Compare(b.id, id) })
+	i, known := slices.BinarySearchFunc(t.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) })
 	if !known {
 		t.bids = slices.Insert(t.bids, i, bid{id: from})
 	}
@@ -183,8 +183,8 @@
 
 // unbid forgets that a member would do a job, since it has just given it back. Danger: one that began again between its word and the
 // grant gives back what its former life was granted, and by that word it would be granted the job again and again.
-func (t *Tenure) unbid(from member.ID, job string) {
-	if i, known := slices.BinarySearchFunc(t.bids, from, func(b bid, id member.ID) int { return cmp.Compare(b.id, id) }); known {
+func (t *Tenure) unbid(from swim.ID, job string) {
+	if i, known := slices.BinarySearchFunc(t.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) }); known {
 		t.bids[i].jobs = slices.DeleteFunc(t.bids[i].jobs, func(o string) bool { return o == job })
 	}
 }
@@ -237,7 +237,7 @@
 }
 
 // passOver has a member not be granted a job for a while.
-func (t *Tenure) passOver(job string, id member.ID, forS float64) {
+func (t *Tenure) passOver(job string, id swim.ID, forS float64) {
 	t.passed = slices.DeleteFunc(t.passed, func(p passed) bool { return p.until <= t.now || p.job == job && p.id == id })
 	t.passed = append(t.passed, passed{job, id, t.now + forS})
 }
@@ -310,7 +310,7 @@
 // alive counts who can be granted anything, as far as is known.
 func (t *Tenure) alive() (n int) {
 	for _, m := range t.members {
-		if m.State == member.Alive {
+		if m.State == swim.Alive {
 			n++
 		}
 	}
@@ -318,7 +318,7 @@
 }
 
 // load counts a member's jobs, with those of a list that is to be proposed.
-func (t *Tenure) load(id member.ID, list []command) (n int) {
+func (t *Tenure) load(id swim.ID, list []command) (n int) {
 	for _, g := range t.group.machine.Grants {
 		if g.Owner == id {
 			n++
@@ -334,16 +334,16 @@
 
 // ranked returns who may be granted a job, the best first: who has the fewest jobs, and of these by a draw that is the same
 // for all and another for each job.
-func (t *Tenure) ranked(p *post, list []command) (ids []member.ID) {
+func (t *Tenure) ranked(p *post, list []command) (ids []swim.ID) {
 	g, _ := t.group.machine.grant(p.job)
 	type rank struct {
-		id   member.ID
+		id   swim.ID
 		load int
 		draw uint64
 	}
 	var ranks []rank
 	for _, m := range t.members {
-		if m.State != member.Alive || m.ID == t.self && !t.can(p.job) ||
+		if m.State != swim.Alive || m.ID == t.self && !t.can(p.job) ||
 			slices.ContainsFunc(t.passed, func(o passed) bool { return o.job == p.job && o.id == m.ID && t.now < o.until }) {
 			continue
 		}
@@ -363,7 +363,7 @@
 }
 
 // draw is a number of a job and a member.
-func draw(job string, id member.ID) uint64 {
+func draw(job string, id swim.ID) uint64 {
 	x := uint64(id)
 	for _, b := range []byte(job) {
 		x = (x ^ uint64(b)) * 0x100000001b3
@@ -374,14 +374,14 @@
 }
 
 // bidOf returns the life of a member that would do a job; 0: it has not said so lately.
-func (t *Tenure) bidOf(id member.ID, job string) uint64 {
+func (t *Tenure) bidOf(id swim.ID, job string) uint64 {
 	if id == t.self {
 		if t.can(job) {
 			return t.life
 		}
 		return 0
 	}
-	i, known := slices.BinarySearchFunc(t.bids, id, func(b bid, id member.ID) int { return cmp.Compare(b.id, id) })
+	i, known := slices.BinarySearchFunc(t.bids, id, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) })
 	if known && t.now-t.bids[i].at < bidS && slices.Contains(t.bids[i].jobs, job) {
 		return t.bids[i].life
 	}
@@ -389,7 +389,7 @@
 }
 
 // choose returns who is to own a job that is free: 0 while nobody has said yes.
-func (t *Tenure) choose(p *post, list []command) (member.ID, uint64) {
+func (t *Tenure) choose(p *post, list []command) (swim.ID, uint64) {
 	ranked := t.ranked(p, list)
 	if len(ranked) == 0 {
 		return 0, 0
@@ -413,7 +413,7 @@
 // offer asks who would take a job.
 func (t *Tenure) offer(p *post) { t.offerTo(p, t.ranked(p, nil)) }
 
-func (t *Tenure) offerTo(p *post, ranked []member.ID) {
+func (t *Tenure) offerTo(p *post, ranked []swim.ID) {
 	switch {
 	case p.offered != nil && t.now-p.offeredAt < askS:
 		return
@@ -423,7 +423,7 @@
 				t.passOver(p.job, id, deafAskS)
 			}
 		}
-		if slices.ContainsFunc(p.offered, func(id member.ID) bool { return t.bidOf(id, p.job) != 0 }) && t.now-p.offeredAt < bidS/2 {
+		if slices.ContainsFunc(p.offered, func(id swim.ID) bool { return t.bidOf(id, p.job) != 0 }) && t.now-p.offeredAt < bidS/2 {
 			return
 		}
 		ranked = t.ranked(p, nil)
@@ -439,7 +439,7 @@
 }
 
 // leadLink takes a new link: who was asked without one is asked again.
-func (t *Tenure) leadLink(id member.ID) {
+func (t *Tenure) leadLink(id swim.ID) {
 	if !t.leading() {
 		return
 	}
@@ -456,9 +456,9 @@
 		return
 	}
 	most, least := -1, math.MaxInt
-	var from member.ID
+	var from swim.ID
 	for _, m := range t.members {
-		if m.State != member.Alive {
+		if m.State != swim.Alive {
 			continue
 		}
 		n := t.load(m.ID, nil)
@@ -515,7 +515,7 @@
 func (t *Tenure) handOn() {
 	var there []uint64
 	for _, id := range t.group.conf.GetVoters() {
-		if m := t.member(member.ID(id)); member.ID(id) != t.self && m != nil && m.State == member.Alive {
+		if m := t.member(swim.ID(id)); swim.ID(id) != t.self && m != nil && m.State == swim.Alive {
 			there = append(there, id)
 		}
 	}
@@ -533,7 +533,7 @@
 }
 
 // leaderWants are the links that a leader needs beside those to electors.
-func (t *Tenure) leaderWants() (ids []member.ID) {
+func (t *Tenure) leaderWants() (ids []swim.ID) {
 	if !t.leading() {
 		return nil
 	}
--- a/internal/decide/tenure/machine.go
+++ b/internal/decide/tenure/machine.go
@@ -6,17 +6,17 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hazelwheel/internal/decide/member"
 	"hazelwheel/internal/decide/packed"
+	"hazelwheel/internal/decide/swim"
 )
 
 // command is an entry of the electors' log: a job goes to somebody, if its token still is the one that was meant.
 type command struct {
-	Job   string    `msgpack:"j"`
-	Owner member.ID `msgpack:"o,omitempty"` // 0: nobody, the token stays
-	Life  uint64    `msgpack:"l,omitempty"`
-	Was   uint64    `msgpack:"w,omitempty"` // the token so far; 0: the job is new
-	Put   *Record   `msgpack:"p,omitempty"` // the command is to keep this, and nothing else
+	Job   string  `msgpack:"j"`
+	Owner swim.ID `msgpack:"o,omitempty"` // 0: nobody, the token stays
+	Life  uint64  `msgpack:"l,omitempty"`
+	Was   uint64  `msgpack:"w,omitempty"` // the token so far; 0: the job is new
+	Put   *Record `msgpack:"p,omitempty"` // the command is to keep this, and nothing else
 }
 
 // machine is the replicated state: who has been granted what. Equal logs make equal machines.
--- a/internal/decide/tenure/record.go
+++ b/internal/decide/tenure/record.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // Record is what is agreed of a job beyond who owns it: its owner writes it, the electors keep it over all owners. Danger: an owner
@@ -93,7 +93,7 @@
 // --- at the leader ---
 
 // write has a record agreed that an owner wants.
-func (t *Tenure) write(from member.ID, r *Record) {
+func (t *Tenure) write(from swim.ID, r *Record) {
 	g, known := t.group.machine.grant(r.Job)
 	p := t.post(r.Job)
 	switch now := t.group.machine.record(r.Job); {
--- a/internal/decide/tenure/state.go
+++ b/internal/decide/tenure/state.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // stateVersion is that of the saved state. One of another version is not read.
@@ -17,7 +17,7 @@
 // saved is what a member keeps: whole, in one write.
 type saved struct {
 	Version  uint8     `msgpack:"v"`
-	Self     member.ID `msgpack:"i"`
+	Self     swim.ID   `msgpack:"i"`
 	Serial   uint64    `msgpack:"s"` // of this state; each later one's is greater
 	Lineage  lineage   `msgpack:"w,omitempty"`
 	Epoch    uint64    `msgpack:"e"` // the greatest heard of
@@ -33,7 +33,7 @@
 var errState = errors.New("tenure: the saved state can't be used")
 
 // readSaved reads a state. What is not usable as a whole is an error: a vote that was half read would be a vote forgotten.
-func readSaved(b []byte, self member.ID) (saved, error) {
+func readSaved(b []byte, self swim.ID) (saved, error) {
 	var s saved
 	if err := unpack(b, &s); err != nil {
 		return s, fmt.Errorf("%w: %w", errState, err)
--- a/internal/decide/tenure/stored_form_test.go
+++ b/internal/decide/tenure/stored_form_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
@@ -35,11 +35,11 @@
 func TestWireAndStoredForm(t *testing.T) {
 	grant := Grant{Job: "list", Owner: math.MaxUint64, Token: 7<<counterBits + 3, Life: 1 << 63}
 	record := Record{Job: "works", Version: 9, Token: 7<<counterBits + 4, Body: []byte{0, 1, 255}}
-	founding := Founding{Ballot: 1<<32 | 0x1200 | 2, Accepted: 1<<32 | 1, Epoch: 7, Members: []member.ID{11, 12, 13}, Step: stepAccepted}
+	founding := Founding{Ballot: 1<<32 | 0x1200 | 2, Accepted: 1<<32 | 1, Epoch: 7, Members: []swim.ID{11, 12, 13}, Step: stepAccepted}
 	renewal := Renewal{Number: 21, Grants: []Grant{grant}, Records: []Record{record}}
 	wire := map[string]any{
 		"message": &Message{Epoch: 7, Raft: []byte("raft"), Serial: 31, Writer: 32, Lineage: []Writer{{33, 34}, {35, 36}}, Found: &founding,
-			Table: &Table{Epoch: 7, Index: 41, Term: 42, Leader: 11, Electors: []member.ID{11, 12, 13}, Grants: []Grant{grant}},
+			Table: &Table{Epoch: 7, Index: 41, Term: 42, Leader: 11, Electors: []swim.ID{11, 12, 13}, Grants: []Grant{grant}},
 			Renew: &renewal, Renewed: &Renewal{Number: 22}, Back: []Grant{grant}, Decline: []string{"list"}, Wish: []string{"works", "report"},
 			Offer: []string{"a"}, Life: 51, Write: &record, Records: []Record{record}, Move: "report"},
 		"message-empty":   &Message{},
--- a/internal/decide/tenure/table.go
+++ b/internal/decide/tenure/table.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 const compareS = 10.0 // between two questions whether others know a newer table
@@ -15,7 +15,7 @@
 }
 
 // hearTable takes what another knows of all grants.
-func (t *Tenure) hearTable(from member.ID, table *Table) {
+func (t *Tenure) hearTable(from swim.ID, table *Table) {
 	switch {
 	case from == t.self || len(table.Grants) > mostJobs || len(table.Electors) > 2*mostList:
 	case t.table.newer(table):
@@ -29,7 +29,7 @@
 }
 
 // take takes a newer table and passes it on.
-func (t *Tenure) take(table *Table, except member.ID) {
+func (t *Tenure) take(table *Table, except swim.ID) {
 	t.table = *table
 	t.epoch = max(t.epoch, t.table.Epoch)
 	if t.founding != nil && t.founding.Epoch < t.table.Epoch {
@@ -54,7 +54,7 @@
 	}
 	table := Table{Epoch: t.founding.Epoch, Index: g.applied, Term: g.current, Leader: g.lead, Grants: slices.Clone(g.machine.Grants)}
 	for _, id := range slices.Concat(g.conf.GetVoters(), g.conf.GetVotersOutgoing()) { // while one is replaced, both count
-		table.Electors = append(table.Electors, member.ID(id))
+		table.Electors = append(table.Electors, swim.ID(id))
 	}
 	slices.Sort(table.Electors)
 	table.Electors = slices.Compact(table.Electors)
--- a/internal/decide/tenure/tenure.go
+++ b/internal/decide/tenure/tenure.go
@@ -9,13 +9,13 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // Tenure is one member's part of who owns what.
 type Tenure struct {
 	set  Settings
-	self member.ID
+	self swim.ID
 	life uint64 // of this process
 	do   Actions
 	rng  *rand.Rand
@@ -24,7 +24,7 @@
 	began   float64
 	members []Member // by ID
 	viewAt  float64  // when they were told: their states have held for as much longer
-	wanted  []member.ID
+	wanted  []swim.ID
 	local   []*Message // from this member to itself
 
 	// What is kept, and what waits for it.
@@ -60,7 +60,7 @@
 }
 
 type outgoing struct {
-	to member.ID
+	to swim.ID
 	m  *Message
 }
 
@@ -84,7 +84,7 @@
 
 // New returns the part of a member. An error says that what was saved can't be used: the identity is then not to be used
 // either.
-func New(now float64, self member.ID, set Settings, state []byte, do Actions) (*Tenure, error) {
+func New(now float64, self swim.ID, set Settings, state []byte, do Actions) (*Tenure, error) {
 	t := &Tenure{set: set, self: self, do: do, now: now, began: now, rng: rand.New(rand.NewPCG(set.Seed, uint64(self)))}
 	t.set.Jobs = slices.Sorted(slices.Values(set.Jobs))
 	t.life = t.rng.Uint64() | 1
@@ -117,8 +117,8 @@
 }
 
 // member returns what is known of one; nil: nothing.
-func (t *Tenure) member(id member.ID) *Member {
-	i, known := slices.BinarySearchFunc(t.members, id, func(m Member, id member.ID) int { return cmp.Compare(m.ID, id) })
+func (t *Tenure) member(id swim.ID) *Member {
+	i, known := slices.BinarySearchFunc(t.members, id, func(m Member, id swim.ID) int { return cmp.Compare(m.ID, id) })
 	if !known {
 		return nil
 	}
@@ -135,7 +135,7 @@
 func (t *Tenure) sinceS(m *Member) float64 { return m.SinceS + t.now - t.viewAt }
 
 // LinkUp takes that there is a new link to a member.
-func (t *Tenure) LinkUp(now float64, id member.ID) {
+func (t *Tenure) LinkUp(now float64, id swim.ID) {
 	t.enter(now)
 	if t.over {
 		return
@@ -151,7 +151,7 @@
 }
 
 // Heard takes a message.
-func (t *Tenure) Heard(now float64, from member.ID, m *Message) {
+func (t *Tenure) Heard(now float64, from swim.ID, m *Message) {
 	t.enter(now)
 	if !t.over {
 		t.hear(from, m)
@@ -159,7 +159,7 @@
 	t.settle()
 }
 
-func (t *Tenure) hear(from member.ID, m *Message) {
+func (t *Tenure) hear(from swim.ID, m *Message) {
 	if m.Serial != 0 && from != t.self && !t.hearSerial(from, m) {
 		return
 	}
@@ -191,7 +191,7 @@
 }
 
 // hearRaft takes a message of an electors' group.
-func (t *Tenure) hearRaft(from member.ID, m *Message) {
+func (t *Tenure) hearRaft(from swim.ID, m *Message) {
 	switch {
 	case t.founding != nil && t.founding.Epoch == m.Epoch:
 		if t.group != nil {
@@ -278,7 +278,7 @@
 }
 
 // send sends a message, also to this member itself.
-func (t *Tenure) send(to member.ID, m *Message) {
+func (t *Tenure) send(to swim.ID, m *Message) {
 	if to == t.self {
 		t.local = append(t.local, m)
 	} else {
@@ -287,7 +287,7 @@
 }
 
 // sendKept sends a message once the state as it is now is kept.
-func (t *Tenure) sendKept(to member.ID, m *Message) { t.later = append(t.later, outgoing{to, m}) }
+func (t *Tenure) sendKept(to swim.ID, m *Message) { t.later = append(t.later, outgoing{to, m}) }
 
 // save keeps the state, if there is anything to keep.
 func (t *Tenure) save() {
@@ -358,13 +358,13 @@
 
 // want asks for links.
 func (t *Tenure) want() {
-	var ids []member.ID
+	var ids []swim.ID
 	if t.over {
 		return
 	}
 	if t.elects() {
 		for _, id := range t.group.peers() {
-			ids = append(ids, member.ID(id))
+			ids = append(ids, swim.ID(id))
 		}
 	}
 	if t.founding == nil && slices.Contains(t.set.Electors, t.set.Address) && t.table.Epoch == 0 {
@@ -373,7 +373,7 @@
 	ids = append(ids, t.holderWants()...)
 	ids = append(ids, t.leaderWants()...)
 	slices.Sort(ids)
-	ids = slices.DeleteFunc(slices.Compact(ids), func(id member.ID) bool { return id == t.self || id == 0 })
+	ids = slices.DeleteFunc(slices.Compact(ids), func(id swim.ID) bool { return id == t.self || id == 0 })
 	if !slices.Equal(ids, t.wanted) {
 		t.wanted = ids
 		t.do.Want(slices.Clone(ids))
--- a/internal/decide/tenure/tenure_test.go
+++ b/internal/decide/tenure/tenure_test.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3"
 	"pgregory.net/rapid"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // hall is three members whose words arrive at once.
@@ -22,7 +22,7 @@
 
 type seat struct {
 	h     *hall
-	id    member.ID
+	id    swim.ID
 	t     *Tenure
 	saved []byte
 	up    bool
@@ -35,7 +35,7 @@
 	agreed Record // of a job, as it was told last
 }
 
-func (s *seat) Send(to member.ID, m *Message) {
+func (s *seat) Send(to swim.ID, m *Message) {
 	for _, o := range s.h.all {
 		if o.id == to {
 			c := Message{}
@@ -48,14 +48,14 @@
 		}
 	}
 }
-func (s *seat) Flood(m *Message, except member.ID) {
+func (s *seat) Flood(m *Message, except swim.ID) {
 	for _, o := range s.h.all {
 		if o != s && o.id != except {
 			s.Send(o.id, m)
 		}
 	}
 }
-func (s *seat) Want([]member.ID) {}
+func (s *seat) Want([]swim.ID) {}
 func (s *seat) Save(b []byte) {
 	if s.slow {
 		return
@@ -100,7 +100,7 @@
 	}
 	var members []Member
 	for i := range n {
-		s := &seat{h: h, id: member.ID(i + 1), up: true}
+		s := &seat{h: h, id: swim.ID(i + 1), up: true}
 		set.Address, set.Seed = fmt.Sprint("a", i), uint64(i)
 		var err error
 		s.t, err = New(h.now, s.id, set, nil, s)
--- a/internal/decide/works/doc.go
+++ b/internal/decide/works/doc.go
@@ -8,7 +8,7 @@
 // version, and what a mechanic is given carries that version as its token: it only grows.
 package works
 
-import "hazelwheel/internal/decide/member"
+import "hazelwheel/internal/decide/swim"
 
 // Stage is how far the work on a box of a plan has come.
 type Stage uint8
@@ -125,17 +125,17 @@
 
 // From is one sidecar that has spoken.
 type From struct {
-	ID      member.ID `msgpack:"d"`
-	Life    uint64    `msgpack:"l"` // of its process, as in member.Version
-	Version uint64    `msgpack:"v"` // of the State by which it goes: what that bans gets nothing new there, and has not for SettleS
+	ID      swim.ID `msgpack:"d"`
+	Life    uint64  `msgpack:"l"` // of its process, as in member.Version
+	Version uint64  `msgpack:"v"` // of the State by which it goes: what that bans gets nothing new there, and has not for SettleS
 }
 
 // Open says that a sidecar does not hold a box for empty.
 type Open struct {
-	Box  string    `msgpack:"b"`
-	ID   member.ID `msgpack:"d"`
-	Hand bool      `msgpack:"h,omitempty"` // it was given back there by hand: it is in use
-	N    int       `msgpack:"n,omitempty"` // executions that are out; 0: the ban has held there for less than SettleS
+	Box  string  `msgpack:"b"`
+	ID   swim.ID `msgpack:"d"`
+	Hand bool    `msgpack:"h,omitempty"` // it was given back there by hand: it is in use
+	N    int     `msgpack:"n,omitempty"` // executions that are out; 0: the ban has held there for less than SettleS
 }
 
 // Seen is what sidecars say of a box, summed.
@@ -166,10 +166,10 @@
 
 // Member is who must have said that a box is empty, as far as they are there.
 type Member struct {
-	ID     member.ID
+	ID     swim.ID
 	Name   string
 	Life   uint64
-	State  member.State
+	State  swim.State
 	SinceS float64 // for how long the state has held
 }
 
--- a/internal/decide/works/empty.go
+++ b/internal/decide/works/empty.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // Why a box is not known to be empty.
@@ -20,9 +20,9 @@
 // needed tells whether a member must be heard: it may send.
 func (p *Plan) needed(m *Member, laterS float64) bool {
 	switch m.State {
-	case member.Dead:
+	case swim.Dead:
 		return m.SinceS+laterS < p.Spec.goneS()
-	case member.Left:
+	case swim.Left:
 		return m.SinceS+laterS < min(p.Spec.goneS(), leftS)
 	}
 	return true
@@ -106,7 +106,7 @@
 	return names
 }
 
-func name(round *Round, id member.ID) string {
+func name(round *Round, id swim.ID) string {
 	for i := range round.Members {
 		if round.Members[i].ID == id {
 			return round.Members[i].Name
@@ -123,7 +123,7 @@
 	}
 	names := c.silent(p, round, 0)
 	for i := range round.Members {
-		if m := &round.Members[i]; m.State != member.Alive && p.needed(m, c.now-c.heardAt) {
+		if m := &round.Members[i]; m.State != swim.Alive && p.needed(m, c.now-c.heardAt) {
 			names = append(names, m.Name)
 		}
 	}
--- a/internal/decide/works/property_test.go
+++ b/internal/decide/works/property_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // history is what one sees from outside of all that was agreed.
@@ -68,7 +68,7 @@
 // empty requires that all who may send have said, in the last round, that they send nothing to a box and have nothing there.
 func (h *history) empty(p *Plan, box string) {
 	for _, m := range h.round.Members {
-		if m.State == member.Dead && m.SinceS >= p.Spec.goneS() || m.State == member.Left && m.SinceS >= min(p.Spec.goneS(), leftS) {
+		if m.State == swim.Dead && m.SinceS >= p.Spec.goneS() || m.State == swim.Left && m.SinceS >= min(p.Spec.goneS(), leftS) {
 			continue
 		}
 		require.False(h.t, h.mute[m.ID] || m.State.Gone(), "%s was handed over, and %s may send there", box, m.Name)
@@ -155,11 +155,11 @@
 			m := &h.round.Members[rapid.IntRange(0, len(h.round.Members)-1).Draw(t, "member")]
 			switch part.Draw(t, "member's state") {
 			case 0:
-				m.State, m.SinceS = member.Dead, rapid.SampledFrom([]float64{1, 400}).Draw(t, "dead for")
+				m.State, m.SinceS = swim.Dead, rapid.SampledFrom([]float64{1, 400}).Draw(t, "dead for")
 			case 1:
-				m.State, m.SinceS = member.Left, rapid.SampledFrom([]float64{1, 100}).Draw(t, "left for")
+				m.State, m.SinceS = swim.Left, rapid.SampledFrom([]float64{1, 100}).Draw(t, "left for")
 			default:
-				m.State, m.Life = member.Alive, m.Life+1
+				m.State, m.Life = swim.Alive, m.Life+1
 			}
 			h.hear()
 			h.agree()
@@ -170,7 +170,7 @@
 		}
 		// All is well from now on, and somebody sees to what waits for a word.
 		for i := range h.round.Members {
-			h.round.Members[i].State = member.Alive
+			h.round.Members[i].State = swim.Alive
 		}
 		h.round.Sum.Open, h.round.Sum.Refused = nil, 0
 		clear(h.mute)
--- a/internal/decide/works/works_test.go
+++ b/internal/decide/works/works_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // desk is a coordinator whose writes are agreed at once, with sidecars that do and say what is agreed.
@@ -17,15 +17,15 @@
 	now     float64
 	agreed  Agreed
 	round   Round
-	mute    map[member.ID]bool // they are not heard
+	mute    map[swim.ID]bool // they are not heard
 	replies map[uint64]Reply
 	nonce   uint64
 }
 
 func newDesk(t require.TestingT, sidecars, sites, bySite int) *desk {
-	d := &desk{Coordinator: New(Settings{ColdS: 10}), t: t, now: 100, agreed: Agreed{Epoch: 3, Version: 7}, mute: map[member.ID]bool{}, replies: map[uint64]Reply{}}
+	d := &desk{Coordinator: New(Settings{ColdS: 10}), t: t, now: 100, agreed: Agreed{Epoch: 3, Version: 7}, mute: map[swim.ID]bool{}, replies: map[uint64]Reply{}}
 	for i := range sidecars {
-		d.round.Members = append(d.round.Members, Member{ID: member.ID(i + 1), Name: fmt.Sprint("n", i), Life: 1})
+		d.round.Members = append(d.round.Members, Member{ID: swim.ID(i + 1), Name: fmt.Sprint("n", i), Life: 1})
 	}
 	for i := range sites * bySite {
 		d.round.Sum.Seen = append(d.round.Sum.Seen, Seen{Box: fmt.Sprintf("b%02d", i), Site: fmt.Sprint("site-", i%sites), Type: "t", Listed: sidecars, PerS: 5})
--- a/internal/fleet/effects.go
+++ b/internal/fleet/effects.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/peers/frames"
@@ -147,7 +147,7 @@
 func (o *owners) refuse(l *peers.Link, j *job, e *frames.Effect, greatest uint64) {
 	j.refused++
 	if now := o.f.net.Now(); o.refusals.room(now) {
-		o.f.log.Warn("an old owner's effect is refused", "job", e.Job, "token", e.Token, "greatest", greatest, "origin", member.ID(e.Origin),
+		o.f.log.Warn("an old owner's effect is refused", "job", e.Job, "token", e.Token, "greatest", greatest, "origin", swim.ID(e.Origin),
 			"from", l.Hello.Name, "kind", e.Kind)
 	}
 	if e.Kind == frames.KindRefused {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -13,8 +13,8 @@
 	"slices"
 	"strconv"
 
-	"hazelwheel/internal/decide/member"
 	"hazelwheel/internal/decide/share"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/decide/works"
 	"hazelwheel/internal/netio"
@@ -68,15 +68,15 @@
 	log    *slog.Logger
 	port   int
 	peers  *peers.Peers
-	view   *member.View
-	part   member.Part
-	links  map[int]*peers.Link       // looked up, never walked
-	byID   map[member.ID]*peers.Link // the same
-	up     []*peers.Link             // the same, in the order in which they came up
-	owners *owners                   // nil: nobody owns anything
-	stop   func()                    // listening
-	again  float64                   // when to try to listen again; 0: it listens
-	told   bool                      // that it can't
+	view   *swim.View
+	part   swim.Part
+	links  map[int]*peers.Link     // looked up, never walked
+	byID   map[swim.ID]*peers.Link // the same
+	up     []*peers.Link           // the same, in the order in which they came up
+	owners *owners                 // nil: nobody owns anything
+	stop   func()                  // listening
+	again  float64                 // when to try to listen again; 0: it listens
+	told   bool                    // that it can't
 	alarm  float64
 	depth  int
 	posted []func()
@@ -94,7 +94,7 @@
 
 // New returns a fleet that has not begun. What is saved is taken over first; where it can't be, the process is a new one.
 func New(o Options) (*Fleet, error) {
-	f := &Fleet{o: o, net: o.Net, log: o.Log.With("part", "fleet"), links: map[int]*peers.Link{}, byID: map[member.ID]*peers.Link{}, part: member.NewPart(o.Self, o.Replicas)}
+	f := &Fleet{o: o, net: o.Net, log: o.Log.With("part", "fleet"), links: map[int]*peers.Link{}, byID: map[swim.ID]*peers.Link{}, part: swim.NewPart(o.Self, o.Replicas)}
 	if f.o.Advertise == "" {
 		f.o.Advertise = o.Listen
 	}
@@ -147,7 +147,7 @@
 func (f *Fleet) Start() {
 	f.enter(func() {
 		works := f.state.Works
-		f.state = state{ID: member.ID(f.drawn()), Generation: 1}
+		f.state = state{ID: swim.ID(f.drawn()), Generation: 1}
 		if st, err := f.saved.decode(); err != nil {
 			f.log.Warn("what was saved of this sidecar can't be used: it is a new one", "error", err)
 		} else if f.saved.Data != nil {
@@ -155,10 +155,10 @@
 			f.state.Generation++
 		}
 		f.state.Works = works
-		version := member.Version{Incarnation: f.state.Generation << 32, Life: f.drawn()}
+		version := swim.Version{Incarnation: f.state.Generation << 32, Life: f.drawn()}
 		f.save(func(err error) {
 			if err != nil {
-				f.state = state{ID: member.ID(f.drawn()), Generation: 1, Works: f.state.Works}
+				f.state = state{ID: swim.ID(f.drawn()), Generation: 1, Works: f.state.Works}
 				version.Incarnation = 1 << 32
 				f.log.Warn("the identity can't be kept: the next start is a new sidecar", "error", err)
 			}
@@ -180,19 +180,19 @@
 var errNoDisk = errors.New("there is no folder")
 
 // begin comes once the identity is on disk, or known not to be.
-func (f *Fleet) begin(version member.Version) {
+func (f *Fleet) begin(version swim.Version) {
 	if f.hushed {
 		return
 	}
 	if f.owners != nil {
 		if err := f.owners.begin(f.state.ID, f.state.Tenure); err != nil {
 			f.log.Warn("what was promised to others can't be used: this sidecar is a new one", "error", err)
-			f.anew(func() { f.begin(member.Version{Incarnation: 1 << 32, Life: f.drawn()}) })
+			f.anew(func() { f.begin(swim.Version{Incarnation: 1 << 32, Life: f.drawn()}) })
 			return
 		}
 	}
-	self := member.Record{ID: f.state.ID, Version: version, Name: f.o.Sidecar, Address: f.o.Advertise, Keeps: f.stored && f.owners != nil}
-	f.view = member.New(f.net.Now(), self, member.Settings{Join: f.o.Join, Replaceable: f.o.Replaceable, Seed: f.o.Rand.Uint64()}, actions{f})
+	self := swim.Record{ID: f.state.ID, Version: version, Name: f.o.Sidecar, Address: f.o.Advertise, Keeps: f.stored && f.owners != nil}
+	f.view = swim.New(f.net.Now(), self, swim.Settings{Join: f.o.Join, Replaceable: f.o.Replaceable, Seed: f.o.Rand.Uint64()}, actions{f})
 	f.log.Info("looking for peers", "fleet", f.o.Name, "listen", f.o.Listen, "advertise", f.o.Advertise, "id", self.ID, "incarnation", version.Incarnation)
 	f.listen()
 	f.tick()
@@ -200,7 +200,7 @@
 
 // anew draws another identity, and has done called once it is on disk or known not to be.
 func (f *Fleet) anew(done func()) {
-	f.state = state{ID: member.ID(f.drawn()), Generation: 1, Works: f.state.Works}
+	f.state = state{ID: swim.ID(f.drawn()), Generation: 1, Works: f.state.Works}
 	f.save(func(err error) {
 		if f.stored = err == nil; err != nil {
 			f.log.Warn("the identity can't be kept: the next start is a new sidecar", "error", err)
@@ -242,7 +242,7 @@
 	if now >= f.view.Next() {
 		f.view.Tick(now)
 	}
-	rank, count := f.view.Part(member.HoldS)
+	rank, count := f.view.Part(swim.HoldS)
 	if f.hushed || f.left {
 		rank, count = 0, 1
 	}
@@ -402,7 +402,7 @@
 
 // Up takes a link.
 func (f *Fleet) Up(l *peers.Link, h frames.Hello) bool {
-	var hello member.Hello
+	var hello swim.Hello
 	if h.ID == 0 {
 		f.answerAsker(l)
 		return false
@@ -432,7 +432,7 @@
 // drop forgets a link.
 func (f *Fleet) drop(l *peers.Link) {
 	delete(f.links, l.Number)
-	if id := member.ID(l.Hello.ID); f.byID[id] == l {
+	if id := swim.ID(l.Hello.ID); f.byID[id] == l {
 		delete(f.byID, id)
 	}
 	if i := slices.Index(f.up, l); i >= 0 {
@@ -456,7 +456,7 @@
 func (f *Fleet) Heard(l *peers.Link, topic frames.Topic, body []byte) error {
 	switch topic {
 	case frames.TopicMember:
-		var m member.Message
+		var m swim.Message
 		if err := frames.Unpack(body, &m); err != nil {
 			return err
 		}
@@ -467,7 +467,7 @@
 			if err := frames.Unpack(body, &m); err != nil {
 				return err
 			}
-			o.t.Heard(f.net.Now(), member.ID(l.Hello.ID), &m)
+			o.t.Heard(f.net.Now(), swim.ID(l.Hello.ID), &m)
 		}
 	case frames.TopicEffect:
 		if o := f.owners; o != nil && f.links[l.Number] == l {
@@ -487,7 +487,7 @@
 
 func (a actions) Dial(address string) { a.f.later(func() { a.f.peers.Dial(address) }) }
 
-func (a actions) Send(link int, m *member.Message) {
+func (a actions) Send(link int, m *swim.Message) {
 	l := a.f.links[link]
 	if l == nil {
 		return
@@ -506,7 +506,7 @@
 	}
 }
 
-func (a actions) Changed(r member.Record, was member.State, known bool) {
+func (a actions) Changed(r swim.Record, was swim.State, known bool) {
 	a.f.notes.changed(a.f.net.Now(), a.f.log, r, was, known)
 }
 
@@ -519,7 +519,7 @@
 			f.owners.stop("the identity is given up")
 		}
 		f.anew(func() {
-			f.view.Become(f.net.Now(), f.state.ID, member.Version{Incarnation: 1 << 32, Life: f.drawn()}, f.stored && f.owners != nil)
+			f.view.Become(f.net.Now(), f.state.ID, swim.Version{Incarnation: 1 << 32, Life: f.drawn()}, f.stored && f.owners != nil)
 			if f.owners == nil {
 				return
 			}
--- a/internal/fleet/notes.go
+++ b/internal/fleet/notes.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"log/slog"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // notes bounds the log of changes: so many at once, and so many a second; the rest are counted.
@@ -31,7 +31,7 @@
 }
 
 // changed tells of a change.
-func (n *notes) changed(now float64, log *slog.Logger, r member.Record, was member.State, known bool) {
+func (n *notes) changed(now float64, log *slog.Logger, r swim.Record, was swim.State, known bool) {
 	if !n.room(now) {
 		return
 	}
--- a/internal/fleet/owner.go
+++ b/internal/fleet/owner.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/peers/frames"
@@ -94,7 +94,7 @@
 }
 
 // begin takes the identity and what was promised under it. An error says that neither is to be used.
-func (o *owners) begin(id member.ID, promised []byte) (err error) {
+func (o *owners) begin(id swim.ID, promised []byte) (err error) {
 	o.t, err = tenure.New(o.f.net.Now(), id, tenure.Settings{Electors: o.f.o.Electors, Address: o.f.o.Advertise, Jobs: o.f.o.Jobs, Records: []string{worksName}, Seed: o.f.o.Rand.Uint64()},
 		promised, tenureActions{o})
 	o.changes, o.fitAt = 0, 0
@@ -259,22 +259,22 @@
 // end of the present call otherwise.
 type tenureActions struct{ o *owners }
 
-func (a tenureActions) Send(to member.ID, m *tenure.Message) {
+func (a tenureActions) Send(to swim.ID, m *tenure.Message) {
 	if l := a.o.f.byID[to]; l != nil {
 		l.Send(frames.TopicOwner, packed(m))
 	}
 }
 
-func (a tenureActions) Flood(m *tenure.Message, except member.ID) {
+func (a tenureActions) Flood(m *tenure.Message, except swim.ID) {
 	body := packed(m)
 	for _, l := range slices.Clone(a.o.f.up) { // a link may end with what is sent over it
-		if member.ID(l.Hello.ID) != except {
+		if swim.ID(l.Hello.ID) != except {
 			l.Send(frames.TopicOwner, body)
 		}
 	}
 }
 
-func (a tenureActions) Want(ids []member.ID) {
+func (a tenureActions) Want(ids []swim.ID) {
 	f := a.o.f
 	f.later(func() {
 		if f.view != nil && !f.hushed {
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/peers/frames"
 	"hazelwheel/internal/sidecar"
@@ -43,7 +43,7 @@
 // answer is how the requests of some members have fared.
 type answer struct {
 	Round   uint64        `msgpack:"r"`
-	From    []member.ID   `msgpack:"f"`
+	From    []swim.ID     `msgpack:"f"`
 	Classes []classAnswer `msgpack:"c,omitempty"` // by name
 }
 
@@ -182,7 +182,7 @@
 	askAt  float64
 	by     float64 // when the round ends
 	sum    *answer // nil: no round is on
-	asked  []member.ID
+	asked  []swim.ID
 }
 
 // budget is a budget of bytes.
@@ -240,7 +240,7 @@
 	spanS := max(now-r.measuredAt, 0.001)
 	r.measuredAt = now
 	a := &answer{Round: r.round}
-	mine := &answer{From: []member.ID{r.o.f.state.ID}}
+	mine := &answer{From: []swim.ID{r.o.f.state.ID}}
 	for _, m := range r.o.f.o.Asked.Measured() {
 		ended := m.Served + m.Throttled + m.Failed + m.Abandoned
 		mine.Classes = append(mine.Classes, classAnswer{Class: m.Class, Served: m.Served, Throttled: m.Throttled, Failed: m.Failed, Abandoned: m.Abandoned,
@@ -262,7 +262,7 @@
 	if !r.owning {
 		return next
 	}
-	if r.sum != nil && (now >= r.by || len(r.sum.From) >= len(r.asked) && !slices.ContainsFunc(r.asked, func(id member.ID) bool { return !r.sum.has(id) })) {
+	if r.sum != nil && (now >= r.by || len(r.sum.From) >= len(r.asked) && !slices.ContainsFunc(r.asked, func(id swim.ID) bool { return !r.sum.has(id) })) {
 		r.tell(now)
 	}
 	if now >= r.askAt {
@@ -275,7 +275,7 @@
 	return next
 }
 
-func (a *answer) has(id member.ID) bool {
+func (a *answer) has(id swim.ID) bool {
 	_, found := slices.BinarySearch(a.From, id)
 	return found
 }
@@ -318,7 +318,7 @@
 	}
 	r.asked = r.asked[:0]
 	for m := range r.o.f.view.Members {
-		if !m.State.Gone() || m.State == member.Dead && m.SinceS < missedS {
+		if !m.State.Gone() || m.State == swim.Dead && m.SinceS < missedS {
 			r.asked = append(r.asked, m.ID)
 		}
 	}
--- a/internal/fleet/report_test.go
+++ b/internal/fleet/report_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/peers/frames"
 	"hazelwheel/internal/sidecar"
 )
@@ -29,7 +29,7 @@
 				served++
 			}
 			pending[i] = &answer{}
-			require.NoError(t, pending[i].add(&answer{From: []member.ID{member.ID(i + 1)}, Classes: []classAnswer{{Class: "read", Served: uint64(h.TotalCount()), PerS: 1,
+			require.NoError(t, pending[i].add(&answer{From: []swim.ID{swim.ID(i + 1)}, Classes: []classAnswer{{Class: "read", Served: uint64(h.TotalCount()), PerS: 1,
 				Times: packTimes(h.Export().Counts)}}}))
 		}
 		for len(pending) > 1 { // one answers to another, over the wire
--- a/internal/fleet/seen.go
+++ b/internal/fleet/seen.go
@@ -3,28 +3,28 @@
 import (
 	"math"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/sidecar"
 )
 
 // Seen is what a sidecar says of its fleet.
 type Seen struct {
-	Fleet   string         `json:"fleet"`
-	ID      string         `json:"id"`
-	Stored  bool           `json:"stored"` // the identity survives a restart
-	Quiet   bool           `json:"quiet,omitempty"`
-	Rank    int            `json:"rank"` // in force
-	Count   int            `json:"count"`
-	Live    int            `json:"live"`
-	Doubts  int            `json:"doubts"` // that it has about itself
-	Sum     string         `json:"sum"`    // of what it holds of all; equal at those that agree
-	View    member.Figures `json:"view"`
-	Links   peers.Figures  `json:"peers"`
-	Panics  uint64         `json:"panics,omitempty"`
-	Owners  *SeenOwners    `json:"owners,omitempty"`
-	Members []SeenMember   `json:"members"`
-	More    int            `json:"more,omitempty"` // members that are not listed
+	Fleet   string        `json:"fleet"`
+	ID      string        `json:"id"`
+	Stored  bool          `json:"stored"` // the identity survives a restart
+	Quiet   bool          `json:"quiet,omitempty"`
+	Rank    int           `json:"rank"` // in force
+	Count   int           `json:"count"`
+	Live    int           `json:"live"`
+	Doubts  int           `json:"doubts"` // that it has about itself
+	Sum     string        `json:"sum"`    // of what it holds of all; equal at those that agree
+	View    swim.Figures  `json:"view"`
+	Links   peers.Figures `json:"peers"`
+	Panics  uint64        `json:"panics,omitempty"`
+	Owners  *SeenOwners   `json:"owners,omitempty"`
+	Members []SeenMember  `json:"members"`
+	More    int           `json:"more,omitempty"` // members that are not listed
 }
 
 // SeenMember is what is held of one.
@@ -48,7 +48,7 @@
 	rank, count := f.part.Now()
 	self := f.view.Self()
 	s = Seen{Fleet: f.o.Name, ID: self.ID.String(), Stored: f.stored, Quiet: f.view.Quiet() || f.hushed, Rank: rank, Count: count,
-		Live: f.view.Live(), Doubts: f.view.Health(), Sum: member.ID(f.view.Sum()).String(), View: f.view.Figures(), Links: f.peers.Figures(), Panics: f.panics}
+		Live: f.view.Live(), Doubts: f.view.Health(), Sum: swim.ID(f.view.Sum()).String(), View: f.view.Figures(), Links: f.peers.Figures(), Panics: f.panics}
 	if f.owners != nil {
 		s.Owners = f.owners.seen()
 	}
@@ -73,13 +73,13 @@
 		return nil
 	}
 	rank, count := f.part.Now()
-	byState := [member.Left + 1]uint64{}
+	byState := [swim.Left + 1]uint64{}
 	for m := range f.view.Members {
 		byState[m.State]++
 	}
 	v, l := f.view.Figures(), f.peers.Figures()
-	figures := []sidecar.Figure{{Name: "peers_alive", Value: byState[member.Alive]}, {Name: "peers_suspected", Value: byState[member.Suspected]},
-		{Name: "peers_dead", Value: byState[member.Dead]}, {Name: "peers_left", Value: byState[member.Left]}, {Name: "peers_links", Value: uint64(l.Links)},
+	figures := []sidecar.Figure{{Name: "peers_alive", Value: byState[swim.Alive]}, {Name: "peers_suspected", Value: byState[swim.Suspected]},
+		{Name: "peers_dead", Value: byState[swim.Dead]}, {Name: "peers_left", Value: byState[swim.Left]}, {Name: "peers_links", Value: uint64(l.Links)},
 		{Name: "peers_rank", Value: uint64(rank)}, {Name: "peers_count", Value: uint64(count)}, {Name: "peers_deaths", Value: v.Deaths},
 		{Name: "peers_refutations", Value: v.Refutations}, {Name: "peers_sent_bytes", Value: l.SentBytes}}
 	if f.owners != nil {
--- a/internal/fleet/seenowners.go
+++ b/internal/fleet/seenowners.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/sidecar"
 )
@@ -108,7 +108,7 @@
 }
 
 // elector says who a member is.
-func (o *owners) elector(id member.ID) SeenElector {
+func (o *owners) elector(id swim.ID) SeenElector {
 	e := SeenElector{ID: id.String(), State: "unknown"}
 	for m := range o.f.view.Members {
 		if m.ID == id {
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"hash/crc32"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // Saved is what a disk holds of an earlier life.
@@ -19,9 +19,9 @@
 
 // state is what must survive a restart.
 type state struct {
-	ID         member.ID `json:"id"`
-	Generation uint64    `json:"generation"`       // lives so far; on disk before any word of the life is said
-	Tenure     []byte    `json:"tenure,omitempty"` // what was promised to others
+	ID         swim.ID `json:"id"`
+	Generation uint64  `json:"generation"`       // lives so far; on disk before any word of the life is said
+	Tenure     []byte  `json:"tenure,omitempty"` // what was promised to others
 	// Works is what is agreed of boxes that are out. It is no promise of this identity's and outlives it.
 	Works *KeptWorks `json:"works,omitempty"`
 }
--- a/internal/fleet/stored_form_test.go
+++ b/internal/fleet/stored_form_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/decide/works"
 )
 
@@ -39,7 +39,7 @@
 	saved := Saved{Data: data}
 	s, err := saved.decode()
 	require.NoError(t, err)
-	assert.Equal(t, member.ID(7474564059039998591), s.ID)
+	assert.Equal(t, swim.ID(7474564059039998591), s.ID)
 	assert.Equal(t, uint64(1), s.Generation)
 	require.NotNil(t, s.Works)
 	assert.Equal(t, []uint64{1, 1, 1<<40 + 1}, []uint64{s.Works.Epoch, s.Works.Version, s.Works.Token})
--- a/internal/fleet/wire_form_test.go
+++ b/internal/fleet/wire_form_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/decide/works"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/peers/frames"
@@ -38,7 +38,7 @@
 		{"list_request", &listNeed{Discovery: "d:1", Index: 300}},
 		{"list_chunk", &listWhole{Discovery: "d:1", Index: 300, Sum: 1 << 60, Part: 2, Parts: 9, Body: []byte{4, 5}}},
 		{"report_request", &question{Round: 17}},
-		{"report_response", &answer{Round: 17, From: []member.ID{1, 1 << 40}, Classes: []classAnswer{{Class: "read", Served: 1, Throttled: 2, Failed: 3, Abandoned: 4,
+		{"report_response", &answer{Round: 17, From: []swim.ID{1, 1 << 40}, Classes: []classAnswer{{Class: "read", Served: 1, Throttled: 2, Failed: 3, Abandoned: 4,
 			PerS: 0.5, Times: packTimes([]int64{0, 3, 0, 0, 200})}}}},
 		{"report_response_least", &answer{Classes: []classAnswer{{Class: "read"}}}},
 		{"report", &Report{Owner: "m01", Token: 1<<40 + 7, Round: 17, Asked: 5, Answered: 3, Missing: []string{"m02"}, More: 1, Classes: []ClassReport{{Class: "read", PerS: 1.5, Served: 1,
@@ -139,7 +139,7 @@
 	f := &Fleet{net: net, log: slog.New(slog.DiscardHandler), o: Options{Settings: Settings{Jobs: withLists([]string{listName, reportName, drillName, worksName})}}}
 	f.owners = newOwners(f)
 	f.peers = peers.New("yard", 1, f, net, f.log)
-	f.view = member.New(net.now, member.Record{ID: 1}, member.Settings{}, actions{f})
+	f.view = swim.New(net.now, swim.Record{ID: 1}, swim.Settings{}, actions{f})
 	var names []string
 	for _, figure := range f.Figures() {
 		names = append(names, figure.Name)
--- a/internal/fleet/works.go
+++ b/internal/fleet/works.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/decide/works"
 	"hazelwheel/internal/peers"
@@ -669,7 +669,7 @@
 
 // whole tells whether all that live have answered.
 func (w *worker) whole() bool {
-	return !slices.ContainsFunc(w.asked, func(m works.Member) bool { return m.State == member.Alive && !w.sum.Has(works.From{ID: m.ID}) })
+	return !slices.ContainsFunc(w.asked, func(m works.Member) bool { return m.State == swim.Alive && !w.sum.Has(works.From{ID: m.ID}) })
 }
 
 // sign tells all what is agreed, and what is waited for.
--- a/internal/peers/deafpeer/deafpeer.go
+++ b/internal/peers/deafpeer/deafpeer.go
@@ -3,7 +3,7 @@
 package deafpeer
 
 import (
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/peers/frames"
 )
 
@@ -15,8 +15,8 @@
 
 // Frames returns the hello to a fleet's sidecar at an address, and the question that asks for all that it knows.
 func Frames(fleet, address string) (hello, ask []byte, err error) {
-	self := member.Record{ID: id, Version: member.Version{Incarnation: 1 << 32, Life: id}, Name: name, Address: address}
-	inner, err := frames.Pack(member.Hello{Self: self})
+	self := swim.Record{ID: id, Version: swim.Version{Incarnation: 1 << 32, Life: id}, Name: name, Address: address}
+	inner, err := frames.Pack(swim.Hello{Self: self})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -27,7 +27,7 @@
 	if hello, err = frames.Append(nil, frames.TopicHello, body); err != nil {
 		return nil, nil, err
 	}
-	if body, err = frames.Pack(member.Message{Sums: make([]uint64, sums)}); err != nil {
+	if body, err = frames.Pack(swim.Message{Sums: make([]uint64, sums)}); err != nil {
 		return nil, nil, err
 	}
 	ask, err = frames.Append(nil, frames.TopicMember, body)
--- a/internal/sim/crowd/agree.go
+++ b/internal/sim/crowd/agree.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // Wrong returns what members that live hold otherwise than it is, a line each, at most so many: who lives and is not held for
@@ -15,7 +15,7 @@
 		}
 	}
 	up := 0
-	truth := map[member.ID]bool{}
+	truth := map[swim.ID]bool{}
 	for _, n := range c.Nodes {
 		if n.Up && !n.Frozen {
 			up++
--- a/internal/sim/crowd/crowd.go
+++ b/internal/sim/crowd/crowd.go
@@ -7,7 +7,7 @@
 	"math/bits"
 	"math/rand/v2"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/peers/frames"
 	"hazelwheel/internal/sim/seeds"
 )
@@ -25,19 +25,19 @@
 	sizes map[news]uint64  // in bytes, of records; likewise
 
 	// Told is called for each change of what a member holds of another; nil: nobody is.
-	Told func(at float64, by *Node, r member.Record, was member.State, known bool)
+	Told func(at float64, by *Node, r swim.Record, was swim.State, known bool)
 }
 
 // Node is one sidecar over all lives of its process.
 type Node struct {
 	Number  int
 	Address string
-	View    *member.View
+	View    *swim.View
 	Up      bool // its process lives
 	Frozen  bool
 
 	c          *Crowd
-	id         member.ID
+	id         swim.ID
 	generation uint64
 	life       int // of the process; what was meant for an earlier one is lost
 	ends       map[int]*end
@@ -101,19 +101,19 @@
 		return
 	}
 	if !kept || n.id == 0 {
-		n.id, n.generation = member.ID(n.c.rng.Uint64()|1), 0
+		n.id, n.generation = swim.ID(n.c.rng.Uint64()|1), 0
 	}
 	n.generation++
 	n.Up, n.Frozen = true, false
 	n.life++
-	self := member.Record{ID: n.id, Version: member.Version{Incarnation: n.generation << 32, Life: n.c.rng.Uint64()}, Name: fmt.Sprintf("s%d", n.Number),
+	self := swim.Record{ID: n.id, Version: swim.Version{Incarnation: n.generation << 32, Life: n.c.rng.Uint64()}, Name: fmt.Sprintf("s%d", n.Number),
 		Address: n.Address}
-	n.View = member.New(n.c.Now(), self, member.Settings{Join: join, Seed: n.c.rng.Uint64()}, actions{n})
+	n.View = swim.New(n.c.Now(), self, swim.Settings{Join: join, Seed: n.c.rng.Uint64()}, actions{n})
 	n.ticks(n.life)
 }
 
 // ID returns the identity, and 0 before the first start.
-func (n *Node) ID() member.ID { return n.id }
+func (n *Node) ID() swim.ID { return n.id }
 
 func (n *Node) ticks(life int) {
 	n.c.At(n.View.Next(), func() {
@@ -233,12 +233,12 @@
 // Take takes a message that comes over the link, if that still is.
 func (e *end) Take(m any) {
 	if !e.over {
-		e.take(m.(*member.Message))
+		e.take(m.(*swim.Message))
 	}
 }
 
 // take has a process hear a message. One that stood still is woken by it also where the link has ended meanwhile.
-func (e *end) take(m *member.Message) {
+func (e *end) take(m *swim.Message) {
 	n := e.node
 	switch {
 	case n.life != e.life || !n.Up:
@@ -326,7 +326,7 @@
 	})
 }
 
-func (a actions) Send(link int, m *member.Message) {
+func (a actions) Send(link int, m *swim.Message) {
 	n, c := a.n, a.n.c
 	e := n.ends[link]
 	if e == nil || e.over {
@@ -348,9 +348,9 @@
 
 // news is what a record is known by, as far as its length goes.
 type news struct {
-	id      member.ID
-	version member.Version
-	state   member.State
+	id      swim.ID
+	version swim.Version
+	state   swim.State
 	by      int
 	aged    bool
 	keeps   bool
@@ -358,7 +358,7 @@
 
 // size returns how many bytes a message takes. Danger: what a fleet that forms says is each newcomer's record to all links of
 // all members; packed each time that is a third of the work.
-func (c *Crowd) size(m *member.Message) uint64 {
+func (c *Crowd) size(m *swim.Message) uint64 {
 	rest := *m
 	rest.Records = nil
 	size := uint64(frames.HeadLen + 1) // the map's head
@@ -398,7 +398,7 @@
 	}
 }
 
-func (a actions) Changed(r member.Record, was member.State, known bool) {
+func (a actions) Changed(r swim.Record, was swim.State, known bool) {
 	if a.n.c.Told != nil {
 		a.n.c.Told(a.n.c.Now(), a.n, r, was, known)
 	}
@@ -406,8 +406,8 @@
 
 func (a actions) Renew(string) {
 	n := a.n
-	n.id, n.generation = member.ID(n.c.rng.Uint64()|1), 1
+	n.id, n.generation = swim.ID(n.c.rng.Uint64()|1), 1
 	id, life := n.id, n.life
-	version := member.Version{Incarnation: 1 << 32, Life: n.c.rng.Uint64()}
+	version := swim.Version{Incarnation: 1 << 32, Life: n.c.rng.Uint64()}
 	n.c.At(n.c.Now()+0.01, func() { n.call(life, func() { n.View.Become(n.c.Now(), id, version, false) }) })
 }
--- a/internal/sim/crowd/measure.go
+++ b/internal/sim/crowd/measure.go
@@ -5,7 +5,7 @@
 	"runtime"
 	"slices"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 )
 
 // Figures are what a fleet of a size costs, and how soon it knows.
@@ -86,8 +86,8 @@
 		victim, at, stands := c.Nodes[1+i], c.Now(), i%2 == 1
 		id := victim.View.Self().ID
 		told := map[int]bool{} // by observer; looked up, never walked
-		c.Told = func(now float64, by *Node, r member.Record, _ member.State, _ bool) {
-			if r.ID != id || r.State != member.Dead || told[by.Number] {
+		c.Told = func(now float64, by *Node, r swim.Record, _ swim.State, _ bool) {
+			if r.ID != id || r.State != swim.Dead || told[by.Number] {
 				return
 			}
 			told[by.Number] = true
@@ -152,8 +152,8 @@
 	const ill = 1e18
 	cuts := map[[2]int]int{} // by two members; looked up, never walked
 	cutOff := make([]int, n) // how many others each is cut from, one way or both
-	c.Told = func(now float64, by *Node, r member.Record, was member.State, known bool) {
-		if r.State != member.Dead || was == member.Dead {
+	c.Told = func(now float64, by *Node, r swim.Record, was swim.State, known bool) {
+		if r.State != swim.Dead || was == swim.Dead {
 			return
 		}
 		for i, node := range c.Nodes {
--- a/internal/sim/owners/day.go
+++ b/internal/sim/owners/day.go
@@ -5,7 +5,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/sim/seeds"
 )
 
@@ -453,7 +453,7 @@
 
 // majority tells whether the electors can agree: of those that the newest table names more than half live as who they are.
 func (w *World) majority() bool {
-	var list []member.ID
+	var list []swim.ID
 	epoch, index := uint64(0), uint64(0)
 	for _, n := range w.lives() {
 		if t := n.t.Table(); t.Epoch > epoch || t.Epoch == epoch && t.Index > index {
--- a/internal/sim/owners/judge.go
+++ b/internal/sim/owners/judge.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/sim/seeds"
 )
@@ -54,7 +54,7 @@
 
 type ledTerm struct {
 	epoch, term uint64
-	id          member.ID
+	id          swim.ID
 }
 
 type knownTable struct {
@@ -64,8 +64,8 @@
 
 type electorsAt struct {
 	epoch, term uint64
-	of          member.ID
-	list        []member.ID
+	of          swim.ID
+	list        []swim.ID
 }
 
 type tokenOwner struct {
--- a/internal/sim/owners/world.go
+++ b/internal/sim/owners/world.go
@@ -13,7 +13,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/sim/seeds"
 )
@@ -64,7 +64,7 @@
 
 // identity is one that a member had.
 type identity struct {
-	id   member.ID
+	id   swim.ID
 	of   *node
 	gone bool // its state is lost
 	left bool
@@ -103,7 +103,7 @@
 // seen is what one member holds of another.
 type seen struct {
 	of    *identity
-	state member.State
+	state swim.State
 	since float64
 	heard float64
 }
@@ -174,7 +174,7 @@
 		n.ident.gone = true
 		w.counts.Lost++
 	}
-	n.ident = &identity{id: member.ID(w.rng.Uint64() | 1), of: n}
+	n.ident = &identity{id: swim.ID(w.rng.Uint64() | 1), of: n}
 	n.disk, n.copied, n.greatest = nil, nil, &tenure.Greatest{}
 	w.ids = append(w.ids, n.ident)
 }
@@ -334,7 +334,7 @@
 	life int
 }
 
-func (h *hands) Send(to member.ID, m *tenure.Message) {
+func (h *hands) Send(to swim.ID, m *tenure.Message) {
 	w := h.n.w
 	w.checkKept(h.n, m)
 	for _, o := range w.nodes {
@@ -345,7 +345,7 @@
 	}
 }
 
-func (h *hands) Flood(m *tenure.Message, except member.ID) {
+func (h *hands) Flood(m *tenure.Message, except swim.ID) {
 	body := packed(m)
 	for _, o := range h.n.w.nodes {
 		if o != h.n && o.up && o.ident.id != except {
@@ -399,7 +399,7 @@
 	w.At(at, arrive)
 }
 
-func (h *hands) Want([]member.ID) {}
+func (h *hands) Want([]swim.ID) {}
 
 var errFull = errors.New("no space left on device")
 
@@ -493,7 +493,7 @@
 			if !heard {
 				continue
 			}
-			n.view = append(n.view, &seen{of: id, state: member.Alive, since: now, heard: now})
+			n.view = append(n.view, &seen{of: id, state: swim.Alive, since: now, heard: now})
 			changed = true
 			continue
 		}
@@ -505,19 +505,19 @@
 		switch {
 		case heard && !(id != n.ident && w.chance(w.liesPart)):
 			s.heard = now
-			if s.state = member.Alive; id.left {
-				s.state = member.Left
+			if s.state = swim.Alive; id.left {
+				s.state = swim.Left
 			}
 		case id.left && reach[id.of.number]:
-			s.state = member.Left
-		case s.state == member.Alive && now-s.heard > silentS:
-			s.state = member.Suspected
-		case s.state == member.Suspected && now-s.heard > deadS:
-			s.state = member.Dead
+			s.state = swim.Left
+		case s.state == swim.Alive && now-s.heard > silentS:
+			s.state = swim.Suspected
+		case s.state == swim.Suspected && now-s.heard > deadS:
+			s.state = swim.Dead
 		}
 		if s.state != was {
 			changed = true
-			if !(was <= member.Suspected && s.state <= member.Suspected) {
+			if !(was <= swim.Suspected && s.state <= swim.Suspected) {
 				s.since = now
 			}
 		}
--- a/internal/sim/plans/day.go
+++ b/internal/sim/plans/day.go
@@ -5,7 +5,7 @@
 	"math"
 	"math/rand/v2"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/decide/works"
 	"hazelwheel/internal/sim/seeds"
 )
@@ -29,7 +29,7 @@
 	w.After(w.between(0.5, 0.5*w.spec.GoneS), func() {
 		if w.chance(0.2) && !n.cut { // danger: one that is new and can't ask knows of no ban; nobody can help that
 			n.version, n.state, n.outs = 0, works.State{}, nil
-			n.id = member.ID(w.rng.Uint64() | 1)
+			n.id = swim.ID(w.rng.Uint64() | 1)
 		}
 		n.start()
 	})
@@ -232,7 +232,7 @@
 			size: float64(1 + w.rng.IntN(3))})
 	}
 	for i := range 2 + w.rng.IntN(7) {
-		w.nodes = append(w.nodes, &node{w: w, number: i, id: member.ID(w.rng.Uint64() | 1)})
+		w.nodes = append(w.nodes, &node{w: w, number: i, id: swim.ID(w.rng.Uint64() | 1)})
 	}
 	for i := range 1 + w.rng.IntN(3) {
 		w.mechanics = append(w.mechanics, &mechanic{w: w, name: fmt.Sprint("m", i), done: map[uint64]bool{}, takesS: w.between(1, 10)})
--- a/internal/sim/plans/world.go
+++ b/internal/sim/plans/world.go
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"hazelwheel/internal/decide/member"
+	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/decide/works"
 	"hazelwheel/internal/sim/seeds"
 )
@@ -82,7 +82,7 @@
 type node struct {
 	w       *World
 	number  int
-	id      member.ID
+	id      swim.ID
 	life    uint64
 	run     int // events of an earlier run are void
 	up      bool
@@ -288,13 +288,13 @@
 		m := works.Member{ID: n.id, Name: n.name(), Life: n.life, SinceS: w.Now() - n.sinceAt}
 		switch {
 		case n.left && !n.up:
-			m.State = member.Left
+			m.State = swim.Left
 		case n.reached(by):
 		case m.SinceS < 1.5:
 		case m.SinceS < 4:
-			m.State = member.Suspected
+			m.State = swim.Suspected
 		default:
-			m.State = member.Dead
+			m.State = swim.Dead
 		}
 		all = append(all, m)
 	}
