--- a/internal/sim/owners/day.go
+++ b/internal/sim/owners/day.go
@@ -334,7 +334,7 @@
 }
 
 func (w *World) ownsAny(n *node) bool {
-	return slices.ContainsFunc(w.leases, func(l lease) bool { return l.n == n })
+	return slices.ContainsFunc(w.leases, func(l observedLease) bool { return l.n == n })
 }
 
 // Options say how a day is played.
--- a/internal/sim/owners/judge.go
+++ b/internal/sim/owners/judge.go
@@ -43,7 +43,7 @@
 	tables   []knownTable
 	electors []electorsAt
 	owners   []tokenOwner
-	leases   []lease
+	leases   []observedLease
 	taken    []takenToken
 	ops      []porcupine.Operation
 	idle     []rest
@@ -74,8 +74,8 @@
 	by    *identity
 }
 
-// lease is one that a member was told of, and that it was not told the end of.
-type lease struct {
+// observedLease is one that a member was told of, and that it was not told the end of.
+type observedLease struct {
 	n     *node
 	life  int
 	job   string
@@ -238,7 +238,7 @@
 		}
 	}
 	w.owners = append(w.owners, tokenOwner{job, token, n.ident})
-	w.leases = append(w.leases, lease{n, n.life, job, token})
+	w.leases = append(w.leases, observedLease{n, n.life, job, token})
 	w.op(n, job, input{"acquire", token, n.number}, w.Now(), w.Now())
 	for i := range w.idle {
 		if g := &w.idle[i]; g.job == job {
@@ -258,7 +258,7 @@
 // endedOne takes that a lease ends.
 func (w *World) endedOne(n *node, job string, token uint64, why string) {
 	w.note("%d owns %s under %#x no more: %s", n.number, job, token, why)
-	w.leases = slices.DeleteFunc(w.leases, func(l lease) bool { return l.n == n && l.job == job })
+	w.leases = slices.DeleteFunc(w.leases, func(l observedLease) bool { return l.n == n && l.job == job })
 	w.op(n, job, input{"end", token, n.number}, w.Now(), w.Now())
 	w.idles(n, job)
 }
