--- a/internal/decide/tenure/holder.go
+++ b/internal/decide/lease/holder.go
@@ -1,4 +1,4 @@
-package tenure
+package lease
 
 import (
 	"math"
--- a/internal/fleet/effects.go
+++ b/internal/fleet/effects.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"hazelwheel/internal/decide/lease"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/peers/frames"
 )
@@ -156,7 +156,7 @@
 	o.send(l, &frames.Effect{Job: e.Job, Token: greatest, Origin: uint64(o.f.state.ID), Kind: frames.KindRefused})
 	if o.t != nil {
 		if table := o.t.Table(); table.Epoch > 0 {
-			l.Send(frames.TopicOwner, packed(&tenure.Message{Table: &table}))
+			l.Send(frames.TopicOwner, packed(&lease.Message{Table: &table}))
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -13,9 +13,9 @@
 	"slices"
 	"strconv"
 
+	"hazelwheel/internal/decide/lease"
 	"hazelwheel/internal/decide/share"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/decide/works"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/peers"
@@ -463,7 +463,7 @@
 		f.view.Heard(f.net.Now(), l.Number, &m)
 	case frames.TopicOwner:
 		if o := f.owners; o != nil && o.t != nil && f.links[l.Number] == l {
-			var m tenure.Message
+			var m lease.Message
 			if err := frames.Unpack(body, &m); err != nil {
 				return err
 			}
--- a/internal/fleet/owner.go
+++ b/internal/fleet/owner.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"hazelwheel/internal/decide/lease"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/peers/frames"
 )
@@ -55,8 +55,8 @@
 // owners is a sidecar's part in who does what on behalf of all. It belongs to its Fleet.
 type owners struct {
 	f        *Fleet
-	t        *tenure.Tenure // nil: the identity is being drawn anew, or is another process's
-	greatest tenure.Greatest
+	t        *lease.Tenure // nil: the identity is being drawn anew, or is another process's
+	greatest lease.Greatest
 	jobs     []*job   // by name
 	lists    *feeder  // nil: no lists are passed on
 	drills   *driller // nil: drills are each sidecar's own
@@ -95,7 +95,7 @@
 
 // begin takes the identity and what was promised under it. An error says that neither is to be used.
 func (o *owners) begin(id swim.ID, promised []byte) (err error) {
-	o.t, err = tenure.New(o.f.net.Now(), id, tenure.Settings{Electors: o.f.o.Electors, Address: o.f.o.Advertise, Jobs: o.f.o.Jobs, Records: []string{worksName}, Seed: o.f.o.Rand.Uint64()},
+	o.t, err = lease.New(o.f.net.Now(), id, lease.Settings{Electors: o.f.o.Electors, Address: o.f.o.Advertise, Jobs: o.f.o.Jobs, Records: []string{worksName}, Seed: o.f.o.Rand.Uint64()},
 		promised, tenureActions{o})
 	o.changes, o.fitAt = 0, 0
 	for _, j := range o.jobs {
@@ -154,10 +154,10 @@
 	o.refusals.flush(now, o.f.log)
 }
 
-func (o *owners) members() []tenure.Member {
-	var all []tenure.Member
+func (o *owners) members() []lease.Member {
+	var all []lease.Member
 	for m := range o.f.view.Members {
-		all = append(all, tenure.Member{ID: m.ID, Address: m.Address, State: m.State, Keeps: m.Keeps, SinceS: m.SinceS})
+		all = append(all, lease.Member{ID: m.ID, Address: m.Address, State: m.State, Keeps: m.Keeps, SinceS: m.SinceS})
 	}
 	return all
 }
@@ -259,13 +259,13 @@
 // end of the present call otherwise.
 type tenureActions struct{ o *owners }
 
-func (a tenureActions) Send(to swim.ID, m *tenure.Message) {
+func (a tenureActions) Send(to swim.ID, m *lease.Message) {
 	if l := a.o.f.byID[to]; l != nil {
 		l.Send(frames.TopicOwner, packed(m))
 	}
 }
 
-func (a tenureActions) Flood(m *tenure.Message, except swim.ID) {
+func (a tenureActions) Flood(m *lease.Message, except swim.ID) {
 	body := packed(m)
 	for _, l := range slices.Clone(a.o.f.up) { // a link may end with what is sent over it
 		if swim.ID(l.Hello.ID) != except {
@@ -319,7 +319,7 @@
 	})
 }
 
-func (a tenureActions) Agreed(r tenure.Record) {
+func (a tenureActions) Agreed(r lease.Record) {
 	o, of := a.o, a.o.t
 	o.f.later(func() {
 		if w := o.works; o.t == of && w != nil && r.Job == worksName && w.held != 0 {
@@ -333,7 +333,7 @@
 	o.f.later(func() {
 		if j := o.job(name); j != nil && j.held == token {
 			o.end(j, why)
-			if l, ok := j.work.(lapser); ok && why == tenure.Lapsed {
+			if l, ok := j.work.(lapser); ok && why == lease.Lapsed {
 				l.Lapsed(token)
 			}
 		}
--- a/internal/fleet/seenowners.go
+++ b/internal/fleet/seenowners.go
@@ -5,23 +5,23 @@
 	"fmt"
 	"math"
 
+	"hazelwheel/internal/decide/lease"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/sidecar"
 )
 
 // SeenOwners is what a sidecar knows of who owns what.
 type SeenOwners struct {
-	Epoch     uint64         `json:"epoch"` // of the electors' founding; 0: none is known
-	Index     uint64         `json:"index"` // of their log up to which this holds
-	Term      uint64         `json:"term"`
-	Leader    *SeenElector   `json:"leader,omitempty"`
-	Electors  []SeenElector  `json:"electors,omitempty"`
-	Jobs      []SeenJob      `json:"jobs,omitempty"`
-	Unwilling string         `json:"unwilling,omitempty"` // why this sidecar does nothing for others
-	Lists     *ListCounts    `json:"lists,omitempty"`
-	Drills    []SeenDrill    `json:"drills,omitempty"` // of the whole fleet, also such as have ended
-	Here      tenure.Figures `json:"here"`
+	Epoch     uint64        `json:"epoch"` // of the electors' founding; 0: none is known
+	Index     uint64        `json:"index"` // of their log up to which this holds
+	Term      uint64        `json:"term"`
+	Leader    *SeenElector  `json:"leader,omitempty"`
+	Electors  []SeenElector `json:"electors,omitempty"`
+	Jobs      []SeenJob     `json:"jobs,omitempty"`
+	Unwilling string        `json:"unwilling,omitempty"` // why this sidecar does nothing for others
+	Lists     *ListCounts   `json:"lists,omitempty"`
+	Drills    []SeenDrill   `json:"drills,omitempty"` // of the whole fleet, also such as have ended
+	Here      lease.Figures `json:"here"`
 }
 
 // SeenElector is one that agrees on who owns what.
@@ -49,7 +49,7 @@
 }
 
 // known returns what the decisions say. Who can't keep what it promises leads nobody, whatever it was when it last could.
-func (o *owners) known() (table tenure.Table, here tenure.Figures) {
+func (o *owners) known() (table lease.Table, here lease.Figures) {
 	if o.t != nil {
 		table, here = o.t.Table(), o.t.Figures()
 		here.Leads = here.Leads && !here.Unkept
--- a/internal/fleet/works.go
+++ b/internal/fleet/works.go
@@ -4,8 +4,8 @@
 	"math"
 	"slices"
 
+	"hazelwheel/internal/decide/lease"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/decide/works"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/peers/frames"
@@ -162,7 +162,7 @@
 	if k == nil {
 		return
 	}
-	w.o.greatest.Restore([]tenure.Grant{{Job: worksName, Token: k.Token}})
+	w.o.greatest.Restore([]lease.Grant{{Job: worksName, Token: k.Token}})
 	w.apply(k.Epoch, k.Version, k.Body, false)
 }
 
@@ -476,7 +476,7 @@
 }
 
 // agreed takes what the electors keep, as the owner.
-func (w *worker) agreed(r *tenure.Record) {
+func (w *worker) agreed(r *lease.Record) {
 	if w.held == 0 {
 		return
 	}
--- a/internal/lab/troupe/grants.go
+++ b/internal/lab/troupe/grants.go
@@ -8,7 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"hazelwheel/internal/decide/tenure"
+	"hazelwheel/internal/decide/lease"
 	"hazelwheel/internal/peers/frames"
 )
 
@@ -49,7 +49,7 @@
 
 // Tap is for a Switchboard.
 func (g *Grants) Tap(_ uint64, w Way, topic frames.Topic, body []byte) {
-	var m tenure.Message
+	var m lease.Message
 	var e frames.Effect
 	switch {
 	case topic == frames.TopicOwner && frames.Unpack(body, &m) == nil:
--- a/internal/lab/troupe/grants_test.go
+++ b/internal/lab/troupe/grants_test.go
@@ -6,19 +6,19 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/decide/tenure"
+	"hazelwheel/internal/decide/lease"
 	"hazelwheel/internal/peers/frames"
 )
 
 // What leaders confirm has an order with the grants, or is told.
 func TestGrantsHaveAnOrder(t *testing.T) {
-	say := func(g *Grants, from, to string, m tenure.Message) {
+	say := func(g *Grants, from, to string, m lease.Message) {
 		body, err := frames.Pack(m)
 		require.NoError(t, err)
 		g.Tap(1, Way{from, to}, frames.TopicOwner, body)
 	}
-	renewal := func(number, token uint64) *tenure.Renewal {
-		return &tenure.Renewal{Number: number, Grants: []tenure.Grant{{Job: "report", Owner: 7, Token: token}}}
+	renewal := func(number, token uint64) *lease.Renewal {
+		return &lease.Renewal{Number: number, Grants: []lease.Grant{{Job: "report", Owner: 7, Token: token}}}
 	}
 	for _, c := range []struct {
 		name  string
@@ -27,17 +27,17 @@
 	}{{"one after the other", false, true}, {"an old grant is confirmed after the next", true, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewGrants()
-			say(g, "a", "leader", tenure.Message{Renew: renewal(1, 5)})
-			say(g, "leader", "a", tenure.Message{Renewed: renewal(1, 5)})
-			say(g, "a", "leader", tenure.Message{Renew: renewal(2, 5)}) // on the way while the next is granted
-			say(g, "leader", "b", tenure.Message{Table: &tenure.Table{Grants: []tenure.Grant{{Job: "report", Owner: 8, Token: 6}}}})
-			say(g, "b", "leader", tenure.Message{Renew: renewal(1, 6)})
-			say(g, "leader", "b", tenure.Message{Renewed: renewal(1, 6)})
+			say(g, "a", "leader", lease.Message{Renew: renewal(1, 5)})
+			say(g, "leader", "a", lease.Message{Renewed: renewal(1, 5)})
+			say(g, "a", "leader", lease.Message{Renew: renewal(2, 5)}) // on the way while the next is granted
+			say(g, "leader", "b", lease.Message{Table: &lease.Table{Grants: []lease.Grant{{Job: "report", Owner: 8, Token: 6}}}})
+			say(g, "b", "leader", lease.Message{Renew: renewal(1, 6)})
+			say(g, "leader", "b", lease.Message{Renewed: renewal(1, 6)})
 			if c.late {
-				say(g, "a", "leader", tenure.Message{Renew: renewal(3, 5)})
-				say(g, "leader", "a", tenure.Message{Renewed: renewal(3, 5)})
+				say(g, "a", "leader", lease.Message{Renew: renewal(3, 5)})
+				say(g, "leader", "a", lease.Message{Renewed: renewal(3, 5)})
 			} else {
-				say(g, "leader", "a", tenure.Message{Renewed: renewal(2, 5)})
+				say(g, "leader", "a", lease.Message{Renewed: renewal(2, 5)})
 			}
 			n, why := g.Check()
 			assert.Equal(t, c.holds, why == "", why)
--- a/internal/sim/owners/judge.go
+++ b/internal/sim/owners/judge.go
@@ -12,8 +12,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"hazelwheel/internal/decide/lease"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/sim/seeds"
 )
 
@@ -140,7 +140,7 @@
 	}
 }
 
-func (w *World) checkTable(n *node, f tenure.Figures) {
+func (w *World) checkTable(n *node, f lease.Figures) {
 	t := n.t.Table()
 	if at := [4]uint64{t.Epoch, t.Index, t.Term, uint64(t.Leader)}; t.Epoch == 0 || n.table == at {
 		return
@@ -148,7 +148,7 @@
 		n.table = at
 	}
 	sum := fmt.Sprint(t.Grants, t.Electors)
-	i, known := slices.BinarySearchFunc(w.tables, t, func(k knownTable, t tenure.Table) int {
+	i, known := slices.BinarySearchFunc(w.tables, t, func(k knownTable, t lease.Table) int {
 		if k.epoch != t.Epoch {
 			return int(int64(k.epoch) - int64(t.Epoch))
 		}
@@ -198,7 +198,7 @@
 }
 
 // checkKept looks whether what a member promises is on its disk.
-func (w *World) checkKept(n *node, m *tenure.Message) {
+func (w *World) checkKept(n *node, m *lease.Message) {
 	promises := m.Found != nil && (m.Found.Step == 1 || m.Found.Step == 3) // promise, accepted
 	var vote raftpb.Message
 	if m.Raft != nil {
--- a/internal/sim/owners/world.go
+++ b/internal/sim/owners/world.go
@@ -13,8 +13,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
+	"hazelwheel/internal/decide/lease"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/tenure"
 	"hazelwheel/internal/sim/seeds"
 )
 
@@ -25,7 +25,7 @@
 	nodes []*node
 	ids   []*identity // all that ever were, as they began
 	jobs  []string
-	set   tenure.Settings
+	set   lease.Settings
 	trace func(at float64, line string)
 
 	cut  [][]bool    // ways that lose what is sent
@@ -83,7 +83,7 @@
 	ident   *identity
 	rate    float64 // of its clock
 	base    float64 // true time at which the clock showed zero
-	t       *tenure.Tenure
+	t       *lease.Tenure
 	armed   float64
 	waiting []func()
 	saving  bool
@@ -93,7 +93,7 @@
 	disk     []byte // what lasts
 	diskFull bool
 	copied   []byte // an old copy of it
-	greatest *tenure.Greatest
+	greatest *lease.Greatest
 	nextFx   uint64
 	table    [4]uint64 // that was checked last
 
@@ -139,7 +139,7 @@
 
 // add adds a member that has not begun.
 func (w *World) add(keeps bool) *node {
-	n := &node{w: w, number: len(w.nodes), address: address(len(w.nodes)), keeps: keeps, greatest: &tenure.Greatest{}}
+	n := &node{w: w, number: len(w.nodes), address: address(len(w.nodes)), keeps: keeps, greatest: &lease.Greatest{}}
 	w.nodes = append(w.nodes, n)
 	for i := range w.cut {
 		w.cut[i], w.held[i], w.last[i] = append(w.cut[i], false), append(w.held[i], 0), append(w.last[i], 0)
@@ -175,7 +175,7 @@
 		w.counts.Lost++
 	}
 	n.ident = &identity{id: swim.ID(w.rng.Uint64() | 1), of: n}
-	n.disk, n.copied, n.greatest = nil, nil, &tenure.Greatest{}
+	n.disk, n.copied, n.greatest = nil, nil, &lease.Greatest{}
 	w.ids = append(w.ids, n.ident)
 }
 
@@ -185,11 +185,11 @@
 	set.Address, set.Seed = n.address, w.rng.Uint64()
 	n.ident.left = false
 	n.view, n.table = nil, [4]uint64{}
-	t, err := tenure.New(n.clock(), n.ident.id, set, n.disk, &hands{n, n.life})
+	t, err := lease.New(n.clock(), n.ident.id, set, n.disk, &hands{n, n.life})
 	if err != nil {
 		w.note("%d can't use its state: %v", n.number, err)
 		n.newIdentity()
-		t, err = tenure.New(n.clock(), n.ident.id, set, nil, &hands{n, n.life})
+		t, err = lease.New(n.clock(), n.ident.id, set, nil, &hands{n, n.life})
 		if err != nil {
 			panic(err)
 		}
@@ -334,7 +334,7 @@
 	life int
 }
 
-func (h *hands) Send(to swim.ID, m *tenure.Message) {
+func (h *hands) Send(to swim.ID, m *lease.Message) {
 	w := h.n.w
 	w.checkKept(h.n, m)
 	for _, o := range w.nodes {
@@ -345,7 +345,7 @@
 	}
 }
 
-func (h *hands) Flood(m *tenure.Message, except swim.ID) {
+func (h *hands) Flood(m *lease.Message, except swim.ID) {
 	body := packed(m)
 	for _, o := range h.n.w.nodes {
 		if o != h.n && o.up && o.ident.id != except {
@@ -354,7 +354,7 @@
 	}
 }
 
-func packed(m *tenure.Message) []byte {
+func packed(m *lease.Message) []byte {
 	b, err := msgpack.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -371,7 +371,7 @@
 	id, life := from.ident.id, to.life
 	w.carry(from, to, func() {
 		to.call(life, func() {
-			var m tenure.Message
+			var m lease.Message
 			if err := msgpack.Unmarshal(body, &m); err != nil {
 				panic(err)
 			}
@@ -437,7 +437,7 @@
 }
 
 func (h *hands) Granted(job string, token uint64)           { h.n.w.granted(h.n, job, token) }
-func (h *hands) Agreed(tenure.Record)                       {}
+func (h *hands) Agreed(lease.Record)                        {}
 func (h *hands) Ended(job string, token uint64, why string) { h.n.w.endedOne(h.n, job, token, why) }
 
 func (h *hands) Renounce(why string) {
@@ -531,12 +531,12 @@
 		}
 		return 1
 	})
-	var list []tenure.Member
+	var list []lease.Member
 	for _, s := range n.view {
 		if s.state.Gone() && now-s.since > forgetS {
 			continue
 		}
-		list = append(list, tenure.Member{ID: s.of.id, Address: s.of.of.address, State: s.state, Keeps: s.of.of.keeps, SinceS: now - s.since})
+		list = append(list, lease.Member{ID: s.of.id, Address: s.of.of.address, State: s.state, Keeps: s.of.of.keeps, SinceS: now - s.since})
 	}
 	n.t.Members(now, list)
 }
@@ -616,6 +616,6 @@
 	w.counts.Refused++
 	table := n.t.Table()
 	if from.up && from != n && table.Epoch != 0 {
-		w.send(n, from, packed(&tenure.Message{Table: &table}))
+		w.send(n, from, packed(&lease.Message{Table: &table}))
 	}
 }
