--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -15,7 +15,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/front/ops"
 	"hazelwheel/internal/workplan"
@@ -26,10 +26,10 @@
 	nonce := &cli.Uint64Flag{Name: "nonce", Usage: "the `NUMBER` of a command of which it was not known whether it was done: it is done once"}
 	by := &cli.StringFlag{Name: "by", Usage: "the `NAME` of who says so, for the record"}
 	// say returns a command whose words are arguments of the command line, of which so many must be there.
-	say := func(kind works.Kind, usage, words string, least int, fill func(c *works.Command, args []string) error) *cli.Command {
+	say := func(kind maintenance.Kind, usage, words string, least int, fill func(c *maintenance.Command, args []string) error) *cli.Command {
 		return &cli.Command{Name: string(kind), Usage: usage, ArgsUsage: words, Flags: []cli.Flag{flags[0], flags[1], nonce, by},
 			Action: func(ctx context.Context, c *cli.Command) error {
-				w, args := works.Command{Nonce: c.Uint64("nonce"), Kind: kind, Mechanic: c.String("by")}, c.Args().Slice()
+				w, args := maintenance.Command{Nonce: c.Uint64("nonce"), Kind: kind, Mechanic: c.String("by")}, c.Args().Slice()
 				if most := len(strings.Fields(words)); len(args) < least || len(args) > most {
 					return fault(fmt.Errorf("work %s: want %s", kind, words))
 				}
@@ -39,7 +39,7 @@
 				return sayWork(ctx, c, w)
 			}}
 	}
-	plan := func(c *works.Command, args []string) (err error) {
+	plan := func(c *maintenance.Command, args []string) (err error) {
 		if len(args) > 0 {
 			if c.Plan, err = strconv.ParseUint(args[0], 10, 64); err != nil || c.Plan == 0 {
 				return fmt.Errorf("%.40q is not the number of a plan", args[0])
@@ -47,8 +47,8 @@
 		}
 		return nil
 	}
-	box := func(c *works.Command, args []string) error { c.Box = args[0]; return nil }
-	ended := func(c *works.Command, args []string) (err error) {
+	box := func(c *maintenance.Command, args []string) error { c.Box = args[0]; return nil }
+	ended := func(c *maintenance.Command, args []string) (err error) {
 		if c.Box = args[0]; len(args) > 2 {
 			c.Why = args[2]
 		}
@@ -56,35 +56,35 @@
 		return err
 	}
 	return &cli.Command{Name: "work", Usage: "have boxes taken out for work on them, in an order that the sidecars settle", Commands: []*cli.Command{
-		say(works.Give, "give a plan", "FILE", 1, func(c *works.Command, args []string) error {
+		say(maintenance.Give, "give a plan", "FILE", 1, func(c *maintenance.Command, args []string) error {
 			spec, err := readPlan(args[0])
 			c.Spec = &spec
 			return err
 		}),
 		{Name: "check", Usage: "check the file of a plan, without a sidecar", ArgsUsage: "FILE", Action: checkPlan},
 		{Name: "status", Usage: "show the plans, their boxes, and what is waited for", Flags: flags, Action: showFleet("WORKS", writeWorks)},
-		say(works.Pause, "have nothing more leave, and give back what nobody works on", "[PLAN]", 0, plan),
-		say(works.Resume, "have a plan go on", "[PLAN]", 0, plan),
-		say(works.Abort, "end a plan: what nobody works on is given back", "[PLAN]", 0, plan),
-		say(works.Skip, "have a box not be worked on; give a box back that was lost", "BOX", 1, box),
-		say(works.Force, "have a box count as empty, whoever has not said so", "BOX", 1, box),
-		say(works.Take, "take a box that is ready, or be told of the one that one has", "MECHANIC", 1, func(c *works.Command, args []string) error {
+		say(maintenance.Pause, "have nothing more leave, and give back what nobody works on", "[PLAN]", 0, plan),
+		say(maintenance.Resume, "have a plan go on", "[PLAN]", 0, plan),
+		say(maintenance.Abort, "end a plan: what nobody works on is given back", "[PLAN]", 0, plan),
+		say(maintenance.Skip, "have a box not be worked on; give a box back that was lost", "BOX", 1, box),
+		say(maintenance.Force, "have a box count as empty, whoever has not said so", "BOX", 1, box),
+		say(maintenance.Take, "take a box that is ready, or be told of the one that one has", "MECHANIC", 1, func(c *maintenance.Command, args []string) error {
 			c.Mechanic = args[0]
 			return nil
 		}),
-		say(works.Finish, "say that the work on a box has ended", "BOX TOKEN", 2, ended),
-		say(works.Fail, "say that it has ended without success: the box stays out", "BOX TOKEN [WHY]", 2, ended),
+		say(maintenance.Finish, "say that the work on a box has ended", "BOX TOKEN", 2, ended),
+		say(maintenance.Fail, "say that it has ended without success: the box stays out", "BOX TOKEN [WHY]", 2, ended),
 	}}
 }
 
 // readPlan reads the file of a plan. The door takes lines up to a bound.
-func readPlan(path string) (works.Spec, error) {
+func readPlan(path string) (maintenance.Spec, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return works.Spec{}, err
+		return maintenance.Spec{}, err
 	}
 	spec, err := workplan.Read(path, text, time.Now())
-	if err == nil && len(workLine(works.Command{Nonce: 1<<64 - 1, Kind: works.Give, Spec: &spec})) >= ops.MostWork {
+	if err == nil && len(workLine(maintenance.Command{Nonce: 1<<64 - 1, Kind: maintenance.Give, Spec: &spec})) >= ops.MostWork {
 		err = fmt.Errorf("%s: the plan is too long for a door, which takes %d bytes", path, ops.MostWork)
 	}
 	return spec, err
@@ -114,7 +114,7 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // workLine is a command as a door takes it.
-func workLine(w works.Command) string {
+func workLine(w maintenance.Command) string {
 	raw, err := json.Marshal(w)
 	if err != nil { // numbers and texts always marshal
 		panic(err)
@@ -134,7 +134,7 @@
 var errUnknown = errors.New("not known whether it was done")
 
 // sayWork has a command done, and says what came of it. A fleet that says no ends with 1.
-func sayWork(ctx context.Context, c *cli.Command, w works.Command) error {
+func sayWork(ctx context.Context, c *cli.Command, w maintenance.Command) error {
 	for w.Nonce == 0 {
 		w.Nonce = rand.Uint64()
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	var r works.Reply
+	var r maintenance.Reply
 	if err := json.Unmarshal(raw, &r); err != nil {
 		return fmt.Errorf("the sidecar's answer makes no sense: %w", err)
 	}
@@ -159,9 +159,9 @@
 		return fmt.Errorf("%w: %s", errDoor, r.Err)
 	case c.Bool("json"):
 		return nil
-	case w.Kind == works.Take && r.Box == "":
+	case w.Kind == maintenance.Take && r.Box == "":
 		_, err = fmt.Fprintln(c.Root().Writer, strings.TrimSpace("- "+r.Text))
-	case w.Kind == works.Take:
+	case w.Kind == maintenance.Take:
 		_, err = fmt.Fprintf(c.Root().Writer, "%s %s\n", r.Box, tokenText(r.Token))
 	default:
 		text := string(w.Kind)
@@ -226,8 +226,8 @@
 }
 
 // stages say how far the work on a box has come.
-var stages = map[works.Stage]string{works.Waiting: "waiting", works.Leaving: "leaving", works.Ready: "ready", works.Taken: "taken", works.Cold: "cold",
-	works.Done: "done", works.Skipped: "skipped", works.Lost: "lost"}
+var stages = map[maintenance.Stage]string{maintenance.Waiting: "waiting", maintenance.Leaving: "leaving", maintenance.Ready: "ready", maintenance.Taken: "taken", maintenance.Cold: "cold",
+	maintenance.Done: "done", maintenance.Skipped: "skipped", maintenance.Lost: "lost"}
 
 // writeWorks writes plans, box by box, and what each waits for.
 func writeWorks(t *tabwriter.Writer, s *fleet.SeenWorks) {
@@ -272,15 +272,15 @@
 	}
 	for i := range s.Plans {
 		p := &s.Plans[i]
-		count := map[works.Stage]int{}
+		count := map[maintenance.Stage]int{}
 		for _, b := range p.Boxes {
 			count[b.Stage]++
 		}
-		text := fmt.Sprintf("plan %d, %s: %d of %d done", p.Number, p.Spec.Name, count[works.Done], len(p.Boxes))
+		text := fmt.Sprintf("plan %d, %s: %d of %d done", p.Number, p.Spec.Name, count[maintenance.Done], len(p.Boxes))
 		for _, more := range []struct {
 			on   bool
 			text string
-		}{{count[works.Skipped] > 0, fmt.Sprintf("%d skipped", count[works.Skipped])}, {count[works.Lost] > 0, fmt.Sprintf("%d lost", count[works.Lost])},
+		}{{count[maintenance.Skipped] > 0, fmt.Sprintf("%d skipped", count[maintenance.Skipped])}, {count[maintenance.Lost] > 0, fmt.Sprintf("%d lost", count[maintenance.Lost])},
 			{true, seconds(p.AgeS).Round(time.Second).String() + " old"}, {p.Paused != "", "paused by " + p.Paused}, {p.Aborted, "aborted"}, {p.Ended, "ended"}} {
 			if more.on {
 				text += ", " + more.text
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/lab/mechanic"
 	"hazelwheel/internal/lab/troupe"
@@ -30,7 +30,7 @@
 	*crew
 	boxes     []*box
 	mechanics []*mechanic.Mechanic
-	plans     []works.Spec
+	plans     []maintenance.Spec
 	times     map[string]int // that a box is in a plan, by name
 	serving   func()         // ends the clients and judges what they got
 	stood     []standing
@@ -235,7 +235,7 @@
 }
 
 // stage returns how far the work on a box has come, by the latest plan that has it.
-func stage(s *fleet.SeenWorks, b *box) (found works.Box) {
+func stage(s *fleet.SeenWorks, b *box) (found maintenance.Box) {
 	for _, p := range s.Plans {
 		for _, k := range p.Boxes {
 			if k.Name == b.name {
@@ -247,7 +247,7 @@
 }
 
 // comes waits until a box has come to a stage, by the latest word.
-func (y *yard) comes(b *box, to ...works.Stage) (found works.Box) {
+func (y *yard) comes(b *box, to ...maintenance.Stage) (found maintenance.Box) {
 	y.Helper()
 	y.poll(fmt.Sprintf("%s comes to %v", b.name, to), func() bool {
 		s := y.newest()
@@ -269,19 +269,19 @@
 	y.poll(fmt.Sprintf("%s waits for %q of %s", b.name, why, who), func() bool {
 		s := y.newest()
 		last = fmt.Sprint(s.Waits)
-		return slices.ContainsFunc(s.Waits, func(w works.Wait) bool {
+		return slices.ContainsFunc(s.Waits, func(w maintenance.Wait) bool {
 			return w.Box == b.name && strings.Contains(w.Why, why) && (who == "" || slices.Contains(w.Who, who))
 		})
 	})
 }
 
 // ended waits until no plan goes on, and returns the last one.
-func (y *yard) ended() works.Plan {
+func (y *yard) ended() maintenance.Plan {
 	y.Helper()
 	var s fleet.SeenWorks
 	y.pollFor(6*patience, "all plans have ended", func() bool {
 		s = y.newest()
-		return len(s.Plans) > 0 && !slices.ContainsFunc(s.Plans, func(p works.Plan) bool { return !p.Ended })
+		return len(s.Plans) > 0 && !slices.ContainsFunc(s.Plans, func(p maintenance.Plan) bool { return !p.Ended })
 	})
 	return s.Plans[len(s.Plans)-1]
 }
@@ -414,14 +414,14 @@
 
 // settle and cold are the shortest that plans here have.
 func (y *yard) settle() time.Duration {
-	return y.least(func(p *works.Spec) float64 { return p.SettleS })
+	return y.least(func(p *maintenance.Spec) float64 { return p.SettleS })
 }
 
 func (y *yard) cold() time.Duration {
-	return y.least(func(p *works.Spec) float64 { return p.ColdS })
+	return y.least(func(p *maintenance.Spec) float64 { return p.ColdS })
 }
 
-func (y *yard) least(of func(*works.Spec) float64) time.Duration {
+func (y *yard) least(of func(*maintenance.Spec) float64) time.Duration {
 	s := 3600.0
 	for i := range y.plans {
 		s = min(s, of(&y.plans[i]))
@@ -461,11 +461,11 @@
 	b.release()
 	y.waits(b, "not heard to have stopped sending there", cut.name)
 	y.view([]*mate{owner}, y.without(cut)) // it is held for dead, and waited for all the same
-	assert.Equal(t, works.Leaving, y.comes(b, works.Leaving).Stage)
+	assert.Equal(t, maintenance.Leaving, y.comes(b, maintenance.Leaving).Stage)
 	assert.Empty(t, y.records())
 	y.board.Set(troupe.Rule{}, ways...)
 	p := y.ended()
-	assert.Equal(t, works.Done, p.Boxes[0].Stage)
+	assert.Equal(t, maintenance.Done, p.Boxes[0].Stage)
 	assert.Len(t, y.records(), 1)
 	y.serving()
 }
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/lab/mechanic"
 	"hazelwheel/internal/lab/troupe"
 )
@@ -34,7 +34,7 @@
 	b.release()
 	y.waits(b, "not heard to have stopped sending there", dead[0].name)
 	assert.Empty(t, y.records())
-	assert.Equal(t, works.Done, y.ended().Boxes[0].Stage)
+	assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
 	y.serving()
 }
 
@@ -47,7 +47,7 @@
 	before.kill()
 	b := y.boxes[1]
 	y.plan(y.all[0], `gone = "1s"`, b)
-	y.comes(b, works.Taken)
+	y.comes(b, maintenance.Taken)
 	for _, m := range y.all[3:] {
 		if m != before {
 			m.kill()
@@ -70,8 +70,8 @@
 		y.poll(m.name+" has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Out, []string{b.name}) })
 	}
 	s := y.newest()
-	require.Equal(t, works.Taken, stage(&s, b).Stage, "they have all been back before the work had ended")
-	assert.Equal(t, works.Done, y.ended().Boxes[0].Stage)
+	require.Equal(t, maintenance.Taken, stage(&s, b).Stage, "they have all been back before the work had ended")
+	assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
 	y.serving()
 }
 
@@ -100,12 +100,12 @@
 			y.waits(b, "has something out there", "m01")
 			y.pollFor(3*patience, "it is waited for", func() bool {
 				s := y.newest()
-				require.NotEqual(t, works.Ready, stage(&s, b).Stage)
+				require.NotEqual(t, maintenance.Ready, stage(&s, b).Stage)
 				return len(s.Plans) > 0 && s.Plans[0].AgeS > k.heldS
 			})
 			assert.Empty(t, y.records())
 			b.release()
-			assert.Equal(t, works.Done, y.ended().Boxes[0].Stage)
+			assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
 			y.serving()
 		})
 	}
@@ -147,22 +147,22 @@
 		t.Run(k.name, func(t *testing.T) {
 			y := newYard(t, 3, 3, 6).open()
 			y.plan(y.owner(y.all...), "at_once = 2\nkeep = 0.6", y.boxes[0], y.boxes[1], y.boxes[3], y.boxes[4]) // sites a and b
-			y.poll("two are ready", func() bool { return y.counts()[works.Ready] == 2 })
+			y.poll("two are ready", func() bool { return y.counts()[maintenance.Ready] == 2 })
 			y.poll("some time has passed", func() bool { s := y.newest(); return s.Plans[0].AgeS > 15 })
 			ends := k.begins(y)
 			began := time.Now()
-			y.poll("both are given back", func() bool { return y.counts()[works.Waiting] == 4 })
+			y.poll("both are given back", func() bool { return y.counts()[maintenance.Waiting] == 4 })
 			t.Log("given back after", time.Since(began))
 			y.poll("it says why", func() bool {
 				s := y.newest()
-				return slices.ContainsFunc(s.Waits, func(w works.Wait) bool {
+				return slices.ContainsFunc(s.Waits, func(w maintenance.Wait) bool {
 					return strings.Contains(w.Why, k.waits) || strings.Contains(w.Why, "is seen how")
 				})
 			})
 			ends()
 			y.mechanic("anna", nil)
 			p := y.ended()
-			assert.False(t, slices.ContainsFunc(p.Boxes, func(b works.Box) bool { return b.Stage != works.Done }), "%+v", p.Boxes)
+			assert.False(t, slices.ContainsFunc(p.Boxes, func(b maintenance.Box) bool { return b.Stage != maintenance.Done }), "%+v", p.Boxes)
 			assert.Len(t, y.records(), 4)
 			y.serving()
 		})
@@ -191,7 +191,7 @@
 	assert.Equal(t, []string{b.name}, s.Hand)
 	assert.Empty(t, y.records())
 	said("OFFLINE")
-	assert.Equal(t, works.Done, y.ended().Boxes[0].Stage)
+	assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
 	ours := func() (n int) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -229,9 +229,9 @@
 	assert.Contains(t, out, "not known whether it was done")
 	y.poll("who is not heard is named", func() bool {
 		s, _ := left[0].works()
-		return slices.ContainsFunc(s.Waits, func(w works.Wait) bool { return w.Box == "" && slices.Equal(w.Who, names(right)) })
+		return slices.ContainsFunc(s.Waits, func(w maintenance.Wait) bool { return w.Box == "" && slices.Equal(w.Who, names(right)) })
 	})
-	assert.Equal(t, 3, y.counts()[works.Waiting])
+	assert.Equal(t, 3, y.counts()[maintenance.Waiting])
 	y.board.Set(troupe.Rule{}, ways...)
 	y.poll("the other side knows", func() bool { s, ok := right[0].works(); return ok && len(s.Plans) == 1 })
 	out, code = y.command("fleet", "work", "plan", file, "--nonce", "8", "--ops", right[0].ops)
@@ -256,17 +256,17 @@
 	y.plan(y.all[1], "at_once = 5\nby_site = 2\nkeep = 0.1", append(others[:4], b)...)
 	y.pollFor(6*patience, "boxes are leaving, ready and taken", func() bool {
 		count := y.counts()
-		return count[works.Leaving] > 0 && count[works.Ready] > 0 && count[works.Taken] == 1
+		return count[maintenance.Leaving] > 0 && count[maintenance.Ready] > 0 && count[maintenance.Taken] == 1
 	})
 	y.work(y.all[2], "abort")
-	y.poll("what nobody works on is given back", func() bool { return y.counts()[works.Skipped] == 4 })
+	y.poll("what nobody works on is given back", func() bool { return y.counts()[maintenance.Skipped] == 4 })
 	s := y.newest()
 	assert.False(t, s.Plans[0].Ended)
 	assert.Len(t, s.Out, 1)
 	close(long)
 	p := y.ended()
 	for _, k := range p.Boxes {
-		if k.Stage != works.Done {
+		if k.Stage != maintenance.Done {
 			assert.Equal(t, "the plan was aborted by an operator", k.Why)
 		}
 	}
@@ -286,13 +286,13 @@
 	}
 	anna, dies := y.mechanic("anna", slow)
 	y.plan(owner, "takes = \"1s\"\nlate = \"2s\"", y.boxes[:1]...)
-	first := y.comes(y.boxes[0], works.Taken)
+	first := y.comes(y.boxes[0], maintenance.Taken)
 	dies()
 	assert.Regexp(t, "^-", y.work(owner, "next", "bob"), "anna has it")
 	y.poll("it is late", func() bool { s := y.newest(); return stage(&s, y.boxes[0]).Late })
-	assert.Equal(t, works.Taken, y.comes(y.boxes[0], works.Taken).Stage)
+	assert.Equal(t, maintenance.Taken, y.comes(y.boxes[0], maintenance.Taken).Stage)
 	again := y.runs(anna)
-	assert.Equal(t, works.Done, y.ended().Boxes[0].Stage)
+	assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
 	again()
 	assert.Zero(t, anna.Refused())
 	for _, r := range y.records() {
@@ -303,7 +303,7 @@
 	bob, stop := y.mechanic("bob", slow)
 	y.plan(owner, "name = \"second\"\ntakes = \"1s\"\nlate = \"2s\"\nwhen_late = \"give-up\"", y.boxes[1])
 	p := y.ended()
-	assert.Equal(t, works.Lost, p.Boxes[0].Stage)
+	assert.Equal(t, maintenance.Lost, p.Boxes[0].Stage)
 	assert.Equal(t, "bob had it for longer than 2 s", p.Boxes[0].Why)
 	y.poll("his word came too late", func() bool { r := bob.Records(); return len(r) == 1 && len(r[0].Said) == 2 })
 	assert.Contains(t, bob.Records()[0].Said[0], "is not worked on under")
@@ -328,7 +328,7 @@
 	assert.Contains(t, y.work(y.all[0], "force", b.name), "past "+owner.name)
 	last := y.ended().Boxes[0]
 	assert.Equal(t, []string{owner.name}, last.Forced)
-	assert.Equal(t, works.Done, last.Stage)
+	assert.Equal(t, maintenance.Done, last.Stage)
 	b.release()
 	y.serving()
 }
@@ -352,7 +352,7 @@
 			moved := &box{server: newServer(t, b.name, nil), site: b.site}
 			moved.set(moved.ServeHTTP)
 			y.plan(y.all[0], "", b)
-			y.comes(b, works.Taken)
+			y.comes(b, maintenance.Taken)
 			e := b.entry()
 			change(&e, moved.entry())
 			lists := func(m *mate) float64 { return (&world{T: t, listen: m.listen}).counter("lists") }
@@ -368,7 +368,7 @@
 			y.poll("they serve by it", func() bool { return y.all[0].asked.Load() > asked+100 })
 			assert.Zero(t, moved.got(), "it is out wherever it is listed")
 			close(over)
-			assert.Equal(t, works.Done, y.ended().Boxes[0].Stage)
+			assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
 			y.registry.publish(b.entry(), false)
 			was := b.got()
 			y.poll("it serves again", func() bool { return b.got() > was })
@@ -392,13 +392,13 @@
 	y.asked()
 	anna, dies := y.mechanic("anna", nil)
 	y.plan(y.all[0], `gone = "2s"`, y.boxes...)
-	y.comes(y.boxes[0], works.Leaving, works.Ready, works.Taken, works.Cold, works.Done)
+	y.comes(y.boxes[0], maintenance.Leaving, maintenance.Ready, maintenance.Taken, maintenance.Cold, maintenance.Done)
 	for _, m := range y.all[4:] {
 		m.start()
 	}
 	y.ready(y.all[4:]...)
 	y.agree(y.all...)
-	y.poll("it goes on with all", func() bool { return y.counts()[works.Done] >= 2 })
+	y.poll("it goes on with all", func() bool { return y.counts()[maintenance.Done] >= 2 })
 	for i, m := range y.all[4:] {
 		if i%2 == 0 {
 			m.term()
@@ -406,13 +406,13 @@
 			m.kill()
 		}
 	}
-	y.poll("it goes on without them", func() bool { return y.counts()[works.Done] >= 3 })
+	y.poll("it goes on without them", func() bool { return y.counts()[maintenance.Done] >= 3 })
 	dies()
 	var last *box
 	y.poll("the last one is ready", func() bool {
 		s := y.newest()
 		for _, b := range y.boxes {
-			if k := stage(&s, b); k.Stage == works.Ready {
+			if k := stage(&s, b); k.Stage == maintenance.Ready {
 				last = b
 			}
 		}
@@ -482,7 +482,7 @@
 			return !slices.ContainsFunc(y.all, func(m *mate) bool { return m.asked.Load() < asked[m]+30 })
 		})
 	}
-	y.comes(b, works.Taken)
+	y.comes(b, maintenance.Taken)
 	out()
 	old, ended := m.cmd, m.ended
 	m.ops = freeAddress(t) // each process has its own
@@ -503,6 +503,6 @@
 	y.ready(y.all...)
 	out()
 	close(over)
-	assert.Equal(t, works.Done, y.ended().Boxes[0].Stage)
+	assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
 	y.serving()
 }
--- a/cmd/hazelwheel/workline_test.go
+++ b/cmd/hazelwheel/workline_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/fleet"
 )
 
@@ -55,11 +55,11 @@
 }
 
 // commands returns what was said, and how often the first nonce came.
-func (d *fakeDoor) commands(t *testing.T) (all []works.Command) {
+func (d *fakeDoor) commands(t *testing.T) (all []maintenance.Command) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, line := range d.heard {
-		var c works.Command
+		var c maintenance.Command
 		require.NoError(t, json.Unmarshal([]byte(strings.TrimPrefix(line, "WORK ")), &c), line)
 		all = append(all, c)
 	}
@@ -78,27 +78,27 @@
 	for _, k := range []struct {
 		args   string
 		answer string
-		said   works.Command
+		said   maintenance.Command
 		code   int
 		out    string
 	}{
-		{"plan " + plan, `{"plan":4,"text":"1 box"}`, works.Command{Kind: works.Give, Spec: &works.Spec{Name: "n", Boxes: []string{"s-00000001"}, TakesS: 1, AtOnce: 1, Keep: 0.5}}, 0,
+		{"plan " + plan, `{"plan":4,"text":"1 box"}`, maintenance.Command{Kind: maintenance.Give, Spec: &maintenance.Spec{Name: "n", Boxes: []string{"s-00000001"}, TakesS: 1, AtOnce: 1, Keep: 0.5}}, 0,
 			"OK plan: plan 4: 1 box\n"},
-		{"plan " + bad, "", works.Command{}, 2, "hazelwheel: work plan: " + bad + ":4:1: at_once: 0 is not 1 to 250\n"},
-		{"check " + bad, "", works.Command{}, 2, "hazelwheel: " + bad + ":4:1: at_once: 0 is not 1 to 250\n"},
-		{"check " + plan, "", works.Command{}, 0, "n: boxes s-00000001; 1s each, 1 at once, 0.5 of the capacity stays\n"},
-		{"plan", "", works.Command{}, 2, "hazelwheel: work plan: want FILE\n"},
-		{"pause", `{"plan":4}`, works.Command{Kind: works.Pause}, 0, "OK pause: plan 4\n"},
-		{"resume 4", `{"plan":4}`, works.Command{Kind: works.Resume, Plan: 4}, 0, "OK resume: plan 4\n"},
-		{"abort x", "", works.Command{}, 2, "hazelwheel: work abort: \"x\" is not the number of a plan\n"},
-		{"skip s-1", `{"error":"it is taken"}`, works.Command{Kind: works.Skip, Box: "s-1"}, 1, "hazelwheel: the sidecar says: it is taken\n"},
-		{"force --by bob s-1", `{"plan":1,"box":"s-1"}`, works.Command{Kind: works.Force, Box: "s-1", Mechanic: "bob"}, 0, "OK force: plan 1: s-1\n"},
-		{"next anna", `{"box":"s-1","token":3298534883385}`, works.Command{Kind: works.Take, Mechanic: "anna"}, 0, "s-1 3.57\n"},
-		{"next anna", `{"text":"all is done"}`, works.Command{Kind: works.Take, Mechanic: "anna"}, 0, "- all is done\n"},
-		{"done s-1 3.57", `{"box":"s-1"}`, works.Command{Kind: works.Finish, Box: "s-1", Token: token}, 0, "OK done: s-1\n"},
-		{"done s-1 3298534883385", `{"box":"s-1"}`, works.Command{Kind: works.Finish, Box: "s-1", Token: token}, 0, "OK done: s-1\n"},
-		{"done s-1 3.x", "", works.Command{}, 2, "hazelwheel: work done: \"3.x\" is not a token like 1.57\n"},
-		{"failed s-1 3.57 no-disk", `{}`, works.Command{Kind: works.Fail, Box: "s-1", Token: token, Why: "no-disk"}, 0, "OK failed: s-1\n"},
+		{"plan " + bad, "", maintenance.Command{}, 2, "hazelwheel: work plan: " + bad + ":4:1: at_once: 0 is not 1 to 250\n"},
+		{"check " + bad, "", maintenance.Command{}, 2, "hazelwheel: " + bad + ":4:1: at_once: 0 is not 1 to 250\n"},
+		{"check " + plan, "", maintenance.Command{}, 0, "n: boxes s-00000001; 1s each, 1 at once, 0.5 of the capacity stays\n"},
+		{"plan", "", maintenance.Command{}, 2, "hazelwheel: work plan: want FILE\n"},
+		{"pause", `{"plan":4}`, maintenance.Command{Kind: maintenance.Pause}, 0, "OK pause: plan 4\n"},
+		{"resume 4", `{"plan":4}`, maintenance.Command{Kind: maintenance.Resume, Plan: 4}, 0, "OK resume: plan 4\n"},
+		{"abort x", "", maintenance.Command{}, 2, "hazelwheel: work abort: \"x\" is not the number of a plan\n"},
+		{"skip s-1", `{"error":"it is taken"}`, maintenance.Command{Kind: maintenance.Skip, Box: "s-1"}, 1, "hazelwheel: the sidecar says: it is taken\n"},
+		{"force --by bob s-1", `{"plan":1,"box":"s-1"}`, maintenance.Command{Kind: maintenance.Force, Box: "s-1", Mechanic: "bob"}, 0, "OK force: plan 1: s-1\n"},
+		{"next anna", `{"box":"s-1","token":3298534883385}`, maintenance.Command{Kind: maintenance.Take, Mechanic: "anna"}, 0, "s-1 3.57\n"},
+		{"next anna", `{"text":"all is done"}`, maintenance.Command{Kind: maintenance.Take, Mechanic: "anna"}, 0, "- all is done\n"},
+		{"done s-1 3.57", `{"box":"s-1"}`, maintenance.Command{Kind: maintenance.Finish, Box: "s-1", Token: token}, 0, "OK done: s-1\n"},
+		{"done s-1 3298534883385", `{"box":"s-1"}`, maintenance.Command{Kind: maintenance.Finish, Box: "s-1", Token: token}, 0, "OK done: s-1\n"},
+		{"done s-1 3.x", "", maintenance.Command{}, 2, "hazelwheel: work done: \"3.x\" is not a token like 1.57\n"},
+		{"failed s-1 3.57 no-disk", `{}`, maintenance.Command{Kind: maintenance.Fail, Box: "s-1", Token: token, Why: "no-disk"}, 0, "OK failed: s-1\n"},
 	} {
 		d := newFakeDoor(t, k.answer+"\n")
 		args := append([]string{"fleet", "work"}, strings.Fields(k.args)...)
@@ -153,13 +153,13 @@
 	t.Parallel()
 	c := &crew{T: t}
 	raw, err := json.Marshal(fleet.SeenWorks{Version: 17, Owner: "m01", AgeS: 0.3, Hand: []string{"s-2"},
-		Plans: []works.Plan{{Number: 1, Spec: works.Spec{Name: "firmware"}, AgeS: 90, Paused: "anna", Boxes: []works.Box{
-			{Name: "s-1", Site: "site-a", Stage: works.Leaving, Since: 17},
-			{Name: "s-2", Site: "site-a", Stage: works.Taken, Since: 16, Token: 1<<40 | 16, Mechanic: "bob", Late: true, Forced: []string{"m04"}},
-			{Name: "s-3", Site: "site-b", Stage: works.Done, Since: 9},
-			{Name: "s-4", Site: "site-b", Stage: works.Lost, Since: 8, Why: "no disk"},
+		Plans: []maintenance.Plan{{Number: 1, Spec: maintenance.Spec{Name: "firmware"}, AgeS: 90, Paused: "anna", Boxes: []maintenance.Box{
+			{Name: "s-1", Site: "site-a", Stage: maintenance.Leaving, Since: 17},
+			{Name: "s-2", Site: "site-a", Stage: maintenance.Taken, Since: 16, Token: 1<<40 | 16, Mechanic: "bob", Late: true, Forced: []string{"m04"}},
+			{Name: "s-3", Site: "site-b", Stage: maintenance.Done, Since: 9},
+			{Name: "s-4", Site: "site-b", Stage: maintenance.Lost, Since: 8, Why: "no disk"},
 			{Name: "s-5", Site: "site-b"}}}},
-		Waits: []works.Wait{{Plan: 1, Box: "s-1", Why: "not said to be empty", Who: []string{"m02", "m03"}}, {Plan: 1, Why: "a box is cold"}}})
+		Waits: []maintenance.Wait{{Plan: 1, Box: "s-1", Why: "not said to be empty", Who: []string{"m02", "m03"}}, {Plan: 1, Why: "a box is cold"}}})
 	require.NoError(t, err)
 	d := newFakeDoor(t, string(raw)+"\n")
 	out, code := c.command("fleet", "work", "status", "--ops", d.address)
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/lab/mechanic"
 	"hazelwheel/internal/lab/troupe"
@@ -102,19 +102,19 @@
 	t.Parallel() // else all other tests wait until its last case is over
 	for _, k := range []struct {
 		name string
-		step string      // at which it falls; empty: as soon as a box is at the stage
-		at   works.Stage // of a box when it is armed; Waiting: none is out
-		half bool        // a pause is told, which somebody does not hear
+		step string            // at which it falls; empty: as soon as a box is at the stage
+		at   maintenance.Stage // of a box when it is armed; Waiting: none is out
+		half bool              // a pause is told, which somebody does not hear
 	}{
-		{"agreed that a box leaves, nobody told", "agreed", works.Waiting, false},
-		{"all told that it leaves", "told", works.Waiting, false},
-		{"half told", "told", works.Leaving, true},
-		{"it is empty, not agreed", "empty", works.Leaving, false},
-		{"agreed that it is empty, nobody told", "agreed", works.Leaving, false},
-		{"all told that it is empty", "told", works.Leaving, false},
-		{"agreed to hand it over, the mechanic not told", "handed", works.Leaving, false},
-		{"the mechanic is at work", "", works.Taken, false},
-		{"it is cold", "", works.Cold, false},
+		{"agreed that a box leaves, nobody told", "agreed", maintenance.Waiting, false},
+		{"all told that it leaves", "told", maintenance.Waiting, false},
+		{"half told", "told", maintenance.Leaving, true},
+		{"it is empty, not agreed", "empty", maintenance.Leaving, false},
+		{"agreed that it is empty, nobody told", "agreed", maintenance.Leaving, false},
+		{"all told that it is empty", "told", maintenance.Leaving, false},
+		{"agreed to hand it over, the mechanic not told", "handed", maintenance.Leaving, false},
+		{"the mechanic is at work", "", maintenance.Taken, false},
+		{"it is cold", "", maintenance.Cold, false},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			y := newYard(t, 5, 5, 4)
@@ -143,12 +143,12 @@
 			for i, kill := range []bool{true, false} {
 				for fell := false; !fell; {
 					done, at, times := i, k.at, 0
-					if k.at == works.Waiting && i > 0 {
-						done, at, times = 0, works.Cold, 1 // that it is done comes first
+					if k.at == maintenance.Waiting && i > 0 {
+						done, at, times = 0, maintenance.Cold, 1 // that it is done comes first
 					}
 					y.poll("a box is at that stage", func() bool {
 						count := y.counts()
-						return over() || count[works.Done] >= done && count[at] > 0
+						return over() || count[maintenance.Done] >= done && count[at] > 0
 					})
 					if over() { // the machine was too slow to see it
 						give()
@@ -199,7 +199,7 @@
 			old.thaw()
 			p := y.ended()
 			for _, b := range p.Boxes {
-				assert.Equal(t, works.Done, b.Stage, b.Name)
+				assert.Equal(t, maintenance.Done, b.Stage, b.Name)
 			}
 			y.poll("the old one knows", func() bool {
 				s, ok := old.works()
@@ -217,8 +217,8 @@
 }
 
 // counts returns how many boxes of the last plan are at each stage.
-func (y *yard) counts() map[works.Stage]int {
-	count := map[works.Stage]int{}
+func (y *yard) counts() map[maintenance.Stage]int {
+	count := map[maintenance.Stage]int{}
 	if s := y.newest(); len(s.Plans) > 0 {
 		for _, b := range s.Plans[len(s.Plans)-1].Boxes {
 			count[b.Stage]++
--- a/internal/decide/works/commands.go
+++ b/internal/decide/maintenance/commands.go
@@ -1,4 +1,4 @@
-package works
+package maintenance
 
 import (
 	"cmp"
--- a/internal/fleet/asking.go
+++ b/internal/fleet/asking.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/peers/frames"
 )
@@ -100,7 +100,7 @@
 	if err := frames.Unpack(e.Body, &a); err != nil {
 		return nil, err
 	}
-	if _, err := works.Decode(a.Body); err != nil {
+	if _, err := maintenance.Decode(a.Body); err != nil {
 		return nil, err
 	}
 	return &KeptWorks{a.Epoch, a.Version, e.Token, a.Body}, nil
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -14,9 +14,9 @@
 	"strconv"
 
 	"hazelwheel/internal/decide/lease"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/decide/share"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/works"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/peers/frames"
@@ -52,10 +52,10 @@
 	Replaceable    bool   // another process may take this one's place, with its identity and address
 	Asked          sidecar.Asked
 	Told           sidecar.Placed
-	Lists          sidecar.Lists  // for the job "list" alone
-	Drills         sidecar.Drills // for the job "drill" alone
-	Boxes          sidecar.Boxes  // for the job "works" alone
-	WorkOrder      works.Order    // which box leaves next; others than the first are there to be weighed
+	Lists          sidecar.Lists     // for the job "list" alone
+	Drills         sidecar.Drills    // for the job "drill" alone
+	Boxes          sidecar.Boxes     // for the job "works" alone
+	WorkOrder      maintenance.Order // which box leaves next; others than the first are there to be weighed
 	Rand           *rand.Rand
 	Net            netio.Net
 	Log            *slog.Logger
--- a/internal/fleet/seenworks.go
+++ b/internal/fleet/seenworks.go
@@ -4,18 +4,18 @@
 	"errors"
 	"math"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 )
 
 // SeenWorks is what a sidecar knows of work on boxes.
 type SeenWorks struct {
-	Version uint64       `json:"version"` // of what is agreed, as far as it is known here; 0: nothing is
-	Owner   string       `json:"owner"`   // name of who settles the order; empty: nobody has said so yet
-	AgeS    float64      `json:"age_s"`   // since its last word
-	Plans   []works.Plan `json:"plans"`
-	Waits   []works.Wait `json:"waits"` // what it waits for, by its last word
-	Out     []string     `json:"out"`   // boxes that are out here by what is agreed
-	Hand    []string     `json:"hand"`  // of these, such as were given back here by hand
+	Version uint64             `json:"version"` // of what is agreed, as far as it is known here; 0: nothing is
+	Owner   string             `json:"owner"`   // name of who settles the order; empty: nobody has said so yet
+	AgeS    float64            `json:"age_s"`   // since its last word
+	Plans   []maintenance.Plan `json:"plans"`
+	Waits   []maintenance.Wait `json:"waits"` // what it waits for, by its last word
+	Out     []string           `json:"out"`   // boxes that are out here by what is agreed
+	Hand    []string           `json:"hand"`  // of these, such as were given back here by hand
 }
 
 // ErrNoWorks is the answer where no order is settled.
@@ -27,7 +27,7 @@
 		return nil, ErrNoWorks
 	}
 	w, now := f.owners.works, f.net.Now()
-	s := &SeenWorks{Version: w.version, Owner: w.owner, Plans: append([]works.Plan{}, w.state.Plans...), Waits: append([]works.Wait{}, w.waits...),
+	s := &SeenWorks{Version: w.version, Owner: w.owner, Plans: append([]maintenance.Plan{}, w.state.Plans...), Waits: append([]maintenance.Wait{}, w.waits...),
 		Out: []string{}, Hand: []string{}}
 	if !math.IsInf(w.wordAt, -1) {
 		s.AgeS = math.Round(10*(now-w.wordAt)) / 10
@@ -52,7 +52,7 @@
 
 // Work passes a command on to whoever settles the order. The answer comes with one of the next calls of the same nonce; false: not
 // yet. A command that nobody has answered is passed on again and again until it has not been asked for any more for a while.
-func (f *Fleet) Work(c works.Command) (reply works.Reply, answered bool, err error) {
+func (f *Fleet) Work(c maintenance.Command) (reply maintenance.Reply, answered bool, err error) {
 	f.enter(func() {
 		switch {
 		case f.owners == nil || f.owners.works == nil || f.view == nil:
--- a/internal/fleet/stored_form_test.go
+++ b/internal/fleet/stored_form_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/works"
 )
 
 // A sidecar that is updated goes on from what the version before it has stored: identity, promises and what is agreed of servers.
@@ -43,7 +43,7 @@
 	assert.Equal(t, uint64(1), s.Generation)
 	require.NotNil(t, s.Works)
 	assert.Equal(t, []uint64{1, 1, 1<<40 + 1}, []uint64{s.Works.Epoch, s.Works.Version, s.Works.Token})
-	agreed, err := works.Decode(s.Works.Body)
+	agreed, err := maintenance.Decode(s.Works.Body)
 	require.NoError(t, err)
 	assert.Len(t, agreed.Plans, 1)
 	f := &Fleet{net: &standing{now: 100}, o: Options{Rand: rand.New(rand.NewPCG(1, 1))}}
--- a/internal/fleet/wire_form_test.go
+++ b/internal/fleet/wire_form_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/works"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/peers/frames"
 )
@@ -47,11 +47,11 @@
 		{"fault_order", &drillRun{ID: 1 << 50, Name: "lag", LeftS: 59.5, Mark: []byte{6, 7}}},
 		{"fault_orders", &drillRuns{Runs: []drillRun{{ID: 1 << 50, Name: "lag", LeftS: 59.5, Mark: []byte{6, 7}}, {ID: 2, Name: "x"}}}},
 		{"fault_orders_least", &drillRuns{}},
-		{"maintenance_record", &agreedWord{Epoch: 3, Version: 9, Body: []byte{8, 9}, Waits: filled[[]works.Wait](), Ages: []planAge{{Plan: 4, AgeS: 12.5}}, Owner: "m01"}},
+		{"maintenance_record", &agreedWord{Epoch: 3, Version: 9, Body: []byte{8, 9}, Waits: filled[[]maintenance.Wait](), Ages: []planAge{{Plan: 4, AgeS: 12.5}}, Owner: "m01"}},
 		{"maintenance_record_least", &agreedWord{}},
 		{"maintenance_version", &heldWord{Epoch: 3, Version: 9}},
 		{"maintenance_request", &worksQuestion{Round: 17, Epoch: 3, Version: 9}},
-		{"maintenance_response", &worksSum{Round: 17, Sum: filled[works.Sum]()}},
+		{"maintenance_response", &worksSum{Round: 17, Sum: filled[maintenance.Sum]()}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			body := packed(c.value)
--- a/internal/fleet/works.go
+++ b/internal/fleet/works.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"hazelwheel/internal/decide/lease"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/works"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/peers/frames"
 	"hazelwheel/internal/sidecar"
@@ -41,12 +41,12 @@
 
 // agreedWord is what is agreed, or that it is so still.
 type agreedWord struct {
-	Epoch   uint64       `msgpack:"e"`
-	Version uint64       `msgpack:"v"`
-	Body    []byte       `msgpack:"b,omitempty"` // of the record; nil: who lacks the version asks for it
-	Waits   []works.Wait `msgpack:"w,omitempty"`
-	Ages    []planAge    `msgpack:"a,omitempty"`
-	Owner   string       `msgpack:"o,omitempty"` // its name; empty: it is not the owner's word
+	Epoch   uint64             `msgpack:"e"`
+	Version uint64             `msgpack:"v"`
+	Body    []byte             `msgpack:"b,omitempty"` // of the record; nil: who lacks the version asks for it
+	Waits   []maintenance.Wait `msgpack:"w,omitempty"`
+	Ages    []planAge          `msgpack:"a,omitempty"`
+	Owner   string             `msgpack:"o,omitempty"` // its name; empty: it is not the owner's word
 }
 
 // planAge is since when a plan was given, by the clocks that ran since.
@@ -68,8 +68,8 @@
 }
 
 type worksSum struct {
-	Round uint64    `msgpack:"r"`
-	Sum   works.Sum `msgpack:"s"`
+	Round uint64          `msgpack:"r"`
+	Sum   maintenance.Sum `msgpack:"s"`
 }
 
 // KeptWorks is what a sidecar goes by, as its disk keeps it and as others tell it.
@@ -93,9 +93,9 @@
 	// Of every sidecar.
 	epoch, version uint64 // of what it goes by
 	body           []byte
-	state          works.State
+	state          maintenance.State
 	outAt          map[string]float64 // since when a box is out here
-	waits          []works.Wait
+	waits          []maintenance.Wait
 	owner          string
 	wordAt         float64 // of the owner's last word; -Inf: there was none
 	ages           []planAge
@@ -103,7 +103,7 @@
 	up             int // the link over which the question has come
 	token          uint64
 	round          uint64
-	gathered       *works.Sum // that is to go there; nil: nothing is
+	gathered       *maintenance.Sum // that is to go there; nil: nothing is
 	sendAt         float64
 	bucket         budget
 	ended, refused uint64 // requests, when it was asked last
@@ -113,23 +113,23 @@
 
 	// Of the owner.
 	held    uint64
-	c       *works.Coordinator // nil: what is agreed is not known yet
-	first   []byte             // what was agreed under an earlier founding, and is to be kept again before all else
-	writing []byte             // the body that is being agreed; nil: none
+	c       *maintenance.Coordinator // nil: what is agreed is not known yet
+	first   []byte                   // what was agreed under an earlier founding, and is to be kept again before all else
+	writing []byte                   // the body that is being agreed; nil: none
 	writeAt float64
 	signAt  float64
 	askAt   float64
 	by      float64
-	asked   []works.Member
-	sum     *works.Sum // nil: no round is on
+	asked   []maintenance.Member
+	sum     *maintenance.Sum // nil: no round is on
 
 	told, toldEpoch uint64 // what all were told of whole
 }
 
 // order is a command on its way, or its answer.
 type order struct {
-	works.Command
-	reply   works.Reply
+	maintenance.Command
+	reply   maintenance.Reply
 	ended   bool
 	askedAt float64 // here, at the door; -Inf: it was not
 	passAt  float64
@@ -171,7 +171,7 @@
 	if !newer(epoch, version, w.epoch, w.version) {
 		return
 	}
-	state, err := works.Decode(body)
+	state, err := maintenance.Decode(body)
 	if err != nil {
 		w.o.senseless(worksName)
 		return
@@ -248,17 +248,17 @@
 			}
 		case e.Token == w.token:
 			if w.gathered == nil {
-				w.gathered, w.sendAt = &works.Sum{}, now+workGatherS
+				w.gathered, w.sendAt = &maintenance.Sum{}, now+workGatherS
 			}
 			_ = w.gathered.Add(&s.Sum) // the same
 		}
 	case kindCommand:
-		var c works.Command
+		var c maintenance.Command
 		if frames.Unpack(e.Body, &c) == nil && c.Nonce != 0 {
 			w.ordered(now, &c, from)
 		}
 	case kindReply:
-		var r works.Reply
+		var r maintenance.Reply
 		if frames.Unpack(e.Body, &r) == nil {
 			w.replied(now, &r)
 		}
@@ -266,7 +266,7 @@
 }
 
 func (w *worker) heardAgreed(now float64, from *peers.Link, a *agreedWord) {
-	if a.Owner != "" && len(a.Owner) <= 64 && len(a.Waits) <= 2*works.MostBoxes && len(a.Ages) <= works.MostPlans {
+	if a.Owner != "" && len(a.Owner) <= 64 && len(a.Waits) <= 2*maintenance.MostBoxes && len(a.Ages) <= maintenance.MostPlans {
 		w.owner, w.waits, w.wordAt, w.ages, w.agesAt = a.Owner, a.Waits, now, a.Ages, now
 	}
 	switch {
@@ -304,17 +304,17 @@
 // --- what this sidecar says of boxes ---
 
 // own returns what this sidecar says.
-func (w *worker) own(now float64) *works.Sum {
+func (w *worker) own(now float64) *maintenance.Sum {
 	f := w.o.f
 	spanS := max(now-w.endedAt, 0.001)
 	w.endedAt = now
 	all, refused := w.to.Ended()
-	s := &works.Sum{PerS: float64(all-w.ended) / spanS, Refused: float64(refused-w.refused) / spanS}
+	s := &maintenance.Sum{PerS: float64(all-w.ended) / spanS, Refused: float64(refused-w.refused) / spanS}
 	w.ended, w.refused = all, refused
 	if w.to.ListLate() {
 		s.Late = 1
 	}
-	s.From = []works.From{{ID: f.state.ID, Life: f.view.Self().Version.Life, Version: w.version}}
+	s.From = []maintenance.From{{ID: f.state.ID, Life: f.view.Self().Version.Life, Version: w.version}}
 	settle := map[string]float64{}
 	for i := range w.state.Plans {
 		p := &w.state.Plans[i]
@@ -325,7 +325,7 @@
 		}
 	}
 	for _, b := range w.to.Boxes() {
-		seen := works.Seen{Box: b.Name, Site: b.Site, Type: b.Type, Size: b.Size, Listed: one(b.Listed), Draining: one(b.Draining), Hand: one(b.Hand),
+		seen := maintenance.Seen{Box: b.Name, Site: b.Site, Type: b.Type, Size: b.Size, Listed: one(b.Listed), Draining: one(b.Draining), Hand: one(b.Hand),
 			Cold: one(b.Cold), Silent: one(b.Silent), Out: b.Out, Busy: b.Busy}
 		if was, known := w.boxEnded[b.Name]; known {
 			seen.PerS = float64(b.Ended-was) / spanS
@@ -333,7 +333,7 @@
 		w.boxEnded[b.Name] = b.Ended
 		s.Seen = append(s.Seen, seen)
 		if settleS, out := settle[b.Name]; out && (b.Kept || b.Out > 0 || now-w.outAt[b.Name] < settleS) {
-			s.Open = append(s.Open, works.Open{Box: b.Name, ID: f.state.ID, Hand: b.Kept, N: b.Out})
+			s.Open = append(s.Open, maintenance.Open{Box: b.Name, ID: f.state.ID, Hand: b.Kept, N: b.Out})
 		}
 	}
 	return s
@@ -368,20 +368,20 @@
 // --- commands ---
 
 // Work takes a command at this sidecar's door.
-func (w *worker) command(now float64, c *works.Command) (reply works.Reply, answered bool) {
+func (w *worker) command(now float64, c *maintenance.Command) (reply maintenance.Reply, answered bool) {
 	d := w.order(now, c)
 	if d == nil {
-		return works.Reply{Err: "too many commands wait"}, true
+		return maintenance.Reply{Err: "too many commands wait"}, true
 	}
 	if d.askedAt = now; d.ended {
 		return d.reply, true
 	}
 	w.o.job(worksName).next = 0
-	return works.Reply{}, false
+	return maintenance.Reply{}, false
 }
 
 // order returns what is known of a command; nil: there is no room for one more.
-func (w *worker) order(now float64, c *works.Command) *order {
+func (w *worker) order(now float64, c *maintenance.Command) *order {
 	for _, d := range w.orders {
 		if d.Nonce == c.Nonce {
 			d.heardAt = now
@@ -402,7 +402,7 @@
 }
 
 // ordered takes a command on its way to the owner.
-func (w *worker) ordered(now float64, c *works.Command, from *peers.Link) {
+func (w *worker) ordered(now float64, c *maintenance.Command, from *peers.Link) {
 	d := w.order(now, c)
 	switch {
 	case d == nil:
@@ -443,7 +443,7 @@
 }
 
 // reply tells all of an answer: somebody waits for it.
-func (w *worker) reply(now float64, r *works.Reply) {
+func (w *worker) reply(now float64, r *maintenance.Reply) {
 	if r.Token != 0 {
 		atStep("handed")
 	}
@@ -453,7 +453,7 @@
 }
 
 // replied takes an answer.
-func (w *worker) replied(now float64, r *works.Reply) {
+func (w *worker) replied(now float64, r *maintenance.Reply) {
 	for _, d := range w.orders {
 		if d.Nonce == r.Nonce && !d.ended {
 			d.ended, d.reply, d.heardAt = true, *r, now
@@ -481,7 +481,7 @@
 		return
 	}
 	now, epoch := w.o.f.net.Now(), w.held>>40
-	state, err := works.Decode(r.Body)
+	state, err := maintenance.Decode(r.Body)
 	if err != nil {
 		w.o.note("what is agreed of work on boxes can't be read", "version", r.Version, "error", err)
 		return
@@ -504,9 +504,9 @@
 			}
 		}
 	}
-	a := works.Agreed{Epoch: epoch, Version: r.Version, State: state}
+	a := maintenance.Agreed{Epoch: epoch, Version: r.Version, State: state}
 	if w.writing = nil; w.c == nil {
-		w.c = works.New(works.Settings{ColdS: w.to.ColdS(), Order: w.o.f.o.WorkOrder})
+		w.c = maintenance.New(maintenance.Settings{ColdS: w.to.ColdS(), Order: w.o.f.o.WorkOrder})
 		w.c.Begin(now, a)
 		for _, d := range w.orders { // what came while nobody owned the job
 			if !d.ended {
@@ -521,7 +521,7 @@
 }
 
 // renumbered returns a state as the first version of another founding.
-func renumbered(s works.State) []byte {
+func renumbered(s maintenance.State) []byte {
 	for i := range s.Plans {
 		for j := range s.Plans[i].Boxes {
 			if b := &s.Plans[i].Boxes[j]; b.Since > 0 {
@@ -624,11 +624,11 @@
 }
 
 // emptied tells whether a box has come to be empty.
-func emptied(was, is *works.State) bool {
-	ready := func(s *works.State) (n int) {
+func emptied(was, is *maintenance.State) bool {
+	ready := func(s *maintenance.State) (n int) {
 		for i := range s.Plans {
 			for _, b := range s.Plans[i].Boxes {
-				n += one(b.Stage == works.Ready)
+				n += one(b.Stage == maintenance.Ready)
 			}
 		}
 		return n
@@ -649,7 +649,7 @@
 // rounds has all be asked, again and again, as long as a plan goes on.
 func (w *worker) rounds(now float64) {
 	if w.sum != nil && (now >= w.by || w.whole()) {
-		w.c.Hear(now, works.Round{Members: w.asked, Sum: *w.sum, Whole: w.whole()})
+		w.c.Hear(now, maintenance.Round{Members: w.asked, Sum: *w.sum, Whole: w.whole()})
 		w.sum = nil
 	}
 	if w.sum != nil || now < w.askAt || !w.c.Asking() {
@@ -662,14 +662,16 @@
 	}
 	w.asked = nil
 	for m := range w.o.f.view.Members {
-		w.asked = append(w.asked, works.Member{ID: m.ID, Name: m.Name, Life: m.Version.Life, State: m.State, SinceS: m.SinceS})
+		w.asked = append(w.asked, maintenance.Member{ID: m.ID, Name: m.Name, Life: m.Version.Life, State: m.State, SinceS: m.SinceS})
 	}
 	w.sum, w.by = w.own(now), now+workWithinS
 }
 
 // whole tells whether all that live have answered.
 func (w *worker) whole() bool {
-	return !slices.ContainsFunc(w.asked, func(m works.Member) bool { return m.State == swim.Alive && !w.sum.Has(works.From{ID: m.ID}) })
+	return !slices.ContainsFunc(w.asked, func(m maintenance.Member) bool {
+		return m.State == swim.Alive && !w.sum.Has(maintenance.From{ID: m.ID})
+	})
 }
 
 // sign tells all what is agreed, and what is waited for.
--- a/internal/lab/mechanic/mechanic.go
+++ b/internal/lab/mechanic/mechanic.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 )
 
 // Record is one piece of work. To is the zero time while it goes on.
@@ -43,7 +43,7 @@
 	records  []Record
 	greatest uint64
 	refused  int
-	has      works.Reply // the box that it works on, by what it remembers; also after it died with it
+	has      maintenance.Reply // the box that it works on, by what it remembers; also after it died with it
 }
 
 // Records returns what was done so far.
@@ -67,7 +67,7 @@
 		every = 200 * time.Millisecond
 	}
 	for ctx.Err() == nil {
-		r, err := Say(ctx, m.Doors, works.Command{Kind: works.Take, Mechanic: m.Name})
+		r, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.Take, Mechanic: m.Name})
 		if err != nil || r.Err != "" || r.Box == "" || !m.accept(&r) {
 			pause(ctx, every)
 			continue
@@ -78,7 +78,7 @@
 
 // accept tells whether a box that is handed over is worked on. Danger: a token that is not greater than one before is the word of who
 // was replaced meanwhile, and the box may have come back since.
-func (m *Mechanic) accept(r *works.Reply) bool {
+func (m *Mechanic) accept(r *maintenance.Reply) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	same := r.Box == m.has.Box && r.Token == m.has.Token
@@ -90,7 +90,7 @@
 	return true
 }
 
-func (m *Mechanic) work(ctx context.Context, r *works.Reply) {
+func (m *Mechanic) work(ctx context.Context, r *maintenance.Reply) {
 	m.mu.Lock()
 	m.records = append(m.records, Record{Mechanic: m.Name, Box: r.Box, Token: r.Token, Forced: r.Text, From: time.Now()})
 	at := len(m.records) - 1
@@ -114,12 +114,12 @@
 	}
 	for range times {
 		for ctx.Err() == nil {
-			said, err := Say(ctx, m.Doors, works.Command{Kind: works.Finish, Box: r.Box, Token: r.Token})
+			said, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.Finish, Box: r.Box, Token: r.Token})
 			if err != nil {
 				continue // nobody has heard it, or it is not known: it is said until somebody has
 			}
 			m.mu.Lock()
-			if m.has = (works.Reply{}); said.Err != "" {
+			if m.has = (maintenance.Reply{}); said.Err != "" {
 				m.records[at].Said = append(m.records[at].Said, said.Err)
 			}
 			m.mu.Unlock()
@@ -149,7 +149,7 @@
 var ErrUnknown = errors.New("nobody has answered")
 
 // Say has a command done by any of the doors: it is said again with the same nonce, at another door where one does not answer.
-func Say(ctx context.Context, doors func() []string, c works.Command) (r works.Reply, err error) {
+func Say(ctx context.Context, doors func() []string, c maintenance.Command) (r maintenance.Reply, err error) {
 	for c.Nonce == 0 {
 		c.Nonce = rand.Uint64()
 	}
--- a/internal/lab/mechanic/mechanic_test.go
+++ b/internal/lab/mechanic/mechanic_test.go
@@ -14,11 +14,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 )
 
 // door answers commands by a function; WAIT comes first each time, as where nothing is agreed yet.
-func door(t *testing.T, answer func(c works.Command) works.Reply) string {
+func door(t *testing.T, answer func(c maintenance.Command) maintenance.Reply) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -31,7 +31,7 @@
 				return
 			}
 			line, _ := bufio.NewReader(c).ReadString('\n')
-			var w works.Command
+			var w maintenance.Command
 			if json.Unmarshal([]byte(strings.TrimPrefix(line, "WORK ")), &w) == nil {
 				mu.Lock()
 				if !seen[w.Nonce] {
@@ -55,21 +55,21 @@
 // What is handed over is worked on once, under a token that is greater than all before; one that is not is left alone. A mechanic that
 // died with a box goes on with it, if it is told the same token. Done is said until it is heard, twice if that is wanted.
 func TestMechanic(t *testing.T) {
-	handed := []works.Reply{{Box: "a", Token: 5}, {Box: "b", Token: 4}, {}, {Box: "a", Token: 5}, {Box: "b", Token: 7}}
+	handed := []maintenance.Reply{{Box: "a", Token: 5}, {Box: "b", Token: 4}, {}, {Box: "a", Token: 5}, {Box: "b", Token: 7}}
 	var mu sync.Mutex
-	var done []works.Command
+	var done []maintenance.Command
 	next := 0
-	address := door(t, func(c works.Command) works.Reply {
+	address := door(t, func(c maintenance.Command) maintenance.Reply {
 		mu.Lock()
 		defer mu.Unlock()
-		if c.Kind == works.Finish {
+		if c.Kind == maintenance.Finish {
 			if done = append(done, c); len(done)%2 == 0 {
-				return works.Reply{Err: "it has ended"}
+				return maintenance.Reply{Err: "it has ended"}
 			}
-			return works.Reply{}
+			return maintenance.Reply{}
 		}
 		if next == len(handed) {
-			return works.Reply{}
+			return maintenance.Reply{}
 		}
 		next++
 		return handed[next-1]
@@ -98,6 +98,6 @@
 	for i, c := range done {
 		assert.Equal(t, all[1+i/2].Token, c.Token)
 	}
-	_, err := Say(ctx, func() []string { return nil }, works.Command{Kind: works.Take, Mechanic: "x"})
+	_, err := Say(ctx, func() []string { return nil }, maintenance.Command{Kind: maintenance.Take, Mechanic: "x"})
 	assert.ErrorIs(t, err, ErrUnknown)
 }
--- a/internal/lab/troupe/workpicture.go
+++ b/internal/lab/troupe/workpicture.go
@@ -8,22 +8,22 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/world"
 )
 
 // looks are what a box does while it is at a stage, and its colour.
 var looks = []struct {
-	stages []works.Stage
+	stages []maintenance.Stage
 	says   string
 	color  color.RGBA
 }{
-	{[]works.Stage{works.Waiting, works.Done, works.Skipped}, "serving", color.RGBA{200, 230, 201, 255}},
-	{[]works.Stage{works.Leaving}, "emptying", color.RGBA{255, 213, 79, 255}},
-	{[]works.Stage{works.Ready}, "empty", color.RGBA{255, 167, 38, 255}},
-	{[]works.Stage{works.Taken}, "worked on", color.RGBA{121, 85, 72, 255}},
-	{[]works.Stage{works.Cold}, "cold", color.RGBA{144, 202, 249, 255}},
-	{[]works.Stage{works.Lost}, "lost", color.RGBA{97, 97, 97, 255}},
+	{[]maintenance.Stage{maintenance.Waiting, maintenance.Done, maintenance.Skipped}, "serving", color.RGBA{200, 230, 201, 255}},
+	{[]maintenance.Stage{maintenance.Leaving}, "emptying", color.RGBA{255, 213, 79, 255}},
+	{[]maintenance.Stage{maintenance.Ready}, "empty", color.RGBA{255, 167, 38, 255}},
+	{[]maintenance.Stage{maintenance.Taken}, "worked on", color.RGBA{121, 85, 72, 255}},
+	{[]maintenance.Stage{maintenance.Cold}, "cold", color.RGBA{144, 202, 249, 255}},
+	{[]maintenance.Stage{maintenance.Lost}, "lost", color.RGBA{97, 97, 97, 255}},
 }
 
 // WorkPicture writes an SVG: a row for each box, with what it did when, and the troubles behind them.
--- a/internal/lab/troupe/works.go
+++ b/internal/lab/troupe/works.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/lab/mechanic"
 	"hazelwheel/internal/world"
@@ -19,7 +19,7 @@
 
 // Work is what is to be done to boxes while a fleet is played.
 type Work struct {
-	Spec works.Spec
+	Spec maintenance.Spec
 	Hand bool // by a script that calls at every door, box by box, with fixed waits; nobody is asked for an order
 }
 
@@ -49,7 +49,7 @@
 	Records  []mechanic.Record  `json:"records"`          // by whom it was worked on
 	Stages   []StageChange      `json:"stages,omitempty"` // of boxes, as doors told of them
 	Wrong    []string           `json:"wrong,omitempty"`
-	Waits    []works.Wait       `json:"waits,omitempty"`  // what was waited for at the end
+	Waits    []maintenance.Wait `json:"waits,omitempty"`  // what was waited for at the end
 	HeldS    map[string]float64 `json:"held_s,omitempty"` // for how long the plan, or a box, waited for what
 	Untold   int                `json:"untold"`           // looks at the doors at which nobody said anything
 	broken   int
@@ -57,9 +57,9 @@
 
 // StageChange is a box that has come to a stage.
 type StageChange struct {
-	AtS   float64     `json:"at_s"`
-	Box   string      `json:"box"`
-	Stage works.Stage `json:"stage"`
+	AtS   float64           `json:"at_s"`
+	Box   string            `json:"box"`
+	Stage maintenance.Stage `json:"stage"`
 }
 
 // workPlay has boxes be worked on and watches all of it. Its witness is for the play's loop.
@@ -78,7 +78,7 @@
 
 	mu        sync.Mutex
 	w         Worked
-	stages    map[string]works.Stage
+	stages    map[string]maintenance.Stage
 	given     float64 // Unix time; 0: not yet
 	over      float64
 	last      *workState
@@ -100,14 +100,14 @@
 
 // workState is what a door tells of plans, as far as it is looked at here.
 type workState struct {
-	Version uint64       `json:"version"`
-	Plans   []works.Plan `json:"plans"`
-	Waits   []works.Wait `json:"waits"`
+	Version uint64             `json:"version"`
+	Plans   []maintenance.Plan `json:"plans"`
+	Waits   []maintenance.Wait `json:"waits"`
 }
 
 func newWorkPlay(t *Troupe, work Work, day *world.Day) *workPlay {
 	return &workPlay{t: t, work: work, day: day, came: map[string][]execution{}, open: map[[2]uint64]int{}, asked: map[uint64]*want{}, first: map[uint64]uint64{},
-		stages: map[string]works.Stage{}}
+		stages: map[string]maintenance.Stage{}}
 }
 
 // See takes an event.
@@ -176,7 +176,7 @@
 		p.hand(ctx)
 		return
 	}
-	give := works.Command{Nonce: p.t.s.Seed<<1 | 1, Kind: works.Give, Spec: &p.work.Spec}
+	give := maintenance.Command{Nonce: p.t.s.Seed<<1 | 1, Kind: maintenance.Give, Spec: &p.work.Spec}
 	for ctx.Err() == nil {
 		r, err := mechanic.Say(ctx, p.t.doors, give)
 		if err == nil && r.Err != "" {
@@ -251,7 +251,7 @@
 }
 
 // stage notes a stage that a box has come to. p.mu is held.
-func (p *workPlay) stage(box string, s works.Stage) {
+func (p *workPlay) stage(box string, s maintenance.Stage) {
 	if was, known := p.stages[box]; !known || was != s {
 		p.stages[box] = s
 		p.w.Stages = append(p.w.Stages, StageChange{time.Since(p.t.began).Seconds(), box, s})
@@ -267,7 +267,7 @@
 			}
 		}
 	}
-	come := func(box string, s works.Stage) {
+	come := func(box string, s maintenance.Stage) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.stage(box, s)
@@ -276,15 +276,15 @@
 	p.given = now()
 	p.mu.Unlock()
 	for _, box := range p.named() {
-		come(box, works.Waiting)
+		come(box, maintenance.Waiting)
 	}
 	for _, box := range p.named() {
-		come(box, works.Leaving)
+		come(box, maintenance.Leaving)
 		say("OFFLINE " + box)
 		if !rest(ctx, inS(handEmptyS)) {
 			return
 		}
-		come(box, works.Taken)
+		come(box, maintenance.Taken)
 		p.mu.Lock()
 		p.byHand = append(p.byHand, mechanic.Record{Mechanic: "script", Box: box, From: time.Now()})
 		p.mu.Unlock()
@@ -294,12 +294,12 @@
 		p.mu.Lock()
 		p.byHand[len(p.byHand)-1].To = time.Now()
 		p.mu.Unlock()
-		come(box, works.Cold)
+		come(box, maintenance.Cold)
 		say("ONLINE " + box)
 		if !rest(ctx, inS(handColdS)) {
 			return
 		}
-		come(box, works.Done)
+		come(box, maintenance.Done)
 	}
 	p.mu.Lock()
 	p.over = now()
@@ -342,11 +342,11 @@
 	}
 	for _, s := range p.stages {
 		switch s {
-		case works.Done:
+		case maintenance.Done:
 			w.Done++
-		case works.Skipped:
+		case maintenance.Skipped:
 			w.Skipped++
-		case works.Lost:
+		case maintenance.Lost:
 			w.Lost++
 		}
 	}
@@ -456,7 +456,7 @@
 		out, bySite := map[string]bool{}, map[string]int{}
 		for j := range w.Records {
 			f, t := span(&w.Records[j])
-			if f <= from && t+cold > from && p.stages[w.Records[j].Box] != works.Lost {
+			if f <= from && t+cold > from && p.stages[w.Records[j].Box] != maintenance.Lost {
 				out[w.Records[j].Box] = true
 			}
 		}
@@ -498,11 +498,11 @@
 	}
 	for _, b := range p.last.Plans[len(p.last.Plans)-1].Boxes {
 		switch n := len(tokens[b.Name]); {
-		case (b.Stage == works.Cold || b.Stage == works.Done) && !done[b.Name]:
+		case (b.Stage == maintenance.Cold || b.Stage == maintenance.Done) && !done[b.Name]:
 			w.find(judge.WorkForgotten, "%s is said to be done, and nobody has worked on it to the end", b.Name)
-		case b.Stage < works.Taken && n > 0:
+		case b.Stage < maintenance.Taken && n > 0:
 			w.find(judge.WorkForgotten, "%s was worked on, and is said to wait", b.Name)
-		case (b.Stage == works.Skipped || b.Stage == works.Lost) && b.Why == "":
+		case (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Why == "":
 			w.find(judge.WorkForgotten, "%s was skipped or lost for no cause", b.Name)
 		}
 	}
--- a/internal/lab/troupe/works_test.go
+++ b/internal/lab/troupe/works_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/lab/mechanic"
 	"hazelwheel/internal/world"
@@ -27,36 +27,36 @@
 	usual := []mechanic.Record{piece("a", 1, 1000, 1010), piece("b", 2, 1020, 1030)}
 	forced := piece("a", 1, 1000, 1010)
 	forced.Forced = "forced by an operator"
-	done, cold := works.Done, works.Cold
+	done, cold := maintenance.Done, maintenance.Cold
 	for name, k := range map[string]struct {
 		visits  []visit
 		away    []away
 		records []mechanic.Record
-		stages  [2]works.Stage // of a and b
-		why     string         // of a
+		stages  [2]maintenance.Stage // of a and b
+		why     string               // of a
 		want    []judge.Rule
 		gone    int
 	}{
-		"all is well":                      {[]visit{{900, 998}, {998.9, 998.95}, {1011, 1012}}, nil, usual, [2]works.Stage{done, cold}, "", nil, 0},
-		"sent while it is worked on":       {[]visit{{1005, 1005.1}}, nil, usual, [2]works.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
-		"sent just before":                 {[]visit{{999.5, 999.6}}, nil, usual, [2]works.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
-		"out since long":                   {[]visit{{900, 1000.1}}, nil, usual, [2]works.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
-		"out for ever":                     {[]visit{{900, 0}}, nil, usual, [2]works.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
-		"by force":                         {[]visit{{900, 0}}, nil, []mechanic.Record{forced}, [2]works.Stage{done, done}, "", []judge.Rule{judge.WorkForgotten}, 0},
-		"of one that had counted as gone":  {[]visit{{1005, 1005.1}}, []away{{0, 900, 1004}}, usual, [2]works.Stage{done, done}, "", nil, 1},
-		"of one that was away too shortly": {[]visit{{1005, 1005.1}}, []away{{0, 950, 1004}}, usual, [2]works.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
-		"while the one before is cold": {nil, nil, []mechanic.Record{piece("a", 1, 1000, 1010), piece("b", 2, 1014, 1030)}, [2]works.Stage{done, done}, "",
+		"all is well":                      {[]visit{{900, 998}, {998.9, 998.95}, {1011, 1012}}, nil, usual, [2]maintenance.Stage{done, cold}, "", nil, 0},
+		"sent while it is worked on":       {[]visit{{1005, 1005.1}}, nil, usual, [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
+		"sent just before":                 {[]visit{{999.5, 999.6}}, nil, usual, [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
+		"out since long":                   {[]visit{{900, 1000.1}}, nil, usual, [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
+		"out for ever":                     {[]visit{{900, 0}}, nil, usual, [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
+		"by force":                         {[]visit{{900, 0}}, nil, []mechanic.Record{forced}, [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkForgotten}, 0},
+		"of one that had counted as gone":  {[]visit{{1005, 1005.1}}, []away{{0, 900, 1004}}, usual, [2]maintenance.Stage{done, done}, "", nil, 1},
+		"of one that was away too shortly": {[]visit{{1005, 1005.1}}, []away{{0, 950, 1004}}, usual, [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
+		"while the one before is cold": {nil, nil, []mechanic.Record{piece("a", 1, 1000, 1010), piece("b", 2, 1014, 1030)}, [2]maintenance.Stage{done, done}, "",
 			[]judge.Rule{judge.WorkMany}, 0},
-		"twice":                            {nil, nil, append([]mechanic.Record{piece("a", 7, 1040, 1050)}, usual...), [2]works.Stage{done, done}, "", []judge.Rule{judge.WorkTwice}, 0},
-		"gone on with by one who had died": {nil, nil, append([]mechanic.Record{piece("a", 1, 990, 995)}, usual...), [2]works.Stage{done, done}, "", nil, 0},
-		"nobody has done it":               {nil, nil, usual[:1], [2]works.Stage{done, done}, "", []judge.Rule{judge.WorkForgotten}, 0},
-		"done and forgotten":               {nil, nil, usual, [2]works.Stage{works.Waiting, done}, "", []judge.Rule{judge.WorkForgotten}, 0},
-		"skipped for no cause":             {nil, nil, usual[1:], [2]works.Stage{works.Skipped, done}, "", []judge.Rule{judge.WorkForgotten}, 0},
-		"skipped":                          {nil, nil, usual[1:], [2]works.Stage{works.Skipped, done}, "by an operator", nil, 0},
+		"twice":                            {nil, nil, append([]mechanic.Record{piece("a", 7, 1040, 1050)}, usual...), [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkTwice}, 0},
+		"gone on with by one who had died": {nil, nil, append([]mechanic.Record{piece("a", 1, 990, 995)}, usual...), [2]maintenance.Stage{done, done}, "", nil, 0},
+		"nobody has done it":               {nil, nil, usual[:1], [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkForgotten}, 0},
+		"done and forgotten":               {nil, nil, usual, [2]maintenance.Stage{maintenance.Waiting, done}, "", []judge.Rule{judge.WorkForgotten}, 0},
+		"skipped for no cause":             {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "", []judge.Rule{judge.WorkForgotten}, 0},
+		"skipped":                          {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "by an operator", nil, 0},
 	} {
 		day := &world.Day{Start: 950, LengthS: 100, Standing: 2, Sites: []string{"x"}, Boxes: []world.BoxSpec{{Name: "a"}, {Name: "b"}}}
 		play := &Troupe{mates: []*mate{{name: "n0"}}, aways: k.away}
-		p := newWorkPlay(play, Work{Spec: works.Spec{Boxes: []string{"a", "b"}, AtOnce: 1, BySite: 2, ColdS: 5, GoneS: 100}}, day)
+		p := newWorkPlay(play, Work{Spec: maintenance.Spec{Boxes: []string{"a", "b"}, AtOnce: 1, BySite: 2, ColdS: 5, GoneS: 100}}, day)
 		for i, v := range k.visits {
 			p.See(judge.Event{Kind: judge.Execution, At: v.from, Link: uint64(i)})
 			if v.to > 0 {
@@ -64,7 +64,7 @@
 			}
 		}
 		p.given, p.over, p.byHand = 960, 1049, k.records
-		p.last = &workState{Plans: []works.Plan{{Boxes: []works.Box{{Name: "a", Stage: k.stages[0], Why: k.why}, {Name: "b", Stage: k.stages[1]}}}}}
+		p.last = &workState{Plans: []maintenance.Plan{{Boxes: []maintenance.Box{{Name: "a", Stage: k.stages[0], Why: k.why}, {Name: "b", Stage: k.stages[1]}}}}}
 		w := p.result()
 		var got []judge.Rule
 		for _, line := range w.Wrong {
@@ -81,7 +81,7 @@
 	class := world.ClassSpec{AimS: 1}
 	class.Worth = 2
 	day := &world.Day{Start: 1000, LengthS: 100, Classes: []world.ClassSpec{class}}
-	p := newWorkPlay(&Troupe{}, Work{Spec: works.Spec{AtOnce: 1}, Hand: true}, day)
+	p := newWorkPlay(&Troupe{}, Work{Spec: maintenance.Spec{AtOnce: 1}, Hand: true}, day)
 	for i := range 100 {
 		at, id := 1000+float64(i), uint64(i+1)
 		p.See(judge.Event{Kind: judge.Asked, At: at, Request: id, First: id})
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"hazelwheel/internal/config"
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/features"
 	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/fleet/folder"
@@ -117,7 +117,7 @@
 		seen, err := p.fleet.Works()
 		return line(seen), err
 	}, Work: func(command []byte) ([]byte, error) {
-		var c works.Command
+		var c maintenance.Command
 		if err := json.Unmarshal(command, &c); err != nil {
 			return nil, fmt.Errorf("the command makes no sense: %w", err)
 		}
--- a/internal/sim/plans/actors.go
+++ b/internal/sim/plans/actors.go
@@ -4,19 +4,19 @@
 	"fmt"
 	"slices"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 )
 
 // asked is a command on its way.
 type asked struct {
-	cmd   works.Command
-	then  func(works.Reply)
+	cmd   maintenance.Command
+	then  func(maintenance.Reply)
 	until float64
 	over  bool
 }
 
 // ask has a command be given at a sidecar, which passes it on until it is answered or nobody waits any more.
-func (w *World) ask(cmd works.Command, forS float64, then func(works.Reply)) {
+func (w *World) ask(cmd maintenance.Command, forS float64, then func(maintenance.Reply)) {
 	for cmd.Nonce == 0 {
 		cmd.Nonce = w.rng.Uint64()
 	}
@@ -31,7 +31,7 @@
 	}
 	if w.Now() > a.until {
 		w.end(a)
-		a.then(works.Reply{Nonce: a.cmd.Nonce, Err: noAnswer})
+		a.then(maintenance.Reply{Nonce: a.cmd.Nonce, Err: noAnswer})
 		return
 	}
 	door := w.nodes[w.rng.IntN(len(w.nodes))]
@@ -68,7 +68,7 @@
 }
 
 // replied brings an answer to who waits for it.
-func (w *World) replied(by *node, r works.Reply) {
+func (w *World) replied(by *node, r maintenance.Reply) {
 	i := slices.IndexFunc(w.asked, func(a *asked) bool { return a.cmd.Nonce == r.Nonce })
 	if i < 0 || by.cut || w.chance(w.lossPart) {
 		return
@@ -99,7 +99,7 @@
 	if m.run != run || m.dead {
 		return
 	}
-	m.w.ask(works.Command{Kind: works.Take, Mechanic: m.name}, 8, func(r works.Reply) {
+	m.w.ask(maintenance.Command{Kind: maintenance.Take, Mechanic: m.name}, 8, func(r maintenance.Reply) {
 		if m.run != run || m.dead {
 			return
 		}
@@ -116,7 +116,7 @@
 }
 
 // accepts tells whether a box that is handed over may be worked on. A token lower than one seen is an old word.
-func (m *mechanic) accepts(r works.Reply) bool {
+func (m *mechanic) accepts(r maintenance.Reply) bool {
 	if r.Token < m.greatest {
 		m.w.note("%s turns %s under %d down", m.name, r.Box, r.Token)
 		return false
@@ -125,7 +125,7 @@
 	return true
 }
 
-func (m *mechanic) work(run int, r works.Reply) {
+func (m *mechanic) work(run int, r maintenance.Reply) {
 	w, b := m.w, m.w.box(r.Box)
 	w.started(m, b, r.Token)
 	lasts := m.takesS * w.between(0.5, 1.2)
@@ -175,11 +175,11 @@
 // tell has the end of the work be known, again and again until it is.
 func (m *mechanic) tell(run int, box string, token uint64, ok bool) {
 	w := m.w
-	cmd := works.Command{Kind: works.Finish, Box: box, Token: token, Mechanic: m.name}
+	cmd := maintenance.Command{Kind: maintenance.Finish, Box: box, Token: token, Mechanic: m.name}
 	if !ok {
-		cmd.Kind, cmd.Why = works.Fail, "it does not start"
+		cmd.Kind, cmd.Why = maintenance.Fail, "it does not start"
 	}
-	w.ask(cmd, 8, func(r works.Reply) {
+	w.ask(cmd, 8, func(r maintenance.Reply) {
 		if m.run != run && !w.chance(0.5) { // who died meanwhile may find in its notes that it was done
 			return
 		}
@@ -188,15 +188,15 @@
 			return
 		}
 		if r.Err == "" && w.chance(0.2) {
-			w.ask(cmd, 8, func(again works.Reply) { // it says so twice
+			w.ask(cmd, 8, func(again maintenance.Reply) { // it says so twice
 				if again.Err != "" && again.Err != noAnswer {
 					w.broken(RuleAnswer, "%s is done under %d, and again: %s", box, token, again.Err)
 				}
 			})
 		}
 		if w.chance(0.1) { // and comes with an old token
-			old := works.Command{Kind: works.Finish, Box: w.boxes[w.rng.IntN(len(w.boxes))].name, Token: token - 1, Mechanic: m.name}
-			w.ask(old, 3, func(works.Reply) {})
+			old := maintenance.Command{Kind: maintenance.Finish, Box: w.boxes[w.rng.IntN(len(w.boxes))].name, Token: token - 1, Mechanic: m.name}
+			w.ask(old, 3, func(maintenance.Reply) {})
 		}
 		if m.run == run {
 			w.After(w.between(0.1, 1), func() { m.poll(run) })
@@ -206,8 +206,8 @@
 
 // --- Operators ---
 
-func (w *World) give(spec works.Spec, nonce uint64) {
-	w.ask(works.Command{Kind: works.Give, Nonce: nonce, Spec: &spec}, 20, func(r works.Reply) {
+func (w *World) give(spec maintenance.Spec, nonce uint64) {
+	w.ask(maintenance.Command{Kind: maintenance.Give, Nonce: nonce, Spec: &spec}, 20, func(r maintenance.Reply) {
 		w.note("plan %s: %d %s %s", spec.Name, r.Plan, r.Err, r.Text)
 		if r.Err == "" {
 			w.gave(r)
@@ -216,7 +216,7 @@
 }
 
 // drawSpec draws a plan over some of the boxes.
-func (w *World) drawSpec(i int) works.Spec {
+func (w *World) drawSpec(i int) maintenance.Spec {
 	s := w.spec
 	s.Name = fmt.Sprint("plan-", i)
 	switch w.rng.IntN(4) {
@@ -252,11 +252,11 @@
 func (w *World) meddle() {
 	b := w.boxes[w.rng.IntN(len(w.boxes))]
 	state := w.agreed().State
-	kinds := []works.Kind{works.Pause, works.Resume, works.Resume, works.Skip, works.Force, works.Force, works.Abort}
-	cmd := works.Command{Kind: kinds[w.rng.IntN(len(kinds))], Box: b.name, Mechanic: "operator"}
+	kinds := []maintenance.Kind{maintenance.Pause, maintenance.Resume, maintenance.Resume, maintenance.Skip, maintenance.Force, maintenance.Force, maintenance.Abort}
+	cmd := maintenance.Command{Kind: kinds[w.rng.IntN(len(kinds))], Box: b.name, Mechanic: "operator"}
 	for _, p := range state.Plans {
 		for _, o := range p.Boxes {
-			if cmd.Kind == works.Force && (o.Stage == works.Leaving || o.Stage == works.Ready) {
+			if cmd.Kind == maintenance.Force && (o.Stage == maintenance.Leaving || o.Stage == maintenance.Ready) {
 				cmd.Box = o.Name
 			}
 		}
@@ -264,8 +264,8 @@
 			cmd.Plan = p.Number
 		}
 	}
-	if cmd.Kind == works.Skip || cmd.Kind == works.Force {
+	if cmd.Kind == maintenance.Skip || cmd.Kind == maintenance.Force {
 		cmd.Plan = 0
 	}
-	w.ask(cmd, 15, func(r works.Reply) { w.note("%s %s: %s %s", cmd.Kind, cmd.Box, r.Err, r.Text) })
+	w.ask(cmd, 15, func(r maintenance.Reply) { w.note("%s %s: %s %s", cmd.Kind, cmd.Box, r.Err, r.Text) })
 }
--- a/internal/sim/plans/day.go
+++ b/internal/sim/plans/day.go
@@ -5,8 +5,8 @@
 	"math"
 	"math/rand/v2"
 
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/works"
 	"hazelwheel/internal/sim/seeds"
 )
 
@@ -28,7 +28,7 @@
 func (w *World) back(n *node) {
 	w.After(w.between(0.5, 0.5*w.spec.GoneS), func() {
 		if w.chance(0.2) && !n.cut { // danger: one that is new and can't ask knows of no ban; nobody can help that
-			n.version, n.state, n.outs = 0, works.State{}, nil
+			n.version, n.state, n.outs = 0, maintenance.State{}, nil
 			n.id = swim.ID(w.rng.Uint64() | 1)
 		}
 		n.start()
@@ -238,7 +238,7 @@
 		w.mechanics = append(w.mechanics, &mechanic{w: w, name: fmt.Sprint("m", i), done: map[uint64]bool{}, takesS: w.between(1, 10)})
 	}
 	w.coldS = w.between(2, 12)
-	w.spec = works.Spec{TakesS: w.between(3, 12), GoneS: w.between(25, 90), SettleS: []float64{0, 0.5, 2}[w.rng.IntN(3)]}
+	w.spec = maintenance.Spec{TakesS: w.between(3, 12), GoneS: w.between(25, 90), SettleS: []float64{0, 0.5, 2}[w.rng.IntN(3)]}
 	if w.chance(0.3) {
 		w.spec.ColdS = w.between(1, 20)
 	}
@@ -288,15 +288,15 @@
 		live := false
 		for _, p := range w.agreed().State.Plans {
 			for _, b := range p.Boxes {
-				if b.Stage == works.Lost {
-					w.ask(works.Command{Kind: works.Skip, Box: b.Name, Plan: p.Number, Mechanic: "operator"}, 10, func(works.Reply) {})
+				if b.Stage == maintenance.Lost {
+					w.ask(maintenance.Command{Kind: maintenance.Skip, Box: b.Name, Plan: p.Number, Mechanic: "operator"}, 10, func(maintenance.Reply) {})
 				}
 			}
 			if p.Ended {
 				continue
 			}
 			if live = true; p.Paused != "" {
-				w.ask(works.Command{Kind: works.Resume, Plan: p.Number}, 10, func(works.Reply) {})
+				w.ask(maintenance.Command{Kind: maintenance.Resume, Plan: p.Number}, 10, func(maintenance.Reply) {})
 			}
 		}
 		if !live {
--- a/internal/sim/plans/judge.go
+++ b/internal/sim/plans/judge.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/sim/seeds"
 )
 
@@ -65,7 +65,7 @@
 	for _, p := range w.agreed().State.Plans {
 		for _, b := range p.Boxes {
 			if b.Name == box && b.Token == token {
-				return len(b.Forced) > 0 || b.Stage == works.Skipped
+				return len(b.Forced) > 0 || b.Stage == maintenance.Skipped
 			}
 		}
 	}
@@ -90,13 +90,13 @@
 		}
 	}
 	k := &work{box: b, by: m, token: token, from: w.Now()}
-	var plan *works.Plan
+	var plan *maintenance.Plan
 	state := w.agreed().State
 	lost := false
 	for i := range state.Plans {
 		for _, o := range state.Plans[i].Boxes {
 			if o.Name == b.name && o.Token == token {
-				plan, k.plan, lost = &state.Plans[i], state.Plans[i].Number, o.Stage == works.Lost
+				plan, k.plan, lost = &state.Plans[i], state.Plans[i].Number, o.Stage == maintenance.Lost
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 func (w *World) lost(k *work) bool {
 	for _, p := range w.agreed().State.Plans {
 		for _, b := range p.Boxes {
-			if b.Token == k.token && (b.Stage == works.Lost || b.Stage == works.Skipped) {
+			if b.Token == k.token && (b.Stage == maintenance.Lost || b.Stage == maintenance.Skipped) {
 				return true
 			}
 		}
@@ -161,7 +161,7 @@
 
 // changed takes what is agreed in place of what was.
 func (w *World) changed(body []byte) {
-	state, err := works.Decode(body)
+	state, err := maintenance.Decode(body)
 	if err != nil {
 		w.broken(RuleState, "%v", err)
 		return
@@ -180,7 +180,7 @@
 		}
 		at, sites := 0, map[string]int{}
 		for j, b := range p.Boxes {
-			if b.Stage >= works.Leaving && b.Stage <= works.Cold {
+			if b.Stage >= maintenance.Leaving && b.Stage <= maintenance.Cold {
 				at++
 				sites[b.Site]++
 				if sites[b.Site] > max(p.Spec.BySite, 1) {
@@ -194,7 +194,7 @@
 				continue
 			}
 			w.stage(&was, &state, p, old.Boxes[j], b)
-			if b.Stage == works.Taken {
+			if b.Stage == maintenance.Taken {
 				if b.Token <= w.handed || handed != 0 {
 					w.broken(RuleToken, "%s is handed over under %d, one before it under %d", b.Name, b.Token, max(w.handed, handed))
 				}
@@ -209,54 +209,54 @@
 	for i := range was.Plans {
 		p := &was.Plans[i]
 		gone := find(&state, p.Number) == nil
-		if gone && (!p.Ended || slices.ContainsFunc(p.Boxes, func(b works.Box) bool { return b.Stage == works.Lost })) {
+		if gone && (!p.Ended || slices.ContainsFunc(p.Boxes, func(b maintenance.Box) bool { return b.Stage == maintenance.Lost })) {
 			w.broken(RuleEnd, "plan %d is forgotten", p.Number)
 		}
 	}
 }
 
 // alone sees that a box is of one plan that has not ended.
-func (w *World) alone(s *works.State, by *works.Plan, box string) {
+func (w *World) alone(s *maintenance.State, by *maintenance.Plan, box string) {
 	for i := range s.Plans {
-		if p := &s.Plans[i]; p.Number > by.Number && !p.Ended && slices.ContainsFunc(p.Boxes, func(b works.Box) bool { return b.Name == box }) {
+		if p := &s.Plans[i]; p.Number > by.Number && !p.Ended && slices.ContainsFunc(p.Boxes, func(b maintenance.Box) bool { return b.Name == box }) {
 			w.broken(RuleShared, "%s is of plans %d and %d", box, by.Number, p.Number)
 		}
 	}
 }
 
 // stage takes that a box of a plan comes from one stage to another.
-func (w *World) stage(was, s *works.State, p *works.Plan, from, to works.Box) {
-	if from.Stage >= works.Done && !(from.Stage == works.Lost && to.Stage == works.Skipped) {
+func (w *World) stage(was, s *maintenance.State, p *maintenance.Plan, from, to maintenance.Box) {
+	if from.Stage >= maintenance.Done && !(from.Stage == maintenance.Lost && to.Stage == maintenance.Skipped) {
 		w.broken(RuleEnd, "%s of plan %d had ended as %d and is %d", to.Name, p.Number, from.Stage, to.Stage)
 	}
-	if from.Stage == works.Taken && to.Stage != works.Cold && to.Stage != works.Lost {
+	if from.Stage == maintenance.Taken && to.Stage != maintenance.Cold && to.Stage != maintenance.Lost {
 		w.broken(RuleEnd, "%s is taken from who works on it", to.Name)
 	}
 	switch to.Stage {
-	case works.Leaving:
+	case maintenance.Leaving:
 		w.leaves(was, s, p, to)
-	case works.Ready:
+	case maintenance.Ready:
 		if len(to.Forced) > 0 {
 			w.counts.Forced++
 		}
-	case works.Cold:
+	case maintenance.Cold:
 		w.cold[to.Name] = w.Now()
-	case works.Waiting:
+	case maintenance.Waiting:
 		w.counts.Backed++
-	case works.Done:
+	case maintenance.Done:
 		w.counts.Done++
-	case works.Skipped:
+	case maintenance.Skipped:
 		w.counts.Skipped++
-	case works.Lost:
+	case maintenance.Lost:
 		w.counts.Lost++
 	}
-	if (to.Stage == works.Skipped || to.Stage == works.Lost) && to.Why == "" {
+	if (to.Stage == maintenance.Skipped || to.Stage == maintenance.Lost) && to.Why == "" {
 		w.broken(RuleEnd, "%s ends without a cause", to.Name)
 	}
 }
 
 // leaves sees that a box may leave.
-func (w *World) leaves(was, s *works.State, p *works.Plan, b works.Box) {
+func (w *World) leaves(was, s *maintenance.State, p *maintenance.Plan, b maintenance.Box) {
 	coldS := p.Spec.ColdS
 	if coldS == 0 {
 		coldS = max(w.coldS, 5)
@@ -267,7 +267,7 @@
 	}
 	for _, q := range s.Plans {
 		for _, o := range q.Boxes {
-			if o.Stage >= works.Leaving && o.Stage <= works.Taken || q.Number == p.Number && o.Stage >= works.Cold && o.Stage <= works.Done &&
+			if o.Stage >= maintenance.Leaving && o.Stage <= maintenance.Taken || q.Number == p.Number && o.Stage >= maintenance.Cold && o.Stage <= maintenance.Done &&
 				w.cold[o.Name] > 0 && w.Now()-w.cold[o.Name] < coldS-1e-6 && !warm(o) {
 				at++
 			}
@@ -285,7 +285,7 @@
 			out = out || name == o.name
 		}
 		for _, q := range s.Plans {
-			out = out || slices.ContainsFunc(q.Boxes, func(k works.Box) bool { return k.Name == o.name && k.Stage == works.Cold })
+			out = out || slices.ContainsFunc(q.Boxes, func(k maintenance.Box) bool { return k.Name == o.name && k.Stage == maintenance.Cold })
 		}
 		if !out && o != me && !o.missing() {
 			left += o.size
@@ -297,19 +297,19 @@
 }
 
 // warm tells whether an operator has said that a box is.
-func warm(b works.Box) bool { return b.Stage == works.Done && b.Why != "" }
+func warm(b maintenance.Box) bool { return b.Stage == maintenance.Done && b.Why != "" }
 
 func (b *box) missing() bool { return b.down || b.unlisted || b.draining }
 
-func find(s *works.State, number uint64) *works.Plan {
-	if i := slices.IndexFunc(s.Plans, func(p works.Plan) bool { return p.Number == number }); i >= 0 {
+func find(s *maintenance.State, number uint64) *maintenance.Plan {
+	if i := slices.IndexFunc(s.Plans, func(p maintenance.Plan) bool { return p.Number == number }); i >= 0 {
 		return &s.Plans[i]
 	}
 	return nil
 }
 
 // gave takes that a plan was agreed, by its answer.
-func (w *World) gave(r works.Reply) {
+func (w *World) gave(r maintenance.Reply) {
 	if r.Plan == 0 || r.Plan > w.agreed().State.Last {
 		w.broken(RuleAnswer, "plan %d is answered, which is not agreed", r.Plan)
 	}
@@ -321,7 +321,7 @@
 	for i := range state.Plans {
 		p := &state.Plans[i]
 		if !p.Ended {
-			var why []works.Wait
+			var why []maintenance.Wait
 			if w.owner != nil && w.owner.c != nil {
 				why = w.owner.c.Waits()
 			}
@@ -334,7 +334,7 @@
 		}
 		for _, b := range p.Boxes {
 			worked := slices.ContainsFunc(w.works, func(k *work) bool { return k.plan == p.Number && k.box.name == b.Name && k.to > 0 })
-			if b.Stage < works.Done || b.Stage == works.Done && !worked {
+			if b.Stage < maintenance.Done || b.Stage == maintenance.Done && !worked {
 				w.broken(RuleEnd, "%s of plan %d has ended as %d, worked on: %t", b.Name, p.Number, b.Stage, worked)
 			}
 		}
@@ -342,7 +342,7 @@
 }
 
 // brief is a state in one line: the stages of the boxes of each plan.
-func brief(s *works.State) string {
+func brief(s *maintenance.State) string {
 	line := ""
 	for _, p := range s.Plans {
 		stages := make([]byte, 0, len(p.Boxes))
--- a/internal/sim/plans/world.go
+++ b/internal/sim/plans/world.go
@@ -1,6 +1,6 @@
 // Package plans plays work on boxes by itself: sidecars that send to boxes and go by what is agreed, owners of the job that carry
 // plans out and are replaced at any instant, mechanics and operators, all drawn from a seed. What is decided is the program's own
-// (internal/decide/works); who is there, the electors and the links are played. It judges from outside: what boxes got, what
+// (internal/decide/maintenance); who is there, the electors and the links are played. It judges from outside: what boxes got, what
 // mechanics did, and what was agreed.
 package plans
 
@@ -10,8 +10,8 @@
 	"math/rand/v2"
 	"slices"
 
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/decide/works"
 	"hazelwheel/internal/sim/seeds"
 )
 
@@ -25,9 +25,9 @@
 	boxes     []*box
 	nodes     []*node
 	mechanics []*mechanic
-	order     works.Order
+	order     maintenance.Order
 	coldS     float64 // by the settings
-	spec      works.Spec
+	spec      maintenance.Spec
 
 	// What the electors keep. A write is agreed if it is of the token granted last and of the version that there is.
 	epoch    uint64
@@ -94,13 +94,13 @@
 	waiting []func()
 
 	version uint64 // by which it goes; it lasts, with the state
-	state   works.State
+	state   maintenance.State
 	outs    map[string]bool    // banned
 	hand    map[string]float64 // boxes that were given back here by hand, until then
 	open    map[string]int     // executions
 	lastAt  map[string]float64
 
-	c       *works.Coordinator // as an owner, by its own view
+	c       *maintenance.Coordinator // as an owner, by its own view
 	token   uint64
 	learned uint64 // the version that its coordinator goes by
 	writing bool
@@ -204,7 +204,7 @@
 	if version <= n.version {
 		return
 	}
-	state, err := works.Decode(body)
+	state, err := maintenance.Decode(body)
 	if err != nil {
 		n.w.broken(RuleState, "%v", err)
 		return
@@ -259,33 +259,33 @@
 }
 
 // says is what one sidecar says of itself and of the boxes.
-func (n *node) says() (from works.From, open []works.Open) {
-	from = works.From{ID: n.id, Life: n.life, Version: n.version}
+func (n *node) says() (from maintenance.From, open []maintenance.Open) {
+	from = maintenance.From{ID: n.id, Life: n.life, Version: n.version}
 	for _, b := range n.w.boxes {
 		if !n.outs[b.name] {
 			continue
 		}
 		settle := 1.0
 		for _, p := range n.state.Plans {
-			if slices.ContainsFunc(p.Boxes, func(o works.Box) bool { return o.Name == b.name && o.Stage.Out() }) {
+			if slices.ContainsFunc(p.Boxes, func(o maintenance.Box) bool { return o.Name == b.name && o.Stage.Out() }) {
 				settle = p.Spec.Settle()
 			}
 		}
 		hand := n.hand[b.name] > n.w.Now()
 		if last, sent := n.lastAt[b.name]; hand || n.open[b.name] > 0 || sent && n.w.Now()-last < settle {
-			open = append(open, works.Open{Box: b.name, ID: n.id, Hand: hand, N: n.open[b.name]})
+			open = append(open, maintenance.Open{Box: b.name, ID: n.id, Hand: hand, N: n.open[b.name]})
 		}
 	}
 	return from, open
 }
 
 // members is who is there as one sidecar sees it.
-func (w *World) members(by *node) (all []works.Member) {
+func (w *World) members(by *node) (all []maintenance.Member) {
 	for _, n := range w.nodes {
 		if n.life == 0 || n.run == 1 && n != by && w.Now()-n.beganAt < 0.3 {
 			continue // nobody knows of it yet
 		}
-		m := works.Member{ID: n.id, Name: n.name(), Life: n.life, SinceS: w.Now() - n.sinceAt}
+		m := maintenance.Member{ID: n.id, Name: n.name(), Life: n.life, SinceS: w.Now() - n.sinceAt}
 		switch {
 		case n.left && !n.up:
 			m.State = swim.Left
@@ -298,7 +298,7 @@
 		}
 		all = append(all, m)
 	}
-	slices.SortFunc(all, func(a, b works.Member) int {
+	slices.SortFunc(all, func(a, b maintenance.Member) int {
 		if a.ID < b.ID {
 			return -1
 		}
@@ -326,7 +326,7 @@
 	a := w.agreed()
 	if w.version > 1 && w.chance(0.3) { // the last write comes late
 		a.Version--
-		a.State, _ = works.Decode(w.before)
+		a.State, _ = maintenance.Decode(w.before)
 		w.After(w.between(0.1, 2), func() {
 			n.call(run, func() {
 				if n.token == token && n.c != nil {
@@ -342,7 +342,7 @@
 				return
 			}
 			n.token = token
-			n.c = works.New(works.Settings{ColdS: w.coldS, Order: w.order})
+			n.c = maintenance.New(maintenance.Settings{ColdS: w.coldS, Order: w.order})
 			n.c.Begin(w.Now(), a)
 			n.learned, n.writing, n.timer = a.Version, false, 0
 			n.ask(run, token)
@@ -358,12 +358,12 @@
 	n.c, n.writing = nil, false
 }
 
-func (w *World) agreed() works.Agreed {
-	state, err := works.Decode(w.body)
+func (w *World) agreed() maintenance.Agreed {
+	state, err := maintenance.Decode(w.body)
 	if err != nil {
 		w.broken(RuleState, "%v", err)
 	}
-	return works.Agreed{Epoch: w.epoch, Version: w.version, State: state}
+	return maintenance.Agreed{Epoch: w.epoch, Version: w.version, State: state}
 }
 
 // ask asks all for their words, again and again.
@@ -379,7 +379,7 @@
 		again()
 		return
 	}
-	r := works.Round{Whole: true}
+	r := maintenance.Round{Whole: true}
 	for _, o := range w.nodes {
 		if !o.up || o.life == 0 {
 			continue
@@ -415,7 +415,7 @@
 }
 
 // seen is what all say of the boxes.
-func (w *World) seen() (all []works.Seen) {
+func (w *World) seen() (all []maintenance.Seen) {
 	up := 0
 	for _, n := range w.nodes {
 		if n.up {
@@ -429,7 +429,7 @@
 		}
 	}
 	for _, b := range w.boxes {
-		s := works.Seen{Box: b.name, Site: b.site, Type: b.kind, Size: b.size, Listed: up, Busy: b.out > 0}
+		s := maintenance.Seen{Box: b.name, Site: b.site, Type: b.kind, Size: b.size, Listed: up, Busy: b.out > 0}
 		if b.unlisted {
 			s.Listed = 0
 		}
@@ -552,13 +552,13 @@
 	if version <= n.learned {
 		return
 	}
-	state, err := works.Decode(body)
+	state, err := maintenance.Decode(body)
 	if err != nil {
 		n.w.broken(RuleState, "%v", err)
 		return
 	}
 	n.learned, n.writing = version, false
-	n.c.Learn(n.w.Now(), works.Agreed{Epoch: n.w.epoch, Version: version, State: state})
+	n.c.Learn(n.w.Now(), maintenance.Agreed{Epoch: n.w.epoch, Version: version, State: state})
 	n.drive()
 }
 
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -11,7 +11,7 @@
 	"slices"
 
 	"hazelwheel/internal/config"
-	dworks "hazelwheel/internal/decide/works"
+	dworks "hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/netio/virtual"
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -10,7 +10,7 @@
 	"sync"
 
 	"hazelwheel/internal/config"
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/world"
 )
@@ -18,7 +18,7 @@
 // Weighing is one way to have all boxes of a day worked on, beside others.
 type Weighing struct {
 	Name   string
-	Order  works.Order
+	Order  maintenance.Order
 	AtOnce int // 0: nobody works on anything
 	BySite int
 	Script bool // one box after the other is called out and in by hand at all sidecars, with fixed waits
@@ -28,14 +28,14 @@
 var Ways = []Weighing{
 	{Name: "nothing is worked on"},
 	{Name: "script, by hand", Script: true, AtOnce: 1},
-	{Name: "one at a time", Order: works.Ahead, AtOnce: 1, BySite: 1},
-	{Name: "fixed order, 3 at once", Order: works.Fixed, AtOnce: 3, BySite: 3},
-	{Name: "by site, 3 at once", Order: works.Sites, AtOnce: 3, BySite: 1},
-	{Name: "least loaded, 3 at once", Order: works.Load, AtOnce: 3, BySite: 1},
-	{Name: "least hurt now, 3 at once", Order: works.Now, AtOnce: 3, BySite: 1},
-	{Name: "looking ahead, 2 at once", Order: works.Ahead, AtOnce: 2, BySite: 1},
-	{Name: "looking ahead, 3 at once", Order: works.Ahead, AtOnce: 3, BySite: 1},
-	{Name: "looking ahead, 10 at once", Order: works.Ahead, AtOnce: 10, BySite: 3},
+	{Name: "one at a time", Order: maintenance.Ahead, AtOnce: 1, BySite: 1},
+	{Name: "fixed order, 3 at once", Order: maintenance.Fixed, AtOnce: 3, BySite: 3},
+	{Name: "by site, 3 at once", Order: maintenance.Sites, AtOnce: 3, BySite: 1},
+	{Name: "least loaded, 3 at once", Order: maintenance.Load, AtOnce: 3, BySite: 1},
+	{Name: "least hurt now, 3 at once", Order: maintenance.Now, AtOnce: 3, BySite: 1},
+	{Name: "looking ahead, 2 at once", Order: maintenance.Ahead, AtOnce: 2, BySite: 1},
+	{Name: "looking ahead, 3 at once", Order: maintenance.Ahead, AtOnce: 3, BySite: 1},
+	{Name: "looking ahead, 10 at once", Order: maintenance.Ahead, AtOnce: 10, BySite: 3},
 }
 
 // What a weighed plan is.
@@ -63,7 +63,7 @@
 			w.byHand(0)
 		})
 	default:
-		w.spec = works.Spec{TakesS: weighTakesS, SettleS: 1, GoneS: workGoneS, Refusing: 0.1, Most: weighMost, Keep: 0.6}
+		w.spec = maintenance.Spec{TakesS: weighTakesS, SettleS: 1, GoneS: workGoneS, Refusing: 0.1, Most: weighMost, Keep: 0.6}
 		for i := range way.AtOnce {
 			m := &mechanic{w: w, name: fmt.Sprint("mechanic-", i), steady: true}
 			w.mechanics = append(w.mechanics, m)
@@ -75,7 +75,7 @@
 			for i := range w.d.spec.Standing {
 				s.Boxes = append(s.Boxes, w.boxes[i].name)
 			}
-			w.ask(works.Command{Kind: works.Give, Spec: &s}, 60, func(r works.Reply, answered bool) { w.tell("%d %s, %t", r.Plan, r.Err, answered) })
+			w.ask(maintenance.Command{Kind: maintenance.Give, Spec: &s}, 60, func(r maintenance.Reply, answered bool) { w.tell("%d %s, %t", r.Plan, r.Err, answered) })
 		})
 	}
 }
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/judge"
 )
@@ -15,13 +15,13 @@
 type plans struct {
 	d         *day
 	rng       *rand.Rand
-	spec      works.Spec // what the day's plans have in common
+	spec      maintenance.Spec // what the day's plans have in common
 	mechanics []*mechanic
 	boxes     []boxSeen
 	links     map[uint64]sentTo // executions that are out, by link; looked up and swept by box
 	record    []*boxWork
 	token     uint64
-	latest    works.State // that any sidecar has gone by
+	latest    maintenance.State // that any sidecar has gone by
 	epoch     uint64
 	version   uint64
 	given     int
@@ -84,7 +84,7 @@
 // draw draws who does what.
 func (w *plans) draw() {
 	between := func(least, most float64) float64 { return least + (most-least)*w.rng.Float64() }
-	w.spec = works.Spec{TakesS: between(1, 8), SettleS: between(0.5, 1.5), ColdS: between(1, 4), GoneS: workGoneS, Refusing: between(0.1, 1)}
+	w.spec = maintenance.Spec{TakesS: between(1, 8), SettleS: between(0.5, 1.5), ColdS: between(1, 4), GoneS: workGoneS, Refusing: between(0.1, 1)}
 	for i := range 1 + w.rng.IntN(2) {
 		m := &mechanic{w: w, name: fmt.Sprint("mechanic-", i)}
 		w.mechanics = append(w.mechanics, m)
@@ -106,7 +106,7 @@
 // --- the door ---
 
 // ask gives a command at one sidecar after the other until it is answered, or for a time.
-func (w *plans) ask(cmd works.Command, forS float64, then func(r works.Reply, answered bool)) {
+func (w *plans) ask(cmd maintenance.Command, forS float64, then func(r maintenance.Reply, answered bool)) {
 	cmd.Nonce = w.rng.Uint64() | 1
 	until, over := w.d.net.Now()+forS, false
 	var at func(door *instance, left float64)
@@ -116,7 +116,7 @@
 			return
 		case w.d.net.Now() > until:
 			over = true
-			then(works.Reply{}, false)
+			then(maintenance.Reply{}, false)
 			return
 		case left <= 0 || door.proc == nil || !door.proc.Alive():
 			door, left = w.d.sidecars[w.rng.IntN(len(w.d.sidecars))], workDoorS
@@ -148,15 +148,15 @@
 	}
 	s.AtOnce, s.BySite = 1+w.rng.IntN(3), 1+w.rng.IntN(2)
 	s.Keep = 0.6 * w.rng.Float64()
-	w.ask(works.Command{Kind: works.Give, Spec: &s}, 25, func(r works.Reply, answered bool) {
+	w.ask(maintenance.Command{Kind: maintenance.Give, Spec: &s}, 25, func(r maintenance.Reply, answered bool) {
 		w.tell("plan %s: %d %s %s, answered %t", s.Name, r.Plan, r.Err, r.Text, answered)
 	})
 }
 
 // meddle has an operator turn a plan, or say something of one of its boxes.
 func (w *plans) meddle() {
-	kinds := []works.Kind{works.Pause, works.Resume, works.Skip, works.Force, works.Force, works.Abort}
-	cmd := works.Command{Kind: kinds[w.rng.IntN(len(kinds))], Mechanic: "operator"}
+	kinds := []maintenance.Kind{maintenance.Pause, maintenance.Resume, maintenance.Skip, maintenance.Force, maintenance.Force, maintenance.Abort}
+	cmd := maintenance.Command{Kind: kinds[w.rng.IntN(len(kinds))], Mechanic: "operator"}
 	for i := range w.latest.Plans {
 		p := &w.latest.Plans[i]
 		if p.Ended {
@@ -164,7 +164,7 @@
 		}
 		cmd.Plan = p.Number
 		for _, b := range p.Boxes {
-			if b.Stage == works.Leaving || cmd.Box == "" {
+			if b.Stage == maintenance.Leaving || cmd.Box == "" {
 				cmd.Box = b.Name
 			}
 		}
@@ -172,14 +172,14 @@
 	if cmd.Plan == 0 {
 		return
 	}
-	if cmd.Kind == works.Skip || cmd.Kind == works.Force {
+	if cmd.Kind == maintenance.Skip || cmd.Kind == maintenance.Force {
 		w.box(cmd.Box).excused = true
 	}
-	w.ask(cmd, 15, func(r works.Reply, _ bool) {
+	w.ask(cmd, 15, func(r maintenance.Reply, _ bool) {
 		w.tell("%s %d %s: %s %s", cmd.Kind, cmd.Plan, cmd.Box, r.Err, r.Text)
-		if cmd.Kind == works.Pause {
+		if cmd.Kind == maintenance.Pause {
 			w.after(5+10*w.rng.Float64(), func() {
-				w.ask(works.Command{Kind: works.Resume, Plan: cmd.Plan, Mechanic: "operator"}, 20, func(works.Reply, bool) {})
+				w.ask(maintenance.Command{Kind: maintenance.Resume, Plan: cmd.Plan, Mechanic: "operator"}, 20, func(maintenance.Reply, bool) {})
 			})
 		}
 	})
@@ -195,7 +195,7 @@
 
 func (m *mechanic) poll() {
 	w := m.w
-	w.ask(works.Command{Kind: works.Take, Mechanic: m.name}, 6, func(r works.Reply, answered bool) {
+	w.ask(maintenance.Command{Kind: maintenance.Take, Mechanic: m.name}, 6, func(r maintenance.Reply, answered bool) {
 		switch {
 		case !answered || r.Err != "" || r.Box == "" || r.Token < m.greatest:
 			w.after(0.5+w.rng.Float64(), m.poll)
@@ -207,7 +207,7 @@
 	})
 }
 
-func (m *mechanic) work(r works.Reply) {
+func (m *mechanic) work(r maintenance.Reply) {
 	w := m.w
 	i := slices.IndexFunc(w.boxes, func(b boxSeen) bool { return b.name == r.Box })
 	if i < 0 {
@@ -245,11 +245,11 @@
 // finish says that the work has ended until that is known.
 func (m *mechanic) finish() {
 	w, has := m.w, m.has
-	cmd := works.Command{Kind: works.Finish, Box: w.boxes[has.box].name, Token: has.token, Mechanic: m.name}
+	cmd := maintenance.Command{Kind: maintenance.Finish, Box: w.boxes[has.box].name, Token: has.token, Mechanic: m.name}
 	if has.failed {
-		cmd.Kind = works.Fail
+		cmd.Kind = maintenance.Fail
 	}
-	w.ask(cmd, 10, func(r works.Reply, answered bool) {
+	w.ask(cmd, 10, func(r maintenance.Reply, answered bool) {
 		if !answered {
 			m.finish()
 			return
@@ -356,8 +356,8 @@
 	}
 }
 
-func (w *plans) plan(number uint64) *works.Plan {
-	if i := slices.IndexFunc(w.latest.Plans, func(p works.Plan) bool { return p.Number == number }); i >= 0 {
+func (w *plans) plan(number uint64) *maintenance.Plan {
+	if i := slices.IndexFunc(w.latest.Plans, func(p maintenance.Plan) bool { return p.Number == number }); i >= 0 {
 		return &w.latest.Plans[i]
 	}
 	return nil
@@ -409,7 +409,7 @@
 			continue
 		}
 		if k := s.fleet.Agreed(); k != nil && (k.Epoch > w.epoch || k.Epoch == w.epoch && k.Version > w.version) {
-			if state, err := works.Decode(k.Body); err == nil {
+			if state, err := maintenance.Decode(k.Body); err == nil {
 				w.epoch, w.version, w.latest = k.Epoch, k.Version, state
 				w.counts()
 			} else {
@@ -442,7 +442,7 @@
 		stages := make([]byte, 0, len(p.Boxes))
 		for _, b := range p.Boxes {
 			stages = append(stages, "wlrTcdsX"[b.Stage])
-			if b.Stage >= works.Leaving && b.Stage <= works.Cold {
+			if b.Stage >= maintenance.Leaving && b.Stage <= maintenance.Cold {
 				at++
 				sites[b.Site]++
 				if sites[b.Site] > max(p.Spec.BySite, 1) {
@@ -466,7 +466,7 @@
 			done := slices.ContainsFunc(w.record, func(k *boxWork) bool { return k.plan == p.Number && w.boxes[k.box].name == b.Name && k.ended })
 			had := slices.ContainsFunc(w.record, func(k *boxWork) bool { return k.plan == p.Number && w.boxes[k.box].name == b.Name })
 			switch {
-			case b.Stage == works.Done && !done, b.Stage < works.Taken && had, (b.Stage == works.Skipped || b.Stage == works.Lost) && b.Why == "":
+			case b.Stage == maintenance.Done && !done, b.Stage < maintenance.Taken && had, (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Why == "":
 				w.wrong(judge.ForgottenWrong, "%s of plan %d is at stage %d for %q; worked on: %t, to the end: %t", b.Name, p.Number, b.Stage, b.Why, had, done)
 			}
 		}
--- a/internal/workplan/workplan.go
+++ b/internal/workplan/workplan.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/tomlfile"
 )
 
@@ -56,25 +56,25 @@
 	longest    = 7 * 24 * time.Hour
 	farthest   = 31 * 24 * time.Hour
 	mostName   = 64
-	mostAtOnce = works.MostBoxes
+	mostAtOnce = maintenance.MostBoxes
 )
 
 // fault is what is wrong with a field.
 type fault struct{ field, why string }
 
 // Read reads a plan; name is what errors call the file. What it says of hours of the day counts from now.
-func Read(name string, text []byte, now time.Time) (works.Spec, error) {
+func Read(name string, text []byte, now time.Time) (maintenance.Spec, error) {
 	var f file
 	read, err := tomlfile.Read(name, text, &f)
 	if err != nil {
-		return works.Spec{}, err
+		return maintenance.Spec{}, err
 	}
 	for _, check := range []func(has func(string) bool) fault{f.names, f.numbers, f.durations, func(has func(string) bool) fault { return f.hours(has, now) }} {
 		if wrong := check(read.Has); wrong.field != "" {
-			return works.Spec{}, read.Fault(wrong.field, wrong.why)
+			return maintenance.Spec{}, read.Fault(wrong.field, wrong.why)
 		}
 	}
-	s := works.Spec{Name: f.Name, Boxes: f.Boxes, Sites: f.Sites, Types: f.Types, TakesS: f.Takes.Seconds(), LateS: f.Late.Seconds(), GiveUp: f.WhenLate == giveUp,
+	s := maintenance.Spec{Name: f.Name, Boxes: f.Boxes, Sites: f.Sites, Types: f.Types, TakesS: f.Takes.Seconds(), LateS: f.Late.Seconds(), GiveUp: f.WhenLate == giveUp,
 		AtOnce: f.AtOnce, BySite: f.BySite, Keep: f.Keep, Refusing: f.Refusing, Most: f.Most, SettleS: f.Settle.Seconds(), ColdS: f.Cold.Seconds(), GoneS: f.Gone.Seconds()}
 	if !f.from.IsZero() {
 		s.StartInS = max(f.from.Sub(now).Seconds(), 0)
@@ -83,7 +83,7 @@
 		s.EndInS = f.until.Sub(now).Seconds()
 	}
 	if err := s.Check(); err != nil { // what is said here goes for less
-		return works.Spec{}, read.Fault("", err.Error())
+		return maintenance.Spec{}, read.Fault("", err.Error())
 	}
 	return s, nil
 }
@@ -110,8 +110,8 @@
 				return fault{at, fmt.Sprintf("%q is there twice", s)}
 			}
 		}
-		if len(list.all) > works.MostBoxes {
-			return fault{list.field, fmt.Sprintf("%d of them, at most %d", len(list.all), works.MostBoxes)}
+		if len(list.all) > maintenance.MostBoxes {
+			return fault{list.field, fmt.Sprintf("%d of them, at most %d", len(list.all), maintenance.MostBoxes)}
 		}
 	}
 	if len(f.Boxes)+len(f.Sites)+len(f.Types) == 0 {
--- a/internal/workplan/workplan_test.go
+++ b/internal/workplan/workplan_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/decide/works"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/tomlfile"
 )
 
@@ -36,11 +36,11 @@
 func TestRead(t *testing.T) {
 	s, err := Read("p.toml", []byte(whole), now)
 	require.NoError(t, err)
-	assert.Equal(t, works.Spec{Name: "firmware-7", Boxes: []string{"s-00000001", "s-00000002"}, Sites: []string{"site-a"}, Types: []string{"big"}, TakesS: 1200, LateS: 2400,
+	assert.Equal(t, maintenance.Spec{Name: "firmware-7", Boxes: []string{"s-00000001", "s-00000002"}, Sites: []string{"site-a"}, Types: []string{"big"}, TakesS: 1200, LateS: 2400,
 		GiveUp: true, AtOnce: 3, BySite: 2, Keep: 0.7, Refusing: 0.05, SettleS: 2, ColdS: 30, GoneS: 600, StartInS: 3600, EndInS: 4 * 3600}, s)
 	s, err = Read("p.toml", []byte("name = 'n'\nsites = ['a']\ntakes = '1s'\nat_once = 1\nkeep = 0\n"), now)
 	require.NoError(t, err)
-	assert.Equal(t, works.Spec{Name: "n", Sites: []string{"a"}, TakesS: 1, AtOnce: 1}, s)
+	assert.Equal(t, maintenance.Spec{Name: "n", Sites: []string{"a"}, TakesS: 1, AtOnce: 1}, s)
 }
 
 // Each fault is one line with the file, the line and the field.
