--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -19,9 +19,9 @@
 
 	"hazelwheel/internal/config"
 	"hazelwheel/internal/lab/troupe"
+	"hazelwheel/internal/maintenanceplan"
 	"hazelwheel/internal/sim"
 	"hazelwheel/internal/sim/crowd"
-	"hazelwheel/internal/workplan"
 	"hazelwheel/internal/world"
 )
 
@@ -206,7 +206,7 @@
 	if err != nil {
 		return fault(err)
 	}
-	spec, err := workplan.Read(path, text, time.Now())
+	spec, err := maintenanceplan.Read(path, text, time.Now())
 	if err != nil {
 		return fault(err)
 	}
--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -18,7 +18,7 @@
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/front/ops"
-	"hazelwheel/internal/workplan"
+	"hazelwheel/internal/maintenanceplan"
 )
 
 // workCommand is all that operators and mechanics say of work on boxes.
@@ -83,7 +83,7 @@
 	if err != nil {
 		return maintenance.Spec{}, err
 	}
-	spec, err := workplan.Read(path, text, time.Now())
+	spec, err := maintenanceplan.Read(path, text, time.Now())
 	if err == nil && len(workLine(maintenance.Command{Nonce: 1<<64 - 1, Kind: maintenance.Give, Spec: &spec})) >= ops.MostWork {
 		err = fmt.Errorf("%s: the plan is too long for a door, which takes %d bytes", path, ops.MostWork)
 	}
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -22,7 +22,7 @@
 	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/lab/mechanic"
 	"hazelwheel/internal/lab/troupe"
-	"hazelwheel/internal/workplan"
+	"hazelwheel/internal/maintenanceplan"
 )
 
 // yard is a crew whose boxes are worked on by plans. Boxes keep what comes to them, mechanics what they do: both are judged at the end.
@@ -189,7 +189,7 @@
 	y.Helper()
 	text, err := os.ReadFile(file)
 	require.NoError(y, err)
-	spec, err := workplan.Read(file, text, time.Now())
+	spec, err := maintenanceplan.Read(file, text, time.Now())
 	require.NoError(y, err)
 	y.plans = append(y.plans, spec)
 	for _, b := range of {
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -26,7 +26,7 @@
 	{"internal/decide", "internal/netio", "internal/buffer", "internal/judge", "internal/health", "internal/handover",
 		"internal/tomlfile"},
 	{"internal/peers", "internal/http1", "internal/thrift", "internal/config", "internal/endpointset", "internal/drill", "internal/quotas",
-		"internal/appconfig", "internal/workplan"},
+		"internal/appconfig", "internal/maintenanceplan"},
 	{"internal/rewrite", "internal/capture", "internal/world", "internal/wire"},
 	{"internal/features", "internal/lint", "internal/cluster", "internal/gateway"},
 	{"internal/sidecar"},
--- a/internal/workplan/workplan.go
+++ b/internal/maintenanceplan/workplan.go
@@ -1,6 +1,6 @@
-// Package workplan reads plans of work on boxes, as operators write them: TOML, strictly, so that whatever is wrong with a file is one
+// Package maintenanceplan reads plans of work on boxes, as operators write them: TOML, strictly, so that whatever is wrong with a file is one
 // line that names the file, the line and the field.
-package workplan
+package maintenanceplan
 
 import (
 	"fmt"
--- a/internal/workplan/workplan_test.go
+++ b/internal/maintenanceplan/workplan_test.go
@@ -1,4 +1,4 @@
-package workplan
+package maintenanceplan
 
 import (
 	"errors"
