--- a/internal/decide/share/share.go
+++ b/internal/decide/subset/share.go
@@ -1,11 +1,11 @@
-// Package share decides which boxes a sidecar holds, so that the choices of many add up: every box is held by about as many, by
+// Package subset decides which boxes a sidecar holds, so that the choices of many add up: every box is held by about as many, by
 // two at least, and few are moved when a sidecar or a box comes or goes. It is pure: no clock, no state, no I/O; the same
 // arguments give the same answer, in whatever order the list of boxes comes.
 //
 // The boxes lie on a circle, in an order that all sidecars compute alike. Each sidecar holds an arc of it, which begins at its
 // place. Three ways give a place: Spread by number alone, Dense by rank among those that are known to live, ByTraffic by
 // rank among those with as much traffic as one's own. docs/design/share.md weighs them.
-package share
+package subset
 
 import (
 	"cmp"
