--- a/internal/control/upkeep.go
+++ b/internal/control/upkeep.go
@@ -8,8 +8,8 @@
 
 	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/membership"
+	"hazelwheel/internal/decide/reconfiguration"
 	"hazelwheel/internal/decide/register"
-	"hazelwheel/internal/decide/upkeep"
 	"hazelwheel/internal/message"
 )
 
@@ -29,14 +29,14 @@
 
 // upkeep has lost voters replaced and newcomers join.
 func (c *Control) upkeep(ctx context.Context) {
-	var turns upkeep.Turns
-	var learners upkeep.Learners
+	var turns reconfiguration.Turns
+	var learners reconfiguration.Learners
 	began := time.Now()
 	for wait(ctx, upkeepEvery) == nil {
 		facts, _ := c.node.Facts()
-		candidates := upkeep.Assume(&facts.Voters, c.candidates(), c.inTouch)
-		needed := upkeep.Needed(&facts.Voters, candidates, c.wantedVoters())
-		rank, votes := upkeep.Rank(c.registrar.self.ID, &facts.Voters, upkeep.Alive(candidates))
+		candidates := reconfiguration.Assume(&facts.Voters, c.candidates(), c.inTouch)
+		needed := reconfiguration.Needed(&facts.Voters, candidates, c.wantedVoters())
+		rank, votes := reconfiguration.Rank(c.registrar.self.ID, &facts.Voters, reconfiguration.Alive(candidates))
 		if !turns.Due(time.Since(began).Seconds(), needed && votes, rank) {
 			continue
 		}
@@ -77,7 +77,7 @@
 }
 
 // mendVoters makes the next change of the voters that is needed. It goes by what a majority says, never by what is told of it.
-func (c *Control) mendVoters(ctx context.Context, learners *upkeep.Learners) (changed bool, err error) {
+func (c *Control) mendVoters(ctx context.Context, learners *reconfiguration.Learners) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, changeWithin)
 	defer cancel()
 	value, err := c.registrar.Read(ctx)
@@ -85,7 +85,7 @@
 		return false, err
 	}
 	if len(value.Previous) == 0 {
-		assumed := upkeep.Assume(&value.Value, c.candidates(), c.inTouch)
+		assumed := reconfiguration.Assume(&value.Value, c.candidates(), c.inTouch)
 		candidates := c.askLearners(ctx, value, assumed, learners)
 		next, needed := register.Membership(value.Voters, candidates, c.wantedVoters())
 		if !needed {
@@ -109,7 +109,7 @@
 }
 
 // askLearners asks the live candidates that don't vote whether what they hold is new enough. Those that lack the newest value fetch it.
-func (c *Control) askLearners(ctx context.Context, value found, candidates []register.Candidate, learners *upkeep.Learners) []register.Candidate {
+func (c *Control) askLearners(ctx context.Context, value found, candidates []register.Candidate, learners *reconfiguration.Learners) []register.Candidate {
 	asked := map[register.Voter]bool{}
 	var asking sync.WaitGroup
 	for i := range candidates {
--- a/internal/decide/upkeep/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -1,4 +1,4 @@
-package upkeep_test
+package reconfiguration_test
 
 import (
 	"fmt"
--- a/internal/decide/upkeep/upkeep_test.go
+++ b/internal/decide/reconfiguration/upkeep_test.go
@@ -1,4 +1,4 @@
-package upkeep_test
+package reconfiguration_test
 
 import (
 	"os"
@@ -8,8 +8,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"hazelwheel/internal/decide/reconfiguration"
 	"hazelwheel/internal/decide/register"
-	"hazelwheel/internal/decide/upkeep"
 )
 
 func TestUpkeep(t *testing.T) {
@@ -65,7 +65,7 @@
 
 var _ = Describe("turns", func() {
 	It("begin with the first and go on to the next where the need stays", func() {
-		var first, second upkeep.Turns
+		var first, second reconfiguration.Turns
 		Expect(first.Due(10, true, 0)).To(BeTrue())
 		Expect(second.Due(10, true, 1)).To(BeFalse())
 		Expect(second.Due(10.5, true, 1)).To(BeFalse())
@@ -73,7 +73,7 @@
 	})
 
 	It("begin anew once there was no need", func() {
-		var turns upkeep.Turns
+		var turns reconfiguration.Turns
 		turns.Due(10, true, 1)
 		turns.Due(10.6, false, 1)
 		Expect(turns.Due(10.8, true, 1)).To(BeFalse())
@@ -82,10 +82,10 @@
 	It("pass over voters that can't be reached", func() {
 		voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 		value := &register.Value{Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
-		rank, votes := upkeep.Rank("b", value, func(v register.Voter) bool { return v.ID != "a" })
+		rank, votes := reconfiguration.Rank("b", value, func(v register.Voter) bool { return v.ID != "a" })
 		Expect(rank).To(BeZero())
 		Expect(votes).To(BeTrue())
-		_, votes = upkeep.Rank("x", value, func(register.Voter) bool { return true })
+		_, votes = reconfiguration.Rank("x", value, func(register.Voter) bool { return true })
 		Expect(votes).To(BeFalse())
 	})
 })
@@ -105,18 +105,18 @@
 		heard := []register.Candidate{alive("a", "A"), newcomer}
 		next, _ := register.Membership(value.Voters, heard, 3)
 		Expect(next).NotTo(ContainElement(voter("c", "C")), "what would happen without")
-		next, _ = register.Membership(value.Voters, upkeep.Assume(value, heard, everyone), 3)
+		next, _ = register.Membership(value.Voters, reconfiguration.Assume(value, heard, everyone), 3)
 		Expect(next).To(ContainElements(value.Voters))
 	})
 
 	It("leaves voters out that had their time", func() {
-		Expect(upkeep.Assume(value, []register.Candidate{alive("a", "A")}, nobody)).To(HaveLen(1))
+		Expect(reconfiguration.Assume(value, []register.Candidate{alive("a", "A")}, nobody)).To(HaveLen(1))
 	})
 
 	It("doesn't take a machine that lost its disk for the voter that it was", func() {
-		candidates := upkeep.Assume(value, []register.Candidate{alive("a#1", "A"), alive("b", "B"), alive("c", "C")}, everyone)
+		candidates := reconfiguration.Assume(value, []register.Candidate{alive("a#1", "A"), alive("b", "B"), alive("c", "C")}, everyone)
 		Expect(candidates).To(HaveLen(3))
-		rank, votes := upkeep.Rank("b", value, upkeep.Alive(candidates))
+		rank, votes := reconfiguration.Rank("b", value, reconfiguration.Alive(candidates))
 		Expect(rank).To(BeZero(), "the first that can act")
 		Expect(votes).To(BeTrue())
 	})
@@ -127,7 +127,7 @@
 	at := func(round uint64) register.Ballot { return register.Ballot{Round: round} }
 
 	It("stays what was chosen when it was asked first, until it is not asked any longer", func() {
-		var learners upkeep.Learners
+		var learners reconfiguration.Learners
 		Expect(learners.Target(candidate, at(5))).To(Equal(at(5)))
 		Expect(learners.Target(candidate, at(9))).To(Equal(at(5)))
 		learners.Keep(func(register.Voter) bool { return true })
--- a/internal/decide/upkeep/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -1,4 +1,4 @@
-package upkeep_test
+package reconfiguration_test
 
 import (
 	"container/heap"
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"slices"
 
+	"hazelwheel/internal/decide/reconfiguration"
 	"hazelwheel/internal/decide/register"
-	"hazelwheel/internal/decide/upkeep"
 )
 
 // The times of the world, in seconds. They are those of the host.
@@ -80,8 +80,8 @@
 	told     register.Value // the voters as they are told
 	contact  map[string]float64
 	peers    map[string]peer // by address, as heard
-	turns    upkeep.Turns
-	learners upkeep.Learners
+	turns    reconfiguration.Turns
+	learners reconfiguration.Learners
 	mending  bool
 	since    uint64 // the version that had been acknowledged when this life began
 	role     roleNode
@@ -166,8 +166,8 @@
 	n.up, n.frozen, n.leaving, n.mending = true, false, false, false
 	n.acceptor = register.NewAcceptor(n.disk)
 	n.round, n.proven, n.told = 0, register.Ballot{}, register.Value{}
-	n.contact, n.peers, n.turns, n.resumed = map[string]float64{}, map[string]peer{}, upkeep.Turns{}, w.now
-	n.learners, n.since = upkeep.Learners{}, w.highest
+	n.contact, n.peers, n.turns, n.resumed = map[string]float64{}, map[string]peer{}, reconfiguration.Turns{}, w.now
+	n.learners, n.since = reconfiguration.Learners{}, w.highest
 	if n.disk.Ballot == (register.Ballot{}) {
 		n.told = n.disk.Value
 	}
@@ -330,7 +330,7 @@
 // candidates returns the machines that a node knows, and the voters that it has had no time to hear of.
 func (w *world) candidates(n *node, value *register.Value) []register.Candidate {
 	known := w.knownCandidates(n)
-	return upkeep.Assume(value, known, func(v register.Voter) bool { return w.now-max(n.contact[v.Address], n.resumed) <= touchS })
+	return reconfiguration.Assume(value, known, func(v register.Voter) bool { return w.now-max(n.contact[v.Address], n.resumed) <= touchS })
 }
 
 func (w *world) knownCandidates(n *node) (out []register.Candidate) {
@@ -349,9 +349,9 @@
 
 func (w *world) upkeep(n *node) {
 	candidates := w.candidates(n, &n.told)
-	needed := upkeep.Needed(&n.told, candidates, w.wanted)
-	alive := upkeep.Alive(candidates)
-	rank, votes := upkeep.Rank(n.disk.ID, &n.told, func(v register.Voter) bool { return w.mistakes.noTurns || alive(v) })
+	needed := reconfiguration.Needed(&n.told, candidates, w.wanted)
+	alive := reconfiguration.Alive(candidates)
+	rank, votes := reconfiguration.Rank(n.disk.ID, &n.told, func(v register.Voter) bool { return w.mistakes.noTurns || alive(v) })
 	if w.mistakes.noTurns && rank > 0 {
 		return
 	}
