--- a/internal/decide/lease/machine.go
+++ b/internal/decide/lease/machine.go
@@ -6,8 +6,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hazelwheel/internal/decide/packed"
 	"hazelwheel/internal/decide/swim"
+	"hazelwheel/internal/msgpacklimit"
 )
 
 // command is an entry of the electors' log: a job goes to somebody, if its token still is the one that was meant.
@@ -77,7 +77,7 @@
 			err = fmt.Errorf("it can't be read: %v", cause)
 		}
 	}()
-	if err := packed.Whole(b); err != nil {
+	if err := msgpacklimit.Whole(b); err != nil {
 		return err
 	}
 	return msgpack.Unmarshal(b, v)
--- a/internal/decide/maintenance/encode.go
+++ b/internal/decide/maintenance/encode.go
@@ -6,7 +6,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hazelwheel/internal/decide/packed"
+	"hazelwheel/internal/msgpacklimit"
 )
 
 // ErrState is the fault of a State that can't be read, or is larger than may be agreed.
@@ -34,7 +34,7 @@
 	if len(b) == 0 {
 		return State{}, nil
 	}
-	if err := packed.Whole(b); err != nil {
+	if err := msgpacklimit.Whole(b); err != nil {
 		return State{}, fmt.Errorf("%w: %w", ErrState, err)
 	}
 	if err := msgpack.Unmarshal(b, &s); err != nil {
--- a/internal/decide/packed/packed.go
+++ b/internal/msgpacklimit/packed.go
@@ -1,6 +1,6 @@
-// Package packed looks at MessagePack before it is read. The library that reads it makes room for as many elements as an array
+// Package msgpacklimit looks at MessagePack before it is read. The library that reads it makes room for as many elements as an array
 // says that it has, whether they are there or not.
-package packed
+package msgpacklimit
 
 import (
 	"encoding/binary"
--- a/internal/decide/packed/packed_test.go
+++ b/internal/msgpacklimit/packed_test.go
@@ -1,4 +1,4 @@
-package packed
+package msgpacklimit
 
 import (
 	"testing"
--- a/internal/peers/frames/frames.go
+++ b/internal/peers/frames/frames.go
@@ -10,7 +10,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hazelwheel/internal/decide/packed"
+	"hazelwheel/internal/msgpacklimit"
 )
 
 // Version is spoken here. A frame of another is not understood.
@@ -104,7 +104,7 @@
 			err = fmt.Errorf("a body can't be read: %v", cause)
 		}
 	}()
-	if err := packed.Whole(body); err != nil {
+	if err := msgpacklimit.Whole(body); err != nil {
 		return err
 	}
 	return msgpack.Unmarshal(body, v)
