--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/lab/troupe"
 	"hazelwheel/internal/peers/frames"
 )
@@ -65,7 +65,7 @@
 	c.board.Set(troupe.Rule{Cut: true}, ways...)
 	c.poll("somebody is suspected", func() bool {
 		s, _ := left[0].seen()
-		return slices.ContainsFunc(s.Members, func(m fleet.SeenMember) bool { return m.State != "alive" })
+		return slices.ContainsFunc(s.Members, func(m coordination.SeenMember) bool { return m.State != "alive" })
 	})
 	c.board.Set(troupe.Rule{}, ways...)
 	t.Logf("after a short cut one again after %v", c.agree(c.all...))
@@ -84,7 +84,7 @@
 	c.board.Set(troupe.Rule{PerS: 10}, ways...)
 	c.poll("somebody is suspected", func() bool {
 		s, _ := c.all[0].seen()
-		return slices.ContainsFunc(s.Members, func(m fleet.SeenMember) bool { return m.State != "alive" })
+		return slices.ContainsFunc(s.Members, func(m coordination.SeenMember) bool { return m.State != "alive" })
 	})
 	c.board.Set(troupe.Rule{}, ways...)
 	t.Logf("agree after %v", c.agree(c.all...))
@@ -252,7 +252,7 @@
 	}
 	for _, m := range lonely.all[:2] {
 		lonely.ready(m.start())
-		var s fleet.Seen
+		var s coordination.Seen
 		lonely.poll("it has begun", func() bool { // it serves before its identity is on disk
 			s, _ = m.seen()
 			return s.ID != ""
--- a/cmd/hazelwheel/jobs_test.go
+++ b/cmd/hazelwheel/jobs_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/fleet"
+	"hazelwheel/internal/coordination"
 )
 
 // registry is discovery for many sidecars: it counts versions, tells changes since one, and says an empty line every 2 s.
@@ -143,7 +143,7 @@
 	return c, c.serveAll()
 }
 
-func (m *mate) lists() (l fleet.ListCounts) {
+func (m *mate) lists() (l coordination.ListCounts) {
 	if s, ok := m.owners(); ok && s.Lists != nil {
 		l = *s.Lists
 	}
@@ -164,7 +164,7 @@
 			if !ok || s.Lists == nil {
 				return false
 			}
-			if slices.ContainsFunc(s.Jobs, func(j fleet.SeenJob) bool { return strings.HasPrefix(j.Job, "list") && j.Held != 0 }) {
+			if slices.ContainsFunc(s.Jobs, func(j coordination.SeenJob) bool { return strings.HasPrefix(j.Job, "list") && j.Held != 0 }) {
 				owners = append(owners, m)
 			} else if !s.Lists.Fed {
 				return false
@@ -268,7 +268,7 @@
 		c.poll("one owns the drills", func() bool {
 			for _, m := range some {
 				s, _ := m.owners()
-				if slices.ContainsFunc(s.Jobs, func(j fleet.SeenJob) bool { return j.Job == "drill" && j.Held != 0 }) {
+				if slices.ContainsFunc(s.Jobs, func(j coordination.SeenJob) bool { return j.Job == "drill" && j.Held != 0 }) {
 					found = m
 				}
 			}
@@ -288,7 +288,7 @@
 	out, code := start(drillSecret)
 	require.Zero(t, code, out)
 	began := time.Now()
-	drills := func(m *mate) []fleet.SeenDrill { s, _ := m.owners(); return s.Drills }
+	drills := func(m *mate) []coordination.SeenDrill { s, _ := m.owners(); return s.Drills }
 	c.poll("it runs at all", func() bool {
 		return !slices.ContainsFunc(c.all, func(m *mate) bool { d := drills(m); return len(d) != 1 || d[0].LeftS == 0 || !d[0].Told })
 	})
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -24,7 +24,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"hazelwheel/internal/fleet"
+	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/lab/troupe"
 	"hazelwheel/internal/peers/frames"
 )
@@ -35,7 +35,7 @@
 	if file == "" {
 		return
 	}
-	fleet.Between = func() {
+	coordination.Between = func() {
 		if err := os.Remove(file); errors.Is(err, fs.ErrNotExist) {
 			return
 		}
@@ -69,7 +69,7 @@
 }
 
 // owners asks the sidecar at its door who owns what; false: it does not say.
-func (m *mate) owners() (s fleet.SeenOwners, ok bool) {
+func (m *mate) owners() (s coordination.SeenOwners, ok bool) {
 	if m.frozen.Load() || m.cmd == nil {
 		return s, false
 	}
@@ -78,10 +78,10 @@
 }
 
 // job returns what a sidecar knows of the job "report".
-func (m *mate) job() fleet.SeenJob { return m.jobOf("report") }
+func (m *mate) job() coordination.SeenJob { return m.jobOf("report") }
 
 // report returns the last report that a sidecar knows.
-func (m *mate) report() (r fleet.Report) {
+func (m *mate) report() (r coordination.Report) {
 	if text, err := callOnce(m.ops, "REPORT\n"); err == nil {
 		_ = json.Unmarshal([]byte(text), &r) // else it is empty
 	}
@@ -501,7 +501,7 @@
 	// Two of three are left of the electors, and a new one takes the place of who it was.
 	c.poll("an elector is replaced", func() bool {
 		s, _ := c.all[0].owners()
-		return len(s.Electors) == 3 && !slices.ContainsFunc(s.Electors, func(e fleet.SeenElector) bool { return e.State != "alive" || e.ID == was })
+		return len(s.Electors) == 3 && !slices.ContainsFunc(s.Electors, func(e coordination.SeenElector) bool { return e.State != "alive" || e.ID == was })
 	})
 	for _, k := range []struct {
 		name  string
@@ -594,7 +594,7 @@
 		rest := slices.DeleteFunc(slices.Clone(able), func(m *mate) bool { return m.gone.Load() })
 		c.pollFor(90*time.Second, "those that have gone are no electors", func() bool {
 			s, ok := left[0].owners()
-			return ok && !slices.ContainsFunc(s.Electors, func(e fleet.SeenElector) bool { return e.State != "alive" })
+			return ok && !slices.ContainsFunc(s.Electors, func(e coordination.SeenElector) bool { return e.State != "alive" })
 		})
 		_, token = c.owner(token-1, rest...)
 	}
--- a/cmd/hazelwheel/owners.go
+++ b/cmd/hazelwheel/owners.go
@@ -9,7 +9,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/fleet"
+	"hazelwheel/internal/coordination"
 )
 
 func fleetCommand() *cli.Command {
@@ -45,7 +45,7 @@
 	}
 }
 
-func writeOwners(t *tabwriter.Writer, s *fleet.SeenOwners) {
+func writeOwners(t *tabwriter.Writer, s *coordination.SeenOwners) {
 	fmt.Fprintln(t, "JOB\tOWNER\tID\tTOKEN\tHERE\tTAKEN\tREFUSED")
 	for _, j := range s.Jobs {
 		owner, here := j.Name, ""
@@ -74,7 +74,7 @@
 // tokenText writes a token as its epoch and its number in it.
 func tokenText(token uint64) string { return fmt.Sprintf("%d.%d", token>>40, token&(1<<40-1)) }
 
-func writeElectors(t *tabwriter.Writer, s *fleet.SeenOwners) {
+func writeElectors(t *tabwriter.Writer, s *coordination.SeenOwners) {
 	fmt.Fprintln(t, "NAME\tSTATE\tADDRESS\tID\tLEADS")
 	for _, e := range s.Electors {
 		leads := ""
@@ -89,7 +89,7 @@
 	}
 }
 
-func writeReport(t *tabwriter.Writer, r *fleet.Report) {
+func writeReport(t *tabwriter.Writer, r *coordination.Report) {
 	fmt.Fprintln(t, "CLASS\tPER S\tSERVED\tTHROTTLED\tFAILED\tABANDONED\tP50\tP90\tP99\tP99.9\tMAX")
 	for _, c := range r.Classes {
 		fmt.Fprintf(t, "%s\t%.1f\t%d\t%d\t%d\t%d\t%.1f ms\t%.1f ms\t%.1f ms\t%.1f ms\t%.1f ms\n", c.Class, c.PerS, c.Served, c.Throttled, c.Failed, c.Abandoned,
--- a/cmd/hazelwheel/peers.go
+++ b/cmd/hazelwheel/peers.go
@@ -14,7 +14,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/fleet"
+	"hazelwheel/internal/coordination"
 )
 
 func peersCommand() *cli.Command {
@@ -33,7 +33,7 @@
 		_, err := c.Root().Writer.Write(raw)
 		return err
 	}
-	var s fleet.Seen
+	var s coordination.Seen
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return fmt.Errorf("the sidecar's answer makes no sense: %w", err)
 	}
--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -15,8 +15,8 @@
 
 	"github.com/urfave/cli/v3"
 
+	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/front/ops"
 	"hazelwheel/internal/maintenanceplan"
 )
@@ -230,7 +230,7 @@
 	maintenance.Done: "done", maintenance.Skipped: "skipped", maintenance.Lost: "lost"}
 
 // writeWorks writes plans, box by box, and what each waits for.
-func writeWorks(t *tabwriter.Writer, s *fleet.SeenWorks) {
+func writeWorks(t *tabwriter.Writer, s *coordination.SeenWorks) {
 	fmt.Fprintln(t, "PLAN\tBOX\tSITE\tSTAGE\tSINCE\tMECHANIC\tTOKEN\tWAITS FOR")
 	waits := func(plan uint64, box string) string {
 		var all []string
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/lab/mechanic"
 	"hazelwheel/internal/lab/troupe"
 	"hazelwheel/internal/maintenanceplan"
@@ -216,7 +216,7 @@
 }
 
 // works returns what a sidecar's door tells of plans.
-func (m *mate) works() (s fleet.SeenWorks, ok bool) {
+func (m *mate) works() (s coordination.SeenWorks, ok bool) {
 	if m.frozen.Load() || m.gone.Load() || m.cmd == nil {
 		return s, false
 	}
@@ -225,7 +225,7 @@
 }
 
 // newest returns the latest version that any door tells.
-func (y *yard) newest() (newest fleet.SeenWorks) {
+func (y *yard) newest() (newest coordination.SeenWorks) {
 	for _, m := range y.all {
 		if s, ok := m.works(); ok && (s.Version > newest.Version || s.Version == newest.Version && s.AgeS < newest.AgeS) {
 			newest = s
@@ -235,7 +235,7 @@
 }
 
 // stage returns how far the work on a box has come, by the latest plan that has it.
-func stage(s *fleet.SeenWorks, b *box) (found maintenance.Box) {
+func stage(s *coordination.SeenWorks, b *box) (found maintenance.Box) {
 	for _, p := range s.Plans {
 		for _, k := range p.Boxes {
 			if k.Name == b.name {
@@ -278,7 +278,7 @@
 // ended waits until no plan goes on, and returns the last one.
 func (y *yard) ended() maintenance.Plan {
 	y.Helper()
-	var s fleet.SeenWorks
+	var s coordination.SeenWorks
 	y.pollFor(6*patience, "all plans have ended", func() bool {
 		s = y.newest()
 		return len(s.Plans) > 0 && !slices.ContainsFunc(s.Plans, func(p maintenance.Plan) bool { return !p.Ended })
@@ -302,13 +302,13 @@
 }
 
 // jobOf returns what a sidecar knows of a job; nothing where its door does not answer.
-func (m *mate) jobOf(name string) fleet.SeenJob {
+func (m *mate) jobOf(name string) coordination.SeenJob {
 	j, _ := m.toldOf(name)
 	return j
 }
 
 // toldOf does so, and tells whether the door has answered: without an answer nothing is known of who owns the job.
-func (m *mate) toldOf(name string) (j fleet.SeenJob, told bool) {
+func (m *mate) toldOf(name string) (j coordination.SeenJob, told bool) {
 	s, told := m.owners()
 	for _, k := range s.Jobs {
 		if k.Job == name {
--- a/cmd/hazelwheel/workline_test.go
+++ b/cmd/hazelwheel/workline_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/fleet"
 )
 
 // fakeDoor answers calls by a list, the last one again and again; an empty answer ends the connection without one.
@@ -152,7 +152,7 @@
 func TestWorkStatus(t *testing.T) {
 	t.Parallel()
 	c := &crew{T: t}
-	raw, err := json.Marshal(fleet.SeenWorks{Version: 17, Owner: "m01", AgeS: 0.3, Hand: []string{"s-2"},
+	raw, err := json.Marshal(coordination.SeenWorks{Version: 17, Owner: "m01", AgeS: 0.3, Hand: []string{"s-2"},
 		Plans: []maintenance.Plan{{Number: 1, Spec: maintenance.Spec{Name: "firmware"}, AgeS: 90, Paused: "anna", Boxes: []maintenance.Box{
 			{Name: "s-1", Site: "site-a", Stage: maintenance.Leaving, Since: 17},
 			{Name: "s-2", Site: "site-a", Stage: maintenance.Taken, Since: 16, Token: 1<<40 | 16, Mechanic: "bob", Late: true, Forced: []string{"m04"}},
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
+	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/lab/mechanic"
 	"hazelwheel/internal/lab/troupe"
 )
@@ -28,7 +28,7 @@
 		return
 	}
 	passed := 0
-	fleet.AtStep = func(step string) {
+	coordination.AtStep = func(step string) {
 		text, err := os.ReadFile(file)
 		words := strings.Fields(string(text))
 		if err != nil || words[0] != step {
--- a/internal/fleet/report.go
+++ b/internal/coordination/report.go
@@ -1,4 +1,4 @@
-package fleet
+package coordination
 
 import (
 	"encoding/binary"
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -30,7 +30,7 @@
 	{"internal/rewrite", "internal/capture", "internal/world", "internal/wire"},
 	{"internal/features", "internal/lint", "internal/cluster", "internal/gateway"},
 	{"internal/sidecar"},
-	{"internal/front", "internal/fleet", "internal/control", "internal/agent", "internal/proxy"},
+	{"internal/front", "internal/coordination", "internal/control", "internal/agent", "internal/proxy"},
 	{"internal/process", "internal/sim", "internal/lab"},
 	{"cmd", "example", "internal/ci"},
 }
@@ -40,7 +40,7 @@
 var apart = map[string][]string{
 	"internal/world":   {"policy", "internal/sidecar", "internal/features", "internal/config"},
 	"internal/judge":   {"policy", "internal/sidecar"},
-	"internal/lab":     {"policy", "internal/sidecar", "internal/front", "internal/features", "internal/fleet"},
+	"internal/lab":     {"policy", "internal/sidecar", "internal/front", "internal/features", "internal/coordination"},
 	"internal/sidecar": {"internal/lint", "internal/world"},
 }
 
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"hazelwheel/internal/config"
+	"hazelwheel/internal/coordination"
+	"hazelwheel/internal/coordination/folder"
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/features"
-	"hazelwheel/internal/fleet"
-	"hazelwheel/internal/fleet/folder"
 	"hazelwheel/internal/front/ops"
 	"hazelwheel/internal/netio/beside"
 	"hazelwheel/internal/peers"
@@ -27,8 +27,8 @@
 // join has the sidecar know the others of its fleet.
 func (p *Process) join(cfg config.Config, on features.Fleet, shared *beside.Loop) (err error) {
 	links := peers.Links(cfg.Limits.Sockets)
-	p.fleet, err = fleet.New(fleet.Options{Links: links,
-		Settings: fleet.Settings(on), Sidecar: cfg.Name, Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas,
+	p.fleet, err = coordination.New(coordination.Options{Links: links,
+		Settings: coordination.Settings(on), Sidecar: cfg.Name, Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas,
 		Replaceable: cfg.Passed > 0, Asked: p.Sidecar, Told: p.Sidecar, Lists: p.Sidecar, Drills: p.Sidecar, Boxes: p.Sidecar, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Net: shared.Companion(), Log: p.log})
 	if err != nil {
@@ -72,7 +72,7 @@
 // remember reads what an earlier life of the sidecar has left.
 func (p *Process) remember() {
 	saved := p.folder.Load()
-	if saved.Err == nil && fleet.Usable(saved) != nil {
+	if saved.Err == nil && coordination.Usable(saved) != nil {
 		if err := p.folder.Aside(); err != nil {
 			p.log.Error("what was saved can't be put aside", "error", err)
 		}
@@ -86,7 +86,7 @@
 // ask asks others of the fleet which boxes are out, before there are clients.
 func (p *Process) ask(fleetName, name string, join []string) {
 	began := time.Now()
-	k := fleet.AskWorks(fleetName, name, join, began.Add(askWithin))
+	k := coordination.AskWorks(fleetName, name, join, began.Add(askWithin))
 	if k == nil {
 		p.log.Warn("nobody could be asked which servers are out by agreement: going by what is kept here", "after", time.Since(began).Round(time.Millisecond))
 		return
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -15,9 +15,9 @@
 
 	"hazelwheel/internal/capture"
 	"hazelwheel/internal/config"
+	"hazelwheel/internal/coordination"
+	"hazelwheel/internal/coordination/folder"
 	"hazelwheel/internal/features"
-	"hazelwheel/internal/fleet"
-	"hazelwheel/internal/fleet/folder"
 	"hazelwheel/internal/front/http1"
 	"hazelwheel/internal/front/ops"
 	"hazelwheel/internal/front/thrift"
@@ -43,10 +43,10 @@
 type Process struct {
 	*sidecar.Sidecar
 	loop   *sockets.Net
-	host   netio.Host     // what the loop calls: the sidecar, or the sidecar and its fleet
-	fleet  *fleet.Fleet   // nil: it knows no other sidecar
-	folder *folder.Folder // of the fleet; nil: nothing is kept
-	door   *ops.Door      // nil: there is none
+	host   netio.Host          // what the loop calls: the sidecar, or the sidecar and its fleet
+	fleet  *coordination.Fleet // nil: it knows no other sidecar
+	folder *folder.Folder      // of the fleet; nil: nothing is kept
+	door   *ops.Door           // nil: there is none
 
 	askFirst func() // comes before there are clients; nil: nothing is asked
 	passed   int
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -9,8 +9,8 @@
 	"slices"
 
 	"hazelwheel/internal/config"
+	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/features"
-	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/front/http1"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
@@ -49,7 +49,7 @@
 type known struct {
 	core
 	host netio.Host
-	f    *fleet.Fleet
+	f    *coordination.Fleet
 }
 
 func (k known) Start()                            { k.host.Start() }
@@ -95,7 +95,7 @@
 				if s.older = append(s.older, s.saved.Data); len(s.older) > mostOlder {
 					s.older = s.older[1:]
 				}
-				s.saved = fleet.Saved{Data: kept}
+				s.saved = coordination.Saved{Data: kept}
 			}
 			d.proc.Post(func() { done(err) })
 		}
@@ -122,13 +122,13 @@
 			join = append(join, peersAddress(&d.sidecars[i].spec))
 		}
 		links := peers.Links(d.spec.Sockets)
-		settings := fleet.Settings{Name: fleetName, Listen: peersAddress(&s.spec), Join: join}
+		settings := coordination.Settings{Name: fleetName, Listen: peersAddress(&s.spec), Join: join}
 		if d.owners && len(join) == 3 {
 			settings.Electors, settings.Jobs = join, config.Jobs
 			sc.Measure()
 			sc.WorkOnBoxes()
 		}
-		f, err := fleet.New(fleet.Options{Links: links, Settings: settings, Sidecar: s.spec.Name,
+		f, err := coordination.New(coordination.Options{Links: links, Settings: settings, Sidecar: s.spec.Name,
 			Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas, Asked: sc, Told: sc, Lists: listener{sc, s}, Drills: sc, Boxes: sc, WorkOrder: d.workOrder, Rand: rng, Net: shared.Companion(), Log: log})
 		if err != nil {
 			return nil, err
@@ -309,10 +309,10 @@
 	}
 	switch {
 	case state == world.Lost:
-		s.saved = fleet.Saved{}
+		s.saved = coordination.Saved{}
 	case state == world.Old:
 		if len(s.older) > 0 && s.older[0] != nil {
-			s.saved = fleet.Saved{Data: s.older[0], Copied: true}
+			s.saved = coordination.Saved{Data: s.older[0], Copied: true}
 		}
 	case len(s.saved.Data) > 0:
 		s.saved.Data = s.saved.Data[:len(s.saved.Data)/2]
@@ -341,7 +341,7 @@
 	calm := now - d.troubledAt
 	up := 0
 	byID := map[string]*instance{} // looked up, never walked
-	seen := make([]fleet.Seen, len(d.sidecars))
+	seen := make([]coordination.Seen, len(d.sidecars))
 	for i, s := range d.sidecars {
 		if s.proc == nil || !s.proc.Alive() || s.termed || s.frozen {
 			if s.downAt == 0 {
@@ -400,7 +400,7 @@
 }
 
 // lookForRisen tells the judge of one that a process held for gone and that lives again as it was.
-func (d *day) lookForRisen(s *instance, seen *fleet.Seen) {
+func (d *day) lookForRisen(s *instance, seen *coordination.Seen) {
 	if s.goneLife != s.lives {
 		s.gone, s.goneLife = map[string]uint64{}, s.lives
 	}
@@ -416,7 +416,7 @@
 }
 
 // lookForOld tells the judge of one that has taken an old owner's effect.
-func (d *day) lookForOld(s *instance, seen *fleet.Seen) {
+func (d *day) lookForOld(s *instance, seen *coordination.Seen) {
 	if seen.Owners == nil || d.wrong {
 		return
 	}
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"slices"
 
+	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/fleet"
 	"hazelwheel/internal/judge"
 )
 
@@ -364,8 +364,8 @@
 }
 
 // began has a sidecar that begins ask the others what is agreed, as its process does before it listens.
-func (w *plans) began(s *instance, f *fleet.Fleet) {
-	var latest *fleet.KeptWorks
+func (w *plans) began(s *instance, f *coordination.Fleet) {
+	var latest *coordination.KeptWorks
 	asked := false
 	for i, o := range w.d.sidecars {
 		if i >= 3 || o == s || o.proc == nil || !o.proc.Alive() || o.frozen || o.fleet == nil || w.cut(s, o) {
