--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -13,8 +13,8 @@
 	"github.com/zeebo/errs"
 
 	"hazelwheel/internal/boot"
-	"hazelwheel/internal/cluster"
 	"hazelwheel/internal/decide/membership"
+	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/transport"
 )
 
@@ -37,15 +37,15 @@
 type Agent struct {
 	settings *boot.Settings
 	log      *logrus.Entry
-	node     *cluster.Node
-	platform *cluster.Platform
+	node     *gossip.Node
+	platform *gossip.Platform
 }
 
 // Run runs an agent until the context ends and its proxy is gone.
 func Run(ctx context.Context, settings *boot.Settings, reload <-chan *boot.Settings, log *logrus.Entry) error {
 	address := settings.Internal(settings.IP, boot.AgentPort)
-	a := &Agent{settings: settings, log: log, platform: cluster.NewPlatform(settings.Cloud.Address)}
-	a.node = cluster.New(settings, membership.Record{Kind: membership.Agent, Address: address}, transport.NewClient(), log)
+	a := &Agent{settings: settings, log: log, platform: gossip.NewPlatform(settings.Cloud.Address)}
+	a.node = gossip.New(settings, membership.Record{Kind: membership.Agent, Address: address}, transport.NewClient(), log)
 	feed, err := net.Listen("tcp4", settings.FeedAddress())
 	if err != nil {
 		return Error.Wrap(err)
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"hazelwheel/internal/cluster"
+	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/message"
 	"hazelwheel/internal/transport"
 )
@@ -70,8 +70,8 @@
 			p.agent.node.SetLoads(report.Loads)
 		}
 	}()
-	var told cluster.Facts
-	loads := time.NewTicker(cluster.ExchangeEvery)
+	var told gossip.Facts
+	loads := time.NewTicker(gossip.ExchangeEvery)
 	defer loads.Stop()
 	loadsDue := false
 	for {
@@ -99,7 +99,7 @@
 }
 
 // difference returns what a proxy that knows one set of facts lacks of another.
-func difference(told, facts cluster.Facts) (*message.Feed, bool) {
+func difference(told, facts gossip.Facts) (*message.Feed, bool) {
 	out := &message.Feed{Rank: facts.Rank, Count: facts.Count}
 	news := told.Rank != facts.Rank || told.Count != facts.Count
 	if facts.Table != nil && (told.Table == nil || facts.Table.Version > told.Table.Version) {
--- a/internal/agent/gateway.go
+++ b/internal/agent/gateway.go
@@ -9,9 +9,9 @@
 	"github.com/sirupsen/logrus"
 
 	"hazelwheel/internal/boot"
-	"hazelwheel/internal/cluster"
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/gateway"
+	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/transport"
 )
 
@@ -37,7 +37,7 @@
 }
 
 // attend gives changed settings to a node until the context ends, and has it leave then. It ends before with the error of a server that fails.
-func (s *servers) attend(ctx context.Context, node *cluster.Node, reload <-chan *boot.Settings) error {
+func (s *servers) attend(ctx context.Context, node *gossip.Node, reload <-chan *boot.Settings) error {
 	for {
 		select {
 		case err := <-s.failed:
@@ -53,7 +53,7 @@
 
 // standIn answers where a control process would be on this machine: the operator gets the address of one, and processes whose seeds
 // name this machine find it. router serves other processes of the fleet.
-func standIn(settings *boot.Settings, node *cluster.Node, router http.Handler, servers *servers) error {
+func standIn(settings *boot.Settings, node *gossip.Node, router http.Handler, servers *servers) error {
 	if err := servers.serve(settings.Listen.Control, gateway.New(node.Members).Router()); err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 	if settings.Listen.Control == "" {
 		return Error.New("Listen.Control: an address for the operator is needed")
 	}
-	node := cluster.New(settings, membership.Record{Kind: membership.Gateway, Address: settings.Internal(settings.IP, boot.ControlPort)},
+	node := gossip.New(settings, membership.Record{Kind: membership.Gateway, Address: settings.Internal(settings.IP, boot.ControlPort)},
 		transport.NewClient(), log)
 	router := mux.NewRouter()
 	node.Register(router)
--- a/internal/agent/wire_form_test.go
+++ b/internal/agent/wire_form_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/cluster"
+	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/message"
 	"hazelwheel/internal/transport"
 )
@@ -25,15 +25,15 @@
 func TestFeedForm(t *testing.T) {
 	table := &message.Table{Version: 7, Data: []byte("packed table")}
 	plan := message.StagePlan{Token: 3, Sequence: 9, Stages: map[string]message.Stage{"i-1": message.Prefill}}
-	list := cluster.List{Digest: 1 << 62, Data: []byte("packed list"), ReadAt: time.Now().Add(-time.Second)}
+	list := gossip.List{Digest: 1 << 62, Data: []byte("packed list"), ReadAt: time.Now().Add(-time.Second)}
 	tests := map[string]struct {
-		told, facts cluster.Facts
+		told, facts gossip.Facts
 		differs     bool
 	}{
-		"all":     {cluster.Facts{}, cluster.Facts{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, true},
-		"nothing": {cluster.Facts{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, cluster.Facts{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, false},
-		"rank":    {cluster.Facts{Table: table, Rank: 1, Count: 3}, cluster.Facts{Table: table, Rank: 2, Count: 3}, true},
-		"plan":    {cluster.Facts{Count: 3}, cluster.Facts{Plan: plan, Count: 3}, true},
+		"all":     {gossip.Facts{}, gossip.Facts{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, true},
+		"nothing": {gossip.Facts{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, gossip.Facts{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, false},
+		"rank":    {gossip.Facts{Table: table, Rank: 1, Count: 3}, gossip.Facts{Table: table, Rank: 2, Count: 3}, true},
+		"plan":    {gossip.Facts{Count: 3}, gossip.Facts{Plan: plan, Count: 3}, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -17,9 +17,9 @@
 	"github.com/zeebo/errs"
 
 	"hazelwheel/internal/boot"
-	"hazelwheel/internal/cluster"
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/decide/register"
+	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/transport"
 )
 
@@ -44,10 +44,10 @@
 type Control struct {
 	settings  *boot.Settings
 	log       *logrus.Entry
-	node      *cluster.Node
+	node      *gossip.Node
 	replica   *replica
 	registrar *registrar
-	platform  *cluster.Platform
+	platform  *gossip.Platform
 	follower  *follower
 }
 
@@ -93,9 +93,9 @@
 
 func newControl(settings *boot.Settings, opened *replica, client *transport.Client, log *logrus.Entry) *Control {
 	own := register.Voter{ID: opened.state().ID, Address: settings.Internal(settings.IP, boot.ControlPort)}
-	c := &Control{settings: settings, log: log, replica: opened, platform: cluster.NewPlatform(settings.Cloud.Address),
+	c := &Control{settings: settings, log: log, replica: opened, platform: gossip.NewPlatform(settings.Cloud.Address),
 		follower: newFollower()}
-	c.node = cluster.New(settings, membership.Record{Kind: membership.Control, Address: own.Address, Voter: own.ID,
+	c.node = gossip.New(settings, membership.Record{Kind: membership.Control, Address: own.Address, Voter: own.ID,
 		Operator: settings.Listen.Control}, client, log)
 	c.registrar = &registrar{self: own, ballots: fmt.Sprintf("%s/%016x", settings.NodeID, rand.Uint64()), local: opened, client: client,
 		copies: newCopies(), linkMbps: settings.Limits.LinkMbps,
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"hazelwheel/internal/boot"
-	"hazelwheel/internal/cluster"
 	"hazelwheel/internal/decide/election"
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/decide/stages"
+	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/message"
 	"hazelwheel/internal/routes"
 	"hazelwheel/internal/transport"
@@ -78,7 +78,7 @@
 }
 
 // view unpacks what has changed of the configuration and the list. It returns whether there are both.
-func (k *stageKeeper) view(facts cluster.Facts) bool {
+func (k *stageKeeper) view(facts gossip.Facts) bool {
 	if facts.Table == nil || facts.List.ReadAt.IsZero() {
 		return false
 	}
--- a/internal/control/stages_test.go
+++ b/internal/control/stages_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 	"github.com/sirupsen/logrus"
 
-	"hazelwheel/internal/cluster"
 	"hazelwheel/internal/decide/membership"
+	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/message"
 	"hazelwheel/internal/routes"
 	"hazelwheel/internal/transport"
@@ -23,7 +23,7 @@
 		settings := (&side{founders: 1, base: 20000}).settings(0, true)
 		log := logrus.New()
 		log.SetOutput(GinkgoWriter)
-		node := cluster.New(settings, membership.Record{Kind: membership.Control, Address: "127.0.5.10:1"}, transport.NewClient(), logrus.NewEntry(log))
+		node := gossip.New(settings, membership.Record{Kind: membership.Control, Address: "127.0.5.10:1"}, transport.NewClient(), logrus.NewEntry(log))
 		k := newStageKeeper(&Control{settings: settings, node: node, log: logrus.NewEntry(log)})
 		k.table = &routes.Table{Services: []routes.Service{{Name: "s", Engine: &routes.Engine{SwitchS: 2}}}}
 		k.holder.Took(k.now(), token)
--- a/internal/cluster/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -1,4 +1,4 @@
-package cluster_test
+package gossip_test
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"github.com/sirupsen/logrus"
 
 	"hazelwheel/internal/boot"
-	"hazelwheel/internal/cluster"
 	"hazelwheel/internal/decide/membership"
+	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/message"
 	"hazelwheel/internal/routes"
 	"hazelwheel/internal/transport"
@@ -36,7 +36,7 @@
 
 // fleet is nodes on loopback addresses; received counts the bytes of the requests and answers that they take.
 type fleet struct {
-	nodes    []*cluster.Node
+	nodes    []*gossip.Node
 	received atomic.Int64
 }
 
@@ -74,7 +74,7 @@
 		settings := &boot.Settings{NodeID: fmt.Sprint("n", i), IP: fmt.Sprint("127.0.4.", 10+i), InternalPortRange: []int{base, base + 15},
 			Seeds: []string{"127.0.4.10:1"}}
 		address := settings.Internal(settings.IP, boot.ControlPort)
-		node := cluster.New(settings, membership.Record{Kind: membership.Agent, Address: address}, transport.NewClient(), logrus.NewEntry(log))
+		node := gossip.New(settings, membership.Record{Kind: membership.Agent, Address: address}, transport.NewClient(), logrus.NewEntry(log))
 		f.serve(address, node)
 		f.nodes = append(f.nodes, node)
 		go node.Run(ctx)
@@ -83,7 +83,7 @@
 	return f
 }
 
-func (f *fleet) serve(address string, node *cluster.Node) {
+func (f *fleet) serve(address string, node *gossip.Node) {
 	listener, err := net.Listen("tcp4", address)
 	Expect(err).NotTo(HaveOccurred())
 	router := mux.NewRouter()
--- a/internal/cluster/contact_test.go
+++ b/internal/gossip/contact_test.go
@@ -1,4 +1,4 @@
-package cluster
+package gossip
 
 import (
 	"fmt"
