--- a/internal/agent/gateway.go
+++ b/internal/agent/gateway.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 
 	"hazelwheel/internal/boot"
+	"hazelwheel/internal/configredirect"
 	"hazelwheel/internal/decide/membership"
-	"hazelwheel/internal/gateway"
 	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/transport"
 )
@@ -54,7 +54,7 @@
 // standIn answers where a control process would be on this machine: the operator gets the address of one, and processes whose seeds
 // name this machine find it. router serves other processes of the fleet.
 func standIn(settings *boot.Settings, node *gossip.Node, router http.Handler, servers *servers) error {
-	if err := servers.serve(settings.Listen.Control, gateway.New(node.Members).Router()); err != nil {
+	if err := servers.serve(settings.Listen.Control, configredirect.New(node.Members).Router()); err != nil {
 		return err
 	}
 	return servers.serve(settings.Internal(settings.IP, boot.ControlPort), router)
--- a/internal/gateway/gateway.go
+++ b/internal/configredirect/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway answers the operator on machines that hold no part of the configuration: it names a control process that does, by a
+// Package configredirect answers the operator on machines that hold no part of the configuration: it names a control process that does, by a
 // redirect. So a change reaches a voter under the operator's own hand: its answer, lost or not, is the voter's, and nothing that ends
 // here can refuse a change or make it twice.
-package gateway
+package configredirect
 
 import (
 	"cmp"
--- a/internal/gateway/gateway_test.go
+++ b/internal/configredirect/gateway_test.go
@@ -1,4 +1,4 @@
-package gateway
+package configredirect
 
 import (
 	"net/http"
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -28,7 +28,7 @@
 	{"internal/peers", "internal/http1", "internal/thrift", "internal/config", "internal/endpointset", "internal/drill", "internal/quotas",
 		"internal/appconfig", "internal/maintenanceplan"},
 	{"internal/rewrite", "internal/capture", "internal/world", "internal/wire"},
-	{"internal/features", "internal/lint", "internal/gossip", "internal/gateway"},
+	{"internal/features", "internal/lint", "internal/gossip", "internal/configredirect"},
 	{"internal/sidecar"},
 	{"internal/front", "internal/coordination", "internal/control", "internal/agent", "internal/proxy"},
 	{"internal/process", "internal/sim", "internal/lab"},
