--- a/cmd/hazelfleet/check.go
+++ b/cmd/hazelfleet/check.go
@@ -5,8 +5,8 @@
 	"io"
 	"os"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/finding"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/routes"
 )
 
@@ -23,7 +23,7 @@
 		fmt.Fprintln(c.errs, "hazelfleet: settings:", err)
 		return statusUsage
 	}
-	report := boot.Examine(data)
+	report := nodeconfig.Examine(data)
 	c.tell("settings: "+path, report.Faults, report.Unknown)
 	if len(report.Faults) > 0 {
 		return statusUsage
--- a/cmd/hazelfleet/check_test.go
+++ b/cmd/hazelfleet/check_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"hazelwheel/internal/boot"
+	"hazelwheel/internal/nodeconfig"
 )
 
 var _ = Describe("the check of a configuration", func() {
@@ -97,7 +97,7 @@
 })
 
 var _ = DescribeTable("the command line", func(status int, arguments ...string) {
-	GinkgoT().Setenv(boot.EnvFile, filepath.Join(GinkgoT().TempDir(), "none.yaml"))
+	GinkgoT().Setenv(nodeconfig.EnvFile, filepath.Join(GinkgoT().TempDir(), "none.yaml"))
 	Expect(run(arguments)).To(Equal(status))
 },
 	Entry("asks for help", 0, "--help"),
--- a/cmd/hazelfleet/main.go
+++ b/cmd/hazelfleet/main.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"hazelwheel/internal/agent"
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/control"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/proxy"
 )
 
@@ -49,7 +49,7 @@
   check CONFIG [PATCH]
            checks a configuration, and a patch on top of it, and ends
 check names all faults at once, each with its line and column, and warns of fields that it doesn't know.
-The settings file is named by ` + boot.EnvFile + `.
+The settings file is named by ` + nodeconfig.EnvFile + `.
 `
 
 func main() { os.Exit(run(os.Args[1:])) }
@@ -90,14 +90,14 @@
 	// Danger: a SIGHUP that nobody catches ends the process, also while it is still reading its settings.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	settings, err := boot.Load(boot.Path())
+	settings, err := nodeconfig.Load(nodeconfig.Path())
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "hazelfleet:", err)
 		return statusUsage
 	}
 	if role == roleAgent {
 		if err := settings.CheckControl(); err != nil {
-			fmt.Fprintf(os.Stderr, "hazelfleet: settings: %s: %v\n", boot.Path(), err)
+			fmt.Fprintf(os.Stderr, "hazelfleet: settings: %s: %v\n", nodeconfig.Path(), err)
 			return statusUsage
 		}
 	}
@@ -133,12 +133,12 @@
 func runCheck(files []string) int {
 	check := checker{os.Stdout, os.Stderr}
 	if len(files) == 0 {
-		return check.settings(boot.Path())
+		return check.settings(nodeconfig.Path())
 	}
 	return check.configuration(files)
 }
 
-func start(role string, settings *boot.Settings, hangups <-chan os.Signal) int {
+func start(role string, settings *nodeconfig.Settings, hangups <-chan os.Signal) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	log := logrus.WithField("node", settings.NodeID).WithField("role", role)
@@ -163,12 +163,12 @@
 }
 
 // runAgent runs an agent, and control in the same process on machines whose disk counts: no machine runs a third process.
-func runAgent(ctx context.Context, settings *boot.Settings, reload <-chan *boot.Settings, log *logrus.Entry) error {
+func runAgent(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	if !settings.HoldsConfiguration() {
 		return agent.Run(ctx, settings, reload, log)
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	forAgent, forControl := make(chan *boot.Settings), make(chan *boot.Settings)
+	forAgent, forControl := make(chan *nodeconfig.Settings), make(chan *nodeconfig.Settings)
 	go func() {
 		for changed := range reload {
 			offer(ctx, forAgent, changed)
@@ -181,7 +181,7 @@
 }
 
 // runControl runs control, or where this machine's disk doesn't count what names a control process to the operator.
-func runControl(ctx context.Context, settings *boot.Settings, reload <-chan *boot.Settings, log *logrus.Entry) error {
+func runControl(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	if settings.HoldsConfiguration() {
 		return control.Run(ctx, settings, reload, log)
 	}
@@ -190,7 +190,7 @@
 }
 
 // offer hands settings to a role, unless it has ended.
-func offer(ctx context.Context, to chan<- *boot.Settings, changed *boot.Settings) {
+func offer(ctx context.Context, to chan<- *nodeconfig.Settings, changed *nodeconfig.Settings) {
 	select {
 	case to <- changed:
 	case <-ctx.Done():
@@ -198,8 +198,8 @@
 }
 
 // watch reads the settings file again after SIGHUP and now and then. A file that can't be used is passed over.
-func watch(ctx context.Context, hangups <-chan os.Signal, log *logrus.Entry) <-chan *boot.Settings {
-	changed := make(chan *boot.Settings)
+func watch(ctx context.Context, hangups <-chan os.Signal, log *logrus.Entry) <-chan *nodeconfig.Settings {
+	changed := make(chan *nodeconfig.Settings)
 	go func() {
 		ticker := time.NewTicker(reloadEvery)
 		defer ticker.Stop()
@@ -210,7 +210,7 @@
 			case <-hangups:
 			case <-ticker.C:
 			}
-			settings, err := boot.Load(boot.Path())
+			settings, err := nodeconfig.Load(nodeconfig.Path())
 			if err != nil {
 				log.WithError(err).Warn("the settings are kept")
 				continue
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -12,9 +12,9 @@
 	"github.com/sirupsen/logrus"
 	"github.com/zeebo/errs"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/gossip"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/transport"
 )
 
@@ -35,15 +35,15 @@
 
 // Agent is an agent process.
 type Agent struct {
-	settings *boot.Settings
+	settings *nodeconfig.Settings
 	log      *logrus.Entry
 	node     *gossip.Node
 	platform *gossip.Platform
 }
 
 // Run runs an agent until the context ends and its proxy is gone.
-func Run(ctx context.Context, settings *boot.Settings, reload <-chan *boot.Settings, log *logrus.Entry) error {
-	address := settings.Internal(settings.IP, boot.AgentPort)
+func Run(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
+	address := settings.Internal(settings.IP, nodeconfig.AgentPort)
 	a := &Agent{settings: settings, log: log, platform: gossip.NewPlatform(settings.Cloud.Address)}
 	a.node = gossip.New(settings, membership.Record{Kind: membership.Agent, Address: address}, transport.NewClient(), log)
 	feed, err := net.Listen("tcp4", settings.FeedAddress())
@@ -112,5 +112,5 @@
 // spacing is the pause after a failed reading at which all agents together keep half of the platform's rate.
 func (a *Agent) spacing() time.Duration {
 	facts, _ := a.node.Facts()
-	return min(boot.Seconds(4*float64(max(facts.Count, 1))/max(a.settings.Cloud.RatePerS, 1)), 2*time.Second) + checkEvery
+	return min(nodeconfig.Seconds(4*float64(max(facts.Count, 1))/max(a.settings.Cloud.RatePerS, 1)), 2*time.Second) + checkEvery
 }
--- a/internal/agent/gateway.go
+++ b/internal/agent/gateway.go
@@ -8,10 +8,10 @@
 	"github.com/gorilla/mux"
 	"github.com/sirupsen/logrus"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/configredirect"
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/gossip"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/transport"
 )
 
@@ -37,7 +37,7 @@
 }
 
 // attend gives changed settings to a node until the context ends, and has it leave then. It ends before with the error of a server that fails.
-func (s *servers) attend(ctx context.Context, node *gossip.Node, reload <-chan *boot.Settings) error {
+func (s *servers) attend(ctx context.Context, node *gossip.Node, reload <-chan *nodeconfig.Settings) error {
 	for {
 		select {
 		case err := <-s.failed:
@@ -53,19 +53,19 @@
 
 // standIn answers where a control process would be on this machine: the operator gets the address of one, and processes whose seeds
 // name this machine find it. router serves other processes of the fleet.
-func standIn(settings *boot.Settings, node *gossip.Node, router http.Handler, servers *servers) error {
+func standIn(settings *nodeconfig.Settings, node *gossip.Node, router http.Handler, servers *servers) error {
 	if err := servers.serve(settings.Listen.Control, configredirect.New(node.Members).Router()); err != nil {
 		return err
 	}
-	return servers.serve(settings.Internal(settings.IP, boot.ControlPort), router)
+	return servers.serve(settings.Internal(settings.IP, nodeconfig.ControlPort), router)
 }
 
 // RunGateway runs what stands in for control on a machine that holds no part of the configuration and has no proxy, until the context ends.
-func RunGateway(ctx context.Context, settings *boot.Settings, reload <-chan *boot.Settings, log *logrus.Entry) error {
+func RunGateway(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	if settings.Listen.Control == "" {
 		return Error.New("Listen.Control: an address for the operator is needed")
 	}
-	node := gossip.New(settings, membership.Record{Kind: membership.Gateway, Address: settings.Internal(settings.IP, boot.ControlPort)},
+	node := gossip.New(settings, membership.Record{Kind: membership.Gateway, Address: settings.Internal(settings.IP, nodeconfig.ControlPort)},
 		transport.NewClient(), log)
 	router := mux.NewRouter()
 	node.Register(router)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -16,10 +16,10 @@
 	"github.com/sirupsen/logrus"
 	"github.com/zeebo/errs"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/gossip"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/transport"
 )
 
@@ -42,7 +42,7 @@
 
 // Control is a control process.
 type Control struct {
-	settings  *boot.Settings
+	settings  *nodeconfig.Settings
 	log       *logrus.Entry
 	node      *gossip.Node
 	replica   *replica
@@ -52,7 +52,7 @@
 }
 
 // Run runs a control process until the context ends. reload tells that the settings file may have changed.
-func Run(ctx context.Context, settings *boot.Settings, reload <-chan *boot.Settings, log *logrus.Entry) error {
+func Run(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	opened, err := openReplica(settings, log)
 	if err != nil {
 		return err
@@ -64,7 +64,7 @@
 }
 
 // run serves until the context ends.
-func (c *Control) run(ctx context.Context, reload <-chan *boot.Settings) error {
+func (c *Control) run(ctx context.Context, reload <-chan *nodeconfig.Settings) error {
 	internal, err := listen(c.registrar.self.Address)
 	if err != nil {
 		return err
@@ -91,8 +91,8 @@
 	}
 }
 
-func newControl(settings *boot.Settings, opened *replica, client *transport.Client, log *logrus.Entry) *Control {
-	own := register.Voter{ID: opened.state().ID, Address: settings.Internal(settings.IP, boot.ControlPort)}
+func newControl(settings *nodeconfig.Settings, opened *replica, client *transport.Client, log *logrus.Entry) *Control {
+	own := register.Voter{ID: opened.state().ID, Address: settings.Internal(settings.IP, nodeconfig.ControlPort)}
 	c := &Control{settings: settings, log: log, replica: opened, platform: gossip.NewPlatform(settings.Cloud.Address),
 		follower: newFollower()}
 	c.node = gossip.New(settings, membership.Record{Kind: membership.Control, Address: own.Address, Voter: own.ID,
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -20,9 +20,9 @@
 	. "github.com/onsi/gomega"
 	"github.com/sirupsen/logrus"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/message"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/transport"
 )
 
@@ -139,12 +139,12 @@
 func (s *side) operator(i int) string { return fmt.Sprintf("%s:%d", s.ip(i), s.base+20) }
 func (s *side) data(i int) string     { return filepath.Join(s.dir, fmt.Sprint(i)) }
 
-func (s *side) settings(i int, bootstrap bool) *boot.Settings {
+func (s *side) settings(i int, bootstrap bool) *nodeconfig.Settings {
 	seeds := ""
 	for founder := range s.founders {
 		seeds += fmt.Sprintf("  - %q\n", s.operator(founder))
 	}
-	settings, err := boot.Parse(fmt.Appendf(nil, "NodeId: \"c%d\"\nIp: %q\nZone: z\nBootstrap: %v\nInternalPortRange: [%d, %d]\nSeeds:\n%sDataDir: %q\n"+
+	settings, err := nodeconfig.Parse(fmt.Appendf(nil, "NodeId: \"c%d\"\nIp: %q\nZone: z\nBootstrap: %v\nInternalPortRange: [%d, %d]\nSeeds:\n%sDataDir: %q\n"+
 		"FaultTolerance: {Machines: %d}\nBounds: {GraceS: 4}\nCloud: {Address: \"127.0.0.1:1\"}\nListen:\n  Control: %q\n",
 		i, s.ip(i), bootstrap, s.base, s.base+15, seeds, s.data(i), (s.founders-1)/2, s.operator(i)))
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/control/registrar.go
+++ b/internal/control/registrar.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/register"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/transport"
 )
 
@@ -101,7 +101,7 @@
 			pause = 0
 			continue
 		}
-		pause = boot.Seconds(backoff.Pause(time.Since(began).Seconds(), rand.Float64()))
+		pause = nodeconfig.Seconds(backoff.Pause(time.Since(began).Seconds(), rand.Float64()))
 	}
 }
 
@@ -251,7 +251,7 @@
 	if r.linkMbps <= 0 {
 		return 0
 	}
-	return boot.Seconds(float64(size) * 8 * shareOfLink / (r.linkMbps * 1e6))
+	return nodeconfig.Seconds(float64(size) * 8 * shareOfLink / (r.linkMbps * 1e6))
 }
 
 // Read returns the value that holds. Where voters differ it makes them agree first.
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -11,9 +11,9 @@
 	"github.com/sirupsen/logrus"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/message"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/store"
 )
 
@@ -58,7 +58,7 @@
 
 // openReplica reads the disk. A process without a state founds the register if it is one of the founders, else it gets an
 // identity that never voted.
-func openReplica(settings *boot.Settings, log *logrus.Entry) (*replica, error) {
+func openReplica(settings *nodeconfig.Settings, log *logrus.Entry) (*replica, error) {
 	opened, records, damage, err := store.Open(settings.DataDir)
 	if err != nil {
 		return nil, err
@@ -99,8 +99,8 @@
 }
 
 // newState returns the state of a disk without one. empty tells whether nothing was ever written to it.
-func newState(settings *boot.Settings, empty bool) register.State {
-	own := settings.Internal(settings.IP, boot.ControlPort)
+func newState(settings *nodeconfig.Settings, empty bool) register.State {
+	own := settings.Internal(settings.IP, nodeconfig.ControlPort)
 	founders := settings.SeedAddresses()
 	if empty && settings.Bootstrap && slices.Contains(founders, own) {
 		return register.State{ID: founderID(own), Value: founding(founders)}
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -10,13 +10,13 @@
 	"slices"
 	"time"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/election"
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/decide/stages"
 	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/message"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/routes"
 	"hazelwheel/internal/transport"
 )
@@ -48,7 +48,7 @@
 func newStageKeeper(c *Control) *stageKeeper {
 	k := &stageKeeper{control: c, planner: stages.New(), start: time.Now(),
 		http: &http.Client{Transport: &http.Transport{DialContext: transport.Dialer().DialContext, MaxIdleConnsPerHost: 1}}}
-	k.holder = election.New(stagesRole, c.settings.NodeID, boot.Millis(c.settings.Bounds.LeaseMs).Seconds(), k.now())
+	k.holder = election.New(stagesRole, c.settings.NodeID, nodeconfig.Millis(c.settings.Bounds.LeaseMs).Seconds(), k.now())
 	return k
 }
 
--- a/internal/control/stored_form_test.go
+++ b/internal/control/stored_form_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 	"github.com/sirupsen/logrus"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/register"
+	"hazelwheel/internal/nodeconfig"
 )
 
 // update writes the golden files anew. Only for a form that is new: disks of the version before must stay readable.
@@ -22,7 +22,7 @@
 
 // openStored opens the replica of a founder on a folder.
 func openStored(dir string) *replica {
-	settings, err := boot.Parse([]byte("NodeId: c0\nIp: 127.0.5.10\nZone: z\nBootstrap: true\nInternalPortRange: [20000, 20015]\nSeeds:\n" +
+	settings, err := nodeconfig.Parse([]byte("NodeId: c0\nIp: 127.0.5.10\nZone: z\nBootstrap: true\nInternalPortRange: [20000, 20015]\nSeeds:\n" +
 		"  - 127.0.5.10:20020\n  - 127.0.5.11:20020\n  - 127.0.5.12:20020\nFaultTolerance: {Machines: 1}\nBounds: {GraceS: 4}\n" +
 		"Cloud: {Address: \"127.0.0.1:1\"}\nListen: {Control: \"127.0.5.10:20020\"}\n"))
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/control/upkeep.go
+++ b/internal/control/upkeep.go
@@ -6,11 +6,11 @@
 	"sync"
 	"time"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/decide/reconfiguration"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/message"
+	"hazelwheel/internal/nodeconfig"
 )
 
 const (
@@ -144,7 +144,7 @@
 // awaitSuccession waits, once this process has told that it leaves, until it votes no longer. It does not wait where too few would
 // be left without it.
 func (c *Control) awaitSuccession() {
-	deadline := time.Now().Add(boot.Seconds(leavePart * c.settings.Bounds.GraceS))
+	deadline := time.Now().Add(nodeconfig.Seconds(leavePart * c.settings.Bounds.GraceS))
 	for time.Now().Before(deadline) {
 		facts, _ := c.node.Facts()
 		if !c.votes(&facts.Voters) || !c.isReplaceable() {
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -12,10 +12,10 @@
 	"github.com/gorilla/mux"
 	"github.com/sirupsen/logrus"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/message"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/transport"
 )
 
@@ -89,7 +89,7 @@
 }
 
 // New returns a node for the process of the settings. The record's name, address, zone and life are filled in.
-func New(settings *boot.Settings, self membership.Record, client *transport.Client, log *logrus.Entry) *Node {
+func New(settings *nodeconfig.Settings, self membership.Record, client *transport.Client, log *logrus.Entry) *Node {
 	self.Name, self.Zone = settings.NodeID+"/"+string(self.Kind), settings.Zone
 	self.Life = rand.Uint64()
 	self.Incarnation = uint64(max(time.Now().UnixMilli(), 1))
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -16,10 +16,10 @@
 	. "github.com/onsi/gomega"
 	"github.com/sirupsen/logrus"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/message"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/routes"
 	"hazelwheel/internal/transport"
 )
@@ -71,9 +71,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	for i := range size {
-		settings := &boot.Settings{NodeID: fmt.Sprint("n", i), IP: fmt.Sprint("127.0.4.", 10+i), InternalPortRange: []int{base, base + 15},
+		settings := &nodeconfig.Settings{NodeID: fmt.Sprint("n", i), IP: fmt.Sprint("127.0.4.", 10+i), InternalPortRange: []int{base, base + 15},
 			Seeds: []string{"127.0.4.10:1"}}
-		address := settings.Internal(settings.IP, boot.ControlPort)
+		address := settings.Internal(settings.IP, nodeconfig.ControlPort)
 		node := gossip.New(settings, membership.Record{Kind: membership.Agent, Address: address}, transport.NewClient(), logrus.NewEntry(log))
 		f.serve(address, node)
 		f.nodes = append(f.nodes, node)
--- a/internal/gossip/contact_test.go
+++ b/internal/gossip/contact_test.go
@@ -8,14 +8,14 @@
 	. "github.com/onsi/gomega"
 	"github.com/sirupsen/logrus"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/membership"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/transport"
 )
 
 var _ = Describe("the calls between control processes", func() {
 	It("reach each of many in turns", func() {
-		settings := &boot.Settings{NodeID: "self", Zone: "z"}
+		settings := &nodeconfig.Settings{NodeID: "self", Zone: "z"}
 		log := logrus.New()
 		n := New(settings, membership.Record{Kind: membership.Control, Address: "10.0.0.1:1"}, transport.NewClient(), log.WithField("node", "self"))
 		const others = 10
--- a/internal/gossip/facts_test.go
+++ b/internal/gossip/facts_test.go
@@ -8,10 +8,10 @@
 	. "github.com/onsi/gomega"
 	"github.com/sirupsen/logrus"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/message"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/transport"
 )
 
@@ -20,7 +20,7 @@
 	BeforeEach(func() {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		n = New(&boot.Settings{NodeID: "self", Zone: "z"}, membership.Record{Kind: membership.Agent, Address: "127.0.0.1:1"}, transport.NewClient(),
+		n = New(&nodeconfig.Settings{NodeID: "self", Zone: "z"}, membership.Record{Kind: membership.Agent, Address: "127.0.0.1:1"}, transport.NewClient(),
 			log.WithField("node", "self"))
 	})
 	facts := func() Facts {
--- a/internal/boot/boot_test.go
+++ b/internal/nodeconfig/boot_test.go
@@ -1,4 +1,4 @@
-package boot_test
+package nodeconfig_test
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"hazelwheel/internal/boot"
+	"hazelwheel/internal/nodeconfig"
 )
 
 func TestBoot(t *testing.T) {
@@ -36,16 +36,16 @@
 
 var _ = Describe("the settings file", func() {
 	It("is read, fields that are not known passed over", func() {
-		settings, err := boot.Parse([]byte(sound))
+		settings, err := nodeconfig.Parse([]byte(sound))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.NodeID).To(Equal("edge-1"))
 		Expect(settings.DataDir).To(BeEmpty())
 		Expect(settings.SeedAddresses()).To(Equal([]string{"10.1.0.16:7720"}))
-		Expect(settings.Internal("10.9.9.9", boot.AgentPort)).To(Equal("10.9.9.9:7721"))
+		Expect(settings.Internal("10.9.9.9", nodeconfig.AgentPort)).To(Equal("10.9.9.9:7721"))
 	})
 
 	DescribeTable("names line and field of a fault", func(was, is, line, field string) {
-		_, err := boot.Parse([]byte(strings.Replace(sound, was, is, 1)))
+		_, err := nodeconfig.Parse([]byte(strings.Replace(sound, was, is, 1)))
 		Expect(err).To(MatchError(ContainSubstring(field)))
 		Expect(err).To(MatchError(ContainSubstring(line)))
 		Expect(strings.Count(err.Error(), "\n")).To(BeZero())
@@ -60,14 +60,14 @@
 	)
 
 	It("names the file that is not there", func() {
-		_, err := boot.Load("/nowhere/boot.yaml")
+		_, err := nodeconfig.Load("/nowhere/boot.yaml")
 		Expect(err).To(MatchError(ContainSubstring("/nowhere/boot.yaml")))
 	})
 })
 
 var _ = Describe("bounds that can't be kept together", func() {
-	settings := func(extra string) *boot.Settings {
-		parsed, err := boot.Parse([]byte(sound + "CountsForQuorum: true\nFaultTolerance: {Machines: 1}\n" + extra))
+	settings := func(extra string) *nodeconfig.Settings {
+		parsed, err := nodeconfig.Parse([]byte(sound + "CountsForQuorum: true\nFaultTolerance: {Machines: 1}\n" + extra))
 		Expect(err).NotTo(HaveOccurred())
 		parsed.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 		return parsed
@@ -92,7 +92,7 @@
 
 var _ = Describe("the number of voters", func() {
 	DescribeTable("bears what may be lost at once", func(machines, zones, regions, want int) {
-		tolerance := boot.FaultTolerance{Machines: machines, Zones: zones, Regions: regions}
+		tolerance := nodeconfig.FaultTolerance{Machines: machines, Zones: zones, Regions: regions}
 		Expect(tolerance.Voters()).To(Equal(want))
 	},
 		Entry("nothing", 0, 0, 0, 1),
@@ -103,16 +103,16 @@
 
 	It("needs an address for the operator where the machine's disk counts, and only there", func() {
 		counting := strings.Replace(sound, "DataDir: null", "DataDir: /data\nCountsForQuorum: true", 1)
-		settings, err := boot.Parse([]byte(counting))
+		settings, err := nodeconfig.Parse([]byte(counting))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.HoldsConfiguration()).To(BeTrue())
 		Expect(settings.CheckControl()).To(MatchError(ContainSubstring("line 4: Listen.Control")))
-		settings, err = boot.Parse([]byte(strings.Replace(counting, "Listen:\n", "Listen:\n  Control: 10.1.0.13:8162\n", 1)))
+		settings, err = nodeconfig.Parse([]byte(strings.Replace(counting, "Listen:\n", "Listen:\n  Control: 10.1.0.13:8162\n", 1)))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.CheckControl()).To(Succeed())
 		for _, without := range []string{sound, strings.Replace(sound, "DataDir: null", "DataDir: /data", 1),
 			strings.Replace(sound, "DataDir: null", "CountsForQuorum: true", 1)} {
-			settings, err = boot.Parse([]byte(without))
+			settings, err = nodeconfig.Parse([]byte(without))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(settings.HoldsConfiguration()).To(BeFalse())
 			Expect(settings.CheckControl()).To(Succeed())
--- a/internal/boot/examine.go
+++ b/internal/nodeconfig/examine.go
@@ -1,4 +1,4 @@
-package boot
+package nodeconfig
 
 import (
 	"errors"
--- a/internal/boot/settings_form_test.go
+++ b/internal/nodeconfig/settings_form_test.go
@@ -1,4 +1,4 @@
-package boot_test
+package nodeconfig_test
 
 import (
 	"os"
@@ -10,23 +10,23 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/boot"
+	"hazelwheel/internal/nodeconfig"
 )
 
 // TestSettingsKeys pins the keys of the settings file.
 func TestSettingsKeys(t *testing.T) {
-	settings, err := boot.Load(filepath.Join("testdata", "settings.yaml"))
+	settings, err := nodeconfig.Load(filepath.Join("testdata", "settings.yaml"))
 	require.NoError(t, err)
-	want := boot.Settings{
+	want := nodeconfig.Settings{
 		NodeID: "core-1", IP: "10.1.0.16", Zone: "north", Region: "east", Zones: map[string]string{"north": "east", "south": "east"},
-		Listen:            boot.Listen{Front: "10.1.0.16:8161", Ready: "10.1.0.16:8162", Control: "10.1.0.16:8163"},
+		Listen:            nodeconfig.Listen{Front: "10.1.0.16:8161", Ready: "10.1.0.16:8162", Control: "10.1.0.16:8163"},
 		InternalPortRange: []int{7720, 7735}, Seeds: []string{"10.1.0.16:8166", "10.1.0.17:8166", "10.1.0.18:8166"},
 		Bootstrap: true, CountsForQuorum: true,
-		Limits:  boot.Limits{MemoryMB: 512, MaxFDs: 4096, DiskMB: 1024, LinkMbps: 120.5, CPUShare: 0.5},
-		DataDir: "/data", HeartbeatMs: 900.5, FaultTolerance: boot.FaultTolerance{Machines: 1, Zones: 2, Regions: 3},
-		Bounds: boot.Bounds{ContactMs: 3001, AckMs: 4001, DrainMs: 3002, GraceS: 9, ConfigApplyMs: 2001, RetryBudgetRatio: 0.2, BudgetWindowS: 11,
+		Limits:  nodeconfig.Limits{MemoryMB: 512, MaxFDs: 4096, DiskMB: 1024, LinkMbps: 120.5, CPUShare: 0.5},
+		DataDir: "/data", HeartbeatMs: 900.5, FaultTolerance: nodeconfig.FaultTolerance{Machines: 1, Zones: 2, Regions: 3},
+		Bounds: nodeconfig.Bounds{ContactMs: 3001, AckMs: 4001, DrainMs: 3002, GraceS: 9, ConfigApplyMs: 2001, RetryBudgetRatio: 0.2, BudgetWindowS: 11,
 			BudgetSlack: 1.5, ReuseAfterS: 2.5, CatchUpS: 4.5, RecoveryS: 12.5, AgainS: 8.5, LeaseMs: 3003, Fenced: true},
-		Cloud: boot.Cloud{Address: "10.200.0.79:8169", RatePerS: 2.5, LagMs: 1001},
+		Cloud: nodeconfig.Cloud{Address: "10.200.0.79:8169", RatePerS: 2.5, LagMs: 1001},
 	}
 	for _, value := range []any{want, want.Listen, want.Limits, want.FaultTolerance, want.Bounds, want.Cloud} {
 		fields := reflect.ValueOf(value)
@@ -38,11 +38,11 @@
 			}
 		}
 	}
-	assert.Empty(t, boot.Examine(golden(t, "settings.yaml")).Unknown)
+	assert.Empty(t, nodeconfig.Examine(golden(t, "settings.yaml")).Unknown)
 }
 
 // exported returns the part of settings that has the type of a value.
-func exported(settings boot.Settings, like any) reflect.Value {
+func exported(settings nodeconfig.Settings, like any) reflect.Value {
 	for _, part := range []any{settings, settings.Listen, settings.Limits, settings.FaultTolerance, settings.Bounds, settings.Cloud} {
 		if reflect.TypeOf(part) == reflect.TypeOf(like) {
 			return reflect.ValueOf(part)
@@ -53,17 +53,17 @@
 
 // TestSettingsDefaults pins the figures that stand in for those that a file leaves out.
 func TestSettingsDefaults(t *testing.T) {
-	settings, err := boot.Parse([]byte("NodeId: a\nIp: 10.1.0.16\nInternalPortRange: [7720, 7735]\n"))
+	settings, err := nodeconfig.Parse([]byte("NodeId: a\nIp: 10.1.0.16\nInternalPortRange: [7720, 7735]\n"))
 	require.NoError(t, err)
 	assert.Equal(t, 1000.0, settings.HeartbeatMs)
-	assert.Equal(t, boot.Bounds{ContactMs: 3000, AckMs: 4000, DrainMs: 3000, GraceS: 8, ConfigApplyMs: 2000, RetryBudgetRatio: 0.1,
+	assert.Equal(t, nodeconfig.Bounds{ContactMs: 3000, AckMs: 4000, DrainMs: 3000, GraceS: 8, ConfigApplyMs: 2000, RetryBudgetRatio: 0.1,
 		BudgetWindowS: 10, ReuseAfterS: 2, AgainS: 8, LeaseMs: 3000, Fenced: true, CatchUpS: 4, RecoveryS: 12}, settings.Bounds)
-	assert.Equal(t, boot.Cloud{RatePerS: 1, LagMs: 1000}, settings.Cloud)
+	assert.Equal(t, nodeconfig.Cloud{RatePerS: 1, LagMs: 1000}, settings.Cloud)
 }
 
 // TestSettingsErrors pins the form of errors: operators' tools read place and text.
 func TestSettingsErrors(t *testing.T) {
-	report := boot.Examine(golden(t, "faults.yaml"))
+	report := nodeconfig.Examine(golden(t, "faults.yaml"))
 	assert.Nil(t, report.Settings)
 	var lines []string
 	for _, found := range report.Faults {
@@ -74,9 +74,9 @@
 	}
 	assert.Equal(t, string(golden(t, "faults.txt")), strings.Join(lines, "\n")+"\n")
 
-	_, err := boot.Load(filepath.Join("testdata", "faults.yaml"))
+	_, err := nodeconfig.Load(filepath.Join("testdata", "faults.yaml"))
 	assert.EqualError(t, err, `settings: testdata/faults.yaml: line 1: NodeId: a name is missing`)
-	_, err = boot.Parse([]byte("a: [1"))
+	_, err = nodeconfig.Parse([]byte("a: [1"))
 	assert.EqualError(t, err, `line 1: did not find expected ',' or ']'`)
 }
 
--- a/internal/proxy/misdirected_test.go
+++ b/internal/proxy/misdirected_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/message"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/routes"
 )
 
@@ -74,7 +74,7 @@
 func promptFront(t *testing.T, servers ...*modelServer) *httptest.Server {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	settings := &boot.Settings{NodeID: "n", Zone: "z", Bounds: boot.Bounds{RetryBudgetRatio: 0.2, BudgetWindowS: 10, BudgetSlack: 100, AgainS: 8}}
+	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowS: 10, BudgetSlack: 100, AgainS: 8}}
 	p := newProxy(settings, logrus.NewEntry(log))
 	table, err := message.PackTable(&routes.Table{Version: 1, Routes: []routes.Route{route(routes.Streaming)}, Services: []routes.Service{{Name: "s",
 		HealthPath: "/health", MaxConnections: 100, Engine: &routes.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLS: 5}}},
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -8,8 +8,8 @@
 
 	"golang.org/x/time/rate"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/placement"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/routes"
 )
 
@@ -64,7 +64,7 @@
 // add counts a stream of a route that was served.
 func (c *streamCounts) add(route *routes.Route, arrived time.Time, times *streamTimes) {
 	c.Served++
-	target := boot.Millis(route.TargetMs)
+	target := nodeconfig.Millis(route.TargetMs)
 	switch {
 	case target > 0 && times.first.Sub(arrived) > target:
 		if !times.read.IsZero() && float64(times.read.Sub(arrived)) > readingPart*float64(target) {
@@ -72,7 +72,7 @@
 		} else {
 			c.LateFirst++
 		}
-	case route.GapMs > 0 && times.pause > boot.Millis(route.GapMs):
+	case route.GapMs > 0 && times.pause > nodeconfig.Millis(route.GapMs):
 		c.LatePause++
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -13,8 +13,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/zeebo/errs"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/message"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/transport"
 )
 
@@ -36,7 +36,7 @@
 
 // Proxy is a proxy process.
 type Proxy struct {
-	settings *boot.Settings
+	settings *nodeconfig.Settings
 	log      *logrus.Entry
 	state    *state
 	backends *backends
@@ -44,12 +44,12 @@
 	leaving  atomic.Bool
 }
 
-func newProxy(settings *boot.Settings, log *logrus.Entry) *Proxy {
+func newProxy(settings *nodeconfig.Settings, log *logrus.Entry) *Proxy {
 	return &Proxy{settings: settings, log: log, state: newState(settings), backends: newBackends(), observed: newObservations()}
 }
 
 // Run serves until the context ends and the requests that were taken are served.
-func Run(ctx context.Context, settings *boot.Settings, log *logrus.Entry) error {
+func Run(ctx context.Context, settings *nodeconfig.Settings, log *logrus.Entry) error {
 	p := newProxy(settings, log)
 	front, err := net.Listen("tcp4", settings.Listen.Front)
 	if err != nil {
--- a/internal/proxy/proxy_suite_test.go
+++ b/internal/proxy/proxy_suite_test.go
@@ -15,8 +15,8 @@
 	. "github.com/onsi/gomega"
 	"github.com/sirupsen/logrus"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/message"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/routes"
 )
 
@@ -173,7 +173,7 @@
 
 // startProxy begins a proxy with one route and these servers. The budget allows some repeats.
 func startProxy(r routes.Route, engine bool, servers ...*server) (*Proxy, *httptest.Server) {
-	settings := &boot.Settings{NodeID: "n", Zone: "z", Bounds: boot.Bounds{RetryBudgetRatio: 0.2, BudgetWindowS: 10, BudgetSlack: 100, AgainS: 8}}
+	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowS: 10, BudgetSlack: 100, AgainS: 8}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	p := newProxy(settings, logrus.NewEntry(log))
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -5,15 +5,15 @@
 	"sync"
 	"time"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/decide/placement"
 	"hazelwheel/internal/message"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/routes"
 )
 
 // state holds what the decisions know. All of it is guarded by one lock, which is never held during I/O.
 type state struct {
-	settings *boot.Settings
+	settings *nodeconfig.Settings
 	start    time.Time
 	begun    chan struct{} // closed once requests can be served
 
@@ -29,7 +29,7 @@
 	planners map[string]*placement.Planner
 }
 
-func newState(settings *boot.Settings) *state {
+func newState(settings *nodeconfig.Settings) *state {
 	return &state{settings: settings, start: time.Now(), begun: make(chan struct{}), pools: map[string]*placement.Pool{}, planners: map[string]*placement.Planner{}}
 }
 
--- a/internal/proxy/wire_form_test.go
+++ b/internal/proxy/wire_form_test.go
@@ -15,8 +15,8 @@
 	. "github.com/onsi/gomega"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hazelwheel/internal/boot"
 	"hazelwheel/internal/message"
+	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/routes"
 )
 
@@ -52,7 +52,7 @@
 
 var _ = Describe("the form of what a proxy and its agent exchange over loopback", func() {
 	It("is the same: the feed is read, the report has its bytes", func() {
-		settings, err := boot.Parse([]byte("NodeId: n\nIp: 127.0.6.10\nZone: z\nInternalPortRange: [21500, 21515]\nSeeds:\n  - 127.0.6.10:21520\n" +
+		settings, err := nodeconfig.Parse([]byte("NodeId: n\nIp: 127.0.6.10\nZone: z\nInternalPortRange: [21500, 21515]\nSeeds:\n  - 127.0.6.10:21520\n" +
 			"Cloud: {Address: \"127.0.0.1:1\"}\nListen: {Front: \"127.0.6.10:21521\", Ready: \"127.0.6.10:21522\"}\n"))
 		Expect(err).NotTo(HaveOccurred())
 		listener, err := net.Listen("tcp4", settings.FeedAddress())
