--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -17,9 +17,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/lab/troupe"
 	"hazelwheel/internal/maintenanceplan"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/sim"
 	"hazelwheel/internal/sim/crowd"
 	"hazelwheel/internal/world"
@@ -80,8 +80,8 @@
 		return fault(fmt.Errorf("for: %v is not 5s to 1h", s.For))
 	case len(s.Jobs) > 0 && s.Sidecars < 3:
 		return fault(errors.New("jobs: there must be three sidecars at least, which agree on who owns them"))
-	case slices.ContainsFunc(s.Jobs, func(name string) bool { return !slices.Contains(config.Jobs, name) }):
-		return fault(fmt.Errorf("jobs: want some of %v", config.Jobs))
+	case slices.ContainsFunc(s.Jobs, func(name string) bool { return !slices.Contains(sidecarconfig.Jobs, name) }):
+		return fault(fmt.Errorf("jobs: want some of %v", sidecarconfig.Jobs))
 	case s.Trials > 0 && (len(s.Jobs) == 0 || s.Draw || c.String("script") != "" || c.Bool("simulated")):
 		return fault(errors.New("trials: want --jobs, and neither --draw, --script nor --simulated"))
 	case c.Int("fleets") < 1 || c.Int("fleets") > 16:
--- a/cmd/hazellab/sidecar.go
+++ b/cmd/hazellab/sidecar.go
@@ -11,9 +11,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/features"
 	"hazelwheel/internal/process"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 func sidecarCommand() *cli.Command {
@@ -28,7 +28,7 @@
 			hangups := make(chan os.Signal, 1)
 			signal.Notify(hangups, syscall.SIGHUP)
 			path := c.String("config")
-			cfg, err := config.Load(path, os.Getenv)
+			cfg, err := sidecarconfig.Load(path, os.Getenv)
 			if err != nil {
 				return fault(err)
 			}
@@ -45,7 +45,7 @@
 				return err
 			}
 			defer pprof.StopCPUProfile()
-			return s.Run(hangups, nil, func() (config.Config, error) { return cfg.Reload(path, os.Getenv) })
+			return s.Run(hangups, nil, func() (sidecarconfig.Config, error) { return cfg.Reload(path, os.Getenv) })
 		},
 	}
 }
--- a/cmd/hazelwheel/clients.go
+++ b/cmd/hazelwheel/clients.go
@@ -14,13 +14,13 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/decide/admission"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 // showClients prints who holds which connections at the running sidecar. One that can't be reached ends with 1.
 func showClients(ctx context.Context, c *cli.Command) error {
-	cfg, err := config.Load(c.String("config"), os.Getenv)
+	cfg, err := sidecarconfig.Load(c.String("config"), os.Getenv)
 	if err != nil {
 		return err
 	}
--- a/cmd/hazelwheel/drill.go
+++ b/cmd/hazelwheel/drill.go
@@ -14,8 +14,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/front/http1"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 // startWithinS is how long a running sidecar may take to answer; it answers at once or not at all.
@@ -24,7 +24,7 @@
 // startDrill has the running sidecar start a drill. A sidecar that can't be reached is no fault of the operator's
 // word, and ends with 1; a word that it does not take ends with 2.
 func startDrill(ctx context.Context, c *cli.Command) error {
-	cfg, err := config.Load(c.String("config"), os.Getenv)
+	cfg, err := sidecarconfig.Load(c.String("config"), os.Getenv)
 	if err != nil {
 		return err
 	}
--- a/cmd/hazelwheel/main.go
+++ b/cmd/hazelwheel/main.go
@@ -15,11 +15,11 @@
 	"github.com/urfave/cli/v3"
 
 	"hazelwheel/internal/capture"
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/features"
 	"hazelwheel/internal/front/ops"
 	"hazelwheel/internal/netio/sockets"
 	"hazelwheel/internal/process"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 func main() {
@@ -30,7 +30,7 @@
 }
 
 func command() *cli.Command {
-	file := &cli.StringFlag{Name: "config", Usage: "the configuration `FILE`", Sources: cli.EnvVars(config.EnvFile)}
+	file := &cli.StringFlag{Name: "config", Usage: "the configuration `FILE`", Sources: cli.EnvVars(sidecarconfig.EnvFile)}
 	extras := &cli.StringFlag{Name: "features", Usage: "the operators' `FILE` of features; without it all are off"}
 	drill := []cli.Flag{file, &cli.StringFlag{Name: "name", Usage: "the drill's `NAME`", Required: true},
 		&cli.StringFlag{Name: "secret-file", Usage: "the `FILE` that holds the secret", Required: true}}
@@ -62,8 +62,8 @@
 }
 
 // load reads the configuration and the file of features, if one is named.
-func load(c *cli.Command) (cfg config.Config, on features.Features, err error) {
-	if cfg, err = config.Load(c.String("config"), os.Getenv); err != nil {
+func load(c *cli.Command) (cfg sidecarconfig.Config, on features.Features, err error) {
+	if cfg, err = sidecarconfig.Load(c.String("config"), os.Getenv); err != nil {
 		return cfg, on, fault(err)
 	}
 	if path := c.String("features"); path != "" {
@@ -105,7 +105,7 @@
 	}
 	advice := adviser{log, map[string]bool{}}
 	advice.look(c.String("config"), c.String("features"))
-	err = s.Run(hangups, dumps, func() (config.Config, error) {
+	err = s.Run(hangups, dumps, func() (sidecarconfig.Config, error) {
 		advice.look(c.String("config"), c.String("features"))
 		return cfg.Reload(c.String("config"), os.Getenv)
 	})
--- a/cmd/hazelwheel/quota.go
+++ b/cmd/hazelwheel/quota.go
@@ -13,11 +13,11 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/decide/quota"
 	"hazelwheel/internal/front/http1"
 	"hazelwheel/internal/quotas"
 	played "hazelwheel/internal/quotas/replay"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 // quotaCommands ask the running sidecar for its quotas, or try a file of groups out.
@@ -38,7 +38,7 @@
 
 // askQuotas gets what the running sidecar says of its quotas. One that can't be reached, or has none, ends with 1.
 func askQuotas(ctx context.Context, c *cli.Command, query string, told any) (raw []byte, err error) {
-	cfg, err := config.Load(c.String("config"), os.Getenv)
+	cfg, err := sidecarconfig.Load(c.String("config"), os.Getenv)
 	if err != nil {
 		return nil, err
 	}
--- a/example/thrift/main.go
+++ b/example/thrift/main.go
@@ -13,9 +13,9 @@
 	"os"
 	"time"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/features"
 	"hazelwheel/internal/process"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/thrift"
 )
 
@@ -65,7 +65,7 @@
 }
 
 // configuration returns what the platform and the operators tell the sidecar.
-func configuration(discovery string, boxes []object) (cfg config.Config, on features.Features, err error) {
+func configuration(discovery string, boxes []object) (cfg sidecarconfig.Config, on features.Features, err error) {
 	var free [2]string
 	for i := range free {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -82,7 +82,7 @@
 			"limits":  object{"cancel": true, "sendCap": 3, "maxRetryAfterS": 1, "connIdleS": 60, "connectTimeoutS": 1},
 			"report":  object{"how": "off"}}})
 	if err == nil {
-		cfg, err = config.Parse(raw)
+		cfg, err = sidecarconfig.Parse(raw)
 	}
 	if err != nil {
 		return cfg, on, err
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -16,13 +16,13 @@
 	"strings"
 
 	"hazelwheel/internal/capture"
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/decide/admission"
 	"hazelwheel/internal/drill"
 	"hazelwheel/internal/health"
 	"hazelwheel/internal/http1"
 	"hazelwheel/internal/quotas"
 	"hazelwheel/internal/rewrite"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 // Features is what the file switches on; the zero value is none.
@@ -88,7 +88,7 @@
 }
 
 // Load reads the file at path, for the program that c configures.
-func Load(path string, c *config.Config) (Features, error) {
+func Load(path string, c *sidecarconfig.Config) (Features, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return Features{}, fmt.Errorf("features: %w", err)
@@ -101,7 +101,7 @@
 }
 
 // Parse reads the file's text.
-func Parse(raw []byte, c *config.Config) (f Features, err error) {
+func Parse(raw []byte, c *sidecarconfig.Config) (f Features, err error) {
 	o, err := readObject("", raw)
 	if err != nil {
 		return f, err
@@ -117,7 +117,7 @@
 	return f, o.rest()
 }
 
-func (f *Features) readDrills(o *object, c *config.Config) {
+func (f *Features) readDrills(o *object, c *sidecarconfig.Config) {
 	names := map[string]bool{}
 	for _, e := range o.list("drills") {
 		d := drill.Drill{Abort: "none", DurationS: 60}
@@ -141,7 +141,7 @@
 	})
 }
 
-func (f *Features) readRewrites(o *object, c *config.Config) {
+func (f *Features) readRewrites(o *object, c *sidecarconfig.Config) {
 	field(o, "rewrites.forwarded", &f.Rewrites.Forwarded, "true or false", func(bool) bool { return true })
 	name := func(s string) bool { return http1.Token(s) && rewrite.Free(s) }
 	const wantName = "the name of a header field that is neither protected nor hop-by-hop"
@@ -173,7 +173,7 @@
 	}
 }
 
-func (f *Features) readHealth(o *object, c *config.Config) {
+func (f *Features) readHealth(o *object, c *sidecarconfig.Config) {
 	f.Health = health.Settings{MaxListAgeMS: 6000, MinUsable: 1, MaxInflight: 256}
 	o.unfold("health", "port", "max_list_age_ms", "min_usable", "max_inflight")
 	field(o, "health.port", &f.Health.Port, "1 to 65535, and not the port of the listen address", func(v int) bool {
@@ -186,7 +186,7 @@
 }
 
 // readCapture takes any word of capture for a switch; an empty object is one with nothing but defaults.
-func (f *Features) readCapture(o *object, cfg *config.Config) {
+func (f *Features) readCapture(o *object, cfg *sidecarconfig.Config) {
 	c := &f.Capture
 	c.MaxBytes, c.Files = 512<<10, 4
 	for name := range o.fields {
@@ -206,7 +206,7 @@
 }
 
 // readAdmission takes the bounds on what clients may hold.
-func (f *Features) readAdmission(o *object, cfg *config.Config) {
+func (f *Features) readAdmission(o *object, cfg *sidecarconfig.Config) {
 	a := &f.Admission
 	o.unfold("admission", "reserve", "per_address", "waiting_bytes", "caps", "known")
 	most := cfg.Limits.Sockets / 4
@@ -251,7 +251,7 @@
 	return p.Masked(), err
 }
 
-func hasClass(c *config.Config, name string) bool {
+func hasClass(c *sidecarconfig.Config, name string) bool {
 	for _, class := range c.Settings.Policy.Classes {
 		if class.Name == name {
 			return true
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/require"
 
 	"hazelwheel/internal/capture"
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/decide/admission"
 	"hazelwheel/internal/drill"
 	"hazelwheel/internal/health"
 	"hazelwheel/internal/rewrite"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/thrift"
 	"hazelwheel/policy"
 )
@@ -23,7 +23,7 @@
 const hash = "2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae"
 
 func read(text string) (Features, error) {
-	c := config.Config{Listen: "127.0.0.1:3000", Limits: config.Limits{MemoryMB: 64, Sockets: 1024}}
+	c := sidecarconfig.Config{Listen: "127.0.0.1:3000", Limits: sidecarconfig.Limits{MemoryMB: 64, Sockets: 1024}}
 	c.Settings.Policy.Classes = []policy.Class{{Name: "latest-reading"}, {Name: "log-calibration"}}
 	return Parse([]byte(text), &c)
 }
@@ -80,7 +80,7 @@
 	f, err = read(`{}`)
 	require.NoError(t, err)
 	assert.False(t, f.Drills.List != nil || f.Drills.Secret != nil || f.Rewrites.On() || f.Health.On() || f.Capture.On || f.Admission.On() || f.Thrift.On(), "what is not named is off")
-	_, err = Load(filepath.Join(t.TempDir(), "none.json"), &config.Config{})
+	_, err = Load(filepath.Join(t.TempDir(), "none.json"), &sidecarconfig.Config{})
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
--- a/internal/features/fleet.go
+++ b/internal/features/fleet.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"hazelwheel/internal/config"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 // Fleet says how this sidecar is found by others of its fleet, and whom it looks for; without a Name it looks for none.
@@ -30,7 +30,7 @@
 // mostJoin bounds the addresses to begin with.
 const mostJoin = 64
 
-func (f *Features) readFleet(o *object, c *config.Config) {
+func (f *Features) readFleet(o *object, c *sidecarconfig.Config) {
 	if _, on := o.fields["fleet"]; !on {
 		return
 	}
@@ -48,10 +48,10 @@
 		}
 		return true
 	})
-	field(p, "advertise", &f.Fleet.Advertise, "the address and port at which others reach it", config.Dialable)
+	field(p, "advertise", &f.Fleet.Advertise, "the address and port at which others reach it", sidecarconfig.Dialable)
 	field(p, "join", &f.Fleet.Join, "a list of at most 64 addresses with their ports", func(all []string) bool {
 		for _, s := range all {
-			if !config.Dialable(s) {
+			if !sidecarconfig.Dialable(s) {
 				return false
 			}
 		}
@@ -60,15 +60,15 @@
 	field(p, "dir", &f.Fleet.Dir, "the path of a folder", func(s string) bool { return s != "" })
 	field(p, "electors", &f.Fleet.Electors, "a list of 3, 5 or 7 different addresses with their ports, the same at all sidecars", func(all []string) bool {
 		for i, s := range all {
-			if !config.Dialable(s) || slices.Contains(all[:i], s) {
+			if !sidecarconfig.Dialable(s) || slices.Contains(all[:i], s) {
 				return false
 			}
 		}
 		return len(all) == 3 || len(all) == 5 || len(all) == 7
 	})
-	field(p, "jobs", &f.Fleet.Jobs, "a list of jobs, each once: "+strings.Join(config.Jobs, ", "), func(all []string) bool {
+	field(p, "jobs", &f.Fleet.Jobs, "a list of jobs, each once: "+strings.Join(sidecarconfig.Jobs, ", "), func(all []string) bool {
 		for i, s := range all {
-			if !slices.Contains(config.Jobs, s) || slices.Contains(all[:i], s) {
+			if !slices.Contains(sidecarconfig.Jobs, s) || slices.Contains(all[:i], s) {
 				return false
 			}
 		}
--- a/internal/features/fleet_test.go
+++ b/internal/features/fleet_test.go
@@ -5,12 +5,12 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"hazelwheel/internal/config"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 // Each fault in fleet is one line that names the field.
 func TestFleetFaults(t *testing.T) {
-	c := &config.Config{Listen: "127.0.0.1:3000", Ops: "127.0.0.1:3009"}
+	c := &sidecarconfig.Config{Listen: "127.0.0.1:3000", Ops: "127.0.0.1:3009"}
 	for text, want := range map[string]string{
 		`{"fleet": {}}`: "fleet.name: missing",
 		`{"fleet": {"name": "a b", "listen": "10.0.0.1:7946"}}`:                                                     "fleet.name: want the fleet's name, of at most 64 letters, digits, '.', '_' and '-'",
--- a/internal/features/quotas.go
+++ b/internal/features/quotas.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"strings"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/http1"
 	"hazelwheel/internal/quotas"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 // readQuotas takes the settings of quotas and reads the file of groups that they name.
-func (f *Features) readQuotas(o *object, cfg *config.Config) {
+func (f *Features) readQuotas(o *object, cfg *sidecarconfig.Config) {
 	_, whole := o.fields["quotas"]
 	for name := range o.fields {
 		whole = whole || strings.HasPrefix(name, "quotas.")
@@ -65,7 +65,7 @@
 }
 
 // readIdentity takes one rule by which a request's group is known.
-func readIdentity(e *object, cfg *config.Config) (r quotas.Rule) {
+func readIdentity(e *object, cfg *sidecarconfig.Config) (r quotas.Rule) {
 	ways := 0
 	for _, way := range []string{"header", "class", "addresses"} {
 		if _, ok := e.fields[way]; ok {
--- a/internal/features/thrift.go
+++ b/internal/features/thrift.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"hazelwheel/internal/config"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/thrift"
 )
 
@@ -34,7 +34,7 @@
 // On tells whether Thrift is spoken.
 func (t *Thrift) On() bool { return t.Listen != "" }
 
-func (f *Features) readThrift(o *object, c *config.Config) {
+func (f *Features) readThrift(o *object, c *sidecarconfig.Config) {
 	if _, on := o.fields["thrift"]; !on {
 		return
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -16,12 +16,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/features"
 	"hazelwheel/internal/front/http1"
 	thriftfront "hazelwheel/internal/front/thrift"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/sidecar"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/thrift"
 )
 
@@ -164,7 +164,7 @@
 		{"name":"write","effect":"single_shot","objectiveS":5,"giveUpS":10,"importance":1}],"report":{"how":"off"},
 		"limits":{"cancel":true,"probes":false,"sendCap":3,"maxRetryAfterS":1.5,"connIdleS":60,"connectTimeoutS":5}}`)})
 	require.NoError(t, err)
-	cfg, err := config.Parse(raw)
+	cfg, err := sidecarconfig.Parse(raw)
 	require.NoError(t, err)
 	on, err := features.Parse([]byte(`{"thrift":{"listen":"127.0.0.1:2","classes":[
 		{"class":"read","methods":["read"],"id":"1","key":"2","patience_us":"3"},{"class":"alert","methods":["alert"],"id":"1","key":"2","patience_us":"3"},
--- a/internal/front/http1/fields_test.go
+++ b/internal/front/http1/fields_test.go
@@ -6,13 +6,13 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/rewrite"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/policy"
 )
 
 func TestReports(t *testing.T) {
-	var cfg config.Config
+	var cfg sidecarconfig.Config
 	cfg.Settings.ReportFields = []string{"cpu_share", "failed_ps", "pending"}
 	f := New(cfg, rewrite.Settings{})
 	for _, text := range []string{"util=0.61,eps=0,queue=2", " pending=2,extra=5,cpu_share=0.61,odd,failed_ps=0\n"} {
@@ -30,13 +30,13 @@
 // A request without a tenant, or of one that the settings do not name, is nobody's. Danger: as the first tenant's all of them are
 // beyond its share, and go last.
 func TestTenants(t *testing.T) {
-	var cfg config.Config
+	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Tenants = []policy.Tenant{{Name: "north"}, {Name: "south"}}
 	f := New(cfg, rewrite.Settings{})
 	for text, want := range map[string]int{"north": 0, "south": 1, "0": 0, "1": 1, "2": -1, "-1": -1, "": -1, "other": -1} {
 		assert.Equal(t, want, f.tenant(text), text)
 	}
-	assert.Equal(t, -1, New(config.Config{}, rewrite.Settings{}).tenant("0"))
+	assert.Equal(t, -1, New(sidecarconfig.Config{}, rewrite.Settings{}).tenant("0"))
 }
 
 func TestPatience(t *testing.T) {
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -2,10 +2,10 @@
 package http1
 
 import (
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/http1"
 	"hazelwheel/internal/rewrite"
 	"hazelwheel/internal/sidecar"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/policy"
 )
 
@@ -15,7 +15,7 @@
 type Front struct {
 	name     string // of this sidecar
 	listen   string
-	settings config.Settings
+	settings sidecarconfig.Settings
 	classes  map[string]int
 	rewrites rewrite.Settings
 }
@@ -23,7 +23,7 @@
 var _ sidecar.Front = (*Front)(nil)
 
 // New returns a front for the classes of a configuration.
-func New(cfg config.Config, rewrites rewrite.Settings) *Front {
+func New(cfg sidecarconfig.Config, rewrites rewrite.Settings) *Front {
 	f := &Front{name: cfg.Name, listen: cfg.Listen, settings: cfg.Settings, classes: map[string]int{}, rewrites: rewrites}
 	for i, c := range cfg.Settings.Policy.Classes {
 		f.classes[c.Name] = i
--- a/internal/front/thrift/front.go
+++ b/internal/front/thrift/front.go
@@ -7,9 +7,9 @@
 	"net"
 	"strconv"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/features"
 	"hazelwheel/internal/sidecar"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/thrift"
 	"hazelwheel/policy"
 )
@@ -20,7 +20,7 @@
 // Front speaks Thrift as the operators' file says.
 type Front struct {
 	name     string // of this sidecar
-	settings config.Settings
+	settings sidecarconfig.Settings
 	on       features.Thrift
 	methods  map[string]*class
 	sequence int32  // of the last attempt
@@ -38,7 +38,7 @@
 var _ sidecar.Front = (*Front)(nil)
 
 // New returns a front for the classes of a configuration.
-func New(cfg config.Config, on features.Thrift) *Front {
+func New(cfg sidecarconfig.Config, on features.Thrift) *Front {
 	f := &Front{name: cfg.Name, settings: cfg.Settings, on: on, methods: map[string]*class{}}
 	for _, t := range on.Classes {
 		for i, c := range cfg.Settings.Policy.Classes {
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/lab/process"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 func start(t *testing.T, s Settings) (*Boxes, *Discovery, string) {
@@ -126,9 +126,9 @@
 	path := t.TempDir() + "/config.json"
 	s := Sidecar{Name: "n0", Listen: "127.0.0.1:3000", Discovery: "127.0.0.1:8500", Cores: 1, MemoryMB: 64, Sockets: 512, Zones: []string{"a"}}
 	require.NoError(t, s.Write(path))
-	c, err := config.Load(path, func(string) string { return "" })
+	c, err := sidecarconfig.Load(path, func(string) string { return "" })
 	require.NoError(t, err)
-	assert.Equal(t, config.Limits{Cores: 1, MemoryMB: 64, Sockets: 512}, c.Limits)
+	assert.Equal(t, sidecarconfig.Limits{Cores: 1, MemoryMB: 64, Sockets: 512}, c.Limits)
 	assert.True(t, c.Settings.RetryAfter)
 	assert.Len(t, c.Settings.Policy.Classes, 3)
 }
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -25,7 +25,7 @@
 	{"internal/message", "internal/transport"},
 	{"internal/decide", "internal/netio", "internal/buffer", "internal/judge", "internal/health", "internal/handover",
 		"internal/tomlfile"},
-	{"internal/peers", "internal/http1", "internal/thrift", "internal/config", "internal/endpointset", "internal/drill", "internal/quotas",
+	{"internal/peers", "internal/http1", "internal/thrift", "internal/sidecarconfig", "internal/endpointset", "internal/drill", "internal/quotas",
 		"internal/appconfig", "internal/maintenanceplan"},
 	{"internal/rewrite", "internal/capture", "internal/world", "internal/wire"},
 	{"internal/features", "internal/lint", "internal/gossip", "internal/configredirect"},
@@ -38,7 +38,7 @@
 // apart are arrows that go down and are still wrong: who judges or plays the world must not take the sidecar's word, and
 // the core must not know the world it is tried in.
 var apart = map[string][]string{
-	"internal/world":   {"policy", "internal/sidecar", "internal/features", "internal/config"},
+	"internal/world":   {"policy", "internal/sidecar", "internal/features", "internal/sidecarconfig"},
 	"internal/judge":   {"policy", "internal/sidecar"},
 	"internal/lab":     {"policy", "internal/sidecar", "internal/front", "internal/features", "internal/coordination"},
 	"internal/sidecar": {"internal/lint", "internal/world"},
--- a/internal/lint/features.go
+++ b/internal/lint/features.go
@@ -11,7 +11,7 @@
 	"strings"
 
 	"hazelwheel/internal/appconfig"
-	"hazelwheel/internal/config"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 // classRefs says where sections whose fields are not known here name classes: the values of these keys, or lists of them. A
@@ -252,11 +252,11 @@
 			if a, err := netip.ParseAddrPort(f.Listen); f.Listen != "" && (err != nil || a.Port() == 0 || a.Addr().IsUnspecified() && f.Advertise == "") {
 				say(u.atExtra("fleet.listen"), f.Listen)
 			}
-			if f.Advertise != "" && !config.Dialable(f.Advertise) {
+			if f.Advertise != "" && !sidecarconfig.Dialable(f.Advertise) {
 				say(u.atExtra("fleet.advertise"), f.Advertise)
 			}
 			for i, s := range f.Join {
-				if !config.Dialable(s) {
+				if !sidecarconfig.Dialable(s) {
 					say(u.atExtra("fleet.join[%d]", i), s)
 				}
 			}
@@ -290,7 +290,7 @@
 				return
 			}
 			n := len(slices.Compact(slices.Sorted(slices.Values(f.Electors))))
-			odd := slices.ContainsFunc(f.Electors, func(s string) bool { return !config.Dialable(s) })
+			odd := slices.ContainsFunc(f.Electors, func(s string) bool { return !sidecarconfig.Dialable(s) })
 			if odd || n != len(f.Electors) || n != 3 && n != 5 && n != 7 {
 				say(u.atExtra("fleet.electors"), f.Electors)
 			}
@@ -317,7 +317,7 @@
 			if f == nil || len(f.Jobs) == 0 {
 				return
 			}
-			unknown := slices.ContainsFunc(f.Jobs, func(s string) bool { return !slices.Contains(config.Jobs, s) })
+			unknown := slices.ContainsFunc(f.Jobs, func(s string) bool { return !slices.Contains(sidecarconfig.Jobs, s) })
 			switch {
 			case len(f.Electors) == 0:
 				say(u.atExtra("fleet.jobs"), f.Jobs, "fleet.electors is missing")
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -7,7 +7,6 @@
 	"slices"
 	"time"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/coordination/folder"
 	"hazelwheel/internal/decide/maintenance"
@@ -15,6 +14,7 @@
 	"hazelwheel/internal/front/ops"
 	"hazelwheel/internal/netio/beside"
 	"hazelwheel/internal/peers"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 // What is told of a fleet's members, at most: at the door, where one asks for them, and among the counters.
@@ -25,7 +25,7 @@
 )
 
 // join has the sidecar know the others of its fleet.
-func (p *Process) join(cfg config.Config, on features.Fleet, shared *beside.Loop) (err error) {
+func (p *Process) join(cfg sidecarconfig.Config, on features.Fleet, shared *beside.Loop) (err error) {
 	links := peers.Links(cfg.Limits.Sockets)
 	p.fleet, err = coordination.New(coordination.Options{Links: links,
 		Settings: coordination.Settings(on), Sidecar: cfg.Name, Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas,
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -14,7 +14,6 @@
 	"time"
 
 	"hazelwheel/internal/capture"
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/coordination/folder"
 	"hazelwheel/internal/features"
@@ -26,6 +25,7 @@
 	"hazelwheel/internal/netio/beside"
 	"hazelwheel/internal/netio/sockets"
 	"hazelwheel/internal/sidecar"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 const (
@@ -59,7 +59,7 @@
 }
 
 // New returns a process that does not serve yet.
-func New(cfg config.Config, on features.Features, log *slog.Logger) (*Process, error) {
+func New(cfg sidecarconfig.Config, on features.Features, log *slog.Logger) (*Process, error) {
 	http := cfg
 	if on.Thrift.Only {
 		http.Settings.Policy.Classes = nil // what concerns the sidecar itself is all that is left
@@ -92,7 +92,7 @@
 }
 
 // obey gives the runtime what the limits say.
-func obey(l config.Limits) {
+func obey(l sidecarconfig.Limits) {
 	runtime.GOMAXPROCS(int(math.Ceil(l.Cores)))
 	debug.SetMemoryLimit(int64(memoryShare * float64(l.MemoryMB) * (1 << 20)))
 	debug.SetGCPercent(garbagePercent)
@@ -100,7 +100,7 @@
 
 // Run serves until the process is told to end and all that was taken is answered. Each hangup has load called,
 // beside the event loop, for a new configuration; each signal in dumps has the capture written to standard error.
-func (p *Process) Run(hangups, dumps <-chan os.Signal, load func() (config.Config, error)) error {
+func (p *Process) Run(hangups, dumps <-chan os.Signal, load func() (sidecarconfig.Config, error)) error {
 	defer p.end()
 	if p.passed > 0 {
 		if err := p.succeed(); err != nil {
@@ -150,7 +150,7 @@
 
 // heedHangups reads the configuration again at each SIGHUP. Those that come while it is being read count as one
 // more: the file is read again after the last of them.
-func (p *Process) heedHangups(hangups <-chan os.Signal, load func() (config.Config, error)) {
+func (p *Process) heedHangups(hangups <-chan os.Signal, load func() (sidecarconfig.Config, error)) {
 	for range hangups {
 		cfg, err := load()
 		tree, fault := p.ReadQuotas()
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -15,9 +15,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/features"
 	"hazelwheel/internal/health"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/policy"
 )
 
@@ -48,15 +48,15 @@
 		return l.Addr().(*net.TCPAddr).Port
 	}
 	side := free()
-	cfg := config.Config{Name: "n0", Listen: fmt.Sprintf("127.0.0.1:%d", free()), Discovery: fmt.Sprintf("127.0.0.1:%d", free()),
-		Limits: config.Limits{Cores: 8, MemoryMB: 1024, Sockets: 256}}
+	cfg := sidecarconfig.Config{Name: "n0", Listen: fmt.Sprintf("127.0.0.1:%d", free()), Discovery: fmt.Sprintf("127.0.0.1:%d", free()),
+		Limits: sidecarconfig.Limits{Cores: 8, MemoryMB: 1024, Sockets: 256}}
 	cfg.Settings.Policy = policy.Settings{Classes: []policy.Class{{Name: "read", AimS: 1, GiveUpS: 3}}, Replicas: 1}
 	cfg.Settings.ConnectTimeoutS = 1
 	log := stallingLog{slog.DiscardHandler, "configuration read", make(chan struct{}), make(chan struct{})}
 	s, err := New(cfg, features.Features{Health: health.Settings{Port: side, MaxListAgeMS: 6000, MinUsable: 1, MaxInflight: 256}}, slog.New(log))
 	require.NoError(t, err)
 	hangups, ended := make(chan os.Signal, 1), make(chan error)
-	go func() { ended <- s.Run(hangups, nil, func() (config.Config, error) { return cfg, nil }) }()
+	go func() { ended <- s.Run(hangups, nil, func() (sidecarconfig.Config, error) { return cfg, nil }) }()
 
 	answers := func(path string, want int) string {
 		var text []byte
--- a/internal/process/succeed.go
+++ b/internal/process/succeed.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"time"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/handover"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 const (
@@ -22,7 +22,7 @@
 // succeed takes the passed socket and what an earlier process has left. What can't be taken means a plain start.
 func (p *Process) succeed() (err error) {
 	if err := p.loop.Inherit(p.passed); err != nil {
-		return fmt.Errorf("%s: %w", config.EnvPassed, err)
+		return fmt.Errorf("%s: %w", sidecarconfig.EnvPassed, err)
 	}
 	p.store, err = handover.Open(filepath.Join(os.TempDir(), stateFolder), func(err error) {
 		p.log.Error("nothing is kept for a successor", "error", err)
--- a/internal/sidecar/arrival_test.go
+++ b/internal/sidecar/arrival_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 
 	"hazelwheel/internal/buffer"
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/features"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/policy"
 )
 
@@ -35,7 +35,7 @@
 
 // partialRequest returns a link on which a part of a request has come.
 func partialRequest(t *testing.T) (*clockNet, *partialClient, *Sidecar) {
-	var cfg config.Config
+	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", AimS: 1, GiveUpS: 3}}
 	n, client := &clockNet{now: testNow}, &partialClient{came: 1}
 	s, err := New(cfg, features.Features{}, nil, n, slog.New(slog.DiscardHandler))
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -3,11 +3,11 @@
 import (
 	"reflect"
 
-	"hazelwheel/internal/config"
+	"hazelwheel/internal/sidecarconfig"
 )
 
 // Reload takes a new configuration into use, or keeps the old one where it is at fault.
-func (s *Sidecar) Reload(cfg config.Config, err error) {
+func (s *Sidecar) Reload(cfg sidecarconfig.Config, err error) {
 	if err != nil {
 		s.counters.ReloadFailed++
 		s.log.Error("the configuration stays as it was", "error", err)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -13,13 +13,13 @@
 	"sync/atomic"
 
 	"hazelwheel/internal/capture"
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/decide/admission"
 	"hazelwheel/internal/drill"
 	"hazelwheel/internal/endpointset"
 	"hazelwheel/internal/features"
 	"hazelwheel/internal/health"
 	"hazelwheel/internal/netio"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/policy"
 )
 
@@ -35,7 +35,7 @@
 
 // Sidecar is the program's state. It belongs to the event loop.
 type Sidecar struct {
-	cfg      config.Config
+	cfg      sidecarconfig.Config
 	log      *slog.Logger
 	net      netio.Net
 	timers   timers
@@ -99,14 +99,14 @@
 	stopping  bool
 
 	// Limits, if it is set, is told of the limits at the start and at each change.
-	Limits func(config.Limits)
+	Limits func(sidecarconfig.Limits)
 }
 
 var _ netio.Host = (*Sidecar)(nil)
 
 // New returns a sidecar that has not begun, for clients and servers that speak what the fronts do and for the loop that is
 // to call it. Of fronts that have a way to probe the last one's is used.
-func New(cfg config.Config, on features.Features, fronts []Front, loop netio.Net, log *slog.Logger) (*Sidecar, error) {
+func New(cfg sidecarconfig.Config, on features.Features, fronts []Front, loop netio.Net, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, lastID: 1,
 		requests: map[uint32]*request{}, named: map[string]*request{}, idle: map[uint32][]*backendConn{},
 		hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), slack: cfg.Settings.AnswerSlackS,
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/drill"
 	"hazelwheel/internal/endpointset"
 	"hazelwheel/internal/features"
 	"hazelwheel/internal/netio"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/policy"
 )
 
@@ -72,7 +72,7 @@
 
 // An attempt that waits for a descriptor gets that of a dial which has failed.
 func TestFailedDialMakesRoom(t *testing.T) {
-	var cfg config.Config
+	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", AimS: 1, GiveUpS: 3}}
 	cfg.Settings.ConnectTimeoutS = 1
 	n := &dialingNet{}
@@ -92,7 +92,7 @@
 }
 
 func newTestSidecar(t *testing.T) *Sidecar {
-	var cfg config.Config
+	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", AimS: 1, GiveUpS: 3}}
 	s, err := New(cfg, features.Features{}, nil, testNet{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
--- a/internal/config/config.go
+++ b/internal/sidecarconfig/config.go
@@ -1,6 +1,6 @@
-// Package config reads what a sidecar is told at its start: the GW_ variables and the file that GW_CONFIG
+// Package sidecarconfig reads what a sidecar is told at its start: the GW_ variables and the file that GW_CONFIG
 // names, both checked. An error is one line that names the field at fault.
-package config
+package sidecarconfig
 
 import (
 	"encoding/json"
--- a/internal/config/dialable.go
+++ b/internal/sidecarconfig/dialable.go
@@ -1,4 +1,4 @@
-package config
+package sidecarconfig
 
 import (
 	"net"
--- a/internal/sim/core.go
+++ b/internal/sim/core.go
@@ -4,13 +4,13 @@
 	"encoding/json"
 	"log/slog"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/features"
 	"hazelwheel/internal/front/http1"
 	"hazelwheel/internal/front/thrift"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/rewrite"
 	"hazelwheel/internal/sidecar"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/world"
 )
 
@@ -21,7 +21,7 @@
 type core struct{ *sidecar.Sidecar }
 
 // Sidecar is the Core of the real sidecar, without the operators' features.
-func Sidecar(cfg config.Config, net netio.Net, log *slog.Logger) (Program, error) {
+func Sidecar(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
 	s, err := sidecar.New(cfg, features.Features{}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, net, log)
 	if err != nil {
 		return nil, err
@@ -30,7 +30,7 @@
 }
 
 // OverThrift is the Core of the real sidecar with a Thrift port, as the world's applications and boxes speak it.
-func OverThrift(cfg config.Config, net netio.Net, log *slog.Logger) (Program, error) {
+func OverThrift(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
 	var classes []map[string]any
 	for _, c := range cfg.Settings.Policy.Classes {
 		classes = append(classes, map[string]any{"class": c.Name, "methods": []string{c.Name}, "id": world.ThriftID,
--- a/internal/sim/ground.go
+++ b/internal/sim/ground.go
@@ -6,10 +6,10 @@
 	"log/slog"
 	"math/rand/v2"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio/virtual"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/world"
 )
 
@@ -116,7 +116,7 @@
 // begin begins a life of a sidecar, with the configuration that the platform writes now.
 func (s *instance) begin() error {
 	d := s.d
-	cfg, err := config.Parse(d.world.StartConfiguration(s.number, d.net.Now()))
+	cfg, err := sidecarconfig.Parse(d.world.StartConfiguration(s.number, d.net.Now()))
 	if err != nil {
 		return fmt.Errorf("configuration of %s: %w", s.spec.Name, err)
 	}
@@ -223,7 +223,7 @@
 	if s.proc == nil || !s.proc.Alive() {
 		return
 	}
-	cfg, err := config.Parse(configuration)
+	cfg, err := sidecarconfig.Parse(configuration)
 	s.program.Do(func() { s.program.Reload(cfg, err) })
 }
 
--- a/internal/sim/hard_test.go
+++ b/internal/sim/hard_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/netio/virtual"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/world"
 )
 
@@ -103,7 +103,7 @@
 		s.boxes = append(s.boxes, play(b.IP, b.Address, virtual.ProcessOptions{ReceiveBuffer: 120}))
 	}
 	s.listed = play(d.Registry.IPs[0], d.Registry.Addresses[0], virtual.ProcessOptions{})
-	cfg, err := config.Parse(w.StartConfiguration(0, d.Start))
+	cfg, err := sidecarconfig.Parse(w.StartConfiguration(0, d.Start))
 	require.NoError(t, err)
 	o.Name, o.Listen = "sidecar", []string{d.Sidecars[0].Address}
 	s.proc = s.net.Machine(d.Sidecars[0].IP).Process(o)
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -8,7 +8,6 @@
 	"net"
 	"slices"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/features"
 	"hazelwheel/internal/front/http1"
@@ -21,6 +20,7 @@
 	"hazelwheel/internal/peers/frames"
 	"hazelwheel/internal/rewrite"
 	"hazelwheel/internal/sidecar"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/world"
 )
 
@@ -109,7 +109,7 @@
 
 // withFleet returns the Core of a sidecar that knows the others of its day.
 func (d *day) withFleet(s *instance) Core {
-	return func(cfg config.Config, loop netio.Net, log *slog.Logger) (Program, error) {
+	return func(cfg sidecarconfig.Config, loop netio.Net, log *slog.Logger) (Program, error) {
 		shared := beside.New(loop)
 		sc, err := sidecar.New(cfg, features.Features{}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, shared.Core(), log)
 		if err != nil {
@@ -124,7 +124,7 @@
 		links := peers.Links(d.spec.Sockets)
 		settings := coordination.Settings{Name: fleetName, Listen: peersAddress(&s.spec), Join: join}
 		if d.owners && len(join) == 3 {
-			settings.Electors, settings.Jobs = join, config.Jobs
+			settings.Electors, settings.Jobs = join, sidecarconfig.Jobs
 			sc.Measure()
 			sc.WorkOnBoxes()
 		}
--- a/internal/sim/plain.go
+++ b/internal/sim/plain.go
@@ -7,10 +7,10 @@
 	"math/rand/v2"
 	"slices"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/endpointset"
 	"hazelwheel/internal/http1"
 	"hazelwheel/internal/netio"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/policy"
 )
 
@@ -41,7 +41,7 @@
 // Plain returns the Core of a balancer that does no more than choose: one attempt, no probes, no limits. The service of
 // the decisions is measured against it.
 func Plain(choose Choose) Core {
-	return func(cfg config.Config, net netio.Net, _ *slog.Logger) (Program, error) {
+	return func(cfg sidecarconfig.Config, net netio.Net, _ *slog.Logger) (Program, error) {
 		p := &plain{cfg: cfg, net: net, choose: choose, rng: rand.New(rand.NewPCG(cfg.Seed, 0x706c61696e)),
 			hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), out: map[uint32]int{}, idle: map[uint32][]*plainLink{}}
 		if len(cfg.Known) > 0 {
@@ -55,7 +55,7 @@
 
 // plain is a plain balancer.
 type plain struct {
-	cfg      config.Config
+	cfg      sidecarconfig.Config
 	net      netio.Net
 	choose   Choose
 	rng      *rand.Rand
@@ -117,7 +117,7 @@
 func (p *plain) Offline(string) error { return errors.ErrUnsupported }
 func (p *plain) Online(string) error  { return errors.ErrUnsupported }
 
-func (p *plain) Reload(c config.Config, err error) {
+func (p *plain) Reload(c sidecarconfig.Config, err error) {
 	if err == nil && c.Discovery != p.cfg.Discovery {
 		p.cfg.Discovery = c.Discovery
 		p.hosts.Unversion()
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -3,7 +3,6 @@
 import (
 	"log/slog"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/decide/quota"
 	"hazelwheel/internal/features"
 	"hazelwheel/internal/front/http1"
@@ -12,6 +11,7 @@
 	"hazelwheel/internal/quotas"
 	"hazelwheel/internal/rewrite"
 	"hazelwheel/internal/sidecar"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/world"
 )
 
@@ -47,7 +47,7 @@
 	s := quotas.Defaults()
 	s.File, s.Tree, s.Default = "of the day", tree, "cities"
 	s.Identify = []quotas.Rule{{Header: "Organisation"}}
-	return func(cfg config.Config, net netio.Net, log *slog.Logger) (Program, error) {
+	return func(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
 		p, err := sidecar.New(cfg, features.Features{Quotas: s}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, net, log)
 		if err != nil {
 			return nil, err
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -10,12 +10,12 @@
 	"math"
 	"slices"
 
-	"hazelwheel/internal/config"
 	dworks "hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/netio/virtual"
 	"hazelwheel/internal/peers"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/world"
 )
 
@@ -27,7 +27,7 @@
 	// Drain has the program end once all that it has taken is answered.
 	Drain()
 	// Reload gives it a new configuration, or the error that came of reading it.
-	Reload(cfg config.Config, err error)
+	Reload(cfg sidecarconfig.Config, err error)
 	// Offline and Online are the operators' calls to take a server out and to give it back.
 	Offline(server string) error
 	Online(server string) error
@@ -42,7 +42,7 @@
 }
 
 // Core returns a program that has not begun, on its network.
-type Core func(cfg config.Config, net netio.Net, log *slog.Logger) (Program, error)
+type Core func(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error)
 
 // Options are how a day is played.
 type Options struct {
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -9,9 +9,9 @@
 	"strings"
 	"sync"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/judge"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/world"
 )
 
@@ -55,7 +55,7 @@
 	case way.AtOnce == 0:
 	case way.Script:
 		w.after(weighAtS, func() {
-			cfg, err := config.Parse(w.d.world.StartConfiguration(0, w.d.net.Now()))
+			cfg, err := sidecarconfig.Parse(w.d.world.StartConfiguration(0, w.d.net.Now()))
 			if err != nil {
 				panic(err) // the sidecars have read it
 			}
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -8,7 +8,7 @@
 	"io"
 	"math"
 
-	"hazelwheel/internal/config"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/policy"
 )
 
@@ -173,7 +173,7 @@
 	if err != nil {
 		return 0, s, fmt.Errorf("settings: %w", err)
 	}
-	settings, err := config.ParseSettings(raw)
+	settings, err := sidecarconfig.ParseSettings(raw)
 	return le.Uint64(r[6:]), settings.Policy, err
 }
 
--- a/internal/world/actors_test.go
+++ b/internal/world/actors_test.go
@@ -12,11 +12,11 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"hazelwheel/internal/config"
 	"hazelwheel/internal/http1"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/netio/virtual"
+	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/policy"
 )
 
@@ -366,7 +366,7 @@
 	for seed := range uint64(20) {
 		s := newStage(t, seed, nil)
 		for i := range s.day.Sidecars {
-			cfg, err := config.Parse(s.world.StartConfiguration(i, s.day.Start))
+			cfg, err := sidecarconfig.Parse(s.world.StartConfiguration(i, s.day.Start))
 			require.NoError(t, err)
 			assert.Equal(t, []any{s.day.Sidecars[i].Address, s.world.Registry.Address(), s.day.Sockets, len(s.day.Sidecars), s.day.Sidecars[i].Site},
 				[]any{cfg.Listen, cfg.Discovery, cfg.Limits.Sockets, cfg.Settings.Policy.Replicas, cfg.Settings.Policy.Zone})
