--- a/cmd/hazellab/sidecar.go
+++ b/cmd/hazellab/sidecar.go
@@ -11,7 +11,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/process"
 	"hazelwheel/internal/sidecarconfig"
 )
@@ -32,7 +32,7 @@
 			if err != nil {
 				return fault(err)
 			}
-			s, err := process.New(cfg, features.Features{}, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+			s, err := process.New(cfg, featureconfig.Features{}, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 			if err != nil {
 				return err
 			}
--- a/cmd/hazelwheel/main.go
+++ b/cmd/hazelwheel/main.go
@@ -15,7 +15,7 @@
 	"github.com/urfave/cli/v3"
 
 	"hazelwheel/internal/capture"
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/front/ops"
 	"hazelwheel/internal/netio/sockets"
 	"hazelwheel/internal/process"
@@ -62,12 +62,12 @@
 }
 
 // load reads the configuration and the file of features, if one is named.
-func load(c *cli.Command) (cfg sidecarconfig.Config, on features.Features, err error) {
+func load(c *cli.Command) (cfg sidecarconfig.Config, on featureconfig.Features, err error) {
 	if cfg, err = sidecarconfig.Load(c.String("config"), os.Getenv); err != nil {
 		return cfg, on, fault(err)
 	}
 	if path := c.String("features"); path != "" {
-		if on, err = features.Load(path, &cfg); err != nil {
+		if on, err = featureconfig.Load(path, &cfg); err != nil {
 			return cfg, on, fault(err)
 		}
 	}
--- a/example/thrift/main.go
+++ b/example/thrift/main.go
@@ -13,7 +13,7 @@
 	"os"
 	"time"
 
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/process"
 	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/thrift"
@@ -65,7 +65,7 @@
 }
 
 // configuration returns what the platform and the operators tell the sidecar.
-func configuration(discovery string, boxes []object) (cfg sidecarconfig.Config, on features.Features, err error) {
+func configuration(discovery string, boxes []object) (cfg sidecarconfig.Config, on featureconfig.Features, err error) {
 	var free [2]string
 	for i := range free {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -90,7 +90,7 @@
 	raw, err = json.Marshal(object{"thrift": object{"listen": free[1], "classes": []object{{"class": "latest-reading",
 		"methods": []string{"latestReading", "Readings:latestReading"}, "id": "1", "patience_ms": "2"}}}})
 	if err == nil {
-		on, err = features.Parse(raw, &cfg)
+		on, err = featureconfig.Parse(raw, &cfg)
 	}
 	return cfg, on, err
 }
--- a/internal/features/features.go
+++ b/internal/featureconfig/features.go
@@ -1,6 +1,6 @@
-// Package features reads the operators' file of features. It is theirs and not the platform's: what it does not
+// Package featureconfig reads the operators' file of features. It is theirs and not the platform's: what it does not
 // switch on is off. An error is one line that names the field at fault.
-package features
+package featureconfig
 
 import (
 	"bytes"
--- a/internal/features/fleet.go
+++ b/internal/featureconfig/fleet.go
@@ -1,4 +1,4 @@
-package features
+package featureconfig
 
 import (
 	"net/netip"
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/front/http1"
 	thriftfront "hazelwheel/internal/front/thrift"
 	"hazelwheel/internal/netio"
@@ -166,7 +166,7 @@
 	require.NoError(t, err)
 	cfg, err := sidecarconfig.Parse(raw)
 	require.NoError(t, err)
-	on, err := features.Parse([]byte(`{"thrift":{"listen":"127.0.0.1:2","classes":[
+	on, err := featureconfig.Parse([]byte(`{"thrift":{"listen":"127.0.0.1:2","classes":[
 		{"class":"read","methods":["read"],"id":"1","key":"2","patience_us":"3"},{"class":"alert","methods":["alert"],"id":"1","key":"2","patience_us":"3"},
 		{"class":"write","methods":["write"],"id":"1","key":"2","patience_us":"3"}]}}`), &cfg)
 	require.NoError(t, err)
--- a/internal/front/thrift/front.go
+++ b/internal/front/thrift/front.go
@@ -7,7 +7,7 @@
 	"net"
 	"strconv"
 
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/sidecar"
 	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/thrift"
@@ -21,7 +21,7 @@
 type Front struct {
 	name     string // of this sidecar
 	settings sidecarconfig.Settings
-	on       features.Thrift
+	on       featureconfig.Thrift
 	methods  map[string]*class
 	sequence int32  // of the last attempt
 	made     uint64 // ids for calls that bring none
@@ -29,7 +29,7 @@
 
 // class is what the calls of one class have in common.
 type class struct {
-	features.ThriftClass
+	featureconfig.ThriftClass
 	policy.Class
 	number int
 	paths  []thrift.Path // of id, key, patience and the mark of a retry
@@ -38,7 +38,7 @@
 var _ sidecar.Front = (*Front)(nil)
 
 // New returns a front for the classes of a configuration.
-func New(cfg sidecarconfig.Config, on features.Thrift) *Front {
+func New(cfg sidecarconfig.Config, on featureconfig.Thrift) *Front {
 	f := &Front{name: cfg.Name, settings: cfg.Settings, on: on, methods: map[string]*class{}}
 	for _, t := range on.Classes {
 		for i, c := range cfg.Settings.Policy.Classes {
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -28,7 +28,7 @@
 	{"internal/peers", "internal/http1", "internal/thrift", "internal/sidecarconfig", "internal/endpointset", "internal/drill", "internal/quotas",
 		"internal/appconfig", "internal/maintenanceplan"},
 	{"internal/rewrite", "internal/capture", "internal/world", "internal/wire"},
-	{"internal/features", "internal/lint", "internal/gossip", "internal/configredirect"},
+	{"internal/featureconfig", "internal/lint", "internal/gossip", "internal/configredirect"},
 	{"internal/sidecar"},
 	{"internal/front", "internal/coordination", "internal/control", "internal/agent", "internal/proxy"},
 	{"internal/process", "internal/sim", "internal/lab"},
@@ -38,9 +38,9 @@
 // apart are arrows that go down and are still wrong: who judges or plays the world must not take the sidecar's word, and
 // the core must not know the world it is tried in.
 var apart = map[string][]string{
-	"internal/world":   {"policy", "internal/sidecar", "internal/features", "internal/sidecarconfig"},
+	"internal/world":   {"policy", "internal/sidecar", "internal/featureconfig", "internal/sidecarconfig"},
 	"internal/judge":   {"policy", "internal/sidecar"},
-	"internal/lab":     {"policy", "internal/sidecar", "internal/front", "internal/features", "internal/coordination"},
+	"internal/lab":     {"policy", "internal/sidecar", "internal/front", "internal/featureconfig", "internal/coordination"},
 	"internal/sidecar": {"internal/lint", "internal/world"},
 }
 
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/coordination/folder"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/front/ops"
 	"hazelwheel/internal/netio/beside"
 	"hazelwheel/internal/peers"
@@ -25,7 +25,7 @@
 )
 
 // join has the sidecar know the others of its fleet.
-func (p *Process) join(cfg sidecarconfig.Config, on features.Fleet, shared *beside.Loop) (err error) {
+func (p *Process) join(cfg sidecarconfig.Config, on featureconfig.Fleet, shared *beside.Loop) (err error) {
 	links := peers.Links(cfg.Limits.Sockets)
 	p.fleet, err = coordination.New(coordination.Options{Links: links,
 		Settings: coordination.Settings(on), Sidecar: cfg.Name, Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas,
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -16,7 +16,7 @@
 	"hazelwheel/internal/capture"
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/coordination/folder"
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/front/http1"
 	"hazelwheel/internal/front/ops"
 	"hazelwheel/internal/front/thrift"
@@ -59,7 +59,7 @@
 }
 
 // New returns a process that does not serve yet.
-func New(cfg sidecarconfig.Config, on features.Features, log *slog.Logger) (*Process, error) {
+func New(cfg sidecarconfig.Config, on featureconfig.Features, log *slog.Logger) (*Process, error) {
 	http := cfg
 	if on.Thrift.Only {
 		http.Settings.Policy.Classes = nil // what concerns the sidecar itself is all that is left
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/health"
 	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/policy"
@@ -53,7 +53,7 @@
 	cfg.Settings.Policy = policy.Settings{Classes: []policy.Class{{Name: "read", AimS: 1, GiveUpS: 3}}, Replicas: 1}
 	cfg.Settings.ConnectTimeoutS = 1
 	log := stallingLog{slog.DiscardHandler, "configuration read", make(chan struct{}), make(chan struct{})}
-	s, err := New(cfg, features.Features{Health: health.Settings{Port: side, MaxListAgeMS: 6000, MinUsable: 1, MaxInflight: 256}}, slog.New(log))
+	s, err := New(cfg, featureconfig.Features{Health: health.Settings{Port: side, MaxListAgeMS: 6000, MinUsable: 1, MaxInflight: 256}}, slog.New(log))
 	require.NoError(t, err)
 	hangups, ended := make(chan os.Signal, 1), make(chan error)
 	go func() { ended <- s.Run(hangups, nil, func() (sidecarconfig.Config, error) { return cfg, nil }) }()
--- a/internal/sidecar/arrival_test.go
+++ b/internal/sidecar/arrival_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"hazelwheel/internal/buffer"
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/policy"
 )
@@ -38,7 +38,7 @@
 	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", AimS: 1, GiveUpS: 3}}
 	n, client := &clockNet{now: testNow}, &partialClient{came: 1}
-	s, err := New(cfg, features.Features{}, nil, n, slog.New(slog.DiscardHandler))
+	s, err := New(cfg, featureconfig.Features{}, nil, n, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	s.timers.alarm = n.Alarm
 	s.enter(func() {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -16,7 +16,7 @@
 	"hazelwheel/internal/decide/admission"
 	"hazelwheel/internal/drill"
 	"hazelwheel/internal/endpointset"
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/health"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/sidecarconfig"
@@ -67,7 +67,7 @@
 	starved   []*attempt // that wait for a link or a descriptor
 	watcher   *watcher
 	passed    passed
-	admission features.Admission
+	admission featureconfig.Admission
 	drills    *drill.Set
 	together  Driller        // is told of drills that are started here; nil: nobody is
 	health    *health.Server // nil: there is no side port
@@ -106,7 +106,7 @@
 
 // New returns a sidecar that has not begun, for clients and servers that speak what the fronts do and for the loop that is
 // to call it. Of fronts that have a way to probe the last one's is used.
-func New(cfg sidecarconfig.Config, on features.Features, fronts []Front, loop netio.Net, log *slog.Logger) (*Sidecar, error) {
+func New(cfg sidecarconfig.Config, on featureconfig.Features, fronts []Front, loop netio.Net, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, lastID: 1,
 		requests: map[uint32]*request{}, named: map[string]*request{}, idle: map[uint32][]*backendConn{},
 		hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), slack: cfg.Settings.AnswerSlackS,
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -11,7 +11,7 @@
 
 	"hazelwheel/internal/drill"
 	"hazelwheel/internal/endpointset"
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/policy"
@@ -76,7 +76,7 @@
 	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", AimS: 1, GiveUpS: 3}}
 	cfg.Settings.ConnectTimeoutS = 1
 	n := &dialingNet{}
-	s, err := New(cfg, features.Features{}, nil, n, slog.New(slog.DiscardHandler))
+	s, err := New(cfg, featureconfig.Features{}, nil, n, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	require.NoError(t, s.list([]byte(`{"index":1,"snapshot":true,"endpoints":[{"name":"s-00000007","address":"a","status":"SERVING"}]}`)))
 	s.admission.Reserve = 1
@@ -94,7 +94,7 @@
 func newTestSidecar(t *testing.T) *Sidecar {
 	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", AimS: 1, GiveUpS: 3}}
-	s, err := New(cfg, features.Features{}, nil, testNet{}, slog.New(slog.DiscardHandler))
+	s, err := New(cfg, featureconfig.Features{}, nil, testNet{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	return s
 }
--- a/internal/sim/core.go
+++ b/internal/sim/core.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"log/slog"
 
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/front/http1"
 	"hazelwheel/internal/front/thrift"
 	"hazelwheel/internal/netio"
@@ -22,7 +22,7 @@
 
 // Sidecar is the Core of the real sidecar, without the operators' features.
 func Sidecar(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
-	s, err := sidecar.New(cfg, features.Features{}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, net, log)
+	s, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, net, log)
 	if err != nil {
 		return nil, err
 	}
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	on, err := features.Parse(raw, &cfg)
+	on, err := featureconfig.Parse(raw, &cfg)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -9,7 +9,7 @@
 	"slices"
 
 	"hazelwheel/internal/coordination"
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/front/http1"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
@@ -111,7 +111,7 @@
 func (d *day) withFleet(s *instance) Core {
 	return func(cfg sidecarconfig.Config, loop netio.Net, log *slog.Logger) (Program, error) {
 		shared := beside.New(loop)
-		sc, err := sidecar.New(cfg, features.Features{}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, shared.Core(), log)
+		sc, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, shared.Core(), log)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -4,7 +4,7 @@
 	"log/slog"
 
 	"hazelwheel/internal/decide/quota"
-	"hazelwheel/internal/features"
+	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/front/http1"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
@@ -48,7 +48,7 @@
 	s.File, s.Tree, s.Default = "of the day", tree, "cities"
 	s.Identify = []quotas.Rule{{Header: "Organisation"}}
 	return func(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
-		p, err := sidecar.New(cfg, features.Features{Quotas: s}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, net, log)
+		p, err := sidecar.New(cfg, featureconfig.Features{Quotas: s}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, net, log)
 		if err != nil {
 			return nil, err
 		}
