--- a/cmd/hazelfleet/check.go
+++ b/cmd/hazelfleet/check.go
@@ -7,7 +7,7 @@
 
 	"hazelwheel/internal/finding"
 	"hazelwheel/internal/nodeconfig"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 // checker checks files, and tells what it finds: warnings and what is in order on out, faults on errs.
@@ -47,7 +47,7 @@
 		fmt.Fprintln(c.errs, "hazelfleet:", err)
 		return statusUsage
 	}
-	report := routes.Examine(config)
+	report := routeconfig.Examine(config)
 	c.tell(files[0], report.Faults, report.Unknown)
 	if len(report.Faults) > 0 {
 		return statusUsage
@@ -63,13 +63,13 @@
 }
 
 // patch returns what a patch in a file makes of a configuration, nil where it is refused.
-func (c checker) patch(config []byte, file string) *routes.Table {
+func (c checker) patch(config []byte, file string) *routeconfig.Table {
 	made, err := applied(config, file)
 	if err != nil {
 		fmt.Fprintf(c.errs, "hazelfleet: %s: %v\n", file, err)
 		return nil
 	}
-	report := routes.Examine(made)
+	report := routeconfig.Examine(made)
 	for i := range report.Faults {
 		report.Faults[i].Line = 0 // of what the patch makes, which stands in no file
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	patch, err := routes.ParsePatch(text)
+	patch, err := routeconfig.ParsePatch(text)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -8,7 +8,7 @@
 
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/message"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 const (
@@ -105,7 +105,7 @@
 		}
 	}
 	if !told {
-		table, err := routes.Parse(data)
+		table, err := routeconfig.Parse(data)
 		if err != nil {
 			return Error.New("the configuration that holds can't be read: %v", err)
 		}
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"hazelwheel/internal/decide/register"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 const (
@@ -67,7 +67,7 @@
 	if !ok {
 		return
 	}
-	table, err := routes.Parse(body.data)
+	table, err := routeconfig.Parse(body.data)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -83,7 +83,7 @@
 	if !ok {
 		return
 	}
-	patch, err := routes.ParsePatch(body.data)
+	patch, err := routeconfig.ParsePatch(body.data)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -105,7 +105,7 @@
 
 // patch makes the configuration that a patch asks for of the one that it is based on. It is known by its own bytes and its base: when it
 // is sent again the configuration that it was made of may be gone, so that the one that it made can't be made again to compare.
-func (c *Control) patch(ctx context.Context, patch *routes.Patch, body changeBody) verdict {
+func (c *Control) patch(ctx context.Context, patch *routeconfig.Patch, body changeBody) verdict {
 	identity := patchIdentity(body)
 	value, err := c.registrar.Read(ctx)
 	if err != nil {
@@ -126,7 +126,7 @@
 	if err != nil {
 		return invalid(err)
 	}
-	table, err := routes.Parse(made)
+	table, err := routeconfig.Parse(made)
 	if err != nil {
 		return invalid(err)
 	}
@@ -147,7 +147,7 @@
 }
 
 // configure puts a configuration in place of the one that it is based on.
-func (c *Control) configure(ctx context.Context, table *routes.Table, made changeBody, identity register.Digest) verdict {
+func (c *Control) configure(ctx context.Context, table *routeconfig.Table, made changeBody, identity register.Digest) verdict {
 	change := register.ConfigureAs(table.Version, made.base, register.DigestOf(made.data), identity)
 	value, outcome, err := c.registrar.Change(ctx, change, made.data)
 	if err != nil {
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -17,7 +17,7 @@
 	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/message"
 	"hazelwheel/internal/nodeconfig"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 	"hazelwheel/internal/transport"
 )
 
@@ -40,7 +40,7 @@
 	sequence uint64
 	logged   time.Time // when the model servers' standing was
 
-	table     *routes.Table // as unpacked last
+	table     *routeconfig.Table // as unpacked last
 	instances []message.Instance
 	digest    uint64 // of instances
 }
--- a/internal/control/stages_test.go
+++ b/internal/control/stages_test.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/message"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 	"hazelwheel/internal/transport"
 )
 
@@ -25,7 +25,7 @@
 		log.SetOutput(GinkgoWriter)
 		node := gossip.New(settings, membership.Record{Kind: membership.Control, Address: "127.0.5.10:1"}, transport.NewClient(), logrus.NewEntry(log))
 		k := newStageKeeper(&Control{settings: settings, node: node, log: logrus.NewEntry(log)})
-		k.table = &routes.Table{Services: []routes.Service{{Name: "s", Engine: &routes.Engine{SwitchS: 2}}}}
+		k.table = &routeconfig.Table{Services: []routeconfig.Service{{Name: "s", Engine: &routeconfig.Engine{SwitchS: 2}}}}
 		k.holder.Took(k.now(), token)
 		return k
 	}
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -20,7 +20,7 @@
 	"hazelwheel/internal/gossip"
 	"hazelwheel/internal/message"
 	"hazelwheel/internal/nodeconfig"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 	"hazelwheel/internal/transport"
 )
 
@@ -116,10 +116,10 @@
 }
 
 // large is a configuration that hardly can be packed.
-func large(version uint64) *routes.Table {
-	table := &routes.Table{Version: version}
+func large(version uint64) *routeconfig.Table {
+	table := &routeconfig.Table{Version: version}
 	for range 4000 {
-		table.Routes = append(table.Routes, routes.Route{Name: fmt.Sprintf("%016x%016x", rand.Uint64(), rand.Uint64())})
+		table.Routes = append(table.Routes, routeconfig.Route{Name: fmt.Sprintf("%016x%016x", rand.Uint64(), rand.Uint64())})
 	}
 	return table
 }
@@ -139,10 +139,10 @@
 	It("reaches all when it changes often, and never goes back", func() {
 		f := startFleet()
 		for version := uint64(1); version <= 20; version++ {
-			f.nodes[int(version)%size].SetTable(&routes.Table{Version: version})
+			f.nodes[int(version)%size].SetTable(&routeconfig.Table{Version: version})
 		}
 		Eventually(func() int { return f.versions(20) }, within).Should(Equal(size))
-		f.nodes[3].SetTable(&routes.Table{Version: 7})
+		f.nodes[3].SetTable(&routeconfig.Table{Version: 7})
 		Expect(f.versions(20)).To(Equal(size))
 	})
 
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -9,11 +9,11 @@
 
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/message"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 // SetTable takes a configuration that holds.
-func (n *Node) SetTable(table *routes.Table) {
+func (n *Node) SetTable(table *routeconfig.Table) {
 	packed, err := message.PackTable(table)
 	if err != nil {
 		n.log.WithError(err).Error("a configuration can't be packed")
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -21,7 +21,7 @@
 // room that stands on none is a failure, else it would be free of the rule by oversight.
 var floors = [][]string{
 	{"policy", "internal/finding", "internal/msgpacklimit"},
-	{"internal/decide/register", "internal/decide/membership", "internal/routes", "internal/nodeconfig", "internal/store"},
+	{"internal/decide/register", "internal/decide/membership", "internal/routeconfig", "internal/nodeconfig", "internal/store"},
 	{"internal/message", "internal/transport"},
 	{"internal/decide", "internal/netio", "internal/buffer", "internal/judge", "internal/health", "internal/handover",
 		"internal/tomlfile"},
--- a/internal/message/payload.go
+++ b/internal/message/payload.go
@@ -8,7 +8,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"github.com/zeebo/errs"
 
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 // Error is the class of all errors of this package.
@@ -24,14 +24,14 @@
 }
 
 // PackTable packs a configuration.
-func PackTable(table *routes.Table) (*Table, error) {
+func PackTable(table *routeconfig.Table) (*Table, error) {
 	data, err := pack(table)
 	return &Table{Version: table.Version, Data: data}, err
 }
 
 // Unpack returns the configuration.
-func (t *Table) Unpack() (*routes.Table, error) {
-	table := &routes.Table{}
+func (t *Table) Unpack() (*routeconfig.Table, error) {
+	table := &routeconfig.Table{}
 	return table, unpack(t.Data, table)
 }
 
--- a/internal/message/wire_form_test.go
+++ b/internal/message/wire_form_test.go
@@ -19,7 +19,7 @@
 	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/message"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 // update writes the golden files anew. Only for a type that is new: what is sent between processes never changes its form.
@@ -59,10 +59,10 @@
 		"ProxyReport": message.ProxyReport{Version: 70000, Demands: []membership.Demand{demand}, Loads: []message.Load{load}},
 		"StagePlan":   plan,
 		// What Table and List hold once they are unpacked.
-		"routes.Table": routes.Table{Version: 70000, Limits: routes.Limits{MaxHeaderBytes: 32768, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 4000.5, IdleTimeoutMs: 55000},
-			Routes: []routes.Route{{Name: "r", Host: "h.example", PathPrefix: "/p/", Kind: routes.Streaming, TimeoutMs: 30000, TargetMs: 800.5,
-				Priority: 2, Targets: []routes.Target{{Service: "chat", Weight: 0.75}}, MaxAttempts: 3, Sticky: true, Resumable: true, GapMs: 250.5}},
-			Services: []routes.Service{{Name: "chat", HealthPath: "/health", MaxConnections: 100, Engine: &routes.Engine{Slots: 8, KVTokens: 1e6,
+		"routes.Table": routeconfig.Table{Version: 70000, Limits: routeconfig.Limits{MaxHeaderBytes: 32768, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 4000.5, IdleTimeoutMs: 55000},
+			Routes: []routeconfig.Route{{Name: "r", Host: "h.example", PathPrefix: "/p/", Kind: routeconfig.Streaming, TimeoutMs: 30000, TargetMs: 800.5,
+				Priority: 2, Targets: []routeconfig.Target{{Service: "chat", Weight: 0.75}}, MaxAttempts: 3, Sticky: true, Resumable: true, GapMs: 250.5}},
+			Services: []routeconfig.Service{{Name: "chat", HealthPath: "/health", MaxConnections: 100, Engine: &routeconfig.Engine{Slots: 8, KVTokens: 1e6,
 				KVTokenBytes: 1000.5, LinkMbps: 10000, HandleTTLS: 5.5, SwitchS: 2.5}}}},
 		"instances": []message.Instance{{ID: "i-1", Service: "chat", Address: "10.0.1.1:9000", Zone: "a", Slots: 8, Draining: true,
 			Stage: message.Decode, ColdMs: 2500.5}},
@@ -119,7 +119,7 @@
 // TestPackedForm pins what Table and List hold packed. A compressor may choose other bytes for it, so that what they unpack to counts.
 func TestPackedForm(t *testing.T) {
 	values := wireValues()
-	table := values["routes.Table"].(routes.Table)
+	table := values["routes.Table"].(routeconfig.Table)
 	packed, err := message.PackTable(&table)
 	require.NoError(t, err)
 	assert.Equal(t, table.Version, packed.Version)
--- a/internal/proxy/crossed_test.go
+++ b/internal/proxy/crossed_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 // unnamed refuses a request without naming it.
@@ -21,7 +21,7 @@
 var _ = Describe("answers that come late, twice or without a name", func() {
 	It("takes a refusal that names nobody on a new connection", func() {
 		one, two := startServer("i-1", "s", "", unnamed), startServer("i-2", "s", "", echo)
-		_, front := startProxy(route(routes.NonIdempotent), false, one, two)
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
 		Eventually(func() int {
 			answer, _, err := ask(front)
 			Expect(err).NotTo(HaveOccurred())
@@ -37,7 +37,7 @@
 			}
 			return echo(conn, r, n) // this one is run
 		})
-		_, front := startProxy(route(routes.NonIdempotent), false, s)
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		answer, _, err := ask(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusOK))
@@ -59,7 +59,7 @@
 			}
 			return echo(conn, r, n)
 		})
-		_, front := startProxy(route(routes.NonIdempotent), false, s)
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		answer, _, err := ask(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusOK))
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -12,13 +12,13 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 var _ = Describe("the time that a request has", func() {
 	DescribeTable("is handed on to the server, as much as is left", func(deadline string, mostMs float64) {
 		s := startServer("i-1", "s", "", echo)
-		_, front := startProxy(route(routes.NonIdempotent), false, s)
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		_, _, err := ask(front, headerDeadline, deadline)
 		Expect(err).NotTo(HaveOccurred())
 		told, err := strconv.ParseFloat(s.seen()[0].Header.Get(headerDeadline), 64)
@@ -32,7 +32,7 @@
 	)
 
 	It("ends at the route's limit though the server is silent", func() {
-		limited := route(routes.NonIdempotent)
+		limited := route(routeconfig.NonIdempotent)
 		limited.TimeoutMs = 300
 		s := startServer("i-1", "s", "", func(conn net.Conn, _ taken, _ int) bool {
 			_, _ = io.Copy(io.Discard, conn) // until the proxy hangs up
@@ -55,7 +55,7 @@
 			return false
 		}
 		one, two := startServer("i-1", "s", "", silent), startServer("i-2", "s", "", silent)
-		_, front := startProxy(route(routes.Idempotent), false, one, two)
+		_, front := startProxy(route(routeconfig.Idempotent), false, one, two)
 		ctx, leave := context.WithCancel(context.Background())
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, front.URL+"/p/x", strings.NewReader("body"))
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -11,7 +11,7 @@
 
 	"hazelwheel/internal/decide/placement"
 	"hazelwheel/internal/nodeconfig"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 const (
@@ -37,7 +37,7 @@
 	request  *http.Request
 	body     []byte
 	id       string
-	route    *routes.Route
+	route    *routeconfig.Route
 	service  string
 	arrived  time.Time
 	deadline time.Time
@@ -83,7 +83,7 @@
 			engine = pool.Engine.Present
 		}
 	})
-	if route.Kind == routes.Streaming {
+	if route.Kind == routeconfig.Streaming {
 		p.stream(ctx, w, j, engine)
 		return
 	}
@@ -107,7 +107,7 @@
 }
 
 // readBody returns the whole body, or the status with which it is turned away.
-func readBody(w http.ResponseWriter, r *http.Request, limits routes.Limits) ([]byte, int) {
+func readBody(w http.ResponseWriter, r *http.Request, limits routeconfig.Limits) ([]byte, int) {
 	most := limits.MaxBodyBytes
 	if most <= 0 {
 		most = bodyDefault
@@ -124,7 +124,7 @@
 }
 
 // timeFor is how long a request may take: what the client waits, and what the route allows.
-func timeFor(r *http.Request, route *routes.Route) time.Duration {
+func timeFor(r *http.Request, route *routeconfig.Route) time.Duration {
 	limit := nodeconfig.Millis(route.TimeoutMs)
 	if ms, err := strconv.ParseFloat(r.Header.Get(headerDeadline), 64); err == nil && ms > 0 {
 		limit = min(limit, nodeconfig.Millis(ms))
@@ -246,7 +246,7 @@
 	got.finish(p.backends, endpoint.Address)
 	verdict = judge(got.answer)
 	failed := got.answer.StatusCode >= http.StatusInternalServerError
-	repeats := failed && j.route.Kind == routes.Idempotent && j.runs+1 < j.route.MaxAttempts
+	repeats := failed && j.route.Kind == routeconfig.Idempotent && j.runs+1 < j.route.MaxAttempts
 	if verdict == Served && !repeats {
 		p.settle(ctx, j, endpoint, Served)
 		return got.answer, body
@@ -344,7 +344,7 @@
 }
 
 // promptOf reads what the choice of model servers goes by.
-func promptOf(r *http.Request, route *routes.Route) placement.Prompt {
+func promptOf(r *http.Request, route *routeconfig.Route) placement.Prompt {
 	prompt := placement.Prompt{Parts: placement.ParsePrefix(r.Header.Get(headerPrefixHash))}
 	prompt.AimS = nodeconfig.Millis(route.TargetMs).Seconds()
 	prompt.GapS = nodeconfig.Millis(route.GapMs).Seconds()
--- a/internal/proxy/misdirected_test.go
+++ b/internal/proxy/misdirected_test.go
@@ -14,7 +14,7 @@
 
 	"hazelwheel/internal/message"
 	"hazelwheel/internal/nodeconfig"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 // modelServer is a stand-in that goes by the fields of a request as model servers do: what is not for its stage, its instance or its
@@ -76,9 +76,9 @@
 	log.SetOutput(io.Discard)
 	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowS: 10, BudgetSlack: 100, AgainS: 8}}
 	p := newProxy(settings, logrus.NewEntry(log))
-	table, err := message.PackTable(&routes.Table{Version: 1, Routes: []routes.Route{route(routes.Streaming)}, Services: []routes.Service{{Name: "s",
-		HealthPath: "/health", MaxConnections: 100, Engine: &routes.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLS: 5}}},
-		Limits: routes.Limits{MaxBodyBytes: 1 << 16}})
+	table, err := message.PackTable(&routeconfig.Table{Version: 1, Routes: []routeconfig.Route{route(routeconfig.Streaming)}, Services: []routeconfig.Service{{Name: "s",
+		HealthPath: "/health", MaxConnections: 100, Engine: &routeconfig.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLS: 5}}},
+		Limits: routeconfig.Limits{MaxBodyBytes: 1 << 16}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -10,7 +10,7 @@
 
 	"hazelwheel/internal/decide/placement"
 	"hazelwheel/internal/nodeconfig"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 const (
@@ -62,7 +62,7 @@
 const readingPart = 0.5
 
 // add counts a stream of a route that was served.
-func (c *streamCounts) add(route *routes.Route, arrived time.Time, times *streamTimes) {
+func (c *streamCounts) add(route *routeconfig.Route, arrived time.Time, times *streamTimes) {
 	c.Served++
 	target := nodeconfig.Millis(route.TargetMs)
 	switch {
--- a/internal/proxy/plain_test.go
+++ b/internal/proxy/plain_test.go
@@ -12,13 +12,13 @@
 
 	"hazelwheel/internal/decide/placement"
 	"hazelwheel/internal/message"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 var _ = Describe("a request with a short answer", func() {
 	It("reaches the server unchanged, and its answer the client", func() {
 		s := startServer("i-1", "s", "", echo)
-		_, front := startProxy(route(routes.NonIdempotent), false, s)
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		answer, body, err := ask(front, "X-Own", "kept", "Connection", "X-Hop", "X-Hop", "dropped")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusOK))
@@ -36,7 +36,7 @@
 
 	It("is sent once where it may run once only and the server breaks off", func() {
 		one, two := startServer("i-1", "s", "", reset), startServer("i-2", "s", "", reset)
-		_, front := startProxy(route(routes.NonIdempotent), false, one, two)
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
 		answer, _, err := ask(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway), "a 503 would promise that it has not run")
@@ -45,7 +45,7 @@
 
 	It("goes to another server where it may run again", func() {
 		one, two := startServer("i-1", "s", "", reset), startServer("i-2", "s", "", reset)
-		_, front := startProxy(route(routes.Idempotent), false, one, two)
+		_, front := startProxy(route(routeconfig.Idempotent), false, one, two)
 		answer, _, err := ask(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway))
@@ -55,7 +55,7 @@
 
 	It("goes to another server where the first has not run it", func() {
 		one, two := startServer("i-1", "s", "", full), startServer("i-2", "s", "", echo)
-		_, front := startProxy(route(routes.NonIdempotent), false, one, two)
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
 		for range 4 {
 			answer, _, err := ask(front)
 			Expect(err).NotTo(HaveOccurred())
@@ -68,7 +68,7 @@
 			one, two := startServer("i-1", "s", "", echo), startServer("i-2", "s", "", echo)
 			one.setCrowded(crowdedFirst)
 			two.setCrowded(!crowdedFirst)
-			p, front := startProxy(route(routes.NonIdempotent), false, one, two)
+			p, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
 			p.state.do("s", func(_ float64, pool *placement.Pool, _ *placement.Planner) { pool.SetConnections(2) })
 			for n := range 6 {
 				answer, _, err := ask(front, headerRequestID, fmt.Sprint("id-", n))
@@ -80,7 +80,7 @@
 	})
 
 	It("is refused with a time to come back where no server has run it", func() {
-		_, front := startProxy(route(routes.NonIdempotent), false, startServer("i-1", "s", "", full))
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, startServer("i-1", "s", "", full))
 		answer, _, err := ask(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
@@ -89,7 +89,7 @@
 	})
 
 	DescribeTable("never is answered with what no server gave whole", func(broken behaviour) {
-		_, front := startProxy(route(routes.NonIdempotent), false, startServer("i-1", "s", "", broken))
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, startServer("i-1", "s", "", broken))
 		answer, _, err := ask(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway))
@@ -129,7 +129,7 @@
 			}
 			return wholeAnswer(conn, r, fmt.Sprint("answer ", n))
 		})
-		_, front := startProxy(route(routes.NonIdempotent), false, s)
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		for n := 1; n <= 3; n++ {
 			_, body, err := ask(front, headerRequestID, fmt.Sprint("id-", n))
 			Expect(err).NotTo(HaveOccurred())
@@ -142,7 +142,7 @@
 			wholeAnswer(conn, r, "one")
 			return wholeAnswer(conn, r, "again")
 		})
-		_, front := startProxy(route(routes.NonIdempotent), false, s)
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		for range 3 {
 			_, body, err := ask(front)
 			Expect(err).NotTo(HaveOccurred())
@@ -156,7 +156,7 @@
 				r.Header.Get(headerRequestID))
 			return true
 		})
-		_, front := startProxy(route(routes.NonIdempotent), false, s)
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		answer, body, err := ask(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusInternalServerError))
@@ -169,7 +169,7 @@
 			fmt.Fprint(conn, "HTTP/1.1 421 Misdirected\r\nHazelwheel-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n")
 			return true
 		})
-		_, front := startProxy(route(routes.NonIdempotent), false, one, startServer("i-2", "s", "", echo))
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, one, startServer("i-2", "s", "", echo))
 		for range 8 {
 			answer, _, err := ask(front)
 			Expect(err).NotTo(HaveOccurred())
@@ -179,7 +179,7 @@
 	})
 
 	It("is turned away where there is no route, and where its body is too large", func() {
-		_, front := startProxy(route(routes.NonIdempotent), false, startServer("i-1", "s", "", echo))
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, startServer("i-1", "s", "", echo))
 		answer, err := front.Client().Post(front.URL+"/elsewhere/", "", nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusNotFound))
@@ -193,7 +193,7 @@
 
 	It("goes to no server that is draining, also where an older list says otherwise", func() {
 		one, two := startServer("i-1", "s", "", echo), startServer("i-2", "s", "", echo)
-		p, front := startProxy(route(routes.NonIdempotent), false, one, two)
+		p, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
 		draining := one.Instance
 		draining.Draining = true
 		Expect(p.state.take(&message.Feed{List: list(draining, two.Instance)})).To(Succeed())
@@ -207,7 +207,7 @@
 
 	It("waits for a proxy that has just begun, and is refused when the first facts don't come", func() {
 		s := startServer("i-1", "s", "", echo)
-		ready, _ := startProxy(route(routes.NonIdempotent), false, s)
+		ready, _ := startProxy(route(routeconfig.NonIdempotent), false, s)
 		begun := newProxy(ready.settings, ready.log)
 		front := httptest.NewServer(begun)
 		DeferCleanup(front.Close)
@@ -224,16 +224,16 @@
 			statuses <- late.StatusCode
 		}()
 		Consistently(statuses, "100ms").ShouldNot(Receive())
-		packed, err := message.PackTable(&routes.Table{Version: 1, Routes: []routes.Route{route(routes.NonIdempotent)},
-			Services: []routes.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100}}})
+		packed, err := message.PackTable(&routeconfig.Table{Version: 1, Routes: []routeconfig.Route{route(routeconfig.NonIdempotent)},
+			Services: []routeconfig.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100}}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(begun.state.take(&message.Feed{Table: packed, List: list(s.Instance), Count: 1})).To(Succeed())
 		Eventually(statuses).Should(Receive(Equal(http.StatusOK)))
 	})
 
 	It("never goes by an older configuration than before", func() {
-		p, front := startProxy(route(routes.NonIdempotent), false, startServer("i-1", "s", "", echo))
-		older, err := message.PackTable(&routes.Table{Version: 0})
+		p, front := startProxy(route(routeconfig.NonIdempotent), false, startServer("i-1", "s", "", echo))
+		older, err := message.PackTable(&routeconfig.Table{Version: 0})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.state.take(&message.Feed{Table: older})).To(Succeed())
 		answer, _, err := ask(front)
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"hazelwheel/internal/decide/placement"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 const (
@@ -107,7 +107,7 @@
 // connections. Danger: a server accepts what goes beyond its MaxConnections and resets it a moment later, so that a request on it may have
 // run. That happens after processes have lost power, whose connections servers keep for a while. It returns whether the connection is good.
 func (p *Proxy) tryNew(ctx context.Context, j *job, endpoint *placement.Endpoint, conn *backendConn) bool {
-	if conn.used || j.route.Kind == routes.Idempotent {
+	if conn.used || j.route.Kind == routeconfig.Idempotent {
 		return true
 	}
 	target, scarce := dueProbe{host: j.service}, false
--- a/internal/proxy/proxy_suite_test.go
+++ b/internal/proxy/proxy_suite_test.go
@@ -17,7 +17,7 @@
 
 	"hazelwheel/internal/message"
 	"hazelwheel/internal/nodeconfig"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 func TestProxy(t *testing.T) {
@@ -166,21 +166,21 @@
 }
 
 // route is one to the service "s" with two attempts.
-func route(kind routes.Kind) routes.Route {
-	return routes.Route{Name: "r", Host: "h.example", PathPrefix: "/p/", Kind: kind, TimeoutMs: 5000, TargetMs: 500, Priority: 1,
-		Targets: []routes.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2}
+func route(kind routeconfig.Kind) routeconfig.Route {
+	return routeconfig.Route{Name: "r", Host: "h.example", PathPrefix: "/p/", Kind: kind, TimeoutMs: 5000, TargetMs: 500, Priority: 1,
+		Targets: []routeconfig.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2}
 }
 
 // startProxy begins a proxy with one route and these servers. The budget allows some repeats.
-func startProxy(r routes.Route, engine bool, servers ...*server) (*Proxy, *httptest.Server) {
+func startProxy(r routeconfig.Route, engine bool, servers ...*server) (*Proxy, *httptest.Server) {
 	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowS: 10, BudgetSlack: 100, AgainS: 8}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	p := newProxy(settings, logrus.NewEntry(log))
-	table := &routes.Table{Version: 1, Routes: []routes.Route{r}, Services: []routes.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100}},
-		Limits: routes.Limits{MaxBodyBytes: 1 << 16}}
+	table := &routeconfig.Table{Version: 1, Routes: []routeconfig.Route{r}, Services: []routeconfig.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100}},
+		Limits: routeconfig.Limits{MaxBodyBytes: 1 << 16}}
 	if engine {
-		table.Services[0].Engine = &routes.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLS: 5}
+		table.Services[0].Engine = &routeconfig.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLS: 5}
 	}
 	var instances []message.Instance
 	for _, s := range servers {
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -8,7 +8,7 @@
 	"hazelwheel/internal/decide/placement"
 	"hazelwheel/internal/message"
 	"hazelwheel/internal/nodeconfig"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 // state holds what the decisions know. All of it is guarded by one lock, which is never held during I/O.
@@ -111,7 +111,7 @@
 }
 
 // unpack returns the configuration and the servers that a feed brings, nil for what it does not.
-func unpack(feed *message.Feed) (table *routes.Table, instances []message.Instance, err error) {
+func unpack(feed *message.Feed) (table *routeconfig.Table, instances []message.Instance, err error) {
 	if feed.Table != nil {
 		if table, err = feed.Table.Unpack(); err != nil {
 			return nil, nil, err
@@ -149,7 +149,7 @@
 	return pool
 }
 
-func engineOf(service *routes.Service) placement.Engine {
+func engineOf(service *routeconfig.Service) placement.Engine {
 	if service.Engine == nil {
 		return placement.Engine{}
 	}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -12,7 +12,7 @@
 
 	"hazelwheel/internal/decide/placement"
 	"hazelwheel/internal/message"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 // allEvents is the body of a stream of so many.
@@ -37,7 +37,7 @@
 
 var _ = Describe("a stream", func() {
 	It("is passed on event by event", func() {
-		_, front := startProxy(route(routes.Streaming), false, startServer("i-1", "s", "", events(5)))
+		_, front := startProxy(route(routeconfig.Streaming), false, startServer("i-1", "s", "", events(5)))
 		answer, body, err := ask(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Header.Get("Content-Type")).To(Equal("text/event-stream"))
@@ -46,7 +46,7 @@
 
 	It("that breaks off does not look complete, and no half event goes out", func() {
 		one, two := startServer("i-1", "s", "", breakAfter(2)), startServer("i-2", "s", "", breakAfter(2))
-		_, front := startProxy(route(routes.Streaming), false, one, two)
+		_, front := startProxy(route(routeconfig.Streaming), false, one, two)
 		_, body, err := ask(front)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 		Expect(body).To(Equal(allEvents(2)))
@@ -54,7 +54,7 @@
 	})
 
 	It("goes on at another server where it may, without losing or repeating an event", func() {
-		resumable := route(routes.Streaming)
+		resumable := route(routeconfig.Streaming)
 		resumable.Resumable = true
 		broken, good := startServer("i-1", "s", "", breakAfter(2)), startServer("i-2", "s", "", events(4))
 		_, front := startProxy(resumable, false, broken, good)
@@ -88,7 +88,7 @@
 	It("is read at one server and answered at another", func() {
 		reader := startServer("i-1", "s", message.Prefill, reads)
 		runner := startServer("i-2", "s", message.Decode, events(3))
-		_, front := startProxy(route(routes.Streaming), true, reader, runner)
+		_, front := startProxy(route(routeconfig.Streaming), true, reader, runner)
 		_, body, err := ask(front, tokens...)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal(allEvents(3)))
@@ -100,7 +100,7 @@
 	It("is read where the answer is made when its reading fails", func() {
 		reader := startServer("i-1", "s", message.Prefill, reset)
 		runner := startServer("i-2", "s", message.Decode, events(3))
-		_, front := startProxy(route(routes.Streaming), true, reader, runner)
+		_, front := startProxy(route(routeconfig.Streaming), true, reader, runner)
 		_, body, err := ask(front, tokens...)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal(allEvents(3)))
@@ -113,7 +113,7 @@
 			Expect(gone.listener.Close()).To(Succeed())
 			reader := startServer(ids[1], "s", message.Prefill, reads)
 			runner := startServer("i-2", "s", message.Decode, events(3))
-			_, front := startProxy(route(routes.Streaming), true, gone, reader, runner)
+			_, front := startProxy(route(routeconfig.Streaming), true, gone, reader, runner)
 			_, body, err := ask(front, tokens...)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(body).To(Equal(allEvents(3)))
@@ -128,7 +128,7 @@
 			losing := startServer(ids[0], "s", message.Prefill, reset)
 			reader := startServer(ids[1], "s", message.Prefill, reads)
 			runner := startServer("i-2", "s", message.Decode, events(3))
-			limited := route(routes.Streaming)
+			limited := route(routeconfig.Streaming)
 			limited.MaxAttempts = attempts
 			_, front := startProxy(limited, true, losing, reader, runner)
 			_, body, err := ask(front, tokens...)
@@ -147,8 +147,8 @@
 	It("spends of the budget for readers that are asked again, and not for the last one", func() {
 		refusing := []*server{startServer("i-1", "s", message.Prefill, full), startServer("i-2", "s", message.Prefill, full), startServer("i-3", "s", message.Prefill, full)}
 		runner := startServer("i-4", "s", message.Decode, events(3))
-		asked, front := startProxy(route(routes.Streaming), true, append(refusing, runner)...)
-		untouched, _ := startProxy(route(routes.Streaming), true, runner)
+		asked, front := startProxy(route(routeconfig.Streaming), true, append(refusing, runner)...)
+		untouched, _ := startProxy(route(routeconfig.Streaming), true, runner)
 		_, body, err := ask(front, tokens...)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal(allEvents(3)))
@@ -163,7 +163,7 @@
 			refusing := startServer(ids[0], "s", message.Prefill, full)
 			reader := startServer(ids[1], "s", message.Prefill, reads)
 			runner := startServer("i-2", "s", message.Decode, events(3))
-			_, front := startProxy(route(routes.Streaming), true, refusing, reader, runner)
+			_, front := startProxy(route(routeconfig.Streaming), true, refusing, reader, runner)
 			for range 3 {
 				_, body, err := ask(front, tokens...)
 				Expect(err).NotTo(HaveOccurred())
@@ -179,7 +179,7 @@
 		reader := startServer("i-1", "s", message.Prefill, reads)
 		one, two := startServer("i-2", "s", message.Decode, full), startServer("i-3", "s", message.Decode, events(3))
 		for range 40 { // a proxy that has seen nothing yet, each time; one of two is drawn
-			_, front := startProxy(route(routes.Streaming), true, reader, one, two)
+			_, front := startProxy(route(routeconfig.Streaming), true, reader, one, two)
 			_, body, err := ask(front, tokens...)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(body).To(Equal(allEvents(3)))
@@ -194,7 +194,7 @@
 		reader := startServer("i-1", "s", message.Prefill, reads)
 		runner := startServer("i-2", "s", message.Decode, full)
 		Expect(runner.listener.Close()).To(Succeed())
-		_, front := startProxy(route(routes.Streaming), true, reader, runner)
+		_, front := startProxy(route(routeconfig.Streaming), true, reader, runner)
 		answer, _, err := ask(front, tokens...)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
@@ -208,7 +208,7 @@
 
 	It("without parts goes to the servers that make answers, whatever its route's kind", func() {
 		runner := startServer("i-2", "s", message.Decode, echo)
-		_, front := startProxy(route(routes.Idempotent), true, startServer("i-1", "s", message.Prefill, full), runner)
+		_, front := startProxy(route(routeconfig.Idempotent), true, startServer("i-1", "s", message.Prefill, full), runner)
 		_, body, err := ask(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(strings.HasPrefix(body, "answer of")).To(BeTrue())
--- a/internal/proxy/table.go
+++ b/internal/proxy/table.go
@@ -6,20 +6,20 @@
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 // routeTable finds routes by host and path. It never changes.
 type routeTable struct {
 	version  uint64
-	limits   routes.Limits
-	tree     *iradix.Tree[*routes.Route]
-	services map[string]*routes.Service
+	limits   routeconfig.Limits
+	tree     *iradix.Tree[*routeconfig.Route]
+	services map[string]*routeconfig.Service
 }
 
-func newRouteTable(table *routes.Table) *routeTable {
-	t := &routeTable{version: table.Version, limits: table.Limits, services: map[string]*routes.Service{}}
-	txn := iradix.New[*routes.Route]().Txn()
+func newRouteTable(table *routeconfig.Table) *routeTable {
+	t := &routeTable{version: table.Version, limits: table.Limits, services: map[string]*routeconfig.Service{}}
+	txn := iradix.New[*routeconfig.Route]().Txn()
 	for i := range table.Routes {
 		route := &table.Routes[i]
 		txn.Insert([]byte(placeKey(route.Host, route.PathPrefix)), route)
@@ -35,7 +35,7 @@
 func placeKey(host, path string) string { return strings.ToLower(host) + "\x00" + path }
 
 // find returns the route with the longest prefix, nil if there is none.
-func (t *routeTable) find(host, path string) *routes.Route {
+func (t *routeTable) find(host, path string) *routeconfig.Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
 	}
@@ -47,7 +47,7 @@
 }
 
 // target draws the service of a request by the weights.
-func target(route *routes.Route) string {
+func target(route *routeconfig.Route) string {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
 	}
--- a/internal/proxy/verdict.go
+++ b/internal/proxy/verdict.go
@@ -1,6 +1,6 @@
 package proxy
 
-import "hazelwheel/internal/routes"
+import "hazelwheel/internal/routeconfig"
 
 // Verdict says of an attempt that brought no answer for the client whether the server may have run the request. It is taken
 // from the wire alone.
@@ -24,12 +24,12 @@
 func (v Verdict) Ran() bool { return v == MayHaveRun || v == Served }
 
 // MayRepeat tells whether a request of a route may be sent to another server.
-func (v Verdict) MayRepeat(route *routes.Route) bool {
+func (v Verdict) MayRepeat(route *routeconfig.Route) bool {
 	switch v {
 	case NotSent, NotExecuted:
 		return true
 	case MayHaveRun:
-		return route.Kind == routes.Idempotent || route.Kind == routes.Streaming && route.Resumable
+		return route.Kind == routeconfig.Idempotent || route.Kind == routeconfig.Streaming && route.Resumable
 	default:
 		return false
 	}
--- a/internal/proxy/wire_form_test.go
+++ b/internal/proxy/wire_form_test.go
@@ -17,7 +17,7 @@
 
 	"hazelwheel/internal/message"
 	"hazelwheel/internal/nodeconfig"
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 // update writes the golden files anew. Only for a form that is new: proxies and agents of two versions run beside one another.
@@ -40,8 +40,8 @@
 
 // feedFrame is what an agent sends: a length of four bytes and a feed.
 func feedFrame() []byte {
-	table, err := message.PackTable(&routes.Table{Version: 7, Services: []routes.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100,
-		Engine: &routes.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLS: 5}}}})
+	table, err := message.PackTable(&routeconfig.Table{Version: 7, Services: []routeconfig.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100,
+		Engine: &routeconfig.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLS: 5}}}})
 	Expect(err).NotTo(HaveOccurred())
 	data, err := msgpack.Marshal(&message.Feed{Table: table, List: list(message.Instance{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "z",
 		Slots: 4, Stage: message.Decode}), Loads: []message.Load{{Key: message.LoadKey("i-1"), Running: 2, Waiting: 1, AgeMs: 40}},
@@ -58,7 +58,7 @@
 		listener, err := net.Listen("tcp4", settings.FeedAddress())
 		Expect(err).NotTo(HaveOccurred())
 		defer listener.Close()
-		p, _ := startProxy(route(routes.Idempotent), false)
+		p, _ := startProxy(route(routeconfig.Idempotent), false)
 		p.settings = settings
 		ended := make(chan error, 1)
 		go func() { ended <- p.followOnce(GinkgoT().Context(), settings.FeedAddress()) }()
--- a/internal/routes/examine.go
+++ b/internal/routeconfig/examine.go
@@ -1,4 +1,4 @@
-package routes
+package routeconfig
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 
 	"hazelwheel/internal/finding"
-	"hazelwheel/internal/routes/configpb"
+	"hazelwheel/internal/routeconfig/configpb"
 )
 
 // Report is what an examination of a configuration has found.
--- a/internal/routes/patch.go
+++ b/internal/routeconfig/patch.go
@@ -1,4 +1,4 @@
-package routes
+package routeconfig
 
 import (
 	"bytes"
--- a/internal/routes/patch_test.go
+++ b/internal/routeconfig/patch_test.go
@@ -1,4 +1,4 @@
-package routes_test
+package routeconfig_test
 
 import (
 	"encoding/json"
@@ -10,12 +10,12 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 // patched applies a patch to the sound configuration.
 func patched(patch string) (string, error) {
-	read, err := routes.ParsePatch([]byte(patch))
+	read, err := routeconfig.ParsePatch([]byte(patch))
 	if err != nil {
 		return "", err
 	}
@@ -23,7 +23,7 @@
 	if err != nil {
 		return "", err
 	}
-	_, err = routes.Parse(made)
+	_, err = routeconfig.Parse(made)
 	return string(made), err
 }
 
@@ -33,7 +33,7 @@
 			{"Name":"c","Host":"h","PathPrefix":"/c/","RouteType":"idempotent","TimeoutMs":10,"Service":"s","Later":{"x":1}},
 			{"Name":"a","Host":"h","PathPrefix":"/a/","RouteType":"idempotent","TimeoutMs":70,"Service":"s"}]},"Remove":{"Routes":["b"]}}`)
 		Expect(err).NotTo(HaveOccurred())
-		table, err := routes.Parse([]byte(made))
+		table, err := routeconfig.Parse([]byte(made))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(table.Version).To(BeEquivalentTo(9))
 		Expect(table.Routes).To(HaveLen(2))
@@ -46,7 +46,7 @@
 	})
 
 	It("adds a list that a configuration lacks", func() {
-		read, err := routes.ParsePatch([]byte(`{"Version":2,"Upsert":{"Services":[{"Name":"s","HealthPath":"/h"}]}}`))
+		read, err := routeconfig.ParsePatch([]byte(`{"Version":2,"Upsert":{"Services":[{"Name":"s","HealthPath":"/h"}]}}`))
 		Expect(err).NotTo(HaveOccurred())
 		made, err := read.Apply([]byte(`{"Version":1}`))
 		Expect(err).NotTo(HaveOccurred())
@@ -119,7 +119,7 @@
 		}
 		text, err := json.Marshal(map[string]any{"Version": version, "Upsert": map[string]any{"Routes": upsert}, "Remove": map[string]any{"Routes": remove}})
 		Expect(err).NotTo(HaveOccurred())
-		patch, err := routes.ParsePatch(text)
+		patch, err := routeconfig.ParsePatch(text)
 		Expect(err).NotTo(HaveOccurred())
 		config, err = patch.Apply(config)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/routes/routes.go
+++ b/internal/routeconfig/routes.go
@@ -1,5 +1,5 @@
-// Package routes holds the operator's configuration: reading and checking it, and the compact table that proxies route by.
-package routes
+// Package routeconfig holds the operator's configuration: reading and checking it, and the compact table that proxies route by.
+package routeconfig
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 
 	"hazelwheel/internal/finding"
-	"hazelwheel/internal/routes/configpb"
+	"hazelwheel/internal/routeconfig/configpb"
 )
 
 // Error is the class of errors that say why a configuration is invalid.
--- a/internal/routes/routes_test.go
+++ b/internal/routeconfig/routes_test.go
@@ -1,4 +1,4 @@
-package routes_test
+package routeconfig_test
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 func TestRoutes(t *testing.T) {
@@ -26,10 +26,10 @@
 
 var _ = Describe("a configuration", func() {
 	It("is compiled to a table, fields that are not known passed over", func() {
-		table, err := routes.Parse([]byte(sound))
+		table, err := routeconfig.Parse([]byte(sound))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(table.Version).To(BeEquivalentTo(7))
-		Expect(table.Routes[0].Targets).To(Equal([]routes.Target{{Service: "s", Weight: 1}}))
+		Expect(table.Routes[0].Targets).To(Equal([]routeconfig.Target{{Service: "s", Weight: 1}}))
 		Expect(table.Routes[0].GapMs).To(Equal(250.0))
 		Expect(table.Routes[1].Targets).To(HaveLen(2))
 		Expect(table.Services[0].Engine.SwitchS).To(Equal(1.9))
@@ -39,7 +39,7 @@
 
 	DescribeTable("is refused by the first fault's path", func(was, is, path string) {
 		Expect(strings.Contains(sound, was)).To(BeTrue(), "the case must change something")
-		_, err := routes.Parse([]byte(strings.Replace(sound, was, is, 1)))
+		_, err := routeconfig.Parse([]byte(strings.Replace(sound, was, is, 1)))
 		Expect(err).To(MatchError(ContainSubstring(path)))
 	},
 		Entry("cut short", `"Limits"`, `"Lim`, "configuration"),
--- a/internal/routes/stored_form_test.go
+++ b/internal/routeconfig/stored_form_test.go
@@ -1,4 +1,4 @@
-package routes_test
+package routeconfig_test
 
 import (
 	"encoding/hex"
@@ -12,25 +12,25 @@
 	"github.com/stretchr/testify/require"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hazelwheel/internal/routes"
+	"hazelwheel/internal/routeconfig"
 )
 
 // goldenTable is the table of testdata/stored_form/document.json.
-var goldenTable = routes.Table{
+var goldenTable = routeconfig.Table{
 	Version: 7,
-	Routes: []routes.Route{
-		{Name: "a", Host: "h", PathPrefix: "/a/", Kind: routes.Streaming, TimeoutMs: 2500, TargetMs: 300, Priority: 2,
-			Targets: []routes.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2, Sticky: true, Resumable: true, GapMs: 250},
-		{Name: "b", Host: "h", PathPrefix: "/b/", Kind: routes.NonIdempotent, TimeoutMs: 1000.5,
-			Targets: []routes.Target{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}, MaxAttempts: 1},
-		{Name: "c", Host: "h", PathPrefix: "/c/", Kind: routes.Idempotent, TimeoutMs: 10, Targets: []routes.Target{{Service: "t", Weight: 1}}, MaxAttempts: 1},
+	Routes: []routeconfig.Route{
+		{Name: "a", Host: "h", PathPrefix: "/a/", Kind: routeconfig.Streaming, TimeoutMs: 2500, TargetMs: 300, Priority: 2,
+			Targets: []routeconfig.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2, Sticky: true, Resumable: true, GapMs: 250},
+		{Name: "b", Host: "h", PathPrefix: "/b/", Kind: routeconfig.NonIdempotent, TimeoutMs: 1000.5,
+			Targets: []routeconfig.Target{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}, MaxAttempts: 1},
+		{Name: "c", Host: "h", PathPrefix: "/c/", Kind: routeconfig.Idempotent, TimeoutMs: 10, Targets: []routeconfig.Target{{Service: "t", Weight: 1}}, MaxAttempts: 1},
 	},
-	Services: []routes.Service{
+	Services: []routeconfig.Service{
 		{Name: "s", HealthPath: "/health", MaxConnections: 350,
-			Engine: &routes.Engine{Slots: 64, KVTokens: 765689, KVTokenBytes: 35136, LinkMbps: 1500000, HandleTTLS: 5, SwitchS: 1.9}},
+			Engine: &routeconfig.Engine{Slots: 64, KVTokens: 765689, KVTokenBytes: 35136, LinkMbps: 1500000, HandleTTLS: 5, SwitchS: 1.9}},
 		{Name: "t", MaxConnections: 93},
 	},
-	Limits: routes.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
+	Limits: routeconfig.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 }
 
 // TestStoredForm pins the bytes of the table that control processes pack and send. Processes of other versions read these bytes.
@@ -48,24 +48,24 @@
 	encoded, err := msgpack.Marshal(&table)
 	require.NoError(t, err)
 	assert.Equal(t, golden, encoded)
-	var decoded routes.Table
+	var decoded routeconfig.Table
 	require.NoError(t, msgpack.Unmarshal(golden, &decoded))
 	assert.Equal(t, table, decoded)
 }
 
 // TestStoredDocument pins what a stored document is read as: it is stored and digested as the operator sent it.
 func TestStoredDocument(t *testing.T) {
-	table, err := routes.Parse(stored(t, "document.json"))
+	table, err := routeconfig.Parse(stored(t, "document.json"))
 	require.NoError(t, err)
 	assert.Equal(t, &goldenTable, table)
-	report := routes.Examine(stored(t, "document.json"))
+	report := routeconfig.Examine(stored(t, "document.json"))
 	assert.Empty(t, report.Faults)
 	assert.Equal(t, &goldenTable, report.Table)
 }
 
 // TestPatchedDocument pins the document that a patch makes of a stored one: its digest is agreed on by voters of other versions.
 func TestPatchedDocument(t *testing.T) {
-	patch, err := routes.ParsePatch(stored(t, "patch.json"))
+	patch, err := routeconfig.ParsePatch(stored(t, "patch.json"))
 	require.NoError(t, err)
 	patched, err := patch.Apply(stored(t, "document.json"))
 	require.NoError(t, err)
