--- a/cmd/hazelwheel/drill.go
+++ b/cmd/hazelwheel/drill.go
@@ -14,7 +14,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/front/http1"
+	"hazelwheel/internal/frontend/http1"
 	"hazelwheel/internal/sidecarconfig"
 )
 
--- a/cmd/hazelwheel/main.go
+++ b/cmd/hazelwheel/main.go
@@ -16,7 +16,7 @@
 
 	"hazelwheel/internal/capture"
 	"hazelwheel/internal/featureconfig"
-	"hazelwheel/internal/front/ops"
+	"hazelwheel/internal/frontend/ops"
 	"hazelwheel/internal/netio/sockets"
 	"hazelwheel/internal/process"
 	"hazelwheel/internal/sidecarconfig"
--- a/cmd/hazelwheel/quota.go
+++ b/cmd/hazelwheel/quota.go
@@ -14,7 +14,7 @@
 	"github.com/urfave/cli/v3"
 
 	"hazelwheel/internal/decide/quota"
-	"hazelwheel/internal/front/http1"
+	"hazelwheel/internal/frontend/http1"
 	"hazelwheel/internal/quotas"
 	played "hazelwheel/internal/quotas/replay"
 	"hazelwheel/internal/sidecarconfig"
--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -17,7 +17,7 @@
 
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/front/ops"
+	"hazelwheel/internal/frontend/ops"
 	"hazelwheel/internal/maintenanceplan"
 )
 
--- a/internal/front/front_test.go
+++ b/internal/frontend/front_test.go
@@ -1,5 +1,5 @@
 // Package front_test holds the fronts against each other: the same calls through the same core.
-package front_test
+package frontend_test
 
 import (
 	"bytes"
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/require"
 
 	"hazelwheel/internal/featureconfig"
-	"hazelwheel/internal/front/http1"
-	thriftfront "hazelwheel/internal/front/thrift"
+	"hazelwheel/internal/frontend/http1"
+	thriftfront "hazelwheel/internal/frontend/thrift"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/sidecar"
 	"hazelwheel/internal/sidecarconfig"
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -30,7 +30,7 @@
 	{"internal/rewrite", "internal/capture", "internal/world", "internal/wire"},
 	{"internal/featureconfig", "internal/lint", "internal/gossip", "internal/configredirect"},
 	{"internal/sidecar"},
-	{"internal/front", "internal/coordination", "internal/control", "internal/agent", "internal/proxy"},
+	{"internal/frontend", "internal/coordination", "internal/control", "internal/agent", "internal/proxy"},
 	{"internal/process", "internal/sim", "internal/lab"},
 	{"cmd", "example", "internal/ci"},
 }
@@ -40,7 +40,7 @@
 var apart = map[string][]string{
 	"internal/world":   {"policy", "internal/sidecar", "internal/featureconfig", "internal/sidecarconfig"},
 	"internal/judge":   {"policy", "internal/sidecar"},
-	"internal/lab":     {"policy", "internal/sidecar", "internal/front", "internal/featureconfig", "internal/coordination"},
+	"internal/lab":     {"policy", "internal/sidecar", "internal/frontend", "internal/featureconfig", "internal/coordination"},
 	"internal/sidecar": {"internal/lint", "internal/world"},
 }
 
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -11,7 +11,7 @@
 	"hazelwheel/internal/coordination/folder"
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/featureconfig"
-	"hazelwheel/internal/front/ops"
+	"hazelwheel/internal/frontend/ops"
 	"hazelwheel/internal/netio/beside"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/sidecarconfig"
--- a/internal/sim/core.go
+++ b/internal/sim/core.go
@@ -5,8 +5,8 @@
 	"log/slog"
 
 	"hazelwheel/internal/featureconfig"
-	"hazelwheel/internal/front/http1"
-	"hazelwheel/internal/front/thrift"
+	"hazelwheel/internal/frontend/http1"
+	"hazelwheel/internal/frontend/thrift"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/rewrite"
 	"hazelwheel/internal/sidecar"
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -10,7 +10,7 @@
 
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/featureconfig"
-	"hazelwheel/internal/front/http1"
+	"hazelwheel/internal/frontend/http1"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/netio/beside"
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -5,7 +5,7 @@
 
 	"hazelwheel/internal/decide/quota"
 	"hazelwheel/internal/featureconfig"
-	"hazelwheel/internal/front/http1"
+	"hazelwheel/internal/frontend/http1"
 	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/quotas"
