--- a/cmd/hazelwheel/main.go
+++ b/cmd/hazelwheel/main.go
@@ -16,7 +16,7 @@
 
 	"hazelwheel/internal/capture"
 	"hazelwheel/internal/featureconfig"
-	"hazelwheel/internal/frontend/ops"
+	"hazelwheel/internal/frontend/admin"
 	"hazelwheel/internal/netio/sockets"
 	"hazelwheel/internal/process"
 	"hazelwheel/internal/sidecarconfig"
@@ -109,7 +109,7 @@
 		advice.look(c.String("config"), c.String("features"))
 		return cfg.Reload(c.String("config"), os.Getenv)
 	})
-	if errors.Is(err, sockets.ErrPassed) || errors.Is(err, ops.ErrListen) {
+	if errors.Is(err, sockets.ErrPassed) || errors.Is(err, admin.ErrListen) {
 		return fault(err)
 	}
 	fmt.Fprintf(c.Root().Writer, "%s", s.Counters())
--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -17,7 +17,7 @@
 
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/frontend/ops"
+	"hazelwheel/internal/frontend/admin"
 	"hazelwheel/internal/maintenanceplan"
 )
 
@@ -84,8 +84,8 @@
 		return maintenance.Spec{}, err
 	}
 	spec, err := maintenanceplan.Read(path, text, time.Now())
-	if err == nil && len(workLine(maintenance.Command{Nonce: 1<<64 - 1, Kind: maintenance.Give, Spec: &spec})) >= ops.MostWork {
-		err = fmt.Errorf("%s: the plan is too long for a door, which takes %d bytes", path, ops.MostWork)
+	if err == nil && len(workLine(maintenance.Command{Nonce: 1<<64 - 1, Kind: maintenance.Give, Spec: &spec})) >= admin.MostWork {
+		err = fmt.Errorf("%s: the plan is too long for a door, which takes %d bytes", path, admin.MostWork)
 	}
 	return spec, err
 }
--- a/internal/frontend/ops/ops.go
+++ b/internal/frontend/admin/ops.go
@@ -1,7 +1,7 @@
-// Package ops is the operators' door: an address of its own at which one line is one call. It runs beside the event loop:
+// Package admin is the operators' door: an address of its own at which one line is one call. It runs beside the event loop:
 // what it tells is what the loop has last published, and what it does is posted to the loop, so neither a late loop nor a
 // silent caller holds anybody up.
-package ops
+package admin
 
 import (
 	"bytes"
--- a/internal/frontend/ops/ops_test.go
+++ b/internal/frontend/admin/ops_test.go
@@ -1,4 +1,4 @@
-package ops
+package admin
 
 import (
 	"bytes"
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -11,7 +11,7 @@
 	"hazelwheel/internal/coordination/folder"
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/featureconfig"
-	"hazelwheel/internal/frontend/ops"
+	"hazelwheel/internal/frontend/admin"
 	"hazelwheel/internal/netio/beside"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/sidecarconfig"
@@ -105,12 +105,12 @@
 }
 
 // owners are the door's calls about who owns what.
-func (p *Process) owners() *ops.Owners {
+func (p *Process) owners() *admin.Owners {
 	owners := func() ([]byte, error) {
 		seen, err := p.fleet.Owners()
 		return line(seen), err
 	}
-	return &ops.Owners{Owners: owners, Electors: owners, StepDown: p.fleet.StepDown, Report: func() ([]byte, error) {
+	return &admin.Owners{Owners: owners, Electors: owners, StepDown: p.fleet.StepDown, Report: func() ([]byte, error) {
 		rep, err := p.fleet.Report()
 		return line(rep), err
 	}, Works: func() ([]byte, error) {
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -17,8 +17,8 @@
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/coordination/folder"
 	"hazelwheel/internal/featureconfig"
+	"hazelwheel/internal/frontend/admin"
 	"hazelwheel/internal/frontend/http1"
-	"hazelwheel/internal/frontend/ops"
 	"hazelwheel/internal/frontend/thrift"
 	"hazelwheel/internal/handover"
 	"hazelwheel/internal/netio"
@@ -46,7 +46,7 @@
 	host   netio.Host          // what the loop calls: the sidecar, or the sidecar and its fleet
 	fleet  *coordination.Fleet // nil: it knows no other sidecar
 	folder *folder.Folder      // of the fleet; nil: nothing is kept
-	door   *ops.Door           // nil: there is none
+	door   *admin.Door         // nil: there is none
 
 	askFirst func() // comes before there are clients; nil: nothing is asked
 	passed   int
@@ -83,7 +83,7 @@
 	s.Limits = obey
 	p.Sidecar, p.host = s, s
 	if cfg.Ops != "" {
-		p.door = ops.New(cfg.Ops, s, loop.Now)
+		p.door = admin.New(cfg.Ops, s, loop.Now)
 	}
 	if shared != nil {
 		return p, p.join(cfg, on.Fleet, shared)
