--- a/cmd/hazelwheel/replace_test.go
+++ b/cmd/hazelwheel/replace_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/handover"
+	"hazelwheel/internal/hotrestart"
 )
 
 // platform holds the clients' socket and starts one process of a sidecar after the other with it, as descriptor 4.
@@ -137,7 +137,7 @@
 		if err != nil {
 			return false
 		}
-		state, err := handover.Decode(text)
+		state, err := hotrestart.Decode(text)
 		return err == nil && strings.Contains(string(state.List), "s-00000001") && strings.Contains(string(state.List), "s-00000002")
 	})
 	for range 3 {
--- a/internal/handover/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"io/fs"
--- a/internal/handover/state.go
+++ b/internal/hotrestart/state.go
@@ -1,6 +1,6 @@
-// Package handover passes a process's state to the one that takes its place, through a folder that both have. What
+// Package hotrestart passes a process's state to the one that takes its place, through a folder that both have. What
 // operators have said lies in it file by file; the rest is one file that is read whole or not at all.
-package handover
+package hotrestart
 
 import (
 	"bytes"
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -23,7 +23,7 @@
 	{"policy", "internal/finding", "internal/msgpacklimit"},
 	{"internal/decide/register", "internal/decide/membership", "internal/routeconfig", "internal/nodeconfig", "internal/store"},
 	{"internal/message", "internal/transport"},
-	{"internal/decide", "internal/netio", "internal/buffer", "internal/judge", "internal/health", "internal/handover",
+	{"internal/decide", "internal/netio", "internal/buffer", "internal/judge", "internal/health", "internal/hotrestart",
 		"internal/tomlfile"},
 	{"internal/peers", "internal/http1", "internal/thrift", "internal/sidecarconfig", "internal/endpointset", "internal/drill", "internal/quotas",
 		"internal/appconfig", "internal/maintenanceplan"},
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -20,7 +20,7 @@
 	"hazelwheel/internal/frontend/admin"
 	"hazelwheel/internal/frontend/http1"
 	"hazelwheel/internal/frontend/thrift"
-	"hazelwheel/internal/handover"
+	"hazelwheel/internal/hotrestart"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/netio/beside"
 	"hazelwheel/internal/netio/sockets"
@@ -50,7 +50,7 @@
 
 	askFirst func() // comes before there are clients; nil: nothing is asked
 	passed   int
-	store    *handover.Store // nil: there is no successor to think of
+	store    *hotrestart.Store // nil: there is no successor to think of
 
 	neighbours int // processes that lived here at the start
 	log        *slog.Logger
--- a/internal/process/succeed.go
+++ b/internal/process/succeed.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	"hazelwheel/internal/handover"
+	"hazelwheel/internal/hotrestart"
 	"hazelwheel/internal/sidecarconfig"
 )
 
@@ -24,7 +24,7 @@
 	if err := p.loop.Inherit(p.passed); err != nil {
 		return fmt.Errorf("%s: %w", sidecarconfig.EnvPassed, err)
 	}
-	p.store, err = handover.Open(filepath.Join(os.TempDir(), stateFolder), func(err error) {
+	p.store, err = hotrestart.Open(filepath.Join(os.TempDir(), stateFolder), func(err error) {
 		p.log.Error("nothing is kept for a successor", "error", err)
 	})
 	if err != nil {
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -7,7 +7,7 @@
 	"errors"
 	"slices"
 
-	"hazelwheel/internal/handover"
+	"hazelwheel/internal/hotrestart"
 	"hazelwheel/policy"
 )
 
@@ -31,7 +31,7 @@
 	// Read returns what has been said, at this process or at its neighbours.
 	Read() (bans []string, away bool, err error)
 	// Save takes a state over and returns at once.
-	Save(s handover.State)
+	Save(s hotrestart.State)
 }
 
 // noShelf is that of a process that has no successor.
@@ -41,12 +41,12 @@
 func (noShelf) Lift(string) error             { return nil }
 func (noShelf) Away(bool) error               { return nil }
 func (noShelf) Read() ([]string, bool, error) { return nil, false, nil }
-func (noShelf) Save(handover.State)           {}
+func (noShelf) Save(hotrestart.State)         {}
 
 // Keep has the sidecar keep on a shelf what a successor needs, and obey what lies there. It comes before Start.
 func (s *Sidecar) Keep(shelf Shelf) {
 	s.shelf = shelf
-	s.reserved += handover.Descriptors
+	s.reserved += hotrestart.Descriptors
 }
 
 // errSettings is why a state is not taken that was learned under others.
@@ -69,8 +69,8 @@
 }
 
 // State returns what a successor begins with. It is for the loop, between events.
-func (s *Sidecar) State() (st handover.State, ok bool) {
-	st = handover.State{At: s.now(), Settings: s.settingsHash(), List: s.hosts.Export()}
+func (s *Sidecar) State() (st hotrestart.State, ok bool) {
+	st = hotrestart.State{At: s.now(), Settings: s.settingsHash(), List: s.hosts.Export()}
 	st.Module, ok = s.balancer.Checkpoint(nil, mostCheckpoint)
 	return st, ok
 }
@@ -87,7 +87,7 @@
 }
 
 // Inherit goes on from another process's state, or leaves everything as it is. It comes before Start.
-func (s *Sidecar) Inherit(st handover.State) error {
+func (s *Sidecar) Inherit(st hotrestart.State) error {
 	now := s.now()
 	switch {
 	case st.Settings != s.settingsHash():
