--- a/internal/drill/drill.go
+++ b/internal/faultinjection/drill.go
@@ -1,6 +1,6 @@
-// Package drill rehearses slow and failed requests: it says which requests of a class are delayed or aborted while a
+// Package faultinjection rehearses slow and failed requests: it says which requests of a class are delayed or aborted while a
 // drill runs. It knows no sockets and no clock; whoever starts a drill must know its secret.
-package drill
+package faultinjection
 
 import (
 	"crypto/hmac"
--- a/internal/drill/drill_test.go
+++ b/internal/faultinjection/drill_test.go
@@ -1,4 +1,4 @@
-package drill
+package faultinjection
 
 import (
 	"crypto/sha256"
--- a/internal/featureconfig/features.go
+++ b/internal/featureconfig/features.go
@@ -17,7 +17,7 @@
 
 	"hazelwheel/internal/capture"
 	"hazelwheel/internal/decide/admission"
-	"hazelwheel/internal/drill"
+	"hazelwheel/internal/faultinjection"
 	"hazelwheel/internal/health"
 	"hazelwheel/internal/http1"
 	"hazelwheel/internal/quotas"
@@ -27,7 +27,7 @@
 
 // Features is what the file switches on; the zero value is none.
 type Features struct {
-	Drills   drill.Settings
+	Drills   faultinjection.Settings
 	Rewrites rewrite.Settings
 	Health   health.Settings
 	Capture  capture.Settings
@@ -120,7 +120,7 @@
 func (f *Features) readDrills(o *object, c *sidecarconfig.Config) {
 	names := map[string]bool{}
 	for _, e := range o.list("drills") {
-		d := drill.Drill{Abort: "none", DurationS: 60}
+		d := faultinjection.Drill{Abort: "none", DurationS: 60}
 		field(e, "name", &d.Name, "a name of its own, of at most 64 letters, digits, '.', '_' and '-'",
 			func(s string) bool { return plainName(s) && !names[s] })
 		field(e, "class", &d.Class, "a class of the settings", func(s string) bool { return hasClass(c, s) })
--- a/internal/featureconfig/features_test.go
+++ b/internal/featureconfig/features_test.go
@@ -12,7 +12,7 @@
 
 	"hazelwheel/internal/capture"
 	"hazelwheel/internal/decide/admission"
-	"hazelwheel/internal/drill"
+	"hazelwheel/internal/faultinjection"
 	"hazelwheel/internal/health"
 	"hazelwheel/internal/rewrite"
 	"hazelwheel/internal/sidecarconfig"
@@ -33,7 +33,7 @@
 	f, err := read(`{"drills":[{"name":"lag1","class":"latest-reading","share":10,"delay_ms":800},
 		{"name":"x","class":"log-calibration","abort":"503","duration_s":5}],"drills.secret_sha256":"` + hash + `"}`)
 	require.NoError(t, err)
-	assert.Equal(t, []drill.Drill{{Name: "lag1", Class: "latest-reading", Share: 10, DelayMS: 800, Abort: "none", DurationS: 60},
+	assert.Equal(t, []faultinjection.Drill{{Name: "lag1", Class: "latest-reading", Share: 10, DelayMS: 800, Abort: "none", DurationS: 60},
 		{Name: "x", Class: "log-calibration", Abort: "503", DurationS: 5}}, f.Drills.List)
 	assert.Len(t, f.Drills.Secret, 32)
 
--- a/internal/frontend/http1/drills.go
+++ b/internal/frontend/http1/drills.go
@@ -5,7 +5,7 @@
 	"errors"
 	"strings"
 
-	"hazelwheel/internal/drill"
+	"hazelwheel/internal/faultinjection"
 	"hazelwheel/internal/http1"
 )
 
@@ -28,7 +28,7 @@
 	d, err := l.Sidecar().StartDrill(secret, name)
 	if err != nil {
 		status := 404
-		if errors.Is(err, drill.ErrSecret) {
+		if errors.Is(err, faultinjection.ErrSecret) {
 			status = 403
 		}
 		l.decline(status, err.Error())
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -25,7 +25,7 @@
 	{"internal/message", "internal/transport"},
 	{"internal/decide", "internal/netio", "internal/buffer", "internal/judge", "internal/health", "internal/hotrestart",
 		"internal/tomlfile"},
-	{"internal/peers", "internal/http1", "internal/thrift", "internal/sidecarconfig", "internal/endpointset", "internal/drill", "internal/quotas",
+	{"internal/peers", "internal/http1", "internal/thrift", "internal/sidecarconfig", "internal/endpointset", "internal/faultinjection", "internal/quotas",
 		"internal/appconfig", "internal/maintenanceplan"},
 	{"internal/rewrite", "internal/capture", "internal/world", "internal/wire"},
 	{"internal/featureconfig", "internal/lint", "internal/gossip", "internal/configredirect"},
--- a/internal/sidecar/counters.go
+++ b/internal/sidecar/counters.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 
 	"hazelwheel/internal/capture"
-	"hazelwheel/internal/drill"
+	"hazelwheel/internal/faultinjection"
 	"hazelwheel/policy"
 )
 
@@ -62,7 +62,7 @@
 	Descriptors int     `json:"descriptors"` // held by links now
 	LateMS      float64 `json:"late_ms"`     // how late the latest of all timers was
 
-	DrillHits []drill.Hits `json:"hazelwheel_drill_hits,omitempty"` // requests that each drill has touched
+	DrillHits []faultinjection.Hits `json:"hazelwheel_drill_hits,omitempty"` // requests that each drill has touched
 
 	Capture *capture.Stats `json:"capture,omitempty"`
 	Quotas  *QuotaCounters `json:"quotas,omitempty"`
--- a/internal/sidecar/drills.go
+++ b/internal/sidecar/drills.go
@@ -1,6 +1,6 @@
 package sidecar
 
-import "hazelwheel/internal/drill"
+import "hazelwheel/internal/faultinjection"
 
 // delayPart is the part of a request's time that a drill may take. Danger: decisions that get a request just before
 // its deadline can only fail it, and the rehearsal would show a failure of the balancer's own making.
@@ -10,7 +10,7 @@
 func (s *Sidecar) DrillsArmed() bool { return s.drills.Armed() }
 
 // StartDrill starts a drill on the operators' word. Danger: the secret must not reach the log.
-func (s *Sidecar) StartDrill(secret []byte, name string) (drill.Drill, error) {
+func (s *Sidecar) StartDrill(secret []byte, name string) (faultinjection.Drill, error) {
 	d, err := s.drills.Start(s.now(), secret, name)
 	if err != nil {
 		s.log.Warn("drill refused", "error", err)
@@ -50,7 +50,7 @@
 
 // heldFor returns for how many seconds a drill holds a request that has so many left: as long as the drill says, but never so long that
 // less than a fifth of them is left for its send.
-func heldFor(d *drill.Drill, leftS float64) float64 {
+func heldFor(d *faultinjection.Drill, leftS float64) float64 {
 	return min(d.DelayMS/1000, delayPart*leftS)
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -14,8 +14,8 @@
 
 	"hazelwheel/internal/capture"
 	"hazelwheel/internal/decide/admission"
-	"hazelwheel/internal/drill"
 	"hazelwheel/internal/endpointset"
+	"hazelwheel/internal/faultinjection"
 	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/health"
 	"hazelwheel/internal/netio"
@@ -68,7 +68,7 @@
 	watcher   *watcher
 	passed    passed
 	admission featureconfig.Admission
-	drills    *drill.Set
+	drills    *faultinjection.Set
 	together  Driller        // is told of drills that are started here; nil: nobody is
 	health    *health.Server // nil: there is no side port
 	listAt    float64        // when anything was last read from discovery
@@ -110,7 +110,7 @@
 	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, lastID: 1,
 		requests: map[uint32]*request{}, named: map[string]*request{}, idle: map[uint32][]*backendConn{},
 		hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), slack: cfg.Settings.AnswerSlackS,
-		admission: on.Admission, notices: notices{}, drills: drill.New(on.Drills), fronts: fronts, shelf: noShelf{}, parts: 1}
+		admission: on.Admission, notices: notices{}, drills: faultinjection.New(on.Drills), fronts: fronts, shelf: noShelf{}, parts: 1}
 	s.timers.tick = int64(s.now() / slotS)
 	for _, f := range fronts {
 		if f.Probe() != nil {
