--- a/cmd/hazelfleet/check.go
+++ b/cmd/hazelfleet/check.go
@@ -5,7 +5,7 @@
 	"io"
 	"os"
 
-	"hazelwheel/internal/finding"
+	"hazelwheel/internal/diagnostic"
 	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/routeconfig"
 )
@@ -89,7 +89,7 @@
 	return patch.Apply(config)
 }
 
-func (c checker) tell(file string, faults, unknown []finding.Finding) {
+func (c checker) tell(file string, faults, unknown []diagnostic.Finding) {
 	for _, found := range unknown {
 		fmt.Fprintf(c.out, "warning: %s: %s\n", file, found)
 	}
--- a/internal/appconfig/file.go
+++ b/internal/appconfig/file.go
@@ -11,7 +11,7 @@
 	"strings"
 	"unicode/utf8"
 
-	"hazelwheel/internal/finding"
+	"hazelwheel/internal/diagnostic"
 )
 
 // Kind is which of the files one is.
@@ -89,7 +89,7 @@
 	Faults []Fault
 	Gone   bool // it could not be read at all
 
-	lines  finding.Lines
+	lines  diagnostic.Lines
 	lost   []lost           // what was taken out since it made no sense, in order
 	places map[string]Place // of fields of the model: "app.class[0].aim"
 	bad    map[string]bool  // fields that are at fault
@@ -135,7 +135,7 @@
 // Read reads a file's text. It returns what makes sense, and everything that does not.
 func Read(name string, raw []byte) *File {
 	f := &File{Name: name, Text: raw, places: map[string]Place{}, bad: map[string]bool{}}
-	f.lines = finding.NewLines(nil)
+	f.lines = diagnostic.NewLines(nil)
 	if len(raw) > MostBytes {
 		f.Gone, f.Text = true, nil
 		f.fault(TooLarge, Place{Line: 1, Column: 1}, "", MostBytes>>20)
@@ -144,7 +144,7 @@
 	if rest, ok := bytes.CutPrefix(raw, []byte("\xef\xbb\xbf")); ok {
 		f.Text = rest
 	}
-	f.lines = finding.NewLines(f.Text)
+	f.lines = diagnostic.NewLines(f.Text)
 	if !utf8.Valid(f.Text) {
 		at := 0
 		for at < len(f.Text) {
--- a/internal/finding/finding.go
+++ b/internal/diagnostic/finding.go
@@ -1,5 +1,5 @@
-// Package finding says what is wrong in a file that somebody has written, and where.
-package finding
+// Package diagnostic says what is wrong in a file that somebody has written, and where.
+package diagnostic
 
 import (
 	"cmp"
--- a/internal/finding/lines.go
+++ b/internal/diagnostic/lines.go
@@ -1,4 +1,4 @@
-package finding
+package diagnostic
 
 import (
 	"sort"
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -20,7 +20,7 @@
 // floors are the rooms of the program from the ground up. A package may know its own room and the floors below; a new
 // room that stands on none is a failure, else it would be free of the rule by oversight.
 var floors = [][]string{
-	{"policy", "internal/finding", "internal/msgpacklimit"},
+	{"policy", "internal/diagnostic", "internal/msgpacklimit"},
 	{"internal/decide/register", "internal/decide/membership", "internal/routeconfig", "internal/nodeconfig", "internal/store"},
 	{"internal/message", "internal/transport"},
 	{"internal/decide", "internal/netio", "internal/buffer", "internal/judge", "internal/health", "internal/hotrestart",
--- a/internal/nodeconfig/examine.go
+++ b/internal/nodeconfig/examine.go
@@ -11,14 +11,14 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"hazelwheel/internal/finding"
+	"hazelwheel/internal/diagnostic"
 )
 
 // Report is what an examination of a settings file has found.
 type Report struct {
-	Settings *Settings         // nil where there are faults
-	Faults   []finding.Finding // for any of which a process does not begin
-	Unknown  []finding.Finding // fields that are passed over
+	Settings *Settings            // nil where there are faults
+	Faults   []diagnostic.Finding // for any of which a process does not begin
+	Unknown  []diagnostic.Finding // fields that are passed over
 }
 
 // Examine reads settings and returns all that is wrong with them.
@@ -33,12 +33,12 @@
 		found = unreadable(err) // the library goes on behind a value that it can't read
 	}
 	for _, refused := range settings.check(&document) {
-		sameLine := func(other finding.Finding) bool { return other.Line == refused.Line && refused.Line > 0 }
+		sameLine := func(other diagnostic.Finding) bool { return other.Line == refused.Line && refused.Line > 0 }
 		if !slices.ContainsFunc(found, sameLine) {
 			found = append(found, refused)
 		}
 	}
-	finding.Sort(found)
+	diagnostic.Sort(found)
 	report := Report{Faults: found}
 	if len(document.Content) > 0 {
 		report.Unknown = unknownFields(document.Content[0], "", reflect.TypeFor[Settings]())
@@ -51,11 +51,11 @@
 }
 
 // faults collects what is wrong with a settings file.
-type faults []finding.Finding
+type faults []diagnostic.Finding
 
 func (f *faults) add(document *yaml.Node, place, format string, args ...any) {
 	line, column := placeOf(document, place)
-	*f = append(*f, finding.Finding{Line: line, Column: column, Place: place, Text: fmt.Sprintf(format, args...)})
+	*f = append(*f, diagnostic.Finding{Line: line, Column: column, Place: place, Text: fmt.Sprintf(format, args...)})
 }
 
 // lineOfText finds the line in an error of the library.
@@ -75,7 +75,7 @@
 			line, _ = strconv.Atoi(match[1]) // digits
 			text = text[len(match[0]):]
 		}
-		found = append(found, finding.Finding{Line: line, Column: min(line, 1), Text: text})
+		found = append(found, diagnostic.Finding{Line: line, Column: min(line, 1), Text: text})
 	}
 	return found
 }
@@ -111,7 +111,7 @@
 }
 
 // unknownFields returns the fields of a mapping that a type does not have, and those of the mappings in it.
-func unknownFields(mapping *yaml.Node, place string, of reflect.Type) (unknown []finding.Finding) {
+func unknownFields(mapping *yaml.Node, place string, of reflect.Type) (unknown []diagnostic.Finding) {
 	if mapping.Kind != yaml.MappingNode || of.Kind() != reflect.Struct {
 		return nil
 	}
@@ -126,7 +126,7 @@
 		fieldPlace := strings.TrimPrefix(place+"."+key.Value, ".")
 		known, ok := types[key.Value]
 		if !ok {
-			unknown = append(unknown, finding.Finding{Line: key.Line, Column: key.Column, Place: fieldPlace, Text: "not known, passed over"})
+			unknown = append(unknown, diagnostic.Finding{Line: key.Line, Column: key.Column, Place: fieldPlace, Text: "not known, passed over"})
 			continue
 		}
 		unknown = append(unknown, unknownFields(mapping.Content[i+1], fieldPlace, known)...)
--- a/internal/routeconfig/document.go
+++ b/internal/routeconfig/document.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"hazelwheel/internal/finding"
+	"hazelwheel/internal/diagnostic"
 )
 
 // node is a value of a JSON text with its place.
@@ -38,16 +38,16 @@
 // document is a JSON text that is read by places.
 type document struct {
 	text    []byte
-	lines   finding.Lines
+	lines   diagnostic.Lines
 	decoder *json.Decoder
 	places  map[string]int // offsets of values, by place
-	faults  []finding.Finding
-	unknown []finding.Finding
+	faults  []diagnostic.Finding
+	unknown []diagnostic.Finding
 }
 
 // newDocument returns a document and its outermost value; an error says that it is no JSON text.
 func newDocument(text []byte) (*document, *node, error) {
-	d := &document{text: text, lines: finding.NewLines(text), decoder: json.NewDecoder(bytes.NewReader(text)), places: map[string]int{}}
+	d := &document{text: text, lines: diagnostic.NewLines(text), decoder: json.NewDecoder(bytes.NewReader(text)), places: map[string]int{}}
 	d.decoder.UseNumber()
 	root, err := d.value(0)
 	if err != nil {
@@ -110,9 +110,9 @@
 	return err
 }
 
-func (d *document) found(offset int, place, text string) finding.Finding {
+func (d *document) found(offset int, place, text string) diagnostic.Finding {
 	line, column := d.lines.At(offset)
-	return finding.Finding{Line: line, Column: column, Place: place, Text: text}
+	return diagnostic.Finding{Line: line, Column: column, Place: place, Text: text}
 }
 
 func (d *document) fault(n *node, place, format string, args ...any) {
--- a/internal/routeconfig/examine.go
+++ b/internal/routeconfig/examine.go
@@ -7,15 +7,15 @@
 
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"hazelwheel/internal/finding"
+	"hazelwheel/internal/diagnostic"
 	"hazelwheel/internal/routeconfig/configpb"
 )
 
 // Report is what an examination of a configuration has found.
 type Report struct {
-	Table   *Table            // nil where there are faults
-	Faults  []finding.Finding // for any of which control refuses it
-	Unknown []finding.Finding // fields that this version passes over
+	Table   *Table               // nil where there are faults
+	Faults  []diagnostic.Finding // for any of which control refuses it
+	Unknown []diagnostic.Finding // fields that this version passes over
 }
 
 // Examine reads a configuration as Parse does, and returns all that is wrong with it instead of the first fault.
@@ -23,7 +23,7 @@
 	doc, root, err := newDocument(data)
 	if err != nil {
 		line, column := doc.lines.At(int(doc.decoder.InputOffset()))
-		return Report{Faults: []finding.Finding{{Line: line, Column: column, Text: err.Error()}}}
+		return Report{Faults: []diagnostic.Finding{{Line: line, Column: column, Text: err.Error()}}}
 	}
 	var config configpb.Config
 	doc.message(root, "", config.ProtoReflect().Descriptor())
@@ -31,8 +31,8 @@
 	if !root.dropped {
 		report.Faults = append(report.Faults, doc.refusals(root, &config)...)
 	}
-	finding.Sort(report.Faults)
-	finding.Sort(report.Unknown)
+	diagnostic.Sort(report.Faults)
+	diagnostic.Sort(report.Unknown)
 	if len(report.Faults) == 0 {
 		report.Table = compile(&config)
 	}
@@ -40,15 +40,15 @@
 }
 
 // refusals returns why a configuration is refused whose values can be read, but for places that can't.
-func (d *document) refusals(root *node, config *configpb.Config) (refused []finding.Finding) {
+func (d *document) refusals(root *node, config *configpb.Config) (refused []diagnostic.Finding) {
 	var text bytes.Buffer
 	root.write(&text)
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(text.Bytes(), config); err != nil {
-		return []finding.Finding{{Text: err.Error()}}
+		return []diagnostic.Finding{{Text: err.Error()}}
 	}
 	unreadable := slices.Clone(d.faults)
 	for _, found := range check(config) {
-		under := func(fault finding.Finding) bool {
+		under := func(fault diagnostic.Finding) bool {
 			return strings.HasPrefix(found.Place, fault.Place) || strings.HasPrefix(fault.Place, found.Place)
 		}
 		if slices.ContainsFunc(unreadable, under) {
--- a/internal/routeconfig/routes.go
+++ b/internal/routeconfig/routes.go
@@ -8,7 +8,7 @@
 	"github.com/zeebo/errs"
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"hazelwheel/internal/finding"
+	"hazelwheel/internal/diagnostic"
 	"hazelwheel/internal/routeconfig/configpb"
 )
 
@@ -94,10 +94,10 @@
 }
 
 // faults collects what is wrong with a configuration.
-type faults []finding.Finding
+type faults []diagnostic.Finding
 
 func (f *faults) add(place, format string, args ...any) {
-	*f = append(*f, finding.Finding{Place: place, Text: fmt.Sprintf(format, args...)})
+	*f = append(*f, diagnostic.Finding{Place: place, Text: fmt.Sprintf(format, args...)})
 }
 
 // check returns all that is wrong with a configuration by itself.
