--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -10,7 +10,7 @@
 	"os"
 	"runtime/debug"
 
-	"hazelwheel/internal/wire"
+	"hazelwheel/internal/simulatorwire"
 	"hazelwheel/policy"
 )
 
@@ -24,7 +24,7 @@
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	reader := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
+	reader := simulatorwire.NewReader(bufio.NewReaderSize(in, 1<<16))
 	writer := bufio.NewWriterSize(out, 1<<16)
 	p := &process{instances: map[uint32]*policy.Balancer{}}
 	for {
@@ -51,15 +51,15 @@
 // process holds the instances of one process; they share the wire's tables and nothing else.
 type process struct {
 	instances map[uint32]*policy.Balancer
-	tables    wire.Tables
-	reply     wire.Reply
+	tables    simulatorwire.Tables
+	reply     simulatorwire.Reply
 }
 
-func (p *process) handle(b wire.Batch) error {
+func (p *process) handle(b simulatorwire.Batch) error {
 	for i := range b.Count {
 		r := b.Record(i)
 		var err error
-		if r.Code() == wire.Table {
+		if r.Code() == simulatorwire.Table {
 			err = p.tables.Set(b, r)
 		} else {
 			err = p.event(b, r)
@@ -72,7 +72,7 @@
 }
 
 // event hands one record to its instance. A panic of the decisions is reported as BROKEN.
-func (p *process) event(b wire.Batch, r wire.Record) (err error) {
+func (p *process) event(b simulatorwire.Batch, r simulatorwire.Record) (err error) {
 	id := r.Instance()
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -81,14 +81,14 @@
 		}
 	}()
 	switch r.Code() {
-	case wire.Configure:
-		seed, settings, err := wire.DecodeConfigure(b, r)
+	case simulatorwire.Configure:
+		seed, settings, err := simulatorwire.DecodeConfigure(b, r)
 		if err != nil {
 			return err
 		}
-		p.instances[id] = policy.New(settings, seed, &wire.Actions{Reply: &p.reply, Instance: id})
+		p.instances[id] = policy.New(settings, seed, &simulatorwire.Actions{Reply: &p.reply, Instance: id})
 		return nil
-	case wire.Shutdown:
+	case simulatorwire.Shutdown:
 		delete(p.instances, id)
 		return nil
 	}
@@ -99,35 +99,35 @@
 	return p.dispatch(in, b.Now, r)
 }
 
-func (p *process) dispatch(bal *policy.Balancer, now float64, r wire.Record) error {
+func (p *process) dispatch(bal *policy.Balancer, now float64, r simulatorwire.Record) error {
 	switch r.Code() {
-	case wire.Targets:
-		kind, list, err := wire.DecodeTargets(&p.tables, r)
+	case simulatorwire.Targets:
+		kind, list, err := simulatorwire.DecodeTargets(&p.tables, r)
 		if err != nil {
 			return err
 		}
 		bal.Hosts(now, kind, list)
-	case wire.Inbound:
-		bal.Request(now, wire.DecodeInbound(r))
-	case wire.Streaming:
-		bal.StreamStarted(now, wire.DecodeRef(r))
-	case wire.Returned:
-		res, err := wire.DecodeReturned(r)
+	case simulatorwire.Inbound:
+		bal.Request(now, simulatorwire.DecodeInbound(r))
+	case simulatorwire.Streaming:
+		bal.StreamStarted(now, simulatorwire.DecodeRef(r))
+	case simulatorwire.Returned:
+		res, err := simulatorwire.DecodeReturned(r)
 		if err != nil {
 			return err
 		}
 		bal.AttemptDone(now, res)
-	case wire.Aborted:
-		bal.Abandoned(now, wire.DecodeRef(r))
-	case wire.DeadlineHit:
+	case simulatorwire.Aborted:
+		bal.Abandoned(now, simulatorwire.DecodeRef(r))
+	case simulatorwire.DeadlineHit:
 		bal.Wake(now)
-	case wire.StatusBack:
-		res, err := wire.DecodeStatusBack(r)
+	case simulatorwire.StatusBack:
+		res, err := simulatorwire.DecodeStatusBack(r)
 		if err != nil {
 			return err
 		}
 		bal.ProbeDone(now, res)
-	case wire.PeerData: // messages between proxies play no part
+	case simulatorwire.PeerData: // messages between proxies play no part
 	default:
 		return fmt.Errorf("unknown event")
 	}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"hazelwheel/internal/wire"
+	"hazelwheel/internal/simulatorwire"
 )
 
 var le = binary.LittleEndian
@@ -24,7 +24,7 @@
 }
 
 func (b *batch) configure(instance uint32, settings string) {
-	r := b.add(wire.Configure, instance)
+	r := b.add(simulatorwire.Configure, instance)
 	le.PutUint32(r[14:], uint32(len(b.tail)))
 	le.PutUint32(r[18:], uint32(len(settings)))
 	b.tail = append(b.tail, settings...)
@@ -32,7 +32,7 @@
 
 // hosts lists one ready host in a table and gives it to an instance as its cached list.
 func (b *batch) hosts(instance uint32, page uint16, host uint32) {
-	r := b.add(wire.Table, 0)
+	r := b.add(simulatorwire.Table, 0)
 	le.PutUint16(r[2:], page)
 	le.PutUint32(r[4:], uint32(len(b.tail)))
 	le.PutUint32(r[8:], 1)
@@ -40,13 +40,13 @@
 	le.PutUint32(entry, host)
 	entry[9] = 1
 	b.tail = append(b.tail, entry...)
-	r = b.add(wire.Targets, instance)
+	r = b.add(simulatorwire.Targets, instance)
 	le.PutUint16(r[6:], page)
 	r[8] = 3
 }
 
 func (b *batch) request(instance, id uint32, deadline float64) {
-	r := b.add(wire.Inbound, instance)
+	r := b.add(simulatorwire.Inbound, instance)
 	le.PutUint32(r[6:], id)
 	le.PutUint64(r[24:], math.Float64bits(deadline))
 }
@@ -93,11 +93,11 @@
 	start.hosts(4, 0, 8) // the same table number, with another list, in the same batch
 	start.request(3, 1, 1)
 	start.request(4, 1, 1)
-	second.add(wire.Shutdown, 3)
+	second.add(simulatorwire.Shutdown, 3)
 	second.configure(3, settings)
 	second.hosts(3, 5, 9)
 	second.request(3, 2, 2)
-	second.add(wire.Shutdown, 4)
+	second.add(simulatorwire.Shutdown, 4)
 	second.request(4, 2, 2) // nobody is there to take it
 	in := append(append(start.frame(0.1), second.frame(0.2)...), (&batch{}).frame(0.3)...)
 	var out bytes.Buffer
@@ -129,7 +129,7 @@
 	p := &process{}
 	var b batch
 	b.configure(3, settings) // the table of instances is missing: writing to it panics
-	in, err := wire.NewReader(bytes.NewReader(b.frame(0))).Next()
+	in, err := simulatorwire.NewReader(bytes.NewReader(b.frame(0))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -27,7 +27,7 @@
 		"internal/tomlfile"},
 	{"internal/peers", "internal/http1", "internal/thrift", "internal/sidecarconfig", "internal/endpointset", "internal/faultinjection", "internal/quotas",
 		"internal/appconfig", "internal/maintenanceplan"},
-	{"internal/rewrite", "internal/capture", "internal/world", "internal/wire"},
+	{"internal/rewrite", "internal/capture", "internal/world", "internal/simulatorwire"},
 	{"internal/featureconfig", "internal/lint", "internal/gossip", "internal/configredirect"},
 	{"internal/sidecar"},
 	{"internal/frontend", "internal/coordination", "internal/control", "internal/agent", "internal/proxy"},
--- a/internal/wire/frame.go
+++ b/internal/simulatorwire/frame.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the simulator's frames. It decides nothing.
-package wire
+// Package simulatorwire reads and writes the simulator's frames. It decides nothing.
+package simulatorwire
 
 import (
 	"encoding/binary"
--- a/internal/wire/frame_test.go
+++ b/internal/simulatorwire/frame_test.go
@@ -1,4 +1,4 @@
-package wire
+package simulatorwire
 
 import (
 	"bytes"
