--- a/cmd/hazellab/sim.go
+++ b/cmd/hazellab/sim.go
@@ -18,7 +18,7 @@
 	"github.com/urfave/cli/v3"
 	"golang.org/x/term"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/sim"
 	"hazelwheel/internal/world"
 )
@@ -189,24 +189,24 @@
 }
 
 // See counts an event.
-func (b *bySecond) See(e judge.Event) {
+func (b *bySecond) See(e checker.Event) {
 	at := int(e.At)
 	if n := len(b.all); n == 0 || b.all[n-1].at < at {
 		b.all = append(b.all, struct{ at, probes, calls, links, executions int }{at: at})
 	}
 	now := &b.all[len(b.all)-1]
 	switch e.Kind {
-	case judge.Probed:
+	case checker.Probed:
 		if b.boxes == nil {
 			b.boxes = map[int32]bool{}
 		}
 		b.boxes[e.Box] = true
 		now.probes++
-	case judge.Called:
+	case checker.Called:
 		now.calls++
-	case judge.LinkOpened:
+	case checker.LinkOpened:
 		now.links++
-	case judge.Execution:
+	case checker.Execution:
 		now.executions++
 	}
 }
@@ -357,7 +357,7 @@
 	if err != nil {
 		return err
 	}
-	rule := judge.Rule(c.String("rule"))
+	rule := checker.Rule(c.String("rule"))
 	r, err := sim.Play(s, o)
 	if err != nil {
 		return wrong(err)
--- a/internal/judge/client.go
+++ b/internal/checker/client.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 // unansweredS is how long after its time a request is lost that has no answer, on any day: no loop that stands still and no clock that
 // runs slow explains more.
--- a/internal/judge/event.go
+++ b/internal/checker/event.go
@@ -1,8 +1,8 @@
-// Package judge checks the standing rules of the deployment from what crossed the wire, and never from what a sidecar
+// Package checker checks the standing rules of the deployment from what crossed the wire, and never from what a sidecar
 // says of itself. The actors of a world (clients, boxes, discovery, the network) tell it events in the order of their
 // time; it keeps findings, the service that the clients had, and its price. It is pure: no clock, no I/O, no goroutine,
 // and the same events give the same findings.
-package judge
+package checker
 
 // Kind says what an Event tells, and which of its fields count; At counts in all.
 type Kind uint8
--- a/internal/judge/judge_test.go
+++ b/internal/checker/judge_test.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"testing"
--- a/internal/judge/mutants_test.go
+++ b/internal/checker/mutants_test.go
@@ -1,4 +1,4 @@
-package judge_test
+package checker_test
 
 import (
 	"os"
--- a/internal/judge/rules.go
+++ b/internal/checker/rules.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 // Effect tells what running a request of a class twice does.
 type Effect uint8
--- a/internal/judge/service.go
+++ b/internal/checker/service.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 // ClassService is what the clients had of a class.
 type ClassService struct {
--- a/internal/lab/live/board.go
+++ b/internal/lab/live/board.go
@@ -8,7 +8,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/lab/figures"
 	"hazelwheel/internal/lab/load"
 	"hazelwheel/internal/world"
@@ -58,30 +58,30 @@
 }
 
 // See takes an event.
-func (b *Board) See(e judge.Event) {
+func (b *Board) See(e checker.Event) {
 	switch e.Kind {
-	case judge.Asked:
+	case checker.Asked:
 		b.first[e.Request] = e.First
 		if _, known := b.asked[e.First]; !known {
 			b.asked[e.First] = request{at: e.At, class: e.Class}
 			b.count(request{at: e.At, class: e.Class}, func(c *load.Counts) { c.Offered++ })
 		}
-	case judge.Answered:
+	case checker.Answered:
 		b.answered(e)
-	case judge.Left, judge.Unreached, judge.Dropped, judge.Broken:
+	case checker.Left, checker.Unreached, checker.Dropped, checker.Broken:
 		delete(b.first, e.Request)
-	case judge.BoxStarted:
+	case checker.BoxStarted:
 		b.boxes[e.Box].up = true
-	case judge.BoxEnded:
+	case checker.BoxEnded:
 		b.boxes[e.Box].up = false
-	case judge.Execution:
+	case checker.Execution:
 		*grow(&b.boxes[e.Box].work, b.step(e.At))++
-	case judge.Replied:
+	case checker.Replied:
 		*grow(&b.boxes[e.Box].answers, b.step(e.At))++
 	}
 }
 
-func (b *Board) answered(e judge.Event) {
+func (b *Board) answered(e checker.Event) {
 	first := b.first[e.Request]
 	delete(b.first, e.Request)
 	r, known := b.asked[first]
--- a/internal/lab/live/demo.go
+++ b/internal/lab/live/demo.go
@@ -6,7 +6,7 @@
 	"io"
 	"time"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/world"
 )
 
@@ -133,4 +133,4 @@
 	fmt.Fprintln(d.Out, "all standing rules were kept")
 }
 
-var _ judge.Witness = (*Board)(nil)
+var _ checker.Witness = (*Board)(nil)
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -14,7 +14,7 @@
 	"strconv"
 	"time"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/lab/ground"
 	"hazelwheel/internal/lab/process"
 	"hazelwheel/internal/tomlfile"
@@ -25,12 +25,12 @@
 type Settings struct {
 	Day     world.Day // as drawn; its clock and its addresses are moved to this machine
 	Script  world.Script
-	Binary  string        // hazelwheel's file; empty: no sidecar and no application is begun, only what they depend on
-	Dir     string        // for configurations and logs
-	Log     io.Writer     // what the sidecars say; nil: dropped
-	Watch   judge.Witness // told of all that the judge is told; may be nil. It is called by the loop
-	Started func(*Play)   // called by the loop when all has begun; may be nil
-	Crew    Crew          // nil: sidecars know nothing of each other
+	Binary  string          // hazelwheel's file; empty: no sidecar and no application is begun, only what they depend on
+	Dir     string          // for configurations and logs
+	Log     io.Writer       // what the sidecars say; nil: dropped
+	Watch   checker.Witness // told of all that the judge is told; may be nil. It is called by the loop
+	Started func(*Play)     // called by the loop when all has begun; may be nil
+	Crew    Crew            // nil: sidecars know nothing of each other
 	// BinaryOf returns the file of one sidecar where not all have the same; nil: they do.
 	BinaryOf func(sidecar int) string
 	MostAskS float64 // as judge.Rules has it, where it is more than what the number of sidecars makes it
@@ -56,7 +56,7 @@
 type Play struct {
 	Day      *world.Day
 	World    *world.World
-	Judge    *judge.Judge
+	Judge    *checker.Judge
 	settings *Settings
 	ground   *ground.Ground
 	players  []*world.Player
@@ -88,8 +88,8 @@
 	if rules.MostAskS = s.MostAskS; s.Crew == nil { // waits go by how many there are
 		rules.MostAskS = max(rules.MostAskS, 0.75*float64(len(s.Day.Sidecars)))
 	}
-	p.Judge = judge.New(rules)
-	var witness judge.Witness = p.Judge
+	p.Judge = checker.New(rules)
+	var witness checker.Witness = p.Judge
 	if s.Watch != nil {
 		witness = both{p.Judge, s.Watch}
 	}
@@ -171,7 +171,7 @@
 
 // Trouble has a script's troubles happen, at their times since the day's start.
 func (p *Play) Trouble(s *world.Script) error {
-	var witness judge.Witness = p.Judge
+	var witness checker.Witness = p.Judge
 	if p.settings.Watch != nil {
 		witness = both{p.Judge, p.settings.Watch}
 	}
@@ -225,9 +225,9 @@
 }
 
 // both is two witnesses.
-type both [2]judge.Witness
+type both [2]checker.Witness
 
-func (b both) See(e judge.Event) {
+func (b both) See(e checker.Event) {
 	b[0].See(e)
 	b[1].See(e)
 }
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/sim"
 	"hazelwheel/internal/world"
 )
@@ -41,8 +41,8 @@
 	t.sum++
 }
 
-func (t *tally) See(e judge.Event) {
-	if e.Kind == judge.Execution {
+func (t *tally) See(e checker.Event) {
+	if e.Kind == checker.Execution {
 		t.add(int(e.Sidecar), int(e.Box))
 	}
 }
--- a/internal/lab/live/sidecar.go
+++ b/internal/lab/live/sidecar.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/lab/process"
 	"hazelwheel/internal/world"
 )
@@ -83,10 +83,10 @@
 	if child.Err() != nil {
 		status = 1
 	}
-	s.see(judge.Event{Kind: judge.SidecarEnded, Status: status})
+	s.see(checker.Event{Kind: checker.SidecarEnded, Status: status})
 }
 
-func (s *sidecar) see(e judge.Event) {
+func (s *sidecar) see(e checker.Event) {
 	e.At, e.Sidecar, e.Box = s.p.Now(), int32(s.number), -1
 	s.p.Judge.See(e)
 	if s.p.settings.Watch != nil {
--- a/internal/lab/load/witness.go
+++ b/internal/lab/load/witness.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 )
 
 // A client alone can tell few breaks of the standing rules, and none where a request got one whole answer while it was
@@ -26,7 +26,7 @@
 
 // testimony is what a thread has seen that may break a rule.
 type testimony struct {
-	events []judge.Event
+	events []checker.Event
 	tales  uint64
 	beyond int64 // tries that may break a rule and are not told of
 }
@@ -49,24 +49,24 @@
 		}
 		t.tales++
 		j.tale = uint64(w.index)<<32 | t.tales
-		asked := judge.Event{Kind: judge.Asked, Box: -1, Class: int32(j.class), At: at(j.sent), Until: until, Request: j.tale, First: j.tale}
+		asked := checker.Event{Kind: checker.Asked, Box: -1, Class: int32(j.class), At: at(j.sent), Until: until, Request: j.tale, First: j.tale}
 		if j.again {
 			asked.At, asked.Until = at(j.askedAt), at(j.askedAt+w.plan.Patience)
 			taken := asked
-			taken.Kind, taken.Link = judge.Taken, j.tale
+			taken.Kind, taken.Link = checker.Taken, j.tale
 			t.events = append(t.events, asked, taken)
-			w.tell(j, judge.Dropped, j.droppedAt, 0, true)
+			w.tell(j, checker.Dropped, j.droppedAt, 0, true)
 		} else {
 			t.events = append(t.events, asked)
 		}
 	}
-	t.events = append(t.events, judge.Event{Kind: judge.Taken, Box: -1, At: at(j.sent), Until: until, Request: j.tale, Link: j.tale})
+	t.events = append(t.events, checker.Event{Kind: checker.Taken, Box: -1, At: at(j.sent), Until: until, Request: j.tale, Link: j.tale})
 	return true
 }
 
 // tell adds an event of a try that was begun.
-func (w *worker) tell(j *job, kind judge.Kind, d time.Duration, status int, reused bool) {
-	w.result.seen.events = append(w.result.seen.events, judge.Event{Kind: kind, Box: -1, At: at(d), Status: int32(status),
+func (w *worker) tell(j *job, kind checker.Kind, d time.Duration, status int, reused bool) {
+	w.result.seen.events = append(w.result.seen.events, checker.Event{Kind: kind, Box: -1, At: at(d), Status: int32(status),
 		Request: j.tale, Link: j.tale, Reused: reused})
 }
 
@@ -81,7 +81,7 @@
 	case len(l.pending) > 0: // Danger: what was not written whole was not taken
 	case w.gap >= ownStall || !j.again && (rested || !w.plan.Calm):
 	case w.introduce(j):
-		w.tell(j, judge.Dropped, now, 0, false)
+		w.tell(j, checker.Dropped, now, 0, false)
 	}
 }
 
@@ -94,12 +94,12 @@
 		if w.introduce(&j) {
 			second := reply{}
 			second.readHead(append(slices.Clone(data[:12]), '\n'))
-			w.tell(&j, judge.Answered, l.answeredAt, l.reply.status, false)
-			w.tell(&j, judge.Answered, now, second.status, false)
+			w.tell(&j, checker.Answered, l.answeredAt, l.reply.status, false)
+			w.tell(&j, checker.Answered, now, second.status, false)
 		}
 	} else if t := &w.result.seen; w.plan.Slack > 0 && t.tales < mostTales {
 		t.tales++
-		t.events = append(t.events, judge.Event{Kind: judge.Stray, Box: -1, At: at(now)})
+		t.events = append(t.events, checker.Event{Kind: checker.Stray, Box: -1, At: at(now)})
 	} else if w.plan.Slack > 0 {
 		t.beyond++
 	}
@@ -126,7 +126,7 @@
 // silent ends the listening on a link on which nothing has come until its slack was over.
 func (w *worker) silent(l *link, now time.Duration) {
 	if w.introduce(&l.job) {
-		w.tell(&l.job, judge.Left, now, 0, false)
+		w.tell(&l.job, checker.Left, now, 0, false)
 	}
 	w.heard(l)
 }
@@ -166,12 +166,12 @@
 	if r.Judged = p.Slack > 0; !r.Judged || len(r.seen.events) == 0 {
 		return
 	}
-	rules := judge.Rules{Sidecars: sidecars, AnswerSlackS: p.Slack.Seconds(), Unanswered: true, Calm: p.Calm, ClientsAlone: true}
+	rules := checker.Rules{Sidecars: sidecars, AnswerSlackS: p.Slack.Seconds(), Unanswered: true, Calm: p.Calm, ClientsAlone: true}
 	for _, c := range p.Classes {
-		rules.Classes = append(rules.Classes, judge.Class{Name: c.Name})
+		rules.Classes = append(rules.Classes, checker.Class{Name: c.Name})
 	}
 	// Danger: the events of a try keep their order, also those of one time.
-	slices.SortStableFunc(r.seen.events, func(a, b judge.Event) int {
+	slices.SortStableFunc(r.seen.events, func(a, b checker.Event) int {
 		switch {
 		case a.At < b.At:
 			return -1
@@ -180,7 +180,7 @@
 		}
 		return 0
 	})
-	j := judge.New(rules)
+	j := checker.New(rules)
 	for _, e := range r.seen.events {
 		j.See(e)
 	}
--- a/internal/lab/troupe/owners.go
+++ b/internal/lab/troupe/owners.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 )
 
 // What is judged of owners.
@@ -151,7 +151,7 @@
 		// Danger: on a machine that stands still for a second all leases end, and the next look finds nobody.
 		if t.troubleAt == asked && calm > ownedWithin && now.Sub(j.wellAt[name]) > ownedWithin && !j.told {
 			j.told = true
-			t.find(judge.Rule(noOwner), "", "%.1f s after the last trouble: %s; %d would do it", calm.Seconds(), differs, fit)
+			t.find(checker.Rule(noOwner), "", "%.1f s after the last trouble: %s; %d would do it", calm.Seconds(), differs, fit)
 		}
 	}
 }
--- a/internal/lab/troupe/trials.go
+++ b/internal/lab/troupe/trials.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/lab/live"
 	"hazelwheel/internal/world"
 )
@@ -137,7 +137,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.find(judge.Rule(noOwner), "", format, args...)
+	t.find(checker.Rule(noOwner), "", format, args...)
 }
 
 // drawTrial draws what is taken away, and how. Danger: where all leases outlive the trouble nothing is tried; most last for longer.
--- a/internal/lab/troupe/troupe.go
+++ b/internal/lab/troupe/troupe.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/lab/live"
 	"hazelwheel/internal/lab/process"
 	"hazelwheel/internal/peers/deafpeer"
@@ -553,7 +553,7 @@
 	}
 }
 
-func (t *Troupe) find(rule judge.Rule, sidecar, format string, args ...any) {
+func (t *Troupe) find(rule checker.Rule, sidecar, format string, args ...any) {
 	t.broken++
 	if len(t.wrong) < 50 {
 		t.wrong = append(t.wrong, Finding{Rule: string(rule), AtS: time.Since(t.began).Seconds(), Sidecar: sidecar, Why: fmt.Sprintf(format, args...)})
@@ -599,7 +599,7 @@
 			case x.State == "alive" && answered == up, x.State == "suspected":
 				differs = fmt.Sprintf("%s holds %s (%s) for %s", t.mates[i].name, x.Name, x.ID, x.State)
 			case x.State == "dead" && o != nil && o.up && time.Since(o.since) > livesFor && calm > livesFor:
-				t.find(judge.FalseDeath, t.mates[i].name, "%s is held for dead and lives, %.1f s after the last trouble", o.name, calm.Seconds())
+				t.find(checker.FalseDeath, t.mates[i].name, "%s is held for dead and lives, %.1f s after the last trouble", o.name, calm.Seconds())
 				o.since = time.Now() // once
 			}
 		}
@@ -619,7 +619,7 @@
 		t.agreedS = append(t.agreedS, calm.Seconds())
 	case calm > agreeWithin && differs != "":
 		t.agreed = true // once for each calm
-		t.find(judge.FleetView, "", "%.1f s after the last trouble: %s", calm.Seconds(), differs)
+		t.find(checker.FleetView, "", "%.1f s after the last trouble: %s", calm.Seconds(), differs)
 	}
 }
 
--- a/internal/lab/troupe/works.go
+++ b/internal/lab/troupe/works.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/judge"
 	"hazelwheel/internal/lab/mechanic"
 	"hazelwheel/internal/world"
 )
@@ -111,7 +111,7 @@
 }
 
 // See takes an event.
-func (p *workPlay) See(e judge.Event) {
+func (p *workPlay) See(e checker.Event) {
 	link := [2]uint64{uint64(uint32(e.Box)), e.Link}
 	name := func() string { return p.day.Boxes[e.Box].Name }
 	end := func() {
@@ -121,27 +121,27 @@
 		}
 	}
 	switch e.Kind {
-	case judge.Execution:
+	case checker.Execution:
 		end()
 		p.open[link] = len(p.came[name()])
 		p.came[name()] = append(p.came[name()], execution{from: e.At, sidecar: int(e.Sidecar)})
-	case judge.Replied, judge.LinkClosed:
+	case checker.Replied, checker.LinkClosed:
 		end()
-	case judge.BoxEnded:
+	case checker.BoxEnded:
 		for k, i := range p.open {
 			if k[0] == link[0] {
 				p.came[name()][i].to = e.At
 				delete(p.open, k)
 			}
 		}
-	case judge.Asked:
+	case checker.Asked:
 		p.first[e.Request] = e.First
 		p.tries = append(p.tries, e.At)
 		if p.asked[e.First] == nil && int(e.Class) < len(p.day.Classes) && e.Class >= 0 && !e.Uncounted {
 			c := &p.day.Classes[e.Class]
 			p.asked[e.First] = &want{at: e.At, worth: c.Worth, aimS: c.AimS}
 		}
-	case judge.Answered:
+	case checker.Answered:
 		w := p.asked[p.first[e.Request]]
 		if e.Status == 200 && w != nil && e.At-w.at <= w.aimS {
 			w.served = true
@@ -391,7 +391,7 @@
 	}
 }
 
-func (w *Worked) find(rule judge.Rule, format string, args ...any) {
+func (w *Worked) find(rule checker.Rule, format string, args ...any) {
 	if len(w.Wrong) < 30 {
 		w.Wrong = append(w.Wrong, string(rule)+": "+fmt.Sprintf(format, args...))
 	}
@@ -424,7 +424,7 @@
 			case p.t.wasGone(x.sidecar, x.from, cmp.Or(p.work.Spec.GoneS, 300)):
 				w.GoneSent++
 			default:
-				w.find(judge.WorkOccupied, "%s is worked on by %s at %.3f s; a request of %s came %.3f s after the work began", r.Box, r.Mechanic, from-p.day.Start,
+				w.find(checker.WorkOccupied, "%s is worked on by %s at %.3f s; a request of %s came %.3f s after the work began", r.Box, r.Mechanic, from-p.day.Start,
 					p.t.mates[x.sidecar].name, x.from-from)
 			}
 		}
@@ -464,11 +464,11 @@
 			bySite[sites[box]]++
 		}
 		if len(out) > p.work.Spec.AtOnce {
-			w.find(judge.WorkMany, "%d boxes are worked on or cold at %.3f s, of %d that may be", len(out), from-p.day.Start, p.work.Spec.AtOnce)
+			w.find(checker.WorkMany, "%d boxes are worked on or cold at %.3f s, of %d that may be", len(out), from-p.day.Start, p.work.Spec.AtOnce)
 		}
 		for site, n := range bySite {
 			if n > cmp.Or(p.work.Spec.BySite, 1) {
-				w.find(judge.WorkMany, "%d boxes of %s are worked on or cold at %.3f s", n, site, from-p.day.Start)
+				w.find(checker.WorkMany, "%d boxes of %s are worked on or cold at %.3f s", n, site, from-p.day.Start)
 			}
 		}
 	}
@@ -489,21 +489,21 @@
 	}
 	for box, of := range tokens {
 		if len(of) > 1 {
-			w.find(judge.WorkTwice, "%s is worked on under %v", box, of)
+			w.find(checker.WorkTwice, "%s is worked on under %v", box, of)
 		}
 	}
 	if p.last == nil || len(p.last.Plans) == 0 {
-		w.find(judge.WorkForgotten, "no door tells of the plan")
+		w.find(checker.WorkForgotten, "no door tells of the plan")
 		return
 	}
 	for _, b := range p.last.Plans[len(p.last.Plans)-1].Boxes {
 		switch n := len(tokens[b.Name]); {
 		case (b.Stage == maintenance.Cold || b.Stage == maintenance.Done) && !done[b.Name]:
-			w.find(judge.WorkForgotten, "%s is said to be done, and nobody has worked on it to the end", b.Name)
+			w.find(checker.WorkForgotten, "%s is said to be done, and nobody has worked on it to the end", b.Name)
 		case b.Stage < maintenance.Taken && n > 0:
-			w.find(judge.WorkForgotten, "%s was worked on, and is said to wait", b.Name)
+			w.find(checker.WorkForgotten, "%s was worked on, and is said to wait", b.Name)
 		case (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Why == "":
-			w.find(judge.WorkForgotten, "%s was skipped or lost for no cause", b.Name)
+			w.find(checker.WorkForgotten, "%s was skipped or lost for no cause", b.Name)
 		}
 	}
 }
--- a/internal/lab/troupe/works_test.go
+++ b/internal/lab/troupe/works_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/judge"
 	"hazelwheel/internal/lab/mechanic"
 	"hazelwheel/internal/world"
 )
@@ -34,42 +34,42 @@
 		records []mechanic.Record
 		stages  [2]maintenance.Stage // of a and b
 		why     string               // of a
-		want    []judge.Rule
+		want    []checker.Rule
 		gone    int
 	}{
 		"all is well":                      {[]visit{{900, 998}, {998.9, 998.95}, {1011, 1012}}, nil, usual, [2]maintenance.Stage{done, cold}, "", nil, 0},
-		"sent while it is worked on":       {[]visit{{1005, 1005.1}}, nil, usual, [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
-		"sent just before":                 {[]visit{{999.5, 999.6}}, nil, usual, [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
-		"out since long":                   {[]visit{{900, 1000.1}}, nil, usual, [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
-		"out for ever":                     {[]visit{{900, 0}}, nil, usual, [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
-		"by force":                         {[]visit{{900, 0}}, nil, []mechanic.Record{forced}, [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkForgotten}, 0},
+		"sent while it is worked on":       {[]visit{{1005, 1005.1}}, nil, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkOccupied}, 0},
+		"sent just before":                 {[]visit{{999.5, 999.6}}, nil, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkOccupied}, 0},
+		"out since long":                   {[]visit{{900, 1000.1}}, nil, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkOccupied}, 0},
+		"out for ever":                     {[]visit{{900, 0}}, nil, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkOccupied}, 0},
+		"by force":                         {[]visit{{900, 0}}, nil, []mechanic.Record{forced}, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
 		"of one that had counted as gone":  {[]visit{{1005, 1005.1}}, []away{{0, 900, 1004}}, usual, [2]maintenance.Stage{done, done}, "", nil, 1},
-		"of one that was away too shortly": {[]visit{{1005, 1005.1}}, []away{{0, 950, 1004}}, usual, [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkOccupied}, 0},
+		"of one that was away too shortly": {[]visit{{1005, 1005.1}}, []away{{0, 950, 1004}}, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkOccupied}, 0},
 		"while the one before is cold": {nil, nil, []mechanic.Record{piece("a", 1, 1000, 1010), piece("b", 2, 1014, 1030)}, [2]maintenance.Stage{done, done}, "",
-			[]judge.Rule{judge.WorkMany}, 0},
-		"twice":                            {nil, nil, append([]mechanic.Record{piece("a", 7, 1040, 1050)}, usual...), [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkTwice}, 0},
+			[]checker.Rule{checker.WorkMany}, 0},
+		"twice":                            {nil, nil, append([]mechanic.Record{piece("a", 7, 1040, 1050)}, usual...), [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkTwice}, 0},
 		"gone on with by one who had died": {nil, nil, append([]mechanic.Record{piece("a", 1, 990, 995)}, usual...), [2]maintenance.Stage{done, done}, "", nil, 0},
-		"nobody has done it":               {nil, nil, usual[:1], [2]maintenance.Stage{done, done}, "", []judge.Rule{judge.WorkForgotten}, 0},
-		"done and forgotten":               {nil, nil, usual, [2]maintenance.Stage{maintenance.Waiting, done}, "", []judge.Rule{judge.WorkForgotten}, 0},
-		"skipped for no cause":             {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "", []judge.Rule{judge.WorkForgotten}, 0},
+		"nobody has done it":               {nil, nil, usual[:1], [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
+		"done and forgotten":               {nil, nil, usual, [2]maintenance.Stage{maintenance.Waiting, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
+		"skipped for no cause":             {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
 		"skipped":                          {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "by an operator", nil, 0},
 	} {
 		day := &world.Day{Start: 950, LengthS: 100, Standing: 2, Sites: []string{"x"}, Boxes: []world.BoxSpec{{Name: "a"}, {Name: "b"}}}
 		play := &Troupe{mates: []*mate{{name: "n0"}}, aways: k.away}
 		p := newWorkPlay(play, Work{Spec: maintenance.Spec{Boxes: []string{"a", "b"}, AtOnce: 1, BySite: 2, ColdS: 5, GoneS: 100}}, day)
 		for i, v := range k.visits {
-			p.See(judge.Event{Kind: judge.Execution, At: v.from, Link: uint64(i)})
+			p.See(checker.Event{Kind: checker.Execution, At: v.from, Link: uint64(i)})
 			if v.to > 0 {
-				p.See(judge.Event{Kind: judge.Replied, At: v.to, Link: uint64(i)})
+				p.See(checker.Event{Kind: checker.Replied, At: v.to, Link: uint64(i)})
 			}
 		}
 		p.given, p.over, p.byHand = 960, 1049, k.records
 		p.last = &workState{Plans: []maintenance.Plan{{Boxes: []maintenance.Box{{Name: "a", Stage: k.stages[0], Why: k.why}, {Name: "b", Stage: k.stages[1]}}}}}
 		w := p.result()
-		var got []judge.Rule
+		var got []checker.Rule
 		for _, line := range w.Wrong {
 			rule, _, _ := strings.Cut(line, ":")
-			got = append(got, judge.Rule(rule))
+			got = append(got, checker.Rule(rule))
 		}
 		assert.Equal(t, k.want, got, "%s: %v", name, w.Wrong)
 		assert.Equal(t, k.gone, w.GoneSent, name)
@@ -84,14 +84,14 @@
 	p := newWorkPlay(&Troupe{}, Work{Spec: maintenance.Spec{AtOnce: 1}, Hand: true}, day)
 	for i := range 100 {
 		at, id := 1000+float64(i), uint64(i+1)
-		p.See(judge.Event{Kind: judge.Asked, At: at, Request: id, First: id})
+		p.See(checker.Event{Kind: checker.Asked, At: at, Request: id, First: id})
 		switch {
 		case i >= 40 && i < 44:
-			p.See(judge.Event{Kind: judge.Answered, At: at + 0.1, Request: id, Status: 503})
+			p.See(checker.Event{Kind: checker.Answered, At: at + 0.1, Request: id, Status: 503})
 		case i >= 60 && i < 65:
-			p.See(judge.Event{Kind: judge.Answered, At: at + 1.5, Request: id, Status: 200})
+			p.See(checker.Event{Kind: checker.Answered, At: at + 1.5, Request: id, Status: 200})
 		default:
-			p.See(judge.Event{Kind: judge.Answered, At: at + 0.5, Request: id, Status: 200})
+			p.See(checker.Event{Kind: checker.Answered, At: at + 0.5, Request: id, Status: 200})
 		}
 	}
 	p.given, p.over = 1000, 1100
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -23,7 +23,7 @@
 	{"policy", "internal/diagnostic", "internal/msgpacklimit"},
 	{"internal/decide/register", "internal/decide/membership", "internal/routeconfig", "internal/nodeconfig", "internal/store"},
 	{"internal/message", "internal/transport"},
-	{"internal/decide", "internal/netio", "internal/buffer", "internal/judge", "internal/health", "internal/hotrestart",
+	{"internal/decide", "internal/netio", "internal/buffer", "internal/checker", "internal/health", "internal/hotrestart",
 		"internal/tomlfile"},
 	{"internal/peers", "internal/http1", "internal/thrift", "internal/sidecarconfig", "internal/endpointset", "internal/faultinjection", "internal/quotas",
 		"internal/appconfig", "internal/maintenanceplan"},
@@ -39,7 +39,7 @@
 // the core must not know the world it is tried in.
 var apart = map[string][]string{
 	"internal/world":   {"policy", "internal/sidecar", "internal/featureconfig", "internal/sidecarconfig"},
-	"internal/judge":   {"policy", "internal/sidecar"},
+	"internal/checker":   {"policy", "internal/sidecar"},
 	"internal/lab":     {"policy", "internal/sidecar", "internal/frontend", "internal/featureconfig", "internal/coordination"},
 	"internal/sidecar": {"internal/lint", "internal/world"},
 }
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -7,7 +7,7 @@
 	"sync"
 	"sync/atomic"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 )
 
 // Outcome is what came of a seed: a result, or what kept it from being played.
@@ -51,25 +51,25 @@
 
 // Tally adds up what came of many days.
 type Tally struct {
-	Days       int          `json:"days"`
-	History    string       `json:"history"` // a hash of all days' histories, whatever their order
-	SimulatedS float64      `json:"simulated_s"`
-	Steps      uint64       `json:"steps"`
-	Broken     []BrokenRule `json:"broken,omitempty"`
-	Service    float64      `json:"service"`          // the mean of the days'
-	Worked     int          `json:"worked,omitempty"` // boxes on which work has ended
-	Classes    []ClassTally `json:"classes,omitempty"`
-	Prices     judge.Prices `json:"prices"`
-	byRule     map[judge.Rule]*BrokenRule
+	Days       int            `json:"days"`
+	History    string         `json:"history"` // a hash of all days' histories, whatever their order
+	SimulatedS float64        `json:"simulated_s"`
+	Steps      uint64         `json:"steps"`
+	Broken     []BrokenRule   `json:"broken,omitempty"`
+	Service    float64        `json:"service"`          // the mean of the days'
+	Worked     int            `json:"worked,omitempty"` // boxes on which work has ended
+	Classes    []ClassTally   `json:"classes,omitempty"`
+	Prices     checker.Prices `json:"prices"`
+	byRule     map[checker.Rule]*BrokenRule
 	service    float64
 	history    uint64
 }
 
 // BrokenRule is a rule with the seeds that broke it.
 type BrokenRule struct {
-	Rule  judge.Rule `json:"rule"`
-	Days  int        `json:"days"`
-	Seeds []uint64   `json:"seeds"` // the least of them
+	Rule  checker.Rule `json:"rule"`
+	Days  int          `json:"days"`
+	Seeds []uint64     `json:"seeds"` // the least of them
 }
 
 // ClassTally is the service of a class over many days.
@@ -98,9 +98,9 @@
 	t.service += r.Report.Service
 	t.Service = t.service / float64(t.Days)
 	if t.byRule == nil {
-		t.byRule = map[judge.Rule]*BrokenRule{}
+		t.byRule = map[checker.Rule]*BrokenRule{}
 	}
-	seen := map[judge.Rule]bool{}
+	seen := map[checker.Rule]bool{}
 	for _, f := range r.Findings {
 		if seen[f.Rule] {
 			continue
--- a/internal/sim/ground.go
+++ b/internal/sim/ground.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"math/rand/v2"
 
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/coordination"
-	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio/virtual"
 	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/world"
@@ -166,7 +166,7 @@
 
 // exited takes the end of a process that has ended by itself.
 func (s *instance) exited() {
-	s.d.see(judge.Event{Kind: judge.SidecarEnded, Sidecar: int32(s.number)})
+	s.d.see(checker.Event{Kind: checker.SidecarEnded, Sidecar: int32(s.number)})
 }
 
 // Kill ends the process of a machine: that of a sidecar, where there is one, and else all that is there.
@@ -335,7 +335,7 @@
 			}
 			return true
 		})
-		d.see(judge.Event{Kind: judge.SidecarPanicked, Sidecar: int32(l.s.number), Text: text})
+		d.see(checker.Event{Kind: checker.SidecarPanicked, Sidecar: int32(l.s.number), Text: text})
 	}
 	if d.trace != nil {
 		line := fmt.Sprintf("%-12s log: %s", l.s.spec.Name, r.Message)
--- a/internal/sim/hard_test.go
+++ b/internal/sim/hard_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/netio/virtual"
 	"hazelwheel/internal/sidecarconfig"
@@ -80,7 +80,7 @@
 
 type deaf struct{}
 
-func (deaf) See(judge.Event) {}
+func (deaf) See(checker.Event) {}
 
 // begin puts a sidecar and n boxes on the stage, with a discovery that tells nothing beyond the configuration.
 func begin(t require.TestingT, seed uint64, n int, o virtual.ProcessOptions) *stage {
--- a/internal/sim/lists.go
+++ b/internal/sim/lists.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"slices"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/sidecar"
 	"hazelwheel/internal/world"
 )
@@ -15,7 +15,7 @@
 	s *instance
 }
 
-var statuses = map[string]int32{"SERVING": judge.Serving, "DRAINING": judge.Draining, "DELETED": judge.Deleted}
+var statuses = map[string]int32{"SERVING": checker.Serving, "DRAINING": checker.Draining, "DELETED": checker.Deleted}
 
 // TakeList tells the judge of each entry before the sidecar knows it. Whether the list is as new as it should be is the judge's to
 // say.
@@ -37,7 +37,7 @@
 		named[e.Name] = i + 1
 	}
 	for box := range d.spec.Boxes {
-		e := judge.Event{Kind: judge.Fed, At: d.net.Now(), Sidecar: int32(l.s.number), Box: int32(box), Index: list.Index, Status: judge.Deleted}
+		e := checker.Event{Kind: checker.Fed, At: d.net.Now(), Sidecar: int32(l.s.number), Box: int32(box), Index: list.Index, Status: checker.Deleted}
 		if i := named[d.spec.Boxes[box].Name]; i > 0 {
 			said := &list.Endpoints[i-1]
 			e.Status, e.Since, e.Address = statuses[said.Status], said.SinceMS/1000, said.Address
@@ -99,7 +99,7 @@
 }
 
 // See takes an event.
-func (w *ListWitness) See(e judge.Event) {
+func (w *ListWitness) See(e checker.Event) {
 	if w.began == 0 {
 		w.began, w.since = e.At, e.At
 	}
@@ -109,21 +109,21 @@
 	}
 	w.since = max(w.since, e.At)
 	switch e.Kind {
-	case judge.Called:
+	case checker.Called:
 		w.Calls++
-	case judge.WatchUp:
+	case checker.WatchUp:
 		w.watching++
-	case judge.WatchEnded:
+	case checker.WatchEnded:
 		w.watching--
-	case judge.Listed:
+	case checker.Listed:
 		w.listed(&e)
-	case judge.Told, judge.Fed:
+	case checker.Told, checker.Fed:
 		w.told(&e)
-	case judge.SidecarStarted:
+	case checker.SidecarStarted:
 		p := w.party(e.Sidecar)
 		*p = listParty{up: true}
-	case judge.SidecarKilled, judge.SidecarTermed, judge.SidecarEnded, judge.SidecarFrozen:
-		w.party(e.Sidecar).up = e.Kind == judge.SidecarFrozen
+	case checker.SidecarKilled, checker.SidecarTermed, checker.SidecarEnded, checker.SidecarFrozen:
+		w.party(e.Sidecar).up = e.Kind == checker.SidecarFrozen
 		for i := range w.open {
 			w.close(i, e.Sidecar)
 		}
@@ -137,7 +137,7 @@
 	return &w.parties[sidecar]
 }
 
-func (w *ListWitness) listed(e *judge.Event) {
+func (w *ListWitness) listed(e *checker.Event) {
 	o := openList{index: e.Index, at: e.At}
 	for _, p := range w.parties {
 		o.waits = append(o.waits, p.up)
@@ -163,7 +163,7 @@
 	return true
 }
 
-func (w *ListWitness) told(e *judge.Event) {
+func (w *ListWitness) told(e *checker.Event) {
 	p := w.party(e.Sidecar)
 	if e.Index <= p.index {
 		return
--- a/internal/sim/mutants.go
+++ b/internal/sim/mutants.go
@@ -13,11 +13,11 @@
 	"strings"
 	"sync"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 )
 
 // MutantsDir is where the project's mutants are: unified patches, each of which breaks one thing.
-const MutantsDir = "internal/judge/testdata/mutants"
+const MutantsDir = "internal/checker/testdata/mutants"
 
 // Names of mutants that are not played on usual days begin so.
 const (
@@ -37,9 +37,9 @@
 
 // Mutant is what came of one.
 type Mutant struct {
-	Name  string       `json:"name"`
-	Seed  uint64       `json:"seed"`            // that caught it; 0: none has
-	Rules []judge.Rule `json:"rules,omitempty"` // that it broke
+	Name  string         `json:"name"`
+	Seed  uint64         `json:"seed"`            // that caught it; 0: none has
+	Rules []checker.Rule `json:"rules,omitempty"` // that it broke
 }
 
 func (m Mutant) String() string {
@@ -138,8 +138,8 @@
 	}
 	var t struct { // what the tallies of all worlds have
 		Broken []struct {
-			Rule  judge.Rule `json:"rule"`
-			Seeds []uint64   `json:"seeds"`
+			Rule  checker.Rule `json:"rule"`
+			Seeds []uint64     `json:"seeds"`
 		} `json:"broken"`
 	}
 	if err := json.Unmarshal(out, &t); err != nil {
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -3,10 +3,10 @@
 import (
 	"log/slog"
 
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/decide/quota"
 	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/frontend/http1"
-	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/quotas"
 	"hazelwheel/internal/rewrite"
@@ -28,7 +28,7 @@
 func batch(d *world.Day, times float64) *world.BatchSpec {
 	b := &world.BatchSpec{RatePS: times * ministryTimes * d.Clients.RatePS, Organisation: "ministry"}
 	for i, c := range d.Classes {
-		if c.Effect == judge.Safe {
+		if c.Effect == checker.Safe {
 			b.Class = i
 		}
 	}
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -3,17 +3,17 @@
 import (
 	"slices"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/world"
 )
 
 // Shrink looks for a smaller script that breaks the same rule: without some of the troubles, sidecars and boxes, with
 // fewer boxes in a trouble, shorter, and over sooner. It plays at most budget days, and tells progress of each that
 // came out smaller. A script that does not break the rule is returned as it is.
-func Shrink(s world.Script, rule judge.Rule, o Options, budget int, progress func(s *world.Script, played int)) world.Script {
+func Shrink(s world.Script, rule checker.Rule, o Options, budget int, progress func(s *world.Script, played int)) world.Script {
 	h := &shrinker{best: s, rule: rule, o: o, budget: budget, progress: progress}
 	h.o.Until = rule
-	if rule == judge.AtRest { // it is seen at the day's end alone
+	if rule == checker.AtRest { // it is seen at the day's end alone
 		h.o.Until = ""
 	}
 	if at, ok := h.breaks(&s); ok {
@@ -29,7 +29,7 @@
 type shrinker struct {
 	best     world.Script
 	at       float64 // when the rule breaks, since the day's start
-	rule     judge.Rule
+	rule     checker.Rule
 	o        Options
 	budget   int
 	played   int
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -10,8 +10,8 @@
 	"math"
 	"slices"
 
+	"hazelwheel/internal/checker"
 	dworks "hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/netio/virtual"
 	"hazelwheel/internal/peers"
@@ -50,7 +50,7 @@
 	Trace func(at float64, line string) // told of all that happens, in seconds since the day's start; nil: nobody is
 	// Until stops the day at the first finding of this rule; "any" at the first of all. Danger: what the day has left
 	// at its end is then not looked at.
-	Until judge.Rule
+	Until checker.Rule
 	Quiet bool // leave the troubles of the script out
 	// Speech is what applications and boxes speak; empty: HTTP. It changes nothing else of a day, but that answers over Thrift
 	// hold no load reports: those come with probes.
@@ -63,7 +63,7 @@
 	Drawn  *world.Ranges // that days are drawn from in place of all that is said here of sizes; nil: none
 	Told   int           // how many sidecars the configurations say there are; 0: as many as the day has
 	// Watch is told of all that the judge is told; nil: nobody is.
-	Watch judge.Witness
+	Watch checker.Witness
 	// Together says on which days sidecars know each other. Those of other cores, speeches and quotas never do.
 	Together Together
 	// Weigh has a day of TogetherWorks be about one plan or script, in place of drawn ones; nil: they are drawn.
@@ -99,26 +99,26 @@
 }
 
 // Any stands for all rules in Options.Until.
-const Any judge.Rule = "any"
+const Any checker.Rule = "any"
 
 // Result is what came of a day.
 type Result struct {
-	Seed       uint64          `json:"Seed"`
-	Hash       uint64          `json:"Hash"`  // of the history
-	Steps      uint64          `json:"Steps"` // events
-	Start      float64         `json:"Start"` // of the day, in Unix time
-	SimulatedS float64         `json:"SimulatedS"`
-	Findings   []judge.Finding `json:"Findings"`
-	Report     judge.Report    `json:"Report"`
-	Granted    uint64          `json:"Granted"` // the greatest token under which a sidecar was heard; 0: none was
-	Worked     int             `json:"Worked"`  // boxes on which work has ended
+	Seed       uint64            `json:"Seed"`
+	Hash       uint64            `json:"Hash"`  // of the history
+	Steps      uint64            `json:"Steps"` // events
+	Start      float64           `json:"Start"` // of the day, in Unix time
+	SimulatedS float64           `json:"SimulatedS"`
+	Findings   []checker.Finding `json:"Findings"`
+	Report     checker.Report    `json:"Report"`
+	Granted    uint64            `json:"Granted"` // the greatest token under which a sidecar was heard; 0: none was
+	Worked     int               `json:"Worked"`  // boxes on which work has ended
 }
 
 // Since returns how long after the day's start a time is.
 func (r *Result) Since(at float64) float64 { return at - r.Start }
 
 // Breaks tells whether the day broke a rule.
-func (r *Result) Breaks(rule judge.Rule) bool {
+func (r *Result) Breaks(rule checker.Rule) bool {
 	for _, f := range r.Findings {
 		if f.Rule == rule {
 			return true
@@ -172,7 +172,7 @@
 	spec       world.Day
 	weather    weather
 	net        *virtual.World
-	judge      *judge.Judge
+	judge      *checker.Judge
 	world      *world.World
 	player     *world.Player
 	core       Core
@@ -191,8 +191,8 @@
 	owners     bool               // one does the jobs of all
 	works      *plans             // boxes are worked on; nil: they are not
 	workOrder  dworks.Order
-	granted    uint64        // the greatest token that any has seen
-	watch      judge.Witness // is told what the judge is; nil: nobody is
+	granted    uint64          // the greatest token that any has seen
+	watch      checker.Witness // is told what the judge is; nil: nobody is
 }
 
 func newDay(s world.Script, o Options) (*day, error) {
@@ -232,8 +232,8 @@
 	case !d.together: // waits go by how many the settings say there are
 		rules.MostAskS = 0.75 * float64(cmp.Or(o.Told, len(d.spec.Sidecars)))
 	}
-	d.judge = judge.New(rules)
-	var witness judge.Witness = d.judge
+	d.judge = checker.New(rules)
+	var witness checker.Witness = d.judge
 	if d.trace != nil {
 		witness = &teller{d}
 		d.traceNetwork()
@@ -261,15 +261,15 @@
 }
 
 // witnesses are two that are told the same.
-type witnesses [2]judge.Witness
+type witnesses [2]checker.Witness
 
-func (w witnesses) See(e judge.Event) {
+func (w witnesses) See(e checker.Event) {
 	w[0].See(e)
 	w[1].See(e)
 }
 
 // run plays the day out.
-func (d *day) run(until judge.Rule) {
+func (d *day) run(until checker.Rule) {
 	end := d.spec.Start + d.lastComingS() + restS + d.longerS()
 	for now := d.spec.Start; now < end && !d.broken(until); {
 		next := min(now+lookEveryS, end)
@@ -318,7 +318,7 @@
 }
 
 // broken tells whether a rule has been broken.
-func (d *day) broken(rule judge.Rule) bool {
+func (d *day) broken(rule checker.Rule) bool {
 	if rule == "" {
 		return false
 	}
@@ -345,7 +345,7 @@
 		}
 		if most != s.told {
 			s.told = most
-			d.see(judge.Event{Kind: judge.Descriptors, Sidecar: int32(s.number), N: int32(max(held, most))})
+			d.see(checker.Event{Kind: checker.Descriptors, Sidecar: int32(s.number), N: int32(max(held, most))})
 		}
 	}
 }
@@ -366,20 +366,20 @@
 		held = append(held, Holding{"dials", beyond(s.proc.Dialing(), restingLinks)}, Holding{"bytes that are not sent", unsent})
 		for _, h := range held {
 			if h.N != 0 {
-				d.see(judge.Event{Kind: judge.Leftover, Sidecar: int32(s.number), N: int32(h.N), Text: h.Name})
+				d.see(checker.Event{Kind: checker.Leftover, Sidecar: int32(s.number), N: int32(h.N), Text: h.Name})
 			}
 		}
 	}
 }
 
 // see tells the judge of something that happens now.
-func (d *day) see(e judge.Event) {
+func (d *day) see(e checker.Event) {
 	e.At, e.Box = d.net.Now(), -1
 	d.seeAs(e)
 }
 
 // seeAs tells it of something as it is.
-func (d *day) seeAs(e judge.Event) {
+func (d *day) seeAs(e checker.Event) {
 	if d.trace != nil {
 		(&teller{d}).See(e)
 	} else {
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/world"
 )
 
@@ -108,7 +108,7 @@
 	o := Options{Core: Plain(Random)} // it sends to whom it should not
 	r, err := Play(s, o)
 	require.NoError(t, err)
-	require.True(t, r.Breaks(judge.SafeDrain) || len(r.Findings) > 0)
+	require.True(t, r.Breaks(checker.SafeDrain) || len(r.Findings) > 0)
 	rule := r.Findings[0].Rule
 	small := Shrink(s, rule, o, 12, nil)
 	after, err := Play(small, o)
--- a/internal/sim/stored_form_test.go
+++ b/internal/sim/stored_form_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/world"
 )
 
@@ -39,9 +39,9 @@
 func TestTraceFormIsKept(t *testing.T) {
 	var text bytes.Buffer
 	for _, kind := range slices.Sorted(maps.Keys(kindNames)) {
-		e := judge.Event{Kind: kind, Sidecar: 1, Box: 2, Status: 503, N: 4, NotStarted: true, Spoilt: true, Request: 0xabc, First: 0xdef, Text: "text"}
+		e := checker.Event{Kind: kind, Sidecar: 1, Box: 2, Status: 503, N: 4, NotStarted: true, Spoilt: true, Request: 0xabc, First: 0xdef, Text: "text"}
 		fmt.Fprintln(&text, describe(&e))
-		fmt.Fprintln(&text, describe(&judge.Event{Kind: kind, Sidecar: -1, Box: -1}))
+		fmt.Fprintln(&text, describe(&checker.Event{Kind: kind, Sidecar: -1, Box: -1}))
 	}
 	golden(t, "trace-events.txt", text.Bytes())
 
@@ -67,12 +67,12 @@
 
 // TestResultFormIsKept writes the results that commands print as JSON, all fields set, and reads them back.
 func TestResultFormIsKept(t *testing.T) {
-	event := judge.Event{Kind: judge.Replied, Sidecar: 1, Box: 2, Class: 3, Status: 200, Zone: 4, Cell: 5, N: 6, Reused: true, Read: true, NotStarted: true,
+	event := checker.Event{Kind: checker.Replied, Sidecar: 1, Box: 2, Class: 3, Status: 200, Zone: 4, Cell: 5, N: 6, Reused: true, Read: true, NotStarted: true,
 		Spoilt: true, ByBox: true, Uncounted: true, At: 1.5, FirstSent: 2.5, Sent: 3.5, Until: 4.5, Since: 5.5, Work: 6.5, Request: 7, First: 8, Link: 9, Digest: 10,
 		Index: 11, Address: "address", Text: "text"}
 	r := Result{Seed: 1, Hash: 2, Steps: 3, Start: 4.5, SimulatedS: 5.5, Granted: 6, Worked: 7,
-		Findings: []judge.Finding{{Rule: judge.SafeDrain, At: 1.5, Sidecar: 1, Box: 2, Request: 3, Why: "why", Events: []judge.Event{event}}},
-		Report:   judge.Report{Service: 0.5, Classes: []judge.ClassService{{}}}}
+		Findings: []checker.Finding{{Rule: checker.SafeDrain, At: 1.5, Sidecar: 1, Box: 2, Request: 3, Why: "why", Events: []checker.Event{event}}},
+		Report:   checker.Report{Service: 0.5, Classes: []checker.ClassService{{}}}}
 	raw, err := json.MarshalIndent(&r, "", " ")
 	require.NoError(t, err)
 	golden(t, "result.json", raw)
@@ -85,7 +85,7 @@
 	require.NoError(t, err)
 	golden(t, "weighed.json", raw)
 
-	raw, err = json.MarshalIndent(&Tally{Days: 1, History: "h", SimulatedS: 2.5, Steps: 3, Broken: []BrokenRule{{judge.SafeDrain, 1, []uint64{2}}}, Service: 0.5,
+	raw, err = json.MarshalIndent(&Tally{Days: 1, History: "h", SimulatedS: 2.5, Steps: 3, Broken: []BrokenRule{{checker.SafeDrain, 1, []uint64{2}}}, Service: 0.5,
 		Worked: 4, Classes: []ClassTally{{Name: "a", Asked: 1, InAim: 2, Late: 3, Refused: 4, Failed: 5, Service: 0.5}}}, "", " ")
 	require.NoError(t, err)
 	golden(t, "tally.json", raw)
--- a/internal/sim/trace.go
+++ b/internal/sim/trace.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/netio/virtual"
 )
 
@@ -43,7 +43,7 @@
 type teller struct{ d *day }
 
 // See passes an event on.
-func (t *teller) See(e judge.Event) {
+func (t *teller) See(e checker.Event) {
 	d := t.d
 	at := d.net.Now() - d.spec.Start
 	d.trace(at, "  judge: "+describe(&e))
@@ -55,7 +55,7 @@
 }
 
 // describe returns an event as one line.
-func describe(e *judge.Event) string {
+func describe(e *checker.Event) string {
 	s := kindNames[e.Kind]
 	if e.Sidecar >= 0 {
 		s += fmt.Sprintf(" sidecar %d", e.Sidecar)
@@ -87,17 +87,17 @@
 	return s
 }
 
-var kindNames = map[judge.Kind]string{
-	judge.Asked: "asked", judge.Taken: "taken", judge.Answered: "answered", judge.Broken: "broken", judge.Dropped: "dropped",
-	judge.Left: "left", judge.Unreached: "unreached", judge.Stray: "stray", judge.Hostile: "hostile", judge.HalfClosed: "half closed",
-	judge.SidecarFrozen: "stands still", judge.SidecarThawed: "goes on", judge.FleetWrong: "fleet wrong",
-	judge.HostileAnswered: "hostile answered", judge.HostileEnded: "hostile ended",
-	judge.BoxStarted: "box started", judge.BoxEnded: "box ended", judge.BoxFell: "box fell", judge.Execution: "execution",
-	judge.Replied: "replied", judge.LinkOpened: "link opened", judge.LinkClosed: "link closed", judge.Probed: "probed",
-	judge.Listed: "listed", judge.Told: "told", judge.Fed: "fed", judge.Called: "called", judge.CallFailed: "call failed", judge.WatchUp: "watch up",
-	judge.WatchEnded: "watch ended", judge.WatchSilent: "watch silent", judge.LineFormed: "line formed", judge.LineGone: "line gone", judge.DiscoveryDown: "discovery down", judge.DiscoveryUp: "discovery up",
-	judge.SidecarStarted: "sidecar started", judge.SidecarKilled: "sidecar killed", judge.SidecarTermed: "sidecar termed",
-	judge.SidecarEnded: "sidecar ended", judge.SidecarPanicked: "sidecar panicked", judge.Reloaded: "reloaded",
-	judge.TakenOut: "taken out", judge.GivenBack: "given back",
-	judge.Descriptors: "descriptors", judge.Leftover: "leftover", judge.PathCut: "path cut", judge.PathMended: "path mended",
+var kindNames = map[checker.Kind]string{
+	checker.Asked: "asked", checker.Taken: "taken", checker.Answered: "answered", checker.Broken: "broken", checker.Dropped: "dropped",
+	checker.Left: "left", checker.Unreached: "unreached", checker.Stray: "stray", checker.Hostile: "hostile", checker.HalfClosed: "half closed",
+	checker.SidecarFrozen: "stands still", checker.SidecarThawed: "goes on", checker.FleetWrong: "fleet wrong",
+	checker.HostileAnswered: "hostile answered", checker.HostileEnded: "hostile ended",
+	checker.BoxStarted: "box started", checker.BoxEnded: "box ended", checker.BoxFell: "box fell", checker.Execution: "execution",
+	checker.Replied: "replied", checker.LinkOpened: "link opened", checker.LinkClosed: "link closed", checker.Probed: "probed",
+	checker.Listed: "listed", checker.Told: "told", checker.Fed: "fed", checker.Called: "called", checker.CallFailed: "call failed", checker.WatchUp: "watch up",
+	checker.WatchEnded: "watch ended", checker.WatchSilent: "watch silent", checker.LineFormed: "line formed", checker.LineGone: "line gone", checker.DiscoveryDown: "discovery down", checker.DiscoveryUp: "discovery up",
+	checker.SidecarStarted: "sidecar started", checker.SidecarKilled: "sidecar killed", checker.SidecarTermed: "sidecar termed",
+	checker.SidecarEnded: "sidecar ended", checker.SidecarPanicked: "sidecar panicked", checker.Reloaded: "reloaded",
+	checker.TakenOut: "taken out", checker.GivenBack: "given back",
+	checker.Descriptors: "descriptors", checker.Leftover: "leftover", checker.PathCut: "path cut", checker.PathMended: "path mended",
 }
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/troubles_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/world"
 )
 
@@ -75,7 +75,7 @@
 
 // tally counts what a day's judge is told.
 type tally struct {
-	kinds     map[judge.Kind]int
+	kinds     map[checker.Kind]int
 	early     int // clients that have left before their time was over
 	byBoxes   int // connections that boxes have closed
 	leftOut   int // boxes that a list has left out while they drained
@@ -83,16 +83,16 @@
 	notInTime int // connections that were not up in time
 }
 
-func (c *tally) See(e judge.Event) {
+func (c *tally) See(e checker.Event) {
 	c.kinds[e.Kind]++
 	switch {
-	case e.Kind == judge.Left && e.At < e.Until:
+	case e.Kind == checker.Left && e.At < e.Until:
 		c.early++
-	case e.Kind == judge.LinkClosed && e.ByBox:
+	case e.Kind == checker.LinkClosed && e.ByBox:
 		c.byBoxes++
-	case e.Kind == judge.Listed:
-		c.drains[e.Box] = e.Status == judge.Draining
-	case e.Kind == judge.Told && e.Status == judge.Deleted && c.drains[e.Box]:
+	case e.Kind == checker.Listed:
+		c.drains[e.Box] = e.Status == checker.Draining
+	case e.Kind == checker.Told && e.Status == checker.Deleted && c.drains[e.Box]:
 		c.leftOut++
 	}
 }
@@ -113,17 +113,17 @@
 		does   func(c *tally) bool
 	}{
 		{"silent-watch", world.Trouble{Kind: world.SilentWatch, AtS: at}, nil, func(c *tally) bool {
-			return c.kinds[judge.WatchSilent] == len(d.Sidecars) && c.kinds[judge.WatchUp] == 2*len(d.Sidecars)
+			return c.kinds[checker.WatchSilent] == len(d.Sidecars) && c.kinds[checker.WatchUp] == 2*len(d.Sidecars)
 		}},
 		{"watch-reset", world.Trouble{Kind: world.WatchReset, AtS: at}, nil, func(c *tally) bool {
-			return c.kinds[judge.WatchEnded] == len(d.Sidecars) && c.kinds[judge.WatchUp] == 2*len(d.Sidecars)
+			return c.kinds[checker.WatchEnded] == len(d.Sidecars) && c.kinds[checker.WatchUp] == 2*len(d.Sidecars)
 		}},
 		{"whole-list", world.Trouble{Kind: world.WholeList, AtS: at, ForS: 10},
 			[]world.Trouble{{Kind: world.Shrink, AtS: at, DrainS: 14, Boxes: boxes[:2]}, {Kind: world.WatchReset, AtS: at + 4}}, func(c *tally) bool {
 				return c.leftOut == 2*len(d.Sidecars)
 			}},
 		{"clients-leave", world.Trouble{Kind: world.ClientsLeave, AtS: at, ForS: 10, Sidecars: []int{0, 1}, Share: 0.5}, nil, func(c *tally) bool {
-			return c.early > 10 && c.kinds[judge.HalfClosed] > 5
+			return c.early > 10 && c.kinds[checker.HalfClosed] > 5
 		}},
 		{"late-connect", world.Trouble{Kind: world.LateConnect, AtS: at, ForS: 10, Boxes: boxes, Share: 0.5, LagS: 1.5},
 			[]world.Trouble{{Kind: world.EarlyClose, AtS: at, ForS: 10, Boxes: boxes, Share: 0.2}}, func(c *tally) bool { return c.notInTime > 10 }},
@@ -136,7 +136,7 @@
 				if on {
 					s.Troubles = append([]world.Trouble{c.with}, c.beside...)
 				}
-				seen := &tally{kinds: map[judge.Kind]int{}, drains: map[int32]bool{}}
+				seen := &tally{kinds: map[checker.Kind]int{}, drains: map[int32]bool{}}
 				o := o
 				o.Watch = seen
 				o.Trace = func(_ float64, line string) {
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -9,8 +9,8 @@
 	"strings"
 	"sync"
 
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/judge"
 	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/world"
 )
@@ -106,7 +106,7 @@
 
 // meter measures the service from outside, second by second.
 type meter struct {
-	classes []judge.Class
+	classes []checker.Class
 	first   map[uint64]*asked // by the id of each try
 	worth   []float64         // that was asked for, by second of the day
 	earned  []float64         // and served by the aim
@@ -121,16 +121,16 @@
 }
 
 // See takes an event.
-func (m *meter) See(e judge.Event) {
+func (m *meter) See(e checker.Event) {
 	switch e.Kind {
-	case judge.Asked:
+	case checker.Asked:
 		a := m.first[e.First]
 		if a == nil {
 			a = &asked{at: e.At, class: e.Class}
 			*m.second(&m.worth, e.At) += m.classes[e.Class].Worth
 		}
 		m.first[e.First], m.first[e.Request] = a, a
-	case judge.Answered:
+	case checker.Answered:
 		a := m.first[e.Request]
 		switch {
 		case a == nil || a.served:
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"slices"
 
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/judge"
 )
 
 // plans are a day's work on boxes: operators who give plans at sidecars' doors and meddle with them, and mechanics who take boxes,
@@ -211,7 +211,7 @@
 	w := m.w
 	i := slices.IndexFunc(w.boxes, func(b boxSeen) bool { return b.name == r.Box })
 	if i < 0 {
-		w.wrong(judge.TwiceWrong, "%s is handed over, which there is not", r.Box)
+		w.wrong(checker.TwiceWrong, "%s is handed over, which there is not", r.Box)
 		return
 	}
 	m.greatest = r.Token
@@ -263,7 +263,7 @@
 
 // wrong tells the judge of a break. Danger: what names no sidecar it does not take.
 func (w *plans) wrong(what int32, format string, args ...any) {
-	w.d.see(judge.Event{Kind: judge.FleetWrong, Sidecar: 0, Status: what, Text: fmt.Sprintf(format, args...)})
+	w.d.see(checker.Event{Kind: checker.FleetWrong, Sidecar: 0, Status: what, Text: fmt.Sprintf(format, args...)})
 }
 
 func (w *plans) box(name string) *boxSeen {
@@ -271,9 +271,9 @@
 }
 
 // See takes what boxes get.
-func (w *plans) See(e judge.Event) {
+func (w *plans) See(e checker.Event) {
 	switch e.Kind {
-	case judge.Execution:
+	case checker.Execution:
 		b := &w.boxes[e.Box]
 		b.at, b.by = e.At, e.Sidecar
 		if e.Request != 0 {
@@ -281,18 +281,18 @@
 			b.out[e.Link] = true
 		}
 		if b.worker != nil && !w.excused(b, e.Sidecar) {
-			w.wrong(judge.OccupiedWrong, "%s gets a request from sidecar %d while %s works on it", b.name, e.Sidecar, b.worker.mechanic)
+			w.wrong(checker.OccupiedWrong, "%s gets a request from sidecar %d while %s works on it", b.name, e.Sidecar, b.worker.mechanic)
 		}
-	case judge.Replied, judge.LinkClosed:
+	case checker.Replied, checker.LinkClosed:
 		if to, out := w.links[e.Link]; out {
 			delete(w.boxes[to.box].out, e.Link)
 			delete(w.links, e.Link)
 		}
-	case judge.BoxEnded:
+	case checker.BoxEnded:
 		clear(w.boxes[e.Box].out)
-	case judge.GivenBack:
+	case checker.GivenBack:
 		w.boxes[e.Box].hand[e.Sidecar] = true
-	case judge.TakenOut:
+	case checker.TakenOut:
 		w.boxes[e.Box].hand[e.Sidecar] = false
 	}
 }
@@ -313,15 +313,15 @@
 	w.tell("%s works on %s under %d", k.mechanic, b.name, k.token)
 	for link := range b.out { // only counted
 		if to := w.links[link]; !w.excused(b, to.sidecar) {
-			w.wrong(judge.OccupiedWrong, "%s is worked on with an execution out there", b.name)
+			w.wrong(checker.OccupiedWrong, "%s is worked on with an execution out there", b.name)
 			break
 		}
 	}
 	if settle := w.spec.SettleS; b.at > 0 && now-b.at < settle-workLateS && !w.excused(b, b.by) {
-		w.wrong(judge.OccupiedWrong, "%s got a request %.3f s before it is worked on, %.3f must be", b.name, now-b.at, settle)
+		w.wrong(checker.OccupiedWrong, "%s got a request %.3f s before it is worked on, %.3f must be", b.name, now-b.at, settle)
 	}
 	if k.token <= w.token {
-		w.wrong(judge.TwiceWrong, "%s is handed over under %d after one under %d", b.name, k.token, w.token)
+		w.wrong(checker.TwiceWrong, "%s is handed over under %d after one under %d", b.name, k.token, w.token)
 	}
 	w.token = max(w.token, k.token)
 	at, site := 1, 1
@@ -330,7 +330,7 @@
 			continue
 		}
 		if o.box == k.box {
-			w.wrong(judge.TwiceWrong, "%s is worked on twice for plan %d", b.name, k.plan)
+			w.wrong(checker.TwiceWrong, "%s is worked on twice for plan %d", b.name, k.plan)
 		}
 		if !o.ended {
 			if at++; w.boxes[o.box].site == b.site {
@@ -339,7 +339,7 @@
 		}
 	}
 	if p := w.plan(k.plan); p != nil && (at > p.Spec.AtOnce || site > max(p.Spec.BySite, 1)) {
-		w.wrong(judge.ManyWrong, "%d boxes of plan %d are worked on, %d of site %s", at, k.plan, site, b.site)
+		w.wrong(checker.ManyWrong, "%d boxes of plan %d are worked on, %d of site %s", at, k.plan, site, b.site)
 	}
 	w.record = append(w.record, k)
 	b.worker = k
@@ -413,7 +413,7 @@
 				w.epoch, w.version, w.latest = k.Epoch, k.Version, state
 				w.counts()
 			} else {
-				w.wrong(judge.ForgottenWrong, "version %d: %v", k.Version, err)
+				w.wrong(checker.ForgottenWrong, "version %d: %v", k.Version, err)
 			}
 		}
 	}
@@ -446,12 +446,12 @@
 				at++
 				sites[b.Site]++
 				if sites[b.Site] > max(p.Spec.BySite, 1) {
-					w.wrong(judge.ManyWrong, "%d of site %s are out for plan %d", sites[b.Site], b.Site, p.Number)
+					w.wrong(checker.ManyWrong, "%d of site %s are out for plan %d", sites[b.Site], b.Site, p.Number)
 				}
 			}
 		}
 		if at > p.Spec.AtOnce {
-			w.wrong(judge.ManyWrong, "%d boxes are out for plan %d", at, p.Number)
+			w.wrong(checker.ManyWrong, "%d boxes are out for plan %d", at, p.Number)
 		}
 		line += fmt.Sprintf(" %d:%s", p.Number, stages)
 	}
@@ -467,7 +467,7 @@
 			had := slices.ContainsFunc(w.record, func(k *boxWork) bool { return k.plan == p.Number && w.boxes[k.box].name == b.Name })
 			switch {
 			case b.Stage == maintenance.Done && !done, b.Stage < maintenance.Taken && had, (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Why == "":
-				w.wrong(judge.ForgottenWrong, "%s of plan %d is at stage %d for %q; worked on: %t, to the end: %t", b.Name, p.Number, b.Stage, b.Why, had, done)
+				w.wrong(checker.ForgottenWrong, "%s of plan %d is at stage %d for %q; worked on: %t, to the end: %t", b.Name, p.Number, b.Stage, b.Why, had, done)
 			}
 		}
 	}
--- a/internal/world/actors_test.go
+++ b/internal/world/actors_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/http1"
-	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/netio/virtual"
 	"hazelwheel/internal/sidecarconfig"
@@ -21,11 +21,11 @@
 )
 
 // notes keeps what a world tells.
-type notes struct{ events []judge.Event }
+type notes struct{ events []checker.Event }
 
-func (n *notes) See(e judge.Event) { n.events = append(n.events, e) }
+func (n *notes) See(e checker.Event) { n.events = append(n.events, e) }
 
-func (n *notes) count(kind judge.Kind) int {
+func (n *notes) count(kind checker.Kind) int {
 	count := 0
 	for _, e := range n.events {
 		if e.Kind == kind {
@@ -133,7 +133,7 @@
 			s.until(requests + 30)
 			made := map[uint64]bool{}
 			for _, e := range s.notes.events {
-				if e.Kind == judge.Replied && !e.Spoilt {
+				if e.Kind == checker.Replied && !e.Spoilt {
 					made[e.Digest] = true
 				}
 			}
@@ -143,7 +143,7 @@
 				buf.Write(text)
 				whole, err := p.Next(&buf)
 				require.Equal(t, c.read, whole && err == nil, "%.200q", text)
-				require.Equal(t, c.read, made[judge.Digest(p.Body)])
+				require.Equal(t, c.read, made[checker.Digest(p.Body)])
 				require.Equal(t, c.manners.Behind > 0, c.read && buf.Len() > 0)
 			}
 		})
@@ -217,7 +217,7 @@
 		s.net.At(s.day.Start, watch)
 		last := map[int]entry{} // what the boxes have done last
 		for i, b := range s.day.Boxes[:s.day.Standing] {
-			last[i] = entry{status: judge.Serving, address: b.Address}
+			last[i] = entry{status: checker.Serving, address: b.Address}
 		}
 		at := 1.0
 		for range rapid.IntRange(0, 12).Draw(t, "events") {
@@ -227,16 +227,16 @@
 			was := last[box]
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
-				last[box] = entry{status: judge.Serving, address: "10.9.9." + strconv.Itoa(int(at))}
+				last[box] = entry{status: checker.Serving, address: "10.9.9." + strconv.Itoa(int(at))}
 				r.Up(box, last[box].address, now, now)
 			case 1:
-				if was.status == judge.Serving {
-					last[box] = entry{status: judge.Draining, address: was.address}
+				if was.status == checker.Serving {
+					last[box] = entry{status: checker.Draining, address: was.address}
 					r.Drained(box, now)
 				}
 			case 2:
-				if was.status != 0 && was.status != judge.Deleted {
-					last[box] = entry{status: judge.Deleted, address: was.address}
+				if was.status != 0 && was.status != checker.Deleted {
+					last[box] = entry{status: checker.Deleted, address: was.address}
 					r.Lost(box, rapid.Bool().Draw(t, "silent"), now)
 				}
 			case 3:
@@ -255,16 +255,16 @@
 		r.Down(false, s.net.Now())
 		s.until(at + 40)
 		want := map[string]string{}
-		told := map[int]judge.Event{}
+		told := map[int]checker.Event{}
 		for _, e := range s.notes.events {
-			if e.Kind == judge.Told && e.Sidecar == 0 {
+			if e.Kind == checker.Told && e.Sidecar == 0 {
 				told[int(e.Box)] = e
 			}
 		}
 		for i, e := range r.entries {
 			require.Equal(t, last[i].status, e.status)
 			require.Equal(t, last[i].address, e.address)
-			if e.status == judge.Serving || e.status == judge.Draining {
+			if e.status == checker.Serving || e.status == checker.Draining {
 				want[s.day.Boxes[i].Name] = e.address + statusText[e.status]
 			}
 			if e.status != 0 {
@@ -293,16 +293,16 @@
 	}
 	for _, c := range []struct {
 		name         string
-		class        judge.Effect
+		class        checker.Effect
 		does         func(h *script, c netio.Conn, n int)
 		tries, times int // of the most-tried request: ids, and times that it came
 	}{
-		{"safe refused", judge.Safe, refuse, 1 + most, 1}, {"safe failed", judge.Safe, fail, 1 + most, 1},
-		{"safe hung up on", judge.Safe, hangUp, 1 + most, 1}, {"safe not answered", judge.Safe, silent, 1 + most, 1},
-		{"unsafe refused", judge.Unsafe, refuse, 1 + most, 1}, {"unsafe failed", judge.Unsafe, fail, 1, 1},
-		{"unsafe hung up on", judge.Unsafe, hangUp, 1, 1}, {"unsafe not answered", judge.Unsafe, silent, 1, 1},
-		{"keyed refused", judge.Keyed, refuse, 1 + most, 1}, {"keyed failed", judge.Keyed, fail, 1, 1},
-		{"crossed", judge.Unsafe, crossed, 1, 2},
+		{"safe refused", checker.Safe, refuse, 1 + most, 1}, {"safe failed", checker.Safe, fail, 1 + most, 1},
+		{"safe hung up on", checker.Safe, hangUp, 1 + most, 1}, {"safe not answered", checker.Safe, silent, 1 + most, 1},
+		{"unsafe refused", checker.Unsafe, refuse, 1 + most, 1}, {"unsafe failed", checker.Unsafe, fail, 1, 1},
+		{"unsafe hung up on", checker.Unsafe, hangUp, 1, 1}, {"unsafe not answered", checker.Unsafe, silent, 1, 1},
+		{"keyed refused", checker.Keyed, refuse, 1 + most, 1}, {"keyed failed", checker.Keyed, fail, 1, 1},
+		{"crossed", checker.Unsafe, crossed, 1, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newStage(t, 5, func(d *Day) {
@@ -342,7 +342,7 @@
 			s.until(40)
 			tries, times := map[uint64]int{}, 0
 			for _, e := range s.notes.events {
-				if e.Kind == judge.Asked {
+				if e.Kind == checker.Asked {
 					tries[e.First]++
 				}
 			}
@@ -356,7 +356,7 @@
 			require.Greater(t, len(tries), 3)
 			assert.Equal(t, c.tries, most, "tries")
 			assert.Equal(t, c.times, times, "times that one id came")
-			assert.Zero(t, s.notes.count(judge.Stray))
+			assert.Zero(t, s.notes.count(checker.Stray))
 		})
 	}
 }
@@ -379,6 +379,6 @@
 			require.NoError(t, json.Unmarshal(cfg.Known, &known))
 			assert.Len(t, known.Endpoints, s.day.Standing)
 		}
-		assert.Equal(t, len(s.day.Sidecars)*s.day.Standing, s.notes.count(judge.Told), "the witness knows what they were told")
+		assert.Equal(t, len(s.day.Sidecars)*s.day.Standing, s.notes.count(checker.Told), "the witness knows what they were told")
 	}
 }
--- a/internal/world/app.go
+++ b/internal/world/app.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"strconv"
 
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/http1"
-	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
 )
 
@@ -16,7 +16,7 @@
 	number  int32
 	day     *Day
 	spec    *ClientSpec
-	witness judge.Witness
+	witness checker.Witness
 	rng     *rand.Rand // arrivals
 	ids     *rand.Rand
 	chance  *rand.Rand // what a request does
@@ -94,7 +94,7 @@
 const readyEveryS = 0.05
 
 // NewApplication returns the application beside a sidecar.
-func NewApplication(d *Day, sidecar int, w judge.Witness) *Application {
+func NewApplication(d *Day, sidecar int, w checker.Witness) *Application {
 	return &Application{number: int32(sidecar), day: d, spec: &d.Clients, witness: w, rng: stream(d.Seed, "arrivals", sidecar),
 		ids: stream(d.Seed, "ids", sidecar), chance: stream(d.Seed, "clients", sidecar), early: stream(d.Seed, "early", sidecar), armed: math.Inf(1), leaveAt: math.Inf(1),
 		body: []byte(bodyText)}
@@ -102,7 +102,7 @@
 
 // NewBatch returns the batch beside a sidecar: it sends requests of one class in the name of an organisation, whatever
 // becomes of the applications. It tries again as they do. The service is not measured by it.
-func NewBatch(d *Day, sidecar int, w judge.Witness) *Application {
+func NewBatch(d *Day, sidecar int, w checker.Witness) *Application {
 	a := NewApplication(d, sidecar, w)
 	a.batch, a.linkNumber = d.Batch, batchLinks
 	a.rng, a.ids, a.chance = stream(d.Seed, "batch arrivals", sidecar), stream(d.Seed, "batch ids", sidecar), stream(d.Seed, "batch", sidecar)
@@ -128,9 +128,9 @@
 }
 
 // see tells the witness of a try.
-func (a *Application) see(kind judge.Kind, k *ask, link *appLink) judge.Event {
+func (a *Application) see(kind checker.Kind, k *ask, link *appLink) checker.Event {
 	now := a.net.Now()
-	e := judge.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: a.number, Box: -1, Class: -1}
+	e := checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: a.number, Box: -1, Class: -1}
 	if k != nil {
 		e.Request, e.First, e.Class, e.Until, e.Uncounted = k.id, k.first, int32(k.class), k.until, a.batch != nil
 	}
@@ -140,7 +140,7 @@
 	return e
 }
 
-func (a *Application) tell(kind judge.Kind, k *ask, link *appLink) {
+func (a *Application) tell(kind checker.Kind, k *ask, link *appLink) {
 	a.witness.See(a.see(kind, k, link))
 }
 
@@ -248,7 +248,7 @@
 	if c.BodyBytes > 0 {
 		k.size = 1 + a.rng.IntN(2*c.BodyBytes)
 	}
-	if c.Effect == judge.Keyed {
+	if c.Effect == checker.Keyed {
 		k.key = a.ids.Uint64()
 	}
 	a.try(k, now)
@@ -276,7 +276,7 @@
 // repeats tells whether a class is tried again after a failure that may have run.
 func (a *Application) repeats(class int) bool {
 	c := &a.day.Classes[class]
-	return c.Effect == judge.Safe || c.Effect == judge.Keyed && c.Group == judge.GroupAll
+	return c.Effect == checker.Safe || c.Effect == checker.Keyed && c.Group == checker.GroupAll
 }
 
 // try begins the next try of a request.
@@ -292,7 +292,7 @@
 	if a.chance.Float64() < a.spec.Impatient {
 		k.until = now + a.chance.Float64()*(k.until-now) // it goes away early
 	}
-	a.tell(judge.Asked, k, nil)
+	a.tell(checker.Asked, k, nil)
 	// An answer that comes a little late still counts.
 	a.due.put(k.until+answerSlackS+socketSlackS, appTask{kind: taskOver, ask: k, id: k.id})
 	if at, leaves := a.leavesEarly(k, now); leaves {
@@ -334,7 +334,7 @@
 	link := k.link
 	if out := link != nil && link.conn != nil && link.ask == k && link.taken; out && a.early.IntN(4) == 0 {
 		link.halved = true
-		a.tell(judge.HalfClosed, k, link)
+		a.tell(checker.HalfClosed, k, link)
 		a.net.CloseWrite(link.conn)
 		return
 	}
@@ -369,7 +369,7 @@
 		k := link.ask
 		if link.ask = nil; k != nil && !k.over && k.link == link {
 			k.link = nil
-			a.tell(judge.Unreached, k, nil)
+			a.tell(checker.Unreached, k, nil)
 			a.failed(k, a.net.Now(), true)
 		}
 		a.serveWaiting()
@@ -438,7 +438,7 @@
 func (a *Application) appendRequest(out []byte, k *ask) []byte {
 	c := &a.day.Classes[k.class]
 	method := "POST"
-	if c.Effect == judge.Safe {
+	if c.Effect == checker.Safe {
 		method = "GET"
 	}
 	out = append(append(out, method...), " /"...)
@@ -469,7 +469,7 @@
 func (a *Application) taken(link *appLink) {
 	if !link.taken && link.conn.OutboundBuffered() == 0 {
 		link.taken = true
-		a.tell(judge.Taken, link.ask, link)
+		a.tell(checker.Taken, link.ask, link)
 	}
 }
 
@@ -477,7 +477,7 @@
 func (a *Application) Traffic(c netio.Conn, data []byte) {
 	link := c.Context().(*appLink)
 	if link.ask == nil && !link.asking {
-		a.tell(judge.Stray, nil, link)
+		a.tell(checker.Stray, nil, link)
 		a.net.Close(c)
 		return
 	}
@@ -490,7 +490,7 @@
 		}
 	case err != nil:
 		k := link.ask
-		a.tell(judge.Broken, k, link)
+		a.tell(checker.Broken, k, link)
 		link.ask = nil
 		a.net.Close(c)
 		a.failed(k, a.net.Now(), false)
@@ -513,8 +513,8 @@
 func (a *Application) answered(link *appLink) {
 	k, now := link.ask, a.net.Now()
 	a.taken(link)
-	e := a.see(judge.Answered, k, link)
-	e.Status, e.Digest = int32(link.parser.Status), judge.Digest(link.parser.Body)
+	e := a.see(checker.Answered, k, link)
+	e.Status, e.Digest = int32(link.parser.Status), checker.Digest(link.parser.Body)
 	a.witness.See(e)
 	link.ask = nil
 	status, after := link.parser.Status, 0.0
@@ -523,7 +523,7 @@
 	}
 	switch {
 	case link.buf.Len() > 0:
-		a.tell(judge.Stray, nil, link)
+		a.tell(checker.Stray, nil, link)
 		a.net.Close(link.conn)
 	case !link.parser.Keep() || link.halved:
 		a.net.Close(link.conn)
@@ -578,7 +578,7 @@
 
 // giveUp ends the wait for a try.
 func (a *Application) giveUp(k *ask, now float64) {
-	a.tell(judge.Left, k, k.link)
+	a.tell(checker.Left, k, k.link)
 	if link := k.link; link != nil {
 		link.ask = nil // a connection that still comes up serves another
 		if link.conn != nil {
@@ -609,7 +609,7 @@
 	k.link = nil
 	switch {
 	case link.parser.Begun():
-		a.tell(judge.Broken, k, link)
+		a.tell(checker.Broken, k, link)
 		a.failed(k, now, false)
 	case link.used > 1 && !k.resent && now < k.until && !link.halved:
 		a.dropped(c, k, link)
@@ -625,7 +625,7 @@
 
 // dropped tells the witness of a request whose connection the sidecar's side has ended.
 func (a *Application) dropped(c netio.Conn, k *ask, link *appLink) {
-	e := a.see(judge.Dropped, k, link)
+	e := a.see(checker.Dropped, k, link)
 	e.Read = readByPeer(c)
 	a.witness.See(e)
 }
--- a/internal/world/box.go
+++ b/internal/world/box.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"strconv"
 
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/http1"
-	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
 )
 
@@ -16,7 +16,7 @@
 	Address string // where the present life listens, or the last one did
 
 	day     *Day
-	witness judge.Witness
+	witness checker.Witness
 	who     neighbours
 	classes map[string]int // looked up, never walked
 	keys    *keyMemory     // of its site
@@ -44,7 +44,7 @@
 }
 
 // NewBox returns a box of a day that has never run.
-func NewBox(d *Day, number int, list *Registry, keys *keyMemory, w judge.Witness) *Box {
+func NewBox(d *Day, number int, list *Registry, keys *keyMemory, w checker.Witness) *Box {
 	b := &Box{Spec: d.Boxes[number], day: d, witness: w, who: newNeighbours(d), classes: map[string]int{}, keys: keys,
 		list: list}
 	b.rng = stream(d.Seed, "box "+b.Spec.Name, 0)
@@ -153,7 +153,7 @@
 		l.since = now
 	}
 	l.reports.begin(&l.Spec, now)
-	l.witness.See(judge.Event{Kind: judge.BoxStarted, At: now, Sidecar: -1, Box: int32(l.Spec.Number), Zone: int32(l.Spec.Site),
+	l.witness.See(checker.Event{Kind: checker.BoxStarted, At: now, Sidecar: -1, Box: int32(l.Spec.Number), Zone: int32(l.Spec.Site),
 		Cell: int32(l.Spec.Cell), Since: l.since, Address: l.Address})
 	if cold {
 		l.list.Up(l.Spec.Number, l.Address, l.since, now)
@@ -166,7 +166,7 @@
 	if b.life != nil {
 		b.life.over = true
 		b.life = nil
-		b.witness.See(judge.Event{Kind: judge.BoxEnded, At: now, Sidecar: -1, Box: int32(b.Spec.Number)})
+		b.witness.See(checker.Event{Kind: checker.BoxEnded, At: now, Sidecar: -1, Box: int32(b.Spec.Number)})
 	}
 }
 
@@ -191,9 +191,9 @@
 // Alive tells whether the box has a process now.
 func (b *Box) Alive() bool { return b.life != nil }
 
-func (l *life) event(kind judge.Kind, k *boxLink) judge.Event {
+func (l *life) event(kind checker.Kind, k *boxLink) checker.Event {
 	now := l.net.Now()
-	return judge.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: k.sidecar, Box: int32(l.Spec.Number), Link: k.number}
+	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: k.sidecar, Box: int32(l.Spec.Number), Link: k.number}
 }
 
 func (l *life) Open(c netio.Conn) bool {
@@ -203,7 +203,7 @@
 	c.SetContext(k)
 	l.open++
 	l.engine.Connected(l.open)
-	e := l.event(judge.LinkOpened, k)
+	e := l.event(checker.LinkOpened, k)
 	e.Work = l.Spec.HandshakeS / l.Spec.Speed
 	l.witness.See(e)
 	l.bear(e.Work)
@@ -230,7 +230,7 @@
 	if l.over {
 		return // the machine is gone: nobody sees this
 	}
-	e := l.event(judge.LinkClosed, k)
+	e := l.event(checker.LinkClosed, k)
 	if e.ByBox = err == nil; !e.ByBox {
 		e.Sent = endedAt(c, e.At)
 	}
@@ -336,7 +336,7 @@
 	c := &l.day.Classes[class]
 	l.same.Seed(l.day.Seed, j.id)
 	work := c.WorkS * spread(l.cost, c.WorkCV) * spread(l.rng, 0.3) / l.Spec.Speed
-	if key := k.heard.key; c.Effect == judge.Keyed && l.keys.repeat(key, now, c.WindowS) {
+	if key := k.heard.key; c.Effect == checker.Keyed && l.keys.repeat(key, now, c.WindowS) {
 		work *= 0.05 // the key is looked up, and nothing more
 	}
 	if j.Seconds = work; !k.used { // the connection's cost is paid by its first request
@@ -344,7 +344,7 @@
 	}
 	k.used = true
 	j.failing = l.rng.Float64() < l.Spec.Errors
-	e := l.event(judge.Execution, k)
+	e := l.event(checker.Execution, k)
 	e.Request, e.Class, e.Work, e.FirstSent, e.Sent = j.id, int32(class), min(work, mostCounted*c.WorkS/l.Spec.Speed), k.firstAt, sentAt(k.conn, now)
 	e.FirstSent = min(e.FirstSent, e.Sent)
 	l.witness.See(e)
@@ -369,7 +369,7 @@
 // bear counts work against a cold box.
 func (l *life) bear(seconds float64) {
 	if now := l.net.Now(); l.engine.Bear(now, seconds) {
-		l.witness.See(judge.Event{Kind: judge.BoxFell, At: now, Sidecar: -1, Box: int32(l.Spec.Number)})
+		l.witness.See(checker.Event{Kind: checker.BoxFell, At: now, Sidecar: -1, Box: int32(l.Spec.Number)})
 	}
 }
 
@@ -393,7 +393,7 @@
 	now := l.net.Now()
 	j := &boxJob{link: k, health: health, class: -1}
 	j.Probe, j.Seconds = true, l.Spec.ProbeS/l.Spec.Speed
-	e := l.event(judge.Probed, k)
+	e := l.event(checker.Probed, k)
 	e.Work = j.Seconds
 	l.witness.See(e)
 	l.bear(j.Seconds)
@@ -509,9 +509,9 @@
 }
 
 func (l *life) replied(k *boxLink, status int, notStarted, spoilt bool, body []byte) {
-	e := l.event(judge.Replied, k)
+	e := l.event(checker.Replied, k)
 	e.Request, e.Status, e.NotStarted, e.Spoilt = k.job.id, int32(status), notStarted, spoilt
-	e.Class, e.Digest = int32(k.job.class), judge.Digest(body)
+	e.Class, e.Digest = int32(k.job.class), checker.Digest(body)
 	l.witness.See(e)
 }
 
--- a/internal/world/configuration.go
+++ b/internal/world/configuration.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 )
 
 // mostKnownAgeS is how old the list in a new process's configuration may be.
@@ -15,7 +15,7 @@
 func (w *World) StartConfiguration(sidecar int, now float64) []byte {
 	age := stream(w.Day.Seed, "known", sidecar).Float64() * mostKnownAgeS
 	index, list := w.Registry.asOf(max(now-age, w.Day.Start))
-	w.witness.See(judge.Event{Kind: judge.SidecarStarted, At: now, Sidecar: int32(sidecar), Box: -1})
+	w.witness.See(checker.Event{Kind: checker.SidecarStarted, At: now, Sidecar: int32(sidecar), Box: -1})
 	w.Registry.tell(int32(sidecar), index, list, 0, true, now)
 	return w.configuration(sidecar, w.Registry.list(index, list, 0, true))
 }
@@ -41,8 +41,8 @@
 }
 
 var (
-	effectText = map[judge.Effect]string{judge.Safe: "free", judge.Keyed: "guarded", judge.Unsafe: "single_shot"}
-	groupText  = map[judge.Group]string{judge.GroupAll: "all", judge.GroupZone: "zone", judge.GroupCell: "cell"}
+	effectText = map[checker.Effect]string{checker.Safe: "free", checker.Keyed: "guarded", checker.Unsafe: "single_shot"}
+	groupText  = map[checker.Group]string{checker.GroupAll: "all", checker.GroupZone: "zone", checker.GroupCell: "cell"}
 )
 
 // settings returns the settings object that a sidecar finds in its configuration.
--- a/internal/world/day.go
+++ b/internal/world/day.go
@@ -12,7 +12,7 @@
 	"math/rand/v2"
 	"strconv"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 )
 
 // Day is one draw of a world, all that is true of it at its start.
@@ -56,8 +56,8 @@
 // ClassSpec is a class of requests as drawn.
 type ClassSpec struct {
 	ClassRanges
-	Effect    judge.Effect
-	Group     judge.Group
+	Effect    checker.Effect
+	Group     checker.Group
 	Share     float64
 	WorkS     float64 // mean, in seconds of a standard core
 	WorkCV    float64
@@ -295,8 +295,8 @@
 }
 
 var (
-	effects = map[string]judge.Effect{"safe": judge.Safe, "keyed": judge.Keyed, "unsafe": judge.Unsafe}
-	groups  = map[string]judge.Group{"": judge.GroupAll, "all": judge.GroupAll, "zone": judge.GroupZone, "cell": judge.GroupCell}
+	effects = map[string]checker.Effect{"safe": checker.Safe, "keyed": checker.Keyed, "unsafe": checker.Unsafe}
+	groups  = map[string]checker.Group{"": checker.GroupAll, "all": checker.GroupAll, "zone": checker.GroupZone, "cell": checker.GroupCell}
 )
 
 // standardWorkS is the mean work of a request at which the classes' times are as their ranges name them.
@@ -332,15 +332,15 @@
 }
 
 // Rules returns what the judge of this day checks by.
-func (d *Day) Rules() judge.Rules {
-	r := judge.Rules{
+func (d *Day) Rules() checker.Rules {
+	r := checker.Rules{
 		Sidecars: len(d.Sidecars), Sockets: d.Sockets, AnswerSlackS: answerSlackS, SocketSlackS: socketSlackS,
 		TermGraceS: termGraceS, DrainGraceS: drainGraceS, AskWithinS: askWithinS, ToldWithinS: toldWithinS, ReloadToldS: reloadToldS,
 		FallS: cmp.Or(d.FallS, fallS), ColdShare: 2.0 / 3, AtOnceS: 0.25, MostAttempts: mostAttempts,
 	}
 	r.FleetCallsS = float64(len(d.Sidecars)) * d.Registry.callS(len(d.Boxes))
 	for _, c := range d.Classes {
-		r.Classes = append(r.Classes, judge.Class{Name: c.Name, Effect: c.Effect, Group: c.Group, WindowS: c.WindowS,
+		r.Classes = append(r.Classes, checker.Class{Name: c.Name, Effect: c.Effect, Group: c.Group, WindowS: c.WindowS,
 			AimS: c.AimS, Worth: c.Worth, LateWorth: c.LateWorth})
 	}
 	for _, s := range d.Sidecars {
--- a/internal/world/mischief.go
+++ b/internal/world/mischief.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strconv"
 
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/http1"
-	"hazelwheel/internal/judge"
 	"hazelwheel/internal/netio"
 )
 
@@ -17,7 +17,7 @@
 	number  int32
 	day     *Day
 	app     *Application
-	witness judge.Witness
+	witness checker.Witness
 	rng     *rand.Rand
 	net     netio.Net
 	due     agenda[mischiefTask]
@@ -91,7 +91,7 @@
 }
 
 // NewMischief returns the clients beside a sidecar that may not be served. None comes before Come is called.
-func NewMischief(d *Day, sidecar int, app *Application, w judge.Witness) *Mischief {
+func NewMischief(d *Day, sidecar int, app *Application, w checker.Witness) *Mischief {
 	return &Mischief{number: int32(sidecar), day: d, app: app, witness: w, rng: stream(d.Seed, "mischief", sidecar),
 		armed: math.Inf(1)}
 }
@@ -190,7 +190,7 @@
 		}
 	}
 	if !v.served() && v.kind != asksHalf {
-		e := m.see(judge.Hostile, v)
+		e := m.see(checker.Hostile, v)
 		if e.Until = now + owedS; v.kind == sendsHugeBody {
 			e.Until = now + owedHugeS
 		}
@@ -202,13 +202,13 @@
 	return true
 }
 
-func (m *Mischief) see(kind judge.Kind, v *visit) judge.Event {
+func (m *Mischief) see(kind checker.Kind, v *visit) checker.Event {
 	now := m.net.Now()
-	return judge.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: m.number, Box: -1, Class: -1, Link: v.number, Request: v.id}
+	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: m.number, Box: -1, Class: -1, Link: v.number, Request: v.id}
 }
 
 func (m *Mischief) begin(v *visit, now float64) {
-	class, unsafe := m.classOf(judge.Safe), m.classOf(judge.Unsafe)
+	class, unsafe := m.classOf(checker.Safe), m.classOf(checker.Unsafe)
 	out := m.out[:0]
 	post := func() { out = append(append(append(out, "POST /"...), unsafe...), " HTTP/1.1\r\nHost: h\r\n"...) }
 	get := func() { out = append(append(append(out, "GET /"...), class...), " HTTP/1.1\r\nHost: h\r\n"...) }
@@ -279,7 +279,7 @@
 	}
 }
 
-func (m *Mischief) classOf(effect judge.Effect) string {
+func (m *Mischief) classOf(effect checker.Effect) string {
 	for _, c := range m.day.Classes {
 		if c.Effect == effect {
 			return c.Name
@@ -291,14 +291,14 @@
 // ask asks for something that may be served.
 func (m *Mischief) ask(v *visit, now float64) {
 	class := 0
-	for class < len(m.day.Classes)-1 && m.day.Classes[class].Effect != judge.Safe {
+	for class < len(m.day.Classes)-1 && m.day.Classes[class].Effect != checker.Safe {
 		class++
 	}
 	v.tries++
 	v.id = m.rng.Uint64() | 1
 	// Danger: a parser that has read an answer takes the next one for the same answer's body.
 	v.parser = http1.NewResponseParser(messageLimits)
-	e := m.see(judge.Asked, v)
+	e := m.see(checker.Asked, v)
 	e.First, e.Class, e.Until, e.Uncounted = v.id, int32(class), now+againPatient, true
 	m.witness.See(e)
 	out := append(append(append(m.out[:0], "GET /"...), m.day.Classes[class].Name...), " HTTP/1.1\r\nHost: h\r\nRequest-Id: "...)
@@ -306,7 +306,7 @@
 	m.out = out
 	conn := v.conn
 	if _, err := conn.Write(out); err == nil && v.conn == conn && conn.OutboundBuffered() == 0 {
-		e.Kind, e.Reused = judge.Taken, v.tries > 1
+		e.Kind, e.Reused = checker.Taken, v.tries > 1
 		m.witness.See(e)
 	}
 }
@@ -316,14 +316,14 @@
 
 // askAhead sends several requests that may be served at once, without waiting for the answers between.
 func (m *Mischief) askAhead(v *visit, now float64) {
-	class := m.classOf(judge.Safe)
+	class := m.classOf(checker.Safe)
 	number := slices.IndexFunc(m.day.Classes, func(c ClassSpec) bool { return c.Name == class })
 	var out []byte
-	var asked []judge.Event
+	var asked []checker.Event
 	for range 2 + m.rng.IntN(mostAhead-1) {
 		v.id = m.rng.Uint64() | 1
 		v.ids = append(v.ids, v.id)
-		e := m.see(judge.Asked, v)
+		e := m.see(checker.Asked, v)
 		e.First, e.Class, e.Until, e.Uncounted = v.id, int32(number), now+againPatient, true
 		m.witness.See(e)
 		asked = append(asked, e)
@@ -335,7 +335,7 @@
 		return
 	}
 	for i, e := range asked {
-		e.Kind, e.Reused = judge.Taken, i > 0
+		e.Kind, e.Reused = checker.Taken, i > 0
 		m.witness.See(e)
 	}
 }
@@ -347,7 +347,7 @@
 		done, err := v.parser.Next(&v.buf)
 		switch {
 		case err != nil:
-			m.each(v, judge.Broken)
+			m.each(v, checker.Broken)
 			m.net.Close(v.conn)
 		case !done:
 			return
@@ -355,8 +355,8 @@
 			v.id = v.ids[0]
 			v.ids = v.ids[1:]
 			v.tries++
-			e := m.see(judge.Answered, v)
-			e.Status, e.Digest = int32(v.parser.Status), judge.Digest(v.parser.Body)
+			e := m.see(checker.Answered, v)
+			e.Status, e.Digest = int32(v.parser.Status), checker.Digest(v.parser.Body)
 			m.witness.See(e)
 			if len(v.ids) == 0 || !v.parser.Keep() {
 				m.net.Close(v.conn)
@@ -367,7 +367,7 @@
 }
 
 // each tells the witness of all requests of a client that are not answered yet.
-func (m *Mischief) each(v *visit, kind judge.Kind) {
+func (m *Mischief) each(v *visit, kind checker.Kind) {
 	for i, id := range v.ids {
 		v.id = id
 		e := m.see(kind, v)
@@ -380,20 +380,20 @@
 // endedAhead takes the end of the connection of requests that were sent at once.
 func (m *Mischief) endedAhead(c netio.Conn, v *visit, err error) {
 	if err == nil {
-		m.each(v, judge.Left)
+		m.each(v, checker.Left)
 		return
 	}
 	rest := v.ids
 	if len(rest) > 0 && v.parser.Begun() {
 		v.ids, rest = rest[:1], rest[1:]
-		m.each(v, judge.Broken)
+		m.each(v, checker.Broken)
 	}
 	for i, id := range rest {
 		v.id = id
-		e := m.see(judge.Dropped, v)
+		e := m.see(checker.Dropped, v)
 		e.Reused, e.Read = v.tries > 0 || i > 0, readByPeer(c)
 		m.witness.See(e)
-		m.witness.See(m.see(judge.Left, v)) // it does not come again
+		m.witness.See(m.see(checker.Left, v)) // it does not come again
 	}
 	v.ids = nil
 }
@@ -439,7 +439,7 @@
 	done, err := v.parser.Next(&v.buf)
 	if v.kind == asksAgain {
 		if err != nil {
-			m.witness.See(m.see(judge.Broken, v))
+			m.witness.See(m.see(checker.Broken, v))
 			v.id = 0
 			m.net.Close(c)
 		} else if done {
@@ -449,7 +449,7 @@
 		return
 	}
 	if err != nil || done {
-		e := m.see(judge.HostileAnswered, v)
+		e := m.see(checker.HostileAnswered, v)
 		e.Status = int32(v.parser.Status)
 		m.witness.See(e)
 		v.heard = true
@@ -459,8 +459,8 @@
 }
 
 func (m *Mischief) answeredAgain(v *visit) {
-	e := m.see(judge.Answered, v)
-	e.Status, e.Digest = int32(v.parser.Status), judge.Digest(v.parser.Body)
+	e := m.see(checker.Answered, v)
+	e.Status, e.Digest = int32(v.parser.Status), checker.Digest(v.parser.Body)
 	m.witness.See(e)
 	v.id = 0
 	refused := v.parser.Status == 429 || v.parser.Status == 503
@@ -479,15 +479,15 @@
 	case v.kind == asksAhead:
 		m.endedAhead(c, v, err)
 	case v.kind == asksAgain && v.id != 0 && err == nil:
-		m.witness.See(m.see(judge.Left, v))
+		m.witness.See(m.see(checker.Left, v))
 	case v.kind == asksAgain && v.id != 0 && v.parser.Begun():
-		m.witness.See(m.see(judge.Broken, v))
+		m.witness.See(m.see(checker.Broken, v))
 	case v.kind == asksAgain && v.id != 0:
-		e := m.see(judge.Dropped, v)
+		e := m.see(checker.Dropped, v)
 		e.Reused, e.Read = v.tries > 1, readByPeer(c)
 		m.witness.See(e)
 	case v.kind != asksAgain && v.kind != asksHalf && err != nil && v.told:
-		m.witness.See(m.see(judge.HostileEnded, v))
+		m.witness.See(m.see(checker.HostileEnded, v))
 	}
 	m.arm()
 }
--- a/internal/world/mischief_test.go
+++ b/internal/world/mischief_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 )
 
 // In real time a trouble can begin before the machine of its clients does. Its clients come once the machine has begun, and
@@ -30,12 +30,12 @@
 				player.Play(s.day.Start)
 				s.until(c.machineAfter)
 
-				require.Zero(t, s.notes.count(judge.Hostile))
+				require.Zero(t, s.notes.count(checker.Hostile))
 				s.begin(t, s.day.Sidecars[0].IP)
 				s.until(lasts)
 				came := s.world.Mischief[0].visits
 				require.Equal(t, c.come, came > 0)
-				require.Equal(t, c.come, s.notes.count(judge.Hostile) > 0)
+				require.Equal(t, c.come, s.notes.count(checker.Hostile) > 0)
 				s.until(lasts + 2)
 				require.Equal(t, came, s.world.Mischief[0].visits, "none comes once the trouble is over")
 			})
--- a/internal/world/player.go
+++ b/internal/world/player.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 )
 
 // Player plays a script's troubles at their times. Those of boxes, discovery and clients it does itself, those of
@@ -13,7 +13,7 @@
 type Player struct {
 	w       *World
 	ground  Ground
-	witness judge.Witness
+	witness checker.Witness
 	steps   agenda[func(now float64)]
 	taken   []bool // by box: it is to be brought in
 	late    []int  // by box: troubles that have connections to it come up late
@@ -38,7 +38,7 @@
 }
 
 // NewPlayer returns a player that has played nothing. A script that names what the day has not is an error.
-func NewPlayer(w *World, s *Script, g Ground, witness judge.Witness) (*Player, error) {
+func NewPlayer(w *World, s *Script, g Ground, witness checker.Witness) (*Player, error) {
 	p := &Player{w: w, ground: g, witness: witness, hung: make([]int, len(w.Boxes)), slow: make([]int, len(w.Apps)),
 		gone: make([]bool, len(w.Apps)), taken: make([]bool, len(w.Boxes)), late: make([]int, len(w.Boxes)),
 		frozen: make([]bool, len(w.Apps)), ending: make([]bool, len(w.Apps)), full: make([]int, len(w.Apps)), clocks: make([]int, len(w.Apps)),
@@ -248,7 +248,7 @@
 
 // terminate tells a sidecar's process to end, and its clients so.
 func (p *Player) terminate(sidecar int, now float64) {
-	p.sidecar(judge.SidecarTermed, sidecar, now)
+	p.sidecar(checker.SidecarTermed, sidecar, now)
 	p.w.leave(sidecar, now)
 	p.ground.Terminate(sidecar)
 }
@@ -271,7 +271,7 @@
 		p.gone[i] = true
 		p.terminate(i, now)
 		p.later(now, within, func(now float64) { // as a platform does
-			p.sidecar(judge.SidecarKilled, i, now)
+			p.sidecar(checker.SidecarKilled, i, now)
 			p.ground.Kill(p.w.Day.Sidecars[i].IP)
 		})
 	}
@@ -382,16 +382,16 @@
 			continue
 		}
 		p.frozen[i] = true
-		p.sidecar(judge.SidecarFrozen, i, now)
-		p.cut(int32(i), judge.ToClients, true, now)
+		p.sidecar(checker.SidecarFrozen, i, now)
+		p.cut(int32(i), checker.ToClients, true, now)
 		p.ground.Freeze(i, true)
 		p.atEnd(t, now, func(now float64) {
 			if p.frozen[i] {
 				p.frozen[i] = false
 				p.ground.Freeze(i, false)
-				p.sidecar(judge.SidecarThawed, i, now)
+				p.sidecar(checker.SidecarThawed, i, now)
 			}
-			p.cut(int32(i), judge.ToClients, false, now)
+			p.cut(int32(i), checker.ToClients, false, now)
 		})
 	}
 }
@@ -544,11 +544,11 @@
 
 // cut tells the witness of a way that is cut, or mended.
 func (p *Player) cut(sidecar, box int32, on bool, now float64) {
-	kind := judge.PathMended
+	kind := checker.PathMended
 	if on {
-		kind = judge.PathCut
+		kind = checker.PathCut
 	}
-	p.witness.See(judge.Event{Kind: kind, At: now, Sidecar: sidecar, Box: box})
+	p.witness.See(checker.Event{Kind: kind, At: now, Sidecar: sidecar, Box: box})
 }
 
 func (p *Player) oneWay(boxes []*Box, t *Trouble, now float64) {
@@ -588,18 +588,18 @@
 	for _, i := range t.Sidecars {
 		p.slow[i]++
 		p.ground.Stall(i, t.Share)
-		p.cut(int32(i), judge.ToClients, true, now)
+		p.cut(int32(i), checker.ToClients, true, now)
 		p.atEnd(t, now, func(now float64) {
 			if p.slow[i]--; p.slow[i] == 0 {
 				p.ground.Stall(i, 1)
 			}
-			p.cut(int32(i), judge.ToClients, false, now)
+			p.cut(int32(i), checker.ToClients, false, now)
 		})
 	}
 }
 
-func (p *Player) sidecar(kind judge.Kind, sidecar int, now float64) {
-	p.witness.See(judge.Event{Kind: kind, At: now, Sidecar: int32(sidecar), Box: -1})
+func (p *Player) sidecar(kind checker.Kind, sidecar int, now float64) {
+	p.witness.See(checker.Event{Kind: kind, At: now, Sidecar: int32(sidecar), Box: -1})
 }
 
 // killSidecar ends a sidecar's process and begins the next one after a while.
@@ -613,7 +613,7 @@
 		p.ground.Freeze(sidecar, false)
 	}
 	ip := p.w.Day.Sidecars[sidecar].IP
-	p.sidecar(judge.SidecarKilled, sidecar, now)
+	p.sidecar(checker.SidecarKilled, sidecar, now)
 	p.ground.Kill(ip)
 	p.later(now, afterS, func(float64) {
 		p.gone[sidecar] = false
@@ -631,21 +631,21 @@
 	p.ground.Return(ip)
 	p.w.Registry.Move()
 	for i := range p.w.Apps {
-		p.sidecar(judge.Reloaded, i, now)
+		p.sidecar(checker.Reloaded, i, now)
 		p.ground.Hangup(i, p.w.ReloadConfiguration(i))
 	}
 }
 
 // takeOut has the operators of all sidecars take boxes out, or give them back.
 func (p *Player) takeOut(boxes []*Box, on bool) {
-	kind := judge.GivenBack
+	kind := checker.GivenBack
 	if on {
-		kind = judge.TakenOut
+		kind = checker.TakenOut
 	}
 	for i := range p.w.Apps {
 		for _, b := range boxes {
 			p.ground.TakeOut(i, b.Spec.Name, on, func() {
-				p.witness.See(judge.Event{Kind: kind, At: p.ground.Now(), Sidecar: int32(i), Box: int32(b.Spec.Number)})
+				p.witness.See(checker.Event{Kind: kind, At: p.ground.Now(), Sidecar: int32(i), Box: int32(b.Spec.Number)})
 			})
 		}
 	}
--- a/internal/world/registry.go
+++ b/internal/world/registry.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"strconv"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 )
 
 // Registry is discovery: one service for all sidecars, at one of its addresses after another. It knows only what boxes'
@@ -15,7 +15,7 @@
 
 	day      *Day
 	spec     *RegistrySpec
-	witness  judge.Witness
+	witness  checker.Witness
 	who      neighbours
 	rng      *rand.Rand
 	entries  []entry   // by box
@@ -61,11 +61,11 @@
 }
 
 // NewRegistry returns a discovery service that lists the boxes that stand at the day's start.
-func NewRegistry(d *Day, w judge.Witness) *Registry {
+func NewRegistry(d *Day, w checker.Witness) *Registry {
 	r := &Registry{day: d, spec: &d.Registry, witness: w, who: newNeighbours(d), rng: stream(d.Seed, "discovery", 0),
 		entries: make([]entry, len(d.Boxes)), known: make([]learned, len(d.Boxes)), index: 40, publish: d.Start}
 	for i := range d.Boxes[:d.Standing] {
-		r.known[i].entry = entry{status: judge.Serving, address: d.Boxes[i].Address}
+		r.known[i].entry = entry{status: checker.Serving, address: d.Boxes[i].Address}
 		r.take(change{box: i, entry: r.known[i].entry, at: d.Start})
 	}
 	return r
@@ -74,20 +74,20 @@
 // Up tells the registry of a box's new life.
 func (r *Registry) Up(box int, address string, since, now float64) {
 	r.known[box].life++
-	r.learn(box, entry{status: judge.Serving, address: address, since: since}, now+r.spec.AddS)
+	r.learn(box, entry{status: checker.Serving, address: address, since: since}, now+r.spec.AddS)
 }
 
 // Drained tells it that a box drains.
 func (r *Registry) Drained(box int, now float64) {
 	e := r.known[box].entry
-	e.status = judge.Draining
+	e.status = checker.Draining
 	r.learn(box, e, now+r.spec.AddS/4)
 }
 
 // Lost tells it that a box's process has gone, or that its machine has gone silent.
 func (r *Registry) Lost(box int, silent bool, now float64) {
 	e := r.known[box].entry
-	e.status = judge.Deleted
+	e.status = checker.Deleted
 	at := now + r.spec.NoticeS
 	if silent {
 		at = now + r.spec.SilentNoticeS
@@ -108,11 +108,11 @@
 	c.entry.index = r.index
 	r.entries[c.box] = c.entry
 	r.changes = append(r.changes, c)
-	r.see(judge.Listed, -1, c.box, c.entry, r.index, c.at)
+	r.see(checker.Listed, -1, c.box, c.entry, r.index, c.at)
 }
 
-func (r *Registry) see(kind judge.Kind, sidecar int32, box int, e entry, index uint64, now float64) {
-	r.witness.See(judge.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Box: int32(box), Status: e.status,
+func (r *Registry) see(kind checker.Kind, sidecar int32, box int, e entry, index uint64, now float64) {
+	r.witness.See(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Box: int32(box), Status: e.status,
 		Since: e.since, Address: e.address, Index: index})
 }
 
@@ -187,11 +187,11 @@
 	if waiting == r.line {
 		return
 	}
-	kind := judge.LineGone
+	kind := checker.LineGone
 	if r.line = waiting; waiting {
-		kind = judge.LineFormed
+		kind = checker.LineFormed
 	}
-	r.witness.See(judge.Event{Kind: kind, At: now, Sidecar: -1, Box: -1})
+	r.witness.See(checker.Event{Kind: kind, At: now, Sidecar: -1, Box: -1})
 }
 
 // Hush has all watches that are open say nothing more. Those that begin from then on speak.
@@ -216,16 +216,16 @@
 		return
 	}
 	r.down, r.refusing = down, r.rng.IntN(2) == 0
-	kind := judge.DiscoveryUp
+	kind := checker.DiscoveryUp
 	if down {
-		kind = judge.DiscoveryDown
+		kind = checker.DiscoveryDown
 		r.calls, r.serving = nil, false
 		r.lookAtLine(now)
 		for _, f := range r.fronts {
 			f.net.Post(f.closeAll)
 		}
 	}
-	r.witness.See(judge.Event{Kind: kind, At: now, Sidecar: -1, Box: -1})
+	r.witness.See(checker.Event{Kind: kind, At: now, Sidecar: -1, Box: -1})
 	r.arm()
 }
 
@@ -277,7 +277,7 @@
 	return index, list
 }
 
-var statusText = map[int32]string{judge.Serving: "SERVING", judge.Draining: "DRAINING", judge.Deleted: "DELETED"}
+var statusText = map[int32]string{checker.Serving: "SERVING", checker.Draining: "DRAINING", checker.Deleted: "DELETED"}
 
 // list writes one object of discovery: the entries that changed after an index, or the whole list.
 func (r *Registry) list(index uint64, list []entry, since uint64, snapshot bool) []byte {
@@ -308,7 +308,7 @@
 // tells whether an object holds an entry. A whole list leaves out what is gone, and at times what drains.
 func (r *Registry) tells(e *entry, since uint64, snapshot bool) bool {
 	if snapshot {
-		return e.status == judge.Serving || e.status == judge.Draining && r.whole == 0
+		return e.status == checker.Serving || e.status == checker.Draining && r.whole == 0
 	}
 	return e.status != 0 && e.index > since
 }
@@ -320,10 +320,10 @@
 		e := list[i]
 		leftOut := snapshot && e.status != 0 && !r.tells(&e, since, snapshot)
 		if leftOut {
-			e.status = judge.Deleted
+			e.status = checker.Deleted
 		}
 		if leftOut || r.tells(&e, since, snapshot) {
-			r.see(judge.Told, sidecar, i, e, index, now)
+			r.see(checker.Told, sidecar, i, e, index, now)
 		}
 	}
 }
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"strings"
 
-	"hazelwheel/internal/judge"
+	"hazelwheel/internal/checker"
 	"hazelwheel/internal/netio"
 )
 
@@ -17,12 +17,12 @@
 	Batches  []*Application // likewise; none where the day has no batch
 	Mischief []*Mischief    // likewise: the clients that may not be served
 
-	witness judge.Witness
+	witness checker.Witness
 	tenants map[string]*Box // by IP, whose process begins there next; looked up, never walked
 }
 
 // New returns the actors of a day. They tell a witness all that crosses the wire.
-func New(d *Day, witness judge.Witness) *World {
+func New(d *Day, witness checker.Witness) *World {
 	w := &World{Day: d, witness: witness, tenants: map[string]*Box{}}
 	memories := make([]keyMemory, len(d.Sites))
 	w.Registry = NewRegistry(d, witness)
