--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -17,12 +17,12 @@
 
 	"github.com/urfave/cli/v3"
 
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/lab/troupe"
 	"hazelwheel/internal/maintenanceplan"
 	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/sim"
 	"hazelwheel/internal/sim/crowd"
-	"hazelwheel/internal/world"
 )
 
 func fleetCommand() *cli.Command {
@@ -96,9 +96,9 @@
 		if err != nil {
 			return fault(err)
 		}
-		read := world.ReadRealScript
+		read := environment.ReadRealScript
 		if c.Bool("simulated") {
-			read = world.ReadScript
+			read = environment.ReadScript
 		}
 		if s.Script, err = read(path, text, s.Ranges()); err != nil {
 			return fault(err)
@@ -211,7 +211,7 @@
 		return fault(err)
 	}
 	if slices.Equal(spec.Sites, []string{"*"}) {
-		spec.Sites = world.Draw(s.Seed, s.Ranges()).Sites
+		spec.Sites = environment.Draw(s.Seed, s.Ranges()).Sites
 	}
 	s.Work = &troupe.Work{Spec: spec, Hand: c.Bool("hand")}
 	if !slices.Contains(s.Jobs, "works") {
--- a/cmd/hazellab/serve.go
+++ b/cmd/hazellab/serve.go
@@ -14,8 +14,8 @@
 
 	"github.com/urfave/cli/v3"
 
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/lab/live"
-	"hazelwheel/internal/world"
 )
 
 const controlAddress = "127.0.0.1:8600"
@@ -40,13 +40,13 @@
 			if err != nil {
 				return fault(err)
 			}
-			script, err := world.ReadRealScript(path, text, world.Usual())
+			script, err := environment.ReadRealScript(path, text, environment.Usual())
 			if err != nil {
 				return fault(err)
 			}
 			ctx, stop := untilSignal(ctx)
 			defer stop()
-			s := live.Server{Day: script.Day(world.Usual()), Script: *script, Listen: c.String("listen"), Config: c.String("config"),
+			s := live.Server{Day: script.Day(environment.Usual()), Script: *script, Listen: c.String("listen"), Config: c.String("config"),
 				Control: c.String("control"), Out: c.Root().Writer}
 			return s.Run(ctx)
 		},
@@ -75,9 +75,9 @@
 
 func askTrouble(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return fault(fmt.Errorf("trouble: a KIND is wanted: %s", strings.Join(world.Kinds(), ", ")))
+		return fault(fmt.Errorf("trouble: a KIND is wanted: %s", strings.Join(environment.Kinds(), ", ")))
 	}
-	t := world.Trouble{Kind: c.Args().First(), ForS: c.Duration("for").Seconds(), Boxes: c.StringSlice("box"), Site: c.String("site"),
+	t := environment.Trouble{Kind: c.Args().First(), ForS: c.Duration("for").Seconds(), Boxes: c.StringSlice("box"), Site: c.String("site"),
 		Share: c.Float("share"), PerS: c.Float("per-second"), DrainS: c.Duration("drain").Seconds(), LagS: c.Duration("lag").Seconds(),
 		Silent: c.Bool("silent")}
 	raw, err := json.Marshal(t)
--- a/cmd/hazellab/sim.go
+++ b/cmd/hazellab/sim.go
@@ -19,8 +19,8 @@
 	"golang.org/x/term"
 
 	"hazelwheel/internal/checker"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/sim"
-	"hazelwheel/internal/world"
 )
 
 // errBroken is the error of a command that has found a rule broken, and has said which.
@@ -82,9 +82,9 @@
 	if !ok {
 		return o, fault(fmt.Errorf("core: %q is none of sidecar, random, least", c.String("core")))
 	}
-	o.Core, o.Speech = core, world.Speech(c.String("speech"))
+	o.Core, o.Speech = core, environment.Speech(c.String("speech"))
 	switch {
-	case !slices.Contains(world.Speeches, o.Speech):
+	case !slices.Contains(environment.Speeches, o.Speech):
 		return o, fault(fmt.Errorf("speech: %q is none of http, binary, compact", o.Speech))
 	case o.Speech.Thrift() && c.String("core") != "sidecar":
 		return o, fault(errors.New("speech: only the sidecar speaks Thrift"))
@@ -110,21 +110,21 @@
 }
 
 // scriptOf returns the script of --script or --seed, and how to name it in a command.
-func scriptOf(c *cli.Command, o sim.Options) (world.Script, string, error) {
+func scriptOf(c *cli.Command, o sim.Options) (environment.Script, string, error) {
 	file := c.String("script")
 	switch {
 	case (file == "") == !c.IsSet("seed"):
-		return world.Script{}, "", fault(errors.New("give one of --seed and --script"))
+		return environment.Script{}, "", fault(errors.New("give one of --seed and --script"))
 	case file == "":
 		return o.DrawScript(c.Uint64("seed")), "--seed " + strconv.FormatUint(c.Uint64("seed"), 10) + spoken(o), nil
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return world.Script{}, "", fault(err)
+		return environment.Script{}, "", fault(err)
 	}
-	s, err := world.ReadScript(file, text, o.Ranges())
+	s, err := environment.ReadScript(file, text, o.Ranges())
 	if err != nil {
-		return world.Script{}, "", fault(err)
+		return environment.Script{}, "", fault(err)
 	}
 	return *s, "--script " + file + spoken(o), nil
 }
@@ -339,7 +339,7 @@
 		progressbar.OptionSetPredictTime(true), progressbar.OptionClearOnFinish())
 }
 
-func writeScript(w io.Writer, s *world.Script) error {
+func writeScript(w io.Writer, s *environment.Script) error {
 	text, err := s.Format()
 	if err != nil {
 		return err
@@ -368,7 +368,7 @@
 	if !r.Breaks(rule) {
 		return fault(fmt.Errorf("rule: %s does not break %q", name, rule))
 	}
-	small := sim.Shrink(s, rule, o, c.Int("budget"), func(s *world.Script, played int) {
+	small := sim.Shrink(s, rule, o, c.Int("budget"), func(s *environment.Script, played int) {
 		fmt.Fprintf(os.Stderr, "%d days played: %d troubles, %d sidecars, %d boxes, %g s\n", played, len(s.Troubles), s.Sidecars, s.Boxes, s.LengthS)
 	})
 	out := c.Root().Writer
--- a/internal/world/ranges.go
+++ b/internal/environment/ranges.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 // Ranges are what a day is drawn from. Lengths end in S (seconds) or MS (milliseconds), shares lie between 0 and 1.
 type Ranges struct {
--- a/internal/world/world.go
+++ b/internal/environment/world.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import (
 	"net/netip"
--- a/internal/lab/live/board.go
+++ b/internal/lab/live/board.go
@@ -9,9 +9,9 @@
 	"gonum.org/v1/gonum/stat"
 
 	"hazelwheel/internal/checker"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/lab/figures"
 	"hazelwheel/internal/lab/load"
-	"hazelwheel/internal/world"
 )
 
 // stepS is how fine a board's series is.
@@ -19,7 +19,7 @@
 
 // Board watches a world that is played and keeps what a viewer wants to see. It belongs to the play's loop.
 type Board struct {
-	day     *world.Day
+	day     *environment.Day
 	asked   map[uint64]request // by the first try's id
 	first   map[uint64]uint64  // of each try that is open
 	steps   []load.Step        // by when a request came first
@@ -40,7 +40,7 @@
 }
 
 // NewBoard returns a board that has seen nothing of a day.
-func NewBoard(d *world.Day) *Board {
+func NewBoard(d *environment.Day) *Board {
 	return &Board{day: d, asked: map[uint64]request{}, first: map[uint64]uint64{}, boxes: make([]boxState, len(d.Boxes)),
 		classes: make([][]load.Counts, len(d.Classes))}
 }
--- a/internal/lab/live/demo.go
+++ b/internal/lab/live/demo.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"hazelwheel/internal/checker"
-	"hazelwheel/internal/world"
+	"hazelwheel/internal/environment"
 )
 
 // Demo is a world of a few seconds, to be looked at.
@@ -21,9 +21,9 @@
 }
 
 // demoRanges are those of a calm and even world of four sites.
-func demoRanges() world.Ranges {
-	one := func(x float64) world.Range { return world.Range{Least: x, Most: x} }
-	r := world.Usual()
+func demoRanges() environment.Ranges {
+	one := func(x float64) environment.Range { return environment.Range{Least: x, Most: x} }
+	r := environment.Usual()
 	r.LengthS, r.Sidecars, r.Boxes, r.Sites = one(7), one(1), one(12), one(4)
 	r.RatePS, r.Load, r.Swing, r.Burst = one(200), one(0.3), one(0), one(1)
 	r.Impatient, r.Retries = one(0), one(1)
@@ -32,7 +32,7 @@
 }
 
 // demoScript has boxes hang, and loses a site that returns: the sidecar's own, which it uses most.
-func demoScript(d *world.Day) world.Script {
+func demoScript(d *environment.Day) environment.Script {
 	var hanging []string
 	home := d.Sidecars[0].Site
 	for _, b := range d.Boxes[:d.Standing] {
@@ -40,15 +40,15 @@
 			hanging = append(hanging, b.Name)
 		}
 	}
-	return world.Script{Seed: d.Seed, Troubles: []world.Trouble{
-		{Kind: world.Hang, AtS: 1.5, ForS: 2, Boxes: hanging},
-		{Kind: world.SiteLoss, AtS: 4, ForS: 1.5, Site: d.Sites[home]},
+	return environment.Script{Seed: d.Seed, Troubles: []environment.Trouble{
+		{Kind: environment.Hang, AtS: 1.5, ForS: 2, Boxes: hanging},
+		{Kind: environment.SiteLoss, AtS: 4, ForS: 1.5, Site: d.Sites[home]},
 	}}
 }
 
 // tells say what the demo's troubles are.
-func tells(t *world.Trouble) (begins, ends string) {
-	if t.Kind == world.Hang {
+func tells(t *environment.Trouble) (begins, ends string) {
+	if t.Kind == environment.Hang {
 		return fmt.Sprintf("%d boxes hang: they take work and answer nothing", len(t.Boxes)), "they answer again"
 	}
 	return fmt.Sprintf("%s is lost, with all its boxes", t.Site), t.Site + " returns, its boxes cold"
@@ -58,7 +58,7 @@
 
 // Run plays the demo and returns whether all rules were kept. An error says that it could not be played.
 func (d *Demo) Run(ctx context.Context) (kept bool, err error) {
-	day := world.Draw(d.Seed, demoRanges())
+	day := environment.Draw(d.Seed, demoRanges())
 	script := demoScript(&day)
 	s := &Settings{Day: day, Script: script, Binary: d.Binary, Dir: d.Dir, Log: d.Log}
 	board := NewBoard(&s.Day)
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -15,16 +15,16 @@
 	"time"
 
 	"hazelwheel/internal/checker"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/lab/ground"
 	"hazelwheel/internal/lab/process"
 	"hazelwheel/internal/tomlfile"
-	"hazelwheel/internal/world"
 )
 
 // Settings are a world to be played.
 type Settings struct {
-	Day     world.Day // as drawn; its clock and its addresses are moved to this machine
-	Script  world.Script
+	Day     environment.Day // as drawn; its clock and its addresses are moved to this machine
+	Script  environment.Script
 	Binary  string          // hazelwheel's file; empty: no sidecar and no application is begun, only what they depend on
 	Dir     string          // for configurations and logs
 	Log     io.Writer       // what the sidecars say; nil: dropped
@@ -54,12 +54,12 @@
 
 // Play is a world that is being played. Its methods are for its loop, but for Post.
 type Play struct {
-	Day      *world.Day
-	World    *world.World
+	Day      *environment.Day
+	World    *environment.World
 	Judge    *checker.Judge
 	settings *Settings
 	ground   *ground.Ground
-	players  []*world.Player
+	players  []*environment.Player
 	sidecars []*sidecar
 	late     float64 // how long after the day's start the last sidecar was up
 	stop     context.CancelCauseFunc
@@ -93,7 +93,7 @@
 	if s.Watch != nil {
 		witness = both{p.Judge, s.Watch}
 	}
-	p.World = world.New(p.Day, witness)
+	p.World = environment.New(p.Day, witness)
 	for _, m := range p.World.Machines() {
 		if s.Binary == "" && m.Listen == "" {
 			continue // an application, or who else dials
@@ -170,12 +170,12 @@
 }
 
 // Trouble has a script's troubles happen, at their times since the day's start.
-func (p *Play) Trouble(s *world.Script) error {
+func (p *Play) Trouble(s *environment.Script) error {
 	var witness checker.Witness = p.Judge
 	if p.settings.Watch != nil {
 		witness = both{p.Judge, p.settings.Watch}
 	}
-	player, err := world.NewPlayer(p.World, s, loopback{p}, witness)
+	player, err := environment.NewPlayer(p.World, s, loopback{p}, witness)
 	if err != nil {
 		return err
 	}
@@ -184,7 +184,7 @@
 }
 
 // schedule has a player play whenever something is due.
-func (p *Play) schedule(player *world.Player) {
+func (p *Play) schedule(player *environment.Player) {
 	at, ok := player.Next()
 	if !ok {
 		return
@@ -196,15 +196,15 @@
 }
 
 // TroubleNow has a trouble begin at once. An error says what is wrong with it, and that it has not begun.
-func (p *Play) TroubleNow(t world.Trouble) error {
+func (p *Play) TroubleNow(t environment.Trouble) error {
 	// What a script's file may say is checked where files are read.
 	s := p.settings.Script
-	s.Troubles = []world.Trouble{t}
+	s.Troubles = []environment.Trouble{t}
 	text, err := s.Format()
 	if err != nil {
 		return err
 	}
-	if _, err := world.ReadRealScript("trouble", text, world.Usual()); err != nil {
+	if _, err := environment.ReadRealScript("trouble", text, environment.Usual()); err != nil {
 		var fault *tomlfile.Error
 		if errors.As(err, &fault) {
 			return fmt.Errorf("%s: %s", fault.Field, fault.Why)
@@ -215,9 +215,9 @@
 }
 
 // Befall has a trouble begin at once that makes sense for this play.
-func (p *Play) Befall(t world.Trouble) error {
+func (p *Play) Befall(t environment.Trouble) error {
 	t.AtS = p.Now() - p.Day.Start
-	if err := p.Trouble(&world.Script{Seed: p.Day.Seed, Troubles: []world.Trouble{t}}); err != nil {
+	if err := p.Trouble(&environment.Script{Seed: p.Day.Seed, Troubles: []environment.Trouble{t}}); err != nil {
 		return err
 	}
 	p.schedule(p.players[len(p.players)-1])
@@ -288,7 +288,7 @@
 // reserveBlock finds a block that no other play has reserved and in which nobody listens where discovery will. The block stays reserved
 // until the listener is closed. Danger: plays of several processes begin at the same moment. Where a block was only looked at, two of
 // them could choose the same one before either listened.
-func reserveBlock(d *world.Day) (shift byte, reservation net.Listener, err error) {
+func reserveBlock(d *environment.Day) (shift byte, reservation net.Listener, err error) {
 	for range 10 {
 		shift = byte(blockSize * (1 + rand.IntN(blocks-1)))
 		if reservation, err = reserve(d, shift); err == nil {
@@ -298,7 +298,7 @@
 	return 0, nil, err
 }
 
-func reserve(d *world.Day, shift byte) (net.Listener, error) {
+func reserve(d *environment.Day, shift byte) (net.Listener, error) {
 	discovery := movedAddress(d.Registry.Addresses[0], shift)
 	ip := netip.MustParseAddrPort(discovery).Addr()
 	reservation, err := net.Listen("tcp", netip.AddrPortFrom(ip, reservationPort).String())
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 
 	"hazelwheel/internal/checker"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/sim"
-	"hazelwheel/internal/world"
 )
 
 // built builds the sidecar.
@@ -66,7 +66,7 @@
 var execution = regexp.MustCompile(`judge: execution sidecar (\d+) box (\d+)`)
 
 // simulated plays a script in simulated time.
-func simulated(t *testing.T, s world.Script) (*sim.Result, *tally) {
+func simulated(t *testing.T, s environment.Script) (*sim.Result, *tally) {
 	var n tally
 	r, err := sim.Play(s, sim.Options{Trace: func(_ float64, line string) {
 		if m := execution.FindStringSubmatch(line); m != nil {
@@ -82,15 +82,15 @@
 // A day in real time and the same day in simulated time agree on what was asked, on how much of it was served, and on who
 // got which request, as far as chance lets them: no more than two simulated days differ whose chance differs.
 func TestAgreesWithSimulatedTime(t *testing.T) {
-	s := world.Script{Seed: 11, Sidecars: 3, Boxes: 9, LengthS: 8}
-	d := s.Day(world.Usual())
-	s.Troubles = []world.Trouble{{Kind: world.Hang, AtS: 3, ForS: 3, Boxes: []string{d.Boxes[0].Name, d.Boxes[4].Name}}}
+	s := environment.Script{Seed: 11, Sidecars: 3, Boxes: 9, LengthS: 8}
+	d := s.Day(environment.Usual())
+	s.Troubles = []environment.Trouble{{Kind: environment.Hang, AtS: 3, ForS: 3, Boxes: []string{d.Boxes[0].Name, d.Boxes[4].Name}}}
 	binary := built(t)
 	played, b := simulated(t, s)
 	for try := 1; ; try++ {
 		var a tally
 		ctx, stop := context.WithTimeout(context.Background(), time.Minute)
-		p, err := Do(ctx, &Settings{Day: s.Day(world.Usual()), Script: s, Binary: binary, Dir: t.TempDir(), Watch: &a})
+		p, err := Do(ctx, &Settings{Day: s.Day(environment.Usual()), Script: s, Binary: binary, Dir: t.TempDir(), Watch: &a})
 		stop()
 		require.NoError(t, err)
 		real := p.Judge.Report()
@@ -125,7 +125,7 @@
 // Two plays that begin at the same moment can't use one block of addresses, though neither listens for its discovery yet.
 func TestBlockIsReservedOnce(t *testing.T) {
 	t.Parallel()
-	d := &world.Day{}
+	d := &environment.Day{}
 	d.Registry.Addresses = []string{"10.0.200.7:18753"}
 	shift, reservation, err := reserveBlock(d)
 	require.NoError(t, err)
--- a/internal/lab/live/serve.go
+++ b/internal/lab/live/serve.go
@@ -10,13 +10,13 @@
 	"os"
 	"strconv"
 
-	"hazelwheel/internal/world"
+	"hazelwheel/internal/environment"
 )
 
 // Server plays what sidecars depend on, until its ctx ends: boxes and discovery, for a sidecar that somebody else runs.
 type Server struct {
-	Day     world.Day
-	Script  world.Script
+	Day     environment.Day
+	Script  environment.Script
 	Listen  string // where that sidecar is to listen
 	Config  string // the file for its configuration
 	Control string // where troubles are asked for
@@ -69,7 +69,7 @@
 func (p *Play) control() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /trouble", func(w http.ResponseWriter, r *http.Request) {
-		var t world.Trouble
+		var t environment.Trouble
 		if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
--- a/internal/lab/live/sidecar.go
+++ b/internal/lab/live/sidecar.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"hazelwheel/internal/checker"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/lab/process"
-	"hazelwheel/internal/world"
 )
 
 // readyWithin is how long a process is waited for.
@@ -19,7 +19,7 @@
 type sidecar struct {
 	p      *Play
 	number int
-	spec   *world.SidecarSpec
+	spec   *environment.SidecarSpec
 	ctx    context.Context
 	group  process.Group
 	child  *process.Child // nil: none runs
@@ -104,7 +104,7 @@
 // loopback is the world's Ground: machines are the ground's, sidecars are processes.
 type loopback struct{ p *Play }
 
-var _ world.Ground = loopback{}
+var _ environment.Ground = loopback{}
 
 func (l loopback) at(ip string) *sidecar {
 	for _, s := range l.p.sidecars {
--- a/internal/lab/troupe/picture.go
+++ b/internal/lab/troupe/picture.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"hazelwheel/internal/world"
+	"hazelwheel/internal/environment"
 )
 
 // Round is what one look at all doors has shown.
@@ -27,7 +27,7 @@
 	p.X.Min, p.Y.Min, p.Y.Max = 0, 0, float64(r.Sidecars)*1.15
 	p.Legend.Top = true
 	for _, t := range r.Troubles {
-		between := len(t.From) > 0 || len(t.Sidecars) > 0 || t.Kind == world.RestartAll
+		between := len(t.From) > 0 || len(t.Sidecars) > 0 || t.Kind == environment.RestartAll
 		if !between {
 			continue
 		}
--- a/internal/lab/troupe/trials.go
+++ b/internal/lab/troupe/trials.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"hazelwheel/internal/checker"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/lab/live"
-	"hazelwheel/internal/world"
 )
 
 // Trial is one time that an owner, a leader or both were taken away, from there to the next owner that all others know.
@@ -141,7 +141,7 @@
 }
 
 // drawTrial draws what is taken away, and how. Danger: where all leases outlive the trouble nothing is tried; most last for longer.
-func (t *Troupe) drawTrial(rng *rand.Rand, w whole) (trouble world.Trouble, victims []int, who string) {
+func (t *Troupe) drawTrial(rng *rand.Rand, w whole) (trouble environment.Trouble, victims []int, who string) {
 	switch x := rng.IntN(10); {
 	case w.owner == w.leader:
 		victims, who = []int{w.owner}, "owner that leads"
@@ -158,11 +158,11 @@
 	}
 	switch rng.IntN(6) {
 	case 0, 1:
-		trouble.Kind, trouble.Sidecars = world.Freeze, victims
+		trouble.Kind, trouble.Sidecars = environment.Freeze, victims
 	case 2, 3:
-		trouble.Kind, trouble.Sidecars, trouble.State = world.SidecarKill, victims, world.Kept
+		trouble.Kind, trouble.Sidecars, trouble.State = environment.SidecarKill, victims, environment.Kept
 	default:
-		trouble.Kind = []string{world.PeerCut, world.PeerHold}[rng.IntN(2)]
+		trouble.Kind = []string{environment.PeerCut, environment.PeerHold}[rng.IntN(2)]
 		var rest []int
 		for i := range t.mates {
 			if !slices.Contains(victims, i) {
--- a/internal/lab/troupe/troupe.go
+++ b/internal/lab/troupe/troupe.go
@@ -18,11 +18,11 @@
 	"time"
 
 	"hazelwheel/internal/checker"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/lab/live"
 	"hazelwheel/internal/lab/process"
 	"hazelwheel/internal/peers/deafpeer"
 	"hazelwheel/internal/peers/frames"
-	"hazelwheel/internal/world"
 )
 
 // Settings are a fleet to be played.
@@ -32,7 +32,7 @@
 	Boxes    int
 	Seed     uint64
 	For      time.Duration
-	Script   *world.Script // nil: there are no troubles, or with Draw those that the seed draws
+	Script   *environment.Script // nil: there are no troubles, or with Draw those that the seed draws
 	Draw     bool
 	Load     float64  // of the boxes' capacity; 0: drawn
 	Work     *Work    // on boxes; nil: none
@@ -48,22 +48,22 @@
 
 // Report is what came of it.
 type Report struct {
-	Sidecars  int             `json:"sidecars"`
-	Seed      uint64          `json:"seed"`
-	ForS      float64         `json:"for_s"`
-	Troubles  []world.Trouble `json:"troubles,omitempty"`
-	Broken    int             `json:"broken"`
-	Findings  []Finding       `json:"findings,omitempty"`
-	Service   float64         `json:"service"`
-	LateS     float64         `json:"loop_late_s"`        // how late the laboratory's own loop was at most
-	PeerBytes float64         `json:"peer_bytes_per_s"`   // of a sidecar
-	AgreedS   []float64       `json:"agreed_s,omitempty"` // after each calm's begin, until all held what was so
-	KnownS    []float64       `json:"known_s,omitempty"`  // of each process that was killed or stood still, until all others knew
-	Rounds    []Round         `json:"rounds,omitempty"`
-	Owned     *Owned          `json:"owned,omitempty"`
-	Worked    *Worked         `json:"worked,omitempty"`
-	Trials    []Trial         `json:"trials,omitempty"`
-	Views     int             `json:"views"` // that were asked for and came
+	Sidecars  int                   `json:"sidecars"`
+	Seed      uint64                `json:"seed"`
+	ForS      float64               `json:"for_s"`
+	Troubles  []environment.Trouble `json:"troubles,omitempty"`
+	Broken    int                   `json:"broken"`
+	Findings  []Finding             `json:"findings,omitempty"`
+	Service   float64               `json:"service"`
+	LateS     float64               `json:"loop_late_s"`        // how late the laboratory's own loop was at most
+	PeerBytes float64               `json:"peer_bytes_per_s"`   // of a sidecar
+	AgreedS   []float64             `json:"agreed_s,omitempty"` // after each calm's begin, until all held what was so
+	KnownS    []float64             `json:"known_s,omitempty"`  // of each process that was killed or stood still, until all others knew
+	Rounds    []Round               `json:"rounds,omitempty"`
+	Owned     *Owned                `json:"owned,omitempty"`
+	Worked    *Worked               `json:"worked,omitempty"`
+	Trials    []Trial               `json:"trials,omitempty"`
+	Views     int                   `json:"views"` // that were asked for and came
 }
 
 // Finding is one break of a rule.
@@ -75,12 +75,12 @@
 }
 
 // Ranges are what fleets are drawn from.
-func (s *Settings) Ranges() world.Ranges {
-	one := func(x float64) world.Range { return world.Range{Least: x, Most: x} }
-	r := world.Usual()
+func (s *Settings) Ranges() environment.Ranges {
+	one := func(x float64) environment.Range { return environment.Range{Least: x, Most: x} }
+	r := environment.Usual()
 	r.Sidecars, r.Boxes, r.LengthS = one(float64(s.Sidecars)), one(float64(s.Boxes)), one(s.For.Seconds())
 	r.Crowds = 0
-	r.RatePS, r.Load = one(200), world.Range{Least: 0.3, Most: 0.6}
+	r.RatePS, r.Load = one(200), environment.Range{Least: 0.3, Most: 0.6}
 	if s.Load > 0 {
 		r.Load = one(s.Load)
 	}
@@ -91,34 +91,34 @@
 }
 
 // Troubles returns the script that is played: the one that is given, one that the seed draws, or none.
-func (s *Settings) Troubles() world.Script {
+func (s *Settings) Troubles() environment.Script {
 	switch {
 	case s.Script != nil:
 		return *s.Script
 	case s.Draw:
 		return s.DrawScript()
 	}
-	return world.Script{Seed: s.Seed}
+	return environment.Script{Seed: s.Seed}
 }
 
 // lotS is for how long a lot of troubles is drawn at a time.
 const lotS = 45.0
 
 // DrawScript draws the troubles of a seed for as long as the fleet is played. Each lot leaves time to agree.
-func (s *Settings) DrawScript() world.Script {
-	d := world.Draw(s.Seed, s.Ranges())
-	all := world.Script{Seed: s.Seed}
+func (s *Settings) DrawScript() environment.Script {
+	d := environment.Draw(s.Seed, s.Ranges())
+	all := environment.Script{Seed: s.Seed}
 	for from := 0.0; from+lotS <= d.LengthS || from == 0; from += lotS {
 		part := d
 		part.Seed, part.LengthS = s.Seed*1_000_003+uint64(from), min(lotS-20, d.LengthS)
-		lot := world.DrawScript(&part)
-		world.DrawPeerTroubles(&part, &lot)
+		lot := environment.DrawScript(&part)
+		environment.DrawPeerTroubles(&part, &lot)
 		for _, t := range lot.Troubles {
 			// Discovery moves a few times a day at the most.
-			if t.AtS += from; t.Kind != world.Reload && t.Simulated() == "" {
+			if t.AtS += from; t.Kind != environment.Reload && t.Simulated() == "" {
 				t.ForS = min(t.ForS, from+part.LengthS-t.AtS)
-				if len(s.Jobs) > 0 && t.State == world.Torn && int(t.AtS*1000)%2 == 0 {
-					t.State = world.Old
+				if len(s.Jobs) > 0 && t.State == environment.Torn && int(t.AtS*1000)%2 == 0 {
+					t.State = environment.Old
 				}
 				all.AddPeer(t, &d)
 			}
@@ -169,7 +169,7 @@
 
 // Do plays a fleet until its day is over or ctx ends.
 func Do(ctx context.Context, s Settings) (*Report, error) {
-	day := world.Draw(s.Seed, s.Ranges())
+	day := environment.Draw(s.Seed, s.Ranges())
 	script := s.Troubles()
 	t := &Troupe{s: s, board: NewSwitchboard(), began: time.Now(), troubleAt: time.Now(), rules: map[Way]Rule{}, over: make(chan struct{})}
 	defer t.board.Close()
@@ -425,11 +425,11 @@
 		return // it has kept nothing yet
 	}
 	switch old := t.mates[sidecar].older; {
-	case state == world.Lost:
+	case state == environment.Lost:
 		_ = os.Remove(file) // the next process tells what it finds
-	case state == world.Old && old != nil:
+	case state == environment.Old && old != nil:
 		_ = os.WriteFile(file, old, 0o600)
-	case state == world.Torn:
+	case state == environment.Torn:
 		_ = os.WriteFile(file, raw[:len(raw)/2], 0o600)
 	}
 }
--- a/internal/lab/troupe/workpicture.go
+++ b/internal/lab/troupe/workpicture.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/world"
+	"hazelwheel/internal/environment"
 )
 
 // looks are what a box does while it is at a stage, and its colour.
@@ -51,7 +51,7 @@
 		return area, err
 	}
 	for _, t := range r.Troubles {
-		if t.Kind == world.Reload || t.AtS > p.X.Max {
+		if t.Kind == environment.Reload || t.AtS > p.X.Max {
 			continue
 		}
 		area, err := box(t.AtS, min(t.AtS+max(t.ForS, 0.3), p.X.Max), p.Y.Min, float64(len(boxes))-0.4, color.RGBA{255, 235, 238, 255})
--- a/internal/lab/troupe/works.go
+++ b/internal/lab/troupe/works.go
@@ -13,8 +13,8 @@
 
 	"hazelwheel/internal/checker"
 	"hazelwheel/internal/decide/maintenance"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/lab/mechanic"
-	"hazelwheel/internal/world"
 )
 
 // Work is what is to be done to boxes while a fleet is played.
@@ -66,7 +66,7 @@
 type workPlay struct {
 	t    *Troupe
 	work Work
-	day  *world.Day
+	day  *environment.Day
 
 	// What the boxes and clients tell.
 	came    map[string][]execution // by box
@@ -105,7 +105,7 @@
 	Waits   []maintenance.Wait `json:"waits"`
 }
 
-func newWorkPlay(t *Troupe, work Work, day *world.Day) *workPlay {
+func newWorkPlay(t *Troupe, work Work, day *environment.Day) *workPlay {
 	return &workPlay{t: t, work: work, day: day, came: map[string][]execution{}, open: map[[2]uint64]int{}, asked: map[uint64]*want{}, first: map[uint64]uint64{},
 		stages: map[string]maintenance.Stage{}}
 }
--- a/internal/lab/troupe/works_test.go
+++ b/internal/lab/troupe/works_test.go
@@ -9,8 +9,8 @@
 
 	"hazelwheel/internal/checker"
 	"hazelwheel/internal/decide/maintenance"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/lab/mechanic"
-	"hazelwheel/internal/world"
 )
 
 // Each wrong of a plan is found, and what is near it and right is not.
@@ -54,7 +54,7 @@
 		"skipped for no cause":             {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
 		"skipped":                          {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "by an operator", nil, 0},
 	} {
-		day := &world.Day{Start: 950, LengthS: 100, Standing: 2, Sites: []string{"x"}, Boxes: []world.BoxSpec{{Name: "a"}, {Name: "b"}}}
+		day := &environment.Day{Start: 950, LengthS: 100, Standing: 2, Sites: []string{"x"}, Boxes: []environment.BoxSpec{{Name: "a"}, {Name: "b"}}}
 		play := &Troupe{mates: []*mate{{name: "n0"}}, aways: k.away}
 		p := newWorkPlay(play, Work{Spec: maintenance.Spec{Boxes: []string{"a", "b"}, AtOnce: 1, BySite: 2, ColdS: 5, GoneS: 100}}, day)
 		for i, v := range k.visits {
@@ -78,9 +78,9 @@
 
 // The worst ten seconds are found, of the worth that was answered within its class's aim.
 func TestWorkServiceIsMeasured(t *testing.T) {
-	class := world.ClassSpec{AimS: 1}
+	class := environment.ClassSpec{AimS: 1}
 	class.Worth = 2
-	day := &world.Day{Start: 1000, LengthS: 100, Classes: []world.ClassSpec{class}}
+	day := &environment.Day{Start: 1000, LengthS: 100, Classes: []environment.ClassSpec{class}}
 	p := newWorkPlay(&Troupe{}, Work{Spec: maintenance.Spec{AtOnce: 1}, Hand: true}, day)
 	for i := range 100 {
 		at, id := 1000+float64(i), uint64(i+1)
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -27,7 +27,7 @@
 		"internal/tomlfile"},
 	{"internal/peers", "internal/http1", "internal/thrift", "internal/sidecarconfig", "internal/endpointset", "internal/faultinjection", "internal/quotas",
 		"internal/appconfig", "internal/maintenanceplan"},
-	{"internal/rewrite", "internal/capture", "internal/world", "internal/simulatorwire"},
+	{"internal/rewrite", "internal/capture", "internal/environment", "internal/simulatorwire"},
 	{"internal/featureconfig", "internal/lint", "internal/gossip", "internal/configredirect"},
 	{"internal/sidecar"},
 	{"internal/frontend", "internal/coordination", "internal/control", "internal/agent", "internal/proxy"},
@@ -38,10 +38,10 @@
 // apart are arrows that go down and are still wrong: who judges or plays the world must not take the sidecar's word, and
 // the core must not know the world it is tried in.
 var apart = map[string][]string{
-	"internal/world":   {"policy", "internal/sidecar", "internal/featureconfig", "internal/sidecarconfig"},
+	"internal/environment":   {"policy", "internal/sidecar", "internal/featureconfig", "internal/sidecarconfig"},
 	"internal/checker":   {"policy", "internal/sidecar"},
 	"internal/lab":     {"policy", "internal/sidecar", "internal/frontend", "internal/featureconfig", "internal/coordination"},
-	"internal/sidecar": {"internal/lint", "internal/world"},
+	"internal/sidecar": {"internal/lint", "internal/environment"},
 }
 
 // impure are the packages that bring the machine or the clock; net/netip is arithmetic.
--- a/internal/sim/core.go
+++ b/internal/sim/core.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"log/slog"
 
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/frontend/http1"
 	"hazelwheel/internal/frontend/thrift"
@@ -11,7 +12,6 @@
 	"hazelwheel/internal/rewrite"
 	"hazelwheel/internal/sidecar"
 	"hazelwheel/internal/sidecarconfig"
-	"hazelwheel/internal/world"
 )
 
 // Cores are what a day can be played with, by name; nil is the sidecar, with or without a fleet as the seed says.
@@ -33,10 +33,10 @@
 func OverThrift(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
 	var classes []map[string]any
 	for _, c := range cfg.Settings.Policy.Classes {
-		classes = append(classes, map[string]any{"class": c.Name, "methods": []string{c.Name}, "id": world.ThriftID,
-			"key": world.ThriftKey, "patience_us": world.ThriftPatience, "retry": world.ThriftRetry})
+		classes = append(classes, map[string]any{"class": c.Name, "methods": []string{c.Name}, "id": environment.ThriftID,
+			"key": environment.ThriftKey, "patience_us": environment.ThriftPatience, "retry": environment.ThriftRetry})
 	}
-	raw, err := json.Marshal(map[string]any{"thrift": map[string]any{"listen": world.ThriftAddress(cfg.Listen), "probe": world.ThriftProbe,
+	raw, err := json.Marshal(map[string]any{"thrift": map[string]any{"listen": environment.ThriftAddress(cfg.Listen), "probe": environment.ThriftProbe,
 		"classes": classes}})
 	if err != nil {
 		return nil, err
--- a/internal/sim/ground.go
+++ b/internal/sim/ground.go
@@ -8,14 +8,14 @@
 
 	"hazelwheel/internal/checker"
 	"hazelwheel/internal/coordination"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/netio/virtual"
 	"hazelwheel/internal/sidecarconfig"
-	"hazelwheel/internal/world"
 )
 
 // machine is one of the world's hosts on its virtual machine.
 type machine struct {
-	world.Machine
+	environment.Machine
 	vm   *virtual.Machine
 	proc *virtual.Process // the last life; nil: there was none
 }
@@ -24,7 +24,7 @@
 type instance struct {
 	d       *day
 	number  int
-	spec    world.SidecarSpec
+	spec    environment.SidecarSpec
 	vm      *virtual.Machine
 	proc    *virtual.Process // the last life; nil: there was none
 	program Program
@@ -49,7 +49,7 @@
 	downAt    float64 // since when it is not; 0: it is there
 }
 
-var _ world.Ground = (*day)(nil)
+var _ environment.Ground = (*day)(nil)
 
 // lay puts the machines into the network, with the ways between them.
 func (d *day) lay() {
@@ -127,7 +127,7 @@
 	// A process holds descriptors beside its links: standard streams, pollers, files.
 	listen := []string{s.spec.Address}
 	if d.spec.Speech.Thrift() {
-		listen = append(listen, world.ThriftAddress(s.spec.Address))
+		listen = append(listen, environment.ThriftAddress(s.spec.Address))
 	}
 	s.proc = s.vm.Process(virtual.ProcessOptions{Name: s.spec.Name, Listen: listen, Descriptors: d.spec.Sockets,
 		Held: 8, Backlog: w.backlog, SendBuffer: w.send, ReceiveBuffer: w.receive, WakeS: w.wakeS, CallS: w.callS, Shuffle: w.shuffle,
--- a/internal/sim/hard_test.go
+++ b/internal/sim/hard_test.go
@@ -13,10 +13,10 @@
 	"pgregory.net/rapid"
 
 	"hazelwheel/internal/checker"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/netio/virtual"
 	"hazelwheel/internal/sidecarconfig"
-	"hazelwheel/internal/world"
 )
 
 // stage is one sidecar among actors that do what a test says, at the instant that it says.
@@ -85,9 +85,9 @@
 // begin puts a sidecar and n boxes on the stage, with a discovery that tells nothing beyond the configuration.
 func begin(t require.TestingT, seed uint64, n int, o virtual.ProcessOptions) *stage {
 	s := &stage{t: t}
-	d := world.Draw(7, world.Usual())
+	d := environment.Draw(7, environment.Usual())
 	d.Shorten(1, n, 0)
-	w := world.New(&d, deaf{})
+	w := environment.New(&d, deaf{})
 	s.net = virtual.New(seed, d.Start)
 	play := func(ip, listen string, o virtual.ProcessOptions) *actor {
 		a := &actor{}
@@ -249,7 +249,7 @@
 
 // tell has discovery say that boxes drain.
 func (s *stage) tell(boxes ...int) {
-	d := world.Draw(7, world.Usual())
+	d := environment.Draw(7, environment.Usual())
 	var entries []string
 	for _, i := range boxes {
 		b := d.Boxes[i]
--- a/internal/sim/lists.go
+++ b/internal/sim/lists.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"hazelwheel/internal/checker"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/sidecar"
-	"hazelwheel/internal/world"
 )
 
 // listener stands between a sidecar and its fleet, and has the judge see what others pass on to it.
@@ -52,9 +52,9 @@
 }
 
 // Releases are the troubles of a quiet day: one box after the other drains, ends and begins again.
-func Releases(d world.Day) (all []world.Trouble) {
+func Releases(d environment.Day) (all []environment.Trouble) {
 	for i, at := 0, settledS+1; at < d.LengthS-10; i, at = i+1, at+2.5 {
-		all = append(all, world.Trouble{Kind: world.Shrink, AtS: at, ForS: 4, DrainS: 1.5, Boxes: []string{d.Boxes[i%d.Standing].Name}})
+		all = append(all, environment.Trouble{Kind: environment.Shrink, AtS: at, ForS: 4, DrainS: 1.5, Boxes: []string{d.Boxes[i%d.Standing].Name}})
 	}
 	return all
 }
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -10,6 +10,7 @@
 
 	"hazelwheel/internal/checker"
 	"hazelwheel/internal/coordination"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/frontend/http1"
 	"hazelwheel/internal/netio"
@@ -21,7 +22,6 @@
 	"hazelwheel/internal/rewrite"
 	"hazelwheel/internal/sidecar"
 	"hazelwheel/internal/sidecarconfig"
-	"hazelwheel/internal/world"
 )
 
 // Together says on which days sidecars know each other.
@@ -73,7 +73,7 @@
 )
 
 // peersAddress is where the others of its fleet reach a sidecar.
-func peersAddress(s *world.SidecarSpec) string { return net.JoinHostPort(s.IP, peersPort) }
+func peersAddress(s *environment.SidecarSpec) string { return net.JoinHostPort(s.IP, peersPort) }
 
 // disk is a sidecar's disk over all its lives: what was synced stays. It answers after a while, and a process that has been
 // killed by then has written nothing.
@@ -303,14 +303,14 @@
 // Spoil changes what a sidecar's disk holds.
 func (d *day) Spoil(sidecar int, state string) {
 	s := d.sidecars[sidecar]
-	s.spoilt = s.spoilt || state != world.Kept
-	if d.owners && state == world.Torn && s.lives%2 == 0 {
-		state = world.Old
+	s.spoilt = s.spoilt || state != environment.Kept
+	if d.owners && state == environment.Torn && s.lives%2 == 0 {
+		state = environment.Old
 	}
 	switch {
-	case state == world.Lost:
+	case state == environment.Lost:
 		s.saved = coordination.Saved{}
-	case state == world.Old:
+	case state == environment.Old:
 		if len(s.older) > 0 && s.older[0] != nil {
 			s.saved = coordination.Saved{Data: s.older[0], Copied: true}
 		}
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -5,6 +5,7 @@
 
 	"hazelwheel/internal/checker"
 	"hazelwheel/internal/decide/quota"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/frontend/http1"
 	"hazelwheel/internal/netio"
@@ -12,7 +13,6 @@
 	"hazelwheel/internal/rewrite"
 	"hazelwheel/internal/sidecar"
 	"hazelwheel/internal/sidecarconfig"
-	"hazelwheel/internal/world"
 )
 
 // The quotas of days: the cities have twice what they ask for on average, the ministry a twentieth of it. What the cities leave
@@ -25,8 +25,8 @@
 )
 
 // batch returns a batch at so many times the ministry's share.
-func batch(d *world.Day, times float64) *world.BatchSpec {
-	b := &world.BatchSpec{RatePS: times * ministryTimes * d.Clients.RatePS, Organisation: "ministry"}
+func batch(d *environment.Day, times float64) *environment.BatchSpec {
+	b := &environment.BatchSpec{RatePS: times * ministryTimes * d.Clients.RatePS, Organisation: "ministry"}
 	for i, c := range d.Classes {
 		if c.Effect == checker.Safe {
 			b.Class = i
@@ -36,7 +36,7 @@
 }
 
 // withQuotas returns the Core of the sidecar with quotas that go by what a day's clients ask for.
-func withQuotas(d *world.Day) (Core, error) {
+func withQuotas(d *environment.Day) (Core, error) {
 	const all = cityTimes + ministryTimes
 	share := 100 * ministryTimes / all
 	tree, err := quota.NewTree([]quota.Limit{{Measure: quota.Requests, WindowS: quotaWindowS, Quota: all * d.Clients.RatePS * quotaWindowS}},
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -4,13 +4,13 @@
 	"slices"
 
 	"hazelwheel/internal/checker"
-	"hazelwheel/internal/world"
+	"hazelwheel/internal/environment"
 )
 
 // Shrink looks for a smaller script that breaks the same rule: without some of the troubles, sidecars and boxes, with
 // fewer boxes in a trouble, shorter, and over sooner. It plays at most budget days, and tells progress of each that
 // came out smaller. A script that does not break the rule is returned as it is.
-func Shrink(s world.Script, rule checker.Rule, o Options, budget int, progress func(s *world.Script, played int)) world.Script {
+func Shrink(s environment.Script, rule checker.Rule, o Options, budget int, progress func(s *environment.Script, played int)) environment.Script {
 	h := &shrinker{best: s, rule: rule, o: o, budget: budget, progress: progress}
 	h.o.Until = rule
 	if rule == checker.AtRest { // it is seen at the day's end alone
@@ -27,13 +27,13 @@
 }
 
 type shrinker struct {
-	best     world.Script
+	best     environment.Script
 	at       float64 // when the rule breaks, since the day's start
 	rule     checker.Rule
 	o        Options
 	budget   int
 	played   int
-	progress func(*world.Script, int)
+	progress func(*environment.Script, int)
 }
 
 // lucks is how many draws of the network a smaller script is given. Danger: whatever is left out moves all instants after
@@ -41,7 +41,7 @@
 const lucks = 4
 
 // breaks plays a script, with one luck after another, and tells when it breaks the rule.
-func (h *shrinker) breaks(s *world.Script) (at float64, ok bool) {
+func (h *shrinker) breaks(s *environment.Script) (at float64, ok bool) {
 	luck := s.Luck
 	for i := range uint64(lucks) {
 		if h.budget <= 0 {
@@ -64,7 +64,7 @@
 }
 
 // try takes a script for the best one where it breaks the rule still.
-func (h *shrinker) try(s world.Script) bool {
+func (h *shrinker) try(s environment.Script) bool {
 	at, ok := h.breaks(&s)
 	if ok {
 		h.best, h.at = s, at
@@ -97,10 +97,10 @@
 		}
 	}
 	h.shorten()
-	h.fewer(func(s *world.Script) int { d := s.Day(h.o.Ranges()); return len(d.Sidecars) },
-		func(s *world.Script, n int) { s.Sidecars = n })
-	h.fewer(func(s *world.Script) int { d := s.Day(h.o.Ranges()); return d.Standing },
-		func(s *world.Script, n int) { s.Boxes = n })
+	h.fewer(func(s *environment.Script) int { d := s.Day(h.o.Ranges()); return len(d.Sidecars) },
+		func(s *environment.Script, n int) { s.Sidecars = n })
+	h.fewer(func(s *environment.Script) int { d := s.Day(h.o.Ranges()); return d.Standing },
+		func(s *environment.Script, n int) { s.Boxes = n })
 	for i := range h.best.Troubles {
 		for k := 0; k < len(h.best.Troubles[i].Boxes) && len(h.best.Troubles[i].Boxes) > 1; {
 			s := copyOf(h.best)
@@ -127,7 +127,7 @@
 }
 
 // fewer tries smaller and smaller numbers of something.
-func (h *shrinker) fewer(count func(*world.Script) int, set func(*world.Script, int)) {
+func (h *shrinker) fewer(count func(*environment.Script) int, set func(*environment.Script, int)) {
 	for n := count(&h.best); n > 1; {
 		s := copyOf(h.best)
 		smaller := n / 2
@@ -143,7 +143,7 @@
 	}
 }
 
-func copyOf(s world.Script) world.Script {
+func copyOf(s environment.Script) environment.Script {
 	s.Troubles = slices.Clone(s.Troubles)
 	for i := range s.Troubles {
 		s.Troubles[i].Boxes = slices.Clone(s.Troubles[i].Boxes)
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -12,11 +12,11 @@
 
 	"hazelwheel/internal/checker"
 	dworks "hazelwheel/internal/decide/maintenance"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/netio/virtual"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/sidecarconfig"
-	"hazelwheel/internal/world"
 )
 
 // Program is a sidecar as a day needs it.
@@ -54,14 +54,14 @@
 	Quiet bool // leave the troubles of the script out
 	// Speech is what applications and boxes speak; empty: HTTP. It changes nothing else of a day, but that answers over Thrift
 	// hold no load reports: those come with probes.
-	Speech world.Speech
+	Speech environment.Speech
 	// Batch is at how many times its share a batch of reads comes beside the applications' requests; 0: there is none. With
 	// Quotas the sidecars hold groups to their shares.
 	Batch  float64
 	Quotas bool
-	Boxes  int           // at the start of the day, with as much traffic; 0: as usual
-	Drawn  *world.Ranges // that days are drawn from in place of all that is said here of sizes; nil: none
-	Told   int           // how many sidecars the configurations say there are; 0: as many as the day has
+	Boxes  int                 // at the start of the day, with as much traffic; 0: as usual
+	Drawn  *environment.Ranges // that days are drawn from in place of all that is said here of sizes; nil: none
+	Told   int                 // how many sidecars the configurations say there are; 0: as many as the day has
 	// Watch is told of all that the judge is told; nil: nobody is.
 	Watch checker.Witness
 	// Together says on which days sidecars know each other. Those of other cores, speeches and quotas never do.
@@ -80,20 +80,20 @@
 const usualBoxes = 15
 
 // Ranges returns what days are drawn from.
-func (o Options) Ranges() world.Ranges {
+func (o Options) Ranges() environment.Ranges {
 	if o.Drawn != nil {
 		return *o.Drawn
 	}
-	r := world.Usual()
+	r := environment.Usual()
 	if o.Together == TogetherWorks {
-		r.LengthS = world.Range{Least: 80, Most: 120}
-		r.Longs, r.Long = 0.3, world.Range{Least: 6, Most: 20}
+		r.LengthS = environment.Range{Least: 80, Most: 120}
+		r.Longs, r.Long = 0.3, environment.Range{Least: 6, Most: 20}
 	}
 	if o.Boxes > 0 {
-		r = world.Large(o.Boxes)
+		r = environment.Large(o.Boxes)
 	}
 	if o.Sidecars > 0 {
-		r.Sidecars = world.Range{Least: float64(o.Sidecars), Most: float64(o.Sidecars)}
+		r.Sidecars = environment.Range{Least: float64(o.Sidecars), Most: float64(o.Sidecars)}
 	}
 	return r
 }
@@ -128,16 +128,16 @@
 }
 
 // DrawScript returns the script of a seed for days drawn as the options say.
-func (o Options) DrawScript(seed uint64) world.Script {
-	d := world.Draw(seed, o.Ranges())
-	s := world.DrawScript(&d)
+func (o Options) DrawScript(seed uint64) environment.Script {
+	d := environment.Draw(seed, o.Ranges())
+	s := environment.DrawScript(&d)
 	if o.together(seed) || o.Together == TogetherApart {
-		world.DrawPeerTroubles(&d, &s)
+		environment.DrawPeerTroubles(&d, &s)
 	}
 	if o.Together == TogetherWorks {
-		world.DrawLags(&d, &s)
+		environment.DrawLags(&d, &s)
 		// What is left of the day is for plans to go on.
-		s.Troubles = slices.DeleteFunc(s.Troubles, func(t world.Trouble) bool { return t.AtS > 0.7*d.LengthS })
+		s.Troubles = slices.DeleteFunc(s.Troubles, func(t environment.Trouble) bool { return t.AtS > 0.7*d.LengthS })
 	}
 	return s
 }
@@ -149,7 +149,7 @@
 const restS = 14.0
 
 // Play plays a script from its beginning to its end. An error means that the day could not be played.
-func Play(s world.Script, o Options) (*Result, error) {
+func Play(s environment.Script, o Options) (*Result, error) {
 	if o.Quiet {
 		s.Troubles = nil
 	}
@@ -168,13 +168,13 @@
 
 // day is a day that is being played.
 type day struct {
-	script     world.Script
-	spec       world.Day
+	script     environment.Script
+	spec       environment.Day
 	weather    weather
 	net        *virtual.World
 	judge      *checker.Judge
-	world      *world.World
-	player     *world.Player
+	world      *environment.World
+	player     *environment.Player
 	core       Core
 	trace      func(at float64, line string)
 	machines   []*machine
@@ -195,7 +195,7 @@
 	watch      checker.Witness // is told what the judge is; nil: nobody is
 }
 
-func newDay(s world.Script, o Options) (*day, error) {
+func newDay(s environment.Script, o Options) (*day, error) {
 	d := &day{script: s, spec: s.Day(o.Ranges()), core: o.Core, trace: o.Trace, cuts: map[[2]string]int{}, slow: map[[2]int]float64{}}
 	if d.spec.Speech = o.Speech; o.Speech.Thrift() {
 		d.spec.Inline = false
@@ -225,7 +225,7 @@
 	rules := d.spec.Rules()
 	// A loop that stands still may miss a deadline, and one whose clock runs slow finds it over late.
 	rules.Unanswered = d.weather.everyS == 0 &&
-		!slices.ContainsFunc(s.Troubles, func(t world.Trouble) bool { return t.Kind == world.Freeze || t.Kind == world.Clock })
+		!slices.ContainsFunc(s.Troubles, func(t environment.Trouble) bool { return t.Kind == environment.Freeze || t.Kind == environment.Clock })
 	switch {
 	case d.owners:
 		rules.MostAskS = math.Inf(1)
@@ -251,10 +251,10 @@
 		}
 		witness = witnesses{witness, d.works}
 	}
-	d.world = world.New(&d.spec, witness)
+	d.world = environment.New(&d.spec, witness)
 	d.lay()
 	var err error
-	if d.player, err = world.NewPlayer(d.world, &s, d, witness); err != nil {
+	if d.player, err = environment.NewPlayer(d.world, &s, d, witness); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrScript, err)
 	}
 	return d, d.begin()
@@ -310,7 +310,7 @@
 func (d *day) lastComingS() float64 {
 	last := d.spec.LengthS
 	for _, t := range d.script.Troubles {
-		if t.Kind == world.BadClients || t.Kind == world.SilentFlood {
+		if t.Kind == environment.BadClients || t.Kind == environment.SilentFlood {
 			last = max(last, t.AtS+t.ForS)
 		}
 	}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"hazelwheel/internal/checker"
-	"hazelwheel/internal/world"
+	"hazelwheel/internal/environment"
 )
 
 // days is how many seeds the tests play. The laboratory's command plays more.
@@ -53,7 +53,7 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			text, err := os.ReadFile(file)
 			require.NoError(t, err)
-			s, err := world.ReadScript(file, text, world.Usual())
+			s, err := environment.ReadScript(file, text, environment.Usual())
 			require.NoError(t, err)
 			r, err := Play(*s, Options{})
 			require.NoError(t, err)
--- a/internal/sim/speech_test.go
+++ b/internal/sim/speech_test.go
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/world"
+	"hazelwheel/internal/environment"
 )
 
 // Days with their troubles keep the rules over Thrift, and one seed is one history.
 func TestDaysOverThrift(t *testing.T) {
 	t.Parallel()
-	play := func(seed uint64, speech world.Speech) *Result {
+	play := func(seed uint64, speech environment.Speech) *Result {
 		s := Options{}.DrawScript(seed)
 		require.NotEmpty(t, s.Troubles)
 		s.LengthS = 20
@@ -27,10 +27,10 @@
 	}
 	seen := map[uint64]bool{}
 	for _, seed := range []uint64{2, 14, 21} {
-		for _, speech := range world.Speeches {
+		for _, speech := range environment.Speeches {
 			seen[play(seed, speech).Hash] = true
 		}
 	}
 	assert.Len(t, seen, 9, "no two days are one")
-	assert.Equal(t, play(14, world.ThriftCompact).Hash, play(14, world.ThriftCompact).Hash)
+	assert.Equal(t, play(14, environment.ThriftCompact).Hash, play(14, environment.ThriftCompact).Hash)
 }
--- a/internal/sim/stored_form_test.go
+++ b/internal/sim/stored_form_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"hazelwheel/internal/checker"
-	"hazelwheel/internal/world"
+	"hazelwheel/internal/environment"
 )
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
@@ -48,7 +48,7 @@
 	const file = "testdata/scripts/sweep-while-links-go.toml"
 	raw, err := os.ReadFile(file)
 	require.NoError(t, err)
-	s, err := world.ReadScript(file, raw, world.Usual())
+	s, err := environment.ReadScript(file, raw, environment.Usual())
 	require.NoError(t, err)
 	s.LengthS, s.Troubles = 3, nil
 	text.Reset()
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/troubles_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"hazelwheel/internal/checker"
-	"hazelwheel/internal/world"
+	"hazelwheel/internal/environment"
 )
 
 // Each trouble between sidecars does what its word says, breaks no rule, and without it that does not come.
@@ -23,34 +23,34 @@
 		}
 		return of
 	}
-	kill := world.Trouble{Kind: world.SidecarKill, AtS: at + 1, ForS: 0.5, Sidecars: []int{0}}
+	kill := environment.Trouble{Kind: environment.SidecarKill, AtS: at + 1, ForS: 0.5, Sidecars: []int{0}}
 	for _, c := range []struct {
 		name   string
-		with   []world.Trouble
-		beside []world.Trouble
+		with   []environment.Trouble
+		beside []environment.Trouble
 		does   func(d *day) bool
 	}{
-		{"peer-slow", []world.Trouble{{Kind: world.PeerSlow, AtS: at, ForS: 4, From: []int{0}, PerS: 10}}, nil, func(d *day) bool {
+		{"peer-slow", []environment.Trouble{{Kind: environment.PeerSlow, AtS: at, ForS: 4, From: []int{0}, PerS: 10}}, nil, func(d *day) bool {
 			return d.sidecars[0].fleet.Seen(0).View.Accusations > 0
 		}},
-		{"disk-full", []world.Trouble{{Kind: world.DiskFull, AtS: at, ForS: 5, Sidecars: []int{0}}}, []world.Trouble{kill}, func(d *day) bool {
+		{"disk-full", []environment.Trouble{{Kind: environment.DiskFull, AtS: at, ForS: 5, Sidecars: []int{0}}}, []environment.Trouble{kill}, func(d *day) bool {
 			return !d.sidecars[0].fleet.Seen(0).Stored
 		}},
-		{"clock", []world.Trouble{{Kind: world.Clock, AtS: at, ForS: 10, Sidecars: []int{0}, Rate: 1.05}}, nil, func(d *day) bool {
+		{"clock", []environment.Trouble{{Kind: environment.Clock, AtS: at, ForS: 10, Sidecars: []int{0}, Rate: 1.05}}, nil, func(d *day) bool {
 			ahead := d.sidecars[0].proc.Now() - d.net.Now()
 			return ahead > 0.49 && ahead < 0.51
 		}},
-		{"grow", []world.Trouble{{Kind: world.Grow, AtS: at, By: 1}}, nil, func(d *day) bool {
+		{"grow", []environment.Trouble{{Kind: environment.Grow, AtS: at, By: 1}}, nil, func(d *day) bool {
 			return last(d).upAt >= d.spec.Start+at && seen(d) == "alive"
 		}},
-		{"shrink", []world.Trouble{{Kind: world.Shrink, AtS: at, By: 1}}, nil, func(d *day) bool {
+		{"shrink", []environment.Trouble{{Kind: environment.Shrink, AtS: at, By: 1}}, nil, func(d *day) bool {
 			return !last(d).proc.Alive() && seen(d) == "left"
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for _, on := range []bool{true, false} {
-				s := world.Script{Seed: seed, LengthS: 20, Troubles: c.beside}
+				s := environment.Script{Seed: seed, LengthS: 20, Troubles: c.beside}
 				if on {
 					s.Troubles = append(c.with, c.beside...)
 				}
@@ -101,40 +101,40 @@
 func TestConnectionTroubles(t *testing.T) {
 	const seed, at = 3, 6.0
 	o := Options{Together: TogetherNever}
-	d := world.Draw(seed, o.Ranges())
+	d := environment.Draw(seed, o.Ranges())
 	var boxes []string
 	for _, b := range d.Boxes[:d.Standing] {
 		boxes = append(boxes, b.Name)
 	}
 	for _, c := range []struct {
 		name   string
-		with   world.Trouble
-		beside []world.Trouble
+		with   environment.Trouble
+		beside []environment.Trouble
 		does   func(c *tally) bool
 	}{
-		{"silent-watch", world.Trouble{Kind: world.SilentWatch, AtS: at}, nil, func(c *tally) bool {
+		{"silent-watch", environment.Trouble{Kind: environment.SilentWatch, AtS: at}, nil, func(c *tally) bool {
 			return c.kinds[checker.WatchSilent] == len(d.Sidecars) && c.kinds[checker.WatchUp] == 2*len(d.Sidecars)
 		}},
-		{"watch-reset", world.Trouble{Kind: world.WatchReset, AtS: at}, nil, func(c *tally) bool {
+		{"watch-reset", environment.Trouble{Kind: environment.WatchReset, AtS: at}, nil, func(c *tally) bool {
 			return c.kinds[checker.WatchEnded] == len(d.Sidecars) && c.kinds[checker.WatchUp] == 2*len(d.Sidecars)
 		}},
-		{"whole-list", world.Trouble{Kind: world.WholeList, AtS: at, ForS: 10},
-			[]world.Trouble{{Kind: world.Shrink, AtS: at, DrainS: 14, Boxes: boxes[:2]}, {Kind: world.WatchReset, AtS: at + 4}}, func(c *tally) bool {
+		{"whole-list", environment.Trouble{Kind: environment.WholeList, AtS: at, ForS: 10},
+			[]environment.Trouble{{Kind: environment.Shrink, AtS: at, DrainS: 14, Boxes: boxes[:2]}, {Kind: environment.WatchReset, AtS: at + 4}}, func(c *tally) bool {
 				return c.leftOut == 2*len(d.Sidecars)
 			}},
-		{"clients-leave", world.Trouble{Kind: world.ClientsLeave, AtS: at, ForS: 10, Sidecars: []int{0, 1}, Share: 0.5}, nil, func(c *tally) bool {
+		{"clients-leave", environment.Trouble{Kind: environment.ClientsLeave, AtS: at, ForS: 10, Sidecars: []int{0, 1}, Share: 0.5}, nil, func(c *tally) bool {
 			return c.early > 10 && c.kinds[checker.HalfClosed] > 5
 		}},
-		{"late-connect", world.Trouble{Kind: world.LateConnect, AtS: at, ForS: 10, Boxes: boxes, Share: 0.5, LagS: 1.5},
-			[]world.Trouble{{Kind: world.EarlyClose, AtS: at, ForS: 10, Boxes: boxes, Share: 0.2}}, func(c *tally) bool { return c.notInTime > 10 }},
-		{"early-close", world.Trouble{Kind: world.EarlyClose, AtS: at, ForS: 10, Boxes: boxes, Share: 0.2}, nil, func(c *tally) bool { return c.byBoxes > 100 }},
+		{"late-connect", environment.Trouble{Kind: environment.LateConnect, AtS: at, ForS: 10, Boxes: boxes, Share: 0.5, LagS: 1.5},
+			[]environment.Trouble{{Kind: environment.EarlyClose, AtS: at, ForS: 10, Boxes: boxes, Share: 0.2}}, func(c *tally) bool { return c.notInTime > 10 }},
+		{"early-close", environment.Trouble{Kind: environment.EarlyClose, AtS: at, ForS: 10, Boxes: boxes, Share: 0.2}, nil, func(c *tally) bool { return c.byBoxes > 100 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for _, on := range []bool{true, false} {
-				s := world.Script{Seed: seed, LengthS: 20, Troubles: c.beside}
+				s := environment.Script{Seed: seed, LengthS: 20, Troubles: c.beside}
 				if on {
-					s.Troubles = append([]world.Trouble{c.with}, c.beside...)
+					s.Troubles = append([]environment.Trouble{c.with}, c.beside...)
 				}
 				seen := &tally{kinds: map[checker.Kind]int{}, drains: map[int32]bool{}}
 				o := o
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -11,8 +11,8 @@
 
 	"hazelwheel/internal/checker"
 	"hazelwheel/internal/decide/maintenance"
+	"hazelwheel/internal/environment"
 	"hazelwheel/internal/sidecarconfig"
-	"hazelwheel/internal/world"
 )
 
 // Weighing is one way to have all boxes of a day worked on, beside others.
@@ -183,12 +183,12 @@
 
 // WeighDay plays a day on which a number of boxes are worked on.
 func WeighDay(seed uint64, boxes int, load float64, hang bool, way *Weighing) (*Weighed, error) {
-	r := world.Usual()
+	r := environment.Usual()
 	if boxes > 19 {
-		r = world.Large(boxes)
+		r = environment.Large(boxes)
 	}
-	r.Boxes = world.Range{Least: float64(boxes), Most: float64(boxes)}
-	r.Sites, r.Sidecars, r.Crowds, r.Load = world.Range{Least: 4, Most: 4}, world.Range{Least: 5, Most: 5}, 0, world.Range{Least: load, Most: load}
+	r.Boxes = environment.Range{Least: float64(boxes), Most: float64(boxes)}
+	r.Sites, r.Sidecars, r.Crowds, r.Load = environment.Range{Least: 4, Most: 4}, environment.Range{Least: 5, Most: 5}, 0, environment.Range{Least: load, Most: load}
 	lengthS := weighAtS + 20 + 42*float64(boxes)
 	if way.AtOnce > 1 { // a box takes that long, and there is time to wait until a trouble is over
 		lengthS = weighAtS + 150 + 36*math.Ceil(float64(boxes)/float64(way.AtOnce))
@@ -196,16 +196,16 @@
 	if load > edgeLoad { // the fleet refuses by itself: one box is out at a time, and what it refuses is measured between two
 		lengthS = weighAtS + 120 + 75*float64(boxes)
 	}
-	r.LengthS = world.Range{Least: lengthS, Most: lengthS}
+	r.LengthS = environment.Range{Least: lengthS, Most: lengthS}
 	o := Options{Together: TogetherWorks, Drawn: &r, Weigh: way}
-	d := world.Draw(seed, r)
-	s := world.Script{Seed: seed}
+	d := environment.Draw(seed, r)
+	s := environment.Script{Seed: seed}
 	if hang {
 		var names []string
 		for i := range boxes / 5 {
 			names = append(names, d.Boxes[i*5].Name)
 		}
-		s.Troubles = []world.Trouble{{Kind: world.Hang, AtS: weighAtS + 20, ForS: 40, Boxes: names}}
+		s.Troubles = []environment.Trouble{{Kind: environment.Hang, AtS: weighAtS + 20, ForS: 40, Boxes: names}}
 	}
 	m := &meter{classes: d.Rules().Classes, first: map[uint64]*asked{}, start: d.Start}
 	o.Watch = m
