--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -22,7 +22,7 @@
 	"hazelwheel/internal/maintenanceplan"
 	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/sim"
-	"hazelwheel/internal/sim/crowd"
+	"hazelwheel/internal/sim/membershipsim"
 )
 
 func fleetCommand() *cli.Command {
@@ -289,13 +289,13 @@
 			&cli.FloatFlag{Name: "hours", Usage: "play drawn troubles for `N` hours in place of that, and count false deaths"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			var all []crowd.Figures
+			var all []membershipsim.Figures
 			for _, n := range c.IntSlice("members") {
 				if n < 2 || n > 6000 {
 					return fault(fmt.Errorf("members: %d is not 2 to 6000", n))
 				}
 				if h := c.Float("hours"); h > 0 {
-					t, err := crowd.Trouble(n, h*3600, c.Uint64("seed"))
+					t, err := membershipsim.Trouble(n, h*3600, c.Uint64("seed"))
 					for _, line := range t.Wrong {
 						fmt.Fprintln(c.Root().Writer, line)
 					}
@@ -305,20 +305,20 @@
 					}
 					continue
 				}
-				f, err := crowd.Measure(n, c.Uint64("seed"))
+				f, err := membershipsim.Measure(n, c.Uint64("seed"))
 				if err != nil {
 					return err
 				}
 				fmt.Fprintln(c.Root().Writer, f)
 				all = append(all, f)
 				if c.Bool("ways") {
-					for _, w := range crowd.Ways(n, c.Uint64("seed")) {
+					for _, w := range membershipsim.Ways(n, c.Uint64("seed")) {
 						fmt.Fprintln(c.Root().Writer, "      ", w)
 					}
 				}
 			}
 			if path := c.String("picture"); path != "" && len(all) > 1 {
-				return crowd.Picture(path, all)
+				return membershipsim.Picture(path, all)
 			}
 			return nil
 		},
--- a/internal/sim/crowd/crowd_test.go
+++ b/internal/sim/membershipsim/crowd_test.go
@@ -1,4 +1,4 @@
-package crowd
+package membershipsim
 
 import (
 	"testing"
