--- a/cmd/hazellab/owners.go
+++ b/cmd/hazellab/owners.go
@@ -10,7 +10,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/sim/owners"
+	"hazelwheel/internal/sim/leasesim"
 	"hazelwheel/internal/sim/seeds"
 )
 
@@ -32,7 +32,7 @@
 	out := bufio.NewWriter(c.Root().Writer)
 	defer out.Flush()
 	if c.Bool("measure") {
-		owners.Measure(c.Root().Writer)
+		leasesim.Measure(c.Root().Writer)
 		return nil
 	}
 	first, last, err := seedsOf(c)
@@ -43,15 +43,15 @@
 		if !c.IsSet("seed") {
 			return fault(errors.New("--trace goes with --seed"))
 		}
-		r := owners.Play(first, owners.Options{Trace: func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }})
+		r := leasesim.Play(first, leasesim.Options{Trace: func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }})
 		if len(r.Findings) > 0 {
 			return errBroken
 		}
 		return nil
 	}
 	began := time.Now()
-	var t owners.Tally
-	overSeeds(c, out, first, last, owners.Many, func(r *owners.Result) (uint64, []seeds.Finding) {
+	var t leasesim.Tally
+	overSeeds(c, out, first, last, leasesim.Many, func(r *leasesim.Result) (uint64, []seeds.Finding) {
 		t.Add(r)
 		return r.Seed, r.Findings
 	})
--- a/internal/sim/owners/owners_test.go
+++ b/internal/sim/leasesim/owners_test.go
@@ -1,4 +1,4 @@
-package owners
+package leasesim
 
 import (
 	"testing"
--- a/internal/sim/owners/world.go
+++ b/internal/sim/leasesim/world.go
@@ -1,7 +1,7 @@
-// Package owners plays the decisions about who owns a job by themselves: members on a network, each with a clock of its own
+// Package leasesim plays the decisions about who owns a job by themselves: members on a network, each with a clock of its own
 // rate and a disk that loses what was not synced, all drawn from a seed. It judges from what it sees from outside: whose lease is
 // valid at an instant, what receivers take, who leads, and what disks and tables hold.
-package owners
+package leasesim
 
 import (
 	"errors"
