--- a/cmd/hazellab/works.go
+++ b/cmd/hazellab/works.go
@@ -12,7 +12,7 @@
 	"github.com/urfave/cli/v3"
 
 	"hazelwheel/internal/sim"
-	"hazelwheel/internal/sim/plans"
+	"hazelwheel/internal/sim/maintenancesim"
 	"hazelwheel/internal/sim/seeds"
 )
 
@@ -47,15 +47,15 @@
 		if !c.IsSet("seed") {
 			return fault(errors.New("--trace goes with --seed"))
 		}
-		r := plans.Play(first, plans.Options{Trace: func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }})
+		r := maintenancesim.Play(first, maintenancesim.Options{Trace: func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }})
 		if len(r.Findings) > 0 {
 			return errBroken
 		}
 		return nil
 	}
 	began := time.Now()
-	var t plans.Tally
-	overSeeds(c, out, first, last, plans.Many, func(r *plans.Result) (uint64, []seeds.Finding) {
+	var t maintenancesim.Tally
+	overSeeds(c, out, first, last, maintenancesim.Many, func(r *maintenancesim.Result) (uint64, []seeds.Finding) {
 		t.Add(r)
 		return r.Seed, r.Findings
 	})
--- a/internal/sim/plans/plans_test.go
+++ b/internal/sim/maintenancesim/plans_test.go
@@ -1,4 +1,4 @@
-package plans
+package maintenancesim
 
 import (
 	"testing"
