--- a/cmd/hazellab/share.go
+++ b/cmd/hazellab/share.go
@@ -7,7 +7,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/sim/share"
+	"hazelwheel/internal/sim/subsetsim"
 )
 
 func shareCommand() *cli.Command {
@@ -22,10 +22,10 @@
 			&cli.BoolFlag{Name: "json", Usage: "print the figures as JSON, one object a line"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			var all []share.Figures
+			var all []subsetsim.Figures
 			out := c.Root().Writer
 			if !c.Bool("json") {
-				fmt.Fprintln(out, share.Head)
+				fmt.Fprintln(out, subsetsim.Head)
 			}
 			for _, n := range c.IntSlice("sidecars") {
 				for _, m := range c.IntSlice("boxes") {
@@ -36,11 +36,11 @@
 						return fault(fmt.Errorf("boxes: %d is not 2 to 2000", m))
 					}
 					for _, unequal := range []bool{false, true} {
-						for _, w := range share.Ways() {
+						for _, w := range subsetsim.Ways() {
 							if !w.Fits(n, m) {
 								continue
 							}
-							f := share.Measure(w, n, m, unequal, c.Uint64("seed"))
+							f := subsetsim.Measure(w, n, m, unequal, c.Uint64("seed"))
 							all = append(all, f)
 							if !c.Bool("json") {
 								fmt.Fprintln(out, f)
@@ -52,7 +52,7 @@
 				}
 			}
 			if path := c.String("picture"); path != "" {
-				return share.Picture(path, all)
+				return subsetsim.Picture(path, all)
 			}
 			return nil
 		},
--- a/internal/sim/share/picture.go
+++ b/internal/sim/subsetsim/picture.go
@@ -1,4 +1,4 @@
-package share
+package subsetsim
 
 import (
 	"gonum.org/v1/plot"
