--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -18,7 +18,7 @@
 	"github.com/urfave/cli/v3"
 
 	"hazelwheel/internal/environment"
-	"hazelwheel/internal/lab/troupe"
+	"hazelwheel/internal/lab/processcluster"
 	"hazelwheel/internal/maintenanceplan"
 	"hazelwheel/internal/sidecarconfig"
 	"hazelwheel/internal/sim"
@@ -58,7 +58,7 @@
 }
 
 func runFleet(ctx context.Context, c *cli.Command) error {
-	s := troupe.Settings{Sidecars: c.Int("sidecars"), Boxes: c.Int("boxes"), Seed: c.Uint64("seed"), For: c.Duration("for"), Draw: c.Bool("draw"),
+	s := processcluster.Settings{Sidecars: c.Int("sidecars"), Boxes: c.Int("boxes"), Seed: c.Uint64("seed"), For: c.Duration("for"), Draw: c.Bool("draw"),
 		Jobs: c.StringSlice("jobs"), Load: c.Float("load"), Trials: c.Int("trials"), Other: c.String("other")}
 	if err := readWork(c, &s); err != nil {
 		return err
@@ -149,7 +149,7 @@
 	if s.Trials > 0 {
 		return runTrials(ctx, c, s)
 	}
-	r, err := troupe.Do(ctx, s)
+	r, err := processcluster.Do(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -195,7 +195,7 @@
 }
 
 // readWork reads the plan, if one is named.
-func readWork(c *cli.Command, s *troupe.Settings) error {
+func readWork(c *cli.Command, s *processcluster.Settings) error {
 	path := c.String("plan")
 	if path == "" && c.Bool("hand") {
 		return fault(errors.New("hand: there is no plan"))
@@ -213,7 +213,7 @@
 	if slices.Equal(spec.Sites, []string{"*"}) {
 		spec.Sites = environment.Draw(s.Seed, s.Ranges()).Sites
 	}
-	s.Work = &troupe.Work{Spec: spec, Hand: c.Bool("hand")}
+	s.Work = &processcluster.Work{Spec: spec, Hand: c.Bool("hand")}
 	if !slices.Contains(s.Jobs, "works") {
 		s.Jobs = append(s.Jobs, "works")
 	}
@@ -221,7 +221,7 @@
 }
 
 // writeWorked says what came of a plan.
-func writeWorked(out io.Writer, w *troupe.Worked) {
+func writeWorked(out io.Writer, w *processcluster.Worked) {
 	for _, line := range w.Wrong {
 		fmt.Fprintln(out, line)
 	}
@@ -243,7 +243,7 @@
 }
 
 // simulateFleet plays a fleet in simulated time: what both judges find is the sidecar's, what one finds alone may be the machine's.
-func simulateFleet(c *cli.Command, s *troupe.Settings) error {
+func simulateFleet(c *cli.Command, s *processcluster.Settings) error {
 	r := s.Ranges()
 	o := sim.Options{Drawn: &r, Together: sim.TogetherAll}
 	script := s.Troubles()
--- a/cmd/hazellab/trials.go
+++ b/cmd/hazellab/trials.go
@@ -14,13 +14,13 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/lab/troupe"
+	"hazelwheel/internal/lab/processcluster"
 )
 
 // runTrials plays trials in fleets beside each other, each with its part of them.
-func runTrials(ctx context.Context, c *cli.Command, s troupe.Settings) error {
+func runTrials(ctx context.Context, c *cli.Command, s processcluster.Settings) error {
 	fleets := min(c.Int("fleets"), s.Trials)
-	reports, errs := make([]*troupe.Report, fleets), make([]error, fleets)
+	reports, errs := make([]*processcluster.Report, fleets), make([]error, fleets)
 	var all sync.WaitGroup
 	for i := range fleets {
 		own := s
@@ -34,7 +34,7 @@
 				return err
 			}
 		}
-		all.Go(func() { reports[i], errs[i] = troupe.Do(ctx, own) })
+		all.Go(func() { reports[i], errs[i] = processcluster.Do(ctx, own) })
 	}
 	all.Wait()
 	if err := errors.Join(errs...); err != nil {
@@ -64,7 +64,7 @@
 }
 
 // printTrials prints what was found, and the times by what was done to whom.
-func printTrials(c *cli.Command, reports []*troupe.Report) {
+func printTrials(c *cli.Command, reports []*processcluster.Report) {
 	out := c.Root().Writer
 	known := map[[2]string][]float64{}
 	trials, moved, broken, confirms, late, refused, old, effects, lateS := 0, 0, 0, 0, 0, 0, 0, 0, 0.0
--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -19,7 +19,7 @@
 
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/swim"
-	"hazelwheel/internal/lab/troupe"
+	"hazelwheel/internal/lab/processcluster"
 	"hazelwheel/internal/peers/frames"
 )
 
@@ -53,21 +53,21 @@
 	stop := c.serveAll()
 	c.agree(c.all...)
 	left, right := c.all[:4], c.all[4:]
-	ways := troupe.Between(names(left), names(right), false)
-	c.board.Set(troupe.Rule{Cut: true}, ways...)
+	ways := processcluster.Between(names(left), names(right), false)
+	c.board.Set(processcluster.Rule{Cut: true}, ways...)
 	t.Logf("the sides part after %v", max(c.view(left, left), c.view(right, right)))
 	c.placed(left...)
 	c.placed(right...)
-	c.board.Set(troupe.Rule{}, ways...)
+	c.board.Set(processcluster.Rule{}, ways...)
 	t.Logf("one again after %v", c.agree(c.all...))
 	c.placed(c.all...)
 
-	c.board.Set(troupe.Rule{Cut: true}, ways...)
+	c.board.Set(processcluster.Rule{Cut: true}, ways...)
 	c.poll("somebody is suspected", func() bool {
 		s, _ := left[0].seen()
 		return slices.ContainsFunc(s.Members, func(m coordination.SeenMember) bool { return m.State != "alive" })
 	})
-	c.board.Set(troupe.Rule{}, ways...)
+	c.board.Set(processcluster.Rule{}, ways...)
 	t.Logf("after a short cut one again after %v", c.agree(c.all...))
 	s, _ := c.all[0].seen()
 	assert.Len(t, s.Members, 7, "nobody is another than before")
@@ -80,13 +80,13 @@
 	c.ready(c.all...)
 	stop := c.serveAll()
 	c.agree(c.all...)
-	ways := troupe.Between(names(c.all), names(c.all), false)
-	c.board.Set(troupe.Rule{PerS: 10}, ways...)
+	ways := processcluster.Between(names(c.all), names(c.all), false)
+	c.board.Set(processcluster.Rule{PerS: 10}, ways...)
 	c.poll("somebody is suspected", func() bool {
 		s, _ := c.all[0].seen()
 		return slices.ContainsFunc(s.Members, func(m coordination.SeenMember) bool { return m.State != "alive" })
 	})
-	c.board.Set(troupe.Rule{}, ways...)
+	c.board.Set(processcluster.Rule{}, ways...)
 	t.Logf("agree after %v", c.agree(c.all...))
 	stop()
 }
@@ -102,8 +102,8 @@
 			c.agree(c.all...)
 			stop := c.serveAll()
 			mute, watchers := c.watched(deaf)
-			ways := troupe.Between([]string{mute.name}, names(watchers[:deaf]), true)
-			c.board.Set(troupe.Rule{Cut: true}, ways...)
+			ways := processcluster.Between([]string{mute.name}, names(watchers[:deaf]), true)
+			c.board.Set(processcluster.Rule{Cut: true}, ways...)
 			// It is accused, says no, and is accused again after a while: by then it could have been called dead.
 			refutations := uint64(0)
 			c.pollWith("it has said no twice", func() bool {
@@ -113,7 +113,7 @@
 			}, func() string {
 				return fmt.Sprintf("%s has said no %d times, watched by %v, not heard by %v", mute.name, refutations, names(watchers), names(watchers[:deaf]))
 			})
-			c.board.Set(troupe.Rule{}, ways...)
+			c.board.Set(processcluster.Rule{}, ways...)
 			c.agree(c.all...)
 			assert.Zero(t, c.deaths(c.all...))
 			stop()
--- a/cmd/hazelwheel/peers_test.go
+++ b/cmd/hazelwheel/peers_test.go
@@ -22,22 +22,22 @@
 	"github.com/stretchr/testify/require"
 
 	"hazelwheel/internal/coordination"
-	"hazelwheel/internal/lab/troupe"
+	"hazelwheel/internal/lab/processcluster"
 )
 
 // crew is several sidecars that know each other, each a process, with the switchboard between all of them.
 type crew struct {
 	*testing.T
-	board   *troupe.Switchboard
+	board   *processcluster.Switchboard
 	server  *server
 	all     []*mate
 	limits  map[string]any
 	replica int // what the settings say of the fleet's size
 
-	electors []string        // addresses; none: there are none, and no jobs
-	jobs     []string        // none: the report alone
-	registry *registry       // discovery for all; nil: each sidecar has one that says nothing
-	effects  *troupe.Effects // nil: nobody looks at them
+	electors []string                // addresses; none: there are none, and no jobs
+	jobs     []string                // none: the report alone
+	registry *registry               // discovery for all; nil: each sidecar has one that says nothing
+	effects  *processcluster.Effects // nil: nobody looks at them
 	settings func(s map[string]any)
 }
 
@@ -72,7 +72,7 @@
 
 // newCrewIn does so for a test that has one already.
 func newCrewIn(t *testing.T, n int) *crew {
-	c := &crew{T: t, board: troupe.NewSwitchboard(), server: newServer(t, "s-00000001", says(200, "ok")), replica: n,
+	c := &crew{T: t, board: processcluster.NewSwitchboard(), server: newServer(t, "s-00000001", says(200, "ok")), replica: n,
 		limits: map[string]any{"cores": 1, "sockets": 256}}
 	t.Cleanup(c.board.Close)
 	for range n {
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -21,7 +21,7 @@
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/lab/mechanic"
-	"hazelwheel/internal/lab/troupe"
+	"hazelwheel/internal/lab/processcluster"
 	"hazelwheel/internal/maintenanceplan"
 )
 
@@ -456,14 +456,14 @@
 	b := y.hold(cut, "write")
 	y.plan(owner, "", b)
 	y.waits(b, "has something out there", cut.name)
-	ways := troupe.Between([]string{cut.name}, names(y.without(cut)), false)
-	y.board.Set(troupe.Rule{Cut: true}, ways...)
+	ways := processcluster.Between([]string{cut.name}, names(y.without(cut)), false)
+	y.board.Set(processcluster.Rule{Cut: true}, ways...)
 	b.release()
 	y.waits(b, "not heard to have stopped sending there", cut.name)
 	y.view([]*mate{owner}, y.without(cut)) // it is held for dead, and waited for all the same
 	assert.Equal(t, maintenance.Leaving, y.comes(b, maintenance.Leaving).Stage)
 	assert.Empty(t, y.records())
-	y.board.Set(troupe.Rule{}, ways...)
+	y.board.Set(processcluster.Rule{}, ways...)
 	p := y.ended()
 	assert.Equal(t, maintenance.Done, p.Boxes[0].Stage)
 	assert.Len(t, y.records(), 1)
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -16,7 +16,7 @@
 
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/lab/mechanic"
-	"hazelwheel/internal/lab/troupe"
+	"hazelwheel/internal/lab/processcluster"
 )
 
 // A sidecar is killed for good while a box is emptied: it is named, and counts as gone after the time that the plan states.
@@ -217,8 +217,8 @@
 	y.mechanic("anna", nil)
 	y.owner(y.all...)
 	left, right := y.all[:3], y.all[3:]
-	ways := troupe.Between(names(left), names(right), false)
-	y.board.Set(troupe.Rule{Cut: true}, ways...)
+	ways := processcluster.Between(names(left), names(right), false)
+	y.board.Set(processcluster.Rule{Cut: true}, ways...)
 	y.view(left, left)
 	y.owner(left...)
 	file := y.file(`cold = "4s"`, y.boxes...)
@@ -232,7 +232,7 @@
 		return slices.ContainsFunc(s.Waits, func(w maintenance.Wait) bool { return w.Box == "" && slices.Equal(w.Who, names(right)) })
 	})
 	assert.Equal(t, 3, y.counts()[maintenance.Waiting])
-	y.board.Set(troupe.Rule{}, ways...)
+	y.board.Set(processcluster.Rule{}, ways...)
 	y.poll("the other side knows", func() bool { s, ok := right[0].works(); return ok && len(s.Plans) == 1 })
 	out, code = y.command("fleet", "work", "plan", file, "--nonce", "8", "--ops", right[0].ops)
 	assert.Equal(t, 1, code)
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -18,7 +18,7 @@
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/lab/mechanic"
-	"hazelwheel/internal/lab/troupe"
+	"hazelwheel/internal/lab/processcluster"
 )
 
 // stopAtStep has the program stand still, or end, when the owner of the plans comes to a step that a file names, once, or comes there
@@ -157,7 +157,7 @@
 					owner := y.owner(y.all...)
 					from, token = time.Now(), owner.jobOf("works").Token
 					others := y.without(owner)
-					deaf := troupe.Between(names(y.without(others[0])), names(others[:1]), true)
+					deaf := processcluster.Between(names(y.without(others[0])), names(others[:1]), true)
 					switch {
 					case k.step == "" && kill:
 						owner.kill()
@@ -166,10 +166,10 @@
 						owner.freeze()
 						fell = true
 					case k.half:
-						y.board.Set(troupe.Rule{Cut: true}, deaf...)
+						y.board.Set(processcluster.Rule{Cut: true}, deaf...)
 						go y.command("fleet", "work", "pause", "--ops", others[1].ops) // whether it hears of it is another's matter
 						fell = y.falls(owner, k.step, kill, times)
-						y.board.Set(troupe.Rule{}, deaf...)
+						y.board.Set(processcluster.Rule{}, deaf...)
 					default:
 						fell = y.falls(owner, k.step, kill, times)
 					}
--- a/internal/lab/troupe/picture.go
+++ b/internal/lab/processcluster/picture.go
@@ -1,4 +1,4 @@
-package troupe
+package processcluster
 
 import (
 	"image/color"
--- a/internal/lab/troupe/switchboard.go
+++ b/internal/lab/processcluster/switchboard.go
@@ -1,6 +1,6 @@
-// Package troupe plays fleets of real sidecars that know each other: it starts their processes, stands between all of them,
+// Package processcluster plays fleets of real sidecars that know each other: it starts their processes, stands between all of them,
 // has troubles come between them, and judges from outside.
-package troupe
+package processcluster
 
 import (
 	"bufio"
