--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -175,7 +175,7 @@
 	if p.settings.Watch != nil {
 		witness = both{p.Judge, p.settings.Watch}
 	}
-	player, err := environment.NewPlayer(p.World, s, loopback{p}, witness)
+	player, err := environment.NewPlayer(p.World, s, playedMachines{p}, witness)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/live/sidecar.go
+++ b/internal/lab/live/sidecar.go
@@ -101,12 +101,12 @@
 	}
 }
 
-// loopback is the world's Ground: machines are the ground's, sidecars are processes.
-type loopback struct{ p *Play }
+// playedMachines is the world's Ground: machines are the ground's, sidecars are processes.
+type playedMachines struct{ p *Play }
 
-var _ environment.Ground = loopback{}
+var _ environment.Ground = playedMachines{}
 
-func (l loopback) at(ip string) *sidecar {
+func (l playedMachines) at(ip string) *sidecar {
 	for _, s := range l.p.sidecars {
 		if s.spec.IP == ip {
 			return s
@@ -116,7 +116,7 @@
 }
 
 // Kill ends a sidecar's process, or a machine's.
-func (l loopback) Kill(ip string) {
+func (l playedMachines) Kill(ip string) {
 	s := l.at(ip)
 	switch {
 	case s == nil:
@@ -131,10 +131,10 @@
 }
 
 // Vanish takes a machine away.
-func (l loopback) Vanish(ip string) { l.p.ground.Vanish(ip) }
+func (l playedMachines) Vanish(ip string) { l.p.ground.Vanish(ip) }
 
 // Return begins a sidecar's next process, or a machine's.
-func (l loopback) Return(ip string) {
+func (l playedMachines) Return(ip string) {
 	s := l.at(ip)
 	if s == nil {
 		l.p.ground.Return(ip)
@@ -148,62 +148,62 @@
 }
 
 // Terminate tells a sidecar's process to end.
-func (l loopback) Terminate(sidecar int) {
+func (l playedMachines) Terminate(sidecar int) {
 	l.p.standing(sidecar, false)
 	l.signal(sidecar, syscall.SIGTERM)
 }
 
 // Now returns the time of the ground.
-func (l loopback) Now() float64 { return l.p.Now() }
+func (l playedMachines) Now() float64 { return l.p.Now() }
 
 // TakeOut does nothing: the sidecars of a world in real time have no door.
-func (l loopback) TakeOut(int, string, bool, func()) {}
+func (l playedMachines) TakeOut(int, string, bool, func()) {}
 
 // What befalls peers, their disks and their states is the crew's.
-func (l loopback) PeersCut(from, to int, on bool) {
+func (l playedMachines) PeersCut(from, to int, on bool) {
 	if c := l.p.settings.Crew; c != nil {
 		c.PeersCut(from, to, on)
 	}
 }
 
-func (l loopback) PeersHold(from, to int, on bool) {
+func (l playedMachines) PeersHold(from, to int, on bool) {
 	if c := l.p.settings.Crew; c != nil {
 		c.PeersHold(from, to, on)
 	}
 }
 
-func (l loopback) PeersReset(a, b int) {
+func (l playedMachines) PeersReset(a, b int) {
 	if c := l.p.settings.Crew; c != nil {
 		c.PeersReset(a, b)
 	}
 }
 
-func (l loopback) PeersSlow(from, to int, perS float64) {
+func (l playedMachines) PeersSlow(from, to int, perS float64) {
 	if c := l.p.settings.Crew; c != nil {
 		c.PeersSlow(from, to, perS)
 	}
 }
 
-func (l loopback) PeersDeaf(sidecar int, perS, until float64) {
+func (l playedMachines) PeersDeaf(sidecar int, perS, until float64) {
 	if c := l.p.settings.Crew; c != nil {
 		c.PeersDeaf(sidecar, perS, time.Now().Add(time.Duration((until-l.p.Now())*float64(time.Second))))
 	}
 }
 
-func (l loopback) DiskFull(sidecar int, on bool) {
+func (l playedMachines) DiskFull(sidecar int, on bool) {
 	if c := l.p.settings.Crew; c != nil {
 		c.DiskFull(sidecar, on)
 	}
 }
 
 // Clock does nothing: scripts for real processes are read without it.
-func (l loopback) Clock(int, float64) {}
+func (l playedMachines) Clock(int, float64) {}
 
 // LateConnects does nothing: scripts for real processes are read without it.
-func (l loopback) LateConnects(string, float64, float64) {}
+func (l playedMachines) LateConnects(string, float64, float64) {}
 
 // Begin begins a sidecar that has stood by; the application beside it follows once it listens.
-func (l loopback) Begin(sidecar int) {
+func (l playedMachines) Begin(sidecar int) {
 	if sidecar >= len(l.p.sidecars) || !l.p.sidecars[sidecar].waits {
 		return
 	}
@@ -214,7 +214,7 @@
 	}
 }
 
-func (l loopback) Spoil(sidecar int, state string) {
+func (l playedMachines) Spoil(sidecar int, state string) {
 	if c := l.p.settings.Crew; c != nil {
 		c.Spoil(sidecar, state)
 	}
@@ -228,7 +228,7 @@
 }
 
 // Freeze has a process stand still, or go on.
-func (l loopback) Freeze(sidecar int, on bool) {
+func (l playedMachines) Freeze(sidecar int, on bool) {
 	if on {
 		l.p.standing(sidecar, false)
 		l.signal(sidecar, syscall.SIGSTOP)
@@ -239,7 +239,7 @@
 }
 
 // Hangup tells it to read its configuration again.
-func (l loopback) Hangup(sidecar int, configuration []byte) {
+func (l playedMachines) Hangup(sidecar int, configuration []byte) {
 	if sidecar >= len(l.p.sidecars) {
 		return
 	}
@@ -250,17 +250,17 @@
 	l.signal(sidecar, syscall.SIGHUP)
 }
 
-func (l loopback) signal(sidecar int, signal syscall.Signal) {
+func (l playedMachines) signal(sidecar int, signal syscall.Signal) {
 	if sidecar < len(l.p.sidecars) && l.p.sidecars[sidecar].child != nil {
 		_ = l.p.sidecars[sidecar].child.Signal(signal) // fails only where it has ended
 	}
 }
 
-func (l loopback) Cut(from, to string)  { l.p.ground.Cut(from, to) }
-func (l loopback) Mend(from, to string) { l.p.ground.Mend(from, to) }
-func (l loopback) Reset(a, b string)    { l.p.ground.Reset(a, b) }
+func (l playedMachines) Cut(from, to string)  { l.p.ground.Cut(from, to) }
+func (l playedMachines) Mend(from, to string) { l.p.ground.Mend(from, to) }
+func (l playedMachines) Reset(a, b string)    { l.p.ground.Reset(a, b) }
 
 // Stall slows what a sidecar's application reads.
-func (l loopback) Stall(sidecar int, share float64) {
+func (l playedMachines) Stall(sidecar int, share float64) {
 	l.p.ground.Stall("app-"+l.p.Day.Sidecars[sidecar].Name, share)
 }
