--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -16,7 +16,7 @@
 
 	"hazelwheel/internal/checker"
 	"hazelwheel/internal/environment"
-	"hazelwheel/internal/lab/ground"
+	"hazelwheel/internal/lab/loopback"
 	"hazelwheel/internal/lab/process"
 	"hazelwheel/internal/tomlfile"
 )
@@ -58,7 +58,7 @@
 	World    *environment.World
 	Judge    *checker.Judge
 	settings *Settings
-	ground   *ground.Ground
+	ground   *loopback.Ground
 	players  []*environment.Player
 	sidecars []*sidecar
 	late     float64 // how long after the day's start the last sidecar was up
@@ -79,7 +79,7 @@
 	parent := ctx
 	ctx, stop := context.WithCancelCause(parent)
 	defer stop(nil)
-	p := &Play{Day: &s.Day, settings: s, ground: ground.New(), stop: stop}
+	p := &Play{Day: &s.Day, settings: s, ground: loopback.New(), stop: stop}
 	if err := p.move(); err != nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 			continue // an application, or who else dials
 		}
 		// Whoever dials begins with the day, when the sidecars are up.
-		if err := p.ground.Add(ground.Machine{Name: m.Name, IP: m.IP, Listen: m.Listen, Boot: m.Boot, Late: m.Late || m.Listen == ""}); err != nil {
+		if err := p.ground.Add(loopback.Machine{Name: m.Name, IP: m.IP, Listen: m.Listen, Boot: m.Boot, Late: m.Late || m.Listen == ""}); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/ground/ground.go
+++ b/internal/lab/loopback/ground.go
@@ -1,10 +1,10 @@
-// Package ground has simulated programs live on real sockets: any number of machines on loopback addresses, each with a
+// Package loopback has simulated programs live on real sockets: any number of machines on loopback addresses, each with a
 // netio.Host, all called by one loop. Machines can be killed, vanish and return, and the ways between them be cut, reset
 // or slow, as a network does it. It is for tens of machines and some thousand requests a second: each connection has
 // goroutines of its own.
 //
 // The programs on it may share state, since all are called by the same loop.
-package ground
+package loopback
 
 import (
 	"context"
--- a/internal/lab/ground/listener.go
+++ b/internal/lab/loopback/listener.go
@@ -1,4 +1,4 @@
-package ground
+package loopback
 
 import (
 	"context"
