--- a/cmd/hazellab/mechanic.go
+++ b/cmd/hazellab/mechanic.go
@@ -9,7 +9,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/lab/mechanic"
+	"hazelwheel/internal/lab/maintenanceagent"
 )
 
 func mechanicCommand() *cli.Command {
@@ -42,7 +42,7 @@
 	ctx, stop := untilSignal(ctx)
 	defer stop()
 	out := c.Root().Writer
-	m := &mechanic.Mechanic{Name: c.String("name"), Doors: func() []string { return doors }, Takes: func(string) time.Duration { return c.Duration("takes") },
+	m := &maintenanceagent.Mechanic{Name: c.String("name"), Doors: func() []string { return doors }, Takes: func(string) time.Duration { return c.Duration("takes") },
 		Twice: c.Bool("twice"), Hands: func(box string, on bool) {
 			if on {
 				fmt.Fprintln(out, "works on", box)
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -20,7 +20,7 @@
 
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/lab/mechanic"
+	"hazelwheel/internal/lab/maintenanceagent"
 	"hazelwheel/internal/lab/processcluster"
 	"hazelwheel/internal/maintenanceplan"
 )
@@ -29,7 +29,7 @@
 type yard struct {
 	*crew
 	boxes     []*box
-	mechanics []*mechanic.Mechanic
+	mechanics []*maintenanceagent.Mechanic
 	plans     []maintenance.Spec
 	times     map[string]int // that a box is in a plan, by name
 	serving   func()         // ends the clients and judges what they got
@@ -133,8 +133,8 @@
 }
 
 // mechanic has somebody work until the test ends or what it returns is called.
-func (y *yard) mechanic(name string, change func(m *mechanic.Mechanic)) (m *mechanic.Mechanic, stop func()) {
-	m = &mechanic.Mechanic{Name: name, Takes: func(string) time.Duration { return takesIn }, Doors: y.doors}
+func (y *yard) mechanic(name string, change func(m *maintenanceagent.Mechanic)) (m *maintenanceagent.Mechanic, stop func()) {
+	m = &maintenanceagent.Mechanic{Name: name, Takes: func(string) time.Duration { return takesIn }, Doors: y.doors}
 	if change != nil {
 		change(m)
 	}
@@ -143,7 +143,7 @@
 }
 
 // runs has a mechanic begin, or begin again.
-func (y *yard) runs(m *mechanic.Mechanic) (stop func()) {
+func (y *yard) runs(m *maintenanceagent.Mechanic) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() {
@@ -341,11 +341,11 @@
 }
 
 // records returns what mechanics did, in the order in which it began.
-func (y *yard) records() (all []mechanic.Record) {
+func (y *yard) records() (all []maintenanceagent.Record) {
 	for _, m := range y.mechanics {
 		all = append(all, m.Records()...)
 	}
-	slices.SortFunc(all, func(a, b mechanic.Record) int { return a.From.Compare(b.From) })
+	slices.SortFunc(all, func(a, b maintenanceagent.Record) int { return a.From.Compare(b.From) })
 	return all
 }
 
@@ -361,7 +361,7 @@
 		if to.IsZero() {
 			to = time.Now()
 		}
-		forced := slices.ContainsFunc(all, func(o mechanic.Record) bool { return o.Token == r.Token && o.Forced != "" })
+		forced := slices.ContainsFunc(all, func(o maintenanceagent.Record) bool { return o.Token == r.Token && o.Forced != "" })
 		b.mu.Lock()
 		for _, v := range b.came {
 			open := v.from.Before(to) && (v.to.IsZero() || v.to.After(r.From))
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/lab/mechanic"
+	"hazelwheel/internal/lab/maintenanceagent"
 	"hazelwheel/internal/lab/processcluster"
 )
 
@@ -42,7 +42,7 @@
 // lost it, one that was killed before the box left and has never heard of it; and one reads its configuration again.
 func TestWorkSidecarsStart(t *testing.T) {
 	y := newYard(t, 6, 3, 3).open()
-	y.mechanic("anna", func(m *mechanic.Mechanic) { m.Takes = func(string) time.Duration { return 12 * time.Second } })
+	y.mechanic("anna", func(m *maintenanceagent.Mechanic) { m.Takes = func(string) time.Duration { return 12 * time.Second } })
 	before := y.all[5]
 	before.kill()
 	b := y.boxes[1]
@@ -248,7 +248,7 @@
 func TestWorkIsAborted(t *testing.T) {
 	y := newYard(t, 3, 3, 6).open()
 	long := make(chan struct{})
-	y.mechanic("anna", func(m *mechanic.Mechanic) {
+	y.mechanic("anna", func(m *maintenanceagent.Mechanic) {
 		m.Takes = func(string) time.Duration { <-long; return 0 }
 	})
 	b := y.hold(y.all[0], "write")
@@ -280,7 +280,7 @@
 func TestWorkMechanics(t *testing.T) {
 	y := newYard(t, 3, 3, 3).open()
 	owner := y.owner(y.all...)
-	slow := func(m *mechanic.Mechanic) {
+	slow := func(m *maintenanceagent.Mechanic) {
 		m.Takes = func(string) time.Duration { return 4 * time.Second }
 		m.Twice = true
 	}
@@ -345,7 +345,7 @@
 		t.Run(name, func(t *testing.T) {
 			y := newYard(t, 3, 3, 4).open()
 			over := make(chan struct{})
-			y.mechanic("anna", func(m *mechanic.Mechanic) {
+			y.mechanic("anna", func(m *maintenanceagent.Mechanic) {
 				m.Takes = func(string) time.Duration { <-over; return 0 }
 			})
 			b := y.boxes[0]
@@ -466,7 +466,7 @@
 	m.env = append(m.env, "TMPDIR="+m.tmp, "GW_PASSED_SOCKET=4")
 	y.open()
 	over := make(chan struct{})
-	y.mechanic("anna", func(m *mechanic.Mechanic) {
+	y.mechanic("anna", func(m *maintenanceagent.Mechanic) {
 		m.Takes = func(string) time.Duration { <-over; return 0 }
 	})
 	b := y.boxes[0]
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -17,7 +17,7 @@
 
 	"hazelwheel/internal/coordination"
 	"hazelwheel/internal/decide/maintenance"
-	"hazelwheel/internal/lab/mechanic"
+	"hazelwheel/internal/lab/maintenanceagent"
 	"hazelwheel/internal/lab/processcluster"
 )
 
@@ -123,7 +123,7 @@
 			}
 			y.open()
 			var away atomic.Bool // the mechanic is: else the plan could come to its end while somebody starts again
-			y.mechanic("anna", func(m *mechanic.Mechanic) {
+			y.mechanic("anna", func(m *maintenanceagent.Mechanic) {
 				m.Takes = func(string) time.Duration { return time.Second }
 				m.Doors = func() []string {
 					if away.Load() {
--- a/internal/lab/mechanic/mechanic.go
+++ b/internal/lab/maintenanceagent/mechanic.go
@@ -1,6 +1,6 @@
-// Package mechanic stands in for whoever works on boxes: it asks sidecars' doors for one that is ready, has it for a while, says that
+// Package maintenanceagent stands in for whoever works on boxes: it asks sidecars' doors for one that is ready, has it for a while, says that
 // it is done, and keeps what it did for judges.
-package mechanic
+package maintenanceagent
 
 import (
 	"bufio"
--- a/internal/lab/mechanic/mechanic_test.go
+++ b/internal/lab/maintenanceagent/mechanic_test.go
@@ -1,4 +1,4 @@
-package mechanic
+package maintenanceagent
 
 import (
 	"bufio"
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -14,7 +14,7 @@
 	"hazelwheel/internal/checker"
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/environment"
-	"hazelwheel/internal/lab/mechanic"
+	"hazelwheel/internal/lab/maintenanceagent"
 )
 
 // Work is what is to be done to boxes while a fleet is played.
@@ -32,26 +32,26 @@
 
 // Worked is what came of it.
 type Worked struct {
-	Boxes    int                `json:"boxes"`
-	Done     int                `json:"done"`
-	Skipped  int                `json:"skipped"`
-	Lost     int                `json:"lost"`
-	Ended    bool               `json:"ended"`
-	BeganS   float64            `json:"began_s"`
-	TotalS   float64            `json:"total_s"`          // from when it was given to its end, or until the day's
-	WorstS10 float64            `json:"worst_10_s"`       // least part of the worth that was served in time, of ten seconds
-	WorstAtS float64            `json:"worst_10_s_at"`    // when they began
-	Asked    int                `json:"asked"`            // tries, while it went on
-	Refused  int                `json:"refused"`          // of these
-	GoneSent int                `json:"gone_sent"`        // requests to a box that was worked on, of sidecars that had counted as gone
-	Unheeded int                `json:"unheeded"`         // calls by hand that a door did not take
-	Error    string             `json:"error,omitempty"`  // why it was not taken
-	Records  []mechanic.Record  `json:"records"`          // by whom it was worked on
-	Stages   []StageChange      `json:"stages,omitempty"` // of boxes, as doors told of them
-	Wrong    []string           `json:"wrong,omitempty"`
-	Waits    []maintenance.Wait `json:"waits,omitempty"`  // what was waited for at the end
-	HeldS    map[string]float64 `json:"held_s,omitempty"` // for how long the plan, or a box, waited for what
-	Untold   int                `json:"untold"`           // looks at the doors at which nobody said anything
+	Boxes    int                       `json:"boxes"`
+	Done     int                       `json:"done"`
+	Skipped  int                       `json:"skipped"`
+	Lost     int                       `json:"lost"`
+	Ended    bool                      `json:"ended"`
+	BeganS   float64                   `json:"began_s"`
+	TotalS   float64                   `json:"total_s"`          // from when it was given to its end, or until the day's
+	WorstS10 float64                   `json:"worst_10_s"`       // least part of the worth that was served in time, of ten seconds
+	WorstAtS float64                   `json:"worst_10_s_at"`    // when they began
+	Asked    int                       `json:"asked"`            // tries, while it went on
+	Refused  int                       `json:"refused"`          // of these
+	GoneSent int                       `json:"gone_sent"`        // requests to a box that was worked on, of sidecars that had counted as gone
+	Unheeded int                       `json:"unheeded"`         // calls by hand that a door did not take
+	Error    string                    `json:"error,omitempty"`  // why it was not taken
+	Records  []maintenanceagent.Record `json:"records"`          // by whom it was worked on
+	Stages   []StageChange             `json:"stages,omitempty"` // of boxes, as doors told of them
+	Wrong    []string                  `json:"wrong,omitempty"`
+	Waits    []maintenance.Wait        `json:"waits,omitempty"`  // what was waited for at the end
+	HeldS    map[string]float64        `json:"held_s,omitempty"` // for how long the plan, or a box, waited for what
+	Untold   int                       `json:"untold"`           // looks at the doors at which nobody said anything
 	broken   int
 }
 
@@ -83,8 +83,8 @@
 	over      float64
 	last      *workState
 	lookedAt  time.Time
-	mechanics []*mechanic.Mechanic
-	byHand    []mechanic.Record
+	mechanics []*maintenanceagent.Mechanic
+	byHand    []maintenanceagent.Record
 }
 
 // execution is a request at a box. to is 0 while it is out.
@@ -178,7 +178,7 @@
 	}
 	give := maintenance.Command{Nonce: p.t.s.Seed<<1 | 1, Kind: maintenance.Give, Spec: &p.work.Spec}
 	for ctx.Err() == nil {
-		r, err := mechanic.Say(ctx, p.t.doors, give)
+		r, err := maintenanceagent.Say(ctx, p.t.doors, give)
 		if err == nil && r.Err != "" {
 			p.mu.Lock()
 			p.w.Error = r.Err
@@ -195,7 +195,7 @@
 	var working sync.WaitGroup
 	defer working.Wait()
 	for i := range p.work.Spec.AtOnce {
-		m := &mechanic.Mechanic{Name: fmt.Sprintf("mechanic-%d", i), Doors: p.t.doors, Takes: func(string) time.Duration { return inS(p.work.Spec.TakesS) }}
+		m := &maintenanceagent.Mechanic{Name: fmt.Sprintf("mechanic-%d", i), Doors: p.t.doors, Takes: func(string) time.Duration { return inS(p.work.Spec.TakesS) }}
 		p.mechanics = append(p.mechanics, m)
 		working.Go(func() { m.Run(ctx) })
 	}
@@ -220,7 +220,7 @@
 
 // look asks a door how far it is.
 func (p *workPlay) look(ctx context.Context, door string) {
-	raw, err := mechanic.Call(ctx, door, "WORKS")
+	raw, err := maintenanceagent.Call(ctx, door, "WORKS")
 	var s workState
 	if err != nil || json.Unmarshal(raw, &s) != nil {
 		p.w.Untold++
@@ -262,7 +262,7 @@
 func (p *workPlay) hand(ctx context.Context) {
 	say := func(line string) {
 		for _, door := range p.t.doors() {
-			if raw, err := mechanic.Call(ctx, door, line); err != nil || string(raw[:min(2, len(raw))]) != "OK" {
+			if raw, err := maintenanceagent.Call(ctx, door, line); err != nil || string(raw[:min(2, len(raw))]) != "OK" {
 				p.w.Unheeded++
 			}
 		}
@@ -286,7 +286,7 @@
 		}
 		come(box, maintenance.Taken)
 		p.mu.Lock()
-		p.byHand = append(p.byHand, mechanic.Record{Mechanic: "script", Box: box, From: time.Now()})
+		p.byHand = append(p.byHand, maintenanceagent.Record{Mechanic: "script", Box: box, From: time.Now()})
 		p.mu.Unlock()
 		if !rest(ctx, inS(p.work.Spec.TakesS)) {
 			return
@@ -334,7 +334,7 @@
 	for _, m := range p.mechanics {
 		w.Records = append(w.Records, m.Records()...)
 	}
-	slices.SortFunc(w.Records, func(a, b mechanic.Record) int { return a.From.Compare(b.From) })
+	slices.SortFunc(w.Records, func(a, b maintenanceagent.Record) int { return a.From.Compare(b.From) })
 	w.Boxes = len(p.named())
 	if p.last != nil && len(p.last.Plans) > 0 {
 		w.Waits = p.last.Waits
@@ -401,7 +401,7 @@
 func unix(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
 
 // span returns when a piece of work began and ended; what goes on ends with the day.
-func span(r *mechanic.Record) (from, to float64) {
+func span(r *maintenanceagent.Record) (from, to float64) {
 	if from, to = unix(r.From), unix(r.To); r.To.IsZero() {
 		to = now()
 	}
--- a/internal/lab/processcluster/works_test.go
+++ b/internal/lab/processcluster/works_test.go
@@ -10,28 +10,28 @@
 	"hazelwheel/internal/checker"
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/environment"
-	"hazelwheel/internal/lab/mechanic"
+	"hazelwheel/internal/lab/maintenanceagent"
 )
 
 // Each wrong of a plan is found, and what is near it and right is not.
 func TestWorkIsJudged(t *testing.T) {
 	type visit struct{ from, to float64 } // at box a, of sidecar 0; to is 0 where it never ends
-	piece := func(box string, token uint64, from, to float64) mechanic.Record {
+	piece := func(box string, token uint64, from, to float64) maintenanceagent.Record {
 		at := func(s float64) time.Time { return time.Unix(0, int64(s*1e9)) }
-		r := mechanic.Record{Mechanic: "anna", Box: box, Token: token, From: at(from)}
+		r := maintenanceagent.Record{Mechanic: "anna", Box: box, Token: token, From: at(from)}
 		if to > 0 {
 			r.To = at(to)
 		}
 		return r
 	}
-	usual := []mechanic.Record{piece("a", 1, 1000, 1010), piece("b", 2, 1020, 1030)}
+	usual := []maintenanceagent.Record{piece("a", 1, 1000, 1010), piece("b", 2, 1020, 1030)}
 	forced := piece("a", 1, 1000, 1010)
 	forced.Forced = "forced by an operator"
 	done, cold := maintenance.Done, maintenance.Cold
 	for name, k := range map[string]struct {
 		visits  []visit
 		away    []away
-		records []mechanic.Record
+		records []maintenanceagent.Record
 		stages  [2]maintenance.Stage // of a and b
 		why     string               // of a
 		want    []checker.Rule
@@ -42,13 +42,13 @@
 		"sent just before":                 {[]visit{{999.5, 999.6}}, nil, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkOccupied}, 0},
 		"out since long":                   {[]visit{{900, 1000.1}}, nil, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkOccupied}, 0},
 		"out for ever":                     {[]visit{{900, 0}}, nil, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkOccupied}, 0},
-		"by force":                         {[]visit{{900, 0}}, nil, []mechanic.Record{forced}, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
+		"by force":                         {[]visit{{900, 0}}, nil, []maintenanceagent.Record{forced}, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
 		"of one that had counted as gone":  {[]visit{{1005, 1005.1}}, []away{{0, 900, 1004}}, usual, [2]maintenance.Stage{done, done}, "", nil, 1},
 		"of one that was away too shortly": {[]visit{{1005, 1005.1}}, []away{{0, 950, 1004}}, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkOccupied}, 0},
-		"while the one before is cold": {nil, nil, []mechanic.Record{piece("a", 1, 1000, 1010), piece("b", 2, 1014, 1030)}, [2]maintenance.Stage{done, done}, "",
+		"while the one before is cold": {nil, nil, []maintenanceagent.Record{piece("a", 1, 1000, 1010), piece("b", 2, 1014, 1030)}, [2]maintenance.Stage{done, done}, "",
 			[]checker.Rule{checker.WorkMany}, 0},
-		"twice":                            {nil, nil, append([]mechanic.Record{piece("a", 7, 1040, 1050)}, usual...), [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkTwice}, 0},
-		"gone on with by one who had died": {nil, nil, append([]mechanic.Record{piece("a", 1, 990, 995)}, usual...), [2]maintenance.Stage{done, done}, "", nil, 0},
+		"twice":                            {nil, nil, append([]maintenanceagent.Record{piece("a", 7, 1040, 1050)}, usual...), [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkTwice}, 0},
+		"gone on with by one who had died": {nil, nil, append([]maintenanceagent.Record{piece("a", 1, 990, 995)}, usual...), [2]maintenance.Stage{done, done}, "", nil, 0},
 		"nobody has done it":               {nil, nil, usual[:1], [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
 		"done and forgotten":               {nil, nil, usual, [2]maintenance.Stage{maintenance.Waiting, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
 		"skipped for no cause":             {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
