--- a/cmd/hazellab/flood.go
+++ b/cmd/hazellab/flood.go
@@ -11,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 
 	"hazelwheel/internal/lab/flood"
-	"hazelwheel/internal/lab/standin"
+	"hazelwheel/internal/lab/stub"
 )
 
 func floodCommand() *cli.Command {
@@ -29,7 +29,7 @@
 			&cli.DurationFlag{Name: "for", Value: 6 * time.Second, Usage: "how long"},
 			&cli.IntFlag{Name: "ahead", Value: 500, Usage: "unread: requests that each connection sends at once"},
 			&cli.DurationFlag{Name: "within", Value: 2400 * time.Millisecond, Usage: "slow-head: how long a head takes"},
-			&cli.StringFlag{Name: "class", Value: standin.KeyedClass, Usage: "what is asked for"},
+			&cli.StringFlag{Name: "class", Value: stub.KeyedClass, Usage: "what is asked for"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of ids"},
 			&cli.BoolFlag{Name: "json", Usage: "print the figures as JSON"},
 		},
--- a/cmd/hazellab/load.go
+++ b/cmd/hazellab/load.go
@@ -15,7 +15,7 @@
 	"github.com/urfave/cli/v3"
 
 	"hazelwheel/internal/lab/load"
-	"hazelwheel/internal/lab/standin"
+	"hazelwheel/internal/lab/stub"
 )
 
 func loadCommand() *cli.Command {
@@ -28,7 +28,7 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "target", Value: "127.0.0.1:3000", Usage: "the sidecar's `ADDRESS`; several apart by commas share the links and the rate"},
 			&cli.StringFlag{Name: "from", Usage: "the source `ADDRESS`"},
-			&cli.StringFlag{Name: "class", Value: standin.SafeClass, Usage: "the classes"},
+			&cli.StringFlag{Name: "class", Value: stub.SafeClass, Usage: "the classes"},
 			&cli.StringFlag{Name: "rate", Usage: "open loop: requests a second, or stages like 100:5s,100-400:10s,0:2s, or @FILE with a stage a line; without it the loop is closed"},
 			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "how long, where the rate has no stages"},
 			&cli.BoolFlag{Name: "poisson", Usage: "arrivals by chance; otherwise even"},
@@ -157,7 +157,7 @@
 		}
 		name, effect, given := strings.Cut(name, ":")
 		if !given {
-			effect = map[string]string{standin.SafeClass: "safe", standin.KeyedClass: "keyed", standin.UnsafeClass: "unsafe"}[name]
+			effect = map[string]string{stub.SafeClass: "safe", stub.KeyedClass: "keyed", stub.UnsafeClass: "unsafe"}[name]
 		}
 		switch effect {
 		case "safe":
--- a/cmd/hazellab/standin.go
+++ b/cmd/hazellab/standin.go
@@ -7,7 +7,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/lab/standin"
+	"hazelwheel/internal/lab/stub"
 )
 
 func standinCommand() *cli.Command {
@@ -41,25 +41,25 @@
 	if err != nil {
 		return fault(fmt.Errorf("base: %w", err))
 	}
-	s := standin.Settings{Boxes: c.Int("boxes"), Base: base, Port: c.Int("port"), Delay: c.Duration("delay"),
+	s := stub.Settings{Boxes: c.Int("boxes"), Base: base, Port: c.Int("port"), Delay: c.Duration("delay"),
 		Body: c.Int("body"), Threads: c.Int("threads"), Zones: c.StringSlice("zone"),
 		Slots: c.Int("slots"), Waiting: c.Int("waiting")}
 	if err := s.Err(); err != nil {
 		return fault(err)
 	}
 	if path := c.String("config"); path != "" {
-		sidecar := standin.Sidecar{Name: "n0", Listen: c.String("listen"), Discovery: c.String("discovery"),
+		sidecar := stub.Sidecar{Name: "n0", Listen: c.String("listen"), Discovery: c.String("discovery"),
 			Cores: c.Float("cores"), MemoryMB: c.Int("memory"), Sockets: c.Int("sockets"), Pushed: c.Bool("pushed"),
 			Zones: s.Zones, Replicas: 1}
 		if err := sidecar.Write(path); err != nil {
 			return err
 		}
 	}
-	boxes, err := standin.Start(s)
+	boxes, err := stub.Start(s)
 	if err != nil {
 		return err
 	}
-	discovery, err := standin.StartDiscovery(c.String("discovery"), boxes)
+	discovery, err := stub.StartDiscovery(c.String("discovery"), boxes)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/experiment/folder.go
+++ b/internal/lab/experiment/folder.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"hazelwheel/internal/lab/load"
-	"hazelwheel/internal/lab/standin"
+	"hazelwheel/internal/lab/stub"
 )
 
 // About is what a folder says of the experiment whose figures it holds. It is written when the experiment begins, as
@@ -41,14 +41,14 @@
 // Record is what is known of a run.
 type Record struct {
 	Run
-	Began   time.Time        `json:"began"`
-	Partial bool             `json:"partial"`
-	Why     string           `json:"why,omitempty"` // it is partial
-	CPUS    float64          `json:"cpu_s"`         // of all balancers, while the load lasted
-	PeakMB  float64          `json:"peak_mb"`       // of the one that held most, in 2^20 bytes
-	Boxes   []standin.Counts `json:"boxes"`
-	Events  []Happened       `json:"events"`
-	Result  *load.Result     `json:"-"` // nil: there is none
+	Began   time.Time     `json:"began"`
+	Partial bool          `json:"partial"`
+	Why     string        `json:"why,omitempty"` // it is partial
+	CPUS    float64       `json:"cpu_s"`         // of all balancers, while the load lasted
+	PeakMB  float64       `json:"peak_mb"`       // of the one that held most, in 2^20 bytes
+	Boxes   []stub.Counts `json:"boxes"`
+	Events  []Happened    `json:"events"`
+	Result  *load.Result  `json:"-"` // nil: there is none
 
 	Profiles []string `json:"-"` // files
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -17,7 +17,7 @@
 
 	"hazelwheel/internal/lab/load"
 	"hazelwheel/internal/lab/process"
-	"hazelwheel/internal/lab/standin"
+	"hazelwheel/internal/lab/stub"
 )
 
 // Settings say where an experiment runs.
@@ -247,7 +247,7 @@
 		return spec, nil
 	}
 	config := filepath.Join(b.dir, fmt.Sprintf("sidecar-%d.json", number))
-	sidecar := standin.Sidecar{Name: "n" + strconv.Itoa(number), Listen: listen, Discovery: b.discovery, Cores: kind.Cores,
+	sidecar := stub.Sidecar{Name: "n" + strconv.Itoa(number), Listen: listen, Discovery: b.discovery, Cores: kind.Cores,
 		MemoryMB: kind.MemoryMB, Sockets: kind.Sockets, Zones: []string{"amman-north"}, Replicas: b.record.size.Balancers, Self: number}
 	spec.Args = []string{"serve", "--config", config}
 	if kind.Profile {
--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -12,7 +12,7 @@
 
 	"hazelwheel/internal/lab/load"
 	"hazelwheel/internal/lab/proxy"
-	"hazelwheel/internal/lab/standin"
+	"hazelwheel/internal/lab/stub"
 	"hazelwheel/internal/tomlfile"
 )
 
@@ -174,7 +174,7 @@
 		or(&l.Backoff, 50*time.Millisecond)
 		l.Threads = orNumber(l.Threads, 1)
 		if len(l.Classes) == 0 {
-			l.Classes = []Class{{standin.SafeClass, 1}}
+			l.Classes = []Class{{stub.SafeClass, 1}}
 		}
 		for _, g := range l.Stages {
 			l.For.Duration += g.For.Duration
@@ -279,7 +279,7 @@
 	c.check("name", named, "missing, or there before")
 	c.time("delay", &s.Delay, 0, time.Minute)
 	c.check("balancers", s.Balancers >= 1 && s.Balancers <= mostBalancers, fmt.Sprintf("not 1 to %d", mostBalancers))
-	c.check("boxes", s.Boxes >= 1 && s.Boxes <= standin.MostBoxes, fmt.Sprintf("not 1 to %d", standin.MostBoxes))
+	c.check("boxes", s.Boxes >= 1 && s.Boxes <= stub.MostBoxes, fmt.Sprintf("not 1 to %d", stub.MostBoxes))
 	c.check("body", s.Body >= 0 && s.Body <= 64<<10, "not 0 to 65536")
 	c.check("slots", s.Slots >= 0 && (s.Slots == 0 || s.Delay.Duration > 0), "below 0, or without a delay")
 	c.check("waiting", s.Waiting >= 0, "below 0")
@@ -307,7 +307,7 @@
 	c.check("for", s.Step.Duration <= 0 || l.For.Duration/s.Step.Duration <= 4000, "more than 4,000 steps")
 	for i, k := range l.Classes {
 		c := c.in("classes", i)
-		known := slices.ContainsFunc(standin.ClassSpecs, func(x standin.ClassSpec) bool { return x.Name == k.Name })
+		known := slices.ContainsFunc(stub.ClassSpecs, func(x stub.ClassSpec) bool { return x.Name == k.Name })
 		c.check("name", known, fmt.Sprintf("%q is no class of the stand-ins'", k.Name))
 		c.check("share", k.Share > 0, "not above 0")
 	}
@@ -322,12 +322,12 @@
 		e := &t.Events[i]
 		c := c.in("events", i)
 		own := e.Kind == Freeze || e.Kind == Kill
-		c.check("kind", own || slices.Contains(standin.TroubleKinds, e.Kind),
-			fmt.Sprintf("%q is none of %v, %s, %s", e.Kind, standin.TroubleKinds, Freeze, Kill))
+		c.check("kind", own || slices.Contains(stub.TroubleKinds, e.Kind),
+			fmt.Sprintf("%q is none of %v, %s, %s", e.Kind, stub.TroubleKinds, Freeze, Kill))
 		c.time("at", &e.At, 0, time.Hour)
 		c.time("for", &e.For, time.Millisecond, time.Hour)
 		c.time("delay", &e.Delay, 0, time.Minute)
-		c.check("delay", (e.Kind == standin.Slow) == (e.Delay.Duration > 0), "slow boxes alone have one")
+		c.check("delay", (e.Kind == stub.Slow) == (e.Delay.Duration > 0), "slow boxes alone have one")
 		c.check("boxes", own == (len(e.Boxes) == 0), "boxes' troubles alone name some")
 		for _, l := range s.Loads {
 			c.check("at", e.At.Duration+e.For.Duration <= l.For.Duration, "its end is behind that of load "+l.Name)
@@ -351,7 +351,7 @@
 		p.Stages = []load.Stage{{From: l.Rate, To: l.Rate, For: l.For.Duration}}
 	}
 	for _, k := range l.Classes {
-		for _, x := range standin.ClassSpecs {
+		for _, x := range stub.ClassSpecs {
 			if x.Name == k.Name {
 				p.Classes = append(p.Classes, load.Class{Name: x.Name, Safe: x.Effect == "free", Keyed: x.Effect == "guarded", Share: k.Share,
 					Worth: x.Worth, LateShare: x.Late, Aim: time.Duration(x.AimS * float64(time.Second))})
--- a/internal/lab/experiment/trouble.go
+++ b/internal/lab/experiment/trouble.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"hazelwheel/internal/lab/process"
-	"hazelwheel/internal/lab/standin"
+	"hazelwheel/internal/lab/stub"
 )
 
 // step is a trouble's beginning or end.
@@ -115,7 +115,7 @@
 		b.balancers[0] = child
 		return child.Ready(b.ctx, b.listen[0], time.Now().Add(startBy))
 	}
-	t := standin.Trouble{Kind: s.event.Kind, Boxes: s.event.Boxes, Delay: s.event.Delay.Duration}
+	t := stub.Trouble{Kind: s.event.Kind, Boxes: s.event.Boxes, Delay: s.event.Delay.Duration}
 	if s.end {
 		t.Kind, t.Delay = "", 0
 	}
--- a/internal/lab/pressure/measurements.go
+++ b/internal/lab/pressure/measurements.go
@@ -9,7 +9,7 @@
 
 	"hazelwheel/internal/lab/load"
 	"hazelwheel/internal/lab/process"
-	"hazelwheel/internal/lab/standin"
+	"hazelwheel/internal/lab/stub"
 )
 
 // measurement is one kind of pressure.
@@ -86,7 +86,7 @@
 )
 
 func underFlood(b *bench, args []string) ([]Figure, error) {
-	alert := []string{"--class", standin.KeyedClass, "--patience", "2s"}
+	alert := []string{"--class", stub.KeyedClass, "--patience", "2s"}
 	kept, err := b.load(before+floodFor, append(alert, "--from", knownAddress, "--rate", "40", "--links", "8")...)
 	if err != nil {
 		return nil, err
@@ -216,7 +216,7 @@
 
 // drain says the word to end while 16 clients ask, and come back on a new connection whenever they are told to close.
 func drain(b *bench) ([]Figure, error) {
-	clients, err := b.load(before+drainMost+time.Second, "--class", standin.SafeClass, "--links", "16", "--threads", "2")
+	clients, err := b.load(before+drainMost+time.Second, "--class", stub.SafeClass, "--links", "16", "--threads", "2")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/standin/boxes.go
+++ b/internal/lab/stub/boxes.go
@@ -1,7 +1,7 @@
-// Package standin plays the servers of a deployment and their discovery service at little cost, so that what is measured
+// Package stub plays the servers of a deployment and their discovery service at little cost, so that what is measured
 // is the sidecar and not what stands behind it: all boxes are one process with one event loop, and each answers every
 // request alike, at once or after a fixed time, all together or so many at a time. Troubles can be done to them.
-package standin
+package stub
 
 import (
 	"bytes"
--- a/internal/lab/standin/config.go
+++ b/internal/lab/stub/config.go
@@ -1,4 +1,4 @@
-package standin
+package stub
 
 import (
 	"encoding/json"
