--- a/cmd/hazellab/pressure.go
+++ b/cmd/hazellab/pressure.go
@@ -14,7 +14,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"hazelwheel/internal/lab/pressure"
+	"hazelwheel/internal/lab/overload"
 	"hazelwheel/internal/lab/process"
 )
 
@@ -37,7 +37,7 @@
 }
 
 func runPressure(ctx context.Context, c *cli.Command) error {
-	s := pressure.Settings{Repeats: c.Int("repeats"), Nice: c.Int("nice"), Say: os.Stderr}
+	s := overload.Settings{Repeats: c.Int("repeats"), Nice: c.Int("nice"), Say: os.Stderr}
 	if s.Nice < -20 || s.Nice > 19 {
 		return fault(fmt.Errorf("nice: %d, not -20 to 19", s.Nice))
 	}
@@ -63,13 +63,13 @@
 		if _, err := os.Stat(path); err != nil {
 			return fault(err)
 		}
-		s.Programs = append(s.Programs, pressure.Program{Name: filepath.Base(path), Path: path})
+		s.Programs = append(s.Programs, overload.Program{Name: filepath.Base(path), Path: path})
 	}
 	if len(s.Programs) == 2 && s.Programs[0].Name == s.Programs[1].Name {
 		s.Programs[0].Name, s.Programs[1].Name = s.Programs[0].Name+" A", s.Programs[1].Name+" B"
 	}
 	for _, kind := range c.StringSlice("beside") {
-		s.Programs = append(s.Programs, pressure.Program{Name: kind, Proxy: kind})
+		s.Programs = append(s.Programs, overload.Program{Name: kind, Proxy: kind})
 	}
 	if s.Self, err = os.Executable(); err != nil {
 		return err
@@ -85,8 +85,8 @@
 		return err
 	}
 	defer unlock()
-	rows, err := pressure.Run(ctx, &s)
-	pressure.Table(c.Root().Writer, rows, s.Programs)
+	rows, err := overload.Run(ctx, &s)
+	overload.Table(c.Root().Writer, rows, s.Programs)
 	fmt.Fprintf(c.Root().Writer, "\n%d cores, %s; program, boxes, load and flood on cores %s; priority %d; %d runs each, in turns; load average at the end %s\n",
 		runtime.NumCPU(), runtime.Version(), c.String("cores"), s.Nice, s.Repeats, loadAverage())
 	if err != nil {
@@ -120,7 +120,7 @@
 }
 
 // parseCores reads four lists of cores, like 2,3,4-5,6-7.
-func parseCores(text string) (c pressure.Cores, err error) {
+func parseCores(text string) (c overload.Cores, err error) {
 	if text == "none" {
 		return c, nil
 	}
--- a/cmd/hazellab/pressure_test.go
+++ b/cmd/hazellab/pressure_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"hazelwheel/internal/lab/pressure"
+	"hazelwheel/internal/lab/overload"
 )
 
 // build builds the sidecar, once for all tests.
@@ -56,7 +56,7 @@
 	gone(t, pids)
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
-	var rows []pressure.Row
+	var rows []overload.Row
 	require.NoError(t, json.Unmarshal(raw, &rows))
 	values := map[string]map[string][]float64{}
 	for _, r := range rows {
--- a/internal/lab/pressure/measurements.go
+++ b/internal/lab/overload/measurements.go
@@ -1,4 +1,4 @@
-package pressure
+package overload
 
 import (
 	"errors"
--- a/internal/lab/pressure/pressure.go
+++ b/internal/lab/overload/pressure.go
@@ -1,7 +1,7 @@
-// Package pressure measures what a sidecar does when it is pressed: by floods of connections, by more load than its core
+// Package overload measures what a sidecar does when it is pressed: by floods of connections, by more load than its core
 // can carry, by a word to end while clients go on, and by answers that nobody reads. Programs are measured in turns, each
 // run with fresh processes on cores of their own.
-package pressure
+package overload
 
 import (
 	"bytes"
