--- a/internal/lab/flood/flood.go
+++ b/internal/lab/flood/flood.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 
 	"hazelwheel/internal/lab/load"
-	"hazelwheel/internal/lab/sock"
+	"hazelwheel/internal/lab/rawsocket"
 )
 
 // Plan is a flood.
@@ -171,7 +171,7 @@
 		from = netip.AddrFrom4([4]byte{b[0], b[1], byte(at >> 8), byte(at)})
 		f.address += f.plan.Threads
 	}
-	fd, err := sock.DialBlocking(f.plan.Target, from, func(fd int) {
+	fd, err := rawsocket.DialBlocking(f.plan.Target, from, func(fd int) {
 		_ = unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_SNDTIMEO, &stallMost) // of the dial, too
 		if f.kind.unread {
 			_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, 4096)
--- a/internal/lab/load/worker.go
+++ b/internal/lab/load/worker.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"hazelwheel/internal/lab/sock"
+	"hazelwheel/internal/lab/rawsocket"
 )
 
 const (
@@ -306,7 +306,7 @@
 
 // open begins to open a link.
 func (w *worker) open(l *link) {
-	fd, err := sock.Dial(w.to, w.plan.From)
+	fd, err := rawsocket.Dial(w.to, w.plan.From)
 	if err == nil {
 		err = unix.EpollCtl(w.poll, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Fd: int32(fd),
 			Events: unix.EPOLLIN | unix.EPOLLOUT | unix.EPOLLRDHUP | edge})
--- a/internal/lab/sock/sock.go
+++ b/internal/lab/rawsocket/sock.go
@@ -1,5 +1,5 @@
-// Package sock opens raw sockets for the laboratory's clients, from a source address of their choice.
-package sock
+// Package rawsocket opens raw sockets for the laboratory's clients, from a source address of their choice.
+package rawsocket
 
 import (
 	"net/netip"
