--- a/cmd/hazellab/demo.go
+++ b/cmd/hazellab/demo.go
@@ -9,7 +9,7 @@
 	"golang.org/x/term"
 
 	"hazelwheel/internal/lab/experiment"
-	"hazelwheel/internal/lab/live"
+	"hazelwheel/internal/lab/realtime"
 )
 
 func demoCommand() *cli.Command {
@@ -43,7 +43,7 @@
 	if _, err := os.Stat(binary); err != nil {
 		return fault(err)
 	}
-	d := live.Demo{Binary: binary, Seed: c.Uint64("seed"), Out: c.Root().Writer, Screen: !c.Bool("plain") && term.IsTerminal(int(os.Stdout.Fd()))}
+	d := realtime.Demo{Binary: binary, Seed: c.Uint64("seed"), Out: c.Root().Writer, Screen: !c.Bool("plain") && term.IsTerminal(int(os.Stdout.Fd()))}
 	if path := c.String("log"); path != "" {
 		f, err := os.Create(path)
 		if err != nil {
--- a/cmd/hazellab/serve.go
+++ b/cmd/hazellab/serve.go
@@ -15,7 +15,7 @@
 	"github.com/urfave/cli/v3"
 
 	"hazelwheel/internal/environment"
-	"hazelwheel/internal/lab/live"
+	"hazelwheel/internal/lab/realtime"
 )
 
 const controlAddress = "127.0.0.1:8600"
@@ -46,7 +46,7 @@
 			}
 			ctx, stop := untilSignal(ctx)
 			defer stop()
-			s := live.Server{Day: script.Day(environment.Usual()), Script: *script, Listen: c.String("listen"), Config: c.String("config"),
+			s := realtime.Server{Day: script.Day(environment.Usual()), Script: *script, Listen: c.String("listen"), Config: c.String("config"),
 				Control: c.String("control"), Out: c.Root().Writer}
 			return s.Run(ctx)
 		},
--- a/internal/lab/processcluster/trials.go
+++ b/internal/lab/processcluster/trials.go
@@ -9,7 +9,7 @@
 
 	"hazelwheel/internal/checker"
 	"hazelwheel/internal/environment"
-	"hazelwheel/internal/lab/live"
+	"hazelwheel/internal/lab/realtime"
 )
 
 // Trial is one time that an owner, a leader or both were taken away, from there to the next owner that all others know.
@@ -89,7 +89,7 @@
 }
 
 // try plays the trials, one after the other.
-func (t *Troupe) try(ctx context.Context, p *live.Play) {
+func (t *Troupe) try(ctx context.Context, p *realtime.Play) {
 	any := func(whole) bool { return true }
 	wait := time.Duration(mostWaitS * float64(time.Second))
 	rng := rand.New(rand.NewPCG(t.s.Seed, 0x747269616c73))
--- a/internal/lab/processcluster/troupe.go
+++ b/internal/lab/processcluster/troupe.go
@@ -19,8 +19,8 @@
 
 	"hazelwheel/internal/checker"
 	"hazelwheel/internal/environment"
-	"hazelwheel/internal/lab/live"
 	"hazelwheel/internal/lab/process"
+	"hazelwheel/internal/lab/realtime"
 	"hazelwheel/internal/peers/deafpeer"
 	"hazelwheel/internal/peers/frames"
 )
@@ -198,7 +198,7 @@
 	watching.Go(func() { t.watch(ctx) })
 	// Danger: who still looks while the processes end finds a job that nobody holds.
 	over := func() { stop(); watching.Wait() }
-	played := &live.Settings{Day: day, Over: over, Script: script, Binary: s.Binary, Dir: s.Dir, Log: s.Log, Crew: t, Started: func(p *live.Play) {
+	played := &realtime.Settings{Day: day, Over: over, Script: script, Binary: s.Binary, Dir: s.Dir, Log: s.Log, Crew: t, Started: func(p *realtime.Play) {
 		t.begin(p)
 		if s.Trials > 0 {
 			watching.Go(func() { t.try(ctx, p); stop() })
@@ -220,7 +220,7 @@
 		played.Watch = t.work
 		watching.Go(func() { t.work.run(ctx) })
 	}
-	p, err := live.Do(ctx, played)
+	p, err := realtime.Do(ctx, played)
 	stop()
 	watching.Wait()
 	if err != nil {
@@ -248,7 +248,7 @@
 	return r, nil
 }
 
-func (t *Troupe) begin(p *live.Play) {
+func (t *Troupe) begin(p *realtime.Play) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.began = time.Now().Add(time.Duration((p.Day.Start - p.Now()) * float64(time.Second)))
--- a/internal/lab/live/live.go
+++ b/internal/lab/realtime/live.go
@@ -1,6 +1,6 @@
-// Package live plays a world in real time on real sockets: its boxes, discovery and applications on loopback addresses, the
+// Package realtime plays a world in real time on real sockets: its boxes, discovery and applications on loopback addresses, the
 // sidecars as processes of their own, a script's troubles, and the judge who looks on.
-package live
+package realtime
 
 import (
 	"context"
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/realtime/live_test.go
@@ -1,4 +1,4 @@
-package live
+package realtime
 
 import (
 	"context"
