--- a/internal/netio/beside/beside.go
+++ b/internal/netio/multiplex/beside.go
@@ -1,6 +1,6 @@
-// Package beside has two programs live on one loop: a core, which has the loop's own listeners, and a companion, which has
+// Package multiplex has two programs live on one loop: a core, which has the loop's own listeners, and a companion, which has
 // the connections that it dials and those at listeners of its own. Each believes that it is alone.
-package beside
+package multiplex
 
 import (
 	"math"
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -12,7 +12,7 @@
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/frontend/admin"
-	"hazelwheel/internal/netio/beside"
+	"hazelwheel/internal/netio/multiplex"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/sidecarconfig"
 )
@@ -25,7 +25,7 @@
 )
 
 // join has the sidecar know the others of its fleet.
-func (p *Process) join(cfg sidecarconfig.Config, on featureconfig.Fleet, shared *beside.Loop) (err error) {
+func (p *Process) join(cfg sidecarconfig.Config, on featureconfig.Fleet, shared *multiplex.Loop) (err error) {
 	links := peers.Links(cfg.Limits.Sockets)
 	p.fleet, err = coordination.New(coordination.Options{Links: links,
 		Settings: coordination.Settings(on), Sidecar: cfg.Name, Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas,
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -22,7 +22,7 @@
 	"hazelwheel/internal/frontend/thrift"
 	"hazelwheel/internal/hotrestart"
 	"hazelwheel/internal/netio"
-	"hazelwheel/internal/netio/beside"
+	"hazelwheel/internal/netio/multiplex"
 	"hazelwheel/internal/netio/sockets"
 	"hazelwheel/internal/sidecar"
 	"hazelwheel/internal/sidecarconfig"
@@ -71,9 +71,9 @@
 	loop := sockets.New(log, listen...)
 	p := &Process{loop: loop, log: log, passed: cfg.Passed, over: make(chan struct{})}
 	var own netio.Net = loop
-	var shared *beside.Loop
+	var shared *multiplex.Loop
 	if on.Fleet.On() {
-		shared = beside.New(loop)
+		shared = multiplex.New(loop)
 		own = shared.Core()
 	}
 	s, err := sidecar.New(cfg, on, fronts, own, log)
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -14,7 +14,7 @@
 	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/frontend/http1"
 	"hazelwheel/internal/netio"
-	"hazelwheel/internal/netio/beside"
+	"hazelwheel/internal/netio/multiplex"
 	"hazelwheel/internal/netio/virtual"
 	"hazelwheel/internal/peers"
 	"hazelwheel/internal/peers/deafpeer"
@@ -110,7 +110,7 @@
 // withFleet returns the Core of a sidecar that knows the others of its day.
 func (d *day) withFleet(s *instance) Core {
 	return func(cfg sidecarconfig.Config, loop netio.Net, log *slog.Logger) (Program, error) {
-		shared := beside.New(loop)
+		shared := multiplex.New(loop)
 		sc, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, shared.Core(), log)
 		if err != nil {
 			return nil, err
