--- a/internal/lab/processcluster/troupe.go
+++ b/internal/lab/processcluster/troupe.go
@@ -21,8 +21,8 @@
 	"hazelwheel/internal/environment"
 	"hazelwheel/internal/lab/process"
 	"hazelwheel/internal/lab/realtime"
-	"hazelwheel/internal/peers/deafpeer"
 	"hazelwheel/internal/peers/frames"
+	"hazelwheel/internal/peers/stalledpeer"
 )
 
 // Settings are a fleet to be played.
@@ -368,7 +368,7 @@
 
 // deafen asks until a time, or until over is closed.
 func (m *mate) deafen(perS float64, until time.Time, over <-chan struct{}) {
-	hello, ask, err := deafpeer.Frames(fleetName, m.advertise)
+	hello, ask, err := stalledpeer.Frames(fleetName, m.advertise)
 	if err != nil { // numbers and names always pack
 		panic(err)
 	}
--- a/internal/peers/deafpeer/deafpeer.go
+++ b/internal/peers/stalledpeer/deafpeer.go
@@ -1,6 +1,6 @@
-// Package deafpeer has what somebody says who calls at a sidecar as a peer does, asks what it knows, and reads nothing. It is for
+// Package stalledpeer has what somebody says who calls at a sidecar as a peer does, asks what it knows, and reads nothing. It is for
 // those who try sidecars.
-package deafpeer
+package stalledpeer
 
 import (
 	"hazelwheel/internal/decide/swim"
--- a/internal/peers/deafpeer/wire_form_test.go
+++ b/internal/peers/stalledpeer/wire_form_test.go
@@ -1,4 +1,4 @@
-package deafpeer
+package stalledpeer
 
 import (
 	"encoding/hex"
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -17,8 +17,8 @@
 	"hazelwheel/internal/netio/multiplex"
 	"hazelwheel/internal/netio/virtual"
 	"hazelwheel/internal/peers"
-	"hazelwheel/internal/peers/deafpeer"
 	"hazelwheel/internal/peers/frames"
+	"hazelwheel/internal/peers/stalledpeer"
 	"hazelwheel/internal/rewrite"
 	"hazelwheel/internal/sidecar"
 	"hazelwheel/internal/sidecarconfig"
@@ -256,7 +256,7 @@
 	}})
 	h := &deafPeer{net: p, to: peersAddress(&d.sidecars[sidecar].spec), perS: perS, until: until}
 	var err error
-	if h.hello, h.ask, err = deafpeer.Frames(fleetName, h.to); err == nil {
+	if h.hello, h.ask, err = stalledpeer.Frames(fleetName, h.to); err == nil {
 		err = p.Run(h)
 	}
 	if err != nil {
