--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -17,9 +17,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// floors are the rooms of the program from the ground up. A package may know its own room and the floors below; a new
-// room that stands on none is a failure, else it would be free of the rule by oversight.
-var floors = [][]string{
+// layers are the packages of the program from the lowest layer up. A package may import packages below its own entry and those of lower
+// layers. A package that no layer lists is a failure, else it would be free of the rule by oversight.
+var layers = [][]string{
 	{"policy", "internal/diagnostic", "internal/msgpacklimit"},
 	{"internal/decide/register", "internal/decide/membership", "internal/routeconfig", "internal/nodeconfig", "internal/store"},
 	{"internal/message", "internal/transport"},
@@ -35,56 +35,57 @@
 	{"cmd", "example", "internal/ci"},
 }
 
-// apart are arrows that go down and are still wrong: who judges or plays the world must not take the sidecar's word, and
-// the core must not know the world it is tried in.
-var apart = map[string][]string{
-	"internal/environment":   {"policy", "internal/sidecar", "internal/featureconfig", "internal/sidecarconfig"},
-	"internal/checker":   {"policy", "internal/sidecar"},
-	"internal/lab":     {"policy", "internal/sidecar", "internal/frontend", "internal/featureconfig", "internal/coordination"},
-	"internal/sidecar": {"internal/lint", "internal/environment"},
+// forbidden are imports that go down and are still wrong: the checker and the environment must not rely on the sidecar's own code, and
+// the sidecar must not know the environment that it is tried in.
+var forbidden = map[string][]string{
+	"internal/environment": {"policy", "internal/sidecar", "internal/featureconfig", "internal/sidecarconfig"},
+	"internal/checker":     {"policy", "internal/sidecar"},
+	"internal/lab":         {"policy", "internal/sidecar", "internal/frontend", "internal/featureconfig", "internal/coordination"},
+	"internal/sidecar":     {"internal/lint", "internal/environment"},
 }
 
-// impure are the packages that bring the machine or the clock; net/netip is arithmetic.
+// impure are the standard packages that bring I/O, goroutines or the clock; net/netip is arithmetic.
 var impure = []string{"net", "os", "io/fs", "log", "syscall", "sync", "math/rand", "crypto/rand", "runtime"}
 
 const module = "hazelwheel/"
 
-// room gives the room of a package and its floor, -1 if it has none.
-func room(pkg string) (string, int) {
-	for floor, rooms := range floors {
-		for _, r := range rooms {
-			if within(pkg, r) {
-				return r, floor
+// layerOf returns the entry of layers that a package belongs to and its layer, -1 if it has none.
+func layerOf(pkg string) (string, int) {
+	for layer, packages := range layers {
+		for _, entry := range packages {
+			if isBelow(pkg, entry) {
+				return entry, layer
 			}
 		}
 	}
 	return pkg, -1
 }
 
-func within(pkg, room string) bool { return pkg == room || strings.HasPrefix(pkg, room+"/") }
+// isBelow tells whether a package is another one or stands in its folder.
+func isBelow(pkg, folder string) bool { return pkg == folder || strings.HasPrefix(pkg, folder+"/") }
 
-// upward says what is wrong with pkg knowing other, "" if nothing is.
-func upward(pkg, other string) string {
-	r, floor := room(pkg)
-	s, below := room(other)
+// violation describes what is wrong with pkg importing other, "" if nothing is.
+func violation(pkg, other string) string {
+	importer, layer := layerOf(pkg)
+	imported, otherLayer := layerOf(other)
 	switch {
-	case floor < 0:
-		return fmt.Sprintf("%s stands on no floor", pkg)
-	case below < 0:
-		return fmt.Sprintf("%s knows %s, which stands on no floor", pkg, other)
-	case r != s && below >= floor:
-		return fmt.Sprintf("%s knows %s: the arrow goes up", pkg, other)
-	case slices.Contains(apart[r], s):
-		return fmt.Sprintf("%s knows %s: they are kept apart", pkg, other)
+	case layer < 0:
+		return fmt.Sprintf("%s has no layer", pkg)
+	case otherLayer < 0:
+		return fmt.Sprintf("%s imports %s, which has no layer", pkg, other)
+	case importer != imported && otherLayer >= layer:
+		return fmt.Sprintf("%s imports %s: the import goes up", pkg, other)
+	case slices.Contains(forbidden[importer], imported):
+		return fmt.Sprintf("%s imports %s: the import is forbidden", pkg, other)
 	}
 	return ""
 }
 
-// machine lists what a file has that a pure package must not: packages, clocks, goroutines.
-func machine(f *ast.File) (found []string) {
+// impurities lists what a file has that a pure package must not: packages, clocks, goroutines.
+func impurities(f *ast.File) (found []string) {
 	for _, i := range f.Imports {
 		name, _ := strconv.Unquote(i.Path.Value)
-		if name != "net/netip" && slices.ContainsFunc(impure, func(p string) bool { return name == p || p == "net" && within(name, p) }) {
+		if name != "net/netip" && slices.ContainsFunc(impure, func(p string) bool { return name == p || p == "net" && isBelow(name, p) }) {
 			found = append(found, "imports "+name)
 		}
 	}
@@ -103,8 +104,8 @@
 	return found
 }
 
-// sources calls see for each file of the program that is not a test.
-func sources(t *testing.T, see func(pkg, file string, f *ast.File)) {
+// walkSources calls visit for each file of the program that is not a test.
+func walkSources(t *testing.T, visit func(pkg, file string, f *ast.File)) {
 	t.Helper()
 	set := token.NewFileSet()
 	err := filepath.WalkDir("..", func(p string, d fs.DirEntry, err error) error {
@@ -122,37 +123,37 @@
 			return err
 		}
 		rel := filepath.ToSlash(strings.TrimPrefix(p, ".."+string(filepath.Separator)))
-		see(path.Dir(rel), rel, f)
+		visit(path.Dir(rel), rel, f)
 		return nil
 	})
 	require.NoError(t, err)
 }
 
-func TestArrowsGoDown(t *testing.T) {
-	arrows, wrong := 0, []string{}
-	sources(t, func(pkg, file string, f *ast.File) {
+func TestImportsGoDown(t *testing.T) {
+	imports, wrong := 0, []string{}
+	walkSources(t, func(pkg, file string, f *ast.File) {
 		for _, i := range f.Imports {
 			name, _ := strconv.Unquote(i.Path.Value)
 			if other, ours := strings.CutPrefix(name, module); ours {
-				arrows++
-				if w := upward(pkg, other); w != "" {
+				imports++
+				if w := violation(pkg, other); w != "" {
 					wrong = append(wrong, file+": "+w)
 				}
 			}
 		}
 	})
-	require.Greater(t, arrows, 100, "the walk found the program")
+	require.Greater(t, imports, 100, "the walk found the program")
 	require.Empty(t, wrong)
 }
 
-func TestDecisionsAreFreeOfTheMachine(t *testing.T) {
+func TestDecisionsArePure(t *testing.T) {
 	files, wrong := 0, []string{}
-	sources(t, func(pkg, file string, f *ast.File) {
-		if !within(pkg, "policy") && !within(pkg, "internal/decide") && !within(pkg, "internal/msgpacklimit") {
+	walkSources(t, func(pkg, file string, f *ast.File) {
+		if !isBelow(pkg, "policy") && !isBelow(pkg, "internal/decide") && !isBelow(pkg, "internal/msgpacklimit") {
 			return
 		}
 		files++
-		for _, m := range machine(f) {
+		for _, m := range impurities(f) {
 			wrong = append(wrong, file+" "+m)
 		}
 	})
@@ -160,18 +161,18 @@
 	require.Empty(t, wrong)
 }
 
-// The two walks above pass today; these show what they would say.
-func TestWrongArrowsAreNamed(t *testing.T) {
-	require.Contains(t, upward("policy", "internal/sidecar"), "goes up")
-	require.Contains(t, upward("internal/decide/quota", "internal/http1"), "goes up")
-	require.Contains(t, upward("internal/http1", "internal/thrift"), "goes up")
-	require.Contains(t, upward("internal/lab/load", "internal/sidecar"), "kept apart")
-	require.Contains(t, upward("internal/unheard", "policy"), "no floor")
-	require.Empty(t, upward("internal/netio/virtual", "internal/netio"))
+// The two tests above pass on a tree without violations; this one shows that violations are reported.
+func TestViolationsAreReported(t *testing.T) {
+	require.Contains(t, violation("policy", "internal/sidecar"), "goes up")
+	require.Contains(t, violation("internal/decide/quota", "internal/http1"), "goes up")
+	require.Contains(t, violation("internal/http1", "internal/thrift"), "goes up")
+	require.Contains(t, violation("internal/lab/load", "internal/sidecar"), "is forbidden")
+	require.Contains(t, violation("internal/unlisted", "policy"), "no layer")
+	require.Empty(t, violation("internal/netio/virtual", "internal/netio"))
 
 	f, err := parser.ParseFile(token.NewFileSet(), "x.go", `package x
 import ("net"; "net/http"; "net/netip"; "os"; "time")
 func f() { go f(); _ = time.Now(); _ = time.Second }`, 0)
 	require.NoError(t, err)
-	require.Equal(t, []string{"imports net", "imports net/http", "imports os", "starts a goroutine", "asks time.Now"}, machine(f))
+	require.Equal(t, []string{"imports net", "imports net/http", "imports os", "starts a goroutine", "asks time.Now"}, impurities(f))
 }
