--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -110,7 +110,7 @@
 	}
 	if facts.List.Digest != told.List.Digest {
 		age := float64(time.Since(facts.List.ReadAt)) / float64(time.Millisecond)
-		out.List, news = &message.List{Digest: facts.List.Digest, AgeMs: age, Data: facts.List.Data}, true
+		out.List, news = &message.InstanceList{Digest: facts.List.Digest, AgeMs: age, Data: facts.List.Data}, true
 	}
 	return out, news
 }
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -55,7 +55,7 @@
 	if l.ReadAt.IsZero() {
 		return nil, nil
 	}
-	return message.UnpackList(l.Data)
+	return message.UnpackInstances(l.Data)
 }
 
 // Facts is what a process has learned.
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -121,7 +121,7 @@
 	}
 	if !n.facts.List.ReadAt.IsZero() {
 		age := float64(time.Since(n.facts.List.ReadAt)) / float64(time.Millisecond)
-		out.List = message.List{Digest: n.facts.List.Digest, AgeMs: age}
+		out.List = message.InstanceList{Digest: n.facts.List.Digest, AgeMs: age}
 	}
 	return out
 }
@@ -161,14 +161,14 @@
 
 // younger tells whether a peer's reading of the list is younger than the own one. Danger: readings that were sent at the same
 // moment differ by what the network took; freshBy keeps an older one from taking its place.
-func (n *Node) younger(list message.List) bool {
+func (n *Node) younger(list message.InstanceList) bool {
 	if list.Digest == 0 {
 		return false
 	}
 	return n.facts.List.ReadAt.IsZero() || readAt(list).After(n.facts.List.ReadAt.Add(freshBy))
 }
 
-func readAt(list message.List) time.Time {
+func readAt(list message.InstanceList) time.Time {
 	return time.Now().Add(-time.Duration(list.AgeMs * float64(time.Millisecond)))
 }
 
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -45,7 +45,7 @@
 	data := n.facts.List.Data
 	n.mu.Unlock()
 	if !same {
-		packed, err := message.PackList(instances)
+		packed, err := message.PackInstances(instances)
 		if err != nil {
 			n.log.WithError(err).Error("a list can't be packed")
 			return
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -33,7 +33,7 @@
 }
 
 // List is a reading of the platform's list. It ages while it travels.
-type List struct {
+type InstanceList struct {
 	Digest uint64  `msgpack:"d"` // 0: there is none
 	AgeMs  float64 `msgpack:"a"` // since it was read, when this was sent
 	Data   []byte  `msgpack:"i"` // the servers, packed; missing where only the age is told
@@ -50,7 +50,7 @@
 	Plan      StagePlan           `msgpack:"p"`
 	Version   uint64              `msgpack:"n"` // of the configuration
 	Table     *Table              `msgpack:"t"`
-	List      List                `msgpack:"l"`
+	List      InstanceList        `msgpack:"l"`
 	Loads     []Load              `msgpack:"o"`
 	TakeTable bool                `msgpack:"tt"` // a newer configuration is wanted in the answer, or in the next message
 	TakeList  bool                `msgpack:"tl"` // the same of a younger list
@@ -85,12 +85,12 @@
 
 // Feed is what an agent tells its proxy. Fields that have not changed are missing.
 type Feed struct {
-	Table *Table     `msgpack:"t"`
-	List  *List      `msgpack:"l"`
-	Loads []Load     `msgpack:"o"`
-	Plan  *StagePlan `msgpack:"p"`
-	Rank  int        `msgpack:"r"`
-	Count int        `msgpack:"c"` // of the proxies, 0: not told
+	Table *Table        `msgpack:"t"`
+	List  *InstanceList `msgpack:"l"`
+	Loads []Load        `msgpack:"o"`
+	Plan  *StagePlan    `msgpack:"p"`
+	Rank  int           `msgpack:"r"`
+	Count int           `msgpack:"c"` // of the proxies, 0: not told
 }
 
 // Load is what a server told of itself: requests running and waiting there.
--- a/internal/message/payload.go
+++ b/internal/message/payload.go
@@ -36,10 +36,10 @@
 }
 
 // PackList packs servers.
-func PackList(instances []Instance) ([]byte, error) { return pack(instances) }
+func PackInstances(instances []Instance) ([]byte, error) { return pack(instances) }
 
 // UnpackList returns the servers.
-func UnpackList(data []byte) (instances []Instance, err error) {
+func UnpackInstances(data []byte) (instances []Instance, err error) {
 	err = unpack(data, &instances)
 	return instances, err
 }
--- a/internal/message/wire_form_test.go
+++ b/internal/message/wire_form_test.go
@@ -39,7 +39,7 @@
 	beat := membership.Beat{Key: 0xdeadbeef, Heartbeat: 70000}
 	load := message.Load{Key: message.LoadKey("i-1"), Running: 3, Waiting: 300, AgeMs: 900}
 	plan := message.StagePlan{Token: 9, Sequence: 130, Stages: map[string]message.Stage{"i-1": message.Decode}}
-	list := message.List{Digest: 1 << 62, AgeMs: 12.5, Data: []byte("packed list")}
+	list := message.InstanceList{Digest: 1 << 62, AgeMs: 12.5, Data: []byte("packed list")}
 	table := message.Table{Version: 70000, Data: []byte("packed table")}
 	return map[string]any{
 		"Instance": message.Instance{ID: "i-1", Service: "chat", Address: "10.0.1.1:9000", Zone: "a", Slots: 8, Draining: true,
@@ -129,10 +129,10 @@
 	assert.Equal(t, &table, unpacked)
 
 	instances := values["instances"].([]message.Instance)
-	data, err := message.PackList(instances)
+	data, err := message.PackInstances(instances)
 	require.NoError(t, err)
 	assert.Equal(t, readGolden(t, "instances"), inflated(t, data))
-	got, err := message.UnpackList(golden(t, "packed.instances", data))
+	got, err := message.UnpackInstances(golden(t, "packed.instances", data))
 	require.NoError(t, err)
 	assert.Equal(t, instances, got)
 }
--- a/internal/proxy/misdirected_test.go
+++ b/internal/proxy/misdirected_test.go
@@ -86,11 +86,11 @@
 	for _, s := range servers {
 		listed = append(listed, s.instance)
 	}
-	data, err := message.PackList(listed)
+	data, err := message.PackInstances(listed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := p.state.take(&message.Feed{Table: table, List: &message.List{Digest: 1, Data: data}, Count: 1}); err != nil {
+	if err := p.state.take(&message.Feed{Table: table, List: &message.InstanceList{Digest: 1, Data: data}, Count: 1}); err != nil {
 		t.Fatal(err)
 	}
 	front := httptest.NewServer(p)
--- a/internal/proxy/proxy_suite_test.go
+++ b/internal/proxy/proxy_suite_test.go
@@ -194,10 +194,10 @@
 	return p, front
 }
 
-func list(instances ...message.Instance) *message.List {
-	data, err := message.PackList(instances)
+func list(instances ...message.Instance) *message.InstanceList {
+	data, err := message.PackInstances(instances)
 	Expect(err).NotTo(HaveOccurred())
-	return &message.List{Digest: 1, Data: data}
+	return &message.InstanceList{Digest: 1, Data: data}
 }
 
 // ask sends a request and returns the answer, its body and how the body ended.
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -118,7 +118,7 @@
 		}
 	}
 	if feed.List != nil {
-		instances, err = message.UnpackList(feed.List.Data)
+		instances, err = message.UnpackInstances(feed.List.Data)
 	}
 	return table, instances, err
 }
