--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -60,7 +60,7 @@
 
 // Facts is what a process has learned.
 type Facts struct {
-	Table  *message.Table
+	Table  *message.PackedTable
 	List   List
 	Voters register.Value // the voters alone, of the newest epoch heard of
 	Grants []register.Grant
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -23,7 +23,7 @@
 }
 
 // takeTable takes a configuration. Versions never go back.
-func (n *Node) takeTable(table *message.Table) {
+func (n *Node) takeTable(table *message.PackedTable) {
 	n.mu.Lock()
 	n.table.release()
 	if n.facts.Table != nil && table.Version <= n.facts.Table.Version {
--- a/internal/gossip/facts_test.go
+++ b/internal/gossip/facts_test.go
@@ -29,13 +29,13 @@
 	}
 
 	It("to an older configuration, or to another one of the same version", func() {
-		newest := &message.Table{Version: 7, Data: []byte("a")}
+		newest := &message.PackedTable{Version: 7, Data: []byte("a")}
 		n.takeTable(newest)
-		for _, told := range []*message.Table{{Version: 6, Data: []byte("b")}, {Version: 7, Data: []byte("c")}} {
+		for _, told := range []*message.PackedTable{{Version: 6, Data: []byte("b")}, {Version: 7, Data: []byte("c")}} {
 			n.takeTable(told)
 			Expect(facts().Table).To(BeIdenticalTo(newest))
 		}
-		n.takeTable(&message.Table{Version: 8})
+		n.takeTable(&message.PackedTable{Version: 8})
 		Expect(facts().Table.Version).To(BeEquivalentTo(8))
 	})
 
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -49,7 +49,7 @@
 	Grants    []register.Grant    `msgpack:"g"`
 	Plan      StagePlan           `msgpack:"p"`
 	Version   uint64              `msgpack:"n"` // of the configuration
-	Table     *Table              `msgpack:"t"`
+	Table     *PackedTable        `msgpack:"t"`
 	List      InstanceList        `msgpack:"l"`
 	Loads     []Load              `msgpack:"o"`
 	TakeTable bool                `msgpack:"tt"` // a newer configuration is wanted in the answer, or in the next message
@@ -85,7 +85,7 @@
 
 // Feed is what an agent tells its proxy. Fields that have not changed are missing.
 type Feed struct {
-	Table *Table        `msgpack:"t"`
+	Table *PackedTable  `msgpack:"t"`
 	List  *InstanceList `msgpack:"l"`
 	Loads []Load        `msgpack:"o"`
 	Plan  *StagePlan    `msgpack:"p"`
--- a/internal/message/payload.go
+++ b/internal/message/payload.go
@@ -18,19 +18,19 @@
 const maxPayload = 64 << 20
 
 // Table is a configuration, packed once by who first has it. Agents pass it on as it is.
-type Table struct {
+type PackedTable struct {
 	Version uint64 `msgpack:"v"`
 	Data    []byte `msgpack:"d"`
 }
 
 // PackTable packs a configuration.
-func PackTable(table *routeconfig.Table) (*Table, error) {
+func PackTable(table *routeconfig.Table) (*PackedTable, error) {
 	data, err := pack(table)
-	return &Table{Version: table.Version, Data: data}, err
+	return &PackedTable{Version: table.Version, Data: data}, err
 }
 
 // Unpack returns the configuration.
-func (t *Table) Unpack() (*routeconfig.Table, error) {
+func (t *PackedTable) Unpack() (*routeconfig.Table, error) {
 	table := &routeconfig.Table{}
 	return table, unpack(t.Data, table)
 }
--- a/internal/message/wire_form_test.go
+++ b/internal/message/wire_form_test.go
@@ -40,7 +40,7 @@
 	load := message.Load{Key: message.LoadKey("i-1"), Running: 3, Waiting: 300, AgeMs: 900}
 	plan := message.StagePlan{Token: 9, Sequence: 130, Stages: map[string]message.Stage{"i-1": message.Decode}}
 	list := message.InstanceList{Digest: 1 << 62, AgeMs: 12.5, Data: []byte("packed list")}
-	table := message.Table{Version: 70000, Data: []byte("packed table")}
+	table := message.PackedTable{Version: 70000, Data: []byte("packed table")}
 	return map[string]any{
 		"Instance": message.Instance{ID: "i-1", Service: "chat", Address: "10.0.1.1:9000", Zone: "a", Slots: 8, Draining: true,
 			Stage: message.Prefill, ColdMs: 2500.5},
@@ -124,7 +124,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, table.Version, packed.Version)
 	assert.Equal(t, readGolden(t, "routes.Table"), inflated(t, packed.Data))
-	unpacked, err := (&message.Table{Version: table.Version, Data: golden(t, "packed.Table", packed.Data)}).Unpack()
+	unpacked, err := (&message.PackedTable{Version: table.Version, Data: golden(t, "packed.Table", packed.Data)}).Unpack()
 	require.NoError(t, err)
 	assert.Equal(t, &table, unpacked)
 
