--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -186,15 +186,15 @@
 		address := f.nodes[0].Members()[0].Address
 		ask := func(news bool) *message.Gossip {
 			reply := &message.Gossip{}
-			request := &message.Gossip{Format: message.FormatVersion, News: news}
+			request := &message.Gossip{FormatVersion: message.FormatVersion, UpdatesOnly: news}
 			Expect(transport.NewClient().Call(context.Background(), address, "/fleet/v1/gossip", request, reply)).To(Succeed())
 			return reply
 		}
 		short, full := ask(true), ask(false)
 		Expect(short.Records).To(BeEmpty())
-		Expect(short.Beats).To(BeEmpty())
+		Expect(short.Heartbeats).To(BeEmpty())
 		Expect(short.Loads).To(BeEmpty())
 		Expect(full.Records).NotTo(BeEmpty())
-		Expect(full.Beats).NotTo(BeEmpty())
+		Expect(full.Heartbeats).NotTo(BeEmpty())
 	})
 })
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -28,14 +28,14 @@
 func (n *Node) exchange(ctx context.Context, address string) {
 	request := n.digest()
 	n.mu.Lock()
-	request.TakeTable, request.TakeList = n.table.take(), n.list.take()
+	request.WantsTable, request.WantsList = n.table.take(), n.list.take()
 	n.mu.Unlock()
 	reply, err := n.call(ctx, address, request)
 	n.mu.Lock()
-	if request.TakeTable {
+	if request.WantsTable {
 		n.table.release()
 	}
-	if request.TakeList {
+	if request.WantsList {
 		n.list.release()
 	}
 	n.mu.Unlock()
@@ -49,11 +49,11 @@
 
 // supply sends a peer what it asks for.
 func (n *Node) supply(ctx context.Context, address string, reply *message.Gossip) {
-	if !reply.TakeTable && !reply.TakeList {
+	if !reply.WantsTable && !reply.WantsList {
 		return
 	}
 	news := n.news()
-	n.attach(news, reply.TakeTable, reply.TakeList)
+	n.attach(news, reply.WantsTable, reply.WantsList)
 	if answer, err := n.call(ctx, address, news); err == nil {
 		n.absorb(answer)
 	}
@@ -106,8 +106,8 @@
 	out := n.news()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out.News = false
-	out.Records, out.Beats, out.Loads = n.view.Sample(n.now()), n.view.Beats(n.now()), n.loads.young()
+	out.UpdatesOnly = false
+	out.Records, out.Heartbeats, out.Loads = n.view.Sample(n.now()), n.view.Beats(n.now()), n.loads.young()
 	return out
 }
 
@@ -115,9 +115,9 @@
 func (n *Node) news() *message.Gossip {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := &message.Gossip{Format: message.FormatVersion, News: true, Voters: votersOf(n.facts.Voters), Grants: n.facts.Grants, Plan: n.facts.Plan}
+	out := &message.Gossip{FormatVersion: message.FormatVersion, UpdatesOnly: true, Voters: votersOf(n.facts.Voters), Grants: n.facts.Grants, Plan: n.facts.Plan}
 	if n.facts.Table != nil {
-		out.Version = n.facts.Table.Version
+		out.ConfigVersion = n.facts.Table.Version
 	}
 	if !n.facts.List.ReadAt.IsZero() {
 		age := float64(time.Since(n.facts.List.ReadAt)) / float64(time.Millisecond)
@@ -132,22 +132,22 @@
 
 // serveGossip answers an exchange with what the peer asks for, and asks for what is lacking here.
 func (n *Node) serveGossip(_ context.Context, request *message.Gossip) (*message.Gossip, error) {
-	if request.Format != message.FormatVersion {
-		return nil, message.Error.New("format %d, want %d", request.Format, message.FormatVersion)
+	if request.FormatVersion != message.FormatVersion {
+		return nil, message.Error.New("format %d, want %d", request.FormatVersion, message.FormatVersion)
 	}
 	lacksTable, lacksList := n.lacks(request)
 	n.absorb(request)
 	reply := n.news()
-	if !request.News {
+	if !request.UpdatesOnly {
 		reply = n.digest()
 	}
-	newerTable := reply.Version > request.Version
+	newerTable := reply.ConfigVersion > request.ConfigVersion
 	newerList := reply.List.Digest != request.List.Digest && !lacksList
-	n.attach(reply, request.TakeTable && newerTable, request.TakeList && newerList)
+	n.attach(reply, request.WantsTable && newerTable, request.WantsList && newerList)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	reply.TakeTable = lacksTable && request.Table == nil && n.table.take()
-	reply.TakeList = lacksList && request.List.Data == nil && n.list.take()
+	reply.WantsTable = lacksTable && request.Table == nil && n.table.take()
+	reply.WantsList = lacksList && request.List.Data == nil && n.list.take()
 	return reply, nil
 }
 
@@ -155,7 +155,7 @@
 func (n *Node) lacks(request *message.Gossip) (table, list bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	table = request.Version > 0 && (n.facts.Table == nil || request.Version > n.facts.Table.Version)
+	table = request.ConfigVersion > 0 && (n.facts.Table == nil || request.ConfigVersion > n.facts.Table.Version)
 	return table, n.younger(request.List) && request.List.Digest != n.facts.List.Digest
 }
 
@@ -176,7 +176,7 @@
 func (n *Node) absorb(told *message.Gossip) {
 	n.mu.Lock()
 	n.view.Merge(n.now(), told.Records)
-	n.view.MergeBeats(n.now(), told.Beats)
+	n.view.MergeBeats(n.now(), told.Heartbeats)
 	n.loads.merge(told.Loads)
 	n.place()
 	if told.Voters.Epoch > n.facts.Voters.Epoch {
--- a/internal/gossip/facts_test.go
+++ b/internal/gossip/facts_test.go
@@ -61,7 +61,7 @@
 
 	It("to a plan of a holder before, or to an earlier one of the same holder", func() {
 		plan := func(token, sequence uint64) message.StagePlan {
-			n.absorb(&message.Gossip{Format: message.FormatVersion, Plan: message.StagePlan{Token: token, Sequence: sequence}})
+			n.absorb(&message.Gossip{FormatVersion: message.FormatVersion, Plan: message.StagePlan{Token: token, Sequence: sequence}})
 			return facts().Plan
 		}
 		Expect(plan(2, 5).Sequence).To(BeEquivalentTo(5))
@@ -72,7 +72,7 @@
 
 	It("to voters of an earlier epoch", func() {
 		tell := func(epoch uint64) uint64 {
-			n.absorb(&message.Gossip{Format: message.FormatVersion, Voters: register.Value{Epoch: epoch}})
+			n.absorb(&message.Gossip{FormatVersion: message.FormatVersion, Voters: register.Value{Epoch: epoch}})
 			return facts().Voters.Epoch
 		}
 		Expect(tell(4)).To(BeEquivalentTo(4))
