--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -123,11 +123,11 @@
 
 // serveLearn takes a chosen value from who looks after the voters. Where the configuration's bytes are lacking they are fetched; the
 // answer is whether what is held until then is new enough.
-func (c *Control) serveLearn(_ context.Context, request *message.Learn) (*message.Learned, error) {
+func (c *Control) serveLearn(_ context.Context, request *message.LearnRequest) (*message.LearnReply, error) {
 	if request.To != c.registrar.self.ID {
 		return nil, Error.New("%q is not the identity of this disk", request.To)
 	}
-	value := found{request.Value, request.At}
+	value := found{request.Value, request.Ballot}
 	held, err := c.replica.learn(value, nil)
 	if err != nil {
 		return nil, err
@@ -135,11 +135,11 @@
 	if !held {
 		c.follower.tell(value)
 	}
-	since := request.Since
+	since := request.MinBallot
 	if since == (register.Ballot{}) {
-		since = request.At
+		since = request.Ballot
 	}
-	return &message.Learned{Held: held || c.replica.state().Ballot.Compare(since) >= 0}, nil
+	return &message.LearnReply{UpToDate: held || c.replica.state().Ballot.Compare(since) >= 0}, nil
 }
 
 // scrub reads the register now and then, and soon after this process has accepted a configuration of which nobody has told
--- a/internal/control/upkeep.go
+++ b/internal/control/upkeep.go
@@ -129,8 +129,8 @@
 func (c *Control) askLearner(ctx context.Context, voter register.Voter, value found, since register.Ballot) bool {
 	ctx, cancel := context.WithTimeout(ctx, learnWithin)
 	defer cancel()
-	request := &message.Learn{To: voter.ID, At: value.At, Value: value.Value, Since: since}
-	reply := &message.Learned{}
+	request := &message.LearnRequest{To: voter.ID, Ballot: value.At, Value: value.Value, MinBallot: since}
+	reply := &message.LearnReply{}
 	if voter.Address == c.registrar.self.Address {
 		return false // a process that doesn't vote leaves its joining to those that do
 	}
@@ -138,7 +138,7 @@
 		c.log.WithField("peer", voter.Address).WithError(err).Debug("a newcomer did not answer")
 		return false
 	}
-	return reply.Held
+	return reply.UpToDate
 }
 
 // awaitSuccession waits, once this process has told that it leaves, until it votes no longer. It does not wait where too few would
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -71,16 +71,16 @@
 }
 
 // Learn tells a control process of the value that was chosen last, and that it may fetch the configuration's bytes of the voters.
-type Learn struct {
-	To    string          `msgpack:"t"` // the identity that is meant
-	At    register.Ballot `msgpack:"b"`
-	Value register.Value  `msgpack:"v"`
-	Since register.Ballot `msgpack:"s"` // of the value from which on what it holds is new enough; zero: At
+type LearnRequest struct {
+	To        string          `msgpack:"t"` // the identity that is meant
+	Ballot    register.Ballot `msgpack:"b"`
+	Value     register.Value  `msgpack:"v"`
+	MinBallot register.Ballot `msgpack:"s"` // of the value from which on what it holds is new enough; zero: At
 }
 
 // Learned answers Learn.
-type Learned struct {
-	Held bool `msgpack:"h"` // what is on the disk, with the bytes of its configuration, is new enough
+type LearnReply struct {
+	UpToDate bool `msgpack:"h"` // what is on the disk, with the bytes of its configuration, is new enough
 }
 
 // Feed is what an agent tells its proxy. Fields that have not changed are missing.
