--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -205,7 +205,7 @@
 func (k *stageKeeper) addBusy(sums map[string]stages.Demand) {
 	loads := k.loads()
 	for _, instance := range k.instances {
-		load, told := loads[message.LoadKey(instance.ID)]
+		load, told := loads[message.InstanceKey(instance.ID)]
 		if !told || instance.Stage != message.Prefill {
 			continue
 		}
@@ -219,7 +219,7 @@
 func (k *stageKeeper) loads() map[uint32]message.Load {
 	loads := map[uint32]message.Load{}
 	for _, load := range k.control.node.Loads() {
-		loads[load.Key] = load
+		loads[load.InstanceKey] = load
 	}
 	return loads
 }
--- a/internal/control/stages_test.go
+++ b/internal/control/stages_test.go
@@ -65,8 +65,8 @@
 		k := keeper(4)
 		k.instances = []message.Instance{{ID: "r", Service: "s", Stage: message.Prefill, Slots: 8}, {ID: "silent", Service: "s", Stage: message.Prefill},
 			{ID: "d", Service: "s", Stage: message.Decode}, {ID: "gone", Service: "s", Stage: message.Decode, Draining: true}, {ID: "plain", Service: "t"}}
-		k.control.node.SetLoads([]message.Load{{Key: message.LoadKey("r"), Running: 1, Waiting: 3}, {Key: message.LoadKey("d"), Running: 5},
-			{Key: message.LoadKey("gone"), Running: 9}})
+		k.control.node.SetLoads([]message.Load{{InstanceKey: message.InstanceKey("r"), Running: 1, Waiting: 3}, {InstanceKey: message.InstanceKey("d"), Running: 5},
+			{InstanceKey: message.InstanceKey("gone"), Running: 9}})
 		k.control.node.SetDemands([]membership.Demand{{Service: "s", ReadPerS: 100, Streams: 4, Held: 70}})
 		demand := k.demands()["s"]
 		Expect(demand.Busy.Told).To(Equal(1), "readers alone, and those that tell")
--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -63,7 +63,7 @@
 			out[instance.Service] = &byStage{}
 		}
 		if sum := out[instance.Service].of(instance.Stage); sum != nil {
-			sum.add(loads[message.LoadKey(instance.ID)])
+			sum.add(loads[message.InstanceKey(instance.ID)])
 		}
 	}
 	return out
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -248,7 +248,7 @@
 	}
 	byKey := make(map[uint32]message.Load, len(loads))
 	for _, load := range loads {
-		byKey[load.Key] = load
+		byKey[load.InstanceKey] = load
 	}
 	for _, e := range p.endpoints {
 		load, ok := byKey[e.key]
@@ -266,7 +266,7 @@
 		}
 		e.engine.untold = false
 		age := min(max(now-e.engine.loadAt, 0)*1000, math.MaxUint16)
-		loads = append(loads, message.Load{Key: e.key, Running: clamp(e.engine.running), Waiting: clamp(e.engine.waiting), AgeMs: uint16(age)})
+		loads = append(loads, message.Load{InstanceKey: e.key, Running: clamp(e.engine.running), Waiting: clamp(e.engine.waiting), AgeMs: uint16(age)})
 	}
 	return loads
 }
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -135,7 +135,7 @@
 	}
 	known := p.endpoints[listed.ID]
 	if known == nil {
-		known = &Endpoint{key: message.LoadKey(listed.ID)}
+		known = &Endpoint{key: message.InstanceKey(listed.ID)}
 		known.window.seed(now, p.meanGap())
 		known.nextProbe = now + p.rng.Float64()*ProbeEvery
 		p.endpoints[listed.ID] = known
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -165,11 +165,11 @@
 
 	It("spreads what a server told one node of its load", func() {
 		f := startFleet()
-		f.nodes[2].SetLoads([]message.Load{{Key: 7, Running: 3}})
+		f.nodes[2].SetLoads([]message.Load{{InstanceKey: 7, Running: 3}})
 		Eventually(func() (count int) {
 			for _, node := range f.nodes {
 				for _, load := range node.Loads() {
-					if load.Key == 7 && load.Running == 3 {
+					if load.InstanceKey == 7 && load.Running == 3 {
 						count++
 						break
 					}
--- a/internal/gossip/loads.go
+++ b/internal/gossip/loads.go
@@ -34,8 +34,8 @@
 	now := time.Now()
 	for _, load := range told {
 		at := now.Add(-time.Duration(load.AgeMs) * time.Millisecond)
-		if known, ok := l.heard[load.Key]; !ok || at.After(known.at) {
-			l.heard[load.Key] = heardLoad{load, at}
+		if known, ok := l.heard[load.InstanceKey]; !ok || at.After(known.at) {
+			l.heard[load.InstanceKey] = heardLoad{load, at}
 		}
 	}
 }
--- a/internal/message/forms_test.go
+++ b/internal/message/forms_test.go
@@ -27,7 +27,7 @@
 
 // Loads and heartbeats go without the names of their fields. Processes of the version before read that, and are read.
 func TestShortForms(t *testing.T) {
-	load, beat := message.Load{Key: 7, Running: 3, Waiting: 2, AgeMs: 900}, membership.Beat{Key: 9, Heartbeat: 70000}
+	load, beat := message.Load{InstanceKey: 7, Running: 3, Waiting: 2, AgeMs: 900}, membership.Beat{Key: 9, Heartbeat: 70000}
 	named, namedB := namedLoad{7, 3, 2, 900}, namedBeat{9, 70000}
 
 	short, err := msgpack.Marshal([]message.Load{load})
--- a/internal/message/wire_form_test.go
+++ b/internal/message/wire_form_test.go
@@ -37,7 +37,7 @@
 		Life: 1 << 63, Heartbeat: 70, Revision: 3, Leaving: true, Voter: "founder@10.0.0.1:7000", Operator: "10.0.0.1:80", Released: 4,
 		Demands: []membership.Demand{demand}}
 	beat := membership.Beat{Key: 0xdeadbeef, Heartbeat: 70000}
-	load := message.Load{Key: message.LoadKey("i-1"), Running: 3, Waiting: 300, AgeMs: 900}
+	load := message.Load{InstanceKey: message.InstanceKey("i-1"), Running: 3, Waiting: 300, AgeMs: 900}
 	plan := message.StagePlan{Token: 9, Sequence: 130, Stages: map[string]message.Stage{"i-1": message.Decode}}
 	list := message.InstanceList{Digest: 1 << 62, AgeMs: 12.5, Data: []byte("packed list")}
 	table := message.PackedTable{Version: 70000, Data: []byte("packed table")}
