--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -100,12 +100,12 @@
 
 // difference returns what a proxy that knows one set of facts lacks of another.
 func difference(told, facts gossip.Facts) (*message.Feed, bool) {
-	out := &message.Feed{Rank: facts.Rank, Count: facts.Count}
+	out := &message.Feed{ProxyRank: facts.Rank, ProxyCount: facts.Count}
 	news := told.Rank != facts.Rank || told.Count != facts.Count
 	if facts.Table != nil && (told.Table == nil || facts.Table.Version > told.Table.Version) {
 		out.Table, news = facts.Table, true
 	}
-	if facts.Plan.Newer(&told.Plan) {
+	if facts.Plan.IsNewerThan(&told.Plan) {
 		out.Plan, news = &facts.Plan, true
 	}
 	if facts.List.Digest != told.List.Digest {
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -183,7 +183,7 @@
 		n.facts.Voters = votersOf(told.Voters)
 	}
 	n.mergeGrants(told.Grants)
-	if told.Plan.Newer(&n.facts.Plan) {
+	if told.Plan.IsNewerThan(&n.facts.Plan) {
 		n.facts.Plan = told.Plan
 		n.announce()
 	}
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -89,7 +89,7 @@
 // SetPlan takes the plan of the process that orders stages, and has it carried to all.
 func (n *Node) SetPlan(plan message.StagePlan) {
 	n.mu.Lock()
-	newer := plan.Newer(&n.facts.Plan)
+	newer := plan.IsNewerThan(&n.facts.Plan)
 	if newer {
 		n.facts.Plan = plan
 		n.announce()
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -29,7 +29,7 @@
 	Slots    int     `msgpack:"n"`
 	Draining bool    `msgpack:"d"`
 	Stage    Stage   `msgpack:"g"`
-	ColdMs   float64 `msgpack:"c"`
+	WarmupMs float64 `msgpack:"c"`
 }
 
 // List is a reading of the platform's list. It ages while it travels.
@@ -85,12 +85,12 @@
 
 // Feed is what an agent tells its proxy. Fields that have not changed are missing.
 type Feed struct {
-	Table *PackedTable  `msgpack:"t"`
-	List  *InstanceList `msgpack:"l"`
-	Loads []Load        `msgpack:"o"`
-	Plan  *StagePlan    `msgpack:"p"`
-	Rank  int           `msgpack:"r"`
-	Count int           `msgpack:"c"` // of the proxies, 0: not told
+	Table      *PackedTable  `msgpack:"t"`
+	List       *InstanceList `msgpack:"l"`
+	Loads      []Load        `msgpack:"o"`
+	Plan       *StagePlan    `msgpack:"p"`
+	ProxyRank  int           `msgpack:"r"`
+	ProxyCount int           `msgpack:"c"` // of the proxies, 0: not told
 }
 
 // Load is what a server told of itself: requests running and waiting there.
@@ -113,9 +113,9 @@
 
 // ProxyReport is what a proxy tells its agent.
 type ProxyReport struct {
-	Version uint64              `msgpack:"v"` // of the configuration in force
-	Demands []membership.Demand `msgpack:"d"`
-	Loads   []Load              `msgpack:"l"` // that servers have told this proxy since the report before
+	ConfigVersion uint64              `msgpack:"v"` // of the configuration in force
+	Demands       []membership.Demand `msgpack:"d"`
+	Loads         []Load              `msgpack:"l"` // that servers have told this proxy since the report before
 }
 
 // StagePlan names the servers that are changing their stage. A higher token, then a higher sequence, is newer.
@@ -126,6 +126,6 @@
 }
 
 // Newer tells whether p takes the place of other.
-func (p *StagePlan) Newer(other *StagePlan) bool {
-	return p.Token > other.Token || p.Token == other.Token && p.Sequence > other.Sequence
+func (plan *StagePlan) IsNewerThan(other *StagePlan) bool {
+	return plan.Token > other.Token || plan.Token == other.Token && plan.Sequence > other.Sequence
 }
--- a/internal/message/wire_form_test.go
+++ b/internal/message/wire_form_test.go
@@ -43,7 +43,7 @@
 	table := message.PackedTable{Version: 70000, Data: []byte("packed table")}
 	return map[string]any{
 		"Instance": message.Instance{ID: "i-1", Service: "chat", Address: "10.0.1.1:9000", Zone: "a", Slots: 8, Draining: true,
-			Stage: message.Prefill, ColdMs: 2500.5},
+			Stage: message.Prefill, WarmupMs: 2500.5},
 		"List":  list,
 		"Table": table,
 		"Gossip": message.Gossip{FormatVersion: message.FormatVersion, Records: []membership.Record{record}, Heartbeats: []membership.Beat{beat}, Voters: value,
@@ -53,10 +53,10 @@
 		"ConfigReply":   message.ConfigReply{Data: []byte("piece"), Size: 200000},
 		"Learn":         message.LearnRequest{To: "founder@10.0.0.1:7000", Ballot: ballot, Value: value, MinBallot: register.Ballot{Round: 299, Proposer: "control-2"}},
 		"Learned":       message.LearnReply{UpToDate: true},
-		"Feed": message.Feed{Table: &table, List: &list, Loads: []message.Load{load}, Plan: &plan, Rank: 2,
-			Count: 300},
+		"Feed": message.Feed{Table: &table, List: &list, Loads: []message.Load{load}, Plan: &plan, ProxyRank: 2,
+			ProxyCount: 300},
 		"Load":        load,
-		"ProxyReport": message.ProxyReport{Version: 70000, Demands: []membership.Demand{demand}, Loads: []message.Load{load}},
+		"ProxyReport": message.ProxyReport{ConfigVersion: 70000, Demands: []membership.Demand{demand}, Loads: []message.Load{load}},
 		"StagePlan":   plan,
 		// What Table and List hold once they are unpacked.
 		"routes.Table": routeconfig.Table{Version: 70000, Limits: routeconfig.Limits{MaxHeaderBytes: 32768, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 4000.5, IdleTimeoutMs: 55000},
@@ -65,7 +65,7 @@
 			Services: []routeconfig.Service{{Name: "chat", HealthPath: "/health", MaxConnections: 100, Engine: &routeconfig.Engine{Slots: 8, KVTokens: 1e6,
 				KVTokenBytes: 1000.5, LinkMbps: 10000, HandleTTLS: 5.5, SwitchS: 2.5}}}},
 		"instances": []message.Instance{{ID: "i-1", Service: "chat", Address: "10.0.1.1:9000", Zone: "a", Slots: 8, Draining: true,
-			Stage: message.Decode, ColdMs: 2500.5}},
+			Stage: message.Decode, WarmupMs: 2500.5}},
 	}
 }
 
--- a/internal/proxy/plain_test.go
+++ b/internal/proxy/plain_test.go
@@ -227,7 +227,7 @@
 		packed, err := message.PackTable(&routeconfig.Table{Version: 1, Routes: []routeconfig.Route{route(routeconfig.NonIdempotent)},
 			Services: []routeconfig.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100}}})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(begun.state.take(&message.Feed{Table: packed, List: list(s.Instance), Count: 1})).To(Succeed())
+		Expect(begun.state.take(&message.Feed{Table: packed, List: list(s.Instance), ProxyCount: 1})).To(Succeed())
 		Eventually(statuses).Should(Receive(Equal(http.StatusOK)))
 	})
 
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -65,8 +65,8 @@
 	if feed.Plan != nil {
 		s.plan = *feed.Plan
 	}
-	if feed.Count > 0 {
-		s.rank, s.count = feed.Rank, feed.Count
+	if feed.ProxyCount > 0 {
+		s.rank, s.count = feed.ProxyRank, feed.ProxyCount
 	}
 	if feed.List != nil {
 		s.list, s.listed = instances, true
@@ -174,7 +174,7 @@
 	defer s.mu.Unlock()
 	out := &message.ProxyReport{}
 	if s.table != nil {
-		out.Version = s.table.version
+		out.ConfigVersion = s.table.version
 	}
 	now := s.now()
 	for name, planner := range s.planners {
--- a/internal/proxy/wire_form_test.go
+++ b/internal/proxy/wire_form_test.go
@@ -45,7 +45,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	data, err := msgpack.Marshal(&message.Feed{Table: table, List: list(message.Instance{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "z",
 		Slots: 4, Stage: message.Decode}), Loads: []message.Load{{InstanceKey: message.InstanceKey("i-1"), Running: 2, Waiting: 1, AgeMs: 40}},
-		Plan: &message.StagePlan{Token: 3, Sequence: 9, Stages: map[string]message.Stage{"i-1": message.Prefill}}, Rank: 1, Count: 3})
+		Plan: &message.StagePlan{Token: 3, Sequence: 9, Stages: map[string]message.Stage{"i-1": message.Prefill}}, ProxyRank: 1, ProxyCount: 3})
 	Expect(err).NotTo(HaveOccurred())
 	return append([]byte{byte(len(data) >> 24), byte(len(data) >> 16), byte(len(data) >> 8), byte(len(data))}, data...)
 }
