--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -142,11 +142,11 @@
 func (c *Control) internalRouter() http.Handler {
 	router := mux.NewRouter()
 	c.node.Register(router)
-	router.HandleFunc(preparePath, transport.Handle(c.replica.prepare)).Methods("POST")
-	router.HandleFunc(acceptPath, transport.Handle(c.replica.accept)).Methods("POST")
-	router.HandleFunc(readPath, transport.Handle(c.replica.read)).Methods("POST")
-	router.HandleFunc(learnPath, transport.Handle(c.serveLearn)).Methods("POST")
-	router.HandleFunc(configPath, transport.Handle(c.replica.serveConfig)).Methods("POST")
+	router.HandleFunc(preparePath, transport.NewHandler(c.replica.prepare)).Methods("POST")
+	router.HandleFunc(acceptPath, transport.NewHandler(c.replica.accept)).Methods("POST")
+	router.HandleFunc(readPath, transport.NewHandler(c.replica.read)).Methods("POST")
+	router.HandleFunc(learnPath, transport.NewHandler(c.serveLearn)).Methods("POST")
+	router.HandleFunc(configPath, transport.NewHandler(c.replica.serveConfig)).Methods("POST")
 	router.HandleFunc(holdingsPath, c.serveHoldings).Methods("GET")
 	return router
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -161,7 +161,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	Expect(opened.begin(ctx)).To(Succeed())
 	m := &machine{ip: s.ip(i), stop: stop, ended: make(chan error, 1),
-		control: newControl(settings, opened, transport.NewClientOn(s.network.dial(s.ip(i))), log)}
+		control: newControl(settings, opened, transport.NewClientWithDial(s.network.dial(s.ip(i))), log)}
 	s.machines[i] = m
 	go func() { m.ended <- m.control.run(ctx, nil) }()
 }
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -47,7 +47,7 @@
 
 func newStageKeeper(c *Control) *stageKeeper {
 	k := &stageKeeper{control: c, planner: stages.New(), start: time.Now(),
-		http: &http.Client{Transport: &http.Transport{DialContext: transport.Dialer().DialContext, MaxIdleConnsPerHost: 1}}}
+		http: &http.Client{Transport: &http.Transport{DialContext: transport.NewDialer().DialContext, MaxIdleConnsPerHost: 1}}}
 	k.holder = election.New(stagesRole, c.settings.NodeID, nodeconfig.Millis(c.settings.Bounds.LeaseMs).Seconds(), k.now())
 	return k
 }
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -102,7 +102,7 @@
 
 // Register adds the node's paths to a router.
 func (n *Node) Register(router *mux.Router) {
-	router.HandleFunc(gossipPath, transport.Handle(n.serveGossip)).Methods("POST")
+	router.HandleFunc(gossipPath, transport.NewHandler(n.serveGossip)).Methods("POST")
 }
 
 // now is the time of the view: seconds on the steady clock.
--- a/internal/gossip/platform.go
+++ b/internal/gossip/platform.go
@@ -32,7 +32,7 @@
 
 // NewPlatform returns a client for the platform at IP:PORT.
 func NewPlatform(address string) *Platform {
-	return &Platform{address, &http.Client{Transport: &http.Transport{DialContext: transport.Dialer().DialContext, MaxIdleConnsPerHost: 1,
+	return &Platform{address, &http.Client{Transport: &http.Transport{DialContext: transport.NewDialer().DialContext, MaxIdleConnsPerHost: 1,
 		IdleConnTimeout: time.Minute, DisableCompression: true}}}
 }
 
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -57,7 +57,7 @@
 }
 
 func newBackends() *backends {
-	return &backends{dialer: transport.Dialer(), rest: map[string][]*backendConn{}}
+	return &backends{dialer: transport.NewDialer(), rest: map[string][]*backendConn{}}
 }
 
 // get returns a connection at rest that is still good, or a new one. Danger: a server may answer a request twice. A connection that
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -32,7 +32,7 @@
 )
 
 // Dialer returns a dialer that notices peers behind a cut: what is not acknowledged within ackWithin ends the connection.
-func Dialer() *net.Dialer {
+func NewDialer() *net.Dialer {
 	return &net.Dialer{Timeout: connectWithin, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		var failed error
 		err := raw.Control(func(fd uintptr) {
@@ -48,10 +48,10 @@
 }
 
 // NewClient returns a client whose connections are kept for a while.
-func NewClient() *Client { return NewClientOn(Dialer().DialContext) }
+func NewClient() *Client { return NewClientWithDial(NewDialer().DialContext) }
 
 // NewClientOn returns a client that opens its connections with dial.
-func NewClientOn(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
+func NewClientWithDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	return &Client{&http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idlePerHost,
 		IdleConnTimeout: idleFor, DisableCompression: true, ReadBufferSize: 2 << 10, WriteBufferSize: 2 << 10}}}
 }
@@ -83,7 +83,7 @@
 }
 
 // Handle returns a handler that reads a request, lets serve answer it and writes the reply. An error of serve is a 503.
-func Handle[Request, Reply any](serve func(context.Context, *Request) (*Reply, error)) http.HandlerFunc {
+func NewHandler[Request, Reply any](serve func(context.Context, *Request) (*Reply, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var request Request
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessage))
--- a/internal/transport/wire_form_test.go
+++ b/internal/transport/wire_form_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestHandleForm(t *testing.T) {
-	handler := transport.Handle(func(_ context.Context, request *question) (*reply, error) {
+	handler := transport.NewHandler(func(_ context.Context, request *question) (*reply, error) {
 		if request.Count == 0 {
 			return nil, errors.New("not now")
 		}
