--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -66,15 +66,15 @@
 	r := &replica{log: log, store: opened, accepted: make(chan struct{}, 1)}
 	state, found := r.load(records)
 	for _, place := range damage {
-		log.WithField("tail", place.Tail).Warn("store: " + place.String())
-		if !place.Tail {
+		log.WithField("tail", place.TornTail).Warn("store: " + place.String())
+		if !place.TornTail {
 			// Danger: what can't be read may have been a promise. Who forgot one must not vote as the one that made it.
 			found = false
 		}
 	}
 	if !found {
 		// Danger: a founder whose disk held something may have promised something. Only an empty disk founds.
-		state = newState(settings, !opened.Used())
+		state = newState(settings, !opened.IsUsed())
 	}
 	r.found = found
 	r.acceptor = register.NewAcceptor(state)
@@ -163,7 +163,7 @@
 func (r *replica) check() {
 	r.writing.Lock()
 	defer r.writing.Unlock()
-	bad := r.store.Check()
+	bad := r.store.Verify()
 	if bad == nil {
 		return
 	}
@@ -195,7 +195,7 @@
 	if newer {
 		signal(r.accepted)
 	}
-	if r.store.Size() > snapshotAt {
+	if r.store.SegmentSize() > snapshotAt {
 		if err := r.snapshot(); err != nil {
 			r.log.WithError(err).Warn("store: a snapshot failed")
 		}
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -215,7 +215,7 @@
 		return err.Error()
 	}
 	for _, place := range damage {
-		if !place.Tail {
+		if !place.TornTail {
 			return "damage that is no torn end: " + place.String()
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -43,18 +43,20 @@
 }
 
 // Damage names a place where a file could not be read further.
-type Damage struct {
+type Corruption struct {
 	File   string
 	Offset int64
 	Reason string
 	// Tail is true where nothing that was written is found behind it, as after a loss of power.
-	Tail bool
+	TornTail bool
 
-	sequence uint64 // of the segment
-	followed bool   // a whole record stands behind it in the same file
+	sequence   uint64 // of the segment
+	laterBatch bool   // a whole record stands behind it in the same file
 }
 
-func (d Damage) String() string { return fmt.Sprintf("%s: offset %d: %s", d.File, d.Offset, d.Reason) }
+func (d Corruption) String() string {
+	return fmt.Sprintf("%s: offset %d: %s", d.File, d.Offset, d.Reason)
+}
 
 // Store is an open folder. It is for one goroutine.
 type Store struct {
@@ -96,14 +98,14 @@
 
 // Open reads the folder, making it where it isn't there, and returns its records in order: those of the newest snapshot, then
 // those of the segments after it.
-func Open(dir string) (*Store, []Record, []Damage, error) {
+func Open(dir string) (*Store, []Record, []Corruption, error) {
 	if err := os.MkdirAll(dir, dirPerm); err != nil {
 		return nil, nil, nil, Error.Wrap(err)
 	}
 	return open(osFolder(dir))
 }
 
-func open(on folder) (*Store, []Record, []Damage, error) {
+func open(on folder) (*Store, []Record, []Corruption, error) {
 	records, damage, last, err := read(on)
 	if err != nil {
 		return nil, nil, nil, err
@@ -111,7 +113,7 @@
 	// Danger: never write behind an end that may be torn. Each life begins a segment of its own, at its first write.
 	s := &Store{folder: on, sequence: last, broken: true}
 	for _, place := range damage {
-		if place.Tail {
+		if place.TornTail {
 			s.cuts = append(s.cuts, cut{place.sequence, place.Offset})
 		}
 	}
@@ -119,11 +121,11 @@
 }
 
 // Read reads the folder without changing it. last is the highest number that a file has.
-func Read(dir string) (records []Record, damage []Damage, last uint64, err error) {
+func Read(dir string) (records []Record, damage []Corruption, last uint64, err error) {
 	return read(osFolder(dir))
 }
 
-func read(on folder) (records []Record, damage []Damage, last uint64, err error) {
+func read(on folder) (records []Record, damage []Corruption, last uint64, err error) {
 	segments, snapshots, err := list(on)
 	if err != nil {
 		return nil, nil, 0, err
@@ -140,7 +142,7 @@
 	}
 	// Danger: a segment that could not be begun may come back under the number that a snapshot was given then.
 	segments = slices.DeleteFunc(segments, func(sequence uint64) bool { return from > 0 && sequence <= from })
-	found := map[uint64]*Damage{}
+	found := map[uint64]*Corruption{}
 	for _, sequence := range segments {
 		last = max(last, sequence)
 		more, bad := readFile(on, name(sequence, segmentSuffix))
@@ -148,17 +150,17 @@
 		if len(more) > 0 {
 			// Something was written after what the segments before hold.
 			for _, before := range found {
-				before.Tail = false
+				before.TornTail = false
 			}
 		}
 		for _, end := range cuts {
-			if before := found[end.sequence]; before != nil && before.Offset >= end.size && !before.followed {
+			if before := found[end.sequence]; before != nil && before.Offset >= end.size && !before.laterBatch {
 				delete(found, end.sequence)
 			}
 		}
 		records = append(records, more...)
 		if bad != nil {
-			bad.sequence, bad.Tail = sequence, !bad.followed
+			bad.sequence, bad.TornTail = sequence, !bad.laterBatch
 			found[sequence] = bad
 		}
 	}
@@ -196,24 +198,24 @@
 }
 
 // readFile returns the records up to the first that can't be read, and where that is.
-func readFile(on folder, name string) (records []Record, damage *Damage) {
+func readFile(on folder, name string) (records []Record, damage *Corruption) {
 	damage = scanFile(on, name, func(more []Record) { records = append(records, more...) })
 	return records, damage
 }
 
 // scanFile hands over the records of each write up to the first that can't be read, and returns where that is.
-func scanFile(on folder, name string, visit func([]Record)) *Damage {
+func scanFile(on folder, name string, visit func([]Record)) *Corruption {
 	path := on.path(name)
 	file, err := on.open(name)
 	if err != nil {
-		return &Damage{File: path, Reason: err.Error()}
+		return &Corruption{File: path, Reason: err.Error()}
 	}
 	defer file.Close()
 	in := bufio.NewReader(file)
 	offset := int64(0)
 	head := make([]byte, len(magic))
 	if _, err := io.ReadFull(in, head); err != nil || string(head) != magic {
-		return &Damage{File: path, Reason: "no file of this format"}
+		return &Corruption{File: path, Reason: "no file of this format"}
 	}
 	offset += int64(len(magic))
 	for {
@@ -222,8 +224,8 @@
 			return nil
 		}
 		if err != nil {
-			bad := &Damage{File: path, Offset: offset, Reason: err.Error()}
-			bad.followed, err = recordBehind(file, offset)
+			bad := &Corruption{File: path, Offset: offset, Reason: err.Error()}
+			bad.laterBatch, err = recordBehind(file, offset)
 			if err != nil {
 				bad.Reason += "; " + err.Error()
 			}
@@ -231,7 +233,7 @@
 		}
 		more, err := unbatch(record)
 		if err != nil {
-			return &Damage{File: path, Offset: offset, Reason: err.Error(), followed: true}
+			return &Corruption{File: path, Offset: offset, Reason: err.Error(), laterBatch: true}
 		}
 		visit(more)
 		offset += size
@@ -344,10 +346,10 @@
 }
 
 // Used tells whether the folder holds anything that was written before.
-func (s *Store) Used() bool { return s.sequence > 0 }
+func (s *Store) IsUsed() bool { return s.sequence > 0 }
 
 // Size returns the bytes in the segment that is written.
-func (s *Store) Size() int64 { return s.size }
+func (s *Store) SegmentSize() int64 { return s.size }
 
 // begin makes the next segment.
 func (s *Store) begin() error {
@@ -429,10 +431,10 @@
 
 // Check reads what this life has written again and returns the first place that can't be read, nil if there is none. A snapshot
 // mends it.
-func (s *Store) Check() *Damage {
+func (s *Store) Verify() *Corruption {
 	segments, snapshots, err := list(s.folder)
 	if err != nil {
-		return &Damage{File: s.folder.path(""), Reason: err.Error()}
+		return &Corruption{File: s.folder.path(""), Reason: err.Error()}
 	}
 	ignore := func([]Record) {}
 	for _, sequence := range snapshots {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -31,7 +31,7 @@
 	var dir string
 	BeforeEach(func() { dir = GinkgoT().TempDir() })
 
-	open := func() (*store.Store, []string, []store.Damage) {
+	open := func() (*store.Store, []string, []store.Corruption) {
 		s, records, damage, err := store.Open(dir)
 		Expect(err).NotTo(HaveOccurred())
 		return s, texts(records), damage
@@ -76,7 +76,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(texts(records)).To(Equal([]string{"first"}), "cut at %d", cut)
 			Expect(damage).To(HaveLen(1))
-			Expect(damage[0].Tail).To(BeTrue())
+			Expect(damage[0].TornTail).To(BeTrue())
 		}
 	})
 
@@ -95,14 +95,14 @@
 			_, damage, _, err := store.Read(dir)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(damage).To(HaveLen(1), "byte %d", place)
-			Expect(damage[0].Tail).To(BeFalse(), "byte %d", place)
+			Expect(damage[0].TornTail).To(BeFalse(), "byte %d", place)
 		}
 		s, _, _ = open()
 		Expect(s.Append(record("third"))).To(Succeed())
 		_, damage, _, err := store.Read(dir)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(damage).To(HaveLen(1))
-		Expect(damage[0].Tail).To(BeFalse())
+		Expect(damage[0].TornTail).To(BeFalse())
 		Expect(damage[0].File).To(Equal(path))
 	})
 
@@ -139,7 +139,7 @@
 		s, _, _ := open()
 		Expect(s.Snapshot(record("a"))).To(Succeed())
 		Expect(s.Append(record("b"))).To(Succeed())
-		Expect(s.Check()).To(BeNil())
+		Expect(s.Verify()).To(BeNil())
 		files, err := filepath.Glob(filepath.Join(dir, "*"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(files).To(HaveLen(2))
@@ -148,8 +148,8 @@
 			Expect(err).NotTo(HaveOccurred())
 			data[len(data)-1] ^= 1
 			Expect(os.WriteFile(path, data, 0o644)).To(Succeed())
-			Expect(s.Check()).NotTo(BeNil())
-			Expect(s.Check().File).To(Equal(path))
+			Expect(s.Verify()).NotTo(BeNil())
+			Expect(s.Verify().File).To(Equal(path))
 			data[len(data)-1] ^= 1
 			Expect(os.WriteFile(path, data, 0o644)).To(Succeed())
 		}
@@ -158,7 +158,7 @@
 		data[9] ^= 1
 		Expect(os.WriteFile(files[0], data, 0o644)).To(Succeed())
 		Expect(s.Snapshot(record("a"), record("b"))).To(Succeed())
-		Expect(s.Check()).To(BeNil())
+		Expect(s.Verify()).To(BeNil())
 		_, found, damage := open()
 		Expect(found).To(Equal([]string{"a", "b"}))
 		Expect(damage).To(BeEmpty())
