--- a/internal/message/payload.go
+++ b/internal/message/packing.go
@@ -35,15 +35,6 @@
 	return table, unpack(t.Data, table)
 }
 
-// PackList packs servers.
-func PackInstances(instances []Instance) ([]byte, error) { return pack(instances) }
-
-// UnpackList returns the servers.
-func UnpackInstances(data []byte) (instances []Instance, err error) {
-	err = unpack(data, &instances)
-	return instances, err
-}
-
 func pack(value any) ([]byte, error) {
 	var out bytes.Buffer
 	writer, err := flate.NewWriter(&out, flate.BestSpeed)
