--- a/internal/message/instance.go
+++ b/internal/message/instance.go
@@ -1,37 +1,37 @@
 package message
 
-// Stage is what a model server does.
+// Stage is the part of a generation that a model server does. Servers without a model have the empty stage.
 type Stage string
 
-// The stages of model servers. Servers without a model have none.
+// The stages of model servers.
 const (
-	Prefill Stage = "prefill"
-	Decode  Stage = "decode"
+	Prefill Stage = "prefill" // reads the prompt and fills its KV cache
+	Decode  Stage = "decode"  // generates tokens from a KV cache
 )
 
 // Instance is a server as the platform lists it.
 type Instance struct {
 	ID       string  `msgpack:"i"`
 	Service  string  `msgpack:"s"`
-	Address  string  `msgpack:"a"`
+	Address  string  `msgpack:"a"` // IP:PORT
 	Zone     string  `msgpack:"z"`
-	Slots    int     `msgpack:"n"`
-	Draining bool    `msgpack:"d"`
+	Slots    int     `msgpack:"n"` // requests that it runs at once
+	Draining bool    `msgpack:"d"` // it is shutting down and gets no new requests
 	Stage    Stage   `msgpack:"g"`
-	WarmupMs float64 `msgpack:"c"`
+	WarmupMs float64 `msgpack:"c"` // rest of its slow start; always 0, kept for receivers that expect the key
 }
 
-// List is a reading of the platform's list. It ages while it travels.
+// InstanceList is one reading of the platform's list of servers. Its age is sent in place of a time, since clocks of machines differ.
 type InstanceList struct {
-	Digest uint64  `msgpack:"d"` // 0: there is none
-	AgeMs  float64 `msgpack:"a"` // since it was read, when this was sent
-	Data   []byte  `msgpack:"i"` // the servers, packed; missing where only the age is told
+	Digest uint64  `msgpack:"d"` // identifies the content, whatever its order; 0: there is no list
+	AgeMs  float64 `msgpack:"a"` // from the reading to the sending of this message
+	Data   []byte  `msgpack:"i"` // from PackInstances; nil where only digest and age are sent
 }
 
-// PackList packs servers.
+// PackInstances returns the servers as the compressed Data of an InstanceList.
 func PackInstances(instances []Instance) ([]byte, error) { return pack(instances) }
 
-// UnpackList returns the servers.
+// UnpackInstances reverses PackInstances.
 func UnpackInstances(data []byte) (instances []Instance, err error) {
 	err = unpack(data, &instances)
 	return instances, err
--- a/internal/message/packing.go
+++ b/internal/message/packing.go
@@ -11,30 +11,32 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// Error is the class of all errors of this package.
+// Error is the class of the errors of this package and of receivers that reject a message.
 var Error = errs.Class("message")
 
-// maxPayload bounds a payload once it is unpacked, in bytes.
-const maxPayload = 64 << 20
+// maxUnpackedBytes bounds what is read of a payload while it is unpacked: a small message must not fill the memory.
+const maxUnpackedBytes = 64 << 20
 
-// Table is a configuration, packed once by who first has it. Agents pass it on as it is.
+// PackedTable is a configuration in the form that proxies use. The control process that commits it packs it once; all others forward the
+// bytes as they are.
 type PackedTable struct {
-	Version uint64 `msgpack:"v"`
-	Data    []byte `msgpack:"d"`
+	Version uint64 `msgpack:"v"` // of the configuration
+	Data    []byte `msgpack:"d"` // a routeconfig.Table as MessagePack, compressed by DEFLATE
 }
 
-// PackTable packs a configuration.
+// PackTable returns the packed form of table. The result is not to be used where there is an error.
 func PackTable(table *routeconfig.Table) (*PackedTable, error) {
 	data, err := pack(table)
 	return &PackedTable{Version: table.Version, Data: data}, err
 }
 
-// Unpack returns the configuration.
-func (t *PackedTable) Unpack() (*routeconfig.Table, error) {
+// Unpack reverses PackTable. The result is not to be used where there is an error.
+func (packed *PackedTable) Unpack() (*routeconfig.Table, error) {
 	table := &routeconfig.Table{}
-	return table, unpack(t.Data, table)
+	return table, unpack(packed.Data, table)
 }
 
+// pack returns value as compressed MessagePack.
 func pack(value any) ([]byte, error) {
 	var out bytes.Buffer
 	writer, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -50,8 +52,9 @@
 	return out.Bytes(), nil
 }
 
+// unpack reverses pack, into the value that the pointer points to.
 func unpack(data []byte, value any) error {
 	reader := flate.NewReader(bytes.NewReader(data))
-	defer reader.Close()
-	return Error.Wrap(msgpack.NewDecoder(io.LimitReader(reader, maxPayload)).Decode(value))
+	defer func() { _ = reader.Close() }() // a reader of bytes holds no resource
+	return Error.Wrap(msgpack.NewDecoder(io.LimitReader(reader, maxUnpackedBytes)).Decode(value))
 }
--- a/internal/message/proxy.go
+++ b/internal/message/proxy.go
@@ -2,19 +2,19 @@
 
 import "hazelwheel/internal/decide/membership"
 
-// Feed is what an agent tells its proxy. Fields that have not changed are missing.
+// Feed is an update that an agent sends its proxy. What has not changed since the update before is nil.
 type Feed struct {
 	Table      *PackedTable  `msgpack:"t"`
 	List       *InstanceList `msgpack:"l"`
 	Loads      []Load        `msgpack:"o"`
 	Plan       *StagePlan    `msgpack:"p"`
-	ProxyRank  int           `msgpack:"r"`
-	ProxyCount int           `msgpack:"c"` // of the proxies, 0: not told
+	ProxyRank  int           `msgpack:"r"` // of this proxy among the live proxies, from 0
+	ProxyCount int           `msgpack:"c"` // live proxies; 0: rank and count are not known yet
 }
 
-// ProxyReport is what a proxy tells its agent.
+// ProxyReport is what a proxy sends its agent at regular intervals.
 type ProxyReport struct {
 	ConfigVersion uint64              `msgpack:"v"` // of the configuration in force
-	Demands       []membership.Demand `msgpack:"d"`
-	Loads         []Load              `msgpack:"l"` // that servers have told this proxy since the report before
+	Demands       []membership.Demand `msgpack:"d"` // by service with model servers
+	Loads         []Load              `msgpack:"l"` // measured since the report before
 }
--- a/internal/message/register.go
+++ b/internal/message/register.go
@@ -2,28 +2,29 @@
 
 import "hazelwheel/internal/decide/register"
 
-// ConfigRequest asks a control process for a piece of a configuration's bytes.
+// ConfigRequest asks a control process for a chunk of a configuration's bytes.
 type ConfigRequest struct {
-	Digest register.Digest `msgpack:"d"`
-	Offset int             `msgpack:"o"`
-	Length int             `msgpack:"l"` // at most; 0: all
+	Digest register.Digest `msgpack:"d"` // of the configuration
+	Offset int             `msgpack:"o"` // first byte of the chunk
+	Length int             `msgpack:"l"` // maximum length; 0: up to the end
 }
 
-// ConfigReply holds the piece, and the size of the whole: 0 if it isn't there.
+// ConfigReply holds the chunk.
 type ConfigReply struct {
 	Data []byte `msgpack:"b"`
-	Size int    `msgpack:"s"`
+	Size int    `msgpack:"s"` // of the complete configuration; 0: the sender does not have it
 }
 
-// Learn tells a control process of the value that was chosen last, and that it may fetch the configuration's bytes of the voters.
+// LearnRequest brings the chosen value of the register to a control process that does not vote. A process without the bytes of the
+// value's configuration fetches them from the voters after it has replied.
 type LearnRequest struct {
-	To        string          `msgpack:"t"` // the identity that is meant
-	Ballot    register.Ballot `msgpack:"b"`
+	To        string          `msgpack:"t"` // identity of the receiver's disk; another one rejects the request
+	Ballot    register.Ballot `msgpack:"b"` // at which Value was chosen
 	Value     register.Value  `msgpack:"v"`
-	MinBallot register.Ballot `msgpack:"s"` // of the value from which on what it holds is new enough; zero: At
+	MinBallot register.Ballot `msgpack:"s"` // the receiver counts as up to date from this ballot on; zero: from Ballot on
 }
 
-// Learned answers Learn.
+// LearnReply answers a LearnRequest.
 type LearnReply struct {
-	UpToDate bool `msgpack:"h"` // what is on the disk, with the bytes of its configuration, is new enough
+	UpToDate bool `msgpack:"h"` // the value on disk, with its configuration's bytes, is of MinBallot or later
 }
