--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -20,12 +20,12 @@
 
 // ReadFrame reads a message that WriteFrame wrote.
 func ReadFrame(r io.Reader, message any) error {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [4]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return Error.Wrap(err)
 	}
-	length := binary.BigEndian.Uint32(head[:])
-	if length > maxMessage {
+	length := binary.BigEndian.Uint32(header[:])
+	if length > maxMessageBytes {
 		return Error.New("a frame of %d bytes", length)
 	}
 	data := make([]byte, length)
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -12,7 +12,7 @@
 func NewHandler[Request, Reply any](serve func(context.Context, *Request) (*Reply, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var request Request
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessage))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
 		if err == nil {
 			err = msgpack.Unmarshal(body, &request)
 		}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -14,10 +14,10 @@
 const (
 	contentType = "application/msgpack"
 	// maxMessage bounds what is read of one message, in bytes.
-	maxMessage = 16 << 20
+	maxMessageBytes = 16 << 20
 	// connectWithin and ackWithin bound how long a silent machine is waited for.
-	connectWithin = 700 * time.Millisecond
-	ackWithin     = 1500 * time.Millisecond
-	idleFor       = 20 * time.Second
-	idlePerHost   = 2
+	connectTimeout      = 700 * time.Millisecond
+	ackTimeout          = 1500 * time.Millisecond
+	idleConnTimeout     = 20 * time.Second
+	maxIdleConnsPerHost = 2
 )
