--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -10,21 +10,22 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Client calls other processes.
+// Client sends requests to other processes. It is safe for concurrent use.
 type Client struct {
 	httpClient *http.Client
 }
 
-// NewClient returns a client whose connections are kept for a while.
+// NewClient returns a client that connects by NewDialer.
 func NewClient() *Client { return NewClientWithDial(NewDialer().DialContext) }
 
-// NewClientOn returns a client that opens its connections with dial.
+// NewClientWithDial returns a client that opens its connections with dial; tests put a faulty network there.
 func NewClientWithDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	return &Client{&http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdleConnsPerHost,
-		IdleConnTimeout: idleConnTimeout, DisableCompression: true, ReadBufferSize: 2 << 10, WriteBufferSize: 2 << 10}}}
+		IdleConnTimeout: idleConnTimeout, DisableCompression: true, ReadBufferSize: bufferSize, WriteBufferSize: bufferSize}}}
 }
 
-// Call posts a request to a path at an address and reads the reply into it.
+// Call posts request to a path at an address (IP:PORT) and decodes the answer into reply, a pointer. The context bounds the complete call.
+// After an error the other process may have handled the request all the same.
 func (c *Client) Call(ctx context.Context, address, path string, request, reply any) error {
 	data, err := msgpack.Marshal(request)
 	if err != nil {
@@ -39,7 +40,7 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // all that counts is read by then
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
 	if err != nil {
 		return Error.Wrap(err)
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dialer returns a dialer that notices peers behind a cut: what is not acknowledged within ackWithin ends the connection.
+// NewDialer returns a dialer whose connections fail soon in a network partition: an attempt to connect after connectTimeout, an open
+// connection once sent bytes were not acknowledged for ackTimeout. Keep-alive probes are off.
 func NewDialer() *net.Dialer {
 	return &net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -7,20 +7,24 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// WriteFrame writes a message behind its length.
+// headerSize is the size of a frame's length, in bytes.
+const headerSize = 4
+
+// WriteFrame writes message as MessagePack, behind its length in bytes (32 bits, big-endian), in one call of w.Write.
 func WriteFrame(w io.Writer, message any) error {
 	data, err := msgpack.Marshal(message)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	frame := binary.BigEndian.AppendUint32(make([]byte, 0, len(data)+4), uint32(len(data)))
+	frame := binary.BigEndian.AppendUint32(make([]byte, 0, headerSize+len(data)), uint32(len(data)))
 	_, err = w.Write(append(frame, data...))
 	return Error.Wrap(err)
 }
 
-// ReadFrame reads a message that WriteFrame wrote.
+// ReadFrame reads a frame of WriteFrame into message, a pointer. After an error the position in the stream is unknown, so that the
+// connection is of no further use.
 func ReadFrame(r io.Reader, message any) error {
-	var header [4]byte
+	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return Error.Wrap(err)
 	}
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -8,7 +8,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Handle returns a handler that reads a request, lets serve answer it and writes the reply. An error of serve is a 503.
+// NewHandler returns a handler that decodes a request, has serve answer it and encodes the reply. It answers 400 where the request can't
+// be decoded, and 503 with the error's text where serve fails. serve is called from many goroutines; its context ends with the
+// connection.
 func NewHandler[Request, Reply any](serve func(context.Context, *Request) (*Reply, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var request Request
@@ -31,6 +33,6 @@
 			return
 		}
 		w.Header().Set("Content-Type", contentType)
-		_, _ = w.Write(data) // the peer that is gone asks again
+		_, _ = w.Write(data) // a peer that has disconnected sends its request again
 	}
 }
