--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -104,7 +104,7 @@
 	return closer{bytes.NewReader(file.content)}, nil
 }
 
-func (d *simDisk) create(name string) (writable, error) {
+func (d *simDisk) create(name string) (writableFile, error) {
 	d.step()
 	if d.full {
 		return nil, errFull
@@ -210,7 +210,7 @@
 
 // life opens the store, writes until power is lost and checks what is found in the end.
 func (p *diskPlay) life() (fault string) {
-	s, records, damage, err := open(p.disk)
+	s, records, damage, err := openFolder(p.disk)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -17,14 +17,14 @@
 	path(name string) string // for messages
 	list() ([]string, error)
 	open(name string) (io.ReadSeekCloser, error)
-	create(name string) (writable, error) // empty, also where there was one
+	create(name string) (writableFile, error) // empty, also where there was one
 	rename(from, to string) error
 	remove(name string) error
 	sync() error
 }
 
 // writable is a file that is written.
-type writable interface {
+type writableFile interface {
 	io.WriterAt
 	io.Closer
 	Truncate(size int64) error
@@ -46,7 +46,7 @@
 
 func (f osFolder) open(name string) (io.ReadSeekCloser, error) { return os.Open(f.path(name)) }
 
-func (f osFolder) create(name string) (writable, error) {
+func (f osFolder) create(name string) (writableFile, error) {
 	return os.OpenFile(f.path(name), os.O_RDWR|os.O_CREATE|os.O_TRUNC, filePerm)
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -28,7 +28,7 @@
 	snapSuffix    = ".snap"
 	tempSuffix    = ".tmp"
 	// maxRecord bounds a record, in bytes, so that a damaged length is noticed.
-	maxRecord = 64 << 20
+	maxRecordBytes = 64 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -60,40 +60,40 @@
 
 // Store is an open folder. It is for one goroutine.
 type Store struct {
-	folder   folder
-	sequence uint64 // of the segment that is written
-	file     writable
-	size     int64 // of the good part of the segment
-	broken   bool  // the segment's end is unknown: a new one must be begun
-	cuts     []cut // what the next segment says of those before it
+	folder       folder
+	sequence     uint64 // of the segment that is written
+	file         writableFile
+	size         int64        // of the good part of the segment
+	needsSegment bool         // the segment's end is unknown: a new one must be begun
+	earlierEnds  []segmentEnd // what the next segment says of those before it
 }
 
 // cut says where the good part of an earlier segment ends. What stands behind it was never reported as written.
-type cut struct {
-	sequence uint64
-	size     int64
+type segmentEnd struct {
+	sequence  uint64
+	validSize int64
 }
 
 // The kinds that the store itself uses; callers use lower ones.
 const (
-	cutKind   Kind = 255 // at the beginning of a segment: holds a cut
-	batchKind Kind = 254 // holds the records of one Append, so that they are there together or not at all
+	segmentEndKind Kind = 255 // at the beginning of a segment: holds a cut
+	batchKind      Kind = 254 // holds the records of one Append, so that they are there together or not at all
 )
 
-func (c *cut) record() Record {
+func (c *segmentEnd) record() Record {
 	data := binary.LittleEndian.AppendUint64(nil, c.sequence)
-	return Record{cutKind, binary.LittleEndian.AppendUint64(data, uint64(c.size))}
+	return Record{segmentEndKind, binary.LittleEndian.AppendUint64(data, uint64(c.validSize))}
 }
 
 // readCuts returns the cuts at the beginning of a segment, and the records behind them.
-func readCuts(records []Record) (cuts []cut, rest []Record) {
+func splitSegmentEnds(records []Record) (ends []segmentEnd, rest []Record) {
 	const length = 16
-	for len(records) > 0 && records[0].Kind == cutKind && len(records[0].Data) == length {
+	for len(records) > 0 && records[0].Kind == segmentEndKind && len(records[0].Data) == length {
 		data := records[0].Data
-		cuts = append(cuts, cut{binary.LittleEndian.Uint64(data), int64(binary.LittleEndian.Uint64(data[8:]))})
+		ends = append(ends, segmentEnd{binary.LittleEndian.Uint64(data), int64(binary.LittleEndian.Uint64(data[8:]))})
 		records = records[1:]
 	}
-	return cuts, records
+	return ends, records
 }
 
 // Open reads the folder, making it where it isn't there, and returns its records in order: those of the newest snapshot, then
@@ -102,80 +102,80 @@
 	if err := os.MkdirAll(dir, dirPerm); err != nil {
 		return nil, nil, nil, Error.Wrap(err)
 	}
-	return open(osFolder(dir))
+	return openFolder(osFolder(dir))
 }
 
-func open(on folder) (*Store, []Record, []Corruption, error) {
-	records, damage, last, err := read(on)
+func openFolder(files folder) (*Store, []Record, []Corruption, error) {
+	records, corruptions, newest, err := readFolder(files)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	// Danger: never write behind an end that may be torn. Each life begins a segment of its own, at its first write.
-	s := &Store{folder: on, sequence: last, broken: true}
-	for _, place := range damage {
-		if place.TornTail {
-			s.cuts = append(s.cuts, cut{place.sequence, place.Offset})
+	s := &Store{folder: files, sequence: newest, needsSegment: true}
+	for _, corruption := range corruptions {
+		if corruption.TornTail {
+			s.earlierEnds = append(s.earlierEnds, segmentEnd{corruption.sequence, corruption.Offset})
 		}
 	}
-	return s, records, damage, nil
+	return s, records, corruptions, nil
 }
 
 // Read reads the folder without changing it. last is the highest number that a file has.
-func Read(dir string) (records []Record, damage []Corruption, last uint64, err error) {
-	return read(osFolder(dir))
+func Read(dir string) (records []Record, corruptions []Corruption, newest uint64, err error) {
+	return readFolder(osFolder(dir))
 }
 
-func read(on folder) (records []Record, damage []Corruption, last uint64, err error) {
-	segments, snapshots, err := list(on)
+func readFolder(files folder) (records []Record, corruptions []Corruption, newest uint64, err error) {
+	segments, snapshots, err := listSequences(files)
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	from := uint64(0)
+	snapshot := uint64(0)
 	for _, sequence := range slices.Backward(snapshots) {
-		last = max(last, sequence)
-		found, bad := readFile(on, name(sequence, snapSuffix))
-		if bad == nil {
-			records, from = found, sequence
+		newest = max(newest, sequence)
+		bySegment, corruption := readRecords(files, fileName(sequence, snapSuffix))
+		if corruption == nil {
+			records, snapshot = bySegment, sequence
 			break
 		}
-		damage = append(damage, *bad)
+		corruptions = append(corruptions, *corruption)
 	}
 	// Danger: a segment that could not be begun may come back under the number that a snapshot was given then.
-	segments = slices.DeleteFunc(segments, func(sequence uint64) bool { return from > 0 && sequence <= from })
-	found := map[uint64]*Corruption{}
+	segments = slices.DeleteFunc(segments, func(sequence uint64) bool { return snapshot > 0 && sequence <= snapshot })
+	bySegment := map[uint64]*Corruption{}
 	for _, sequence := range segments {
-		last = max(last, sequence)
-		more, bad := readFile(on, name(sequence, segmentSuffix))
-		cuts, more := readCuts(more)
-		if len(more) > 0 {
+		newest = max(newest, sequence)
+		batch, corruption := readRecords(files, fileName(sequence, segmentSuffix))
+		cuts, batch := splitSegmentEnds(batch)
+		if len(batch) > 0 {
 			// Something was written after what the segments before hold.
-			for _, before := range found {
-				before.TornTail = false
+			for _, earlier := range bySegment {
+				earlier.TornTail = false
 			}
 		}
 		for _, end := range cuts {
-			if before := found[end.sequence]; before != nil && before.Offset >= end.size && !before.laterBatch {
-				delete(found, end.sequence)
+			if earlier := bySegment[end.sequence]; earlier != nil && earlier.Offset >= end.validSize && !earlier.laterBatch {
+				delete(bySegment, end.sequence)
 			}
 		}
-		records = append(records, more...)
-		if bad != nil {
-			bad.sequence, bad.TornTail = sequence, !bad.laterBatch
-			found[sequence] = bad
+		records = append(records, batch...)
+		if corruption != nil {
+			corruption.sequence, corruption.TornTail = sequence, !corruption.laterBatch
+			bySegment[sequence] = corruption
 		}
 	}
 	for _, sequence := range segments {
-		if bad := found[sequence]; bad != nil {
-			damage = append(damage, *bad)
+		if corruption := bySegment[sequence]; corruption != nil {
+			corruptions = append(corruptions, *corruption)
 		}
 	}
-	return records, damage, last, nil
+	return records, corruptions, newest, nil
 }
 
-func name(sequence uint64, suffix string) string { return fmt.Sprintf("%016d%s", sequence, suffix) }
+func fileName(sequence uint64, suffix string) string { return fmt.Sprintf("%016d%s", sequence, suffix) }
 
-func list(on folder) (segments, snapshots []uint64, err error) {
-	names, err := on.list()
+func listSequences(files folder) (segments, snapshots []uint64, err error) {
+	names, err := files.list()
 	if err != nil {
 		return nil, nil, Error.Wrap(err)
 	}
@@ -198,23 +198,23 @@
 }
 
 // readFile returns the records up to the first that can't be read, and where that is.
-func readFile(on folder, name string) (records []Record, damage *Corruption) {
-	damage = scanFile(on, name, func(more []Record) { records = append(records, more...) })
-	return records, damage
+func readRecords(files folder, name string) (records []Record, corruption *Corruption) {
+	corruption = scanBatches(files, name, func(more []Record) { records = append(records, more...) })
+	return records, corruption
 }
 
 // scanFile hands over the records of each write up to the first that can't be read, and returns where that is.
-func scanFile(on folder, name string, visit func([]Record)) *Corruption {
-	path := on.path(name)
-	file, err := on.open(name)
+func scanBatches(files folder, name string, visit func([]Record)) *Corruption {
+	path := files.path(name)
+	file, err := files.open(name)
 	if err != nil {
 		return &Corruption{File: path, Reason: err.Error()}
 	}
 	defer file.Close()
 	in := bufio.NewReader(file)
 	offset := int64(0)
-	head := make([]byte, len(magic))
-	if _, err := io.ReadFull(in, head); err != nil || string(head) != magic {
+	header := make([]byte, len(magic))
+	if _, err := io.ReadFull(in, header); err != nil || string(header) != magic {
 		return &Corruption{File: path, Reason: "no file of this format"}
 	}
 	offset += int64(len(magic))
@@ -224,18 +224,18 @@
 			return nil
 		}
 		if err != nil {
-			bad := &Corruption{File: path, Offset: offset, Reason: err.Error()}
-			bad.laterBatch, err = recordBehind(file, offset)
+			corruption := &Corruption{File: path, Offset: offset, Reason: err.Error()}
+			corruption.laterBatch, err = laterBatchExists(file, offset)
 			if err != nil {
-				bad.Reason += "; " + err.Error()
+				corruption.Reason += "; " + err.Error()
 			}
-			return bad
+			return corruption
 		}
-		more, err := unbatch(record)
+		batch, err := unbatch(record)
 		if err != nil {
 			return &Corruption{File: path, Offset: offset, Reason: err.Error(), laterBatch: true}
 		}
-		visit(more)
+		visit(batch)
 		offset += size
 	}
 }
@@ -260,7 +260,7 @@
 
 // recordBehind tells whether a whole batch stands behind a place that can't be read. Each Append is synced before the next one
 // begins, so that a loss of power spoils nothing but the last one: what stands before another was damaged in another way.
-func recordBehind(file io.ReadSeeker, offset int64) (bool, error) {
+func laterBatchExists(file io.ReadSeeker, offset int64) (bool, error) {
 	if _, err := file.Seek(offset+1, io.SeekStart); err != nil {
 		return false, err
 	}
@@ -268,16 +268,16 @@
 	if err != nil {
 		return false, err
 	}
-	for at := range rest {
-		if Kind(rest[at]) != batchKind || len(rest)-at < headerSize {
+	for start := range rest {
+		if Kind(rest[start]) != batchKind || len(rest)-start < headerSize {
 			continue
 		}
-		header := rest[at : at+headerSize]
+		header := rest[start : start+headerSize]
 		length := int(binary.LittleEndian.Uint32(header[1:]))
-		if length == 0 || length > len(rest)-at-headerSize {
+		if length == 0 || length > len(rest)-start-headerSize {
 			continue
 		}
-		if checksum(header[0], rest[at+headerSize:at+headerSize+length]) == binary.LittleEndian.Uint32(header[5:]) {
+		if checksum(header[0], rest[start+headerSize:start+headerSize+length]) == binary.LittleEndian.Uint32(header[5:]) {
 			return true, nil
 		}
 	}
@@ -291,7 +291,7 @@
 		return Record{}, 0, err // io.ErrUnexpectedEOF where a part is there
 	}
 	length := binary.LittleEndian.Uint32(header[1:])
-	if length > maxRecord {
+	if length > maxRecordBytes {
 		return Record{}, 0, fmt.Errorf("length %d out of bounds", length)
 	}
 	data := make([]byte, length)
@@ -321,26 +321,26 @@
 
 // Append writes records and syncs them. After an error none of them counts, though some may be found at the next start.
 func (s *Store) Append(records ...Record) error {
-	if s.broken {
-		if err := s.begin(); err != nil {
+	if s.needsSegment {
+		if err := s.startSegment(); err != nil {
 			return err
 		}
 	}
 	data := encode([]Record{{batchKind, encode(records)}})
 	if _, err := s.file.WriteAt(data, s.size); err != nil {
-		return s.fail(err)
+		return s.discardPartialWrite(err)
 	}
 	if err := s.file.Sync(); err != nil {
-		return s.fail(err)
+		return s.discardPartialWrite(err)
 	}
 	s.size += int64(len(data))
 	return nil
 }
 
 // fail cuts off what a failed write may have left behind; where that fails too, the next write begins a new segment.
-func (s *Store) fail(cause error) error {
+func (s *Store) discardPartialWrite(cause error) error {
 	if err := s.file.Truncate(s.size); err != nil {
-		s.broken, s.cuts = true, append(s.cuts, cut{s.sequence, s.size})
+		s.needsSegment, s.earlierEnds = true, append(s.earlierEnds, segmentEnd{s.sequence, s.size})
 	}
 	return Error.Wrap(cause)
 }
@@ -352,25 +352,25 @@
 func (s *Store) SegmentSize() int64 { return s.size }
 
 // begin makes the next segment.
-func (s *Store) begin() error {
-	head := []byte(magic)
-	for _, end := range s.cuts {
-		head = append(head, encode([]Record{end.record()})...)
+func (s *Store) startSegment() error {
+	header := []byte(magic)
+	for _, earlier := range s.earlierEnds {
+		header = append(header, encode([]Record{earlier.record()})...)
 	}
-	file, err := s.create(name(s.sequence+1, segmentSuffix), head)
+	file, err := s.createSynced(fileName(s.sequence+1, segmentSuffix), header)
 	if err != nil {
 		return err
 	}
 	if s.file != nil {
 		_ = s.file.Close() // all that counts in it is synced
 	}
-	s.file, s.sequence, s.size, s.broken, s.cuts = file, s.sequence+1, int64(len(head)), false, nil
+	s.file, s.sequence, s.size, s.needsSegment, s.earlierEnds = file, s.sequence+1, int64(len(header)), false, nil
 	return nil
 }
 
 // create writes and syncs a new file and its folder. It leaves no file behind when it fails.
-func (s *Store) create(base string, data []byte) (writable, error) {
-	file, err := s.folder.create(base)
+func (s *Store) createSynced(name string, data []byte) (writableFile, error) {
+	file, err := s.folder.create(name)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -383,7 +383,7 @@
 	}
 	if err != nil {
 		_ = file.Close()
-		_ = s.folder.remove(base) // what stays is passed over, or begun anew under the same name
+		_ = s.folder.remove(name) // what stays is passed over, or begun anew under the same name
 		return nil, Error.Wrap(err)
 	}
 	return file, nil
@@ -392,18 +392,18 @@
 // Snapshot replaces all that was written by these records and removes the files before.
 func (s *Store) Snapshot(records ...Record) error {
 	sequence := s.sequence + 1
-	temporary := name(sequence, snapSuffix+tempSuffix)
-	file, err := s.create(temporary, append([]byte(magic), encode(records)...))
+	temporary := fileName(sequence, snapSuffix+tempSuffix)
+	file, err := s.createSynced(temporary, append([]byte(magic), encode(records)...))
 	if err != nil {
 		return err
 	}
 	if err := file.Close(); err != nil {
 		return Error.Wrap(err)
 	}
-	if err := s.folder.rename(temporary, name(sequence, snapSuffix)); err != nil {
+	if err := s.folder.rename(temporary, fileName(sequence, snapSuffix)); err != nil {
 		return Error.Wrap(err)
 	}
-	s.sequence, s.broken, s.cuts = sequence, true, nil
+	s.sequence, s.needsSegment, s.earlierEnds = sequence, true, nil
 	// Danger: older files must outlive the new name.
 	if err := s.folder.sync(); err != nil {
 		return Error.Wrap(err)
@@ -412,18 +412,18 @@
 }
 
 func (s *Store) removeBefore(sequence uint64) error {
-	segments, snapshots, err := list(s.folder)
+	segments, snapshots, err := listSequences(s.folder)
 	if err != nil {
 		return err
 	}
 	for _, old := range segments {
 		if old < sequence {
-			err = errs.Combine(err, s.folder.remove(name(old, segmentSuffix)))
+			err = errs.Combine(err, s.folder.remove(fileName(old, segmentSuffix)))
 		}
 	}
 	for _, old := range snapshots {
 		if old < sequence {
-			err = errs.Combine(err, s.folder.remove(name(old, snapSuffix)))
+			err = errs.Combine(err, s.folder.remove(fileName(old, snapSuffix)))
 		}
 	}
 	return Error.Wrap(err)
@@ -432,22 +432,22 @@
 // Check reads what this life has written again and returns the first place that can't be read, nil if there is none. A snapshot
 // mends it.
 func (s *Store) Verify() *Corruption {
-	segments, snapshots, err := list(s.folder)
+	segments, snapshots, err := listSequences(s.folder)
 	if err != nil {
 		return &Corruption{File: s.folder.path(""), Reason: err.Error()}
 	}
-	ignore := func([]Record) {}
+	discard := func([]Record) {}
 	for _, sequence := range snapshots {
 		if sequence <= s.sequence {
-			if bad := scanFile(s.folder, name(sequence, snapSuffix), ignore); bad != nil {
-				return bad
+			if corruption := scanBatches(s.folder, fileName(sequence, snapSuffix), discard); corruption != nil {
+				return corruption
 			}
 		}
 	}
 	// Earlier segments end where they end: their torn ends are named in those after them.
 	for _, sequence := range segments {
-		if sequence == s.sequence && !s.broken {
-			return scanFile(s.folder, name(sequence, segmentSuffix), ignore)
+		if sequence == s.sequence && !s.needsSegment {
+			return scanBatches(s.folder, fileName(sequence, segmentSuffix), discard)
 		}
 	}
 	return nil
