--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -17,48 +17,48 @@
 )
 
 var (
-	errFull = errors.New("no space left")
-	// errPower ends everything at a loss of power.
-	errPower = errors.New("power lost")
+	errNoSpace = errors.New("no space left")
+	// errPowerLoss is the panic that ends the simulated process.
+	errPowerLoss = errors.New("power lost")
 )
 
-// simFile is a file of a simulated disk.
-type simFile struct {
-	disk    *simDisk
+// simulatedFile is a file of a simulatedDisk.
+type simulatedFile struct {
+	disk    *simulatedDisk
 	content []byte
 	synced  []byte
 	pending []func(content []byte, torn bool) []byte // writes since the last sync
 	name    string
 }
 
-// simDisk is a disk that forgets at a loss of power what was not synced: each name and each write by itself.
-type simDisk struct {
+// simulatedDisk is a disk that may lose at a loss of power what was not synced: each name and each write independently.
+type simulatedDisk struct {
 	rng     *rand.Rand
-	live    map[string]*simFile
-	durable map[string]*simFile
+	visible map[string]*simulatedFile
+	durable map[string]*simulatedFile
 	full    bool
 	steps   int // until power is lost
 }
 
-func newSimDisk(rng *rand.Rand) *simDisk {
-	return &simDisk{rng: rng, live: map[string]*simFile{}, durable: map[string]*simFile{}}
+func newSimulatedDisk(rng *rand.Rand) *simulatedDisk {
+	return &simulatedDisk{rng: rng, visible: map[string]*simulatedFile{}, durable: map[string]*simulatedFile{}}
 }
 
-// step counts what is done to the disk. The process is over once power is lost.
-func (d *simDisk) step() {
+// step counts the operations on the disk, and panics at the loss of power.
+func (d *simulatedDisk) step() {
 	if d.steps--; d.steps == 0 {
-		panic(errPower)
+		panic(errPowerLoss)
 	}
 }
 
-// losePower leaves what was synced and, of all else, each part or not.
-func (d *simDisk) losePower() {
+// losePower keeps what was synced and, of everything else, each part at random.
+func (d *simulatedDisk) losePower() {
 	nothing := d.rng.IntN(4) == 0 // at some losses of power none of it remains
-	names := map[string]*simFile{}
+	names := map[string]*simulatedFile{}
 	for _, name := range slices.Sorted(maps.Keys(d.names())) {
 		kept := d.durable[name]
 		if !nothing && d.rng.IntN(2) == 0 {
-			kept = d.live[name]
+			kept = d.visible[name]
 		}
 		if kept != nil {
 			names[name] = kept
@@ -72,14 +72,14 @@
 				content = write(content, draw == 1)
 			}
 		}
-		names[name] = &simFile{disk: d, name: name, content: content, synced: slices.Clone(content)}
+		names[name] = &simulatedFile{disk: d, name: name, content: content, synced: slices.Clone(content)}
 	}
-	d.live, d.durable, d.full = names, maps.Clone(names), false
+	d.visible, d.durable, d.full = names, maps.Clone(names), false
 }
 
-func (d *simDisk) names() map[string]bool {
+func (d *simulatedDisk) names() map[string]bool {
 	names := map[string]bool{}
-	for name := range d.live {
+	for name := range d.visible {
 		names[name] = true
 	}
 	for name := range d.durable {
@@ -88,63 +88,63 @@
 	return names
 }
 
-func (d *simDisk) path(name string) string { return name }
+func (d *simulatedDisk) path(name string) string { return name }
 
-func (d *simDisk) list() ([]string, error) { return slices.Sorted(maps.Keys(d.live)), nil }
+func (d *simulatedDisk) list() ([]string, error) { return slices.Sorted(maps.Keys(d.visible)), nil }
 
-type closer struct{ *bytes.Reader }
+type nopCloser struct{ *bytes.Reader }
 
-func (closer) Close() error { return nil }
+func (nopCloser) Close() error { return nil }
 
-func (d *simDisk) open(name string) (io.ReadSeekCloser, error) {
-	file := d.live[name]
+func (d *simulatedDisk) open(name string) (io.ReadSeekCloser, error) {
+	file := d.visible[name]
 	if file == nil {
 		return nil, fs.ErrNotExist
 	}
-	return closer{bytes.NewReader(file.content)}, nil
+	return nopCloser{bytes.NewReader(file.content)}, nil
 }
 
-func (d *simDisk) create(name string) (writableFile, error) {
+func (d *simulatedDisk) create(name string) (writableFile, error) {
 	d.step()
 	if d.full {
-		return nil, errFull
+		return nil, errNoSpace
 	}
-	file := &simFile{disk: d, name: name}
-	if old := d.live[name]; old != nil { // the file of that name is emptied; what it was may come back
+	file := &simulatedFile{disk: d, name: name}
+	if old := d.visible[name]; old != nil { // the file of that name is emptied; what it was may come back
 		file.synced = old.synced
 		file.pending = append(slices.Clone(old.pending), func([]byte, bool) []byte { return nil })
 	}
-	d.live[name] = file
+	d.visible[name] = file
 	return file, nil
 }
 
-func (d *simDisk) rename(from, to string) error {
+func (d *simulatedDisk) rename(from, to string) error {
 	d.step()
-	file := d.live[from]
+	file := d.visible[from]
 	if file == nil {
 		return fs.ErrNotExist
 	}
-	delete(d.live, from)
-	d.live[to], file.name = file, to
+	delete(d.visible, from)
+	d.visible[to], file.name = file, to
 	return nil
 }
 
-func (d *simDisk) remove(name string) error {
+func (d *simulatedDisk) remove(name string) error {
 	d.step()
-	if d.live[name] == nil {
+	if d.visible[name] == nil {
 		return fs.ErrNotExist
 	}
-	delete(d.live, name)
+	delete(d.visible, name)
 	return nil
 }
 
-func (d *simDisk) sync() error {
+func (d *simulatedDisk) sync() error {
 	d.step()
-	d.durable = maps.Clone(d.live)
+	d.durable = maps.Clone(d.visible)
 	return nil
 }
 
-func (f *simFile) WriteAt(data []byte, at int64) (int, error) {
+func (f *simulatedFile) WriteAt(data []byte, at int64) (int, error) {
 	f.disk.step()
 	if f.disk.full { // a part may go out
 		data = data[:f.disk.rng.IntN(len(data)+1)]
@@ -164,15 +164,15 @@
 	f.content = write(f.content, false)
 	f.pending = append(f.pending, write)
 	if f.disk.full {
-		return len(data), errFull
+		return len(data), errNoSpace
 	}
 	return len(data), nil
 }
 
-func (f *simFile) Truncate(size int64) error {
+func (f *simulatedFile) Truncate(size int64) error {
 	f.disk.step()
 	if f.disk.full && f.disk.rng.IntN(2) == 0 {
-		return errFull
+		return errNoSpace
 	}
 	cut := func(content []byte, torn bool) []byte {
 		if torn || int64(len(content)) <= size {
@@ -185,47 +185,48 @@
 	return nil
 }
 
-func (f *simFile) Sync() error {
+func (f *simulatedFile) Sync() error {
 	f.disk.step()
 	if f.disk.full && f.disk.rng.IntN(3) == 0 {
-		return errFull
+		return errNoSpace
 	}
 	f.synced, f.pending = slices.Clone(f.content), nil
-	if f.disk.live[f.name] == f {
+	if f.disk.visible[f.name] == f {
 		f.disk.durable[f.name] = f
 	}
 	return nil
 }
 
-func (f *simFile) Close() error { return nil }
+func (f *simulatedFile) Close() error { return nil }
 
-// diskPlay is a store that is written to through losses of power.
-type diskPlay struct {
-	rng     *rand.Rand
-	disk    *simDisk
-	entries []string // that are there or, behind the acknowledged ones, may be there
-	acked   int
-	next    int
+// crashHistory is a sequence of processes that write to one store, each ended by a loss of power.
+type crashHistory struct {
+	rng          *rand.Rand
+	disk         *simulatedDisk
+	entries      []string // that are there or, behind the acknowledged ones, may be there
+	acknowledged int
+	next         int
 }
 
-// life opens the store, writes until power is lost and checks what is found in the end.
-func (p *diskPlay) life() (fault string) {
-	s, records, damage, err := openFolder(p.disk)
+// runUntilPowerLoss opens the store, checks what it returns and writes until power is lost. It returns how a rule was broken, "" where none
+// was.
+func (p *crashHistory) runUntilPowerLoss() (fault string) {
+	s, records, corruptions, err := openFolder(p.disk)
 	if err != nil {
 		return err.Error()
 	}
-	for _, place := range damage {
-		if !place.TornTail {
-			return "damage that is no torn end: " + place.String()
+	for _, corruption := range corruptions {
+		if !corruption.TornTail {
+			return "damage that is no torn end: " + corruption.String()
 		}
 	}
-	if fault := p.check(records); fault != "" {
+	if fault := p.checkRecords(records); fault != "" {
 		return fault
 	}
 	p.disk.steps = 1 + p.rng.IntN(60)
 	defer func() {
 		p.disk.steps = 0
-		if met := recover(); met != nil && met != errPower {
+		if met := recover(); met != nil && met != errPowerLoss {
 			panic(met)
 		}
 		p.disk.losePower()
@@ -233,22 +234,22 @@
 	for {
 		p.disk.full = p.rng.IntN(5) == 0
 		if p.rng.IntN(4) == 0 {
-			_ = s.Snapshot(p.records()...) // what fails leaves what was there
+			_ = s.Snapshot(p.snapshotRecords()...) // what fails leaves what was there
 			continue
 		}
 		p.next++
 		text := strconv.Itoa(p.next)
 		p.entries = append(p.entries, text)
 		if s.Append(Record{1, []byte("bytes of " + text)}, Record{2, []byte(text)}) == nil {
-			p.acked = len(p.entries)
+			p.acknowledged = len(p.entries)
 		} else {
 			p.entries = append(p.entries[:len(p.entries)-1:len(p.entries)-1], "?"+text)
 		}
 	}
 }
 
-// records are what a snapshot holds: what was acknowledged.
-func (p *diskPlay) records() (records []Record) {
+// snapshotRecords returns what a snapshot holds: what was acknowledged.
+func (p *crashHistory) snapshotRecords() (records []Record) {
 	for _, text := range p.entries {
 		if text[0] != '?' {
 			records = append(records, Record{2, []byte(text)})
@@ -257,8 +258,8 @@
 	return records
 }
 
-// check looks whether all that was acknowledged is found, in order, and nothing that was never written.
-func (p *diskPlay) check(records []Record) string {
+// checkRecords checks that all that was acknowledged is found, in order, and nothing that was never written.
+func (p *crashHistory) checkRecords(records []Record) string {
 	var found []string
 	for _, record := range records {
 		if record.Kind == 2 {
@@ -268,7 +269,7 @@
 	kept := make([]string, 0, len(found))
 	at := 0
 	for i, text := range p.entries {
-		sure := text[0] != '?' && i < p.acked
+		sure := text[0] != '?' && i < p.acknowledged
 		if text[0] == '?' {
 			text = text[1:]
 		}
@@ -283,12 +284,12 @@
 	if at < len(found) {
 		return fmt.Sprintf("%s was not written there: found %v of %v", found[at], found, p.entries)
 	}
-	p.entries, p.acked = kept, len(kept)
+	p.entries, p.acknowledged = kept, len(kept)
 	return ""
 }
 
-// diskSeeds is how many histories are played; STORE_SEEDS asks for more.
-func diskSeeds() uint64 {
+// seedCount is the number of histories; the variable STORE_SEEDS sets another one.
+func seedCount() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("STORE_SEEDS"), 10, 64); err == nil {
 		return n
 	}
@@ -297,11 +298,11 @@
 
 var _ = Describe("a store on a disk that loses power at any step", func() {
 	It("holds what was acknowledged, and calls nothing damaged", func() {
-		for seed := range diskSeeds() {
+		for seed := range seedCount() {
 			rng := rand.New(rand.NewPCG(seed, 5))
-			p := &diskPlay{rng: rng, disk: newSimDisk(rng)}
+			p := &crashHistory{rng: rng, disk: newSimulatedDisk(rng)}
 			for range 12 {
-				Expect(p.life()).To(BeEmpty(), "seed %d", seed)
+				Expect(p.runUntilPowerLoss()).To(BeEmpty(), "seed %d", seed)
 			}
 		}
 	})
--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -11,19 +11,19 @@
 	dirPerm  = 0o755
 )
 
-// folder is where a store keeps its files. What is made, renamed or removed in it lasts once it was synced; a new file also once it
-// was synced itself.
+// folder is the seam for tests that simulate a disk. A file that was created, renamed or removed in it stays so after a loss of power once
+// the folder was synced, a created file also once the file itself was.
 type folder interface {
-	path(name string) string // for messages
+	path(name string) string // for error texts
 	list() ([]string, error)
 	open(name string) (io.ReadSeekCloser, error)
-	create(name string) (writableFile, error) // empty, also where there was one
+	create(name string) (writableFile, error) // truncates a file that is there
 	rename(from, to string) error
 	remove(name string) error
 	sync() error
 }
 
-// writable is a file that is written.
+// writableFile is a file that is open for writing. What was written is durable once Sync has returned without an error.
 type writableFile interface {
 	io.WriterAt
 	io.Closer
@@ -59,6 +59,6 @@
 	if err != nil {
 		return err
 	}
-	defer opened.Close()
+	defer func() { _ = opened.Close() }() // only synced
 	return opened.Sync()
 }
--- a/internal/store/reading.go
+++ b/internal/store/reading.go
@@ -11,23 +11,31 @@
 	"strings"
 )
 
-// Damage names a place where a file could not be read further.
+const (
+	segmentSuffix  = ".seg"
+	snapshotSuffix = ".snap"
+	tempSuffix     = ".tmp"
+)
+
+// Corruption is a place from which on a file could not be read.
 type Corruption struct {
 	File   string
-	Offset int64
+	Offset int64 // in bytes
 	Reason string
-	// Tail is true where nothing that was written is found behind it, as after a loss of power.
+	// TornTail is true where nothing that was written later is found: a crash in the middle of an Append leaves such an end, and no
+	// acknowledged record is lost. Where it is false, acknowledged records may be lost.
 	TornTail bool
 
 	sequence   uint64 // of the segment
-	laterBatch bool   // a whole record stands behind it in the same file
+	laterBatch bool   // a complete batch follows in the same file
 }
 
-func (d Corruption) String() string {
-	return fmt.Sprintf("%s: offset %d: %s", d.File, d.Offset, d.Reason)
+// String returns file, offset and reason.
+func (c Corruption) String() string {
+	return fmt.Sprintf("%s: offset %d: %s", c.File, c.Offset, c.Reason)
 }
 
-// Read reads the folder without changing it. last is the highest number that a file has.
+// Read returns what Open returns, without creating or writing anything. newest is the highest number of a file, 0 where there is none.
 func Read(dir string) (records []Record, corruptions []Corruption, newest uint64, err error) {
 	return readFolder(osFolder(dir))
 }
@@ -37,35 +45,44 @@
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	snapshot := uint64(0)
+	snapshot := uint64(0) // number of the snapshot that is read
 	for _, sequence := range slices.Backward(snapshots) {
 		newest = max(newest, sequence)
-		bySegment, corruption := readRecords(files, fileName(sequence, snapSuffix))
+		found, corruption := readRecords(files, fileName(sequence, snapshotSuffix))
 		if corruption == nil {
-			records, snapshot = bySegment, sequence
+			records, snapshot = found, sequence
 			break
 		}
 		corruptions = append(corruptions, *corruption)
 	}
-	// Danger: a segment that could not be begun may come back under the number that a snapshot was given then.
+	// Danger: a segment whose creation failed may reappear after a crash under the number that was then given to a snapshot.
 	segments = slices.DeleteFunc(segments, func(sequence uint64) bool { return snapshot > 0 && sequence <= snapshot })
+	if len(segments) > 0 {
+		newest = max(newest, segments[len(segments)-1])
+	}
+	appended, inSegments := readSegments(files, segments)
+	return append(records, appended...), append(corruptions, inSegments...), newest, nil
+}
+
+// readSegments returns the records of segments in order, and the places that could not be read but for torn ends that a later segment
+// names.
+func readSegments(files folder, segments []uint64) (records []Record, corruptions []Corruption) {
 	bySegment := map[uint64]*Corruption{}
 	for _, sequence := range segments {
-		newest = max(newest, sequence)
-		batch, corruption := readRecords(files, fileName(sequence, segmentSuffix))
-		cuts, batch := splitSegmentEnds(batch)
-		if len(batch) > 0 {
-			// Something was written after what the segments before hold.
+		found, corruption := readRecords(files, fileName(sequence, segmentSuffix))
+		ends, found := splitSegmentEnds(found)
+		if len(found) > 0 {
+			// Something was written after what the earlier segments hold.
 			for _, earlier := range bySegment {
 				earlier.TornTail = false
 			}
 		}
-		for _, end := range cuts {
+		for _, end := range ends {
 			if earlier := bySegment[end.sequence]; earlier != nil && earlier.Offset >= end.validSize && !earlier.laterBatch {
 				delete(bySegment, end.sequence)
 			}
 		}
-		records = append(records, batch...)
+		records = append(records, found...)
 		if corruption != nil {
 			corruption.sequence, corruption.TornTail = sequence, !corruption.laterBatch
 			bySegment[sequence] = corruption
@@ -76,11 +93,13 @@
 			corruptions = append(corruptions, *corruption)
 		}
 	}
-	return records, corruptions, newest, nil
+	return records, corruptions
 }
 
+// fileName returns the name of a file with a sequence number; names sort as the numbers do.
 func fileName(sequence uint64, suffix string) string { return fmt.Sprintf("%016d%s", sequence, suffix) }
 
+// listSequences returns the numbers of the segments and of the snapshots in a folder, in order. Other files are ignored.
 func listSequences(files folder) (segments, snapshots []uint64, err error) {
 	names, err := files.list()
 	if err != nil {
@@ -95,7 +114,7 @@
 		switch "." + suffix {
 		case segmentSuffix:
 			segments = append(segments, sequence)
-		case snapSuffix:
+		case snapshotSuffix:
 			snapshots = append(snapshots, sequence)
 		}
 	}
@@ -104,20 +123,20 @@
 	return segments, snapshots, nil
 }
 
-// readFile returns the records up to the first that can't be read, and where that is.
+// readRecords returns the records of a file up to the first place that can't be read, and that place, nil where there is none.
 func readRecords(files folder, name string) (records []Record, corruption *Corruption) {
-	corruption = scanBatches(files, name, func(more []Record) { records = append(records, more...) })
+	corruption = scanBatches(files, name, func(batch []Record) { records = append(records, batch...) })
 	return records, corruption
 }
 
-// scanFile hands over the records of each write up to the first that can't be read, and returns where that is.
+// scanBatches calls visit with the records of each batch up to the first place that can't be read, and returns that place.
 func scanBatches(files folder, name string, visit func([]Record)) *Corruption {
 	path := files.path(name)
 	file, err := files.open(name)
 	if err != nil {
 		return &Corruption{File: path, Reason: err.Error()}
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // only read
 	in := bufio.NewReader(file)
 	offset := int64(0)
 	header := make([]byte, len(magic))
@@ -147,8 +166,8 @@
 	}
 }
 
-// recordBehind tells whether a whole batch stands behind a place that can't be read. Each Append is synced before the next one
-// begins, so that a loss of power spoils nothing but the last one: what stands before another was damaged in another way.
+// laterBatchExists tells whether a complete batch follows a place that can't be read. Each Append is synced before the next one starts, so
+// a loss of power damages the last batch alone: what precedes another batch was damaged in another way.
 func laterBatchExists(file io.ReadSeeker, offset int64) (bool, error) {
 	if _, err := file.Seek(offset+1, io.SeekStart); err != nil {
 		return false, err
@@ -162,11 +181,11 @@
 			continue
 		}
 		header := rest[start : start+headerSize]
-		length := int(binary.LittleEndian.Uint32(header[1:]))
+		length := int(binary.LittleEndian.Uint32(header[lengthOffset:]))
 		if length == 0 || length > len(rest)-start-headerSize {
 			continue
 		}
-		if checksum(header[0], rest[start+headerSize:start+headerSize+length]) == binary.LittleEndian.Uint32(header[5:]) {
+		if checksum(header[0], rest[start+headerSize:start+headerSize+length]) == binary.LittleEndian.Uint32(header[checksumOffset:]) {
 			return true, nil
 		}
 	}
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -10,24 +10,35 @@
 	"io"
 )
 
+const (
+	// magic begins each file. Its digit is the version of the format.
+	magic = "HZWSEG1\n"
+	// A record's header holds its kind (1 byte), the length of its data and the checksum of kind and data (4 bytes each, little-endian).
+	headerSize     = 9
+	lengthOffset   = 1
+	checksumOffset = 5
+	// maxRecordBytes bounds a record, so that a damaged length is noticed before memory is allocated for it.
+	maxRecordBytes = 64 << 20
+)
+
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Kind tells records apart; the caller chooses its meaning.
+// Kind distinguishes the records of a caller, who chooses its meaning. Values from 254 on belong to the store.
 type Kind uint8
 
-// Record is an entry of the log.
+// Record is an entry of the log or of a snapshot.
 type Record struct {
 	Kind Kind
 	Data []byte
 }
 
-// The kinds that the store itself uses; callers use lower ones.
+// The kinds of the store's own records.
 const (
-	segmentEndKind Kind = 255 // at the beginning of a segment: holds a cut
-	batchKind      Kind = 254 // holds the records of one Append, so that they are there together or not at all
+	segmentEndKind Kind = 255 // a segmentEnd, at the beginning of a segment
+	batchKind      Kind = 254 // the encoded records of one Append
 )
 
-// unbatch returns the records of a batch, or the record itself where it is none.
+// unbatch returns the records of a batch, or the record itself where it is no batch.
 func unbatch(record Record) (records []Record, err error) {
 	if record.Kind != batchKind {
 		return []Record{record}, nil
@@ -45,13 +56,14 @@
 	}
 }
 
-// readRecord returns io.EOF at a proper end alone.
+// readRecord returns the next record and its encoded size. Its error is io.EOF only at the end of the last record, and
+// io.ErrUnexpectedEOF within a record.
 func readRecord(in *bufio.Reader) (Record, int64, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
-		return Record{}, 0, err // io.ErrUnexpectedEOF where a part is there
+		return Record{}, 0, err
 	}
-	length := binary.LittleEndian.Uint32(header[1:])
+	length := binary.LittleEndian.Uint32(header[lengthOffset:])
 	if length > maxRecordBytes {
 		return Record{}, 0, fmt.Errorf("length %d out of bounds", length)
 	}
@@ -59,7 +71,7 @@
 	if _, err := io.ReadFull(in, data); err != nil {
 		return Record{}, 0, io.ErrUnexpectedEOF
 	}
-	if checksum(header[0], data) != binary.LittleEndian.Uint32(header[5:]) {
+	if checksum(header[0], data) != binary.LittleEndian.Uint32(header[checksumOffset:]) {
 		return Record{}, 0, errors.New("checksum differs")
 	}
 	return Record{Kind(header[0]), data}, headerSize + int64(length), nil
@@ -69,12 +81,13 @@
 	return crc32.Update(crc32.Update(0, castagnoli, []byte{kind}), castagnoli, data)
 }
 
+// encode returns the records as they stand in a file.
 func encode(records []Record) (out []byte) {
 	for _, record := range records {
 		var header [headerSize]byte
 		header[0] = byte(record.Kind)
-		binary.LittleEndian.PutUint32(header[1:], uint32(len(record.Data)))
-		binary.LittleEndian.PutUint32(header[5:], checksum(byte(record.Kind), record.Data))
+		binary.LittleEndian.PutUint32(header[lengthOffset:], uint32(len(record.Data)))
+		binary.LittleEndian.PutUint32(header[checksumOffset:], checksum(byte(record.Kind), record.Data))
 		out = append(append(out, header[:]...), record.Data...)
 	}
 	return out
--- a/internal/store/segmentend.go
+++ b/internal/store/segmentend.go
@@ -2,18 +2,19 @@
 
 import "encoding/binary"
 
-// cut says where the good part of an earlier segment ends. What stands behind it was never reported as written.
+// segmentEnd states how much of an earlier segment is valid. No Append has succeeded with what stands behind that, so it may be anything.
 type segmentEnd struct {
-	sequence  uint64
-	validSize int64
+	sequence  uint64 // of the segment
+	validSize int64  // in bytes
 }
 
-func (c *segmentEnd) record() Record {
-	data := binary.LittleEndian.AppendUint64(nil, c.sequence)
-	return Record{segmentEndKind, binary.LittleEndian.AppendUint64(data, uint64(c.validSize))}
+// record returns the end as a record: both fields as 64 bits, little-endian.
+func (end *segmentEnd) record() Record {
+	data := binary.LittleEndian.AppendUint64(nil, end.sequence)
+	return Record{segmentEndKind, binary.LittleEndian.AppendUint64(data, uint64(end.validSize))}
 }
 
-// readCuts returns the cuts at the beginning of a segment, and the records behind them.
+// splitSegmentEnds splits the records of a segment into the ends at its beginning and the records of callers.
 func splitSegmentEnds(records []Record) (ends []segmentEnd, rest []Record) {
 	const length = 16
 	for len(records) > 0 && records[0].Kind == segmentEndKind && len(records[0].Data) == length {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,13 @@
-// Package store keeps records on a disk: a log in segments with a snapshot beside it. A record is there once Append has
-// returned without an error, also after a loss of power. Files carry a format version, records a length and a checksum.
+// Package store is a write-ahead log with snapshots: records are appended to segment files, and a snapshot replaces all that was
+// written before it. A record is durable once Append has returned without an error: it is found again after a crash and after a loss of
+// power.
+//
+// A file is named after its sequence number, which grows by one with each segment and each snapshot. It begins with a magic string that
+// holds the format version; records follow, each with its kind, length and checksum. The records of one Append form a batch, which is
+// read back completely or not at all.
+//
+// A crash may leave a torn end behind, in the newest segment alone. The next segment names where the valid part of the one before ends,
+// so that an end that was torn by a crash can be told from bytes that were damaged later (see Corruption).
 package store
 
 import (
@@ -11,28 +19,19 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("store")
 
-const (
-	magic         = "HZWSEG1\n"
-	headerSize    = 9 // kind, length, checksum
-	segmentSuffix = ".seg"
-	snapSuffix    = ".snap"
-	tempSuffix    = ".tmp"
-	// maxRecord bounds a record, in bytes, so that a damaged length is noticed.
-	maxRecordBytes = 64 << 20
-)
-
-// Store is an open folder. It is for one goroutine.
+// Store is an open folder. Its methods must not be called from several goroutines at once, and one process at a time may open a folder.
 type Store struct {
 	folder       folder
-	sequence     uint64 // of the segment that is written
-	file         writableFile
-	size         int64        // of the good part of the segment
-	needsSegment bool         // the segment's end is unknown: a new one must be begun
-	earlierEnds  []segmentEnd // what the next segment says of those before it
+	sequence     uint64       // highest number of a segment or snapshot; that of file where needsSegment is false
+	file         writableFile // newest segment, nil before the first write
+	size         int64        // of the valid part of file, in bytes
+	needsSegment bool         // the next write starts a segment, since the end of the newest one is unknown
+	earlierEnds  []segmentEnd // ends of earlier segments that the next segment has to name
 }
 
-// Open reads the folder, making it where it isn't there, and returns its records in order: those of the newest snapshot, then
-// those of the segments after it.
+// Open reads a folder, creating it where it is missing, and returns its records in order: those of the newest readable snapshot, then
+// those of the segments after it. Places that could not be read are returned beside them; the caller decides whether it may go on
+// without what was lost there. Nothing is written before the first Append or Snapshot.
 func Open(dir string) (*Store, []Record, []Corruption, error) {
 	if err := os.MkdirAll(dir, dirPerm); err != nil {
 		return nil, nil, nil, Error.Wrap(err)
@@ -45,7 +44,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	// Danger: never write behind an end that may be torn. Each life begins a segment of its own, at its first write.
+	// Danger: never write behind an end that may be torn. Each process starts a segment of its own, with its first write.
 	s := &Store{folder: files, sequence: newest, needsSegment: true}
 	for _, corruption := range corruptions {
 		if corruption.TornTail {
@@ -55,7 +54,8 @@
 	return s, records, corruptions, nil
 }
 
-// Append writes records and syncs them. After an error none of them counts, though some may be found at the next start.
+// Append writes records as one batch and syncs it. After an error the batch must count as not written, though Open may find it: a write
+// whose sync failed may have reached the disk. The store remains usable; the caller may append again.
 func (s *Store) Append(records ...Record) error {
 	if s.needsSegment {
 		if err := s.startSegment(); err != nil {
@@ -73,7 +73,8 @@
 	return nil
 }
 
-// fail cuts off what a failed write may have left behind; where that fails too, the next write begins a new segment.
+// discardPartialWrite cuts off what a failed write may have left behind, and returns cause. Where that fails too, the next write starts a
+// segment, which names where the valid part of this one ends.
 func (s *Store) discardPartialWrite(cause error) error {
 	if err := s.file.Truncate(s.size); err != nil {
 		s.needsSegment, s.earlierEnds = true, append(s.earlierEnds, segmentEnd{s.sequence, s.size})
@@ -81,13 +82,13 @@
 	return Error.Wrap(cause)
 }
 
-// Used tells whether the folder holds anything that was written before.
+// IsUsed tells whether the folder has ever been written to, readable or not.
 func (s *Store) IsUsed() bool { return s.sequence > 0 }
 
-// Size returns the bytes in the segment that is written.
+// SegmentSize returns the size of the valid part of the newest segment, in bytes.
 func (s *Store) SegmentSize() int64 { return s.size }
 
-// begin makes the next segment.
+// startSegment creates the next segment, with the ends of earlier ones at its beginning.
 func (s *Store) startSegment() error {
 	header := []byte(magic)
 	for _, earlier := range s.earlierEnds {
@@ -98,13 +99,13 @@
 		return err
 	}
 	if s.file != nil {
-		_ = s.file.Close() // all that counts in it is synced
+		_ = s.file.Close() // its valid part is synced
 	}
 	s.file, s.sequence, s.size, s.needsSegment, s.earlierEnds = file, s.sequence+1, int64(len(header)), false, nil
 	return nil
 }
 
-// create writes and syncs a new file and its folder. It leaves no file behind when it fails.
+// createSynced creates a file with this content and syncs it and the folder. It removes the file where that fails.
 func (s *Store) createSynced(name string, data []byte) (writableFile, error) {
 	file, err := s.folder.create(name)
 	if err != nil {
@@ -118,17 +119,18 @@
 		err = s.folder.sync()
 	}
 	if err != nil {
-		_ = file.Close()
-		_ = s.folder.remove(name) // what stays is passed over, or begun anew under the same name
+		_ = file.Close()          // the first error is the one to report
+		_ = s.folder.remove(name) // a file that remains is ignored, or overwritten under the same name
 		return nil, Error.Wrap(err)
 	}
 	return file, nil
 }
 
-// Snapshot replaces all that was written by these records and removes the files before.
+// Snapshot replaces all earlier content by these records and removes the older files. After an error the older content may still be
+// there, or both; Open returns complete content in either case.
 func (s *Store) Snapshot(records ...Record) error {
 	sequence := s.sequence + 1
-	temporary := fileName(sequence, snapSuffix+tempSuffix)
+	temporary := fileName(sequence, snapshotSuffix+tempSuffix)
 	file, err := s.createSynced(temporary, append([]byte(magic), encode(records)...))
 	if err != nil {
 		return err
@@ -136,17 +138,18 @@
 	if err := file.Close(); err != nil {
 		return Error.Wrap(err)
 	}
-	if err := s.folder.rename(temporary, fileName(sequence, snapSuffix)); err != nil {
+	if err := s.folder.rename(temporary, fileName(sequence, snapshotSuffix)); err != nil {
 		return Error.Wrap(err)
 	}
 	s.sequence, s.needsSegment, s.earlierEnds = sequence, true, nil
-	// Danger: older files must outlive the new name.
+	// Danger: older files must not be removed before the new name is durable.
 	if err := s.folder.sync(); err != nil {
 		return Error.Wrap(err)
 	}
 	return s.removeBefore(sequence)
 }
 
+// removeBefore removes all files with a lower number. It goes on after a file that can't be removed.
 func (s *Store) removeBefore(sequence uint64) error {
 	segments, snapshots, err := listSequences(s.folder)
 	if err != nil {
@@ -159,14 +162,14 @@
 	}
 	for _, old := range snapshots {
 		if old < sequence {
-			err = errs.Combine(err, s.folder.remove(fileName(old, snapSuffix)))
+			err = errs.Combine(err, s.folder.remove(fileName(old, snapshotSuffix)))
 		}
 	}
 	return Error.Wrap(err)
 }
 
-// Check reads what this life has written again and returns the first place that can't be read, nil if there is none. A snapshot
-// mends it.
+// Verify reads back what this process has written and returns the first place that can't be read, nil where there is none. A Snapshot
+// repairs it.
 func (s *Store) Verify() *Corruption {
 	segments, snapshots, err := listSequences(s.folder)
 	if err != nil {
@@ -175,12 +178,12 @@
 	discard := func([]Record) {}
 	for _, sequence := range snapshots {
 		if sequence <= s.sequence {
-			if corruption := scanBatches(s.folder, fileName(sequence, snapSuffix), discard); corruption != nil {
+			if corruption := scanBatches(s.folder, fileName(sequence, snapshotSuffix), discard); corruption != nil {
 				return corruption
 			}
 		}
 	}
-	// Earlier segments end where they end: their torn ends are named in those after them.
+	// Earlier segments are left out: a torn end there is no fault, since a later segment names it.
 	for _, sequence := range segments {
 		if sequence == s.sequence && !s.needsSegment {
 			return scanBatches(s.folder, fileName(sequence, segmentSuffix), discard)
@@ -189,7 +192,7 @@
 	return nil
 }
 
-// Close closes the segment.
+// Close closes the newest segment. The store must not be used afterwards.
 func (s *Store) Close() error {
 	if s.file == nil {
 		return nil
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -32,9 +32,9 @@
 	BeforeEach(func() { dir = GinkgoT().TempDir() })
 
 	open := func() (*store.Store, []string, []store.Corruption) {
-		s, records, damage, err := store.Open(dir)
+		s, records, corruptions, err := store.Open(dir)
 		Expect(err).NotTo(HaveOccurred())
-		return s, texts(records), damage
+		return s, texts(records), corruptions
 	}
 	segments := func() []string {
 		found, err := filepath.Glob(filepath.Join(dir, "*.seg"))
@@ -42,17 +42,17 @@
 		return found
 	}
 
-	It("returns what was appended in each life", func() {
-		for life := range 3 {
-			s, found, damage := open()
-			Expect(found).To(HaveLen(life))
-			Expect(damage).To(BeEmpty())
-			Expect(s.Append(record(fmt.Sprint(life)))).To(Succeed())
+	It("returns what was appended before each restart", func() {
+		for restart := range 3 {
+			s, found, corruptions := open()
+			Expect(found).To(HaveLen(restart))
+			Expect(corruptions).To(BeEmpty())
+			Expect(s.Append(record(fmt.Sprint(restart)))).To(Succeed())
 			Expect(s.Close()).To(Succeed())
 		}
 	})
 
-	It("goes on from a snapshot and removes what came before", func() {
+	It("reads a snapshot and what follows it, and removes older files", func() {
 		s, _, _ := open()
 		Expect(s.Append(record("a"), record("b"))).To(Succeed())
 		Expect(s.Snapshot(record("ab"))).To(Succeed())
@@ -62,7 +62,7 @@
 		Expect(found).To(Equal([]string{"ab", "c"}))
 	})
 
-	It("drops a torn end, at each place where it may be torn", func() {
+	It("drops a torn end, wherever it is torn", func() {
 		s, _, _ := open()
 		Expect(s.Append(record("first"))).To(Succeed())
 		whole, err := os.ReadFile(segments()[0])
@@ -72,11 +72,11 @@
 		Expect(err).NotTo(HaveOccurred())
 		for cut := len(whole) + 1; cut < len(both); cut++ {
 			Expect(os.WriteFile(segments()[0], both[:cut], 0o644)).To(Succeed())
-			records, damage, _, err := store.Read(dir)
+			records, corruptions, _, err := store.Read(dir)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(texts(records)).To(Equal([]string{"first"}), "cut at %d", cut)
-			Expect(damage).To(HaveLen(1))
-			Expect(damage[0].TornTail).To(BeTrue())
+			Expect(corruptions).To(HaveLen(1))
+			Expect(corruptions[0].TornTail).To(BeTrue())
 		}
 	})
 
@@ -92,21 +92,21 @@
 			spoiled := slices.Clone(data)
 			spoiled[place] ^= 1
 			Expect(os.WriteFile(path, spoiled, 0o644)).To(Succeed())
-			_, damage, _, err := store.Read(dir)
+			_, corruptions, _, err := store.Read(dir)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(damage).To(HaveLen(1), "byte %d", place)
-			Expect(damage[0].TornTail).To(BeFalse(), "byte %d", place)
+			Expect(corruptions).To(HaveLen(1), "byte %d", place)
+			Expect(corruptions[0].TornTail).To(BeFalse(), "byte %d", place)
 		}
 		s, _, _ = open()
 		Expect(s.Append(record("third"))).To(Succeed())
-		_, damage, _, err := store.Read(dir)
+		_, corruptions, _, err := store.Read(dir)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(damage).To(HaveLen(1))
-		Expect(damage[0].TornTail).To(BeFalse())
-		Expect(damage[0].File).To(Equal(path))
+		Expect(corruptions).To(HaveLen(1))
+		Expect(corruptions[0].TornTail).To(BeFalse())
+		Expect(corruptions[0].File).To(Equal(path))
 	})
 
-	It("goes on behind a torn end without a snapshot", func() {
+	It("appends after a torn end without a snapshot", func() {
 		s, _, _ := open()
 		Expect(s.Append(record("first"))).To(Succeed())
 		Expect(s.Append(record("second"))).To(Succeed())
@@ -115,13 +115,13 @@
 		whole, err := os.ReadFile(path)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(os.WriteFile(path, whole[:len(whole)-1], 0o644)).To(Succeed())
-		s, found, damage := open()
+		s, found, corruptions := open()
 		Expect(found).To(Equal([]string{"first"}))
-		Expect(damage).To(HaveLen(1))
+		Expect(corruptions).To(HaveLen(1))
 		Expect(s.Append(record("third"))).To(Succeed())
-		_, found, damage = open()
+		_, found, corruptions = open()
 		Expect(found).To(Equal([]string{"first", "third"}))
-		Expect(damage).To(BeEmpty())
+		Expect(corruptions).To(BeEmpty())
 	})
 
 	It("keeps the records of one Append together", func() {
@@ -135,7 +135,7 @@
 		Expect(found).To(Equal([]string{"first"}))
 	})
 
-	It("finds what was spoiled since it was written, and mends it by a snapshot", func() {
+	It("detects a file that was damaged after it was written, and repairs it by a snapshot", func() {
 		s, _, _ := open()
 		Expect(s.Snapshot(record("a"))).To(Succeed())
 		Expect(s.Append(record("b"))).To(Succeed())
@@ -159,21 +159,21 @@
 		Expect(os.WriteFile(files[0], data, 0o644)).To(Succeed())
 		Expect(s.Snapshot(record("a"), record("b"))).To(Succeed())
 		Expect(s.Verify()).To(BeNil())
-		_, found, damage := open()
+		_, found, corruptions := open()
 		Expect(found).To(Equal([]string{"a", "b"}))
-		Expect(damage).To(BeEmpty())
+		Expect(corruptions).To(BeEmpty())
 	})
 
-	It("passes over a snapshot that was not finished", func() {
+	It("ignores an unfinished snapshot", func() {
 		s, _, _ := open()
 		Expect(s.Append(record("a"))).To(Succeed())
 		Expect(os.WriteFile(filepath.Join(dir, "0000000000000009.snap.tmp"), []byte("half"), 0o644)).To(Succeed())
-		_, found, damage := open()
+		_, found, corruptions := open()
 		Expect(found).To(Equal([]string{"a"}))
-		Expect(damage).To(BeEmpty())
+		Expect(corruptions).To(BeEmpty())
 	})
 
-	It("reports a write that fails and goes on once there is room", func() {
+	It("reports a failed write and appends again afterwards", func() {
 		s, _, _ := open()
 		Expect(s.Append(record("a"))).To(Succeed())
 		Expect(s.Close()).To(Succeed()) // the next write meets a file that is closed
--- a/internal/store/stored_form_test.go
+++ b/internal/store/stored_form_test.go
@@ -66,9 +66,9 @@
 		dir := GinkgoT().TempDir()
 		write(dir)
 		Expect(folderContent(dir)).To(Equal(folderContent(path)))
-		records, damage, last, err := store.Read(path)
+		records, corruptions, last, err := store.Read(path)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(damage).To(BeEmpty())
+		Expect(corruptions).To(BeEmpty())
 		Expect(last).To(Equal(newest))
 		Expect(records).To(Equal(want))
 	},
