--- a/cmd/hazelfleet/main.go
+++ b/cmd/hazelfleet/main.go
@@ -186,7 +186,7 @@
 		return control.Run(ctx, settings, reload, log)
 	}
 	log.Warn("this machine's disk doesn't count: the operator is sent on to control processes of other machines")
-	return agent.RunGateway(ctx, settings, reload, log)
+	return agent.RunRedirector(ctx, settings, reload, log)
 }
 
 // offer hands settings to a role, unless it has ended.
--- a/internal/agent/gateway.go
+++ b/internal/agent/gateway.go
@@ -61,7 +61,7 @@
 }
 
 // RunGateway runs what stands in for control on a machine that holds no part of the configuration and has no proxy, until the context ends.
-func RunGateway(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
+func RunRedirector(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	if settings.Listen.Control == "" {
 		return Error.New("Listen.Control: an address for the operator is needed")
 	}
--- a/internal/configredirect/gateway.go
+++ b/internal/configredirect/gateway.go
@@ -22,24 +22,24 @@
 const retryAfter = "0.3"
 
 // Gateway redirects the operator.
-type Gateway struct {
+type Redirector struct {
 	members func() []membership.Member
 	draw    func(n int) int
 }
 
 // New returns a gateway that names one of the members that are told.
-func New(members func() []membership.Member) *Gateway {
-	return &Gateway{members: members, draw: rand.IntN}
+func New(members func() []membership.Member) *Redirector {
+	return &Redirector{members: members, draw: rand.IntN}
 }
 
 // Router returns the handler of all that the operator calls.
-func (g *Gateway) Router() http.Handler {
+func (g *Redirector) Router() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/config", g.redirect).Methods(http.MethodPut, http.MethodPatch, http.MethodGet)
 	return router
 }
 
-func (g *Gateway) redirect(w http.ResponseWriter, r *http.Request) {
+func (g *Redirector) redirect(w http.ResponseWriter, r *http.Request) {
 	// Danger: a call that is answered with its body unread is reset, and the answer with it.
 	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBody)); err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
@@ -57,7 +57,7 @@
 
 // choose returns the address of a control process, "" where none is known to live. It draws among the half that was heard of last: one
 // that has just gone is told of late.
-func (g *Gateway) choose() string {
+func (g *Redirector) choose() string {
 	var candidates []membership.Member
 	for _, member := range g.members() {
 		if member.Operator != "" && member.Alive && !member.Leaving {
