--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -23,14 +23,14 @@
 
 const (
 	// staleAfter is the age of the list at which an agent reads it itself, staleSpread what is added by its rank.
-	staleAfter    = 2300 * time.Millisecond
-	staleSpread   = 400 * time.Millisecond
-	checkEvery    = 150 * time.Millisecond
-	headerTimeout = 3 * time.Second
-	idleTimeout   = time.Minute
-	writeWithin   = 2 * time.Second
+	staleListAge    = 2300 * time.Millisecond
+	staleListSpread = 400 * time.Millisecond
+	checkInterval   = 150 * time.Millisecond
+	headerTimeout   = 3 * time.Second
+	idleTimeout     = time.Minute
+	writeTimeout    = 2 * time.Second
 	// lingerFor is the part of the grace period for which an agent outlives the signal, so that its proxy can end first.
-	lingerFor = 0.9
+	lingerFraction = 0.9
 )
 
 // Agent is an agent process.
@@ -52,31 +52,31 @@
 	}
 	router := mux.NewRouter()
 	a.node.Register(router)
-	servers := newServers()
-	if err := servers.serve(address, router); err != nil {
+	servers := newServerGroup()
+	if err := servers.listenAndServe(address, router); err != nil {
 		return err
 	}
 	if !settings.HoldsConfiguration() && settings.Listen.Control != "" {
-		if err := standIn(settings, a.node, router, servers); err != nil {
+		if err := serveRedirect(settings, a.node, router, servers); err != nil {
 			return err
 		}
 	}
-	proxies := newProxies(a)
+	proxies := newProxyFeeds(a)
 	go proxies.serve(feed)
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	go a.node.Run(work)
-	go a.readStaleLists(work)
-	if err := servers.attend(ctx, a.node, reload); err != nil {
+	go a.refreshStaleLists(work)
+	if err := servers.run(ctx, a.node, reload); err != nil {
 		return err
 	}
-	proxies.wait(time.Duration(lingerFor * float64(settings.Grace())))
+	proxies.awaitDisconnect(time.Duration(lingerFraction * float64(settings.Grace())))
 	return nil
 }
 
 // readStaleLists reads the platform's list where nobody's reading has come for too long. Agents do so in turns by rank.
-func (a *Agent) readStaleLists(ctx context.Context) {
-	ticker := time.NewTicker(checkEvery)
+func (a *Agent) refreshStaleLists(ctx context.Context) {
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	began := time.Now()
 	for {
@@ -86,12 +86,12 @@
 		case <-ticker.C:
 		}
 		facts, _ := a.node.Facts()
-		turn := staleAfter + time.Duration(float64(staleSpread)*float64(facts.Rank)/float64(max(facts.Count, 1)))
-		last := facts.List.ReadAt
-		if last.IsZero() {
-			last = began
+		maxAge := staleListAge + time.Duration(float64(staleListSpread)*float64(facts.Rank)/float64(max(facts.Count, 1)))
+		readAt := facts.List.ReadAt
+		if readAt.IsZero() {
+			readAt = began
 		}
-		if time.Since(last) < turn {
+		if time.Since(readAt) < maxAge {
 			continue
 		}
 		a.readList(ctx)
@@ -103,14 +103,14 @@
 	instances, err := a.platform.Read(ctx)
 	if err != nil {
 		a.log.WithError(err).Debug("the list was not read")
-		time.Sleep(rand.N(a.spacing()))
+		time.Sleep(rand.N(a.retryPause()))
 		return
 	}
 	a.node.SetList(instances, began)
 }
 
 // spacing is the pause after a failed reading at which all agents together keep half of the platform's rate.
-func (a *Agent) spacing() time.Duration {
+func (a *Agent) retryPause() time.Duration {
 	facts, _ := a.node.Facts()
-	return min(nodeconfig.Seconds(4*float64(max(facts.Count, 1))/max(a.settings.Cloud.RatePerS, 1)), 2*time.Second) + checkEvery
+	return min(nodeconfig.Seconds(4*float64(max(facts.Count, 1))/max(a.settings.Cloud.RatePerS, 1)), 2*time.Second) + checkInterval
 }
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -11,56 +11,56 @@
 )
 
 // proxies serves those that are connected over loopback.
-type proxies struct {
+type proxyFeeds struct {
 	agent *Agent
 
-	mu    sync.Mutex
-	count int
+	mu          sync.Mutex
+	connections int
 }
 
-func newProxies(agent *Agent) *proxies { return &proxies{agent: agent} }
+func newProxyFeeds(agent *Agent) *proxyFeeds { return &proxyFeeds{agent: agent} }
 
-func (p *proxies) serve(listener net.Listener) {
+func (p *proxyFeeds) serve(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			p.agent.log.WithError(err).Error("the feed ended")
 			return
 		}
-		p.add(1)
+		p.addConnections(1)
 		go func() {
-			defer p.add(-1)
+			defer p.addConnections(-1)
 			defer conn.Close()
-			p.feed(conn)
+			p.serveProxy(conn)
 		}()
 	}
 }
 
-func (p *proxies) add(n int) {
+func (p *proxyFeeds) addConnections(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.count += n
+	p.connections += n
 }
 
 // wait returns once no proxy is connected, or after a time.
-func (p *proxies) wait(most time.Duration) {
-	deadline := time.Now().Add(most)
+func (p *proxyFeeds) awaitDisconnect(timeout time.Duration) {
+	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
 		p.mu.Lock()
-		left := p.count
+		connections := p.connections
 		p.mu.Unlock()
-		if left == 0 {
+		if connections == 0 {
 			return
 		}
-		time.Sleep(checkEvery)
+		time.Sleep(checkInterval)
 	}
 }
 
 // feed tells a proxy what changes until the connection ends.
-func (p *proxies) feed(conn net.Conn) {
-	gone := make(chan struct{})
+func (p *proxyFeeds) serveProxy(conn net.Conn) {
+	disconnected := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(disconnected)
 		for {
 			report := &message.ProxyReport{}
 			if transport.ReadFrame(conn, report) != nil {
@@ -70,47 +70,47 @@
 			p.agent.node.SetLoads(report.Loads)
 		}
 	}()
-	var told gossip.Facts
-	loads := time.NewTicker(gossip.ExchangeEvery)
-	defer loads.Stop()
+	var sent gossip.Facts
+	loadTicker := time.NewTicker(gossip.ExchangeEvery)
+	defer loadTicker.Stop()
 	loadsDue := false
 	for {
 		facts, changed := p.agent.node.Facts()
-		out, news := difference(told, facts)
+		update, differs := updateSince(sent, facts)
 		if loadsDue {
-			out.Loads, loadsDue = p.agent.node.Loads(), false
-			news = news || len(out.Loads) > 0
+			update.Loads, loadsDue = p.agent.node.Loads(), false
+			differs = differs || len(update.Loads) > 0
 		}
-		if news {
-			_ = conn.SetWriteDeadline(time.Now().Add(writeWithin)) // the write tells of a connection that is gone
-			if err := transport.WriteFrame(conn, out); err != nil {
+		if differs {
+			_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write tells of a connection that is gone
+			if err := transport.WriteFrame(conn, update); err != nil {
 				return
 			}
-			told = facts
+			sent = facts
 		}
 		select {
-		case <-gone:
+		case <-disconnected:
 			return
 		case <-changed:
-		case <-loads.C:
+		case <-loadTicker.C:
 			loadsDue = true
 		}
 	}
 }
 
 // difference returns what a proxy that knows one set of facts lacks of another.
-func difference(told, facts gossip.Facts) (*message.Feed, bool) {
-	out := &message.Feed{ProxyRank: facts.Rank, ProxyCount: facts.Count}
-	news := told.Rank != facts.Rank || told.Count != facts.Count
-	if facts.Table != nil && (told.Table == nil || facts.Table.Version > told.Table.Version) {
-		out.Table, news = facts.Table, true
+func updateSince(sent, facts gossip.Facts) (*message.Feed, bool) {
+	update := &message.Feed{ProxyRank: facts.Rank, ProxyCount: facts.Count}
+	differs := sent.Rank != facts.Rank || sent.Count != facts.Count
+	if facts.Table != nil && (sent.Table == nil || facts.Table.Version > sent.Table.Version) {
+		update.Table, differs = facts.Table, true
 	}
-	if facts.Plan.IsNewerThan(&told.Plan) {
-		out.Plan, news = &facts.Plan, true
+	if facts.Plan.IsNewerThan(&sent.Plan) {
+		update.Plan, differs = &facts.Plan, true
 	}
-	if facts.List.Digest != told.List.Digest {
+	if facts.List.Digest != sent.List.Digest {
 		age := float64(time.Since(facts.List.ReadAt)) / float64(time.Millisecond)
-		out.List, news = &message.InstanceList{Digest: facts.List.Digest, AgeMs: age, Data: facts.List.Data}, true
+		update.List, differs = &message.InstanceList{Digest: facts.List.Digest, AgeMs: age, Data: facts.List.Data}, true
 	}
-	return out, news
+	return update, differs
 }
--- a/internal/agent/gateway.go
+++ b/internal/agent/gateway.go
@@ -16,31 +16,31 @@
 )
 
 // servers serve HTTP at several addresses of one process.
-type servers struct {
-	failed chan error // gets the end of each
+type serverGroup struct {
+	ended chan error // gets the end of each
 }
 
 // mostServers is how many there are in one process at most.
-const mostServers = 3
+const maxServers = 3
 
-func newServers() *servers { return &servers{make(chan error, mostServers)} }
+func newServerGroup() *serverGroup { return &serverGroup{make(chan error, maxServers)} }
 
 // serve begins to serve at an address.
-func (s *servers) serve(address string, handler http.Handler) error {
+func (s *serverGroup) listenAndServe(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	go func() { s.failed <- server.Serve(listener) }()
+	go func() { s.ended <- server.Serve(listener) }()
 	return nil
 }
 
 // attend gives changed settings to a node until the context ends, and has it leave then. It ends before with the error of a server that fails.
-func (s *servers) attend(ctx context.Context, node *gossip.Node, reload <-chan *nodeconfig.Settings) error {
+func (s *serverGroup) run(ctx context.Context, node *gossip.Node, reload <-chan *nodeconfig.Settings) error {
 	for {
 		select {
-		case err := <-s.failed:
+		case err := <-s.ended:
 			return Error.Wrap(err)
 		case changed := <-reload:
 			node.SetSeeds(changed.SeedAddresses())
@@ -53,11 +53,11 @@
 
 // standIn answers where a control process would be on this machine: the operator gets the address of one, and processes whose seeds
 // name this machine find it. router serves other processes of the fleet.
-func standIn(settings *nodeconfig.Settings, node *gossip.Node, router http.Handler, servers *servers) error {
-	if err := servers.serve(settings.Listen.Control, configredirect.New(node.Members).Router()); err != nil {
+func serveRedirect(settings *nodeconfig.Settings, node *gossip.Node, router http.Handler, servers *serverGroup) error {
+	if err := servers.listenAndServe(settings.Listen.Control, configredirect.New(node.Members).Handler()); err != nil {
 		return err
 	}
-	return servers.serve(settings.Internal(settings.IP, nodeconfig.ControlPort), router)
+	return servers.listenAndServe(settings.Internal(settings.IP, nodeconfig.ControlPort), router)
 }
 
 // RunGateway runs what stands in for control on a machine that holds no part of the configuration and has no proxy, until the context ends.
@@ -69,12 +69,12 @@
 		transport.NewClient(), log)
 	router := mux.NewRouter()
 	node.Register(router)
-	servers := newServers()
-	if err := standIn(settings, node, router, servers); err != nil {
+	servers := newServerGroup()
+	if err := serveRedirect(settings, node, router, servers); err != nil {
 		return err
 	}
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	go node.Run(work)
-	return servers.attend(ctx, node, reload)
+	return servers.run(ctx, node, reload)
 }
--- a/internal/agent/wire_form_test.go
+++ b/internal/agent/wire_form_test.go
@@ -37,7 +37,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			feed, differs := difference(test.told, test.facts)
+			feed, differs := updateSince(test.told, test.facts)
 			assert.Equal(t, test.differs, differs)
 			if feed.List != nil {
 				assert.GreaterOrEqual(t, feed.List.AgeMs, 1000.0)
--- a/internal/configredirect/gateway.go
+++ b/internal/configredirect/gateway.go
@@ -16,24 +16,24 @@
 )
 
 // maxBody bounds what is read of a call before it is redirected, in bytes.
-const maxBody = 8 << 20
+const maxBodyBytes = 8 << 20
 
 // retryAfter is told where nobody can be named, in seconds: news of a process that begins takes about as long.
-const retryAfter = "0.3"
+const retryAfterSeconds = "0.3"
 
 // Gateway redirects the operator.
 type Redirector struct {
-	members func() []membership.Member
-	draw    func(n int) int
+	members  func() []membership.Member
+	randIntN func(n int) int
 }
 
 // New returns a gateway that names one of the members that are told.
 func New(members func() []membership.Member) *Redirector {
-	return &Redirector{members: members, draw: rand.IntN}
+	return &Redirector{members: members, randIntN: rand.IntN}
 }
 
 // Router returns the handler of all that the operator calls.
-func (g *Redirector) Router() http.Handler {
+func (g *Redirector) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/config", g.redirect).Methods(http.MethodPut, http.MethodPatch, http.MethodGet)
 	return router
@@ -41,13 +41,13 @@
 
 func (g *Redirector) redirect(w http.ResponseWriter, r *http.Request) {
 	// Danger: a call that is answered with its body unread is reset, and the answer with it.
-	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBody)); err != nil {
+	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
-	address := g.choose()
+	address := g.pickControlAddress()
 	if address == "" {
-		w.Header().Set("Retry-After", retryAfter)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 		http.Error(w, "no control process is in reach of this machine", http.StatusServiceUnavailable)
 		return
 	}
@@ -57,7 +57,7 @@
 
 // choose returns the address of a control process, "" where none is known to live. It draws among the half that was heard of last: one
 // that has just gone is told of late.
-func (g *Redirector) choose() string {
+func (g *Redirector) pickControlAddress() string {
 	var candidates []membership.Member
 	for _, member := range g.members() {
 		if member.Operator != "" && member.Alive && !member.Leaving {
@@ -68,5 +68,5 @@
 		return ""
 	}
 	slices.SortFunc(candidates, func(a, b membership.Member) int { return cmp.Compare(a.SilentS, b.SilentS) })
-	return candidates[g.draw((len(candidates)+1)/2)].Operator
+	return candidates[g.randIntN((len(candidates)+1)/2)].Operator
 }
--- a/internal/configredirect/gateway_test.go
+++ b/internal/configredirect/gateway_test.go
@@ -12,7 +12,7 @@
 	"hazelwheel/internal/decide/membership"
 )
 
-func TestGateway(t *testing.T) {
+func TestRedirector(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "gateway")
 }
@@ -22,17 +22,17 @@
 }
 
 // ask sends a call and returns its answer.
-func ask(members []membership.Member, method, target, body string) *httptest.ResponseRecorder {
+func serve(members []membership.Member, method, target, body string) *httptest.ResponseRecorder {
 	g := New(func() []membership.Member { return members })
 	answer := httptest.NewRecorder()
-	g.Router().ServeHTTP(answer, httptest.NewRequest(method, target, strings.NewReader(body)))
+	g.Handler().ServeHTTP(answer, httptest.NewRequest(method, target, strings.NewReader(body)))
 	return answer
 }
 
 var _ = Describe("a machine that holds no part of the configuration", func() {
 	It("names a live control process, with path and query as they came", func() {
 		for _, method := range []string{http.MethodPut, http.MethodPatch, http.MethodGet} {
-			answer := ask([]membership.Member{member("agent", "", 0), member("control", "10.0.0.4:80", 1)}, method, "/config?a=1", "{}")
+			answer := serve([]membership.Member{member("agent", "", 0), member("control", "10.0.0.4:80", 1)}, method, "/config?a=1", "{}")
 			Expect(answer.Code).To(Equal(http.StatusTemporaryRedirect))
 			Expect(answer.Header().Get("Location")).To(Equal("http://10.0.0.4:80/config?a=1"))
 		}
@@ -41,7 +41,7 @@
 	It("names none that is silent or about to end", func() {
 		silent, leaving := member("a", "10.0.0.1:80", 0), member("b", "10.0.0.2:80", 0)
 		silent.Alive, leaving.Leaving = false, true
-		answer := ask([]membership.Member{silent, leaving}, http.MethodGet, "/config", "")
+		answer := serve([]membership.Member{silent, leaving}, http.MethodGet, "/config", "")
 		Expect(answer.Code).To(Equal(http.StatusServiceUnavailable))
 		Expect(answer.Body.String()).To(ContainSubstring("no control process"))
 		Expect(answer.Header().Get("Retry-After")).NotTo(BeEmpty())
@@ -51,7 +51,7 @@
 		members := []membership.Member{member("a", "old", 2.5), member("b", "young", 0.1), member("c", "younger", 0), member("d", "older", 2.7)}
 		drawn := map[string]bool{}
 		for range 200 {
-			drawn[New(func() []membership.Member { return members }).choose()] = true
+			drawn[New(func() []membership.Member { return members }).pickControlAddress()] = true
 		}
 		Expect(drawn).To(HaveLen(2))
 		Expect(drawn).To(HaveKey("young"))
@@ -59,7 +59,7 @@
 	})
 
 	It("reads a body before it answers, and turns away one that is too large", func() {
-		answer := ask([]membership.Member{member("a", "x:1", 0)}, http.MethodPut, "/config", strings.Repeat("x", maxBody+1))
+		answer := serve([]membership.Member{member("a", "x:1", 0)}, http.MethodPut, "/config", strings.Repeat("x", maxBodyBytes+1))
 		Expect(answer.Code).To(Equal(http.StatusRequestEntityTooLarge))
 	})
 })
