--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,9 @@
-// Package agent hosts the process beside each proxy. It keeps the link to the rest of the fleet and feeds the proxy over
-// loopback, so that the proxy holds no connections of the control plane and serves on with its last facts while this restarts.
+// Package agent runs the agent process, one beside each proxy. The agent takes part in the gossip between machines and sends its proxy
+// over loopback what it learns: configuration, endpoint list, loads and stage plan. So a proxy holds no connection to other machines of
+// the fleet, and serves on with the last state it was sent while its agent restarts.
+//
+// On a machine that holds no replica of the configuration the agent also answers the operator's address by redirects to control processes
+// (RunRedirector does that alone, on a machine without a proxy).
 package agent
 
 import (
@@ -21,18 +25,24 @@
 var Error = errs.Class("agent")
 
 const (
-	// staleAfter is the age of the list at which an agent reads it itself, staleSpread what is added by its rank.
+	// staleListAge is the age of the endpoint list at which the agent of rank 0 reads the platform itself. staleListSpread is added in
+	// proportion to the rank, so that the first reading reaches the others before their turn.
 	staleListAge    = 2300 * time.Millisecond
 	staleListSpread = 400 * time.Millisecond
-	checkInterval   = 150 * time.Millisecond
-	headerTimeout   = 3 * time.Second
-	idleTimeout     = time.Minute
-	writeTimeout    = 2 * time.Second
-	// lingerFor is the part of the grace period for which an agent outlives the signal, so that its proxy can end first.
+	// checkInterval is the time between checks of the list's age, and of whether proxies are still connected at the end.
+	checkInterval = 150 * time.Millisecond
+	// maxRetryPause bounds the pause after a failed reading of the list, before checkInterval is added.
+	maxRetryPause = 2 * time.Second
+	// headerTimeout and idleTimeout bound the connections of other processes.
+	headerTimeout = 3 * time.Second
+	idleTimeout   = time.Minute
+	// writeTimeout bounds the sending of one update to a proxy.
+	writeTimeout = 2 * time.Second
+	// lingerFraction is the part of the grace period for which an agent waits after SIGTERM for its proxy to disconnect.
 	lingerFraction = 0.9
 )
 
-// Agent is an agent process.
+// Agent is the state of an agent process. Its fields don't change after Run has set them.
 type Agent struct {
 	settings *nodeconfig.Settings
 	log      *logrus.Entry
@@ -40,7 +50,8 @@
 	platform *gossip.Platform
 }
 
-// Run runs an agent until the context ends and its proxy is gone.
+// Run runs an agent until the context ends and its proxy has disconnected, for lingerFraction of the grace period at most. Settings from
+// reload replace the seeds. It returns early with the error of a server that fails.
 func Run(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	address := settings.Internal(settings.IP, nodeconfig.AgentPort)
 	a := &Agent{settings: settings, log: log, platform: gossip.NewPlatform(settings.Cloud.Address)}
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -10,27 +10,28 @@
 	"hazelwheel/internal/transport"
 )
 
-// proxies serves those that are connected over loopback.
+// proxyFeeds serves the proxies that connect over loopback: usually one, two while a proxy is replaced.
 type proxyFeeds struct {
 	agent *Agent
 
-	mu          sync.Mutex
-	connections int
+	mu          sync.Mutex // guards connections
+	connections int        // that are open
 }
 
 func newProxyFeeds(agent *Agent) *proxyFeeds { return &proxyFeeds{agent: agent} }
 
+// serve accepts connections until the listener fails.
 func (p *proxyFeeds) serve(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
-			p.agent.log.WithError(err).Error("the feed ended")
+			p.agent.log.WithError(err).Error("accepting proxies failed")
 			return
 		}
 		p.addConnections(1)
 		go func() {
 			defer p.addConnections(-1)
-			defer conn.Close()
+			defer func() { _ = conn.Close() }() // serveProxy has ended: nothing is left to be sent
 			p.serveProxy(conn)
 		}()
 	}
@@ -42,7 +43,7 @@
 	p.connections += n
 }
 
-// wait returns once no proxy is connected, or after a time.
+// awaitDisconnect returns once no proxy is connected, or after the time-out.
 func (p *proxyFeeds) awaitDisconnect(timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
@@ -56,19 +57,12 @@
 	}
 }
 
-// feed tells a proxy what changes until the connection ends.
+// serveProxy sends a proxy an update after each change and its reports' content to the node, until the connection ends.
 func (p *proxyFeeds) serveProxy(conn net.Conn) {
 	disconnected := make(chan struct{})
 	go func() {
 		defer close(disconnected)
-		for {
-			report := &message.ProxyReport{}
-			if transport.ReadFrame(conn, report) != nil {
-				return
-			}
-			p.agent.node.SetDemands(report.Demands)
-			p.agent.node.SetLoads(report.Loads)
-		}
+		p.readReports(conn)
 	}()
 	var sent gossip.Facts
 	loadTicker := time.NewTicker(gossip.ExchangeEvery)
@@ -82,7 +76,7 @@
 			differs = differs || len(update.Loads) > 0
 		}
 		if differs {
-			_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write tells of a connection that is gone
+			_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // where this fails, so does the write
 			if err := transport.WriteFrame(conn, update); err != nil {
 				return
 			}
@@ -98,7 +92,20 @@
 	}
 }
 
-// difference returns what a proxy that knows one set of facts lacks of another.
+// readReports passes the reports of a proxy on to the node until the connection ends.
+func (p *proxyFeeds) readReports(conn net.Conn) {
+	for {
+		report := &message.ProxyReport{}
+		if transport.ReadFrame(conn, report) != nil {
+			return
+		}
+		p.agent.node.SetDemands(report.Demands)
+		p.agent.node.SetLoads(report.Loads)
+	}
+}
+
+// updateSince returns the update that brings a proxy from the facts that it was sent to the present ones, and whether there is any
+// difference. Loads are left to the caller.
 func updateSince(sent, facts gossip.Facts) (*message.Feed, bool) {
 	update := &message.Feed{ProxyRank: facts.Rank, ProxyCount: facts.Count}
 	differs := sent.Rank != facts.Rank || sent.Count != facts.Count
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -8,11 +8,12 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// readStaleLists reads the platform's list where nobody's reading has come for too long. Agents do so in turns by rank.
+// refreshStaleLists reads the platform's endpoint list where gossip has brought no reading for too long, as while no control process is
+// reachable. Agents take turns by rank, which keeps their calls below the platform's rate limit.
 func (a *Agent) refreshStaleLists(ctx context.Context) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
-	began := time.Now()
+	startedAt := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -23,7 +24,7 @@
 		maxAge := staleListAge + time.Duration(float64(staleListSpread)*float64(facts.Rank)/float64(max(facts.Count, 1)))
 		readAt := facts.List.ReadAt
 		if readAt.IsZero() {
-			readAt = began
+			readAt = startedAt
 		}
 		if time.Since(readAt) < maxAge {
 			continue
@@ -32,19 +33,21 @@
 	}
 }
 
+// readList reads the platform's list and publishes it. After an error it pauses, so that the caller can call it again at once.
 func (a *Agent) readList(ctx context.Context) {
-	began := time.Now()
+	startedAt := time.Now()
 	instances, err := a.platform.Read(ctx)
 	if err != nil {
-		a.log.WithError(err).Debug("the list was not read")
+		a.log.WithError(err).Debug("reading the endpoint list failed")
 		time.Sleep(rand.N(a.retryPause()))
 		return
 	}
-	a.node.SetList(instances, began)
+	a.node.SetList(instances, startedAt)
 }
 
-// spacing is the pause after a failed reading at which all agents together keep half of the platform's rate.
+// retryPause returns the longest pause after a failed reading. With pauses drawn evenly up to it, all agents together make calls at half
+// of the platform's rate limit.
 func (a *Agent) retryPause() time.Duration {
 	facts, _ := a.node.Facts()
-	return min(nodeconfig.Seconds(4*float64(max(facts.Count, 1))/max(a.settings.Cloud.RatePerS, 1)), 2*time.Second) + checkInterval
+	return min(nodeconfig.Seconds(4*float64(max(facts.Count, 1))/max(a.settings.Cloud.RatePerS, 1)), maxRetryPause) + checkInterval
 }
--- a/internal/agent/redirector.go
+++ b/internal/agent/redirector.go
@@ -14,8 +14,8 @@
 	"hazelwheel/internal/transport"
 )
 
-// standIn answers where a control process would be on this machine: the operator gets the address of one, and processes whose seeds
-// name this machine find it. router serves other processes of the fleet.
+// serveRedirect listens at the addresses that a control process on this machine would have: the operator's, where requests are
+// redirected, and the internal one, where router answers processes whose seeds name this machine.
 func serveRedirect(settings *nodeconfig.Settings, node *gossip.Node, router http.Handler, servers *serverGroup) error {
 	if err := servers.listenAndServe(settings.Listen.Control, configredirect.New(node.Members).Handler()); err != nil {
 		return err
@@ -23,7 +23,8 @@
 	return servers.listenAndServe(settings.Internal(settings.IP, nodeconfig.ControlPort), router)
 }
 
-// RunGateway runs what stands in for control on a machine that holds no part of the configuration and has no proxy, until the context ends.
+// RunRedirector runs the gossip node and the redirects of a machine that holds no replica of the configuration and has no proxy, until the
+// context ends. Settings from reload replace the seeds. It returns early with the error of a server that fails.
 func RunRedirector(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	if settings.Listen.Control == "" {
 		return Error.New("Listen.Control: an address for the operator is needed")
--- a/internal/agent/servergroup.go
+++ b/internal/agent/servergroup.go
@@ -9,17 +9,17 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// servers serve HTTP at several addresses of one process.
+// serverGroup holds the HTTP servers of one process.
 type serverGroup struct {
-	ended chan error // gets the end of each
+	ended chan error // receives each server's error; has room for all
 }
 
-// mostServers is how many there are in one process at most.
+// maxServers is the number of servers of an agent that also redirects.
 const maxServers = 3
 
 func newServerGroup() *serverGroup { return &serverGroup{make(chan error, maxServers)} }
 
-// serve begins to serve at an address.
+// listenAndServe starts a server at an address, and returns the error of listening there. The server runs until the process ends.
 func (s *serverGroup) listenAndServe(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -30,7 +30,8 @@
 	return nil
 }
 
-// attend gives changed settings to a node until the context ends, and has it leave then. It ends before with the error of a server that fails.
+// run applies reloaded settings to the node until the context ends; then it has the node announce that it leaves, and returns nil. It
+// returns early with the error of a server that fails.
 func (s *serverGroup) run(ctx context.Context, node *gossip.Node, reload <-chan *nodeconfig.Settings) error {
 	for {
 		select {
--- a/internal/configredirect/redirector.go
+++ b/internal/configredirect/redirector.go
@@ -1,6 +1,6 @@
-// Package configredirect answers the operator on machines that hold no part of the configuration: it names a control process that does, by a
-// redirect. So a change reaches a voter under the operator's own hand: its answer, lost or not, is the voter's, and nothing that ends
-// here can refuse a change or make it twice.
+// Package configredirect answers the configuration API on machines that hold no replica of the configuration, by HTTP redirects to a
+// control process. It redirects rather than forwards: the client sends the change to the control process itself, so a crash here can
+// neither lose the answer nor have a change made twice.
 package configredirect
 
 import (
@@ -15,51 +15,51 @@
 	"hazelwheel/internal/decide/membership"
 )
 
-// maxBody bounds what is read of a call before it is redirected, in bytes.
+// maxBodyBytes bounds what is read of a request's body before it is redirected.
 const maxBodyBytes = 8 << 20
 
-// retryAfter is told where nobody can be named, in seconds: news of a process that begins takes about as long.
+// retryAfterSeconds is the Retry-After field where no control process is known: gossip of one that starts takes about as long.
 const retryAfterSeconds = "0.3"
 
-// Gateway redirects the operator.
+// Redirector redirects requests of the configuration API. It is safe for concurrent use.
 type Redirector struct {
 	members  func() []membership.Member
 	randIntN func(n int) int
 }
 
-// New returns a gateway that names one of the members that are told.
+// New returns a Redirector to the control processes among the members; members is called for each request.
 func New(members func() []membership.Member) *Redirector {
 	return &Redirector{members: members, randIntN: rand.IntN}
 }
 
-// Router returns the handler of all that the operator calls.
-func (g *Redirector) Handler() http.Handler {
+// Handler returns the handler of the configuration API.
+func (r *Redirector) Handler() http.Handler {
 	router := mux.NewRouter()
-	router.HandleFunc("/config", g.redirect).Methods(http.MethodPut, http.MethodPatch, http.MethodGet)
+	router.HandleFunc("/config", r.redirect).Methods(http.MethodPut, http.MethodPatch, http.MethodGet)
 	return router
 }
 
-func (g *Redirector) redirect(w http.ResponseWriter, r *http.Request) {
-	// Danger: a call that is answered with its body unread is reset, and the answer with it.
-	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
+func (r *Redirector) redirect(w http.ResponseWriter, request *http.Request) {
+	// Danger: answered with its body unread, the connection would be reset, and the client might lose the answer.
+	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, request.Body, maxBodyBytes)); err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
-	address := g.pickControlAddress()
+	address := r.pickControlAddress()
 	if address == "" {
 		w.Header().Set("Retry-After", retryAfterSeconds)
 		http.Error(w, "no control process is in reach of this machine", http.StatusServiceUnavailable)
 		return
 	}
-	w.Header().Set("Location", "http://"+address+r.URL.RequestURI())
+	w.Header().Set("Location", "http://"+address+request.URL.RequestURI())
 	w.WriteHeader(http.StatusTemporaryRedirect)
 }
 
-// choose returns the address of a control process, "" where none is known to live. It draws among the half that was heard of last: one
-// that has just gone is told of late.
-func (g *Redirector) pickControlAddress() string {
+// pickControlAddress returns the operator's address of a control process, "" where none is known to be alive. It draws among the half with
+// the most recent heartbeats, since a process that has just failed still counts as alive.
+func (r *Redirector) pickControlAddress() string {
 	var candidates []membership.Member
-	for _, member := range g.members() {
+	for _, member := range r.members() {
 		if member.Operator != "" && member.Alive && !member.Leaving {
 			candidates = append(candidates, member)
 		}
@@ -68,5 +68,5 @@
 		return ""
 	}
 	slices.SortFunc(candidates, func(a, b membership.Member) int { return cmp.Compare(a.SilentS, b.SilentS) })
-	return candidates[g.randIntN((len(candidates)+1)/2)].Operator
+	return candidates[r.randIntN((len(candidates)+1)/2)].Operator
 }
