--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -42,13 +42,13 @@
 
 // Control is a control process.
 type Control struct {
-	settings  *nodeconfig.Settings
-	log       *logrus.Entry
-	node      *gossip.Node
-	replica   *replica
-	registrar *registrar
-	platform  *gossip.Platform
-	follower  *follower
+	settings *nodeconfig.Settings
+	log      *logrus.Entry
+	node     *gossip.Node
+	replica  *replica
+	proposer *proposer
+	platform *gossip.Platform
+	follower *follower
 }
 
 // Run runs a control process until the context ends. reload tells that the settings file may have changed.
@@ -65,7 +65,7 @@
 
 // run serves until the context ends.
 func (c *Control) run(ctx context.Context, reload <-chan *nodeconfig.Settings) error {
-	internal, err := listen(c.registrar.self.Address)
+	internal, err := listen(c.proposer.self.Address)
 	if err != nil {
 		return err
 	}
@@ -97,10 +97,10 @@
 		follower: newFollower()}
 	c.node = gossip.New(settings, membership.Record{Kind: membership.Control, Address: own.Address, Voter: own.ID,
 		Operator: settings.Listen.Control}, client, log)
-	c.registrar = &registrar{self: own, ballots: fmt.Sprintf("%s/%016x", settings.NodeID, rand.Uint64()), local: opened, client: client,
-		copies: newCopies(), linkMbps: settings.Limits.LinkMbps,
-		voters:  func() register.Value { facts, _ := c.node.Facts(); return facts.Voters },
-		learned: c.learned}
+	c.proposer = &proposer{self: own, proposerID: fmt.Sprintf("%s/%016x", settings.NodeID, rand.Uint64()), replica: opened, client: client,
+		fetcher: newConfigFetcher(), linkMbps: settings.Limits.LinkMbps,
+		gossipVoters: func() register.Value { facts, _ := c.node.Facts(); return facts.Voters },
+		onChosen:     c.handleChosen}
 	if state := opened.state(); state.Ballot == (register.Ballot{}) {
 		c.node.SetVoters(state.Value) // the founders; what was accepted later may not have been chosen
 	}
@@ -160,7 +160,7 @@
 }
 
 // learned takes a value that holds: its voters are told, and its configuration where others may lack it.
-func (c *Control) learned(value found) {
+func (c *Control) handleChosen(value chosenValue) {
 	c.node.SetVoters(value.Value)
 	c.follower.tell(value)
 }
@@ -168,7 +168,7 @@
 // readLists reads the platform's list where its turn has come. Calls to the platform cost all, and a list that one has read reaches the
 // others within a moment; how old theirs is tells them that nobody reads.
 func (c *Control) readLists(ctx context.Context) {
-	for wait(ctx, listLook) == nil {
+	for sleep(ctx, listLook) == nil {
 		facts, _ := c.node.Facts()
 		if !facts.List.ReadAt.IsZero() && time.Since(facts.List.ReadAt) < listTurn(facts.Rank) {
 			continue
@@ -177,7 +177,7 @@
 		instances, err := c.platform.Read(ctx)
 		if err != nil {
 			c.log.WithError(err).Debug("the list was not read")
-			_ = wait(ctx, rand.N(listEvery/2)) // an end is seen by the next look
+			_ = sleep(ctx, rand.N(listEvery/2)) // an end is seen by the next look
 			continue
 		}
 		c.node.SetList(instances, began)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -242,7 +242,7 @@
 func (s *side) votes(i int) bool {
 	facts, _ := s.machines[0].control.node.Facts()
 	for _, voter := range facts.Voters.Voters {
-		if voter.ID == s.machines[i].control.registrar.self.ID {
+		if voter.ID == s.machines[i].control.proposer.self.ID {
 			return len(facts.Voters.Previous) == 0
 		}
 	}
@@ -357,7 +357,7 @@
 		Eventually(func() bool { return s.votes(3) }, within).Should(BeTrue())
 		Expect(s.held(3)).To(Equal(1))
 		s.stop(1)
-		value, err := s.machines[0].control.registrar.Read(context.Background())
+		value, err := s.machines[0].control.proposer.read(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(value.Everyone()).To(HaveLen(3), "the one that left does not vote any longer")
 		s.stop(2)
@@ -369,7 +369,7 @@
 		s.begin()
 		unaware := func() *Control { // a process that has heard of no other, and of the first voters alone
 			m := s.machines[1]
-			c := newControl(m.control.settings, m.control.replica, m.control.registrar.client, m.control.log)
+			c := newControl(m.control.settings, m.control.replica, m.control.proposer.client, m.control.log)
 			c.node.SetVoters(founding(m.control.settings.SeedAddresses()))
 			return c
 		}
@@ -410,7 +410,7 @@
 			Expect(os.WriteFile(file, []byte("spoiled"), 0o600)).To(Succeed())
 		}
 		s.start(0, true)
-		Expect(s.machines[0].control.registrar.self.ID).NotTo(Equal(founderID(s.machines[0].control.registrar.self.Address)))
+		Expect(s.machines[0].control.proposer.self.ID).NotTo(Equal(founderID(s.machines[0].control.proposer.self.Address)))
 		Eventually(func() bool { return s.votes(0) }, within).Should(BeTrue())
 	})
 })
@@ -448,7 +448,7 @@
 		value := c.replica.state().Value
 		Expect(c.replica.config(value.Config)).To(HaveLen(len(data)))
 		Eventually(func() int { return s.held(1) }, within).Should(Equal(2))
-		fetched := newCopies()
+		fetched := newConfigFetcher()
 		calls := 0
 		ask := func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error) {
 			if calls++; calls == 3 {
@@ -462,7 +462,7 @@
 		got, err = fetched.fetch(context.Background(), value.Config, value.Voters[:1], ask)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got).To(Equal(data))
-		Expect(calls).To(Equal((len(data)+pieceSize-1)/pieceSize+1), "no piece is fetched twice")
+		Expect(calls).To(Equal((len(data)+chunkSize-1)/chunkSize+1), "no piece is fetched twice")
 	})
 })
 
@@ -472,12 +472,12 @@
 		s.begin()
 		for i := range 3 {
 			Eventually(func(g Gomega) {
-				answer, err := http.Get("http://" + s.machines[i].control.registrar.self.Address + holdingsPath)
+				answer, err := http.Get("http://" + s.machines[i].control.proposer.self.Address + holdingsPath)
 				g.Expect(err).NotTo(HaveOccurred())
 				defer answer.Body.Close()
 				var told holdings
 				g.Expect(json.NewDecoder(answer.Body).Decode(&told)).To(Succeed())
-				g.Expect(told.Identity).To(Equal(s.machines[i].control.registrar.self.ID))
+				g.Expect(told.Identity).To(Equal(s.machines[i].control.proposer.self.ID))
 				g.Expect(told.Votes).To(BeTrue())
 				g.Expect(told.TouchMajority).To(BeTrue())
 				g.Expect(told.Version).To(BeEquivalentTo(1))
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -38,15 +38,15 @@
 	wake chan struct{}
 
 	mu     sync.Mutex
-	newest found
+	newest chosenValue
 }
 
 func newFollower() *follower { return &follower{wake: make(chan struct{}, 1)} }
 
 // tell notes a value that was chosen.
-func (f *follower) tell(value found) {
+func (f *follower) tell(value chosenValue) {
 	f.mu.Lock()
-	newer := value.At.Compare(f.newest.At) > 0
+	newer := value.Ballot.Compare(f.newest.Ballot) > 0
 	if newer {
 		f.newest = value
 	}
@@ -56,7 +56,7 @@
 	}
 }
 
-func (f *follower) target() found {
+func (f *follower) target() chosenValue {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.newest
@@ -78,10 +78,10 @@
 				break
 			}
 			c.log.WithField("version", target.Version).WithError(err).Warn("behind the newest configuration")
-			if c.follower.target().At != target.At {
+			if c.follower.target().Ballot != target.Ballot {
 				continue // what was asked for has been superseded
 			}
-			if wait(ctx, pause) != nil {
+			if sleep(ctx, pause) != nil {
 				return
 			}
 			pause = min(2*pause, followMost)
@@ -90,17 +90,17 @@
 }
 
 // catchUp takes a value that was chosen: first what it says is told, then it goes to the disk.
-func (c *Control) catchUp(ctx context.Context, value found) error {
+func (c *Control) catchUp(ctx context.Context, value chosenValue) error {
 	facts, _ := c.node.Facts()
 	told := value.Version == 0 || facts.Table != nil && facts.Table.Version >= value.Version
-	behind := value.At.Compare(c.replica.state().Ballot) > 0
+	behind := value.Ballot.Compare(c.replica.state().Ballot) > 0
 	if told && !behind {
 		return nil
 	}
 	var data []byte
 	if value.Version > 0 {
 		var err error
-		if data, err = c.registrar.Config(ctx, value.Value); err != nil {
+		if data, err = c.proposer.configBytes(ctx, value.Value); err != nil {
 			return err
 		}
 	}
@@ -116,7 +116,7 @@
 	}
 	_, err := c.replica.learn(value, data)
 	if err == nil {
-		c.log.WithField("version", value.Version).WithField("epoch", value.Epoch).WithField("ballot", value.At.Round).Info("caught up")
+		c.log.WithField("version", value.Version).WithField("epoch", value.Epoch).WithField("ballot", value.Ballot.Round).Info("caught up")
 	}
 	return err
 }
@@ -124,10 +124,10 @@
 // serveLearn takes a chosen value from who looks after the voters. Where the configuration's bytes are lacking they are fetched; the
 // answer is whether what is held until then is new enough.
 func (c *Control) serveLearn(_ context.Context, request *message.LearnRequest) (*message.LearnReply, error) {
-	if request.To != c.registrar.self.ID {
+	if request.To != c.proposer.self.ID {
 		return nil, Error.New("%q is not the identity of this disk", request.To)
 	}
-	value := found{request.Value, request.Ballot}
+	value := chosenValue{request.Value, request.Ballot}
 	held, err := c.replica.learn(value, nil)
 	if err != nil {
 		return nil, err
@@ -155,7 +155,7 @@
 		case <-timer.C:
 		case <-c.replica.accepted:
 			timer.Stop()
-			if wait(ctx, newsDelay+rand.N(newsDelay)) != nil {
+			if sleep(ctx, newsDelay+rand.N(newsDelay)) != nil {
 				return
 			}
 			if !c.knowsLess(c.replica.state().Value) {
@@ -163,7 +163,7 @@
 			}
 		}
 		readCtx, cancel := context.WithTimeout(ctx, readWithin)
-		_, err := c.registrar.Read(readCtx)
+		_, err := c.proposer.read(readCtx)
 		cancel()
 		pause = scrubEvery
 		if err != nil {
@@ -174,7 +174,7 @@
 
 // checkDisk reads the own disk again now and then.
 func (c *Control) checkDisk(ctx context.Context) {
-	for wait(ctx, checkDiskEvery+rand.N(checkDiskEvery/4)) == nil {
+	for sleep(ctx, checkDiskEvery+rand.N(checkDiskEvery/4)) == nil {
 		c.replica.check()
 	}
 }
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -107,7 +107,7 @@
 // is sent again the configuration that it was made of may be gone, so that the one that it made can't be made again to compare.
 func (c *Control) patch(ctx context.Context, patch *routeconfig.Patch, body changeBody) verdict {
 	identity := patchIdentity(body)
-	value, err := c.registrar.Read(ctx)
+	value, err := c.proposer.read(ctx)
 	if err != nil {
 		return unavailable(err)
 	}
@@ -117,7 +117,7 @@
 	if value.Version == 0 {
 		return verdict{http.StatusBadRequest, "there is no configuration yet that could be changed"}
 	}
-	current, err := c.registrar.Config(ctx, value.Value)
+	current, err := c.proposer.configBytes(ctx, value.Value)
 	if err != nil {
 		return unavailable(err)
 	}
@@ -149,7 +149,7 @@
 // configure puts a configuration in place of the one that it is based on.
 func (c *Control) configure(ctx context.Context, table *routeconfig.Table, made changeBody, identity register.Digest) verdict {
 	change := register.ConfigureAs(table.Version, made.base, register.DigestOf(made.data), identity)
-	value, outcome, err := c.registrar.Change(ctx, change, made.data)
+	value, outcome, err := c.proposer.propose(ctx, change, made.data)
 	if err != nil {
 		return unavailable(err)
 	}
@@ -179,7 +179,7 @@
 func (c *Control) getConfig(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), c.within(readWithin))
 	defer cancel()
-	value, err := c.registrar.Read(ctx)
+	value, err := c.proposer.read(ctx)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -188,7 +188,7 @@
 		http.Error(w, "there is no configuration yet", http.StatusNotFound)
 		return
 	}
-	data, err := c.registrar.Config(ctx, value.Value)
+	data, err := c.proposer.configBytes(ctx, value.Value)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/control/registrar.go
+++ b/internal/control/registrar.go
@@ -25,87 +25,87 @@
 
 const (
 	// voteWithin bounds the wait for one voter's answer.
-	voteWithin = 900 * time.Millisecond
+	voteTimeout = 900 * time.Millisecond
 	// largeConfig is the size in bytes from which on a configuration goes only to voters that ask for it.
-	largeConfig = 64 << 10
+	maxInlineConfigBytes = 64 << 10
 	// shareOfLink is how many times as long bytes may take as they would alone on the link: they go to several voters at once.
-	shareOfLink = 6
+	transferMargin = 6
 )
 
 // errNoVoters is returned while nobody has told who votes.
-var errNoVoters = errors.New("the voters are not known yet")
+var errUnknownVoters = errors.New("the voters are not known yet")
 
 // registrar changes and reads the register.
-type registrar struct {
-	self     register.Voter
-	ballots  string // proposer of this life's ballots: no other life has the same
-	local    *replica
-	client   *transport.Client
-	copies   *copies // of configurations that are fetched
-	linkMbps float64
-	voters   func() register.Value // of the newest epoch heard of
-	learned  func(found)           // told of each value that holds
+type proposer struct {
+	self         register.Voter
+	proposerID   string // proposer of this life's ballots: no other life has the same
+	replica      *replica
+	client       *transport.Client
+	fetcher      *configFetcher // of configurations that are fetched
+	linkMbps     float64
+	gossipVoters func() register.Value // of the newest epoch heard of
+	onChosen     func(chosenValue)     // told of each value that holds
 
-	mu     sync.Mutex
-	round  uint64          // the highest heard of
-	proven register.Ballot // the highest at which this life has found a value chosen
+	mu           sync.Mutex
+	highestRound uint64          // the highest heard of
+	lastChosen   register.Ballot // the highest at which this life has found a value chosen
 }
 
 // found is a value that holds, with the ballot at which it was chosen.
-type found struct {
+type chosenValue struct {
 	register.Value
-	At register.Ballot
+	Ballot register.Ballot
 }
 
 // answer is what came of one call to a voter.
-type answer struct {
-	from      register.Voter
-	accepting bool
-	promise   *register.Promise
-	accepted  *register.Accepted
-	err       error
+type voterReply struct {
+	from     register.Voter
+	isAccept bool
+	promise  *register.Promise
+	accepted *register.Accepted
+	err      error
 }
 
 // known returns the voters to begin with: those of the newest epoch that the own disk or others tell.
-func (r *registrar) known() (register.Value, error) {
-	told := r.voters()
-	if own := r.local.state().Value; own.Epoch >= told.Epoch {
-		told = own
+func (r *proposer) knownVoters() (register.Value, error) {
+	known := r.gossipVoters()
+	if stored := r.replica.state().Value; stored.Epoch >= known.Epoch {
+		known = stored
 	}
-	if len(told.Voters) == 0 {
-		return register.Value{}, errNoVoters
+	if len(known.Voters) == 0 {
+		return register.Value{}, errUnknownVoters
 	}
-	return register.Value{Epoch: told.Epoch, Voters: told.Voters, Previous: told.Previous}, nil
+	return register.Value{Epoch: known.Epoch, Voters: known.Voters, Previous: known.Previous}, nil
 }
 
 // Change makes a change in as many rounds as it takes. Once an error is returned nothing is known of the change: it may hold.
 // config holds the bytes of the configuration that the change brings, if it brings one.
-func (r *registrar) Change(ctx context.Context, change register.Change, config []byte) (found, register.Outcome, error) {
+func (r *proposer) propose(ctx context.Context, change register.Change, config []byte) (chosenValue, register.Outcome, error) {
 	var backoff register.Backoff
 	pause := time.Duration(0)
 	for {
-		if err := wait(ctx, pause); err != nil {
-			return found{}, register.Abandoned, err
+		if err := sleep(ctx, pause); err != nil {
+			return chosenValue{}, register.Abandoned, err
 		}
-		began := time.Now()
-		value, outcome, err := r.tryRound(ctx, change, config)
+		startedAt := time.Now()
+		value, outcome, err := r.runRound(ctx, change, config)
 		if err != nil {
-			return found{}, register.Abandoned, err
+			return chosenValue{}, register.Abandoned, err
 		}
 		if outcome == register.Chosen || outcome == register.Refused {
-			r.learned(value)
+			r.onChosen(value)
 			return value, outcome, nil
 		}
 		if outcome == register.Confirmed {
-			r.learned(value)
+			r.onChosen(value)
 			pause = 0
 			continue
 		}
-		pause = nodeconfig.Seconds(backoff.Pause(time.Since(began).Seconds(), rand.Float64()))
+		pause = nodeconfig.Seconds(backoff.Pause(time.Since(startedAt).Seconds(), rand.Float64()))
 	}
 }
 
-func wait(ctx context.Context, pause time.Duration) error {
+func sleep(ctx context.Context, pause time.Duration) error {
 	if pause == 0 {
 		return ctx.Err()
 	}
@@ -120,177 +120,177 @@
 }
 
 // nextBallot returns a ballot above all that were heard of.
-func (r *registrar) nextBallot() register.Ballot {
+func (r *proposer) nextBallot() register.Ballot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.round = max(r.round, r.local.state().Promised.Round) + 1
-	return register.Ballot{Round: r.round, Proposer: r.ballots}
+	r.highestRound = max(r.highestRound, r.replica.state().Promised.Round) + 1
+	return register.Ballot{Round: r.highestRound, Proposer: r.proposerID}
 }
 
-func (r *registrar) heard(ballot register.Ballot) {
+func (r *proposer) observeRound(ballot register.Ballot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.round = max(r.round, ballot.Round)
+	r.highestRound = max(r.highestRound, ballot.Round)
 }
 
 // trust notes a ballot at which a value was found chosen.
-func (r *registrar) trust(at register.Ballot) {
+func (r *proposer) recordChosen(at register.Ballot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at.Compare(r.proven) > 0 {
-		r.proven = at
+	if at.Compare(r.lastChosen) > 0 {
+		r.lastChosen = at
 	}
 }
 
-func (r *registrar) trusted() register.Ballot {
+func (r *proposer) lastChosenBallot() register.Ballot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.proven
+	return r.lastChosen
 }
 
-func (r *registrar) tryRound(ctx context.Context, change register.Change, config []byte) (found, register.Outcome, error) {
-	known, err := r.known()
+func (r *proposer) runRound(ctx context.Context, change register.Change, config []byte) (chosenValue, register.Outcome, error) {
+	known, err := r.knownVoters()
 	if err != nil {
-		return found{}, register.Abandoned, err
+		return chosenValue{}, register.Abandoned, err
 	}
 	round, step := register.NewRound(r.nextBallot(), known, change)
-	round.TrustChosen(r.trusted())
+	round.TrustChosen(r.lastChosenBallot())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan answer)
+	replies := make(chan voterReply)
 	for !step.Done {
-		r.carryOut(ctx, round, step, config, answers)
+		r.sendStep(ctx, round, step, config, replies)
 		select {
 		case <-ctx.Done():
-			return found{}, register.Abandoned, ctx.Err()
-		case got := <-answers:
-			step = feed(round, got)
+			return chosenValue{}, register.Abandoned, ctx.Err()
+		case reply := <-replies:
+			step = applyReply(round, reply)
 		}
 	}
-	r.heard(round.Above)
+	r.observeRound(round.Above)
 	if round.At != (register.Ballot{}) && round.Outcome != register.Outvoted {
-		r.trust(round.At)
+		r.recordChosen(round.At)
 	}
-	return found{round.Value, round.At}, round.Outcome, nil
+	return chosenValue{round.Value, round.At}, round.Outcome, nil
 }
 
 // feed hands what came of a call to the round.
-func feed(round *register.Round, got answer) register.Step {
+func applyReply(round *register.Round, reply voterReply) register.Step {
 	switch {
-	case got.err != nil:
-		return round.Lost(got.from, got.accepting)
-	case got.promise != nil:
-		return round.Promised(got.from, *got.promise)
+	case reply.err != nil:
+		return round.Lost(reply.from, reply.isAccept)
+	case reply.promise != nil:
+		return round.Promised(reply.from, *reply.promise)
 	default:
-		return round.Accepted(got.from, *got.accepted)
+		return round.Accepted(reply.from, *reply.accepted)
 	}
 }
 
-func (r *registrar) carryOut(ctx context.Context, round *register.Round, step register.Step, config []byte, answers chan<- answer) {
-	send := func(call func() answer) {
+func (r *proposer) sendStep(ctx context.Context, round *register.Round, step register.Step, config []byte, replies chan<- voterReply) {
+	send := func(call func() voterReply) {
 		go func() {
-			got := call()
+			reply := call()
 			select {
-			case answers <- got:
+			case replies <- reply:
 			case <-ctx.Done():
 			}
 		}()
 	}
 	for _, voter := range step.Prepare {
 		request := &register.Prepare{To: voter.ID, Ballot: round.Ballot}
-		send(func() answer { return r.callPrepare(ctx, voter, request) })
+		send(func() voterReply { return r.prepare(ctx, voter, request) })
 	}
 	for _, voter := range step.Accept {
 		request := &register.Accept{To: voter.ID, Ballot: round.Ballot, Value: round.Value, Config: config}
-		if len(config) > largeConfig {
+		if len(config) > maxInlineConfigBytes {
 			// A voter that has the bytes from a round before doesn't need them again; one that lacks them asks.
 			request.Config = nil
 		}
-		send(func() answer { return r.callAccept(ctx, voter, request) })
+		send(func() voterReply { return r.accept(ctx, voter, request) })
 	}
 	for _, voter := range step.Config {
 		request := &register.Accept{To: voter.ID, Ballot: round.Ballot, Value: round.Value}
-		send(func() answer {
+		send(func() voterReply {
 			data, err := config, error(nil)
 			if register.DigestOf(data) != request.Value.Config {
-				data, err = r.Config(ctx, request.Value)
+				data, err = r.configBytes(ctx, request.Value)
 			}
 			if err != nil {
-				return answer{from: voter, accepting: true, err: err}
+				return voterReply{from: voter, isAccept: true, err: err}
 			}
 			request.Config = data
-			return r.callAccept(ctx, voter, request)
+			return r.accept(ctx, voter, request)
 		})
 	}
 }
 
 // call asks a voter, the own replica without the network.
-func call[Request, Reply any](ctx context.Context, r *registrar, voter register.Voter, path string, within time.Duration, request *Request,
+func callVoter[Request, Reply any](ctx context.Context, r *proposer, voter register.Voter, path string, timeout time.Duration, request *Request,
 	local func(context.Context, *Request) (*Reply, error)) (*Reply, error) {
 	if voter.Address == r.self.Address {
 		return local(ctx, request)
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	reply := new(Reply)
 	return reply, r.client.Call(ctx, voter.Address, path, request, reply)
 }
 
-func (r *registrar) callPrepare(ctx context.Context, voter register.Voter, request *register.Prepare) answer {
-	promise, err := call(ctx, r, voter, preparePath, voteWithin, request, r.local.prepare)
-	return answer{from: voter, promise: promise, err: err}
+func (r *proposer) prepare(ctx context.Context, voter register.Voter, request *register.Prepare) voterReply {
+	promise, err := callVoter(ctx, r, voter, preparePath, voteTimeout, request, r.replica.prepare)
+	return voterReply{from: voter, promise: promise, err: err}
 }
 
-func (r *registrar) callAccept(ctx context.Context, voter register.Voter, request *register.Accept) answer {
-	accepted, err := call(ctx, r, voter, acceptPath, voteWithin+r.transfer(len(request.Config)), request, r.local.accept)
-	return answer{from: voter, accepting: true, accepted: accepted, err: err}
+func (r *proposer) accept(ctx context.Context, voter register.Voter, request *register.Accept) voterReply {
+	accepted, err := callVoter(ctx, r, voter, acceptPath, voteTimeout+r.transferTime(len(request.Config)), request, r.replica.accept)
+	return voterReply{from: voter, isAccept: true, accepted: accepted, err: err}
 }
 
 // transfer is what bytes take on the own link while they go to all voters.
-func (r *registrar) transfer(size int) time.Duration {
+func (r *proposer) transferTime(size int) time.Duration {
 	if r.linkMbps <= 0 {
 		return 0
 	}
-	return nodeconfig.Seconds(float64(size) * 8 * shareOfLink / (r.linkMbps * 1e6))
+	return nodeconfig.Seconds(float64(size) * 8 * transferMargin / (r.linkMbps * 1e6))
 }
 
 // Read returns the value that holds. Where voters differ it makes them agree first.
-func (r *registrar) Read(ctx context.Context) (found, error) {
-	known, err := r.known()
+func (r *proposer) read(ctx context.Context) (chosenValue, error) {
+	known, err := r.knownVoters()
 	if err != nil {
-		return found{}, err
+		return chosenValue{}, err
 	}
 	reading, step := register.NewReading(known)
 	readCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan answer)
+	replies := make(chan voterReply)
 	for !step.Done {
 		for _, voter := range step.Prepare {
 			go func() {
-				promise, err := call(readCtx, r, voter, readPath, voteWithin, &register.Read{To: voter.ID}, r.local.read)
+				promise, err := callVoter(readCtx, r, voter, readPath, voteTimeout, &register.Read{To: voter.ID}, r.replica.read)
 				select {
-				case answers <- answer{from: voter, promise: promise, err: err}:
+				case replies <- voterReply{from: voter, promise: promise, err: err}:
 				case <-readCtx.Done():
 				}
 			}()
 		}
 		select {
 		case <-ctx.Done():
-			return found{}, ctx.Err()
-		case got := <-answers:
-			if got.err != nil {
+			return chosenValue{}, ctx.Err()
+		case reply := <-replies:
+			if reply.err != nil {
 				step = reading.Lost()
 			} else {
-				step = reading.Answered(got.from, *got.promise)
+				step = reading.Answered(reply.from, *reply.promise)
 			}
 		}
 	}
 	if reading.Outcome == register.Chosen {
-		value := found{reading.Value, reading.At}
-		r.trust(value.At)
-		r.learned(value)
+		value := chosenValue{reading.Value, reading.At}
+		r.recordChosen(value.Ballot)
+		r.onChosen(value)
 		return value, nil
 	}
-	value, _, err := r.Change(ctx, register.Keep, nil)
+	value, _, err := r.propose(ctx, register.Keep, nil)
 	return value, err
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -298,12 +298,12 @@
 }
 
 // learn takes a value that was chosen. config holds the configuration's bytes where they may be lacking.
-func (r *replica) learn(value found, config []byte) (held bool, err error) {
+func (r *replica) learn(value chosenValue, config []byte) (held bool, err error) {
 	r.writing.Lock()
 	defer r.writing.Unlock()
 	have := r.config(value.Config) != nil
 	r.mu.Lock()
-	next, held := r.acceptor.HandleLearn(value.At, value.Value, have || config != nil)
+	next, held := r.acceptor.HandleLearn(value.Ballot, value.Value, have || config != nil)
 	r.mu.Unlock()
 	if next == nil {
 		return held, nil
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -55,7 +55,7 @@
 func (k *stageKeeper) now() float64 { return time.Since(k.start).Seconds() }
 
 func (k *stageKeeper) run(ctx context.Context) {
-	for wait(ctx, stagesEvery) == nil {
+	for sleep(ctx, stagesEvery) == nil {
 		facts, _ := k.control.node.Facts()
 		if !k.view(facts) || !k.hasEngines() {
 			continue
@@ -119,14 +119,14 @@
 // take tries to take the role with the token after the one that is known. Processes try in turns by rank.
 func (k *stageKeeper) take(ctx context.Context, grant register.Grant) {
 	facts, _ := k.control.node.Facts()
-	if wait(ctx, time.Duration(facts.Rank+1)*50*time.Millisecond) != nil {
+	if sleep(ctx, time.Duration(facts.Rank+1)*50*time.Millisecond) != nil {
 		return
 	}
 	began := k.now()
 	ctx, cancel := context.WithTimeout(ctx, changeWithin)
 	defer cancel()
 	name := k.control.settings.NodeID
-	value, outcome, err := k.control.registrar.Change(ctx, register.Take(stagesRole, name, grant.Token), nil)
+	value, outcome, err := k.control.proposer.propose(ctx, register.Take(stagesRole, name, grant.Token), nil)
 	if err != nil || outcome != register.Chosen {
 		return
 	}
@@ -142,7 +142,7 @@
 	began := k.now()
 	ctx, cancel := context.WithTimeout(ctx, readWithin)
 	defer cancel()
-	value, err := k.control.registrar.Read(ctx)
+	value, err := k.control.proposer.read(ctx)
 	if err == nil {
 		k.holder.Granted(began, value.Grant(stagesRole))
 	}
--- a/internal/control/upkeep.go
+++ b/internal/control/upkeep.go
@@ -32,11 +32,11 @@
 	var turns reconfiguration.Turns
 	var learners reconfiguration.Learners
 	began := time.Now()
-	for wait(ctx, upkeepEvery) == nil {
+	for sleep(ctx, upkeepEvery) == nil {
 		facts, _ := c.node.Facts()
 		candidates := reconfiguration.Assume(&facts.Voters, c.candidates(), c.inTouch)
 		needed := reconfiguration.Needed(&facts.Voters, candidates, c.wantedVoters())
-		rank, votes := reconfiguration.Rank(c.registrar.self.ID, &facts.Voters, reconfiguration.Alive(candidates))
+		rank, votes := reconfiguration.Rank(c.proposer.self.ID, &facts.Voters, reconfiguration.Alive(candidates))
 		if !turns.Due(time.Since(began).Seconds(), needed && votes, rank) {
 			continue
 		}
@@ -44,7 +44,7 @@
 		if err != nil {
 			c.log.WithError(err).Warn("the voters could not be changed")
 		}
-		if !changed && wait(ctx, upkeepAgain) != nil {
+		if !changed && sleep(ctx, upkeepAgain) != nil {
 			return
 		}
 	}
@@ -55,12 +55,12 @@
 
 // inTouch tells whether a voter has answered this process lately.
 func (c *Control) inTouch(voter register.Voter) bool {
-	return voter.Address == c.registrar.self.Address || c.node.InTouch(voter.Address)
+	return voter.Address == c.proposer.self.Address || c.node.InTouch(voter.Address)
 }
 
 // reachesMajority tells whether this process is in touch with a majority of the voters that it knows.
 func (c *Control) reachesMajority() bool {
-	known, err := c.registrar.known()
+	known, err := c.proposer.knownVoters()
 	return err != nil || known.Majority(c.inTouch)
 }
 
@@ -80,7 +80,7 @@
 func (c *Control) mendVoters(ctx context.Context, learners *reconfiguration.Learners) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, changeWithin)
 	defer cancel()
-	value, err := c.registrar.Read(ctx)
+	value, err := c.proposer.read(ctx)
 	if err != nil {
 		return false, err
 	}
@@ -100,7 +100,7 @@
 
 // changeVoters makes one change. It returns false where another process has changed the voters meanwhile.
 func (c *Control) changeVoters(ctx context.Context, change register.Change) (bool, error) {
-	value, outcome, err := c.registrar.Change(ctx, change, nil)
+	value, outcome, err := c.proposer.propose(ctx, change, nil)
 	if err != nil || outcome != register.Chosen {
 		return false, err
 	}
@@ -109,7 +109,7 @@
 }
 
 // askLearners asks the live candidates that don't vote whether what they hold is new enough. Those that lack the newest value fetch it.
-func (c *Control) askLearners(ctx context.Context, value found, candidates []register.Candidate, learners *reconfiguration.Learners) []register.Candidate {
+func (c *Control) askLearners(ctx context.Context, value chosenValue, candidates []register.Candidate, learners *reconfiguration.Learners) []register.Candidate {
 	asked := map[register.Voter]bool{}
 	var asking sync.WaitGroup
 	for i := range candidates {
@@ -118,7 +118,7 @@
 			continue
 		}
 		asked[candidate.Voter] = true
-		since := learners.Target(candidate.Voter, value.At)
+		since := learners.Target(candidate.Voter, value.Ballot)
 		asking.Go(func() { candidate.CaughtUp = c.askLearner(ctx, candidate.Voter, value, since) })
 	}
 	asking.Wait()
@@ -126,15 +126,15 @@
 	return candidates
 }
 
-func (c *Control) askLearner(ctx context.Context, voter register.Voter, value found, since register.Ballot) bool {
+func (c *Control) askLearner(ctx context.Context, voter register.Voter, value chosenValue, since register.Ballot) bool {
 	ctx, cancel := context.WithTimeout(ctx, learnWithin)
 	defer cancel()
-	request := &message.LearnRequest{To: voter.ID, Ballot: value.At, Value: value.Value, MinBallot: since}
+	request := &message.LearnRequest{To: voter.ID, Ballot: value.Ballot, Value: value.Value, MinBallot: since}
 	reply := &message.LearnReply{}
-	if voter.Address == c.registrar.self.Address {
+	if voter.Address == c.proposer.self.Address {
 		return false // a process that doesn't vote leaves its joining to those that do
 	}
-	if err := c.registrar.client.Call(ctx, voter.Address, learnPath, request, reply); err != nil {
+	if err := c.proposer.client.Call(ctx, voter.Address, learnPath, request, reply); err != nil {
 		c.log.WithField("peer", voter.Address).WithError(err).Debug("a newcomer did not answer")
 		return false
 	}
@@ -162,7 +162,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaveReadTimeout)
 	defer cancel()
-	value, err := c.registrar.Read(ctx)
+	value, err := c.proposer.read(ctx)
 	if err != nil {
 		return false // without a majority nobody can change the voters
 	}
@@ -171,7 +171,7 @@
 
 func (c *Control) votes(value *register.Value) bool {
 	for _, voter := range value.Everyone() {
-		if voter.ID == c.registrar.self.ID {
+		if voter.ID == c.proposer.self.ID {
 			return true
 		}
 	}
@@ -181,7 +181,7 @@
 // othersStaying counts the other control processes that are there and go on.
 func (c *Control) othersStaying() (count int) {
 	for _, candidate := range c.candidates() {
-		if candidate.ID != c.registrar.self.ID && candidate.Alive && !candidate.Leaving {
+		if candidate.ID != c.proposer.self.ID && candidate.Alive && !candidate.Leaving {
 			count++
 		}
 	}
--- a/internal/control/wire_form_test.go
+++ b/internal/control/wire_form_test.go
@@ -96,7 +96,7 @@
 			got := unfit(register.Value{Version: 7}, judged)
 			fmt.Fprintf(&out, "%d: %d %s\n", judged, got.status, got.text)
 		}
-		for _, got := range []verdict{accepted, invalid(errNoVoters), unavailable(errNoVoters)} {
+		for _, got := range []verdict{accepted, invalid(errUnknownVoters), unavailable(errUnknownVoters)} {
 			fmt.Fprintf(&out, "%d %s\n", got.status, got.text)
 		}
 		expectGolden("verdicts.txt", out.String())
