--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -48,7 +48,7 @@
 	replica  *replica
 	proposer *proposer
 	platform *gossip.Platform
-	follower *follower
+	chosen   *chosenTracker
 }
 
 // Run runs a control process until the context ends. reload tells that the settings file may have changed.
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	if err := opened.begin(ctx); err != nil {
+	if err := opened.persistIdentity(ctx); err != nil {
 		return err
 	}
 	return newControl(settings, opened, transport.NewClient(), log).run(ctx, reload)
@@ -76,7 +76,7 @@
 	servers := []*http.Server{serve(internal, c.internalRouter()), serve(operator, c.operatorRouter())}
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
-	for _, task := range []func(context.Context){c.node.Run, c.upkeep, c.scrub, c.follow, c.checkDisk, c.readLists, newStageKeeper(c).run} {
+	for _, task := range []func(context.Context){c.node.Run, c.upkeep, c.runAntiEntropy, c.runCatchUp, c.runDiskScrub, c.readLists, newStageKeeper(c).run} {
 		go task(work)
 	}
 	for {
@@ -94,7 +94,7 @@
 func newControl(settings *nodeconfig.Settings, opened *replica, client *transport.Client, log *logrus.Entry) *Control {
 	own := register.Voter{ID: opened.state().ID, Address: settings.Internal(settings.IP, nodeconfig.ControlPort)}
 	c := &Control{settings: settings, log: log, replica: opened, platform: gossip.NewPlatform(settings.Cloud.Address),
-		follower: newFollower()}
+		chosen: newChosenTracker()}
 	c.node = gossip.New(settings, membership.Record{Kind: membership.Control, Address: own.Address, Voter: own.ID,
 		Operator: settings.Listen.Control}, client, log)
 	c.proposer = &proposer{self: own, proposerID: fmt.Sprintf("%s/%016x", settings.NodeID, rand.Uint64()), replica: opened, client: client,
@@ -142,11 +142,11 @@
 func (c *Control) internalRouter() http.Handler {
 	router := mux.NewRouter()
 	c.node.Register(router)
-	router.HandleFunc(preparePath, transport.NewHandler(c.replica.prepare)).Methods("POST")
-	router.HandleFunc(acceptPath, transport.NewHandler(c.replica.accept)).Methods("POST")
-	router.HandleFunc(readPath, transport.NewHandler(c.replica.read)).Methods("POST")
-	router.HandleFunc(learnPath, transport.NewHandler(c.serveLearn)).Methods("POST")
-	router.HandleFunc(configPath, transport.NewHandler(c.replica.serveConfig)).Methods("POST")
+	router.HandleFunc(preparePath, transport.NewHandler(c.replica.handlePrepare)).Methods("POST")
+	router.HandleFunc(acceptPath, transport.NewHandler(c.replica.handleAccept)).Methods("POST")
+	router.HandleFunc(readPath, transport.NewHandler(c.replica.handleRead)).Methods("POST")
+	router.HandleFunc(learnPath, transport.NewHandler(c.handleLearn)).Methods("POST")
+	router.HandleFunc(configPath, transport.NewHandler(c.replica.handleConfigRequest)).Methods("POST")
 	router.HandleFunc(holdingsPath, c.serveHoldings).Methods("GET")
 	return router
 }
@@ -162,7 +162,7 @@
 // learned takes a value that holds: its voters are told, and its configuration where others may lack it.
 func (c *Control) handleChosen(value chosenValue) {
 	c.node.SetVoters(value.Value)
-	c.follower.tell(value)
+	c.chosen.observe(value)
 }
 
 // readLists reads the platform's list where its turn has come. Calls to the platform cost all, and a list that one has read reaches the
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -159,7 +159,7 @@
 	opened, err := openReplica(settings, log)
 	Expect(err).NotTo(HaveOccurred())
 	ctx, stop := context.WithCancel(context.Background())
-	Expect(opened.begin(ctx)).To(Succeed())
+	Expect(opened.persistIdentity(ctx)).To(Succeed())
 	m := &machine{ip: s.ip(i), stop: stop, ended: make(chan error, 1),
 		control: newControl(settings, opened, transport.NewClientWithDial(s.network.dial(s.ip(i))), log)}
 	s.machines[i] = m
@@ -172,7 +172,7 @@
 	m.stop()
 	Eventually(m.ended, within).Should(Receive())
 	// What is still under way in this process must not write to the disk any longer, as in one that has ended.
-	m.control.replica.writing.Lock()
+	m.control.replica.writeMu.Lock()
 	Expect(m.control.replica.store.Close()).To(Succeed())
 }
 
@@ -232,7 +232,7 @@
 // held returns the version on a machine's disk, 0 where the bytes of its configuration are not there.
 func (s *side) held(i int) int {
 	value := s.machines[i].control.replica.state().Value
-	if s.machines[i].control.replica.config(value.Config) == nil {
+	if s.machines[i].control.replica.configBytes(value.Config) == nil {
 		return 0
 	}
 	return int(value.Version)
@@ -370,7 +370,7 @@
 		unaware := func() *Control { // a process that has heard of no other, and of the first voters alone
 			m := s.machines[1]
 			c := newControl(m.control.settings, m.control.replica, m.control.proposer.client, m.control.log)
-			c.node.SetVoters(founding(m.control.settings.SeedAddresses()))
+			c.node.SetVoters(foundingValue(m.control.settings.SeedAddresses()))
 			return c
 		}
 		Expect(unaware().isReplaceable()).To(BeFalse(), "three voters")
@@ -420,14 +420,14 @@
 		s := newSide(3)
 		s.begin()
 		replica := s.machines[1].control.replica
-		replica.writing.Lock()
+		replica.writeMu.Lock()
 		files, err := filepath.Glob(filepath.Join(s.data(1), "*"))
 		Expect(err).NotTo(HaveOccurred())
 		for _, file := range files {
 			Expect(os.WriteFile(file, []byte("spoiled"), 0o600)).To(Succeed())
 		}
-		replica.writing.Unlock()
-		replica.check()
+		replica.writeMu.Unlock()
+		replica.repairDisk()
 		before := replica.state()
 		s.stop(1)
 		s.start(1, false)
@@ -446,7 +446,7 @@
 		Expect(s.put(0, 1, data)).To(Equal(http.StatusOK))
 		c := s.machines[0].control
 		value := c.replica.state().Value
-		Expect(c.replica.config(value.Config)).To(HaveLen(len(data)))
+		Expect(c.replica.configBytes(value.Config)).To(HaveLen(len(data)))
 		Eventually(func() int { return s.held(1) }, within).Should(Equal(2))
 		fetched := newConfigFetcher()
 		calls := 0
@@ -454,7 +454,7 @@
 			if calls++; calls == 3 {
 				return nil, errCut
 			}
-			return c.replica.serveConfig(ctx, request)
+			return c.replica.handleConfigRequest(ctx, request)
 		}
 		got, err := fetched.fetch(context.Background(), value.Config, value.Voters[:1], ask)
 		Expect(err).To(HaveOccurred())
--- a/internal/control/copies.go
+++ b/internal/control/copies.go
@@ -88,7 +88,7 @@
 
 // Config returns the bytes of a value's configuration, from other voters where they aren't here.
 func (r *proposer) configBytes(ctx context.Context, value register.Value) ([]byte, error) {
-	if data := r.replica.config(value.Config); data != nil {
+	if data := r.replica.configBytes(value.Config); data != nil {
 		return data, nil
 	}
 	sources := slices.DeleteFunc(value.Everyone(), func(v register.Voter) bool { return v.Address == r.self.Address })
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -14,19 +14,19 @@
 const (
 	// scrubEvery is the time between reads of the register that find out what this process has missed; scrubSoon holds until the
 	// first one succeeds.
-	scrubEvery = 2 * time.Second
-	scrubSoon  = 60 * time.Millisecond
+	antiEntropyInterval      = 2 * time.Second
+	antiEntropyRetryInterval = 60 * time.Millisecond
 	// checkDiskEvery is the time between looks at what was written to the own disk.
-	checkDiskEvery = 30 * time.Second
+	diskScrubInterval = 30 * time.Second
 	// newsDelay is how long after it has accepted a configuration a process looks whether it was chosen, where nobody has told.
-	newsDelay = 120 * time.Millisecond
+	confirmDelay = 120 * time.Millisecond
 	// followAgain is the pause after a try that failed, while nothing newer is known; it doubles up to followMost.
-	followAgain = 150 * time.Millisecond
-	followMost  = 1200 * time.Millisecond
+	minCatchUpPause = 150 * time.Millisecond
+	maxCatchUpPause = 1200 * time.Millisecond
 )
 
 // signal wakes who waits on a channel with room for one.
-func signal(channel chan struct{}) {
+func notify(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
 	default: // a signal is there already
@@ -34,57 +34,57 @@
 }
 
 // follower holds the newest value that is known to be chosen, for the task that brings this process up to it.
-type follower struct {
+type chosenTracker struct {
 	wake chan struct{}
 
-	mu     sync.Mutex
-	newest chosenValue
+	mu    sync.Mutex
+	value chosenValue
 }
 
-func newFollower() *follower { return &follower{wake: make(chan struct{}, 1)} }
+func newChosenTracker() *chosenTracker { return &chosenTracker{wake: make(chan struct{}, 1)} }
 
 // tell notes a value that was chosen.
-func (f *follower) tell(value chosenValue) {
+func (f *chosenTracker) observe(observed chosenValue) {
 	f.mu.Lock()
-	newer := value.Ballot.Compare(f.newest.Ballot) > 0
-	if newer {
-		f.newest = value
+	isNewer := observed.Ballot.Compare(f.value.Ballot) > 0
+	if isNewer {
+		f.value = observed
 	}
 	f.mu.Unlock()
-	if newer {
-		signal(f.wake)
+	if isNewer {
+		notify(f.wake)
 	}
 }
 
-func (f *follower) target() chosenValue {
+func (f *chosenTracker) latest() chosenValue {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.newest
+	return f.value
 }
 
 // follow brings the own disk, and what this process tells others, up to the newest value that it has heard of. It is a task of its
 // own: no call of an operator and no round waits for it, and it goes on where a try has ended.
-func (c *Control) follow(ctx context.Context) {
+func (c *Control) runCatchUp(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.follower.wake:
+		case <-c.chosen.wake:
 		}
-		for pause := followAgain; ctx.Err() == nil; {
-			target := c.follower.target()
+		for pause := minCatchUpPause; ctx.Err() == nil; {
+			target := c.chosen.latest()
 			err := c.catchUp(ctx, target)
 			if err == nil {
 				break
 			}
 			c.log.WithField("version", target.Version).WithError(err).Warn("behind the newest configuration")
-			if c.follower.target().Ballot != target.Ballot {
+			if c.chosen.latest().Ballot != target.Ballot {
 				continue // what was asked for has been superseded
 			}
 			if sleep(ctx, pause) != nil {
 				return
 			}
-			pause = min(2*pause, followMost)
+			pause = min(2*pause, maxCatchUpPause)
 		}
 	}
 }
@@ -92,9 +92,9 @@
 // catchUp takes a value that was chosen: first what it says is told, then it goes to the disk.
 func (c *Control) catchUp(ctx context.Context, value chosenValue) error {
 	facts, _ := c.node.Facts()
-	told := value.Version == 0 || facts.Table != nil && facts.Table.Version >= value.Version
+	published := value.Version == 0 || facts.Table != nil && facts.Table.Version >= value.Version
 	behind := value.Ballot.Compare(c.replica.state().Ballot) > 0
-	if told && !behind {
+	if published && !behind {
 		return nil
 	}
 	var data []byte
@@ -104,7 +104,7 @@
 			return err
 		}
 	}
-	if !told {
+	if !published {
 		table, err := routeconfig.Parse(data)
 		if err != nil {
 			return Error.New("the configuration that holds can't be read: %v", err)
@@ -123,29 +123,29 @@
 
 // serveLearn takes a chosen value from who looks after the voters. Where the configuration's bytes are lacking they are fetched; the
 // answer is whether what is held until then is new enough.
-func (c *Control) serveLearn(_ context.Context, request *message.LearnRequest) (*message.LearnReply, error) {
+func (c *Control) handleLearn(_ context.Context, request *message.LearnRequest) (*message.LearnReply, error) {
 	if request.To != c.proposer.self.ID {
 		return nil, Error.New("%q is not the identity of this disk", request.To)
 	}
 	value := chosenValue{request.Value, request.Ballot}
-	held, err := c.replica.learn(value, nil)
+	upToDate, err := c.replica.learn(value, nil)
 	if err != nil {
 		return nil, err
 	}
-	if !held {
-		c.follower.tell(value)
+	if !upToDate {
+		c.chosen.observe(value)
 	}
-	since := request.MinBallot
-	if since == (register.Ballot{}) {
-		since = request.Ballot
+	minBallot := request.MinBallot
+	if minBallot == (register.Ballot{}) {
+		minBallot = request.Ballot
 	}
-	return &message.LearnReply{UpToDate: held || c.replica.state().Ballot.Compare(since) >= 0}, nil
+	return &message.LearnReply{UpToDate: upToDate || c.replica.state().Ballot.Compare(minBallot) >= 0}, nil
 }
 
 // scrub reads the register now and then, and soon after this process has accepted a configuration of which nobody has told
 // whether it was chosen: the process that had it accepted may be gone.
-func (c *Control) scrub(ctx context.Context) {
-	pause := scrubSoon / 6
+func (c *Control) runAntiEntropy(ctx context.Context) {
+	pause := antiEntropyRetryInterval / 6
 	for {
 		timer := time.NewTimer(pause)
 		select {
@@ -153,34 +153,34 @@
 			timer.Stop()
 			return
 		case <-timer.C:
-		case <-c.replica.accepted:
+		case <-c.replica.valueStored:
 			timer.Stop()
-			if sleep(ctx, newsDelay+rand.N(newsDelay)) != nil {
+			if sleep(ctx, confirmDelay+rand.N(confirmDelay)) != nil {
 				return
 			}
-			if !c.knowsLess(c.replica.state().Value) {
+			if !c.hasNewerConfig(c.replica.state().Value) {
 				continue
 			}
 		}
 		readCtx, cancel := context.WithTimeout(ctx, readWithin)
 		_, err := c.proposer.read(readCtx)
 		cancel()
-		pause = scrubEvery
+		pause = antiEntropyInterval
 		if err != nil {
-			pause = scrubSoon
+			pause = antiEntropyRetryInterval
 		}
 	}
 }
 
 // checkDisk reads the own disk again now and then.
-func (c *Control) checkDisk(ctx context.Context) {
-	for sleep(ctx, checkDiskEvery+rand.N(checkDiskEvery/4)) == nil {
-		c.replica.check()
+func (c *Control) runDiskScrub(ctx context.Context) {
+	for sleep(ctx, diskScrubInterval+rand.N(diskScrubInterval/4)) == nil {
+		c.replica.repairDisk()
 	}
 }
 
 // knowsLess tells whether a value has a newer configuration than the one that this process tells others.
-func (c *Control) knowsLess(value register.Value) bool {
+func (c *Control) hasNewerConfig(value register.Value) bool {
 	facts, _ := c.node.Facts()
 	return value.Version > 0 && (facts.Table == nil || facts.Table.Version < value.Version)
 }
--- a/internal/control/holdings.go
+++ b/internal/control/holdings.go
@@ -29,7 +29,7 @@
 	state := c.replica.state()
 	facts, _ := c.node.Facts()
 	out := holdings{Identity: state.ID, Votes: c.votes(&facts.Voters), Epoch: state.Value.Epoch, Version: state.Value.Version,
-		Bytes: len(c.replica.config(state.Value.Config)), Ballot: state.Ballot.Round, TouchMajority: c.reachesMajority()}
+		Bytes: len(c.replica.configBytes(state.Value.Config)), Ballot: state.Ballot.Round, TouchMajority: c.reachesMajority()}
 	if facts.Table != nil {
 		out.Told = facts.Table.Version
 	}
--- a/internal/control/registrar.go
+++ b/internal/control/registrar.go
@@ -237,12 +237,12 @@
 }
 
 func (r *proposer) prepare(ctx context.Context, voter register.Voter, request *register.Prepare) voterReply {
-	promise, err := callVoter(ctx, r, voter, preparePath, voteTimeout, request, r.replica.prepare)
+	promise, err := callVoter(ctx, r, voter, preparePath, voteTimeout, request, r.replica.handlePrepare)
 	return voterReply{from: voter, promise: promise, err: err}
 }
 
 func (r *proposer) accept(ctx context.Context, voter register.Voter, request *register.Accept) voterReply {
-	accepted, err := callVoter(ctx, r, voter, acceptPath, voteTimeout+r.transferTime(len(request.Config)), request, r.replica.accept)
+	accepted, err := callVoter(ctx, r, voter, acceptPath, voteTimeout+r.transferTime(len(request.Config)), request, r.replica.handleAccept)
 	return voterReply{from: voter, isAccept: true, accepted: accepted, err: err}
 }
 
@@ -267,7 +267,7 @@
 	for !step.Done {
 		for _, voter := range step.Prepare {
 			go func() {
-				promise, err := callVoter(readCtx, r, voter, readPath, voteTimeout, &register.Read{To: voter.ID}, r.replica.read)
+				promise, err := callVoter(readCtx, r, voter, readPath, voteTimeout, &register.Read{To: voter.ID}, r.replica.handleRead)
 				select {
 				case replies <- voterReply{from: voter, promise: promise, err: err}:
 				case <-readCtx.Done():
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -25,63 +25,63 @@
 
 const (
 	// snapshotAt is the size of a segment, in bytes, at which a snapshot takes its place.
-	snapshotAt = 8 << 20
+	snapshotThreshold = 8 << 20
 	// retryWrite is the pause before a start that could not write its identity tries again.
-	retryWrite = 200 * time.Millisecond
+	identityRetryInterval = 200 * time.Millisecond
 	// mostConfigs bounds the configurations whose bytes are kept in memory and in snapshots, mostLent those in memory while others
 	// fetch them, and lentFor is how long after a piece was asked for somebody may come for the next one.
-	mostConfigs = 2
-	mostLent    = 5
-	lentFor     = 3 * time.Second
+	maxKeptConfigs     = 2
+	maxCachedConfigs   = 5
+	requestedRetention = 3 * time.Second
 )
 
 // replica hosts the acceptor and its disk.
 type replica struct {
 	log *logrus.Entry
 
-	writing sync.Mutex // held while the disk works; orders all that changes the state
+	writeMu sync.Mutex // held while the disk works; orders all that changes the state
 	store   *store.Store
 
 	mu       sync.Mutex // guards what follows; never held while the disk works
 	acceptor *register.Acceptor
-	configs  []storedConfig // the newest at the end
-	found    bool           // the disk held a state at the start
+	configs  []cachedConfig // the newest at the end
+	hadState bool           // the disk held a state at the start
 
-	accepted chan struct{} // gets a signal when a configuration was accepted or learned
+	valueStored chan struct{} // gets a signal when a configuration was accepted or learned
 }
 
-type storedConfig struct {
-	digest register.Digest
-	data   []byte
-	lent   time.Time // when a piece of it was asked for last
+type cachedConfig struct {
+	digest      register.Digest
+	data        []byte
+	requestedAt time.Time // when a piece of it was asked for last
 }
 
 // openReplica reads the disk. A process without a state founds the register if it is one of the founders, else it gets an
 // identity that never voted.
 func openReplica(settings *nodeconfig.Settings, log *logrus.Entry) (*replica, error) {
-	opened, records, damage, err := store.Open(settings.DataDir)
+	opened, records, corruptions, err := store.Open(settings.DataDir)
 	if err != nil {
 		return nil, err
 	}
-	r := &replica{log: log, store: opened, accepted: make(chan struct{}, 1)}
-	state, found := r.load(records)
-	for _, place := range damage {
-		log.WithField("tail", place.TornTail).Warn("store: " + place.String())
-		if !place.TornTail {
+	r := &replica{log: log, store: opened, valueStored: make(chan struct{}, 1)}
+	state, restored := r.restore(records)
+	for _, corruption := range corruptions {
+		log.WithField("tail", corruption.TornTail).Warn("store: " + corruption.String())
+		if !corruption.TornTail {
 			// Danger: what can't be read may have been a promise. Who forgot one must not vote as the one that made it.
-			found = false
+			restored = false
 		}
 	}
-	if !found {
+	if !restored {
 		// Danger: a founder whose disk held something may have promised something. Only an empty disk founds.
 		state = newState(settings, !opened.IsUsed())
 	}
-	r.found = found
+	r.hadState = restored
 	r.acceptor = register.NewAcceptor(state)
 	return r, nil
 }
 
-func (r *replica) load(records []store.Record) (state register.State, found bool) {
+func (r *replica) restore(records []store.Record) (state register.State, restored bool) {
 	for _, record := range records {
 		switch record.Kind {
 		case stateRecord:
@@ -90,30 +90,30 @@
 				r.log.WithError(err).Error("store: a state that can't be read")
 				return state, false
 			}
-			state, found = next, true
+			state, restored = next, true
 		case configRecord:
-			r.keep(register.DigestOf(record.Data), record.Data)
+			r.cacheConfig(register.DigestOf(record.Data), record.Data)
 		}
 	}
-	return state, found
+	return state, restored
 }
 
 // newState returns the state of a disk without one. empty tells whether nothing was ever written to it.
-func newState(settings *nodeconfig.Settings, empty bool) register.State {
-	own := settings.Internal(settings.IP, nodeconfig.ControlPort)
+func newState(settings *nodeconfig.Settings, isUnusedDisk bool) register.State {
+	address := settings.Internal(settings.IP, nodeconfig.ControlPort)
 	founders := settings.SeedAddresses()
-	if empty && settings.Bootstrap && slices.Contains(founders, own) {
-		return register.State{ID: founderID(own), Value: founding(founders)}
+	if isUnusedDisk && settings.Bootstrap && slices.Contains(founders, address) {
+		return register.State{ID: founderID(address), Value: foundingValue(founders)}
 	}
 	var nonce [8]byte
 	_, _ = rand.Read(nonce[:]) // never fails
-	return register.State{ID: own + "#" + hex.EncodeToString(nonce[:])}
+	return register.State{ID: address + "#" + hex.EncodeToString(nonce[:])}
 }
 
 func founderID(address string) string { return "founder@" + address }
 
 // founding returns the value with which all founders begin.
-func founding(addresses []string) register.Value {
+func foundingValue(addresses []string) register.Value {
 	value := register.Value{Epoch: 1}
 	for _, address := range addresses {
 		value.Voters = append(value.Voters, register.Voter{ID: founderID(address), Address: address})
@@ -123,30 +123,30 @@
 
 // begin writes a snapshot of what was read. Nothing may be answered before an identity is on the disk. Where it was found there,
 // a disk that takes no more bytes does not keep the process from telling what it holds.
-func (r *replica) begin(ctx context.Context) error {
+func (r *replica) persistIdentity(ctx context.Context) error {
 	for {
-		r.writing.Lock()
-		err := r.snapshot()
-		r.writing.Unlock()
+		r.writeMu.Lock()
+		err := r.writeSnapshot()
+		r.writeMu.Unlock()
 		if err == nil {
 			return nil
 		}
 		r.log.WithError(err).Warn("store: the first write failed")
-		if r.found {
+		if r.hadState {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(retryWrite):
+		case <-time.After(identityRetryInterval):
 		}
 	}
 }
 
 // snapshot is for who holds writing.
-func (r *replica) snapshot() error {
+func (r *replica) writeSnapshot() error {
 	r.mu.Lock()
-	state, configs := r.acceptor.State(), slices.Clone(r.configs[max(len(r.configs)-mostConfigs, 0):])
+	state, configs := r.acceptor.State(), slices.Clone(r.configs[max(len(r.configs)-maxKeptConfigs, 0):])
 	r.mu.Unlock()
 	var records []store.Record
 	for _, config := range configs {
@@ -160,19 +160,19 @@
 }
 
 // check reads the disk again, and writes what this process holds anew where something was spoiled there.
-func (r *replica) check() {
-	r.writing.Lock()
-	defer r.writing.Unlock()
-	bad := r.store.Verify()
-	if bad == nil {
+func (r *replica) repairDisk() {
+	r.writeMu.Lock()
+	defer r.writeMu.Unlock()
+	corruption := r.store.Verify()
+	if corruption == nil {
 		return
 	}
-	err := r.snapshot()
-	r.log.WithError(err).WithField("place", bad.String()).Error("store: a file was spoiled; written anew")
+	err := r.writeSnapshot()
+	r.log.WithError(err).WithField("place", corruption.String()).Error("store: a file was spoiled; written anew")
 }
 
 // write puts a state, and a configuration where there is one, on the disk.
-func (r *replica) write(state *register.State, config []byte) error {
+func (r *replica) persist(state *register.State, config []byte) error {
 	data, err := msgpack.Marshal(state)
 	if err != nil {
 		return err
@@ -189,14 +189,14 @@
 	newer := state.Value.Version > r.acceptor.State().Value.Version
 	r.acceptor.Stored(*state)
 	if config != nil {
-		r.keep(state.Value.Config, config)
+		r.cacheConfig(state.Value.Config, config)
 	}
 	r.mu.Unlock()
 	if newer {
-		signal(r.accepted)
+		notify(r.valueStored)
 	}
-	if r.store.SegmentSize() > snapshotAt {
-		if err := r.snapshot(); err != nil {
+	if r.store.SegmentSize() > snapshotThreshold {
+		if err := r.writeSnapshot(); err != nil {
 			r.log.WithError(err).Warn("store: a snapshot failed")
 		}
 	}
@@ -205,12 +205,12 @@
 
 // keep holds a configuration's bytes. Danger: those of the accepted value must never give way, so they are the newest. Those before
 // stay while somebody fetches them: a newcomer on a slow link would else lose what has come of them with each change.
-func (r *replica) keep(digest register.Digest, data []byte) {
-	r.configs = slices.DeleteFunc(r.configs, func(c storedConfig) bool { return c.digest == digest })
-	r.configs = append(r.configs, storedConfig{digest: digest, data: data})
+func (r *replica) cacheConfig(digest register.Digest, data []byte) {
+	r.configs = slices.DeleteFunc(r.configs, func(c cachedConfig) bool { return c.digest == digest })
+	r.configs = append(r.configs, cachedConfig{digest: digest, data: data})
 	now := time.Now()
-	for i := 0; i < len(r.configs)-mostConfigs; {
-		if now.Sub(r.configs[i].lent) <= lentFor && len(r.configs) <= mostLent {
+	for i := 0; i < len(r.configs)-maxKeptConfigs; {
+		if now.Sub(r.configs[i].requestedAt) <= requestedRetention && len(r.configs) <= maxCachedConfigs {
 			i++
 			continue
 		}
@@ -219,30 +219,30 @@
 }
 
 // config returns a configuration's bytes, nil if they aren't here.
-func (r *replica) config(digest register.Digest) []byte {
+func (r *replica) configBytes(digest register.Digest) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if i := r.find(digest); i >= 0 {
+	if i := r.configIndex(digest); i >= 0 {
 		return r.configs[i].data
 	}
 	return nil
 }
 
 // lend returns a configuration's bytes for another process, which may come for more of them.
-func (r *replica) lend(digest register.Digest) []byte {
+func (r *replica) lendConfig(digest register.Digest) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	i := r.find(digest)
+	i := r.configIndex(digest)
 	if i < 0 {
 		return nil
 	}
-	r.configs[i].lent = time.Now()
+	r.configs[i].requestedAt = time.Now()
 	return r.configs[i].data
 }
 
 // find returns the place of a configuration, -1 if it isn't here. It is for who holds mu.
-func (r *replica) find(digest register.Digest) int {
-	return slices.IndexFunc(r.configs, func(c storedConfig) bool { return c.digest == digest })
+func (r *replica) configIndex(digest register.Digest) int {
+	return slices.IndexFunc(r.configs, func(c cachedConfig) bool { return c.digest == digest })
 }
 
 // state returns what is on disk.
@@ -252,71 +252,71 @@
 	return r.acceptor.State()
 }
 
-func (r *replica) prepare(_ context.Context, request *register.Prepare) (*register.Promise, error) {
-	r.writing.Lock()
-	defer r.writing.Unlock()
+func (r *replica) handlePrepare(_ context.Context, request *register.Prepare) (*register.Promise, error) {
+	r.writeMu.Lock()
+	defer r.writeMu.Unlock()
 	r.mu.Lock()
-	next, answer := r.acceptor.HandlePrepare(*request)
+	next, promise := r.acceptor.HandlePrepare(*request)
 	r.mu.Unlock()
 	if next != nil {
-		if err := r.write(next, nil); err != nil {
+		if err := r.persist(next, nil); err != nil {
 			return nil, err
 		}
 	}
-	return &answer, nil
+	return &promise, nil
 }
 
-func (r *replica) accept(_ context.Context, request *register.Accept) (*register.Accepted, error) {
-	r.writing.Lock()
-	defer r.writing.Unlock()
+func (r *replica) handleAccept(_ context.Context, request *register.Accept) (*register.Accepted, error) {
+	r.writeMu.Lock()
+	defer r.writeMu.Unlock()
 	digest := request.Value.Config
-	held := r.config(digest) != nil
+	cached := r.configBytes(digest) != nil
 	if len(request.Config) > 0 && register.DigestOf(request.Config) != digest {
 		return nil, Error.New("the bytes of a configuration don't match its digest")
 	}
 	r.mu.Lock()
-	next, answer := r.acceptor.HandleAccept(*request, held || len(request.Config) > 0)
+	next, accepted := r.acceptor.HandleAccept(*request, cached || len(request.Config) > 0)
 	r.mu.Unlock()
 	if next == nil {
-		return &answer, nil
+		return &accepted, nil
 	}
-	var fresh []byte
-	if !held {
-		fresh = request.Config
+	var newConfig []byte
+	if !cached {
+		newConfig = request.Config
 	}
-	if err := r.write(next, fresh); err != nil {
+	if err := r.persist(next, newConfig); err != nil {
 		return nil, err
 	}
-	return &answer, nil
+	return &accepted, nil
 }
 
-func (r *replica) read(_ context.Context, request *register.Read) (*register.Promise, error) {
+func (r *replica) handleRead(_ context.Context, request *register.Read) (*register.Promise, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	answer := r.acceptor.HandleRead(*request)
-	return &answer, nil
+	promise := r.acceptor.HandleRead(*request)
+	return &promise, nil
 }
 
 // learn takes a value that was chosen. config holds the configuration's bytes where they may be lacking.
-func (r *replica) learn(value chosenValue, config []byte) (held bool, err error) {
-	r.writing.Lock()
-	defer r.writing.Unlock()
-	have := r.config(value.Config) != nil
+func (r *replica) learn(value chosenValue, config []byte) (upToDate bool, err error) {
+	r.writeMu.Lock()
+	defer r.writeMu.Unlock()
+	cached := r.configBytes(value.Config) != nil
 	r.mu.Lock()
-	next, held := r.acceptor.HandleLearn(value.Ballot, value.Value, have || config != nil)
+	next, upToDate := r.acceptor.HandleLearn(value.Ballot, value.Value, cached || config != nil)
 	r.mu.Unlock()
 	if next == nil {
-		return held, nil
+		return upToDate, nil
 	}
-	if have {
+	if cached {
 		config = nil
 	}
-	return held, r.write(next, config)
+	return upToDate, r.persist(next, config)
 }
 
 // serveConfig returns a piece of a configuration's bytes.
-func (r *replica) serveConfig(_ context.Context, request *message.ConfigRequest) (*message.ConfigReply, error) {
-	data := r.lend(request.Digest)
+func (r *replica) handleConfigRequest(_ context.Context, request *message.ConfigRequest) (*message.ConfigReply, error) {
+	data := r.lendConfig(request.Digest)
 	reply := &message.ConfigReply{Size: len(data)}
 	if request.Offset < 0 || request.Offset > len(data) || request.Length < 0 {
 		return nil, Error.New("a piece at %d of %d bytes", request.Offset, len(data))
--- a/internal/control/steady_test.go
+++ b/internal/control/steady_test.go
@@ -78,24 +78,24 @@
 var _ = Describe("the bytes of a configuration that was superseded", func() {
 	hold := func(r *replica, version int) []byte {
 		data := configuration(version, 0)
-		r.keep(register.DigestOf(data), data)
+		r.cacheConfig(register.DigestOf(data), data)
 		return data
 	}
 
 	It("stay for who fetches them, within bounds", func() {
 		r := &replica{}
 		first, second := hold(r, 1), hold(r, 2)
-		Expect(r.lend(register.DigestOf(first))).To(Equal(first))
-		for version := 3; version < 3+mostLent-mostConfigs; version++ {
+		Expect(r.lendConfig(register.DigestOf(first))).To(Equal(first))
+		for version := 3; version < 3+maxCachedConfigs-maxKeptConfigs; version++ {
 			hold(r, version)
-			Expect(r.config(register.DigestOf(first))).To(Equal(first))
-			Expect(r.config(register.DigestOf(second))).To(Or(BeNil(), HaveLen(len(second))))
+			Expect(r.configBytes(register.DigestOf(first))).To(Equal(first))
+			Expect(r.configBytes(register.DigestOf(second))).To(Or(BeNil(), HaveLen(len(second))))
 		}
 		for version := 20; version < 30; version++ {
 			data := hold(r, version)
-			r.lend(register.DigestOf(data))
-			Expect(len(r.configs)).To(BeNumerically("<=", mostLent))
-			Expect(r.config(register.DigestOf(data))).To(Equal(data), "the newest never gives way")
+			r.lendConfig(register.DigestOf(data))
+			Expect(len(r.configs)).To(BeNumerically("<=", maxCachedConfigs))
+			Expect(r.configBytes(register.DigestOf(data))).To(Equal(data), "the newest never gives way")
 		}
 	})
 
@@ -104,6 +104,6 @@
 		for version := 1; version < 9; version++ {
 			hold(r, version)
 		}
-		Expect(r.configs).To(HaveLen(mostConfigs))
+		Expect(r.configs).To(HaveLen(maxKeptConfigs))
 	})
 })
--- a/internal/control/stored_form_test.go
+++ b/internal/control/stored_form_test.go
@@ -61,23 +61,23 @@
 func writeStored(dir string) {
 	ctx := context.Background()
 	accept := func(r *replica, version int) {
-		answer, err := r.accept(ctx, &register.Accept{To: r.state().ID, Ballot: storedBallot(uint64(100 * version)), Value: storedValue(version),
+		answer, err := r.handleAccept(ctx, &register.Accept{To: r.state().ID, Ballot: storedBallot(uint64(100 * version)), Value: storedValue(version),
 			Config: configuration(version, 0)})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.OK).To(BeTrue())
 	}
 	prepare := func(r *replica, round uint64) {
-		answer, err := r.prepare(ctx, &register.Prepare{To: r.state().ID, Ballot: storedBallot(round)})
+		answer, err := r.handlePrepare(ctx, &register.Prepare{To: r.state().ID, Ballot: storedBallot(round)})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.OK).To(BeTrue())
 	}
 	first := openStored(dir)
-	Expect(first.begin(ctx)).To(Succeed())
+	Expect(first.persistIdentity(ctx)).To(Succeed())
 	accept(first, 1)
 	accept(first, 2)
 	Expect(first.store.Close()).To(Succeed())
 	second := openStored(dir)
-	Expect(second.begin(ctx)).To(Succeed())
+	Expect(second.persistIdentity(ctx)).To(Succeed())
 	accept(second, 3)
 	prepare(second, 400)
 	prepare(second, 500)
@@ -119,13 +119,13 @@
 		Expect(os.CopyFS(dir, os.DirFS(storedFolder))).To(Succeed())
 		r := openStored(dir)
 		want := register.State{ID: "founder@127.0.5.10:20000", Promised: storedBallot(400), Ballot: storedBallot(300), Value: storedValue(3)}
-		Expect(r.found).To(BeTrue())
+		Expect(r.hadState).To(BeTrue())
 		Expect(r.state()).To(Equal(want))
 		for version := 2; version <= 3; version++ {
-			Expect(r.config(register.DigestOf(configuration(version, 0)))).To(Equal(configuration(version, 0)))
+			Expect(r.configBytes(register.DigestOf(configuration(version, 0)))).To(Equal(configuration(version, 0)))
 		}
-		Expect(r.config(register.DigestOf(configuration(1, 0)))).To(BeNil(), "the two newest are kept")
-		Expect(r.begin(context.Background())).To(Succeed())
+		Expect(r.configBytes(register.DigestOf(configuration(1, 0)))).To(BeNil(), "the two newest are kept")
+		Expect(r.persistIdentity(context.Background())).To(Succeed())
 		Expect(r.store.Close()).To(Succeed())
 		again := openStored(dir)
 		Expect(again.state()).To(Equal(want))
