--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -29,15 +29,15 @@
 const (
 	// listEvery is the time between readings of the platform's list by the process whose turn it is, listLook how often the others look
 	// whether it still reads. They do so themselves where the list is older than listStale, later by listStep for each rank.
-	listEvery = 900 * time.Millisecond
-	listLook  = 100 * time.Millisecond
-	listStale = 1500 * time.Millisecond
-	listStep  = 100 * time.Millisecond
-	listSteps = 4 // ranks that are told apart
+	listReadInterval  = 900 * time.Millisecond
+	listCheckInterval = 100 * time.Millisecond
+	staleListAge      = 1500 * time.Millisecond
+	listRankDelay     = 100 * time.Millisecond
+	maxListRank       = 4 // ranks that are told apart
 	// stopWithin bounds the end of calls that are under way at SIGTERM.
-	stopWithin    = 2 * time.Second
-	headerTimeout = 3 * time.Second
-	idleTimeout   = time.Minute
+	shutdownTimeout = 2 * time.Second
+	headerTimeout   = 3 * time.Second
+	idleTimeout     = time.Minute
 )
 
 // Control is a control process.
@@ -76,7 +76,7 @@
 	servers := []*http.Server{serve(internal, c.internalRouter()), serve(operator, c.operatorRouter())}
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
-	for _, task := range []func(context.Context){c.node.Run, c.upkeep, c.runAntiEntropy, c.runCatchUp, c.runDiskScrub, c.readLists, newStageKeeper(c).run} {
+	for _, task := range []func(context.Context){c.node.Run, c.upkeep, c.runAntiEntropy, c.runCatchUp, c.runDiskScrub, c.runListReader, newStageKeeper(c).run} {
 		go task(work)
 	}
 	for {
@@ -84,7 +84,7 @@
 		case <-ctx.Done():
 			c.node.Leave()
 			c.awaitSuccession()
-			return shutdown(servers, stopWithin)
+			return shutdown(servers, shutdownTimeout)
 		case changed := <-reload:
 			c.node.SetSeeds(changed.SeedAddresses())
 		}
@@ -125,8 +125,8 @@
 
 // shutdown lets calls that are under way end within a time, and closes what is left then. Danger: a connection on which nothing was sent
 // yet counts as busy for seconds. Peers open such ones and may never use them; they are no reason to end with an error.
-func shutdown(servers []*http.Server, within time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+func shutdown(servers []*http.Server, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var failed errs.Group
 	for _, server := range servers {
@@ -147,15 +147,15 @@
 	router.HandleFunc(readPath, transport.NewHandler(c.replica.handleRead)).Methods("POST")
 	router.HandleFunc(learnPath, transport.NewHandler(c.handleLearn)).Methods("POST")
 	router.HandleFunc(configPath, transport.NewHandler(c.replica.handleConfigRequest)).Methods("POST")
-	router.HandleFunc(holdingsPath, c.serveHoldings).Methods("GET")
+	router.HandleFunc(statusPath, c.handleStatus).Methods("GET")
 	return router
 }
 
 func (c *Control) operatorRouter() http.Handler {
 	router := mux.NewRouter()
-	router.HandleFunc("/config", c.putConfig).Methods("PUT")
-	router.HandleFunc("/config", c.patchConfig).Methods("PATCH")
-	router.HandleFunc("/config", c.getConfig).Methods("GET")
+	router.HandleFunc("/config", c.handlePut).Methods("PUT")
+	router.HandleFunc("/config", c.handlePatch).Methods("PATCH")
+	router.HandleFunc("/config", c.handleGet).Methods("GET")
 	return router
 }
 
@@ -167,27 +167,27 @@
 
 // readLists reads the platform's list where its turn has come. Calls to the platform cost all, and a list that one has read reaches the
 // others within a moment; how old theirs is tells them that nobody reads.
-func (c *Control) readLists(ctx context.Context) {
-	for sleep(ctx, listLook) == nil {
+func (c *Control) runListReader(ctx context.Context) {
+	for sleep(ctx, listCheckInterval) == nil {
 		facts, _ := c.node.Facts()
-		if !facts.List.ReadAt.IsZero() && time.Since(facts.List.ReadAt) < listTurn(facts.Rank) {
+		if !facts.List.ReadAt.IsZero() && time.Since(facts.List.ReadAt) < maxListAge(facts.Rank) {
 			continue
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		instances, err := c.platform.Read(ctx)
 		if err != nil {
 			c.log.WithError(err).Debug("the list was not read")
-			_ = sleep(ctx, rand.N(listEvery/2)) // an end is seen by the next look
+			_ = sleep(ctx, rand.N(listReadInterval/2)) // an end is seen by the next look
 			continue
 		}
-		c.node.SetList(instances, began)
+		c.node.SetList(instances, startedAt)
 	}
 }
 
 // listTurn is the age of the list at which a process of a rank reads it.
-func listTurn(rank int) time.Duration {
+func maxListAge(rank int) time.Duration {
 	if rank == 0 {
-		return listEvery
+		return listReadInterval
 	}
-	return listStale + listStep*time.Duration(min(rank, listSteps)-1)
+	return staleListAge + listRankDelay*time.Duration(min(rank, maxListRank)-1)
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -472,17 +472,17 @@
 		s.begin()
 		for i := range 3 {
 			Eventually(func(g Gomega) {
-				answer, err := http.Get("http://" + s.machines[i].control.proposer.self.Address + holdingsPath)
+				answer, err := http.Get("http://" + s.machines[i].control.proposer.self.Address + statusPath)
 				g.Expect(err).NotTo(HaveOccurred())
 				defer answer.Body.Close()
-				var told holdings
+				var told replicaStatus
 				g.Expect(json.NewDecoder(answer.Body).Decode(&told)).To(Succeed())
 				g.Expect(told.Identity).To(Equal(s.machines[i].control.proposer.self.ID))
-				g.Expect(told.Votes).To(BeTrue())
-				g.Expect(told.TouchMajority).To(BeTrue())
-				g.Expect(told.Version).To(BeEquivalentTo(1))
-				g.Expect(told.Bytes).To(Equal(len(configuration(1, 0))))
-				g.Expect(told.Told).To(BeEquivalentTo(1))
+				g.Expect(told.IsVoter).To(BeTrue())
+				g.Expect(told.ReachesMajority).To(BeTrue())
+				g.Expect(told.ConfigVersion).To(BeEquivalentTo(1))
+				g.Expect(told.ConfigBytes).To(Equal(len(configuration(1, 0))))
+				g.Expect(told.PublishedVersion).To(BeEquivalentTo(1))
 				g.Expect(told.Voters).To(HaveLen(3))
 			}, within).Should(Succeed())
 		}
--- a/internal/control/copies.go
+++ b/internal/control/copies.go
@@ -68,7 +68,7 @@
 		return false, err
 	case reply.Size == 0:
 		return false, Error.New("%s does not have it", source.Address)
-	case reply.Size > maxConfig || len(reply.Data) == 0 || len(c.data)+len(reply.Data) > reply.Size:
+	case reply.Size > maxConfigBytes || len(reply.Data) == 0 || len(c.data)+len(reply.Data) > reply.Size:
 		c.data = nil
 		return false, Error.New("%s: a piece of %d bytes of %d", source.Address, len(reply.Data), reply.Size)
 	}
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -162,7 +162,7 @@
 				continue
 			}
 		}
-		readCtx, cancel := context.WithTimeout(ctx, readWithin)
+		readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 		_, err := c.proposer.read(readCtx)
 		cancel()
 		pause = antiEntropyInterval
--- a/internal/control/lists_test.go
+++ b/internal/control/lists_test.go
@@ -10,11 +10,11 @@
 var _ = Describe("the reading of the platform's list", func() {
 	It("goes to one process, and to the others by turns before half of the time to drain is over", func() {
 		const drain = 3 * time.Second // the shortest of the deployments
-		Expect(listTurn(0)).To(Equal(listEvery))
+		Expect(maxListAge(0)).To(Equal(listReadInterval))
 		for rank := 1; rank < 40; rank++ {
-			Expect(listTurn(rank)).To(BeNumerically(">", listTurn(0)+400*time.Millisecond), "an exchange lies between")
-			Expect(listTurn(rank)).To(BeNumerically(">=", listTurn(rank-1)))
-			Expect(listTurn(rank)).To(BeNumerically("<", drain*2/3))
+			Expect(maxListAge(rank)).To(BeNumerically(">", maxListAge(0)+400*time.Millisecond), "an exchange lies between")
+			Expect(maxListAge(rank)).To(BeNumerically(">=", maxListAge(rank-1)))
+			Expect(maxListAge(rank)).To(BeNumerically("<", drain*2/3))
 		}
 	})
 })
--- a/internal/control/registrar.go
+++ b/internal/control/registrar.go
@@ -20,7 +20,7 @@
 	configPath  = "/fleet/v1/config"
 	learnPath   = "/fleet/v1/learn"
 	// holdingsPath tells people what a process holds, as JSON.
-	holdingsPath = "/fleet/v1/holdings"
+	statusPath = "/fleet/v1/holdings"
 )
 
 const (
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -123,7 +123,7 @@
 		return
 	}
 	began := k.now()
-	ctx, cancel := context.WithTimeout(ctx, changeWithin)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	name := k.control.settings.NodeID
 	value, outcome, err := k.control.proposer.propose(ctx, register.Take(stagesRole, name, grant.Token), nil)
@@ -140,7 +140,7 @@
 // confirm reads the grant at a majority.
 func (k *stageKeeper) confirm(ctx context.Context) {
 	began := k.now()
-	ctx, cancel := context.WithTimeout(ctx, readWithin)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	value, err := k.control.proposer.read(ctx)
 	if err == nil {
--- a/internal/control/upkeep.go
+++ b/internal/control/upkeep.go
@@ -78,7 +78,7 @@
 
 // mendVoters makes the next change of the voters that is needed. It goes by what a majority says, never by what is told of it.
 func (c *Control) mendVoters(ctx context.Context, learners *reconfiguration.Learners) (changed bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, changeWithin)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	value, err := c.proposer.read(ctx)
 	if err != nil {
--- a/internal/control/wire_form_test.go
+++ b/internal/control/wire_form_test.go
@@ -70,7 +70,7 @@
 		t.call("PATCH", "0", string(patchText(1, 1)))
 		t.call("PUT", "", text(1))
 		t.call("PUT", "zero", text(1))
-		t.call("PUT", "0", strings.Repeat("x", maxConfig+1))
+		t.call("PUT", "0", strings.Repeat("x", maxConfigBytes+1))
 		t.call("PUT", "0", `{"Version":0}`)
 		t.call("PUT", "0", `{"Version":1,"Services":[{"Name":"s"},{"Name":"s"}]}`)
 		t.call("PUT", "0", text(1))
@@ -93,11 +93,11 @@
 	It("has a status for each verdict on a change", func() {
 		var out strings.Builder
 		for _, judged := range []register.Verdict{register.Fits, register.Repeated, register.Stale, register.NotAbove} {
-			got := unfit(register.Value{Version: 7}, judged)
-			fmt.Fprintf(&out, "%d: %d %s\n", judged, got.status, got.text)
+			got := rejection(register.Value{Version: 7}, judged)
+			fmt.Fprintf(&out, "%d: %d %s\n", judged, got.status, got.message)
 		}
-		for _, got := range []verdict{accepted, invalid(errUnknownVoters), unavailable(errUnknownVoters)} {
-			fmt.Fprintf(&out, "%d %s\n", got.status, got.text)
+		for _, got := range []changeResult{changeAccepted, invalidChange(errUnknownVoters), unavailableResult(errUnknownVoters)} {
+			fmt.Fprintf(&out, "%d %s\n", got.status, got.message)
 		}
 		expectGolden("verdicts.txt", out.String())
 	})
@@ -106,9 +106,9 @@
 var _ = Describe("the form of what is told to people and servers", func() {
 	It("has the same JSON keys", func() {
 		data, err := json.MarshalIndent([]any{
-			holdings{Identity: "i", Votes: true, Epoch: 2, Version: 3, Bytes: 4, Ballot: 5, Told: 6, TouchMajority: true,
-				Voters: []voterTouch{{Identity: "v", Address: "a", InTouch: true}}},
-			holdings{},
+			replicaStatus{Identity: "i", IsVoter: true, Epoch: 2, ConfigVersion: 3, ConfigBytes: 4, BallotRound: 5, PublishedVersion: 6, ReachesMajority: true,
+				Voters: []voterStatus{{Identity: "v", Address: "a", Reachable: true}}},
+			replicaStatus{},
 			orderBody{Op: orderStage, Stage: message.Prefill, Holder: "c0", FenceToken: 9},
 		}, "", "  ")
 		Expect(err).NotTo(HaveOccurred())
