--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -76,14 +76,14 @@
 	servers := []*http.Server{serve(internal, c.internalRouter()), serve(operator, c.operatorRouter())}
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
-	for _, task := range []func(context.Context){c.node.Run, c.upkeep, c.runAntiEntropy, c.runCatchUp, c.runDiskScrub, c.runListReader, newStageKeeper(c).run} {
+	for _, task := range []func(context.Context){c.node.Run, c.runReconfiguration, c.runAntiEntropy, c.runCatchUp, c.runDiskScrub, c.runListReader, newStageController(c).run} {
 		go task(work)
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			c.node.Leave()
-			c.awaitSuccession()
+			c.awaitReplacement()
 			return shutdown(servers, shutdownTimeout)
 		case changed := <-reload:
 			c.node.SetSeeds(changed.SeedAddresses())
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -290,7 +290,7 @@
 		s.start(1, false)
 		Eventually(func() bool {
 			facts, _ := s.machines[2].control.node.Facts()
-			return s.machines[1].control.votes(&facts.Voters) && len(facts.Voters.Previous) == 0
+			return s.machines[1].control.isVoter(&facts.Voters) && len(facts.Voters.Previous) == 0
 		}, within).Should(BeTrue())
 		s.stop(3)
 		Eventually(func() int { return s.put(2, 1, configuration(2, 0)) }, within).Should(Equal(http.StatusOK))
@@ -376,7 +376,7 @@
 		Expect(unaware().isReplaceable()).To(BeFalse(), "three voters")
 		s.start(3, false)
 		Eventually(func() bool { return s.votes(3) }, within).Should(BeTrue())
-		Expect(unaware().othersStaying()).To(BeZero())
+		Expect(unaware().countStaying()).To(BeZero())
 		Expect(unaware().isReplaceable()).To(BeTrue(), "four voters")
 	})
 })
--- a/internal/control/holdings.go
+++ b/internal/control/holdings.go
@@ -28,13 +28,13 @@
 func (c *Control) status() replicaStatus {
 	state := c.replica.state()
 	facts, _ := c.node.Facts()
-	out := replicaStatus{Identity: state.ID, IsVoter: c.votes(&facts.Voters), Epoch: state.Value.Epoch, ConfigVersion: state.Value.Version,
+	out := replicaStatus{Identity: state.ID, IsVoter: c.isVoter(&facts.Voters), Epoch: state.Value.Epoch, ConfigVersion: state.Value.Version,
 		ConfigBytes: len(c.replica.configBytes(state.Value.Config)), BallotRound: state.Ballot.Round, ReachesMajority: c.reachesMajority()}
 	if facts.Table != nil {
 		out.PublishedVersion = facts.Table.Version
 	}
 	for _, voter := range facts.Voters.Everyone() {
-		out.Voters = append(out.Voters, voterStatus{Identity: voter.ID, Address: voter.Address, Reachable: c.inTouch(voter)})
+		out.Voters = append(out.Voters, voterStatus{Identity: voter.ID, Address: voter.Address, Reachable: c.isReachable(voter)})
 	}
 	return out
 }
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -23,62 +23,62 @@
 
 const (
 	// stagesRole is the role of the process that orders servers to change their stage.
-	stagesRole  = "stages"
-	stagesEvery = 300 * time.Millisecond
-	orderWithin = 800 * time.Millisecond
-	maxReply    = 64 << 10
-	orderStage  = "Stage"
+	stagesRole    = "stages"
+	stageInterval = 300 * time.Millisecond
+	orderTimeout  = 800 * time.Millisecond
+	maxReplyBytes = 64 << 10
+	stageOrderOp  = "Stage"
 )
 
 // stageKeeper orders model servers to change their stage while this process holds the role.
-type stageKeeper struct {
-	control  *Control
-	holder   *election.Holder
-	planner  *stages.Planner
-	http     *http.Client
-	start    time.Time
-	sequence uint64
-	logged   time.Time // when the model servers' standing was
+type stageController struct {
+	control       *Control
+	lease         *election.Holder
+	planner       *stages.Planner
+	httpClient    *http.Client
+	startedAt     time.Time
+	planSequence  uint64
+	loadsLoggedAt time.Time // when the model servers' standing was
 
-	table     *routeconfig.Table // as unpacked last
-	instances []message.Instance
-	digest    uint64 // of instances
+	table      *routeconfig.Table // as unpacked last
+	instances  []message.Instance
+	listDigest uint64 // of instances
 }
 
-func newStageKeeper(c *Control) *stageKeeper {
-	k := &stageKeeper{control: c, planner: stages.New(), start: time.Now(),
-		http: &http.Client{Transport: &http.Transport{DialContext: transport.NewDialer().DialContext, MaxIdleConnsPerHost: 1}}}
-	k.holder = election.New(stagesRole, c.settings.NodeID, nodeconfig.Millis(c.settings.Bounds.LeaseMs).Seconds(), k.now())
+func newStageController(c *Control) *stageController {
+	k := &stageController{control: c, planner: stages.New(), startedAt: time.Now(),
+		httpClient: &http.Client{Transport: &http.Transport{DialContext: transport.NewDialer().DialContext, MaxIdleConnsPerHost: 1}}}
+	k.lease = election.New(stagesRole, c.settings.NodeID, nodeconfig.Millis(c.settings.Bounds.LeaseMs).Seconds(), k.now())
 	return k
 }
 
-func (k *stageKeeper) now() float64 { return time.Since(k.start).Seconds() }
+func (k *stageController) now() float64 { return time.Since(k.startedAt).Seconds() }
 
-func (k *stageKeeper) run(ctx context.Context) {
-	for sleep(ctx, stagesEvery) == nil {
+func (k *stageController) run(ctx context.Context) {
+	for sleep(ctx, stageInterval) == nil {
 		facts, _ := k.control.node.Facts()
-		if !k.view(facts) || !k.hasEngines() {
+		if !k.refreshInputs(facts) || !k.hasModelServers() {
 			continue
 		}
-		if token := k.holder.Release(k.now()); token != 0 {
+		if token := k.lease.Release(k.now()); token != 0 {
 			k.control.log.WithField("token", token).Info("role given up: stages")
 			k.control.node.SetReleased(token)
 		}
 		grant := (&register.Value{Grants: facts.Grants}).Grant(stagesRole)
-		switch k.holder.Look(k.now(), grant, k.silence(grant), k.control.reachesMajority()) {
+		switch k.lease.Look(k.now(), grant, k.holderSilenceSeconds(grant), k.control.reachesMajority()) {
 		case election.Take:
-			k.take(ctx, grant)
+			k.acquireLease(ctx, grant)
 		case election.Confirm:
-			k.confirm(ctx)
+			k.confirmLease(ctx)
 		case election.Act:
-			k.act(ctx)
+			k.issueOrders(ctx)
 		case election.Wait:
 		}
 	}
 }
 
 // view unpacks what has changed of the configuration and the list. It returns whether there are both.
-func (k *stageKeeper) view(facts gossip.Facts) bool {
+func (k *stageController) refreshInputs(facts gossip.Facts) bool {
 	if facts.Table == nil || facts.List.ReadAt.IsZero() {
 		return false
 	}
@@ -90,23 +90,23 @@
 		}
 		k.table = table
 	}
-	if k.digest != facts.List.Digest {
+	if k.listDigest != facts.List.Digest {
 		instances, err := facts.List.Unpack()
 		if err != nil {
 			k.control.log.WithError(err).Warn("a list that can't be unpacked")
 			return false
 		}
-		k.instances, k.digest = instances, facts.List.Digest
+		k.instances, k.listDigest = instances, facts.List.Digest
 	}
 	return true
 }
 
-func (k *stageKeeper) hasEngines() bool {
+func (k *stageController) hasModelServers() bool {
 	return slices.ContainsFunc(k.instances, func(i message.Instance) bool { return i.Stage != "" })
 }
 
 // silence returns for how long the holder of a grant was not heard of. One that has given the grant up counts as never heard of.
-func (k *stageKeeper) silence(grant register.Grant) float64 {
+func (k *stageController) holderSilenceSeconds(grant register.Grant) float64 {
 	for _, member := range k.control.node.Members() {
 		if member.Kind == membership.Control && member.Name == grant.Holder+"/"+string(membership.Control) && member.Released != grant.Token {
 			return member.SilentS
@@ -117,12 +117,12 @@
 }
 
 // take tries to take the role with the token after the one that is known. Processes try in turns by rank.
-func (k *stageKeeper) take(ctx context.Context, grant register.Grant) {
+func (k *stageController) acquireLease(ctx context.Context, grant register.Grant) {
 	facts, _ := k.control.node.Facts()
 	if sleep(ctx, time.Duration(facts.Rank+1)*50*time.Millisecond) != nil {
 		return
 	}
-	began := k.now()
+	startedAt := k.now()
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	name := k.control.settings.NodeID
@@ -130,28 +130,28 @@
 	if err != nil || outcome != register.Chosen {
 		return
 	}
-	k.holder.Took(began, value.Grant(stagesRole).Token)
-	if facts, _ := k.control.node.Facts(); facts.Plan.Token < k.holder.Token() {
+	k.lease.Took(startedAt, value.Grant(stagesRole).Token)
+	if facts, _ := k.control.node.Facts(); facts.Plan.Token < k.lease.Token() {
 		k.planner.Adopt(k.now(), facts.Plan.Stages)
 	}
-	k.control.log.WithField("token", k.holder.Token()).Info("role taken: stages")
+	k.control.log.WithField("token", k.lease.Token()).Info("role taken: stages")
 }
 
 // confirm reads the grant at a majority.
-func (k *stageKeeper) confirm(ctx context.Context) {
-	began := k.now()
+func (k *stageController) confirmLease(ctx context.Context) {
+	startedAt := k.now()
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	value, err := k.control.proposer.read(ctx)
 	if err == nil {
-		k.holder.Granted(began, value.Grant(stagesRole))
+		k.lease.Granted(startedAt, value.Grant(stagesRole))
 	}
 }
 
 // act gives the orders that the demand asks for.
-func (k *stageKeeper) act(ctx context.Context) {
-	demands := k.demands()
-	k.logStanding(demands)
+func (k *stageController) issueOrders(ctx context.Context) {
+	demands := k.totalDemands()
+	k.logServiceLoads(demands)
 	for _, service := range k.table.Services {
 		if service.Engine == nil {
 			continue
@@ -169,54 +169,54 @@
 		demand := demands[service.Name]
 		k.control.log.WithField("service", service.Name).WithField("read_per_s", int(demand.ReadPerS)).WithField("streams", int(demand.Streams)).
 			WithField("held", int(demand.Held)).WithField("orders", len(orders)).Info("stages")
-		k.publish()
+		k.publishPlan()
 		for _, order := range orders {
-			k.order(ctx, order)
+			k.sendOrder(ctx, order)
 		}
 	}
 	// Danger: a plan that is never taken back keeps servers out whose order has come to nothing.
 	facts, _ := k.control.node.Facts()
 	if !maps.Equal(k.planner.Pending(k.now()), facts.Plan.Stages) {
-		k.publish()
+		k.publishPlan()
 	}
 }
 
 // demands sums what live proxies ask.
-func (k *stageKeeper) demands() map[string]stages.Demand {
-	sums := map[string]stages.Demand{}
+func (k *stageController) totalDemands() map[string]stages.Demand {
+	totals := map[string]stages.Demand{}
 	for _, member := range k.control.node.Members() {
 		if !member.Alive {
 			continue
 		}
 		for _, demand := range member.Demands {
-			sum := sums[demand.Service]
-			sum.ReadPerS += demand.ReadPerS
-			sum.Streams += demand.Streams
-			sum.Held += demand.Held
-			sum.Reports++
-			sums[demand.Service] = sum
+			total := totals[demand.Service]
+			total.ReadPerS += demand.ReadPerS
+			total.Streams += demand.Streams
+			total.Held += demand.Held
+			total.Reports++
+			totals[demand.Service] = total
 		}
 	}
-	k.addBusy(sums)
-	return sums
+	k.addPrefillLoad(totals)
+	return totals
 }
 
 // addBusy adds what servers that read prompts have told of themselves.
-func (k *stageKeeper) addBusy(sums map[string]stages.Demand) {
-	loads := k.loads()
+func (k *stageController) addPrefillLoad(totals map[string]stages.Demand) {
+	loads := k.recentLoads()
 	for _, instance := range k.instances {
-		load, told := loads[message.InstanceKey(instance.ID)]
-		if !told || instance.Stage != message.Prefill {
+		load, reported := loads[message.InstanceKey(instance.ID)]
+		if !reported || instance.Stage != message.Prefill {
 			continue
 		}
-		sum := sums[instance.Service]
-		sum.Busy.Add(int(load.Running), int(load.Waiting))
-		sums[instance.Service] = sum
+		total := totals[instance.Service]
+		total.Busy.Add(int(load.Running), int(load.Waiting))
+		totals[instance.Service] = total
 	}
 }
 
 // loads returns what servers have told lately.
-func (k *stageKeeper) loads() map[uint32]message.Load {
+func (k *stageController) recentLoads() map[uint32]message.Load {
 	loads := map[uint32]message.Load{}
 	for _, load := range k.control.node.Loads() {
 		loads[load.InstanceKey] = load
@@ -225,9 +225,9 @@
 }
 
 // publish tells all proxies which servers are changing.
-func (k *stageKeeper) publish() {
-	k.sequence++
-	k.control.node.SetPlan(message.StagePlan{Token: k.holder.Token(), Sequence: k.sequence, Stages: k.planner.Pending(k.now())})
+func (k *stageController) publishPlan() {
+	k.planSequence++
+	k.control.node.SetPlan(message.StagePlan{Token: k.lease.Token(), Sequence: k.planSequence, Stages: k.planner.Pending(k.now())})
 }
 
 type orderBody struct {
@@ -238,16 +238,16 @@
 }
 
 // order sends one order. An order without an answer may have been taken and counts as such.
-func (k *stageKeeper) order(ctx context.Context, order stages.Order) {
-	if !k.holder.MayAct(k.now()) {
+func (k *stageController) sendOrder(ctx context.Context, order stages.Order) {
+	if !k.lease.MayAct(k.now()) {
 		k.planner.Refused(order)
 		return
 	}
-	body, err := json.Marshal(orderBody{orderStage, order.Stage, k.control.settings.NodeID, k.holder.Token()})
+	body, err := json.Marshal(orderBody{stageOrderOp, order.Stage, k.control.settings.NodeID, k.lease.Token()})
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderWithin)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+order.Instance.Address+"/order", bytes.NewReader(body))
 	if err != nil {
@@ -257,17 +257,17 @@
 	request.Header.Set("Hazelwheel-Expect-Instance", order.Instance.ID)
 	// Danger: the library must not send an order again by itself.
 	request.GetBody = nil
-	answer, err := k.http.Do(request)
+	response, err := k.httpClient.Do(request)
 	if err != nil {
 		return
 	}
-	defer answer.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxReply))
-	k.control.log.WithField("server", order.Instance.ID).WithField("stage", order.Stage).WithField("status", answer.StatusCode).Info("order")
-	switch answer.StatusCode {
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes))
+	k.control.log.WithField("server", order.Instance.ID).WithField("stage", order.Stage).WithField("status", response.StatusCode).Info("order")
+	switch response.StatusCode {
 	case http.StatusAccepted, http.StatusOK:
 	case http.StatusPreconditionFailed:
-		k.holder.Lost()
+		k.lease.Lost()
 		k.planner.Refused(order)
 	default:
 		k.planner.Refused(order)
--- a/internal/control/stages_test.go
+++ b/internal/control/stages_test.go
@@ -19,26 +19,26 @@
 	const longAgo = 1000.0
 
 	// keeper returns a holder of the role with a token, in a fleet of which it knows nobody else.
-	keeper := func(token uint64) *stageKeeper {
+	keeper := func(token uint64) *stageController {
 		settings := (&side{founders: 1, base: 20000}).settings(0, true)
 		log := logrus.New()
 		log.SetOutput(GinkgoWriter)
 		node := gossip.New(settings, membership.Record{Kind: membership.Control, Address: "127.0.5.10:1"}, transport.NewClient(), logrus.NewEntry(log))
-		k := newStageKeeper(&Control{settings: settings, node: node, log: logrus.NewEntry(log)})
+		k := newStageController(&Control{settings: settings, node: node, log: logrus.NewEntry(log)})
 		k.table = &routeconfig.Table{Services: []routeconfig.Service{{Name: "s", Engine: &routeconfig.Engine{SwitchS: 2}}}}
-		k.holder.Took(k.now(), token)
+		k.lease.Took(k.now(), token)
 		return k
 	}
-	told := func(k *stageKeeper) message.StagePlan {
+	told := func(k *stageController) message.StagePlan {
 		facts, _ := k.control.node.Facts()
 		return facts.Plan
 	}
 
 	It("is taken back once an order has come to nothing", func() {
 		k := keeper(3)
-		k.control.node.SetPlan(message.StagePlan{Token: 3, Sequence: k.sequence, Stages: map[string]message.Stage{"i-1": message.Prefill}})
+		k.control.node.SetPlan(message.StagePlan{Token: 3, Sequence: k.planSequence, Stages: map[string]message.Stage{"i-1": message.Prefill}})
 		k.planner.Adopt(k.now()-longAgo, told(k).Stages)
-		k.act(context.Background())
+		k.issueOrders(context.Background())
 		Expect(told(k).Stages).To(BeEmpty())
 		Expect(told(k).Token).To(Equal(uint64(3)))
 	})
@@ -46,7 +46,7 @@
 	It("takes the place of the one of a holder before, also where there is nothing to order", func() {
 		k := keeper(4)
 		k.control.node.SetPlan(message.StagePlan{Token: 3, Sequence: 90, Stages: map[string]message.Stage{"i-1": message.Prefill}})
-		k.act(context.Background())
+		k.issueOrders(context.Background())
 		Expect(told(k).Stages).To(BeEmpty())
 		Expect(told(k).Token).To(Equal(uint64(4)))
 	})
@@ -54,10 +54,10 @@
 	It("stays while an order is under way", func() {
 		k := keeper(4)
 		k.planner.Adopt(k.now(), map[string]message.Stage{"i-1": message.Prefill})
-		k.act(context.Background())
+		k.issueOrders(context.Background())
 		first := told(k)
 		Expect(first.Stages).To(HaveLen(1))
-		k.act(context.Background())
+		k.issueOrders(context.Background())
 		Expect(told(k).Sequence).To(Equal(first.Sequence), "nothing new is told")
 	})
 
@@ -68,12 +68,12 @@
 		k.control.node.SetLoads([]message.Load{{InstanceKey: message.InstanceKey("r"), Running: 1, Waiting: 3}, {InstanceKey: message.InstanceKey("d"), Running: 5},
 			{InstanceKey: message.InstanceKey("gone"), Running: 9}})
 		k.control.node.SetDemands([]membership.Demand{{Service: "s", ReadPerS: 100, Streams: 4, Held: 70}})
-		demand := k.demands()["s"]
+		demand := k.totalDemands()["s"]
 		Expect(demand.Busy.Told).To(Equal(1), "readers alone, and those that tell")
 		Expect(demand.Busy.Servers).To(BeNumerically(">", 0.8))
 		Expect(demand.Reports).To(Equal(1))
 		Expect(demand.Streams).To(Equal(4.0))
-		Expect(k.standings()).To(Equal(map[string]*byStage{"s": {prefill: standing{servers: 2, running: 1, waiting: 3},
-			decode: standing{servers: 1, running: 5}}}))
+		Expect(k.serviceLoads()).To(Equal(map[string]*serviceLoad{"s": {prefill: stageLoad{servers: 2, running: 1, waiting: 3},
+			decode: stageLoad{servers: 1, running: 5}}}))
 	})
 })
--- a/internal/control/upkeep.go
+++ b/internal/control/upkeep.go
@@ -15,53 +15,53 @@
 
 const (
 	// upkeepEvery is the time between looks at the voters.
-	upkeepEvery = 150 * time.Millisecond
+	reconfigurationInterval = 150 * time.Millisecond
 	// learnWithin bounds the question whether a newcomer holds the newest value.
-	learnWithin = 700 * time.Millisecond
+	learnTimeout = 700 * time.Millisecond
 	// upkeepAgain is the pause after a try that changed nothing.
-	upkeepAgain = 250 * time.Millisecond
+	reconfigurationPause = 250 * time.Millisecond
 	// leavePart is the part of the grace period for which a voter that ends stays for others to take its place.
-	leavePart = 0.4
-	leaveLook = 50 * time.Millisecond
+	leaveFraction      = 0.4
+	leaveCheckInterval = 50 * time.Millisecond
 	// leaveReadTimeout bounds the read of the voters by a process that ends.
 	leaveReadTimeout = 500 * time.Millisecond
 )
 
 // upkeep has lost voters replaced and newcomers join.
-func (c *Control) upkeep(ctx context.Context) {
+func (c *Control) runReconfiguration(ctx context.Context) {
 	var turns reconfiguration.Turns
 	var learners reconfiguration.Learners
-	began := time.Now()
-	for sleep(ctx, upkeepEvery) == nil {
+	startedAt := time.Now()
+	for sleep(ctx, reconfigurationInterval) == nil {
 		facts, _ := c.node.Facts()
-		candidates := reconfiguration.Assume(&facts.Voters, c.candidates(), c.inTouch)
-		needed := reconfiguration.Needed(&facts.Voters, candidates, c.wantedVoters())
+		candidates := reconfiguration.Assume(&facts.Voters, c.candidates(), c.isReachable)
+		needed := reconfiguration.Needed(&facts.Voters, candidates, c.targetVoters())
 		rank, votes := reconfiguration.Rank(c.proposer.self.ID, &facts.Voters, reconfiguration.Alive(candidates))
-		if !turns.Due(time.Since(began).Seconds(), needed && votes, rank) {
+		if !turns.Due(time.Since(startedAt).Seconds(), needed && votes, rank) {
 			continue
 		}
-		changed, err := c.mendVoters(ctx, &learners)
+		changed, err := c.reconfigure(ctx, &learners)
 		if err != nil {
 			c.log.WithError(err).Warn("the voters could not be changed")
 		}
-		if !changed && sleep(ctx, upkeepAgain) != nil {
+		if !changed && sleep(ctx, reconfigurationPause) != nil {
 			return
 		}
 	}
 }
 
 // wantedVoters is the number of voters of which so many may be lost at once as the settings say.
-func (c *Control) wantedVoters() int { return c.settings.FaultTolerance.Voters() }
+func (c *Control) targetVoters() int { return c.settings.FaultTolerance.Voters() }
 
 // inTouch tells whether a voter has answered this process lately.
-func (c *Control) inTouch(voter register.Voter) bool {
+func (c *Control) isReachable(voter register.Voter) bool {
 	return voter.Address == c.proposer.self.Address || c.node.InTouch(voter.Address)
 }
 
 // reachesMajority tells whether this process is in touch with a majority of the voters that it knows.
 func (c *Control) reachesMajority() bool {
 	known, err := c.proposer.knownVoters()
-	return err != nil || known.Majority(c.inTouch)
+	return err != nil || known.Majority(c.isReachable)
 }
 
 // candidates returns the control processes that are known. Those that are alive count as not caught up.
@@ -71,13 +71,13 @@
 			continue
 		}
 		voter := register.Voter{ID: member.Voter, Address: member.Address}
-		candidates = append(candidates, register.Candidate{Voter: voter, Alive: member.Alive && c.inTouch(voter), Leaving: member.Leaving})
+		candidates = append(candidates, register.Candidate{Voter: voter, Alive: member.Alive && c.isReachable(voter), Leaving: member.Leaving})
 	}
 	return candidates
 }
 
 // mendVoters makes the next change of the voters that is needed. It goes by what a majority says, never by what is told of it.
-func (c *Control) mendVoters(ctx context.Context, learners *reconfiguration.Learners) (changed bool, err error) {
+func (c *Control) reconfigure(ctx context.Context, learners *reconfiguration.Learners) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	value, err := c.proposer.read(ctx)
@@ -85,9 +85,9 @@
 		return false, err
 	}
 	if len(value.Previous) == 0 {
-		assumed := reconfiguration.Assume(&value.Value, c.candidates(), c.inTouch)
-		candidates := c.askLearners(ctx, value, assumed, learners)
-		next, needed := register.Membership(value.Voters, candidates, c.wantedVoters())
+		assumed := reconfiguration.Assume(&value.Value, c.candidates(), c.isReachable)
+		candidates := c.queryLearners(ctx, value, assumed, learners)
+		next, needed := register.Membership(value.Voters, candidates, c.targetVoters())
 		if !needed {
 			return false, nil
 		}
@@ -109,27 +109,27 @@
 }
 
 // askLearners asks the live candidates that don't vote whether what they hold is new enough. Those that lack the newest value fetch it.
-func (c *Control) askLearners(ctx context.Context, value chosenValue, candidates []register.Candidate, learners *reconfiguration.Learners) []register.Candidate {
-	asked := map[register.Voter]bool{}
-	var asking sync.WaitGroup
+func (c *Control) queryLearners(ctx context.Context, value chosenValue, candidates []register.Candidate, learners *reconfiguration.Learners) []register.Candidate {
+	queried := map[register.Voter]bool{}
+	var queries sync.WaitGroup
 	for i := range candidates {
 		candidate := &candidates[i]
 		if slices.Contains(value.Voters, candidate.Voter) || !candidate.Alive || candidate.Leaving {
 			continue
 		}
-		asked[candidate.Voter] = true
-		since := learners.Target(candidate.Voter, value.Ballot)
-		asking.Go(func() { candidate.CaughtUp = c.askLearner(ctx, candidate.Voter, value, since) })
+		queried[candidate.Voter] = true
+		minBallot := learners.Target(candidate.Voter, value.Ballot)
+		queries.Go(func() { candidate.CaughtUp = c.queryLearner(ctx, candidate.Voter, value, minBallot) })
 	}
-	asking.Wait()
-	learners.Keep(func(candidate register.Voter) bool { return asked[candidate] })
+	queries.Wait()
+	learners.Keep(func(candidate register.Voter) bool { return queried[candidate] })
 	return candidates
 }
 
-func (c *Control) askLearner(ctx context.Context, voter register.Voter, value chosenValue, since register.Ballot) bool {
-	ctx, cancel := context.WithTimeout(ctx, learnWithin)
+func (c *Control) queryLearner(ctx context.Context, voter register.Voter, value chosenValue, minBallot register.Ballot) bool {
+	ctx, cancel := context.WithTimeout(ctx, learnTimeout)
 	defer cancel()
-	request := &message.LearnRequest{To: voter.ID, Ballot: value.Ballot, Value: value.Value, MinBallot: since}
+	request := &message.LearnRequest{To: voter.ID, Ballot: value.Ballot, Value: value.Value, MinBallot: minBallot}
 	reply := &message.LearnReply{}
 	if voter.Address == c.proposer.self.Address {
 		return false // a process that doesn't vote leaves its joining to those that do
@@ -143,21 +143,21 @@
 
 // awaitSuccession waits, once this process has told that it leaves, until it votes no longer. It does not wait where too few would
 // be left without it.
-func (c *Control) awaitSuccession() {
-	deadline := time.Now().Add(nodeconfig.Seconds(leavePart * c.settings.Bounds.GraceS))
+func (c *Control) awaitReplacement() {
+	deadline := time.Now().Add(nodeconfig.Seconds(leaveFraction * c.settings.Bounds.GraceS))
 	for time.Now().Before(deadline) {
 		facts, _ := c.node.Facts()
-		if !c.votes(&facts.Voters) || !c.isReplaceable() {
+		if !c.isVoter(&facts.Voters) || !c.isReplaceable() {
 			return
 		}
-		time.Sleep(leaveLook)
+		time.Sleep(leaveCheckInterval)
 	}
 }
 
 // isReplaceable tells whether as many voters as wanted are left without this process. Where it knows too few other processes it reads
 // the register: a voter that joined a moment ago may be unknown here, and this process must not end before that one has its place.
 func (c *Control) isReplaceable() bool {
-	if c.othersStaying() >= c.wantedVoters() {
+	if c.countStaying() >= c.targetVoters() {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaveReadTimeout)
@@ -166,10 +166,10 @@
 	if err != nil {
 		return false // without a majority nobody can change the voters
 	}
-	return c.votes(&value.Value) && len(value.Everyone()) > c.wantedVoters()
+	return c.isVoter(&value.Value) && len(value.Everyone()) > c.targetVoters()
 }
 
-func (c *Control) votes(value *register.Value) bool {
+func (c *Control) isVoter(value *register.Value) bool {
 	for _, voter := range value.Everyone() {
 		if voter.ID == c.proposer.self.ID {
 			return true
@@ -179,7 +179,7 @@
 }
 
 // othersStaying counts the other control processes that are there and go on.
-func (c *Control) othersStaying() (count int) {
+func (c *Control) countStaying() (count int) {
 	for _, candidate := range c.candidates() {
 		if candidate.ID != c.proposer.self.ID && candidate.Alive && !candidate.Leaving {
 			count++
