--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -32,68 +32,68 @@
 }
 
 // within bounds each wait. It is far above what is needed.
-const within = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 // errCut ends connections that a cut has met.
-var errCut = fmt.Errorf("the network is cut")
+var errPartitioned = fmt.Errorf("the network is cut")
 
 // network stands between control processes: it cuts single machines off and slows bytes down.
-type network struct {
-	mu    sync.Mutex
-	cut   map[string]bool // by IP
-	perKB time.Duration   // what 1,000 bytes take, on every connection
+type faultyNetwork struct {
+	mu          sync.Mutex
+	partitioned map[string]bool // by IP
+	perKB       time.Duration   // what 1,000 bytes take, on every connection
 }
 
-func (n *network) setCut(ip string, cut bool) {
+func (n *faultyNetwork) setPartitioned(ip string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[ip] = cut
+	n.partitioned[ip] = cut
 }
 
 // blocked tells whether anything goes between two machines.
-func (n *network) blocked(a, b string) bool {
+func (n *faultyNetwork) isBlocked(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return a != b && (n.cut[a] || n.cut[b])
+	return a != b && (n.partitioned[a] || n.partitioned[b])
 }
 
 // dial opens connections of the machine with this IP. Behind a cut they hang as they would without packets.
-func (n *network) dial(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
+func (n *faultyNetwork) dial(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		to, _, err := net.SplitHostPort(address)
 		if err != nil {
 			return nil, err
 		}
-		if n.blocked(from, to) {
+		if n.isBlocked(from, to) {
 			<-ctx.Done()
-			return nil, errCut
+			return nil, errPartitioned
 		}
 		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp4", address)
 		if err != nil {
 			return nil, err
 		}
-		return &slowConn{Conn: conn, network: n, from: from, to: to}, nil
+		return &networkConn{Conn: conn, network: n, from: from, to: to}, nil
 	}
 }
 
 // slowConn is a connection on the network.
-type slowConn struct {
+type networkConn struct {
 	net.Conn
-	network  *network
+	network  *faultyNetwork
 	from, to string
 }
 
-func (c *slowConn) Write(data []byte) (int, error) {
-	if c.network.blocked(c.from, c.to) {
-		return 0, errCut
+func (c *networkConn) Write(data []byte) (int, error) {
+	if c.network.isBlocked(c.from, c.to) {
+		return 0, errPartitioned
 	}
 	return c.Conn.Write(data)
 }
 
-func (c *slowConn) Read(data []byte) (int, error) {
+func (c *networkConn) Read(data []byte) (int, error) {
 	count, err := c.Conn.Read(data)
-	if c.network.blocked(c.from, c.to) {
-		return 0, errCut
+	if c.network.isBlocked(c.from, c.to) {
+		return 0, errPartitioned
 	}
 	c.network.mu.Lock()
 	pause := c.network.perKB * time.Duration(count) / 1000
@@ -113,17 +113,17 @@
 }
 
 // side is the control side: machines on loopback addresses.
-type side struct {
+type testCluster struct {
 	dir      string
 	base     int
-	network  *network
+	network  *faultyNetwork
 	founders int
 	machines map[int]*machine
 }
 
-func newSide(founders int) *side {
-	s := &side{dir: GinkgoT().TempDir(), base: 20000 + rand.IntN(20000), founders: founders, machines: map[int]*machine{},
-		network: &network{cut: map[string]bool{}}}
+func newTestCluster(founders int) *testCluster {
+	s := &testCluster{dir: GinkgoT().TempDir(), base: 20000 + rand.IntN(20000), founders: founders, machines: map[int]*machine{},
+		network: &faultyNetwork{partitioned: map[string]bool{}}}
 	DeferCleanup(func() {
 		for i := range s.machines {
 			s.stop(i)
@@ -135,23 +135,23 @@
 	return s
 }
 
-func (s *side) ip(i int) string       { return fmt.Sprintf("127.0.5.%d", 10+i) }
-func (s *side) operator(i int) string { return fmt.Sprintf("%s:%d", s.ip(i), s.base+20) }
-func (s *side) data(i int) string     { return filepath.Join(s.dir, fmt.Sprint(i)) }
+func (s *testCluster) ip(i int) string              { return fmt.Sprintf("127.0.5.%d", 10+i) }
+func (s *testCluster) operatorAddress(i int) string { return fmt.Sprintf("%s:%d", s.ip(i), s.base+20) }
+func (s *testCluster) dataDir(i int) string         { return filepath.Join(s.dir, fmt.Sprint(i)) }
 
-func (s *side) settings(i int, bootstrap bool) *nodeconfig.Settings {
+func (s *testCluster) settings(i int, bootstrap bool) *nodeconfig.Settings {
 	seeds := ""
 	for founder := range s.founders {
-		seeds += fmt.Sprintf("  - %q\n", s.operator(founder))
+		seeds += fmt.Sprintf("  - %q\n", s.operatorAddress(founder))
 	}
 	settings, err := nodeconfig.Parse(fmt.Appendf(nil, "NodeId: \"c%d\"\nIp: %q\nZone: z\nBootstrap: %v\nInternalPortRange: [%d, %d]\nSeeds:\n%sDataDir: %q\n"+
 		"FaultTolerance: {Machines: %d}\nBounds: {GraceS: 4}\nCloud: {Address: \"127.0.0.1:1\"}\nListen:\n  Control: %q\n",
-		i, s.ip(i), bootstrap, s.base, s.base+15, seeds, s.data(i), (s.founders-1)/2, s.operator(i)))
+		i, s.ip(i), bootstrap, s.base, s.base+15, seeds, s.dataDir(i), (s.founders-1)/2, s.operatorAddress(i)))
 	Expect(err).NotTo(HaveOccurred())
 	return settings
 }
 
-func (s *side) start(i int, bootstrap bool) {
+func (s *testCluster) start(i int, bootstrap bool) {
 	settings := s.settings(i, bootstrap)
 	logger := logrus.New()
 	logger.SetOutput(GinkgoWriter)
@@ -166,32 +166,32 @@
 	go func() { m.ended <- m.control.run(ctx, nil) }()
 }
 
-func (s *side) stop(i int) {
+func (s *testCluster) stop(i int) {
 	m := s.machines[i]
 	delete(s.machines, i)
 	m.stop()
-	Eventually(m.ended, within).Should(Receive())
+	Eventually(m.ended, waitTimeout).Should(Receive())
 	// What is still under way in this process must not write to the disk any longer, as in one that has ended.
 	m.control.replica.writeMu.Lock()
 	Expect(m.control.replica.store.Close()).To(Succeed())
 }
 
 // configuration returns the bytes of a version, with a text of a size in it.
-func configuration(version int, size int) []byte {
+func testConfig(version int, size int) []byte {
 	return fmt.Appendf(nil, `{"Version":%d,"Routes":[{"Name":"%s","Host":"h","PathPrefix":"/p/","RouteType":"non_idempotent","TimeoutMs":2000,`+
 		`"TargetLatencyMs":500,"Service":"s","MaxAttempts":1}],"Services":[{"Name":"s","HealthPath":"/health","MaxConnections":10}]}`,
 		version, strings.Repeat("r", max(size, 1)))
 }
 
 // put sends a configuration and returns the status, 0 where there was none.
-func (s *side) put(i, base int, data []byte) int { return s.send(http.MethodPut, i, base, data) }
+func (s *testCluster) put(i, base int, data []byte) int { return s.send(http.MethodPut, i, base, data) }
 
 // send sends a change and returns the status, 0 where there was none.
-func (s *side) send(method string, i, base int, data []byte) int {
-	request, err := http.NewRequest(method, "http://"+s.operator(i)+"/config", bytes.NewReader(data))
+func (s *testCluster) send(method string, i, base int, data []byte) int {
+	request, err := http.NewRequest(method, "http://"+s.operatorAddress(i)+"/config", bytes.NewReader(data))
 	Expect(err).NotTo(HaveOccurred())
 	request.Header.Set("If-Match", fmt.Sprint(base))
-	answer, err := (&http.Client{Timeout: within}).Do(request)
+	answer, err := (&http.Client{Timeout: waitTimeout}).Do(request)
 	if err != nil {
 		return 0
 	}
@@ -200,17 +200,17 @@
 }
 
 // settled sends a change, unchanged, until there is a clear answer, as an operator does, and returns its status.
-func (s *side) settled(method string, i, base int, data []byte) (status int) {
+func (s *testCluster) sendUntilDecided(method string, i, base int, data []byte) (status int) {
 	Eventually(func() int {
 		status = s.send(method, i, base, data)
 		return status
-	}, within).ShouldNot(BeElementOf(0, http.StatusServiceUnavailable))
+	}, waitTimeout).ShouldNot(BeElementOf(0, http.StatusServiceUnavailable))
 	return status
 }
 
 // get returns the status and the version of the configuration that a process tells.
-func (s *side) get(i int) (status, version int) {
-	answer, err := (&http.Client{Timeout: within}).Get("http://" + s.operator(i) + "/config")
+func (s *testCluster) get(i int) (status, version int) {
+	answer, err := (&http.Client{Timeout: waitTimeout}).Get("http://" + s.operatorAddress(i) + "/config")
 	if err != nil {
 		return 0, 0
 	}
@@ -224,13 +224,13 @@
 	return answer.StatusCode, told.Version
 }
 
-func (s *side) version(i int) int {
+func (s *testCluster) version(i int) int {
 	_, version := s.get(i)
 	return version
 }
 
 // held returns the version on a machine's disk, 0 where the bytes of its configuration are not there.
-func (s *side) held(i int) int {
+func (s *testCluster) storedVersion(i int) int {
 	value := s.machines[i].control.replica.state().Value
 	if s.machines[i].control.replica.configBytes(value.Config) == nil {
 		return 0
@@ -239,7 +239,7 @@
 }
 
 // votes tells whether a machine's disk votes and decides alone with the other voters.
-func (s *side) votes(i int) bool {
+func (s *testCluster) isVoter(i int) bool {
 	facts, _ := s.machines[0].control.node.Facts()
 	for _, voter := range facts.Voters.Voters {
 		if voter.ID == s.machines[i].control.proposer.self.ID {
@@ -250,123 +250,123 @@
 }
 
 // begin has the first configuration taken.
-func (s *side) begin() {
-	Eventually(func() int { return s.put(0, 0, configuration(1, 0)) }, within).Should(Equal(http.StatusOK))
+func (s *testCluster) commitFirstConfig() {
+	Eventually(func() int { return s.put(0, 0, testConfig(1, 0)) }, waitTimeout).Should(Equal(http.StatusOK))
 	for i := range s.founders {
-		Eventually(func() int { return s.held(i) }, within).Should(Equal(1))
+		Eventually(func() int { return s.storedVersion(i) }, waitTimeout).Should(Equal(1))
 	}
 }
 
 var _ = Describe("a control process that is cut off", func() {
 	It("answers 503 to reads and changes, soon once it knows, and tells the newest when it is back", func() {
-		s := newSide(3)
-		s.begin()
-		s.network.setCut(s.ip(2), true)
-		Eventually(func() bool { return s.machines[2].control.reachesMajority() }, within).Should(BeFalse())
+		s := newTestCluster(3)
+		s.commitFirstConfig()
+		s.network.setPartitioned(s.ip(2), true)
+		Eventually(func() bool { return s.machines[2].control.reachesMajority() }, waitTimeout).Should(BeFalse())
 		began := time.Now()
 		status, _ := s.get(2)
 		Expect(status).To(Equal(http.StatusServiceUnavailable))
-		Expect(s.put(2, 1, configuration(2, 0))).To(Equal(http.StatusServiceUnavailable))
+		Expect(s.put(2, 1, testConfig(2, 0))).To(Equal(http.StatusServiceUnavailable))
 		Expect(time.Since(began)).To(BeNumerically("<", 3*time.Second))
 
-		Expect(s.put(0, 1, configuration(3, 0))).To(Equal(http.StatusOK))
+		Expect(s.put(0, 1, testConfig(3, 0))).To(Equal(http.StatusOK))
 		status, _ = s.get(2)
 		Expect(status).To(Equal(http.StatusServiceUnavailable))
-		s.network.setCut(s.ip(2), false)
+		s.network.setPartitioned(s.ip(2), false)
 		for range 200 {
 			if status, version := s.get(2); status == http.StatusOK {
 				Expect(version).To(Equal(3), "never an older one")
 			}
 		}
-		Eventually(func() int { return s.held(2) }, within).Should(Equal(3))
+		Eventually(func() int { return s.storedVersion(2) }, waitTimeout).Should(Equal(3))
 	})
 
 	It("does not hold the upkeep of the voters up", func() {
-		s := newSide(5)
-		s.begin()
-		s.network.setCut(s.ip(0), true)
+		s := newTestCluster(5)
+		s.commitFirstConfig()
+		s.network.setPartitioned(s.ip(0), true)
 		s.stop(1)
-		Expect(os.RemoveAll(s.data(1))).To(Succeed())
+		Expect(os.RemoveAll(s.dataDir(1))).To(Succeed())
 		s.start(1, false)
 		Eventually(func() bool {
 			facts, _ := s.machines[2].control.node.Facts()
 			return s.machines[1].control.isVoter(&facts.Voters) && len(facts.Voters.Previous) == 0
-		}, within).Should(BeTrue())
+		}, waitTimeout).Should(BeTrue())
 		s.stop(3)
-		Eventually(func() int { return s.put(2, 1, configuration(2, 0)) }, within).Should(Equal(http.StatusOK))
+		Eventually(func() int { return s.put(2, 1, testConfig(2, 0)) }, waitTimeout).Should(Equal(http.StatusOK))
 	})
 })
 
 var _ = Describe("two operators", func() {
 	It("are not both confirmed on one version, and what is sent again is answered as before", func() {
-		s := newSide(3)
-		s.begin()
+		s := newTestCluster(3)
+		s.commitFirstConfig()
 		for base := 1; base < 12; base++ {
-			first, second := configuration(base+1, 2), configuration(base+1, 3)
+			first, second := testConfig(base+1, 2), testConfig(base+1, 3)
 			statuses := make(chan int, 2)
 			for i, data := range [][]byte{first, second} {
 				go func() {
 					defer GinkgoRecover()
-					statuses <- s.settled(http.MethodPut, i, base, data)
+					statuses <- s.sendUntilDecided(http.MethodPut, i, base, data)
 				}()
 			}
 			Expect([]int{<-statuses, <-statuses}).To(ConsistOf(http.StatusOK, http.StatusPreconditionFailed))
 		}
 		taken, refused := http.StatusOK, http.StatusPreconditionFailed
-		again := []int{s.put(2, 1, configuration(2, 2)), s.put(2, 1, configuration(2, 3))}
+		again := []int{s.put(2, 1, testConfig(2, 2)), s.put(2, 1, testConfig(2, 3))}
 		Expect(again).To(ConsistOf(taken, refused), "ten versions later, at a third process")
-		Expect(s.put(2, 12, configuration(12, 9))).To(Equal(http.StatusBadRequest), "a version that is not above the current one")
+		Expect(s.put(2, 12, testConfig(12, 9))).To(Equal(http.StatusBadRequest), "a version that is not above the current one")
 	})
 
 	It("get the same answer across a restart of all", func() {
-		s := newSide(3)
-		s.begin()
-		Expect(s.put(1, 1, configuration(5, 0))).To(Equal(http.StatusOK))
+		s := newTestCluster(3)
+		s.commitFirstConfig()
+		Expect(s.put(1, 1, testConfig(5, 0))).To(Equal(http.StatusOK))
 		for i := range 3 {
 			s.stop(i)
 		}
 		for i := range 3 {
 			s.start(i, true) // settings may still say that this is the first start
 		}
-		Eventually(func() int { return s.put(2, 1, configuration(5, 0)) }, within).Should(Equal(http.StatusOK))
-		Expect(s.put(2, 1, configuration(6, 0))).To(Equal(http.StatusPreconditionFailed))
+		Eventually(func() int { return s.put(2, 1, testConfig(5, 0)) }, waitTimeout).Should(Equal(http.StatusOK))
+		Expect(s.put(2, 1, testConfig(6, 0))).To(Equal(http.StatusPreconditionFailed))
 		Expect(s.version(0)).To(Equal(5))
 	})
 })
 
 var _ = Describe("losses one after another", func() {
 	It("leave a majority that holds the newest, as each lost disk is made good", func() {
-		s := newSide(3)
-		s.begin()
+		s := newTestCluster(3)
+		s.commitFirstConfig()
 		for i := range 3 {
-			Expect(s.put((i+1)%3, i+1, configuration(i+2, 0))).To(Equal(http.StatusOK))
+			Expect(s.put((i+1)%3, i+1, testConfig(i+2, 0))).To(Equal(http.StatusOK))
 			s.stop(i)
-			Expect(os.RemoveAll(s.data(i))).To(Succeed())
+			Expect(os.RemoveAll(s.dataDir(i))).To(Succeed())
 			s.start(i, false)
-			Eventually(func() bool { return s.votes(i) && s.held(i) == i+2 }, within).Should(BeTrue(), "machine %d", i)
+			Eventually(func() bool { return s.isVoter(i) && s.storedVersion(i) == i+2 }, waitTimeout).Should(BeTrue(), "machine %d", i)
 		}
 		for i := range 3 {
-			Eventually(func() int { return s.version(i) }, within).Should(Equal(4))
+			Eventually(func() int { return s.version(i) }, waitTimeout).Should(Equal(4))
 		}
 	})
 
 	It("let a newcomer in before the one that leaves is gone", func() {
-		s := newSide(3)
-		s.begin()
+		s := newTestCluster(3)
+		s.commitFirstConfig()
 		s.start(3, false)
-		Eventually(func() bool { return s.votes(3) }, within).Should(BeTrue())
-		Expect(s.held(3)).To(Equal(1))
+		Eventually(func() bool { return s.isVoter(3) }, waitTimeout).Should(BeTrue())
+		Expect(s.storedVersion(3)).To(Equal(1))
 		s.stop(1)
 		value, err := s.machines[0].control.proposer.read(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(value.Everyone()).To(HaveLen(3), "the one that left does not vote any longer")
 		s.stop(2)
-		Eventually(func() int { return s.put(3, 1, configuration(2, 0)) }, within).Should(Equal(http.StatusOK))
+		Eventually(func() int { return s.put(3, 1, testConfig(2, 0)) }, waitTimeout).Should(Equal(http.StatusOK))
 	})
 
 	It("have a voter that ends wait for its place to be taken, though it has not heard of the newcomer", func() {
-		s := newSide(3)
-		s.begin()
+		s := newTestCluster(3)
+		s.commitFirstConfig()
 		unaware := func() *Control { // a process that has heard of no other, and of the first voters alone
 			m := s.machines[1]
 			c := newControl(m.control.settings, m.control.replica, m.control.proposer.client, m.control.log)
@@ -375,7 +375,7 @@
 		}
 		Expect(unaware().isReplaceable()).To(BeFalse(), "three voters")
 		s.start(3, false)
-		Eventually(func() bool { return s.votes(3) }, within).Should(BeTrue())
+		Eventually(func() bool { return s.isVoter(3) }, waitTimeout).Should(BeTrue())
 		Expect(unaware().countStaying()).To(BeZero())
 		Expect(unaware().isReplaceable()).To(BeTrue(), "four voters")
 	})
@@ -383,45 +383,45 @@
 
 var _ = Describe("a member that comes back after many changes", func() {
 	It("catches up though configurations are large and the network is slow", func() {
-		s := newSide(3)
-		s.begin()
+		s := newTestCluster(3)
+		s.commitFirstConfig()
 		s.stop(2)
 		const size = 400_000
 		for base := 1; base <= 8; base++ {
-			Expect(s.put(base%2, base, configuration(base+1, size))).To(Equal(http.StatusOK))
+			Expect(s.put(base%2, base, testConfig(base+1, size))).To(Equal(http.StatusOK))
 		}
 		s.network.mu.Lock()
 		s.network.perKB = 200 * time.Microsecond
 		s.network.mu.Unlock()
 		s.start(2, false)
-		Eventually(func() int { return s.held(2) }, within).Should(Equal(9))
+		Eventually(func() int { return s.storedVersion(2) }, waitTimeout).Should(Equal(9))
 		Expect(s.machines[2].control.replica.state().Value.Accepted).To(HaveLen(9))
 	})
 })
 
 var _ = Describe("a disk", func() {
 	It("that held something does not found, though the settings still say that this is the first start", func() {
-		s := newSide(3)
-		s.begin()
+		s := newTestCluster(3)
+		s.commitFirstConfig()
 		s.stop(0)
-		files, err := filepath.Glob(filepath.Join(s.data(0), "*"))
+		files, err := filepath.Glob(filepath.Join(s.dataDir(0), "*"))
 		Expect(err).NotTo(HaveOccurred())
 		for _, file := range files {
 			Expect(os.WriteFile(file, []byte("spoiled"), 0o600)).To(Succeed())
 		}
 		s.start(0, true)
 		Expect(s.machines[0].control.proposer.self.ID).NotTo(Equal(founderID(s.machines[0].control.proposer.self.Address)))
-		Eventually(func() bool { return s.votes(0) }, within).Should(BeTrue())
+		Eventually(func() bool { return s.isVoter(0) }, waitTimeout).Should(BeTrue())
 	})
 })
 
 var _ = Describe("a disk that is spoiled while its process runs", func() {
 	It("is written anew, so that its member keeps its identity and its value", func() {
-		s := newSide(3)
-		s.begin()
+		s := newTestCluster(3)
+		s.commitFirstConfig()
 		replica := s.machines[1].control.replica
 		replica.writeMu.Lock()
-		files, err := filepath.Glob(filepath.Join(s.data(1), "*"))
+		files, err := filepath.Glob(filepath.Join(s.dataDir(1), "*"))
 		Expect(err).NotTo(HaveOccurred())
 		for _, file := range files {
 			Expect(os.WriteFile(file, []byte("spoiled"), 0o600)).To(Succeed())
@@ -434,25 +434,25 @@
 		after := s.machines[1].control.replica.state()
 		Expect(after.ID).To(Equal(before.ID))
 		Expect(after.Value.Version).To(BeEquivalentTo(1))
-		Expect(s.held(1)).To(Equal(1))
+		Expect(s.storedVersion(1)).To(Equal(1))
 	})
 })
 
 var _ = Describe("pieces of a configuration", func() {
 	It("go on at another source where the first one fails, and are checked", func() {
-		s := newSide(3)
-		s.begin()
-		data := configuration(2, 700_000)
+		s := newTestCluster(3)
+		s.commitFirstConfig()
+		data := testConfig(2, 700_000)
 		Expect(s.put(0, 1, data)).To(Equal(http.StatusOK))
 		c := s.machines[0].control
 		value := c.replica.state().Value
 		Expect(c.replica.configBytes(value.Config)).To(HaveLen(len(data)))
-		Eventually(func() int { return s.held(1) }, within).Should(Equal(2))
+		Eventually(func() int { return s.storedVersion(1) }, waitTimeout).Should(Equal(2))
 		fetched := newConfigFetcher()
 		calls := 0
 		ask := func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error) {
 			if calls++; calls == 3 {
-				return nil, errCut
+				return nil, errPartitioned
 			}
 			return c.replica.handleConfigRequest(ctx, request)
 		}
@@ -468,8 +468,8 @@
 
 var _ = Describe("what a process holds", func() {
 	It("is told by each", func() {
-		s := newSide(3)
-		s.begin()
+		s := newTestCluster(3)
+		s.commitFirstConfig()
 		for i := range 3 {
 			Eventually(func(g Gomega) {
 				answer, err := http.Get("http://" + s.machines[i].control.proposer.self.Address + statusPath)
@@ -481,10 +481,10 @@
 				g.Expect(told.IsVoter).To(BeTrue())
 				g.Expect(told.ReachesMajority).To(BeTrue())
 				g.Expect(told.ConfigVersion).To(BeEquivalentTo(1))
-				g.Expect(told.ConfigBytes).To(Equal(len(configuration(1, 0))))
+				g.Expect(told.ConfigBytes).To(Equal(len(testConfig(1, 0))))
 				g.Expect(told.PublishedVersion).To(BeEquivalentTo(1))
 				g.Expect(told.Voters).To(HaveLen(3))
-			}, within).Should(Succeed())
+			}, waitTimeout).Should(Succeed())
 		}
 	})
 })
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -33,7 +33,7 @@
 var changeAccepted = changeResult{status: http.StatusOK}
 
 func invalidChange(err error) changeResult { return changeResult{http.StatusBadRequest, err.Error()} }
-func unavailableResult(err error) changeResult {
+func unavailableChange(err error) changeResult {
 	return changeResult{http.StatusServiceUnavailable, err.Error()}
 }
 
@@ -111,7 +111,7 @@
 	identity := patchIdentity(request)
 	value, err := c.proposer.read(ctx)
 	if err != nil {
-		return unavailableResult(err)
+		return unavailableChange(err)
 	}
 	if verdict := value.Judge(patch.Version, request.base, identity); verdict != register.Fits {
 		return rejection(value.Value, verdict)
@@ -121,7 +121,7 @@
 	}
 	current, err := c.proposer.configBytes(ctx, value.Value)
 	if err != nil {
-		return unavailableResult(err)
+		return unavailableChange(err)
 	}
 	// From here on all that is refused is refused by every process alike, since base names these bytes alone.
 	patched, err := patch.Apply(current)
@@ -153,7 +153,7 @@
 	change := register.ConfigureAs(table.Version, request.base, register.DigestOf(request.data), identity)
 	value, outcome, err := c.proposer.propose(ctx, change, request.data)
 	if err != nil {
-		return unavailableResult(err)
+		return unavailableChange(err)
 	}
 	if outcome == register.Chosen {
 		c.node.SetTable(table)
--- a/internal/control/patch_test.go
+++ b/internal/control/patch_test.go
@@ -19,17 +19,19 @@
 }
 
 // patch sends a patch and returns the status, 0 where there was none.
-func (s *side) patch(i, base int, data []byte) int { return s.send(http.MethodPatch, i, base, data) }
+func (s *testCluster) patch(i, base int, data []byte) int {
+	return s.send(http.MethodPatch, i, base, data)
+}
 
 // settledPatch sends a patch until there is a clear answer, and returns its status.
-func (s *side) settledPatch(i, base int, data []byte) int {
-	return s.settled(http.MethodPatch, i, base, data)
+func (s *testCluster) patchUntilDecided(i, base int, data []byte) int {
+	return s.sendUntilDecided(http.MethodPatch, i, base, data)
 }
 
 // text returns the configuration as a process tells it, once it has a majority's word for it.
-func (s *side) text(i int) (text string) {
+func (s *testCluster) configText(i int) (text string) {
 	Eventually(func() int {
-		answer, err := (&http.Client{Timeout: within}).Get("http://" + s.operator(i) + "/config")
+		answer, err := (&http.Client{Timeout: waitTimeout}).Get("http://" + s.operatorAddress(i) + "/config")
 		if err != nil {
 			return 0
 		}
@@ -40,68 +42,68 @@
 		}
 		text = string(data)
 		return answer.StatusCode
-	}, within).Should(Equal(http.StatusOK))
+	}, waitTimeout).Should(Equal(http.StatusOK))
 	return text
 }
 
 // told returns the version of the configuration as a process tells it.
-func (s *side) told(i int) int {
+func (s *testCluster) configVersion(i int) int {
 	var config struct{ Version int }
-	Expect(json.Unmarshal([]byte(s.text(i)), &config)).To(Succeed())
+	Expect(json.Unmarshal([]byte(s.configText(i)), &config)).To(Succeed())
 	return config.Version
 }
 
 var _ = Describe("a patch of the configuration", func() {
 	It("is taken on the version that it names, confirmed again after later changes, and else refused with nothing changed", func() {
-		s := newSide(3)
-		Eventually(func() int { return s.patch(0, 0, patchText(1, 1)) }, within).Should(Equal(http.StatusBadRequest), "there is none yet")
-		s.begin()
+		s := newTestCluster(3)
+		Eventually(func() int { return s.patch(0, 0, patchText(1, 1)) }, waitTimeout).Should(Equal(http.StatusBadRequest), "there is none yet")
+		s.commitFirstConfig()
 		first := patchText(3, 1)
-		Expect(s.settledPatch(0, 1, first)).To(Equal(http.StatusOK))
-		Expect(s.settledPatch(1, 1, first)).To(Equal(http.StatusOK), "sent again")
-		Expect(s.settledPatch(2, 1, patchText(4, 2))).To(Equal(http.StatusPreconditionFailed))
-		Expect(s.settledPatch(2, 3, patchText(3, 2))).To(Equal(http.StatusBadRequest), "its version is not above")
-		Expect(s.settledPatch(2, 3, first)).To(Equal(http.StatusBadRequest), "the same bytes on another base are another change")
+		Expect(s.patchUntilDecided(0, 1, first)).To(Equal(http.StatusOK))
+		Expect(s.patchUntilDecided(1, 1, first)).To(Equal(http.StatusOK), "sent again")
+		Expect(s.patchUntilDecided(2, 1, patchText(4, 2))).To(Equal(http.StatusPreconditionFailed))
+		Expect(s.patchUntilDecided(2, 3, patchText(3, 2))).To(Equal(http.StatusBadRequest), "its version is not above")
+		Expect(s.patchUntilDecided(2, 3, first)).To(Equal(http.StatusBadRequest), "the same bytes on another base are another change")
 		for _, bad := range []string{`{`, `{"Version":9,"Remove":{"Routes":["none"]}}`, `{"Version":9,"Remove":{"Services":["s"]}}`, `{"Version":9,"Upsert":{"X":[]}}`} {
-			Expect(s.settledPatch(1, 3, []byte(bad))).To(Equal(http.StatusBadRequest), bad)
+			Expect(s.patchUntilDecided(1, 3, []byte(bad))).To(Equal(http.StatusBadRequest), bad)
 		}
-		Expect(s.told(2)).To(Equal(3))
-		Expect(s.settled(http.MethodPut, 1, 3, configuration(5, 0))).To(Equal(http.StatusOK))
-		Expect(s.settledPatch(2, 1, first)).To(Equal(http.StatusOK), "its base and its result are gone")
-		Expect(s.told(0)).To(Equal(5))
+		Expect(s.configVersion(2)).To(Equal(3))
+		Expect(s.sendUntilDecided(http.MethodPut, 1, 3, testConfig(5, 0))).To(Equal(http.StatusOK))
+		Expect(s.patchUntilDecided(2, 1, first)).To(Equal(http.StatusOK), "its base and its result are gone")
+		Expect(s.configVersion(0)).To(Equal(5))
 	})
 
 	It("makes what putting the result makes, with two operators and lost answers", func() {
-		s := newSide(3)
-		s.begin()
+		s := newTestCluster(3)
+		s.commitFirstConfig()
 		var confirmed sync.Map // text by version, as an operator without the system would make it
 		var operators sync.WaitGroup
 		for operator := range 2 {
 			operators.Go(func() {
 				defer GinkgoRecover()
-				s.operate(rand.New(rand.NewPCG(uint64(operator), 56)), operator, &confirmed)
+				s.runOperator(rand.New(rand.NewPCG(uint64(operator), 56)), operator, &confirmed)
 			})
 		}
 		operators.Wait()
-		version := s.told(0)
+		version := s.configVersion(0)
 		Expect(version).To(BeNumerically(">", 10))
 		want, known := confirmed.Load(version)
 		Expect(known).To(BeTrue(), "the newest was confirmed to one of them")
 		for i := range 3 {
-			Expect(s.text(i)).To(MatchJSON(want.(string)))
+			Expect(s.configText(i)).To(MatchJSON(want.(string)))
 		}
 	})
 })
 
 // operate makes changes on top of what it reads, by patches or whole, and sends each twice as if the first answer had been lost.
-func (s *side) operate(rng *rand.Rand, operator int, confirmed *sync.Map) {
+func (s *testCluster) runOperator(rng *rand.Rand, operator int, confirmed *sync.Map) {
 	for n := range 25 {
 		var current map[string]any
-		Expect(json.Unmarshal([]byte(s.text(rng.IntN(3))), &current)).To(Succeed())
+		Expect(json.Unmarshal([]byte(s.configText(rng.IntN(3))), &current)).To(Succeed())
 		base := int(current["Version"].(float64))
 		version := base + 1 + rng.IntN(3)
 		patch := patchText(version, 2*n+operator)
-		made := patchedByHand(current, patch)
+		made := applyPatchByHand(current, patch)
 		send := func() int { return s.patch(rng.IntN(3), base, patch) }
 		if rng.IntN(3) == 0 {
 			send = func() int { return s.put(rng.IntN(3), base, made) }
@@ -119,7 +121,7 @@
 }
 
 // patchedByHand makes the configuration that patchText asks for, without the system's code.
-func patchedByHand(current map[string]any, text []byte) []byte {
+func applyPatchByHand(current map[string]any, text []byte) []byte {
 	var patch struct {
 		Version int
 		Upsert  struct{ Routes []map[string]any }
--- a/internal/control/stages_test.go
+++ b/internal/control/stages_test.go
@@ -20,7 +20,7 @@
 
 	// keeper returns a holder of the role with a token, in a fleet of which it knows nobody else.
 	keeper := func(token uint64) *stageController {
-		settings := (&side{founders: 1, base: 20000}).settings(0, true)
+		settings := (&testCluster{founders: 1, base: 20000}).settings(0, true)
 		log := logrus.New()
 		log.SetOutput(GinkgoWriter)
 		node := gossip.New(settings, membership.Record{Kind: membership.Control, Address: "127.0.5.10:1"}, transport.NewClient(), logrus.NewEntry(log))
--- a/internal/control/steady_test.go
+++ b/internal/control/steady_test.go
@@ -14,15 +14,15 @@
 )
 
 // steadyChange puts one configuration after the other, each as soon as the one before is confirmed, until it is stopped.
-type steadyChange struct {
-	version atomic.Int64 // confirmed last
-	stopped chan struct{}
-	ended   chan struct{}
+type changeStream struct {
+	confirmed atomic.Int64 // confirmed last
+	stopped   chan struct{}
+	ended     chan struct{}
 }
 
-func (s *side) changeSteadily(through, size int) *steadyChange {
-	c := &steadyChange{stopped: make(chan struct{}), ended: make(chan struct{})}
-	c.version.Store(int64(s.version(through)))
+func (s *testCluster) startChanges(through, size int) *changeStream {
+	c := &changeStream{stopped: make(chan struct{}), ended: make(chan struct{})}
+	c.confirmed.Store(int64(s.version(through)))
 	go func() {
 		defer GinkgoRecover()
 		defer close(c.ended)
@@ -32,9 +32,9 @@
 				return
 			default:
 			}
-			base := int(c.version.Load())
-			if s.put(through, base, configuration(base+1, size)) == http.StatusOK {
-				c.version.Store(int64(base + 1))
+			base := int(c.confirmed.Load())
+			if s.put(through, base, testConfig(base+1, size)) == http.StatusOK {
+				c.confirmed.Store(int64(base + 1))
 			}
 		}
 	}()
@@ -42,7 +42,7 @@
 	return c
 }
 
-func (c *steadyChange) stop() {
+func (c *changeStream) stop() {
 	select {
 	case <-c.stopped:
 	default:
@@ -53,23 +53,23 @@
 
 var _ = Describe("a machine whose disk was lost, while changes keep coming", func() {
 	DescribeTable("votes again before they end", func(size int, perKB time.Duration) {
-		s := newSide(3)
-		s.begin()
-		changes := s.changeSteadily(0, size)
-		Eventually(changes.version.Load, within).Should(BeNumerically(">", 5))
+		s := newTestCluster(3)
+		s.commitFirstConfig()
+		changes := s.startChanges(0, size)
+		Eventually(changes.confirmed.Load, waitTimeout).Should(BeNumerically(">", 5))
 		s.stop(2)
-		Expect(os.RemoveAll(s.data(2))).To(Succeed())
+		Expect(os.RemoveAll(s.dataDir(2))).To(Succeed())
 		s.network.mu.Lock()
 		s.network.perKB = perKB
 		s.network.mu.Unlock()
-		before := changes.version.Load()
+		before := changes.confirmed.Load()
 		s.start(2, false)
-		Eventually(func() bool { return s.votes(2) }, within).Should(BeTrue(), func() string {
-			return fmt.Sprintf("%d changes came meanwhile", changes.version.Load()-before)
+		Eventually(func() bool { return s.isVoter(2) }, waitTimeout).Should(BeTrue(), func() string {
+			return fmt.Sprintf("%d changes came meanwhile", changes.confirmed.Load()-before)
 		})
-		Expect(changes.version.Load()).To(BeNumerically(">", before), "changes went on")
+		Expect(changes.confirmed.Load()).To(BeNumerically(">", before), "changes went on")
 		changes.stop()
-		Eventually(func() int { return s.held(2) }, within).Should(BeEquivalentTo(changes.version.Load()))
+		Eventually(func() int { return s.storedVersion(2) }, waitTimeout).Should(BeEquivalentTo(changes.confirmed.Load()))
 	},
 		Entry("small ones, as fast as they are confirmed", 0, time.Duration(0)),
 		Entry("large ones over a slow network", 300_000, 100*time.Microsecond))
@@ -77,7 +77,7 @@
 
 var _ = Describe("the bytes of a configuration that was superseded", func() {
 	hold := func(r *replica, version int) []byte {
-		data := configuration(version, 0)
+		data := testConfig(version, 0)
 		r.cacheConfig(register.DigestOf(data), data)
 		return data
 	}
--- a/internal/control/stored_form_test.go
+++ b/internal/control/stored_form_test.go
@@ -21,7 +21,7 @@
 var storedFolder = filepath.Join("testdata", "stored")
 
 // openStored opens the replica of a founder on a folder.
-func openStored(dir string) *replica {
+func openStoredReplica(dir string) *replica {
 	settings, err := nodeconfig.Parse([]byte("NodeId: c0\nIp: 127.0.5.10\nZone: z\nBootstrap: true\nInternalPortRange: [20000, 20015]\nSeeds:\n" +
 		"  - 127.0.5.10:20020\n  - 127.0.5.11:20020\n  - 127.0.5.12:20020\nFaultTolerance: {Machines: 1}\nBounds: {GraceS: 4}\n" +
 		"Cloud: {Address: \"127.0.0.1:1\"}\nListen: {Control: \"127.0.5.10:20020\"}\n"))
@@ -45,7 +45,7 @@
 	}
 	value := register.Value{Epoch: 1, Voters: []register.Voter{founder("127.0.5.10"), founder("127.0.5.11"), founder("127.0.5.12")}}
 	for version := 1; version <= configs; version++ {
-		value.Version, value.Config = uint64(version), register.DigestOf(configuration(version, 0))
+		value.Version, value.Config = uint64(version), register.DigestOf(testConfig(version, 0))
 		value.Accepted = append(value.Accepted, value.Config)
 		value.Grants = []register.Grant{{Role: "stages", Holder: "c1", Token: uint64(version)}, {Role: "other", Holder: "c2", Token: 70000}}
 	}
@@ -58,11 +58,11 @@
 
 // writeStored writes a disk: in a first life two configurations, in a second one, behind a snapshot, a third one beside a change of the
 // voters, a promise of a higher ballot and an end that is torn.
-func writeStored(dir string) {
+func writeStoredFolder(dir string) {
 	ctx := context.Background()
 	accept := func(r *replica, version int) {
 		answer, err := r.handleAccept(ctx, &register.Accept{To: r.state().ID, Ballot: storedBallot(uint64(100 * version)), Value: storedValue(version),
-			Config: configuration(version, 0)})
+			Config: testConfig(version, 0)})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.OK).To(BeTrue())
 	}
@@ -71,12 +71,12 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.OK).To(BeTrue())
 	}
-	first := openStored(dir)
+	first := openStoredReplica(dir)
 	Expect(first.persistIdentity(ctx)).To(Succeed())
 	accept(first, 1)
 	accept(first, 2)
 	Expect(first.store.Close()).To(Succeed())
-	second := openStored(dir)
+	second := openStoredReplica(dir)
 	Expect(second.persistIdentity(ctx)).To(Succeed())
 	accept(second, 3)
 	prepare(second, 400)
@@ -107,27 +107,27 @@
 	It("is written to the same bytes", func() {
 		if *update {
 			Expect(os.RemoveAll(storedFolder)).To(Succeed())
-			writeStored(storedFolder)
+			writeStoredFolder(storedFolder)
 		}
 		dir := GinkgoT().TempDir()
-		writeStored(dir)
+		writeStoredFolder(dir)
 		Expect(folderContent(dir)).To(Equal(folderContent(storedFolder)))
 	})
 
 	It("is read: configurations, a change of the voters under way and grants, up to the torn end", func() {
 		dir := GinkgoT().TempDir()
 		Expect(os.CopyFS(dir, os.DirFS(storedFolder))).To(Succeed())
-		r := openStored(dir)
+		r := openStoredReplica(dir)
 		want := register.State{ID: "founder@127.0.5.10:20000", Promised: storedBallot(400), Ballot: storedBallot(300), Value: storedValue(3)}
 		Expect(r.hadState).To(BeTrue())
 		Expect(r.state()).To(Equal(want))
 		for version := 2; version <= 3; version++ {
-			Expect(r.configBytes(register.DigestOf(configuration(version, 0)))).To(Equal(configuration(version, 0)))
+			Expect(r.configBytes(register.DigestOf(testConfig(version, 0)))).To(Equal(testConfig(version, 0)))
 		}
-		Expect(r.configBytes(register.DigestOf(configuration(1, 0)))).To(BeNil(), "the two newest are kept")
+		Expect(r.configBytes(register.DigestOf(testConfig(1, 0)))).To(BeNil(), "the two newest are kept")
 		Expect(r.persistIdentity(context.Background())).To(Succeed())
 		Expect(r.store.Close()).To(Succeed())
-		again := openStored(dir)
+		again := openStoredReplica(dir)
 		Expect(again.state()).To(Equal(want))
 	})
 })
--- a/internal/control/wire_form_test.go
+++ b/internal/control/wire_form_test.go
@@ -61,11 +61,11 @@
 
 var _ = Describe("the form of the configuration API", func() {
 	It("has the same statuses, headers and bodies", func() {
-		s := newSide(1)
+		s := newTestCluster(1)
 		c := s.machines[0].control
-		Eventually(c.reachesMajority, within).Should(BeTrue())
+		Eventually(c.reachesMajority, waitTimeout).Should(BeTrue())
 		t := &transcript{handler: c.operatorRouter()}
-		text := func(version int) string { return string(configuration(version, 0)) }
+		text := func(version int) string { return string(testConfig(version, 0)) }
 		t.call("GET", "", "")
 		t.call("PATCH", "0", string(patchText(1, 1)))
 		t.call("PUT", "", text(1))
@@ -96,7 +96,7 @@
 			got := rejection(register.Value{Version: 7}, judged)
 			fmt.Fprintf(&out, "%d: %d %s\n", judged, got.status, got.message)
 		}
-		for _, got := range []changeResult{changeAccepted, invalidChange(errUnknownVoters), unavailableResult(errUnknownVoters)} {
+		for _, got := range []changeResult{changeAccepted, invalidChange(errUnknownVoters), unavailableChange(errUnknownVoters)} {
 			fmt.Fprintf(&out, "%d %s\n", got.status, got.message)
 		}
 		expectGolden("verdicts.txt", out.String())
