--- a/internal/control/copies.go
+++ b/internal/control/configfetch.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"slices"
 	"time"
 
 	"hazelwheel/internal/decide/register"
@@ -85,15 +84,3 @@
 	}
 	return data, nil
 }
-
-// Config returns the bytes of a value's configuration, from other voters where they aren't here.
-func (r *proposer) configBytes(ctx context.Context, value register.Value) ([]byte, error) {
-	if data := r.replica.configBytes(value.Config); data != nil {
-		return data, nil
-	}
-	sources := slices.DeleteFunc(value.Everyone(), func(v register.Voter) bool { return v.Address == r.self.Address })
-	return r.fetcher.fetch(ctx, value.Config, sources, func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error) {
-		reply := &message.ConfigReply{}
-		return reply, r.client.Call(ctx, from.Address, configPath, request, reply)
-	})
-}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -4,12 +4,9 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"net/http"
-	"os"
 	"time"
 
 	"github.com/gorilla/mux"
@@ -107,38 +104,6 @@
 	return c
 }
 
-func listen(address string) (net.Listener, error) {
-	listener, err := net.Listen("tcp4", address)
-	return listener, Error.Wrap(err)
-}
-
-func serve(listener net.Listener, handler http.Handler) *http.Server {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	go func() {
-		if err := server.Serve(listener); err != nil && err != http.ErrServerClosed {
-			logrus.WithError(err).Error("serving ended")
-			os.Exit(1)
-		}
-	}()
-	return server
-}
-
-// shutdown lets calls that are under way end within a time, and closes what is left then. Danger: a connection on which nothing was sent
-// yet counts as busy for seconds. Peers open such ones and may never use them; they are no reason to end with an error.
-func shutdown(servers []*http.Server, timeout time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
-	defer cancel()
-	var failed errs.Group
-	for _, server := range servers {
-		err := server.Shutdown(ctx)
-		if errors.Is(err, context.DeadlineExceeded) {
-			err = server.Close()
-		}
-		failed.Add(err)
-	}
-	return failed.Err()
-}
-
 func (c *Control) internalRouter() http.Handler {
 	router := mux.NewRouter()
 	c.node.Register(router)
@@ -164,30 +129,3 @@
 	c.node.SetVoters(value.Value)
 	c.chosen.observe(value)
 }
-
-// readLists reads the platform's list where its turn has come. Calls to the platform cost all, and a list that one has read reaches the
-// others within a moment; how old theirs is tells them that nobody reads.
-func (c *Control) runListReader(ctx context.Context) {
-	for sleep(ctx, listCheckInterval) == nil {
-		facts, _ := c.node.Facts()
-		if !facts.List.ReadAt.IsZero() && time.Since(facts.List.ReadAt) < maxListAge(facts.Rank) {
-			continue
-		}
-		startedAt := time.Now()
-		instances, err := c.platform.Read(ctx)
-		if err != nil {
-			c.log.WithError(err).Debug("the list was not read")
-			_ = sleep(ctx, rand.N(listReadInterval/2)) // an end is seen by the next look
-			continue
-		}
-		c.node.SetList(instances, startedAt)
-	}
-}
-
-// listTurn is the age of the list at which a process of a rank reads it.
-func maxListAge(rank int) time.Duration {
-	if rank == 0 {
-		return listReadInterval
-	}
-	return staleListAge + listRankDelay*time.Duration(min(rank, maxListRank)-1)
-}
--- a/internal/control/registrar.go
+++ b/internal/control/proposer.go
@@ -57,15 +57,6 @@
 	Ballot register.Ballot
 }
 
-// answer is what came of one call to a voter.
-type voterReply struct {
-	from     register.Voter
-	isAccept bool
-	promise  *register.Promise
-	accepted *register.Accepted
-	err      error
-}
-
 // known returns the voters to begin with: those of the newest epoch that the own disk or others tell.
 func (r *proposer) knownVoters() (register.Value, error) {
 	known := r.gossipVoters()
@@ -224,36 +215,6 @@
 	}
 }
 
-// call asks a voter, the own replica without the network.
-func callVoter[Request, Reply any](ctx context.Context, r *proposer, voter register.Voter, path string, timeout time.Duration, request *Request,
-	local func(context.Context, *Request) (*Reply, error)) (*Reply, error) {
-	if voter.Address == r.self.Address {
-		return local(ctx, request)
-	}
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	defer cancel()
-	reply := new(Reply)
-	return reply, r.client.Call(ctx, voter.Address, path, request, reply)
-}
-
-func (r *proposer) prepare(ctx context.Context, voter register.Voter, request *register.Prepare) voterReply {
-	promise, err := callVoter(ctx, r, voter, preparePath, voteTimeout, request, r.replica.handlePrepare)
-	return voterReply{from: voter, promise: promise, err: err}
-}
-
-func (r *proposer) accept(ctx context.Context, voter register.Voter, request *register.Accept) voterReply {
-	accepted, err := callVoter(ctx, r, voter, acceptPath, voteTimeout+r.transferTime(len(request.Config)), request, r.replica.handleAccept)
-	return voterReply{from: voter, isAccept: true, accepted: accepted, err: err}
-}
-
-// transfer is what bytes take on the own link while they go to all voters.
-func (r *proposer) transferTime(size int) time.Duration {
-	if r.linkMbps <= 0 {
-		return 0
-	}
-	return nodeconfig.Seconds(float64(size) * 8 * transferMargin / (r.linkMbps * 1e6))
-}
-
 // Read returns the value that holds. Where voters differ it makes them agree first.
 func (r *proposer) read(ctx context.Context) (chosenValue, error) {
 	known, err := r.knownVoters()
--- a/internal/control/upkeep.go
+++ b/internal/control/reconfiguration.go
@@ -6,11 +6,9 @@
 	"sync"
 	"time"
 
-	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/decide/reconfiguration"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/message"
-	"hazelwheel/internal/nodeconfig"
 )
 
 const (
@@ -50,32 +48,6 @@
 	}
 }
 
-// wantedVoters is the number of voters of which so many may be lost at once as the settings say.
-func (c *Control) targetVoters() int { return c.settings.FaultTolerance.Voters() }
-
-// inTouch tells whether a voter has answered this process lately.
-func (c *Control) isReachable(voter register.Voter) bool {
-	return voter.Address == c.proposer.self.Address || c.node.InTouch(voter.Address)
-}
-
-// reachesMajority tells whether this process is in touch with a majority of the voters that it knows.
-func (c *Control) reachesMajority() bool {
-	known, err := c.proposer.knownVoters()
-	return err != nil || known.Majority(c.isReachable)
-}
-
-// candidates returns the control processes that are known. Those that are alive count as not caught up.
-func (c *Control) candidates() (candidates []register.Candidate) {
-	for _, member := range c.node.Members() {
-		if member.Kind != membership.Control || member.Voter == "" {
-			continue
-		}
-		voter := register.Voter{ID: member.Voter, Address: member.Address}
-		candidates = append(candidates, register.Candidate{Voter: voter, Alive: member.Alive && c.isReachable(voter), Leaving: member.Leaving})
-	}
-	return candidates
-}
-
 // mendVoters makes the next change of the voters that is needed. It goes by what a majority says, never by what is told of it.
 func (c *Control) reconfigure(ctx context.Context, learners *reconfiguration.Learners) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
@@ -140,50 +112,3 @@
 	}
 	return reply.UpToDate
 }
-
-// awaitSuccession waits, once this process has told that it leaves, until it votes no longer. It does not wait where too few would
-// be left without it.
-func (c *Control) awaitReplacement() {
-	deadline := time.Now().Add(nodeconfig.Seconds(leaveFraction * c.settings.Bounds.GraceS))
-	for time.Now().Before(deadline) {
-		facts, _ := c.node.Facts()
-		if !c.isVoter(&facts.Voters) || !c.isReplaceable() {
-			return
-		}
-		time.Sleep(leaveCheckInterval)
-	}
-}
-
-// isReplaceable tells whether as many voters as wanted are left without this process. Where it knows too few other processes it reads
-// the register: a voter that joined a moment ago may be unknown here, and this process must not end before that one has its place.
-func (c *Control) isReplaceable() bool {
-	if c.countStaying() >= c.targetVoters() {
-		return true
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), leaveReadTimeout)
-	defer cancel()
-	value, err := c.proposer.read(ctx)
-	if err != nil {
-		return false // without a majority nobody can change the voters
-	}
-	return c.isVoter(&value.Value) && len(value.Everyone()) > c.targetVoters()
-}
-
-func (c *Control) isVoter(value *register.Value) bool {
-	for _, voter := range value.Everyone() {
-		if voter.ID == c.proposer.self.ID {
-			return true
-		}
-	}
-	return false
-}
-
-// othersStaying counts the other control processes that are there and go on.
-func (c *Control) countStaying() (count int) {
-	for _, candidate := range c.candidates() {
-		if candidate.ID != c.proposer.self.ID && candidate.Alive && !candidate.Leaving {
-			count++
-		}
-	}
-	return count
-}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/hex"
 	"slices"
 	"sync"
 	"time"
@@ -50,12 +48,6 @@
 	valueStored chan struct{} // gets a signal when a configuration was accepted or learned
 }
 
-type cachedConfig struct {
-	digest      register.Digest
-	data        []byte
-	requestedAt time.Time // when a piece of it was asked for last
-}
-
 // openReplica reads the disk. A process without a state founds the register if it is one of the founders, else it gets an
 // identity that never voted.
 func openReplica(settings *nodeconfig.Settings, log *logrus.Entry) (*replica, error) {
@@ -98,29 +90,6 @@
 	return state, restored
 }
 
-// newState returns the state of a disk without one. empty tells whether nothing was ever written to it.
-func newState(settings *nodeconfig.Settings, isUnusedDisk bool) register.State {
-	address := settings.Internal(settings.IP, nodeconfig.ControlPort)
-	founders := settings.SeedAddresses()
-	if isUnusedDisk && settings.Bootstrap && slices.Contains(founders, address) {
-		return register.State{ID: founderID(address), Value: foundingValue(founders)}
-	}
-	var nonce [8]byte
-	_, _ = rand.Read(nonce[:]) // never fails
-	return register.State{ID: address + "#" + hex.EncodeToString(nonce[:])}
-}
-
-func founderID(address string) string { return "founder@" + address }
-
-// founding returns the value with which all founders begin.
-func foundingValue(addresses []string) register.Value {
-	value := register.Value{Epoch: 1}
-	for _, address := range addresses {
-		value.Voters = append(value.Voters, register.Voter{ID: founderID(address), Address: address})
-	}
-	return value
-}
-
 // begin writes a snapshot of what was read. Nothing may be answered before an identity is on the disk. Where it was found there,
 // a disk that takes no more bytes does not keep the process from telling what it holds.
 func (r *replica) persistIdentity(ctx context.Context) error {
@@ -203,48 +172,6 @@
 	return nil
 }
 
-// keep holds a configuration's bytes. Danger: those of the accepted value must never give way, so they are the newest. Those before
-// stay while somebody fetches them: a newcomer on a slow link would else lose what has come of them with each change.
-func (r *replica) cacheConfig(digest register.Digest, data []byte) {
-	r.configs = slices.DeleteFunc(r.configs, func(c cachedConfig) bool { return c.digest == digest })
-	r.configs = append(r.configs, cachedConfig{digest: digest, data: data})
-	now := time.Now()
-	for i := 0; i < len(r.configs)-maxKeptConfigs; {
-		if now.Sub(r.configs[i].requestedAt) <= requestedRetention && len(r.configs) <= maxCachedConfigs {
-			i++
-			continue
-		}
-		r.configs = slices.Delete(r.configs, i, i+1)
-	}
-}
-
-// config returns a configuration's bytes, nil if they aren't here.
-func (r *replica) configBytes(digest register.Digest) []byte {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if i := r.configIndex(digest); i >= 0 {
-		return r.configs[i].data
-	}
-	return nil
-}
-
-// lend returns a configuration's bytes for another process, which may come for more of them.
-func (r *replica) lendConfig(digest register.Digest) []byte {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	i := r.configIndex(digest)
-	if i < 0 {
-		return nil
-	}
-	r.configs[i].requestedAt = time.Now()
-	return r.configs[i].data
-}
-
-// find returns the place of a configuration, -1 if it isn't here. It is for who holds mu.
-func (r *replica) configIndex(digest register.Digest) int {
-	return slices.IndexFunc(r.configs, func(c cachedConfig) bool { return c.digest == digest })
-}
-
 // state returns what is on disk.
 func (r *replica) state() register.State {
 	r.mu.Lock()
--- a/internal/control/stages.go
+++ b/internal/control/stagecontroller.go
@@ -1,17 +1,13 @@
 package control
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
-	"io"
 	"maps"
 	"net/http"
 	"slices"
 	"time"
 
 	"hazelwheel/internal/decide/election"
-	"hazelwheel/internal/decide/membership"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/decide/stages"
 	"hazelwheel/internal/gossip"
@@ -105,49 +101,6 @@
 	return slices.ContainsFunc(k.instances, func(i message.Instance) bool { return i.Stage != "" })
 }
 
-// silence returns for how long the holder of a grant was not heard of. One that has given the grant up counts as never heard of.
-func (k *stageController) holderSilenceSeconds(grant register.Grant) float64 {
-	for _, member := range k.control.node.Members() {
-		if member.Kind == membership.Control && member.Name == grant.Holder+"/"+string(membership.Control) && member.Released != grant.Token {
-			return member.SilentS
-		}
-	}
-	const forever = 1e9
-	return forever
-}
-
-// take tries to take the role with the token after the one that is known. Processes try in turns by rank.
-func (k *stageController) acquireLease(ctx context.Context, grant register.Grant) {
-	facts, _ := k.control.node.Facts()
-	if sleep(ctx, time.Duration(facts.Rank+1)*50*time.Millisecond) != nil {
-		return
-	}
-	startedAt := k.now()
-	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
-	defer cancel()
-	name := k.control.settings.NodeID
-	value, outcome, err := k.control.proposer.propose(ctx, register.Take(stagesRole, name, grant.Token), nil)
-	if err != nil || outcome != register.Chosen {
-		return
-	}
-	k.lease.Took(startedAt, value.Grant(stagesRole).Token)
-	if facts, _ := k.control.node.Facts(); facts.Plan.Token < k.lease.Token() {
-		k.planner.Adopt(k.now(), facts.Plan.Stages)
-	}
-	k.control.log.WithField("token", k.lease.Token()).Info("role taken: stages")
-}
-
-// confirm reads the grant at a majority.
-func (k *stageController) confirmLease(ctx context.Context) {
-	startedAt := k.now()
-	ctx, cancel := context.WithTimeout(ctx, readTimeout)
-	defer cancel()
-	value, err := k.control.proposer.read(ctx)
-	if err == nil {
-		k.lease.Granted(startedAt, value.Grant(stagesRole))
-	}
-}
-
 // act gives the orders that the demand asks for.
 func (k *stageController) issueOrders(ctx context.Context) {
 	demands := k.totalDemands()
@@ -229,47 +182,3 @@
 	k.planSequence++
 	k.control.node.SetPlan(message.StagePlan{Token: k.lease.Token(), Sequence: k.planSequence, Stages: k.planner.Pending(k.now())})
 }
-
-type orderBody struct {
-	Op         string        `json:"Op"`
-	Stage      message.Stage `json:"Stage"`
-	Holder     string        `json:"Holder"`
-	FenceToken uint64        `json:"FenceToken"`
-}
-
-// order sends one order. An order without an answer may have been taken and counts as such.
-func (k *stageController) sendOrder(ctx context.Context, order stages.Order) {
-	if !k.lease.MayAct(k.now()) {
-		k.planner.Refused(order)
-		return
-	}
-	body, err := json.Marshal(orderBody{stageOrderOp, order.Stage, k.control.settings.NodeID, k.lease.Token()})
-	if err != nil {
-		return
-	}
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
-	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+order.Instance.Address+"/order", bytes.NewReader(body))
-	if err != nil {
-		return
-	}
-	request.Header.Set("Content-Type", jsonType)
-	request.Header.Set("Hazelwheel-Expect-Instance", order.Instance.ID)
-	// Danger: the library must not send an order again by itself.
-	request.GetBody = nil
-	response, err := k.httpClient.Do(request)
-	if err != nil {
-		return
-	}
-	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes))
-	k.control.log.WithField("server", order.Instance.ID).WithField("stage", order.Stage).WithField("status", response.StatusCode).Info("order")
-	switch response.StatusCode {
-	case http.StatusAccepted, http.StatusOK:
-	case http.StatusPreconditionFailed:
-		k.lease.Lost()
-		k.planner.Refused(order)
-	default:
-		k.planner.Refused(order)
-	}
-}
--- /dev/null
+++ b/internal/control/stagelease.go
@@ -0,0 +1,52 @@
+package control
+
+import (
+	"context"
+	"time"
+
+	"hazelwheel/internal/decide/membership"
+	"hazelwheel/internal/decide/register"
+)
+
+// silence returns for how long the holder of a grant was not heard of. One that has given the grant up counts as never heard of.
+func (k *stageController) holderSilenceSeconds(grant register.Grant) float64 {
+	for _, member := range k.control.node.Members() {
+		if member.Kind == membership.Control && member.Name == grant.Holder+"/"+string(membership.Control) && member.Released != grant.Token {
+			return member.SilentS
+		}
+	}
+	const forever = 1e9
+	return forever
+}
+
+// take tries to take the role with the token after the one that is known. Processes try in turns by rank.
+func (k *stageController) acquireLease(ctx context.Context, grant register.Grant) {
+	facts, _ := k.control.node.Facts()
+	if sleep(ctx, time.Duration(facts.Rank+1)*50*time.Millisecond) != nil {
+		return
+	}
+	startedAt := k.now()
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
+	defer cancel()
+	name := k.control.settings.NodeID
+	value, outcome, err := k.control.proposer.propose(ctx, register.Take(stagesRole, name, grant.Token), nil)
+	if err != nil || outcome != register.Chosen {
+		return
+	}
+	k.lease.Took(startedAt, value.Grant(stagesRole).Token)
+	if facts, _ := k.control.node.Facts(); facts.Plan.Token < k.lease.Token() {
+		k.planner.Adopt(k.now(), facts.Plan.Stages)
+	}
+	k.control.log.WithField("token", k.lease.Token()).Info("role taken: stages")
+}
+
+// confirm reads the grant at a majority.
+func (k *stageController) confirmLease(ctx context.Context) {
+	startedAt := k.now()
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	value, err := k.control.proposer.read(ctx)
+	if err == nil {
+		k.lease.Granted(startedAt, value.Grant(stagesRole))
+	}
+}
--- /dev/null
+++ b/internal/control/stageorder.go
@@ -0,0 +1,56 @@
+package control
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+
+	"hazelwheel/internal/decide/stages"
+	"hazelwheel/internal/message"
+)
+
+type orderBody struct {
+	Op         string        `json:"Op"`
+	Stage      message.Stage `json:"Stage"`
+	Holder     string        `json:"Holder"`
+	FenceToken uint64        `json:"FenceToken"`
+}
+
+// order sends one order. An order without an answer may have been taken and counts as such.
+func (k *stageController) sendOrder(ctx context.Context, order stages.Order) {
+	if !k.lease.MayAct(k.now()) {
+		k.planner.Refused(order)
+		return
+	}
+	body, err := json.Marshal(orderBody{stageOrderOp, order.Stage, k.control.settings.NodeID, k.lease.Token()})
+	if err != nil {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+order.Instance.Address+"/order", bytes.NewReader(body))
+	if err != nil {
+		return
+	}
+	request.Header.Set("Content-Type", jsonType)
+	request.Header.Set("Hazelwheel-Expect-Instance", order.Instance.ID)
+	// Danger: the library must not send an order again by itself.
+	request.GetBody = nil
+	response, err := k.httpClient.Do(request)
+	if err != nil {
+		return
+	}
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes))
+	k.control.log.WithField("server", order.Instance.ID).WithField("stage", order.Stage).WithField("status", response.StatusCode).Info("order")
+	switch response.StatusCode {
+	case http.StatusAccepted, http.StatusOK:
+	case http.StatusPreconditionFailed:
+		k.lease.Lost()
+		k.planner.Refused(order)
+	default:
+		k.planner.Refused(order)
+	}
+}
--- /dev/null
+++ b/internal/control/testcluster_test.go
@@ -0,0 +1,251 @@
+package control
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"path/filepath"
+	"strings"
+	"sync"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+	"github.com/sirupsen/logrus"
+
+	"hazelwheel/internal/nodeconfig"
+	"hazelwheel/internal/transport"
+)
+
+// within bounds each wait. It is far above what is needed.
+const waitTimeout = 30 * time.Second
+
+// errCut ends connections that a cut has met.
+var errPartitioned = fmt.Errorf("the network is cut")
+
+// network stands between control processes: it cuts single machines off and slows bytes down.
+type faultyNetwork struct {
+	mu          sync.Mutex
+	partitioned map[string]bool // by IP
+	perKB       time.Duration   // what 1,000 bytes take, on every connection
+}
+
+func (n *faultyNetwork) setPartitioned(ip string, cut bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.partitioned[ip] = cut
+}
+
+// blocked tells whether anything goes between two machines.
+func (n *faultyNetwork) isBlocked(a, b string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return a != b && (n.partitioned[a] || n.partitioned[b])
+}
+
+// dial opens connections of the machine with this IP. Behind a cut they hang as they would without packets.
+func (n *faultyNetwork) dial(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
+	return func(ctx context.Context, _, address string) (net.Conn, error) {
+		to, _, err := net.SplitHostPort(address)
+		if err != nil {
+			return nil, err
+		}
+		if n.isBlocked(from, to) {
+			<-ctx.Done()
+			return nil, errPartitioned
+		}
+		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp4", address)
+		if err != nil {
+			return nil, err
+		}
+		return &networkConn{Conn: conn, network: n, from: from, to: to}, nil
+	}
+}
+
+// slowConn is a connection on the network.
+type networkConn struct {
+	net.Conn
+	network  *faultyNetwork
+	from, to string
+}
+
+func (c *networkConn) Write(data []byte) (int, error) {
+	if c.network.isBlocked(c.from, c.to) {
+		return 0, errPartitioned
+	}
+	return c.Conn.Write(data)
+}
+
+func (c *networkConn) Read(data []byte) (int, error) {
+	count, err := c.Conn.Read(data)
+	if c.network.isBlocked(c.from, c.to) {
+		return 0, errPartitioned
+	}
+	c.network.mu.Lock()
+	pause := c.network.perKB * time.Duration(count) / 1000
+	c.network.mu.Unlock()
+	if pause > 0 {
+		time.Sleep(pause) // the bytes are still on their way
+	}
+	return count, err
+}
+
+// machine is a control process within the test.
+type machine struct {
+	ip      string
+	control *Control
+	stop    context.CancelFunc
+	ended   chan error
+}
+
+// side is the control side: machines on loopback addresses.
+type testCluster struct {
+	dir      string
+	base     int
+	network  *faultyNetwork
+	founders int
+	machines map[int]*machine
+}
+
+func newTestCluster(founders int) *testCluster {
+	s := &testCluster{dir: GinkgoT().TempDir(), base: 20000 + rand.IntN(20000), founders: founders, machines: map[int]*machine{},
+		network: &faultyNetwork{partitioned: map[string]bool{}}}
+	DeferCleanup(func() {
+		for i := range s.machines {
+			s.stop(i)
+		}
+	})
+	for i := range founders {
+		s.start(i, true)
+	}
+	return s
+}
+
+func (s *testCluster) ip(i int) string { return fmt.Sprintf("127.0.5.%d", 10+i) }
+
+func (s *testCluster) operatorAddress(i int) string { return fmt.Sprintf("%s:%d", s.ip(i), s.base+20) }
+
+func (s *testCluster) dataDir(i int) string { return filepath.Join(s.dir, fmt.Sprint(i)) }
+
+func (s *testCluster) settings(i int, bootstrap bool) *nodeconfig.Settings {
+	seeds := ""
+	for founder := range s.founders {
+		seeds += fmt.Sprintf("  - %q\n", s.operatorAddress(founder))
+	}
+	settings, err := nodeconfig.Parse(fmt.Appendf(nil, "NodeId: \"c%d\"\nIp: %q\nZone: z\nBootstrap: %v\nInternalPortRange: [%d, %d]\nSeeds:\n%sDataDir: %q\n"+
+		"FaultTolerance: {Machines: %d}\nBounds: {GraceS: 4}\nCloud: {Address: \"127.0.0.1:1\"}\nListen:\n  Control: %q\n",
+		i, s.ip(i), bootstrap, s.base, s.base+15, seeds, s.dataDir(i), (s.founders-1)/2, s.operatorAddress(i)))
+	Expect(err).NotTo(HaveOccurred())
+	return settings
+}
+
+func (s *testCluster) start(i int, bootstrap bool) {
+	settings := s.settings(i, bootstrap)
+	logger := logrus.New()
+	logger.SetOutput(GinkgoWriter)
+	log := logger.WithField("node", settings.NodeID)
+	opened, err := openReplica(settings, log)
+	Expect(err).NotTo(HaveOccurred())
+	ctx, stop := context.WithCancel(context.Background())
+	Expect(opened.persistIdentity(ctx)).To(Succeed())
+	m := &machine{ip: s.ip(i), stop: stop, ended: make(chan error, 1),
+		control: newControl(settings, opened, transport.NewClientWithDial(s.network.dial(s.ip(i))), log)}
+	s.machines[i] = m
+	go func() { m.ended <- m.control.run(ctx, nil) }()
+}
+
+func (s *testCluster) stop(i int) {
+	m := s.machines[i]
+	delete(s.machines, i)
+	m.stop()
+	Eventually(m.ended, waitTimeout).Should(Receive())
+	// What is still under way in this process must not write to the disk any longer, as in one that has ended.
+	m.control.replica.writeMu.Lock()
+	Expect(m.control.replica.store.Close()).To(Succeed())
+}
+
+// configuration returns the bytes of a version, with a text of a size in it.
+func testConfig(version int, size int) []byte {
+	return fmt.Appendf(nil, `{"Version":%d,"Routes":[{"Name":"%s","Host":"h","PathPrefix":"/p/","RouteType":"non_idempotent","TimeoutMs":2000,`+
+		`"TargetLatencyMs":500,"Service":"s","MaxAttempts":1}],"Services":[{"Name":"s","HealthPath":"/health","MaxConnections":10}]}`,
+		version, strings.Repeat("r", max(size, 1)))
+}
+
+// put sends a configuration and returns the status, 0 where there was none.
+func (s *testCluster) put(i, base int, data []byte) int { return s.send(http.MethodPut, i, base, data) }
+
+// send sends a change and returns the status, 0 where there was none.
+func (s *testCluster) send(method string, i, base int, data []byte) int {
+	request, err := http.NewRequest(method, "http://"+s.operatorAddress(i)+"/config", bytes.NewReader(data))
+	Expect(err).NotTo(HaveOccurred())
+	request.Header.Set("If-Match", fmt.Sprint(base))
+	answer, err := (&http.Client{Timeout: waitTimeout}).Do(request)
+	if err != nil {
+		return 0
+	}
+	defer answer.Body.Close()
+	return answer.StatusCode
+}
+
+// settled sends a change, unchanged, until there is a clear answer, as an operator does, and returns its status.
+func (s *testCluster) sendUntilDecided(method string, i, base int, data []byte) (status int) {
+	Eventually(func() int {
+		status = s.send(method, i, base, data)
+		return status
+	}, waitTimeout).ShouldNot(BeElementOf(0, http.StatusServiceUnavailable))
+	return status
+}
+
+// get returns the status and the version of the configuration that a process tells.
+func (s *testCluster) get(i int) (status, version int) {
+	answer, err := (&http.Client{Timeout: waitTimeout}).Get("http://" + s.operatorAddress(i) + "/config")
+	if err != nil {
+		return 0, 0
+	}
+	defer answer.Body.Close()
+	data, err := io.ReadAll(answer.Body)
+	Expect(err).NotTo(HaveOccurred())
+	var told struct{ Version int }
+	if answer.StatusCode == http.StatusOK {
+		Expect(json.Unmarshal(data, &told)).To(Succeed())
+	}
+	return answer.StatusCode, told.Version
+}
+
+func (s *testCluster) version(i int) int {
+	_, version := s.get(i)
+	return version
+}
+
+// held returns the version on a machine's disk, 0 where the bytes of its configuration are not there.
+func (s *testCluster) storedVersion(i int) int {
+	value := s.machines[i].control.replica.state().Value
+	if s.machines[i].control.replica.configBytes(value.Config) == nil {
+		return 0
+	}
+	return int(value.Version)
+}
+
+// votes tells whether a machine's disk votes and decides alone with the other voters.
+func (s *testCluster) isVoter(i int) bool {
+	facts, _ := s.machines[0].control.node.Facts()
+	for _, voter := range facts.Voters.Voters {
+		if voter.ID == s.machines[i].control.proposer.self.ID {
+			return len(facts.Voters.Previous) == 0
+		}
+	}
+	return false
+}
+
+// begin has the first configuration taken.
+func (s *testCluster) commitFirstConfig() {
+	Eventually(func() int { return s.put(0, 0, testConfig(1, 0)) }, waitTimeout).Should(Equal(http.StatusOK))
+	for i := range s.founders {
+		Eventually(func() int { return s.storedVersion(i) }, waitTimeout).Should(Equal(1))
+	}
+}
