--- a/internal/coordination/seen.go
+++ b/internal/coordination/seen.go
@@ -78,7 +78,7 @@
 		byState[m.State]++
 	}
 	v, l := f.view.Figures(), f.peers.Figures()
-	figures := []sidecar.Figure{{Name: "peers_alive", Value: byState[swim.Alive]}, {Name: "peers_suspected", Value: byState[swim.Suspected]},
+	figures := []sidecar.Figure{{Name: "peers_alive", Value: byState[swim.Alive]}, {Name: "peers_suspected", Value: byState[swim.Suspect]},
 		{Name: "peers_dead", Value: byState[swim.Dead]}, {Name: "peers_left", Value: byState[swim.Left]}, {Name: "peers_links", Value: uint64(l.Links)},
 		{Name: "peers_rank", Value: uint64(rank)}, {Name: "peers_count", Value: uint64(count)}, {Name: "peers_deaths", Value: v.Deaths},
 		{Name: "peers_refutations", Value: v.Refutations}, {Name: "peers_sent_bytes", Value: l.SentBytes}}
--- a/internal/decide/lease/electors.go
+++ b/internal/decide/lease/electors.go
@@ -75,7 +75,7 @@
 		return 0
 	case m == nil:
 		return t.now - t.leadsAt
-	case m.State.Gone():
+	case m.State.IsDeadOrLeft():
 		return t.sinceS(m)
 	}
 	return 0
--- a/internal/decide/lease/found.go
+++ b/internal/decide/lease/found.go
@@ -37,7 +37,7 @@
 	ids := make([]swim.ID, len(t.set.Electors))
 	for i, address := range t.set.Electors {
 		for _, m := range t.members {
-			if m.Address == address && !m.State.Gone() && m.Keeps {
+			if m.Address == address && !m.State.IsDeadOrLeft() && m.Keeps {
 				ids[i] = m.ID
 			}
 		}
@@ -74,7 +74,7 @@
 		return false // not all may have been met yet
 	}
 	for _, id := range t.table.Electors {
-		if m := t.member(id); m != nil && (!m.State.Gone() || t.sinceS(m) < goneS) {
+		if m := t.member(id); m != nil && (!m.State.IsDeadOrLeft() || t.sinceS(m) < goneS) {
 			return false
 		}
 	}
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -71,7 +71,7 @@
 		if m.State == swim.Dead && m.SinceS >= p.Spec.goneS() || m.State == swim.Left && m.SinceS >= min(p.Spec.goneS(), leftS) {
 			continue
 		}
-		require.False(h.t, h.mute[m.ID] || m.State.Gone(), "%s was handed over, and %s may send there", box, m.Name)
+		require.False(h.t, h.mute[m.ID] || m.State.IsDeadOrLeft(), "%s was handed over, and %s may send there", box, m.Name)
 	}
 	for _, o := range h.round.Sum.Open {
 		require.NotEqual(h.t, box, o.Box, "it was handed over with something out")
@@ -122,7 +122,7 @@
 	r := h.round
 	r.Sum.From = nil
 	for _, m := range r.Members {
-		if !h.mute[m.ID] && !m.State.Gone() {
+		if !h.mute[m.ID] && !m.State.IsDeadOrLeft() {
 			r.Sum.From = append(r.Sum.From, From{m.ID, m.Life, h.agreed.Version})
 		}
 	}
--- a/internal/decide/maintenance/works_test.go
+++ b/internal/decide/maintenance/works_test.go
@@ -41,7 +41,7 @@
 		r := d.round
 		r.Sum.From = nil
 		for _, m := range r.Members {
-			if !d.mute[m.ID] && !m.State.Gone() {
+			if !d.mute[m.ID] && !m.State.IsDeadOrLeft() {
 				r.Sum.From = append(r.Sum.From, From{m.ID, m.Life, d.agreed.Version})
 			}
 		}
--- a/internal/decide/swim/doc.go
+++ b/internal/decide/swim/doc.go
@@ -28,8 +28,8 @@
 
 // The states. At one version the greater one holds.
 const (
-	Alive     State = iota
-	Suspected       // one at least does not hear it, and it has not answered to that
+	Alive   State = iota
+	Suspect       // one at least does not hear it, and it has not answered to that
 	Dead
 	Left // by its own word
 )
@@ -45,7 +45,7 @@
 }
 
 // Gone tells whether a member is dead or has left.
-func (s State) Gone() bool { return s >= Dead }
+func (s State) IsDeadOrLeft() bool { return s >= Dead }
 
 // Version orders what is said of one identity. Danger: two processes may claim the same one, from a copied folder, and
 // count their incarnations alike; the number that each has drawn for its life tells them apart.
--- a/internal/decide/swim/links.go
+++ b/internal/decide/swim/links.go
@@ -21,7 +21,7 @@
 		v.figures.Stalls++
 		for _, e := range v.all {
 			e.heard = max(e.heard, now-silentS/2)
-			if e.State == Suspected && e.due > 0 {
+			if e.State == Suspect && e.due > 0 {
 				e.due += gap
 			}
 		}
@@ -90,7 +90,7 @@
 		v.teacher, v.taughtAt = number, v.now
 	}
 	v.heat(e)
-	if e.State.Gone() || e.State == Suspected || e.Version != hello.Self.Version {
+	if e.State.IsDeadOrLeft() || e.State == Suspect || e.Version != hello.Self.Version {
 		v.do.Send(number, &Message{Records: []Record{v.record(e)}}) // it learns what is said of it, and says no
 	}
 	v.do.Send(number, &Message{Beat: &Beat{Sum: v.sum, Wanted: e.wanted}})
@@ -237,17 +237,17 @@
 			v.cut(e.link)
 		}
 		switch {
-		case e.State == Suspected && e.due > 0 && v.now >= e.due:
+		case e.State == Suspect && e.due > 0 && v.now >= e.due:
 			v.figures.Deaths++
 			v.alter(e, true, func() { e.State, e.since, e.By = Dead, v.now, []ID{v.self.ID} })
 			v.tell(e, 0)
-		case e.State.Gone():
+		case e.State.IsDeadOrLeft():
 		case e.watchedBy(v.now) && v.silent(e):
 			v.miss(e)
 		}
 	}
 	v.hot = slices.DeleteFunc(v.hot, func(e *entry) bool {
-		e.hot = e.State == Suspected || e.watchedBy(v.now)
+		e.hot = e.State == Suspect || e.watchedBy(v.now)
 		return !e.hot
 	})
 	if v.now >= v.sweepAt {
@@ -278,7 +278,7 @@
 // suspects returns how many are suspected, and how many are not gone.
 func (v *View) suspects() (suspected, live int) {
 	for _, e := range v.hot {
-		if e.State == Suspected {
+		if e.State == Suspect {
 			suspected++
 		}
 	}
@@ -314,22 +314,22 @@
 	v.sweepAt = v.now + sweepS
 	for _, e := range slices.Clone(v.gone) {
 		switch {
-		case e != v.self && e.State.Gone() && v.now-e.since > forgetS:
+		case e != v.self && e.State.IsDeadOrLeft() && v.now-e.since > forgetS:
 			v.forget(e)
-		case e.State.Gone() && !e.old && v.now-e.since > forgetS-edgeS:
+		case e.State.IsDeadOrLeft() && !e.old && v.now-e.since > forgetS-edgeS:
 			v.weigh(e)
 			e.old = true
 		}
 	}
 	v.gone = slices.DeleteFunc(v.gone, func(e *entry) bool {
-		e.listed = e.State.Gone()
+		e.listed = e.State.IsDeadOrLeft()
 		return !e.listed
 	})
 }
 
 // miss accuses one that is silent, unless it has just shown others that it lives.
 func (v *View) miss(e *entry) {
-	if slices.Contains(e.By, v.self.ID) && e.State == Suspected || len(e.By) >= enough {
+	if slices.Contains(e.By, v.self.ID) && e.State == Suspect || len(e.By) >= enough {
 		return
 	}
 	if e.State == Alive {
@@ -383,7 +383,7 @@
 		return
 	}
 	for _, e := range v.hot {
-		if e.link == nil && !e.dialing && !e.State.Gone() && v.now >= e.nextTry && (e.wanted || v.now < e.watched) {
+		if e.link == nil && !e.dialing && !e.State.IsDeadOrLeft() && v.now >= e.nextTry && (e.wanted || v.now < e.watched) {
 			e.dialing, e.nextTry = true, v.now+1
 			v.dial(e.Address, e.ID)
 		}
@@ -407,7 +407,7 @@
 // are suspected are watched on, and the next one beside them, so that a fleet that loses many at once is joined again soon.
 func (v *View) choose() {
 	for _, e := range v.neighbours {
-		if e.State.Gone() {
+		if e.State.IsDeadOrLeft() {
 			e.watched = 0
 		}
 		e.wanted = false
@@ -419,7 +419,7 @@
 	}
 	var suspected []*entry // by ID
 	for _, e := range v.hot {
-		if e.State == Suspected {
+		if e.State == Suspect {
 			suspected = append(suspected, e)
 		}
 	}
@@ -454,7 +454,7 @@
 		wantNext(nil)
 	}
 	for _, id := range v.asked {
-		if e := v.byID[id]; e != nil && e != v.self && !e.State.Gone() {
+		if e := v.byID[id]; e != nil && e != v.self && !e.State.IsDeadOrLeft() {
 			v.want(e)
 		}
 	}
@@ -513,7 +513,7 @@
 		addresses = append(addresses, e.Address)
 	}
 	for _, a := range v.set.Join {
-		if e := v.byID[v.met[a]]; a != v.address && (e == nil || e != v.self && e.State.Gone()) && !v.lives(a) {
+		if e := v.byID[v.met[a]]; a != v.address && (e == nil || e != v.self && e.State.IsDeadOrLeft()) && !v.lives(a) {
 			addresses = append(addresses, a)
 		}
 	}
@@ -532,5 +532,5 @@
 
 // lives tells whether one that lives has an address.
 func (v *View) lives(address string) bool {
-	return slices.ContainsFunc(v.all, func(e *entry) bool { return e.Address == address && !e.State.Gone() })
+	return slices.ContainsFunc(v.all, func(e *entry) bool { return e.Address == address && !e.State.IsDeadOrLeft() })
 }
--- a/internal/decide/swim/member_test.go
+++ b/internal/decide/swim/member_test.go
@@ -11,7 +11,7 @@
 func drawRecord(t *rapid.T) Record {
 	r := Record{ID: 1, Version: Version{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), Life: rapid.Uint64Range(1, 2).Draw(t, "life")},
 		State: State(rapid.IntRange(0, int(Left)).Draw(t, "state")), Address: "a", Keeps: rapid.Bool().Draw(t, "keeps")}
-	if r.State == Suspected {
+	if r.State == Suspect {
 		r.By = union(rapid.SliceOfN(rapid.Map(rapid.Uint64Range(1, 5), func(n uint64) ID { return ID(n) }), 1, 3).Draw(t, "by"), nil)
 	}
 	return r
--- a/internal/decide/swim/view.go
+++ b/internal/decide/swim/view.go
@@ -174,7 +174,7 @@
 	rank, _ = v.place(v.self.ID)
 	count = len(v.all)
 	for _, e := range v.gone {
-		if e != v.self && e.State.Gone() && !(e.State == Dead && v.now-e.since < holdS) {
+		if e != v.self && e.State.IsDeadOrLeft() && !(e.State == Dead && v.now-e.since < holdS) {
 			if count--; e.ID < v.self.ID {
 				rank--
 			}
@@ -187,7 +187,7 @@
 func (v *View) Live() int {
 	n := len(v.all)
 	for _, e := range v.gone {
-		if e.State.Gone() {
+		if e.State.IsDeadOrLeft() {
 			n--
 		}
 	}
@@ -211,7 +211,7 @@
 		return 0
 	}
 	class := uint64(0)
-	if e.State.Gone() {
+	if e.State.IsDeadOrLeft() {
 		class = uint64(e.State)
 	}
 	return mix(uint64(e.ID) ^ mix(e.Version.Incarnation^mix(e.Version.Life^class<<56)))
@@ -226,9 +226,9 @@
 
 // note has an entry's part follow what has become of it.
 func (v *View) note(e *entry) {
-	e.old = e.State.Gone() && v.now-e.since > forgetS-edgeS
+	e.old = e.State.IsDeadOrLeft() && v.now-e.since > forgetS-edgeS
 	v.weigh(e)
-	if e.State.Gone() && !e.listed {
+	if e.State.IsDeadOrLeft() && !e.listed {
 		e.listed = true
 		v.gone = append(v.gone, e)
 	}
@@ -260,7 +260,7 @@
 	change()
 	v.note(e)
 	if e.State != was || !known {
-		if !(was <= Suspected && e.State <= Suspected) || !known {
+		if !(was <= Suspect && e.State <= Suspect) || !known {
 			v.changed = v.now
 		}
 		v.touched = true
@@ -285,7 +285,7 @@
 	}
 	keeps := a.Keeps || b.Keeps // who passes a record on may be of a version that does not know the flag
 	if b.State > a.State {
-		if b.State == Suspected {
+		if b.State == Suspect {
 			b.By = union(a.By, b.By)
 		}
 		b.Keeps = keeps
@@ -293,7 +293,7 @@
 	}
 	news := a.Keeps != keeps
 	a.Keeps = keeps
-	if b.State == a.State && a.State == Suspected {
+	if b.State == a.State && a.State == Suspect {
 		if by := union(a.By, b.By); !slices.Equal(by, a.By) {
 			a.By, news = by, true
 		}
@@ -326,7 +326,7 @@
 		return
 	}
 	if e == nil {
-		if r.State.Gone() && r.AgeS > forgetS-edgeS || !v.admit(from) || len(v.all) >= mostKnown && !v.forgetOne() {
+		if r.State.IsDeadOrLeft() && r.AgeS > forgetS-edgeS || !v.admit(from) || len(v.all) >= mostKnown && !v.forgetOne() {
 			v.figures.Refused++
 			return
 		}
@@ -337,18 +337,18 @@
 		v.tell(e, from)
 		return
 	}
-	if r.State == e.State && r.State != Suspected && r.Version == e.Version && (e.Keeps || !r.Keeps) {
+	if r.State == e.State && r.State != Suspect && r.Version == e.Version && (e.Keeps || !r.Keeps) {
 		return // most of what comes has come by another link
 	}
 	if r.State == Dead && e.State == Alive && r.Version.Compare(e.Version) >= 0 {
 		// Danger: one that was cut off has called others dead that nobody asked, and comes back with that. They get the time to
 		// say no that they would have had.
 		defer func() {
-			if e.State == Suspected && e.Version == r.Version {
+			if e.State == Suspect && e.Version == r.Version {
 				e.due = v.now + soonestS
 			}
 		}()
-		r.State = Suspected
+		r.State = Suspect
 		if r.AgeS = 0; len(r.By) == 0 {
 			r.By = []ID{v.self.ID}
 		}
@@ -364,11 +364,11 @@
 	v.alter(e, true, func() {
 		was := e.State
 		e.Record = merged
-		if e.AgeS = 0; merged.State != was || merged.State.Gone() {
+		if e.AgeS = 0; merged.State != was || merged.State.IsDeadOrLeft() {
 			e.since = v.now - r.AgeS
 		}
 	})
-	if risen && !e.State.Gone() {
+	if risen && !e.State.IsDeadOrLeft() {
 		e.due = 0
 		if e.link == nil {
 			e.heard = max(e.heard, v.now-silentS/2) // it has spoken to others just now
@@ -422,7 +422,7 @@
 		v.hush()
 		v.alter(s, true, func() { s.Record, s.since = r, v.now })
 		v.do.Renew(why)
-	case c > 0 || c == 0 && (r.State == Suspected || r.State.Gone() && !v.left):
+	case c > 0 || c == 0 && (r.State == Suspect || r.State.IsDeadOrLeft() && !v.left):
 		v.alter(s, true, func() { s.Version.Incarnation = max(r.Version.Incarnation, s.Version.Incarnation) + 1 })
 		v.changed = v.now
 		v.figures.Refutations++
@@ -448,7 +448,7 @@
 
 // suspect sets when one that is suspected is dead: the sooner the more do not hear it.
 func (v *View) suspect(e *entry) {
-	if e.State != Suspected || e == v.self {
+	if e.State != Suspect || e == v.self {
 		return
 	}
 	at := e.since + v.patience(len(e.By))
@@ -491,7 +491,7 @@
 	v.figures.Accusations++
 	v.alter(e, true, func() {
 		if e.State == Alive {
-			e.State, e.since, e.due = Suspected, v.now, 0
+			e.State, e.since, e.due = Suspect, v.now, 0
 		}
 		e.By = union(e.By, []ID{v.self.ID})
 	})
@@ -519,7 +519,7 @@
 // record returns what is said of an entry.
 func (v *View) record(e *entry) Record {
 	r := e.Record
-	if r.State.Gone() {
+	if r.State.IsDeadOrLeft() {
 		r.AgeS = math.Round(10*(v.now-e.since)) / 10
 	}
 	return r
@@ -578,7 +578,7 @@
 func (v *View) forgetOne() bool {
 	var oldest *entry
 	for _, e := range v.gone {
-		if e.State.Gone() && e != v.self && (oldest == nil || e.since < oldest.since || e.since == oldest.since && e.ID < oldest.ID) {
+		if e.State.IsDeadOrLeft() && e != v.self && (oldest == nil || e.since < oldest.since || e.since == oldest.since && e.ID < oldest.ID) {
 			oldest = e
 		}
 	}
--- a/internal/decide/swim/wire_form_test.go
+++ b/internal/decide/swim/wire_form_test.go
@@ -37,8 +37,8 @@
 // What goes over a link keeps its form: processes of the version before are at the other end.
 func TestWireForm(t *testing.T) {
 	for name, value := range map[string]any{
-		"hello":   Hello{Self: wireRecord(Suspected), Beat: Beat{Sum: 9, Wanted: true}},
-		"message": Message{Beat: &Beat{Sum: 9, Wanted: true}, Records: []Record{wireRecord(Suspected), wireRecord(Dead), wireRecord(Left)}, Sums: []uint64{1, 2}, Want: []uint64{3}, Bye: true},
+		"hello":   Hello{Self: wireRecord(Suspect), Beat: Beat{Sum: 9, Wanted: true}},
+		"message": Message{Beat: &Beat{Sum: 9, Wanted: true}, Records: []Record{wireRecord(Suspect), wireRecord(Dead), wireRecord(Left)}, Sums: []uint64{1, 2}, Want: []uint64{3}, Bye: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requireComplete(t, name, reflect.ValueOf(value))
@@ -70,7 +70,7 @@
 
 // The numbers of states are sent, and their names and that of an identity are shown.
 func TestWireNumbersAndNames(t *testing.T) {
-	assert.Equal(t, []State{0, 1, 2, 3}, []State{Alive, Suspected, Dead, Left})
+	assert.Equal(t, []State{0, 1, 2, 3}, []State{Alive, Suspect, Dead, Left})
 	var names []string
 	for s := Alive; s <= Left+1; s++ {
 		names = append(names, s.String())
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -511,13 +511,13 @@
 		case id.left && reach[id.of.number]:
 			s.state = swim.Left
 		case s.state == swim.Alive && now-s.heard > silentS:
-			s.state = swim.Suspected
-		case s.state == swim.Suspected && now-s.heard > deadS:
+			s.state = swim.Suspect
+		case s.state == swim.Suspect && now-s.heard > deadS:
 			s.state = swim.Dead
 		}
 		if s.state != was {
 			changed = true
-			if !(was <= swim.Suspected && s.state <= swim.Suspected) {
+			if !(was <= swim.Suspect && s.state <= swim.Suspect) {
 				s.since = now
 			}
 		}
@@ -533,7 +533,7 @@
 	})
 	var list []lease.Member
 	for _, s := range n.view {
-		if s.state.Gone() && now-s.since > forgetS {
+		if s.state.IsDeadOrLeft() && now-s.since > forgetS {
 			continue
 		}
 		list = append(list, lease.Member{ID: s.of.id, Address: s.of.of.address, State: s.state, Keeps: s.of.of.keeps, SinceS: now - s.since})
--- a/internal/sim/maintenancesim/world.go
+++ b/internal/sim/maintenancesim/world.go
@@ -292,7 +292,7 @@
 		case n.reached(by):
 		case m.SinceS < 1.5:
 		case m.SinceS < 4:
-			m.State = swim.Suspected
+			m.State = swim.Suspect
 		default:
 			m.State = swim.Dead
 		}
--- a/internal/sim/membershipsim/agree.go
+++ b/internal/sim/membershipsim/agree.go
@@ -33,7 +33,7 @@
 		live := 0
 		for m := range n.View.Members {
 			switch {
-			case m.State.Gone():
+			case m.State.IsDeadOrLeft():
 				if truth[m.ID] {
 					say("s%d holds %s for %s, which lives", n.Number, m.Name, m.State)
 				}
