--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -447,7 +447,7 @@
 	c.agree(c.all...)
 	stop, victim := c.serveAll(), c.all[0]
 	hello := func(fleetName string) []byte {
-		self := swim.Record{ID: 7, Version: swim.Version{Incarnation: 1 << 32, Life: 1}, Name: "liar", Address: "127.0.0.1:1"}
+		self := swim.Record{ID: 7, Version: swim.Version{Incarnation: 1 << 32, BootID: 1}, Name: "liar", Address: "127.0.0.1:1"}
 		inner, err := frames.Pack(swim.Hello{Self: self})
 		require.NoError(t, err)
 		body, err := frames.Pack(frames.Hello{Fleet: fleetName, Name: "liar", ID: 7, Address: self.Address, Body: inner})
@@ -460,7 +460,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var m swim.Message
 		for range n {
-			m.Records = append(m.Records, swim.Record{ID: swim.ID(rng.Uint64()), Version: swim.Version{Incarnation: 1 << 32, Life: 1}, Name: "phantom",
+			m.Records = append(m.Records, swim.Record{ID: swim.ID(rng.Uint64()), Version: swim.Version{Incarnation: 1 << 32, BootID: 1}, Name: "phantom",
 				Address: fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(9))})
 		}
 		body, err := frames.Pack(m)
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -155,7 +155,7 @@
 			f.state.Generation++
 		}
 		f.state.Works = works
-		version := swim.Version{Incarnation: f.state.Generation << 32, Life: f.drawn()}
+		version := swim.Version{Incarnation: f.state.Generation << 32, BootID: f.drawn()}
 		f.save(func(err error) {
 			if err != nil {
 				f.state = state{ID: swim.ID(f.drawn()), Generation: 1, Works: f.state.Works}
@@ -187,7 +187,7 @@
 	if f.owners != nil {
 		if err := f.owners.begin(f.state.ID, f.state.Tenure); err != nil {
 			f.log.Warn("what was promised to others can't be used: this sidecar is a new one", "error", err)
-			f.anew(func() { f.begin(swim.Version{Incarnation: 1 << 32, Life: f.drawn()}) })
+			f.anew(func() { f.begin(swim.Version{Incarnation: 1 << 32, BootID: f.drawn()}) })
 			return
 		}
 	}
@@ -519,7 +519,7 @@
 			f.owners.stop("the identity is given up")
 		}
 		f.anew(func() {
-			f.view.Become(f.net.Now(), f.state.ID, swim.Version{Incarnation: 1 << 32, Life: f.drawn()}, f.stored && f.owners != nil)
+			f.view.Become(f.net.Now(), f.state.ID, swim.Version{Incarnation: 1 << 32, BootID: f.drawn()}, f.stored && f.owners != nil)
 			if f.owners == nil {
 				return
 			}
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -314,7 +314,7 @@
 	if w.to.ListLate() {
 		s.Late = 1
 	}
-	s.From = []maintenance.From{{ID: f.state.ID, Life: f.view.Self().Version.Life, Version: w.version}}
+	s.From = []maintenance.From{{ID: f.state.ID, Life: f.view.Self().Version.BootID, Version: w.version}}
 	settle := map[string]float64{}
 	for i := range w.state.Plans {
 		p := &w.state.Plans[i]
@@ -662,7 +662,7 @@
 	}
 	w.asked = nil
 	for m := range w.o.f.view.Members {
-		w.asked = append(w.asked, maintenance.Member{ID: m.ID, Name: m.Name, Life: m.Version.Life, State: m.State, SinceS: m.SinceS})
+		w.asked = append(w.asked, maintenance.Member{ID: m.ID, Name: m.Name, Life: m.Version.BootID, State: m.State, SinceS: m.SinceS})
 	}
 	w.sum, w.by = w.own(now), now+workWithinS
 }
--- a/internal/decide/swim/doc.go
+++ b/internal/decide/swim/doc.go
@@ -51,12 +51,12 @@
 // count their incarnations alike; the number that each has drawn for its life tells them apart.
 type Version struct {
 	Incarnation uint64 `msgpack:"i"` // grows with each life, and within a life with each refutation
-	Life        uint64 `msgpack:"l"` // drawn at the start of each process
+	BootID      uint64 `msgpack:"l"` // drawn at the start of each process
 }
 
 // Compare orders versions.
 func (v Version) Compare(o Version) int {
-	return cmp.Or(cmp.Compare(v.Incarnation, o.Incarnation), cmp.Compare(v.Life, o.Life))
+	return cmp.Or(cmp.Compare(v.Incarnation, o.Incarnation), cmp.Compare(v.BootID, o.BootID))
 }
 
 // Record is what one member tells another of a third, or of itself. Of two records of one identity Merge makes one; in what
--- a/internal/decide/swim/links.go
+++ b/internal/decide/swim/links.go
@@ -73,7 +73,7 @@
 		v.do.Close(number)
 		return
 	}
-	l := &link{number: number, to: e, life: hello.Self.Version.Life, dialed: address != "", wants: hello.Beat.Wanted}
+	l := &link{number: number, to: e, life: hello.Self.Version.BootID, dialed: address != "", wants: hello.Beat.Wanted}
 	if old := e.link; old != nil {
 		// Of two links both ends keep the one that the lesser has dialed, or else the later.
 		if old.life == l.life && old.dialed != l.dialed && old.dialed == (v.self.ID < e.ID) {
--- a/internal/decide/swim/member_test.go
+++ b/internal/decide/swim/member_test.go
@@ -9,7 +9,7 @@
 )
 
 func drawRecord(t *rapid.T) Record {
-	r := Record{ID: 1, Version: Version{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), Life: rapid.Uint64Range(1, 2).Draw(t, "life")},
+	r := Record{ID: 1, Version: Version{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), BootID: rapid.Uint64Range(1, 2).Draw(t, "life")},
 		State: State(rapid.IntRange(0, int(Left)).Draw(t, "state")), Address: "a", Keeps: rapid.Bool().Draw(t, "keeps")}
 	if r.State == Suspect {
 		r.By = union(rapid.SliceOfN(rapid.Map(rapid.Uint64Range(1, 5), func(n uint64) ID { return ID(n) }), 1, 3).Draw(t, "by"), nil)
@@ -189,8 +189,8 @@
 // Whatever a peer says, no call fails, nobody who is known and lives is forgotten for it, and what is known stays bounded.
 func TestViewBearsWhatItIsTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		self := Record{ID: 1, Version: Version{Incarnation: 1 << 32, Life: 1}, Name: "self", Address: "self:1"}
-		friend := Record{ID: 2, Version: Version{Incarnation: 1 << 32, Life: 1}, Name: "friend", Address: "friend:1"}
+		self := Record{ID: 1, Version: Version{Incarnation: 1 << 32, BootID: 1}, Name: "self", Address: "self:1"}
+		friend := Record{ID: 2, Version: Version{Incarnation: 1 << 32, BootID: 1}, Name: "friend", Address: "friend:1"}
 		v, now := New(100, self, Settings{Seed: 1}, &noActions{}), 100.0
 		v.LinkUp(now, 1, "", Hello{Self: friend})
 		number := 1
--- a/internal/decide/swim/view.go
+++ b/internal/decide/swim/view.go
@@ -214,7 +214,7 @@
 	if e.State.IsDeadOrLeft() {
 		class = uint64(e.State)
 	}
-	return mix(uint64(e.ID) ^ mix(e.Version.Incarnation^mix(e.Version.Life^class<<56)))
+	return mix(uint64(e.ID) ^ mix(e.Version.Incarnation^mix(e.Version.BootID^class<<56)))
 }
 
 // weigh puts an entry's part into the sums, or takes it out again.
@@ -407,7 +407,7 @@
 		v.hush()
 		v.alter(s, true, func() { s.Record, s.since = r, v.now })
 		v.do.Renew("others are told of an incarnation that this identity can't have")
-	case c > 0 && r.Version.Life != s.Version.Life:
+	case c > 0 && r.Version.BootID != s.Version.BootID:
 		// Another process has this identity, and a later state of it.
 		v.quiet = true
 		if r.Address == s.Address && v.set.Replaceable {
--- a/internal/peers/stalledpeer/deafpeer.go
+++ b/internal/peers/stalledpeer/deafpeer.go
@@ -15,7 +15,7 @@
 
 // Frames returns the hello to a fleet's sidecar at an address, and the question that asks for all that it knows.
 func Frames(fleet, address string) (hello, ask []byte, err error) {
-	self := swim.Record{ID: id, Version: swim.Version{Incarnation: 1 << 32, Life: id}, Name: name, Address: address}
+	self := swim.Record{ID: id, Version: swim.Version{Incarnation: 1 << 32, BootID: id}, Name: name, Address: address}
 	inner, err := frames.Pack(swim.Hello{Self: self})
 	if err != nil {
 		return nil, nil, err
--- a/internal/sim/membershipsim/crowd.go
+++ b/internal/sim/membershipsim/crowd.go
@@ -106,7 +106,7 @@
 	n.generation++
 	n.Up, n.Frozen = true, false
 	n.life++
-	self := swim.Record{ID: n.id, Version: swim.Version{Incarnation: n.generation << 32, Life: n.c.rng.Uint64()}, Name: fmt.Sprintf("s%d", n.Number),
+	self := swim.Record{ID: n.id, Version: swim.Version{Incarnation: n.generation << 32, BootID: n.c.rng.Uint64()}, Name: fmt.Sprintf("s%d", n.Number),
 		Address: n.Address}
 	n.View = swim.New(n.c.Now(), self, swim.Settings{Join: join, Seed: n.c.rng.Uint64()}, actions{n})
 	n.ticks(n.life)
@@ -408,6 +408,6 @@
 	n := a.n
 	n.id, n.generation = swim.ID(n.c.rng.Uint64()|1), 1
 	id, life := n.id, n.life
-	version := swim.Version{Incarnation: 1 << 32, Life: n.c.rng.Uint64()}
+	version := swim.Version{Incarnation: 1 << 32, BootID: n.c.rng.Uint64()}
 	n.c.At(n.c.Now()+0.01, func() { n.call(life, func() { n.View.Become(n.c.Now(), id, version, false) }) })
 }
