--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -191,7 +191,7 @@
 			return
 		}
 	}
-	self := swim.Record{ID: f.state.ID, Version: version, Name: f.o.Sidecar, Address: f.o.Advertise, Keeps: f.stored && f.owners != nil}
+	self := swim.Record{ID: f.state.ID, Version: version, Name: f.o.Sidecar, Address: f.o.Advertise, Durable: f.stored && f.owners != nil}
 	f.view = swim.New(f.net.Now(), self, swim.Settings{Join: f.o.Join, Replaceable: f.o.Replaceable, Seed: f.o.Rand.Uint64()}, actions{f})
 	f.log.Info("looking for peers", "fleet", f.o.Name, "listen", f.o.Listen, "advertise", f.o.Advertise, "id", self.ID, "incarnation", version.Incarnation)
 	f.listen()
--- a/internal/coordination/notes.go
+++ b/internal/coordination/notes.go
@@ -40,7 +40,7 @@
 		before = "unknown"
 	}
 	log.Info("peer", "name", r.Name, "id", r.ID, "is", r.State, "was", before, "incarnation", r.Version.Incarnation, "address", r.Address,
-		"by", fmt.Sprint(r.By))
+		"by", fmt.Sprint(r.Accusers))
 }
 
 // flush tells how many changes were not told.
--- a/internal/coordination/seen.go
+++ b/internal/coordination/seen.go
@@ -59,7 +59,7 @@
 		}
 		e := SeenMember{ID: m.ID.String(), Name: m.Name, Address: m.Address, State: m.State.String(), Incarnation: m.Version.Incarnation,
 			ForS: math.Round(10*m.SinceS) / 10, Linked: m.Linked, Watched: m.Watched}
-		for _, by := range m.By {
+		for _, by := range m.Accusers {
 			e.By = append(e.By, by.String())
 		}
 		s.Members = append(s.Members, e)
--- a/internal/decide/swim/doc.go
+++ b/internal/decide/swim/doc.go
@@ -62,14 +62,14 @@
 // Record is what one member tells another of a third, or of itself. Of two records of one identity Merge makes one; in what
 // order they come makes no difference.
 type Record struct {
-	ID      ID      `msgpack:"d"`
-	Version Version `msgpack:"v"`
-	State   State   `msgpack:"s,omitempty"`
-	Name    string  `msgpack:"n,omitempty"`
-	Address string  `msgpack:"a,omitempty"` // where it is dialed, with its port
-	By      []ID    `msgpack:"b,omitempty"` // who do not hear it; of one that is dead, whose word it was
-	AgeS    float64 `msgpack:"t,omitempty"` // for how long it has been dead or left, by clocks that ran since
-	Keeps   bool    `msgpack:"k,omitempty"` // its state outlives the process: it can be an elector
+	ID         ID      `msgpack:"d"`
+	Version    Version `msgpack:"v"`
+	State      State   `msgpack:"s,omitempty"`
+	Name       string  `msgpack:"n,omitempty"`
+	Address    string  `msgpack:"a,omitempty"` // where it is dialed, with its port
+	Accusers   []ID    `msgpack:"b,omitempty"` // who do not hear it; of one that is dead, whose word it was
+	AgeSeconds float64 `msgpack:"t,omitempty"` // for how long it has been dead or left, by clocks that ran since
+	Durable    bool    `msgpack:"k,omitempty"` // its state outlives the process: it can be an elector
 }
 
 // Beat is what neighbours say again and again.
--- a/internal/decide/swim/links.go
+++ b/internal/decide/swim/links.go
@@ -66,7 +66,7 @@
 		v.do.Close(number)
 		return
 	}
-	hello.Self.State, hello.Self.By, hello.Self.AgeS = Alive, nil, 0
+	hello.Self.State, hello.Self.Accusers, hello.Self.AgeSeconds = Alive, nil, 0
 	v.hear(hello.Self, number)
 	e := v.byID[hello.Self.ID]
 	if e == nil {
@@ -239,7 +239,7 @@
 		switch {
 		case e.State == Suspect && e.due > 0 && v.now >= e.due:
 			v.figures.Deaths++
-			v.alter(e, true, func() { e.State, e.since, e.By = Dead, v.now, []ID{v.self.ID} })
+			v.alter(e, true, func() { e.State, e.since, e.Accusers = Dead, v.now, []ID{v.self.ID} })
 			v.tell(e, 0)
 		case e.State.IsDeadOrLeft():
 		case e.watchedBy(v.now) && v.silent(e):
@@ -329,7 +329,7 @@
 
 // miss accuses one that is silent, unless it has just shown others that it lives.
 func (v *View) miss(e *entry) {
-	if slices.Contains(e.By, v.self.ID) && e.State == Suspect || len(e.By) >= enough {
+	if slices.Contains(e.Accusers, v.self.ID) && e.State == Suspect || len(e.Accusers) >= enough {
 		return
 	}
 	if e.State == Alive {
--- a/internal/decide/swim/member_test.go
+++ b/internal/decide/swim/member_test.go
@@ -10,9 +10,9 @@
 
 func drawRecord(t *rapid.T) Record {
 	r := Record{ID: 1, Version: Version{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), BootID: rapid.Uint64Range(1, 2).Draw(t, "life")},
-		State: State(rapid.IntRange(0, int(Left)).Draw(t, "state")), Address: "a", Keeps: rapid.Bool().Draw(t, "keeps")}
+		State: State(rapid.IntRange(0, int(Left)).Draw(t, "state")), Address: "a", Durable: rapid.Bool().Draw(t, "keeps")}
 	if r.State == Suspect {
-		r.By = union(rapid.SliceOfN(rapid.Map(rapid.Uint64Range(1, 5), func(n uint64) ID { return ID(n) }), 1, 3).Draw(t, "by"), nil)
+		r.Accusers = union(rapid.SliceOfN(rapid.Map(rapid.Uint64Range(1, 5), func(n uint64) ID { return ID(n) }), 1, 3).Draw(t, "by"), nil)
 	}
 	return r
 }
@@ -211,7 +211,7 @@
 				m := &Message{Bye: rapid.IntRange(0, 9).Draw(t, "bye") == 0, Sums: make([]uint64, rapid.SampledFrom([]int{0, 3, 64}).Draw(t, "sums"))}
 				for range rapid.IntRange(0, 5).Draw(t, "records") {
 					r := drawRecord(t)
-					r.ID, r.AgeS = ID(rapid.Uint64Range(0, 6).Draw(t, "id")), rapid.Float64Range(-1, 700).Draw(t, "age")
+					r.ID, r.AgeSeconds = ID(rapid.Uint64Range(0, 6).Draw(t, "id")), rapid.Float64Range(-1, 700).Draw(t, "age")
 					r.Version.Incarnation = rapid.SampledFrom([]uint64{0, 1 << 32, 1<<32 + 1, 1 << 61, 1<<64 - 1}).Draw(t, "of")
 					m.Records = append(m.Records, r)
 				}
--- a/internal/decide/swim/view.go
+++ b/internal/decide/swim/view.go
@@ -110,7 +110,7 @@
 }
 
 func (v *View) become(self Record) {
-	self.State, self.By, self.AgeS = Alive, nil, 0
+	self.State, self.Accusers, self.AgeSeconds = Alive, nil, 0
 	v.self = &entry{Record: self, since: v.now}
 	v.insert(v.self)
 	v.quiet, v.dirty = false, true
@@ -119,7 +119,7 @@
 // Become goes on under another identity.
 func (v *View) Become(now float64, id ID, version Version, keeps bool) {
 	v.enter(now)
-	next := Record{ID: id, Version: version, Name: v.name, Address: v.address, Keeps: keeps}
+	next := Record{ID: id, Version: version, Name: v.name, Address: v.address, Durable: keeps}
 	v.self.due = math.Inf(1)
 	v.become(next)
 	v.tell(v.self, 0)
@@ -271,8 +271,8 @@
 
 // sane tells whether a record can be one.
 func sane(r *Record) bool {
-	return r.Version.Incarnation < 1<<62 && r.State <= Left && r.ID != 0 && len(r.Name) <= 128 && len(r.Address) <= 256 && r.Address != "" && len(r.By) <= 16 &&
-		r.AgeS >= 0 && r.AgeS < 1e9
+	return r.Version.Incarnation < 1<<62 && r.State <= Left && r.ID != 0 && len(r.Name) <= 128 && len(r.Address) <= 256 && r.Address != "" && len(r.Accusers) <= 16 &&
+		r.AgeSeconds >= 0 && r.AgeSeconds < 1e9
 }
 
 // Merge makes one record of two of the same identity, and tells whether that is another than the first.
@@ -283,19 +283,19 @@
 	case c > 0:
 		return b, true
 	}
-	keeps := a.Keeps || b.Keeps // who passes a record on may be of a version that does not know the flag
+	keeps := a.Durable || b.Durable // who passes a record on may be of a version that does not know the flag
 	if b.State > a.State {
 		if b.State == Suspect {
-			b.By = union(a.By, b.By)
+			b.Accusers = union(a.Accusers, b.Accusers)
 		}
-		b.Keeps = keeps
+		b.Durable = keeps
 		return b, true
 	}
-	news := a.Keeps != keeps
-	a.Keeps = keeps
+	news := a.Durable != keeps
+	a.Durable = keeps
 	if b.State == a.State && a.State == Suspect {
-		if by := union(a.By, b.By); !slices.Equal(by, a.By) {
-			a.By, news = by, true
+		if by := union(a.Accusers, b.Accusers); !slices.Equal(by, a.Accusers) {
+			a.Accusers, news = by, true
 		}
 	}
 	return a, news
@@ -326,18 +326,18 @@
 		return
 	}
 	if e == nil {
-		if r.State.IsDeadOrLeft() && r.AgeS > forgetS-edgeS || !v.admit(from) || len(v.all) >= mostKnown && !v.forgetOne() {
+		if r.State.IsDeadOrLeft() && r.AgeSeconds > forgetS-edgeS || !v.admit(from) || len(v.all) >= mostKnown && !v.forgetOne() {
 			v.figures.Refused++
 			return
 		}
-		e = &entry{Record: r, since: v.now - r.AgeS, heard: v.now}
+		e = &entry{Record: r, since: v.now - r.AgeSeconds, heard: v.now}
 		v.insert(e)
 		v.alter(e, false, func() {})
 		v.suspect(e)
 		v.tell(e, from)
 		return
 	}
-	if r.State == e.State && r.State != Suspect && r.Version == e.Version && (e.Keeps || !r.Keeps) {
+	if r.State == e.State && r.State != Suspect && r.Version == e.Version && (e.Durable || !r.Durable) {
 		return // most of what comes has come by another link
 	}
 	if r.State == Dead && e.State == Alive && r.Version.Compare(e.Version) >= 0 {
@@ -349,8 +349,8 @@
 			}
 		}()
 		r.State = Suspect
-		if r.AgeS = 0; len(r.By) == 0 {
-			r.By = []ID{v.self.ID}
+		if r.AgeSeconds = 0; len(r.Accusers) == 0 {
+			r.Accusers = []ID{v.self.ID}
 		}
 	}
 	merged, news := Merge(e.Record, r)
@@ -364,8 +364,8 @@
 	v.alter(e, true, func() {
 		was := e.State
 		e.Record = merged
-		if e.AgeS = 0; merged.State != was || merged.State.IsDeadOrLeft() {
-			e.since = v.now - r.AgeS
+		if e.AgeSeconds = 0; merged.State != was || merged.State.IsDeadOrLeft() {
+			e.since = v.now - r.AgeSeconds
 		}
 	})
 	if risen && !e.State.IsDeadOrLeft() {
@@ -451,13 +451,13 @@
 	if e.State != Suspect || e == v.self {
 		return
 	}
-	at := e.since + v.patience(len(e.By))
+	at := e.since + v.patience(len(e.Accusers))
 	if e.due == 0 || at < e.due {
 		e.due = at
 	}
 	v.heat(e)
 	// Danger: one that two others miss as well is no fault of this member's link.
-	if len(e.By) < enough && e.watchedBy(v.now) && v.silent(e) && !slices.Contains(e.By, v.self.ID) {
+	if len(e.Accusers) < enough && e.watchedBy(v.now) && v.silent(e) && !slices.Contains(e.Accusers, v.self.ID) {
 		v.accuse(e)
 	}
 }
@@ -493,7 +493,7 @@
 		if e.State == Alive {
 			e.State, e.since, e.due = Suspect, v.now, 0
 		}
-		e.By = union(e.By, []ID{v.self.ID})
+		e.Accusers = union(e.Accusers, []ID{v.self.ID})
 	})
 	v.suspect(e)
 	v.tell(e, 0)
@@ -520,7 +520,7 @@
 func (v *View) record(e *entry) Record {
 	r := e.Record
 	if r.State.IsDeadOrLeft() {
-		r.AgeS = math.Round(10*(v.now-e.since)) / 10
+		r.AgeSeconds = math.Round(10*(v.now-e.since)) / 10
 	}
 	return r
 }
--- a/internal/decide/swim/wire_form_test.go
+++ b/internal/decide/swim/wire_form_test.go
@@ -13,7 +13,7 @@
 )
 
 func wireRecord(state State) Record {
-	return Record{ID: 0x0123456789abcdef, Version: Version{Incarnation: 5<<32 + 1, BootID: 7}, State: state, Name: "n1", Address: "127.0.0.1:7000", By: []ID{3, 4}, AgeS: 12.5, Keeps: true}
+	return Record{ID: 0x0123456789abcdef, Version: Version{Incarnation: 5<<32 + 1, BootID: 7}, State: state, Name: "n1", Address: "127.0.0.1:7000", Accusers: []ID{3, 4}, AgeSeconds: 12.5, Durable: true}
 }
 
 // requireComplete fails where a field of a value, at any depth, is zero.
--- a/internal/sim/membershipsim/crowd.go
+++ b/internal/sim/membershipsim/crowd.go
@@ -373,7 +373,7 @@
 	}
 	for i := range m.Records {
 		r := &m.Records[i]
-		key := news{r.ID, r.Version, r.State, len(r.By), r.AgeS != 0, r.Keeps}
+		key := news{r.ID, r.Version, r.State, len(r.Accusers), r.AgeSeconds != 0, r.Durable}
 		one, known := c.sizes[key]
 		if !known {
 			one = c.packed(r)
--- a/internal/sim/membershipsim/measure.go
+++ b/internal/sim/membershipsim/measure.go
@@ -160,7 +160,7 @@
 			if node.Up && node.View.Self().ID == r.ID && node.View.Self().Version == r.Version && now-well[i] > reachS && !by.Frozen && cutOff[by.Number] == 0 {
 				t.FalseDeaths++
 				if len(t.Wrong) < 10 {
-					t.Wrong = append(t.Wrong, fmt.Sprintf("%.2f: s%d holds s%d for dead, by the word of %v", now, by.Number, i, r.By))
+					t.Wrong = append(t.Wrong, fmt.Sprintf("%.2f: s%d holds s%d for dead, by the word of %v", now, by.Number, i, r.Accusers))
 				}
 			}
 		}
