--- a/internal/decide/swim/doc.go
+++ b/internal/decide/swim/doc.go
@@ -73,18 +73,18 @@
 }
 
 // Beat is what neighbours say again and again.
-type Beat struct {
-	Sum    uint64 `msgpack:"s"`           // of the whole view
+type Heartbeat struct {
+	Digest uint64 `msgpack:"s"`           // of the whole view
 	Wanted bool   `msgpack:"w,omitempty"` // the sender wants the link: the other is its neighbour on a ring
 }
 
 // Message is what goes over a link. Each field stands for itself.
 type Message struct {
-	Beat    *Beat    `msgpack:"b,omitempty"`
-	Records []Record `msgpack:"r,omitempty"`
-	Sums    []uint64 `msgpack:"s,omitempty"` // of the view, by bucket; the other answers with what differs
-	Want    []uint64 `msgpack:"w,omitempty"` // the buckets, as bits, whose records the sender lacks or holds otherwise
-	Bye     bool     `msgpack:"y,omitempty"` // the link ends, and that says nothing of its sender
+	Heartbeat     *Heartbeat `msgpack:"b,omitempty"`
+	Records       []Record   `msgpack:"r,omitempty"`
+	BucketDigests []uint64   `msgpack:"s,omitempty"` // of the view, by bucket; the other answers with what differs
+	WantedBuckets []uint64   `msgpack:"w,omitempty"` // the buckets, as bits, whose records the sender lacks or holds otherwise
+	Closing       bool       `msgpack:"y,omitempty"` // the link ends, and that says nothing of its sender
 }
 
 // Actions is what a View asks for. None may call back into it.
--- a/internal/decide/swim/links.go
+++ b/internal/decide/swim/links.go
@@ -8,12 +8,12 @@
 
 // Hello is how each end of a link begins.
 type Hello struct {
-	Self Record `msgpack:"Self"`
-	Beat Beat   `msgpack:"Beat"`
+	Self      Record    `msgpack:"Self"`
+	Heartbeat Heartbeat `msgpack:"Beat"`
 }
 
 // Hello returns what this member says first on a link.
-func (v *View) Hello() Hello { return Hello{v.self.Record, Beat{Sum: v.sum}} }
+func (v *View) Hello() Hello { return Hello{v.self.Record, Heartbeat{Digest: v.sum}} }
 
 // enter takes the time. Danger: who stood still has heard nobody, by no fault of theirs; it doubts itself first.
 func (v *View) enter(now float64) {
@@ -73,15 +73,15 @@
 		v.do.Close(number)
 		return
 	}
-	l := &link{number: number, to: e, life: hello.Self.Version.BootID, dialed: address != "", wants: hello.Beat.Wanted}
+	l := &link{number: number, to: e, life: hello.Self.Version.BootID, dialed: address != "", wants: hello.Heartbeat.Wanted}
 	if old := e.link; old != nil {
 		// Of two links both ends keep the one that the lesser has dialed, or else the later.
 		if old.life == l.life && old.dialed != l.dialed && old.dialed == (v.self.ID < e.ID) {
-			v.do.Send(number, &Message{Bye: true})
+			v.do.Send(number, &Message{Closing: true})
 			v.do.Close(number)
 			return
 		}
-		v.do.Send(old.number, &Message{Bye: true})
+		v.do.Send(old.number, &Message{Closing: true})
 		v.cut(old)
 	}
 	e.link, e.heard, e.fails, e.met = l, v.now, 0, true
@@ -93,8 +93,8 @@
 	if e.State.IsDeadOrLeft() || e.State == Suspect || e.Version != hello.Self.Version {
 		v.do.Send(number, &Message{Records: []Record{v.record(e)}}) // it learns what is said of it, and says no
 	}
-	v.do.Send(number, &Message{Beat: &Beat{Sum: v.sum, Wanted: e.wanted}})
-	if hello.Beat.Sum != v.sum && l.dialed {
+	v.do.Send(number, &Message{Heartbeat: &Heartbeat{Digest: v.sum, Wanted: e.wanted}})
+	if hello.Heartbeat.Digest != v.sum && l.dialed {
 		v.compare(l)
 	}
 }
@@ -163,21 +163,21 @@
 	if l.to.link != l { // what it said has ended the link
 		return
 	}
-	if m.Sums != nil {
-		v.differing(l, m.Sums)
+	if m.BucketDigests != nil {
+		v.differing(l, m.BucketDigests)
 	}
-	if len(m.Want) == 1 {
-		v.sendBuckets(l, m.Want[0])
+	if len(m.WantedBuckets) == 1 {
+		v.sendBuckets(l, m.WantedBuckets[0])
 	}
-	if b := m.Beat; b != nil {
+	if b := m.Heartbeat; b != nil {
 		l.wants = b.Wanted
-		if b.Sum == v.sum {
+		if b.Digest == v.sum {
 			l.differ = 0
 		} else if l.differ++; v.now-v.syncAt > syncS && (l.differ >= 3 && v.now-v.changed > syncS || v.now-v.syncAt > lateSyncS) {
 			v.compare(l)
 		}
 	}
-	if m.Bye {
+	if m.Closing {
 		v.cut(l)
 		l.to.watched = 0
 	}
@@ -348,12 +348,12 @@
 	e := l.to
 	switch {
 	case e.State == Left, e.State == Dead && v.now-e.since > oldLinkS:
-		v.do.Send(l.number, &Message{Bye: true})
+		v.do.Send(l.number, &Message{Closing: true})
 		v.cut(l)
 		return
 	case !e.wanted && !l.wants && l.dialed:
 		e.watched = 0
-		v.do.Send(l.number, &Message{Bye: true})
+		v.do.Send(l.number, &Message{Closing: true})
 		v.cut(l)
 		return
 	}
@@ -362,7 +362,7 @@
 		m = &said[1]
 	}
 	if *m == nil {
-		*m = &Message{Beat: &Beat{Sum: v.sum, Wanted: e.wanted}}
+		*m = &Message{Heartbeat: &Heartbeat{Digest: v.sum, Wanted: e.wanted}}
 	}
 	v.do.Send(l.number, *m)
 }
--- a/internal/decide/swim/member_test.go
+++ b/internal/decide/swim/member_test.go
@@ -208,7 +208,7 @@
 				v.Want(now, []ID{ID(rapid.Uint64Range(0, 6).Draw(t, "wanted"))})
 				v.LinkDown(now, rapid.IntRange(2, number+1).Draw(t, "link"))
 			default:
-				m := &Message{Bye: rapid.IntRange(0, 9).Draw(t, "bye") == 0, Sums: make([]uint64, rapid.SampledFrom([]int{0, 3, 64}).Draw(t, "sums"))}
+				m := &Message{Closing: rapid.IntRange(0, 9).Draw(t, "bye") == 0, BucketDigests: make([]uint64, rapid.SampledFrom([]int{0, 3, 64}).Draw(t, "sums"))}
 				for range rapid.IntRange(0, 5).Draw(t, "records") {
 					r := drawRecord(t)
 					r.ID, r.AgeSeconds = ID(rapid.Uint64Range(0, 6).Draw(t, "id")), rapid.Float64Range(-1, 700).Draw(t, "age")
--- a/internal/decide/swim/view.go
+++ b/internal/decide/swim/view.go
@@ -195,7 +195,7 @@
 }
 
 // Sum returns a number that is the same for two members that hold the same of all, but for suspicions.
-func (v *View) Sum() uint64 { return v.sum }
+func (v *View) Digest() uint64 { return v.sum }
 
 // Changes returns a number that grows with each change of what is held of anybody.
 func (v *View) Changes() uint64 { return v.changes }
@@ -437,7 +437,7 @@
 func (v *View) hush() {
 	for len(v.links) > 0 {
 		l := v.links[0]
-		v.do.Send(l.number, &Message{Bye: true})
+		v.do.Send(l.number, &Message{Closing: true})
 		v.cut(l)
 	}
 	v.news = v.news[:0]
@@ -615,7 +615,7 @@
 func (v *View) compare(l *link) {
 	v.syncAt = v.now
 	v.figures.Syncs++
-	v.do.Send(l.number, &Message{Sums: slices.Clone(v.sums[:])})
+	v.do.Send(l.number, &Message{BucketDigests: slices.Clone(v.sums[:])})
 }
 
 // differing tells a neighbour what is held otherwise here, and asks for what it holds.
@@ -632,7 +632,7 @@
 	}
 	if mask != 0 {
 		v.sendBuckets(l, mask)
-		v.do.Send(l.number, &Message{Want: []uint64{mask}})
+		v.do.Send(l.number, &Message{WantedBuckets: []uint64{mask}})
 	}
 }
 
--- a/internal/decide/swim/wire_form_test.go
+++ b/internal/decide/swim/wire_form_test.go
@@ -37,8 +37,8 @@
 // What goes over a link keeps its form: processes of the version before are at the other end.
 func TestWireForm(t *testing.T) {
 	for name, value := range map[string]any{
-		"hello":   Hello{Self: wireRecord(Suspect), Beat: Beat{Sum: 9, Wanted: true}},
-		"message": Message{Beat: &Beat{Sum: 9, Wanted: true}, Records: []Record{wireRecord(Suspect), wireRecord(Dead), wireRecord(Left)}, Sums: []uint64{1, 2}, Want: []uint64{3}, Bye: true},
+		"hello":   Hello{Self: wireRecord(Suspect), Heartbeat: Heartbeat{Digest: 9, Wanted: true}},
+		"message": Message{Heartbeat: &Heartbeat{Digest: 9, Wanted: true}, Records: []Record{wireRecord(Suspect), wireRecord(Dead), wireRecord(Left)}, BucketDigests: []uint64{1, 2}, WantedBuckets: []uint64{3}, Closing: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requireComplete(t, name, reflect.ValueOf(value))
--- a/internal/peers/stalledpeer/deafpeer.go
+++ b/internal/peers/stalledpeer/deafpeer.go
@@ -27,7 +27,7 @@
 	if hello, err = frames.Append(nil, frames.TopicHello, body); err != nil {
 		return nil, nil, err
 	}
-	if body, err = frames.Pack(swim.Message{Sums: make([]uint64, sums)}); err != nil {
+	if body, err = frames.Pack(swim.Message{BucketDigests: make([]uint64, sums)}); err != nil {
 		return nil, nil, err
 	}
 	ask, err = frames.Append(nil, frames.TopicMember, body)
--- a/internal/sim/membershipsim/crowd.go
+++ b/internal/sim/membershipsim/crowd.go
@@ -79,7 +79,7 @@
 		fold(n.Messages)
 		fold(n.Calls)
 		if n.Up {
-			fold(n.View.Sum())
+			fold(n.View.Digest())
 			fold(n.View.Changes())
 		}
 	}
@@ -333,7 +333,7 @@
 		return
 	}
 	size := uint64(beatLen)
-	if m.Records != nil || m.Sums != nil || m.Want != nil {
+	if m.Records != nil || m.BucketDigests != nil || m.WantedBuckets != nil {
 		size = c.size(m)
 	}
 	n.Sent += size
@@ -362,7 +362,7 @@
 	rest := *m
 	rest.Records = nil
 	size := uint64(frames.HeadLen + 1) // the map's head
-	if rest.Beat != nil || rest.Sums != nil || rest.Want != nil || rest.Bye {
+	if rest.Heartbeat != nil || rest.BucketDigests != nil || rest.WantedBuckets != nil || rest.Closing {
 		size = c.packed(&rest) + frames.HeadLen
 	}
 	if len(m.Records) == 0 {
