--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -506,12 +506,12 @@
 	}
 }
 
-func (a actions) Changed(r swim.Record, was swim.State, known bool) {
+func (a actions) MemberChanged(r swim.Record, was swim.State, known bool) {
 	a.f.notes.changed(a.f.net.Now(), a.f.log, r, was, known)
 }
 
 // Renew draws another identity and speaks under it once it is on disk.
-func (a actions) Renew(why string) {
+func (a actions) ReplaceIdentity(why string) {
 	f := a.f
 	f.log.Warn("this sidecar goes on under another identity", "why", why, "was", f.view.Self().ID)
 	f.later(func() {
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -344,7 +344,7 @@
 	f := a.o.f
 	f.later(func() {
 		f.view.Renounce(f.net.Now())
-		actions{f}.Renew(why)
+		actions{f}.ReplaceIdentity(why)
 	})
 }
 
--- a/internal/decide/swim/doc.go
+++ b/internal/decide/swim/doc.go
@@ -97,10 +97,10 @@
 	// Close ends a link; LinkDown does not follow.
 	Close(link int)
 	// Changed tells that what is held of a member has changed, for the log.
-	Changed(r Record, was State, known bool)
+	MemberChanged(r Record, was State, known bool)
 	// Renew asks for another identity: this one is another process's. Become follows once it is on disk, and until then
 	// nothing is said.
-	Renew(why string)
+	ReplaceIdentity(why string)
 }
 
 // Settings are what a View is told at its start. Times are in seconds.
--- a/internal/decide/swim/member_test.go
+++ b/internal/decide/swim/member_test.go
@@ -86,11 +86,11 @@
 // noActions asks for nothing.
 type noActions struct{ sent int }
 
-func (*noActions) Dial(string)                 {}
-func (a *noActions) Send(int, *Message)        { a.sent++ }
-func (*noActions) Close(int)                   {}
-func (*noActions) Changed(Record, State, bool) {}
-func (*noActions) Renew(string)                {}
+func (*noActions) Dial(string)                       {}
+func (a *noActions) Send(int, *Message)              { a.sent++ }
+func (*noActions) Close(int)                         {}
+func (*noActions) MemberChanged(Record, State, bool) {}
+func (*noActions) ReplaceIdentity(string)            {}
 
 // dialed notes whom a View dials.
 type dialed struct {
--- a/internal/decide/swim/view.go
+++ b/internal/decide/swim/view.go
@@ -265,7 +265,7 @@
 		}
 		v.touched = true
 		v.dirty = v.dirty || v.near(e)
-		v.do.Changed(e.Record, was, known)
+		v.do.MemberChanged(e.Record, was, known)
 	}
 }
 
@@ -406,7 +406,7 @@
 		v.quiet = true
 		v.hush()
 		v.alter(s, true, func() { s.Record, s.since = r, v.now })
-		v.do.Renew("others are told of an incarnation that this identity can't have")
+		v.do.ReplaceIdentity("others are told of an incarnation that this identity can't have")
 	case c > 0 && r.Version.BootID != s.Version.BootID:
 		// Another process has this identity, and a later state of it.
 		v.quiet = true
@@ -421,7 +421,7 @@
 		}
 		v.hush()
 		v.alter(s, true, func() { s.Record, s.since = r, v.now })
-		v.do.Renew(why)
+		v.do.ReplaceIdentity(why)
 	case c > 0 || c == 0 && (r.State == Suspect || r.State.IsDeadOrLeft() && !v.left):
 		v.alter(s, true, func() { s.Version.Incarnation = max(r.Version.Incarnation, s.Version.Incarnation) + 1 })
 		v.changed = v.now
--- a/internal/sim/membershipsim/crowd.go
+++ b/internal/sim/membershipsim/crowd.go
@@ -398,13 +398,13 @@
 	}
 }
 
-func (a actions) Changed(r swim.Record, was swim.State, known bool) {
+func (a actions) MemberChanged(r swim.Record, was swim.State, known bool) {
 	if a.n.c.Told != nil {
 		a.n.c.Told(a.n.c.Now(), a.n, r, was, known)
 	}
 }
 
-func (a actions) Renew(string) {
+func (a actions) ReplaceIdentity(string) {
 	n := a.n
 	n.id, n.generation = swim.ID(n.c.rng.Uint64()|1), 1
 	id, life := n.id, n.life
