--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -192,7 +192,7 @@
 		}
 	}
 	self := swim.Record{ID: f.state.ID, Version: version, Name: f.o.Sidecar, Address: f.o.Advertise, Durable: f.stored && f.owners != nil}
-	f.view = swim.New(f.net.Now(), self, swim.Settings{Join: f.o.Join, Replaceable: f.o.Replaceable, Seed: f.o.Rand.Uint64()}, actions{f})
+	f.view = swim.New(f.net.Now(), self, swim.Settings{Join: f.o.Join, HotRestart: f.o.Replaceable, Seed: f.o.Rand.Uint64()}, actions{f})
 	f.log.Info("looking for peers", "fleet", f.o.Name, "listen", f.o.Listen, "advertise", f.o.Advertise, "id", self.ID, "incarnation", version.Incarnation)
 	f.listen()
 	f.tick()
@@ -233,7 +233,7 @@
 		f.listen()
 	}
 	f.heed()
-	if f.view.Succeeded() && !f.hushed {
+	if f.view.IsReplaced() && !f.hushed {
 		f.log.Info("another process speaks for this sidecar")
 		f.hush()
 		f.shut()
@@ -293,7 +293,7 @@
 	case !ending || f.hushed || f.left || f.view == nil:
 	case succeeded: // another process speaks under this identity
 		f.hush()
-		f.view.Hush(f.net.Now())
+		f.view.Silence(f.net.Now())
 		f.shut()
 	case f.owners != nil && f.owners.leaving(f.net.Now()):
 	default:
@@ -407,7 +407,7 @@
 		f.answerAsker(l)
 		return false
 	}
-	if err := frames.Unpack(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || f.left || f.view.Quiet() {
+	if err := frames.Unpack(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || f.left || f.view.HasLostIdentity() {
 		if l.Address != "" { // Danger: a dial of which the decisions hear nothing is never made again
 			f.view.NotUp(f.net.Now(), l.Address)
 		}
@@ -519,7 +519,7 @@
 			f.owners.stop("the identity is given up")
 		}
 		f.anew(func() {
-			f.view.Become(f.net.Now(), f.state.ID, swim.Version{Incarnation: 1 << 32, BootID: f.drawn()}, f.stored && f.owners != nil)
+			f.view.AdoptIdentity(f.net.Now(), f.state.ID, swim.Version{Incarnation: 1 << 32, BootID: f.drawn()}, f.stored && f.owners != nil)
 			if f.owners == nil {
 				return
 			}
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -343,7 +343,7 @@
 func (a tenureActions) Renounce(why string) {
 	f := a.o.f
 	f.later(func() {
-		f.view.Renounce(f.net.Now())
+		f.view.RenounceIdentity(f.net.Now())
 		actions{f}.ReplaceIdentity(why)
 	})
 }
--- a/internal/coordination/seen.go
+++ b/internal/coordination/seen.go
@@ -47,7 +47,7 @@
 	}
 	rank, count := f.part.Now()
 	self := f.view.Self()
-	s = Seen{Fleet: f.o.Name, ID: self.ID.String(), Stored: f.stored, Quiet: f.view.Quiet() || f.hushed, Rank: rank, Count: count,
+	s = Seen{Fleet: f.o.Name, ID: self.ID.String(), Stored: f.stored, Quiet: f.view.HasLostIdentity() || f.hushed, Rank: rank, Count: count,
 		Live: f.view.Live(), Doubts: f.view.Health(), Sum: swim.ID(f.view.Digest()).String(), View: f.view.Figures(), Links: f.peers.Figures(), Panics: f.panics}
 	if f.owners != nil {
 		s.Owners = f.owners.seen()
--- a/internal/decide/swim/doc.go
+++ b/internal/decide/swim/doc.go
@@ -107,8 +107,8 @@
 type Settings struct {
 	Join []string // addresses to begin with
 	// Replaceable says that a process with the same identity and address is a successor, which speaks from now on.
-	Replaceable bool
-	Seed        uint64
+	HotRestart bool
+	Seed       uint64
 }
 
 // How members watch each other, in seconds where nothing else is said.
--- a/internal/decide/swim/links.go
+++ b/internal/decide/swim/links.go
@@ -196,7 +196,7 @@
 }
 
 // Renounce says that this identity goes, and nothing more under it. Become follows.
-func (v *View) Renounce(now float64) {
+func (v *View) RenounceIdentity(now float64) {
 	v.enter(now)
 	if v.quiet {
 		return
@@ -209,7 +209,7 @@
 }
 
 // Hush has the member say nothing any more, and nothing of itself: a successor speaks in its place.
-func (v *View) Hush(now float64) {
+func (v *View) Silence(now float64) {
 	v.enter(now)
 	if !v.quiet {
 		v.quiet = true
--- a/internal/decide/swim/view.go
+++ b/internal/decide/swim/view.go
@@ -117,7 +117,7 @@
 }
 
 // Become goes on under another identity.
-func (v *View) Become(now float64, id ID, version Version, keeps bool) {
+func (v *View) AdoptIdentity(now float64, id ID, version Version, keeps bool) {
 	v.enter(now)
 	next := Record{ID: id, Version: version, Name: v.name, Address: v.address, Durable: keeps}
 	v.self.due = math.Inf(1)
@@ -140,10 +140,10 @@
 func (v *View) Self() Record { return v.self.Record }
 
 // Quiet tells whether the identity is another process's now.
-func (v *View) Quiet() bool { return v.quiet }
+func (v *View) HasLostIdentity() bool { return v.quiet }
 
 // Succeeded tells whether another process has taken this one's place, under its identity and at its address.
-func (v *View) Succeeded() bool { return v.succeeded }
+func (v *View) IsReplaced() bool { return v.succeeded }
 
 // Figures returns the counts so far.
 func (v *View) Figures() Figures { return v.figures }
@@ -410,7 +410,7 @@
 	case c > 0 && r.Version.BootID != s.Version.BootID:
 		// Another process has this identity, and a later state of it.
 		v.quiet = true
-		if r.Address == s.Address && v.set.Replaceable {
+		if r.Address == s.Address && v.set.HotRestart {
 			v.succeeded = true
 			v.hush()
 			return
--- a/internal/sim/membershipsim/crowd.go
+++ b/internal/sim/membershipsim/crowd.go
@@ -409,5 +409,5 @@
 	n.id, n.generation = swim.ID(n.c.rng.Uint64()|1), 1
 	id, life := n.id, n.life
 	version := swim.Version{Incarnation: 1 << 32, BootID: n.c.rng.Uint64()}
-	n.c.At(n.c.Now()+0.01, func() { n.call(life, func() { n.View.Become(n.c.Now(), id, version, false) }) })
+	n.c.At(n.c.Now()+0.01, func() { n.call(life, func() { n.View.AdoptIdentity(n.c.Now(), id, version, false) }) })
 }
