--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -239,7 +239,7 @@
 		f.shut()
 	}
 	f.peers.Tick()
-	if now >= f.view.Next() {
+	if now >= f.view.NextTick() {
 		f.view.Tick(now)
 	}
 	rank, count := f.view.Part(swim.HoldS)
@@ -271,7 +271,7 @@
 // arm asks for the next call.
 func (f *Fleet) arm() {
 	now := f.net.Now()
-	next := f.view.Next()
+	next := f.view.NextTick()
 	if next <= now {
 		next = now + 0.25
 	}
@@ -409,7 +409,7 @@
 	}
 	if err := frames.Unpack(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || f.left || f.view.HasLostIdentity() {
 		if l.Address != "" { // Danger: a dial of which the decisions hear nothing is never made again
-			f.view.NotUp(f.net.Now(), l.Address)
+			f.view.DialFailed(f.net.Now(), l.Address)
 		}
 		return false
 	}
@@ -449,7 +449,7 @@
 // NotUp takes the end of a dial.
 func (f *Fleet) NotUp(address string, err error) {
 	f.log.Debug("a peer can't be reached", "address", address, "error", err)
-	f.enter(func() { f.view.NotUp(f.net.Now(), address) })
+	f.enter(func() { f.view.DialFailed(f.net.Now(), address) })
 }
 
 // Heard takes a frame. A topic that is not known here is a later version's, and skipped.
@@ -460,7 +460,7 @@
 		if err := frames.Unpack(body, &m); err != nil {
 			return err
 		}
-		f.view.Heard(f.net.Now(), l.Number, &m)
+		f.view.HandleMessage(f.net.Now(), l.Number, &m)
 	case frames.TopicOwner:
 		if o := f.owners; o != nil && o.t != nil && f.links[l.Number] == l {
 			var m lease.Message
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -278,7 +278,7 @@
 	f := a.o.f
 	f.later(func() {
 		if f.view != nil && !f.hushed {
-			f.view.Want(f.net.Now(), ids)
+			f.view.RequestLinks(f.net.Now(), ids)
 		}
 	})
 }
--- a/internal/decide/swim/links.go
+++ b/internal/decide/swim/links.go
@@ -100,7 +100,7 @@
 }
 
 // NotUp takes the end of a dial that came to nothing.
-func (v *View) NotUp(now float64, address string) {
+func (v *View) DialFailed(now float64, address string) {
 	v.enter(now)
 	v.dialed(address, 0)
 	v.settle()
@@ -149,7 +149,7 @@
 }
 
 // Heard takes a message.
-func (v *View) Heard(now float64, number int, m *Message) {
+func (v *View) HandleMessage(now float64, number int, m *Message) {
 	v.enter(now)
 	defer v.settle()
 	l := v.link(number)
--- a/internal/decide/swim/member_test.go
+++ b/internal/decide/swim/member_test.go
@@ -131,7 +131,7 @@
 		}
 		clear(do.heard)
 		do.link = breaks
-		do.v.Heard(100, 5, &Message{Records: []Record{hello(99).Self}})
+		do.v.HandleMessage(100, 5, &Message{Records: []Record{hello(99).Self}})
 		for number := 1; number <= 4; number++ {
 			assert.Positive(t, do.heard[number], "link %d, %d breaks", number, breaks)
 		}
@@ -151,13 +151,13 @@
 		m.Records = append(m.Records, hello(id).Self)
 	}
 	v.LinkUp(100, 1, "", hello(60))
-	v.Heard(100, 1, m)
+	v.HandleMessage(100, 1, m)
 	clear(do.all)
 	var ids []ID
 	for id := ID(2); id < 40; id++ {
 		ids = append(ids, id)
 	}
-	v.Want(100.1, ids)
+	v.RequestLinks(100.1, ids)
 	wanted := 0
 	for _, e := range v.all {
 		if e.wanted {
@@ -174,9 +174,9 @@
 	require.NotNil(t, v.byID[2].link, "a link that is asked for stays up")
 	dead := hello(3).Self
 	dead.State = Left
-	v.Heard(100.6, 1, &Message{Records: []Record{dead}})
+	v.HandleMessage(100.6, 1, &Message{Records: []Record{dead}})
 	assert.False(t, v.byID[3].wanted)
-	v.Want(100.7, nil)
+	v.RequestLinks(100.7, nil)
 	left := 0
 	for _, e := range v.all {
 		if e.wanted {
@@ -205,7 +205,7 @@
 				r.ID = ID(rapid.Uint64Range(0, 6).Draw(t, "id"))
 				v.LinkUp(now, number, "", Hello{Self: r})
 			case 2:
-				v.Want(now, []ID{ID(rapid.Uint64Range(0, 6).Draw(t, "wanted"))})
+				v.RequestLinks(now, []ID{ID(rapid.Uint64Range(0, 6).Draw(t, "wanted"))})
 				v.LinkDown(now, rapid.IntRange(2, number+1).Draw(t, "link"))
 			default:
 				m := &Message{Closing: rapid.IntRange(0, 9).Draw(t, "bye") == 0, BucketDigests: make([]uint64, rapid.SampledFrom([]int{0, 3, 64}).Draw(t, "sums"))}
@@ -215,7 +215,7 @@
 					r.Version.Incarnation = rapid.SampledFrom([]uint64{0, 1 << 32, 1<<32 + 1, 1 << 61, 1<<64 - 1}).Draw(t, "of")
 					m.Records = append(m.Records, r)
 				}
-				v.Heard(now, rapid.IntRange(1, number+1).Draw(t, "link"), m)
+				v.HandleMessage(now, rapid.IntRange(1, number+1).Draw(t, "link"), m)
 			}
 			rank, count := v.Part(HoldS)
 			require.Less(t, rank, count)
@@ -244,14 +244,14 @@
 	for id := ID(10); id < 10+newcomers+500; id++ {
 		m.Records = append(m.Records, record(id))
 	}
-	v.Heard(100.1, 2, m)
+	v.HandleMessage(100.1, 2, m)
 	require.Less(t, v.Live(), newcomers+10, "others alone tell of so many")
-	v.Heard(100.2, 1, m)
+	v.HandleMessage(100.2, 1, m)
 	require.Equal(t, 3+newcomers+500, v.Live())
-	v.Heard(100.3, 2, &Message{Records: []Record{record(5000)}})
+	v.HandleMessage(100.3, 2, &Message{Records: []Record{record(5000)}})
 	require.Equal(t, 4+newcomers+500, v.Live(), "a newcomer that another has heard of first")
 	for id := ID(10_000); id < 16_000; id++ {
-		v.Heard(100.4, 2, &Message{Records: []Record{record(id)}})
+		v.HandleMessage(100.4, 2, &Message{Records: []Record{record(id)}})
 	}
 	require.LessOrEqual(t, v.Live(), 3*(newcomers+510))
 }
--- a/internal/decide/swim/view.go
+++ b/internal/decide/swim/view.go
@@ -128,7 +128,7 @@
 
 // Want asks for links to these members, beside the neighbours on the rings and in place of what was asked for before; what is
 // beyond 16 is left out. Who is gone gets none until it lives again.
-func (v *View) Want(now float64, ids []ID) {
+func (v *View) RequestLinks(now float64, ids []ID) {
 	v.enter(now)
 	if ids = ids[:min(len(ids), mostAsked)]; !slices.Equal(ids, v.asked) {
 		v.asked, v.dirty = slices.Clone(ids), true
@@ -201,7 +201,7 @@
 func (v *View) Changes() uint64 { return v.changes }
 
 // Next returns when Tick is to be called.
-func (v *View) Next() float64 { return v.tickAt }
+func (v *View) NextTick() float64 { return v.tickAt }
 
 // --- What is known ---
 
--- a/internal/sim/membershipsim/crowd.go
+++ b/internal/sim/membershipsim/crowd.go
@@ -116,7 +116,7 @@
 func (n *Node) ID() swim.ID { return n.id }
 
 func (n *Node) ticks(life int) {
-	n.c.At(n.View.Next(), func() {
+	n.c.At(n.View.NextTick(), func() {
 		n.call(life, func() { n.View.Tick(n.c.Now()) })
 		if n.life == life && n.Up {
 			if n.Frozen {
@@ -246,7 +246,7 @@
 		n.waiting = append(n.waiting, func() { e.take(m) })
 	default:
 		if n.Calls++; !e.over {
-			n.View.Heard(n.c.Now(), e.number, m)
+			n.View.HandleMessage(n.c.Now(), e.number, m)
 		}
 	}
 }
@@ -270,7 +270,7 @@
 	case e.told:
 		n.View.LinkDown(n.c.Now(), e.number)
 	case e.address != "":
-		n.View.NotUp(n.c.Now(), e.address)
+		n.View.DialFailed(n.c.Now(), e.address)
 	}
 	e.ended = true
 }
@@ -288,7 +288,7 @@
 	n, c := a.n, a.n.c
 	life := n.life
 	fail := func(after float64) {
-		c.At(c.Now()+after, func() { n.call(life, func() { n.View.NotUp(c.Now(), address) }) })
+		c.At(c.Now()+after, func() { n.call(life, func() { n.View.DialFailed(c.Now(), address) }) })
 	}
 	to := c.at[address]
 	n.Sent += helloLen
