--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -318,7 +318,7 @@
 	}
 	r.asked = r.asked[:0]
 	for m := range r.o.f.view.Members {
-		if !m.State.IsDeadOrLeft() || m.State == swim.Dead && m.SinceS < missedS {
+		if !m.State.IsDeadOrLeft() || m.State == swim.Dead && m.StateAgeSeconds < missedS {
 			r.asked = append(r.asked, m.ID)
 		}
 	}
--- a/internal/coordination/seen.go
+++ b/internal/coordination/seen.go
@@ -19,7 +19,7 @@
 	Live    int           `json:"live"`
 	Doubts  int           `json:"doubts"` // that it has about itself
 	Sum     string        `json:"sum"`    // of what it holds of all; equal at those that agree
-	View    swim.Figures  `json:"view"`
+	View    swim.Stats    `json:"view"`
 	Links   peers.Figures `json:"peers"`
 	Panics  uint64        `json:"panics,omitempty"`
 	Owners  *SeenOwners   `json:"owners,omitempty"`
@@ -48,7 +48,7 @@
 	rank, count := f.part.Now()
 	self := f.view.Self()
 	s = Seen{Fleet: f.o.Name, ID: self.ID.String(), Stored: f.stored, Quiet: f.view.HasLostIdentity() || f.hushed, Rank: rank, Count: count,
-		Live: f.view.Live(), Doubts: f.view.Health(), Sum: swim.ID(f.view.Digest()).String(), View: f.view.Figures(), Links: f.peers.Figures(), Panics: f.panics}
+		Live: f.view.Live(), Doubts: f.view.HealthScore(), Sum: swim.ID(f.view.Digest()).String(), View: f.view.Stats(), Links: f.peers.Figures(), Panics: f.panics}
 	if f.owners != nil {
 		s.Owners = f.owners.seen()
 	}
@@ -58,7 +58,7 @@
 			continue
 		}
 		e := SeenMember{ID: m.ID.String(), Name: m.Name, Address: m.Address, State: m.State.String(), Incarnation: m.Version.Incarnation,
-			ForS: math.Round(10*m.SinceS) / 10, Linked: m.Linked, Watched: m.Watched}
+			ForS: math.Round(10*m.StateAgeSeconds) / 10, Linked: m.IsLinked, Watched: m.IsNeighbor}
 		for _, by := range m.Accusers {
 			e.By = append(e.By, by.String())
 		}
@@ -77,7 +77,7 @@
 	for m := range f.view.Members {
 		byState[m.State]++
 	}
-	v, l := f.view.Figures(), f.peers.Figures()
+	v, l := f.view.Stats(), f.peers.Figures()
 	figures := []sidecar.Figure{{Name: "peers_alive", Value: byState[swim.Alive]}, {Name: "peers_suspected", Value: byState[swim.Suspect]},
 		{Name: "peers_dead", Value: byState[swim.Dead]}, {Name: "peers_left", Value: byState[swim.Left]}, {Name: "peers_links", Value: uint64(l.Links)},
 		{Name: "peers_rank", Value: uint64(rank)}, {Name: "peers_count", Value: uint64(count)}, {Name: "peers_deaths", Value: v.Deaths},
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -662,7 +662,7 @@
 	}
 	w.asked = nil
 	for m := range w.o.f.view.Members {
-		w.asked = append(w.asked, maintenance.Member{ID: m.ID, Name: m.Name, Life: m.Version.BootID, State: m.State, SinceS: m.SinceS})
+		w.asked = append(w.asked, maintenance.Member{ID: m.ID, Name: m.Name, Life: m.Version.BootID, State: m.State, SinceS: m.StateAgeSeconds})
 	}
 	w.sum, w.by = w.own(now), now+workWithinS
 }
--- a/internal/decide/swim/view.go
+++ b/internal/decide/swim/view.go
@@ -88,16 +88,16 @@
 	succeeded     bool
 	news          []*entry
 	changes       uint64
-	figures       Figures
+	figures       Stats
 }
 
 // Figures count what a View has done.
-type Figures struct {
+type Stats struct {
 	Accusations uint64 `json:"accusations"` // made by this member
 	Refutations uint64 `json:"refutations"` // of what was said of it
 	Deaths      uint64 `json:"deaths"`      // declared by this member
 	Stalls      uint64 `json:"stalls"`      // times that it stood still
-	Refused     uint64 `json:"refused"`     // records that made no sense or had no room
+	Rejected    uint64 `json:"refused"`     // records that made no sense or had no room
 	Syncs       uint64 `json:"syncs"`       // comparisons of views that it began
 }
 
@@ -146,23 +146,23 @@
 func (v *View) IsReplaced() bool { return v.succeeded }
 
 // Figures returns the counts so far.
-func (v *View) Figures() Figures { return v.figures }
+func (v *View) Stats() Stats { return v.figures }
 
 // Health returns how many doubts the member has about itself.
-func (v *View) Health() int { return v.health }
+func (v *View) HealthScore() int { return v.health }
 
 // Seen is what is held of a member, for who asks.
-type Seen struct {
+type MemberStatus struct {
 	Record
-	SinceS  float64 // for how long the state has held
-	Linked  bool
-	Watched bool // a neighbour on a ring, or asked for: its silence is noticed, however long there is no link
+	StateAgeSeconds float64 // for how long the state has held
+	IsLinked        bool
+	IsNeighbor      bool // a neighbour on a ring, or asked for: its silence is noticed, however long there is no link
 }
 
 // Members calls yield for all members that are known, by their IDs.
-func (v *View) Members(yield func(Seen) bool) {
+func (v *View) Members(yield func(MemberStatus) bool) {
 	for _, e := range v.all {
-		if !yield(Seen{Record: e.Record, SinceS: v.now - e.since, Linked: e.link != nil, Watched: e.wanted}) {
+		if !yield(MemberStatus{Record: e.Record, StateAgeSeconds: v.now - e.since, IsLinked: e.link != nil, IsNeighbor: e.wanted}) {
 			return
 		}
 	}
@@ -312,7 +312,7 @@
 // hear takes a record that came by a link.
 func (v *View) hear(r Record, from int) {
 	if !sane(&r) {
-		v.figures.Refused++
+		v.figures.Rejected++
 		return
 	}
 	e := v.byID[r.ID]
@@ -327,7 +327,7 @@
 	}
 	if e == nil {
 		if r.State.IsDeadOrLeft() && r.AgeSeconds > forgetS-edgeS || !v.admit(from) || len(v.all) >= mostKnown && !v.forgetOne() {
-			v.figures.Refused++
+			v.figures.Rejected++
 			return
 		}
 		e = &entry{Record: r, since: v.now - r.AgeSeconds, heard: v.now}
@@ -621,7 +621,7 @@
 // differing tells a neighbour what is held otherwise here, and asks for what it holds.
 func (v *View) differing(l *link, theirs []uint64) {
 	if len(theirs) != buckets {
-		v.figures.Refused++
+		v.figures.Rejected++
 		return
 	}
 	mask := uint64(0)
--- a/internal/decide/swim/wire_form_test.go
+++ b/internal/decide/swim/wire_form_test.go
@@ -56,14 +56,14 @@
 
 // What the admin endpoint tells of the counts keeps its form.
 func TestFiguresForm(t *testing.T) {
-	value := Figures{Accusations: 1, Refutations: 2, Deaths: 3, Stalls: 4, Refused: 5, Syncs: 6}
+	value := Stats{Accusations: 1, Refutations: 2, Deaths: 3, Stalls: 4, Rejected: 5, Syncs: 6}
 	requireComplete(t, "figures", reflect.ValueOf(value))
 	golden, err := os.ReadFile(filepath.Join("testdata", "wire", "figures.json"))
 	require.NoError(t, err)
 	encoded, err := json.MarshalIndent(value, "", "\t")
 	require.NoError(t, err)
 	assert.Equal(t, string(golden), string(encoded)+"\n")
-	var decoded Figures
+	var decoded Stats
 	require.NoError(t, json.Unmarshal(golden, &decoded))
 	assert.Equal(t, value, decoded)
 }
