--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -69,7 +69,7 @@
 	port   int
 	peers  *peers.Peers
 	view   *swim.View
-	part   swim.Part
+	part   swim.StableRank
 	links  map[int]*peers.Link     // looked up, never walked
 	byID   map[swim.ID]*peers.Link // the same
 	up     []*peers.Link           // the same, in the order in which they came up
@@ -94,7 +94,7 @@
 
 // New returns a fleet that has not begun. What is saved is taken over first; where it can't be, the process is a new one.
 func New(o Options) (*Fleet, error) {
-	f := &Fleet{o: o, net: o.Net, log: o.Log.With("part", "fleet"), links: map[int]*peers.Link{}, byID: map[swim.ID]*peers.Link{}, part: swim.NewPart(o.Self, o.Replicas)}
+	f := &Fleet{o: o, net: o.Net, log: o.Log.With("part", "fleet"), links: map[int]*peers.Link{}, byID: map[swim.ID]*peers.Link{}, part: swim.NewStableRank(o.Self, o.Replicas)}
 	if f.o.Advertise == "" {
 		f.o.Advertise = o.Listen
 	}
@@ -242,14 +242,14 @@
 	if now >= f.view.NextTick() {
 		f.view.Tick(now)
 	}
-	rank, count := f.view.Part(swim.HoldS)
+	rank, count := f.view.Rank(swim.DeadHoldSeconds)
 	if f.hushed || f.left {
 		rank, count = 0, 1
 	}
 	if f.part.Update(now, rank, count) {
-		rank, count = f.part.Now()
-		f.log.Info("place in the fleet", "rank", rank, "of", count, "live", f.view.Live())
-		if !f.part.Told() {
+		rank, count = f.part.Current()
+		f.log.Info("place in the fleet", "rank", rank, "of", count, "live", f.view.LiveCount())
+		if !f.part.IsConfigured() {
 			rank = begins(rank, count)
 		}
 		f.o.Told.TakePlace(rank, count)
--- a/internal/coordination/seen.go
+++ b/internal/coordination/seen.go
@@ -45,10 +45,10 @@
 	if f.view == nil {
 		return Seen{Fleet: f.o.Name}
 	}
-	rank, count := f.part.Now()
+	rank, count := f.part.Current()
 	self := f.view.Self()
 	s = Seen{Fleet: f.o.Name, ID: self.ID.String(), Stored: f.stored, Quiet: f.view.HasLostIdentity() || f.hushed, Rank: rank, Count: count,
-		Live: f.view.Live(), Doubts: f.view.HealthScore(), Sum: swim.ID(f.view.Digest()).String(), View: f.view.Stats(), Links: f.peers.Figures(), Panics: f.panics}
+		Live: f.view.LiveCount(), Doubts: f.view.HealthScore(), Sum: swim.ID(f.view.Digest()).String(), View: f.view.Stats(), Links: f.peers.Figures(), Panics: f.panics}
 	if f.owners != nil {
 		s.Owners = f.owners.seen()
 	}
@@ -72,7 +72,7 @@
 	if f.view == nil {
 		return nil
 	}
-	rank, count := f.part.Now()
+	rank, count := f.part.Current()
 	byState := [swim.Left + 1]uint64{}
 	for m := range f.view.Members {
 		byState[m.State]++
--- a/internal/decide/swim/links.go
+++ b/internal/decide/swim/links.go
@@ -283,7 +283,7 @@
 		}
 	}
 	if suspected > 0 {
-		live = v.Live()
+		live = v.LiveCount()
 	}
 	return suspected, live
 }
@@ -504,7 +504,7 @@
 	if v.now < v.healAt {
 		return
 	}
-	live := v.Live()
+	live := v.LiveCount()
 	v.healAt = v.now + max(1, float64(live)/healPart)*(0.5+v.rng.Float64())
 	var addresses []string
 	dead := slices.DeleteFunc(slices.Clone(v.gone), func(e *entry) bool { return e.State != Dead || e.Address == v.address })
--- a/internal/decide/swim/member_test.go
+++ b/internal/decide/swim/member_test.go
@@ -42,7 +42,7 @@
 // A place follows late: one that comes and goes moves nothing, a lasting change does, one that goes on changing does in the end,
 // and who sees nobody goes by the settings.
 func TestPart(t *testing.T) {
-	p := NewPart(4, 5)
+	p := NewStableRank(4, 5)
 	now := 100.0
 	see := func(rank, count int, forS float64) (moves int) {
 		for end := now + forS; now < end; now += 0.25 {
@@ -54,14 +54,14 @@
 	}
 	place := func(rank, count int) {
 		t.Helper()
-		r, c := p.Now()
+		r, c := p.Current()
 		assert.Equal(t, [2]int{rank, count}, [2]int{r, c})
 	}
 	place(4, 5)
 	assert.Zero(t, see(0, 1, 30), "alone")
-	assert.True(t, p.Told())
+	assert.True(t, p.IsConfigured())
 	assert.Equal(t, 1, see(4, 5, 10), "a rank is another thing than the settings' number")
-	assert.False(t, p.Told())
+	assert.False(t, p.IsConfigured())
 	for range 20 {
 		assert.Zero(t, see(3, 5, 1)+see(4, 5, 1))
 	}
@@ -76,9 +76,9 @@
 	place(7, 100)
 	see(0, 1, 5)
 	place(4, 5)
-	assert.True(t, p.Told())
+	assert.True(t, p.IsConfigured())
 	see(1_000_003, 2_000_000, 5)
-	r, c := p.Now()
+	r, c := p.Current()
 	assert.Equal(t, 5*farOff, c, "no count is believed that is far from what was planned")
 	assert.Less(t, r, c)
 }
@@ -217,7 +217,7 @@
 				}
 				v.HandleMessage(now, rapid.IntRange(1, number+1).Draw(t, "link"), m)
 			}
-			rank, count := v.Part(HoldS)
+			rank, count := v.Rank(DeadHoldSeconds)
 			require.Less(t, rank, count)
 			require.Less(t, v.Self().Version.Incarnation, uint64(1)<<62)
 			seen, last := 0, ID(0)
@@ -245,13 +245,13 @@
 		m.Records = append(m.Records, record(id))
 	}
 	v.HandleMessage(100.1, 2, m)
-	require.Less(t, v.Live(), newcomers+10, "others alone tell of so many")
+	require.Less(t, v.LiveCount(), newcomers+10, "others alone tell of so many")
 	v.HandleMessage(100.2, 1, m)
-	require.Equal(t, 3+newcomers+500, v.Live())
+	require.Equal(t, 3+newcomers+500, v.LiveCount())
 	v.HandleMessage(100.3, 2, &Message{Records: []Record{record(5000)}})
-	require.Equal(t, 4+newcomers+500, v.Live(), "a newcomer that another has heard of first")
+	require.Equal(t, 4+newcomers+500, v.LiveCount(), "a newcomer that another has heard of first")
 	for id := ID(10_000); id < 16_000; id++ {
 		v.HandleMessage(100.4, 2, &Message{Records: []Record{record(id)}})
 	}
-	require.LessOrEqual(t, v.Live(), 3*(newcomers+510))
+	require.LessOrEqual(t, v.LiveCount(), 3*(newcomers+510))
 }
--- a/internal/decide/swim/part.go
+++ b/internal/decide/swim/part.go
@@ -2,11 +2,11 @@
 
 // Part is a sidecar's place in its fleet as its decisions are told it. It follows the live count late: a rank or a count
 // moves the subset, and with it links and what is known of hosts.
-type Part struct {
-	Self, Replicas int // by the settings; they hold where nobody else is heard
-	now, next      spot
-	since, first   float64 // of next, and of the first that differed
-	on             bool
+type StableRank struct {
+	ConfiguredRank, ConfiguredCount int // by the settings; they hold where nobody else is heard
+	now, next                       spot
+	since, first                    float64 // of next, and of the first that differed
+	on                              bool
 }
 
 type spot struct {
@@ -21,27 +21,27 @@
 )
 
 // HoldS is how long one that has died still counts.
-const HoldS = 8.0
+const DeadHoldSeconds = 8.0
 
 // NewPart returns the place that the settings tell.
-func NewPart(self, replicas int) Part {
-	return Part{Self: self, Replicas: replicas, now: spot{self, max(replicas, 1), true}}
+func NewStableRank(self, replicas int) StableRank {
+	return StableRank{ConfiguredRank: self, ConfiguredCount: replicas, now: spot{self, max(replicas, 1), true}}
 }
 
 // Now returns the place that is in force.
-func (p *Part) Now() (rank, count int) { return p.now.rank, p.now.count }
+func (p *StableRank) Current() (rank, count int) { return p.now.rank, p.now.count }
 
 // Told tells whether that is the settings' number among so many, and no rank among those that live.
-func (p *Part) Told() bool { return p.now.told }
+func (p *StableRank) IsConfigured() bool { return p.now.told }
 
 // Update takes what is seen now, and tells whether another place is in force from here on. Who sees nobody else is cut off
 // and goes by its settings.
-func (p *Part) Update(now float64, rank, count int) bool {
+func (p *StableRank) Update(now float64, rank, count int) bool {
 	alone := count <= 1
 	if alone {
-		rank, count = p.Self, max(p.Replicas, 1)
+		rank, count = p.ConfiguredRank, max(p.ConfiguredCount, 1)
 	}
-	told := max(p.Replicas, 1)
+	told := max(p.ConfiguredCount, 1)
 	if bounded := min(max(count, (told+farOff-1)/farOff), told*farOff); bounded != count {
 		rank, count = rank%bounded, bounded
 	}
--- a/internal/decide/swim/view.go
+++ b/internal/decide/swim/view.go
@@ -170,7 +170,7 @@
 
 // Part returns this member's place among those that live, and how many these are. One that died counts for a while still:
 // one that comes and goes is to move nothing.
-func (v *View) Part(holdS float64) (rank, count int) {
+func (v *View) Rank(holdS float64) (rank, count int) {
 	rank, _ = v.place(v.self.ID)
 	count = len(v.all)
 	for _, e := range v.gone {
@@ -184,7 +184,7 @@
 }
 
 // Live returns how many members live, this one included.
-func (v *View) Live() int {
+func (v *View) LiveCount() int {
 	n := len(v.all)
 	for _, e := range v.gone {
 		if e.State.IsDeadOrLeft() {
--- a/internal/sim/membershipsim/agree.go
+++ b/internal/sim/membershipsim/agree.go
@@ -46,7 +46,7 @@
 		if live != up {
 			say("s%d knows %d that live, of %d", n.Number, live, up)
 		}
-		rank, _ := n.View.Part(0)
+		rank, _ := n.View.Rank(0)
 		if other, twice := ranks[rank]; twice {
 			say("s%d and s%d both have rank %d", other, n.Number, rank)
 		}
