--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -47,9 +47,9 @@
 		}
 		return nil
 	}
-	box := func(c *maintenance.Command, args []string) error { c.Box = args[0]; return nil }
+	box := func(c *maintenance.Command, args []string) error { c.Server = args[0]; return nil }
 	ended := func(c *maintenance.Command, args []string) (err error) {
-		if c.Box = args[0]; len(args) > 2 {
+		if c.Server = args[0]; len(args) > 2 {
 			c.Why = args[2]
 		}
 		c.Token, err = readToken(args[1])
@@ -102,7 +102,7 @@
 	for _, list := range []struct {
 		what string
 		all  []string
-	}{{"boxes", s.Boxes}, {"sites", s.Sites}, {"types", s.Types}} {
+	}{{"boxes", s.Servers}, {"sites", s.Sites}, {"types", s.Types}} {
 		if len(list.all) > 0 {
 			of = append(of, list.what+" "+strings.Join(list.all, " "))
 		}
@@ -159,17 +159,17 @@
 		return fmt.Errorf("%w: %s", errDoor, r.Err)
 	case c.Bool("json"):
 		return nil
-	case w.Kind == maintenance.Take && r.Box == "":
+	case w.Kind == maintenance.Take && r.Server == "":
 		_, err = fmt.Fprintln(c.Root().Writer, strings.TrimSpace("- "+r.Text))
 	case w.Kind == maintenance.Take:
-		_, err = fmt.Fprintf(c.Root().Writer, "%s %s\n", r.Box, tokenText(r.Token))
+		_, err = fmt.Fprintf(c.Root().Writer, "%s %s\n", r.Server, tokenText(r.Token))
 	default:
 		text := string(w.Kind)
 		if r.Plan != 0 {
 			text += fmt.Sprintf(": plan %d", r.Plan)
 		}
-		if w.Box != "" {
-			text += ": " + w.Box
+		if w.Server != "" {
+			text += ": " + w.Server
 		}
 		if r.Text != "" {
 			text += ": " + r.Text
@@ -235,7 +235,7 @@
 	waits := func(plan uint64, box string) string {
 		var all []string
 		for _, w := range s.Waits {
-			if w.Plan == plan && w.Box == box {
+			if w.Plan == plan && w.Server == box {
 				text := w.Why
 				if len(w.Who) > 0 {
 					text += ": " + strings.Join(w.Who, " ")
@@ -247,7 +247,7 @@
 	}
 	for i := range s.Plans {
 		p := &s.Plans[i]
-		for _, b := range p.Boxes {
+		for _, b := range p.Servers {
 			token, why := "", waits(p.Number, b.Name)
 			if b.Token != 0 {
 				token = tokenText(b.Token)
@@ -273,10 +273,10 @@
 	for i := range s.Plans {
 		p := &s.Plans[i]
 		count := map[maintenance.Stage]int{}
-		for _, b := range p.Boxes {
+		for _, b := range p.Servers {
 			count[b.Stage]++
 		}
-		text := fmt.Sprintf("plan %d, %s: %d of %d done", p.Number, p.Spec.Name, count[maintenance.Done], len(p.Boxes))
+		text := fmt.Sprintf("plan %d, %s: %d of %d done", p.Number, p.Spec.Name, count[maintenance.Done], len(p.Servers))
 		for _, more := range []struct {
 			on   bool
 			text string
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -235,9 +235,9 @@
 }
 
 // stage returns how far the work on a box has come, by the latest plan that has it.
-func stage(s *coordination.SeenWorks, b *box) (found maintenance.Box) {
+func stage(s *coordination.SeenWorks, b *box) (found maintenance.Server) {
 	for _, p := range s.Plans {
-		for _, k := range p.Boxes {
+		for _, k := range p.Servers {
 			if k.Name == b.name {
 				found = k
 			}
@@ -247,7 +247,7 @@
 }
 
 // comes waits until a box has come to a stage, by the latest word.
-func (y *yard) comes(b *box, to ...maintenance.Stage) (found maintenance.Box) {
+func (y *yard) comes(b *box, to ...maintenance.Stage) (found maintenance.Server) {
 	y.Helper()
 	y.poll(fmt.Sprintf("%s comes to %v", b.name, to), func() bool {
 		s := y.newest()
@@ -270,7 +270,7 @@
 		s := y.newest()
 		last = fmt.Sprint(s.Waits)
 		return slices.ContainsFunc(s.Waits, func(w maintenance.Wait) bool {
-			return w.Box == b.name && strings.Contains(w.Why, why) && (who == "" || slices.Contains(w.Who, who))
+			return w.Server == b.name && strings.Contains(w.Why, why) && (who == "" || slices.Contains(w.Who, who))
 		})
 	})
 }
@@ -465,7 +465,7 @@
 	assert.Empty(t, y.records())
 	y.board.Set(processcluster.Rule{}, ways...)
 	p := y.ended()
-	assert.Equal(t, maintenance.Done, p.Boxes[0].Stage)
+	assert.Equal(t, maintenance.Done, p.Servers[0].Stage)
 	assert.Len(t, y.records(), 1)
 	y.serving()
 }
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -34,7 +34,7 @@
 	b.release()
 	y.waits(b, "not heard to have stopped sending there", dead[0].name)
 	assert.Empty(t, y.records())
-	assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
+	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 	y.serving()
 }
 
@@ -71,7 +71,7 @@
 	}
 	s := y.newest()
 	require.Equal(t, maintenance.Taken, stage(&s, b).Stage, "they have all been back before the work had ended")
-	assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
+	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 	y.serving()
 }
 
@@ -105,7 +105,7 @@
 			})
 			assert.Empty(t, y.records())
 			b.release()
-			assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
+			assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 			y.serving()
 		})
 	}
@@ -162,7 +162,7 @@
 			ends()
 			y.mechanic("anna", nil)
 			p := y.ended()
-			assert.False(t, slices.ContainsFunc(p.Boxes, func(b maintenance.Box) bool { return b.Stage != maintenance.Done }), "%+v", p.Boxes)
+			assert.False(t, slices.ContainsFunc(p.Servers, func(b maintenance.Server) bool { return b.Stage != maintenance.Done }), "%+v", p.Servers)
 			assert.Len(t, y.records(), 4)
 			y.serving()
 		})
@@ -191,7 +191,7 @@
 	assert.Equal(t, []string{b.name}, s.Hand)
 	assert.Empty(t, y.records())
 	said("OFFLINE")
-	assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
+	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 	ours := func() (n int) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -229,7 +229,7 @@
 	assert.Contains(t, out, "not known whether it was done")
 	y.poll("who is not heard is named", func() bool {
 		s, _ := left[0].works()
-		return slices.ContainsFunc(s.Waits, func(w maintenance.Wait) bool { return w.Box == "" && slices.Equal(w.Who, names(right)) })
+		return slices.ContainsFunc(s.Waits, func(w maintenance.Wait) bool { return w.Server == "" && slices.Equal(w.Who, names(right)) })
 	})
 	assert.Equal(t, 3, y.counts()[maintenance.Waiting])
 	y.board.Set(processcluster.Rule{}, ways...)
@@ -265,7 +265,7 @@
 	assert.Len(t, s.Out, 1)
 	close(long)
 	p := y.ended()
-	for _, k := range p.Boxes {
+	for _, k := range p.Servers {
 		if k.Stage != maintenance.Done {
 			assert.Equal(t, "the plan was aborted by an operator", k.Why)
 		}
@@ -292,7 +292,7 @@
 	y.poll("it is late", func() bool { s := y.newest(); return stage(&s, y.boxes[0]).Late })
 	assert.Equal(t, maintenance.Taken, y.comes(y.boxes[0], maintenance.Taken).Stage)
 	again := y.runs(anna)
-	assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
+	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 	again()
 	assert.Zero(t, anna.Refused())
 	for _, r := range y.records() {
@@ -303,8 +303,8 @@
 	bob, stop := y.mechanic("bob", slow)
 	y.plan(owner, "name = \"second\"\ntakes = \"1s\"\nlate = \"2s\"\nwhen_late = \"give-up\"", y.boxes[1])
 	p := y.ended()
-	assert.Equal(t, maintenance.Lost, p.Boxes[0].Stage)
-	assert.Equal(t, "bob had it for longer than 2 s", p.Boxes[0].Why)
+	assert.Equal(t, maintenance.Lost, p.Servers[0].Stage)
+	assert.Equal(t, "bob had it for longer than 2 s", p.Servers[0].Why)
 	y.poll("his word came too late", func() bool { r := bob.Records(); return len(r) == 1 && len(r[0].Said) == 2 })
 	assert.Contains(t, bob.Records()[0].Said[0], "is not worked on under")
 	stop()
@@ -326,7 +326,7 @@
 	y.waits(b, "has something out there", owner.name)
 	y.mechanic("carl", nil)
 	assert.Contains(t, y.work(y.all[0], "force", b.name), "past "+owner.name)
-	last := y.ended().Boxes[0]
+	last := y.ended().Servers[0]
 	assert.Equal(t, []string{owner.name}, last.Forced)
 	assert.Equal(t, maintenance.Done, last.Stage)
 	b.release()
@@ -368,7 +368,7 @@
 			y.poll("they serve by it", func() bool { return y.all[0].asked.Load() > asked+100 })
 			assert.Zero(t, moved.got(), "it is out wherever it is listed")
 			close(over)
-			assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
+			assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 			y.registry.publish(b.entry(), false)
 			was := b.got()
 			y.poll("it serves again", func() bool { return b.got() > was })
@@ -503,6 +503,6 @@
 	y.ready(y.all...)
 	out()
 	close(over)
-	assert.Equal(t, maintenance.Done, y.ended().Boxes[0].Stage)
+	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 	y.serving()
 }
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -198,7 +198,7 @@
 			y.stood = append(y.stood, standing{old, from, time.Now()})
 			old.thaw()
 			p := y.ended()
-			for _, b := range p.Boxes {
+			for _, b := range p.Servers {
 				assert.Equal(t, maintenance.Done, b.Stage, b.Name)
 			}
 			y.poll("the old one knows", func() bool {
@@ -220,7 +220,7 @@
 func (y *yard) counts() map[maintenance.Stage]int {
 	count := map[maintenance.Stage]int{}
 	if s := y.newest(); len(s.Plans) > 0 {
-		for _, b := range s.Plans[len(s.Plans)-1].Boxes {
+		for _, b := range s.Plans[len(s.Plans)-1].Servers {
 			count[b.Stage]++
 		}
 	}
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -266,7 +266,7 @@
 }
 
 func (w *worker) heardAgreed(now float64, from *peers.Link, a *agreedWord) {
-	if a.Owner != "" && len(a.Owner) <= 64 && len(a.Waits) <= 2*maintenance.MostBoxes && len(a.Ages) <= maintenance.MostPlans {
+	if a.Owner != "" && len(a.Owner) <= 64 && len(a.Waits) <= 2*maintenance.MaxServers && len(a.Ages) <= maintenance.MostPlans {
 		w.owner, w.waits, w.wordAt, w.ages, w.agesAt = a.Owner, a.Waits, now, a.Ages, now
 	}
 	switch {
@@ -318,14 +318,14 @@
 	settle := map[string]float64{}
 	for i := range w.state.Plans {
 		p := &w.state.Plans[i]
-		for _, b := range p.Boxes {
+		for _, b := range p.Servers {
 			if b.Stage.Out() {
 				settle[b.Name] = max(settle[b.Name], p.Spec.Settle())
 			}
 		}
 	}
 	for _, b := range w.to.Boxes() {
-		seen := maintenance.Seen{Box: b.Name, Site: b.Site, Type: b.Type, Size: b.Size, Listed: one(b.Listed), Draining: one(b.Draining), Hand: one(b.Hand),
+		seen := maintenance.Seen{Server: b.Name, Site: b.Site, Type: b.Type, Size: b.Size, Listed: one(b.Listed), Draining: one(b.Draining), Hand: one(b.Hand),
 			Cold: one(b.Cold), Silent: one(b.Silent), Out: b.Out, Busy: b.Busy}
 		if was, known := w.boxEnded[b.Name]; known {
 			seen.PerS = float64(b.Ended-was) / spanS
@@ -333,7 +333,7 @@
 		w.boxEnded[b.Name] = b.Ended
 		s.Seen = append(s.Seen, seen)
 		if settleS, out := settle[b.Name]; out && (b.Kept || b.Out > 0 || now-w.outAt[b.Name] < settleS) {
-			s.Open = append(s.Open, maintenance.Open{Box: b.Name, ID: f.state.ID, Hand: b.Kept, N: b.Out})
+			s.Open = append(s.Open, maintenance.Open{Server: b.Name, ID: f.state.ID, Hand: b.Kept, N: b.Out})
 		}
 	}
 	return s
@@ -523,8 +523,8 @@
 // renumbered returns a state as the first version of another founding.
 func renumbered(s maintenance.State) []byte {
 	for i := range s.Plans {
-		for j := range s.Plans[i].Boxes {
-			if b := &s.Plans[i].Boxes[j]; b.Since > 0 {
+		for j := range s.Plans[i].Servers {
+			if b := &s.Plans[i].Servers[j]; b.Since > 0 {
 				b.Since = 1
 			}
 		}
@@ -627,7 +627,7 @@
 func emptied(was, is *maintenance.State) bool {
 	ready := func(s *maintenance.State) (n int) {
 		for i := range s.Plans {
-			for _, b := range s.Plans[i].Boxes {
+			for _, b := range s.Plans[i].Servers {
 				n += one(b.Stage == maintenance.Ready)
 			}
 		}
--- a/internal/decide/maintenance/commands.go
+++ b/internal/decide/maintenance/commands.go
@@ -36,7 +36,7 @@
 
 // Check tells what is wrong with a command by itself; nil: nothing is.
 func (c *Command) Check() error {
-	if len(c.Box) > mostNameLen || len(c.Mechanic) > mostNameLen {
+	if len(c.Server) > mostNameLen || len(c.Mechanic) > mostNameLen {
 		return fmt.Errorf("box, mechanic: a name has at most %d bytes", mostNameLen)
 	}
 	switch c.Kind {
@@ -47,7 +47,7 @@
 		return c.Spec.Check()
 	case Pause, Resume, Abort:
 	case Skip, Force, Finish, Fail:
-		if c.Box == "" {
+		if c.Server == "" {
 			return errors.New("box: none is named")
 		}
 		if c.Token == 0 && (c.Kind == Finish || c.Kind == Fail) {
@@ -108,7 +108,7 @@
 func (c *Coordinator) give(s *State, q *Command, r *Reply) (bool, error) {
 	for i := range s.Plans {
 		if p := &s.Plans[i]; q.Nonce != 0 && p.Nonce == q.Nonce {
-			r.Plan, r.Text = p.Number, fmt.Sprintf("%d boxes", len(p.Boxes))
+			r.Plan, r.Text = p.Number, fmt.Sprintf("%d boxes", len(p.Servers))
 			return false, nil
 		}
 	}
@@ -126,21 +126,21 @@
 		if p.Ended {
 			continue
 		}
-		all += len(p.Boxes)
+		all += len(p.Servers)
 		for _, b := range boxes {
-			if j := slices.IndexFunc(p.Boxes, func(o Box) bool { return o.Name == b.Name }); j >= 0 {
+			if j := slices.IndexFunc(p.Servers, func(o Server) bool { return o.Name == b.Name }); j >= 0 {
 				return false, fmt.Errorf("boxes: %s is of plan %d (%s), which has not ended", b.Name, p.Number, p.Spec.Name)
 			}
 		}
 	}
-	if all > MostBoxes {
-		return false, fmt.Errorf("boxes: %d with those of plans that have not ended, at most %d", all, MostBoxes)
+	if all > MaxServers {
+		return false, fmt.Errorf("boxes: %d with those of plans that have not ended, at most %d", all, MaxServers)
 	}
 	if err := c.fleet.keeps(boxes, q.Spec.Keep); err != nil {
 		return false, err
 	}
-	p := Plan{Number: s.Last + 1, Nonce: q.Nonce, Spec: *q.Spec, Boxes: boxes}
-	p.Spec.Boxes = nil // they are in Boxes
+	p := Plan{Number: s.Last + 1, Nonce: q.Nonce, Spec: *q.Spec, Servers: boxes}
+	p.Spec.Servers = nil // they are in Boxes
 	s.Last = p.Number
 	s.Plans = append(s.Plans, p)
 	if !s.trim() {
@@ -162,7 +162,7 @@
 		room := MostBytes
 		for i := range s.Plans {
 			if p := &s.Plans[i]; !p.Ended {
-				room -= growth * len(p.Boxes)
+				room -= growth * len(p.Servers)
 			}
 		}
 		b, err := s.Encode()
@@ -170,7 +170,7 @@
 			return true
 		}
 		i := slices.IndexFunc(s.Plans, func(p Plan) bool {
-			return p.Ended && !slices.ContainsFunc(p.Boxes, func(b Box) bool { return b.Stage == Lost })
+			return p.Ended && !slices.ContainsFunc(p.Servers, func(b Server) bool { return b.Stage == Lost })
 		})
 		if i < 0 {
 			return false
@@ -225,8 +225,8 @@
 	default:
 		p.Aborted = true
 	}
-	for i := range p.Boxes {
-		switch b := &p.Boxes[i]; {
+	for i := range p.Servers {
+		switch b := &p.Servers[i]; {
 		case b.Stage > Ready || b.Stage == Waiting && q.Kind == Pause:
 		case q.Kind == Pause:
 			c.move(b, Waiting, "")
@@ -240,17 +240,17 @@
 // single skips or forces a box.
 func (c *Coordinator) single(s *State, q *Command, r *Reply) (changed bool, err error) {
 	// Danger: a box may be of an ended plan, which has lost it, and of one that goes on, which has it wait.
-	p, b := s.find(q, func(p *Plan, _ *Box) bool { return !p.Ended })
+	p, b := s.find(q, func(p *Plan, _ *Server) bool { return !p.Ended })
 	if b == nil {
-		p, b = s.find(q, func(_ *Plan, b *Box) bool { return b.Stage == Lost })
+		p, b = s.find(q, func(_ *Plan, b *Server) bool { return b.Stage == Lost })
 	}
 	if b == nil {
-		p, b = s.find(q, func(*Plan, *Box) bool { return true })
+		p, b = s.find(q, func(*Plan, *Server) bool { return true })
 	}
 	if b == nil {
-		return false, fmt.Errorf("box: %s is of no plan", q.Box)
+		return false, fmt.Errorf("box: %s is of no plan", q.Server)
 	}
-	r.Plan, r.Box = p.Number, b.Name
+	r.Plan, r.Server = p.Number, b.Name
 	who := cmp.Or(q.Mechanic, "an operator")
 	if q.Kind == Force {
 		return c.force(p, b, who, r)
@@ -272,14 +272,14 @@
 	return true, nil
 }
 
-func (s *State) find(q *Command, ok func(*Plan, *Box) bool) (*Plan, *Box) {
+func (s *State) find(q *Command, ok func(*Plan, *Server) bool) (*Plan, *Server) {
 	for i := len(s.Plans) - 1; i >= 0; i-- {
 		p := &s.Plans[i]
 		if q.Plan != 0 && p.Number != q.Plan {
 			continue
 		}
-		for j := range p.Boxes {
-			if b := &p.Boxes[j]; b.Name == q.Box && ok(p, b) {
+		for j := range p.Servers {
+			if b := &p.Servers[j]; b.Name == q.Server && ok(p, b) {
 				return p, b
 			}
 		}
@@ -288,7 +288,7 @@
 }
 
 // force has a box be ready, whoever has not said that it is empty, and keeps who that was.
-func (c *Coordinator) force(p *Plan, b *Box, who string, r *Reply) (changed bool, err error) {
+func (c *Coordinator) force(p *Plan, b *Server, who string, r *Reply) (changed bool, err error) {
 	if b.Stage != Leaving && b.Stage != Ready {
 		return false, fmt.Errorf("box: %s is not being emptied", b.Name)
 	}
@@ -322,13 +322,13 @@
 	var why []string
 	for i := range s.Plans {
 		p := &s.Plans[i]
-		for j := range p.Boxes {
-			if b := &p.Boxes[j]; !p.Ended && b.Stage == Taken && b.Mechanic == q.Mechanic {
+		for j := range p.Servers {
+			if b := &p.Servers[j]; !p.Ended && b.Stage == Taken && b.Mechanic == q.Mechanic {
 				if inUse := c.takenInUse(b); inUse != "" {
 					r.Text = b.Name + ": " + inUse
 					return false
 				}
-				r.Plan, r.Box, r.Token = p.Number, b.Name, b.Token
+				r.Plan, r.Server, r.Token = p.Number, b.Name, b.Token
 				return true
 			}
 		}
@@ -339,8 +339,8 @@
 			continue
 		}
 		t := c.planTime(p.Number)
-		for j := range p.Boxes {
-			b := &p.Boxes[j]
+		for j := range p.Servers {
+			b := &p.Servers[j]
 			if b.Stage != Ready {
 				continue
 			}
@@ -355,7 +355,7 @@
 			forced := b.Why
 			c.move(b, Taken, forced)
 			b.Token, b.Mechanic = c.agreed.Epoch<<40|c.version(), q.Mechanic
-			r.Plan, r.Box, r.Token = p.Number, b.Name, b.Token
+			r.Plan, r.Server, r.Token = p.Number, b.Name, b.Token
 			r.Text = forced
 			return true
 		}
@@ -366,11 +366,11 @@
 
 // finish takes that the work on a box has ended, well or not.
 func (c *Coordinator) finish(s *State, q *Command, r *Reply) (changed bool, err error) {
-	p, b := s.find(q, func(_ *Plan, b *Box) bool { return b.Token == q.Token })
+	p, b := s.find(q, func(_ *Plan, b *Server) bool { return b.Token == q.Token })
 	if b == nil {
-		return false, fmt.Errorf("token: nobody works on %s under %d", q.Box, q.Token)
+		return false, fmt.Errorf("token: nobody works on %s under %d", q.Server, q.Token)
 	}
-	r.Plan, r.Box = p.Number, b.Name
+	r.Plan, r.Server = p.Number, b.Name
 	switch {
 	case b.Stage == Taken && q.Kind == Finish:
 		c.move(b, Cold, b.Why)
@@ -379,7 +379,7 @@
 	case q.Kind == Finish && (b.Stage == Cold || b.Stage == Done), q.Kind == Fail && b.Stage == Lost:
 		return false, nil
 	default:
-		return false, fmt.Errorf("token: %s is not worked on under %d any more: %s", q.Box, q.Token, cmp.Or(b.Why, "it has ended"))
+		return false, fmt.Errorf("token: %s is not worked on under %d any more: %s", q.Server, q.Token, cmp.Or(b.Why, "it has ended"))
 	}
 	return true, nil
 }
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -143,7 +143,7 @@
 func (s *State) clone() *State {
 	n := &State{Last: s.Last, Plans: slices.Clone(s.Plans)}
 	for i := range n.Plans {
-		n.Plans[i].Boxes = slices.Clone(n.Plans[i].Boxes)
+		n.Plans[i].Servers = slices.Clone(n.Plans[i].Servers)
 	}
 	return n
 }
@@ -159,7 +159,7 @@
 			t = *known
 		}
 		plans = append(plans, t)
-		for _, b := range p.Boxes {
+		for _, b := range p.Servers {
 			n := boxTime{plan: p.Number, box: b.Name, stage: b.Stage, since: b.Since, banned: b.Since, at: c.now}
 			if k := c.boxTime(p.Number, b.Name); k != nil {
 				if k.stage == b.Stage && k.since == b.Since {
@@ -313,7 +313,7 @@
 func (c *Coordinator) version() uint64 { return c.agreed.Version + 1 }
 
 // move has a box come to a stage. Past whom it was forced stays on record, unless it is given back and has its turn again.
-func (c *Coordinator) move(b *Box, to Stage, why string) {
+func (c *Coordinator) move(b *Server, to Stage, why string) {
 	b.Stage, b.Since, b.Why = to, c.version(), clip(why, mostTextLen)
 	if to == Waiting {
 		b.Forced = nil
@@ -329,8 +329,8 @@
 	over := p.Spec.EndInS > 0 && t.age(c.now) > p.Spec.EndInS
 	bad := t.badAt != 0 && c.now-t.badAt >= badS && c.fresh() != nil
 	out, backed := false, false
-	for i := range p.Boxes {
-		b := &p.Boxes[i]
+	for i := range p.Servers {
+		b := &p.Servers[i]
 		known := c.boxTime(p.Number, b.Name)
 		fresh := known != nil && known.stage == b.Stage && known.since == b.Since // it was not changed by a command just now
 		was := b.Stage
@@ -357,14 +357,14 @@
 		t.shy, t.calmAt = true, 0
 	}
 	if !out && over {
-		for i := range p.Boxes {
-			if b := &p.Boxes[i]; b.Stage == Waiting {
+		for i := range p.Servers {
+			if b := &p.Servers[i]; b.Stage == Waiting {
 				c.move(b, Skipped, "the plan's time was over before it was its turn")
 				changed = true
 			}
 		}
 	}
-	if !slices.ContainsFunc(p.Boxes, func(b Box) bool { return b.Stage < Done }) {
+	if !slices.ContainsFunc(p.Servers, func(b Server) bool { return b.Stage < Done }) {
 		p.Ended = true
 		return true, false
 	}
@@ -386,8 +386,8 @@
 func (c *Coordinator) freeLost(s *State, by *Plan, box string) {
 	for i := range s.Plans {
 		if p := &s.Plans[i]; p.Number != by.Number {
-			for j := range p.Boxes {
-				if b := &p.Boxes[j]; b.Name == box && b.Stage == Lost {
+			for j := range p.Servers {
+				if b := &p.Servers[j]; b.Name == box && b.Stage == Lost {
 					c.move(b, Skipped, clip(fmt.Sprintf("plan %d has it; %s", by.Number, b.Why), mostTextLen))
 				}
 			}
@@ -444,7 +444,7 @@
 			continue
 		}
 		at = min(at, c.now+1)
-		for _, b := range p.Boxes {
+		for _, b := range p.Servers {
 			if b.Stage == Cold {
 				at = min(at, c.boxTime(p.Number, b.Name).at+p.Spec.coldS(c.set.ColdS))
 			}
@@ -462,9 +462,9 @@
 		}
 		t := c.planTime(p.Number)
 		waiting := false
-		for j := range p.Boxes {
-			b := &p.Boxes[j]
-			w := Wait{Plan: p.Number, Box: b.Name}
+		for j := range p.Servers {
+			b := &p.Servers[j]
+			w := Wait{Plan: p.Number, Server: b.Name}
 			switch b.Stage {
 			case Waiting:
 				waiting = true
--- a/internal/decide/maintenance/doc.go
+++ b/internal/decide/maintenance/doc.go
@@ -28,7 +28,7 @@
 // Spec is a plan as an operator gives it. Times are in seconds.
 type Spec struct {
 	Name     string   `msgpack:"n" json:"name"`
-	Boxes    []string `msgpack:"b,omitempty" json:"boxes,omitempty"` // by name
+	Servers  []string `msgpack:"b,omitempty" json:"boxes,omitempty"` // by name
 	Sites    []string `msgpack:"s,omitempty" json:"sites,omitempty"` // all boxes of these sites, if Types are given of these types alone
 	Types    []string `msgpack:"y,omitempty" json:"types,omitempty"`
 	TakesS   float64  `msgpack:"t" json:"takes_s"`                           // the work on one box
@@ -47,7 +47,7 @@
 }
 
 // Box is a box of a plan.
-type Box struct {
+type Server struct {
 	Name     string   `msgpack:"n" json:"box"`
 	Site     string   `msgpack:"s,omitempty" json:"site,omitempty"`
 	Stage    Stage    `msgpack:"g,omitempty" json:"stage"`
@@ -61,15 +61,15 @@
 
 // Plan is a plan that is or was carried out.
 type Plan struct {
-	Number  uint64  `msgpack:"n" json:"plan"`
-	Nonce   uint64  `msgpack:"o" json:"-"` // of the command that gave it: one that comes twice is the same
-	Spec    Spec    `msgpack:"s" json:"spec"`
-	Paused  string  `msgpack:"p,omitempty" json:"paused,omitempty"` // by whom; empty: it goes on
-	Aborted bool    `msgpack:"a,omitempty" json:"aborted,omitempty"`
-	Own     float64 `msgpack:"w,omitempty" json:"refused_before,omitempty"` // part that the fleet refused before the first box left; 0: none has
-	Ended   bool    `msgpack:"e,omitempty" json:"ended,omitempty"`          // nothing of it is out any more, nothing is to leave
-	AgeS    float64 `msgpack:"t,omitempty" json:"age_s"`                    // since it was given, by the clocks that ran since
-	Boxes   []Box   `msgpack:"b" json:"boxes"`
+	Number  uint64   `msgpack:"n" json:"plan"`
+	Nonce   uint64   `msgpack:"o" json:"-"` // of the command that gave it: one that comes twice is the same
+	Spec    Spec     `msgpack:"s" json:"spec"`
+	Paused  string   `msgpack:"p,omitempty" json:"paused,omitempty"` // by whom; empty: it goes on
+	Aborted bool     `msgpack:"a,omitempty" json:"aborted,omitempty"`
+	Own     float64  `msgpack:"w,omitempty" json:"refused_before,omitempty"` // part that the fleet refused before the first box left; 0: none has
+	Ended   bool     `msgpack:"e,omitempty" json:"ended,omitempty"`          // nothing of it is out any more, nothing is to leave
+	AgeS    float64  `msgpack:"t,omitempty" json:"age_s"`                    // since it was given, by the clocks that ran since
+	Servers []Server `msgpack:"b" json:"boxes"`
 }
 
 // State is what is agreed. Its version is that of the record that holds it.
@@ -91,7 +91,7 @@
 	Kind     Kind   `msgpack:"k" json:"kind"`
 	Spec     *Spec  `msgpack:"s,omitempty" json:"spec,omitempty"`     // Give
 	Plan     uint64 `msgpack:"p,omitempty" json:"plan,omitempty"`     // Pause, Resume, Abort; 0: the only one that has not ended
-	Box      string `msgpack:"b,omitempty" json:"box,omitempty"`      // Skip, Force, Finish, Fail
+	Server   string `msgpack:"b,omitempty" json:"box,omitempty"`      // Skip, Force, Finish, Fail
 	Token    uint64 `msgpack:"t,omitempty" json:"token,omitempty"`    // Finish, Fail
 	Mechanic string `msgpack:"m,omitempty" json:"mechanic,omitempty"` // Take; who says so elsewhere
 	Why      string `msgpack:"w,omitempty" json:"why,omitempty"`      // Fail
@@ -115,12 +115,12 @@
 
 // Reply is the answer to a command.
 type Reply struct {
-	Nonce uint64 `msgpack:"n" json:"-"`
-	Err   string `msgpack:"e,omitempty" json:"error,omitempty"` // empty: it was done, and is agreed
-	Plan  uint64 `msgpack:"p,omitempty" json:"plan,omitempty"`
-	Box   string `msgpack:"b,omitempty" json:"box,omitempty"` // of Take; empty: there is none at the moment
-	Token uint64 `msgpack:"t,omitempty" json:"token,omitempty"`
-	Text  string `msgpack:"x,omitempty" json:"text,omitempty"`
+	Nonce  uint64 `msgpack:"n" json:"-"`
+	Err    string `msgpack:"e,omitempty" json:"error,omitempty"` // empty: it was done, and is agreed
+	Plan   uint64 `msgpack:"p,omitempty" json:"plan,omitempty"`
+	Server string `msgpack:"b,omitempty" json:"box,omitempty"` // of Take; empty: there is none at the moment
+	Token  uint64 `msgpack:"t,omitempty" json:"token,omitempty"`
+	Text   string `msgpack:"x,omitempty" json:"text,omitempty"`
 }
 
 // From is one sidecar that has spoken.
@@ -132,15 +132,15 @@
 
 // Open says that a sidecar does not hold a box for empty.
 type Open struct {
-	Box  string  `msgpack:"b"`
-	ID   swim.ID `msgpack:"d"`
-	Hand bool    `msgpack:"h,omitempty"` // it was given back there by hand: it is in use
-	N    int     `msgpack:"n,omitempty"` // executions that are out; 0: the ban has held there for less than SettleS
+	Server string  `msgpack:"b"`
+	ID     swim.ID `msgpack:"d"`
+	Hand   bool    `msgpack:"h,omitempty"` // it was given back there by hand: it is in use
+	N      int     `msgpack:"n,omitempty"` // executions that are out; 0: the ban has held there for less than SettleS
 }
 
 // Seen is what sidecars say of a box, summed.
 type Seen struct {
-	Box      string  `msgpack:"b"`
+	Server   string  `msgpack:"b"`
 	Site     string  `msgpack:"s,omitempty"`
 	Type     string  `msgpack:"y,omitempty"`
 	Size     float64 `msgpack:"z,omitempty"` // as listed; 0: not told. Of sums the greatest
@@ -182,15 +182,15 @@
 
 // Wait says what a box or a plan waits for.
 type Wait struct {
-	Plan uint64   `msgpack:"p" json:"plan"`
-	Box  string   `msgpack:"b,omitempty" json:"box,omitempty"`
-	Why  string   `msgpack:"w" json:"why"`
-	Who  []string `msgpack:"o,omitempty" json:"who,omitempty"` // names of sidecars, at most ten
+	Plan   uint64   `msgpack:"p" json:"plan"`
+	Server string   `msgpack:"b,omitempty" json:"box,omitempty"`
+	Why    string   `msgpack:"w" json:"why"`
+	Who    []string `msgpack:"o,omitempty" json:"who,omitempty"` // names of sidecars, at most ten
 }
 
 // Bounds of what is agreed. Danger: it is one entry of the electors' log and goes over links in one frame.
 const (
-	MostBoxes = 250 // of all plans that have not ended
-	MostPlans = 16  // with those that have ended
-	MostBytes = 40 << 10
+	MaxServers = 250 // of all plans that have not ended
+	MostPlans  = 16  // with those that have ended
+	MostBytes  = 40 << 10
 )
--- a/internal/decide/maintenance/empty.go
+++ b/internal/decide/maintenance/empty.go
@@ -30,7 +30,7 @@
 
 // occupied tells who does not hold a box for empty, and why it is not known to be; without a why it is. Danger: silence is no
 // consent, of nobody who may still send; and a process that began anew knows nothing of what the one before it has said.
-func (c *Coordinator) occupied(p *Plan, b *Box) (who []string, why string) {
+func (c *Coordinator) occupied(p *Plan, b *Server) (who []string, why string) {
 	round := c.fresh()
 	if round == nil || len(round.Members) == 0 {
 		return nil, notHeard
@@ -43,7 +43,7 @@
 	var open []string
 	hand := false
 	for i := range round.Sum.Open {
-		if o := &round.Sum.Open[i]; o.Box == b.Name {
+		if o := &round.Sum.Open[i]; o.Server == b.Name {
 			open = append(open, name(round, o.ID))
 			hand = hand || o.Hand
 		}
@@ -68,7 +68,7 @@
 // takenInUse tells why the mechanic who has a box is not told of it again; empty: it is. Danger: its hand-over may have been agreed
 // after everybody had given up on it (the owner lost its majority, which returned with it), so that the mechanic never heard of it and an
 // operator has put the box back in use since.
-func (c *Coordinator) takenInUse(b *Box) string {
+func (c *Coordinator) takenInUse(b *Server) string {
 	if c.fresh() == nil {
 		return notHeard
 	}
@@ -85,7 +85,7 @@
 		return nil
 	}
 	for i := range round.Sum.Open {
-		if o := &round.Sum.Open[i]; o.Box == box && o.Hand {
+		if o := &round.Sum.Open[i]; o.Server == box && o.Hand {
 			who = append(who, name(round, o.ID))
 		}
 	}
--- a/internal/decide/maintenance/encode.go
+++ b/internal/decide/maintenance/encode.go
@@ -54,7 +54,7 @@
 // Out calls yield with each box that nothing new may be sent to, and the version since which.
 func (s *State) Out(yield func(box string, since uint64) bool) {
 	for i := range s.Plans {
-		for _, b := range s.Plans[i].Boxes {
+		for _, b := range s.Plans[i].Servers {
 			if b.Stage.Out() && !yield(b.Name, b.Since) {
 				return
 			}
--- a/internal/decide/maintenance/order.go
+++ b/internal/decide/maintenance/order.go
@@ -81,7 +81,7 @@
 		b.Listed = 0
 	}
 	for _, s := range r.Sum.Seen {
-		i, known := slices.BinarySearchFunc(f.boxes, s.Box, func(b *seenBox, name string) int { return cmp.Compare(b.Box, name) })
+		i, known := slices.BinarySearchFunc(f.boxes, s.Server, func(b *seenBox, name string) int { return cmp.Compare(b.Server, name) })
 		if !known {
 			f.boxes = slices.Insert(f.boxes, i, &seenBox{lastAt: now})
 		}
@@ -119,7 +119,7 @@
 }
 
 func (f *fleet) box(name string) *seenBox {
-	i, known := slices.BinarySearchFunc(f.boxes, name, func(b *seenBox, name string) int { return cmp.Compare(b.Box, name) })
+	i, known := slices.BinarySearchFunc(f.boxes, name, func(b *seenBox, name string) int { return cmp.Compare(b.Server, name) })
 	if !known {
 		return nil
 	}
@@ -142,7 +142,7 @@
 }
 
 // keeps tells whether each box of a plan can leave at all beside the part that must stay.
-func (f *fleet) keeps(boxes []Box, keep float64) error {
+func (f *fleet) keeps(boxes []Server, keep float64) error {
 	total := 0.0
 	for _, b := range f.boxes {
 		total += f.weight(b)
@@ -180,7 +180,7 @@
 	all, gone := map[string]int{}, map[string]int{}
 	for _, b := range f.boxes {
 		all[b.Site]++
-		if _, ours := out[b.Box]; !ours && b.silentAt != 0 && f.now-b.silentAt < lostS {
+		if _, ours := out[b.Server]; !ours && b.silentAt != 0 && f.now-b.silentAt < lostS {
 			gone[b.Site]++
 		}
 	}
@@ -196,7 +196,7 @@
 func (s *State) outs() map[string]Stage {
 	out := map[string]Stage{}
 	for i := range s.Plans {
-		for _, b := range s.Plans[i].Boxes {
+		for _, b := range s.Plans[i].Servers {
 			if b.Stage.Out() || b.Stage == Cold {
 				out[b.Name] = b.Stage
 			}
@@ -211,7 +211,7 @@
 	for _, b := range f.boxes {
 		w := f.weight(b)
 		total += w
-		if _, gone := out[b.Box]; !gone && b.Box != less && !b.missing() {
+		if _, gone := out[b.Server]; !gone && b.Server != less && !b.missing() {
 			left += w
 		}
 	}
@@ -268,8 +268,8 @@
 		return fmt.Sprintf("%d boxes are cold by themselves, and the fleet refuses %.3f by itself", n, c.byItself(p))
 	}
 	out := s.outs()
-	for i := range p.Boxes {
-		if b := &p.Boxes[i]; b.Stage == Waiting && s.ofSite(b.Site) < p.Spec.bySite() {
+	for i := range p.Servers {
+		if b := &p.Servers[i]; b.Stage == Waiting && s.ofSite(b.Site) < p.Spec.bySite() {
 			return fmt.Sprintf("without %s %.2f of the capacity would serve, %.2f must", b.Name, c.fleet.staying(out, b.Name),
 				c.fleet.need(p.Spec.Keep, noRise))
 		}
@@ -280,7 +280,7 @@
 // ofSite counts boxes of a site that are out or come back, by any plan.
 func (s *State) ofSite(site string) (n int) {
 	for i := range s.Plans {
-		for _, b := range s.Plans[i].Boxes {
+		for _, b := range s.Plans[i].Servers {
 			if b.Site == site && b.Stage >= Leaving && b.Stage <= Cold {
 				n++
 			}
@@ -301,7 +301,7 @@
 		}
 	}
 	for _, b := range c.fleet.boxes {
-		if _, ours := out[b.Box]; !ours && b.coldSince != 0 && c.now-b.coldSince < coldMostS && !b.missing() {
+		if _, ours := out[b.Server]; !ours && b.coldSince != 0 && c.now-b.coldSince < coldMostS && !b.missing() {
 			n++
 		}
 	}
@@ -309,23 +309,23 @@
 }
 
 // choose returns the box of a plan that leaves next; nil: none can now.
-func (c *Coordinator) choose(s *State, p *Plan) *Box {
+func (c *Coordinator) choose(s *State, p *Plan) *Server {
 	if n := c.away(s); n >= p.Spec.AtOnce || n > 0 && c.edge(p) {
 		return nil
 	}
 	out := s.outs()
 	left := map[string]int{} // that wait, by site
 	waiting := 0
-	for i := range p.Boxes {
-		if b := &p.Boxes[i]; b.Stage == Waiting {
+	for i := range p.Servers {
+		if b := &p.Servers[i]; b.Stage == Waiting {
 			left[b.Site]++
 			waiting++
 		}
 	}
 	need := c.fleet.need(p.Spec.Keep, noRise)
 	var best *candidate
-	for i := range p.Boxes {
-		b := &p.Boxes[i]
+	for i := range p.Servers {
+		b := &p.Servers[i]
 		if b.Stage != Waiting || s.ofSite(b.Site) >= p.Spec.bySite() {
 			continue
 		}
@@ -354,7 +354,7 @@
 }
 
 type candidate struct {
-	box   *Box
+	box   *Server
 	place int     // in the plan
 	left  int     // boxes that wait at its site
 	hurt  float64 // below 0: it does not serve as it is
@@ -395,7 +395,7 @@
 	var site, siteOut, kind, kindOut, load float64
 	for _, o := range f.boxes {
 		w := f.weight(o)
-		_, gone := out[o.Box]
+		_, gone := out[o.Server]
 		gone = gone || o.missing() || o == b
 		load += o.PerS
 		if o.Site == b.Site {
--- a/internal/decide/maintenance/own.go
+++ b/internal/decide/maintenance/own.go
@@ -96,8 +96,8 @@
 // busy tells whether a box is out by any plan, or comes back. One that was lost is the fleet's as it is.
 func (s *State) busy() bool {
 	for i := range s.Plans {
-		for j := range s.Plans[i].Boxes {
-			if g := s.Plans[i].Boxes[j].Stage; g >= Leaving && g <= Cold {
+		for j := range s.Plans[i].Servers {
+			if g := s.Plans[i].Servers[j].Stage; g >= Leaving && g <= Cold {
 				return true
 			}
 		}
--- a/internal/decide/maintenance/own_test.go
+++ b/internal/decide/maintenance/own_test.go
@@ -22,9 +22,9 @@
 			d.do(Command{Kind: Take, Mechanic: "m"})
 		}
 		for _, p := range d.agreed.State.Plans {
-			for _, b := range p.Boxes {
+			for _, b := range p.Servers {
 				if b.Stage == Taken {
-					d.do(Command{Kind: Finish, Box: b.Name, Token: b.Token, Mechanic: b.Mechanic})
+					d.do(Command{Kind: Finish, Server: b.Name, Token: b.Token, Mechanic: b.Mechanic})
 				}
 			}
 		}
@@ -92,7 +92,7 @@
 	for range 100 {
 		d.round.Sum.Open = nil
 		for _, b := range d.round.Sum.Seen { // a request stays out everywhere
-			d.round.Sum.Open = append(d.round.Sum.Open, Open{Box: b.Box, ID: 1, N: 1})
+			d.round.Sum.Open = append(d.round.Sum.Open, Open{Server: b.Server, ID: 1, N: 1})
 		}
 		if d.play(0.5); d.stages()[Leaving] == 1 {
 			break
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -27,7 +27,7 @@
 	for i := range h.agreed.State.Plans {
 		p := &h.agreed.State.Plans[i]
 		out, sites := 0, map[string]int{}
-		for _, b := range p.Boxes {
+		for _, b := range p.Servers {
 			key := fmt.Sprint(p.Number, " ", b.Name)
 			before := h.now[key]
 			h.now[key] = b.Stage
@@ -56,7 +56,7 @@
 		for site, n := range sites {
 			require.LessOrEqual(h.t, n, p.Spec.bySite(), site)
 		}
-		require.Equal(h.t, p.Ended, !slices.ContainsFunc(p.Boxes, func(b Box) bool { return b.Stage < Done }), "a plan has ended when all its boxes have")
+		require.Equal(h.t, p.Ended, !slices.ContainsFunc(p.Servers, func(b Server) bool { return b.Stage < Done }), "a plan has ended when all its boxes have")
 	}
 	for i := range was.Plans {
 		if p := &was.Plans[i]; !p.Ended {
@@ -74,7 +74,7 @@
 		require.False(h.t, h.mute[m.ID] || m.State.IsDeadOrLeft(), "%s was handed over, and %s may send there", box, m.Name)
 	}
 	for _, o := range h.round.Sum.Open {
-		require.NotEqual(h.t, box, o.Box, "it was handed over with something out")
+		require.NotEqual(h.t, box, o.Server, "it was handed over with something out")
 	}
 }
 
@@ -135,7 +135,7 @@
 		h := &history{desk: newDesk(t, rapid.IntRange(1, 4).Draw(t, "sidecars"), rapid.IntRange(1, 3).Draw(t, "sites"), 3), t: t, now: map[string]Stage{}}
 		boxes := []string{}
 		for _, b := range h.round.Sum.Seen {
-			boxes = append(boxes, b.Box)
+			boxes = append(boxes, b.Server)
 		}
 		part := rapid.IntRange(0, 9)
 		for range rapid.IntRange(50, 250).Draw(t, "rounds") {
@@ -144,7 +144,7 @@
 			h.round.Sum.Open, h.round.Sum.Refused = nil, 0
 			clear(h.mute)
 			if part.Draw(t, "open") == 0 {
-				h.round.Sum.Open = []Open{{Box: rapid.SampledFrom(boxes).Draw(t, "box"), ID: 1, N: rapid.IntRange(0, 2).Draw(t, "out")}}
+				h.round.Sum.Open = []Open{{Server: rapid.SampledFrom(boxes).Draw(t, "box"), ID: 1, N: rapid.IntRange(0, 2).Draw(t, "out")}}
 			}
 			if part.Draw(t, "mute") == 0 {
 				h.mute[rapid.SampledFrom(h.round.Members).Draw(t, "who").ID] = true
@@ -179,16 +179,16 @@
 			h.desk.now += 1
 			h.hear()
 			for _, p := range h.agreed.State.Plans {
-				for _, b := range p.Boxes {
+				for _, b := range p.Servers {
 					switch {
 					case p.Paused != "" && !p.Aborted && !p.Ended:
 						h.give(Command{Kind: Resume, Plan: p.Number})
 					case b.Stage == Ready:
 						h.give(Command{Kind: Take, Mechanic: "last"})
 					case b.Stage == Taken:
-						h.give(Command{Kind: Finish, Box: b.Name, Token: b.Token})
+						h.give(Command{Kind: Finish, Server: b.Name, Token: b.Token})
 					case b.Stage == Lost:
-						h.give(Command{Kind: Skip, Box: b.Name, Plan: p.Number})
+						h.give(Command{Kind: Skip, Server: b.Name, Plan: p.Number})
 					}
 				}
 			}
@@ -208,16 +208,16 @@
 // command gives one that may make sense.
 func (h *history) command(boxes []string) {
 	c := Command{Kind: rapid.SampledFrom([]Kind{Give, Give, Take, Take, Take, Finish, Finish, Fail, Pause, Resume, Skip, Force, Abort}).Draw(h.t, "kind"),
-		Box: rapid.SampledFrom(boxes).Draw(h.t, "box"), Mechanic: rapid.SampledFrom([]string{"m", "n"}).Draw(h.t, "mechanic"), Token: 1}
+		Server: rapid.SampledFrom(boxes).Draw(h.t, "box"), Mechanic: rapid.SampledFrom([]string{"m", "n"}).Draw(h.t, "mechanic"), Token: 1}
 	for _, p := range h.agreed.State.Plans {
-		for _, b := range p.Boxes {
+		for _, b := range p.Servers {
 			if b.Stage == Taken && b.Mechanic == c.Mechanic {
-				c.Box, c.Token = b.Name, b.Token
+				c.Server, c.Token = b.Name, b.Token
 			}
 		}
 	}
 	if c.Kind == Give {
-		s := Spec{Name: "drawn", Boxes: rapid.SliceOfNDistinct(rapid.SampledFrom(boxes), 1, len(boxes), rapid.ID[string]).Draw(h.t, "boxes"),
+		s := Spec{Name: "drawn", Servers: rapid.SliceOfNDistinct(rapid.SampledFrom(boxes), 1, len(boxes), rapid.ID[string]).Draw(h.t, "boxes"),
 			TakesS: rapid.Float64Range(1, 60).Draw(h.t, "takes"), AtOnce: rapid.IntRange(1, 4).Draw(h.t, "at once"), BySite: rapid.IntRange(0, 2).Draw(h.t, "by site"),
 			Keep: rapid.Float64Range(0, 0.6).Draw(h.t, "keep"), GiveUp: rapid.Bool().Draw(h.t, "give up"), ColdS: rapid.Float64Range(1, 20).Draw(h.t, "cold")}
 		c.Spec = &s
@@ -227,7 +227,7 @@
 
 // What comes from a disk or over a link may be anything, and what is read is written as the same again.
 func FuzzDecode(f *testing.F) {
-	s := State{Last: 2, Plans: []Plan{{Number: 2, Spec: *spec(), Boxes: []Box{{Name: "b", Site: "s", Stage: Taken, Since: 4, Token: 5, Forced: []string{"n"}}}}}}
+	s := State{Last: 2, Plans: []Plan{{Number: 2, Spec: *spec(), Servers: []Server{{Name: "b", Site: "s", Stage: Taken, Since: 4, Token: 5, Forced: []string{"n"}}}}}}
 	body, err := s.Encode()
 	require.NoError(f, err)
 	f.Add(body)
@@ -256,20 +256,20 @@
 	for field, s := range map[string]Spec{
 		"name":       {},
 		"boxes":      {Name: "p", TakesS: 1, AtOnce: 1},
-		"takes_s":    {Name: "p", Boxes: []string{"b"}, AtOnce: 1, TakesS: nan},
-		"late_s":     {Name: "p", Boxes: []string{"b"}, AtOnce: 1, TakesS: 9, LateS: 8},
-		"at_once":    {Name: "p", Boxes: []string{"b"}, TakesS: 1},
-		"keep":       {Name: "p", Boxes: []string{"b"}, TakesS: 1, AtOnce: 1, Keep: nan},
-		"refusing":   {Name: "p", Boxes: []string{"b"}, TakesS: 1, AtOnce: 1, Refusing: 2},
-		"end_in_s":   {Name: "p", Boxes: []string{"b"}, TakesS: 1, AtOnce: 1, StartInS: 5, EndInS: 4},
-		"by_site":    {Name: "p", Boxes: []string{"b"}, TakesS: 1, AtOnce: 1, BySite: -1},
-		"start_in_s": {Name: "p", Boxes: []string{"b"}, TakesS: 1, AtOnce: 1, StartInS: -1},
+		"takes_s":    {Name: "p", Servers: []string{"b"}, AtOnce: 1, TakesS: nan},
+		"late_s":     {Name: "p", Servers: []string{"b"}, AtOnce: 1, TakesS: 9, LateS: 8},
+		"at_once":    {Name: "p", Servers: []string{"b"}, TakesS: 1},
+		"keep":       {Name: "p", Servers: []string{"b"}, TakesS: 1, AtOnce: 1, Keep: nan},
+		"refusing":   {Name: "p", Servers: []string{"b"}, TakesS: 1, AtOnce: 1, Refusing: 2},
+		"end_in_s":   {Name: "p", Servers: []string{"b"}, TakesS: 1, AtOnce: 1, StartInS: 5, EndInS: 4},
+		"by_site":    {Name: "p", Servers: []string{"b"}, TakesS: 1, AtOnce: 1, BySite: -1},
+		"start_in_s": {Name: "p", Servers: []string{"b"}, TakesS: 1, AtOnce: 1, StartInS: -1},
 	} {
 		assert.ErrorContains(t, s.Check(), field+":")
 	}
 	d := newDesk(t, 2, 2, 2)
 	for why, change := range map[string]func(s *Spec){
-		`boxes: no sidecar has "nowhere"`:      func(s *Spec) { s.Boxes = []string{"nowhere"} },
+		`boxes: no sidecar has "nowhere"`:      func(s *Spec) { s.Servers = []string{"nowhere"} },
 		`sites: no sidecar has "nowhere"`:      func(s *Spec) { s.Sites = []string{"nowhere"} },
 		`types: no sidecar has "other"`:        func(s *Spec) { s.Types = []string{"other"} },
 		"keep: without b00 0.75 of the capaci": func(s *Spec) { s.Keep = 0.8 },
@@ -290,7 +290,7 @@
 	require.Empty(t, d.do(Command{Kind: Give, Spec: s}).Err)
 	d.play(30)
 	require.Equal(t, 2, d.stages()[Ready])
-	require.NotEmpty(t, d.do(Command{Kind: Take, Mechanic: "m"}).Box)
+	require.NotEmpty(t, d.do(Command{Kind: Take, Mechanic: "m"}).Server)
 	d.round.Sum.PerS *= 2
 	d.play(10)
 	assert.Equal(t, 1, d.stages()[Taken])
--- a/internal/decide/maintenance/spec.go
+++ b/internal/decide/maintenance/spec.go
@@ -36,14 +36,14 @@
 	switch {
 	case s.Name == "" || len(s.Name) > mostNameLen:
 		return fmt.Errorf("name: it must have 1 to %d bytes", mostNameLen)
-	case len(s.Boxes)+len(s.Sites)+len(s.Types) == 0:
+	case len(s.Servers)+len(s.Sites)+len(s.Types) == 0:
 		return errors.New("boxes: neither boxes nor sites nor types are named")
-	case len(s.Boxes) > MostBoxes || len(s.Sites) > MostBoxes || len(s.Types) > MostBoxes:
-		return fmt.Errorf("boxes: at most %d are named", MostBoxes)
-	case s.AtOnce < 1 || s.AtOnce > MostBoxes:
-		return fmt.Errorf("at_once: %d, it must be from 1 to %d", s.AtOnce, MostBoxes)
-	case s.BySite < 0 || s.BySite > MostBoxes:
-		return fmt.Errorf("by_site: %d, it must be from 1 to %d", s.BySite, MostBoxes)
+	case len(s.Servers) > MaxServers || len(s.Sites) > MaxServers || len(s.Types) > MaxServers:
+		return fmt.Errorf("boxes: at most %d are named", MaxServers)
+	case s.AtOnce < 1 || s.AtOnce > MaxServers:
+		return fmt.Errorf("at_once: %d, it must be from 1 to %d", s.AtOnce, MaxServers)
+	case s.BySite < 0 || s.BySite > MaxServers:
+		return fmt.Errorf("by_site: %d, it must be from 1 to %d", s.BySite, MaxServers)
 	case !(s.Keep >= 0 && s.Keep < 1):
 		return fmt.Errorf("keep: %g, it must be from 0 to below 1", s.Keep)
 	case !(s.Refusing >= 0 && s.Refusing <= 1):
@@ -71,42 +71,42 @@
 
 // named calls yield for each field that holds names.
 func (s *Spec) named(yield func(field string, names []string) bool) {
-	_ = yield("boxes", s.Boxes) && yield("sites", s.Sites) && yield("types", s.Types)
+	_ = yield("boxes", s.Servers) && yield("sites", s.Sites) && yield("types", s.Types)
 }
 
 // boxes returns those that a plan means of all that are seen, by name, or what it names that nobody has on a list.
-func (s *Spec) boxes(seen []Seen) ([]Box, error) {
+func (s *Spec) boxes(seen []Seen) ([]Server, error) {
 	for field, names := range s.named {
 		for _, n := range names {
 			if !slices.ContainsFunc(seen, func(b Seen) bool {
-				return b.Listed > 0 && (field == "boxes" && b.Box == n || field == "sites" && b.Site == n || field == "types" && b.Type == n)
+				return b.Listed > 0 && (field == "boxes" && b.Server == n || field == "sites" && b.Site == n || field == "types" && b.Type == n)
 			}) {
 				return nil, fmt.Errorf("%s: no sidecar has %q on its list", field, n)
 			}
 		}
 	}
-	var boxes []Box
+	var boxes []Server
 	for _, b := range seen {
 		of := len(s.Sites)+len(s.Types) > 0 && (len(s.Sites) == 0 || slices.Contains(s.Sites, b.Site)) &&
 			(len(s.Types) == 0 || slices.Contains(s.Types, b.Type))
-		if b.Listed > 0 && of || slices.Contains(s.Boxes, b.Box) {
-			boxes = append(boxes, Box{Name: b.Box, Site: b.Site})
+		if b.Listed > 0 && of || slices.Contains(s.Servers, b.Server) {
+			boxes = append(boxes, Server{Name: b.Server, Site: b.Site})
 		}
 	}
 	if len(boxes) == 0 {
 		return nil, errors.New("sites: no box is of these sites and of these types")
 	}
-	slices.SortFunc(boxes, func(a, b Box) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(boxes, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
 	// Danger: the order in which they are named is the fixed one, for who wants it; a plan by names keeps it.
-	if len(s.Boxes) > 0 {
-		slices.SortStableFunc(boxes, func(a, b Box) int { return cmp.Compare(s.rank(a.Name), s.rank(b.Name)) })
+	if len(s.Servers) > 0 {
+		slices.SortStableFunc(boxes, func(a, b Server) int { return cmp.Compare(s.rank(a.Name), s.rank(b.Name)) })
 	}
 	return boxes, nil
 }
 
 // rank is the place of a box among those that are named; who is not is behind them.
 func (s *Spec) rank(box string) int {
-	if i := slices.Index(s.Boxes, box); i >= 0 {
+	if i := slices.Index(s.Servers, box); i >= 0 {
 		return i
 	}
 	return math.MaxInt
--- a/internal/decide/maintenance/stored_form_test.go
+++ b/internal/decide/maintenance/stored_form_test.go
@@ -14,30 +14,30 @@
 
 // The values whose encoded form is kept. Every field is set, so that a field that is added without a golden file is noticed.
 func storedSpec() Spec {
-	return Spec{Name: "firmware-7", Boxes: []string{"s-1", "s-2"}, Sites: []string{"site-a"}, Types: []string{"big"}, TakesS: 1200.5, LateS: 2400, GiveUp: true, AtOnce: 3,
+	return Spec{Name: "firmware-7", Servers: []string{"s-1", "s-2"}, Sites: []string{"site-a"}, Types: []string{"big"}, TakesS: 1200.5, LateS: 2400, GiveUp: true, AtOnce: 3,
 		BySite: 2, Keep: 0.75, Refusing: 0.05, Most: 0.4, SettleS: 2, ColdS: 30, GoneS: 600, StartInS: 3600, EndInS: 7200}
 }
 
-func storedBox(stage Stage) Box {
-	return Box{Name: "s-1", Site: "site-a", Stage: stage, Since: 8, Token: 3<<40 | 9, Mechanic: "anna", Why: "forced by bob", Forced: []string{"n1", "n2"}, Late: true}
+func storedBox(stage Stage) Server {
+	return Server{Name: "s-1", Site: "site-a", Stage: stage, Since: 8, Token: 3<<40 | 9, Mechanic: "anna", Why: "forced by bob", Forced: []string{"n1", "n2"}, Late: true}
 }
 
 func storedPlan() Plan {
 	p := Plan{Number: 4, Nonce: 77, Spec: storedSpec(), Paused: "bob", Aborted: true, Own: 0.01, Ended: true, AgeS: 12.5}
 	for stage := Leaving; stage <= Lost; stage++ {
-		p.Boxes = append(p.Boxes, storedBox(stage))
+		p.Servers = append(p.Servers, storedBox(stage))
 	}
 	return p
 }
 
 func storedCommand() Command {
 	spec := storedSpec()
-	return Command{Nonce: 5, Kind: Give, Spec: &spec, Plan: 4, Box: "s-1", Token: 3<<40 | 9, Mechanic: "anna", Why: "no disk"}
+	return Command{Nonce: 5, Kind: Give, Spec: &spec, Plan: 4, Server: "s-1", Token: 3<<40 | 9, Mechanic: "anna", Why: "no disk"}
 }
 
 func storedSum() Sum {
-	return Sum{From: []From{{ID: 1, Life: 2, Version: 3}}, Open: []Open{{Box: "s-1", ID: 1, Hand: true, N: 2}},
-		Seen: []Seen{{Box: "s-1", Site: "site-a", Type: "big", Size: 2.5, Listed: 6, Draining: 1, Hand: 2, Cold: 3, Silent: 4, PerS: 5.5, Out: 7, Busy: true}},
+	return Sum{From: []From{{ID: 1, Life: 2, Version: 3}}, Open: []Open{{Server: "s-1", ID: 1, Hand: true, N: 2}},
+		Seen: []Seen{{Server: "s-1", Site: "site-a", Type: "big", Size: 2.5, Listed: 6, Draining: 1, Hand: 2, Cold: 3, Silent: 4, PerS: 5.5, Out: 7, Busy: true}},
 		PerS: 10.5, Refused: 0.5, Late: 1}
 }
 
@@ -64,9 +64,9 @@
 	for name, value := range map[string]any{
 		"state":   State{Last: 9, Plans: []Plan{storedPlan()}},
 		"command": storedCommand(),
-		"reply":   Reply{Nonce: 5, Err: "it is taken", Plan: 4, Box: "s-1", Token: 3<<40 | 9, Text: "past n1"},
+		"reply":   Reply{Nonce: 5, Err: "it is taken", Plan: 4, Server: "s-1", Token: 3<<40 | 9, Text: "past n1"},
 		"sum":     storedSum(),
-		"wait":    Wait{Plan: 4, Box: "s-1", Why: "it warms up", Who: []string{"n1", "n2"}},
+		"wait":    Wait{Plan: 4, Server: "s-1", Why: "it warms up", Who: []string{"n1", "n2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requireComplete(t, name, reflect.ValueOf(value))
@@ -86,12 +86,12 @@
 func TestAdminForm(t *testing.T) {
 	plan := storedPlan()
 	plan.Nonce = 0 // it is not told
-	reply := Reply{Err: "it is taken", Plan: 4, Box: "s-1", Token: 3<<40 | 9, Text: "past n1"}
+	reply := Reply{Err: "it is taken", Plan: 4, Server: "s-1", Token: 3<<40 | 9, Text: "past n1"}
 	for name, value := range map[string]any{
 		"plan":    plan,
 		"command": storedCommand(),
 		"reply":   reply,
-		"wait":    Wait{Plan: 4, Box: "s-1", Why: "it warms up", Who: []string{"n1", "n2"}},
+		"wait":    Wait{Plan: 4, Server: "s-1", Why: "it warms up", Who: []string{"n1", "n2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			golden, err := os.ReadFile(filepath.Join("testdata", "stored", name+".json"))
@@ -111,7 +111,7 @@
 	assert.Equal(t, []Stage{0, 1, 2, 3, 4, 5, 6, 7}, []Stage{Waiting, Leaving, Ready, Taken, Cold, Done, Skipped, Lost})
 	assert.Equal(t, []Kind{"plan", "pause", "resume", "skip", "abort", "force", "next", "done", "failed"},
 		[]Kind{Give, Pause, Resume, Skip, Abort, Force, Take, Finish, Fail})
-	assert.Equal(t, []int{250, 16, 40 << 10}, []int{MostBoxes, MostPlans, MostBytes})
+	assert.Equal(t, []int{250, 16, 40 << 10}, []int{MaxServers, MostPlans, MostBytes})
 }
 
 // A State as the version before has stored it is read, and stored as the same again.
--- a/internal/decide/maintenance/sum.go
+++ b/internal/decide/maintenance/sum.go
@@ -24,7 +24,7 @@
 		return errSum
 	}
 	for i := range o.Seen {
-		if b := &o.Seen[i]; len(b.Box) > mostNameLen || len(b.Site) > mostNameLen || len(b.Type) > mostNameLen || !sane(b.PerS) || !sane(b.Size) ||
+		if b := &o.Seen[i]; len(b.Server) > mostNameLen || len(b.Site) > mostNameLen || len(b.Type) > mostNameLen || !sane(b.PerS) || !sane(b.Size) ||
 			min(b.Listed, b.Draining, b.Hand, b.Cold, b.Silent, b.Out) < 0 {
 			return errSum
 		}
@@ -39,13 +39,13 @@
 		s.From = slices.Insert(s.From, at, o.From[i])
 	}
 	for _, open := range o.Open {
-		at, twice := slices.BinarySearchFunc(s.Open, open, func(a, b Open) int { return cmp.Or(cmp.Compare(a.Box, b.Box), cmp.Compare(a.ID, b.ID)) })
+		at, twice := slices.BinarySearchFunc(s.Open, open, func(a, b Open) int { return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.ID, b.ID)) })
 		if !twice {
 			s.Open = slices.Insert(s.Open, at, open)
 		}
 	}
 	for _, b := range o.Seen {
-		at, known := slices.BinarySearchFunc(s.Seen, b, func(a, b Seen) int { return cmp.Compare(a.Box, b.Box) })
+		at, known := slices.BinarySearchFunc(s.Seen, b, func(a, b Seen) int { return cmp.Compare(a.Server, b.Server) })
 		if !known {
 			s.Seen = slices.Insert(s.Seen, at, b)
 			continue
--- a/internal/decide/maintenance/works_test.go
+++ b/internal/decide/maintenance/works_test.go
@@ -28,7 +28,7 @@
 		d.round.Members = append(d.round.Members, Member{ID: swim.ID(i + 1), Name: fmt.Sprint("n", i), Life: 1})
 	}
 	for i := range sites * bySite {
-		d.round.Sum.Seen = append(d.round.Sum.Seen, Seen{Box: fmt.Sprintf("b%02d", i), Site: fmt.Sprint("site-", i%sites), Type: "t", Listed: sidecars, PerS: 5})
+		d.round.Sum.Seen = append(d.round.Sum.Seen, Seen{Server: fmt.Sprintf("b%02d", i), Site: fmt.Sprint("site-", i%sites), Type: "t", Listed: sidecars, PerS: 5})
 	}
 	d.round.Sum.PerS, d.round.Whole = 5*float64(sites*bySite), true
 	d.Begin(d.now, d.agreed)
@@ -90,7 +90,7 @@
 
 func (d *desk) stages() (n [Lost + 1]int) {
 	for _, p := range d.agreed.State.Plans {
-		for _, b := range p.Boxes {
+		for _, b := range p.Servers {
 			n[b.Stage]++
 		}
 	}
@@ -114,17 +114,17 @@
 		if n[Done] == 6 {
 			break
 		}
-		if r := d.do(Command{Kind: Take, Mechanic: "m"}); r.Box != "" {
+		if r := d.do(Command{Kind: Take, Mechanic: "m"}); r.Server != "" {
 			require.Greater(t, r.Token, token)
 			require.EqualValues(t, 3, r.Token>>40)
-			require.False(t, worked[r.Box])
-			token, worked[r.Box] = r.Token, true
+			require.False(t, worked[r.Server])
+			token, worked[r.Server] = r.Token, true
 			require.Equal(t, r.Token, d.do(Command{Kind: Take, Mechanic: "m"}).Token, "it is told the same again")
-			require.Empty(t, d.do(Command{Kind: Take, Mechanic: "other"}).Box)
+			require.Empty(t, d.do(Command{Kind: Take, Mechanic: "other"}).Server)
 			d.play(20)
-			require.Empty(t, d.do(Command{Kind: Finish, Box: r.Box, Token: token}).Err)
-			require.Empty(t, d.do(Command{Kind: Finish, Box: r.Box, Token: token}).Err, "done twice is done")
-			require.NotEmpty(t, d.do(Command{Kind: Finish, Box: r.Box, Token: token - 1}).Err)
+			require.Empty(t, d.do(Command{Kind: Finish, Server: r.Server, Token: token}).Err)
+			require.Empty(t, d.do(Command{Kind: Finish, Server: r.Server, Token: token}).Err, "done twice is done")
+			require.NotEmpty(t, d.do(Command{Kind: Finish, Server: r.Server, Token: token - 1}).Err)
 		}
 	}
 	assert.Len(t, worked, 6)
@@ -145,7 +145,7 @@
 	underWay := d.Step(d.now)
 	require.NotNil(t, underWay)
 	var taken string
-	for _, b := range underWay.Plans[0].Boxes {
+	for _, b := range underWay.Plans[0].Servers {
 		if b.Stage == Taken {
 			taken = b.Name
 		}
@@ -156,18 +156,18 @@
 	d.agreed.Version++
 	d.agreed.State = *underWay
 	d.Begin(d.now, d.agreed)
-	assert.Empty(t, d.do(Command{Kind: Take, Mechanic: "bob"}).Box, "nobody was heard yet")
-	d.round.Sum.Open = []Open{{Box: taken, ID: 2, Hand: true}}
+	assert.Empty(t, d.do(Command{Kind: Take, Mechanic: "bob"}).Server, "nobody was heard yet")
+	d.round.Sum.Open = []Open{{Server: taken, ID: 2, Hand: true}}
 	d.play(1)
 	again := d.do(Command{Kind: Take, Mechanic: "bob"})
-	assert.Empty(t, again.Box, "it is in use")
+	assert.Empty(t, again.Server, "it is in use")
 	assert.Contains(t, again.Text, "in use there by hand")
 	waits := d.Waits()
 	require.NotEmpty(t, waits)
-	assert.Equal(t, taken, waits[0].Box)
+	assert.Equal(t, taken, waits[0].Server)
 	assert.Contains(t, waits[0].Why, "in use there by hand")
 	assert.Equal(t, []string{"n1"}, waits[0].Who)
 	d.round.Sum.Open = nil
 	d.play(1)
-	assert.Equal(t, taken, d.do(Command{Kind: Take, Mechanic: "bob"}).Box, "it is out again")
+	assert.Equal(t, taken, d.do(Command{Kind: Take, Mechanic: "bob"}).Server, "it is out again")
 }
--- a/internal/lab/maintenanceagent/mechanic.go
+++ b/internal/lab/maintenanceagent/mechanic.go
@@ -68,7 +68,7 @@
 	}
 	for ctx.Err() == nil {
 		r, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.Take, Mechanic: m.Name})
-		if err != nil || r.Err != "" || r.Box == "" || !m.accept(&r) {
+		if err != nil || r.Err != "" || r.Server == "" || !m.accept(&r) {
 			pause(ctx, every)
 			continue
 		}
@@ -81,7 +81,7 @@
 func (m *Mechanic) accept(r *maintenance.Reply) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	same := r.Box == m.has.Box && r.Token == m.has.Token
+	same := r.Server == m.has.Server && r.Token == m.has.Token
 	if r.Token <= m.greatest && !same {
 		m.refused++
 		return false
@@ -92,15 +92,15 @@
 
 func (m *Mechanic) work(ctx context.Context, r *maintenance.Reply) {
 	m.mu.Lock()
-	m.records = append(m.records, Record{Mechanic: m.Name, Box: r.Box, Token: r.Token, Forced: r.Text, From: time.Now()})
+	m.records = append(m.records, Record{Mechanic: m.Name, Box: r.Server, Token: r.Token, Forced: r.Text, From: time.Now()})
 	at := len(m.records) - 1
 	m.mu.Unlock()
 	if m.Hands != nil {
-		m.Hands(r.Box, true)
+		m.Hands(r.Server, true)
 	}
-	whole := pause(ctx, m.Takes(r.Box))
+	whole := pause(ctx, m.Takes(r.Server))
 	if whole && m.Hands != nil {
-		m.Hands(r.Box, false)
+		m.Hands(r.Server, false)
 	}
 	m.mu.Lock()
 	m.records[at].To = time.Now()
@@ -114,7 +114,7 @@
 	}
 	for range times {
 		for ctx.Err() == nil {
-			said, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.Finish, Box: r.Box, Token: r.Token})
+			said, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.Finish, Server: r.Server, Token: r.Token})
 			if err != nil {
 				continue // nobody has heard it, or it is not known: it is said until somebody has
 			}
--- a/internal/lab/maintenanceagent/mechanic_test.go
+++ b/internal/lab/maintenanceagent/mechanic_test.go
@@ -55,7 +55,7 @@
 // What is handed over is worked on once, under a token that is greater than all before; one that is not is left alone. A mechanic that
 // died with a box goes on with it, if it is told the same token. Done is said until it is heard, twice if that is wanted.
 func TestMechanic(t *testing.T) {
-	handed := []maintenance.Reply{{Box: "a", Token: 5}, {Box: "b", Token: 4}, {}, {Box: "a", Token: 5}, {Box: "b", Token: 7}}
+	handed := []maintenance.Reply{{Server: "a", Token: 5}, {Server: "b", Token: 4}, {}, {Server: "a", Token: 5}, {Server: "b", Token: 7}}
 	var mu sync.Mutex
 	var done []maintenance.Command
 	next := 0
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -242,7 +242,7 @@
 	}
 	p.lookedAt = time.Now()
 	plan := &s.Plans[len(s.Plans)-1]
-	for _, b := range plan.Boxes {
+	for _, b := range plan.Servers {
 		p.stage(b.Name, b.Stage)
 	}
 	if plan.Ended && p.over == 0 {
@@ -312,7 +312,7 @@
 	for _, b := range p.day.Boxes[:p.day.Standing] {
 		group := len(s.Sites)+len(s.Types) > 0 && (len(s.Sites) == 0 || slices.Contains(s.Sites, p.day.Sites[b.Site])) &&
 			(len(s.Types) == 0 || slices.Contains(s.Types, p.day.Kinds[b.Kind]))
-		if group || slices.Contains(s.Boxes, b.Name) {
+		if group || slices.Contains(s.Servers, b.Name) {
 			all = append(all, b.Name)
 		}
 	}
@@ -338,7 +338,7 @@
 	w.Boxes = len(p.named())
 	if p.last != nil && len(p.last.Plans) > 0 {
 		w.Waits = p.last.Waits
-		w.Boxes = len(p.last.Plans[len(p.last.Plans)-1].Boxes)
+		w.Boxes = len(p.last.Plans[len(p.last.Plans)-1].Servers)
 	}
 	for _, s := range p.stages {
 		switch s {
@@ -496,7 +496,7 @@
 		w.find(checker.WorkForgotten, "no door tells of the plan")
 		return
 	}
-	for _, b := range p.last.Plans[len(p.last.Plans)-1].Boxes {
+	for _, b := range p.last.Plans[len(p.last.Plans)-1].Servers {
 		switch n := len(tokens[b.Name]); {
 		case (b.Stage == maintenance.Cold || b.Stage == maintenance.Done) && !done[b.Name]:
 			w.find(checker.WorkForgotten, "%s is said to be done, and nobody has worked on it to the end", b.Name)
--- a/internal/lab/processcluster/works_test.go
+++ b/internal/lab/processcluster/works_test.go
@@ -56,7 +56,7 @@
 	} {
 		day := &environment.Day{Start: 950, LengthS: 100, Standing: 2, Sites: []string{"x"}, Boxes: []environment.BoxSpec{{Name: "a"}, {Name: "b"}}}
 		play := &Troupe{mates: []*mate{{name: "n0"}}, aways: k.away}
-		p := newWorkPlay(play, Work{Spec: maintenance.Spec{Boxes: []string{"a", "b"}, AtOnce: 1, BySite: 2, ColdS: 5, GoneS: 100}}, day)
+		p := newWorkPlay(play, Work{Spec: maintenance.Spec{Servers: []string{"a", "b"}, AtOnce: 1, BySite: 2, ColdS: 5, GoneS: 100}}, day)
 		for i, v := range k.visits {
 			p.See(checker.Event{Kind: checker.Execution, At: v.from, Link: uint64(i)})
 			if v.to > 0 {
@@ -64,7 +64,7 @@
 			}
 		}
 		p.given, p.over, p.byHand = 960, 1049, k.records
-		p.last = &workState{Plans: []maintenance.Plan{{Boxes: []maintenance.Box{{Name: "a", Stage: k.stages[0], Why: k.why}, {Name: "b", Stage: k.stages[1]}}}}}
+		p.last = &workState{Plans: []maintenance.Plan{{Servers: []maintenance.Server{{Name: "a", Stage: k.stages[0], Why: k.why}, {Name: "b", Stage: k.stages[1]}}}}}
 		w := p.result()
 		var got []checker.Rule
 		for _, line := range w.Wrong {
--- a/internal/maintenanceplan/workplan.go
+++ b/internal/maintenanceplan/workplan.go
@@ -56,7 +56,7 @@
 	longest    = 7 * 24 * time.Hour
 	farthest   = 31 * 24 * time.Hour
 	mostName   = 64
-	mostAtOnce = maintenance.MostBoxes
+	mostAtOnce = maintenance.MaxServers
 )
 
 // fault is what is wrong with a field.
@@ -74,7 +74,7 @@
 			return maintenance.Spec{}, read.Fault(wrong.field, wrong.why)
 		}
 	}
-	s := maintenance.Spec{Name: f.Name, Boxes: f.Boxes, Sites: f.Sites, Types: f.Types, TakesS: f.Takes.Seconds(), LateS: f.Late.Seconds(), GiveUp: f.WhenLate == giveUp,
+	s := maintenance.Spec{Name: f.Name, Servers: f.Boxes, Sites: f.Sites, Types: f.Types, TakesS: f.Takes.Seconds(), LateS: f.Late.Seconds(), GiveUp: f.WhenLate == giveUp,
 		AtOnce: f.AtOnce, BySite: f.BySite, Keep: f.Keep, Refusing: f.Refusing, Most: f.Most, SettleS: f.Settle.Seconds(), ColdS: f.Cold.Seconds(), GoneS: f.Gone.Seconds()}
 	if !f.from.IsZero() {
 		s.StartInS = max(f.from.Sub(now).Seconds(), 0)
@@ -110,8 +110,8 @@
 				return fault{at, fmt.Sprintf("%q is there twice", s)}
 			}
 		}
-		if len(list.all) > maintenance.MostBoxes {
-			return fault{list.field, fmt.Sprintf("%d of them, at most %d", len(list.all), maintenance.MostBoxes)}
+		if len(list.all) > maintenance.MaxServers {
+			return fault{list.field, fmt.Sprintf("%d of them, at most %d", len(list.all), maintenance.MaxServers)}
 		}
 	}
 	if len(f.Boxes)+len(f.Sites)+len(f.Types) == 0 {
--- a/internal/maintenanceplan/workplan_test.go
+++ b/internal/maintenanceplan/workplan_test.go
@@ -36,7 +36,7 @@
 func TestRead(t *testing.T) {
 	s, err := Read("p.toml", []byte(whole), now)
 	require.NoError(t, err)
-	assert.Equal(t, maintenance.Spec{Name: "firmware-7", Boxes: []string{"s-00000001", "s-00000002"}, Sites: []string{"site-a"}, Types: []string{"big"}, TakesS: 1200, LateS: 2400,
+	assert.Equal(t, maintenance.Spec{Name: "firmware-7", Servers: []string{"s-00000001", "s-00000002"}, Sites: []string{"site-a"}, Types: []string{"big"}, TakesS: 1200, LateS: 2400,
 		GiveUp: true, AtOnce: 3, BySite: 2, Keep: 0.7, Refusing: 0.05, SettleS: 2, ColdS: 30, GoneS: 600, StartInS: 3600, EndInS: 4 * 3600}, s)
 	s, err = Read("p.toml", []byte("name = 'n'\nsites = ['a']\ntakes = '1s'\nat_once = 1\nkeep = 0\n"), now)
 	require.NoError(t, err)
--- a/internal/sim/maintenancesim/actors.go
+++ b/internal/sim/maintenancesim/actors.go
@@ -103,11 +103,11 @@
 		if m.run != run || m.dead {
 			return
 		}
-		if m.done[r.Token] && r.Box != "" { // it died before it could say so
-			m.tell(run, r.Box, r.Token, true)
+		if m.done[r.Token] && r.Server != "" { // it died before it could say so
+			m.tell(run, r.Server, r.Token, true)
 			return
 		}
-		if r.Err != "" || r.Box == "" || !m.accepts(r) {
+		if r.Err != "" || r.Server == "" || !m.accepts(r) {
 			m.w.After(m.w.between(0.5, 2), func() { m.poll(run) })
 			return
 		}
@@ -118,7 +118,7 @@
 // accepts tells whether a box that is handed over may be worked on. A token lower than one seen is an old word.
 func (m *mechanic) accepts(r maintenance.Reply) bool {
 	if r.Token < m.greatest {
-		m.w.note("%s turns %s under %d down", m.name, r.Box, r.Token)
+		m.w.note("%s turns %s under %d down", m.name, r.Server, r.Token)
 		return false
 	}
 	m.greatest = r.Token
@@ -126,7 +126,7 @@
 }
 
 func (m *mechanic) work(run int, r maintenance.Reply) {
-	w, b := m.w, m.w.box(r.Box)
+	w, b := m.w, m.w.box(r.Server)
 	w.started(m, b, r.Token)
 	lasts := m.takesS * w.between(0.5, 1.2)
 	if w.chance(0.05) && !w.calmly {
@@ -175,7 +175,7 @@
 // tell has the end of the work be known, again and again until it is.
 func (m *mechanic) tell(run int, box string, token uint64, ok bool) {
 	w := m.w
-	cmd := maintenance.Command{Kind: maintenance.Finish, Box: box, Token: token, Mechanic: m.name}
+	cmd := maintenance.Command{Kind: maintenance.Finish, Server: box, Token: token, Mechanic: m.name}
 	if !ok {
 		cmd.Kind, cmd.Why = maintenance.Fail, "it does not start"
 	}
@@ -195,7 +195,7 @@
 			})
 		}
 		if w.chance(0.1) { // and comes with an old token
-			old := maintenance.Command{Kind: maintenance.Finish, Box: w.boxes[w.rng.IntN(len(w.boxes))].name, Token: token - 1, Mechanic: m.name}
+			old := maintenance.Command{Kind: maintenance.Finish, Server: w.boxes[w.rng.IntN(len(w.boxes))].name, Token: token - 1, Mechanic: m.name}
 			w.ask(old, 3, func(maintenance.Reply) {})
 		}
 		if m.run == run {
@@ -227,11 +227,11 @@
 	default:
 		for _, b := range w.boxes {
 			if w.chance(0.5) {
-				s.Boxes = append(s.Boxes, b.name)
+				s.Servers = append(s.Servers, b.name)
 			}
 		}
-		if len(s.Boxes) == 0 {
-			s.Boxes = []string{w.boxes[0].name}
+		if len(s.Servers) == 0 {
+			s.Servers = []string{w.boxes[0].name}
 		}
 	}
 	s.AtOnce, s.BySite = 1+w.rng.IntN(3), w.rng.IntN(3)
@@ -253,11 +253,11 @@
 	b := w.boxes[w.rng.IntN(len(w.boxes))]
 	state := w.agreed().State
 	kinds := []maintenance.Kind{maintenance.Pause, maintenance.Resume, maintenance.Resume, maintenance.Skip, maintenance.Force, maintenance.Force, maintenance.Abort}
-	cmd := maintenance.Command{Kind: kinds[w.rng.IntN(len(kinds))], Box: b.name, Mechanic: "operator"}
+	cmd := maintenance.Command{Kind: kinds[w.rng.IntN(len(kinds))], Server: b.name, Mechanic: "operator"}
 	for _, p := range state.Plans {
-		for _, o := range p.Boxes {
+		for _, o := range p.Servers {
 			if cmd.Kind == maintenance.Force && (o.Stage == maintenance.Leaving || o.Stage == maintenance.Ready) {
-				cmd.Box = o.Name
+				cmd.Server = o.Name
 			}
 		}
 		if !p.Ended && w.chance(0.5) {
@@ -267,5 +267,5 @@
 	if cmd.Kind == maintenance.Skip || cmd.Kind == maintenance.Force {
 		cmd.Plan = 0
 	}
-	w.ask(cmd, 15, func(r maintenance.Reply) { w.note("%s %s: %s %s", cmd.Kind, cmd.Box, r.Err, r.Text) })
+	w.ask(cmd, 15, func(r maintenance.Reply) { w.note("%s %s: %s %s", cmd.Kind, cmd.Server, r.Err, r.Text) })
 }
--- a/internal/sim/maintenancesim/day.go
+++ b/internal/sim/maintenancesim/day.go
@@ -287,9 +287,9 @@
 	for end := w.Now() + mostCalmS; w.Now() < end; {
 		live := false
 		for _, p := range w.agreed().State.Plans {
-			for _, b := range p.Boxes {
+			for _, b := range p.Servers {
 				if b.Stage == maintenance.Lost {
-					w.ask(maintenance.Command{Kind: maintenance.Skip, Box: b.Name, Plan: p.Number, Mechanic: "operator"}, 10, func(maintenance.Reply) {})
+					w.ask(maintenance.Command{Kind: maintenance.Skip, Server: b.Name, Plan: p.Number, Mechanic: "operator"}, 10, func(maintenance.Reply) {})
 				}
 			}
 			if p.Ended {
--- a/internal/sim/maintenancesim/judge.go
+++ b/internal/sim/maintenancesim/judge.go
@@ -63,7 +63,7 @@
 // forced tells whether a box's hand-over was forced, or it was given back by an operator after it was lost.
 func (w *World) forced(box string, token uint64) bool {
 	for _, p := range w.agreed().State.Plans {
-		for _, b := range p.Boxes {
+		for _, b := range p.Servers {
 			if b.Name == box && b.Token == token {
 				return len(b.Forced) > 0 || b.Stage == maintenance.Skipped
 			}
@@ -94,7 +94,7 @@
 	state := w.agreed().State
 	lost := false
 	for i := range state.Plans {
-		for _, o := range state.Plans[i].Boxes {
+		for _, o := range state.Plans[i].Servers {
 			if o.Name == b.name && o.Token == token {
 				plan, k.plan, lost = &state.Plans[i], state.Plans[i].Number, o.Stage == maintenance.Lost
 			}
@@ -140,7 +140,7 @@
 // lost tells whether a box was given up while it was worked on.
 func (w *World) lost(k *work) bool {
 	for _, p := range w.agreed().State.Plans {
-		for _, b := range p.Boxes {
+		for _, b := range p.Servers {
 			if b.Token == k.token && (b.Stage == maintenance.Lost || b.Stage == maintenance.Skipped) {
 				return true
 			}
@@ -179,7 +179,7 @@
 			w.counts.Plans++
 		}
 		at, sites := 0, map[string]int{}
-		for j, b := range p.Boxes {
+		for j, b := range p.Servers {
 			if b.Stage >= maintenance.Leaving && b.Stage <= maintenance.Cold {
 				at++
 				sites[b.Site]++
@@ -190,10 +190,10 @@
 			if !p.Ended {
 				w.alone(&state, p, b.Name)
 			}
-			if old == nil || old.Boxes[j].Stage == b.Stage {
+			if old == nil || old.Servers[j].Stage == b.Stage {
 				continue
 			}
-			w.stage(&was, &state, p, old.Boxes[j], b)
+			w.stage(&was, &state, p, old.Servers[j], b)
 			if b.Stage == maintenance.Taken {
 				if b.Token <= w.handed || handed != 0 {
 					w.broken(RuleToken, "%s is handed over under %d, one before it under %d", b.Name, b.Token, max(w.handed, handed))
@@ -209,7 +209,7 @@
 	for i := range was.Plans {
 		p := &was.Plans[i]
 		gone := find(&state, p.Number) == nil
-		if gone && (!p.Ended || slices.ContainsFunc(p.Boxes, func(b maintenance.Box) bool { return b.Stage == maintenance.Lost })) {
+		if gone && (!p.Ended || slices.ContainsFunc(p.Servers, func(b maintenance.Server) bool { return b.Stage == maintenance.Lost })) {
 			w.broken(RuleEnd, "plan %d is forgotten", p.Number)
 		}
 	}
@@ -218,14 +218,14 @@
 // alone sees that a box is of one plan that has not ended.
 func (w *World) alone(s *maintenance.State, by *maintenance.Plan, box string) {
 	for i := range s.Plans {
-		if p := &s.Plans[i]; p.Number > by.Number && !p.Ended && slices.ContainsFunc(p.Boxes, func(b maintenance.Box) bool { return b.Name == box }) {
+		if p := &s.Plans[i]; p.Number > by.Number && !p.Ended && slices.ContainsFunc(p.Servers, func(b maintenance.Server) bool { return b.Name == box }) {
 			w.broken(RuleShared, "%s is of plans %d and %d", box, by.Number, p.Number)
 		}
 	}
 }
 
 // stage takes that a box of a plan comes from one stage to another.
-func (w *World) stage(was, s *maintenance.State, p *maintenance.Plan, from, to maintenance.Box) {
+func (w *World) stage(was, s *maintenance.State, p *maintenance.Plan, from, to maintenance.Server) {
 	if from.Stage >= maintenance.Done && !(from.Stage == maintenance.Lost && to.Stage == maintenance.Skipped) {
 		w.broken(RuleEnd, "%s of plan %d had ended as %d and is %d", to.Name, p.Number, from.Stage, to.Stage)
 	}
@@ -256,7 +256,7 @@
 }
 
 // leaves sees that a box may leave.
-func (w *World) leaves(was, s *maintenance.State, p *maintenance.Plan, b maintenance.Box) {
+func (w *World) leaves(was, s *maintenance.State, p *maintenance.Plan, b maintenance.Server) {
 	coldS := p.Spec.ColdS
 	if coldS == 0 {
 		coldS = max(w.coldS, 5)
@@ -266,7 +266,7 @@
 		lost = lost || name == b.Name
 	}
 	for _, q := range s.Plans {
-		for _, o := range q.Boxes {
+		for _, o := range q.Servers {
 			if o.Stage >= maintenance.Leaving && o.Stage <= maintenance.Taken || q.Number == p.Number && o.Stage >= maintenance.Cold && o.Stage <= maintenance.Done &&
 				w.cold[o.Name] > 0 && w.Now()-w.cold[o.Name] < coldS-1e-6 && !warm(o) {
 				at++
@@ -285,7 +285,7 @@
 			out = out || name == o.name
 		}
 		for _, q := range s.Plans {
-			out = out || slices.ContainsFunc(q.Boxes, func(k maintenance.Box) bool { return k.Name == o.name && k.Stage == maintenance.Cold })
+			out = out || slices.ContainsFunc(q.Servers, func(k maintenance.Server) bool { return k.Name == o.name && k.Stage == maintenance.Cold })
 		}
 		if !out && o != me && !o.missing() {
 			left += o.size
@@ -297,7 +297,7 @@
 }
 
 // warm tells whether an operator has said that a box is.
-func warm(b maintenance.Box) bool { return b.Stage == maintenance.Done && b.Why != "" }
+func warm(b maintenance.Server) bool { return b.Stage == maintenance.Done && b.Why != "" }
 
 func (b *box) missing() bool { return b.down || b.unlisted || b.draining }
 
@@ -332,7 +332,7 @@
 			w.broken(RuleEnd, "plan %d has not ended: %s; %v; the owner is %s", p.Number, brief(&state), why, who)
 			continue
 		}
-		for _, b := range p.Boxes {
+		for _, b := range p.Servers {
 			worked := slices.ContainsFunc(w.works, func(k *work) bool { return k.plan == p.Number && k.box.name == b.Name && k.to > 0 })
 			if b.Stage < maintenance.Done || b.Stage == maintenance.Done && !worked {
 				w.broken(RuleEnd, "%s of plan %d has ended as %d, worked on: %t", b.Name, p.Number, b.Stage, worked)
@@ -345,8 +345,8 @@
 func brief(s *maintenance.State) string {
 	line := ""
 	for _, p := range s.Plans {
-		stages := make([]byte, 0, len(p.Boxes))
-		for _, b := range p.Boxes {
+		stages := make([]byte, 0, len(p.Servers))
+		for _, b := range p.Servers {
 			stages = append(stages, "wlrTcdsX"[b.Stage])
 		}
 		line += fmt.Sprintf("%d:%s", p.Number, stages)
--- a/internal/sim/maintenancesim/world.go
+++ b/internal/sim/maintenancesim/world.go
@@ -267,13 +267,13 @@
 		}
 		settle := 1.0
 		for _, p := range n.state.Plans {
-			if slices.ContainsFunc(p.Boxes, func(o maintenance.Box) bool { return o.Name == b.name && o.Stage.Out() }) {
+			if slices.ContainsFunc(p.Servers, func(o maintenance.Server) bool { return o.Name == b.name && o.Stage.Out() }) {
 				settle = p.Spec.Settle()
 			}
 		}
 		hand := n.hand[b.name] > n.w.Now()
 		if last, sent := n.lastAt[b.name]; hand || n.open[b.name] > 0 || sent && n.w.Now()-last < settle {
-			open = append(open, maintenance.Open{Box: b.name, ID: n.id, Hand: hand, N: n.open[b.name]})
+			open = append(open, maintenance.Open{Server: b.name, ID: n.id, Hand: hand, N: n.open[b.name]})
 		}
 	}
 	return from, open
@@ -429,7 +429,7 @@
 		}
 	}
 	for _, b := range w.boxes {
-		s := maintenance.Seen{Box: b.name, Site: b.site, Type: b.kind, Size: b.size, Listed: up, Busy: b.out > 0}
+		s := maintenance.Seen{Server: b.name, Site: b.site, Type: b.kind, Size: b.size, Listed: up, Busy: b.out > 0}
 		if b.unlisted {
 			s.Listed = 0
 		}
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -73,7 +73,7 @@
 			s := w.spec
 			s.Name, s.AtOnce, s.BySite = "all", way.AtOnce, way.BySite
 			for i := range w.d.spec.Standing {
-				s.Boxes = append(s.Boxes, w.boxes[i].name)
+				s.Servers = append(s.Servers, w.boxes[i].name)
 			}
 			w.ask(maintenance.Command{Kind: maintenance.Give, Spec: &s}, 60, func(r maintenance.Reply, answered bool) { w.tell("%d %s, %t", r.Plan, r.Err, answered) })
 		})
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -143,7 +143,7 @@
 		s.Sites = []string{w.d.spec.Sites[w.rng.IntN(len(w.d.spec.Sites))]}
 	} else {
 		for _, i := range w.rng.Perm(w.d.spec.Standing)[:3+w.rng.IntN(8)] {
-			s.Boxes = append(s.Boxes, w.boxes[i].name)
+			s.Servers = append(s.Servers, w.boxes[i].name)
 		}
 	}
 	s.AtOnce, s.BySite = 1+w.rng.IntN(3), 1+w.rng.IntN(2)
@@ -163,9 +163,9 @@
 			continue
 		}
 		cmd.Plan = p.Number
-		for _, b := range p.Boxes {
-			if b.Stage == maintenance.Leaving || cmd.Box == "" {
-				cmd.Box = b.Name
+		for _, b := range p.Servers {
+			if b.Stage == maintenance.Leaving || cmd.Server == "" {
+				cmd.Server = b.Name
 			}
 		}
 	}
@@ -173,10 +173,10 @@
 		return
 	}
 	if cmd.Kind == maintenance.Skip || cmd.Kind == maintenance.Force {
-		w.box(cmd.Box).excused = true
+		w.box(cmd.Server).excused = true
 	}
 	w.ask(cmd, 15, func(r maintenance.Reply, _ bool) {
-		w.tell("%s %d %s: %s %s", cmd.Kind, cmd.Plan, cmd.Box, r.Err, r.Text)
+		w.tell("%s %d %s: %s %s", cmd.Kind, cmd.Plan, cmd.Server, r.Err, r.Text)
 		if cmd.Kind == maintenance.Pause {
 			w.after(5+10*w.rng.Float64(), func() {
 				w.ask(maintenance.Command{Kind: maintenance.Resume, Plan: cmd.Plan, Mechanic: "operator"}, 20, func(maintenance.Reply, bool) {})
@@ -197,7 +197,7 @@
 	w := m.w
 	w.ask(maintenance.Command{Kind: maintenance.Take, Mechanic: m.name}, 6, func(r maintenance.Reply, answered bool) {
 		switch {
-		case !answered || r.Err != "" || r.Box == "" || r.Token < m.greatest:
+		case !answered || r.Err != "" || r.Server == "" || r.Token < m.greatest:
 			w.after(0.5+w.rng.Float64(), m.poll)
 		case r.Token == m.greatest && m.has != nil && m.has.ended: // it was told nothing of its end
 			m.finish()
@@ -209,9 +209,9 @@
 
 func (m *mechanic) work(r maintenance.Reply) {
 	w := m.w
-	i := slices.IndexFunc(w.boxes, func(b boxSeen) bool { return b.name == r.Box })
+	i := slices.IndexFunc(w.boxes, func(b boxSeen) bool { return b.name == r.Server })
 	if i < 0 {
-		w.wrong(checker.TwiceWrong, "%s is handed over, which there is not", r.Box)
+		w.wrong(checker.TwiceWrong, "%s is handed over, which there is not", r.Server)
 		return
 	}
 	m.greatest = r.Token
@@ -245,7 +245,7 @@
 // finish says that the work has ended until that is known.
 func (m *mechanic) finish() {
 	w, has := m.w, m.has
-	cmd := maintenance.Command{Kind: maintenance.Finish, Box: w.boxes[has.box].name, Token: has.token, Mechanic: m.name}
+	cmd := maintenance.Command{Kind: maintenance.Finish, Server: w.boxes[has.box].name, Token: has.token, Mechanic: m.name}
 	if has.failed {
 		cmd.Kind = maintenance.Fail
 	}
@@ -254,7 +254,7 @@
 			m.finish()
 			return
 		}
-		w.tell("%s says %s of %s under %d: %s", m.name, cmd.Kind, cmd.Box, cmd.Token, r.Err)
+		w.tell("%s says %s of %s under %d: %s", m.name, cmd.Kind, cmd.Server, cmd.Token, r.Err)
 		m.poll()
 	})
 }
@@ -439,8 +439,8 @@
 			w.endedAt = w.d.net.Now()
 		}
 		at, sites := 0, map[string]int{}
-		stages := make([]byte, 0, len(p.Boxes))
-		for _, b := range p.Boxes {
+		stages := make([]byte, 0, len(p.Servers))
+		for _, b := range p.Servers {
 			stages = append(stages, "wlrTcdsX"[b.Stage])
 			if b.Stage >= maintenance.Leaving && b.Stage <= maintenance.Cold {
 				at++
@@ -462,7 +462,7 @@
 func (w *plans) over() {
 	for i := range w.latest.Plans {
 		p := &w.latest.Plans[i]
-		for _, b := range p.Boxes {
+		for _, b := range p.Servers {
 			done := slices.ContainsFunc(w.record, func(k *boxWork) bool { return k.plan == p.Number && w.boxes[k.box].name == b.Name && k.ended })
 			had := slices.ContainsFunc(w.record, func(k *boxWork) bool { return k.plan == p.Number && w.boxes[k.box].name == b.Name })
 			switch {
