--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -226,7 +226,7 @@
 }
 
 // stages say how far the work on a box has come.
-var stages = map[maintenance.Stage]string{maintenance.Waiting: "waiting", maintenance.Leaving: "leaving", maintenance.Ready: "ready", maintenance.Taken: "taken", maintenance.Cold: "cold",
+var stages = map[maintenance.Stage]string{maintenance.Pending: "waiting", maintenance.Draining: "leaving", maintenance.Drained: "ready", maintenance.InMaintenance: "taken", maintenance.WarmingUp: "cold",
 	maintenance.Done: "done", maintenance.Skipped: "skipped", maintenance.Lost: "lost"}
 
 // writeWorks writes plans, box by box, and what each waits for.
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -461,7 +461,7 @@
 	b.release()
 	y.waits(b, "not heard to have stopped sending there", cut.name)
 	y.view([]*mate{owner}, y.without(cut)) // it is held for dead, and waited for all the same
-	assert.Equal(t, maintenance.Leaving, y.comes(b, maintenance.Leaving).Stage)
+	assert.Equal(t, maintenance.Draining, y.comes(b, maintenance.Draining).Stage)
 	assert.Empty(t, y.records())
 	y.board.Set(processcluster.Rule{}, ways...)
 	p := y.ended()
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -47,7 +47,7 @@
 	before.kill()
 	b := y.boxes[1]
 	y.plan(y.all[0], `gone = "1s"`, b)
-	y.comes(b, maintenance.Taken)
+	y.comes(b, maintenance.InMaintenance)
 	for _, m := range y.all[3:] {
 		if m != before {
 			m.kill()
@@ -70,7 +70,7 @@
 		y.poll(m.name+" has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Out, []string{b.name}) })
 	}
 	s := y.newest()
-	require.Equal(t, maintenance.Taken, stage(&s, b).Stage, "they have all been back before the work had ended")
+	require.Equal(t, maintenance.InMaintenance, stage(&s, b).Stage, "they have all been back before the work had ended")
 	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 	y.serving()
 }
@@ -100,7 +100,7 @@
 			y.waits(b, "has something out there", "m01")
 			y.pollFor(3*patience, "it is waited for", func() bool {
 				s := y.newest()
-				require.NotEqual(t, maintenance.Ready, stage(&s, b).Stage)
+				require.NotEqual(t, maintenance.Drained, stage(&s, b).Stage)
 				return len(s.Plans) > 0 && s.Plans[0].AgeS > k.heldS
 			})
 			assert.Empty(t, y.records())
@@ -147,11 +147,11 @@
 		t.Run(k.name, func(t *testing.T) {
 			y := newYard(t, 3, 3, 6).open()
 			y.plan(y.owner(y.all...), "at_once = 2\nkeep = 0.6", y.boxes[0], y.boxes[1], y.boxes[3], y.boxes[4]) // sites a and b
-			y.poll("two are ready", func() bool { return y.counts()[maintenance.Ready] == 2 })
+			y.poll("two are ready", func() bool { return y.counts()[maintenance.Drained] == 2 })
 			y.poll("some time has passed", func() bool { s := y.newest(); return s.Plans[0].AgeS > 15 })
 			ends := k.begins(y)
 			began := time.Now()
-			y.poll("both are given back", func() bool { return y.counts()[maintenance.Waiting] == 4 })
+			y.poll("both are given back", func() bool { return y.counts()[maintenance.Pending] == 4 })
 			t.Log("given back after", time.Since(began))
 			y.poll("it says why", func() bool {
 				s := y.newest()
@@ -231,7 +231,7 @@
 		s, _ := left[0].works()
 		return slices.ContainsFunc(s.Waits, func(w maintenance.Wait) bool { return w.Server == "" && slices.Equal(w.Who, names(right)) })
 	})
-	assert.Equal(t, 3, y.counts()[maintenance.Waiting])
+	assert.Equal(t, 3, y.counts()[maintenance.Pending])
 	y.board.Set(processcluster.Rule{}, ways...)
 	y.poll("the other side knows", func() bool { s, ok := right[0].works(); return ok && len(s.Plans) == 1 })
 	out, code = y.command("fleet", "work", "plan", file, "--nonce", "8", "--ops", right[0].ops)
@@ -256,7 +256,7 @@
 	y.plan(y.all[1], "at_once = 5\nby_site = 2\nkeep = 0.1", append(others[:4], b)...)
 	y.pollFor(6*patience, "boxes are leaving, ready and taken", func() bool {
 		count := y.counts()
-		return count[maintenance.Leaving] > 0 && count[maintenance.Ready] > 0 && count[maintenance.Taken] == 1
+		return count[maintenance.Draining] > 0 && count[maintenance.Drained] > 0 && count[maintenance.InMaintenance] == 1
 	})
 	y.work(y.all[2], "abort")
 	y.poll("what nobody works on is given back", func() bool { return y.counts()[maintenance.Skipped] == 4 })
@@ -286,11 +286,11 @@
 	}
 	anna, dies := y.mechanic("anna", slow)
 	y.plan(owner, "takes = \"1s\"\nlate = \"2s\"", y.boxes[:1]...)
-	first := y.comes(y.boxes[0], maintenance.Taken)
+	first := y.comes(y.boxes[0], maintenance.InMaintenance)
 	dies()
 	assert.Regexp(t, "^-", y.work(owner, "next", "bob"), "anna has it")
 	y.poll("it is late", func() bool { s := y.newest(); return stage(&s, y.boxes[0]).Late })
-	assert.Equal(t, maintenance.Taken, y.comes(y.boxes[0], maintenance.Taken).Stage)
+	assert.Equal(t, maintenance.InMaintenance, y.comes(y.boxes[0], maintenance.InMaintenance).Stage)
 	again := y.runs(anna)
 	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 	again()
@@ -352,7 +352,7 @@
 			moved := &box{server: newServer(t, b.name, nil), site: b.site}
 			moved.set(moved.ServeHTTP)
 			y.plan(y.all[0], "", b)
-			y.comes(b, maintenance.Taken)
+			y.comes(b, maintenance.InMaintenance)
 			e := b.entry()
 			change(&e, moved.entry())
 			lists := func(m *mate) float64 { return (&world{T: t, listen: m.listen}).counter("lists") }
@@ -392,7 +392,7 @@
 	y.asked()
 	anna, dies := y.mechanic("anna", nil)
 	y.plan(y.all[0], `gone = "2s"`, y.boxes...)
-	y.comes(y.boxes[0], maintenance.Leaving, maintenance.Ready, maintenance.Taken, maintenance.Cold, maintenance.Done)
+	y.comes(y.boxes[0], maintenance.Draining, maintenance.Drained, maintenance.InMaintenance, maintenance.WarmingUp, maintenance.Done)
 	for _, m := range y.all[4:] {
 		m.start()
 	}
@@ -412,7 +412,7 @@
 	y.poll("the last one is ready", func() bool {
 		s := y.newest()
 		for _, b := range y.boxes {
-			if k := stage(&s, b); k.Stage == maintenance.Ready {
+			if k := stage(&s, b); k.Stage == maintenance.Drained {
 				last = b
 			}
 		}
@@ -482,7 +482,7 @@
 			return !slices.ContainsFunc(y.all, func(m *mate) bool { return m.asked.Load() < asked[m]+30 })
 		})
 	}
-	y.comes(b, maintenance.Taken)
+	y.comes(b, maintenance.InMaintenance)
 	out()
 	old, ended := m.cmd, m.ended
 	m.ops = freeAddress(t) // each process has its own
--- a/cmd/hazelwheel/workline_test.go
+++ b/cmd/hazelwheel/workline_test.go
@@ -154,8 +154,8 @@
 	c := &crew{T: t}
 	raw, err := json.Marshal(coordination.SeenWorks{Version: 17, Owner: "m01", AgeS: 0.3, Hand: []string{"s-2"},
 		Plans: []maintenance.Plan{{Number: 1, Spec: maintenance.Spec{Name: "firmware"}, AgeS: 90, Paused: "anna", Servers: []maintenance.Server{
-			{Name: "s-1", Site: "site-a", Stage: maintenance.Leaving, Since: 17},
-			{Name: "s-2", Site: "site-a", Stage: maintenance.Taken, Since: 16, Token: 1<<40 | 16, Mechanic: "bob", Late: true, Forced: []string{"m04"}},
+			{Name: "s-1", Site: "site-a", Stage: maintenance.Draining, Since: 17},
+			{Name: "s-2", Site: "site-a", Stage: maintenance.InMaintenance, Since: 16, Token: 1<<40 | 16, Mechanic: "bob", Late: true, Forced: []string{"m04"}},
 			{Name: "s-3", Site: "site-b", Stage: maintenance.Done, Since: 9},
 			{Name: "s-4", Site: "site-b", Stage: maintenance.Lost, Since: 8, Why: "no disk"},
 			{Name: "s-5", Site: "site-b"}}}},
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -106,15 +106,15 @@
 		at   maintenance.Stage // of a box when it is armed; Waiting: none is out
 		half bool              // a pause is told, which somebody does not hear
 	}{
-		{"agreed that a box leaves, nobody told", "agreed", maintenance.Waiting, false},
-		{"all told that it leaves", "told", maintenance.Waiting, false},
-		{"half told", "told", maintenance.Leaving, true},
-		{"it is empty, not agreed", "empty", maintenance.Leaving, false},
-		{"agreed that it is empty, nobody told", "agreed", maintenance.Leaving, false},
-		{"all told that it is empty", "told", maintenance.Leaving, false},
-		{"agreed to hand it over, the mechanic not told", "handed", maintenance.Leaving, false},
-		{"the mechanic is at work", "", maintenance.Taken, false},
-		{"it is cold", "", maintenance.Cold, false},
+		{"agreed that a box leaves, nobody told", "agreed", maintenance.Pending, false},
+		{"all told that it leaves", "told", maintenance.Pending, false},
+		{"half told", "told", maintenance.Draining, true},
+		{"it is empty, not agreed", "empty", maintenance.Draining, false},
+		{"agreed that it is empty, nobody told", "agreed", maintenance.Draining, false},
+		{"all told that it is empty", "told", maintenance.Draining, false},
+		{"agreed to hand it over, the mechanic not told", "handed", maintenance.Draining, false},
+		{"the mechanic is at work", "", maintenance.InMaintenance, false},
+		{"it is cold", "", maintenance.WarmingUp, false},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			y := newYard(t, 5, 5, 4)
@@ -143,8 +143,8 @@
 			for i, kill := range []bool{true, false} {
 				for fell := false; !fell; {
 					done, at, times := i, k.at, 0
-					if k.at == maintenance.Waiting && i > 0 {
-						done, at, times = 0, maintenance.Cold, 1 // that it is done comes first
+					if k.at == maintenance.Pending && i > 0 {
+						done, at, times = 0, maintenance.WarmingUp, 1 // that it is done comes first
 					}
 					y.poll("a box is at that stage", func() bool {
 						count := y.counts()
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -179,7 +179,7 @@
 	w.epoch, w.version, w.body, w.state = epoch, version, body, state
 	now := w.o.f.net.Now()
 	var names []string
-	for name := range state.Out {
+	for name := range state.Cordoned {
 		if names = append(names, name); w.outAt[name] == 0 {
 			w.outAt[name] = now
 		}
@@ -319,7 +319,7 @@
 	for i := range w.state.Plans {
 		p := &w.state.Plans[i]
 		for _, b := range p.Servers {
-			if b.Stage.Out() {
+			if b.Stage.IsCordoned() {
 				settle[b.Name] = max(settle[b.Name], p.Spec.Settle())
 			}
 		}
@@ -628,7 +628,7 @@
 	ready := func(s *maintenance.State) (n int) {
 		for i := range s.Plans {
 			for _, b := range s.Plans[i].Servers {
-				n += one(b.Stage == maintenance.Ready)
+				n += one(b.Stage == maintenance.Drained)
 			}
 		}
 		return n
--- a/internal/decide/maintenance/commands.go
+++ b/internal/decide/maintenance/commands.go
@@ -227,9 +227,9 @@
 	}
 	for i := range p.Servers {
 		switch b := &p.Servers[i]; {
-		case b.Stage > Ready || b.Stage == Waiting && q.Kind == Pause:
+		case b.Stage > Drained || b.Stage == Pending && q.Kind == Pause:
 		case q.Kind == Pause:
-			c.move(b, Waiting, "")
+			c.move(b, Pending, "")
 		default:
 			c.move(b, Skipped, "the plan was aborted by "+who)
 		}
@@ -256,15 +256,15 @@
 		return c.force(p, b, who, r)
 	}
 	switch b.Stage {
-	case Waiting, Leaving, Ready:
+	case Pending, Draining, Drained:
 		c.move(b, Skipped, "by "+who)
 	case Lost:
 		c.move(b, Skipped, fmt.Sprintf("given back by %s; %s", who, b.Why))
-	case Cold:
+	case WarmingUp:
 		c.move(b, Done, "held for warm by "+who)
 	case Skipped:
 		return false, nil
-	case Taken:
+	case InMaintenance:
 		return false, fmt.Errorf("box: %s works on %s under %d; it ends with done or failed", b.Mechanic, b.Name, b.Token)
 	default:
 		return false, fmt.Errorf("box: the work on %s has ended", b.Name)
@@ -289,7 +289,7 @@
 
 // force has a box be ready, whoever has not said that it is empty, and keeps who that was.
 func (c *Coordinator) force(p *Plan, b *Server, who string, r *Reply) (changed bool, err error) {
-	if b.Stage != Leaving && b.Stage != Ready {
+	if b.Stage != Draining && b.Stage != Drained {
 		return false, fmt.Errorf("box: %s is not being emptied", b.Name)
 	}
 	past, why := c.occupied(p, b)
@@ -297,18 +297,18 @@
 	case len(b.Forced) > 0:
 		r.Text = "it was forced before"
 		return false, nil
-	case why == "" && b.Stage == Ready:
+	case why == "" && b.Stage == Drained:
 		r.Text = "it is empty"
 		return false, nil
 	case why == "":
-		c.move(b, Ready, "")
+		c.move(b, Drained, "")
 		r.Text = "it is empty"
 		return true, nil
 	}
 	if len(past) == 0 {
 		past = []string{why}
 	}
-	c.move(b, Ready, "forced by "+who)
+	c.move(b, Drained, "forced by "+who)
 	for _, name := range past[:min(len(past), mostWho)] {
 		b.Forced = append(b.Forced, clip(name, mostNameLen))
 	}
@@ -323,7 +323,7 @@
 	for i := range s.Plans {
 		p := &s.Plans[i]
 		for j := range p.Servers {
-			if b := &p.Servers[j]; !p.Ended && b.Stage == Taken && b.Mechanic == q.Mechanic {
+			if b := &p.Servers[j]; !p.Ended && b.Stage == InMaintenance && b.Mechanic == q.Mechanic {
 				if inUse := c.takenInUse(b); inUse != "" {
 					r.Text = b.Name + ": " + inUse
 					return false
@@ -341,7 +341,7 @@
 		t := c.planTime(p.Number)
 		for j := range p.Servers {
 			b := &p.Servers[j]
-			if b.Stage != Ready {
+			if b.Stage != Drained {
 				continue
 			}
 			if _, occupied := c.occupied(p, b); occupied != "" && len(b.Forced) == 0 {
@@ -353,7 +353,7 @@
 				continue
 			}
 			forced := b.Why
-			c.move(b, Taken, forced)
+			c.move(b, InMaintenance, forced)
 			b.Token, b.Mechanic = c.agreed.Epoch<<40|c.version(), q.Mechanic
 			r.Plan, r.Server, r.Token = p.Number, b.Name, b.Token
 			r.Text = forced
@@ -372,11 +372,11 @@
 	}
 	r.Plan, r.Server = p.Number, b.Name
 	switch {
-	case b.Stage == Taken && q.Kind == Finish:
-		c.move(b, Cold, b.Why)
-	case b.Stage == Taken:
+	case b.Stage == InMaintenance && q.Kind == Finish:
+		c.move(b, WarmingUp, b.Why)
+	case b.Stage == InMaintenance:
 		c.move(b, Lost, cmp.Or(q.Why, "the work on it failed"))
-	case q.Kind == Finish && (b.Stage == Cold || b.Stage == Done), q.Kind == Fail && b.Stage == Lost:
+	case q.Kind == Finish && (b.Stage == WarmingUp || b.Stage == Done), q.Kind == Fail && b.Stage == Lost:
 		return false, nil
 	default:
 		return false, fmt.Errorf("token: %s is not worked on under %d any more: %s", q.Server, q.Token, cmp.Or(b.Why, "it has ended"))
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -164,12 +164,12 @@
 			if k := c.boxTime(p.Number, b.Name); k != nil {
 				if k.stage == b.Stage && k.since == b.Since {
 					n = *k
-				} else if k.stage.Out() && b.Stage.Out() && k.stage < b.Stage {
+				} else if k.stage.IsCordoned() && b.Stage.IsCordoned() && k.stage < b.Stage {
 					n.banned = k.banned
 				}
 			}
 			boxes = append(boxes, n)
-			if b.Stage == Leaving && n.at == c.now {
+			if b.Stage == Draining && n.at == c.now {
 				c.leftAt = c.now
 			}
 		}
@@ -315,7 +315,7 @@
 // move has a box come to a stage. Past whom it was forced stays on record, unless it is given back and has its turn again.
 func (c *Coordinator) move(b *Server, to Stage, why string) {
 	b.Stage, b.Since, b.Why = to, c.version(), clip(why, mostTextLen)
-	if to == Waiting {
+	if to == Pending {
 		b.Forced = nil
 	}
 }
@@ -336,29 +336,29 @@
 		was := b.Stage
 		switch {
 		case !fresh:
-		case (b.Stage == Leaving || b.Stage == Ready) && bad && !c.fleet.missing(b.Name):
-			c.move(b, Waiting, "")
+		case (b.Stage == Draining || b.Stage == Drained) && bad && !c.fleet.missing(b.Name):
+			c.move(b, Pending, "")
 			backed = true
-		case b.Stage == Leaving:
+		case b.Stage == Draining:
 			if _, why := c.occupied(p, b); why == "" {
-				c.move(b, Ready, "")
+				c.move(b, Drained, "")
 			}
-		case b.Stage == Taken && !b.Late && c.now-known.at > p.Spec.lateS():
+		case b.Stage == InMaintenance && !b.Late && c.now-known.at > p.Spec.lateS():
 			if changed, b.Late = true, true; p.Spec.GiveUp {
 				c.move(b, Lost, fmt.Sprintf("%s had it for longer than %g s", b.Mechanic, p.Spec.lateS()))
 			}
-		case b.Stage == Cold && c.now-known.at >= p.Spec.coldS(c.set.ColdS) && !c.fleet.dumb(b.Name):
+		case b.Stage == WarmingUp && c.now-known.at >= p.Spec.coldS(c.set.ColdS) && !c.fleet.dumb(b.Name):
 			c.move(b, Done, b.Why)
 		}
 		changed = changed || b.Stage != was
-		out = out || b.Stage >= Leaving && b.Stage <= Cold
+		out = out || b.Stage >= Draining && b.Stage <= WarmingUp
 	}
 	if backed {
 		t.shy, t.calmAt = true, 0
 	}
 	if !out && over {
 		for i := range p.Servers {
-			if b := &p.Servers[i]; b.Stage == Waiting {
+			if b := &p.Servers[i]; b.Stage == Pending {
 				c.move(b, Skipped, "the plan's time was over before it was its turn")
 				changed = true
 			}
@@ -371,7 +371,7 @@
 	if leave && !changed && c.mayLeave(p, t) == "" {
 		if b := c.choose(s, p); b != nil {
 			c.freeLost(s, p, b.Name)
-			c.move(b, Leaving, "")
+			c.move(b, Draining, "")
 			if p.Own == 0 {
 				p.Own = max(c.byItself(p), leastOwn)
 			}
@@ -445,7 +445,7 @@
 		}
 		at = min(at, c.now+1)
 		for _, b := range p.Servers {
-			if b.Stage == Cold {
+			if b.Stage == WarmingUp {
 				at = min(at, c.boxTime(p.Number, b.Name).at+p.Spec.coldS(c.set.ColdS))
 			}
 		}
@@ -466,22 +466,22 @@
 			b := &p.Servers[j]
 			w := Wait{Plan: p.Number, Server: b.Name}
 			switch b.Stage {
-			case Waiting:
+			case Pending:
 				waiting = true
-			case Leaving:
+			case Draining:
 				w.Who, w.Why = c.occupied(p, b)
-			case Ready:
+			case Drained:
 				if w.Who, w.Why = c.occupied(p, b); w.Why == "" || len(b.Forced) > 0 {
 					w.Who, w.Why = nil, "a mechanic is to take it"
 				}
-			case Taken:
+			case InMaintenance:
 				if w.Why = b.Mechanic + " works on it"; b.Late {
 					w.Why = b.Mechanic + " is late with it"
 				}
 				if w.Who = c.usedByHand(b.Name); len(w.Who) > 0 {
 					w.Why += "; " + byHand
 				}
-			case Cold:
+			case WarmingUp:
 				if w.Why = "it warms up"; c.fleet.dumb(b.Name) {
 					w.Why = "it was given back and does not answer"
 				}
--- a/internal/decide/maintenance/doc.go
+++ b/internal/decide/maintenance/doc.go
@@ -15,11 +15,11 @@
 
 // The stages. From Leaving up to and with Taken, and when Lost, a box is banned at all sidecars.
 const (
-	Waiting Stage = iota // it serves until its turn
-	Leaving              // nothing new goes there; it is not known to be empty
-	Ready                // empty: a mechanic may take it
-	Taken                // a mechanic works on it under Box.Token
-	Cold                 // given back: it warms up
+	Pending       Stage = iota // it serves until its turn
+	Draining                   // nothing new goes there; it is not known to be empty
+	Drained                    // empty: a mechanic may take it
+	InMaintenance              // a mechanic works on it under Box.Token
+	WarmingUp                  // given back: it warms up
 	Done
 	Skipped // it is not worked on, for Box.Why
 	Lost    // it was given up while it was out, for Box.Why: it stays out until ONLINE or a later plan
--- a/internal/decide/maintenance/empty.go
+++ b/internal/decide/maintenance/empty.go
@@ -36,7 +36,7 @@
 		return nil, notHeard
 	}
 	t := c.boxTime(p.Number, b.Name)
-	if t == nil || !b.Stage.Out() || t.stage != b.Stage {
+	if t == nil || !b.Stage.IsCordoned() || t.stage != b.Stage {
 		return nil, "it is not agreed yet that nothing goes there"
 	}
 	silent := c.silent(p, round, t.banned)
--- a/internal/decide/maintenance/encode.go
+++ b/internal/decide/maintenance/encode.go
@@ -52,10 +52,10 @@
 }
 
 // Out calls yield with each box that nothing new may be sent to, and the version since which.
-func (s *State) Out(yield func(box string, since uint64) bool) {
+func (s *State) Cordoned(yield func(box string, since uint64) bool) {
 	for i := range s.Plans {
 		for _, b := range s.Plans[i].Servers {
-			if b.Stage.Out() && !yield(b.Name, b.Since) {
+			if b.Stage.IsCordoned() && !yield(b.Name, b.Since) {
 				return
 			}
 		}
@@ -63,4 +63,4 @@
 }
 
 // Out tells whether a box of a stage is banned.
-func (g Stage) Out() bool { return g >= Leaving && g <= Taken || g == Lost }
+func (g Stage) IsCordoned() bool { return g >= Draining && g <= InMaintenance || g == Lost }
--- a/internal/decide/maintenance/order.go
+++ b/internal/decide/maintenance/order.go
@@ -197,7 +197,7 @@
 	out := map[string]Stage{}
 	for i := range s.Plans {
 		for _, b := range s.Plans[i].Servers {
-			if b.Stage.Out() || b.Stage == Cold {
+			if b.Stage.IsCordoned() || b.Stage == WarmingUp {
 				out[b.Name] = b.Stage
 			}
 		}
@@ -269,7 +269,7 @@
 	}
 	out := s.outs()
 	for i := range p.Servers {
-		if b := &p.Servers[i]; b.Stage == Waiting && s.ofSite(b.Site) < p.Spec.bySite() {
+		if b := &p.Servers[i]; b.Stage == Pending && s.ofSite(b.Site) < p.Spec.bySite() {
 			return fmt.Sprintf("without %s %.2f of the capacity would serve, %.2f must", b.Name, c.fleet.staying(out, b.Name),
 				c.fleet.need(p.Spec.Keep, noRise))
 		}
@@ -281,7 +281,7 @@
 func (s *State) ofSite(site string) (n int) {
 	for i := range s.Plans {
 		for _, b := range s.Plans[i].Servers {
-			if b.Site == site && b.Stage >= Leaving && b.Stage <= Cold {
+			if b.Site == site && b.Stage >= Draining && b.Stage <= WarmingUp {
 				n++
 			}
 		}
@@ -317,7 +317,7 @@
 	left := map[string]int{} // that wait, by site
 	waiting := 0
 	for i := range p.Servers {
-		if b := &p.Servers[i]; b.Stage == Waiting {
+		if b := &p.Servers[i]; b.Stage == Pending {
 			left[b.Site]++
 			waiting++
 		}
@@ -326,7 +326,7 @@
 	var best *candidate
 	for i := range p.Servers {
 		b := &p.Servers[i]
-		if b.Stage != Waiting || s.ofSite(b.Site) >= p.Spec.bySite() {
+		if b.Stage != Pending || s.ofSite(b.Site) >= p.Spec.bySite() {
 			continue
 		}
 		seen := c.fleet.box(b.Name)
--- a/internal/decide/maintenance/own.go
+++ b/internal/decide/maintenance/own.go
@@ -97,7 +97,7 @@
 func (s *State) busy() bool {
 	for i := range s.Plans {
 		for j := range s.Plans[i].Servers {
-			if g := s.Plans[i].Servers[j].Stage; g >= Leaving && g <= Cold {
+			if g := s.Plans[i].Servers[j].Stage; g >= Draining && g <= WarmingUp {
 				return true
 			}
 		}
--- a/internal/decide/maintenance/own_test.go
+++ b/internal/decide/maintenance/own_test.go
@@ -13,17 +13,17 @@
 func (d *desk) atWork(rounds int, refuse func() float64, left func()) {
 	for range rounds {
 		d.round.Sum.Refused = refuse() * d.round.Sum.PerS
-		before := d.stages()[Waiting]
+		before := d.stages()[Pending]
 		d.play(0.5)
-		if d.stages()[Waiting] < before && left != nil {
+		if d.stages()[Pending] < before && left != nil {
 			left()
 		}
-		if n := d.stages(); n[Ready] > 0 {
+		if n := d.stages(); n[Drained] > 0 {
 			d.do(Command{Kind: Take, Mechanic: "m"})
 		}
 		for _, p := range d.agreed.State.Plans {
 			for _, b := range p.Servers {
-				if b.Stage == Taken {
+				if b.Stage == InMaintenance {
 					d.do(Command{Kind: Finish, Server: b.Name, Token: b.Token, Mechanic: b.Mechanic})
 				}
 			}
@@ -42,7 +42,7 @@
 		most := 0
 		d.atWork(1200, func() float64 {
 			n := d.stages()
-			most = max(most, n[Leaving]+n[Ready]+n[Taken]+n[Cold])
+			most = max(most, n[Draining]+n[Drained]+n[InMaintenance]+n[WarmingUp])
 			return own
 		}, nil)
 		if !leaves {
@@ -63,7 +63,7 @@
 	s.AtOnce = 3
 	require.Empty(t, d.do(Command{Kind: Give, Spec: s}).Err)
 	d.play(12)
-	assert.Equal(t, 3, d.stages()[Leaving]+d.stages()[Ready])
+	assert.Equal(t, 3, d.stages()[Draining]+d.stages()[Drained])
 }
 
 // A box that leaves and has more be refused comes back, and the next one waits for the end of it, not for it to be usual.
@@ -71,11 +71,11 @@
 	d := newDesk(t, 3, 3, 3)
 	require.Empty(t, d.do(Command{Kind: Give, Spec: spec()}).Err)
 	for range 300 {
-		if d.atWork(1, func() float64 { return 0.05 }, nil); d.stages()[Cold] == 1 {
+		if d.atWork(1, func() float64 { return 0.05 }, nil); d.stages()[WarmingUp] == 1 {
 			break
 		}
 	}
-	require.Equal(t, 1, d.stages()[Cold], "%v", d.Waits())
+	require.Equal(t, 1, d.stages()[WarmingUp], "%v", d.Waits())
 	done := d.stages()[Done]
 	d.atWork(400, func() float64 { return 0.09 }, nil) // harm that stays: 0.05 and 0.02 are above it
 	assert.LessOrEqual(t, d.stages()[Done], done+1)
@@ -94,16 +94,16 @@
 		for _, b := range d.round.Sum.Seen { // a request stays out everywhere
 			d.round.Sum.Open = append(d.round.Sum.Open, Open{Server: b.Server, ID: 1, N: 1})
 		}
-		if d.play(0.5); d.stages()[Leaving] == 1 {
+		if d.play(0.5); d.stages()[Draining] == 1 {
 			break
 		}
 	}
-	require.Equal(t, 1, d.stages()[Leaving])
+	require.Equal(t, 1, d.stages()[Draining])
 	d.play(10)
-	require.Equal(t, 1, d.stages()[Leaving], "no more is refused")
+	require.Equal(t, 1, d.stages()[Draining], "no more is refused")
 	d.round.Sum.Refused = 0.1 * d.round.Sum.PerS
 	d.play(10)
-	assert.Zero(t, d.stages()[Leaving])
+	assert.Zero(t, d.stages()[Draining])
 }
 
 // Whatever boxes that were out do to the fleet, for as long as they are out or for good, with owners that are replaced at any time:
@@ -134,7 +134,7 @@
 					greatest = max(greatest, own)
 				}
 				n := d.stages()
-				out := n[Leaving] + n[Ready] + n[Taken] + n[Cold]
+				out := n[Draining] + n[Drained] + n[InMaintenance] + n[WarmingUp]
 				return min(own+harm*float64(out)+stays*float64(left), 1)
 			}, func() {
 				left++
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -32,12 +32,12 @@
 			before := h.now[key]
 			h.now[key] = b.Stage
 			require.False(h.t, before >= Done && b.Stage != before && !(before == Lost && b.Stage == Skipped), "%s had ended as %d and is %d", key, before, b.Stage)
-			require.False(h.t, before == Taken && b.Stage != Taken && b.Stage != Cold && b.Stage != Lost, "%s was taken from its mechanic: %d", key, b.Stage)
-			if b.Stage >= Leaving && b.Stage <= Cold {
+			require.False(h.t, before == InMaintenance && b.Stage != InMaintenance && b.Stage != WarmingUp && b.Stage != Lost, "%s was taken from its mechanic: %d", key, b.Stage)
+			if b.Stage >= Draining && b.Stage <= WarmingUp {
 				out++
 				sites[b.Site]++
 			}
-			if b.Stage == Taken && before != Taken {
+			if b.Stage == InMaintenance && before != InMaintenance {
 				require.Greater(h.t, b.Token, h.tokens, "tokens grow")
 				h.tokens = b.Token
 				if len(b.Forced) == 0 {
@@ -183,9 +183,9 @@
 					switch {
 					case p.Paused != "" && !p.Aborted && !p.Ended:
 						h.give(Command{Kind: Resume, Plan: p.Number})
-					case b.Stage == Ready:
+					case b.Stage == Drained:
 						h.give(Command{Kind: Take, Mechanic: "last"})
-					case b.Stage == Taken:
+					case b.Stage == InMaintenance:
 						h.give(Command{Kind: Finish, Server: b.Name, Token: b.Token})
 					case b.Stage == Lost:
 						h.give(Command{Kind: Skip, Server: b.Name, Plan: p.Number})
@@ -211,7 +211,7 @@
 		Server: rapid.SampledFrom(boxes).Draw(h.t, "box"), Mechanic: rapid.SampledFrom([]string{"m", "n"}).Draw(h.t, "mechanic"), Token: 1}
 	for _, p := range h.agreed.State.Plans {
 		for _, b := range p.Servers {
-			if b.Stage == Taken && b.Mechanic == c.Mechanic {
+			if b.Stage == InMaintenance && b.Mechanic == c.Mechanic {
 				c.Server, c.Token = b.Name, b.Token
 			}
 		}
@@ -227,7 +227,7 @@
 
 // What comes from a disk or over a link may be anything, and what is read is written as the same again.
 func FuzzDecode(f *testing.F) {
-	s := State{Last: 2, Plans: []Plan{{Number: 2, Spec: *spec(), Servers: []Server{{Name: "b", Site: "s", Stage: Taken, Since: 4, Token: 5, Forced: []string{"n"}}}}}}
+	s := State{Last: 2, Plans: []Plan{{Number: 2, Spec: *spec(), Servers: []Server{{Name: "b", Site: "s", Stage: InMaintenance, Since: 4, Token: 5, Forced: []string{"n"}}}}}}
 	body, err := s.Encode()
 	require.NoError(f, err)
 	f.Add(body)
@@ -289,14 +289,14 @@
 	s.AtOnce, s.BySite, s.Keep, s.TakesS = 2, 1, 0.7, 60
 	require.Empty(t, d.do(Command{Kind: Give, Spec: s}).Err)
 	d.play(30)
-	require.Equal(t, 2, d.stages()[Ready])
+	require.Equal(t, 2, d.stages()[Drained])
 	require.NotEmpty(t, d.do(Command{Kind: Take, Mechanic: "m"}).Server)
 	d.round.Sum.PerS *= 2
 	d.play(10)
-	assert.Equal(t, 1, d.stages()[Taken])
-	assert.Equal(t, 0, d.stages()[Ready])
+	assert.Equal(t, 1, d.stages()[InMaintenance])
+	assert.Equal(t, 0, d.stages()[Drained])
 	assert.NotEmpty(t, d.Waits())
 	d.round.Sum.PerS /= 2
 	d.play(120)
-	assert.Equal(t, 2, d.stages()[Taken]+d.stages()[Ready], "it goes on")
+	assert.Equal(t, 2, d.stages()[InMaintenance]+d.stages()[Drained], "it goes on")
 }
--- a/internal/decide/maintenance/stored_form_test.go
+++ b/internal/decide/maintenance/stored_form_test.go
@@ -24,7 +24,7 @@
 
 func storedPlan() Plan {
 	p := Plan{Number: 4, Nonce: 77, Spec: storedSpec(), Paused: "bob", Aborted: true, Own: 0.01, Ended: true, AgeS: 12.5}
-	for stage := Leaving; stage <= Lost; stage++ {
+	for stage := Draining; stage <= Lost; stage++ {
 		p.Servers = append(p.Servers, storedBox(stage))
 	}
 	return p
@@ -108,7 +108,7 @@
 
 // The numbers of stages and the names of commands are stored and sent.
 func TestStoredNumbersAndNames(t *testing.T) {
-	assert.Equal(t, []Stage{0, 1, 2, 3, 4, 5, 6, 7}, []Stage{Waiting, Leaving, Ready, Taken, Cold, Done, Skipped, Lost})
+	assert.Equal(t, []Stage{0, 1, 2, 3, 4, 5, 6, 7}, []Stage{Pending, Draining, Drained, InMaintenance, WarmingUp, Done, Skipped, Lost})
 	assert.Equal(t, []Kind{"plan", "pause", "resume", "skip", "abort", "force", "next", "done", "failed"},
 		[]Kind{Give, Pause, Resume, Skip, Abort, Force, Take, Finish, Fail})
 	assert.Equal(t, []int{250, 16, 40 << 10}, []int{MaxServers, MostPlans, MostBytes})
--- a/internal/decide/maintenance/works_test.go
+++ b/internal/decide/maintenance/works_test.go
@@ -110,7 +110,7 @@
 	for range 2000 {
 		d.play(0.5)
 		n := d.stages()
-		require.LessOrEqual(t, n[Leaving]+n[Ready]+n[Taken]+n[Cold], 1)
+		require.LessOrEqual(t, n[Draining]+n[Drained]+n[InMaintenance]+n[WarmingUp], 1)
 		if n[Done] == 6 {
 			break
 		}
@@ -137,7 +137,7 @@
 func TestHandOverThatIsAgreedLate(t *testing.T) {
 	d := newDesk(t, 3, 2, 3)
 	require.Empty(t, d.do(Command{Kind: Give, Spec: spec()}).Err)
-	for d.stages()[Ready] == 0 {
+	for d.stages()[Drained] == 0 {
 		d.play(0.5)
 	}
 	d.nonce++
@@ -146,7 +146,7 @@
 	require.NotNil(t, underWay)
 	var taken string
 	for _, b := range underWay.Plans[0].Servers {
-		if b.Stage == Taken {
+		if b.Stage == InMaintenance {
 			taken = b.Name
 		}
 	}
--- a/internal/lab/processcluster/workpicture.go
+++ b/internal/lab/processcluster/workpicture.go
@@ -18,11 +18,11 @@
 	says   string
 	color  color.RGBA
 }{
-	{[]maintenance.Stage{maintenance.Waiting, maintenance.Done, maintenance.Skipped}, "serving", color.RGBA{200, 230, 201, 255}},
-	{[]maintenance.Stage{maintenance.Leaving}, "emptying", color.RGBA{255, 213, 79, 255}},
-	{[]maintenance.Stage{maintenance.Ready}, "empty", color.RGBA{255, 167, 38, 255}},
-	{[]maintenance.Stage{maintenance.Taken}, "worked on", color.RGBA{121, 85, 72, 255}},
-	{[]maintenance.Stage{maintenance.Cold}, "cold", color.RGBA{144, 202, 249, 255}},
+	{[]maintenance.Stage{maintenance.Pending, maintenance.Done, maintenance.Skipped}, "serving", color.RGBA{200, 230, 201, 255}},
+	{[]maintenance.Stage{maintenance.Draining}, "emptying", color.RGBA{255, 213, 79, 255}},
+	{[]maintenance.Stage{maintenance.Drained}, "empty", color.RGBA{255, 167, 38, 255}},
+	{[]maintenance.Stage{maintenance.InMaintenance}, "worked on", color.RGBA{121, 85, 72, 255}},
+	{[]maintenance.Stage{maintenance.WarmingUp}, "cold", color.RGBA{144, 202, 249, 255}},
 	{[]maintenance.Stage{maintenance.Lost}, "lost", color.RGBA{97, 97, 97, 255}},
 }
 
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -276,15 +276,15 @@
 	p.given = now()
 	p.mu.Unlock()
 	for _, box := range p.named() {
-		come(box, maintenance.Waiting)
+		come(box, maintenance.Pending)
 	}
 	for _, box := range p.named() {
-		come(box, maintenance.Leaving)
+		come(box, maintenance.Draining)
 		say("OFFLINE " + box)
 		if !rest(ctx, inS(handEmptyS)) {
 			return
 		}
-		come(box, maintenance.Taken)
+		come(box, maintenance.InMaintenance)
 		p.mu.Lock()
 		p.byHand = append(p.byHand, maintenanceagent.Record{Mechanic: "script", Box: box, From: time.Now()})
 		p.mu.Unlock()
@@ -294,7 +294,7 @@
 		p.mu.Lock()
 		p.byHand[len(p.byHand)-1].To = time.Now()
 		p.mu.Unlock()
-		come(box, maintenance.Cold)
+		come(box, maintenance.WarmingUp)
 		say("ONLINE " + box)
 		if !rest(ctx, inS(handColdS)) {
 			return
@@ -498,9 +498,9 @@
 	}
 	for _, b := range p.last.Plans[len(p.last.Plans)-1].Servers {
 		switch n := len(tokens[b.Name]); {
-		case (b.Stage == maintenance.Cold || b.Stage == maintenance.Done) && !done[b.Name]:
+		case (b.Stage == maintenance.WarmingUp || b.Stage == maintenance.Done) && !done[b.Name]:
 			w.find(checker.WorkForgotten, "%s is said to be done, and nobody has worked on it to the end", b.Name)
-		case b.Stage < maintenance.Taken && n > 0:
+		case b.Stage < maintenance.InMaintenance && n > 0:
 			w.find(checker.WorkForgotten, "%s was worked on, and is said to wait", b.Name)
 		case (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Why == "":
 			w.find(checker.WorkForgotten, "%s was skipped or lost for no cause", b.Name)
--- a/internal/lab/processcluster/works_test.go
+++ b/internal/lab/processcluster/works_test.go
@@ -27,7 +27,7 @@
 	usual := []maintenanceagent.Record{piece("a", 1, 1000, 1010), piece("b", 2, 1020, 1030)}
 	forced := piece("a", 1, 1000, 1010)
 	forced.Forced = "forced by an operator"
-	done, cold := maintenance.Done, maintenance.Cold
+	done, cold := maintenance.Done, maintenance.WarmingUp
 	for name, k := range map[string]struct {
 		visits  []visit
 		away    []away
@@ -50,7 +50,7 @@
 		"twice":                            {nil, nil, append([]maintenanceagent.Record{piece("a", 7, 1040, 1050)}, usual...), [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkTwice}, 0},
 		"gone on with by one who had died": {nil, nil, append([]maintenanceagent.Record{piece("a", 1, 990, 995)}, usual...), [2]maintenance.Stage{done, done}, "", nil, 0},
 		"nobody has done it":               {nil, nil, usual[:1], [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
-		"done and forgotten":               {nil, nil, usual, [2]maintenance.Stage{maintenance.Waiting, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
+		"done and forgotten":               {nil, nil, usual, [2]maintenance.Stage{maintenance.Pending, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
 		"skipped for no cause":             {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "", []checker.Rule{checker.WorkForgotten}, 0},
 		"skipped":                          {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "by an operator", nil, 0},
 	} {
--- a/internal/sim/maintenancesim/actors.go
+++ b/internal/sim/maintenancesim/actors.go
@@ -256,7 +256,7 @@
 	cmd := maintenance.Command{Kind: kinds[w.rng.IntN(len(kinds))], Server: b.name, Mechanic: "operator"}
 	for _, p := range state.Plans {
 		for _, o := range p.Servers {
-			if cmd.Kind == maintenance.Force && (o.Stage == maintenance.Leaving || o.Stage == maintenance.Ready) {
+			if cmd.Kind == maintenance.Force && (o.Stage == maintenance.Draining || o.Stage == maintenance.Drained) {
 				cmd.Server = o.Name
 			}
 		}
--- a/internal/sim/maintenancesim/judge.go
+++ b/internal/sim/maintenancesim/judge.go
@@ -180,7 +180,7 @@
 		}
 		at, sites := 0, map[string]int{}
 		for j, b := range p.Servers {
-			if b.Stage >= maintenance.Leaving && b.Stage <= maintenance.Cold {
+			if b.Stage >= maintenance.Draining && b.Stage <= maintenance.WarmingUp {
 				at++
 				sites[b.Site]++
 				if sites[b.Site] > max(p.Spec.BySite, 1) {
@@ -194,7 +194,7 @@
 				continue
 			}
 			w.stage(&was, &state, p, old.Servers[j], b)
-			if b.Stage == maintenance.Taken {
+			if b.Stage == maintenance.InMaintenance {
 				if b.Token <= w.handed || handed != 0 {
 					w.broken(RuleToken, "%s is handed over under %d, one before it under %d", b.Name, b.Token, max(w.handed, handed))
 				}
@@ -229,19 +229,19 @@
 	if from.Stage >= maintenance.Done && !(from.Stage == maintenance.Lost && to.Stage == maintenance.Skipped) {
 		w.broken(RuleEnd, "%s of plan %d had ended as %d and is %d", to.Name, p.Number, from.Stage, to.Stage)
 	}
-	if from.Stage == maintenance.Taken && to.Stage != maintenance.Cold && to.Stage != maintenance.Lost {
+	if from.Stage == maintenance.InMaintenance && to.Stage != maintenance.WarmingUp && to.Stage != maintenance.Lost {
 		w.broken(RuleEnd, "%s is taken from who works on it", to.Name)
 	}
 	switch to.Stage {
-	case maintenance.Leaving:
+	case maintenance.Draining:
 		w.leaves(was, s, p, to)
-	case maintenance.Ready:
+	case maintenance.Drained:
 		if len(to.Forced) > 0 {
 			w.counts.Forced++
 		}
-	case maintenance.Cold:
+	case maintenance.WarmingUp:
 		w.cold[to.Name] = w.Now()
-	case maintenance.Waiting:
+	case maintenance.Pending:
 		w.counts.Backed++
 	case maintenance.Done:
 		w.counts.Done++
@@ -262,12 +262,12 @@
 		coldS = max(w.coldS, 5)
 	}
 	at, lost := 0, false // lost: an earlier plan has it out already
-	for name := range was.Out {
+	for name := range was.Cordoned {
 		lost = lost || name == b.Name
 	}
 	for _, q := range s.Plans {
 		for _, o := range q.Servers {
-			if o.Stage >= maintenance.Leaving && o.Stage <= maintenance.Taken || q.Number == p.Number && o.Stage >= maintenance.Cold && o.Stage <= maintenance.Done &&
+			if o.Stage >= maintenance.Draining && o.Stage <= maintenance.InMaintenance || q.Number == p.Number && o.Stage >= maintenance.WarmingUp && o.Stage <= maintenance.Done &&
 				w.cold[o.Name] > 0 && w.Now()-w.cold[o.Name] < coldS-1e-6 && !warm(o) {
 				at++
 			}
@@ -281,11 +281,11 @@
 	for _, o := range w.boxes {
 		total += o.size
 		out := false
-		for name := range s.Out {
+		for name := range s.Cordoned {
 			out = out || name == o.name
 		}
 		for _, q := range s.Plans {
-			out = out || slices.ContainsFunc(q.Servers, func(k maintenance.Server) bool { return k.Name == o.name && k.Stage == maintenance.Cold })
+			out = out || slices.ContainsFunc(q.Servers, func(k maintenance.Server) bool { return k.Name == o.name && k.Stage == maintenance.WarmingUp })
 		}
 		if !out && o != me && !o.missing() {
 			left += o.size
--- a/internal/sim/maintenancesim/world.go
+++ b/internal/sim/maintenancesim/world.go
@@ -210,7 +210,7 @@
 		return
 	}
 	n.version, n.state, n.outs = version, state, map[string]bool{}
-	for b := range state.Out {
+	for b := range state.Cordoned {
 		n.outs[b] = true
 	}
 }
@@ -267,7 +267,7 @@
 		}
 		settle := 1.0
 		for _, p := range n.state.Plans {
-			if slices.ContainsFunc(p.Servers, func(o maintenance.Server) bool { return o.Name == b.name && o.Stage.Out() }) {
+			if slices.ContainsFunc(p.Servers, func(o maintenance.Server) bool { return o.Name == b.name && o.Stage.IsCordoned() }) {
 				settle = p.Spec.Settle()
 			}
 		}
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -164,7 +164,7 @@
 		}
 		cmd.Plan = p.Number
 		for _, b := range p.Servers {
-			if b.Stage == maintenance.Leaving || cmd.Server == "" {
+			if b.Stage == maintenance.Draining || cmd.Server == "" {
 				cmd.Server = b.Name
 			}
 		}
@@ -442,7 +442,7 @@
 		stages := make([]byte, 0, len(p.Servers))
 		for _, b := range p.Servers {
 			stages = append(stages, "wlrTcdsX"[b.Stage])
-			if b.Stage >= maintenance.Leaving && b.Stage <= maintenance.Cold {
+			if b.Stage >= maintenance.Draining && b.Stage <= maintenance.WarmingUp {
 				at++
 				sites[b.Site]++
 				if sites[b.Site] > max(p.Spec.BySite, 1) {
@@ -466,7 +466,7 @@
 			done := slices.ContainsFunc(w.record, func(k *boxWork) bool { return k.plan == p.Number && w.boxes[k.box].name == b.Name && k.ended })
 			had := slices.ContainsFunc(w.record, func(k *boxWork) bool { return k.plan == p.Number && w.boxes[k.box].name == b.Name })
 			switch {
-			case b.Stage == maintenance.Done && !done, b.Stage < maintenance.Taken && had, (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Why == "":
+			case b.Stage == maintenance.Done && !done, b.Stage < maintenance.InMaintenance && had, (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Why == "":
 				w.wrong(checker.ForgottenWrong, "%s of plan %d is at stage %d for %q; worked on: %t, to the end: %t", b.Name, p.Number, b.Stage, b.Why, had, done)
 			}
 		}
