--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -56,24 +56,24 @@
 		return err
 	}
 	return &cli.Command{Name: "work", Usage: "have boxes taken out for work on them, in an order that the sidecars settle", Commands: []*cli.Command{
-		say(maintenance.Give, "give a plan", "FILE", 1, func(c *maintenance.Command, args []string) error {
+		say(maintenance.SubmitPlan, "give a plan", "FILE", 1, func(c *maintenance.Command, args []string) error {
 			spec, err := readPlan(args[0])
 			c.Spec = &spec
 			return err
 		}),
 		{Name: "check", Usage: "check the file of a plan, without a sidecar", ArgsUsage: "FILE", Action: checkPlan},
 		{Name: "status", Usage: "show the plans, their boxes, and what is waited for", Flags: flags, Action: showFleet("WORKS", writeWorks)},
-		say(maintenance.Pause, "have nothing more leave, and give back what nobody works on", "[PLAN]", 0, plan),
-		say(maintenance.Resume, "have a plan go on", "[PLAN]", 0, plan),
-		say(maintenance.Abort, "end a plan: what nobody works on is given back", "[PLAN]", 0, plan),
-		say(maintenance.Skip, "have a box not be worked on; give a box back that was lost", "BOX", 1, box),
-		say(maintenance.Force, "have a box count as empty, whoever has not said so", "BOX", 1, box),
-		say(maintenance.Take, "take a box that is ready, or be told of the one that one has", "MECHANIC", 1, func(c *maintenance.Command, args []string) error {
+		say(maintenance.PausePlan, "have nothing more leave, and give back what nobody works on", "[PLAN]", 0, plan),
+		say(maintenance.ResumePlan, "have a plan go on", "[PLAN]", 0, plan),
+		say(maintenance.AbortPlan, "end a plan: what nobody works on is given back", "[PLAN]", 0, plan),
+		say(maintenance.SkipServer, "have a box not be worked on; give a box back that was lost", "BOX", 1, box),
+		say(maintenance.ForceDrained, "have a box count as empty, whoever has not said so", "BOX", 1, box),
+		say(maintenance.AcquireServer, "take a box that is ready, or be told of the one that one has", "MECHANIC", 1, func(c *maintenance.Command, args []string) error {
 			c.Mechanic = args[0]
 			return nil
 		}),
-		say(maintenance.Finish, "say that the work on a box has ended", "BOX TOKEN", 2, ended),
-		say(maintenance.Fail, "say that it has ended without success: the box stays out", "BOX TOKEN [WHY]", 2, ended),
+		say(maintenance.CompleteServer, "say that the work on a box has ended", "BOX TOKEN", 2, ended),
+		say(maintenance.FailServer, "say that it has ended without success: the box stays out", "BOX TOKEN [WHY]", 2, ended),
 	}}
 }
 
@@ -84,7 +84,7 @@
 		return maintenance.Spec{}, err
 	}
 	spec, err := maintenanceplan.Read(path, text, time.Now())
-	if err == nil && len(workLine(maintenance.Command{Nonce: 1<<64 - 1, Kind: maintenance.Give, Spec: &spec})) >= admin.MostWork {
+	if err == nil && len(workLine(maintenance.Command{Nonce: 1<<64 - 1, Kind: maintenance.SubmitPlan, Spec: &spec})) >= admin.MostWork {
 		err = fmt.Errorf("%s: the plan is too long for a door, which takes %d bytes", path, admin.MostWork)
 	}
 	return spec, err
@@ -159,9 +159,9 @@
 		return fmt.Errorf("%w: %s", errDoor, r.Err)
 	case c.Bool("json"):
 		return nil
-	case w.Kind == maintenance.Take && r.Server == "":
+	case w.Kind == maintenance.AcquireServer && r.Server == "":
 		_, err = fmt.Fprintln(c.Root().Writer, strings.TrimSpace("- "+r.Text))
-	case w.Kind == maintenance.Take:
+	case w.Kind == maintenance.AcquireServer:
 		_, err = fmt.Fprintf(c.Root().Writer, "%s %s\n", r.Server, tokenText(r.Token))
 	default:
 		text := string(w.Kind)
--- a/cmd/hazelwheel/workline_test.go
+++ b/cmd/hazelwheel/workline_test.go
@@ -82,23 +82,23 @@
 		code   int
 		out    string
 	}{
-		{"plan " + plan, `{"plan":4,"text":"1 box"}`, maintenance.Command{Kind: maintenance.Give, Spec: &maintenance.Spec{Name: "n", Servers: []string{"s-00000001"}, TakesS: 1, AtOnce: 1, Keep: 0.5}}, 0,
+		{"plan " + plan, `{"plan":4,"text":"1 box"}`, maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &maintenance.Spec{Name: "n", Servers: []string{"s-00000001"}, TakesS: 1, AtOnce: 1, Keep: 0.5}}, 0,
 			"OK plan: plan 4: 1 box\n"},
 		{"plan " + bad, "", maintenance.Command{}, 2, "hazelwheel: work plan: " + bad + ":4:1: at_once: 0 is not 1 to 250\n"},
 		{"check " + bad, "", maintenance.Command{}, 2, "hazelwheel: " + bad + ":4:1: at_once: 0 is not 1 to 250\n"},
 		{"check " + plan, "", maintenance.Command{}, 0, "n: boxes s-00000001; 1s each, 1 at once, 0.5 of the capacity stays\n"},
 		{"plan", "", maintenance.Command{}, 2, "hazelwheel: work plan: want FILE\n"},
-		{"pause", `{"plan":4}`, maintenance.Command{Kind: maintenance.Pause}, 0, "OK pause: plan 4\n"},
-		{"resume 4", `{"plan":4}`, maintenance.Command{Kind: maintenance.Resume, Plan: 4}, 0, "OK resume: plan 4\n"},
+		{"pause", `{"plan":4}`, maintenance.Command{Kind: maintenance.PausePlan}, 0, "OK pause: plan 4\n"},
+		{"resume 4", `{"plan":4}`, maintenance.Command{Kind: maintenance.ResumePlan, Plan: 4}, 0, "OK resume: plan 4\n"},
 		{"abort x", "", maintenance.Command{}, 2, "hazelwheel: work abort: \"x\" is not the number of a plan\n"},
-		{"skip s-1", `{"error":"it is taken"}`, maintenance.Command{Kind: maintenance.Skip, Server: "s-1"}, 1, "hazelwheel: the sidecar says: it is taken\n"},
-		{"force --by bob s-1", `{"plan":1,"box":"s-1"}`, maintenance.Command{Kind: maintenance.Force, Server: "s-1", Mechanic: "bob"}, 0, "OK force: plan 1: s-1\n"},
-		{"next anna", `{"box":"s-1","token":3298534883385}`, maintenance.Command{Kind: maintenance.Take, Mechanic: "anna"}, 0, "s-1 3.57\n"},
-		{"next anna", `{"text":"all is done"}`, maintenance.Command{Kind: maintenance.Take, Mechanic: "anna"}, 0, "- all is done\n"},
-		{"done s-1 3.57", `{"box":"s-1"}`, maintenance.Command{Kind: maintenance.Finish, Server: "s-1", Token: token}, 0, "OK done: s-1\n"},
-		{"done s-1 3298534883385", `{"box":"s-1"}`, maintenance.Command{Kind: maintenance.Finish, Server: "s-1", Token: token}, 0, "OK done: s-1\n"},
+		{"skip s-1", `{"error":"it is taken"}`, maintenance.Command{Kind: maintenance.SkipServer, Server: "s-1"}, 1, "hazelwheel: the sidecar says: it is taken\n"},
+		{"force --by bob s-1", `{"plan":1,"box":"s-1"}`, maintenance.Command{Kind: maintenance.ForceDrained, Server: "s-1", Mechanic: "bob"}, 0, "OK force: plan 1: s-1\n"},
+		{"next anna", `{"box":"s-1","token":3298534883385}`, maintenance.Command{Kind: maintenance.AcquireServer, Mechanic: "anna"}, 0, "s-1 3.57\n"},
+		{"next anna", `{"text":"all is done"}`, maintenance.Command{Kind: maintenance.AcquireServer, Mechanic: "anna"}, 0, "- all is done\n"},
+		{"done s-1 3.57", `{"box":"s-1"}`, maintenance.Command{Kind: maintenance.CompleteServer, Server: "s-1", Token: token}, 0, "OK done: s-1\n"},
+		{"done s-1 3298534883385", `{"box":"s-1"}`, maintenance.Command{Kind: maintenance.CompleteServer, Server: "s-1", Token: token}, 0, "OK done: s-1\n"},
 		{"done s-1 3.x", "", maintenance.Command{}, 2, "hazelwheel: work done: \"3.x\" is not a token like 1.57\n"},
-		{"failed s-1 3.57 no-disk", `{}`, maintenance.Command{Kind: maintenance.Fail, Server: "s-1", Token: token, Why: "no-disk"}, 0, "OK failed: s-1\n"},
+		{"failed s-1 3.57 no-disk", `{}`, maintenance.Command{Kind: maintenance.FailServer, Server: "s-1", Token: token, Why: "no-disk"}, 0, "OK failed: s-1\n"},
 	} {
 		d := newFakeDoor(t, k.answer+"\n")
 		args := append([]string{"fleet", "work"}, strings.Fields(k.args)...)
--- a/internal/decide/maintenance/commands.go
+++ b/internal/decide/maintenance/commands.go
@@ -40,20 +40,20 @@
 		return fmt.Errorf("box, mechanic: a name has at most %d bytes", mostNameLen)
 	}
 	switch c.Kind {
-	case Give:
+	case SubmitPlan:
 		if c.Spec == nil {
 			return errors.New("spec: there is no plan")
 		}
 		return c.Spec.Check()
-	case Pause, Resume, Abort:
-	case Skip, Force, Finish, Fail:
+	case PausePlan, ResumePlan, AbortPlan:
+	case SkipServer, ForceDrained, CompleteServer, FailServer:
 		if c.Server == "" {
 			return errors.New("box: none is named")
 		}
-		if c.Token == 0 && (c.Kind == Finish || c.Kind == Fail) {
+		if c.Token == 0 && (c.Kind == CompleteServer || c.Kind == FailServer) {
 			return errors.New("token: the one that the box was handed over with is needed")
 		}
-	case Take:
+	case AcquireServer:
 		if c.Mechanic == "" {
 			return errors.New("mechanic: no name is told")
 		}
@@ -87,13 +87,13 @@
 	r.Nonce = q.Nonce
 	var err error
 	switch q.Kind {
-	case Give:
+	case SubmitPlan:
 		changed, err = c.give(s, q, &r)
-	case Pause, Resume, Abort:
+	case PausePlan, ResumePlan, AbortPlan:
 		changed, err = c.turn(s, q, &r)
-	case Skip, Force:
+	case SkipServer, ForceDrained:
 		changed, err = c.single(s, q, &r)
-	case Take:
+	case AcquireServer:
 		changed = c.take(s, q, &r)
 	default:
 		changed, err = c.finish(s, q, &r)
@@ -211,24 +211,24 @@
 	r.Plan = p.Number
 	who := cmp.Or(q.Mechanic, "an operator")
 	switch {
-	case q.Kind == Abort && p.Aborted, q.Kind == Pause && p.Paused != "", q.Kind == Resume && p.Paused == "" && !p.Aborted && !p.Ended:
+	case q.Kind == AbortPlan && p.Aborted, q.Kind == PausePlan && p.Paused != "", q.Kind == ResumePlan && p.Paused == "" && !p.Aborted && !p.Ended:
 		return false, nil
 	case p.Ended:
 		return false, fmt.Errorf("plan: %d has ended", p.Number)
 	case p.Aborted:
 		return false, fmt.Errorf("plan: %d is aborted", p.Number)
-	case q.Kind == Resume:
+	case q.Kind == ResumePlan:
 		p.Paused, p.Own = "", 0 // whoever says so has seen how the fleet is: it is measured anew
 		return true, nil
-	case q.Kind == Pause:
+	case q.Kind == PausePlan:
 		p.Paused = who
 	default:
 		p.Aborted = true
 	}
 	for i := range p.Servers {
 		switch b := &p.Servers[i]; {
-		case b.Stage > Drained || b.Stage == Pending && q.Kind == Pause:
-		case q.Kind == Pause:
+		case b.Stage > Drained || b.Stage == Pending && q.Kind == PausePlan:
+		case q.Kind == PausePlan:
 			c.move(b, Pending, "")
 		default:
 			c.move(b, Skipped, "the plan was aborted by "+who)
@@ -252,7 +252,7 @@
 	}
 	r.Plan, r.Server = p.Number, b.Name
 	who := cmp.Or(q.Mechanic, "an operator")
-	if q.Kind == Force {
+	if q.Kind == ForceDrained {
 		return c.force(p, b, who, r)
 	}
 	switch b.Stage {
@@ -372,11 +372,11 @@
 	}
 	r.Plan, r.Server = p.Number, b.Name
 	switch {
-	case b.Stage == InMaintenance && q.Kind == Finish:
+	case b.Stage == InMaintenance && q.Kind == CompleteServer:
 		c.move(b, WarmingUp, b.Why)
 	case b.Stage == InMaintenance:
 		c.move(b, Lost, cmp.Or(q.Why, "the work on it failed"))
-	case q.Kind == Finish && (b.Stage == WarmingUp || b.Stage == Done), q.Kind == Fail && b.Stage == Lost:
+	case q.Kind == CompleteServer && (b.Stage == WarmingUp || b.Stage == Done), q.Kind == FailServer && b.Stage == Lost:
 		return false, nil
 	default:
 		return false, fmt.Errorf("token: %s is not worked on under %d any more: %s", q.Server, q.Token, cmp.Or(b.Why, "it has ended"))
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -242,7 +242,7 @@
 // Asking tells whether rounds are needed.
 func (c *Coordinator) Asking() bool {
 	return slices.ContainsFunc(c.agreed.State.Plans, func(p Plan) bool { return !p.Ended }) ||
-		slices.ContainsFunc(c.queue, func(q queued) bool { return q.Kind == Give })
+		slices.ContainsFunc(c.queue, func(q queued) bool { return q.Kind == SubmitPlan })
 }
 
 // Step returns what is to be agreed in place of the version that there is; nil: nothing. While that is being agreed it is
@@ -256,13 +256,13 @@
 	changed, handed := false, false
 	var later []queued
 	for _, q := range c.queue {
-		if q.Kind == Take && handed || c.tooSoon(&q) && c.now < q.until {
+		if q.Kind == AcquireServer && handed || c.tooSoon(&q) && c.now < q.until {
 			later = append(later, q)
 			continue
 		}
 		r, did := c.carry(next, &q.Command)
 		changed = changed || did
-		handed = handed || q.Kind == Take && did
+		handed = handed || q.Kind == AcquireServer && did
 		c.owed = append(c.owed, done{q, r})
 	}
 	c.queue = later
@@ -302,9 +302,9 @@
 // earlier one that it has none.
 func (c *Coordinator) tooSoon(q *queued) bool {
 	switch q.Kind {
-	case Give:
+	case SubmitPlan:
 		return c.fresh() == nil
-	case Finish, Fail:
+	case CompleteServer, FailServer:
 		return q.Token > c.agreed.Epoch<<40|c.agreed.Version
 	}
 	return false
--- a/internal/decide/maintenance/doc.go
+++ b/internal/decide/maintenance/doc.go
@@ -102,15 +102,15 @@
 
 // The kinds.
 const (
-	Give   Kind = "plan"   // a plan is to be carried out
-	Pause  Kind = "pause"  // nothing more leaves, what is Leaving or Ready is given back
-	Resume Kind = "resume" //
-	Skip   Kind = "skip"   // a box is not worked on; one that is Taken can't be skipped, one that is Lost is given back
-	Abort  Kind = "abort"  // as Pause, for good
-	Force  Kind = "force"  // a box that is Leaving is Ready, whoever has not said that it is empty
-	Take   Kind = "next"   // a mechanic takes a box that is Ready, or is told of the one that it has
-	Finish Kind = "done"   // the work on a box has ended
-	Fail   Kind = "failed" // it has ended without success: the box is Lost
+	SubmitPlan     Kind = "plan"   // a plan is to be carried out
+	PausePlan      Kind = "pause"  // nothing more leaves, what is Leaving or Ready is given back
+	ResumePlan     Kind = "resume" //
+	SkipServer     Kind = "skip"   // a box is not worked on; one that is Taken can't be skipped, one that is Lost is given back
+	AbortPlan      Kind = "abort"  // as Pause, for good
+	ForceDrained   Kind = "force"  // a box that is Leaving is Ready, whoever has not said that it is empty
+	AcquireServer  Kind = "next"   // a mechanic takes a box that is Ready, or is told of the one that it has
+	CompleteServer Kind = "done"   // the work on a box has ended
+	FailServer     Kind = "failed" // it has ended without success: the box is Lost
 )
 
 // Reply is the answer to a command.
--- a/internal/decide/maintenance/own_test.go
+++ b/internal/decide/maintenance/own_test.go
@@ -19,12 +19,12 @@
 			left()
 		}
 		if n := d.stages(); n[Drained] > 0 {
-			d.do(Command{Kind: Take, Mechanic: "m"})
+			d.do(Command{Kind: AcquireServer, Mechanic: "m"})
 		}
 		for _, p := range d.agreed.State.Plans {
 			for _, b := range p.Servers {
 				if b.Stage == InMaintenance {
-					d.do(Command{Kind: Finish, Server: b.Name, Token: b.Token, Mechanic: b.Mechanic})
+					d.do(Command{Kind: CompleteServer, Server: b.Name, Token: b.Token, Mechanic: b.Mechanic})
 				}
 			}
 		}
@@ -38,7 +38,7 @@
 		d := newDesk(t, 3, 3, 3)
 		s := spec()
 		s.AtOnce = 3
-		require.Empty(t, d.do(Command{Kind: Give, Spec: s}).Err)
+		require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
 		most := 0
 		d.atWork(1200, func() float64 {
 			n := d.stages()
@@ -61,7 +61,7 @@
 	d := newDesk(t, 3, 3, 3)
 	s := spec()
 	s.AtOnce = 3
-	require.Empty(t, d.do(Command{Kind: Give, Spec: s}).Err)
+	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
 	d.play(12)
 	assert.Equal(t, 3, d.stages()[Draining]+d.stages()[Drained])
 }
@@ -69,7 +69,7 @@
 // A box that leaves and has more be refused comes back, and the next one waits for the end of it, not for it to be usual.
 func TestWaitsForWhatABoxHasCaused(t *testing.T) {
 	d := newDesk(t, 3, 3, 3)
-	require.Empty(t, d.do(Command{Kind: Give, Spec: spec()}).Err)
+	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: spec()}).Err)
 	for range 300 {
 		if d.atWork(1, func() float64 { return 0.05 }, nil); d.stages()[WarmingUp] == 1 {
 			break
@@ -87,7 +87,7 @@
 // While a box is emptied and more is refused than that allows for, it is given back.
 func TestGivesBackWhatHasMoreRefused(t *testing.T) {
 	d := newDesk(t, 3, 3, 3)
-	require.Empty(t, d.do(Command{Kind: Give, Spec: spec()}).Err)
+	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: spec()}).Err)
 	d.round.Sum.Refused = 0.05 * d.round.Sum.PerS
 	for range 100 {
 		d.round.Sum.Open = nil
@@ -117,7 +117,7 @@
 		s.Refusing = rapid.Float64Range(0.01, 0.1).Draw(t, "refusing")
 		s.Most = rapid.Float64Range(0.1, 1).Draw(t, "most")
 		s.TakesS, s.ColdS = 1, rapid.Float64Range(1, 15).Draw(t, "cold")
-		require.Empty(t, d.do(Command{Kind: Give, Spec: s}).Err)
+		require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
 		own, greatest := 0.0, 0.0
 		harm := rapid.Float64Range(0, 0.1).Draw(t, "harm while a box is out")
 		stays := rapid.Float64Range(0, 0.05).Draw(t, "harm that stays")
@@ -151,7 +151,7 @@
 		d := newDesk(t, 2, 3, 4)
 		s := spec()
 		s.AtOnce, s.Refusing, s.TakesS, s.ColdS = 2, rapid.Float64Range(0.01, 0.2).Draw(t, "refusing"), 1, 3
-		require.Empty(t, d.do(Command{Kind: Give, Spec: s}).Err)
+		require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
 		own, greatest, outAt := 0.0, 0.0, -100.0
 		harm, lasts := rapid.Float64Range(0, 0.3).Draw(t, "harm"), rapid.Float64Range(0, clearS-1).Draw(t, "lasts")
 		for range rapid.IntRange(5, 40).Draw(t, "times") {
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -182,13 +182,13 @@
 				for _, b := range p.Servers {
 					switch {
 					case p.Paused != "" && !p.Aborted && !p.Ended:
-						h.give(Command{Kind: Resume, Plan: p.Number})
+						h.give(Command{Kind: ResumePlan, Plan: p.Number})
 					case b.Stage == Drained:
-						h.give(Command{Kind: Take, Mechanic: "last"})
+						h.give(Command{Kind: AcquireServer, Mechanic: "last"})
 					case b.Stage == InMaintenance:
-						h.give(Command{Kind: Finish, Server: b.Name, Token: b.Token})
+						h.give(Command{Kind: CompleteServer, Server: b.Name, Token: b.Token})
 					case b.Stage == Lost:
-						h.give(Command{Kind: Skip, Server: b.Name, Plan: p.Number})
+						h.give(Command{Kind: SkipServer, Server: b.Name, Plan: p.Number})
 					}
 				}
 			}
@@ -207,7 +207,7 @@
 
 // command gives one that may make sense.
 func (h *history) command(boxes []string) {
-	c := Command{Kind: rapid.SampledFrom([]Kind{Give, Give, Take, Take, Take, Finish, Finish, Fail, Pause, Resume, Skip, Force, Abort}).Draw(h.t, "kind"),
+	c := Command{Kind: rapid.SampledFrom([]Kind{SubmitPlan, SubmitPlan, AcquireServer, AcquireServer, AcquireServer, CompleteServer, CompleteServer, FailServer, PausePlan, ResumePlan, SkipServer, ForceDrained, AbortPlan}).Draw(h.t, "kind"),
 		Server: rapid.SampledFrom(boxes).Draw(h.t, "box"), Mechanic: rapid.SampledFrom([]string{"m", "n"}).Draw(h.t, "mechanic"), Token: 1}
 	for _, p := range h.agreed.State.Plans {
 		for _, b := range p.Servers {
@@ -216,7 +216,7 @@
 			}
 		}
 	}
-	if c.Kind == Give {
+	if c.Kind == SubmitPlan {
 		s := Spec{Name: "drawn", Servers: rapid.SliceOfNDistinct(rapid.SampledFrom(boxes), 1, len(boxes), rapid.ID[string]).Draw(h.t, "boxes"),
 			TakesS: rapid.Float64Range(1, 60).Draw(h.t, "takes"), AtOnce: rapid.IntRange(1, 4).Draw(h.t, "at once"), BySite: rapid.IntRange(0, 2).Draw(h.t, "by site"),
 			Keep: rapid.Float64Range(0, 0.6).Draw(h.t, "keep"), GiveUp: rapid.Bool().Draw(h.t, "give up"), ColdS: rapid.Float64Range(1, 20).Draw(h.t, "cold")}
@@ -276,10 +276,10 @@
 	} {
 		s := spec()
 		change(s)
-		assert.Contains(t, d.do(Command{Kind: Give, Spec: s}).Err, why)
+		assert.Contains(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err, why)
 	}
-	require.Empty(t, d.do(Command{Kind: Give, Spec: spec()}).Err)
-	assert.Contains(t, d.do(Command{Kind: Give, Spec: spec()}).Err, "plan 1 (calibrate), which has not ended")
+	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: spec()}).Err)
+	assert.Contains(t, d.do(Command{Kind: SubmitPlan, Spec: spec()}).Err, "plan 1 (calibrate), which has not ended")
 }
 
 // When the load doubles or a site is lost what can be given back is, and what a mechanic has stays; then it goes on.
@@ -287,10 +287,10 @@
 	d := newDesk(t, 3, 3, 4)
 	s := spec()
 	s.AtOnce, s.BySite, s.Keep, s.TakesS = 2, 1, 0.7, 60
-	require.Empty(t, d.do(Command{Kind: Give, Spec: s}).Err)
+	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
 	d.play(30)
 	require.Equal(t, 2, d.stages()[Drained])
-	require.NotEmpty(t, d.do(Command{Kind: Take, Mechanic: "m"}).Server)
+	require.NotEmpty(t, d.do(Command{Kind: AcquireServer, Mechanic: "m"}).Server)
 	d.round.Sum.PerS *= 2
 	d.play(10)
 	assert.Equal(t, 1, d.stages()[InMaintenance])
--- a/internal/decide/maintenance/stored_form_test.go
+++ b/internal/decide/maintenance/stored_form_test.go
@@ -32,7 +32,7 @@
 
 func storedCommand() Command {
 	spec := storedSpec()
-	return Command{Nonce: 5, Kind: Give, Spec: &spec, Plan: 4, Server: "s-1", Token: 3<<40 | 9, Mechanic: "anna", Why: "no disk"}
+	return Command{Nonce: 5, Kind: SubmitPlan, Spec: &spec, Plan: 4, Server: "s-1", Token: 3<<40 | 9, Mechanic: "anna", Why: "no disk"}
 }
 
 func storedSum() Sum {
@@ -110,7 +110,7 @@
 func TestStoredNumbersAndNames(t *testing.T) {
 	assert.Equal(t, []Stage{0, 1, 2, 3, 4, 5, 6, 7}, []Stage{Pending, Draining, Drained, InMaintenance, WarmingUp, Done, Skipped, Lost})
 	assert.Equal(t, []Kind{"plan", "pause", "resume", "skip", "abort", "force", "next", "done", "failed"},
-		[]Kind{Give, Pause, Resume, Skip, Abort, Force, Take, Finish, Fail})
+		[]Kind{SubmitPlan, PausePlan, ResumePlan, SkipServer, AbortPlan, ForceDrained, AcquireServer, CompleteServer, FailServer})
 	assert.Equal(t, []int{250, 16, 40 << 10}, []int{MaxServers, MostPlans, MostBytes})
 }
 
--- a/internal/decide/maintenance/works_test.go
+++ b/internal/decide/maintenance/works_test.go
@@ -103,7 +103,7 @@
 
 func TestPlanFromStartToEnd(t *testing.T) {
 	d := newDesk(t, 3, 2, 3)
-	r := d.do(Command{Kind: Give, Spec: spec()})
+	r := d.do(Command{Kind: SubmitPlan, Spec: spec()})
 	require.Empty(t, r.Err)
 	require.EqualValues(t, 1, r.Plan)
 	token, worked := uint64(0), map[string]bool{}
@@ -114,17 +114,17 @@
 		if n[Done] == 6 {
 			break
 		}
-		if r := d.do(Command{Kind: Take, Mechanic: "m"}); r.Server != "" {
+		if r := d.do(Command{Kind: AcquireServer, Mechanic: "m"}); r.Server != "" {
 			require.Greater(t, r.Token, token)
 			require.EqualValues(t, 3, r.Token>>40)
 			require.False(t, worked[r.Server])
 			token, worked[r.Server] = r.Token, true
-			require.Equal(t, r.Token, d.do(Command{Kind: Take, Mechanic: "m"}).Token, "it is told the same again")
-			require.Empty(t, d.do(Command{Kind: Take, Mechanic: "other"}).Server)
+			require.Equal(t, r.Token, d.do(Command{Kind: AcquireServer, Mechanic: "m"}).Token, "it is told the same again")
+			require.Empty(t, d.do(Command{Kind: AcquireServer, Mechanic: "other"}).Server)
 			d.play(20)
-			require.Empty(t, d.do(Command{Kind: Finish, Server: r.Server, Token: token}).Err)
-			require.Empty(t, d.do(Command{Kind: Finish, Server: r.Server, Token: token}).Err, "done twice is done")
-			require.NotEmpty(t, d.do(Command{Kind: Finish, Server: r.Server, Token: token - 1}).Err)
+			require.Empty(t, d.do(Command{Kind: CompleteServer, Server: r.Server, Token: token}).Err)
+			require.Empty(t, d.do(Command{Kind: CompleteServer, Server: r.Server, Token: token}).Err, "done twice is done")
+			require.NotEmpty(t, d.do(Command{Kind: CompleteServer, Server: r.Server, Token: token - 1}).Err)
 		}
 	}
 	assert.Len(t, worked, 6)
@@ -136,12 +136,12 @@
 // hand, and the majority returns with what was under way. The box is then seen to be in use, and its mechanic is not sent to it.
 func TestHandOverThatIsAgreedLate(t *testing.T) {
 	d := newDesk(t, 3, 2, 3)
-	require.Empty(t, d.do(Command{Kind: Give, Spec: spec()}).Err)
+	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: spec()}).Err)
 	for d.stages()[Drained] == 0 {
 		d.play(0.5)
 	}
 	d.nonce++
-	d.Do(d.now, Command{Kind: Take, Mechanic: "bob", Nonce: d.nonce})
+	d.Do(d.now, Command{Kind: AcquireServer, Mechanic: "bob", Nonce: d.nonce})
 	underWay := d.Step(d.now)
 	require.NotNil(t, underWay)
 	var taken string
@@ -156,10 +156,10 @@
 	d.agreed.Version++
 	d.agreed.State = *underWay
 	d.Begin(d.now, d.agreed)
-	assert.Empty(t, d.do(Command{Kind: Take, Mechanic: "bob"}).Server, "nobody was heard yet")
+	assert.Empty(t, d.do(Command{Kind: AcquireServer, Mechanic: "bob"}).Server, "nobody was heard yet")
 	d.round.Sum.Open = []Open{{Server: taken, ID: 2, Hand: true}}
 	d.play(1)
-	again := d.do(Command{Kind: Take, Mechanic: "bob"})
+	again := d.do(Command{Kind: AcquireServer, Mechanic: "bob"})
 	assert.Empty(t, again.Server, "it is in use")
 	assert.Contains(t, again.Text, "in use there by hand")
 	waits := d.Waits()
@@ -169,5 +169,5 @@
 	assert.Equal(t, []string{"n1"}, waits[0].Who)
 	d.round.Sum.Open = nil
 	d.play(1)
-	assert.Equal(t, taken, d.do(Command{Kind: Take, Mechanic: "bob"}).Server, "it is out again")
+	assert.Equal(t, taken, d.do(Command{Kind: AcquireServer, Mechanic: "bob"}).Server, "it is out again")
 }
--- a/internal/lab/maintenanceagent/mechanic.go
+++ b/internal/lab/maintenanceagent/mechanic.go
@@ -67,7 +67,7 @@
 		every = 200 * time.Millisecond
 	}
 	for ctx.Err() == nil {
-		r, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.Take, Mechanic: m.Name})
+		r, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.AcquireServer, Mechanic: m.Name})
 		if err != nil || r.Err != "" || r.Server == "" || !m.accept(&r) {
 			pause(ctx, every)
 			continue
@@ -114,7 +114,7 @@
 	}
 	for range times {
 		for ctx.Err() == nil {
-			said, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.Finish, Server: r.Server, Token: r.Token})
+			said, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.CompleteServer, Server: r.Server, Token: r.Token})
 			if err != nil {
 				continue // nobody has heard it, or it is not known: it is said until somebody has
 			}
--- a/internal/lab/maintenanceagent/mechanic_test.go
+++ b/internal/lab/maintenanceagent/mechanic_test.go
@@ -62,7 +62,7 @@
 	address := door(t, func(c maintenance.Command) maintenance.Reply {
 		mu.Lock()
 		defer mu.Unlock()
-		if c.Kind == maintenance.Finish {
+		if c.Kind == maintenance.CompleteServer {
 			if done = append(done, c); len(done)%2 == 0 {
 				return maintenance.Reply{Err: "it has ended"}
 			}
@@ -98,6 +98,6 @@
 	for i, c := range done {
 		assert.Equal(t, all[1+i/2].Token, c.Token)
 	}
-	_, err := Say(ctx, func() []string { return nil }, maintenance.Command{Kind: maintenance.Take, Mechanic: "x"})
+	_, err := Say(ctx, func() []string { return nil }, maintenance.Command{Kind: maintenance.AcquireServer, Mechanic: "x"})
 	assert.ErrorIs(t, err, ErrUnknown)
 }
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -176,7 +176,7 @@
 		p.hand(ctx)
 		return
 	}
-	give := maintenance.Command{Nonce: p.t.s.Seed<<1 | 1, Kind: maintenance.Give, Spec: &p.work.Spec}
+	give := maintenance.Command{Nonce: p.t.s.Seed<<1 | 1, Kind: maintenance.SubmitPlan, Spec: &p.work.Spec}
 	for ctx.Err() == nil {
 		r, err := maintenanceagent.Say(ctx, p.t.doors, give)
 		if err == nil && r.Err != "" {
--- a/internal/sim/maintenancesim/day.go
+++ b/internal/sim/maintenancesim/day.go
@@ -289,14 +289,14 @@
 		for _, p := range w.agreed().State.Plans {
 			for _, b := range p.Servers {
 				if b.Stage == maintenance.Lost {
-					w.ask(maintenance.Command{Kind: maintenance.Skip, Server: b.Name, Plan: p.Number, Mechanic: "operator"}, 10, func(maintenance.Reply) {})
+					w.ask(maintenance.Command{Kind: maintenance.SkipServer, Server: b.Name, Plan: p.Number, Mechanic: "operator"}, 10, func(maintenance.Reply) {})
 				}
 			}
 			if p.Ended {
 				continue
 			}
 			if live = true; p.Paused != "" {
-				w.ask(maintenance.Command{Kind: maintenance.Resume, Plan: p.Number}, 10, func(maintenance.Reply) {})
+				w.ask(maintenance.Command{Kind: maintenance.ResumePlan, Plan: p.Number}, 10, func(maintenance.Reply) {})
 			}
 		}
 		if !live {
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -75,7 +75,7 @@
 			for i := range w.d.spec.Standing {
 				s.Servers = append(s.Servers, w.boxes[i].name)
 			}
-			w.ask(maintenance.Command{Kind: maintenance.Give, Spec: &s}, 60, func(r maintenance.Reply, answered bool) { w.tell("%d %s, %t", r.Plan, r.Err, answered) })
+			w.ask(maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &s}, 60, func(r maintenance.Reply, answered bool) { w.tell("%d %s, %t", r.Plan, r.Err, answered) })
 		})
 	}
 }
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -148,14 +148,14 @@
 	}
 	s.AtOnce, s.BySite = 1+w.rng.IntN(3), 1+w.rng.IntN(2)
 	s.Keep = 0.6 * w.rng.Float64()
-	w.ask(maintenance.Command{Kind: maintenance.Give, Spec: &s}, 25, func(r maintenance.Reply, answered bool) {
+	w.ask(maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &s}, 25, func(r maintenance.Reply, answered bool) {
 		w.tell("plan %s: %d %s %s, answered %t", s.Name, r.Plan, r.Err, r.Text, answered)
 	})
 }
 
 // meddle has an operator turn a plan, or say something of one of its boxes.
 func (w *plans) meddle() {
-	kinds := []maintenance.Kind{maintenance.Pause, maintenance.Resume, maintenance.Skip, maintenance.Force, maintenance.Force, maintenance.Abort}
+	kinds := []maintenance.Kind{maintenance.PausePlan, maintenance.ResumePlan, maintenance.SkipServer, maintenance.ForceDrained, maintenance.ForceDrained, maintenance.AbortPlan}
 	cmd := maintenance.Command{Kind: kinds[w.rng.IntN(len(kinds))], Mechanic: "operator"}
 	for i := range w.latest.Plans {
 		p := &w.latest.Plans[i]
@@ -172,14 +172,14 @@
 	if cmd.Plan == 0 {
 		return
 	}
-	if cmd.Kind == maintenance.Skip || cmd.Kind == maintenance.Force {
+	if cmd.Kind == maintenance.SkipServer || cmd.Kind == maintenance.ForceDrained {
 		w.box(cmd.Server).excused = true
 	}
 	w.ask(cmd, 15, func(r maintenance.Reply, _ bool) {
 		w.tell("%s %d %s: %s %s", cmd.Kind, cmd.Plan, cmd.Server, r.Err, r.Text)
-		if cmd.Kind == maintenance.Pause {
+		if cmd.Kind == maintenance.PausePlan {
 			w.after(5+10*w.rng.Float64(), func() {
-				w.ask(maintenance.Command{Kind: maintenance.Resume, Plan: cmd.Plan, Mechanic: "operator"}, 20, func(maintenance.Reply, bool) {})
+				w.ask(maintenance.Command{Kind: maintenance.ResumePlan, Plan: cmd.Plan, Mechanic: "operator"}, 20, func(maintenance.Reply, bool) {})
 			})
 		}
 	})
@@ -195,7 +195,7 @@
 
 func (m *mechanic) poll() {
 	w := m.w
-	w.ask(maintenance.Command{Kind: maintenance.Take, Mechanic: m.name}, 6, func(r maintenance.Reply, answered bool) {
+	w.ask(maintenance.Command{Kind: maintenance.AcquireServer, Mechanic: m.name}, 6, func(r maintenance.Reply, answered bool) {
 		switch {
 		case !answered || r.Err != "" || r.Server == "" || r.Token < m.greatest:
 			w.after(0.5+w.rng.Float64(), m.poll)
@@ -245,9 +245,9 @@
 // finish says that the work has ended until that is known.
 func (m *mechanic) finish() {
 	w, has := m.w, m.has
-	cmd := maintenance.Command{Kind: maintenance.Finish, Server: w.boxes[has.box].name, Token: has.token, Mechanic: m.name}
+	cmd := maintenance.Command{Kind: maintenance.CompleteServer, Server: w.boxes[has.box].name, Token: has.token, Mechanic: m.name}
 	if has.failed {
-		cmd.Kind = maintenance.Fail
+		cmd.Kind = maintenance.FailServer
 	}
 	w.ask(cmd, 10, func(r maintenance.Reply, answered bool) {
 		if !answered {
