--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -107,7 +107,7 @@
 			of = append(of, list.what+" "+strings.Join(list.all, " "))
 		}
 	}
-	_, err = fmt.Fprintf(c.Root().Writer, "%s: %s; %v each, %d at once, %g of the capacity stays\n", s.Name, strings.Join(of, "; "), seconds(s.TakesS), s.AtOnce, s.Keep)
+	_, err = fmt.Fprintf(c.Root().Writer, "%s: %s; %v each, %d at once, %g of the capacity stays\n", s.Name, strings.Join(of, "; "), seconds(s.WorkSeconds), s.MaxConcurrent, s.MinCapacity)
 	return err
 }
 
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -390,7 +390,7 @@
 	}
 	most := 0
 	for _, p := range y.plans {
-		most = max(most, p.AtOnce)
+		most = max(most, p.MaxConcurrent)
 	}
 	for _, r := range all {
 		out := map[string]bool{}
@@ -414,11 +414,11 @@
 
 // settle and cold are the shortest that plans here have.
 func (y *yard) settle() time.Duration {
-	return y.least(func(p *maintenance.Spec) float64 { return p.SettleS })
+	return y.least(func(p *maintenance.Spec) float64 { return p.QuietSeconds })
 }
 
 func (y *yard) cold() time.Duration {
-	return y.least(func(p *maintenance.Spec) float64 { return p.ColdS })
+	return y.least(func(p *maintenance.Spec) float64 { return p.WarmUpSeconds })
 }
 
 func (y *yard) least(of func(*maintenance.Spec) float64) time.Duration {
--- a/cmd/hazelwheel/workline_test.go
+++ b/cmd/hazelwheel/workline_test.go
@@ -82,7 +82,7 @@
 		code   int
 		out    string
 	}{
-		{"plan " + plan, `{"plan":4,"text":"1 box"}`, maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &maintenance.Spec{Name: "n", Servers: []string{"s-00000001"}, TakesS: 1, AtOnce: 1, Keep: 0.5}}, 0,
+		{"plan " + plan, `{"plan":4,"text":"1 box"}`, maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &maintenance.Spec{Name: "n", Servers: []string{"s-00000001"}, WorkSeconds: 1, MaxConcurrent: 1, MinCapacity: 0.5}}, 0,
 			"OK plan: plan 4: 1 box\n"},
 		{"plan " + bad, "", maintenance.Command{}, 2, "hazelwheel: work plan: " + bad + ":4:1: at_once: 0 is not 1 to 250\n"},
 		{"check " + bad, "", maintenance.Command{}, 2, "hazelwheel: " + bad + ":4:1: at_once: 0 is not 1 to 250\n"},
--- a/internal/coordination/seenworks.go
+++ b/internal/coordination/seenworks.go
@@ -60,7 +60,7 @@
 		case c.Nonce == 0:
 			err = errors.New("the command has no nonce")
 		default:
-			if err = c.Check(); err == nil {
+			if err = c.Validate(); err == nil {
 				reply, answered = f.owners.works.command(f.net.Now(), &c)
 			}
 		}
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -320,7 +320,7 @@
 		p := &w.state.Plans[i]
 		for _, b := range p.Servers {
 			if b.Stage.IsCordoned() {
-				settle[b.Name] = max(settle[b.Name], p.Spec.Settle())
+				settle[b.Name] = max(settle[b.Name], p.Spec.QuietPeriodSeconds())
 			}
 		}
 	}
--- a/internal/decide/maintenance/commands.go
+++ b/internal/decide/maintenance/commands.go
@@ -22,7 +22,7 @@
 			return r, false
 		}
 	}
-	if err := cmd.Check(); err != nil {
+	if err := cmd.Validate(); err != nil {
 		r.Err = err.Error()
 		return r, true
 	}
@@ -35,7 +35,7 @@
 }
 
 // Check tells what is wrong with a command by itself; nil: nothing is.
-func (c *Command) Check() error {
+func (c *Command) Validate() error {
 	if len(c.Server) > mostNameLen || len(c.Mechanic) > mostNameLen {
 		return fmt.Errorf("box, mechanic: a name has at most %d bytes", mostNameLen)
 	}
@@ -44,7 +44,7 @@
 		if c.Spec == nil {
 			return errors.New("spec: there is no plan")
 		}
-		return c.Spec.Check()
+		return c.Spec.Validate()
 	case PausePlan, ResumePlan, AbortPlan:
 	case SkipServer, ForceDrained, CompleteServer, FailServer:
 		if c.Server == "" {
@@ -136,7 +136,7 @@
 	if all > MaxServers {
 		return false, fmt.Errorf("boxes: %d with those of plans that have not ended, at most %d", all, MaxServers)
 	}
-	if err := c.fleet.keeps(boxes, q.Spec.Keep); err != nil {
+	if err := c.fleet.keeps(boxes, q.Spec.MinCapacity); err != nil {
 		return false, err
 	}
 	p := Plan{Number: s.Last + 1, Nonce: q.Nonce, Spec: *q.Spec, Servers: boxes}
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -326,7 +326,7 @@
 	if t == nil { // it was given just now
 		return false, false
 	}
-	over := p.Spec.EndInS > 0 && t.age(c.now) > p.Spec.EndInS
+	over := p.Spec.EndAfterSeconds > 0 && t.age(c.now) > p.Spec.EndAfterSeconds
 	bad := t.badAt != 0 && c.now-t.badAt >= badS && c.fresh() != nil
 	out, backed := false, false
 	for i := range p.Servers {
@@ -344,7 +344,7 @@
 				c.move(b, Drained, "")
 			}
 		case b.Stage == InMaintenance && !b.Late && c.now-known.at > p.Spec.lateS():
-			if changed, b.Late = true, true; p.Spec.GiveUp {
+			if changed, b.Late = true, true; p.Spec.AbandonOverdue {
 				c.move(b, Lost, fmt.Sprintf("%s had it for longer than %g s", b.Mechanic, p.Spec.lateS()))
 			}
 		case b.Stage == WarmingUp && c.now-known.at >= p.Spec.coldS(c.set.ColdS) && !c.fleet.dumb(b.Name):
@@ -407,9 +407,9 @@
 		return "it is aborted"
 	case p.Paused != "":
 		return "paused by " + p.Paused
-	case age < p.Spec.StartInS:
-		return fmt.Sprintf("it begins in %.0f s", p.Spec.StartInS-age)
-	case p.Spec.EndInS > 0 && age > p.Spec.EndInS:
+	case age < p.Spec.StartAfterSeconds:
+		return fmt.Sprintf("it begins in %.0f s", p.Spec.StartAfterSeconds-age)
+	case p.Spec.EndAfterSeconds > 0 && age > p.Spec.EndAfterSeconds:
 		return "its time is over"
 	case c.fresh() == nil:
 		return notHeard
--- a/internal/decide/maintenance/order.go
+++ b/internal/decide/maintenance/order.go
@@ -226,7 +226,7 @@
 	if why := c.troubled(p, 1); why != "" {
 		return why
 	}
-	part, need := c.fleet.staying(c.agreed.State.outs(), ""), c.fleet.need(p.Spec.Keep, tooMuch)
+	part, need := c.fleet.staying(c.agreed.State.outs(), ""), c.fleet.need(p.Spec.MinCapacity, tooMuch)
 	if part < need-1e-9 {
 		return fmt.Sprintf("%.2f of the capacity serves, %.2f must", part, need)
 	}
@@ -262,8 +262,8 @@
 
 // full tells why there is no room for one more box of a plan that nothing else is in the way of.
 func (c *Coordinator) full(s *State, p *Plan) string {
-	if n := c.away(s); n >= p.Spec.AtOnce {
-		return fmt.Sprintf("%d boxes are out or cold, at most %d may", n, p.Spec.AtOnce)
+	if n := c.away(s); n >= p.Spec.MaxConcurrent {
+		return fmt.Sprintf("%d boxes are out or cold, at most %d may", n, p.Spec.MaxConcurrent)
 	} else if n > 0 && c.edge(p) {
 		return fmt.Sprintf("%d boxes are cold by themselves, and the fleet refuses %.3f by itself", n, c.byItself(p))
 	}
@@ -271,7 +271,7 @@
 	for i := range p.Servers {
 		if b := &p.Servers[i]; b.Stage == Pending && s.ofSite(b.Site) < p.Spec.bySite() {
 			return fmt.Sprintf("without %s %.2f of the capacity would serve, %.2f must", b.Name, c.fleet.staying(out, b.Name),
-				c.fleet.need(p.Spec.Keep, noRise))
+				c.fleet.need(p.Spec.MinCapacity, noRise))
 		}
 	}
 	return "the sites of the boxes that are left have enough out"
@@ -310,7 +310,7 @@
 
 // choose returns the box of a plan that leaves next; nil: none can now.
 func (c *Coordinator) choose(s *State, p *Plan) *Server {
-	if n := c.away(s); n >= p.Spec.AtOnce || n > 0 && c.edge(p) {
+	if n := c.away(s); n >= p.Spec.MaxConcurrent || n > 0 && c.edge(p) {
 		return nil
 	}
 	out := s.outs()
@@ -322,7 +322,7 @@
 			waiting++
 		}
 	}
-	need := c.fleet.need(p.Spec.Keep, noRise)
+	need := c.fleet.need(p.Spec.MinCapacity, noRise)
 	var best *candidate
 	for i := range p.Servers {
 		b := &p.Servers[i]
@@ -341,7 +341,7 @@
 		} else if seen != nil {
 			k.hurt, k.perS = c.fleet.hurt(out, seen), seen.PerS
 			// A site that takes as long as all that is left, or longer, has its boxes wait for each other: it goes first.
-			k.tight = float64(left[b.Site])/float64(p.Spec.bySite()) >= float64(waiting)/float64(p.Spec.AtOnce)
+			k.tight = float64(left[b.Site])/float64(p.Spec.bySite()) >= float64(waiting)/float64(p.Spec.MaxConcurrent)
 		}
 		if best == nil || c.before(k, best) {
 			best = k
--- a/internal/decide/maintenance/own_test.go
+++ b/internal/decide/maintenance/own_test.go
@@ -37,7 +37,7 @@
 	for own, leaves := range map[float64]bool{0.05: true, 0.2: true, 0.27: false, 0.6: false} {
 		d := newDesk(t, 3, 3, 3)
 		s := spec()
-		s.AtOnce = 3
+		s.MaxConcurrent = 3
 		require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
 		most := 0
 		d.atWork(1200, func() float64 {
@@ -60,7 +60,7 @@
 func TestQuietFleetIsNotMeasuredFirst(t *testing.T) {
 	d := newDesk(t, 3, 3, 3)
 	s := spec()
-	s.AtOnce = 3
+	s.MaxConcurrent = 3
 	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
 	d.play(12)
 	assert.Equal(t, 3, d.stages()[Draining]+d.stages()[Drained])
@@ -113,10 +113,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDesk(t, 2, 3, 4)
 		s := spec()
-		s.AtOnce = rapid.IntRange(1, 4).Draw(t, "at once")
-		s.Refusing = rapid.Float64Range(0.01, 0.1).Draw(t, "refusing")
-		s.Most = rapid.Float64Range(0.1, 1).Draw(t, "most")
-		s.TakesS, s.ColdS = 1, rapid.Float64Range(1, 15).Draw(t, "cold")
+		s.MaxConcurrent = rapid.IntRange(1, 4).Draw(t, "at once")
+		s.RejectionBudget = rapid.Float64Range(0.01, 0.1).Draw(t, "refusing")
+		s.MaxRejection = rapid.Float64Range(0.1, 1).Draw(t, "most")
+		s.WorkSeconds, s.WarmUpSeconds = 1, rapid.Float64Range(1, 15).Draw(t, "cold")
 		require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
 		own, greatest := 0.0, 0.0
 		harm := rapid.Float64Range(0, 0.1).Draw(t, "harm while a box is out")
@@ -138,7 +138,7 @@
 				return min(own+harm*float64(out)+stays*float64(left), 1)
 			}, func() {
 				left++
-				most := min(greatest+(1+margin)*s.Refusing, s.Most)
+				most := min(greatest+(1+margin)*s.RejectionBudget, s.MaxRejection)
 				require.LessOrEqual(t, d.fleet.refusedPart(), most+1e-3, "box %d left", left)
 			})
 		}
@@ -150,7 +150,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDesk(t, 2, 3, 4)
 		s := spec()
-		s.AtOnce, s.Refusing, s.TakesS, s.ColdS = 2, rapid.Float64Range(0.01, 0.2).Draw(t, "refusing"), 1, 3
+		s.MaxConcurrent, s.RejectionBudget, s.WorkSeconds, s.WarmUpSeconds = 2, rapid.Float64Range(0.01, 0.2).Draw(t, "refusing"), 1, 3
 		require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
 		own, greatest, outAt := 0.0, 0.0, -100.0
 		harm, lasts := rapid.Float64Range(0, 0.3).Draw(t, "harm"), rapid.Float64Range(0, clearS-1).Draw(t, "lasts")
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -52,7 +52,7 @@
 				owner[b.Name] = p.Number
 			}
 		}
-		require.LessOrEqual(h.t, out, p.Spec.AtOnce)
+		require.LessOrEqual(h.t, out, p.Spec.MaxConcurrent)
 		for site, n := range sites {
 			require.LessOrEqual(h.t, n, p.Spec.bySite(), site)
 		}
@@ -218,8 +218,8 @@
 	}
 	if c.Kind == SubmitPlan {
 		s := Spec{Name: "drawn", Servers: rapid.SliceOfNDistinct(rapid.SampledFrom(boxes), 1, len(boxes), rapid.ID[string]).Draw(h.t, "boxes"),
-			TakesS: rapid.Float64Range(1, 60).Draw(h.t, "takes"), AtOnce: rapid.IntRange(1, 4).Draw(h.t, "at once"), BySite: rapid.IntRange(0, 2).Draw(h.t, "by site"),
-			Keep: rapid.Float64Range(0, 0.6).Draw(h.t, "keep"), GiveUp: rapid.Bool().Draw(h.t, "give up"), ColdS: rapid.Float64Range(1, 20).Draw(h.t, "cold")}
+			WorkSeconds: rapid.Float64Range(1, 60).Draw(h.t, "takes"), MaxConcurrent: rapid.IntRange(1, 4).Draw(h.t, "at once"), MaxPerSite: rapid.IntRange(0, 2).Draw(h.t, "by site"),
+			MinCapacity: rapid.Float64Range(0, 0.6).Draw(h.t, "keep"), AbandonOverdue: rapid.Bool().Draw(h.t, "give up"), WarmUpSeconds: rapid.Float64Range(1, 20).Draw(h.t, "cold")}
 		c.Spec = &s
 	}
 	h.give(c)
@@ -255,24 +255,24 @@
 	nan := math.NaN()
 	for field, s := range map[string]Spec{
 		"name":       {},
-		"boxes":      {Name: "p", TakesS: 1, AtOnce: 1},
-		"takes_s":    {Name: "p", Servers: []string{"b"}, AtOnce: 1, TakesS: nan},
-		"late_s":     {Name: "p", Servers: []string{"b"}, AtOnce: 1, TakesS: 9, LateS: 8},
-		"at_once":    {Name: "p", Servers: []string{"b"}, TakesS: 1},
-		"keep":       {Name: "p", Servers: []string{"b"}, TakesS: 1, AtOnce: 1, Keep: nan},
-		"refusing":   {Name: "p", Servers: []string{"b"}, TakesS: 1, AtOnce: 1, Refusing: 2},
-		"end_in_s":   {Name: "p", Servers: []string{"b"}, TakesS: 1, AtOnce: 1, StartInS: 5, EndInS: 4},
-		"by_site":    {Name: "p", Servers: []string{"b"}, TakesS: 1, AtOnce: 1, BySite: -1},
-		"start_in_s": {Name: "p", Servers: []string{"b"}, TakesS: 1, AtOnce: 1, StartInS: -1},
+		"boxes":      {Name: "p", WorkSeconds: 1, MaxConcurrent: 1},
+		"takes_s":    {Name: "p", Servers: []string{"b"}, MaxConcurrent: 1, WorkSeconds: nan},
+		"late_s":     {Name: "p", Servers: []string{"b"}, MaxConcurrent: 1, WorkSeconds: 9, OverdueSeconds: 8},
+		"at_once":    {Name: "p", Servers: []string{"b"}, WorkSeconds: 1},
+		"keep":       {Name: "p", Servers: []string{"b"}, WorkSeconds: 1, MaxConcurrent: 1, MinCapacity: nan},
+		"refusing":   {Name: "p", Servers: []string{"b"}, WorkSeconds: 1, MaxConcurrent: 1, RejectionBudget: 2},
+		"end_in_s":   {Name: "p", Servers: []string{"b"}, WorkSeconds: 1, MaxConcurrent: 1, StartAfterSeconds: 5, EndAfterSeconds: 4},
+		"by_site":    {Name: "p", Servers: []string{"b"}, WorkSeconds: 1, MaxConcurrent: 1, MaxPerSite: -1},
+		"start_in_s": {Name: "p", Servers: []string{"b"}, WorkSeconds: 1, MaxConcurrent: 1, StartAfterSeconds: -1},
 	} {
-		assert.ErrorContains(t, s.Check(), field+":")
+		assert.ErrorContains(t, s.Validate(), field+":")
 	}
 	d := newDesk(t, 2, 2, 2)
 	for why, change := range map[string]func(s *Spec){
 		`boxes: no sidecar has "nowhere"`:      func(s *Spec) { s.Servers = []string{"nowhere"} },
 		`sites: no sidecar has "nowhere"`:      func(s *Spec) { s.Sites = []string{"nowhere"} },
 		`types: no sidecar has "other"`:        func(s *Spec) { s.Types = []string{"other"} },
-		"keep: without b00 0.75 of the capaci": func(s *Spec) { s.Keep = 0.8 },
+		"keep: without b00 0.75 of the capaci": func(s *Spec) { s.MinCapacity = 0.8 },
 	} {
 		s := spec()
 		change(s)
@@ -286,7 +286,7 @@
 func TestGivesBackWhatItCan(t *testing.T) {
 	d := newDesk(t, 3, 3, 4)
 	s := spec()
-	s.AtOnce, s.BySite, s.Keep, s.TakesS = 2, 1, 0.7, 60
+	s.MaxConcurrent, s.MaxPerSite, s.MinCapacity, s.WorkSeconds = 2, 1, 0.7, 60
 	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
 	d.play(30)
 	require.Equal(t, 2, d.stages()[Drained])
--- a/internal/decide/maintenance/spec.go
+++ b/internal/decide/maintenance/spec.go
@@ -17,7 +17,7 @@
 )
 
 // Check tells what is wrong with a plan by itself, in one line that names the field; nil: nothing is.
-func (s *Spec) Check() error {
+func (s *Spec) Validate() error {
 	times := []struct {
 		name   string
 		s      float64
@@ -25,13 +25,13 @@
 		most   float64
 		unless bool // 0 is good as well
 	}{
-		{"takes_s", s.TakesS, 0.001, mostTakesS, false},
-		{"late_s", s.LateS, s.TakesS, mostTakesS, true},
-		{"settle_s", s.SettleS, 0.1, 600, true},
-		{"cold_s", s.ColdS, 0.1, 3600, true},
-		{"gone_s", s.GoneS, 1, mostTakesS, true},
-		{"start_in_s", s.StartInS, 0, mostWaitS, true},
-		{"end_in_s", s.EndInS, s.StartInS + 0.001, mostWaitS, true},
+		{"takes_s", s.WorkSeconds, 0.001, mostTakesS, false},
+		{"late_s", s.OverdueSeconds, s.WorkSeconds, mostTakesS, true},
+		{"settle_s", s.QuietSeconds, 0.1, 600, true},
+		{"cold_s", s.WarmUpSeconds, 0.1, 3600, true},
+		{"gone_s", s.DeadMemberSeconds, 1, mostTakesS, true},
+		{"start_in_s", s.StartAfterSeconds, 0, mostWaitS, true},
+		{"end_in_s", s.EndAfterSeconds, s.StartAfterSeconds + 0.001, mostWaitS, true},
 	}
 	switch {
 	case s.Name == "" || len(s.Name) > mostNameLen:
@@ -40,16 +40,16 @@
 		return errors.New("boxes: neither boxes nor sites nor types are named")
 	case len(s.Servers) > MaxServers || len(s.Sites) > MaxServers || len(s.Types) > MaxServers:
 		return fmt.Errorf("boxes: at most %d are named", MaxServers)
-	case s.AtOnce < 1 || s.AtOnce > MaxServers:
-		return fmt.Errorf("at_once: %d, it must be from 1 to %d", s.AtOnce, MaxServers)
-	case s.BySite < 0 || s.BySite > MaxServers:
-		return fmt.Errorf("by_site: %d, it must be from 1 to %d", s.BySite, MaxServers)
-	case !(s.Keep >= 0 && s.Keep < 1):
-		return fmt.Errorf("keep: %g, it must be from 0 to below 1", s.Keep)
-	case !(s.Refusing >= 0 && s.Refusing <= 1):
-		return fmt.Errorf("refusing: %g, it must be from 0 to 1", s.Refusing)
-	case s.Most != 0 && !(s.Most >= s.refusing() && s.Most <= 1):
-		return fmt.Errorf("refusing_most: %g, it must be from %g, which is refusing, to 1", s.Most, s.refusing())
+	case s.MaxConcurrent < 1 || s.MaxConcurrent > MaxServers:
+		return fmt.Errorf("at_once: %d, it must be from 1 to %d", s.MaxConcurrent, MaxServers)
+	case s.MaxPerSite < 0 || s.MaxPerSite > MaxServers:
+		return fmt.Errorf("by_site: %d, it must be from 1 to %d", s.MaxPerSite, MaxServers)
+	case !(s.MinCapacity >= 0 && s.MinCapacity < 1):
+		return fmt.Errorf("keep: %g, it must be from 0 to below 1", s.MinCapacity)
+	case !(s.RejectionBudget >= 0 && s.RejectionBudget <= 1):
+		return fmt.Errorf("refusing: %g, it must be from 0 to 1", s.RejectionBudget)
+	case s.MaxRejection != 0 && !(s.MaxRejection >= s.refusing() && s.MaxRejection <= 1):
+		return fmt.Errorf("refusing_most: %g, it must be from %g, which is refusing, to 1", s.MaxRejection, s.refusing())
 	}
 	for _, t := range times {
 		if !(t.s >= t.least && t.s <= t.most) && !(t.unless && t.s == 0) {
@@ -113,13 +113,13 @@
 }
 
 // What is not told of a plan is so.
-func (s *Spec) lateS() float64    { return cmp.Or(s.LateS, 2*s.TakesS) }
-func (s *Spec) bySite() int       { return cmp.Or(s.BySite, 1) }
-func (s *Spec) refusing() float64 { return cmp.Or(s.Refusing, 0.02) }
-func (s *Spec) most() float64     { return cmp.Or(s.Most, max(0.25, s.refusing())) }
-func (s *Spec) goneS() float64    { return cmp.Or(s.GoneS, 300) }
+func (s *Spec) lateS() float64    { return cmp.Or(s.OverdueSeconds, 2*s.WorkSeconds) }
+func (s *Spec) bySite() int       { return cmp.Or(s.MaxPerSite, 1) }
+func (s *Spec) refusing() float64 { return cmp.Or(s.RejectionBudget, 0.02) }
+func (s *Spec) most() float64     { return cmp.Or(s.MaxRejection, max(0.25, s.refusing())) }
+func (s *Spec) goneS() float64    { return cmp.Or(s.DeadMemberSeconds, 300) }
 
 // Settle returns for how long nothing new may have been sent to a box before it is empty.
-func (s *Spec) Settle() float64 { return cmp.Or(s.SettleS, 1) }
+func (s *Spec) QuietPeriodSeconds() float64 { return cmp.Or(s.QuietSeconds, 1) }
 
-func (s *Spec) coldS(usualS float64) float64 { return cmp.Or(s.ColdS, max(usualS, 5)) }
+func (s *Spec) coldS(usualS float64) float64 { return cmp.Or(s.WarmUpSeconds, max(usualS, 5)) }
--- a/internal/decide/maintenance/stored_form_test.go
+++ b/internal/decide/maintenance/stored_form_test.go
@@ -14,8 +14,8 @@
 
 // The values whose encoded form is kept. Every field is set, so that a field that is added without a golden file is noticed.
 func storedSpec() Spec {
-	return Spec{Name: "firmware-7", Servers: []string{"s-1", "s-2"}, Sites: []string{"site-a"}, Types: []string{"big"}, TakesS: 1200.5, LateS: 2400, GiveUp: true, AtOnce: 3,
-		BySite: 2, Keep: 0.75, Refusing: 0.05, Most: 0.4, SettleS: 2, ColdS: 30, GoneS: 600, StartInS: 3600, EndInS: 7200}
+	return Spec{Name: "firmware-7", Servers: []string{"s-1", "s-2"}, Sites: []string{"site-a"}, Types: []string{"big"}, WorkSeconds: 1200.5, OverdueSeconds: 2400, AbandonOverdue: true, MaxConcurrent: 3,
+		MaxPerSite: 2, MinCapacity: 0.75, RejectionBudget: 0.05, MaxRejection: 0.4, QuietSeconds: 2, WarmUpSeconds: 30, DeadMemberSeconds: 600, StartAfterSeconds: 3600, EndAfterSeconds: 7200}
 }
 
 func storedBox(stage Stage) Server {
--- a/internal/decide/maintenance/works_test.go
+++ b/internal/decide/maintenance/works_test.go
@@ -98,7 +98,7 @@
 }
 
 func spec() *Spec {
-	return &Spec{Name: "calibrate", Types: []string{"t"}, TakesS: 20, AtOnce: 1, Keep: 0.5}
+	return &Spec{Name: "calibrate", Types: []string{"t"}, WorkSeconds: 20, MaxConcurrent: 1, MinCapacity: 0.5}
 }
 
 func TestPlanFromStartToEnd(t *testing.T) {
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -194,8 +194,8 @@
 	p.mu.Unlock()
 	var working sync.WaitGroup
 	defer working.Wait()
-	for i := range p.work.Spec.AtOnce {
-		m := &maintenanceagent.Mechanic{Name: fmt.Sprintf("mechanic-%d", i), Doors: p.t.doors, Takes: func(string) time.Duration { return inS(p.work.Spec.TakesS) }}
+	for i := range p.work.Spec.MaxConcurrent {
+		m := &maintenanceagent.Mechanic{Name: fmt.Sprintf("mechanic-%d", i), Doors: p.t.doors, Takes: func(string) time.Duration { return inS(p.work.Spec.WorkSeconds) }}
 		p.mechanics = append(p.mechanics, m)
 		working.Go(func() { m.Run(ctx) })
 	}
@@ -288,7 +288,7 @@
 		p.mu.Lock()
 		p.byHand = append(p.byHand, maintenanceagent.Record{Mechanic: "script", Box: box, From: time.Now()})
 		p.mu.Unlock()
-		if !rest(ctx, inS(p.work.Spec.TakesS)) {
+		if !rest(ctx, inS(p.work.Spec.WorkSeconds)) {
 			return
 		}
 		p.mu.Lock()
@@ -417,11 +417,11 @@
 			continue
 		}
 		for _, x := range p.came[r.Box] {
-			late := x.from > from-p.work.Spec.Settle() && x.from < to
+			late := x.from > from-p.work.Spec.QuietPeriodSeconds() && x.from < to
 			out := x.from < to && (x.to == 0 || x.to > from)
 			switch {
 			case !late && !out:
-			case p.t.wasGone(x.sidecar, x.from, cmp.Or(p.work.Spec.GoneS, 300)):
+			case p.t.wasGone(x.sidecar, x.from, cmp.Or(p.work.Spec.DeadMemberSeconds, 300)):
 				w.GoneSent++
 			default:
 				w.find(checker.WorkOccupied, "%s is worked on by %s at %.3f s; a request of %s came %.3f s after the work began", r.Box, r.Mechanic, from-p.day.Start,
@@ -450,7 +450,7 @@
 	for _, b := range p.day.Boxes {
 		sites[b.Name] = p.day.Sites[b.Site]
 	}
-	cold := cmp.Or(p.work.Spec.ColdS, handColdS)
+	cold := cmp.Or(p.work.Spec.WarmUpSeconds, handColdS)
 	for i := range w.Records {
 		from, _ := span(&w.Records[i])
 		out, bySite := map[string]bool{}, map[string]int{}
@@ -463,11 +463,11 @@
 		for box := range out {
 			bySite[sites[box]]++
 		}
-		if len(out) > p.work.Spec.AtOnce {
-			w.find(checker.WorkMany, "%d boxes are worked on or cold at %.3f s, of %d that may be", len(out), from-p.day.Start, p.work.Spec.AtOnce)
+		if len(out) > p.work.Spec.MaxConcurrent {
+			w.find(checker.WorkMany, "%d boxes are worked on or cold at %.3f s, of %d that may be", len(out), from-p.day.Start, p.work.Spec.MaxConcurrent)
 		}
 		for site, n := range bySite {
-			if n > cmp.Or(p.work.Spec.BySite, 1) {
+			if n > cmp.Or(p.work.Spec.MaxPerSite, 1) {
 				w.find(checker.WorkMany, "%d boxes of %s are worked on or cold at %.3f s", n, site, from-p.day.Start)
 			}
 		}
--- a/internal/lab/processcluster/works_test.go
+++ b/internal/lab/processcluster/works_test.go
@@ -56,7 +56,7 @@
 	} {
 		day := &environment.Day{Start: 950, LengthS: 100, Standing: 2, Sites: []string{"x"}, Boxes: []environment.BoxSpec{{Name: "a"}, {Name: "b"}}}
 		play := &Troupe{mates: []*mate{{name: "n0"}}, aways: k.away}
-		p := newWorkPlay(play, Work{Spec: maintenance.Spec{Servers: []string{"a", "b"}, AtOnce: 1, BySite: 2, ColdS: 5, GoneS: 100}}, day)
+		p := newWorkPlay(play, Work{Spec: maintenance.Spec{Servers: []string{"a", "b"}, MaxConcurrent: 1, MaxPerSite: 2, WarmUpSeconds: 5, DeadMemberSeconds: 100}}, day)
 		for i, v := range k.visits {
 			p.See(checker.Event{Kind: checker.Execution, At: v.from, Link: uint64(i)})
 			if v.to > 0 {
@@ -81,7 +81,7 @@
 	class := environment.ClassSpec{AimS: 1}
 	class.Worth = 2
 	day := &environment.Day{Start: 1000, LengthS: 100, Classes: []environment.ClassSpec{class}}
-	p := newWorkPlay(&Troupe{}, Work{Spec: maintenance.Spec{AtOnce: 1}, Hand: true}, day)
+	p := newWorkPlay(&Troupe{}, Work{Spec: maintenance.Spec{MaxConcurrent: 1}, Hand: true}, day)
 	for i := range 100 {
 		at, id := 1000+float64(i), uint64(i+1)
 		p.See(checker.Event{Kind: checker.Asked, At: at, Request: id, First: id})
--- a/internal/maintenanceplan/workplan.go
+++ b/internal/maintenanceplan/workplan.go
@@ -74,15 +74,15 @@
 			return maintenance.Spec{}, read.Fault(wrong.field, wrong.why)
 		}
 	}
-	s := maintenance.Spec{Name: f.Name, Servers: f.Boxes, Sites: f.Sites, Types: f.Types, TakesS: f.Takes.Seconds(), LateS: f.Late.Seconds(), GiveUp: f.WhenLate == giveUp,
-		AtOnce: f.AtOnce, BySite: f.BySite, Keep: f.Keep, Refusing: f.Refusing, Most: f.Most, SettleS: f.Settle.Seconds(), ColdS: f.Cold.Seconds(), GoneS: f.Gone.Seconds()}
+	s := maintenance.Spec{Name: f.Name, Servers: f.Boxes, Sites: f.Sites, Types: f.Types, WorkSeconds: f.Takes.Seconds(), OverdueSeconds: f.Late.Seconds(), AbandonOverdue: f.WhenLate == giveUp,
+		MaxConcurrent: f.AtOnce, MaxPerSite: f.BySite, MinCapacity: f.Keep, RejectionBudget: f.Refusing, MaxRejection: f.Most, QuietSeconds: f.Settle.Seconds(), WarmUpSeconds: f.Cold.Seconds(), DeadMemberSeconds: f.Gone.Seconds()}
 	if !f.from.IsZero() {
-		s.StartInS = max(f.from.Sub(now).Seconds(), 0)
+		s.StartAfterSeconds = max(f.from.Sub(now).Seconds(), 0)
 	}
 	if !f.until.IsZero() {
-		s.EndInS = f.until.Sub(now).Seconds()
+		s.EndAfterSeconds = f.until.Sub(now).Seconds()
 	}
-	if err := s.Check(); err != nil { // what is said here goes for less
+	if err := s.Validate(); err != nil { // what is said here goes for less
 		return maintenance.Spec{}, read.Fault("", err.Error())
 	}
 	return s, nil
--- a/internal/maintenanceplan/workplan_test.go
+++ b/internal/maintenanceplan/workplan_test.go
@@ -36,11 +36,11 @@
 func TestRead(t *testing.T) {
 	s, err := Read("p.toml", []byte(whole), now)
 	require.NoError(t, err)
-	assert.Equal(t, maintenance.Spec{Name: "firmware-7", Servers: []string{"s-00000001", "s-00000002"}, Sites: []string{"site-a"}, Types: []string{"big"}, TakesS: 1200, LateS: 2400,
-		GiveUp: true, AtOnce: 3, BySite: 2, Keep: 0.7, Refusing: 0.05, SettleS: 2, ColdS: 30, GoneS: 600, StartInS: 3600, EndInS: 4 * 3600}, s)
+	assert.Equal(t, maintenance.Spec{Name: "firmware-7", Servers: []string{"s-00000001", "s-00000002"}, Sites: []string{"site-a"}, Types: []string{"big"}, WorkSeconds: 1200, OverdueSeconds: 2400,
+		AbandonOverdue: true, MaxConcurrent: 3, MaxPerSite: 2, MinCapacity: 0.7, RejectionBudget: 0.05, QuietSeconds: 2, WarmUpSeconds: 30, DeadMemberSeconds: 600, StartAfterSeconds: 3600, EndAfterSeconds: 4 * 3600}, s)
 	s, err = Read("p.toml", []byte("name = 'n'\nsites = ['a']\ntakes = '1s'\nat_once = 1\nkeep = 0\n"), now)
 	require.NoError(t, err)
-	assert.Equal(t, maintenance.Spec{Name: "n", Sites: []string{"a"}, TakesS: 1, AtOnce: 1}, s)
+	assert.Equal(t, maintenance.Spec{Name: "n", Sites: []string{"a"}, WorkSeconds: 1, MaxConcurrent: 1}, s)
 }
 
 // Each fault is one line with the file, the line and the field.
@@ -103,6 +103,6 @@
 			require.NotContains(t, err.Error(), "\n")
 			return
 		}
-		require.True(t, s.Keep >= 0 && s.Keep < 1 && s.AtOnce > 0 && s.TakesS > 0 && s.LateS >= 0 && s.StartInS >= 0 && s.EndInS >= 0)
+		require.True(t, s.MinCapacity >= 0 && s.MinCapacity < 1 && s.MaxConcurrent > 0 && s.WorkSeconds > 0 && s.OverdueSeconds >= 0 && s.StartAfterSeconds >= 0 && s.EndAfterSeconds >= 0)
 	})
 }
--- a/internal/sim/maintenancesim/actors.go
+++ b/internal/sim/maintenancesim/actors.go
@@ -234,16 +234,16 @@
 			s.Servers = []string{w.boxes[0].name}
 		}
 	}
-	s.AtOnce, s.BySite = 1+w.rng.IntN(3), w.rng.IntN(3)
-	if s.Keep = w.between(0, 0.6); w.chance(0.2) {
-		s.Keep = 0
+	s.MaxConcurrent, s.MaxPerSite = 1+w.rng.IntN(3), w.rng.IntN(3)
+	if s.MinCapacity = w.between(0, 0.6); w.chance(0.2) {
+		s.MinCapacity = 0
 	}
-	s.GiveUp = w.chance(0.3)
+	s.AbandonOverdue = w.chance(0.3)
 	if w.chance(0.2) {
-		s.StartInS = w.between(1, 20)
+		s.StartAfterSeconds = w.between(1, 20)
 	}
 	if w.chance(0.1) {
-		s.EndInS = s.StartInS + w.between(20, 200)
+		s.EndAfterSeconds = s.StartAfterSeconds + w.between(20, 200)
 	}
 	return s
 }
--- a/internal/sim/maintenancesim/day.go
+++ b/internal/sim/maintenancesim/day.go
@@ -26,7 +26,7 @@
 
 // back has a process begin again, mostly with what it had on disk.
 func (w *World) back(n *node) {
-	w.After(w.between(0.5, 0.5*w.spec.GoneS), func() {
+	w.After(w.between(0.5, 0.5*w.spec.DeadMemberSeconds), func() {
 		if w.chance(0.2) && !n.cut { // danger: one that is new and can't ask knows of no ban; nobody can help that
 			n.version, n.state, n.outs = 0, maintenance.State{}, nil
 			n.id = swim.ID(w.rng.Uint64() | 1)
@@ -212,7 +212,7 @@
 	}
 	end := w.Now() + w.between(60, 200)
 	for w.Now() < end {
-		forS := []float64{w.between(0.2, 2), w.between(1, 8), w.between(5, 0.7*w.spec.GoneS)}[w.rng.IntN(3)]
+		forS := []float64{w.between(0.2, 2), w.between(1, 8), w.between(5, 0.7*w.spec.DeadMemberSeconds)}[w.rng.IntN(3)]
 		if len(kinds) > 0 {
 			t := kinds[w.rng.IntN(len(kinds))]
 			w.note("trouble %s for %.2f s", t.name, forS)
@@ -238,9 +238,9 @@
 		w.mechanics = append(w.mechanics, &mechanic{w: w, name: fmt.Sprint("m", i), done: map[uint64]bool{}, takesS: w.between(1, 10)})
 	}
 	w.coldS = w.between(2, 12)
-	w.spec = maintenance.Spec{TakesS: w.between(3, 12), GoneS: w.between(25, 90), SettleS: []float64{0, 0.5, 2}[w.rng.IntN(3)]}
+	w.spec = maintenance.Spec{WorkSeconds: w.between(3, 12), DeadMemberSeconds: w.between(25, 90), QuietSeconds: []float64{0, 0.5, 2}[w.rng.IntN(3)]}
 	if w.chance(0.3) {
-		w.spec.ColdS = w.between(1, 20)
+		w.spec.WarmUpSeconds = w.between(1, 20)
 	}
 	w.perS = w.between(20, 500)
 	if w.chance(0.4) {
@@ -274,7 +274,7 @@
 	w.Until(w.Now() + 1)
 	w.note("all is mended")
 	w.calmly, w.stopPart = true, 0
-	w.Until(w.Now() + w.spec.GoneS) // what was to last has lasted
+	w.Until(w.Now() + w.spec.DeadMemberSeconds) // what was to last has lasted
 	w.lossPart = 0
 	w.nodes[0].start() // one must be there
 	for _, n := range w.nodes {
--- a/internal/sim/maintenancesim/judge.go
+++ b/internal/sim/maintenancesim/judge.go
@@ -107,7 +107,7 @@
 	if b.worker != nil && b.worker != m && !w.forced(b.name, b.token) {
 		w.broken(RuleTwice, "%s works on %s, on which %s works", m.name, b.name, b.worker.name)
 	}
-	if settle := plan.Spec.Settle(); !w.forced(b.name, token) && !w.byHand(b) {
+	if settle := plan.Spec.QuietPeriodSeconds(); !w.forced(b.name, token) && !w.byHand(b) {
 		if b.out > 0 {
 			w.broken(RuleOccupied, "%d executions are out on %s as %s begins", b.out, b.name, m.name)
 		} else if b.lastAt > 0 && w.Now()-b.lastAt < settle-1e-9 {
@@ -129,7 +129,7 @@
 			}
 		}
 	}
-	if !lost && (at > plan.Spec.AtOnce || site > max(plan.Spec.BySite, 1)) {
+	if !lost && (at > plan.Spec.MaxConcurrent || site > max(plan.Spec.MaxPerSite, 1)) {
 		w.broken(RuleMany, "mechanics work on %d boxes of plan %d, %d of site %s", at, k.plan, site, b.site)
 	}
 	w.works = append(w.works, k)
@@ -183,7 +183,7 @@
 			if b.Stage >= maintenance.Draining && b.Stage <= maintenance.WarmingUp {
 				at++
 				sites[b.Site]++
-				if sites[b.Site] > max(p.Spec.BySite, 1) {
+				if sites[b.Site] > max(p.Spec.MaxPerSite, 1) {
 					w.broken(RuleMany, "%d of site %s are out for plan %d", sites[b.Site], b.Site, p.Number)
 				}
 			}
@@ -201,8 +201,8 @@
 				handed = b.Token
 			}
 		}
-		if at > p.Spec.AtOnce {
-			w.broken(RuleMany, "%d boxes are out for plan %d, at most %d may", at, p.Number, p.Spec.AtOnce)
+		if at > p.Spec.MaxConcurrent {
+			w.broken(RuleMany, "%d boxes are out for plan %d, at most %d may", at, p.Number, p.Spec.MaxConcurrent)
 		}
 	}
 	w.handed = max(w.handed, handed)
@@ -257,7 +257,7 @@
 
 // leaves sees that a box may leave.
 func (w *World) leaves(was, s *maintenance.State, p *maintenance.Plan, b maintenance.Server) {
-	coldS := p.Spec.ColdS
+	coldS := p.Spec.WarmUpSeconds
 	if coldS == 0 {
 		coldS = max(w.coldS, 5)
 	}
@@ -273,7 +273,7 @@
 			}
 		}
 	}
-	if at > p.Spec.AtOnce {
+	if at > p.Spec.MaxConcurrent {
 		w.broken(RuleCold, "%s leaves as one of %d that are out or have not had %g s to warm up", b.Name, at, coldS)
 	}
 	total, left := 0.0, 0.0
@@ -291,8 +291,8 @@
 			left += o.size
 		}
 	}
-	if !me.missing() && !lost && left/total < p.Spec.Keep-1e-9 && w.Now()-w.quietAt > 8 {
-		w.broken(RuleKeep, "%s leaves, %.3f of the capacity is left, %.3f must be", b.Name, left/total, p.Spec.Keep)
+	if !me.missing() && !lost && left/total < p.Spec.MinCapacity-1e-9 && w.Now()-w.quietAt > 8 {
+		w.broken(RuleKeep, "%s leaves, %.3f of the capacity is left, %.3f must be", b.Name, left/total, p.Spec.MinCapacity)
 	}
 }
 
--- a/internal/sim/maintenancesim/world.go
+++ b/internal/sim/maintenancesim/world.go
@@ -268,7 +268,7 @@
 		settle := 1.0
 		for _, p := range n.state.Plans {
 			if slices.ContainsFunc(p.Servers, func(o maintenance.Server) bool { return o.Name == b.name && o.Stage.IsCordoned() }) {
-				settle = p.Spec.Settle()
+				settle = p.Spec.QuietPeriodSeconds()
 			}
 		}
 		hand := n.hand[b.name] > n.w.Now()
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -63,7 +63,7 @@
 			w.byHand(0)
 		})
 	default:
-		w.spec = maintenance.Spec{TakesS: weighTakesS, SettleS: 1, GoneS: workGoneS, Refusing: 0.1, Most: weighMost, Keep: 0.6}
+		w.spec = maintenance.Spec{WorkSeconds: weighTakesS, QuietSeconds: 1, DeadMemberSeconds: workGoneS, RejectionBudget: 0.1, MaxRejection: weighMost, MinCapacity: 0.6}
 		for i := range way.AtOnce {
 			m := &mechanic{w: w, name: fmt.Sprint("mechanic-", i), steady: true}
 			w.mechanics = append(w.mechanics, m)
@@ -71,7 +71,7 @@
 		}
 		w.after(weighAtS, func() {
 			s := w.spec
-			s.Name, s.AtOnce, s.BySite = "all", way.AtOnce, way.BySite
+			s.Name, s.MaxConcurrent, s.MaxPerSite = "all", way.AtOnce, way.BySite
 			for i := range w.d.spec.Standing {
 				s.Servers = append(s.Servers, w.boxes[i].name)
 			}
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -84,7 +84,7 @@
 // draw draws who does what.
 func (w *plans) draw() {
 	between := func(least, most float64) float64 { return least + (most-least)*w.rng.Float64() }
-	w.spec = maintenance.Spec{TakesS: between(1, 8), SettleS: between(0.5, 1.5), ColdS: between(1, 4), GoneS: workGoneS, Refusing: between(0.1, 1)}
+	w.spec = maintenance.Spec{WorkSeconds: between(1, 8), QuietSeconds: between(0.5, 1.5), WarmUpSeconds: between(1, 4), DeadMemberSeconds: workGoneS, RejectionBudget: between(0.1, 1)}
 	for i := range 1 + w.rng.IntN(2) {
 		m := &mechanic{w: w, name: fmt.Sprint("mechanic-", i)}
 		w.mechanics = append(w.mechanics, m)
@@ -146,8 +146,8 @@
 			s.Servers = append(s.Servers, w.boxes[i].name)
 		}
 	}
-	s.AtOnce, s.BySite = 1+w.rng.IntN(3), 1+w.rng.IntN(2)
-	s.Keep = 0.6 * w.rng.Float64()
+	s.MaxConcurrent, s.MaxPerSite = 1+w.rng.IntN(3), 1+w.rng.IntN(2)
+	s.MinCapacity = 0.6 * w.rng.Float64()
 	w.ask(maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &s}, 25, func(r maintenance.Reply, answered bool) {
 		w.tell("plan %s: %d %s %s, answered %t", s.Name, r.Plan, r.Err, r.Text, answered)
 	})
@@ -219,9 +219,9 @@
 		m.has = &boxWork{plan: r.Plan, box: i, mechanic: m.name, token: r.Token}
 		w.started(m.has)
 	}
-	has, lasts := m.has, w.spec.TakesS*(0.5+0.7*w.rng.Float64())
+	has, lasts := m.has, w.spec.WorkSeconds*(0.5+0.7*w.rng.Float64())
 	if m.steady {
-		lasts = w.spec.TakesS
+		lasts = w.spec.WorkSeconds
 	}
 	now := w.d.net.Now()
 	if m.steady || w.rng.IntN(2) == 0 {
@@ -317,7 +317,7 @@
 			break
 		}
 	}
-	if settle := w.spec.SettleS; b.at > 0 && now-b.at < settle-workLateS && !w.excused(b, b.by) {
+	if settle := w.spec.QuietSeconds; b.at > 0 && now-b.at < settle-workLateS && !w.excused(b, b.by) {
 		w.wrong(checker.OccupiedWrong, "%s got a request %.3f s before it is worked on, %.3f must be", b.name, now-b.at, settle)
 	}
 	if k.token <= w.token {
@@ -338,13 +338,13 @@
 			}
 		}
 	}
-	if p := w.plan(k.plan); p != nil && (at > p.Spec.AtOnce || site > max(p.Spec.BySite, 1)) {
+	if p := w.plan(k.plan); p != nil && (at > p.Spec.MaxConcurrent || site > max(p.Spec.MaxPerSite, 1)) {
 		w.wrong(checker.ManyWrong, "%d boxes of plan %d are worked on, %d of site %s", at, k.plan, site, b.site)
 	}
 	w.record = append(w.record, k)
 	b.worker = k
 	if w.weighed == nil && w.rng.IntN(3) == 0 {
-		w.after(w.spec.TakesS*w.rng.Float64(), func() { w.restart(w.rng.IntN(len(w.d.sidecars))) })
+		w.after(w.spec.WorkSeconds*w.rng.Float64(), func() { w.restart(w.rng.IntN(len(w.d.sidecars))) })
 	}
 }
 
@@ -445,12 +445,12 @@
 			if b.Stage >= maintenance.Draining && b.Stage <= maintenance.WarmingUp {
 				at++
 				sites[b.Site]++
-				if sites[b.Site] > max(p.Spec.BySite, 1) {
+				if sites[b.Site] > max(p.Spec.MaxPerSite, 1) {
 					w.wrong(checker.ManyWrong, "%d of site %s are out for plan %d", sites[b.Site], b.Site, p.Number)
 				}
 			}
 		}
-		if at > p.Spec.AtOnce {
+		if at > p.Spec.MaxConcurrent {
 			w.wrong(checker.ManyWrong, "%d boxes are out for plan %d", at, p.Number)
 		}
 		line += fmt.Sprintf(" %d:%s", p.Number, stages)
