--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -29,7 +29,7 @@
 	say := func(kind maintenance.Kind, usage, words string, least int, fill func(c *maintenance.Command, args []string) error) *cli.Command {
 		return &cli.Command{Name: string(kind), Usage: usage, ArgsUsage: words, Flags: []cli.Flag{flags[0], flags[1], nonce, by},
 			Action: func(ctx context.Context, c *cli.Command) error {
-				w, args := maintenance.Command{Nonce: c.Uint64("nonce"), Kind: kind, Mechanic: c.String("by")}, c.Args().Slice()
+				w, args := maintenance.Command{Nonce: c.Uint64("nonce"), Kind: kind, Agent: c.String("by")}, c.Args().Slice()
 				if most := len(strings.Fields(words)); len(args) < least || len(args) > most {
 					return fault(fmt.Errorf("work %s: want %s", kind, words))
 				}
@@ -50,7 +50,7 @@
 	box := func(c *maintenance.Command, args []string) error { c.Server = args[0]; return nil }
 	ended := func(c *maintenance.Command, args []string) (err error) {
 		if c.Server = args[0]; len(args) > 2 {
-			c.Why = args[2]
+			c.Reason = args[2]
 		}
 		c.Token, err = readToken(args[1])
 		return err
@@ -69,7 +69,7 @@
 		say(maintenance.SkipServer, "have a box not be worked on; give a box back that was lost", "BOX", 1, box),
 		say(maintenance.ForceDrained, "have a box count as empty, whoever has not said so", "BOX", 1, box),
 		say(maintenance.AcquireServer, "take a box that is ready, or be told of the one that one has", "MECHANIC", 1, func(c *maintenance.Command, args []string) error {
-			c.Mechanic = args[0]
+			c.Agent = args[0]
 			return nil
 		}),
 		say(maintenance.CompleteServer, "say that the work on a box has ended", "BOX TOKEN", 2, ended),
@@ -255,7 +255,7 @@
 			for _, more := range []struct {
 				on   bool
 				text string
-			}{{b.Late, "it is late"}, {len(b.Forced) > 0, "forced past " + strings.Join(b.Forced, " ")}, {b.Why != "", b.Why}} {
+			}{{b.Overdue, "it is late"}, {len(b.ForcedPast) > 0, "forced past " + strings.Join(b.ForcedPast, " ")}, {b.Reason != "", b.Reason}} {
 				if more.on && why != "" {
 					why += "; "
 				}
@@ -264,10 +264,10 @@
 				}
 			}
 			since := ""
-			if b.Since != 0 {
-				since = strconv.FormatUint(b.Since, 10)
+			if b.SinceVersion != 0 {
+				since = strconv.FormatUint(b.SinceVersion, 10)
 			}
-			fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.Number, b.Name, b.Site, stages[b.Stage], since, b.Mechanic, token, why)
+			fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.Number, b.Name, b.Site, stages[b.Stage], since, b.Agent, token, why)
 		}
 	}
 	for i := range s.Plans {
@@ -281,7 +281,7 @@
 			on   bool
 			text string
 		}{{count[maintenance.Skipped] > 0, fmt.Sprintf("%d skipped", count[maintenance.Skipped])}, {count[maintenance.Lost] > 0, fmt.Sprintf("%d lost", count[maintenance.Lost])},
-			{true, seconds(p.AgeS).Round(time.Second).String() + " old"}, {p.Paused != "", "paused by " + p.Paused}, {p.Aborted, "aborted"}, {p.Ended, "ended"}} {
+			{true, seconds(p.AgeSeconds).Round(time.Second).String() + " old"}, {p.PausedBy != "", "paused by " + p.PausedBy}, {p.Aborted, "aborted"}, {p.Ended, "ended"}} {
 			if more.on {
 				text += ", " + more.text
 			}
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -101,7 +101,7 @@
 			y.pollFor(3*patience, "it is waited for", func() bool {
 				s := y.newest()
 				require.NotEqual(t, maintenance.Drained, stage(&s, b).Stage)
-				return len(s.Plans) > 0 && s.Plans[0].AgeS > k.heldS
+				return len(s.Plans) > 0 && s.Plans[0].AgeSeconds > k.heldS
 			})
 			assert.Empty(t, y.records())
 			b.release()
@@ -148,7 +148,7 @@
 			y := newYard(t, 3, 3, 6).open()
 			y.plan(y.owner(y.all...), "at_once = 2\nkeep = 0.6", y.boxes[0], y.boxes[1], y.boxes[3], y.boxes[4]) // sites a and b
 			y.poll("two are ready", func() bool { return y.counts()[maintenance.Drained] == 2 })
-			y.poll("some time has passed", func() bool { s := y.newest(); return s.Plans[0].AgeS > 15 })
+			y.poll("some time has passed", func() bool { s := y.newest(); return s.Plans[0].AgeSeconds > 15 })
 			ends := k.begins(y)
 			began := time.Now()
 			y.poll("both are given back", func() bool { return y.counts()[maintenance.Pending] == 4 })
@@ -267,7 +267,7 @@
 	p := y.ended()
 	for _, k := range p.Servers {
 		if k.Stage != maintenance.Done {
-			assert.Equal(t, "the plan was aborted by an operator", k.Why)
+			assert.Equal(t, "the plan was aborted by an operator", k.Reason)
 		}
 	}
 	assert.Len(t, y.records(), 1)
@@ -289,7 +289,7 @@
 	first := y.comes(y.boxes[0], maintenance.InMaintenance)
 	dies()
 	assert.Regexp(t, "^-", y.work(owner, "next", "bob"), "anna has it")
-	y.poll("it is late", func() bool { s := y.newest(); return stage(&s, y.boxes[0]).Late })
+	y.poll("it is late", func() bool { s := y.newest(); return stage(&s, y.boxes[0]).Overdue })
 	assert.Equal(t, maintenance.InMaintenance, y.comes(y.boxes[0], maintenance.InMaintenance).Stage)
 	again := y.runs(anna)
 	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
@@ -304,7 +304,7 @@
 	y.plan(owner, "name = \"second\"\ntakes = \"1s\"\nlate = \"2s\"\nwhen_late = \"give-up\"", y.boxes[1])
 	p := y.ended()
 	assert.Equal(t, maintenance.Lost, p.Servers[0].Stage)
-	assert.Equal(t, "bob had it for longer than 2 s", p.Servers[0].Why)
+	assert.Equal(t, "bob had it for longer than 2 s", p.Servers[0].Reason)
 	y.poll("his word came too late", func() bool { r := bob.Records(); return len(r) == 1 && len(r[0].Said) == 2 })
 	assert.Contains(t, bob.Records()[0].Said[0], "is not worked on under")
 	stop()
@@ -327,7 +327,7 @@
 	y.mechanic("carl", nil)
 	assert.Contains(t, y.work(y.all[0], "force", b.name), "past "+owner.name)
 	last := y.ended().Servers[0]
-	assert.Equal(t, []string{owner.name}, last.Forced)
+	assert.Equal(t, []string{owner.name}, last.ForcedPast)
 	assert.Equal(t, maintenance.Done, last.Stage)
 	b.release()
 	y.serving()
--- a/cmd/hazelwheel/workline_test.go
+++ b/cmd/hazelwheel/workline_test.go
@@ -92,13 +92,13 @@
 		{"resume 4", `{"plan":4}`, maintenance.Command{Kind: maintenance.ResumePlan, Plan: 4}, 0, "OK resume: plan 4\n"},
 		{"abort x", "", maintenance.Command{}, 2, "hazelwheel: work abort: \"x\" is not the number of a plan\n"},
 		{"skip s-1", `{"error":"it is taken"}`, maintenance.Command{Kind: maintenance.SkipServer, Server: "s-1"}, 1, "hazelwheel: the sidecar says: it is taken\n"},
-		{"force --by bob s-1", `{"plan":1,"box":"s-1"}`, maintenance.Command{Kind: maintenance.ForceDrained, Server: "s-1", Mechanic: "bob"}, 0, "OK force: plan 1: s-1\n"},
-		{"next anna", `{"box":"s-1","token":3298534883385}`, maintenance.Command{Kind: maintenance.AcquireServer, Mechanic: "anna"}, 0, "s-1 3.57\n"},
-		{"next anna", `{"text":"all is done"}`, maintenance.Command{Kind: maintenance.AcquireServer, Mechanic: "anna"}, 0, "- all is done\n"},
+		{"force --by bob s-1", `{"plan":1,"box":"s-1"}`, maintenance.Command{Kind: maintenance.ForceDrained, Server: "s-1", Agent: "bob"}, 0, "OK force: plan 1: s-1\n"},
+		{"next anna", `{"box":"s-1","token":3298534883385}`, maintenance.Command{Kind: maintenance.AcquireServer, Agent: "anna"}, 0, "s-1 3.57\n"},
+		{"next anna", `{"text":"all is done"}`, maintenance.Command{Kind: maintenance.AcquireServer, Agent: "anna"}, 0, "- all is done\n"},
 		{"done s-1 3.57", `{"box":"s-1"}`, maintenance.Command{Kind: maintenance.CompleteServer, Server: "s-1", Token: token}, 0, "OK done: s-1\n"},
 		{"done s-1 3298534883385", `{"box":"s-1"}`, maintenance.Command{Kind: maintenance.CompleteServer, Server: "s-1", Token: token}, 0, "OK done: s-1\n"},
 		{"done s-1 3.x", "", maintenance.Command{}, 2, "hazelwheel: work done: \"3.x\" is not a token like 1.57\n"},
-		{"failed s-1 3.57 no-disk", `{}`, maintenance.Command{Kind: maintenance.FailServer, Server: "s-1", Token: token, Why: "no-disk"}, 0, "OK failed: s-1\n"},
+		{"failed s-1 3.57 no-disk", `{}`, maintenance.Command{Kind: maintenance.FailServer, Server: "s-1", Token: token, Reason: "no-disk"}, 0, "OK failed: s-1\n"},
 	} {
 		d := newFakeDoor(t, k.answer+"\n")
 		args := append([]string{"fleet", "work"}, strings.Fields(k.args)...)
@@ -153,11 +153,11 @@
 	t.Parallel()
 	c := &crew{T: t}
 	raw, err := json.Marshal(coordination.SeenWorks{Version: 17, Owner: "m01", AgeS: 0.3, Hand: []string{"s-2"},
-		Plans: []maintenance.Plan{{Number: 1, Spec: maintenance.Spec{Name: "firmware"}, AgeS: 90, Paused: "anna", Servers: []maintenance.Server{
-			{Name: "s-1", Site: "site-a", Stage: maintenance.Draining, Since: 17},
-			{Name: "s-2", Site: "site-a", Stage: maintenance.InMaintenance, Since: 16, Token: 1<<40 | 16, Mechanic: "bob", Late: true, Forced: []string{"m04"}},
-			{Name: "s-3", Site: "site-b", Stage: maintenance.Done, Since: 9},
-			{Name: "s-4", Site: "site-b", Stage: maintenance.Lost, Since: 8, Why: "no disk"},
+		Plans: []maintenance.Plan{{Number: 1, Spec: maintenance.Spec{Name: "firmware"}, AgeSeconds: 90, PausedBy: "anna", Servers: []maintenance.Server{
+			{Name: "s-1", Site: "site-a", Stage: maintenance.Draining, SinceVersion: 17},
+			{Name: "s-2", Site: "site-a", Stage: maintenance.InMaintenance, SinceVersion: 16, Token: 1<<40 | 16, Agent: "bob", Overdue: true, ForcedPast: []string{"m04"}},
+			{Name: "s-3", Site: "site-b", Stage: maintenance.Done, SinceVersion: 9},
+			{Name: "s-4", Site: "site-b", Stage: maintenance.Lost, SinceVersion: 8, Reason: "no disk"},
 			{Name: "s-5", Site: "site-b"}}}},
 		Waits: []maintenance.Wait{{Plan: 1, Server: "s-1", Why: "not said to be empty", Who: []string{"m02", "m03"}}, {Plan: 1, Why: "a box is cold"}}})
 	require.NoError(t, err)
--- a/internal/coordination/seenworks.go
+++ b/internal/coordination/seenworks.go
@@ -35,7 +35,7 @@
 	for i := range s.Plans {
 		for _, a := range w.ages {
 			if a.Plan == s.Plans[i].Number {
-				s.Plans[i].AgeS = math.Round(10*(a.AgeS+now-w.agesAt)) / 10
+				s.Plans[i].AgeSeconds = math.Round(10*(a.AgeS+now-w.agesAt)) / 10
 			}
 		}
 	}
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -500,7 +500,7 @@
 		p := &state.Plans[i]
 		for _, a := range w.ages {
 			if a.Plan == p.Number {
-				p.AgeS = max(p.AgeS, a.AgeS+now-w.agesAt)
+				p.AgeSeconds = max(p.AgeSeconds, a.AgeS+now-w.agesAt)
 			}
 		}
 	}
@@ -524,8 +524,8 @@
 func renumbered(s maintenance.State) []byte {
 	for i := range s.Plans {
 		for j := range s.Plans[i].Servers {
-			if b := &s.Plans[i].Servers[j]; b.Since > 0 {
-				b.Since = 1
+			if b := &s.Plans[i].Servers[j]; b.SinceVersion > 0 {
+				b.SinceVersion = 1
 			}
 		}
 	}
@@ -691,7 +691,7 @@
 	}
 	for i := range w.state.Plans {
 		p := &w.state.Plans[i]
-		age := p.AgeS
+		age := p.AgeSeconds
 		for _, a := range w.ages {
 			if a.Plan == p.Number {
 				age = max(age, a.AgeS+now-w.agesAt)
--- a/internal/decide/maintenance/commands.go
+++ b/internal/decide/maintenance/commands.go
@@ -36,7 +36,7 @@
 
 // Check tells what is wrong with a command by itself; nil: nothing is.
 func (c *Command) Validate() error {
-	if len(c.Server) > mostNameLen || len(c.Mechanic) > mostNameLen {
+	if len(c.Server) > mostNameLen || len(c.Agent) > mostNameLen {
 		return fmt.Errorf("box, mechanic: a name has at most %d bytes", mostNameLen)
 	}
 	switch c.Kind {
@@ -54,7 +54,7 @@
 			return errors.New("token: the one that the box was handed over with is needed")
 		}
 	case AcquireServer:
-		if c.Mechanic == "" {
+		if c.Agent == "" {
 			return errors.New("mechanic: no name is told")
 		}
 	default:
@@ -139,13 +139,13 @@
 	if err := c.fleet.keeps(boxes, q.Spec.MinCapacity); err != nil {
 		return false, err
 	}
-	p := Plan{Number: s.Last + 1, Nonce: q.Nonce, Spec: *q.Spec, Servers: boxes}
+	p := Plan{Number: s.LastNumber + 1, Nonce: q.Nonce, Spec: *q.Spec, Servers: boxes}
 	p.Spec.Servers = nil // they are in Boxes
-	s.Last = p.Number
+	s.LastNumber = p.Number
 	s.Plans = append(s.Plans, p)
 	if !s.trim() {
 		s.Plans = s.Plans[:len(s.Plans)-1]
-		s.Last--
+		s.LastNumber--
 		return false, errors.New("boxes: it is too large for what can be agreed, beside the plans that there are")
 	}
 	r.Plan, r.Text = p.Number, fmt.Sprintf("%d boxes", len(boxes))
@@ -209,19 +209,19 @@
 		return false, err
 	}
 	r.Plan = p.Number
-	who := cmp.Or(q.Mechanic, "an operator")
+	who := cmp.Or(q.Agent, "an operator")
 	switch {
-	case q.Kind == AbortPlan && p.Aborted, q.Kind == PausePlan && p.Paused != "", q.Kind == ResumePlan && p.Paused == "" && !p.Aborted && !p.Ended:
+	case q.Kind == AbortPlan && p.Aborted, q.Kind == PausePlan && p.PausedBy != "", q.Kind == ResumePlan && p.PausedBy == "" && !p.Aborted && !p.Ended:
 		return false, nil
 	case p.Ended:
 		return false, fmt.Errorf("plan: %d has ended", p.Number)
 	case p.Aborted:
 		return false, fmt.Errorf("plan: %d is aborted", p.Number)
 	case q.Kind == ResumePlan:
-		p.Paused, p.Own = "", 0 // whoever says so has seen how the fleet is: it is measured anew
+		p.PausedBy, p.BaselineRejection = "", 0 // whoever says so has seen how the fleet is: it is measured anew
 		return true, nil
 	case q.Kind == PausePlan:
-		p.Paused = who
+		p.PausedBy = who
 	default:
 		p.Aborted = true
 	}
@@ -251,7 +251,7 @@
 		return false, fmt.Errorf("box: %s is of no plan", q.Server)
 	}
 	r.Plan, r.Server = p.Number, b.Name
-	who := cmp.Or(q.Mechanic, "an operator")
+	who := cmp.Or(q.Agent, "an operator")
 	if q.Kind == ForceDrained {
 		return c.force(p, b, who, r)
 	}
@@ -259,13 +259,13 @@
 	case Pending, Draining, Drained:
 		c.move(b, Skipped, "by "+who)
 	case Lost:
-		c.move(b, Skipped, fmt.Sprintf("given back by %s; %s", who, b.Why))
+		c.move(b, Skipped, fmt.Sprintf("given back by %s; %s", who, b.Reason))
 	case WarmingUp:
 		c.move(b, Done, "held for warm by "+who)
 	case Skipped:
 		return false, nil
 	case InMaintenance:
-		return false, fmt.Errorf("box: %s works on %s under %d; it ends with done or failed", b.Mechanic, b.Name, b.Token)
+		return false, fmt.Errorf("box: %s works on %s under %d; it ends with done or failed", b.Agent, b.Name, b.Token)
 	default:
 		return false, fmt.Errorf("box: the work on %s has ended", b.Name)
 	}
@@ -294,7 +294,7 @@
 	}
 	past, why := c.occupied(p, b)
 	switch {
-	case len(b.Forced) > 0:
+	case len(b.ForcedPast) > 0:
 		r.Text = "it was forced before"
 		return false, nil
 	case why == "" && b.Stage == Drained:
@@ -310,9 +310,9 @@
 	}
 	c.move(b, Drained, "forced by "+who)
 	for _, name := range past[:min(len(past), mostWho)] {
-		b.Forced = append(b.Forced, clip(name, mostNameLen))
+		b.ForcedPast = append(b.ForcedPast, clip(name, mostNameLen))
 	}
-	r.Text = "past " + strings.Join(b.Forced, ", ")
+	r.Text = "past " + strings.Join(b.ForcedPast, ", ")
 	return true, nil
 }
 
@@ -323,7 +323,7 @@
 	for i := range s.Plans {
 		p := &s.Plans[i]
 		for j := range p.Servers {
-			if b := &p.Servers[j]; !p.Ended && b.Stage == InMaintenance && b.Mechanic == q.Mechanic {
+			if b := &p.Servers[j]; !p.Ended && b.Stage == InMaintenance && b.Agent == q.Agent {
 				if inUse := c.takenInUse(b); inUse != "" {
 					r.Text = b.Name + ": " + inUse
 					return false
@@ -344,7 +344,7 @@
 			if b.Stage != Drained {
 				continue
 			}
-			if _, occupied := c.occupied(p, b); occupied != "" && len(b.Forced) == 0 {
+			if _, occupied := c.occupied(p, b); occupied != "" && len(b.ForcedPast) == 0 {
 				why = append(why, b.Name+": "+occupied)
 				continue
 			}
@@ -352,9 +352,9 @@
 				why = append(why, b.Name+": "+c.wrong(p))
 				continue
 			}
-			forced := b.Why
+			forced := b.Reason
 			c.move(b, InMaintenance, forced)
-			b.Token, b.Mechanic = c.agreed.Epoch<<40|c.version(), q.Mechanic
+			b.Token, b.Agent = c.agreed.Epoch<<40|c.version(), q.Agent
 			r.Plan, r.Server, r.Token = p.Number, b.Name, b.Token
 			r.Text = forced
 			return true
@@ -373,13 +373,13 @@
 	r.Plan, r.Server = p.Number, b.Name
 	switch {
 	case b.Stage == InMaintenance && q.Kind == CompleteServer:
-		c.move(b, WarmingUp, b.Why)
+		c.move(b, WarmingUp, b.Reason)
 	case b.Stage == InMaintenance:
-		c.move(b, Lost, cmp.Or(q.Why, "the work on it failed"))
+		c.move(b, Lost, cmp.Or(q.Reason, "the work on it failed"))
 	case q.Kind == CompleteServer && (b.Stage == WarmingUp || b.Stage == Done), q.Kind == FailServer && b.Stage == Lost:
 		return false, nil
 	default:
-		return false, fmt.Errorf("token: %s is not worked on under %d any more: %s", q.Server, q.Token, cmp.Or(b.Why, "it has ended"))
+		return false, fmt.Errorf("token: %s is not worked on under %d any more: %s", q.Server, q.Token, cmp.Or(b.Reason, "it has ended"))
 	}
 	return true, nil
 }
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -135,13 +135,13 @@
 func (s *State) ageless() *State {
 	s = s.clone()
 	for i := range s.Plans {
-		s.Plans[i].AgeS = 0
+		s.Plans[i].AgeSeconds = 0
 	}
 	return s
 }
 
 func (s *State) clone() *State {
-	n := &State{Last: s.Last, Plans: slices.Clone(s.Plans)}
+	n := &State{LastNumber: s.LastNumber, Plans: slices.Clone(s.Plans)}
 	for i := range n.Plans {
 		n.Plans[i].Servers = slices.Clone(n.Plans[i].Servers)
 	}
@@ -154,15 +154,15 @@
 	var plans []planTime
 	for i := range c.agreed.State.Plans {
 		p := &c.agreed.State.Plans[i]
-		t := planTime{number: p.Number, ageS: p.AgeS, at: c.now}
+		t := planTime{number: p.Number, ageS: p.AgeSeconds, at: c.now}
 		if known := c.planTime(p.Number); known != nil {
 			t = *known
 		}
 		plans = append(plans, t)
 		for _, b := range p.Servers {
-			n := boxTime{plan: p.Number, box: b.Name, stage: b.Stage, since: b.Since, banned: b.Since, at: c.now}
+			n := boxTime{plan: p.Number, box: b.Name, stage: b.Stage, since: b.SinceVersion, banned: b.SinceVersion, at: c.now}
 			if k := c.boxTime(p.Number, b.Name); k != nil {
-				if k.stage == b.Stage && k.since == b.Since {
+				if k.stage == b.Stage && k.since == b.SinceVersion {
 					n = *k
 				} else if k.stage.IsCordoned() && b.Stage.IsCordoned() && k.stage < b.Stage {
 					n.banned = k.banned
@@ -283,7 +283,7 @@
 	for i := range next.Plans {
 		if p := &next.Plans[i]; !p.Ended {
 			if t := c.planTime(p.Number); t != nil {
-				p.AgeS = max(p.AgeS, math.Round(10*t.age(c.now))/10)
+				p.AgeSeconds = max(p.AgeSeconds, math.Round(10*t.age(c.now))/10)
 			}
 		}
 	}
@@ -314,9 +314,9 @@
 
 // move has a box come to a stage. Past whom it was forced stays on record, unless it is given back and has its turn again.
 func (c *Coordinator) move(b *Server, to Stage, why string) {
-	b.Stage, b.Since, b.Why = to, c.version(), clip(why, mostTextLen)
+	b.Stage, b.SinceVersion, b.Reason = to, c.version(), clip(why, mostTextLen)
 	if to == Pending {
-		b.Forced = nil
+		b.ForcedPast = nil
 	}
 }
 
@@ -332,7 +332,7 @@
 	for i := range p.Servers {
 		b := &p.Servers[i]
 		known := c.boxTime(p.Number, b.Name)
-		fresh := known != nil && known.stage == b.Stage && known.since == b.Since // it was not changed by a command just now
+		fresh := known != nil && known.stage == b.Stage && known.since == b.SinceVersion // it was not changed by a command just now
 		was := b.Stage
 		switch {
 		case !fresh:
@@ -343,12 +343,12 @@
 			if _, why := c.occupied(p, b); why == "" {
 				c.move(b, Drained, "")
 			}
-		case b.Stage == InMaintenance && !b.Late && c.now-known.at > p.Spec.lateS():
-			if changed, b.Late = true, true; p.Spec.AbandonOverdue {
-				c.move(b, Lost, fmt.Sprintf("%s had it for longer than %g s", b.Mechanic, p.Spec.lateS()))
+		case b.Stage == InMaintenance && !b.Overdue && c.now-known.at > p.Spec.lateS():
+			if changed, b.Overdue = true, true; p.Spec.AbandonOverdue {
+				c.move(b, Lost, fmt.Sprintf("%s had it for longer than %g s", b.Agent, p.Spec.lateS()))
 			}
 		case b.Stage == WarmingUp && c.now-known.at >= p.Spec.coldS(c.set.ColdS) && !c.fleet.dumb(b.Name):
-			c.move(b, Done, b.Why)
+			c.move(b, Done, b.Reason)
 		}
 		changed = changed || b.Stage != was
 		out = out || b.Stage >= Draining && b.Stage <= WarmingUp
@@ -372,8 +372,8 @@
 		if b := c.choose(s, p); b != nil {
 			c.freeLost(s, p, b.Name)
 			c.move(b, Draining, "")
-			if p.Own == 0 {
-				p.Own = max(c.byItself(p), leastOwn)
+			if p.BaselineRejection == 0 {
+				p.BaselineRejection = max(c.byItself(p), leastOwn)
 			}
 			t.shy = false
 			return true, true
@@ -388,7 +388,7 @@
 		if p := &s.Plans[i]; p.Number != by.Number {
 			for j := range p.Servers {
 				if b := &p.Servers[j]; b.Name == box && b.Stage == Lost {
-					c.move(b, Skipped, clip(fmt.Sprintf("plan %d has it; %s", by.Number, b.Why), mostTextLen))
+					c.move(b, Skipped, clip(fmt.Sprintf("plan %d has it; %s", by.Number, b.Reason), mostTextLen))
 				}
 			}
 		}
@@ -405,8 +405,8 @@
 	switch {
 	case p.Aborted:
 		return "it is aborted"
-	case p.Paused != "":
-		return "paused by " + p.Paused
+	case p.PausedBy != "":
+		return "paused by " + p.PausedBy
 	case age < p.Spec.StartAfterSeconds:
 		return fmt.Sprintf("it begins in %.0f s", p.Spec.StartAfterSeconds-age)
 	case p.Spec.EndAfterSeconds > 0 && age > p.Spec.EndAfterSeconds:
@@ -471,12 +471,12 @@
 			case Draining:
 				w.Who, w.Why = c.occupied(p, b)
 			case Drained:
-				if w.Who, w.Why = c.occupied(p, b); w.Why == "" || len(b.Forced) > 0 {
+				if w.Who, w.Why = c.occupied(p, b); w.Why == "" || len(b.ForcedPast) > 0 {
 					w.Who, w.Why = nil, "a mechanic is to take it"
 				}
 			case InMaintenance:
-				if w.Why = b.Mechanic + " works on it"; b.Late {
-					w.Why = b.Mechanic + " is late with it"
+				if w.Why = b.Agent + " works on it"; b.Overdue {
+					w.Why = b.Agent + " is late with it"
 				}
 				if w.Who = c.usedByHand(b.Name); len(w.Who) > 0 {
 					w.Why += "; " + byHand
--- a/internal/decide/maintenance/doc.go
+++ b/internal/decide/maintenance/doc.go
@@ -48,34 +48,34 @@
 
 // Box is a box of a plan.
 type Server struct {
-	Name     string   `msgpack:"n" json:"box"`
-	Site     string   `msgpack:"s,omitempty" json:"site,omitempty"`
-	Stage    Stage    `msgpack:"g,omitempty" json:"stage"`
-	Since    uint64   `msgpack:"v,omitempty" json:"since,omitempty"`       // the version with which the stage began
-	Token    uint64   `msgpack:"t,omitempty" json:"token,omitempty"`       // of who works on it: epoch << 40 | version
-	Mechanic string   `msgpack:"m,omitempty" json:"mechanic,omitempty"`    // by name
-	Why      string   `msgpack:"w,omitempty" json:"why,omitempty"`         // it was skipped or lost, or by whose word it was forced
-	Forced   []string `msgpack:"f,omitempty" json:"forced_past,omitempty"` // who had not said that it is empty when it was forced
-	Late     bool     `msgpack:"l,omitempty" json:"late,omitempty"`
+	Name         string   `msgpack:"n" json:"box"`
+	Site         string   `msgpack:"s,omitempty" json:"site,omitempty"`
+	Stage        Stage    `msgpack:"g,omitempty" json:"stage"`
+	SinceVersion uint64   `msgpack:"v,omitempty" json:"since,omitempty"`       // the version with which the stage began
+	Token        uint64   `msgpack:"t,omitempty" json:"token,omitempty"`       // of who works on it: epoch << 40 | version
+	Agent        string   `msgpack:"m,omitempty" json:"mechanic,omitempty"`    // by name
+	Reason       string   `msgpack:"w,omitempty" json:"why,omitempty"`         // it was skipped or lost, or by whose word it was forced
+	ForcedPast   []string `msgpack:"f,omitempty" json:"forced_past,omitempty"` // who had not said that it is empty when it was forced
+	Overdue      bool     `msgpack:"l,omitempty" json:"late,omitempty"`
 }
 
 // Plan is a plan that is or was carried out.
 type Plan struct {
-	Number  uint64   `msgpack:"n" json:"plan"`
-	Nonce   uint64   `msgpack:"o" json:"-"` // of the command that gave it: one that comes twice is the same
-	Spec    Spec     `msgpack:"s" json:"spec"`
-	Paused  string   `msgpack:"p,omitempty" json:"paused,omitempty"` // by whom; empty: it goes on
-	Aborted bool     `msgpack:"a,omitempty" json:"aborted,omitempty"`
-	Own     float64  `msgpack:"w,omitempty" json:"refused_before,omitempty"` // part that the fleet refused before the first box left; 0: none has
-	Ended   bool     `msgpack:"e,omitempty" json:"ended,omitempty"`          // nothing of it is out any more, nothing is to leave
-	AgeS    float64  `msgpack:"t,omitempty" json:"age_s"`                    // since it was given, by the clocks that ran since
-	Servers []Server `msgpack:"b" json:"boxes"`
+	Number            uint64   `msgpack:"n" json:"plan"`
+	Nonce             uint64   `msgpack:"o" json:"-"` // of the command that gave it: one that comes twice is the same
+	Spec              Spec     `msgpack:"s" json:"spec"`
+	PausedBy          string   `msgpack:"p,omitempty" json:"paused,omitempty"` // by whom; empty: it goes on
+	Aborted           bool     `msgpack:"a,omitempty" json:"aborted,omitempty"`
+	BaselineRejection float64  `msgpack:"w,omitempty" json:"refused_before,omitempty"` // part that the fleet refused before the first box left; 0: none has
+	Ended             bool     `msgpack:"e,omitempty" json:"ended,omitempty"`          // nothing of it is out any more, nothing is to leave
+	AgeSeconds        float64  `msgpack:"t,omitempty" json:"age_s"`                    // since it was given, by the clocks that ran since
+	Servers           []Server `msgpack:"b" json:"boxes"`
 }
 
 // State is what is agreed. Its version is that of the record that holds it.
 type State struct {
-	Last  uint64 `msgpack:"l"` // number of the last plan
-	Plans []Plan `msgpack:"p,omitempty"`
+	LastNumber uint64 `msgpack:"l"` // number of the last plan
+	Plans      []Plan `msgpack:"p,omitempty"`
 }
 
 // Agreed is a State with what the electors know of it.
@@ -87,14 +87,14 @@
 
 // Command is what an operator or a mechanic wants. The same Nonce is the same command, however often it comes.
 type Command struct {
-	Nonce    uint64 `msgpack:"n" json:"nonce,omitempty"`
-	Kind     Kind   `msgpack:"k" json:"kind"`
-	Spec     *Spec  `msgpack:"s,omitempty" json:"spec,omitempty"`     // Give
-	Plan     uint64 `msgpack:"p,omitempty" json:"plan,omitempty"`     // Pause, Resume, Abort; 0: the only one that has not ended
-	Server   string `msgpack:"b,omitempty" json:"box,omitempty"`      // Skip, Force, Finish, Fail
-	Token    uint64 `msgpack:"t,omitempty" json:"token,omitempty"`    // Finish, Fail
-	Mechanic string `msgpack:"m,omitempty" json:"mechanic,omitempty"` // Take; who says so elsewhere
-	Why      string `msgpack:"w,omitempty" json:"why,omitempty"`      // Fail
+	Nonce  uint64 `msgpack:"n" json:"nonce,omitempty"`
+	Kind   Kind   `msgpack:"k" json:"kind"`
+	Spec   *Spec  `msgpack:"s,omitempty" json:"spec,omitempty"`     // Give
+	Plan   uint64 `msgpack:"p,omitempty" json:"plan,omitempty"`     // Pause, Resume, Abort; 0: the only one that has not ended
+	Server string `msgpack:"b,omitempty" json:"box,omitempty"`      // Skip, Force, Finish, Fail
+	Token  uint64 `msgpack:"t,omitempty" json:"token,omitempty"`    // Finish, Fail
+	Agent  string `msgpack:"m,omitempty" json:"mechanic,omitempty"` // Take; who says so elsewhere
+	Reason string `msgpack:"w,omitempty" json:"why,omitempty"`      // Fail
 }
 
 // Kind is that of a command.
--- a/internal/decide/maintenance/encode.go
+++ b/internal/decide/maintenance/encode.go
@@ -44,7 +44,7 @@
 		return State{}, fmt.Errorf("%w: %d plans", ErrState, len(s.Plans))
 	}
 	for i := range s.Plans {
-		if own := s.Plans[i].Own; !(own >= 0 && own <= 1) {
+		if own := s.Plans[i].BaselineRejection; !(own >= 0 && own <= 1) {
 			return State{}, fmt.Errorf("%w: a part of %g", ErrState, own)
 		}
 	}
@@ -55,7 +55,7 @@
 func (s *State) Cordoned(yield func(box string, since uint64) bool) {
 	for i := range s.Plans {
 		for _, b := range s.Plans[i].Servers {
-			if b.Stage.IsCordoned() && !yield(b.Name, b.Since) {
+			if b.Stage.IsCordoned() && !yield(b.Name, b.SinceVersion) {
 				return
 			}
 		}
--- a/internal/decide/maintenance/own.go
+++ b/internal/decide/maintenance/own.go
@@ -63,9 +63,9 @@
 	part, known := c.fleet.alone.part()
 	switch {
 	case !known:
-		part = p.Own // of the owner before, or not known at all
-	case p.Own > 0:
-		part = min(part, p.Own+p.Spec.refusing())
+		part = p.BaselineRejection // of the owner before, or not known at all
+	case p.BaselineRejection > 0:
+		part = min(part, p.BaselineRejection+p.Spec.refusing())
 	}
 	return math.Min(part, 1)
 }
@@ -84,7 +84,7 @@
 // of some seconds would be held to that for good.
 func (c *Coordinator) blank(p *Plan) bool {
 	_, known := c.fleet.alone.part()
-	return p.Own == 0 && !known && c.fleet.alone.quietAt != 0 && c.fleet.refusedPart() > nearNone*p.Spec.refusing()
+	return p.BaselineRejection == 0 && !known && c.fleet.alone.quietAt != 0 && c.fleet.refusedPart() > nearNone*p.Spec.refusing()
 }
 
 // nearNone is the part of Refusing that says nothing of what the fleet does by itself.
--- a/internal/decide/maintenance/own_test.go
+++ b/internal/decide/maintenance/own_test.go
@@ -19,12 +19,12 @@
 			left()
 		}
 		if n := d.stages(); n[Drained] > 0 {
-			d.do(Command{Kind: AcquireServer, Mechanic: "m"})
+			d.do(Command{Kind: AcquireServer, Agent: "m"})
 		}
 		for _, p := range d.agreed.State.Plans {
 			for _, b := range p.Servers {
 				if b.Stage == InMaintenance {
-					d.do(Command{Kind: CompleteServer, Server: b.Name, Token: b.Token, Mechanic: b.Mechanic})
+					d.do(Command{Kind: CompleteServer, Server: b.Name, Token: b.Token, Agent: b.Agent})
 				}
 			}
 		}
@@ -52,7 +52,7 @@
 		}
 		assert.Equal(t, 1, most, "%g", own)
 		assert.True(t, d.agreed.State.Plans[0].Ended, "%g: %v", own, d.Waits())
-		assert.InDelta(t, own, d.agreed.State.Plans[0].Own, 0.001)
+		assert.InDelta(t, own, d.agreed.State.Plans[0].BaselineRejection, 0.001)
 	}
 }
 
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -40,12 +40,12 @@
 			if b.Stage == InMaintenance && before != InMaintenance {
 				require.Greater(h.t, b.Token, h.tokens, "tokens grow")
 				h.tokens = b.Token
-				if len(b.Forced) == 0 {
+				if len(b.ForcedPast) == 0 {
 					h.empty(p, b.Name)
 				}
 			}
 			if b.Stage == Skipped || b.Stage == Lost {
-				require.NotEmpty(h.t, b.Why)
+				require.NotEmpty(h.t, b.Reason)
 			}
 			if !p.Ended {
 				require.Zero(h.t, owner[b.Name], "%s is of two plans", b.Name)
@@ -181,10 +181,10 @@
 			for _, p := range h.agreed.State.Plans {
 				for _, b := range p.Servers {
 					switch {
-					case p.Paused != "" && !p.Aborted && !p.Ended:
+					case p.PausedBy != "" && !p.Aborted && !p.Ended:
 						h.give(Command{Kind: ResumePlan, Plan: p.Number})
 					case b.Stage == Drained:
-						h.give(Command{Kind: AcquireServer, Mechanic: "last"})
+						h.give(Command{Kind: AcquireServer, Agent: "last"})
 					case b.Stage == InMaintenance:
 						h.give(Command{Kind: CompleteServer, Server: b.Name, Token: b.Token})
 					case b.Stage == Lost:
@@ -208,10 +208,10 @@
 // command gives one that may make sense.
 func (h *history) command(boxes []string) {
 	c := Command{Kind: rapid.SampledFrom([]Kind{SubmitPlan, SubmitPlan, AcquireServer, AcquireServer, AcquireServer, CompleteServer, CompleteServer, FailServer, PausePlan, ResumePlan, SkipServer, ForceDrained, AbortPlan}).Draw(h.t, "kind"),
-		Server: rapid.SampledFrom(boxes).Draw(h.t, "box"), Mechanic: rapid.SampledFrom([]string{"m", "n"}).Draw(h.t, "mechanic"), Token: 1}
+		Server: rapid.SampledFrom(boxes).Draw(h.t, "box"), Agent: rapid.SampledFrom([]string{"m", "n"}).Draw(h.t, "mechanic"), Token: 1}
 	for _, p := range h.agreed.State.Plans {
 		for _, b := range p.Servers {
-			if b.Stage == InMaintenance && b.Mechanic == c.Mechanic {
+			if b.Stage == InMaintenance && b.Agent == c.Agent {
 				c.Server, c.Token = b.Name, b.Token
 			}
 		}
@@ -227,7 +227,7 @@
 
 // What comes from a disk or over a link may be anything, and what is read is written as the same again.
 func FuzzDecode(f *testing.F) {
-	s := State{Last: 2, Plans: []Plan{{Number: 2, Spec: *spec(), Servers: []Server{{Name: "b", Site: "s", Stage: InMaintenance, Since: 4, Token: 5, Forced: []string{"n"}}}}}}
+	s := State{LastNumber: 2, Plans: []Plan{{Number: 2, Spec: *spec(), Servers: []Server{{Name: "b", Site: "s", Stage: InMaintenance, SinceVersion: 4, Token: 5, ForcedPast: []string{"n"}}}}}}
 	body, err := s.Encode()
 	require.NoError(f, err)
 	f.Add(body)
@@ -290,7 +290,7 @@
 	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
 	d.play(30)
 	require.Equal(t, 2, d.stages()[Drained])
-	require.NotEmpty(t, d.do(Command{Kind: AcquireServer, Mechanic: "m"}).Server)
+	require.NotEmpty(t, d.do(Command{Kind: AcquireServer, Agent: "m"}).Server)
 	d.round.Sum.PerS *= 2
 	d.play(10)
 	assert.Equal(t, 1, d.stages()[InMaintenance])
--- a/internal/decide/maintenance/stored_form_test.go
+++ b/internal/decide/maintenance/stored_form_test.go
@@ -19,11 +19,11 @@
 }
 
 func storedBox(stage Stage) Server {
-	return Server{Name: "s-1", Site: "site-a", Stage: stage, Since: 8, Token: 3<<40 | 9, Mechanic: "anna", Why: "forced by bob", Forced: []string{"n1", "n2"}, Late: true}
+	return Server{Name: "s-1", Site: "site-a", Stage: stage, SinceVersion: 8, Token: 3<<40 | 9, Agent: "anna", Reason: "forced by bob", ForcedPast: []string{"n1", "n2"}, Overdue: true}
 }
 
 func storedPlan() Plan {
-	p := Plan{Number: 4, Nonce: 77, Spec: storedSpec(), Paused: "bob", Aborted: true, Own: 0.01, Ended: true, AgeS: 12.5}
+	p := Plan{Number: 4, Nonce: 77, Spec: storedSpec(), PausedBy: "bob", Aborted: true, BaselineRejection: 0.01, Ended: true, AgeSeconds: 12.5}
 	for stage := Draining; stage <= Lost; stage++ {
 		p.Servers = append(p.Servers, storedBox(stage))
 	}
@@ -32,7 +32,7 @@
 
 func storedCommand() Command {
 	spec := storedSpec()
-	return Command{Nonce: 5, Kind: SubmitPlan, Spec: &spec, Plan: 4, Server: "s-1", Token: 3<<40 | 9, Mechanic: "anna", Why: "no disk"}
+	return Command{Nonce: 5, Kind: SubmitPlan, Spec: &spec, Plan: 4, Server: "s-1", Token: 3<<40 | 9, Agent: "anna", Reason: "no disk"}
 }
 
 func storedSum() Sum {
@@ -62,7 +62,7 @@
 // What is stored and sent keeps its form: processes of the version before read it and write it.
 func TestStoredForm(t *testing.T) {
 	for name, value := range map[string]any{
-		"state":   State{Last: 9, Plans: []Plan{storedPlan()}},
+		"state":   State{LastNumber: 9, Plans: []Plan{storedPlan()}},
 		"command": storedCommand(),
 		"reply":   Reply{Nonce: 5, Err: "it is taken", Plan: 4, Server: "s-1", Token: 3<<40 | 9, Text: "past n1"},
 		"sum":     storedSum(),
@@ -120,7 +120,7 @@
 	require.NoError(t, err)
 	s, err := Decode(golden)
 	require.NoError(t, err)
-	assert.Equal(t, State{Last: 9, Plans: []Plan{storedPlan()}}, s)
+	assert.Equal(t, State{LastNumber: 9, Plans: []Plan{storedPlan()}}, s)
 	again, err := s.Encode()
 	require.NoError(t, err)
 	assert.Equal(t, golden, again)
--- a/internal/decide/maintenance/works_test.go
+++ b/internal/decide/maintenance/works_test.go
@@ -114,13 +114,13 @@
 		if n[Done] == 6 {
 			break
 		}
-		if r := d.do(Command{Kind: AcquireServer, Mechanic: "m"}); r.Server != "" {
+		if r := d.do(Command{Kind: AcquireServer, Agent: "m"}); r.Server != "" {
 			require.Greater(t, r.Token, token)
 			require.EqualValues(t, 3, r.Token>>40)
 			require.False(t, worked[r.Server])
 			token, worked[r.Server] = r.Token, true
-			require.Equal(t, r.Token, d.do(Command{Kind: AcquireServer, Mechanic: "m"}).Token, "it is told the same again")
-			require.Empty(t, d.do(Command{Kind: AcquireServer, Mechanic: "other"}).Server)
+			require.Equal(t, r.Token, d.do(Command{Kind: AcquireServer, Agent: "m"}).Token, "it is told the same again")
+			require.Empty(t, d.do(Command{Kind: AcquireServer, Agent: "other"}).Server)
 			d.play(20)
 			require.Empty(t, d.do(Command{Kind: CompleteServer, Server: r.Server, Token: token}).Err)
 			require.Empty(t, d.do(Command{Kind: CompleteServer, Server: r.Server, Token: token}).Err, "done twice is done")
@@ -141,7 +141,7 @@
 		d.play(0.5)
 	}
 	d.nonce++
-	d.Do(d.now, Command{Kind: AcquireServer, Mechanic: "bob", Nonce: d.nonce})
+	d.Do(d.now, Command{Kind: AcquireServer, Agent: "bob", Nonce: d.nonce})
 	underWay := d.Step(d.now)
 	require.NotNil(t, underWay)
 	var taken string
@@ -156,10 +156,10 @@
 	d.agreed.Version++
 	d.agreed.State = *underWay
 	d.Begin(d.now, d.agreed)
-	assert.Empty(t, d.do(Command{Kind: AcquireServer, Mechanic: "bob"}).Server, "nobody was heard yet")
+	assert.Empty(t, d.do(Command{Kind: AcquireServer, Agent: "bob"}).Server, "nobody was heard yet")
 	d.round.Sum.Open = []Open{{Server: taken, ID: 2, Hand: true}}
 	d.play(1)
-	again := d.do(Command{Kind: AcquireServer, Mechanic: "bob"})
+	again := d.do(Command{Kind: AcquireServer, Agent: "bob"})
 	assert.Empty(t, again.Server, "it is in use")
 	assert.Contains(t, again.Text, "in use there by hand")
 	waits := d.Waits()
@@ -169,5 +169,5 @@
 	assert.Equal(t, []string{"n1"}, waits[0].Who)
 	d.round.Sum.Open = nil
 	d.play(1)
-	assert.Equal(t, taken, d.do(Command{Kind: AcquireServer, Mechanic: "bob"}).Server, "it is out again")
+	assert.Equal(t, taken, d.do(Command{Kind: AcquireServer, Agent: "bob"}).Server, "it is out again")
 }
--- a/internal/lab/maintenanceagent/mechanic.go
+++ b/internal/lab/maintenanceagent/mechanic.go
@@ -67,7 +67,7 @@
 		every = 200 * time.Millisecond
 	}
 	for ctx.Err() == nil {
-		r, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.AcquireServer, Mechanic: m.Name})
+		r, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.AcquireServer, Agent: m.Name})
 		if err != nil || r.Err != "" || r.Server == "" || !m.accept(&r) {
 			pause(ctx, every)
 			continue
--- a/internal/lab/maintenanceagent/mechanic_test.go
+++ b/internal/lab/maintenanceagent/mechanic_test.go
@@ -98,6 +98,6 @@
 	for i, c := range done {
 		assert.Equal(t, all[1+i/2].Token, c.Token)
 	}
-	_, err := Say(ctx, func() []string { return nil }, maintenance.Command{Kind: maintenance.AcquireServer, Mechanic: "x"})
+	_, err := Say(ctx, func() []string { return nil }, maintenance.Command{Kind: maintenance.AcquireServer, Agent: "x"})
 	assert.ErrorIs(t, err, ErrUnknown)
 }
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -502,7 +502,7 @@
 			w.find(checker.WorkForgotten, "%s is said to be done, and nobody has worked on it to the end", b.Name)
 		case b.Stage < maintenance.InMaintenance && n > 0:
 			w.find(checker.WorkForgotten, "%s was worked on, and is said to wait", b.Name)
-		case (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Why == "":
+		case (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Reason == "":
 			w.find(checker.WorkForgotten, "%s was skipped or lost for no cause", b.Name)
 		}
 	}
--- a/internal/lab/processcluster/works_test.go
+++ b/internal/lab/processcluster/works_test.go
@@ -64,7 +64,7 @@
 			}
 		}
 		p.given, p.over, p.byHand = 960, 1049, k.records
-		p.last = &workState{Plans: []maintenance.Plan{{Servers: []maintenance.Server{{Name: "a", Stage: k.stages[0], Why: k.why}, {Name: "b", Stage: k.stages[1]}}}}}
+		p.last = &workState{Plans: []maintenance.Plan{{Servers: []maintenance.Server{{Name: "a", Stage: k.stages[0], Reason: k.why}, {Name: "b", Stage: k.stages[1]}}}}}
 		w := p.result()
 		var got []checker.Rule
 		for _, line := range w.Wrong {
--- a/internal/sim/maintenancesim/actors.go
+++ b/internal/sim/maintenancesim/actors.go
@@ -99,7 +99,7 @@
 	if m.run != run || m.dead {
 		return
 	}
-	m.w.ask(maintenance.Command{Kind: maintenance.AcquireServer, Mechanic: m.name}, 8, func(r maintenance.Reply) {
+	m.w.ask(maintenance.Command{Kind: maintenance.AcquireServer, Agent: m.name}, 8, func(r maintenance.Reply) {
 		if m.run != run || m.dead {
 			return
 		}
@@ -175,9 +175,9 @@
 // tell has the end of the work be known, again and again until it is.
 func (m *mechanic) tell(run int, box string, token uint64, ok bool) {
 	w := m.w
-	cmd := maintenance.Command{Kind: maintenance.CompleteServer, Server: box, Token: token, Mechanic: m.name}
+	cmd := maintenance.Command{Kind: maintenance.CompleteServer, Server: box, Token: token, Agent: m.name}
 	if !ok {
-		cmd.Kind, cmd.Why = maintenance.FailServer, "it does not start"
+		cmd.Kind, cmd.Reason = maintenance.FailServer, "it does not start"
 	}
 	w.ask(cmd, 8, func(r maintenance.Reply) {
 		if m.run != run && !w.chance(0.5) { // who died meanwhile may find in its notes that it was done
@@ -195,7 +195,7 @@
 			})
 		}
 		if w.chance(0.1) { // and comes with an old token
-			old := maintenance.Command{Kind: maintenance.CompleteServer, Server: w.boxes[w.rng.IntN(len(w.boxes))].name, Token: token - 1, Mechanic: m.name}
+			old := maintenance.Command{Kind: maintenance.CompleteServer, Server: w.boxes[w.rng.IntN(len(w.boxes))].name, Token: token - 1, Agent: m.name}
 			w.ask(old, 3, func(maintenance.Reply) {})
 		}
 		if m.run == run {
@@ -253,7 +253,7 @@
 	b := w.boxes[w.rng.IntN(len(w.boxes))]
 	state := w.agreed().State
 	kinds := []maintenance.Kind{maintenance.PausePlan, maintenance.ResumePlan, maintenance.ResumePlan, maintenance.SkipServer, maintenance.ForceDrained, maintenance.ForceDrained, maintenance.AbortPlan}
-	cmd := maintenance.Command{Kind: kinds[w.rng.IntN(len(kinds))], Server: b.name, Mechanic: "operator"}
+	cmd := maintenance.Command{Kind: kinds[w.rng.IntN(len(kinds))], Server: b.name, Agent: "operator"}
 	for _, p := range state.Plans {
 		for _, o := range p.Servers {
 			if cmd.Kind == maintenance.ForceDrained && (o.Stage == maintenance.Draining || o.Stage == maintenance.Drained) {
--- a/internal/sim/maintenancesim/day.go
+++ b/internal/sim/maintenancesim/day.go
@@ -289,13 +289,13 @@
 		for _, p := range w.agreed().State.Plans {
 			for _, b := range p.Servers {
 				if b.Stage == maintenance.Lost {
-					w.ask(maintenance.Command{Kind: maintenance.SkipServer, Server: b.Name, Plan: p.Number, Mechanic: "operator"}, 10, func(maintenance.Reply) {})
+					w.ask(maintenance.Command{Kind: maintenance.SkipServer, Server: b.Name, Plan: p.Number, Agent: "operator"}, 10, func(maintenance.Reply) {})
 				}
 			}
 			if p.Ended {
 				continue
 			}
-			if live = true; p.Paused != "" {
+			if live = true; p.PausedBy != "" {
 				w.ask(maintenance.Command{Kind: maintenance.ResumePlan, Plan: p.Number}, 10, func(maintenance.Reply) {})
 			}
 		}
--- a/internal/sim/maintenancesim/judge.go
+++ b/internal/sim/maintenancesim/judge.go
@@ -65,7 +65,7 @@
 	for _, p := range w.agreed().State.Plans {
 		for _, b := range p.Servers {
 			if b.Name == box && b.Token == token {
-				return len(b.Forced) > 0 || b.Stage == maintenance.Skipped
+				return len(b.ForcedPast) > 0 || b.Stage == maintenance.Skipped
 			}
 		}
 	}
@@ -236,7 +236,7 @@
 	case maintenance.Draining:
 		w.leaves(was, s, p, to)
 	case maintenance.Drained:
-		if len(to.Forced) > 0 {
+		if len(to.ForcedPast) > 0 {
 			w.counts.Forced++
 		}
 	case maintenance.WarmingUp:
@@ -250,7 +250,7 @@
 	case maintenance.Lost:
 		w.counts.Lost++
 	}
-	if (to.Stage == maintenance.Skipped || to.Stage == maintenance.Lost) && to.Why == "" {
+	if (to.Stage == maintenance.Skipped || to.Stage == maintenance.Lost) && to.Reason == "" {
 		w.broken(RuleEnd, "%s ends without a cause", to.Name)
 	}
 }
@@ -297,7 +297,7 @@
 }
 
 // warm tells whether an operator has said that a box is.
-func warm(b maintenance.Server) bool { return b.Stage == maintenance.Done && b.Why != "" }
+func warm(b maintenance.Server) bool { return b.Stage == maintenance.Done && b.Reason != "" }
 
 func (b *box) missing() bool { return b.down || b.unlisted || b.draining }
 
@@ -310,7 +310,7 @@
 
 // gave takes that a plan was agreed, by its answer.
 func (w *World) gave(r maintenance.Reply) {
-	if r.Plan == 0 || r.Plan > w.agreed().State.Last {
+	if r.Plan == 0 || r.Plan > w.agreed().State.LastNumber {
 		w.broken(RuleAnswer, "plan %d is answered, which is not agreed", r.Plan)
 	}
 }
@@ -350,7 +350,7 @@
 			stages = append(stages, "wlrTcdsX"[b.Stage])
 		}
 		line += fmt.Sprintf("%d:%s", p.Number, stages)
-		if p.Paused != "" {
+		if p.PausedBy != "" {
 			line += "p"
 		}
 		if p.Ended {
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -156,7 +156,7 @@
 // meddle has an operator turn a plan, or say something of one of its boxes.
 func (w *plans) meddle() {
 	kinds := []maintenance.Kind{maintenance.PausePlan, maintenance.ResumePlan, maintenance.SkipServer, maintenance.ForceDrained, maintenance.ForceDrained, maintenance.AbortPlan}
-	cmd := maintenance.Command{Kind: kinds[w.rng.IntN(len(kinds))], Mechanic: "operator"}
+	cmd := maintenance.Command{Kind: kinds[w.rng.IntN(len(kinds))], Agent: "operator"}
 	for i := range w.latest.Plans {
 		p := &w.latest.Plans[i]
 		if p.Ended {
@@ -179,7 +179,7 @@
 		w.tell("%s %d %s: %s %s", cmd.Kind, cmd.Plan, cmd.Server, r.Err, r.Text)
 		if cmd.Kind == maintenance.PausePlan {
 			w.after(5+10*w.rng.Float64(), func() {
-				w.ask(maintenance.Command{Kind: maintenance.ResumePlan, Plan: cmd.Plan, Mechanic: "operator"}, 20, func(maintenance.Reply, bool) {})
+				w.ask(maintenance.Command{Kind: maintenance.ResumePlan, Plan: cmd.Plan, Agent: "operator"}, 20, func(maintenance.Reply, bool) {})
 			})
 		}
 	})
@@ -195,7 +195,7 @@
 
 func (m *mechanic) poll() {
 	w := m.w
-	w.ask(maintenance.Command{Kind: maintenance.AcquireServer, Mechanic: m.name}, 6, func(r maintenance.Reply, answered bool) {
+	w.ask(maintenance.Command{Kind: maintenance.AcquireServer, Agent: m.name}, 6, func(r maintenance.Reply, answered bool) {
 		switch {
 		case !answered || r.Err != "" || r.Server == "" || r.Token < m.greatest:
 			w.after(0.5+w.rng.Float64(), m.poll)
@@ -245,7 +245,7 @@
 // finish says that the work has ended until that is known.
 func (m *mechanic) finish() {
 	w, has := m.w, m.has
-	cmd := maintenance.Command{Kind: maintenance.CompleteServer, Server: w.boxes[has.box].name, Token: has.token, Mechanic: m.name}
+	cmd := maintenance.Command{Kind: maintenance.CompleteServer, Server: w.boxes[has.box].name, Token: has.token, Agent: m.name}
 	if has.failed {
 		cmd.Kind = maintenance.FailServer
 	}
@@ -466,8 +466,8 @@
 			done := slices.ContainsFunc(w.record, func(k *boxWork) bool { return k.plan == p.Number && w.boxes[k.box].name == b.Name && k.ended })
 			had := slices.ContainsFunc(w.record, func(k *boxWork) bool { return k.plan == p.Number && w.boxes[k.box].name == b.Name })
 			switch {
-			case b.Stage == maintenance.Done && !done, b.Stage < maintenance.InMaintenance && had, (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Why == "":
-				w.wrong(checker.ForgottenWrong, "%s of plan %d is at stage %d for %q; worked on: %t, to the end: %t", b.Name, p.Number, b.Stage, b.Why, had, done)
+			case b.Stage == maintenance.Done && !done, b.Stage < maintenance.InMaintenance && had, (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Reason == "":
+				w.wrong(checker.ForgottenWrong, "%s of plan %d is at stage %d for %q; worked on: %t, to the end: %t", b.Name, p.Number, b.Stage, b.Reason, had, done)
 			}
 		}
 	}
