--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -51,7 +51,7 @@
 		{"maintenance_record_least", &agreedWord{}},
 		{"maintenance_version", &heldWord{Epoch: 3, Version: 9}},
 		{"maintenance_request", &worksQuestion{Round: 17, Epoch: 3, Version: 9}},
-		{"maintenance_response", &worksSum{Round: 17, Sum: filled[maintenance.Sum]()}},
+		{"maintenance_response", &worksSum{Round: 17, Sum: filled[maintenance.Report]()}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			body := packed(c.value)
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -68,8 +68,8 @@
 }
 
 type worksSum struct {
-	Round uint64          `msgpack:"r"`
-	Sum   maintenance.Sum `msgpack:"s"`
+	Round uint64             `msgpack:"r"`
+	Sum   maintenance.Report `msgpack:"s"`
 }
 
 // KeptWorks is what a sidecar goes by, as its disk keeps it and as others tell it.
@@ -103,7 +103,7 @@
 	up             int // the link over which the question has come
 	token          uint64
 	round          uint64
-	gathered       *maintenance.Sum // that is to go there; nil: nothing is
+	gathered       *maintenance.Report // that is to go there; nil: nothing is
 	sendAt         float64
 	bucket         budget
 	ended, refused uint64 // requests, when it was asked last
@@ -121,7 +121,7 @@
 	askAt   float64
 	by      float64
 	asked   []maintenance.Member
-	sum     *maintenance.Sum // nil: no round is on
+	sum     *maintenance.Report // nil: no round is on
 
 	told, toldEpoch uint64 // what all were told of whole
 }
@@ -244,13 +244,13 @@
 		switch {
 		case w.held != 0 && e.Token == w.held:
 			if w.sum != nil {
-				_ = w.sum.Add(&s.Sum) // what makes no sense is not in the round, nor those that it is from
+				_ = w.sum.Merge(&s.Sum) // what makes no sense is not in the round, nor those that it is from
 			}
 		case e.Token == w.token:
 			if w.gathered == nil {
-				w.gathered, w.sendAt = &maintenance.Sum{}, now+workGatherS
+				w.gathered, w.sendAt = &maintenance.Report{}, now+workGatherS
 			}
-			_ = w.gathered.Add(&s.Sum) // the same
+			_ = w.gathered.Merge(&s.Sum) // the same
 		}
 	case kindCommand:
 		var c maintenance.Command
@@ -304,17 +304,17 @@
 // --- what this sidecar says of boxes ---
 
 // own returns what this sidecar says.
-func (w *worker) own(now float64) *maintenance.Sum {
+func (w *worker) own(now float64) *maintenance.Report {
 	f := w.o.f
 	spanS := max(now-w.endedAt, 0.001)
 	w.endedAt = now
 	all, refused := w.to.Ended()
-	s := &maintenance.Sum{PerS: float64(all-w.ended) / spanS, Refused: float64(refused-w.refused) / spanS}
+	s := &maintenance.Report{CompletedPerSecond: float64(all-w.ended) / spanS, RejectedPerSecond: float64(refused-w.refused) / spanS}
 	w.ended, w.refused = all, refused
 	if w.to.ListLate() {
-		s.Late = 1
+		s.StaleMembers = 1
 	}
-	s.From = []maintenance.From{{ID: f.state.ID, Life: f.view.Self().Version.BootID, Version: w.version}}
+	s.Reporters = []maintenance.Reporter{{ID: f.state.ID, BootID: f.view.Self().Version.BootID, Version: w.version}}
 	settle := map[string]float64{}
 	for i := range w.state.Plans {
 		p := &w.state.Plans[i]
@@ -325,15 +325,15 @@
 		}
 	}
 	for _, b := range w.to.Boxes() {
-		seen := maintenance.Seen{Server: b.Name, Site: b.Site, Type: b.Type, Size: b.Size, Listed: one(b.Listed), Draining: one(b.Draining), Hand: one(b.Hand),
-			Cold: one(b.Cold), Silent: one(b.Silent), Out: b.Out, Busy: b.Busy}
+		seen := maintenance.ServerStatus{Server: b.Name, Site: b.Site, Type: b.Type, Capacity: b.Size, ListedBy: one(b.Listed), DrainingBy: one(b.Draining), CordonedBy: one(b.Hand),
+			WarmingUpBy: one(b.Cold), UnresponsiveBy: one(b.Silent), InFlight: b.Out, Busy: b.Busy}
 		if was, known := w.boxEnded[b.Name]; known {
-			seen.PerS = float64(b.Ended-was) / spanS
+			seen.CompletedPerSecond = float64(b.Ended-was) / spanS
 		}
 		w.boxEnded[b.Name] = b.Ended
-		s.Seen = append(s.Seen, seen)
+		s.Servers = append(s.Servers, seen)
 		if settleS, out := settle[b.Name]; out && (b.Kept || b.Out > 0 || now-w.outAt[b.Name] < settleS) {
-			s.Open = append(s.Open, maintenance.Open{Server: b.Name, ID: f.state.ID, Hand: b.Kept, N: b.Out})
+			s.InUse = append(s.InUse, maintenance.InUse{Server: b.Name, Member: f.state.ID, Uncordoned: b.Kept, InFlight: b.Out})
 		}
 	}
 	return s
@@ -670,7 +670,7 @@
 // whole tells whether all that live have answered.
 func (w *worker) whole() bool {
 	return !slices.ContainsFunc(w.asked, func(m maintenance.Member) bool {
-		return m.State == swim.Alive && !w.sum.Has(maintenance.From{ID: m.ID})
+		return m.State == swim.Alive && !w.sum.HasReporter(maintenance.Reporter{ID: m.ID})
 	})
 }
 
--- a/internal/decide/maintenance/empty.go
+++ b/internal/decide/maintenance/empty.go
@@ -42,10 +42,10 @@
 	silent := c.silent(p, round, t.banned)
 	var open []string
 	hand := false
-	for i := range round.Sum.Open {
-		if o := &round.Sum.Open[i]; o.Server == b.Name {
-			open = append(open, name(round, o.ID))
-			hand = hand || o.Hand
+	for i := range round.Sum.InUse {
+		if o := &round.Sum.InUse[i]; o.Server == b.Name {
+			open = append(open, name(round, o.Member))
+			hand = hand || o.Uncordoned
 		}
 	}
 	var parts []string
@@ -57,7 +57,7 @@
 	} else if len(open) > 0 {
 		parts = append(parts, "has something out there, or has sent there just now")
 	}
-	if seen := c.fleet.box(b.Name); seen != nil && seen.Busy && seen.Listed > 0 {
+	if seen := c.fleet.box(b.Name); seen != nil && seen.Busy && seen.ListedBy > 0 {
 		parts = append(parts, "its own report says that it works")
 	}
 	who = append(silent, open...)
@@ -84,9 +84,9 @@
 	if round == nil {
 		return nil
 	}
-	for i := range round.Sum.Open {
-		if o := &round.Sum.Open[i]; o.Server == box && o.Hand {
-			who = append(who, name(round, o.ID))
+	for i := range round.Sum.InUse {
+		if o := &round.Sum.InUse[i]; o.Server == box && o.Uncordoned {
+			who = append(who, name(round, o.Member))
 		}
 	}
 	slices.Sort(who)
@@ -97,8 +97,8 @@
 func (c *Coordinator) silent(p *Plan, round *Round, version uint64) (names []string) {
 	for i := range round.Members {
 		m := &round.Members[i]
-		if p.needed(m, c.now-c.heardAt) && !slices.ContainsFunc(round.Sum.From, func(f From) bool {
-			return f.ID == m.ID && f.Life == m.Life && f.Version >= version
+		if p.needed(m, c.now-c.heardAt) && !slices.ContainsFunc(round.Sum.Reporters, func(f Reporter) bool {
+			return f.ID == m.ID && f.BootID == m.Life && f.Version >= version
 		}) {
 			names = append(names, m.Name)
 		}
--- a/internal/decide/maintenance/order.go
+++ b/internal/decide/maintenance/order.go
@@ -34,7 +34,7 @@
 }
 
 type seenBox struct {
-	Seen
+	ServerStatus
 	lastAt    float64 // when somebody had it on a list
 	silentAt  float64 // since when most hold it for silent, or none lists it; 0: they don't
 	coldSince float64
@@ -72,23 +72,23 @@
 	}
 	f.perS.overS, f.short.overS, f.long.overS, f.usual.overS, f.refused.overS = 4, shortS, longS, usualS, 4
 	for _, a := range []*average{&f.perS, &f.short, &f.long, &f.usual} {
-		a.add(r.Sum.PerS, dt)
+		a.add(r.Sum.CompletedPerSecond, dt)
 	}
-	f.refused.add(r.Sum.Refused, dt)
+	f.refused.add(r.Sum.RejectedPerSecond, dt)
 	f.alone.hear(now, dt, out, &r.Sum)
-	f.late, f.spoke = r.Sum.Late, len(r.Sum.From)
+	f.late, f.spoke = r.Sum.StaleMembers, len(r.Sum.Reporters)
 	for _, b := range f.boxes {
-		b.Listed = 0
+		b.ListedBy = 0
 	}
-	for _, s := range r.Sum.Seen {
+	for _, s := range r.Sum.Servers {
 		i, known := slices.BinarySearchFunc(f.boxes, s.Server, func(b *seenBox, name string) int { return cmp.Compare(b.Server, name) })
 		if !known {
 			f.boxes = slices.Insert(f.boxes, i, &seenBox{lastAt: now})
 		}
-		f.boxes[i].Seen = s
+		f.boxes[i].ServerStatus = s
 	}
 	for _, b := range f.boxes {
-		if b.Listed > 0 {
+		if b.ListedBy > 0 {
 			b.lastAt = now
 		}
 		if !b.answers() {
@@ -96,7 +96,7 @@
 		} else {
 			b.silentAt = 0
 		}
-		if 2*b.Cold > b.Listed && b.Listed > 0 {
+		if 2*b.WarmingUpBy > b.ListedBy && b.ListedBy > 0 {
 			b.coldSince = cmp.Or(b.coldSince, now)
 		} else {
 			b.coldSince = 0
@@ -105,11 +105,11 @@
 	f.boxes = slices.DeleteFunc(f.boxes, func(b *seenBox) bool { return now-b.lastAt > lostS })
 }
 
-func (b *seenBox) answers() bool { return b.Listed > 0 && 2*b.Silent <= b.Listed }
+func (b *seenBox) answers() bool { return b.ListedBy > 0 && 2*b.UnresponsiveBy <= b.ListedBy }
 
 // missing tells whether a box does not serve now, though no plan has it out.
 func (b *seenBox) missing() bool {
-	return !b.answers() || 2*b.Draining > b.Listed || 2*b.Hand > b.Listed
+	return !b.answers() || 2*b.DrainingBy > b.ListedBy || 2*b.CordonedBy > b.ListedBy
 }
 
 // missing tells whether a box does not serve as it is, so that to give it back would help nobody.
@@ -130,15 +130,15 @@
 // by the next.
 func (f *fleet) dumb(box string) bool {
 	b := f.box(box)
-	return b != nil && b.Listed > 0 && 2*b.Silent > b.Listed
+	return b != nil && b.ListedBy > 0 && 2*b.UnresponsiveBy > b.ListedBy
 }
 
 // weight is a box's part in the capacity, as against others'.
 func (f *fleet) weight(b *seenBox) float64 {
-	if slices.ContainsFunc(f.boxes, func(b *seenBox) bool { return b.Size <= 0 }) {
+	if slices.ContainsFunc(f.boxes, func(b *seenBox) bool { return b.Capacity <= 0 }) {
 		return 1
 	}
-	return b.Size
+	return b.Capacity
 }
 
 // keeps tells whether each box of a plan can leave at all beside the part that must stay.
@@ -339,7 +339,7 @@
 		if missing && c.set.Order != Fixed {
 			k.hurt = -1
 		} else if seen != nil {
-			k.hurt, k.perS = c.fleet.hurt(out, seen), seen.PerS
+			k.hurt, k.perS = c.fleet.hurt(out, seen), seen.CompletedPerSecond
 			// A site that takes as long as all that is left, or longer, has its boxes wait for each other: it goes first.
 			k.tight = float64(left[b.Site])/float64(p.Spec.bySite()) >= float64(waiting)/float64(p.Spec.MaxConcurrent)
 		}
@@ -397,7 +397,7 @@
 		w := f.weight(o)
 		_, gone := out[o.Server]
 		gone = gone || o.missing() || o == b
-		load += o.PerS
+		load += o.CompletedPerSecond
 		if o.Site == b.Site {
 			if site += w; gone {
 				siteOut += w
@@ -411,7 +411,7 @@
 	}
 	h := max(siteOut/site, kindOut/kind)
 	if load > 0 {
-		h += b.PerS / load
+		h += b.CompletedPerSecond / load
 	}
 	return h
 }
--- a/internal/decide/maintenance/own.go
+++ b/internal/decide/maintenance/own.go
@@ -27,7 +27,7 @@
 )
 
 // hear takes what is refused, and whether a box is out.
-func (o *alone) hear(now, dt float64, out bool, s *Sum) {
+func (o *alone) hear(now, dt float64, out bool, s *Report) {
 	if out {
 		o.quietAt, o.forS = 0, 0
 		return
@@ -36,10 +36,10 @@
 		return
 	}
 	o.perS.overS, o.refused.overS, o.perLate.overS, o.lately.overS = ownS, ownS, latelyS, latelyS
-	o.perS.add(s.PerS, dt)
-	o.refused.add(s.Refused, dt)
-	o.perLate.add(s.PerS, dt)
-	o.lately.add(s.Refused, dt)
+	o.perS.add(s.CompletedPerSecond, dt)
+	o.refused.add(s.RejectedPerSecond, dt)
+	o.perLate.add(s.CompletedPerSecond, dt)
+	o.lately.add(s.RejectedPerSecond, dt)
 	o.forS += dt
 }
 
--- a/internal/decide/maintenance/own_test.go
+++ b/internal/decide/maintenance/own_test.go
@@ -12,7 +12,7 @@
 // each box that leaves.
 func (d *desk) atWork(rounds int, refuse func() float64, left func()) {
 	for range rounds {
-		d.round.Sum.Refused = refuse() * d.round.Sum.PerS
+		d.round.Sum.RejectedPerSecond = refuse() * d.round.Sum.CompletedPerSecond
 		before := d.stages()[Pending]
 		d.play(0.5)
 		if d.stages()[Pending] < before && left != nil {
@@ -88,11 +88,11 @@
 func TestGivesBackWhatHasMoreRefused(t *testing.T) {
 	d := newDesk(t, 3, 3, 3)
 	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: spec()}).Err)
-	d.round.Sum.Refused = 0.05 * d.round.Sum.PerS
+	d.round.Sum.RejectedPerSecond = 0.05 * d.round.Sum.CompletedPerSecond
 	for range 100 {
-		d.round.Sum.Open = nil
-		for _, b := range d.round.Sum.Seen { // a request stays out everywhere
-			d.round.Sum.Open = append(d.round.Sum.Open, Open{Server: b.Server, ID: 1, N: 1})
+		d.round.Sum.InUse = nil
+		for _, b := range d.round.Sum.Servers { // a request stays out everywhere
+			d.round.Sum.InUse = append(d.round.Sum.InUse, InUse{Server: b.Server, Member: 1, InFlight: 1})
 		}
 		if d.play(0.5); d.stages()[Draining] == 1 {
 			break
@@ -101,7 +101,7 @@
 	require.Equal(t, 1, d.stages()[Draining])
 	d.play(10)
 	require.Equal(t, 1, d.stages()[Draining], "no more is refused")
-	d.round.Sum.Refused = 0.1 * d.round.Sum.PerS
+	d.round.Sum.RejectedPerSecond = 0.1 * d.round.Sum.CompletedPerSecond
 	d.play(10)
 	assert.Zero(t, d.stages()[Draining])
 }
--- a/internal/decide/maintenance/spec.go
+++ b/internal/decide/maintenance/spec.go
@@ -75,11 +75,11 @@
 }
 
 // boxes returns those that a plan means of all that are seen, by name, or what it names that nobody has on a list.
-func (s *Spec) boxes(seen []Seen) ([]Server, error) {
+func (s *Spec) boxes(seen []ServerStatus) ([]Server, error) {
 	for field, names := range s.named {
 		for _, n := range names {
-			if !slices.ContainsFunc(seen, func(b Seen) bool {
-				return b.Listed > 0 && (field == "boxes" && b.Server == n || field == "sites" && b.Site == n || field == "types" && b.Type == n)
+			if !slices.ContainsFunc(seen, func(b ServerStatus) bool {
+				return b.ListedBy > 0 && (field == "boxes" && b.Server == n || field == "sites" && b.Site == n || field == "types" && b.Type == n)
 			}) {
 				return nil, fmt.Errorf("%s: no sidecar has %q on its list", field, n)
 			}
@@ -89,7 +89,7 @@
 	for _, b := range seen {
 		of := len(s.Sites)+len(s.Types) > 0 && (len(s.Sites) == 0 || slices.Contains(s.Sites, b.Site)) &&
 			(len(s.Types) == 0 || slices.Contains(s.Types, b.Type))
-		if b.Listed > 0 && of || slices.Contains(s.Servers, b.Server) {
+		if b.ListedBy > 0 && of || slices.Contains(s.Servers, b.Server) {
 			boxes = append(boxes, Server{Name: b.Server, Site: b.Site})
 		}
 	}
--- a/internal/decide/maintenance/stored_form_test.go
+++ b/internal/decide/maintenance/stored_form_test.go
@@ -35,10 +35,10 @@
 	return Command{Nonce: 5, Kind: SubmitPlan, Spec: &spec, Plan: 4, Server: "s-1", Token: 3<<40 | 9, Agent: "anna", Reason: "no disk"}
 }
 
-func storedSum() Sum {
-	return Sum{From: []From{{ID: 1, Life: 2, Version: 3}}, Open: []Open{{Server: "s-1", ID: 1, Hand: true, N: 2}},
-		Seen: []Seen{{Server: "s-1", Site: "site-a", Type: "big", Size: 2.5, Listed: 6, Draining: 1, Hand: 2, Cold: 3, Silent: 4, PerS: 5.5, Out: 7, Busy: true}},
-		PerS: 10.5, Refused: 0.5, Late: 1}
+func storedSum() Report {
+	return Report{Reporters: []Reporter{{ID: 1, BootID: 2, Version: 3}}, InUse: []InUse{{Server: "s-1", Member: 1, Uncordoned: true, InFlight: 2}},
+		Servers:            []ServerStatus{{Server: "s-1", Site: "site-a", Type: "big", Capacity: 2.5, ListedBy: 6, DrainingBy: 1, CordonedBy: 2, WarmingUpBy: 3, UnresponsiveBy: 4, CompletedPerSecond: 5.5, InFlight: 7, Busy: true}},
+		CompletedPerSecond: 10.5, RejectedPerSecond: 0.5, StaleMembers: 1}
 }
 
 // requireComplete fails where a field of a value, at any depth, is zero.
--- a/internal/decide/maintenance/works_test.go
+++ b/internal/decide/maintenance/works_test.go
@@ -28,9 +28,9 @@
 		d.round.Members = append(d.round.Members, Member{ID: swim.ID(i + 1), Name: fmt.Sprint("n", i), Life: 1})
 	}
 	for i := range sites * bySite {
-		d.round.Sum.Seen = append(d.round.Sum.Seen, Seen{Server: fmt.Sprintf("b%02d", i), Site: fmt.Sprint("site-", i%sites), Type: "t", Listed: sidecars, PerS: 5})
+		d.round.Sum.Servers = append(d.round.Sum.Servers, ServerStatus{Server: fmt.Sprintf("b%02d", i), Site: fmt.Sprint("site-", i%sites), Type: "t", ListedBy: sidecars, CompletedPerSecond: 5})
 	}
-	d.round.Sum.PerS, d.round.Whole = 5*float64(sites*bySite), true
+	d.round.Sum.CompletedPerSecond, d.round.Whole = 5*float64(sites*bySite), true
 	d.Begin(d.now, d.agreed)
 	return d
 }
@@ -39,10 +39,10 @@
 func (d *desk) play(forS float64) {
 	for end := d.now + forS; d.now < end; d.now += 0.5 {
 		r := d.round
-		r.Sum.From = nil
+		r.Sum.Reporters = nil
 		for _, m := range r.Members {
 			if !d.mute[m.ID] && !m.State.IsDeadOrLeft() {
-				r.Sum.From = append(r.Sum.From, From{m.ID, m.Life, d.agreed.Version})
+				r.Sum.Reporters = append(r.Sum.Reporters, Reporter{m.ID, m.Life, d.agreed.Version})
 			}
 		}
 		d.Hear(d.now, r)
@@ -157,7 +157,7 @@
 	d.agreed.State = *underWay
 	d.Begin(d.now, d.agreed)
 	assert.Empty(t, d.do(Command{Kind: AcquireServer, Agent: "bob"}).Server, "nobody was heard yet")
-	d.round.Sum.Open = []Open{{Server: taken, ID: 2, Hand: true}}
+	d.round.Sum.InUse = []InUse{{Server: taken, Member: 2, Uncordoned: true}}
 	d.play(1)
 	again := d.do(Command{Kind: AcquireServer, Agent: "bob"})
 	assert.Empty(t, again.Server, "it is in use")
@@ -167,7 +167,7 @@
 	assert.Equal(t, taken, waits[0].Server)
 	assert.Contains(t, waits[0].Why, "in use there by hand")
 	assert.Equal(t, []string{"n1"}, waits[0].Who)
-	d.round.Sum.Open = nil
+	d.round.Sum.InUse = nil
 	d.play(1)
 	assert.Equal(t, taken, d.do(Command{Kind: AcquireServer, Agent: "bob"}).Server, "it is out again")
 }
--- a/internal/sim/maintenancesim/world.go
+++ b/internal/sim/maintenancesim/world.go
@@ -259,8 +259,8 @@
 }
 
 // says is what one sidecar says of itself and of the boxes.
-func (n *node) says() (from maintenance.From, open []maintenance.Open) {
-	from = maintenance.From{ID: n.id, Life: n.life, Version: n.version}
+func (n *node) says() (from maintenance.Reporter, open []maintenance.InUse) {
+	from = maintenance.Reporter{ID: n.id, BootID: n.life, Version: n.version}
 	for _, b := range n.w.boxes {
 		if !n.outs[b.name] {
 			continue
@@ -273,7 +273,7 @@
 		}
 		hand := n.hand[b.name] > n.w.Now()
 		if last, sent := n.lastAt[b.name]; hand || n.open[b.name] > 0 || sent && n.w.Now()-last < settle {
-			open = append(open, maintenance.Open{Server: b.name, ID: n.id, Hand: hand, N: n.open[b.name]})
+			open = append(open, maintenance.InUse{Server: b.name, Member: n.id, Uncordoned: hand, InFlight: n.open[b.name]})
 		}
 	}
 	return from, open
@@ -396,13 +396,13 @@
 				return
 			}
 			from, open := o.says()
-			r.Sum.From, r.Sum.Open = append(r.Sum.From, from), append(r.Sum.Open, open...)
+			r.Sum.Reporters, r.Sum.InUse = append(r.Sum.Reporters, from), append(r.Sum.InUse, open...)
 		})
 	}
 	w.After(w.between(0.25, 0.4), func() {
 		r.Members = w.members(n) // as it is known when all has come
-		r.Sum.Seen = w.seen()
-		r.Sum.PerS, r.Sum.Refused, r.Sum.Late = w.perS*w.between(0.95, 1.05), w.perS*w.refusing, w.late
+		r.Sum.Servers = w.seen()
+		r.Sum.CompletedPerSecond, r.Sum.RejectedPerSecond, r.Sum.StaleMembers = w.perS*w.between(0.95, 1.05), w.perS*w.refusing, w.late
 		n.call(run, func() {
 			if n.c == nil || n.token != token {
 				return
@@ -415,7 +415,7 @@
 }
 
 // seen is what all say of the boxes.
-func (w *World) seen() (all []maintenance.Seen) {
+func (w *World) seen() (all []maintenance.ServerStatus) {
 	up := 0
 	for _, n := range w.nodes {
 		if n.up {
@@ -429,20 +429,20 @@
 		}
 	}
 	for _, b := range w.boxes {
-		s := maintenance.Seen{Server: b.name, Site: b.site, Type: b.kind, Size: b.size, Listed: up, Busy: b.out > 0}
+		s := maintenance.ServerStatus{Server: b.name, Site: b.site, Type: b.kind, Capacity: b.size, ListedBy: up, Busy: b.out > 0}
 		if b.unlisted {
-			s.Listed = 0
+			s.ListedBy = 0
 		}
 		if b.draining {
-			s.Draining = up
+			s.DrainingBy = up
 		}
 		if b.down {
-			s.Silent = up
+			s.UnresponsiveBy = up
 		} else {
-			s.PerS = w.perS / float64(max(serve, 1))
+			s.CompletedPerSecond = w.perS / float64(max(serve, 1))
 		}
 		if b.coldTo > w.Now() {
-			s.Cold = up
+			s.WarmingUpBy = up
 		}
 		all = append(all, s)
 	}
