--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -226,7 +226,7 @@
 		fmt.Fprintln(out, line)
 	}
 	for _, wait := range w.Waits {
-		fmt.Fprintf(out, "waits: %s %s %s\n", wait.Server, wait.Why, strings.Join(wait.Who, " "))
+		fmt.Fprintf(out, "waits: %s %s %s\n", wait.Server, wait.Reason, strings.Join(wait.Members, " "))
 	}
 	goes := "ended"
 	if !w.Ended {
--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -236,9 +236,9 @@
 		var all []string
 		for _, w := range s.Waits {
 			if w.Plan == plan && w.Server == box {
-				text := w.Why
-				if len(w.Who) > 0 {
-					text += ": " + strings.Join(w.Who, " ")
+				text := w.Reason
+				if len(w.Members) > 0 {
+					text += ": " + strings.Join(w.Members, " ")
 				}
 				all = append(all, text)
 			}
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -269,8 +269,8 @@
 	y.poll(fmt.Sprintf("%s waits for %q of %s", b.name, why, who), func() bool {
 		s := y.newest()
 		last = fmt.Sprint(s.Waits)
-		return slices.ContainsFunc(s.Waits, func(w maintenance.Wait) bool {
-			return w.Server == b.name && strings.Contains(w.Why, why) && (who == "" || slices.Contains(w.Who, who))
+		return slices.ContainsFunc(s.Waits, func(w maintenance.Blocker) bool {
+			return w.Server == b.name && strings.Contains(w.Reason, why) && (who == "" || slices.Contains(w.Members, who))
 		})
 	})
 }
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -155,8 +155,8 @@
 			t.Log("given back after", time.Since(began))
 			y.poll("it says why", func() bool {
 				s := y.newest()
-				return slices.ContainsFunc(s.Waits, func(w maintenance.Wait) bool {
-					return strings.Contains(w.Why, k.waits) || strings.Contains(w.Why, "is seen how")
+				return slices.ContainsFunc(s.Waits, func(w maintenance.Blocker) bool {
+					return strings.Contains(w.Reason, k.waits) || strings.Contains(w.Reason, "is seen how")
 				})
 			})
 			ends()
@@ -229,7 +229,7 @@
 	assert.Contains(t, out, "not known whether it was done")
 	y.poll("who is not heard is named", func() bool {
 		s, _ := left[0].works()
-		return slices.ContainsFunc(s.Waits, func(w maintenance.Wait) bool { return w.Server == "" && slices.Equal(w.Who, names(right)) })
+		return slices.ContainsFunc(s.Waits, func(w maintenance.Blocker) bool { return w.Server == "" && slices.Equal(w.Members, names(right)) })
 	})
 	assert.Equal(t, 3, y.counts()[maintenance.Pending])
 	y.board.Set(processcluster.Rule{}, ways...)
--- a/cmd/hazelwheel/workline_test.go
+++ b/cmd/hazelwheel/workline_test.go
@@ -159,7 +159,7 @@
 			{Name: "s-3", Site: "site-b", Stage: maintenance.Done, SinceVersion: 9},
 			{Name: "s-4", Site: "site-b", Stage: maintenance.Lost, SinceVersion: 8, Reason: "no disk"},
 			{Name: "s-5", Site: "site-b"}}}},
-		Waits: []maintenance.Wait{{Plan: 1, Server: "s-1", Why: "not said to be empty", Who: []string{"m02", "m03"}}, {Plan: 1, Why: "a box is cold"}}})
+		Waits: []maintenance.Blocker{{Plan: 1, Server: "s-1", Reason: "not said to be empty", Members: []string{"m02", "m03"}}, {Plan: 1, Reason: "a box is cold"}}})
 	require.NoError(t, err)
 	d := newFakeDoor(t, string(raw)+"\n")
 	out, code := c.command("fleet", "work", "status", "--ops", d.address)
--- a/internal/coordination/seenworks.go
+++ b/internal/coordination/seenworks.go
@@ -9,13 +9,13 @@
 
 // SeenWorks is what a sidecar knows of work on boxes.
 type SeenWorks struct {
-	Version uint64             `json:"version"` // of what is agreed, as far as it is known here; 0: nothing is
-	Owner   string             `json:"owner"`   // name of who settles the order; empty: nobody has said so yet
-	AgeS    float64            `json:"age_s"`   // since its last word
-	Plans   []maintenance.Plan `json:"plans"`
-	Waits   []maintenance.Wait `json:"waits"` // what it waits for, by its last word
-	Out     []string           `json:"out"`   // boxes that are out here by what is agreed
-	Hand    []string           `json:"hand"`  // of these, such as were given back here by hand
+	Version uint64                `json:"version"` // of what is agreed, as far as it is known here; 0: nothing is
+	Owner   string                `json:"owner"`   // name of who settles the order; empty: nobody has said so yet
+	AgeS    float64               `json:"age_s"`   // since its last word
+	Plans   []maintenance.Plan    `json:"plans"`
+	Waits   []maintenance.Blocker `json:"waits"` // what it waits for, by its last word
+	Out     []string              `json:"out"`   // boxes that are out here by what is agreed
+	Hand    []string              `json:"hand"`  // of these, such as were given back here by hand
 }
 
 // ErrNoWorks is the answer where no order is settled.
@@ -27,7 +27,7 @@
 		return nil, ErrNoWorks
 	}
 	w, now := f.owners.works, f.net.Now()
-	s := &SeenWorks{Version: w.version, Owner: w.owner, Plans: append([]maintenance.Plan{}, w.state.Plans...), Waits: append([]maintenance.Wait{}, w.waits...),
+	s := &SeenWorks{Version: w.version, Owner: w.owner, Plans: append([]maintenance.Plan{}, w.state.Plans...), Waits: append([]maintenance.Blocker{}, w.waits...),
 		Out: []string{}, Hand: []string{}}
 	if !math.IsInf(w.wordAt, -1) {
 		s.AgeS = math.Round(10*(now-w.wordAt)) / 10
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -47,7 +47,7 @@
 		{"fault_order", &drillRun{ID: 1 << 50, Name: "lag", LeftS: 59.5, Mark: []byte{6, 7}}},
 		{"fault_orders", &drillRuns{Runs: []drillRun{{ID: 1 << 50, Name: "lag", LeftS: 59.5, Mark: []byte{6, 7}}, {ID: 2, Name: "x"}}}},
 		{"fault_orders_least", &drillRuns{}},
-		{"maintenance_record", &agreedWord{Epoch: 3, Version: 9, Body: []byte{8, 9}, Waits: filled[[]maintenance.Wait](), Ages: []planAge{{Plan: 4, AgeS: 12.5}}, Owner: "m01"}},
+		{"maintenance_record", &agreedWord{Epoch: 3, Version: 9, Body: []byte{8, 9}, Waits: filled[[]maintenance.Blocker](), Ages: []planAge{{Plan: 4, AgeS: 12.5}}, Owner: "m01"}},
 		{"maintenance_record_least", &agreedWord{}},
 		{"maintenance_version", &heldWord{Epoch: 3, Version: 9}},
 		{"maintenance_request", &worksQuestion{Round: 17, Epoch: 3, Version: 9}},
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -41,12 +41,12 @@
 
 // agreedWord is what is agreed, or that it is so still.
 type agreedWord struct {
-	Epoch   uint64             `msgpack:"e"`
-	Version uint64             `msgpack:"v"`
-	Body    []byte             `msgpack:"b,omitempty"` // of the record; nil: who lacks the version asks for it
-	Waits   []maintenance.Wait `msgpack:"w,omitempty"`
-	Ages    []planAge          `msgpack:"a,omitempty"`
-	Owner   string             `msgpack:"o,omitempty"` // its name; empty: it is not the owner's word
+	Epoch   uint64                `msgpack:"e"`
+	Version uint64                `msgpack:"v"`
+	Body    []byte                `msgpack:"b,omitempty"` // of the record; nil: who lacks the version asks for it
+	Waits   []maintenance.Blocker `msgpack:"w,omitempty"`
+	Ages    []planAge             `msgpack:"a,omitempty"`
+	Owner   string                `msgpack:"o,omitempty"` // its name; empty: it is not the owner's word
 }
 
 // planAge is since when a plan was given, by the clocks that ran since.
@@ -95,7 +95,7 @@
 	body           []byte
 	state          maintenance.State
 	outAt          map[string]float64 // since when a box is out here
-	waits          []maintenance.Wait
+	waits          []maintenance.Blocker
 	owner          string
 	wordAt         float64 // of the owner's last word; -Inf: there was none
 	ages           []planAge
@@ -649,7 +649,7 @@
 // rounds has all be asked, again and again, as long as a plan goes on.
 func (w *worker) rounds(now float64) {
 	if w.sum != nil && (now >= w.by || w.whole()) {
-		w.c.Hear(now, maintenance.Round{Members: w.asked, Sum: *w.sum, Whole: w.whole()})
+		w.c.Hear(now, maintenance.FleetSnapshot{Members: w.asked, Report: *w.sum, Complete: w.whole()})
 		w.sum = nil
 	}
 	if w.sum != nil || now < w.askAt || !w.c.Asking() {
@@ -662,7 +662,7 @@
 	}
 	w.asked = nil
 	for m := range w.o.f.view.Members {
-		w.asked = append(w.asked, maintenance.Member{ID: m.ID, Name: m.Name, Life: m.Version.BootID, State: m.State, SinceS: m.StateAgeSeconds})
+		w.asked = append(w.asked, maintenance.Member{ID: m.ID, Name: m.Name, BootID: m.Version.BootID, State: m.State, StateAgeSeconds: m.StateAgeSeconds})
 	}
 	w.sum, w.by = w.own(now), now+workWithinS
 }
--- a/internal/decide/maintenance/commands.go
+++ b/internal/decide/maintenance/commands.go
@@ -116,7 +116,7 @@
 	if round == nil {
 		return false, errors.New("the sidecars can't be heard, so it is not known which boxes there are")
 	}
-	boxes, err := q.Spec.boxes(round.Sum.Servers)
+	boxes, err := q.Spec.boxes(round.Report.Servers)
 	if err != nil {
 		return false, err
 	}
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -42,7 +42,7 @@
 	replies []Reply
 	given   []Reply // the last ones, for who asks again
 
-	round   *Round
+	round   *FleetSnapshot
 	heardAt float64
 	fleet   fleet
 	boxes   []boxTime
@@ -199,7 +199,7 @@
 func (t *planTime) age(now float64) float64 { return t.ageS + now - t.at }
 
 // Hear takes what all say, in place of what they said before.
-func (c *Coordinator) Hear(now float64, r Round) {
+func (c *Coordinator) Hear(now float64, r FleetSnapshot) {
 	c.enter(now)
 	dt := c.now - c.heardAt
 	if c.round == nil {
@@ -232,7 +232,7 @@
 }
 
 // fresh returns the last round, if it is young enough to say anything.
-func (c *Coordinator) fresh() *Round {
+func (c *Coordinator) fresh() *FleetSnapshot {
 	if c.round == nil || c.now-c.heardAt > freshS {
 		return nil
 	}
@@ -454,7 +454,7 @@
 }
 
 // Waits tells what plans and boxes wait for, by plan and box.
-func (c *Coordinator) Waits() (all []Wait) {
+func (c *Coordinator) Waits() (all []Blocker) {
 	for i := range c.agreed.State.Plans {
 		p := &c.agreed.State.Plans[i]
 		if p.Ended {
@@ -464,30 +464,30 @@
 		waiting := false
 		for j := range p.Servers {
 			b := &p.Servers[j]
-			w := Wait{Plan: p.Number, Server: b.Name}
+			w := Blocker{Plan: p.Number, Server: b.Name}
 			switch b.Stage {
 			case Pending:
 				waiting = true
 			case Draining:
-				w.Who, w.Why = c.occupied(p, b)
+				w.Members, w.Reason = c.occupied(p, b)
 			case Drained:
-				if w.Who, w.Why = c.occupied(p, b); w.Why == "" || len(b.ForcedPast) > 0 {
-					w.Who, w.Why = nil, "a mechanic is to take it"
+				if w.Members, w.Reason = c.occupied(p, b); w.Reason == "" || len(b.ForcedPast) > 0 {
+					w.Members, w.Reason = nil, "a mechanic is to take it"
 				}
 			case InMaintenance:
-				if w.Why = b.Agent + " works on it"; b.Overdue {
-					w.Why = b.Agent + " is late with it"
+				if w.Reason = b.Agent + " works on it"; b.Overdue {
+					w.Reason = b.Agent + " is late with it"
 				}
-				if w.Who = c.usedByHand(b.Name); len(w.Who) > 0 {
-					w.Why += "; " + byHand
+				if w.Members = c.usedByHand(b.Name); len(w.Members) > 0 {
+					w.Reason += "; " + byHand
 				}
 			case WarmingUp:
-				if w.Why = "it warms up"; c.fleet.dumb(b.Name) {
-					w.Why = "it was given back and does not answer"
+				if w.Reason = "it warms up"; c.fleet.dumb(b.Name) {
+					w.Reason = "it was given back and does not answer"
 				}
 			}
-			if w.Why != "" {
-				w.Who = w.Who[:min(len(w.Who), mostWho)]
+			if w.Reason != "" {
+				w.Members = w.Members[:min(len(w.Members), mostWho)]
 				all = append(all, w)
 			}
 		}
@@ -497,9 +497,9 @@
 				why = c.full(&c.agreed.State, p)
 			}
 			if why != "" {
-				w := Wait{Plan: p.Number, Why: why}
+				w := Blocker{Plan: p.Number, Reason: why}
 				if t.holding == why {
-					w.Who = c.unheard(p)
+					w.Members = c.unheard(p)
 				}
 				all = append(all, w)
 			}
--- a/internal/decide/maintenance/doc.go
+++ b/internal/decide/maintenance/doc.go
@@ -166,26 +166,26 @@
 
 // Member is who must have said that a box is empty, as far as they are there.
 type Member struct {
-	ID     swim.ID
-	Name   string
-	Life   uint64
-	State  swim.State
-	SinceS float64 // for how long the state has held
+	ID              swim.ID
+	Name            string
+	BootID          uint64
+	State           swim.State
+	StateAgeSeconds float64 // for how long the state has held
 }
 
 // Round is what is known of the fleet after all were asked.
-type Round struct {
-	Members []Member // all that are there, or were within the last ten minutes, by ID
-	Sum     Report
-	Whole   bool // all that live have answered
+type FleetSnapshot struct {
+	Members  []Member // all that are there, or were within the last ten minutes, by ID
+	Report   Report
+	Complete bool // all that live have answered
 }
 
 // Wait says what a box or a plan waits for.
-type Wait struct {
-	Plan   uint64   `msgpack:"p" json:"plan"`
-	Server string   `msgpack:"b,omitempty" json:"box,omitempty"`
-	Why    string   `msgpack:"w" json:"why"`
-	Who    []string `msgpack:"o,omitempty" json:"who,omitempty"` // names of sidecars, at most ten
+type Blocker struct {
+	Plan    uint64   `msgpack:"p" json:"plan"`
+	Server  string   `msgpack:"b,omitempty" json:"box,omitempty"`
+	Reason  string   `msgpack:"w" json:"why"`
+	Members []string `msgpack:"o,omitempty" json:"who,omitempty"` // names of sidecars, at most ten
 }
 
 // Bounds of what is agreed. Danger: it is one entry of the electors' log and goes over links in one frame.
--- a/internal/decide/maintenance/empty.go
+++ b/internal/decide/maintenance/empty.go
@@ -21,9 +21,9 @@
 func (p *Plan) needed(m *Member, laterS float64) bool {
 	switch m.State {
 	case swim.Dead:
-		return m.SinceS+laterS < p.Spec.goneS()
+		return m.StateAgeSeconds+laterS < p.Spec.goneS()
 	case swim.Left:
-		return m.SinceS+laterS < min(p.Spec.goneS(), leftS)
+		return m.StateAgeSeconds+laterS < min(p.Spec.goneS(), leftS)
 	}
 	return true
 }
@@ -42,8 +42,8 @@
 	silent := c.silent(p, round, t.banned)
 	var open []string
 	hand := false
-	for i := range round.Sum.InUse {
-		if o := &round.Sum.InUse[i]; o.Server == b.Name {
+	for i := range round.Report.InUse {
+		if o := &round.Report.InUse[i]; o.Server == b.Name {
 			open = append(open, name(round, o.Member))
 			hand = hand || o.Uncordoned
 		}
@@ -84,8 +84,8 @@
 	if round == nil {
 		return nil
 	}
-	for i := range round.Sum.InUse {
-		if o := &round.Sum.InUse[i]; o.Server == box && o.Uncordoned {
+	for i := range round.Report.InUse {
+		if o := &round.Report.InUse[i]; o.Server == box && o.Uncordoned {
 			who = append(who, name(round, o.Member))
 		}
 	}
@@ -94,11 +94,11 @@
 }
 
 // silent returns the names of members who may send and have not said that they go by a version, or a later one.
-func (c *Coordinator) silent(p *Plan, round *Round, version uint64) (names []string) {
+func (c *Coordinator) silent(p *Plan, round *FleetSnapshot, version uint64) (names []string) {
 	for i := range round.Members {
 		m := &round.Members[i]
-		if p.needed(m, c.now-c.heardAt) && !slices.ContainsFunc(round.Sum.Reporters, func(f Reporter) bool {
-			return f.ID == m.ID && f.BootID == m.Life && f.Version >= version
+		if p.needed(m, c.now-c.heardAt) && !slices.ContainsFunc(round.Report.Reporters, func(f Reporter) bool {
+			return f.ID == m.ID && f.BootID == m.BootID && f.Version >= version
 		}) {
 			names = append(names, m.Name)
 		}
@@ -106,7 +106,7 @@
 	return names
 }
 
-func name(round *Round, id swim.ID) string {
+func name(round *FleetSnapshot, id swim.ID) string {
 	for i := range round.Members {
 		if round.Members[i].ID == id {
 			return round.Members[i].Name
--- a/internal/decide/maintenance/order.go
+++ b/internal/decide/maintenance/order.go
@@ -66,21 +66,21 @@
 )
 
 // hear takes what is said of boxes, and whether any box is out.
-func (f *fleet) hear(now, dt float64, r *Round, out bool) {
+func (f *fleet) hear(now, dt float64, r *FleetSnapshot, out bool) {
 	if f.now = now; dt <= 0 || dt > longS { // it is the first one, or none was asked for meanwhile
 		f.perS, f.short, f.long, f.usual, f.refused, f.alone, dt = average{}, average{}, average{}, average{}, average{}, alone{}, 1
 	}
 	f.perS.overS, f.short.overS, f.long.overS, f.usual.overS, f.refused.overS = 4, shortS, longS, usualS, 4
 	for _, a := range []*average{&f.perS, &f.short, &f.long, &f.usual} {
-		a.add(r.Sum.CompletedPerSecond, dt)
+		a.add(r.Report.CompletedPerSecond, dt)
 	}
-	f.refused.add(r.Sum.RejectedPerSecond, dt)
-	f.alone.hear(now, dt, out, &r.Sum)
-	f.late, f.spoke = r.Sum.StaleMembers, len(r.Sum.Reporters)
+	f.refused.add(r.Report.RejectedPerSecond, dt)
+	f.alone.hear(now, dt, out, &r.Report)
+	f.late, f.spoke = r.Report.StaleMembers, len(r.Report.Reporters)
 	for _, b := range f.boxes {
 		b.ListedBy = 0
 	}
-	for _, s := range r.Sum.Servers {
+	for _, s := range r.Report.Servers {
 		i, known := slices.BinarySearchFunc(f.boxes, s.Server, func(b *seenBox, name string) int { return cmp.Compare(b.Server, name) })
 		if !known {
 			f.boxes = slices.Insert(f.boxes, i, &seenBox{lastAt: now})
@@ -254,7 +254,7 @@
 	if f := &c.fleet; 10*f.late > f.spoke {
 		return fmt.Sprintf("the lists of %d sidecars are late", f.late)
 	}
-	if !c.round.Whole || len(c.unheard(p)) > 0 {
+	if !c.round.Complete || len(c.unheard(p)) > 0 {
 		return "not all sidecars are heard, or were until lately"
 	}
 	return ""
--- a/internal/decide/maintenance/own_test.go
+++ b/internal/decide/maintenance/own_test.go
@@ -12,7 +12,7 @@
 // each box that leaves.
 func (d *desk) atWork(rounds int, refuse func() float64, left func()) {
 	for range rounds {
-		d.round.Sum.RejectedPerSecond = refuse() * d.round.Sum.CompletedPerSecond
+		d.round.Report.RejectedPerSecond = refuse() * d.round.Report.CompletedPerSecond
 		before := d.stages()[Pending]
 		d.play(0.5)
 		if d.stages()[Pending] < before && left != nil {
@@ -47,7 +47,7 @@
 		}, nil)
 		if !leaves {
 			assert.Zero(t, most, "%g", own)
-			assert.Contains(t, d.Waits()[0].Why, "are refused or fail, at most 0.250 may")
+			assert.Contains(t, d.Waits()[0].Reason, "are refused or fail, at most 0.250 may")
 			continue
 		}
 		assert.Equal(t, 1, most, "%g", own)
@@ -79,7 +79,7 @@
 	done := d.stages()[Done]
 	d.atWork(400, func() float64 { return 0.09 }, nil) // harm that stays: 0.05 and 0.02 are above it
 	assert.LessOrEqual(t, d.stages()[Done], done+1)
-	assert.Contains(t, d.Waits()[0].Why, "are refused or fail")
+	assert.Contains(t, d.Waits()[0].Reason, "are refused or fail")
 	d.atWork(200, func() float64 { return 0.05 }, nil)
 	assert.Greater(t, d.stages()[Done], done+1, "%v", d.Waits())
 }
@@ -88,11 +88,11 @@
 func TestGivesBackWhatHasMoreRefused(t *testing.T) {
 	d := newDesk(t, 3, 3, 3)
 	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: spec()}).Err)
-	d.round.Sum.RejectedPerSecond = 0.05 * d.round.Sum.CompletedPerSecond
+	d.round.Report.RejectedPerSecond = 0.05 * d.round.Report.CompletedPerSecond
 	for range 100 {
-		d.round.Sum.InUse = nil
-		for _, b := range d.round.Sum.Servers { // a request stays out everywhere
-			d.round.Sum.InUse = append(d.round.Sum.InUse, InUse{Server: b.Server, Member: 1, InFlight: 1})
+		d.round.Report.InUse = nil
+		for _, b := range d.round.Report.Servers { // a request stays out everywhere
+			d.round.Report.InUse = append(d.round.Report.InUse, InUse{Server: b.Server, Member: 1, InFlight: 1})
 		}
 		if d.play(0.5); d.stages()[Draining] == 1 {
 			break
@@ -101,7 +101,7 @@
 	require.Equal(t, 1, d.stages()[Draining])
 	d.play(10)
 	require.Equal(t, 1, d.stages()[Draining], "no more is refused")
-	d.round.Sum.RejectedPerSecond = 0.1 * d.round.Sum.CompletedPerSecond
+	d.round.Report.RejectedPerSecond = 0.1 * d.round.Report.CompletedPerSecond
 	d.play(10)
 	assert.Zero(t, d.stages()[Draining])
 }
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -68,12 +68,12 @@
 // empty requires that all who may send have said, in the last round, that they send nothing to a box and have nothing there.
 func (h *history) empty(p *Plan, box string) {
 	for _, m := range h.round.Members {
-		if m.State == swim.Dead && m.SinceS >= p.Spec.goneS() || m.State == swim.Left && m.SinceS >= min(p.Spec.goneS(), leftS) {
+		if m.State == swim.Dead && m.StateAgeSeconds >= p.Spec.goneS() || m.State == swim.Left && m.StateAgeSeconds >= min(p.Spec.goneS(), leftS) {
 			continue
 		}
 		require.False(h.t, h.mute[m.ID] || m.State.IsDeadOrLeft(), "%s was handed over, and %s may send there", box, m.Name)
 	}
-	for _, o := range h.round.Sum.InUse {
+	for _, o := range h.round.Report.InUse {
 		require.NotEqual(h.t, box, o.Server, "it was handed over with something out")
 	}
 }
@@ -120,13 +120,13 @@
 
 func (h *history) hear() {
 	r := h.round
-	r.Sum.Reporters = nil
+	r.Report.Reporters = nil
 	for _, m := range r.Members {
 		if !h.mute[m.ID] && !m.State.IsDeadOrLeft() {
-			r.Sum.Reporters = append(r.Sum.Reporters, Reporter{m.ID, m.Life, h.agreed.Version})
+			r.Report.Reporters = append(r.Report.Reporters, Reporter{m.ID, m.BootID, h.agreed.Version})
 		}
 	}
-	r.Whole = len(r.Sum.Reporters) == len(r.Members)
+	r.Complete = len(r.Report.Reporters) == len(r.Members)
 	h.Hear(h.desk.now, r)
 }
 
@@ -134,32 +134,32 @@
 	rapid.Check(t, func(t *rapid.T) {
 		h := &history{desk: newDesk(t, rapid.IntRange(1, 4).Draw(t, "sidecars"), rapid.IntRange(1, 3).Draw(t, "sites"), 3), t: t, now: map[string]Stage{}}
 		boxes := []string{}
-		for _, b := range h.round.Sum.Servers {
+		for _, b := range h.round.Report.Servers {
 			boxes = append(boxes, b.Server)
 		}
 		part := rapid.IntRange(0, 9)
 		for range rapid.IntRange(50, 250).Draw(t, "rounds") {
 			h.desk.now += rapid.SampledFrom([]float64{0.5, 0.5, 0.5, 1, 4, 15}).Draw(t, "seconds")
 			// Danger: all that is drawn here may come between any two rounds.
-			h.round.Sum.InUse, h.round.Sum.RejectedPerSecond = nil, 0
+			h.round.Report.InUse, h.round.Report.RejectedPerSecond = nil, 0
 			clear(h.mute)
 			if part.Draw(t, "open") == 0 {
-				h.round.Sum.InUse = []InUse{{Server: rapid.SampledFrom(boxes).Draw(t, "box"), Member: 1, InFlight: rapid.IntRange(0, 2).Draw(t, "out")}}
+				h.round.Report.InUse = []InUse{{Server: rapid.SampledFrom(boxes).Draw(t, "box"), Member: 1, InFlight: rapid.IntRange(0, 2).Draw(t, "out")}}
 			}
 			if part.Draw(t, "mute") == 0 {
 				h.mute[rapid.SampledFrom(h.round.Members).Draw(t, "who").ID] = true
 			}
 			if part.Draw(t, "refused") == 0 {
-				h.round.Sum.RejectedPerSecond = h.round.Sum.CompletedPerSecond / 2
+				h.round.Report.RejectedPerSecond = h.round.Report.CompletedPerSecond / 2
 			}
 			m := &h.round.Members[rapid.IntRange(0, len(h.round.Members)-1).Draw(t, "member")]
 			switch part.Draw(t, "member's state") {
 			case 0:
-				m.State, m.SinceS = swim.Dead, rapid.SampledFrom([]float64{1, 400}).Draw(t, "dead for")
+				m.State, m.StateAgeSeconds = swim.Dead, rapid.SampledFrom([]float64{1, 400}).Draw(t, "dead for")
 			case 1:
-				m.State, m.SinceS = swim.Left, rapid.SampledFrom([]float64{1, 100}).Draw(t, "left for")
+				m.State, m.StateAgeSeconds = swim.Left, rapid.SampledFrom([]float64{1, 100}).Draw(t, "left for")
 			default:
-				m.State, m.Life = swim.Alive, m.Life+1
+				m.State, m.BootID = swim.Alive, m.BootID+1
 			}
 			h.hear()
 			h.agree()
@@ -172,7 +172,7 @@
 		for i := range h.round.Members {
 			h.round.Members[i].State = swim.Alive
 		}
-		h.round.Sum.InUse, h.round.Sum.RejectedPerSecond = nil, 0
+		h.round.Report.InUse, h.round.Report.RejectedPerSecond = nil, 0
 		clear(h.mute)
 		for n := 0; slices.ContainsFunc(h.agreed.State.Plans, func(p Plan) bool { return !p.Ended }); n++ {
 			require.Less(t, n, 3000, "it ends: %+v", h.Waits())
@@ -291,12 +291,12 @@
 	d.play(30)
 	require.Equal(t, 2, d.stages()[Drained])
 	require.NotEmpty(t, d.do(Command{Kind: AcquireServer, Agent: "m"}).Server)
-	d.round.Sum.CompletedPerSecond *= 2
+	d.round.Report.CompletedPerSecond *= 2
 	d.play(10)
 	assert.Equal(t, 1, d.stages()[InMaintenance])
 	assert.Equal(t, 0, d.stages()[Drained])
 	assert.NotEmpty(t, d.Waits())
-	d.round.Sum.CompletedPerSecond /= 2
+	d.round.Report.CompletedPerSecond /= 2
 	d.play(120)
 	assert.Equal(t, 2, d.stages()[InMaintenance]+d.stages()[Drained], "it goes on")
 }
--- a/internal/decide/maintenance/stored_form_test.go
+++ b/internal/decide/maintenance/stored_form_test.go
@@ -66,7 +66,7 @@
 		"command": storedCommand(),
 		"reply":   Reply{Nonce: 5, Err: "it is taken", Plan: 4, Server: "s-1", Token: 3<<40 | 9, Text: "past n1"},
 		"sum":     storedSum(),
-		"wait":    Wait{Plan: 4, Server: "s-1", Why: "it warms up", Who: []string{"n1", "n2"}},
+		"wait":    Blocker{Plan: 4, Server: "s-1", Reason: "it warms up", Members: []string{"n1", "n2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requireComplete(t, name, reflect.ValueOf(value))
@@ -91,7 +91,7 @@
 		"plan":    plan,
 		"command": storedCommand(),
 		"reply":   reply,
-		"wait":    Wait{Plan: 4, Server: "s-1", Why: "it warms up", Who: []string{"n1", "n2"}},
+		"wait":    Blocker{Plan: 4, Server: "s-1", Reason: "it warms up", Members: []string{"n1", "n2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			golden, err := os.ReadFile(filepath.Join("testdata", "stored", name+".json"))
--- a/internal/decide/maintenance/works_test.go
+++ b/internal/decide/maintenance/works_test.go
@@ -16,7 +16,7 @@
 	t       require.TestingT
 	now     float64
 	agreed  Agreed
-	round   Round
+	round   FleetSnapshot
 	mute    map[swim.ID]bool // they are not heard
 	replies map[uint64]Reply
 	nonce   uint64
@@ -25,12 +25,12 @@
 func newDesk(t require.TestingT, sidecars, sites, bySite int) *desk {
 	d := &desk{Coordinator: New(Settings{ColdS: 10}), t: t, now: 100, agreed: Agreed{Epoch: 3, Version: 7}, mute: map[swim.ID]bool{}, replies: map[uint64]Reply{}}
 	for i := range sidecars {
-		d.round.Members = append(d.round.Members, Member{ID: swim.ID(i + 1), Name: fmt.Sprint("n", i), Life: 1})
+		d.round.Members = append(d.round.Members, Member{ID: swim.ID(i + 1), Name: fmt.Sprint("n", i), BootID: 1})
 	}
 	for i := range sites * bySite {
-		d.round.Sum.Servers = append(d.round.Sum.Servers, ServerStatus{Server: fmt.Sprintf("b%02d", i), Site: fmt.Sprint("site-", i%sites), Type: "t", ListedBy: sidecars, CompletedPerSecond: 5})
+		d.round.Report.Servers = append(d.round.Report.Servers, ServerStatus{Server: fmt.Sprintf("b%02d", i), Site: fmt.Sprint("site-", i%sites), Type: "t", ListedBy: sidecars, CompletedPerSecond: 5})
 	}
-	d.round.Sum.CompletedPerSecond, d.round.Whole = 5*float64(sites*bySite), true
+	d.round.Report.CompletedPerSecond, d.round.Complete = 5*float64(sites*bySite), true
 	d.Begin(d.now, d.agreed)
 	return d
 }
@@ -39,10 +39,10 @@
 func (d *desk) play(forS float64) {
 	for end := d.now + forS; d.now < end; d.now += 0.5 {
 		r := d.round
-		r.Sum.Reporters = nil
+		r.Report.Reporters = nil
 		for _, m := range r.Members {
 			if !d.mute[m.ID] && !m.State.IsDeadOrLeft() {
-				r.Sum.Reporters = append(r.Sum.Reporters, Reporter{m.ID, m.Life, d.agreed.Version})
+				r.Report.Reporters = append(r.Report.Reporters, Reporter{m.ID, m.BootID, d.agreed.Version})
 			}
 		}
 		d.Hear(d.now, r)
@@ -157,7 +157,7 @@
 	d.agreed.State = *underWay
 	d.Begin(d.now, d.agreed)
 	assert.Empty(t, d.do(Command{Kind: AcquireServer, Agent: "bob"}).Server, "nobody was heard yet")
-	d.round.Sum.InUse = []InUse{{Server: taken, Member: 2, Uncordoned: true}}
+	d.round.Report.InUse = []InUse{{Server: taken, Member: 2, Uncordoned: true}}
 	d.play(1)
 	again := d.do(Command{Kind: AcquireServer, Agent: "bob"})
 	assert.Empty(t, again.Server, "it is in use")
@@ -165,9 +165,9 @@
 	waits := d.Waits()
 	require.NotEmpty(t, waits)
 	assert.Equal(t, taken, waits[0].Server)
-	assert.Contains(t, waits[0].Why, "in use there by hand")
-	assert.Equal(t, []string{"n1"}, waits[0].Who)
-	d.round.Sum.InUse = nil
+	assert.Contains(t, waits[0].Reason, "in use there by hand")
+	assert.Equal(t, []string{"n1"}, waits[0].Members)
+	d.round.Report.InUse = nil
 	d.play(1)
 	assert.Equal(t, taken, d.do(Command{Kind: AcquireServer, Agent: "bob"}).Server, "it is out again")
 }
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -49,7 +49,7 @@
 	Records  []maintenanceagent.Record `json:"records"`          // by whom it was worked on
 	Stages   []StageChange             `json:"stages,omitempty"` // of boxes, as doors told of them
 	Wrong    []string                  `json:"wrong,omitempty"`
-	Waits    []maintenance.Wait        `json:"waits,omitempty"`  // what was waited for at the end
+	Waits    []maintenance.Blocker     `json:"waits,omitempty"`  // what was waited for at the end
 	HeldS    map[string]float64        `json:"held_s,omitempty"` // for how long the plan, or a box, waited for what
 	Untold   int                       `json:"untold"`           // looks at the doors at which nobody said anything
 	broken   int
@@ -100,9 +100,9 @@
 
 // workState is what a door tells of plans, as far as it is looked at here.
 type workState struct {
-	Version uint64             `json:"version"`
-	Plans   []maintenance.Plan `json:"plans"`
-	Waits   []maintenance.Wait `json:"waits"`
+	Version uint64                `json:"version"`
+	Plans   []maintenance.Plan    `json:"plans"`
+	Waits   []maintenance.Blocker `json:"waits"`
 }
 
 func newWorkPlay(t *Troupe, work Work, day *environment.Day) *workPlay {
@@ -238,7 +238,7 @@
 		p.w.HeldS, p.lookedAt = map[string]float64{}, time.Now()
 	}
 	for _, w := range s.Waits {
-		p.w.HeldS[strings.TrimLeft(w.Why, "0123456789. ")] += time.Since(p.lookedAt).Seconds()
+		p.w.HeldS[strings.TrimLeft(w.Reason, "0123456789. ")] += time.Since(p.lookedAt).Seconds()
 	}
 	p.lookedAt = time.Now()
 	plan := &s.Plans[len(s.Plans)-1]
--- a/internal/sim/maintenancesim/judge.go
+++ b/internal/sim/maintenancesim/judge.go
@@ -321,7 +321,7 @@
 	for i := range state.Plans {
 		p := &state.Plans[i]
 		if !p.Ended {
-			var why []maintenance.Wait
+			var why []maintenance.Blocker
 			if w.owner != nil && w.owner.c != nil {
 				why = w.owner.c.Waits()
 			}
--- a/internal/sim/maintenancesim/world.go
+++ b/internal/sim/maintenancesim/world.go
@@ -285,13 +285,13 @@
 		if n.life == 0 || n.run == 1 && n != by && w.Now()-n.beganAt < 0.3 {
 			continue // nobody knows of it yet
 		}
-		m := maintenance.Member{ID: n.id, Name: n.name(), Life: n.life, SinceS: w.Now() - n.sinceAt}
+		m := maintenance.Member{ID: n.id, Name: n.name(), BootID: n.life, StateAgeSeconds: w.Now() - n.sinceAt}
 		switch {
 		case n.left && !n.up:
 			m.State = swim.Left
 		case n.reached(by):
-		case m.SinceS < 1.5:
-		case m.SinceS < 4:
+		case m.StateAgeSeconds < 1.5:
+		case m.StateAgeSeconds < 4:
 			m.State = swim.Suspect
 		default:
 			m.State = swim.Dead
@@ -379,14 +379,14 @@
 		again()
 		return
 	}
-	r := maintenance.Round{Whole: true}
+	r := maintenance.FleetSnapshot{Complete: true}
 	for _, o := range w.nodes {
 		if !o.up || o.life == 0 {
 			continue
 		}
 		if !o.reached(n) || w.chance(w.lossPart) {
 			if o.up {
-				r.Whole = false
+				r.Complete = false
 			}
 			continue
 		}
@@ -396,13 +396,13 @@
 				return
 			}
 			from, open := o.says()
-			r.Sum.Reporters, r.Sum.InUse = append(r.Sum.Reporters, from), append(r.Sum.InUse, open...)
+			r.Report.Reporters, r.Report.InUse = append(r.Report.Reporters, from), append(r.Report.InUse, open...)
 		})
 	}
 	w.After(w.between(0.25, 0.4), func() {
 		r.Members = w.members(n) // as it is known when all has come
-		r.Sum.Servers = w.seen()
-		r.Sum.CompletedPerSecond, r.Sum.RejectedPerSecond, r.Sum.StaleMembers = w.perS*w.between(0.95, 1.05), w.perS*w.refusing, w.late
+		r.Report.Servers = w.seen()
+		r.Report.CompletedPerSecond, r.Report.RejectedPerSecond, r.Report.StaleMembers = w.perS*w.between(0.95, 1.05), w.perS*w.refusing, w.late
 		n.call(run, func() {
 			if n.c == nil || n.token != token {
 				return
