--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -434,7 +434,7 @@
 	case d.ended:
 		w.o.spread(worksName, kindReply, packed(&d.reply))
 	case w.c != nil:
-		if r, answered := w.c.Do(now, d.Command); answered {
+		if r, answered := w.c.Submit(now, d.Command); answered {
 			r.Nonce = d.Nonce
 			w.reply(now, &r)
 		}
@@ -504,17 +504,17 @@
 			}
 		}
 	}
-	a := maintenance.Agreed{Epoch: epoch, Version: r.Version, State: state}
+	a := maintenance.Committed{Epoch: epoch, Version: r.Version, State: state}
 	if w.writing = nil; w.c == nil {
-		w.c = maintenance.New(maintenance.Settings{ColdS: w.to.ColdS(), Order: w.o.f.o.WorkOrder})
-		w.c.Begin(now, a)
+		w.c = maintenance.New(maintenance.Settings{WarmUpSeconds: w.to.ColdS(), Order: w.o.f.o.WorkOrder})
+		w.c.Start(now, a)
 		for _, d := range w.orders { // what came while nobody owned the job
 			if !d.ended {
 				w.do(now, d)
 			}
 		}
 	} else {
-		w.c.Learn(now, a)
+		w.c.ApplyCommitted(now, a)
 	}
 	w.apply(epoch, r.Version, r.Body, true)
 	w.signAt, w.o.job(worksName).next = 0, 0
@@ -586,14 +586,14 @@
 		w.reply(now, &r)
 	}
 	w.sign(now)
-	next = min(w.c.Next(now), w.signAt)
+	next = min(w.c.StepDeadline(now), w.signAt)
 	if w.writing != nil {
 		next = min(next, w.writeAt)
 	}
 	if w.sum != nil {
 		next = min(next, now+workGatherS/2)
 	}
-	if w.c.Asking() {
+	if w.c.NeedsSnapshot() {
 		next = min(next, w.askAt)
 	}
 	return next
@@ -649,10 +649,10 @@
 // rounds has all be asked, again and again, as long as a plan goes on.
 func (w *worker) rounds(now float64) {
 	if w.sum != nil && (now >= w.by || w.whole()) {
-		w.c.Hear(now, maintenance.FleetSnapshot{Members: w.asked, Report: *w.sum, Complete: w.whole()})
+		w.c.Observe(now, maintenance.FleetSnapshot{Members: w.asked, Report: *w.sum, Complete: w.whole()})
 		w.sum = nil
 	}
-	if w.sum != nil || now < w.askAt || !w.c.Asking() {
+	if w.sum != nil || now < w.askAt || !w.c.NeedsSnapshot() {
 		return
 	}
 	w.askAt = now + workRoundS
@@ -683,9 +683,9 @@
 	if w.epoch != w.held>>40 { // nothing was agreed yet
 		word.Epoch, word.Version = w.held>>40, 0
 	}
-	if w.c.Asking() {
+	if w.c.NeedsSnapshot() {
 		w.signAt = now + signS
-		word.Waits = w.c.Waits()
+		word.Waits = w.c.Blockers()
 	} else {
 		w.signAt = now + restS
 	}
--- a/internal/decide/maintenance/commands.go
+++ b/internal/decide/maintenance/commands.go
@@ -10,7 +10,7 @@
 
 // Do takes what an operator or a mechanic wants. If it is not answered at once, the answer comes with Replies: after what was
 // done is agreed.
-func (c *Coordinator) Do(now float64, cmd Command) (r Reply, answered bool) {
+func (c *Coordinator) Submit(now float64, cmd Command) (r Reply, answered bool) {
 	c.enter(now)
 	r.Nonce = cmd.Nonce
 	if cmd.Nonce != 0 {
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -9,8 +9,8 @@
 
 // Settings are what a Coordinator is told at its start.
 type Settings struct {
-	ColdS float64 // a box takes to warm up, by the settings
-	Order Order   // which box of a plan leaves next
+	WarmUpSeconds float64 // a box takes to warm up, by the settings
+	Order         Order   // which box of a plan leaves next
 }
 
 // Times of a coordinator, in seconds of its own clock.
@@ -35,7 +35,7 @@
 type Coordinator struct {
 	set     Settings
 	now     float64
-	agreed  Agreed
+	agreed  Committed
 	pending *State // is being agreed in place of what is
 	owed    []done // what was done in it
 	queue   []queued
@@ -89,7 +89,7 @@
 func (c *Coordinator) enter(now float64) { c.now = max(c.now, now) }
 
 // Begin takes that the job is this owner's from now on, and what a quorum has confirmed. What an earlier grant left is void.
-func (c *Coordinator) Begin(now float64, a Agreed) {
+func (c *Coordinator) Start(now float64, a Committed) {
 	*c = Coordinator{set: c.set, now: now, leftAt: math.Inf(-1)}
 	c.agreed = a
 	c.remember()
@@ -100,7 +100,7 @@
 func (c *Coordinator) Version() uint64 { return c.agreed.Version }
 
 // Learn takes a newer version of what is agreed: its own, or one of an owner before it that came late.
-func (c *Coordinator) Learn(now float64, a Agreed) {
+func (c *Coordinator) ApplyCommitted(now float64, a Committed) {
 	c.enter(now)
 	if a.Epoch < c.agreed.Epoch || a.Epoch == c.agreed.Epoch && a.Version <= c.agreed.Version {
 		return
@@ -199,7 +199,7 @@
 func (t *planTime) age(now float64) float64 { return t.ageS + now - t.at }
 
 // Hear takes what all say, in place of what they said before.
-func (c *Coordinator) Hear(now float64, r FleetSnapshot) {
+func (c *Coordinator) Observe(now float64, r FleetSnapshot) {
 	c.enter(now)
 	dt := c.now - c.heardAt
 	if c.round == nil {
@@ -240,7 +240,7 @@
 }
 
 // Asking tells whether rounds are needed.
-func (c *Coordinator) Asking() bool {
+func (c *Coordinator) NeedsSnapshot() bool {
 	return slices.ContainsFunc(c.agreed.State.Plans, func(p Plan) bool { return !p.Ended }) ||
 		slices.ContainsFunc(c.queue, func(q queued) bool { return q.Kind == SubmitPlan })
 }
@@ -347,7 +347,7 @@
 			if changed, b.Overdue = true, true; p.Spec.AbandonOverdue {
 				c.move(b, Lost, fmt.Sprintf("%s had it for longer than %g s", b.Agent, p.Spec.lateS()))
 			}
-		case b.Stage == WarmingUp && c.now-known.at >= p.Spec.coldS(c.set.ColdS) && !c.fleet.dumb(b.Name):
+		case b.Stage == WarmingUp && c.now-known.at >= p.Spec.coldS(c.set.WarmUpSeconds) && !c.fleet.dumb(b.Name):
 			c.move(b, Done, b.Reason)
 		}
 		changed = changed || b.Stage != was
@@ -426,7 +426,7 @@
 }
 
 // Next returns when Step is to be called at the latest.
-func (c *Coordinator) Next(now float64) float64 {
+func (c *Coordinator) StepDeadline(now float64) float64 {
 	c.enter(now)
 	if c.pending != nil {
 		return c.now + 1
@@ -446,7 +446,7 @@
 		at = min(at, c.now+1)
 		for _, b := range p.Servers {
 			if b.Stage == WarmingUp {
-				at = min(at, c.boxTime(p.Number, b.Name).at+p.Spec.coldS(c.set.ColdS))
+				at = min(at, c.boxTime(p.Number, b.Name).at+p.Spec.coldS(c.set.WarmUpSeconds))
 			}
 		}
 	}
@@ -454,7 +454,7 @@
 }
 
 // Waits tells what plans and boxes wait for, by plan and box.
-func (c *Coordinator) Waits() (all []Blocker) {
+func (c *Coordinator) Blockers() (all []Blocker) {
 	for i := range c.agreed.State.Plans {
 		p := &c.agreed.State.Plans[i]
 		if p.Ended {
--- a/internal/decide/maintenance/doc.go
+++ b/internal/decide/maintenance/doc.go
@@ -79,7 +79,7 @@
 }
 
 // Agreed is a State with what the electors know of it.
-type Agreed struct {
+type Committed struct {
 	Epoch   uint64 // of their founding
 	Version uint64 // grows with each State; 0: there was none yet
 	State   State
--- a/internal/decide/maintenance/own_test.go
+++ b/internal/decide/maintenance/own_test.go
@@ -47,11 +47,11 @@
 		}, nil)
 		if !leaves {
 			assert.Zero(t, most, "%g", own)
-			assert.Contains(t, d.Waits()[0].Reason, "are refused or fail, at most 0.250 may")
+			assert.Contains(t, d.Blockers()[0].Reason, "are refused or fail, at most 0.250 may")
 			continue
 		}
 		assert.Equal(t, 1, most, "%g", own)
-		assert.True(t, d.agreed.State.Plans[0].Ended, "%g: %v", own, d.Waits())
+		assert.True(t, d.agreed.State.Plans[0].Ended, "%g: %v", own, d.Blockers())
 		assert.InDelta(t, own, d.agreed.State.Plans[0].BaselineRejection, 0.001)
 	}
 }
@@ -75,13 +75,13 @@
 			break
 		}
 	}
-	require.Equal(t, 1, d.stages()[WarmingUp], "%v", d.Waits())
+	require.Equal(t, 1, d.stages()[WarmingUp], "%v", d.Blockers())
 	done := d.stages()[Done]
 	d.atWork(400, func() float64 { return 0.09 }, nil) // harm that stays: 0.05 and 0.02 are above it
 	assert.LessOrEqual(t, d.stages()[Done], done+1)
-	assert.Contains(t, d.Waits()[0].Reason, "are refused or fail")
+	assert.Contains(t, d.Blockers()[0].Reason, "are refused or fail")
 	d.atWork(200, func() float64 { return 0.05 }, nil)
-	assert.Greater(t, d.stages()[Done], done+1, "%v", d.Waits())
+	assert.Greater(t, d.stages()[Done], done+1, "%v", d.Blockers())
 }
 
 // While a box is emptied and more is refused than that allows for, it is given back.
@@ -127,7 +127,7 @@
 				own = rapid.Float64Range(0, 0.15).Draw(t, "own")
 			}
 			if rapid.IntRange(0, 5).Draw(t, "another owner") == 0 {
-				d.Begin(d.now, d.agreed)
+				d.Start(d.now, d.agreed)
 			}
 			d.atWork(rapid.IntRange(1, 60).Draw(t, "rounds"), func() float64 {
 				if left == 0 {
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -100,21 +100,21 @@
 		was, before := h.agreed.State, h.agreed
 		lost := rapid.IntRange(0, 19).Draw(h.t, "how it is agreed")
 		if lost == 0 { // nothing came of it, and another one owns the job
-			h.Begin(h.desk.now, h.agreed)
+			h.Start(h.desk.now, h.agreed)
 			return
 		}
-		h.agreed = Agreed{h.agreed.Epoch, h.agreed.Version + 1, state}
+		h.agreed = Committed{h.agreed.Epoch, h.agreed.Version + 1, state}
 		h.check(was)
 		switch lost {
 		case 1: // it is agreed, and its owner has died
-			h.Begin(h.desk.now, h.agreed)
+			h.Start(h.desk.now, h.agreed)
 			return
 		case 2: // the next one learns of it late
-			h.Begin(h.desk.now, before)
+			h.Start(h.desk.now, before)
 			h.hear()
 			h.Step(h.desk.now)
 		}
-		h.Learn(h.desk.now, h.agreed)
+		h.ApplyCommitted(h.desk.now, h.agreed)
 	}
 }
 
@@ -127,7 +127,7 @@
 		}
 	}
 	r.Complete = len(r.Report.Reporters) == len(r.Members)
-	h.Hear(h.desk.now, r)
+	h.Observe(h.desk.now, r)
 }
 
 func TestPlansKeepTheirRules(t *testing.T) {
@@ -175,7 +175,7 @@
 		h.round.Report.InUse, h.round.Report.RejectedPerSecond = nil, 0
 		clear(h.mute)
 		for n := 0; slices.ContainsFunc(h.agreed.State.Plans, func(p Plan) bool { return !p.Ended }); n++ {
-			require.Less(t, n, 3000, "it ends: %+v", h.Waits())
+			require.Less(t, n, 3000, "it ends: %+v", h.Blockers())
 			h.desk.now += 1
 			h.hear()
 			for _, p := range h.agreed.State.Plans {
@@ -200,7 +200,7 @@
 func (h *history) give(c Command) {
 	h.nonce++
 	c.Nonce = h.nonce
-	if r, answered := h.Do(h.desk.now, c); answered {
+	if r, answered := h.Submit(h.desk.now, c); answered {
 		h.replies[c.Nonce] = r
 	}
 }
@@ -295,7 +295,7 @@
 	d.play(10)
 	assert.Equal(t, 1, d.stages()[InMaintenance])
 	assert.Equal(t, 0, d.stages()[Drained])
-	assert.NotEmpty(t, d.Waits())
+	assert.NotEmpty(t, d.Blockers())
 	d.round.Report.CompletedPerSecond /= 2
 	d.play(120)
 	assert.Equal(t, 2, d.stages()[InMaintenance]+d.stages()[Drained], "it goes on")
--- a/internal/decide/maintenance/works_test.go
+++ b/internal/decide/maintenance/works_test.go
@@ -15,7 +15,7 @@
 	*Coordinator
 	t       require.TestingT
 	now     float64
-	agreed  Agreed
+	agreed  Committed
 	round   FleetSnapshot
 	mute    map[swim.ID]bool // they are not heard
 	replies map[uint64]Reply
@@ -23,7 +23,7 @@
 }
 
 func newDesk(t require.TestingT, sidecars, sites, bySite int) *desk {
-	d := &desk{Coordinator: New(Settings{ColdS: 10}), t: t, now: 100, agreed: Agreed{Epoch: 3, Version: 7}, mute: map[swim.ID]bool{}, replies: map[uint64]Reply{}}
+	d := &desk{Coordinator: New(Settings{WarmUpSeconds: 10}), t: t, now: 100, agreed: Committed{Epoch: 3, Version: 7}, mute: map[swim.ID]bool{}, replies: map[uint64]Reply{}}
 	for i := range sidecars {
 		d.round.Members = append(d.round.Members, Member{ID: swim.ID(i + 1), Name: fmt.Sprint("n", i), BootID: 1})
 	}
@@ -31,7 +31,7 @@
 		d.round.Report.Servers = append(d.round.Report.Servers, ServerStatus{Server: fmt.Sprintf("b%02d", i), Site: fmt.Sprint("site-", i%sites), Type: "t", ListedBy: sidecars, CompletedPerSecond: 5})
 	}
 	d.round.Report.CompletedPerSecond, d.round.Complete = 5*float64(sites*bySite), true
-	d.Begin(d.now, d.agreed)
+	d.Start(d.now, d.agreed)
 	return d
 }
 
@@ -45,7 +45,7 @@
 				r.Report.Reporters = append(r.Report.Reporters, Reporter{m.ID, m.BootID, d.agreed.Version})
 			}
 		}
-		d.Hear(d.now, r)
+		d.Observe(d.now, r)
 		d.settle()
 	}
 }
@@ -66,7 +66,7 @@
 		require.NoError(d.t, err)
 		d.agreed.Version++
 		d.agreed.State = state
-		d.Learn(d.now, d.agreed)
+		d.ApplyCommitted(d.now, d.agreed)
 	}
 }
 
@@ -74,7 +74,7 @@
 func (d *desk) do(cmd Command) Reply {
 	d.nonce++
 	cmd.Nonce = d.nonce
-	if r, answered := d.Do(d.now, cmd); answered {
+	if r, answered := d.Submit(d.now, cmd); answered {
 		return r
 	}
 	d.settle()
@@ -129,7 +129,7 @@
 	}
 	assert.Len(t, worked, 6)
 	assert.True(t, d.agreed.State.Plans[0].Ended)
-	assert.False(t, d.Asking())
+	assert.False(t, d.NeedsSnapshot())
 }
 
 // A hand-over may be agreed after everybody has given up on it: its owner has lost the majority, an operator puts the box back in use by
@@ -141,7 +141,7 @@
 		d.play(0.5)
 	}
 	d.nonce++
-	d.Do(d.now, Command{Kind: AcquireServer, Agent: "bob", Nonce: d.nonce})
+	d.Submit(d.now, Command{Kind: AcquireServer, Agent: "bob", Nonce: d.nonce})
 	underWay := d.Step(d.now)
 	require.NotNil(t, underWay)
 	var taken string
@@ -152,17 +152,17 @@
 	}
 	require.NotEmpty(t, taken)
 
-	d.Coordinator = New(Settings{ColdS: 10}) // the next owner, whose electors hold what was under way
+	d.Coordinator = New(Settings{WarmUpSeconds: 10}) // the next owner, whose electors hold what was under way
 	d.agreed.Version++
 	d.agreed.State = *underWay
-	d.Begin(d.now, d.agreed)
+	d.Start(d.now, d.agreed)
 	assert.Empty(t, d.do(Command{Kind: AcquireServer, Agent: "bob"}).Server, "nobody was heard yet")
 	d.round.Report.InUse = []InUse{{Server: taken, Member: 2, Uncordoned: true}}
 	d.play(1)
 	again := d.do(Command{Kind: AcquireServer, Agent: "bob"})
 	assert.Empty(t, again.Server, "it is in use")
 	assert.Contains(t, again.Text, "in use there by hand")
-	waits := d.Waits()
+	waits := d.Blockers()
 	require.NotEmpty(t, waits)
 	assert.Equal(t, taken, waits[0].Server)
 	assert.Contains(t, waits[0].Reason, "in use there by hand")
--- a/internal/sim/maintenancesim/actors.go
+++ b/internal/sim/maintenancesim/actors.go
@@ -48,7 +48,7 @@
 				if owner.c == nil {
 					return
 				}
-				if r, answered := owner.c.Do(w.Now(), a.cmd); answered {
+				if r, answered := owner.c.Submit(w.Now(), a.cmd); answered {
 					w.replied(owner, r)
 				} else {
 					owner.drive()
--- a/internal/sim/maintenancesim/judge.go
+++ b/internal/sim/maintenancesim/judge.go
@@ -323,7 +323,7 @@
 		if !p.Ended {
 			var why []maintenance.Blocker
 			if w.owner != nil && w.owner.c != nil {
-				why = w.owner.c.Waits()
+				why = w.owner.c.Blockers()
 			}
 			who := "nobody"
 			if w.owner != nil {
--- a/internal/sim/maintenancesim/world.go
+++ b/internal/sim/maintenancesim/world.go
@@ -342,8 +342,8 @@
 				return
 			}
 			n.token = token
-			n.c = maintenance.New(maintenance.Settings{ColdS: w.coldS, Order: w.order})
-			n.c.Begin(w.Now(), a)
+			n.c = maintenance.New(maintenance.Settings{WarmUpSeconds: w.coldS, Order: w.order})
+			n.c.Start(w.Now(), a)
 			n.learned, n.writing, n.timer = a.Version, false, 0
 			n.ask(run, token)
 			n.drive()
@@ -358,12 +358,12 @@
 	n.c, n.writing = nil, false
 }
 
-func (w *World) agreed() maintenance.Agreed {
+func (w *World) agreed() maintenance.Committed {
 	state, err := maintenance.Decode(w.body)
 	if err != nil {
 		w.broken(RuleState, "%v", err)
 	}
-	return maintenance.Agreed{Epoch: w.epoch, Version: w.version, State: state}
+	return maintenance.Committed{Epoch: w.epoch, Version: w.version, State: state}
 }
 
 // ask asks all for their words, again and again.
@@ -375,7 +375,7 @@
 	again := func() {
 		w.After(w.between(0.4, 0.9), func() { n.call(run, func() { n.ask(run, token) }) })
 	}
-	if !n.c.Asking() {
+	if !n.c.NeedsSnapshot() {
 		again()
 		return
 	}
@@ -407,7 +407,7 @@
 			if n.c == nil || n.token != token {
 				return
 			}
-			n.c.Hear(w.Now(), r)
+			n.c.Observe(w.Now(), r)
 			n.drive()
 			again()
 		})
@@ -459,7 +459,7 @@
 	for _, r := range c.Replies() {
 		w.replied(n, r)
 	}
-	if at := c.Next(w.Now()); n.timer <= w.Now() || at < n.timer-1e-9 {
+	if at := c.StepDeadline(w.Now()); n.timer <= w.Now() || at < n.timer-1e-9 {
 		n.timer = max(at, w.Now()+0.05)
 		w.After(n.timer-w.Now(), func() {
 			n.call(run, func() {
@@ -558,7 +558,7 @@
 		return
 	}
 	n.learned, n.writing = version, false
-	n.c.Learn(n.w.Now(), maintenance.Agreed{Epoch: n.w.epoch, Version: version, State: state})
+	n.c.ApplyCommitted(n.w.Now(), maintenance.Committed{Epoch: n.w.epoch, Version: version, State: state})
 	n.drive()
 }
 
