--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -266,7 +266,7 @@
 }
 
 func (w *worker) heardAgreed(now float64, from *peers.Link, a *agreedWord) {
-	if a.Owner != "" && len(a.Owner) <= 64 && len(a.Waits) <= 2*maintenance.MaxServers && len(a.Ages) <= maintenance.MostPlans {
+	if a.Owner != "" && len(a.Owner) <= 64 && len(a.Waits) <= 2*maintenance.MaxServers && len(a.Ages) <= maintenance.MaxPlans {
 		w.owner, w.waits, w.wordAt, w.ages, w.agesAt = a.Owner, a.Waits, now, a.Ages, now
 	}
 	switch {
--- a/internal/decide/maintenance/commands.go
+++ b/internal/decide/maintenance/commands.go
@@ -159,14 +159,14 @@
 // Danger: one that has lost a box is what bans it.
 func (s *State) trim() bool {
 	for {
-		room := MostBytes
+		room := MaxStateBytes
 		for i := range s.Plans {
 			if p := &s.Plans[i]; !p.Ended {
 				room -= growth * len(p.Servers)
 			}
 		}
 		b, err := s.Encode()
-		if err == nil && len(s.Plans) <= MostPlans && len(b) <= room {
+		if err == nil && len(s.Plans) <= MaxPlans && len(b) <= room {
 			return true
 		}
 		i := slices.IndexFunc(s.Plans, func(p Plan) bool {
--- a/internal/decide/maintenance/doc.go
+++ b/internal/decide/maintenance/doc.go
@@ -190,7 +190,7 @@
 
 // Bounds of what is agreed. Danger: it is one entry of the electors' log and goes over links in one frame.
 const (
-	MaxServers = 250 // of all plans that have not ended
-	MostPlans  = 16  // with those that have ended
-	MostBytes  = 40 << 10
+	MaxServers    = 250 // of all plans that have not ended
+	MaxPlans      = 16  // with those that have ended
+	MaxStateBytes = 40 << 10
 )
--- a/internal/decide/maintenance/encode.go
+++ b/internal/decide/maintenance/encode.go
@@ -10,16 +10,16 @@
 )
 
 // ErrState is the fault of a State that can't be read, or is larger than may be agreed.
-var ErrState = errors.New("works: the state can't be used")
+var ErrInvalidState = errors.New("works: the state can't be used")
 
 // Encode returns a State as a record's body.
 func (s *State) Encode() ([]byte, error) {
 	b, err := msgpack.Marshal(s)
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("%w: %w", ErrState, err)
-	case len(b) > MostBytes:
-		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrState, len(b), MostBytes)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidState, err)
+	case len(b) > MaxStateBytes:
+		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrInvalidState, len(b), MaxStateBytes)
 	}
 	return b, nil
 }
@@ -28,24 +28,24 @@
 func Decode(b []byte) (s State, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			s, err = State{}, fmt.Errorf("%w: %v", ErrState, cause)
+			s, err = State{}, fmt.Errorf("%w: %v", ErrInvalidState, cause)
 		}
 	}()
 	if len(b) == 0 {
 		return State{}, nil
 	}
 	if err := msgpacklimit.Whole(b); err != nil {
-		return State{}, fmt.Errorf("%w: %w", ErrState, err)
+		return State{}, fmt.Errorf("%w: %w", ErrInvalidState, err)
 	}
 	if err := msgpack.Unmarshal(b, &s); err != nil {
-		return State{}, fmt.Errorf("%w: %w", ErrState, err)
+		return State{}, fmt.Errorf("%w: %w", ErrInvalidState, err)
 	}
-	if len(s.Plans) > MostPlans {
-		return State{}, fmt.Errorf("%w: %d plans", ErrState, len(s.Plans))
+	if len(s.Plans) > MaxPlans {
+		return State{}, fmt.Errorf("%w: %d plans", ErrInvalidState, len(s.Plans))
 	}
 	for i := range s.Plans {
 		if own := s.Plans[i].BaselineRejection; !(own >= 0 && own <= 1) {
-			return State{}, fmt.Errorf("%w: a part of %g", ErrState, own)
+			return State{}, fmt.Errorf("%w: a part of %g", ErrInvalidState, own)
 		}
 	}
 	return s, nil
--- a/internal/decide/maintenance/order.go
+++ b/internal/decide/maintenance/order.go
@@ -12,11 +12,11 @@
 
 // The ways. docs/design/works.md has what they cost.
 const (
-	Ahead Order = iota // what hurts least now, but a site that alone takes as long as all the rest first
-	Now                // what hurts least now
-	Load               // who has least to do now
-	Sites              // the sites in turn
-	Fixed              // as they are named
+	LookAhead   Order = iota // what hurts least now, but a site that alone takes as long as all the rest first
+	LeastImpact              // what hurts least now
+	LeastLoad                // who has least to do now
+	SitesInTurn              // the sites in turn
+	AsListed                 // as they are named
 )
 
 // fleet is what has been seen of all boxes and of the load.
@@ -336,7 +336,7 @@
 			continue
 		}
 		k := &candidate{box: b, place: i, left: left[b.Site]}
-		if missing && c.set.Order != Fixed {
+		if missing && c.set.Order != AsListed {
 			k.hurt = -1
 		} else if seen != nil {
 			k.hurt, k.perS = c.fleet.hurt(out, seen), seen.CompletedPerSecond
@@ -378,13 +378,13 @@
 		return 1
 	}
 	switch c.set.Order {
-	case Fixed:
+	case AsListed:
 		return a.place < b.place
-	case Sites:
+	case SitesInTurn:
 		return cmp.Or(missing(a)-missing(b), b.left-a.left, a.place-b.place) < 0
-	case Load:
+	case LeastLoad:
 		return cmp.Or(missing(a)-missing(b), cmp.Compare(a.perS, b.perS), a.place-b.place) < 0
-	case Now:
+	case LeastImpact:
 		return cmp.Or(hurts(a)-hurts(b), cmp.Compare(a.perS, b.perS), a.place-b.place) < 0
 	}
 	return cmp.Or(missing(a)-missing(b), ahead(a)-ahead(b), hurts(a)-hurts(b), b.left-a.left, cmp.Compare(a.perS, b.perS), a.place-b.place) < 0
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -235,12 +235,12 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s, err := Decode(raw)
 		if err != nil {
-			assert.ErrorIs(t, err, ErrState)
+			assert.ErrorIs(t, err, ErrInvalidState)
 			return
 		}
 		body, err := s.Encode()
 		if err != nil { // it is larger, written whole, than may be agreed
-			assert.ErrorIs(t, err, ErrState)
+			assert.ErrorIs(t, err, ErrInvalidState)
 			return
 		}
 		again, err := Decode(body)
--- a/internal/decide/maintenance/stored_form_test.go
+++ b/internal/decide/maintenance/stored_form_test.go
@@ -111,7 +111,7 @@
 	assert.Equal(t, []Stage{0, 1, 2, 3, 4, 5, 6, 7}, []Stage{Pending, Draining, Drained, InMaintenance, WarmingUp, Done, Skipped, Lost})
 	assert.Equal(t, []Kind{"plan", "pause", "resume", "skip", "abort", "force", "next", "done", "failed"},
 		[]Kind{SubmitPlan, PausePlan, ResumePlan, SkipServer, AbortPlan, ForceDrained, AcquireServer, CompleteServer, FailServer})
-	assert.Equal(t, []int{250, 16, 40 << 10}, []int{MaxServers, MostPlans, MostBytes})
+	assert.Equal(t, []int{250, 16, 40 << 10}, []int{MaxServers, MaxPlans, MaxStateBytes})
 }
 
 // A State as the version before has stored it is read, and stored as the same again.
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -28,14 +28,14 @@
 var Ways = []Weighing{
 	{Name: "nothing is worked on"},
 	{Name: "script, by hand", Script: true, AtOnce: 1},
-	{Name: "one at a time", Order: maintenance.Ahead, AtOnce: 1, BySite: 1},
-	{Name: "fixed order, 3 at once", Order: maintenance.Fixed, AtOnce: 3, BySite: 3},
-	{Name: "by site, 3 at once", Order: maintenance.Sites, AtOnce: 3, BySite: 1},
-	{Name: "least loaded, 3 at once", Order: maintenance.Load, AtOnce: 3, BySite: 1},
-	{Name: "least hurt now, 3 at once", Order: maintenance.Now, AtOnce: 3, BySite: 1},
-	{Name: "looking ahead, 2 at once", Order: maintenance.Ahead, AtOnce: 2, BySite: 1},
-	{Name: "looking ahead, 3 at once", Order: maintenance.Ahead, AtOnce: 3, BySite: 1},
-	{Name: "looking ahead, 10 at once", Order: maintenance.Ahead, AtOnce: 10, BySite: 3},
+	{Name: "one at a time", Order: maintenance.LookAhead, AtOnce: 1, BySite: 1},
+	{Name: "fixed order, 3 at once", Order: maintenance.AsListed, AtOnce: 3, BySite: 3},
+	{Name: "by site, 3 at once", Order: maintenance.SitesInTurn, AtOnce: 3, BySite: 1},
+	{Name: "least loaded, 3 at once", Order: maintenance.LeastLoad, AtOnce: 3, BySite: 1},
+	{Name: "least hurt now, 3 at once", Order: maintenance.LeastImpact, AtOnce: 3, BySite: 1},
+	{Name: "looking ahead, 2 at once", Order: maintenance.LookAhead, AtOnce: 2, BySite: 1},
+	{Name: "looking ahead, 3 at once", Order: maintenance.LookAhead, AtOnce: 3, BySite: 1},
+	{Name: "looking ahead, 10 at once", Order: maintenance.LookAhead, AtOnce: 10, BySite: 3},
 }
 
 // What a weighed plan is.
