--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -206,7 +206,7 @@
 	if err != nil {
 		return fault(err)
 	}
-	spec, err := maintenanceplan.Read(path, text, time.Now())
+	spec, err := maintenanceplan.Parse(path, text, time.Now())
 	if err != nil {
 		return fault(err)
 	}
--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return maintenance.Spec{}, err
 	}
-	spec, err := maintenanceplan.Read(path, text, time.Now())
+	spec, err := maintenanceplan.Parse(path, text, time.Now())
 	if err == nil && len(workLine(maintenance.Command{Nonce: 1<<64 - 1, Kind: maintenance.SubmitPlan, Spec: &spec})) >= admin.MostWork {
 		err = fmt.Errorf("%s: the plan is too long for a door, which takes %d bytes", path, admin.MostWork)
 	}
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -189,7 +189,7 @@
 	y.Helper()
 	text, err := os.ReadFile(file)
 	require.NoError(y, err)
-	spec, err := maintenanceplan.Read(file, text, time.Now())
+	spec, err := maintenanceplan.Parse(file, text, time.Now())
 	require.NoError(y, err)
 	y.plans = append(y.plans, spec)
 	for _, b := range of {
--- a/internal/maintenanceplan/stored_form_test.go
+++ b/internal/maintenanceplan/stored_form_test.go
@@ -24,7 +24,7 @@
 		t.Run(golden, func(t *testing.T) {
 			text, err := os.ReadFile(file)
 			require.NoError(t, err)
-			s, err := Read(file, text, now)
+			s, err := Parse(file, text, now)
 			require.NoError(t, err)
 			encoded, err := json.MarshalIndent(s, "", "\t")
 			require.NoError(t, err)
@@ -49,7 +49,7 @@
 
 // A fault of a file is a *tomlfile.Error with the place and the key: commands print it, and editors find the place by it.
 func TestErrorForm(t *testing.T) {
-	_, err := Read("dir/p.toml", []byte("name = 'n'\nboxes = ['a']\nat_once = 0\nkeep = 0\ntakes = '1s'\n"), now)
+	_, err := Parse("dir/p.toml", []byte("name = 'n'\nboxes = ['a']\nat_once = 0\nkeep = 0\ntakes = '1s'\n"), now)
 	var e *tomlfile.Error
 	require.True(t, errors.As(err, &e))
 	assert.Equal(t, tomlfile.Error{File: "dir/p.toml", Line: 3, Col: 1, Field: "at_once", Why: "0 is not 1 to 250"}, *e)
--- a/internal/maintenanceplan/workplan.go
+++ b/internal/maintenanceplan/workplan.go
@@ -63,7 +63,7 @@
 type fault struct{ field, why string }
 
 // Read reads a plan; name is what errors call the file. What it says of hours of the day counts from now.
-func Read(name string, text []byte, now time.Time) (maintenance.Spec, error) {
+func Parse(name string, text []byte, now time.Time) (maintenance.Spec, error) {
 	var f file
 	read, err := tomlfile.Read(name, text, &f)
 	if err != nil {
--- a/internal/maintenanceplan/workplan_test.go
+++ b/internal/maintenanceplan/workplan_test.go
@@ -34,11 +34,11 @@
 var now = time.Date(2026, 12, 2, 1, 0, 0, 0, time.UTC)
 
 func TestRead(t *testing.T) {
-	s, err := Read("p.toml", []byte(whole), now)
+	s, err := Parse("p.toml", []byte(whole), now)
 	require.NoError(t, err)
 	assert.Equal(t, maintenance.Spec{Name: "firmware-7", Servers: []string{"s-00000001", "s-00000002"}, Sites: []string{"site-a"}, Types: []string{"big"}, WorkSeconds: 1200, OverdueSeconds: 2400,
 		AbandonOverdue: true, MaxConcurrent: 3, MaxPerSite: 2, MinCapacity: 0.7, RejectionBudget: 0.05, QuietSeconds: 2, WarmUpSeconds: 30, DeadMemberSeconds: 600, StartAfterSeconds: 3600, EndAfterSeconds: 4 * 3600}, s)
-	s, err = Read("p.toml", []byte("name = 'n'\nsites = ['a']\ntakes = '1s'\nat_once = 1\nkeep = 0\n"), now)
+	s, err = Parse("p.toml", []byte("name = 'n'\nsites = ['a']\ntakes = '1s'\nat_once = 1\nkeep = 0\n"), now)
 	require.NoError(t, err)
 	assert.Equal(t, maintenance.Spec{Name: "n", Sites: []string{"a"}, WorkSeconds: 1, MaxConcurrent: 1}, s)
 }
@@ -75,7 +75,7 @@
 			}
 			text += old
 		}
-		_, err := Read("p.toml", []byte(text+line+"\n"), now)
+		_, err := Parse("p.toml", []byte(text+line+"\n"), now)
 		assert.EqualError(t, err, want)
 	}
 	for text, want := range map[string]string{
@@ -86,7 +86,7 @@
 		"name = 'n'\nboxes = ['a']\nat_once = 1\nkeep = 0.5":                                                 "takes: missing",
 		"name = 'n'\nboxes = ['a']\nat_once = 1\nkeep = 0\ntakes = '1s'\nnot_after = '2026-12-02T00:59:59Z'": "not_after: it is over",
 	} {
-		_, err := Read("p.toml", []byte(text), now)
+		_, err := Parse("p.toml", []byte(text), now)
 		assert.ErrorContains(t, err, want)
 	}
 }
@@ -96,7 +96,7 @@
 	f.Add([]byte(whole))
 	f.Add([]byte("keep = inf\nnot_after = 1979-05-27\nboxes = [[]]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s, err := Read("f.toml", text, now)
+		s, err := Parse("f.toml", text, now)
 		if err != nil {
 			var e *tomlfile.Error
 			require.True(t, errors.As(err, &e))
