--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -188,7 +188,7 @@
 		}()
 	}
 	for _, voter := range step.Prepare {
-		request := &register.Prepare{To: voter.ID, Ballot: round.Ballot}
+		request := &register.PrepareRequest{To: voter.ID, Ballot: round.Ballot}
 		send(func() voterReply { return r.prepare(ctx, voter, request) })
 	}
 	for _, voter := range step.Accept {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -179,7 +179,7 @@
 	return r.acceptor.State()
 }
 
-func (r *replica) handlePrepare(_ context.Context, request *register.Prepare) (*register.Promise, error) {
+func (r *replica) handlePrepare(_ context.Context, request *register.PrepareRequest) (*register.Promise, error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
 	r.mu.Lock()
--- a/internal/control/stored_form_test.go
+++ b/internal/control/stored_form_test.go
@@ -67,7 +67,7 @@
 		Expect(answer.OK).To(BeTrue())
 	}
 	prepare := func(r *replica, round uint64) {
-		answer, err := r.handlePrepare(ctx, &register.Prepare{To: r.state().ID, Ballot: storedBallot(round)})
+		answer, err := r.handlePrepare(ctx, &register.PrepareRequest{To: r.state().ID, Ballot: storedBallot(round)})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.OK).To(BeTrue())
 	}
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -43,7 +43,7 @@
 	return reply, r.client.Call(ctx, voter.Address, path, request, reply)
 }
 
-func (r *proposer) prepare(ctx context.Context, voter register.Voter, request *register.Prepare) voterReply {
+func (r *proposer) prepare(ctx context.Context, voter register.Voter, request *register.PrepareRequest) voterReply {
 	promise, err := callVoter(ctx, r, voter, preparePath, voteTimeout, request, r.replica.handlePrepare)
 	return voterReply{from: voter, promise: promise, err: err}
 }
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -41,7 +41,7 @@
 		for _, voter := range step.Prepare {
 			var promise register.Promise
 			w.askVoter(n, voter, func(to *node) (next *register.State) {
-				next, promise = to.acceptor.HandlePrepare(register.Prepare{To: voter.ID, Ballot: ballot})
+				next, promise = to.acceptor.HandlePrepare(register.PrepareRequest{To: voter.ID, Ballot: ballot})
 				return next
 			}, func() { carryOut(round.Promised(voter, promise)) }, func() { carryOut(round.Lost(voter, false)) })
 		}
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -315,7 +315,7 @@
 		stored = state
 		step = call.round.Accepted(sent.voter, answer)
 	} else {
-		state, answer := acceptor.HandlePrepare(register.Prepare{To: sent.voter.ID, Ballot: call.round.Ballot})
+		state, answer := acceptor.HandlePrepare(register.PrepareRequest{To: sent.voter.ID, Ballot: call.round.Ballot})
 		stored = state
 		step = call.round.Promised(sent.voter, answer)
 	}
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -106,8 +106,8 @@
 	return true
 }
 
-// Prepare asks a voter to promise a ballot. The voter whose identity is not To turns it away.
-type Prepare struct {
+// PrepareRequest asks a voter to promise a ballot. The voter whose identity is not To turns it away.
+type PrepareRequest struct {
 	To     string `msgpack:"t"`
 	Ballot Ballot `msgpack:"b"`
 }
@@ -166,7 +166,7 @@
 func (a *Acceptor) Stored(state State) { a.state = state }
 
 // HandlePrepare promises a ballot that is above all promised before.
-func (a *Acceptor) HandlePrepare(request Prepare) (*State, Promise) {
+func (a *Acceptor) HandlePrepare(request PrepareRequest) (*State, Promise) {
 	if request.To != a.state.ID {
 		return nil, Promise{Stranger: true}
 	}
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -50,16 +50,16 @@
 	founder := register.State{ID: "a", Value: register.Value{Epoch: 1, Voters: []register.Voter{{ID: "a"}}}}
 
 	It("turns away who means another identity", func() {
-		_, promise := register.NewAcceptor(founder).HandlePrepare(register.Prepare{To: "b", Ballot: register.Ballot{Round: 1}})
+		_, promise := register.NewAcceptor(founder).HandlePrepare(register.PrepareRequest{To: "b", Ballot: register.Ballot{Round: 1}})
 		Expect(promise.Stranger).To(BeTrue())
 		Expect(promise.OK).To(BeFalse())
 	})
 
 	It("promises nothing below what it has promised, and names what stands in the way", func() {
 		a := register.NewAcceptor(founder)
-		next, _ := a.HandlePrepare(register.Prepare{To: "a", Ballot: register.Ballot{Round: 5}})
+		next, _ := a.HandlePrepare(register.PrepareRequest{To: "a", Ballot: register.Ballot{Round: 5}})
 		a.Stored(*next)
-		_, promise := a.HandlePrepare(register.Prepare{To: "a", Ballot: register.Ballot{Round: 4, Proposer: "z"}})
+		_, promise := a.HandlePrepare(register.PrepareRequest{To: "a", Ballot: register.Ballot{Round: 4, Proposer: "z"}})
 		Expect(promise.OK).To(BeFalse())
 		Expect(promise.Promised.Round).To(BeEquivalentTo(5))
 	})
@@ -234,7 +234,7 @@
 		a := register.NewAcceptor(register.State{ID: "d"})
 		next, _ := a.HandleLearn(register.Ballot{Round: 5}, register.Value{Version: 4}, true)
 		a.Stored(*next)
-		_, promise := a.HandlePrepare(register.Prepare{To: "d", Ballot: register.Ballot{Round: 3}})
+		_, promise := a.HandlePrepare(register.PrepareRequest{To: "d", Ballot: register.Ballot{Round: 3}})
 		Expect(promise.OK).To(BeFalse())
 		_, accepted := a.HandleAccept(register.Accept{To: "d", Ballot: register.Ballot{Round: 3}}, true)
 		Expect(accepted.OK).To(BeFalse())
--- a/internal/decide/register/stored_form_test.go
+++ b/internal/decide/register/stored_form_test.go
@@ -31,7 +31,7 @@
 	checkForm(t, "digest", value.Config)
 	checkForm(t, "value", value)
 	checkForm(t, "state", register.State{ID: "v-1", Promised: ballot, Ballot: other, Value: value})
-	checkForm(t, "prepare", register.Prepare{To: "v-1", Ballot: ballot})
+	checkForm(t, "prepare", register.PrepareRequest{To: "v-1", Ballot: ballot})
 	checkForm(t, "promise", register.Promise{OK: true, Stranger: true, Promised: ballot, Ballot: other, Value: value})
 	checkForm(t, "accept", register.Accept{To: "v-1", Ballot: ballot, Value: value, Config: []byte("configuration")})
 	checkForm(t, "accepted", register.Accepted{OK: true, Stranger: true, NeedConfig: true, Promised: ballot})
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -162,7 +162,7 @@
 		state, accepted := n.acceptor.HandleAccept(register.Accept{To: p.voter.ID, Ballot: p.ballot, Value: p.value}, true)
 		next, answer.accepted = state, &accepted
 	default:
-		state, promise := n.acceptor.HandlePrepare(register.Prepare{To: p.voter.ID, Ballot: p.ballot})
+		state, promise := n.acceptor.HandlePrepare(register.PrepareRequest{To: p.voter.ID, Ballot: p.ballot})
 		next, answer.promise = state, &promise
 	}
 	if next != nil {
