--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -179,7 +179,7 @@
 	return r.acceptor.State()
 }
 
-func (r *replica) handlePrepare(_ context.Context, request *register.PrepareRequest) (*register.Promise, error) {
+func (r *replica) handlePrepare(_ context.Context, request *register.PrepareRequest) (*register.PrepareReply, error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
 	r.mu.Lock()
@@ -217,7 +217,7 @@
 	return &accepted, nil
 }
 
-func (r *replica) handleRead(_ context.Context, request *register.Read) (*register.Promise, error) {
+func (r *replica) handleRead(_ context.Context, request *register.Read) (*register.PrepareReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	promise := r.acceptor.HandleRead(*request)
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -26,7 +26,7 @@
 type voterReply struct {
 	from     register.Voter
 	isAccept bool
-	promise  *register.Promise
+	promise  *register.PrepareReply
 	accepted *register.Accepted
 	err      error
 }
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -39,7 +39,7 @@
 			return
 		}
 		for _, voter := range step.Prepare {
-			var promise register.Promise
+			var promise register.PrepareReply
 			w.askVoter(n, voter, func(to *node) (next *register.State) {
 				next, promise = to.acceptor.HandlePrepare(register.PrepareRequest{To: voter.ID, Ballot: ballot})
 				return next
@@ -110,7 +110,7 @@
 			return
 		}
 		for _, voter := range step.Prepare {
-			var promise register.Promise
+			var promise register.PrepareReply
 			w.askVoter(n, voter, func(to *node) *register.State {
 				promise = to.acceptor.HandleRead(register.Read{To: voter.ID})
 				return nil
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -112,8 +112,8 @@
 	Ballot Ballot `msgpack:"b"`
 }
 
-// Promise answers Prepare and Read. Where OK is false, Promised is the ballot that stands in the way.
-type Promise struct {
+// PrepareReply answers Prepare and Read. Where OK is false, Promised is the ballot that stands in the way.
+type PrepareReply struct {
 	OK       bool   `msgpack:"k"`
 	Stranger bool   `msgpack:"s"` // the voter has another identity
 	Promised Ballot `msgpack:"p"`
@@ -166,14 +166,14 @@
 func (a *Acceptor) Stored(state State) { a.state = state }
 
 // HandlePrepare promises a ballot that is above all promised before.
-func (a *Acceptor) HandlePrepare(request PrepareRequest) (*State, Promise) {
+func (a *Acceptor) HandlePrepare(request PrepareRequest) (*State, PrepareReply) {
 	if request.To != a.state.ID {
-		return nil, Promise{Stranger: true}
+		return nil, PrepareReply{Stranger: true}
 	}
 	if request.Ballot.Compare(a.state.Promised) < 0 {
-		return nil, Promise{Promised: a.state.Promised}
+		return nil, PrepareReply{Promised: a.state.Promised}
 	}
-	answer := Promise{OK: true, Promised: request.Ballot, Ballot: a.state.Ballot, Value: a.state.Value}
+	answer := PrepareReply{OK: true, Promised: request.Ballot, Ballot: a.state.Ballot, Value: a.state.Value}
 	if request.Ballot == a.state.Promised {
 		return nil, answer
 	}
@@ -204,11 +204,11 @@
 }
 
 // HandleRead tells the accepted value. It promises nothing.
-func (a *Acceptor) HandleRead(request Read) Promise {
+func (a *Acceptor) HandleRead(request Read) PrepareReply {
 	if request.To != a.state.ID {
-		return Promise{Stranger: true}
+		return PrepareReply{Stranger: true}
 	}
-	return Promise{OK: true, Promised: a.state.Promised, Ballot: a.state.Ballot, Value: a.state.Value}
+	return PrepareReply{OK: true, Promised: a.state.Promised, Ballot: a.state.Ballot, Value: a.state.Value}
 }
 
 // HandleLearn takes a value that was chosen at a ballot, which counts as promised from then on. It may be told of a ballot below the
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -78,7 +78,7 @@
 		voters := []register.Voter{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}, {ID: "c", Address: "3"}}
 		round, step := register.NewRound(register.Ballot{Round: 1}, register.Value{Epoch: 2, Voters: voters}, register.Keep)
 		Expect(step.Prepare).To(HaveLen(3))
-		step = round.Promised(voters[0], register.Promise{OK: true})
+		step = round.Promised(voters[0], register.PrepareReply{OK: true})
 		Expect(step.Accept).To(BeEmpty(), "one of three is no majority")
 	})
 
@@ -86,7 +86,7 @@
 		voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 		after := []register.Voter{voter("d"), voter("e"), voter("f")}
-		chosen := register.Promise{OK: true, Ballot: register.Ballot{Round: 1}, Value: before}
+		chosen := register.PrepareReply{OK: true, Ballot: register.Ballot{Round: 1}, Value: before}
 		round, _ := register.NewRound(register.Ballot{Round: 2}, before, register.Reconfigure(1, after))
 		round.Promised(voter("a"), chosen)
 		step := round.Promised(voter("b"), chosen)
@@ -105,8 +105,8 @@
 			after := []register.Voter{voter("a"), voter("b"), voter("d")}
 			round, _ := register.NewRound(register.Ballot{Round: 5}, before, register.Reconfigure(1, after))
 			round.TrustChosen(proven)
-			round.Promised(voter("a"), register.Promise{OK: true, Ballot: register.Ballot{Round: 3}, Value: before})
-			round.Promised(voter("b"), register.Promise{OK: true, Ballot: accepted, Value: before})
+			round.Promised(voter("a"), register.PrepareReply{OK: true, Ballot: register.Ballot{Round: 3}, Value: before})
+			round.Promised(voter("b"), register.PrepareReply{OK: true, Ballot: accepted, Value: before})
 			for _, id := range []string{"a", "b", "c"} {
 				round.Accepted(voter(id), register.Accepted{OK: true})
 			}
@@ -123,7 +123,7 @@
 		voter := register.Voter{ID: "a", Address: "a"}
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter}}
 		round, _ := register.NewRound(register.Ballot{Round: 2}, before, register.Configure(1, 0, register.DigestOf([]byte("x"))))
-		Expect(round.Promised(voter, register.Promise{OK: true}).Accept).To(ConsistOf(voter))
+		Expect(round.Promised(voter, register.PrepareReply{OK: true}).Accept).To(ConsistOf(voter))
 		Expect(round.Accepted(voter, register.Accepted{OK: true}).Done).To(BeTrue())
 		Expect(round.Outcome).To(Equal(register.Chosen))
 	})
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -38,7 +38,7 @@
 	change    Change
 	known     Value  // the voters to begin with
 	proven    Ballot // a ballot at which a value is known to be chosen
-	promises  map[Voter]Promise
+	promises  map[Voter]PrepareReply
 	asked     askedVoters
 	proposing bool
 	ending    Outcome   // of the round once enough have accepted
@@ -49,7 +49,7 @@
 
 // NewRound returns a round and its first step. known names the voters, of this epoch or an older one.
 func NewRound(ballot Ballot, known Value, change Change) (*Round, Step) {
-	r := &Round{Ballot: ballot, change: change, known: known, promises: map[Voter]Promise{}, asked: askedVoters{},
+	r := &Round{Ballot: ballot, change: change, known: known, promises: map[Voter]PrepareReply{}, asked: askedVoters{},
 		accepted: map[Voter]bool{}, lost: map[Voter]bool{}}
 	return r, Step{Prepare: r.asked.ask(known)}
 }
@@ -72,7 +72,7 @@
 }
 
 // Promised takes a voter's answer to Prepare.
-func (r *Round) Promised(from Voter, answer Promise) Step {
+func (r *Round) Promised(from Voter, answer PrepareReply) Step {
 	if r.Outcome != Running || r.proposing {
 		return Step{}
 	}
@@ -93,8 +93,8 @@
 
 // newest returns the promise with the highest accepted ballot. Danger: a voter that has accepted nothing says nothing of the
 // voters; until something was accepted, those hold with which the round began, and all founders begin with the same.
-func (r *Round) newest() Promise {
-	newest := Promise{Value: r.known}
+func (r *Round) newest() PrepareReply {
+	newest := PrepareReply{Value: r.known}
 	for _, promise := range r.promises {
 		if promise.Ballot.Compare(newest.Ballot) > 0 {
 			newest = promise
@@ -106,7 +106,7 @@
 // propose derives the next value and has it accepted. Danger: a change of the voters must not be derived from a value that may
 // not be chosen. Two such changes in a row would lead to voters of whom no majority has met the majorities before, while those
 // go on without them. A value that isn't known to be chosen is made so first, by its own voters.
-func (r *Round) propose(newest Promise) Step {
+func (r *Round) propose(newest PrepareReply) Step {
 	next, ok := r.change(newest.Value.Clone())
 	r.ending = Chosen
 	switch {
@@ -125,7 +125,7 @@
 }
 
 // holds tells whether the newest value is known to be chosen.
-func (r *Round) holds(newest Promise) bool {
+func (r *Round) holds(newest PrepareReply) bool {
 	same := func(voter Voter) bool {
 		promise, ok := r.promises[voter]
 		return ok && promise.Ballot == newest.Ballot
@@ -203,19 +203,19 @@
 	Outcome Outcome // Chosen: Value holds; Outvoted: a round of Keep is needed
 
 	known   Value
-	answers map[Voter]Promise
+	answers map[Voter]PrepareReply
 	asked   askedVoters
 	lost    int
 }
 
 // NewReading returns a read and its first step, whose Prepare names the voters to send Read to.
 func NewReading(known Value) (*Reading, Step) {
-	r := &Reading{known: known, answers: map[Voter]Promise{}, asked: askedVoters{}}
+	r := &Reading{known: known, answers: map[Voter]PrepareReply{}, asked: askedVoters{}}
 	return r, Step{Prepare: r.asked.ask(known)}
 }
 
 // Answered takes a voter's answer to Read.
-func (r *Reading) Answered(from Voter, answer Promise) Step {
+func (r *Reading) Answered(from Voter, answer PrepareReply) Step {
 	if r.Outcome != Running {
 		return Step{}
 	}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -55,7 +55,7 @@
 	reading   bool
 	value     register.Value
 	ballot    register.Ballot
-	promise   *register.Promise
+	promise   *register.PrepareReply
 	accepted  *register.Accepted
 }
 
