--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -114,11 +114,11 @@
 
 // PrepareReply answers Prepare and Read. Where OK is false, Promised is the ballot that stands in the way.
 type PrepareReply struct {
-	OK       bool   `msgpack:"k"`
-	Stranger bool   `msgpack:"s"` // the voter has another identity
-	Promised Ballot `msgpack:"p"`
-	Ballot   Ballot `msgpack:"b"` // the accepted ballot
-	Value    Value  `msgpack:"v"`
+	OK         bool   `msgpack:"k"`
+	WrongVoter bool   `msgpack:"s"` // the voter has another identity
+	Promised   Ballot `msgpack:"p"`
+	Ballot     Ballot `msgpack:"b"` // the accepted ballot
+	Value      Value  `msgpack:"v"`
 }
 
 // Accept asks a voter to accept a value. Config holds the configuration's bytes where the voter may lack them.
@@ -168,7 +168,7 @@
 // HandlePrepare promises a ballot that is above all promised before.
 func (a *Acceptor) HandlePrepare(request PrepareRequest) (*State, PrepareReply) {
 	if request.To != a.state.ID {
-		return nil, PrepareReply{Stranger: true}
+		return nil, PrepareReply{WrongVoter: true}
 	}
 	if request.Ballot.Compare(a.state.Promised) < 0 {
 		return nil, PrepareReply{Promised: a.state.Promised}
@@ -206,7 +206,7 @@
 // HandleRead tells the accepted value. It promises nothing.
 func (a *Acceptor) HandleRead(request Read) PrepareReply {
 	if request.To != a.state.ID {
-		return PrepareReply{Stranger: true}
+		return PrepareReply{WrongVoter: true}
 	}
 	return PrepareReply{OK: true, Promised: a.state.Promised, Ballot: a.state.Ballot, Value: a.state.Value}
 }
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -51,7 +51,7 @@
 
 	It("turns away who means another identity", func() {
 		_, promise := register.NewAcceptor(founder).HandlePrepare(register.PrepareRequest{To: "b", Ballot: register.Ballot{Round: 1}})
-		Expect(promise.Stranger).To(BeTrue())
+		Expect(promise.WrongVoter).To(BeTrue())
 		Expect(promise.OK).To(BeFalse())
 	})
 
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -77,7 +77,7 @@
 		return Step{}
 	}
 	if !answer.OK {
-		return r.turnedDown(from, answer.Stranger, answer.Promised)
+		return r.turnedDown(from, answer.WrongVoter, answer.Promised)
 	}
 	r.promises[from] = answer
 	newest := r.newest()
