--- a/internal/decide/register/export_test.go
+++ b/internal/decide/register/export_test.go
@@ -29,7 +29,7 @@
 	for _, voter := range voters {
 		promise, promised := r.promises[voter]
 		key = append(append(key, voter.ID...), truth(promised), truth(r.accepted[voter]))
-		key = promise.Ballot.appendKey(key)
+		key = promise.Accepted.appendKey(key)
 	}
 	return key
 }
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -117,7 +117,7 @@
 	OK         bool   `msgpack:"k"`
 	WrongVoter bool   `msgpack:"s"` // the voter has another identity
 	Promised   Ballot `msgpack:"p"`
-	Ballot     Ballot `msgpack:"b"` // the accepted ballot
+	Accepted   Ballot `msgpack:"b"` // the accepted ballot
 	Value      Value  `msgpack:"v"`
 }
 
@@ -173,7 +173,7 @@
 	if request.Ballot.Compare(a.state.Promised) < 0 {
 		return nil, PrepareReply{Promised: a.state.Promised}
 	}
-	answer := PrepareReply{OK: true, Promised: request.Ballot, Ballot: a.state.Ballot, Value: a.state.Value}
+	answer := PrepareReply{OK: true, Promised: request.Ballot, Accepted: a.state.Ballot, Value: a.state.Value}
 	if request.Ballot == a.state.Promised {
 		return nil, answer
 	}
@@ -208,7 +208,7 @@
 	if request.To != a.state.ID {
 		return PrepareReply{WrongVoter: true}
 	}
-	return PrepareReply{OK: true, Promised: a.state.Promised, Ballot: a.state.Ballot, Value: a.state.Value}
+	return PrepareReply{OK: true, Promised: a.state.Promised, Accepted: a.state.Ballot, Value: a.state.Value}
 }
 
 // HandleLearn takes a value that was chosen at a ballot, which counts as promised from then on. It may be told of a ballot below the
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -86,7 +86,7 @@
 		voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 		after := []register.Voter{voter("d"), voter("e"), voter("f")}
-		chosen := register.PrepareReply{OK: true, Ballot: register.Ballot{Round: 1}, Value: before}
+		chosen := register.PrepareReply{OK: true, Accepted: register.Ballot{Round: 1}, Value: before}
 		round, _ := register.NewRound(register.Ballot{Round: 2}, before, register.Reconfigure(1, after))
 		round.Promised(voter("a"), chosen)
 		step := round.Promised(voter("b"), chosen)
@@ -105,8 +105,8 @@
 			after := []register.Voter{voter("a"), voter("b"), voter("d")}
 			round, _ := register.NewRound(register.Ballot{Round: 5}, before, register.Reconfigure(1, after))
 			round.TrustChosen(proven)
-			round.Promised(voter("a"), register.PrepareReply{OK: true, Ballot: register.Ballot{Round: 3}, Value: before})
-			round.Promised(voter("b"), register.PrepareReply{OK: true, Ballot: accepted, Value: before})
+			round.Promised(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Round: 3}, Value: before})
+			round.Promised(voter("b"), register.PrepareReply{OK: true, Accepted: accepted, Value: before})
 			for _, id := range []string{"a", "b", "c"} {
 				round.Accepted(voter(id), register.Accepted{OK: true})
 			}
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -96,7 +96,7 @@
 func (r *Round) newest() PrepareReply {
 	newest := PrepareReply{Value: r.known}
 	for _, promise := range r.promises {
-		if promise.Ballot.Compare(newest.Ballot) > 0 {
+		if promise.Accepted.Compare(newest.Accepted) > 0 {
 			newest = promise
 		}
 	}
@@ -111,7 +111,7 @@
 	r.ending = Chosen
 	switch {
 	case !ok && r.holds(newest):
-		r.At = newest.Ballot
+		r.At = newest.Accepted
 		return r.end(Refused, newest.Value)
 	case !ok:
 		r.ending, next = Refused, newest.Value
@@ -128,12 +128,12 @@
 func (r *Round) holds(newest PrepareReply) bool {
 	same := func(voter Voter) bool {
 		promise, ok := r.promises[voter]
-		return ok && promise.Ballot == newest.Ballot
+		return ok && promise.Accepted == newest.Accepted
 	}
-	if newest.Ballot == (Ballot{}) {
+	if newest.Accepted == (Ballot{}) {
 		return false
 	}
-	return newest.Ballot == r.proven || quorum(same, newest.Value.Voters, newest.Value.Previous)
+	return newest.Accepted == r.proven || quorum(same, newest.Value.Voters, newest.Value.Previous)
 }
 
 // Accepted takes a voter's answer to Accept.
@@ -225,7 +225,7 @@
 	r.answers[from] = answer
 	newest := answer
 	for _, other := range r.answers {
-		if other.Ballot.Compare(newest.Ballot) > 0 {
+		if other.Accepted.Compare(newest.Accepted) > 0 {
 			newest = other
 		}
 	}
@@ -234,10 +234,10 @@
 	}
 	same := func(voter Voter) bool {
 		other, ok := r.answers[voter]
-		return ok && other.Ballot == newest.Ballot
+		return ok && other.Accepted == newest.Accepted
 	}
-	if newest.Ballot != (Ballot{}) && quorum(same, newest.Value.Voters, newest.Value.Previous) {
-		r.Outcome, r.Value, r.At = Chosen, newest.Value, newest.Ballot
+	if newest.Accepted != (Ballot{}) && quorum(same, newest.Value.Voters, newest.Value.Previous) {
+		r.Outcome, r.Value, r.At = Chosen, newest.Value, newest.Accepted
 		return Step{Done: true}
 	}
 	return r.checkAll()
