--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -192,7 +192,7 @@
 		send(func() voterReply { return r.prepare(ctx, voter, request) })
 	}
 	for _, voter := range step.Accept {
-		request := &register.Accept{To: voter.ID, Ballot: round.Ballot, Value: round.Value, Config: config}
+		request := &register.AcceptRequest{To: voter.ID, Ballot: round.Ballot, Value: round.Value, Config: config}
 		if len(config) > maxInlineConfigBytes {
 			// A voter that has the bytes from a round before doesn't need them again; one that lacks them asks.
 			request.Config = nil
@@ -200,7 +200,7 @@
 		send(func() voterReply { return r.accept(ctx, voter, request) })
 	}
 	for _, voter := range step.Config {
-		request := &register.Accept{To: voter.ID, Ballot: round.Ballot, Value: round.Value}
+		request := &register.AcceptRequest{To: voter.ID, Ballot: round.Ballot, Value: round.Value}
 		send(func() voterReply {
 			data, err := config, error(nil)
 			if register.DigestOf(data) != request.Value.Config {
--- a/internal/control/stored_form_test.go
+++ b/internal/control/stored_form_test.go
@@ -61,7 +61,7 @@
 func writeStoredFolder(dir string) {
 	ctx := context.Background()
 	accept := func(r *replica, version int) {
-		answer, err := r.handleAccept(ctx, &register.Accept{To: r.state().ID, Ballot: storedBallot(uint64(100 * version)), Value: storedValue(version),
+		answer, err := r.handleAccept(ctx, &register.AcceptRequest{To: r.state().ID, Ballot: storedBallot(uint64(100 * version)), Value: storedValue(version),
 			Config: testConfig(version, 0)})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.OK).To(BeTrue())
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -48,7 +48,7 @@
 	return voterReply{from: voter, promise: promise, err: err}
 }
 
-func (r *proposer) accept(ctx context.Context, voter register.Voter, request *register.Accept) voterReply {
+func (r *proposer) accept(ctx context.Context, voter register.Voter, request *register.AcceptRequest) voterReply {
 	accepted, err := callVoter(ctx, r, voter, acceptPath, voteTimeout+r.transferTime(len(request.Config)), request, r.replica.handleAccept)
 	return voterReply{from: voter, isAccept: true, accepted: accepted, err: err}
 }
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -48,7 +48,7 @@
 		for _, voter := range step.Accept {
 			var accepted register.Accepted
 			w.askVoter(n, voter, func(to *node) (next *register.State) {
-				next, accepted = to.acceptor.HandleAccept(register.Accept{To: voter.ID, Ballot: ballot, Value: round.Value.Clone()}, true)
+				next, accepted = to.acceptor.HandleAccept(register.AcceptRequest{To: voter.ID, Ballot: ballot, Value: round.Value.Clone()}, true)
 				return next
 			}, func() { carryOut(round.Accepted(voter, accepted)) }, func() { carryOut(round.Lost(voter, true)) })
 		}
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -311,7 +311,7 @@
 	var stored *register.State
 	var step register.Step
 	if sent.accepting {
-		state, answer := acceptor.HandleAccept(register.Accept{To: sent.voter.ID, Ballot: call.round.Ballot, Value: call.round.Value}, true)
+		state, answer := acceptor.HandleAccept(register.AcceptRequest{To: sent.voter.ID, Ballot: call.round.Ballot, Value: call.round.Value}, true)
 		stored = state
 		step = call.round.Accepted(sent.voter, answer)
 	} else {
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -121,8 +121,8 @@
 	Value      Value  `msgpack:"v"`
 }
 
-// Accept asks a voter to accept a value. Config holds the configuration's bytes where the voter may lack them.
-type Accept struct {
+// AcceptRequest asks a voter to accept a value. Config holds the configuration's bytes where the voter may lack them.
+type AcceptRequest struct {
 	To     string `msgpack:"t"`
 	Ballot Ballot `msgpack:"b"`
 	Value  Value  `msgpack:"v"`
@@ -184,7 +184,7 @@
 
 // HandleAccept accepts a value unless a higher ballot was promised. hasConfig tells whether the configuration's bytes are on
 // disk or come with the request.
-func (a *Acceptor) HandleAccept(request Accept, hasConfig bool) (*State, Accepted) {
+func (a *Acceptor) HandleAccept(request AcceptRequest, hasConfig bool) (*State, Accepted) {
 	if request.To != a.state.ID {
 		return nil, Accepted{Stranger: true}
 	}
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -66,7 +66,7 @@
 
 	It("asks for the bytes of a configuration that it lacks", func() {
 		a := register.NewAcceptor(founder)
-		request := register.Accept{To: "a", Ballot: register.Ballot{Round: 1}, Value: register.Value{Version: 3}}
+		request := register.AcceptRequest{To: "a", Ballot: register.Ballot{Round: 1}, Value: register.Value{Version: 3}}
 		next, answer := a.HandleAccept(request, false)
 		Expect(next).To(BeNil())
 		Expect(answer.NeedConfig).To(BeTrue())
@@ -236,7 +236,7 @@
 		a.Stored(*next)
 		_, promise := a.HandlePrepare(register.PrepareRequest{To: "d", Ballot: register.Ballot{Round: 3}})
 		Expect(promise.OK).To(BeFalse())
-		_, accepted := a.HandleAccept(register.Accept{To: "d", Ballot: register.Ballot{Round: 3}}, true)
+		_, accepted := a.HandleAccept(register.AcceptRequest{To: "d", Ballot: register.Ballot{Round: 3}}, true)
 		Expect(accepted.OK).To(BeFalse())
 	})
 
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -159,7 +159,7 @@
 		promise := n.acceptor.HandleRead(register.Read{To: p.voter.ID})
 		answer.promise = &promise
 	case p.accepting:
-		state, accepted := n.acceptor.HandleAccept(register.Accept{To: p.voter.ID, Ballot: p.ballot, Value: p.value}, true)
+		state, accepted := n.acceptor.HandleAccept(register.AcceptRequest{To: p.voter.ID, Ballot: p.ballot, Value: p.value}, true)
 		next, answer.accepted = state, &accepted
 	default:
 		state, promise := n.acceptor.HandlePrepare(register.PrepareRequest{To: p.voter.ID, Ballot: p.ballot})
