--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -192,10 +192,10 @@
 		send(func() voterReply { return r.prepare(ctx, voter, request) })
 	}
 	for _, voter := range step.Accept {
-		request := &register.AcceptRequest{To: voter.ID, Ballot: round.Ballot, Value: round.Value, Config: config}
+		request := &register.AcceptRequest{To: voter.ID, Ballot: round.Ballot, Value: round.Value, ConfigData: config}
 		if len(config) > maxInlineConfigBytes {
 			// A voter that has the bytes from a round before doesn't need them again; one that lacks them asks.
-			request.Config = nil
+			request.ConfigData = nil
 		}
 		send(func() voterReply { return r.accept(ctx, voter, request) })
 	}
@@ -209,7 +209,7 @@
 			if err != nil {
 				return voterReply{from: voter, isAccept: true, err: err}
 			}
-			request.Config = data
+			request.ConfigData = data
 			return r.accept(ctx, voter, request)
 		})
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -198,18 +198,18 @@
 	defer r.writeMu.Unlock()
 	digest := request.Value.Config
 	cached := r.configBytes(digest) != nil
-	if len(request.Config) > 0 && register.DigestOf(request.Config) != digest {
+	if len(request.ConfigData) > 0 && register.DigestOf(request.ConfigData) != digest {
 		return nil, Error.New("the bytes of a configuration don't match its digest")
 	}
 	r.mu.Lock()
-	next, accepted := r.acceptor.HandleAccept(*request, cached || len(request.Config) > 0)
+	next, accepted := r.acceptor.HandleAccept(*request, cached || len(request.ConfigData) > 0)
 	r.mu.Unlock()
 	if next == nil {
 		return &accepted, nil
 	}
 	var newConfig []byte
 	if !cached {
-		newConfig = request.Config
+		newConfig = request.ConfigData
 	}
 	if err := r.persist(next, newConfig); err != nil {
 		return nil, err
--- a/internal/control/stored_form_test.go
+++ b/internal/control/stored_form_test.go
@@ -62,7 +62,7 @@
 	ctx := context.Background()
 	accept := func(r *replica, version int) {
 		answer, err := r.handleAccept(ctx, &register.AcceptRequest{To: r.state().ID, Ballot: storedBallot(uint64(100 * version)), Value: storedValue(version),
-			Config: testConfig(version, 0)})
+			ConfigData: testConfig(version, 0)})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.OK).To(BeTrue())
 	}
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -49,7 +49,7 @@
 }
 
 func (r *proposer) accept(ctx context.Context, voter register.Voter, request *register.AcceptRequest) voterReply {
-	accepted, err := callVoter(ctx, r, voter, acceptPath, voteTimeout+r.transferTime(len(request.Config)), request, r.replica.handleAccept)
+	accepted, err := callVoter(ctx, r, voter, acceptPath, voteTimeout+r.transferTime(len(request.ConfigData)), request, r.replica.handleAccept)
 	return voterReply{from: voter, isAccept: true, accepted: accepted, err: err}
 }
 
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -123,10 +123,10 @@
 
 // AcceptRequest asks a voter to accept a value. Config holds the configuration's bytes where the voter may lack them.
 type AcceptRequest struct {
-	To     string `msgpack:"t"`
-	Ballot Ballot `msgpack:"b"`
-	Value  Value  `msgpack:"v"`
-	Config []byte `msgpack:"c"`
+	To         string `msgpack:"t"`
+	Ballot     Ballot `msgpack:"b"`
+	Value      Value  `msgpack:"v"`
+	ConfigData []byte `msgpack:"c"`
 }
 
 // Accepted answers Accept.
