--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -193,7 +193,7 @@
 	return &promise, nil
 }
 
-func (r *replica) handleAccept(_ context.Context, request *register.AcceptRequest) (*register.Accepted, error) {
+func (r *replica) handleAccept(_ context.Context, request *register.AcceptRequest) (*register.AcceptReply, error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
 	digest := request.Value.Config
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -27,7 +27,7 @@
 	from     register.Voter
 	isAccept bool
 	promise  *register.PrepareReply
-	accepted *register.Accepted
+	accepted *register.AcceptReply
 	err      error
 }
 
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -129,8 +129,8 @@
 	ConfigData []byte `msgpack:"c"`
 }
 
-// Accepted answers Accept.
-type Accepted struct {
+// AcceptReply answers Accept.
+type AcceptReply struct {
 	OK         bool   `msgpack:"k"`
 	Stranger   bool   `msgpack:"s"`
 	NeedConfig bool   `msgpack:"n"` // the voter lacks the configuration's bytes
@@ -184,17 +184,17 @@
 
 // HandleAccept accepts a value unless a higher ballot was promised. hasConfig tells whether the configuration's bytes are on
 // disk or come with the request.
-func (a *Acceptor) HandleAccept(request AcceptRequest, hasConfig bool) (*State, Accepted) {
+func (a *Acceptor) HandleAccept(request AcceptRequest, hasConfig bool) (*State, AcceptReply) {
 	if request.To != a.state.ID {
-		return nil, Accepted{Stranger: true}
+		return nil, AcceptReply{Stranger: true}
 	}
 	if request.Ballot.Compare(a.state.Promised) < 0 {
-		return nil, Accepted{Promised: a.state.Promised}
+		return nil, AcceptReply{Promised: a.state.Promised}
 	}
 	if !hasConfig && request.Value.Version != 0 {
-		return nil, Accepted{NeedConfig: true}
+		return nil, AcceptReply{NeedConfig: true}
 	}
-	answer := Accepted{OK: true, Promised: request.Ballot}
+	answer := AcceptReply{OK: true, Promised: request.Ballot}
 	if request.Ballot == a.state.Ballot {
 		return nil, answer
 	}
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -92,9 +92,9 @@
 		step := round.Promised(voter("b"), chosen)
 		Expect(step.Accept).To(HaveLen(6))
 		for _, id := range []string{"d", "e", "f", "a"} {
-			Expect(round.Accepted(voter(id), register.Accepted{OK: true}).Done).To(BeFalse(), "after %s", id)
+			Expect(round.Accepted(voter(id), register.AcceptReply{OK: true}).Done).To(BeFalse(), "after %s", id)
 		}
-		Expect(round.Accepted(voter("b"), register.Accepted{OK: true}).Done).To(BeTrue())
+		Expect(round.Accepted(voter("b"), register.AcceptReply{OK: true}).Done).To(BeTrue())
 		Expect(round.Outcome).To(Equal(register.Chosen))
 	})
 
@@ -108,9 +108,9 @@
 			round.Promised(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Round: 3}, Value: before})
 			round.Promised(voter("b"), register.PrepareReply{OK: true, Accepted: accepted, Value: before})
 			for _, id := range []string{"a", "b", "c"} {
-				round.Accepted(voter(id), register.Accepted{OK: true})
+				round.Accepted(voter(id), register.AcceptReply{OK: true})
 			}
-			round.Accepted(voter("d"), register.Accepted{OK: true})
+			round.Accepted(voter("d"), register.AcceptReply{OK: true})
 			Expect(round.Outcome).To(Equal(want))
 		},
 		Entry("a majority has accepted it", register.Ballot{Round: 3}, register.Ballot{}, register.Chosen),
@@ -124,7 +124,7 @@
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter}}
 		round, _ := register.NewRound(register.Ballot{Round: 2}, before, register.Configure(1, 0, register.DigestOf([]byte("x"))))
 		Expect(round.Promised(voter, register.PrepareReply{OK: true}).Accept).To(ConsistOf(voter))
-		Expect(round.Accepted(voter, register.Accepted{OK: true}).Done).To(BeTrue())
+		Expect(round.Accepted(voter, register.AcceptReply{OK: true}).Done).To(BeTrue())
 		Expect(round.Outcome).To(Equal(register.Chosen))
 	})
 })
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -137,7 +137,7 @@
 }
 
 // Accepted takes a voter's answer to Accept.
-func (r *Round) Accepted(from Voter, answer Accepted) Step {
+func (r *Round) Accepted(from Voter, answer AcceptReply) Step {
 	if r.Outcome != Running || !r.proposing {
 		return Step{}
 	}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -56,7 +56,7 @@
 	value     register.Value
 	ballot    register.Ballot
 	promise   *register.PrepareReply
-	accepted  *register.Accepted
+	accepted  *register.AcceptReply
 }
 
 // world is a network of nodes with disks, all drawn from one seed.
