--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -132,7 +132,7 @@
 // AcceptReply answers Accept.
 type AcceptReply struct {
 	OK         bool   `msgpack:"k"`
-	Stranger   bool   `msgpack:"s"`
+	WrongVoter bool   `msgpack:"s"`
 	NeedConfig bool   `msgpack:"n"` // the voter lacks the configuration's bytes
 	Promised   Ballot `msgpack:"p"`
 }
@@ -186,7 +186,7 @@
 // disk or come with the request.
 func (a *Acceptor) HandleAccept(request AcceptRequest, hasConfig bool) (*State, AcceptReply) {
 	if request.To != a.state.ID {
-		return nil, AcceptReply{Stranger: true}
+		return nil, AcceptReply{WrongVoter: true}
 	}
 	if request.Ballot.Compare(a.state.Promised) < 0 {
 		return nil, AcceptReply{Promised: a.state.Promised}
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -145,7 +145,7 @@
 	case answer.NeedConfig:
 		return Step{Config: []Voter{from}}
 	case !answer.OK:
-		return r.turnedDown(from, answer.Stranger, answer.Promised)
+		return r.turnedDown(from, answer.WrongVoter, answer.Promised)
 	}
 	r.accepted[from] = true
 	if !quorum(func(voter Voter) bool { return r.accepted[voter] }, r.sets...) {
