--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -131,10 +131,10 @@
 
 // AcceptReply answers Accept.
 type AcceptReply struct {
-	OK         bool   `msgpack:"k"`
-	WrongVoter bool   `msgpack:"s"`
-	NeedConfig bool   `msgpack:"n"` // the voter lacks the configuration's bytes
-	Promised   Ballot `msgpack:"p"`
+	OK          bool   `msgpack:"k"`
+	WrongVoter  bool   `msgpack:"s"`
+	NeedsConfig bool   `msgpack:"n"` // the voter lacks the configuration's bytes
+	Promised    Ballot `msgpack:"p"`
 }
 
 // Read asks a voter for its accepted value.
@@ -192,7 +192,7 @@
 		return nil, AcceptReply{Promised: a.state.Promised}
 	}
 	if !hasConfig && request.Value.Version != 0 {
-		return nil, AcceptReply{NeedConfig: true}
+		return nil, AcceptReply{NeedsConfig: true}
 	}
 	answer := AcceptReply{OK: true, Promised: request.Ballot}
 	if request.Ballot == a.state.Ballot {
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -69,7 +69,7 @@
 		request := register.AcceptRequest{To: "a", Ballot: register.Ballot{Round: 1}, Value: register.Value{Version: 3}}
 		next, answer := a.HandleAccept(request, false)
 		Expect(next).To(BeNil())
-		Expect(answer.NeedConfig).To(BeTrue())
+		Expect(answer.NeedsConfig).To(BeTrue())
 	})
 })
 
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -142,7 +142,7 @@
 		return Step{}
 	}
 	switch {
-	case answer.NeedConfig:
+	case answer.NeedsConfig:
 		return Step{Config: []Voter{from}}
 	case !answer.OK:
 		return r.turnedDown(from, answer.WrongVoter, answer.Promised)
--- a/internal/decide/register/stored_form_test.go
+++ b/internal/decide/register/stored_form_test.go
@@ -34,7 +34,7 @@
 	checkForm(t, "prepare", register.PrepareRequest{To: "v-1", Ballot: ballot})
 	checkForm(t, "promise", register.PrepareReply{OK: true, WrongVoter: true, Promised: ballot, Accepted: other, Value: value})
 	checkForm(t, "accept", register.AcceptRequest{To: "v-1", Ballot: ballot, Value: value, ConfigData: []byte("configuration")})
-	checkForm(t, "accepted", register.AcceptReply{OK: true, WrongVoter: true, NeedConfig: true, Promised: ballot})
+	checkForm(t, "accepted", register.AcceptReply{OK: true, WrongVoter: true, NeedsConfig: true, Promised: ballot})
 	checkForm(t, "read", register.Read{To: "v-1"})
 }
 
