--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -228,7 +228,7 @@
 	for !step.Done {
 		for _, voter := range step.Prepare {
 			go func() {
-				promise, err := callVoter(readCtx, r, voter, readPath, voteTimeout, &register.Read{To: voter.ID}, r.replica.handleRead)
+				promise, err := callVoter(readCtx, r, voter, readPath, voteTimeout, &register.ReadRequest{To: voter.ID}, r.replica.handleRead)
 				select {
 				case replies <- voterReply{from: voter, promise: promise, err: err}:
 				case <-readCtx.Done():
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -217,7 +217,7 @@
 	return &accepted, nil
 }
 
-func (r *replica) handleRead(_ context.Context, request *register.Read) (*register.PrepareReply, error) {
+func (r *replica) handleRead(_ context.Context, request *register.ReadRequest) (*register.PrepareReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	promise := r.acceptor.HandleRead(*request)
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -112,7 +112,7 @@
 		for _, voter := range step.Prepare {
 			var promise register.PrepareReply
 			w.askVoter(n, voter, func(to *node) *register.State {
-				promise = to.acceptor.HandleRead(register.Read{To: voter.ID})
+				promise = to.acceptor.HandleRead(register.ReadRequest{To: voter.ID})
 				return nil
 			}, func() { carryOut(reading.Answered(voter, promise)) }, func() { carryOut(reading.Lost()) })
 		}
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -137,8 +137,8 @@
 	Promised    Ballot `msgpack:"p"`
 }
 
-// Read asks a voter for its accepted value.
-type Read struct {
+// ReadRequest asks a voter for its accepted value.
+type ReadRequest struct {
 	To string `msgpack:"t"`
 }
 
@@ -204,7 +204,7 @@
 }
 
 // HandleRead tells the accepted value. It promises nothing.
-func (a *Acceptor) HandleRead(request Read) PrepareReply {
+func (a *Acceptor) HandleRead(request ReadRequest) PrepareReply {
 	if request.To != a.state.ID {
 		return PrepareReply{WrongVoter: true}
 	}
--- a/internal/decide/register/stored_form_test.go
+++ b/internal/decide/register/stored_form_test.go
@@ -35,7 +35,7 @@
 	checkForm(t, "promise", register.PrepareReply{OK: true, WrongVoter: true, Promised: ballot, Accepted: other, Value: value})
 	checkForm(t, "accept", register.AcceptRequest{To: "v-1", Ballot: ballot, Value: value, ConfigData: []byte("configuration")})
 	checkForm(t, "accepted", register.AcceptReply{OK: true, WrongVoter: true, NeedsConfig: true, Promised: ballot})
-	checkForm(t, "read", register.Read{To: "v-1"})
+	checkForm(t, "read", register.ReadRequest{To: "v-1"})
 }
 
 // TestStoredFormEmpty pins the bytes of a state that has accepted nothing, as a founder stores it.
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -156,7 +156,7 @@
 	var next *register.State
 	switch {
 	case p.reading:
-		promise := n.acceptor.HandleRead(register.Read{To: p.voter.ID})
+		promise := n.acceptor.HandleRead(register.ReadRequest{To: p.voter.ID})
 		answer.promise = &promise
 	case p.accepting:
 		state, accepted := n.acceptor.HandleAccept(register.AcceptRequest{To: p.voter.ID, Ballot: p.ballot, Value: p.value}, true)
