--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -115,7 +115,7 @@
 	}
 	_, err := c.replica.learn(value, data)
 	if err == nil {
-		c.log.WithField("version", value.Version).WithField("epoch", value.Epoch).WithField("ballot", value.Ballot.Round).Info("caught up")
+		c.log.WithField("version", value.Version).WithField("epoch", value.Epoch).WithField("ballot", value.Ballot.Number).Info("caught up")
 	}
 	return err
 }
--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -114,14 +114,14 @@
 func (r *proposer) nextBallot() register.Ballot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.highestRound = max(r.highestRound, r.replica.state().Promised.Round) + 1
-	return register.Ballot{Round: r.highestRound, Proposer: r.proposerID}
+	r.highestRound = max(r.highestRound, r.replica.state().Promised.Number) + 1
+	return register.Ballot{Number: r.highestRound, Proposer: r.proposerID}
 }
 
 func (r *proposer) observeRound(ballot register.Ballot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.highestRound = max(r.highestRound, ballot.Round)
+	r.highestRound = max(r.highestRound, ballot.Number)
 }
 
 // trust notes a ballot at which a value was found chosen.
--- a/internal/control/stored_form_test.go
+++ b/internal/control/stored_form_test.go
@@ -35,7 +35,7 @@
 }
 
 func storedBallot(round uint64) register.Ballot {
-	return register.Ballot{Round: round, Proposer: "c1/00000000000000aa"}
+	return register.Ballot{Number: round, Proposer: "c1/00000000000000aa"}
 }
 
 // storedValue is the value after so many configurations. From the third one on the voters are changing.
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -13,8 +13,8 @@
 		done(nil)
 		return
 	}
-	n.round = max(n.round, n.acceptor.State().Promised.Round) + 1
-	ballot := register.Ballot{Round: n.round, Proposer: fmt.Sprintf("%s/%d", n.address, n.life)}
+	n.round = max(n.round, n.acceptor.State().Promised.Number) + 1
+	ballot := register.Ballot{Number: n.round, Proposer: fmt.Sprintf("%s/%d", n.address, n.life)}
 	round, step := register.NewRound(ballot, known, change)
 	round.TrustChosen(n.proven)
 	ended := false
@@ -25,7 +25,7 @@
 		}
 		if step.Done {
 			ended = true
-			n.round = max(n.round, round.Above.Round)
+			n.round = max(n.round, round.Above.Number)
 			switch round.Outcome {
 			case register.Chosen, register.Refused:
 				w.found(n, round.Value, round.At)
--- a/internal/decide/reconfiguration/upkeep_test.go
+++ b/internal/decide/reconfiguration/upkeep_test.go
@@ -124,7 +124,7 @@
 
 var _ = Describe("what a newcomer must hold", func() {
 	candidate := register.Voter{ID: "d", Address: "d"}
-	at := func(round uint64) register.Ballot { return register.Ballot{Round: round} }
+	at := func(round uint64) register.Ballot { return register.Ballot{Number: round} }
 
 	It("stays what was chosen when it was asked first, until it is not asked any longer", func() {
 		var learners reconfiguration.Learners
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -142,10 +142,10 @@
 }
 
 func (s *modelState) key(nodes []string, scratch []byte) (uint64, []byte) {
-	key := append(scratch[:0], byte(s.begun), byte(len(s.acked)), byte(len(s.grants)), byte(s.at.Round))
+	key := append(scratch[:0], byte(s.begun), byte(len(s.acked)), byte(len(s.grants)), byte(s.at.Number))
 	for _, name := range nodes {
 		disk := s.disks[name]
-		key = append(disk.AppendKey(key), byte(s.proven[name].Round))
+		key = append(disk.AppendKey(key), byte(s.proven[name].Number))
 		call := s.calls[name]
 		if call == nil {
 			continue
@@ -207,7 +207,7 @@
 func (e *explorer) first() *modelState {
 	value := register.Value{Epoch: 1, Voters: namedVoters("A", "B", "C")}
 	value, _ = register.Configure(1, 0, register.DigestOf([]byte("1")))(value)
-	ballot := register.Ballot{Round: 1, Proposer: "setup"}
+	ballot := register.Ballot{Number: 1, Proposer: "setup"}
 	s := &modelState{disks: map[string]register.State{}, calls: map[string]*liveCall{}, proven: map[string]register.Ballot{},
 		acked: slices.Clone(value.Accepted), chosen: value, at: ballot}
 	for _, name := range e.nodes {
@@ -259,7 +259,7 @@
 	if len(known.Voters) == 0 {
 		known = next.chosen
 	}
-	ballot := register.Ballot{Round: e.highest(next) + 1, Proposer: fmt.Sprint(scripted.node, s.begun)}
+	ballot := register.Ballot{Number: e.highest(next) + 1, Proposer: fmt.Sprint(scripted.node, s.begun)}
 	round, step := register.NewRound(ballot, register.Value{Epoch: known.Epoch, Voters: known.Voters, Previous: known.Previous},
 		scripted.change(known))
 	round.TrustChosen(next.proven[scripted.node])
@@ -276,10 +276,10 @@
 func (e *explorer) highest(s *modelState) uint64 {
 	highest := uint64(0)
 	for _, disk := range s.disks {
-		highest = max(highest, disk.Promised.Round)
+		highest = max(highest, disk.Promised.Number)
 	}
 	for _, call := range s.calls {
-		highest = max(highest, call.round.Ballot.Round)
+		highest = max(highest, call.round.Ballot.Number)
 	}
 	return highest
 }
--- a/internal/decide/register/export_test.go
+++ b/internal/decide/register/export_test.go
@@ -42,7 +42,7 @@
 }
 
 func (b Ballot) appendKey(key []byte) []byte {
-	return append(append(binary.AppendUvarint(key, b.Round), b.Proposer...), '/')
+	return append(append(binary.AppendUvarint(key, b.Number), b.Proposer...), '/')
 }
 
 // AppendKey appends what tells the states of disks apart.
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -50,23 +50,23 @@
 	founder := register.State{ID: "a", Value: register.Value{Epoch: 1, Voters: []register.Voter{{ID: "a"}}}}
 
 	It("turns away who means another identity", func() {
-		_, promise := register.NewAcceptor(founder).HandlePrepare(register.PrepareRequest{To: "b", Ballot: register.Ballot{Round: 1}})
+		_, promise := register.NewAcceptor(founder).HandlePrepare(register.PrepareRequest{To: "b", Ballot: register.Ballot{Number: 1}})
 		Expect(promise.WrongVoter).To(BeTrue())
 		Expect(promise.OK).To(BeFalse())
 	})
 
 	It("promises nothing below what it has promised, and names what stands in the way", func() {
 		a := register.NewAcceptor(founder)
-		next, _ := a.HandlePrepare(register.PrepareRequest{To: "a", Ballot: register.Ballot{Round: 5}})
+		next, _ := a.HandlePrepare(register.PrepareRequest{To: "a", Ballot: register.Ballot{Number: 5}})
 		a.Stored(*next)
-		_, promise := a.HandlePrepare(register.PrepareRequest{To: "a", Ballot: register.Ballot{Round: 4, Proposer: "z"}})
+		_, promise := a.HandlePrepare(register.PrepareRequest{To: "a", Ballot: register.Ballot{Number: 4, Proposer: "z"}})
 		Expect(promise.OK).To(BeFalse())
-		Expect(promise.Promised.Round).To(BeEquivalentTo(5))
+		Expect(promise.Promised.Number).To(BeEquivalentTo(5))
 	})
 
 	It("asks for the bytes of a configuration that it lacks", func() {
 		a := register.NewAcceptor(founder)
-		request := register.AcceptRequest{To: "a", Ballot: register.Ballot{Round: 1}, Value: register.Value{Version: 3}}
+		request := register.AcceptRequest{To: "a", Ballot: register.Ballot{Number: 1}, Value: register.Value{Version: 3}}
 		next, answer := a.HandleAccept(request, false)
 		Expect(next).To(BeNil())
 		Expect(answer.NeedsConfig).To(BeTrue())
@@ -76,7 +76,7 @@
 var _ = Describe("a round", func() {
 	It("does not take a voter that has accepted nothing for one that knows the voters", func() {
 		voters := []register.Voter{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}, {ID: "c", Address: "3"}}
-		round, step := register.NewRound(register.Ballot{Round: 1}, register.Value{Epoch: 2, Voters: voters}, register.Keep)
+		round, step := register.NewRound(register.Ballot{Number: 1}, register.Value{Epoch: 2, Voters: voters}, register.Keep)
 		Expect(step.Prepare).To(HaveLen(3))
 		step = round.Promised(voters[0], register.PrepareReply{OK: true})
 		Expect(step.Accept).To(BeEmpty(), "one of three is no majority")
@@ -86,8 +86,8 @@
 		voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 		after := []register.Voter{voter("d"), voter("e"), voter("f")}
-		chosen := register.PrepareReply{OK: true, Accepted: register.Ballot{Round: 1}, Value: before}
-		round, _ := register.NewRound(register.Ballot{Round: 2}, before, register.Reconfigure(1, after))
+		chosen := register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 1}, Value: before}
+		round, _ := register.NewRound(register.Ballot{Number: 2}, before, register.Reconfigure(1, after))
 		round.Promised(voter("a"), chosen)
 		step := round.Promised(voter("b"), chosen)
 		Expect(step.Accept).To(HaveLen(6))
@@ -103,9 +103,9 @@
 			voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 			before := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 			after := []register.Voter{voter("a"), voter("b"), voter("d")}
-			round, _ := register.NewRound(register.Ballot{Round: 5}, before, register.Reconfigure(1, after))
+			round, _ := register.NewRound(register.Ballot{Number: 5}, before, register.Reconfigure(1, after))
 			round.TrustChosen(proven)
-			round.Promised(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Round: 3}, Value: before})
+			round.Promised(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 3}, Value: before})
 			round.Promised(voter("b"), register.PrepareReply{OK: true, Accepted: accepted, Value: before})
 			for _, id := range []string{"a", "b", "c"} {
 				round.Accepted(voter(id), register.AcceptReply{OK: true})
@@ -113,16 +113,16 @@
 			round.Accepted(voter("d"), register.AcceptReply{OK: true})
 			Expect(round.Outcome).To(Equal(want))
 		},
-		Entry("a majority has accepted it", register.Ballot{Round: 3}, register.Ballot{}, register.Chosen),
-		Entry("one voter alone has accepted it", register.Ballot{Round: 2}, register.Ballot{}, register.Confirmed),
-		Entry("an earlier round has found it chosen", register.Ballot{Round: 2}, register.Ballot{Round: 3}, register.Chosen),
-		Entry("an earlier round has found another one chosen", register.Ballot{Round: 2}, register.Ballot{Round: 2}, register.Confirmed),
+		Entry("a majority has accepted it", register.Ballot{Number: 3}, register.Ballot{}, register.Chosen),
+		Entry("one voter alone has accepted it", register.Ballot{Number: 2}, register.Ballot{}, register.Confirmed),
+		Entry("an earlier round has found it chosen", register.Ballot{Number: 2}, register.Ballot{Number: 3}, register.Chosen),
+		Entry("an earlier round has found another one chosen", register.Ballot{Number: 2}, register.Ballot{Number: 2}, register.Confirmed),
 	)
 
 	It("lets a configuration change at once, by the voters of a value that may not be chosen", func() {
 		voter := register.Voter{ID: "a", Address: "a"}
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter}}
-		round, _ := register.NewRound(register.Ballot{Round: 2}, before, register.Configure(1, 0, register.DigestOf([]byte("x"))))
+		round, _ := register.NewRound(register.Ballot{Number: 2}, before, register.Configure(1, 0, register.DigestOf([]byte("x"))))
 		Expect(round.Promised(voter, register.PrepareReply{OK: true}).Accept).To(ConsistOf(voter))
 		Expect(round.Accepted(voter, register.AcceptReply{OK: true}).Done).To(BeTrue())
 		Expect(round.Outcome).To(Equal(register.Chosen))
@@ -217,26 +217,26 @@
 })
 
 var _ = Describe("a learner", func() {
-	old := register.State{ID: "d", Promised: register.Ballot{Round: 9}, Ballot: register.Ballot{Round: 2}, Value: register.Value{Version: 1}}
+	old := register.State{ID: "d", Promised: register.Ballot{Number: 9}, Ballot: register.Ballot{Number: 2}, Value: register.Value{Version: 1}}
 	learn := func(round uint64, hasConfig bool) (*register.State, bool) {
-		return register.NewAcceptor(old).HandleLearn(register.Ballot{Round: round}, register.Value{Version: 4}, hasConfig)
+		return register.NewAcceptor(old).HandleLearn(register.Ballot{Number: round}, register.Value{Version: 4}, hasConfig)
 	}
 
 	It("takes a chosen value and keeps its promise", func() {
 		next, held := learn(5, true)
 		Expect(held).To(BeTrue())
 		Expect(next.Value.Version).To(BeEquivalentTo(4))
-		Expect(next.Ballot.Round).To(BeEquivalentTo(5))
+		Expect(next.Ballot.Number).To(BeEquivalentTo(5))
 		Expect(next.Promised).To(Equal(old.Promised))
 	})
 
 	It("accepts nothing below what it has learned", func() {
 		a := register.NewAcceptor(register.State{ID: "d"})
-		next, _ := a.HandleLearn(register.Ballot{Round: 5}, register.Value{Version: 4}, true)
+		next, _ := a.HandleLearn(register.Ballot{Number: 5}, register.Value{Version: 4}, true)
 		a.Stored(*next)
-		_, promise := a.HandlePrepare(register.PrepareRequest{To: "d", Ballot: register.Ballot{Round: 3}})
+		_, promise := a.HandlePrepare(register.PrepareRequest{To: "d", Ballot: register.Ballot{Number: 3}})
 		Expect(promise.OK).To(BeFalse())
-		_, accepted := a.HandleAccept(register.AcceptRequest{To: "d", Ballot: register.Ballot{Round: 3}}, true)
+		_, accepted := a.HandleAccept(register.AcceptRequest{To: "d", Ballot: register.Ballot{Number: 3}}, true)
 		Expect(accepted.OK).To(BeFalse())
 	})
 
--- a/internal/decide/register/stored_form_test.go
+++ b/internal/decide/register/stored_form_test.go
@@ -17,8 +17,8 @@
 
 // TestStoredForm pins the bytes of what voters store and send. Processes of other versions read these bytes.
 func TestStoredForm(t *testing.T) {
-	ballot := register.Ballot{Round: 70000, Proposer: "m-1"}
-	other := register.Ballot{Round: 69999, Proposer: "m-2"}
+	ballot := register.Ballot{Number: 70000, Proposer: "m-1"}
+	other := register.Ballot{Number: 69999, Proposer: "m-2"}
 	voters := []register.Voter{{ID: "v-1", Address: "10.1.0.16:7720"}, {ID: "v-2", Address: "10.1.0.17:7720"}}
 	value := register.Value{
 		Epoch: 5, Voters: voters, Previous: voters[:1], Version: 300, Config: register.DigestOf([]byte("configuration")),
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -231,12 +231,12 @@
 		return
 	}
 	change := w.draw(op)
-	n.round = max(n.round, n.acceptor.State().Promised.Round) + 1
+	n.round = max(n.round, n.acceptor.State().Promised.Number) + 1
 	proposer := fmt.Sprintf("%s/%d", n.address, n.life)
 	if w.faults.reuseBallots {
 		n.round, proposer = uint64(op.id%7+1), n.address
 	}
-	op.ballot = register.Ballot{Round: n.round, Proposer: proposer}
+	op.ballot = register.Ballot{Number: n.round, Proposer: proposer}
 	var step register.Step
 	op.round, step = register.NewRound(op.ballot, voters, change)
 	op.round.TrustChosen(n.proven)
@@ -305,7 +305,7 @@
 		value, outcome, at = op.reading.Value, op.reading.Outcome, op.reading.At
 	} else {
 		value, outcome, at = op.round.Value, op.round.Outcome, op.round.At
-		n.round = max(n.round, op.round.Above.Round)
+		n.round = max(n.round, op.round.Above.Number)
 	}
 	if holds(outcome) {
 		n.proven = at
--- a/internal/message/wire_form_test.go
+++ b/internal/message/wire_form_test.go
@@ -28,7 +28,7 @@
 // wireValues holds a value of each type that is sent between processes, with every field set.
 func wireValues() map[string]any {
 	digest := register.DigestOf([]byte("configuration"))
-	ballot := register.Ballot{Round: 300, Proposer: "control-1/00000000000000aa"}
+	ballot := register.Ballot{Number: 300, Proposer: "control-1/00000000000000aa"}
 	value := register.Value{Epoch: 5, Voters: []register.Voter{{ID: "founder@10.0.0.1:7000", Address: "10.0.0.1:7000"}},
 		Previous: []register.Voter{{ID: "10.0.0.2:7000#0102", Address: "10.0.0.2:7000"}}, Version: 70000, Config: digest,
 		Accepted: []register.Digest{digest}, Grants: []register.Grant{{Role: "stages", Holder: "control-1", Token: 9}}}
@@ -51,7 +51,7 @@
 			WantsList: true, UpdatesOnly: true},
 		"ConfigRequest": message.ConfigRequest{Digest: digest, Offset: 131072, Length: 131072},
 		"ConfigReply":   message.ConfigReply{Data: []byte("piece"), Size: 200000},
-		"Learn":         message.LearnRequest{To: "founder@10.0.0.1:7000", Ballot: ballot, Value: value, MinBallot: register.Ballot{Round: 299, Proposer: "control-2"}},
+		"Learn":         message.LearnRequest{To: "founder@10.0.0.1:7000", Ballot: ballot, Value: value, MinBallot: register.Ballot{Number: 299, Proposer: "control-2"}},
 		"Learned":       message.LearnReply{UpToDate: true},
 		"Feed": message.Feed{Table: &table, List: &list, Loads: []message.Load{load}, Plan: &plan, ProxyRank: 2,
 			ProxyCount: 300},
