--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -66,7 +66,7 @@
 	if len(known.Voters) == 0 {
 		return register.Value{}, errUnknownVoters
 	}
-	return register.Value{Epoch: known.Epoch, Voters: known.Voters, Previous: known.Previous}, nil
+	return register.Value{Epoch: known.Epoch, Voters: known.Voters, OutgoingVoters: known.OutgoingVoters}, nil
 }
 
 // Change makes a change in as many rounds as it takes. Once an error is returned nothing is known of the change: it may hold.
--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return false, err
 	}
-	if len(value.Previous) == 0 {
+	if len(value.OutgoingVoters) == 0 {
 		assumed := reconfiguration.Assume(&value.Value, c.candidates(), c.isReachable)
 		candidates := c.queryLearners(ctx, value, assumed, learners)
 		next, needed := register.Membership(value.Voters, candidates, c.targetVoters())
@@ -76,7 +76,7 @@
 	if err != nil || outcome != register.Chosen {
 		return false, err
 	}
-	c.log.WithField("epoch", value.Epoch).WithField("voters", len(value.Voters)).WithField("before", len(value.Previous)).Info("voters changed")
+	c.log.WithField("epoch", value.Epoch).WithField("voters", len(value.Voters)).WithField("before", len(value.OutgoingVoters)).Info("voters changed")
 	return true, nil
 }
 
--- a/internal/control/stored_form_test.go
+++ b/internal/control/stored_form_test.go
@@ -50,7 +50,7 @@
 		value.Grants = []register.Grant{{Role: "stages", Holder: "c1", Token: uint64(version)}, {Role: "other", Holder: "c2", Token: 70000}}
 	}
 	if configs >= 3 {
-		value.Epoch, value.Previous = 2, value.Voters
+		value.Epoch, value.OutgoingVoters = 2, value.Voters
 		value.Voters = []register.Voter{founder("127.0.5.10"), founder("127.0.5.11"), {ID: "127.0.5.13:20000#0102030405060708", Address: "127.0.5.13:20000"}}
 	}
 	return value
--- a/internal/control/testcluster_test.go
+++ b/internal/control/testcluster_test.go
@@ -236,7 +236,7 @@
 	facts, _ := s.machines[0].control.node.Facts()
 	for _, voter := range facts.Voters.Voters {
 		if voter.ID == s.machines[i].control.proposer.self.ID {
-			return len(facts.Voters.Previous) == 0
+			return len(facts.Voters.OutgoingVoters) == 0
 		}
 	}
 	return false
--- a/internal/decide/reconfiguration/faults_test.go
+++ b/internal/decide/reconfiguration/faults_test.go
@@ -267,7 +267,7 @@
 		for _, voter := range n.told.Voters {
 			votes = votes || voter.ID == n.disk.ID
 		}
-		if !votes || len(n.told.Previous) > 0 {
+		if !votes || len(n.told.OutgoingVoters) > 0 {
 			w.breakRule("%s (%s) does not vote in the end: epoch %d, %v", n.address, n.disk.ID, n.told.Epoch, n.told.Voters)
 		}
 		if n.disk.Value.Version+20 < w.highest {
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -75,7 +75,7 @@
 	if at.Compare(w.newestAt) > 0 {
 		w.newestAt = at
 	}
-	w.takeTold(n, register.Value{Epoch: value.Epoch, Voters: value.Voters, Previous: value.Previous})
+	w.takeTold(n, register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters})
 	n.hearGrant(value.Grant(roleName), nil)
 }
 
--- a/internal/decide/reconfiguration/upkeep.go
+++ b/internal/decide/reconfiguration/upkeep.go
@@ -53,7 +53,7 @@
 	if len(value.Voters) == 0 {
 		return false
 	}
-	if len(value.Previous) > 0 {
+	if len(value.OutgoingVoters) > 0 {
 		return true
 	}
 	assumed := slices.Clone(candidates)
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -287,7 +287,7 @@
 	if own := n.acceptor.State().Value; own.Epoch >= value.Epoch {
 		value = own
 	}
-	return register.Value{Epoch: value.Epoch, Voters: value.Voters, Previous: value.Previous}
+	return register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters}
 }
 
 // alive returns a function that does nothing once the life of a node is over.
@@ -365,7 +365,7 @@
 		switch {
 		case !ok:
 			stop()
-		case len(value.Previous) > 0:
+		case len(value.OutgoingVoters) > 0:
 			w.change(n, register.Settle, until, func(*register.Round) { stop() })
 		default:
 			w.askLearners(n, value, at, until, stop)
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -54,22 +54,22 @@
 // Reconfigure returns the change to other voters, of the epoch after the given one. Both sets decide until Settle.
 func Reconfigure(epoch uint64, voters []Voter) Change {
 	return func(current Value) (Value, bool) {
-		if current.Epoch != epoch || len(current.Previous) > 0 || len(voters) == 0 {
+		if current.Epoch != epoch || len(current.OutgoingVoters) > 0 || len(voters) == 0 {
 			return current, false
 		}
 		current.Epoch++
-		current.Previous, current.Voters = current.Voters, slices.Clone(voters)
+		current.OutgoingVoters, current.Voters = current.Voters, slices.Clone(voters)
 		return current, true
 	}
 }
 
 // Settle is the change that lets the new voters decide alone.
 func Settle(current Value) (Value, bool) {
-	if len(current.Previous) == 0 {
+	if len(current.OutgoingVoters) == 0 {
 		return current, false
 	}
 	current.Epoch++
-	current.Previous = nil
+	current.OutgoingVoters = nil
 	return current, true
 }
 
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -53,7 +53,7 @@
 
 func reconfigures(node string, voters ...string) scriptedCall {
 	return scriptedCall{node: node, change: func(known register.Value) register.Change {
-		if len(known.Previous) > 0 {
+		if len(known.OutgoingVoters) > 0 {
 			return register.Settle
 		}
 		return register.Reconfigure(known.Epoch, namedVoters(voters...))
@@ -260,7 +260,7 @@
 		known = next.chosen
 	}
 	ballot := register.Ballot{Number: e.highest(next) + 1, Proposer: fmt.Sprint(scripted.node, s.begun)}
-	round, step := register.NewRound(ballot, register.Value{Epoch: known.Epoch, Voters: known.Voters, Previous: known.Previous},
+	round, step := register.NewRound(ballot, register.Value{Epoch: known.Epoch, Voters: known.Voters, OutgoingVoters: known.OutgoingVoters},
 		scripted.change(known))
 	round.TrustChosen(next.proven[scripted.node])
 	if e.trustAccepted {
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -47,18 +47,18 @@
 
 // Value is what the register holds.
 type Value struct {
-	Epoch    uint64   `msgpack:"e"` // counts changes of the voters
-	Voters   []Voter  `msgpack:"v"`
-	Previous []Voter  `msgpack:"o"` // the voters before, while both sets decide; else empty
-	Version  uint64   `msgpack:"n"` // of the configuration; 0: there is none yet
-	Config   Digest   `msgpack:"c"`
-	Accepted []Digest `msgpack:"d"` // the configurations accepted last, the newest at the end
-	Grants   []Grant  `msgpack:"g"`
+	Epoch          uint64   `msgpack:"e"` // counts changes of the voters
+	Voters         []Voter  `msgpack:"v"`
+	OutgoingVoters []Voter  `msgpack:"o"` // the voters before, while both sets decide; else empty
+	Version        uint64   `msgpack:"n"` // of the configuration; 0: there is none yet
+	Config         Digest   `msgpack:"c"`
+	Accepted       []Digest `msgpack:"d"` // the configurations accepted last, the newest at the end
+	Grants         []Grant  `msgpack:"g"`
 }
 
 // Clone returns a value that shares no memory with v.
 func (v Value) Clone() Value {
-	v.Voters, v.Previous = slices.Clone(v.Voters), slices.Clone(v.Previous)
+	v.Voters, v.OutgoingVoters = slices.Clone(v.Voters), slices.Clone(v.OutgoingVoters)
 	v.Accepted, v.Grants = slices.Clone(v.Accepted), slices.Clone(v.Grants)
 	return v
 }
@@ -74,10 +74,10 @@
 }
 
 // Everyone returns the voters of both sets, each once.
-func (v *Value) Everyone() []Voter { return union(v.Voters, v.Previous) }
+func (v *Value) Everyone() []Voter { return union(v.Voters, v.OutgoingVoters) }
 
 // Majority tells whether a majority of the voters, and of those before while both decide, is in.
-func (v *Value) Majority(in func(Voter) bool) bool { return quorum(in, v.Voters, v.Previous) }
+func (v *Value) Majority(in func(Voter) bool) bool { return quorum(in, v.Voters, v.OutgoingVoters) }
 
 func union(sets ...[]Voter) (all []Voter) {
 	for _, set := range sets {
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -85,7 +85,7 @@
 		return Step{Prepare: more}
 	}
 	promised := func(voter Voter) bool { _, ok := r.promises[voter]; return ok }
-	if !quorum(promised, newest.Value.Voters, newest.Value.Previous) {
+	if !quorum(promised, newest.Value.Voters, newest.Value.OutgoingVoters) {
 		return Step{}
 	}
 	return r.propose(newest)
@@ -120,7 +120,7 @@
 	}
 	r.proposing, r.Value, r.At = true, next, r.Ballot
 	r.lost = map[Voter]bool{}
-	r.sets = [][]Voter{newest.Value.Voters, newest.Value.Previous, next.Voters, next.Previous}
+	r.sets = [][]Voter{newest.Value.Voters, newest.Value.OutgoingVoters, next.Voters, next.OutgoingVoters}
 	return Step{Accept: union(r.sets...)}
 }
 
@@ -133,7 +133,7 @@
 	if newest.Accepted == (Ballot{}) {
 		return false
 	}
-	return newest.Accepted == r.proven || quorum(same, newest.Value.Voters, newest.Value.Previous)
+	return newest.Accepted == r.proven || quorum(same, newest.Value.Voters, newest.Value.OutgoingVoters)
 }
 
 // Accepted takes a voter's answer to Accept.
@@ -183,7 +183,7 @@
 	sets := r.sets
 	if !r.proposing {
 		newest := r.newest()
-		sets = [][]Voter{newest.Value.Voters, newest.Value.Previous}
+		sets = [][]Voter{newest.Value.Voters, newest.Value.OutgoingVoters}
 	}
 	if quorum(func(voter Voter) bool { return !r.lost[voter] }, sets...) {
 		return Step{}
@@ -236,7 +236,7 @@
 		other, ok := r.answers[voter]
 		return ok && other.Accepted == newest.Accepted
 	}
-	if newest.Accepted != (Ballot{}) && quorum(same, newest.Value.Voters, newest.Value.Previous) {
+	if newest.Accepted != (Ballot{}) && quorum(same, newest.Value.Voters, newest.Value.OutgoingVoters) {
 		r.Outcome, r.Value, r.At = Chosen, newest.Value, newest.Accepted
 		return Step{Done: true}
 	}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -223,7 +223,7 @@
 	op := &operation{id: w.nextOp, node: n, life: n.life, must: slices.Clone(w.acked), version: w.highest, began: w.now}
 	w.nextOp++
 	n.op = op
-	voters := register.Value{Epoch: n.known.Epoch, Voters: n.known.Voters, Previous: n.known.Previous}
+	voters := register.Value{Epoch: n.known.Epoch, Voters: n.known.Voters, OutgoingVoters: n.known.OutgoingVoters}
 	if w.rng.IntN(4) == 0 {
 		var step register.Step
 		op.reading, step = register.NewReading(voters)
@@ -266,7 +266,7 @@
 }
 
 func (w *world) membership(n *node) register.Change {
-	if len(n.known.Previous) > 0 {
+	if len(n.known.OutgoingVoters) > 0 {
 		return register.Settle
 	}
 	var candidates []register.Candidate
@@ -418,7 +418,7 @@
 
 // wipe takes a node's disk, if all voters still have theirs: one may be lost at a time.
 func (w *world) wipe() {
-	if len(w.newest.Previous) > 0 {
+	if len(w.newest.OutgoingVoters) > 0 {
 		return
 	}
 	for _, voter := range w.newest.Voters {
@@ -437,7 +437,7 @@
 	n.up, n.op = false, nil
 	n.durable = register.State{ID: id}
 	if w.faults.wipedVotes {
-		n.durable.Value = register.Value{Epoch: value.Epoch, Voters: value.Voters, Previous: value.Previous}
+		n.durable.Value = register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters}
 	}
 }
 
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -127,7 +127,7 @@
 }
 
 func votersOf(value register.Value) register.Value {
-	return register.Value{Epoch: value.Epoch, Voters: value.Voters, Previous: value.Previous}
+	return register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters}
 }
 
 // serveGossip answers an exchange with what the peer asks for, and asks for what is lacking here.
