--- a/internal/control/antientropy.go
+++ b/internal/control/antientropy.go
@@ -48,5 +48,5 @@
 // knowsLess tells whether a value has a newer configuration than the one that this process tells others.
 func (c *Control) hasNewerConfig(value register.Value) bool {
 	facts, _ := c.node.Facts()
-	return value.Version > 0 && (facts.Table == nil || facts.Table.Version < value.Version)
+	return value.ConfigVersion > 0 && (facts.Table == nil || facts.Table.Version < value.ConfigVersion)
 }
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -76,7 +76,7 @@
 			if err == nil {
 				break
 			}
-			c.log.WithField("version", target.Version).WithError(err).Warn("behind the newest configuration")
+			c.log.WithField("version", target.ConfigVersion).WithError(err).Warn("behind the newest configuration")
 			if c.chosen.latest().Ballot != target.Ballot {
 				continue // what was asked for has been superseded
 			}
@@ -91,13 +91,13 @@
 // catchUp takes a value that was chosen: first what it says is told, then it goes to the disk.
 func (c *Control) catchUp(ctx context.Context, value chosenValue) error {
 	facts, _ := c.node.Facts()
-	published := value.Version == 0 || facts.Table != nil && facts.Table.Version >= value.Version
+	published := value.ConfigVersion == 0 || facts.Table != nil && facts.Table.Version >= value.ConfigVersion
 	behind := value.Ballot.Compare(c.replica.state().Ballot) > 0
 	if published && !behind {
 		return nil
 	}
 	var data []byte
-	if value.Version > 0 {
+	if value.ConfigVersion > 0 {
 		var err error
 		if data, err = c.proposer.configBytes(ctx, value.Value); err != nil {
 			return err
@@ -115,7 +115,7 @@
 	}
 	_, err := c.replica.learn(value, data)
 	if err == nil {
-		c.log.WithField("version", value.Version).WithField("epoch", value.Epoch).WithField("ballot", value.Ballot.Number).Info("caught up")
+		c.log.WithField("version", value.ConfigVersion).WithField("epoch", value.Epoch).WithField("ballot", value.Ballot.Number).Info("caught up")
 	}
 	return err
 }
--- a/internal/control/configapi.go
+++ b/internal/control/configapi.go
@@ -116,7 +116,7 @@
 	if verdict := value.Judge(patch.Version, request.base, identity); verdict != register.Fits {
 		return rejection(value.Value, verdict)
 	}
-	if value.Version == 0 {
+	if value.ConfigVersion == 0 {
 		return changeResult{http.StatusBadRequest, "there is no configuration yet that could be changed"}
 	}
 	current, err := c.proposer.configBytes(ctx, value.Value)
@@ -164,7 +164,7 @@
 
 // unfit is what a change earns that does not go on top of a value.
 func rejection(value register.Value, verdict register.Verdict) changeResult {
-	current := strconv.FormatUint(value.Version, 10)
+	current := strconv.FormatUint(value.ConfigVersion, 10)
 	switch verdict {
 	case register.Repeated:
 		return changeAccepted
@@ -186,7 +186,7 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	if value.Version == 0 {
+	if value.ConfigVersion == 0 {
 		http.Error(w, "there is no configuration yet", http.StatusNotFound)
 		return
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -197,7 +197,7 @@
 		s.start(1, false)
 		after := s.machines[1].control.replica.state()
 		Expect(after.ID).To(Equal(before.ID))
-		Expect(after.Value.Version).To(BeEquivalentTo(1))
+		Expect(after.Value.ConfigVersion).To(BeEquivalentTo(1))
 		Expect(s.storedVersion(1)).To(Equal(1))
 	})
 })
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -155,7 +155,7 @@
 		return err
 	}
 	r.mu.Lock()
-	newer := state.Value.Version > r.acceptor.State().Value.Version
+	newer := state.Value.ConfigVersion > r.acceptor.State().Value.ConfigVersion
 	r.acceptor.Stored(*state)
 	if config != nil {
 		r.cacheConfig(state.Value.Config, config)
--- a/internal/control/testcluster_test.go
+++ b/internal/control/testcluster_test.go
@@ -228,7 +228,7 @@
 	if s.machines[i].control.replica.configBytes(value.Config) == nil {
 		return 0
 	}
-	return int(value.Version)
+	return int(value.ConfigVersion)
 }
 
 // votes tells whether a machine's disk votes and decides alone with the other voters.
--- a/internal/control/wire_form_test.go
+++ b/internal/control/wire_form_test.go
@@ -93,7 +93,7 @@
 	It("has a status for each verdict on a change", func() {
 		var out strings.Builder
 		for _, judged := range []register.Verdict{register.Fits, register.Repeated, register.Stale, register.NotAbove} {
-			got := rejection(register.Value{Version: 7}, judged)
+			got := rejection(register.Value{ConfigVersion: 7}, judged)
 			fmt.Fprintf(&out, "%d: %d %s\n", judged, got.status, got.message)
 		}
 		for _, got := range []changeResult{changeAccepted, invalidChange(errUnknownVoters), unavailableChange(errUnknownVoters)} {
--- a/internal/decide/reconfiguration/faults_test.go
+++ b/internal/decide/reconfiguration/faults_test.go
@@ -270,8 +270,8 @@
 		if !votes || len(n.told.OutgoingVoters) > 0 {
 			w.breakRule("%s (%s) does not vote in the end: epoch %d, %v", n.address, n.disk.ID, n.told.Epoch, n.told.Voters)
 		}
-		if n.disk.Value.Version+20 < w.highest {
-			w.breakRule("%s is at version %d in the end, %d is in force", n.address, n.disk.Value.Version, w.highest)
+		if n.disk.Value.ConfigVersion+20 < w.highest {
+			w.breakRule("%s is at version %d in the end, %d is in force", n.address, n.disk.Value.ConfigVersion, w.highest)
 		}
 	}
 }
--- a/internal/decide/reconfiguration/rules_test.go
+++ b/internal/decide/reconfiguration/rules_test.go
@@ -15,8 +15,8 @@
 		if slices.Contains(value.Voters, voter) || n == nil || n.disk.ID != voter.ID {
 			continue
 		}
-		if n.disk.Value.Version < n.since {
-			w.breakRule("%s votes with version %d, %d was acknowledged before it began", voter.ID, n.disk.Value.Version, n.since)
+		if n.disk.Value.ConfigVersion < n.since {
+			w.breakRule("%s votes with version %d, %d was acknowledged before it began", voter.ID, n.disk.Value.ConfigVersion, n.since)
 		}
 	}
 }
@@ -55,13 +55,13 @@
 		}
 		for _, digest := range must {
 			if !has[digest] {
-				w.breakRule("%s returns version %d without an acknowledged change", n.address, value.Version)
+				w.breakRule("%s returns version %d without an acknowledged change", n.address, value.ConfigVersion)
 			}
 		}
-		if value.Version < seen {
-			w.breakRule("%s returns version %d after %d was seen", n.address, value.Version, seen)
+		if value.ConfigVersion < seen {
+			w.breakRule("%s returns version %d after %d was seen", n.address, value.ConfigVersion, seen)
 		}
-		w.highest = max(w.highest, value.Version)
+		w.highest = max(w.highest, value.ConfigVersion)
 	}
 	if w.rng.IntN(3) == 0 {
 		w.read(n, w.now+1.5, func(value register.Value, _ register.Ballot, ok bool) {
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -21,9 +21,9 @@
 	switch {
 	case slices.Contains(v.Accepted, identity):
 		return Repeated
-	case base != v.Version:
+	case base != v.ConfigVersion:
 		return Stale
-	case version <= v.Version:
+	case version <= v.ConfigVersion:
 		return NotAbove
 	}
 	return Fits
@@ -42,7 +42,7 @@
 		if current.Judge(version, base, identity) != Fits {
 			return current, false
 		}
-		current.Version, current.Config = version, digest
+		current.ConfigVersion, current.Config = version, digest
 		current.Accepted = append(current.Accepted, identity)
 		if excess := len(current.Accepted) - mostAccepted; excess > 0 {
 			current.Accepted = slices.Delete(current.Accepted, 0, excess)
--- a/internal/decide/register/export_test.go
+++ b/internal/decide/register/export_test.go
@@ -53,7 +53,7 @@
 
 // AppendKey appends what tells values apart.
 func (v *Value) AppendKey(key []byte) []byte {
-	key = binary.AppendUvarint(binary.AppendUvarint(key, v.Epoch), v.Version)
+	key = binary.AppendUvarint(binary.AppendUvarint(key, v.Epoch), v.ConfigVersion)
 	for _, set := range [][]Voter{v.Voters, v.OutgoingVoters} {
 		key = append(key, '|')
 		for _, voter := range set {
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -50,7 +50,7 @@
 	Epoch          uint64   `msgpack:"e"` // counts changes of the voters
 	Voters         []Voter  `msgpack:"v"`
 	OutgoingVoters []Voter  `msgpack:"o"` // the voters before, while both sets decide; else empty
-	Version        uint64   `msgpack:"n"` // of the configuration; 0: there is none yet
+	ConfigVersion  uint64   `msgpack:"n"` // of the configuration; 0: there is none yet
 	Config         Digest   `msgpack:"c"`
 	Accepted       []Digest `msgpack:"d"` // the configurations accepted last, the newest at the end
 	Grants         []Grant  `msgpack:"g"`
@@ -191,7 +191,7 @@
 	if request.Ballot.Compare(a.state.Promised) < 0 {
 		return nil, AcceptReply{Promised: a.state.Promised}
 	}
-	if !hasConfig && request.Value.Version != 0 {
+	if !hasConfig && request.Value.ConfigVersion != 0 {
 		return nil, AcceptReply{NeedsConfig: true}
 	}
 	answer := AcceptReply{OK: true, Promised: request.Ballot}
@@ -218,7 +218,7 @@
 	if at.Compare(a.state.Ballot) <= 0 {
 		return nil, true
 	}
-	if !hasConfig && value.Version != 0 {
+	if !hasConfig && value.ConfigVersion != 0 {
 		return nil, false
 	}
 	next := a.state
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -66,7 +66,7 @@
 
 	It("asks for the bytes of a configuration that it lacks", func() {
 		a := register.NewAcceptor(founder)
-		request := register.AcceptRequest{To: "a", Ballot: register.Ballot{Number: 1}, Value: register.Value{Version: 3}}
+		request := register.AcceptRequest{To: "a", Ballot: register.Ballot{Number: 1}, Value: register.Value{ConfigVersion: 3}}
 		next, answer := a.HandleAccept(request, false)
 		Expect(next).To(BeNil())
 		Expect(answer.NeedsConfig).To(BeTrue())
@@ -130,7 +130,7 @@
 })
 
 var _ = Describe("the judgement of a configuration", func() {
-	value := register.Value{Version: 7, Accepted: []register.Digest{register.DigestOf([]byte("old")), register.DigestOf([]byte("now"))}}
+	value := register.Value{ConfigVersion: 7, Accepted: []register.Digest{register.DigestOf([]byte("old")), register.DigestOf([]byte("now"))}}
 
 	DescribeTable("goes by what was accepted first", func(version, base uint64, data string, want register.Verdict) {
 		Expect(value.Judge(version, base, register.DigestOf([]byte(data)))).To(Equal(want))
@@ -217,22 +217,22 @@
 })
 
 var _ = Describe("a learner", func() {
-	old := register.State{ID: "d", Promised: register.Ballot{Number: 9}, Ballot: register.Ballot{Number: 2}, Value: register.Value{Version: 1}}
+	old := register.State{ID: "d", Promised: register.Ballot{Number: 9}, Ballot: register.Ballot{Number: 2}, Value: register.Value{ConfigVersion: 1}}
 	learn := func(round uint64, hasConfig bool) (*register.State, bool) {
-		return register.NewAcceptor(old).HandleLearn(register.Ballot{Number: round}, register.Value{Version: 4}, hasConfig)
+		return register.NewAcceptor(old).HandleLearn(register.Ballot{Number: round}, register.Value{ConfigVersion: 4}, hasConfig)
 	}
 
 	It("takes a chosen value and keeps its promise", func() {
 		next, held := learn(5, true)
 		Expect(held).To(BeTrue())
-		Expect(next.Value.Version).To(BeEquivalentTo(4))
+		Expect(next.Value.ConfigVersion).To(BeEquivalentTo(4))
 		Expect(next.Ballot.Number).To(BeEquivalentTo(5))
 		Expect(next.Promised).To(Equal(old.Promised))
 	})
 
 	It("accepts nothing below what it has learned", func() {
 		a := register.NewAcceptor(register.State{ID: "d"})
-		next, _ := a.HandleLearn(register.Ballot{Number: 5}, register.Value{Version: 4}, true)
+		next, _ := a.HandleLearn(register.Ballot{Number: 5}, register.Value{ConfigVersion: 4}, true)
 		a.Stored(*next)
 		_, promise := a.HandlePrepare(register.PrepareRequest{To: "d", Ballot: register.Ballot{Number: 3}})
 		Expect(promise.OK).To(BeFalse())
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -329,7 +329,7 @@
 	if op.isChange && (outcome == register.Chosen || value.Judge(op.base+1, op.base, op.digest) == register.Repeated) {
 		w.acknowledge(op)
 	}
-	w.highest = max(w.highest, value.Version)
+	w.highest = max(w.highest, value.ConfigVersion)
 }
 
 // holds tells whether a call has found a value that is chosen.
@@ -339,8 +339,8 @@
 
 // check holds a value that a call returns against all that was acknowledged before the call.
 func (w *world) check(op *operation, value register.Value) {
-	if value.Version < op.version {
-		w.breakRule("call %d returns version %d after %d was seen", op.id, value.Version, op.version)
+	if value.ConfigVersion < op.version {
+		w.breakRule("call %d returns version %d after %d was seen", op.id, value.ConfigVersion, op.version)
 	}
 	for _, digest := range op.must {
 		if !slices.Contains(value.Accepted, digest) {
