--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -210,7 +210,7 @@
 		Expect(s.put(0, 1, data)).To(Equal(http.StatusOK))
 		c := s.machines[0].control
 		value := c.replica.state().Value
-		Expect(c.replica.configBytes(value.Config)).To(HaveLen(len(data)))
+		Expect(c.replica.configBytes(value.ConfigDigest)).To(HaveLen(len(data)))
 		Eventually(func() int { return s.storedVersion(1) }, waitTimeout).Should(Equal(2))
 		fetched := newConfigFetcher()
 		calls := 0
@@ -220,10 +220,10 @@
 			}
 			return c.replica.handleConfigRequest(ctx, request)
 		}
-		got, err := fetched.fetch(context.Background(), value.Config, value.Voters[:1], ask)
+		got, err := fetched.fetch(context.Background(), value.ConfigDigest, value.Voters[:1], ask)
 		Expect(err).To(HaveOccurred())
 		Expect(got).To(BeNil())
-		got, err = fetched.fetch(context.Background(), value.Config, value.Voters[:1], ask)
+		got, err = fetched.fetch(context.Background(), value.ConfigDigest, value.Voters[:1], ask)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got).To(Equal(data))
 		Expect(calls).To(Equal((len(data)+chunkSize-1)/chunkSize+1), "no piece is fetched twice")
--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -203,7 +203,7 @@
 		request := &register.AcceptRequest{To: voter.ID, Ballot: round.Ballot, Value: round.Value}
 		send(func() voterReply {
 			data, err := config, error(nil)
-			if register.DigestOf(data) != request.Value.Config {
+			if register.DigestOf(data) != request.Value.ConfigDigest {
 				data, err = r.configBytes(ctx, request.Value)
 			}
 			if err != nil {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -158,7 +158,7 @@
 	newer := state.Value.ConfigVersion > r.acceptor.State().Value.ConfigVersion
 	r.acceptor.Stored(*state)
 	if config != nil {
-		r.cacheConfig(state.Value.Config, config)
+		r.cacheConfig(state.Value.ConfigDigest, config)
 	}
 	r.mu.Unlock()
 	if newer {
@@ -196,7 +196,7 @@
 func (r *replica) handleAccept(_ context.Context, request *register.AcceptRequest) (*register.AcceptReply, error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
-	digest := request.Value.Config
+	digest := request.Value.ConfigDigest
 	cached := r.configBytes(digest) != nil
 	if len(request.ConfigData) > 0 && register.DigestOf(request.ConfigData) != digest {
 		return nil, Error.New("the bytes of a configuration don't match its digest")
@@ -228,7 +228,7 @@
 func (r *replica) learn(value chosenValue, config []byte) (upToDate bool, err error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
-	cached := r.configBytes(value.Config) != nil
+	cached := r.configBytes(value.ConfigDigest) != nil
 	r.mu.Lock()
 	next, upToDate := r.acceptor.HandleLearn(value.Ballot, value.Value, cached || config != nil)
 	r.mu.Unlock()
--- a/internal/control/testcluster_test.go
+++ b/internal/control/testcluster_test.go
@@ -225,7 +225,7 @@
 // held returns the version on a machine's disk, 0 where the bytes of its configuration are not there.
 func (s *testCluster) storedVersion(i int) int {
 	value := s.machines[i].control.replica.state().Value
-	if s.machines[i].control.replica.configBytes(value.Config) == nil {
+	if s.machines[i].control.replica.configBytes(value.ConfigDigest) == nil {
 		return 0
 	}
 	return int(value.ConfigVersion)
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -12,11 +12,11 @@
 
 // Config returns the bytes of a value's configuration, from other voters where they aren't here.
 func (r *proposer) configBytes(ctx context.Context, value register.Value) ([]byte, error) {
-	if data := r.replica.configBytes(value.Config); data != nil {
+	if data := r.replica.configBytes(value.ConfigDigest); data != nil {
 		return data, nil
 	}
 	sources := slices.DeleteFunc(value.Everyone(), func(v register.Voter) bool { return v.Address == r.self.Address })
-	return r.fetcher.fetch(ctx, value.Config, sources, func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error) {
+	return r.fetcher.fetch(ctx, value.ConfigDigest, sources, func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error) {
 		reply := &message.ConfigReply{}
 		return reply, r.client.Call(ctx, from.Address, configPath, request, reply)
 	})
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -42,7 +42,7 @@
 		if current.Judge(version, base, identity) != Fits {
 			return current, false
 		}
-		current.ConfigVersion, current.Config = version, digest
+		current.ConfigVersion, current.ConfigDigest = version, digest
 		current.Accepted = append(current.Accepted, identity)
 		if excess := len(current.Accepted) - mostAccepted; excess > 0 {
 			current.Accepted = slices.Delete(current.Accepted, 0, excess)
--- a/internal/decide/register/history_test.go
+++ b/internal/decide/register/history_test.go
@@ -58,7 +58,7 @@
 // record adds a call that has returned a value.
 func (w *world) record(op *operation, value register.Value, outcome register.Outcome) {
 	w.history = append(w.history, porcupine.Operation{ClientId: op.id, Input: op.input(), Call: op.began, Return: w.now,
-		Output: callOutput{known: true, done: op.isChange && outcome == register.Chosen, version: value.ConfigVersion, digest: value.Config}})
+		Output: callOutput{known: true, done: op.isChange && outcome == register.Chosen, version: value.ConfigVersion, digest: value.ConfigDigest}})
 }
 
 // recordUnknown adds a call that has ended without an answer. Reads among them say nothing.
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -51,7 +51,7 @@
 	Voters         []Voter  `msgpack:"v"`
 	OutgoingVoters []Voter  `msgpack:"o"` // the voters before, while both sets decide; else empty
 	ConfigVersion  uint64   `msgpack:"n"` // of the configuration; 0: there is none yet
-	Config         Digest   `msgpack:"c"`
+	ConfigDigest   Digest   `msgpack:"c"`
 	Accepted       []Digest `msgpack:"d"` // the configurations accepted last, the newest at the end
 	Grants         []Grant  `msgpack:"g"`
 }
--- a/internal/decide/register/stored_form_test.go
+++ b/internal/decide/register/stored_form_test.go
@@ -21,14 +21,14 @@
 	other := register.Ballot{Number: 69999, Proposer: "m-2"}
 	voters := []register.Voter{{ID: "v-1", Address: "10.1.0.16:7720"}, {ID: "v-2", Address: "10.1.0.17:7720"}}
 	value := register.Value{
-		Epoch: 5, Voters: voters, OutgoingVoters: voters[:1], ConfigVersion: 300, Config: register.DigestOf([]byte("configuration")),
+		Epoch: 5, Voters: voters, OutgoingVoters: voters[:1], ConfigVersion: 300, ConfigDigest: register.DigestOf([]byte("configuration")),
 		Accepted: []register.Digest{register.DigestOf([]byte("older")), register.DigestOf([]byte("configuration"))},
 		Grants:   []register.Grant{{Role: "stages", Holder: "core-1/control", Token: 9}},
 	}
 	checkForm(t, "ballot", ballot)
 	checkForm(t, "voter", voters[0])
 	checkForm(t, "grant", value.Grants[0])
-	checkForm(t, "digest", value.Config)
+	checkForm(t, "digest", value.ConfigDigest)
 	checkForm(t, "value", value)
 	checkForm(t, "state", register.State{ID: "v-1", Promised: ballot, Ballot: other, Value: value})
 	checkForm(t, "prepare", register.PrepareRequest{To: "v-1", Ballot: ballot})
