--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -159,7 +159,7 @@
 		s.network.mu.Unlock()
 		s.start(2, false)
 		Eventually(func() int { return s.storedVersion(2) }, waitTimeout).Should(Equal(9))
-		Expect(s.machines[2].control.replica.state().Value.Accepted).To(HaveLen(9))
+		Expect(s.machines[2].control.replica.state().Value.AcceptedChanges).To(HaveLen(9))
 	})
 })
 
--- a/internal/control/stored_form_test.go
+++ b/internal/control/stored_form_test.go
@@ -46,7 +46,7 @@
 	value := register.Value{Epoch: 1, Voters: []register.Voter{founder("127.0.5.10"), founder("127.0.5.11"), founder("127.0.5.12")}}
 	for version := 1; version <= configs; version++ {
 		value.ConfigVersion, value.ConfigDigest = uint64(version), register.DigestOf(testConfig(version, 0))
-		value.Accepted = append(value.Accepted, value.ConfigDigest)
+		value.AcceptedChanges = append(value.AcceptedChanges, value.ConfigDigest)
 		value.Grants = []register.Grant{{Role: "stages", Holder: "c1", Token: uint64(version)}, {Role: "other", Holder: "c2", Token: 70000}}
 	}
 	if configs >= 3 {
--- a/internal/decide/reconfiguration/rules_test.go
+++ b/internal/decide/reconfiguration/rules_test.go
@@ -49,8 +49,8 @@
 	}
 	must, seen := w.acked[:len(w.acked):len(w.acked)], w.highest
 	check := func(value register.Value) {
-		has := make(map[register.Digest]bool, len(value.Accepted))
-		for _, digest := range value.Accepted {
+		has := make(map[register.Digest]bool, len(value.AcceptedChanges))
+		for _, digest := range value.AcceptedChanges {
 			has[digest] = true
 		}
 		for _, digest := range must {
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -19,7 +19,7 @@
 // Judge says how a change to this version, based on another, fares on top of v. identity tells changes apart.
 func (v *Value) Judge(version, base uint64, identity Digest) Verdict {
 	switch {
-	case slices.Contains(v.Accepted, identity):
+	case slices.Contains(v.AcceptedChanges, identity):
 		return Repeated
 	case base != v.ConfigVersion:
 		return Stale
@@ -43,9 +43,9 @@
 			return current, false
 		}
 		current.ConfigVersion, current.ConfigDigest = version, digest
-		current.Accepted = append(current.Accepted, identity)
-		if excess := len(current.Accepted) - mostAccepted; excess > 0 {
-			current.Accepted = slices.Delete(current.Accepted, 0, excess)
+		current.AcceptedChanges = append(current.AcceptedChanges, identity)
+		if excess := len(current.AcceptedChanges) - mostAccepted; excess > 0 {
+			current.AcceptedChanges = slices.Delete(current.AcceptedChanges, 0, excess)
 		}
 		return current, true
 	}
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -209,7 +209,7 @@
 	value, _ = register.Configure(1, 0, register.DigestOf([]byte("1")))(value)
 	ballot := register.Ballot{Number: 1, Proposer: "setup"}
 	s := &modelState{disks: map[string]register.State{}, calls: map[string]*liveCall{}, proven: map[string]register.Ballot{},
-		acked: slices.Clone(value.Accepted), chosen: value, at: ballot}
+		acked: slices.Clone(value.AcceptedChanges), chosen: value, at: ballot}
 	for _, name := range e.nodes {
 		s.disks[name] = register.State{ID: name}
 	}
@@ -362,12 +362,12 @@
 			continue
 		}
 		for _, digest := range s.acked[:call.must] {
-			if !slices.Contains(call.round.Value.Accepted, digest) {
+			if !slices.Contains(call.round.Value.AcceptedChanges, digest) {
 				return fmt.Sprintf("call %d lacks an acknowledged change", call.index)
 			}
 		}
-		for i, digest := range call.round.Value.Accepted {
-			if slices.Contains(call.round.Value.Accepted[:i], digest) {
+		for i, digest := range call.round.Value.AcceptedChanges {
+			if slices.Contains(call.round.Value.AcceptedChanges[:i], digest) {
 				return fmt.Sprintf("call %d finds a change that was made twice", call.index)
 			}
 		}
--- a/internal/decide/register/export_test.go
+++ b/internal/decide/register/export_test.go
@@ -63,7 +63,7 @@
 	for _, grant := range v.Grants {
 		key = binary.AppendUvarint(append(append(key, '@'), grant.Holder...), grant.Token)
 	}
-	for _, digest := range v.Accepted {
+	for _, digest := range v.AcceptedChanges {
 		key = append(key, digest[:4]...)
 	}
 	return key
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -47,19 +47,19 @@
 
 // Value is what the register holds.
 type Value struct {
-	Epoch          uint64   `msgpack:"e"` // counts changes of the voters
-	Voters         []Voter  `msgpack:"v"`
-	OutgoingVoters []Voter  `msgpack:"o"` // the voters before, while both sets decide; else empty
-	ConfigVersion  uint64   `msgpack:"n"` // of the configuration; 0: there is none yet
-	ConfigDigest   Digest   `msgpack:"c"`
-	Accepted       []Digest `msgpack:"d"` // the configurations accepted last, the newest at the end
-	Grants         []Grant  `msgpack:"g"`
+	Epoch           uint64   `msgpack:"e"` // counts changes of the voters
+	Voters          []Voter  `msgpack:"v"`
+	OutgoingVoters  []Voter  `msgpack:"o"` // the voters before, while both sets decide; else empty
+	ConfigVersion   uint64   `msgpack:"n"` // of the configuration; 0: there is none yet
+	ConfigDigest    Digest   `msgpack:"c"`
+	AcceptedChanges []Digest `msgpack:"d"` // the configurations accepted last, the newest at the end
+	Grants          []Grant  `msgpack:"g"`
 }
 
 // Clone returns a value that shares no memory with v.
 func (v Value) Clone() Value {
 	v.Voters, v.OutgoingVoters = slices.Clone(v.Voters), slices.Clone(v.OutgoingVoters)
-	v.Accepted, v.Grants = slices.Clone(v.Accepted), slices.Clone(v.Grants)
+	v.AcceptedChanges, v.Grants = slices.Clone(v.AcceptedChanges), slices.Clone(v.Grants)
 	return v
 }
 
--- a/internal/decide/register/stored_form_test.go
+++ b/internal/decide/register/stored_form_test.go
@@ -22,8 +22,8 @@
 	voters := []register.Voter{{ID: "v-1", Address: "10.1.0.16:7720"}, {ID: "v-2", Address: "10.1.0.17:7720"}}
 	value := register.Value{
 		Epoch: 5, Voters: voters, OutgoingVoters: voters[:1], ConfigVersion: 300, ConfigDigest: register.DigestOf([]byte("configuration")),
-		Accepted: []register.Digest{register.DigestOf([]byte("older")), register.DigestOf([]byte("configuration"))},
-		Grants:   []register.Grant{{Role: "stages", Holder: "core-1/control", Token: 9}},
+		AcceptedChanges: []register.Digest{register.DigestOf([]byte("older")), register.DigestOf([]byte("configuration"))},
+		Grants:          []register.Grant{{Role: "stages", Holder: "core-1/control", Token: 9}},
 	}
 	checkForm(t, "ballot", ballot)
 	checkForm(t, "voter", voters[0])
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -259,7 +259,7 @@
 		}
 		return func(current register.Value) (register.Value, bool) {
 			next, ok := change(current)
-			next.Accepted = next.Accepted[max(len(next.Accepted)-1, 0):]
+			next.AcceptedChanges = next.AcceptedChanges[max(len(next.AcceptedChanges)-1, 0):]
 			return next, ok
 		}
 	}
@@ -343,7 +343,7 @@
 		w.breakRule("call %d returns version %d after %d was seen", op.id, value.ConfigVersion, op.version)
 	}
 	for _, digest := range op.must {
-		if !slices.Contains(value.Accepted, digest) {
+		if !slices.Contains(value.AcceptedChanges, digest) {
 			w.breakRule("call %d returns a value without an acknowledged change", op.id)
 		}
 	}
