--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -60,7 +60,7 @@
 			k.control.log.WithField("token", token).Info("role given up: stages")
 			k.control.node.SetReleased(token)
 		}
-		grant := (&register.Value{Grants: facts.Grants}).Grant(stagesRole)
+		grant := (&register.Value{Grants: facts.Grants}).GrantFor(stagesRole)
 		switch k.lease.Look(k.now(), grant, k.holderSilenceSeconds(grant), k.control.reachesMajority()) {
 		case election.Take:
 			k.acquireLease(ctx, grant)
--- a/internal/control/stagelease.go
+++ b/internal/control/stagelease.go
@@ -33,7 +33,7 @@
 	if err != nil || outcome != register.Chosen {
 		return
 	}
-	k.lease.Took(startedAt, value.Grant(stagesRole).Token)
+	k.lease.Took(startedAt, value.GrantFor(stagesRole).Token)
 	if facts, _ := k.control.node.Facts(); facts.Plan.Token < k.lease.Token() {
 		k.planner.Adopt(k.now(), facts.Plan.Stages)
 	}
@@ -47,6 +47,6 @@
 	defer cancel()
 	value, err := k.control.proposer.read(ctx)
 	if err == nil {
-		k.lease.Granted(startedAt, value.Grant(stagesRole))
+		k.lease.Granted(startedAt, value.GrantFor(stagesRole))
 	}
 }
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -135,7 +135,7 @@
 	take := register.Take(roleName, n.address, token)
 	if w.mistakes.grabsRole {
 		take = func(current register.Value) (register.Value, bool) {
-			return register.Take(roleName, n.address, current.Grant(roleName).Token)(current)
+			return register.Take(roleName, n.address, current.GrantFor(roleName).Token)(current)
 		}
 	}
 	w.change(n, take, w.now+changeS, w.inLife(n, func(round *register.Round) {
@@ -143,7 +143,7 @@
 		if round == nil {
 			return
 		}
-		grant := round.Value.Grant(roleName)
+		grant := round.Value.GrantFor(roleName)
 		n.hearGrant(grant, nil)
 		if round.Outcome == register.Chosen {
 			n.role.holder.Took(began, grant.Token)
@@ -170,8 +170,8 @@
 		}
 		n.role.busy = false
 		if ok {
-			n.hearGrant(value.Grant(roleName), nil)
-			n.role.holder.Granted(began, value.Grant(roleName))
+			n.hearGrant(value.GrantFor(roleName), nil)
+			n.role.holder.Granted(began, value.GrantFor(roleName))
 		}
 	})
 }
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -76,7 +76,7 @@
 		w.newestAt = at
 	}
 	w.takeTold(n, register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters})
-	n.hearGrant(value.Grant(roleName), nil)
+	n.hearGrant(value.GrantFor(roleName), nil)
 }
 
 // read returns the value that holds, or false.
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -76,7 +76,7 @@
 // Take returns the change that gives a role to a holder with the next token, if the current token is still the given one.
 func Take(role, holder string, token uint64) Change {
 	return func(current Value) (Value, bool) {
-		grant := current.Grant(role)
+		grant := current.GrantFor(role)
 		if grant.Token != token {
 			return current, false
 		}
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -344,7 +344,7 @@
 		s.acked = append(slices.Clone(s.acked), scripted.digest)
 	}
 	if scripted.takes && call.round.Outcome == register.Chosen {
-		s.grants = append(slices.Clone(s.grants), call.round.Value.Grant(scriptedRole))
+		s.grants = append(slices.Clone(s.grants), call.round.Value.GrantFor(scriptedRole))
 	}
 }
 
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -63,8 +63,8 @@
 	return v
 }
 
-// Grant returns who holds a role, the zero Grant if nobody ever did.
-func (v *Value) Grant(role string) Grant {
+// GrantFor returns who holds a role, the zero Grant if nobody ever did.
+func (v *Value) GrantFor(role string) Grant {
 	for _, grant := range v.Grants {
 		if grant.Role == role {
 			return grant
