--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -123,7 +123,7 @@
 		s.stop(1)
 		value, err := s.machines[0].control.proposer.read(context.Background())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(value.Everyone()).To(HaveLen(3), "the one that left does not vote any longer")
+		Expect(value.AllVoters()).To(HaveLen(3), "the one that left does not vote any longer")
 		s.stop(2)
 		Eventually(func() int { return s.put(3, 1, testConfig(2, 0)) }, waitTimeout).Should(Equal(http.StatusOK))
 	})
--- a/internal/control/leaving.go
+++ b/internal/control/leaving.go
@@ -32,5 +32,5 @@
 	if err != nil {
 		return false // without a majority nobody can change the voters
 	}
-	return c.isVoter(&value.Value) && len(value.Everyone()) > c.targetVoters()
+	return c.isVoter(&value.Value) && len(value.AllVoters()) > c.targetVoters()
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -33,7 +33,7 @@
 	if facts.Table != nil {
 		out.PublishedVersion = facts.Table.Version
 	}
-	for _, voter := range facts.Voters.Everyone() {
+	for _, voter := range facts.Voters.AllVoters() {
 		out.Voters = append(out.Voters, voterStatus{Identity: voter.ID, Address: voter.Address, Reachable: c.isReachable(voter)})
 	}
 	return out
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -15,7 +15,7 @@
 	if data := r.replica.configBytes(value.ConfigDigest); data != nil {
 		return data, nil
 	}
-	sources := slices.DeleteFunc(value.Everyone(), func(v register.Voter) bool { return v.Address == r.self.Address })
+	sources := slices.DeleteFunc(value.AllVoters(), func(v register.Voter) bool { return v.Address == r.self.Address })
 	return r.fetcher.fetch(ctx, value.ConfigDigest, sources, func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error) {
 		reply := &message.ConfigReply{}
 		return reply, r.client.Call(ctx, from.Address, configPath, request, reply)
--- a/internal/control/voterset.go
+++ b/internal/control/voterset.go
@@ -32,7 +32,7 @@
 }
 
 func (c *Control) isVoter(value *register.Value) bool {
-	for _, voter := range value.Everyone() {
+	for _, voter := range value.AllVoters() {
 		if voter.ID == c.proposer.self.ID {
 			return true
 		}
--- a/internal/decide/reconfiguration/faults_test.go
+++ b/internal/decide/reconfiguration/faults_test.go
@@ -208,7 +208,7 @@
 		return
 	}
 	votes := false
-	for _, voter := range n.told.Everyone() {
+	for _, voter := range n.told.AllVoters() {
 		votes = votes || voter.ID == n.disk.ID
 	}
 	if votes && w.now < deadline {
--- a/internal/decide/reconfiguration/upkeep.go
+++ b/internal/decide/reconfiguration/upkeep.go
@@ -37,7 +37,7 @@
 // process that doesn't vote.
 func Rank(self string, value *register.Value, alive func(register.Voter) bool) (int, bool) {
 	var ids []string
-	for _, voter := range value.Everyone() {
+	for _, voter := range value.AllVoters() {
 		if voter.ID == self || alive(voter) {
 			ids = append(ids, voter.ID)
 		}
@@ -69,7 +69,7 @@
 // leave in place of those that are dead; a majority then hangs on each one that is left, and changes come slowly.
 func Assume(value *register.Value, candidates []register.Candidate, inTouch func(register.Voter) bool) []register.Candidate {
 	all := slices.Clone(candidates)
-	for _, voter := range value.Everyone() {
+	for _, voter := range value.AllVoters() {
 		known := slices.ContainsFunc(candidates, func(c register.Candidate) bool { return c.Address == voter.Address })
 		if !known && inTouch(voter) {
 			all = append(all, register.Candidate{Voter: voter, Alive: true})
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -73,8 +73,8 @@
 	return Grant{Role: role}
 }
 
-// Everyone returns the voters of both sets, each once.
-func (v *Value) Everyone() []Voter { return union(v.Voters, v.OutgoingVoters) }
+// AllVoters returns the voters of both sets, each once.
+func (v *Value) AllVoters() []Voter { return union(v.Voters, v.OutgoingVoters) }
 
 // Majority tells whether a majority of the voters, and of those before while both decide, is in.
 func (v *Value) Majority(in func(Voter) bool) bool { return quorum(in, v.Voters, v.OutgoingVoters) }
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -62,7 +62,7 @@
 
 // ask returns the voters of a value that weren't asked yet.
 func (a askedVoters) ask(value Value) (voters []Voter) {
-	for _, voter := range value.Everyone() {
+	for _, voter := range value.AllVoters() {
 		if !a[voter] {
 			a[voter] = true
 			voters = append(voters, voter)
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -365,7 +365,7 @@
 	if n.op == nil {
 		return
 	}
-	voters := n.known.Everyone()
+	voters := n.known.AllVoters()
 	voter := voters[w.rng.IntN(len(voters))]
 	if n.op.reading != nil {
 		w.carryOut(n.op, n.op.reading.Lost())
