--- a/internal/control/voterset.go
+++ b/internal/control/voterset.go
@@ -16,7 +16,7 @@
 // reachesMajority tells whether this process is in touch with a majority of the voters that it knows.
 func (c *Control) reachesMajority() bool {
 	known, err := c.proposer.knownVoters()
-	return err != nil || known.Majority(c.isReachable)
+	return err != nil || known.HasQuorum(c.isReachable)
 }
 
 // candidates returns the control processes that are known. Those that are alive count as not caught up.
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -76,8 +76,8 @@
 // AllVoters returns the voters of both sets, each once.
 func (v *Value) AllVoters() []Voter { return union(v.Voters, v.OutgoingVoters) }
 
-// Majority tells whether a majority of the voters, and of those before while both decide, is in.
-func (v *Value) Majority(in func(Voter) bool) bool { return quorum(in, v.Voters, v.OutgoingVoters) }
+// HasQuorum tells whether a majority of the voters, and of those before while both decide, is in.
+func (v *Value) HasQuorum(in func(Voter) bool) bool { return quorum(in, v.Voters, v.OutgoingVoters) }
 
 func union(sets ...[]Voter) (all []Voter) {
 	for _, set := range sets {
