--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -92,7 +92,7 @@
 func (c *Control) catchUp(ctx context.Context, value chosenValue) error {
 	facts, _ := c.node.Facts()
 	published := value.ConfigVersion == 0 || facts.Table != nil && facts.Table.Version >= value.ConfigVersion
-	behind := value.Ballot.Compare(c.replica.state().Ballot) > 0
+	behind := value.Ballot.Compare(c.replica.state().Accepted) > 0
 	if published && !behind {
 		return nil
 	}
@@ -138,5 +138,5 @@
 	if minBallot == (register.Ballot{}) {
 		minBallot = request.Ballot
 	}
-	return &message.LearnReply{UpToDate: upToDate || c.replica.state().Ballot.Compare(minBallot) >= 0}, nil
+	return &message.LearnReply{UpToDate: upToDate || c.replica.state().Accepted.Compare(minBallot) >= 0}, nil
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -98,7 +98,7 @@
 		fetcher: newConfigFetcher(), linkMbps: settings.Limits.LinkMbps,
 		gossipVoters: func() register.Value { facts, _ := c.node.Facts(); return facts.Voters },
 		onChosen:     c.handleChosen}
-	if state := opened.state(); state.Ballot == (register.Ballot{}) {
+	if state := opened.state(); state.Accepted == (register.Ballot{}) {
 		c.node.SetVoters(state.Value) // the founders; what was accepted later may not have been chosen
 	}
 	return c
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -29,7 +29,7 @@
 	state := c.replica.state()
 	facts, _ := c.node.Facts()
 	out := replicaStatus{Identity: state.ID, IsVoter: c.isVoter(&facts.Voters), Epoch: state.Value.Epoch, ConfigVersion: state.Value.ConfigVersion,
-		ConfigBytes: len(c.replica.configBytes(state.Value.ConfigDigest)), BallotRound: state.Ballot.Number, ReachesMajority: c.reachesMajority()}
+		ConfigBytes: len(c.replica.configBytes(state.Value.ConfigDigest)), BallotRound: state.Accepted.Number, ReachesMajority: c.reachesMajority()}
 	if facts.Table != nil {
 		out.PublishedVersion = facts.Table.Version
 	}
--- a/internal/control/stored_form_test.go
+++ b/internal/control/stored_form_test.go
@@ -118,7 +118,7 @@
 		dir := GinkgoT().TempDir()
 		Expect(os.CopyFS(dir, os.DirFS(storedFolder))).To(Succeed())
 		r := openStoredReplica(dir)
-		want := register.State{ID: "founder@127.0.5.10:20000", Promised: storedBallot(400), Ballot: storedBallot(300), Value: storedValue(3)}
+		want := register.State{ID: "founder@127.0.5.10:20000", Promised: storedBallot(400), Accepted: storedBallot(300), Value: storedValue(3)}
 		Expect(r.hadState).To(BeTrue())
 		Expect(r.state()).To(Equal(want))
 		for version := 2; version <= 3; version++ {
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -168,7 +168,7 @@
 	n.round, n.proven, n.told = 0, register.Ballot{}, register.Value{}
 	n.contact, n.peers, n.turns, n.resumed = map[string]float64{}, map[string]peer{}, reconfiguration.Turns{}, w.now
 	n.learners, n.since = reconfiguration.Learners{}, w.highest
-	if n.disk.Ballot == (register.Ballot{}) {
+	if n.disk.Accepted == (register.Ballot{}) {
 		n.told = n.disk.Value
 	}
 	w.every(n, exchangeS, func() { w.exchange(n) })
@@ -417,8 +417,8 @@
 			if to.disk.ID != candidate.ID {
 				return
 			}
-			held = to.acceptor.State().Ballot.Compare(since) >= 0
-			if to.acceptor.State().Ballot.Compare(at) < 0 {
+			held = to.acceptor.State().Accepted.Compare(since) >= 0
+			if to.acceptor.State().Accepted.Compare(at) < 0 {
 				w.after(pieceS, w.alive(to, func() { w.learn(to, value, at) }))
 			}
 		}, func(answered bool) {
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -214,7 +214,7 @@
 		s.disks[name] = register.State{ID: name}
 	}
 	for _, name := range []string{"A", "B", "C"} {
-		s.disks[name] = register.State{ID: name, Promised: ballot, Ballot: ballot, Value: value}
+		s.disks[name] = register.State{ID: name, Promised: ballot, Accepted: ballot, Value: value}
 	}
 	return s
 }
@@ -264,7 +264,7 @@
 		scripted.change(known))
 	round.TrustChosen(next.proven[scripted.node])
 	if e.trustAccepted {
-		round.TrustChosen(disk.Ballot)
+		round.TrustChosen(disk.Accepted)
 	}
 	call := &liveCall{index: s.begun, round: round, must: len(next.acked)}
 	call.add(step)
--- a/internal/decide/register/export_test.go
+++ b/internal/decide/register/export_test.go
@@ -48,7 +48,7 @@
 // AppendKey appends what tells the states of disks apart.
 func (s *State) AppendKey(key []byte) []byte {
 	key = append(key, s.ID...)
-	return s.Value.AppendKey(s.Ballot.appendKey(s.Promised.appendKey(key)))
+	return s.Value.AppendKey(s.Accepted.appendKey(s.Promised.appendKey(key)))
 }
 
 // AppendKey appends what tells values apart.
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -146,7 +146,7 @@
 type State struct {
 	ID       string `msgpack:"i"`
 	Promised Ballot `msgpack:"p"`
-	Ballot   Ballot `msgpack:"b"`
+	Accepted Ballot `msgpack:"b"`
 	Value    Value  `msgpack:"v"`
 }
 
@@ -173,7 +173,7 @@
 	if request.Ballot.Compare(a.state.Promised) < 0 {
 		return nil, PrepareReply{Promised: a.state.Promised}
 	}
-	answer := PrepareReply{OK: true, Promised: request.Ballot, Accepted: a.state.Ballot, Value: a.state.Value}
+	answer := PrepareReply{OK: true, Promised: request.Ballot, Accepted: a.state.Accepted, Value: a.state.Value}
 	if request.Ballot == a.state.Promised {
 		return nil, answer
 	}
@@ -195,11 +195,11 @@
 		return nil, AcceptReply{NeedsConfig: true}
 	}
 	answer := AcceptReply{OK: true, Promised: request.Ballot}
-	if request.Ballot == a.state.Ballot {
+	if request.Ballot == a.state.Accepted {
 		return nil, answer
 	}
 	next := a.state
-	next.Promised, next.Ballot, next.Value = request.Ballot, request.Ballot, request.Value
+	next.Promised, next.Accepted, next.Value = request.Ballot, request.Ballot, request.Value
 	return &next, answer
 }
 
@@ -208,21 +208,21 @@
 	if request.To != a.state.ID {
 		return PrepareReply{WrongVoter: true}
 	}
-	return PrepareReply{OK: true, Promised: a.state.Promised, Accepted: a.state.Ballot, Value: a.state.Value}
+	return PrepareReply{OK: true, Promised: a.state.Promised, Accepted: a.state.Accepted, Value: a.state.Value}
 }
 
 // HandleLearn takes a value that was chosen at a ballot, which counts as promised from then on. It may be told of a ballot below the
 // promised one: whoever was promised more has met the value at one of those that accepted it. hasConfig is as for HandleAccept. It returns
 // whether the voter holds the value, or a later one, once the state is on disk.
 func (a *Acceptor) HandleLearn(at Ballot, value Value, hasConfig bool) (*State, bool) {
-	if at.Compare(a.state.Ballot) <= 0 {
+	if at.Compare(a.state.Accepted) <= 0 {
 		return nil, true
 	}
 	if !hasConfig && value.ConfigVersion != 0 {
 		return nil, false
 	}
 	next := a.state
-	next.Ballot, next.Value = at, value
+	next.Accepted, next.Value = at, value
 	if at.Compare(next.Promised) > 0 {
 		// Danger: a voter never accepts a ballot below the one that its value has.
 		next.Promised = at
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -217,7 +217,7 @@
 })
 
 var _ = Describe("a learner", func() {
-	old := register.State{ID: "d", Promised: register.Ballot{Number: 9}, Ballot: register.Ballot{Number: 2}, Value: register.Value{ConfigVersion: 1}}
+	old := register.State{ID: "d", Promised: register.Ballot{Number: 9}, Accepted: register.Ballot{Number: 2}, Value: register.Value{ConfigVersion: 1}}
 	learn := func(round uint64, hasConfig bool) (*register.State, bool) {
 		return register.NewAcceptor(old).HandleLearn(register.Ballot{Number: round}, register.Value{ConfigVersion: 4}, hasConfig)
 	}
@@ -226,7 +226,7 @@
 		next, held := learn(5, true)
 		Expect(held).To(BeTrue())
 		Expect(next.Value.ConfigVersion).To(BeEquivalentTo(4))
-		Expect(next.Ballot.Number).To(BeEquivalentTo(5))
+		Expect(next.Accepted.Number).To(BeEquivalentTo(5))
 		Expect(next.Promised).To(Equal(old.Promised))
 	})
 
--- a/internal/decide/register/stored_form_test.go
+++ b/internal/decide/register/stored_form_test.go
@@ -30,7 +30,7 @@
 	checkForm(t, "grant", value.Grants[0])
 	checkForm(t, "digest", value.ConfigDigest)
 	checkForm(t, "value", value)
-	checkForm(t, "state", register.State{ID: "v-1", Promised: ballot, Ballot: other, Value: value})
+	checkForm(t, "state", register.State{ID: "v-1", Promised: ballot, Accepted: other, Value: value})
 	checkForm(t, "prepare", register.PrepareRequest{To: "v-1", Ballot: ballot})
 	checkForm(t, "promise", register.PrepareReply{OK: true, WrongVoter: true, Promised: ballot, Accepted: other, Value: value})
 	checkForm(t, "accept", register.AcceptRequest{To: "v-1", Ballot: ballot, Value: value, ConfigData: []byte("configuration")})
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -282,7 +282,7 @@
 }
 
 // caughtUp tells whether a node's disk holds the newest value that any call has returned.
-func (w *world) caughtUp(n *node) bool { return n.durable.Ballot.Compare(w.newestAt) >= 0 }
+func (w *world) caughtUp(n *node) bool { return n.durable.Accepted.Compare(w.newestAt) >= 0 }
 
 // learn hands the newest value that a call has returned to a node, as its host does for those that are behind.
 func (w *world) learn() {
