--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -156,7 +156,7 @@
 	}
 	r.mu.Lock()
 	newer := state.Value.ConfigVersion > r.acceptor.State().Value.ConfigVersion
-	r.acceptor.Stored(*state)
+	r.acceptor.MarkPersisted(*state)
 	if config != nil {
 		r.cacheConfig(state.Value.ConfigDigest, config)
 	}
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -232,7 +232,7 @@
 	if next == nil {
 		return
 	}
-	n.acceptor.Stored(*next)
+	n.acceptor.MarkPersisted(*next)
 	if !w.mistakes.answerFirst || w.rng.IntN(3) > 0 {
 		n.disk = *next
 	}
@@ -322,7 +322,7 @@
 
 func (w *world) learn(n *node, value register.Value, at register.Ballot) {
 	if next, _ := n.acceptor.HandleLearn(at, value.Clone(), true); next != nil {
-		n.acceptor.Stored(*next)
+		n.acceptor.MarkPersisted(*next)
 		n.disk = *next
 	}
 }
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -162,8 +162,8 @@
 // State returns what is on disk.
 func (a *Acceptor) State() State { return a.state }
 
-// Stored tells that a state that a method has returned is on disk.
-func (a *Acceptor) Stored(state State) { a.state = state }
+// MarkPersisted tells that a state that a method has returned is on disk.
+func (a *Acceptor) MarkPersisted(state State) { a.state = state }
 
 // HandlePrepare promises a ballot that is above all promised before.
 func (a *Acceptor) HandlePrepare(request PrepareRequest) (*State, PrepareReply) {
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -58,7 +58,7 @@
 	It("promises nothing below what it has promised, and names what stands in the way", func() {
 		a := register.NewAcceptor(founder)
 		next, _ := a.HandlePrepare(register.PrepareRequest{To: "a", Ballot: register.Ballot{Number: 5}})
-		a.Stored(*next)
+		a.MarkPersisted(*next)
 		_, promise := a.HandlePrepare(register.PrepareRequest{To: "a", Ballot: register.Ballot{Number: 4, Proposer: "z"}})
 		Expect(promise.OK).To(BeFalse())
 		Expect(promise.Promised.Number).To(BeEquivalentTo(5))
@@ -233,7 +233,7 @@
 	It("accepts nothing below what it has learned", func() {
 		a := register.NewAcceptor(register.State{ID: "d"})
 		next, _ := a.HandleLearn(register.Ballot{Number: 5}, register.Value{ConfigVersion: 4}, true)
-		a.Stored(*next)
+		a.MarkPersisted(*next)
 		_, promise := a.HandlePrepare(register.PrepareRequest{To: "d", Ballot: register.Ballot{Number: 3}})
 		Expect(promise.OK).To(BeFalse())
 		_, accepted := a.HandleAccept(register.AcceptRequest{To: "d", Ballot: register.Ballot{Number: 3}}, true)
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -166,7 +166,7 @@
 		next, answer.promise = state, &promise
 	}
 	if next != nil {
-		n.acceptor.Stored(*next)
+		n.acceptor.MarkPersisted(*next)
 		if !w.faults.answerBeforeSync || w.rng.IntN(2) == 0 {
 			n.durable = *next
 		}
@@ -291,7 +291,7 @@
 		return
 	}
 	if next, _ := n.acceptor.HandleLearn(w.newestAt, w.newestHeld.Clone(), true); next != nil {
-		n.acceptor.Stored(*next)
+		n.acceptor.MarkPersisted(*next)
 		n.durable = *next
 	}
 }
