--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -187,7 +187,7 @@
 			}
 		}()
 	}
-	for _, voter := range step.Prepare {
+	for _, voter := range step.SendPrepare {
 		request := &register.PrepareRequest{To: voter.ID, Ballot: round.Ballot}
 		send(func() voterReply { return r.prepare(ctx, voter, request) })
 	}
@@ -226,7 +226,7 @@
 	defer cancel()
 	replies := make(chan voterReply)
 	for !step.Done {
-		for _, voter := range step.Prepare {
+		for _, voter := range step.SendPrepare {
 			go func() {
 				promise, err := callVoter(readCtx, r, voter, readPath, voteTimeout, &register.ReadRequest{To: voter.ID}, r.replica.handleRead)
 				select {
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -38,7 +38,7 @@
 			}
 			return
 		}
-		for _, voter := range step.Prepare {
+		for _, voter := range step.SendPrepare {
 			var promise register.PrepareReply
 			w.askVoter(n, voter, func(to *node) (next *register.State) {
 				next, promise = to.acceptor.HandlePrepare(register.PrepareRequest{To: voter.ID, Ballot: ballot})
@@ -109,7 +109,7 @@
 			})
 			return
 		}
-		for _, voter := range step.Prepare {
+		for _, voter := range step.SendPrepare {
 			var promise register.PrepareReply
 			w.askVoter(n, voter, func(to *node) *register.State {
 				promise = to.acceptor.HandleRead(register.ReadRequest{To: voter.ID})
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -285,7 +285,7 @@
 }
 
 func (c *liveCall) add(step register.Step) {
-	for _, voter := range step.Prepare {
+	for _, voter := range step.SendPrepare {
 		c.sent = append(c.sent, exchangeStep{voter, false})
 	}
 	if len(step.Accept) > 0 {
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -2,10 +2,10 @@
 
 // Step is what a proposer wants of its host.
 type Step struct {
-	Prepare []Voter // to send Prepare to
-	Accept  []Voter // to send Accept to
-	Config  []Voter // to send Accept to, with the configuration's bytes
-	Done    bool
+	SendPrepare []Voter // to send Prepare to
+	Accept      []Voter // to send Accept to
+	Config      []Voter // to send Accept to, with the configuration's bytes
+	Done        bool
 }
 
 // Outcome says how a round has ended.
@@ -51,7 +51,7 @@
 func NewRound(ballot Ballot, known Value, change Change) (*Round, Step) {
 	r := &Round{Ballot: ballot, change: change, known: known, promises: map[Voter]PrepareReply{}, asked: askedVoters{},
 		accepted: map[Voter]bool{}, lost: map[Voter]bool{}}
-	return r, Step{Prepare: r.asked.ask(known)}
+	return r, Step{SendPrepare: r.asked.ask(known)}
 }
 
 // TrustChosen tells that a value was chosen at a ballot, as an earlier round or read of this process has found.
@@ -82,7 +82,7 @@
 	r.promises[from] = answer
 	newest := r.newest()
 	if more := r.asked.ask(newest.Value); len(more) > 0 {
-		return Step{Prepare: more}
+		return Step{SendPrepare: more}
 	}
 	promised := func(voter Voter) bool { _, ok := r.promises[voter]; return ok }
 	if !quorum(promised, newest.Value.Voters, newest.Value.OutgoingVoters) {
@@ -211,7 +211,7 @@
 // NewReading returns a read and its first step, whose Prepare names the voters to send Read to.
 func NewReading(known Value) (*Reading, Step) {
 	r := &Reading{known: known, answers: map[Voter]PrepareReply{}, asked: askedVoters{}}
-	return r, Step{Prepare: r.asked.ask(known)}
+	return r, Step{SendPrepare: r.asked.ask(known)}
 }
 
 // Answered takes a voter's answer to Read.
@@ -230,7 +230,7 @@
 		}
 	}
 	if more := r.asked.ask(newest.Value); len(more) > 0 {
-		return Step{Prepare: more}
+		return Step{SendPrepare: more}
 	}
 	same := func(voter Voter) bool {
 		other, ok := r.answers[voter]
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -195,7 +195,7 @@
 }
 
 func (w *world) carryOut(op *operation, step register.Step) {
-	for _, voter := range step.Prepare {
+	for _, voter := range step.SendPrepare {
 		w.send(op, packet{voter: voter, ballot: op.ballot, reading: op.reading != nil})
 	}
 	for _, voter := range step.Accept {
