--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -191,7 +191,7 @@
 		request := &register.PrepareRequest{To: voter.ID, Ballot: round.Ballot}
 		send(func() voterReply { return r.prepare(ctx, voter, request) })
 	}
-	for _, voter := range step.Accept {
+	for _, voter := range step.SendAccept {
 		request := &register.AcceptRequest{To: voter.ID, Ballot: round.Ballot, Value: round.Value, ConfigData: config}
 		if len(config) > maxInlineConfigBytes {
 			// A voter that has the bytes from a round before doesn't need them again; one that lacks them asks.
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -45,7 +45,7 @@
 				return next
 			}, func() { carryOut(round.Promised(voter, promise)) }, func() { carryOut(round.Lost(voter, false)) })
 		}
-		for _, voter := range step.Accept {
+		for _, voter := range step.SendAccept {
 			var accepted register.AcceptReply
 			w.askVoter(n, voter, func(to *node) (next *register.State) {
 				next, accepted = to.acceptor.HandleAccept(register.AcceptRequest{To: voter.ID, Ballot: ballot, Value: round.Value.Clone()}, true)
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -288,10 +288,10 @@
 	for _, voter := range step.SendPrepare {
 		c.sent = append(c.sent, exchangeStep{voter, false})
 	}
-	if len(step.Accept) > 0 {
+	if len(step.SendAccept) > 0 {
 		c.sent = nil // what was not promised by now is not waited for
 	}
-	for _, voter := range step.Accept {
+	for _, voter := range step.SendAccept {
 		c.sent = append(c.sent, exchangeStep{voter, true})
 	}
 	slices.SortFunc(c.sent, func(a, b exchangeStep) int { return strings.Compare(a.voter.ID, b.voter.ID) })
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -79,7 +79,7 @@
 		round, step := register.NewRound(register.Ballot{Number: 1}, register.Value{Epoch: 2, Voters: voters}, register.Keep)
 		Expect(step.SendPrepare).To(HaveLen(3))
 		step = round.Promised(voters[0], register.PrepareReply{OK: true})
-		Expect(step.Accept).To(BeEmpty(), "one of three is no majority")
+		Expect(step.SendAccept).To(BeEmpty(), "one of three is no majority")
 	})
 
 	It("changes the voters by majorities of those before and those after", func() {
@@ -90,7 +90,7 @@
 		round, _ := register.NewRound(register.Ballot{Number: 2}, before, register.Reconfigure(1, after))
 		round.Promised(voter("a"), chosen)
 		step := round.Promised(voter("b"), chosen)
-		Expect(step.Accept).To(HaveLen(6))
+		Expect(step.SendAccept).To(HaveLen(6))
 		for _, id := range []string{"d", "e", "f", "a"} {
 			Expect(round.Accepted(voter(id), register.AcceptReply{OK: true}).Done).To(BeFalse(), "after %s", id)
 		}
@@ -123,7 +123,7 @@
 		voter := register.Voter{ID: "a", Address: "a"}
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter}}
 		round, _ := register.NewRound(register.Ballot{Number: 2}, before, register.Configure(1, 0, register.DigestOf([]byte("x"))))
-		Expect(round.Promised(voter, register.PrepareReply{OK: true}).Accept).To(ConsistOf(voter))
+		Expect(round.Promised(voter, register.PrepareReply{OK: true}).SendAccept).To(ConsistOf(voter))
 		Expect(round.Accepted(voter, register.AcceptReply{OK: true}).Done).To(BeTrue())
 		Expect(round.Outcome).To(Equal(register.Chosen))
 	})
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -3,7 +3,7 @@
 // Step is what a proposer wants of its host.
 type Step struct {
 	SendPrepare []Voter // to send Prepare to
-	Accept      []Voter // to send Accept to
+	SendAccept  []Voter // to send Accept to
 	Config      []Voter // to send Accept to, with the configuration's bytes
 	Done        bool
 }
@@ -121,7 +121,7 @@
 	r.proposing, r.Value, r.At = true, next, r.Ballot
 	r.lost = map[Voter]bool{}
 	r.sets = [][]Voter{newest.Value.Voters, newest.Value.OutgoingVoters, next.Voters, next.OutgoingVoters}
-	return Step{Accept: union(r.sets...)}
+	return Step{SendAccept: union(r.sets...)}
 }
 
 // holds tells whether the newest value is known to be chosen.
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -198,7 +198,7 @@
 	for _, voter := range step.SendPrepare {
 		w.send(op, packet{voter: voter, ballot: op.ballot, reading: op.reading != nil})
 	}
-	for _, voter := range step.Accept {
+	for _, voter := range step.SendAccept {
 		w.send(op, packet{voter: voter, ballot: op.ballot, accepting: true, value: op.round.Value.Clone()})
 	}
 	if step.Done {
