--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -199,7 +199,7 @@
 		}
 		send(func() voterReply { return r.accept(ctx, voter, request) })
 	}
-	for _, voter := range step.Config {
+	for _, voter := range step.SendConfig {
 		request := &register.AcceptRequest{To: voter.ID, Ballot: round.Ballot, Value: round.Value}
 		send(func() voterReply {
 			data, err := config, error(nil)
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -4,7 +4,7 @@
 type Step struct {
 	SendPrepare []Voter // to send Prepare to
 	SendAccept  []Voter // to send Accept to
-	Config      []Voter // to send Accept to, with the configuration's bytes
+	SendConfig  []Voter // to send Accept to, with the configuration's bytes
 	Done        bool
 }
 
@@ -143,7 +143,7 @@
 	}
 	switch {
 	case answer.NeedsConfig:
-		return Step{Config: []Voter{from}}
+		return Step{SendConfig: []Voter{from}}
 	case !answer.OK:
 		return r.turnedDown(from, answer.WrongVoter, answer.Promised)
 	}
