--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -13,12 +13,12 @@
 
 // The outcomes of a round.
 const (
-	Running   Outcome = iota
-	Chosen            // Value holds, and is the change's
-	Refused           // Value holds, and the change does not go on top of it
-	Confirmed         // Value holds now, which was not known before; the change was not made and may be tried again
-	Outvoted          // another ballot stands in the way; nothing is known of the change
-	Abandoned         // the host has given it up; nothing is known of the change
+	InProgress Outcome = iota
+	Chosen             // Value holds, and is the change's
+	Refused            // Value holds, and the change does not go on top of it
+	Confirmed          // Value holds now, which was not known before; the change was not made and may be tried again
+	Outvoted           // another ballot stands in the way; nothing is known of the change
+	Abandoned          // the host has given it up; nothing is known of the change
 )
 
 // Change derives the next value. It returns false where it does not go on top of the current one.
@@ -73,7 +73,7 @@
 
 // Promised takes a voter's answer to Prepare.
 func (r *Round) Promised(from Voter, answer PrepareReply) Step {
-	if r.Outcome != Running || r.proposing {
+	if r.Outcome != InProgress || r.proposing {
 		return Step{}
 	}
 	if !answer.OK {
@@ -138,7 +138,7 @@
 
 // Accepted takes a voter's answer to Accept.
 func (r *Round) Accepted(from Voter, answer AcceptReply) Step {
-	if r.Outcome != Running || !r.proposing {
+	if r.Outcome != InProgress || !r.proposing {
 		return Step{}
 	}
 	switch {
@@ -156,7 +156,7 @@
 
 // Lost tells that a voter could not be reached or did not answer Accept or, where accepting is false, Prepare.
 func (r *Round) Lost(from Voter, accepting bool) Step {
-	if r.Outcome != Running || accepting != r.proposing {
+	if r.Outcome != InProgress || accepting != r.proposing {
 		return Step{}
 	}
 	r.lost[from] = true
@@ -165,7 +165,7 @@
 
 // Abandon ends the round.
 func (r *Round) Abandon() {
-	if r.Outcome == Running {
+	if r.Outcome == InProgress {
 		r.Outcome = Abandoned
 	}
 }
@@ -216,7 +216,7 @@
 
 // Answered takes a voter's answer to Read.
 func (r *Reading) Answered(from Voter, answer PrepareReply) Step {
-	if r.Outcome != Running {
+	if r.Outcome != InProgress {
 		return Step{}
 	}
 	if !answer.OK {
@@ -245,7 +245,7 @@
 
 // Lost tells that a voter gave no answer.
 func (r *Reading) Lost() Step {
-	if r.Outcome != Running {
+	if r.Outcome != InProgress {
 		return Step{}
 	}
 	r.lost++
