--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -83,7 +83,7 @@
 		if err != nil {
 			return chosenValue{}, register.Abandoned, err
 		}
-		if outcome == register.Chosen || outcome == register.Refused {
+		if outcome == register.Chosen || outcome == register.Rejected {
 			r.onChosen(value)
 			return value, outcome, nil
 		}
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -27,7 +27,7 @@
 			ended = true
 			n.round = max(n.round, round.Above.Number)
 			switch round.Outcome {
-			case register.Chosen, register.Refused:
+			case register.Chosen, register.Rejected:
 				w.found(n, round.Value, round.At)
 				done(round)
 			case register.Confirmed:
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -15,7 +15,7 @@
 const (
 	InProgress Outcome = iota
 	Chosen             // Value holds, and is the change's
-	Refused            // Value holds, and the change does not go on top of it
+	Rejected           // Value holds, and the change does not go on top of it
 	Confirmed          // Value holds now, which was not known before; the change was not made and may be tried again
 	Outvoted           // another ballot stands in the way; nothing is known of the change
 	Abandoned          // the host has given it up; nothing is known of the change
@@ -112,9 +112,9 @@
 	switch {
 	case !ok && r.holds(newest):
 		r.At = newest.Accepted
-		return r.end(Refused, newest.Value)
+		return r.end(Rejected, newest.Value)
 	case !ok:
-		r.ending, next = Refused, newest.Value
+		r.ending, next = Rejected, newest.Value
 	case next.Epoch != newest.Value.Epoch && !r.holds(newest):
 		r.ending, next = Confirmed, newest.Value
 	}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -313,7 +313,7 @@
 			w.newestAt, w.newestHeld = at, value
 		}
 	}
-	if outcome != register.Chosen && outcome != register.Refused {
+	if outcome != register.Chosen && outcome != register.Rejected {
 		w.recordUnknown(op)
 		return
 	}
@@ -334,7 +334,7 @@
 
 // holds tells whether a call has found a value that is chosen.
 func holds(outcome register.Outcome) bool {
-	return outcome == register.Chosen || outcome == register.Refused || outcome == register.Confirmed
+	return outcome == register.Chosen || outcome == register.Rejected || outcome == register.Confirmed
 }
 
 // check holds a value that a call returns against all that was acknowledged before the call.
