--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -159,7 +159,7 @@
 		}
 	}
 	r.observeRound(round.Above)
-	if round.At != (register.Ballot{}) && round.Outcome != register.Outvoted {
+	if round.At != (register.Ballot{}) && round.Outcome != register.Undecided {
 		r.recordChosen(round.At)
 	}
 	return chosenValue{round.Value, round.At}, round.Outcome, nil
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -17,7 +17,7 @@
 	Chosen             // Value holds, and is the change's
 	Rejected           // Value holds, and the change does not go on top of it
 	Confirmed          // Value holds now, which was not known before; the change was not made and may be tried again
-	Outvoted           // another ballot stands in the way; nothing is known of the change
+	Undecided          // another ballot stands in the way; nothing is known of the change
 	Abandoned          // the host has given it up; nothing is known of the change
 )
 
@@ -188,7 +188,7 @@
 	if quorum(func(voter Voter) bool { return !r.lost[voter] }, sets...) {
 		return Step{}
 	}
-	return r.end(Outvoted, r.Value)
+	return r.end(Undecided, r.Value)
 }
 
 func (r *Round) end(outcome Outcome, value Value) Step {
@@ -256,6 +256,6 @@
 	if len(r.answers)+r.lost < len(r.asked) {
 		return Step{}
 	}
-	r.Outcome = Outvoted
+	r.Outcome = Undecided
 	return Step{Done: true}
 }
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -300,7 +300,7 @@
 func (w *world) end(op *operation) {
 	n := op.node
 	n.op = nil
-	value, outcome, at := register.Value{}, register.Outvoted, register.Ballot{}
+	value, outcome, at := register.Value{}, register.Undecided, register.Ballot{}
 	if op.reading != nil {
 		value, outcome, at = op.reading.Value, op.reading.Outcome, op.reading.At
 	} else {
