--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -252,6 +252,6 @@
 		r.onChosen(value)
 		return value, nil
 	}
-	value, _, err := r.propose(ctx, register.Keep, nil)
+	value, _, err := r.propose(ctx, register.NoChange, nil)
 	return value, err
 }
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -100,7 +100,7 @@
 				done(reading.Value, reading.At, true)
 				return
 			}
-			w.change(n, register.Keep, until, func(round *register.Round) {
+			w.change(n, register.NoChange, until, func(round *register.Round) {
 				if round == nil {
 					done(register.Value{}, register.Ballot{}, false)
 				} else {
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -65,7 +65,7 @@
 }
 
 func keeps(node string) scriptedCall {
-	return scriptedCall{node: node, change: func(register.Value) register.Change { return register.Keep }}
+	return scriptedCall{node: node, change: func(register.Value) register.Change { return register.NoChange }}
 }
 
 func wipes(node string) scriptedCall { return scriptedCall{node: node, wipes: true} }
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -76,7 +76,7 @@
 var _ = Describe("a round", func() {
 	It("does not take a voter that has accepted nothing for one that knows the voters", func() {
 		voters := []register.Voter{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}, {ID: "c", Address: "3"}}
-		round, step := register.NewRound(register.Ballot{Number: 1}, register.Value{Epoch: 2, Voters: voters}, register.Keep)
+		round, step := register.NewRound(register.Ballot{Number: 1}, register.Value{Epoch: 2, Voters: voters}, register.NoChange)
 		Expect(step.SendPrepare).To(HaveLen(3))
 		step = round.Promised(voters[0], register.PrepareReply{OK: true})
 		Expect(step.SendAccept).To(BeEmpty(), "one of three is no majority")
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -24,8 +24,8 @@
 // Change derives the next value. It returns false where it does not go on top of the current one.
 type Change func(current Value) (next Value, ok bool)
 
-// Keep is the change that changes nothing: it makes sure that the value holds.
-func Keep(current Value) (Value, bool) { return current, true }
+// NoChange is the change that changes nothing: it makes sure that the value holds.
+func NoChange(current Value) (Value, bool) { return current, true }
 
 // Round is the proposer's state machine for one ballot.
 type Round struct {
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -247,7 +247,7 @@
 	n := op.node
 	switch w.rng.IntN(6) {
 	case 0:
-		return register.Keep
+		return register.NoChange
 	case 1:
 		return w.membership(n)
 	default:
@@ -276,7 +276,7 @@
 	}
 	next, changed := register.Membership(n.known.Voters, candidates, len(w.nodes))
 	if !changed {
-		return register.Keep
+		return register.NoChange
 	}
 	return register.Reconfigure(n.known.Epoch, next)
 }
