--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -166,7 +166,7 @@
 }
 
 // feed hands what came of a call to the round.
-func applyReply(round *register.Round, reply voterReply) register.Step {
+func applyReply(round *register.Proposal, reply voterReply) register.Step {
 	switch {
 	case reply.err != nil:
 		return round.Lost(reply.from, reply.isAccept)
@@ -177,7 +177,7 @@
 	}
 }
 
-func (r *proposer) sendStep(ctx context.Context, round *register.Round, step register.Step, config []byte, replies chan<- voterReply) {
+func (r *proposer) sendStep(ctx context.Context, round *register.Proposal, step register.Step, config []byte, replies chan<- voterReply) {
 	send := func(call func() voterReply) {
 		go func() {
 			reply := call()
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -138,7 +138,7 @@
 			return register.Take(roleName, n.address, current.GrantFor(roleName).Token)(current)
 		}
 	}
-	w.change(n, take, w.now+changeS, w.inLife(n, func(round *register.Round) {
+	w.change(n, take, w.now+changeS, w.inLife(n, func(round *register.Proposal) {
 		n.role.busy = false
 		if round == nil {
 			return
@@ -152,9 +152,9 @@
 }
 
 // inLife returns a function that does nothing once the life of a node is over.
-func (w *world) inLife(n *node, run func(*register.Round)) func(*register.Round) {
+func (w *world) inLife(n *node, run func(*register.Proposal)) func(*register.Proposal) {
 	life := n.life
-	return func(round *register.Round) {
+	return func(round *register.Proposal) {
 		if n.life == life && n.up {
 			run(round)
 		}
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -7,7 +7,7 @@
 )
 
 // change makes one round after the other until one ends with an outcome or the time is over.
-func (w *world) change(n *node, change register.Change, until float64, done func(round *register.Round)) {
+func (w *world) change(n *node, change register.Change, until float64, done func(round *register.Proposal)) {
 	known := w.known(n)
 	if w.now > until || len(known.Voters) == 0 {
 		done(nil)
@@ -100,7 +100,7 @@
 				done(reading.Value, reading.At, true)
 				return
 			}
-			w.change(n, register.NoChange, until, func(round *register.Round) {
+			w.change(n, register.NoChange, until, func(round *register.Proposal) {
 				if round == nil {
 					done(register.Value{}, register.Ballot{}, false)
 				} else {
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -366,7 +366,7 @@
 		case !ok:
 			stop()
 		case len(value.OutgoingVoters) > 0:
-			w.change(n, register.Settle, until, func(*register.Round) { stop() })
+			w.change(n, register.Settle, until, func(*register.Proposal) { stop() })
 		default:
 			w.askLearners(n, value, at, until, stop)
 		}
@@ -387,14 +387,14 @@
 			stop()
 			return
 		}
-		w.change(n, register.Reconfigure(value.Epoch, next), until, func(round *register.Round) {
+		w.change(n, register.Reconfigure(value.Epoch, next), until, func(round *register.Proposal) {
 			if round == nil || round.Outcome != register.Chosen {
 				stop()
 				return
 			}
 			w.changes++
 			w.checkNewcomers(value, next)
-			w.change(n, register.Settle, until, func(*register.Round) { stop() })
+			w.change(n, register.Settle, until, func(*register.Proposal) { stop() })
 		})
 	}
 	for i := range candidates {
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -83,7 +83,7 @@
 // liveCall is a call under way.
 type liveCall struct {
 	index int
-	round *register.Round
+	round *register.Proposal
 	must  int // of the acknowledged changes, those before this call began
 	sent  []exchangeStep
 }
--- a/internal/decide/register/export_test.go
+++ b/internal/decide/register/export_test.go
@@ -8,7 +8,7 @@
 )
 
 // Clone returns a round that goes on by itself from where r is.
-func (r *Round) Clone() *Round {
+func (r *Proposal) Clone() *Proposal {
 	out := *r
 	out.promises, out.asked = maps.Clone(r.promises), maps.Clone(r.asked)
 	out.accepted, out.lost = maps.Clone(r.accepted), maps.Clone(r.lost)
@@ -16,7 +16,7 @@
 }
 
 // AppendKey appends what tells rounds apart that may go on differently.
-func (r *Round) AppendKey(key []byte) []byte {
+func (r *Proposal) AppendKey(key []byte) []byte {
 	key = append(r.Ballot.appendKey(key), byte(r.Outcome), byte(r.ending), truth(r.proposing))
 	if r.proposing {
 		key = r.Value.AppendKey(key)
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -27,8 +27,8 @@
 // NoChange is the change that changes nothing: it makes sure that the value holds.
 func NoChange(current Value) (Value, bool) { return current, true }
 
-// Round is the proposer's state machine for one ballot.
-type Round struct {
+// Proposal is the proposer's state machine for one ballot.
+type Proposal struct {
 	Ballot  Ballot
 	Outcome Outcome
 	Value   Value  // what holds, once the outcome is Chosen, Refused or Confirmed; what is proposed, while values are being accepted
@@ -48,14 +48,14 @@
 }
 
 // NewRound returns a round and its first step. known names the voters, of this epoch or an older one.
-func NewRound(ballot Ballot, known Value, change Change) (*Round, Step) {
-	r := &Round{Ballot: ballot, change: change, known: known, promises: map[Voter]PrepareReply{}, asked: askedVoters{},
+func NewRound(ballot Ballot, known Value, change Change) (*Proposal, Step) {
+	r := &Proposal{Ballot: ballot, change: change, known: known, promises: map[Voter]PrepareReply{}, asked: askedVoters{},
 		accepted: map[Voter]bool{}, lost: map[Voter]bool{}}
 	return r, Step{SendPrepare: r.asked.ask(known)}
 }
 
 // TrustChosen tells that a value was chosen at a ballot, as an earlier round or read of this process has found.
-func (r *Round) TrustChosen(ballot Ballot) { r.proven = ballot }
+func (r *Proposal) TrustChosen(ballot Ballot) { r.proven = ballot }
 
 // askedVoters are those that a call has turned to.
 type askedVoters map[Voter]bool
@@ -72,7 +72,7 @@
 }
 
 // Promised takes a voter's answer to Prepare.
-func (r *Round) Promised(from Voter, answer PrepareReply) Step {
+func (r *Proposal) Promised(from Voter, answer PrepareReply) Step {
 	if r.Outcome != InProgress || r.proposing {
 		return Step{}
 	}
@@ -93,7 +93,7 @@
 
 // newest returns the promise with the highest accepted ballot. Danger: a voter that has accepted nothing says nothing of the
 // voters; until something was accepted, those hold with which the round began, and all founders begin with the same.
-func (r *Round) newest() PrepareReply {
+func (r *Proposal) newest() PrepareReply {
 	newest := PrepareReply{Value: r.known}
 	for _, promise := range r.promises {
 		if promise.Accepted.Compare(newest.Accepted) > 0 {
@@ -106,7 +106,7 @@
 // propose derives the next value and has it accepted. Danger: a change of the voters must not be derived from a value that may
 // not be chosen. Two such changes in a row would lead to voters of whom no majority has met the majorities before, while those
 // go on without them. A value that isn't known to be chosen is made so first, by its own voters.
-func (r *Round) propose(newest PrepareReply) Step {
+func (r *Proposal) propose(newest PrepareReply) Step {
 	next, ok := r.change(newest.Value.Clone())
 	r.ending = Chosen
 	switch {
@@ -125,7 +125,7 @@
 }
 
 // holds tells whether the newest value is known to be chosen.
-func (r *Round) holds(newest PrepareReply) bool {
+func (r *Proposal) holds(newest PrepareReply) bool {
 	same := func(voter Voter) bool {
 		promise, ok := r.promises[voter]
 		return ok && promise.Accepted == newest.Accepted
@@ -137,7 +137,7 @@
 }
 
 // Accepted takes a voter's answer to Accept.
-func (r *Round) Accepted(from Voter, answer AcceptReply) Step {
+func (r *Proposal) Accepted(from Voter, answer AcceptReply) Step {
 	if r.Outcome != InProgress || !r.proposing {
 		return Step{}
 	}
@@ -155,7 +155,7 @@
 }
 
 // Lost tells that a voter could not be reached or did not answer Accept or, where accepting is false, Prepare.
-func (r *Round) Lost(from Voter, accepting bool) Step {
+func (r *Proposal) Lost(from Voter, accepting bool) Step {
 	if r.Outcome != InProgress || accepting != r.proposing {
 		return Step{}
 	}
@@ -164,13 +164,13 @@
 }
 
 // Abandon ends the round.
-func (r *Round) Abandon() {
+func (r *Proposal) Abandon() {
 	if r.Outcome == InProgress {
 		r.Outcome = Abandoned
 	}
 }
 
-func (r *Round) turnedDown(from Voter, stranger bool, promised Ballot) Step {
+func (r *Proposal) turnedDown(from Voter, stranger bool, promised Ballot) Step {
 	r.lost[from] = true
 	if !stranger && promised.Compare(r.Above) > 0 {
 		r.Above = promised
@@ -179,7 +179,7 @@
 }
 
 // checkHope ends the round once no majority is left.
-func (r *Round) checkHope() Step {
+func (r *Proposal) checkHope() Step {
 	sets := r.sets
 	if !r.proposing {
 		newest := r.newest()
@@ -191,7 +191,7 @@
 	return r.end(Undecided, r.Value)
 }
 
-func (r *Round) end(outcome Outcome, value Value) Step {
+func (r *Proposal) end(outcome Outcome, value Value) Step {
 	r.Outcome, r.Value = outcome, value
 	return Step{Done: true}
 }
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -36,7 +36,7 @@
 	id       int
 	node     *node
 	life     int
-	round    *register.Round
+	round    *register.Proposal
 	reading  *register.Reading
 	must     []register.Digest // acknowledged before this began
 	version  uint64            // the highest version that was seen before this began
