--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return chosenValue{}, register.Abandoned, err
 	}
-	round, step := register.NewRound(r.nextBallot(), known, change)
+	round, step := register.NewProposal(r.nextBallot(), known, change)
 	round.TrustChosen(r.lastChosenBallot())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -260,7 +260,7 @@
 		known = next.chosen
 	}
 	ballot := register.Ballot{Number: e.highest(next) + 1, Proposer: fmt.Sprint(scripted.node, s.begun)}
-	round, step := register.NewRound(ballot, register.Value{Epoch: known.Epoch, Voters: known.Voters, OutgoingVoters: known.OutgoingVoters},
+	round, step := register.NewProposal(ballot, register.Value{Epoch: known.Epoch, Voters: known.Voters, OutgoingVoters: known.OutgoingVoters},
 		scripted.change(known))
 	round.TrustChosen(next.proven[scripted.node])
 	if e.trustAccepted {
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -76,7 +76,7 @@
 var _ = Describe("a round", func() {
 	It("does not take a voter that has accepted nothing for one that knows the voters", func() {
 		voters := []register.Voter{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}, {ID: "c", Address: "3"}}
-		round, step := register.NewRound(register.Ballot{Number: 1}, register.Value{Epoch: 2, Voters: voters}, register.NoChange)
+		round, step := register.NewProposal(register.Ballot{Number: 1}, register.Value{Epoch: 2, Voters: voters}, register.NoChange)
 		Expect(step.SendPrepare).To(HaveLen(3))
 		step = round.Promised(voters[0], register.PrepareReply{OK: true})
 		Expect(step.SendAccept).To(BeEmpty(), "one of three is no majority")
@@ -87,7 +87,7 @@
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 		after := []register.Voter{voter("d"), voter("e"), voter("f")}
 		chosen := register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 1}, Value: before}
-		round, _ := register.NewRound(register.Ballot{Number: 2}, before, register.Reconfigure(1, after))
+		round, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.Reconfigure(1, after))
 		round.Promised(voter("a"), chosen)
 		step := round.Promised(voter("b"), chosen)
 		Expect(step.SendAccept).To(HaveLen(6))
@@ -103,7 +103,7 @@
 			voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 			before := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 			after := []register.Voter{voter("a"), voter("b"), voter("d")}
-			round, _ := register.NewRound(register.Ballot{Number: 5}, before, register.Reconfigure(1, after))
+			round, _ := register.NewProposal(register.Ballot{Number: 5}, before, register.Reconfigure(1, after))
 			round.TrustChosen(proven)
 			round.Promised(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 3}, Value: before})
 			round.Promised(voter("b"), register.PrepareReply{OK: true, Accepted: accepted, Value: before})
@@ -122,7 +122,7 @@
 	It("lets a configuration change at once, by the voters of a value that may not be chosen", func() {
 		voter := register.Voter{ID: "a", Address: "a"}
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter}}
-		round, _ := register.NewRound(register.Ballot{Number: 2}, before, register.Configure(1, 0, register.DigestOf([]byte("x"))))
+		round, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.Configure(1, 0, register.DigestOf([]byte("x"))))
 		Expect(round.Promised(voter, register.PrepareReply{OK: true}).SendAccept).To(ConsistOf(voter))
 		Expect(round.Accepted(voter, register.AcceptReply{OK: true}).Done).To(BeTrue())
 		Expect(round.Outcome).To(Equal(register.Chosen))
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -47,8 +47,8 @@
 	lost      map[Voter]bool
 }
 
-// NewRound returns a round and its first step. known names the voters, of this epoch or an older one.
-func NewRound(ballot Ballot, known Value, change Change) (*Proposal, Step) {
+// NewProposal returns a round and its first step. known names the voters, of this epoch or an older one.
+func NewProposal(ballot Ballot, known Value, change Change) (*Proposal, Step) {
 	r := &Proposal{Ballot: ballot, change: change, known: known, promises: map[Voter]PrepareReply{}, asked: askedVoters{},
 		accepted: map[Voter]bool{}, lost: map[Voter]bool{}}
 	return r, Step{SendPrepare: r.asked.ask(known)}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -238,7 +238,7 @@
 	}
 	op.ballot = register.Ballot{Number: n.round, Proposer: proposer}
 	var step register.Step
-	op.round, step = register.NewRound(op.ballot, voters, change)
+	op.round, step = register.NewProposal(op.ballot, voters, change)
 	op.round.TrustChosen(n.proven)
 	w.carryOut(op, step)
 }
