--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -159,10 +159,10 @@
 		}
 	}
 	r.observeRound(round.Above)
-	if round.At != (register.Ballot{}) && round.Outcome != register.Undecided {
-		r.recordChosen(round.At)
+	if round.ChosenAt != (register.Ballot{}) && round.Outcome != register.Undecided {
+		r.recordChosen(round.ChosenAt)
 	}
-	return chosenValue{round.Value, round.At}, round.Outcome, nil
+	return chosenValue{round.Value, round.ChosenAt}, round.Outcome, nil
 }
 
 // feed hands what came of a call to the round.
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -28,10 +28,10 @@
 			n.round = max(n.round, round.Above.Number)
 			switch round.Outcome {
 			case register.Chosen, register.Rejected:
-				w.found(n, round.Value, round.At)
+				w.found(n, round.Value, round.ChosenAt)
 				done(round)
 			case register.Confirmed:
-				w.found(n, round.Value, round.At)
+				w.found(n, round.Value, round.ChosenAt)
 				w.change(n, change, until, done)
 			default:
 				w.after(0.02+0.1*w.rng.Float64(), w.alive(n, func() { w.change(n, change, until, done) }))
@@ -104,7 +104,7 @@
 				if round == nil {
 					done(register.Value{}, register.Ballot{}, false)
 				} else {
-					done(round.Value, round.At, true)
+					done(round.Value, round.ChosenAt, true)
 				}
 			})
 			return
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -335,9 +335,9 @@
 		delete(s.calls, name)
 		return
 	}
-	s.proven[name] = call.round.At
-	if call.round.At.Compare(s.at) > 0 {
-		s.at, s.chosen = call.round.At, call.round.Value
+	s.proven[name] = call.round.ChosenAt
+	if call.round.ChosenAt.Compare(s.at) > 0 {
+		s.at, s.chosen = call.round.ChosenAt, call.round.Value
 	}
 	scripted := e.script[call.index]
 	if scripted.base > 0 && call.round.Outcome == register.Chosen {
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -29,11 +29,11 @@
 
 // Proposal is the proposer's state machine for one ballot.
 type Proposal struct {
-	Ballot  Ballot
-	Outcome Outcome
-	Value   Value  // what holds, once the outcome is Chosen, Refused or Confirmed; what is proposed, while values are being accepted
-	At      Ballot // the ballot at which Value was chosen, once it holds
-	Above   Ballot // the highest ballot that stood in the way
+	Ballot   Ballot
+	Outcome  Outcome
+	Value    Value  // what holds, once the outcome is Chosen, Refused or Confirmed; what is proposed, while values are being accepted
+	ChosenAt Ballot // the ballot at which Value was chosen, once it holds
+	Above    Ballot // the highest ballot that stood in the way
 
 	change    Change
 	known     Value  // the voters to begin with
@@ -111,14 +111,14 @@
 	r.ending = Chosen
 	switch {
 	case !ok && r.holds(newest):
-		r.At = newest.Accepted
+		r.ChosenAt = newest.Accepted
 		return r.end(Rejected, newest.Value)
 	case !ok:
 		r.ending, next = Rejected, newest.Value
 	case next.Epoch != newest.Value.Epoch && !r.holds(newest):
 		r.ending, next = Confirmed, newest.Value
 	}
-	r.proposing, r.Value, r.At = true, next, r.Ballot
+	r.proposing, r.Value, r.ChosenAt = true, next, r.Ballot
 	r.lost = map[Voter]bool{}
 	r.sets = [][]Voter{newest.Value.Voters, newest.Value.OutgoingVoters, next.Voters, next.OutgoingVoters}
 	return Step{SendAccept: union(r.sets...)}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -304,7 +304,7 @@
 	if op.reading != nil {
 		value, outcome, at = op.reading.Value, op.reading.Outcome, op.reading.At
 	} else {
-		value, outcome, at = op.round.Value, op.round.Outcome, op.round.At
+		value, outcome, at = op.round.Value, op.round.Outcome, op.round.ChosenAt
 		n.round = max(n.round, op.round.Above.Number)
 	}
 	if holds(outcome) {
