--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -158,7 +158,7 @@
 			step = applyReply(round, reply)
 		}
 	}
-	r.observeRound(round.Above)
+	r.observeRound(round.HighestPromised)
 	if round.ChosenAt != (register.Ballot{}) && round.Outcome != register.Undecided {
 		r.recordChosen(round.ChosenAt)
 	}
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -25,7 +25,7 @@
 		}
 		if step.Done {
 			ended = true
-			n.round = max(n.round, round.Above.Number)
+			n.round = max(n.round, round.HighestPromised.Number)
 			switch round.Outcome {
 			case register.Chosen, register.Rejected:
 				w.found(n, round.Value, round.ChosenAt)
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -29,11 +29,11 @@
 
 // Proposal is the proposer's state machine for one ballot.
 type Proposal struct {
-	Ballot   Ballot
-	Outcome  Outcome
-	Value    Value  // what holds, once the outcome is Chosen, Refused or Confirmed; what is proposed, while values are being accepted
-	ChosenAt Ballot // the ballot at which Value was chosen, once it holds
-	Above    Ballot // the highest ballot that stood in the way
+	Ballot          Ballot
+	Outcome         Outcome
+	Value           Value  // what holds, once the outcome is Chosen, Refused or Confirmed; what is proposed, while values are being accepted
+	ChosenAt        Ballot // the ballot at which Value was chosen, once it holds
+	HighestPromised Ballot // the highest ballot that stood in the way
 
 	change    Change
 	known     Value  // the voters to begin with
@@ -172,8 +172,8 @@
 
 func (r *Proposal) turnedDown(from Voter, stranger bool, promised Ballot) Step {
 	r.lost[from] = true
-	if !stranger && promised.Compare(r.Above) > 0 {
-		r.Above = promised
+	if !stranger && promised.Compare(r.HighestPromised) > 0 {
+		r.HighestPromised = promised
 	}
 	return r.checkHope()
 }
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -305,7 +305,7 @@
 		value, outcome, at = op.reading.Value, op.reading.Outcome, op.reading.At
 	} else {
 		value, outcome, at = op.round.Value, op.round.Outcome, op.round.ChosenAt
-		n.round = max(n.round, op.round.Above.Number)
+		n.round = max(n.round, op.round.HighestPromised.Number)
 	}
 	if holds(outcome) {
 		n.proven = at
