--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -145,7 +145,7 @@
 		return chosenValue{}, register.Abandoned, err
 	}
 	round, step := register.NewProposal(r.nextBallot(), known, change)
-	round.TrustChosen(r.lastChosenBallot())
+	round.SetKnownChosen(r.lastChosenBallot())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	replies := make(chan voterReply)
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -16,7 +16,7 @@
 	n.round = max(n.round, n.acceptor.State().Promised.Number) + 1
 	ballot := register.Ballot{Number: n.round, Proposer: fmt.Sprintf("%s/%d", n.address, n.life)}
 	round, step := register.NewProposal(ballot, known, change)
-	round.TrustChosen(n.proven)
+	round.SetKnownChosen(n.proven)
 	ended := false
 	var carryOut func(register.Step)
 	carryOut = func(step register.Step) {
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -262,9 +262,9 @@
 	ballot := register.Ballot{Number: e.highest(next) + 1, Proposer: fmt.Sprint(scripted.node, s.begun)}
 	round, step := register.NewProposal(ballot, register.Value{Epoch: known.Epoch, Voters: known.Voters, OutgoingVoters: known.OutgoingVoters},
 		scripted.change(known))
-	round.TrustChosen(next.proven[scripted.node])
+	round.SetKnownChosen(next.proven[scripted.node])
 	if e.trustAccepted {
-		round.TrustChosen(disk.Accepted)
+		round.SetKnownChosen(disk.Accepted)
 	}
 	call := &liveCall{index: s.begun, round: round, must: len(next.acked)}
 	call.add(step)
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -104,7 +104,7 @@
 			before := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 			after := []register.Voter{voter("a"), voter("b"), voter("d")}
 			round, _ := register.NewProposal(register.Ballot{Number: 5}, before, register.Reconfigure(1, after))
-			round.TrustChosen(proven)
+			round.SetKnownChosen(proven)
 			round.Promised(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 3}, Value: before})
 			round.Promised(voter("b"), register.PrepareReply{OK: true, Accepted: accepted, Value: before})
 			for _, id := range []string{"a", "b", "c"} {
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -54,8 +54,8 @@
 	return r, Step{SendPrepare: r.asked.ask(known)}
 }
 
-// TrustChosen tells that a value was chosen at a ballot, as an earlier round or read of this process has found.
-func (r *Proposal) TrustChosen(ballot Ballot) { r.proven = ballot }
+// SetKnownChosen tells that a value was chosen at a ballot, as an earlier round or read of this process has found.
+func (r *Proposal) SetKnownChosen(ballot Ballot) { r.proven = ballot }
 
 // askedVoters are those that a call has turned to.
 type askedVoters map[Voter]bool
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -239,7 +239,7 @@
 	op.ballot = register.Ballot{Number: n.round, Proposer: proposer}
 	var step register.Step
 	op.round, step = register.NewProposal(op.ballot, voters, change)
-	op.round.TrustChosen(n.proven)
+	op.round.SetKnownChosen(n.proven)
 	w.carryOut(op, step)
 }
 
