--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -171,7 +171,7 @@
 	case reply.err != nil:
 		return round.Lost(reply.from, reply.isAccept)
 	case reply.promise != nil:
-		return round.Promised(reply.from, *reply.promise)
+		return round.HandlePrepareReply(reply.from, *reply.promise)
 	default:
 		return round.Accepted(reply.from, *reply.accepted)
 	}
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -43,7 +43,7 @@
 			w.askVoter(n, voter, func(to *node) (next *register.State) {
 				next, promise = to.acceptor.HandlePrepare(register.PrepareRequest{To: voter.ID, Ballot: ballot})
 				return next
-			}, func() { carryOut(round.Promised(voter, promise)) }, func() { carryOut(round.Lost(voter, false)) })
+			}, func() { carryOut(round.HandlePrepareReply(voter, promise)) }, func() { carryOut(round.Lost(voter, false)) })
 		}
 		for _, voter := range step.SendAccept {
 			var accepted register.AcceptReply
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -317,7 +317,7 @@
 	} else {
 		state, answer := acceptor.HandlePrepare(register.PrepareRequest{To: sent.voter.ID, Ballot: call.round.Ballot})
 		stored = state
-		step = call.round.Promised(sent.voter, answer)
+		step = call.round.HandlePrepareReply(sent.voter, answer)
 	}
 	if stored != nil {
 		next.disks[sent.voter.Address] = *stored
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -78,7 +78,7 @@
 		voters := []register.Voter{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}, {ID: "c", Address: "3"}}
 		round, step := register.NewProposal(register.Ballot{Number: 1}, register.Value{Epoch: 2, Voters: voters}, register.NoChange)
 		Expect(step.SendPrepare).To(HaveLen(3))
-		step = round.Promised(voters[0], register.PrepareReply{OK: true})
+		step = round.HandlePrepareReply(voters[0], register.PrepareReply{OK: true})
 		Expect(step.SendAccept).To(BeEmpty(), "one of three is no majority")
 	})
 
@@ -88,8 +88,8 @@
 		after := []register.Voter{voter("d"), voter("e"), voter("f")}
 		chosen := register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 1}, Value: before}
 		round, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.Reconfigure(1, after))
-		round.Promised(voter("a"), chosen)
-		step := round.Promised(voter("b"), chosen)
+		round.HandlePrepareReply(voter("a"), chosen)
+		step := round.HandlePrepareReply(voter("b"), chosen)
 		Expect(step.SendAccept).To(HaveLen(6))
 		for _, id := range []string{"d", "e", "f", "a"} {
 			Expect(round.Accepted(voter(id), register.AcceptReply{OK: true}).Done).To(BeFalse(), "after %s", id)
@@ -105,8 +105,8 @@
 			after := []register.Voter{voter("a"), voter("b"), voter("d")}
 			round, _ := register.NewProposal(register.Ballot{Number: 5}, before, register.Reconfigure(1, after))
 			round.SetKnownChosen(proven)
-			round.Promised(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 3}, Value: before})
-			round.Promised(voter("b"), register.PrepareReply{OK: true, Accepted: accepted, Value: before})
+			round.HandlePrepareReply(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 3}, Value: before})
+			round.HandlePrepareReply(voter("b"), register.PrepareReply{OK: true, Accepted: accepted, Value: before})
 			for _, id := range []string{"a", "b", "c"} {
 				round.Accepted(voter(id), register.AcceptReply{OK: true})
 			}
@@ -123,7 +123,7 @@
 		voter := register.Voter{ID: "a", Address: "a"}
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter}}
 		round, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.Configure(1, 0, register.DigestOf([]byte("x"))))
-		Expect(round.Promised(voter, register.PrepareReply{OK: true}).SendAccept).To(ConsistOf(voter))
+		Expect(round.HandlePrepareReply(voter, register.PrepareReply{OK: true}).SendAccept).To(ConsistOf(voter))
 		Expect(round.Accepted(voter, register.AcceptReply{OK: true}).Done).To(BeTrue())
 		Expect(round.Outcome).To(Equal(register.Chosen))
 	})
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -71,8 +71,8 @@
 	return voters
 }
 
-// Promised takes a voter's answer to Prepare.
-func (r *Proposal) Promised(from Voter, answer PrepareReply) Step {
+// HandlePrepareReply takes a voter's answer to Prepare.
+func (r *Proposal) HandlePrepareReply(from Voter, answer PrepareReply) Step {
 	if r.Outcome != InProgress || r.proposing {
 		return Step{}
 	}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -188,7 +188,7 @@
 		return
 	}
 	if p.promise != nil {
-		w.carryOut(op, op.round.Promised(p.voter, *p.promise))
+		w.carryOut(op, op.round.HandlePrepareReply(p.voter, *p.promise))
 		return
 	}
 	w.carryOut(op, op.round.Accepted(p.voter, *p.accepted))
