--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -173,7 +173,7 @@
 	case reply.promise != nil:
 		return round.HandlePrepareReply(reply.from, *reply.promise)
 	default:
-		return round.Accepted(reply.from, *reply.accepted)
+		return round.HandleAcceptReply(reply.from, *reply.accepted)
 	}
 }
 
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -50,7 +50,7 @@
 			w.askVoter(n, voter, func(to *node) (next *register.State) {
 				next, accepted = to.acceptor.HandleAccept(register.AcceptRequest{To: voter.ID, Ballot: ballot, Value: round.Value.Clone()}, true)
 				return next
-			}, func() { carryOut(round.Accepted(voter, accepted)) }, func() { carryOut(round.Lost(voter, true)) })
+			}, func() { carryOut(round.HandleAcceptReply(voter, accepted)) }, func() { carryOut(round.Lost(voter, true)) })
 		}
 	}
 	carryOut(step)
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -313,7 +313,7 @@
 	if sent.accepting {
 		state, answer := acceptor.HandleAccept(register.AcceptRequest{To: sent.voter.ID, Ballot: call.round.Ballot, Value: call.round.Value}, true)
 		stored = state
-		step = call.round.Accepted(sent.voter, answer)
+		step = call.round.HandleAcceptReply(sent.voter, answer)
 	} else {
 		state, answer := acceptor.HandlePrepare(register.PrepareRequest{To: sent.voter.ID, Ballot: call.round.Ballot})
 		stored = state
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -92,9 +92,9 @@
 		step := round.HandlePrepareReply(voter("b"), chosen)
 		Expect(step.SendAccept).To(HaveLen(6))
 		for _, id := range []string{"d", "e", "f", "a"} {
-			Expect(round.Accepted(voter(id), register.AcceptReply{OK: true}).Done).To(BeFalse(), "after %s", id)
+			Expect(round.HandleAcceptReply(voter(id), register.AcceptReply{OK: true}).Done).To(BeFalse(), "after %s", id)
 		}
-		Expect(round.Accepted(voter("b"), register.AcceptReply{OK: true}).Done).To(BeTrue())
+		Expect(round.HandleAcceptReply(voter("b"), register.AcceptReply{OK: true}).Done).To(BeTrue())
 		Expect(round.Outcome).To(Equal(register.Chosen))
 	})
 
@@ -108,9 +108,9 @@
 			round.HandlePrepareReply(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 3}, Value: before})
 			round.HandlePrepareReply(voter("b"), register.PrepareReply{OK: true, Accepted: accepted, Value: before})
 			for _, id := range []string{"a", "b", "c"} {
-				round.Accepted(voter(id), register.AcceptReply{OK: true})
+				round.HandleAcceptReply(voter(id), register.AcceptReply{OK: true})
 			}
-			round.Accepted(voter("d"), register.AcceptReply{OK: true})
+			round.HandleAcceptReply(voter("d"), register.AcceptReply{OK: true})
 			Expect(round.Outcome).To(Equal(want))
 		},
 		Entry("a majority has accepted it", register.Ballot{Number: 3}, register.Ballot{}, register.Chosen),
@@ -124,7 +124,7 @@
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter}}
 		round, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.Configure(1, 0, register.DigestOf([]byte("x"))))
 		Expect(round.HandlePrepareReply(voter, register.PrepareReply{OK: true}).SendAccept).To(ConsistOf(voter))
-		Expect(round.Accepted(voter, register.AcceptReply{OK: true}).Done).To(BeTrue())
+		Expect(round.HandleAcceptReply(voter, register.AcceptReply{OK: true}).Done).To(BeTrue())
 		Expect(round.Outcome).To(Equal(register.Chosen))
 	})
 })
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -136,8 +136,8 @@
 	return newest.Accepted == r.proven || quorum(same, newest.Value.Voters, newest.Value.OutgoingVoters)
 }
 
-// Accepted takes a voter's answer to Accept.
-func (r *Proposal) Accepted(from Voter, answer AcceptReply) Step {
+// HandleAcceptReply takes a voter's answer to Accept.
+func (r *Proposal) HandleAcceptReply(from Voter, answer AcceptReply) Step {
 	if r.Outcome != InProgress || !r.proposing {
 		return Step{}
 	}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -191,7 +191,7 @@
 		w.carryOut(op, op.round.HandlePrepareReply(p.voter, *p.promise))
 		return
 	}
-	w.carryOut(op, op.round.Accepted(p.voter, *p.accepted))
+	w.carryOut(op, op.round.HandleAcceptReply(p.voter, *p.accepted))
 }
 
 func (w *world) carryOut(op *operation, step register.Step) {
