--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -169,7 +169,7 @@
 func applyReply(round *register.Proposal, reply voterReply) register.Step {
 	switch {
 	case reply.err != nil:
-		return round.Lost(reply.from, reply.isAccept)
+		return round.HandleNoReply(reply.from, reply.isAccept)
 	case reply.promise != nil:
 		return round.HandlePrepareReply(reply.from, *reply.promise)
 	default:
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -43,14 +43,14 @@
 			w.askVoter(n, voter, func(to *node) (next *register.State) {
 				next, promise = to.acceptor.HandlePrepare(register.PrepareRequest{To: voter.ID, Ballot: ballot})
 				return next
-			}, func() { carryOut(round.HandlePrepareReply(voter, promise)) }, func() { carryOut(round.Lost(voter, false)) })
+			}, func() { carryOut(round.HandlePrepareReply(voter, promise)) }, func() { carryOut(round.HandleNoReply(voter, false)) })
 		}
 		for _, voter := range step.SendAccept {
 			var accepted register.AcceptReply
 			w.askVoter(n, voter, func(to *node) (next *register.State) {
 				next, accepted = to.acceptor.HandleAccept(register.AcceptRequest{To: voter.ID, Ballot: ballot, Value: round.Value.Clone()}, true)
 				return next
-			}, func() { carryOut(round.HandleAcceptReply(voter, accepted)) }, func() { carryOut(round.Lost(voter, true)) })
+			}, func() { carryOut(round.HandleAcceptReply(voter, accepted)) }, func() { carryOut(round.HandleNoReply(voter, true)) })
 		}
 	}
 	carryOut(step)
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -154,8 +154,8 @@
 	return r.end(r.ending, r.Value)
 }
 
-// Lost tells that a voter could not be reached or did not answer Accept or, where accepting is false, Prepare.
-func (r *Proposal) Lost(from Voter, accepting bool) Step {
+// HandleNoReply tells that a voter could not be reached or did not answer Accept or, where accepting is false, Prepare.
+func (r *Proposal) HandleNoReply(from Voter, accepting bool) Step {
 	if r.Outcome != InProgress || accepting != r.proposing {
 		return Step{}
 	}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -371,7 +371,7 @@
 		w.carryOut(n.op, n.op.reading.Lost())
 		return
 	}
-	w.carryOut(n.op, n.op.round.Lost(voter, w.rng.IntN(2) == 0))
+	w.carryOut(n.op, n.op.round.HandleNoReply(voter, w.rng.IntN(2) == 0))
 }
 
 func (w *world) giveUp() {
