--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -196,8 +196,8 @@
 	return Step{Done: true}
 }
 
-// Reading is the state machine of a read that changes nothing. Where voters differ it can't tell, and a round of Keep must.
-type Reading struct {
+// QuorumRead is the state machine of a read that changes nothing. Where voters differ it can't tell, and a round of Keep must.
+type QuorumRead struct {
 	Value   Value
 	At      Ballot  // the ballot at which Value was chosen
 	Outcome Outcome // Chosen: Value holds; Outvoted: a round of Keep is needed
@@ -209,13 +209,13 @@
 }
 
 // NewReading returns a read and its first step, whose Prepare names the voters to send Read to.
-func NewReading(known Value) (*Reading, Step) {
-	r := &Reading{known: known, answers: map[Voter]PrepareReply{}, asked: askedVoters{}}
+func NewReading(known Value) (*QuorumRead, Step) {
+	r := &QuorumRead{known: known, answers: map[Voter]PrepareReply{}, asked: askedVoters{}}
 	return r, Step{SendPrepare: r.asked.ask(known)}
 }
 
 // Answered takes a voter's answer to Read.
-func (r *Reading) Answered(from Voter, answer PrepareReply) Step {
+func (r *QuorumRead) Answered(from Voter, answer PrepareReply) Step {
 	if r.Outcome != InProgress {
 		return Step{}
 	}
@@ -244,7 +244,7 @@
 }
 
 // Lost tells that a voter gave no answer.
-func (r *Reading) Lost() Step {
+func (r *QuorumRead) Lost() Step {
 	if r.Outcome != InProgress {
 		return Step{}
 	}
@@ -252,7 +252,7 @@
 	return r.checkAll()
 }
 
-func (r *Reading) checkAll() Step {
+func (r *QuorumRead) checkAll() Step {
 	if len(r.answers)+r.lost < len(r.asked) {
 		return Step{}
 	}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -37,7 +37,7 @@
 	node     *node
 	life     int
 	round    *register.Proposal
-	reading  *register.Reading
+	reading  *register.QuorumRead
 	must     []register.Digest // acknowledged before this began
 	version  uint64            // the highest version that was seen before this began
 	digest   register.Digest
