--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -221,7 +221,7 @@
 	if err != nil {
 		return chosenValue{}, err
 	}
-	reading, step := register.NewReading(known)
+	reading, step := register.NewQuorumRead(known)
 	readCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	replies := make(chan voterReply)
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -86,7 +86,7 @@
 		done(register.Value{}, register.Ballot{}, false)
 		return
 	}
-	reading, step := register.NewReading(known)
+	reading, step := register.NewQuorumRead(known)
 	ended := false
 	var carryOut func(register.Step)
 	carryOut = func(step register.Step) {
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -208,8 +208,8 @@
 	lost    int
 }
 
-// NewReading returns a read and its first step, whose Prepare names the voters to send Read to.
-func NewReading(known Value) (*QuorumRead, Step) {
+// NewQuorumRead returns a read and its first step, whose Prepare names the voters to send Read to.
+func NewQuorumRead(known Value) (*QuorumRead, Step) {
 	r := &QuorumRead{known: known, answers: map[Voter]PrepareReply{}, asked: askedVoters{}}
 	return r, Step{SendPrepare: r.asked.ask(known)}
 }
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -226,7 +226,7 @@
 	voters := register.Value{Epoch: n.known.Epoch, Voters: n.known.Voters, OutgoingVoters: n.known.OutgoingVoters}
 	if w.rng.IntN(4) == 0 {
 		var step register.Step
-		op.reading, step = register.NewReading(voters)
+		op.reading, step = register.NewQuorumRead(voters)
 		w.carryOut(op, step)
 		return
 	}
