--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -247,7 +247,7 @@
 		}
 	}
 	if reading.Outcome == register.Chosen {
-		value := chosenValue{reading.Value, reading.At}
+		value := chosenValue{reading.Value, reading.ChosenAt}
 		r.recordChosen(value.Ballot)
 		r.onChosen(value)
 		return value, nil
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -96,8 +96,8 @@
 		if step.Done {
 			ended = true
 			if reading.Outcome == register.Chosen {
-				w.found(n, reading.Value, reading.At)
-				done(reading.Value, reading.At, true)
+				w.found(n, reading.Value, reading.ChosenAt)
+				done(reading.Value, reading.ChosenAt, true)
 				return
 			}
 			w.change(n, register.NoChange, until, func(round *register.Proposal) {
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -198,9 +198,9 @@
 
 // QuorumRead is the state machine of a read that changes nothing. Where voters differ it can't tell, and a round of Keep must.
 type QuorumRead struct {
-	Value   Value
-	At      Ballot  // the ballot at which Value was chosen
-	Outcome Outcome // Chosen: Value holds; Outvoted: a round of Keep is needed
+	Value    Value
+	ChosenAt Ballot  // the ballot at which Value was chosen
+	Outcome  Outcome // Chosen: Value holds; Outvoted: a round of Keep is needed
 
 	known   Value
 	answers map[Voter]PrepareReply
@@ -237,7 +237,7 @@
 		return ok && other.Accepted == newest.Accepted
 	}
 	if newest.Accepted != (Ballot{}) && quorum(same, newest.Value.Voters, newest.Value.OutgoingVoters) {
-		r.Outcome, r.Value, r.At = Chosen, newest.Value, newest.Accepted
+		r.Outcome, r.Value, r.ChosenAt = Chosen, newest.Value, newest.Accepted
 		return Step{Done: true}
 	}
 	return r.checkAll()
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -302,7 +302,7 @@
 	n.op = nil
 	value, outcome, at := register.Value{}, register.Undecided, register.Ballot{}
 	if op.reading != nil {
-		value, outcome, at = op.reading.Value, op.reading.Outcome, op.reading.At
+		value, outcome, at = op.reading.Value, op.reading.Outcome, op.reading.ChosenAt
 	} else {
 		value, outcome, at = op.round.Value, op.round.Outcome, op.round.ChosenAt
 		n.round = max(n.round, op.round.HighestPromised.Number)
