--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -242,7 +242,7 @@
 			if reply.err != nil {
 				step = reading.Lost()
 			} else {
-				step = reading.Answered(reply.from, *reply.promise)
+				step = reading.HandleReadReply(reply.from, *reply.promise)
 			}
 		}
 	}
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -214,8 +214,8 @@
 	return r, Step{SendPrepare: r.asked.ask(known)}
 }
 
-// Answered takes a voter's answer to Read.
-func (r *QuorumRead) Answered(from Voter, answer PrepareReply) Step {
+// HandleReadReply takes a voter's answer to Read.
+func (r *QuorumRead) HandleReadReply(from Voter, answer PrepareReply) Step {
 	if r.Outcome != InProgress {
 		return Step{}
 	}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -180,7 +180,7 @@
 		return
 	}
 	if op.reading != nil {
-		step := op.reading.Answered(p.voter, *p.promise)
+		step := op.reading.HandleReadReply(p.voter, *p.promise)
 		if w.faults.minorityRead && p.promise.OK && op.reading.Outcome == register.InProgress && p.promise.Value.Epoch > 0 {
 			op.reading.Outcome, op.reading.Value, step.Done = register.Chosen, p.promise.Value, true
 		}
