--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -240,7 +240,7 @@
 			return chosenValue{}, ctx.Err()
 		case reply := <-replies:
 			if reply.err != nil {
-				step = reading.Lost()
+				step = reading.HandleNoReply()
 			} else {
 				step = reading.HandleReadReply(reply.from, *reply.promise)
 			}
--- a/internal/decide/reconfiguration/rounds_test.go
+++ b/internal/decide/reconfiguration/rounds_test.go
@@ -114,7 +114,7 @@
 			w.askVoter(n, voter, func(to *node) *register.State {
 				promise = to.acceptor.HandleRead(register.ReadRequest{To: voter.ID})
 				return nil
-			}, func() { carryOut(reading.HandleReadReply(voter, promise)) }, func() { carryOut(reading.Lost()) })
+			}, func() { carryOut(reading.HandleReadReply(voter, promise)) }, func() { carryOut(reading.HandleNoReply()) })
 		}
 	}
 	carryOut(step)
--- a/internal/decide/register/round.go
+++ b/internal/decide/register/round.go
@@ -220,7 +220,7 @@
 		return Step{}
 	}
 	if !answer.OK {
-		return r.Lost()
+		return r.HandleNoReply()
 	}
 	r.answers[from] = answer
 	newest := answer
@@ -243,8 +243,8 @@
 	return r.checkAll()
 }
 
-// Lost tells that a voter gave no answer.
-func (r *QuorumRead) Lost() Step {
+// HandleNoReply tells that a voter gave no answer.
+func (r *QuorumRead) HandleNoReply() Step {
 	if r.Outcome != InProgress {
 		return Step{}
 	}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -368,7 +368,7 @@
 	voters := n.known.AllVoters()
 	voter := voters[w.rng.IntN(len(voters))]
 	if n.op.reading != nil {
-		w.carryOut(n.op, n.op.reading.Lost())
+		w.carryOut(n.op, n.op.reading.HandleNoReply())
 		return
 	}
 	w.carryOut(n.op, n.op.round.HandleNoReply(voter, w.rng.IntN(2) == 0))
