--- a/internal/decide/register/backoff.go
+++ b/internal/decide/register/backoff.go
@@ -17,8 +17,8 @@
 	rounds int
 }
 
-// Pause returns how long to wait after a round that took so long and was outvoted, in seconds. draw is even in [0, 1).
-func (b *Backoff) Pause(tookS, draw float64) float64 {
+// NextDelay returns how long to wait after a round that took so long and was outvoted, in seconds. draw is even in [0, 1).
+func (b *Backoff) NextDelay(tookS, draw float64) float64 {
 	longest := max(tookS, leastBackoff) * math.Pow(2, float64(min(b.rounds, backoffDoublings)))
 	b.rounds++
 	return draw * min(longest, max(mostBackoff, tookS))
--- a/internal/decide/register/backoff_test.go
+++ b/internal/decide/register/backoff_test.go
@@ -30,7 +30,7 @@
 		other.outvoted = true // a higher ballot is promised
 	case d.outvoted:
 		d.resting = true
-		d.next = now + d.backoff.Pause(now-d.began, d.rng.Float64())
+		d.next = now + d.backoff.NextDelay(now-d.began, d.rng.Float64())
 	case d.phase == 0:
 		d.phase, d.next = 1, now+phaseS
 	default:
@@ -76,11 +76,11 @@
 		var b register.Backoff
 		last := 0.0
 		for range 20 {
-			pause := b.Pause(0.05, 0.999)
+			pause := b.NextDelay(0.05, 0.999)
 			Expect(pause).To(BeNumerically(">=", last*0.999))
 			last = pause
 		}
 		Expect(last).To(BeNumerically("<=", 0.8))
-		Expect(b.Pause(3, 0.5)).To(BeNumerically("~", 1.5), "never less than the round itself, drawn")
+		Expect(b.NextDelay(3, 0.5)).To(BeNumerically("~", 1.5), "never less than the round itself, drawn")
 	})
 })
