--- a/internal/control/configapi.go
+++ b/internal/control/configapi.go
@@ -163,7 +163,7 @@
 }
 
 // unfit is what a change earns that does not go on top of a value.
-func rejection(value register.Value, verdict register.Verdict) changeResult {
+func rejection(value register.Value, verdict register.ConfigVerdict) changeResult {
 	current := strconv.FormatUint(value.ConfigVersion, 10)
 	switch verdict {
 	case register.Repeated:
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -5,19 +5,19 @@
 // mostAccepted bounds the digests of accepted configurations that are kept for changes that are sent again.
 const mostAccepted = 1536
 
-// Verdict says how a change of the configuration fares on top of a value.
-type Verdict int
+// ConfigVerdict says how a change of the configuration fares on top of a value.
+type ConfigVerdict int
 
 // The verdicts on a change of the configuration.
 const (
-	Fits     Verdict = iota
-	Repeated         // exactly this change was accepted before
-	Stale            // another version is current than the one it is based on
-	NotAbove         // its version is not above the current one
+	Fits     ConfigVerdict = iota
+	Repeated               // exactly this change was accepted before
+	Stale                  // another version is current than the one it is based on
+	NotAbove               // its version is not above the current one
 )
 
 // Judge says how a change to this version, based on another, fares on top of v. identity tells changes apart.
-func (v *Value) Judge(version, base uint64, identity Digest) Verdict {
+func (v *Value) Judge(version, base uint64, identity Digest) ConfigVerdict {
 	switch {
 	case slices.Contains(v.AcceptedChanges, identity):
 		return Repeated
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -132,7 +132,7 @@
 var _ = Describe("the judgement of a configuration", func() {
 	value := register.Value{ConfigVersion: 7, AcceptedChanges: []register.Digest{register.DigestOf([]byte("old")), register.DigestOf([]byte("now"))}}
 
-	DescribeTable("goes by what was accepted first", func(version, base uint64, data string, want register.Verdict) {
+	DescribeTable("goes by what was accepted first", func(version, base uint64, data string, want register.ConfigVerdict) {
 		Expect(value.Judge(version, base, register.DigestOf([]byte(data)))).To(Equal(want))
 	},
 		Entry("sent again", uint64(7), uint64(5), "now", register.Repeated),
