--- a/internal/control/configapi.go
+++ b/internal/control/configapi.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return unavailableChange(err)
 	}
-	if verdict := value.Judge(patch.Version, request.base, identity); verdict != register.Fits {
+	if verdict := value.Judge(patch.Version, request.base, identity); verdict != register.ConfigApplicable {
 		return rejection(value.Value, verdict)
 	}
 	if value.ConfigVersion == 0 {
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -10,10 +10,10 @@
 
 // The verdicts on a change of the configuration.
 const (
-	Fits     ConfigVerdict = iota
-	Repeated               // exactly this change was accepted before
-	Stale                  // another version is current than the one it is based on
-	NotAbove               // its version is not above the current one
+	ConfigApplicable ConfigVerdict = iota
+	Repeated                       // exactly this change was accepted before
+	Stale                          // another version is current than the one it is based on
+	NotAbove                       // its version is not above the current one
 )
 
 // Judge says how a change to this version, based on another, fares on top of v. identity tells changes apart.
@@ -26,7 +26,7 @@
 	case version <= v.ConfigVersion:
 		return NotAbove
 	}
-	return Fits
+	return ConfigApplicable
 }
 
 // Configure returns the change that puts a configuration with this digest in place of the one that it is based on. A configuration that
@@ -39,7 +39,7 @@
 // repetition when what it was made of is gone.
 func ConfigureAs(version, base uint64, digest, identity Digest) Change {
 	return func(current Value) (Value, bool) {
-		if current.Judge(version, base, identity) != Fits {
+		if current.Judge(version, base, identity) != ConfigApplicable {
 			return current, false
 		}
 		current.ConfigVersion, current.ConfigDigest = version, digest
