--- a/internal/control/configapi.go
+++ b/internal/control/configapi.go
@@ -166,7 +166,7 @@
 func rejection(value register.Value, verdict register.ConfigVerdict) changeResult {
 	current := strconv.FormatUint(value.ConfigVersion, 10)
 	switch verdict {
-	case register.Repeated:
+	case register.ConfigDuplicate:
 		return changeAccepted
 	case register.Stale:
 		return changeResult{http.StatusPreconditionFailed, "version " + current + " is current"}
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -11,7 +11,7 @@
 // The verdicts on a change of the configuration.
 const (
 	ConfigApplicable ConfigVerdict = iota
-	Repeated                       // exactly this change was accepted before
+	ConfigDuplicate                // exactly this change was accepted before
 	Stale                          // another version is current than the one it is based on
 	NotAbove                       // its version is not above the current one
 )
@@ -20,7 +20,7 @@
 func (v *Value) Judge(version, base uint64, identity Digest) ConfigVerdict {
 	switch {
 	case slices.Contains(v.AcceptedChanges, identity):
-		return Repeated
+		return ConfigDuplicate
 	case base != v.ConfigVersion:
 		return Stale
 	case version <= v.ConfigVersion:
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -135,8 +135,8 @@
 	DescribeTable("goes by what was accepted first", func(version, base uint64, data string, want register.ConfigVerdict) {
 		Expect(value.Judge(version, base, register.DigestOf([]byte(data)))).To(Equal(want))
 	},
-		Entry("sent again", uint64(7), uint64(5), "now", register.Repeated),
-		Entry("sent again though a later one is in force", uint64(5), uint64(1), "old", register.Repeated),
+		Entry("sent again", uint64(7), uint64(5), "now", register.ConfigDuplicate),
+		Entry("sent again though a later one is in force", uint64(5), uint64(1), "old", register.ConfigDuplicate),
 		Entry("based on an older version", uint64(9), uint64(5), "new", register.Stale),
 		Entry("not above the current version", uint64(7), uint64(7), "new", register.NotAbove),
 		Entry("on top of the current one", uint64(8), uint64(7), "new", register.ConfigApplicable),
@@ -265,7 +265,7 @@
 			Expect(fits).To(BeTrue())
 			value = next
 		}
-		Expect(value.Judge(1, 0, digest(1))).To(Equal(register.Repeated))
+		Expect(value.Judge(1, 0, digest(1))).To(Equal(register.ConfigDuplicate))
 		Expect(value.Judge(1, 0, digest(later+2))).To(Equal(register.Stale), "other bytes under its number")
 	})
 })
