--- a/internal/control/configapi.go
+++ b/internal/control/configapi.go
@@ -168,7 +168,7 @@
 	switch verdict {
 	case register.ConfigDuplicate:
 		return changeAccepted
-	case register.Stale:
+	case register.ConfigStaleBase:
 		return changeResult{http.StatusPreconditionFailed, "version " + current + " is current"}
 	case register.NotAbove:
 		return changeResult{http.StatusBadRequest, "Version: not above " + current}
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -12,7 +12,7 @@
 const (
 	ConfigApplicable ConfigVerdict = iota
 	ConfigDuplicate                // exactly this change was accepted before
-	Stale                          // another version is current than the one it is based on
+	ConfigStaleBase                // another version is current than the one it is based on
 	NotAbove                       // its version is not above the current one
 )
 
@@ -22,7 +22,7 @@
 	case slices.Contains(v.AcceptedChanges, identity):
 		return ConfigDuplicate
 	case base != v.ConfigVersion:
-		return Stale
+		return ConfigStaleBase
 	case version <= v.ConfigVersion:
 		return NotAbove
 	}
