--- a/internal/control/configapi.go
+++ b/internal/control/configapi.go
@@ -170,7 +170,7 @@
 		return changeAccepted
 	case register.ConfigStaleBase:
 		return changeResult{http.StatusPreconditionFailed, "version " + current + " is current"}
-	case register.NotAbove:
+	case register.ConfigStaleVersion:
 		return changeResult{http.StatusBadRequest, "Version: not above " + current}
 	default:
 		return changeResult{http.StatusServiceUnavailable, "try again"}
--- a/internal/control/wire_form_test.go
+++ b/internal/control/wire_form_test.go
@@ -92,7 +92,7 @@
 
 	It("has a status for each verdict on a change", func() {
 		var out strings.Builder
-		for _, judged := range []register.ConfigVerdict{register.ConfigApplicable, register.ConfigDuplicate, register.ConfigStaleBase, register.NotAbove} {
+		for _, judged := range []register.ConfigVerdict{register.ConfigApplicable, register.ConfigDuplicate, register.ConfigStaleBase, register.ConfigStaleVersion} {
 			got := rejection(register.Value{ConfigVersion: 7}, judged)
 			fmt.Fprintf(&out, "%d: %d %s\n", judged, got.status, got.message)
 		}
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -10,10 +10,10 @@
 
 // The verdicts on a change of the configuration.
 const (
-	ConfigApplicable ConfigVerdict = iota
-	ConfigDuplicate                // exactly this change was accepted before
-	ConfigStaleBase                // another version is current than the one it is based on
-	NotAbove                       // its version is not above the current one
+	ConfigApplicable   ConfigVerdict = iota
+	ConfigDuplicate                  // exactly this change was accepted before
+	ConfigStaleBase                  // another version is current than the one it is based on
+	ConfigStaleVersion               // its version is not above the current one
 )
 
 // Judge says how a change to this version, based on another, fares on top of v. identity tells changes apart.
@@ -24,7 +24,7 @@
 	case base != v.ConfigVersion:
 		return ConfigStaleBase
 	case version <= v.ConfigVersion:
-		return NotAbove
+		return ConfigStaleVersion
 	}
 	return ConfigApplicable
 }
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -138,7 +138,7 @@
 		Entry("sent again", uint64(7), uint64(5), "now", register.ConfigDuplicate),
 		Entry("sent again though a later one is in force", uint64(5), uint64(1), "old", register.ConfigDuplicate),
 		Entry("based on an older version", uint64(9), uint64(5), "new", register.ConfigStaleBase),
-		Entry("not above the current version", uint64(7), uint64(7), "new", register.NotAbove),
+		Entry("not above the current version", uint64(7), uint64(7), "new", register.ConfigStaleVersion),
 		Entry("on top of the current one", uint64(8), uint64(7), "new", register.ConfigApplicable),
 	)
 })
