--- a/internal/control/configapi.go
+++ b/internal/control/configapi.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return unavailableChange(err)
 	}
-	if verdict := value.Judge(patch.Version, request.base, identity); verdict != register.ConfigApplicable {
+	if verdict := value.CheckConfig(patch.Version, request.base, identity); verdict != register.ConfigApplicable {
 		return rejection(value.Value, verdict)
 	}
 	if value.ConfigVersion == 0 {
@@ -159,7 +159,7 @@
 		c.node.SetTable(table)
 		return changeAccepted
 	}
-	return rejection(value.Value, value.Judge(table.Version, request.base, identity))
+	return rejection(value.Value, value.CheckConfig(table.Version, request.base, identity))
 }
 
 // unfit is what a change earns that does not go on top of a value.
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -16,8 +16,8 @@
 	ConfigStaleVersion               // its version is not above the current one
 )
 
-// Judge says how a change to this version, based on another, fares on top of v. identity tells changes apart.
-func (v *Value) Judge(version, base uint64, identity Digest) ConfigVerdict {
+// CheckConfig says how a change to this version, based on another, fares on top of v. identity tells changes apart.
+func (v *Value) CheckConfig(version, base uint64, identity Digest) ConfigVerdict {
 	switch {
 	case slices.Contains(v.AcceptedChanges, identity):
 		return ConfigDuplicate
@@ -39,7 +39,7 @@
 // repetition when what it was made of is gone.
 func ConfigureAs(version, base uint64, digest, identity Digest) Change {
 	return func(current Value) (Value, bool) {
-		if current.Judge(version, base, identity) != ConfigApplicable {
+		if current.CheckConfig(version, base, identity) != ConfigApplicable {
 			return current, false
 		}
 		current.ConfigVersion, current.ConfigDigest = version, digest
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -133,7 +133,7 @@
 	value := register.Value{ConfigVersion: 7, AcceptedChanges: []register.Digest{register.DigestOf([]byte("old")), register.DigestOf([]byte("now"))}}
 
 	DescribeTable("goes by what was accepted first", func(version, base uint64, data string, want register.ConfigVerdict) {
-		Expect(value.Judge(version, base, register.DigestOf([]byte(data)))).To(Equal(want))
+		Expect(value.CheckConfig(version, base, register.DigestOf([]byte(data)))).To(Equal(want))
 	},
 		Entry("sent again", uint64(7), uint64(5), "now", register.ConfigDuplicate),
 		Entry("sent again though a later one is in force", uint64(5), uint64(1), "old", register.ConfigDuplicate),
@@ -265,7 +265,7 @@
 			Expect(fits).To(BeTrue())
 			value = next
 		}
-		Expect(value.Judge(1, 0, digest(1))).To(Equal(register.ConfigDuplicate))
-		Expect(value.Judge(1, 0, digest(later+2))).To(Equal(register.ConfigStaleBase), "other bytes under its number")
+		Expect(value.CheckConfig(1, 0, digest(1))).To(Equal(register.ConfigDuplicate))
+		Expect(value.CheckConfig(1, 0, digest(later+2))).To(Equal(register.ConfigStaleBase), "other bytes under its number")
 	})
 })
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -326,7 +326,7 @@
 		w.newest = value
 	}
 	w.check(op, value)
-	if op.isChange && (outcome == register.Chosen || value.Judge(op.base+1, op.base, op.digest) == register.ConfigDuplicate) {
+	if op.isChange && (outcome == register.Chosen || value.CheckConfig(op.base+1, op.base, op.digest) == register.ConfigDuplicate) {
 		w.acknowledge(op)
 	}
 	w.highest = max(w.highest, value.ConfigVersion)
