--- a/internal/decide/reconfiguration/rules_test.go
+++ b/internal/decide/reconfiguration/rules_test.go
@@ -73,7 +73,7 @@
 	}
 	base := w.highest
 	digest := register.DigestOf(fmt.Append(nil, w.order))
-	w.change(n, register.Configure(base+1, base, digest), w.now+changeS, func(round *register.Proposal) {
+	w.change(n, register.SetConfig(base+1, base, digest), w.now+changeS, func(round *register.Proposal) {
 		if round == nil {
 			return
 		}
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -29,9 +29,9 @@
 	return ConfigApplicable
 }
 
-// Configure returns the change that puts a configuration with this digest in place of the one that it is based on. A configuration that
+// SetConfig returns the change that puts a configuration with this digest in place of the one that it is based on. A configuration that
 // comes whole is its own identity.
-func Configure(version, base uint64, digest Digest) Change {
+func SetConfig(version, base uint64, digest Digest) Change {
 	return ConfigureAs(version, base, digest, digest)
 }
 
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -34,7 +34,7 @@
 func configures(node string, version uint64) scriptedCall {
 	digest := register.DigestOf([]byte(fmt.Sprint(version)))
 	return scriptedCall{node: node, digest: digest, base: version - 1,
-		change: func(register.Value) register.Change { return register.Configure(version, version-1, digest) }}
+		change: func(register.Value) register.Change { return register.SetConfig(version, version-1, digest) }}
 }
 
 // patches is a change that is known by its own bytes, which are others than those that it makes.
@@ -206,7 +206,7 @@
 // first is the state in which all founders have accepted version 1.
 func (e *explorer) first() *modelState {
 	value := register.Value{Epoch: 1, Voters: namedVoters("A", "B", "C")}
-	value, _ = register.Configure(1, 0, register.DigestOf([]byte("1")))(value)
+	value, _ = register.SetConfig(1, 0, register.DigestOf([]byte("1")))(value)
 	ballot := register.Ballot{Number: 1, Proposer: "setup"}
 	s := &modelState{disks: map[string]register.State{}, calls: map[string]*liveCall{}, proven: map[string]register.Ballot{},
 		acked: slices.Clone(value.AcceptedChanges), chosen: value, at: ballot}
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -122,7 +122,7 @@
 	It("lets a configuration change at once, by the voters of a value that may not be chosen", func() {
 		voter := register.Voter{ID: "a", Address: "a"}
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter}}
-		round, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.Configure(1, 0, register.DigestOf([]byte("x"))))
+		round, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.SetConfig(1, 0, register.DigestOf([]byte("x"))))
 		Expect(round.HandlePrepareReply(voter, register.PrepareReply{OK: true}).SendAccept).To(ConsistOf(voter))
 		Expect(round.HandleAcceptReply(voter, register.AcceptReply{OK: true}).Done).To(BeTrue())
 		Expect(round.Outcome).To(Equal(register.Chosen))
@@ -261,7 +261,7 @@
 		}
 		value := register.Value{}
 		for version := uint64(1); version <= later+1; version++ {
-			next, fits := register.Configure(version, version-1, digest(version))(value.Clone())
+			next, fits := register.SetConfig(version, version-1, digest(version))(value.Clone())
 			Expect(fits).To(BeTrue())
 			value = next
 		}
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -253,7 +253,7 @@
 	default:
 		op.isChange, op.base = true, w.highest
 		op.digest = register.DigestOf([]byte(fmt.Sprint(op.id)))
-		change := register.Configure(op.base+1, op.base, op.digest)
+		change := register.SetConfig(op.base+1, op.base, op.digest)
 		if !w.faults.forgetsAccepted {
 			return change
 		}
