--- a/internal/control/configapi.go
+++ b/internal/control/configapi.go
@@ -150,7 +150,7 @@
 
 // configure puts a configuration in place of the one that it is based on.
 func (c *Control) proposeConfig(ctx context.Context, table *routeconfig.Table, request changeRequest, identity register.Digest) changeResult {
-	change := register.ConfigureAs(table.Version, request.base, register.DigestOf(request.data), identity)
+	change := register.SetConfigWithIdentity(table.Version, request.base, register.DigestOf(request.data), identity)
 	value, outcome, err := c.proposer.propose(ctx, change, request.data)
 	if err != nil {
 		return unavailableChange(err)
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -32,12 +32,12 @@
 // SetConfig returns the change that puts a configuration with this digest in place of the one that it is based on. A configuration that
 // comes whole is its own identity.
 func SetConfig(version, base uint64, digest Digest) Change {
-	return ConfigureAs(version, base, digest, digest)
+	return SetConfigWithIdentity(version, base, digest, digest)
 }
 
-// ConfigureAs is Configure for a change that is known by something else than by the configuration that it makes: it can be told to be a
+// SetConfigWithIdentity is Configure for a change that is known by something else than by the configuration that it makes: it can be told to be a
 // repetition when what it was made of is gone.
-func ConfigureAs(version, base uint64, digest, identity Digest) Change {
+func SetConfigWithIdentity(version, base uint64, digest, identity Digest) Change {
 	return func(current Value) (Value, bool) {
 		if current.CheckConfig(version, base, identity) != ConfigApplicable {
 			return current, false
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -41,7 +41,9 @@
 func patches(node string, version uint64) scriptedCall {
 	made, identity := register.DigestOf([]byte(fmt.Sprint("made ", version))), register.DigestOf([]byte(fmt.Sprint("patch ", version)))
 	return scriptedCall{node: node, digest: identity, base: version - 1,
-		change: func(register.Value) register.Change { return register.ConfigureAs(version, version-1, made, identity) }}
+		change: func(register.Value) register.Change {
+			return register.SetConfigWithIdentity(version, version-1, made, identity)
+		}}
 }
 
 const scriptedRole = "r"
