--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -63,7 +63,7 @@
 		if !needed {
 			return false, nil
 		}
-		if changed, err = c.changeVoters(ctx, register.Reconfigure(value.Epoch, next)); err != nil || !changed {
+		if changed, err = c.changeVoters(ctx, register.BeginReconfiguration(value.Epoch, next)); err != nil || !changed {
 			return changed, err
 		}
 	}
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -387,7 +387,7 @@
 			stop()
 			return
 		}
-		w.change(n, register.Reconfigure(value.Epoch, next), until, func(round *register.Proposal) {
+		w.change(n, register.BeginReconfiguration(value.Epoch, next), until, func(round *register.Proposal) {
 			if round == nil || round.Outcome != register.Chosen {
 				stop()
 				return
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Reconfigure returns the change to other voters, of the epoch after the given one. Both sets decide until Settle.
-func Reconfigure(epoch uint64, voters []Voter) Change {
+// BeginReconfiguration returns the change to other voters, of the epoch after the given one. Both sets decide until Settle.
+func BeginReconfiguration(epoch uint64, voters []Voter) Change {
 	return func(current Value) (Value, bool) {
 		if current.Epoch != epoch || len(current.OutgoingVoters) > 0 || len(voters) == 0 {
 			return current, false
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -58,7 +58,7 @@
 		if len(known.OutgoingVoters) > 0 {
 			return register.Settle
 		}
-		return register.Reconfigure(known.Epoch, namedVoters(voters...))
+		return register.BeginReconfiguration(known.Epoch, namedVoters(voters...))
 	}}
 }
 
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -87,7 +87,7 @@
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 		after := []register.Voter{voter("d"), voter("e"), voter("f")}
 		chosen := register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 1}, Value: before}
-		round, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.Reconfigure(1, after))
+		round, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.BeginReconfiguration(1, after))
 		round.HandlePrepareReply(voter("a"), chosen)
 		step := round.HandlePrepareReply(voter("b"), chosen)
 		Expect(step.SendAccept).To(HaveLen(6))
@@ -103,7 +103,7 @@
 			voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 			before := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 			after := []register.Voter{voter("a"), voter("b"), voter("d")}
-			round, _ := register.NewProposal(register.Ballot{Number: 5}, before, register.Reconfigure(1, after))
+			round, _ := register.NewProposal(register.Ballot{Number: 5}, before, register.BeginReconfiguration(1, after))
 			round.SetKnownChosen(proven)
 			round.HandlePrepareReply(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 3}, Value: before})
 			round.HandlePrepareReply(voter("b"), register.PrepareReply{OK: true, Accepted: accepted, Value: before})
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -278,7 +278,7 @@
 	if !changed {
 		return register.NoChange
 	}
-	return register.Reconfigure(n.known.Epoch, next)
+	return register.BeginReconfiguration(n.known.Epoch, next)
 }
 
 // caughtUp tells whether a node's disk holds the newest value that any call has returned.
