--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -67,7 +67,7 @@
 			return changed, err
 		}
 	}
-	return c.changeVoters(ctx, register.Settle)
+	return c.changeVoters(ctx, register.CompleteReconfiguration)
 }
 
 // changeVoters makes one change. It returns false where another process has changed the voters meanwhile.
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -366,7 +366,7 @@
 		case !ok:
 			stop()
 		case len(value.OutgoingVoters) > 0:
-			w.change(n, register.Settle, until, func(*register.Proposal) { stop() })
+			w.change(n, register.CompleteReconfiguration, until, func(*register.Proposal) { stop() })
 		default:
 			w.askLearners(n, value, at, until, stop)
 		}
@@ -394,7 +394,7 @@
 			}
 			w.changes++
 			w.checkNewcomers(value, next)
-			w.change(n, register.Settle, until, func(*register.Proposal) { stop() })
+			w.change(n, register.CompleteReconfiguration, until, func(*register.Proposal) { stop() })
 		})
 	}
 	for i := range candidates {
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Settle is the change that lets the new voters decide alone.
-func Settle(current Value) (Value, bool) {
+// CompleteReconfiguration is the change that lets the new voters decide alone.
+func CompleteReconfiguration(current Value) (Value, bool) {
 	if len(current.OutgoingVoters) == 0 {
 		return current, false
 	}
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -56,14 +56,14 @@
 func reconfigures(node string, voters ...string) scriptedCall {
 	return scriptedCall{node: node, change: func(known register.Value) register.Change {
 		if len(known.OutgoingVoters) > 0 {
-			return register.Settle
+			return register.CompleteReconfiguration
 		}
 		return register.BeginReconfiguration(known.Epoch, namedVoters(voters...))
 	}}
 }
 
 func settles(node string) scriptedCall {
-	return scriptedCall{node: node, change: func(register.Value) register.Change { return register.Settle }}
+	return scriptedCall{node: node, change: func(register.Value) register.Change { return register.CompleteReconfiguration }}
 }
 
 func keeps(node string) scriptedCall {
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -267,7 +267,7 @@
 
 func (w *world) membership(n *node) register.Change {
 	if len(n.known.OutgoingVoters) > 0 {
-		return register.Settle
+		return register.CompleteReconfiguration
 	}
 	var candidates []register.Candidate
 	for _, other := range w.nodes {
