--- a/internal/control/stagelease.go
+++ b/internal/control/stagelease.go
@@ -29,7 +29,7 @@
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	name := k.control.settings.NodeID
-	value, outcome, err := k.control.proposer.propose(ctx, register.Take(stagesRole, name, grant.Token), nil)
+	value, outcome, err := k.control.proposer.propose(ctx, register.AcquireRole(stagesRole, name, grant.Token), nil)
 	if err != nil || outcome != register.Chosen {
 		return
 	}
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -132,10 +132,10 @@
 func (w *world) takeRole(n *node) {
 	n.role.busy = true
 	began, token := w.clock(n), n.role.grant.Token
-	take := register.Take(roleName, n.address, token)
+	take := register.AcquireRole(roleName, n.address, token)
 	if w.mistakes.grabsRole {
 		take = func(current register.Value) (register.Value, bool) {
-			return register.Take(roleName, n.address, current.GrantFor(roleName).Token)(current)
+			return register.AcquireRole(roleName, n.address, current.GrantFor(roleName).Token)(current)
 		}
 	}
 	w.change(n, take, w.now+changeS, w.inLife(n, func(round *register.Proposal) {
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -73,8 +73,8 @@
 	return current, true
 }
 
-// Take returns the change that gives a role to a holder with the next token, if the current token is still the given one.
-func Take(role, holder string, token uint64) Change {
+// AcquireRole returns the change that gives a role to a holder with the next token, if the current token is still the given one.
+func AcquireRole(role, holder string, token uint64) Change {
 	return func(current Value) (Value, bool) {
 		grant := current.GrantFor(role)
 		if grant.Token != token {
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -50,7 +50,7 @@
 
 // takes is a process that takes a role whose token it knows.
 func takes(node string, token uint64) scriptedCall {
-	return scriptedCall{node: node, takes: true, change: func(register.Value) register.Change { return register.Take(scriptedRole, node, token) }}
+	return scriptedCall{node: node, takes: true, change: func(register.Value) register.Change { return register.AcquireRole(scriptedRole, node, token) }}
 }
 
 func reconfigures(node string, voters ...string) scriptedCall {
