--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -59,7 +59,7 @@
 	if len(value.OutgoingVoters) == 0 {
 		assumed := reconfiguration.Assume(&value.Value, c.candidates(), c.isReachable)
 		candidates := c.queryLearners(ctx, value, assumed, learners)
-		next, needed := register.Membership(value.Voters, candidates, c.targetVoters())
+		next, needed := register.NextVoters(value.Voters, candidates, c.targetVoters())
 		if !needed {
 			return false, nil
 		}
--- a/internal/decide/reconfiguration/upkeep.go
+++ b/internal/decide/reconfiguration/upkeep.go
@@ -60,7 +60,7 @@
 	for i := range assumed {
 		assumed[i].CaughtUp = true
 	}
-	_, changed := register.Membership(value.Voters, assumed, wanted)
+	_, changed := register.NextVoters(value.Voters, assumed, wanted)
 	return changed
 }
 
--- a/internal/decide/reconfiguration/upkeep_test.go
+++ b/internal/decide/reconfiguration/upkeep_test.go
@@ -103,9 +103,9 @@
 		newcomer := alive("d", "D")
 		newcomer.CaughtUp = true
 		heard := []register.Candidate{alive("a", "A"), newcomer}
-		next, _ := register.Membership(value.Voters, heard, 3)
+		next, _ := register.NextVoters(value.Voters, heard, 3)
 		Expect(next).NotTo(ContainElement(voter("c", "C")), "what would happen without")
-		next, _ = register.Membership(value.Voters, reconfiguration.Assume(value, heard, everyone), 3)
+		next, _ = register.NextVoters(value.Voters, reconfiguration.Assume(value, heard, everyone), 3)
 		Expect(next).To(ContainElements(value.Voters))
 	})
 
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -382,7 +382,7 @@
 		if open--; open > 0 {
 			return
 		}
-		next, needed := register.Membership(value.Voters, candidates, w.wanted)
+		next, needed := register.NextVoters(value.Voters, candidates, w.wanted)
 		if !needed {
 			stop()
 			return
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -98,9 +98,9 @@
 // joins tells whether a candidate that doesn't vote may.
 func (c *Candidate) joins() bool { return c.Alive && c.CaughtUp && !c.Leaving }
 
-// Membership decides on the next set of voters: candidates that have caught up join; voters leave that lost their disk, that are
+// NextVoters decides on the next set of voters: candidates that have caught up join; voters leave that lost their disk, that are
 // about to end or that are silent, in this order, while as many as wanted are left. It returns false where nothing is to be changed.
-func Membership(current []Voter, candidates []Candidate, wanted int) ([]Voter, bool) {
+func NextVoters(current []Voter, candidates []Candidate, wanted int) ([]Voter, bool) {
 	var next, leaving, silent, replaced []Voter
 	for _, voter := range current {
 		switch candidate := LiveCandidate(voter, candidates); {
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -155,62 +155,62 @@
 	voters := []register.Voter{a, b, c}
 
 	It("keeps a silent voter while there is nobody in its place", func() {
-		_, changed := register.Membership(voters, alive(a, b), 3)
+		_, changed := register.NextVoters(voters, alive(a, b), 3)
 		Expect(changed).To(BeFalse())
 	})
 
 	It("puts the new identity of an address in the place of the old one", func() {
-		next, changed := register.Membership(voters, alive(a, b, wiped), 3)
+		next, changed := register.NextVoters(voters, alive(a, b, wiped), 3)
 		Expect(changed).To(BeTrue())
 		Expect(next).To(ConsistOf(a, b, wiped))
 	})
 
 	It("puts a newcomer in the place of a silent voter", func() {
-		next, changed := register.Membership(voters, alive(a, b, d), 3)
+		next, changed := register.NextVoters(voters, alive(a, b, d), 3)
 		Expect(changed).To(BeTrue())
 		Expect(next).To(ConsistOf(a, b, d))
 	})
 
 	It("lets further core machines join", func() {
-		next, changed := register.Membership(voters, alive(a, b, c, d), 3)
+		next, changed := register.NextVoters(voters, alive(a, b, c, d), 3)
 		Expect(changed).To(BeTrue())
 		Expect(next).To(ConsistOf(a, b, c, d))
 	})
 
 	It("lets nobody vote that has not caught up", func() {
 		learner := register.Candidate{Voter: d, Alive: true}
-		_, changed := register.Membership(voters, append(alive(a, b, c), learner), 3)
+		_, changed := register.NextVoters(voters, append(alive(a, b, c), learner), 3)
 		Expect(changed).To(BeFalse())
 	})
 
 	It("keeps a lost identity until the new one of its address has caught up", func() {
 		learner := register.Candidate{Voter: wiped, Alive: true}
-		_, changed := register.Membership(voters, append(alive(a, b), learner), 3)
+		_, changed := register.NextVoters(voters, append(alive(a, b), learner), 3)
 		Expect(changed).To(BeFalse())
 	})
 
 	It("lets a leaving voter go at once where enough are left without it", func() {
 		leaving := register.Candidate{Voter: c, Alive: true, Leaving: true}
-		next, changed := register.Membership([]register.Voter{a, b, c, d}, append(alive(a, b, d), leaving), 3)
+		next, changed := register.NextVoters([]register.Voter{a, b, c, d}, append(alive(a, b, d), leaving), 3)
 		Expect(changed).To(BeTrue())
 		Expect(next).To(ConsistOf(a, b, d))
 	})
 
 	It("keeps a leaving voter while too few would be left", func() {
 		leaving := register.Candidate{Voter: c, Alive: true, Leaving: true}
-		_, changed := register.Membership(voters, append(alive(a, b), leaving), 3)
+		_, changed := register.NextVoters(voters, append(alive(a, b), leaving), 3)
 		Expect(changed).To(BeFalse())
 	})
 
 	It("lets nobody join that is leaving", func() {
 		leaving := register.Candidate{Voter: d, Alive: true, CaughtUp: true, Leaving: true}
-		_, changed := register.Membership(voters, append(alive(a, b, c), leaving), 3)
+		_, changed := register.NextVoters(voters, append(alive(a, b, c), leaving), 3)
 		Expect(changed).To(BeFalse())
 	})
 
 	It("prefers a leaving voter to a silent one where one of them has to stay", func() {
 		leaving := register.Candidate{Voter: c, Alive: true, Leaving: true}
-		next, changed := register.Membership([]register.Voter{d, a, b, c}, append(alive(a, b), leaving), 3)
+		next, changed := register.NextVoters([]register.Voter{d, a, b, c}, append(alive(a, b), leaving), 3)
 		Expect(changed).To(BeTrue())
 		Expect(next).To(ConsistOf(a, b, c))
 	})
--- a/internal/decide/register/world_test.go
+++ b/internal/decide/register/world_test.go
@@ -274,7 +274,7 @@
 		voter := register.Voter{ID: other.durable.ID, Address: other.address}
 		candidates = append(candidates, register.Candidate{Voter: voter, Alive: other.up, CaughtUp: w.caughtUp(other)})
 	}
-	next, changed := register.Membership(n.known.Voters, candidates, len(w.nodes))
+	next, changed := register.NextVoters(n.known.Voters, candidates, len(w.nodes))
 	if !changed {
 		return register.NoChange
 	}
