--- a/internal/decide/reconfiguration/upkeep.go
+++ b/internal/decide/reconfiguration/upkeep.go
@@ -81,7 +81,7 @@
 // Alive tells of a voter whether it is there by its identity. Danger: a machine that lost its disk has another identity at the same
 // address. Counted as the voter that it was, it would have a turn that it can't take.
 func Alive(candidates []register.Candidate) func(register.Voter) bool {
-	return func(voter register.Voter) bool { return register.LiveCandidate(voter, candidates) != nil }
+	return func(voter register.Voter) bool { return register.FindLiveCandidate(voter, candidates) != nil }
 }
 
 // Learners keeps what each candidate that is asked must hold to vote: the value that was chosen when it was asked first, or a later one.
--- a/internal/decide/register/changes.go
+++ b/internal/decide/register/changes.go
@@ -103,7 +103,7 @@
 func NextVoters(current []Voter, candidates []Candidate, wanted int) ([]Voter, bool) {
 	var next, leaving, silent, replaced []Voter
 	for _, voter := range current {
-		switch candidate := LiveCandidate(voter, candidates); {
+		switch candidate := FindLiveCandidate(voter, candidates); {
 		case candidate != nil && candidate.Leaving:
 			leaving = append(leaving, voter)
 		case candidate != nil:
@@ -126,8 +126,8 @@
 	return next, (joined || len(next) < len(current)) && len(next) > 0
 }
 
-// LiveCandidate returns the live candidate that is a voter by its identity, nil if there is none.
-func LiveCandidate(voter Voter, candidates []Candidate) *Candidate {
+// FindLiveCandidate returns the live candidate that is a voter by its identity, nil if there is none.
+func FindLiveCandidate(voter Voter, candidates []Candidate) *Candidate {
 	for i := range candidates {
 		if candidates[i].Alive && candidates[i].Voter == voter {
 			return &candidates[i]
