--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -27,7 +27,7 @@
 
 // upkeep has lost voters replaced and newcomers join.
 func (c *Control) runReconfiguration(ctx context.Context) {
-	var turns reconfiguration.Turns
+	var turns reconfiguration.StaggeredTimer
 	var learners reconfiguration.Learners
 	startedAt := time.Now()
 	for sleep(ctx, reconfigurationInterval) == nil {
--- a/internal/decide/reconfiguration/upkeep_test.go
+++ b/internal/decide/reconfiguration/upkeep_test.go
@@ -65,7 +65,7 @@
 
 var _ = Describe("turns", func() {
 	It("begin with the first and go on to the next where the need stays", func() {
-		var first, second reconfiguration.Turns
+		var first, second reconfiguration.StaggeredTimer
 		Expect(first.Due(10, true, 0)).To(BeTrue())
 		Expect(second.Due(10, true, 1)).To(BeFalse())
 		Expect(second.Due(10.5, true, 1)).To(BeFalse())
@@ -73,7 +73,7 @@
 	})
 
 	It("begin anew once there was no need", func() {
-		var turns reconfiguration.Turns
+		var turns reconfiguration.StaggeredTimer
 		turns.Due(10, true, 1)
 		turns.Due(10.6, false, 1)
 		Expect(turns.Due(10.8, true, 1)).To(BeFalse())
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -80,7 +80,7 @@
 	told     register.Value // the voters as they are told
 	contact  map[string]float64
 	peers    map[string]peer // by address, as heard
-	turns    reconfiguration.Turns
+	turns    reconfiguration.StaggeredTimer
 	learners reconfiguration.Learners
 	mending  bool
 	since    uint64 // the version that had been acknowledged when this life began
@@ -166,7 +166,7 @@
 	n.up, n.frozen, n.leaving, n.mending = true, false, false, false
 	n.acceptor = register.NewAcceptor(n.disk)
 	n.round, n.proven, n.told = 0, register.Ballot{}, register.Value{}
-	n.contact, n.peers, n.turns, n.resumed = map[string]float64{}, map[string]peer{}, reconfiguration.Turns{}, w.now
+	n.contact, n.peers, n.turns, n.resumed = map[string]float64{}, map[string]peer{}, reconfiguration.StaggeredTimer{}, w.now
 	n.learners, n.since = reconfiguration.Learners{}, w.highest
 	if n.disk.Accepted == (register.Ballot{}) {
 		n.told = n.disk.Value
