--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -35,7 +35,7 @@
 		candidates := reconfiguration.Assume(&facts.Voters, c.candidates(), c.isReachable)
 		needed := reconfiguration.Needed(&facts.Voters, candidates, c.targetVoters())
 		rank, votes := reconfiguration.Rank(c.proposer.self.ID, &facts.Voters, reconfiguration.Alive(candidates))
-		if !turns.Due(time.Since(startedAt).Seconds(), needed && votes, rank) {
+		if !turns.IsDue(time.Since(startedAt).Seconds(), needed && votes, rank) {
 			continue
 		}
 		changed, err := c.reconfigure(ctx, &learners)
--- a/internal/decide/reconfiguration/upkeep.go
+++ b/internal/decide/reconfiguration/upkeep.go
@@ -20,9 +20,9 @@
 	since  float64
 }
 
-// Due tells whether it is this process's turn: the process of rank 0 acts at once, each next one where the need is still there a
+// IsDue tells whether it is this process's turn: the process of rank 0 acts at once, each next one where the need is still there a
 // turn later. Danger: two processes may act at the same time. Changes of the register allow that; turns only make it rare.
-func (t *StaggeredTimer) Due(now float64, needed bool, rank int) bool {
+func (t *StaggeredTimer) IsDue(now float64, needed bool, rank int) bool {
 	if !needed {
 		t.needed = false
 		return false
--- a/internal/decide/reconfiguration/upkeep_test.go
+++ b/internal/decide/reconfiguration/upkeep_test.go
@@ -66,17 +66,17 @@
 var _ = Describe("turns", func() {
 	It("begin with the first and go on to the next where the need stays", func() {
 		var first, second reconfiguration.StaggeredTimer
-		Expect(first.Due(10, true, 0)).To(BeTrue())
-		Expect(second.Due(10, true, 1)).To(BeFalse())
-		Expect(second.Due(10.5, true, 1)).To(BeFalse())
-		Expect(second.Due(10.8, true, 1)).To(BeTrue())
+		Expect(first.IsDue(10, true, 0)).To(BeTrue())
+		Expect(second.IsDue(10, true, 1)).To(BeFalse())
+		Expect(second.IsDue(10.5, true, 1)).To(BeFalse())
+		Expect(second.IsDue(10.8, true, 1)).To(BeTrue())
 	})
 
 	It("begin anew once there was no need", func() {
 		var turns reconfiguration.StaggeredTimer
-		turns.Due(10, true, 1)
-		turns.Due(10.6, false, 1)
-		Expect(turns.Due(10.8, true, 1)).To(BeFalse())
+		turns.IsDue(10, true, 1)
+		turns.IsDue(10.6, false, 1)
+		Expect(turns.IsDue(10.8, true, 1)).To(BeFalse())
 	})
 
 	It("pass over voters that can't be reached", func() {
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -355,7 +355,7 @@
 	if w.mistakes.noTurns && rank > 0 {
 		return
 	}
-	if n.mending || !n.turns.Due(w.now, needed && votes, rank) {
+	if n.mending || !n.turns.IsDue(w.now, needed && votes, rank) {
 		return
 	}
 	n.mending = true
