--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -33,7 +33,7 @@
 	for sleep(ctx, reconfigurationInterval) == nil {
 		facts, _ := c.node.Facts()
 		candidates := reconfiguration.Assume(&facts.Voters, c.candidates(), c.isReachable)
-		needed := reconfiguration.Needed(&facts.Voters, candidates, c.targetVoters())
+		needed := reconfiguration.IsNeeded(&facts.Voters, candidates, c.targetVoters())
 		rank, votes := reconfiguration.Rank(c.proposer.self.ID, &facts.Voters, reconfiguration.Alive(candidates))
 		if !turns.IsDue(time.Since(startedAt).Seconds(), needed && votes, rank) {
 			continue
--- a/internal/decide/reconfiguration/upkeep.go
+++ b/internal/decide/reconfiguration/upkeep.go
@@ -47,9 +47,9 @@
 	return rank, rank >= 0
 }
 
-// Needed tells whether the voters should be changed: a change is not finished, or there is somebody to join or to leave.
+// IsNeeded tells whether the voters should be changed: a change is not finished, or there is somebody to join or to leave.
 // Candidates that don't vote count as caught up here; whether they are is asked by who changes the voters.
-func Needed(value *register.Value, candidates []register.Candidate, wanted int) bool {
+func IsNeeded(value *register.Value, candidates []register.Candidate, wanted int) bool {
 	if len(value.Voters) == 0 {
 		return false
 	}
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -349,7 +349,7 @@
 
 func (w *world) upkeep(n *node) {
 	candidates := w.candidates(n, &n.told)
-	needed := reconfiguration.Needed(&n.told, candidates, w.wanted)
+	needed := reconfiguration.IsNeeded(&n.told, candidates, w.wanted)
 	alive := reconfiguration.Alive(candidates)
 	rank, votes := reconfiguration.Rank(n.disk.ID, &n.told, func(v register.Voter) bool { return w.mistakes.noTurns || alive(v) })
 	if w.mistakes.noTurns && rank > 0 {
