--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -32,7 +32,7 @@
 	startedAt := time.Now()
 	for sleep(ctx, reconfigurationInterval) == nil {
 		facts, _ := c.node.Facts()
-		candidates := reconfiguration.Assume(&facts.Voters, c.candidates(), c.isReachable)
+		candidates := reconfiguration.AddReachableVoters(&facts.Voters, c.candidates(), c.isReachable)
 		needed := reconfiguration.IsNeeded(&facts.Voters, candidates, c.targetVoters())
 		rank, votes := reconfiguration.Rank(c.proposer.self.ID, &facts.Voters, reconfiguration.Alive(candidates))
 		if !turns.IsDue(time.Since(startedAt).Seconds(), needed && votes, rank) {
@@ -57,7 +57,7 @@
 		return false, err
 	}
 	if len(value.OutgoingVoters) == 0 {
-		assumed := reconfiguration.Assume(&value.Value, c.candidates(), c.isReachable)
+		assumed := reconfiguration.AddReachableVoters(&value.Value, c.candidates(), c.isReachable)
 		candidates := c.queryLearners(ctx, value, assumed, learners)
 		next, needed := register.NextVoters(value.Voters, candidates, c.targetVoters())
 		if !needed {
--- a/internal/decide/reconfiguration/upkeep.go
+++ b/internal/decide/reconfiguration/upkeep.go
@@ -64,10 +64,10 @@
 	return changed
 }
 
-// Assume returns the candidates and, as alive, each voter at whose address none is known though it still counts as in touch. Danger: a
+// AddReachableVoters returns the candidates and, as alive, each voter at whose address none is known though it still counts as in touch. Danger: a
 // process that has just begun has heard of nobody yet. It would take live voters for silent ones and, with a newcomer at hand, have them
 // leave in place of those that are dead; a majority then hangs on each one that is left, and changes come slowly.
-func Assume(value *register.Value, candidates []register.Candidate, inTouch func(register.Voter) bool) []register.Candidate {
+func AddReachableVoters(value *register.Value, candidates []register.Candidate, inTouch func(register.Voter) bool) []register.Candidate {
 	all := slices.Clone(candidates)
 	for _, voter := range value.AllVoters() {
 		known := slices.ContainsFunc(candidates, func(c register.Candidate) bool { return c.Address == voter.Address })
--- a/internal/decide/reconfiguration/upkeep_test.go
+++ b/internal/decide/reconfiguration/upkeep_test.go
@@ -105,16 +105,16 @@
 		heard := []register.Candidate{alive("a", "A"), newcomer}
 		next, _ := register.NextVoters(value.Voters, heard, 3)
 		Expect(next).NotTo(ContainElement(voter("c", "C")), "what would happen without")
-		next, _ = register.NextVoters(value.Voters, reconfiguration.Assume(value, heard, everyone), 3)
+		next, _ = register.NextVoters(value.Voters, reconfiguration.AddReachableVoters(value, heard, everyone), 3)
 		Expect(next).To(ContainElements(value.Voters))
 	})
 
 	It("leaves voters out that had their time", func() {
-		Expect(reconfiguration.Assume(value, []register.Candidate{alive("a", "A")}, nobody)).To(HaveLen(1))
+		Expect(reconfiguration.AddReachableVoters(value, []register.Candidate{alive("a", "A")}, nobody)).To(HaveLen(1))
 	})
 
 	It("doesn't take a machine that lost its disk for the voter that it was", func() {
-		candidates := reconfiguration.Assume(value, []register.Candidate{alive("a#1", "A"), alive("b", "B"), alive("c", "C")}, everyone)
+		candidates := reconfiguration.AddReachableVoters(value, []register.Candidate{alive("a#1", "A"), alive("b", "B"), alive("c", "C")}, everyone)
 		Expect(candidates).To(HaveLen(3))
 		rank, votes := reconfiguration.Rank("b", value, reconfiguration.Alive(candidates))
 		Expect(rank).To(BeZero(), "the first that can act")
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -330,7 +330,7 @@
 // candidates returns the machines that a node knows, and the voters that it has had no time to hear of.
 func (w *world) candidates(n *node, value *register.Value) []register.Candidate {
 	known := w.knownCandidates(n)
-	return reconfiguration.Assume(value, known, func(v register.Voter) bool { return w.now-max(n.contact[v.Address], n.resumed) <= touchS })
+	return reconfiguration.AddReachableVoters(value, known, func(v register.Voter) bool { return w.now-max(n.contact[v.Address], n.resumed) <= touchS })
 }
 
 func (w *world) knownCandidates(n *node) (out []register.Candidate) {
