--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -34,7 +34,7 @@
 		facts, _ := c.node.Facts()
 		candidates := reconfiguration.AddReachableVoters(&facts.Voters, c.candidates(), c.isReachable)
 		needed := reconfiguration.IsNeeded(&facts.Voters, candidates, c.targetVoters())
-		rank, votes := reconfiguration.Rank(c.proposer.self.ID, &facts.Voters, reconfiguration.Alive(candidates))
+		rank, votes := reconfiguration.Rank(c.proposer.self.ID, &facts.Voters, reconfiguration.IsLiveVoter(candidates))
 		if !turns.IsDue(time.Since(startedAt).Seconds(), needed && votes, rank) {
 			continue
 		}
--- a/internal/decide/reconfiguration/upkeep.go
+++ b/internal/decide/reconfiguration/upkeep.go
@@ -78,9 +78,9 @@
 	return all
 }
 
-// Alive tells of a voter whether it is there by its identity. Danger: a machine that lost its disk has another identity at the same
+// IsLiveVoter tells of a voter whether it is there by its identity. Danger: a machine that lost its disk has another identity at the same
 // address. Counted as the voter that it was, it would have a turn that it can't take.
-func Alive(candidates []register.Candidate) func(register.Voter) bool {
+func IsLiveVoter(candidates []register.Candidate) func(register.Voter) bool {
 	return func(voter register.Voter) bool { return register.FindLiveCandidate(voter, candidates) != nil }
 }
 
--- a/internal/decide/reconfiguration/upkeep_test.go
+++ b/internal/decide/reconfiguration/upkeep_test.go
@@ -116,7 +116,7 @@
 	It("doesn't take a machine that lost its disk for the voter that it was", func() {
 		candidates := reconfiguration.AddReachableVoters(value, []register.Candidate{alive("a#1", "A"), alive("b", "B"), alive("c", "C")}, everyone)
 		Expect(candidates).To(HaveLen(3))
-		rank, votes := reconfiguration.Rank("b", value, reconfiguration.Alive(candidates))
+		rank, votes := reconfiguration.Rank("b", value, reconfiguration.IsLiveVoter(candidates))
 		Expect(rank).To(BeZero(), "the first that can act")
 		Expect(votes).To(BeTrue())
 	})
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -350,7 +350,7 @@
 func (w *world) upkeep(n *node) {
 	candidates := w.candidates(n, &n.told)
 	needed := reconfiguration.IsNeeded(&n.told, candidates, w.wanted)
-	alive := reconfiguration.Alive(candidates)
+	alive := reconfiguration.IsLiveVoter(candidates)
 	rank, votes := reconfiguration.Rank(n.disk.ID, &n.told, func(v register.Voter) bool { return w.mistakes.noTurns || alive(v) })
 	if w.mistakes.noTurns && rank > 0 {
 		return
