--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -28,7 +28,7 @@
 // upkeep has lost voters replaced and newcomers join.
 func (c *Control) runReconfiguration(ctx context.Context) {
 	var turns reconfiguration.StaggeredTimer
-	var learners reconfiguration.Learners
+	var learners reconfiguration.LearnerTargets
 	startedAt := time.Now()
 	for sleep(ctx, reconfigurationInterval) == nil {
 		facts, _ := c.node.Facts()
@@ -49,7 +49,7 @@
 }
 
 // mendVoters makes the next change of the voters that is needed. It goes by what a majority says, never by what is told of it.
-func (c *Control) reconfigure(ctx context.Context, learners *reconfiguration.Learners) (changed bool, err error) {
+func (c *Control) reconfigure(ctx context.Context, learners *reconfiguration.LearnerTargets) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	value, err := c.proposer.read(ctx)
@@ -81,7 +81,7 @@
 }
 
 // askLearners asks the live candidates that don't vote whether what they hold is new enough. Those that lack the newest value fetch it.
-func (c *Control) queryLearners(ctx context.Context, value chosenValue, candidates []register.Candidate, learners *reconfiguration.Learners) []register.Candidate {
+func (c *Control) queryLearners(ctx context.Context, value chosenValue, candidates []register.Candidate, learners *reconfiguration.LearnerTargets) []register.Candidate {
 	queried := map[register.Voter]bool{}
 	var queries sync.WaitGroup
 	for i := range candidates {
--- a/internal/decide/reconfiguration/upkeep_test.go
+++ b/internal/decide/reconfiguration/upkeep_test.go
@@ -127,7 +127,7 @@
 	at := func(round uint64) register.Ballot { return register.Ballot{Number: round} }
 
 	It("stays what was chosen when it was asked first, until it is not asked any longer", func() {
-		var learners reconfiguration.Learners
+		var learners reconfiguration.LearnerTargets
 		Expect(learners.Target(candidate, at(5))).To(Equal(at(5)))
 		Expect(learners.Target(candidate, at(9))).To(Equal(at(5)))
 		learners.Keep(func(register.Voter) bool { return true })
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -81,7 +81,7 @@
 	contact  map[string]float64
 	peers    map[string]peer // by address, as heard
 	turns    reconfiguration.StaggeredTimer
-	learners reconfiguration.Learners
+	learners reconfiguration.LearnerTargets
 	mending  bool
 	since    uint64 // the version that had been acknowledged when this life began
 	role     roleNode
@@ -167,7 +167,7 @@
 	n.acceptor = register.NewAcceptor(n.disk)
 	n.round, n.proven, n.told = 0, register.Ballot{}, register.Value{}
 	n.contact, n.peers, n.turns, n.resumed = map[string]float64{}, map[string]peer{}, reconfiguration.StaggeredTimer{}, w.now
-	n.learners, n.since = reconfiguration.Learners{}, w.highest
+	n.learners, n.since = reconfiguration.LearnerTargets{}, w.highest
 	if n.disk.Accepted == (register.Ballot{}) {
 		n.told = n.disk.Value
 	}
