--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -94,7 +94,7 @@
 		queries.Go(func() { candidate.CaughtUp = c.queryLearner(ctx, candidate.Voter, value, minBallot) })
 	}
 	queries.Wait()
-	learners.Keep(func(candidate register.Voter) bool { return queried[candidate] })
+	learners.Retain(func(candidate register.Voter) bool { return queried[candidate] })
 	return candidates
 }
 
--- a/internal/decide/reconfiguration/upkeep.go
+++ b/internal/decide/reconfiguration/upkeep.go
@@ -103,7 +103,7 @@
 	return newest
 }
 
-// Keep forgets all that are not asked any longer, so that one that comes back has to hold what is chosen then.
-func (l *LearnerTargets) Keep(asked func(candidate register.Voter) bool) {
+// Retain forgets all that are not asked any longer, so that one that comes back has to hold what is chosen then.
+func (l *LearnerTargets) Retain(asked func(candidate register.Voter) bool) {
 	maps.DeleteFunc(l.since, func(candidate register.Voter, _ register.Ballot) bool { return !asked(candidate) })
 }
--- a/internal/decide/reconfiguration/upkeep_test.go
+++ b/internal/decide/reconfiguration/upkeep_test.go
@@ -130,9 +130,9 @@
 		var learners reconfiguration.LearnerTargets
 		Expect(learners.Target(candidate, at(5))).To(Equal(at(5)))
 		Expect(learners.Target(candidate, at(9))).To(Equal(at(5)))
-		learners.Keep(func(register.Voter) bool { return true })
+		learners.Retain(func(register.Voter) bool { return true })
 		Expect(learners.Target(candidate, at(12))).To(Equal(at(5)))
-		learners.Keep(func(register.Voter) bool { return false })
+		learners.Retain(func(register.Voter) bool { return false })
 		Expect(learners.Target(candidate, at(15))).To(Equal(at(15)), "one that was away begins anew")
 	})
 })
--- a/internal/decide/reconfiguration/world_test.go
+++ b/internal/decide/reconfiguration/world_test.go
@@ -426,6 +426,6 @@
 			proceed()
 		})
 	}
-	n.learners.Keep(func(candidate register.Voter) bool { return asked[candidate] })
+	n.learners.Retain(func(candidate register.Voter) bool { return asked[candidate] })
 	proceed()
 }
