--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -28,7 +28,7 @@
 	Address     string   `msgpack:"a"` // where peers reach it, IP:PORT
 	Zone        string   `msgpack:"z"`
 	Incarnation uint64   `msgpack:"i"`
-	Life        uint64   `msgpack:"l"` // drawn at each start; tells lives of one incarnation apart
+	RunID       uint64   `msgpack:"l"` // drawn at each start; tells lives of one incarnation apart
 	Heartbeat   uint64   `msgpack:"b"`
 	Revision    uint64   `msgpack:"w"` // counts changes of what the record says within a life
 	Leaving     bool     `msgpack:"x"`
@@ -64,7 +64,7 @@
 // key tells lives apart.
 func (r *Record) key() uint32 {
 	const prime = 16777619
-	key := uint32(r.Life) ^ uint32(r.Life>>32)
+	key := uint32(r.RunID) ^ uint32(r.RunID>>32)
 	for i := range len(r.Name) {
 		key = (key ^ uint32(r.Name[i])) * prime
 	}
@@ -306,12 +306,12 @@
 		v.entries[record.Name] = &entry{*record, now}
 		return true
 	}
-	if record.Incarnation == known.record.Incarnation && record.Life == known.record.Life {
+	if record.Incarnation == known.record.Incarnation && record.RunID == known.record.RunID {
 		known.update(now, record)
 		return false
 	}
 	if record.newer(&known.record) {
-		came := record.Life != known.record.Life
+		came := record.RunID != known.record.RunID
 		known.record, known.heard = *record, now
 		return came
 	}
@@ -334,14 +334,14 @@
 // rebut keeps a record for the next exchange where another life of the same process told an older one, so that it outbids it.
 func (v *View) rebut(newest, told *Record) {
 	const most = 4
-	if newest.Life != told.Life && len(v.rebuttal) < most {
+	if newest.RunID != told.RunID && len(v.rebuttal) < most {
 		v.rebuttal = append(v.rebuttal, *newest)
 	}
 }
 
 // outbid makes sure that this life's record is newer than that of one before. Clocks jump and diskless processes remember nothing.
 func (v *View) outbid(record *Record) {
-	if record.Life != v.self.Life && record.Incarnation >= v.self.Incarnation {
+	if record.RunID != v.self.RunID && record.Incarnation >= v.self.Incarnation {
 		v.self.Incarnation = record.Incarnation + 1
 	}
 }
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -34,7 +34,7 @@
 
 func (f *fleet) start(i int, incarnation uint64) {
 	f.lives++
-	record := membership.Record{Name: fmt.Sprintf("n%03d", i), Kind: membership.Agent, Address: address(i), Incarnation: incarnation, Life: f.lives,
+	record := membership.Record{Name: fmt.Sprintf("n%03d", i), Kind: membership.Agent, Address: address(i), Incarnation: incarnation, RunID: f.lives,
 		Zone: fmt.Sprint("z", i%f.zones)}
 	settings := membership.Settings{SuspectAfterS: suspectAfter, ForgetAfterS: forgetAfter, ViewSize: 8, SampleSize: 16, BeatSize: 200}
 	f.views[i] = membership.New(settings, record, []string{address(0), address(1), address(2)}, f.rng)
--- a/internal/decide/membership/wire_form_test.go
+++ b/internal/decide/membership/wire_form_test.go
@@ -20,7 +20,7 @@
 	demand := membership.Demand{Service: "chat", ReadPerS: 1234.5, Streams: 17, Held: 98765.25}
 	record := membership.Record{
 		Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", Zone: "north", Incarnation: 1700000000000,
-		Life: 0xfedcba9876543210, Heartbeat: 70000, Revision: 12, Leaving: true, Voter: "v-1", Operator: "10.1.0.16:8166", Released: 9,
+		RunID: 0xfedcba9876543210, Heartbeat: 70000, Revision: 12, Leaving: true, Voter: "v-1", Operator: "10.1.0.16:8166", Released: 9,
 		Demands: []membership.Demand{demand},
 	}
 	checkForm(t, "demand", demand)
@@ -33,7 +33,7 @@
 func TestBeatKey(t *testing.T) {
 	self := membership.Record{Name: "self", Kind: membership.Agent, Address: "127.0.0.1:1"}
 	view := membership.New(membership.Settings{SuspectAfterS: 3, ForgetAfterS: 12, ViewSize: 8, SampleSize: 12, BeatSize: 200}, self, nil, nil)
-	record := membership.Record{Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", Life: 0xfedcba9876543210, Heartbeat: 7}
+	record := membership.Record{Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", RunID: 0xfedcba9876543210, Heartbeat: 7}
 	view.Merge(0, []membership.Record{record})
 	beats := view.Beats(0)
 	require.Len(t, beats, 1)
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -91,7 +91,7 @@
 // New returns a node for the process of the settings. The record's name, address, zone and life are filled in.
 func New(settings *nodeconfig.Settings, self membership.Record, client *transport.Client, log *logrus.Entry) *Node {
 	self.Name, self.Zone = settings.NodeID+"/"+string(self.Kind), settings.Zone
-	self.Life = rand.Uint64()
+	self.RunID = rand.Uint64()
 	self.Incarnation = uint64(max(time.Now().UnixMilli(), 1))
 	seeds := settings.SeedAddresses()
 	view := membership.New(membership.Settings{SuspectAfterS: suspectAfter, ForgetAfterS: forgetAfter, ViewSize: viewSize,
