--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -92,7 +92,7 @@
 	own := register.Voter{ID: opened.state().ID, Address: settings.Internal(settings.IP, nodeconfig.ControlPort)}
 	c := &Control{settings: settings, log: log, replica: opened, platform: gossip.NewPlatform(settings.Cloud.Address),
 		chosen: newChosenTracker()}
-	c.node = gossip.New(settings, membership.Record{Kind: membership.Control, Address: own.Address, Voter: own.ID,
+	c.node = gossip.New(settings, membership.Record{Kind: membership.Control, Address: own.Address, VoterID: own.ID,
 		Operator: settings.Listen.Control}, client, log)
 	c.proposer = &proposer{self: own, proposerID: fmt.Sprintf("%s/%016x", settings.NodeID, rand.Uint64()), replica: opened, client: client,
 		fetcher: newConfigFetcher(), linkMbps: settings.Limits.LinkMbps,
--- a/internal/control/voterset.go
+++ b/internal/control/voterset.go
@@ -22,10 +22,10 @@
 // candidates returns the control processes that are known. Those that are alive count as not caught up.
 func (c *Control) candidates() (candidates []register.Candidate) {
 	for _, member := range c.node.Members() {
-		if member.Kind != membership.Control || member.Voter == "" {
+		if member.Kind != membership.Control || member.VoterID == "" {
 			continue
 		}
-		voter := register.Voter{ID: member.Voter, Address: member.Address}
+		voter := register.Voter{ID: member.VoterID, Address: member.Address}
 		candidates = append(candidates, register.Candidate{Voter: voter, Alive: member.Alive && c.isReachable(voter), Leaving: member.Leaving})
 	}
 	return candidates
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -32,7 +32,7 @@
 	Heartbeat   uint64   `msgpack:"b"`
 	Revision    uint64   `msgpack:"w"` // counts changes of what the record says within a life
 	Leaving     bool     `msgpack:"x"`
-	Voter       string   `msgpack:"v"` // the identity on its disk, for control processes
+	VoterID     string   `msgpack:"v"` // the identity on its disk, for control processes
 	Operator    string   `msgpack:"o"` // where the operator reaches it, for control processes
 	Released    uint64   `msgpack:"e"` // the token of the role that a control process has given up, 0: none
 	Demands     []Demand `msgpack:"d"` // what a proxy asks of model servers
--- a/internal/gossip/wire_form_test.go
+++ b/internal/gossip/wire_form_test.go
@@ -30,7 +30,7 @@
 func TestWireForm(t *testing.T) {
 	voter := register.Voter{ID: "v-1", Address: "10.1.0.16:7720"}
 	record := membership.Record{Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", Zone: "north", Incarnation: 1700000000000,
-		RunID: 3, Heartbeat: 70000, Revision: 12, Voter: "v-1"}
+		RunID: 3, Heartbeat: 70000, Revision: 12, VoterID: "v-1"}
 	checkForm(t, "gossip", message.Gossip{
 		FormatVersion: message.FormatVersion, Records: []membership.Record{record}, Heartbeats: []membership.Beat{{Key: 7, Heartbeat: 70000}},
 		Voters: register.Value{Epoch: 5, Voters: []register.Voter{voter}}, Grants: []register.Grant{{Role: "stages", Holder: "core-1/control", Token: 9}},
