--- a/internal/configredirect/redirector.go
+++ b/internal/configredirect/redirector.go
@@ -60,7 +60,7 @@
 func (r *Redirector) pickControlAddress() string {
 	var candidates []membership.Member
 	for _, member := range r.members() {
-		if member.Operator != "" && member.Alive && !member.Leaving {
+		if member.OperatorAddress != "" && member.Alive && !member.Leaving {
 			candidates = append(candidates, member)
 		}
 	}
@@ -68,5 +68,5 @@
 		return ""
 	}
 	slices.SortFunc(candidates, func(a, b membership.Member) int { return cmp.Compare(a.SilentS, b.SilentS) })
-	return candidates[r.randIntN((len(candidates)+1)/2)].Operator
+	return candidates[r.randIntN((len(candidates)+1)/2)].OperatorAddress
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -93,7 +93,7 @@
 	c := &Control{settings: settings, log: log, replica: opened, platform: gossip.NewPlatform(settings.Cloud.Address),
 		chosen: newChosenTracker()}
 	c.node = gossip.New(settings, membership.Record{Kind: membership.Control, Address: own.Address, VoterID: own.ID,
-		Operator: settings.Listen.Control}, client, log)
+		OperatorAddress: settings.Listen.Control}, client, log)
 	c.proposer = &proposer{self: own, proposerID: fmt.Sprintf("%s/%016x", settings.NodeID, rand.Uint64()), replica: opened, client: client,
 		fetcher: newConfigFetcher(), linkMbps: settings.Limits.LinkMbps,
 		gossipVoters: func() register.Value { facts, _ := c.node.Facts(); return facts.Voters },
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -23,19 +23,19 @@
 // Record is what is told of a process. A higher incarnation is a newer life. Within one, what a record says goes by its revision and
 // that the process lives by its heartbeat: heartbeats also travel without records, and so reach a peer ahead of what has changed.
 type Record struct {
-	Name        string   `msgpack:"n"`
-	Kind        Kind     `msgpack:"k"`
-	Address     string   `msgpack:"a"` // where peers reach it, IP:PORT
-	Zone        string   `msgpack:"z"`
-	Incarnation uint64   `msgpack:"i"`
-	RunID       uint64   `msgpack:"l"` // drawn at each start; tells lives of one incarnation apart
-	Heartbeat   uint64   `msgpack:"b"`
-	Revision    uint64   `msgpack:"w"` // counts changes of what the record says within a life
-	Leaving     bool     `msgpack:"x"`
-	VoterID     string   `msgpack:"v"` // the identity on its disk, for control processes
-	Operator    string   `msgpack:"o"` // where the operator reaches it, for control processes
-	Released    uint64   `msgpack:"e"` // the token of the role that a control process has given up, 0: none
-	Demands     []Demand `msgpack:"d"` // what a proxy asks of model servers
+	Name            string   `msgpack:"n"`
+	Kind            Kind     `msgpack:"k"`
+	Address         string   `msgpack:"a"` // where peers reach it, IP:PORT
+	Zone            string   `msgpack:"z"`
+	Incarnation     uint64   `msgpack:"i"`
+	RunID           uint64   `msgpack:"l"` // drawn at each start; tells lives of one incarnation apart
+	Heartbeat       uint64   `msgpack:"b"`
+	Revision        uint64   `msgpack:"w"` // counts changes of what the record says within a life
+	Leaving         bool     `msgpack:"x"`
+	VoterID         string   `msgpack:"v"` // the identity on its disk, for control processes
+	OperatorAddress string   `msgpack:"o"` // where the operator reaches it, for control processes
+	Released        uint64   `msgpack:"e"` // the token of the role that a control process has given up, 0: none
+	Demands         []Demand `msgpack:"d"` // what a proxy asks of model servers
 }
 
 // Demand is what one proxy asks of the model servers of a service.
