--- a/internal/control/stagelease.go
+++ b/internal/control/stagelease.go
@@ -11,7 +11,7 @@
 // silence returns for how long the holder of a grant was not heard of. One that has given the grant up counts as never heard of.
 func (k *stageController) holderSilenceSeconds(grant register.Grant) float64 {
 	for _, member := range k.control.node.Members() {
-		if member.Kind == membership.Control && member.Name == grant.Holder+"/"+string(membership.Control) && member.Released != grant.Token {
+		if member.Kind == membership.Control && member.Name == grant.Holder+"/"+string(membership.Control) && member.ReleasedToken != grant.Token {
 			return member.SilentS
 		}
 	}
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -34,7 +34,7 @@
 	Leaving         bool     `msgpack:"x"`
 	VoterID         string   `msgpack:"v"` // the identity on its disk, for control processes
 	OperatorAddress string   `msgpack:"o"` // where the operator reaches it, for control processes
-	Released        uint64   `msgpack:"e"` // the token of the role that a control process has given up, 0: none
+	ReleasedToken   uint64   `msgpack:"e"` // the token of the role that a control process has given up, 0: none
 	Demands         []Demand `msgpack:"d"` // what a proxy asks of model servers
 }
 
@@ -118,7 +118,7 @@
 
 // SetReleased tells which token this process has given up.
 func (v *View) SetReleased(token uint64) {
-	v.self.Released = token
+	v.self.ReleasedToken = token
 	v.revise()
 }
 
--- a/internal/decide/membership/wire_form_test.go
+++ b/internal/decide/membership/wire_form_test.go
@@ -20,7 +20,7 @@
 	demand := membership.Demand{Service: "chat", ReadPerS: 1234.5, Streams: 17, Held: 98765.25}
 	record := membership.Record{
 		Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", Zone: "north", Incarnation: 1700000000000,
-		RunID: 0xfedcba9876543210, Heartbeat: 70000, Revision: 12, Leaving: true, VoterID: "v-1", OperatorAddress: "10.1.0.16:8166", Released: 9,
+		RunID: 0xfedcba9876543210, Heartbeat: 70000, Revision: 12, Leaving: true, VoterID: "v-1", OperatorAddress: "10.1.0.16:8166", ReleasedToken: 9,
 		Demands: []membership.Demand{demand},
 	}
 	checkForm(t, "demand", demand)
--- a/internal/message/wire_form_test.go
+++ b/internal/message/wire_form_test.go
@@ -34,7 +34,7 @@
 		AcceptedChanges: []register.Digest{digest}, Grants: []register.Grant{{Role: "stages", Holder: "control-1", Token: 9}}}
 	demand := membership.Demand{Service: "chat", ReadPerS: 1500.5, Streams: 12.25, Held: 80000}
 	record := membership.Record{Name: "control-1/control", Kind: membership.Control, Address: "10.0.0.1:7000", Zone: "a", Incarnation: 1700000000000,
-		RunID: 1 << 63, Heartbeat: 70, Revision: 3, Leaving: true, VoterID: "founder@10.0.0.1:7000", OperatorAddress: "10.0.0.1:80", Released: 4,
+		RunID: 1 << 63, Heartbeat: 70, Revision: 3, Leaving: true, VoterID: "founder@10.0.0.1:7000", OperatorAddress: "10.0.0.1:80", ReleasedToken: 4,
 		Demands: []membership.Demand{demand}}
 	beat := membership.Beat{Key: 0xdeadbeef, Heartbeat: 70000}
 	load := message.Load{InstanceKey: message.InstanceKey("i-1"), Running: 3, Waiting: 300, AgeMs: 900}
