--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -143,7 +143,7 @@
 		}
 		for _, demand := range member.Demands {
 			total := totals[demand.Service]
-			total.ReadPerS += demand.ReadPerS
+			total.ReadPerS += demand.PrefillTokensPerSecond
 			total.Streams += demand.Streams
 			total.Held += demand.Held
 			total.Reports++
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -40,10 +40,10 @@
 
 // Demand is what one proxy asks of the model servers of a service.
 type Demand struct {
-	Service  string  `msgpack:"s"`
-	ReadPerS float64 `msgpack:"r"` // prompt tokens to be read a second
-	Streams  float64 `msgpack:"n"` // answers under way
-	Held     float64 `msgpack:"h"` // tokens that those answers hold in memory
+	Service                string  `msgpack:"s"`
+	PrefillTokensPerSecond float64 `msgpack:"r"` // prompt tokens to be read a second
+	Streams                float64 `msgpack:"n"` // answers under way
+	Held                   float64 `msgpack:"h"` // tokens that those answers hold in memory
 }
 
 // newer tells whether r says more than other.
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -38,7 +38,7 @@
 
 // Demand returns what this proxy asks of the service.
 func (l *Planner) Demand(now float64) membership.Demand {
-	demand := membership.Demand{Service: l.pool.Service, ReadPerS: l.read.perS(now)}
+	demand := membership.Demand{Service: l.pool.Service, PrefillTokensPerSecond: l.read.perS(now)}
 	for _, e := range l.pool.endpoints {
 		if e.Stage == message.Decode {
 			demand.Streams += float64(e.InFlight)
