--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -144,7 +144,7 @@
 		for _, demand := range member.Demands {
 			total := totals[demand.Service]
 			total.ReadPerS += demand.PrefillTokensPerSecond
-			total.Streams += demand.Streams
+			total.Streams += demand.DecodeStreams
 			total.Held += demand.Held
 			total.Reports++
 			totals[demand.Service] = total
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -42,7 +42,7 @@
 type Demand struct {
 	Service                string  `msgpack:"s"`
 	PrefillTokensPerSecond float64 `msgpack:"r"` // prompt tokens to be read a second
-	Streams                float64 `msgpack:"n"` // answers under way
+	DecodeStreams          float64 `msgpack:"n"` // answers under way
 	Held                   float64 `msgpack:"h"` // tokens that those answers hold in memory
 }
 
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -41,7 +41,7 @@
 	demand := membership.Demand{Service: l.pool.Service, PrefillTokensPerSecond: l.read.perS(now)}
 	for _, e := range l.pool.endpoints {
 		if e.Stage == message.Decode {
-			demand.Streams += float64(e.InFlight)
+			demand.DecodeStreams += float64(e.InFlight)
 			demand.Held += e.engine.held
 		}
 	}
