--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -145,7 +145,7 @@
 			total := totals[demand.Service]
 			total.ReadPerS += demand.PrefillTokensPerSecond
 			total.Streams += demand.DecodeStreams
-			total.Held += demand.Held
+			total.Held += demand.KVTokens
 			total.Reports++
 			totals[demand.Service] = total
 		}
--- a/internal/control/stagecontroller_test.go
+++ b/internal/control/stagecontroller_test.go
@@ -67,7 +67,7 @@
 			{ID: "d", Service: "s", Stage: message.Decode}, {ID: "gone", Service: "s", Stage: message.Decode, Draining: true}, {ID: "plain", Service: "t"}}
 		k.control.node.SetLoads([]message.Load{{InstanceKey: message.InstanceKey("r"), Running: 1, Waiting: 3}, {InstanceKey: message.InstanceKey("d"), Running: 5},
 			{InstanceKey: message.InstanceKey("gone"), Running: 9}})
-		k.control.node.SetDemands([]membership.Demand{{Service: "s", PrefillTokensPerSecond: 100, DecodeStreams: 4, Held: 70}})
+		k.control.node.SetDemands([]membership.Demand{{Service: "s", PrefillTokensPerSecond: 100, DecodeStreams: 4, KVTokens: 70}})
 		demand := k.totalDemands()["s"]
 		Expect(demand.Busy.Told).To(Equal(1), "readers alone, and those that tell")
 		Expect(demand.Busy.Servers).To(BeNumerically(">", 0.8))
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -43,7 +43,7 @@
 	Service                string  `msgpack:"s"`
 	PrefillTokensPerSecond float64 `msgpack:"r"` // prompt tokens to be read a second
 	DecodeStreams          float64 `msgpack:"n"` // answers under way
-	Held                   float64 `msgpack:"h"` // tokens that those answers hold in memory
+	KVTokens               float64 `msgpack:"h"` // tokens that those answers hold in memory
 }
 
 // newer tells whether r says more than other.
--- a/internal/decide/membership/wire_form_test.go
+++ b/internal/decide/membership/wire_form_test.go
@@ -17,7 +17,7 @@
 
 // TestWireForm pins the bytes of what processes tell one another of the membership. Processes of other versions read these bytes.
 func TestWireForm(t *testing.T) {
-	demand := membership.Demand{Service: "chat", PrefillTokensPerSecond: 1234.5, DecodeStreams: 17, Held: 98765.25}
+	demand := membership.Demand{Service: "chat", PrefillTokensPerSecond: 1234.5, DecodeStreams: 17, KVTokens: 98765.25}
 	record := membership.Record{
 		Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", Zone: "north", Incarnation: 1700000000000,
 		RunID: 0xfedcba9876543210, Heartbeat: 70000, Revision: 12, Leaving: true, VoterID: "v-1", OperatorAddress: "10.1.0.16:8166", ReleasedToken: 9,
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -42,7 +42,7 @@
 	for _, e := range l.pool.endpoints {
 		if e.Stage == message.Decode {
 			demand.DecodeStreams += float64(e.InFlight)
-			demand.Held += e.engine.held
+			demand.KVTokens += e.engine.held
 		}
 	}
 	return demand
--- a/internal/message/wire_form_test.go
+++ b/internal/message/wire_form_test.go
@@ -32,7 +32,7 @@
 	value := register.Value{Epoch: 5, Voters: []register.Voter{{ID: "founder@10.0.0.1:7000", Address: "10.0.0.1:7000"}},
 		OutgoingVoters: []register.Voter{{ID: "10.0.0.2:7000#0102", Address: "10.0.0.2:7000"}}, ConfigVersion: 70000, ConfigDigest: digest,
 		AcceptedChanges: []register.Digest{digest}, Grants: []register.Grant{{Role: "stages", Holder: "control-1", Token: 9}}}
-	demand := membership.Demand{Service: "chat", PrefillTokensPerSecond: 1500.5, DecodeStreams: 12.25, Held: 80000}
+	demand := membership.Demand{Service: "chat", PrefillTokensPerSecond: 1500.5, DecodeStreams: 12.25, KVTokens: 80000}
 	record := membership.Record{Name: "control-1/control", Kind: membership.Control, Address: "10.0.0.1:7000", Zone: "a", Incarnation: 1700000000000,
 		RunID: 1 << 63, Heartbeat: 70, Revision: 3, Leaving: true, VoterID: "founder@10.0.0.1:7000", OperatorAddress: "10.0.0.1:80", ReleasedToken: 4,
 		Demands: []membership.Demand{demand}}
