--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -51,9 +51,9 @@
 	return cmp.Or(cmp.Compare(r.Incarnation, other.Incarnation), cmp.Compare(r.Heartbeat, other.Heartbeat)) > 0
 }
 
-// Beat is the heartbeat of a life that the receiver knows by its record. Beats cost a few bytes, so that news of all live
+// Heartbeat is the heartbeat of a life that the receiver knows by its record. Beats cost a few bytes, so that news of all live
 // processes goes with each exchange while records are told now and then.
-type Beat struct {
+type Heartbeat struct {
 	//lint:ignore U1000 the library goes by this field: many values go with each exchange, and either form is read
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -245,14 +245,14 @@
 }
 
 // Beats returns heartbeats to tell in an exchange: of all that live, or of some drawn at random.
-func (v *View) Beats(now float64) []Beat {
-	var beats []Beat
+func (v *View) Beats(now float64) []Heartbeat {
+	var beats []Heartbeat
 	for _, e := range v.entries {
 		if v.alive(e, now) {
-			beats = append(beats, Beat{Key: e.record.key(), Heartbeat: e.record.Heartbeat})
+			beats = append(beats, Heartbeat{Key: e.record.key(), Heartbeat: e.record.Heartbeat})
 		}
 	}
-	slices.SortFunc(beats, func(a, b Beat) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(beats, func(a, b Heartbeat) int { return cmp.Compare(a.Key, b.Key) })
 	if len(beats) > v.settings.BeatSize {
 		v.rng.Shuffle(len(beats), func(i, j int) { beats[i], beats[j] = beats[j], beats[i] })
 		beats = beats[:v.settings.BeatSize]
@@ -261,7 +261,7 @@
 }
 
 // MergeBeats takes heartbeats that a peer told.
-func (v *View) MergeBeats(now float64, beats []Beat) {
+func (v *View) MergeBeats(now float64, beats []Heartbeat) {
 	if len(beats) == 0 {
 		return
 	}
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -234,7 +234,7 @@
 })
 
 // beatsOf returns the heartbeat of a process as another that knows it tells it.
-func beatsOf(f *fleet, i int) []membership.Beat {
+func beatsOf(f *fleet, i int) []membership.Heartbeat {
 	settings := membership.Settings{SuspectAfterS: suspectAfter, ForgetAfterS: forgetAfter, ViewSize: 8, SampleSize: 16, BeatSize: 200}
 	witness := membership.New(settings, membership.Record{Name: "witness", Address: "w"}, nil, f.rng)
 	witness.Merge(f.now, []membership.Record{f.views[i].Self()})
