--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -57,8 +57,8 @@
 	//lint:ignore U1000 the library goes by this field: many values go with each exchange, and either form is read
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Key       uint32 `msgpack:"k"`
-	Heartbeat uint64 `msgpack:"b"`
+	Key     uint32 `msgpack:"k"`
+	Counter uint64 `msgpack:"b"`
 }
 
 // key tells lives apart.
@@ -249,7 +249,7 @@
 	var beats []Heartbeat
 	for _, e := range v.entries {
 		if v.alive(e, now) {
-			beats = append(beats, Heartbeat{Key: e.record.key(), Heartbeat: e.record.Heartbeat})
+			beats = append(beats, Heartbeat{Key: e.record.key(), Counter: e.record.Heartbeat})
 		}
 	}
 	slices.SortFunc(beats, func(a, b Heartbeat) int { return cmp.Compare(a.Key, b.Key) })
@@ -267,7 +267,7 @@
 	}
 	byKey := make(map[uint32]uint64, len(beats))
 	for _, beat := range beats {
-		byKey[beat.Key] = beat.Heartbeat
+		byKey[beat.Key] = beat.Counter
 	}
 	for _, e := range v.entries {
 		if heartbeat, ok := byKey[e.record.key()]; ok && heartbeat > e.record.Heartbeat {
--- a/internal/decide/membership/wire_form_test.go
+++ b/internal/decide/membership/wire_form_test.go
@@ -25,7 +25,7 @@
 	}
 	checkForm(t, "demand", demand)
 	checkForm(t, "record", record)
-	checkForm(t, "beat", membership.Heartbeat{Key: 0xfedcba98, Heartbeat: 70000})
+	checkForm(t, "beat", membership.Heartbeat{Key: 0xfedcba98, Counter: 70000})
 	assert.Equal(t, []membership.Kind{"control", "agent", "gateway"}, []membership.Kind{membership.Control, membership.Agent, membership.Gateway})
 }
 
@@ -37,7 +37,7 @@
 	view.Merge(0, []membership.Record{record})
 	beats := view.Beats(0)
 	require.Len(t, beats, 1)
-	assert.Equal(t, membership.Heartbeat{Key: 0x9a55167b, Heartbeat: 7}, beats[0])
+	assert.Equal(t, membership.Heartbeat{Key: 0x9a55167b, Counter: 7}, beats[0])
 }
 
 // checkForm compares a value's encoding with a golden file, and what the golden file decodes to with the value.
--- a/internal/gossip/wire_form_test.go
+++ b/internal/gossip/wire_form_test.go
@@ -32,7 +32,7 @@
 	record := membership.Record{Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", Zone: "north", Incarnation: 1700000000000,
 		RunID: 3, Heartbeat: 70000, Revision: 12, VoterID: "v-1"}
 	checkForm(t, "gossip", message.Gossip{
-		FormatVersion: message.FormatVersion, Records: []membership.Record{record}, Heartbeats: []membership.Heartbeat{{Key: 7, Heartbeat: 70000}},
+		FormatVersion: message.FormatVersion, Records: []membership.Record{record}, Heartbeats: []membership.Heartbeat{{Key: 7, Counter: 70000}},
 		Voters: register.Value{Epoch: 5, Voters: []register.Voter{voter}}, Grants: []register.Grant{{Role: "stages", Holder: "core-1/control", Token: 9}},
 		Plan: message.StagePlan{Token: 9, Sequence: 4, Stages: map[string]message.Stage{"i-1": message.Decode}}, ConfigVersion: 300,
 		Table: &message.PackedTable{Version: 300, Data: []byte("table")}, List: message.InstanceList{Digest: 1 << 60, AgeMs: 12.5, Data: []byte("list")},
--- a/internal/message/array_form_test.go
+++ b/internal/message/array_form_test.go
@@ -28,7 +28,7 @@
 // TestArrayFormInteroperatesWithKeyedForm checks that loads and heartbeats, which are sent without keys, are read by processes of the
 // version that sends keys, and the other way round.
 func TestArrayFormInteroperatesWithKeyedForm(t *testing.T) {
-	load, heartbeat := message.Load{InstanceKey: 7, Running: 3, Waiting: 2, AgeMs: 900}, membership.Heartbeat{Key: 9, Heartbeat: 70000}
+	load, heartbeat := message.Load{InstanceKey: 7, Running: 3, Waiting: 2, AgeMs: 900}, membership.Heartbeat{Key: 9, Counter: 70000}
 	keyed, keyedBeat := keyedLoad{7, 3, 2, 900}, keyedHeartbeat{9, 70000}
 
 	array, err := msgpack.Marshal([]message.Load{load})
--- a/internal/message/wire_form_test.go
+++ b/internal/message/wire_form_test.go
@@ -36,7 +36,7 @@
 	record := membership.Record{Name: "control-1/control", Kind: membership.Control, Address: "10.0.0.1:7000", Zone: "a", Incarnation: 1700000000000,
 		RunID: 1 << 63, Heartbeat: 70, Revision: 3, Leaving: true, VoterID: "founder@10.0.0.1:7000", OperatorAddress: "10.0.0.1:80", ReleasedToken: 4,
 		Demands: []membership.Demand{demand}}
-	beat := membership.Heartbeat{Key: 0xdeadbeef, Heartbeat: 70000}
+	beat := membership.Heartbeat{Key: 0xdeadbeef, Counter: 70000}
 	load := message.Load{InstanceKey: message.InstanceKey("i-1"), Running: 3, Waiting: 300, AgeMs: 900}
 	plan := message.StagePlan{Token: 9, Sequence: 130, Stages: map[string]message.Stage{"i-1": message.Decode}}
 	list := message.InstanceList{Digest: 1 << 62, AgeMs: 12.5, Data: []byte("packed list")}
