--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -73,11 +73,11 @@
 
 // Settings are the figures of a view. Times are in seconds.
 type Settings struct {
-	SuspectAfterS float64 // without news, a process counts as silent
-	ForgetAfterS  float64 // without news, its record is dropped
-	ViewSize      int     // peers that are kept for exchanges
-	SampleSize    int     // records that are told in one exchange
-	BeatSize      int     // heartbeats that are told in one exchange
+	SuspectAfterSeconds float64 // without news, a process counts as silent
+	ForgetAfterS        float64 // without news, its record is dropped
+	ViewSize            int     // peers that are kept for exchanges
+	SampleSize          int     // records that are told in one exchange
+	BeatSize            int     // heartbeats that are told in one exchange
 }
 
 type entry struct {
@@ -369,7 +369,7 @@
 // suspectAfterS grows with the fleet.
 func (v *View) suspectAfterS() float64 {
 	doublings := math.Log2(max(float64(len(v.entries))/wideFleet, 1))
-	return v.settings.SuspectAfterS * (1 + widen*doublings)
+	return v.settings.SuspectAfterSeconds * (1 + widen*doublings)
 }
 
 // Member is a record with the state in which it is held.
