--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -74,7 +74,7 @@
 // Settings are the figures of a view. Times are in seconds.
 type Settings struct {
 	SuspectAfterSeconds float64 // without news, a process counts as silent
-	ForgetAfterS        float64 // without news, its record is dropped
+	ForgetAfterSeconds  float64 // without news, its record is dropped
 	ViewSize            int     // peers that are kept for exchanges
 	SampleSize          int     // records that are told in one exchange
 	BeatSize            int     // heartbeats that are told in one exchange
@@ -138,7 +138,7 @@
 func (v *View) Tick(now float64) {
 	v.self.Heartbeat++
 	for name, e := range v.entries {
-		if now-e.heard > v.settings.ForgetAfterS {
+		if now-e.heard > v.settings.ForgetAfterSeconds {
 			v.dead[name] = e.record
 			delete(v.entries, name)
 		}
