--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -75,7 +75,7 @@
 type Settings struct {
 	SuspectAfterSeconds float64 // without news, a process counts as silent
 	ForgetAfterSeconds  float64 // without news, its record is dropped
-	ViewSize            int     // peers that are kept for exchanges
+	PartialViewSize     int     // peers that are kept for exchanges
 	SampleSize          int     // records that are told in one exchange
 	BeatSize            int     // heartbeats that are told in one exchange
 }
@@ -149,13 +149,13 @@
 
 // refill takes random live processes into the partial view until it is full.
 func (v *View) refill(now float64) {
-	if len(v.peers) >= v.settings.ViewSize || len(v.peers) >= len(v.entries) {
+	if len(v.peers) >= v.settings.PartialViewSize || len(v.peers) >= len(v.entries) {
 		return
 	}
 	names := slices.Sorted(maps.Keys(v.entries))
 	v.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	for _, name := range names {
-		if len(v.peers) >= v.settings.ViewSize {
+		if len(v.peers) >= v.settings.PartialViewSize {
 			return
 		}
 		if v.alive(v.entries[name], now) && !slices.Contains(v.peers, name) {
@@ -348,7 +348,7 @@
 
 // shuffle trades a peer of the partial view for one of those that were told.
 func (v *View) shuffle(told []Record) {
-	if len(v.peers) < v.settings.ViewSize || len(told) == 0 {
+	if len(v.peers) < v.settings.PartialViewSize || len(told) == 0 {
 		return
 	}
 	name := told[v.rng.IntN(len(told))].Name
