--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -76,7 +76,7 @@
 	SuspectAfterSeconds float64 // without news, a process counts as silent
 	ForgetAfterSeconds  float64 // without news, its record is dropped
 	PartialViewSize     int     // peers that are kept for exchanges
-	SampleSize          int     // records that are told in one exchange
+	RecordsPerExchange  int     // records that are told in one exchange
 	BeatSize            int     // heartbeats that are told in one exchange
 }
 
@@ -233,7 +233,7 @@
 	names := slices.Sorted(maps.Keys(v.entries))
 	v.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	for _, name := range names {
-		if len(records) >= v.settings.SampleSize {
+		if len(records) >= v.settings.RecordsPerExchange {
 			break
 		}
 		// Danger: who is silent is not passed on, or old news would go round for ever.
