--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -73,11 +73,11 @@
 
 // Settings are the figures of a view. Times are in seconds.
 type Settings struct {
-	SuspectAfterSeconds float64 // without news, a process counts as silent
-	ForgetAfterSeconds  float64 // without news, its record is dropped
-	PartialViewSize     int     // peers that are kept for exchanges
-	RecordsPerExchange  int     // records that are told in one exchange
-	BeatSize            int     // heartbeats that are told in one exchange
+	SuspectAfterSeconds   float64 // without news, a process counts as silent
+	ForgetAfterSeconds    float64 // without news, its record is dropped
+	PartialViewSize       int     // peers that are kept for exchanges
+	RecordsPerExchange    int     // records that are told in one exchange
+	HeartbeatsPerExchange int     // heartbeats that are told in one exchange
 }
 
 type entry struct {
@@ -253,9 +253,9 @@
 		}
 	}
 	slices.SortFunc(beats, func(a, b Heartbeat) int { return cmp.Compare(a.Key, b.Key) })
-	if len(beats) > v.settings.BeatSize {
+	if len(beats) > v.settings.HeartbeatsPerExchange {
 		v.rng.Shuffle(len(beats), func(i, j int) { beats[i], beats[j] = beats[j], beats[i] })
-		beats = beats[:v.settings.BeatSize]
+		beats = beats[:v.settings.HeartbeatsPerExchange]
 	}
 	return beats
 }
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -36,7 +36,7 @@
 	f.lives++
 	record := membership.Record{Name: fmt.Sprintf("n%03d", i), Kind: membership.Agent, Address: address(i), Incarnation: incarnation, RunID: f.lives,
 		Zone: fmt.Sprint("z", i%f.zones)}
-	settings := membership.Settings{SuspectAfterSeconds: suspectAfter, ForgetAfterSeconds: forgetAfter, PartialViewSize: 8, RecordsPerExchange: 16, BeatSize: 200}
+	settings := membership.Settings{SuspectAfterSeconds: suspectAfter, ForgetAfterSeconds: forgetAfter, PartialViewSize: 8, RecordsPerExchange: 16, HeartbeatsPerExchange: 200}
 	f.views[i] = membership.New(settings, record, []string{address(0), address(1), address(2)}, f.rng)
 }
 
@@ -235,7 +235,7 @@
 
 // beatsOf returns the heartbeat of a process as another that knows it tells it.
 func beatsOf(f *fleet, i int) []membership.Heartbeat {
-	settings := membership.Settings{SuspectAfterSeconds: suspectAfter, ForgetAfterSeconds: forgetAfter, PartialViewSize: 8, RecordsPerExchange: 16, BeatSize: 200}
+	settings := membership.Settings{SuspectAfterSeconds: suspectAfter, ForgetAfterSeconds: forgetAfter, PartialViewSize: 8, RecordsPerExchange: 16, HeartbeatsPerExchange: 200}
 	witness := membership.New(settings, membership.Record{Name: "witness", Address: "w"}, nil, f.rng)
 	witness.Merge(f.now, []membership.Record{f.views[i].Self()})
 	return witness.Beats(f.now)
--- a/internal/decide/membership/wire_form_test.go
+++ b/internal/decide/membership/wire_form_test.go
@@ -32,7 +32,7 @@
 // TestBeatKey pins the key by which a heartbeat without its record is matched. Peers of other versions derive the same one.
 func TestBeatKey(t *testing.T) {
 	self := membership.Record{Name: "self", Kind: membership.Agent, Address: "127.0.0.1:1"}
-	view := membership.New(membership.Settings{SuspectAfterSeconds: 3, ForgetAfterSeconds: 12, PartialViewSize: 8, RecordsPerExchange: 12, BeatSize: 200}, self, nil, nil)
+	view := membership.New(membership.Settings{SuspectAfterSeconds: 3, ForgetAfterSeconds: 12, PartialViewSize: 8, RecordsPerExchange: 12, HeartbeatsPerExchange: 200}, self, nil, nil)
 	record := membership.Record{Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", RunID: 0xfedcba9876543210, Heartbeat: 7}
 	view.Merge(0, []membership.Record{record})
 	beats := view.Beats(0)
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -95,7 +95,7 @@
 	self.Incarnation = uint64(max(time.Now().UnixMilli(), 1))
 	seeds := settings.SeedAddresses()
 	view := membership.New(membership.Settings{SuspectAfterSeconds: suspectAfter, ForgetAfterSeconds: forgetAfter, PartialViewSize: viewSize,
-		RecordsPerExchange: sampleSize, BeatSize: beatSize}, self, seeds, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+		RecordsPerExchange: sampleSize, HeartbeatsPerExchange: beatSize}, self, seeds, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	return &Node{log: log, client: client, start: time.Now(), view: view, changed: make(chan struct{}),
 		contact: newContact(time.Now())}
 }
