--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -116,8 +116,8 @@
 	v.self.Revision++ // without a heartbeat: this is told with the next one
 }
 
-// SetReleased tells which token this process has given up.
-func (v *View) SetReleased(token uint64) {
+// SetReleasedToken tells which token this process has given up.
+func (v *View) SetReleasedToken(token uint64) {
 	v.self.ReleasedToken = token
 	v.revise()
 }
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -197,7 +197,7 @@
 func (n *Node) SetReleased(token uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.view.SetReleased(token)
+	n.view.SetReleasedToken(token)
 }
 
 // SetVoters takes the voters and the grants of a value that holds.
