--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -122,8 +122,8 @@
 	v.revise()
 }
 
-// Leave marks the own record as one that is about to end.
-func (v *View) Leave() {
+// MarkLeaving marks the own record as one that is about to end.
+func (v *View) MarkLeaving() {
 	v.self.Leaving = true
 	v.revise()
 }
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -215,7 +215,7 @@
 		f := newFleet(7, 3, 0)
 		f.pass(10)
 		leaving, told, behind := f.views[0], f.views[1], f.views[2]
-		leaving.Leave()
+		leaving.MarkLeaving()
 		told.Merge(f.now, []membership.Record{leaving.Self()})
 		for range 5 {
 			leaving.Tick(f.now)
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -234,7 +234,7 @@
 // Leave tells others that this process is about to end.
 func (n *Node) Leave() {
 	n.mu.Lock()
-	n.view.Leave()
+	n.view.MarkLeaving()
 	partners := n.mesh()
 	n.mu.Unlock()
 	n.pushOut(n.digest()) // the own record is the news
