--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -183,9 +183,9 @@
 // nearPart is the part of exchanges that stay in the zone.
 func nearPart(near int) float64 { return float64(near) / (float64(near) + farWeight) }
 
-// Partner returns the address for the next exchange, "" if there is none: of a process of the own zone or of a peer of the partial view;
+// PickPartner returns the address for the next exchange, "" if there is none: of a process of the own zone or of a peer of the partial view;
 // now and then, and while nobody is known, of a seed.
-func (v *View) Partner(now float64) string {
+func (v *View) PickPartner(now float64) string {
 	const seedEvery = 8
 	if near := v.near(now); v.rng.Float64() < nearPart(len(near)) {
 		return near[v.rng.IntN(len(near))]
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -62,7 +62,7 @@
 				continue
 			}
 			view.Tick(f.now)
-			j := f.index(view.Partner(f.now))
+			j := f.index(view.PickPartner(f.now))
 			if j < 0 || j == i || f.views[j] == nil || f.rng.Float64() < f.loss {
 				continue
 			}
@@ -134,7 +134,7 @@
 			for i, view := range f.views {
 				for range 40 {
 					asked++
-					if j := f.index(view.Partner(f.now)); j >= 0 && j%c.zones == i%c.zones {
+					if j := f.index(view.PickPartner(f.now)); j >= 0 && j%c.zones == i%c.zones {
 						near++
 					}
 				}
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -138,7 +138,7 @@
 	n.view.Tick(n.now())
 	n.contact.tick(time.Now())
 	n.place()
-	partners := []string{n.view.Partner(n.now())}
+	partners := []string{n.view.PickPartner(n.now())}
 	partners = append(partners, n.mesh()...)
 	n.mu.Unlock()
 	slices.Sort(partners)
