--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -202,8 +202,8 @@
 	return v.entries[v.peers[v.next]].record.Address
 }
 
-// Fanout returns up to n addresses of random live processes, for news that can't wait: most of the own zone, one at least of another.
-func (v *View) Fanout(now float64, n int) []string {
+// PickFanout returns up to n addresses of random live processes, for news that can't wait: most of the own zone, one at least of another.
+func (v *View) PickFanout(now float64, n int) []string {
 	near := v.near(now)
 	var far []string
 	for _, e := range v.entries {
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -138,7 +138,7 @@
 						near++
 					}
 				}
-				fanout := view.Fanout(f.now, 3)
+				fanout := view.PickFanout(f.now, 3)
 				Expect(fanout).To(HaveLen(3))
 				Expect(fanout).To(ContainElement(WithTransform(func(a string) int { return f.index(a) % c.zones }, Not(Equal(i%c.zones)))),
 					"news leave the zone")
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -89,7 +89,7 @@
 
 func (n *Node) pushOut(request *message.Gossip) {
 	n.mu.Lock()
-	addresses := n.view.Fanout(n.now(), pushFanout)
+	addresses := n.view.PickFanout(n.now(), pushFanout)
 	n.mu.Unlock()
 	for _, address := range addresses {
 		go func() {
