--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -226,8 +226,8 @@
 	v.rng.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 }
 
-// Sample returns the records to tell in an exchange: the own one and others, drawn at random.
-func (v *View) Sample(now float64) []Record {
+// SampleRecords returns the records to tell in an exchange: the own one and others, drawn at random.
+func (v *View) SampleRecords(now float64) []Record {
 	records := append([]Record{v.self}, v.rebuttal...)
 	v.rebuttal = nil
 	names := slices.Sorted(maps.Keys(v.entries))
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -75,7 +75,7 @@
 }
 
 func tell(now float64, from, to *membership.View) {
-	to.Merge(now, from.Sample(now))
+	to.Merge(now, from.SampleRecords(now))
 	to.MergeBeats(now, from.Beats(now))
 }
 
@@ -223,12 +223,12 @@
 		// Heartbeats alone reach the third process, which tells its copy of the record.
 		told.MergeBeats(f.now, beatsOf(f, 0))
 		behind.MergeBeats(f.now, beatsOf(f, 0))
-		for _, record := range behind.Sample(f.now) {
+		for _, record := range behind.SampleRecords(f.now) {
 			told.Merge(f.now, []membership.Record{record})
 		}
 		Expect(f.member(told, 0).Leaving).To(BeTrue())
 		Expect(f.member(behind, 0).Leaving).To(BeFalse())
-		behind.Merge(f.now, told.Sample(f.now))
+		behind.Merge(f.now, told.SampleRecords(f.now))
 		Expect(f.member(behind, 0).Leaving).To(BeTrue())
 	})
 })
