--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -244,8 +244,8 @@
 	return records
 }
 
-// Beats returns heartbeats to tell in an exchange: of all that live, or of some drawn at random.
-func (v *View) Beats(now float64) []Heartbeat {
+// SampleHeartbeats returns heartbeats to tell in an exchange: of all that live, or of some drawn at random.
+func (v *View) SampleHeartbeats(now float64) []Heartbeat {
 	var beats []Heartbeat
 	for _, e := range v.entries {
 		if v.alive(e, now) {
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -76,7 +76,7 @@
 
 func tell(now float64, from, to *membership.View) {
 	to.Merge(now, from.SampleRecords(now))
-	to.MergeBeats(now, from.Beats(now))
+	to.MergeBeats(now, from.SampleHeartbeats(now))
 }
 
 func (f *fleet) index(to string) int {
@@ -238,7 +238,7 @@
 	settings := membership.Settings{SuspectAfterSeconds: suspectAfter, ForgetAfterSeconds: forgetAfter, PartialViewSize: 8, RecordsPerExchange: 16, HeartbeatsPerExchange: 200}
 	witness := membership.New(settings, membership.Record{Name: "witness", Address: "w"}, nil, f.rng)
 	witness.Merge(f.now, []membership.Record{f.views[i].Self()})
-	return witness.Beats(f.now)
+	return witness.SampleHeartbeats(f.now)
 }
 
 // member returns what a view holds of a process.
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -107,7 +107,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out.UpdatesOnly = false
-	out.Records, out.Heartbeats, out.Loads = n.view.SampleRecords(n.now()), n.view.Beats(n.now()), n.loads.young()
+	out.Records, out.Heartbeats, out.Loads = n.view.SampleRecords(n.now()), n.view.SampleHeartbeats(n.now()), n.loads.young()
 	return out
 }
 
