--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -260,8 +260,8 @@
 	return beats
 }
 
-// MergeBeats takes heartbeats that a peer told.
-func (v *View) MergeBeats(now float64, beats []Heartbeat) {
+// MergeHeartbeats takes heartbeats that a peer told.
+func (v *View) MergeHeartbeats(now float64, beats []Heartbeat) {
 	if len(beats) == 0 {
 		return
 	}
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -76,7 +76,7 @@
 
 func tell(now float64, from, to *membership.View) {
 	to.Merge(now, from.SampleRecords(now))
-	to.MergeBeats(now, from.SampleHeartbeats(now))
+	to.MergeHeartbeats(now, from.SampleHeartbeats(now))
 }
 
 func (f *fleet) index(to string) int {
@@ -221,8 +221,8 @@
 			leaving.Tick(f.now)
 		}
 		// Heartbeats alone reach the third process, which tells its copy of the record.
-		told.MergeBeats(f.now, beatsOf(f, 0))
-		behind.MergeBeats(f.now, beatsOf(f, 0))
+		told.MergeHeartbeats(f.now, beatsOf(f, 0))
+		behind.MergeHeartbeats(f.now, beatsOf(f, 0))
 		for _, record := range behind.SampleRecords(f.now) {
 			told.Merge(f.now, []membership.Record{record})
 		}
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -176,7 +176,7 @@
 func (n *Node) absorb(told *message.Gossip) {
 	n.mu.Lock()
 	n.view.Merge(n.now(), told.Records)
-	n.view.MergeBeats(n.now(), told.Heartbeats)
+	n.view.MergeHeartbeats(n.now(), told.Heartbeats)
 	n.loads.merge(told.Loads)
 	n.place()
 	if told.Voters.Epoch > n.facts.Voters.Epoch {
