--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -276,8 +276,8 @@
 	}
 }
 
-// Merge takes records that a peer told. It returns whether a process came that was not known.
-func (v *View) Merge(now float64, records []Record) (came bool) {
+// MergeRecords takes records that a peer told. It returns whether a process came that was not known.
+func (v *View) MergeRecords(now float64, records []Record) (came bool) {
 	for i := range records {
 		if v.merge(now, &records[i]) {
 			came = true
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -75,7 +75,7 @@
 }
 
 func tell(now float64, from, to *membership.View) {
-	to.Merge(now, from.SampleRecords(now))
+	to.MergeRecords(now, from.SampleRecords(now))
 	to.MergeHeartbeats(now, from.SampleHeartbeats(now))
 }
 
@@ -190,7 +190,7 @@
 		old := f.views[3].Self()
 		f.views[3] = nil
 		f.pass(int(forgetAfter/tick) + 20)
-		Expect(f.views[0].Merge(f.now, []membership.Record{old})).To(BeFalse())
+		Expect(f.views[0].MergeRecords(f.now, []membership.Record{old})).To(BeFalse())
 		Expect(f.alive(0)).To(Equal(8))
 	})
 
@@ -216,7 +216,7 @@
 		f.pass(10)
 		leaving, told, behind := f.views[0], f.views[1], f.views[2]
 		leaving.MarkLeaving()
-		told.Merge(f.now, []membership.Record{leaving.Self()})
+		told.MergeRecords(f.now, []membership.Record{leaving.Self()})
 		for range 5 {
 			leaving.Tick(f.now)
 		}
@@ -224,11 +224,11 @@
 		told.MergeHeartbeats(f.now, beatsOf(f, 0))
 		behind.MergeHeartbeats(f.now, beatsOf(f, 0))
 		for _, record := range behind.SampleRecords(f.now) {
-			told.Merge(f.now, []membership.Record{record})
+			told.MergeRecords(f.now, []membership.Record{record})
 		}
 		Expect(f.member(told, 0).Leaving).To(BeTrue())
 		Expect(f.member(behind, 0).Leaving).To(BeFalse())
-		behind.Merge(f.now, told.SampleRecords(f.now))
+		behind.MergeRecords(f.now, told.SampleRecords(f.now))
 		Expect(f.member(behind, 0).Leaving).To(BeTrue())
 	})
 })
@@ -237,7 +237,7 @@
 func beatsOf(f *fleet, i int) []membership.Heartbeat {
 	settings := membership.Settings{SuspectAfterSeconds: suspectAfter, ForgetAfterSeconds: forgetAfter, PartialViewSize: 8, RecordsPerExchange: 16, HeartbeatsPerExchange: 200}
 	witness := membership.New(settings, membership.Record{Name: "witness", Address: "w"}, nil, f.rng)
-	witness.Merge(f.now, []membership.Record{f.views[i].Self()})
+	witness.MergeRecords(f.now, []membership.Record{f.views[i].Self()})
 	return witness.SampleHeartbeats(f.now)
 }
 
--- a/internal/decide/membership/wire_form_test.go
+++ b/internal/decide/membership/wire_form_test.go
@@ -34,7 +34,7 @@
 	self := membership.Record{Name: "self", Kind: membership.Agent, Address: "127.0.0.1:1"}
 	view := membership.New(membership.Settings{SuspectAfterSeconds: 3, ForgetAfterSeconds: 12, PartialViewSize: 8, RecordsPerExchange: 12, HeartbeatsPerExchange: 200}, self, nil, nil)
 	record := membership.Record{Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", RunID: 0xfedcba9876543210, Heartbeat: 7}
-	view.Merge(0, []membership.Record{record})
+	view.MergeRecords(0, []membership.Record{record})
 	beats := view.SampleHeartbeats(0)
 	require.Len(t, beats, 1)
 	assert.Equal(t, membership.Heartbeat{Key: 0x9a55167b, Counter: 7}, beats[0])
--- a/internal/gossip/contact_test.go
+++ b/internal/gossip/contact_test.go
@@ -20,7 +20,7 @@
 		n := New(settings, membership.Record{Kind: membership.Control, Address: "10.0.0.1:1"}, transport.NewClient(), log.WithField("node", "self"))
 		const others = 10
 		for i := range others {
-			n.view.Merge(0, []membership.Record{{Name: fmt.Sprint("c", i), Kind: membership.Control, Address: fmt.Sprintf("10.0.1.%d:1", i), Incarnation: 1}})
+			n.view.MergeRecords(0, []membership.Record{{Name: fmt.Sprint("c", i), Kind: membership.Control, Address: fmt.Sprintf("10.0.1.%d:1", i), Incarnation: 1}})
 		}
 		called := map[string]int{}
 		for range 3 {
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -175,7 +175,7 @@
 // absorb takes what a peer told.
 func (n *Node) absorb(told *message.Gossip) {
 	n.mu.Lock()
-	n.view.Merge(n.now(), told.Records)
+	n.view.MergeRecords(n.now(), told.Records)
 	n.view.MergeHeartbeats(n.now(), told.Heartbeats)
 	n.loads.merge(told.Loads)
 	n.place()
