--- a/internal/configredirect/redirector.go
+++ b/internal/configredirect/redirector.go
@@ -67,6 +67,6 @@
 	if len(candidates) == 0 {
 		return ""
 	}
-	slices.SortFunc(candidates, func(a, b membership.Member) int { return cmp.Compare(a.SilentS, b.SilentS) })
+	slices.SortFunc(candidates, func(a, b membership.Member) int { return cmp.Compare(a.SilentSeconds, b.SilentSeconds) })
 	return candidates[r.randIntN((len(candidates)+1)/2)].OperatorAddress
 }
--- a/internal/control/stagelease.go
+++ b/internal/control/stagelease.go
@@ -12,7 +12,7 @@
 func (k *stageController) holderSilenceSeconds(grant register.Grant) float64 {
 	for _, member := range k.control.node.Members() {
 		if member.Kind == membership.Control && member.Name == grant.Holder+"/"+string(membership.Control) && member.ReleasedToken != grant.Token {
-			return member.SilentS
+			return member.SilentSeconds
 		}
 	}
 	const forever = 1e9
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -375,15 +375,15 @@
 // Member is a record with the state in which it is held.
 type Member struct {
 	Record
-	SilentS float64 // seconds without news
-	Alive   bool
+	SilentSeconds float64 // seconds without news
+	Alive         bool
 }
 
 // Members returns all that are known by name, this process among them.
 func (v *View) Members(now float64) []Member {
 	members := []Member{{Record: v.self, Alive: true}}
 	for _, e := range v.entries {
-		members = append(members, Member{Record: e.record, SilentS: now - e.heard, Alive: v.alive(e, now)})
+		members = append(members, Member{Record: e.record, SilentSeconds: now - e.heard, Alive: v.alive(e, now)})
 	}
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	return members
