--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -29,7 +29,7 @@
 // stageKeeper orders model servers to change their stage while this process holds the role.
 type stageController struct {
 	control       *Control
-	lease         *election.Holder
+	lease         *election.Candidate
 	planner       *stages.Planner
 	httpClient    *http.Client
 	startedAt     time.Time
--- a/internal/decide/election/election.go
+++ b/internal/decide/election/election.go
@@ -14,8 +14,8 @@
 	stallS = 1.0
 )
 
-// Holder is a process that stands for one role.
-type Holder struct {
+// Candidate is a process that stands for one role.
+type Candidate struct {
 	Role   string
 	Name   string
 	LeaseS float64
@@ -29,8 +29,8 @@
 }
 
 // New returns a process that begins at now without a grant.
-func New(role, name string, leaseS, now float64) *Holder {
-	return &Holder{Role: role, Name: name, LeaseS: leaseS, began: now, heard: now, looked: now}
+func New(role, name string, leaseS, now float64) *Candidate {
+	return &Candidate{Role: role, Name: name, LeaseS: leaseS, began: now, heard: now, looked: now}
 }
 
 // Next is what a process has to do about its role.
@@ -46,7 +46,7 @@
 
 // Look tells what there is to do. grant is the newest that is known, silentS for how long its holder was not heard of, and inTouch whether
 // this process reaches a majority.
-func (h *Holder) Look(now float64, grant register.Grant, silentS float64, inTouch bool) Next {
+func (h *Candidate) Look(now float64, grant register.Grant, silentS float64, inTouch bool) Next {
 	stalled := now-h.looked > stallS
 	h.looked = now
 	if h.token > 0 && grant.Token > h.token {
@@ -83,11 +83,11 @@
 
 // lapsed tells whether the grant could not be confirmed for a whole lease. Danger: others may be about to take it, and a read that finds
 // it unchanged doesn't keep them from that. It is taken anew, so that the register decides between the two.
-func (h *Holder) lapsed(now float64) bool { return now-h.confirmed > h.LeaseS }
+func (h *Candidate) lapsed(now float64) bool { return now-h.confirmed > h.LeaseS }
 
 // Granted tells what the register holds after a Confirm that began at a time. One that began when the grant had lapsed confirms nothing,
 // nor does one of a grant that was given up meanwhile.
-func (h *Holder) Granted(began float64, grant register.Grant) {
+func (h *Candidate) Granted(began float64, grant register.Grant) {
 	if grant.Holder != h.Name || grant.Token < h.token {
 		h.token = 0
 		return
@@ -99,11 +99,11 @@
 }
 
 // Took tells that a Take was chosen with this token; only then is the grant this life's.
-func (h *Holder) Took(began float64, token uint64) { h.token, h.confirmed = token, began }
+func (h *Candidate) Took(began float64, token uint64) { h.token, h.confirmed = token, began }
 
 // Release gives the role up where the grant could not be confirmed for so long that this process has not acted for a whole lease. It
 // returns the token that was given up, 0 if none was.
-func (h *Holder) Release(now float64) uint64 {
+func (h *Candidate) Release(now float64) uint64 {
 	if h.token == 0 || now-h.confirmed <= (1+confirmPart)*h.LeaseS {
 		return 0
 	}
@@ -113,12 +113,12 @@
 }
 
 // Lost gives the role up.
-func (h *Holder) Lost() { h.token = 0 }
+func (h *Candidate) Lost() { h.token = 0 }
 
 // Token returns the token to act with, 0 without a grant.
-func (h *Holder) Token() uint64 { return h.token }
+func (h *Candidate) Token() uint64 { return h.token }
 
 // MayAct tells whether the grant was confirmed lately enough, looked at again right before and after acting.
-func (h *Holder) MayAct(now float64) bool {
+func (h *Candidate) MayAct(now float64) bool {
 	return h.token > 0 && now-h.confirmed <= confirmPart*h.LeaseS
 }
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -23,7 +23,7 @@
 
 // roleNode is a machine's part in the role.
 type roleNode struct {
-	holder   *election.Holder
+	holder   *election.Candidate
 	grant    register.Grant // the newest that is known
 	released map[string]uint64
 	heard    map[string]float64 // when each machine has said last that it is there, as it was carried here
