--- a/internal/decide/election/election.go
+++ b/internal/decide/election/election.go
@@ -16,9 +16,9 @@
 
 // Candidate is a process that stands for one role.
 type Candidate struct {
-	Role   string
-	Name   string
-	LeaseS float64
+	Role         string
+	Name         string
+	LeaseSeconds float64
 
 	began     float64
 	token     uint64 // of the own grant, 0: none
@@ -30,7 +30,7 @@
 
 // New returns a process that begins at now without a grant.
 func New(role, name string, leaseS, now float64) *Candidate {
-	return &Candidate{Role: role, Name: name, LeaseS: leaseS, began: now, heard: now, looked: now}
+	return &Candidate{Role: role, Name: name, LeaseSeconds: leaseS, began: now, heard: now, looked: now}
 }
 
 // Next is what a process has to do about its role.
@@ -54,7 +54,7 @@
 	}
 	if h.token > 0 {
 		switch {
-		case now-h.confirmed <= confirmPart*h.LeaseS:
+		case now-h.confirmed <= confirmPart*h.LeaseSeconds:
 			return Act
 		case h.lapsed(now):
 			return Take
@@ -75,7 +75,7 @@
 		h.heard = now
 	}
 	// Danger: who has just begun does not know when the holder acted last.
-	if now-h.heard > h.LeaseS+marginS && now-h.began > h.LeaseS+marginS {
+	if now-h.heard > h.LeaseSeconds+marginS && now-h.began > h.LeaseSeconds+marginS {
 		return Take
 	}
 	return Wait
@@ -83,7 +83,7 @@
 
 // lapsed tells whether the grant could not be confirmed for a whole lease. Danger: others may be about to take it, and a read that finds
 // it unchanged doesn't keep them from that. It is taken anew, so that the register decides between the two.
-func (h *Candidate) lapsed(now float64) bool { return now-h.confirmed > h.LeaseS }
+func (h *Candidate) lapsed(now float64) bool { return now-h.confirmed > h.LeaseSeconds }
 
 // Granted tells what the register holds after a Confirm that began at a time. One that began when the grant had lapsed confirms nothing,
 // nor does one of a grant that was given up meanwhile.
@@ -104,7 +104,7 @@
 // Release gives the role up where the grant could not be confirmed for so long that this process has not acted for a whole lease. It
 // returns the token that was given up, 0 if none was.
 func (h *Candidate) Release(now float64) uint64 {
-	if h.token == 0 || now-h.confirmed <= (1+confirmPart)*h.LeaseS {
+	if h.token == 0 || now-h.confirmed <= (1+confirmPart)*h.LeaseSeconds {
 		return 0
 	}
 	token := h.token
@@ -120,5 +120,5 @@
 
 // MayAct tells whether the grant was confirmed lately enough, looked at again right before and after acting.
 func (h *Candidate) MayAct(now float64) bool {
-	return h.token > 0 && now-h.confirmed <= confirmPart*h.LeaseS
+	return h.token > 0 && now-h.confirmed <= confirmPart*h.LeaseSeconds
 }
