--- a/internal/decide/election/election.go
+++ b/internal/decide/election/election.go
@@ -28,8 +28,8 @@
 	looked    float64 // when this process looked last
 }
 
-// New returns a process that begins at now without a grant.
-func New(role, name string, leaseS, now float64) *Candidate {
+// NewCandidate returns a process that begins at now without a grant.
+func NewCandidate(role, name string, leaseS, now float64) *Candidate {
 	return &Candidate{Role: role, Name: name, LeaseSeconds: leaseS, began: now, heard: now, looked: now}
 }
 
--- a/internal/decide/election/election_test.go
+++ b/internal/decide/election/election_test.go
@@ -31,32 +31,32 @@
 	other := register.Grant{Role: "r", Holder: "b", Token: 4}
 
 	It("takes a role that nobody ever held", func() {
-		Expect(election.New("r", "a", lease, 0).Look(0, register.Grant{}, 0, true)).To(Equal(election.Take))
+		Expect(election.NewCandidate("r", "a", lease, 0).Look(0, register.Grant{}, 0, true)).To(Equal(election.Take))
 	})
 
 	It("waits while the holder is heard of", func() {
-		h := election.New("r", "a", lease, 0)
+		h := election.NewCandidate("r", "a", lease, 0)
 		for now := 0.0; now < 60; now += 0.5 {
 			Expect(h.Look(now, other, 0.4, true)).To(Equal(election.Wait))
 		}
 	})
 
 	It("takes the role only when the lease and more has passed in silence", func() {
-		h := election.New("r", "a", lease, 0)
+		h := election.NewCandidate("r", "a", lease, 0)
 		Expect(lookUntil(h, 0, 20, other, 20, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 20, 20+lease, other, 20, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 20+lease, 20+lease+2, other, 20, true)).To(Equal(election.Take))
 	})
 
 	It("waits as long where it has just begun and knows nothing", func() {
-		h := election.New("r", "a", lease, 100)
+		h := election.NewCandidate("r", "a", lease, 100)
 		Expect(h.Look(100.1, other, 1e9, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 100.1, 100+lease+1, other, -1e9, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 100+lease+1, 100+lease+2, other, -1e9, true)).To(Equal(election.Take))
 	})
 
 	It("waits as long once it is in touch again, whatever it did not hear while it was cut off", func() {
-		h := election.New("r", "a", lease, 0)
+		h := election.NewCandidate("r", "a", lease, 0)
 		Expect(lookUntil(h, 0, 20, other, 20, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 20, 30, other, 20, false)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 30, 30+lease, other, 20, true)).To(Equal(election.Wait))
@@ -64,20 +64,20 @@
 	})
 
 	It("waits as long after it has stood still", func() {
-		h := election.New("r", "a", lease, 0)
+		h := election.NewCandidate("r", "a", lease, 0)
 		Expect(lookUntil(h, 0, 20, other, 20, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 27, 27+lease, other, 20, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 27+lease, 27+lease+2, other, 20, true)).To(Equal(election.Take))
 	})
 
 	It("waits anew when the role has changed hands", func() {
-		h := election.New("r", "a", lease, 0)
+		h := election.NewCandidate("r", "a", lease, 0)
 		h.Look(10, other, 0, true)
 		Expect(h.Look(14, register.Grant{Role: "r", Holder: "c", Token: 5}, 1e9, true)).To(Equal(election.Wait))
 	})
 
 	It("takes its own role of an earlier life at once, with a new token", func() {
-		h := election.New("r", "b", lease, 50)
+		h := election.NewCandidate("r", "b", lease, 50)
 		Expect(h.Look(50, other, 0, true)).To(Equal(election.Take))
 		h.Took(50, 5)
 		Expect(h.Look(50.5, register.Grant{Role: "r", Holder: "b", Token: 5}, 0, true)).To(Equal(election.Act))
@@ -85,7 +85,7 @@
 	})
 
 	It("acts for a part of the lease without confirming, and not after standing still", func() {
-		h := election.New("r", "a", lease, 0)
+		h := election.NewCandidate("r", "a", lease, 0)
 		h.Took(1, 1)
 		own := register.Grant{Role: "r", Holder: "a", Token: 1}
 		Expect(h.Look(1.5, own, 0, true)).To(Equal(election.Act))
@@ -96,21 +96,21 @@
 	})
 
 	It("stops where another holds a higher token", func() {
-		h := election.New("r", "a", lease, 0)
+		h := election.NewCandidate("r", "a", lease, 0)
 		h.Took(1, 1)
 		Expect(h.Look(1.1, register.Grant{Role: "r", Holder: "b", Token: 2}, 0, true)).To(Equal(election.Wait))
 		Expect(h.MayAct(1.1)).To(BeFalse())
 	})
 
 	It("gives up when a majority says that it holds nothing", func() {
-		h := election.New("r", "a", lease, 0)
+		h := election.NewCandidate("r", "a", lease, 0)
 		h.Took(1, 1)
 		h.Granted(3, register.Grant{Role: "r", Holder: "b", Token: 2})
 		Expect(h.Token()).To(BeZero())
 	})
 
 	It("gives up what it could not confirm, a lease after it may have acted last", func() {
-		h := election.New("r", "a", lease, 0)
+		h := election.NewCandidate("r", "a", lease, 0)
 		h.Took(1, 7)
 		last := 0.0
 		for now := 1.0; ; now += 0.05 {
@@ -129,7 +129,7 @@
 	})
 
 	It("takes its grant anew once it has lapsed, whatever a reading says that began then", func() {
-		h := election.New("r", "a", lease, 0)
+		h := election.NewCandidate("r", "a", lease, 0)
 		h.Took(1, 4)
 		own := register.Grant{Role: "r", Holder: "a", Token: 4}
 		Expect(h.Look(1+lease, own, 0, true)).To(Equal(election.Confirm))
@@ -142,7 +142,7 @@
 	})
 
 	It("doesn't take a grant back by a reading that was under way as it gave it up", func() {
-		h := election.New("r", "a", lease, 0)
+		h := election.NewCandidate("r", "a", lease, 0)
 		h.Took(1, 4)
 		h.Lost()
 		h.Granted(1.5, register.Grant{Role: "r", Holder: "a", Token: 4})
@@ -150,7 +150,7 @@
 	})
 
 	It("keeps what it confirms", func() {
-		h := election.New("r", "a", lease, 0)
+		h := election.NewCandidate("r", "a", lease, 0)
 		h.Took(1, 1)
 		for now := 1.0; now < 30; now += 0.9 {
 			Expect(h.Release(now)).To(BeZero())
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -52,7 +52,7 @@
 		n.role.rate = 1 + clockPart*(2*w.rng.Float64()-1)
 	}
 	n.role = roleNode{rate: n.role.rate, wallS: n.role.wallS, released: map[string]uint64{}, heard: map[string]float64{}}
-	n.role.holder = election.New(roleName, n.address, leaseS, w.clock(n))
+	n.role.holder = election.NewCandidate(roleName, n.address, leaseS, w.clock(n))
 	w.every(n, roleS, func() { w.lookRole(n) })
 }
 
