--- a/internal/decide/election/election.go
+++ b/internal/decide/election/election.go
@@ -33,20 +33,20 @@
 	return &Candidate{Role: role, Name: name, LeaseSeconds: leaseS, began: now, heard: now, looked: now}
 }
 
-// Next is what a process has to do about its role.
-type Next int
+// Action is what a process has to do about its role.
+type Action int
 
 // What there is to do.
 const (
-	Wait    Next = iota
-	Act          // it holds the role and may act
-	Confirm      // it has to read its grant at a majority first
-	Take         // the role is vacant, or its own grant has lapsed: it has to take it
+	Wait    Action = iota
+	Act            // it holds the role and may act
+	Confirm        // it has to read its grant at a majority first
+	Take           // the role is vacant, or its own grant has lapsed: it has to take it
 )
 
 // Look tells what there is to do. grant is the newest that is known, silentS for how long its holder was not heard of, and inTouch whether
 // this process reaches a majority.
-func (h *Candidate) Look(now float64, grant register.Grant, silentS float64, inTouch bool) Next {
+func (h *Candidate) Look(now float64, grant register.Grant, silentS float64, inTouch bool) Action {
 	stalled := now-h.looked > stallS
 	h.looked = now
 	if h.token > 0 && grant.Token > h.token {
--- a/internal/decide/election/election_test.go
+++ b/internal/decide/election/election_test.go
@@ -19,7 +19,7 @@
 
 // lookUntil has a process look every 0.3 s from one time to another, as its host does, and returns what the last look tells. The holder was
 // heard of last at a time.
-func lookUntil(h *election.Candidate, from, to float64, grant register.Grant, heard float64, inTouch bool) (next election.Next) {
+func lookUntil(h *election.Candidate, from, to float64, grant register.Grant, heard float64, inTouch bool) (next election.Action) {
 	for now := from; ; now = min(now+0.3, to) {
 		if next = h.Look(now, grant, max(now-heard, 0), inTouch); now >= to {
 			return next
