--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -62,7 +62,7 @@
 		}
 		grant := (&register.Value{Grants: facts.Grants}).GrantFor(stagesRole)
 		switch k.lease.Look(k.now(), grant, k.holderSilenceSeconds(grant), k.control.reachesMajority()) {
-		case election.Take:
+		case election.Acquire:
 			k.acquireLease(ctx, grant)
 		case election.Confirm:
 			k.confirmLease(ctx)
--- a/internal/decide/election/election.go
+++ b/internal/decide/election/election.go
@@ -41,7 +41,7 @@
 	Wait    Action = iota
 	Act            // it holds the role and may act
 	Confirm        // it has to read its grant at a majority first
-	Take           // the role is vacant, or its own grant has lapsed: it has to take it
+	Acquire        // the role is vacant, or its own grant has lapsed: it has to take it
 )
 
 // Look tells what there is to do. grant is the newest that is known, silentS for how long its holder was not heard of, and inTouch whether
@@ -57,7 +57,7 @@
 		case now-h.confirmed <= confirmPart*h.LeaseSeconds:
 			return Act
 		case h.lapsed(now):
-			return Take
+			return Acquire
 		}
 		return Confirm
 	}
@@ -66,7 +66,7 @@
 	}
 	// A grant that this process held in an earlier life may be taken anew at once: the holder stays the same.
 	if grant.Token == 0 || grant.Holder == h.Name {
-		return Take
+		return Acquire
 	}
 	h.heard = max(h.heard, now-silentS)
 	if !inTouch || stalled {
@@ -76,7 +76,7 @@
 	}
 	// Danger: who has just begun does not know when the holder acted last.
 	if now-h.heard > h.LeaseSeconds+marginS && now-h.began > h.LeaseSeconds+marginS {
-		return Take
+		return Acquire
 	}
 	return Wait
 }
--- a/internal/decide/election/election_test.go
+++ b/internal/decide/election/election_test.go
@@ -31,7 +31,7 @@
 	other := register.Grant{Role: "r", Holder: "b", Token: 4}
 
 	It("takes a role that nobody ever held", func() {
-		Expect(election.NewCandidate("r", "a", lease, 0).Look(0, register.Grant{}, 0, true)).To(Equal(election.Take))
+		Expect(election.NewCandidate("r", "a", lease, 0).Look(0, register.Grant{}, 0, true)).To(Equal(election.Acquire))
 	})
 
 	It("waits while the holder is heard of", func() {
@@ -45,14 +45,14 @@
 		h := election.NewCandidate("r", "a", lease, 0)
 		Expect(lookUntil(h, 0, 20, other, 20, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 20, 20+lease, other, 20, true)).To(Equal(election.Wait))
-		Expect(lookUntil(h, 20+lease, 20+lease+2, other, 20, true)).To(Equal(election.Take))
+		Expect(lookUntil(h, 20+lease, 20+lease+2, other, 20, true)).To(Equal(election.Acquire))
 	})
 
 	It("waits as long where it has just begun and knows nothing", func() {
 		h := election.NewCandidate("r", "a", lease, 100)
 		Expect(h.Look(100.1, other, 1e9, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 100.1, 100+lease+1, other, -1e9, true)).To(Equal(election.Wait))
-		Expect(lookUntil(h, 100+lease+1, 100+lease+2, other, -1e9, true)).To(Equal(election.Take))
+		Expect(lookUntil(h, 100+lease+1, 100+lease+2, other, -1e9, true)).To(Equal(election.Acquire))
 	})
 
 	It("waits as long once it is in touch again, whatever it did not hear while it was cut off", func() {
@@ -60,14 +60,14 @@
 		Expect(lookUntil(h, 0, 20, other, 20, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 20, 30, other, 20, false)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 30, 30+lease, other, 20, true)).To(Equal(election.Wait))
-		Expect(lookUntil(h, 30+lease, 30+lease+2, other, 20, true)).To(Equal(election.Take))
+		Expect(lookUntil(h, 30+lease, 30+lease+2, other, 20, true)).To(Equal(election.Acquire))
 	})
 
 	It("waits as long after it has stood still", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
 		Expect(lookUntil(h, 0, 20, other, 20, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 27, 27+lease, other, 20, true)).To(Equal(election.Wait))
-		Expect(lookUntil(h, 27+lease, 27+lease+2, other, 20, true)).To(Equal(election.Take))
+		Expect(lookUntil(h, 27+lease, 27+lease+2, other, 20, true)).To(Equal(election.Acquire))
 	})
 
 	It("waits anew when the role has changed hands", func() {
@@ -78,7 +78,7 @@
 
 	It("takes its own role of an earlier life at once, with a new token", func() {
 		h := election.NewCandidate("r", "b", lease, 50)
-		Expect(h.Look(50, other, 0, true)).To(Equal(election.Take))
+		Expect(h.Look(50, other, 0, true)).To(Equal(election.Acquire))
 		h.Took(50, 5)
 		Expect(h.Look(50.5, register.Grant{Role: "r", Holder: "b", Token: 5}, 0, true)).To(Equal(election.Act))
 		Expect(h.Token()).To(BeEquivalentTo(5))
@@ -134,7 +134,7 @@
 		own := register.Grant{Role: "r", Holder: "a", Token: 4}
 		Expect(h.Look(1+lease, own, 0, true)).To(Equal(election.Confirm))
 		const late = 1 + lease + 0.3
-		Expect(h.Look(late, own, 0, true)).To(Equal(election.Take))
+		Expect(h.Look(late, own, 0, true)).To(Equal(election.Acquire))
 		h.Granted(late, own)
 		Expect(h.MayAct(late)).To(BeFalse(), "another may be about to take it")
 		h.Took(late, 5)
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -98,7 +98,7 @@
 		role.released[n.address] = token
 	}
 	switch role.holder.Look(w.clock(n), role.grant, w.silence(n), w.mistakes.takesCutOff || w.reachesMajority(n)) {
-	case election.Take:
+	case election.Acquire:
 		w.takeRole(n)
 	case election.Confirm:
 		w.confirmRole(n)
