--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -61,7 +61,7 @@
 			k.control.node.SetReleased(token)
 		}
 		grant := (&register.Value{Grants: facts.Grants}).GrantFor(stagesRole)
-		switch k.lease.Look(k.now(), grant, k.holderSilenceSeconds(grant), k.control.reachesMajority()) {
+		switch k.lease.NextAction(k.now(), grant, k.holderSilenceSeconds(grant), k.control.reachesMajority()) {
 		case election.Acquire:
 			k.acquireLease(ctx, grant)
 		case election.Confirm:
--- a/internal/decide/election/election.go
+++ b/internal/decide/election/election.go
@@ -44,9 +44,9 @@
 	Acquire        // the role is vacant, or its own grant has lapsed: it has to take it
 )
 
-// Look tells what there is to do. grant is the newest that is known, silentS for how long its holder was not heard of, and inTouch whether
+// NextAction tells what there is to do. grant is the newest that is known, silentS for how long its holder was not heard of, and inTouch whether
 // this process reaches a majority.
-func (h *Candidate) Look(now float64, grant register.Grant, silentS float64, inTouch bool) Action {
+func (h *Candidate) NextAction(now float64, grant register.Grant, silentS float64, inTouch bool) Action {
 	stalled := now-h.looked > stallS
 	h.looked = now
 	if h.token > 0 && grant.Token > h.token {
--- a/internal/decide/election/election_test.go
+++ b/internal/decide/election/election_test.go
@@ -21,7 +21,7 @@
 // heard of last at a time.
 func lookUntil(h *election.Candidate, from, to float64, grant register.Grant, heard float64, inTouch bool) (next election.Action) {
 	for now := from; ; now = min(now+0.3, to) {
-		if next = h.Look(now, grant, max(now-heard, 0), inTouch); now >= to {
+		if next = h.NextAction(now, grant, max(now-heard, 0), inTouch); now >= to {
 			return next
 		}
 	}
@@ -31,13 +31,13 @@
 	other := register.Grant{Role: "r", Holder: "b", Token: 4}
 
 	It("takes a role that nobody ever held", func() {
-		Expect(election.NewCandidate("r", "a", lease, 0).Look(0, register.Grant{}, 0, true)).To(Equal(election.Acquire))
+		Expect(election.NewCandidate("r", "a", lease, 0).NextAction(0, register.Grant{}, 0, true)).To(Equal(election.Acquire))
 	})
 
 	It("waits while the holder is heard of", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
 		for now := 0.0; now < 60; now += 0.5 {
-			Expect(h.Look(now, other, 0.4, true)).To(Equal(election.Wait))
+			Expect(h.NextAction(now, other, 0.4, true)).To(Equal(election.Wait))
 		}
 	})
 
@@ -50,7 +50,7 @@
 
 	It("waits as long where it has just begun and knows nothing", func() {
 		h := election.NewCandidate("r", "a", lease, 100)
-		Expect(h.Look(100.1, other, 1e9, true)).To(Equal(election.Wait))
+		Expect(h.NextAction(100.1, other, 1e9, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 100.1, 100+lease+1, other, -1e9, true)).To(Equal(election.Wait))
 		Expect(lookUntil(h, 100+lease+1, 100+lease+2, other, -1e9, true)).To(Equal(election.Acquire))
 	})
@@ -72,15 +72,15 @@
 
 	It("waits anew when the role has changed hands", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
-		h.Look(10, other, 0, true)
-		Expect(h.Look(14, register.Grant{Role: "r", Holder: "c", Token: 5}, 1e9, true)).To(Equal(election.Wait))
+		h.NextAction(10, other, 0, true)
+		Expect(h.NextAction(14, register.Grant{Role: "r", Holder: "c", Token: 5}, 1e9, true)).To(Equal(election.Wait))
 	})
 
 	It("takes its own role of an earlier life at once, with a new token", func() {
 		h := election.NewCandidate("r", "b", lease, 50)
-		Expect(h.Look(50, other, 0, true)).To(Equal(election.Acquire))
+		Expect(h.NextAction(50, other, 0, true)).To(Equal(election.Acquire))
 		h.Took(50, 5)
-		Expect(h.Look(50.5, register.Grant{Role: "r", Holder: "b", Token: 5}, 0, true)).To(Equal(election.Act))
+		Expect(h.NextAction(50.5, register.Grant{Role: "r", Holder: "b", Token: 5}, 0, true)).To(Equal(election.Act))
 		Expect(h.Token()).To(BeEquivalentTo(5))
 	})
 
@@ -88,17 +88,17 @@
 		h := election.NewCandidate("r", "a", lease, 0)
 		h.Took(1, 1)
 		own := register.Grant{Role: "r", Holder: "a", Token: 1}
-		Expect(h.Look(1.5, own, 0, true)).To(Equal(election.Act))
+		Expect(h.NextAction(1.5, own, 0, true)).To(Equal(election.Act))
 		Expect(h.MayAct(1 + lease)).To(BeFalse())
-		Expect(h.Look(1+lease, own, 0, true)).To(Equal(election.Confirm))
+		Expect(h.NextAction(1+lease, own, 0, true)).To(Equal(election.Confirm))
 		h.Granted(1+lease, own)
-		Expect(h.Look(1+lease, own, 0, true)).To(Equal(election.Act))
+		Expect(h.NextAction(1+lease, own, 0, true)).To(Equal(election.Act))
 	})
 
 	It("stops where another holds a higher token", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
 		h.Took(1, 1)
-		Expect(h.Look(1.1, register.Grant{Role: "r", Holder: "b", Token: 2}, 0, true)).To(Equal(election.Wait))
+		Expect(h.NextAction(1.1, register.Grant{Role: "r", Holder: "b", Token: 2}, 0, true)).To(Equal(election.Wait))
 		Expect(h.MayAct(1.1)).To(BeFalse())
 	})
 
@@ -132,9 +132,9 @@
 		h := election.NewCandidate("r", "a", lease, 0)
 		h.Took(1, 4)
 		own := register.Grant{Role: "r", Holder: "a", Token: 4}
-		Expect(h.Look(1+lease, own, 0, true)).To(Equal(election.Confirm))
+		Expect(h.NextAction(1+lease, own, 0, true)).To(Equal(election.Confirm))
 		const late = 1 + lease + 0.3
-		Expect(h.Look(late, own, 0, true)).To(Equal(election.Acquire))
+		Expect(h.NextAction(late, own, 0, true)).To(Equal(election.Acquire))
 		h.Granted(late, own)
 		Expect(h.MayAct(late)).To(BeFalse(), "another may be about to take it")
 		h.Took(late, 5)
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -97,7 +97,7 @@
 	if token := role.holder.Release(w.clock(n)); token != 0 {
 		role.released[n.address] = token
 	}
-	switch role.holder.Look(w.clock(n), role.grant, w.silence(n), w.mistakes.takesCutOff || w.reachesMajority(n)) {
+	switch role.holder.NextAction(w.clock(n), role.grant, w.silence(n), w.mistakes.takesCutOff || w.reachesMajority(n)) {
 	case election.Acquire:
 		w.takeRole(n)
 	case election.Confirm:
