--- a/internal/control/stagelease.go
+++ b/internal/control/stagelease.go
@@ -47,6 +47,6 @@
 	defer cancel()
 	value, err := k.control.proposer.read(ctx)
 	if err == nil {
-		k.lease.Granted(startedAt, value.GrantFor(stagesRole))
+		k.lease.HandleConfirmation(startedAt, value.GrantFor(stagesRole))
 	}
 }
--- a/internal/decide/election/election.go
+++ b/internal/decide/election/election.go
@@ -85,9 +85,9 @@
 // it unchanged doesn't keep them from that. It is taken anew, so that the register decides between the two.
 func (h *Candidate) lapsed(now float64) bool { return now-h.confirmed > h.LeaseSeconds }
 
-// Granted tells what the register holds after a Confirm that began at a time. One that began when the grant had lapsed confirms nothing,
+// HandleConfirmation tells what the register holds after a Confirm that began at a time. One that began when the grant had lapsed confirms nothing,
 // nor does one of a grant that was given up meanwhile.
-func (h *Candidate) Granted(began float64, grant register.Grant) {
+func (h *Candidate) HandleConfirmation(began float64, grant register.Grant) {
 	if grant.Holder != h.Name || grant.Token < h.token {
 		h.token = 0
 		return
--- a/internal/decide/election/election_test.go
+++ b/internal/decide/election/election_test.go
@@ -91,7 +91,7 @@
 		Expect(h.NextAction(1.5, own, 0, true)).To(Equal(election.Act))
 		Expect(h.MayAct(1 + lease)).To(BeFalse())
 		Expect(h.NextAction(1+lease, own, 0, true)).To(Equal(election.Confirm))
-		h.Granted(1+lease, own)
+		h.HandleConfirmation(1+lease, own)
 		Expect(h.NextAction(1+lease, own, 0, true)).To(Equal(election.Act))
 	})
 
@@ -105,7 +105,7 @@
 	It("gives up when a majority says that it holds nothing", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
 		h.Took(1, 1)
-		h.Granted(3, register.Grant{Role: "r", Holder: "b", Token: 2})
+		h.HandleConfirmation(3, register.Grant{Role: "r", Holder: "b", Token: 2})
 		Expect(h.Token()).To(BeZero())
 	})
 
@@ -135,7 +135,7 @@
 		Expect(h.NextAction(1+lease, own, 0, true)).To(Equal(election.Confirm))
 		const late = 1 + lease + 0.3
 		Expect(h.NextAction(late, own, 0, true)).To(Equal(election.Acquire))
-		h.Granted(late, own)
+		h.HandleConfirmation(late, own)
 		Expect(h.MayAct(late)).To(BeFalse(), "another may be about to take it")
 		h.Took(late, 5)
 		Expect(h.MayAct(late)).To(BeTrue())
@@ -145,7 +145,7 @@
 		h := election.NewCandidate("r", "a", lease, 0)
 		h.Took(1, 4)
 		h.Lost()
-		h.Granted(1.5, register.Grant{Role: "r", Holder: "a", Token: 4})
+		h.HandleConfirmation(1.5, register.Grant{Role: "r", Holder: "a", Token: 4})
 		Expect(h.Token()).To(BeZero())
 	})
 
@@ -154,7 +154,7 @@
 		h.Took(1, 1)
 		for now := 1.0; now < 30; now += 0.9 {
 			Expect(h.Release(now)).To(BeZero())
-			h.Granted(now, register.Grant{Role: "r", Holder: "a", Token: 1})
+			h.HandleConfirmation(now, register.Grant{Role: "r", Holder: "a", Token: 1})
 		}
 	})
 })
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -171,7 +171,7 @@
 		n.role.busy = false
 		if ok {
 			n.hearGrant(value.GrantFor(roleName), nil)
-			n.role.holder.Granted(began, value.GrantFor(roleName))
+			n.role.holder.HandleConfirmation(began, value.GrantFor(roleName))
 		}
 	})
 }
