--- a/internal/control/stagecontroller_test.go
+++ b/internal/control/stagecontroller_test.go
@@ -26,7 +26,7 @@
 		node := gossip.New(settings, membership.Record{Kind: membership.Control, Address: "127.0.5.10:1"}, transport.NewClient(), logrus.NewEntry(log))
 		k := newStageController(&Control{settings: settings, node: node, log: logrus.NewEntry(log)})
 		k.table = &routeconfig.Table{Services: []routeconfig.Service{{Name: "s", Engine: &routeconfig.Engine{SwitchS: 2}}}}
-		k.lease.Took(k.now(), token)
+		k.lease.HandleAcquired(k.now(), token)
 		return k
 	}
 	told := func(k *stageController) message.StagePlan {
--- a/internal/control/stagelease.go
+++ b/internal/control/stagelease.go
@@ -33,7 +33,7 @@
 	if err != nil || outcome != register.Chosen {
 		return
 	}
-	k.lease.Took(startedAt, value.GrantFor(stagesRole).Token)
+	k.lease.HandleAcquired(startedAt, value.GrantFor(stagesRole).Token)
 	if facts, _ := k.control.node.Facts(); facts.Plan.Token < k.lease.Token() {
 		k.planner.Adopt(k.now(), facts.Plan.Stages)
 	}
--- a/internal/decide/election/election.go
+++ b/internal/decide/election/election.go
@@ -98,8 +98,8 @@
 	h.token, h.confirmed = grant.Token, began
 }
 
-// Took tells that a Take was chosen with this token; only then is the grant this life's.
-func (h *Candidate) Took(began float64, token uint64) { h.token, h.confirmed = token, began }
+// HandleAcquired tells that a Take was chosen with this token; only then is the grant this life's.
+func (h *Candidate) HandleAcquired(began float64, token uint64) { h.token, h.confirmed = token, began }
 
 // Release gives the role up where the grant could not be confirmed for so long that this process has not acted for a whole lease. It
 // returns the token that was given up, 0 if none was.
--- a/internal/decide/election/election_test.go
+++ b/internal/decide/election/election_test.go
@@ -79,14 +79,14 @@
 	It("takes its own role of an earlier life at once, with a new token", func() {
 		h := election.NewCandidate("r", "b", lease, 50)
 		Expect(h.NextAction(50, other, 0, true)).To(Equal(election.Acquire))
-		h.Took(50, 5)
+		h.HandleAcquired(50, 5)
 		Expect(h.NextAction(50.5, register.Grant{Role: "r", Holder: "b", Token: 5}, 0, true)).To(Equal(election.Act))
 		Expect(h.Token()).To(BeEquivalentTo(5))
 	})
 
 	It("acts for a part of the lease without confirming, and not after standing still", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
-		h.Took(1, 1)
+		h.HandleAcquired(1, 1)
 		own := register.Grant{Role: "r", Holder: "a", Token: 1}
 		Expect(h.NextAction(1.5, own, 0, true)).To(Equal(election.Act))
 		Expect(h.MayAct(1 + lease)).To(BeFalse())
@@ -97,21 +97,21 @@
 
 	It("stops where another holds a higher token", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
-		h.Took(1, 1)
+		h.HandleAcquired(1, 1)
 		Expect(h.NextAction(1.1, register.Grant{Role: "r", Holder: "b", Token: 2}, 0, true)).To(Equal(election.Wait))
 		Expect(h.MayAct(1.1)).To(BeFalse())
 	})
 
 	It("gives up when a majority says that it holds nothing", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
-		h.Took(1, 1)
+		h.HandleAcquired(1, 1)
 		h.HandleConfirmation(3, register.Grant{Role: "r", Holder: "b", Token: 2})
 		Expect(h.Token()).To(BeZero())
 	})
 
 	It("gives up what it could not confirm, a lease after it may have acted last", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
-		h.Took(1, 7)
+		h.HandleAcquired(1, 7)
 		last := 0.0
 		for now := 1.0; ; now += 0.05 {
 			if h.MayAct(now) {
@@ -130,20 +130,20 @@
 
 	It("takes its grant anew once it has lapsed, whatever a reading says that began then", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
-		h.Took(1, 4)
+		h.HandleAcquired(1, 4)
 		own := register.Grant{Role: "r", Holder: "a", Token: 4}
 		Expect(h.NextAction(1+lease, own, 0, true)).To(Equal(election.Confirm))
 		const late = 1 + lease + 0.3
 		Expect(h.NextAction(late, own, 0, true)).To(Equal(election.Acquire))
 		h.HandleConfirmation(late, own)
 		Expect(h.MayAct(late)).To(BeFalse(), "another may be about to take it")
-		h.Took(late, 5)
+		h.HandleAcquired(late, 5)
 		Expect(h.MayAct(late)).To(BeTrue())
 	})
 
 	It("doesn't take a grant back by a reading that was under way as it gave it up", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
-		h.Took(1, 4)
+		h.HandleAcquired(1, 4)
 		h.Lost()
 		h.HandleConfirmation(1.5, register.Grant{Role: "r", Holder: "a", Token: 4})
 		Expect(h.Token()).To(BeZero())
@@ -151,7 +151,7 @@
 
 	It("keeps what it confirms", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
-		h.Took(1, 1)
+		h.HandleAcquired(1, 1)
 		for now := 1.0; now < 30; now += 0.9 {
 			Expect(h.Release(now)).To(BeZero())
 			h.HandleConfirmation(now, register.Grant{Role: "r", Holder: "a", Token: 1})
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -146,7 +146,7 @@
 		grant := round.Value.GrantFor(roleName)
 		n.hearGrant(grant, nil)
 		if round.Outcome == register.Chosen {
-			n.role.holder.Took(began, grant.Token)
+			n.role.holder.HandleAcquired(began, grant.Token)
 		}
 	}))
 }
