--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -56,7 +56,7 @@
 		if !k.refreshInputs(facts) || !k.hasModelServers() {
 			continue
 		}
-		if token := k.lease.Release(k.now()); token != 0 {
+		if token := k.lease.ReleaseIfUnconfirmed(k.now()); token != 0 {
 			k.control.log.WithField("token", token).Info("role given up: stages")
 			k.control.node.SetReleased(token)
 		}
--- a/internal/decide/election/election.go
+++ b/internal/decide/election/election.go
@@ -101,9 +101,9 @@
 // HandleAcquired tells that a Take was chosen with this token; only then is the grant this life's.
 func (h *Candidate) HandleAcquired(began float64, token uint64) { h.token, h.confirmed = token, began }
 
-// Release gives the role up where the grant could not be confirmed for so long that this process has not acted for a whole lease. It
+// ReleaseIfUnconfirmed gives the role up where the grant could not be confirmed for so long that this process has not acted for a whole lease. It
 // returns the token that was given up, 0 if none was.
-func (h *Candidate) Release(now float64) uint64 {
+func (h *Candidate) ReleaseIfUnconfirmed(now float64) uint64 {
 	if h.token == 0 || now-h.confirmed <= (1+confirmPart)*h.LeaseSeconds {
 		return 0
 	}
--- a/internal/decide/election/election_test.go
+++ b/internal/decide/election/election_test.go
@@ -117,7 +117,7 @@
 			if h.MayAct(now) {
 				last = now
 			}
-			if token := h.Release(now); token != 0 {
+			if token := h.ReleaseIfUnconfirmed(now); token != 0 {
 				Expect(token).To(BeEquivalentTo(7))
 				Expect(now - last).To(BeNumerically(">=", lease))
 				Expect(now).To(BeNumerically("<", 1+2*lease))
@@ -125,7 +125,7 @@
 			}
 		}
 		Expect(h.Token()).To(BeZero())
-		Expect(h.Release(100)).To(BeZero())
+		Expect(h.ReleaseIfUnconfirmed(100)).To(BeZero())
 	})
 
 	It("takes its grant anew once it has lapsed, whatever a reading says that began then", func() {
@@ -153,7 +153,7 @@
 		h := election.NewCandidate("r", "a", lease, 0)
 		h.HandleAcquired(1, 1)
 		for now := 1.0; now < 30; now += 0.9 {
-			Expect(h.Release(now)).To(BeZero())
+			Expect(h.ReleaseIfUnconfirmed(now)).To(BeZero())
 			h.HandleConfirmation(now, register.Grant{Role: "r", Holder: "a", Token: 1})
 		}
 	})
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -94,7 +94,7 @@
 	if role.busy {
 		return
 	}
-	if token := role.holder.Release(w.clock(n)); token != 0 {
+	if token := role.holder.ReleaseIfUnconfirmed(w.clock(n)); token != 0 {
 		role.released[n.address] = token
 	}
 	switch role.holder.NextAction(w.clock(n), role.grant, w.silence(n), w.mistakes.takesCutOff || w.reachesMajority(n)) {
