--- a/internal/control/stageorder.go
+++ b/internal/control/stageorder.go
@@ -48,7 +48,7 @@
 	switch response.StatusCode {
 	case http.StatusAccepted, http.StatusOK:
 	case http.StatusPreconditionFailed:
-		k.lease.Lost()
+		k.lease.Resign()
 		k.planner.Refused(order)
 	default:
 		k.planner.Refused(order)
--- a/internal/decide/election/election.go
+++ b/internal/decide/election/election.go
@@ -112,8 +112,8 @@
 	return token
 }
 
-// Lost gives the role up.
-func (h *Candidate) Lost() { h.token = 0 }
+// Resign gives the role up.
+func (h *Candidate) Resign() { h.token = 0 }
 
 // Token returns the token to act with, 0 without a grant.
 func (h *Candidate) Token() uint64 { return h.token }
--- a/internal/decide/election/election_test.go
+++ b/internal/decide/election/election_test.go
@@ -144,7 +144,7 @@
 	It("doesn't take a grant back by a reading that was under way as it gave it up", func() {
 		h := election.NewCandidate("r", "a", lease, 0)
 		h.HandleAcquired(1, 4)
-		h.Lost()
+		h.Resign()
 		h.HandleConfirmation(1.5, register.Grant{Role: "r", Holder: "a", Token: 4})
 		Expect(h.Token()).To(BeZero())
 	})
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -188,7 +188,7 @@
 			return
 		}
 		if n.life == order.life && n.up {
-			n.role.holder.Lost()
+			n.role.holder.Resign()
 		}
 	})
 }
