--- a/internal/control/stageorder.go
+++ b/internal/control/stageorder.go
@@ -20,7 +20,7 @@
 
 // order sends one order. An order without an answer may have been taken and counts as such.
 func (k *stageController) sendOrder(ctx context.Context, order stages.Order) {
-	if !k.lease.MayAct(k.now()) {
+	if !k.lease.CanAct(k.now()) {
 		k.planner.Refused(order)
 		return
 	}
--- a/internal/decide/election/election.go
+++ b/internal/decide/election/election.go
@@ -118,7 +118,7 @@
 // Token returns the token to act with, 0 without a grant.
 func (h *Candidate) Token() uint64 { return h.token }
 
-// MayAct tells whether the grant was confirmed lately enough, looked at again right before and after acting.
-func (h *Candidate) MayAct(now float64) bool {
+// CanAct tells whether the grant was confirmed lately enough, looked at again right before and after acting.
+func (h *Candidate) CanAct(now float64) bool {
 	return h.token > 0 && now-h.confirmed <= confirmPart*h.LeaseSeconds
 }
--- a/internal/decide/election/election_test.go
+++ b/internal/decide/election/election_test.go
@@ -89,7 +89,7 @@
 		h.HandleAcquired(1, 1)
 		own := register.Grant{Role: "r", Holder: "a", Token: 1}
 		Expect(h.NextAction(1.5, own, 0, true)).To(Equal(election.Act))
-		Expect(h.MayAct(1 + lease)).To(BeFalse())
+		Expect(h.CanAct(1 + lease)).To(BeFalse())
 		Expect(h.NextAction(1+lease, own, 0, true)).To(Equal(election.Confirm))
 		h.HandleConfirmation(1+lease, own)
 		Expect(h.NextAction(1+lease, own, 0, true)).To(Equal(election.Act))
@@ -99,7 +99,7 @@
 		h := election.NewCandidate("r", "a", lease, 0)
 		h.HandleAcquired(1, 1)
 		Expect(h.NextAction(1.1, register.Grant{Role: "r", Holder: "b", Token: 2}, 0, true)).To(Equal(election.Wait))
-		Expect(h.MayAct(1.1)).To(BeFalse())
+		Expect(h.CanAct(1.1)).To(BeFalse())
 	})
 
 	It("gives up when a majority says that it holds nothing", func() {
@@ -114,7 +114,7 @@
 		h.HandleAcquired(1, 7)
 		last := 0.0
 		for now := 1.0; ; now += 0.05 {
-			if h.MayAct(now) {
+			if h.CanAct(now) {
 				last = now
 			}
 			if token := h.ReleaseIfUnconfirmed(now); token != 0 {
@@ -136,9 +136,9 @@
 		const late = 1 + lease + 0.3
 		Expect(h.NextAction(late, own, 0, true)).To(Equal(election.Acquire))
 		h.HandleConfirmation(late, own)
-		Expect(h.MayAct(late)).To(BeFalse(), "another may be about to take it")
+		Expect(h.CanAct(late)).To(BeFalse(), "another may be about to take it")
 		h.HandleAcquired(late, 5)
-		Expect(h.MayAct(late)).To(BeTrue())
+		Expect(h.CanAct(late)).To(BeTrue())
 	})
 
 	It("doesn't take a grant back by a reading that was under way as it gave it up", func() {
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -178,7 +178,7 @@
 
 // actInRole gives an order, which a receiver gets a moment later.
 func (w *world) actInRole(n *node) {
-	if !n.role.holder.MayAct(w.clock(n)) {
+	if !n.role.holder.CanAct(w.clock(n)) {
 		return
 	}
 	order := act{w.now, n.address, n.life, n.role.holder.Token()}
