--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -64,7 +64,7 @@
 		defer close(disconnected)
 		p.readReports(conn)
 	}()
-	var sent gossip.Facts
+	var sent gossip.State
 	loadTicker := time.NewTicker(gossip.ExchangeEvery)
 	defer loadTicker.Stop()
 	loadsDue := false
@@ -106,7 +106,7 @@
 
 // updateSince returns the update that brings a proxy from the facts that it was sent to the present ones, and whether there is any
 // difference. Loads are left to the caller.
-func updateSince(sent, facts gossip.Facts) (*message.Feed, bool) {
+func updateSince(sent, facts gossip.State) (*message.Feed, bool) {
 	update := &message.Feed{ProxyRank: facts.Rank, ProxyCount: facts.Count}
 	differs := sent.Rank != facts.Rank || sent.Count != facts.Count
 	if facts.Table != nil && (sent.Table == nil || facts.Table.Version > sent.Table.Version) {
--- a/internal/agent/wire_form_test.go
+++ b/internal/agent/wire_form_test.go
@@ -27,13 +27,13 @@
 	plan := message.StagePlan{Token: 3, Sequence: 9, Stages: map[string]message.Stage{"i-1": message.Prefill}}
 	list := gossip.List{Digest: 1 << 62, Data: []byte("packed list"), ReadAt: time.Now().Add(-time.Second)}
 	tests := map[string]struct {
-		told, facts gossip.Facts
+		told, facts gossip.State
 		differs     bool
 	}{
-		"all":     {gossip.Facts{}, gossip.Facts{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, true},
-		"nothing": {gossip.Facts{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, gossip.Facts{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, false},
-		"rank":    {gossip.Facts{Table: table, Rank: 1, Count: 3}, gossip.Facts{Table: table, Rank: 2, Count: 3}, true},
-		"plan":    {gossip.Facts{Count: 3}, gossip.Facts{Plan: plan, Count: 3}, true},
+		"all":     {gossip.State{}, gossip.State{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, true},
+		"nothing": {gossip.State{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, gossip.State{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, false},
+		"rank":    {gossip.State{Table: table, Rank: 1, Count: 3}, gossip.State{Table: table, Rank: 2, Count: 3}, true},
+		"plan":    {gossip.State{Count: 3}, gossip.State{Plan: plan, Count: 3}, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -74,7 +74,7 @@
 }
 
 // view unpacks what has changed of the configuration and the list. It returns whether there are both.
-func (k *stageController) refreshInputs(facts gossip.Facts) bool {
+func (k *stageController) refreshInputs(facts gossip.State) bool {
 	if facts.Table == nil || facts.List.ReadAt.IsZero() {
 		return false
 	}
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -58,8 +58,8 @@
 	return message.UnpackInstances(l.Data)
 }
 
-// Facts is what a process has learned.
-type Facts struct {
+// State is what a process has learned.
+type State struct {
 	Table  *message.PackedTable
 	List   List
 	Voters register.Value // the voters alone, of the newest epoch heard of
@@ -77,7 +77,7 @@
 
 	mu      sync.Mutex
 	view    *membership.View
-	facts   Facts
+	facts   State
 	changed chan struct{} // closed and replaced when facts change
 	loads   loads
 	table   claim
@@ -211,7 +211,7 @@
 }
 
 // Facts returns what is known, and a channel that is closed once that has changed.
-func (n *Node) Facts() (Facts, <-chan struct{}) {
+func (n *Node) Facts() (State, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.facts, n.changed
--- a/internal/gossip/facts_test.go
+++ b/internal/gossip/facts_test.go
@@ -23,7 +23,7 @@
 		n = New(&nodeconfig.Settings{NodeID: "self", Zone: "z"}, membership.Record{Kind: membership.Agent, Address: "127.0.0.1:1"}, transport.NewClient(),
 			log.WithField("node", "self"))
 	})
-	facts := func() Facts {
+	facts := func() State {
 		known, _ := n.Facts()
 		return known
 	}
