--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -69,7 +69,7 @@
 	defer loadTicker.Stop()
 	loadsDue := false
 	for {
-		facts, changed := p.agent.node.Facts()
+		facts, changed := p.agent.node.State()
 		update, differs := updateSince(sent, facts)
 		if loadsDue {
 			update.Loads, loadsDue = p.agent.node.Loads(), false
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -20,7 +20,7 @@
 			return
 		case <-ticker.C:
 		}
-		facts, _ := a.node.Facts()
+		facts, _ := a.node.State()
 		maxAge := staleListAge + time.Duration(float64(staleListSpread)*float64(facts.Rank)/float64(max(facts.Count, 1)))
 		readAt := facts.List.ReadAt
 		if readAt.IsZero() {
@@ -48,6 +48,6 @@
 // retryPause returns the longest pause after a failed reading. With pauses drawn evenly up to it, all agents together make calls at half
 // of the platform's rate limit.
 func (a *Agent) retryPause() time.Duration {
-	facts, _ := a.node.Facts()
+	facts, _ := a.node.State()
 	return min(nodeconfig.Seconds(4*float64(max(facts.Count, 1))/max(a.settings.Cloud.RatePerS, 1)), maxRetryPause) + checkInterval
 }
--- a/internal/control/antientropy.go
+++ b/internal/control/antientropy.go
@@ -47,6 +47,6 @@
 
 // knowsLess tells whether a value has a newer configuration than the one that this process tells others.
 func (c *Control) hasNewerConfig(value register.Value) bool {
-	facts, _ := c.node.Facts()
+	facts, _ := c.node.State()
 	return value.ConfigVersion > 0 && (facts.Table == nil || facts.Table.Version < value.ConfigVersion)
 }
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -90,7 +90,7 @@
 
 // catchUp takes a value that was chosen: first what it says is told, then it goes to the disk.
 func (c *Control) catchUp(ctx context.Context, value chosenValue) error {
-	facts, _ := c.node.Facts()
+	facts, _ := c.node.State()
 	published := value.ConfigVersion == 0 || facts.Table != nil && facts.Table.Version >= value.ConfigVersion
 	behind := value.Ballot.Compare(c.replica.state().Accepted) > 0
 	if published && !behind {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -96,7 +96,7 @@
 		OperatorAddress: settings.Listen.Control}, client, log)
 	c.proposer = &proposer{self: own, proposerID: fmt.Sprintf("%s/%016x", settings.NodeID, rand.Uint64()), replica: opened, client: client,
 		fetcher: newConfigFetcher(), linkMbps: settings.Limits.LinkMbps,
-		gossipVoters: func() register.Value { facts, _ := c.node.Facts(); return facts.Voters },
+		gossipVoters: func() register.Value { facts, _ := c.node.State(); return facts.Voters },
 		onChosen:     c.handleChosen}
 	if state := opened.state(); state.Accepted == (register.Ballot{}) {
 		c.node.SetVoters(state.Value) // the founders; what was accepted later may not have been chosen
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -53,7 +53,7 @@
 		Expect(os.RemoveAll(s.dataDir(1))).To(Succeed())
 		s.start(1, false)
 		Eventually(func() bool {
-			facts, _ := s.machines[2].control.node.Facts()
+			facts, _ := s.machines[2].control.node.State()
 			return s.machines[1].control.isVoter(&facts.Voters) && len(facts.Voters.OutgoingVoters) == 0
 		}, waitTimeout).Should(BeTrue())
 		s.stop(3)
--- a/internal/control/endpointlist.go
+++ b/internal/control/endpointlist.go
@@ -10,7 +10,7 @@
 // others within a moment; how old theirs is tells them that nobody reads.
 func (c *Control) runListReader(ctx context.Context) {
 	for sleep(ctx, listCheckInterval) == nil {
-		facts, _ := c.node.Facts()
+		facts, _ := c.node.State()
 		if !facts.List.ReadAt.IsZero() && time.Since(facts.List.ReadAt) < maxListAge(facts.Rank) {
 			continue
 		}
--- a/internal/control/leaving.go
+++ b/internal/control/leaving.go
@@ -12,7 +12,7 @@
 func (c *Control) awaitReplacement() {
 	deadline := time.Now().Add(nodeconfig.Seconds(leaveFraction * c.settings.Bounds.GraceS))
 	for time.Now().Before(deadline) {
-		facts, _ := c.node.Facts()
+		facts, _ := c.node.State()
 		if !c.isVoter(&facts.Voters) || !c.isReplaceable() {
 			return
 		}
--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -31,7 +31,7 @@
 	var learners reconfiguration.LearnerTargets
 	startedAt := time.Now()
 	for sleep(ctx, reconfigurationInterval) == nil {
-		facts, _ := c.node.Facts()
+		facts, _ := c.node.State()
 		candidates := reconfiguration.AddReachableVoters(&facts.Voters, c.candidates(), c.isReachable)
 		needed := reconfiguration.IsNeeded(&facts.Voters, candidates, c.targetVoters())
 		rank, votes := reconfiguration.Rank(c.proposer.self.ID, &facts.Voters, reconfiguration.IsLiveVoter(candidates))
--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -52,7 +52,7 @@
 
 func (k *stageController) run(ctx context.Context) {
 	for sleep(ctx, stageInterval) == nil {
-		facts, _ := k.control.node.Facts()
+		facts, _ := k.control.node.State()
 		if !k.refreshInputs(facts) || !k.hasModelServers() {
 			continue
 		}
@@ -128,7 +128,7 @@
 		}
 	}
 	// Danger: a plan that is never taken back keeps servers out whose order has come to nothing.
-	facts, _ := k.control.node.Facts()
+	facts, _ := k.control.node.State()
 	if !maps.Equal(k.planner.Pending(k.now()), facts.Plan.Stages) {
 		k.publishPlan()
 	}
--- a/internal/control/stagecontroller_test.go
+++ b/internal/control/stagecontroller_test.go
@@ -30,7 +30,7 @@
 		return k
 	}
 	told := func(k *stageController) message.StagePlan {
-		facts, _ := k.control.node.Facts()
+		facts, _ := k.control.node.State()
 		return facts.Plan
 	}
 
--- a/internal/control/stagelease.go
+++ b/internal/control/stagelease.go
@@ -21,7 +21,7 @@
 
 // take tries to take the role with the token after the one that is known. Processes try in turns by rank.
 func (k *stageController) acquireLease(ctx context.Context, grant register.Grant) {
-	facts, _ := k.control.node.Facts()
+	facts, _ := k.control.node.State()
 	if sleep(ctx, time.Duration(facts.Rank+1)*50*time.Millisecond) != nil {
 		return
 	}
@@ -34,7 +34,7 @@
 		return
 	}
 	k.lease.HandleAcquired(startedAt, value.GrantFor(stagesRole).Token)
-	if facts, _ := k.control.node.Facts(); facts.Plan.Token < k.lease.Token() {
+	if facts, _ := k.control.node.State(); facts.Plan.Token < k.lease.Token() {
 		k.planner.Adopt(k.now(), facts.Plan.Stages)
 	}
 	k.control.log.WithField("token", k.lease.Token()).Info("role taken: stages")
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -27,7 +27,7 @@
 
 func (c *Control) status() replicaStatus {
 	state := c.replica.state()
-	facts, _ := c.node.Facts()
+	facts, _ := c.node.State()
 	out := replicaStatus{Identity: state.ID, IsVoter: c.isVoter(&facts.Voters), Epoch: state.Value.Epoch, ConfigVersion: state.Value.ConfigVersion,
 		ConfigBytes: len(c.replica.configBytes(state.Value.ConfigDigest)), BallotRound: state.Accepted.Number, ReachesMajority: c.reachesMajority()}
 	if facts.Table != nil {
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// Facts returns what is known, and a channel that is closed once that has changed.
-func (n *Node) Facts() (State, <-chan struct{}) {
+// State returns what is known, and a channel that is closed once that has changed.
+func (n *Node) State() (State, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.facts, n.changed
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -108,7 +108,7 @@
 // versions returns how many nodes have a configuration of this version.
 func (f *fleet) versions(version uint64) (count int) {
 	for _, node := range f.nodes {
-		if facts, _ := node.Facts(); facts.Table != nil && facts.Table.Version == version {
+		if facts, _ := node.State(); facts.Table != nil && facts.Table.Version == version {
 			count++
 		}
 	}
@@ -153,7 +153,7 @@
 		f.nodes[1].SetList([]message.Instance{{ID: "new"}}, now)
 		newest := func() (count int) {
 			for _, node := range f.nodes {
-				facts, _ := node.Facts()
+				facts, _ := node.State()
 				if servers, err := facts.List.Unpack(); err == nil && len(servers) == 1 && servers[0].ID == "new" {
 					count++
 				}
--- a/internal/gossip/facts_test.go
+++ b/internal/gossip/facts_test.go
@@ -24,7 +24,7 @@
 			log.WithField("node", "self"))
 	})
 	facts := func() State {
-		known, _ := n.Facts()
+		known, _ := n.State()
 		return known
 	}
 
