--- a/internal/agent/wire_form_test.go
+++ b/internal/agent/wire_form_test.go
@@ -25,7 +25,7 @@
 func TestFeedForm(t *testing.T) {
 	table := &message.PackedTable{Version: 7, Data: []byte("packed table")}
 	plan := message.StagePlan{Token: 3, Sequence: 9, Stages: map[string]message.Stage{"i-1": message.Prefill}}
-	list := gossip.List{Digest: 1 << 62, Data: []byte("packed list"), ReadAt: time.Now().Add(-time.Second)}
+	list := gossip.EndpointList{Digest: 1 << 62, Data: []byte("packed list"), ReadAt: time.Now().Add(-time.Second)}
 	tests := map[string]struct {
 		told, facts gossip.State
 		differs     bool
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -43,15 +43,15 @@
 	meshMost = 6
 )
 
-// List is a reading of the platform's list and when it was read.
-type List struct {
+// EndpointList is a reading of the platform's list and when it was read.
+type EndpointList struct {
 	Digest uint64
 	Data   []byte    // the servers, packed
 	ReadAt time.Time // zero: there is none
 }
 
 // Unpack returns the servers, none where there is no reading.
-func (l *List) Unpack() ([]message.Instance, error) {
+func (l *EndpointList) Unpack() ([]message.Instance, error) {
 	if l.ReadAt.IsZero() {
 		return nil, nil
 	}
@@ -61,7 +61,7 @@
 // State is what a process has learned.
 type State struct {
 	Table  *message.PackedTable
-	List   List
+	List   EndpointList
 	Voters register.Value // the voters alone, of the newest epoch heard of
 	Grants []register.Grant
 	Plan   message.StagePlan
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -197,6 +197,6 @@
 		n.takeTable(told.Table)
 	}
 	if younger && told.List.Data != nil {
-		n.takeList(List{Digest: told.List.Digest, Data: told.List.Data, ReadAt: readAt(told.List)})
+		n.takeList(EndpointList{Digest: told.List.Digest, Data: told.List.Data, ReadAt: readAt(told.List)})
 	}
 }
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -52,10 +52,10 @@
 		}
 		data = packed
 	}
-	n.takeList(List{Digest: digest, Data: data, ReadAt: at})
+	n.takeList(EndpointList{Digest: digest, Data: data, ReadAt: at})
 }
 
-func (n *Node) takeList(list List) {
+func (n *Node) takeList(list EndpointList) {
 	n.mu.Lock()
 	n.list.release()
 	if !n.facts.List.ReadAt.IsZero() && !list.ReadAt.After(n.facts.List.ReadAt) {
--- a/internal/gossip/facts_test.go
+++ b/internal/gossip/facts_test.go
@@ -41,10 +41,10 @@
 
 	It("to an older reading of the list", func() {
 		read := time.Now()
-		n.takeList(List{Digest: 1, Data: []byte("a"), ReadAt: read})
-		n.takeList(List{Digest: 2, Data: []byte("b"), ReadAt: read.Add(-time.Millisecond)})
+		n.takeList(EndpointList{Digest: 1, Data: []byte("a"), ReadAt: read})
+		n.takeList(EndpointList{Digest: 2, Data: []byte("b"), ReadAt: read.Add(-time.Millisecond)})
 		Expect(facts().List.Digest).To(BeEquivalentTo(1))
-		n.takeList(List{Digest: 3, Data: []byte("c"), ReadAt: read.Add(time.Millisecond)})
+		n.takeList(EndpointList{Digest: 3, Data: []byte("c"), ReadAt: read.Add(time.Millisecond)})
 		Expect(facts().List.Digest).To(BeEquivalentTo(3))
 	})
 
