--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -115,9 +115,9 @@
 	if facts.Plan.IsNewerThan(&sent.Plan) {
 		update.Plan, differs = &facts.Plan, true
 	}
-	if facts.List.Digest != sent.List.Digest {
-		age := float64(time.Since(facts.List.ReadAt)) / float64(time.Millisecond)
-		update.List, differs = &message.InstanceList{Digest: facts.List.Digest, AgeMs: age, Data: facts.List.Data}, true
+	if facts.Endpoints.Digest != sent.Endpoints.Digest {
+		age := float64(time.Since(facts.Endpoints.ReadAt)) / float64(time.Millisecond)
+		update.List, differs = &message.InstanceList{Digest: facts.Endpoints.Digest, AgeMs: age, Data: facts.Endpoints.Data}, true
 	}
 	return update, differs
 }
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -22,7 +22,7 @@
 		}
 		facts, _ := a.node.State()
 		maxAge := staleListAge + time.Duration(float64(staleListSpread)*float64(facts.Rank)/float64(max(facts.Count, 1)))
-		readAt := facts.List.ReadAt
+		readAt := facts.Endpoints.ReadAt
 		if readAt.IsZero() {
 			readAt = startedAt
 		}
--- a/internal/agent/wire_form_test.go
+++ b/internal/agent/wire_form_test.go
@@ -30,8 +30,8 @@
 		told, facts gossip.State
 		differs     bool
 	}{
-		"all":     {gossip.State{}, gossip.State{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, true},
-		"nothing": {gossip.State{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, gossip.State{Table: table, List: list, Plan: plan, Rank: 1, Count: 3}, false},
+		"all":     {gossip.State{}, gossip.State{Table: table, Endpoints: list, Plan: plan, Rank: 1, Count: 3}, true},
+		"nothing": {gossip.State{Table: table, Endpoints: list, Plan: plan, Rank: 1, Count: 3}, gossip.State{Table: table, Endpoints: list, Plan: plan, Rank: 1, Count: 3}, false},
 		"rank":    {gossip.State{Table: table, Rank: 1, Count: 3}, gossip.State{Table: table, Rank: 2, Count: 3}, true},
 		"plan":    {gossip.State{Count: 3}, gossip.State{Plan: plan, Count: 3}, true},
 	}
--- a/internal/control/endpointlist.go
+++ b/internal/control/endpointlist.go
@@ -11,7 +11,7 @@
 func (c *Control) runListReader(ctx context.Context) {
 	for sleep(ctx, listCheckInterval) == nil {
 		facts, _ := c.node.State()
-		if !facts.List.ReadAt.IsZero() && time.Since(facts.List.ReadAt) < maxListAge(facts.Rank) {
+		if !facts.Endpoints.ReadAt.IsZero() && time.Since(facts.Endpoints.ReadAt) < maxListAge(facts.Rank) {
 			continue
 		}
 		startedAt := time.Now()
--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -75,7 +75,7 @@
 
 // view unpacks what has changed of the configuration and the list. It returns whether there are both.
 func (k *stageController) refreshInputs(facts gossip.State) bool {
-	if facts.Table == nil || facts.List.ReadAt.IsZero() {
+	if facts.Table == nil || facts.Endpoints.ReadAt.IsZero() {
 		return false
 	}
 	if k.table == nil || k.table.Version != facts.Table.Version {
@@ -86,13 +86,13 @@
 		}
 		k.table = table
 	}
-	if k.listDigest != facts.List.Digest {
-		instances, err := facts.List.Unpack()
+	if k.listDigest != facts.Endpoints.Digest {
+		instances, err := facts.Endpoints.Unpack()
 		if err != nil {
 			k.control.log.WithError(err).Warn("a list that can't be unpacked")
 			return false
 		}
-		k.instances, k.listDigest = instances, facts.List.Digest
+		k.instances, k.listDigest = instances, facts.Endpoints.Digest
 	}
 	return true
 }
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -60,13 +60,13 @@
 
 // State is what a process has learned.
 type State struct {
-	Table  *message.PackedTable
-	List   EndpointList
-	Voters register.Value // the voters alone, of the newest epoch heard of
-	Grants []register.Grant
-	Plan   message.StagePlan
-	Rank   int // of this process among its kind
-	Count  int
+	Table     *message.PackedTable
+	Endpoints EndpointList
+	Voters    register.Value // the voters alone, of the newest epoch heard of
+	Grants    []register.Grant
+	Plan      message.StagePlan
+	Rank      int // of this process among its kind
+	Count     int
 }
 
 // Node takes part in the fleet.
@@ -126,7 +126,7 @@
 func (n *Node) pause() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	lacks := n.facts.Table == nil || n.facts.List.ReadAt.IsZero()
+	lacks := n.facts.Table == nil || n.facts.Endpoints.ReadAt.IsZero()
 	if lacks && time.Since(n.start) < firstFor {
 		return firstEvery
 	}
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -154,7 +154,7 @@
 		newest := func() (count int) {
 			for _, node := range f.nodes {
 				facts, _ := node.State()
-				if servers, err := facts.List.Unpack(); err == nil && len(servers) == 1 && servers[0].ID == "new" {
+				if servers, err := facts.Endpoints.Unpack(); err == nil && len(servers) == 1 && servers[0].ID == "new" {
 					count++
 				}
 			}
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -66,8 +66,8 @@
 	if table {
 		out.Table = n.facts.Table
 	}
-	if list && out.List.Digest == n.facts.List.Digest {
-		out.List.Data = n.facts.List.Data
+	if list && out.List.Digest == n.facts.Endpoints.Digest {
+		out.List.Data = n.facts.Endpoints.Data
 	}
 }
 
@@ -119,9 +119,9 @@
 	if n.facts.Table != nil {
 		out.ConfigVersion = n.facts.Table.Version
 	}
-	if !n.facts.List.ReadAt.IsZero() {
-		age := float64(time.Since(n.facts.List.ReadAt)) / float64(time.Millisecond)
-		out.List = message.InstanceList{Digest: n.facts.List.Digest, AgeMs: age}
+	if !n.facts.Endpoints.ReadAt.IsZero() {
+		age := float64(time.Since(n.facts.Endpoints.ReadAt)) / float64(time.Millisecond)
+		out.List = message.InstanceList{Digest: n.facts.Endpoints.Digest, AgeMs: age}
 	}
 	return out
 }
@@ -156,7 +156,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	table = request.ConfigVersion > 0 && (n.facts.Table == nil || request.ConfigVersion > n.facts.Table.Version)
-	return table, n.younger(request.List) && request.List.Digest != n.facts.List.Digest
+	return table, n.younger(request.List) && request.List.Digest != n.facts.Endpoints.Digest
 }
 
 // younger tells whether a peer's reading of the list is younger than the own one. Danger: readings that were sent at the same
@@ -165,7 +165,7 @@
 	if list.Digest == 0 {
 		return false
 	}
-	return n.facts.List.ReadAt.IsZero() || readAt(list).After(n.facts.List.ReadAt.Add(freshBy))
+	return n.facts.Endpoints.ReadAt.IsZero() || readAt(list).After(n.facts.Endpoints.ReadAt.Add(freshBy))
 }
 
 func readAt(list message.InstanceList) time.Time {
@@ -188,8 +188,8 @@
 		n.announce()
 	}
 	younger := n.younger(told.List)
-	if younger && told.List.Digest == n.facts.List.Digest {
-		n.facts.List.ReadAt = readAt(told.List)
+	if younger && told.List.Digest == n.facts.Endpoints.Digest {
+		n.facts.Endpoints.ReadAt = readAt(told.List)
 		younger = false
 	}
 	n.mu.Unlock()
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -41,8 +41,8 @@
 func (n *Node) SetList(instances []message.Instance, at time.Time) {
 	digest := listDigest(instances)
 	n.mu.Lock()
-	same := digest == n.facts.List.Digest
-	data := n.facts.List.Data
+	same := digest == n.facts.Endpoints.Digest
+	data := n.facts.Endpoints.Data
 	n.mu.Unlock()
 	if !same {
 		packed, err := message.PackInstances(instances)
@@ -58,12 +58,12 @@
 func (n *Node) takeList(list EndpointList) {
 	n.mu.Lock()
 	n.list.release()
-	if !n.facts.List.ReadAt.IsZero() && !list.ReadAt.After(n.facts.List.ReadAt) {
+	if !n.facts.Endpoints.ReadAt.IsZero() && !list.ReadAt.After(n.facts.Endpoints.ReadAt) {
 		n.mu.Unlock()
 		return
 	}
-	differs := list.Digest != n.facts.List.Digest
-	n.facts.List = list
+	differs := list.Digest != n.facts.Endpoints.Digest
+	n.facts.Endpoints = list
 	if differs {
 		n.announce()
 	}
--- a/internal/gossip/facts_test.go
+++ b/internal/gossip/facts_test.go
@@ -43,9 +43,9 @@
 		read := time.Now()
 		n.takeList(EndpointList{Digest: 1, Data: []byte("a"), ReadAt: read})
 		n.takeList(EndpointList{Digest: 2, Data: []byte("b"), ReadAt: read.Add(-time.Millisecond)})
-		Expect(facts().List.Digest).To(BeEquivalentTo(1))
+		Expect(facts().Endpoints.Digest).To(BeEquivalentTo(1))
 		n.takeList(EndpointList{Digest: 3, Data: []byte("c"), ReadAt: read.Add(time.Millisecond)})
-		Expect(facts().List.Digest).To(BeEquivalentTo(3))
+		Expect(facts().Endpoints.Digest).To(BeEquivalentTo(3))
 	})
 
 	It("to a grant with a token that is not above the known one", func() {
