--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -42,7 +42,7 @@
 		time.Sleep(rand.N(a.retryPause()))
 		return
 	}
-	a.node.SetList(instances, startedAt)
+	a.node.SetEndpoints(instances, startedAt)
 }
 
 // retryPause returns the longest pause after a failed reading. With pauses drawn evenly up to it, all agents together make calls at half
--- a/internal/control/endpointlist.go
+++ b/internal/control/endpointlist.go
@@ -21,7 +21,7 @@
 			_ = sleep(ctx, rand.N(listReadInterval/2)) // an end is seen by the next look
 			continue
 		}
-		c.node.SetList(instances, startedAt)
+		c.node.SetEndpoints(instances, startedAt)
 	}
 }
 
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -149,8 +149,8 @@
 	It("is the youngest reading where it is a list", func() {
 		f := startFleet()
 		now := time.Now()
-		f.nodes[0].SetList([]message.Instance{{ID: "old"}}, now.Add(-2*time.Second))
-		f.nodes[1].SetList([]message.Instance{{ID: "new"}}, now)
+		f.nodes[0].SetEndpoints([]message.Instance{{ID: "old"}}, now.Add(-2*time.Second))
+		f.nodes[1].SetEndpoints([]message.Instance{{ID: "new"}}, now)
 		newest := func() (count int) {
 			for _, node := range f.nodes {
 				facts, _ := node.State()
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -37,8 +37,8 @@
 	n.push()
 }
 
-// SetList takes a reading of the platform's list.
-func (n *Node) SetList(instances []message.Instance, at time.Time) {
+// SetEndpoints takes a reading of the platform's list.
+func (n *Node) SetEndpoints(instances []message.Instance, at time.Time) {
 	digest := listDigest(instances)
 	n.mu.Lock()
 	same := digest == n.facts.Endpoints.Digest
