--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -99,7 +99,7 @@
 		gossipVoters: func() register.Value { facts, _ := c.node.State(); return facts.Voters },
 		onChosen:     c.handleChosen}
 	if state := opened.state(); state.Accepted == (register.Ballot{}) {
-		c.node.SetVoters(state.Value) // the founders; what was accepted later may not have been chosen
+		c.node.MergeRegisterValue(state.Value) // the founders; what was accepted later may not have been chosen
 	}
 	return c
 }
@@ -126,6 +126,6 @@
 
 // learned takes a value that holds: its voters are told, and its configuration where others may lack it.
 func (c *Control) handleChosen(value chosenValue) {
-	c.node.SetVoters(value.Value)
+	c.node.MergeRegisterValue(value.Value)
 	c.chosen.observe(value)
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -134,7 +134,7 @@
 		unaware := func() *Control { // a process that has heard of no other, and of the first voters alone
 			m := s.machines[1]
 			c := newControl(m.control.settings, m.control.replica, m.control.proposer.client, m.control.log)
-			c.node.SetVoters(foundingValue(m.control.settings.SeedAddresses()))
+			c.node.MergeRegisterValue(foundingValue(m.control.settings.SeedAddresses()))
 			return c
 		}
 		Expect(unaware().isReplaceable()).To(BeFalse(), "three voters")
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -200,8 +200,8 @@
 	n.view.SetReleasedToken(token)
 }
 
-// SetVoters takes the voters and the grants of a value that holds.
-func (n *Node) SetVoters(value register.Value) {
+// MergeRegisterValue takes the voters and the grants of a value that holds.
+func (n *Node) MergeRegisterValue(value register.Value) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.mergeGrants(value.Grants)
--- a/internal/gossip/facts_test.go
+++ b/internal/gossip/facts_test.go
@@ -50,7 +50,7 @@
 
 	It("to a grant with a token that is not above the known one", func() {
 		merge := func(holder string, token uint64) string {
-			n.SetVoters(register.Value{Grants: []register.Grant{{Role: "r", Holder: holder, Token: token}}})
+			n.MergeRegisterValue(register.Value{Grants: []register.Grant{{Role: "r", Holder: holder, Token: token}}})
 			return (&register.Value{Grants: facts().Grants}).GrantFor("r").Holder
 		}
 		Expect(merge("a", 4)).To(Equal("a"))
