--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -58,7 +58,7 @@
 		}
 		if token := k.lease.ReleaseIfUnconfirmed(k.now()); token != 0 {
 			k.control.log.WithField("token", token).Info("role given up: stages")
-			k.control.node.SetReleased(token)
+			k.control.node.SetReleasedToken(token)
 		}
 		grant := (&register.Value{Grants: facts.Grants}).GrantFor(stagesRole)
 		switch k.lease.NextAction(k.now(), grant, k.holderSilenceSeconds(grant), k.control.reachesMajority()) {
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -193,8 +193,8 @@
 	n.view.SetDemands(demands)
 }
 
-// SetReleased tells others that this process has given up the role that it held with a token.
-func (n *Node) SetReleased(token uint64) {
+// SetReleasedToken tells others that this process has given up the role that it held with a token.
+func (n *Node) SetReleasedToken(token uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view.SetReleasedToken(token)
