--- a/internal/control/voterset.go
+++ b/internal/control/voterset.go
@@ -10,7 +10,7 @@
 
 // inTouch tells whether a voter has answered this process lately.
 func (c *Control) isReachable(voter register.Voter) bool {
-	return voter.Address == c.proposer.self.Address || c.node.InTouch(voter.Address)
+	return voter.Address == c.proposer.self.Address || c.node.IsReachable(voter.Address)
 }
 
 // reachesMajority tells whether this process is in touch with a majority of the voters that it knows.
--- a/internal/gossip/contact.go
+++ b/internal/gossip/contact.go
@@ -49,8 +49,8 @@
 	return now.Sub(last)
 }
 
-// InTouch tells whether a control process has answered this one lately. Only control processes keep in touch with each other.
-func (n *Node) InTouch(address string) bool {
+// IsReachable tells whether a control process has answered this one lately. Only control processes keep in touch with each other.
+func (n *Node) IsReachable(address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	rounds := (n.meshSize + meshMost - 1) / meshMost // ticks until everybody was called
