--- a/internal/agent/servergroup.go
+++ b/internal/agent/servergroup.go
@@ -40,7 +40,7 @@
 		case changed := <-reload:
 			node.SetSeeds(changed.SeedAddresses())
 		case <-ctx.Done():
-			node.Leave()
+			node.AnnounceLeaving()
 			return nil
 		}
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -79,7 +79,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			c.node.Leave()
+			c.node.AnnounceLeaving()
 			c.awaitReplacement()
 			return shutdown(servers, shutdownTimeout)
 		case changed := <-reload:
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -231,8 +231,8 @@
 	n.view.SetSeeds(seeds)
 }
 
-// Leave tells others that this process is about to end.
-func (n *Node) Leave() {
+// AnnounceLeaving tells others that this process is about to end.
+func (n *Node) AnnounceLeaving() {
 	n.mu.Lock()
 	n.view.MarkLeaving()
 	partners := n.mesh()
