--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -61,7 +61,7 @@
 		return Error.Wrap(err)
 	}
 	router := mux.NewRouter()
-	a.node.Register(router)
+	a.node.RegisterHandlers(router)
 	servers := newServerGroup()
 	if err := servers.listenAndServe(address, router); err != nil {
 		return err
--- a/internal/agent/redirector.go
+++ b/internal/agent/redirector.go
@@ -32,7 +32,7 @@
 	node := gossip.New(settings, membership.Record{Kind: membership.Gateway, Address: settings.Internal(settings.IP, nodeconfig.ControlPort)},
 		transport.NewClient(), log)
 	router := mux.NewRouter()
-	node.Register(router)
+	node.RegisterHandlers(router)
 	servers := newServerGroup()
 	if err := serveRedirect(settings, node, router, servers); err != nil {
 		return err
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -106,7 +106,7 @@
 
 func (c *Control) internalRouter() http.Handler {
 	router := mux.NewRouter()
-	c.node.Register(router)
+	c.node.RegisterHandlers(router)
 	router.HandleFunc(preparePath, transport.NewHandler(c.replica.handlePrepare)).Methods("POST")
 	router.HandleFunc(acceptPath, transport.NewHandler(c.replica.handleAccept)).Methods("POST")
 	router.HandleFunc(readPath, transport.NewHandler(c.replica.handleRead)).Methods("POST")
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -100,8 +100,8 @@
 		contact: newContact(time.Now())}
 }
 
-// Register adds the node's paths to a router.
-func (n *Node) Register(router *mux.Router) {
+// RegisterHandlers adds the node's paths to a router.
+func (n *Node) RegisterHandlers(router *mux.Router) {
 	router.HandleFunc(gossipPath, transport.NewHandler(n.serveGossip)).Methods("POST")
 }
 
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -87,7 +87,7 @@
 	listener, err := net.Listen("tcp4", address)
 	Expect(err).NotTo(HaveOccurred())
 	router := mux.NewRouter()
-	node.Register(router)
+	node.RegisterHandlers(router)
 	server := &http.Server{ReadHeaderTimeout: within, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = countingBody{r.Body, &f.received}
 		router.ServeHTTP(countingWriter{w, &f.received}, r)
