--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -65,7 +65,7 @@
 		p.readReports(conn)
 	}()
 	var sent gossip.State
-	loadTicker := time.NewTicker(gossip.ExchangeEvery)
+	loadTicker := time.NewTicker(gossip.ExchangeInterval)
 	defer loadTicker.Stop()
 	loadsDue := false
 	for {
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/cluster.go
@@ -21,8 +21,8 @@
 
 const (
 	gossipPath = "/fleet/v1/gossip"
-	// ExchangeEvery is the time between exchanges.
-	ExchangeEvery = 400 * time.Millisecond
+	// ExchangeInterval is the time between exchanges.
+	ExchangeInterval = 400 * time.Millisecond
 	// firstEvery is the time between exchanges until a configuration and a list were heard of.
 	firstEvery = 80 * time.Millisecond
 	firstFor   = 3 * time.Second
@@ -130,7 +130,7 @@
 	if lacks && time.Since(n.start) < firstFor {
 		return firstEvery
 	}
-	return ExchangeEvery
+	return ExchangeInterval
 }
 
 func (n *Node) tick(ctx context.Context) {
--- a/internal/gossip/contact.go
+++ b/internal/gossip/contact.go
@@ -54,5 +54,5 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	rounds := (n.meshSize + meshMost - 1) / meshMost // ticks until everybody was called
-	return n.contact.silence(address, time.Now()) <= touchWithin+time.Duration(max(rounds-1, 0))*ExchangeEvery
+	return n.contact.silence(address, time.Now()) <= touchWithin+time.Duration(max(rounds-1, 0))*ExchangeInterval
 }
