--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -47,7 +47,7 @@
 	settings *nodeconfig.Settings
 	log      *logrus.Entry
 	node     *gossip.Node
-	platform *gossip.Platform
+	platform *gossip.PlatformClient
 }
 
 // Run runs an agent until the context ends and its proxy has disconnected, for lingerFraction of the grace period at most. Settings from
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -44,7 +44,7 @@
 	node     *gossip.Node
 	replica  *replica
 	proposer *proposer
-	platform *gossip.Platform
+	platform *gossip.PlatformClient
 	chosen   *chosenTracker
 }
 
--- a/internal/gossip/platform.go
+++ b/internal/gossip/platform.go
@@ -24,15 +24,15 @@
 	maxPages   = 400
 )
 
-// Platform reads the platform's list of servers.
-type Platform struct {
+// PlatformClient reads the platform's list of servers.
+type PlatformClient struct {
 	address string
 	http    *http.Client
 }
 
 // NewPlatform returns a client for the platform at IP:PORT.
-func NewPlatform(address string) *Platform {
-	return &Platform{address, &http.Client{Transport: &http.Transport{DialContext: transport.NewDialer().DialContext, MaxIdleConnsPerHost: 1,
+func NewPlatform(address string) *PlatformClient {
+	return &PlatformClient{address, &http.Client{Transport: &http.Transport{DialContext: transport.NewDialer().DialContext, MaxIdleConnsPerHost: 1,
 		IdleConnTimeout: time.Minute, DisableCompression: true}}}
 }
 
@@ -55,7 +55,7 @@
 const stateDraining = "draining"
 
 // Read returns the whole list.
-func (p *Platform) Read(ctx context.Context) ([]message.Instance, error) {
+func (p *PlatformClient) Read(ctx context.Context) ([]message.Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, readWithin)
 	defer cancel()
 	instances := []message.Instance{}
@@ -77,7 +77,7 @@
 	return nil, PlatformError.New("more than %d pages", maxPages)
 }
 
-func (p *Platform) page(ctx context.Context, token string) (*listPage, error) {
+func (p *PlatformClient) page(ctx context.Context, token string) (*listPage, error) {
 	target := url.URL{Scheme: "http", Host: p.address, Path: "/instances"}
 	if token != "" {
 		target.RawQuery = url.Values{"PageToken": {token}}.Encode()
