--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -54,7 +54,7 @@
 // reload replace the seeds. It returns early with the error of a server that fails.
 func Run(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	address := settings.Internal(settings.IP, nodeconfig.AgentPort)
-	a := &Agent{settings: settings, log: log, platform: gossip.NewPlatform(settings.Cloud.Address)}
+	a := &Agent{settings: settings, log: log, platform: gossip.NewPlatformClient(settings.Cloud.Address)}
 	a.node = gossip.New(settings, membership.Record{Kind: membership.Agent, Address: address}, transport.NewClient(), log)
 	feed, err := net.Listen("tcp4", settings.FeedAddress())
 	if err != nil {
--- a/internal/gossip/platform.go
+++ b/internal/gossip/platform.go
@@ -30,8 +30,8 @@
 	http    *http.Client
 }
 
-// NewPlatform returns a client for the platform at IP:PORT.
-func NewPlatform(address string) *PlatformClient {
+// NewPlatformClient returns a client for the platform at IP:PORT.
+func NewPlatformClient(address string) *PlatformClient {
 	return &PlatformClient{address, &http.Client{Transport: &http.Transport{DialContext: transport.NewDialer().DialContext, MaxIdleConnsPerHost: 1,
 		IdleConnTimeout: time.Minute, DisableCompression: true}}}
 }
