--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -36,7 +36,7 @@
 // readList reads the platform's list and publishes it. After an error it pauses, so that the caller can call it again at once.
 func (a *Agent) readList(ctx context.Context) {
 	startedAt := time.Now()
-	instances, err := a.platform.Read(ctx)
+	instances, err := a.platform.Instances(ctx)
 	if err != nil {
 		a.log.WithError(err).Debug("reading the endpoint list failed")
 		time.Sleep(rand.N(a.retryPause()))
--- a/internal/control/endpointlist.go
+++ b/internal/control/endpointlist.go
@@ -15,7 +15,7 @@
 			continue
 		}
 		startedAt := time.Now()
-		instances, err := c.platform.Read(ctx)
+		instances, err := c.platform.Instances(ctx)
 		if err != nil {
 			c.log.WithError(err).Debug("the list was not read")
 			_ = sleep(ctx, rand.N(listReadInterval/2)) // an end is seen by the next look
--- a/internal/gossip/platform.go
+++ b/internal/gossip/platform.go
@@ -54,8 +54,8 @@
 
 const stateDraining = "draining"
 
-// Read returns the whole list.
-func (p *PlatformClient) Read(ctx context.Context) ([]message.Instance, error) {
+// Instances returns the whole list.
+func (p *PlatformClient) Instances(ctx context.Context) ([]message.Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, readWithin)
 	defer cancel()
 	instances := []message.Instance{}
--- a/internal/gossip/wire_form_test.go
+++ b/internal/gossip/wire_form_test.go
@@ -59,7 +59,7 @@
 		_, _ = writer.Write(page)
 	}))
 	defer server.Close()
-	instances, err := NewPlatformClient(server.Listener.Addr().String()).Read(context.Background())
+	instances, err := NewPlatformClient(server.Listener.Addr().String()).Instances(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, listedServers, instances)
 }
