--- a/internal/decide/stages/stages.go
+++ b/internal/decide/stages/stages.go
@@ -32,10 +32,10 @@
 
 // Service is a service with its servers as they are listed.
 type Service struct {
-	Name      string
-	SwitchS   float64 // what a change takes, in seconds
-	Memory    float64 // tokens that one server holds, 0: not known
-	Instances []message.Instance
+	Name          string
+	SwitchSeconds float64 // what a change takes, in seconds
+	Memory        float64 // tokens that one server holds, 0: not known
+	Instances     []message.Instance
 }
 
 // Order is a change of one server's stage.
@@ -163,7 +163,7 @@
 		}
 		from = slices.DeleteFunc(from, func(i message.Instance) bool { return i.ID == best.ID })
 		perZone[best.Zone]++
-		p.pending[best.ID] = pending{stage, now + service.SwitchS + settleMargin}
+		p.pending[best.ID] = pending{stage, now + service.SwitchSeconds + settleMargin}
 		orders = append(orders, Order{best, stage})
 	}
 	return orders
--- a/internal/decide/stages/stages_test.go
+++ b/internal/decide/stages/stages_test.go
@@ -17,7 +17,7 @@
 }
 
 func servers(readers, runners int) stages.Service {
-	service := stages.Service{Name: "s", SwitchS: 2}
+	service := stages.Service{Name: "s", SwitchSeconds: 2}
 	for i := range readers + runners {
 		stage := message.Prefill
 		if i >= readers {
