--- a/internal/decide/stages/split.go
+++ b/internal/decide/stages/split.go
@@ -109,7 +109,7 @@
 		return int(math.Round(idleReaders * float64(n))), true
 	}
 	if demand.Busy.Told == 0 || slots <= 0 || n == 0 {
-		wanted := Wanted(n, slots, service.Memory, *demand)
+		wanted := Wanted(n, slots, service.KVTokensPerServer, *demand)
 		return wanted, wanted > readers
 	}
 	mean := p.reading[service.Name]
@@ -117,7 +117,7 @@
 		mean = &average{at: now, value: demand.Busy.Servers}
 		p.reading[service.Name] = mean
 	}
-	busy, used := mean.add(now, demand.Busy.Servers), demand.used(slots, service.Memory)
+	busy, used := mean.add(now, demand.Busy.Servers), demand.used(slots, service.KVTokensPerServer)
 	short := pressure{read: busy / readFull / float64(max(readers, 1)), run: used / runFull / float64(max(runners, 1))}
 	if short.most() < pressedAt {
 		return -1, false
--- a/internal/decide/stages/stages.go
+++ b/internal/decide/stages/stages.go
@@ -32,10 +32,10 @@
 
 // Service is a service with its servers as they are listed.
 type Service struct {
-	Name          string
-	SwitchSeconds float64 // what a change takes, in seconds
-	Memory        float64 // tokens that one server holds, 0: not known
-	Instances     []message.Instance
+	Name              string
+	SwitchSeconds     float64 // what a change takes, in seconds
+	KVTokensPerServer float64 // tokens that one server holds, 0: not known
+	Instances         []message.Instance
 }
 
 // Order is a change of one server's stage.
