--- a/internal/control/stageorder.go
+++ b/internal/control/stageorder.go
@@ -19,7 +19,7 @@
 }
 
 // order sends one order. An order without an answer may have been taken and counts as such.
-func (k *stageController) sendOrder(ctx context.Context, order stages.Order) {
+func (k *stageController) sendOrder(ctx context.Context, order stages.StageChange) {
 	if !k.lease.CanAct(k.now()) {
 		k.planner.Refused(order)
 		return
--- a/internal/decide/stages/stages.go
+++ b/internal/decide/stages/stages.go
@@ -38,8 +38,8 @@
 	Instances         []message.Instance
 }
 
-// Order is a change of one server's stage.
-type Order struct {
+// StageChange is a change of one server's stage.
+type StageChange struct {
 	Instance message.Instance
 	Stage    message.Stage
 }
@@ -93,7 +93,7 @@
 }
 
 // Plan returns the orders to give now.
-func (p *Planner) Plan(now float64, service Service, demand Demand) []Order {
+func (p *Planner) Plan(now float64, service Service, demand Demand) []StageChange {
 	var readers, runners []message.Instance
 	slots := 0.0
 	for _, instance := range service.Instances {
@@ -146,7 +146,7 @@
 }
 
 // order chooses servers to change, from the zones in which the other stage has the fewest.
-func (p *Planner) order(now float64, service Service, from, to []message.Instance, count int, stage message.Stage) (orders []Order) {
+func (p *Planner) order(now float64, service Service, from, to []message.Instance, count int, stage message.Stage) (orders []StageChange) {
 	count = min(count, max(int(mostAtOnce*float64(len(from))), 1), len(from)-min(leastEach, len(from)))
 	perZone := map[string]int{}
 	for _, instance := range to {
@@ -164,7 +164,7 @@
 		from = slices.DeleteFunc(from, func(i message.Instance) bool { return i.ID == best.ID })
 		perZone[best.Zone]++
 		p.pending[best.ID] = pending{stage, now + service.SwitchSeconds + settleMargin}
-		orders = append(orders, Order{best, stage})
+		orders = append(orders, StageChange{best, stage})
 	}
 	return orders
 }
@@ -185,7 +185,7 @@
 }
 
 // Refused takes back an order that a server did not take.
-func (p *Planner) Refused(order Order) { delete(p.pending, order.Instance.ID) }
+func (p *Planner) Refused(order StageChange) { delete(p.pending, order.Instance.ID) }
 
 // Pending returns the stages of servers whose orders are under way.
 func (p *Planner) Pending(now float64) map[string]message.Stage {
--- a/internal/decide/stages/stages_test.go
+++ b/internal/decide/stages/stages_test.go
@@ -213,7 +213,7 @@
 	It("does not order again what the holder before has under way, and tells it", func() {
 		heavy := stages.Demand{ReadPerS: 900e3, Streams: 100}
 		before, service := stages.New(), servers(7, 11)
-		var ordered []stages.Order
+		var ordered []stages.StageChange
 		for now := 0.0; len(ordered) == 0; now += 0.3 {
 			Expect(now).To(BeNumerically("<", 60))
 			ordered = before.Plan(now, service, heavy)
