--- a/internal/control/stagecontroller_test.go
+++ b/internal/control/stagecontroller_test.go
@@ -37,7 +37,7 @@
 	It("is taken back once an order has come to nothing", func() {
 		k := keeper(3)
 		k.control.node.SetPlan(message.StagePlan{Token: 3, Sequence: k.planSequence, Stages: map[string]message.Stage{"i-1": message.Prefill}})
-		k.planner.Adopt(k.now()-longAgo, told(k).Stages)
+		k.planner.AdoptPending(k.now()-longAgo, told(k).Stages)
 		k.issueOrders(context.Background())
 		Expect(told(k).Stages).To(BeEmpty())
 		Expect(told(k).Token).To(Equal(uint64(3)))
@@ -53,7 +53,7 @@
 
 	It("stays while an order is under way", func() {
 		k := keeper(4)
-		k.planner.Adopt(k.now(), map[string]message.Stage{"i-1": message.Prefill})
+		k.planner.AdoptPending(k.now(), map[string]message.Stage{"i-1": message.Prefill})
 		k.issueOrders(context.Background())
 		first := told(k)
 		Expect(first.Stages).To(HaveLen(1))
--- a/internal/control/stagelease.go
+++ b/internal/control/stagelease.go
@@ -35,7 +35,7 @@
 	}
 	k.lease.HandleAcquired(startedAt, value.GrantFor(stagesRole).Token)
 	if facts, _ := k.control.node.State(); facts.Plan.Token < k.lease.Token() {
-		k.planner.Adopt(k.now(), facts.Plan.Stages)
+		k.planner.AdoptPending(k.now(), facts.Plan.Stages)
 	}
 	k.control.log.WithField("token", k.lease.Token()).Info("role taken: stages")
 }
--- a/internal/decide/stages/stages.go
+++ b/internal/decide/stages/stages.go
@@ -70,8 +70,8 @@
 		reading: map[string]*average{}, idleSince: map[string]float64{}, asked: map[string]bool{}}
 }
 
-// Adopt takes over what the holder of the role before has ordered, so that it is not ordered again while it is being done.
-func (p *Planner) Adopt(now float64, ordered map[string]message.Stage) {
+// AdoptPending takes over what the holder of the role before has ordered, so that it is not ordered again while it is being done.
+func (p *Planner) AdoptPending(now float64, ordered map[string]message.Stage) {
 	for id, stage := range ordered {
 		if _, known := p.pending[id]; !known {
 			p.pending[id] = pending{stage, now + settleMargin}
--- a/internal/decide/stages/stages_test.go
+++ b/internal/decide/stages/stages_test.go
@@ -220,7 +220,7 @@
 		}
 		under := before.Pending(0)
 		after := stages.New()
-		after.Adopt(0, under)
+		after.AdoptPending(0, under)
 		Expect(after.Pending(0)).To(Equal(under))
 		for now := 0.0; now < 8; now += 0.3 {
 			for _, order := range after.Plan(now, service, heavy) {
