--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -115,7 +115,7 @@
 				view.Instances = append(view.Instances, instance)
 			}
 		}
-		orders := k.planner.Plan(k.now(), view, demands[service.Name])
+		orders := k.planner.PlanChanges(k.now(), view, demands[service.Name])
 		if len(orders) == 0 {
 			continue
 		}
--- a/internal/decide/stages/stages.go
+++ b/internal/decide/stages/stages.go
@@ -92,8 +92,8 @@
 	return ordered.stage
 }
 
-// Plan returns the orders to give now.
-func (p *Planner) Plan(now float64, service Service, demand Demand) []StageChange {
+// PlanChanges returns the orders to give now.
+func (p *Planner) PlanChanges(now float64, service Service, demand Demand) []StageChange {
 	var readers, runners []message.Instance
 	slots := 0.0
 	for _, instance := range service.Instances {
--- a/internal/decide/stages/stages_test.go
+++ b/internal/decide/stages/stages_test.go
@@ -32,7 +32,7 @@
 // play asks every 0.3 s with the same demand and carries each order out at once.
 func play(p *stages.Planner, service stages.Service, demand stages.Demand, from, to float64) (orders int) {
 	for now := from; now < to; now += 0.3 {
-		for _, order := range p.Plan(now, service, demand) {
+		for _, order := range p.PlanChanges(now, service, demand) {
 			orders++
 			for i := range service.Instances {
 				if service.Instances[i].ID == order.Instance.ID {
@@ -76,8 +76,8 @@
 
 	It("moves only a part of a stage at once", func() {
 		p := stages.New()
-		p.Plan(0, servers(7, 11), heavy)
-		Expect(len(p.Plan(1, servers(7, 11), heavy))).To(BeNumerically("<=", 4))
+		p.PlanChanges(0, servers(7, 11), heavy)
+		Expect(len(p.PlanChanges(1, servers(7, 11), heavy))).To(BeNumerically("<=", 4))
 	})
 
 	It("does not follow what passes within a moment", func() {
@@ -87,18 +87,18 @@
 			if int(now/0.6)%2 == 0 {
 				demand = stages.Demand{ReadPerS: 320e3, Streams: 600}
 			}
-			Expect(p.Plan(now, servers(7, 11), demand)).To(BeEmpty())
+			Expect(p.PlanChanges(now, servers(7, 11), demand)).To(BeEmpty())
 		}
 	})
 
 	It("orders no server twice while an order is under way, and takes a refused one back", func() {
 		p := stages.New()
 		service := servers(7, 11)
-		p.Plan(0, service, heavy)
-		first := p.Plan(1, service, heavy)
+		p.PlanChanges(0, service, heavy)
+		first := p.PlanChanges(1, service, heavy)
 		Expect(first).NotTo(BeEmpty())
 		for now := 1.3; now < 6; now += 0.3 {
-			for _, again := range p.Plan(now, service, heavy) {
+			for _, again := range p.PlanChanges(now, service, heavy) {
 				for _, order := range first {
 					Expect(again.Instance.ID).NotTo(Equal(order.Instance.ID))
 				}
@@ -146,7 +146,7 @@
 		first := func(demand stages.Demand) (at float64) {
 			p := stages.New()
 			for now := 0.0; now < 30; now += 0.3 {
-				if len(p.Plan(now, servers(9, 9), demand)) > 0 {
+				if len(p.PlanChanges(now, servers(9, 9), demand)) > 0 {
 					return now
 				}
 			}
@@ -168,8 +168,8 @@
 
 	It("goes a part of the way at once", func() {
 		p := stages.New()
-		p.Plan(0, servers(30, 60), told(30, 1000))
-		orders := p.Plan(1, servers(30, 60), told(30, 1000))
+		p.PlanChanges(0, servers(30, 60), told(30, 1000))
+		orders := p.PlanChanges(1, servers(30, 60), told(30, 1000))
 		missing := stages.Balanced(90, 30, 10) - 30
 		Expect(len(orders)).To(BeNumerically(">", missing/2))
 		Expect(len(orders)).To(BeNumerically("<", missing))
@@ -204,7 +204,7 @@
 	It("is left alone where no proxy is heard, and once something was asked", func() {
 		Expect(play(stages.New(), servers(7, 11), stages.Demand{}, 0, 60)).To(BeZero())
 		p := stages.New()
-		p.Plan(0, servers(7, 11), stages.Demand{ReadPerS: 10, Streams: 3, Reports: 3})
+		p.PlanChanges(0, servers(7, 11), stages.Demand{ReadPerS: 10, Streams: 3, Reports: 3})
 		Expect(play(p, servers(7, 11), nothing, 0.3, 60)).To(BeZero())
 	})
 })
@@ -216,14 +216,14 @@
 		var ordered []stages.StageChange
 		for now := 0.0; len(ordered) == 0; now += 0.3 {
 			Expect(now).To(BeNumerically("<", 60))
-			ordered = before.Plan(now, service, heavy)
+			ordered = before.PlanChanges(now, service, heavy)
 		}
 		under := before.Pending(0)
 		after := stages.New()
 		after.AdoptPending(0, under)
 		Expect(after.Pending(0)).To(Equal(under))
 		for now := 0.0; now < 8; now += 0.3 {
-			for _, order := range after.Plan(now, service, heavy) {
+			for _, order := range after.PlanChanges(now, service, heavy) {
 				Expect(under).NotTo(HaveKey(order.Instance.ID))
 			}
 		}
