--- a/internal/control/stageorder.go
+++ b/internal/control/stageorder.go
@@ -21,7 +21,7 @@
 // order sends one order. An order without an answer may have been taken and counts as such.
 func (k *stageController) sendOrder(ctx context.Context, order stages.StageChange) {
 	if !k.lease.CanAct(k.now()) {
-		k.planner.Refused(order)
+		k.planner.HandleRejected(order)
 		return
 	}
 	body, err := json.Marshal(orderBody{stageOrderOp, order.Stage, k.control.settings.NodeID, k.lease.Token()})
@@ -49,8 +49,8 @@
 	case http.StatusAccepted, http.StatusOK:
 	case http.StatusPreconditionFailed:
 		k.lease.Resign()
-		k.planner.Refused(order)
+		k.planner.HandleRejected(order)
 	default:
-		k.planner.Refused(order)
+		k.planner.HandleRejected(order)
 	}
 }
--- a/internal/decide/stages/stages.go
+++ b/internal/decide/stages/stages.go
@@ -184,8 +184,8 @@
 	return 0
 }
 
-// Refused takes back an order that a server did not take.
-func (p *Planner) Refused(order StageChange) { delete(p.pending, order.Instance.ID) }
+// HandleRejected takes back an order that a server did not take.
+func (p *Planner) HandleRejected(order StageChange) { delete(p.pending, order.Instance.ID) }
 
 // Pending returns the stages of servers whose orders are under way.
 func (p *Planner) Pending(now float64) map[string]message.Stage {
--- a/internal/decide/stages/stages_test.go
+++ b/internal/decide/stages/stages_test.go
@@ -104,7 +104,7 @@
 				}
 			}
 		}
-		p.Refused(first[0])
+		p.HandleRejected(first[0])
 		Expect(p.Pending(6)).NotTo(HaveKey(first[0].Instance.ID))
 	})
 
