--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -120,7 +120,7 @@
 			continue
 		}
 		demand := demands[service.Name]
-		k.control.log.WithField("service", service.Name).WithField("read_per_s", int(demand.ReadPerS)).WithField("streams", int(demand.Streams)).
+		k.control.log.WithField("service", service.Name).WithField("read_per_s", int(demand.PrefillTokensPerSecond)).WithField("streams", int(demand.Streams)).
 			WithField("held", int(demand.Held)).WithField("orders", len(orders)).Info("stages")
 		k.publishPlan()
 		for _, order := range orders {
@@ -143,7 +143,7 @@
 		}
 		for _, demand := range member.Demands {
 			total := totals[demand.Service]
-			total.ReadPerS += demand.PrefillTokensPerSecond
+			total.PrefillTokensPerSecond += demand.PrefillTokensPerSecond
 			total.Streams += demand.DecodeStreams
 			total.Held += demand.KVTokens
 			total.Reports++
--- a/internal/decide/stages/split.go
+++ b/internal/decide/stages/split.go
@@ -30,11 +30,11 @@
 
 // Demand is what all proxies together ask of a service.
 type Demand struct {
-	ReadPerS float64 // prompt tokens to be read a second
-	Streams  float64 // answers under way
-	Held     float64 // tokens that they hold in memory
-	Reports  int     // of proxies that it sums up; 0: nothing is known
-	Busy     Busy
+	PrefillTokensPerSecond float64 // prompt tokens to be read a second
+	Streams                float64 // answers under way
+	Held                   float64 // tokens that they hold in memory
+	Reports                int     // of proxies that it sums up; 0: nothing is known
+	Busy                   Busy
 }
 
 // Busy is what servers that read prompts tell of themselves.
@@ -51,12 +51,12 @@
 	b.Servers += present/(present+halfBusy) + backlogPart*float64(max(waiting-1, 0))
 }
 
-func (d *Demand) none() bool { return d.ReadPerS < 1 && d.Streams == 0 }
+func (d *Demand) none() bool { return d.PrefillTokensPerSecond < 1 && d.Streams == 0 }
 
 // Wanted returns the number of n servers that are to read prompts, -1 if nothing is asked: all that answers leave. Answers
 // need slots and memory, which are known; how fast servers read is not, and more readers only read sooner and hold more.
 func Wanted(n int, slots, memory float64, demand Demand) int {
-	if demand.ReadPerS < 1 || slots <= 0 {
+	if demand.PrefillTokensPerSecond < 1 || slots <= 0 {
 		return -1
 	}
 	run := demand.used(slots, memory) / runBusy
