--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -120,7 +120,7 @@
 			continue
 		}
 		demand := demands[service.Name]
-		k.control.log.WithField("service", service.Name).WithField("read_per_s", int(demand.PrefillTokensPerSecond)).WithField("streams", int(demand.Streams)).
+		k.control.log.WithField("service", service.Name).WithField("read_per_s", int(demand.PrefillTokensPerSecond)).WithField("streams", int(demand.DecodeStreams)).
 			WithField("held", int(demand.Held)).WithField("orders", len(orders)).Info("stages")
 		k.publishPlan()
 		for _, order := range orders {
@@ -144,7 +144,7 @@
 		for _, demand := range member.Demands {
 			total := totals[demand.Service]
 			total.PrefillTokensPerSecond += demand.PrefillTokensPerSecond
-			total.Streams += demand.DecodeStreams
+			total.DecodeStreams += demand.DecodeStreams
 			total.Held += demand.KVTokens
 			total.Reports++
 			totals[demand.Service] = total
--- a/internal/control/stagecontroller_test.go
+++ b/internal/control/stagecontroller_test.go
@@ -72,7 +72,7 @@
 		Expect(demand.Busy.Told).To(Equal(1), "readers alone, and those that tell")
 		Expect(demand.Busy.Servers).To(BeNumerically(">", 0.8))
 		Expect(demand.Reports).To(Equal(1))
-		Expect(demand.Streams).To(Equal(4.0))
+		Expect(demand.DecodeStreams).To(Equal(4.0))
 		Expect(k.serviceLoads()).To(Equal(map[string]*serviceLoad{"s": {prefill: stageLoad{servers: 2, running: 1, waiting: 3},
 			decode: stageLoad{servers: 1, running: 5}}}))
 	})
--- a/internal/decide/stages/split.go
+++ b/internal/decide/stages/split.go
@@ -31,7 +31,7 @@
 // Demand is what all proxies together ask of a service.
 type Demand struct {
 	PrefillTokensPerSecond float64 // prompt tokens to be read a second
-	Streams                float64 // answers under way
+	DecodeStreams          float64 // answers under way
 	Held                   float64 // tokens that they hold in memory
 	Reports                int     // of proxies that it sums up; 0: nothing is known
 	Busy                   Busy
@@ -51,7 +51,7 @@
 	b.Servers += present/(present+halfBusy) + backlogPart*float64(max(waiting-1, 0))
 }
 
-func (d *Demand) none() bool { return d.PrefillTokensPerSecond < 1 && d.Streams == 0 }
+func (d *Demand) none() bool { return d.PrefillTokensPerSecond < 1 && d.DecodeStreams == 0 }
 
 // Wanted returns the number of n servers that are to read prompts, -1 if nothing is asked: all that answers leave. Answers
 // need slots and memory, which are known; how fast servers read is not, and more readers only read sooner and hold more.
@@ -95,7 +95,7 @@
 
 // used is the number of servers whose slots, or memory in tokens, answers would fill.
 func (d *Demand) used(slots, memory float64) float64 {
-	used := d.Streams / slots
+	used := d.DecodeStreams / slots
 	if memory > 0 {
 		used = max(used, d.Held/memory)
 	}
--- a/internal/decide/stages/stages_test.go
+++ b/internal/decide/stages/stages_test.go
@@ -54,7 +54,7 @@
 }
 
 var _ = Describe("the split of servers", func() {
-	heavy := stages.Demand{PrefillTokensPerSecond: 900e3, Streams: 100}
+	heavy := stages.Demand{PrefillTokensPerSecond: 900e3, DecodeStreams: 100}
 
 	It("is left alone while nothing is known", func() {
 		Expect(play(stages.New(), servers(7, 11), stages.Demand{}, 0, 60)).To(BeZero())
@@ -70,7 +70,7 @@
 
 	It("never takes a stage's last servers", func() {
 		service := servers(4, 4)
-		play(stages.New(), service, stages.Demand{PrefillTokensPerSecond: 1e9, Streams: 1}, 0, 120)
+		play(stages.New(), service, stages.Demand{PrefillTokensPerSecond: 1e9, DecodeStreams: 1}, 0, 120)
 		Expect(readers(service)).To(Equal(6))
 	})
 
@@ -85,7 +85,7 @@
 		for now := 0.0; now < 60; now += 0.3 {
 			demand := heavy
 			if int(now/0.6)%2 == 0 {
-				demand = stages.Demand{PrefillTokensPerSecond: 320e3, Streams: 600}
+				demand = stages.Demand{PrefillTokensPerSecond: 320e3, DecodeStreams: 600}
 			}
 			Expect(p.PlanChanges(now, servers(7, 11), demand)).To(BeEmpty())
 		}
@@ -109,7 +109,7 @@
 	})
 
 	It("counts memory where answers fill it before the slots", func() {
-		demand := stages.Demand{PrefillTokensPerSecond: 600e3, Streams: 100, Held: 1.2e6}
+		demand := stages.Demand{PrefillTokensPerSecond: 600e3, DecodeStreams: 100, Held: 1.2e6}
 		Expect(stages.Wanted(18, 100, 300e3, demand)).To(BeNumerically("<", stages.Wanted(18, 100, 0, demand)))
 	})
 
@@ -124,7 +124,7 @@
 
 // told returns a demand of which readers tell that so many servers' time is taken.
 func told(busy, streams float64) stages.Demand {
-	return stages.Demand{PrefillTokensPerSecond: 1, Streams: streams, Reports: 1, Busy: stages.Busy{Told: 1, Servers: busy}}
+	return stages.Demand{PrefillTokensPerSecond: 1, DecodeStreams: streams, Reports: 1, Busy: stages.Busy{Told: 1, Servers: busy}}
 }
 
 var _ = Describe("the split where readers tell how busy they are", func() {
@@ -204,14 +204,14 @@
 	It("is left alone where no proxy is heard, and once something was asked", func() {
 		Expect(play(stages.New(), servers(7, 11), stages.Demand{}, 0, 60)).To(BeZero())
 		p := stages.New()
-		p.PlanChanges(0, servers(7, 11), stages.Demand{PrefillTokensPerSecond: 10, Streams: 3, Reports: 3})
+		p.PlanChanges(0, servers(7, 11), stages.Demand{PrefillTokensPerSecond: 10, DecodeStreams: 3, Reports: 3})
 		Expect(play(p, servers(7, 11), nothing, 0.3, 60)).To(BeZero())
 	})
 })
 
 var _ = Describe("a new holder of the role", func() {
 	It("does not order again what the holder before has under way, and tells it", func() {
-		heavy := stages.Demand{PrefillTokensPerSecond: 900e3, Streams: 100}
+		heavy := stages.Demand{PrefillTokensPerSecond: 900e3, DecodeStreams: 100}
 		before, service := stages.New(), servers(7, 11)
 		var ordered []stages.StageChange
 		for now := 0.0; len(ordered) == 0; now += 0.3 {
