--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -121,7 +121,7 @@
 		}
 		demand := demands[service.Name]
 		k.control.log.WithField("service", service.Name).WithField("read_per_s", int(demand.PrefillTokensPerSecond)).WithField("streams", int(demand.DecodeStreams)).
-			WithField("held", int(demand.Held)).WithField("orders", len(orders)).Info("stages")
+			WithField("held", int(demand.KVTokens)).WithField("orders", len(orders)).Info("stages")
 		k.publishPlan()
 		for _, order := range orders {
 			k.sendOrder(ctx, order)
@@ -145,7 +145,7 @@
 			total := totals[demand.Service]
 			total.PrefillTokensPerSecond += demand.PrefillTokensPerSecond
 			total.DecodeStreams += demand.DecodeStreams
-			total.Held += demand.KVTokens
+			total.KVTokens += demand.KVTokens
 			total.Reports++
 			totals[demand.Service] = total
 		}
--- a/internal/decide/stages/split.go
+++ b/internal/decide/stages/split.go
@@ -32,7 +32,7 @@
 type Demand struct {
 	PrefillTokensPerSecond float64 // prompt tokens to be read a second
 	DecodeStreams          float64 // answers under way
-	Held                   float64 // tokens that they hold in memory
+	KVTokens               float64 // tokens that they hold in memory
 	Reports                int     // of proxies that it sums up; 0: nothing is known
 	Busy                   Busy
 }
@@ -97,7 +97,7 @@
 func (d *Demand) used(slots, memory float64) float64 {
 	used := d.DecodeStreams / slots
 	if memory > 0 {
-		used = max(used, d.Held/memory)
+		used = max(used, d.KVTokens/memory)
 	}
 	return used
 }
--- a/internal/decide/stages/stages_test.go
+++ b/internal/decide/stages/stages_test.go
@@ -109,7 +109,7 @@
 	})
 
 	It("counts memory where answers fill it before the slots", func() {
-		demand := stages.Demand{PrefillTokensPerSecond: 600e3, DecodeStreams: 100, Held: 1.2e6}
+		demand := stages.Demand{PrefillTokensPerSecond: 600e3, DecodeStreams: 100, KVTokens: 1.2e6}
 		Expect(stages.Wanted(18, 100, 300e3, demand)).To(BeNumerically("<", stages.Wanted(18, 100, 0, demand)))
 	})
 
