--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -163,7 +163,7 @@
 			continue
 		}
 		total := totals[instance.Service]
-		total.Busy.Add(int(load.Running), int(load.Waiting))
+		total.PrefillLoad.Add(int(load.Running), int(load.Waiting))
 		totals[instance.Service] = total
 	}
 }
--- a/internal/decide/stages/split.go
+++ b/internal/decide/stages/split.go
@@ -34,7 +34,7 @@
 	DecodeStreams          float64 // answers under way
 	KVTokens               float64 // tokens that they hold in memory
 	Reports                int     // of proxies that it sums up; 0: nothing is known
-	Busy                   Busy
+	PrefillLoad            Busy
 }
 
 // Busy is what servers that read prompts tell of themselves.
@@ -108,16 +108,16 @@
 	if p.idle(now, service.Name, demand) {
 		return int(math.Round(idleReaders * float64(n))), true
 	}
-	if demand.Busy.Told == 0 || slots <= 0 || n == 0 {
+	if demand.PrefillLoad.Told == 0 || slots <= 0 || n == 0 {
 		wanted := Wanted(n, slots, service.KVTokensPerServer, *demand)
 		return wanted, wanted > readers
 	}
 	mean := p.reading[service.Name]
 	if mean == nil {
-		mean = &average{at: now, value: demand.Busy.Servers}
+		mean = &average{at: now, value: demand.PrefillLoad.Servers}
 		p.reading[service.Name] = mean
 	}
-	busy, used := mean.add(now, demand.Busy.Servers), demand.used(slots, service.KVTokensPerServer)
+	busy, used := mean.add(now, demand.PrefillLoad.Servers), demand.used(slots, service.KVTokensPerServer)
 	short := pressure{read: busy / readFull / float64(max(readers, 1)), run: used / runFull / float64(max(runners, 1))}
 	if short.most() < pressedAt {
 		return -1, false
