--- a/internal/decide/stages/split.go
+++ b/internal/decide/stages/split.go
@@ -34,18 +34,18 @@
 	DecodeStreams          float64 // answers under way
 	KVTokens               float64 // tokens that they hold in memory
 	Reports                int     // of proxies that it sums up; 0: nothing is known
-	PrefillLoad            Busy
+	PrefillLoad            PrefillLoad
 }
 
-// Busy is what servers that read prompts tell of themselves.
-type Busy struct {
+// PrefillLoad is what servers that read prompts tell of themselves.
+type PrefillLoad struct {
 	Told    int     // servers that have told lately; 0: nothing is known
 	Servers float64 // how many servers' time is taken
 }
 
 // Add takes the word of one server: how many prompts it reads and how many wait there. One by one they keep it busy for as much of its
 // time as leaves that many of them there on the average.
-func (b *Busy) Add(running, waiting int) {
+func (b *PrefillLoad) Add(running, waiting int) {
 	present := float64(running + waiting)
 	b.Told++
 	b.Servers += present/(present+halfBusy) + backlogPart*float64(max(waiting-1, 0))
--- a/internal/decide/stages/stages_test.go
+++ b/internal/decide/stages/stages_test.go
@@ -124,7 +124,7 @@
 
 // told returns a demand of which readers tell that so many servers' time is taken.
 func told(busy, streams float64) stages.Demand {
-	return stages.Demand{PrefillTokensPerSecond: 1, DecodeStreams: streams, Reports: 1, PrefillLoad: stages.Busy{Told: 1, Servers: busy}}
+	return stages.Demand{PrefillTokensPerSecond: 1, DecodeStreams: streams, Reports: 1, PrefillLoad: stages.PrefillLoad{Told: 1, Servers: busy}}
 }
 
 var _ = Describe("the split where readers tell how busy they are", func() {
@@ -178,7 +178,7 @@
 
 var _ = Describe("how busy readers are", func() {
 	It("grows with the prompts there, by less and less for each server, and with lines", func() {
-		var idle, one, two, line stages.Busy
+		var idle, one, two, line stages.PrefillLoad
 		idle.Add(0, 0)
 		one.Add(1, 0)
 		two.Add(1, 1)
