--- a/internal/control/stagecontroller_test.go
+++ b/internal/control/stagecontroller_test.go
@@ -69,7 +69,7 @@
 			{InstanceKey: message.InstanceKey("gone"), Running: 9}})
 		k.control.node.SetDemands([]membership.Demand{{Service: "s", PrefillTokensPerSecond: 100, DecodeStreams: 4, KVTokens: 70}})
 		demand := k.totalDemands()["s"]
-		Expect(demand.PrefillLoad.Told).To(Equal(1), "readers alone, and those that tell")
+		Expect(demand.PrefillLoad.Reporting).To(Equal(1), "readers alone, and those that tell")
 		Expect(demand.PrefillLoad.Servers).To(BeNumerically(">", 0.8))
 		Expect(demand.Reports).To(Equal(1))
 		Expect(demand.DecodeStreams).To(Equal(4.0))
--- a/internal/decide/stages/split.go
+++ b/internal/decide/stages/split.go
@@ -39,15 +39,15 @@
 
 // PrefillLoad is what servers that read prompts tell of themselves.
 type PrefillLoad struct {
-	Told    int     // servers that have told lately; 0: nothing is known
-	Servers float64 // how many servers' time is taken
+	Reporting int     // servers that have told lately; 0: nothing is known
+	Servers   float64 // how many servers' time is taken
 }
 
 // Add takes the word of one server: how many prompts it reads and how many wait there. One by one they keep it busy for as much of its
 // time as leaves that many of them there on the average.
 func (b *PrefillLoad) Add(running, waiting int) {
 	present := float64(running + waiting)
-	b.Told++
+	b.Reporting++
 	b.Servers += present/(present+halfBusy) + backlogPart*float64(max(waiting-1, 0))
 }
 
@@ -108,7 +108,7 @@
 	if p.idle(now, service.Name, demand) {
 		return int(math.Round(idleReaders * float64(n))), true
 	}
-	if demand.PrefillLoad.Told == 0 || slots <= 0 || n == 0 {
+	if demand.PrefillLoad.Reporting == 0 || slots <= 0 || n == 0 {
 		wanted := Wanted(n, slots, service.KVTokensPerServer, *demand)
 		return wanted, wanted > readers
 	}
--- a/internal/decide/stages/stages_test.go
+++ b/internal/decide/stages/stages_test.go
@@ -124,7 +124,7 @@
 
 // told returns a demand of which readers tell that so many servers' time is taken.
 func told(busy, streams float64) stages.Demand {
-	return stages.Demand{PrefillTokensPerSecond: 1, DecodeStreams: streams, Reports: 1, PrefillLoad: stages.PrefillLoad{Told: 1, Servers: busy}}
+	return stages.Demand{PrefillTokensPerSecond: 1, DecodeStreams: streams, Reports: 1, PrefillLoad: stages.PrefillLoad{Reporting: 1, Servers: busy}}
 }
 
 var _ = Describe("the split where readers tell how busy they are", func() {
