--- a/internal/control/stagecontroller_test.go
+++ b/internal/control/stagecontroller_test.go
@@ -70,7 +70,7 @@
 		k.control.node.SetDemands([]membership.Demand{{Service: "s", PrefillTokensPerSecond: 100, DecodeStreams: 4, KVTokens: 70}})
 		demand := k.totalDemands()["s"]
 		Expect(demand.PrefillLoad.Reporting).To(Equal(1), "readers alone, and those that tell")
-		Expect(demand.PrefillLoad.Servers).To(BeNumerically(">", 0.8))
+		Expect(demand.PrefillLoad.BusyServers).To(BeNumerically(">", 0.8))
 		Expect(demand.Reports).To(Equal(1))
 		Expect(demand.DecodeStreams).To(Equal(4.0))
 		Expect(k.serviceLoads()).To(Equal(map[string]*serviceLoad{"s": {prefill: stageLoad{servers: 2, running: 1, waiting: 3},
--- a/internal/control/stageload.go
+++ b/internal/control/stageload.go
@@ -44,7 +44,7 @@
 	for service, load := range k.serviceLoads() {
 		demand := demands[service]
 		k.control.log.WithField("service", service).WithField("read_per_s", int(demand.PrefillTokensPerSecond)).WithField("streams", int(demand.DecodeStreams)).
-			WithField("held", int(demand.KVTokens)).WithField("busy", int(demand.PrefillLoad.Servers)).WithField("changing", len(k.planner.Pending(k.now()))).
+			WithField("held", int(demand.KVTokens)).WithField("busy", int(demand.PrefillLoad.BusyServers)).WithField("changing", len(k.planner.Pending(k.now()))).
 			WithField("prefill", load.prefill.servers).WithField("prefill_running", load.prefill.running).WithField("prefill_waiting", load.prefill.waiting).
 			WithField("decode", load.decode.servers).WithField("decode_running", load.decode.running).WithField("decode_waiting", load.decode.waiting).
 			Info("model servers")
--- a/internal/decide/stages/split.go
+++ b/internal/decide/stages/split.go
@@ -39,8 +39,8 @@
 
 // PrefillLoad is what servers that read prompts tell of themselves.
 type PrefillLoad struct {
-	Reporting int     // servers that have told lately; 0: nothing is known
-	Servers   float64 // how many servers' time is taken
+	Reporting   int     // servers that have told lately; 0: nothing is known
+	BusyServers float64 // how many servers' time is taken
 }
 
 // Add takes the word of one server: how many prompts it reads and how many wait there. One by one they keep it busy for as much of its
@@ -48,7 +48,7 @@
 func (b *PrefillLoad) Add(running, waiting int) {
 	present := float64(running + waiting)
 	b.Reporting++
-	b.Servers += present/(present+halfBusy) + backlogPart*float64(max(waiting-1, 0))
+	b.BusyServers += present/(present+halfBusy) + backlogPart*float64(max(waiting-1, 0))
 }
 
 func (d *Demand) none() bool { return d.PrefillTokensPerSecond < 1 && d.DecodeStreams == 0 }
@@ -114,10 +114,10 @@
 	}
 	mean := p.reading[service.Name]
 	if mean == nil {
-		mean = &average{at: now, value: demand.PrefillLoad.Servers}
+		mean = &average{at: now, value: demand.PrefillLoad.BusyServers}
 		p.reading[service.Name] = mean
 	}
-	busy, used := mean.add(now, demand.PrefillLoad.Servers), demand.used(slots, service.KVTokensPerServer)
+	busy, used := mean.add(now, demand.PrefillLoad.BusyServers), demand.used(slots, service.KVTokensPerServer)
 	short := pressure{read: busy / readFull / float64(max(readers, 1)), run: used / runFull / float64(max(runners, 1))}
 	if short.most() < pressedAt {
 		return -1, false
--- a/internal/decide/stages/stages_test.go
+++ b/internal/decide/stages/stages_test.go
@@ -124,7 +124,7 @@
 
 // told returns a demand of which readers tell that so many servers' time is taken.
 func told(busy, streams float64) stages.Demand {
-	return stages.Demand{PrefillTokensPerSecond: 1, DecodeStreams: streams, Reports: 1, PrefillLoad: stages.PrefillLoad{Reporting: 1, Servers: busy}}
+	return stages.Demand{PrefillTokensPerSecond: 1, DecodeStreams: streams, Reports: 1, PrefillLoad: stages.PrefillLoad{Reporting: 1, BusyServers: busy}}
 }
 
 var _ = Describe("the split where readers tell how busy they are", func() {
@@ -183,11 +183,11 @@
 		one.Add(1, 0)
 		two.Add(1, 1)
 		line.Add(1, 9)
-		Expect(idle.Servers).To(BeZero())
-		Expect(one.Servers).To(BeNumerically(">", 0.5))
-		Expect(two.Servers).To(BeNumerically(">", one.Servers))
-		Expect(two.Servers).To(BeNumerically("<", 1))
-		Expect(line.Servers).To(BeNumerically(">", 1), "one server is not enough for them")
+		Expect(idle.BusyServers).To(BeZero())
+		Expect(one.BusyServers).To(BeNumerically(">", 0.5))
+		Expect(two.BusyServers).To(BeNumerically(">", one.BusyServers))
+		Expect(two.BusyServers).To(BeNumerically("<", 1))
+		Expect(line.BusyServers).To(BeNumerically(">", 1), "one server is not enough for them")
 	})
 })
 
