--- a/internal/decide/stages/split.go
+++ b/internal/decide/stages/split.go
@@ -53,9 +53,9 @@
 
 func (d *Demand) none() bool { return d.PrefillTokensPerSecond < 1 && d.DecodeStreams == 0 }
 
-// Wanted returns the number of n servers that are to read prompts, -1 if nothing is asked: all that answers leave. Answers
+// DesiredPrefillServers returns the number of n servers that are to read prompts, -1 if nothing is asked: all that answers leave. Answers
 // need slots and memory, which are known; how fast servers read is not, and more readers only read sooner and hold more.
-func Wanted(n int, slots, memory float64, demand Demand) int {
+func DesiredPrefillServers(n int, slots, memory float64, demand Demand) int {
 	if demand.PrefillTokensPerSecond < 1 || slots <= 0 {
 		return -1
 	}
@@ -109,7 +109,7 @@
 		return int(math.Round(idleReaders * float64(n))), true
 	}
 	if demand.PrefillLoad.Reporting == 0 || slots <= 0 || n == 0 {
-		wanted := Wanted(n, slots, service.KVTokensPerServer, *demand)
+		wanted := DesiredPrefillServers(n, slots, service.KVTokensPerServer, *demand)
 		return wanted, wanted > readers
 	}
 	mean := p.reading[service.Name]
--- a/internal/decide/stages/stages_test.go
+++ b/internal/decide/stages/stages_test.go
@@ -64,7 +64,7 @@
 		service := servers(7, 11)
 		p := stages.New()
 		Expect(play(p, service, heavy, 0, 30)).To(BeNumerically(">", 0))
-		Expect(readers(service)).To(BeNumerically("~", stages.Wanted(18, 100, 0, heavy), 1))
+		Expect(readers(service)).To(BeNumerically("~", stages.DesiredPrefillServers(18, 100, 0, heavy), 1))
 		Expect(play(p, service, heavy, 30, 120)).To(BeZero())
 	})
 
@@ -110,7 +110,7 @@
 
 	It("counts memory where answers fill it before the slots", func() {
 		demand := stages.Demand{PrefillTokensPerSecond: 600e3, DecodeStreams: 100, KVTokens: 1.2e6}
-		Expect(stages.Wanted(18, 100, 300e3, demand)).To(BeNumerically("<", stages.Wanted(18, 100, 0, demand)))
+		Expect(stages.DesiredPrefillServers(18, 100, 300e3, demand)).To(BeNumerically("<", stages.DesiredPrefillServers(18, 100, 0, demand)))
 	})
 
 	It("passes over servers that are leaving", func() {
