--- a/internal/decide/stages/split.go
+++ b/internal/decide/stages/split.go
@@ -76,8 +76,8 @@
 
 func (p pressure) most() float64 { return max(p.read, p.run) }
 
-// Balanced returns the number of n servers that are to read prompts so that both stages are as short of room as each other.
-func Balanced(n int, busy, used float64) int {
+// BalancedPrefillServers returns the number of n servers that are to read prompts so that both stages are as short of room as each other.
+func BalancedPrefillServers(n int, busy, used float64) int {
 	read, run := busy/readFull, used/runFull
 	return bounded(n, int(math.Round(float64(n)*read/(read+run))))
 }
@@ -122,7 +122,7 @@
 	if short.most() < pressedAt {
 		return -1, false
 	}
-	return Balanced(n, busy, used), short.most() > hurriedAt
+	return BalancedPrefillServers(n, busy, used), short.most() > hurriedAt
 }
 
 // idle tells whether proxies have told for a while that nothing is asked of a service, and nothing ever was. Danger: where no proxy is
--- a/internal/decide/stages/stages_test.go
+++ b/internal/decide/stages/stages_test.go
@@ -133,7 +133,7 @@
 			service := servers(9, 9)
 			p := stages.New()
 			play(p, service, told(c.busy, c.streams), 0, 60)
-			Expect(readers(service)).To(BeNumerically("~", stages.Balanced(18, c.busy, c.streams/100), 1))
+			Expect(readers(service)).To(BeNumerically("~", stages.BalancedPrefillServers(18, c.busy, c.streams/100), 1))
 			Expect(play(p, service, told(c.busy, c.streams), 60, 120)).To(BeZero(), "then it rests")
 		}
 	})
@@ -170,7 +170,7 @@
 		p := stages.New()
 		p.PlanChanges(0, servers(30, 60), told(30, 1000))
 		orders := p.PlanChanges(1, servers(30, 60), told(30, 1000))
-		missing := stages.Balanced(90, 30, 10) - 30
+		missing := stages.BalancedPrefillServers(90, 30, 10) - 30
 		Expect(len(orders)).To(BeNumerically(">", missing/2))
 		Expect(len(orders)).To(BeNumerically("<", missing))
 	})
