--- a/internal/control/voterset.go
+++ b/internal/control/voterset.go
@@ -6,7 +6,7 @@
 )
 
 // wantedVoters is the number of voters of which so many may be lost at once as the settings say.
-func (c *Control) targetVoters() int { return c.settings.FaultTolerance.Voters() }
+func (c *Control) targetVoters() int { return c.settings.FaultTolerance.MinVoters() }
 
 // inTouch tells whether a voter has answered this process lately.
 func (c *Control) isReachable(voter register.Voter) bool {
--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -45,8 +45,8 @@
 	Regions  int `yaml:"Regions"`
 }
 
-// Voters is the least number of voters of which a majority is left after such a loss, where each is in a zone or region of its own.
-func (f *FaultTolerance) Voters() int { return 2*max(f.Machines, f.Zones, f.Regions) + 1 }
+// MinVoters is the least number of voters of which a majority is left after such a loss, where each is in a zone or region of its own.
+func (f *FaultTolerance) MinVoters() int { return 2*max(f.Machines, f.Zones, f.Regions) + 1 }
 
 // Bounds holds the figures of the rules in force. Fields ending in S are seconds, in Ms milliseconds.
 type Bounds struct {
@@ -213,7 +213,7 @@
 		doubts = append(doubts, fmt.Sprintf("RecoveryS: %v s are fewer than CatchUpS, %v: members are not caught up when all are to serve again",
 			s.Bounds.RecoveryS, s.Bounds.CatchUpS))
 	}
-	if wanted := s.FaultTolerance.Voters(); wanted > 1 && len(s.Seeds) < min(wanted, mostSeeds) {
+	if wanted := s.FaultTolerance.MinVoters(); wanted > 1 && len(s.Seeds) < min(wanted, mostSeeds) {
 		doubts = append(doubts, fmt.Sprintf("Seeds: %d are too few to found a register of %d voters", len(s.Seeds), wanted))
 	}
 	return doubts
--- a/internal/nodeconfig/boot_test.go
+++ b/internal/nodeconfig/boot_test.go
@@ -93,7 +93,7 @@
 var _ = Describe("the number of voters", func() {
 	DescribeTable("bears what may be lost at once", func(machines, zones, regions, want int) {
 		tolerance := nodeconfig.FaultTolerance{Machines: machines, Zones: zones, Regions: regions}
-		Expect(tolerance.Voters()).To(Equal(want))
+		Expect(tolerance.MinVoters()).To(Equal(want))
 	},
 		Entry("nothing", 0, 0, 0, 1),
 		Entry("two machines", 2, 0, 0, 5),
