--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -53,7 +53,7 @@
 	ContactMs        float64 `yaml:"ContactMs"`
 	AckMs            float64 `yaml:"AckMs"`
 	DrainMs          float64 `yaml:"DrainMs"`
-	GraceS           float64 `yaml:"GraceS"`
+	GraceSeconds     float64 `yaml:"GraceS"`
 	ConfigApplyMs    float64 `yaml:"ConfigApplyMs"`
 	RetryBudgetRatio float64 `yaml:"RetryBudgetRatio"`
 	BudgetWindowS    float64 `yaml:"BudgetWindowS"`
@@ -143,7 +143,7 @@
 func defaults() *Settings {
 	return &Settings{
 		HeartbeatMs: 1000,
-		Bounds: Bounds{ContactMs: 3000, AckMs: 4000, DrainMs: 3000, GraceS: 8, ConfigApplyMs: 2000, RetryBudgetRatio: 0.1,
+		Bounds: Bounds{ContactMs: 3000, AckMs: 4000, DrainMs: 3000, GraceSeconds: 8, ConfigApplyMs: 2000, RetryBudgetRatio: 0.1,
 			BudgetWindowS: 10, BudgetSlack: 0, ReuseAfterS: 2, AgainS: 8, LeaseMs: 3000, Fenced: true,
 			CatchUpS: 4, RecoveryS: 12},
 		Cloud: Cloud{RatePerS: 1, LagMs: 1000},
@@ -177,7 +177,7 @@
 }
 
 func (b *Bounds) check(document *yaml.Node, found *faults) {
-	for field, figure := range map[string]float64{"DrainMs": b.DrainMs, "GraceS": b.GraceS, "ConfigApplyMs": b.ConfigApplyMs,
+	for field, figure := range map[string]float64{"DrainMs": b.DrainMs, "GraceS": b.GraceSeconds, "ConfigApplyMs": b.ConfigApplyMs,
 		"BudgetWindowS": b.BudgetWindowS, "LeaseMs": b.LeaseMs} {
 		if !(figure > 0) || math.IsInf(figure, 1) {
 			found.add(document, "Bounds."+field, "want a figure above 0, not %v", figure)
@@ -257,7 +257,7 @@
 }
 
 // Grace is the time from SIGTERM to SIGKILL.
-func (s *Settings) Grace() time.Duration { return Seconds(s.Bounds.GraceS) }
+func (s *Settings) Grace() time.Duration { return Seconds(s.Bounds.GraceSeconds) }
 
 // Seconds turns a figure in seconds into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
