--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -50,20 +50,20 @@
 
 // Bounds holds the figures of the rules in force. Fields ending in S are seconds, in Ms milliseconds.
 type Bounds struct {
-	ContactMs        float64 `yaml:"ContactMs"`
-	AckMs            float64 `yaml:"AckMs"`
-	DrainMs          float64 `yaml:"DrainMs"`
-	GraceSeconds     float64 `yaml:"GraceS"`
-	ConfigApplyMs    float64 `yaml:"ConfigApplyMs"`
-	RetryBudgetRatio float64 `yaml:"RetryBudgetRatio"`
-	BudgetWindowS    float64 `yaml:"BudgetWindowS"`
-	BudgetSlack      float64 `yaml:"BudgetSlack"`
-	ReuseAfterS      float64 `yaml:"ReuseAfterS"`
-	CatchUpS         float64 `yaml:"CatchUpS"`
-	RecoveryS        float64 `yaml:"RecoveryS"`
-	AgainS           float64 `yaml:"again_s"`
-	LeaseMs          float64 `yaml:"LeaseMs"`
-	Fenced           bool    `yaml:"Fenced"`
+	ContactMs           float64 `yaml:"ContactMs"`
+	AckMs               float64 `yaml:"AckMs"`
+	DrainMs             float64 `yaml:"DrainMs"`
+	GraceSeconds        float64 `yaml:"GraceS"`
+	ConfigApplyMs       float64 `yaml:"ConfigApplyMs"`
+	RetryBudgetRatio    float64 `yaml:"RetryBudgetRatio"`
+	BudgetWindowSeconds float64 `yaml:"BudgetWindowS"`
+	BudgetSlack         float64 `yaml:"BudgetSlack"`
+	ReuseAfterS         float64 `yaml:"ReuseAfterS"`
+	CatchUpS            float64 `yaml:"CatchUpS"`
+	RecoveryS           float64 `yaml:"RecoveryS"`
+	AgainS              float64 `yaml:"again_s"`
+	LeaseMs             float64 `yaml:"LeaseMs"`
+	Fenced              bool    `yaml:"Fenced"`
 }
 
 // Cloud describes the platform's list of servers.
@@ -144,7 +144,7 @@
 	return &Settings{
 		HeartbeatMs: 1000,
 		Bounds: Bounds{ContactMs: 3000, AckMs: 4000, DrainMs: 3000, GraceSeconds: 8, ConfigApplyMs: 2000, RetryBudgetRatio: 0.1,
-			BudgetWindowS: 10, BudgetSlack: 0, ReuseAfterS: 2, AgainS: 8, LeaseMs: 3000, Fenced: true,
+			BudgetWindowSeconds: 10, BudgetSlack: 0, ReuseAfterS: 2, AgainS: 8, LeaseMs: 3000, Fenced: true,
 			CatchUpS: 4, RecoveryS: 12},
 		Cloud: Cloud{RatePerS: 1, LagMs: 1000},
 	}
@@ -178,7 +178,7 @@
 
 func (b *Bounds) check(document *yaml.Node, found *faults) {
 	for field, figure := range map[string]float64{"DrainMs": b.DrainMs, "GraceS": b.GraceSeconds, "ConfigApplyMs": b.ConfigApplyMs,
-		"BudgetWindowS": b.BudgetWindowS, "LeaseMs": b.LeaseMs} {
+		"BudgetWindowS": b.BudgetWindowSeconds, "LeaseMs": b.LeaseMs} {
 		if !(figure > 0) || math.IsInf(figure, 1) {
 			found.add(document, "Bounds."+field, "want a figure above 0, not %v", figure)
 		}
