--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -58,7 +58,7 @@
 	RetryBudgetRatio    float64 `yaml:"RetryBudgetRatio"`
 	BudgetWindowSeconds float64 `yaml:"BudgetWindowS"`
 	BudgetSlack         float64 `yaml:"BudgetSlack"`
-	ReuseAfterS         float64 `yaml:"ReuseAfterS"`
+	ReuseAfterSeconds   float64 `yaml:"ReuseAfterS"`
 	CatchUpS            float64 `yaml:"CatchUpS"`
 	RecoveryS           float64 `yaml:"RecoveryS"`
 	AgainS              float64 `yaml:"again_s"`
@@ -144,7 +144,7 @@
 	return &Settings{
 		HeartbeatMs: 1000,
 		Bounds: Bounds{ContactMs: 3000, AckMs: 4000, DrainMs: 3000, GraceSeconds: 8, ConfigApplyMs: 2000, RetryBudgetRatio: 0.1,
-			BudgetWindowSeconds: 10, BudgetSlack: 0, ReuseAfterS: 2, AgainS: 8, LeaseMs: 3000, Fenced: true,
+			BudgetWindowSeconds: 10, BudgetSlack: 0, ReuseAfterSeconds: 2, AgainS: 8, LeaseMs: 3000, Fenced: true,
 			CatchUpS: 4, RecoveryS: 12},
 		Cloud: Cloud{RatePerS: 1, LagMs: 1000},
 	}
