--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -60,7 +60,7 @@
 	BudgetSlack         float64 `yaml:"BudgetSlack"`
 	ReuseAfterSeconds   float64 `yaml:"ReuseAfterS"`
 	CatchUpSeconds      float64 `yaml:"CatchUpS"`
-	RecoveryS           float64 `yaml:"RecoveryS"`
+	RecoverySeconds     float64 `yaml:"RecoveryS"`
 	AgainS              float64 `yaml:"again_s"`
 	LeaseMs             float64 `yaml:"LeaseMs"`
 	Fenced              bool    `yaml:"Fenced"`
@@ -145,7 +145,7 @@
 		HeartbeatMs: 1000,
 		Bounds: Bounds{ContactMs: 3000, AckMs: 4000, DrainMs: 3000, GraceSeconds: 8, ConfigApplyMs: 2000, RetryBudgetRatio: 0.1,
 			BudgetWindowSeconds: 10, BudgetSlack: 0, ReuseAfterSeconds: 2, AgainS: 8, LeaseMs: 3000, Fenced: true,
-			CatchUpSeconds: 4, RecoveryS: 12},
+			CatchUpSeconds: 4, RecoverySeconds: 12},
 		Cloud: Cloud{RatePerS: 1, LagMs: 1000},
 	}
 }
@@ -209,9 +209,9 @@
 		doubts = append(doubts, fmt.Sprintf("CatchUpS: %v s are too short to copy %d MB at LinkMbps %v, which takes %.1f s: a member that lost "+
 			"its disk counts late where configurations are that large", s.Bounds.CatchUpSeconds, largestConfig>>20, s.Limits.LinkMbps, copyS))
 	}
-	if s.Bounds.RecoveryS < s.Bounds.CatchUpSeconds {
+	if s.Bounds.RecoverySeconds < s.Bounds.CatchUpSeconds {
 		doubts = append(doubts, fmt.Sprintf("RecoveryS: %v s are fewer than CatchUpS, %v: members are not caught up when all are to serve again",
-			s.Bounds.RecoveryS, s.Bounds.CatchUpSeconds))
+			s.Bounds.RecoverySeconds, s.Bounds.CatchUpSeconds))
 	}
 	if wanted := s.FaultTolerance.MinVoters(); wanted > 1 && len(s.Seeds) < min(wanted, mostSeeds) {
 		doubts = append(doubts, fmt.Sprintf("Seeds: %d are too few to found a register of %d voters", len(s.Seeds), wanted))
--- a/internal/nodeconfig/boot_test.go
+++ b/internal/nodeconfig/boot_test.go
@@ -76,7 +76,7 @@
 	It("are named once each", func() {
 		s := settings("Limits: {LinkMbps: 8}\n")
 		Expect(s.Doubts()).To(ConsistOf(HavePrefix("CatchUpS: 4 s are too short to copy 4 MB at LinkMbps 8")))
-		s.Bounds.RecoveryS = 2
+		s.Bounds.RecoverySeconds = 2
 		s.Seeds = s.Seeds[:1]
 		Expect(s.Doubts()).To(ConsistOf(HavePrefix("CatchUpS:"), HavePrefix("RecoveryS:"), HavePrefix("Seeds: 1 are too few")))
 	})
