--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -61,7 +61,7 @@
 	ReuseAfterSeconds   float64 `yaml:"ReuseAfterS"`
 	CatchUpSeconds      float64 `yaml:"CatchUpS"`
 	RecoverySeconds     float64 `yaml:"RecoveryS"`
-	AgainS              float64 `yaml:"again_s"`
+	PrefixCacheSeconds  float64 `yaml:"again_s"`
 	LeaseMs             float64 `yaml:"LeaseMs"`
 	Fenced              bool    `yaml:"Fenced"`
 }
@@ -144,7 +144,7 @@
 	return &Settings{
 		HeartbeatMs: 1000,
 		Bounds: Bounds{ContactMs: 3000, AckMs: 4000, DrainMs: 3000, GraceSeconds: 8, ConfigApplyMs: 2000, RetryBudgetRatio: 0.1,
-			BudgetWindowSeconds: 10, BudgetSlack: 0, ReuseAfterSeconds: 2, AgainS: 8, LeaseMs: 3000, Fenced: true,
+			BudgetWindowSeconds: 10, BudgetSlack: 0, ReuseAfterSeconds: 2, PrefixCacheSeconds: 8, LeaseMs: 3000, Fenced: true,
 			CatchUpSeconds: 4, RecoverySeconds: 12},
 		Cloud: Cloud{RatePerS: 1, LagMs: 1000},
 	}
--- a/internal/proxy/misdirected_test.go
+++ b/internal/proxy/misdirected_test.go
@@ -74,7 +74,7 @@
 func promptFront(t *testing.T, servers ...*modelServer) *httptest.Server {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowSeconds: 10, BudgetSlack: 100, AgainS: 8}}
+	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowSeconds: 10, BudgetSlack: 100, PrefixCacheSeconds: 8}}
 	p := newProxy(settings, logrus.NewEntry(log))
 	table, err := message.PackTable(&routeconfig.Table{Version: 1, Routes: []routeconfig.Route{route(routeconfig.Streaming)}, Services: []routeconfig.Service{{Name: "s",
 		HealthPath: "/health", MaxConnections: 100, Engine: &routeconfig.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLS: 5}}},
--- a/internal/proxy/proxy_suite_test.go
+++ b/internal/proxy/proxy_suite_test.go
@@ -173,7 +173,7 @@
 
 // startProxy begins a proxy with one route and these servers. The budget allows some repeats.
 func startProxy(r routeconfig.Route, engine bool, servers ...*server) (*Proxy, *httptest.Server) {
-	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowSeconds: 10, BudgetSlack: 100, AgainS: 8}}
+	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowSeconds: 10, BudgetSlack: 100, PrefixCacheSeconds: 8}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	p := newProxy(settings, logrus.NewEntry(log))
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -128,7 +128,7 @@
 	for name, service := range s.table.services {
 		if s.pools[name] == nil {
 			s.pools[name] = s.openPool(name)
-			s.planners[name] = placement.NewPlanner(s.pools[name], s.settings.Bounds.AgainS)
+			s.planners[name] = placement.NewPlanner(s.pools[name], s.settings.Bounds.PrefixCacheSeconds)
 		}
 		s.pools[name].Engine = engineOf(service)
 	}
