--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -68,9 +68,9 @@
 
 // Cloud describes the platform's list of servers.
 type Cloud struct {
-	Address  string  `yaml:"Address"`
-	RatePerS float64 `yaml:"RatePerS"`
-	LagMs    float64 `yaml:"LagMs"`
+	Address           string  `yaml:"Address"`
+	RequestsPerSecond float64 `yaml:"RatePerS"`
+	LagMs             float64 `yaml:"LagMs"`
 }
 
 // Settings is the content of a settings file.
@@ -146,7 +146,7 @@
 		Bounds: Bounds{ContactMs: 3000, AckMs: 4000, DrainMs: 3000, GraceSeconds: 8, ConfigApplyMs: 2000, RetryBudgetRatio: 0.1,
 			BudgetWindowSeconds: 10, BudgetSlack: 0, ReuseAfterSeconds: 2, PrefixCacheSeconds: 8, LeaseMs: 3000, Fenced: true,
 			CatchUpSeconds: 4, RecoverySeconds: 12},
-		Cloud: Cloud{RatePerS: 1, LagMs: 1000},
+		Cloud: Cloud{RequestsPerSecond: 1, LagMs: 1000},
 	}
 }
 
