--- a/cmd/hazelfleet/main.go
+++ b/cmd/hazelfleet/main.go
@@ -164,7 +164,7 @@
 
 // runAgent runs an agent, and control in the same process on machines whose disk counts: no machine runs a third process.
 func runAgent(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
-	if !settings.HoldsConfiguration() {
+	if !settings.StoresConfig() {
 		return agent.Run(ctx, settings, reload, log)
 	}
 	group, ctx := errgroup.WithContext(ctx)
@@ -182,7 +182,7 @@
 
 // runControl runs control, or where this machine's disk doesn't count what names a control process to the operator.
 func runControl(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
-	if settings.HoldsConfiguration() {
+	if settings.StoresConfig() {
 		return control.Run(ctx, settings, reload, log)
 	}
 	log.Warn("this machine's disk doesn't count: the operator is sent on to control processes of other machines")
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -66,7 +66,7 @@
 	if err := servers.listenAndServe(address, router); err != nil {
 		return err
 	}
-	if !settings.HoldsConfiguration() && settings.Listen.Control != "" {
+	if !settings.StoresConfig() && settings.Listen.Control != "" {
 		if err := serveRedirect(settings, a.node, router, servers); err != nil {
 			return err
 		}
--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -95,13 +95,13 @@
 	listenLine int // of Listen in the file, 0: not there
 }
 
-// HoldsConfiguration tells whether this machine holds a part of the configuration: it has a disk, and the disk counts.
-func (s *Settings) HoldsConfiguration() bool { return s.CountsForQuorum && s.DataDir != "" }
+// StoresConfig tells whether this machine holds a part of the configuration: it has a disk, and the disk counts.
+func (s *Settings) StoresConfig() bool { return s.CountsForQuorum && s.DataDir != "" }
 
 // CheckControl returns an error where this machine is to hold a part of the configuration and the operator can't reach it. Processes
 // that don't serve the operator are not asked.
 func (s *Settings) CheckControl() error {
-	if !s.HoldsConfiguration() || s.Listen.Control != "" {
+	if !s.StoresConfig() || s.Listen.Control != "" {
 		return nil
 	}
 	return fmt.Errorf("line %d: Listen.Control: a machine whose disk counts needs an address for the operator", s.listenLine)
--- a/internal/nodeconfig/boot_test.go
+++ b/internal/nodeconfig/boot_test.go
@@ -105,7 +105,7 @@
 		counting := strings.Replace(sound, "DataDir: null", "DataDir: /data\nCountsForQuorum: true", 1)
 		settings, err := nodeconfig.Parse([]byte(counting))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(settings.HoldsConfiguration()).To(BeTrue())
+		Expect(settings.StoresConfig()).To(BeTrue())
 		Expect(settings.CheckControl()).To(MatchError(ContainSubstring("line 4: Listen.Control")))
 		settings, err = nodeconfig.Parse([]byte(strings.Replace(counting, "Listen:\n", "Listen:\n  Control: 10.1.0.13:8162\n", 1)))
 		Expect(err).NotTo(HaveOccurred())
@@ -114,7 +114,7 @@
 			strings.Replace(sound, "DataDir: null", "CountsForQuorum: true", 1)} {
 			settings, err = nodeconfig.Parse([]byte(without))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(settings.HoldsConfiguration()).To(BeFalse())
+			Expect(settings.StoresConfig()).To(BeFalse())
 			Expect(settings.CheckControl()).To(Succeed())
 		}
 	})
