--- a/cmd/hazelfleet/check.go
+++ b/cmd/hazelfleet/check.go
@@ -28,7 +28,7 @@
 	if len(report.Faults) > 0 {
 		return statusUsage
 	}
-	if err := report.Settings.CheckControl(); err != nil {
+	if err := report.Settings.CheckOperatorAddress(); err != nil {
 		fmt.Fprintf(c.errs, "hazelfleet: settings: %s: %v\n", path, err)
 		return statusUsage
 	}
--- a/cmd/hazelfleet/main.go
+++ b/cmd/hazelfleet/main.go
@@ -96,7 +96,7 @@
 		return statusUsage
 	}
 	if role == roleAgent {
-		if err := settings.CheckControl(); err != nil {
+		if err := settings.CheckOperatorAddress(); err != nil {
 			fmt.Fprintf(os.Stderr, "hazelfleet: settings: %s: %v\n", nodeconfig.Path(), err)
 			return statusUsage
 		}
--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -98,9 +98,9 @@
 // StoresConfig tells whether this machine holds a part of the configuration: it has a disk, and the disk counts.
 func (s *Settings) StoresConfig() bool { return s.CountsForQuorum && s.DataDir != "" }
 
-// CheckControl returns an error where this machine is to hold a part of the configuration and the operator can't reach it. Processes
+// CheckOperatorAddress returns an error where this machine is to hold a part of the configuration and the operator can't reach it. Processes
 // that don't serve the operator are not asked.
-func (s *Settings) CheckControl() error {
+func (s *Settings) CheckOperatorAddress() error {
 	if !s.StoresConfig() || s.Listen.Control != "" {
 		return nil
 	}
--- a/internal/nodeconfig/boot_test.go
+++ b/internal/nodeconfig/boot_test.go
@@ -106,16 +106,16 @@
 		settings, err := nodeconfig.Parse([]byte(counting))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.StoresConfig()).To(BeTrue())
-		Expect(settings.CheckControl()).To(MatchError(ContainSubstring("line 4: Listen.Control")))
+		Expect(settings.CheckOperatorAddress()).To(MatchError(ContainSubstring("line 4: Listen.Control")))
 		settings, err = nodeconfig.Parse([]byte(strings.Replace(counting, "Listen:\n", "Listen:\n  Control: 10.1.0.13:8162\n", 1)))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(settings.CheckControl()).To(Succeed())
+		Expect(settings.CheckOperatorAddress()).To(Succeed())
 		for _, without := range []string{sound, strings.Replace(sound, "DataDir: null", "DataDir: /data", 1),
 			strings.Replace(sound, "DataDir: null", "CountsForQuorum: true", 1)} {
 			settings, err = nodeconfig.Parse([]byte(without))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(settings.StoresConfig()).To(BeFalse())
-			Expect(settings.CheckControl()).To(Succeed())
+			Expect(settings.CheckOperatorAddress()).To(Succeed())
 		}
 	})
 })
