--- a/cmd/hazelfleet/check.go
+++ b/cmd/hazelfleet/check.go
@@ -32,7 +32,7 @@
 		fmt.Fprintf(c.errs, "hazelfleet: settings: %s: %v\n", path, err)
 		return statusUsage
 	}
-	for _, doubt := range report.Settings.Doubts() {
+	for _, doubt := range report.Settings.Warnings() {
 		fmt.Fprintf(c.out, "warning: settings: %s: %s\n", path, doubt)
 	}
 	fmt.Fprintln(c.out, "the settings are in order")
--- a/cmd/hazelfleet/main.go
+++ b/cmd/hazelfleet/main.go
@@ -142,7 +142,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	log := logrus.WithField("node", settings.NodeID).WithField("role", role)
-	for _, doubt := range settings.Doubts() {
+	for _, doubt := range settings.Warnings() {
 		log.Warn("settings: " + doubt)
 	}
 	reload := watch(ctx, hangups, log)
--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -200,8 +200,8 @@
 	mostSeeds = 3
 )
 
-// Doubts names bounds that can't be kept together on this machine, a line each. They don't keep a process from running.
-func (s *Settings) Doubts() (doubts []string) {
+// Warnings names bounds that can't be kept together on this machine, a line each. They don't keep a process from running.
+func (s *Settings) Warnings() (doubts []string) {
 	if !s.CountsForQuorum {
 		return nil
 	}
--- a/internal/nodeconfig/boot_test.go
+++ b/internal/nodeconfig/boot_test.go
@@ -75,18 +75,18 @@
 
 	It("are named once each", func() {
 		s := settings("Limits: {LinkMbps: 8}\n")
-		Expect(s.Doubts()).To(ConsistOf(HavePrefix("CatchUpS: 4 s are too short to copy 4 MB at LinkMbps 8")))
+		Expect(s.Warnings()).To(ConsistOf(HavePrefix("CatchUpS: 4 s are too short to copy 4 MB at LinkMbps 8")))
 		s.Bounds.RecoverySeconds = 2
 		s.Seeds = s.Seeds[:1]
-		Expect(s.Doubts()).To(ConsistOf(HavePrefix("CatchUpS:"), HavePrefix("RecoveryS:"), HavePrefix("Seeds: 1 are too few")))
+		Expect(s.Warnings()).To(ConsistOf(HavePrefix("CatchUpS:"), HavePrefix("RecoveryS:"), HavePrefix("Seeds: 1 are too few")))
 	})
 
 	It("are not found where there are none, nor on machines that hold no copy", func() {
-		Expect(settings("Limits: {LinkMbps: 120}\n").Doubts()).To(BeEmpty())
-		Expect(settings("").Doubts()).To(BeEmpty())
+		Expect(settings("Limits: {LinkMbps: 120}\n").Warnings()).To(BeEmpty())
+		Expect(settings("").Warnings()).To(BeEmpty())
 		s := settings("Limits: {LinkMbps: 1}\n")
 		s.CountsForQuorum = false
-		Expect(s.Doubts()).To(BeEmpty())
+		Expect(s.Warnings()).To(BeEmpty())
 	})
 })
 
