--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -53,7 +53,7 @@
 // Run runs an agent until the context ends and its proxy has disconnected, for lingerFraction of the grace period at most. Settings from
 // reload replace the seeds. It returns early with the error of a server that fails.
 func Run(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
-	address := settings.Internal(settings.IP, nodeconfig.AgentPort)
+	address := settings.InternalAddress(settings.IP, nodeconfig.AgentPort)
 	a := &Agent{settings: settings, log: log, platform: gossip.NewPlatformClient(settings.Cloud.Address)}
 	a.node = gossip.New(settings, membership.Record{Kind: membership.Agent, Address: address}, transport.NewClient(), log)
 	feed, err := net.Listen("tcp4", settings.FeedAddress())
--- a/internal/agent/redirector.go
+++ b/internal/agent/redirector.go
@@ -20,7 +20,7 @@
 	if err := servers.listenAndServe(settings.Listen.Control, configredirect.New(node.Members).Handler()); err != nil {
 		return err
 	}
-	return servers.listenAndServe(settings.Internal(settings.IP, nodeconfig.ControlPort), router)
+	return servers.listenAndServe(settings.InternalAddress(settings.IP, nodeconfig.ControlPort), router)
 }
 
 // RunRedirector runs the gossip node and the redirects of a machine that holds no replica of the configuration and has no proxy, until the
@@ -29,7 +29,7 @@
 	if settings.Listen.Control == "" {
 		return Error.New("Listen.Control: an address for the operator is needed")
 	}
-	node := gossip.New(settings, membership.Record{Kind: membership.Gateway, Address: settings.Internal(settings.IP, nodeconfig.ControlPort)},
+	node := gossip.New(settings, membership.Record{Kind: membership.Gateway, Address: settings.InternalAddress(settings.IP, nodeconfig.ControlPort)},
 		transport.NewClient(), log)
 	router := mux.NewRouter()
 	node.RegisterHandlers(router)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -89,7 +89,7 @@
 }
 
 func newControl(settings *nodeconfig.Settings, opened *replica, client *transport.Client, log *logrus.Entry) *Control {
-	own := register.Voter{ID: opened.state().ID, Address: settings.Internal(settings.IP, nodeconfig.ControlPort)}
+	own := register.Voter{ID: opened.state().ID, Address: settings.InternalAddress(settings.IP, nodeconfig.ControlPort)}
 	c := &Control{settings: settings, log: log, replica: opened, platform: gossip.NewPlatformClient(settings.Cloud.Address),
 		chosen: newChosenTracker()}
 	c.node = gossip.New(settings, membership.Record{Kind: membership.Control, Address: own.Address, VoterID: own.ID,
--- a/internal/control/identity.go
+++ b/internal/control/identity.go
@@ -11,7 +11,7 @@
 
 // newState returns the state of a disk without one. empty tells whether nothing was ever written to it.
 func newState(settings *nodeconfig.Settings, isUnusedDisk bool) register.State {
-	address := settings.Internal(settings.IP, nodeconfig.ControlPort)
+	address := settings.InternalAddress(settings.IP, nodeconfig.ControlPort)
 	founders := settings.SeedAddresses()
 	if isUnusedDisk && settings.Bootstrap && slices.Contains(founders, address) {
 		return register.State{ID: founderID(address), Value: foundingValue(founders)}
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -73,7 +73,7 @@
 	for i := range size {
 		settings := &nodeconfig.Settings{NodeID: fmt.Sprint("n", i), IP: fmt.Sprint("127.0.4.", 10+i), InternalPortRange: []int{base, base + 15},
 			Seeds: []string{"127.0.4.10:1"}}
-		address := settings.Internal(settings.IP, nodeconfig.ControlPort)
+		address := settings.InternalAddress(settings.IP, nodeconfig.ControlPort)
 		node := gossip.New(settings, membership.Record{Kind: membership.Agent, Address: address}, transport.NewClient(), logrus.NewEntry(log))
 		f.serve(address, node)
 		f.nodes = append(f.nodes, node)
--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -230,8 +230,8 @@
 	lastPort = FeedPort
 )
 
-// Internal returns the address of an internal service on the machine with this IP.
-func (s *Settings) Internal(ip string, service Service) string {
+// InternalAddress returns the address of an internal service on the machine with this IP.
+func (s *Settings) InternalAddress(ip string, service Service) string {
 	return netip.AddrPortFrom(netip.MustParseAddr(ip), uint16(s.InternalPortRange[0]+int(service))).String()
 }
 
@@ -242,16 +242,16 @@
 // host and each has its own feed.
 func (s *Settings) FeedAddress() string {
 	if netip.MustParseAddr(s.IP).IsLoopback() {
-		return s.Internal(s.IP, FeedPort)
+		return s.InternalAddress(s.IP, FeedPort)
 	}
-	return s.Internal(loopback, FeedPort)
+	return s.InternalAddress(loopback, FeedPort)
 }
 
 // SeedAddresses returns the internal addresses of the control processes that the seeds name.
 func (s *Settings) SeedAddresses() []string {
 	addresses := make([]string, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
-		addresses = append(addresses, s.Internal(netip.MustParseAddrPort(seed).Addr().String(), ControlPort))
+		addresses = append(addresses, s.InternalAddress(netip.MustParseAddrPort(seed).Addr().String(), ControlPort))
 	}
 	return addresses
 }
--- a/internal/nodeconfig/boot_test.go
+++ b/internal/nodeconfig/boot_test.go
@@ -41,7 +41,7 @@
 		Expect(settings.NodeID).To(Equal("edge-1"))
 		Expect(settings.DataDir).To(BeEmpty())
 		Expect(settings.SeedAddresses()).To(Equal([]string{"10.1.0.16:7720"}))
-		Expect(settings.Internal("10.9.9.9", nodeconfig.AgentPort)).To(Equal("10.9.9.9:7721"))
+		Expect(settings.InternalAddress("10.9.9.9", nodeconfig.AgentPort)).To(Equal("10.9.9.9:7721"))
 	})
 
 	DescribeTable("names line and field of a fault", func(was, is, line, field string) {
