--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -80,6 +80,6 @@
 	if err := servers.run(ctx, a.node, reload); err != nil {
 		return err
 	}
-	proxies.awaitDisconnect(time.Duration(lingerFraction * float64(settings.Grace())))
+	proxies.awaitDisconnect(time.Duration(lingerFraction * float64(settings.GracePeriod())))
 	return nil
 }
--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -256,8 +256,8 @@
 	return addresses
 }
 
-// Grace is the time from SIGTERM to SIGKILL.
-func (s *Settings) Grace() time.Duration { return Seconds(s.Bounds.GraceSeconds) }
+// GracePeriod is the time from SIGTERM to SIGKILL.
+func (s *Settings) GracePeriod() time.Duration { return Seconds(s.Bounds.GraceSeconds) }
 
 // Seconds turns a figure in seconds into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -78,7 +78,7 @@
 // leave ends in order: not ready first, then no new connections, then what was taken is served.
 func (p *Proxy) leave(server *http.Server) error {
 	p.leaving.Store(true)
-	grace := p.settings.Grace()
+	grace := p.settings.GracePeriod()
 	time.Sleep(min(leaveAfter, grace/3))
 	ctx, cancel := context.WithTimeout(context.Background(), grace-min(leaveAfter, grace/3)-leaveMargin)
 	defer cancel()
