--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -219,19 +219,19 @@
 	return doubts
 }
 
-// Service is what listens on one of the internal ports.
-type Service int
+// InternalPort is what listens on one of the internal ports.
+type InternalPort int
 
 // The internal ports in their order from the first of InternalPortRange.
 const (
-	ControlPort Service = iota
+	ControlPort InternalPort = iota
 	AgentPort
 	FeedPort
 	lastPort = FeedPort
 )
 
 // InternalAddress returns the address of an internal service on the machine with this IP.
-func (s *Settings) InternalAddress(ip string, service Service) string {
+func (s *Settings) InternalAddress(ip string, service InternalPort) string {
 	return netip.AddrPortFrom(netip.MustParseAddr(ip), uint16(s.InternalPortRange[0]+int(service))).String()
 }
 
