--- a/cmd/hazelfleet/main.go
+++ b/cmd/hazelfleet/main.go
@@ -90,14 +90,14 @@
 	// Danger: a SIGHUP that nobody catches ends the process, also while it is still reading its settings.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	settings, err := nodeconfig.Load(nodeconfig.Path())
+	settings, err := nodeconfig.Load(nodeconfig.FilePath())
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "hazelfleet:", err)
 		return statusUsage
 	}
 	if role == roleAgent {
 		if err := settings.CheckOperatorAddress(); err != nil {
-			fmt.Fprintf(os.Stderr, "hazelfleet: settings: %s: %v\n", nodeconfig.Path(), err)
+			fmt.Fprintf(os.Stderr, "hazelfleet: settings: %s: %v\n", nodeconfig.FilePath(), err)
 			return statusUsage
 		}
 	}
@@ -133,7 +133,7 @@
 func runCheck(files []string) int {
 	check := checker{os.Stdout, os.Stderr}
 	if len(files) == 0 {
-		return check.settings(nodeconfig.Path())
+		return check.settings(nodeconfig.FilePath())
 	}
 	return check.configuration(files)
 }
@@ -210,7 +210,7 @@
 			case <-hangups:
 			case <-ticker.C:
 			}
-			settings, err := nodeconfig.Load(nodeconfig.Path())
+			settings, err := nodeconfig.Load(nodeconfig.FilePath())
 			if err != nil {
 				log.WithError(err).Warn("the settings are kept")
 				continue
--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -107,8 +107,8 @@
 	return fmt.Errorf("line %d: Listen.Control: a machine whose disk counts needs an address for the operator", s.listenLine)
 }
 
-// Path returns the path of the settings file.
-func Path() string {
+// FilePath returns the path of the settings file.
+func FilePath() string {
 	if path := os.Getenv(EnvFile); path != "" {
 		return path
 	}
