--- a/cmd/hazelfleet/check.go
+++ b/cmd/hazelfleet/check.go
@@ -23,7 +23,7 @@
 		fmt.Fprintln(c.errs, "hazelfleet: settings:", err)
 		return statusUsage
 	}
-	report := nodeconfig.Examine(data)
+	report := nodeconfig.Validate(data)
 	c.tell("settings: "+path, report.Faults, report.Unknown)
 	if len(report.Faults) > 0 {
 		return statusUsage
--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -130,7 +130,7 @@
 
 // Parse reads and checks settings. Its error is the first fault, with its line.
 func Parse(data []byte) (*Settings, error) {
-	report := Examine(data)
+	report := Validate(data)
 	if len(report.Faults) > 0 {
 		first := report.Faults[0]
 		first.Column = 0
--- a/internal/nodeconfig/examine.go
+++ b/internal/nodeconfig/examine.go
@@ -21,8 +21,8 @@
 	Unknown  []diagnostic.Finding // fields that are passed over
 }
 
-// Examine reads settings and returns all that is wrong with them.
-func Examine(data []byte) Report {
+// Validate reads settings and returns all that is wrong with them.
+func Validate(data []byte) Report {
 	var document yaml.Node
 	if err := yaml.Unmarshal(data, &document); err != nil {
 		return Report{Faults: unreadable(err)}
--- a/internal/nodeconfig/settings_form_test.go
+++ b/internal/nodeconfig/settings_form_test.go
@@ -38,7 +38,7 @@
 			}
 		}
 	}
-	assert.Empty(t, nodeconfig.Examine(golden(t, "settings.yaml")).Unknown)
+	assert.Empty(t, nodeconfig.Validate(golden(t, "settings.yaml")).Unknown)
 }
 
 // exported returns the part of settings that has the type of a value.
@@ -63,7 +63,7 @@
 
 // TestSettingsErrors pins the form of errors: operators' tools read place and text.
 func TestSettingsErrors(t *testing.T) {
-	report := nodeconfig.Examine(golden(t, "faults.yaml"))
+	report := nodeconfig.Validate(golden(t, "faults.yaml"))
 	assert.Nil(t, report.Settings)
 	var lines []string
 	for _, found := range report.Faults {
