--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -49,5 +49,5 @@
 // of the platform's rate limit.
 func (a *Agent) retryPause() time.Duration {
 	facts, _ := a.node.State()
-	return min(nodeconfig.Seconds(4*float64(max(facts.Count, 1))/max(a.settings.Cloud.RequestsPerSecond, 1)), maxRetryPause) + checkInterval
+	return min(nodeconfig.FromSeconds(4*float64(max(facts.Count, 1))/max(a.settings.Cloud.RequestsPerSecond, 1)), maxRetryPause) + checkInterval
 }
--- a/internal/control/leaving.go
+++ b/internal/control/leaving.go
@@ -10,7 +10,7 @@
 // awaitSuccession waits, once this process has told that it leaves, until it votes no longer. It does not wait where too few would
 // be left without it.
 func (c *Control) awaitReplacement() {
-	deadline := time.Now().Add(nodeconfig.Seconds(leaveFraction * c.settings.Bounds.GraceSeconds))
+	deadline := time.Now().Add(nodeconfig.FromSeconds(leaveFraction * c.settings.Bounds.GraceSeconds))
 	for time.Now().Before(deadline) {
 		facts, _ := c.node.State()
 		if !c.isVoter(&facts.Voters) || !c.isReplaceable() {
--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -92,7 +92,7 @@
 			pause = 0
 			continue
 		}
-		pause = nodeconfig.Seconds(backoff.NextDelay(time.Since(startedAt).Seconds(), rand.Float64()))
+		pause = nodeconfig.FromSeconds(backoff.NextDelay(time.Since(startedAt).Seconds(), rand.Float64()))
 	}
 }
 
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -58,5 +58,5 @@
 	if r.linkMbps <= 0 {
 		return 0
 	}
-	return nodeconfig.Seconds(float64(size) * 8 * transferMargin / (r.linkMbps * 1e6))
+	return nodeconfig.FromSeconds(float64(size) * 8 * transferMargin / (r.linkMbps * 1e6))
 }
--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -257,10 +257,10 @@
 }
 
 // GracePeriod is the time from SIGTERM to SIGKILL.
-func (s *Settings) GracePeriod() time.Duration { return Seconds(s.Bounds.GraceSeconds) }
+func (s *Settings) GracePeriod() time.Duration { return FromSeconds(s.Bounds.GraceSeconds) }
 
-// Seconds turns a figure in seconds into a duration.
-func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// FromSeconds turns a figure in seconds into a duration.
+func FromSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Millis turns a figure in milliseconds into a duration.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
