--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -44,7 +44,7 @@
 func newStageController(c *Control) *stageController {
 	k := &stageController{control: c, planner: stages.New(), startedAt: time.Now(),
 		httpClient: &http.Client{Transport: &http.Transport{DialContext: transport.NewDialer().DialContext, MaxIdleConnsPerHost: 1}}}
-	k.lease = election.NewCandidate(stagesRole, c.settings.NodeID, nodeconfig.Millis(c.settings.Bounds.LeaseMs).Seconds(), k.now())
+	k.lease = election.NewCandidate(stagesRole, c.settings.NodeID, nodeconfig.FromMillis(c.settings.Bounds.LeaseMs).Seconds(), k.now())
 	return k
 }
 
--- a/internal/nodeconfig/boot.go
+++ b/internal/nodeconfig/boot.go
@@ -262,5 +262,5 @@
 // FromSeconds turns a figure in seconds into a duration.
 func FromSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Millis turns a figure in milliseconds into a duration.
-func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+// FromMillis turns a figure in milliseconds into a duration.
+func FromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -125,9 +125,9 @@
 
 // timeFor is how long a request may take: what the client waits, and what the route allows.
 func timeFor(r *http.Request, route *routeconfig.Route) time.Duration {
-	limit := nodeconfig.Millis(route.TimeoutMs)
+	limit := nodeconfig.FromMillis(route.TimeoutMs)
 	if ms, err := strconv.ParseFloat(r.Header.Get(headerDeadline), 64); err == nil && ms > 0 {
-		limit = min(limit, nodeconfig.Millis(ms))
+		limit = min(limit, nodeconfig.FromMillis(ms))
 	}
 	return limit
 }
@@ -158,7 +158,7 @@
 
 // await makes a choice, again and again for a part of the route's objective while there is no place. It returns whether one was found.
 func (p *Proxy) await(ctx context.Context, j *job, choose choice) bool {
-	until := j.arrived.Add(time.Duration(waitPart * float64(nodeconfig.Millis(j.route.TargetMs))))
+	until := j.arrived.Add(time.Duration(waitPart * float64(nodeconfig.FromMillis(j.route.TargetMs))))
 	for {
 		found := false
 		p.state.do(j.service, func(now float64, pool *placement.Pool, planner *placement.Planner) {
@@ -346,8 +346,8 @@
 // promptOf reads what the choice of model servers goes by.
 func promptOf(r *http.Request, route *routeconfig.Route) placement.Prompt {
 	prompt := placement.Prompt{Parts: placement.ParsePrefix(r.Header.Get(headerPrefixHash))}
-	prompt.AimS = nodeconfig.Millis(route.TargetMs).Seconds()
-	prompt.GapS = nodeconfig.Millis(route.GapMs).Seconds()
+	prompt.AimS = nodeconfig.FromMillis(route.TargetMs).Seconds()
+	prompt.GapS = nodeconfig.FromMillis(route.GapMs).Seconds()
 	in, out, _ := strings.Cut(r.Header.Get(headerTokenCounts), ",")
 	prompt.Tokens, prompt.Output = tokenCount(in), tokenCount(out)
 	return prompt
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -64,7 +64,7 @@
 // add counts a stream of a route that was served.
 func (c *streamCounts) add(route *routeconfig.Route, arrived time.Time, times *streamTimes) {
 	c.Served++
-	target := nodeconfig.Millis(route.TargetMs)
+	target := nodeconfig.FromMillis(route.TargetMs)
 	switch {
 	case target > 0 && times.first.Sub(arrived) > target:
 		if !times.read.IsZero() && float64(times.read.Sub(arrived)) > readingPart*float64(target) {
@@ -72,7 +72,7 @@
 		} else {
 			c.LateFirst++
 		}
-	case route.GapMs > 0 && times.pause > nodeconfig.Millis(route.GapMs):
+	case route.GapMs > 0 && times.pause > nodeconfig.FromMillis(route.GapMs):
 		c.LatePause++
 	}
 }
