--- a/internal/routeconfig/routes.go
+++ b/internal/routeconfig/routes.go
@@ -15,14 +15,14 @@
 // Error is the class of errors that say why a configuration is invalid.
 var Error = errs.Class("configuration")
 
-// Kind says what may be repeated of a route's requests.
-type Kind string
+// RouteKind says what may be repeated of a route's requests.
+type RouteKind string
 
 // The kinds of routes.
 const (
-	Idempotent    Kind = "idempotent"
-	NonIdempotent Kind = "non_idempotent"
-	Streaming     Kind = "streaming"
+	Idempotent    RouteKind = "idempotent"
+	NonIdempotent RouteKind = "non_idempotent"
+	Streaming     RouteKind = "streaming"
 )
 
 // Target is a service with its share of a route's requests.
@@ -33,18 +33,18 @@
 
 // Route is one route of the table. Times are in milliseconds.
 type Route struct {
-	Name        string   `msgpack:"n"`
-	Host        string   `msgpack:"h"`
-	PathPrefix  string   `msgpack:"p"`
-	Kind        Kind     `msgpack:"k"`
-	TimeoutMs   float64  `msgpack:"t"`
-	TargetMs    float64  `msgpack:"a"`
-	Priority    int      `msgpack:"r"`
-	Targets     []Target `msgpack:"s"`
-	MaxAttempts int      `msgpack:"m"`
-	Sticky      bool     `msgpack:"y"`
-	Resumable   bool     `msgpack:"e"`
-	GapMs       float64  `msgpack:"g"`
+	Name        string    `msgpack:"n"`
+	Host        string    `msgpack:"h"`
+	PathPrefix  string    `msgpack:"p"`
+	Kind        RouteKind `msgpack:"k"`
+	TimeoutMs   float64   `msgpack:"t"`
+	TargetMs    float64   `msgpack:"a"`
+	Priority    int       `msgpack:"r"`
+	Targets     []Target  `msgpack:"s"`
+	MaxAttempts int       `msgpack:"m"`
+	Sticky      bool      `msgpack:"y"`
+	Resumable   bool      `msgpack:"e"`
+	GapMs       float64   `msgpack:"g"`
 }
 
 // Engine describes the model servers of a service.
@@ -131,7 +131,7 @@
 	if !positive(route.GetTimeoutMs()) {
 		f.add(at+".TimeoutMs", "want a time above 0")
 	}
-	switch Kind(route.GetRouteType()) {
+	switch RouteKind(route.GetRouteType()) {
 	case Idempotent, NonIdempotent, Streaming:
 	default:
 		f.add(at+".RouteType", "unknown %q", route.GetRouteType())
@@ -186,7 +186,7 @@
 
 func compileRoute(route *configpb.Route) Route {
 	compiled := Route{
-		Name: route.GetName(), Host: route.GetHost(), PathPrefix: route.GetPathPrefix(), Kind: Kind(route.GetRouteType()),
+		Name: route.GetName(), Host: route.GetHost(), PathPrefix: route.GetPathPrefix(), Kind: RouteKind(route.GetRouteType()),
 		TimeoutMs: route.GetTimeoutMs(), TargetMs: route.GetTargetLatencyMs(), Priority: int(route.GetPriority()),
 		MaxAttempts: max(int(route.GetMaxAttempts()), 1), Sticky: route.GetSticky(), Resumable: route.GetResumable(),
 		GapMs: route.GetGapAim(),
