--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -158,7 +158,7 @@
 
 // await makes a choice, again and again for a part of the route's objective while there is no place. It returns whether one was found.
 func (p *Proxy) await(ctx context.Context, j *job, choose choice) bool {
-	until := j.arrived.Add(time.Duration(waitPart * float64(nodeconfig.FromMillis(j.route.TargetMs))))
+	until := j.arrived.Add(time.Duration(waitPart * float64(nodeconfig.FromMillis(j.route.LatencyTargetMs))))
 	for {
 		found := false
 		p.state.do(j.service, func(now float64, pool *placement.Pool, planner *placement.Planner) {
@@ -346,7 +346,7 @@
 // promptOf reads what the choice of model servers goes by.
 func promptOf(r *http.Request, route *routeconfig.Route) placement.Prompt {
 	prompt := placement.Prompt{Parts: placement.ParsePrefix(r.Header.Get(headerPrefixHash))}
-	prompt.AimS = nodeconfig.FromMillis(route.TargetMs).Seconds()
+	prompt.AimS = nodeconfig.FromMillis(route.LatencyTargetMs).Seconds()
 	prompt.GapS = nodeconfig.FromMillis(route.GapMs).Seconds()
 	in, out, _ := strings.Cut(r.Header.Get(headerTokenCounts), ",")
 	prompt.Tokens, prompt.Output = tokenCount(in), tokenCount(out)
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -64,7 +64,7 @@
 // add counts a stream of a route that was served.
 func (c *streamCounts) add(route *routeconfig.Route, arrived time.Time, times *streamTimes) {
 	c.Served++
-	target := nodeconfig.FromMillis(route.TargetMs)
+	target := nodeconfig.FromMillis(route.LatencyTargetMs)
 	switch {
 	case target > 0 && times.first.Sub(arrived) > target:
 		if !times.read.IsZero() && float64(times.read.Sub(arrived)) > readingPart*float64(target) {
--- a/internal/proxy/observe_test.go
+++ b/internal/proxy/observe_test.go
@@ -41,7 +41,7 @@
 	times.event(arrived.Add(first))
 	times.event(arrived.Add(first + pause))
 	counts := &streamCounts{}
-	counts.add(&routeconfig.Route{TargetMs: 400, GapMs: 200}, arrived, times)
+	counts.add(&routeconfig.Route{LatencyTargetMs: 400, GapMs: 200}, arrived, times)
 	want.Served = 1
 	Expect(*counts).To(Equal(want))
 }, Entry("in time", 100*time.Millisecond, 300*time.Millisecond, 50*time.Millisecond, streamCounts{}),
@@ -53,7 +53,7 @@
 var _ = Describe("the counts of streams", func() {
 	It("are told once in a while, by route", func() {
 		o := newObservations()
-		j := &job{route: &routeconfig.Route{Name: "r", TargetMs: 400}, arrived: time.Now()}
+		j := &job{route: &routeconfig.Route{Name: "r", LatencyTargetMs: 400}, arrived: time.Now()}
 		j.times.event(j.arrived)
 		o.stream(j)
 		o.stream(j)
--- a/internal/proxy/reading.go
+++ b/internal/proxy/reading.go
@@ -40,7 +40,7 @@
 			reading = planner.BeginReading(now, reader, prompt)
 		}
 	})
-	limit := time.Duration(readingMost * j.route.TargetMs * float64(time.Millisecond))
+	limit := time.Duration(readingMost * j.route.LatencyTargetMs * float64(time.Millisecond))
 	readCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	handle, verdict := p.callReader(readCtx, j, reader)
--- a/internal/routeconfig/stored_form_test.go
+++ b/internal/routeconfig/stored_form_test.go
@@ -19,7 +19,7 @@
 var goldenTable = routeconfig.Table{
 	Version: 7,
 	Routes: []routeconfig.Route{
-		{Name: "a", Host: "h", PathPrefix: "/a/", Kind: routeconfig.Streaming, TimeoutMs: 2500, TargetMs: 300, Priority: 2,
+		{Name: "a", Host: "h", PathPrefix: "/a/", Kind: routeconfig.Streaming, TimeoutMs: 2500, LatencyTargetMs: 300, Priority: 2,
 			Targets: []routeconfig.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2, Sticky: true, Resumable: true, GapMs: 250},
 		{Name: "b", Host: "h", PathPrefix: "/b/", Kind: routeconfig.NonIdempotent, TimeoutMs: 1000.5,
 			Targets: []routeconfig.Target{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}, MaxAttempts: 1},
