--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -72,7 +72,7 @@
 		} else {
 			c.LateFirst++
 		}
-	case route.GapMs > 0 && times.pause > nodeconfig.FromMillis(route.GapMs):
+	case route.TokenGapTargetMs > 0 && times.pause > nodeconfig.FromMillis(route.TokenGapTargetMs):
 		c.LatePause++
 	}
 }
--- a/internal/proxy/observe_test.go
+++ b/internal/proxy/observe_test.go
@@ -41,7 +41,7 @@
 	times.event(arrived.Add(first))
 	times.event(arrived.Add(first + pause))
 	counts := &streamCounts{}
-	counts.add(&routeconfig.Route{LatencyTargetMs: 400, GapMs: 200}, arrived, times)
+	counts.add(&routeconfig.Route{LatencyTargetMs: 400, TokenGapTargetMs: 200}, arrived, times)
 	want.Served = 1
 	Expect(*counts).To(Equal(want))
 }, Entry("in time", 100*time.Millisecond, 300*time.Millisecond, 50*time.Millisecond, streamCounts{}),
--- a/internal/routeconfig/routes.go
+++ b/internal/routeconfig/routes.go
@@ -33,18 +33,18 @@
 
 // Route is one route of the table. Times are in milliseconds.
 type Route struct {
-	Name            string    `msgpack:"n"`
-	Host            string    `msgpack:"h"`
-	PathPrefix      string    `msgpack:"p"`
-	Kind            RouteKind `msgpack:"k"`
-	TimeoutMs       float64   `msgpack:"t"`
-	LatencyTargetMs float64   `msgpack:"a"`
-	Priority        int       `msgpack:"r"`
-	Targets         []Target  `msgpack:"s"`
-	MaxAttempts     int       `msgpack:"m"`
-	Sticky          bool      `msgpack:"y"`
-	Resumable       bool      `msgpack:"e"`
-	GapMs           float64   `msgpack:"g"`
+	Name             string    `msgpack:"n"`
+	Host             string    `msgpack:"h"`
+	PathPrefix       string    `msgpack:"p"`
+	Kind             RouteKind `msgpack:"k"`
+	TimeoutMs        float64   `msgpack:"t"`
+	LatencyTargetMs  float64   `msgpack:"a"`
+	Priority         int       `msgpack:"r"`
+	Targets          []Target  `msgpack:"s"`
+	MaxAttempts      int       `msgpack:"m"`
+	Sticky           bool      `msgpack:"y"`
+	Resumable        bool      `msgpack:"e"`
+	TokenGapTargetMs float64   `msgpack:"g"`
 }
 
 // Engine describes the model servers of a service.
@@ -189,7 +189,7 @@
 		Name: route.GetName(), Host: route.GetHost(), PathPrefix: route.GetPathPrefix(), Kind: RouteKind(route.GetRouteType()),
 		TimeoutMs: route.GetTimeoutMs(), LatencyTargetMs: route.GetTargetLatencyMs(), Priority: int(route.GetPriority()),
 		MaxAttempts: max(int(route.GetMaxAttempts()), 1), Sticky: route.GetSticky(), Resumable: route.GetResumable(),
-		GapMs: route.GetGapAim(),
+		TokenGapTargetMs: route.GetGapAim(),
 	}
 	for _, weighted := range route.GetWeightedServices() {
 		compiled.Targets = append(compiled.Targets, Target{weighted.GetService(), weighted.GetWeight()})
--- a/internal/routeconfig/routes_test.go
+++ b/internal/routeconfig/routes_test.go
@@ -30,7 +30,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(table.Version).To(BeEquivalentTo(7))
 		Expect(table.Routes[0].Targets).To(Equal([]routeconfig.Target{{Service: "s", Weight: 1}}))
-		Expect(table.Routes[0].GapMs).To(Equal(250.0))
+		Expect(table.Routes[0].TokenGapTargetMs).To(Equal(250.0))
 		Expect(table.Routes[1].Targets).To(HaveLen(2))
 		Expect(table.Services[0].Engine.SwitchS).To(Equal(1.9))
 		Expect(table.Services[1].Engine).To(BeNil())
