--- a/internal/proxy/misdirected_test.go
+++ b/internal/proxy/misdirected_test.go
@@ -77,7 +77,7 @@
 	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowSeconds: 10, BudgetSlack: 100, PrefixCacheSeconds: 8}}
 	p := newProxy(settings, logrus.NewEntry(log))
 	table, err := message.PackTable(&routeconfig.Table{Version: 1, Routes: []routeconfig.Route{route(routeconfig.Streaming)}, Services: []routeconfig.Service{{Name: "s",
-		HealthPath: "/health", MaxConnections: 100, Engine: &routeconfig.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLS: 5}}},
+		HealthPath: "/health", MaxConnections: 100, Engine: &routeconfig.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLSeconds: 5}}},
 		Limits: routeconfig.Limits{MaxBodyBytes: 1 << 16}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/proxy_suite_test.go
+++ b/internal/proxy/proxy_suite_test.go
@@ -180,7 +180,7 @@
 	table := &routeconfig.Table{Version: 1, Routes: []routeconfig.Route{r}, Services: []routeconfig.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100}},
 		Limits: routeconfig.Limits{MaxBodyBytes: 1 << 16}}
 	if engine {
-		table.Services[0].Engine = &routeconfig.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLS: 5}
+		table.Services[0].Engine = &routeconfig.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLSeconds: 5}
 	}
 	var instances []message.Instance
 	for _, s := range servers {
--- a/internal/proxy/wire_form_test.go
+++ b/internal/proxy/wire_form_test.go
@@ -41,7 +41,7 @@
 // feedFrame is what an agent sends: a length of four bytes and a feed.
 func feedFrame() []byte {
 	table, err := message.PackTable(&routeconfig.Table{Version: 7, Services: []routeconfig.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100,
-		Engine: &routeconfig.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLS: 5}}}})
+		Engine: &routeconfig.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLSeconds: 5}}}})
 	Expect(err).NotTo(HaveOccurred())
 	data, err := msgpack.Marshal(&message.Feed{Table: table, List: list(message.Instance{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "z",
 		Slots: 4, Stage: message.Decode}), Loads: []message.Load{{InstanceKey: message.InstanceKey("i-1"), Running: 2, Waiting: 1, AgeMs: 40}},
