--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -109,7 +109,7 @@
 		if service.Engine == nil {
 			continue
 		}
-		view := stages.Service{Name: service.Name, SwitchSeconds: service.Engine.SwitchS, KVTokensPerServer: float64(service.Engine.KVTokens)}
+		view := stages.Service{Name: service.Name, SwitchSeconds: service.Engine.StageSwitchSeconds, KVTokensPerServer: float64(service.Engine.KVTokens)}
 		for _, instance := range k.instances {
 			if instance.Service == service.Name {
 				view.Instances = append(view.Instances, instance)
--- a/internal/control/stagecontroller_test.go
+++ b/internal/control/stagecontroller_test.go
@@ -25,7 +25,7 @@
 		log.SetOutput(GinkgoWriter)
 		node := gossip.New(settings, membership.Record{Kind: membership.Control, Address: "127.0.5.10:1"}, transport.NewClient(), logrus.NewEntry(log))
 		k := newStageController(&Control{settings: settings, node: node, log: logrus.NewEntry(log)})
-		k.table = &routeconfig.Table{Services: []routeconfig.Service{{Name: "s", Engine: &routeconfig.Engine{SwitchS: 2}}}}
+		k.table = &routeconfig.Table{Services: []routeconfig.Service{{Name: "s", Engine: &routeconfig.Engine{StageSwitchSeconds: 2}}}}
 		k.lease.HandleAcquired(k.now(), token)
 		return k
 	}
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -154,7 +154,7 @@
 		return placement.Engine{}
 	}
 	return placement.Engine{Present: true, KVTokenBytes: service.Engine.KVTokenBytes, KVTokens: float64(service.Engine.KVTokens),
-		LinkMbps: service.Engine.LinkMbps, SwitchS: service.Engine.SwitchS}
+		LinkMbps: service.Engine.LinkMbps, SwitchS: service.Engine.StageSwitchSeconds}
 }
 
 // addresses returns those of all servers that are listed and not leaving.
--- a/internal/routeconfig/routes.go
+++ b/internal/routeconfig/routes.go
@@ -49,12 +49,12 @@
 
 // Engine describes the model servers of a service.
 type Engine struct {
-	Slots            int     `msgpack:"s"`
-	KVTokens         int64   `msgpack:"t"`
-	KVTokenBytes     float64 `msgpack:"b"`
-	LinkMbps         float64 `msgpack:"l"`
-	HandleTTLSeconds float64 `msgpack:"h"`
-	SwitchS          float64 `msgpack:"w"`
+	Slots              int     `msgpack:"s"`
+	KVTokens           int64   `msgpack:"t"`
+	KVTokenBytes       float64 `msgpack:"b"`
+	LinkMbps           float64 `msgpack:"l"`
+	HandleTTLSeconds   float64 `msgpack:"h"`
+	StageSwitchSeconds float64 `msgpack:"w"`
 }
 
 // Service is one service of the table. Engine is nil where its servers run no model.
@@ -204,7 +204,7 @@
 	compiled := Service{Name: service.GetName(), HealthPath: service.GetHealthPath(), MaxConnections: int(service.GetMaxConnections())}
 	if engine := service.GetEngine(); engine != nil {
 		compiled.Engine = &Engine{Slots: int(engine.GetSlots()), KVTokens: engine.GetKvTokens(), KVTokenBytes: engine.GetKvTokenBytes(),
-			LinkMbps: engine.GetLinkMbps(), HandleTTLSeconds: engine.GetHandleTtl(), SwitchS: engine.GetSwitch()}
+			LinkMbps: engine.GetLinkMbps(), HandleTTLSeconds: engine.GetHandleTtl(), StageSwitchSeconds: engine.GetSwitch()}
 	}
 	return compiled
 }
--- a/internal/routeconfig/routes_test.go
+++ b/internal/routeconfig/routes_test.go
@@ -32,7 +32,7 @@
 		Expect(table.Routes[0].Targets).To(Equal([]routeconfig.Target{{Service: "s", Weight: 1}}))
 		Expect(table.Routes[0].TokenGapTargetMs).To(Equal(250.0))
 		Expect(table.Routes[1].Targets).To(HaveLen(2))
-		Expect(table.Services[0].Engine.SwitchS).To(Equal(1.9))
+		Expect(table.Services[0].Engine.StageSwitchSeconds).To(Equal(1.9))
 		Expect(table.Services[1].Engine).To(BeNil())
 		Expect(table.Limits.MaxBodyBytes).To(BeEquivalentTo(4194304))
 	})
--- a/internal/routeconfig/stored_form_test.go
+++ b/internal/routeconfig/stored_form_test.go
@@ -27,7 +27,7 @@
 	},
 	Services: []routeconfig.Service{
 		{Name: "s", HealthPath: "/health", MaxConnections: 350,
-			Engine: &routeconfig.Engine{Slots: 64, KVTokens: 765689, KVTokenBytes: 35136, LinkMbps: 1500000, HandleTTLSeconds: 5, SwitchS: 1.9}},
+			Engine: &routeconfig.Engine{Slots: 64, KVTokens: 765689, KVTokenBytes: 35136, LinkMbps: 1500000, HandleTTLSeconds: 5, StageSwitchSeconds: 1.9}},
 		{Name: "t", MaxConnections: 93},
 	},
 	Limits: routeconfig.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
