--- a/internal/routeconfig/routes.go
+++ b/internal/routeconfig/routes.go
@@ -25,26 +25,26 @@
 	Streaming     RouteKind = "streaming"
 )
 
-// Target is a service with its share of a route's requests.
-type Target struct {
+// WeightedService is a service with its share of a route's requests.
+type WeightedService struct {
 	Service string  `msgpack:"s"`
 	Weight  float64 `msgpack:"w"`
 }
 
 // Route is one route of the table. Times are in milliseconds.
 type Route struct {
-	Name             string    `msgpack:"n"`
-	Host             string    `msgpack:"h"`
-	PathPrefix       string    `msgpack:"p"`
-	Kind             RouteKind `msgpack:"k"`
-	TimeoutMs        float64   `msgpack:"t"`
-	LatencyTargetMs  float64   `msgpack:"a"`
-	Priority         int       `msgpack:"r"`
-	Targets          []Target  `msgpack:"s"`
-	MaxAttempts      int       `msgpack:"m"`
-	Sticky           bool      `msgpack:"y"`
-	Resumable        bool      `msgpack:"e"`
-	TokenGapTargetMs float64   `msgpack:"g"`
+	Name             string            `msgpack:"n"`
+	Host             string            `msgpack:"h"`
+	PathPrefix       string            `msgpack:"p"`
+	Kind             RouteKind         `msgpack:"k"`
+	TimeoutMs        float64           `msgpack:"t"`
+	LatencyTargetMs  float64           `msgpack:"a"`
+	Priority         int               `msgpack:"r"`
+	Targets          []WeightedService `msgpack:"s"`
+	MaxAttempts      int               `msgpack:"m"`
+	Sticky           bool              `msgpack:"y"`
+	Resumable        bool              `msgpack:"e"`
+	TokenGapTargetMs float64           `msgpack:"g"`
 }
 
 // Engine describes the model servers of a service.
@@ -192,10 +192,10 @@
 		TokenGapTargetMs: route.GetGapAim(),
 	}
 	for _, weighted := range route.GetWeightedServices() {
-		compiled.Targets = append(compiled.Targets, Target{weighted.GetService(), weighted.GetWeight()})
+		compiled.Targets = append(compiled.Targets, WeightedService{weighted.GetService(), weighted.GetWeight()})
 	}
 	if len(compiled.Targets) == 0 {
-		compiled.Targets = []Target{{route.GetService(), 1}}
+		compiled.Targets = []WeightedService{{route.GetService(), 1}}
 	}
 	return compiled
 }
--- a/internal/routeconfig/routes_test.go
+++ b/internal/routeconfig/routes_test.go
@@ -29,7 +29,7 @@
 		table, err := routeconfig.Parse([]byte(sound))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(table.Version).To(BeEquivalentTo(7))
-		Expect(table.Routes[0].Targets).To(Equal([]routeconfig.Target{{Service: "s", Weight: 1}}))
+		Expect(table.Routes[0].Targets).To(Equal([]routeconfig.WeightedService{{Service: "s", Weight: 1}}))
 		Expect(table.Routes[0].TokenGapTargetMs).To(Equal(250.0))
 		Expect(table.Routes[1].Targets).To(HaveLen(2))
 		Expect(table.Services[0].Engine.StageSwitchSeconds).To(Equal(1.9))
--- a/internal/routeconfig/stored_form_test.go
+++ b/internal/routeconfig/stored_form_test.go
@@ -20,10 +20,10 @@
 	Version: 7,
 	Routes: []routeconfig.Route{
 		{Name: "a", Host: "h", PathPrefix: "/a/", Kind: routeconfig.Streaming, TimeoutMs: 2500, LatencyTargetMs: 300, Priority: 2,
-			Targets: []routeconfig.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2, Sticky: true, Resumable: true, TokenGapTargetMs: 250},
+			Targets: []routeconfig.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2, Sticky: true, Resumable: true, TokenGapTargetMs: 250},
 		{Name: "b", Host: "h", PathPrefix: "/b/", Kind: routeconfig.NonIdempotent, TimeoutMs: 1000.5,
-			Targets: []routeconfig.Target{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}, MaxAttempts: 1},
-		{Name: "c", Host: "h", PathPrefix: "/c/", Kind: routeconfig.Idempotent, TimeoutMs: 10, Targets: []routeconfig.Target{{Service: "t", Weight: 1}}, MaxAttempts: 1},
+			Targets: []routeconfig.WeightedService{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}, MaxAttempts: 1},
+		{Name: "c", Host: "h", PathPrefix: "/c/", Kind: routeconfig.Idempotent, TimeoutMs: 10, Targets: []routeconfig.WeightedService{{Service: "t", Weight: 1}}, MaxAttempts: 1},
 	},
 	Services: []routeconfig.Service{
 		{Name: "s", HealthPath: "/health", MaxConnections: 350,
