--- a/internal/message/wire_form_test.go
+++ b/internal/message/wire_form_test.go
@@ -61,7 +61,7 @@
 		// What Table and List hold once they are unpacked.
 		"routes.Table": routeconfig.Table{Version: 70000, Limits: routeconfig.Limits{MaxHeaderBytes: 32768, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 4000.5, IdleTimeoutMs: 55000},
 			Routes: []routeconfig.Route{{Name: "r", Host: "h.example", PathPrefix: "/p/", Kind: routeconfig.Streaming, TimeoutMs: 30000, LatencyTargetMs: 800.5,
-				Priority: 2, Targets: []routeconfig.WeightedService{{Service: "chat", Weight: 0.75}}, MaxAttempts: 3, Sticky: true, Resumable: true, TokenGapTargetMs: 250.5}},
+				Priority: 2, Services: []routeconfig.WeightedService{{Service: "chat", Weight: 0.75}}, MaxAttempts: 3, Sticky: true, Resumable: true, TokenGapTargetMs: 250.5}},
 			Services: []routeconfig.Service{{Name: "chat", HealthPath: "/health", MaxConnections: 100, Engine: &routeconfig.Engine{Slots: 8, KVTokens: 1e6,
 				KVTokenBytes: 1000.5, LinkMbps: 10000, HandleTTLSeconds: 5.5, StageSwitchSeconds: 2.5}}}},
 		"instances": []message.Instance{{ID: "i-1", Service: "chat", Address: "10.0.1.1:9000", Zone: "a", Slots: 8, Draining: true,
--- a/internal/proxy/proxy_suite_test.go
+++ b/internal/proxy/proxy_suite_test.go
@@ -168,7 +168,7 @@
 // route is one to the service "s" with two attempts.
 func route(kind routeconfig.RouteKind) routeconfig.Route {
 	return routeconfig.Route{Name: "r", Host: "h.example", PathPrefix: "/p/", Kind: kind, TimeoutMs: 5000, LatencyTargetMs: 500, Priority: 1,
-		Targets: []routeconfig.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2}
+		Services: []routeconfig.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2}
 }
 
 // startProxy begins a proxy with one route and these servers. The budget allows some repeats.
--- a/internal/proxy/table.go
+++ b/internal/proxy/table.go
@@ -48,23 +48,23 @@
 
 // target draws the service of a request by the weights.
 func target(route *routeconfig.Route) string {
-	if len(route.Targets) == 1 {
-		return route.Targets[0].Service
+	if len(route.Services) == 1 {
+		return route.Services[0].Service
 	}
 	sum := 0.0
-	for _, weighted := range route.Targets {
+	for _, weighted := range route.Services {
 		sum += weighted.Weight
 	}
 	draw := rand.Float64() * sum
-	for _, weighted := range route.Targets {
+	for _, weighted := range route.Services {
 		if draw -= weighted.Weight; draw < 0 {
 			return weighted.Service
 		}
 	}
-	for _, weighted := range route.Targets {
+	for _, weighted := range route.Services {
 		if weighted.Weight > 0 {
 			return weighted.Service
 		}
 	}
-	return route.Targets[0].Service
+	return route.Services[0].Service
 }
--- a/internal/routeconfig/routes.go
+++ b/internal/routeconfig/routes.go
@@ -40,7 +40,7 @@
 	TimeoutMs        float64           `msgpack:"t"`
 	LatencyTargetMs  float64           `msgpack:"a"`
 	Priority         int               `msgpack:"r"`
-	Targets          []WeightedService `msgpack:"s"`
+	Services         []WeightedService `msgpack:"s"`
 	MaxAttempts      int               `msgpack:"m"`
 	Sticky           bool              `msgpack:"y"`
 	Resumable        bool              `msgpack:"e"`
@@ -192,10 +192,10 @@
 		TokenGapTargetMs: route.GetGapAim(),
 	}
 	for _, weighted := range route.GetWeightedServices() {
-		compiled.Targets = append(compiled.Targets, WeightedService{weighted.GetService(), weighted.GetWeight()})
+		compiled.Services = append(compiled.Services, WeightedService{weighted.GetService(), weighted.GetWeight()})
 	}
-	if len(compiled.Targets) == 0 {
-		compiled.Targets = []WeightedService{{route.GetService(), 1}}
+	if len(compiled.Services) == 0 {
+		compiled.Services = []WeightedService{{route.GetService(), 1}}
 	}
 	return compiled
 }
--- a/internal/routeconfig/stored_form_test.go
+++ b/internal/routeconfig/stored_form_test.go
@@ -20,10 +20,10 @@
 	Version: 7,
 	Routes: []routeconfig.Route{
 		{Name: "a", Host: "h", PathPrefix: "/a/", Kind: routeconfig.Streaming, TimeoutMs: 2500, LatencyTargetMs: 300, Priority: 2,
-			Targets: []routeconfig.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2, Sticky: true, Resumable: true, TokenGapTargetMs: 250},
+			Services: []routeconfig.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2, Sticky: true, Resumable: true, TokenGapTargetMs: 250},
 		{Name: "b", Host: "h", PathPrefix: "/b/", Kind: routeconfig.NonIdempotent, TimeoutMs: 1000.5,
-			Targets: []routeconfig.WeightedService{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}, MaxAttempts: 1},
-		{Name: "c", Host: "h", PathPrefix: "/c/", Kind: routeconfig.Idempotent, TimeoutMs: 10, Targets: []routeconfig.WeightedService{{Service: "t", Weight: 1}}, MaxAttempts: 1},
+			Services: []routeconfig.WeightedService{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}, MaxAttempts: 1},
+		{Name: "c", Host: "h", PathPrefix: "/c/", Kind: routeconfig.Idempotent, TimeoutMs: 10, Services: []routeconfig.WeightedService{{Service: "t", Weight: 1}}, MaxAttempts: 1},
 	},
 	Services: []routeconfig.Service{
 		{Name: "s", HealthPath: "/health", MaxConnections: 350,
@@ -36,7 +36,7 @@
 // TestStoredForm pins the bytes of the table that control processes pack and send. Processes of other versions read these bytes.
 func TestStoredForm(t *testing.T) {
 	table := goldenTable
-	for _, value := range []any{table, table.Routes[0], table.Routes[0].Targets[0], table.Services[0], *table.Services[0].Engine, table.Limits} {
+	for _, value := range []any{table, table.Routes[0], table.Routes[0].Services[0], table.Services[0], *table.Services[0].Engine, table.Limits} {
 		fields := reflect.ValueOf(value)
 		for i := range fields.NumField() {
 			assert.False(t, fields.Field(i).IsZero(), "%T: field %s is zero", value, fields.Type().Field(i).Name)
