--- a/cmd/hazelfleet/check.go
+++ b/cmd/hazelfleet/check.go
@@ -47,7 +47,7 @@
 		fmt.Fprintln(c.errs, "hazelfleet:", err)
 		return statusUsage
 	}
-	report := routeconfig.Examine(config)
+	report := routeconfig.Validate(config)
 	c.tell(files[0], report.Faults, report.Unknown)
 	if len(report.Faults) > 0 {
 		return statusUsage
@@ -69,7 +69,7 @@
 		fmt.Fprintf(c.errs, "hazelfleet: %s: %v\n", file, err)
 		return nil
 	}
-	report := routeconfig.Examine(made)
+	report := routeconfig.Validate(made)
 	for i := range report.Faults {
 		report.Faults[i].Line = 0 // of what the patch makes, which stands in no file
 	}
--- a/internal/routeconfig/examine.go
+++ b/internal/routeconfig/examine.go
@@ -18,8 +18,8 @@
 	Unknown []diagnostic.Finding // fields that this version passes over
 }
 
-// Examine reads a configuration as Parse does, and returns all that is wrong with it instead of the first fault.
-func Examine(data []byte) Report {
+// Validate reads a configuration as Parse does, and returns all that is wrong with it instead of the first fault.
+func Validate(data []byte) Report {
 	doc, root, err := newDocument(data)
 	if err != nil {
 		line, column := doc.lines.At(int(doc.decoder.InputOffset()))
--- a/internal/routeconfig/stored_form_test.go
+++ b/internal/routeconfig/stored_form_test.go
@@ -58,7 +58,7 @@
 	table, err := routeconfig.Parse(stored(t, "document.json"))
 	require.NoError(t, err)
 	assert.Equal(t, &goldenTable, table)
-	report := routeconfig.Examine(stored(t, "document.json"))
+	report := routeconfig.Validate(stored(t, "document.json"))
 	assert.Empty(t, report.Faults)
 	assert.Equal(t, &goldenTable, report.Table)
 }
