--- a/internal/decide/register/acceptor.go
+++ b/internal/decide/register/acceptor.go
@@ -1,29 +1,31 @@
 package register
 
-// State is what a voter keeps on its disk.
+// State is what a voter persists.
 type State struct {
-	ID       string `msgpack:"i"`
-	Promised Ballot `msgpack:"p"`
-	Accepted Ballot `msgpack:"b"`
+	ID       string `msgpack:"i"` // identity of the voter
+	Promised Ballot `msgpack:"p"` // no lower ballot is promised or accepted
+	Accepted Ballot `msgpack:"b"` // the ballot of Value; zero if nothing was accepted
 	Value    Value  `msgpack:"v"`
 }
 
-// Acceptor is a voter's state machine. Each method returns the state that must be on disk before the answer is sent, nil
-// where nothing changes; the host calls Stored once it is there.
+// Acceptor is the state machine of a voter. A handler that changes the state returns the next one, which the host must
+// persist and confirm by MarkPersisted before it sends the reply; a nil state leaves nothing to persist. Until MarkPersisted
+// the acceptor keeps the state before, so a failed write is forgotten by not confirming it. At most one returned state may
+// be unconfirmed at a time.
 type Acceptor struct {
 	state State
 }
 
-// NewAcceptor returns an acceptor that goes on from what the disk holds.
+// NewAcceptor returns an acceptor with the state that was read from disk.
 func NewAcceptor(state State) *Acceptor { return &Acceptor{state} }
 
-// State returns what is on disk.
+// State returns the persisted state.
 func (a *Acceptor) State() State { return a.state }
 
-// MarkPersisted tells that a state that a method has returned is on disk.
+// MarkPersisted confirms that a state which a handler returned is on disk.
 func (a *Acceptor) MarkPersisted(state State) { a.state = state }
 
-// HandlePrepare promises a ballot that is above all promised before.
+// HandlePrepare promises the request's ballot unless a higher one was promised.
 func (a *Acceptor) HandlePrepare(request PrepareRequest) (*State, PrepareReply) {
 	if request.To != a.state.ID {
 		return nil, PrepareReply{WrongVoter: true}
@@ -31,17 +33,17 @@
 	if request.Ballot.Compare(a.state.Promised) < 0 {
 		return nil, PrepareReply{Promised: a.state.Promised}
 	}
-	answer := PrepareReply{OK: true, Promised: request.Ballot, Accepted: a.state.Accepted, Value: a.state.Value}
+	reply := PrepareReply{OK: true, Promised: request.Ballot, Accepted: a.state.Accepted, Value: a.state.Value}
 	if request.Ballot == a.state.Promised {
-		return nil, answer
+		return nil, reply
 	}
 	next := a.state
 	next.Promised = request.Ballot
-	return &next, answer
+	return &next, reply
 }
 
-// HandleAccept accepts a value unless a higher ballot was promised. hasConfig tells whether the configuration's bytes are on
-// disk or come with the request.
+// HandleAccept accepts the request's value unless a higher ballot was promised. hasConfig says that the bytes of the
+// configuration are on disk or come with the request; without them nothing is accepted.
 func (a *Acceptor) HandleAccept(request AcceptRequest, hasConfig bool) (*State, AcceptReply) {
 	if request.To != a.state.ID {
 		return nil, AcceptReply{WrongVoter: true}
@@ -52,16 +54,16 @@
 	if !hasConfig && request.Value.ConfigVersion != 0 {
 		return nil, AcceptReply{NeedsConfig: true}
 	}
-	answer := AcceptReply{OK: true, Promised: request.Ballot}
+	reply := AcceptReply{OK: true, Promised: request.Ballot}
 	if request.Ballot == a.state.Accepted {
-		return nil, answer
+		return nil, reply
 	}
 	next := a.state
 	next.Promised, next.Accepted, next.Value = request.Ballot, request.Ballot, request.Value
-	return &next, answer
+	return &next, reply
 }
 
-// HandleRead tells the accepted value. It promises nothing.
+// HandleRead returns the accepted value. It promises nothing.
 func (a *Acceptor) HandleRead(request ReadRequest) PrepareReply {
 	if request.To != a.state.ID {
 		return PrepareReply{WrongVoter: true}
@@ -69,21 +71,23 @@
 	return PrepareReply{OK: true, Promised: a.state.Promised, Accepted: a.state.Accepted, Value: a.state.Value}
 }
 
-// HandleLearn takes a value that was chosen at a ballot, which counts as promised from then on. It may be told of a ballot below the
-// promised one: whoever was promised more has met the value at one of those that accepted it. hasConfig is as for HandleAccept. It returns
-// whether the voter holds the value, or a later one, once the state is on disk.
-func (a *Acceptor) HandleLearn(at Ballot, value Value, hasConfig bool) (*State, bool) {
-	if at.Compare(a.state.Accepted) <= 0 {
+// HandleLearn adopts a value that is known to be chosen at a ballot, without a proposal. hasConfig is as for HandleAccept.
+// It returns whether the voter holds that value or a later one once the returned state is persisted.
+//
+// The ballot may be below the promised one: the proposer of the promised ballot has prepared at a majority, and so has seen
+// the chosen value at one of the voters that accepted it.
+func (a *Acceptor) HandleLearn(chosenAt Ballot, value Value, hasConfig bool) (*State, bool) {
+	if chosenAt.Compare(a.state.Accepted) <= 0 {
 		return nil, true
 	}
 	if !hasConfig && value.ConfigVersion != 0 {
 		return nil, false
 	}
 	next := a.state
-	next.Accepted, next.Value = at, value
-	if at.Compare(next.Promised) > 0 {
-		// Danger: a voter never accepts a ballot below the one that its value has.
-		next.Promised = at
+	next.Accepted, next.Value = chosenAt, value
+	if chosenAt.Compare(next.Promised) > 0 {
+		// Danger: Promised must never be below Accepted, or a lower ballot could overwrite the learned value.
+		next.Promised = chosenAt
 	}
 	return &next, true
 }
--- a/internal/decide/register/ballot.go
+++ b/internal/decide/register/ballot.go
@@ -1,10 +1,9 @@
 package register
 
-import (
-	"cmp"
-)
+import "cmp"
 
-// Ballot orders rounds. The zero Ballot is below all others.
+// Ballot identifies a proposal and orders proposals. No two proposals may use the same ballot: Proposer names one
+// incarnation of one process, which counts Number up. The zero Ballot is below all others.
 type Ballot struct {
 	Number   uint64 `msgpack:"r"`
 	Proposer string `msgpack:"p"`
--- a/internal/decide/register/config_change.go
+++ b/internal/decide/register/config_change.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// mostAccepted bounds the digests of accepted configurations that are kept for changes that are sent again.
-const mostAccepted = 1536
+// maxAcceptedChanges bounds Value.AcceptedChanges: a change that is repeated after as many later ones is no longer recognised.
+const maxAcceptedChanges = 1536
 
-// ConfigVerdict says how a change of the configuration fares on top of a value.
+// ConfigVerdict says whether a change of the configuration applies to a value.
 type ConfigVerdict int
 
 // The verdicts on a change of the configuration.
 const (
 	ConfigApplicable   ConfigVerdict = iota
-	ConfigDuplicate                  // exactly this change was accepted before
-	ConfigStaleBase                  // another version is current than the one it is based on
-	ConfigStaleVersion               // its version is not above the current one
+	ConfigDuplicate                  // exactly this change was accepted before; its sender gets the same answer again
+	ConfigStaleBase                  // the change is based on another version than the current one
+	ConfigStaleVersion               // the version that the change leads to is not above the current one
 )
 
-// CheckConfig says how a change to this version, based on another, fares on top of v. identity tells changes apart.
+// CheckConfig says whether a change from version base to version applies to v. identity tells changes apart: see SetConfig
+// and SetConfigWithIdentity.
 func (v *Value) CheckConfig(version, base uint64, identity Digest) ConfigVerdict {
 	switch {
 	case slices.Contains(v.AcceptedChanges, identity):
@@ -29,14 +30,14 @@
 	return ConfigApplicable
 }
 
-// SetConfig returns the change that puts a configuration with this digest in place of the one that it is based on. A configuration that
-// comes whole is its own identity.
+// SetConfig returns the change from the configuration of version base to the one of version, whose bytes have a digest.
+// The digest is also the change's identity.
 func SetConfig(version, base uint64, digest Digest) Change {
 	return SetConfigWithIdentity(version, base, digest, digest)
 }
 
-// SetConfigWithIdentity is Configure for a change that is known by something else than by the configuration that it makes: it can be told to be a
-// repetition when what it was made of is gone.
+// SetConfigWithIdentity is SetConfig for a change whose identity is not the digest of the resulting configuration, such as a
+// patch: a repeated patch must be recognised when the configuration that it was applied to is gone.
 func SetConfigWithIdentity(version, base uint64, digest, identity Digest) Change {
 	return func(current Value) (Value, bool) {
 		if current.CheckConfig(version, base, identity) != ConfigApplicable {
@@ -44,7 +45,7 @@
 		}
 		current.ConfigVersion, current.ConfigDigest = version, digest
 		current.AcceptedChanges = append(current.AcceptedChanges, identity)
-		if excess := len(current.AcceptedChanges) - mostAccepted; excess > 0 {
+		if excess := len(current.AcceptedChanges) - maxAcceptedChanges; excess > 0 {
 			current.AcceptedChanges = slices.Delete(current.AcceptedChanges, 0, excess)
 		}
 		return current, true
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -14,21 +14,21 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// The explorer drives the real rounds and acceptors through orders of messages within the bounds of a script: which calls are
-// begun, in their order, and by whom. An exchange with a voter is one step; a voter may never be reached. Within
-// one phase a call turns to its voters in the order of their names; calls of different nodes mix in every way.
-// A node has one call at a time; the next one gives the one before up, as after a restart. It goes breadth first and passes over
-// states that it has met.
+// The explorer drives real proposals and acceptors through the orders of messages that a script allows. The script says which calls are
+// started, in which order and by whom. An exchange with a voter is one step; a voter may never be reached. Within
+// one phase a call contacts its voters in the order of their names; calls of different nodes interleave in every way.
+// A node has one call at a time; the next one abandons the one before, as after a restart. The search is breadth first and skips
+// bound on visited states that it has visited.
 
 // scriptedCall is a call of a script.
 type scriptedCall struct {
-	node   string
-	wipes  bool   // the node's disk is lost instead, and it comes back with another identity
-	learns string // the node at which a newcomer's copy of the newest chosen value is made instead
-	change func(known register.Value) register.Change
-	digest register.Digest // of the configuration that it brings
-	base   uint64
-	takes  bool // the role
+	node         string
+	wipesDisk    bool   // instead of a call, the node loses its disk and restarts with another identity
+	learner      string // instead of a call, this node learns the newest chosen value
+	change       func(known register.Value) register.Change
+	digest       register.Digest // of the configuration that it brings
+	base         uint64
+	acquiresRole bool
 }
 
 func configures(node string, version uint64) scriptedCall {
@@ -37,7 +37,7 @@
 		change: func(register.Value) register.Change { return register.SetConfig(version, version-1, digest) }}
 }
 
-// patches is a change that is known by its own bytes, which are others than those that it makes.
+// patches is a change whose identity is not the digest of the resulting configuration.
 func patches(node string, version uint64) scriptedCall {
 	made, identity := register.DigestOf([]byte(fmt.Sprint("made ", version))), register.DigestOf([]byte(fmt.Sprint("patch ", version)))
 	return scriptedCall{node: node, digest: identity, base: version - 1,
@@ -48,9 +48,9 @@
 
 const scriptedRole = "r"
 
-// takes is a process that takes a role whose token it knows.
-func takes(node string, token uint64) scriptedCall {
-	return scriptedCall{node: node, takes: true, change: func(register.Value) register.Change { return register.AcquireRole(scriptedRole, node, token) }}
+// acquiresRole is a process that acquires a role whose token it knows.
+func acquiresRole(node string, token uint64) scriptedCall {
+	return scriptedCall{node: node, acquiresRole: true, change: func(register.Value) register.Change { return register.AcquireRole(scriptedRole, node, token) }}
 }
 
 func reconfigures(node string, voters ...string) scriptedCall {
@@ -62,17 +62,17 @@
 	}}
 }
 
-func settles(node string) scriptedCall {
+func completes(node string) scriptedCall {
 	return scriptedCall{node: node, change: func(register.Value) register.Change { return register.CompleteReconfiguration }}
 }
 
-func keeps(node string) scriptedCall {
+func reads(node string) scriptedCall {
 	return scriptedCall{node: node, change: func(register.Value) register.Change { return register.NoChange }}
 }
 
-func wipes(node string) scriptedCall { return scriptedCall{node: node, wipes: true} }
+func wipes(node string) scriptedCall { return scriptedCall{node: node, wipesDisk: true} }
 
-func learns(node string) scriptedCall { return scriptedCall{node: node, learns: node} }
+func learns(node string) scriptedCall { return scriptedCall{node: node, learner: node} }
 
 func namedVoters(names ...string) (voters []register.Voter) {
 	for _, name := range names {
@@ -82,42 +82,42 @@
 	return voters
 }
 
-// liveCall is a call under way.
-type liveCall struct {
-	index int
-	round *register.Proposal
-	must  int // of the acknowledged changes, those before this call began
-	sent  []exchangeStep
+// pendingCall is a call in progress.
+type pendingCall struct {
+	index              int
+	proposal           *register.Proposal
+	acknowledgedBefore int // number of changes acknowledged before this call started
+	unsent             []pendingMessage
 }
 
-// exchangeStep is a message that a call has for a voter.
-type exchangeStep struct {
-	voter     register.Voter
-	accepting bool
+// pendingMessage is a message of a call that was not delivered yet.
+type pendingMessage struct {
+	voter    register.Voter
+	isAccept bool
 }
 
 // modelState is one state of the model. Its parts are shared with other states and never changed in place.
 type modelState struct {
-	disks  map[string]register.State
-	calls  map[string]*liveCall // by node
-	proven map[string]register.Ballot
-	begun  int
-	acked  []register.Digest
-	grants []register.Grant // that calls were told are theirs
-	chosen register.Value   // of the highest ballot that any call has found chosen
-	at     register.Ballot
-	depth  int
-	label  string // the step that led here
-	trail  int    // where the explorer's trail has that step
+	disks        map[string]register.State
+	calls        map[string]*pendingCall // by node
+	knownChosen  map[string]register.Ballot
+	startedCalls int
+	acknowledged []register.Digest
+	grants       []register.Grant // returned to calls that acquired the role
+	chosen       register.Value   // of the highest ballot that any call has found chosen
+	chosenAt     register.Ballot
+	depth        int
+	label        string // the step that led here
+	trail        int    // where the explorer's trail has that step
 }
 
-// trailStep is a step of a history. Danger: states that kept the ones before them would fill the machine's memory.
+// trailStep is a step of a history. States refer to it by index: keeping their predecessors would exhaust the memory.
 type trailStep struct {
 	before int
 	label  string
 }
 
-// history returns the steps that led to a place of the trail.
+// history returns the steps that led to an index of the trail.
 func (e *explorer) history(at int) (text string) {
 	for ; at > 0; at = e.trail[at].before {
 		text = " " + e.trail[at].label + text
@@ -127,56 +127,56 @@
 
 func (s *modelState) clone() *modelState {
 	out := *s
-	out.disks, out.calls, out.proven = map[string]register.State{}, map[string]*liveCall{}, map[string]register.Ballot{}
+	out.disks, out.calls, out.knownChosen = map[string]register.State{}, map[string]*pendingCall{}, map[string]register.Ballot{}
 	for name, disk := range s.disks {
 		out.disks[name] = disk
 	}
 	for name, call := range s.calls {
 		copied := *call
-		copied.round, copied.sent = call.round.Clone(), slices.Clone(call.sent)
+		copied.proposal, copied.unsent = call.proposal.Clone(), slices.Clone(call.unsent)
 		out.calls[name] = &copied
 	}
-	for name, ballot := range s.proven {
-		out.proven[name] = ballot
+	for name, ballot := range s.knownChosen {
+		out.knownChosen[name] = ballot
 	}
 	out.depth = s.depth + 1
 	return &out
 }
 
 func (s *modelState) key(nodes []string, scratch []byte) (uint64, []byte) {
-	key := append(scratch[:0], byte(s.begun), byte(len(s.acked)), byte(len(s.grants)), byte(s.at.Number))
+	key := append(scratch[:0], byte(s.startedCalls), byte(len(s.acknowledged)), byte(len(s.grants)), byte(s.chosenAt.Number))
 	for _, name := range nodes {
 		disk := s.disks[name]
-		key = append(disk.AppendKey(key), byte(s.proven[name].Number))
+		key = append(disk.AppendKey(key), byte(s.knownChosen[name].Number))
 		call := s.calls[name]
 		if call == nil {
 			continue
 		}
-		key = append(key, byte(call.index), byte(call.must))
-		for _, sent := range call.sent {
+		key = append(key, byte(call.index), byte(call.acknowledgedBefore))
+		for _, sent := range call.unsent {
 			key = append(key, sent.voter.ID...)
 		}
-		key = call.round.AppendKey(key)
+		key = call.proposal.AppendKey(key)
 	}
 	hash := fnv.New64a()
 	_, _ = hash.Write(key) // never fails
 	return hash.Sum64(), key
 }
 
-// explorer plays a script.
+// explorer visits the states that a script can lead to.
 type explorer struct {
-	nodes         []string
-	script        []scriptedCall
-	trustAccepted bool // a mistake of the host: what the own disk has accepted counts as chosen
-	most          int  // states
-	states, depth int
-	trail         []trailStep // the first one leads nowhere
-	complete      bool        // no state within the bounds was left out
+	nodes          []string
+	script         []scriptedCall
+	trustsAccepted bool // fault of the host: what the own disk has accepted counts as chosen
+	maxStates      int  // bound on visited states
+	states, depth  int
+	trail          []trailStep // index 0 is the initial state
+	complete       bool        // all reachable states were visited
 }
 
-// run returns how a rule was broken, "" where none was.
+// run returns the first violation with its history, "" if there is none.
 func (e *explorer) run() string {
-	start := e.first()
+	start := e.initialState()
 	key, scratch := start.key(e.nodes, nil)
 	seen := map[uint64]bool{key: true}
 	e.trail = append(e.trail, trailStep{})
@@ -186,11 +186,11 @@
 		queue[0] = nil
 		queue = queue[1:]
 		e.states, e.depth = e.states+1, state.depth
-		if e.states > e.most {
+		if e.states > e.maxStates {
 			return ""
 		}
 		for _, next := range e.successors(state) {
-			if broken := e.broken(next); broken != "" {
+			if broken := e.violation(next); broken != "" {
 				return broken + ":" + e.history(state.trail) + " " + next.label
 			}
 			if key, scratch = next.key(e.nodes, scratch); !seen[key] {
@@ -205,13 +205,13 @@
 	return ""
 }
 
-// first is the state in which all founders have accepted version 1.
-func (e *explorer) first() *modelState {
+// initialState is the state in which all founders have accepted version 1.
+func (e *explorer) initialState() *modelState {
 	value := register.Value{Epoch: 1, Voters: namedVoters("A", "B", "C")}
 	value, _ = register.SetConfig(1, 0, register.DigestOf([]byte("1")))(value)
 	ballot := register.Ballot{Number: 1, Proposer: "setup"}
-	s := &modelState{disks: map[string]register.State{}, calls: map[string]*liveCall{}, proven: map[string]register.Ballot{},
-		acked: slices.Clone(value.AcceptedChanges), chosen: value, at: ballot}
+	s := &modelState{disks: map[string]register.State{}, calls: map[string]*pendingCall{}, knownChosen: map[string]register.Ballot{},
+		acknowledged: slices.Clone(value.AcceptedChanges), chosen: value, chosenAt: ballot}
 	for _, name := range e.nodes {
 		s.disks[name] = register.State{ID: name}
 	}
@@ -222,36 +222,36 @@
 }
 
 func (e *explorer) successors(s *modelState) (out []*modelState) {
-	if s.begun < len(e.script) {
-		out = append(out, e.begin(s))
+	if s.startedCalls < len(e.script) {
+		out = append(out, e.startCall(s))
 	}
 	for _, name := range e.nodes {
 		call := s.calls[name]
 		if call == nil {
 			continue
 		}
-		for i := range call.sent {
+		for i := range call.unsent {
 			out = append(out, e.exchange(s, name, i))
 		}
 	}
 	return out
 }
 
-// begin starts the next call of the script.
-func (e *explorer) begin(s *modelState) *modelState {
+// startCall starts the next call of the script.
+func (e *explorer) startCall(s *modelState) *modelState {
 	next := s.clone()
-	scripted := e.script[s.begun]
-	next.begun++
-	next.label = fmt.Sprintf("[%d at %s]", s.begun, scripted.node)
+	scripted := e.script[s.startedCalls]
+	next.startedCalls++
+	next.label = fmt.Sprintf("[%d at %s]", s.startedCalls, scripted.node)
 	switch {
-	case scripted.wipes:
+	case scripted.wipesDisk:
 		next.disks[scripted.node] = register.State{ID: scripted.node + "#2"}
 		delete(next.calls, scripted.node)
-		delete(next.proven, scripted.node)
+		delete(next.knownChosen, scripted.node)
 		return next
-	case scripted.learns != "":
+	case scripted.learner != "":
 		disk := next.disks[scripted.node]
-		if learned, _ := register.NewAcceptor(disk).HandleLearn(next.at, next.chosen, true); learned != nil {
+		if learned, _ := register.NewAcceptor(disk).HandleLearn(next.chosenAt, next.chosen, true); learned != nil {
 			next.disks[scripted.node] = *learned
 		}
 		return next
@@ -261,98 +261,98 @@
 	if len(known.Voters) == 0 {
 		known = next.chosen
 	}
-	ballot := register.Ballot{Number: e.highest(next) + 1, Proposer: fmt.Sprint(scripted.node, s.begun)}
+	ballot := register.Ballot{Number: e.highestBallot(next) + 1, Proposer: fmt.Sprint(scripted.node, s.startedCalls)}
 	round, step := register.NewProposal(ballot, register.Value{Epoch: known.Epoch, Voters: known.Voters, OutgoingVoters: known.OutgoingVoters},
 		scripted.change(known))
-	round.SetKnownChosen(next.proven[scripted.node])
-	if e.trustAccepted {
+	round.SetKnownChosen(next.knownChosen[scripted.node])
+	if e.trustsAccepted {
 		round.SetKnownChosen(disk.Accepted)
 	}
-	call := &liveCall{index: s.begun, round: round, must: len(next.acked)}
+	call := &pendingCall{index: s.startedCalls, proposal: round, acknowledgedBefore: len(next.acknowledged)}
 	call.add(step)
 	next.calls[scripted.node] = call
 	return next
 }
 
-// highest is the round above which a proposer's next one lies in any case.
-func (e *explorer) highest(s *modelState) uint64 {
+// highestBallot returns the number that a proposer's next ballot exceeds in any case.
+func (e *explorer) highestBallot(s *modelState) uint64 {
 	highest := uint64(0)
 	for _, disk := range s.disks {
 		highest = max(highest, disk.Promised.Number)
 	}
 	for _, call := range s.calls {
-		highest = max(highest, call.round.Ballot.Number)
+		highest = max(highest, call.proposal.Ballot.Number)
 	}
 	return highest
 }
 
-func (c *liveCall) add(step register.Step) {
+func (c *pendingCall) add(step register.Step) {
 	for _, voter := range step.SendPrepare {
-		c.sent = append(c.sent, exchangeStep{voter, false})
+		c.unsent = append(c.unsent, pendingMessage{voter, false})
 	}
 	if len(step.SendAccept) > 0 {
-		c.sent = nil // what was not promised by now is not waited for
+		c.unsent = nil // outstanding promises are no longer needed
 	}
 	for _, voter := range step.SendAccept {
-		c.sent = append(c.sent, exchangeStep{voter, true})
+		c.unsent = append(c.unsent, pendingMessage{voter, true})
 	}
-	slices.SortFunc(c.sent, func(a, b exchangeStep) int { return strings.Compare(a.voter.ID, b.voter.ID) })
+	slices.SortFunc(c.unsent, func(a, b pendingMessage) int { return strings.Compare(a.voter.ID, b.voter.ID) })
 }
 
-// exchange hands one message over and takes the answer.
+// exchange delivers one message and its reply.
 func (e *explorer) exchange(s *modelState, name string, i int) *modelState {
 	next := s.clone()
 	call := next.calls[name]
-	sent := call.sent[i]
-	call.sent = slices.Delete(call.sent, 0, i+1) // those before are never reached
+	sent := call.unsent[i]
+	call.unsent = slices.Delete(call.unsent, 0, i+1) // the voters before are never reached
 	next.label = fmt.Sprintf("%d>%s", call.index, sent.voter.ID)
-	if sent.accepting {
+	if sent.isAccept {
 		next.label += "!"
 	}
 	acceptor := register.NewAcceptor(next.disks[sent.voter.Address])
 	var stored *register.State
 	var step register.Step
-	if sent.accepting {
-		state, answer := acceptor.HandleAccept(register.AcceptRequest{To: sent.voter.ID, Ballot: call.round.Ballot, Value: call.round.Value}, true)
+	if sent.isAccept {
+		state, answer := acceptor.HandleAccept(register.AcceptRequest{To: sent.voter.ID, Ballot: call.proposal.Ballot, Value: call.proposal.Value}, true)
 		stored = state
-		step = call.round.HandleAcceptReply(sent.voter, answer)
+		step = call.proposal.HandleAcceptReply(sent.voter, answer)
 	} else {
-		state, answer := acceptor.HandlePrepare(register.PrepareRequest{To: sent.voter.ID, Ballot: call.round.Ballot})
+		state, answer := acceptor.HandlePrepare(register.PrepareRequest{To: sent.voter.ID, Ballot: call.proposal.Ballot})
 		stored = state
-		step = call.round.HandlePrepareReply(sent.voter, answer)
+		step = call.proposal.HandlePrepareReply(sent.voter, answer)
 	}
 	if stored != nil {
 		next.disks[sent.voter.Address] = *stored
 	}
 	call.add(step)
 	if step.Done {
-		e.end(next, name, call)
+		e.finishCall(next, name, call)
 	}
 	return next
 }
 
-// end takes what a call returns.
-func (e *explorer) end(s *modelState, name string, call *liveCall) {
-	if !holds(call.round.Outcome) {
+// finishCall records the result of a call.
+func (e *explorer) finishCall(s *modelState, name string, call *pendingCall) {
+	if !isValueChosen(call.proposal.Outcome) {
 		delete(s.calls, name)
 		return
 	}
-	s.proven[name] = call.round.ChosenAt
-	if call.round.ChosenAt.Compare(s.at) > 0 {
-		s.at, s.chosen = call.round.ChosenAt, call.round.Value
+	s.knownChosen[name] = call.proposal.ChosenAt
+	if call.proposal.ChosenAt.Compare(s.chosenAt) > 0 {
+		s.chosenAt, s.chosen = call.proposal.ChosenAt, call.proposal.Value
 	}
 	scripted := e.script[call.index]
-	if scripted.base > 0 && call.round.Outcome == register.Chosen {
-		s.acked = append(slices.Clone(s.acked), scripted.digest)
+	if scripted.base > 0 && call.proposal.Outcome == register.Chosen {
+		s.acknowledged = append(slices.Clone(s.acknowledged), scripted.digest)
 	}
-	if scripted.takes && call.round.Outcome == register.Chosen {
-		s.grants = append(slices.Clone(s.grants), call.round.Value.GrantFor(scriptedRole))
+	if scripted.acquiresRole && call.proposal.Outcome == register.Chosen {
+		s.grants = append(slices.Clone(s.grants), call.proposal.Value.GrantFor(scriptedRole))
 	}
 }
 
-// broken tells whether a call that has ended lacks a change that was acknowledged before it began, or has one twice, and whether two calls
-// were told of one grant.
-func (e *explorer) broken(s *modelState) string {
+// violation reports a finished call that lacks a change acknowledged before it started or holds one twice, and two calls
+// that acquired the role with the same token.
+func (e *explorer) violation(s *modelState) string {
 	for i, grant := range s.grants {
 		if slices.ContainsFunc(s.grants[:i], func(other register.Grant) bool { return other.Token == grant.Token }) {
 			return fmt.Sprintf("token %d is granted twice", grant.Token)
@@ -360,26 +360,26 @@
 	}
 	for _, name := range e.nodes {
 		call := s.calls[name]
-		if call == nil || !holds(call.round.Outcome) {
+		if call == nil || !isValueChosen(call.proposal.Outcome) {
 			continue
 		}
-		for _, digest := range s.acked[:call.must] {
-			if !slices.Contains(call.round.Value.AcceptedChanges, digest) {
+		for _, digest := range s.acknowledged[:call.acknowledgedBefore] {
+			if !slices.Contains(call.proposal.Value.AcceptedChanges, digest) {
 				return fmt.Sprintf("call %d lacks an acknowledged change", call.index)
 			}
 		}
-		for i, digest := range call.round.Value.AcceptedChanges {
-			if slices.Contains(call.round.Value.AcceptedChanges[:i], digest) {
+		for i, digest := range call.proposal.Value.AcceptedChanges {
+			if slices.Contains(call.proposal.Value.AcceptedChanges[:i], digest) {
 				return fmt.Sprintf("call %d finds a change that was made twice", call.index)
 			}
 		}
-		delete(s.calls, name) // it is over
+		delete(s.calls, name) // finished
 	}
 	return ""
 }
 
-// mostStates bounds one exploration; REGISTER_STATES asks for more.
-func mostStates() int {
+// maxExploredStates bounds one exploration; REGISTER_STATES overrides it.
+func maxExploredStates() int {
 	if n, err := strconv.Atoi(os.Getenv("REGISTER_STATES")); err == nil {
 		return n
 	}
@@ -389,43 +389,43 @@
 var _ = Describe("every order of messages", func() {
 	nodes := []string{"A", "B", "C", "D", "E"}
 	scripts := []TableEntry{
-		Entry("a replacement that is taken up again after a restart, beside a change of the configuration",
-			reconfigures("A", "A", "B", "D"), settles("A"), configures("B", 2), keeps("A")),
-		Entry("two replacements beside a change of the configuration",
-			reconfigures("A", "A", "B", "D"), settles("A"), reconfigures("B", "A", "D", "E"), configures("C", 2), keeps("B")),
-		Entry("a disk that is lost, its new identity taken in, and a change",
-			wipes("C"), learns("C"), reconfigures("A", "A", "B", "C#2"), settles("A"), configures("B", 2), keeps("A")),
-		Entry("two changes of the configuration beside a replacement",
-			configures("B", 2), reconfigures("A", "A", "B", "D"), configures("B", 3), settles("A"), keeps("C")),
-		Entry("a role that is taken while the voters change, and taken again by another",
-			takes("A", 0), reconfigures("B", "A", "B", "D"), settles("B"), takes("C", 1), keeps("A")),
-		Entry("a patch that is sent twice, through two nodes, beside a change of the configuration",
-			patches("A", 2), patches("B", 2), configures("C", 2), keeps("A")),
-		Entry("a spare that is taken in while another proposes another one",
-			reconfigures("A", "A", "B", "C", "D"), reconfigures("B", "A", "B", "C", "E"), settles("A"), configures("C", 2), keeps("A")),
+		Entry("a replacement resumed after a restart, with a concurrent configuration change",
+			reconfigures("A", "A", "B", "D"), completes("A"), configures("B", 2), reads("A")),
+		Entry("two replacements with a concurrent configuration change",
+			reconfigures("A", "A", "B", "D"), completes("A"), reconfigures("B", "A", "D", "E"), configures("C", 2), reads("B")),
+		Entry("a lost disk, its new identity added, and a configuration change",
+			wipes("C"), learns("C"), reconfigures("A", "A", "B", "C#2"), completes("A"), configures("B", 2), reads("A")),
+		Entry("two configuration changes with a concurrent replacement",
+			configures("B", 2), reconfigures("A", "A", "B", "D"), configures("B", 3), completes("A"), reads("C")),
+		Entry("a role acquired while the voters change, and acquired again by another",
+			acquiresRole("A", 0), reconfigures("B", "A", "B", "D"), completes("B"), acquiresRole("C", 1), reads("A")),
+		Entry("a patch sent twice through two nodes, with a concurrent configuration change",
+			patches("A", 2), patches("B", 2), configures("C", 2), reads("A")),
+		Entry("two nodes adding different spares at the same time",
+			reconfigures("A", "A", "B", "C", "D"), reconfigures("B", "A", "B", "C", "E"), completes("A"), configures("C", 2), reads("A")),
 	}
-	DescribeTable("keeps what was acknowledged", func(script ...scriptedCall) {
-		e := &explorer{nodes: nodes, script: script, most: mostStates()}
+	DescribeTable("keeps acknowledged changes", func(script ...scriptedCall) {
+		e := &explorer{nodes: nodes, script: script, maxStates: maxExploredStates()}
 		Expect(e.run()).To(BeEmpty())
 		GinkgoWriter.Printf("%d states, depth %d, complete: %v\n", e.states, e.depth, e.complete)
 		Expect(e.states).To(BeNumerically(">", 1000))
 	}, scripts)
 
-	It("shows a change of the voters that passes over the majority of those before", func() {
+	It("detects a change of the voters without a majority of the outgoing ones", func() {
 		skips := scriptedCall{node: "A", change: func(known register.Value) register.Change {
 			return func(current register.Value) (register.Value, bool) {
 				current.Epoch, current.Voters = known.Epoch+1, namedVoters("A", "B", "D")
 				return current, true
 			}
 		}}
-		e := &explorer{nodes: nodes, script: []scriptedCall{skips, configures("B", 2), keeps("A")}, most: 700_000}
+		e := &explorer{nodes: nodes, script: []scriptedCall{skips, configures("B", 2), reads("A")}, maxStates: 700_000}
 		Expect(e.run()).To(ContainSubstring("lacks an acknowledged change"))
 		GinkgoWriter.Printf("%d states, depth %d\n", e.states, e.depth)
 	})
 
-	It("shows a host that changes the voters of a value that was accepted and not chosen", func() {
-		script := []scriptedCall{reconfigures("A", "A", "B", "D"), settles("A"), configures("B", 2), keeps("A")}
-		e := &explorer{nodes: nodes, script: script, trustAccepted: true, most: 700_000}
+	It("detects a change of the voters on top of a value that is not chosen", func() {
+		script := []scriptedCall{reconfigures("A", "A", "B", "D"), completes("A"), configures("B", 2), reads("A")}
+		e := &explorer{nodes: nodes, script: script, trustsAccepted: true, maxStates: 700_000}
 		Expect(e.run()).To(ContainSubstring("lacks an acknowledged change"))
 		GinkgoWriter.Printf("%d states, depth %d\n", e.states, e.depth)
 	})
--- a/internal/decide/register/export_test.go
+++ b/internal/decide/register/export_test.go
@@ -7,34 +7,34 @@
 	"slices"
 )
 
-// Clone returns a round that goes on by itself from where r is.
-func (r *Proposal) Clone() *Proposal {
-	out := *r
-	out.promises, out.asked = maps.Clone(r.promises), maps.Clone(r.asked)
-	out.accepted, out.lost = maps.Clone(r.accepted), maps.Clone(r.lost)
+// Clone returns an independent copy.
+func (p *Proposal) Clone() *Proposal {
+	out := *p
+	out.promises, out.contacted = maps.Clone(p.promises), maps.Clone(p.contacted)
+	out.accepted, out.failed = maps.Clone(p.accepted), maps.Clone(p.failed)
 	return &out
 }
 
-// AppendKey appends what tells rounds apart that may go on differently.
-func (r *Proposal) AppendKey(key []byte) []byte {
-	key = append(r.Ballot.appendKey(key), byte(r.Outcome), byte(r.ending), truth(r.proposing))
-	if r.proposing {
-		key = r.Value.AppendKey(key)
+// AppendKey appends a key that differs for proposals that may continue differently.
+func (p *Proposal) AppendKey(key []byte) []byte {
+	key = append(p.Ballot.appendKey(key), byte(p.Outcome), byte(p.finalOutcome), boolByte(p.isAccepting))
+	if p.isAccepting {
+		key = p.Value.AppendKey(key)
 	}
-	voters := make([]Voter, 0, len(r.asked))
-	for voter := range r.asked {
+	voters := make([]Voter, 0, len(p.contacted))
+	for voter := range p.contacted {
 		voters = append(voters, voter)
 	}
 	slices.SortFunc(voters, func(a, b Voter) int { return cmp.Compare(a.ID, b.ID) })
 	for _, voter := range voters {
-		promise, promised := r.promises[voter]
-		key = append(append(key, voter.ID...), truth(promised), truth(r.accepted[voter]))
+		promise, promised := p.promises[voter]
+		key = append(append(key, voter.ID...), boolByte(promised), boolByte(p.accepted[voter]))
 		key = promise.Accepted.appendKey(key)
 	}
 	return key
 }
 
-func truth(is bool) byte {
+func boolByte(is bool) byte {
 	if is {
 		return 1
 	}
@@ -45,13 +45,13 @@
 	return append(append(binary.AppendUvarint(key, b.Number), b.Proposer...), '/')
 }
 
-// AppendKey appends what tells the states of disks apart.
+// AppendKey appends a key that differs for different states.
 func (s *State) AppendKey(key []byte) []byte {
 	key = append(key, s.ID...)
 	return s.Value.AppendKey(s.Accepted.appendKey(s.Promised.appendKey(key)))
 }
 
-// AppendKey appends what tells values apart.
+// AppendKey appends a key that differs for different values.
 func (v *Value) AppendKey(key []byte) []byte {
 	key = binary.AppendUvarint(binary.AppendUvarint(key, v.Epoch), v.ConfigVersion)
 	for _, set := range [][]Voter{v.Voters, v.OutgoingVoters} {
--- a/internal/decide/register/history_test.go
+++ b/internal/decide/register/history_test.go
@@ -18,7 +18,7 @@
 	digest register.Digest
 }
 
-// callOutput is what a call has returned. Of a call without an answer nothing is known.
+// callOutput is the result of a call; a call without a reply has an unknown one.
 type callOutput struct {
 	known   bool
 	done    bool // the change was acknowledged
@@ -26,13 +26,13 @@
 	digest  register.Digest
 }
 
-// registerState is what the register holds, as far as calls can tell.
+// registerState is the observable state of the register.
 type registerState struct {
 	version uint64
 	digest  register.Digest
 }
 
-// registerModel is a register with compare-and-swap. A change without an answer may take place at any time or never.
+// registerModel is a compare-and-swap register. A change without a reply may take effect at any time or never.
 var registerModel = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -56,36 +56,36 @@
 }
 
 // record adds a call that has returned a value.
-func (w *world) record(op *operation, value register.Value, outcome register.Outcome) {
-	w.history = append(w.history, porcupine.Operation{ClientId: op.id, Input: op.input(), Call: op.began, Return: w.now,
+func (s *simulation) record(op *operation, value register.Value, outcome register.Outcome) {
+	s.history = append(s.history, porcupine.Operation{ClientId: op.id, Input: op.input(), Call: op.startedAt, Return: s.now,
 		Output: callOutput{known: true, done: op.isChange && outcome == register.Chosen, version: value.ConfigVersion, digest: value.ConfigDigest}})
 }
 
-// recordUnknown adds a call that has ended without an answer. Reads among them say nothing.
-func (w *world) recordUnknown(op *operation) {
+// recordUnknown adds a change that has ended without a reply. Such reads constrain nothing and are left out.
+func (s *simulation) recordUnknown(op *operation) {
 	if op == nil || !op.isChange {
 		return
 	}
-	w.history = append(w.history, porcupine.Operation{ClientId: op.id, Input: op.input(), Call: op.began, Return: math.MaxInt64,
+	s.history = append(s.history, porcupine.Operation{ClientId: op.id, Input: op.input(), Call: op.startedAt, Return: math.MaxInt64,
 		Output: callOutput{}})
 }
 
 var _ = Describe("the history of all calls", func() {
-	DescribeTable("is that of one register", func(nodes int) {
+	DescribeTable("is linearizable", func(nodes int) {
 		for seed := range uint64(150) {
-			w := play(seed+10_000, nodes, 600, faults{})
-			result := porcupine.CheckOperationsTimeout(registerModel, w.history, time.Minute)
-			Expect(result).To(Equal(porcupine.Ok), "seed %d, %d calls", seed+10_000, len(w.history))
+			s := simulate(seed+10_000, nodes, 600, hostFaults{})
+			result := porcupine.CheckOperationsTimeout(registerModel, s.history, time.Minute)
+			Expect(result).To(Equal(porcupine.Ok), "seed %d, %d calls", seed+10_000, len(s.history))
 		}
 	}, Entry("with three voters", 3), Entry("with five", 5))
 
-	It("is not where a host answers before its disk has synced", func() {
+	It("is not linearizable if a host replies before its disk has synced", func() {
 		for seed := range uint64(200) {
-			w := play(seed, 3, 600, faults{answerBeforeSync: true})
-			if porcupine.CheckOperationsTimeout(registerModel, w.history, time.Minute) == porcupine.Illegal {
+			s := simulate(seed, 3, 600, hostFaults{answersBeforeSync: true})
+			if porcupine.CheckOperationsTimeout(registerModel, s.history, time.Minute) == porcupine.Illegal {
 				return
 			}
 		}
-		Fail("no history of 200 was found wrong")
+		Fail("no illegal history among 200")
 	})
 })
--- a/internal/decide/register/proposal.go
+++ b/internal/decide/register/proposal.go
@@ -1,101 +1,103 @@
 package register
 
-// Step is what a proposer wants of its host.
+// Step lists the messages that the host has to send next. Replies, and calls without a reply, go back to the Proposal or
+// QuorumRead that returned the step.
 type Step struct {
-	SendPrepare []Voter // to send Prepare to
-	SendAccept  []Voter // to send Accept to
-	SendConfig  []Voter // to send Accept to, with the configuration's bytes
-	Done        bool
+	SendPrepare []Voter // receivers of a PrepareRequest; of a ReadRequest where a QuorumRead returned the step
+	SendAccept  []Voter // receivers of an AcceptRequest
+	SendConfig  []Voter // receivers of an AcceptRequest with the bytes of the configuration
+	Done        bool    // the outcome is known; nothing has to be sent
 }
 
-// Outcome says how a round has ended.
+// Outcome is the result of a Proposal or QuorumRead.
 type Outcome int
 
-// The outcomes of a round.
+// The outcomes. Where one says that Value is chosen, a majority holds it and no later value will be derived without it.
 const (
 	InProgress Outcome = iota
-	Chosen             // Value holds, and is the change's
-	Rejected           // Value holds, and the change does not go on top of it
-	Confirmed          // Value holds now, which was not known before; the change was not made and may be tried again
-	Undecided          // another ballot stands in the way; nothing is known of the change
-	Abandoned          // the host has given it up; nothing is known of the change
+	Chosen             // Value is chosen and contains the change
+	Rejected           // Value is chosen and the change does not apply to it
+	Confirmed          // Value is chosen, which was not known before; the change was not tried and may be proposed again
+	Undecided          // a higher ballot was promised or no majority is reachable; the change may or may not be chosen later
+	Abandoned          // the host gave the proposal up; the change may or may not be chosen later
 )
 
-// Change derives the next value. It returns false where it does not go on top of the current one.
+// Change derives the next value from the current one, which it may modify. It returns false where the change does not apply.
 type Change func(current Value) (next Value, ok bool)
 
-// NoChange is the change that changes nothing: it makes sure that the value holds.
+// NoChange leaves the value as it is. Proposing it makes sure that the value is chosen.
 func NoChange(current Value) (Value, bool) { return current, true }
 
-// Proposal is the proposer's state machine for one ballot.
+// Proposal is the state machine of a proposer for one ballot.
 type Proposal struct {
 	Ballot          Ballot
 	Outcome         Outcome
-	Value           Value  // what holds, once the outcome is Chosen, Refused or Confirmed; what is proposed, while values are being accepted
-	ChosenAt        Ballot // the ballot at which Value was chosen, once it holds
-	HighestPromised Ballot // the highest ballot that stood in the way
-
-	change    Change
-	known     Value  // the voters to begin with
-	proven    Ballot // a ballot at which a value is known to be chosen
-	promises  map[Voter]PrepareReply
-	asked     askedVoters
-	proposing bool
-	ending    Outcome   // of the round once enough have accepted
-	sets      [][]Voter // whose majorities must accept
-	accepted  map[Voter]bool
-	lost      map[Voter]bool
+	Value           Value  // the proposed value during the accept phase; the chosen one where Outcome says so
+	ChosenAt        Ballot // the ballot at which Value was chosen, where Outcome says so
+	HighestPromised Ballot // the highest promised ballot that a rejection named; the next proposal must use a higher number
+
+	deriveNext   Change
+	initial      Value  // holds the voters until a reply names newer ones
+	knownChosen  Ballot // a ballot at which a value is known to be chosen
+	promises     map[Voter]PrepareReply
+	contacted    contactedVoters
+	isAccepting  bool      // in the second phase
+	finalOutcome Outcome   // the outcome once a quorum has accepted
+	acceptSets   [][]Voter // sets of voters; a majority of each must accept
+	accepted     map[Voter]bool
+	failed       map[Voter]bool // voters that rejected or did not reply in this phase
 }
 
-// NewProposal returns a round and its first step. known names the voters, of this epoch or an older one.
-func NewProposal(ballot Ballot, known Value, change Change) (*Proposal, Step) {
-	r := &Proposal{Ballot: ballot, change: change, known: known, promises: map[Voter]PrepareReply{}, asked: askedVoters{},
-		accepted: map[Voter]bool{}, lost: map[Voter]bool{}}
-	return r, Step{SendPrepare: r.asked.ask(known)}
+// NewProposal returns a proposal and its first step. initial holds the voters, of the current epoch or an older one.
+func NewProposal(ballot Ballot, initial Value, change Change) (*Proposal, Step) {
+	p := &Proposal{Ballot: ballot, deriveNext: change, initial: initial, promises: map[Voter]PrepareReply{}, contacted: contactedVoters{},
+		accepted: map[Voter]bool{}, failed: map[Voter]bool{}}
+	return p, Step{SendPrepare: p.contacted.add(initial)}
 }
 
-// SetKnownChosen tells that a value was chosen at a ballot, as an earlier round or read of this process has found.
-func (r *Proposal) SetKnownChosen(ballot Ballot) { r.proven = ballot }
+// SetKnownChosen sets a ballot at which a proposal or read of this process has found a value chosen. It spares a change of
+// the voters the round that would find that out.
+func (p *Proposal) SetKnownChosen(ballot Ballot) { p.knownChosen = ballot }
 
-// askedVoters are those that a call has turned to.
-type askedVoters map[Voter]bool
+// contactedVoters are the voters that were sent a first message.
+type contactedVoters map[Voter]bool
 
-// ask returns the voters of a value that weren't asked yet.
-func (a askedVoters) ask(value Value) (voters []Voter) {
+// add adds the voters of a value and returns those that are new.
+func (c contactedVoters) add(value Value) (added []Voter) {
 	for _, voter := range value.AllVoters() {
-		if !a[voter] {
-			a[voter] = true
-			voters = append(voters, voter)
+		if !c[voter] {
+			c[voter] = true
+			added = append(added, voter)
 		}
 	}
-	return voters
+	return added
 }
 
-// HandlePrepareReply takes a voter's answer to Prepare.
-func (r *Proposal) HandlePrepareReply(from Voter, answer PrepareReply) Step {
-	if r.Outcome != InProgress || r.proposing {
+// HandlePrepareReply handles a voter's reply to PrepareRequest. Replies that come after the phase has ended are ignored.
+func (p *Proposal) HandlePrepareReply(from Voter, reply PrepareReply) Step {
+	if p.Outcome != InProgress || p.isAccepting {
 		return Step{}
 	}
-	if !answer.OK {
-		return r.turnedDown(from, answer.WrongVoter, answer.Promised)
+	if !reply.OK {
+		return p.handleRejection(from, reply.WrongVoter, reply.Promised)
 	}
-	r.promises[from] = answer
-	newest := r.newest()
-	if more := r.asked.ask(newest.Value); len(more) > 0 {
-		return Step{SendPrepare: more}
+	p.promises[from] = reply
+	newest := p.highestAccepted()
+	if added := p.contacted.add(newest.Value); len(added) > 0 {
+		return Step{SendPrepare: added}
 	}
-	promised := func(voter Voter) bool { _, ok := r.promises[voter]; return ok }
-	if !quorum(promised, newest.Value.Voters, newest.Value.OutgoingVoters) {
+	hasPromised := func(voter Voter) bool { _, ok := p.promises[voter]; return ok }
+	if !hasQuorum(hasPromised, newest.Value.Voters, newest.Value.OutgoingVoters) {
 		return Step{}
 	}
-	return r.propose(newest)
+	return p.propose(newest)
 }
 
-// newest returns the promise with the highest accepted ballot. Danger: a voter that has accepted nothing says nothing of the
-// voters; until something was accepted, those hold with which the round began, and all founders begin with the same.
-func (r *Proposal) newest() PrepareReply {
-	newest := PrepareReply{Value: r.known}
-	for _, promise := range r.promises {
+// highestAccepted returns the promise with the highest accepted ballot. Danger: the value of a voter that has accepted
+// nothing says nothing about who votes. Until something was accepted the initial voters hold, which all founders share.
+func (p *Proposal) highestAccepted() PrepareReply {
+	newest := PrepareReply{Value: p.initial}
+	for _, promise := range p.promises {
 		if promise.Accepted.Compare(newest.Accepted) > 0 {
 			newest = promise
 		}
@@ -103,95 +105,98 @@
 	return newest
 }
 
-// propose derives the next value and has it accepted. Danger: a change of the voters must not be derived from a value that may
-// not be chosen. Two such changes in a row would lead to voters of whom no majority has met the majorities before, while those
-// go on without them. A value that isn't known to be chosen is made so first, by its own voters.
-func (r *Proposal) propose(newest PrepareReply) Step {
-	next, ok := r.change(newest.Value.Clone())
-	r.ending = Chosen
+// propose derives the next value and starts the accept phase. Danger: a change of the voters must not be derived from a value
+// that may not be chosen. Two such changes in a row would lead to voters of which no majority overlaps with the majorities
+// before, while those continue without them. A value that is not known to be chosen is therefore proposed unchanged first.
+func (p *Proposal) propose(newest PrepareReply) Step {
+	next, ok := p.deriveNext(newest.Value.Clone())
+	p.finalOutcome = Chosen
 	switch {
-	case !ok && r.holds(newest):
-		r.ChosenAt = newest.Accepted
-		return r.end(Rejected, newest.Value)
+	case !ok && p.isKnownChosen(newest):
+		p.ChosenAt = newest.Accepted
+		return p.finish(Rejected, newest.Value)
 	case !ok:
-		r.ending, next = Rejected, newest.Value
-	case next.Epoch != newest.Value.Epoch && !r.holds(newest):
-		r.ending, next = Confirmed, newest.Value
-	}
-	r.proposing, r.Value, r.ChosenAt = true, next, r.Ballot
-	r.lost = map[Voter]bool{}
-	r.sets = [][]Voter{newest.Value.Voters, newest.Value.OutgoingVoters, next.Voters, next.OutgoingVoters}
-	return Step{SendAccept: union(r.sets...)}
+		p.finalOutcome, next = Rejected, newest.Value
+	case next.Epoch != newest.Value.Epoch && !p.isKnownChosen(newest):
+		p.finalOutcome, next = Confirmed, newest.Value
+	}
+	p.isAccepting, p.Value, p.ChosenAt = true, next, p.Ballot
+	p.failed = map[Voter]bool{}
+	p.acceptSets = [][]Voter{newest.Value.Voters, newest.Value.OutgoingVoters, next.Voters, next.OutgoingVoters}
+	return Step{SendAccept: distinctVoters(p.acceptSets...)}
 }
 
-// holds tells whether the newest value is known to be chosen.
-func (r *Proposal) holds(newest PrepareReply) bool {
-	same := func(voter Voter) bool {
-		promise, ok := r.promises[voter]
+// isKnownChosen reports whether the value of a promise is known to be chosen: an earlier call has found it so, or a majority
+// of its own voters has accepted it.
+func (p *Proposal) isKnownChosen(newest PrepareReply) bool {
+	hasAccepted := func(voter Voter) bool {
+		promise, ok := p.promises[voter]
 		return ok && promise.Accepted == newest.Accepted
 	}
 	if newest.Accepted == (Ballot{}) {
 		return false
 	}
-	return newest.Accepted == r.proven || quorum(same, newest.Value.Voters, newest.Value.OutgoingVoters)
+	return newest.Accepted == p.knownChosen || hasQuorum(hasAccepted, newest.Value.Voters, newest.Value.OutgoingVoters)
 }
 
-// HandleAcceptReply takes a voter's answer to Accept.
-func (r *Proposal) HandleAcceptReply(from Voter, answer AcceptReply) Step {
-	if r.Outcome != InProgress || !r.proposing {
+// HandleAcceptReply handles a voter's reply to AcceptRequest.
+func (p *Proposal) HandleAcceptReply(from Voter, reply AcceptReply) Step {
+	if p.Outcome != InProgress || !p.isAccepting {
 		return Step{}
 	}
 	switch {
-	case answer.NeedsConfig:
+	case reply.NeedsConfig:
 		return Step{SendConfig: []Voter{from}}
-	case !answer.OK:
-		return r.turnedDown(from, answer.WrongVoter, answer.Promised)
+	case !reply.OK:
+		return p.handleRejection(from, reply.WrongVoter, reply.Promised)
 	}
-	r.accepted[from] = true
-	if !quorum(func(voter Voter) bool { return r.accepted[voter] }, r.sets...) {
+	p.accepted[from] = true
+	if !hasQuorum(func(voter Voter) bool { return p.accepted[voter] }, p.acceptSets...) {
 		return Step{}
 	}
-	return r.end(r.ending, r.Value)
+	return p.finish(p.finalOutcome, p.Value)
 }
 
-// HandleNoReply tells that a voter could not be reached or did not answer Accept or, where accepting is false, Prepare.
-func (r *Proposal) HandleNoReply(from Voter, accepting bool) Step {
-	if r.Outcome != InProgress || accepting != r.proposing {
+// HandleNoReply handles a call to a voter that failed: an AcceptRequest where isAccept is set, else a PrepareRequest.
+func (p *Proposal) HandleNoReply(from Voter, isAccept bool) Step {
+	if p.Outcome != InProgress || isAccept != p.isAccepting {
 		return Step{}
 	}
-	r.lost[from] = true
-	return r.checkHope()
+	p.failed[from] = true
+	return p.endIfNoQuorumLeft()
 }
 
-// Abandon ends the round.
-func (r *Proposal) Abandon() {
-	if r.Outcome == InProgress {
-		r.Outcome = Abandoned
+// Abandon ends the proposal; later replies are ignored.
+func (p *Proposal) Abandon() {
+	if p.Outcome == InProgress {
+		p.Outcome = Abandoned
 	}
 }
 
-func (r *Proposal) turnedDown(from Voter, stranger bool, promised Ballot) Step {
-	r.lost[from] = true
-	if !stranger && promised.Compare(r.HighestPromised) > 0 {
-		r.HighestPromised = promised
+// handleRejection counts a voter as failed and remembers the ballot that it has promised.
+func (p *Proposal) handleRejection(from Voter, isWrongVoter bool, promised Ballot) Step {
+	p.failed[from] = true
+	if !isWrongVoter && promised.Compare(p.HighestPromised) > 0 {
+		p.HighestPromised = promised
 	}
-	return r.checkHope()
+	return p.endIfNoQuorumLeft()
 }
 
-// checkHope ends the round once no majority is left.
-func (r *Proposal) checkHope() Step {
-	sets := r.sets
-	if !r.proposing {
-		newest := r.newest()
-		sets = [][]Voter{newest.Value.Voters, newest.Value.OutgoingVoters}
+// endIfNoQuorumLeft ends the proposal once the voters that have not failed are no quorum.
+func (p *Proposal) endIfNoQuorumLeft() Step {
+	quorumSets := p.acceptSets
+	if !p.isAccepting {
+		newest := p.highestAccepted()
+		quorumSets = [][]Voter{newest.Value.Voters, newest.Value.OutgoingVoters}
 	}
-	if quorum(func(voter Voter) bool { return !r.lost[voter] }, sets...) {
+	if hasQuorum(func(voter Voter) bool { return !p.failed[voter] }, quorumSets...) {
 		return Step{}
 	}
-	return r.end(Undecided, r.Value)
+	return p.finish(Undecided, p.Value)
 }
 
-func (r *Proposal) end(outcome Outcome, value Value) Step {
-	r.Outcome, r.Value = outcome, value
+// finish ends the proposal.
+func (p *Proposal) finish(outcome Outcome, value Value) Step {
+	p.Outcome, p.Value = outcome, value
 	return Step{Done: true}
 }
--- a/internal/decide/register/quorum_read.go
+++ b/internal/decide/register/quorum_read.go
@@ -1,63 +1,65 @@
 package register
 
-// QuorumRead is the state machine of a read that changes nothing. Where voters differ it can't tell, and a round of Keep must.
+// QuorumRead is the state machine of a read without a ballot. It finds the value where a majority has accepted it at the same
+// ballot, and changes nothing. Where voters differ it ends Undecided; the host then proposes NoChange.
 type QuorumRead struct {
-	Value    Value
-	ChosenAt Ballot  // the ballot at which Value was chosen
-	Outcome  Outcome // Chosen: Value holds; Outvoted: a round of Keep is needed
+	Outcome  Outcome // Chosen or Undecided once the read has ended
+	Value    Value   // the chosen value, where Outcome is Chosen
+	ChosenAt Ballot  // the ballot at which Value was chosen, where Outcome is Chosen
 
-	known   Value
-	answers map[Voter]PrepareReply
-	asked   askedVoters
-	lost    int
+	replies   map[Voter]PrepareReply
+	contacted contactedVoters
+	failures  int
 }
 
-// NewQuorumRead returns a read and its first step, whose Prepare names the voters to send Read to.
-func NewQuorumRead(known Value) (*QuorumRead, Step) {
-	r := &QuorumRead{known: known, answers: map[Voter]PrepareReply{}, asked: askedVoters{}}
-	return r, Step{SendPrepare: r.asked.ask(known)}
+// NewQuorumRead returns a read and its first step. initial holds the voters, of the current epoch or an older one. The host
+// sends a ReadRequest to each voter in Step.SendPrepare.
+func NewQuorumRead(initial Value) (*QuorumRead, Step) {
+	r := &QuorumRead{replies: map[Voter]PrepareReply{}, contacted: contactedVoters{}}
+	return r, Step{SendPrepare: r.contacted.add(initial)}
 }
 
-// HandleReadReply takes a voter's answer to Read.
-func (r *QuorumRead) HandleReadReply(from Voter, answer PrepareReply) Step {
+// HandleReadReply handles a voter's reply to ReadRequest.
+func (r *QuorumRead) HandleReadReply(from Voter, reply PrepareReply) Step {
 	if r.Outcome != InProgress {
 		return Step{}
 	}
-	if !answer.OK {
+	if !reply.OK {
 		return r.HandleNoReply()
 	}
-	r.answers[from] = answer
-	newest := answer
-	for _, other := range r.answers {
+	r.replies[from] = reply
+	newest := reply
+	for _, other := range r.replies {
 		if other.Accepted.Compare(newest.Accepted) > 0 {
 			newest = other
 		}
 	}
-	if more := r.asked.ask(newest.Value); len(more) > 0 {
-		return Step{SendPrepare: more}
+	if added := r.contacted.add(newest.Value); len(added) > 0 {
+		return Step{SendPrepare: added}
 	}
-	same := func(voter Voter) bool {
-		other, ok := r.answers[voter]
+	hasAccepted := func(voter Voter) bool {
+		other, ok := r.replies[voter]
 		return ok && other.Accepted == newest.Accepted
 	}
-	if newest.Accepted != (Ballot{}) && quorum(same, newest.Value.Voters, newest.Value.OutgoingVoters) {
+	if newest.Accepted != (Ballot{}) && hasQuorum(hasAccepted, newest.Value.Voters, newest.Value.OutgoingVoters) {
 		r.Outcome, r.Value, r.ChosenAt = Chosen, newest.Value, newest.Accepted
 		return Step{Done: true}
 	}
-	return r.checkAll()
+	return r.endIfAllReplied()
 }
 
-// HandleNoReply tells that a voter gave no answer.
+// HandleNoReply handles a call to a voter that failed.
 func (r *QuorumRead) HandleNoReply() Step {
 	if r.Outcome != InProgress {
 		return Step{}
 	}
-	r.lost++
-	return r.checkAll()
+	r.failures++
+	return r.endIfAllReplied()
 }
 
-func (r *QuorumRead) checkAll() Step {
-	if len(r.answers)+r.lost < len(r.asked) {
+// endIfAllReplied ends the read without a value once no reply is outstanding.
+func (r *QuorumRead) endIfAllReplied() Step {
+	if len(r.replies)+r.failures < len(r.contacted) {
 		return Step{}
 	}
 	r.Outcome = Undecided
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// seeds is how many histories are played; REGISTER_SEEDS asks for more.
+// seeds returns the number of simulated histories; REGISTER_SEEDS overrides it.
 func seeds() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("REGISTER_SEEDS"), 10, 64); err == nil {
 		return n
@@ -19,43 +19,43 @@
 }
 
 var _ = Describe("the register under loss, crashes, lost disks and changes of voters", func() {
-	DescribeTable("keeps what it has acknowledged", func(nodes int) {
+	DescribeTable("keeps acknowledged changes", func(nodes int) {
 		done, acked := 0, 0
 		for seed := range seeds() {
-			w := play(seed, nodes, 1000, faults{})
-			Expect(w.broken).To(BeEmpty(), "seed %d", seed)
-			done, acked = done+w.done, acked+len(w.acked)
+			s := simulate(seed, nodes, 1000, hostFaults{})
+			Expect(s.violation).To(BeEmpty(), "seed %d", seed)
+			done, acked = done+s.finishedCalls, acked+len(s.acknowledged)
 		}
-		Expect(done).To(BeNumerically(">", int(seeds())*5), "calls that ended")
-		Expect(acked).To(BeNumerically(">", int(seeds())*2), "changes that were acknowledged")
+		Expect(done).To(BeNumerically(">", int(seeds())*5), "calls that returned a value")
+		Expect(acked).To(BeNumerically(">", int(seeds())*2), "acknowledged changes")
 	}, Entry("with three voters", 3), Entry("with five", 5))
 
-	DescribeTable("shows a host that makes a mistake", func(f faults) {
+	DescribeTable("detects a faulty host", func(f hostFaults) {
 		for seed := range uint64(200) {
-			if play(seed, 3, 1500, f).broken != "" {
+			if simulate(seed, 3, 1500, f).violation != "" {
 				return
 			}
 		}
-		Fail("no rule was broken in 200 histories")
+		Fail("no violation in 200 histories")
 	},
-		Entry("that answers before its disk has synced", faults{answerBeforeSync: true}),
-		Entry("whose lost disk votes as before", faults{wipedVotes: true}),
-		Entry("that uses ballots again after a restart", faults{reuseBallots: true}),
-		Entry("that reads at a minority", faults{minorityRead: true}),
-		Entry("that forgets which configurations it accepted", faults{forgetsAccepted: true}),
+		Entry("that replies before its disk has synced", hostFaults{answersBeforeSync: true}),
+		Entry("that keeps its identity when its disk is lost", hostFaults{keepsIdentityAfterWipe: true}),
+		Entry("that reuses ballots after a restart", hostFaults{reusesBallots: true}),
+		Entry("that reads at a minority", hostFaults{readsAtMinority: true}),
+		Entry("that forgets accepted configuration changes", hostFaults{forgetsAcceptedChanges: true}),
 	)
 })
 
 var _ = Describe("an acceptor", func() {
 	founder := register.State{ID: "a", Value: register.Value{Epoch: 1, Voters: []register.Voter{{ID: "a"}}}}
 
-	It("turns away who means another identity", func() {
+	It("rejects requests for another identity", func() {
 		_, promise := register.NewAcceptor(founder).HandlePrepare(register.PrepareRequest{To: "b", Ballot: register.Ballot{Number: 1}})
 		Expect(promise.WrongVoter).To(BeTrue())
 		Expect(promise.OK).To(BeFalse())
 	})
 
-	It("promises nothing below what it has promised, and names what stands in the way", func() {
+	It("rejects ballots below the promised one and returns that", func() {
 		a := register.NewAcceptor(founder)
 		next, _ := a.HandlePrepare(register.PrepareRequest{To: "a", Ballot: register.Ballot{Number: 5}})
 		a.MarkPersisted(*next)
@@ -64,7 +64,7 @@
 		Expect(promise.Promised.Number).To(BeEquivalentTo(5))
 	})
 
-	It("asks for the bytes of a configuration that it lacks", func() {
+	It("requests the bytes of a configuration that it lacks", func() {
 		a := register.NewAcceptor(founder)
 		request := register.AcceptRequest{To: "a", Ballot: register.Ballot{Number: 1}, Value: register.Value{ConfigVersion: 3}}
 		next, answer := a.HandleAccept(request, false)
@@ -73,73 +73,73 @@
 	})
 })
 
-var _ = Describe("a round", func() {
-	It("does not take a voter that has accepted nothing for one that knows the voters", func() {
+var _ = Describe("a proposal", func() {
+	It("ignores the voters of a reply that has accepted nothing", func() {
 		voters := []register.Voter{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}, {ID: "c", Address: "3"}}
-		round, step := register.NewProposal(register.Ballot{Number: 1}, register.Value{Epoch: 2, Voters: voters}, register.NoChange)
+		proposal, step := register.NewProposal(register.Ballot{Number: 1}, register.Value{Epoch: 2, Voters: voters}, register.NoChange)
 		Expect(step.SendPrepare).To(HaveLen(3))
-		step = round.HandlePrepareReply(voters[0], register.PrepareReply{OK: true})
+		step = proposal.HandlePrepareReply(voters[0], register.PrepareReply{OK: true})
 		Expect(step.SendAccept).To(BeEmpty(), "one of three is no majority")
 	})
 
-	It("changes the voters by majorities of those before and those after", func() {
+	It("changes the voters by majorities of the outgoing and the new ones", func() {
 		voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 		after := []register.Voter{voter("d"), voter("e"), voter("f")}
 		chosen := register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 1}, Value: before}
-		round, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.BeginReconfiguration(1, after))
-		round.HandlePrepareReply(voter("a"), chosen)
-		step := round.HandlePrepareReply(voter("b"), chosen)
+		proposal, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.BeginReconfiguration(1, after))
+		proposal.HandlePrepareReply(voter("a"), chosen)
+		step := proposal.HandlePrepareReply(voter("b"), chosen)
 		Expect(step.SendAccept).To(HaveLen(6))
 		for _, id := range []string{"d", "e", "f", "a"} {
-			Expect(round.HandleAcceptReply(voter(id), register.AcceptReply{OK: true}).Done).To(BeFalse(), "after %s", id)
+			Expect(proposal.HandleAcceptReply(voter(id), register.AcceptReply{OK: true}).Done).To(BeFalse(), "after %s", id)
 		}
-		Expect(round.HandleAcceptReply(voter("b"), register.AcceptReply{OK: true}).Done).To(BeTrue())
-		Expect(round.Outcome).To(Equal(register.Chosen))
+		Expect(proposal.HandleAcceptReply(voter("b"), register.AcceptReply{OK: true}).Done).To(BeTrue())
+		Expect(proposal.Outcome).To(Equal(register.Chosen))
 	})
 
-	DescribeTable("changes the voters of a value only once that is known to be chosen",
+	DescribeTable("changes the voters only on top of a value known to be chosen",
 		func(accepted, proven register.Ballot, want register.Outcome) {
 			voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 			before := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 			after := []register.Voter{voter("a"), voter("b"), voter("d")}
-			round, _ := register.NewProposal(register.Ballot{Number: 5}, before, register.BeginReconfiguration(1, after))
-			round.SetKnownChosen(proven)
-			round.HandlePrepareReply(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 3}, Value: before})
-			round.HandlePrepareReply(voter("b"), register.PrepareReply{OK: true, Accepted: accepted, Value: before})
+			proposal, _ := register.NewProposal(register.Ballot{Number: 5}, before, register.BeginReconfiguration(1, after))
+			proposal.SetKnownChosen(proven)
+			proposal.HandlePrepareReply(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 3}, Value: before})
+			proposal.HandlePrepareReply(voter("b"), register.PrepareReply{OK: true, Accepted: accepted, Value: before})
 			for _, id := range []string{"a", "b", "c"} {
-				round.HandleAcceptReply(voter(id), register.AcceptReply{OK: true})
+				proposal.HandleAcceptReply(voter(id), register.AcceptReply{OK: true})
 			}
-			round.HandleAcceptReply(voter("d"), register.AcceptReply{OK: true})
-			Expect(round.Outcome).To(Equal(want))
+			proposal.HandleAcceptReply(voter("d"), register.AcceptReply{OK: true})
+			Expect(proposal.Outcome).To(Equal(want))
 		},
 		Entry("a majority has accepted it", register.Ballot{Number: 3}, register.Ballot{}, register.Chosen),
 		Entry("one voter alone has accepted it", register.Ballot{Number: 2}, register.Ballot{}, register.Confirmed),
-		Entry("an earlier round has found it chosen", register.Ballot{Number: 2}, register.Ballot{Number: 3}, register.Chosen),
-		Entry("an earlier round has found another one chosen", register.Ballot{Number: 2}, register.Ballot{Number: 2}, register.Confirmed),
+		Entry("an earlier proposal has found it chosen", register.Ballot{Number: 2}, register.Ballot{Number: 3}, register.Chosen),
+		Entry("an earlier proposal has found another one chosen", register.Ballot{Number: 2}, register.Ballot{Number: 2}, register.Confirmed),
 	)
 
-	It("lets a configuration change at once, by the voters of a value that may not be chosen", func() {
+	It("changes a configuration on top of a value that may not be chosen", func() {
 		voter := register.Voter{ID: "a", Address: "a"}
 		before := register.Value{Epoch: 1, Voters: []register.Voter{voter}}
-		round, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.SetConfig(1, 0, register.DigestOf([]byte("x"))))
-		Expect(round.HandlePrepareReply(voter, register.PrepareReply{OK: true}).SendAccept).To(ConsistOf(voter))
-		Expect(round.HandleAcceptReply(voter, register.AcceptReply{OK: true}).Done).To(BeTrue())
-		Expect(round.Outcome).To(Equal(register.Chosen))
+		proposal, _ := register.NewProposal(register.Ballot{Number: 2}, before, register.SetConfig(1, 0, register.DigestOf([]byte("x"))))
+		Expect(proposal.HandlePrepareReply(voter, register.PrepareReply{OK: true}).SendAccept).To(ConsistOf(voter))
+		Expect(proposal.HandleAcceptReply(voter, register.AcceptReply{OK: true}).Done).To(BeTrue())
+		Expect(proposal.Outcome).To(Equal(register.Chosen))
 	})
 })
 
-var _ = Describe("the judgement of a configuration", func() {
+var _ = Describe("the check of a configuration change", func() {
 	value := register.Value{ConfigVersion: 7, AcceptedChanges: []register.Digest{register.DigestOf([]byte("old")), register.DigestOf([]byte("now"))}}
 
-	DescribeTable("goes by what was accepted first", func(version, base uint64, data string, want register.ConfigVerdict) {
+	DescribeTable("considers duplicates first", func(version, base uint64, data string, want register.ConfigVerdict) {
 		Expect(value.CheckConfig(version, base, register.DigestOf([]byte(data)))).To(Equal(want))
 	},
-		Entry("sent again", uint64(7), uint64(5), "now", register.ConfigDuplicate),
-		Entry("sent again though a later one is in force", uint64(5), uint64(1), "old", register.ConfigDuplicate),
+		Entry("repeated", uint64(7), uint64(5), "now", register.ConfigDuplicate),
+		Entry("repeated after a later one", uint64(5), uint64(1), "old", register.ConfigDuplicate),
 		Entry("based on an older version", uint64(9), uint64(5), "new", register.ConfigStaleBase),
 		Entry("not above the current version", uint64(7), uint64(7), "new", register.ConfigStaleVersion),
-		Entry("on top of the current one", uint64(8), uint64(7), "new", register.ConfigApplicable),
+		Entry("based on the current version", uint64(8), uint64(7), "new", register.ConfigApplicable),
 	)
 })
 
@@ -154,42 +154,42 @@
 	}
 	voters := []register.Voter{a, b, c}
 
-	It("keeps a silent voter while there is nobody in its place", func() {
+	It("keeps an unreachable voter without a replacement", func() {
 		_, changed := register.NextVoters(voters, alive(a, b), 3)
 		Expect(changed).To(BeFalse())
 	})
 
-	It("puts the new identity of an address in the place of the old one", func() {
+	It("replaces an identity by the new one at its address", func() {
 		next, changed := register.NextVoters(voters, alive(a, b, wiped), 3)
 		Expect(changed).To(BeTrue())
 		Expect(next).To(ConsistOf(a, b, wiped))
 	})
 
-	It("puts a newcomer in the place of a silent voter", func() {
+	It("replaces an unreachable voter by a candidate", func() {
 		next, changed := register.NextVoters(voters, alive(a, b, d), 3)
 		Expect(changed).To(BeTrue())
 		Expect(next).To(ConsistOf(a, b, d))
 	})
 
-	It("lets further core machines join", func() {
+	It("adds further candidates", func() {
 		next, changed := register.NextVoters(voters, alive(a, b, c, d), 3)
 		Expect(changed).To(BeTrue())
 		Expect(next).To(ConsistOf(a, b, c, d))
 	})
 
-	It("lets nobody vote that has not caught up", func() {
+	It("doesn't add candidates that lag", func() {
 		learner := register.Candidate{Voter: d, Alive: true}
 		_, changed := register.NextVoters(voters, append(alive(a, b, c), learner), 3)
 		Expect(changed).To(BeFalse())
 	})
 
-	It("keeps a lost identity until the new one of its address has caught up", func() {
+	It("keeps a lost identity until its replacement has caught up", func() {
 		learner := register.Candidate{Voter: wiped, Alive: true}
 		_, changed := register.NextVoters(voters, append(alive(a, b), learner), 3)
 		Expect(changed).To(BeFalse())
 	})
 
-	It("lets a leaving voter go at once where enough are left without it", func() {
+	It("removes a leaving voter at once where enough are left", func() {
 		leaving := register.Candidate{Voter: c, Alive: true, Leaving: true}
 		next, changed := register.NextVoters([]register.Voter{a, b, c, d}, append(alive(a, b, d), leaving), 3)
 		Expect(changed).To(BeTrue())
@@ -202,13 +202,13 @@
 		Expect(changed).To(BeFalse())
 	})
 
-	It("lets nobody join that is leaving", func() {
+	It("doesn't add a leaving candidate", func() {
 		leaving := register.Candidate{Voter: d, Alive: true, CaughtUp: true, Leaving: true}
 		_, changed := register.NextVoters(voters, append(alive(a, b, c), leaving), 3)
 		Expect(changed).To(BeFalse())
 	})
 
-	It("prefers a leaving voter to a silent one where one of them has to stay", func() {
+	It("keeps a leaving voter rather than an unreachable one", func() {
 		leaving := register.Candidate{Voter: c, Alive: true, Leaving: true}
 		next, changed := register.NextVoters([]register.Voter{d, a, b, c}, append(alive(a, b), leaving), 3)
 		Expect(changed).To(BeTrue())
@@ -218,11 +218,11 @@
 
 var _ = Describe("a learner", func() {
 	old := register.State{ID: "d", Promised: register.Ballot{Number: 9}, Accepted: register.Ballot{Number: 2}, Value: register.Value{ConfigVersion: 1}}
-	learn := func(round uint64, hasConfig bool) (*register.State, bool) {
-		return register.NewAcceptor(old).HandleLearn(register.Ballot{Number: round}, register.Value{ConfigVersion: 4}, hasConfig)
+	learn := func(number uint64, hasConfig bool) (*register.State, bool) {
+		return register.NewAcceptor(old).HandleLearn(register.Ballot{Number: number}, register.Value{ConfigVersion: 4}, hasConfig)
 	}
 
-	It("takes a chosen value and keeps its promise", func() {
+	It("adopts a chosen value and keeps its promise", func() {
 		next, held := learn(5, true)
 		Expect(held).To(BeTrue())
 		Expect(next.Value.ConfigVersion).To(BeEquivalentTo(4))
@@ -230,7 +230,7 @@
 		Expect(next.Promised).To(Equal(old.Promised))
 	})
 
-	It("accepts nothing below what it has learned", func() {
+	It("rejects ballots below the learned one", func() {
 		a := register.NewAcceptor(register.State{ID: "d"})
 		next, _ := a.HandleLearn(register.Ballot{Number: 5}, register.Value{ConfigVersion: 4}, true)
 		a.MarkPersisted(*next)
@@ -240,21 +240,21 @@
 		Expect(accepted.OK).To(BeFalse())
 	})
 
-	It("does not go back", func() {
+	It("keeps a later value", func() {
 		next, held := learn(2, true)
 		Expect(held).To(BeTrue())
 		Expect(next).To(BeNil())
 	})
 
-	It("holds nothing without the bytes of the configuration", func() {
+	It("adopts nothing without the bytes of the configuration", func() {
 		next, held := learn(5, false)
 		Expect(held).To(BeFalse())
 		Expect(next).To(BeNil())
 	})
 })
 
-var _ = Describe("a configuration that is sent again", func() {
-	It("is known after a thousand later ones, by its bytes alone", func() {
+var _ = Describe("a repeated configuration change", func() {
+	It("is recognised by its bytes after a thousand later ones", func() {
 		const later = 1000
 		digest := func(version uint64) register.Digest {
 			return register.DigestOf([]byte(strconv.FormatUint(version, 10)))
@@ -266,6 +266,6 @@
 			value = next
 		}
 		Expect(value.CheckConfig(1, 0, digest(1))).To(Equal(register.ConfigDuplicate))
-		Expect(value.CheckConfig(1, 0, digest(later+2))).To(Equal(register.ConfigStaleBase), "other bytes under its number")
+		Expect(value.CheckConfig(1, 0, digest(later+2))).To(Equal(register.ConfigStaleBase), "other bytes with its version")
 	})
 })
--- a/internal/decide/register/simulation_test.go
+++ b/internal/decide/register/simulation_test.go
@@ -10,251 +10,251 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// faults are mistakes of a host that the rules must notice.
-type faults struct {
-	answerBeforeSync bool // an answer leaves before the state is on disk
-	wipedVotes       bool // a disk that was lost keeps its identity
-	reuseBallots     bool // a restart begins with the ballots of the life before
-	minorityRead     bool // a read believes the first answer
-	forgetsAccepted  bool // configurations that were accepted are not remembered
+// hostFaults are faults of a host that the checks must detect.
+type hostFaults struct {
+	answersBeforeSync      bool // a reply is sent before the state is on disk
+	keepsIdentityAfterWipe bool // a disk that was lost keeps its identity
+	reusesBallots          bool // a restart begins with the ballots of the incarnation before
+	readsAtMinority        bool // a read returns the first reply
+	forgetsAcceptedChanges bool // accepted configuration changes are not remembered
 }
 
-type node struct {
-	address  string
-	durable  register.State
-	acceptor *register.Acceptor
-	up       bool
-	life     int
-	round    uint64
-	known    register.Value  // the voters as this node heard of them
-	proven   register.Ballot // at which this life has found a value chosen
-	op       *operation
+type replica struct {
+	address       string
+	durable       register.State
+	acceptor      *register.Acceptor
+	up            bool
+	incarnation   int
+	highestBallot uint64
+	knownVoters   register.Value  // the newest voters that this replica knows
+	knownChosen   register.Ballot // at which this incarnation has found a value chosen
+	op            *operation
 }
 
-// operation is one call at a node.
+// operation is one call at a replica.
 type operation struct {
-	id       int
-	node     *node
-	life     int
-	round    *register.Proposal
-	reading  *register.QuorumRead
-	must     []register.Digest // acknowledged before this began
-	version  uint64            // the highest version that was seen before this began
-	digest   register.Digest
-	base     uint64
-	ballot   register.Ballot
-	isChange bool
-	began    int64
+	id                   int
+	node                 *replica
+	incarnation          int
+	proposal             *register.Proposal
+	quorumRead           *register.QuorumRead
+	acknowledgedBefore   []register.Digest // changes acknowledged before this call started
+	highestVersionBefore uint64            // the highest version returned before this call started
+	digest               register.Digest
+	base                 uint64
+	ballot               register.Ballot
+	isChange             bool
+	startedAt            int64
 }
 
 type packet struct {
-	to, from  string // addresses
-	voter     register.Voter
-	op        *operation
-	accepting bool
-	reading   bool
-	value     register.Value
-	ballot    register.Ballot
-	promise   *register.PrepareReply
-	accepted  *register.AcceptReply
+	to, from     string // addresses
+	voter        register.Voter
+	op           *operation
+	isAccept     bool
+	isRead       bool
+	value        register.Value
+	ballot       register.Ballot
+	prepareReply *register.PrepareReply
+	acceptReply  *register.AcceptReply
 }
 
-// world is a network of nodes with disks, all drawn from one seed.
-type world struct {
+// simulation is a network of replicas with disks, all drawn from one seed.
+type simulation struct {
 	rng     *rand.Rand
-	faults  faults
-	nodes   []*node
+	faults  hostFaults
+	nodes   []*replica
 	packets []packet
 	nextOp  int
 
-	acked   []register.Digest
-	byBase  map[uint64]register.Digest // the change that was acknowledged on top of a version
-	highest uint64                     // version that any call has returned
-	newest  register.Value             // by epoch, of those that hold
-
-	newestAt   register.Ballot // the highest at which a value is known to be chosen
-	newestHeld register.Value
-	broken     string
-	done       int // calls that ended with an answer
-	now        int64
-	history    []porcupine.Operation
+	acknowledged       []register.Digest
+	acknowledgedByBase map[uint64]register.Digest // the change that was acknowledged on top of a version
+	highestVersion     uint64                     // version that any call has returned
+	newestEpoch        register.Value             // the chosen value with the highest epoch
+
+	newestChosenAt register.Ballot // the highest ballot at which a value is known to be chosen
+	newestChosen   register.Value
+	violation      string
+	finishedCalls  int // calls that returned a value
+	now            int64
+	history        []porcupine.Operation
 }
 
-func newWorld(seed uint64, nodes int, f faults) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), faults: f, byBase: map[uint64]register.Digest{}}
+func newSimulation(seed uint64, nodes int, f hostFaults) *simulation {
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), faults: f, acknowledgedByBase: map[uint64]register.Digest{}}
 	value := register.Value{Epoch: 1}
 	for i := range nodes {
 		address := fmt.Sprintf("n%d", i)
 		value.Voters = append(value.Voters, register.Voter{ID: "founder@" + address, Address: address})
 	}
 	for _, voter := range value.Voters {
-		n := &node{address: voter.Address, up: true, known: value}
+		n := &replica{address: voter.Address, up: true, knownVoters: value}
 		n.durable = register.State{ID: voter.ID, Value: value}
 		n.acceptor = register.NewAcceptor(n.durable)
-		w.nodes = append(w.nodes, n)
+		s.nodes = append(s.nodes, n)
 	}
-	w.newest = value
-	return w
+	s.newestEpoch = value
+	return s
 }
 
-func (w *world) breakRule(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(format, args...)
+func (s *simulation) reportViolation(format string, args ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *world) node(address string) *node {
-	return w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n.address == address })]
+func (s *simulation) replicaAt(address string) *replica {
+	return s.nodes[slices.IndexFunc(s.nodes, func(n *replica) bool { return n.address == address })]
 }
 
-// step does one thing that may happen.
-func (w *world) step() {
-	w.now++
-	switch draw := w.rng.IntN(100); {
-	case draw < 70 && len(w.packets) > 0:
-		w.deliver()
+// step executes one random event.
+func (s *simulation) step() {
+	s.now++
+	switch draw := s.rng.IntN(100); {
+	case draw < 70 && len(s.packets) > 0:
+		s.deliver()
 	case draw >= 70 && draw < 72:
-		w.learn()
+		s.learn()
 	case draw < 82:
-		w.begin()
+		s.startCall()
 	case draw < 88:
-		w.lose()
+		s.loseReply()
 	case draw < 92:
-		w.crash()
+		s.crash()
 	case draw < 97:
-		w.restart()
+		s.restart()
 	case draw < 98:
-		w.wipe()
+		s.wipeDisk()
 	default:
-		w.giveUp()
+		s.abandonCall()
 	}
 }
 
-// deliver hands any packet over, now and then twice or never.
-func (w *world) deliver() {
-	i := w.rng.IntN(len(w.packets))
-	p := w.packets[i]
-	if w.rng.IntN(20) > 0 {
-		w.packets = slices.Delete(w.packets, i, i+1)
+// deliver delivers a random packet, now and then twice or never.
+func (s *simulation) deliver() {
+	i := s.rng.IntN(len(s.packets))
+	p := s.packets[i]
+	if s.rng.IntN(20) > 0 {
+		s.packets = slices.Delete(s.packets, i, i+1)
 	}
-	if w.rng.IntN(25) == 0 {
+	if s.rng.IntN(25) == 0 {
 		return
 	}
-	n := w.node(p.to)
+	n := s.replicaAt(p.to)
 	if !n.up {
 		return
 	}
-	if p.promise != nil || p.accepted != nil {
-		w.answered(n, p)
+	if p.prepareReply != nil || p.acceptReply != nil {
+		s.handleReply(n, p)
 		return
 	}
-	w.asked(n, p)
+	s.handleRequest(n, p)
 }
 
-func (w *world) asked(n *node, p packet) {
-	answer := packet{to: p.from, from: p.to, voter: p.voter, op: p.op, accepting: p.accepting, reading: p.reading}
+func (s *simulation) handleRequest(n *replica, p packet) {
+	answer := packet{to: p.from, from: p.to, voter: p.voter, op: p.op, isAccept: p.isAccept, isRead: p.isRead}
 	var next *register.State
 	switch {
-	case p.reading:
+	case p.isRead:
 		promise := n.acceptor.HandleRead(register.ReadRequest{To: p.voter.ID})
-		answer.promise = &promise
-	case p.accepting:
+		answer.prepareReply = &promise
+	case p.isAccept:
 		state, accepted := n.acceptor.HandleAccept(register.AcceptRequest{To: p.voter.ID, Ballot: p.ballot, Value: p.value}, true)
-		next, answer.accepted = state, &accepted
+		next, answer.acceptReply = state, &accepted
 	default:
 		state, promise := n.acceptor.HandlePrepare(register.PrepareRequest{To: p.voter.ID, Ballot: p.ballot})
-		next, answer.promise = state, &promise
+		next, answer.prepareReply = state, &promise
 	}
 	if next != nil {
 		n.acceptor.MarkPersisted(*next)
-		if !w.faults.answerBeforeSync || w.rng.IntN(2) == 0 {
+		if !s.faults.answersBeforeSync || s.rng.IntN(2) == 0 {
 			n.durable = *next
 		}
 	}
-	w.packets = append(w.packets, answer)
+	s.packets = append(s.packets, answer)
 }
 
-func (w *world) answered(n *node, p packet) {
+func (s *simulation) handleReply(n *replica, p packet) {
 	op := p.op
-	if n.op != op || n.life != op.life {
+	if n.op != op || n.incarnation != op.incarnation {
 		return
 	}
-	if op.reading != nil {
-		step := op.reading.HandleReadReply(p.voter, *p.promise)
-		if w.faults.minorityRead && p.promise.OK && op.reading.Outcome == register.InProgress && p.promise.Value.Epoch > 0 {
-			op.reading.Outcome, op.reading.Value, step.Done = register.Chosen, p.promise.Value, true
+	if op.quorumRead != nil {
+		step := op.quorumRead.HandleReadReply(p.voter, *p.prepareReply)
+		if s.faults.readsAtMinority && p.prepareReply.OK && op.quorumRead.Outcome == register.InProgress && p.prepareReply.Value.Epoch > 0 {
+			op.quorumRead.Outcome, op.quorumRead.Value, step.Done = register.Chosen, p.prepareReply.Value, true
 		}
-		w.carryOut(op, step)
+		s.carryOut(op, step)
 		return
 	}
-	if p.promise != nil {
-		w.carryOut(op, op.round.HandlePrepareReply(p.voter, *p.promise))
+	if p.prepareReply != nil {
+		s.carryOut(op, op.proposal.HandlePrepareReply(p.voter, *p.prepareReply))
 		return
 	}
-	w.carryOut(op, op.round.HandleAcceptReply(p.voter, *p.accepted))
+	s.carryOut(op, op.proposal.HandleAcceptReply(p.voter, *p.acceptReply))
 }
 
-func (w *world) carryOut(op *operation, step register.Step) {
+func (s *simulation) carryOut(op *operation, step register.Step) {
 	for _, voter := range step.SendPrepare {
-		w.send(op, packet{voter: voter, ballot: op.ballot, reading: op.reading != nil})
+		s.send(op, packet{voter: voter, ballot: op.ballot, isRead: op.quorumRead != nil})
 	}
 	for _, voter := range step.SendAccept {
-		w.send(op, packet{voter: voter, ballot: op.ballot, accepting: true, value: op.round.Value.Clone()})
+		s.send(op, packet{voter: voter, ballot: op.ballot, isAccept: true, value: op.proposal.Value.Clone()})
 	}
 	if step.Done {
-		w.end(op)
+		s.finishCall(op)
 	}
 }
 
-func (w *world) send(op *operation, p packet) {
+func (s *simulation) send(op *operation, p packet) {
 	p.from, p.to, p.op = op.node.address, p.voter.Address, op
-	w.packets = append(w.packets, p)
+	s.packets = append(s.packets, p)
 }
 
-// begin starts a call at a node that has none under way.
-func (w *world) begin() {
-	n := w.nodes[w.rng.IntN(len(w.nodes))]
+// startCall starts a call at a random replica, if it has none in progress.
+func (s *simulation) startCall() {
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	if !n.up || n.op != nil {
 		return
 	}
-	if own := n.acceptor.State().Value; own.Epoch > n.known.Epoch {
-		n.known = own
+	if own := n.acceptor.State().Value; own.Epoch > n.knownVoters.Epoch {
+		n.knownVoters = own
 	}
-	op := &operation{id: w.nextOp, node: n, life: n.life, must: slices.Clone(w.acked), version: w.highest, began: w.now}
-	w.nextOp++
+	op := &operation{id: s.nextOp, node: n, incarnation: n.incarnation, acknowledgedBefore: slices.Clone(s.acknowledged), highestVersionBefore: s.highestVersion, startedAt: s.now}
+	s.nextOp++
 	n.op = op
-	voters := register.Value{Epoch: n.known.Epoch, Voters: n.known.Voters, OutgoingVoters: n.known.OutgoingVoters}
-	if w.rng.IntN(4) == 0 {
+	voters := register.Value{Epoch: n.knownVoters.Epoch, Voters: n.knownVoters.Voters, OutgoingVoters: n.knownVoters.OutgoingVoters}
+	if s.rng.IntN(4) == 0 {
 		var step register.Step
-		op.reading, step = register.NewQuorumRead(voters)
-		w.carryOut(op, step)
+		op.quorumRead, step = register.NewQuorumRead(voters)
+		s.carryOut(op, step)
 		return
 	}
-	change := w.draw(op)
-	n.round = max(n.round, n.acceptor.State().Promised.Number) + 1
-	proposer := fmt.Sprintf("%s/%d", n.address, n.life)
-	if w.faults.reuseBallots {
-		n.round, proposer = uint64(op.id%7+1), n.address
+	change := s.drawChange(op)
+	n.highestBallot = max(n.highestBallot, n.acceptor.State().Promised.Number) + 1
+	proposer := fmt.Sprintf("%s/%d", n.address, n.incarnation)
+	if s.faults.reusesBallots {
+		n.highestBallot, proposer = uint64(op.id%7+1), n.address
 	}
-	op.ballot = register.Ballot{Number: n.round, Proposer: proposer}
+	op.ballot = register.Ballot{Number: n.highestBallot, Proposer: proposer}
 	var step register.Step
-	op.round, step = register.NewProposal(op.ballot, voters, change)
-	op.round.SetKnownChosen(n.proven)
-	w.carryOut(op, step)
+	op.proposal, step = register.NewProposal(op.ballot, voters, change)
+	op.proposal.SetKnownChosen(n.knownChosen)
+	s.carryOut(op, step)
 }
 
-func (w *world) draw(op *operation) register.Change {
+func (s *simulation) drawChange(op *operation) register.Change {
 	n := op.node
-	switch w.rng.IntN(6) {
+	switch s.rng.IntN(6) {
 	case 0:
 		return register.NoChange
 	case 1:
-		return w.membership(n)
+		return s.voterChange(n)
 	default:
-		op.isChange, op.base = true, w.highest
+		op.isChange, op.base = true, s.highestVersion
 		op.digest = register.DigestOf([]byte(fmt.Sprint(op.id)))
 		change := register.SetConfig(op.base+1, op.base, op.digest)
-		if !w.faults.forgetsAccepted {
+		if !s.faults.forgetsAcceptedChanges {
 			return change
 		}
 		return func(current register.Value) (register.Value, bool) {
@@ -265,193 +265,195 @@
 	}
 }
 
-func (w *world) membership(n *node) register.Change {
-	if len(n.known.OutgoingVoters) > 0 {
+func (s *simulation) voterChange(n *replica) register.Change {
+	if len(n.knownVoters.OutgoingVoters) > 0 {
 		return register.CompleteReconfiguration
 	}
 	var candidates []register.Candidate
-	for _, other := range w.nodes {
+	for _, other := range s.nodes {
 		voter := register.Voter{ID: other.durable.ID, Address: other.address}
-		candidates = append(candidates, register.Candidate{Voter: voter, Alive: other.up, CaughtUp: w.caughtUp(other)})
+		candidates = append(candidates, register.Candidate{Voter: voter, Alive: other.up, CaughtUp: s.isCaughtUp(other)})
 	}
-	next, changed := register.NextVoters(n.known.Voters, candidates, len(w.nodes))
+	next, changed := register.NextVoters(n.knownVoters.Voters, candidates, len(s.nodes))
 	if !changed {
 		return register.NoChange
 	}
-	return register.BeginReconfiguration(n.known.Epoch, next)
+	return register.BeginReconfiguration(n.knownVoters.Epoch, next)
 }
 
-// caughtUp tells whether a node's disk holds the newest value that any call has returned.
-func (w *world) caughtUp(n *node) bool { return n.durable.Accepted.Compare(w.newestAt) >= 0 }
+// isCaughtUp reports whether a replica's disk holds the newest value that any call has returned.
+func (s *simulation) isCaughtUp(n *replica) bool {
+	return n.durable.Accepted.Compare(s.newestChosenAt) >= 0
+}
 
-// learn hands the newest value that a call has returned to a node, as its host does for those that are behind.
-func (w *world) learn() {
-	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	if !n.up || w.newestAt == (register.Ballot{}) {
+// learn has a random replica learn the newest value that a call has returned, as its host does when it lags.
+func (s *simulation) learn() {
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
+	if !n.up || s.newestChosenAt == (register.Ballot{}) {
 		return
 	}
-	if next, _ := n.acceptor.HandleLearn(w.newestAt, w.newestHeld.Clone(), true); next != nil {
+	if next, _ := n.acceptor.HandleLearn(s.newestChosenAt, s.newestChosen.Clone(), true); next != nil {
 		n.acceptor.MarkPersisted(*next)
 		n.durable = *next
 	}
 }
 
-// end checks what a call returns.
-func (w *world) end(op *operation) {
+// finishCall checks and records the result of a call.
+func (s *simulation) finishCall(op *operation) {
 	n := op.node
 	n.op = nil
 	value, outcome, at := register.Value{}, register.Undecided, register.Ballot{}
-	if op.reading != nil {
-		value, outcome, at = op.reading.Value, op.reading.Outcome, op.reading.ChosenAt
+	if op.quorumRead != nil {
+		value, outcome, at = op.quorumRead.Value, op.quorumRead.Outcome, op.quorumRead.ChosenAt
 	} else {
-		value, outcome, at = op.round.Value, op.round.Outcome, op.round.ChosenAt
-		n.round = max(n.round, op.round.HighestPromised.Number)
+		value, outcome, at = op.proposal.Value, op.proposal.Outcome, op.proposal.ChosenAt
+		n.highestBallot = max(n.highestBallot, op.proposal.HighestPromised.Number)
 	}
-	if holds(outcome) {
-		n.proven = at
-		if at.Compare(w.newestAt) > 0 {
-			w.newestAt, w.newestHeld = at, value
+	if isValueChosen(outcome) {
+		n.knownChosen = at
+		if at.Compare(s.newestChosenAt) > 0 {
+			s.newestChosenAt, s.newestChosen = at, value
 		}
 	}
 	if outcome != register.Chosen && outcome != register.Rejected {
-		w.recordUnknown(op)
+		s.recordUnknown(op)
 		return
 	}
-	w.record(op, value, outcome)
-	w.done++
-	if value.Epoch > n.known.Epoch {
-		n.known = value
+	s.record(op, value, outcome)
+	s.finishedCalls++
+	if value.Epoch > n.knownVoters.Epoch {
+		n.knownVoters = value
 	}
-	if value.Epoch > w.newest.Epoch {
-		w.newest = value
+	if value.Epoch > s.newestEpoch.Epoch {
+		s.newestEpoch = value
 	}
-	w.check(op, value)
+	s.checkResult(op, value)
 	if op.isChange && (outcome == register.Chosen || value.CheckConfig(op.base+1, op.base, op.digest) == register.ConfigDuplicate) {
-		w.acknowledge(op)
+		s.acknowledge(op)
 	}
-	w.highest = max(w.highest, value.ConfigVersion)
+	s.highestVersion = max(s.highestVersion, value.ConfigVersion)
 }
 
-// holds tells whether a call has found a value that is chosen.
-func holds(outcome register.Outcome) bool {
+// isValueChosen reports whether an outcome says that the value is chosen.
+func isValueChosen(outcome register.Outcome) bool {
 	return outcome == register.Chosen || outcome == register.Rejected || outcome == register.Confirmed
 }
 
-// check holds a value that a call returns against all that was acknowledged before the call.
-func (w *world) check(op *operation, value register.Value) {
-	if value.ConfigVersion < op.version {
-		w.breakRule("call %d returns version %d after %d was seen", op.id, value.ConfigVersion, op.version)
+// checkResult compares a returned value with all that was acknowledged before the call.
+func (s *simulation) checkResult(op *operation, value register.Value) {
+	if value.ConfigVersion < op.highestVersionBefore {
+		s.reportViolation("call %d returns version %d after %d was seen", op.id, value.ConfigVersion, op.highestVersionBefore)
 	}
-	for _, digest := range op.must {
+	for _, digest := range op.acknowledgedBefore {
 		if !slices.Contains(value.AcceptedChanges, digest) {
-			w.breakRule("call %d returns a value without an acknowledged change", op.id)
+			s.reportViolation("call %d returns a value without an acknowledged change", op.id)
 		}
 	}
 }
 
-func (w *world) acknowledge(op *operation) {
-	if other, taken := w.byBase[op.base]; taken && other != op.digest {
-		w.breakRule("two changes on top of version %d are acknowledged", op.base)
+func (s *simulation) acknowledge(op *operation) {
+	if other, taken := s.acknowledgedByBase[op.base]; taken && other != op.digest {
+		s.reportViolation("two changes on top of version %d are acknowledged", op.base)
 	}
-	w.byBase[op.base] = op.digest
-	if !slices.Contains(w.acked, op.digest) {
-		w.acked = append(w.acked, op.digest)
+	s.acknowledgedByBase[op.base] = op.digest
+	if !slices.Contains(s.acknowledged, op.digest) {
+		s.acknowledged = append(s.acknowledged, op.digest)
 	}
 }
 
-// lose tells a call that a voter did not answer.
-func (w *world) lose() {
-	n := w.nodes[w.rng.IntN(len(w.nodes))]
+// loseReply fails a message of a random call.
+func (s *simulation) loseReply() {
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	if n.op == nil {
 		return
 	}
-	voters := n.known.AllVoters()
-	voter := voters[w.rng.IntN(len(voters))]
-	if n.op.reading != nil {
-		w.carryOut(n.op, n.op.reading.HandleNoReply())
+	voters := n.knownVoters.AllVoters()
+	voter := voters[s.rng.IntN(len(voters))]
+	if n.op.quorumRead != nil {
+		s.carryOut(n.op, n.op.quorumRead.HandleNoReply())
 		return
 	}
-	w.carryOut(n.op, n.op.round.HandleNoReply(voter, w.rng.IntN(2) == 0))
+	s.carryOut(n.op, n.op.proposal.HandleNoReply(voter, s.rng.IntN(2) == 0))
 }
 
-func (w *world) giveUp() {
-	n := w.nodes[w.rng.IntN(len(w.nodes))]
+func (s *simulation) abandonCall() {
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	if n.op != nil {
-		if n.op.round != nil {
-			n.op.round.Abandon()
+		if n.op.proposal != nil {
+			n.op.proposal.Abandon()
 		}
-		w.recordUnknown(n.op)
+		s.recordUnknown(n.op)
 		n.op = nil
 	}
 }
 
-func (w *world) crash() {
-	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	w.recordUnknown(n.op)
+func (s *simulation) crash() {
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
+	s.recordUnknown(n.op)
 	n.up, n.op = false, nil
 }
 
-func (w *world) restart() {
-	for _, n := range w.nodes {
+func (s *simulation) restart() {
+	for _, n := range s.nodes {
 		if n.up {
 			continue
 		}
 		n.up = true
-		n.life++
-		n.round, n.proven = 0, register.Ballot{}
+		n.incarnation++
+		n.highestBallot, n.knownChosen = 0, register.Ballot{}
 		n.acceptor = register.NewAcceptor(n.durable)
-		n.known = w.heard(n)
+		n.knownVoters = s.votersAtRestart(n)
 		return
 	}
 }
 
-// heard is what a node that begins is told of the voters: what is on its disk, or what any live node knows.
-func (w *world) heard(n *node) register.Value {
+// votersAtRestart returns the newest voters on a replica's disk or known to a live replica.
+func (s *simulation) votersAtRestart(n *replica) register.Value {
 	known := n.durable.Value
-	for _, other := range w.nodes {
-		if other.up && other.known.Epoch > known.Epoch {
-			known = other.known
+	for _, other := range s.nodes {
+		if other.up && other.knownVoters.Epoch > known.Epoch {
+			known = other.knownVoters
 		}
 	}
 	return known
 }
 
-// wipe takes a node's disk, if all voters still have theirs: one may be lost at a time.
-func (w *world) wipe() {
-	if len(w.newest.OutgoingVoters) > 0 {
+// wipeDisk loses a replica's disk if all voters still have theirs: one may be lost at a time.
+func (s *simulation) wipeDisk() {
+	if len(s.newestEpoch.OutgoingVoters) > 0 {
 		return
 	}
-	for _, voter := range w.newest.Voters {
-		if w.node(voter.Address).durable.ID != voter.ID {
+	for _, voter := range s.newestEpoch.Voters {
+		if s.replicaAt(voter.Address).durable.ID != voter.ID {
 			return
 		}
 	}
-	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	id := fmt.Sprintf("%s#%d", n.address, w.nextOp)
-	w.nextOp++
-	if w.faults.wipedVotes {
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
+	id := fmt.Sprintf("%s#%d", n.address, s.nextOp)
+	s.nextOp++
+	if s.faults.keepsIdentityAfterWipe {
 		id = n.durable.ID
 	}
-	value := n.known
-	w.recordUnknown(n.op)
+	value := n.knownVoters
+	s.recordUnknown(n.op)
 	n.up, n.op = false, nil
 	n.durable = register.State{ID: id}
-	if w.faults.wipedVotes {
+	if s.faults.keepsIdentityAfterWipe {
 		n.durable.Value = register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters}
 	}
 }
 
-// play takes steps until a rule is broken or there are enough.
-func play(seed uint64, nodes, steps int, f faults) *world {
-	w := newWorld(seed, nodes, f)
+// simulate executes steps until there is a violation or enough of them.
+func simulate(seed uint64, nodes, steps int, f hostFaults) *simulation {
+	s := newSimulation(seed, nodes, f)
 	for range steps {
-		w.step()
-		if w.broken != "" {
+		s.step()
+		if s.violation != "" {
 			break
 		}
 	}
-	for _, n := range w.nodes {
-		w.recordUnknown(n.op)
+	for _, n := range s.nodes {
+		s.recordUnknown(n.op)
 	}
-	return w
+	return s
 }
--- a/internal/decide/register/value.go
+++ b/internal/decide/register/value.go
@@ -5,37 +5,37 @@
 	"slices"
 )
 
-// Digest names the bytes of a configuration.
+// Digest identifies the bytes of a configuration, or of what a configuration was derived from.
 type Digest [16]byte
 
-// DigestOf returns the digest of data.
+// DigestOf returns the digest of data: the first bytes of its SHA-256 sum.
 func DigestOf(data []byte) Digest {
 	sum := sha256.Sum256(data)
 	return Digest(sum[:16])
 }
 
-// Voter is a replica: the identity that its disk holds, and where it is reached. A disk that was lost takes the identity with it.
+// Voter is a replica of the register.
 type Voter struct {
-	ID      string `msgpack:"i"`
-	Address string `msgpack:"a"`
+	ID      string `msgpack:"i"` // identity, stored on the voter's disk and lost with it
+	Address string `msgpack:"a"` // IP:PORT at which peers reach it
 }
 
-// Grant says who holds a singleton role. Token only grows.
+// Grant is the lease grant of a singleton role.
 type Grant struct {
 	Role   string `msgpack:"r"`
-	Holder string `msgpack:"h"`
-	Token  uint64 `msgpack:"t"`
+	Holder string `msgpack:"h"` // the lease holder
+	Token  uint64 `msgpack:"t"` // fencing token: one higher with each grant of the role
 }
 
-// Value is what the register holds.
+// Value is the content of the register.
 type Value struct {
 	Epoch           uint64   `msgpack:"e"` // counts changes of the voters
 	Voters          []Voter  `msgpack:"v"`
-	OutgoingVoters  []Voter  `msgpack:"o"` // the voters before, while both sets decide; else empty
-	ConfigVersion   uint64   `msgpack:"n"` // of the configuration; 0: there is none yet
-	ConfigDigest    Digest   `msgpack:"c"`
-	AcceptedChanges []Digest `msgpack:"d"` // the configurations accepted last, the newest at the end
-	Grants          []Grant  `msgpack:"g"`
+	OutgoingVoters  []Voter  `msgpack:"o"` // the voters before, during a reconfiguration; else empty
+	ConfigVersion   uint64   `msgpack:"n"` // 0: there is no configuration yet
+	ConfigDigest    Digest   `msgpack:"c"` // of the configuration's bytes, which are stored beside the value
+	AcceptedChanges []Digest `msgpack:"d"` // identities of the last configuration changes, the newest at the end
+	Grants          []Grant  `msgpack:"g"` // at most one for each role
 }
 
 // Clone returns a value that shares no memory with v.
@@ -45,7 +45,7 @@
 	return v
 }
 
-// GrantFor returns who holds a role, the zero Grant if nobody ever did.
+// GrantFor returns the grant of a role. Its token is 0 if the role was never granted.
 func (v *Value) GrantFor(role string) Grant {
 	for _, grant := range v.Grants {
 		if grant.Role == role {
@@ -55,13 +55,17 @@
 	return Grant{Role: role}
 }
 
-// AllVoters returns the voters of both sets, each once.
-func (v *Value) AllVoters() []Voter { return union(v.Voters, v.OutgoingVoters) }
+// AllVoters returns the current and the outgoing voters, each once.
+func (v *Value) AllVoters() []Voter { return distinctVoters(v.Voters, v.OutgoingVoters) }
 
-// HasQuorum tells whether a majority of the voters, and of those before while both decide, is in.
-func (v *Value) HasQuorum(in func(Voter) bool) bool { return quorum(in, v.Voters, v.OutgoingVoters) }
+// HasQuorum reports whether isMember holds for a majority of the current voters and, during a reconfiguration, also for a
+// majority of the outgoing ones.
+func (v *Value) HasQuorum(isMember func(Voter) bool) bool {
+	return hasQuorum(isMember, v.Voters, v.OutgoingVoters)
+}
 
-func union(sets ...[]Voter) (all []Voter) {
+// distinctVoters returns the voters of all sets, each once, in the order in which they first occur.
+func distinctVoters(sets ...[]Voter) (all []Voter) {
 	for _, set := range sets {
 		for _, voter := range set {
 			if !slices.Contains(all, voter) {
@@ -72,12 +76,12 @@
 	return all
 }
 
-// quorum tells whether a majority of every set that isn't empty is in.
-func quorum(in func(Voter) bool, sets ...[]Voter) bool {
+// hasQuorum reports whether isMember holds for a majority of each set that is not empty.
+func hasQuorum(isMember func(Voter) bool, sets ...[]Voter) bool {
 	for _, set := range sets {
 		count := 0
 		for _, voter := range set {
-			if in(voter) {
+			if isMember(voter) {
 				count++
 			}
 		}
--- a/internal/decide/register/voter_change.go
+++ b/internal/decide/register/voter_change.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// BeginReconfiguration returns the change to other voters, of the epoch after the given one. Both sets decide until Settle.
+// BeginReconfiguration returns the change that starts a reconfiguration to other voters. It applies to a value of the given
+// epoch that is not being reconfigured. Until CompleteReconfiguration majorities of both sets decide.
 func BeginReconfiguration(epoch uint64, voters []Voter) Change {
 	return func(current Value) (Value, bool) {
 		if current.Epoch != epoch || len(current.OutgoingVoters) > 0 || len(voters) == 0 {
@@ -14,7 +15,7 @@
 	}
 }
 
-// CompleteReconfiguration is the change that lets the new voters decide alone.
+// CompleteReconfiguration is the change that ends a reconfiguration: the outgoing voters vote no longer.
 func CompleteReconfiguration(current Value) (Value, bool) {
 	if len(current.OutgoingVoters) == 0 {
 		return current, false
@@ -24,46 +25,46 @@
 	return current, true
 }
 
-// Candidate is a control process that could vote.
+// Candidate is a control process that votes or could vote.
 type Candidate struct {
 	Voter
-	Alive    bool // heard of lately
-	Leaving  bool // about to end
-	CaughtUp bool // holds the newest value and the bytes of its configuration on its disk; asked only of those that don't vote
+	Alive    bool // reachable lately
+	Leaving  bool // shutting down gracefully
+	CaughtUp bool // its disk holds the newest value and the bytes of its configuration; set only for those that don't vote
 }
 
-// joins tells whether a candidate that doesn't vote may.
-func (c *Candidate) joins() bool { return c.Alive && c.CaughtUp && !c.Leaving }
+// canJoin reports whether a candidate that doesn't vote may become a voter.
+func (c *Candidate) canJoin() bool { return c.Alive && c.CaughtUp && !c.Leaving }
 
-// NextVoters decides on the next set of voters: candidates that have caught up join; voters leave that lost their disk, that are
-// about to end or that are silent, in this order, while as many as wanted are left. It returns false where nothing is to be changed.
-func NextVoters(current []Voter, candidates []Candidate, wanted int) ([]Voter, bool) {
-	var next, leaving, silent, replaced []Voter
+// NextVoters returns the next set of voters, and false where it is the current one. Candidates that have caught up join.
+// Voters that are leaving, are unreachable or have lost their disk stay only as far as desired voters need them, in this
+// order of preference.
+func NextVoters(current []Voter, candidates []Candidate, desired int) ([]Voter, bool) {
+	var next, leaving, unreachable, replaced []Voter
 	for _, voter := range current {
 		switch candidate := FindLiveCandidate(voter, candidates); {
 		case candidate != nil && candidate.Leaving:
 			leaving = append(leaving, voter)
 		case candidate != nil:
 			next = append(next, voter)
-		case replacedBy(voter, candidates):
+		case isReplaced(voter, candidates):
 			replaced = append(replaced, voter)
 		default:
-			silent = append(silent, voter)
+			unreachable = append(unreachable, voter)
 		}
 	}
-	joined := false
+	hasJoined := false
 	for _, candidate := range candidates {
-		if candidate.joins() && !slices.Contains(current, candidate.Voter) {
-			next, joined = append(next, candidate.Voter), true
+		if candidate.canJoin() && !slices.Contains(current, candidate.Voter) {
+			next, hasJoined = append(next, candidate.Voter), true
 		}
 	}
-	// Those that can't vote for long stay only while fewer than wanted are left without them.
-	spare := slices.Concat(leaving, silent, replaced)
-	next = append(next, spare[:min(max(wanted-len(next), 0), len(spare))]...)
-	return next, (joined || len(next) < len(current)) && len(next) > 0
+	reserve := slices.Concat(leaving, unreachable, replaced)
+	next = append(next, reserve[:min(max(desired-len(next), 0), len(reserve))]...)
+	return next, (hasJoined || len(next) < len(current)) && len(next) > 0
 }
 
-// FindLiveCandidate returns the live candidate that is a voter by its identity, nil if there is none.
+// FindLiveCandidate returns the live candidate with the identity and address of a voter, nil if there is none.
 func FindLiveCandidate(voter Voter, candidates []Candidate) *Candidate {
 	for i := range candidates {
 		if candidates[i].Alive && candidates[i].Voter == voter {
@@ -73,8 +74,8 @@
 	return nil
 }
 
-// replacedBy tells whether another identity lives at a voter's address.
-func replacedBy(voter Voter, candidates []Candidate) bool {
+// isReplaced reports whether a live candidate has another identity at a voter's address: the voter's disk is lost.
+func isReplaced(voter Voter, candidates []Candidate) bool {
 	return slices.ContainsFunc(candidates, func(c Candidate) bool {
 		return c.Alive && c.Address == voter.Address && c.ID != voter.ID
 	})
