--- a/internal/decide/reconfiguration/upkeep.go
+++ b/internal/decide/reconfiguration/candidates.go
@@ -1,38 +1,12 @@
-// Package reconfiguration decides which control process looks after the voters of the register, and when. There is no leader: each voter
-// has its turn, in an order that all derive from whom they are in touch with, and the turns of those that fail pass by themselves.
-// It is pure; time comes as seconds on the process's steady clock.
 package reconfiguration
 
 import (
-	"maps"
 	"slices"
 	"strings"
 
 	"hazelwheel/internal/decide/register"
 )
 
-// turnS is how long a process has for its turn before the next one tries as well, in seconds.
-const turnS = 0.7
-
-// StaggeredTimer keeps for how long a change of the voters has been needed.
-type StaggeredTimer struct {
-	needed bool
-	since  float64
-}
-
-// IsDue tells whether it is this process's turn: the process of rank 0 acts at once, each next one where the need is still there a
-// turn later. Danger: two processes may act at the same time. Changes of the register allow that; turns only make it rare.
-func (t *StaggeredTimer) IsDue(now float64, needed bool, rank int) bool {
-	if !needed {
-		t.needed = false
-		return false
-	}
-	if !t.needed {
-		t.needed, t.since = true, now
-	}
-	return now-t.since >= turnS*float64(rank)
-}
-
 // Rank returns the place of a process among the voters that are alive, itself among them, by their identities. It returns false for a
 // process that doesn't vote.
 func Rank(self string, value *register.Value, alive func(register.Voter) bool) (int, bool) {
@@ -83,27 +57,3 @@
 func IsLiveVoter(candidates []register.Candidate) func(register.Voter) bool {
 	return func(voter register.Voter) bool { return register.FindLiveCandidate(voter, candidates) != nil }
 }
-
-// LearnerTargets keeps what each candidate that is asked must hold to vote: the value that was chosen when it was asked first, or a later one.
-// Danger: to ask for the newest one each time is a target that moves with each change, and a candidate that is as fast as all others
-// would never meet it. What is chosen meanwhile it learns as a voter does that was passed over by some rounds.
-type LearnerTargets struct {
-	since map[register.Voter]register.Ballot
-}
-
-// Target returns the ballot of the value that a candidate must hold, or a later one. newest is that of the value chosen last.
-func (l *LearnerTargets) Target(candidate register.Voter, newest register.Ballot) register.Ballot {
-	if l.since == nil {
-		l.since = map[register.Voter]register.Ballot{}
-	}
-	if since, asked := l.since[candidate]; asked {
-		return since
-	}
-	l.since[candidate] = newest
-	return newest
-}
-
-// Retain forgets all that are not asked any longer, so that one that comes back has to hold what is chosen then.
-func (l *LearnerTargets) Retain(asked func(candidate register.Voter) bool) {
-	maps.DeleteFunc(l.since, func(candidate register.Voter, _ register.Ballot) bool { return !asked(candidate) })
-}
