--- a/internal/decide/reconfiguration/checks_test.go
+++ b/internal/decide/reconfiguration/checks_test.go
@@ -7,29 +7,29 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// checkNewcomers looks whether those that join hold on their disks what had been acknowledged when they began. What came since they
-// learn as voters do.
-func (w *world) checkNewcomers(value register.Value, next []register.Voter) {
+// checkJoining checks that joining voters hold on their disks what had been acknowledged when they started. What came since they
+// learn as other voters do.
+func (s *simulation) checkJoining(value register.Value, next []register.Voter) {
 	for _, voter := range next {
-		n := w.find(voter.Address)
+		n := s.nodeAt(voter.Address)
 		if slices.Contains(value.Voters, voter) || n == nil || n.disk.ID != voter.ID {
 			continue
 		}
-		if n.disk.Value.ConfigVersion < n.since {
-			w.breakRule("%s votes with version %d, %d was acknowledged before it began", voter.ID, n.disk.Value.ConfigVersion, n.since)
+		if n.disk.Value.ConfigVersion < n.acknowledgedAtStart {
+			s.reportViolation("%s votes with version %d, %d was acknowledged before it started", voter.ID, n.disk.Value.ConfigVersion, n.acknowledgedAtStart)
 		}
 	}
 }
 
-// checkJoined looks whether a machine votes once it has had its time, where there was no other trouble meanwhile.
-func (w *world) checkJoined(n *node, began float64) {
-	if n.frozen || n.leaving || w.calmFrom > began {
+// checkHasJoined checks that a machine votes catchUpSeconds after its start, unless there was a fault meanwhile.
+func (s *simulation) checkHasJoined(n *node, startedAt float64) {
+	if n.isFrozen || n.isLeaving || s.faultsEndAt > startedAt {
 		return
 	}
-	newest := n.told
-	for _, other := range w.nodes {
-		if other.up && other.told.Epoch > newest.Epoch {
-			newest = other.told
+	newest := n.knownVoters
+	for _, other := range s.nodes {
+		if other.isUp && other.knownVoters.Epoch > newest.Epoch {
+			newest = other.knownVoters
 		}
 	}
 	for _, voter := range newest.Voters {
@@ -37,54 +37,54 @@
 			return
 		}
 	}
-	w.breakRule("%s (%s) does not vote %.0f s after it has begun", n.address, n.disk.ID, catchUpS)
+	s.reportViolation("%s (%s) does not vote %.0f s after its start", n.address, n.disk.ID, catchUpSeconds)
 }
 
-// operate sends a change or a read to any machine.
-func (w *world) operate() {
-	w.after(w.gapS*(0.5+w.rng.Float64()), w.operate)
-	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	if !n.up || n.frozen {
+// operate sends a change or a read to a random machine.
+func (s *simulation) operate() {
+	s.after(s.operationSeconds*(0.5+s.rng.Float64()), s.operate)
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
+	if !n.isUp || n.isFrozen {
 		return
 	}
-	must, seen := w.acked[:len(w.acked):len(w.acked)], w.highest
+	acknowledgedBefore, highestBefore := s.acknowledged[:len(s.acknowledged):len(s.acknowledged)], s.highestVersion
 	check := func(value register.Value) {
 		has := make(map[register.Digest]bool, len(value.AcceptedChanges))
 		for _, digest := range value.AcceptedChanges {
 			has[digest] = true
 		}
-		for _, digest := range must {
+		for _, digest := range acknowledgedBefore {
 			if !has[digest] {
-				w.breakRule("%s returns version %d without an acknowledged change", n.address, value.ConfigVersion)
+				s.reportViolation("%s returns version %d without an acknowledged change", n.address, value.ConfigVersion)
 			}
 		}
-		if value.ConfigVersion < seen {
-			w.breakRule("%s returns version %d after %d was seen", n.address, value.ConfigVersion, seen)
+		if value.ConfigVersion < highestBefore {
+			s.reportViolation("%s returns version %d after %d was returned", n.address, value.ConfigVersion, highestBefore)
 		}
-		w.highest = max(w.highest, value.ConfigVersion)
+		s.highestVersion = max(s.highestVersion, value.ConfigVersion)
 	}
-	if w.rng.IntN(3) == 0 {
-		w.read(n, w.now+1.5, func(value register.Value, _ register.Ballot, ok bool) {
+	if s.rng.IntN(3) == 0 {
+		s.read(n, s.now+1.5, func(value register.Value, _ register.Ballot, ok bool) {
 			if ok {
 				check(value)
 			}
 		})
 		return
 	}
-	base := w.highest
-	digest := register.DigestOf(fmt.Append(nil, w.order))
-	w.change(n, register.SetConfig(base+1, base, digest), w.now+changeS, func(round *register.Proposal) {
-		if round == nil {
+	base := s.highestVersion
+	digest := register.DigestOf(fmt.Append(nil, s.sequence))
+	s.change(n, register.SetConfig(base+1, base, digest), s.now+changeTimeoutSeconds, func(proposal *register.Proposal) {
+		if proposal == nil {
 			return
 		}
-		check(round.Value)
-		if round.Outcome != register.Chosen {
+		check(proposal.Value)
+		if proposal.Outcome != register.Chosen {
 			return
 		}
-		if other, taken := w.byBase[base]; taken && other != digest {
-			w.breakRule("two changes on top of version %d are acknowledged", base)
+		if other, taken := s.acknowledgedByBase[base]; taken && other != digest {
+			s.reportViolation("two changes on top of version %d are acknowledged", base)
 		}
-		w.byBase[base] = digest
-		w.acked = append(w.acked, digest)
+		s.acknowledgedByBase[base] = digest
+		s.acknowledged = append(s.acknowledged, digest)
 	})
 }
--- a/internal/decide/reconfiguration/faults_test.go
+++ b/internal/decide/reconfiguration/faults_test.go
@@ -7,271 +7,273 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// free returns a machine that may be lost now, nil if as many as tolerated count as lost.
-func (w *world) free() *node {
+// pickHealthy returns a random machine that may be lost now, nil if as many as tolerated count as lost.
+func (s *simulation) pickHealthy() *node {
 	count := 0
-	for _, until := range w.lost {
-		if until > w.now {
+	for _, until := range s.lostUntil {
+		if until > s.now {
 			count++
 		}
 	}
-	if count >= w.tolerate {
+	if count >= s.tolerated {
 		return nil
 	}
 	var free []*node
-	for _, n := range w.nodes {
-		if w.lost[n] <= w.now && n.up && !n.leaving {
+	for _, n := range s.nodes {
+		if s.lostUntil[n] <= s.now && n.isUp && !n.isLeaving {
 			free = append(free, n)
 		}
 	}
 	if len(free) == 0 {
 		return nil
 	}
-	return free[w.rng.IntN(len(free))]
+	return free[s.rng.IntN(len(free))]
 }
 
-// trouble draws one trouble after the other. A machine counts as lost until catchUpS after its return.
-func (w *world) trouble() {
-	if w.now > troubleS {
+// injectFault draws one fault after the other. A machine counts as lost until catchUpSeconds after its return.
+func (s *simulation) injectFault() {
+	if s.now > faultPeriodSeconds {
 		return
 	}
-	w.after(0.3+4*w.rng.Float64()*w.rng.Float64(), w.trouble)
-	switch w.rng.IntN(10) {
+	s.after(0.3+4*s.rng.Float64()*s.rng.Float64(), s.injectFault)
+	switch s.rng.IntN(10) {
 	case 0, 1, 2:
-		w.wipe()
+		s.wipeDisk()
 	case 3:
-		w.powerOff()
+		s.powerOff()
 	case 4:
-		w.cutOff(3 + 17*w.rng.Float64())
+		s.isolate(3 + 17*s.rng.Float64())
 	case 5:
-		w.halves(1 + 4*w.rng.Float64())
+		s.partitionHalves(1 + 4*s.rng.Float64())
 	case 6:
-		w.freeze(1 + 11*w.rng.Float64())
+		s.freeze(1 + 11*s.rng.Float64())
 	case 7:
-		w.replace()
+		s.replace()
 	case 8:
-		w.replacePlanned()
+		s.replacePlanned()
 	case 9:
-		w.allOff()
+		s.powerOffAll()
 	}
 }
 
-// troubled notes a trouble that lasts for so long from now on.
-func (w *world) troubled(forS float64) { w.calmFrom = max(w.calmFrom, w.now+forS) }
+// extendFaults records a fault that lasts for some seconds from now.
+func (s *simulation) extendFaults(durationSeconds float64) {
+	s.faultsEndAt = max(s.faultsEndAt, s.now+durationSeconds)
+}
 
-func (w *world) stop(n *node) {
-	n.up = false
-	n.life++
+func (s *simulation) stop(n *node) {
+	n.isUp = false
+	n.incarnation++
 }
 
-// comeBack starts a machine again.
-func (w *world) comeBack(n *node, downS float64) {
-	w.lost[n] = max(w.lost[n], w.now+downS+catchUpS)
-	w.troubled(downS)
-	w.after(downS, func() {
-		if !n.gone && !n.up {
-			w.boot(n)
+// restartAfter starts a machine again after some seconds.
+func (s *simulation) restartAfter(n *node, downSeconds float64) {
+	s.lostUntil[n] = max(s.lostUntil[n], s.now+downSeconds+catchUpSeconds)
+	s.extendFaults(downSeconds)
+	s.after(downSeconds, func() {
+		if !n.isRemoved && !n.isUp {
+			s.boot(n)
 		}
 	})
 }
 
-func (w *world) loseDisk(n *node) {
-	n.disk = register.State{ID: fmt.Sprintf("%s#%d", n.address, w.order)}
+func (s *simulation) loseDisk(n *node) {
+	n.disk = register.State{ID: fmt.Sprintf("%s#%d", n.address, s.sequence)}
 }
 
-// wipe takes a machine's disk. Once it is back it has to be a voter that holds what is newest before it may count.
-func (w *world) wipe() {
-	if n := w.free(); n != nil {
-		w.stop(n)
-		w.loseDisk(n)
-		w.comeBack(n, 0.3+1.2*w.rng.Float64())
+// wipeDisk stops a machine and loses its disk.
+func (s *simulation) wipeDisk() {
+	if n := s.pickHealthy(); n != nil {
+		s.stop(n)
+		s.loseDisk(n)
+		s.restartAfter(n, 0.3+1.2*s.rng.Float64())
 	}
 }
 
-func (w *world) powerOff() {
-	if n := w.free(); n != nil {
-		w.stop(n)
-		w.comeBack(n, 0.3+4*w.rng.Float64())
+func (s *simulation) powerOff() {
+	if n := s.pickHealthy(); n != nil {
+		s.stop(n)
+		s.restartAfter(n, 0.3+4*s.rng.Float64())
 	}
 }
 
-func (w *world) block(a, b *node, forS float64) {
-	w.cut[[2]string{a.address, b.address}] = w.now + forS
+func (s *simulation) block(a, b *node, durationSeconds float64) {
+	s.partitionedUntil[[2]string{a.address, b.address}] = s.now + durationSeconds
 }
 
-// cutOff partitions one machine from the others, now and then in one direction alone.
-func (w *world) cutOff(forS float64) {
-	n := w.free()
+// isolate partitions one machine from the others, in a third of the cases in one direction alone.
+func (s *simulation) isolate(durationSeconds float64) {
+	n := s.pickHealthy()
 	if n == nil {
 		return
 	}
-	w.lost[n] = w.now + forS + catchUpS
-	w.troubled(forS)
-	both := w.rng.IntN(3) > 0
-	for _, other := range w.nodes {
-		w.block(n, other, forS)
+	s.lostUntil[n] = s.now + durationSeconds + catchUpSeconds
+	s.extendFaults(durationSeconds)
+	both := s.rng.IntN(3) > 0
+	for _, other := range s.nodes {
+		s.block(n, other, durationSeconds)
 		if both {
-			w.block(other, n, forS)
+			s.block(other, n, durationSeconds)
 		}
 	}
 }
 
-// halves partitions half of the machines from the others, whatever is tolerated. What was lost before can't be repaired meanwhile,
-// so that all count as lost until they have had their time.
-func (w *world) halves(forS float64) {
-	w.troubled(forS)
-	for _, n := range w.nodes {
-		w.lost[n] = max(w.lost[n], w.now+forS+catchUpS)
+// partitionHalves partitions half of the machines from the others, whatever is tolerated. Earlier losses can't be repaired meanwhile,
+// so all machines count as lost until catchUpSeconds after it.
+func (s *simulation) partitionHalves(durationSeconds float64) {
+	s.extendFaults(durationSeconds)
+	for _, n := range s.nodes {
+		s.lostUntil[n] = max(s.lostUntil[n], s.now+durationSeconds+catchUpSeconds)
 	}
-	for i, n := range w.nodes {
-		for j, other := range w.nodes {
-			if i < len(w.nodes)/2 != (j < len(w.nodes)/2) {
-				w.block(n, other, forS)
+	for i, n := range s.nodes {
+		for j, other := range s.nodes {
+			if i < len(s.nodes)/2 != (j < len(s.nodes)/2) {
+				s.block(n, other, durationSeconds)
 			}
 		}
 	}
 }
 
-func (w *world) freeze(forS float64) {
-	n := w.free()
+func (s *simulation) freeze(durationSeconds float64) {
+	n := s.pickHealthy()
 	if n == nil {
 		return
 	}
-	w.lost[n] = w.now + forS + catchUpS
-	w.troubled(forS)
-	n.frozen = true
-	w.after(forS, w.alive(n, func() { n.frozen, n.resumed = false, w.now }))
+	s.lostUntil[n] = s.now + durationSeconds + catchUpSeconds
+	s.extendFaults(durationSeconds)
+	n.isFrozen = true
+	s.after(durationSeconds, s.whileRunning(n, func() { n.isFrozen, n.resumedAt = false, s.now }))
 }
 
-// reserve takes a spare, which nothing else brings in from then on.
-func (w *world) reserve() *node {
-	spare := w.spares[0]
-	w.spares = w.spares[1:]
+// takeSpare removes a spare machine from the list.
+func (s *simulation) takeSpare() *node {
+	spare := s.spares[0]
+	s.spares = s.spares[1:]
 	return spare
 }
 
-// arrive starts a spare.
-func (w *world) arrive(spare *node) {
+// addMachine starts a spare machine with an empty disk.
+func (s *simulation) addMachine(spare *node) {
 	spare.disk = register.State{ID: spare.address}
-	w.nodes = append(w.nodes, spare)
-	w.boot(spare)
+	s.nodes = append(s.nodes, spare)
+	s.boot(spare)
 }
 
-func (w *world) remove(n *node) {
-	w.stop(n)
-	n.gone = true
-	for i, other := range w.nodes {
+func (s *simulation) removeMachine(n *node) {
+	s.stop(n)
+	n.isRemoved = true
+	for i, other := range s.nodes {
 		if other == n {
-			w.nodes = append(w.nodes[:i:i], w.nodes[i+1:]...)
+			s.nodes = append(s.nodes[:i:i], s.nodes[i+1:]...)
 		}
 	}
 }
 
-// replace takes a machine for good; an empty one comes later. The lost one counts until its successor has had its time.
-func (w *world) replace() {
-	n := w.free()
-	if n == nil || len(w.spares) == 0 {
+// replace removes a machine and starts an empty one later. The removed one counts as lost until the new one has caught up.
+func (s *simulation) replace() {
+	n := s.pickHealthy()
+	if n == nil || len(s.spares) == 0 {
 		return
 	}
-	w.remove(n)
-	comesIn := 0.3 + 2.7*w.rng.Float64()
-	w.lost[n] = w.now + comesIn + catchUpS
-	w.troubled(comesIn)
-	spare := w.reserve()
-	w.lost[spare] = w.lost[n] - 0.001
-	w.after(comesIn, func() { w.arrive(spare) })
+	s.removeMachine(n)
+	comesIn := 0.3 + 2.7*s.rng.Float64()
+	s.lostUntil[n] = s.now + comesIn + catchUpSeconds
+	s.extendFaults(comesIn)
+	spare := s.takeSpare()
+	s.lostUntil[spare] = s.lostUntil[n] - 0.001
+	s.after(comesIn, func() { s.addMachine(spare) })
 }
 
-// replacePlanned starts the new machine first. The old one is told to end, waits for others to take its place and is gone.
-func (w *world) replacePlanned() {
-	n := w.free()
-	if n == nil || len(w.spares) == 0 {
+// replacePlanned starts the new machine first. The old one shuts down gracefully: it waits until it votes no longer.
+func (s *simulation) replacePlanned() {
+	n := s.pickHealthy()
+	if n == nil || len(s.spares) == 0 {
 		return
 	}
-	came := w.now
-	spare := w.reserve()
-	w.arrive(spare)
-	w.lost[spare] = came + catchUpS
-	w.after(0.3+2.7*w.rng.Float64(), func() {
-		if !n.up {
+	came := s.now
+	spare := s.takeSpare()
+	s.addMachine(spare)
+	s.lostUntil[spare] = came + catchUpSeconds
+	s.after(0.3+2.7*s.rng.Float64(), func() {
+		if !n.isUp {
 			return
 		}
-		n.leaving = true
-		w.troubled(leaveS)
-		w.lost[n] = max(w.lost[n], came+catchUpS)
-		w.awaitSuccession(n, n.life, w.now+leaveS)
+		n.isLeaving = true
+		s.extendFaults(leaveTimeoutSeconds)
+		s.lostUntil[n] = max(s.lostUntil[n], came+catchUpSeconds)
+		s.awaitReplacement(n, n.incarnation, s.now+leaveTimeoutSeconds)
 	})
 }
 
-func (w *world) awaitSuccession(n *node, life int, deadline float64) {
-	if n.life != life || !n.up {
+func (s *simulation) awaitReplacement(n *node, incarnation int, deadline float64) {
+	if n.incarnation != incarnation || !n.isUp {
 		return
 	}
 	votes := false
-	for _, voter := range n.told.AllVoters() {
+	for _, voter := range n.knownVoters.AllVoters() {
 		votes = votes || voter.ID == n.disk.ID
 	}
-	if votes && w.now < deadline {
-		w.after(0.05, func() { w.awaitSuccession(n, life, deadline) })
+	if votes && s.now < deadline {
+		s.after(0.05, func() { s.awaitReplacement(n, incarnation, deadline) })
 		return
 	}
-	w.remove(n)
+	s.removeMachine(n)
 }
 
-// allOff has all machines lose power; as many disks are lost as are tolerated, where no other machine counts as lost.
-func (w *world) allOff() {
-	disks := w.tolerate
-	for _, until := range w.lost {
-		if until > w.now {
+// powerOffAll restarts all machines; where no machine counts as lost, as many disks are lost as are tolerated.
+func (s *simulation) powerOffAll() {
+	disks := s.tolerated
+	for _, until := range s.lostUntil {
+		if until > s.now {
 			disks = 0
 		}
 	}
-	downS := 0.5 + w.rng.Float64()
-	first := w.rng.IntN(len(w.nodes))
-	for i, n := range w.nodes {
-		if n.leaving {
+	downSeconds := 0.5 + s.rng.Float64()
+	first := s.rng.IntN(len(s.nodes))
+	for i, n := range s.nodes {
+		if n.isLeaving {
 			continue
 		}
-		w.stop(n)
-		if (i+len(w.nodes)-first)%len(w.nodes) < disks {
-			w.loseDisk(n)
+		s.stop(n)
+		if (i+len(s.nodes)-first)%len(s.nodes) < disks {
+			s.loseDisk(n)
 		}
-		w.comeBack(n, downS)
+		s.restartAfter(n, downSeconds)
 	}
 }
 
-// play lets a world run and checks what is left of it in the quiet at its end.
-func play(seed uint64, machines, spares int, gapS float64, m mistakes) *world {
-	w := newWorld(seed, machines, spares, gapS, m)
-	w.after(0.5, w.operate)
-	w.after(2, w.trouble)
-	w.after(2, w.stepClocks)
-	const end = troubleS + 24 + quietS
-	w.after(end-1, w.checkQuiet)
-	for len(w.queue) > 0 && w.broken == "" && w.now < end {
-		next := heap.Pop(&w.queue).(event)
-		w.now = next.at
+// simulate runs a simulation and checks its state at the end of the quiet period.
+func simulate(seed uint64, machines, spares int, operationSeconds float64, faults hostFaults) *simulation {
+	s := newSimulation(seed, machines, spares, operationSeconds, faults)
+	s.after(0.5, s.operate)
+	s.after(2, s.injectFault)
+	s.after(2, s.stepClocks)
+	const end = faultPeriodSeconds + 24 + quietPeriodSeconds
+	s.after(end-1, s.checkFinalState)
+	for len(s.queue) > 0 && s.violation == "" && s.now < end {
+		next := heap.Pop(&s.queue).(event)
+		s.now = next.at
 		next.run()
 	}
-	return w
+	return s
 }
 
-// checkQuiet looks whether all machines vote and hold what is newest once there has been no trouble for a while.
-func (w *world) checkQuiet() {
-	w.checkRole()
-	for _, n := range w.nodes {
-		if !n.up {
+// checkFinalState checks that all machines vote and hold the newest value after a period without faults.
+func (s *simulation) checkFinalState() {
+	s.checkNotIdle()
+	for _, n := range s.nodes {
+		if !n.isUp {
 			continue
 		}
 		votes := false
-		for _, voter := range n.told.Voters {
+		for _, voter := range n.knownVoters.Voters {
 			votes = votes || voter.ID == n.disk.ID
 		}
-		if !votes || len(n.told.OutgoingVoters) > 0 {
-			w.breakRule("%s (%s) does not vote in the end: epoch %d, %v", n.address, n.disk.ID, n.told.Epoch, n.told.Voters)
+		if !votes || len(n.knownVoters.OutgoingVoters) > 0 {
+			s.reportViolation("%s (%s) does not vote in the end: epoch %d, %v", n.address, n.disk.ID, n.knownVoters.Epoch, n.knownVoters.Voters)
 		}
-		if n.disk.Value.ConfigVersion+20 < w.highest {
-			w.breakRule("%s is at version %d in the end, %d is in force", n.address, n.disk.Value.ConfigVersion, w.highest)
+		if n.disk.Value.ConfigVersion+20 < s.highestVersion {
+			s.reportViolation("%s is at version %d in the end, %d is in force", n.address, n.disk.Value.ConfigVersion, s.highestVersion)
 		}
 	}
 }
--- a/internal/decide/reconfiguration/learner_targets.go
+++ b/internal/decide/reconfiguration/learner_targets.go
@@ -6,26 +6,29 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// LearnerTargets keeps what each candidate that is asked must hold to vote: the value that was chosen when it was asked first, or a later one.
-// Danger: to ask for the newest one each time is a target that moves with each change, and a candidate that is as fast as all others
-// would never meet it. What is chosen meanwhile it learns as a voter does that was passed over by some rounds.
+// LearnerTargets keeps, for each candidate that is asked whether it has caught up, the ballot of the value that it must hold:
+// the value that was chosen last when it was first asked. The zero value is ready for use.
+//
+// Danger: a target that moves with each change would never be reached by a candidate that is no faster than the voters. What
+// is chosen after the target it learns as a voter does that missed some proposals.
 type LearnerTargets struct {
-	since map[register.Voter]register.Ballot
+	targets map[register.Voter]register.Ballot
 }
 
-// Target returns the ballot of the value that a candidate must hold, or a later one. newest is that of the value chosen last.
+// Target returns the ballot of the value that a candidate must hold, or of a later one. newest is the ballot of the value
+// that was chosen last; it becomes the target of a candidate that is asked for the first time.
 func (l *LearnerTargets) Target(candidate register.Voter, newest register.Ballot) register.Ballot {
-	if l.since == nil {
-		l.since = map[register.Voter]register.Ballot{}
+	if l.targets == nil {
+		l.targets = map[register.Voter]register.Ballot{}
 	}
-	if since, asked := l.since[candidate]; asked {
-		return since
+	if target, ok := l.targets[candidate]; ok {
+		return target
 	}
-	l.since[candidate] = newest
+	l.targets[candidate] = newest
 	return newest
 }
 
-// Retain forgets all that are not asked any longer, so that one that comes back has to hold what is chosen then.
-func (l *LearnerTargets) Retain(asked func(candidate register.Voter) bool) {
-	maps.DeleteFunc(l.since, func(candidate register.Voter, _ register.Ballot) bool { return !asked(candidate) })
+// Retain forgets the candidates that are not asked any longer. One that returns gets a new target.
+func (l *LearnerTargets) Retain(isContacted func(candidate register.Voter) bool) {
+	maps.DeleteFunc(l.targets, func(candidate register.Voter, _ register.Ballot) bool { return !isContacted(candidate) })
 }
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -7,232 +7,232 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// A role in the simulated control side: each machine stands for it with its own clock, the register grants it, and a receiver takes what its
-// holder orders. The machines' steady clocks run apart, and their wall clocks are set now and then.
+// A singleton role in the simulation: each machine is a candidate with its own clock, the register grants the lease, and a receiver accepts
+// the orders of the lease holder. The machines' steady clocks drift, and their wall clocks are set now and then.
 const (
-	roleName  = "r"
-	roleS     = 0.3 // between two looks at the role
-	leaseS    = 3.0
-	confirmS  = 1.5 // a confirmation may take
-	clockPart = 0.02
-	stepMost  = 6.0 // seconds by which a wall clock is set
-	stepEvery = 2.5 // seconds between two such on the average
-	// idleMost is how long nobody may act once there was no trouble for a while.
-	idleMost = 3.0
+	roleName                 = "r"
+	roleIntervalSeconds      = 0.3
+	leaseSeconds             = 3.0
+	confirmTimeoutSeconds    = 1.5
+	maxClockDrift            = 0.02
+	maxClockStepSeconds      = 6.0 // bound on the step by which a wall clock is set
+	clockStepIntervalSeconds = 2.5 // mean time between steps
+	// maxIdleSeconds is how long the role may be idle after a period without faults.
+	maxIdleSeconds = 3.0
 )
 
-// roleNode is a machine's part in the role.
-type roleNode struct {
-	holder   *election.Candidate
-	grant    register.Grant // the newest that is known
-	released map[string]uint64
-	heard    map[string]float64 // when each machine has said last that it is there, as it was carried here
-	busy     bool               // a take or a confirmation is under way
-	rate     float64
-	wallS    float64 // by how much its wall clock is off
+// roleState is a machine's state as a candidate for the role.
+type roleState struct {
+	candidate         *election.Candidate
+	grant             register.Grant // the newest that this machine knows
+	releasedTokens    map[string]uint64
+	lastHeartbeat     map[string]float64 // time of each machine's last known heartbeat
+	isBusy            bool               // an acquisition or confirmation is in progress
+	clockRate         float64
+	wallOffsetSeconds float64 // deviation of its wall clock
 }
 
-// act is one order that a holder has decided to give.
-type act struct {
-	at      float64
-	address string
-	life    int
-	token   uint64
+// order is an order of the lease holder.
+type order struct {
+	at          float64
+	address     string
+	incarnation int
+	token       uint64
 }
 
-// receiver takes the orders of the role's holders.
+// receiver accepts orders by their fencing tokens.
 type receiver struct {
-	greatest uint64
-	last     act
-	first    map[uint64]act // by token
+	highestToken uint64
+	lastOrder    order
+	firstByToken map[uint64]order
 }
 
-func (w *world) bootRole(n *node) {
-	if n.role.rate == 0 {
-		n.role.rate = 1 + clockPart*(2*w.rng.Float64()-1)
+func (s *simulation) bootRole(n *node) {
+	if n.role.clockRate == 0 {
+		n.role.clockRate = 1 + maxClockDrift*(2*s.rng.Float64()-1)
 	}
-	n.role = roleNode{rate: n.role.rate, wallS: n.role.wallS, released: map[string]uint64{}, heard: map[string]float64{}}
-	n.role.holder = election.NewCandidate(roleName, n.address, leaseS, w.clock(n))
-	w.every(n, roleS, func() { w.lookRole(n) })
+	n.role = roleState{clockRate: n.role.clockRate, wallOffsetSeconds: n.role.wallOffsetSeconds, releasedTokens: map[string]uint64{}, lastHeartbeat: map[string]float64{}}
+	n.role.candidate = election.NewCandidate(roleName, n.address, leaseSeconds, s.clock(n))
+	s.every(n, roleIntervalSeconds, func() { s.runRole(n) })
 }
 
-// clock is what a machine's leases go by.
-func (w *world) clock(n *node) float64 {
-	steady := n.role.rate * (1000 + w.now)
-	if w.mistakes.wallLease {
-		return steady + n.role.wallS
+// clock returns the time that a machine's leases use.
+func (s *simulation) clock(n *node) float64 {
+	steady := n.role.clockRate * (1000 + s.now)
+	if s.faults.usesWallClock {
+		return steady + n.role.wallOffsetSeconds
 	}
 	return steady
 }
 
-// stepClocks sets the wall clock of one machine after the other.
-func (w *world) stepClocks() {
-	w.after(2*stepEvery*w.rng.Float64(), w.stepClocks)
-	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	n.role.wallS = stepMost * (2*w.rng.Float64() - 1)
+// stepClocks sets the wall clock of a random machine, again and again.
+func (s *simulation) stepClocks() {
+	s.after(2*clockStepIntervalSeconds*s.rng.Float64(), s.stepClocks)
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
+	n.role.wallOffsetSeconds = maxClockStepSeconds * (2*s.rng.Float64() - 1)
 }
 
-// hearGrant takes a newer grant, and that a holder has given its grant up.
-func (n *node) hearGrant(grant register.Grant, released map[string]uint64) {
+// mergeGrant merges a newer grant and the tokens that machines have released.
+func (n *node) mergeGrant(grant register.Grant, released map[string]uint64) {
 	if grant.Token > n.role.grant.Token {
 		n.role.grant = grant
 	}
 	for address, token := range released {
-		n.role.released[address] = max(n.role.released[address], token)
+		n.role.releasedTokens[address] = max(n.role.releasedTokens[address], token)
 	}
 }
 
-// hearOf takes heartbeats that another machine has carried here.
-func (n *node) hearOf(heard map[string]float64) {
-	for address, at := range heard {
-		n.role.heard[address] = max(n.role.heard[address], at)
+// mergeHeartbeats merges the heartbeats that another machine knows.
+func (n *node) mergeHeartbeats(heartbeats map[string]float64) {
+	for address, at := range heartbeats {
+		n.role.lastHeartbeat[address] = max(n.role.lastHeartbeat[address], at)
 	}
 }
 
-func (w *world) lookRole(n *node) {
+func (s *simulation) runRole(n *node) {
 	role := &n.role
-	if role.busy {
+	if role.isBusy {
 		return
 	}
-	if token := role.holder.ReleaseIfUnconfirmed(w.clock(n)); token != 0 {
-		role.released[n.address] = token
+	if token := role.candidate.ReleaseIfUnconfirmed(s.clock(n)); token != 0 {
+		role.releasedTokens[n.address] = token
 	}
-	switch role.holder.NextAction(w.clock(n), role.grant, w.silence(n), w.mistakes.takesCutOff || w.reachesMajority(n)) {
+	switch role.candidate.NextAction(s.clock(n), role.grant, s.holderSilentSeconds(n), s.faults.acquiresWhilePartitioned || s.reachesMajority(n)) {
 	case election.Acquire:
-		w.takeRole(n)
+		s.acquireRole(n)
 	case election.Confirm:
-		w.confirmRole(n)
+		s.confirmRole(n)
 	case election.Act:
-		w.actInRole(n)
+		s.sendOrder(n)
 	case election.Wait:
 	}
 }
 
-// reachesMajority tells whether a machine is in touch with a majority of the voters that it knows of.
-func (w *world) reachesMajority(n *node) bool {
+// reachesMajority reports whether a machine can reach a majority of the voters that it knows.
+func (s *simulation) reachesMajority(n *node) bool {
 	reached := 0
-	for _, voter := range n.told.Voters {
-		if w.inTouch(n, voter.Address) {
+	for _, voter := range n.knownVoters.Voters {
+		if s.hasContact(n, voter.Address) {
 			reached++
 		}
 	}
-	return 2*reached > len(n.told.Voters)
+	return 2*reached > len(n.knownVoters.Voters)
 }
 
-// silence is for how long the role's holder was not heard of, by the machine's clock.
-func (w *world) silence(n *node) float64 {
+// holderSilentSeconds returns the age of the lease holder's last heartbeat by the machine's clock.
+func (s *simulation) holderSilentSeconds(n *node) float64 {
 	holder := n.role.grant.Holder
-	heard, known := n.role.heard[holder]
-	if !known || n.role.released[holder] == n.role.grant.Token {
+	heartbeat, known := n.role.lastHeartbeat[holder]
+	if !known || n.role.releasedTokens[holder] == n.role.grant.Token {
 		return 1e9
 	}
-	return n.role.rate * (w.now - heard)
+	return n.role.clockRate * (s.now - heartbeat)
 }
 
-func (w *world) takeRole(n *node) {
-	n.role.busy = true
-	began, token := w.clock(n), n.role.grant.Token
+func (s *simulation) acquireRole(n *node) {
+	n.role.isBusy = true
+	startedAt, token := s.clock(n), n.role.grant.Token
 	take := register.AcquireRole(roleName, n.address, token)
-	if w.mistakes.grabsRole {
+	if s.faults.ignoresToken {
 		take = func(current register.Value) (register.Value, bool) {
 			return register.AcquireRole(roleName, n.address, current.GrantFor(roleName).Token)(current)
 		}
 	}
-	w.change(n, take, w.now+changeS, w.inLife(n, func(round *register.Proposal) {
-		n.role.busy = false
-		if round == nil {
+	s.change(n, take, s.now+changeTimeoutSeconds, s.whileRunningProposal(n, func(proposal *register.Proposal) {
+		n.role.isBusy = false
+		if proposal == nil {
 			return
 		}
-		grant := round.Value.GrantFor(roleName)
-		n.hearGrant(grant, nil)
-		if round.Outcome == register.Chosen {
-			n.role.holder.HandleAcquired(began, grant.Token)
+		grant := proposal.Value.GrantFor(roleName)
+		n.mergeGrant(grant, nil)
+		if proposal.Outcome == register.Chosen {
+			n.role.candidate.HandleAcquired(startedAt, grant.Token)
 		}
 	}))
 }
 
-// inLife returns a function that does nothing once the life of a node is over.
-func (w *world) inLife(n *node, run func(*register.Proposal)) func(*register.Proposal) {
-	life := n.life
-	return func(round *register.Proposal) {
-		if n.life == life && n.up {
-			run(round)
+// whileRunningProposal returns a function that does nothing once the node has stopped.
+func (s *simulation) whileRunningProposal(n *node, run func(*register.Proposal)) func(*register.Proposal) {
+	incarnation := n.incarnation
+	return func(proposal *register.Proposal) {
+		if n.incarnation == incarnation && n.isUp {
+			run(proposal)
 		}
 	}
 }
 
-func (w *world) confirmRole(n *node) {
-	n.role.busy = true
-	began, life := w.clock(n), n.life
-	w.read(n, w.now+confirmS, func(value register.Value, _ register.Ballot, ok bool) {
-		if n.life != life || !n.up {
+func (s *simulation) confirmRole(n *node) {
+	n.role.isBusy = true
+	startedAt, incarnation := s.clock(n), n.incarnation
+	s.read(n, s.now+confirmTimeoutSeconds, func(value register.Value, _ register.Ballot, ok bool) {
+		if n.incarnation != incarnation || !n.isUp {
 			return
 		}
-		n.role.busy = false
+		n.role.isBusy = false
 		if ok {
-			n.hearGrant(value.GrantFor(roleName), nil)
-			n.role.holder.HandleConfirmation(began, value.GrantFor(roleName))
+			n.mergeGrant(value.GrantFor(roleName), nil)
+			n.role.candidate.HandleConfirmation(startedAt, value.GrantFor(roleName))
 		}
 	})
 }
 
-// actInRole gives an order, which a receiver gets a moment later.
-func (w *world) actInRole(n *node) {
-	if !n.role.holder.CanAct(w.clock(n)) {
+// sendOrder sends an order, which the receiver gets a moment later.
+func (s *simulation) sendOrder(n *node) {
+	if !n.role.candidate.CanAct(s.clock(n)) {
 		return
 	}
-	order := act{w.now, n.address, n.life, n.role.holder.Token()}
-	w.checkAct(order)
-	w.after(0.001+0.02*w.rng.Float64(), func() {
-		if w.receives(order) {
+	order := order{s.now, n.address, n.incarnation, n.role.candidate.Token()}
+	s.checkOrder(order)
+	s.after(0.001+0.02*s.rng.Float64(), func() {
+		if s.acceptsOrder(order) {
 			return
 		}
-		if n.life == order.life && n.up {
-			n.role.holder.Resign()
+		if n.incarnation == order.incarnation && n.isUp {
+			n.role.candidate.Resign()
 		}
 	})
 }
 
-// checkAct looks whether another acts under the same token, or has acted within the lease.
-func (w *world) checkAct(order act) {
-	r := &w.receiver
-	if first, known := r.first[order.token]; known && (first.address != order.address || first.life != order.life) {
-		w.breakRule("%s and %s act under token %d", first.address, order.address, order.token)
+// checkOrder checks that no other machine acts under the same token or has acted within the lease.
+func (s *simulation) checkOrder(order order) {
+	r := &s.receiver
+	if first, known := r.firstByToken[order.token]; known && (first.address != order.address || first.incarnation != order.incarnation) {
+		s.reportViolation("%s and %s act under token %d", first.address, order.address, order.token)
 	}
-	if _, known := r.first[order.token]; !known {
-		r.first[order.token] = order
+	if _, known := r.firstByToken[order.token]; !known {
+		r.firstByToken[order.token] = order
 	}
-	turned := r.last.address != "" && r.last.address != order.address
-	if turned && order.at-r.last.at < leaseS*(1-2*clockPart) {
-		w.breakRule("%s acts under token %d, %.2f s after %s under %d", order.address, order.token, order.at-r.last.at, r.last.address, r.last.token)
+	turned := r.lastOrder.address != "" && r.lastOrder.address != order.address
+	if turned && order.at-r.lastOrder.at < leaseSeconds*(1-2*maxClockDrift) {
+		s.reportViolation("%s acts under token %d, %.2f s after %s under %d", order.address, order.token, order.at-r.lastOrder.at, r.lastOrder.address, r.lastOrder.token)
 	}
-	r.last = order
+	r.lastOrder = order
 }
 
-// receives tells whether the receiver takes an order. One of the newest grant must be taken.
-func (w *world) receives(order act) bool {
-	r := &w.receiver
-	refused := order.token < r.greatest
-	if w.mistakes.refusesEqual {
-		refused = order.token <= r.greatest
+// acceptsOrder reports whether the receiver accepts an order. It must accept those of the newest grant.
+func (s *simulation) acceptsOrder(order order) bool {
+	r := &s.receiver
+	refused := order.token < r.highestToken
+	if s.faults.rejectsEqualToken {
+		refused = order.token <= r.highestToken
 	}
-	if refused && order.token == r.greatest {
-		w.breakRule("an order under token %d is refused, which nobody has replaced", order.token)
+	if refused && order.token == r.highestToken {
+		s.reportViolation("an order under token %d is rejected without a newer grant", order.token)
 	}
-	r.greatest = max(r.greatest, order.token)
+	r.highestToken = max(r.highestToken, order.token)
 	return !refused
 }
 
-// checkRole looks whether somebody acts once there has been no trouble for a while.
-func (w *world) checkRole() {
-	if idle := w.now - w.receiver.last.at; idle > idleMost {
-		w.breakRule("nobody has acted in the role for %.1f s: %s", idle, w.standing())
+// checkNotIdle checks that the lease holder acts after a period without faults.
+func (s *simulation) checkNotIdle() {
+	if idle := s.now - s.receiver.lastOrder.at; idle > maxIdleSeconds {
+		s.reportViolation("nobody has acted in the role for %.1f s: %s", idle, s.describeRoles())
 	}
 }
 
-func (w *world) standing() (text string) {
-	for _, n := range w.nodes {
-		text += fmt.Sprintf("%s up %v token %d knows %d of %s; ", n.address, n.up, n.role.holder.Token(), n.role.grant.Token, n.role.grant.Holder)
+func (s *simulation) describeRoles() (text string) {
+	for _, n := range s.nodes {
+		text += fmt.Sprintf("%s up %v token %d knows %d of %s; ", n.address, n.isUp, n.role.candidate.Token(), n.role.grant.Token, n.role.grant.Holder)
 	}
 	return text
 }
--- a/internal/decide/reconfiguration/simulation_test.go
+++ b/internal/decide/reconfiguration/simulation_test.go
@@ -11,50 +11,50 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// The times of the world, in seconds. They are those of the host.
+// The times of the simulation, in seconds. They are those of the host.
 const (
-	exchangeS = 0.4
-	upkeepS   = 0.15
-	scrubS    = 2.0
-	callS     = 0.9
-	touchS    = 1.5
-	catchUpS  = 4.0
-	changeS   = 2.5
-	pieceS    = 0.25 // what the bytes of a configuration take to come
-	troubleS  = 60.0 // for how long there is trouble
-	quietS    = 12.0 // what is left until the end
-	leaveS    = 3.2
+	exchangeIntervalSeconds        = 0.4
+	reconfigurationIntervalSeconds = 0.15
+	refreshIntervalSeconds         = 2.0
+	callTimeoutSeconds             = 0.9
+	reachableSeconds               = 1.5
+	catchUpSeconds                 = 4.0
+	changeTimeoutSeconds           = 2.5
+	transferSeconds                = 0.25 // transfer of a configuration
+	faultPeriodSeconds             = 60.0
+	quietPeriodSeconds             = 12.0
+	leaveTimeoutSeconds            = 3.2
 )
 
-// The mean times between calls of operators, in seconds.
+// The mean times between operations, in seconds.
 const (
-	someChanges   = 0.35
-	steadyChanges = 0.1
+	slowOperationSeconds = 0.35
+	fastOperationSeconds = 0.1
 )
 
-// mistakes are faults of a host, to show that the rules notice them.
-type mistakes struct {
-	learnersVote bool // a newcomer votes before it holds the newest value
-	answerFirst  bool // an answer leaves before the disk has synced
-	noTurns      bool // the first voter by name does the upkeep, whether it reaches a majority or not
-	newestOnly   bool // a newcomer has to hold the value that is newest whenever it is asked
-	wallLease    bool // leases go by the wall clock
-	grabsRole    bool // a role is taken whoever has taken it meanwhile
-	takesCutOff  bool // a role is taken by who was cut off until just now
-	refusesEqual bool // a receiver refuses the token that it has seen as well as those below
+// hostFaults are faults of a host that the checks must detect.
+type hostFaults struct {
+	addsLaggingVoters        bool // a candidate votes before it has caught up
+	repliesBeforeSync        bool // a reply is sent before the disk has synced
+	ignoresReachability      bool // the first voter changes the voters, whether it reaches a majority or not
+	movesLearnerTarget       bool // a candidate must hold the value that is newest when it is asked
+	usesWallClock            bool // leases go by the wall clock
+	ignoresToken             bool // a role is acquired over another holder's newer token
+	acquiresWhilePartitioned bool // a candidate counts the silence while it was partitioned
+	rejectsEqualToken        bool // a receiver rejects the highest token as well as those below
 }
 
 type event struct {
-	at    float64
-	order int
-	run   func()
+	at       float64
+	sequence int
+	run      func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -66,61 +66,61 @@
 
 // node is a control machine.
 type node struct {
-	address  string
-	disk     register.State // what a loss of power leaves
-	acceptor *register.Acceptor
-	up       bool
-	gone     bool // for good
-	leaving  bool
-	frozen   bool
-	life     int
-	resumed  float64
-	round    uint64
-	proven   register.Ballot
-	told     register.Value // the voters as they are told
-	contact  map[string]float64
-	peers    map[string]peer // by address, as heard
-	turns    reconfiguration.StaggeredTimer
-	learners reconfiguration.LearnerTargets
-	mending  bool
-	since    uint64 // the version that had been acknowledged when this life began
-	role     roleNode
+	address             string
+	disk                register.State // what is left after a loss of power
+	acceptor            *register.Acceptor
+	isUp                bool
+	isRemoved           bool
+	isLeaving           bool
+	isFrozen            bool
+	incarnation         int
+	resumedAt           float64
+	highestBallot       uint64
+	knownChosen         register.Ballot
+	knownVoters         register.Value // the newest voters that this node knows
+	lastReply           map[string]float64
+	peers               map[string]peer // by address
+	timer               reconfiguration.StaggeredTimer
+	learnerTargets      reconfiguration.LearnerTargets
+	isReconfiguring     bool
+	acknowledgedAtStart uint64 // the version that had been acknowledged when this incarnation started
+	role                roleState
 }
 
-// peer is what is told of another machine.
+// peer is what a node knows of another machine.
 type peer struct {
-	id      string
-	leaving bool
+	id        string
+	isLeaving bool
 }
 
-// world is a control side with its network, disks and operators, all drawn from one seed.
-type world struct {
-	rng      *rand.Rand
-	mistakes mistakes
-	now      float64
-	queue    events
-	order    int
-	nodes    []*node
-	spares   []*node
-	cut      map[[2]string]float64 // until when nothing goes from one to the other
-	wanted   int
-	tolerate int
-	gapS     float64           // between calls of operators
-	calmFrom float64           // when the last trouble is over, as far as is known
-	lost     map[*node]float64 // until when a machine counts as lost
-
-	acked    []register.Digest
-	byBase   map[uint64]register.Digest
-	highest  uint64
-	newestAt register.Ballot
-	broken   string
-	changes  int
-	receiver receiver
+// simulation is a set of control machines with network, disks and operators, all drawn from one seed.
+type simulation struct {
+	rng              *rand.Rand
+	faults           hostFaults
+	now              float64
+	queue            events
+	sequence         int
+	nodes            []*node
+	spares           []*node
+	partitionedUntil map[[2]string]float64 // until when no message passes from one to the other
+	desired          int
+	tolerated        int
+	operationSeconds float64           // mean time between operations
+	faultsEndAt      float64           // end of the last fault so far
+	lostUntil        map[*node]float64 // until when a machine counts as lost
+
+	acknowledged       []register.Digest
+	acknowledgedByBase map[uint64]register.Digest
+	highestVersion     uint64
+	newestChosenAt     register.Ballot
+	violation          string
+	voterChanges       int
+	receiver           receiver
 }
 
-func newWorld(seed uint64, machines, spares int, gapS float64, m mistakes) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 3)), mistakes: m, gapS: gapS, cut: map[[2]string]float64{}, wanted: machines,
-		tolerate: (machines - 1) / 2, lost: map[*node]float64{}, byBase: map[uint64]register.Digest{}, receiver: receiver{first: map[uint64]act{}}}
+func newSimulation(seed uint64, machines, spares int, operationSeconds float64, faults hostFaults) *simulation {
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 3)), faults: faults, operationSeconds: operationSeconds, partitionedUntil: map[[2]string]float64{}, desired: machines,
+		tolerated: (machines - 1) / 2, lostUntil: map[*node]float64{}, acknowledgedByBase: map[uint64]register.Digest{}, receiver: receiver{firstByToken: map[uint64]order{}}}
 	founding := register.Value{Epoch: 1}
 	for i := range machines {
 		address := fmt.Sprintf("n%d", i)
@@ -131,65 +131,65 @@
 		n := &node{address: address}
 		if i < machines {
 			n.disk = register.State{ID: address, Value: founding}
-			w.nodes = append(w.nodes, n)
-			w.boot(n)
+			s.nodes = append(s.nodes, n)
+			s.boot(n)
 		} else {
-			w.spares = append(w.spares, n)
+			s.spares = append(s.spares, n)
 		}
 	}
-	return w
+	return s
 }
 
-func (w *world) after(delay float64, run func()) {
-	w.order++
-	heap.Push(&w.queue, event{w.now + delay, w.order, run})
+func (s *simulation) after(delay float64, run func()) {
+	s.sequence++
+	heap.Push(&s.queue, event{s.now + delay, s.sequence, run})
 }
 
-// every repeats a task of one life of a node. A frozen node does nothing.
-func (w *world) every(n *node, period float64, task func()) {
-	life := n.life
+// every repeats a task while an incarnation of a node runs. A frozen node does nothing.
+func (s *simulation) every(n *node, period float64, task func()) {
+	incarnation := n.incarnation
 	var again func()
 	again = func() {
-		if n.life != life || !n.up {
+		if n.incarnation != incarnation || !n.isUp {
 			return
 		}
-		if !n.frozen {
+		if !n.isFrozen {
 			task()
 		}
-		w.after(period*(0.9+0.2*w.rng.Float64()), again)
+		s.after(period*(0.9+0.2*s.rng.Float64()), again)
 	}
-	w.after(period*w.rng.Float64(), again)
+	s.after(period*s.rng.Float64(), again)
 }
 
-func (w *world) boot(n *node) {
-	n.life++
-	n.up, n.frozen, n.leaving, n.mending = true, false, false, false
+func (s *simulation) boot(n *node) {
+	n.incarnation++
+	n.isUp, n.isFrozen, n.isLeaving, n.isReconfiguring = true, false, false, false
 	n.acceptor = register.NewAcceptor(n.disk)
-	n.round, n.proven, n.told = 0, register.Ballot{}, register.Value{}
-	n.contact, n.peers, n.turns, n.resumed = map[string]float64{}, map[string]peer{}, reconfiguration.StaggeredTimer{}, w.now
-	n.learners, n.since = reconfiguration.LearnerTargets{}, w.highest
+	n.highestBallot, n.knownChosen, n.knownVoters = 0, register.Ballot{}, register.Value{}
+	n.lastReply, n.peers, n.timer, n.resumedAt = map[string]float64{}, map[string]peer{}, reconfiguration.StaggeredTimer{}, s.now
+	n.learnerTargets, n.acknowledgedAtStart = reconfiguration.LearnerTargets{}, s.highestVersion
 	if n.disk.Accepted == (register.Ballot{}) {
-		n.told = n.disk.Value
+		n.knownVoters = n.disk.Value
 	}
-	w.every(n, exchangeS, func() { w.exchange(n) })
-	w.every(n, upkeepS, func() { w.upkeep(n) })
-	w.after(0.05, func() { w.scrub(n, n.life) })
-	w.bootRole(n)
-	w.after(catchUpS, w.alive(n, func() { w.checkJoined(n, w.now-catchUpS) }))
+	s.every(n, exchangeIntervalSeconds, func() { s.exchange(n) })
+	s.every(n, reconfigurationIntervalSeconds, func() { s.reconfigure(n) })
+	s.after(0.05, func() { s.refreshDisk(n, n.incarnation) })
+	s.bootRole(n)
+	s.after(catchUpSeconds, s.whileRunning(n, func() { s.checkHasJoined(n, s.now-catchUpSeconds) }))
 }
 
-func (w *world) breakRule(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf("%.2f s: ", w.now) + fmt.Sprintf(format, args...)
+func (s *simulation) reportViolation(format string, args ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf("%.2f s: ", s.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *world) reaches(from, to *node) bool {
-	return w.now >= w.cut[[2]string{from.address, to.address}] && w.rng.IntN(200) > 0
+func (s *simulation) isReachable(from, to *node) bool {
+	return s.now >= s.partitionedUntil[[2]string{from.address, to.address}] && s.rng.IntN(200) > 0
 }
 
-func (w *world) find(address string) *node {
-	for _, n := range w.nodes {
+func (s *simulation) nodeAt(address string) *node {
+	for _, n := range s.nodes {
 		if n.address == address {
 			return n
 		}
@@ -197,204 +197,204 @@
 	return nil
 }
 
-// call has something done at another node. done is told whether an answer came.
-func (w *world) call(from *node, address string, act func(to *node), done func(answered bool)) {
-	life, answered := from.life, false
+// call executes a function at another node. done learns whether there was a reply.
+func (s *simulation) call(from *node, address string, act func(to *node), done func(answered bool)) {
+	incarnation, answered := from.incarnation, false
 	finish := func(ok bool) {
-		if !answered && from.life == life && from.up {
+		if !answered && from.incarnation == incarnation && from.isUp {
 			answered = true
 			done(ok)
 		}
 	}
-	w.after(callS, func() { finish(false) })
-	to := w.find(address)
+	s.after(callTimeoutSeconds, func() { finish(false) })
+	to := s.nodeAt(address)
 	if to == nil {
 		return
 	}
-	delay := func() float64 { return 0.001 + 0.008*w.rng.Float64() }
+	delay := func() float64 { return 0.001 + 0.008*s.rng.Float64() }
 	if address == from.address {
 		delay = func() float64 { return 0.0005 }
 	}
-	w.after(delay(), func() {
-		if !to.up || to.frozen || from != to && !w.reaches(from, to) {
+	s.after(delay(), func() {
+		if !to.isUp || to.isFrozen || from != to && !s.isReachable(from, to) {
 			return
 		}
 		act(to)
-		w.after(delay(), func() {
-			if from == to || w.reaches(to, from) && !from.frozen {
+		s.after(delay(), func() {
+			if from == to || s.isReachable(to, from) && !from.isFrozen {
 				finish(true)
 			}
 		})
 	})
 }
 
-func (w *world) store(n *node, next *register.State) {
+func (s *simulation) store(n *node, next *register.State) {
 	if next == nil {
 		return
 	}
 	n.acceptor.MarkPersisted(*next)
-	if !w.mistakes.answerFirst || w.rng.IntN(3) > 0 {
+	if !s.faults.repliesBeforeSync || s.rng.IntN(3) > 0 {
 		n.disk = *next
 	}
 }
 
-// exchange tells every other machine who is there and who votes, and takes what they know.
-func (w *world) exchange(n *node) {
-	for _, other := range w.nodes {
+// exchange exchanges membership, voters and heartbeats with every other machine.
+func (s *simulation) exchange(n *node) {
+	for _, other := range s.nodes {
 		if other == n {
 			continue
 		}
 		address := other.address
-		var heard map[string]peer
-		var told register.Value
+		var peers map[string]peer
+		var voters register.Value
 		var grant register.Grant
 		var released map[string]uint64
-		var beats map[string]float64
-		w.call(n, address, func(to *node) {
-			to.peers[n.address] = peer{n.disk.ID, n.leaving}
-			w.takeTold(to, n.told)
-			n.role.heard[n.address] = w.now
-			to.hearGrant(n.role.grant, n.role.released)
-			to.hearOf(n.role.heard)
-			to.role.heard[to.address] = w.now
-			grant, released, beats = to.role.grant, maps.Clone(to.role.released), maps.Clone(to.role.heard)
-			told, heard = to.told, map[string]peer{address: {to.disk.ID, to.leaving}}
+		var heartbeats map[string]float64
+		s.call(n, address, func(to *node) {
+			to.peers[n.address] = peer{n.disk.ID, n.isLeaving}
+			s.mergeVoters(to, n.knownVoters)
+			n.role.lastHeartbeat[n.address] = s.now
+			to.mergeGrant(n.role.grant, n.role.releasedTokens)
+			to.mergeHeartbeats(n.role.lastHeartbeat)
+			to.role.lastHeartbeat[to.address] = s.now
+			grant, released, heartbeats = to.role.grant, maps.Clone(to.role.releasedTokens), maps.Clone(to.role.lastHeartbeat)
+			voters, peers = to.knownVoters, map[string]peer{address: {to.disk.ID, to.isLeaving}}
 		}, func(answered bool) {
 			if !answered {
 				return
 			}
-			n.contact[address] = w.now
-			n.peers[address] = heard[address]
-			w.takeTold(n, told)
-			n.hearGrant(grant, released)
-			n.hearOf(beats)
+			n.lastReply[address] = s.now
+			n.peers[address] = peers[address]
+			s.mergeVoters(n, voters)
+			n.mergeGrant(grant, released)
+			n.mergeHeartbeats(heartbeats)
 		})
 	}
 }
 
-func (w *world) takeTold(n *node, told register.Value) {
-	if told.Epoch > n.told.Epoch {
-		n.told = told
+func (s *simulation) mergeVoters(n *node, voters register.Value) {
+	if voters.Epoch > n.knownVoters.Epoch {
+		n.knownVoters = voters
 	}
 }
 
-func (w *world) inTouch(n *node, address string) bool {
-	return address == n.address || w.now-max(n.contact[address], n.resumed) <= touchS && n.peers[address].id != ""
+func (s *simulation) hasContact(n *node, address string) bool {
+	return address == n.address || s.now-max(n.lastReply[address], n.resumedAt) <= reachableSeconds && n.peers[address].id != ""
 }
 
-func (w *world) known(n *node) register.Value {
-	value := n.told
+func (s *simulation) newestVoters(n *node) register.Value {
+	value := n.knownVoters
 	if own := n.acceptor.State().Value; own.Epoch >= value.Epoch {
 		value = own
 	}
 	return register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters}
 }
 
-// alive returns a function that does nothing once the life of a node is over.
-func (w *world) alive(n *node, run func()) func() {
-	life := n.life
+// whileRunning returns a function that does nothing once this incarnation of the node has ended.
+func (s *simulation) whileRunning(n *node, run func()) func() {
+	incarnation := n.incarnation
 	return func() {
-		if n.life == life && n.up {
+		if n.incarnation == incarnation && n.isUp {
 			run()
 		}
 	}
 }
 
-// scrub reads now and then and brings the own disk up to what holds.
-func (w *world) scrub(n *node, life int) {
-	if n.life != life || !n.up {
+// refreshDisk reads regularly and has the own disk learn the chosen value.
+func (s *simulation) refreshDisk(n *node, incarnation int) {
+	if n.incarnation != incarnation || !n.isUp {
 		return
 	}
-	pause := scrubS
-	if n.frozen {
-		w.after(pause, func() { w.scrub(n, life) })
+	pause := refreshIntervalSeconds
+	if n.isFrozen {
+		s.after(pause, func() { s.refreshDisk(n, incarnation) })
 		return
 	}
-	w.read(n, w.now+1.5, func(value register.Value, at register.Ballot, ok bool) {
+	s.read(n, s.now+1.5, func(value register.Value, at register.Ballot, ok bool) {
 		if !ok {
 			pause = 0.1
 		} else {
-			w.after(pieceS, w.alive(n, func() { w.learn(n, value, at) }))
+			s.after(transferSeconds, s.whileRunning(n, func() { s.learn(n, value, at) }))
 		}
-		w.after(pause, func() { w.scrub(n, life) })
+		s.after(pause, func() { s.refreshDisk(n, incarnation) })
 	})
 }
 
-func (w *world) learn(n *node, value register.Value, at register.Ballot) {
+func (s *simulation) learn(n *node, value register.Value, at register.Ballot) {
 	if next, _ := n.acceptor.HandleLearn(at, value.Clone(), true); next != nil {
 		n.acceptor.MarkPersisted(*next)
 		n.disk = *next
 	}
 }
 
-// candidates returns the machines that a node knows, and the voters that it has had no time to hear of.
-func (w *world) candidates(n *node, value *register.Value) []register.Candidate {
-	known := w.knownCandidates(n)
-	return reconfiguration.AddReachableVoters(value, known, func(v register.Voter) bool { return w.now-max(n.contact[v.Address], n.resumed) <= touchS })
+// candidates returns the machines that a node knows, and the reachable voters that it does not know yet.
+func (s *simulation) candidates(n *node, value *register.Value) []register.Candidate {
+	known := s.knownCandidates(n)
+	return reconfiguration.AddReachableVoters(value, known, func(v register.Voter) bool { return s.now-max(n.lastReply[v.Address], n.resumedAt) <= reachableSeconds })
 }
 
-func (w *world) knownCandidates(n *node) (out []register.Candidate) {
-	for _, other := range w.nodes {
-		id, leaving := n.peers[other.address].id, n.peers[other.address].leaving
+func (s *simulation) knownCandidates(n *node) (out []register.Candidate) {
+	for _, other := range s.nodes {
+		id, leaving := n.peers[other.address].id, n.peers[other.address].isLeaving
 		if other == n {
-			id, leaving = n.disk.ID, n.leaving
+			id, leaving = n.disk.ID, n.isLeaving
 		}
 		if id != "" {
 			out = append(out, register.Candidate{Voter: register.Voter{ID: id, Address: other.address}, Leaving: leaving,
-				Alive: w.inTouch(n, other.address)})
+				Alive: s.hasContact(n, other.address)})
 		}
 	}
 	return out
 }
 
-func (w *world) upkeep(n *node) {
-	candidates := w.candidates(n, &n.told)
-	needed := reconfiguration.IsNeeded(&n.told, candidates, w.wanted)
+func (s *simulation) reconfigure(n *node) {
+	candidates := s.candidates(n, &n.knownVoters)
+	needed := reconfiguration.IsNeeded(&n.knownVoters, candidates, s.desired)
 	alive := reconfiguration.IsLiveVoter(candidates)
-	rank, votes := reconfiguration.Rank(n.disk.ID, &n.told, func(v register.Voter) bool { return w.mistakes.noTurns || alive(v) })
-	if w.mistakes.noTurns && rank > 0 {
+	rank, votes := reconfiguration.Rank(n.disk.ID, &n.knownVoters, func(v register.Voter) bool { return s.faults.ignoresReachability || alive(v) })
+	if s.faults.ignoresReachability && rank > 0 {
 		return
 	}
-	if n.mending || !n.turns.IsDue(w.now, needed && votes, rank) {
+	if n.isReconfiguring || !n.timer.IsDue(s.now, needed && votes, rank) {
 		return
 	}
-	n.mending = true
-	stop := func() { w.after(0.25, w.alive(n, func() { n.mending = false })) }
-	until := w.now + changeS
-	w.read(n, until, func(value register.Value, at register.Ballot, ok bool) {
+	n.isReconfiguring = true
+	stop := func() { s.after(0.25, s.whileRunning(n, func() { n.isReconfiguring = false })) }
+	until := s.now + changeTimeoutSeconds
+	s.read(n, until, func(value register.Value, at register.Ballot, ok bool) {
 		switch {
 		case !ok:
 			stop()
 		case len(value.OutgoingVoters) > 0:
-			w.change(n, register.CompleteReconfiguration, until, func(*register.Proposal) { stop() })
+			s.change(n, register.CompleteReconfiguration, until, func(*register.Proposal) { stop() })
 		default:
-			w.askLearners(n, value, at, until, stop)
+			s.queryLearners(n, value, at, until, stop)
 		}
 	})
 }
 
-// askLearners asks those that don't vote whether they hold a value, and changes the voters then.
-func (w *world) askLearners(n *node, value register.Value, at register.Ballot, until float64, stop func()) {
-	candidates := w.candidates(n, &value)
+// queryLearners asks the candidates whether they have caught up, and then changes the voters.
+func (s *simulation) queryLearners(n *node, value register.Value, at register.Ballot, until float64, stop func()) {
+	candidates := s.candidates(n, &value)
 	asked := map[register.Voter]bool{}
 	open := 1
 	proceed := func() {
 		if open--; open > 0 {
 			return
 		}
-		next, needed := register.NextVoters(value.Voters, candidates, w.wanted)
+		next, needed := register.NextVoters(value.Voters, candidates, s.desired)
 		if !needed {
 			stop()
 			return
 		}
-		w.change(n, register.BeginReconfiguration(value.Epoch, next), until, func(round *register.Proposal) {
-			if round == nil || round.Outcome != register.Chosen {
+		s.change(n, register.BeginReconfiguration(value.Epoch, next), until, func(proposal *register.Proposal) {
+			if proposal == nil || proposal.Outcome != register.Chosen {
 				stop()
 				return
 			}
-			w.changes++
-			w.checkNewcomers(value, next)
-			w.change(n, register.CompleteReconfiguration, until, func(*register.Proposal) { stop() })
+			s.voterChanges++
+			s.checkJoining(value, next)
+			s.change(n, register.CompleteReconfiguration, until, func(*register.Proposal) { stop() })
 		})
 	}
 	for i := range candidates {
@@ -403,29 +403,29 @@
 			continue
 		}
 		asked[candidate.Voter] = true
-		since := n.learners.Target(candidate.Voter, at)
-		if w.mistakes.newestOnly {
+		since := n.learnerTargets.Target(candidate.Voter, at)
+		if s.faults.movesLearnerTarget {
 			since = at
 		}
-		if w.mistakes.learnersVote {
+		if s.faults.addsLaggingVoters {
 			candidate.CaughtUp = true
 			continue
 		}
 		open++
 		held := false
-		w.call(n, candidate.Address, func(to *node) {
+		s.call(n, candidate.Address, func(to *node) {
 			if to.disk.ID != candidate.ID {
 				return
 			}
 			held = to.acceptor.State().Accepted.Compare(since) >= 0
 			if to.acceptor.State().Accepted.Compare(at) < 0 {
-				w.after(pieceS, w.alive(to, func() { w.learn(to, value, at) }))
+				s.after(transferSeconds, s.whileRunning(to, func() { s.learn(to, value, at) }))
 			}
 		}, func(answered bool) {
 			candidate.CaughtUp = answered && held
 			proceed()
 		})
 	}
-	n.learners.Retain(func(candidate register.Voter) bool { return asked[candidate] })
+	n.learnerTargets.Retain(func(candidate register.Voter) bool { return asked[candidate] })
 	proceed()
 }
--- a/internal/decide/reconfiguration/staggered_timer.go
+++ b/internal/decide/reconfiguration/staggered_timer.go
@@ -1,23 +1,23 @@
 package reconfiguration
 
-// turnS is how long a process has for its turn before the next one tries as well, in seconds.
-const turnS = 0.7
+// stepSeconds is by how much each rank starts later than the one before.
+const stepSeconds = 0.7
 
-// StaggeredTimer keeps for how long a change of the voters has been needed.
+// StaggeredTimer measures for how long a change of the voters has been needed. The zero value is ready for use.
 type StaggeredTimer struct {
-	needed bool
-	since  float64
+	isRunning bool
+	startedAt float64
 }
 
-// IsDue tells whether it is this process's turn: the process of rank 0 acts at once, each next one where the need is still there a
-// turn later. Danger: two processes may act at the same time. Changes of the register allow that; turns only make it rare.
-func (t *StaggeredTimer) IsDue(now float64, needed bool, rank int) bool {
-	if !needed {
-		t.needed = false
+// IsDue reports whether a process of the given rank should change the voters now: rank 0 at once, each next rank stepSeconds
+// later. It has to be called regularly; a call with isNeeded false stops the timer.
+func (t *StaggeredTimer) IsDue(now float64, isNeeded bool, rank int) bool {
+	if !isNeeded {
+		t.isRunning = false
 		return false
 	}
-	if !t.needed {
-		t.needed, t.since = true, now
+	if !t.isRunning {
+		t.isRunning, t.startedAt = true, now
 	}
-	return now-t.since >= turnS*float64(rank)
+	return now-t.startedAt >= stepSeconds*float64(rank)
 }
