--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -43,22 +43,22 @@
 func newChosenTracker() *chosenTracker { return &chosenTracker{wake: make(chan struct{}, 1)} }
 
 // tell notes a value that was chosen.
-func (f *chosenTracker) observe(observed chosenValue) {
-	f.mu.Lock()
-	isNewer := observed.Ballot.Compare(f.value.Ballot) > 0
+func (t *chosenTracker) observe(observed chosenValue) {
+	t.mu.Lock()
+	isNewer := observed.Ballot.Compare(t.value.Ballot) > 0
 	if isNewer {
-		f.value = observed
+		t.value = observed
 	}
-	f.mu.Unlock()
+	t.mu.Unlock()
 	if isNewer {
-		notify(f.wake)
+		notify(t.wake)
 	}
 }
 
-func (f *chosenTracker) latest() chosenValue {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.value
+func (t *chosenTracker) latest() chosenValue {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.value
 }
 
 // follow brings the own disk, and what this process tells others, up to the newest value that it has heard of. It is a task of its
--- a/internal/control/configfetch.go
+++ b/internal/control/configfetch.go
@@ -30,36 +30,36 @@
 type chunkRequester func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error)
 
 // fetch returns the bytes with this digest. It turns to the sources in their order, and to the next one where one fails.
-func (c *configFetcher) fetch(ctx context.Context, digest register.Digest, sources []register.Voter, request chunkRequester) ([]byte, error) {
+func (f *configFetcher) fetch(ctx context.Context, digest register.Digest, sources []register.Voter, request chunkRequester) ([]byte, error) {
 	select {
-	case c.busy <- struct{}{}:
-		defer func() { <-c.busy }()
+	case f.busy <- struct{}{}:
+		defer func() { <-f.busy }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if c.digest != digest {
-		c.digest, c.data = digest, nil
+	if f.digest != digest {
+		f.digest, f.data = digest, nil
 	}
 	for _, source := range sources {
 		for ctx.Err() == nil {
-			complete, err := c.fetchChunk(ctx, source, request)
+			complete, err := f.fetchChunk(ctx, source, request)
 			if err != nil {
 				break
 			}
 			if complete {
-				return c.takeVerified()
+				return f.takeVerified()
 			}
 		}
 	}
-	return nil, Error.New("%d bytes of a configuration have come, the rest is missing", len(c.data))
+	return nil, Error.New("%d bytes of a configuration have come, the rest is missing", len(f.data))
 }
 
 // piece asks for the next piece. It returns whether all have come.
-func (c *configFetcher) fetchChunk(ctx context.Context, source register.Voter, request chunkRequester) (bool, error) {
+func (f *configFetcher) fetchChunk(ctx context.Context, source register.Voter, request chunkRequester) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
-	reply, err := request(ctx, source, &message.ConfigRequest{Digest: c.digest, Offset: len(c.data), Length: chunkSize})
-	if err == nil && reply.Size == 0 && len(c.data) == 0 {
+	reply, err := request(ctx, source, &message.ConfigRequest{Digest: f.digest, Offset: len(f.data), Length: chunkSize})
+	if err == nil && reply.Size == 0 && len(f.data) == 0 {
 		reply.Size = len(reply.Data) // a process of the version before sends all at once and tells no size
 	}
 	switch {
@@ -67,19 +67,19 @@
 		return false, err
 	case reply.Size == 0:
 		return false, Error.New("%s does not have it", source.Address)
-	case reply.Size > maxConfigBytes || len(reply.Data) == 0 || len(c.data)+len(reply.Data) > reply.Size:
-		c.data = nil
+	case reply.Size > maxConfigBytes || len(reply.Data) == 0 || len(f.data)+len(reply.Data) > reply.Size:
+		f.data = nil
 		return false, Error.New("%s: a piece of %d bytes of %d", source.Address, len(reply.Data), reply.Size)
 	}
-	c.data = append(c.data, reply.Data...)
-	return len(c.data) == reply.Size, nil
+	f.data = append(f.data, reply.Data...)
+	return len(f.data) == reply.Size, nil
 }
 
 // check returns what has come if it is what was asked for.
-func (c *configFetcher) takeVerified() ([]byte, error) {
-	data := c.data
-	c.data = nil
-	if register.DigestOf(data) != c.digest {
+func (f *configFetcher) takeVerified() ([]byte, error) {
+	data := f.data
+	f.data = nil
+	if register.DigestOf(data) != f.digest {
 		return nil, Error.New("the bytes of a configuration don't match its digest")
 	}
 	return data, nil
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -50,31 +50,31 @@
 
 // Run runs a control process until the context ends. reload tells that the settings file may have changed.
 func Run(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
-	opened, err := openReplica(settings, log)
+	replica, err := openReplica(settings, log)
 	if err != nil {
 		return err
 	}
-	if err := opened.persistIdentity(ctx); err != nil {
+	if err := replica.persistIdentity(ctx); err != nil {
 		return err
 	}
-	return newControl(settings, opened, transport.NewClient(), log).run(ctx, reload)
+	return newControl(settings, replica, transport.NewClient(), log).run(ctx, reload)
 }
 
 // run serves until the context ends.
 func (c *Control) run(ctx context.Context, reload <-chan *nodeconfig.Settings) error {
-	internal, err := listen(c.proposer.self.Address)
+	internalListener, err := listenTCP(c.proposer.self.Address)
 	if err != nil {
 		return err
 	}
-	operator, err := listen(c.settings.Listen.Control)
+	operatorListener, err := listenTCP(c.settings.Listen.Control)
 	if err != nil {
-		return errs.Combine(err, internal.Close())
+		return errs.Combine(err, internalListener.Close())
 	}
-	servers := []*http.Server{serve(internal, c.internalRouter()), serve(operator, c.operatorRouter())}
-	work, stop := context.WithCancel(context.Background())
-	defer stop()
+	servers := []*http.Server{serve(internalListener, c.internalRouter()), serve(operatorListener, c.operatorRouter())}
+	taskCtx, stopTasks := context.WithCancel(context.Background())
+	defer stopTasks()
 	for _, task := range []func(context.Context){c.node.Run, c.runReconfiguration, c.runAntiEntropy, c.runCatchUp, c.runDiskScrub, c.runListReader, newStageController(c).run} {
-		go task(work)
+		go task(taskCtx)
 	}
 	for {
 		select {
@@ -82,26 +82,26 @@
 			c.node.AnnounceLeaving()
 			c.awaitReplacement()
 			return shutdown(servers, shutdownTimeout)
-		case changed := <-reload:
-			c.node.SetSeeds(changed.SeedAddresses())
+		case newSettings := <-reload:
+			c.node.SetSeeds(newSettings.SeedAddresses())
 		}
 	}
 }
 
-func newControl(settings *nodeconfig.Settings, opened *replica, client *transport.Client, log *logrus.Entry) *Control {
-	own := register.Voter{ID: opened.state().ID, Address: settings.InternalAddress(settings.IP, nodeconfig.ControlPort)}
-	c := &Control{settings: settings, log: log, replica: opened, platform: gossip.NewPlatformClient(settings.Cloud.Address),
+func newControl(settings *nodeconfig.Settings, replica *replica, client *transport.Client, log *logrus.Entry) *Control {
+	self := register.Voter{ID: replica.state().ID, Address: settings.InternalAddress(settings.IP, nodeconfig.ControlPort)}
+	control := &Control{settings: settings, log: log, replica: replica, platform: gossip.NewPlatformClient(settings.Cloud.Address),
 		chosen: newChosenTracker()}
-	c.node = gossip.New(settings, membership.Record{Kind: membership.Control, Address: own.Address, VoterID: own.ID,
+	control.node = gossip.New(settings, membership.Record{Kind: membership.Control, Address: self.Address, VoterID: self.ID,
 		OperatorAddress: settings.Listen.Control}, client, log)
-	c.proposer = &proposer{self: own, proposerID: fmt.Sprintf("%s/%016x", settings.NodeID, rand.Uint64()), replica: opened, client: client,
+	control.proposer = &proposer{self: self, proposerID: fmt.Sprintf("%s/%016x", settings.NodeID, rand.Uint64()), replica: replica, client: client,
 		fetcher: newConfigFetcher(), linkMbps: settings.Limits.LinkMbps,
-		gossipVoters: func() register.Value { facts, _ := c.node.State(); return facts.Voters },
-		onChosen:     c.handleChosen}
-	if state := opened.state(); state.Accepted == (register.Ballot{}) {
-		c.node.MergeRegisterValue(state.Value) // the founders; what was accepted later may not have been chosen
+		gossipVoters: func() register.Value { facts, _ := control.node.State(); return facts.Voters },
+		onChosen:     control.handleChosen}
+	if state := replica.state(); state.Accepted == (register.Ballot{}) {
+		control.node.MergeRegisterValue(state.Value) // the founders; what was accepted later may not have been chosen
 	}
-	return c
+	return control
 }
 
 func (c *Control) internalRouter() http.Handler {
--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -58,9 +58,9 @@
 }
 
 // known returns the voters to begin with: those of the newest epoch that the own disk or others tell.
-func (r *proposer) knownVoters() (register.Value, error) {
-	known := r.gossipVoters()
-	if stored := r.replica.state().Value; stored.Epoch >= known.Epoch {
+func (p *proposer) knownVoters() (register.Value, error) {
+	known := p.gossipVoters()
+	if stored := p.replica.state().Value; stored.Epoch >= known.Epoch {
 		known = stored
 	}
 	if len(known.Voters) == 0 {
@@ -71,7 +71,7 @@
 
 // Change makes a change in as many rounds as it takes. Once an error is returned nothing is known of the change: it may hold.
 // config holds the bytes of the configuration that the change brings, if it brings one.
-func (r *proposer) propose(ctx context.Context, change register.Change, config []byte) (chosenValue, register.Outcome, error) {
+func (p *proposer) propose(ctx context.Context, change register.Change, config []byte) (chosenValue, register.Outcome, error) {
 	var backoff register.Backoff
 	pause := time.Duration(0)
 	for {
@@ -79,16 +79,16 @@
 			return chosenValue{}, register.Abandoned, err
 		}
 		startedAt := time.Now()
-		value, outcome, err := r.runRound(ctx, change, config)
+		value, outcome, err := p.runRound(ctx, change, config)
 		if err != nil {
 			return chosenValue{}, register.Abandoned, err
 		}
 		if outcome == register.Chosen || outcome == register.Rejected {
-			r.onChosen(value)
+			p.onChosen(value)
 			return value, outcome, nil
 		}
 		if outcome == register.Confirmed {
-			r.onChosen(value)
+			p.onChosen(value)
 			pause = 0
 			continue
 		}
@@ -111,46 +111,46 @@
 }
 
 // nextBallot returns a ballot above all that were heard of.
-func (r *proposer) nextBallot() register.Ballot {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.highestRound = max(r.highestRound, r.replica.state().Promised.Number) + 1
-	return register.Ballot{Number: r.highestRound, Proposer: r.proposerID}
+func (p *proposer) nextBallot() register.Ballot {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.highestRound = max(p.highestRound, p.replica.state().Promised.Number) + 1
+	return register.Ballot{Number: p.highestRound, Proposer: p.proposerID}
 }
 
-func (r *proposer) observeRound(ballot register.Ballot) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.highestRound = max(r.highestRound, ballot.Number)
+func (p *proposer) observeRound(ballot register.Ballot) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.highestRound = max(p.highestRound, ballot.Number)
 }
 
 // trust notes a ballot at which a value was found chosen.
-func (r *proposer) recordChosen(at register.Ballot) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if at.Compare(r.lastChosen) > 0 {
-		r.lastChosen = at
+func (p *proposer) recordChosen(at register.Ballot) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if at.Compare(p.lastChosen) > 0 {
+		p.lastChosen = at
 	}
 }
 
-func (r *proposer) lastChosenBallot() register.Ballot {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.lastChosen
+func (p *proposer) lastChosenBallot() register.Ballot {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.lastChosen
 }
 
-func (r *proposer) runRound(ctx context.Context, change register.Change, config []byte) (chosenValue, register.Outcome, error) {
-	known, err := r.knownVoters()
+func (p *proposer) runRound(ctx context.Context, change register.Change, config []byte) (chosenValue, register.Outcome, error) {
+	known, err := p.knownVoters()
 	if err != nil {
 		return chosenValue{}, register.Abandoned, err
 	}
-	round, step := register.NewProposal(r.nextBallot(), known, change)
-	round.SetKnownChosen(r.lastChosenBallot())
+	round, step := register.NewProposal(p.nextBallot(), known, change)
+	round.SetKnownChosen(p.lastChosenBallot())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	replies := make(chan voterReply)
 	for !step.Done {
-		r.sendStep(ctx, round, step, config, replies)
+		p.sendStep(ctx, round, step, config, replies)
 		select {
 		case <-ctx.Done():
 			return chosenValue{}, register.Abandoned, ctx.Err()
@@ -158,9 +158,9 @@
 			step = applyReply(round, reply)
 		}
 	}
-	r.observeRound(round.HighestPromised)
+	p.observeRound(round.HighestPromised)
 	if round.ChosenAt != (register.Ballot{}) && round.Outcome != register.Undecided {
-		r.recordChosen(round.ChosenAt)
+		p.recordChosen(round.ChosenAt)
 	}
 	return chosenValue{round.Value, round.ChosenAt}, round.Outcome, nil
 }
@@ -177,7 +177,7 @@
 	}
 }
 
-func (r *proposer) sendStep(ctx context.Context, round *register.Proposal, step register.Step, config []byte, replies chan<- voterReply) {
+func (p *proposer) sendStep(ctx context.Context, round *register.Proposal, step register.Step, config []byte, replies chan<- voterReply) {
 	send := func(call func() voterReply) {
 		go func() {
 			reply := call()
@@ -189,7 +189,7 @@
 	}
 	for _, voter := range step.SendPrepare {
 		request := &register.PrepareRequest{To: voter.ID, Ballot: round.Ballot}
-		send(func() voterReply { return r.prepare(ctx, voter, request) })
+		send(func() voterReply { return p.prepare(ctx, voter, request) })
 	}
 	for _, voter := range step.SendAccept {
 		request := &register.AcceptRequest{To: voter.ID, Ballot: round.Ballot, Value: round.Value, ConfigData: config}
@@ -197,27 +197,27 @@
 			// A voter that has the bytes from a round before doesn't need them again; one that lacks them asks.
 			request.ConfigData = nil
 		}
-		send(func() voterReply { return r.accept(ctx, voter, request) })
+		send(func() voterReply { return p.accept(ctx, voter, request) })
 	}
 	for _, voter := range step.SendConfig {
 		request := &register.AcceptRequest{To: voter.ID, Ballot: round.Ballot, Value: round.Value}
 		send(func() voterReply {
 			data, err := config, error(nil)
 			if register.DigestOf(data) != request.Value.ConfigDigest {
-				data, err = r.configBytes(ctx, request.Value)
+				data, err = p.configBytes(ctx, request.Value)
 			}
 			if err != nil {
 				return voterReply{from: voter, isAccept: true, err: err}
 			}
 			request.ConfigData = data
-			return r.accept(ctx, voter, request)
+			return p.accept(ctx, voter, request)
 		})
 	}
 }
 
 // Read returns the value that holds. Where voters differ it makes them agree first.
-func (r *proposer) read(ctx context.Context) (chosenValue, error) {
-	known, err := r.knownVoters()
+func (p *proposer) read(ctx context.Context) (chosenValue, error) {
+	known, err := p.knownVoters()
 	if err != nil {
 		return chosenValue{}, err
 	}
@@ -228,7 +228,7 @@
 	for !step.Done {
 		for _, voter := range step.SendPrepare {
 			go func() {
-				promise, err := callVoter(readCtx, r, voter, readPath, voteTimeout, &register.ReadRequest{To: voter.ID}, r.replica.handleRead)
+				promise, err := callVoter(readCtx, p, voter, readPath, voteTimeout, &register.ReadRequest{To: voter.ID}, p.replica.handleRead)
 				select {
 				case replies <- voterReply{from: voter, promise: promise, err: err}:
 				case <-readCtx.Done():
@@ -248,10 +248,10 @@
 	}
 	if reading.Outcome == register.Chosen {
 		value := chosenValue{reading.Value, reading.ChosenAt}
-		r.recordChosen(value.Ballot)
-		r.onChosen(value)
+		p.recordChosen(value.Ballot)
+		p.onChosen(value)
 		return value, nil
 	}
-	value, _, err := r.propose(ctx, register.NoChange, nil)
+	value, _, err := p.propose(ctx, register.NoChange, nil)
 	return value, err
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -51,11 +51,11 @@
 // openReplica reads the disk. A process without a state founds the register if it is one of the founders, else it gets an
 // identity that never voted.
 func openReplica(settings *nodeconfig.Settings, log *logrus.Entry) (*replica, error) {
-	opened, records, corruptions, err := store.Open(settings.DataDir)
+	logStore, records, corruptions, err := store.Open(settings.DataDir)
 	if err != nil {
 		return nil, err
 	}
-	r := &replica{log: log, store: opened, valueStored: make(chan struct{}, 1)}
+	r := &replica{log: log, store: logStore, valueStored: make(chan struct{}, 1)}
 	state, restored := r.restore(records)
 	for _, corruption := range corruptions {
 		log.WithField("tail", corruption.TornTail).Warn("store: " + corruption.String())
@@ -66,7 +66,7 @@
 	}
 	if !restored {
 		// Danger: a founder whose disk held something may have promised something. Only an empty disk founds.
-		state = newState(settings, !opened.IsUsed())
+		state = newState(settings, !logStore.IsUsed())
 	}
 	r.hadState = restored
 	r.acceptor = register.NewAcceptor(state)
@@ -155,13 +155,13 @@
 		return err
 	}
 	r.mu.Lock()
-	newer := state.Value.ConfigVersion > r.acceptor.State().Value.ConfigVersion
+	newVersion := state.Value.ConfigVersion > r.acceptor.State().Value.ConfigVersion
 	r.acceptor.MarkPersisted(*state)
 	if config != nil {
 		r.cacheConfig(state.Value.ConfigDigest, config)
 	}
 	r.mu.Unlock()
-	if newer {
+	if newVersion {
 		notify(r.valueStored)
 	}
 	if r.store.SegmentSize() > snapshotThreshold {
--- a/internal/control/servers.go
+++ b/internal/control/servers.go
@@ -12,7 +12,7 @@
 	"github.com/zeebo/errs"
 )
 
-func listen(address string) (net.Listener, error) {
+func listenTCP(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", address)
 	return listener, Error.Wrap(err)
 }
--- a/internal/control/shutdown_test.go
+++ b/internal/control/shutdown_test.go
@@ -11,7 +11,7 @@
 
 var _ = Describe("the end of a control process", func() {
 	It("is no failure where a connection was opened on which nothing was sent", func() {
-		listener, err := listen("127.0.0.1:0")
+		listener, err := listenTCP("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		opened := make(chan struct{}, 1)
 		server := &http.Server{ReadHeaderTimeout: headerTimeout, ConnState: func(_ net.Conn, state http.ConnState) {
--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -42,102 +42,102 @@
 }
 
 func newStageController(c *Control) *stageController {
-	k := &stageController{control: c, planner: stages.New(), startedAt: time.Now(),
+	s := &stageController{control: c, planner: stages.New(), startedAt: time.Now(),
 		httpClient: &http.Client{Transport: &http.Transport{DialContext: transport.NewDialer().DialContext, MaxIdleConnsPerHost: 1}}}
-	k.lease = election.NewCandidate(stagesRole, c.settings.NodeID, nodeconfig.FromMillis(c.settings.Bounds.LeaseMs).Seconds(), k.now())
-	return k
+	s.lease = election.NewCandidate(stagesRole, c.settings.NodeID, nodeconfig.FromMillis(c.settings.Bounds.LeaseMs).Seconds(), s.now())
+	return s
 }
 
-func (k *stageController) now() float64 { return time.Since(k.startedAt).Seconds() }
+func (s *stageController) now() float64 { return time.Since(s.startedAt).Seconds() }
 
-func (k *stageController) run(ctx context.Context) {
+func (s *stageController) run(ctx context.Context) {
 	for sleep(ctx, stageInterval) == nil {
-		facts, _ := k.control.node.State()
-		if !k.refreshInputs(facts) || !k.hasModelServers() {
+		facts, _ := s.control.node.State()
+		if !s.refreshInputs(facts) || !s.hasModelServers() {
 			continue
 		}
-		if token := k.lease.ReleaseIfUnconfirmed(k.now()); token != 0 {
-			k.control.log.WithField("token", token).Info("role given up: stages")
-			k.control.node.SetReleasedToken(token)
+		if token := s.lease.ReleaseIfUnconfirmed(s.now()); token != 0 {
+			s.control.log.WithField("token", token).Info("role given up: stages")
+			s.control.node.SetReleasedToken(token)
 		}
 		grant := (&register.Value{Grants: facts.Grants}).GrantFor(stagesRole)
-		switch k.lease.NextAction(k.now(), grant, k.holderSilenceSeconds(grant), k.control.reachesMajority()) {
+		switch s.lease.NextAction(s.now(), grant, s.holderSilenceSeconds(grant), s.control.reachesMajority()) {
 		case election.Acquire:
-			k.acquireLease(ctx, grant)
+			s.acquireLease(ctx, grant)
 		case election.Confirm:
-			k.confirmLease(ctx)
+			s.confirmLease(ctx)
 		case election.Act:
-			k.issueOrders(ctx)
+			s.issueOrders(ctx)
 		case election.Wait:
 		}
 	}
 }
 
 // view unpacks what has changed of the configuration and the list. It returns whether there are both.
-func (k *stageController) refreshInputs(facts gossip.State) bool {
+func (s *stageController) refreshInputs(facts gossip.State) bool {
 	if facts.Table == nil || facts.Endpoints.ReadAt.IsZero() {
 		return false
 	}
-	if k.table == nil || k.table.Version != facts.Table.Version {
+	if s.table == nil || s.table.Version != facts.Table.Version {
 		table, err := facts.Table.Unpack()
 		if err != nil {
-			k.control.log.WithError(err).Warn("a configuration that can't be unpacked")
+			s.control.log.WithError(err).Warn("a configuration that can't be unpacked")
 			return false
 		}
-		k.table = table
+		s.table = table
 	}
-	if k.listDigest != facts.Endpoints.Digest {
+	if s.listDigest != facts.Endpoints.Digest {
 		instances, err := facts.Endpoints.Unpack()
 		if err != nil {
-			k.control.log.WithError(err).Warn("a list that can't be unpacked")
+			s.control.log.WithError(err).Warn("a list that can't be unpacked")
 			return false
 		}
-		k.instances, k.listDigest = instances, facts.Endpoints.Digest
+		s.instances, s.listDigest = instances, facts.Endpoints.Digest
 	}
 	return true
 }
 
-func (k *stageController) hasModelServers() bool {
-	return slices.ContainsFunc(k.instances, func(i message.Instance) bool { return i.Stage != "" })
+func (s *stageController) hasModelServers() bool {
+	return slices.ContainsFunc(s.instances, func(i message.Instance) bool { return i.Stage != "" })
 }
 
 // act gives the orders that the demand asks for.
-func (k *stageController) issueOrders(ctx context.Context) {
-	demands := k.totalDemands()
-	k.logServiceLoads(demands)
-	for _, service := range k.table.Services {
+func (s *stageController) issueOrders(ctx context.Context) {
+	demands := s.totalDemands()
+	s.logServiceLoads(demands)
+	for _, service := range s.table.Services {
 		if service.Engine == nil {
 			continue
 		}
-		view := stages.Service{Name: service.Name, SwitchSeconds: service.Engine.StageSwitchSeconds, KVTokensPerServer: float64(service.Engine.KVTokens)}
-		for _, instance := range k.instances {
+		input := stages.Service{Name: service.Name, SwitchSeconds: service.Engine.StageSwitchSeconds, KVTokensPerServer: float64(service.Engine.KVTokens)}
+		for _, instance := range s.instances {
 			if instance.Service == service.Name {
-				view.Instances = append(view.Instances, instance)
+				input.Instances = append(input.Instances, instance)
 			}
 		}
-		orders := k.planner.PlanChanges(k.now(), view, demands[service.Name])
+		orders := s.planner.PlanChanges(s.now(), input, demands[service.Name])
 		if len(orders) == 0 {
 			continue
 		}
 		demand := demands[service.Name]
-		k.control.log.WithField("service", service.Name).WithField("read_per_s", int(demand.PrefillTokensPerSecond)).WithField("streams", int(demand.DecodeStreams)).
+		s.control.log.WithField("service", service.Name).WithField("read_per_s", int(demand.PrefillTokensPerSecond)).WithField("streams", int(demand.DecodeStreams)).
 			WithField("held", int(demand.KVTokens)).WithField("orders", len(orders)).Info("stages")
-		k.publishPlan()
+		s.publishPlan()
 		for _, order := range orders {
-			k.sendOrder(ctx, order)
+			s.sendOrder(ctx, order)
 		}
 	}
 	// Danger: a plan that is never taken back keeps servers out whose order has come to nothing.
-	facts, _ := k.control.node.State()
-	if !maps.Equal(k.planner.Pending(k.now()), facts.Plan.Stages) {
-		k.publishPlan()
+	facts, _ := s.control.node.State()
+	if !maps.Equal(s.planner.Pending(s.now()), facts.Plan.Stages) {
+		s.publishPlan()
 	}
 }
 
 // demands sums what live proxies ask.
-func (k *stageController) totalDemands() map[string]stages.Demand {
+func (s *stageController) totalDemands() map[string]stages.Demand {
 	totals := map[string]stages.Demand{}
-	for _, member := range k.control.node.Members() {
+	for _, member := range s.control.node.Members() {
 		if !member.Alive {
 			continue
 		}
@@ -150,14 +150,14 @@
 			totals[demand.Service] = total
 		}
 	}
-	k.addPrefillLoad(totals)
+	s.addPrefillLoad(totals)
 	return totals
 }
 
 // addBusy adds what servers that read prompts have told of themselves.
-func (k *stageController) addPrefillLoad(totals map[string]stages.Demand) {
-	loads := k.recentLoads()
-	for _, instance := range k.instances {
+func (s *stageController) addPrefillLoad(totals map[string]stages.Demand) {
+	loads := s.recentLoads()
+	for _, instance := range s.instances {
 		load, reported := loads[message.InstanceKey(instance.ID)]
 		if !reported || instance.Stage != message.Prefill {
 			continue
@@ -169,16 +169,16 @@
 }
 
 // loads returns what servers have told lately.
-func (k *stageController) recentLoads() map[uint32]message.Load {
+func (s *stageController) recentLoads() map[uint32]message.Load {
 	loads := map[uint32]message.Load{}
-	for _, load := range k.control.node.Loads() {
+	for _, load := range s.control.node.Loads() {
 		loads[load.InstanceKey] = load
 	}
 	return loads
 }
 
 // publish tells all proxies which servers are changing.
-func (k *stageController) publishPlan() {
-	k.planSequence++
-	k.control.node.SetPlan(message.StagePlan{Token: k.lease.Token(), Sequence: k.planSequence, Stages: k.planner.Pending(k.now())})
+func (s *stageController) publishPlan() {
+	s.planSequence++
+	s.control.node.SetPlan(message.StagePlan{Token: s.lease.Token(), Sequence: s.planSequence, Stages: s.planner.Pending(s.now())})
 }
--- a/internal/control/stagelease.go
+++ b/internal/control/stagelease.go
@@ -9,8 +9,8 @@
 )
 
 // silence returns for how long the holder of a grant was not heard of. One that has given the grant up counts as never heard of.
-func (k *stageController) holderSilenceSeconds(grant register.Grant) float64 {
-	for _, member := range k.control.node.Members() {
+func (s *stageController) holderSilenceSeconds(grant register.Grant) float64 {
+	for _, member := range s.control.node.Members() {
 		if member.Kind == membership.Control && member.Name == grant.Holder+"/"+string(membership.Control) && member.ReleasedToken != grant.Token {
 			return member.SilentSeconds
 		}
@@ -20,33 +20,33 @@
 }
 
 // take tries to take the role with the token after the one that is known. Processes try in turns by rank.
-func (k *stageController) acquireLease(ctx context.Context, grant register.Grant) {
-	facts, _ := k.control.node.State()
+func (s *stageController) acquireLease(ctx context.Context, grant register.Grant) {
+	facts, _ := s.control.node.State()
 	if sleep(ctx, time.Duration(facts.Rank+1)*50*time.Millisecond) != nil {
 		return
 	}
-	startedAt := k.now()
+	startedAt := s.now()
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	name := k.control.settings.NodeID
-	value, outcome, err := k.control.proposer.propose(ctx, register.AcquireRole(stagesRole, name, grant.Token), nil)
+	name := s.control.settings.NodeID
+	value, outcome, err := s.control.proposer.propose(ctx, register.AcquireRole(stagesRole, name, grant.Token), nil)
 	if err != nil || outcome != register.Chosen {
 		return
 	}
-	k.lease.HandleAcquired(startedAt, value.GrantFor(stagesRole).Token)
-	if facts, _ := k.control.node.State(); facts.Plan.Token < k.lease.Token() {
-		k.planner.AdoptPending(k.now(), facts.Plan.Stages)
+	s.lease.HandleAcquired(startedAt, value.GrantFor(stagesRole).Token)
+	if facts, _ := s.control.node.State(); facts.Plan.Token < s.lease.Token() {
+		s.planner.AdoptPending(s.now(), facts.Plan.Stages)
 	}
-	k.control.log.WithField("token", k.lease.Token()).Info("role taken: stages")
+	s.control.log.WithField("token", s.lease.Token()).Info("role taken: stages")
 }
 
 // confirm reads the grant at a majority.
-func (k *stageController) confirmLease(ctx context.Context) {
-	startedAt := k.now()
+func (s *stageController) confirmLease(ctx context.Context) {
+	startedAt := s.now()
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	value, err := k.control.proposer.read(ctx)
+	value, err := s.control.proposer.read(ctx)
 	if err == nil {
-		k.lease.HandleConfirmation(startedAt, value.GrantFor(stagesRole))
+		s.lease.HandleConfirmation(startedAt, value.GrantFor(stagesRole))
 	}
 }
--- a/internal/control/stageload.go
+++ b/internal/control/stageload.go
@@ -24,27 +24,27 @@
 }
 
 // of returns the standing of a stage, nil for servers without a model.
-func (b *serviceLoad) stage(stage message.Stage) *stageLoad {
+func (l *serviceLoad) stage(stage message.Stage) *stageLoad {
 	switch stage {
 	case message.Prefill:
-		return &b.prefill
+		return &l.prefill
 	case message.Decode:
-		return &b.decode
+		return &l.decode
 	default:
 		return nil
 	}
 }
 
 // logStanding tells now and then how the model servers of each service stand, by their stage.
-func (k *stageController) logServiceLoads(demands map[string]stages.Demand) {
-	if time.Since(k.loadsLoggedAt) < loadLogInterval {
+func (s *stageController) logServiceLoads(demands map[string]stages.Demand) {
+	if time.Since(s.loadsLoggedAt) < loadLogInterval {
 		return
 	}
-	k.loadsLoggedAt = time.Now()
-	for service, load := range k.serviceLoads() {
+	s.loadsLoggedAt = time.Now()
+	for service, load := range s.serviceLoads() {
 		demand := demands[service]
-		k.control.log.WithField("service", service).WithField("read_per_s", int(demand.PrefillTokensPerSecond)).WithField("streams", int(demand.DecodeStreams)).
-			WithField("held", int(demand.KVTokens)).WithField("busy", int(demand.PrefillLoad.BusyServers)).WithField("changing", len(k.planner.Pending(k.now()))).
+		s.control.log.WithField("service", service).WithField("read_per_s", int(demand.PrefillTokensPerSecond)).WithField("streams", int(demand.DecodeStreams)).
+			WithField("held", int(demand.KVTokens)).WithField("busy", int(demand.PrefillLoad.BusyServers)).WithField("changing", len(s.planner.Pending(s.now()))).
 			WithField("prefill", load.prefill.servers).WithField("prefill_running", load.prefill.running).WithField("prefill_waiting", load.prefill.waiting).
 			WithField("decode", load.decode.servers).WithField("decode_running", load.decode.running).WithField("decode_waiting", load.decode.waiting).
 			Info("model servers")
@@ -52,10 +52,10 @@
 }
 
 // standings counts the servers of each service that has models, but for those that are leaving.
-func (k *stageController) serviceLoads() map[string]*serviceLoad {
-	loads := k.recentLoads()
+func (s *stageController) serviceLoads() map[string]*serviceLoad {
+	loads := s.recentLoads()
 	out := map[string]*serviceLoad{}
-	for _, instance := range k.instances {
+	for _, instance := range s.instances {
 		if instance.Stage == "" || instance.Draining {
 			continue
 		}
--- a/internal/control/stageorder.go
+++ b/internal/control/stageorder.go
@@ -19,12 +19,12 @@
 }
 
 // order sends one order. An order without an answer may have been taken and counts as such.
-func (k *stageController) sendOrder(ctx context.Context, order stages.StageChange) {
-	if !k.lease.CanAct(k.now()) {
-		k.planner.HandleRejected(order)
+func (s *stageController) sendOrder(ctx context.Context, order stages.StageChange) {
+	if !s.lease.CanAct(s.now()) {
+		s.planner.HandleRejected(order)
 		return
 	}
-	body, err := json.Marshal(orderBody{stageOrderOp, order.Stage, k.control.settings.NodeID, k.lease.Token()})
+	body, err := json.Marshal(orderBody{stageOrderOp, order.Stage, s.control.settings.NodeID, s.lease.Token()})
 	if err != nil {
 		return
 	}
@@ -38,19 +38,19 @@
 	request.Header.Set("Hazelwheel-Expect-Instance", order.Instance.ID)
 	// Danger: the library must not send an order again by itself.
 	request.GetBody = nil
-	response, err := k.httpClient.Do(request)
+	response, err := s.httpClient.Do(request)
 	if err != nil {
 		return
 	}
 	defer response.Body.Close()
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes))
-	k.control.log.WithField("server", order.Instance.ID).WithField("stage", order.Stage).WithField("status", response.StatusCode).Info("order")
+	s.control.log.WithField("server", order.Instance.ID).WithField("stage", order.Stage).WithField("status", response.StatusCode).Info("order")
 	switch response.StatusCode {
 	case http.StatusAccepted, http.StatusOK:
 	case http.StatusPreconditionFailed:
-		k.lease.Resign()
-		k.planner.HandleRejected(order)
+		s.lease.Resign()
+		s.planner.HandleRejected(order)
 	default:
-		k.planner.HandleRejected(order)
+		s.planner.HandleRejected(order)
 	}
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -28,15 +28,15 @@
 func (c *Control) status() replicaStatus {
 	state := c.replica.state()
 	facts, _ := c.node.State()
-	out := replicaStatus{Identity: state.ID, IsVoter: c.isVoter(&facts.Voters), Epoch: state.Value.Epoch, ConfigVersion: state.Value.ConfigVersion,
+	status := replicaStatus{Identity: state.ID, IsVoter: c.isVoter(&facts.Voters), Epoch: state.Value.Epoch, ConfigVersion: state.Value.ConfigVersion,
 		ConfigBytes: len(c.replica.configBytes(state.Value.ConfigDigest)), BallotRound: state.Accepted.Number, ReachesMajority: c.reachesMajority()}
 	if facts.Table != nil {
-		out.PublishedVersion = facts.Table.Version
+		status.PublishedVersion = facts.Table.Version
 	}
 	for _, voter := range facts.Voters.AllVoters() {
-		out.Voters = append(out.Voters, voterStatus{Identity: voter.ID, Address: voter.Address, Reachable: c.isReachable(voter)})
+		status.Voters = append(status.Voters, voterStatus{Identity: voter.ID, Address: voter.Address, Reachable: c.isReachable(voter)})
 	}
-	return out
+	return status
 }
 
 // serveHoldings answers with JSON.
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -11,14 +11,14 @@
 )
 
 // Config returns the bytes of a value's configuration, from other voters where they aren't here.
-func (r *proposer) configBytes(ctx context.Context, value register.Value) ([]byte, error) {
-	if data := r.replica.configBytes(value.ConfigDigest); data != nil {
+func (p *proposer) configBytes(ctx context.Context, value register.Value) ([]byte, error) {
+	if data := p.replica.configBytes(value.ConfigDigest); data != nil {
 		return data, nil
 	}
-	sources := slices.DeleteFunc(value.AllVoters(), func(v register.Voter) bool { return v.Address == r.self.Address })
-	return r.fetcher.fetch(ctx, value.ConfigDigest, sources, func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error) {
+	sources := slices.DeleteFunc(value.AllVoters(), func(v register.Voter) bool { return v.Address == p.self.Address })
+	return p.fetcher.fetch(ctx, value.ConfigDigest, sources, func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error) {
 		reply := &message.ConfigReply{}
-		return reply, r.client.Call(ctx, from.Address, configPath, request, reply)
+		return reply, p.client.Call(ctx, from.Address, configPath, request, reply)
 	})
 }
 
@@ -32,31 +32,31 @@
 }
 
 // call asks a voter, the own replica without the network.
-func callVoter[Request, Reply any](ctx context.Context, r *proposer, voter register.Voter, path string, timeout time.Duration, request *Request,
+func callVoter[Request, Reply any](ctx context.Context, p *proposer, voter register.Voter, path string, timeout time.Duration, request *Request,
 	local func(context.Context, *Request) (*Reply, error)) (*Reply, error) {
-	if voter.Address == r.self.Address {
+	if voter.Address == p.self.Address {
 		return local(ctx, request)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	reply := new(Reply)
-	return reply, r.client.Call(ctx, voter.Address, path, request, reply)
+	return reply, p.client.Call(ctx, voter.Address, path, request, reply)
 }
 
-func (r *proposer) prepare(ctx context.Context, voter register.Voter, request *register.PrepareRequest) voterReply {
-	promise, err := callVoter(ctx, r, voter, preparePath, voteTimeout, request, r.replica.handlePrepare)
+func (p *proposer) prepare(ctx context.Context, voter register.Voter, request *register.PrepareRequest) voterReply {
+	promise, err := callVoter(ctx, p, voter, preparePath, voteTimeout, request, p.replica.handlePrepare)
 	return voterReply{from: voter, promise: promise, err: err}
 }
 
-func (r *proposer) accept(ctx context.Context, voter register.Voter, request *register.AcceptRequest) voterReply {
-	accepted, err := callVoter(ctx, r, voter, acceptPath, voteTimeout+r.transferTime(len(request.ConfigData)), request, r.replica.handleAccept)
+func (p *proposer) accept(ctx context.Context, voter register.Voter, request *register.AcceptRequest) voterReply {
+	accepted, err := callVoter(ctx, p, voter, acceptPath, voteTimeout+p.transferTime(len(request.ConfigData)), request, p.replica.handleAccept)
 	return voterReply{from: voter, isAccept: true, accepted: accepted, err: err}
 }
 
 // transfer is what bytes take on the own link while they go to all voters.
-func (r *proposer) transferTime(size int) time.Duration {
-	if r.linkMbps <= 0 {
+func (p *proposer) transferTime(size int) time.Duration {
+	if p.linkMbps <= 0 {
 		return 0
 	}
-	return nodeconfig.FromSeconds(float64(size) * 8 * transferMargin / (r.linkMbps * 1e6))
+	return nodeconfig.FromSeconds(float64(size) * 8 * transferMargin / (p.linkMbps * 1e6))
 }
