--- a/cmd/hazellab/demo.go
+++ b/cmd/hazellab/demo.go
@@ -49,13 +49,13 @@
 		if err != nil {
 			return err
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }() // a log, beside which nothing depends on it
 		d.Log = f
 	}
 	if d.Dir, err = os.MkdirTemp("", "hazellab"); err != nil {
 		return err
 	}
-	defer os.RemoveAll(d.Dir)
+	defer func() { _ = os.RemoveAll(d.Dir) }() // temporary
 	ctx, stop := untilSignal(ctx)
 	defer stop()
 	kept, err := d.Run(ctx)
--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -137,13 +137,13 @@
 		if err != nil {
 			return err
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }() // a log, beside which nothing depends on it
 		s.Log = f
 	}
 	if s.Dir, err = os.MkdirTemp("", "hazellab"); err != nil {
 		return err
 	}
-	defer os.RemoveAll(s.Dir)
+	defer func() { _ = os.RemoveAll(s.Dir) }() // temporary
 	ctx, stop := untilSignal(ctx)
 	defer stop()
 	if s.Trials > 0 {
@@ -248,7 +248,7 @@
 	o := sim.Options{Drawn: &r, Together: sim.TogetherAll}
 	script := s.Troubles()
 	out := bufio.NewWriter(c.Root().Writer)
-	defer out.Flush()
+	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
 	if c.Bool("trace") {
 		o.Trace = func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }
 	}
--- a/cmd/hazellab/main_test.go
+++ b/cmd/hazellab/main_test.go
@@ -30,7 +30,7 @@
 		main()
 		return
 	}
-	os.Setenv("RUN_HAZELLAB", "1") // of the children, and theirs
+	_ = os.Setenv("RUN_HAZELLAB", "1") // of the children, and theirs
 	var err error
 	if scratch, err = os.MkdirTemp("", "hazellab"); err != nil {
 		panic(err)
--- a/cmd/hazellab/owners.go
+++ b/cmd/hazellab/owners.go
@@ -30,7 +30,7 @@
 
 func playOwners(_ context.Context, c *cli.Command) error {
 	out := bufio.NewWriter(c.Root().Writer)
-	defer out.Flush()
+	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
 	if c.Bool("measure") {
 		leasesim.Measure(c.Root().Writer)
 		return nil
--- a/cmd/hazellab/pressure.go
+++ b/cmd/hazellab/pressure.go
@@ -77,7 +77,7 @@
 	if s.Dir, err = os.MkdirTemp("", "hazellab"); err != nil {
 		return err
 	}
-	defer os.RemoveAll(s.Dir)
+	defer func() { _ = os.RemoveAll(s.Dir) }() // temporary
 	ctx, stop := untilSignal(ctx)
 	defer stop()
 	unlock, err := lockCores(ctx, s.Cores.Program, s.Cores.Boxes, s.Cores.Load, s.Cores.Flood)
--- a/cmd/hazellab/sim.go
+++ b/cmd/hazellab/sim.go
@@ -142,7 +142,7 @@
 		return err
 	}
 	out := bufio.NewWriter(c.Root().Writer)
-	defer out.Flush()
+	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
 	if c.Bool("quiet-days") {
 		s.Troubles = nil
 	}
@@ -371,22 +371,25 @@
 	small := sim.Shrink(s, rule, o, c.Int("budget"), func(s *environment.Script, played int) {
 		fmt.Fprintf(os.Stderr, "%d days played: %d troubles, %d sidecars, %d boxes, %g s\n", played, len(s.Troubles), s.Sidecars, s.Boxes, s.LengthS)
 	})
-	out := c.Root().Writer
-	if file := c.String("out"); file != "" {
-		f, err := os.Create(file)
-		if err != nil {
-			return err
-		}
-		defer f.Close()
-		out = f
-	}
-	if err := writeScript(out, &small); err != nil {
+	if err := writeScriptTo(c.String("out"), c.Root().Writer, &small); err != nil {
 		return err
 	}
 	fmt.Fprintf(os.Stderr, "breaks %s; replay with: hazellab sim --script %s%s --trace\n", rule, c.String("out"), spoken(o))
 	return errBroken
 }
 
+// writeScriptTo writes a script to a file, or to the terminal where no file is named.
+func writeScriptTo(file string, terminal io.Writer, script *environment.Script) error {
+	if file == "" {
+		return writeScript(terminal, script)
+	}
+	f, err := os.Create(file)
+	if err != nil {
+		return err
+	}
+	return errors.Join(writeScript(f, script), f.Close())
+}
+
 func mutants(_ context.Context, c *cli.Command) error {
 	out := c.Root().Writer
 	var all []sim.Mutant
--- a/cmd/hazellab/soak.go
+++ b/cmd/hazellab/soak.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"os/signal"
@@ -51,7 +52,7 @@
 		if err != nil {
 			return fault(err)
 		}
-		defer file.Close()
+		defer func() { _ = file.Close() }() // a log, beside which nothing depends on it
 		settings.Log = file
 	}
 	// Danger: who ends this program must not leave its processes behind.
@@ -87,6 +88,5 @@
 	if err != nil {
 		return err
 	}
-	defer file.Close()
-	return json.NewEncoder(file).Encode(report)
+	return errors.Join(json.NewEncoder(file).Encode(report), file.Close())
 }
--- a/cmd/hazellab/works.go
+++ b/cmd/hazellab/works.go
@@ -34,7 +34,7 @@
 
 func playWorks(_ context.Context, c *cli.Command) error {
 	out := bufio.NewWriter(c.Root().Writer)
-	defer out.Flush()
+	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
 	first, last, err := seedsOf(c)
 	if err != nil {
 		return err
--- a/cmd/hazelwheel/config.go
+++ b/cmd/hazelwheel/config.go
@@ -214,7 +214,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name())
+	defer func() { _ = os.Remove(f.Name()) }() // temporary
 	_, err = f.Write(text)
 	if err = errors.Join(err, f.Chmod(mode), f.Sync(), f.Close()); err != nil {
 		return err
--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -152,8 +152,8 @@
 // One that stands still for a while goes on with what it knew, and nobody else is called dead for it.
 func TestFleetWithOneThatStandsStill(t *testing.T) {
 	t.Parallel() // else all other tests wait until its last case is over
-	for _, for_ := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
-		t.Run(for_.String(), func(t *testing.T) {
+	for _, stall := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
+		t.Run(stall.String(), func(t *testing.T) {
 			c := newCrew(t, 5).start()
 			c.ready(c.all...)
 			c.agree(c.all...)
@@ -162,10 +162,10 @@
 			before, _ := still.seen()
 			began := time.Now()
 			still.freeze()
-			if for_ > 4*time.Second {
+			if stall > 4*time.Second {
 				t.Logf("held for dead after %v", c.view(others, others))
 			}
-			time.Sleep(for_ - time.Since(began)) // the trouble itself; what follows from it is polled
+			time.Sleep(stall - time.Since(began)) // the trouble itself; what follows from it is polled
 			still.thaw()
 			t.Logf("back after %v", c.agree(c.all...))
 			after, _ := still.seen()
@@ -174,7 +174,7 @@
 				s, _ := m.seen()
 				assert.Len(t, s.Members, 5, "nobody is another than before")
 			}
-			if deaths := c.deaths(still); assert.Zero(t, deaths, "it doubts itself before others") && for_ > 4*time.Second {
+			if deaths := c.deaths(still); assert.Zero(t, deaths, "it doubts itself before others") && stall > 4*time.Second {
 				assert.NotZero(t, after.View.Refutations+after.View.Stalls)
 			}
 			stop()
--- a/cmd/hazelwheel/main.go
+++ b/cmd/hazelwheel/main.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return fault(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // read only
 	tally, err := capture.Replay(f, c.Root().Writer)
 	fmt.Fprintln(c.Root().Writer, tally)
 	switch {
--- a/cmd/hazelwheel/quota.go
+++ b/cmd/hazelwheel/quota.go
@@ -151,7 +151,7 @@
 	if err != nil {
 		return fault(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // read only
 	load, err := played.ReadSeries(f, tree)
 	if err != nil {
 		return fault(fmt.Errorf("%s: %w", c.String("load"), err))
--- a/cmd/hazelwheel/ways_test.go
+++ b/cmd/hazelwheel/ways_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -143,7 +144,8 @@
 	}
 	p := protocol(c, t.way)
 	_, err = apache.NewTStandardClient(p, p).Call(r.Context(), class, &asked, &result)
-	said, excepted := err.(apache.TApplicationException)
+	var said apache.TApplicationException
+	excepted := errors.As(err, &said)
 	if err != nil && !excepted {
 		c.Close()
 		return nil, err
--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -291,10 +291,9 @@
 		}
 		fmt.Fprintln(t, text)
 	}
-	switch {
-	case s.Owner == "":
+	if s.Owner == "" {
 		fmt.Fprintf(t, "version %d is agreed; nobody settles the order at the moment\n", s.Version)
-	default:
+	} else {
 		fmt.Fprintf(t, "version %d is agreed; %s settles the order, %.1f s ago\n", s.Version, s.Owner, s.AgeS)
 	}
 	if len(s.Hand) > 0 {
--- a/internal/appconfig/file.go
+++ b/internal/appconfig/file.go
@@ -103,7 +103,7 @@
 		if err != nil {
 			return unreadable(name, err)
 		}
-		defer h.Close()
+		defer func() { _ = h.Close() }() // read only
 		info, err := h.Stat()
 		if err != nil {
 			return unreadable(name, err)
--- a/internal/capture/disk.go
+++ b/internal/capture/disk.go
@@ -114,7 +114,7 @@
 // next begins the file of a segment, with room for it under the cap.
 func (d *disk) next(segment int) {
 	if d.file != nil {
-		d.file.Close() // what it says concerns a file that is written or given up
+		_ = d.file.Close() // what it says concerns a file that is written or given up
 	}
 	d.file, d.segment, d.spoilt = nil, segment, false
 	err := os.MkdirAll(d.dir, 0o755)
--- a/internal/ci/checktests/main.go
+++ b/internal/ci/checktests/main.go
@@ -82,7 +82,7 @@
 	go passOn(signals, over, cmd.Process, errs)
 	readErr := readLines(events, run.Add)
 	if readErr != nil {
-		io.Copy(io.Discard, events) // so that the command can end
+		_, _ = io.Copy(io.Discard, events) // so that the command can end
 	}
 	err = cmd.Wait()
 	var exit *exec.ExitError
--- a/internal/ci/knownred/run.go
+++ b/internal/ci/knownred/run.go
@@ -81,7 +81,7 @@
 	}
 	switch {
 	case e.Action == actionBuildOutput:
-		io.WriteString(r.out, e.Output)
+		_, _ = io.WriteString(r.out, e.Output)
 	case e.Action == actionBuildFail:
 		r.buildFails = true
 	case e.Package == "":
@@ -142,7 +142,7 @@
 func (p *packageRun) print(out io.Writer) {
 	for _, l := range p.output {
 		if p.shows(l) {
-			io.WriteString(out, l.text)
+			_, _ = io.WriteString(out, l.text)
 		}
 	}
 }
--- a/internal/environment/player.go
+++ b/internal/environment/player.go
@@ -463,9 +463,10 @@
 // Restart has a sidecar be killed and begin again after a while, with what is on its disk, unless it is gone already.
 func (p *Player) Restart(sidecar int, afterS, now float64) { p.killSidecar(sidecar, afterS, now) }
 
-// Down ends a box's process, as who works on the box does, and Up begins the next one, unless something else has.
+// Down ends a server's process, as the maintenance agent does.
 func (p *Player) Down(box int, now float64) { p.end(p.w.Boxes[box], false, now) }
 
+// Up starts the next process of a server whose process Down has ended, unless a fault ended it as well.
 func (p *Player) Up(box int, now float64) {
 	b := p.w.Boxes[box]
 	p.back(b, b.machine(), false, now)
--- a/internal/environment/speech.go
+++ b/internal/environment/speech.go
@@ -1,6 +1,7 @@
 package environment
 
 import (
+	"net/http"
 	"net/netip"
 	"strconv"
 	"strings"
@@ -203,14 +204,14 @@
 		return http1.AppendResponse(dst, status, h, body)
 	}
 	m := &k.heard.m
-	switch {
-	case status == 200:
+	switch status {
+	case http.StatusOK:
 		var w thrift.Writer
 		w.Begin(dst, m.Encoding, thrift.Reply, k.heard.name, m.Seq)
 		w.Field(thrift.String, 0)
 		w.Bytes(body)
 		return w.End()
-	case status == 503:
+	case http.StatusServiceUnavailable:
 		return thrift.AppendException(dst, m.Encoding, k.heard.name, m.Seq, thrift.LoadShedding, "not started")
 	default:
 		return thrift.AppendException(dst, m.Encoding, k.heard.name, m.Seq, thrift.InternalError, strconv.Itoa(status))
--- a/internal/lab/experiment/machine.go
+++ b/internal/lab/experiment/machine.go
@@ -27,7 +27,7 @@
 func thisMachine() Machine {
 	m := Machine{CPU: "unknown", Cores: runtime.NumCPU(), Go: runtime.Version()}
 	if f, err := os.Open("/proc/cpuinfo"); err == nil {
-		defer f.Close()
+		defer func() { _ = f.Close() }() // read only
 		for lines := bufio.NewScanner(f); lines.Scan(); {
 			if name, value, ok := strings.Cut(lines.Text(), ":"); ok && strings.TrimSpace(name) == "model name" {
 				m.CPU = strings.TrimSpace(value)
@@ -56,7 +56,7 @@
 	if err != nil {
 		return v, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // read only
 	sum := sha256.New()
 	if _, err := io.Copy(sum, f); err != nil {
 		return v, err
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -189,7 +189,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close() // the children have their own
+	defer func() { _ = log.Close() }() // the children have their own
 	boxes, err := b.group.Start(process.Spec{Name: "boxes", Path: b.settings.Self, Cores: s.Cores.Boxes, Nice: s.Nice, Log: log,
 		Args: []string{"standin", "--boxes", strconv.Itoa(size.Boxes), "--base", firstBox.String(), "--port", strconv.Itoa(port),
 			"--delay", size.Delay.String(), "--body", strconv.Itoa(size.Body), "--slots", strconv.Itoa(size.Slots),
--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -139,7 +139,7 @@
 	return s, nil
 }
 
-// Load reads an experiment's file.
+// ReadFile reads an experiment's file and returns its bytes as well.
 func ReadFile(path string) (*Spec, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/experiment/trouble.go
+++ b/internal/lab/experiment/trouble.go
@@ -105,7 +105,7 @@
 		if err != nil {
 			return err
 		}
-		defer log.Close() // the child has its own
+		defer func() { _ = log.Close() }() // the child has its own
 		spec := b.specs[0]
 		spec.Log = log
 		child, err := b.group.Start(spec)
--- a/internal/lab/flood/flood.go
+++ b/internal/lab/flood/flood.go
@@ -199,7 +199,7 @@
 // would be over with the ports.
 func (f *flooder) drop(l held) {
 	_ = unix.SetsockoptLinger(l.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
-	unix.Close(l.fd)
+	_ = unix.Close(l.fd) // fails only on a descriptor that is not open
 }
 
 // look drops the connections that the sidecar has ended.
--- a/internal/lab/load/result.go
+++ b/internal/lab/load/result.go
@@ -11,6 +11,7 @@
 // Outcome is what came of a request.
 type Outcome int
 
+// The outcomes, as the client sees them.
 const (
 	Served     Outcome = iota // 200
 	Refused                   // 429 or 503: nothing has run
--- a/internal/lab/load/worker.go
+++ b/internal/lab/load/worker.go
@@ -311,7 +311,7 @@
 		err = unix.EpollCtl(w.poll, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Fd: int32(fd),
 			Events: unix.EPOLLIN | unix.EPOLLOUT | unix.EPOLLRDHUP | edge})
 		if err != nil {
-			unix.Close(fd)
+			_ = unix.Close(fd) // fails only on a descriptor that is not open
 		}
 	}
 	if err != nil {
@@ -538,7 +538,7 @@
 func (w *worker) close(l *link) {
 	if l.fd >= 0 {
 		delete(w.links, int32(l.fd))
-		unix.Close(l.fd)
+		_ = unix.Close(l.fd) // fails only on a descriptor that is not open
 	}
 	l.fd, l.state, l.pending = -1, down, nil
 }
@@ -634,7 +634,7 @@
 // shut closes all sockets.
 func (w *worker) shut() {
 	for _, l := range w.links {
-		unix.Close(l.fd)
+		_ = unix.Close(l.fd) // fails only on a descriptor that is not open
 	}
-	unix.Close(w.poll)
+	_ = unix.Close(w.poll) // fails only on a descriptor that is not open
 }
--- a/internal/lab/loopback/conn.go
+++ b/internal/lab/loopback/conn.go
@@ -1,6 +1,7 @@
 package loopback
 
 import (
+	"errors"
 	"io"
 	"net"
 	"net/netip"
@@ -81,7 +82,7 @@
 // abort ends the socket with a reset, whatever waits.
 func (c *conn) abort() {
 	_ = c.tcp.SetLinger(0)
-	c.tcp.Close()
+	_ = c.tcp.Close() // the connection is given up
 	c.in.close()
 	c.out.close()
 }
@@ -141,7 +142,7 @@
 				c.life.host.Traffic(c, p.data)
 			}
 			if p.err != nil && !c.dead {
-				if p.err != io.EOF {
+				if !errors.Is(p.err, io.EOF) {
 					c.abort()
 				}
 				c.life.closedByPeer(c, p.err)
@@ -167,7 +168,7 @@
 
 // send writes what is due.
 func (c *conn) send() {
-	defer c.tcp.Close()
+	defer func() { _ = c.tcp.Close() }() // the connection is given up
 	for {
 		p, ok := c.out.take()
 		if !ok {
--- a/internal/lab/loopback/ground_test.go
+++ b/internal/lab/loopback/ground_test.go
@@ -217,7 +217,7 @@
 	c = s.dial()
 	io.WriteString(c, "a")
 	s.hears(c, "a")
-	c.(*net.TCPConn).SetLinger(0)
+	_ = c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 	assert.ErrorIs(t, <-s.echo.closed, syscall.ECONNRESET)
 }
--- a/internal/lab/loopback/machine.go
+++ b/internal/lab/loopback/machine.go
@@ -104,7 +104,7 @@
 		tcp := raw.(*net.TCPConn)
 		peer := m.g.who(tcp)
 		if peer.Addr() == fillFrom || !peer.IsValid() {
-			tcp.Close()
+			_ = tcp.Close() // the connection is given up
 			continue
 		}
 		m.g.Post(func() {
@@ -180,7 +180,7 @@
 	})
 }
 
-func (l *life) Dial(address string, until float64, context_ any, done func(error)) func() {
+func (l *life) Dial(address string, until float64, hostContext any, done func(error)) func() {
 	ctx, cancel := context.WithTimeout(context.Background(), max(l.m.g.until(until), 0))
 	go func() {
 		dialer := net.Dialer{KeepAlive: -1, LocalAddr: &net.TCPAddr{IP: net.ParseIP(l.m.IP)}, Control: manyPorts}
@@ -195,7 +195,7 @@
 			}
 			if err == nil {
 				tcp := raw.(*net.TCPConn)
-				l.open(newConn(l.m, tcp, tcp.RemoteAddr().(*net.TCPAddr).AddrPort(), context_))
+				l.open(newConn(l.m, tcp, tcp.RemoteAddr().(*net.TCPAddr).AddrPort(), hostContext))
 			}
 			done(err)
 		})
--- a/internal/lab/overload/pressure.go
+++ b/internal/lab/overload/pressure.go
@@ -190,7 +190,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close() // the child has its own
+	defer func() { _ = log.Close() }() // the child has its own
 	spec := process.Spec{Name: b.program.Name, Path: b.program.Path, Args: []string{"serve", "--config", config},
 		Cores: b.settings.Cores.Program, Nice: b.settings.Nice, Log: log}
 	if b.program.Proxy != "" {
--- a/internal/lab/process/lock.go
+++ b/internal/lab/process/lock.go
@@ -21,7 +21,7 @@
 	var files []*os.File
 	unlock = func() {
 		for _, f := range files {
-			f.Close()
+			_ = f.Close() // gives the lock back, whatever it returns
 		}
 	}
 	cores = slices.Compact(slices.Sorted(slices.Values(cores))) // all take them in one order, so that none waits in a ring
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -90,14 +90,14 @@
 				err = fmt.Errorf("cores %v: %w", s.Cores, err)
 				return
 			}
-			defer unix.SchedSetaffinity(0, &before)
+			defer func() { _ = unix.SchedSetaffinity(0, &before) }() // of this thread alone, which ends otherwise
 		}
 		if s.Nice != 0 {
 			if err = unix.Setpriority(unix.PRIO_PROCESS, 0, s.Nice); err != nil { // of this thread, whose children inherit it
 				err = fmt.Errorf("priority %d: %w", s.Nice, err)
 				return
 			}
-			defer unix.Setpriority(unix.PRIO_PROCESS, 0, 0)
+			defer func() { _ = unix.Setpriority(unix.PRIO_PROCESS, 0, 0) }() // of this thread alone
 		}
 		err = c.cmd.Start()
 	})
@@ -219,7 +219,7 @@
 		}
 		select {
 		case <-c.done:
-			return fmt.Errorf("%s ended before it listened at %s: %v", c.name, address, c.err)
+			return fmt.Errorf("%s ended before it listened at %s: %w", c.name, address, c.err)
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(5 * time.Millisecond):
@@ -257,7 +257,7 @@
 			given.Unlock()
 			return port, l.Close()
 		}
-		held.Close()
+		_ = held.Close() // the port is not used
 	}
 	return 0, err
 }
--- a/internal/lab/processcluster/owners.go
+++ b/internal/lab/processcluster/owners.go
@@ -149,7 +149,7 @@
 			j.wellAt[name] = now
 		}
 		// Danger: on a machine that stands still for a second all leases end, and the next look finds nobody.
-		if t.troubleAt == asked && calm > ownedWithin && now.Sub(j.wellAt[name]) > ownedWithin && !j.told {
+		if t.troubleAt.Equal(asked) && calm > ownedWithin && now.Sub(j.wellAt[name]) > ownedWithin && !j.told {
 			j.told = true
 			t.find(checker.Rule(noOwner), "", "%.1f s after the last trouble: %s; %d would do it", calm.Seconds(), differs, fit)
 		}
--- a/internal/lab/processcluster/switchboard.go
+++ b/internal/lab/processcluster/switchboard.go
@@ -156,7 +156,7 @@
 	for _, conn := range c.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0) // fails only on one that is closed
-			tcp.Close()
+			_ = tcp.Close()      // the connection is given up
 		}
 	}
 }
--- a/internal/lab/processcluster/troupe.go
+++ b/internal/lab/processcluster/troupe.go
@@ -313,8 +313,7 @@
 	return os.WriteFile(m.features, raw, 0o600)
 }
 
-// Prepare, the troubles and Standing are what the play asks for.
-
+// Prepare returns the arguments and the environment with which the play starts a sidecar.
 func (t *Troupe) Prepare(sidecar int) (args, env []string, err error) {
 	m := t.mates[sidecar]
 	return []string{"--features", m.features}, []string{"GW_OPS=" + m.ops}, nil
@@ -322,14 +321,17 @@
 
 func (t *Troupe) way(from, to int) Way { return Way{t.mates[from].name, t.mates[to].name} }
 
+// PeersCut has the connections from one sidecar to another cut, or restored.
 func (t *Troupe) PeersCut(from, to int, on bool) {
 	t.rule(from, to, func(r *Rule) { r.Cut = on })
 }
 
+// PeersHold has bytes from one sidecar to another stop while the connections stay open, or flow again.
 func (t *Troupe) PeersHold(from, to int, on bool) {
 	t.rule(from, to, func(r *Rule) { r.Hold = on })
 }
 
+// PeersSlow bounds the bytes a second of each connection from one sidecar to another; 0 ends it.
 func (t *Troupe) PeersSlow(from, to int, perS float64) {
 	t.rule(from, to, func(r *Rule) { r.PerS = perS })
 }
@@ -352,6 +354,7 @@
 	t.board.Set(r, w)
 }
 
+// PeersReset resets the connections between two sidecars.
 func (t *Troupe) PeersReset(a, b int) {
 	t.trouble(0)
 	t.board.Reset(t.mates[a].name, t.mates[b].name)
@@ -418,6 +421,7 @@
 	}
 }
 
+// Spoil has the kept state of a sidecar that is down lost, torn or replaced by an older one.
 func (t *Troupe) Spoil(sidecar int, state string) {
 	file := filepath.Join(t.mates[sidecar].dir, "peer")
 	raw, err := os.ReadFile(file)
@@ -434,6 +438,7 @@
 	}
 }
 
+// Standing notes that the process of a sidecar is up, or has ended.
 func (t *Troupe) Standing(sidecar int, on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/lab/proxy/fast.go
+++ b/internal/lab/proxy/fast.go
@@ -42,7 +42,7 @@
 	context.AfterFunc(ctx, func() { l.Close() })
 	err := server.Serve(l)
 	if ctx.Err() != nil {
-		return nil
+		return nil //nolint:nilerr // Serve returns an error because the context's end closed its listener
 	}
 	return err
 }
--- a/internal/lab/proxy/proxy.go
+++ b/internal/lab/proxy/proxy.go
@@ -64,7 +64,7 @@
 		return serveFast(ctx, l, boxes)
 	}
 	server := &http.Server{Handler: handler(s, boxes), ErrorLog: log.New(io.Discard, "", 0)}
-	context.AfterFunc(ctx, func() { server.Close() })
+	context.AfterFunc(ctx, func() { _ = server.Close() }) // the program ends
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
--- a/internal/lab/rawsocket/sock.go
+++ b/internal/lab/rawsocket/sock.go
@@ -40,7 +40,7 @@
 		err = unix.Connect(fd, sockaddr(to))
 	}
 	if err != nil && err != unix.EINPROGRESS {
-		unix.Close(fd)
+		_ = unix.Close(fd) // fails only on a descriptor that is not open
 		return -1, err
 	}
 	return fd, nil
--- a/internal/lab/realtime/board.go
+++ b/internal/lab/realtime/board.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"net/http"
 	"slices"
 	"strings"
 
@@ -88,13 +89,13 @@
 	if !known || r.done {
 		return
 	}
-	switch {
-	case e.Status == 200:
+	switch e.Status {
+	case http.StatusOK:
 		r.done = true
 		b.asked[first] = r
 		*grow(&b.times, b.step(e.At)) = append(*grow(&b.times, b.step(e.At)), (e.At-r.at)*1000)
 		b.count(r, func(c *load.Counts) { c.Served++ })
-	case e.Status == 429 || e.Status == 503:
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		b.count(r, func(c *load.Counts) { c.Refused++ })
 	default:
 		b.count(r, func(c *load.Counts) { c.Failed++ })
@@ -230,5 +231,5 @@
 			strings.Repeat("=", min(v.rates[i], 60)))
 	}
 	s.WriteString("\n" + strings.Join(notes, "\n") + "\n")
-	io.WriteString(w, s.String())
+	_, _ = io.WriteString(w, s.String())
 }
--- a/internal/lab/realtime/inode.go
+++ b/internal/lab/realtime/inode.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer unix.Close(fd)
+	defer func() { _ = unix.Close(fd) }() // fails only on a descriptor that is not open
 	b := make([]byte, requestSize)
 	native, wire := binary.NativeEndian, binary.BigEndian
 	native.PutUint32(b, requestSize)
--- a/internal/lab/realtime/live.go
+++ b/internal/lab/realtime/live.go
@@ -112,7 +112,7 @@
 	if err := p.ground.Run(ctx); err != nil {
 		return nil, err
 	}
-	if cause := context.Cause(ctx); parent.Err() == nil && cause != errOver {
+	if cause := context.Cause(ctx); parent.Err() == nil && !errors.Is(cause, errOver) {
 		return nil, cause
 	}
 	if s.Over != nil {
--- a/internal/lab/realtime/serve.go
+++ b/internal/lab/realtime/serve.go
@@ -39,8 +39,8 @@
 			return
 		}
 		server := &http.Server{Handler: p.control()}
-		go server.Serve(control) // returns when the listener is closed
-		context.AfterFunc(ctx, func() { server.Close() })
+		go func() { _ = server.Serve(control) }()             // returns when the listener is closed
+		context.AfterFunc(ctx, func() { _ = server.Close() }) // the play is over
 	}}
 	if _, err := Do(ctx, settings); err != nil {
 		return err
--- a/internal/lab/report/profile.go
+++ b/internal/lab/report/profile.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // read only
 	return profile.Parse(f)
 }
 
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -44,7 +44,8 @@
 	}
 	configuredEngine struct {
 		Slots, KvTokens, KvTokenBytes int
-		LinkMbps, HandleTtlS, SwitchS float64
+		LinkMbps, SwitchS             float64
+		HandleTTLS                    float64 `json:"HandleTtlS"`
 	}
 )
 
@@ -90,7 +91,7 @@
 	}
 	config := configuration{Version: version, Services: []configuredService{{Name: plainService, HealthPath: "/health", MaxConnections: 2000},
 		{Name: modelService, HealthPath: "/health", MaxConnections: 2000, Engine: &configuredEngine{Slots: serverSlots, KvTokens: 600_000, KvTokenBytes: 35_000,
-			LinkMbps: 1e6, HandleTtlS: 5, SwitchS: switchFor.Seconds()}}}}
+			LinkMbps: 1e6, HandleTTLS: 5, SwitchS: switchFor.Seconds()}}}}
 	add := func(name, prefix, kind, service string) {
 		config.Routes = append(config.Routes, configuredRoute{Name: name, Host: host, PathPrefix: prefix, RouteType: kind, Service: service,
 			TimeoutMs: int(requestDeadline.Milliseconds()), TargetLatencyMs: 500, MaxAttempts: 2})
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return 0, Error.Wrap(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // read only
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		var kilobytes int
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -53,7 +53,7 @@
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
-		defer os.RemoveAll(made)
+		defer func() { _ = os.RemoveAll(made) }() // temporary
 		dir = made
 	}
 	checker := NewChecker()
--- a/internal/lab/stub/boxes.go
+++ b/internal/lab/stub/boxes.go
@@ -250,12 +250,12 @@
 			continue // never answered
 		}
 		if probe {
-			c.Write(probed) // an error closes the connection
+			_, _ = c.Write(probed) // an error closes the connection
 			continue
 		}
 		b.serve(c, state, t)
 	}
-	c.Discard(used)
+	_, _ = c.Discard(used)
 	return gnet.None
 }
 
@@ -270,13 +270,13 @@
 		delay += t.Delay
 	}
 	if delay == 0 {
-		c.Write(answer)
+		_, _ = c.Write(answer) // an error closes the connection
 		return
 	}
 	due, ok := state.box.due(time.Now(), delay, b.settings.Waiting)
 	if !ok {
 		state.box.turned.Add(1)
-		c.Write(turned)
+		_, _ = c.Write(turned) // an error closes the connection
 		return
 	}
 	b.late.push(entry{due: due, c: c, state: state, answer: answer})
--- a/internal/lab/stub/discovery.go
+++ b/internal/lab/stub/discovery.go
@@ -28,7 +28,7 @@
 	d := &Discovery{done: make(chan struct{}), list: boxes.settings.List(), boxes: boxes}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", d.tell)
-	mux.HandleFunc("GET /lab/boxes", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(boxes.Counts()) })
+	mux.HandleFunc("GET /lab/boxes", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(boxes.Counts()) })
 	mux.HandleFunc("POST /lab/trouble", func(w http.ResponseWriter, r *http.Request) {
 		var t Trouble
 		err := json.NewDecoder(r.Body).Decode(&t)
@@ -40,7 +40,7 @@
 		}
 	})
 	d.server.Handler = mux
-	go d.server.Serve(l) // returns when the server is closed
+	go func() { _ = d.server.Serve(l) }() // returns when the server is closed
 	return d, nil
 }
 
@@ -73,7 +73,7 @@
 		case <-d.done:
 			return
 		case <-tick.C:
-			w.Write([]byte("\n"))
+			_, _ = w.Write([]byte("\n"))
 		}
 	}
 }
--- a/internal/netio/multiplex/beside.go
+++ b/internal/netio/multiplex/beside.go
@@ -34,8 +34,10 @@
 	return &Loop{net: net, at: [2]float64{math.Inf(1), math.Inf(1)}, armed: math.Inf(1)}
 }
 
-// Core and Companion return the loop as the one and the other see it.
-func (l *Loop) Core() netio.Net      { return side{l.net, l, core} }
+// Core returns the loop as the core sees it.
+func (l *Loop) Core() netio.Net { return side{l.net, l, core} }
+
+// Companion returns the loop as the program beside the core sees it.
 func (l *Loop) Companion() netio.Net { return side{l.net, l, companion} }
 
 // Host returns both as one; owns tells which connections are the companion's.
--- a/internal/netio/sockets/epoll.go
+++ b/internal/netio/sockets/epoll.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // read only
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		if fields := strings.Fields(lines.Text()); len(fields) > 1 && fields[0] == "tfd:" {
 			if fd, err := strconv.Atoi(fields[1]); err == nil {
--- a/internal/netio/sockets/passed.go
+++ b/internal/netio/sockets/passed.go
@@ -32,7 +32,7 @@
 		return fmt.Errorf("descriptor %d: %w", fd, ErrPassed)
 	}
 	f := os.NewFile(uintptr(fd), "passed")
-	defer f.Close()
+	defer func() { _ = f.Close() }() // read only
 	l, err := net.FileListener(f)
 	if err != nil {
 		return fmt.Errorf("descriptor %d: %w: %w", fd, ErrPassed, err)
--- a/internal/netio/sockets/sockets.go
+++ b/internal/netio/sockets/sockets.go
@@ -160,7 +160,7 @@
 }
 
 // Dial connects beside the event loop: gnet's own dialing would block it, or go on without an end.
-func (n *Net) Dial(address string, until float64, context_ any, done func(error)) func() {
+func (n *Net) Dial(address string, until float64, hostContext any, done func(error)) func() {
 	ctx, cancel := context.WithDeadline(context.Background(), n.clock.time(until))
 	settled := func(err error) {
 		n.execute(func() {
@@ -175,7 +175,7 @@
 			settled(err)
 			return
 		}
-		result, err := n.loop.Enroll(gnet.NewContext(context.Background(), context_), conn)
+		result, err := n.loop.Enroll(gnet.NewContext(context.Background(), hostContext), conn)
 		if err != nil {
 			conn.Close()
 			settled(err)
@@ -247,7 +247,7 @@
 	if err != nil {
 		return err
 	}
-	defer unix.Close(fd)
+	defer func() { _ = unix.Close(fd) }() // fails only on a descriptor that is not open
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return err
 	}
--- a/internal/netio/virtual/world.go
+++ b/internal/netio/virtual/world.go
@@ -274,8 +274,8 @@
 	binary.LittleEndian.PutUint32(b[12:], uint32(p.number))
 	binary.LittleEndian.PutUint64(b[16:], conn)
 	binary.LittleEndian.PutUint64(b[24:], uint64(len(data)))
-	w.digest.Write(b)
+	_, _ = w.digest.Write(b)
 	if len(data) > 0 {
-		w.digest.Write(data)
+		_, _ = w.digest.Write(data)
 	}
 }
--- a/internal/sim/mutants.go
+++ b/internal/sim/mutants.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return m, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // temporary
 	if err := copySources(o.Root, dir); err != nil {
 		return m, err
 	}
--- a/internal/simulatorwire/frame_test.go
+++ b/internal/simulatorwire/frame_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"io"
 	"math"
 	"strings"
@@ -58,7 +59,7 @@
 	if DecodeRef(b.Record(2)) != 0x0e6f2b19 {
 		t.Error("reference of the departed request")
 	}
-	if _, err := r.Next(); err != io.EOF {
+	if _, err := r.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("end of input: %v", err)
 	}
 }
@@ -75,7 +76,7 @@
 		"half a header": whole[:7], "half a frame": whole[:60], "more records than bytes": claims,
 		"size beyond the input": huge, "clock not a number": clock,
 	} {
-		if _, err := NewReader(bytes.NewReader(in)).Next(); err == nil || err == io.EOF {
+		if _, err := NewReader(bytes.NewReader(in)).Next(); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
--- a/internal/thrift/apache_test.go
+++ b/internal/thrift/apache_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/hex"
+	"errors"
 	"flag"
 	"fmt"
 	"math/rand/v2"
@@ -247,7 +248,7 @@
 		}
 		var found [MostPaths]Value
 		err = m.Find([]Path{{one}, {one, two}, {two}, {two, one, one}}, &found)
-		if checked := m.Check(); err == nil && checked != nil || err != nil && err != ErrTwice && checked == nil {
+		if checked := m.Check(); err == nil && checked != nil || err != nil && !errors.Is(err, ErrTwice) && checked == nil {
 			t.Fatalf("found %v, checked %v", err, checked)
 		} else if checked != nil {
 			return
--- a/policy/checkpoint_test.go
+++ b/policy/checkpoint_test.go
@@ -348,7 +348,7 @@
 	for range 20000 { // noise may restore something odd, but must not panic
 		broken := slices.Clone(state)
 		broken[1+rng.IntN(len(state)-1)] ^= byte(1 + rng.IntN(255))
-		Restore(s, broken, &tape{})
+		_, _ = Restore(s, broken, &tape{})
 	}
 	if _, err := Restore(s, append(state, 0), &tape{}); err == nil {
 		t.Error("more than a checkpoint was taken")
