--- a/internal/decide/membership/exchange.go
+++ b/internal/decide/membership/exchange.go
@@ -6,121 +6,127 @@
 	"slices"
 )
 
-// SampleRecords returns the records to tell in an exchange: the own one and others, drawn at random.
+// maxRefutations bounds the refutations that wait for the next exchange.
+const maxRefutations = 4
+
+// SampleRecords returns the records to send in an exchange: the own one, refutations, and a random sample of the others.
 func (v *View) SampleRecords(now float64) []Record {
-	records := append([]Record{v.self}, v.rebuttal...)
-	v.rebuttal = nil
-	names := slices.Sorted(maps.Keys(v.entries))
+	records := append([]Record{v.self}, v.refutations...)
+	v.refutations = nil
+	names := slices.Sorted(maps.Keys(v.known))
 	v.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	for _, name := range names {
 		if len(records) >= v.settings.RecordsPerExchange {
 			break
 		}
-		// Danger: who is silent is not passed on, or old news would go round for ever.
-		if e := v.entries[name]; v.alive(e, now) {
-			records = append(records, e.record)
+		// Danger: records of unreachable processes must not be sent, or they would circulate for ever.
+		if process := v.known[name]; v.isAlive(process, now) {
+			records = append(records, process.record)
 		}
 	}
 	return records
 }
 
-// SampleHeartbeats returns heartbeats to tell in an exchange: of all that live, or of some drawn at random.
+// SampleHeartbeats returns the heartbeats to send in an exchange: those of all live processes, or of a random sample.
 func (v *View) SampleHeartbeats(now float64) []Heartbeat {
-	var beats []Heartbeat
-	for _, e := range v.entries {
-		if v.alive(e, now) {
-			beats = append(beats, Heartbeat{Key: e.record.key(), Counter: e.record.Heartbeat})
+	var heartbeats []Heartbeat
+	for _, process := range v.known {
+		if v.isAlive(process, now) {
+			heartbeats = append(heartbeats, Heartbeat{Key: process.record.heartbeatKey(), Counter: process.record.Heartbeat})
 		}
 	}
-	slices.SortFunc(beats, func(a, b Heartbeat) int { return cmp.Compare(a.Key, b.Key) })
-	if len(beats) > v.settings.HeartbeatsPerExchange {
-		v.rng.Shuffle(len(beats), func(i, j int) { beats[i], beats[j] = beats[j], beats[i] })
-		beats = beats[:v.settings.HeartbeatsPerExchange]
+	slices.SortFunc(heartbeats, func(a, b Heartbeat) int { return cmp.Compare(a.Key, b.Key) })
+	if len(heartbeats) > v.settings.HeartbeatsPerExchange {
+		v.rng.Shuffle(len(heartbeats), func(i, j int) { heartbeats[i], heartbeats[j] = heartbeats[j], heartbeats[i] })
+		heartbeats = heartbeats[:v.settings.HeartbeatsPerExchange]
 	}
-	return beats
+	return heartbeats
 }
 
-// MergeHeartbeats takes heartbeats that a peer told.
-func (v *View) MergeHeartbeats(now float64, beats []Heartbeat) {
-	if len(beats) == 0 {
+// MergeHeartbeats adopts received heartbeats that are higher than the known ones. Those of unknown runs are ignored.
+func (v *View) MergeHeartbeats(now float64, heartbeats []Heartbeat) {
+	if len(heartbeats) == 0 {
 		return
 	}
-	byKey := make(map[uint32]uint64, len(beats))
-	for _, beat := range beats {
-		byKey[beat.Key] = beat.Counter
+	byKey := make(map[uint32]uint64, len(heartbeats))
+	for _, heartbeat := range heartbeats {
+		byKey[heartbeat.Key] = heartbeat.Counter
 	}
-	for _, e := range v.entries {
-		if heartbeat, ok := byKey[e.record.key()]; ok && heartbeat > e.record.Heartbeat {
-			e.record.Heartbeat, e.heard = heartbeat, now
+	for _, process := range v.known {
+		if counter, ok := byKey[process.record.heartbeatKey()]; ok && counter > process.record.Heartbeat {
+			process.record.Heartbeat, process.updatedAt = counter, now
 		}
 	}
 }
 
-// MergeRecords takes records that a peer told. It returns whether a process came that was not known.
-func (v *View) MergeRecords(now float64, records []Record) (came bool) {
+// MergeRecords adopts received records that are newer than the known ones. It reports whether one is of a process or run
+// that was not known.
+func (v *View) MergeRecords(now float64, records []Record) (hasNew bool) {
 	for i := range records {
-		if v.merge(now, &records[i]) {
-			came = true
+		if v.mergeRecord(now, &records[i]) {
+			hasNew = true
 		}
 	}
-	v.refill(now)
-	v.shuffle(records)
-	return came
+	v.refillPeers(now)
+	v.replacePeer(records)
+	return hasNew
 }
 
-func (v *View) merge(now float64, record *Record) bool {
+// mergeRecord adopts a record if it is newer than the known one. It reports whether the process or run was not known.
+func (v *View) mergeRecord(now float64, record *Record) bool {
 	if record.Name == "" || record.Address == "" {
 		return false
 	}
 	if record.Name == v.self.Name {
-		v.outbid(record)
+		v.raiseIncarnation(record)
 		return false
 	}
-	if old, ok := v.dead[record.Name]; ok && !record.newer(&old) {
-		v.rebut(&old, record)
+	if old, ok := v.forgotten[record.Name]; ok && !record.isNewerThan(&old) {
+		v.queueRefutation(&old, record)
 		return false
 	}
-	known := v.entries[record.Name]
+	known := v.known[record.Name]
 	if known == nil {
-		delete(v.dead, record.Name)
-		v.entries[record.Name] = &entry{*record, now}
+		delete(v.forgotten, record.Name)
+		v.known[record.Name] = &knownProcess{*record, now}
 		return true
 	}
 	if record.Incarnation == known.record.Incarnation && record.RunID == known.record.RunID {
-		known.update(now, record)
+		known.mergeSameRun(now, record)
 		return false
 	}
-	if record.newer(&known.record) {
-		came := record.RunID != known.record.RunID
-		known.record, known.heard = *record, now
-		return came
+	if record.isNewerThan(&known.record) {
+		isNewRun := record.RunID != known.record.RunID
+		known.record, known.updatedAt = *record, now
+		return isNewRun
 	}
-	v.rebut(&known.record, record)
+	v.queueRefutation(&known.record, record)
 	return false
 }
 
-// update takes what another copy of the same life's record says.
-func (e *entry) update(now float64, record *Record) {
-	heartbeat := e.record.Heartbeat
+// mergeSameRun adopts the higher heartbeat and the later revision of another copy of the same run's record.
+func (p *knownProcess) mergeSameRun(now float64, record *Record) {
+	heartbeat := p.record.Heartbeat
 	if record.Heartbeat > heartbeat {
-		heartbeat, e.heard = record.Heartbeat, now
+		heartbeat, p.updatedAt = record.Heartbeat, now
 	}
-	if record.Revision > e.record.Revision {
-		e.record = *record
+	if record.Revision > p.record.Revision {
+		p.record = *record
 	}
-	e.record.Heartbeat = heartbeat
+	p.record.Heartbeat = heartbeat
 }
 
-// rebut keeps a record for the next exchange where another life of the same process told an older one, so that it outbids it.
-func (v *View) rebut(newest, told *Record) {
-	const most = 4
-	if newest.RunID != told.RunID && len(v.rebuttal) < most {
-		v.rebuttal = append(v.rebuttal, *newest)
+// queueRefutation has the newest record of a process sent with the next exchange after an older one of another run was
+// received, so that the process learns which incarnation it has to exceed.
+func (v *View) queueRefutation(newest, received *Record) {
+	if newest.RunID != received.RunID && len(v.refutations) < maxRefutations {
+		v.refutations = append(v.refutations, *newest)
 	}
 }
 
-// outbid makes sure that this life's record is newer than that of one before. Clocks jump and diskless processes remember nothing.
-func (v *View) outbid(record *Record) {
+// raiseIncarnation puts the own incarnation above that of another run of this process. The incarnation comes from the wall
+// clock, which may step back between runs, and processes without a disk can't remember it.
+func (v *View) raiseIncarnation(record *Record) {
 	if record.RunID != v.self.RunID && record.Incarnation >= v.self.Incarnation {
 		v.self.Incarnation = record.Incarnation + 1
 	}
--- a/internal/decide/membership/view.go
+++ b/internal/decide/membership/view.go
@@ -7,104 +7,130 @@
 	"slices"
 )
 
-// Settings are the figures of a view. Times are in seconds.
+// Settings are the parameters of a View.
 type Settings struct {
-	SuspectAfterSeconds   float64 // without news, a process counts as silent
-	ForgetAfterSeconds    float64 // without news, its record is dropped
-	PartialViewSize       int     // peers that are kept for exchanges
-	RecordsPerExchange    int     // records that are told in one exchange
-	HeartbeatsPerExchange int     // heartbeats that are told in one exchange
+	// SuspectAfterSeconds is the age of the last heartbeat from which on a process counts as unreachable. In large fleets it
+	// grows, since heartbeats take longer to reach every process.
+	SuspectAfterSeconds float64
+	// ForgetAfterSeconds is the age of the last heartbeat from which on a process's record is dropped.
+	ForgetAfterSeconds float64
+	// PartialViewSize is the number of peers that are kept for exchanges.
+	PartialViewSize int
+	// RecordsPerExchange bounds the records in one exchange. More of them spread changes of records faster.
+	RecordsPerExchange int
+	// HeartbeatsPerExchange bounds the heartbeats in one exchange. With fewer than there are processes, failures are
+	// detected later.
+	HeartbeatsPerExchange int
 }
 
-type entry struct {
-	record Record
-	heard  float64 // when news came last
+const (
+	// largeFleet is the number of processes above which heartbeats don't all fit into an exchange.
+	largeFleet = 64
+	// suspicionGrowth is the fraction by which SuspectAfterSeconds grows with each doubling above largeFleet.
+	suspicionGrowth = 0.3
+)
+
+// knownProcess is what a view holds of another process.
+type knownProcess struct {
+	record    Record
+	updatedAt float64 // when its heartbeat grew last
 }
 
-// View is what one process knows of the others.
+// View is the membership as one process knows it.
 type View struct {
-	settings Settings
-	rng      *rand.Rand
-	self     Record
-	entries  map[string]*entry
-	dead     map[string]Record // the newest record of those that were dropped, so that old news don't revive them
-	peers    []string          // names of the partial view
-	seeds    []string          // addresses
-	next     int               // of the peers, whose turn it is
-	rebuttal []Record          // newer than what was told lately by a life that does not know it; told in the next exchange
+	settings    Settings
+	rng         *rand.Rand
+	self        Record
+	known       map[string]*knownProcess // by name
+	forgotten   map[string]Record        // dropped records, so that older copies don't bring a dead process back
+	peers       []string                 // names of the processes in the partial view
+	seeds       []string                 // addresses
+	nextPeer    int                      // index in peers
+	refutations []Record                 // sent in the next exchange to runs that don't know of a later incarnation
 }
 
-// New returns a view that knows itself and the addresses of seeds.
+// New returns a view that knows the own record and the addresses of seeds. It draws all random numbers from rng.
 func New(settings Settings, self Record, seeds []string, rng *rand.Rand) *View {
-	return &View{settings: settings, rng: rng, self: self, entries: map[string]*entry{}, dead: map[string]Record{},
+	return &View{settings: settings, rng: rng, self: self, known: map[string]*knownProcess{}, forgotten: map[string]Record{},
 		seeds: slices.Clone(seeds)}
 }
 
-// SetSeeds replaces the addresses that are asked where the view is thin.
+// SetSeeds replaces the addresses of seeds.
 func (v *View) SetSeeds(seeds []string) { v.seeds = slices.Clone(seeds) }
 
 // Self returns the own record.
 func (v *View) Self() Record { return v.self }
 
-// SetDemands replaces what the own record tells of the proxy.
+// SetDemands replaces the demands in the own record. They are not urgent: the heartbeat is left as it is, and the new
+// content spreads with the next one.
 func (v *View) SetDemands(demands []Demand) {
 	v.self.Demands = demands
-	v.self.Revision++ // without a heartbeat: this is told with the next one
+	v.self.Revision++
 }
 
-// SetReleasedToken tells which token this process has given up.
+// SetReleasedToken puts the fencing token of a released role into the own record.
 func (v *View) SetReleasedToken(token uint64) {
 	v.self.ReleasedToken = token
-	v.revise()
+	v.markRevised()
 }
 
-// MarkLeaving marks the own record as one that is about to end.
+// MarkLeaving marks the own record as leaving.
 func (v *View) MarkLeaving() {
 	v.self.Leaving = true
-	v.revise()
+	v.markRevised()
 }
 
-// revise marks the own record as changed.
-func (v *View) revise() {
+// markRevised makes peers adopt the changed content of the own record.
+func (v *View) markRevised() {
 	v.self.Revision++
 	v.self.Heartbeat++
 }
 
-// Tick raises the own heartbeat and drops who was silent for too long.
+// Tick raises the own heartbeat and drops processes whose heartbeat is too old. The host calls it before each exchange.
 func (v *View) Tick(now float64) {
 	v.self.Heartbeat++
-	for name, e := range v.entries {
-		if now-e.heard > v.settings.ForgetAfterSeconds {
-			v.dead[name] = e.record
-			delete(v.entries, name)
+	for name, process := range v.known {
+		if now-process.updatedAt > v.settings.ForgetAfterSeconds {
+			v.forgotten[name] = process.record
+			delete(v.known, name)
 		}
 	}
-	v.peers = slices.DeleteFunc(v.peers, func(name string) bool { return v.entries[name] == nil })
-	v.refill(now)
+	v.peers = slices.DeleteFunc(v.peers, func(name string) bool { return v.known[name] == nil })
+	v.refillPeers(now)
+}
+
+func (v *View) isAlive(process *knownProcess, now float64) bool {
+	return now-process.updatedAt <= v.suspicionSeconds()
+}
+
+// suspicionSeconds returns the age of the last heartbeat from which on a process counts as unreachable.
+func (v *View) suspicionSeconds() float64 {
+	doublings := math.Log2(max(float64(len(v.known))/largeFleet, 1))
+	return v.settings.SuspectAfterSeconds * (1 + suspicionGrowth*doublings)
 }
 
-// Member is a record with the state in which it is held.
+// Member is a process as a view knows it.
 type Member struct {
 	Record
-	SilentSeconds float64 // seconds without news
+	SilentSeconds float64 // age of the last heartbeat
 	Alive         bool
 }
 
-// Members returns all that are known by name, this process among them.
+// Members returns all known processes, the own one among them, in the order of their names.
 func (v *View) Members(now float64) []Member {
 	members := []Member{{Record: v.self, Alive: true}}
-	for _, e := range v.entries {
-		members = append(members, Member{Record: e.record, SilentSeconds: now - e.heard, Alive: v.alive(e, now)})
+	for _, process := range v.known {
+		members = append(members, Member{Record: process.record, SilentSeconds: now - process.updatedAt, Alive: v.isAlive(process, now)})
 	}
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	return members
 }
 
-// Rank returns the place of a process among those of its kind by name, and how many there are. Those that are silent keep their
-// places until they are forgotten, so that one that restarts moves nobody.
+// Rank returns the index of a process among the known ones of its kind in the order of their names, and their number.
+// Unreachable processes keep their ranks until they are dropped, so that a restart changes no rank.
 func (v *View) Rank(name string, kind Kind) (rank, count int) {
-	for other, e := range v.entries {
-		if e.record.Kind != kind || other == name {
+	for other, process := range v.known {
+		if process.record.Kind != kind || other == name {
 			continue
 		}
 		count++
@@ -114,18 +140,3 @@
 	}
 	return rank, count + 1
 }
-
-const (
-	// wideFleet is the size from which on heartbeats don't all fit into an exchange and take longer to reach everybody, widen by how
-	// much longer for each doubling.
-	wideFleet = 64
-	widen     = 0.3
-)
-
-func (v *View) alive(e *entry, now float64) bool { return now-e.heard <= v.suspectAfterS() }
-
-// suspectAfterS grows with the fleet.
-func (v *View) suspectAfterS() float64 {
-	doublings := math.Log2(max(float64(len(v.entries))/wideFleet, 1))
-	return v.settings.SuspectAfterSeconds * (1 + widen*doublings)
-}
--- a/internal/decide/membership/wire_form_test.go
+++ b/internal/decide/membership/wire_form_test.go
@@ -15,7 +15,7 @@
 	"hazelwheel/internal/decide/membership"
 )
 
-// TestWireForm pins the bytes of what processes tell one another of the membership. Processes of other versions read these bytes.
+// TestWireForm pins the bytes of the messages of the membership. Processes of other versions read these bytes.
 func TestWireForm(t *testing.T) {
 	demand := membership.Demand{Service: "chat", PrefillTokensPerSecond: 1234.5, DecodeStreams: 17, KVTokens: 98765.25}
 	record := membership.Record{
