--- a/internal/decide/election/candidate.go
+++ b/internal/decide/election/candidate.go
@@ -1,124 +1,132 @@
-// Package election decides when a process takes a singleton role and when it may act in it. It is pure; time comes as
-// seconds on the process's steady clock. The grant itself, with its fencing token, is made in the register.
+// Package election decides when a process acquires a singleton role and when it may act in it. The lease grant with its
+// fencing token is made in the register; a process acts only while it has confirmed the grant lately, and another process
+// acquires the role only once the lease holder has been silent for longer than the lease.
+//
+// The package is pure and not safe for concurrent use. Time comes as seconds on the process's steady clock.
 package election
 
 import "hazelwheel/internal/decide/register"
 
 const (
-	// confirmPart is the part of the lease for which a holder acts without confirming its grant at a majority.
-	confirmPart = 0.33
-	// marginS is added to the lease before a silent holder's role counts as vacant, in seconds: what the holder may act on before
-	// it notices, and what its last heartbeat took.
-	marginS = 1.5
-	// stallS is the time between two looks, in seconds, from which on this process counts as having stood still.
-	stallS = 1.0
+	// confirmFraction is the fraction of the lease for which the holder acts without confirming its grant at a quorum.
+	confirmFraction = 0.33
+	// vacancyMarginSeconds is added to the lease before the role of a silent holder counts as vacant. It covers what the
+	// holder does between its last check and its last action, and the delay of its last heartbeat.
+	vacancyMarginSeconds = 1.5
+	// stallSeconds is the time between two checks from which on this process counts as having been stopped in between.
+	stallSeconds = 1.0
 )
 
-// Candidate is a process that stands for one role.
+// Candidate is the state of a process that is a candidate for one role, whether it holds it or not.
 type Candidate struct {
 	Role         string
-	Name         string
+	Name         string // of the process, as in register.Grant.Holder
 	LeaseSeconds float64
 
-	began     float64
-	token     uint64 // of the own grant, 0: none
-	confirmed float64
-	heard     float64 // when the grant's holder was heard of last
-	watched   uint64  // the token whose holder heard is about
-	looked    float64 // when this process looked last
+	startedAt     float64
+	token         uint64  // of the own grant, 0: none
+	confirmedAt   float64 // start of the last acquisition or successful confirmation
+	holderSeenAt  float64 // last sign of life of the lease holder
+	observedToken uint64  // the token that holderSeenAt is about
+	checkedAt     float64 // last call of NextAction
 }
 
-// NewCandidate returns a process that begins at now without a grant.
-func NewCandidate(role, name string, leaseS, now float64) *Candidate {
-	return &Candidate{Role: role, Name: name, LeaseSeconds: leaseS, began: now, heard: now, looked: now}
+// NewCandidate returns a candidate that starts at now without a grant.
+func NewCandidate(role, name string, leaseSeconds, now float64) *Candidate {
+	return &Candidate{Role: role, Name: name, LeaseSeconds: leaseSeconds, startedAt: now, holderSeenAt: now, checkedAt: now}
 }
 
-// Action is what a process has to do about its role.
+// Action is what a candidate has to do next.
 type Action int
 
-// What there is to do.
+// The actions.
 const (
-	Wait    Action = iota
-	Act            // it holds the role and may act
-	Confirm        // it has to read its grant at a majority first
-	Acquire        // the role is vacant, or its own grant has lapsed: it has to take it
+	Wait    Action = iota // another process holds the role
+	Act                   // this process holds the role and may act
+	Confirm               // this process has to read its grant at a quorum, and report it to HandleConfirmation
+	Acquire               // this process has to propose register.AcquireRole, and report success to HandleAcquired
 )
 
-// NextAction tells what there is to do. grant is the newest that is known, silentS for how long its holder was not heard of, and inTouch whether
-// this process reaches a majority.
-func (h *Candidate) NextAction(now float64, grant register.Grant, silentS float64, inTouch bool) Action {
-	stalled := now-h.looked > stallS
-	h.looked = now
-	if h.token > 0 && grant.Token > h.token {
-		h.token = 0
+// NextAction returns what the process has to do now. The host calls it several times a second. grant is the newest known
+// grant of the role, silentSeconds the age of its holder's last sign of life, and hasQuorum whether this process reaches a
+// quorum of the voters.
+func (c *Candidate) NextAction(now float64, grant register.Grant, silentSeconds float64, hasQuorum bool) Action {
+	hasStalled := now-c.checkedAt > stallSeconds
+	c.checkedAt = now
+	if c.token > 0 && grant.Token > c.token {
+		c.token = 0
 	}
-	if h.token > 0 {
+	if c.token > 0 {
 		switch {
-		case now-h.confirmed <= confirmPart*h.LeaseSeconds:
+		case now-c.confirmedAt <= confirmFraction*c.LeaseSeconds:
 			return Act
-		case h.lapsed(now):
+		case c.isLeaseExpired(now):
 			return Acquire
 		}
 		return Confirm
 	}
-	if grant.Token != h.watched {
-		h.watched, h.heard = grant.Token, now
+	if grant.Token != c.observedToken {
+		c.observedToken, c.holderSeenAt = grant.Token, now
 	}
-	// A grant that this process held in an earlier life may be taken anew at once: the holder stays the same.
-	if grant.Token == 0 || grant.Holder == h.Name {
+	// A grant of an earlier run of this process is acquired again at once: the holder stays the same.
+	if grant.Token == 0 || grant.Holder == c.Name {
 		return Acquire
 	}
-	h.heard = max(h.heard, now-silentS)
-	if !inTouch || stalled {
-		// Danger: who is cut off, or stood still, has heard nobody. Once that is over it would take the role of a holder that has acted just
-		// now.
-		h.heard = now
+	c.holderSeenAt = max(c.holderSeenAt, now-silentSeconds)
+	if !hasQuorum || hasStalled {
+		// Danger: a process that was partitioned or stopped has received no heartbeats. Without this it would afterwards
+		// acquire the role of a holder that has acted a moment ago.
+		c.holderSeenAt = now
 	}
-	// Danger: who has just begun does not know when the holder acted last.
-	if now-h.heard > h.LeaseSeconds+marginS && now-h.began > h.LeaseSeconds+marginS {
+	// Danger: a process that has just started doesn't know when the holder acted last.
+	if now-c.holderSeenAt > c.LeaseSeconds+vacancyMarginSeconds && now-c.startedAt > c.LeaseSeconds+vacancyMarginSeconds {
 		return Acquire
 	}
 	return Wait
 }
 
-// lapsed tells whether the grant could not be confirmed for a whole lease. Danger: others may be about to take it, and a read that finds
-// it unchanged doesn't keep them from that. It is taken anew, so that the register decides between the two.
-func (h *Candidate) lapsed(now float64) bool { return now-h.confirmed > h.LeaseSeconds }
+// isLeaseExpired reports whether the own grant was not confirmed for a whole lease. Danger: another process may be about to
+// acquire the role, which a read that still finds the own grant doesn't prevent. The role must be acquired again, so that
+// the register decides between the two.
+func (c *Candidate) isLeaseExpired(now float64) bool { return now-c.confirmedAt > c.LeaseSeconds }
 
-// HandleConfirmation tells what the register holds after a Confirm that began at a time. One that began when the grant had lapsed confirms nothing,
-// nor does one of a grant that was given up meanwhile.
-func (h *Candidate) HandleConfirmation(began float64, grant register.Grant) {
-	if grant.Holder != h.Name || grant.Token < h.token {
-		h.token = 0
+// HandleConfirmation handles the grant that a quorum read returned, which started at startedAt. A read that started after the
+// lease had expired, or of a grant that was given up meanwhile, confirms nothing.
+func (c *Candidate) HandleConfirmation(startedAt float64, grant register.Grant) {
+	if grant.Holder != c.Name || grant.Token < c.token {
+		c.token = 0
 		return
 	}
-	if h.token == 0 || h.lapsed(began) {
+	if c.token == 0 || c.isLeaseExpired(startedAt) {
 		return
 	}
-	h.token, h.confirmed = grant.Token, began
+	c.token, c.confirmedAt = grant.Token, startedAt
 }
 
-// HandleAcquired tells that a Take was chosen with this token; only then is the grant this life's.
-func (h *Candidate) HandleAcquired(began float64, token uint64) { h.token, h.confirmed = token, began }
+// HandleAcquired handles the success of an acquisition that started at startedAt and was chosen with a token. Only then
+// does this run hold the grant.
+func (c *Candidate) HandleAcquired(startedAt float64, token uint64) {
+	c.token, c.confirmedAt = token, startedAt
+}
 
-// ReleaseIfUnconfirmed gives the role up where the grant could not be confirmed for so long that this process has not acted for a whole lease. It
-// returns the token that was given up, 0 if none was.
-func (h *Candidate) ReleaseIfUnconfirmed(now float64) uint64 {
-	if h.token == 0 || now-h.confirmed <= (1+confirmPart)*h.LeaseSeconds {
+// ReleaseIfUnconfirmed gives the role up once this process has not been allowed to act for a whole lease. It returns the
+// token that was given up, which peers may take as a sign that the role is vacant; 0 if none was.
+func (c *Candidate) ReleaseIfUnconfirmed(now float64) uint64 {
+	if c.token == 0 || now-c.confirmedAt <= (1+confirmFraction)*c.LeaseSeconds {
 		return 0
 	}
-	token := h.token
-	h.token = 0
+	token := c.token
+	c.token = 0
 	return token
 }
 
-// Resign gives the role up.
-func (h *Candidate) Resign() { h.token = 0 }
+// Resign gives the role up at once; peers learn it from the next grant.
+func (c *Candidate) Resign() { c.token = 0 }
 
-// Token returns the token to act with, 0 without a grant.
-func (h *Candidate) Token() uint64 { return h.token }
+// Token returns the fencing token to act with, 0 without a grant.
+func (c *Candidate) Token() uint64 { return c.token }
 
-// CanAct tells whether the grant was confirmed lately enough, looked at again right before and after acting.
-func (h *Candidate) CanAct(now float64) bool {
-	return h.token > 0 && now-h.confirmed <= confirmPart*h.LeaseSeconds
+// CanAct reports whether the grant was confirmed lately enough to act. The host checks it right before and after each action.
+func (c *Candidate) CanAct(now float64) bool {
+	return c.token > 0 && now-c.confirmedAt <= confirmFraction*c.LeaseSeconds
 }
