--- a/internal/decide/maintenance/commands.go
+++ b/internal/decide/maintenance/commands.go
@@ -11,14 +11,14 @@
 // Do takes what an operator or a mechanic wants. If it is not answered at once, the answer comes with Replies: after what was
 // done is agreed.
 func (c *Coordinator) Submit(now float64, cmd Command) (r Reply, answered bool) {
-	c.enter(now)
+	c.advanceClock(now)
 	r.Nonce = cmd.Nonce
 	if cmd.Nonce != 0 {
-		if i := slices.IndexFunc(c.given, func(r Reply) bool { return r.Nonce == cmd.Nonce }); i >= 0 {
-			return c.given[i], true
+		if i := slices.IndexFunc(c.recentReplies, func(r Reply) bool { return r.Nonce == cmd.Nonce }); i >= 0 {
+			return c.recentReplies[i], true
 		}
-		same := func(q queued) bool { return q.Nonce == cmd.Nonce }
-		if slices.ContainsFunc(c.queue, same) || slices.ContainsFunc(c.owed, func(d done) bool { return same(d.q) }) {
+		same := func(q queuedCommand) bool { return q.Nonce == cmd.Nonce }
+		if slices.ContainsFunc(c.queue, same) || slices.ContainsFunc(c.unconfirmed, func(d executedCommand) bool { return same(d.queued) }) {
 			return r, false
 		}
 	}
@@ -26,18 +26,18 @@
 		r.Err = err.Error()
 		return r, true
 	}
-	if len(c.queue) >= mostQueued {
+	if len(c.queue) >= maxQueued {
 		r.Err = "too many commands wait"
 		return r, true
 	}
-	c.queue = append(c.queue, queued{cmd, c.now + giveS})
+	c.queue = append(c.queue, queuedCommand{cmd, c.now + submitTimeoutSeconds})
 	return r, false
 }
 
 // Check tells what is wrong with a command by itself; nil: nothing is.
 func (c *Command) Validate() error {
-	if len(c.Server) > mostNameLen || len(c.Agent) > mostNameLen {
-		return fmt.Errorf("box, mechanic: a name has at most %d bytes", mostNameLen)
+	if len(c.Server) > maxNameLen || len(c.Agent) > maxNameLen {
+		return fmt.Errorf("box, mechanic: a name has at most %d bytes", maxNameLen)
 	}
 	switch c.Kind {
 	case SubmitPlan:
@@ -71,52 +71,52 @@
 }
 
 // answer has an answer go out. Danger: what a mechanic was told is not told again from memory; the work may have ended since.
-func (c *Coordinator) answer(r Reply) {
+func (c *Coordinator) reply(r Reply) {
 	c.replies = append(c.replies, r)
 	if r.Nonce == 0 || r.Token != 0 {
 		return
 	}
-	if len(c.given) == mostReplies {
-		c.given = slices.Delete(c.given, 0, 1)
+	if len(c.recentReplies) == maxRecentReplies {
+		c.recentReplies = slices.Delete(c.recentReplies, 0, 1)
 	}
-	c.given = append(c.given, r)
+	c.recentReplies = append(c.recentReplies, r)
 }
 
 // carry does a command on what is to be agreed next, and tells whether that has to be agreed for its answer to hold.
-func (c *Coordinator) carry(s *State, q *Command) (r Reply, changed bool) {
+func (c *Coordinator) execute(s *State, q *Command) (r Reply, changed bool) {
 	r.Nonce = q.Nonce
 	var err error
 	switch q.Kind {
 	case SubmitPlan:
-		changed, err = c.give(s, q, &r)
+		changed, err = c.submitPlan(s, q, &r)
 	case PausePlan, ResumePlan, AbortPlan:
-		changed, err = c.turn(s, q, &r)
+		changed, err = c.changePlan(s, q, &r)
 	case SkipServer, ForceDrained:
-		changed, err = c.single(s, q, &r)
+		changed, err = c.changeServer(s, q, &r)
 	case AcquireServer:
-		changed = c.take(s, q, &r)
+		changed = c.acquireServer(s, q, &r)
 	default:
-		changed, err = c.finish(s, q, &r)
+		changed, err = c.endWork(s, q, &r)
 	}
 	if err != nil {
-		return Reply{Nonce: q.Nonce, Err: clip(err.Error(), 500)}, false
+		return Reply{Nonce: q.Nonce, Err: truncate(err.Error(), 500)}, false
 	}
 	return r, changed
 }
 
 // give has a plan be carried out from now on.
-func (c *Coordinator) give(s *State, q *Command, r *Reply) (bool, error) {
+func (c *Coordinator) submitPlan(s *State, q *Command, r *Reply) (bool, error) {
 	for i := range s.Plans {
 		if p := &s.Plans[i]; q.Nonce != 0 && p.Nonce == q.Nonce {
 			r.Plan, r.Text = p.Number, fmt.Sprintf("%d boxes", len(p.Servers))
 			return false, nil
 		}
 	}
-	round := c.fresh()
+	round := c.freshSnapshot()
 	if round == nil {
 		return false, errors.New("the sidecars can't be heard, so it is not known which boxes there are")
 	}
-	boxes, err := q.Spec.boxes(round.Report.Servers)
+	boxes, err := q.Spec.resolveServers(round.Report.Servers)
 	if err != nil {
 		return false, err
 	}
@@ -136,14 +136,14 @@
 	if all > MaxServers {
 		return false, fmt.Errorf("boxes: %d with those of plans that have not ended, at most %d", all, MaxServers)
 	}
-	if err := c.fleet.keeps(boxes, q.Spec.MinCapacity); err != nil {
+	if err := c.fleet.checkMinCapacity(boxes, q.Spec.MinCapacity); err != nil {
 		return false, err
 	}
 	p := Plan{Number: s.LastNumber + 1, Nonce: q.Nonce, Spec: *q.Spec, Servers: boxes}
 	p.Spec.Servers = nil // they are in Boxes
 	s.LastNumber = p.Number
 	s.Plans = append(s.Plans, p)
-	if !s.trim() {
+	if !s.trimToSize() {
 		s.Plans = s.Plans[:len(s.Plans)-1]
 		s.LastNumber--
 		return false, errors.New("boxes: it is too large for what can be agreed, beside the plans that there are")
@@ -153,16 +153,16 @@
 }
 
 // growth is what a box of a plan can still come to weigh, in bytes: token, version, mechanic and cause.
-const growth = 110
+const serverGrowthBytes = 110
 
 // trim drops plans that have ended until there is room for what those that have not may come to say, and tells whether there is.
 // Danger: one that has lost a box is what bans it.
-func (s *State) trim() bool {
+func (s *State) trimToSize() bool {
 	for {
 		room := MaxStateBytes
 		for i := range s.Plans {
 			if p := &s.Plans[i]; !p.Ended {
-				room -= growth * len(p.Servers)
+				room -= serverGrowthBytes * len(p.Servers)
 			}
 		}
 		b, err := s.Encode()
@@ -180,7 +180,7 @@
 }
 
 // meant returns the plan that a command means.
-func meant(s *State, number uint64) (*Plan, error) {
+func resolvePlan(s *State, number uint64) (*Plan, error) {
 	var found []*Plan
 	for i := range s.Plans {
 		if p := &s.Plans[i]; number == 0 && !p.Ended || number != 0 && p.Number == number {
@@ -203,8 +203,8 @@
 }
 
 // turn pauses, resumes or aborts a plan.
-func (c *Coordinator) turn(s *State, q *Command, r *Reply) (changed bool, err error) {
-	p, err := meant(s, q.Plan)
+func (c *Coordinator) changePlan(s *State, q *Command, r *Reply) (changed bool, err error) {
+	p, err := resolvePlan(s, q.Plan)
 	if err != nil {
 		return false, err
 	}
@@ -229,23 +229,23 @@
 		switch b := &p.Servers[i]; {
 		case b.Stage > Drained || b.Stage == Pending && q.Kind == PausePlan:
 		case q.Kind == PausePlan:
-			c.move(b, Pending, "")
+			c.setStage(b, Pending, "")
 		default:
-			c.move(b, Skipped, "the plan was aborted by "+who)
+			c.setStage(b, Skipped, "the plan was aborted by "+who)
 		}
 	}
 	return true, nil
 }
 
 // single skips or forces a box.
-func (c *Coordinator) single(s *State, q *Command, r *Reply) (changed bool, err error) {
+func (c *Coordinator) changeServer(s *State, q *Command, r *Reply) (changed bool, err error) {
 	// Danger: a box may be of an ended plan, which has lost it, and of one that goes on, which has it wait.
-	p, b := s.find(q, func(p *Plan, _ *Server) bool { return !p.Ended })
+	p, b := s.findServer(q, func(p *Plan, _ *Server) bool { return !p.Ended })
 	if b == nil {
-		p, b = s.find(q, func(_ *Plan, b *Server) bool { return b.Stage == Lost })
+		p, b = s.findServer(q, func(_ *Plan, b *Server) bool { return b.Stage == Lost })
 	}
 	if b == nil {
-		p, b = s.find(q, func(*Plan, *Server) bool { return true })
+		p, b = s.findServer(q, func(*Plan, *Server) bool { return true })
 	}
 	if b == nil {
 		return false, fmt.Errorf("box: %s is of no plan", q.Server)
@@ -253,15 +253,15 @@
 	r.Plan, r.Server = p.Number, b.Name
 	who := cmp.Or(q.Agent, "an operator")
 	if q.Kind == ForceDrained {
-		return c.force(p, b, who, r)
+		return c.forceDrained(p, b, who, r)
 	}
 	switch b.Stage {
 	case Pending, Draining, Drained:
-		c.move(b, Skipped, "by "+who)
+		c.setStage(b, Skipped, "by "+who)
 	case Lost:
-		c.move(b, Skipped, fmt.Sprintf("given back by %s; %s", who, b.Reason))
+		c.setStage(b, Skipped, fmt.Sprintf("given back by %s; %s", who, b.Reason))
 	case WarmingUp:
-		c.move(b, Done, "held for warm by "+who)
+		c.setStage(b, Done, "held for warm by "+who)
 	case Skipped:
 		return false, nil
 	case InMaintenance:
@@ -272,7 +272,7 @@
 	return true, nil
 }
 
-func (s *State) find(q *Command, ok func(*Plan, *Server) bool) (*Plan, *Server) {
+func (s *State) findServer(q *Command, ok func(*Plan, *Server) bool) (*Plan, *Server) {
 	for i := len(s.Plans) - 1; i >= 0; i-- {
 		p := &s.Plans[i]
 		if q.Plan != 0 && p.Number != q.Plan {
@@ -288,11 +288,11 @@
 }
 
 // force has a box be ready, whoever has not said that it is empty, and keeps who that was.
-func (c *Coordinator) force(p *Plan, b *Server, who string, r *Reply) (changed bool, err error) {
+func (c *Coordinator) forceDrained(p *Plan, b *Server, who string, r *Reply) (changed bool, err error) {
 	if b.Stage != Draining && b.Stage != Drained {
 		return false, fmt.Errorf("box: %s is not being emptied", b.Name)
 	}
-	past, why := c.occupied(p, b)
+	past, why := c.inUse(p, b)
 	switch {
 	case len(b.ForcedPast) > 0:
 		r.Text = "it was forced before"
@@ -301,16 +301,16 @@
 		r.Text = "it is empty"
 		return false, nil
 	case why == "":
-		c.move(b, Drained, "")
+		c.setStage(b, Drained, "")
 		r.Text = "it is empty"
 		return true, nil
 	}
 	if len(past) == 0 {
 		past = []string{why}
 	}
-	c.move(b, Drained, "forced by "+who)
-	for _, name := range past[:min(len(past), mostWho)] {
-		b.ForcedPast = append(b.ForcedPast, clip(name, mostNameLen))
+	c.setStage(b, Drained, "forced by "+who)
+	for _, name := range past[:min(len(past), maxNamedMembers)] {
+		b.ForcedPast = append(b.ForcedPast, truncate(name, maxNameLen))
 	}
 	r.Text = "past " + strings.Join(b.ForcedPast, ", ")
 	return true, nil
@@ -318,13 +318,13 @@
 
 // take hands a box over to a mechanic. Danger: an owner that was replaced and does not know it would tell a mechanic of a box that
 // has come back since. So what is told again is agreed again.
-func (c *Coordinator) take(s *State, q *Command, r *Reply) (changed bool) {
+func (c *Coordinator) acquireServer(s *State, q *Command, r *Reply) (changed bool) {
 	var why []string
 	for i := range s.Plans {
 		p := &s.Plans[i]
 		for j := range p.Servers {
 			if b := &p.Servers[j]; !p.Ended && b.Stage == InMaintenance && b.Agent == q.Agent {
-				if inUse := c.takenInUse(b); inUse != "" {
+				if inUse := c.returnedToUse(b); inUse != "" {
 					r.Text = b.Name + ": " + inUse
 					return false
 				}
@@ -338,44 +338,44 @@
 		if p.Ended {
 			continue
 		}
-		t := c.planTime(p.Number)
+		t := c.planProgress(p.Number)
 		for j := range p.Servers {
 			b := &p.Servers[j]
 			if b.Stage != Drained {
 				continue
 			}
-			if _, occupied := c.occupied(p, b); occupied != "" && len(b.ForcedPast) == 0 {
+			if _, occupied := c.inUse(p, b); occupied != "" && len(b.ForcedPast) == 0 {
 				why = append(why, b.Name+": "+occupied)
 				continue
 			}
-			if t != nil && t.badAt != 0 && !c.fleet.missing(b.Name) {
-				why = append(why, b.Name+": "+c.wrong(p))
+			if t != nil && t.unhealthySince != 0 && !c.fleet.isUnavailable(b.Name) {
+				why = append(why, b.Name+": "+c.giveBackReason(p))
 				continue
 			}
 			forced := b.Reason
-			c.move(b, InMaintenance, forced)
-			b.Token, b.Agent = c.agreed.Epoch<<40|c.version(), q.Agent
+			c.setStage(b, InMaintenance, forced)
+			b.Token, b.Agent = c.committed.Epoch<<40|c.nextVersion(), q.Agent
 			r.Plan, r.Server, r.Token = p.Number, b.Name, b.Token
 			r.Text = forced
 			return true
 		}
 	}
-	r.Text = clip(strings.Join(why, "; "), 300)
+	r.Text = truncate(strings.Join(why, "; "), 300)
 	return false
 }
 
 // finish takes that the work on a box has ended, well or not.
-func (c *Coordinator) finish(s *State, q *Command, r *Reply) (changed bool, err error) {
-	p, b := s.find(q, func(_ *Plan, b *Server) bool { return b.Token == q.Token })
+func (c *Coordinator) endWork(s *State, q *Command, r *Reply) (changed bool, err error) {
+	p, b := s.findServer(q, func(_ *Plan, b *Server) bool { return b.Token == q.Token })
 	if b == nil {
 		return false, fmt.Errorf("token: nobody works on %s under %d", q.Server, q.Token)
 	}
 	r.Plan, r.Server = p.Number, b.Name
 	switch {
 	case b.Stage == InMaintenance && q.Kind == CompleteServer:
-		c.move(b, WarmingUp, b.Reason)
+		c.setStage(b, WarmingUp, b.Reason)
 	case b.Stage == InMaintenance:
-		c.move(b, Lost, cmp.Or(q.Reason, "the work on it failed"))
+		c.setStage(b, Lost, cmp.Or(q.Reason, "the work on it failed"))
 	case q.Kind == CompleteServer && (b.Stage == WarmingUp || b.Stage == Done), q.Kind == FailServer && b.Stage == Lost:
 		return false, nil
 	default:
--- a/internal/decide/maintenance/empty.go
+++ b/internal/decide/maintenance/empty.go
@@ -10,41 +10,41 @@
 
 // Why a box is not known to be empty.
 const (
-	notHeard = "the sidecars have not been heard"
-	byHand   = "in use there by hand"
+	reasonNoReports  = "the sidecars have not been heard"
+	reasonUncordoned = "in use there by hand"
 )
 
 // mostWho is how many are named.
-const mostWho = 10
+const maxNamedMembers = 10
 
 // needed tells whether a member must be heard: it may send.
-func (p *Plan) needed(m *Member, laterS float64) bool {
+func (p *Plan) mustReport(m *Member, laterS float64) bool {
 	switch m.State {
 	case swim.Dead:
-		return m.StateAgeSeconds+laterS < p.Spec.goneS()
+		return m.StateAgeSeconds+laterS < p.Spec.deadMemberSeconds()
 	case swim.Left:
-		return m.StateAgeSeconds+laterS < min(p.Spec.goneS(), leftS)
+		return m.StateAgeSeconds+laterS < min(p.Spec.deadMemberSeconds(), leftMemberSeconds)
 	}
 	return true
 }
 
 // occupied tells who does not hold a box for empty, and why it is not known to be; without a why it is. Danger: silence is no
 // consent, of nobody who may still send; and a process that began anew knows nothing of what the one before it has said.
-func (c *Coordinator) occupied(p *Plan, b *Server) (who []string, why string) {
-	round := c.fresh()
+func (c *Coordinator) inUse(p *Plan, b *Server) (who []string, why string) {
+	round := c.freshSnapshot()
 	if round == nil || len(round.Members) == 0 {
-		return nil, notHeard
+		return nil, reasonNoReports
 	}
-	t := c.boxTime(p.Number, b.Name)
+	t := c.serverProgress(p.Number, b.Name)
 	if t == nil || !b.Stage.IsCordoned() || t.stage != b.Stage {
 		return nil, "it is not agreed yet that nothing goes there"
 	}
-	silent := c.silent(p, round, t.banned)
+	silent := c.unreportedMembers(p, round, t.cordonedVersion)
 	var open []string
 	hand := false
 	for i := range round.Report.InUse {
 		if o := &round.Report.InUse[i]; o.Server == b.Name {
-			open = append(open, name(round, o.Member))
+			open = append(open, memberName(round, o.Member))
 			hand = hand || o.Uncordoned
 		}
 	}
@@ -53,11 +53,11 @@
 		parts = append(parts, "not heard to have stopped sending there")
 	}
 	if len(open) > 0 && hand {
-		parts = append(parts, byHand)
+		parts = append(parts, reasonUncordoned)
 	} else if len(open) > 0 {
 		parts = append(parts, "has something out there, or has sent there just now")
 	}
-	if seen := c.fleet.box(b.Name); seen != nil && seen.Busy && seen.ListedBy > 0 {
+	if seen := c.fleet.server(b.Name); seen != nil && seen.Busy && seen.ListedBy > 0 {
 		parts = append(parts, "its own report says that it works")
 	}
 	who = append(silent, open...)
@@ -68,25 +68,25 @@
 // takenInUse tells why the mechanic who has a box is not told of it again; empty: it is. Danger: its hand-over may have been agreed
 // after everybody had given up on it (the owner lost its majority, which returned with it), so that the mechanic never heard of it and an
 // operator has put the box back in use since.
-func (c *Coordinator) takenInUse(b *Server) string {
-	if c.fresh() == nil {
-		return notHeard
+func (c *Coordinator) returnedToUse(b *Server) string {
+	if c.freshSnapshot() == nil {
+		return reasonNoReports
 	}
-	if len(c.usedByHand(b.Name)) > 0 {
-		return byHand
+	if len(c.uncordonedBy(b.Name)) > 0 {
+		return reasonUncordoned
 	}
 	return ""
 }
 
 // usedByHand names who has put a box that is out back in use by hand, by the last round.
-func (c *Coordinator) usedByHand(box string) (who []string) {
-	round := c.fresh()
+func (c *Coordinator) uncordonedBy(box string) (who []string) {
+	round := c.freshSnapshot()
 	if round == nil {
 		return nil
 	}
 	for i := range round.Report.InUse {
 		if o := &round.Report.InUse[i]; o.Server == box && o.Uncordoned {
-			who = append(who, name(round, o.Member))
+			who = append(who, memberName(round, o.Member))
 		}
 	}
 	slices.Sort(who)
@@ -94,10 +94,10 @@
 }
 
 // silent returns the names of members who may send and have not said that they go by a version, or a later one.
-func (c *Coordinator) silent(p *Plan, round *FleetSnapshot, version uint64) (names []string) {
+func (c *Coordinator) unreportedMembers(p *Plan, round *FleetSnapshot, version uint64) (names []string) {
 	for i := range round.Members {
 		m := &round.Members[i]
-		if p.needed(m, c.now-c.heardAt) && !slices.ContainsFunc(round.Report.Reporters, func(f Reporter) bool {
+		if p.mustReport(m, c.now-c.snapshotAt) && !slices.ContainsFunc(round.Report.Reporters, func(f Reporter) bool {
 			return f.ID == m.ID && f.BootID == m.BootID && f.Version >= version
 		}) {
 			names = append(names, m.Name)
@@ -106,7 +106,7 @@
 	return names
 }
 
-func name(round *FleetSnapshot, id swim.ID) string {
+func memberName(round *FleetSnapshot, id swim.ID) string {
 	for i := range round.Members {
 		if round.Members[i].ID == id {
 			return round.Members[i].Name
@@ -116,18 +116,18 @@
 }
 
 // unheard returns who keeps boxes from leaving: who may send, and is not there to be asked.
-func (c *Coordinator) unheard(p *Plan) []string {
-	round := c.fresh()
+func (c *Coordinator) unreachableMembers(p *Plan) []string {
+	round := c.freshSnapshot()
 	if round == nil {
 		return nil
 	}
-	names := c.silent(p, round, 0)
+	names := c.unreportedMembers(p, round, 0)
 	for i := range round.Members {
-		if m := &round.Members[i]; m.State != swim.Alive && p.needed(m, c.now-c.heardAt) {
+		if m := &round.Members[i]; m.State != swim.Alive && p.mustReport(m, c.now-c.snapshotAt) {
 			names = append(names, m.Name)
 		}
 	}
 	slices.Sort(names)
 	names = slices.Compact(names)
-	return names[:min(len(names), mostWho)]
+	return names[:min(len(names), maxNamedMembers)]
 }
--- a/internal/decide/maintenance/own.go
+++ b/internal/decide/maintenance/own.go
@@ -11,90 +11,94 @@
 // Danger: what a plan causes must never come to be what the fleet does by itself, or each box that leaves would allow for more. So
 // nothing is measured until what a box has caused is over; and for harm that stays, Plan.Own has what was refused before the first
 // box left, and Plan.Own is agreed: it outlives the owner, and only an operator has it measured anew.
-type alone struct {
-	perS, refused   average // over a minute,
-	lately, perLate average // and over some seconds
-	quietAt         float64 // since when nothing has been out; 0: something is, or nothing was heard yet
-	forS            float64 // for how long it has been measured since then
+type rejectionBaseline struct {
+	completed, rejected             movingAverage // over a minute,
+	recentRejected, recentCompleted movingAverage // and over some seconds
+	undisturbedSince                float64       // since when nothing has been out; 0: something is, or nothing was heard yet
+	measuredSeconds                 float64       // for how long it has been measured since then
 }
 
 const (
-	clearS   = 8.0    // after a box has come back what it has caused is over
-	measureS = 10.0   // is measured at least
-	ownS     = 60.0   // an average goes over,
-	latelyS  = 15.0   // and one that follows a fall
-	leastOwn = 0.0001 // a part of which Plan.Own is at least, since 0 says that no box has left yet
+	aftermathSeconds      = 8.0    // after a box has come back what it has caused is over
+	minMeasureSeconds     = 10.0   // is measured at least
+	baselineWindowSeconds = 60.0   // an average goes over,
+	recentWindowSeconds   = 15.0   // and one that follows a fall
+	minBaseline           = 0.0001 // a part of which Plan.Own is at least, since 0 says that no box has left yet
 )
 
 // hear takes what is refused, and whether a box is out.
-func (o *alone) hear(now, dt float64, out bool, s *Report) {
+func (o *rejectionBaseline) observe(now, dt float64, out bool, s *Report) {
 	if out {
-		o.quietAt, o.forS = 0, 0
+		o.undisturbedSince, o.measuredSeconds = 0, 0
 		return
 	}
-	if o.quietAt = cmp.Or(o.quietAt, now); now-dt-o.quietAt < clearS { // what is said is of all the time since it was said before
+	if o.undisturbedSince = cmp.Or(o.undisturbedSince, now); now-dt-o.undisturbedSince < aftermathSeconds { // what is said is of all the time since it was said before
 		return
 	}
-	o.perS.overS, o.refused.overS, o.perLate.overS, o.lately.overS = ownS, ownS, latelyS, latelyS
-	o.perS.add(s.CompletedPerSecond, dt)
-	o.refused.add(s.RejectedPerSecond, dt)
-	o.perLate.add(s.CompletedPerSecond, dt)
-	o.lately.add(s.RejectedPerSecond, dt)
-	o.forS += dt
+	o.completed.windowSeconds, o.rejected.windowSeconds, o.recentCompleted.windowSeconds, o.recentRejected.windowSeconds = baselineWindowSeconds, baselineWindowSeconds, recentWindowSeconds, recentWindowSeconds
+	o.completed.add(s.CompletedPerSecond, dt)
+	o.rejected.add(s.RejectedPerSecond, dt)
+	o.recentCompleted.add(s.CompletedPerSecond, dt)
+	o.recentRejected.add(s.RejectedPerSecond, dt)
+	o.measuredSeconds += dt
 }
 
 // measured tells whether what is known is of now: nothing is out, and it was measured for long enough since.
-func (o *alone) measured() bool { return o.forS >= measureS }
+func (o *rejectionBaseline) isMeasured() bool { return o.measuredSeconds >= minMeasureSeconds }
 
 // part returns what was measured; not known: nothing was.
-func (o *alone) part() (part float64, known bool) {
-	if o.perS.weight == 0 {
+func (o *rejectionBaseline) fraction() (part float64, known bool) {
+	if o.completed.weight == 0 {
 		return 0, false
 	}
-	return min(o.refused.value()/max(o.perS.value(), fewPerS), o.lately.value()/max(o.perLate.value(), fewPerS)), true
+	return min(o.rejected.value()/max(o.completed.value(), minRatePerSecond), o.recentRejected.value()/max(o.recentCompleted.value(), minRatePerSecond)), true
 }
 
 // refusedPart returns the part of the requests that is refused or fails now.
-func (f *fleet) refusedPart() float64 { return f.refused.value() / max(f.perS.value(), fewPerS) }
+func (f *fleetModel) rejectionFraction() float64 {
+	return f.rejected.value() / max(f.completed.value(), minRatePerSecond)
+}
 
 // byItself returns the part of the requests that the fleet refuses or fails by itself, as far as that counts for a plan: never more
 // than its Refusing above what was refused before its first box left.
-func (c *Coordinator) byItself(p *Plan) float64 {
-	part, known := c.fleet.alone.part()
+func (c *Coordinator) baselineRejection(p *Plan) float64 {
+	part, known := c.fleet.baseline.fraction()
 	switch {
 	case !known:
 		part = p.BaselineRejection // of the owner before, or not known at all
 	case p.BaselineRejection > 0:
-		part = min(part, p.BaselineRejection+p.Spec.refusing())
+		part = min(part, p.BaselineRejection+p.Spec.rejectionBudget())
 	}
 	return math.Min(part, 1)
 }
 
 // mostRefused returns the part that may be refused, with what is tolerated of Refusing.
-func (c *Coordinator) mostRefused(p *Plan, margin float64) float64 {
-	return min(c.byItself(p)+margin*p.Spec.refusing(), p.Spec.most())
+func (c *Coordinator) maxRejection(p *Plan, margin float64) float64 {
+	return min(c.baselineRejection(p)+margin*p.Spec.rejectionBudget(), p.Spec.maxRejection())
 }
 
 // edge tells whether the fleet refuses so much by itself that a plan goes on for that alone: one box at a time then, and no sooner
 // than it was measured what the fleet does without.
-func (c *Coordinator) edge(p *Plan) bool { return c.byItself(p) > margin*p.Spec.refusing() }
+func (c *Coordinator) isDegraded(p *Plan) bool {
+	return c.baselineRejection(p) > drainMargin*p.Spec.rejectionBudget()
+}
 
 // blank tells whether a plan's first box is to wait until it is known what the fleet refuses by itself: what is refused is next to
 // nothing, or nothing of it could be measured now, since another plan has something out. Danger: a plan that begins by a chance
 // of some seconds would be held to that for good.
-func (c *Coordinator) blank(p *Plan) bool {
-	_, known := c.fleet.alone.part()
-	return p.BaselineRejection == 0 && !known && c.fleet.alone.quietAt != 0 && c.fleet.refusedPart() > nearNone*p.Spec.refusing()
+func (c *Coordinator) needsBaseline(p *Plan) bool {
+	_, known := c.fleet.baseline.fraction()
+	return p.BaselineRejection == 0 && !known && c.fleet.baseline.undisturbedSince != 0 && c.fleet.rejectionFraction() > negligiblePart*p.Spec.rejectionBudget()
 }
 
 // nearNone is the part of Refusing that says nothing of what the fleet does by itself.
-const nearNone = 0.2
+const negligiblePart = 0.2
 
 // margin is the part of Refusing that is tolerated when a box is to leave; when boxes are out it is all.
-const margin = 0.7
+const drainMargin = 0.7
 
 // busy tells whether a box is out by any plan, or comes back. One that was lost is the fleet's as it is.
-func (s *State) busy() bool {
+func (s *State) hasServerOut() bool {
 	for i := range s.Plans {
 		for j := range s.Plans[i].Servers {
 			if g := s.Plans[i].Servers[j].Stage; g >= Draining && g <= WarmingUp {
--- a/internal/decide/maintenance/own_test.go
+++ b/internal/decide/maintenance/own_test.go
@@ -138,8 +138,8 @@
 				return min(own+harm*float64(out)+stays*float64(left), 1)
 			}, func() {
 				left++
-				most := min(greatest+(1+margin)*s.RejectionBudget, s.MaxRejection)
-				require.LessOrEqual(t, d.fleet.refusedPart(), most+1e-3, "box %d left", left)
+				most := min(greatest+(1+drainMargin)*s.RejectionBudget, s.MaxRejection)
+				require.LessOrEqual(t, d.fleet.rejectionFraction(), most+1e-3, "box %d left", left)
 			})
 		}
 	})
@@ -153,13 +153,13 @@
 		s.MaxConcurrent, s.RejectionBudget, s.WorkSeconds, s.WarmUpSeconds = 2, rapid.Float64Range(0.01, 0.2).Draw(t, "refusing"), 1, 3
 		require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
 		own, greatest, outAt := 0.0, 0.0, -100.0
-		harm, lasts := rapid.Float64Range(0, 0.3).Draw(t, "harm"), rapid.Float64Range(0, clearS-1).Draw(t, "lasts")
+		harm, lasts := rapid.Float64Range(0, 0.3).Draw(t, "harm"), rapid.Float64Range(0, aftermathSeconds-1).Draw(t, "lasts")
 		for range rapid.IntRange(5, 40).Draw(t, "times") {
 			if rapid.IntRange(0, 2).Draw(t, "change") == 0 {
 				own = rapid.Float64Range(0, 0.2).Draw(t, "own")
 			}
 			d.atWork(rapid.IntRange(1, 60).Draw(t, "rounds"), func() float64 {
-				if greatest = max(greatest, own); d.agreed.State.busy() {
+				if greatest = max(greatest, own); d.agreed.State.hasServerOut() {
 					outAt = d.now
 				}
 				if d.now-outAt <= lasts {
@@ -167,7 +167,7 @@
 				}
 				return own
 			}, nil)
-			part, _ := d.fleet.alone.part()
+			part, _ := d.fleet.baseline.fraction()
 			require.LessOrEqual(t, part, greatest+1e-9)
 		}
 	})
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -54,7 +54,7 @@
 		}
 		require.LessOrEqual(h.t, out, p.Spec.MaxConcurrent)
 		for site, n := range sites {
-			require.LessOrEqual(h.t, n, p.Spec.bySite(), site)
+			require.LessOrEqual(h.t, n, p.Spec.maxPerSite(), site)
 		}
 		require.Equal(h.t, p.Ended, !slices.ContainsFunc(p.Servers, func(b Server) bool { return b.Stage < Done }), "a plan has ended when all its boxes have")
 	}
@@ -68,7 +68,7 @@
 // empty requires that all who may send have said, in the last round, that they send nothing to a box and have nothing there.
 func (h *history) empty(p *Plan, box string) {
 	for _, m := range h.round.Members {
-		if m.State == swim.Dead && m.StateAgeSeconds >= p.Spec.goneS() || m.State == swim.Left && m.StateAgeSeconds >= min(p.Spec.goneS(), leftS) {
+		if m.State == swim.Dead && m.StateAgeSeconds >= p.Spec.deadMemberSeconds() || m.State == swim.Left && m.StateAgeSeconds >= min(p.Spec.deadMemberSeconds(), leftMemberSeconds) {
 			continue
 		}
 		require.False(h.t, h.mute[m.ID] || m.State.IsDeadOrLeft(), "%s was handed over, and %s may send there", box, m.Name)
--- a/internal/decide/maintenance/spec.go
+++ b/internal/decide/maintenance/spec.go
@@ -10,10 +10,10 @@
 
 // Bounds of a plan as it is given.
 const (
-	mostNameLen = 64         // of a plan, a box, a mechanic
-	mostTextLen = 80         // of a cause
-	mostTakesS  = 7 * 86400  // a time of a plan
-	mostWaitS   = 31 * 86400 // until a plan begins or ends
+	maxNameLen         = 64         // of a plan, a box, a mechanic
+	maxTextLen         = 80         // of a cause
+	maxWorkSeconds     = 7 * 86400  // a time of a plan
+	maxScheduleSeconds = 31 * 86400 // until a plan begins or ends
 )
 
 // Check tells what is wrong with a plan by itself, in one line that names the field; nil: nothing is.
@@ -25,17 +25,17 @@
 		most   float64
 		unless bool // 0 is good as well
 	}{
-		{"takes_s", s.WorkSeconds, 0.001, mostTakesS, false},
-		{"late_s", s.OverdueSeconds, s.WorkSeconds, mostTakesS, true},
+		{"takes_s", s.WorkSeconds, 0.001, maxWorkSeconds, false},
+		{"late_s", s.OverdueSeconds, s.WorkSeconds, maxWorkSeconds, true},
 		{"settle_s", s.QuietSeconds, 0.1, 600, true},
 		{"cold_s", s.WarmUpSeconds, 0.1, 3600, true},
-		{"gone_s", s.DeadMemberSeconds, 1, mostTakesS, true},
-		{"start_in_s", s.StartAfterSeconds, 0, mostWaitS, true},
-		{"end_in_s", s.EndAfterSeconds, s.StartAfterSeconds + 0.001, mostWaitS, true},
+		{"gone_s", s.DeadMemberSeconds, 1, maxWorkSeconds, true},
+		{"start_in_s", s.StartAfterSeconds, 0, maxScheduleSeconds, true},
+		{"end_in_s", s.EndAfterSeconds, s.StartAfterSeconds + 0.001, maxScheduleSeconds, true},
 	}
 	switch {
-	case s.Name == "" || len(s.Name) > mostNameLen:
-		return fmt.Errorf("name: it must have 1 to %d bytes", mostNameLen)
+	case s.Name == "" || len(s.Name) > maxNameLen:
+		return fmt.Errorf("name: it must have 1 to %d bytes", maxNameLen)
 	case len(s.Servers)+len(s.Sites)+len(s.Types) == 0:
 		return errors.New("boxes: neither boxes nor sites nor types are named")
 	case len(s.Servers) > MaxServers || len(s.Sites) > MaxServers || len(s.Types) > MaxServers:
@@ -48,19 +48,19 @@
 		return fmt.Errorf("keep: %g, it must be from 0 to below 1", s.MinCapacity)
 	case !(s.RejectionBudget >= 0 && s.RejectionBudget <= 1):
 		return fmt.Errorf("refusing: %g, it must be from 0 to 1", s.RejectionBudget)
-	case s.MaxRejection != 0 && !(s.MaxRejection >= s.refusing() && s.MaxRejection <= 1):
-		return fmt.Errorf("refusing_most: %g, it must be from %g, which is refusing, to 1", s.MaxRejection, s.refusing())
+	case s.MaxRejection != 0 && !(s.MaxRejection >= s.rejectionBudget() && s.MaxRejection <= 1):
+		return fmt.Errorf("refusing_most: %g, it must be from %g, which is refusing, to 1", s.MaxRejection, s.rejectionBudget())
 	}
 	for _, t := range times {
 		if !(t.s >= t.least && t.s <= t.most) && !(t.unless && t.s == 0) {
 			return fmt.Errorf("%s: %g, it must be from %g to %g", t.name, t.s, t.least, t.most)
 		}
 	}
-	for field, names := range s.named {
+	for field, names := range s.nameFields {
 		for i, n := range names {
 			switch {
-			case n == "" || len(n) > mostNameLen:
-				return fmt.Errorf("%s: %.80q, a name must have 1 to %d bytes", field, n, mostNameLen)
+			case n == "" || len(n) > maxNameLen:
+				return fmt.Errorf("%s: %.80q, a name must have 1 to %d bytes", field, n, maxNameLen)
 			case slices.Contains(names[:i], n):
 				return fmt.Errorf("%s: %q is named twice", field, n)
 			}
@@ -70,13 +70,13 @@
 }
 
 // named calls yield for each field that holds names.
-func (s *Spec) named(yield func(field string, names []string) bool) {
+func (s *Spec) nameFields(yield func(field string, names []string) bool) {
 	_ = yield("boxes", s.Servers) && yield("sites", s.Sites) && yield("types", s.Types)
 }
 
 // boxes returns those that a plan means of all that are seen, by name, or what it names that nobody has on a list.
-func (s *Spec) boxes(seen []ServerStatus) ([]Server, error) {
-	for field, names := range s.named {
+func (s *Spec) resolveServers(seen []ServerStatus) ([]Server, error) {
+	for field, names := range s.nameFields {
 		for _, n := range names {
 			if !slices.ContainsFunc(seen, func(b ServerStatus) bool {
 				return b.ListedBy > 0 && (field == "boxes" && b.Server == n || field == "sites" && b.Site == n || field == "types" && b.Type == n)
@@ -99,13 +99,13 @@
 	slices.SortFunc(boxes, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
 	// Danger: the order in which they are named is the fixed one, for who wants it; a plan by names keeps it.
 	if len(s.Servers) > 0 {
-		slices.SortStableFunc(boxes, func(a, b Server) int { return cmp.Compare(s.rank(a.Name), s.rank(b.Name)) })
+		slices.SortStableFunc(boxes, func(a, b Server) int { return cmp.Compare(s.listPosition(a.Name), s.listPosition(b.Name)) })
 	}
 	return boxes, nil
 }
 
 // rank is the place of a box among those that are named; who is not is behind them.
-func (s *Spec) rank(box string) int {
+func (s *Spec) listPosition(box string) int {
 	if i := slices.Index(s.Servers, box); i >= 0 {
 		return i
 	}
@@ -113,13 +113,13 @@
 }
 
 // What is not told of a plan is so.
-func (s *Spec) lateS() float64    { return cmp.Or(s.OverdueSeconds, 2*s.WorkSeconds) }
-func (s *Spec) bySite() int       { return cmp.Or(s.MaxPerSite, 1) }
-func (s *Spec) refusing() float64 { return cmp.Or(s.RejectionBudget, 0.02) }
-func (s *Spec) most() float64     { return cmp.Or(s.MaxRejection, max(0.25, s.refusing())) }
-func (s *Spec) goneS() float64    { return cmp.Or(s.DeadMemberSeconds, 300) }
+func (s *Spec) overdueSeconds() float64    { return cmp.Or(s.OverdueSeconds, 2*s.WorkSeconds) }
+func (s *Spec) maxPerSite() int            { return cmp.Or(s.MaxPerSite, 1) }
+func (s *Spec) rejectionBudget() float64   { return cmp.Or(s.RejectionBudget, 0.02) }
+func (s *Spec) maxRejection() float64      { return cmp.Or(s.MaxRejection, max(0.25, s.rejectionBudget())) }
+func (s *Spec) deadMemberSeconds() float64 { return cmp.Or(s.DeadMemberSeconds, 300) }
 
 // Settle returns for how long nothing new may have been sent to a box before it is empty.
 func (s *Spec) QuietPeriodSeconds() float64 { return cmp.Or(s.QuietSeconds, 1) }
 
-func (s *Spec) coldS(usualS float64) float64 { return cmp.Or(s.WarmUpSeconds, max(usualS, 5)) }
+func (s *Spec) warmUpSeconds(usualS float64) float64 { return cmp.Or(s.WarmUpSeconds, max(usualS, 5)) }
--- a/internal/decide/maintenance/sum.go
+++ b/internal/decide/maintenance/sum.go
@@ -9,33 +9,33 @@
 
 // Bounds of a Sum. Danger: sums come from outside, and are summed again.
 const (
-	mostFrom = 3000
-	mostSeen = 2000
-	mostOpen = 2000
+	maxReporters      = 3000
+	maxServerStatuses = 2000
+	maxInUse          = 2000
 )
 
-var errSum = errors.New("works: a sum makes no sense")
+var errInvalidReport = errors.New("works: a sum makes no sense")
 
-func sane(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
+func isValidRate(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
 
 // Add adds what others say. Nobody is added twice: who comes by two ways is left out of the second, and with it all that came along.
 func (s *Report) Merge(o *Report) error {
-	if len(o.Reporters) > mostFrom || len(o.Servers) > mostSeen || len(o.InUse) > mostOpen || !sane(o.CompletedPerSecond) || !sane(o.RejectedPerSecond) || o.StaleMembers < 0 {
-		return errSum
+	if len(o.Reporters) > maxReporters || len(o.Servers) > maxServerStatuses || len(o.InUse) > maxInUse || !isValidRate(o.CompletedPerSecond) || !isValidRate(o.RejectedPerSecond) || o.StaleMembers < 0 {
+		return errInvalidReport
 	}
 	for i := range o.Servers {
-		if b := &o.Servers[i]; len(b.Server) > mostNameLen || len(b.Site) > mostNameLen || len(b.Type) > mostNameLen || !sane(b.CompletedPerSecond) || !sane(b.Capacity) ||
+		if b := &o.Servers[i]; len(b.Server) > maxNameLen || len(b.Site) > maxNameLen || len(b.Type) > maxNameLen || !isValidRate(b.CompletedPerSecond) || !isValidRate(b.Capacity) ||
 			min(b.ListedBy, b.DrainingBy, b.CordonedBy, b.WarmingUpBy, b.UnresponsiveBy, b.InFlight) < 0 {
-			return errSum
+			return errInvalidReport
 		}
 	}
 	for i := range o.Reporters {
-		if _, twice := s.from(&o.Reporters[i]); twice {
-			return errSum
+		if _, twice := s.reporterIndex(&o.Reporters[i]); twice {
+			return errInvalidReport
 		}
 	}
 	for i := range o.Reporters {
-		at, _ := s.from(&o.Reporters[i])
+		at, _ := s.reporterIndex(&o.Reporters[i])
 		s.Reporters = slices.Insert(s.Reporters, at, o.Reporters[i])
 	}
 	for _, open := range o.InUse {
@@ -60,12 +60,12 @@
 	return nil
 }
 
-func (s *Report) from(f *Reporter) (at int, known bool) {
+func (s *Report) reporterIndex(f *Reporter) (at int, known bool) {
 	return slices.BinarySearchFunc(s.Reporters, *f, func(a, b Reporter) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // Has tells whether a member has spoken.
 func (s *Report) HasReporter(f Reporter) bool {
-	_, known := s.from(&f)
+	_, known := s.reporterIndex(&f)
 	return known
 }
