--- a/internal/decide/swim/member_test.go
+++ b/internal/decide/swim/member_test.go
@@ -12,7 +12,7 @@
 	r := Record{ID: 1, Version: Version{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), BootID: rapid.Uint64Range(1, 2).Draw(t, "life")},
 		State: State(rapid.IntRange(0, int(Left)).Draw(t, "state")), Address: "a", Durable: rapid.Bool().Draw(t, "keeps")}
 	if r.State == Suspect {
-		r.Accusers = union(rapid.SliceOfN(rapid.Map(rapid.Uint64Range(1, 5), func(n uint64) ID { return ID(n) }), 1, 3).Draw(t, "by"), nil)
+		r.Accusers = mergeAccusers(rapid.SliceOfN(rapid.Map(rapid.Uint64Range(1, 5), func(n uint64) ID { return ID(n) }), 1, 3).Draw(t, "by"), nil)
 	}
 	return r
 }
@@ -79,7 +79,7 @@
 	assert.True(t, p.IsConfigured())
 	see(1_000_003, 2_000_000, 5)
 	r, c := p.Current()
-	assert.Equal(t, 5*farOff, c, "no count is believed that is far from what was planned")
+	assert.Equal(t, 5*maxScale, c, "no count is believed that is far from what was planned")
 	assert.Less(t, r, c)
 }
 
@@ -159,15 +159,15 @@
 	}
 	v.RequestLinks(100.1, ids)
 	wanted := 0
-	for _, e := range v.all {
-		if e.wanted {
+	for _, e := range v.entries {
+		if e.isNeighbor {
 			wanted++
 		}
 	}
-	assert.LessOrEqual(t, wanted, mostAsked+rings*1)
-	assert.GreaterOrEqual(t, wanted, mostAsked)
-	for _, id := range ids[:mostAsked] {
-		assert.True(t, v.byID[id].wanted && v.byID[id].dialing, "%s", id)
+	assert.LessOrEqual(t, wanted, maxRequestedLinks+ringCount*1)
+	assert.GreaterOrEqual(t, wanted, maxRequestedLinks)
+	for _, id := range ids[:maxRequestedLinks] {
+		assert.True(t, v.byID[id].isNeighbor && v.byID[id].isDialing, "%s", id)
 	}
 	v.LinkUp(100.2, 2, ID.String(2), hello(2))
 	v.Tick(100.5)
@@ -175,15 +175,15 @@
 	dead := hello(3).Self
 	dead.State = Left
 	v.HandleMessage(100.6, 1, &Message{Records: []Record{dead}})
-	assert.False(t, v.byID[3].wanted)
+	assert.False(t, v.byID[3].isNeighbor)
 	v.RequestLinks(100.7, nil)
 	left := 0
-	for _, e := range v.all {
-		if e.wanted {
+	for _, e := range v.entries {
+		if e.isNeighbor {
 			left++
 		}
 	}
-	assert.LessOrEqual(t, left, rings)
+	assert.LessOrEqual(t, left, ringCount)
 }
 
 // Whatever a peer says, no call fails, nobody who is known and lives is forgotten for it, and what is known stays bounded.
@@ -241,17 +241,17 @@
 	v.LinkUp(100, 1, "first:1", Hello{Self: first})
 	v.LinkUp(100, 2, "other:1", Hello{Self: other})
 	m := &Message{}
-	for id := ID(10); id < 10+newcomers+500; id++ {
+	for id := ID(10); id < 10+maxNewcomers+500; id++ {
 		m.Records = append(m.Records, record(id))
 	}
 	v.HandleMessage(100.1, 2, m)
-	require.Less(t, v.LiveCount(), newcomers+10, "others alone tell of so many")
+	require.Less(t, v.LiveCount(), maxNewcomers+10, "others alone tell of so many")
 	v.HandleMessage(100.2, 1, m)
-	require.Equal(t, 3+newcomers+500, v.LiveCount())
+	require.Equal(t, 3+maxNewcomers+500, v.LiveCount())
 	v.HandleMessage(100.3, 2, &Message{Records: []Record{record(5000)}})
-	require.Equal(t, 4+newcomers+500, v.LiveCount(), "a newcomer that another has heard of first")
+	require.Equal(t, 4+maxNewcomers+500, v.LiveCount(), "a newcomer that another has heard of first")
 	for id := ID(10_000); id < 16_000; id++ {
 		v.HandleMessage(100.4, 2, &Message{Records: []Record{record(id)}})
 	}
-	require.LessOrEqual(t, v.LiveCount(), 3*(newcomers+510))
+	require.LessOrEqual(t, v.LiveCount(), 3*(maxNewcomers+510))
 }
