--- a/internal/decide/maintenance/own.go
+++ b/internal/decide/maintenance/baseline.go
@@ -54,11 +54,6 @@
 	return min(o.rejected.value()/max(o.completed.value(), minRatePerSecond), o.recentRejected.value()/max(o.recentCompleted.value(), minRatePerSecond)), true
 }
 
-// refusedPart returns the part of the requests that is refused or fails now.
-func (f *fleetModel) rejectionFraction() float64 {
-	return f.rejected.value() / max(f.completed.value(), minRatePerSecond)
-}
-
 // byItself returns the part of the requests that the fleet refuses or fails by itself, as far as that counts for a plan: never more
 // than its Refusing above what was refused before its first box left.
 func (c *Coordinator) baselineRejection(p *Plan) float64 {
@@ -96,15 +91,3 @@
 
 // margin is the part of Refusing that is tolerated when a box is to leave; when boxes are out it is all.
 const drainMargin = 0.7
-
-// busy tells whether a box is out by any plan, or comes back. One that was lost is the fleet's as it is.
-func (s *State) hasServerOut() bool {
-	for i := range s.Plans {
-		for j := range s.Plans[i].Servers {
-			if g := s.Plans[i].Servers[j].Stage; g >= Draining && g <= WarmingUp {
-				return true
-			}
-		}
-	}
-	return false
-}
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -1,8 +1,6 @@
 package maintenance
 
 import (
-	"bytes"
-	"fmt"
 	"math"
 	"slices"
 )
@@ -62,27 +60,6 @@
 	reply  Reply
 }
 
-// boxTime is since when this coordinator has known of a box's stage.
-type serverProgress struct {
-	plan            uint64
-	server          string
-	stage           Stage
-	sinceVersion    uint64
-	cordonedVersion uint64 // the version since which it has been out without a break, as far as it is known here
-	reachedAt       float64
-}
-
-// planTime is what this coordinator has seen of a plan.
-type planProgress struct {
-	number         uint64
-	ageSeconds     float64 // when it came to know of it
-	learnedAt      float64
-	unhealthySince float64 // since when something is wrong; 0: nothing is
-	calmSince      float64 // since when all has been well; 0: it is not
-	isCautious     bool    // something was given back since a box left
-	holdReason     string  // why nothing leaves
-}
-
 // New returns a coordinator that owns nothing yet.
 func New(set Settings) *Coordinator { return &Coordinator{settings: set} }
 
@@ -99,6 +76,8 @@
 // coordinator before it has learned of it; in that one's place its state would undo what it does not know.
 func (c *Coordinator) Version() uint64 { return c.committed.Version }
 
+func (c *Coordinator) nextVersion() uint64 { return c.committed.Version + 1 }
+
 // Learn takes a newer version of what is agreed: its own, or one of an owner before it that came late.
 func (c *Coordinator) ApplyCommitted(now float64, a Committed) {
 	c.advanceClock(now)
@@ -125,79 +104,6 @@
 	c.updateProgress()
 }
 
-// same tells whether two states say the same; ages may differ, which clocks add to.
-func sameState(a, b *State) bool {
-	x, err := a.withoutAges().Encode()
-	y, fault := b.withoutAges().Encode()
-	return err == nil && fault == nil && bytes.Equal(x, y)
-}
-
-func (s *State) withoutAges() *State {
-	s = s.clone()
-	for i := range s.Plans {
-		s.Plans[i].AgeSeconds = 0
-	}
-	return s
-}
-
-func (s *State) clone() *State {
-	n := &State{LastNumber: s.LastNumber, Plans: slices.Clone(s.Plans)}
-	for i := range n.Plans {
-		n.Plans[i].Servers = slices.Clone(n.Plans[i].Servers)
-	}
-	return n
-}
-
-// remember brings what is known of stages and plans up to what is agreed.
-func (c *Coordinator) updateProgress() {
-	var boxes []serverProgress
-	var plans []planProgress
-	for i := range c.committed.State.Plans {
-		p := &c.committed.State.Plans[i]
-		t := planProgress{number: p.Number, ageSeconds: p.AgeSeconds, learnedAt: c.now}
-		if known := c.planProgress(p.Number); known != nil {
-			t = *known
-		}
-		plans = append(plans, t)
-		for _, b := range p.Servers {
-			n := serverProgress{plan: p.Number, server: b.Name, stage: b.Stage, sinceVersion: b.SinceVersion, cordonedVersion: b.SinceVersion, reachedAt: c.now}
-			if k := c.serverProgress(p.Number, b.Name); k != nil {
-				if k.stage == b.Stage && k.sinceVersion == b.SinceVersion {
-					n = *k
-				} else if k.stage.IsCordoned() && b.Stage.IsCordoned() && k.stage < b.Stage {
-					n.cordonedVersion = k.cordonedVersion
-				}
-			}
-			boxes = append(boxes, n)
-			if b.Stage == Draining && n.reachedAt == c.now {
-				c.lastDrainAt = c.now
-			}
-		}
-	}
-	c.servers, c.plans = boxes, plans
-}
-
-func (c *Coordinator) serverProgress(plan uint64, box string) *serverProgress {
-	for i := range c.servers {
-		if c.servers[i].server == box && c.servers[i].plan == plan {
-			return &c.servers[i]
-		}
-	}
-	return nil
-}
-
-func (c *Coordinator) planProgress(number uint64) *planProgress {
-	for i := range c.plans {
-		if c.plans[i].number == number {
-			return &c.plans[i]
-		}
-	}
-	return nil
-}
-
-// ageS is for how long a plan has been given, as far as any owner's clock has told.
-func (t *planProgress) age(now float64) float64 { return t.ageSeconds + now - t.learnedAt }
-
 // Hear takes what all say, in place of what they said before.
 func (c *Coordinator) Observe(now float64, r FleetSnapshot) {
 	c.advanceClock(now)
@@ -310,121 +216,6 @@
 	return false
 }
 
-func (c *Coordinator) nextVersion() uint64 { return c.committed.Version + 1 }
-
-// move has a box come to a stage. Past whom it was forced stays on record, unless it is given back and has its turn again.
-func (c *Coordinator) setStage(b *Server, to Stage, why string) {
-	b.Stage, b.SinceVersion, b.Reason = to, c.nextVersion(), truncate(why, maxTextLen)
-	if to == Pending {
-		b.ForcedPast = nil
-	}
-}
-
-// advance has a plan go on as far as time and the fleet let it, and tells whether anything changed, and whether a box leaves.
-func (c *Coordinator) advancePlan(s *State, p *Plan, leave bool) (changed, left bool) {
-	t := c.planProgress(p.Number)
-	if t == nil { // it was given just now
-		return false, false
-	}
-	over := p.Spec.EndAfterSeconds > 0 && t.age(c.now) > p.Spec.EndAfterSeconds
-	bad := t.unhealthySince != 0 && c.now-t.unhealthySince >= faultGraceSeconds && c.freshSnapshot() != nil
-	out, backed := false, false
-	for i := range p.Servers {
-		b := &p.Servers[i]
-		known := c.serverProgress(p.Number, b.Name)
-		fresh := known != nil && known.stage == b.Stage && known.sinceVersion == b.SinceVersion // it was not changed by a command just now
-		was := b.Stage
-		switch {
-		case !fresh:
-		case (b.Stage == Draining || b.Stage == Drained) && bad && !c.fleet.isUnavailable(b.Name):
-			c.setStage(b, Pending, "")
-			backed = true
-		case b.Stage == Draining:
-			if _, why := c.inUse(p, b); why == "" {
-				c.setStage(b, Drained, "")
-			}
-		case b.Stage == InMaintenance && !b.Overdue && c.now-known.reachedAt > p.Spec.overdueSeconds():
-			if changed, b.Overdue = true, true; p.Spec.AbandonOverdue {
-				c.setStage(b, Lost, fmt.Sprintf("%s had it for longer than %g s", b.Agent, p.Spec.overdueSeconds()))
-			}
-		case b.Stage == WarmingUp && c.now-known.reachedAt >= p.Spec.warmUpSeconds(c.settings.WarmUpSeconds) && !c.fleet.isUnresponsive(b.Name):
-			c.setStage(b, Done, b.Reason)
-		}
-		changed = changed || b.Stage != was
-		out = out || b.Stage >= Draining && b.Stage <= WarmingUp
-	}
-	if backed {
-		t.isCautious, t.calmSince = true, 0
-	}
-	if !out && over {
-		for i := range p.Servers {
-			if b := &p.Servers[i]; b.Stage == Pending {
-				c.setStage(b, Skipped, "the plan's time was over before it was its turn")
-				changed = true
-			}
-		}
-	}
-	if !slices.ContainsFunc(p.Servers, func(b Server) bool { return b.Stage < Done }) {
-		p.Ended = true
-		return true, false
-	}
-	if leave && !changed && c.drainBlocker(p, t) == "" {
-		if b := c.chooseNext(s, p); b != nil {
-			c.releaseLost(s, p, b.Name)
-			c.setStage(b, Draining, "")
-			if p.BaselineRejection == 0 {
-				p.BaselineRejection = max(c.baselineRejection(p), minBaseline)
-			}
-			t.isCautious = false
-			return true, true
-		}
-	}
-	return changed, false
-}
-
-// freeLost has a plan take a box over that an earlier one has lost.
-func (c *Coordinator) releaseLost(s *State, by *Plan, box string) {
-	for i := range s.Plans {
-		if p := &s.Plans[i]; p.Number != by.Number {
-			for j := range p.Servers {
-				if b := &p.Servers[j]; b.Name == box && b.Stage == Lost {
-					c.setStage(b, Skipped, truncate(fmt.Sprintf("plan %d has it; %s", by.Number, b.Reason), maxTextLen))
-				}
-			}
-		}
-	}
-}
-
-// mayLeave tells why nothing of a plan leaves now; empty: a box may, if there is room for one more.
-func (c *Coordinator) drainBlocker(p *Plan, t *planProgress) string {
-	age := t.age(c.now)
-	wait := steadySeconds
-	if t.isCautious {
-		wait = cautiousSeconds
-	}
-	switch {
-	case p.Aborted:
-		return "it is aborted"
-	case p.PausedBy != "":
-		return "paused by " + p.PausedBy
-	case age < p.Spec.StartAfterSeconds:
-		return fmt.Sprintf("it begins in %.0f s", p.Spec.StartAfterSeconds-age)
-	case p.Spec.EndAfterSeconds > 0 && age > p.Spec.EndAfterSeconds:
-		return "its time is over"
-	case c.freshSnapshot() == nil:
-		return reasonNoReports
-	case t.holdReason != "":
-		return t.holdReason
-	case c.isDegraded(p) && c.committed.State.hasServerOut():
-		return fmt.Sprintf("one box alone may be out or cold while the fleet refuses %.3f by itself", c.baselineRejection(p))
-	case c.needsBaseline(p), c.isDegraded(p) && !c.fleet.baseline.isMeasured():
-		return "it is measured what the fleet refuses by itself"
-	case t.calmSince == 0 || c.now-t.calmSince < wait || c.snapshotAt-c.lastDrainAt < steadySeconds:
-		return "it is seen how the fleet does"
-	}
-	return ""
-}
-
 // Next returns when Step is to be called at the latest.
 func (c *Coordinator) StepDeadline(now float64) float64 {
 	c.advanceClock(now)
@@ -452,60 +243,3 @@
 	}
 	return max(at, c.now)
 }
-
-// Waits tells what plans and boxes wait for, by plan and box.
-func (c *Coordinator) Blockers() (all []Blocker) {
-	for i := range c.committed.State.Plans {
-		p := &c.committed.State.Plans[i]
-		if p.Ended {
-			continue
-		}
-		t := c.planProgress(p.Number)
-		waiting := false
-		for j := range p.Servers {
-			b := &p.Servers[j]
-			w := Blocker{Plan: p.Number, Server: b.Name}
-			switch b.Stage {
-			case Pending:
-				waiting = true
-			case Draining:
-				w.Members, w.Reason = c.inUse(p, b)
-			case Drained:
-				if w.Members, w.Reason = c.inUse(p, b); w.Reason == "" || len(b.ForcedPast) > 0 {
-					w.Members, w.Reason = nil, "a mechanic is to take it"
-				}
-			case InMaintenance:
-				if w.Reason = b.Agent + " works on it"; b.Overdue {
-					w.Reason = b.Agent + " is late with it"
-				}
-				if w.Members = c.uncordonedBy(b.Name); len(w.Members) > 0 {
-					w.Reason += "; " + reasonUncordoned
-				}
-			case WarmingUp:
-				if w.Reason = "it warms up"; c.fleet.isUnresponsive(b.Name) {
-					w.Reason = "it was given back and does not answer"
-				}
-			}
-			if w.Reason != "" {
-				w.Members = w.Members[:min(len(w.Members), maxNamedMembers)]
-				all = append(all, w)
-			}
-		}
-		if waiting {
-			why := c.drainBlocker(p, t)
-			if why == "" && c.chooseNext(&c.committed.State, p) == nil {
-				why = c.noRoomReason(&c.committed.State, p)
-			}
-			if why != "" {
-				w := Blocker{Plan: p.Number, Reason: why}
-				if t.holdReason == why {
-					w.Members = c.unreachableMembers(p)
-				}
-				all = append(all, w)
-			}
-		}
-	}
-	return all
-}
-
-func truncate(s string, most int) string { return s[:min(len(s), most)] }
--- a/internal/decide/maintenance/empty.go
+++ b/internal/decide/maintenance/drained.go
@@ -1,11 +1,8 @@
 package maintenance
 
 import (
-	"fmt"
 	"slices"
 	"strings"
-
-	"hazelwheel/internal/decide/swim"
 )
 
 // Why a box is not known to be empty.
@@ -17,17 +14,6 @@
 // mostWho is how many are named.
 const maxNamedMembers = 10
 
-// needed tells whether a member must be heard: it may send.
-func (p *Plan) mustReport(m *Member, laterS float64) bool {
-	switch m.State {
-	case swim.Dead:
-		return m.StateAgeSeconds+laterS < p.Spec.deadMemberSeconds()
-	case swim.Left:
-		return m.StateAgeSeconds+laterS < min(p.Spec.deadMemberSeconds(), leftMemberSeconds)
-	}
-	return true
-}
-
 // occupied tells who does not hold a box for empty, and why it is not known to be; without a why it is. Danger: silence is no
 // consent, of nobody who may still send; and a process that began anew knows nothing of what the one before it has said.
 func (c *Coordinator) inUse(p *Plan, b *Server) (who []string, why string) {
@@ -92,42 +78,3 @@
 	slices.Sort(who)
 	return who
 }
-
-// silent returns the names of members who may send and have not said that they go by a version, or a later one.
-func (c *Coordinator) unreportedMembers(p *Plan, round *FleetSnapshot, version uint64) (names []string) {
-	for i := range round.Members {
-		m := &round.Members[i]
-		if p.mustReport(m, c.now-c.snapshotAt) && !slices.ContainsFunc(round.Report.Reporters, func(f Reporter) bool {
-			return f.ID == m.ID && f.BootID == m.BootID && f.Version >= version
-		}) {
-			names = append(names, m.Name)
-		}
-	}
-	return names
-}
-
-func memberName(round *FleetSnapshot, id swim.ID) string {
-	for i := range round.Members {
-		if round.Members[i].ID == id {
-			return round.Members[i].Name
-		}
-	}
-	return fmt.Sprintf("%016x", uint64(id))
-}
-
-// unheard returns who keeps boxes from leaving: who may send, and is not there to be asked.
-func (c *Coordinator) unreachableMembers(p *Plan) []string {
-	round := c.freshSnapshot()
-	if round == nil {
-		return nil
-	}
-	names := c.unreportedMembers(p, round, 0)
-	for i := range round.Members {
-		if m := &round.Members[i]; m.State != swim.Alive && p.mustReport(m, c.now-c.snapshotAt) {
-			names = append(names, m.Name)
-		}
-	}
-	slices.Sort(names)
-	names = slices.Compact(names)
-	return names[:min(len(names), maxNamedMembers)]
-}
--- a/internal/decide/maintenance/commands.go
+++ b/internal/decide/maintenance/execute.go
@@ -34,35 +34,6 @@
 	return r, false
 }
 
-// Check tells what is wrong with a command by itself; nil: nothing is.
-func (c *Command) Validate() error {
-	if len(c.Server) > maxNameLen || len(c.Agent) > maxNameLen {
-		return fmt.Errorf("box, mechanic: a name has at most %d bytes", maxNameLen)
-	}
-	switch c.Kind {
-	case SubmitPlan:
-		if c.Spec == nil {
-			return errors.New("spec: there is no plan")
-		}
-		return c.Spec.Validate()
-	case PausePlan, ResumePlan, AbortPlan:
-	case SkipServer, ForceDrained, CompleteServer, FailServer:
-		if c.Server == "" {
-			return errors.New("box: none is named")
-		}
-		if c.Token == 0 && (c.Kind == CompleteServer || c.Kind == FailServer) {
-			return errors.New("token: the one that the box was handed over with is needed")
-		}
-	case AcquireServer:
-		if c.Agent == "" {
-			return errors.New("mechanic: no name is told")
-		}
-	default:
-		return fmt.Errorf("kind: there is no %.40q", c.Kind)
-	}
-	return nil
-}
-
 // Replies returns the answers to commands that are agreed by now, each once.
 func (c *Coordinator) Replies() []Reply {
 	r := c.replies
@@ -152,33 +123,6 @@
 	return true, nil
 }
 
-// growth is what a box of a plan can still come to weigh, in bytes: token, version, mechanic and cause.
-const serverGrowthBytes = 110
-
-// trim drops plans that have ended until there is room for what those that have not may come to say, and tells whether there is.
-// Danger: one that has lost a box is what bans it.
-func (s *State) trimToSize() bool {
-	for {
-		room := MaxStateBytes
-		for i := range s.Plans {
-			if p := &s.Plans[i]; !p.Ended {
-				room -= serverGrowthBytes * len(p.Servers)
-			}
-		}
-		b, err := s.Encode()
-		if err == nil && len(s.Plans) <= MaxPlans && len(b) <= room {
-			return true
-		}
-		i := slices.IndexFunc(s.Plans, func(p Plan) bool {
-			return p.Ended && !slices.ContainsFunc(p.Servers, func(b Server) bool { return b.Stage == Lost })
-		})
-		if i < 0 {
-			return false
-		}
-		s.Plans = slices.Delete(s.Plans, i, i+1)
-	}
-}
-
 // meant returns the plan that a command means.
 func resolvePlan(s *State, number uint64) (*Plan, error) {
 	var found []*Plan
--- a/internal/decide/maintenance/sum.go
+++ b/internal/decide/maintenance/report.go
@@ -5,8 +5,51 @@
 	"errors"
 	"math"
 	"slices"
+
+	"hazelwheel/internal/decide/swim"
 )
 
+// From is one sidecar that has spoken.
+type Reporter struct {
+	ID      swim.ID `msgpack:"d"`
+	BootID  uint64  `msgpack:"l"` // of its process, as in member.Version
+	Version uint64  `msgpack:"v"` // of the State by which it goes: what that bans gets nothing new there, and has not for SettleS
+}
+
+// Open says that a sidecar does not hold a box for empty.
+type InUse struct {
+	Server     string  `msgpack:"b"`
+	Member     swim.ID `msgpack:"d"`
+	Uncordoned bool    `msgpack:"h,omitempty"` // it was given back there by hand: it is in use
+	InFlight   int     `msgpack:"n,omitempty"` // executions that are out; 0: the ban has held there for less than SettleS
+}
+
+// Seen is what sidecars say of a box, summed.
+type ServerStatus struct {
+	Server             string  `msgpack:"b"`
+	Site               string  `msgpack:"s,omitempty"`
+	Type               string  `msgpack:"y,omitempty"`
+	Capacity           float64 `msgpack:"z,omitempty"` // as listed; 0: not told. Of sums the greatest
+	ListedBy           int     `msgpack:"l,omitempty"` // sidecars that have it on their list
+	DrainingBy         int     `msgpack:"d,omitempty"` // whose list says that it drains
+	CordonedBy         int     `msgpack:"h,omitempty"` // where it is out by hand
+	WarmingUpBy        int     `msgpack:"c,omitempty"` // that hold it for cold
+	UnresponsiveBy     int     `msgpack:"q,omitempty"` // that hold it for silent, suspected or failing
+	CompletedPerSecond float64 `msgpack:"p,omitempty"` // executions a second that ended
+	InFlight           int     `msgpack:"o,omitempty"` // executions that are out
+	Busy               bool    `msgpack:"u,omitempty"` // its own report says that it works or has a line
+}
+
+// Sum is what some sidecars say, of which each says its own. It goes the way of the question back, summed.
+type Report struct {
+	Reporters          []Reporter     `msgpack:"f,omitempty"` // by ID
+	InUse              []InUse        `msgpack:"o,omitempty"` // by box and ID
+	Servers            []ServerStatus `msgpack:"s,omitempty"` // by box
+	CompletedPerSecond float64        `msgpack:"p,omitempty"` // requests a second that ended
+	RejectedPerSecond  float64        `msgpack:"r,omitempty"` // of these refused or failed, a second
+	StaleMembers       int            `msgpack:"l,omitempty"` // sidecars whose list is late
+}
+
 // Bounds of a Sum. Danger: sums come from outside, and are summed again.
 const (
 	maxReporters      = 3000
--- a/internal/decide/maintenance/spec.go
+++ b/internal/decide/maintenance/spec.go
@@ -8,6 +8,27 @@
 	"slices"
 )
 
+// Spec is a plan as an operator gives it. Times are in seconds.
+type Spec struct {
+	Name              string   `msgpack:"n" json:"name"`
+	Servers           []string `msgpack:"b,omitempty" json:"boxes,omitempty"` // by name
+	Sites             []string `msgpack:"s,omitempty" json:"sites,omitempty"` // all boxes of these sites, if Types are given of these types alone
+	Types             []string `msgpack:"y,omitempty" json:"types,omitempty"`
+	WorkSeconds       float64  `msgpack:"t" json:"takes_s"`                           // the work on one box
+	OverdueSeconds    float64  `msgpack:"l,omitempty" json:"late_s,omitempty"`        // after which it is late; 0: twice TakesS
+	AbandonOverdue    bool     `msgpack:"g,omitempty" json:"give_up,omitempty"`       // a box that is late is Lost, and the plan goes on; else all wait for it
+	MaxConcurrent     int      `msgpack:"a" json:"at_once"`                           // boxes that are out or cold, in all
+	MaxPerSite        int      `msgpack:"i,omitempty" json:"by_site,omitempty"`       // of one site; 0: 1
+	MinCapacity       float64  `msgpack:"k" json:"keep"`                              // part of the capacity that must stay, from 0 to below 1
+	RejectionBudget   float64  `msgpack:"r,omitempty" json:"refusing,omitempty"`      // part of the requests that may be refused beyond what the fleet refuses by itself; 0: 0.02
+	MaxRejection      float64  `msgpack:"m,omitempty" json:"refusing_most,omitempty"` // part that may be refused at all, by itself or not; 0: 0.25, or Refusing if that is more
+	QuietSeconds      float64  `msgpack:"e,omitempty" json:"settle_s,omitempty"`      // without a new request before a box is empty; 0: 1
+	WarmUpSeconds     float64  `msgpack:"c,omitempty" json:"cold_s,omitempty"`        // a box takes to warm up; 0: what the settings say, 5 at least
+	DeadMemberSeconds float64  `msgpack:"o,omitempty" json:"gone_s,omitempty"`        // after which a sidecar that is dead counts as gone; 0: 300
+	StartAfterSeconds float64  `msgpack:"f,omitempty" json:"start_in_s,omitempty"`    // from when it is given; nothing leaves before
+	EndAfterSeconds   float64  `msgpack:"u,omitempty" json:"end_in_s,omitempty"`      // nothing leaves after; 0: at any time
+}
+
 // Bounds of a plan as it is given.
 const (
 	maxNameLen         = 64         // of a plan, a box, a mechanic
@@ -113,10 +134,14 @@
 }
 
 // What is not told of a plan is so.
-func (s *Spec) overdueSeconds() float64    { return cmp.Or(s.OverdueSeconds, 2*s.WorkSeconds) }
-func (s *Spec) maxPerSite() int            { return cmp.Or(s.MaxPerSite, 1) }
-func (s *Spec) rejectionBudget() float64   { return cmp.Or(s.RejectionBudget, 0.02) }
-func (s *Spec) maxRejection() float64      { return cmp.Or(s.MaxRejection, max(0.25, s.rejectionBudget())) }
+func (s *Spec) overdueSeconds() float64 { return cmp.Or(s.OverdueSeconds, 2*s.WorkSeconds) }
+
+func (s *Spec) maxPerSite() int { return cmp.Or(s.MaxPerSite, 1) }
+
+func (s *Spec) rejectionBudget() float64 { return cmp.Or(s.RejectionBudget, 0.02) }
+
+func (s *Spec) maxRejection() float64 { return cmp.Or(s.MaxRejection, max(0.25, s.rejectionBudget())) }
+
 func (s *Spec) deadMemberSeconds() float64 { return cmp.Or(s.DeadMemberSeconds, 300) }
 
 // Settle returns for how long nothing new may have been sent to a box before it is empty.
