--- a/internal/decide/maintenance/advance.go
+++ b/internal/decide/maintenance/advance.go
@@ -1,89 +1,120 @@
 package maintenance
 
-import (
-	"fmt"
-	"slices"
-)
+import "fmt"
 
-// advance has a plan go on as far as time and the fleet let it, and tells whether anything changed, and whether a box leaves.
-func (c *Coordinator) advancePlan(s *State, p *Plan, leave bool) (changed, left bool) {
-	t := c.planProgress(p.Number)
-	if t == nil { // it was given just now
+// advancePlan moves the servers of a plan to their next stages as far as time and the fleet allow. It reports whether the plan
+// changed, and whether a server became Draining, which needs mayDrain.
+func (c *Coordinator) advancePlan(next *State, p *Plan, mayDrain bool) (changed, drained bool) {
+	progress := c.planProgress(p.Number)
+	if progress == nil { // it was submitted in this step
 		return false, false
 	}
-	over := p.Spec.EndAfterSeconds > 0 && t.age(c.now) > p.Spec.EndAfterSeconds
-	bad := t.unhealthySince != 0 && c.now-t.unhealthySince >= faultGraceSeconds && c.freshSnapshot() != nil
-	out, backed := false, false
+	changed, hasServerOut := c.advanceServers(p, progress)
+	isOver := p.Spec.EndAfterSeconds > 0 && progress.age(c.now) > p.Spec.EndAfterSeconds
+	if !hasServerOut && isOver && c.skipPending(p) {
+		changed = true
+	}
+	if p.hasEnded() {
+		p.Ended = true
+		return true, false
+	}
+	if mayDrain && !changed && c.drainBlocker(p, progress) == "" && c.drainNext(next, p) {
+		progress.isCautious = false
+		return true, true
+	}
+	return changed, false
+}
+
+// advanceServers moves the servers of a plan that are between Draining and WarmingUp. It reports whether any changed, and whether any
+// is between these stages after that.
+func (c *Coordinator) advanceServers(p *Plan, progress *planProgress) (changed, hasServerOut bool) {
+	giveBack := progress.unhealthySince != 0 && c.now-progress.unhealthySince >= faultGraceSeconds && c.freshSnapshot() != nil
 	for i := range p.Servers {
-		b := &p.Servers[i]
-		known := c.serverProgress(p.Number, b.Name)
-		fresh := known != nil && known.stage == b.Stage && known.sinceVersion == b.SinceVersion // it was not changed by a command just now
-		was := b.Stage
-		switch {
-		case !fresh:
-		case (b.Stage == Draining || b.Stage == Drained) && bad && !c.fleet.isUnavailable(b.Name):
-			c.setStage(b, Pending, "")
-			backed = true
-		case b.Stage == Draining:
-			if _, why := c.inUse(p, b); why == "" {
-				c.setStage(b, Drained, "")
-			}
-		case b.Stage == InMaintenance && !b.Overdue && c.now-known.reachedAt > p.Spec.overdueSeconds():
-			if changed, b.Overdue = true, true; p.Spec.AbandonOverdue {
-				c.setStage(b, Lost, fmt.Sprintf("%s had it for longer than %g s", b.Agent, p.Spec.overdueSeconds()))
-			}
-		case b.Stage == WarmingUp && c.now-known.reachedAt >= p.Spec.warmUpSeconds(c.settings.WarmUpSeconds) && !c.fleet.isUnresponsive(b.Name):
-			c.setStage(b, Done, b.Reason)
+		server := &p.Servers[i]
+		stage, wasOverdue := server.Stage, server.Overdue
+		c.advanceServer(p, server, giveBack)
+		if stage != Pending && server.Stage == Pending {
+			progress.isCautious, progress.calmSince = true, 0
 		}
-		changed = changed || b.Stage != was
-		out = out || b.Stage >= Draining && b.Stage <= WarmingUp
+		changed = changed || server.Stage != stage || server.Overdue != wasOverdue
+		hasServerOut = hasServerOut || server.Stage.isOut()
 	}
-	if backed {
-		t.isCautious, t.calmSince = true, 0
+	return changed, hasServerOut
+}
+
+// advanceServer moves a server to its next stage if it is due. With giveBack a server that is not being worked on yet is put back in
+// service, unless it would not serve anyway.
+func (c *Coordinator) advanceServer(p *Plan, server *Server, giveBack bool) {
+	progress := c.serverProgress(p.Number, server.Name)
+	if progress == nil || progress.stage != server.Stage || progress.sinceVersion != server.SinceVersion {
+		return // a command changed it in this step
 	}
-	if !out && over {
-		for i := range p.Servers {
-			if b := &p.Servers[i]; b.Stage == Pending {
-				c.setStage(b, Skipped, "the plan's time was over before it was its turn")
-				changed = true
-			}
+	inStage := c.now - progress.reachedAt
+	switch {
+	case (server.Stage == Draining || server.Stage == Drained) && giveBack && !c.fleet.isUnavailable(server.Name):
+		c.setStage(server, Pending, "")
+	case server.Stage == Draining:
+		if _, reason := c.whyNotDrained(p, server); reason == "" {
+			c.setStage(server, Drained, "")
 		}
+	case server.Stage == InMaintenance && !server.Overdue && inStage > p.Spec.overdueSeconds():
+		server.Overdue = true
+		if p.Spec.AbandonOverdue {
+			c.setStage(server, Lost, fmt.Sprintf("%s had it for longer than %g s", server.Agent, p.Spec.overdueSeconds()))
+		}
+	case server.Stage == WarmingUp && inStage >= p.Spec.warmUpSeconds(c.settings.WarmUpSeconds) && !c.fleet.isUnresponsive(server.Name):
+		c.setStage(server, Done, server.Reason)
 	}
-	if !slices.ContainsFunc(p.Servers, func(b Server) bool { return b.Stage < Done }) {
-		p.Ended = true
-		return true, false
-	}
-	if leave && !changed && c.drainBlocker(p, t) == "" {
-		if b := c.chooseNext(s, p); b != nil {
-			c.releaseLost(s, p, b.Name)
-			c.setStage(b, Draining, "")
-			if p.BaselineRejection == 0 {
-				p.BaselineRejection = max(c.baselineRejection(p), minBaseline)
-			}
-			t.isCautious = false
-			return true, true
+}
+
+// skipPending skips the servers of a plan whose time is over, and reports whether there were any.
+func (c *Coordinator) skipPending(p *Plan) (changed bool) {
+	for i := range p.Servers {
+		if server := &p.Servers[i]; server.Stage == Pending {
+			c.setStage(server, Skipped, "the plan's time was over before it was its turn")
+			changed = true
 		}
 	}
-	return changed, false
+	return changed
 }
 
-// move has a box come to a stage. Past whom it was forced stays on record, unless it is given back and has its turn again.
-func (c *Coordinator) setStage(b *Server, to Stage, why string) {
-	b.Stage, b.SinceVersion, b.Reason = to, c.nextVersion(), truncate(why, maxTextLen)
-	if to == Pending {
-		b.ForcedPast = nil
+// drainNext starts to drain the next server of a plan, and reports whether there was one. The first one fixes the baseline that the
+// plan is held to.
+func (c *Coordinator) drainNext(next *State, p *Plan) bool {
+	server := c.chooseNext(next, p)
+	if server == nil {
+		return false
+	}
+	c.releaseLost(next, p, server.Name)
+	c.setStage(server, Draining, "")
+	if p.BaselineRejection == 0 {
+		p.BaselineRejection = max(c.baselineRejection(p), minBaseline)
 	}
+	return true
 }
 
-// freeLost has a plan take a box over that an earlier one has lost.
-func (c *Coordinator) releaseLost(s *State, by *Plan, box string) {
-	for i := range s.Plans {
-		if p := &s.Plans[i]; p.Number != by.Number {
-			for j := range p.Servers {
-				if b := &p.Servers[j]; b.Name == box && b.Stage == Lost {
-					c.setStage(b, Skipped, truncate(fmt.Sprintf("plan %d has it; %s", by.Number, b.Reason), maxTextLen))
-				}
+// setStage moves a server to a stage. ForcedPast stays on record, unless the server waits for its turn again.
+func (c *Coordinator) setStage(server *Server, stage Stage, reason string) {
+	server.Stage, server.SinceVersion, server.Reason = stage, c.nextVersion(), truncate(reason, maxTextLen)
+	if stage == Pending {
+		server.ForcedPast = nil
+	}
+}
+
+// releaseLost ends the hold of other plans on a server that they lost, now that a plan drains it.
+func (c *Coordinator) releaseLost(next *State, by *Plan, name string) {
+	for i := range next.Plans {
+		p := &next.Plans[i]
+		if p.Number == by.Number {
+			continue
+		}
+		for j := range p.Servers {
+			if server := &p.Servers[j]; server.Name == name && server.Stage == Lost {
+				c.setStage(server, Skipped, fmt.Sprintf("plan %d has it; %s", by.Number, server.Reason))
 			}
 		}
 	}
 }
+
+// truncate cuts a text to a number of bytes.
+func truncate(s string, maxBytes int) string { return s[:min(len(s), maxBytes)] }
--- a/internal/decide/maintenance/blockers.go
+++ b/internal/decide/maintenance/blockers.go
@@ -1,78 +1,86 @@
 package maintenance
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// Wait says what a box or a plan waits for.
+// Blocker states what a server of a plan, or with an empty Server the whole plan, waits for.
 type Blocker struct {
 	Plan    uint64   `msgpack:"p" json:"plan"`
 	Server  string   `msgpack:"b,omitempty" json:"box,omitempty"`
 	Reason  string   `msgpack:"w" json:"why"`
-	Members []string `msgpack:"o,omitempty" json:"who,omitempty"` // names of sidecars, at most ten
+	Members []string `msgpack:"o,omitempty" json:"who,omitempty"` // names of the sidecars that are the cause, at most ten
 }
 
-// Waits tells what plans and boxes wait for, by plan and box.
+// Blockers returns what the plans that go on wait for, in the order of plans and servers, each plan's own blocker behind those of its
+// servers.
 func (c *Coordinator) Blockers() (all []Blocker) {
 	for i := range c.committed.State.Plans {
 		p := &c.committed.State.Plans[i]
 		if p.Ended {
 			continue
 		}
-		t := c.planProgress(p.Number)
-		waiting := false
+		hasPending := false
 		for j := range p.Servers {
-			b := &p.Servers[j]
-			w := Blocker{Plan: p.Number, Server: b.Name}
-			switch b.Stage {
-			case Pending:
-				waiting = true
-			case Draining:
-				w.Members, w.Reason = c.inUse(p, b)
-			case Drained:
-				if w.Members, w.Reason = c.inUse(p, b); w.Reason == "" || len(b.ForcedPast) > 0 {
-					w.Members, w.Reason = nil, "a mechanic is to take it"
-				}
-			case InMaintenance:
-				if w.Reason = b.Agent + " works on it"; b.Overdue {
-					w.Reason = b.Agent + " is late with it"
-				}
-				if w.Members = c.uncordonedBy(b.Name); len(w.Members) > 0 {
-					w.Reason += "; " + reasonUncordoned
-				}
-			case WarmingUp:
-				if w.Reason = "it warms up"; c.fleet.isUnresponsive(b.Name) {
-					w.Reason = "it was given back and does not answer"
-				}
-			}
-			if w.Reason != "" {
-				w.Members = w.Members[:min(len(w.Members), maxNamedMembers)]
-				all = append(all, w)
+			server := &p.Servers[j]
+			hasPending = hasPending || server.Stage == Pending
+			if b := c.serverBlocker(p, server); b.Reason != "" {
+				all = append(all, b)
 			}
 		}
-		if waiting {
-			why := c.drainBlocker(p, t)
-			if why == "" && c.chooseNext(&c.committed.State, p) == nil {
-				why = c.noRoomReason(&c.committed.State, p)
-			}
-			if why != "" {
-				w := Blocker{Plan: p.Number, Reason: why}
-				if t.holdReason == why {
-					w.Members = c.unreachableMembers(p)
-				}
-				all = append(all, w)
-			}
+		if !hasPending {
+			continue
+		}
+		if b := c.planBlocker(p); b.Reason != "" {
+			all = append(all, b)
 		}
 	}
 	return all
 }
 
-// mayLeave tells why nothing of a plan leaves now; empty: a box may, if there is room for one more.
-func (c *Coordinator) drainBlocker(p *Plan, t *planProgress) string {
-	age := t.age(c.now)
-	wait := steadySeconds
-	if t.isCautious {
-		wait = cautiousSeconds
+// serverBlocker returns what a server waits for; without a Reason it waits for nothing of its own.
+func (c *Coordinator) serverBlocker(p *Plan, server *Server) Blocker {
+	b := Blocker{Plan: p.Number, Server: server.Name}
+	switch server.Stage {
+	case Draining:
+		b.Members, b.Reason = c.whyNotDrained(p, server)
+	case Drained:
+		if b.Members, b.Reason = c.whyNotDrained(p, server); b.Reason == "" || len(server.ForcedPast) > 0 {
+			b.Members, b.Reason = nil, "a mechanic is to take it"
+		}
+	case InMaintenance:
+		if b.Reason = server.Agent + " works on it"; server.Overdue {
+			b.Reason = server.Agent + " is late with it"
+		}
+		if b.Members = c.uncordonedBy(server.Name); len(b.Members) > 0 {
+			b.Reason += "; " + reasonUncordoned
+		}
+	case WarmingUp:
+		if b.Reason = "it warms up"; c.fleet.isUnresponsive(server.Name) {
+			b.Reason = "it was given back and does not answer"
+		}
+	}
+	b.Members = b.Members[:min(len(b.Members), maxNamedMembers)]
+	return b
+}
+
+// planBlocker returns why no pending server of a plan drains; without a Reason one will with the next Step.
+func (c *Coordinator) planBlocker(p *Plan) Blocker {
+	progress := c.planProgress(p.Number)
+	b := Blocker{Plan: p.Number, Reason: c.drainBlocker(p, progress)}
+	if b.Reason == "" && c.chooseNext(&c.committed.State, p) == nil {
+		b.Reason = c.noRoomReason(&c.committed.State, p)
+	}
+	if b.Reason != "" && progress.holdReason == b.Reason {
+		b.Members = c.unreachableMembers(p)
+	}
+	return b
+}
+
+// drainBlocker returns why no server of a plan may drain now, whichever it were; empty: one may, if chooseNext finds one.
+func (c *Coordinator) drainBlocker(p *Plan, progress *planProgress) string {
+	age := progress.age(c.now)
+	calmSeconds := steadySeconds
+	if progress.isCautious {
+		calmSeconds = cautiousSeconds
 	}
 	switch {
 	case p.Aborted:
@@ -85,23 +93,23 @@
 		return "its time is over"
 	case c.freshSnapshot() == nil:
 		return reasonNoReports
-	case t.holdReason != "":
-		return t.holdReason
+	case progress.holdReason != "":
+		return progress.holdReason
 	case c.isDegraded(p) && c.committed.State.hasServerOut():
 		return fmt.Sprintf("one box alone may be out or cold while the fleet refuses %.3f by itself", c.baselineRejection(p))
 	case c.needsBaseline(p), c.isDegraded(p) && !c.fleet.baseline.isMeasured():
 		return "it is measured what the fleet refuses by itself"
-	case t.calmSince == 0 || c.now-t.calmSince < wait || c.snapshotAt-c.lastDrainAt < steadySeconds:
+	case progress.calmSince == 0 || c.now-progress.calmSince < calmSeconds || c.snapshotAt-c.lastDrainAt < steadySeconds:
 		return "it is seen how the fleet does"
 	}
 	return ""
 }
 
-// holds tells why nothing of a plan may leave now, whichever box it were; empty: nothing is in the way. What must stay of the
-// capacity is not in it: a box that is missing as it is may leave even then.
+// holdReason returns what of the fleet keeps every server of a plan from draining; empty: nothing does. MinCapacity is not part of it:
+// a server that is unavailable anyway may drain even below it.
 func (c *Coordinator) holdReason(p *Plan) string {
-	if why := c.faultReason(p, drainMargin); why != "" {
-		return why
+	if reason := c.faultReason(p, drainMargin); reason != "" {
+		return reason
 	}
 	if f := &c.fleet; 10*f.staleMembers > f.reporters {
 		return fmt.Sprintf("the lists of %d sidecars are late", f.staleMembers)
@@ -112,23 +120,25 @@
 	return ""
 }
 
-// wrong tells what is so bad for a plan that boxes which are not worked on yet are given back; empty: nothing is.
+// giveBackReason returns why servers of a plan that are not being worked on yet should be put back in service; empty: they needn't.
 func (c *Coordinator) giveBackReason(p *Plan) string {
-	if why := c.faultReason(p, 1); why != "" {
-		return why
+	if reason := c.faultReason(p, 1); reason != "" {
+		return reason
 	}
-	part, need := c.fleet.remainingCapacity(c.committed.State.outOfService(), ""), c.fleet.requiredCapacity(p.Spec.MinCapacity, giveBackLoadRatio)
-	if part < need-1e-9 {
-		return fmt.Sprintf("%.2f of the capacity serves, %.2f must", part, need)
+	remaining := c.fleet.remainingCapacity(c.committed.State.outOfService(), "")
+	required := c.fleet.requiredCapacity(p.Spec.MinCapacity, giveBackLoadRatio)
+	if remaining < required-capacityTolerance {
+		return fmt.Sprintf("%.2f of the capacity serves, %.2f must", remaining, required)
 	}
 	return ""
 }
 
-// troubled tells what of the fleet is in a plan's way, whichever boxes were out, with the part of Refusing that is none yet.
-func (c *Coordinator) faultReason(p *Plan, tolerated float64) string {
+// faultReason returns what is wrong with the fleet for a plan, whichever servers are out: too many rejections, with budgetFraction of
+// the plan's RejectionBudget still tolerated, or a lost site. Empty: nothing is.
+func (c *Coordinator) faultReason(p *Plan, budgetFraction float64) string {
 	f := &c.fleet
-	if part, most := f.rejectionFraction(), c.maxRejection(p, tolerated); part > most {
-		return fmt.Sprintf("%.3f of the requests are refused or fail, at most %.3f may; by itself the fleet refuses %.3f", part, most, c.baselineRejection(p))
+	if rejected, limit := f.rejectionFraction(), c.maxRejection(p, budgetFraction); rejected > limit {
+		return fmt.Sprintf("%.3f of the requests are refused or fail, at most %.3f may; by itself the fleet refuses %.3f", rejected, limit, c.baselineRejection(p))
 	}
 	if site := f.lostSite(c.committed.State.outOfService()); site != "" {
 		return fmt.Sprintf("site %s is lost", site)
@@ -136,21 +146,19 @@
 	return ""
 }
 
-// full tells why there is no room for one more box of a plan that nothing else is in the way of.
-func (c *Coordinator) noRoomReason(s *State, p *Plan) string {
-	if n := c.countAway(s); n >= p.Spec.MaxConcurrent {
+// noRoomReason returns which limit keeps chooseNext from finding a server.
+func (c *Coordinator) noRoomReason(state *State, p *Plan) string {
+	if n := c.countAway(state); n >= p.Spec.MaxConcurrent {
 		return fmt.Sprintf("%d boxes are out or cold, at most %d may", n, p.Spec.MaxConcurrent)
 	} else if n > 0 && c.isDegraded(p) {
 		return fmt.Sprintf("%d boxes are cold by themselves, and the fleet refuses %.3f by itself", n, c.baselineRejection(p))
 	}
-	out := s.outOfService()
+	out := state.outOfService()
 	for i := range p.Servers {
-		if b := &p.Servers[i]; b.Stage == Pending && s.countOutAtSite(b.Site) < p.Spec.maxPerSite() {
-			return fmt.Sprintf("without %s %.2f of the capacity would serve, %.2f must", b.Name, c.fleet.remainingCapacity(out, b.Name),
+		if server := &p.Servers[i]; server.Stage == Pending && state.countOutAtSite(server.Site) < p.Spec.maxPerSite() {
+			return fmt.Sprintf("without %s %.2f of the capacity would serve, %.2f must", server.Name, c.fleet.remainingCapacity(out, server.Name),
 				c.fleet.requiredCapacity(p.Spec.MinCapacity, drainLoadRatio))
 		}
 	}
 	return "the sites of the boxes that are left have enough out"
 }
-
-func truncate(s string, most int) string { return s[:min(len(s), most)] }
--- a/internal/decide/maintenance/command.go
+++ b/internal/decide/maintenance/command.go
@@ -5,35 +5,36 @@
 	"fmt"
 )
 
-// Command is what an operator or a mechanic wants. The same Nonce is the same command, however often it comes.
+// Command is a request of an operator or a maintenance agent. Commands with the same Nonce are one command, however often it is
+// submitted.
 type Command struct {
 	Nonce  uint64 `msgpack:"n" json:"nonce,omitempty"`
 	Kind   Kind   `msgpack:"k" json:"kind"`
-	Spec   *Spec  `msgpack:"s,omitempty" json:"spec,omitempty"`     // Give
-	Plan   uint64 `msgpack:"p,omitempty" json:"plan,omitempty"`     // Pause, Resume, Abort; 0: the only one that has not ended
-	Server string `msgpack:"b,omitempty" json:"box,omitempty"`      // Skip, Force, Finish, Fail
-	Token  uint64 `msgpack:"t,omitempty" json:"token,omitempty"`    // Finish, Fail
-	Agent  string `msgpack:"m,omitempty" json:"mechanic,omitempty"` // Take; who says so elsewhere
-	Reason string `msgpack:"w,omitempty" json:"why,omitempty"`      // Fail
+	Spec   *Spec  `msgpack:"s,omitempty" json:"spec,omitempty"`     // of SubmitPlan
+	Plan   uint64 `msgpack:"p,omitempty" json:"plan,omitempty"`     // number of the plan; 0: for PausePlan, ResumePlan and AbortPlan the only one that goes on
+	Server string `msgpack:"b,omitempty" json:"box,omitempty"`      // of SkipServer, ForceDrained, CompleteServer, FailServer
+	Token  uint64 `msgpack:"t,omitempty" json:"token,omitempty"`    // of CompleteServer and FailServer: the one that AcquireServer returned
+	Agent  string `msgpack:"m,omitempty" json:"mechanic,omitempty"` // of AcquireServer: the agent; else who issues the command, for the record
+	Reason string `msgpack:"w,omitempty" json:"why,omitempty"`      // of FailServer
 }
 
-// Kind is that of a command.
+// Kind is the kind of a command, as it is sent.
 type Kind string
 
-// The kinds.
+// The kinds of commands.
 const (
-	SubmitPlan     Kind = "plan"   // a plan is to be carried out
-	PausePlan      Kind = "pause"  // nothing more leaves, what is Leaving or Ready is given back
-	ResumePlan     Kind = "resume" //
-	SkipServer     Kind = "skip"   // a box is not worked on; one that is Taken can't be skipped, one that is Lost is given back
-	AbortPlan      Kind = "abort"  // as Pause, for good
-	ForceDrained   Kind = "force"  // a box that is Leaving is Ready, whoever has not said that it is empty
-	AcquireServer  Kind = "next"   // a mechanic takes a box that is Ready, or is told of the one that it has
-	CompleteServer Kind = "done"   // the work on a box has ended
-	FailServer     Kind = "failed" // it has ended without success: the box is Lost
+	SubmitPlan     Kind = "plan"   // carry a plan out
+	PausePlan      Kind = "pause"  // drain nothing more, and put back in service what is Draining or Drained
+	ResumePlan     Kind = "resume" // end PausePlan; the rejection baseline is measured anew
+	SkipServer     Kind = "skip"   // don't work on a server; one that is Lost serves again; refused while it is InMaintenance
+	AbortPlan      Kind = "abort"  // as PausePlan, for good
+	ForceDrained   Kind = "force"  // treat a Draining server as Drained, whichever sidecars have not reported it empty
+	AcquireServer  Kind = "next"   // hand a Drained server to an agent; the agent that has one gets the same again
+	CompleteServer Kind = "done"   // the work on a server is complete
+	FailServer     Kind = "failed" // the work on a server failed: it is Lost
 )
 
-// Check tells what is wrong with a command by itself; nil: nothing is.
+// Validate checks the command by itself, without the State.
 func (c *Command) Validate() error {
 	if len(c.Server) > maxNameLen || len(c.Agent) > maxNameLen {
 		return fmt.Errorf("box, mechanic: a name has at most %d bytes", maxNameLen)
@@ -62,12 +63,12 @@
 	return nil
 }
 
-// Reply is the answer to a command.
+// Reply is the answer to a command. With an empty Err the command's effect is committed.
 type Reply struct {
 	Nonce  uint64 `msgpack:"n" json:"-"`
-	Err    string `msgpack:"e,omitempty" json:"error,omitempty"` // empty: it was done, and is agreed
+	Err    string `msgpack:"e,omitempty" json:"error,omitempty"`
 	Plan   uint64 `msgpack:"p,omitempty" json:"plan,omitempty"`
-	Server string `msgpack:"b,omitempty" json:"box,omitempty"` // of Take; empty: there is none at the moment
+	Server string `msgpack:"b,omitempty" json:"box,omitempty"` // to AcquireServer: empty if none is available now, for Text
 	Token  uint64 `msgpack:"t,omitempty" json:"token,omitempty"`
 	Text   string `msgpack:"x,omitempty" json:"text,omitempty"`
 }
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -5,114 +5,126 @@
 	"slices"
 )
 
-// Settings are what a Coordinator is told at its start.
+// Settings configure a Coordinator.
 type Settings struct {
-	WarmUpSeconds float64 // a box takes to warm up, by the settings
-	Order         Order   // which box of a plan leaves next
+	WarmUpSeconds float64 // slow start of a server, where a plan sets none; 5 at least
+	Order         Order   // which pending server drains next
 }
 
-// Times of a coordinator, in seconds of its own clock.
+// Times of a Coordinator, in seconds of its clock.
 const (
-	snapshotMaxAgeSeconds = 3.0   // a round older than that says nothing
-	submitTimeoutSeconds  = 10.0  // a plan waits so long for a round that it can be checked against
-	steadySeconds         = 2.0   // all must be well for so long before a box leaves,
-	cautiousSeconds       = 10.0  // and after something was given back for so long
-	faultGraceSeconds     = 2.5   // what is wrong for so long is no chance: what can be given back is
-	lostSeconds           = 600.0 // a site is held for lost, a box that nobody lists any more for missing, no longer than that
-	leftMemberSeconds     = 60.0  // who said that it leaves is heard no more after that
+	snapshotMaxAgeSeconds = 3.0   // after which a snapshot proves nothing
+	submitTimeoutSeconds  = 10.0  // for which SubmitPlan waits for a fresh snapshot to be checked against
+	steadySeconds         = 2.0   // without a fault before a server drains,
+	cautiousSeconds       = 10.0  // and after a server was put back in service
+	faultGraceSeconds     = 2.5   // a fault must last before servers are put back in service
+	lostSeconds           = 600.0 // for which a site counts as lost, and a server that no list has any more as unavailable
+	leftMemberSeconds     = 60.0  // after which a sidecar that left need not report any more
 )
 
-// mostQueued bounds commands that wait, mostReplies answers that are kept for who asks again.
 const (
-	maxQueued        = 256
-	maxRecentReplies = 64
+	maxQueued        = 256 // commands that wait
+	maxRecentReplies = 64  // replies that are kept for repeated commands
 )
 
-// Coordinator carries plans out for all sidecars, at the owner of the job. It says what is to be agreed; all that it remembers
-// beside what is agreed is what it has seen since the job came to it, and losing that costs time alone.
+// Coordinator carries out the plans of a fleet at the lease holder. It is not safe for concurrent use; all calls pass the current
+// time in seconds, and a time that goes back is ignored. Beside the committed State it holds only what it has observed since Start:
+// losing that delays plans and has no other effect.
 type Coordinator struct {
 	settings      Settings
 	now           float64
 	committed     Committed
-	proposed      *State            // is being agreed in place of what is
-	unconfirmed   []executedCommand // what was done in it
+	proposed      *State            // what is being committed in place of committed; nil: nothing is
+	unconfirmed   []executedCommand // commands whose effects are in proposed
 	queue         []queuedCommand
-	replies       []Reply
-	recentReplies []Reply // the last ones, for who asks again
+	replies       []Reply // not returned by Replies yet
+	recentReplies []Reply // for commands that are submitted again
 
 	snapshot    *FleetSnapshot
 	snapshotAt  float64
 	fleet       fleetModel
 	servers     []serverProgress
 	plans       []planProgress
-	lastDrainAt float64 // when the last box left
+	lastDrainAt float64 // when a server last became Draining
 }
 
-// queued is a command that waits, a plan for a round to be checked against until its time is over.
+// queuedCommand is a command that waits for Step. After its deadline it is executed even if what it waits for is missing.
 type queuedCommand struct {
 	Command
 	deadline float64
 }
 
-// done is a command with its answer, which holds if what is pending is agreed.
+// executedCommand is a command with its reply, which holds once the proposed State is committed.
 type executedCommand struct {
 	queued queuedCommand
 	reply  Reply
 }
 
-// New returns a coordinator that owns nothing yet.
-func New(set Settings) *Coordinator { return &Coordinator{settings: set} }
+// New returns a Coordinator that coordinates nothing until Start.
+func New(settings Settings) *Coordinator { return &Coordinator{settings: settings} }
 
-func (c *Coordinator) advanceClock(now float64) { c.now = max(c.now, now) }
-
-// Begin takes that the job is this owner's from now on, and what a quorum has confirmed. What an earlier grant left is void.
-func (c *Coordinator) Start(now float64, a Committed) {
+// Start begins a new lease: committed is what a quorum has confirmed since the lease was granted. Everything of an earlier lease is
+// discarded, commands that wait included.
+func (c *Coordinator) Start(now float64, committed Committed) {
 	*c = Coordinator{settings: c.settings, now: now, lastDrainAt: math.Inf(-1)}
-	c.committed = a
+	c.committed = committed
 	c.updateProgress()
 }
 
-// Version returns the one in whose place what Step returns is to be agreed. Danger: a newer one may be known around the
-// coordinator before it has learned of it; in that one's place its state would undo what it does not know.
+// Version returns the version that the State returned by Step replaces. Danger: the caller may know of a newer version before
+// ApplyCommitted; a State written in that one's place would undo what this Coordinator does not know.
 func (c *Coordinator) Version() uint64 { return c.committed.Version }
 
+// nextVersion is the version that the proposed State will have.
 func (c *Coordinator) nextVersion() uint64 { return c.committed.Version + 1 }
 
-// Learn takes a newer version of what is agreed: its own, or one of an owner before it that came late.
-func (c *Coordinator) ApplyCommitted(now float64, a Committed) {
+func (c *Coordinator) advanceClock(now float64) { c.now = max(c.now, now) }
+
+// ApplyCommitted takes a newer committed State: the proposed one, or one of an earlier lease holder that was committed late. Older
+// ones are ignored.
+func (c *Coordinator) ApplyCommitted(now float64, committed Committed) {
 	c.advanceClock(now)
-	if a.Epoch < c.committed.Epoch || a.Epoch == c.committed.Epoch && a.Version <= c.committed.Version {
+	if committed.Epoch < c.committed.Epoch || committed.Epoch == c.committed.Epoch && committed.Version <= c.committed.Version {
 		return
 	}
-	own := c.proposed != nil && a.Epoch == c.committed.Epoch && a.Version == c.committed.Version+1 && sameState(&a.State, c.proposed)
-	c.committed = a
-	if own {
-		for _, d := range c.unconfirmed {
-			c.reply(d.reply)
-		}
+	isOwn := c.proposed != nil && committed.Epoch == c.committed.Epoch && committed.Version == c.committed.Version+1 && sameState(&committed.State, c.proposed)
+	c.committed = committed
+	if isOwn {
+		c.confirm()
 	} else {
-		// Danger: what was done was not agreed, or it is not known to be. It is done again on what is; a command that finds its
-		// effect there says so.
-		c.fleet.baseline = rejectionBaseline{} // and boxes may have been out unknown
-		var again []queuedCommand
-		for _, d := range c.unconfirmed {
-			again = append(again, d.queued)
-		}
-		c.queue = append(again, c.queue...)
+		c.requeueUnconfirmed()
 	}
 	c.proposed, c.unconfirmed = nil, nil
 	c.updateProgress()
 }
 
-// Hear takes what all say, in place of what they said before.
-func (c *Coordinator) Observe(now float64, r FleetSnapshot) {
+// confirm releases the replies whose effects are committed, or that had none.
+func (c *Coordinator) confirm() {
+	for _, executed := range c.unconfirmed {
+		c.reply(executed.reply)
+	}
+}
+
+// requeueUnconfirmed has the commands of the proposed State executed again on the committed one, before all others. Danger: their
+// effects were not committed, or it is not known that they were; a command that finds its effect in the State replies so.
+func (c *Coordinator) requeueUnconfirmed() {
+	c.fleet.baseline = rejectionBaseline{} // servers may have been out of service without being known here
+	var again []queuedCommand
+	for _, executed := range c.unconfirmed {
+		again = append(again, executed.queued)
+	}
+	c.queue = append(again, c.queue...)
+}
+
+// Observe takes a snapshot of the fleet in place of the one before.
+func (c *Coordinator) Observe(now float64, snapshot FleetSnapshot) {
 	c.advanceClock(now)
-	dt := c.now - c.snapshotAt
+	elapsed := c.now - c.snapshotAt
 	if c.snapshot == nil {
-		dt = 0
+		elapsed = 0
 	}
-	c.snapshot, c.snapshotAt = &r, c.now
-	c.fleet.observe(c.now, dt, &r, c.committed.State.hasServerOut())
+	c.snapshot, c.snapshotAt = &snapshot, c.now
+	c.fleet.observe(c.now, elapsed, &snapshot, c.committed.State.hasServerOut())
 	for i := range c.committed.State.Plans {
 		if p := &c.committed.State.Plans[i]; !p.Ended {
 			c.assessPlan(p)
@@ -120,24 +132,24 @@
 	}
 }
 
-// watch sees whether anything is wrong for a plan.
+// assessPlan records since when a fault of the fleet has lasted for a plan, and since when there has been none.
 func (c *Coordinator) assessPlan(p *Plan) {
-	t := c.planProgress(p.Number)
+	progress := c.planProgress(p.Number)
 	if c.giveBackReason(p) != "" {
-		if t.unhealthySince == 0 {
-			t.unhealthySince = c.now
+		if progress.unhealthySince == 0 {
+			progress.unhealthySince = c.now
 		}
 	} else {
-		t.unhealthySince = 0
+		progress.unhealthySince = 0
 	}
-	if t.holdReason = c.holdReason(p); t.holdReason != "" {
-		t.calmSince = 0
-	} else if t.calmSince == 0 {
-		t.calmSince = c.now
+	if progress.holdReason = c.holdReason(p); progress.holdReason != "" {
+		progress.calmSince = 0
+	} else if progress.calmSince == 0 {
+		progress.calmSince = c.now
 	}
 }
 
-// fresh returns the last round, if it is young enough to say anything.
+// freshSnapshot returns the last snapshot, or nil if it is too old to prove anything.
 func (c *Coordinator) freshSnapshot() *FleetSnapshot {
 	if c.snapshot == nil || c.now-c.snapshotAt > snapshotMaxAgeSeconds {
 		return nil
@@ -145,67 +157,85 @@
 	return c.snapshot
 }
 
-// Asking tells whether rounds are needed.
+// NeedsSnapshot reports whether the caller should query the fleet and call Observe: a plan goes on, or one waits to be checked.
 func (c *Coordinator) NeedsSnapshot() bool {
 	return slices.ContainsFunc(c.committed.State.Plans, func(p Plan) bool { return !p.Ended }) ||
 		slices.ContainsFunc(c.queue, func(q queuedCommand) bool { return q.Kind == SubmitPlan })
 }
 
-// Step returns what is to be agreed in place of the version that there is; nil: nothing. While that is being agreed it is
-// returned again.
+// Step executes waiting commands, advances all plans and returns the State to commit in place of Version; nil if there is none. The
+// same State is returned until ApplyCommitted replaces it. The caller must not change it.
 func (c *Coordinator) Step(now float64) *State {
 	c.advanceClock(now)
 	if c.proposed != nil {
 		return c.proposed
 	}
 	next := c.committed.State.clone()
-	changed, handed := false, false
+	changedByCommands := c.executeQueue(next)
+	changedByPlans := c.advancePlans(next)
+	if !changedByCommands && !changedByPlans {
+		c.confirm()
+		c.unconfirmed = nil
+		return nil
+	}
+	c.updateAges(next)
+	if _, err := next.Encode(); err != nil && !next.trimToSize() { // names and reasons exceed the bounds
+		for _, executed := range c.unconfirmed {
+			c.reply(Reply{Nonce: executed.reply.Nonce, Err: err.Error()})
+		}
+		c.unconfirmed = nil
+		return nil
+	}
+	c.proposed = next
+	return next
+}
+
+// executeQueue executes the waiting commands that can be, at most one AcquireServer with an effect, and reports whether any changed
+// the State.
+func (c *Coordinator) executeQueue(next *State) (changed bool) {
+	acquired := false
 	var later []queuedCommand
 	for _, q := range c.queue {
-		if q.Kind == AcquireServer && handed || c.mustWait(&q) && c.now < q.deadline {
+		if q.Kind == AcquireServer && acquired || c.mustWait(&q) && c.now < q.deadline {
 			later = append(later, q)
 			continue
 		}
-		r, did := c.execute(next, &q.Command)
-		changed = changed || did
-		handed = handed || q.Kind == AcquireServer && did
-		c.unconfirmed = append(c.unconfirmed, executedCommand{q, r})
+		reply, hadEffect := c.execute(next, &q.Command)
+		changed = changed || hadEffect
+		acquired = acquired || q.Kind == AcquireServer && hadEffect
+		c.unconfirmed = append(c.unconfirmed, executedCommand{q, reply})
 	}
 	c.queue = later
-	leave := true // one box at a time, so that it is seen what that does
+	return changed
+}
+
+// advancePlans advances all plans that go on. At most one server of the fleet becomes Draining, so that its effect is observed before
+// the next one.
+func (c *Coordinator) advancePlans(next *State) (changed bool) {
+	mayDrain := true
 	for i := range next.Plans {
 		if p := &next.Plans[i]; !p.Ended {
-			did, left := c.advancePlan(next, p, leave)
-			changed, leave = changed || did, leave && !left
-		}
-	}
-	if !changed {
-		for _, d := range c.unconfirmed {
-			c.reply(d.reply)
+			planChanged, drained := c.advancePlan(next, p, mayDrain)
+			changed, mayDrain = changed || planChanged, mayDrain && !drained
 		}
-		c.unconfirmed = nil
-		return nil
 	}
+	return changed
+}
+
+// updateAges brings the ages of plans that go on up to now, to a tenth of a second. They never go back.
+func (c *Coordinator) updateAges(next *State) {
 	for i := range next.Plans {
 		if p := &next.Plans[i]; !p.Ended {
-			if t := c.planProgress(p.Number); t != nil {
-				p.AgeSeconds = max(p.AgeSeconds, math.Round(10*t.age(c.now))/10)
+			if progress := c.planProgress(p.Number); progress != nil {
+				p.AgeSeconds = max(p.AgeSeconds, math.Round(10*progress.age(c.now))/10)
 			}
 		}
 	}
-	if _, err := next.Encode(); err != nil && !next.trimToSize() { // names and causes are more than there is room for
-		for _, d := range c.unconfirmed {
-			c.reply(Reply{Nonce: d.reply.Nonce, Err: err.Error()})
-		}
-		c.unconfirmed = nil
-		return nil
-	}
-	c.proposed = next
-	return next
 }
 
-// tooSoon tells whether a command can't be judged yet. Danger: who was handed a box over by a later owner must not hear from an
-// earlier one that it has none.
+// mustWait reports whether a command can't be decided yet: a plan without a fresh snapshot, or a token of a later version than the
+// committed one. Danger: an agent that was handed a server by a later lease holder must not be told by an earlier one that it has
+// none.
 func (c *Coordinator) mustWait(q *queuedCommand) bool {
 	switch q.Kind {
 	case SubmitPlan:
@@ -216,30 +246,30 @@
 	return false
 }
 
-// Next returns when Step is to be called at the latest.
+// StepDeadline returns the time at which Step must be called at the latest, if nothing else happens.
 func (c *Coordinator) StepDeadline(now float64) float64 {
 	c.advanceClock(now)
 	if c.proposed != nil {
 		return c.now + 1
 	}
-	at := math.Inf(1)
+	deadline := math.Inf(1)
 	for _, q := range c.queue {
 		if !c.mustWait(&q) {
 			return c.now
 		}
-		at = min(at, q.deadline)
+		deadline = min(deadline, q.deadline)
 	}
 	for i := range c.committed.State.Plans {
 		p := &c.committed.State.Plans[i]
 		if p.Ended {
 			continue
 		}
-		at = min(at, c.now+1)
-		for _, b := range p.Servers {
-			if b.Stage == WarmingUp {
-				at = min(at, c.serverProgress(p.Number, b.Name).reachedAt+p.Spec.warmUpSeconds(c.settings.WarmUpSeconds))
+		deadline = min(deadline, c.now+1)
+		for _, server := range p.Servers {
+			if server.Stage == WarmingUp {
+				deadline = min(deadline, c.serverProgress(p.Number, server.Name).reachedAt+p.Spec.warmUpSeconds(c.settings.WarmUpSeconds))
 			}
 		}
 	}
-	return max(at, c.now)
+	return max(deadline, c.now)
 }
--- a/internal/decide/maintenance/drained.go
+++ b/internal/decide/maintenance/drained.go
@@ -5,76 +5,81 @@
 	"strings"
 )
 
-// Why a box is not known to be empty.
+// Reasons that operators read; others are beside the checks that return them.
 const (
 	reasonNoReports  = "the sidecars have not been heard"
 	reasonUncordoned = "in use there by hand"
 )
 
-// mostWho is how many are named.
+// maxNamedMembers bounds how many sidecars a reason names.
 const maxNamedMembers = 10
 
-// occupied tells who does not hold a box for empty, and why it is not known to be; without a why it is. Danger: silence is no
-// consent, of nobody who may still send; and a process that began anew knows nothing of what the one before it has said.
-func (c *Coordinator) inUse(p *Plan, b *Server) (who []string, why string) {
-	round := c.freshSnapshot()
-	if round == nil || len(round.Members) == 0 {
+// whyNotDrained returns why a cordoned server is not known to be empty, and which sidecars are the cause; an empty reason: it is
+// empty. Danger: a sidecar that may still send and has not reported is never taken to agree, and a report of its previous process
+// says nothing about the current one.
+func (c *Coordinator) whyNotDrained(p *Plan, server *Server) (members []string, reason string) {
+	snapshot := c.freshSnapshot()
+	if snapshot == nil || len(snapshot.Members) == 0 {
 		return nil, reasonNoReports
 	}
-	t := c.serverProgress(p.Number, b.Name)
-	if t == nil || !b.Stage.IsCordoned() || t.stage != b.Stage {
+	progress := c.serverProgress(p.Number, server.Name)
+	if progress == nil || !server.Stage.IsCordoned() || progress.stage != server.Stage {
 		return nil, "it is not agreed yet that nothing goes there"
 	}
-	silent := c.unreportedMembers(p, round, t.cordonedVersion)
-	var open []string
-	hand := false
-	for i := range round.Report.InUse {
-		if o := &round.Report.InUse[i]; o.Server == b.Name {
-			open = append(open, memberName(round, o.Member))
-			hand = hand || o.Uncordoned
-		}
+	unreported := c.unreportedMembers(p, snapshot, progress.cordonedVersion)
+	users, uncordoned := snapshot.usersOf(server.Name)
+	var reasons []string
+	if len(unreported) > 0 {
+		reasons = append(reasons, "not heard to have stopped sending there")
 	}
-	var parts []string
-	if len(silent) > 0 {
-		parts = append(parts, "not heard to have stopped sending there")
+	if len(users) > 0 && uncordoned {
+		reasons = append(reasons, reasonUncordoned)
+	} else if len(users) > 0 {
+		reasons = append(reasons, "has something out there, or has sent there just now")
 	}
-	if len(open) > 0 && hand {
-		parts = append(parts, reasonUncordoned)
-	} else if len(open) > 0 {
-		parts = append(parts, "has something out there, or has sent there just now")
+	if observed := c.fleet.server(server.Name); observed != nil && observed.Busy && observed.ListedBy > 0 {
+		reasons = append(reasons, "its own report says that it works")
 	}
-	if seen := c.fleet.server(b.Name); seen != nil && seen.Busy && seen.ListedBy > 0 {
-		parts = append(parts, "its own report says that it works")
+	members = append(unreported, users...)
+	slices.Sort(members)
+	return slices.Compact(members), strings.Join(reasons, "; ")
+}
+
+// usersOf returns the names of sidecars that do not consider a server empty, and whether an operator uncordoned it at one of them.
+func (s *FleetSnapshot) usersOf(server string) (names []string, uncordoned bool) {
+	for i := range s.Report.InUse {
+		if use := &s.Report.InUse[i]; use.Server == server {
+			names = append(names, s.memberName(use.Member))
+			uncordoned = uncordoned || use.Uncordoned
+		}
 	}
-	who = append(silent, open...)
-	slices.Sort(who)
-	return slices.Compact(who), strings.Join(parts, "; ")
+	return names, uncordoned
 }
 
-// takenInUse tells why the mechanic who has a box is not told of it again; empty: it is. Danger: its hand-over may have been agreed
-// after everybody had given up on it (the owner lost its majority, which returned with it), so that the mechanic never heard of it and an
-// operator has put the box back in use since.
-func (c *Coordinator) returnedToUse(b *Server) string {
+// whyNotHandedOut returns why the agent of a server that is InMaintenance is not handed the same server again; empty: it is. Danger:
+// the first hand-out may have been committed after everybody had given up on it (its lease holder lost the quorum, which came back
+// with the proposal), so that the agent never learned of it and an operator has put the server back in service since.
+func (c *Coordinator) whyNotHandedOut(server *Server) string {
 	if c.freshSnapshot() == nil {
 		return reasonNoReports
 	}
-	if len(c.uncordonedBy(b.Name)) > 0 {
+	if len(c.uncordonedBy(server.Name)) > 0 {
 		return reasonUncordoned
 	}
 	return ""
 }
 
-// usedByHand names who has put a box that is out back in use by hand, by the last round.
-func (c *Coordinator) uncordonedBy(box string) (who []string) {
-	round := c.freshSnapshot()
-	if round == nil {
+// uncordonedBy returns the names of sidecars at which an operator put a cordoned server back in service, by the fresh snapshot.
+func (c *Coordinator) uncordonedBy(server string) (names []string) {
+	snapshot := c.freshSnapshot()
+	if snapshot == nil {
 		return nil
 	}
-	for i := range round.Report.InUse {
-		if o := &round.Report.InUse[i]; o.Server == box && o.Uncordoned {
-			who = append(who, memberName(round, o.Member))
+	for i := range snapshot.Report.InUse {
+		if use := &snapshot.Report.InUse[i]; use.Server == server && use.Uncordoned {
+			names = append(names, snapshot.memberName(use.Member))
 		}
 	}
-	slices.Sort(who)
-	return who
+	slices.Sort(names)
+	return names
 }
--- a/internal/decide/maintenance/execute.go
+++ b/internal/decide/maintenance/execute.go
@@ -8,40 +8,46 @@
 	"strings"
 )
 
-// Do takes what an operator or a mechanic wants. If it is not answered at once, the answer comes with Replies: after what was
-// done is agreed.
-func (c *Coordinator) Submit(now float64, cmd Command) (r Reply, answered bool) {
+// Submit takes a command. If it is decided at once, answered is true and reply is its answer; else the answer comes with Replies,
+// after the command's effect is committed.
+func (c *Coordinator) Submit(now float64, command Command) (reply Reply, answered bool) {
 	c.advanceClock(now)
-	r.Nonce = cmd.Nonce
-	if cmd.Nonce != 0 {
-		if i := slices.IndexFunc(c.recentReplies, func(r Reply) bool { return r.Nonce == cmd.Nonce }); i >= 0 {
+	reply.Nonce = command.Nonce
+	if command.Nonce != 0 {
+		if i := slices.IndexFunc(c.recentReplies, func(r Reply) bool { return r.Nonce == command.Nonce }); i >= 0 {
 			return c.recentReplies[i], true
 		}
-		same := func(q queuedCommand) bool { return q.Nonce == cmd.Nonce }
-		if slices.ContainsFunc(c.queue, same) || slices.ContainsFunc(c.unconfirmed, func(d executedCommand) bool { return same(d.queued) }) {
-			return r, false
+		if c.isWaiting(command.Nonce) {
+			return reply, false
 		}
 	}
-	if err := cmd.Validate(); err != nil {
-		r.Err = err.Error()
-		return r, true
+	if err := command.Validate(); err != nil {
+		reply.Err = err.Error()
+		return reply, true
 	}
 	if len(c.queue) >= maxQueued {
-		r.Err = "too many commands wait"
-		return r, true
+		reply.Err = "too many commands wait"
+		return reply, true
 	}
-	c.queue = append(c.queue, queuedCommand{cmd, c.now + submitTimeoutSeconds})
-	return r, false
+	c.queue = append(c.queue, queuedCommand{command, c.now + submitTimeoutSeconds})
+	return reply, false
 }
 
-// Replies returns the answers to commands that are agreed by now, each once.
+// isWaiting reports whether a command with this nonce is queued, or its effect is being committed.
+func (c *Coordinator) isWaiting(nonce uint64) bool {
+	return slices.ContainsFunc(c.queue, func(q queuedCommand) bool { return q.Nonce == nonce }) ||
+		slices.ContainsFunc(c.unconfirmed, func(executed executedCommand) bool { return executed.queued.Nonce == nonce })
+}
+
+// Replies returns the replies that became final since the last call.
 func (c *Coordinator) Replies() []Reply {
-	r := c.replies
+	replies := c.replies
 	c.replies = nil
-	return r
+	return replies
 }
 
-// answer has an answer go out. Danger: what a mechanic was told is not told again from memory; the work may have ended since.
+// reply makes a reply final, and keeps it for a repeated command. Danger: the reply to AcquireServer is never repeated from memory,
+// since the work may have ended meanwhile.
 func (c *Coordinator) reply(r Reply) {
 	c.replies = append(c.replies, r)
 	if r.Nonce == 0 || r.Token != 0 {
@@ -53,78 +59,93 @@
 	c.recentReplies = append(c.recentReplies, r)
 }
 
-// carry does a command on what is to be agreed next, and tells whether that has to be agreed for its answer to hold.
-func (c *Coordinator) execute(s *State, q *Command) (r Reply, changed bool) {
-	r.Nonce = q.Nonce
+// execute applies a command to the next State. It reports whether the reply holds only once that State is committed.
+func (c *Coordinator) execute(next *State, command *Command) (reply Reply, changed bool) {
+	reply.Nonce = command.Nonce
 	var err error
-	switch q.Kind {
+	switch command.Kind {
 	case SubmitPlan:
-		changed, err = c.submitPlan(s, q, &r)
+		changed, err = c.submitPlan(next, command, &reply)
 	case PausePlan, ResumePlan, AbortPlan:
-		changed, err = c.changePlan(s, q, &r)
+		changed, err = c.changePlan(next, command, &reply)
 	case SkipServer, ForceDrained:
-		changed, err = c.changeServer(s, q, &r)
+		changed, err = c.changeServer(next, command, &reply)
 	case AcquireServer:
-		changed = c.acquireServer(s, q, &r)
+		changed = c.acquireServer(next, command, &reply)
 	default:
-		changed, err = c.endWork(s, q, &r)
+		changed, err = c.endWork(next, command, &reply)
 	}
 	if err != nil {
-		return Reply{Nonce: q.Nonce, Err: truncate(err.Error(), 500)}, false
+		return Reply{Nonce: command.Nonce, Err: truncate(err.Error(), maxErrorLen)}, false
 	}
-	return r, changed
+	return reply, changed
 }
 
-// give has a plan be carried out from now on.
-func (c *Coordinator) submitPlan(s *State, q *Command, r *Reply) (bool, error) {
-	for i := range s.Plans {
-		if p := &s.Plans[i]; q.Nonce != 0 && p.Nonce == q.Nonce {
-			r.Plan, r.Text = p.Number, fmt.Sprintf("%d boxes", len(p.Servers))
+// Bounds of the texts in replies, in bytes.
+const (
+	maxErrorLen       = 500
+	maxUnavailableLen = 300
+)
+
+// submitPlan adds a plan. The same nonce again is the same plan.
+func (c *Coordinator) submitPlan(next *State, command *Command, reply *Reply) (changed bool, err error) {
+	for i := range next.Plans {
+		if p := &next.Plans[i]; command.Nonce != 0 && p.Nonce == command.Nonce {
+			reply.Plan, reply.Text = p.Number, fmt.Sprintf("%d boxes", len(p.Servers))
 			return false, nil
 		}
 	}
-	round := c.freshSnapshot()
-	if round == nil {
+	snapshot := c.freshSnapshot()
+	if snapshot == nil {
 		return false, errors.New("the sidecars can't be heard, so it is not known which boxes there are")
 	}
-	boxes, err := q.Spec.resolveServers(round.Report.Servers)
+	servers, err := command.Spec.resolveServers(snapshot.Report.Servers)
 	if err != nil {
 		return false, err
 	}
-	all := len(boxes)
+	if err := next.checkDisjoint(servers); err != nil {
+		return false, err
+	}
+	if err := c.fleet.checkMinCapacity(servers, command.Spec.MinCapacity); err != nil {
+		return false, err
+	}
+	p := Plan{Number: next.LastNumber + 1, Nonce: command.Nonce, Spec: *command.Spec, Servers: servers}
+	p.Spec.Servers = nil // their names are in Servers
+	next.LastNumber = p.Number
+	next.Plans = append(next.Plans, p)
+	if !next.trimToSize() {
+		next.Plans = next.Plans[:len(next.Plans)-1]
+		next.LastNumber--
+		return false, errors.New("boxes: it is too large for what can be agreed, beside the plans that there are")
+	}
+	reply.Plan, reply.Text = p.Number, fmt.Sprintf("%d boxes", len(servers))
+	return true, nil
+}
+
+// checkDisjoint returns an error if a server of a new plan belongs to a plan that goes on, or if all these plans together have too
+// many servers.
+func (s *State) checkDisjoint(servers []Server) error {
+	total := len(servers)
 	for i := range s.Plans {
 		p := &s.Plans[i]
 		if p.Ended {
 			continue
 		}
-		all += len(p.Servers)
-		for _, b := range boxes {
-			if j := slices.IndexFunc(p.Servers, func(o Server) bool { return o.Name == b.Name }); j >= 0 {
-				return false, fmt.Errorf("boxes: %s is of plan %d (%s), which has not ended", b.Name, p.Number, p.Spec.Name)
+		total += len(p.Servers)
+		for _, server := range servers {
+			if slices.ContainsFunc(p.Servers, func(other Server) bool { return other.Name == server.Name }) {
+				return fmt.Errorf("boxes: %s is of plan %d (%s), which has not ended", server.Name, p.Number, p.Spec.Name)
 			}
 		}
 	}
-	if all > MaxServers {
-		return false, fmt.Errorf("boxes: %d with those of plans that have not ended, at most %d", all, MaxServers)
-	}
-	if err := c.fleet.checkMinCapacity(boxes, q.Spec.MinCapacity); err != nil {
-		return false, err
-	}
-	p := Plan{Number: s.LastNumber + 1, Nonce: q.Nonce, Spec: *q.Spec, Servers: boxes}
-	p.Spec.Servers = nil // they are in Boxes
-	s.LastNumber = p.Number
-	s.Plans = append(s.Plans, p)
-	if !s.trimToSize() {
-		s.Plans = s.Plans[:len(s.Plans)-1]
-		s.LastNumber--
-		return false, errors.New("boxes: it is too large for what can be agreed, beside the plans that there are")
+	if total > MaxServers {
+		return fmt.Errorf("boxes: %d with those of plans that have not ended, at most %d", total, MaxServers)
 	}
-	r.Plan, r.Text = p.Number, fmt.Sprintf("%d boxes", len(boxes))
-	return true, nil
+	return nil
 }
 
-// meant returns the plan that a command means.
-func resolvePlan(s *State, number uint64) (*Plan, error) {
+// findPlan returns the plan with a number; for 0 the only plan that goes on.
+func (s *State) findPlan(number uint64) (*Plan, error) {
 	var found []*Plan
 	for i := range s.Plans {
 		if p := &s.Plans[i]; number == 0 && !p.Ended || number != 0 && p.Number == number {
@@ -139,191 +160,219 @@
 	case len(found) == 0:
 		return nil, errors.New("plan: all have ended")
 	}
-	var numbers []string
+	var choices []string
 	for _, p := range found {
-		numbers = append(numbers, fmt.Sprintf("%d (%s)", p.Number, p.Spec.Name))
+		choices = append(choices, fmt.Sprintf("%d (%s)", p.Number, p.Spec.Name))
 	}
-	return nil, fmt.Errorf("plan: one of %s is meant", strings.Join(numbers, ", "))
+	return nil, fmt.Errorf("plan: one of %s is meant", strings.Join(choices, ", "))
 }
 
-// turn pauses, resumes or aborts a plan.
-func (c *Coordinator) changePlan(s *State, q *Command, r *Reply) (changed bool, err error) {
-	p, err := resolvePlan(s, q.Plan)
+// issuer returns who issues a command, for the record.
+func (c *Command) issuer() string { return cmp.Or(c.Agent, "an operator") }
+
+// changePlan pauses, resumes or aborts a plan.
+func (c *Coordinator) changePlan(next *State, command *Command, reply *Reply) (changed bool, err error) {
+	p, err := next.findPlan(command.Plan)
 	if err != nil {
 		return false, err
 	}
-	r.Plan = p.Number
-	who := cmp.Or(q.Agent, "an operator")
+	reply.Plan = p.Number
 	switch {
-	case q.Kind == AbortPlan && p.Aborted, q.Kind == PausePlan && p.PausedBy != "", q.Kind == ResumePlan && p.PausedBy == "" && !p.Aborted && !p.Ended:
+	case command.Kind == AbortPlan && p.Aborted,
+		command.Kind == PausePlan && p.PausedBy != "",
+		command.Kind == ResumePlan && p.PausedBy == "" && !p.Aborted && !p.Ended:
 		return false, nil
 	case p.Ended:
 		return false, fmt.Errorf("plan: %d has ended", p.Number)
 	case p.Aborted:
 		return false, fmt.Errorf("plan: %d is aborted", p.Number)
-	case q.Kind == ResumePlan:
-		p.PausedBy, p.BaselineRejection = "", 0 // whoever says so has seen how the fleet is: it is measured anew
+	case command.Kind == ResumePlan:
+		p.PausedBy, p.BaselineRejection = "", 0 // the operator has seen the fleet: the baseline is measured anew
 		return true, nil
-	case q.Kind == PausePlan:
-		p.PausedBy = who
+	case command.Kind == PausePlan:
+		p.PausedBy = command.issuer()
 	default:
 		p.Aborted = true
 	}
+	c.stopServers(p, command)
+	return true, nil
+}
+
+// stopServers puts the servers of a paused or aborted plan that are not being worked on yet back in service; of an aborted plan all
+// that no work was done on are skipped.
+func (c *Coordinator) stopServers(p *Plan, command *Command) {
 	for i := range p.Servers {
-		switch b := &p.Servers[i]; {
-		case b.Stage > Drained || b.Stage == Pending && q.Kind == PausePlan:
-		case q.Kind == PausePlan:
-			c.setStage(b, Pending, "")
-		default:
-			c.setStage(b, Skipped, "the plan was aborted by "+who)
+		server := &p.Servers[i]
+		switch {
+		case server.Stage > Drained:
+		case command.Kind == AbortPlan:
+			c.setStage(server, Skipped, "the plan was aborted by "+command.issuer())
+		case server.Stage != Pending:
+			c.setStage(server, Pending, "")
 		}
 	}
-	return true, nil
 }
 
-// single skips or forces a box.
-func (c *Coordinator) changeServer(s *State, q *Command, r *Reply) (changed bool, err error) {
-	// Danger: a box may be of an ended plan, which has lost it, and of one that goes on, which has it wait.
-	p, b := s.findServer(q, func(p *Plan, _ *Server) bool { return !p.Ended })
-	if b == nil {
-		p, b = s.findServer(q, func(_ *Plan, b *Server) bool { return b.Stage == Lost })
-	}
-	if b == nil {
-		p, b = s.findServer(q, func(*Plan, *Server) bool { return true })
-	}
-	if b == nil {
-		return false, fmt.Errorf("box: %s is of no plan", q.Server)
+// changeServer skips a server, or forces it to be Drained.
+func (c *Coordinator) changeServer(next *State, command *Command, reply *Reply) (changed bool, err error) {
+	p, server := next.findServerToChange(command)
+	if server == nil {
+		return false, fmt.Errorf("box: %s is of no plan", command.Server)
 	}
-	r.Plan, r.Server = p.Number, b.Name
-	who := cmp.Or(q.Agent, "an operator")
-	if q.Kind == ForceDrained {
-		return c.forceDrained(p, b, who, r)
+	reply.Plan, reply.Server = p.Number, server.Name
+	if command.Kind == ForceDrained {
+		return c.forceDrained(p, server, command.issuer(), reply)
 	}
-	switch b.Stage {
+	switch server.Stage {
 	case Pending, Draining, Drained:
-		c.setStage(b, Skipped, "by "+who)
+		c.setStage(server, Skipped, "by "+command.issuer())
 	case Lost:
-		c.setStage(b, Skipped, fmt.Sprintf("given back by %s; %s", who, b.Reason))
+		c.setStage(server, Skipped, fmt.Sprintf("given back by %s; %s", command.issuer(), server.Reason))
 	case WarmingUp:
-		c.setStage(b, Done, "held for warm by "+who)
+		c.setStage(server, Done, "held for warm by "+command.issuer())
 	case Skipped:
 		return false, nil
 	case InMaintenance:
-		return false, fmt.Errorf("box: %s works on %s under %d; it ends with done or failed", b.Agent, b.Name, b.Token)
+		return false, fmt.Errorf("box: %s works on %s under %d; it ends with done or failed", server.Agent, server.Name, server.Token)
 	default:
-		return false, fmt.Errorf("box: the work on %s has ended", b.Name)
+		return false, fmt.Errorf("box: the work on %s has ended", server.Name)
 	}
 	return true, nil
 }
 
-func (s *State) findServer(q *Command, ok func(*Plan, *Server) bool) (*Plan, *Server) {
+// findServerToChange returns the server that a command names. Danger: it may belong to an ended plan, which lost it, and to one that
+// goes on, in which it waits; the plan that goes on comes first, then one that lost it.
+func (s *State) findServerToChange(command *Command) (*Plan, *Server) {
+	for _, accept := range []func(*Plan, *Server) bool{
+		func(p *Plan, _ *Server) bool { return !p.Ended },
+		func(_ *Plan, server *Server) bool { return server.Stage == Lost },
+		func(*Plan, *Server) bool { return true },
+	} {
+		if p, server := s.findServer(command, accept); server != nil {
+			return p, server
+		}
+	}
+	return nil, nil
+}
+
+// findServer returns the server that a command names, of the latest plan for which accept is true. A Command.Plan limits it to that
+// plan.
+func (s *State) findServer(command *Command, accept func(*Plan, *Server) bool) (*Plan, *Server) {
 	for i := len(s.Plans) - 1; i >= 0; i-- {
 		p := &s.Plans[i]
-		if q.Plan != 0 && p.Number != q.Plan {
+		if command.Plan != 0 && p.Number != command.Plan {
 			continue
 		}
 		for j := range p.Servers {
-			if b := &p.Servers[j]; b.Name == q.Server && ok(p, b) {
-				return p, b
+			if server := &p.Servers[j]; server.Name == command.Server && accept(p, server) {
+				return p, server
 			}
 		}
 	}
 	return nil, nil
 }
 
-// force has a box be ready, whoever has not said that it is empty, and keeps who that was.
-func (c *Coordinator) forceDrained(p *Plan, b *Server, who string, r *Reply) (changed bool, err error) {
-	if b.Stage != Draining && b.Stage != Drained {
-		return false, fmt.Errorf("box: %s is not being emptied", b.Name)
+// forceDrained makes a server Drained without the reports that are missing, and records whose they are.
+func (c *Coordinator) forceDrained(p *Plan, server *Server, issuer string, reply *Reply) (changed bool, err error) {
+	if server.Stage != Draining && server.Stage != Drained {
+		return false, fmt.Errorf("box: %s is not being emptied", server.Name)
 	}
-	past, why := c.inUse(p, b)
+	members, reason := c.whyNotDrained(p, server)
 	switch {
-	case len(b.ForcedPast) > 0:
-		r.Text = "it was forced before"
+	case len(server.ForcedPast) > 0:
+		reply.Text = "it was forced before"
 		return false, nil
-	case why == "" && b.Stage == Drained:
-		r.Text = "it is empty"
+	case reason == "" && server.Stage == Drained:
+		reply.Text = "it is empty"
 		return false, nil
-	case why == "":
-		c.setStage(b, Drained, "")
-		r.Text = "it is empty"
+	case reason == "":
+		c.setStage(server, Drained, "")
+		reply.Text = "it is empty"
 		return true, nil
 	}
-	if len(past) == 0 {
-		past = []string{why}
+	if len(members) == 0 {
+		members = []string{reason}
 	}
-	c.setStage(b, Drained, "forced by "+who)
-	for _, name := range past[:min(len(past), maxNamedMembers)] {
-		b.ForcedPast = append(b.ForcedPast, truncate(name, maxNameLen))
+	c.setStage(server, Drained, "forced by "+issuer)
+	for _, name := range members[:min(len(members), maxNamedMembers)] {
+		server.ForcedPast = append(server.ForcedPast, truncate(name, maxNameLen))
 	}
-	r.Text = "past " + strings.Join(b.ForcedPast, ", ")
+	reply.Text = "past " + strings.Join(server.ForcedPast, ", ")
 	return true, nil
 }
 
-// take hands a box over to a mechanic. Danger: an owner that was replaced and does not know it would tell a mechanic of a box that
-// has come back since. So what is told again is agreed again.
-func (c *Coordinator) acquireServer(s *State, q *Command, r *Reply) (changed bool) {
-	var why []string
-	for i := range s.Plans {
-		p := &s.Plans[i]
-		for j := range p.Servers {
-			if b := &p.Servers[j]; !p.Ended && b.Stage == InMaintenance && b.Agent == q.Agent {
-				if inUse := c.returnedToUse(b); inUse != "" {
-					r.Text = b.Name + ": " + inUse
-					return false
-				}
-				r.Plan, r.Server, r.Token = p.Number, b.Name, b.Token
-				return true
-			}
+// acquireServer hands a Drained server to an agent, or again the one that it has. It reports whether the reply must be committed.
+// Danger: a lease holder that was replaced without noticing would hand out a server that is back in service; so a repeated hand-out
+// is committed too.
+func (c *Coordinator) acquireServer(next *State, command *Command, reply *Reply) (changed bool) {
+	if p, server := next.findAcquired(command.Agent); server != nil {
+		if reason := c.whyNotHandedOut(server); reason != "" {
+			reply.Text = server.Name + ": " + reason
+			return false
 		}
+		reply.Plan, reply.Server, reply.Token = p.Number, server.Name, server.Token
+		return true
 	}
-	for i := range s.Plans {
-		p := &s.Plans[i]
+	var reasons []string
+	for i := range next.Plans {
+		p := &next.Plans[i]
 		if p.Ended {
 			continue
 		}
-		t := c.planProgress(p.Number)
+		progress := c.planProgress(p.Number)
 		for j := range p.Servers {
-			b := &p.Servers[j]
-			if b.Stage != Drained {
+			server := &p.Servers[j]
+			if server.Stage != Drained {
 				continue
 			}
-			if _, occupied := c.inUse(p, b); occupied != "" && len(b.ForcedPast) == 0 {
-				why = append(why, b.Name+": "+occupied)
+			if _, reason := c.whyNotDrained(p, server); reason != "" && len(server.ForcedPast) == 0 {
+				reasons = append(reasons, server.Name+": "+reason)
 				continue
 			}
-			if t != nil && t.unhealthySince != 0 && !c.fleet.isUnavailable(b.Name) {
-				why = append(why, b.Name+": "+c.giveBackReason(p))
+			if progress != nil && progress.unhealthySince != 0 && !c.fleet.isUnavailable(server.Name) {
+				reasons = append(reasons, server.Name+": "+c.giveBackReason(p))
 				continue
 			}
-			forced := b.Reason
-			c.setStage(b, InMaintenance, forced)
-			b.Token, b.Agent = c.committed.Epoch<<40|c.nextVersion(), q.Agent
-			r.Plan, r.Server, r.Token = p.Number, b.Name, b.Token
-			r.Text = forced
+			forcedBy := server.Reason
+			c.setStage(server, InMaintenance, forcedBy)
+			server.Token, server.Agent = c.committed.Epoch<<40|c.nextVersion(), command.Agent
+			reply.Plan, reply.Server, reply.Token, reply.Text = p.Number, server.Name, server.Token, forcedBy
 			return true
 		}
 	}
-	r.Text = truncate(strings.Join(why, "; "), 300)
+	reply.Text = truncate(strings.Join(reasons, "; "), maxUnavailableLen)
 	return false
 }
 
-// finish takes that the work on a box has ended, well or not.
-func (c *Coordinator) endWork(s *State, q *Command, r *Reply) (changed bool, err error) {
-	p, b := s.findServer(q, func(_ *Plan, b *Server) bool { return b.Token == q.Token })
-	if b == nil {
-		return false, fmt.Errorf("token: nobody works on %s under %d", q.Server, q.Token)
+// findAcquired returns the server that an agent works on, or nil.
+func (s *State) findAcquired(agent string) (*Plan, *Server) {
+	for i := range s.Plans {
+		p := &s.Plans[i]
+		for j := range p.Servers {
+			if server := &p.Servers[j]; !p.Ended && server.Stage == InMaintenance && server.Agent == agent {
+				return p, server
+			}
+		}
+	}
+	return nil, nil
+}
+
+// endWork completes the work on a server, or records its failure. Repeated with the same token it has no further effect.
+func (c *Coordinator) endWork(next *State, command *Command, reply *Reply) (changed bool, err error) {
+	p, server := next.findServer(command, func(_ *Plan, server *Server) bool { return server.Token == command.Token })
+	if server == nil {
+		return false, fmt.Errorf("token: nobody works on %s under %d", command.Server, command.Token)
 	}
-	r.Plan, r.Server = p.Number, b.Name
+	reply.Plan, reply.Server = p.Number, server.Name
 	switch {
-	case b.Stage == InMaintenance && q.Kind == CompleteServer:
-		c.setStage(b, WarmingUp, b.Reason)
-	case b.Stage == InMaintenance:
-		c.setStage(b, Lost, cmp.Or(q.Reason, "the work on it failed"))
-	case q.Kind == CompleteServer && (b.Stage == WarmingUp || b.Stage == Done), q.Kind == FailServer && b.Stage == Lost:
+	case server.Stage == InMaintenance && command.Kind == CompleteServer:
+		c.setStage(server, WarmingUp, server.Reason)
+	case server.Stage == InMaintenance:
+		c.setStage(server, Lost, cmp.Or(command.Reason, "the work on it failed"))
+	case command.Kind == CompleteServer && (server.Stage == WarmingUp || server.Stage == Done), command.Kind == FailServer && server.Stage == Lost:
 		return false, nil
 	default:
-		return false, fmt.Errorf("token: %s is not worked on under %d any more: %s", q.Server, q.Token, cmp.Or(b.Reason, "it has ended"))
+		return false, fmt.Errorf("token: %s is not worked on under %d any more: %s", command.Server, command.Token, cmp.Or(server.Reason, "it has ended"))
 	}
 	return true, nil
 }
--- a/internal/decide/maintenance/fleet.go
+++ b/internal/decide/maintenance/fleet.go
@@ -7,198 +7,230 @@
 	"slices"
 )
 
-// fleet is what has been seen of all boxes and of the load.
+// fleetModel is what the snapshots so far say about servers and load.
 type fleetModel struct {
-	now          float64
-	servers      []*observedServer // by name
-	completed    movingAverage     // requests a second, over
-	shortLoad    movingAverage     // some seconds,
-	longLoad     movingAverage     // a minute
-	usualLoad    movingAverage     // and longer
-	rejected     movingAverage     // a second, over some seconds
-	staleMembers int
+	now          float64 // of the last snapshot
+	servers      []*observedServer
+	completed    movingAverage // requests a second, over rateWindowSeconds
+	rejected     movingAverage // the same of rejected ones
+	shortLoad    movingAverage // requests a second, over shortWindowSeconds
+	longLoad     movingAverage // over longWindowSeconds
+	usualLoad    movingAverage // over usualWindowSeconds
+	staleMembers int           // of the last report
 	reporters    int
 	baseline     rejectionBaseline
 }
 
+// observedServer is the last status of a server, with the times at which it changed.
 type observedServer struct {
 	ServerStatus
-	lastListedAt      float64 // when somebody had it on a list
-	unresponsiveSince float64 // since when most hold it for silent, or none lists it; 0: they don't
-	warmingUpSince    float64
+	lastListedAt      float64
+	unresponsiveSince float64 // 0: it is responsive
+	warmingUpSince    float64 // since when most have it in slow start; 0: they haven't
 }
 
-// Seconds that averages go over, and how far ahead the trend is followed.
 const (
+	rateWindowSeconds  = 4.0
 	shortWindowSeconds = 8.0
 	longWindowSeconds  = 60.0
 	usualWindowSeconds = 400.0
-	trendSeconds       = 60.0
-	drainLoadRatio     = 1.15 // more load than usual that is no rise yet, when a box is to leave,
-	giveBackLoadRatio  = 1.3  // and when boxes are out
-	minRatePerSecond   = 1.0  // requests a second of which no part is taken
+	trendSeconds       = 60.0 // for which a rising load is extrapolated
+	drainLoadRatio     = 1.15 // of the expected to the usual load that is no rise yet: when a server is to drain,
+	giveBackLoadRatio  = 1.3  // and when servers are out
+	minRatePerSecond   = 1.0  // below which no fraction is taken of a rate
+	capacityTolerance  = 1e-9 // of rounding, where capacities are compared
 )
 
-// hear takes what is said of boxes, and whether any box is out.
-func (f *fleetModel) observe(now, dt float64, r *FleetSnapshot, out bool) {
-	if f.now = now; dt <= 0 || dt > longWindowSeconds { // it is the first one, or none was asked for meanwhile
-		f.completed, f.shortLoad, f.longLoad, f.usualLoad, f.rejected, f.baseline, dt = movingAverage{}, movingAverage{}, movingAverage{}, movingAverage{}, movingAverage{}, rejectionBaseline{}, 1
+// observe takes a snapshot elapsed seconds after the one before (0: it is the first), and whether any plan has a server out.
+func (f *fleetModel) observe(now, elapsed float64, snapshot *FleetSnapshot, hasServerOut bool) {
+	f.now = now
+	if elapsed <= 0 || elapsed > longWindowSeconds { // the first snapshot, or none was needed for long
+		f.resetAverages()
+		elapsed = 1
 	}
-	f.completed.windowSeconds, f.shortLoad.windowSeconds, f.longLoad.windowSeconds, f.usualLoad.windowSeconds, f.rejected.windowSeconds = 4, shortWindowSeconds, longWindowSeconds, usualWindowSeconds, 4
 	for _, a := range []*movingAverage{&f.completed, &f.shortLoad, &f.longLoad, &f.usualLoad} {
-		a.add(r.Report.CompletedPerSecond, dt)
+		a.add(snapshot.Report.CompletedPerSecond, elapsed)
 	}
-	f.rejected.add(r.Report.RejectedPerSecond, dt)
-	f.baseline.observe(now, dt, out, &r.Report)
-	f.staleMembers, f.reporters = r.Report.StaleMembers, len(r.Report.Reporters)
-	for _, b := range f.servers {
-		b.ListedBy = 0
+	f.rejected.add(snapshot.Report.RejectedPerSecond, elapsed)
+	f.baseline.observe(now, elapsed, hasServerOut, &snapshot.Report)
+	f.staleMembers, f.reporters = snapshot.Report.StaleMembers, len(snapshot.Report.Reporters)
+	f.observeServers(snapshot.Report.Servers)
+}
+
+func (f *fleetModel) resetAverages() {
+	f.completed = movingAverage{windowSeconds: rateWindowSeconds}
+	f.rejected = movingAverage{windowSeconds: rateWindowSeconds}
+	f.shortLoad = movingAverage{windowSeconds: shortWindowSeconds}
+	f.longLoad = movingAverage{windowSeconds: longWindowSeconds}
+	f.usualLoad = movingAverage{windowSeconds: usualWindowSeconds}
+	f.baseline = rejectionBaseline{}
+}
+
+// observeServers takes the reported statuses. Servers that no report lists any more are kept as unavailable for lostSeconds.
+func (f *fleetModel) observeServers(statuses []ServerStatus) {
+	for _, server := range f.servers {
+		server.ListedBy = 0
 	}
-	for _, s := range r.Report.Servers {
-		i, known := slices.BinarySearchFunc(f.servers, s.Server, func(b *observedServer, name string) int { return cmp.Compare(b.Server, name) })
+	for _, status := range statuses {
+		i, known := f.serverIndex(status.Server)
 		if !known {
-			f.servers = slices.Insert(f.servers, i, &observedServer{lastListedAt: now})
+			f.servers = slices.Insert(f.servers, i, &observedServer{lastListedAt: f.now})
 		}
-		f.servers[i].ServerStatus = s
+		f.servers[i].ServerStatus = status
 	}
-	for _, b := range f.servers {
-		if b.ListedBy > 0 {
-			b.lastListedAt = now
-		}
-		if !b.isResponsive() {
-			b.unresponsiveSince = cmp.Or(b.unresponsiveSince, now)
-		} else {
-			b.unresponsiveSince = 0
-		}
-		if 2*b.WarmingUpBy > b.ListedBy && b.ListedBy > 0 {
-			b.warmingUpSince = cmp.Or(b.warmingUpSince, now)
-		} else {
-			b.warmingUpSince = 0
+	for _, server := range f.servers {
+		if server.ListedBy > 0 {
+			server.lastListedAt = f.now
 		}
+		server.unresponsiveSince = since(!server.isResponsive(), server.unresponsiveSince, f.now)
+		server.warmingUpSince = since(2*server.WarmingUpBy > server.ListedBy && server.ListedBy > 0, server.warmingUpSince, f.now)
 	}
-	f.servers = slices.DeleteFunc(f.servers, func(b *observedServer) bool { return now-b.lastListedAt > lostSeconds })
+	f.servers = slices.DeleteFunc(f.servers, func(server *observedServer) bool { return f.now-server.lastListedAt > lostSeconds })
 }
 
-func (b *observedServer) isResponsive() bool {
-	return b.ListedBy > 0 && 2*b.UnresponsiveBy <= b.ListedBy
-}
-
-// missing tells whether a box does not serve now, though no plan has it out.
-func (b *observedServer) isUnavailable() bool {
-	return !b.isResponsive() || 2*b.DrainingBy > b.ListedBy || 2*b.CordonedBy > b.ListedBy
+// since returns since when a condition holds, given since when it did before; 0: it doesn't hold.
+func since(holds bool, before, now float64) float64 {
+	if !holds {
+		return 0
+	}
+	return cmp.Or(before, now)
 }
 
-// missing tells whether a box does not serve as it is, so that to give it back would help nobody.
-func (f *fleetModel) isUnavailable(box string) bool {
-	b := f.server(box)
-	return b == nil || b.isUnavailable()
+// serverIndex returns the position of a server in f.servers, which are in the order of names.
+func (f *fleetModel) serverIndex(name string) (int, bool) {
+	return slices.BinarySearchFunc(f.servers, name, func(server *observedServer, name string) int { return cmp.Compare(server.Server, name) })
 }
 
+// server returns what is known of a server, or nil.
 func (f *fleetModel) server(name string) *observedServer {
-	i, known := slices.BinarySearchFunc(f.servers, name, func(b *observedServer, name string) int { return cmp.Compare(b.Server, name) })
+	i, known := f.serverIndex(name)
 	if !known {
 		return nil
 	}
 	return f.servers[i]
 }
 
-// dumb tells whether a box is on lists and most hold it for silent. Danger: one that came back from work dead must not be followed
-// by the next.
-func (f *fleetModel) isUnresponsive(box string) bool {
-	b := f.server(box)
-	return b != nil && b.ListedBy > 0 && 2*b.UnresponsiveBy > b.ListedBy
+// isResponsive reports whether a server is listed, and at least half of those that list it get answers.
+func (s *observedServer) isResponsive() bool {
+	return s.ListedBy > 0 && 2*s.UnresponsiveBy <= s.ListedBy
+}
+
+// isUnavailable reports whether a server does not serve, for reasons other than a plan.
+func (s *observedServer) isUnavailable() bool {
+	return !s.isResponsive() || 2*s.DrainingBy > s.ListedBy || 2*s.CordonedBy > s.ListedBy
 }
 
-// weight is a box's part in the capacity, as against others'.
-func (f *fleetModel) capacity(b *observedServer) float64 {
-	if slices.ContainsFunc(f.servers, func(b *observedServer) bool { return b.Capacity <= 0 }) {
+// isUnavailable reports whether a server would not serve even if no plan had it out.
+func (f *fleetModel) isUnavailable(name string) bool {
+	server := f.server(name)
+	return server == nil || server.isUnavailable()
+}
+
+// isUnresponsive reports whether a server is listed and most that list it get no answer. Danger: after a server came back dead from
+// the work on it, the next one must not drain.
+func (f *fleetModel) isUnresponsive(name string) bool {
+	server := f.server(name)
+	return server != nil && server.ListedBy > 0 && 2*server.UnresponsiveBy > server.ListedBy
+}
+
+// capacity returns a server's capacity; all count alike if that of any is unknown.
+func (f *fleetModel) capacity(server *observedServer) float64 {
+	if slices.ContainsFunc(f.servers, func(s *observedServer) bool { return s.Capacity <= 0 }) {
 		return 1
 	}
-	return b.Capacity
+	return server.Capacity
 }
 
-// keeps tells whether each box of a plan can leave at all beside the part that must stay.
-func (f *fleetModel) checkMinCapacity(boxes []Server, keep float64) error {
+// checkMinCapacity returns an error if a server of a new plan could never drain, because it alone has too much of the capacity.
+func (f *fleetModel) checkMinCapacity(servers []Server, minCapacity float64) error {
 	total := 0.0
-	for _, b := range f.servers {
-		total += f.capacity(b)
+	for _, server := range f.servers {
+		total += f.capacity(server)
 	}
-	for _, b := range boxes {
-		if seen := f.server(b.Name); seen != nil && (total-f.capacity(seen))/total < keep-1e-9 {
-			return fmt.Errorf("keep: without %s %.2f of the capacity is left, less than %g", b.Name, (total-f.capacity(seen))/total, keep)
+	for i := range servers {
+		server := f.server(servers[i].Name)
+		if server == nil {
+			continue
+		}
+		if remaining := (total - f.capacity(server)) / total; remaining < minCapacity-capacityTolerance {
+			return fmt.Errorf("keep: without %s %.2f of the capacity is left, less than %g", servers[i].Name, remaining, minCapacity)
 		}
 	}
 	return nil
 }
 
-// staying returns the part of the capacity that serves, if one box more (empty: none) leaves.
-func (f *fleetModel) remainingCapacity(out map[string]Stage, less string) float64 {
-	total, left := 0.0, 0.0
-	for _, b := range f.servers {
-		w := f.capacity(b)
-		total += w
-		if _, gone := out[b.Server]; !gone && b.Server != less && !b.isUnavailable() {
-			left += w
+// remainingCapacity returns the fraction of the capacity in service, given the servers that plans have out, and without one more if
+// without is not empty.
+func (f *fleetModel) remainingCapacity(out map[string]Stage, without string) float64 {
+	total, remaining := 0.0, 0.0
+	for _, server := range f.servers {
+		capacity := f.capacity(server)
+		total += capacity
+		if _, isOut := out[server.Server]; !isOut && server.Server != without && !server.isUnavailable() {
+			remaining += capacity
 		}
 	}
 	if total == 0 {
 		return 0
 	}
-	return left / total
+	return remaining / total
 }
 
-// rise is how much more load there is, or will be soon, than usual.
+// requiredCapacity returns the fraction of the capacity that must stay in service. Danger: the plan's MinCapacity is meant for the
+// usual load; when the expected load exceeds it by more than a tolerated ratio, more capacity is required.
+func (f *fleetModel) requiredCapacity(minCapacity, toleratedRatio float64) float64 {
+	if ratio := f.loadRatio(); ratio > toleratedRatio {
+		return min(minCapacity*ratio, 1)
+	}
+	return minCapacity
+}
+
+// loadRatio returns the load expected in trendSeconds, as a multiple of the usual one.
 func (f *fleetModel) loadRatio() float64 {
 	if f.usualLoad.value() < minRatePerSecond {
 		return 1
 	}
-	soon := f.shortLoad.value()
+	expected := f.shortLoad.value()
 	if slope := (f.shortLoad.value() - f.longLoad.value()) / (longWindowSeconds - shortWindowSeconds); slope > 0 {
-		soon += slope * trendSeconds
-	}
-	return soon / f.usualLoad.value()
-}
-
-// need is the part of the capacity that must stay for a plan. Danger: what its operator has named is for the usual load.
-func (f *fleetModel) requiredCapacity(keep, tolerated float64) float64 {
-	if r := f.loadRatio(); r > tolerated {
-		return min(keep*r, 1)
+		expected += slope * trendSeconds
 	}
-	return keep
+	return expected / f.usualLoad.value()
 }
 
-// lostSite returns the name of a site most of whose boxes have just come to be silent or are on no list any more; empty: there is none.
+// lostSite returns the name of a site most of whose servers became unresponsive within lostSeconds without a plan having them out;
+// empty: there is none.
 func (f *fleetModel) lostSite(out map[string]Stage) string {
-	all, gone := map[string]int{}, map[string]int{}
-	for _, b := range f.servers {
-		all[b.Site]++
-		if _, ours := out[b.Server]; !ours && b.unresponsiveSince != 0 && f.now-b.unresponsiveSince < lostSeconds {
-			gone[b.Site]++
+	all, lost := map[string]int{}, map[string]int{}
+	for _, server := range f.servers {
+		all[server.Site]++
+		if _, isOut := out[server.Server]; !isOut && server.unresponsiveSince != 0 && f.now-server.unresponsiveSince < lostSeconds {
+			lost[server.Site]++
 		}
 	}
-	for _, b := range f.servers { // in the order of names, so that the answer is always the same
-		if n := gone[b.Site]; 2*n > all[b.Site] {
-			return b.Site
+	for _, server := range f.servers { // in the order of names, so that the answer does not depend on the map
+		if n := lost[server.Site]; 2*n > all[server.Site] {
+			return server.Site
 		}
 	}
 	return ""
 }
 
-// refusedPart returns the part of the requests that is refused or fails now.
+// rejectionFraction returns the fraction of the requests that is rejected or fails now.
 func (f *fleetModel) rejectionFraction() float64 {
 	return f.rejected.value() / max(f.completed.value(), minRatePerSecond)
 }
 
-// average forgets what is older than some seconds, gradually.
+// movingAverage is an exponentially weighted mean over windowSeconds, which is set before the first add.
 type movingAverage struct {
 	windowSeconds, sum, weight float64
 }
 
-func (a *movingAverage) add(x, dt float64) {
-	part := 1 - math.Exp(-dt/a.windowSeconds)
+// add takes a value that held for some seconds.
+func (a *movingAverage) add(x, seconds float64) {
+	part := 1 - math.Exp(-seconds/a.windowSeconds)
 	a.sum += part * (x - a.sum)
 	a.weight += part * (1 - a.weight)
 }
 
-// value is the mean of what was added, of the latest the most.
+// value returns the mean; 0 before the first add.
 func (a *movingAverage) value() float64 { return a.sum / max(a.weight, 1e-9) }
--- a/internal/decide/maintenance/progress.go
+++ b/internal/decide/maintenance/progress.go
@@ -1,67 +1,77 @@
 package maintenance
 
-// boxTime is since when this coordinator has known of a box's stage.
+// serverProgress is since when this Coordinator has known the stage of a server of a plan.
 type serverProgress struct {
 	plan            uint64
 	server          string
 	stage           Stage
 	sinceVersion    uint64
-	cordonedVersion uint64 // the version since which it has been out without a break, as far as it is known here
+	cordonedVersion uint64 // since which the server has been cordoned without a break, as far as is known here
 	reachedAt       float64
 }
 
-// planTime is what this coordinator has seen of a plan.
+// planProgress is what this Coordinator has observed about a plan.
 type planProgress struct {
 	number         uint64
-	ageSeconds     float64 // when it came to know of it
+	ageSeconds     float64 // of the plan, when it was learned
 	learnedAt      float64
-	unhealthySince float64 // since when something is wrong; 0: nothing is
-	calmSince      float64 // since when all has been well; 0: it is not
-	isCautious     bool    // something was given back since a box left
-	holdReason     string  // why nothing leaves
+	unhealthySince float64 // since when there has been a giveBackReason; 0: there is none
+	calmSince      float64 // since when there has been no holdReason; 0: there is one
+	isCautious     bool    // a server was put back in service since the last one drained
+	holdReason     string  // why no server of it may drain
 }
 
-// ageS is for how long a plan has been given, as far as any owner's clock has told.
-func (t *planProgress) age(now float64) float64 { return t.ageSeconds + now - t.learnedAt }
+// age returns for how many seconds a plan has been going on, by the clocks of all lease holders so far.
+func (p *planProgress) age(now float64) float64 { return p.ageSeconds + now - p.learnedAt }
 
-// remember brings what is known of stages and plans up to what is agreed.
+// updateProgress follows a change of the committed State. What was observed of servers whose stage did not change is kept.
 func (c *Coordinator) updateProgress() {
-	var boxes []serverProgress
+	var servers []serverProgress
 	var plans []planProgress
 	for i := range c.committed.State.Plans {
 		p := &c.committed.State.Plans[i]
-		t := planProgress{number: p.Number, ageSeconds: p.AgeSeconds, learnedAt: c.now}
+		progress := planProgress{number: p.Number, ageSeconds: p.AgeSeconds, learnedAt: c.now}
 		if known := c.planProgress(p.Number); known != nil {
-			t = *known
+			progress = *known
 		}
-		plans = append(plans, t)
-		for _, b := range p.Servers {
-			n := serverProgress{plan: p.Number, server: b.Name, stage: b.Stage, sinceVersion: b.SinceVersion, cordonedVersion: b.SinceVersion, reachedAt: c.now}
-			if k := c.serverProgress(p.Number, b.Name); k != nil {
-				if k.stage == b.Stage && k.sinceVersion == b.SinceVersion {
-					n = *k
-				} else if k.stage.IsCordoned() && b.Stage.IsCordoned() && k.stage < b.Stage {
-					n.cordonedVersion = k.cordonedVersion
-				}
-			}
-			boxes = append(boxes, n)
-			if b.Stage == Draining && n.reachedAt == c.now {
+		plans = append(plans, progress)
+		for j := range p.Servers {
+			server := &p.Servers[j]
+			next := c.nextProgress(p.Number, server)
+			servers = append(servers, next)
+			if server.Stage == Draining && next.reachedAt == c.now {
 				c.lastDrainAt = c.now
 			}
 		}
 	}
-	c.servers, c.plans = boxes, plans
+	c.servers, c.plans = servers, plans
+}
+
+// nextProgress returns the progress of a server by the committed State and by what was known before.
+func (c *Coordinator) nextProgress(plan uint64, server *Server) serverProgress {
+	next := serverProgress{plan: plan, server: server.Name, stage: server.Stage, sinceVersion: server.SinceVersion, cordonedVersion: server.SinceVersion, reachedAt: c.now}
+	known := c.serverProgress(plan, server.Name)
+	switch {
+	case known == nil:
+	case known.stage == server.Stage && known.sinceVersion == server.SinceVersion:
+		return *known
+	case known.stage.IsCordoned() && server.Stage.IsCordoned() && known.stage < server.Stage:
+		next.cordonedVersion = known.cordonedVersion
+	}
+	return next
 }
 
-func (c *Coordinator) serverProgress(plan uint64, box string) *serverProgress {
+// serverProgress returns the progress of a server of a plan, or nil.
+func (c *Coordinator) serverProgress(plan uint64, server string) *serverProgress {
 	for i := range c.servers {
-		if c.servers[i].server == box && c.servers[i].plan == plan {
+		if c.servers[i].server == server && c.servers[i].plan == plan {
 			return &c.servers[i]
 		}
 	}
 	return nil
 }
 
+// planProgress returns the progress of a plan, or nil.
 func (c *Coordinator) planProgress(number uint64) *planProgress {
 	for i := range c.plans {
 		if c.plans[i].number == number {
--- a/internal/decide/maintenance/report.go
+++ b/internal/decide/maintenance/report.go
@@ -9,48 +9,48 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// From is one sidecar that has spoken.
+// Reporter identifies one sidecar that contributed to a Report, and the State that it applies.
 type Reporter struct {
 	ID      swim.ID `msgpack:"d"`
-	BootID  uint64  `msgpack:"l"` // of its process, as in member.Version
-	Version uint64  `msgpack:"v"` // of the State by which it goes: what that bans gets nothing new there, and has not for SettleS
+	BootID  uint64  `msgpack:"l"` // of its process, as in swim.Version
+	Version uint64  `msgpack:"v"` // of the State that it applies: it sends no new requests to the servers cordoned there
 }
 
-// Open says that a sidecar does not hold a box for empty.
+// InUse states that one sidecar does not consider a cordoned server empty.
 type InUse struct {
 	Server     string  `msgpack:"b"`
 	Member     swim.ID `msgpack:"d"`
-	Uncordoned bool    `msgpack:"h,omitempty"` // it was given back there by hand: it is in use
-	InFlight   int     `msgpack:"n,omitempty"` // executions that are out; 0: the ban has held there for less than SettleS
+	Uncordoned bool    `msgpack:"h,omitempty"` // an operator put it back in service at that sidecar
+	InFlight   int     `msgpack:"n,omitempty"` // requests in flight from there; 0: the last one ended less than the quiet period ago
 }
 
-// Seen is what sidecars say of a box, summed.
+// ServerStatus is what the reporting sidecars know of a server; counts are of sidecars where nothing else is stated.
 type ServerStatus struct {
 	Server             string  `msgpack:"b"`
 	Site               string  `msgpack:"s,omitempty"`
 	Type               string  `msgpack:"y,omitempty"`
-	Capacity           float64 `msgpack:"z,omitempty"` // as listed; 0: not told. Of sums the greatest
-	ListedBy           int     `msgpack:"l,omitempty"` // sidecars that have it on their list
-	DrainingBy         int     `msgpack:"d,omitempty"` // whose list says that it drains
-	CordonedBy         int     `msgpack:"h,omitempty"` // where it is out by hand
-	WarmingUpBy        int     `msgpack:"c,omitempty"` // that hold it for cold
-	UnresponsiveBy     int     `msgpack:"q,omitempty"` // that hold it for silent, suspected or failing
-	CompletedPerSecond float64 `msgpack:"p,omitempty"` // executions a second that ended
-	InFlight           int     `msgpack:"o,omitempty"` // executions that are out
-	Busy               bool    `msgpack:"u,omitempty"` // its own report says that it works or has a line
+	Capacity           float64 `msgpack:"z,omitempty"` // as listed, the greatest of all reports; 0: unknown
+	ListedBy           int     `msgpack:"l,omitempty"` // that have it on their endpoint list
+	DrainingBy         int     `msgpack:"d,omitempty"` // whose list marks it as draining
+	CordonedBy         int     `msgpack:"h,omitempty"` // where an operator has cordoned it
+	WarmingUpBy        int     `msgpack:"c,omitempty"` // that have it in slow start
+	UnresponsiveBy     int     `msgpack:"q,omitempty"` // that consider it silent, suspect or failing
+	CompletedPerSecond float64 `msgpack:"p,omitempty"` // attempts
+	InFlight           int     `msgpack:"o,omitempty"` // attempts
+	Busy               bool    `msgpack:"u,omitempty"` // its own load report shows work in progress or a queue
 }
 
-// Sum is what some sidecars say, of which each says its own. It goes the way of the question back, summed.
+// Report is what a set of sidecars know, merged on the way back to the lease holder that asked.
 type Report struct {
 	Reporters          []Reporter     `msgpack:"f,omitempty"` // by ID
-	InUse              []InUse        `msgpack:"o,omitempty"` // by box and ID
-	Servers            []ServerStatus `msgpack:"s,omitempty"` // by box
-	CompletedPerSecond float64        `msgpack:"p,omitempty"` // requests a second that ended
-	RejectedPerSecond  float64        `msgpack:"r,omitempty"` // of these refused or failed, a second
-	StaleMembers       int            `msgpack:"l,omitempty"` // sidecars whose list is late
+	InUse              []InUse        `msgpack:"o,omitempty"` // by server and member
+	Servers            []ServerStatus `msgpack:"s,omitempty"` // by name
+	CompletedPerSecond float64        `msgpack:"p,omitempty"` // requests, rejected ones included
+	RejectedPerSecond  float64        `msgpack:"r,omitempty"` // requests that were rejected or failed
+	StaleMembers       int            `msgpack:"l,omitempty"` // sidecars whose endpoint list is stale
 }
 
-// Bounds of a Sum. Danger: sums come from outside, and are summed again.
+// Bounds of a report. Danger: reports come from peers and are merged again and again.
 const (
 	maxReporters      = 3000
 	maxServerStatuses = 2000
@@ -59,56 +59,86 @@
 
 var errInvalidReport = errors.New("works: a sum makes no sense")
 
-func isValidRate(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
-
-// Add adds what others say. Nobody is added twice: who comes by two ways is left out of the second, and with it all that came along.
-func (s *Report) Merge(o *Report) error {
-	if len(o.Reporters) > maxReporters || len(o.Servers) > maxServerStatuses || len(o.InUse) > maxInUse || !isValidRate(o.CompletedPerSecond) || !isValidRate(o.RejectedPerSecond) || o.StaleMembers < 0 {
+// Merge adds another report. A report with a reporter that is already counted, or with values out of bounds, is an error and changes
+// nothing: a sidecar that is reached by two paths is not counted twice.
+func (r *Report) Merge(other *Report) error {
+	if !other.isValid() {
 		return errInvalidReport
 	}
-	for i := range o.Servers {
-		if b := &o.Servers[i]; len(b.Server) > maxNameLen || len(b.Site) > maxNameLen || len(b.Type) > maxNameLen || !isValidRate(b.CompletedPerSecond) || !isValidRate(b.Capacity) ||
-			min(b.ListedBy, b.DrainingBy, b.CordonedBy, b.WarmingUpBy, b.UnresponsiveBy, b.InFlight) < 0 {
-			return errInvalidReport
-		}
-	}
-	for i := range o.Reporters {
-		if _, twice := s.reporterIndex(&o.Reporters[i]); twice {
+	for i := range other.Reporters {
+		if r.HasReporter(other.Reporters[i]) {
 			return errInvalidReport
 		}
 	}
-	for i := range o.Reporters {
-		at, _ := s.reporterIndex(&o.Reporters[i])
-		s.Reporters = slices.Insert(s.Reporters, at, o.Reporters[i])
+	for i := range other.Reporters {
+		at, _ := r.reporterIndex(&other.Reporters[i])
+		r.Reporters = slices.Insert(r.Reporters, at, other.Reporters[i])
 	}
-	for _, open := range o.InUse {
-		at, twice := slices.BinarySearchFunc(s.InUse, open, func(a, b InUse) int { return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Member, b.Member)) })
-		if !twice {
-			s.InUse = slices.Insert(s.InUse, at, open)
+	for _, use := range other.InUse {
+		at, known := slices.BinarySearchFunc(r.InUse, use, func(a, b InUse) int {
+			return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Member, b.Member))
+		})
+		if !known {
+			r.InUse = slices.Insert(r.InUse, at, use)
 		}
 	}
-	for _, b := range o.Servers {
-		at, known := slices.BinarySearchFunc(s.Servers, b, func(a, b ServerStatus) int { return cmp.Compare(a.Server, b.Server) })
-		if !known {
-			s.Servers = slices.Insert(s.Servers, at, b)
-			continue
+	for _, status := range other.Servers {
+		at, known := slices.BinarySearchFunc(r.Servers, status, func(a, b ServerStatus) int { return cmp.Compare(a.Server, b.Server) })
+		if known {
+			r.Servers[at].merge(&status)
+		} else {
+			r.Servers = slices.Insert(r.Servers, at, status)
 		}
-		k := &s.Servers[at]
-		k.Site, k.Type, k.Capacity = cmp.Or(k.Site, b.Site), cmp.Or(k.Type, b.Type), max(k.Capacity, b.Capacity)
-		k.ListedBy, k.DrainingBy, k.CordonedBy = k.ListedBy+b.ListedBy, k.DrainingBy+b.DrainingBy, k.CordonedBy+b.CordonedBy
-		k.WarmingUpBy, k.UnresponsiveBy, k.InFlight = k.WarmingUpBy+b.WarmingUpBy, k.UnresponsiveBy+b.UnresponsiveBy, k.InFlight+b.InFlight
-		k.CompletedPerSecond, k.Busy = k.CompletedPerSecond+b.CompletedPerSecond, k.Busy || b.Busy
 	}
-	s.CompletedPerSecond, s.RejectedPerSecond, s.StaleMembers = s.CompletedPerSecond+o.CompletedPerSecond, s.RejectedPerSecond+o.RejectedPerSecond, s.StaleMembers+o.StaleMembers
+	r.CompletedPerSecond += other.CompletedPerSecond
+	r.RejectedPerSecond += other.RejectedPerSecond
+	r.StaleMembers += other.StaleMembers
 	return nil
 }
 
-func (s *Report) reporterIndex(f *Reporter) (at int, known bool) {
-	return slices.BinarySearchFunc(s.Reporters, *f, func(a, b Reporter) int { return cmp.Compare(a.ID, b.ID) })
+// HasReporter reports whether a sidecar has contributed to the report; only its ID counts.
+func (r *Report) HasReporter(reporter Reporter) bool {
+	_, known := r.reporterIndex(&reporter)
+	return known
 }
 
-// Has tells whether a member has spoken.
-func (s *Report) HasReporter(f Reporter) bool {
-	_, known := s.reporterIndex(&f)
-	return known
+func (r *Report) reporterIndex(reporter *Reporter) (at int, known bool) {
+	return slices.BinarySearchFunc(r.Reporters, *reporter, func(a, b Reporter) int { return cmp.Compare(a.ID, b.ID) })
+}
+
+func (r *Report) isValid() bool {
+	if len(r.Reporters) > maxReporters || len(r.Servers) > maxServerStatuses || len(r.InUse) > maxInUse ||
+		!isValidRate(r.CompletedPerSecond) || !isValidRate(r.RejectedPerSecond) || r.StaleMembers < 0 {
+		return false
+	}
+	for i := range r.Servers {
+		if !r.Servers[i].isValid() {
+			return false
+		}
+	}
+	return true
+}
+
+func (b *ServerStatus) isValid() bool {
+	return len(b.Server) <= maxNameLen && len(b.Site) <= maxNameLen && len(b.Type) <= maxNameLen &&
+		isValidRate(b.CompletedPerSecond) && isValidRate(b.Capacity) &&
+		min(b.ListedBy, b.DrainingBy, b.CordonedBy, b.WarmingUpBy, b.UnresponsiveBy, b.InFlight) >= 0
+}
+
+// merge adds what other sidecars know of the same server.
+func (b *ServerStatus) merge(other *ServerStatus) {
+	b.Site = cmp.Or(b.Site, other.Site)
+	b.Type = cmp.Or(b.Type, other.Type)
+	b.Capacity = max(b.Capacity, other.Capacity)
+	b.ListedBy += other.ListedBy
+	b.DrainingBy += other.DrainingBy
+	b.CordonedBy += other.CordonedBy
+	b.WarmingUpBy += other.WarmingUpBy
+	b.UnresponsiveBy += other.UnresponsiveBy
+	b.CompletedPerSecond += other.CompletedPerSecond
+	b.InFlight += other.InFlight
+	b.Busy = b.Busy || other.Busy
 }
+
+// isValidRate reports whether a number is finite and not negative. NaN is neither.
+func isValidRate(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
--- a/internal/decide/maintenance/selection.go
+++ b/internal/decide/maintenance/selection.go
@@ -5,74 +5,87 @@
 	"math"
 )
 
-// Order is a way to choose which box leaves next.
+// Order is the order in which the pending servers of a plan drain. docs/design/works.md has the cost of each.
 type Order uint8
 
-// The ways. docs/design/works.md has what they cost.
+// The orders. A server that is unavailable anyway comes first in all but AsListed.
 const (
-	LookAhead   Order = iota // what hurts least now, but a site that alone takes as long as all the rest first
-	LeastImpact              // what hurts least now
-	LeastLoad                // who has least to do now
-	SitesInTurn              // the sites in turn
-	AsListed                 // as they are named
+	LookAhead   Order = iota // least impact first, but before them the servers of sites that take as long as all the rest
+	LeastImpact              // least impact on the fleet now first
+	LeastLoad                // least loaded first
+	SitesInTurn              // a server of the site with the most pending servers first
+	AsListed                 // in the order of the plan
 )
 
-// coldMostS is how long a box is waited for that is cold by itself. Danger: one that nothing is sent to may stay cold for ever.
+// maxWarmUpWaitSeconds bounds how long a server that warms up without a plan counts as away. Danger: one that gets no requests may
+// stay in slow start for ever.
 const maxWarmUpWaitSeconds = 120.0
 
-// away counts boxes that are out or come back, by any plan or by themselves. What is lost is not waited for.
-func (c *Coordinator) countAway(s *State) (n int) {
-	out := s.outOfService()
+// unavailableImpact is the impact of draining a server that does not serve anyway.
+const unavailableImpact = -1
+
+// candidate is a pending server that could drain now.
+type candidate struct {
+	server         *Server
+	position       int // in the plan
+	pendingAtSite  int
+	impact         float64
+	load           float64
+	isCriticalSite bool // its site alone takes at least as long as all that is pending
+}
+
+// countAway counts the servers that are out of service or warming up, by any plan or by themselves. Lost ones are not waited for.
+func (c *Coordinator) countAway(state *State) (n int) {
+	out := state.outOfService()
 	for _, stage := range out {
 		if stage != Lost {
 			n++
 		}
 	}
-	for _, b := range c.fleet.servers {
-		if _, ours := out[b.Server]; !ours && b.warmingUpSince != 0 && c.now-b.warmingUpSince < maxWarmUpWaitSeconds && !b.isUnavailable() {
+	for _, server := range c.fleet.servers {
+		if _, isOut := out[server.Server]; !isOut && server.warmingUpSince != 0 && c.now-server.warmingUpSince < maxWarmUpWaitSeconds && !server.isUnavailable() {
 			n++
 		}
 	}
 	return n
 }
 
-// choose returns the box of a plan that leaves next; nil: none can now.
-func (c *Coordinator) chooseNext(s *State, p *Plan) *Server {
-	if n := c.countAway(s); n >= p.Spec.MaxConcurrent || n > 0 && c.isDegraded(p) {
+// chooseNext returns the server of a plan that drains next; nil: none can now.
+func (c *Coordinator) chooseNext(state *State, p *Plan) *Server {
+	if n := c.countAway(state); n >= p.Spec.MaxConcurrent || n > 0 && c.isDegraded(p) {
 		return nil
 	}
-	out := s.outOfService()
-	left := map[string]int{} // that wait, by site
-	waiting := 0
+	out := state.outOfService()
+	pendingAtSite, pending := map[string]int{}, 0
 	for i := range p.Servers {
-		if b := &p.Servers[i]; b.Stage == Pending {
-			left[b.Site]++
-			waiting++
+		if server := &p.Servers[i]; server.Stage == Pending {
+			pendingAtSite[server.Site]++
+			pending++
 		}
 	}
-	need := c.fleet.requiredCapacity(p.Spec.MinCapacity, drainLoadRatio)
+	required := c.fleet.requiredCapacity(p.Spec.MinCapacity, drainLoadRatio)
 	var best *candidate
 	for i := range p.Servers {
-		b := &p.Servers[i]
-		if b.Stage != Pending || s.countOutAtSite(b.Site) >= p.Spec.maxPerSite() {
+		server := &p.Servers[i]
+		if server.Stage != Pending || state.countOutAtSite(server.Site) >= p.Spec.maxPerSite() {
 			continue
 		}
-		seen := c.fleet.server(b.Name)
-		_, gone := out[b.Name] // lost by a plan before
-		missing := gone || seen == nil || seen.isUnavailable()
-		if !missing && c.fleet.remainingCapacity(out, b.Name) < need-1e-9 {
+		observed := c.fleet.server(server.Name)
+		_, isOut := out[server.Name] // Lost by an earlier plan
+		isUnavailable := isOut || observed == nil || observed.isUnavailable()
+		if !isUnavailable && c.fleet.remainingCapacity(out, server.Name) < required-capacityTolerance {
 			continue
 		}
-		k := &candidate{server: b, position: i, pendingAtSite: left[b.Site]}
-		if missing && c.settings.Order != AsListed {
-			k.impact = -1
-		} else if seen != nil {
-			k.impact, k.load = c.fleet.impact(out, seen), seen.CompletedPerSecond
-			// A site that takes as long as all that is left, or longer, has its boxes wait for each other: it goes first.
-			k.isCriticalSite = float64(left[b.Site])/float64(p.Spec.maxPerSite()) >= float64(waiting)/float64(p.Spec.MaxConcurrent)
+		next := &candidate{server: server, position: i, pendingAtSite: pendingAtSite[server.Site]}
+		if isUnavailable && c.settings.Order != AsListed {
+			next.impact = unavailableImpact
+		} else if observed != nil {
+			next.impact, next.load = c.fleet.impact(out, observed), observed.CompletedPerSecond
+			// The servers of a critical site wait for each other, so it goes first.
+			next.isCriticalSite = float64(next.pendingAtSite)/float64(p.Spec.maxPerSite()) >= float64(pending)/float64(p.Spec.MaxConcurrent)
 		}
-		if best == nil || c.drainsBefore(k, best) {
-			best = k
+		if best == nil || c.drainsBefore(next, best) {
+			best = next
 		}
 	}
 	if best == nil {
@@ -81,65 +94,64 @@
 	return best.server
 }
 
-type candidate struct {
-	server         *Server
-	position       int     // in the plan
-	pendingAtSite  int     // boxes that wait at its site
-	impact         float64 // below 0: it does not serve as it is
-	load           float64
-	isCriticalSite bool
-}
-
-// before tells whether a box leaves before another.
+// drainsBefore reports whether a drains before b, by the Order of the settings.
 func (c *Coordinator) drainsBefore(a, b *candidate) bool {
-	hurts := func(k *candidate) int { return int(math.Round(50 * k.impact)) }
-	ahead := func(k *candidate) int {
-		if k.isCriticalSite && k.impact >= 0 {
-			return 0
-		}
-		return 1
-	}
-	missing := func(k *candidate) int {
-		if k.impact < 0 {
-			return 0
-		}
-		return 1
-	}
+	byAvailability := trueFirst(a.impact < 0, b.impact < 0)
+	byImpact := a.roundedImpact() - b.roundedImpact()
+	byPendingAtSite := b.pendingAtSite - a.pendingAtSite
+	byLoad := cmp.Compare(a.load, b.load)
+	byPosition := a.position - b.position
 	switch c.settings.Order {
 	case AsListed:
-		return a.position < b.position
+		return byPosition < 0
 	case SitesInTurn:
-		return cmp.Or(missing(a)-missing(b), b.pendingAtSite-a.pendingAtSite, a.position-b.position) < 0
+		return cmp.Or(byAvailability, byPendingAtSite, byPosition) < 0
 	case LeastLoad:
-		return cmp.Or(missing(a)-missing(b), cmp.Compare(a.load, b.load), a.position-b.position) < 0
+		return cmp.Or(byAvailability, byLoad, byPosition) < 0
 	case LeastImpact:
-		return cmp.Or(hurts(a)-hurts(b), cmp.Compare(a.load, b.load), a.position-b.position) < 0
+		return cmp.Or(byImpact, byLoad, byPosition) < 0
+	}
+	byCriticalSite := trueFirst(a.isCriticalSite && a.impact >= 0, b.isCriticalSite && b.impact >= 0)
+	return cmp.Or(byAvailability, byCriticalSite, byImpact, byPendingAtSite, byLoad, byPosition) < 0
+}
+
+// roundedImpact returns the impact in steps of a fiftieth, so that small differences leave the choice to the other criteria.
+func (k *candidate) roundedImpact() int { return int(math.Round(50 * k.impact)) }
+
+// trueFirst compares two conditions: below 0 if a alone holds, above 0 if b alone does.
+func trueFirst(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return -1
 	}
-	return cmp.Or(missing(a)-missing(b), ahead(a)-ahead(b), hurts(a)-hurts(b), b.pendingAtSite-a.pendingAtSite, cmp.Compare(a.load, b.load), a.position-b.position) < 0
+	return 1
 }
 
-// hurt is what the fleet loses if a box leaves now: the part of its site and of its kind that is then out, and its part of the load.
-func (f *fleetModel) impact(out map[string]Stage, b *observedServer) float64 {
+// impact returns what the fleet loses if a server drains now: the greater fraction, of its site or of its type, that is then out of
+// service, plus its fraction of the load.
+func (f *fleetModel) impact(out map[string]Stage, server *observedServer) float64 {
 	var site, siteOut, kind, kindOut, load float64
-	for _, o := range f.servers {
-		w := f.capacity(o)
-		_, gone := out[o.Server]
-		gone = gone || o.isUnavailable() || o == b
-		load += o.CompletedPerSecond
-		if o.Site == b.Site {
-			if site += w; gone {
-				siteOut += w
+	for _, other := range f.servers {
+		capacity := f.capacity(other)
+		_, isOut := out[other.Server]
+		isOut = isOut || other.isUnavailable() || other == server
+		load += other.CompletedPerSecond
+		if other.Site == server.Site {
+			if site += capacity; isOut {
+				siteOut += capacity
 			}
 		}
-		if o.Type == b.Type {
-			if kind += w; gone {
-				kindOut += w
+		if other.Type == server.Type {
+			if kind += capacity; isOut {
+				kindOut += capacity
 			}
 		}
 	}
-	h := max(siteOut/site, kindOut/kind)
+	impact := max(siteOut/site, kindOut/kind)
 	if load > 0 {
-		h += b.CompletedPerSecond / load
+		impact += server.CompletedPerSecond / load
 	}
-	return h
+	return impact
 }
--- a/internal/decide/maintenance/snapshot.go
+++ b/internal/decide/maintenance/snapshot.go
@@ -7,48 +7,51 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Member is who must have said that a box is empty, as far as they are there.
+// Member is a sidecar, as the membership of the lease holder knows it.
 type Member struct {
 	ID              swim.ID
 	Name            string
-	BootID          uint64
+	BootID          uint64 // of its process, as in swim.Version
 	State           swim.State
-	StateAgeSeconds float64 // for how long the state has held
+	StateAgeSeconds float64
 }
 
-// Round is what is known of the fleet after all were asked.
+// FleetSnapshot is the answer of the fleet to one query of the lease holder.
 type FleetSnapshot struct {
-	Members  []Member // all that are there, or were within the last ten minutes, by ID
+	Members  []Member // all that are alive, or were within the last ten minutes, by ID
 	Report   Report
-	Complete bool // all that live have answered
+	Complete bool // all members that are alive have reported
 }
 
-func memberName(round *FleetSnapshot, id swim.ID) string {
-	for i := range round.Members {
-		if round.Members[i].ID == id {
-			return round.Members[i].Name
+// memberName returns the name of a member, or its ID in hexadecimal if the snapshot lacks it.
+func (s *FleetSnapshot) memberName(id swim.ID) string {
+	for i := range s.Members {
+		if s.Members[i].ID == id {
+			return s.Members[i].Name
 		}
 	}
 	return fmt.Sprintf("%016x", uint64(id))
 }
 
-// needed tells whether a member must be heard: it may send.
-func (p *Plan) mustReport(m *Member, laterS float64) bool {
+// mustReport reports whether a member may still send requests, so that its report is required: it is not known to have been dead, or
+// to have left, for long enough. The snapshot is snapshotAgeSeconds old.
+func (p *Plan) mustReport(m *Member, snapshotAgeSeconds float64) bool {
 	switch m.State {
 	case swim.Dead:
-		return m.StateAgeSeconds+laterS < p.Spec.deadMemberSeconds()
+		return m.StateAgeSeconds+snapshotAgeSeconds < p.Spec.deadMemberSeconds()
 	case swim.Left:
-		return m.StateAgeSeconds+laterS < min(p.Spec.deadMemberSeconds(), leftMemberSeconds)
+		return m.StateAgeSeconds+snapshotAgeSeconds < min(p.Spec.deadMemberSeconds(), leftMemberSeconds)
 	}
 	return true
 }
 
-// silent returns the names of members who may send and have not said that they go by a version, or a later one.
-func (c *Coordinator) unreportedMembers(p *Plan, round *FleetSnapshot, version uint64) (names []string) {
-	for i := range round.Members {
-		m := &round.Members[i]
-		if p.mustReport(m, c.now-c.snapshotAt) && !slices.ContainsFunc(round.Report.Reporters, func(f Reporter) bool {
-			return f.ID == m.ID && f.BootID == m.BootID && f.Version >= version
+// unreportedMembers returns the names of members that must report, and have not reported that they apply a State of at least this
+// version. A report of an earlier process of the member doesn't count.
+func (c *Coordinator) unreportedMembers(p *Plan, snapshot *FleetSnapshot, version uint64) (names []string) {
+	for i := range snapshot.Members {
+		m := &snapshot.Members[i]
+		if p.mustReport(m, c.now-c.snapshotAt) && !slices.ContainsFunc(snapshot.Report.Reporters, func(r Reporter) bool {
+			return r.ID == m.ID && r.BootID == m.BootID && r.Version >= version
 		}) {
 			names = append(names, m.Name)
 		}
@@ -56,15 +59,16 @@
 	return names
 }
 
-// unheard returns who keeps boxes from leaving: who may send, and is not there to be asked.
+// unreachableMembers returns the names of members that must report and have not, or are not alive; at most maxNamedMembers, sorted.
+// While there are any, nothing drains.
 func (c *Coordinator) unreachableMembers(p *Plan) []string {
-	round := c.freshSnapshot()
-	if round == nil {
+	snapshot := c.freshSnapshot()
+	if snapshot == nil {
 		return nil
 	}
-	names := c.unreportedMembers(p, round, 0)
-	for i := range round.Members {
-		if m := &round.Members[i]; m.State != swim.Alive && p.mustReport(m, c.now-c.snapshotAt) {
+	names := c.unreportedMembers(p, snapshot, 0)
+	for i := range snapshot.Members {
+		if m := &snapshot.Members[i]; m.State != swim.Alive && p.mustReport(m, c.now-c.snapshotAt) {
 			names = append(names, m.Name)
 		}
 	}
--- a/internal/decide/maintenance/state.go
+++ b/internal/decide/maintenance/state.go
@@ -11,97 +11,102 @@
 	"hazelwheel/internal/msgpacklimit"
 )
 
-// State is what is agreed. Its version is that of the record that holds it.
+// State is what is committed: all plans that have not ended, and ended ones as far as there is room. Its version is that of the
+// record that holds it.
 type State struct {
 	LastNumber uint64 `msgpack:"l"` // number of the last plan
 	Plans      []Plan `msgpack:"p,omitempty"`
 }
 
-// Agreed is a State with what the electors know of it.
+// Committed is a State with its place in the history of the voters.
 type Committed struct {
-	Epoch   uint64 // of their founding
-	Version uint64 // grows with each State; 0: there was none yet
+	Epoch   uint64 // of the founding of the voters' group
+	Version uint64 // grows with each State; 0: none was committed yet
 	State   State
 }
 
-// Bounds of what is agreed. Danger: it is one entry of the electors' log and goes over links in one frame.
+// Bounds of a State. Danger: it is one entry of the voters' log and is sent over peer connections in one frame.
 const (
 	MaxServers    = 250 // of all plans that have not ended
-	MaxPlans      = 16  // with those that have ended
+	MaxPlans      = 16  // including ended ones
 	MaxStateBytes = 40 << 10
 )
 
-// ErrState is the fault of a State that can't be read, or is larger than may be agreed.
+// serverGrowthBytes bounds by how much the encoded form of a server can grow: token, version, agent and reason.
+const serverGrowthBytes = 110
+
+// ErrInvalidState is wrapped by the errors of Encode and Decode: a State that can't be read, or that exceeds its bounds.
 var ErrInvalidState = errors.New("works: the state can't be used")
 
-// Encode returns a State as a record's body.
+// Encode returns the State as the body of a record.
 func (s *State) Encode() ([]byte, error) {
-	b, err := msgpack.Marshal(s)
+	body, err := msgpack.Marshal(s)
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrInvalidState, err)
-	case len(b) > MaxStateBytes:
-		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrInvalidState, len(b), MaxStateBytes)
+	case len(body) > MaxStateBytes:
+		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrInvalidState, len(body), MaxStateBytes)
 	}
-	return b, nil
+	return body, nil
 }
 
-// Decode reads one. What comes from a disk or over a link may be anything.
-func Decode(b []byte) (s State, err error) {
+// Decode reads the body of a record; an empty body is the empty State. The bytes may come from a disk or from a peer and are not
+// trusted: every fault, a panic of the decoder included, is an error that wraps ErrInvalidState.
+func Decode(body []byte) (s State, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			s, err = State{}, fmt.Errorf("%w: %v", ErrInvalidState, cause)
 		}
 	}()
-	if len(b) == 0 {
+	if len(body) == 0 {
 		return State{}, nil
 	}
-	if err := msgpacklimit.Whole(b); err != nil {
+	if err := msgpacklimit.Whole(body); err != nil {
 		return State{}, fmt.Errorf("%w: %w", ErrInvalidState, err)
 	}
-	if err := msgpack.Unmarshal(b, &s); err != nil {
+	if err := msgpack.Unmarshal(body, &s); err != nil {
 		return State{}, fmt.Errorf("%w: %w", ErrInvalidState, err)
 	}
 	if len(s.Plans) > MaxPlans {
 		return State{}, fmt.Errorf("%w: %d plans", ErrInvalidState, len(s.Plans))
 	}
 	for i := range s.Plans {
-		if own := s.Plans[i].BaselineRejection; !(own >= 0 && own <= 1) {
-			return State{}, fmt.Errorf("%w: a part of %g", ErrInvalidState, own)
+		if baseline := s.Plans[i].BaselineRejection; !(baseline >= 0 && baseline <= 1) {
+			return State{}, fmt.Errorf("%w: a part of %g", ErrInvalidState, baseline)
 		}
 	}
 	return s, nil
 }
 
-// Out calls yield with each box that nothing new may be sent to, and the version since which.
-func (s *State) Cordoned(yield func(box string, since uint64) bool) {
+// Cordoned calls yield with each server that gets no new requests, and the version of the State since which.
+func (s *State) Cordoned(yield func(server string, sinceVersion uint64) bool) {
 	for i := range s.Plans {
-		for _, b := range s.Plans[i].Servers {
-			if b.Stage.IsCordoned() && !yield(b.Name, b.SinceVersion) {
+		for _, server := range s.Plans[i].Servers {
+			if server.Stage.IsCordoned() && !yield(server.Name, server.SinceVersion) {
 				return
 			}
 		}
 	}
 }
 
-// out returns the boxes that are out by any plan, or come back, with their stage.
+// outOfService returns the stage of each server that any plan has cordoned or warming up, by name.
 func (s *State) outOfService() map[string]Stage {
 	out := map[string]Stage{}
 	for i := range s.Plans {
-		for _, b := range s.Plans[i].Servers {
-			if b.Stage.IsCordoned() || b.Stage == WarmingUp {
-				out[b.Name] = b.Stage
+		for _, server := range s.Plans[i].Servers {
+			if server.Stage.IsCordoned() || server.Stage == WarmingUp {
+				out[server.Name] = server.Stage
 			}
 		}
 	}
 	return out
 }
 
-// ofSite counts boxes of a site that are out or come back, by any plan.
+// countOutAtSite counts the servers of a site that any plan has between Draining and WarmingUp.
 func (s *State) countOutAtSite(site string) (n int) {
 	for i := range s.Plans {
-		for _, b := range s.Plans[i].Servers {
-			if b.Site == site && b.Stage >= Draining && b.Stage <= WarmingUp {
+		for _, server := range s.Plans[i].Servers {
+			if server.Site == site && server.Stage.isOut() {
 				n++
 			}
 		}
@@ -109,11 +114,12 @@
 	return n
 }
 
-// busy tells whether a box is out by any plan, or comes back. One that was lost is the fleet's as it is.
+// hasServerOut reports whether any plan has a server between Draining and WarmingUp. Lost servers don't count: the fleet has to do
+// without them anyway.
 func (s *State) hasServerOut() bool {
 	for i := range s.Plans {
 		for j := range s.Plans[i].Servers {
-			if g := s.Plans[i].Servers[j].Stage; g >= Draining && g <= WarmingUp {
+			if s.Plans[i].Servers[j].Stage.isOut() {
 				return true
 			}
 		}
@@ -121,19 +127,20 @@
 	return false
 }
 
+// clone returns a copy whose plans and servers can be changed.
 func (s *State) clone() *State {
-	n := &State{LastNumber: s.LastNumber, Plans: slices.Clone(s.Plans)}
-	for i := range n.Plans {
-		n.Plans[i].Servers = slices.Clone(n.Plans[i].Servers)
+	c := &State{LastNumber: s.LastNumber, Plans: slices.Clone(s.Plans)}
+	for i := range c.Plans {
+		c.Plans[i].Servers = slices.Clone(c.Plans[i].Servers)
 	}
-	return n
+	return c
 }
 
-// same tells whether two states say the same; ages may differ, which clocks add to.
+// sameState reports whether two states are equal but for the ages of plans, which depend on clocks.
 func sameState(a, b *State) bool {
-	x, err := a.withoutAges().Encode()
-	y, fault := b.withoutAges().Encode()
-	return err == nil && fault == nil && bytes.Equal(x, y)
+	bodyA, errA := a.withoutAges().Encode()
+	bodyB, errB := b.withoutAges().Encode()
+	return errA == nil && errB == nil && bytes.Equal(bodyA, bodyB)
 }
 
 func (s *State) withoutAges() *State {
@@ -144,11 +151,8 @@
 	return s
 }
 
-// growth is what a box of a plan can still come to weigh, in bytes: token, version, mechanic and cause.
-const serverGrowthBytes = 110
-
-// trim drops plans that have ended until there is room for what those that have not may come to say, and tells whether there is.
-// Danger: one that has lost a box is what bans it.
+// trimToSize drops ended plans, oldest first, until the State is within its bounds with room for the growth of plans that go on. It
+// reports whether it is. Danger: a plan with a Lost server is what keeps that server cordoned, and is never dropped.
 func (s *State) trimToSize() bool {
 	for {
 		room := MaxStateBytes
@@ -157,12 +161,12 @@
 				room -= serverGrowthBytes * len(p.Servers)
 			}
 		}
-		b, err := s.Encode()
-		if err == nil && len(s.Plans) <= MaxPlans && len(b) <= room {
+		body, err := s.Encode()
+		if err == nil && len(s.Plans) <= MaxPlans && len(body) <= room {
 			return true
 		}
 		i := slices.IndexFunc(s.Plans, func(p Plan) bool {
-			return p.Ended && !slices.ContainsFunc(p.Servers, func(b Server) bool { return b.Stage == Lost })
+			return p.Ended && !slices.ContainsFunc(p.Servers, func(server Server) bool { return server.Stage == Lost })
 		})
 		if i < 0 {
 			return false
