--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -13,26 +13,26 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// history is what one sees from outside of all that was agreed.
+// history checks the sequence of committed states against the rules that hold for every plan.
 type history struct {
-	*desk
+	*driver
 	t      *rapid.T
 	tokens uint64
-	now    map[string]Stage // by plan and box
+	stages map[string]Stage // by plan and server
 }
 
-// check compares what is agreed with what was.
+// check compares the committed state with the one before.
 func (h *history) check(was State) {
 	owner := map[string]uint64{}
-	for i := range h.agreed.State.Plans {
-		p := &h.agreed.State.Plans[i]
+	for i := range h.committed.State.Plans {
+		p := &h.committed.State.Plans[i]
 		out, sites := 0, map[string]int{}
 		for _, b := range p.Servers {
 			key := fmt.Sprint(p.Number, " ", b.Name)
-			before := h.now[key]
-			h.now[key] = b.Stage
+			before := h.stages[key]
+			h.stages[key] = b.Stage
 			require.False(h.t, before >= Done && b.Stage != before && !(before == Lost && b.Stage == Skipped), "%s had ended as %d and is %d", key, before, b.Stage)
-			require.False(h.t, before == InMaintenance && b.Stage != InMaintenance && b.Stage != WarmingUp && b.Stage != Lost, "%s was taken from its mechanic: %d", key, b.Stage)
+			require.False(h.t, before == InMaintenance && b.Stage != InMaintenance && b.Stage != WarmingUp && b.Stage != Lost, "%s was taken from its agent: %d", key, b.Stage)
 			if b.Stage >= Draining && b.Stage <= WarmingUp {
 				out++
 				sites[b.Site]++
@@ -41,14 +41,14 @@
 				require.Greater(h.t, b.Token, h.tokens, "tokens grow")
 				h.tokens = b.Token
 				if len(b.ForcedPast) == 0 {
-					h.empty(p, b.Name)
+					h.requireEmpty(p, b.Name)
 				}
 			}
 			if b.Stage == Skipped || b.Stage == Lost {
 				require.NotEmpty(h.t, b.Reason)
 			}
 			if !p.Ended {
-				require.Zero(h.t, owner[b.Name], "%s is of two plans", b.Name)
+				require.Zero(h.t, owner[b.Name], "%s belongs to two plans", b.Name)
 				owner[b.Name] = p.Number
 			}
 		}
@@ -56,103 +56,104 @@
 		for site, n := range sites {
 			require.LessOrEqual(h.t, n, p.Spec.maxPerSite(), site)
 		}
-		require.Equal(h.t, p.Ended, !slices.ContainsFunc(p.Servers, func(b Server) bool { return b.Stage < Done }), "a plan has ended when all its boxes have")
+		require.Equal(h.t, p.Ended, !slices.ContainsFunc(p.Servers, func(b Server) bool { return b.Stage < Done }), "a plan has ended when all its servers have")
 	}
 	for i := range was.Plans {
 		if p := &was.Plans[i]; !p.Ended {
-			require.True(h.t, slices.ContainsFunc(h.agreed.State.Plans, func(q Plan) bool { return q.Number == p.Number }), "plan %d is forgotten", p.Number)
+			require.True(h.t, slices.ContainsFunc(h.committed.State.Plans, func(q Plan) bool { return q.Number == p.Number }), "plan %d is forgotten", p.Number)
 		}
 	}
 }
 
-// empty requires that all who may send have said, in the last round, that they send nothing to a box and have nothing there.
-func (h *history) empty(p *Plan, box string) {
-	for _, m := range h.round.Members {
+// requireEmpty requires that all members that may send reported, in the last snapshot, that they send nothing to a server and have
+// nothing in flight there.
+func (h *history) requireEmpty(p *Plan, server string) {
+	for _, m := range h.snapshot.Members {
 		if m.State == swim.Dead && m.StateAgeSeconds >= p.Spec.deadMemberSeconds() || m.State == swim.Left && m.StateAgeSeconds >= min(p.Spec.deadMemberSeconds(), leftMemberSeconds) {
 			continue
 		}
-		require.False(h.t, h.mute[m.ID] || m.State.IsDeadOrLeft(), "%s was handed over, and %s may send there", box, m.Name)
+		require.False(h.t, h.silent[m.ID] || m.State.IsDeadOrLeft(), "%s was handed out, and %s may send there", server, m.Name)
 	}
-	for _, o := range h.round.Report.InUse {
-		require.NotEqual(h.t, box, o.Server, "it was handed over with something out")
+	for _, o := range h.snapshot.Report.InUse {
+		require.NotEqual(h.t, server, o.Server, "it was handed out with requests in flight")
 	}
 }
 
-// agree has what is wanted be agreed, or lost, or come late to an owner that is new by then.
-func (h *history) agree() {
+// commit commits each proposal, or loses it, or lets it reach a lease holder that is new by then.
+func (h *history) commit() {
 	for n := 0; ; n++ {
-		require.Less(h.t, n, 100, "it comes to rest")
-		next := h.Step(h.desk.now)
+		require.Less(h.t, n, 100, "no more proposals")
+		next := h.Step(h.driver.now)
 		for _, r := range h.Replies() {
 			h.replies[r.Nonce] = r
 		}
 		if next == nil {
 			return
 		}
-		require.Same(h.t, next, h.Step(h.desk.now), "while it is not agreed it is wanted")
+		require.Same(h.t, next, h.Step(h.driver.now), "the same proposal until it is committed")
 		body, err := next.Encode()
 		require.NoError(h.t, err)
 		state, err := Decode(body)
 		require.NoError(h.t, err)
 		again, err := state.Encode()
 		require.NoError(h.t, err)
-		require.Equal(h.t, body, again, "it is read as what it is")
-		was, before := h.agreed.State, h.agreed
-		lost := rapid.IntRange(0, 19).Draw(h.t, "how it is agreed")
-		if lost == 0 { // nothing came of it, and another one owns the job
-			h.Start(h.desk.now, h.agreed)
+		require.Equal(h.t, body, again, "encoded again it is the same")
+		was, before := h.committed.State, h.committed
+		lost := rapid.IntRange(0, 19).Draw(h.t, "fate of the proposal")
+		if lost == 0 { // it is lost, and another holds the lease
+			h.Start(h.driver.now, h.committed)
 			return
 		}
-		h.agreed = Committed{h.agreed.Epoch, h.agreed.Version + 1, state}
+		h.committed = Committed{h.committed.Epoch, h.committed.Version + 1, state}
 		h.check(was)
 		switch lost {
-		case 1: // it is agreed, and its owner has died
-			h.Start(h.desk.now, h.agreed)
+		case 1: // it is committed, and the lease holder died
+			h.Start(h.driver.now, h.committed)
 			return
-		case 2: // the next one learns of it late
-			h.Start(h.desk.now, before)
-			h.hear()
-			h.Step(h.desk.now)
+		case 2: // the next lease holder learns of it late
+			h.Start(h.driver.now, before)
+			h.report()
+			h.Step(h.driver.now)
 		}
-		h.ApplyCommitted(h.desk.now, h.agreed)
+		h.ApplyCommitted(h.driver.now, h.committed)
 	}
 }
 
-func (h *history) hear() {
-	r := h.round
+func (h *history) report() {
+	r := h.snapshot
 	r.Report.Reporters = nil
 	for _, m := range r.Members {
-		if !h.mute[m.ID] && !m.State.IsDeadOrLeft() {
-			r.Report.Reporters = append(r.Report.Reporters, Reporter{m.ID, m.BootID, h.agreed.Version})
+		if !h.silent[m.ID] && !m.State.IsDeadOrLeft() {
+			r.Report.Reporters = append(r.Report.Reporters, Reporter{m.ID, m.BootID, h.committed.Version})
 		}
 	}
 	r.Complete = len(r.Report.Reporters) == len(r.Members)
-	h.Observe(h.desk.now, r)
+	h.Observe(h.driver.now, r)
 }
 
-func TestPlansKeepTheirRules(t *testing.T) {
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &history{desk: newDesk(t, rapid.IntRange(1, 4).Draw(t, "sidecars"), rapid.IntRange(1, 3).Draw(t, "sites"), 3), t: t, now: map[string]Stage{}}
-		boxes := []string{}
-		for _, b := range h.round.Report.Servers {
-			boxes = append(boxes, b.Server)
+		h := &history{driver: newDriver(t, rapid.IntRange(1, 4).Draw(t, "sidecars"), rapid.IntRange(1, 3).Draw(t, "sites"), 3), t: t, stages: map[string]Stage{}}
+		servers := []string{}
+		for _, b := range h.snapshot.Report.Servers {
+			servers = append(servers, b.Server)
 		}
 		part := rapid.IntRange(0, 9)
 		for range rapid.IntRange(50, 250).Draw(t, "rounds") {
-			h.desk.now += rapid.SampledFrom([]float64{0.5, 0.5, 0.5, 1, 4, 15}).Draw(t, "seconds")
-			// Danger: all that is drawn here may come between any two rounds.
-			h.round.Report.InUse, h.round.Report.RejectedPerSecond = nil, 0
-			clear(h.mute)
+			h.driver.now += rapid.SampledFrom([]float64{0.5, 0.5, 0.5, 1, 4, 15}).Draw(t, "seconds")
+			// Danger: all that is drawn here may happen between any two snapshots.
+			h.snapshot.Report.InUse, h.snapshot.Report.RejectedPerSecond = nil, 0
+			clear(h.silent)
 			if part.Draw(t, "open") == 0 {
-				h.round.Report.InUse = []InUse{{Server: rapid.SampledFrom(boxes).Draw(t, "box"), Member: 1, InFlight: rapid.IntRange(0, 2).Draw(t, "out")}}
+				h.snapshot.Report.InUse = []InUse{{Server: rapid.SampledFrom(servers).Draw(t, "server"), Member: 1, InFlight: rapid.IntRange(0, 2).Draw(t, "out")}}
 			}
 			if part.Draw(t, "mute") == 0 {
-				h.mute[rapid.SampledFrom(h.round.Members).Draw(t, "who").ID] = true
+				h.silent[rapid.SampledFrom(h.snapshot.Members).Draw(t, "who").ID] = true
 			}
 			if part.Draw(t, "refused") == 0 {
-				h.round.Report.RejectedPerSecond = h.round.Report.CompletedPerSecond / 2
+				h.snapshot.Report.RejectedPerSecond = h.snapshot.Report.CompletedPerSecond / 2
 			}
-			m := &h.round.Members[rapid.IntRange(0, len(h.round.Members)-1).Draw(t, "member")]
+			m := &h.snapshot.Members[rapid.IntRange(0, len(h.snapshot.Members)-1).Draw(t, "member")]
 			switch part.Draw(t, "member's state") {
 			case 0:
 				m.State, m.StateAgeSeconds = swim.Dead, rapid.SampledFrom([]float64{1, 400}).Draw(t, "dead for")
@@ -161,55 +162,55 @@
 			default:
 				m.State, m.BootID = swim.Alive, m.BootID+1
 			}
-			h.hear()
-			h.agree()
+			h.report()
+			h.commit()
 			if part.Draw(t, "command") < 5 {
-				h.command(boxes)
-				h.agree()
+				h.submitRandom(servers)
+				h.commit()
 			}
 		}
-		// All is well from now on, and somebody sees to what waits for a word.
-		for i := range h.round.Members {
-			h.round.Members[i].State = swim.Alive
+		// No more faults, and an operator handles what waits for one.
+		for i := range h.snapshot.Members {
+			h.snapshot.Members[i].State = swim.Alive
 		}
-		h.round.Report.InUse, h.round.Report.RejectedPerSecond = nil, 0
-		clear(h.mute)
-		for n := 0; slices.ContainsFunc(h.agreed.State.Plans, func(p Plan) bool { return !p.Ended }); n++ {
-			require.Less(t, n, 3000, "it ends: %+v", h.Blockers())
-			h.desk.now += 1
-			h.hear()
-			for _, p := range h.agreed.State.Plans {
+		h.snapshot.Report.InUse, h.snapshot.Report.RejectedPerSecond = nil, 0
+		clear(h.silent)
+		for n := 0; slices.ContainsFunc(h.committed.State.Plans, func(p Plan) bool { return !p.Ended }); n++ {
+			require.Less(t, n, 3000, "the plans end: %+v", h.Blockers())
+			h.driver.now += 1
+			h.report()
+			for _, p := range h.committed.State.Plans {
 				for _, b := range p.Servers {
 					switch {
 					case p.PausedBy != "" && !p.Aborted && !p.Ended:
-						h.give(Command{Kind: ResumePlan, Plan: p.Number})
+						h.submitOnly(Command{Kind: ResumePlan, Plan: p.Number})
 					case b.Stage == Drained:
-						h.give(Command{Kind: AcquireServer, Agent: "last"})
+						h.submitOnly(Command{Kind: AcquireServer, Agent: "last"})
 					case b.Stage == InMaintenance:
-						h.give(Command{Kind: CompleteServer, Server: b.Name, Token: b.Token})
+						h.submitOnly(Command{Kind: CompleteServer, Server: b.Name, Token: b.Token})
 					case b.Stage == Lost:
-						h.give(Command{Kind: SkipServer, Server: b.Name, Plan: p.Number})
+						h.submitOnly(Command{Kind: SkipServer, Server: b.Name, Plan: p.Number})
 					}
 				}
 			}
-			h.agree()
+			h.commit()
 		}
 	})
 }
 
-func (h *history) give(c Command) {
+func (h *history) submitOnly(c Command) {
 	h.nonce++
 	c.Nonce = h.nonce
-	if r, answered := h.Submit(h.desk.now, c); answered {
+	if r, answered := h.Submit(h.driver.now, c); answered {
 		h.replies[c.Nonce] = r
 	}
 }
 
-// command gives one that may make sense.
-func (h *history) command(boxes []string) {
+// submitRandom submits a command that may make sense.
+func (h *history) submitRandom(servers []string) {
 	c := Command{Kind: rapid.SampledFrom([]Kind{SubmitPlan, SubmitPlan, AcquireServer, AcquireServer, AcquireServer, CompleteServer, CompleteServer, FailServer, PausePlan, ResumePlan, SkipServer, ForceDrained, AbortPlan}).Draw(h.t, "kind"),
-		Server: rapid.SampledFrom(boxes).Draw(h.t, "box"), Agent: rapid.SampledFrom([]string{"m", "n"}).Draw(h.t, "mechanic"), Token: 1}
-	for _, p := range h.agreed.State.Plans {
+		Server: rapid.SampledFrom(servers).Draw(h.t, "server"), Agent: rapid.SampledFrom([]string{"m", "n"}).Draw(h.t, "agent"), Token: 1}
+	for _, p := range h.committed.State.Plans {
 		for _, b := range p.Servers {
 			if b.Stage == InMaintenance && b.Agent == c.Agent {
 				c.Server, c.Token = b.Name, b.Token
@@ -217,15 +218,15 @@
 		}
 	}
 	if c.Kind == SubmitPlan {
-		s := Spec{Name: "drawn", Servers: rapid.SliceOfNDistinct(rapid.SampledFrom(boxes), 1, len(boxes), rapid.ID[string]).Draw(h.t, "boxes"),
+		s := Spec{Name: "drawn", Servers: rapid.SliceOfNDistinct(rapid.SampledFrom(servers), 1, len(servers), rapid.ID[string]).Draw(h.t, "servers"),
 			WorkSeconds: rapid.Float64Range(1, 60).Draw(h.t, "takes"), MaxConcurrent: rapid.IntRange(1, 4).Draw(h.t, "at once"), MaxPerSite: rapid.IntRange(0, 2).Draw(h.t, "by site"),
 			MinCapacity: rapid.Float64Range(0, 0.6).Draw(h.t, "keep"), AbandonOverdue: rapid.Bool().Draw(h.t, "give up"), WarmUpSeconds: rapid.Float64Range(1, 20).Draw(h.t, "cold")}
 		c.Spec = &s
 	}
-	h.give(c)
+	h.submitOnly(c)
 }
 
-// What comes from a disk or over a link may be anything, and what is read is written as the same again.
+// Whatever the bytes, Decode returns an error that wraps ErrInvalidState or a state that is encoded to the same again.
 func FuzzDecode(f *testing.F) {
 	s := State{LastNumber: 2, Plans: []Plan{{Number: 2, Spec: *spec(), Servers: []Server{{Name: "b", Site: "s", Stage: InMaintenance, SinceVersion: 4, Token: 5, ForcedPast: []string{"n"}}}}}}
 	body, err := s.Encode()
@@ -239,7 +240,7 @@
 			return
 		}
 		body, err := s.Encode()
-		if err != nil { // it is larger, written whole, than may be agreed
+		if err != nil { // encoded in full it exceeds the bound
 			assert.ErrorIs(t, err, ErrInvalidState)
 			return
 		}
@@ -251,7 +252,7 @@
 	})
 }
 
-func TestPlansAreChecked(t *testing.T) {
+func TestPlanValidation(t *testing.T) {
 	nan := math.NaN()
 	for field, s := range map[string]Spec{
 		"name":       {},
@@ -267,7 +268,7 @@
 	} {
 		assert.ErrorContains(t, s.Validate(), field+":")
 	}
-	d := newDesk(t, 2, 2, 2)
+	d := newDriver(t, 2, 2, 2)
 	for why, change := range map[string]func(s *Spec){
 		`boxes: no sidecar has "nowhere"`:      func(s *Spec) { s.Servers = []string{"nowhere"} },
 		`sites: no sidecar has "nowhere"`:      func(s *Spec) { s.Sites = []string{"nowhere"} },
@@ -276,27 +277,27 @@
 	} {
 		s := spec()
 		change(s)
-		assert.Contains(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err, why)
+		assert.Contains(t, d.submit(Command{Kind: SubmitPlan, Spec: s}).Err, why)
 	}
-	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: spec()}).Err)
-	assert.Contains(t, d.do(Command{Kind: SubmitPlan, Spec: spec()}).Err, "plan 1 (calibrate), which has not ended")
+	require.Empty(t, d.submit(Command{Kind: SubmitPlan, Spec: spec()}).Err)
+	assert.Contains(t, d.submit(Command{Kind: SubmitPlan, Spec: spec()}).Err, "plan 1 (calibrate), which has not ended")
 }
 
-// When the load doubles or a site is lost what can be given back is, and what a mechanic has stays; then it goes on.
-func TestGivesBackWhatItCan(t *testing.T) {
-	d := newDesk(t, 3, 3, 4)
+// When the load doubles, servers that are not being worked on yet are put back in service; the plan continues after that.
+func TestGivesBackServersOnFault(t *testing.T) {
+	d := newDriver(t, 3, 3, 4)
 	s := spec()
 	s.MaxConcurrent, s.MaxPerSite, s.MinCapacity, s.WorkSeconds = 2, 1, 0.7, 60
-	require.Empty(t, d.do(Command{Kind: SubmitPlan, Spec: s}).Err)
-	d.play(30)
-	require.Equal(t, 2, d.stages()[Drained])
-	require.NotEmpty(t, d.do(Command{Kind: AcquireServer, Agent: "m"}).Server)
-	d.round.Report.CompletedPerSecond *= 2
-	d.play(10)
-	assert.Equal(t, 1, d.stages()[InMaintenance])
-	assert.Equal(t, 0, d.stages()[Drained])
+	require.Empty(t, d.submit(Command{Kind: SubmitPlan, Spec: s}).Err)
+	d.advance(30)
+	require.Equal(t, 2, d.countStages()[Drained])
+	require.NotEmpty(t, d.submit(Command{Kind: AcquireServer, Agent: "m"}).Server)
+	d.snapshot.Report.CompletedPerSecond *= 2
+	d.advance(10)
+	assert.Equal(t, 1, d.countStages()[InMaintenance])
+	assert.Equal(t, 0, d.countStages()[Drained])
 	assert.NotEmpty(t, d.Blockers())
-	d.round.Report.CompletedPerSecond /= 2
-	d.play(120)
-	assert.Equal(t, 2, d.stages()[InMaintenance]+d.stages()[Drained], "it goes on")
+	d.snapshot.Report.CompletedPerSecond /= 2
+	d.advance(120)
+	assert.Equal(t, 2, d.countStages()[InMaintenance]+d.countStages()[Drained], "the plan continues")
 }
--- a/internal/decide/maintenance/stored_form_test.go
+++ b/internal/decide/maintenance/stored_form_test.go
@@ -18,14 +18,14 @@
 		MaxPerSite: 2, MinCapacity: 0.75, RejectionBudget: 0.05, MaxRejection: 0.4, QuietSeconds: 2, WarmUpSeconds: 30, DeadMemberSeconds: 600, StartAfterSeconds: 3600, EndAfterSeconds: 7200}
 }
 
-func storedBox(stage Stage) Server {
+func storedServer(stage Stage) Server {
 	return Server{Name: "s-1", Site: "site-a", Stage: stage, SinceVersion: 8, Token: 3<<40 | 9, Agent: "anna", Reason: "forced by bob", ForcedPast: []string{"n1", "n2"}, Overdue: true}
 }
 
 func storedPlan() Plan {
 	p := Plan{Number: 4, Nonce: 77, Spec: storedSpec(), PausedBy: "bob", Aborted: true, BaselineRejection: 0.01, Ended: true, AgeSeconds: 12.5}
 	for stage := Draining; stage <= Lost; stage++ {
-		p.Servers = append(p.Servers, storedBox(stage))
+		p.Servers = append(p.Servers, storedServer(stage))
 	}
 	return p
 }
@@ -35,7 +35,7 @@
 	return Command{Nonce: 5, Kind: SubmitPlan, Spec: &spec, Plan: 4, Server: "s-1", Token: 3<<40 | 9, Agent: "anna", Reason: "no disk"}
 }
 
-func storedSum() Report {
+func storedReport() Report {
 	return Report{Reporters: []Reporter{{ID: 1, BootID: 2, Version: 3}}, InUse: []InUse{{Server: "s-1", Member: 1, Uncordoned: true, InFlight: 2}},
 		Servers:            []ServerStatus{{Server: "s-1", Site: "site-a", Type: "big", Capacity: 2.5, ListedBy: 6, DrainingBy: 1, CordonedBy: 2, WarmingUpBy: 3, UnresponsiveBy: 4, CompletedPerSecond: 5.5, InFlight: 7, Busy: true}},
 		CompletedPerSecond: 10.5, RejectedPerSecond: 0.5, StaleMembers: 1}
@@ -65,7 +65,7 @@
 		"state":   State{LastNumber: 9, Plans: []Plan{storedPlan()}},
 		"command": storedCommand(),
 		"reply":   Reply{Nonce: 5, Err: "it is taken", Plan: 4, Server: "s-1", Token: 3<<40 | 9, Text: "past n1"},
-		"sum":     storedSum(),
+		"sum":     storedReport(),
 		"wait":    Blocker{Plan: 4, Server: "s-1", Reason: "it warms up", Members: []string{"n1", "n2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -82,10 +82,10 @@
 	}
 }
 
-// What the admin endpoint takes and answers keeps its form.
+// What the admin endpoint accepts and answers keeps its form.
 func TestAdminForm(t *testing.T) {
 	plan := storedPlan()
-	plan.Nonce = 0 // it is not told
+	plan.Nonce = 0 // not part of the answer
 	reply := Reply{Err: "it is taken", Plan: 4, Server: "s-1", Token: 3<<40 | 9, Text: "past n1"}
 	for name, value := range map[string]any{
 		"plan":    plan,
