--- a/internal/decide/swim/digest.go
+++ b/internal/decide/swim/digest.go
@@ -5,9 +5,14 @@
 	"slices"
 )
 
-// --- What is known ---
+// bucketCount is the number of buckets by which views are compared: one bit each in Message.WantedBuckets.
+const bucketCount = 64
+
+// bucketOf returns the bucket of a member.
+func bucketOf(id ID) int { return int(mix(uint64(id)) >> 58) }
 
-// weight is an entry's part of the sums.
+// digestOf returns an entry's contribution to the digests. Alive and suspect count alike, since suspicions come and go too fast to be
+// compared.
 func (v *View) digestOf(e *entry) uint64 {
 	if e.isExpired {
 		return 0
@@ -19,56 +24,51 @@
 	return mix(uint64(e.ID) ^ mix(e.Version.Incarnation^mix(e.Version.BootID^class<<56)))
 }
 
-// weigh puts an entry's part into the sums, or takes it out again.
+// toggleDigest adds an entry's contribution to the digests, or removes it.
 func (v *View) toggleDigest(e *entry) {
-	w := v.digestOf(e)
-	v.digest ^= w
-	v.bucketDigests[bucketOf(e.ID)] ^= w
+	d := v.digestOf(e)
+	v.digest ^= d
+	v.bucketDigests[bucketOf(e.ID)] ^= d
 }
 
+// mix is the finalizer of splitmix64: a bijection that spreads each bit over all.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// --- Comparing views ---
-
-// buckets is how many sums are compared.
-const bucketCount = 64
-
-func bucketOf(id ID) int { return int(mix(uint64(id)) >> 58) }
-
-// compare asks a neighbour what differs.
+// sendDigests begins a comparison of views over a link.
 func (v *View) sendDigests(l *link) {
 	v.lastSync = v.now
 	v.stats.Syncs++
 	v.actions.Send(l.number, &Message{BucketDigests: slices.Clone(v.bucketDigests[:])})
 }
 
-// differing tells a neighbour what is held otherwise here, and asks for what it holds.
+// handleDigests sends the records of the buckets that differ, and asks for the other end's.
 func (v *View) handleDigests(l *link, theirs []uint64) {
 	if len(theirs) != bucketCount {
 		v.stats.Rejected++
 		return
 	}
-	mask := uint64(0)
-	for i, sum := range v.bucketDigests {
-		if sum != theirs[i] {
-			mask |= 1 << i
+	differing := uint64(0)
+	for i, digest := range v.bucketDigests {
+		if digest != theirs[i] {
+			differing |= 1 << i
 		}
 	}
-	if mask != 0 {
-		v.sendBuckets(l, mask)
-		v.actions.Send(l.number, &Message{WantedBuckets: []uint64{mask}})
+	if differing != 0 {
+		v.sendBuckets(l, differing)
+		v.actions.Send(l.number, &Message{WantedBuckets: []uint64{differing}})
 	}
 }
 
-func (v *View) sendBuckets(l *link, mask uint64) {
+// sendBuckets sends the records of the buckets whose bits are set.
+func (v *View) sendBuckets(l *link, buckets uint64) {
 	var records []Record
-	most := min(maxRecordsPerMessage, len(v.entries)*bits.OnesCount64(mask)/bucketCount+8)
+	expected := min(maxRecordsPerMessage, len(v.entries)*bits.OnesCount64(buckets)/bucketCount+8)
 	for i, id := range v.ids {
-		if mask>>bucketOf(id)&1 == 0 {
+		if buckets>>bucketOf(id)&1 == 0 {
 			continue
 		}
 		e := v.entries[i]
@@ -76,7 +76,7 @@
 			continue
 		}
 		if records == nil {
-			records = make([]Record, 0, most)
+			records = make([]Record, 0, expected)
 		}
 		if records = append(records, v.recordOf(e)); len(records) == maxRecordsPerMessage {
 			v.actions.Send(l.number, &Message{Records: records})
--- a/internal/decide/swim/links.go
+++ b/internal/decide/swim/links.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// LinkUp takes a link over which both ends have said who they are. Its number is the caller's and above 0; address is where
-// it was dialed, empty where the other has dialed.
+// LinkUp takes a link over which both ends have sent their Hello. number is chosen by the caller and above 0; address is the one that
+// was dialed, empty if the other end dialed. The View may close the link at once.
 func (v *View) LinkUp(now float64, number int, address string, hello Hello) {
 	v.advanceClock(now)
 	defer v.finishEvent()
@@ -17,7 +17,7 @@
 		}
 	}
 	if hello.Self.ID == v.self.ID {
-		v.handleOwnRecord(hello.Self, 0)
+		v.handleOwnRecord(hello.Self)
 		v.actions.Close(number)
 		return
 	}
@@ -26,7 +26,7 @@
 		return
 	}
 	if e := v.byID[hello.Self.ID]; e != nil && hello.Self.Version.Compare(e.Version) < 0 {
-		// A process that has been succeeded, or that began from an old copy of its state. It is told so.
+		// The other end is a process that was replaced, or that started from an old copy of its state. The record tells it so.
 		v.actions.Send(number, &Message{Records: []Record{v.recordOf(e)}})
 		v.actions.Close(number)
 		return
@@ -39,64 +39,79 @@
 		return
 	}
 	l := &link{number: number, peer: e, bootID: hello.Self.Version.BootID, dialedHere: address != "", peerWants: hello.Heartbeat.Wanted}
+	if v.installLink(l) {
+		v.greet(l, &hello)
+	}
+}
+
+// installLink makes a link the one to its peer, and reports whether it is. If there are two links between the same processes, both
+// ends keep the one that the member with the lesser ID dialed; else the later one.
+func (v *View) installLink(l *link) bool {
+	e := l.peer
 	if old := e.link; old != nil {
-		// Of two links both ends keep the one that the lesser has dialed, or else the later.
 		if old.bootID == l.bootID && old.dialedHere != l.dialedHere && old.dialedHere == (v.self.ID < e.ID) {
-			v.actions.Send(number, &Message{Closing: true})
-			v.actions.Close(number)
-			return
+			v.actions.Send(l.number, &Message{Closing: true})
+			v.actions.Close(l.number)
+			return false
 		}
-		v.actions.Send(old.number, &Message{Closing: true})
-		v.dropLink(old)
+		v.closeLink(old)
 	}
 	e.link, e.lastHeard, e.failedDials, e.wasLinked = l, v.now, 0, true
 	v.links = append(v.links, l)
 	if v.firstLink == 0 {
-		v.firstLink, v.firstLinkAt = number, v.now
+		v.firstLink, v.firstLinkAt = l.number, v.now
 	}
 	v.activate(e)
+	return true
+}
+
+// greet sends the first messages over a new link: a record that the peer must refute, a heartbeat, and digests if the views differ.
+func (v *View) greet(l *link, hello *Hello) {
+	e := l.peer
 	if e.State.IsDeadOrLeft() || e.State == Suspect || e.Version != hello.Self.Version {
-		v.actions.Send(number, &Message{Records: []Record{v.recordOf(e)}}) // it learns what is said of it, and says no
+		v.actions.Send(l.number, &Message{Records: []Record{v.recordOf(e)}})
 	}
-	v.actions.Send(number, &Message{Heartbeat: &Heartbeat{Digest: v.digest, Wanted: e.isNeighbor}})
+	v.actions.Send(l.number, &Message{Heartbeat: &Heartbeat{Digest: v.digest, Wanted: e.isNeighbor}})
 	if hello.Heartbeat.Digest != v.digest && l.dialedHere {
 		v.sendDigests(l)
 	}
 }
 
-// NotUp takes the end of a dial that came to nothing.
+// DialFailed takes the end of a dial that led to no link.
 func (v *View) DialFailed(now float64, address string) {
 	v.advanceClock(now)
 	v.dialEnded(address, 0)
 	v.finishEvent()
 }
 
-// dialed notes that a dial is over, and who was found there; 0: nobody.
+// dialEnded records the end of a dial, and who was found; 0: nobody. If it is not the expected member, the next dial backs off.
 func (v *View) dialEnded(address string, found ID) {
-	id := v.dials[address]
+	expected := v.dials[address]
 	delete(v.dials, address)
-	if e := v.byID[id]; e != nil {
+	if e := v.byID[expected]; e != nil {
 		e.isDialing = false
-		if found != id {
+		if found != expected {
 			e.failedDials++
-			e.nextDial = v.now + min(0.3*math.Pow(2, float64(min(e.failedDials, 8)-1)), 8)*(0.75+0.5*v.rng.Float64())
+			backoff := min(minBackoffSeconds*math.Pow(2, float64(min(e.failedDials, 8)-1)), maxBackoffSeconds)
+			e.nextDial = v.now + backoff*(0.75+0.5*v.rng.Float64())
 		}
 	}
 }
 
-// LinkDown takes the end of a link that nobody has announced.
+// LinkDown takes the end of a link that neither end announced.
 func (v *View) LinkDown(now float64, number int) {
 	v.advanceClock(now)
 	if l := v.linkByNumber(number); l != nil {
 		v.dropLink(l)
-		// Danger: who has no room for one more that it does not know ends a link as soon as it is up. Dialed again at once, 1,500
-		// that began together dialed each other 85 times a second each.
+		// Danger: a member that has no room for another link closes it as soon as it is up. When such links were dialed again at
+		// once, 1,500 members that started together dialed each other 85 times a second each.
 		l.peer.watchedUntil, l.peer.nextDial = v.now+watchGraceSeconds, max(l.peer.nextDial, v.now)
 		v.activate(l.peer)
 	}
 	v.finishEvent()
 }
 
+// linkByNumber returns the link with a number, or nil.
 func (v *View) linkByNumber(number int) *link {
 	if i := slices.IndexFunc(v.links, func(l *link) bool { return l.number == number }); i >= 0 {
 		return v.links[i]
@@ -104,16 +119,22 @@
 	return nil
 }
 
-// cut ends a link here.
+// dropLink closes a link without announcing it to the peer.
 func (v *View) dropLink(l *link) {
-	v.links = slices.DeleteFunc(v.links, func(o *link) bool { return o == l })
+	v.links = slices.DeleteFunc(v.links, func(other *link) bool { return other == l })
 	if l.peer.link == l {
 		l.peer.link = nil
 	}
 	v.actions.Close(l.number)
 }
 
-// Heard takes a message.
+// closeLink announces the end of a link to the peer and closes it.
+func (v *View) closeLink(l *link) {
+	v.actions.Send(l.number, &Message{Closing: true})
+	v.dropLink(l)
+}
+
+// HandleMessage takes a message that came over a link. One over a link that is not up any more is ignored.
 func (v *View) HandleMessage(now float64, number int, m *Message) {
 	v.advanceClock(now)
 	defer v.finishEvent()
@@ -125,7 +146,7 @@
 	for _, r := range m.Records {
 		v.handleRecord(r, number)
 	}
-	if l.peer.link != l { // what it said has ended the link
+	if l.peer.link != l { // a record ended the link
 		return
 	}
 	if m.BucketDigests != nil {
@@ -134,13 +155,8 @@
 	if len(m.WantedBuckets) == 1 {
 		v.sendBuckets(l, m.WantedBuckets[0])
 	}
-	if b := m.Heartbeat; b != nil {
-		l.peerWants = b.Wanted
-		if b.Digest == v.digest {
-			l.mismatches = 0
-		} else if l.mismatches++; v.now-v.lastSync > minSyncIntervalSeconds && (l.mismatches >= 3 && v.now-v.digestChangedAt > minSyncIntervalSeconds || v.now-v.lastSync > maxSyncIntervalSeconds) {
-			v.sendDigests(l)
-		}
+	if m.Heartbeat != nil {
+		v.handleHeartbeat(l, m.Heartbeat)
 	}
 	if m.Closing {
 		v.dropLink(l)
@@ -148,11 +164,28 @@
 	}
 }
 
+// handleHeartbeat compares digests. Views are compared bucket by bucket if they have differed for several heartbeats while nothing
+// changed here, or for maxSyncIntervalSeconds.
+func (v *View) handleHeartbeat(l *link, h *Heartbeat) {
+	l.peerWants = h.Wanted
+	if h.Digest == v.digest {
+		l.mismatches = 0
+		return
+	}
+	l.mismatches++
+	sinceSync := v.now - v.lastSync
+	isSteady := l.mismatches >= minMismatches && v.now-v.digestChangedAt > minSyncIntervalSeconds
+	if sinceSync > minSyncIntervalSeconds && (isSteady || sinceSync > maxSyncIntervalSeconds) {
+		v.sendDigests(l)
+	}
+}
+
+// dial asks for a link to an address at which a member is expected; 0: whoever is there. There is one dial to an address at a time.
 func (v *View) dial(address string, id ID) {
-	if other, on := v.dials[address]; on {
-		if other == 0 {
+	if expected, inProgress := v.dials[address]; inProgress {
+		if expected == 0 {
 			v.dials[address] = id
-		} else if e := v.byID[id]; e != nil && other != id {
+		} else if e := v.byID[id]; e != nil && expected != id {
 			e.isDialing = false
 		}
 		return
@@ -161,24 +194,22 @@
 	v.actions.Dial(address)
 }
 
-// beat says that this member is there, and ends a link that nobody wants or that leads to one who has gone. What it says is
-// the same on all links that are wanted, and on all that are not.
-func (v *View) sendHeartbeat(l *link, said *[2]*Message) {
+// sendHeartbeat sends a heartbeat over a link, or closes the link if neither end wants it or the peer left or died. The message is the
+// same for all neighbors, and for all others; prepared holds both.
+func (v *View) sendHeartbeat(l *link, prepared *[2]*Message) {
 	e := l.peer
 	switch {
 	case e.State == Left, e.State == Dead && v.now-e.stateSince > deadLinkSeconds:
-		v.actions.Send(l.number, &Message{Closing: true})
-		v.dropLink(l)
+		v.closeLink(l)
 		return
 	case !e.isNeighbor && !l.peerWants && l.dialedHere:
 		e.watchedUntil = 0
-		v.actions.Send(l.number, &Message{Closing: true})
-		v.dropLink(l)
+		v.closeLink(l)
 		return
 	}
-	m := &said[0]
+	m := &prepared[0]
 	if e.isNeighbor {
-		m = &said[1]
+		m = &prepared[1]
 	}
 	if *m == nil {
 		*m = &Message{Heartbeat: &Heartbeat{Digest: v.digest, Wanted: e.isNeighbor}}
--- a/internal/decide/swim/members.go
+++ b/internal/decide/swim/members.go
@@ -1,13 +1,13 @@
 package swim
 
-import (
-	"slices"
-)
+import "slices"
 
+// indexOf returns the position of a member in entries, or where it belongs.
 func (v *View) indexOf(id ID) (int, bool) {
 	return slices.BinarySearch(v.ids, id)
 }
 
+// insert adds a member that is not known.
 func (v *View) insert(e *entry) {
 	i, _ := v.indexOf(e.ID)
 	v.entries = slices.Insert(v.entries, i, e)
@@ -16,7 +16,8 @@
 	v.trackEntry(e)
 }
 
-// alter changes an entry and what follows from that.
+// changeEntry applies a change to an entry and keeps digests, lists and neighbors consistent with it. known is false for an entry that
+// was just inserted.
 func (v *View) changeEntry(e *entry, known bool, change func()) {
 	was := e.State
 	v.changes++
@@ -33,7 +34,7 @@
 	}
 }
 
-// note has an entry's part follow what has become of it.
+// trackEntry adds an entry to the digests and, if it is dead or has left, to departed.
 func (v *View) trackEntry(e *entry) {
 	e.isExpired = e.State.IsDeadOrLeft() && v.now-e.stateSince > forgetAfterSeconds-digestMarginSeconds
 	v.toggleDigest(e)
@@ -43,7 +44,7 @@
 	}
 }
 
-// heat has an entry looked at with each tick.
+// activate has detectFailures check an entry with each tick.
 func (v *View) activate(e *entry) {
 	if !e.isActive && e != v.self {
 		e.isActive = true
@@ -51,7 +52,8 @@
 	}
 }
 
-// sweep forgets those that are gone for long; some time before that they no longer count for the sums.
+// sweep forgets members that have been dead or left for forgetAfterSeconds. digestMarginSeconds earlier they stop counting for
+// digests, so that members that forget at different times don't compare views for it.
 func (v *View) sweep() {
 	v.nextSweep = v.now + sweepIntervalSeconds
 	for _, e := range slices.Clone(v.departed) {
@@ -69,7 +71,7 @@
 	})
 }
 
-// forgetOne makes room: the one goes that has been gone the longest.
+// evictOldest removes the member that has been dead or left for longest, and reports whether there was one.
 func (v *View) evictOldest() bool {
 	var oldest *entry
 	for _, e := range v.departed {
@@ -83,12 +85,13 @@
 	return oldest != nil
 }
 
+// removeEntry forgets a member and closes the link to it.
 func (v *View) removeEntry(e *entry) {
 	if v.probed == e {
 		v.probed = nil
 	}
-	same := func(o *entry) bool { return o == e }
-	v.active, v.departed = slices.DeleteFunc(v.active, same), slices.DeleteFunc(v.departed, same)
+	isSame := func(other *entry) bool { return other == e }
+	v.active, v.departed = slices.DeleteFunc(v.active, isSame), slices.DeleteFunc(v.departed, isSame)
 	v.toggleDigest(e)
 	if i, ok := v.indexOf(e.ID); ok {
 		v.entries, v.ids = slices.Delete(v.entries, i, i+1), slices.Delete(v.ids, i, i+1)
--- a/internal/decide/swim/message.go
+++ b/internal/decide/swim/message.go
@@ -1,25 +1,25 @@
 package swim
 
-// Hello is how each end of a link begins.
+// Hello is the first message of each end of a link.
 type Hello struct {
 	Self      Record    `msgpack:"Self"`
 	Heartbeat Heartbeat `msgpack:"Beat"`
 }
 
-// Hello returns what this member says first on a link.
-func (v *View) Hello() Hello { return Hello{v.self.Record, Heartbeat{Digest: v.digest}} }
-
-// Beat is what neighbours say again and again.
+// Heartbeat is sent over each link every heartbeatIntervalSeconds.
 type Heartbeat struct {
-	Digest uint64 `msgpack:"s"`           // of the whole view
-	Wanted bool   `msgpack:"w,omitempty"` // the sender wants the link: the other is its neighbour on a ring
+	Digest uint64 `msgpack:"s"`           // of the sender's view
+	Wanted bool   `msgpack:"w,omitempty"` // the receiver is a neighbor of the sender, which wants to keep the link
 }
 
-// Message is what goes over a link. Each field stands for itself.
+// Message is what is sent over a link after the Hello. Its fields are independent of each other.
 type Message struct {
 	Heartbeat     *Heartbeat `msgpack:"b,omitempty"`
 	Records       []Record   `msgpack:"r,omitempty"`
-	BucketDigests []uint64   `msgpack:"s,omitempty"` // of the view, by bucket; the other answers with what differs
-	WantedBuckets []uint64   `msgpack:"w,omitempty"` // the buckets, as bits, whose records the sender lacks or holds otherwise
-	Closing       bool       `msgpack:"y,omitempty"` // the link ends, and that says nothing of its sender
+	BucketDigests []uint64   `msgpack:"s,omitempty"` // of the sender's view; the receiver answers with what differs
+	WantedBuckets []uint64   `msgpack:"w,omitempty"` // one bit set: the buckets whose records the receiver is asked for
+	Closing       bool       `msgpack:"y,omitempty"` // the sender closes the link, for reasons that say nothing about its state
 }
+
+// Hello returns the first message that this member sends over a link.
+func (v *View) Hello() Hello { return Hello{v.self.Record, Heartbeat{Digest: v.digest}} }
--- a/internal/decide/swim/neighbors.go
+++ b/internal/decide/swim/neighbors.go
@@ -7,8 +7,16 @@
 	"slices"
 )
 
-// Want asks for links to these members, beside the neighbours on the rings and in place of what was asked for before; what is
-// beyond 16 is left out. Who is gone gets none until it lives again.
+// noNeighbors is View.nearestLive of a member without neighbors.
+var noNeighbors = func() (distances [ringCount]float64) {
+	for i := range distances {
+		distances[i] = math.Inf(1)
+	}
+	return distances
+}()
+
+// RequestLinks asks for links to these members, beside the neighbors on the rings and in place of those requested before. Members
+// beyond maxRequestedLinks are left out, and one that is dead or left gets none until it is alive again.
 func (v *View) RequestLinks(now float64, ids []ID) {
 	v.advanceClock(now)
 	if ids = ids[:min(len(ids), maxRequestedLinks)]; !slices.Equal(ids, v.requested) {
@@ -17,8 +25,8 @@
 	v.finishEvent()
 }
 
-// choose takes the neighbours on the rings, on each the next one after this member, and those that Want has asked for. Those that
-// are suspected are watched on, and the next one beside them, so that a fleet that loses many at once is joined again soon.
+// chooseNeighbors chooses the neighbors anew: on each ring the next live member after this one and the suspect ones before it, so that
+// a fleet that loses many members at once is connected again soon; and the requested ones.
 func (v *View) chooseNeighbors() {
 	for _, e := range v.neighbors {
 		if e.State.IsDeadOrLeft() {
@@ -31,50 +39,60 @@
 		v.nearestLive = noNeighbors
 		return
 	}
-	var suspected []*entry // by ID
+	suspects := v.suspectsByID()
+	for ring := range ringCount {
+		v.chooseOnRing(ring, suspects)
+	}
+	for _, id := range v.requested {
+		if e := v.byID[id]; e != nil && e != v.self && !e.State.IsDeadOrLeft() {
+			v.addNeighbor(e)
+		}
+	}
+}
+
+// suspectsByID returns the suspect members in the order of IDs.
+func (v *View) suspectsByID() (suspects []*entry) {
 	for _, e := range v.active {
 		if e.State == Suspect {
-			suspected = append(suspected, e)
+			suspects = append(suspects, e)
 		}
 	}
-	slices.SortFunc(suspected, func(a, b *entry) int { return cmp.Compare(a.ID, b.ID) })
-	for ring := range ringCount {
-		own := ringPosition(v.self.ID, ring)
-		after := math.Inf(1) // of the first that is not suspected
-		dist := func(id ID) float64 { return float64(ringPosition(id, ring) - own) }
-		var next *entry
-		for i, id := range v.ids {
-			if d := dist(id); d < after {
-				if e := v.entries[i]; e.State == Alive && e != v.self {
-					next, after = e, d
-				}
+	slices.SortFunc(suspects, func(a, b *entry) int { return cmp.Compare(a.ID, b.ID) })
+	return suspects
+}
+
+// chooseOnRing adds the neighbors on one ring, in the order of IDs: the next live member, and up to ringCount suspect ones before it.
+func (v *View) chooseOnRing(ring int, suspects []*entry) {
+	own := ringPosition(v.self.ID, ring)
+	distance := func(id ID) float64 { return float64(ringPosition(id, ring) - own) }
+	var next *entry
+	nearest := math.Inf(1)
+	for i, id := range v.ids {
+		if d := distance(id); d < nearest {
+			if e := v.entries[i]; e.State == Alive && e != v.self {
+				next, nearest = e, d
 			}
 		}
-		v.nearestLive[ring] = after
-		passed := 0
-		wantNext := func(before *entry) { // in the order of IDs
-			if next != nil && (before == nil || next.ID < before.ID) {
-				v.addNeighbor(next)
-				next = nil
-			}
+	}
+	v.nearestLive[ring] = nearest
+	passed := 0
+	for _, e := range suspects {
+		if distance(e.ID) >= nearest || passed == ringCount {
+			continue
 		}
-		for _, e := range suspected {
-			if dist(e.ID) < after && passed < ringCount {
-				passed++
-				wantNext(e)
-				v.addNeighbor(e)
-			}
+		passed++
+		if next != nil && next.ID < e.ID {
+			v.addNeighbor(next)
+			next = nil
 		}
-		wantNext(nil)
+		v.addNeighbor(e)
 	}
-	for _, id := range v.requested {
-		if e := v.byID[id]; e != nil && e != v.self && !e.State.IsDeadOrLeft() {
-			v.addNeighbor(e)
-		}
+	if next != nil {
+		v.addNeighbor(next)
 	}
 }
 
-// want has a link kept to one.
+// addNeighbor has this member keep a link to another and detect its silence.
 func (v *View) addNeighbor(e *entry) {
 	if !e.isNeighbor {
 		v.restartSilence(e)
@@ -84,22 +102,16 @@
 	v.activate(e)
 }
 
-// await has one that is to be a neighbour, and to whom there is no link, have its time anew.
+// restartSilence gives a member that was not watched, and to which there is no link, the full time until it is silent.
 func (v *View) restartSilence(e *entry) {
 	if e.link == nil && v.now >= e.watchedUntil {
 		e.lastHeard, e.nextDial, e.failedDials = v.now, v.now, 0
 	}
 }
 
-var noNeighbors = func() (d [ringCount]float64) {
-	for i := range d {
-		d[i] = math.Inf(1)
-	}
-	return d
-}()
-
-// near tells whether a change of one can change who the neighbours are: on some ring it is no farther than the next one that is
-// not suspected. Danger: chosen anew with each change, a fleet that forms costs by the cube of its size.
+// affectsNeighbors reports whether a change of an entry can change who the neighbors are: it is requested, or on some ring no farther
+// than the next live member. Danger: if neighbors were chosen anew with each change, a fleet that forms would cost by the cube of its
+// size.
 func (v *View) affectsNeighbors(e *entry) bool {
 	if slices.Contains(v.requested, e.ID) {
 		return true
@@ -112,7 +124,7 @@
 	return false
 }
 
-// ringOrder is a member's place on a ring.
+// ringPosition returns a member's position on a ring.
 func ringPosition(id ID, ring int) uint64 {
 	return mix(uint64(id) + bits.RotateLeft64(0x9e3779b97f4a7c15, 11*ring))
 }
--- a/internal/decide/swim/probe.go
+++ b/internal/decide/swim/probe.go
@@ -5,22 +5,40 @@
 	"slices"
 )
 
-// suspects returns how many are suspected, and how many are not gone.
-func (v *View) countSuspects() (suspected, live int) {
+// probeIfDue probes a member if it is time. While many members are suspect at once, their neighbors may be gone as well: then any
+// member is probed, at shorter intervals.
+func (v *View) probeIfDue() {
+	if v.now < v.nextProbe && v.now < v.nextMassFailureProbe {
+		return
+	}
+	suspects, live := v.countSuspects()
+	isMassFailure := suspects*massFailureFraction > live
+	if isMassFailure && v.probeInterval > massFailureProbeIntervalSeconds {
+		v.probeInterval = massFailureProbeIntervalSeconds
+	}
+	if isMassFailure || v.now >= v.nextProbe {
+		v.probe(isMassFailure)
+	}
+	v.nextMassFailureProbe = v.now + min(v.probeInterval, massFailureProbeIntervalSeconds)
+}
+
+// countSuspects returns the number of suspect members, and if there are any the number of live ones.
+func (v *View) countSuspects() (suspects, live int) {
 	for _, e := range v.active {
 		if e.State == Suspect {
-			suspected++
+			suspects++
 		}
 	}
-	if suspected > 0 {
+	if suspects > 0 {
 		live = v.LiveCount()
 	}
-	return suspected, live
+	return suspects, live
 }
 
-// verify calls one that lives by the word of others alone and that this member has never met, or any that it does not watch.
+// probe dials a random member that is alive by the word of others and that this one was never linked to; with any also one that it
+// was. It is watched from then on for watchGraceSeconds. The interval to the next probe adapts to the result of the last one.
 func (v *View) probe(any bool) {
-	// Danger: calls at members that are only slow would slow them more. The pace grows with those that are not there alone.
+	// Danger: probes of members that are only slow would slow them down more. Only those that can't be dialed shorten the interval.
 	if e := v.probed; e != nil && e.failedDials > 0 {
 		v.probeInterval = max(v.probeInterval/4, minProbeIntervalSeconds)
 	} else if e == nil || e.link != nil || e.wasLinked {
@@ -28,9 +46,9 @@
 	}
 	v.probed = nil
 	v.nextProbe = v.now + v.probeInterval*(0.5+v.rng.Float64())
-	from := v.rng.IntN(len(v.entries))
+	start := v.rng.IntN(len(v.entries))
 	for i := range v.entries {
-		if e := v.entries[(from+i)%len(v.entries)]; e != v.self && (any || !e.wasLinked) && e.State == Alive && !e.isWatched(v.now) {
+		if e := v.entries[(start+i)%len(v.entries)]; e != v.self && (any || !e.wasLinked) && e.State == Alive && !e.isWatched(v.now) {
 			e.lastHeard, e.nextDial, e.failedDials, e.watchedUntil = v.now, v.now, 0, v.now+watchGraceSeconds
 			v.probed = e
 			v.activate(e)
@@ -39,39 +57,46 @@
 	}
 }
 
-// heal calls those that are not heard, now and then, so that parts of a fleet that was cut meet again. All together do so a
-// few times a second, however many they are.
+// reconnect dials a dead member or a join address from time to time, so that the sides of a partition meet again. The interval grows
+// with the fleet: all members together dial reconnectsPerSecond. A member that knows nobody dials all at once.
 func (v *View) reconnect() {
 	if v.now < v.nextReconnect {
 		return
 	}
 	live := v.LiveCount()
 	v.nextReconnect = v.now + max(1, float64(live)/reconnectsPerSecond)*(0.5+v.rng.Float64())
-	var addresses []string
-	dead := slices.DeleteFunc(slices.Clone(v.departed), func(e *entry) bool { return e.State != Dead || e.Address == v.address })
-	slices.SortFunc(dead, func(a, b *entry) int { return cmp.Compare(a.ID, b.ID) })
-	for _, e := range dead {
-		addresses = append(addresses, e.Address)
-	}
-	for _, a := range v.settings.Join {
-		if e := v.byID[v.joinIDs[a]]; a != v.address && (e == nil || e != v.self && e.State.IsDeadOrLeft()) && !v.hasLiveAddress(a) {
-			addresses = append(addresses, a)
-		}
-	}
+	addresses := v.reconnectAddresses()
 	if len(addresses) == 0 {
 		return
 	}
-	if live == 1 && len(addresses) <= 8 { // nobody is known: all at once
+	if live == 1 && len(addresses) <= maxReconnectsAtOnce {
 		v.nextReconnect = v.now + 0.5 + 0.5*v.rng.Float64()
-		for _, a := range addresses {
-			v.dial(a, 0)
+		for _, address := range addresses {
+			v.dial(address, 0)
 		}
 		return
 	}
 	v.dial(addresses[v.rng.IntN(len(addresses))], 0)
 }
 
-// lives tells whether one that lives has an address.
+// reconnectAddresses returns the addresses of dead members, in the order of IDs, and the join addresses at which nobody is known to
+// be alive.
+func (v *View) reconnectAddresses() (addresses []string) {
+	dead := slices.DeleteFunc(slices.Clone(v.departed), func(e *entry) bool { return e.State != Dead || e.Address == v.address })
+	slices.SortFunc(dead, func(a, b *entry) int { return cmp.Compare(a.ID, b.ID) })
+	for _, e := range dead {
+		addresses = append(addresses, e.Address)
+	}
+	for _, address := range v.settings.Join {
+		e := v.byID[v.joinIDs[address]]
+		if address != v.address && (e == nil || e != v.self && e.State.IsDeadOrLeft()) && !v.hasLiveAddress(address) {
+			addresses = append(addresses, address)
+		}
+	}
+	return addresses
+}
+
+// hasLiveAddress reports whether a live member has an address.
 func (v *View) hasLiveAddress(address string) bool {
 	return slices.ContainsFunc(v.entries, func(e *entry) bool { return e.Address == address && !e.State.IsDeadOrLeft() })
 }
--- a/internal/decide/swim/record.go
+++ b/internal/decide/swim/record.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// ID is an identity: it survives a restart with its state, and is drawn anew without.
+// ID is the identity of a member. It is kept with the member's state over restarts; a member without state draws a new one.
 type ID uint64
 
 // String returns the identity as 16 hexadecimal digits.
@@ -15,20 +15,20 @@
 	return "0000000000000000"[:16-len(s)] + s
 }
 
-// State is what is held of a member.
+// State is the state of a member.
 type State uint8
 
-// The states. At one version the greater one holds.
+// The states. Their numbers are sent; of two records of one version the one with the greater state prevails.
 const (
 	Alive   State = iota
-	Suspect       // one at least does not hear it, and it has not answered to that
+	Suspect       // at least one member hears nothing from it, and it has not refuted that
 	Dead
-	Left // by its own word
+	Left // announced by the member itself
 )
 
 var stateNames = [...]string{"alive", "suspected", "dead", "left"}
 
-// String names the state; what came over a link may be none.
+// String returns the name of the state as operators read it; "unknown" for a number that is none.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -36,67 +36,77 @@
 	return "unknown"
 }
 
-// Gone tells whether a member is dead or has left.
+// IsDeadOrLeft reports whether a member takes part no more.
 func (s State) IsDeadOrLeft() bool { return s >= Dead }
 
-// Version orders what is said of one identity. Danger: two processes may claim the same one, from a copied folder, and
-// count their incarnations alike; the number that each has drawn for its life tells them apart.
+// Version orders the records of one identity. Danger: two processes may have the same identity, from a copied state folder, and count
+// incarnations alike; the BootID tells them apart.
 type Version struct {
-	Incarnation uint64 `msgpack:"i"` // grows with each life, and within a life with each refutation
-	BootID      uint64 `msgpack:"l"` // drawn at the start of each process
+	Incarnation uint64 `msgpack:"i"` // grows with each start of the process, and with each refutation
+	BootID      uint64 `msgpack:"l"` // random, drawn at the start of the process
 }
 
-// Compare orders versions.
+// Compare orders versions by incarnation, then by BootID.
 func (v Version) Compare(o Version) int {
 	return cmp.Or(cmp.Compare(v.Incarnation, o.Incarnation), cmp.Compare(v.BootID, o.BootID))
 }
 
-// Record is what one member tells another of a third, or of itself. Of two records of one identity Merge makes one; in what
-// order they come makes no difference.
+// Record is what is known of one member, and the unit of dissemination. Merge joins two records of one identity; the order in which
+// records arrive makes no difference.
 type Record struct {
 	ID         ID      `msgpack:"d"`
 	Version    Version `msgpack:"v"`
 	State      State   `msgpack:"s,omitempty"`
 	Name       string  `msgpack:"n,omitempty"`
-	Address    string  `msgpack:"a,omitempty"` // where it is dialed, with its port
-	Accusers   []ID    `msgpack:"b,omitempty"` // who do not hear it; of one that is dead, whose word it was
-	AgeSeconds float64 `msgpack:"t,omitempty"` // for how long it has been dead or left, by clocks that ran since
-	Durable    bool    `msgpack:"k,omitempty"` // its state outlives the process: it can be an elector
+	Address    string  `msgpack:"a,omitempty"` // host and port to dial
+	Accusers   []ID    `msgpack:"b,omitempty"` // of a suspect member: who hears nothing from it, at most maxAccusers; of a dead one: who declared it
+	AgeSeconds float64 `msgpack:"t,omitempty"` // since it is dead or has left, added up over the senders' clocks
+	Durable    bool    `msgpack:"k,omitempty"` // its state outlives the process, so it can be a voter
 }
 
-// sane tells whether a record can be one.
+// Bounds of a record that is accepted from a peer.
+const (
+	maxIncarnation      = 1 << 62
+	maxNameLen          = 128
+	maxAddressLen       = 256
+	maxRecordAccusers   = 16
+	maxRecordAgeSeconds = 1e9
+)
+
+// isValid reports whether a record from a peer is within its bounds.
 func isValid(r *Record) bool {
-	return r.Version.Incarnation < 1<<62 && r.State <= Left && r.ID != 0 && len(r.Name) <= 128 && len(r.Address) <= 256 && r.Address != "" && len(r.Accusers) <= 16 &&
-		r.AgeSeconds >= 0 && r.AgeSeconds < 1e9
+	return r.ID != 0 && r.Version.Incarnation < maxIncarnation && r.State <= Left &&
+		len(r.Name) <= maxNameLen && len(r.Address) <= maxAddressLen && r.Address != "" &&
+		len(r.Accusers) <= maxRecordAccusers && r.AgeSeconds >= 0 && r.AgeSeconds < maxRecordAgeSeconds
 }
 
-// Merge makes one record of two of the same identity, and tells whether that is another than the first.
-func Merge(a, b Record) (Record, bool) {
+// Merge joins two records of one identity, and reports whether the result differs from the first.
+func Merge(a, b Record) (merged Record, changed bool) {
 	switch c := b.Version.Compare(a.Version); {
 	case c < 0:
 		return a, false
 	case c > 0:
 		return b, true
 	}
-	keeps := a.Durable || b.Durable // who passes a record on may be of a version that does not know the flag
+	durable := a.Durable || b.Durable // a sender of an older release doesn't know the field and omits it
 	if b.State > a.State {
 		if b.State == Suspect {
 			b.Accusers = mergeAccusers(a.Accusers, b.Accusers)
 		}
-		b.Durable = keeps
+		b.Durable = durable
 		return b, true
 	}
-	news := a.Durable != keeps
-	a.Durable = keeps
+	changed = a.Durable != durable
+	a.Durable = durable
 	if b.State == a.State && a.State == Suspect {
-		if by := mergeAccusers(a.Accusers, b.Accusers); !slices.Equal(by, a.Accusers) {
-			a.Accusers, news = by, true
+		if accusers := mergeAccusers(a.Accusers, b.Accusers); !slices.Equal(accusers, a.Accusers) {
+			a.Accusers, changed = accusers, true
 		}
 	}
-	return a, news
+	return a, changed
 }
 
-// union returns the accusers of both, the least ones where they are more than enough.
+// mergeAccusers returns the union of two sets in the order of IDs, cut to the first maxAccusers.
 func mergeAccusers(a, b []ID) []ID {
 	all := append(slices.Clone(a), b...)
 	slices.Sort(all)
--- a/internal/decide/swim/stablerank.go
+++ b/internal/decide/swim/stablerank.go
@@ -1,63 +1,65 @@
 package swim
 
-// Part is a sidecar's place in its fleet as its decisions are told it. It follows the live count late: a rank or a count
-// moves the subset, and with it links and what is known of hosts.
+// DeadHoldSeconds is for how long a dead member still counts for ranks.
+const DeadHoldSeconds = 8.0
+
+const (
+	stableSeconds   = 2.0 // for which a new rank must hold before it is used
+	maxDelaySeconds = 6.0 // after which the latest one is used though it keeps changing
+	maxScale        = 32  // by which the live count may exceed the configured one, or fall short of it
+)
+
+// StableRank is the rank of a member and the count that it is out of, as decisions use them. It follows View.Rank with a delay: a
+// change of rank or count changes the subset of servers, and with it connections and what is known of them. It is not safe for
+// concurrent use.
 type StableRank struct {
-	ConfiguredRank, ConfiguredCount int // by the settings; they hold where nobody else is heard
+	ConfiguredRank, ConfiguredCount int // used while no other member is known
 	current, candidate              rankOf
-	candidateSince, divergedSince   float64 // of next, and of the first that differed
+	candidateSince, divergedSince   float64 // since when candidate has held, and since when the rank has differed from current
 	isDiverging                     bool
 }
 
+// rankOf is a rank out of a count.
 type rankOf struct {
 	rank, count  int
-	isConfigured bool // by the settings, as rank the number that they give
+	isConfigured bool
 }
 
-const (
-	stableSeconds   = 2.0 // for which a new place must hold
-	maxDelaySeconds = 6.0 // after which the latest is taken even though it goes on changing
-	maxScale        = 32  // times the settings' count, or a part of it, that the live one may be: beyond is no fleet that was planned
-)
-
-// HoldS is how long one that has died still counts.
-const DeadHoldSeconds = 8.0
-
-// NewPart returns the place that the settings tell.
-func NewStableRank(self, replicas int) StableRank {
-	return StableRank{ConfiguredRank: self, ConfiguredCount: replicas, current: rankOf{self, max(replicas, 1), true}}
+// NewStableRank returns the configured rank and count.
+func NewStableRank(rank, count int) StableRank {
+	return StableRank{ConfiguredRank: rank, ConfiguredCount: count, current: rankOf{rank, max(count, 1), true}}
 }
 
-// Now returns the place that is in force.
-func (p *StableRank) Current() (rank, count int) { return p.current.rank, p.current.count }
+// Current returns the rank and count to use.
+func (r *StableRank) Current() (rank, count int) { return r.current.rank, r.current.count }
 
-// Told tells whether that is the settings' number among so many, and no rank among those that live.
-func (p *StableRank) IsConfigured() bool { return p.current.isConfigured }
+// IsConfigured reports whether Current returns the configured values.
+func (r *StableRank) IsConfigured() bool { return r.current.isConfigured }
 
-// Update takes what is seen now, and tells whether another place is in force from here on. Who sees nobody else is cut off
-// and goes by its settings.
-func (p *StableRank) Update(now float64, rank, count int) bool {
-	alone := count <= 1
-	if alone {
-		rank, count = p.ConfiguredRank, max(p.ConfiguredCount, 1)
+// Update takes the observed rank and count, and reports whether Current changed. A member that knows no other one (a count of 1) is
+// isolated and uses its configured values.
+func (r *StableRank) Update(now float64, rank, count int) bool {
+	isAlone := count <= 1
+	configured := max(r.ConfiguredCount, 1)
+	if isAlone {
+		rank, count = r.ConfiguredRank, configured
 	}
-	told := max(p.ConfiguredCount, 1)
-	if bounded := min(max(count, (told+maxScale-1)/maxScale), told*maxScale); bounded != count {
+	if bounded := min(max(count, (configured+maxScale-1)/maxScale), configured*maxScale); bounded != count {
 		rank, count = rank%bounded, bounded
 	}
-	next := rankOf{rank, count, alone}
-	if next == p.current {
-		p.isDiverging = false
+	next := rankOf{rank, count, isAlone}
+	if next == r.current {
+		r.isDiverging = false
 		return false
 	}
-	if !p.isDiverging {
-		p.isDiverging, p.divergedSince, p.candidateSince, p.candidate = true, now, now, next
-	} else if next != p.candidate {
-		p.candidate, p.candidateSince = next, now
+	if !r.isDiverging {
+		r.isDiverging, r.divergedSince, r.candidateSince, r.candidate = true, now, now, next
+	} else if next != r.candidate {
+		r.candidate, r.candidateSince = next, now
 	}
-	if now-p.candidateSince < stableSeconds && now-p.divergedSince < maxDelaySeconds {
+	if now-r.candidateSince < stableSeconds && now-r.divergedSince < maxDelaySeconds {
 		return false
 	}
-	p.isDiverging, p.current = false, next
+	r.isDiverging, r.current = false, next
 	return true
 }
--- a/internal/decide/swim/suspicion.go
+++ b/internal/decide/swim/suspicion.go
@@ -5,19 +5,45 @@
 	"slices"
 )
 
-// watchedBy tells whether this member is to notice the silence of another.
+// detectFailures closes links that are silent, makes watched members suspect whose silence lasted too long, and suspect ones dead
+// that are due. Members that need no more watching become inactive.
+func (v *View) detectFailures() {
+	for _, e := range slices.Clone(v.active) {
+		if e.link != nil && v.now-e.lastHeard > linkTimeoutSeconds*float64(1+v.healthScore) {
+			// Danger: over a path that was interrupted TCP retransmits ever later, where a new link would be up at once.
+			e.watchedUntil, e.nextDial = v.now+watchGraceSeconds, v.now
+			v.dropLink(e.link)
+		}
+		switch {
+		case e.State == Suspect && e.deadAt > 0 && v.now >= e.deadAt:
+			v.stats.Deaths++
+			v.changeEntry(e, true, func() { e.State, e.stateSince, e.Accusers = Dead, v.now, []ID{v.self.ID} })
+			v.enqueueUpdate(e, 0)
+		case e.State.IsDeadOrLeft():
+		case e.isWatched(v.now) && v.isSilent(e):
+			v.suspectSilent(e)
+		}
+	}
+	v.active = slices.DeleteFunc(v.active, func(e *entry) bool {
+		e.isActive = e.State == Suspect || e.isWatched(v.now)
+		return !e.isActive
+	})
+}
+
+// isWatched reports whether this member detects the silence of another.
 func (e *entry) isWatched(now float64) bool {
 	return e.isNeighbor || e.link != nil || now < e.watchedUntil
 }
 
-// silent tells whether another was not heard for too long.
+// isSilent reports whether nothing was heard from a member for too long.
 func (v *View) isSilent(e *entry) bool {
-	patience := float64(1 + v.healthScore)
-	quiet := v.now - e.lastHeard
-	return quiet > silenceTimeoutSeconds*patience || e.failedDials >= 2 && quiet > refusedTimeoutSeconds*patience
+	multiplier := float64(1 + v.healthScore)
+	silence := v.now - e.lastHeard
+	return silence > silenceTimeoutSeconds*multiplier || e.failedDials >= 2 && silence > refusedTimeoutSeconds*multiplier
 }
 
-// miss accuses one that is silent, unless it has just shown others that it lives.
+// suspectSilent accuses a silent member, unless this one has done so already, enough others have, or a recent accusation by this one
+// alone was refuted.
 func (v *View) suspectSilent(e *entry) {
 	if slices.Contains(e.Accusers, v.self.ID) && e.State == Suspect || len(e.Accusers) >= maxAccusers {
 		return
@@ -32,7 +58,7 @@
 	v.accuse(e)
 }
 
-// accuse says that this member does not hear another.
+// accuse makes a member suspect if it is alive, adds this one to its accusers, and sends the record to all.
 func (v *View) accuse(e *entry) {
 	v.stats.Accusations++
 	v.changeEntry(e, true, func() {
@@ -45,7 +71,8 @@
 	v.enqueueUpdate(e, 0)
 }
 
-// suspect sets when one that is suspected is dead: the sooner the more do not hear it.
+// scheduleDeath sets when a suspect member will be dead; more accusers make it sooner. If this member hears nothing from it either,
+// it joins the accusers.
 func (v *View) scheduleDeath(e *entry) {
 	if e.State != Suspect || e == v.self {
 		return
@@ -55,15 +82,16 @@
 		e.deadAt = at
 	}
 	v.activate(e)
-	// Danger: one that two others miss as well is no fault of this member's link.
+	// Danger: mutedUntil guards against faults of this member's own link. A member that others accuse too is not muted.
 	if len(e.Accusers) < maxAccusers && e.isWatched(v.now) && v.isSilent(e) && !slices.Contains(e.Accusers, v.self.ID) {
 		v.accuse(e)
 	}
 }
 
-// patience is how long one is suspected that so many do not hear.
+// suspicionTimeout returns for how many seconds a member with so many accusers stays suspect. As in Lifeguard it falls with the
+// logarithm of their number, from maxSuspicionSeconds for one to minSuspicionSeconds for all that can accuse, maxAccusers at most.
 func (v *View) suspicionTimeout(accusers int) float64 {
-	able := 0 // to accuse it
+	able := 0 // members that can accuse, up to maxAccusers
 	for _, e := range v.entries {
 		if e.State == Alive {
 			if able++; able >= maxAccusers {
--- a/internal/decide/swim/updates.go
+++ b/internal/decide/swim/updates.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// hear takes a record that came by a link.
+// handleRecord merges a record that came over a link, and passes on what is new.
 func (v *View) handleRecord(r Record, from int) {
 	if !isValid(&r) {
 		v.stats.Rejected++
@@ -13,69 +13,82 @@
 	}
 	e := v.byID[r.ID]
 	if v.isFirstLink(from) {
-		// Danger: of a large fleet the others that one meets tell as much as the first, and sooner. Measured by what it knew
-		// before, itself alone, it would have no room for what is new for ten seconds.
+		// Danger: in a large fleet the peers after the first one report as many members, and earlier. Against what a new member
+		// knew before, which is itself alone, most of them would exceed the limit on newcomers for ten seconds.
 		v.newcomersBase++
 	}
-	if e == v.self {
-		v.handleOwnRecord(r, from)
-		return
+	switch {
+	case e == nil:
+		v.addNewcomer(r, from)
+	case e == v.self:
+		v.handleOwnRecord(r)
+	case r.State == e.State && r.State != Suspect && r.Version == e.Version && (e.Durable || !r.Durable):
+		// Most records have arrived over another link before.
+	default:
+		v.mergeRecord(e, r, from)
 	}
-	if e == nil {
-		if r.State.IsDeadOrLeft() && r.AgeSeconds > forgetAfterSeconds-digestMarginSeconds || !v.admitNewcomer(from) || len(v.entries) >= maxMembers && !v.evictOldest() {
-			v.stats.Rejected++
-			return
-		}
-		e = &entry{Record: r, stateSince: v.now - r.AgeSeconds, lastHeard: v.now}
-		v.insert(e)
-		v.changeEntry(e, false, func() {})
-		v.scheduleDeath(e)
-		v.enqueueUpdate(e, from)
+}
+
+// addNewcomer adds a member that was not known, if there is room.
+func (v *View) addNewcomer(r Record, from int) {
+	isExpired := r.State.IsDeadOrLeft() && r.AgeSeconds > forgetAfterSeconds-digestMarginSeconds
+	if isExpired || !v.admitNewcomer(from) || len(v.entries) >= maxMembers && !v.evictOldest() {
+		v.stats.Rejected++
 		return
 	}
-	if r.State == e.State && r.State != Suspect && r.Version == e.Version && (e.Durable || !r.Durable) {
-		return // most of what comes has come by another link
-	}
-	if r.State == Dead && e.State == Alive && r.Version.Compare(e.Version) >= 0 {
-		// Danger: one that was cut off has called others dead that nobody asked, and comes back with that. They get the time to
-		// say no that they would have had.
-		defer func() {
-			if e.State == Suspect && e.Version == r.Version {
-				e.deadAt = v.now + minSuspicionSeconds
-			}
-		}()
-		r.State = Suspect
-		if r.AgeSeconds = 0; len(r.Accusers) == 0 {
+	e := &entry{Record: r, stateSince: v.now - r.AgeSeconds, lastHeard: v.now}
+	v.insert(e)
+	v.changeEntry(e, false, func() {})
+	v.scheduleDeath(e)
+	v.enqueueUpdate(e, from)
+}
+
+// mergeRecord merges a record into that of a known member.
+//
+// Danger: a member that was partitioned off declared others dead that could not refute it, and comes back with that. So the death of a
+// member that is alive here counts as an accusation, with the time to refute it that the member would have had.
+func (v *View) mergeRecord(e *entry, r Record, from int) {
+	isLateDeath := r.State == Dead && e.State == Alive && r.Version.Compare(e.Version) >= 0
+	if isLateDeath {
+		r.State, r.AgeSeconds = Suspect, 0
+		if len(r.Accusers) == 0 {
 			r.Accusers = []ID{v.self.ID}
 		}
 	}
-	merged, news := Merge(e.Record, r)
-	if !news {
-		return
+	if merged, changed := Merge(e.Record, r); changed {
+		v.applyMerged(e, merged, r.AgeSeconds, from)
 	}
+	if isLateDeath && e.State == Suspect && e.Version == r.Version {
+		e.deadAt = v.now + minSuspicionSeconds
+	}
+}
+
+// applyMerged replaces the record of a member and passes it on.
+func (v *View) applyMerged(e *entry, merged Record, ageSeconds float64, from int) {
 	if merged.Version != e.Version {
 		e.wasLinked = false
 	}
-	risen := merged.Version.Compare(e.Version) > 0
+	hasRisen := merged.Version.Compare(e.Version) > 0
 	v.changeEntry(e, true, func() {
 		was := e.State
 		e.Record = merged
 		if e.AgeSeconds = 0; merged.State != was || merged.State.IsDeadOrLeft() {
-			e.stateSince = v.now - r.AgeSeconds
+			e.stateSince = v.now - ageSeconds
 		}
 	})
-	if risen && !e.State.IsDeadOrLeft() {
+	if hasRisen && !e.State.IsDeadOrLeft() {
 		e.deadAt = 0
 		if e.link == nil {
-			e.lastHeard = max(e.lastHeard, v.now-silenceTimeoutSeconds/2) // it has spoken to others just now
+			e.lastHeard = max(e.lastHeard, v.now-silenceTimeoutSeconds/2) // others have heard from it just now
 		}
 	}
 	v.scheduleDeath(e)
 	v.enqueueUpdate(e, from)
 }
 
-// admit tells whether one more that nobody knew is believed in. Danger: one broken sidecar can tell of thousands that do not
-// exist, and each would have to be called before it counts as dead. Who has just come believes the first that it meets.
+// admitNewcomer reports whether a member that was not known is accepted on the word of a link. Danger: one broken sidecar can report
+// thousands of members that don't exist, each of which would have to be probed before it is dead. A member that has just joined
+// accepts everything from its first link.
 func (v *View) admitNewcomer(from int) bool {
 	if v.now >= v.newcomersSince+newcomerWindowSeconds || v.newcomersSince == 0 {
 		v.newcomersSince, v.newcomersBase, v.newcomersAdmitted = v.now, len(v.entries), 0
@@ -87,12 +100,12 @@
 	return v.newcomersAdmitted <= max(maxNewcomers, 2*v.newcomersBase)
 }
 
-// taught tells whether a link is the first of one that has just come.
-func (v *View) isFirstLink(from int) bool {
-	return from != 0 && from == v.firstLink && v.now < v.firstLinkAt+firstLinkTrustSeconds
+// isFirstLink reports whether a link is the first one of a member that has just joined.
+func (v *View) isFirstLink(number int) bool {
+	return number != 0 && number == v.firstLink && v.now < v.firstLinkAt+firstLinkTrustSeconds
 }
 
-// tell has a record told to all links but the one that it came by.
+// enqueueUpdate has the record of an entry sent over all links but the one that it came by; 0: over all.
 func (v *View) enqueueUpdate(e *entry, from int) {
 	if e.isQueued {
 		if e.sourceLink != from {
@@ -104,7 +117,7 @@
 	v.updates = append(v.updates, e)
 }
 
-// record returns what is said of an entry.
+// recordOf returns the record of an entry as it is sent now.
 func (v *View) recordOf(e *entry) Record {
 	r := e.Record
 	if r.State.IsDeadOrLeft() {
@@ -113,28 +126,26 @@
 	return r
 }
 
-// flush tells what is new.
+// sendUpdates sends the queued updates. Danger: a link may end while something is sent over it, and the nested call of LinkDown has
+// sent all updates over the other links by then.
 func (v *View) sendUpdates() {
 	if len(v.updates) == 0 {
 		return
 	}
 	if !v.lostIdentity {
-		var common []*Message // for those that have brought none of it, which are all but one as a rule
-		// Danger: a link may end while something is sent over it, and what is new is told to all others by then.
+		var common []*Message // for links over which no update came, usually all but one
 		for _, l := range slices.Clone(v.links) {
 			if len(v.updates) == 0 {
 				return
 			}
+			messages := common
 			if slices.ContainsFunc(v.updates, func(e *entry) bool { return e.sourceLink == l.number }) {
-				for _, m := range v.updateMessages(l.number) {
-					v.actions.Send(l.number, m)
-				}
-				continue
-			}
-			if common == nil {
+				messages = v.updateMessages(l.number)
+			} else if common == nil {
 				common = v.updateMessages(0)
+				messages = common
 			}
-			for _, m := range common {
+			for _, m := range messages {
 				v.actions.Send(l.number, m)
 			}
 		}
@@ -145,11 +156,11 @@
 	v.updates = v.updates[:0]
 }
 
-// messages returns what is new, but for what came by a link.
-func (v *View) updateMessages(but int) (all []*Message) {
+// updateMessages returns messages with the queued updates, without those that came over a link.
+func (v *View) updateMessages(excluded int) (all []*Message) {
 	records := make([]Record, 0, min(len(v.updates), maxRecordsPerMessage))
 	for _, e := range v.updates {
-		if but != 0 && e.sourceLink == but {
+		if excluded != 0 && e.sourceLink == excluded {
 			continue
 		}
 		if records = append(records, v.recordOf(e)); len(records) == maxRecordsPerMessage {
--- a/internal/decide/swim/view.go
+++ b/internal/decide/swim/view.go
@@ -5,145 +5,163 @@
 	"slices"
 )
 
-// Actions is what a View asks for. None may call back into it.
+// Actions is what a View asks of its caller. None of them may call back into the View before it returns, but for LinkDown.
 type Actions interface {
-	// Dial asks for a link to an address; LinkUp or NotUp follows.
+	// Dial asks for a link to an address; LinkUp or DialFailed follows.
 	Dial(address string)
-	// Send sends a message over a link. What the link can't take is lost, and found again by the sums. The message, which
-	// may go over several links, is never changed again.
+	// Send sends a message over a link. A message that the link can't take may be dropped: anti-entropy repairs the loss. The same
+	// message may be sent over several links and is never changed again.
 	Send(link int, m *Message)
-	// Close ends a link; LinkDown does not follow.
+	// Close closes a link; LinkDown does not follow.
 	Close(link int)
-	// Changed tells that what is held of a member has changed, for the log.
+	// MemberChanged reports, for logs, that a member's state changed from was, or that it is new (known is false).
 	MemberChanged(r Record, was State, known bool)
-	// Renew asks for another identity: this one is another process's. Become follows once it is on disk, and until then
-	// nothing is said.
-	ReplaceIdentity(why string)
+	// ReplaceIdentity asks for another identity, since another process has this one. AdoptIdentity follows once the new one is on
+	// disk; until then the View sends nothing.
+	ReplaceIdentity(reason string)
 }
 
-// View is one member's view of its fleet.
+// View is the membership as one member knows it. It is not safe for concurrent use. All times are seconds of one clock that does not
+// go back; each method that takes the time may call Actions.
 type View struct {
 	settings Settings
 	actions  Actions
 	rng      *rand.Rand
-	self     *entry
-	entries  []*entry      // by ID, with self
-	ids      []ID          // of all, in the same order: Danger: a look at thousands of entries is a miss of the cache for each
-	departed []*entry      // with some that have come back; swept now and then
-	active   []*entry      // that are suspected or watched: Danger: a look at all with each message costs by the square of the fleet
-	byID     map[ID]*entry // looked up, never walked
+	now      float64
 
-	links                []*link
-	dials                map[string]ID // those under way whose other end is known; 0: it is not
-	joinIDs              map[string]ID // who was found at an address to join by
-	name, address        string
-	requested            []ID    // by Want
-	firstLink            int     // the first link
-	firstLinkAt          float64 // when it came up
-	now                  float64
+	// The members. Lookups only go by byID; it is never iterated.
+	self     *entry
+	entries  []*entry // by ID, self included
+	ids      []ID     // of entries, in the same order. Danger: iterating over thousands of entries costs a cache miss each
+	byID     map[ID]*entry
+	departed []*entry // dead or left, and some that came back; swept from time to time
+	active   []*entry // suspect or watched. Danger: iterating over all entries for each message costs by the square of the fleet
+	changes  uint64
+
+	// The identity.
+	name, address string
+	lostIdentity  bool // nothing is sent
+	hasLeft       bool
+	isReplaced    bool
+
+	// Links and neighbors.
+	links            []*link
+	dials            map[string]ID // in progress, by address: the member expected there; 0: unknown
+	joinIDs          map[string]ID // who was found at an address of Settings.Join
+	requested        []ID          // by RequestLinks
+	neighbors        []*entry
+	neighborsStale   bool // must be chosen anew
+	neighborsTouched bool // a change that leaves them as they are
+	nearestLive      [ringCount]float64
+	firstLink        int // number of the first link ever; 0: none yet
+	firstLinkAt      float64
+
+	// Failure detection.
+	healthScore     int // of Lifeguard: reasons to distrust this member's own observations
+	healthChangedAt float64
+	probed          *entry // by the last probe
+	probeInterval   float64
+
+	// Dissemination.
+	updates           []*entry // whose records are to be sent
+	digest            uint64   // of all bucketDigests
+	bucketDigests     [bucketCount]uint64
+	digestChangedAt   float64
+	lastSync          float64
+	newcomersSince    float64 // start of the window in which newcomers are counted
+	newcomersBase     int     // members known at its start, and those that the first link reported since
+	newcomersAdmitted int     // on the word of others since
+
+	// When what is due next.
 	nextTick             float64
-	nextSweep            float64 // when the gone are looked at next
 	nextHeartbeat        float64
+	nextSweep            float64
 	nextReconnect        float64
 	nextProbe            float64
 	nextMassFailureProbe float64
-	probed               *entry  // who is being called
-	probeInterval        float64 // between two calls
-	newcomersSince       float64 // when newcomers were counted anew
-	newcomersBase        int     // that were known then, and that the first link tells of
-	newcomersAdmitted    int     // that came by others' word since
-	lastSync             float64
-	healthScore          int // doubts about oneself
-	healthChangedAt      float64
-	digestChangedAt      float64 // when the sum last changed
-	digest               uint64
-	bucketDigests        [bucketCount]uint64 // sum is that of these
-	neighborsStale       bool                // the neighbours are to be chosen anew
-	neighborsTouched     bool                // something has changed that can't change them
-	neighbors            []*entry
-	nearestLive          [ringCount]float64 // to the next one on each ring that is not suspected
-	lostIdentity         bool               // nothing is said: the identity is another's
-	hasLeft              bool
-	isReplaced           bool
-	updates              []*entry
-	changes              uint64
-	stats                Stats
+
+	stats Stats
 }
 
-// entry is what is held of a member.
+// entry is a member with what this one knows beside its record.
 type entry struct {
 	Record
-	stateSince float64 // of the state
-	deadAt     float64 // of one that is suspected: when it is dead
+	stateSince float64
+	deadAt     float64 // of a suspect member: when it will be dead; 0: not scheduled
 
-	link         *link // nil: there is none that both know of
+	link         *link // nil: none that both ends know of
 	watchedUntil float64
-	lastHeard    float64 // when it last said anything, or was first waited for
-	failedDials  int     // dials in a row
+	lastHeard    float64 // last message, or since when one is expected
+	failedDials  int     // in a row
 	nextDial     float64
-	mutedUntil   float64 // no accusation by this member alone before
+	mutedUntil   float64 // this member alone doesn't accuse it before
 	muteSeconds  float64
-	sourceLink   int // the link that it came by; 0: none
+	sourceLink   int // over which the queued update came; 0: several, or none
 
-	// Together: a fleet of 5,000 has 25 million entries in the laboratory.
-	isNeighbor bool // a neighbour on a ring, or asked for
+	// Kept together: a simulated fleet of 5,000 has 25 million entries.
+	isNeighbor bool // on a ring, or requested
 	isDialing  bool
-	wasLinked  bool // there was a link, with this version of it
-	isActive   bool // is looked at with each tick
-	isQueued   bool // is to be told
-	isDeparted bool // among those that are gone
-	isExpired  bool // gone for so long that it no longer counts for the sums
+	wasLinked  bool // there has been a link to this version of it
+	isActive   bool // is in View.active
+	isQueued   bool // is in View.updates
+	isDeparted bool // is in View.departed
+	isExpired  bool // has been dead or left for so long that it no longer counts for digests
 }
 
-// link is one that is up and whose other end is known.
+// link is an established link.
 type link struct {
 	number     int
 	peer       *entry
 	bootID     uint64 // of the process at the other end
-	dialedHere bool   // by this member
-	peerWants  bool   // the other does
-	mismatches int    // beats in a row with another sum
+	dialedHere bool
+	peerWants  bool // the other end wants to keep it
+	mismatches int  // heartbeats in a row with another digest
 }
 
-// Figures count what a View has done.
+// Stats count what a View has done.
 type Stats struct {
-	Accusations uint64 `json:"accusations"` // made by this member
-	Refutations uint64 `json:"refutations"` // of what was said of it
+	Accusations uint64 `json:"accusations"` // by this member
+	Refutations uint64 `json:"refutations"` // of accusations against this member
 	Deaths      uint64 `json:"deaths"`      // declared by this member
-	Stalls      uint64 `json:"stalls"`      // times that it stood still
-	Rejected    uint64 `json:"refused"`     // records that made no sense or had no room
-	Syncs       uint64 `json:"syncs"`       // comparisons of views that it began
+	Stalls      uint64 `json:"stalls"`      // of this process
+	Rejected    uint64 `json:"refused"`     // records that were invalid or had no room
+	Syncs       uint64 `json:"syncs"`       // comparisons of views that this member began
 }
 
-// New returns the view of a member that knows itself alone.
-func New(now float64, self Record, set Settings, do Actions) *View {
-	v := &View{settings: set, actions: do, rng: rand.New(rand.NewPCG(set.Seed, uint64(self.ID))), byID: map[ID]*entry{}, dials: map[string]ID{},
-		joinIDs: map[string]ID{}, now: now, probeInterval: maxProbeIntervalSeconds, name: self.Name, address: self.Address, nextTick: now, nextHeartbeat: now, digestChangedAt: now, healthChangedAt: now}
+// New returns the view of a member that knows only itself. The caller calls Tick at once.
+func New(now float64, self Record, settings Settings, actions Actions) *View {
+	v := &View{
+		settings: settings, actions: actions, rng: rand.New(rand.NewPCG(settings.Seed, uint64(self.ID))), now: now,
+		byID: map[ID]*entry{}, dials: map[string]ID{}, joinIDs: map[string]ID{},
+		name: self.Name, address: self.Address,
+		probeInterval: maxProbeIntervalSeconds, healthChangedAt: now, digestChangedAt: now,
+		nextTick: now, nextHeartbeat: now,
+	}
 	v.installIdentity(self)
 	return v
 }
 
-// Self returns the record of the member itself.
+// Self returns the record of this member.
 func (v *View) Self() Record { return v.self.Record }
 
-// Figures returns the counts so far.
+// Stats returns the counts so far.
 func (v *View) Stats() Stats { return v.stats }
 
-// Sum returns a number that is the same for two members that hold the same of all, but for suspicions.
+// Digest returns a number that is equal for two members that know the same, apart from suspicions.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Changes returns a number that grows with each change of what is held of anybody.
+// Changes returns a number that grows with each change of any record.
 func (v *View) Changes() uint64 { return v.changes }
 
-// Seen is what is held of a member, for who asks.
+// MemberStatus is what is known of a member.
 type MemberStatus struct {
 	Record
-	StateAgeSeconds float64 // for how long the state has held
+	StateAgeSeconds float64
 	IsLinked        bool
-	IsNeighbor      bool // a neighbour on a ring, or asked for: its silence is noticed, however long there is no link
+	IsNeighbor      bool // on a ring, or requested: its silence is detected even without a link
 }
 
-// Members calls yield for all members that are known, by their IDs.
+// Members calls yield for all known members in the order of IDs, this one and dead ones included.
 func (v *View) Members(yield func(MemberStatus) bool) {
 	for _, e := range v.entries {
 		if !yield(MemberStatus{Record: e.Record, StateAgeSeconds: v.now - e.stateSince, IsLinked: e.link != nil, IsNeighbor: e.isNeighbor}) {
@@ -152,13 +170,13 @@
 	}
 }
 
-// Part returns this member's place among those that live, and how many these are. One that died counts for a while still:
-// one that comes and goes is to move nothing.
-func (v *View) Rank(holdS float64) (rank, count int) {
+// Rank returns the position of this member among those that are not dead and have not left, in the order of IDs, and their number.
+// Members that died less than holdSeconds ago still count, so that a flapping member moves no rank.
+func (v *View) Rank(holdSeconds float64) (rank, count int) {
 	rank, _ = v.indexOf(v.self.ID)
 	count = len(v.entries)
 	for _, e := range v.departed {
-		if e != v.self && e.State.IsDeadOrLeft() && !(e.State == Dead && v.now-e.stateSince < holdS) {
+		if e != v.self && e.State.IsDeadOrLeft() && !(e.State == Dead && v.now-e.stateSince < holdSeconds) {
 			if count--; e.ID < v.self.ID {
 				rank--
 			}
@@ -167,7 +185,7 @@
 	return rank, count
 }
 
-// Live returns how many members live, this one included.
+// LiveCount returns the number of members that are not dead and have not left, this one included.
 func (v *View) LiveCount() int {
 	n := len(v.entries)
 	for _, e := range v.departed {
@@ -178,83 +196,37 @@
 	return n
 }
 
-// Next returns when Tick is to be called.
+// NextTick returns when Tick must be called.
 func (v *View) NextTick() float64 { return v.nextTick }
 
-// enter takes the time. Danger: who stood still has heard nobody, by no fault of theirs; it doubts itself first.
-func (v *View) advanceClock(now float64) {
-	if gap := now - v.now; gap > stallThresholdSeconds {
-		v.stats.Stalls++
-		for _, e := range v.entries {
-			e.lastHeard = max(e.lastHeard, now-silenceTimeoutSeconds/2)
-			if e.State == Suspect && e.deadAt > 0 {
-				e.deadAt += gap
-			}
-		}
-		v.raiseHealthScore()
-	}
-	v.now = max(v.now, now)
-}
-
-// Tick does what is due.
+// Tick does what is due by now: failure detection, heartbeats, probes and reconnects.
 func (v *View) Tick(now float64) {
 	v.advanceClock(now)
-	if v.nextTick = v.now + tickIntervalSeconds; v.lostIdentity {
+	v.nextTick = v.now + tickIntervalSeconds
+	if v.lostIdentity {
 		return
 	}
 	defer v.finishEvent()
-	if v.healthScore > 0 && v.now-v.healthChangedAt > healthDecaySeconds {
-		v.healthScore, v.healthChangedAt = v.healthScore-1, v.now
-	}
+	v.decayHealthScore()
 	if v.hasLeft {
 		return
 	}
-	for _, e := range slices.Clone(v.active) {
-		if e.link != nil && v.now-e.lastHeard > linkTimeoutSeconds*float64(1+v.healthScore) {
-			// Danger: over a way that was cut TCP waits longer and longer, and a new link would be up at once.
-			e.watchedUntil, e.nextDial = v.now+watchGraceSeconds, v.now
-			v.dropLink(e.link)
-		}
-		switch {
-		case e.State == Suspect && e.deadAt > 0 && v.now >= e.deadAt:
-			v.stats.Deaths++
-			v.changeEntry(e, true, func() { e.State, e.stateSince, e.Accusers = Dead, v.now, []ID{v.self.ID} })
-			v.enqueueUpdate(e, 0)
-		case e.State.IsDeadOrLeft():
-		case e.isWatched(v.now) && v.isSilent(e):
-			v.suspectSilent(e)
-		}
-	}
-	v.active = slices.DeleteFunc(v.active, func(e *entry) bool {
-		e.isActive = e.State == Suspect || e.isWatched(v.now)
-		return !e.isActive
-	})
+	v.detectFailures()
 	if v.now >= v.nextSweep {
 		v.sweep()
 	}
 	if v.now >= v.nextHeartbeat {
 		v.nextHeartbeat = v.now + heartbeatIntervalSeconds
-		var said [2]*Message
+		var prepared [2]*Message
 		for _, l := range slices.Clone(v.links) {
-			v.sendHeartbeat(l, &said)
+			v.sendHeartbeat(l, &prepared)
 		}
 	}
 	v.reconnect()
-	if v.now < v.nextProbe && v.now < v.nextMassFailureProbe {
-		return
-	}
-	suspected, live := v.countSuspects()
-	storm := suspected*massFailureFraction > live
-	if storm && v.probeInterval > massFailureProbeIntervalSeconds {
-		v.probeInterval = massFailureProbeIntervalSeconds
-	}
-	if storm || v.now >= v.nextProbe {
-		v.probe(storm)
-	}
-	v.nextMassFailureProbe = v.now + min(v.probeInterval, massFailureProbeIntervalSeconds)
+	v.probeIfDue()
 }
 
-// settle chooses neighbours, dials them, and tells what is new.
+// finishEvent ends each call that takes the time: it chooses neighbors if they may have changed, sends queued updates, and dials.
 func (v *View) finishEvent() {
 	switch {
 	case v.neighborsStale:
@@ -271,7 +243,7 @@
 	}
 	for _, e := range v.active {
 		if e.link == nil && !e.isDialing && !e.State.IsDeadOrLeft() && v.now >= e.nextDial && (e.isNeighbor || v.now < e.watchedUntil) {
-			e.isDialing, e.nextDial = true, v.now+1
+			e.isDialing, e.nextDial = true, v.now+redialDelaySeconds
 			v.dial(e.Address, e.ID)
 		}
 	}
