--- /dev/null
+++ b/internal/decide/swim/view_test.go
@@ -0,0 +1,257 @@
+package swim
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+)
+
+func drawRecord(t *rapid.T) Record {
+	r := Record{ID: 1, Version: Version{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), BootID: rapid.Uint64Range(1, 2).Draw(t, "life")},
+		State: State(rapid.IntRange(0, int(Left)).Draw(t, "state")), Address: "a", Durable: rapid.Bool().Draw(t, "keeps")}
+	if r.State == Suspect {
+		r.Accusers = mergeAccusers(rapid.SliceOfN(rapid.Map(rapid.Uint64Range(1, 5), func(n uint64) ID { return ID(n) }), 1, 3).Draw(t, "by"), nil)
+	}
+	return r
+}
+
+// In whatever order and however often records are merged, the result is the same.
+func TestMergeIsAJoin(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		a, b, c := drawRecord(t), drawRecord(t), drawRecord(t)
+		merge := func(a, b Record) Record {
+			m, changed := Merge(a, b)
+			if !changed {
+				require.Equal(t, a, m)
+			}
+			return m
+		}
+		require.Equal(t, merge(a, b), merge(b, a))
+		require.Equal(t, merge(merge(a, b), c), merge(a, merge(b, c)))
+		require.Equal(t, a, merge(a, a))
+		m := merge(a, b)
+		require.GreaterOrEqual(t, m.Version.Compare(a.Version), 0, "no old incarnation prevails")
+		if m.Version == a.Version {
+			require.GreaterOrEqual(t, m.State, a.State)
+		}
+	})
+}
+
+// A rank follows with a delay: a change that does not last moves nothing, a lasting one does, a rank that keeps changing does in the
+// end, and a member that knows no other one uses its configured rank.
+func TestStableRank(t *testing.T) {
+	p := NewStableRank(4, 5)
+	now := 100.0
+	see := func(rank, count int, forS float64) (moves int) {
+		for end := now + forS; now < end; now += 0.25 {
+			if p.Update(now, rank, count) {
+				moves++
+			}
+		}
+		return moves
+	}
+	place := func(rank, count int) {
+		t.Helper()
+		r, c := p.Current()
+		assert.Equal(t, [2]int{rank, count}, [2]int{r, c})
+	}
+	place(4, 5)
+	assert.Zero(t, see(0, 1, 30), "alone")
+	assert.True(t, p.IsConfigured())
+	assert.Equal(t, 1, see(4, 5, 10), "a rank differs from the configured one even if the numbers are equal")
+	assert.False(t, p.IsConfigured())
+	for range 20 {
+		assert.Zero(t, see(3, 5, 1)+see(4, 5, 1))
+	}
+	assert.Equal(t, 1, see(7, 60, 10))
+	place(7, 60)
+	moves := 0
+	for i := range 40 {
+		moves += see(7, 61+i, 0.5)
+	}
+	assert.InDelta(t, 3, moves, 1, "while it keeps changing, from time to time")
+	see(7, 100, 5)
+	place(7, 100)
+	see(0, 1, 5)
+	place(4, 5)
+	assert.True(t, p.IsConfigured())
+	see(1_000_003, 2_000_000, 5)
+	r, c := p.Current()
+	assert.Equal(t, 5*maxScale, c, "a count far from the configured one is bounded")
+	assert.Less(t, r, c)
+}
+
+// noActions carries out nothing.
+type noActions struct{ sent int }
+
+func (*noActions) Dial(string)                       {}
+func (a *noActions) Send(int, *Message)              { a.sent++ }
+func (*noActions) Close(int)                         {}
+func (*noActions) MemberChanged(Record, State, bool) {}
+func (*noActions) ReplaceIdentity(string)            {}
+
+// dialRecorder records the addresses that a View dials.
+type dialRecorder struct {
+	noActions
+	addresses map[string]bool
+}
+
+func (d *dialRecorder) Dial(address string) { d.addresses[address] = true }
+
+// breakingLinks ends one link when a record is sent over it, before Send returns, as a network does.
+type breakingLinks struct {
+	noActions
+	view    *View
+	breaks  int
+	updates map[int]int // messages with records, by link
+}
+
+func (b *breakingLinks) Send(link int, m *Message) {
+	if len(m.Records) > 0 {
+		b.updates[link]++
+	}
+	if link == b.breaks && len(m.Records) > 0 {
+		b.breaks = 0
+		b.view.LinkDown(100, link)
+	}
+}
+
+// A link that ends while updates are sent over it neither stops them nor gets them twice.
+func TestLinkEndsDuringUpdates(t *testing.T) {
+	for breaks := 1; breaks <= 5; breaks++ {
+		do := &breakingLinks{updates: map[int]int{}}
+		do.view = New(100, Record{ID: 1, Version: Version{1 << 32, 1}, Address: "self:1"}, Settings{Seed: 1}, do)
+		hello := func(id ID) Hello {
+			return Hello{Self: Record{ID: id, Version: Version{1 << 32, 1}, Address: ID.String(id)}}
+		}
+		for number := 1; number <= 5; number++ {
+			do.view.LinkUp(100, number, "", hello(ID(number+1)))
+		}
+		clear(do.updates)
+		do.breaks = breaks
+		do.view.HandleMessage(100, 5, &Message{Records: []Record{hello(99).Self}})
+		for number := 1; number <= 4; number++ {
+			assert.Positive(t, do.updates[number], "link %d, %d breaks", number, breaks)
+		}
+		assert.Equal(t, breaks == 5, do.breaks == 5, "the update is not sent back")
+	}
+}
+
+// Links are kept to the requested members, to at most 16, and to none that is dead or left.
+func TestRequestLinks(t *testing.T) {
+	do := &dialRecorder{addresses: map[string]bool{}}
+	v := New(100, Record{ID: 1, Version: Version{1 << 32, 1}, Address: "self:1"}, Settings{Seed: 1}, do)
+	hello := func(id ID) Hello {
+		return Hello{Self: Record{ID: id, Version: Version{1 << 32, 1}, Address: ID.String(id)}}
+	}
+	m := &Message{}
+	for id := ID(2); id < 60; id++ {
+		m.Records = append(m.Records, hello(id).Self)
+	}
+	v.LinkUp(100, 1, "", hello(60))
+	v.HandleMessage(100, 1, m)
+	clear(do.addresses)
+	var ids []ID
+	for id := ID(2); id < 40; id++ {
+		ids = append(ids, id)
+	}
+	v.RequestLinks(100.1, ids)
+	wanted := 0
+	for _, e := range v.entries {
+		if e.isNeighbor {
+			wanted++
+		}
+	}
+	assert.LessOrEqual(t, wanted, maxRequestedLinks+ringCount*1)
+	assert.GreaterOrEqual(t, wanted, maxRequestedLinks)
+	for _, id := range ids[:maxRequestedLinks] {
+		assert.True(t, v.byID[id].isNeighbor && v.byID[id].isDialing, "%s", id)
+	}
+	v.LinkUp(100.2, 2, ID.String(2), hello(2))
+	v.Tick(100.5)
+	require.NotNil(t, v.byID[2].link, "a requested link stays up")
+	dead := hello(3).Self
+	dead.State = Left
+	v.HandleMessage(100.6, 1, &Message{Records: []Record{dead}})
+	assert.False(t, v.byID[3].isNeighbor)
+	v.RequestLinks(100.7, nil)
+	left := 0
+	for _, e := range v.entries {
+		if e.isNeighbor {
+			left++
+		}
+	}
+	assert.LessOrEqual(t, left, ringCount)
+}
+
+// Whatever a peer sends, no call panics, no live member is forgotten for it, and the number of members stays bounded.
+func TestViewBoundsWhatPeersClaim(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		self := Record{ID: 1, Version: Version{Incarnation: 1 << 32, BootID: 1}, Name: "self", Address: "self:1"}
+		friend := Record{ID: 2, Version: Version{Incarnation: 1 << 32, BootID: 1}, Name: "friend", Address: "friend:1"}
+		v, now := New(100, self, Settings{Seed: 1}, &noActions{}), 100.0
+		v.LinkUp(now, 1, "", Hello{Self: friend})
+		number := 1
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			now += rapid.Float64Range(0, 2).Draw(t, "wait")
+			switch rapid.IntRange(0, 4).Draw(t, "step") {
+			case 0:
+				v.Tick(now)
+			case 1:
+				number++
+				r := drawRecord(t)
+				r.ID = ID(rapid.Uint64Range(0, 6).Draw(t, "id"))
+				v.LinkUp(now, number, "", Hello{Self: r})
+			case 2:
+				v.RequestLinks(now, []ID{ID(rapid.Uint64Range(0, 6).Draw(t, "wanted"))})
+				v.LinkDown(now, rapid.IntRange(2, number+1).Draw(t, "link"))
+			default:
+				m := &Message{Closing: rapid.IntRange(0, 9).Draw(t, "bye") == 0, BucketDigests: make([]uint64, rapid.SampledFrom([]int{0, 3, 64}).Draw(t, "sums"))}
+				for range rapid.IntRange(0, 5).Draw(t, "records") {
+					r := drawRecord(t)
+					r.ID, r.AgeSeconds = ID(rapid.Uint64Range(0, 6).Draw(t, "id")), rapid.Float64Range(-1, 700).Draw(t, "age")
+					r.Version.Incarnation = rapid.SampledFrom([]uint64{0, 1 << 32, 1<<32 + 1, 1 << 61, 1<<64 - 1}).Draw(t, "of")
+					m.Records = append(m.Records, r)
+				}
+				v.HandleMessage(now, rapid.IntRange(1, number+1).Draw(t, "link"), m)
+			}
+			rank, count := v.Rank(DeadHoldSeconds)
+			require.Less(t, rank, count)
+			require.Less(t, v.Self().Version.Incarnation, uint64(1)<<62)
+			seen, last := 0, ID(0)
+			for m := range v.Members {
+				if seen++; seen > 1 {
+					require.Greater(t, m.ID, last)
+				}
+				last = m.ID
+			}
+			require.LessOrEqual(t, seen, 8)
+		}
+	})
+}
+
+// A member that joins a fleet of more members than it accepts as newcomers still learns of newcomers at once, though other peers
+// reported the fleet before its first link did. Members beyond twice the fleet are not accepted from other links.
+func TestNewMemberOfLargeFleetLearnsOfNewcomers(t *testing.T) {
+	v := New(100, Record{ID: 1, Version: Version{1 << 32, 1}, Address: "self:1"}, Settings{Seed: 1}, &noActions{})
+	record := func(id ID) Record { return Record{ID: id, Version: Version{1 << 32, 1}, Address: id.String()} }
+	first, other := record(2), record(3)
+	v.LinkUp(100, 1, "first:1", Hello{Self: first})
+	v.LinkUp(100, 2, "other:1", Hello{Self: other})
+	m := &Message{}
+	for id := ID(10); id < 10+maxNewcomers+500; id++ {
+		m.Records = append(m.Records, record(id))
+	}
+	v.HandleMessage(100.1, 2, m)
+	require.Less(t, v.LiveCount(), maxNewcomers+10, "from other links alone")
+	v.HandleMessage(100.2, 1, m)
+	require.Equal(t, 3+maxNewcomers+500, v.LiveCount())
+	v.HandleMessage(100.3, 2, &Message{Records: []Record{record(5000)}})
+	require.Equal(t, 4+maxNewcomers+500, v.LiveCount(), "a newcomer that another link reports first")
+	for id := ID(10_000); id < 16_000; id++ {
+		v.HandleMessage(100.4, 2, &Message{Records: []Record{record(id)}})
+	}
+	require.LessOrEqual(t, v.LiveCount(), 3*(maxNewcomers+510))
+}
--- a/internal/decide/swim/wire_form_test.go
+++ b/internal/decide/swim/wire_form_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// What goes over a link keeps its form: processes of the version before are at the other end.
+// Messages keep their encoded form: processes of the release before are at the other end.
 func TestWireForm(t *testing.T) {
 	for name, value := range map[string]any{
 		"hello":   Hello{Self: wireRecord(Suspect), Heartbeat: Heartbeat{Digest: 9, Wanted: true}},
@@ -54,7 +54,7 @@
 	}
 }
 
-// What the admin endpoint tells of the counts keeps its form.
+// The counts keep the form in which the admin endpoint answers with them.
 func TestFiguresForm(t *testing.T) {
 	value := Stats{Accusations: 1, Refutations: 2, Deaths: 3, Stalls: 4, Rejected: 5, Syncs: 6}
 	requireComplete(t, "figures", reflect.ValueOf(value))
