--- a/internal/maintenanceplan/maintenanceplan.go
+++ b/internal/maintenanceplan/maintenanceplan.go
@@ -1,5 +1,6 @@
-// Package maintenanceplan reads plans of work on boxes, as operators write them: TOML, strictly, so that whatever is wrong with a file is one
-// line that names the file, the line and the field.
+// Package maintenanceplan parses the file in which an operator describes a maintenance plan. The format is TOML, read strictly: every
+// fault is a *tomlfile.Error, one line that names the file, the line, the column and the key. The keys are those of the operators'
+// page docs/operators/work.md.
 package maintenanceplan
 
 import (
@@ -12,7 +13,7 @@
 	"hazelwheel/internal/tomlfile"
 )
 
-// file is a plan as it is written.
+// file is the decoded file. Its fields have the names of the keys.
 type file struct {
 	Name      string            `toml:"name"`
 	Boxes     []string          `toml:"boxes"`
@@ -29,111 +30,134 @@
 	Settle    tomlfile.Duration `toml:"settle"`
 	Cold      tomlfile.Duration `toml:"cold"`
 	Gone      tomlfile.Duration `toml:"gone"`
-	NotBefore any               `toml:"not_before"`
+	NotBefore any               `toml:"not_before"` // a time or a string
 	NotAfter  any               `toml:"not_after"`
 
-	from, until time.Time // of these two; the zero time: it does not say
+	start, end time.Time // parsed from NotBefore and NotAfter; zero: not set
 }
 
-// instant reads a time as RFC 3339 writes it, bare or as a text; nil is the zero time. Why says what is wrong with it.
-func instant(v any) (at time.Time, why string) {
-	switch v := v.(type) {
-	case nil:
-		return at, ""
-	case time.Time:
-		return v, ""
-	case string:
-		at, err := time.Parse(time.RFC3339, v)
-		if err == nil {
-			return at, ""
-		}
-	}
-	return at, fmt.Sprintf("%.40q is not a time with its zone like 2026-12-24T03:00:00+01:00", fmt.Sprint(v))
-}
+// Values of when_late.
+const (
+	whenLateWait   = "wait"
+	whenLateGiveUp = "give-up"
+)
 
-// Bounds of what a plan says.
+// Bounds of a plan.
 const (
-	longest    = 7 * 24 * time.Hour
-	farthest   = 31 * 24 * time.Hour
-	mostName   = 64
-	mostAtOnce = maintenance.MaxServers
+	minDuration  = 100 * time.Millisecond
+	maxDuration  = 7 * 24 * time.Hour
+	maxQuiet     = 10 * time.Minute
+	maxWarmUp    = time.Hour
+	minDeadAfter = time.Second
+	maxSchedule  = 31 * 24 * time.Hour // until not_before or not_after
+	maxNameLen   = 64
+	maxAtOnce    = maintenance.MaxServers
 )
 
-// fault is what is wrong with a field.
-type fault struct{ field, why string }
+// fault is what is wrong with a key; the zero fault is none.
+type fault struct{ key, problem string }
 
-// Read reads a plan; name is what errors call the file. What it says of hours of the day counts from now.
+// Parse reads a plan. name is the file's name in errors, which are *tomlfile.Error; not_before and not_after are relative to now in the
+// result.
 func Parse(name string, text []byte, now time.Time) (maintenance.Spec, error) {
 	var f file
-	read, err := tomlfile.Read(name, text, &f)
+	parsed, err := tomlfile.Read(name, text, &f)
 	if err != nil {
 		return maintenance.Spec{}, err
 	}
-	for _, check := range []func(has func(string) bool) fault{f.names, f.numbers, f.durations, func(has func(string) bool) fault { return f.hours(has, now) }} {
-		if wrong := check(read.Has); wrong.field != "" {
-			return maintenance.Spec{}, read.Fault(wrong.field, wrong.why)
-		}
-	}
-	s := maintenance.Spec{Name: f.Name, Servers: f.Boxes, Sites: f.Sites, Types: f.Types, WorkSeconds: f.Takes.Seconds(), OverdueSeconds: f.Late.Seconds(), AbandonOverdue: f.WhenLate == giveUp,
-		MaxConcurrent: f.AtOnce, MaxPerSite: f.BySite, MinCapacity: f.Keep, RejectionBudget: f.Refusing, MaxRejection: f.Most, QuietSeconds: f.Settle.Seconds(), WarmUpSeconds: f.Cold.Seconds(), DeadMemberSeconds: f.Gone.Seconds()}
-	if !f.from.IsZero() {
-		s.StartAfterSeconds = max(f.from.Sub(now).Seconds(), 0)
-	}
-	if !f.until.IsZero() {
-		s.EndAfterSeconds = f.until.Sub(now).Seconds()
+	if wrong := f.validate(parsed.Has, now); wrong != (fault{}) {
+		return maintenance.Spec{}, parsed.Fault(wrong.key, wrong.problem)
 	}
-	if err := s.Validate(); err != nil { // what is said here goes for less
-		return maintenance.Spec{}, read.Fault("", err.Error())
+	s := f.spec(now)
+	if err := s.Validate(); err != nil { // all of it is checked above, with the place in the file
+		return maintenance.Spec{}, parsed.Fault("", err.Error())
 	}
 	return s, nil
 }
 
-// What a plan may say of a box that is late.
-const (
-	wait   = "wait"
-	giveUp = "give-up"
-)
+// spec returns the plan of a valid file.
+func (f *file) spec(now time.Time) maintenance.Spec {
+	s := maintenance.Spec{
+		Name:              f.Name,
+		Servers:           f.Boxes,
+		Sites:             f.Sites,
+		Types:             f.Types,
+		WorkSeconds:       f.Takes.Seconds(),
+		OverdueSeconds:    f.Late.Seconds(),
+		AbandonOverdue:    f.WhenLate == whenLateGiveUp,
+		MaxConcurrent:     f.AtOnce,
+		MaxPerSite:        f.BySite,
+		MinCapacity:       f.Keep,
+		RejectionBudget:   f.Refusing,
+		MaxRejection:      f.Most,
+		QuietSeconds:      f.Settle.Seconds(),
+		WarmUpSeconds:     f.Cold.Seconds(),
+		DeadMemberSeconds: f.Gone.Seconds(),
+	}
+	if !f.start.IsZero() {
+		s.StartAfterSeconds = max(f.start.Sub(now).Seconds(), 0)
+	}
+	if !f.end.IsZero() {
+		s.EndAfterSeconds = f.end.Sub(now).Seconds()
+	}
+	return s
+}
 
-func (f *file) names(has func(string) bool) fault {
-	if !plain(f.Name) {
-		return fault{"name", fmt.Sprintf("want a name of at most %d letters, digits, '.', '_' and '-'", mostName)}
+// validate returns the first fault of the file. has reports whether a key is set.
+func (f *file) validate(has func(string) bool, now time.Time) fault {
+	if wrong := f.validateNames(has); wrong != (fault{}) {
+		return wrong
+	}
+	if wrong := f.validateNumbers(has); wrong != (fault{}) {
+		return wrong
+	}
+	if wrong := f.validateDurations(has); wrong != (fault{}) {
+		return wrong
+	}
+	return f.parseSchedule(has, now)
+}
+
+func (f *file) validateNames(has func(string) bool) fault {
+	if !isPlanName(f.Name) {
+		return fault{"name", fmt.Sprintf("want a name of at most %d letters, digits, '.', '_' and '-'", maxNameLen)}
 	}
 	for _, list := range []struct {
-		field string
-		all   []string
+		key   string
+		names []string
 	}{{"boxes", f.Boxes}, {"sites", f.Sites}, {"types", f.Types}} {
-		for i, s := range list.all {
-			switch at := fmt.Sprintf("%s[%d]", list.field, i); {
-			case s == "" || len(s) > mostName || strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f }):
-				return fault{at, fmt.Sprintf("%.80q is no name", s)}
-			case slices.Contains(list.all[:i], s):
-				return fault{at, fmt.Sprintf("%q is there twice", s)}
+		for i, name := range list.names {
+			switch key := fmt.Sprintf("%s[%d]", list.key, i); {
+			case !isListedName(name):
+				return fault{key, fmt.Sprintf("%.80q is no name", name)}
+			case slices.Contains(list.names[:i], name):
+				return fault{key, fmt.Sprintf("%q is there twice", name)}
 			}
 		}
-		if len(list.all) > maintenance.MaxServers {
-			return fault{list.field, fmt.Sprintf("%d of them, at most %d", len(list.all), maintenance.MaxServers)}
+		if len(list.names) > maintenance.MaxServers {
+			return fault{list.key, fmt.Sprintf("%d of them, at most %d", len(list.names), maintenance.MaxServers)}
 		}
 	}
 	if len(f.Boxes)+len(f.Sites)+len(f.Types) == 0 {
 		return fault{"boxes", "missing, and sites and types, too: the plan has no boxes"}
 	}
-	if has("when_late") && f.WhenLate != wait && f.WhenLate != giveUp {
-		return fault{"when_late", fmt.Sprintf("want %q or %q", wait, giveUp)}
+	if has("when_late") && f.WhenLate != whenLateWait && f.WhenLate != whenLateGiveUp {
+		return fault{"when_late", fmt.Sprintf("want %q or %q", whenLateWait, whenLateGiveUp)}
 	}
 	return fault{}
 }
 
-func (f *file) numbers(has func(string) bool) fault {
+// validateNumbers checks the numbers. Danger: a float may be NaN, which is within no bounds; so each comparison states what is right.
+func (f *file) validateNumbers(has func(string) bool) fault {
 	switch {
 	case !has("at_once"):
 		return fault{"at_once", "missing: how many boxes may be out or cold at once"}
-	case f.AtOnce < 1 || f.AtOnce > mostAtOnce:
-		return fault{"at_once", fmt.Sprintf("%d is not 1 to %d", f.AtOnce, mostAtOnce)}
+	case f.AtOnce < 1 || f.AtOnce > maxAtOnce:
+		return fault{"at_once", fmt.Sprintf("%d is not 1 to %d", f.AtOnce, maxAtOnce)}
 	case has("by_site") && (f.BySite < 1 || f.BySite > f.AtOnce):
 		return fault{"by_site", fmt.Sprintf("%d is not 1 to %d, which may be out at once", f.BySite, f.AtOnce)}
 	case !has("keep"):
 		return fault{"keep", "missing: the part of the capacity that must stay"}
-	case !(f.Keep >= 0 && f.Keep < 1): // Danger: a number that is none is in no bounds
+	case !(f.Keep >= 0 && f.Keep < 1):
 		return fault{"keep", fmt.Sprintf("%g is not 0 to below 1", f.Keep)}
 	case has("refusing") && !(f.Refusing > 0 && f.Refusing <= 1):
 		return fault{"refusing", fmt.Sprintf("%g is not above 0, to 1", f.Refusing)}
@@ -143,22 +167,27 @@
 	return fault{}
 }
 
-func (f *file) durations(has func(string) bool) fault {
+func (f *file) validateDurations(has func(string) bool) fault {
 	if !has("takes") {
 		return fault{"takes", "missing: how long the work on one box takes"}
 	}
 	for _, d := range []struct {
-		field       string
-		of          *tomlfile.Duration
-		least, most time.Duration
-	}{{"takes", &f.Takes, 100 * time.Millisecond, longest}, {"late", &f.Late, 100 * time.Millisecond, longest}, {"settle", &f.Settle, 100 * time.Millisecond, 10 * time.Minute},
-		{"cold", &f.Cold, 100 * time.Millisecond, time.Hour}, {"gone", &f.Gone, time.Second, longest}} {
+		key      string
+		value    *tomlfile.Duration
+		min, max time.Duration
+	}{
+		{"takes", &f.Takes, minDuration, maxDuration},
+		{"late", &f.Late, minDuration, maxDuration},
+		{"settle", &f.Settle, minDuration, maxQuiet},
+		{"cold", &f.Cold, minDuration, maxWarmUp},
+		{"gone", &f.Gone, minDeadAfter, maxDuration},
+	} {
 		switch {
-		case !has(d.field):
-		case d.of.Why() != "":
-			return fault{d.field, d.of.Why()}
-		case d.of.Duration < d.least || d.of.Duration > d.most:
-			return fault{d.field, fmt.Sprintf("%v is not %v to %v", d.of.Duration, d.least, d.most)}
+		case !has(d.key):
+		case d.value.Why() != "":
+			return fault{d.key, d.value.Why()}
+		case d.value.Duration < d.min || d.value.Duration > d.max:
+			return fault{d.key, fmt.Sprintf("%v is not %v to %v", d.value.Duration, d.min, d.max)}
 		}
 	}
 	if has("late") && f.Late.Duration < f.Takes.Duration {
@@ -167,35 +196,58 @@
 	return fault{}
 }
 
-// hours checks what the plan says of the time of day.
-func (f *file) hours(has func(string) bool, now time.Time) fault {
-	for _, i := range []struct {
-		field string
-		of    any
+// parseSchedule parses not_before and not_after into start and end, and checks them against now.
+func (f *file) parseSchedule(has func(string) bool, now time.Time) fault {
+	for _, t := range []struct {
+		key   string
+		value any
 		to    *time.Time
-	}{{"not_before", f.NotBefore, &f.from}, {"not_after", f.NotAfter, &f.until}} {
-		var why string
-		if *i.to, why = instant(i.of); why != "" {
-			return fault{i.field, why}
+	}{{"not_before", f.NotBefore, &f.start}, {"not_after", f.NotAfter, &f.end}} {
+		var problem string
+		if *t.to, problem = parseTime(t.value); problem != "" {
+			return fault{t.key, problem}
 		}
-		if i.to.Sub(now) > farthest {
-			return fault{i.field, "it is more than a month from now"}
+		if t.to.Sub(now) > maxSchedule {
+			return fault{t.key, "it is more than a month from now"}
 		}
 	}
 	switch {
-	case has("not_after") && has("not_before") && !f.until.After(f.from):
+	case has("not_after") && has("not_before") && !f.end.After(f.start):
 		return fault{"not_after", "it is not after not_before"}
-	case has("not_after") && !f.until.After(now):
+	case has("not_after") && !f.end.After(now):
 		return fault{"not_after", "it is over"}
 	}
 	return fault{}
 }
 
-// plain tells whether a name means the same in a line, a table and a figure.
-func plain(s string) bool {
-	odd := func(r rune) bool {
-		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
-		return !letter && !strings.ContainsRune("._-", r)
+// parseTime returns a time that is given as a TOML time or as a string, in RFC 3339 with its zone; the zero time for nil. A problem is
+// returned as text, without the place.
+func parseTime(value any) (t time.Time, problem string) {
+	switch value := value.(type) {
+	case nil:
+		return t, ""
+	case time.Time:
+		return value, ""
+	case string:
+		t, err := time.Parse(time.RFC3339, value)
+		if err == nil {
+			return t, ""
+		}
 	}
-	return strings.Trim(s, ".") != "" && len(s) <= mostName && !strings.ContainsFunc(s, odd)
+	return t, fmt.Sprintf("%.40q is not a time with its zone like 2026-12-24T03:00:00+01:00", fmt.Sprint(value))
+}
+
+// isListedName reports whether a string can be the name of a server, a site or a type: without white space and control characters.
+func isListedName(s string) bool {
+	return s != "" && len(s) <= maxNameLen && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f })
+}
+
+// isPlanName reports whether a string can be the name of a plan, which is shown in lines, tables and as a metric label: letters, digits,
+// '.', '_' and '-', not dots alone.
+func isPlanName(s string) bool {
+	isOther := func(r rune) bool {
+		isAlphanumeric := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
+		return !isAlphanumeric && !strings.ContainsRune("._-", r)
+	}
+	return strings.Trim(s, ".") != "" && len(s) <= maxNameLen && !strings.ContainsFunc(s, isOther)
 }
--- a/internal/maintenanceplan/maintenanceplan_test.go
+++ b/internal/maintenanceplan/maintenanceplan_test.go
@@ -13,7 +13,7 @@
 	"hazelwheel/internal/tomlfile"
 )
 
-const whole = `name = "firmware-7"
+const fullPlan = `name = "firmware-7"
 boxes = ["s-00000001", "s-00000002"]
 sites = ["site-a"]
 types = ["big"]
@@ -33,8 +33,8 @@
 
 var now = time.Date(2026, 12, 2, 1, 0, 0, 0, time.UTC)
 
-func TestRead(t *testing.T) {
-	s, err := Parse("p.toml", []byte(whole), now)
+func TestParse(t *testing.T) {
+	s, err := Parse("p.toml", []byte(fullPlan), now)
 	require.NoError(t, err)
 	assert.Equal(t, maintenance.Spec{Name: "firmware-7", Servers: []string{"s-00000001", "s-00000002"}, Sites: []string{"site-a"}, Types: []string{"big"}, WorkSeconds: 1200, OverdueSeconds: 2400,
 		AbandonOverdue: true, MaxConcurrent: 3, MaxPerSite: 2, MinCapacity: 0.7, RejectionBudget: 0.05, QuietSeconds: 2, WarmUpSeconds: 30, DeadMemberSeconds: 600, StartAfterSeconds: 3600, EndAfterSeconds: 4 * 3600}, s)
@@ -43,13 +43,13 @@
 	assert.Equal(t, maintenance.Spec{Name: "n", Sites: []string{"a"}, WorkSeconds: 1, MaxConcurrent: 1}, s)
 }
 
-// Each fault is one line with the file, the line and the field.
-func TestFaults(t *testing.T) {
+// Each fault is one line with the file, the line and the key.
+func TestParseFaults(t *testing.T) {
 	for line, want := range map[string]string{
 		`name = "a b"`:                       `p.toml:1:1: name: want a name of at most 64 letters, digits, '.', '_' and '-'`,
 		`boxes = ["a", "b", "a"]`:            `p.toml:2:1: boxes[2]: "a" is there twice`,
 		`sites = ["a b"]`:                    `p.toml:3:1: sites[0]: "a b" is no name`,
-		`types = [7]`:                        `p.toml:4:10: types: cannot decode TOML integer into struct field workplan.file.Types of type string`,
+		`types = [7]`:                        `p.toml:4:10: types: cannot decode TOML integer into struct field maintenanceplan.file.Types of type string`,
 		`takes = "soon"`:                     `p.toml:5:1: takes: "soon" is not a time like "1.5s"`,
 		`takes = "0s"`:                       `p.toml:5:1: takes: 0s is not 100ms to 168h0m0s`,
 		`takes = "41m"`:                      `p.toml:6:1: late: 40m0s is less than the work takes, 41m0s`,
@@ -69,7 +69,7 @@
 	} {
 		key, _, _ := strings.Cut(line, " ")
 		text := ""
-		for old := range strings.Lines(whole) {
+		for old := range strings.Lines(fullPlan) {
 			if strings.HasPrefix(old, key+" ") {
 				old, line = line+"\n", ""
 			}
@@ -91,9 +91,9 @@
 	}
 }
 
-// Whatever the text, reading it ends in a plan within its bounds or in one line.
-func FuzzRead(f *testing.F) {
-	f.Add([]byte(whole))
+// Whatever the text, Parse returns a plan within its bounds or an error of one line.
+func FuzzParse(f *testing.F) {
+	f.Add([]byte(fullPlan))
 	f.Add([]byte("keep = inf\nnot_after = 1979-05-27\nboxes = [[]]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse("f.toml", text, now)
--- a/internal/maintenanceplan/stored_form_test.go
+++ b/internal/maintenanceplan/stored_form_test.go
@@ -15,7 +15,7 @@
 	"hazelwheel/internal/tomlfile"
 )
 
-// The plan's file keeps its keys, and what is read of it keeps its values: operators have such files.
+// Plan files that operators have are parsed to the same values.
 func TestFileForm(t *testing.T) {
 	for file, golden := range map[string]string{
 		filepath.Join("testdata", "stored", "full.toml"):  "full.json",
@@ -35,6 +35,7 @@
 	}
 }
 
+// The keys of the file keep their names and their order.
 func TestFileKeys(t *testing.T) {
 	var keys []string
 	for _, f := range reflect.VisibleFields(reflect.TypeFor[file]()) {
@@ -47,7 +48,7 @@
 	assert.Equal(t, string(want), strings.Join(keys, "\n")+"\n")
 }
 
-// A fault of a file is a *tomlfile.Error with the place and the key: commands print it, and editors find the place by it.
+// A fault is a *tomlfile.Error with the place and the key: commands print it, and editors find the place by it.
 func TestErrorForm(t *testing.T) {
 	_, err := Parse("dir/p.toml", []byte("name = 'n'\nboxes = ['a']\nat_once = 0\nkeep = 0\ntakes = '1s'\n"), now)
 	var e *tomlfile.Error
