--- a/internal/control/antientropy.go
+++ b/internal/control/antientropy.go
@@ -8,10 +8,24 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// scrub reads the register now and then, and soon after this process has accepted a configuration of which nobody has told
-// whether it was chosen: the process that had it accepted may be gone.
+const (
+	// antiEntropyInterval is the time between reads of the register, antiEntropyRetryInterval after one that failed. firstReadDelay is the
+	// pause before the first one.
+	antiEntropyInterval      = 2 * time.Second
+	antiEntropyRetryInterval = 60 * time.Millisecond
+	firstReadDelay           = antiEntropyRetryInterval / 6
+	// confirmDelay is the least time, and the range of the random time added to it, that the proposer of a configuration that was accepted
+	// here has for publishing it as chosen, before this process reads the register itself.
+	confirmDelay = 120 * time.Millisecond
+	// diskScrubInterval is the time between checks of the own disk; up to a quarter is added at random.
+	diskScrubInterval = 30 * time.Second
+)
+
+// runAntiEntropy reads the register at regular intervals, so that a value that this process has missed reaches handleChosen. It also reads
+// soon after this process has accepted a configuration that was not published since: its proposer may have failed, and then somebody has
+// to find out whether it was chosen.
 func (c *Control) runAntiEntropy(ctx context.Context) {
-	pause := antiEntropyRetryInterval / 6
+	pause := firstReadDelay
 	for {
 		timer := time.NewTimer(pause)
 		select {
@@ -38,15 +52,15 @@
 	}
 }
 
-// checkDisk reads the own disk again now and then.
+// runDiskScrub checks the own disk at regular intervals, and repairs it.
 func (c *Control) runDiskScrub(ctx context.Context) {
 	for sleep(ctx, diskScrubInterval+rand.N(diskScrubInterval/4)) == nil {
 		c.replica.repairDisk()
 	}
 }
 
-// knowsLess tells whether a value has a newer configuration than the one that this process tells others.
+// hasNewerConfig tells whether a value has a newer configuration than the published one.
 func (c *Control) hasNewerConfig(value register.Value) bool {
-	facts, _ := c.node.State()
-	return value.ConfigVersion > 0 && (facts.Table == nil || facts.Table.Version < value.ConfigVersion)
+	gossipState, _ := c.node.State()
+	return value.ConfigVersion > 0 && (gossipState.Table == nil || gossipState.Table.Version < value.ConfigVersion)
 }
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -11,38 +11,30 @@
 )
 
 const (
-	// scrubEvery is the time between reads of the register that find out what this process has missed; scrubSoon holds until the
-	// first one succeeds.
-	antiEntropyInterval      = 2 * time.Second
-	antiEntropyRetryInterval = 60 * time.Millisecond
-	// checkDiskEvery is the time between looks at what was written to the own disk.
-	diskScrubInterval = 30 * time.Second
-	// newsDelay is how long after it has accepted a configuration a process looks whether it was chosen, where nobody has told.
-	confirmDelay = 120 * time.Millisecond
-	// followAgain is the pause after a try that failed, while nothing newer is known; it doubles up to followMost.
+	// minCatchUpPause is the pause after a failed attempt, while no newer value is known; it doubles up to maxCatchUpPause.
 	minCatchUpPause = 150 * time.Millisecond
 	maxCatchUpPause = 1200 * time.Millisecond
 )
 
-// signal wakes who waits on a channel with room for one.
+// notify wakes the receiver of a channel with room for one signal. It never blocks.
 func notify(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
-	default: // a signal is there already
+	default: // a signal is pending
 	}
 }
 
-// follower holds the newest value that is known to be chosen, for the task that brings this process up to it.
+// chosenTracker holds the newest value that is known to be chosen, for runCatchUp. It is safe for concurrent use.
 type chosenTracker struct {
-	wake chan struct{}
+	wake chan struct{} // receives a signal for a newer value
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards value
 	value chosenValue
 }
 
 func newChosenTracker() *chosenTracker { return &chosenTracker{wake: make(chan struct{}, 1)} }
 
-// tell notes a value that was chosen.
+// observe notes a chosen value; an older one than the latest is ignored.
 func (t *chosenTracker) observe(observed chosenValue) {
 	t.mu.Lock()
 	isNewer := observed.Ballot.Compare(t.value.Ballot) > 0
@@ -55,14 +47,15 @@
 	}
 }
 
+// latest returns the newest value that was observed, the zero value before the first.
 func (t *chosenTracker) latest() chosenValue {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.value
 }
 
-// follow brings the own disk, and what this process tells others, up to the newest value that it has heard of. It is a task of its
-// own: no call of an operator and no round waits for it, and it goes on where a try has ended.
+// runCatchUp publishes and stores each newer value that chosenTracker holds, and retries until it has. No request of an operator and no
+// round waits for it; a failed attempt leaves its chunks in the fetcher for the next one.
 func (c *Control) runCatchUp(ctx context.Context) {
 	for {
 		select {
@@ -78,7 +71,7 @@
 			}
 			c.log.WithField("version", target.ConfigVersion).WithError(err).Warn("behind the newest configuration")
 			if c.chosen.latest().Ballot != target.Ballot {
-				continue // what was asked for has been superseded
+				continue // superseded by a newer value
 			}
 			if sleep(ctx, pause) != nil {
 				return
@@ -88,10 +81,11 @@
 	}
 }
 
-// catchUp takes a value that was chosen: first what it says is told, then it goes to the disk.
+// catchUp publishes a chosen value's configuration and then stores the value. Publishing comes first: proxies need the configuration also
+// where this disk is full.
 func (c *Control) catchUp(ctx context.Context, value chosenValue) error {
-	facts, _ := c.node.State()
-	published := value.ConfigVersion == 0 || facts.Table != nil && facts.Table.Version >= value.ConfigVersion
+	gossipState, _ := c.node.State()
+	published := value.ConfigVersion == 0 || gossipState.Table != nil && gossipState.Table.Version >= value.ConfigVersion
 	behind := value.Ballot.Compare(c.replica.state().Accepted) > 0
 	if published && !behind {
 		return nil
@@ -106,7 +100,7 @@
 	if !published {
 		table, err := routeconfig.Parse(data)
 		if err != nil {
-			return Error.New("the configuration that holds can't be read: %v", err)
+			return Error.New("parsing the chosen configuration: %w", err)
 		}
 		c.node.SetTable(table)
 	}
@@ -120,8 +114,9 @@
 	return err
 }
 
-// serveLearn takes a chosen value from who looks after the voters. Where the configuration's bytes are lacking they are fetched; the
-// answer is whether what is held until then is new enough.
+// handleLearn answers the request of a voter that considers this process for the set of voters (see queryLearner). It stores the chosen
+// value where the configuration's bytes are here, and else has runCatchUp fetch them. The reply says whether the stored value is recent
+// enough to vote.
 func (c *Control) handleLearn(_ context.Context, request *message.LearnRequest) (*message.LearnReply, error) {
 	if request.To != c.proposer.self.ID {
 		return nil, Error.New("%q is not the identity of this disk", request.To)
--- a/internal/control/configapi.go
+++ b/internal/control/configapi.go
@@ -8,42 +8,47 @@
 	"strconv"
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/routeconfig"
 )
 
 const (
-	// maxConfig bounds a configuration, in bytes.
+	// maxConfigBytes bounds a configuration, and the body of a request.
 	maxConfigBytes = 8 << 20
-	// changeWithin bounds a call of the operator. It moves on to another process by itself after a second.
+	// changeTimeout bounds a request that changes the register, readTimeout one that reads it.
 	changeTimeout = 2500 * time.Millisecond
 	readTimeout   = 1500 * time.Millisecond
-	// aloneWithin bounds a call of the operator where this process is out of touch with a majority: it tells so at once, and the
-	// operator turns to another process.
+	// minorityTimeout bounds both where no majority of the voters is reachable: the client learns soon that it has to try another
+	// process.
 	minorityTimeout = 350 * time.Millisecond
 	jsonType        = "application/json"
 )
 
-// verdict is what a call of the operator earns.
+// changeResult is the response to a change.
 type changeResult struct {
-	status  int
-	message string // why, where it is not 200
+	status  int    // of HTTP
+	message string // the reason, where status is not 200
 }
 
 var changeAccepted = changeResult{status: http.StatusOK}
 
+// invalidChange is the response to a change that no process would accept.
 func invalidChange(err error) changeResult { return changeResult{http.StatusBadRequest, err.Error()} }
+
+// unavailableChange is the response where nothing is known of the change: it may be chosen yet, and the client has to send it again.
 func unavailableChange(err error) changeResult {
 	return changeResult{http.StatusServiceUnavailable, err.Error()}
 }
 
-// changeBody is what the operator sends with a change.
+// changeRequest is the content of a PUT or PATCH request.
 type changeRequest struct {
 	data []byte
-	base uint64 // the version that the change is based on
+	base uint64 // version of the configuration that the change is based on
 }
 
-// readChange reads the body of a change and what it is based on. It answers what can't be read.
+// parseChange reads a request's body and its If-Match field. Where they are invalid it responds itself and returns false.
 func parseChange(w http.ResponseWriter, r *http.Request) (changeRequest, bool) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 	if err != nil {
@@ -63,7 +68,7 @@
 	return changeRequest{data, base}, true
 }
 
-// putConfig takes a whole configuration.
+// handlePut replaces the configuration.
 func (c *Control) handlePut(w http.ResponseWriter, r *http.Request) {
 	request, ok := parseChange(w, r)
 	if !ok {
@@ -79,7 +84,7 @@
 	c.respond(w, r.Method, table.Version, request.base, c.proposeConfig(ctx, table, request, register.DigestOf(request.data)))
 }
 
-// patchConfig takes a change of named items.
+// handlePatch changes named items of the configuration.
 func (c *Control) handlePatch(w http.ResponseWriter, r *http.Request) {
 	request, ok := parseChange(w, r)
 	if !ok {
@@ -95,9 +100,9 @@
 	c.respond(w, r.Method, patch.Version, request.base, c.applyPatch(ctx, patch, request))
 }
 
-// answer tells the operator what came of a change.
+// respond logs the result of a change and writes the response.
 func (c *Control) respond(w http.ResponseWriter, method string, version, base uint64, result changeResult) {
-	c.log.WithField("method", method).WithField("version", version).WithField("base", base).WithField("status", result.status).Info("change of the configuration")
+	c.log.WithFields(logrus.Fields{"method": method, "version": version, "base": base, "status": result.status}).Info("configuration change answered")
 	if result.status != http.StatusOK {
 		http.Error(w, result.message, result.status)
 		return
@@ -105,8 +110,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// patch makes the configuration that a patch asks for of the one that it is based on. It is known by its own bytes and its base: when it
-// is sent again the configuration that it was made of may be gone, so that the one that it made can't be made again to compare.
+// applyPatch applies a patch to the configuration that it is based on, and proposes the result. The identity of the change is the digest of
+// the patch and its base: when the patch is sent again its base may no longer exist, so that the resulting configuration can't be built
+// again for a comparison.
 func (c *Control) applyPatch(ctx context.Context, patch *routeconfig.Patch, request changeRequest) changeResult {
 	identity := patchIdentity(request)
 	value, err := c.proposer.read(ctx)
@@ -123,7 +129,7 @@
 	if err != nil {
 		return unavailableChange(err)
 	}
-	// From here on all that is refused is refused by every process alike, since base names these bytes alone.
+	// Whatever is rejected from here on is rejected by each process alike, since the base version names these very bytes.
 	patched, err := patch.Apply(current)
 	if err != nil {
 		return invalidChange(err)
@@ -135,12 +141,12 @@
 	return c.proposeConfig(ctx, table, changeRequest{patched, request.base}, identity)
 }
 
-// patchIdentity tells patches apart from one another and from whole configurations.
+// patchIdentity returns the identity of a patch, which differs from that of any other patch and of any complete configuration.
 func patchIdentity(request changeRequest) register.Digest {
 	return register.DigestOf(append([]byte("PATCH "+strconv.FormatUint(request.base, 10)+" "), request.data...))
 }
 
-// within is how long a call of the operator may take.
+// callTimeout returns the time-out of a request: the given one, or minorityTimeout where no majority of the voters is reachable.
 func (c *Control) callTimeout(timeout time.Duration) time.Duration {
 	if c.reachesMajority() {
 		return timeout
@@ -148,7 +154,7 @@
 	return minorityTimeout
 }
 
-// configure puts a configuration in place of the one that it is based on.
+// proposeConfig proposes a configuration on top of the version that it is based on. identity recognizes the change where it is sent again.
 func (c *Control) proposeConfig(ctx context.Context, table *routeconfig.Table, request changeRequest, identity register.Digest) changeResult {
 	change := register.SetConfigWithIdentity(table.Version, request.base, register.DigestOf(request.data), identity)
 	value, outcome, err := c.proposer.propose(ctx, change, request.data)
@@ -162,7 +168,8 @@
 	return rejection(value.Value, value.CheckConfig(table.Version, request.base, identity))
 }
 
-// unfit is what a change earns that does not go on top of a value.
+// rejection returns the response to a change that was not made on top of a value, by its verdict there. A change that was accepted before
+// is answered as accepted.
 func rejection(value register.Value, verdict register.ConfigVerdict) changeResult {
 	current := strconv.FormatUint(value.ConfigVersion, 10)
 	switch verdict {
@@ -177,7 +184,7 @@
 	}
 }
 
-// getConfig returns the configuration that holds.
+// handleGet responds with the bytes of the chosen configuration, as they were sent.
 func (c *Control) handleGet(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), c.callTimeout(readTimeout))
 	defer cancel()
@@ -197,5 +204,5 @@
 	}
 	w.Header().Set("Content-Type", jsonType)
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	_, _ = w.Write(data) // the operator that is gone asks again
+	_, _ = w.Write(data) // a client that has disconnected asks again
 }
--- a/internal/control/configcache.go
+++ b/internal/control/configcache.go
@@ -7,14 +7,25 @@
 	"hazelwheel/internal/decide/register"
 )
 
+const (
+	// maxKeptConfigs bounds the configurations in snapshots, and those in memory that no process is fetching.
+	maxKeptConfigs = 2
+	// maxCachedConfigs bounds the configurations in memory.
+	maxCachedConfigs = 5
+	// requestedRetention is the time for which an older configuration stays in memory after the last request for a chunk of it.
+	requestedRetention = 3 * time.Second
+)
+
+// cachedConfig is a configuration in memory.
 type cachedConfig struct {
 	digest      register.Digest
 	data        []byte
-	requestedAt time.Time // when a piece of it was asked for last
+	requestedAt time.Time // of the last chunk that another process has requested, zero: none
 }
 
-// keep holds a configuration's bytes. Danger: those of the accepted value must never give way, so they are the newest. Those before
-// stay while somebody fetches them: a newcomer on a slow link would else lose what has come of them with each change.
+// cacheConfig adds a configuration as the newest one and evicts older ones beyond the limits. Danger: the configuration of the accepted
+// value must never be evicted, so it has to be the one added last. Older ones stay while another process fetches them: a new process on a
+// slow link would have to start anew with each change of the configuration. The caller holds mu, or is the only user of the replica.
 func (r *replica) cacheConfig(digest register.Digest, data []byte) {
 	r.configs = slices.DeleteFunc(r.configs, func(c cachedConfig) bool { return c.digest == digest })
 	r.configs = append(r.configs, cachedConfig{digest: digest, data: data})
@@ -28,7 +39,7 @@
 	}
 }
 
-// config returns a configuration's bytes, nil if they aren't here.
+// configBytes returns a configuration's bytes, nil where they are not in memory. The caller must not change them.
 func (r *replica) configBytes(digest register.Digest) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,7 +49,7 @@
 	return nil
 }
 
-// lend returns a configuration's bytes for another process, which may come for more of them.
+// lendConfig is configBytes for another process's request, which defers the eviction of the configuration.
 func (r *replica) lendConfig(digest register.Digest) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,7 +61,7 @@
 	return r.configs[i].data
 }
 
-// find returns the place of a configuration, -1 if it isn't here. It is for who holds mu.
+// configIndex returns the index of a configuration, -1 where it is not in memory. The caller holds mu.
 func (r *replica) configIndex(digest register.Digest) int {
 	return slices.IndexFunc(r.configs, func(c cachedConfig) bool { return c.digest == digest })
 }
--- a/internal/control/configfetch.go
+++ b/internal/control/configfetch.go
@@ -9,27 +9,29 @@
 )
 
 const (
-	// pieceSize is how many bytes of a configuration are asked for at once.
+	// chunkSize is the number of bytes of a configuration that one request asks for.
 	chunkSize = 128 << 10
-	// pieceWithin bounds the wait for one piece.
+	// chunkTimeout bounds one request.
 	chunkTimeout = time.Second
 )
 
-// copies fetches the bytes of configurations from other control processes, piece by piece. What has come of the newest one stays
-// when a call ends, so that the next call goes on from there.
+// configFetcher fetches the bytes of configurations from other control processes in chunks. It keeps the bytes of a fetch that ended early,
+// and the next fetch of the same configuration resumes there: on a slow link no single call may last long enough. It is safe for
+// concurrent use; one call fetches at a time, so that no chunk is transferred twice.
 type configFetcher struct {
-	busy chan struct{} // has room for the one call that fetches, so that pieces come once
+	busy chan struct{} // a semaphore of one, which guards what follows
 
 	digest register.Digest // of the configuration that is being fetched
-	data   []byte          // what has come of it
+	data   []byte          // its first bytes, as far as they have arrived
 }
 
 func newConfigFetcher() *configFetcher { return &configFetcher{busy: make(chan struct{}, 1)} }
 
-// askPiece asks a control process for a piece.
+// chunkRequester requests a chunk from a control process.
 type chunkRequester func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error)
 
-// fetch returns the bytes with this digest. It turns to the sources in their order, and to the next one where one fails.
+// fetch returns the bytes with this digest. It asks the sources in order, the next one where one fails. After an error the chunks that have
+// arrived are kept for the next call.
 func (f *configFetcher) fetch(ctx context.Context, digest register.Digest, sources []register.Voter, request chunkRequester) ([]byte, error) {
 	select {
 	case f.busy <- struct{}{}:
@@ -54,13 +56,13 @@
 	return nil, Error.New("%d bytes of a configuration have come, the rest is missing", len(f.data))
 }
 
-// piece asks for the next piece. It returns whether all have come.
+// fetchChunk requests the next chunk from a source and returns whether it was the last one.
 func (f *configFetcher) fetchChunk(ctx context.Context, source register.Voter, request chunkRequester) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
 	reply, err := request(ctx, source, &message.ConfigRequest{Digest: f.digest, Offset: len(f.data), Length: chunkSize})
 	if err == nil && reply.Size == 0 && len(f.data) == 0 {
-		reply.Size = len(reply.Data) // a process of the version before sends all at once and tells no size
+		reply.Size = len(reply.Data) // an older version sends all bytes at once and no size
 	}
 	switch {
 	case err != nil:
@@ -69,13 +71,13 @@
 		return false, Error.New("%s does not have it", source.Address)
 	case reply.Size > maxConfigBytes || len(reply.Data) == 0 || len(f.data)+len(reply.Data) > reply.Size:
 		f.data = nil
-		return false, Error.New("%s: a piece of %d bytes of %d", source.Address, len(reply.Data), reply.Size)
+		return false, Error.New("%s: chunk of %d bytes of a configuration of %d", source.Address, len(reply.Data), reply.Size)
 	}
 	f.data = append(f.data, reply.Data...)
 	return len(f.data) == reply.Size, nil
 }
 
-// check returns what has come if it is what was asked for.
+// takeVerified returns the complete bytes if they match the digest. They are not kept in either case.
 func (f *configFetcher) takeVerified() ([]byte, error) {
 	data := f.data
 	f.data = nil
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,3 @@
-// Package control hosts a control process: a replica of the configuration register, the operator's interface, the upkeep of
-// the voters and the reading of the platform's list.
 package control
 
 import (
@@ -24,20 +22,15 @@
 var Error = errs.Class("control")
 
 const (
-	// listEvery is the time between readings of the platform's list by the process whose turn it is, listLook how often the others look
-	// whether it still reads. They do so themselves where the list is older than listStale, later by listStep for each rank.
-	listReadInterval  = 900 * time.Millisecond
-	listCheckInterval = 100 * time.Millisecond
-	staleListAge      = 1500 * time.Millisecond
-	listRankDelay     = 100 * time.Millisecond
-	maxListRank       = 4 // ranks that are told apart
-	// stopWithin bounds the end of calls that are under way at SIGTERM.
+	// shutdownTimeout bounds the completion of requests that are in flight at SIGTERM.
 	shutdownTimeout = 2 * time.Second
-	headerTimeout   = 3 * time.Second
-	idleTimeout     = time.Minute
+	// headerTimeout and idleTimeout bound the connections of clients and other processes.
+	headerTimeout = 3 * time.Second
+	idleTimeout   = time.Minute
 )
 
-// Control is a control process.
+// Control is the state of a control process. Its fields don't change after newControl has set them; what they point to is safe for
+// concurrent use.
 type Control struct {
 	settings *nodeconfig.Settings
 	log      *logrus.Entry
@@ -48,7 +41,9 @@
 	chosen   *chosenTracker
 }
 
-// Run runs a control process until the context ends. reload tells that the settings file may have changed.
+// Run runs a control process until the context ends; then it announces that it leaves, waits until another process votes in its place
+// (see awaitReplacement), and shuts its servers down. Settings from reload replace the seeds. It returns an error where the disk can't be
+// opened or an address can't be listened at.
 func Run(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	replica, err := openReplica(settings, log)
 	if err != nil {
@@ -60,7 +55,8 @@
 	return newControl(settings, replica, transport.NewClient(), log).run(ctx, reload)
 }
 
-// run serves until the context ends.
+// run starts servers and tasks and serves until the context ends. The tasks go on during the shutdown, since a voter that leaves takes
+// part in its own replacement.
 func (c *Control) run(ctx context.Context, reload <-chan *nodeconfig.Settings) error {
 	internalListener, err := listenTCP(c.proposer.self.Address)
 	if err != nil {
@@ -73,7 +69,9 @@
 	servers := []*http.Server{serve(internalListener, c.internalRouter()), serve(operatorListener, c.operatorRouter())}
 	taskCtx, stopTasks := context.WithCancel(context.Background())
 	defer stopTasks()
-	for _, task := range []func(context.Context){c.node.Run, c.runReconfiguration, c.runAntiEntropy, c.runCatchUp, c.runDiskScrub, c.runListReader, newStageController(c).run} {
+	tasks := []func(context.Context){c.node.Run, c.runReconfiguration, c.runAntiEntropy, c.runCatchUp, c.runDiskScrub, c.runListReader,
+		newStageController(c).run}
+	for _, task := range tasks {
 		go task(taskCtx)
 	}
 	for {
@@ -88,6 +86,8 @@
 	}
 }
 
+// newControl returns the process of a replica that is open. The client carries its calls to other processes; tests put a faulty network
+// there.
 func newControl(settings *nodeconfig.Settings, replica *replica, client *transport.Client, log *logrus.Entry) *Control {
 	self := register.Voter{ID: replica.state().ID, Address: settings.InternalAddress(settings.IP, nodeconfig.ControlPort)}
 	control := &Control{settings: settings, log: log, replica: replica, platform: gossip.NewPlatformClient(settings.Cloud.Address),
@@ -95,36 +95,43 @@
 	control.node = gossip.New(settings, membership.Record{Kind: membership.Control, Address: self.Address, VoterID: self.ID,
 		OperatorAddress: settings.Listen.Control}, client, log)
 	control.proposer = &proposer{self: self, proposerID: fmt.Sprintf("%s/%016x", settings.NodeID, rand.Uint64()), replica: replica, client: client,
-		fetcher: newConfigFetcher(), linkMbps: settings.Limits.LinkMbps,
-		gossipVoters: func() register.Value { facts, _ := control.node.State(); return facts.Voters },
-		onChosen:     control.handleChosen}
+		fetcher: newConfigFetcher(), linkMbps: settings.Limits.LinkMbps, gossipVoters: control.gossipVoters, onChosen: control.handleChosen}
 	if state := replica.state(); state.Accepted == (register.Ballot{}) {
-		control.node.MergeRegisterValue(state.Value) // the founders; what was accepted later may not have been chosen
+		control.node.MergeRegisterValue(state.Value) // the founders; a value accepted later may not have been chosen
 	}
 	return control
 }
 
+// internalRouter returns the handler of requests of other processes.
 func (c *Control) internalRouter() http.Handler {
 	router := mux.NewRouter()
 	c.node.RegisterHandlers(router)
-	router.HandleFunc(preparePath, transport.NewHandler(c.replica.handlePrepare)).Methods("POST")
-	router.HandleFunc(acceptPath, transport.NewHandler(c.replica.handleAccept)).Methods("POST")
-	router.HandleFunc(readPath, transport.NewHandler(c.replica.handleRead)).Methods("POST")
-	router.HandleFunc(learnPath, transport.NewHandler(c.handleLearn)).Methods("POST")
-	router.HandleFunc(configPath, transport.NewHandler(c.replica.handleConfigRequest)).Methods("POST")
-	router.HandleFunc(statusPath, c.handleStatus).Methods("GET")
+	router.HandleFunc(preparePath, transport.NewHandler(c.replica.handlePrepare)).Methods(http.MethodPost)
+	router.HandleFunc(acceptPath, transport.NewHandler(c.replica.handleAccept)).Methods(http.MethodPost)
+	router.HandleFunc(readPath, transport.NewHandler(c.replica.handleRead)).Methods(http.MethodPost)
+	router.HandleFunc(learnPath, transport.NewHandler(c.handleLearn)).Methods(http.MethodPost)
+	router.HandleFunc(configPath, transport.NewHandler(c.replica.handleConfigRequest)).Methods(http.MethodPost)
+	router.HandleFunc(statusPath, c.handleStatus).Methods(http.MethodGet)
 	return router
 }
 
+// operatorRouter returns the handler of the configuration API.
 func (c *Control) operatorRouter() http.Handler {
 	router := mux.NewRouter()
-	router.HandleFunc("/config", c.handlePut).Methods("PUT")
-	router.HandleFunc("/config", c.handlePatch).Methods("PATCH")
-	router.HandleFunc("/config", c.handleGet).Methods("GET")
+	router.HandleFunc("/config", c.handlePut).Methods(http.MethodPut)
+	router.HandleFunc("/config", c.handlePatch).Methods(http.MethodPatch)
+	router.HandleFunc("/config", c.handleGet).Methods(http.MethodGet)
 	return router
 }
 
-// learned takes a value that holds: its voters are told, and its configuration where others may lack it.
+// gossipVoters returns the value with the newest set of voters that gossip has brought.
+func (c *Control) gossipVoters() register.Value {
+	gossipState, _ := c.node.State()
+	return gossipState.Voters
+}
+
+// handleChosen publishes the voters of a chosen value, and has runCatchUp publish and store the rest. It may be called from any goroutine,
+// with older values too.
 func (c *Control) handleChosen(value chosenValue) {
 	c.node.MergeRegisterValue(value.Value)
 	c.chosen.observe(value)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -53,8 +53,8 @@
 		Expect(os.RemoveAll(s.dataDir(1))).To(Succeed())
 		s.start(1, false)
 		Eventually(func() bool {
-			facts, _ := s.machines[2].control.node.State()
-			return s.machines[1].control.isVoter(&facts.Voters) && len(facts.Voters.OutgoingVoters) == 0
+			gossipState, _ := s.machines[2].control.node.State()
+			return s.machines[1].control.isVoter(&gossipState.Voters) && len(gossipState.Voters.OutgoingVoters) == 0
 		}, waitTimeout).Should(BeTrue())
 		s.stop(3)
 		Eventually(func() int { return s.put(2, 1, testConfig(2, 0)) }, waitTimeout).Should(Equal(http.StatusOK))
--- a/internal/control/identity.go
+++ b/internal/control/identity.go
@@ -9,7 +9,9 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// newState returns the state of a disk without one. empty tells whether nothing was ever written to it.
+// newState returns the first state of a disk that holds none. A founder, whose settings say so, starts with the founding value. Any other
+// process starts without a value and with a random identity, which is in no set of voters. Danger: founding takes an unused disk. A disk
+// that has lost its state may have promised something under the founder's identity.
 func newState(settings *nodeconfig.Settings, isUnusedDisk bool) register.State {
 	address := settings.InternalAddress(settings.IP, nodeconfig.ControlPort)
 	founders := settings.SeedAddresses()
@@ -21,9 +23,10 @@
 	return register.State{ID: address + "#" + hex.EncodeToString(nonce[:])}
 }
 
+// founderID returns the identity of a founder's disk, which all founders can derive from its address.
 func founderID(address string) string { return "founder@" + address }
 
-// founding returns the value with which all founders begin.
+// foundingValue returns the value that all founders start with.
 func foundingValue(addresses []string) register.Value {
 	value := register.Value{Epoch: 1}
 	for _, address := range addresses {
--- a/internal/control/leaving.go
+++ b/internal/control/leaving.go
@@ -7,21 +7,29 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// awaitSuccession waits, once this process has told that it leaves, until it votes no longer. It does not wait where too few would
-// be left without it.
+const (
+	// leaveFraction is the part of the grace period for which a voter that leaves waits for its replacement.
+	leaveFraction      = 0.4
+	leaveCheckInterval = 50 * time.Millisecond
+	// leaveReadTimeout bounds the read of the voters by a process that leaves.
+	leaveReadTimeout = 500 * time.Millisecond
+)
+
+// awaitReplacement waits, after this process has announced that it leaves, until it is no longer a voter. It returns at once where too few
+// voters would be left without it, since then no other process will replace it.
 func (c *Control) awaitReplacement() {
 	deadline := time.Now().Add(nodeconfig.FromSeconds(leaveFraction * c.settings.Bounds.GraceSeconds))
 	for time.Now().Before(deadline) {
-		facts, _ := c.node.State()
-		if !c.isVoter(&facts.Voters) || !c.isReplaceable() {
+		gossipState, _ := c.node.State()
+		if !c.isVoter(&gossipState.Voters) || !c.isReplaceable() {
 			return
 		}
 		time.Sleep(leaveCheckInterval)
 	}
 }
 
-// isReplaceable tells whether as many voters as wanted are left without this process. Where it knows too few other processes it reads
-// the register: a voter that joined a moment ago may be unknown here, and this process must not end before that one has its place.
+// isReplaceable tells whether targetVoters processes are left without this one. Where it knows too few it reads the register: a voter that
+// joined a moment ago may be unknown here, and this process must not end before that one has replaced it.
 func (c *Control) isReplaceable() bool {
 	if c.countStaying() >= c.targetVoters() {
 		return true
@@ -30,7 +38,7 @@
 	defer cancel()
 	value, err := c.proposer.read(ctx)
 	if err != nil {
-		return false // without a majority nobody can change the voters
+		return false // without a majority the voters can't be changed
 	}
 	return c.isVoter(&value.Value) && len(value.AllVoters()) > c.targetVoters()
 }
--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -12,52 +12,55 @@
 	"hazelwheel/internal/transport"
 )
 
-// The paths of the register between control processes.
+// The internal paths of a control process.
 const (
 	preparePath = "/fleet/v1/prepare"
 	acceptPath  = "/fleet/v1/accept"
 	readPath    = "/fleet/v1/read"
 	configPath  = "/fleet/v1/config"
 	learnPath   = "/fleet/v1/learn"
-	// holdingsPath tells people what a process holds, as JSON.
+	// statusPath answers operators with a replicaStatus as JSON.
 	statusPath = "/fleet/v1/holdings"
 )
 
 const (
-	// voteWithin bounds the wait for one voter's answer.
+	// voteTimeout bounds the wait for one voter's reply, without the transfer of a configuration.
 	voteTimeout = 900 * time.Millisecond
-	// largeConfig is the size in bytes from which on a configuration goes only to voters that ask for it.
+	// maxInlineConfigBytes is the largest configuration that is sent with each accept request. A larger one goes only to the voters that
+	// reply that they lack it.
 	maxInlineConfigBytes = 64 << 10
-	// shareOfLink is how many times as long bytes may take as they would alone on the link: they go to several voters at once.
+	// transferMargin multiplies the time that bytes would take alone on the link, since they go to several voters at once.
 	transferMargin = 6
 )
 
-// errNoVoters is returned while nobody has told who votes.
+// errUnknownVoters is returned until the set of voters is known, from the own disk or from gossip.
 var errUnknownVoters = errors.New("the voters are not known yet")
 
-// registrar changes and reads the register.
+// proposer changes and reads the register by rounds with the voters. Its methods are safe for concurrent use; each call runs rounds of
+// its own.
 type proposer struct {
 	self         register.Voter
-	proposerID   string // proposer of this life's ballots: no other life has the same
+	proposerID   string // part of each ballot; drawn anew with each start of the process
 	replica      *replica
 	client       *transport.Client
-	fetcher      *configFetcher // of configurations that are fetched
-	linkMbps     float64
-	gossipVoters func() register.Value // of the newest epoch heard of
-	onChosen     func(chosenValue)     // told of each value that holds
+	fetcher      *configFetcher
+	linkMbps     float64               // capacity of the own link, 0: unknown
+	gossipVoters func() register.Value // the newest set of voters that gossip has brought
+	onChosen     func(chosenValue)     // called with each value that was found chosen, from any goroutine
 
-	mu           sync.Mutex
-	highestRound uint64          // the highest heard of
-	lastChosen   register.Ballot // the highest at which this life has found a value chosen
+	mu           sync.Mutex      // guards what follows
+	highestRound uint64          // highest round of a ballot that was observed
+	lastChosen   register.Ballot // highest ballot at which this process has found a value chosen
 }
 
-// found is a value that holds, with the ballot at which it was chosen.
+// chosenValue is a value of the register that was chosen, with the ballot at which it was.
 type chosenValue struct {
 	register.Value
 	Ballot register.Ballot
 }
 
-// known returns the voters to begin with: those of the newest epoch that the own disk or others tell.
+// knownVoters returns the set of voters of the newest epoch, from the own disk or from gossip, in a value without other content. A round
+// may find a newer set, and goes on with that.
 func (p *proposer) knownVoters() (register.Value, error) {
 	known := p.gossipVoters()
 	if stored := p.replica.state().Value; stored.Epoch >= known.Epoch {
@@ -69,8 +72,10 @@
 	return register.Value{Epoch: known.Epoch, Voters: known.Voters, OutgoingVoters: known.OutgoingVoters}, nil
 }
 
-// Change makes a change in as many rounds as it takes. Once an error is returned nothing is known of the change: it may hold.
-// config holds the bytes of the configuration that the change brings, if it brings one.
+// propose runs rounds until the change is chosen or refused, or the context ends. It returns the value that is chosen then, with the
+// outcome Chosen where the change is in it and Rejected where the change does not apply. Danger: after an error nothing is known of the
+// change, which may be chosen yet; a caller that repeats it needs a change that recognizes itself. config holds the bytes of the
+// configuration that the change names, nil where it names none.
 func (p *proposer) propose(ctx context.Context, change register.Change, config []byte) (chosenValue, register.Outcome, error) {
 	var backoff register.Backoff
 	pause := time.Duration(0)
@@ -79,7 +84,7 @@
 			return chosenValue{}, register.Abandoned, err
 		}
 		startedAt := time.Now()
-		value, outcome, err := p.runRound(ctx, change, config)
+		value, outcome, err := p.runProposal(ctx, change, config)
 		if err != nil {
 			return chosenValue{}, register.Abandoned, err
 		}
@@ -96,6 +101,7 @@
 	}
 }
 
+// sleep returns nil after the pause, or the context's error as soon as it has ended.
 func sleep(ctx context.Context, pause time.Duration) error {
 	if pause == 0 {
 		return ctx.Err()
@@ -110,7 +116,7 @@
 	}
 }
 
-// nextBallot returns a ballot above all that were heard of.
+// nextBallot returns a ballot above all that were observed.
 func (p *proposer) nextBallot() register.Ballot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,13 +124,14 @@
 	return register.Ballot{Number: p.highestRound, Proposer: p.proposerID}
 }
 
+// observeRound notes a ballot of another proposer, for nextBallot to pass.
 func (p *proposer) observeRound(ballot register.Ballot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.highestRound = max(p.highestRound, ballot.Number)
 }
 
-// trust notes a ballot at which a value was found chosen.
+// recordChosen notes a ballot at which this process has found a value chosen.
 func (p *proposer) recordChosen(at register.Ballot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,51 +140,56 @@
 	}
 }
 
+// lastChosenBallot returns the highest ballot that recordChosen has noted. Danger: the ballot that the own replica has accepted must not take
+// its place: what is accepted need not be chosen, and a round that trusted it could change voters that are not in force.
 func (p *proposer) lastChosenBallot() register.Ballot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lastChosen
 }
 
-func (p *proposer) runRound(ctx context.Context, change register.Change, config []byte) (chosenValue, register.Outcome, error) {
+// runProposal runs one round of prepare and accept. Its outcome may also be Undecided, by a higher ballot, or Confirmed: it has completed the
+// value of an earlier round, and the change is to be tried in another one.
+func (p *proposer) runProposal(ctx context.Context, change register.Change, config []byte) (chosenValue, register.Outcome, error) {
 	known, err := p.knownVoters()
 	if err != nil {
 		return chosenValue{}, register.Abandoned, err
 	}
-	round, step := register.NewProposal(p.nextBallot(), known, change)
-	round.SetKnownChosen(p.lastChosenBallot())
+	proposal, step := register.NewProposal(p.nextBallot(), known, change)
+	proposal.SetKnownChosen(p.lastChosenBallot())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	replies := make(chan voterReply)
 	for !step.Done {
-		p.sendStep(ctx, round, step, config, replies)
+		p.sendStep(ctx, proposal, step, config, replies)
 		select {
 		case <-ctx.Done():
 			return chosenValue{}, register.Abandoned, ctx.Err()
 		case reply := <-replies:
-			step = applyReply(round, reply)
+			step = applyReply(proposal, reply)
 		}
 	}
-	p.observeRound(round.HighestPromised)
-	if round.ChosenAt != (register.Ballot{}) && round.Outcome != register.Undecided {
-		p.recordChosen(round.ChosenAt)
+	p.observeRound(proposal.HighestPromised)
+	if proposal.ChosenAt != (register.Ballot{}) && proposal.Outcome != register.Undecided {
+		p.recordChosen(proposal.ChosenAt)
 	}
-	return chosenValue{round.Value, round.ChosenAt}, round.Outcome, nil
+	return chosenValue{proposal.Value, proposal.ChosenAt}, proposal.Outcome, nil
 }
 
-// feed hands what came of a call to the round.
-func applyReply(round *register.Proposal, reply voterReply) register.Step {
+// applyReply hands a voter's reply, or its failure, to the round and returns what to send next.
+func applyReply(proposal *register.Proposal, reply voterReply) register.Step {
 	switch {
 	case reply.err != nil:
-		return round.HandleNoReply(reply.from, reply.isAccept)
+		return proposal.HandleNoReply(reply.from, reply.isAccept)
 	case reply.promise != nil:
-		return round.HandlePrepareReply(reply.from, *reply.promise)
+		return proposal.HandlePrepareReply(reply.from, *reply.promise)
 	default:
-		return round.HandleAcceptReply(reply.from, *reply.accepted)
+		return proposal.HandleAcceptReply(reply.from, *reply.accepted)
 	}
 }
 
-func (p *proposer) sendStep(ctx context.Context, round *register.Proposal, step register.Step, config []byte, replies chan<- voterReply) {
+// sendStep sends a step's requests, each from a goroutine of its own that ends with the context. Their replies go to the channel.
+func (p *proposer) sendStep(ctx context.Context, proposal *register.Proposal, step register.Step, config []byte, replies chan<- voterReply) {
 	send := func(call func() voterReply) {
 		go func() {
 			reply := call()
@@ -188,19 +200,19 @@
 		}()
 	}
 	for _, voter := range step.SendPrepare {
-		request := &register.PrepareRequest{To: voter.ID, Ballot: round.Ballot}
+		request := &register.PrepareRequest{To: voter.ID, Ballot: proposal.Ballot}
 		send(func() voterReply { return p.prepare(ctx, voter, request) })
 	}
 	for _, voter := range step.SendAccept {
-		request := &register.AcceptRequest{To: voter.ID, Ballot: round.Ballot, Value: round.Value, ConfigData: config}
+		request := &register.AcceptRequest{To: voter.ID, Ballot: proposal.Ballot, Value: proposal.Value, ConfigData: config}
 		if len(config) > maxInlineConfigBytes {
-			// A voter that has the bytes from a round before doesn't need them again; one that lacks them asks.
+			// A voter that has the bytes from an earlier round doesn't need them again; one that lacks them replies so.
 			request.ConfigData = nil
 		}
 		send(func() voterReply { return p.accept(ctx, voter, request) })
 	}
 	for _, voter := range step.SendConfig {
-		request := &register.AcceptRequest{To: voter.ID, Ballot: round.Ballot, Value: round.Value}
+		request := &register.AcceptRequest{To: voter.ID, Ballot: proposal.Ballot, Value: proposal.Value}
 		send(func() voterReply {
 			data, err := config, error(nil)
 			if register.DigestOf(data) != request.Value.ConfigDigest {
@@ -215,7 +227,8 @@
 	}
 }
 
-// Read returns the value that holds. Where voters differ it makes them agree first.
+// read returns the value that is chosen, by replies of a majority. Where these differ it runs a round that completes one first. An error
+// says that no majority was reached in time, or that the voters are not known yet.
 func (p *proposer) read(ctx context.Context) (chosenValue, error) {
 	known, err := p.knownVoters()
 	if err != nil {
--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -6,35 +6,33 @@
 	"sync"
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"hazelwheel/internal/decide/reconfiguration"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/message"
 )
 
 const (
-	// upkeepEvery is the time between looks at the voters.
+	// reconfigurationInterval is the time between checks of whether the set of voters has to change.
 	reconfigurationInterval = 150 * time.Millisecond
-	// learnWithin bounds the question whether a newcomer holds the newest value.
+	// learnTimeout bounds the request to one learner.
 	learnTimeout = 700 * time.Millisecond
-	// upkeepAgain is the pause after a try that changed nothing.
+	// reconfigurationPause is added after an attempt that changed nothing.
 	reconfigurationPause = 250 * time.Millisecond
-	// leavePart is the part of the grace period for which a voter that ends stays for others to take its place.
-	leaveFraction      = 0.4
-	leaveCheckInterval = 50 * time.Millisecond
-	// leaveReadTimeout bounds the read of the voters by a process that ends.
-	leaveReadTimeout = 500 * time.Millisecond
 )
 
-// upkeep has lost voters replaced and newcomers join.
+// runReconfiguration replaces voters that have failed or leave, and has new control processes join. One voter at a time does so, by its
+// rank (see reconfiguration.StaggeredTimer). Two at once are no fault, since only one change of an epoch can be chosen.
 func (c *Control) runReconfiguration(ctx context.Context) {
 	var turns reconfiguration.StaggeredTimer
 	var learners reconfiguration.LearnerTargets
 	startedAt := time.Now()
 	for sleep(ctx, reconfigurationInterval) == nil {
-		facts, _ := c.node.State()
-		candidates := reconfiguration.AddReachableVoters(&facts.Voters, c.candidates(), c.isReachable)
-		needed := reconfiguration.IsNeeded(&facts.Voters, candidates, c.targetVoters())
-		rank, votes := reconfiguration.Rank(c.proposer.self.ID, &facts.Voters, reconfiguration.IsLiveVoter(candidates))
+		gossipState, _ := c.node.State()
+		candidates := reconfiguration.AddReachableVoters(&gossipState.Voters, c.candidates(), c.isReachable)
+		needed := reconfiguration.IsNeeded(&gossipState.Voters, candidates, c.targetVoters())
+		rank, votes := reconfiguration.Rank(c.proposer.self.ID, &gossipState.Voters, reconfiguration.IsLiveVoter(candidates))
 		if !turns.IsDue(time.Since(startedAt).Seconds(), needed && votes, rank) {
 			continue
 		}
@@ -48,7 +46,8 @@
 	}
 }
 
-// mendVoters makes the next change of the voters that is needed. It goes by what a majority says, never by what is told of it.
+// reconfigure makes the next change of the voters that is needed, or completes one that is in progress. It decides by the value that a
+// majority holds; what gossip says of the voters only tells when to try.
 func (c *Control) reconfigure(ctx context.Context, learners *reconfiguration.LearnerTargets) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -70,17 +69,18 @@
 	return c.changeVoters(ctx, register.CompleteReconfiguration)
 }
 
-// changeVoters makes one change. It returns false where another process has changed the voters meanwhile.
+// changeVoters makes one change. It returns false where another process has changed the voters in the meantime.
 func (c *Control) changeVoters(ctx context.Context, change register.Change) (bool, error) {
 	value, outcome, err := c.proposer.propose(ctx, change, nil)
 	if err != nil || outcome != register.Chosen {
 		return false, err
 	}
-	c.log.WithField("epoch", value.Epoch).WithField("voters", len(value.Voters)).WithField("before", len(value.OutgoingVoters)).Info("voters changed")
+	c.log.WithFields(logrus.Fields{"epoch": value.Epoch, "voters": len(value.Voters), "before": len(value.OutgoingVoters)}).Info("voters changed")
 	return true, nil
 }
 
-// askLearners asks the live candidates that don't vote whether what they hold is new enough. Those that lack the newest value fetch it.
+// queryLearners sends the chosen value to the live candidates that don't vote, in parallel, and sets CaughtUp of those that reply that they
+// are up to date. The others fetch the value in the meantime.
 func (c *Control) queryLearners(ctx context.Context, value chosenValue, candidates []register.Candidate, learners *reconfiguration.LearnerTargets) []register.Candidate {
 	queried := map[register.Voter]bool{}
 	var queries sync.WaitGroup
@@ -98,16 +98,17 @@
 	return candidates
 }
 
+// queryLearner sends the chosen value to one candidate and returns whether it holds the value of minBallot or a later one.
 func (c *Control) queryLearner(ctx context.Context, voter register.Voter, value chosenValue, minBallot register.Ballot) bool {
 	ctx, cancel := context.WithTimeout(ctx, learnTimeout)
 	defer cancel()
 	request := &message.LearnRequest{To: voter.ID, Ballot: value.Ballot, Value: value.Value, MinBallot: minBallot}
 	reply := &message.LearnReply{}
 	if voter.Address == c.proposer.self.Address {
-		return false // a process that doesn't vote leaves its joining to those that do
+		return false // a process that doesn't vote is added by one that does
 	}
 	if err := c.proposer.client.Call(ctx, voter.Address, learnPath, request, reply); err != nil {
-		c.log.WithField("peer", voter.Address).WithError(err).Debug("a newcomer did not answer")
+		c.log.WithField("peer", voter.Address).WithError(err).Debug("learner query failed")
 		return false
 	}
 	return reply.UpToDate
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -17,39 +17,37 @@
 
 // The kinds of records in the store.
 const (
-	stateRecord  store.Kind = 1
-	configRecord store.Kind = 2
+	stateRecord  store.Kind = 1 // a register.State as MessagePack; the last one counts
+	configRecord store.Kind = 2 // the bytes of a configuration
 )
 
 const (
-	// snapshotAt is the size of a segment, in bytes, at which a snapshot takes its place.
+	// snapshotThreshold is the size of a segment, in bytes, above which a snapshot replaces it.
 	snapshotThreshold = 8 << 20
-	// retryWrite is the pause before a start that could not write its identity tries again.
+	// identityRetryInterval is the pause after a failed first write.
 	identityRetryInterval = 200 * time.Millisecond
-	// mostConfigs bounds the configurations whose bytes are kept in memory and in snapshots, mostLent those in memory while others
-	// fetch them, and lentFor is how long after a piece was asked for somebody may come for the next one.
-	maxKeptConfigs     = 2
-	maxCachedConfigs   = 5
-	requestedRetention = 3 * time.Second
 )
 
-// replica hosts the acceptor and its disk.
+// replica is the acceptor of the register with its disk. It is safe for concurrent use.
+//
+// A request that changes the state holds writeMu from the decision until the new state is on disk, and only then is the state in memory
+// replaced (Acceptor.MarkPersisted): what other goroutines see, and what is answered, is always on disk. Reads take mu alone and never wait for
+// the disk. Where both are held, writeMu is locked first.
 type replica struct {
-	log *logrus.Entry
+	log         *logrus.Entry
+	hadState    bool          // the disk held a readable state at the start
+	valueStored chan struct{} // receives a signal when a newer configuration was accepted or learned
 
-	writeMu sync.Mutex // held while the disk works; orders all that changes the state
+	writeMu sync.Mutex // guards store, and orders changes of the state
 	store   *store.Store
 
-	mu       sync.Mutex // guards what follows; never held while the disk works
+	mu       sync.Mutex // guards what follows; never held during a write
 	acceptor *register.Acceptor
-	configs  []cachedConfig // the newest at the end
-	hadState bool           // the disk held a state at the start
-
-	valueStored chan struct{} // gets a signal when a configuration was accepted or learned
+	configs  []cachedConfig // oldest first
 }
 
-// openReplica reads the disk. A process without a state founds the register if it is one of the founders, else it gets an
-// identity that never voted.
+// openReplica reads the disk. Without a readable state the replica gets a new one (see newState), which is not on disk before
+// persistIdentity has returned.
 func openReplica(settings *nodeconfig.Settings, log *logrus.Entry) (*replica, error) {
 	logStore, records, corruptions, err := store.Open(settings.DataDir)
 	if err != nil {
@@ -60,12 +58,11 @@
 	for _, corruption := range corruptions {
 		log.WithField("tail", corruption.TornTail).Warn("store: " + corruption.String())
 		if !corruption.TornTail {
-			// Danger: what can't be read may have been a promise. Who forgot one must not vote as the one that made it.
+			// Danger: the unreadable bytes may have been a promise. A voter that forgets a promise must not vote under the same identity.
 			restored = false
 		}
 	}
 	if !restored {
-		// Danger: a founder whose disk held something may have promised something. Only an empty disk founds.
 		state = newState(settings, !logStore.IsUsed())
 	}
 	r.hadState = restored
@@ -73,13 +70,15 @@
 	return r, nil
 }
 
+// restore reads the state from the store's records, and fills the cache of configurations. It returns false where there is no readable
+// state.
 func (r *replica) restore(records []store.Record) (state register.State, restored bool) {
 	for _, record := range records {
 		switch record.Kind {
 		case stateRecord:
 			var next register.State
 			if err := msgpack.Unmarshal(record.Data, &next); err != nil {
-				r.log.WithError(err).Error("store: a state that can't be read")
+				r.log.WithError(err).Error("store: decoding the state failed")
 				return state, false
 			}
 			state, restored = next, true
@@ -90,8 +89,8 @@
 	return state, restored
 }
 
-// begin writes a snapshot of what was read. Nothing may be answered before an identity is on the disk. Where it was found there,
-// a disk that takes no more bytes does not keep the process from telling what it holds.
+// persistIdentity writes a snapshot of the state, and retries until it is on disk or the context ends. No request may be answered before.
+// Where the state was read from the disk, a failed write is no obstacle: a process whose disk is full still answers reads.
 func (r *replica) persistIdentity(ctx context.Context) error {
 	for {
 		r.writeMu.Lock()
@@ -112,7 +111,7 @@
 	}
 }
 
-// snapshot is for who holds writing.
+// writeSnapshot replaces the store's content by the state and the newest configurations. The caller holds writeMu.
 func (r *replica) writeSnapshot() error {
 	r.mu.Lock()
 	state, configs := r.acceptor.State(), slices.Clone(r.configs[max(len(r.configs)-maxKeptConfigs, 0):])
@@ -128,7 +127,7 @@
 	return r.store.Snapshot(append(records, store.Record{Kind: stateRecord, Data: data})...)
 }
 
-// check reads the disk again, and writes what this process holds anew where something was spoiled there.
+// repairDisk reads the disk back, and where a file is damaged it replaces the content by a snapshot of the state in memory.
 func (r *replica) repairDisk() {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
@@ -140,7 +139,8 @@
 	r.log.WithError(err).WithField("place", corruption.String()).Error("store: a file was spoiled; written anew")
 }
 
-// write puts a state, and a configuration where there is one, on the disk.
+// persist appends a state, and the bytes of its configuration where they are new, to the store; then it replaces the state in memory. After
+// an error the state in memory is unchanged, and the caller must not answer as if it had changed. The caller holds writeMu.
 func (r *replica) persist(state *register.State, config []byte) error {
 	data, err := msgpack.Marshal(state)
 	if err != nil {
@@ -172,13 +172,14 @@
 	return nil
 }
 
-// state returns what is on disk.
+// state returns the state that is on disk.
 func (r *replica) state() register.State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.acceptor.State()
 }
 
+// handlePrepare answers a prepare request. An error says that the disk has failed; nothing was promised then.
 func (r *replica) handlePrepare(_ context.Context, request *register.PrepareRequest) (*register.PrepareReply, error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
@@ -193,6 +194,8 @@
 	return &promise, nil
 }
 
+// handleAccept answers an accept request. A value whose configuration is neither attached nor in memory is not accepted, and the reply asks
+// for the bytes. An error says that the bytes don't match the digest or that the disk has failed; nothing was accepted then.
 func (r *replica) handleAccept(_ context.Context, request *register.AcceptRequest) (*register.AcceptReply, error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
@@ -217,6 +220,7 @@
 	return &accepted, nil
 }
 
+// handleRead answers a read request, without a write.
 func (r *replica) handleRead(_ context.Context, request *register.ReadRequest) (*register.PrepareReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -224,7 +228,8 @@
 	return &promise, nil
 }
 
-// learn takes a value that was chosen. config holds the configuration's bytes where they may be lacking.
+// learn stores a value that was chosen, where it is newer than the stored one and the bytes of its configuration are here: in config, or in
+// memory where config is nil. It returns whether the stored value is this one or a newer one.
 func (r *replica) learn(value chosenValue, config []byte) (upToDate bool, err error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
@@ -241,12 +246,13 @@
 	return upToDate, r.persist(next, config)
 }
 
-// serveConfig returns a piece of a configuration's bytes.
+// handleConfigRequest answers the request for a chunk of a configuration. The size in the reply is 0 where the configuration is not in
+// memory.
 func (r *replica) handleConfigRequest(_ context.Context, request *message.ConfigRequest) (*message.ConfigReply, error) {
 	data := r.lendConfig(request.Digest)
 	reply := &message.ConfigReply{Size: len(data)}
 	if request.Offset < 0 || request.Offset > len(data) || request.Length < 0 {
-		return nil, Error.New("a piece at %d of %d bytes", request.Offset, len(data))
+		return nil, Error.New("chunk at offset %d of %d bytes", request.Offset, len(data))
 	}
 	reply.Data = data[request.Offset:]
 	if request.Length > 0 {
--- a/internal/control/servers.go
+++ b/internal/control/servers.go
@@ -12,24 +12,27 @@
 	"github.com/zeebo/errs"
 )
 
+// listenTCP listens at an address, IP:PORT.
 func listenTCP(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", address)
 	return listener, Error.Wrap(err)
 }
 
+// serve starts a server on a listener. Where it fails, but for a shutdown, the process exits: it must not go on without one of its servers.
 func serve(listener net.Listener, handler http.Handler) *http.Server {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	go func() {
-		if err := server.Serve(listener); err != nil && err != http.ErrServerClosed {
-			logrus.WithError(err).Error("serving ended")
+		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+			logrus.WithError(err).Error("server failed")
 			os.Exit(1)
 		}
 	}()
 	return server
 }
 
-// shutdown lets calls that are under way end within a time, and closes what is left then. Danger: a connection on which nothing was sent
-// yet counts as busy for seconds. Peers open such ones and may never use them; they are no reason to end with an error.
+// shutdown shuts the servers down: requests in flight may complete until the time-out, then their connections are closed. Danger: a
+// connection on which nothing was sent yet counts as busy for seconds. Peers open such connections and may never use them, so a time-out
+// is no error.
 func shutdown(servers []*http.Server, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -7,6 +7,8 @@
 	"slices"
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"hazelwheel/internal/decide/election"
 	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/decide/stages"
@@ -18,29 +20,29 @@
 )
 
 const (
-	// stagesRole is the role of the process that orders servers to change their stage.
-	stagesRole    = "stages"
+	// stagesRole is the name of the singleton role in the register's lease grants.
+	stagesRole = "stages"
+	// stageInterval is the time between two steps of the controller.
 	stageInterval = 300 * time.Millisecond
-	orderTimeout  = 800 * time.Millisecond
-	maxReplyBytes = 64 << 10
-	stageOrderOp  = "Stage"
 )
 
-// stageKeeper orders model servers to change their stage while this process holds the role.
+// stageController orders model servers to change their stage while this process holds the lease of the role. It is for the goroutine of
+// run alone.
 type stageController struct {
 	control       *Control
 	lease         *election.Candidate
 	planner       *stages.Planner
 	httpClient    *http.Client
 	startedAt     time.Time
-	planSequence  uint64
-	loadsLoggedAt time.Time // when the model servers' standing was
+	planSequence  uint64    // of the plan that was published last
+	loadsLoggedAt time.Time // when logServiceLoads wrote its lines last
 
-	table      *routeconfig.Table // as unpacked last
-	instances  []message.Instance
-	listDigest uint64 // of instances
+	table      *routeconfig.Table // the configuration, unpacked
+	instances  []message.Instance // the endpoint list, unpacked
+	listDigest uint64             // of the endpoint list in instances
 }
 
+// newStageController returns a controller without a lease.
 func newStageController(c *Control) *stageController {
 	s := &stageController{control: c, planner: stages.New(), startedAt: time.Now(),
 		httpClient: &http.Client{Transport: &http.Transport{DialContext: transport.NewDialer().DialContext, MaxIdleConnsPerHost: 1}}}
@@ -48,19 +50,22 @@
 	return s
 }
 
+// now returns the time of lease and planner, in seconds since the start.
 func (s *stageController) now() float64 { return time.Since(s.startedAt).Seconds() }
 
+// run takes a step at each interval until the context ends: it releases a lapsed lease, and acquires, confirms or uses the lease as
+// election.Candidate decides. It does nothing while there is no model server.
 func (s *stageController) run(ctx context.Context) {
 	for sleep(ctx, stageInterval) == nil {
-		facts, _ := s.control.node.State()
-		if !s.refreshInputs(facts) || !s.hasModelServers() {
+		gossipState, _ := s.control.node.State()
+		if !s.refreshInputs(gossipState) || !s.hasModelServers() {
 			continue
 		}
 		if token := s.lease.ReleaseIfUnconfirmed(s.now()); token != 0 {
 			s.control.log.WithField("token", token).Info("role given up: stages")
 			s.control.node.SetReleasedToken(token)
 		}
-		grant := (&register.Value{Grants: facts.Grants}).GrantFor(stagesRole)
+		grant := (&register.Value{Grants: gossipState.Grants}).GrantFor(stagesRole)
 		switch s.lease.NextAction(s.now(), grant, s.holderSilenceSeconds(grant), s.control.reachesMajority()) {
 		case election.Acquire:
 			s.acquireLease(ctx, grant)
@@ -73,35 +78,38 @@
 	}
 }
 
-// view unpacks what has changed of the configuration and the list. It returns whether there are both.
-func (s *stageController) refreshInputs(facts gossip.State) bool {
-	if facts.Table == nil || facts.Endpoints.ReadAt.IsZero() {
+// refreshInputs unpacks the configuration and the endpoint list where they have changed. It returns false until both are known, and where
+// one can't be unpacked.
+func (s *stageController) refreshInputs(gossipState gossip.State) bool {
+	if gossipState.Table == nil || gossipState.Endpoints.ReadAt.IsZero() {
 		return false
 	}
-	if s.table == nil || s.table.Version != facts.Table.Version {
-		table, err := facts.Table.Unpack()
+	if s.table == nil || s.table.Version != gossipState.Table.Version {
+		table, err := gossipState.Table.Unpack()
 		if err != nil {
-			s.control.log.WithError(err).Warn("a configuration that can't be unpacked")
+			s.control.log.WithError(err).Warn("unpacking the configuration failed")
 			return false
 		}
 		s.table = table
 	}
-	if s.listDigest != facts.Endpoints.Digest {
-		instances, err := facts.Endpoints.Unpack()
+	if s.listDigest != gossipState.Endpoints.Digest {
+		instances, err := gossipState.Endpoints.Unpack()
 		if err != nil {
-			s.control.log.WithError(err).Warn("a list that can't be unpacked")
+			s.control.log.WithError(err).Warn("unpacking the endpoint list failed")
 			return false
 		}
-		s.instances, s.listDigest = instances, facts.Endpoints.Digest
+		s.instances, s.listDigest = instances, gossipState.Endpoints.Digest
 	}
 	return true
 }
 
+// hasModelServers tells whether any server has a stage.
 func (s *stageController) hasModelServers() bool {
 	return slices.ContainsFunc(s.instances, func(i message.Instance) bool { return i.Stage != "" })
 }
 
-// act gives the orders that the demand asks for.
+// issueOrders plans the stages of each service with model servers and sends the orders. The plan is published before its orders are sent, so
+// that proxies stop using a server before it changes.
 func (s *stageController) issueOrders(ctx context.Context) {
 	demands := s.totalDemands()
 	s.logServiceLoads(demands)
@@ -115,26 +123,26 @@
 				input.Instances = append(input.Instances, instance)
 			}
 		}
-		orders := s.planner.PlanChanges(s.now(), input, demands[service.Name])
-		if len(orders) == 0 {
+		changes := s.planner.PlanChanges(s.now(), input, demands[service.Name])
+		if len(changes) == 0 {
 			continue
 		}
 		demand := demands[service.Name]
-		s.control.log.WithField("service", service.Name).WithField("read_per_s", int(demand.PrefillTokensPerSecond)).WithField("streams", int(demand.DecodeStreams)).
-			WithField("held", int(demand.KVTokens)).WithField("orders", len(orders)).Info("stages")
+		s.control.log.WithFields(logrus.Fields{"service": service.Name, "read_per_s": int(demand.PrefillTokensPerSecond), "streams": int(demand.DecodeStreams),
+			"held": int(demand.KVTokens), "orders": len(changes)}).Info("stages")
 		s.publishPlan()
-		for _, order := range orders {
-			s.sendOrder(ctx, order)
+		for _, change := range changes {
+			s.sendOrder(ctx, change)
 		}
 	}
-	// Danger: a plan that is never taken back keeps servers out whose order has come to nothing.
-	facts, _ := s.control.node.State()
-	if !maps.Equal(s.planner.Pending(s.now()), facts.Plan.Stages) {
+	// Danger: a plan that is never withdrawn keeps proxies off a server whose order has failed.
+	gossipState, _ := s.control.node.State()
+	if !maps.Equal(s.planner.Pending(s.now()), gossipState.Plan.Stages) {
 		s.publishPlan()
 	}
 }
 
-// demands sums what live proxies ask.
+// totalDemands returns the sum of the live proxies' demands and the load of prefill servers, by service.
 func (s *stageController) totalDemands() map[string]stages.Demand {
 	totals := map[string]stages.Demand{}
 	for _, member := range s.control.node.Members() {
@@ -154,7 +162,7 @@
 	return totals
 }
 
-// addBusy adds what servers that read prompts have told of themselves.
+// addPrefillLoad adds the reported loads of the prefill servers.
 func (s *stageController) addPrefillLoad(totals map[string]stages.Demand) {
 	loads := s.recentLoads()
 	for _, instance := range s.instances {
@@ -168,7 +176,7 @@
 	}
 }
 
-// loads returns what servers have told lately.
+// recentLoads returns the loads that servers have reported recently, by instance key.
 func (s *stageController) recentLoads() map[uint32]message.Load {
 	loads := map[uint32]message.Load{}
 	for _, load := range s.control.node.Loads() {
@@ -177,7 +185,7 @@
 	return loads
 }
 
-// publish tells all proxies which servers are changing.
+// publishPlan publishes which servers are changing their stage, as a newer plan under this process's token.
 func (s *stageController) publishPlan() {
 	s.planSequence++
 	s.control.node.SetPlan(message.StagePlan{Token: s.lease.Token(), Sequence: s.planSequence, Stages: s.planner.Pending(s.now())})
--- a/internal/control/stagecontroller_test.go
+++ b/internal/control/stagecontroller_test.go
@@ -30,8 +30,8 @@
 		return k
 	}
 	told := func(k *stageController) message.StagePlan {
-		facts, _ := k.control.node.State()
-		return facts.Plan
+		gossipState, _ := k.control.node.State()
+		return gossipState.Plan
 	}
 
 	It("is taken back once an order has come to nothing", func() {
--- a/internal/control/stageload.go
+++ b/internal/control/stageload.go
@@ -3,27 +3,27 @@
 import (
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"hazelwheel/internal/decide/stages"
 	"hazelwheel/internal/message"
 )
 
-const (
-	// standingEvery is the time between log lines on how the model servers stand.
-	loadLogInterval = 2 * time.Second
-)
+// loadLogInterval is the time between log lines on the load of model servers.
+const loadLogInterval = 2 * time.Second
 
-// standing counts the servers of a stage and what they tell of their load.
+// stageLoad is the load of a service's servers of one stage: their number, and the requests running and waiting there.
 type stageLoad struct {
 	servers          int
 	running, waiting int
 }
 
-// byStage is how the servers of one service stand.
+// serviceLoad is the load of a service's model servers.
 type serviceLoad struct {
 	prefill, decode stageLoad
 }
 
-// of returns the standing of a stage, nil for servers without a model.
+// stage returns the load of one stage, nil for a stage that is not known.
 func (l *serviceLoad) stage(stage message.Stage) *stageLoad {
 	switch stage {
 	case message.Prefill:
@@ -35,7 +35,7 @@
 	}
 }
 
-// logStanding tells now and then how the model servers of each service stand, by their stage.
+// logServiceLoads logs the load of each service's model servers, at most once in loadLogInterval.
 func (s *stageController) logServiceLoads(demands map[string]stages.Demand) {
 	if time.Since(s.loadsLoggedAt) < loadLogInterval {
 		return
@@ -43,15 +43,24 @@
 	s.loadsLoggedAt = time.Now()
 	for service, load := range s.serviceLoads() {
 		demand := demands[service]
-		s.control.log.WithField("service", service).WithField("read_per_s", int(demand.PrefillTokensPerSecond)).WithField("streams", int(demand.DecodeStreams)).
-			WithField("held", int(demand.KVTokens)).WithField("busy", int(demand.PrefillLoad.BusyServers)).WithField("changing", len(s.planner.Pending(s.now()))).
-			WithField("prefill", load.prefill.servers).WithField("prefill_running", load.prefill.running).WithField("prefill_waiting", load.prefill.waiting).
-			WithField("decode", load.decode.servers).WithField("decode_running", load.decode.running).WithField("decode_waiting", load.decode.waiting).
-			Info("model servers")
+		s.control.log.WithFields(logrus.Fields{
+			"service":         service,
+			"read_per_s":      int(demand.PrefillTokensPerSecond),
+			"streams":         int(demand.DecodeStreams),
+			"held":            int(demand.KVTokens),
+			"busy":            int(demand.PrefillLoad.BusyServers),
+			"changing":        len(s.planner.Pending(s.now())),
+			"prefill":         load.prefill.servers,
+			"prefill_running": load.prefill.running,
+			"prefill_waiting": load.prefill.waiting,
+			"decode":          load.decode.servers,
+			"decode_running":  load.decode.running,
+			"decode_waiting":  load.decode.waiting,
+		}).Info("model servers")
 	}
 }
 
-// standings counts the servers of each service that has models, but for those that are leaving.
+// serviceLoads returns the load of each service with model servers. Draining servers are left out.
 func (s *stageController) serviceLoads() map[string]*serviceLoad {
 	loads := s.recentLoads()
 	out := map[string]*serviceLoad{}
@@ -69,7 +78,7 @@
 	return out
 }
 
-// add counts a server. One that has not told its load lately counts with nothing.
+// addServer adds a server with its load, the zero Load where it has not reported one recently.
 func (s *stageLoad) addServer(load message.Load) {
 	s.servers++
 	s.running += int(load.Running)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -5,41 +5,42 @@
 	"net/http"
 )
 
-// holdings is what a control process tells of its copy, for people and their tools.
+// replicaStatus is what a control process reports of its replica. Operators and their tools read it, so the JSON keys stay.
 type replicaStatus struct {
 	Identity         string        `json:"Identity"`      // of the disk
-	IsVoter          bool          `json:"Votes"`         // as far as this process has heard
-	Epoch            uint64        `json:"Epoch"`         // of the value on the disk
-	ConfigVersion    uint64        `json:"Version"`       // of the configuration on the disk
-	ConfigBytes      int           `json:"Bytes"`         // of that configuration, 0: they are not here
-	BallotRound      uint64        `json:"Ballot"`        // round of the ballot at which the value was accepted or learned
-	PublishedVersion uint64        `json:"Told"`          // version that this process tells others, 0: none
-	ReachesMajority  bool          `json:"TouchMajority"` // whether it is in touch with a majority of the voters
+	IsVoter          bool          `json:"Votes"`         // by the newest set of voters that this process knows
+	Epoch            uint64        `json:"Epoch"`         // of the value on disk
+	ConfigVersion    uint64        `json:"Version"`       // of the configuration of that value
+	ConfigBytes      int           `json:"Bytes"`         // size of that configuration, 0: not in memory
+	BallotRound      uint64        `json:"Ballot"`        // round of the ballot at which that value was accepted or learned
+	PublishedVersion uint64        `json:"Told"`          // of the configuration that gossip carries from here, 0: none
+	ReachesMajority  bool          `json:"TouchMajority"` // whether a majority of the voters is reachable
 	Voters           []voterStatus `json:"Voters"`
 }
 
-// voterTouch is a voter as a control process sees it.
+// voterStatus is a voter as this process sees it.
 type voterStatus struct {
 	Identity  string `json:"Identity"`
 	Address   string `json:"Address"`
 	Reachable bool   `json:"InTouch"`
 }
 
+// status returns the present status. Its parts are read one after the other, and may be of different moments.
 func (c *Control) status() replicaStatus {
 	state := c.replica.state()
-	facts, _ := c.node.State()
-	status := replicaStatus{Identity: state.ID, IsVoter: c.isVoter(&facts.Voters), Epoch: state.Value.Epoch, ConfigVersion: state.Value.ConfigVersion,
+	gossipState, _ := c.node.State()
+	status := replicaStatus{Identity: state.ID, IsVoter: c.isVoter(&gossipState.Voters), Epoch: state.Value.Epoch, ConfigVersion: state.Value.ConfigVersion,
 		ConfigBytes: len(c.replica.configBytes(state.Value.ConfigDigest)), BallotRound: state.Accepted.Number, ReachesMajority: c.reachesMajority()}
-	if facts.Table != nil {
-		status.PublishedVersion = facts.Table.Version
+	if gossipState.Table != nil {
+		status.PublishedVersion = gossipState.Table.Version
 	}
-	for _, voter := range facts.Voters.AllVoters() {
+	for _, voter := range gossipState.Voters.AllVoters() {
 		status.Voters = append(status.Voters, voterStatus{Identity: voter.ID, Address: voter.Address, Reachable: c.isReachable(voter)})
 	}
 	return status
 }
 
-// serveHoldings answers with JSON.
+// handleStatus answers with the status as indented JSON.
 func (c *Control) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	data, err := json.MarshalIndent(c.status(), "", "  ")
 	if err != nil {
@@ -47,5 +48,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", jsonType)
-	_, _ = w.Write(append(data, '\n')) // who asked and is gone asks again
+	_, _ = w.Write(append(data, '\n')) // a client that has disconnected asks again
 }
--- a/internal/control/testcluster_test.go
+++ b/internal/control/testcluster_test.go
@@ -233,10 +233,10 @@
 
 // votes tells whether a machine's disk votes and decides alone with the other voters.
 func (s *testCluster) isVoter(i int) bool {
-	facts, _ := s.machines[0].control.node.State()
-	for _, voter := range facts.Voters.Voters {
+	gossipState, _ := s.machines[0].control.node.State()
+	for _, voter := range gossipState.Voters.Voters {
 		if voter.ID == s.machines[i].control.proposer.self.ID {
-			return len(facts.Voters.OutgoingVoters) == 0
+			return len(gossipState.Voters.OutgoingVoters) == 0
 		}
 	}
 	return false
--- a/internal/control/voterset.go
+++ b/internal/control/voterset.go
@@ -5,21 +5,22 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// wantedVoters is the number of voters of which so many may be lost at once as the settings say.
+// targetVoters returns the number of voters that the settings ask for: enough to lose as many at once as FaultTolerance says.
 func (c *Control) targetVoters() int { return c.settings.FaultTolerance.MinVoters() }
 
-// inTouch tells whether a voter has answered this process lately.
+// isReachable tells whether a voter has answered this process recently. The process itself counts as reachable.
 func (c *Control) isReachable(voter register.Voter) bool {
 	return voter.Address == c.proposer.self.Address || c.node.IsReachable(voter.Address)
 }
 
-// reachesMajority tells whether this process is in touch with a majority of the voters that it knows.
+// reachesMajority tells whether a majority of the known voters is reachable. While no voters are known it returns true: nothing is known
+// against it.
 func (c *Control) reachesMajority() bool {
 	known, err := c.proposer.knownVoters()
 	return err != nil || known.HasQuorum(c.isReachable)
 }
 
-// candidates returns the control processes that are known. Those that are alive count as not caught up.
+// candidates returns the known control processes. CaughtUp is false in all of them.
 func (c *Control) candidates() (candidates []register.Candidate) {
 	for _, member := range c.node.Members() {
 		if member.Kind != membership.Control || member.VoterID == "" {
@@ -31,6 +32,7 @@
 	return candidates
 }
 
+// isVoter tells whether this process votes by a value, in the present or the previous set.
 func (c *Control) isVoter(value *register.Value) bool {
 	for _, voter := range value.AllVoters() {
 		if voter.ID == c.proposer.self.ID {
@@ -40,7 +42,7 @@
 	return false
 }
 
-// othersStaying counts the other control processes that are there and go on.
+// countStaying returns the number of other control processes that are alive and not leaving.
 func (c *Control) countStaying() (count int) {
 	for _, candidate := range c.candidates() {
 		if candidate.ID != c.proposer.self.ID && candidate.Alive && !candidate.Leaving {
