--- a/internal/sim/membershipsim/agree.go
+++ b/internal/sim/membershipsim/agree.go
@@ -8,7 +8,7 @@
 
 // Wrong returns what members that live hold otherwise than it is, a line each, at most so many: who lives and is not held for
 // alive, who does not and is, and ranks that two share.
-func (c *Crowd) Wrong(most int) (wrong []string) {
+func (c *Fleet) Discrepancies(most int) (wrong []string) {
 	say := func(format string, args ...any) {
 		if len(wrong) < most {
 			wrong = append(wrong, fmt.Sprintf(format, args...))
@@ -17,7 +17,7 @@
 	up := 0
 	truth := map[swim.ID]bool{}
 	for _, n := range c.Nodes {
-		if n.Up && !n.Frozen {
+		if n.IsRunning && !n.IsFrozen {
 			up++
 			truth[n.View.Self().ID] = true
 		}
@@ -27,7 +27,7 @@
 		if len(wrong) >= most {
 			return wrong
 		}
-		if !n.Up || n.Frozen {
+		if !n.IsRunning || n.IsFrozen {
 			continue
 		}
 		live := 0
--- a/internal/sim/membershipsim/crowd.go
+++ b/internal/sim/membershipsim/crowd.go
@@ -13,9 +13,9 @@
 )
 
 // Crowd is members on a network. It belongs to one goroutine.
-type Crowd struct {
+type Fleet struct {
 	// LatencyS is how long a message takes, with as much again drawn.
-	LatencyS float64
+	LatencySeconds float64
 
 	seeds.Queue
 	rng   *rand.Rand
@@ -25,28 +25,28 @@
 	sizes map[news]uint64  // in bytes, of records; likewise
 
 	// Told is called for each change of what a member holds of another; nil: nobody is.
-	Told func(at float64, by *Node, r swim.Record, was swim.State, known bool)
+	OnChange func(at float64, by *Node, r swim.Record, was swim.State, known bool)
 }
 
 // Node is one sidecar over all lives of its process.
 type Node struct {
-	Number  int
-	Address string
-	View    *swim.View
-	Up      bool // its process lives
-	Frozen  bool
+	Number    int
+	Address   string
+	View      *swim.View
+	IsRunning bool // its process lives
+	IsFrozen  bool
 
-	c          *Crowd
+	c          *Fleet
 	id         swim.ID
 	generation uint64
 	life       int // of the process; what was meant for an earlier one is lost
 	ends       map[int]*end
 	last       int
 	waiting    []func()
-	Sent       uint64 // bytes
+	SentBytes  uint64 // bytes
 	Messages   uint64
-	Calls      uint64 // of its loop
-	MostLinks  int
+	Wakeups    uint64 // of its loop
+	MaxLinks   int
 }
 
 // end is one end of a link.
@@ -64,21 +64,21 @@
 }
 
 // New returns a crowd of nobody.
-func New(seed uint64) *Crowd {
-	return &Crowd{LatencyS: 0.001, Queue: seeds.NewQueue(1000), rng: rand.New(rand.NewPCG(seed, 0x63726f7764)), at: map[string]*Node{}, cut: map[[2]int]bool{},
+func New(seed uint64) *Fleet {
+	return &Fleet{LatencySeconds: 0.001, Queue: seeds.NewQueue(1000), rng: rand.New(rand.NewPCG(seed, 0x63726f7764)), at: map[string]*Node{}, cut: map[[2]int]bool{},
 		sizes: map[news]uint64{}}
 }
 
 // Trace returns a number that is the same for two plays with the same history: what was due, in what order and when, what
 // each member has sent, and what it holds of the others.
-func (c *Crowd) Trace() uint64 {
+func (c *Fleet) Trace() uint64 {
 	trace := c.Queue.Trace()
 	fold := func(x uint64) { trace = bits.RotateLeft64((trace^x)*0x9e3779b97f4a7c15, 23) }
 	for _, n := range c.Nodes {
-		fold(n.Sent)
+		fold(n.SentBytes)
 		fold(n.Messages)
-		fold(n.Calls)
-		if n.Up {
+		fold(n.Wakeups)
+		if n.IsRunning {
 			fold(n.View.Digest())
 			fold(n.View.Changes())
 		}
@@ -87,7 +87,7 @@
 }
 
 // Add adds a sidecar that has not begun.
-func (c *Crowd) Add() *Node {
+func (c *Fleet) AddNode() *Node {
 	n := &Node{Number: len(c.Nodes), c: c, ends: map[int]*end{}}
 	n.Address = fmt.Sprintf("10.%d.%d.%d:7946", n.Number>>16, n.Number>>8&255, n.Number&255)
 	c.Nodes = append(c.Nodes, n)
@@ -97,14 +97,14 @@
 
 // Start begins a process; with its state it is who it was.
 func (n *Node) Start(kept bool, join ...string) {
-	if n.Up {
+	if n.IsRunning {
 		return
 	}
 	if !kept || n.id == 0 {
 		n.id, n.generation = swim.ID(n.c.rng.Uint64()|1), 0
 	}
 	n.generation++
-	n.Up, n.Frozen = true, false
+	n.IsRunning, n.IsFrozen = true, false
 	n.life++
 	self := swim.Record{ID: n.id, Version: swim.Version{Incarnation: n.generation << 32, BootID: n.c.rng.Uint64()}, Name: fmt.Sprintf("s%d", n.Number),
 		Address: n.Address}
@@ -118,8 +118,8 @@
 func (n *Node) ticks(life int) {
 	n.c.At(n.View.NextTick(), func() {
 		n.call(life, func() { n.View.Tick(n.c.Now()) })
-		if n.life == life && n.Up {
-			if n.Frozen {
+		if n.life == life && n.IsRunning {
+			if n.IsFrozen {
 				n.waiting = append(n.waiting, func() { n.ticks(life) })
 			} else {
 				n.ticks(life)
@@ -131,21 +131,21 @@
 // call has the process do something, unless it has ended; one that stands still does it later.
 func (n *Node) call(life int, do func()) {
 	switch {
-	case n.life != life || !n.Up:
-	case n.Frozen:
+	case n.life != life || !n.IsRunning:
+	case n.IsFrozen:
 		n.waiting = append(n.waiting, func() { n.call(life, do) })
 	default:
-		n.Calls++
+		n.Wakeups++
 		do()
 	}
 }
 
 // Kill ends the process: its links are reset.
 func (n *Node) Kill() {
-	if !n.Up {
+	if !n.IsRunning {
 		return
 	}
-	n.Up, n.Frozen, n.waiting = false, false, nil
+	n.IsRunning, n.IsFrozen, n.waiting = false, false, nil
 	n.life++
 	for i := 1; i <= n.last; i++ { // in order: the same history each time
 		if e := n.ends[i]; e != nil {
@@ -157,7 +157,7 @@
 
 // Leave ends it with a word to the others.
 func (n *Node) Leave() {
-	if n.Up && !n.Frozen {
+	if n.IsRunning && !n.IsFrozen {
 		n.View.Leave(n.c.Now())
 		life := n.life
 		n.c.At(n.c.Now()+0.3, func() {
@@ -169,14 +169,14 @@
 }
 
 // Freeze has the process stand still, and Thaw go on.
-func (n *Node) Freeze() { n.Frozen = n.Up }
+func (n *Node) Freeze() { n.IsFrozen = n.IsRunning }
 
 // Thaw hands over what has come meanwhile.
 func (n *Node) Thaw() {
-	if !n.Frozen {
+	if !n.IsFrozen {
 		return
 	}
-	n.Frozen = false
+	n.IsFrozen = false
 	waiting := n.waiting
 	n.waiting = nil
 	for _, do := range waiting {
@@ -185,10 +185,10 @@
 }
 
 // Cut loses what goes one way; Mend ends that, and links that lost anything break.
-func (c *Crowd) Cut(from, to *Node) { c.cut[[2]int{from.Number, to.Number}] = true }
+func (c *Fleet) BlockPath(from, to *Node) { c.cut[[2]int{from.Number, to.Number}] = true }
 
 // Mend ends a Cut.
-func (c *Crowd) Mend(from, to *Node) {
+func (c *Fleet) RestorePath(from, to *Node) {
 	delete(c.cut, [2]int{from.Number, to.Number})
 	for i := 1; i <= from.last; i++ {
 		if e := from.ends[i]; e != nil && e.other.node == to && (e.lost || e.other.lost) {
@@ -199,7 +199,7 @@
 }
 
 // Reset breaks the links between two.
-func (c *Crowd) Reset(a, b *Node) {
+func (c *Fleet) ResetLinks(a, b *Node) {
 	for i := 1; i <= a.last; i++ {
 		if e := a.ends[i]; e != nil && e.other.node == b {
 			e.close()
@@ -208,7 +208,7 @@
 	}
 }
 
-func (c *Crowd) latency() float64 { return c.LatencyS * (1 + c.rng.Float64()) }
+func (c *Fleet) latency() float64 { return c.LatencySeconds * (1 + c.rng.Float64()) }
 
 // deliver has something done at the other end, behind all that went there before.
 func (e *end) deliver(do func()) {
@@ -241,11 +241,11 @@
 func (e *end) take(m *swim.Message) {
 	n := e.node
 	switch {
-	case n.life != e.life || !n.Up:
-	case n.Frozen:
+	case n.life != e.life || !n.IsRunning:
+	case n.IsFrozen:
 		n.waiting = append(n.waiting, func() { e.take(m) })
 	default:
-		if n.Calls++; !e.over {
+		if n.Wakeups++; !e.over {
 			n.View.HandleMessage(n.c.Now(), e.number, m)
 		}
 	}
@@ -266,7 +266,7 @@
 	e.over = true
 	delete(n.ends, e.number)
 	switch {
-	case !n.Up || e.ended:
+	case !n.IsRunning || e.ended:
 	case e.told:
 		n.View.LinkDown(n.c.Now(), e.number)
 	case e.address != "":
@@ -291,12 +291,12 @@
 		c.At(c.Now()+after, func() { n.call(life, func() { n.View.DialFailed(c.Now(), address) }) })
 	}
 	to := c.at[address]
-	n.Sent += helloLen
+	n.SentBytes += helloLen
 	switch {
 	case to == nil || c.cut[[2]int{n.Number, to.Number}] || c.cut[[2]int{to.Number, n.Number}]:
 		fail(mostWaitS)
 		return
-	case !to.Up || len(to.ends) >= 48:
+	case !to.IsRunning || len(to.ends) >= 48:
 		fail(2 * c.latency())
 		return
 	}
@@ -305,11 +305,11 @@
 	near, far := &end{node: n, life: n.life, number: n.last}, &end{node: to, life: to.life, number: to.last}
 	near.other, far.other, near.address = far, near, address
 	n.ends[near.number], to.ends[far.number] = near, far
-	to.MostLinks, n.MostLinks = max(to.MostLinks, len(to.ends)), max(n.MostLinks, len(n.ends))
+	to.MaxLinks, n.MaxLinks = max(to.MaxLinks, len(to.ends)), max(n.MaxLinks, len(n.ends))
 	hello := n.View.Hello()
 	near.deliver(func() {
 		answer := to.View.Hello()
-		to.Sent += helloLen
+		to.SentBytes += helloLen
 		far.deliver(func() {
 			near.told = true
 			n.View.LinkUp(c.Now(), near.number, address, answer)
@@ -336,7 +336,7 @@
 	if m.Records != nil || m.BucketDigests != nil || m.WantedBuckets != nil {
 		size = c.size(m)
 	}
-	n.Sent += size
+	n.SentBytes += size
 	n.Messages++
 	o := e.other
 	if c.cut[[2]int{n.Number, o.node.Number}] {
@@ -358,7 +358,7 @@
 
 // size returns how many bytes a message takes. Danger: what a fleet that forms says is each newcomer's record to all links of
 // all members; packed each time that is a third of the work.
-func (c *Crowd) size(m *swim.Message) uint64 {
+func (c *Fleet) size(m *swim.Message) uint64 {
 	rest := *m
 	rest.Records = nil
 	size := uint64(frames.HeadLen + 1) // the map's head
@@ -384,7 +384,7 @@
 	return size
 }
 
-func (c *Crowd) packed(what any) uint64 {
+func (c *Fleet) packed(what any) uint64 {
 	body, err := frames.Pack(what)
 	if err != nil { // numbers and names always pack
 		panic(err)
@@ -399,8 +399,8 @@
 }
 
 func (a actions) MemberChanged(r swim.Record, was swim.State, known bool) {
-	if a.n.c.Told != nil {
-		a.n.c.Told(a.n.c.Now(), a.n, r, was, known)
+	if a.n.c.OnChange != nil {
+		a.n.c.OnChange(a.n.c.Now(), a.n, r, was, known)
 	}
 }
 
--- a/internal/sim/membershipsim/crowd_test.go
+++ b/internal/sim/membershipsim/crowd_test.go
@@ -6,23 +6,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-func settled(t *testing.T, c *Crowd, within float64) float64 {
+func settled(t *testing.T, c *Fleet, within float64) float64 {
 	t.Helper()
 	began := c.Now()
 	for c.Now() < began+within {
 		c.Until(c.Now() + 0.1)
-		if len(c.Wrong(1)) == 0 {
+		if len(c.Discrepancies(1)) == 0 {
 			return c.Now() - began
 		}
 	}
-	require.Empty(t, c.Wrong(5))
+	require.Empty(t, c.Discrepancies(5))
 	return 0
 }
 
-func begin(seed uint64, n int) *Crowd {
+func begin(seed uint64, n int) *Fleet {
 	c := New(seed)
 	for i := range n {
-		node := c.Add()
+		node := c.AddNode()
 		join := c.Nodes[c.rng.IntN(max(i, 1))].Address
 		c.At(c.Now()+float64(i)/100, func() { node.Start(true, join, c.Nodes[0].Address) })
 	}
--- a/internal/sim/membershipsim/measure.go
+++ b/internal/sim/membershipsim/measure.go
@@ -30,10 +30,10 @@
 }
 
 // form adds members that join by a few that are there already, so many a second, and waits until all know all.
-func (c *Crowd) form(n int, perS float64) (formedS float64, ok bool) {
+func (c *Fleet) form(n int, perS float64) (formedS float64, ok bool) {
 	from := len(c.Nodes)
 	for i := range n {
-		node := c.Add()
+		node := c.AddNode()
 		var join []string
 		for range 3 {
 			join = append(join, c.Nodes[c.rng.IntN(from+i+1)].Address)
@@ -43,7 +43,7 @@
 	c.Until(c.Now() + float64(n)/perS)
 	began := c.Now()
 	for c.Now() < began+60 {
-		if len(c.Wrong(1)) == 0 {
+		if len(c.Discrepancies(1)) == 0 {
 			return c.Now() - began, true
 		}
 		c.Until(c.Now() + 0.25)
@@ -59,7 +59,7 @@
 	c := New(seed)
 	var ok bool
 	if f.FormedS, ok = c.form(n, min(max(20, float64(n)/20), 100)); !ok {
-		return f, fmt.Errorf("%d members: not formed: %v", n, c.Wrong(3))
+		return f, fmt.Errorf("%d members: not formed: %v", n, c.Discrepancies(3))
 	}
 	f.Members = n
 	c.Until(c.Now() + 5)
@@ -69,7 +69,7 @@
 
 	sent := func() (bytes, calls uint64) {
 		for _, node := range c.Nodes {
-			bytes, calls = bytes+node.Sent, calls+node.Calls
+			bytes, calls = bytes+node.SentBytes, calls+node.Wakeups
 		}
 		return bytes, calls
 	}
@@ -86,7 +86,7 @@
 		victim, at, stands := c.Nodes[1+i], c.Now(), i%2 == 1
 		id := victim.View.Self().ID
 		told := map[int]bool{} // by observer; looked up, never walked
-		c.Told = func(now float64, by *Node, r swim.Record, _ swim.State, _ bool) {
+		c.OnChange = func(now float64, by *Node, r swim.Record, _ swim.State, _ bool) {
 			if r.ID != id || r.State != swim.Dead || told[by.Number] {
 				return
 			}
@@ -107,13 +107,13 @@
 			return f, fmt.Errorf("%d members: a death is known to %d of %d after 10 s", n, len(told), want)
 		}
 	}
-	c.Told = nil
+	c.OnChange = nil
 	b2, _ := sent()
 	f.ChurnPerS = float64(b2-b1) / (c.Now() - began) / float64(n)
 	f.KnownMedian, f.Known99 = quantile(killed, 0.5), quantile(killed, 0.99)
 	f.FrozenMed, f.Frozen99 = quantile(frozen, 0.5), quantile(frozen, 0.99)
 	for _, node := range c.Nodes {
-		f.MostLinks = max(f.MostLinks, node.MostLinks)
+		f.MostLinks = max(f.MostLinks, node.MaxLinks)
 	}
 	f.Trace = c.Trace()
 	return f, nil
@@ -146,18 +146,18 @@
 func Trouble(n int, seconds float64, seed uint64) (t Troubled, err error) {
 	c := New(seed)
 	if _, ok := c.form(n, 50); !ok {
-		return t, fmt.Errorf("%d members: not formed: %v", n, c.Wrong(3))
+		return t, fmt.Errorf("%d members: not formed: %v", n, c.Discrepancies(3))
 	}
 	well := make([]float64, n) // since when each has been well; +Inf while it is not
 	const ill = 1e18
 	cuts := map[[2]int]int{} // by two members; looked up, never walked
 	cutOff := make([]int, n) // how many others each is cut from, one way or both
-	c.Told = func(now float64, by *Node, r swim.Record, was swim.State, known bool) {
+	c.OnChange = func(now float64, by *Node, r swim.Record, was swim.State, known bool) {
 		if r.State != swim.Dead || was == swim.Dead {
 			return
 		}
 		for i, node := range c.Nodes {
-			if node.Up && node.View.Self().ID == r.ID && node.View.Self().Version == r.Version && now-well[i] > reachS && !by.Frozen && cutOff[by.Number] == 0 {
+			if node.IsRunning && node.View.Self().ID == r.ID && node.View.Self().Version == r.Version && now-well[i] > reachS && !by.IsFrozen && cutOff[by.Number] == 0 {
 				t.FalseDeaths++
 				if len(t.Wrong) < 10 {
 					t.Wrong = append(t.Wrong, fmt.Sprintf("%.2f: s%d holds s%d for dead, by the word of %v", now, by.Number, i, r.Accusers))
@@ -181,7 +181,7 @@
 					for_ := 4 * c.rng.Float64()
 					from := at + 5*float64(k)
 					c.At(from, func() {
-						if node.Up && !node.Frozen {
+						if node.IsRunning && !node.IsFrozen {
 							heal := mark(i)
 							node.Freeze()
 							c.At(c.Now()+for_, func() { node.Thaw(); heal() })
@@ -201,11 +201,11 @@
 								continue
 							}
 							if cuts[w]++; cuts[w] == 1 {
-								c.Cut(c.Nodes[w[0]], c.Nodes[w[1]])
+								c.BlockPath(c.Nodes[w[0]], c.Nodes[w[1]])
 							}
 							c.At(c.Now()+for_, func() {
 								if cuts[w]--; cuts[w] == 0 {
-									c.Mend(c.Nodes[w[0]], c.Nodes[w[1]])
+									c.RestorePath(c.Nodes[w[0]], c.Nodes[w[1]])
 								}
 							})
 						}
@@ -222,7 +222,7 @@
 							cutOff[i]--
 							cutOff[j]--
 							for _, k := range []int{i, j} {
-								if well[k] == ill && cutOff[k]*2 < n-1 && !c.Nodes[k].Frozen {
+								if well[k] == ill && cutOff[k]*2 < n-1 && !c.Nodes[k].IsFrozen {
 									well[k] = c.Now()
 								}
 							}
@@ -233,7 +233,7 @@
 			case 3: // links are reset
 				for k := range 1 + c.rng.IntN(20) {
 					j := c.rng.IntN(n)
-					c.At(at+0.2*float64(k), func() { c.Reset(node, c.Nodes[j]) })
+					c.At(at+0.2*float64(k), func() { c.ResetLinks(node, c.Nodes[j]) })
 				}
 			case 4: // killed, and back with its state or without
 				for_, kept := 8*c.rng.Float64(), c.rng.IntN(3) > 0
@@ -259,7 +259,7 @@
 			node.Thaw()
 		}
 		c.Until(c.Now() + 10)
-		if wrong := c.Wrong(3); len(wrong) > 0 {
+		if wrong := c.Discrepancies(3); len(wrong) > 0 {
 			return t, fmt.Errorf("%d members, seed %d, 10 s after the last trouble: %v", n, seed, wrong)
 		}
 	}
