--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -289,7 +289,7 @@
 			&cli.FloatFlag{Name: "hours", Usage: "play drawn troubles for `N` hours in place of that, and count false deaths"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			var all []membershipsim.Figures
+			var all []membershipsim.Costs
 			for _, n := range c.IntSlice("members") {
 				if n < 2 || n > 6000 {
 					return fault(fmt.Errorf("members: %d is not 2 to 6000", n))
@@ -318,7 +318,7 @@
 				}
 			}
 			if path := c.String("picture"); path != "" && len(all) > 1 {
-				return membershipsim.Picture(path, all)
+				return membershipsim.Plot(path, all)
 			}
 			return nil
 		},
--- a/internal/sim/membershipsim/measure.go
+++ b/internal/sim/membershipsim/measure.go
@@ -9,24 +9,24 @@
 )
 
 // Figures are what a fleet of a size costs, and how soon it knows.
-type Figures struct {
-	Members     int     `json:"members"`
-	FormedS     float64 `json:"formed_s"` // until all knew all, from the last start on
-	KnownMedian float64 `json:"death_known_median_s"`
-	Known99     float64 `json:"death_known_99_s"`
-	FrozenMed   float64 `json:"frozen_known_median_s"`
-	Frozen99    float64 `json:"frozen_known_99_s"`
-	SentPerS    float64 `json:"sent_bytes_per_s"` // of a sidecar, while nothing happens
-	ChurnPerS   float64 `json:"sent_bytes_per_s_in_change"`
-	CallsPerS   float64 `json:"wake_ups_per_s"`
-	MostLinks   int     `json:"most_links"`
-	KiB         float64 `json:"kib_of_a_view"`
-	Trace       uint64  `json:"trace"` // the same for the same history
+type Costs struct {
+	Members                  int     `json:"members"`
+	FormedSeconds            float64 `json:"formed_s"` // until all knew all, from the last start on
+	DeathKnownMedianSeconds  float64 `json:"death_known_median_s"`
+	DeathKnown99Seconds      float64 `json:"death_known_99_s"`
+	FrozenKnownMedianSeconds float64 `json:"frozen_known_median_s"`
+	FrozenKnown99Seconds     float64 `json:"frozen_known_99_s"`
+	IdleBytesPerSecond       float64 `json:"sent_bytes_per_s"` // of a sidecar, while nothing happens
+	ChurnBytesPerSecond      float64 `json:"sent_bytes_per_s_in_change"`
+	WakeupsPerSecond         float64 `json:"wake_ups_per_s"`
+	MaxLinks                 int     `json:"most_links"`
+	ViewKiB                  float64 `json:"kib_of_a_view"`
+	Trace                    uint64  `json:"trace"` // the same for the same history
 }
 
-func (f Figures) String() string {
+func (f Costs) String() string {
 	return fmt.Sprintf("%5d  formed %5.1f s  kill known %4.2f / %4.2f s  freeze known %4.2f / %4.2f s  %4.0f B/s quiet, %5.0f in change  %4.1f wake-ups/s  %2d links  %6.1f KiB  trace %016x",
-		f.Members, f.FormedS, f.KnownMedian, f.Known99, f.FrozenMed, f.Frozen99, f.SentPerS, f.ChurnPerS, f.CallsPerS, f.MostLinks, f.KiB, f.Trace)
+		f.Members, f.FormedSeconds, f.DeathKnownMedianSeconds, f.DeathKnown99Seconds, f.FrozenKnownMedianSeconds, f.FrozenKnown99Seconds, f.IdleBytesPerSecond, f.ChurnBytesPerSecond, f.WakeupsPerSecond, f.MaxLinks, f.ViewKiB, f.Trace)
 }
 
 // form adds members that join by a few that are there already, so many a second, and waits until all know all.
@@ -52,20 +52,20 @@
 }
 
 // Measure plays a fleet of a size: it forms, rests, and loses some by kills and freezes, one after the other.
-func Measure(n int, seed uint64) (f Figures, err error) {
+func Measure(n int, seed uint64) (f Costs, err error) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	c := New(seed)
 	var ok bool
-	if f.FormedS, ok = c.form(n, min(max(20, float64(n)/20), 100)); !ok {
+	if f.FormedSeconds, ok = c.form(n, min(max(20, float64(n)/20), 100)); !ok {
 		return f, fmt.Errorf("%d members: not formed: %v", n, c.Discrepancies(3))
 	}
 	f.Members = n
 	c.Until(c.Now() + 5)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	f.KiB = float64(after.HeapAlloc-before.HeapAlloc) / float64(n) / 1024
+	f.ViewKiB = float64(after.HeapAlloc-before.HeapAlloc) / float64(n) / 1024
 
 	sent := func() (bytes, calls uint64) {
 		for _, node := range c.Nodes {
@@ -77,7 +77,7 @@
 	b0, c0 := sent()
 	c.Until(c.Now() + restS)
 	b1, c1 := sent()
-	f.SentPerS, f.CallsPerS = float64(b1-b0)/restS/float64(n), float64(c1-c0)/restS/float64(n)
+	f.IdleBytesPerSecond, f.WakeupsPerSecond = float64(b1-b0)/restS/float64(n), float64(c1-c0)/restS/float64(n)
 
 	began := c.Now()
 	var killed, frozen []float64
@@ -109,11 +109,11 @@
 	}
 	c.OnChange = nil
 	b2, _ := sent()
-	f.ChurnPerS = float64(b2-b1) / (c.Now() - began) / float64(n)
-	f.KnownMedian, f.Known99 = quantile(killed, 0.5), quantile(killed, 0.99)
-	f.FrozenMed, f.Frozen99 = quantile(frozen, 0.5), quantile(frozen, 0.99)
+	f.ChurnBytesPerSecond = float64(b2-b1) / (c.Now() - began) / float64(n)
+	f.DeathKnownMedianSeconds, f.DeathKnown99Seconds = quantile(killed, 0.5), quantile(killed, 0.99)
+	f.FrozenKnownMedianSeconds, f.FrozenKnown99Seconds = quantile(frozen, 0.5), quantile(frozen, 0.99)
 	for _, node := range c.Nodes {
-		f.MostLinks = max(f.MostLinks, node.MaxLinks)
+		f.MaxLinks = max(f.MaxLinks, node.MaxLinks)
 	}
 	f.Trace = c.Trace()
 	return f, nil
