--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -295,11 +295,11 @@
 					return fault(fmt.Errorf("members: %d is not 2 to 6000", n))
 				}
 				if h := c.Float("hours"); h > 0 {
-					t, err := membershipsim.Trouble(n, h*3600, c.Uint64("seed"))
-					for _, line := range t.Wrong {
+					t, err := membershipsim.PlayFaults(n, h*3600, c.Uint64("seed"))
+					for _, line := range t.Discrepancies {
 						fmt.Fprintln(c.Root().Writer, line)
 					}
-					fmt.Fprintf(c.Root().Writer, "%d members, %.2f hours, %d troubles: %d false deaths  trace %016x\n", n, t.HoursPlayed, t.Troubles, t.FalseDeaths, t.Trace)
+					fmt.Fprintf(c.Root().Writer, "%d members, %.2f hours, %d troubles: %d false deaths  trace %016x\n", n, t.HoursPlayed, t.Faults, t.FalseDeaths, t.Trace)
 					if err != nil {
 						return err
 					}
--- a/internal/sim/membershipsim/crowd_test.go
+++ b/internal/sim/membershipsim/crowd_test.go
@@ -57,9 +57,9 @@
 // Nobody is called dead that lives and that most can reach, and after each lot of drawn troubles all hold what is so.
 func TestCrowdInTroubles(t *testing.T) {
 	for _, n := range []int{3, 7, 20} {
-		got, err := Trouble(n, 300, uint64(n))
+		got, err := PlayFaults(n, 300, uint64(n))
 		require.NoError(t, err)
-		require.Zero(t, got.FalseDeaths, got.Wrong)
-		require.Greater(t, got.Troubles, 10)
+		require.Zero(t, got.FalseDeaths, got.Discrepancies)
+		require.Greater(t, got.Faults, 10)
 	}
 }
--- a/internal/sim/membershipsim/measure.go
+++ b/internal/sim/membershipsim/measure.go
@@ -129,12 +129,12 @@
 }
 
 // Troubled is what came of a fleet in drawn troubles.
-type Troubled struct {
-	HoursPlayed float64  `json:"hours"`
-	Troubles    int      `json:"troubles"`
-	FalseDeaths int      `json:"false_deaths"` // of members that lived, stood not still and that most could reach
-	Wrong       []string `json:"wrong,omitempty"`
-	Trace       uint64   `json:"trace"` // the same for the same history
+type FaultResult struct {
+	HoursPlayed   float64  `json:"hours"`
+	Faults        int      `json:"troubles"`
+	FalseDeaths   int      `json:"false_deaths"` // of members that lived, stood not still and that most could reach
+	Discrepancies []string `json:"wrong,omitempty"`
+	Trace         uint64   `json:"trace"` // the same for the same history
 }
 
 // reachS is how long one must have been well and in reach before its death is a false one.
@@ -143,7 +143,7 @@
 // Trouble plays a fleet in drawn troubles: members stand still for up to 4 s again and again, ways are cut for moments or for
 // long, links are reset, members are killed and come back, a third begins again within a second. After each lot of troubles
 // there is calm, and ten seconds later all must hold what is so.
-func Trouble(n int, seconds float64, seed uint64) (t Troubled, err error) {
+func PlayFaults(n int, seconds float64, seed uint64) (t FaultResult, err error) {
 	c := New(seed)
 	if _, ok := c.form(n, 50); !ok {
 		return t, fmt.Errorf("%d members: not formed: %v", n, c.Discrepancies(3))
@@ -159,8 +159,8 @@
 		for i, node := range c.Nodes {
 			if node.IsRunning && node.View.Self().ID == r.ID && node.View.Self().Version == r.Version && now-well[i] > reachS && !by.IsFrozen && cutOff[by.Number] == 0 {
 				t.FalseDeaths++
-				if len(t.Wrong) < 10 {
-					t.Wrong = append(t.Wrong, fmt.Sprintf("%.2f: s%d holds s%d for dead, by the word of %v", now, by.Number, i, r.Accusers))
+				if len(t.Discrepancies) < 10 {
+					t.Discrepancies = append(t.Discrepancies, fmt.Sprintf("%.2f: s%d holds s%d for dead, by the word of %v", now, by.Number, i, r.Accusers))
 				}
 			}
 		}
@@ -171,7 +171,7 @@
 	}
 	for end := c.Now() + seconds; c.Now() < end; {
 		for range 1 + c.rng.IntN(5) {
-			t.Troubles++
+			t.Faults++
 			i := c.rng.IntN(n)
 			node := c.Nodes[i]
 			at := c.Now() + 10*c.rng.Float64()
