--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -312,7 +312,7 @@
 				fmt.Fprintln(c.Root().Writer, f)
 				all = append(all, f)
 				if c.Bool("ways") {
-					for _, w := range membershipsim.Ways(n, c.Uint64("seed")) {
+					for _, w := range membershipsim.Alternatives(n, c.Uint64("seed")) {
 						fmt.Fprintln(c.Root().Writer, "      ", w)
 					}
 				}
--- a/internal/sim/membershipsim/ways.go
+++ b/internal/sim/membershipsim/ways.go
@@ -8,17 +8,17 @@
 )
 
 // Way is what another way of watching costs and how soon it knows, by a model of its rounds alone: no losses, one death.
-type Way struct {
-	Name        string
-	KnownMedian float64 // seconds from a death until a member knows
-	Known99     float64
-	BytesPerS   float64 // that a member sends while nothing happens, heads of TCP left out
-	LinksUp     float64 // connections that a member opens a second
-	Watchers    string  // of each member
+type Alternative struct {
+	Name               string
+	KnownMedianSeconds float64 // seconds from a death until a member knows
+	Known99Seconds     float64
+	BytesPerSecond     float64 // that a member sends while nothing happens, heads of TCP left out
+	DialsPerSecond     float64 // connections that a member opens a second
+	Watchers           string  // of each member
 }
 
-func (w Way) String() string {
-	return fmt.Sprintf("%-22s known %5.2f / %5.2f s  %9.0f B/s  %4.1f links opened/s  watched by %s", w.Name, w.KnownMedian, w.Known99, w.BytesPerS, w.LinksUp, w.Watchers)
+func (w Alternative) String() string {
+	return fmt.Sprintf("%-22s known %5.2f / %5.2f s  %9.0f B/s  %4.1f links opened/s  watched by %s", w.Name, w.KnownMedianSeconds, w.Known99Seconds, w.BytesPerSecond, w.DialsPerSecond, w.Watchers)
 }
 
 const (
@@ -32,25 +32,25 @@
 )
 
 // Ways returns the ways that were weighed, for a fleet of a size.
-func Ways(n int, seed uint64) []Way {
+func Alternatives(n int, seed uint64) []Alternative {
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
-	return []Way{allToAll(n, rng), randomProbing(n, rng), activeViews(n, rng)}
+	return []Alternative{allToAll(n, rng), randomProbing(n, rng), activeViews(n, rng)}
 }
 
 // allToAll has each beat to each. Who is silent for long enough is dead, by everybody's own word.
-func allToAll(n int, rng *rand.Rand) Way {
+func allToAll(n int, rng *rand.Rand) Alternative {
 	var known []float64
 	for range deaths {
 		for range n - 1 { // the last beat was up to a beat ago, a look comes each quarter of a second
 			known = append(known, waysSilentS-waysBeatS*rng.Float64()+0.25*rng.Float64())
 		}
 	}
-	return Way{"all to all", quantile(known, 0.5), quantile(known, 0.99), float64(n-1) / waysBeatS * beatLen, 0, fmt.Sprint(n - 1)}
+	return Alternative{"all to all", quantile(known, 0.5), quantile(known, 0.99), float64(n-1) / waysBeatS * beatLen, 0, fmt.Sprint(n - 1)}
 }
 
 // randomProbing has each call one a round, in an order of its own, and others in its place where no answer comes; suspicion lasts for
 // a number of rounds that grows with the logarithm of the fleet, and news rides on calls and answers.
-func randomProbing(n int, rng *rand.Rand) Way {
+func randomProbing(n int, rng *rand.Rand) Alternative {
 	var known []float64
 	rounds := math.Ceil(3 * math.Log10(float64(n)+1)) // that news rides along for, and that suspicion lasts
 	for range deaths {
@@ -99,11 +99,11 @@
 			}
 		}
 	}
-	return Way{"SWIM", quantile(known, 0.5), quantile(known, 0.99), 2 * (beatLen + helloLen) / swimRoundS, 1 / swimRoundS, "one at random a second"}
+	return Alternative{"SWIM", quantile(known, 0.5), quantile(known, 0.99), 2 * (beatLen + helloLen) / swimRoundS, 1 / swimRoundS, "one at random a second"}
 }
 
 // activeViews has each keep a few links at random, both ends beat, and deaths flood by the word of one.
-func activeViews(n int, rng *rand.Rand) Way {
+func activeViews(n int, rng *rand.Rand) Alternative {
 	const own = 5
 	var known []float64
 	least := n
@@ -125,5 +125,5 @@
 			known = append(known, first+0.002*math.Log(float64(n)+1))
 		}
 	}
-	return Way{"active views, one word", quantile(known, 0.5), quantile(known, 0.99), float64(min(2*own, n-1)) / waysBeatS * beatLen, 0, fmt.Sprintf("%d or more", min(least, n-1))}
+	return Alternative{"active views, one word", quantile(known, 0.5), quantile(known, 0.99), float64(min(2*own, n-1)) / waysBeatS * beatLen, 0, fmt.Sprintf("%d or more", min(least, n-1))}
 }
