--- a/internal/sim/membershipsim/crowd.go
+++ b/internal/sim/membershipsim/crowd.go
@@ -18,11 +18,11 @@
 	LatencySeconds float64
 
 	seeds.Queue
-	rng   *rand.Rand
-	Nodes []*Node
-	at    map[string]*Node // by address; looked up, never walked
-	cut   map[[2]int]bool  // ways; looked up, never walked
-	sizes map[news]uint64  // in bytes, of records; likewise
+	rng           *rand.Rand
+	Nodes         []*Node
+	nodeByAddress map[string]*Node     // by address; looked up, never walked
+	blockedPaths  map[[2]int]bool      // ways; looked up, never walked
+	recordSizes   map[recordKey]uint64 // in bytes, of records; likewise
 
 	// Told is called for each change of what a member holds of another; nil: nobody is.
 	OnChange func(at float64, by *Node, r swim.Record, was swim.State, known bool)
@@ -36,13 +36,13 @@
 	IsRunning bool // its process lives
 	IsFrozen  bool
 
-	c          *Fleet
+	fleet      *Fleet
 	id         swim.ID
 	generation uint64
-	life       int // of the process; what was meant for an earlier one is lost
-	ends       map[int]*end
-	last       int
-	waiting    []func()
+	process    int // of the process; what was meant for an earlier one is lost
+	ends       map[int]*linkEnd
+	lastLink   int
+	deferred   []func()
 	SentBytes  uint64 // bytes
 	Messages   uint64
 	Wakeups    uint64 // of its loop
@@ -50,23 +50,23 @@
 }
 
 // end is one end of a link.
-type end struct {
-	node    *Node
-	life    int
-	number  int
-	other   *end
-	address string // that was dialed
-	told    bool   // LinkUp was called
-	over    bool
-	lastAt  float64 // what is sent later must not arrive earlier
-	lost    bool
-	ended   bool // the process has been told
+type linkEnd struct {
+	node          *Node
+	process       int
+	number        int
+	other         *linkEnd
+	dialedAddress string // that was dialed
+	isUp          bool   // LinkUp was called
+	isClosed      bool
+	lastArrival   float64 // what is sent later must not arrive earlier
+	hasLost       bool
+	isReported    bool // the process has been told
 }
 
 // New returns a crowd of nobody.
 func New(seed uint64) *Fleet {
-	return &Fleet{LatencySeconds: 0.001, Queue: seeds.NewQueue(1000), rng: rand.New(rand.NewPCG(seed, 0x63726f7764)), at: map[string]*Node{}, cut: map[[2]int]bool{},
-		sizes: map[news]uint64{}}
+	return &Fleet{LatencySeconds: 0.001, Queue: seeds.NewQueue(1000), rng: rand.New(rand.NewPCG(seed, 0x63726f7764)), nodeByAddress: map[string]*Node{}, blockedPaths: map[[2]int]bool{},
+		recordSizes: map[recordKey]uint64{}}
 }
 
 // Trace returns a number that is the same for two plays with the same history: what was due, in what order and when, what
@@ -88,10 +88,10 @@
 
 // Add adds a sidecar that has not begun.
 func (c *Fleet) AddNode() *Node {
-	n := &Node{Number: len(c.Nodes), c: c, ends: map[int]*end{}}
+	n := &Node{Number: len(c.Nodes), fleet: c, ends: map[int]*linkEnd{}}
 	n.Address = fmt.Sprintf("10.%d.%d.%d:7946", n.Number>>16, n.Number>>8&255, n.Number&255)
 	c.Nodes = append(c.Nodes, n)
-	c.at[n.Address] = n
+	c.nodeByAddress[n.Address] = n
 	return n
 }
 
@@ -101,39 +101,39 @@
 		return
 	}
 	if !kept || n.id == 0 {
-		n.id, n.generation = swim.ID(n.c.rng.Uint64()|1), 0
+		n.id, n.generation = swim.ID(n.fleet.rng.Uint64()|1), 0
 	}
 	n.generation++
 	n.IsRunning, n.IsFrozen = true, false
-	n.life++
-	self := swim.Record{ID: n.id, Version: swim.Version{Incarnation: n.generation << 32, BootID: n.c.rng.Uint64()}, Name: fmt.Sprintf("s%d", n.Number),
+	n.process++
+	self := swim.Record{ID: n.id, Version: swim.Version{Incarnation: n.generation << 32, BootID: n.fleet.rng.Uint64()}, Name: fmt.Sprintf("s%d", n.Number),
 		Address: n.Address}
-	n.View = swim.New(n.c.Now(), self, swim.Settings{Join: join, Seed: n.c.rng.Uint64()}, actions{n})
-	n.ticks(n.life)
+	n.View = swim.New(n.fleet.Now(), self, swim.Settings{Join: join, Seed: n.fleet.rng.Uint64()}, actions{n})
+	n.scheduleTick(n.process)
 }
 
 // ID returns the identity, and 0 before the first start.
 func (n *Node) ID() swim.ID { return n.id }
 
-func (n *Node) ticks(life int) {
-	n.c.At(n.View.NextTick(), func() {
-		n.call(life, func() { n.View.Tick(n.c.Now()) })
-		if n.life == life && n.IsRunning {
+func (n *Node) scheduleTick(life int) {
+	n.fleet.At(n.View.NextTick(), func() {
+		n.run(life, func() { n.View.Tick(n.fleet.Now()) })
+		if n.process == life && n.IsRunning {
 			if n.IsFrozen {
-				n.waiting = append(n.waiting, func() { n.ticks(life) })
+				n.deferred = append(n.deferred, func() { n.scheduleTick(life) })
 			} else {
-				n.ticks(life)
+				n.scheduleTick(life)
 			}
 		}
 	})
 }
 
 // call has the process do something, unless it has ended; one that stands still does it later.
-func (n *Node) call(life int, do func()) {
+func (n *Node) run(life int, do func()) {
 	switch {
-	case n.life != life || !n.IsRunning:
+	case n.process != life || !n.IsRunning:
 	case n.IsFrozen:
-		n.waiting = append(n.waiting, func() { n.call(life, do) })
+		n.deferred = append(n.deferred, func() { n.run(life, do) })
 	default:
 		n.Wakeups++
 		do()
@@ -145,23 +145,23 @@
 	if !n.IsRunning {
 		return
 	}
-	n.IsRunning, n.IsFrozen, n.waiting = false, false, nil
-	n.life++
-	for i := 1; i <= n.last; i++ { // in order: the same history each time
+	n.IsRunning, n.IsFrozen, n.deferred = false, false, nil
+	n.process++
+	for i := 1; i <= n.lastLink; i++ { // in order: the same history each time
 		if e := n.ends[i]; e != nil {
 			e.close()
 		}
 	}
-	n.ends = map[int]*end{}
+	n.ends = map[int]*linkEnd{}
 }
 
 // Leave ends it with a word to the others.
 func (n *Node) Leave() {
 	if n.IsRunning && !n.IsFrozen {
-		n.View.Leave(n.c.Now())
-		life := n.life
-		n.c.At(n.c.Now()+0.3, func() {
-			if n.life == life {
+		n.View.Leave(n.fleet.Now())
+		life := n.process
+		n.fleet.At(n.fleet.Now()+0.3, func() {
+			if n.process == life {
 				n.Kill()
 			}
 		})
@@ -177,33 +177,33 @@
 		return
 	}
 	n.IsFrozen = false
-	waiting := n.waiting
-	n.waiting = nil
+	waiting := n.deferred
+	n.deferred = nil
 	for _, do := range waiting {
 		do()
 	}
 }
 
 // Cut loses what goes one way; Mend ends that, and links that lost anything break.
-func (c *Fleet) BlockPath(from, to *Node) { c.cut[[2]int{from.Number, to.Number}] = true }
+func (c *Fleet) BlockPath(from, to *Node) { c.blockedPaths[[2]int{from.Number, to.Number}] = true }
 
 // Mend ends a Cut.
 func (c *Fleet) RestorePath(from, to *Node) {
-	delete(c.cut, [2]int{from.Number, to.Number})
-	for i := 1; i <= from.last; i++ {
-		if e := from.ends[i]; e != nil && e.other.node == to && (e.lost || e.other.lost) {
+	delete(c.blockedPaths, [2]int{from.Number, to.Number})
+	for i := 1; i <= from.lastLink; i++ {
+		if e := from.ends[i]; e != nil && e.other.node == to && (e.hasLost || e.other.hasLost) {
 			e.close()
-			from.down(e)
+			from.linkEnded(e)
 		}
 	}
 }
 
 // Reset breaks the links between two.
 func (c *Fleet) ResetLinks(a, b *Node) {
-	for i := 1; i <= a.last; i++ {
+	for i := 1; i <= a.lastLink; i++ {
 		if e := a.ends[i]; e != nil && e.other.node == b {
 			e.close()
-			a.down(e)
+			a.linkEnded(e)
 		}
 	}
 }
@@ -211,12 +211,12 @@
 func (c *Fleet) latency() float64 { return c.LatencySeconds * (1 + c.rng.Float64()) }
 
 // deliver has something done at the other end, behind all that went there before.
-func (e *end) deliver(do func()) {
-	c, o := e.node.c, e.other
+func (e *linkEnd) deliver(do func()) {
+	c, o := e.node.fleet, e.other
 	c.At(e.arrival(), func() {
-		if !o.over {
-			o.node.call(o.life, func() {
-				if !o.over {
+		if !o.isClosed {
+			o.node.run(o.process, func() {
+				if !o.isClosed {
 					do()
 				}
 			})
@@ -225,145 +225,145 @@
 }
 
 // arrival draws when the other end gets what is sent now.
-func (e *end) arrival() float64 {
-	e.lastAt = max(e.node.c.Now()+e.node.c.latency(), e.lastAt)
-	return e.lastAt
+func (e *linkEnd) arrival() float64 {
+	e.lastArrival = max(e.node.fleet.Now()+e.node.fleet.latency(), e.lastArrival)
+	return e.lastArrival
 }
 
 // Take takes a message that comes over the link, if that still is.
-func (e *end) Take(m any) {
-	if !e.over {
-		e.take(m.(*swim.Message))
+func (e *linkEnd) Take(m any) {
+	if !e.isClosed {
+		e.receive(m.(*swim.Message))
 	}
 }
 
 // take has a process hear a message. One that stood still is woken by it also where the link has ended meanwhile.
-func (e *end) take(m *swim.Message) {
+func (e *linkEnd) receive(m *swim.Message) {
 	n := e.node
 	switch {
-	case n.life != e.life || !n.IsRunning:
+	case n.process != e.process || !n.IsRunning:
 	case n.IsFrozen:
-		n.waiting = append(n.waiting, func() { e.take(m) })
+		n.deferred = append(n.deferred, func() { e.receive(m) })
 	default:
-		if n.Wakeups++; !e.over {
-			n.View.HandleMessage(n.c.Now(), e.number, m)
+		if n.Wakeups++; !e.isClosed {
+			n.View.HandleMessage(n.fleet.Now(), e.number, m)
 		}
 	}
 }
 
 // close ends a link; the other end learns of it.
-func (e *end) close() {
-	if e.over {
+func (e *linkEnd) close() {
+	if e.isClosed {
 		return
 	}
-	e.deliver(func() { e.other.node.down(e.other) })
-	e.over = true
+	e.deliver(func() { e.other.node.linkEnded(e.other) })
+	e.isClosed = true
 	delete(e.node.ends, e.number)
 }
 
 // down has a process learn that a link has ended.
-func (n *Node) down(e *end) {
-	e.over = true
+func (n *Node) linkEnded(e *linkEnd) {
+	e.isClosed = true
 	delete(n.ends, e.number)
 	switch {
-	case !n.IsRunning || e.ended:
-	case e.told:
-		n.View.LinkDown(n.c.Now(), e.number)
-	case e.address != "":
-		n.View.DialFailed(n.c.Now(), e.address)
+	case !n.IsRunning || e.isReported:
+	case e.isUp:
+		n.View.LinkDown(n.fleet.Now(), e.number)
+	case e.dialedAddress != "":
+		n.View.DialFailed(n.fleet.Now(), e.dialedAddress)
 	}
-	e.ended = true
+	e.isReported = true
 }
 
 // actions are a node's.
-type actions struct{ n *Node }
+type actions struct{ node *Node }
 
 const (
-	mostWaitS = 2.0  // for a link that does not come up
-	helloLen  = 150  // bytes, about
-	beatLen   = 22.0 // with its head
+	dialTimeoutSeconds = 2.0  // for a link that does not come up
+	helloBytes         = 150  // bytes, about
+	heartbeatBytes     = 22.0 // with its head
 )
 
 func (a actions) Dial(address string) {
-	n, c := a.n, a.n.c
-	life := n.life
+	n, c := a.node, a.node.fleet
+	life := n.process
 	fail := func(after float64) {
-		c.At(c.Now()+after, func() { n.call(life, func() { n.View.DialFailed(c.Now(), address) }) })
+		c.At(c.Now()+after, func() { n.run(life, func() { n.View.DialFailed(c.Now(), address) }) })
 	}
-	to := c.at[address]
-	n.SentBytes += helloLen
+	to := c.nodeByAddress[address]
+	n.SentBytes += helloBytes
 	switch {
-	case to == nil || c.cut[[2]int{n.Number, to.Number}] || c.cut[[2]int{to.Number, n.Number}]:
-		fail(mostWaitS)
+	case to == nil || c.blockedPaths[[2]int{n.Number, to.Number}] || c.blockedPaths[[2]int{to.Number, n.Number}]:
+		fail(dialTimeoutSeconds)
 		return
 	case !to.IsRunning || len(to.ends) >= 48:
 		fail(2 * c.latency())
 		return
 	}
-	n.last++
-	to.last++
-	near, far := &end{node: n, life: n.life, number: n.last}, &end{node: to, life: to.life, number: to.last}
-	near.other, far.other, near.address = far, near, address
+	n.lastLink++
+	to.lastLink++
+	near, far := &linkEnd{node: n, process: n.process, number: n.lastLink}, &linkEnd{node: to, process: to.process, number: to.lastLink}
+	near.other, far.other, near.dialedAddress = far, near, address
 	n.ends[near.number], to.ends[far.number] = near, far
 	to.MaxLinks, n.MaxLinks = max(to.MaxLinks, len(to.ends)), max(n.MaxLinks, len(n.ends))
 	hello := n.View.Hello()
 	near.deliver(func() {
 		answer := to.View.Hello()
-		to.SentBytes += helloLen
+		to.SentBytes += helloBytes
 		far.deliver(func() {
-			near.told = true
+			near.isUp = true
 			n.View.LinkUp(c.Now(), near.number, address, answer)
 		})
-		far.told = true
+		far.isUp = true
 		to.View.LinkUp(c.Now(), far.number, "", hello)
 	})
 	// A target that stands still takes the link and says nothing.
-	c.At(c.Now()+mostWaitS, func() {
-		if !near.told && !near.over {
+	c.At(c.Now()+dialTimeoutSeconds, func() {
+		if !near.isUp && !near.isClosed {
 			near.close()
-			n.call(life, func() { n.down(near) })
+			n.run(life, func() { n.linkEnded(near) })
 		}
 	})
 }
 
 func (a actions) Send(link int, m *swim.Message) {
-	n, c := a.n, a.n.c
+	n, c := a.node, a.node.fleet
 	e := n.ends[link]
-	if e == nil || e.over {
+	if e == nil || e.isClosed {
 		return
 	}
-	size := uint64(beatLen)
+	size := uint64(heartbeatBytes)
 	if m.Records != nil || m.BucketDigests != nil || m.WantedBuckets != nil {
-		size = c.size(m)
+		size = c.messageSize(m)
 	}
 	n.SentBytes += size
 	n.Messages++
 	o := e.other
-	if c.cut[[2]int{n.Number, o.node.Number}] {
-		e.lost = true
+	if c.blockedPaths[[2]int{n.Number, o.node.Number}] {
+		e.hasLost = true
 		return
 	}
 	c.Hand(e.arrival(), o, m)
 }
 
 // news is what a record is known by, as far as its length goes.
-type news struct {
-	id      swim.ID
-	version swim.Version
-	state   swim.State
-	by      int
-	aged    bool
-	keeps   bool
+type recordKey struct {
+	id       swim.ID
+	version  swim.Version
+	state    swim.State
+	accusers int
+	hasAge   bool
+	durable  bool
 }
 
 // size returns how many bytes a message takes. Danger: what a fleet that forms says is each newcomer's record to all links of
 // all members; packed each time that is a third of the work.
-func (c *Fleet) size(m *swim.Message) uint64 {
+func (c *Fleet) messageSize(m *swim.Message) uint64 {
 	rest := *m
 	rest.Records = nil
 	size := uint64(frames.HeadLen + 1) // the map's head
 	if rest.Heartbeat != nil || rest.BucketDigests != nil || rest.WantedBuckets != nil || rest.Closing {
-		size = c.packed(&rest) + frames.HeadLen
+		size = c.encodedSize(&rest) + frames.HeadLen
 	}
 	if len(m.Records) == 0 {
 		return size
@@ -373,18 +373,18 @@
 	}
 	for i := range m.Records {
 		r := &m.Records[i]
-		key := news{r.ID, r.Version, r.State, len(r.Accusers), r.AgeSeconds != 0, r.Durable}
-		one, known := c.sizes[key]
+		key := recordKey{r.ID, r.Version, r.State, len(r.Accusers), r.AgeSeconds != 0, r.Durable}
+		one, known := c.recordSizes[key]
 		if !known {
-			one = c.packed(r)
-			c.sizes[key] = one
+			one = c.encodedSize(r)
+			c.recordSizes[key] = one
 		}
 		size += one
 	}
 	return size
 }
 
-func (c *Fleet) packed(what any) uint64 {
+func (c *Fleet) encodedSize(what any) uint64 {
 	body, err := frames.Pack(what)
 	if err != nil { // numbers and names always pack
 		panic(err)
@@ -393,21 +393,21 @@
 }
 
 func (a actions) Close(link int) {
-	if e := a.n.ends[link]; e != nil {
+	if e := a.node.ends[link]; e != nil {
 		e.close()
 	}
 }
 
 func (a actions) MemberChanged(r swim.Record, was swim.State, known bool) {
-	if a.n.c.OnChange != nil {
-		a.n.c.OnChange(a.n.c.Now(), a.n, r, was, known)
+	if a.node.fleet.OnChange != nil {
+		a.node.fleet.OnChange(a.node.fleet.Now(), a.node, r, was, known)
 	}
 }
 
 func (a actions) ReplaceIdentity(string) {
-	n := a.n
-	n.id, n.generation = swim.ID(n.c.rng.Uint64()|1), 1
-	id, life := n.id, n.life
-	version := swim.Version{Incarnation: 1 << 32, BootID: n.c.rng.Uint64()}
-	n.c.At(n.c.Now()+0.01, func() { n.call(life, func() { n.View.AdoptIdentity(n.c.Now(), id, version, false) }) })
+	n := a.node
+	n.id, n.generation = swim.ID(n.fleet.rng.Uint64()|1), 1
+	id, life := n.id, n.process
+	version := swim.Version{Incarnation: 1 << 32, BootID: n.fleet.rng.Uint64()}
+	n.fleet.At(n.fleet.Now()+0.01, func() { n.run(life, func() { n.View.AdoptIdentity(n.fleet.Now(), id, version, false) }) })
 }
--- a/internal/sim/membershipsim/crowd_test.go
+++ b/internal/sim/membershipsim/crowd_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func settled(t *testing.T, c *Fleet, within float64) float64 {
+func requireAgreement(t *testing.T, c *Fleet, within float64) float64 {
 	t.Helper()
 	began := c.Now()
 	for c.Now() < began+within {
@@ -19,7 +19,7 @@
 	return 0
 }
 
-func begin(seed uint64, n int) *Fleet {
+func startFleet(seed uint64, n int) *Fleet {
 	c := New(seed)
 	for i := range n {
 		node := c.AddNode()
@@ -29,33 +29,33 @@
 	return c
 }
 
-func TestCrowdMeetsAndMournsItsDead(t *testing.T) {
+func TestFleetLearnsOfDeathsAndStalls(t *testing.T) {
 	for _, n := range []int{2, 3, 7, 50, 100} {
-		c := begin(1, n)
+		c := startFleet(1, n)
 		c.Until(c.Now() + float64(n)/100)
-		t.Logf("%d: met after %.1f s", n, settled(t, c, 20))
+		t.Logf("%d: met after %.1f s", n, requireAgreement(t, c, 20))
 		c.Nodes[n-1].Kill()
-		t.Logf("%d: a death known after %.1f s", n, settled(t, c, 10))
+		t.Logf("%d: a death known after %.1f s", n, requireAgreement(t, c, 10))
 		c.Nodes[0].Freeze()
-		t.Logf("%d: one that stands still is known after %.1f s", n, settled(t, c, 15))
+		t.Logf("%d: one that stands still is known after %.1f s", n, requireAgreement(t, c, 15))
 		c.Nodes[0].Thaw()
-		t.Logf("%d: and back after %.1f s", n, settled(t, c, 10))
+		t.Logf("%d: and back after %.1f s", n, requireAgreement(t, c, 10))
 	}
 }
 
 // Many go at once: those who are left know within ten seconds, though each watched a few alone.
-func TestCrowdLosesMost(t *testing.T) {
-	c := begin(2, 60)
+func TestFleetLosesMostMembers(t *testing.T) {
+	c := startFleet(2, 60)
 	c.Until(c.Now() + 1)
-	settled(t, c, 20)
+	requireAgreement(t, c, 20)
 	for _, n := range c.Nodes[5:] {
 		n.Kill()
 	}
-	t.Logf("55 of 60 gone is known after %.1f s", settled(t, c, 10))
+	t.Logf("55 of 60 gone is known after %.1f s", requireAgreement(t, c, 10))
 }
 
 // Nobody is called dead that lives and that most can reach, and after each lot of drawn troubles all hold what is so.
-func TestCrowdInTroubles(t *testing.T) {
+func TestNoFalseDeathsUnderFaults(t *testing.T) {
 	for _, n := range []int{3, 7, 20} {
 		got, err := PlayFaults(n, 300, uint64(n))
 		require.NoError(t, err)
--- a/internal/sim/membershipsim/measure.go
+++ b/internal/sim/membershipsim/measure.go
@@ -138,7 +138,7 @@
 }
 
 // reachS is how long one must have been well and in reach before its death is a false one.
-const reachS = 1.0
+const reachableSeconds = 1.0
 
 // Trouble plays a fleet in drawn troubles: members stand still for up to 4 s again and again, ways are cut for moments or for
 // long, links are reset, members are killed and come back, a third begins again within a second. After each lot of troubles
@@ -157,7 +157,7 @@
 			return
 		}
 		for i, node := range c.Nodes {
-			if node.IsRunning && node.View.Self().ID == r.ID && node.View.Self().Version == r.Version && now-well[i] > reachS && !by.IsFrozen && cutOff[by.Number] == 0 {
+			if node.IsRunning && node.View.Self().ID == r.ID && node.View.Self().Version == r.Version && now-well[i] > reachableSeconds && !by.IsFrozen && cutOff[by.Number] == 0 {
 				t.FalseDeaths++
 				if len(t.Discrepancies) < 10 {
 					t.Discrepancies = append(t.Discrepancies, fmt.Sprintf("%.2f: s%d holds s%d for dead, by the word of %v", now, by.Number, i, r.Accusers))
--- a/internal/sim/membershipsim/ways.go
+++ b/internal/sim/membershipsim/ways.go
@@ -22,13 +22,13 @@
 }
 
 const (
-	waysBeatS   = 0.5
-	waysSilentS = 1.4
-	swimRoundS  = 1.0
-	swimWaitS   = 0.3 // for an answer, before others are asked
-	swimOthers  = 3
-	newsLen     = 70.0
-	deaths      = 40 // that are played of each
+	heartbeatSeconds  = 0.5
+	silenceSeconds    = 1.4
+	swimPeriodSeconds = 1.0
+	swimWaitS         = 0.3 // for an answer, before others are asked
+	swimOthers        = 3
+	newsLen           = 70.0
+	deathsPlayed      = 40 // that are played of each
 )
 
 // Ways returns the ways that were weighed, for a fleet of a size.
@@ -40,12 +40,12 @@
 // allToAll has each beat to each. Who is silent for long enough is dead, by everybody's own word.
 func allToAll(n int, rng *rand.Rand) Alternative {
 	var known []float64
-	for range deaths {
+	for range deathsPlayed {
 		for range n - 1 { // the last beat was up to a beat ago, a look comes each quarter of a second
-			known = append(known, waysSilentS-waysBeatS*rng.Float64()+0.25*rng.Float64())
+			known = append(known, silenceSeconds-heartbeatSeconds*rng.Float64()+0.25*rng.Float64())
 		}
 	}
-	return Alternative{"all to all", quantile(known, 0.5), quantile(known, 0.99), float64(n-1) / waysBeatS * beatLen, 0, fmt.Sprint(n - 1)}
+	return Alternative{"all to all", quantile(known, 0.5), quantile(known, 0.99), float64(n-1) / heartbeatSeconds * heartbeatBytes, 0, fmt.Sprint(n - 1)}
 }
 
 // randomProbing has each call one a round, in an order of its own, and others in its place where no answer comes; suspicion lasts for
@@ -53,14 +53,14 @@
 func randomProbing(n int, rng *rand.Rand) Alternative {
 	var known []float64
 	rounds := math.Ceil(3 * math.Log10(float64(n)+1)) // that news rides along for, and that suspicion lasts
-	for range deaths {
+	for range deathsPlayed {
 		at := make([]float64, n) // when each knows of the suspicion; member 0 is dead
 		for i := range at {
 			at[i] = math.Inf(1)
 		}
 		phase := make([]float64, n)
 		for i := range phase {
-			phase[i] = rng.Float64() * swimRoundS
+			phase[i] = rng.Float64() * swimPeriodSeconds
 		}
 		left, died := n-1, 0.0
 		for round := 0; left > 0 && round < 200; round++ {
@@ -70,12 +70,12 @@
 				if i == 0 {
 					continue
 				}
-				now := float64(round)*swimRoundS + phase[i]
+				now := float64(round)*swimPeriodSeconds + phase[i]
 				j := rng.IntN(n)
 				switch {
 				case j == i:
 				case j == 0:
-					if found := now + swimRoundS; at[i] > found {
+					if found := now + swimPeriodSeconds; at[i] > found {
 						if math.IsInf(at[i], 1) {
 							left--
 						}
@@ -83,7 +83,7 @@
 					}
 				default: // a call and its answer carry the news both ways, for as long as it is news
 					for _, w := range [][2]int{{i, j}, {j, i}} {
-						if at[w[0]] <= now && now < at[w[0]]+rounds*swimRoundS && at[w[1]] > now {
+						if at[w[0]] <= now && now < at[w[0]]+rounds*swimPeriodSeconds && at[w[1]] > now {
 							if math.IsInf(at[w[1]], 1) {
 								left--
 							}
@@ -95,11 +95,11 @@
 		}
 		for _, t := range at[1:] {
 			if !math.IsInf(t, 1) {
-				known = append(known, t-died+rounds*swimRoundS/2) // Lifeguard ends suspicions early that many share
+				known = append(known, t-died+rounds*swimPeriodSeconds/2) // Lifeguard ends suspicions early that many share
 			}
 		}
 	}
-	return Alternative{"SWIM", quantile(known, 0.5), quantile(known, 0.99), 2 * (beatLen + helloLen) / swimRoundS, 1 / swimRoundS, "one at random a second"}
+	return Alternative{"SWIM", quantile(known, 0.5), quantile(known, 0.99), 2 * (heartbeatBytes + helloBytes) / swimPeriodSeconds, 1 / swimPeriodSeconds, "one at random a second"}
 }
 
 // activeViews has each keep a few links at random, both ends beat, and deaths flood by the word of one.
@@ -107,7 +107,7 @@
 	const own = 5
 	var known []float64
 	least := n
-	for range deaths {
+	for range deathsPlayed {
 		watchers := make([]int, n) // links that others have chosen to each
 		for i := range n {
 			for range own {
@@ -119,11 +119,11 @@
 		least = min(least, own+slices.Min(watchers))
 		first := math.Inf(1)
 		for range own + watchers[0] {
-			first = min(first, waysSilentS-waysBeatS*rng.Float64()+0.25*rng.Float64())
+			first = min(first, silenceSeconds-heartbeatSeconds*rng.Float64()+0.25*rng.Float64())
 		}
 		for range n - 1 {
 			known = append(known, first+0.002*math.Log(float64(n)+1))
 		}
 	}
-	return Alternative{"active views, one word", quantile(known, 0.5), quantile(known, 0.99), float64(min(2*own, n-1)) / waysBeatS * beatLen, 0, fmt.Sprintf("%d or more", min(least, n-1))}
+	return Alternative{"active views, one word", quantile(known, 0.5), quantile(known, 0.99), float64(min(2*own, n-1)) / heartbeatSeconds * heartbeatBytes, 0, fmt.Sprintf("%d or more", min(least, n-1))}
 }
