--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -4,7 +4,6 @@
 	"context"
 	"time"
 
-	"hazelwheel/internal/decide/register"
 	"hazelwheel/internal/message"
 )
 
@@ -126,10 +125,6 @@
 	return out
 }
 
-func votersOf(value register.Value) register.Value {
-	return register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters}
-}
-
 // serveGossip answers an exchange with what the peer asks for, and asks for what is lacking here.
 func (n *Node) serveGossip(_ context.Context, request *message.Gossip) (*message.Gossip, error) {
 	if request.FormatVersion != message.FormatVersion {
--- a/internal/gossip/cluster.go
+++ b/internal/gossip/node.go
@@ -1,5 +1,3 @@
-// Package gossip hosts a process's part in the fleet: it exchanges records, the configuration and the list of servers with
-// other processes, so that each reaches all. What decides is in internal/decide/membership.
 package gossip
 
 import (
@@ -13,8 +11,6 @@
 	"github.com/sirupsen/logrus"
 
 	"hazelwheel/internal/decide/membership"
-	"hazelwheel/internal/decide/register"
-	"hazelwheel/internal/message"
 	"hazelwheel/internal/nodeconfig"
 	"hazelwheel/internal/transport"
 )
@@ -43,32 +39,6 @@
 	meshMost = 6
 )
 
-// EndpointList is a reading of the platform's list and when it was read.
-type EndpointList struct {
-	Digest uint64
-	Data   []byte    // the servers, packed
-	ReadAt time.Time // zero: there is none
-}
-
-// Unpack returns the servers, none where there is no reading.
-func (l *EndpointList) Unpack() ([]message.Instance, error) {
-	if l.ReadAt.IsZero() {
-		return nil, nil
-	}
-	return message.UnpackInstances(l.Data)
-}
-
-// State is what a process has learned.
-type State struct {
-	Table     *message.PackedTable
-	Endpoints EndpointList
-	Voters    register.Value // the voters alone, of the newest epoch heard of
-	Grants    []register.Grant
-	Plan      message.StagePlan
-	Rank      int // of this process among its kind
-	Count     int
-}
-
 // Node takes part in the fleet.
 type Node struct {
 	log    *logrus.Entry
@@ -180,12 +150,6 @@
 	}
 }
 
-// announce wakes those that wait for changes.
-func (n *Node) announce() {
-	close(n.changed)
-	n.changed = make(chan struct{})
-}
-
 // SetDemands replaces what this process tells of its proxy.
 func (n *Node) SetDemands(demands []membership.Demand) {
 	n.mu.Lock()
@@ -200,23 +164,6 @@
 	n.view.SetReleasedToken(token)
 }
 
-// MergeRegisterValue takes the voters and the grants of a value that holds.
-func (n *Node) MergeRegisterValue(value register.Value) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.mergeGrants(value.Grants)
-	if value.Epoch > n.facts.Voters.Epoch {
-		n.facts.Voters = votersOf(value)
-	}
-}
-
-// State returns what is known, and a channel that is closed once that has changed.
-func (n *Node) State() (State, <-chan struct{}) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.facts, n.changed
-}
-
 // Members returns who is there.
 func (n *Node) Members() []membership.Member {
 	n.mu.Lock()
--- a/internal/gossip/facts.go
+++ b/internal/gossip/state.go
@@ -12,6 +12,55 @@
 	"hazelwheel/internal/routeconfig"
 )
 
+// EndpointList is a reading of the platform's list and when it was read.
+type EndpointList struct {
+	Digest uint64
+	Data   []byte    // the servers, packed
+	ReadAt time.Time // zero: there is none
+}
+
+// Unpack returns the servers, none where there is no reading.
+func (l *EndpointList) Unpack() ([]message.Instance, error) {
+	if l.ReadAt.IsZero() {
+		return nil, nil
+	}
+	return message.UnpackInstances(l.Data)
+}
+
+// State is what a process has learned.
+type State struct {
+	Table     *message.PackedTable
+	Endpoints EndpointList
+	Voters    register.Value // the voters alone, of the newest epoch heard of
+	Grants    []register.Grant
+	Plan      message.StagePlan
+	Rank      int // of this process among its kind
+	Count     int
+}
+
+// State returns what is known, and a channel that is closed once that has changed.
+func (n *Node) State() (State, <-chan struct{}) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.facts, n.changed
+}
+
+// announce wakes those that wait for changes.
+func (n *Node) announce() {
+	close(n.changed)
+	n.changed = make(chan struct{})
+}
+
+// MergeRegisterValue takes the voters and the grants of a value that holds.
+func (n *Node) MergeRegisterValue(value register.Value) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.mergeGrants(value.Grants)
+	if value.Epoch > n.facts.Voters.Epoch {
+		n.facts.Voters = votersOf(value)
+	}
+}
+
 // SetTable takes a configuration that holds.
 func (n *Node) SetTable(table *routeconfig.Table) {
 	packed, err := message.PackTable(table)
@@ -114,3 +163,7 @@
 	}
 	return max(sum, 1)
 }
+
+func votersOf(value register.Value) register.Value {
+	return register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters}
+}
