--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -7,191 +7,206 @@
 	"hazelwheel/internal/message"
 )
 
-// claim says that something large has been asked for, so that it is not taken from several peers at once.
-type claim struct {
-	until time.Time
+const (
+	// pushFanout is the number of processes to which an update is sent at once. Each that lacked something does the same.
+	pushFanout = 3
+	// fetchTimeout is how long a process waits for a configuration or endpoints from one peer before it asks another.
+	fetchTimeout = 350 * time.Millisecond
+	// readingTolerance is by how much a reading of the endpoints must be younger to replace one that differs.
+	readingTolerance = 20 * time.Millisecond
+)
+
+// fetchSlot keeps a process from fetching the same large item from several peers at once. Node.mu guards it.
+type fetchSlot struct {
+	busyUntil time.Time
 }
 
-// take returns whether nobody else has asked lately.
-func (c *claim) take() bool {
-	if time.Now().Before(c.until) {
+// tryAcquire reports whether the item may be asked for now, and reserves the slot for fetchTimeout.
+func (s *fetchSlot) tryAcquire() bool {
+	if time.Now().Before(s.busyUntil) {
 		return false
 	}
-	c.until = time.Now().Add(claimFor)
+	s.busyUntil = time.Now().Add(fetchTimeout)
 	return true
 }
 
-func (c *claim) release() { c.until = time.Time{} }
+// release frees the slot.
+func (s *fetchSlot) release() { s.busyUntil = time.Time{} }
 
-// exchange tells a peer what is known here and takes what it knows; where it lacks news, they follow.
+// exchange exchanges what both know with a peer, and sends the peer what it asks for. Failures are left to the next exchange.
 func (n *Node) exchange(ctx context.Context, address string) {
-	request := n.digest()
+	request := n.buildExchange()
 	n.mu.Lock()
-	request.WantsTable, request.WantsList = n.table.take(), n.list.take()
+	request.WantsTable, request.WantsList = n.tableFetch.tryAcquire(), n.endpointsFetch.tryAcquire()
 	n.mu.Unlock()
 	reply, err := n.call(ctx, address, request)
 	n.mu.Lock()
 	if request.WantsTable {
-		n.table.release()
+		n.tableFetch.release()
 	}
 	if request.WantsList {
-		n.list.release()
+		n.endpointsFetch.release()
 	}
 	n.mu.Unlock()
 	if err != nil {
 		n.log.WithField("peer", address).WithError(err).Debug("exchange failed")
 		return
 	}
-	n.absorb(reply)
-	n.supply(ctx, address, reply)
+	n.merge(reply)
+	n.sendRequested(ctx, address, reply)
 }
 
-// supply sends a peer what it asks for.
-func (n *Node) supply(ctx context.Context, address string, reply *message.Gossip) {
+// sendRequested sends a peer what its reply asks for.
+func (n *Node) sendRequested(ctx context.Context, address string, reply *message.Gossip) {
 	if !reply.WantsTable && !reply.WantsList {
 		return
 	}
-	news := n.news()
-	n.attach(news, reply.WantsTable, reply.WantsList)
-	if answer, err := n.call(ctx, address, news); err == nil {
-		n.absorb(answer)
+	update := n.buildUpdate()
+	n.attachRequested(update, reply.WantsTable, reply.WantsList)
+	if answer, err := n.call(ctx, address, update); err == nil {
+		n.merge(answer)
 	}
 }
 
-// attach adds the configuration or the list to a message.
-func (n *Node) attach(out *message.Gossip, table, list bool) {
+// attachRequested attaches the configuration or the endpoints to a message that names them.
+func (n *Node) attachRequested(out *message.Gossip, withTable, withEndpoints bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if table {
-		out.Table = n.facts.Table
+	if withTable {
+		out.Table = n.state.Table
 	}
-	if list && out.List.Digest == n.facts.Endpoints.Digest {
-		out.List.Data = n.facts.Endpoints.Data
+	if withEndpoints && out.List.Digest == n.state.Endpoints.Digest {
+		out.List.Data = n.state.Endpoints.Data
 	}
 }
 
+// call sends a message to a peer and records its reply.
 func (n *Node) call(ctx context.Context, address string, request *message.Gossip) (*message.Gossip, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply := &message.Gossip{}
 	if err := n.client.Call(ctx, address, gossipPath, request, reply); err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
-	n.contact.answer(address, time.Now())
+	n.reachability.record(address, time.Now())
 	n.mu.Unlock()
 	return reply, nil
 }
 
-// push tells a few processes at once that there is news. Those that lack it ask for it and tell others.
-func (n *Node) push() { n.pushOut(n.news()) }
+// pushUpdate sends an update to a few processes. Those that lack something ask for it and push an update themselves.
+func (n *Node) pushUpdate() { n.pushMessage(n.buildUpdate()) }
 
-func (n *Node) pushOut(request *message.Gossip) {
+// pushMessage sends a message to pushFanout processes, without waiting. Failures are left to the next exchange.
+func (n *Node) pushMessage(request *message.Gossip) {
 	n.mu.Lock()
 	addresses := n.view.PickFanout(n.now(), pushFanout)
 	n.mu.Unlock()
 	for _, address := range addresses {
 		go func() {
 			if reply, err := n.call(context.Background(), address, request); err == nil {
-				n.absorb(reply)
-				n.supply(context.Background(), address, reply)
+				n.merge(reply)
+				n.sendRequested(context.Background(), address, reply)
 			}
 		}()
 	}
 }
 
-// digest builds a message that names what is known here, and tells of processes and servers.
-func (n *Node) digest() *message.Gossip {
-	out := n.news()
+// buildExchange builds the message of an exchange: an update with records, heartbeats and loads.
+func (n *Node) buildExchange() *message.Gossip {
+	out := n.buildUpdate()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out.UpdatesOnly = false
-	out.Records, out.Heartbeats, out.Loads = n.view.SampleRecords(n.now()), n.view.SampleHeartbeats(n.now()), n.loads.young()
+	out.Records, out.Heartbeats, out.Loads = n.view.SampleRecords(n.now()), n.view.SampleHeartbeats(n.now()), n.loads.recent()
 	return out
 }
 
-// news builds a message that names what is known here and that all have to hold.
-func (n *Node) news() *message.Gossip {
+// buildUpdate builds an update: voters, grants and stage plan, and the versions of configuration and endpoints.
+func (n *Node) buildUpdate() *message.Gossip {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := &message.Gossip{FormatVersion: message.FormatVersion, UpdatesOnly: true, Voters: votersOf(n.facts.Voters), Grants: n.facts.Grants, Plan: n.facts.Plan}
-	if n.facts.Table != nil {
-		out.ConfigVersion = n.facts.Table.Version
+	out := &message.Gossip{FormatVersion: message.FormatVersion, UpdatesOnly: true, Voters: votersOnly(n.state.Voters), Grants: n.state.Grants, Plan: n.state.Plan}
+	if n.state.Table != nil {
+		out.ConfigVersion = n.state.Table.Version
 	}
-	if !n.facts.Endpoints.ReadAt.IsZero() {
-		age := float64(time.Since(n.facts.Endpoints.ReadAt)) / float64(time.Millisecond)
-		out.List = message.InstanceList{Digest: n.facts.Endpoints.Digest, AgeMs: age}
+	if !n.state.Endpoints.ReadAt.IsZero() {
+		age := float64(time.Since(n.state.Endpoints.ReadAt)) / float64(time.Millisecond)
+		out.List = message.InstanceList{Digest: n.state.Endpoints.Digest, AgeMs: age}
 	}
 	return out
 }
 
-// serveGossip answers an exchange with what the peer asks for, and asks for what is lacking here.
-func (n *Node) serveGossip(_ context.Context, request *message.Gossip) (*message.Gossip, error) {
+// handleGossip handles a message of a peer. The reply is of the same kind, carries what the peer asks for and asks for what
+// this process lacks.
+func (n *Node) handleGossip(_ context.Context, request *message.Gossip) (*message.Gossip, error) {
 	if request.FormatVersion != message.FormatVersion {
 		return nil, message.Error.New("format %d, want %d", request.FormatVersion, message.FormatVersion)
 	}
-	lacksTable, lacksList := n.lacks(request)
-	n.absorb(request)
-	reply := n.news()
+	needsTable, needsEndpoints := n.outdated(request)
+	n.merge(request)
+	reply := n.buildUpdate()
 	if !request.UpdatesOnly {
-		reply = n.digest()
+		reply = n.buildExchange()
 	}
-	newerTable := reply.ConfigVersion > request.ConfigVersion
-	newerList := reply.List.Digest != request.List.Digest && !lacksList
-	n.attach(reply, request.WantsTable && newerTable, request.WantsList && newerList)
+	hasNewerTable := reply.ConfigVersion > request.ConfigVersion
+	hasOtherEndpoints := reply.List.Digest != request.List.Digest && !needsEndpoints
+	n.attachRequested(reply, request.WantsTable && hasNewerTable, request.WantsList && hasOtherEndpoints)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	reply.WantsTable = lacksTable && request.Table == nil && n.table.take()
-	reply.WantsList = lacksList && request.List.Data == nil && n.list.take()
+	reply.WantsTable = needsTable && request.Table == nil && n.tableFetch.tryAcquire()
+	reply.WantsList = needsEndpoints && request.List.Data == nil && n.endpointsFetch.tryAcquire()
 	return reply, nil
 }
 
-// lacks tells whether the peer has a newer table or list than this process.
-func (n *Node) lacks(request *message.Gossip) (table, list bool) {
+// outdated reports whether the own configuration and endpoints are older than those that a message names.
+func (n *Node) outdated(request *message.Gossip) (hasOldTable, hasOldEndpoints bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	table = request.ConfigVersion > 0 && (n.facts.Table == nil || request.ConfigVersion > n.facts.Table.Version)
-	return table, n.younger(request.List) && request.List.Digest != n.facts.Endpoints.Digest
+	hasOldTable = request.ConfigVersion > 0 && (n.state.Table == nil || request.ConfigVersion > n.state.Table.Version)
+	return hasOldTable, n.isYounger(request.List) && request.List.Digest != n.state.Endpoints.Digest
 }
 
-// younger tells whether a peer's reading of the list is younger than the own one. Danger: readings that were sent at the same
-// moment differ by what the network took; freshBy keeps an older one from taking its place.
-func (n *Node) younger(list message.InstanceList) bool {
+// isYounger reports whether a peer's reading of the endpoints is younger than the own one. Danger: the time of a reading is
+// derived from its age when it was sent, and so differs by the delay of the network. readingTolerance keeps an older reading
+// from replacing a younger one. The caller holds mu.
+func (n *Node) isYounger(list message.InstanceList) bool {
 	if list.Digest == 0 {
 		return false
 	}
-	return n.facts.Endpoints.ReadAt.IsZero() || readAt(list).After(n.facts.Endpoints.ReadAt.Add(freshBy))
+	return n.state.Endpoints.ReadAt.IsZero() || readingTime(list).After(n.state.Endpoints.ReadAt.Add(readingTolerance))
 }
 
-func readAt(list message.InstanceList) time.Time {
+// readingTime returns the time at which a list that was just received was read.
+func readingTime(list message.InstanceList) time.Time {
 	return time.Now().Add(-time.Duration(list.AgeMs * float64(time.Millisecond)))
 }
 
-// absorb takes what a peer told.
-func (n *Node) absorb(told *message.Gossip) {
+// merge adopts what is newer in a peer's message than what is known.
+func (n *Node) merge(received *message.Gossip) {
 	n.mu.Lock()
-	n.view.MergeRecords(n.now(), told.Records)
-	n.view.MergeHeartbeats(n.now(), told.Heartbeats)
-	n.loads.merge(told.Loads)
-	n.place()
-	if told.Voters.Epoch > n.facts.Voters.Epoch {
-		n.facts.Voters = votersOf(told.Voters)
-	}
-	n.mergeGrants(told.Grants)
-	if told.Plan.IsNewerThan(&n.facts.Plan) {
-		n.facts.Plan = told.Plan
-		n.announce()
-	}
-	younger := n.younger(told.List)
-	if younger && told.List.Digest == n.facts.Endpoints.Digest {
-		n.facts.Endpoints.ReadAt = readAt(told.List)
-		younger = false
+	n.view.MergeRecords(n.now(), received.Records)
+	n.view.MergeHeartbeats(n.now(), received.Heartbeats)
+	n.loads.merge(received.Loads)
+	n.updateRank()
+	if received.Voters.Epoch > n.state.Voters.Epoch {
+		n.state.Voters = votersOnly(received.Voters)
+	}
+	n.mergeGrants(received.Grants)
+	if received.Plan.IsNewerThan(&n.state.Plan) {
+		n.state.Plan = received.Plan
+		n.notifyChanged()
+	}
+	hasYounger := n.isYounger(received.List)
+	if hasYounger && received.List.Digest == n.state.Endpoints.Digest {
+		n.state.Endpoints.ReadAt = readingTime(received.List)
+		hasYounger = false
 	}
 	n.mu.Unlock()
-	if told.Table != nil {
-		n.takeTable(told.Table)
+	if received.Table != nil {
+		n.mergeTable(received.Table)
 	}
-	if younger && told.List.Data != nil {
-		n.takeList(EndpointList{Digest: told.List.Digest, Data: told.List.Data, ReadAt: readAt(told.List)})
+	if hasYounger && received.List.Data != nil {
+		n.mergeEndpoints(EndpointList{Digest: received.List.Digest, Data: received.List.Data, ReadAt: readingTime(received.List)})
 	}
 }
--- a/internal/gossip/loads.go
+++ b/internal/gossip/loads.go
@@ -9,67 +9,68 @@
 )
 
 const (
-	// loadsFor is how long what a server told of its load is passed on.
-	loadsFor = 1500 * time.Millisecond
-	// loadsMost bounds the loads that go with one exchange.
-	loadsMost = 200
+	// loadRetention is the age up to which a server's load is sent on.
+	loadRetention = 1500 * time.Millisecond
+	// maxLoadsPerExchange bounds the loads in one exchange.
+	maxLoadsPerExchange = 200
 )
 
-// loads is what servers told any proxy of their load lately. The youngest word on a server counts, so that pictures merge in any
-// order and any number of times.
-type loads struct {
-	heard map[uint32]heardLoad
+// loadReports holds the load that servers reported to any proxy lately. Of each server the youngest report counts, so that
+// merging is independent of order and repetition. Node.mu guards it.
+type loadReports struct {
+	byKey map[uint32]loadReport // by message.Load.InstanceKey
 }
 
-type heardLoad struct {
-	load message.Load
-	at   time.Time
+// loadReport is a server's load at a time.
+type loadReport struct {
+	load       message.Load
+	reportedAt time.Time
 }
 
-// merge takes what a peer or the own proxy told.
-func (l *loads) merge(told []message.Load) {
-	if l.heard == nil {
-		l.heard = map[uint32]heardLoad{}
+// merge adopts the loads that are younger than the known ones.
+func (l *loadReports) merge(received []message.Load) {
+	if l.byKey == nil {
+		l.byKey = map[uint32]loadReport{}
 	}
 	now := time.Now()
-	for _, load := range told {
-		at := now.Add(-time.Duration(load.AgeMs) * time.Millisecond)
-		if known, ok := l.heard[load.InstanceKey]; !ok || at.After(known.at) {
-			l.heard[load.InstanceKey] = heardLoad{load, at}
+	for _, load := range received {
+		reportedAt := now.Add(-time.Duration(load.AgeMs) * time.Millisecond)
+		if known, ok := l.byKey[load.InstanceKey]; !ok || reportedAt.After(known.reportedAt) {
+			l.byKey[load.InstanceKey] = loadReport{load, reportedAt}
 		}
 	}
 }
 
-// young returns the loads to pass on, and forgets the old ones.
-func (l *loads) young() (out []message.Load) {
+// recent returns the loads to send, with their ages, and drops the old ones. Of too many it returns a random sample.
+func (l *loadReports) recent() (out []message.Load) {
 	now := time.Now()
-	for key, heard := range l.heard {
-		age := now.Sub(heard.at)
-		if age > loadsFor {
-			delete(l.heard, key)
+	for key, report := range l.byKey {
+		age := now.Sub(report.reportedAt)
+		if age > loadRetention {
+			delete(l.byKey, key)
 			continue
 		}
-		load := heard.load
+		load := report.load
 		load.AgeMs = uint16(min(age.Milliseconds(), math.MaxUint16))
 		out = append(out, load)
 	}
-	if len(out) > loadsMost {
+	if len(out) > maxLoadsPerExchange {
 		rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-		out = out[:loadsMost]
+		out = out[:maxLoadsPerExchange]
 	}
 	return out
 }
 
-// SetLoads takes what the own proxy was told by servers.
-func (n *Node) SetLoads(told []message.Load) {
+// SetLoads adds loads that servers reported to the proxy of this process. They spread with the next exchanges.
+func (n *Node) SetLoads(received []message.Load) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loads.merge(told)
+	n.loads.merge(received)
 }
 
-// Loads returns what servers told any proxy lately.
+// Loads returns the loads that servers reported to any proxy lately.
 func (n *Node) Loads() []message.Load {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.loads.young()
+	return n.loads.recent()
 }
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -15,101 +15,104 @@
 	"hazelwheel/internal/transport"
 )
 
+// gossipPath is the HTTP path of exchanges and updates.
+const gossipPath = "/fleet/v1/gossip"
+
 const (
-	gossipPath = "/fleet/v1/gossip"
-	// ExchangeInterval is the time between exchanges.
+	// ExchangeInterval is the time between two exchanges of a process.
 	ExchangeInterval = 400 * time.Millisecond
-	// firstEvery is the time between exchanges until a configuration and a list were heard of.
-	firstEvery = 80 * time.Millisecond
-	firstFor   = 3 * time.Second
-	// callWithin bounds one exchange.
-	callWithin = 900 * time.Millisecond
-	// pushFanout is to how many processes news are sent at once; each of them sends them on.
-	pushFanout   = 3
-	viewSize     = 8
-	sampleSize   = 12
-	beatSize     = 200
-	suspectAfter = 2.8 // seconds
-	forgetAfter  = 12  // seconds
-	// claimFor is how long a process waits for something large that it has asked for before it asks another.
-	claimFor = 350 * time.Millisecond
-	// freshBy is by how much a reading of the list must be younger to take the place of one that differs.
-	freshBy = 20 * time.Millisecond
-	// meshMost bounds the control processes to which each of them speaks at every exchange; where there are more they take turns.
-	meshMost = 6
+	// startupExchangeInterval takes its place until a configuration and endpoints are known, for startupPeriod at most.
+	startupExchangeInterval = 80 * time.Millisecond
+	startupPeriod           = 3 * time.Second
+	// callTimeout bounds one call to a peer.
+	callTimeout = 900 * time.Millisecond
+	// maxControlPartners bounds the control processes with which another one exchanges in one interval. Where there are more,
+	// it contacts them in turn.
+	maxControlPartners = 6
+)
+
+// The settings of the membership: see membership.Settings.
+const (
+	partialViewSize       = 8
+	recordsPerExchange    = 12
+	heartbeatsPerExchange = 200
+	suspectAfterSeconds   = 2.8
+	forgetAfterSeconds    = 12
 )
 
-// Node takes part in the fleet.
+// Node is a fleet process's part in the gossip. Its methods may be called from any goroutine.
 type Node struct {
-	log    *logrus.Entry
-	client *transport.Client
-	start  time.Time
-
-	mu      sync.Mutex
-	view    *membership.View
-	facts   State
-	changed chan struct{} // closed and replaced when facts change
-	loads   loads
-	table   claim
-	list    claim
-
-	contact  *contact
-	meshSize int // other control processes that are called in turns
-	meshNext int // whose turn it is
+	log       *logrus.Entry
+	client    *transport.Client
+	startedAt time.Time
+
+	mu              sync.Mutex // guards what follows; never held during a call
+	view            *membership.View
+	state           State
+	stateChanged    chan struct{} // closed and replaced when state changes
+	loads           loadReports
+	tableFetch      fetchSlot
+	endpointsFetch  fetchSlot
+	reachability    *replyTimes
+	controlPeers    int // number of other control processes
+	nextControlPeer int // index of the first one to contact in the next interval
 }
 
-// New returns a node for the process of the settings. The record's name, address, zone and life are filled in.
+// New returns a node for the process of the settings. It fills in the record's name, zone, run ID and incarnation; the other
+// fields are the caller's.
 func New(settings *nodeconfig.Settings, self membership.Record, client *transport.Client, log *logrus.Entry) *Node {
 	self.Name, self.Zone = settings.NodeID+"/"+string(self.Kind), settings.Zone
 	self.RunID = rand.Uint64()
 	self.Incarnation = uint64(max(time.Now().UnixMilli(), 1))
 	seeds := settings.SeedAddresses()
-	view := membership.New(membership.Settings{SuspectAfterSeconds: suspectAfter, ForgetAfterSeconds: forgetAfter, PartialViewSize: viewSize,
-		RecordsPerExchange: sampleSize, HeartbeatsPerExchange: beatSize}, self, seeds, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	return &Node{log: log, client: client, start: time.Now(), view: view, changed: make(chan struct{}),
-		contact: newContact(time.Now())}
+	view := membership.New(membership.Settings{SuspectAfterSeconds: suspectAfterSeconds, ForgetAfterSeconds: forgetAfterSeconds,
+		PartialViewSize: partialViewSize, RecordsPerExchange: recordsPerExchange, HeartbeatsPerExchange: heartbeatsPerExchange},
+		self, seeds, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	return &Node{log: log, client: client, startedAt: time.Now(), view: view, stateChanged: make(chan struct{}),
+		reachability: newReplyTimes(time.Now())}
 }
 
 // RegisterHandlers adds the node's paths to a router.
 func (n *Node) RegisterHandlers(router *mux.Router) {
-	router.HandleFunc(gossipPath, transport.NewHandler(n.serveGossip)).Methods("POST")
+	router.HandleFunc(gossipPath, transport.NewHandler(n.handleGossip)).Methods("POST")
 }
 
-// now is the time of the view: seconds on the steady clock.
-func (n *Node) now() float64 { return time.Since(n.start).Seconds() }
+// now returns the time of the view: seconds on the steady clock.
+func (n *Node) now() float64 { return time.Since(n.startedAt).Seconds() }
 
-// Run exchanges until the context ends.
+// Run makes exchanges until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	for {
 		n.tick(ctx)
-		pause := time.NewTimer(n.pause())
+		timer := time.NewTimer(n.exchangeInterval())
 		select {
 		case <-ctx.Done():
-			pause.Stop()
+			timer.Stop()
 			return
-		case <-pause.C:
+		case <-timer.C:
 		}
 	}
 }
 
-// pause is short for a process that has just begun.
-func (n *Node) pause() time.Duration {
+// exchangeInterval returns the time until the next exchange, which is short after the start.
+func (n *Node) exchangeInterval() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	lacks := n.facts.Table == nil || n.facts.Endpoints.ReadAt.IsZero()
-	if lacks && time.Since(n.start) < firstFor {
-		return firstEvery
+	isIncomplete := n.state.Table == nil || n.state.Endpoints.ReadAt.IsZero()
+	if isIncomplete && time.Since(n.startedAt) < startupPeriod {
+		return startupExchangeInterval
 	}
 	return ExchangeInterval
 }
 
+// tick starts the exchanges of one interval. It doesn't wait for them: a slow peer must not delay the next interval.
 func (n *Node) tick(ctx context.Context) {
 	n.mu.Lock()
 	n.view.Tick(n.now())
-	n.contact.tick(time.Now())
-	n.place()
+	n.reachability.tick(time.Now())
+	n.updateRank()
 	partners := []string{n.view.PickPartner(n.now())}
-	partners = append(partners, n.mesh()...)
+	partners = append(partners, n.controlPartners()...)
 	n.mu.Unlock()
 	slices.Sort(partners)
 	for _, partner := range slices.Compact(partners) {
@@ -119,8 +122,9 @@
 	}
 }
 
-// mesh returns other control processes where this is one, all where they are few: they have to notice fast that one of them is gone.
-func (n *Node) mesh() []string {
+// controlPartners returns, for a control process, the addresses of other control processes to exchange with now: all, or
+// maxControlPartners of them in turn. They have to detect fast that one of them has failed. The caller holds mu.
+func (n *Node) controlPartners() []string {
 	self := n.view.Self()
 	if self.Kind != membership.Control {
 		return nil
@@ -131,60 +135,61 @@
 			addresses = append(addresses, member.Address)
 		}
 	}
-	n.meshSize = len(addresses)
-	if len(addresses) <= meshMost {
+	n.controlPeers = len(addresses)
+	if len(addresses) <= maxControlPartners {
 		return addresses
 	}
-	from := n.meshNext % len(addresses)
-	n.meshNext = from + meshMost
-	return slices.Concat(addresses[from:], addresses[:from])[:meshMost]
+	first := n.nextControlPeer % len(addresses)
+	n.nextControlPeer = first + maxControlPartners
+	return slices.Concat(addresses[first:], addresses[:first])[:maxControlPartners]
 }
 
-// place takes the own place among processes of the kind.
-func (n *Node) place() {
+// updateRank updates the own rank among the processes of its kind. The caller holds mu.
+func (n *Node) updateRank() {
 	self := n.view.Self()
 	rank, count := n.view.Rank(self.Name, self.Kind)
-	if rank != n.facts.Rank || count != n.facts.Count {
-		n.facts.Rank, n.facts.Count = rank, count
-		n.announce()
+	if rank != n.state.Rank || count != n.state.Count {
+		n.state.Rank, n.state.Count = rank, count
+		n.notifyChanged()
 	}
 }
 
-// SetDemands replaces what this process tells of its proxy.
+// SetDemands replaces the demands of this process's proxy in its record.
 func (n *Node) SetDemands(demands []membership.Demand) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view.SetDemands(demands)
 }
 
-// SetReleasedToken tells others that this process has given up the role that it held with a token.
+// SetReleasedToken puts the fencing token of a role that this process has released into its record.
 func (n *Node) SetReleasedToken(token uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view.SetReleasedToken(token)
 }
 
-// Members returns who is there.
-func (n *Node) Members() []membership.Member {
+// SetSeeds replaces the addresses of seeds.
+func (n *Node) SetSeeds(seeds []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.view.Members(n.now())
+	n.view.SetSeeds(seeds)
 }
 
-// SetSeeds replaces the seeds.
-func (n *Node) SetSeeds(seeds []string) {
+// Members returns all known processes, this one among them.
+func (n *Node) Members() []membership.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.view.SetSeeds(seeds)
+	return n.view.Members(n.now())
 }
 
-// AnnounceLeaving tells others that this process is about to end.
+// AnnounceLeaving marks this process as leaving and sends its record to a few processes and to control partners. It doesn't
+// wait for the calls, which go on after the context of Run has ended.
 func (n *Node) AnnounceLeaving() {
 	n.mu.Lock()
 	n.view.MarkLeaving()
-	partners := n.mesh()
+	partners := n.controlPartners()
 	n.mu.Unlock()
-	n.pushOut(n.digest()) // the own record is the news
+	n.pushMessage(n.buildExchange()) // an update would not carry the record
 	for _, partner := range partners {
 		go n.exchange(context.Background(), partner)
 	}
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -24,23 +24,23 @@
 	"hazelwheel/internal/transport"
 )
 
-func TestCluster(t *testing.T) {
+func TestGossip(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "cluster")
+	RunSpecs(t, "gossip")
 }
 
 const (
-	size   = 10
-	within = 20 * time.Second
+	size    = 10
+	timeout = 20 * time.Second
 )
 
-// fleet is nodes on loopback addresses; received counts the bytes of the requests and answers that they take.
-type fleet struct {
-	nodes    []*gossip.Node
-	received atomic.Int64
+// testFleet is a set of nodes on loopback addresses. receivedBytes counts requests and replies.
+type testFleet struct {
+	nodes         []*gossip.Node
+	receivedBytes atomic.Int64
 }
 
-// countingBody counts what is read.
+// countingBody counts the bytes that are read.
 type countingBody struct {
 	io.ReadCloser
 	count *atomic.Int64
@@ -52,7 +52,7 @@
 	return n, err
 }
 
-// countingWriter counts what is written.
+// countingWriter counts the bytes that are written.
 type countingWriter struct {
 	http.ResponseWriter
 	count *atomic.Int64
@@ -63,8 +63,8 @@
 	return w.ResponseWriter.Write(p)
 }
 
-func startFleet() *fleet {
-	f := &fleet{}
+func startFleet() *testFleet {
+	f := &testFleet{}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	base := 20000 + rand.IntN(20000)
@@ -79,25 +79,25 @@
 		f.nodes = append(f.nodes, node)
 		go node.Run(ctx)
 	}
-	Eventually(f.least, within).Should(Equal(size))
+	Eventually(f.minMembers, timeout).Should(Equal(size))
 	return f
 }
 
-func (f *fleet) serve(address string, node *gossip.Node) {
+func (f *testFleet) serve(address string, node *gossip.Node) {
 	listener, err := net.Listen("tcp4", address)
 	Expect(err).NotTo(HaveOccurred())
 	router := mux.NewRouter()
 	node.RegisterHandlers(router)
-	server := &http.Server{ReadHeaderTimeout: within, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		r.Body = countingBody{r.Body, &f.received}
-		router.ServeHTTP(countingWriter{w, &f.received}, r)
+	server := &http.Server{ReadHeaderTimeout: timeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		r.Body = countingBody{r.Body, &f.receivedBytes}
+		router.ServeHTTP(countingWriter{w, &f.receivedBytes}, r)
 	})}
 	go func() { _ = server.Serve(listener) }()
 	DeferCleanup(server.Close)
 }
 
-// least is the smallest number of members that a node knows.
-func (f *fleet) least() int {
+// minMembers returns the smallest number of members that a node knows.
+func (f *testFleet) minMembers() int {
 	least := size + 1
 	for _, node := range f.nodes {
 		least = min(least, len(node.Members()))
@@ -105,18 +105,18 @@
 	return least
 }
 
-// versions returns how many nodes have a configuration of this version.
-func (f *fleet) versions(version uint64) (count int) {
+// countVersion returns how many nodes have a configuration of this version.
+func (f *testFleet) countVersion(version uint64) (count int) {
 	for _, node := range f.nodes {
-		if facts, _ := node.State(); facts.Table != nil && facts.Table.Version == version {
+		if state, _ := node.State(); state.Table != nil && state.Table.Version == version {
 			count++
 		}
 	}
 	return count
 }
 
-// large is a configuration that hardly can be packed.
-func large(version uint64) *routeconfig.Table {
+// incompressibleTable returns a large configuration that hardly compresses.
+func incompressibleTable(version uint64) *routeconfig.Table {
 	table := &routeconfig.Table{Version: version}
 	for range 4000 {
 		table.Routes = append(table.Routes, routeconfig.Route{Name: fmt.Sprintf("%016x%016x", rand.Uint64(), rand.Uint64())})
@@ -124,46 +124,46 @@
 	return table
 }
 
-var _ = Describe("what is large", func() {
-	It("is taken about once by each node", func() {
+var _ = Describe("a large item", func() {
+	It("is fetched about once by each node", func() {
 		f := startFleet()
-		table := large(5)
+		table := incompressibleTable(5)
 		packed, err := message.PackTable(table)
 		Expect(err).NotTo(HaveOccurred())
-		before := f.received.Load()
+		before := f.receivedBytes.Load()
 		f.nodes[0].SetTable(table)
-		Eventually(func() int { return f.versions(5) }, within).Should(Equal(size))
-		Expect(f.received.Load() - before).To(BeNumerically("<", 2*int64(size)*int64(len(packed.Data))))
+		Eventually(func() int { return f.countVersion(5) }, timeout).Should(Equal(size))
+		Expect(f.receivedBytes.Load() - before).To(BeNumerically("<", 2*int64(size)*int64(len(packed.Data))))
 	})
 
-	It("reaches all when it changes often, and never goes back", func() {
+	It("reaches all nodes when it changes often, and is never replaced by an older one", func() {
 		f := startFleet()
 		for version := uint64(1); version <= 20; version++ {
 			f.nodes[int(version)%size].SetTable(&routeconfig.Table{Version: version})
 		}
-		Eventually(func() int { return f.versions(20) }, within).Should(Equal(size))
+		Eventually(func() int { return f.countVersion(20) }, timeout).Should(Equal(size))
 		f.nodes[3].SetTable(&routeconfig.Table{Version: 7})
-		Expect(f.versions(20)).To(Equal(size))
+		Expect(f.countVersion(20)).To(Equal(size))
 	})
 
-	It("is the youngest reading where it is a list", func() {
+	It("is the youngest reading in case of endpoints", func() {
 		f := startFleet()
 		now := time.Now()
 		f.nodes[0].SetEndpoints([]message.Instance{{ID: "old"}}, now.Add(-2*time.Second))
 		f.nodes[1].SetEndpoints([]message.Instance{{ID: "new"}}, now)
 		newest := func() (count int) {
 			for _, node := range f.nodes {
-				facts, _ := node.State()
-				if servers, err := facts.Endpoints.Unpack(); err == nil && len(servers) == 1 && servers[0].ID == "new" {
+				state, _ := node.State()
+				if servers, err := state.Endpoints.Unpack(); err == nil && len(servers) == 1 && servers[0].ID == "new" {
 					count++
 				}
 			}
 			return count
 		}
-		Eventually(newest, within).Should(Equal(size))
+		Eventually(newest, timeout).Should(Equal(size))
 	})
 
-	It("spreads what a server told one node of its load", func() {
+	It("doesn't delay loads that a server reported to one node", func() {
 		f := startFleet()
 		f.nodes[2].SetLoads([]message.Load{{InstanceKey: 7, Running: 3}})
 		Eventually(func() (count int) {
@@ -176,21 +176,21 @@
 				}
 			}
 			return count
-		}, within, 10*time.Millisecond).Should(BeNumerically(">=", size-2))
+		}, timeout, 10*time.Millisecond).Should(BeNumerically(">=", size-2))
 	})
 })
 
-var _ = Describe("news that can't wait", func() {
-	It("go without the roster, heartbeats and loads, and are answered so; an exchange tells all", func() {
+var _ = Describe("an update", func() {
+	It("omits records, heartbeats and loads in message and reply, unlike an exchange", func() {
 		f := startFleet()
 		address := f.nodes[0].Members()[0].Address
-		ask := func(news bool) *message.Gossip {
+		send := func(isUpdate bool) *message.Gossip {
 			reply := &message.Gossip{}
-			request := &message.Gossip{FormatVersion: message.FormatVersion, UpdatesOnly: news}
+			request := &message.Gossip{FormatVersion: message.FormatVersion, UpdatesOnly: isUpdate}
 			Expect(transport.NewClient().Call(context.Background(), address, "/fleet/v1/gossip", request, reply)).To(Succeed())
 			return reply
 		}
-		short, full := ask(true), ask(false)
+		short, full := send(true), send(false)
 		Expect(short.Records).To(BeEmpty())
 		Expect(short.Heartbeats).To(BeEmpty())
 		Expect(short.Loads).To(BeEmpty())
--- a/internal/gossip/platform_client.go
+++ b/internal/gossip/platform_client.go
@@ -14,29 +14,31 @@
 	"hazelwheel/internal/transport"
 )
 
-// PlatformError is the class of errors of calls to the platform.
+// PlatformError is the class of the errors of PlatformClient.
 var PlatformError = errs.Class("platform")
 
 const (
-	// readWithin bounds the reading of the whole list.
-	readWithin = 1500 * time.Millisecond
-	maxPage    = 8 << 20
-	maxPages   = 400
+	// readTimeout bounds the reading of all pages.
+	readTimeout = 1500 * time.Millisecond
+	// maxPageBytes and maxPages bound what is read of a faulty platform.
+	maxPageBytes = 8 << 20
+	maxPages     = 400
 )
 
 // PlatformClient reads the platform's list of servers.
 type PlatformClient struct {
 	address string
-	http    *http.Client
+	client  *http.Client
 }
 
-// NewPlatformClient returns a client for the platform at IP:PORT.
+// NewPlatformClient returns a client for the platform at an address, IP:PORT.
 func NewPlatformClient(address string) *PlatformClient {
 	return &PlatformClient{address, &http.Client{Transport: &http.Transport{DialContext: transport.NewDialer().DialContext, MaxIdleConnsPerHost: 1,
 		IdleConnTimeout: time.Minute, DisableCompression: true}}}
 }
 
-type listedInstance struct {
+// platformInstance is a server as the platform lists it.
+type platformInstance struct {
 	ID              string  `json:"Id"`
 	Service         string  `json:"Service"`
 	Address         string  `json:"Address"`
@@ -47,21 +49,23 @@
 	Stage           string  `json:"Stage"`
 }
 
-type listPage struct {
-	Instances     []listedInstance `json:"Instances"`
-	NextPageToken *string          `json:"NextPageToken"`
+// instancePage is a page of the platform's list.
+type instancePage struct {
+	Instances     []platformInstance `json:"Instances"`
+	NextPageToken *string            `json:"NextPageToken"`
 }
 
+// stateDraining is the platform's state of a server that gets no new requests.
 const stateDraining = "draining"
 
-// Instances returns the whole list.
+// Instances reads all pages of the list. Its errors are of PlatformError; the caller keeps the list that it had.
 func (p *PlatformClient) Instances(ctx context.Context) ([]message.Instance, error) {
-	ctx, cancel := context.WithTimeout(ctx, readWithin)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	instances := []message.Instance{}
 	token := ""
 	for range maxPages {
-		page, err := p.page(ctx, token)
+		page, err := p.fetchPage(ctx, token)
 		if err != nil {
 			return nil, PlatformError.Wrap(err)
 		}
@@ -77,7 +81,8 @@
 	return nil, PlatformError.New("more than %d pages", maxPages)
 }
 
-func (p *PlatformClient) page(ctx context.Context, token string) (*listPage, error) {
+// fetchPage reads one page; token is empty for the first one.
+func (p *PlatformClient) fetchPage(ctx context.Context, token string) (*instancePage, error) {
 	target := url.URL{Scheme: "http", Host: p.address, Path: "/instances"}
 	if token != "" {
 		target.RawQuery = url.Values{"PageToken": {token}}.Encode()
@@ -86,18 +91,18 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := p.http.Do(request)
+	response, err := p.client.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPage))
+	defer func() { _ = response.Body.Close() }() // the body was read; nothing depends on the connection
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
 	if err != nil {
 		return nil, err
 	}
-	if answer.StatusCode != http.StatusOK {
-		return nil, PlatformError.New("status %d", answer.StatusCode)
+	if response.StatusCode != http.StatusOK {
+		return nil, PlatformError.New("status %d", response.StatusCode)
 	}
-	page := &listPage{}
+	page := &instancePage{}
 	return page, json.Unmarshal(body, page)
 }
--- a/internal/gossip/reachability.go
+++ b/internal/gossip/reachability.go
@@ -3,56 +3,58 @@
 import "time"
 
 const (
-	// touchWithin is how long after its last answer another process counts as in touch. Exchanges come each ExchangeEvery, and an
-	// answer may take callWithin.
-	touchWithin = 1500 * time.Millisecond
-	// stoodStill is the time between two looks at the clock from which on this process was not running in between: the silence of
-	// others during that time says nothing.
-	stoodStill = 1100 * time.Millisecond
-	// contactKept bounds how long it is remembered when a process answered.
-	contactKept = time.Minute
+	// reachableTimeout is how long after its last reply a process counts as reachable. Calls are made each ExchangeInterval
+	// and take up to callTimeout.
+	reachableTimeout = 1500 * time.Millisecond
+	// stallThreshold is the time between two ticks from which on this process counts as having been stopped in between. The
+	// silence of others during that time means nothing.
+	stallThreshold = 1100 * time.Millisecond
+	// replyRetention is how long a reply is remembered.
+	replyRetention = time.Minute
 )
 
-// contact keeps when other processes answered a call of this one last. Heartbeats say that a process lives, also where they came by
-// way of others; contact says that it can be reached from here.
-type contact struct {
-	answered map[string]time.Time // by address
-	resumed  time.Time            // since when this process has been running without a stop
-	looked   time.Time
+// replyTimes records when other processes last replied to a call. Heartbeats also arrive through third processes and show
+// that a process runs; a reply shows that it can be reached from here. Node.mu guards it.
+type replyTimes struct {
+	lastReply    map[string]time.Time // by address
+	runningSince time.Time            // since when this process runs without having been stopped
+	checkedAt    time.Time            // last tick
 }
 
-func newContact(now time.Time) *contact {
-	return &contact{answered: map[string]time.Time{}, resumed: now, looked: now}
+func newReplyTimes(now time.Time) *replyTimes {
+	return &replyTimes{lastReply: map[string]time.Time{}, runningSince: now, checkedAt: now}
 }
 
-// tick notices that this process stood still, and forgets who is long gone.
-func (c *contact) tick(now time.Time) {
-	if now.Sub(c.looked) > stoodStill {
-		c.resumed = now
+// tick detects that this process was stopped, and drops old replies. It is called each exchange interval.
+func (t *replyTimes) tick(now time.Time) {
+	if now.Sub(t.checkedAt) > stallThreshold {
+		t.runningSince = now
 	}
-	c.looked = now
-	for address, at := range c.answered {
-		if now.Sub(at) > contactKept {
-			delete(c.answered, address)
+	t.checkedAt = now
+	for address, at := range t.lastReply {
+		if now.Sub(at) > replyRetention {
+			delete(t.lastReply, address)
 		}
 	}
 }
 
-func (c *contact) answer(address string, now time.Time) { c.answered[address] = now }
+// record records a reply.
+func (t *replyTimes) record(address string, now time.Time) { t.lastReply[address] = now }
 
-// silence returns for how long a process could have answered and did not.
-func (c *contact) silence(address string, now time.Time) time.Duration {
-	last := c.answered[address]
-	if last.Before(c.resumed) {
-		last = c.resumed
+// silentFor returns the time since the last reply, or since this process runs if that is shorter.
+func (t *replyTimes) silentFor(address string, now time.Time) time.Duration {
+	last := t.lastReply[address]
+	if last.Before(t.runningSince) {
+		last = t.runningSince
 	}
 	return now.Sub(last)
 }
 
-// IsReachable tells whether a control process has answered this one lately. Only control processes keep in touch with each other.
+// IsReachable reports whether a control process has replied to this one lately. It is meaningful between control processes
+// only: the others don't call all peers regularly.
 func (n *Node) IsReachable(address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	rounds := (n.meshSize + meshMost - 1) / meshMost // ticks until everybody was called
-	return n.contact.silence(address, time.Now()) <= touchWithin+time.Duration(max(rounds-1, 0))*ExchangeInterval
+	intervals := (n.controlPeers + maxControlPartners - 1) / maxControlPartners // until each peer was called
+	return n.reachability.silentFor(address, time.Now()) <= reachableTimeout+time.Duration(max(intervals-1, 0))*ExchangeInterval
 }
--- a/internal/gossip/reachability_test.go
+++ b/internal/gossip/reachability_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("the calls between control processes", func() {
-	It("reach each of many in turns", func() {
+	It("reach each of many in turn", func() {
 		settings := &nodeconfig.Settings{NodeID: "self", Zone: "z"}
 		log := logrus.New()
 		n := New(settings, membership.Record{Kind: membership.Control, Address: "10.0.0.1:1"}, transport.NewClient(), log.WithField("node", "self"))
@@ -24,8 +24,8 @@
 		}
 		called := map[string]int{}
 		for range 3 {
-			partners := n.mesh()
-			Expect(partners).To(HaveLen(meshMost))
+			partners := n.controlPartners()
+			Expect(partners).To(HaveLen(maxControlPartners))
 			for _, partner := range partners {
 				called[partner]++
 			}
@@ -35,39 +35,39 @@
 	})
 })
 
-var _ = Describe("contact", func() {
+var _ = Describe("the reply times", func() {
 	start := time.Unix(1000, 0)
 	after := func(d time.Duration) time.Time { return start.Add(d) }
 
-	// run ticks every 0.4 s over a time.
-	run := func(c *contact, from, to time.Duration) {
+	// run ticks every 0.4 s.
+	run := func(times *replyTimes, from, to time.Duration) {
 		for at := from; at <= to; at += 400 * time.Millisecond {
-			c.tick(after(at))
+			times.tick(after(at))
 		}
 	}
 
-	It("is lost by silence and made by an answer", func() {
-		c := newContact(start)
-		run(c, 0, 8*time.Second)
-		Expect(c.silence("a", after(8*time.Second))).To(Equal(8 * time.Second))
-		c.answer("a", after(8*time.Second))
-		Expect(c.silence("a", after(9*time.Second))).To(Equal(time.Second))
-		Expect(c.silence("b", after(9*time.Second))).To(Equal(9 * time.Second))
+	It("measure the time since the last reply", func() {
+		times := newReplyTimes(start)
+		run(times, 0, 8*time.Second)
+		Expect(times.silentFor("a", after(8*time.Second))).To(Equal(8 * time.Second))
+		times.record("a", after(8*time.Second))
+		Expect(times.silentFor("a", after(9*time.Second))).To(Equal(time.Second))
+		Expect(times.silentFor("b", after(9*time.Second))).To(Equal(9 * time.Second))
 	})
 
-	It("does not hold against others that this process stood still", func() {
-		c := newContact(start)
-		c.answer("a", start)
-		run(c, 0, 2*time.Second)
-		c.tick(after(20 * time.Second))
-		Expect(c.silence("a", after(20*time.Second))).To(BeZero())
-		Expect(c.silence("a", after(21*time.Second))).To(Equal(time.Second))
+	It("ignore the time while this process was stopped", func() {
+		times := newReplyTimes(start)
+		times.record("a", start)
+		run(times, 0, 2*time.Second)
+		times.tick(after(20 * time.Second))
+		Expect(times.silentFor("a", after(20*time.Second))).To(BeZero())
+		Expect(times.silentFor("a", after(21*time.Second))).To(Equal(time.Second))
 	})
 
-	It("is forgotten after a while", func() {
-		c := newContact(start)
-		c.answer("a", start)
-		run(c, 0, contactKept+time.Second)
-		Expect(c.answered).To(BeEmpty())
+	It("drop old replies", func() {
+		times := newReplyTimes(start)
+		times.record("a", start)
+		run(times, 0, replyRetention+time.Second)
+		Expect(times.lastReply).To(BeEmpty())
 	})
 })
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -12,11 +12,11 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// EndpointList is a reading of the platform's list and when it was read.
+// EndpointList is a reading of the platform's list of servers.
 type EndpointList struct {
-	Digest uint64
-	Data   []byte    // the servers, packed
-	ReadAt time.Time // zero: there is none
+	Digest uint64    // of the servers, whatever their order
+	Data   []byte    // the servers, packed by message.PackInstances
+	ReadAt time.Time // when the platform was read; zero: there is no reading
 }
 
 // Unpack returns the servers, none where there is no reading.
@@ -27,130 +27,138 @@
 	return message.UnpackInstances(l.Data)
 }
 
-// State is what a process has learned.
+// State is what a process has learned. Slices and what pointers lead to are shared and must not be changed.
 type State struct {
-	Table     *message.PackedTable
+	Table     *message.PackedTable // the configuration, nil: none yet
 	Endpoints EndpointList
-	Voters    register.Value // the voters alone, of the newest epoch heard of
-	Grants    []register.Grant
-	Plan      message.StagePlan
-	Rank      int // of this process among its kind
-	Count     int
+	Voters    register.Value    // only epoch and voters, of the newest epoch known
+	Grants    []register.Grant  // the newest known grant of each role
+	Plan      message.StagePlan // the newest known plan of stage changes
+	Rank      int               // of this process among its kind: see membership.View.Rank
+	Count     int               // of processes of its kind
 }
 
-// State returns what is known, and a channel that is closed once that has changed.
+// State returns what is known, and a channel that is closed when the table, endpoints, plan or rank have changed.
 func (n *Node) State() (State, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.facts, n.changed
+	return n.state, n.stateChanged
 }
 
-// announce wakes those that wait for changes.
-func (n *Node) announce() {
-	close(n.changed)
-	n.changed = make(chan struct{})
+// notifyChanged closes the channel that State returned. The caller holds mu.
+func (n *Node) notifyChanged() {
+	close(n.stateChanged)
+	n.stateChanged = make(chan struct{})
 }
 
-// MergeRegisterValue takes the voters and the grants of a value that holds.
-func (n *Node) MergeRegisterValue(value register.Value) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.mergeGrants(value.Grants)
-	if value.Epoch > n.facts.Voters.Epoch {
-		n.facts.Voters = votersOf(value)
-	}
-}
-
-// SetTable takes a configuration that holds.
+// SetTable sets a configuration that is chosen, and sends it to other processes if it is newer than the known one.
 func (n *Node) SetTable(table *routeconfig.Table) {
 	packed, err := message.PackTable(table)
 	if err != nil {
-		n.log.WithError(err).Error("a configuration can't be packed")
+		n.log.WithField("version", table.Version).WithError(err).Error("packing configuration failed")
 		return
 	}
-	n.takeTable(packed)
+	n.mergeTable(packed)
 }
 
-// takeTable takes a configuration. Versions never go back.
-func (n *Node) takeTable(table *message.PackedTable) {
+// mergeTable adopts a configuration with a higher version than the known one, and sends an update.
+func (n *Node) mergeTable(table *message.PackedTable) {
 	n.mu.Lock()
-	n.table.release()
-	if n.facts.Table != nil && table.Version <= n.facts.Table.Version {
+	n.tableFetch.release()
+	if n.state.Table != nil && table.Version <= n.state.Table.Version {
 		n.mu.Unlock()
 		return
 	}
-	n.facts.Table = table
-	n.announce()
+	n.state.Table = table
+	n.notifyChanged()
 	n.mu.Unlock()
-	n.log.WithField("version", table.Version).WithField("bytes", len(table.Data)).Info("configuration")
-	n.push()
+	n.log.WithField("version", table.Version).WithField("bytes", len(table.Data)).Info("configuration applied")
+	n.pushUpdate()
 }
 
-// SetEndpoints takes a reading of the platform's list.
-func (n *Node) SetEndpoints(instances []message.Instance, at time.Time) {
-	digest := listDigest(instances)
+// SetEndpoints sets a reading of the platform's list, and sends it to other processes if the servers have changed.
+func (n *Node) SetEndpoints(instances []message.Instance, readAt time.Time) {
+	digest := endpointsDigest(instances)
 	n.mu.Lock()
-	same := digest == n.facts.Endpoints.Digest
-	data := n.facts.Endpoints.Data
+	isSame := digest == n.state.Endpoints.Digest
+	data := n.state.Endpoints.Data
 	n.mu.Unlock()
-	if !same {
+	if !isSame {
 		packed, err := message.PackInstances(instances)
 		if err != nil {
-			n.log.WithError(err).Error("a list can't be packed")
+			n.log.WithField("servers", len(instances)).WithError(err).Error("packing endpoints failed")
 			return
 		}
 		data = packed
 	}
-	n.takeList(EndpointList{Digest: digest, Data: data, ReadAt: at})
+	n.mergeEndpoints(EndpointList{Digest: digest, Data: data, ReadAt: readAt})
 }
 
-func (n *Node) takeList(list EndpointList) {
+// mergeEndpoints adopts a younger reading than the known one, and sends an update if the servers have changed.
+func (n *Node) mergeEndpoints(list EndpointList) {
 	n.mu.Lock()
-	n.list.release()
-	if !n.facts.Endpoints.ReadAt.IsZero() && !list.ReadAt.After(n.facts.Endpoints.ReadAt) {
+	n.endpointsFetch.release()
+	if !n.state.Endpoints.ReadAt.IsZero() && !list.ReadAt.After(n.state.Endpoints.ReadAt) {
 		n.mu.Unlock()
 		return
 	}
-	differs := list.Digest != n.facts.Endpoints.Digest
-	n.facts.Endpoints = list
-	if differs {
-		n.announce()
+	hasChanged := list.Digest != n.state.Endpoints.Digest
+	n.state.Endpoints = list
+	if hasChanged {
+		n.notifyChanged()
 	}
 	n.mu.Unlock()
-	if differs {
-		n.push()
+	if hasChanged {
+		n.pushUpdate()
+	}
+}
+
+// SetPlan sets the stage plan of the lease holder, and sends it to other processes if it is newer than the known one.
+func (n *Node) SetPlan(plan message.StagePlan) {
+	n.mu.Lock()
+	isNewer := plan.IsNewerThan(&n.state.Plan)
+	if isNewer {
+		n.state.Plan = plan
+		n.notifyChanged()
+	}
+	n.mu.Unlock()
+	if isNewer {
+		n.pushUpdate()
+	}
+}
+
+// MergeRegisterValue adopts the voters and grants of a value that is chosen, where they are newer than the known ones.
+func (n *Node) MergeRegisterValue(value register.Value) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.mergeGrants(value.Grants)
+	if value.Epoch > n.state.Voters.Epoch {
+		n.state.Voters = votersOnly(value)
 	}
 }
 
-// mergeGrants takes those with higher tokens.
+// mergeGrants adopts grants with higher tokens than the known ones. Grants that State returned are not changed. The caller
+// holds mu.
 func (n *Node) mergeGrants(grants []register.Grant) {
 	for _, grant := range grants {
-		i := slices.IndexFunc(n.facts.Grants, func(g register.Grant) bool { return g.Role == grant.Role })
+		i := slices.IndexFunc(n.state.Grants, func(g register.Grant) bool { return g.Role == grant.Role })
 		if i < 0 {
-			n.facts.Grants = append(slices.Clone(n.facts.Grants), grant)
-		} else if grant.Token > n.facts.Grants[i].Token {
-			n.facts.Grants = slices.Clone(n.facts.Grants)
-			n.facts.Grants[i] = grant
+			n.state.Grants = append(slices.Clone(n.state.Grants), grant)
+		} else if grant.Token > n.state.Grants[i].Token {
+			n.state.Grants = slices.Clone(n.state.Grants)
+			n.state.Grants[i] = grant
 		}
 	}
 }
 
-// SetPlan takes the plan of the process that orders stages, and has it carried to all.
-func (n *Node) SetPlan(plan message.StagePlan) {
-	n.mu.Lock()
-	newer := plan.IsNewerThan(&n.facts.Plan)
-	if newer {
-		n.facts.Plan = plan
-		n.announce()
-	}
-	n.mu.Unlock()
-	if newer {
-		n.push()
-	}
+// votersOnly returns a value with the epoch and voters of another one.
+func votersOnly(value register.Value) register.Value {
+	return register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters}
 }
 
-// listDigest never is 0 and does not go by order.
-func listDigest(instances []message.Instance) uint64 {
+// endpointsDigest returns a digest of servers that is never 0 and doesn't depend on their order. Peers of all versions must
+// derive the same one.
+func endpointsDigest(instances []message.Instance) uint64 {
 	sum := uint64(1)
 	for i := range instances {
 		data, err := msgpack.Marshal(&instances[i])
@@ -158,12 +166,8 @@
 			continue // an Instance holds nothing that can't be marshalled
 		}
 		hash := fnv.New64a()
-		_, _ = hash.Write(data)
+		_, _ = hash.Write(data) // never fails
 		sum += hash.Sum64()
 	}
 	return max(sum, 1)
 }
-
-func votersOf(value register.Value) register.Value {
-	return register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters}
-}
--- a/internal/gossip/wire_form_test.go
+++ b/internal/gossip/wire_form_test.go
@@ -43,8 +43,8 @@
 
 // TestListDigest pins the digest of a list, which peers of other versions compare with their own.
 func TestListDigest(t *testing.T) {
-	assert.Equal(t, uint64(0xcfdacb3bf4ae1f05), listDigest(listedServers))
-	assert.Equal(t, uint64(1), listDigest(nil))
+	assert.Equal(t, uint64(0xcfdacb3bf4ae1f05), endpointsDigest(listedServers))
+	assert.Equal(t, uint64(1), endpointsDigest(nil))
 }
 
 // TestPlatformPage pins the names of the fields in which the platform lists its servers.
