--- a/internal/decide/stages/planner.go
+++ b/internal/decide/stages/planner.go
@@ -10,89 +10,94 @@
 )
 
 const (
-	// smallMove is the part of the servers below which a difference is left alone.
-	smallMove = 0.06
-	// hurryFor and changeFor are how long more or fewer servers must have been wanted for reading, in seconds, where a stage is short of
-	// room and where none is.
-	hurryFor  = 0.8
-	changeFor = 6.0
-	// hurriedStep and unhurriedStep are the parts of the way to the wanted split that are gone at once.
-	hurriedStep   = 0.7
-	unhurriedStep = 0.5
-	// mostAtOnce is the part of a stage's servers that change together.
-	mostAtOnce = 0.34
-	// settleMargin is added to the time that a change takes, for answers under way to end and the list to show it, in seconds.
-	settleMargin = 10
-	// restFor is the time between two rounds of orders to a service, in seconds: answers take seconds, so that fewer servers for them
-	// show late.
-	restFor = 2.5
+	// minImbalance is the fraction of the servers below which a difference from the desired number is ignored.
+	minImbalance = 0.06
+	// urgentDelaySeconds and normalDelaySeconds are how long a change in one direction must have been desired, where a stage
+	// is near saturation and where none is.
+	urgentDelaySeconds = 0.8
+	normalDelaySeconds = 6.0
+	// urgentStep and normalStep are the fractions of the difference that are moved in one round.
+	urgentStep = 0.7
+	normalStep = 0.5
+	// maxChangingFraction is the fraction of a stage's servers that may change in one round.
+	maxChangingFraction = 0.34
+	// pendingMarginSeconds is added to the time that a change takes, until answers in progress have ended and the platform's
+	// list shows the change.
+	pendingMarginSeconds = 10
+	// minRoundIntervalSeconds is the time between two rounds of changes of a service. Answers take seconds, so that the
+	// effect of fewer decode servers shows late.
+	minRoundIntervalSeconds = 2.5
 )
 
-// Service is a service with its servers as they are listed.
+// Service is a service with its servers as the platform lists them.
 type Service struct {
 	Name              string
-	SwitchSeconds     float64 // what a change takes, in seconds
-	KVTokensPerServer float64 // tokens that one server holds, 0: not known
+	SwitchSeconds     float64 // how long a change of the stage takes
+	KVTokensPerServer float64 // tokens that one server's KV cache holds, 0: unknown
 	Instances         []message.Instance
 }
 
 // StageChange is a change of one server's stage.
 type StageChange struct {
 	Instance message.Instance
-	Stage    message.Stage
+	Stage    message.Stage // the new stage
 }
 
-type pending struct {
-	stage message.Stage
-	until float64
+// pendingChange is a change that was ordered and that the platform's list does not show yet.
+type pendingChange struct {
+	stage     message.Stage
+	expiresAt float64
 }
 
-// Planner keeps what was ordered and for how long something else was wanted.
-type Planner struct {
-	pending   map[string]pending  // by instance
-	wantSince map[string]want     // by service
-	ordered   map[string]float64  // when a service was given orders last
-	reading   map[string]*average // servers' worth of reading, by service
-	idleSince map[string]float64  // when a service was first seen without demand; it is dropped for good with the first demand
-	asked     map[string]bool     // of which services anything was ever asked
+// direction is a desired direction of change.
+type direction struct {
+	morePrefill bool
+	since       float64
 }
 
-type want struct {
-	more  bool
-	since float64
+// Planner plans the changes of stages of all services. One process runs it at a time, the lease holder of the role.
+type Planner struct {
+	pending      map[string]pendingChange  // by instance
+	directions   map[string]direction      // by service
+	lastRoundAt  map[string]float64        // by service; when changes were last ordered
+	prefillLoads map[string]*movingAverage // by service; number of busy prefill servers
+	idleSince    map[string]float64        // by service; since when there is no demand, for services that never had any
+	hadDemand    map[string]bool           // by service
 }
 
-// New returns a planner that has ordered nothing.
+// New returns a planner without pending changes.
 func New() *Planner {
-	return &Planner{pending: map[string]pending{}, wantSince: map[string]want{}, ordered: map[string]float64{},
-		reading: map[string]*average{}, idleSince: map[string]float64{}, asked: map[string]bool{}}
+	return &Planner{pending: map[string]pendingChange{}, directions: map[string]direction{}, lastRoundAt: map[string]float64{},
+		prefillLoads: map[string]*movingAverage{}, idleSince: map[string]float64{}, hadDemand: map[string]bool{}}
 }
 
-// AdoptPending takes over what the holder of the role before has ordered, so that it is not ordered again while it is being done.
-func (p *Planner) AdoptPending(now float64, ordered map[string]message.Stage) {
-	for id, stage := range ordered {
+// AdoptPending adopts the pending changes of the lease holder before, by instance, so that they are not ordered again.
+func (p *Planner) AdoptPending(now float64, changes map[string]message.Stage) {
+	for id, stage := range changes {
 		if _, known := p.pending[id]; !known {
-			p.pending[id] = pending{stage, now + settleMargin}
+			p.pending[id] = pendingChange{stage, now + pendingMarginSeconds}
 		}
 	}
 }
 
-// stageOf is the stage that a server has or will have once its order is carried out.
-func (p *Planner) stageOf(now float64, instance *message.Instance) message.Stage {
-	ordered, ok := p.pending[instance.ID]
-	if !ok {
-		return instance.Stage
-	}
-	if now > ordered.until || ordered.stage == instance.Stage {
-		delete(p.pending, instance.ID)
-		return instance.Stage
+// Pending returns the new stages of the servers with pending changes, by instance.
+func (p *Planner) Pending(now float64) map[string]message.Stage {
+	out := map[string]message.Stage{}
+	for id, change := range p.pending {
+		if now <= change.expiresAt {
+			out[id] = change.stage
+		}
 	}
-	return ordered.stage
+	return out
 }
 
-// PlanChanges returns the orders to give now.
+// HandleRejected withdraws a change that a server has rejected.
+func (p *Planner) HandleRejected(change StageChange) { delete(p.pending, change.Instance.ID) }
+
+// PlanChanges returns the changes of a service to order now. They are pending from then on. The caller calls it several
+// times a second and reports changes that could not be ordered to HandleRejected.
 func (p *Planner) PlanChanges(now float64, service Service, demand Demand) []StageChange {
-	var readers, runners []message.Instance
+	var prefillServers, decodeServers []message.Instance
 	slots := 0.0
 	for _, instance := range service.Instances {
 		if instance.Draining {
@@ -101,51 +106,64 @@
 		slots = max(slots, float64(instance.Slots))
 		switch p.stageOf(now, &instance) {
 		case message.Prefill:
-			readers = append(readers, instance)
+			prefillServers = append(prefillServers, instance)
 		case message.Decode:
-			runners = append(runners, instance)
+			decodeServers = append(decodeServers, instance)
 		}
 	}
-	n := len(readers) + len(runners)
-	wanted, hurried := p.wanted(now, &service, &demand, slots, len(readers), len(runners))
-	missing := wanted - len(readers)
-	if wanted < 0 || math.Abs(float64(missing)) < max(1, smallMove*float64(n)) {
-		delete(p.wantSince, service.Name)
+	n := len(prefillServers) + len(decodeServers)
+	desired, isUrgent := p.desiredPrefill(now, &service, &demand, slots, len(prefillServers), len(decodeServers))
+	missing := desired - len(prefillServers)
+	if desired < 0 || math.Abs(float64(missing)) < max(1, minImbalance*float64(n)) {
+		delete(p.directions, service.Name)
 		return nil
 	}
-	last, before := p.ordered[service.Name]
-	if !p.persists(now, service.Name, missing > 0, hurried) || before && now-last < restFor {
+	last, hasLast := p.lastRoundAt[service.Name]
+	if !p.hasPersisted(now, service.Name, missing > 0, isUrgent) || hasLast && now-last < minRoundIntervalSeconds {
 		return nil
 	}
-	p.ordered[service.Name] = now
-	// What is asked shows late, and a rush may pass: a part of the way is enough, and the rest follows if it doesn't.
-	step := unhurriedStep
-	if hurried {
-		step = hurriedStep
+	p.lastRoundAt[service.Name] = now
+	// Demand shows late and a peak may pass, so only a part of the difference is moved; the rest follows if it lasts.
+	step := normalStep
+	if isUrgent {
+		step = urgentStep
 	}
 	count := int(math.Ceil(step * math.Abs(float64(missing))))
 	if missing > 0 {
-		return p.order(now, service, runners, readers, count, message.Prefill)
+		return p.chooseServers(now, service, decodeServers, prefillServers, count, message.Prefill)
+	}
+	return p.chooseServers(now, service, prefillServers, decodeServers, count, message.Decode)
+}
+
+// stageOf returns the stage of a server once its pending change is complete. It drops changes that are complete or expired.
+func (p *Planner) stageOf(now float64, instance *message.Instance) message.Stage {
+	change, ok := p.pending[instance.ID]
+	if !ok {
+		return instance.Stage
 	}
-	return p.order(now, service, readers, runners, count, message.Decode)
+	if now > change.expiresAt || change.stage == instance.Stage {
+		delete(p.pending, instance.ID)
+		return instance.Stage
+	}
+	return change.stage
 }
 
-// persists tells whether the same has been wanted for long enough: not for long where a stage is short of room.
-func (p *Planner) persists(now float64, service string, more, hurried bool) bool {
-	wanted, ok := p.wantSince[service]
-	if !ok || wanted.more != more {
-		p.wantSince[service] = want{more, now}
+// hasPersisted reports whether a change in one direction has been desired for long enough.
+func (p *Planner) hasPersisted(now float64, service string, morePrefill, isUrgent bool) bool {
+	known, ok := p.directions[service]
+	if !ok || known.morePrefill != morePrefill {
+		p.directions[service] = direction{morePrefill, now}
 		return false
 	}
-	if hurried {
-		return now-wanted.since >= hurryFor
+	if isUrgent {
+		return now-known.since >= urgentDelaySeconds
 	}
-	return now-wanted.since >= changeFor
+	return now-known.since >= normalDelaySeconds
 }
 
-// order chooses servers to change, from the zones in which the other stage has the fewest.
-func (p *Planner) order(now float64, service Service, from, to []message.Instance, count int, stage message.Stage) (orders []StageChange) {
-	count = min(count, max(int(mostAtOnce*float64(len(from))), 1), len(from)-min(leastEach, len(from)))
+// chooseServers chooses up to count servers to move from one stage to another, in the zones where the other one has the fewest.
+func (p *Planner) chooseServers(now float64, service Service, from, to []message.Instance, count int, stage message.Stage) (changes []StageChange) {
+	count = min(count, max(int(maxChangingFraction*float64(len(from))), 1), len(from)-min(minPerStage, len(from)))
 	perZone := map[string]int{}
 	for _, instance := range to {
 		perZone[instance.Zone]++
@@ -153,45 +171,32 @@
 	from = slices.Clone(from)
 	for range count {
 		best := slices.MinFunc(from, func(a, b message.Instance) int {
-			return cmp.Or(cmp.Compare(p.busy(now, &a), p.busy(now, &b)), cmp.Compare(perZone[a.Zone], perZone[b.Zone]),
-				cmp.Compare(scattered(a.ID), scattered(b.ID)))
+			return cmp.Or(cmp.Compare(p.pendingCount(now, &a), p.pendingCount(now, &b)), cmp.Compare(perZone[a.Zone], perZone[b.Zone]),
+				cmp.Compare(hashID(a.ID), hashID(b.ID)))
 		})
-		if p.busy(now, &best) > 0 {
-			return orders
+		if p.pendingCount(now, &best) > 0 {
+			return changes
 		}
 		from = slices.DeleteFunc(from, func(i message.Instance) bool { return i.ID == best.ID })
 		perZone[best.Zone]++
-		p.pending[best.ID] = pending{stage, now + service.SwitchSeconds + settleMargin}
-		orders = append(orders, StageChange{best, stage})
+		p.pending[best.ID] = pendingChange{stage, now + service.SwitchSeconds + pendingMarginSeconds}
+		changes = append(changes, StageChange{best, stage})
 	}
-	return orders
+	return changes
 }
 
-// scattered orders servers so that those that change together are not neighbours in the subsets of proxies.
-func scattered(id string) uint64 {
+// hashID returns a hash by which servers are ordered, so that those which change together are not neighbours in the subsets
+// of proxies.
+func hashID(id string) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(id))
+	_, _ = hash.Write([]byte(id)) // never fails
 	return hash.Sum64()
 }
 
-// busy is 1 for a server that is under an order.
-func (p *Planner) busy(now float64, instance *message.Instance) int {
-	if ordered, ok := p.pending[instance.ID]; ok && now <= ordered.until {
+// pendingCount returns 1 for a server with a pending change, else 0.
+func (p *Planner) pendingCount(now float64, instance *message.Instance) int {
+	if change, ok := p.pending[instance.ID]; ok && now <= change.expiresAt {
 		return 1
 	}
 	return 0
 }
-
-// HandleRejected takes back an order that a server did not take.
-func (p *Planner) HandleRejected(order StageChange) { delete(p.pending, order.Instance.ID) }
-
-// Pending returns the stages of servers whose orders are under way.
-func (p *Planner) Pending(now float64) map[string]message.Stage {
-	out := map[string]message.Stage{}
-	for id, ordered := range p.pending {
-		if now <= ordered.until {
-			out[id] = ordered.stage
-		}
-	}
-	return out
-}
--- a/internal/decide/stages/planner_test.go
+++ b/internal/decide/stages/planner_test.go
@@ -16,11 +16,11 @@
 	RunSpecs(t, "stages")
 }
 
-func servers(readers, runners int) stages.Service {
+func servers(prefill, decode int) stages.Service {
 	service := stages.Service{Name: "s", SwitchSeconds: 2}
-	for i := range readers + runners {
+	for i := range prefill + decode {
 		stage := message.Prefill
-		if i >= readers {
+		if i >= prefill {
 			stage = message.Decode
 		}
 		service.Instances = append(service.Instances, message.Instance{ID: fmt.Sprintf("i%02d", i), Zone: fmt.Sprint("z", i%3),
@@ -29,22 +29,22 @@
 	return service
 }
 
-// play asks every 0.3 s with the same demand and carries each order out at once.
-func play(p *stages.Planner, service stages.Service, demand stages.Demand, from, to float64) (orders int) {
+// simulate plans every 0.3 s with the same demand and executes each change at once.
+func simulate(p *stages.Planner, service stages.Service, demand stages.Demand, from, to float64) (changes int) {
 	for now := from; now < to; now += 0.3 {
-		for _, order := range p.PlanChanges(now, service, demand) {
-			orders++
+		for _, change := range p.PlanChanges(now, service, demand) {
+			changes++
 			for i := range service.Instances {
-				if service.Instances[i].ID == order.Instance.ID {
-					service.Instances[i].Stage = order.Stage
+				if service.Instances[i].ID == change.Instance.ID {
+					service.Instances[i].Stage = change.Stage
 				}
 			}
 		}
 	}
-	return orders
+	return changes
 }
 
-func readers(service stages.Service) (count int) {
+func countPrefill(service stages.Service) (count int) {
 	for _, instance := range service.Instances {
 		if instance.Stage == message.Prefill {
 			count++
@@ -56,22 +56,22 @@
 var _ = Describe("the split of servers", func() {
 	heavy := stages.Demand{PrefillTokensPerSecond: 900e3, DecodeStreams: 100}
 
-	It("is left alone while nothing is known", func() {
-		Expect(play(stages.New(), servers(7, 11), stages.Demand{}, 0, 60)).To(BeZero())
+	It("is left alone without reports", func() {
+		Expect(simulate(stages.New(), servers(7, 11), stages.Demand{}, 0, 60)).To(BeZero())
 	})
 
-	It("moves to what is asked, and then rests", func() {
+	It("moves to the desired one and stays there", func() {
 		service := servers(7, 11)
 		p := stages.New()
-		Expect(play(p, service, heavy, 0, 30)).To(BeNumerically(">", 0))
-		Expect(readers(service)).To(BeNumerically("~", stages.DesiredPrefillServers(18, 100, 0, heavy), 1))
-		Expect(play(p, service, heavy, 30, 120)).To(BeZero())
+		Expect(simulate(p, service, heavy, 0, 30)).To(BeNumerically(">", 0))
+		Expect(countPrefill(service)).To(BeNumerically("~", stages.DesiredPrefillServers(18, 100, 0, heavy), 1))
+		Expect(simulate(p, service, heavy, 30, 120)).To(BeZero())
 	})
 
-	It("never takes a stage's last servers", func() {
+	It("keeps a stage's last servers", func() {
 		service := servers(4, 4)
-		play(stages.New(), service, stages.Demand{PrefillTokensPerSecond: 1e9, DecodeStreams: 1}, 0, 120)
-		Expect(readers(service)).To(Equal(6))
+		simulate(stages.New(), service, stages.Demand{PrefillTokensPerSecond: 1e9, DecodeStreams: 1}, 0, 120)
+		Expect(countPrefill(service)).To(Equal(6))
 	})
 
 	It("moves only a part of a stage at once", func() {
@@ -80,7 +80,7 @@
 		Expect(len(p.PlanChanges(1, servers(7, 11), heavy))).To(BeNumerically("<=", 4))
 	})
 
-	It("does not follow what passes within a moment", func() {
+	It("ignores short peaks", func() {
 		p := stages.New()
 		for now := 0.0; now < 60; now += 0.3 {
 			demand := heavy
@@ -91,16 +91,16 @@
 		}
 	})
 
-	It("orders no server twice while an order is under way, and takes a refused one back", func() {
+	It("doesn't change a server with a pending change, and withdraws a rejected one", func() {
 		p := stages.New()
 		service := servers(7, 11)
 		p.PlanChanges(0, service, heavy)
 		first := p.PlanChanges(1, service, heavy)
 		Expect(first).NotTo(BeEmpty())
 		for now := 1.3; now < 6; now += 0.3 {
-			for _, again := range p.PlanChanges(now, service, heavy) {
-				for _, order := range first {
-					Expect(again.Instance.ID).NotTo(Equal(order.Instance.ID))
+			for _, repeated := range p.PlanChanges(now, service, heavy) {
+				for _, change := range first {
+					Expect(repeated.Instance.ID).NotTo(Equal(change.Instance.ID))
 				}
 			}
 		}
@@ -108,41 +108,41 @@
 		Expect(p.Pending(6)).NotTo(HaveKey(first[0].Instance.ID))
 	})
 
-	It("counts memory where answers fill it before the slots", func() {
+	It("considers the KV cache where answers fill it before the slots", func() {
 		demand := stages.Demand{PrefillTokensPerSecond: 600e3, DecodeStreams: 100, KVTokens: 1.2e6}
 		Expect(stages.DesiredPrefillServers(18, 100, 300e3, demand)).To(BeNumerically("<", stages.DesiredPrefillServers(18, 100, 0, demand)))
 	})
 
-	It("passes over servers that are leaving", func() {
+	It("skips draining servers", func() {
 		service := servers(7, 11)
 		for i := range service.Instances {
 			service.Instances[i].Draining = true
 		}
-		Expect(play(stages.New(), service, heavy, 0, 30)).To(BeZero())
+		Expect(simulate(stages.New(), service, heavy, 0, 30)).To(BeZero())
 	})
 })
 
-// told returns a demand of which readers tell that so many servers' time is taken.
-func told(busy, streams float64) stages.Demand {
+// reported returns a demand with reports of the prefill load.
+func reported(busy, streams float64) stages.Demand {
 	return stages.Demand{PrefillTokensPerSecond: 1, DecodeStreams: streams, Reports: 1, PrefillLoad: stages.PrefillLoad{Reporting: 1, BusyServers: busy}}
 }
 
-var _ = Describe("the split where readers tell how busy they are", func() {
-	It("leaves both stages as short of room as each other", func() {
+var _ = Describe("the split with reports of the prefill load", func() {
+	It("brings both stages equally near to saturation", func() {
 		for _, c := range []struct{ busy, streams float64 }{{6, 300}, {3, 900}, {10, 100}} {
 			service := servers(9, 9)
 			p := stages.New()
-			play(p, service, told(c.busy, c.streams), 0, 60)
-			Expect(readers(service)).To(BeNumerically("~", stages.BalancedPrefillServers(18, c.busy, c.streams/100), 1))
-			Expect(play(p, service, told(c.busy, c.streams), 60, 120)).To(BeZero(), "then it rests")
+			simulate(p, service, reported(c.busy, c.streams), 0, 60)
+			Expect(countPrefill(service)).To(BeNumerically("~", stages.BalancedPrefillServers(18, c.busy, c.streams/100), 1))
+			Expect(simulate(p, service, reported(c.busy, c.streams), 60, 120)).To(BeZero(), "then it stays")
 		}
 	})
 
-	It("is left alone while neither is near that", func() {
-		Expect(play(stages.New(), servers(4, 14), told(1, 100), 0, 60)).To(BeZero())
+	It("is left alone at low utilization", func() {
+		Expect(simulate(stages.New(), servers(4, 14), reported(1, 100), 0, 60)).To(BeZero())
 	})
 
-	It("changes at once where a stage is short, and after a while where none is", func() {
+	It("changes at once near saturation, and after a while else", func() {
 		first := func(demand stages.Demand) (at float64) {
 			p := stages.New()
 			for now := 0.0; now < 30; now += 0.3 {
@@ -152,65 +152,65 @@
 			}
 			return 30
 		}
-		Expect(first(told(3, 900))).To(BeNumerically("<", 1.5), "answers need more than there is")
-		Expect(first(told(6.9, 100))).To(BeNumerically("<", 1.5), "readers do")
-		Expect(first(told(5, 100))).To(BeNumerically(">", 5))
+		Expect(first(reported(3, 900))).To(BeNumerically("<", 1.5), "decode is saturated")
+		Expect(first(reported(6.9, 100))).To(BeNumerically("<", 1.5), "prefill is")
+		Expect(first(reported(5, 100))).To(BeNumerically(">", 5))
 	})
 
-	It("never takes a stage's last servers, whatever is told", func() {
-		for _, demand := range []stages.Demand{told(1e6, 1), told(0.001, 1e6)} {
+	It("keeps a stage's last servers, whatever is reported", func() {
+		for _, demand := range []stages.Demand{reported(1e6, 1), reported(0.001, 1e6)} {
 			service := servers(4, 4)
-			play(stages.New(), service, demand, 0, 120)
-			Expect(readers(service)).To(BeNumerically(">=", 2))
-			Expect(readers(service)).To(BeNumerically("<=", 6))
+			simulate(stages.New(), service, demand, 0, 120)
+			Expect(countPrefill(service)).To(BeNumerically(">=", 2))
+			Expect(countPrefill(service)).To(BeNumerically("<=", 6))
 		}
 	})
 
-	It("goes a part of the way at once", func() {
+	It("moves a part of the difference at once", func() {
 		p := stages.New()
-		p.PlanChanges(0, servers(30, 60), told(30, 1000))
-		orders := p.PlanChanges(1, servers(30, 60), told(30, 1000))
+		p.PlanChanges(0, servers(30, 60), reported(30, 1000))
+		changes := p.PlanChanges(1, servers(30, 60), reported(30, 1000))
 		missing := stages.BalancedPrefillServers(90, 30, 10) - 30
-		Expect(len(orders)).To(BeNumerically(">", missing/2))
-		Expect(len(orders)).To(BeNumerically("<", missing))
+		Expect(len(changes)).To(BeNumerically(">", missing/2))
+		Expect(len(changes)).To(BeNumerically("<", missing))
 	})
 })
 
-var _ = Describe("how busy readers are", func() {
-	It("grows with the prompts there, by less and less for each server, and with lines", func() {
-		var idle, one, two, line stages.PrefillLoad
+var _ = Describe("the prefill load", func() {
+	It("grows with prompts, by less and less for each server, and with backlogs", func() {
+		var idle, one, two, backlog stages.PrefillLoad
 		idle.Add(0, 0)
 		one.Add(1, 0)
 		two.Add(1, 1)
-		line.Add(1, 9)
+		backlog.Add(1, 9)
 		Expect(idle.BusyServers).To(BeZero())
 		Expect(one.BusyServers).To(BeNumerically(">", 0.5))
 		Expect(two.BusyServers).To(BeNumerically(">", one.BusyServers))
 		Expect(two.BusyServers).To(BeNumerically("<", 1))
-		Expect(line.BusyServers).To(BeNumerically(">", 1), "one server is not enough for them")
+		Expect(backlog.BusyServers).To(BeNumerically(">", 1), "one server is not enough for them")
 	})
 })
 
-var _ = Describe("a service of which nothing was asked yet", func() {
+var _ = Describe("a service without demand so far", func() {
 	nothing := stages.Demand{Reports: 3}
 
-	It("is split for prompts that all have to be read, once", func() {
+	It("is split for full prefill, once", func() {
 		service, p := servers(7, 11), stages.New()
-		Expect(play(p, service, nothing, 0, 30)).To(BeNumerically(">", 0))
-		Expect(readers(service)).To(Equal(12))
-		Expect(play(p, service, nothing, 30, 60)).To(BeZero())
+		Expect(simulate(p, service, nothing, 0, 30)).To(BeNumerically(">", 0))
+		Expect(countPrefill(service)).To(Equal(12))
+		Expect(simulate(p, service, nothing, 30, 60)).To(BeZero())
 	})
 
-	It("is left alone where no proxy is heard, and once something was asked", func() {
-		Expect(play(stages.New(), servers(7, 11), stages.Demand{}, 0, 60)).To(BeZero())
+	It("is left alone without reports, and once it had demand", func() {
+		Expect(simulate(stages.New(), servers(7, 11), stages.Demand{}, 0, 60)).To(BeZero())
 		p := stages.New()
 		p.PlanChanges(0, servers(7, 11), stages.Demand{PrefillTokensPerSecond: 10, DecodeStreams: 3, Reports: 3})
-		Expect(play(p, servers(7, 11), nothing, 0.3, 60)).To(BeZero())
+		Expect(simulate(p, servers(7, 11), nothing, 0.3, 60)).To(BeZero())
 	})
 })
 
-var _ = Describe("a new holder of the role", func() {
-	It("does not order again what the holder before has under way, and tells it", func() {
+var _ = Describe("a new lease holder", func() {
+	It("adopts the pending changes of the holder before", func() {
 		heavy := stages.Demand{PrefillTokensPerSecond: 900e3, DecodeStreams: 100}
 		before, service := stages.New(), servers(7, 11)
 		var ordered []stages.StageChange
@@ -218,13 +218,13 @@
 			Expect(now).To(BeNumerically("<", 60))
 			ordered = before.PlanChanges(now, service, heavy)
 		}
-		under := before.Pending(0)
+		pending := before.Pending(0)
 		after := stages.New()
-		after.AdoptPending(0, under)
-		Expect(after.Pending(0)).To(Equal(under))
+		after.AdoptPending(0, pending)
+		Expect(after.Pending(0)).To(Equal(pending))
 		for now := 0.0; now < 8; now += 0.3 {
-			for _, order := range after.PlanChanges(now, service, heavy) {
-				Expect(under).NotTo(HaveKey(order.Instance.ID))
+			for _, change := range after.PlanChanges(now, service, heavy) {
+				Expect(pending).NotTo(HaveKey(change.Instance.ID))
 			}
 		}
 	})
