--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -55,7 +55,7 @@
 // owners is a sidecar's part in who does what on behalf of all. It belongs to its Fleet.
 type owners struct {
 	f        *Fleet
-	t        *lease.Tenure // nil: the identity is being drawn anew, or is another process's
+	t        *lease.Node // nil: the identity is being drawn anew, or is another process's
 	greatest lease.Greatest
 	jobs     []*job   // by name
 	lists    *feeder  // nil: no lists are passed on
--- a/internal/decide/lease/electors.go
+++ b/internal/decide/lease/electors.go
@@ -21,7 +21,7 @@
 
 // replace has electors that are gone for good replaced, one at a time: the new one learns all first, then it comes in and the
 // old one goes by one joint change. Where there is nobody to come in, the group becomes smaller, so that its majority lives.
-func (t *Tenure) replace() {
+func (t *Node) replace() {
 	g := t.group
 	if t.now < t.electorsAt {
 		return
@@ -69,7 +69,7 @@
 }
 
 // goneS tells for how long a member is gone; 0: it is there. Of one that nobody knows it is as long as this member leads.
-func (t *Tenure) goneS(id swim.ID) float64 {
+func (t *Node) goneS(id swim.ID) float64 {
 	switch m := t.member(id); {
 	case id == t.self:
 		return 0
@@ -82,7 +82,7 @@
 }
 
 // successor returns who would be the next elector: of those that keep their state, who has lived longest.
-func (t *Tenure) successor() uint64 {
+func (t *Node) successor() uint64 {
 	var best *Member
 	for i := range t.members {
 		m := &t.members[i]
@@ -99,7 +99,7 @@
 }
 
 // promote has a learner become an elector once it knows all, in the place of one that is gone.
-func (t *Tenure) promote(learner, gone uint64, grow bool) {
+func (t *Node) promote(learner, gone uint64, grow bool) {
 	g := t.group
 	caughtUp := false
 	g.node.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
@@ -126,7 +126,7 @@
 }
 
 // change has a change of electors agreed. Raft turns one away while another is under way.
-func (t *Tenure) change(changes []*raftpb.ConfChangeSingle) {
+func (t *Node) change(changes []*raftpb.ConfChangeSingle) {
 	t.learnedAt = 0
 	t.try(func() { _ = t.group.node.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes}) })
 }
--- a/internal/decide/lease/found.go
+++ b/internal/decide/lease/found.go
@@ -33,7 +33,7 @@
 )
 
 // listed returns the members at the listed addresses, 0 where there is none that lives and keeps its state.
-func (t *Tenure) listed() []swim.ID {
+func (t *Node) listed() []swim.ID {
 	ids := make([]swim.ID, len(t.set.Electors))
 	for i, address := range t.set.Electors {
 		for _, m := range t.members {
@@ -46,7 +46,7 @@
 }
 
 // tickFounding proposes a founding where all are there and nobody has.
-func (t *Tenure) tickFounding() {
+func (t *Node) tickFounding() {
 	place := slices.Index(t.set.Electors, t.set.Address)
 	if place < 0 || t.founding != nil || t.unkept || t.leaving || t.now < t.foundAt {
 		return
@@ -66,7 +66,7 @@
 }
 
 // noGroup tells that no group is known that may still live.
-func (t *Tenure) noGroup() bool {
+func (t *Node) noGroup() bool {
 	if t.table.Epoch == 0 {
 		return true
 	}
@@ -82,7 +82,7 @@
 }
 
 // hearFounding takes a word of the founding.
-func (t *Tenure) hearFounding(from swim.ID, f *Founding) {
+func (t *Node) hearFounding(from swim.ID, f *Founding) {
 	if len(f.Members) > mostList {
 		return
 	}
@@ -121,7 +121,7 @@
 }
 
 // answered takes an answer to a proposal of this member.
-func (t *Tenure) answered(from swim.ID, f *Founding) {
+func (t *Node) answered(from swim.ID, f *Founding) {
 	t.round = max(t.round, f.Ballot>>32)
 	p := t.proposal
 	ids := t.listed()
@@ -162,7 +162,7 @@
 }
 
 // chosen takes that a group is founded. Who is named in it takes part.
-func (t *Tenure) chosen(f *Founding) {
+func (t *Node) chosen(f *Founding) {
 	if f.Epoch < t.epoch || f.Epoch == 0 || t.founding != nil && t.founding.Epoch >= f.Epoch || len(f.Members) < 3 {
 		return
 	}
@@ -175,7 +175,7 @@
 }
 
 // join takes part in a group from now on.
-func (t *Tenure) join(f *Founding) {
+func (t *Node) join(f *Founding) {
 	t.founding, t.group = f, nil
 	if err := t.enterGroup(nil, nil, nil); err != nil {
 		t.renounce(err.Error())
--- a/internal/decide/lease/group.go
+++ b/internal/decide/lease/group.go
@@ -57,7 +57,7 @@
 
 // enterGroup begins to take part. Without anything kept, who founded the group begins with what all founders know, and who is
 // added later with nothing: it votes only once it has been sent who it votes with.
-func (t *Tenure) enterGroup(hard, snapshot []byte, entries [][]byte) error {
+func (t *Node) enterGroup(hard, snapshot []byte, entries [][]byte) error {
 	g := &group{store: &store{MemoryStorage: raft.NewMemoryStorage()}, machine: machine{Epoch: t.founding.Epoch}, conf: &raftpb.ConfState{}, tickAt: t.now}
 	g.store.latest = func() (uint64, *raftpb.ConfState, []byte) { return g.applied, g.conf, g.machine.bytes() }
 	if snapshot == nil && slices.Contains(t.founding.Members, t.self) {
@@ -95,7 +95,7 @@
 }
 
 // guard has raft do something. Danger: it panics with what it can't make sense of, and a message may come from anywhere.
-func (t *Tenure) guard(do func()) (err error) {
+func (t *Node) guard(do func()) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("%w: %v", errState, cause)
@@ -106,7 +106,7 @@
 }
 
 // try is guard for what runs: a group that fails is left, and with it the identity.
-func (t *Tenure) try(do func()) {
+func (t *Node) try(do func()) {
 	if err := t.guard(do); err != nil {
 		t.renounce(err.Error())
 	}
@@ -122,10 +122,10 @@
 }
 
 // drawElection sets when this member stands. Raft's own draw can't be replayed, so its elections never come due by its ticks.
-func (t *Tenure) drawElection() { t.group.electAt = t.now + electS*(1+t.rng.Float64()) }
+func (t *Node) drawElection() { t.group.electAt = t.now + electS*(1+t.rng.Float64()) }
 
 // tickGroup moves raft's clock.
-func (t *Tenure) tickGroup() {
+func (t *Node) tickGroup() {
 	g := t.group
 	if t.now-g.tickAt > stallS {
 		// It stood still. What the others said meanwhile is read before it stands for election.
@@ -156,7 +156,7 @@
 }
 
 // elects tells whether this member is an elector, as far as it knows.
-func (t *Tenure) elects() bool {
+func (t *Node) elects() bool {
 	g := t.group
 	if g == nil || !slices.Contains(slices.Concat(g.conf.GetVoters(), g.conf.GetVotersOutgoing()), uint64(t.self)) {
 		return false
@@ -165,10 +165,10 @@
 }
 
 // mayVote tells whether this member takes part: who leaves, or can't keep what it says, does not.
-func (t *Tenure) mayVote() bool { return !t.unkept && !(t.leaving && t.handed) }
+func (t *Node) mayVote() bool { return !t.unkept && !(t.leaving && t.handed) }
 
 // stepGroup takes a message of the group.
-func (t *Tenure) stepGroup(from swim.ID, body []byte) {
+func (t *Node) stepGroup(from swim.ID, body []byte) {
 	g := t.group
 	var m raftpb.Message
 	if err := proto.Unmarshal(body, &m); err != nil || m.GetFrom() != uint64(from) || m.GetTo() != uint64(t.self) || !t.mayVote() {
@@ -187,7 +187,7 @@
 }
 
 // work does all that raft wants done, up to where it must wait for the disk.
-func (t *Tenure) work() {
+func (t *Node) work() {
 	for t.group != nil && !t.saving && !t.over {
 		g := t.group
 		if g.ready == nil && g.node.HasReady() {
@@ -210,7 +210,7 @@
 }
 
 // keep puts what is to be kept into the store.
-func (t *Tenure) keep(rd *raft.Ready) {
+func (t *Node) keep(rd *raft.Ready) {
 	g := t.group
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := g.store.ApplySnapshot(rd.Snapshot); err != nil {
@@ -236,7 +236,7 @@
 }
 
 // finish does what follows from a Ready whose state is kept: it tells the others, and applies what is agreed.
-func (t *Tenure) finish() {
+func (t *Node) finish() {
 	g := t.group
 	rd := g.ready
 	g.ready = nil
@@ -273,7 +273,7 @@
 }
 
 // apply takes an entry that is agreed.
-func (t *Tenure) apply(e *raftpb.Entry) {
+func (t *Node) apply(e *raftpb.Entry) {
 	g := t.group
 	g.applied, g.term = e.GetIndex(), e.GetTerm()
 	switch e.GetType() {
@@ -305,7 +305,7 @@
 }
 
 // ledBy takes who leads.
-func (t *Tenure) ledBy(rd *raft.Ready) {
+func (t *Node) ledBy(rd *raft.Ready) {
 	g := t.group
 	if rd.SoftState != nil {
 		g.lead = swim.ID(rd.SoftState.Lead)
@@ -317,7 +317,7 @@
 }
 
 // propose has commands agreed, and tells whether they are in the log.
-func (t *Tenure) propose(list ...command) (ok bool) {
+func (t *Node) propose(list ...command) (ok bool) {
 	g := t.group
 	t.try(func() { ok = g.node.Propose(pack(list)) == nil })
 	return ok && t.group == g
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -50,14 +50,14 @@
 }
 
 // Holds tells whether this member may act for a job now, and under which token.
-func (t *Tenure) Holds(now float64, job string) (token uint64, ok bool) {
+func (t *Node) Holds(now float64, job string) (token uint64, ok bool) {
 	if h := t.holding(job); h != nil && h.owned && now < h.until && !t.over {
 		return h.Token, true
 	}
 	return 0, false
 }
 
-func (t *Tenure) holding(job string) *holding {
+func (t *Node) holding(job string) *holding {
 	for _, h := range t.held {
 		if h.Job == job {
 			return h
@@ -67,7 +67,7 @@
 }
 
 // learn takes what the table says of this member.
-func (t *Tenure) learn() {
+func (t *Node) learn() {
 	t.done = slices.DeleteFunc(t.done, func(d Grant) bool { return !t.stillOurs(d) })
 	for _, h := range slices.Clone(t.held) {
 		if g, known := t.granted(h.Job); known && (g.Token > h.Token || g.Token == h.Token && g.Owner != t.self) {
@@ -93,7 +93,7 @@
 	}
 }
 
-func (t *Tenure) granted(job string) (Grant, bool) {
+func (t *Node) granted(job string) (Grant, bool) {
 	i, known := placeOf(t.table.Grants, job)
 	if !known {
 		return Grant{}, false
@@ -102,22 +102,22 @@
 }
 
 // stillOurs tells whether the table still says that a grant is this member's.
-func (t *Tenure) stillOurs(g Grant) bool {
+func (t *Node) stillOurs(g Grant) bool {
 	now, known := t.granted(g.Job)
 	return known && now.Token == g.Token && now.Owner == t.self
 }
 
-func (t *Tenure) isDone(g Grant) bool {
+func (t *Node) isDone(g Grant) bool {
 	return slices.ContainsFunc(t.done, func(d Grant) bool { return d.Job == g.Job && d.Token >= g.Token })
 }
 
 // can tells whether this member does a job.
-func (t *Tenure) can(job string) bool {
+func (t *Node) can(job string) bool {
 	return !t.leaving && slices.Contains(t.set.Jobs, job) && !slices.Contains(t.unwilling, job)
 }
 
 // end ends what is held. Nothing is done under it any more, so it can be given back.
-func (t *Tenure) end(h *holding, why string) {
+func (t *Node) end(h *holding, why string) {
 	t.held = slices.DeleteFunc(t.held, func(o *holding) bool { return o == h })
 	if h.owned {
 		t.do.Ended(h.Job, h.Token, why)
@@ -125,14 +125,14 @@
 	t.giveBack(h.Grant)
 }
 
-func (t *Tenure) endAll(why string) {
+func (t *Node) endAll(why string) {
 	for len(t.held) > 0 {
 		t.end(t.held[0], why)
 	}
 }
 
 // giveBack has the leader know that nothing is done under a grant, until the table says so.
-func (t *Tenure) giveBack(g Grant) {
+func (t *Node) giveBack(g Grant) {
 	if t.over {
 		return
 	}
@@ -144,7 +144,7 @@
 }
 
 // lapse ends leases. Danger: this process may have stood still since its last call; it comes before all else.
-func (t *Tenure) lapse() {
+func (t *Node) lapse() {
 	for _, h := range slices.Clone(t.held) {
 		if h.owned && t.now >= h.until {
 			t.figures.Lapsed++
@@ -154,7 +154,7 @@
 }
 
 // tickHolder has leases renewed.
-func (t *Tenure) tickHolder() {
+func (t *Node) tickHolder() {
 	if t.now >= t.renewAt {
 		t.renew()
 	}
@@ -176,7 +176,7 @@
 }
 
 // renew asks for all leases at once, and gives back what is not known to be given back.
-func (t *Tenure) renew() {
+func (t *Node) renew() {
 	t.renewAt = math.Inf(1)
 	if len(t.held) == 0 && len(t.done) == 0 || t.over {
 		return
@@ -212,7 +212,7 @@
 }
 
 // renewed takes what the leader has confirmed.
-func (t *Tenure) renewed(r *Renewal) {
+func (t *Node) renewed(r *Renewal) {
 	i := slices.IndexFunc(t.sent, func(s sentRenewal) bool { return s.number == r.Number })
 	if i < 0 {
 		return
@@ -241,7 +241,7 @@
 }
 
 // Willing tells whether this member wants a job.
-func (t *Tenure) Willing(now float64, job string, willing bool) {
+func (t *Node) Willing(now float64, job string, willing bool) {
 	t.enter(now)
 	i, not := slices.BinarySearch(t.unwilling, job)
 	switch {
@@ -257,14 +257,14 @@
 	t.settle()
 }
 
-func (t *Tenure) decline(jobs []string) {
+func (t *Node) decline(jobs []string) {
 	if t.table.Leader != 0 && len(jobs) > 0 {
 		t.send(t.table.Leader, &Message{Decline: jobs})
 	}
 }
 
 // offered answers who would do jobs.
-func (t *Tenure) offered(from swim.ID, jobs []string) {
+func (t *Node) offered(from swim.ID, jobs []string) {
 	var wish, not []string
 	for _, job := range jobs {
 		if t.can(job) {
@@ -277,7 +277,7 @@
 }
 
 // Move has a job go to somebody else, as an operator wants.
-func (t *Tenure) Move(now float64, job string) {
+func (t *Node) Move(now float64, job string) {
 	t.enter(now)
 	if !t.over && t.table.Leader != 0 {
 		t.send(t.table.Leader, &Message{Move: job})
@@ -286,7 +286,7 @@
 }
 
 // moved takes that a job is to go to somebody else: who owns it gives it back.
-func (t *Tenure) moved(job string) {
+func (t *Node) moved(job string) {
 	if h := t.holding(job); h != nil {
 		t.decline([]string{job})
 		t.end(h, "it is to go to another member")
@@ -294,7 +294,7 @@
 }
 
 // Leave gives everything back, and says nothing more as an elector once another leads.
-func (t *Tenure) Leave(now float64) {
+func (t *Node) Leave(now float64) {
 	t.enter(now)
 	if !t.leaving && !t.over {
 		t.leaving, t.leftAt = true, t.now
@@ -305,11 +305,11 @@
 }
 
 // Left tells whether all that was given back is known to be, and another leads.
-func (t *Tenure) Left() bool {
+func (t *Node) Left() bool {
 	return t.over || t.leaving && len(t.held) == 0 && t.handed && !slices.ContainsFunc(t.done, t.stillOurs)
 }
 
-func (t *Tenure) holderNext() float64 {
+func (t *Node) holderNext() float64 {
 	next := min(t.renewAt, t.wishAt)
 	for _, h := range t.held {
 		if h.owned {
@@ -320,7 +320,7 @@
 }
 
 // holderWants are the links that who owns anything needs.
-func (t *Tenure) holderWants() []swim.ID {
+func (t *Node) holderWants() []swim.ID {
 	if len(t.held) == 0 && len(t.done) == 0 {
 		return nil
 	}
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -76,7 +76,7 @@
 }
 
 // turned takes that this member has come to lead, or no longer does.
-func (t *Tenure) turned(leads bool) {
+func (t *Node) turned(leads bool) {
 	t.leader = leader{leadsAt: t.now, changed: t.now, dueAt: t.now}
 	if leads {
 		t.figures.Leaders++
@@ -89,12 +89,12 @@
 }
 
 // leading tells whether this member leads and knows all that was agreed.
-func (t *Tenure) leading() bool {
+func (t *Node) leading() bool {
 	g := t.group
 	return g != nil && g.leads && !t.over && g.term == g.current && !t.unkept
 }
 
-func (t *Tenure) post(job string) *post {
+func (t *Node) post(job string) *post {
 	i, known := slices.BinarySearchFunc(t.jobs, job, func(p *post, job string) int { return cmp.Compare(p.job, job) })
 	if !known {
 		if len(t.jobs) >= mostJobs || job == "" || len(job) > 64 {
@@ -106,7 +106,7 @@
 }
 
 // appliedCommand takes that a command is agreed, or turned out to be too late.
-func (t *Tenure) appliedCommand(c command) {
+func (t *Node) appliedCommand(c command) {
 	if c.Put != nil {
 		t.wrote(c.Put)
 		return
@@ -123,7 +123,7 @@
 }
 
 // hearAsLeader takes what only a leader can answer.
-func (t *Tenure) hearAsLeader(from swim.ID, m *Message) {
+func (t *Node) hearAsLeader(from swim.ID, m *Message) {
 	if m.Renew == nil && m.Back == nil && m.Decline == nil && m.Wish == nil && m.Move == "" && m.Write == nil {
 		return
 	}
@@ -160,7 +160,7 @@
 	}
 }
 
-func (t *Tenure) bid(from swim.ID, m *Message) {
+func (t *Node) bid(from swim.ID, m *Message) {
 	for _, job := range m.Wish {
 		t.post(job)
 	}
@@ -183,14 +183,14 @@
 
 // unbid forgets that a member would do a job, since it has just given it back. Danger: one that began again between its word and the
 // grant gives back what its former life was granted, and by that word it would be granted the job again and again.
-func (t *Tenure) unbid(from swim.ID, job string) {
+func (t *Node) unbid(from swim.ID, job string) {
 	if i, known := slices.BinarySearchFunc(t.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) }); known {
 		t.bids[i].jobs = slices.DeleteFunc(t.bids[i].jobs, func(o string) bool { return o == job })
 	}
 }
 
 // ask has a quorum confirm that this member leads. One round confirms all renewals that came before it began.
-func (t *Tenure) ask() {
+func (t *Node) ask() {
 	if !t.asking && len(t.waiting) > 0 && t.leading() {
 		t.asking = true
 		t.figures.Rounds++
@@ -200,7 +200,7 @@
 }
 
 // read takes that a round has ended: this member led when it began.
-func (t *Tenure) read(round uint64) {
+func (t *Node) read(round uint64) {
 	if t.asking = false; !t.leading() {
 		return
 	}
@@ -217,7 +217,7 @@
 }
 
 // confirm has leases go on.
-func (t *Tenure) confirm(w waitingRenewal) {
+func (t *Node) confirm(w waitingRenewal) {
 	answer := &Renewal{Number: w.Number}
 	for _, g := range w.Grants {
 		now, known := t.group.machine.grant(g.Job)
@@ -237,20 +237,20 @@
 }
 
 // passOver has a member not be granted a job for a while.
-func (t *Tenure) passOver(job string, id swim.ID, forS float64) {
+func (t *Node) passOver(job string, id swim.ID, forS float64) {
 	t.passed = slices.DeleteFunc(t.passed, func(p passed) bool { return p.until <= t.now || p.job == job && p.id == id })
 	t.passed = append(t.passed, passed{job, id, t.now + forS})
 }
 
 // moveOn asks the owner of a job to give it up.
-func (t *Tenure) moveOn(job string) {
+func (t *Node) moveOn(job string) {
 	if g, known := t.group.machine.grant(job); known && g.Owner != 0 {
 		t.passOver(job, g.Owner, passS)
 		t.sendMove(g)
 	}
 }
 
-func (t *Tenure) sendMove(g Grant) {
+func (t *Node) sendMove(g Grant) {
 	if g.Owner == t.self {
 		t.moved(g.Job)
 	} else {
@@ -259,7 +259,7 @@
 }
 
 // tickLeader grants what is free.
-func (t *Tenure) tickLeader() {
+func (t *Node) tickLeader() {
 	t.tickLeave()
 	if !t.leading() {
 		return
@@ -308,7 +308,7 @@
 }
 
 // alive counts who can be granted anything, as far as is known.
-func (t *Tenure) alive() (n int) {
+func (t *Node) alive() (n int) {
 	for _, m := range t.members {
 		if m.State == swim.Alive {
 			n++
@@ -318,7 +318,7 @@
 }
 
 // load counts a member's jobs, with those of a list that is to be proposed.
-func (t *Tenure) load(id swim.ID, list []command) (n int) {
+func (t *Node) load(id swim.ID, list []command) (n int) {
 	for _, g := range t.group.machine.Grants {
 		if g.Owner == id {
 			n++
@@ -334,7 +334,7 @@
 
 // ranked returns who may be granted a job, the best first: who has the fewest jobs, and of these by a draw that is the same
 // for all and another for each job.
-func (t *Tenure) ranked(p *post, list []command) (ids []swim.ID) {
+func (t *Node) ranked(p *post, list []command) (ids []swim.ID) {
 	g, _ := t.group.machine.grant(p.job)
 	type rank struct {
 		id   swim.ID
@@ -374,7 +374,7 @@
 }
 
 // bidOf returns the life of a member that would do a job; 0: it has not said so lately.
-func (t *Tenure) bidOf(id swim.ID, job string) uint64 {
+func (t *Node) bidOf(id swim.ID, job string) uint64 {
 	if id == t.self {
 		if t.can(job) {
 			return t.life
@@ -389,7 +389,7 @@
 }
 
 // choose returns who is to own a job that is free: 0 while nobody has said yes.
-func (t *Tenure) choose(p *post, list []command) (swim.ID, uint64) {
+func (t *Node) choose(p *post, list []command) (swim.ID, uint64) {
 	ranked := t.ranked(p, list)
 	if len(ranked) == 0 {
 		return 0, 0
@@ -411,9 +411,9 @@
 }
 
 // offer asks who would take a job.
-func (t *Tenure) offer(p *post) { t.offerTo(p, t.ranked(p, nil)) }
+func (t *Node) offer(p *post) { t.offerTo(p, t.ranked(p, nil)) }
 
-func (t *Tenure) offerTo(p *post, ranked []swim.ID) {
+func (t *Node) offerTo(p *post, ranked []swim.ID) {
 	switch {
 	case p.offered != nil && t.now-p.offeredAt < askS:
 		return
@@ -439,7 +439,7 @@
 }
 
 // leadLink takes a new link: who was asked without one is asked again.
-func (t *Tenure) leadLink(id swim.ID) {
+func (t *Node) leadLink(id swim.ID) {
 	if !t.leading() {
 		return
 	}
@@ -451,7 +451,7 @@
 }
 
 // spread has the most loaded give up a job where somebody has two fewer.
-func (t *Tenure) spread() {
+func (t *Node) spread() {
 	if t.now-t.changed < calmS {
 		return
 	}
@@ -490,7 +490,7 @@
 }
 
 // tickLeave hands leadership on, once all that this member owned is another's.
-func (t *Tenure) tickLeave() {
+func (t *Node) tickLeave() {
 	if !t.leaving || t.handed {
 		return
 	}
@@ -512,7 +512,7 @@
 }
 
 // handOn transfers leadership to an elector that is there, each time to another.
-func (t *Tenure) handOn() {
+func (t *Node) handOn() {
 	var there []uint64
 	for _, id := range t.group.conf.GetVoters() {
 		if m := t.member(swim.ID(id)); swim.ID(id) != t.self && m != nil && m.State == swim.Alive {
@@ -525,7 +525,7 @@
 	}
 }
 
-func (t *Tenure) leaderNext() float64 {
+func (t *Node) leaderNext() float64 {
 	if t.group != nil && t.group.leads || t.leaving && !t.handed {
 		return t.dueAt
 	}
@@ -533,7 +533,7 @@
 }
 
 // leaderWants are the links that a leader needs beside those to electors.
-func (t *Tenure) leaderWants() (ids []swim.ID) {
+func (t *Node) leaderWants() (ids []swim.ID) {
 	if !t.leading() {
 		return nil
 	}
--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -58,7 +58,7 @@
 const mostHeard = 256
 
 // heardOf returns what was heard of a member; nil: there is no room for more.
-func (t *Tenure) heardOf(id swim.ID) *heard {
+func (t *Node) heardOf(id swim.ID) *heard {
 	i, known := slices.BinarySearchFunc(t.heard, id, func(h heard, id swim.ID) int { return cmp.Compare(h.id, id) })
 	if !known {
 		if len(t.heard) >= mostHeard {
@@ -70,7 +70,7 @@
 }
 
 // say sends a message of the group, with the state that it rests on.
-func (t *Tenure) say(to swim.ID, raft []byte) {
+func (t *Node) say(to swim.ID, raft []byte) {
 	m := &Message{Epoch: t.founding.Epoch, Serial: t.serial, Writer: t.lineage.wrote(t.serial), Raft: raft}
 	if h := t.heardOf(to); h == nil || h.shown == 0 || h.shown != m.Writer || t.now-h.at >= showS {
 		if m.Lineage = t.lineage; h != nil {
@@ -82,7 +82,7 @@
 
 // hearSerial tells whether a message of one member rests on the latest state that was heard of it, or on one that came of that. Danger:
 // who came back with an old copy of its state has forgotten votes that others count on.
-func (t *Tenure) hearSerial(from swim.ID, m *Message) bool {
+func (t *Node) hearSerial(from swim.ID, m *Message) bool {
 	h := t.heardOf(from)
 	if m.Raft == nil { // what the other has heard of this member
 		switch {
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -53,11 +53,11 @@
 // --- at the owner ---
 
 // keepsRecord tells whether this member wants the record of a job that it owns.
-func (t *Tenure) keepsRecord(job string) bool { return slices.Contains(t.set.Records, job) }
+func (t *Node) keepsRecord(job string) bool { return slices.Contains(t.set.Records, job) }
 
 // Write asks that a record takes the place of the version before it. Actions.Agreed follows once one is agreed, which may be
 // another's; until then Write is to be called again. It tells nothing of what is lost on the way.
-func (t *Tenure) Write(now float64, job string, version uint64, body []byte) {
+func (t *Node) Write(now float64, job string, version uint64, body []byte) {
 	t.enter(now)
 	if h := t.holding(job); h != nil && h.owned && t.table.Leader != 0 && !t.over && len(body) <= MostRecord {
 		t.send(t.table.Leader, &Message{Write: &Record{Job: job, Version: version, Token: h.Token, Body: body}})
@@ -66,7 +66,7 @@
 }
 
 // known are the versions that this member knows of the records of what it holds.
-func (t *Tenure) knownRecords() (all []Record) {
+func (t *Node) knownRecords() (all []Record) {
 	for _, h := range t.held {
 		if t.keepsRecord(h.Job) {
 			all = append(all, Record{Job: h.Job, Version: h.version})
@@ -76,7 +76,7 @@
 }
 
 // learnRecords takes records that are agreed.
-func (t *Tenure) learnRecords(records []Record) {
+func (t *Node) learnRecords(records []Record) {
 	for i := range records {
 		r := &records[i]
 		h := t.holding(r.Job)
@@ -93,7 +93,7 @@
 // --- at the leader ---
 
 // write has a record agreed that an owner wants.
-func (t *Tenure) write(from swim.ID, r *Record) {
+func (t *Node) write(from swim.ID, r *Record) {
 	g, known := t.group.machine.grant(r.Job)
 	p := t.post(r.Job)
 	switch now := t.group.machine.record(r.Job); {
@@ -109,7 +109,7 @@
 }
 
 // wrote takes that a record is agreed, or turned out to be too late.
-func (t *Tenure) wrote(r *Record) {
+func (t *Node) wrote(r *Record) {
 	if !t.group.leads {
 		return
 	}
@@ -122,7 +122,7 @@
 }
 
 // newerRecords returns what is kept of jobs beyond what the asker knows.
-func (t *Tenure) newerRecords(known []Record) (all []Record) {
+func (t *Node) newerRecords(known []Record) (all []Record) {
 	for _, k := range known {
 		if now := t.group.machine.record(k.Job); now.Version > k.Version {
 			all = append(all, now)
--- a/internal/decide/lease/state.go
+++ b/internal/decide/lease/state.go
@@ -48,7 +48,7 @@
 }
 
 // state returns what is to be kept now.
-func (t *Tenure) state() []byte {
+func (t *Node) state() []byte {
 	s := saved{Version: stateVersion, Self: t.self, Serial: t.serial, Lineage: t.lineage, Epoch: t.epoch, Promised: t.promised, Accepted: t.accepted, Group: t.founding}
 	if g := t.group; g != nil {
 		s.Hard, s.Snapshot, s.Entries = g.store.bytes()
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -15,7 +15,7 @@
 }
 
 // hearTable takes what another knows of all grants.
-func (t *Tenure) hearTable(from swim.ID, table *Table) {
+func (t *Node) hearTable(from swim.ID, table *Table) {
 	switch {
 	case from == t.self || len(table.Grants) > mostJobs || len(table.Electors) > 2*mostList:
 	case t.table.newer(table):
@@ -29,7 +29,7 @@
 }
 
 // take takes a newer table and passes it on.
-func (t *Tenure) take(table *Table, except swim.ID) {
+func (t *Node) take(table *Table, except swim.ID) {
 	t.table = *table
 	t.epoch = max(t.epoch, t.table.Epoch)
 	if t.founding != nil && t.founding.Epoch < t.table.Epoch {
@@ -41,13 +41,13 @@
 }
 
 // tableMessage tells what is known as of now, whenever it is read.
-func (t *Tenure) tableMessage() *Message {
+func (t *Node) tableMessage() *Message {
 	table := t.table
 	return &Message{Table: &table}
 }
 
 // publish makes the table of what this elector has applied.
-func (t *Tenure) publish() {
+func (t *Node) publish() {
 	g := t.group
 	if g.applied == 0 {
 		return
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -12,8 +12,8 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Tenure is one member's part of who owns what.
-type Tenure struct {
+// Node is one member's part of who owns what.
+type Node struct {
 	set  Settings
 	self swim.ID
 	life uint64 // of this process
@@ -84,8 +84,8 @@
 
 // New returns the part of a member. An error says that what was saved can't be used: the identity is then not to be used
 // either.
-func New(now float64, self swim.ID, set Settings, state []byte, do Actions) (*Tenure, error) {
-	t := &Tenure{set: set, self: self, do: do, now: now, began: now, rng: rand.New(rand.NewPCG(set.Seed, uint64(self)))}
+func New(now float64, self swim.ID, set Settings, state []byte, do Actions) (*Node, error) {
+	t := &Node{set: set, self: self, do: do, now: now, began: now, rng: rand.New(rand.NewPCG(set.Seed, uint64(self)))}
 	t.set.Jobs = slices.Sorted(slices.Values(set.Jobs))
 	t.life = t.rng.Uint64() | 1
 	t.number = t.rng.Uint64() >> 1
@@ -110,14 +110,14 @@
 }
 
 // Members takes who is there, by ID, with this member.
-func (t *Tenure) Members(now float64, members []Member) {
+func (t *Node) Members(now float64, members []Member) {
 	t.enter(now)
 	t.members, t.viewAt = members, t.now
 	t.settle()
 }
 
 // member returns what is known of one; nil: nothing.
-func (t *Tenure) member(id swim.ID) *Member {
+func (t *Node) member(id swim.ID) *Member {
 	i, known := slices.BinarySearchFunc(t.members, id, func(m Member, id swim.ID) int { return cmp.Compare(m.ID, id) })
 	if !known {
 		return nil
@@ -126,16 +126,16 @@
 }
 
 // keeps tells whether this member has where to keep its state.
-func (t *Tenure) keeps() bool {
+func (t *Node) keeps() bool {
 	self := t.member(t.self)
 	return self != nil && self.Keeps
 }
 
 // sinceS tells for how long a member's state has held.
-func (t *Tenure) sinceS(m *Member) float64 { return m.SinceS + t.now - t.viewAt }
+func (t *Node) sinceS(m *Member) float64 { return m.SinceS + t.now - t.viewAt }
 
 // LinkUp takes that there is a new link to a member.
-func (t *Tenure) LinkUp(now float64, id swim.ID) {
+func (t *Node) LinkUp(now float64, id swim.ID) {
 	t.enter(now)
 	if t.over {
 		return
@@ -151,7 +151,7 @@
 }
 
 // Heard takes a message.
-func (t *Tenure) Heard(now float64, from swim.ID, m *Message) {
+func (t *Node) Heard(now float64, from swim.ID, m *Message) {
 	t.enter(now)
 	if !t.over {
 		t.hear(from, m)
@@ -159,7 +159,7 @@
 	t.settle()
 }
 
-func (t *Tenure) hear(from swim.ID, m *Message) {
+func (t *Node) hear(from swim.ID, m *Message) {
 	if m.Serial != 0 && from != t.self && !t.hearSerial(from, m) {
 		return
 	}
@@ -191,7 +191,7 @@
 }
 
 // hearRaft takes a message of an electors' group.
-func (t *Tenure) hearRaft(from swim.ID, m *Message) {
+func (t *Node) hearRaft(from swim.ID, m *Message) {
 	switch {
 	case t.founding != nil && t.founding.Epoch == m.Epoch:
 		if t.group != nil {
@@ -212,7 +212,7 @@
 }
 
 // Tick does what is due.
-func (t *Tenure) Tick(now float64) {
+func (t *Node) Tick(now float64) {
 	t.enter(now)
 	if t.over {
 		return
@@ -234,7 +234,7 @@
 }
 
 // Next returns when Tick is to be called.
-func (t *Tenure) Next() float64 {
+func (t *Node) Next() float64 {
 	if t.over {
 		return math.Inf(1)
 	}
@@ -255,13 +255,13 @@
 }
 
 // enter takes the time, and what has ended by it.
-func (t *Tenure) enter(now float64) {
+func (t *Node) enter(now float64) {
 	t.now = max(t.now, now)
 	t.lapse()
 }
 
 // settle does what follows from a call.
-func (t *Tenure) settle() {
+func (t *Node) settle() {
 	// Danger: where all founders lose what they kept, whoever founds a group again must know that there was one, or its tokens
 	// begin below those that were granted.
 	t.dirty = t.dirty || t.epoch > t.kept && !t.over && t.keeps()
@@ -278,7 +278,7 @@
 }
 
 // send sends a message, also to this member itself.
-func (t *Tenure) send(to swim.ID, m *Message) {
+func (t *Node) send(to swim.ID, m *Message) {
 	if to == t.self {
 		t.local = append(t.local, m)
 	} else {
@@ -287,10 +287,10 @@
 }
 
 // sendKept sends a message once the state as it is now is kept.
-func (t *Tenure) sendKept(to swim.ID, m *Message) { t.later = append(t.later, outgoing{to, m}) }
+func (t *Node) sendKept(to swim.ID, m *Message) { t.later = append(t.later, outgoing{to, m}) }
 
 // save keeps the state, if there is anything to keep.
-func (t *Tenure) save() {
+func (t *Node) save() {
 	if t.saving || t.over {
 		return
 	}
@@ -317,7 +317,7 @@
 }
 
 // Saved takes the end of the last Save.
-func (t *Tenure) Saved(now float64, err error) {
+func (t *Node) Saved(now float64, err error) {
 	t.enter(now)
 	if t.over || !t.saving {
 		return
@@ -347,7 +347,7 @@
 }
 
 // renounce gives up the identity: nothing is said under it any more.
-func (t *Tenure) renounce(why string) {
+func (t *Node) renounce(why string) {
 	if t.over {
 		return
 	}
@@ -357,7 +357,7 @@
 }
 
 // want asks for links.
-func (t *Tenure) want() {
+func (t *Node) want() {
 	var ids []swim.ID
 	if t.over {
 		return
@@ -381,10 +381,10 @@
 }
 
 // Table returns what is known of all grants.
-func (t *Tenure) Table() Table { return t.table }
+func (t *Node) Table() Table { return t.table }
 
 // Figures returns the counts so far.
-func (t *Tenure) Figures() Figures {
+func (t *Node) Figures() Figures {
 	f := t.figures
 	f.Serial, f.Unkept = t.serial, t.unkept
 	if t.founding != nil {
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -23,7 +23,7 @@
 type seat struct {
 	h     *hall
 	id    swim.ID
-	t     *Tenure
+	t     *Node
 	saved []byte
 	up    bool
 	full  bool // its disk
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -83,7 +83,7 @@
 	ident   *identity
 	rate    float64 // of its clock
 	base    float64 // true time at which the clock showed zero
-	t       *lease.Tenure
+	t       *lease.Node
 	armed   float64
 	waiting []func()
 	saving  bool
