--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -21,7 +21,7 @@
 	Unwilling string        `json:"unwilling,omitempty"` // why this sidecar does nothing for others
 	Lists     *ListCounts   `json:"lists,omitempty"`
 	Drills    []SeenDrill   `json:"drills,omitempty"` // of the whole fleet, also such as have ended
-	Here      lease.Figures `json:"here"`
+	Here      lease.Stats   `json:"here"`
 }
 
 // SeenElector is one that agrees on who owns what.
@@ -49,7 +49,7 @@
 }
 
 // known returns what the decisions say. Who can't keep what it promises leads nobody, whatever it was when it last could.
-func (o *owners) known() (table lease.Table, here lease.Figures) {
+func (o *owners) known() (table lease.Table, here lease.Stats) {
 	if o.t != nil {
 		table, here = o.t.Table(), o.t.Figures()
 		here.Leads = here.Leads && !here.Unkept
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -56,7 +56,7 @@
 
 	holder
 	leader
-	figures Figures
+	figures Stats
 }
 
 type outgoing struct {
@@ -64,8 +64,8 @@
 	m  *Message
 }
 
-// Figures count what a Tenure has done, and say what it is.
-type Figures struct {
+// Stats count what a Tenure has done, and say what it is.
+type Stats struct {
 	Epoch    uint64 `json:"epoch"` // of the group that this member is in; 0: of none
 	Term     uint64 `json:"term"`
 	Serial   uint64 `json:"serial"`
@@ -384,7 +384,7 @@
 func (t *Node) Table() Table { return t.table }
 
 // Figures returns the counts so far.
-func (t *Node) Figures() Figures {
+func (t *Node) Figures() Stats {
 	f := t.figures
 	f.Serial, f.Unkept = t.serial, t.unkept
 	if t.founding != nil {
--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -140,7 +140,7 @@
 	}
 }
 
-func (w *World) checkTable(n *node, f lease.Figures) {
+func (w *World) checkTable(n *node, f lease.Stats) {
 	t := n.t.Table()
 	if at := [4]uint64{t.Epoch, t.Index, t.Term, uint64(t.Leader)}; t.Epoch == 0 || n.table == at {
 		return
