--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -51,7 +51,7 @@
 // known returns what the decisions say. Who can't keep what it promises leads nobody, whatever it was when it last could.
 func (o *owners) known() (table lease.Table, here lease.Stats) {
 	if o.t != nil {
-		table, here = o.t.Table(), o.t.Figures()
+		table, here = o.t.Table(), o.t.Stats()
 		here.Leads = here.Leads && !here.Unkept
 	}
 	return table, here
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -383,8 +383,8 @@
 // Table returns what is known of all grants.
 func (t *Node) Table() Table { return t.table }
 
-// Figures returns the counts so far.
-func (t *Node) Figures() Stats {
+// Stats returns the counts so far.
+func (t *Node) Stats() Stats {
 	f := t.figures
 	f.Serial, f.Unkept = t.serial, t.unkept
 	if t.founding != nil {
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -146,7 +146,7 @@
 // leader returns who leads.
 func (h *hall) leader() *seat {
 	for _, s := range h.all {
-		if s.up && s.t.Figures().Leads {
+		if s.up && s.t.Stats().Leads {
 			return s
 		}
 	}
@@ -272,12 +272,12 @@
 	h.all[0].t.Move(h.now, "list") // something to keep
 	h.until(h.now + 6)
 	require.NotNil(t, h.leader())
-	require.True(t, was.t.Figures().Unkept)
+	require.True(t, was.t.Stats().Unkept)
 	o, _ := h.owner("list")
 	require.NotNil(t, o)
 	was.full = false
 	h.until(h.now + 3)
-	require.False(t, was.t.Figures().Unkept)
+	require.False(t, was.t.Stats().Unkept)
 }
 
 // Who has lost its quorum while its disk writes does not stand for election by raft's own draw, which no seed repeats.
--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -112,7 +112,7 @@
 
 // check looks at a member that has just done something.
 func (w *World) check(n *node) {
-	f := n.t.Figures()
+	f := n.t.Stats()
 	if f.Leads {
 		i := slices.IndexFunc(w.leaders, func(l ledTerm) bool { return l.epoch == f.Epoch && l.term == f.Term })
 		if i < 0 {
--- a/internal/sim/leasesim/measure.go
+++ b/internal/sim/leasesim/measure.go
@@ -58,7 +58,7 @@
 			}
 			continue
 		}
-		if way.name == "kill of owner and leader" && owner.t.Figures().Elector {
+		if way.name == "kill of owner and leader" && owner.t.Stats().Elector {
 			continue // of three electors two would be gone
 		}
 		at, grants := w.Now(), w.counts.Grants
@@ -112,7 +112,7 @@
 	var sums [4]sum
 	names := [4]string{"leader", "other electors", "other owners", "the others"}
 	for _, n := range w.nodes {
-		f := n.t.Figures()
+		f := n.t.Stats()
 		i := 3
 		switch {
 		case f.Leads:
--- a/internal/sim/leasesim/owners_test.go
+++ b/internal/sim/leasesim/owners_test.go
@@ -36,7 +36,7 @@
 		leader := w.leaderNow()
 		require.NotNil(t, leader)
 		for _, n := range w.nodes {
-			if n != leader && n.t.Figures().Elector {
+			if n != leader && n.t.Stats().Elector {
 				n.kill()
 				n.out = true
 				break
