--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -56,7 +56,7 @@
 type owners struct {
 	f        *Fleet
 	t        *lease.Node // nil: the identity is being drawn anew, or is another process's
-	greatest lease.Greatest
+	greatest lease.Fence
 	jobs     []*job   // by name
 	lists    *feeder  // nil: no lists are passed on
 	drills   *driller // nil: drills are each sidecar's own
--- a/internal/decide/lease/greatest.go
+++ b/internal/decide/lease/greatest.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Greatest keeps the greatest token seen of each job: what makes an old owner harmless. Its zero value has seen none.
-type Greatest struct {
+// Fence keeps the greatest token seen of each job: what makes an old owner harmless. Its zero value has seen none.
+type Fence struct {
 	seen []Grant // by job, without owners
 }
 
@@ -12,7 +12,7 @@
 
 // Take tells whether an effect under a token may be taken, and the greatest token seen of the job. A token that is equal to
 // the greatest is good: one grant has many effects.
-func (g *Greatest) Take(job string, token uint64) (ok bool, greatest uint64) {
+func (g *Fence) Take(job string, token uint64) (ok bool, greatest uint64) {
 	i, known := g.place(job)
 	switch {
 	case !known && len(g.seen) >= mostJobs || token == 0:
@@ -27,16 +27,16 @@
 }
 
 // Seen returns the greatest token of each job, by job; it is not to be changed.
-func (g *Greatest) Seen() []Grant { return g.seen }
+func (g *Fence) Seen() []Grant { return g.seen }
 
 // Restore takes what an earlier process had seen. What is lower than what was seen since changes nothing.
-func (g *Greatest) Restore(seen []Grant) {
+func (g *Fence) Restore(seen []Grant) {
 	for _, s := range seen {
 		g.Take(s.Job, s.Token)
 	}
 }
 
-func (g *Greatest) place(job string) (int, bool) { return placeOf(g.seen, job) }
+func (g *Fence) place(job string) (int, bool) { return placeOf(g.seen, job) }
 
 // placeOf finds a job among grants that are sorted by it.
 func placeOf(grants []Grant, job string) (int, bool) {
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -320,7 +320,7 @@
 // Of the tokens of a job the greatest ever seen holds, also over a restart, and no other job's.
 func TestGreatestOnlyGrows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var g Greatest
+		var g Fence
 		seen := map[string]uint64{}
 		for range rapid.IntRange(1, 40).Draw(t, "effects") {
 			job, token := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "job"), rapid.Uint64Range(1, 9).Draw(t, "token")
@@ -329,7 +329,7 @@
 			seen[job] = max(seen[job], token)
 			require.Equal(t, seen[job], greatest)
 			if rapid.Bool().Draw(t, "restart") {
-				var next Greatest
+				var next Fence
 				next.Restore(g.Seen())
 				g = next
 			}
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -93,7 +93,7 @@
 	disk     []byte // what lasts
 	diskFull bool
 	copied   []byte // an old copy of it
-	greatest *lease.Greatest
+	greatest *lease.Fence
 	nextFx   uint64
 	table    [4]uint64 // that was checked last
 
@@ -139,7 +139,7 @@
 
 // add adds a member that has not begun.
 func (w *World) add(keeps bool) *node {
-	n := &node{w: w, number: len(w.nodes), address: address(len(w.nodes)), keeps: keeps, greatest: &lease.Greatest{}}
+	n := &node{w: w, number: len(w.nodes), address: address(len(w.nodes)), keeps: keeps, greatest: &lease.Fence{}}
 	w.nodes = append(w.nodes, n)
 	for i := range w.cut {
 		w.cut[i], w.held[i], w.last[i] = append(w.cut[i], false), append(w.held[i], 0), append(w.last[i], 0)
@@ -175,7 +175,7 @@
 		w.counts.Lost++
 	}
 	n.ident = &identity{id: swim.ID(w.rng.Uint64() | 1), of: n}
-	n.disk, n.copied, n.greatest = nil, nil, &lease.Greatest{}
+	n.disk, n.copied, n.greatest = nil, nil, &lease.Fence{}
 	w.ids = append(w.ids, n.ident)
 }
 
