--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -74,7 +74,7 @@
 	if o.t == nil || j == nil || j.held != 0 {
 		return false
 	}
-	if ok, _ := o.greatest.Take(name, token); !ok {
+	if ok, _ := o.greatest.Admit(name, token); !ok {
 		return false
 	}
 	j.number++
@@ -85,7 +85,7 @@
 
 // reply says something over one link, to what was said under a token. Danger: after a greater one it would be an old owner's word.
 func (o *owners) reply(l *peers.Link, name string, token uint64, kind uint8, body []byte) {
-	if ok, _ := o.greatest.Take(name, token); ok {
+	if ok, _ := o.greatest.Admit(name, token); ok {
 		o.send(l, &frames.Effect{Job: name, Token: token, Origin: uint64(o.f.state.ID), Kind: kind, Body: body})
 	}
 }
@@ -109,7 +109,7 @@
 	if j == nil || e.Token == 0 {
 		return
 	}
-	ok, greatest := o.greatest.Take(e.Job, e.Token)
+	ok, greatest := o.greatest.Admit(e.Job, e.Token)
 	if !ok {
 		o.refuse(l, j, e, greatest)
 		return
--- a/internal/coordination/list.go
+++ b/internal/coordination/list.go
@@ -196,7 +196,7 @@
 	if j.late == 0 {
 		return false
 	}
-	ok, _ := j.f.o.greatest.Take(j.name, j.late)
+	ok, _ := j.f.o.greatest.Admit(j.name, j.late)
 	if !ok || j.f.o.f.net.Now() > j.lateBy || j.f.o.why != "" {
 		j.late = 0
 	}
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -307,7 +307,7 @@
 			return
 		}
 		o.end(j, "it is granted anew")
-		if ok, _ := o.greatest.Take(name, token); !ok {
+		if ok, _ := o.greatest.Admit(name, token); !ok {
 			return // others have been heard under a greater one
 		}
 		j.held, j.number = token, 0
--- a/internal/decide/lease/greatest.go
+++ b/internal/decide/lease/greatest.go
@@ -10,9 +10,9 @@
 // mostJobs bounds the jobs that are kept. Danger: their names come from outside.
 const mostJobs = 256
 
-// Take tells whether an effect under a token may be taken, and the greatest token seen of the job. A token that is equal to
+// Admit tells whether an effect under a token may be taken, and the greatest token seen of the job. A token that is equal to
 // the greatest is good: one grant has many effects.
-func (g *Fence) Take(job string, token uint64) (ok bool, greatest uint64) {
+func (g *Fence) Admit(job string, token uint64) (ok bool, greatest uint64) {
 	i, known := g.place(job)
 	switch {
 	case !known && len(g.seen) >= mostJobs || token == 0:
@@ -32,7 +32,7 @@
 // Restore takes what an earlier process had seen. What is lower than what was seen since changes nothing.
 func (g *Fence) Restore(seen []Grant) {
 	for _, s := range seen {
-		g.Take(s.Job, s.Token)
+		g.Admit(s.Job, s.Token)
 	}
 }
 
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -324,7 +324,7 @@
 		seen := map[string]uint64{}
 		for range rapid.IntRange(1, 40).Draw(t, "effects") {
 			job, token := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "job"), rapid.Uint64Range(1, 9).Draw(t, "token")
-			ok, greatest := g.Take(job, token)
+			ok, greatest := g.Admit(job, token)
 			require.Equal(t, token >= seen[job], ok)
 			seen[job] = max(seen[job], token)
 			require.Equal(t, seen[job], greatest)
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -607,7 +607,7 @@
 // receive takes an effect, if its token is good; else it has the old owner know what is newer.
 func (n *node) receive(from *node, by *identity, job string, token, number uint64) {
 	w := n.w
-	ok, _ := n.greatest.Take(job, token)
+	ok, _ := n.greatest.Admit(job, token)
 	if ok {
 		w.counts.Effects++
 		w.took(n, by, job, token, number)
