--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -240,7 +240,7 @@
 			}
 		}
 	}
-	for _, g := range o.greatest.Seen() {
+	for _, g := range o.greatest.Highest() {
 		if g.Job == name {
 			token = max(token, g.Token)
 		}
--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -89,7 +89,7 @@
 				}
 			}
 		}
-		for _, g := range o.greatest.Seen() {
+		for _, g := range o.greatest.Highest() {
 			if g.Job == j.name {
 				e.Seen = g.Token
 			}
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -200,7 +200,7 @@
 func (w *worker) keep() {
 	f := w.o.f
 	token := uint64(0)
-	for _, g := range w.o.greatest.Seen() {
+	for _, g := range w.o.greatest.Highest() {
 		if g.Job == worksName {
 			token = g.Token
 		}
--- a/internal/decide/lease/greatest.go
+++ b/internal/decide/lease/greatest.go
@@ -26,8 +26,8 @@
 	return true, token
 }
 
-// Seen returns the greatest token of each job, by job; it is not to be changed.
-func (g *Fence) Seen() []Grant { return g.seen }
+// Highest returns the greatest token of each job, by job; it is not to be changed.
+func (g *Fence) Highest() []Grant { return g.seen }
 
 // Restore takes what an earlier process had seen. What is lower than what was seen since changes nothing.
 func (g *Fence) Restore(seen []Grant) {
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -330,7 +330,7 @@
 			require.Equal(t, seen[job], greatest)
 			if rapid.Bool().Draw(t, "restart") {
 				var next Fence
-				next.Restore(g.Seen())
+				next.Restore(g.Highest())
 				g = next
 			}
 		}
