--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -467,7 +467,7 @@
 			if err := frames.Unpack(body, &m); err != nil {
 				return err
 			}
-			o.t.Heard(f.net.Now(), swim.ID(l.Hello.ID), &m)
+			o.t.HandleMessage(f.net.Now(), swim.ID(l.Hello.ID), &m)
 		}
 	case frames.TopicEffect:
 		if o := f.owners; o != nil && f.links[l.Number] == l {
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -150,8 +150,8 @@
 	t.settle()
 }
 
-// Heard takes a message.
-func (t *Node) Heard(now float64, from swim.ID, m *Message) {
+// HandleMessage takes a message.
+func (t *Node) HandleMessage(now float64, from swim.ID, m *Message) {
 	t.enter(now)
 	if !t.over {
 		t.hear(from, m)
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -42,7 +42,7 @@
 			require.NoError(s.h.t, unpack(pack(m), &c))
 			s.h.queue = append(s.h.queue, func() {
 				if o.up && s.up && !s.mute {
-					o.t.Heard(s.h.now, s.id, &c)
+					o.t.HandleMessage(s.h.now, s.id, &c)
 				}
 			})
 		}
@@ -386,7 +386,7 @@
 	h.until(h.now + 4)
 	next, _ := h.owner("works")
 	require.NotEqual(t, o, next)
-	h.leader().t.Heard(h.now, o.id, &Message{Write: &Record{Job: "works", Version: last.Version + 1, Token: token, Body: []byte("old")}})
+	h.leader().t.HandleMessage(h.now, o.id, &Message{Write: &Record{Job: "works", Version: last.Version + 1, Token: token, Body: []byte("old")}})
 	h.until(h.now + 1)
 	require.Equal(t, last, next.agreed)
 }
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -375,7 +375,7 @@
 			if err := msgpack.Unmarshal(body, &m); err != nil {
 				panic(err)
 			}
-			to.t.Heard(to.clock(), id, &m)
+			to.t.HandleMessage(to.clock(), id, &m)
 		})
 	})
 }
