--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -421,7 +421,7 @@
 	f.byID[hello.Self.ID] = l
 	f.up = append(f.up, l)
 	if o := f.owners; o != nil && o.t != nil {
-		o.t.LinkUp(f.net.Now(), hello.Self.ID)
+		o.t.HandleLinkUp(f.net.Now(), hello.Self.ID)
 	}
 	if o := f.owners; o != nil && o.works != nil {
 		o.works.linkUp(l)
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -134,8 +134,8 @@
 // sinceS tells for how long a member's state has held.
 func (t *Node) sinceS(m *Member) float64 { return m.SinceS + t.now - t.viewAt }
 
-// LinkUp takes that there is a new link to a member.
-func (t *Node) LinkUp(now float64, id swim.ID) {
+// HandleLinkUp takes that there is a new link to a member.
+func (t *Node) HandleLinkUp(now float64, id swim.ID) {
 	t.enter(now)
 	if t.over {
 		return
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -213,7 +213,7 @@
 		life, other := p[0].life, p[1].life
 		w.After(w.latency(), func() {
 			if p[1].life == other && p[1].up && !w.cut[a.number][b.number] && !w.cut[b.number][a.number] {
-				p[0].call(life, func() { p[0].t.LinkUp(p[0].clock(), p[1].ident.id) })
+				p[0].call(life, func() { p[0].t.HandleLinkUp(p[0].clock(), p[1].ident.id) })
 			}
 		})
 	}
