--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -293,7 +293,7 @@
 		f.state.Tenure = promised
 		f.save(func(err error) {
 			if t.t == of { // else it was another identity's
-				of.Saved(f.net.Now(), err)
+				of.HandlePersisted(f.net.Now(), err)
 			}
 		})
 	})
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -316,8 +316,8 @@
 	t.do.Save(t.state())
 }
 
-// Saved takes the end of the last Save.
-func (t *Node) Saved(now float64, err error) {
+// HandlePersisted takes the end of the last Save.
+func (t *Node) HandlePersisted(now float64, err error) {
 	t.enter(now)
 	if t.over || !t.saving {
 		return
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -62,10 +62,10 @@
 	}
 	s.h.queue = append(s.h.queue, func() {
 		if s.full {
-			s.t.Saved(s.h.now, errors.New("full"))
+			s.t.HandlePersisted(s.h.now, errors.New("full"))
 		} else {
 			s.saved, s.kept = b, append(s.kept, b)
-			s.t.Saved(s.h.now, nil)
+			s.t.HandlePersisted(s.h.now, nil)
 		}
 	})
 }
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -428,9 +428,9 @@
 		n.call(life, func() {
 			n.saving = false
 			if full {
-				n.t.Saved(n.clock(), errFull)
+				n.t.HandlePersisted(n.clock(), errFull)
 			} else {
-				n.t.Saved(n.clock(), nil)
+				n.t.HandlePersisted(n.clock(), nil)
 			}
 		})
 	})
