--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -137,7 +137,7 @@
 	}
 	if c := o.f.view.Changes(); c != o.changes {
 		o.changes = c
-		o.t.Members(now, o.members())
+		o.t.SetMembers(now, o.members())
 	}
 	if now >= o.fitAt {
 		o.lookFit(now)
--- a/internal/decide/lease/stored_form_test.go
+++ b/internal/decide/lease/stored_form_test.go
@@ -79,7 +79,7 @@
 		next, err := New(h.now, s.id, set, raw, s)
 		require.NoError(t, err)
 		require.Equal(t, raw, next.state(), "what is read is written the same")
-		next.Members(h.now, s.t.members)
+		next.SetMembers(h.now, s.t.members)
 		s.t = next
 	}
 	h.until(h.now + 10)
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -109,8 +109,8 @@
 	return t, nil
 }
 
-// Members takes who is there, by ID, with this member.
-func (t *Node) Members(now float64, members []Member) {
+// SetMembers takes who is there, by ID, with this member.
+func (t *Node) SetMembers(now float64, members []Member) {
 	t.enter(now)
 	t.members, t.viewAt = members, t.now
 	t.settle()
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -109,7 +109,7 @@
 		members = append(members, Member{ID: s.id, Address: set.Address, Keeps: true})
 	}
 	for _, s := range h.all {
-		s.t.Members(h.now, members)
+		s.t.SetMembers(h.now, members)
 	}
 	return h
 }
@@ -194,7 +194,7 @@
 	require.NotEqual(t, copied, o.saved)
 	back, err := New(h.now, o.id, o.t.set, copied, o)
 	require.NoError(t, err)
-	back.Members(h.now, o.t.members)
+	back.SetMembers(h.now, o.t.members)
 	o.t = back
 	h.until(h.now + 3)
 	require.Contains(t, o.gone, "old copy")
@@ -221,7 +221,7 @@
 		o.mute, o.t.set.Seed = true, 77
 		next, err := New(h.now, o.id, o.t.set, o.kept[len(o.kept)-1-back], o)
 		require.NoError(t, err)
-		next.Members(h.now, o.t.members)
+		next.SetMembers(h.now, o.t.members)
 		o.t, o.kept = next, nil
 		for i := 0; o.t.serial < last; i++ { // each new leader is a write
 			require.Less(t, i, 20)
@@ -248,7 +248,7 @@
 		o.t.set.Seed = 1000 + life
 		next, err := New(h.now, o.id, o.t.set, o.saved, o)
 		require.NoError(t, err)
-		next.Members(h.now, o.t.members)
+		next.SetMembers(h.now, o.t.members)
 		o.t = next
 		h.until(h.now + 4)
 		for _, s := range h.all {
@@ -374,7 +374,7 @@
 			if !s.up {
 				back, err := New(h.now, s.id, s.t.set, s.saved, s)
 				require.NoError(t, err)
-				back.Members(h.now, s.t.members)
+				back.SetMembers(h.now, s.t.members)
 				s.t, s.up = back, true
 			}
 		}
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -538,7 +538,7 @@
 		}
 		list = append(list, lease.Member{ID: s.of.id, Address: s.of.of.address, State: s.state, Keeps: s.of.of.keeps, SinceS: now - s.since})
 	}
-	n.t.Members(now, list)
+	n.t.SetMembers(now, list)
 }
 
 // reach tells whom a member hears, by way of others too.
