--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -142,7 +142,7 @@
 	if now >= o.fitAt {
 		o.lookFit(now)
 	}
-	if now >= o.t.Next() {
+	if now >= o.t.NextTick() {
 		o.t.Tick(now)
 	}
 	for _, j := range o.jobs {
@@ -183,7 +183,7 @@
 	if o.t == nil {
 		return now + fitEveryS
 	}
-	next := min(o.t.Next(), o.fitAt)
+	next := min(o.t.NextTick(), o.fitAt)
 	for _, j := range o.jobs {
 		if j.work != nil {
 			next = min(next, j.next)
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -233,8 +233,8 @@
 	t.settle()
 }
 
-// Next returns when Tick is to be called.
-func (t *Node) Next() float64 {
+// NextTick returns when Tick is to be called.
+func (t *Node) NextTick() float64 {
 	if t.over {
 		return math.Inf(1)
 	}
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -85,7 +85,7 @@
 		}
 		h.now += 0.01
 		for _, s := range h.all {
-			if s.up && s.t.Next() <= h.now {
+			if s.up && s.t.NextTick() <= h.now {
 				s.t.Tick(h.now)
 			}
 		}
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -242,7 +242,7 @@
 	if !n.up {
 		return
 	}
-	at := n.trueOf(n.t.Next())
+	at := n.trueOf(n.t.NextTick())
 	if at >= n.armed || math.IsInf(at, 1) {
 		return
 	}
