--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -173,7 +173,7 @@
 	for _, j := range o.jobs {
 		if j.unfit == fit {
 			j.unfit = !fit
-			o.t.Willing(now, j.name, fit)
+			o.t.SetWilling(now, j.name, fit)
 		}
 	}
 }
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// Willing tells whether this member wants a job.
-func (t *Node) Willing(now float64, job string, willing bool) {
+// SetWilling tells whether this member wants a job.
+func (t *Node) SetWilling(now float64, job string, willing bool) {
 	t.enter(now)
 	i, not := slices.BinarySearch(t.unwilling, job)
 	switch {
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -156,7 +156,7 @@
 // What was given back is another's at once, whoever gives it back and why.
 func TestGivenBackIsGrantedAtOnce(t *testing.T) {
 	for name, give := range map[string]func(h *hall, o *seat){
-		"unwilling": func(h *hall, o *seat) { o.t.Willing(h.now, "list", false) },
+		"unwilling": func(h *hall, o *seat) { o.t.SetWilling(h.now, "list", false) },
 		"step-down": func(h *hall, o *seat) { h.all[4].t.Move(h.now, "list") },
 		"leaves":    func(h *hall, o *seat) { o.t.Leave(h.now) },
 	} {
--- a/internal/sim/leasesim/day.go
+++ b/internal/sim/leasesim/day.go
@@ -328,8 +328,8 @@
 			return
 		}
 		job, life := w.jobs[w.rng.IntN(len(w.jobs))], n.life
-		n.call(life, func() { n.t.Willing(n.clock(), job, false) })
-		w.After(forS, func() { n.call(life, func() { n.t.Willing(n.clock(), job, true) }) })
+		n.call(life, func() { n.t.SetWilling(n.clock(), job, false) })
+		w.After(forS, func() { n.call(life, func() { n.t.SetWilling(n.clock(), job, true) }) })
 	}},
 }
 
