--- a/internal/coordination/list.go
+++ b/internal/coordination/list.go
@@ -496,7 +496,7 @@
 		if j.token != 0 && now > max(j.beganAt, f.ownAt, j.movedAt)+deafS {
 			j.movedAt = now
 			f.o.note("discovery can't be reached from here: the job is to go to another", "job", j.name)
-			f.o.t.Move(now, j.name)
+			f.o.t.RequestStepDown(now, j.name)
 		}
 	}
 }
--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -172,7 +172,7 @@
 		default:
 			for _, g := range f.owners.t.Table().Grants {
 				if g.Job == name && g.Owner != 0 {
-					f.owners.t.Move(f.net.Now(), name)
+					f.owners.t.RequestStepDown(f.net.Now(), name)
 					return
 				}
 			}
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -276,8 +276,8 @@
 	t.send(from, &Message{Wish: wish, Decline: not, Life: t.life})
 }
 
-// Move has a job go to somebody else, as an operator wants.
-func (t *Node) Move(now float64, job string) {
+// RequestStepDown has a job go to somebody else, as an operator wants.
+func (t *Node) RequestStepDown(now float64, job string) {
 	t.enter(now)
 	if !t.over && t.table.Leader != 0 {
 		t.send(t.table.Leader, &Message{Move: job})
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -157,7 +157,7 @@
 func TestGivenBackIsGrantedAtOnce(t *testing.T) {
 	for name, give := range map[string]func(h *hall, o *seat){
 		"unwilling": func(h *hall, o *seat) { o.t.SetWilling(h.now, "list", false) },
-		"step-down": func(h *hall, o *seat) { h.all[4].t.Move(h.now, "list") },
+		"step-down": func(h *hall, o *seat) { h.all[4].t.RequestStepDown(h.now, "list") },
 		"leaves":    func(h *hall, o *seat) { o.t.Leave(h.now) },
 	} {
 		h := newHall(t, 5, "list")
@@ -187,7 +187,7 @@
 	for range 5 {
 		owner, _ := h.owner("list")
 		if owner != nil {
-			owner.t.Move(h.now, "list")
+			owner.t.RequestStepDown(h.now, "list")
 		}
 		h.until(h.now + 1)
 	}
@@ -269,7 +269,7 @@
 	h.until(110)
 	was := h.leader()
 	was.full = true
-	h.all[0].t.Move(h.now, "list") // something to keep
+	h.all[0].t.RequestStepDown(h.now, "list") // something to keep
 	h.until(h.now + 6)
 	require.NotNil(t, h.leader())
 	require.True(t, was.t.Stats().Unkept)
@@ -286,7 +286,7 @@
 	h.until(110)
 	was := h.leader()
 	was.slow = true
-	was.t.Move(h.now, "list") // something to keep
+	was.t.RequestStepDown(h.now, "list") // something to keep
 	h.until(h.now + 0.1)
 	require.True(t, was.t.saving)
 	for _, s := range h.all {
@@ -363,7 +363,7 @@
 		leader := h.leader()
 		switch round % 3 {
 		case 0:
-			o.t.Move(h.now, "works")
+			o.t.RequestStepDown(h.now, "works")
 		case 1:
 			o.up = false
 		default:
@@ -382,7 +382,7 @@
 	}
 	// The old owner's write comes in after all.
 	o, token := h.owner("works")
-	o.t.Move(h.now, "works")
+	o.t.RequestStepDown(h.now, "works")
 	h.until(h.now + 4)
 	next, _ := h.owner("works")
 	require.NotEqual(t, o, next)
--- a/internal/sim/leasesim/day.go
+++ b/internal/sim/leasesim/day.go
@@ -312,13 +312,13 @@
 	}},
 	{"move", func(w *World, _ float64) {
 		if n := w.aimed(); n != nil {
-			n.call(n.life, func() { n.t.Move(n.clock(), w.jobs[w.rng.IntN(len(w.jobs))]) })
+			n.call(n.life, func() { n.t.RequestStepDown(n.clock(), w.jobs[w.rng.IntN(len(w.jobs))]) })
 		}
 	}},
 	{"move-freeze", func(w *World, forS float64) { // the owner stands still just after it was told to give the job up
 		job := w.jobs[w.rng.IntN(len(w.jobs))]
 		if n := w.ownerOf(job); n != nil {
-			n.call(n.life, func() { n.t.Move(n.clock(), job) })
+			n.call(n.life, func() { n.t.RequestStepDown(n.clock(), job) })
 			w.After(w.between(1, 8)*w.latencyS, func() { n.freeze(forS) })
 		}
 	}},
--- a/internal/sim/leasesim/measure.go
+++ b/internal/sim/leasesim/measure.go
@@ -36,7 +36,7 @@
 	{"cut, words come in", func(w *World, o, _ *node) { w.cutOff(o, true, false) }},
 	{"SIGTERM", func(_ *World, o, _ *node) { o.leave(func() {}) }},
 	{"SIGTERM of the leader, which owns it", func(_ *World, _, l *node) { l.leave(func() {}) }},
-	{"step-down", func(w *World, o, _ *node) { o.call(o.life, func() { o.t.Move(o.clock(), w.jobs[0]) }) }},
+	{"step-down", func(w *World, o, _ *node) { o.call(o.life, func() { o.t.RequestStepDown(o.clock(), w.jobs[0]) }) }},
 }
 
 func (w *World) cutOff(n *node, out, in bool) {
--- a/internal/sim/leasesim/owners_test.go
+++ b/internal/sim/leasesim/owners_test.go
@@ -69,7 +69,7 @@
 		owner, leader := w.ownerOf("list"), w.leaderNow()
 		require.NotNil(t, owner)
 		before, _ := owner.t.Holds(owner.clock(), "list")
-		owner.call(owner.life, func() { owner.t.Move(owner.clock(), "list") })
+		owner.call(owner.life, func() { owner.t.RequestStepDown(owner.clock(), "list") })
 		w.Until(w.Now() + w.between(0.02, 0.15))
 		for _, n := range w.nodes {
 			if n != owner && n != leader {
