--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -204,7 +204,7 @@
 		o.leaveBy = now + leaveWithinS
 		o.t.Leave(now)
 	}
-	return now < o.leaveBy && !o.t.Left()
+	return now < o.leaveBy && !o.t.HasLeft()
 }
 
 // job returns one by its name, nil where it is not known and there is room for no more.
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -304,8 +304,8 @@
 	t.settle()
 }
 
-// Left tells whether all that was given back is known to be, and another leads.
-func (t *Node) Left() bool {
+// HasLeft tells whether all that was given back is known to be, and another leads.
+func (t *Node) HasLeft() bool {
 	return t.over || t.leaving && len(t.held) == 0 && t.handed && !slices.ContainsFunc(t.done, t.stillOurs)
 }
 
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -172,7 +172,7 @@
 		require.Equal(t, token+1, greater, name)
 		if name == "leaves" {
 			h.until(h.now + 1)
-			require.True(t, o.t.Left())
+			require.True(t, o.t.HasLeft())
 			require.NotEqual(t, o, h.leader())
 		}
 	}
@@ -199,7 +199,7 @@
 	h.until(h.now + 3)
 	require.Contains(t, o.gone, "old copy")
 	require.Nil(t, back.group)
-	require.True(t, back.Left())
+	require.True(t, back.HasLeft())
 }
 
 // Who comes back with a copy that is older by as many writes as it makes before it is heard has the serial that it had, and is told so
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -315,7 +315,7 @@
 	var poll func()
 	poll = func() {
 		n.call(life, func() {
-			if n.t.Left() || n.w.Now()-began > 1 {
+			if n.t.HasLeft() || n.w.Now()-began > 1 {
 				n.ident.left = true
 				n.kill()
 				then()
