--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -641,7 +641,7 @@
 	o := w.o
 	o.f.later(func() {
 		if o.t != nil {
-			o.t.Write(o.f.net.Now(), worksName, version, body)
+			o.t.WriteRecord(o.f.net.Now(), worksName, version, body)
 		}
 	})
 }
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -55,9 +55,9 @@
 // keepsRecord tells whether this member wants the record of a job that it owns.
 func (t *Node) keepsRecord(job string) bool { return slices.Contains(t.set.Records, job) }
 
-// Write asks that a record takes the place of the version before it. Actions.Agreed follows once one is agreed, which may be
+// WriteRecord asks that a record takes the place of the version before it. Actions.Agreed follows once one is agreed, which may be
 // another's; until then Write is to be called again. It tells nothing of what is lost on the way.
-func (t *Node) Write(now float64, job string, version uint64, body []byte) {
+func (t *Node) WriteRecord(now float64, job string, version uint64, body []byte) {
 	t.enter(now)
 	if h := t.holding(job); h != nil && h.owned && t.table.Leader != 0 && !t.over && len(body) <= MostRecord {
 		t.send(t.table.Leader, &Message{Write: &Record{Job: job, Version: version, Token: h.Token, Body: body}})
--- a/internal/decide/lease/stored_form_test.go
+++ b/internal/decide/lease/stored_form_test.go
@@ -70,7 +70,7 @@
 	h.until(110)
 	o, token := h.owner("list")
 	require.NotNil(t, o)
-	o.t.Write(h.now, "list", 1, []byte("kept"))
+	o.t.WriteRecord(h.now, "list", 1, []byte("kept"))
 	h.until(h.now + 1)
 	for _, s := range h.all {
 		raw := golden(t, fmt.Sprintf("state/member-%d.msgpack", s.id), s.saved)
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -351,12 +351,12 @@
 		// An entry that was written again and again is kept once; several that are together more than is logged are a snapshot.
 		body := append(make([]byte, 20<<10), byte(round))
 		for range 3 {
-			o.t.Write(h.now, "works", last.Version+1, body)
+			o.t.WriteRecord(h.now, "works", last.Version+1, body)
 			h.until(h.now + 0.1)
 		}
 		require.Equal(t, Record{"works", last.Version + 1, token, body}, o.agreed, round)
 		last = o.agreed
-		o.t.Write(h.now, "works", last.Version, []byte("earlier"))
+		o.t.WriteRecord(h.now, "works", last.Version, []byte("earlier"))
 		h.until(h.now + 0.1)
 		require.Equal(t, last, o.agreed)
 		require.Less(t, len(o.saved), 4*mostLogged)
