--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -18,8 +18,8 @@
 }
 
 const (
-	// MostRecord bounds a record's body, in bytes: with what goes around it it is one frame between members.
-	MostRecord = 40 << 10
+	// MaxRecordBytes bounds a record's body, in bytes: with what goes around it it is one frame between members.
+	MaxRecordBytes = 40 << 10
 	// mostLogged bounds what entries hold before they become a snapshot, in bytes: all of it is written with each change.
 	mostLogged = 96 << 10
 )
@@ -39,7 +39,7 @@
 // put takes a record, if its job still has the grant under which it is written, and the version before it.
 func (m *machine) put(r *Record) bool {
 	g, known := m.grant(r.Job)
-	if now := m.record(r.Job); !known || g.Owner == 0 || g.Token != r.Token || now.Version+1 != r.Version || len(r.Body) > MostRecord {
+	if now := m.record(r.Job); !known || g.Owner == 0 || g.Token != r.Token || now.Version+1 != r.Version || len(r.Body) > MaxRecordBytes {
 		return false
 	}
 	i, kept := placeOfRecord(m.Records, r.Job)
@@ -59,7 +59,7 @@
 // another's; until then Write is to be called again. It tells nothing of what is lost on the way.
 func (t *Node) WriteRecord(now float64, job string, version uint64, body []byte) {
 	t.enter(now)
-	if h := t.holding(job); h != nil && h.owned && t.table.Leader != 0 && !t.over && len(body) <= MostRecord {
+	if h := t.holding(job); h != nil && h.owned && t.table.Leader != 0 && !t.over && len(body) <= MaxRecordBytes {
 		t.send(t.table.Leader, &Message{Write: &Record{Job: job, Version: version, Token: h.Token, Body: body}})
 	}
 	t.settle()
@@ -80,7 +80,7 @@
 	for i := range records {
 		r := &records[i]
 		h := t.holding(r.Job)
-		if h == nil || !t.keepsRecord(r.Job) || r.Version <= h.version || len(r.Body) > MostRecord {
+		if h == nil || !t.keepsRecord(r.Job) || r.Version <= h.version || len(r.Body) > MaxRecordBytes {
 			continue
 		}
 		h.version, h.record = r.Version, *r
@@ -97,7 +97,7 @@
 	g, known := t.group.machine.grant(r.Job)
 	p := t.post(r.Job)
 	switch now := t.group.machine.record(r.Job); {
-	case !known || p == nil || g.Owner != from || g.Token != r.Token || p.freed == g.Token || p.pending || len(r.Body) > MostRecord:
+	case !known || p == nil || g.Owner != from || g.Token != r.Token || p.freed == g.Token || p.pending || len(r.Body) > MaxRecordBytes:
 		// it is not the owner, or not for long any more
 	case now.Version >= r.Version: // it is agreed, or another was faster
 		t.send(from, &Message{Records: []Record{now}})
