--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -333,7 +333,7 @@
 	o.f.later(func() {
 		if j := o.job(name); j != nil && j.held == token {
 			o.end(j, why)
-			if l, ok := j.work.(lapser); ok && why == lease.Lapsed {
+			if l, ok := j.work.(lapser); ok && why == lease.ReasonNotRenewed {
 				l.Lapsed(token)
 			}
 		}
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -114,5 +114,5 @@
 	Step     uint8     `msgpack:"s"`           // prepare, promise, accept, accepted, chosen, refused, asked
 }
 
-// Lapsed is why a job has ended whose lease was not confirmed in time: nobody need have been granted it since.
-const Lapsed = "the lease was not renewed in time"
+// ReasonNotRenewed is why a job has ended whose lease was not confirmed in time: nobody need have been granted it since.
+const ReasonNotRenewed = "the lease was not renewed in time"
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -148,7 +148,7 @@
 	for _, h := range slices.Clone(t.held) {
 		if h.owned && t.now >= h.until {
 			t.figures.Lapsed++
-			t.end(h, Lapsed)
+			t.end(h, ReasonNotRenewed)
 		}
 	}
 }
