--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -235,13 +235,13 @@
 func (o *owners) token(name string) (token uint64) {
 	if o.t != nil {
 		for _, g := range o.t.Table().Grants {
-			if g.Job == name {
+			if g.Role == name {
 				token = g.Token
 			}
 		}
 	}
 	for _, g := range o.greatest.Highest() {
-		if g.Job == name {
+		if g.Role == name {
 			token = max(token, g.Token)
 		}
 	}
--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -77,12 +77,12 @@
 		s.Electors = append(s.Electors, o.elector(id))
 	}
 	for _, g := range table.Grants {
-		o.job(g.Job)
+		o.job(g.Role)
 	}
 	for _, j := range o.jobs {
 		e := SeenJob{Job: j.name, Held: o.actsUnder(j), Taken: j.taken, Refused: j.refused, Foolish: j.foolish, Can: j.work != nil}
 		for _, g := range table.Grants {
-			if g.Job == j.name {
+			if g.Role == j.name {
 				if e.Token = g.Token; g.Owner != 0 {
 					who := o.elector(g.Owner)
 					e.Owner, e.Name = who.ID, who.Name
@@ -90,7 +90,7 @@
 			}
 		}
 		for _, g := range o.greatest.Highest() {
-			if g.Job == j.name {
+			if g.Role == j.name {
 				e.Seen = g.Token
 			}
 		}
@@ -171,7 +171,7 @@
 			err = ErrNoOwners
 		default:
 			for _, g := range f.owners.t.Table().Grants {
-				if g.Job == name && g.Owner != 0 {
+				if g.Role == name && g.Owner != 0 {
 					f.owners.t.RequestStepDown(f.net.Now(), name)
 					return
 				}
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -162,7 +162,7 @@
 	if k == nil {
 		return
 	}
-	w.o.greatest.Restore([]lease.Grant{{Job: worksName, Token: k.Token}})
+	w.o.greatest.Restore([]lease.Grant{{Role: worksName, Token: k.Token}})
 	w.apply(k.Epoch, k.Version, k.Body, false)
 }
 
@@ -201,7 +201,7 @@
 	f := w.o.f
 	token := uint64(0)
 	for _, g := range w.o.greatest.Highest() {
-		if g.Job == worksName {
+		if g.Role == worksName {
 			token = g.Token
 		}
 	}
--- a/internal/decide/lease/greatest.go
+++ b/internal/decide/lease/greatest.go
@@ -18,7 +18,7 @@
 	case !known && len(g.seen) >= mostJobs || token == 0:
 		return false, 0
 	case !known:
-		g.seen = slices.Insert(g.seen, i, Grant{Job: job, Token: token})
+		g.seen = slices.Insert(g.seen, i, Grant{Role: job, Token: token})
 	case token < g.seen[i].Token:
 		return false, g.seen[i].Token
 	}
@@ -32,7 +32,7 @@
 // Restore takes what an earlier process had seen. What is lower than what was seen since changes nothing.
 func (g *Fence) Restore(seen []Grant) {
 	for _, s := range seen {
-		g.Admit(s.Job, s.Token)
+		g.Admit(s.Role, s.Token)
 	}
 }
 
@@ -42,9 +42,9 @@
 func placeOf(grants []Grant, job string) (int, bool) {
 	return slices.BinarySearchFunc(grants, job, func(g Grant, job string) int {
 		switch {
-		case g.Job < job:
+		case g.Role < job:
 			return -1
-		case g.Job > job:
+		case g.Role > job:
 			return 1
 		}
 		return 0
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -59,7 +59,7 @@
 
 func (t *Node) holding(job string) *holding {
 	for _, h := range t.held {
-		if h.Job == job {
+		if h.Role == job {
 			return h
 		}
 	}
@@ -70,17 +70,17 @@
 func (t *Node) learn() {
 	t.done = slices.DeleteFunc(t.done, func(d Grant) bool { return !t.stillOurs(d) })
 	for _, h := range slices.Clone(t.held) {
-		if g, known := t.granted(h.Job); known && (g.Token > h.Token || g.Token == h.Token && g.Owner != t.self) {
+		if g, known := t.granted(h.Role); known && (g.Token > h.Token || g.Token == h.Token && g.Owner != t.self) {
 			t.end(h, "it was granted to another")
 		}
 	}
 	for _, g := range t.table.Grants {
-		if g.Owner != t.self || t.holding(g.Job) != nil || t.isDone(g) {
+		if g.Owner != t.self || t.holding(g.Role) != nil || t.isDone(g) {
 			continue
 		}
-		if g.Life != t.life || !t.can(g.Job) {
-			if !t.can(g.Job) {
-				t.decline([]string{g.Job})
+		if g.Life != t.life || !t.can(g.Role) {
+			if !t.can(g.Role) {
+				t.decline([]string{g.Role})
 			}
 			t.giveBack(g)
 			continue
@@ -103,12 +103,12 @@
 
 // stillOurs tells whether the table still says that a grant is this member's.
 func (t *Node) stillOurs(g Grant) bool {
-	now, known := t.granted(g.Job)
+	now, known := t.granted(g.Role)
 	return known && now.Token == g.Token && now.Owner == t.self
 }
 
 func (t *Node) isDone(g Grant) bool {
-	return slices.ContainsFunc(t.done, func(d Grant) bool { return d.Job == g.Job && d.Token >= g.Token })
+	return slices.ContainsFunc(t.done, func(d Grant) bool { return d.Role == g.Role && d.Token >= g.Token })
 }
 
 // can tells whether this member does a job.
@@ -120,7 +120,7 @@
 func (t *Node) end(h *holding, why string) {
 	t.held = slices.DeleteFunc(t.held, func(o *holding) bool { return o == h })
 	if h.owned {
-		t.do.Ended(h.Job, h.Token, why)
+		t.do.Ended(h.Role, h.Token, why)
 	}
 	t.giveBack(h.Grant)
 }
@@ -221,19 +221,19 @@
 	t.heardAt = t.now
 	t.learnRecords(r.Records)
 	for _, g := range r.Grants {
-		h := t.holding(g.Job)
+		h := t.holding(g.Role)
 		if h == nil || h.Token != g.Token || !slices.Contains(sent.grants, h.Grant) {
 			continue
 		}
 		h.until = max(h.until, sent.at+ownPart*leaseS)
 		switch {
 		case t.now >= h.until:
-		case !h.owned && t.can(h.Job):
+		case !h.owned && t.can(h.Role):
 			h.owned = true
 			t.figures.Owned++
-			t.do.Granted(h.Job, h.Token)
-			if t.keepsRecord(h.Job) {
-				h.record.Job = h.Job
+			t.do.Granted(h.Role, h.Token)
+			if t.keepsRecord(h.Role) {
+				h.record.Job = h.Role
 				t.do.Agreed(h.record)
 			}
 		}
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -81,7 +81,7 @@
 	if leads {
 		t.figures.Leaders++
 		for _, g := range t.group.machine.Grants {
-			t.post(g.Job)
+			t.post(g.Role)
 		}
 	} else {
 		t.drawElection()
@@ -135,10 +135,10 @@
 	}
 	t.dueAt = t.now
 	for _, g := range m.Back {
-		p := t.post(g.Job)
-		if now, known := t.group.machine.grant(g.Job); p != nil && known && now.Token == g.Token && now.Owner == from && p.freed != g.Token {
+		p := t.post(g.Role)
+		if now, known := t.group.machine.grant(g.Role); p != nil && known && now.Token == g.Token && now.Owner == from && p.freed != g.Token {
 			p.freed, p.freedAt = g.Token, t.now
-			t.unbid(from, g.Job)
+			t.unbid(from, g.Role)
 		}
 	}
 	for _, job := range m.Decline {
@@ -220,8 +220,8 @@
 func (t *Node) confirm(w waitingRenewal) {
 	answer := &Renewal{Number: w.Number}
 	for _, g := range w.Grants {
-		now, known := t.group.machine.grant(g.Job)
-		p := t.post(g.Job)
+		now, known := t.group.machine.grant(g.Role)
+		p := t.post(g.Role)
 		if !known || p == nil || now != g || now.Owner != w.from || p.pending || p.freed == g.Token {
 			continue
 		}
@@ -252,9 +252,9 @@
 
 func (t *Node) sendMove(g Grant) {
 	if g.Owner == t.self {
-		t.moved(g.Job)
+		t.moved(g.Role)
 	} else {
-		t.do.Send(g.Owner, &Message{Move: g.Job})
+		t.do.Send(g.Owner, &Message{Move: g.Role})
 	}
 }
 
--- a/internal/decide/lease/machine.go
+++ b/internal/decide/lease/machine.go
@@ -39,7 +39,7 @@
 	case !known && (c.Was != 0 || c.Owner == 0 || len(m.Grants) >= mostJobs):
 		return false
 	case !known:
-		m.Grants = slices.Insert(m.Grants, i, Grant{Job: c.Job, Token: m.Epoch << counterBits})
+		m.Grants = slices.Insert(m.Grants, i, Grant{Role: c.Job, Token: m.Epoch << counterBits})
 	case m.Grants[i].Token != c.Was:
 		return false // somebody else was faster: what was meant by it does not hold any more
 	}
@@ -54,7 +54,7 @@
 func (m *machine) grant(job string) (Grant, bool) {
 	i, known := placeOf(m.Grants, job)
 	if !known {
-		return Grant{Job: job}, false
+		return Grant{Role: job}, false
 	}
 	return m.Grants[i], true
 }
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -68,8 +68,8 @@
 // known are the versions that this member knows of the records of what it holds.
 func (t *Node) knownRecords() (all []Record) {
 	for _, h := range t.held {
-		if t.keepsRecord(h.Job) {
-			all = append(all, Record{Job: h.Job, Version: h.version})
+		if t.keepsRecord(h.Role) {
+			all = append(all, Record{Job: h.Role, Version: h.version})
 		}
 	}
 	return all
--- a/internal/lab/processcluster/grants.go
+++ b/internal/lab/processcluster/grants.go
@@ -65,7 +65,7 @@
 	}
 	if m.Table != nil {
 		for _, x := range m.Table.Grants {
-			g.note(grant{x.Job, x.Token}, now)
+			g.note(grant{x.Role, x.Token}, now)
 		}
 	}
 	if m.Renew != nil && len(g.asked) < mostAsked {
@@ -80,9 +80,9 @@
 	from, ok := g.asked[q]
 	delete(g.asked, q)
 	for _, x := range m.Renewed.Grants {
-		g.note(grant{x.Job, x.Token}, now)
+		g.note(grant{x.Role, x.Token}, now)
 		if ok {
-			g.confirms = append(g.confirms, confirm{grant{x.Job, x.Token}, from, now})
+			g.confirms = append(g.confirms, confirm{grant{x.Role, x.Token}, from, now})
 		}
 	}
 }
