--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -83,8 +83,8 @@
 		e := SeenJob{Job: j.name, Held: o.actsUnder(j), Taken: j.taken, Refused: j.refused, Foolish: j.foolish, Can: j.work != nil}
 		for _, g := range table.Grants {
 			if g.Role == j.name {
-				if e.Token = g.Token; g.Owner != 0 {
-					who := o.elector(g.Owner)
+				if e.Token = g.Token; g.Holder != 0 {
+					who := o.elector(g.Holder)
 					e.Owner, e.Name = who.ID, who.Name
 				}
 			}
@@ -171,7 +171,7 @@
 			err = ErrNoOwners
 		default:
 			for _, g := range f.owners.t.Table().Grants {
-				if g.Role == name && g.Owner != 0 {
+				if g.Role == name && g.Holder != 0 {
 					f.owners.t.RequestStepDown(f.net.Now(), name)
 					return
 				}
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -11,10 +11,10 @@
 
 // Grant is a job in one member's hands, or, without an owner, the last token of one that nobody has.
 type Grant struct {
-	Role  string  `msgpack:"j"`
-	Owner swim.ID `msgpack:"o,omitempty"` // 0: nobody
-	Token uint64  `msgpack:"t"`           // of this grant; the job's next one is greater
-	Life  uint64  `msgpack:"l,omitempty"` // of the owner's process: another one with its identity gives the job back
+	Role   string  `msgpack:"j"`
+	Holder swim.ID `msgpack:"o,omitempty"` // 0: nobody
+	Token  uint64  `msgpack:"t"`           // of this grant; the job's next one is greater
+	Life   uint64  `msgpack:"l,omitempty"` // of the owner's process: another one with its identity gives the job back
 }
 
 // Table is what is known of all grants. Of two the one of the greater Epoch, then Index, then Term, is newer; it goes to all
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -70,12 +70,12 @@
 func (t *Node) learn() {
 	t.done = slices.DeleteFunc(t.done, func(d Grant) bool { return !t.stillOurs(d) })
 	for _, h := range slices.Clone(t.held) {
-		if g, known := t.granted(h.Role); known && (g.Token > h.Token || g.Token == h.Token && g.Owner != t.self) {
+		if g, known := t.granted(h.Role); known && (g.Token > h.Token || g.Token == h.Token && g.Holder != t.self) {
 			t.end(h, "it was granted to another")
 		}
 	}
 	for _, g := range t.table.Grants {
-		if g.Owner != t.self || t.holding(g.Role) != nil || t.isDone(g) {
+		if g.Holder != t.self || t.holding(g.Role) != nil || t.isDone(g) {
 			continue
 		}
 		if g.Life != t.life || !t.can(g.Role) {
@@ -104,7 +104,7 @@
 // stillOurs tells whether the table still says that a grant is this member's.
 func (t *Node) stillOurs(g Grant) bool {
 	now, known := t.granted(g.Role)
-	return known && now.Token == g.Token && now.Owner == t.self
+	return known && now.Token == g.Token && now.Holder == t.self
 }
 
 func (t *Node) isDone(g Grant) bool {
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -136,7 +136,7 @@
 	t.dueAt = t.now
 	for _, g := range m.Back {
 		p := t.post(g.Role)
-		if now, known := t.group.machine.grant(g.Role); p != nil && known && now.Token == g.Token && now.Owner == from && p.freed != g.Token {
+		if now, known := t.group.machine.grant(g.Role); p != nil && known && now.Token == g.Token && now.Holder == from && p.freed != g.Token {
 			p.freed, p.freedAt = g.Token, t.now
 			t.unbid(from, g.Role)
 		}
@@ -222,7 +222,7 @@
 	for _, g := range w.Grants {
 		now, known := t.group.machine.grant(g.Role)
 		p := t.post(g.Role)
-		if !known || p == nil || now != g || now.Owner != w.from || p.pending || p.freed == g.Token {
+		if !known || p == nil || now != g || now.Holder != w.from || p.pending || p.freed == g.Token {
 			continue
 		}
 		p.confirmed = t.now
@@ -244,17 +244,17 @@
 
 // moveOn asks the owner of a job to give it up.
 func (t *Node) moveOn(job string) {
-	if g, known := t.group.machine.grant(job); known && g.Owner != 0 {
-		t.passOver(job, g.Owner, passS)
+	if g, known := t.group.machine.grant(job); known && g.Holder != 0 {
+		t.passOver(job, g.Holder, passS)
 		t.sendMove(g)
 	}
 }
 
 func (t *Node) sendMove(g Grant) {
-	if g.Owner == t.self {
+	if g.Holder == t.self {
 		t.moved(g.Role)
 	} else {
-		t.do.Send(g.Owner, &Message{Move: g.Role})
+		t.do.Send(g.Holder, &Message{Move: g.Role})
 	}
 }
 
@@ -277,7 +277,7 @@
 			continue
 		}
 		g, _ := t.group.machine.grant(p.job)
-		nobodys := g.Owner == 0 || p.freed == g.Token
+		nobodys := g.Holder == 0 || p.freed == g.Token
 		over := t.now >= max(p.confirmed, t.leadsAt)+leaseS
 		switch {
 		case nobodys || over:
@@ -285,7 +285,7 @@
 			switch {
 			case id != 0:
 				list = append(list, command{Job: p.job, Owner: id, Life: life, Was: g.Token})
-			case g.Owner != 0 && (nobodys && t.now-p.freedAt > nobodyS || t.now-max(p.confirmed, t.leadsAt) > leaseS+nobodyS):
+			case g.Holder != 0 && (nobodys && t.now-p.freedAt > nobodyS || t.now-max(p.confirmed, t.leadsAt) > leaseS+nobodyS):
 				list = append(list, command{Job: p.job, Was: g.Token})
 			}
 		case t.now-max(p.confirmed, t.leadsAt) > soonS:
@@ -320,7 +320,7 @@
 // load counts a member's jobs, with those of a list that is to be proposed.
 func (t *Node) load(id swim.ID, list []command) (n int) {
 	for _, g := range t.group.machine.Grants {
-		if g.Owner == id {
+		if g.Holder == id {
 			n++
 		}
 	}
@@ -348,7 +348,7 @@
 			continue
 		}
 		load := t.load(m.ID, list)
-		if m.ID == g.Owner {
+		if m.ID == g.Holder {
 			load-- // this very job
 		}
 		ranks = append(ranks, rank{m.ID, load, draw(p.job, m.ID)})
@@ -472,7 +472,7 @@
 	}
 	for _, p := range t.jobs {
 		g, _ := t.group.machine.grant(p.job)
-		if g.Owner != from || p.pending || p.freed == g.Token || t.now-p.moveAt < calmS {
+		if g.Holder != from || p.pending || p.freed == g.Token || t.now-p.moveAt < calmS {
 			continue
 		}
 		ranked := t.ranked(p, nil)
@@ -538,7 +538,7 @@
 		return nil
 	}
 	for _, g := range t.group.machine.Grants {
-		ids = append(ids, g.Owner)
+		ids = append(ids, g.Holder)
 	}
 	for _, p := range t.jobs {
 		if t.now-p.offeredAt < bidS {
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -39,7 +39,7 @@
 // put takes a record, if its job still has the grant under which it is written, and the version before it.
 func (m *machine) put(r *Record) bool {
 	g, known := m.grant(r.Job)
-	if now := m.record(r.Job); !known || g.Owner == 0 || g.Token != r.Token || now.Version+1 != r.Version || len(r.Body) > MaxRecordBytes {
+	if now := m.record(r.Job); !known || g.Holder == 0 || g.Token != r.Token || now.Version+1 != r.Version || len(r.Body) > MaxRecordBytes {
 		return false
 	}
 	i, kept := placeOfRecord(m.Records, r.Job)
@@ -97,7 +97,7 @@
 	g, known := t.group.machine.grant(r.Job)
 	p := t.post(r.Job)
 	switch now := t.group.machine.record(r.Job); {
-	case !known || p == nil || g.Owner != from || g.Token != r.Token || p.freed == g.Token || p.pending || len(r.Body) > MaxRecordBytes:
+	case !known || p == nil || g.Holder != from || g.Token != r.Token || p.freed == g.Token || p.pending || len(r.Body) > MaxRecordBytes:
 		// it is not the owner, or not for long any more
 	case now.Version >= r.Version: // it is agreed, or another was faster
 		t.send(from, &Message{Records: []Record{now}})
@@ -116,8 +116,8 @@
 	if p := t.post(r.Job); p != nil {
 		p.writing = 0
 	}
-	if g, known := t.group.machine.grant(r.Job); known && g.Owner != 0 {
-		t.send(g.Owner, &Message{Records: []Record{t.group.machine.record(r.Job)}})
+	if g, known := t.group.machine.grant(r.Job); known && g.Holder != 0 {
+		t.send(g.Holder, &Message{Records: []Record{t.group.machine.record(r.Job)}})
 	}
 }
 
--- a/internal/lab/processcluster/grants_test.go
+++ b/internal/lab/processcluster/grants_test.go
@@ -18,7 +18,7 @@
 		g.Tap(1, Way{from, to}, frames.TopicOwner, body)
 	}
 	renewal := func(number, token uint64) *lease.Renewal {
-		return &lease.Renewal{Number: number, Grants: []lease.Grant{{Role: "report", Owner: 7, Token: token}}}
+		return &lease.Renewal{Number: number, Grants: []lease.Grant{{Role: "report", Holder: 7, Token: token}}}
 	}
 	for _, c := range []struct {
 		name  string
@@ -30,7 +30,7 @@
 			say(g, "a", "leader", lease.Message{Renew: renewal(1, 5)})
 			say(g, "leader", "a", lease.Message{Renewed: renewal(1, 5)})
 			say(g, "a", "leader", lease.Message{Renew: renewal(2, 5)}) // on the way while the next is granted
-			say(g, "leader", "b", lease.Message{Table: &lease.Table{Grants: []lease.Grant{{Role: "report", Owner: 8, Token: 6}}}})
+			say(g, "leader", "b", lease.Message{Table: &lease.Table{Grants: []lease.Grant{{Role: "report", Holder: 8, Token: 6}}}})
 			say(g, "b", "leader", lease.Message{Renew: renewal(1, 6)})
 			say(g, "leader", "b", lease.Message{Renewed: renewal(1, 6)})
 			if c.late {
