--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -14,7 +14,7 @@
 	Role   string  `msgpack:"j"`
 	Holder swim.ID `msgpack:"o,omitempty"` // 0: nobody
 	Token  uint64  `msgpack:"t"`           // of this grant; the job's next one is greater
-	Life   uint64  `msgpack:"l,omitempty"` // of the owner's process: another one with its identity gives the job back
+	BootID uint64  `msgpack:"l,omitempty"` // of the owner's process: another one with its identity gives the job back
 }
 
 // Table is what is known of all grants. Of two the one of the greater Epoch, then Index, then Term, is newer; it goes to all
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -78,7 +78,7 @@
 		if g.Holder != t.self || t.holding(g.Role) != nil || t.isDone(g) {
 			continue
 		}
-		if g.Life != t.life || !t.can(g.Role) {
+		if g.BootID != t.life || !t.can(g.Role) {
 			if !t.can(g.Role) {
 				t.decline([]string{g.Role})
 			}
--- a/internal/decide/lease/machine.go
+++ b/internal/decide/lease/machine.go
@@ -44,7 +44,7 @@
 		return false // somebody else was faster: what was meant by it does not hold any more
 	}
 	g := &m.Grants[i]
-	if g.Holder, g.Life = c.Owner, c.Life; c.Owner != 0 {
+	if g.Holder, g.BootID = c.Owner, c.Life; c.Owner != 0 {
 		g.Token++
 	}
 	return true
