--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -322,7 +322,7 @@
 func (a tenureActions) Agreed(r lease.Record) {
 	o, of := a.o, a.o.t
 	o.f.later(func() {
-		if w := o.works; o.t == of && w != nil && r.Job == worksName && w.held != 0 {
+		if w := o.works; o.t == of && w != nil && r.Role == worksName && w.held != 0 {
 			w.agreed(&r)
 		}
 	})
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -233,7 +233,7 @@
 			t.figures.Owned++
 			t.do.Granted(h.Role, h.Token)
 			if t.keepsRecord(h.Role) {
-				h.record.Job = h.Role
+				h.record.Role = h.Role
 				t.do.Agreed(h.record)
 			}
 		}
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -11,7 +11,7 @@
 // that stood still goes on to write; so a record is written under a grant and in place of one version, and is not where the job has
 // been granted anew or another version was faster.
 type Record struct {
-	Job     string `msgpack:"j"`
+	Role    string `msgpack:"j"`
 	Version uint64 `msgpack:"v"`           // one more with each; 0: nothing was written
 	Token   uint64 `msgpack:"t,omitempty"` // of the grant under which it was written
 	Body    []byte `msgpack:"b,omitempty"`
@@ -25,7 +25,7 @@
 )
 
 func placeOfRecord(records []Record, job string) (int, bool) {
-	return slices.BinarySearchFunc(records, job, func(r Record, job string) int { return cmp.Compare(r.Job, job) })
+	return slices.BinarySearchFunc(records, job, func(r Record, job string) int { return cmp.Compare(r.Role, job) })
 }
 
 // record returns what is kept of a job.
@@ -33,16 +33,16 @@
 	if i, known := placeOfRecord(m.Records, job); known {
 		return m.Records[i]
 	}
-	return Record{Job: job}
+	return Record{Role: job}
 }
 
 // put takes a record, if its job still has the grant under which it is written, and the version before it.
 func (m *machine) put(r *Record) bool {
-	g, known := m.grant(r.Job)
-	if now := m.record(r.Job); !known || g.Holder == 0 || g.Token != r.Token || now.Version+1 != r.Version || len(r.Body) > MaxRecordBytes {
+	g, known := m.grant(r.Role)
+	if now := m.record(r.Role); !known || g.Holder == 0 || g.Token != r.Token || now.Version+1 != r.Version || len(r.Body) > MaxRecordBytes {
 		return false
 	}
-	i, kept := placeOfRecord(m.Records, r.Job)
+	i, kept := placeOfRecord(m.Records, r.Role)
 	if !kept {
 		m.Records = slices.Insert(m.Records, i, Record{})
 	}
@@ -60,7 +60,7 @@
 func (t *Node) WriteRecord(now float64, job string, version uint64, body []byte) {
 	t.enter(now)
 	if h := t.holding(job); h != nil && h.owned && t.table.Leader != 0 && !t.over && len(body) <= MaxRecordBytes {
-		t.send(t.table.Leader, &Message{Write: &Record{Job: job, Version: version, Token: h.Token, Body: body}})
+		t.send(t.table.Leader, &Message{Write: &Record{Role: job, Version: version, Token: h.Token, Body: body}})
 	}
 	t.settle()
 }
@@ -69,7 +69,7 @@
 func (t *Node) knownRecords() (all []Record) {
 	for _, h := range t.held {
 		if t.keepsRecord(h.Role) {
-			all = append(all, Record{Job: h.Role, Version: h.version})
+			all = append(all, Record{Role: h.Role, Version: h.version})
 		}
 	}
 	return all
@@ -79,8 +79,8 @@
 func (t *Node) learnRecords(records []Record) {
 	for i := range records {
 		r := &records[i]
-		h := t.holding(r.Job)
-		if h == nil || !t.keepsRecord(r.Job) || r.Version <= h.version || len(r.Body) > MaxRecordBytes {
+		h := t.holding(r.Role)
+		if h == nil || !t.keepsRecord(r.Role) || r.Version <= h.version || len(r.Body) > MaxRecordBytes {
 			continue
 		}
 		h.version, h.record = r.Version, *r
@@ -94,15 +94,15 @@
 
 // write has a record agreed that an owner wants.
 func (t *Node) write(from swim.ID, r *Record) {
-	g, known := t.group.machine.grant(r.Job)
-	p := t.post(r.Job)
-	switch now := t.group.machine.record(r.Job); {
+	g, known := t.group.machine.grant(r.Role)
+	p := t.post(r.Role)
+	switch now := t.group.machine.record(r.Role); {
 	case !known || p == nil || g.Holder != from || g.Token != r.Token || p.freed == g.Token || p.pending || len(r.Body) > MaxRecordBytes:
 		// it is not the owner, or not for long any more
 	case now.Version >= r.Version: // it is agreed, or another was faster
 		t.send(from, &Message{Records: []Record{now}})
 	case now.Version+1 == r.Version && p.writing != r.Version:
-		if p.writing = r.Version; !t.propose(command{Job: r.Job, Put: r}) {
+		if p.writing = r.Version; !t.propose(command{Job: r.Role, Put: r}) {
 			p.writing = 0
 		}
 	}
@@ -113,18 +113,18 @@
 	if !t.group.leads {
 		return
 	}
-	if p := t.post(r.Job); p != nil {
+	if p := t.post(r.Role); p != nil {
 		p.writing = 0
 	}
-	if g, known := t.group.machine.grant(r.Job); known && g.Holder != 0 {
-		t.send(g.Holder, &Message{Records: []Record{t.group.machine.record(r.Job)}})
+	if g, known := t.group.machine.grant(r.Role); known && g.Holder != 0 {
+		t.send(g.Holder, &Message{Records: []Record{t.group.machine.record(r.Role)}})
 	}
 }
 
 // newerRecords returns what is kept of jobs beyond what the asker knows.
 func (t *Node) newerRecords(known []Record) (all []Record) {
 	for _, k := range known {
-		if now := t.group.machine.record(k.Job); now.Version > k.Version {
+		if now := t.group.machine.record(k.Role); now.Version > k.Version {
 			all = append(all, now)
 		}
 	}
