--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -73,7 +73,7 @@
 		e := o.elector(table.Leader)
 		s.Leader = &e
 	}
-	for _, id := range table.Electors {
+	for _, id := range table.Voters {
 		s.Electors = append(s.Electors, o.elector(id))
 	}
 	for _, g := range table.Grants {
@@ -127,7 +127,7 @@
 		}
 		return 0
 	}
-	all = append(all, sidecar.Figure{Name: "owner_electors", Value: uint64(len(table.Electors))}, sidecar.Figure{Name: "owner_elector", Value: one(here.Elector)},
+	all = append(all, sidecar.Figure{Name: "owner_electors", Value: uint64(len(table.Voters))}, sidecar.Figure{Name: "owner_elector", Value: one(here.Elector)},
 		sidecar.Figure{Name: "owner_leads", Value: one(here.Leads)}, sidecar.Figure{Name: "owner_term", Value: here.Term},
 		sidecar.Figure{Name: "owner_unkept", Value: one(here.Unkept)})
 	if l := o.lists; l != nil {
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -20,12 +20,12 @@
 // Table is what is known of all grants. Of two the one of the greater Epoch, then Index, then Term, is newer; it goes to all
 // members, each over all its links, once. Without Electors it only asks whether the other has a newer one.
 type Table struct {
-	Epoch    uint64    `msgpack:"e"` // of the electors' founding
-	Index    uint64    `msgpack:"i"` // of the electors' log up to which it holds
-	Term     uint64    `msgpack:"t"`
-	Leader   swim.ID   `msgpack:"l"`
-	Electors []swim.ID `msgpack:"m,omitempty"`
-	Grants   []Grant   `msgpack:"g,omitempty"` // by job
+	Epoch  uint64    `msgpack:"e"` // of the electors' founding
+	Index  uint64    `msgpack:"i"` // of the electors' log up to which it holds
+	Term   uint64    `msgpack:"t"`
+	Leader swim.ID   `msgpack:"l"`
+	Voters []swim.ID `msgpack:"m,omitempty"`
+	Grants []Grant   `msgpack:"g,omitempty"` // by job
 }
 
 // Member is what is known of one, from the decisions about who is there.
--- a/internal/decide/lease/found.go
+++ b/internal/decide/lease/found.go
@@ -73,7 +73,7 @@
 	if t.now-t.began < goneS {
 		return false // not all may have been met yet
 	}
-	for _, id := range t.table.Electors {
+	for _, id := range t.table.Voters {
 		if m := t.member(id); m != nil && (!m.State.IsDeadOrLeft() || t.sinceS(m) < goneS) {
 			return false
 		}
--- a/internal/decide/lease/group.go
+++ b/internal/decide/lease/group.go
@@ -161,7 +161,7 @@
 	if g == nil || !slices.Contains(slices.Concat(g.conf.GetVoters(), g.conf.GetVotersOutgoing()), uint64(t.self)) {
 		return false
 	}
-	return t.table.Epoch != t.founding.Epoch || t.table.Index <= g.applied || slices.Contains(t.table.Electors, t.self)
+	return t.table.Epoch != t.founding.Epoch || t.table.Index <= g.applied || slices.Contains(t.table.Voters, t.self)
 }
 
 // mayVote tells whether this member takes part: who leaves, or can't keep what it says, does not.
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -206,7 +206,7 @@
 		t.send(leader, m)
 		return
 	}
-	for _, id := range t.table.Electors { // one of them knows who leads
+	for _, id := range t.table.Voters { // one of them knows who leads
 		t.send(id, m)
 	}
 }
@@ -324,5 +324,5 @@
 	if len(t.held) == 0 && len(t.done) == 0 {
 		return nil
 	}
-	return append(slices.Clone(t.table.Electors), t.table.Leader)
+	return append(slices.Clone(t.table.Voters), t.table.Leader)
 }
--- a/internal/decide/lease/stored_form_test.go
+++ b/internal/decide/lease/stored_form_test.go
@@ -39,7 +39,7 @@
 	renewal := Renewal{Number: 21, Grants: []Grant{grant}, Records: []Record{record}}
 	wire := map[string]any{
 		"message": &Message{Epoch: 7, Raft: []byte("raft"), Serial: 31, Writer: 32, Lineage: []Writer{{33, 34}, {35, 36}}, Found: &founding,
-			Table: &Table{Epoch: 7, Index: 41, Term: 42, Leader: 11, Electors: []swim.ID{11, 12, 13}, Grants: []Grant{grant}},
+			Table: &Table{Epoch: 7, Index: 41, Term: 42, Leader: 11, Voters: []swim.ID{11, 12, 13}, Grants: []Grant{grant}},
 			Renew: &renewal, Renewed: &Renewal{Number: 22}, Back: []Grant{grant}, Decline: []string{"list"}, Wish: []string{"works", "report"},
 			Offer: []string{"a"}, Life: 51, Write: &record, Records: []Record{record}, Move: "report"},
 		"message-empty":   &Message{},
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -17,11 +17,11 @@
 // hearTable takes what another knows of all grants.
 func (t *Node) hearTable(from swim.ID, table *Table) {
 	switch {
-	case from == t.self || len(table.Grants) > mostJobs || len(table.Electors) > 2*mostList:
+	case from == t.self || len(table.Grants) > mostJobs || len(table.Voters) > 2*mostList:
 	case t.table.newer(table):
 		t.do.Send(from, t.tableMessage())
 	case !table.newer(&t.table):
-	case len(table.Electors) == 0:
+	case len(table.Voters) == 0:
 		t.do.Send(from, &Message{Table: &Table{Epoch: t.table.Epoch, Index: t.table.Index, Term: t.table.Term}})
 	default:
 		t.take(table, from)
@@ -54,10 +54,10 @@
 	}
 	table := Table{Epoch: t.founding.Epoch, Index: g.applied, Term: g.current, Leader: g.lead, Grants: slices.Clone(g.machine.Grants)}
 	for _, id := range slices.Concat(g.conf.GetVoters(), g.conf.GetVotersOutgoing()) { // while one is replaced, both count
-		table.Electors = append(table.Electors, swim.ID(id))
+		table.Voters = append(table.Voters, swim.ID(id))
 	}
-	slices.Sort(table.Electors)
-	table.Electors = slices.Compact(table.Electors)
+	slices.Sort(table.Voters)
+	table.Voters = slices.Compact(table.Voters)
 	if table.Leader == 0 && !table.newer(&t.table) {
 		return
 	}
--- a/internal/sim/leasesim/day.go
+++ b/internal/sim/leasesim/day.go
@@ -189,7 +189,7 @@
 		if n == nil {
 			return
 		}
-		electors := n.t.Table().Electors
+		electors := n.t.Table().Voters
 		not := w.chance(0.3)
 		for _, o := range w.nodes {
 			if o != n && o.ident != nil && slices.Contains(electors, o.ident.id) != not {
@@ -202,7 +202,7 @@
 		if n == nil {
 			return
 		}
-		electors := n.t.Table().Electors
+		electors := n.t.Table().Voters
 		for _, o := range w.nodes {
 			if o != n && o.ident != nil && slices.Contains(electors, o.ident.id) && !w.ownsAny(o) {
 				w.sever(n, o, true, forS)
@@ -457,7 +457,7 @@
 	epoch, index := uint64(0), uint64(0)
 	for _, n := range w.lives() {
 		if t := n.t.Table(); t.Epoch > epoch || t.Epoch == epoch && t.Index > index {
-			epoch, index, list = t.Epoch, t.Index, t.Electors
+			epoch, index, list = t.Epoch, t.Index, t.Voters
 		}
 	}
 	there := 0
--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -147,7 +147,7 @@
 	} else {
 		n.table = at
 	}
-	sum := fmt.Sprint(t.Grants, t.Electors)
+	sum := fmt.Sprint(t.Grants, t.Voters)
 	i, known := slices.BinarySearchFunc(w.tables, t, func(k knownTable, t lease.Table) int {
 		if k.epoch != t.Epoch {
 			return int(int64(k.epoch) - int64(t.Epoch))
@@ -167,7 +167,7 @@
 	j := slices.IndexFunc(w.electors, func(e electorsAt) bool { return e.epoch == f.Epoch })
 	if j < 0 {
 		w.counts.Founded++
-		w.electors = append(w.electors, electorsAt{f.Epoch, f.Term, n.ident.id, t.Electors})
+		w.electors = append(w.electors, electorsAt{f.Epoch, f.Term, n.ident.id, t.Voters})
 		return
 	}
 	e := &w.electors[j]
@@ -176,25 +176,25 @@
 	}
 	if f.Term == e.term {
 		came, went := 0, 0
-		for _, id := range t.Electors {
+		for _, id := range t.Voters {
 			if !slices.Contains(e.list, id) {
 				came++
 			}
 		}
 		for _, id := range e.list {
-			if !slices.Contains(t.Electors, id) {
+			if !slices.Contains(t.Voters, id) {
 				went++
 			}
 		}
 		if came+went > 0 {
-			w.note("electors are %v", t.Electors)
+			w.note("electors are %v", t.Voters)
 			w.counts.Replaced += went
 		}
 		if came > 1 || went > 1 {
 			w.broken(RuleElectors, "%d come and %d go at once", came, went)
 		}
 	}
-	e.term, e.of, e.list = f.Term, n.ident.id, t.Electors
+	e.term, e.of, e.list = f.Term, n.ident.id, t.Voters
 }
 
 // checkKept looks whether what a member promises is on its disk.
