--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -42,11 +42,11 @@
 	// Electors are the addresses of 3, 5 or 7 members that found the group together, once, each as others dial it. They are
 	// the same at all members; those that come and go for good later take each other's place without it. Empty: there are no
 	// electors, and nobody owns anything.
-	Electors []string
-	Address  string   // of this member
-	Jobs     []string // that this member can do, and wants owned; by name
-	Records  []string // of these, such as have a record
-	Seed     uint64   // drawn anew by each process: what one life was granted the next must not go on with
+	InitialVoters []string
+	Address       string   // of this member
+	Jobs          []string // that this member can do, and wants owned; by name
+	Records       []string // of these, such as have a record
+	Seed          uint64   // drawn anew by each process: what one life was granted the next must not go on with
 }
 
 // Message goes between two members. Each field stands for itself.
--- a/internal/decide/lease/found.go
+++ b/internal/decide/lease/found.go
@@ -34,8 +34,8 @@
 
 // listed returns the members at the listed addresses, 0 where there is none that lives and keeps its state.
 func (t *Node) listed() []swim.ID {
-	ids := make([]swim.ID, len(t.set.Electors))
-	for i, address := range t.set.Electors {
+	ids := make([]swim.ID, len(t.set.InitialVoters))
+	for i, address := range t.set.InitialVoters {
 		for _, m := range t.members {
 			if m.Address == address && !m.State.IsDeadOrLeft() && m.Keeps {
 				ids[i] = m.ID
@@ -47,7 +47,7 @@
 
 // tickFounding proposes a founding where all are there and nobody has.
 func (t *Node) tickFounding() {
-	place := slices.Index(t.set.Electors, t.set.Address)
+	place := slices.Index(t.set.InitialVoters, t.set.Address)
 	if place < 0 || t.founding != nil || t.unkept || t.leaving || t.now < t.foundAt {
 		return
 	}
@@ -95,7 +95,7 @@
 	case stepChosen:
 		t.chosen(f)
 	case stepPrepare, stepAccept:
-		if slices.Index(t.set.Electors, t.set.Address) < 0 || t.unkept {
+		if slices.Index(t.set.InitialVoters, t.set.Address) < 0 || t.unkept {
 			return
 		}
 		switch {
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -245,7 +245,7 @@
 			next = min(next, t.group.electAt)
 		}
 	}
-	if len(t.set.Electors) > 0 && t.founding == nil && slices.Contains(t.set.Electors, t.set.Address) {
+	if len(t.set.InitialVoters) > 0 && t.founding == nil && slices.Contains(t.set.InitialVoters, t.set.Address) {
 		next = min(next, max(t.foundAt, t.now+lookS))
 	}
 	if t.unkept {
@@ -367,7 +367,7 @@
 			ids = append(ids, swim.ID(id))
 		}
 	}
-	if t.founding == nil && slices.Contains(t.set.Electors, t.set.Address) && t.table.Epoch == 0 {
+	if t.founding == nil && slices.Contains(t.set.InitialVoters, t.set.Address) && t.table.Epoch == 0 {
 		ids = append(ids, t.listed()...)
 	}
 	ids = append(ids, t.holderWants()...)
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -96,7 +96,7 @@
 	h := &hall{t: t, now: 100}
 	set := Settings{Jobs: jobs, Records: jobs[:1]}
 	for i := range 3 {
-		set.Electors = append(set.Electors, fmt.Sprint("a", i))
+		set.InitialVoters = append(set.InitialVoters, fmt.Sprint("a", i))
 	}
 	var members []Member
 	for i := range n {
--- a/internal/sim/leasesim/day.go
+++ b/internal/sim/leasesim/day.go
@@ -354,7 +354,7 @@
 		}
 	}()
 	if w.chance(0.4) {
-		w.set.Electors = append(w.set.Electors, address(3), address(4))
+		w.set.InitialVoters = append(w.set.InitialVoters, address(3), address(4))
 	}
 	if w.chance(0.5) {
 		w.jobs = append(w.jobs, "drill", "works")
@@ -375,8 +375,8 @@
 		w.stallPart = w.between(0, 0.005)
 	}
 	w.forgets = w.chance(0.1)
-	for range len(w.set.Electors) + w.rng.IntN(10-len(w.set.Electors)) {
-		w.add(len(w.nodes) < len(w.set.Electors) || w.chance(0.85))
+	for range len(w.set.InitialVoters) + w.rng.IntN(10-len(w.set.InitialVoters)) {
+		w.add(len(w.nodes) < len(w.set.InitialVoters) || w.chance(0.85))
 	}
 	for _, n := range w.nodes {
 		w.After(w.between(0, 2), n.start)
@@ -467,7 +467,7 @@
 		}
 	}
 	if epoch == 0 { // none is founded: it needs all that are listed
-		for i := range w.set.Electors {
+		for i := range w.set.InitialVoters {
 			if !w.nodes[i].up {
 				return false
 			}
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -113,7 +113,7 @@
 	w := &World{Queue: seeds.NewQueue(1000), rng: rand.New(rand.NewPCG(seed, 0x6f776e657273)), jobs: jobs, latencyS: 0.001, diskS: 0.002, hash: 14695981039346656037}
 	w.set.Jobs = jobs
 	for i := range electors {
-		w.set.Electors = append(w.set.Electors, address(i))
+		w.set.InitialVoters = append(w.set.InitialVoters, address(i))
 	}
 	w.judge.w = w
 	return w
