--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -44,7 +44,7 @@
 	// electors, and nobody owns anything.
 	InitialVoters []string
 	Address       string   // of this member
-	Jobs          []string // that this member can do, and wants owned; by name
+	Roles         []string // that this member can do, and wants owned; by name
 	Records       []string // of these, such as have a record
 	Seed          uint64   // drawn anew by each process: what one life was granted the next must not go on with
 }
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -113,7 +113,7 @@
 
 // can tells whether this member does a job.
 func (t *Node) can(job string) bool {
-	return !t.leaving && slices.Contains(t.set.Jobs, job) && !slices.Contains(t.unwilling, job)
+	return !t.leaving && slices.Contains(t.set.Roles, job) && !slices.Contains(t.unwilling, job)
 }
 
 // end ends what is held. Nothing is done under it any more, so it can be given back.
@@ -161,7 +161,7 @@
 	if t.now >= t.wishAt {
 		t.wishAt = t.now + compareS
 		var wish []string
-		for _, job := range t.set.Jobs {
+		for _, job := range t.set.Roles {
 			if _, known := t.granted(job); !known && t.can(job) {
 				wish = append(wish, job)
 			}
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -264,7 +264,7 @@
 	if !t.leading() {
 		return
 	}
-	for _, job := range t.set.Jobs {
+	for _, job := range t.set.Roles {
 		t.post(job)
 	}
 	t.dueAt = t.now + tickS
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -86,7 +86,7 @@
 // either.
 func New(now float64, self swim.ID, set Settings, state []byte, do Actions) (*Node, error) {
 	t := &Node{set: set, self: self, do: do, now: now, began: now, rng: rand.New(rand.NewPCG(set.Seed, uint64(self)))}
-	t.set.Jobs = slices.Sorted(slices.Values(set.Jobs))
+	t.set.Roles = slices.Sorted(slices.Values(set.Roles))
 	t.life = t.rng.Uint64() | 1
 	t.number = t.rng.Uint64() >> 1
 	t.foundAt = now + foundS*t.rng.Float64()
--- a/internal/sim/leasesim/day.go
+++ b/internal/sim/leasesim/day.go
@@ -358,7 +358,7 @@
 	}
 	if w.chance(0.5) {
 		w.jobs = append(w.jobs, "drill", "works")
-		w.set.Jobs = w.jobs
+		w.set.Roles = w.jobs
 	}
 	w.latencyS = []float64{0.0003, 0.001, 0.01, 0.03}[w.rng.IntN(4)]
 	w.diskS = []float64{0.001, 0.005, 0.02}[w.rng.IntN(3)]
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -111,7 +111,7 @@
 // newWorld returns one without members.
 func newWorld(seed uint64, electors int, jobs ...string) *World {
 	w := &World{Queue: seeds.NewQueue(1000), rng: rand.New(rand.NewPCG(seed, 0x6f776e657273)), jobs: jobs, latencyS: 0.001, diskS: 0.002, hash: 14695981039346656037}
-	w.set.Jobs = jobs
+	w.set.Roles = jobs
 	for i := range electors {
 		w.set.InitialVoters = append(w.set.InitialVoters, address(i))
 	}
