--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -95,7 +95,7 @@
 
 // begin takes the identity and what was promised under it. An error says that neither is to be used.
 func (o *owners) begin(id swim.ID, promised []byte) (err error) {
-	o.t, err = lease.New(o.f.net.Now(), id, lease.Settings{InitialVoters: o.f.o.Electors, Address: o.f.o.Advertise, Roles: o.f.o.Jobs, Records: []string{worksName}, Seed: o.f.o.Rand.Uint64()},
+	o.t, err = lease.New(o.f.net.Now(), id, lease.Settings{InitialVoters: o.f.o.Electors, Address: o.f.o.Advertise, Roles: o.f.o.Jobs, RecordedRoles: []string{worksName}, Seed: o.f.o.Rand.Uint64()},
 		promised, tenureActions{o})
 	o.changes, o.fitAt = 0, 0
 	for _, j := range o.jobs {
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -45,7 +45,7 @@
 	InitialVoters []string
 	Address       string   // of this member
 	Roles         []string // that this member can do, and wants owned; by name
-	Records       []string // of these, such as have a record
+	RecordedRoles []string // of these, such as have a record
 	Seed          uint64   // drawn anew by each process: what one life was granted the next must not go on with
 }
 
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -53,7 +53,7 @@
 // --- at the owner ---
 
 // keepsRecord tells whether this member wants the record of a job that it owns.
-func (t *Node) keepsRecord(job string) bool { return slices.Contains(t.set.Records, job) }
+func (t *Node) keepsRecord(job string) bool { return slices.Contains(t.set.RecordedRoles, job) }
 
 // WriteRecord asks that a record takes the place of the version before it. Actions.Agreed follows once one is agreed, which may be
 // another's; until then Write is to be called again. It tells nothing of what is lost on the way.
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -94,7 +94,7 @@
 
 func newHall(t *testing.T, n int, jobs ...string) *hall {
 	h := &hall{t: t, now: 100}
-	set := Settings{Roles: jobs, Records: jobs[:1]}
+	set := Settings{Roles: jobs, RecordedRoles: jobs[:1]}
 	for i := range 3 {
 		set.InitialVoters = append(set.InitialVoters, fmt.Sprint("a", i))
 	}
