--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -33,7 +33,7 @@
 	ID      swim.ID
 	Address string
 	State   swim.State
-	Keeps   bool    // its identity is on disk: it can be an elector
+	Durable bool    // its identity is on disk: it can be an elector
 	SinceS  float64 // for how long the state has held
 }
 
--- a/internal/decide/lease/electors.go
+++ b/internal/decide/lease/electors.go
@@ -39,7 +39,7 @@
 	keepers := 0
 	for _, m := range t.members {
 		// Danger: a group that shrinks with each restart has no majority once another elector goes.
-		if m.Keeps && t.goneS(m.ID) < gonesS {
+		if m.Durable && t.goneS(m.ID) < gonesS {
 			keepers++
 		}
 	}
@@ -86,7 +86,7 @@
 	var best *Member
 	for i := range t.members {
 		m := &t.members[i]
-		if m.State == swim.Alive && m.Keeps && t.sinceS(m) >= settledS && !slices.Contains(t.group.peers(), uint64(m.ID)) &&
+		if m.State == swim.Alive && m.Durable && t.sinceS(m) >= settledS && !slices.Contains(t.group.peers(), uint64(m.ID)) &&
 			!slices.ContainsFunc(t.passed, func(p passed) bool { return p.job == "" && p.id == m.ID && t.now < p.until }) &&
 			(best == nil || m.SinceS > best.SinceS) {
 			best = m
--- a/internal/decide/lease/found.go
+++ b/internal/decide/lease/found.go
@@ -37,7 +37,7 @@
 	ids := make([]swim.ID, len(t.set.InitialVoters))
 	for i, address := range t.set.InitialVoters {
 		for _, m := range t.members {
-			if m.Address == address && !m.State.IsDeadOrLeft() && m.Keeps {
+			if m.Address == address && !m.State.IsDeadOrLeft() && m.Durable {
 				ids[i] = m.ID
 			}
 		}
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -128,7 +128,7 @@
 // keeps tells whether this member has where to keep its state.
 func (t *Node) keeps() bool {
 	self := t.member(t.self)
-	return self != nil && self.Keeps
+	return self != nil && self.Durable
 }
 
 // sinceS tells for how long a member's state has held.
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -106,7 +106,7 @@
 		s.t, err = New(h.now, s.id, set, nil, s)
 		require.NoError(t, err)
 		h.all = append(h.all, s)
-		members = append(members, Member{ID: s.id, Address: set.Address, Keeps: true})
+		members = append(members, Member{ID: s.id, Address: set.Address, Durable: true})
 	}
 	for _, s := range h.all {
 		s.t.SetMembers(h.now, members)
