--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -157,7 +157,7 @@
 func (o *owners) members() []lease.Member {
 	var all []lease.Member
 	for m := range o.f.view.Members {
-		all = append(all, lease.Member{ID: m.ID, Address: m.Address, State: m.State, Durable: m.Durable, SinceS: m.StateAgeSeconds})
+		all = append(all, lease.Member{ID: m.ID, Address: m.Address, State: m.State, Durable: m.Durable, StateAgeSeconds: m.StateAgeSeconds})
 	}
 	return all
 }
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -30,11 +30,11 @@
 
 // Member is what is known of one, from the decisions about who is there.
 type Member struct {
-	ID      swim.ID
-	Address string
-	State   swim.State
-	Durable bool    // its identity is on disk: it can be an elector
-	SinceS  float64 // for how long the state has held
+	ID              swim.ID
+	Address         string
+	State           swim.State
+	Durable         bool    // its identity is on disk: it can be an elector
+	StateAgeSeconds float64 // for how long the state has held
 }
 
 // Settings are what a Tenure is told at its start.
--- a/internal/decide/lease/electors.go
+++ b/internal/decide/lease/electors.go
@@ -88,7 +88,7 @@
 		m := &t.members[i]
 		if m.State == swim.Alive && m.Durable && t.sinceS(m) >= settledS && !slices.Contains(t.group.peers(), uint64(m.ID)) &&
 			!slices.ContainsFunc(t.passed, func(p passed) bool { return p.job == "" && p.id == m.ID && t.now < p.until }) &&
-			(best == nil || m.SinceS > best.SinceS) {
+			(best == nil || m.StateAgeSeconds > best.StateAgeSeconds) {
 			best = m
 		}
 	}
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -132,7 +132,7 @@
 }
 
 // sinceS tells for how long a member's state has held.
-func (t *Node) sinceS(m *Member) float64 { return m.SinceS + t.now - t.viewAt }
+func (t *Node) sinceS(m *Member) float64 { return m.StateAgeSeconds + t.now - t.viewAt }
 
 // HandleLinkUp takes that there is a new link to a member.
 func (t *Node) HandleLinkUp(now float64, id swim.ID) {
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -536,7 +536,7 @@
 		if s.state.IsDeadOrLeft() && now-s.since > forgetS {
 			continue
 		}
-		list = append(list, lease.Member{ID: s.of.id, Address: s.of.of.address, State: s.state, Durable: s.of.of.keeps, SinceS: now - s.since})
+		list = append(list, lease.Member{ID: s.of.id, Address: s.of.of.address, State: s.state, Durable: s.of.of.keeps, StateAgeSeconds: now - s.since})
 	}
 	n.t.SetMembers(now, list)
 }
