--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -71,10 +71,10 @@
 
 // say sends a message of the group, with the state that it rests on.
 func (t *Node) say(to swim.ID, raft []byte) {
-	m := &Message{Epoch: t.founding.Epoch, Serial: t.serial, Writer: t.lineage.wrote(t.serial), Raft: raft}
-	if h := t.heardOf(to); h == nil || h.shown == 0 || h.shown != m.Writer || t.now-h.at >= showS {
+	m := &Message{Epoch: t.founding.Epoch, Serial: t.serial, WriterID: t.lineage.wrote(t.serial), Raft: raft}
+	if h := t.heardOf(to); h == nil || h.shown == 0 || h.shown != m.WriterID || t.now-h.at >= showS {
 		if m.Lineage = t.lineage; h != nil {
-			h.shown, h.at = m.Writer, t.now
+			h.shown, h.at = m.WriterID, t.now
 		}
 	}
 	t.do.Send(to, m)
@@ -86,7 +86,7 @@
 	h := t.heardOf(from)
 	if m.Raft == nil { // what the other has heard of this member
 		switch {
-		case m.Serial > t.serial || !t.lineage.has(m.Serial, m.Writer):
+		case m.Serial > t.serial || !t.lineage.has(m.Serial, m.WriterID):
 			t.renounce("others know a later state of this identity: an old copy")
 		case h != nil:
 			h.shown = 0
@@ -97,11 +97,11 @@
 		return true
 	}
 	// Who wrote again since it was heard has to show what its state came of, unless its version knows of no such thing.
-	if m.Serial < h.serial || m.Writer != h.life && m.Writer != 0 && h.life != 0 && (len(m.Lineage) == 0 || !lineage(m.Lineage).has(h.serial, h.life)) {
+	if m.Serial < h.serial || m.WriterID != h.life && m.WriterID != 0 && h.life != 0 && (len(m.Lineage) == 0 || !lineage(m.Lineage).has(h.serial, h.life)) {
 		t.figures.Dropped++
-		t.do.Send(from, &Message{Serial: h.serial, Writer: h.life})
+		t.do.Send(from, &Message{Serial: h.serial, WriterID: h.life})
 		return false
 	}
-	h.serial, h.life = m.Serial, m.Writer
+	h.serial, h.life = m.Serial, m.WriterID
 	return true
 }
