--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -9,7 +9,7 @@
 
 // Writer is a life of a process that wrote states of its member, from a serial up to where the next one begins.
 type Writer struct {
-	Life uint32 `msgpack:"l"`
+	ID   uint32 `msgpack:"l"`
 	From uint64 `msgpack:"f"`
 }
 
@@ -26,7 +26,7 @@
 func (l lineage) wrote(serial uint64) uint32 {
 	for _, w := range slices.Backward(l) {
 		if w.From <= serial {
-			return w.Life
+			return w.ID
 		}
 	}
 	return 0
@@ -34,7 +34,7 @@
 
 // with returns the lineage of a state that a life writes.
 func (l lineage) with(life uint32, serial uint64) lineage {
-	if len(l) > 0 && l[len(l)-1].Life == life {
+	if len(l) > 0 && l[len(l)-1].ID == life {
 		return l
 	}
 	return append(slices.Clone(l[max(len(l)+1-mostWriters, 0):]), Writer{life, serial})
