--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -9,8 +9,8 @@
 
 // Writer is a life of a process that wrote states of its member, from a serial up to where the next one begins.
 type Writer struct {
-	ID   uint32 `msgpack:"l"`
-	From uint64 `msgpack:"f"`
+	ID          uint32 `msgpack:"l"`
+	FirstSerial uint64 `msgpack:"f"`
 }
 
 // lineage is whose states one came of, the first first. Danger: by its serial alone a state that was written on an old copy looks like
@@ -25,7 +25,7 @@
 // wrote returns the life that wrote the state of a serial; 0: that is not known.
 func (l lineage) wrote(serial uint64) uint32 {
 	for _, w := range slices.Backward(l) {
-		if w.From <= serial {
+		if w.FirstSerial <= serial {
 			return w.ID
 		}
 	}
