--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -56,7 +56,7 @@
 	Serial   uint64    `msgpack:"s,omitempty"` // of the sender's state on disk, with Raft
 	WriterID uint32    `msgpack:"y,omitempty"` // the life that wrote that state
 	Lineage  []Writer  `msgpack:"z,omitempty"` // whose states it came of; now and then
-	Found    *Founding `msgpack:"f,omitempty"`
+	Founding *Founding `msgpack:"f,omitempty"`
 	Table    *Table    `msgpack:"t,omitempty"`
 	Renew    *Renewal  `msgpack:"n,omitempty"` // to the leader
 	Renewed  *Renewal  `msgpack:"d,omitempty"` // from it: what a quorum has confirmed since the Renew of that number came
--- a/internal/decide/lease/found.go
+++ b/internal/decide/lease/found.go
@@ -61,7 +61,7 @@
 	b := t.round<<32 | uint64(t.rng.Uint32()>>8)<<8 | uint64(place)
 	t.proposal = &proposal{ballot: b, promises: make([]*Founding, len(ids)), accepted: make([]bool, len(ids))}
 	for _, id := range ids {
-		t.send(id, &Message{Found: &Founding{Ballot: b, Step: stepPrepare}})
+		t.send(id, &Message{Founding: &Founding{Ballot: b, Step: stepPrepare}})
 	}
 }
 
@@ -86,7 +86,7 @@
 	if len(f.Members) > mostList {
 		return
 	}
-	answer := func(a *Founding) { t.sendKept(from, &Message{Found: a}) }
+	answer := func(a *Founding) { t.sendKept(from, &Message{Founding: a}) }
 	switch f.Step {
 	case stepAsked:
 		if t.founding != nil {
@@ -146,7 +146,7 @@
 		}
 		p.value = value
 		for _, id := range ids {
-			t.send(id, &Message{Found: value})
+			t.send(id, &Message{Founding: value})
 		}
 	case f.Step == stepAccepted && p.value != nil:
 		p.accepted[place] = true
@@ -156,7 +156,7 @@
 		c := *p.value
 		c.Step = stepChosen
 		for _, id := range ids {
-			t.send(id, &Message{Found: &c})
+			t.send(id, &Message{Founding: &c})
 		}
 	}
 }
--- a/internal/decide/lease/stored_form_test.go
+++ b/internal/decide/lease/stored_form_test.go
@@ -38,7 +38,7 @@
 	founding := Founding{Ballot: 1<<32 | 0x1200 | 2, Accepted: 1<<32 | 1, Epoch: 7, Members: []swim.ID{11, 12, 13}, Step: stepAccepted}
 	renewal := Renewal{Number: 21, Grants: []Grant{grant}, Records: []Record{record}}
 	wire := map[string]any{
-		"message": &Message{Epoch: 7, Raft: []byte("raft"), Serial: 31, WriterID: 32, Lineage: []Writer{{33, 34}, {35, 36}}, Found: &founding,
+		"message": &Message{Epoch: 7, Raft: []byte("raft"), Serial: 31, WriterID: 32, Lineage: []Writer{{33, 34}, {35, 36}}, Founding: &founding,
 			Table: &Table{Epoch: 7, Index: 41, Term: 42, Leader: 11, Voters: []swim.ID{11, 12, 13}, Grants: []Grant{grant}},
 			Renew: &renewal, Renewed: &Renewal{Number: 22}, Back: []Grant{grant}, Decline: []string{"list"}, Wish: []string{"works", "report"},
 			Offer: []string{"a"}, Life: 51, Write: &record, Records: []Record{record}, Move: "report"},
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -163,8 +163,8 @@
 	if m.Serial != 0 && from != t.self && !t.hearSerial(from, m) {
 		return
 	}
-	if m.Found != nil {
-		t.hearFounding(from, m.Found)
+	if m.Founding != nil {
+		t.hearFounding(from, m.Founding)
 	}
 	if m.Raft != nil {
 		t.hearRaft(from, m)
@@ -207,7 +207,7 @@
 		case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 			t.called = m.Epoch
 		}
-		t.do.Send(from, &Message{Found: &Founding{Step: stepAsked}})
+		t.do.Send(from, &Message{Founding: &Founding{Step: stepAsked}})
 	}
 }
 
--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -199,7 +199,7 @@
 
 // checkKept looks whether what a member promises is on its disk.
 func (w *World) checkKept(n *node, m *lease.Message) {
-	promises := m.Found != nil && (m.Found.Step == 1 || m.Found.Step == 3) // promise, accepted
+	promises := m.Founding != nil && (m.Founding.Step == 1 || m.Founding.Step == 3) // promise, accepted
 	var vote raftpb.Message
 	if m.Raft != nil {
 		if err := proto.Unmarshal(m.Raft, &vote); err != nil {
@@ -220,8 +220,8 @@
 		}
 	}
 	switch {
-	case promises && m.Found.Ballot > kept.Promised:
-		w.broken(RuleKept, "%d promises %#x, and its disk has %#x", n.number, m.Found.Ballot, kept.Promised)
+	case promises && m.Founding.Ballot > kept.Promised:
+		w.broken(RuleKept, "%d promises %#x, and its disk has %#x", n.number, m.Founding.Ballot, kept.Promised)
 	case !promises && (hard.GetTerm() < vote.GetTerm() || hard.GetTerm() == vote.GetTerm() && hard.GetVote() != vote.GetTo()):
 		w.broken(RuleKept, "%d votes in term %d, and its disk has a vote in %d", n.number, vote.GetTerm(), hard.GetTerm())
 	}
