--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -51,23 +51,23 @@
 
 // Message goes between two members. Each field stands for itself.
 type Message struct {
-	Epoch    uint64    `msgpack:"e,omitempty"` // of Raft
-	Raft     []byte    `msgpack:"r,omitempty"` // a message of the electors' group
-	Serial   uint64    `msgpack:"s,omitempty"` // of the sender's state on disk, with Raft
-	WriterID uint32    `msgpack:"y,omitempty"` // the life that wrote that state
-	Lineage  []Writer  `msgpack:"z,omitempty"` // whose states it came of; now and then
-	Founding *Founding `msgpack:"f,omitempty"`
-	Table    *Table    `msgpack:"t,omitempty"`
-	Renew    *Renewal  `msgpack:"n,omitempty"` // to the leader
-	Renewed  *Renewal  `msgpack:"d,omitempty"` // from it: what a quorum has confirmed since the Renew of that number came
-	Back     []Grant   `msgpack:"b,omitempty"` // to the leader: given back, nothing is done under them any more
-	Decline  []string  `msgpack:"x,omitempty"` // to the leader: jobs that the sender does not want for now
-	Wish     []string  `msgpack:"w,omitempty"` // to the leader: jobs that the sender can do, so that they have an owner
-	Offer    []string  `msgpack:"o,omitempty"` // from the leader: who would do these; answered with Wish or Decline
-	Life     uint64    `msgpack:"l,omitempty"` // of the sender's process, with Wish
-	Write    *Record   `msgpack:"k,omitempty"` // to the leader: the owner wants this to be kept of its job
-	Records  []Record  `msgpack:"a,omitempty"` // from it: what is kept
-	Move     string    `msgpack:"v,omitempty"` // to the leader: an operator wants the job to go to somebody else; from it: give it back
+	Epoch        uint64    `msgpack:"e,omitempty"` // of Raft
+	Raft         []byte    `msgpack:"r,omitempty"` // a message of the electors' group
+	Serial       uint64    `msgpack:"s,omitempty"` // of the sender's state on disk, with Raft
+	WriterID     uint32    `msgpack:"y,omitempty"` // the life that wrote that state
+	Lineage      []Writer  `msgpack:"z,omitempty"` // whose states it came of; now and then
+	Founding     *Founding `msgpack:"f,omitempty"`
+	Table        *Table    `msgpack:"t,omitempty"`
+	RenewRequest *Renewal  `msgpack:"n,omitempty"` // to the leader
+	Renewed      *Renewal  `msgpack:"d,omitempty"` // from it: what a quorum has confirmed since the Renew of that number came
+	Back         []Grant   `msgpack:"b,omitempty"` // to the leader: given back, nothing is done under them any more
+	Decline      []string  `msgpack:"x,omitempty"` // to the leader: jobs that the sender does not want for now
+	Wish         []string  `msgpack:"w,omitempty"` // to the leader: jobs that the sender can do, so that they have an owner
+	Offer        []string  `msgpack:"o,omitempty"` // from the leader: who would do these; answered with Wish or Decline
+	Life         uint64    `msgpack:"l,omitempty"` // of the sender's process, with Wish
+	Write        *Record   `msgpack:"k,omitempty"` // to the leader: the owner wants this to be kept of its job
+	Records      []Record  `msgpack:"a,omitempty"` // from it: what is kept
+	Move         string    `msgpack:"v,omitempty"` // to the leader: an operator wants the job to go to somebody else; from it: give it back
 }
 
 // Renewal asks that leases go on, all those of a member at once, or says that they do.
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -194,7 +194,7 @@
 		if len(t.sent) > mostOut {
 			t.sent = slices.Delete(t.sent, 0, len(t.sent)-mostOut)
 		}
-		m.Renew = r
+		m.RenewRequest = r
 	}
 	for _, g := range t.done {
 		if t.stillOurs(g) {
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -124,7 +124,7 @@
 
 // hearAsLeader takes what only a leader can answer.
 func (t *Node) hearAsLeader(from swim.ID, m *Message) {
-	if m.Renew == nil && m.Back == nil && m.Decline == nil && m.Wish == nil && m.Move == "" && m.Write == nil {
+	if m.RenewRequest == nil && m.Back == nil && m.Decline == nil && m.Wish == nil && m.Move == "" && m.Write == nil {
 		return
 	}
 	if !t.leading() {
@@ -153,9 +153,9 @@
 	if m.Write != nil {
 		t.write(from, m.Write)
 	}
-	if m.Renew != nil {
+	if m.RenewRequest != nil {
 		t.asked++
-		t.waiting = append(t.waiting, waitingRenewal{from, t.asked, m.Renew})
+		t.waiting = append(t.waiting, waitingRenewal{from, t.asked, m.RenewRequest})
 		t.ask()
 	}
 }
--- a/internal/decide/lease/stored_form_test.go
+++ b/internal/decide/lease/stored_form_test.go
@@ -39,8 +39,8 @@
 	renewal := Renewal{Number: 21, Grants: []Grant{grant}, Records: []Record{record}}
 	wire := map[string]any{
 		"message": &Message{Epoch: 7, Raft: []byte("raft"), Serial: 31, WriterID: 32, Lineage: []Writer{{33, 34}, {35, 36}}, Founding: &founding,
-			Table: &Table{Epoch: 7, Index: 41, Term: 42, Leader: 11, Voters: []swim.ID{11, 12, 13}, Grants: []Grant{grant}},
-			Renew: &renewal, Renewed: &Renewal{Number: 22}, Back: []Grant{grant}, Decline: []string{"list"}, Wish: []string{"works", "report"},
+			Table:        &Table{Epoch: 7, Index: 41, Term: 42, Leader: 11, Voters: []swim.ID{11, 12, 13}, Grants: []Grant{grant}},
+			RenewRequest: &renewal, Renewed: &Renewal{Number: 22}, Back: []Grant{grant}, Decline: []string{"list"}, Wish: []string{"works", "report"},
 			Offer: []string{"a"}, Life: 51, Write: &record, Records: []Record{record}, Move: "report"},
 		"message-empty":   &Message{},
 		"message-renewed": &Message{Renewed: &renewal},
--- a/internal/lab/processcluster/grants.go
+++ b/internal/lab/processcluster/grants.go
@@ -68,8 +68,8 @@
 			g.note(grant{x.Role, x.Token}, now)
 		}
 	}
-	if m.Renew != nil && len(g.asked) < mostAsked {
-		if q := (question{w, m.Renew.Number}); g.asked[q] == 0 { // a process that began again counts anew: the first is the earliest
+	if m.RenewRequest != nil && len(g.asked) < mostAsked {
+		if q := (question{w, m.RenewRequest.Number}); g.asked[q] == 0 { // a process that began again counts anew: the first is the earliest
 			g.asked[q] = now
 		}
 	}
