--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -59,7 +59,7 @@
 	Founding     *Founding `msgpack:"f,omitempty"`
 	Table        *Table    `msgpack:"t,omitempty"`
 	RenewRequest *Renewal  `msgpack:"n,omitempty"` // to the leader
-	Renewed      *Renewal  `msgpack:"d,omitempty"` // from it: what a quorum has confirmed since the Renew of that number came
+	RenewReply   *Renewal  `msgpack:"d,omitempty"` // from it: what a quorum has confirmed since the Renew of that number came
 	Back         []Grant   `msgpack:"b,omitempty"` // to the leader: given back, nothing is done under them any more
 	Decline      []string  `msgpack:"x,omitempty"` // to the leader: jobs that the sender does not want for now
 	Wish         []string  `msgpack:"w,omitempty"` // to the leader: jobs that the sender can do, so that they have an owner
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -229,7 +229,7 @@
 		answer.Grants = append(answer.Grants, g)
 	}
 	answer.Records = t.newerRecords(w.Records)
-	m := &Message{Renewed: answer}
+	m := &Message{RenewReply: answer}
 	if len(answer.Grants) < len(w.Grants) {
 		m.Table = t.tableMessage().Table
 	}
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -175,8 +175,8 @@
 	if m.Records != nil {
 		t.learnRecords(m.Records)
 	}
-	if m.Renewed != nil {
-		t.renewed(m.Renewed)
+	if m.RenewReply != nil {
+		t.renewed(m.RenewReply)
 	}
 	if m.Offer != nil {
 		t.offered(from, m.Offer)
--- a/internal/lab/processcluster/grants.go
+++ b/internal/lab/processcluster/grants.go
@@ -73,13 +73,13 @@
 			g.asked[q] = now
 		}
 	}
-	if m.Renewed == nil {
+	if m.RenewReply == nil {
 		return
 	}
-	q := question{Way{w.To, w.From}, m.Renewed.Number}
+	q := question{Way{w.To, w.From}, m.RenewReply.Number}
 	from, ok := g.asked[q]
 	delete(g.asked, q)
-	for _, x := range m.Renewed.Grants {
+	for _, x := range m.RenewReply.Grants {
 		g.note(grant{x.Role, x.Token}, now)
 		if ok {
 			g.confirms = append(g.confirms, confirm{grant{x.Role, x.Token}, from, now})
--- a/internal/lab/processcluster/grants_test.go
+++ b/internal/lab/processcluster/grants_test.go
@@ -28,16 +28,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewGrants()
 			say(g, "a", "leader", lease.Message{RenewRequest: renewal(1, 5)})
-			say(g, "leader", "a", lease.Message{Renewed: renewal(1, 5)})
+			say(g, "leader", "a", lease.Message{RenewReply: renewal(1, 5)})
 			say(g, "a", "leader", lease.Message{RenewRequest: renewal(2, 5)}) // on the way while the next is granted
 			say(g, "leader", "b", lease.Message{Table: &lease.Table{Grants: []lease.Grant{{Role: "report", Holder: 8, Token: 6}}}})
 			say(g, "b", "leader", lease.Message{RenewRequest: renewal(1, 6)})
-			say(g, "leader", "b", lease.Message{Renewed: renewal(1, 6)})
+			say(g, "leader", "b", lease.Message{RenewReply: renewal(1, 6)})
 			if c.late {
 				say(g, "a", "leader", lease.Message{RenewRequest: renewal(3, 5)})
-				say(g, "leader", "a", lease.Message{Renewed: renewal(3, 5)})
+				say(g, "leader", "a", lease.Message{RenewReply: renewal(3, 5)})
 			} else {
-				say(g, "leader", "a", lease.Message{Renewed: renewal(2, 5)})
+				say(g, "leader", "a", lease.Message{RenewReply: renewal(2, 5)})
 			}
 			n, why := g.Check()
 			assert.Equal(t, c.holds, why == "", why)
