--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -138,7 +138,7 @@
 	}
 	t.done = append(t.done, g)
 	if t.stillOurs(g) && t.table.Leader != 0 {
-		t.send(t.table.Leader, &Message{Back: []Grant{g}})
+		t.send(t.table.Leader, &Message{Released: []Grant{g}})
 	}
 	t.renewAt = min(t.renewAt, t.now+renewS)
 }
@@ -198,7 +198,7 @@
 	}
 	for _, g := range t.done {
 		if t.stillOurs(g) {
-			m.Back = append(m.Back, g)
+			m.Released = append(m.Released, g)
 		}
 	}
 	leader := t.table.Leader
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -124,7 +124,7 @@
 
 // hearAsLeader takes what only a leader can answer.
 func (t *Node) hearAsLeader(from swim.ID, m *Message) {
-	if m.RenewRequest == nil && m.Back == nil && m.Decline == nil && m.Wish == nil && m.Move == "" && m.Write == nil {
+	if m.RenewRequest == nil && m.Released == nil && m.Decline == nil && m.Wish == nil && m.Move == "" && m.Write == nil {
 		return
 	}
 	if !t.leading() {
@@ -134,7 +134,7 @@
 		return
 	}
 	t.dueAt = t.now
-	for _, g := range m.Back {
+	for _, g := range m.Released {
 		p := t.post(g.Role)
 		if now, known := t.group.machine.grant(g.Role); p != nil && known && now.Token == g.Token && now.Holder == from && p.freed != g.Token {
 			p.freed, p.freedAt = g.Token, t.now
