--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -61,7 +61,7 @@
 	RenewRequest *Renewal  `msgpack:"n,omitempty"` // to the leader
 	RenewReply   *Renewal  `msgpack:"d,omitempty"` // from it: what a quorum has confirmed since the Renew of that number came
 	Released     []Grant   `msgpack:"b,omitempty"` // to the leader: given back, nothing is done under them any more
-	Decline      []string  `msgpack:"x,omitempty"` // to the leader: jobs that the sender does not want for now
+	Declined     []string  `msgpack:"x,omitempty"` // to the leader: jobs that the sender does not want for now
 	Wish         []string  `msgpack:"w,omitempty"` // to the leader: jobs that the sender can do, so that they have an owner
 	Offer        []string  `msgpack:"o,omitempty"` // from the leader: who would do these; answered with Wish or Decline
 	Life         uint64    `msgpack:"l,omitempty"` // of the sender's process, with Wish
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -259,7 +259,7 @@
 
 func (t *Node) decline(jobs []string) {
 	if t.table.Leader != 0 && len(jobs) > 0 {
-		t.send(t.table.Leader, &Message{Decline: jobs})
+		t.send(t.table.Leader, &Message{Declined: jobs})
 	}
 }
 
@@ -273,7 +273,7 @@
 			not = append(not, job)
 		}
 	}
-	t.send(from, &Message{Wish: wish, Decline: not, Life: t.life})
+	t.send(from, &Message{Wish: wish, Declined: not, Life: t.life})
 }
 
 // RequestStepDown has a job go to somebody else, as an operator wants.
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -124,7 +124,7 @@
 
 // hearAsLeader takes what only a leader can answer.
 func (t *Node) hearAsLeader(from swim.ID, m *Message) {
-	if m.RenewRequest == nil && m.Released == nil && m.Decline == nil && m.Wish == nil && m.Move == "" && m.Write == nil {
+	if m.RenewRequest == nil && m.Released == nil && m.Declined == nil && m.Wish == nil && m.Move == "" && m.Write == nil {
 		return
 	}
 	if !t.leading() {
@@ -141,7 +141,7 @@
 			t.unbid(from, g.Role)
 		}
 	}
-	for _, job := range m.Decline {
+	for _, job := range m.Declined {
 		t.passOver(job, from, passS)
 	}
 	if len(m.Wish) > 0 && m.Life != 0 {
