--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -62,7 +62,7 @@
 	RenewReply   *Renewal  `msgpack:"d,omitempty"` // from it: what a quorum has confirmed since the Renew of that number came
 	Released     []Grant   `msgpack:"b,omitempty"` // to the leader: given back, nothing is done under them any more
 	Declined     []string  `msgpack:"x,omitempty"` // to the leader: jobs that the sender does not want for now
-	Wish         []string  `msgpack:"w,omitempty"` // to the leader: jobs that the sender can do, so that they have an owner
+	Bids         []string  `msgpack:"w,omitempty"` // to the leader: jobs that the sender can do, so that they have an owner
 	Offer        []string  `msgpack:"o,omitempty"` // from the leader: who would do these; answered with Wish or Decline
 	Life         uint64    `msgpack:"l,omitempty"` // of the sender's process, with Wish
 	Write        *Record   `msgpack:"k,omitempty"` // to the leader: the owner wants this to be kept of its job
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -124,7 +124,7 @@
 
 // hearAsLeader takes what only a leader can answer.
 func (t *Node) hearAsLeader(from swim.ID, m *Message) {
-	if m.RenewRequest == nil && m.Released == nil && m.Declined == nil && m.Wish == nil && m.Move == "" && m.Write == nil {
+	if m.RenewRequest == nil && m.Released == nil && m.Declined == nil && m.Bids == nil && m.Move == "" && m.Write == nil {
 		return
 	}
 	if !t.leading() {
@@ -144,7 +144,7 @@
 	for _, job := range m.Declined {
 		t.passOver(job, from, passS)
 	}
-	if len(m.Wish) > 0 && m.Life != 0 {
+	if len(m.Bids) > 0 && m.Life != 0 {
 		t.bid(from, m)
 	}
 	if m.Move != "" {
@@ -161,7 +161,7 @@
 }
 
 func (t *Node) bid(from swim.ID, m *Message) {
-	for _, job := range m.Wish {
+	for _, job := range m.Bids {
 		t.post(job)
 	}
 	i, known := slices.BinarySearchFunc(t.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) })
@@ -170,13 +170,13 @@
 	}
 	b := &t.bids[i]
 	if t.now-b.at < bidS && b.life == m.Life {
-		for _, job := range m.Wish {
+		for _, job := range m.Bids {
 			if !slices.Contains(b.jobs, job) {
 				b.jobs = append(b.jobs, job)
 			}
 		}
 	} else {
-		b.jobs = slices.Clone(m.Wish)
+		b.jobs = slices.Clone(m.Bids)
 	}
 	b.at, b.life = t.now, m.Life
 }
