--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -63,7 +63,7 @@
 	Released     []Grant   `msgpack:"b,omitempty"` // to the leader: given back, nothing is done under them any more
 	Declined     []string  `msgpack:"x,omitempty"` // to the leader: jobs that the sender does not want for now
 	Bids         []string  `msgpack:"w,omitempty"` // to the leader: jobs that the sender can do, so that they have an owner
-	Offer        []string  `msgpack:"o,omitempty"` // from the leader: who would do these; answered with Wish or Decline
+	Offered      []string  `msgpack:"o,omitempty"` // from the leader: who would do these; answered with Wish or Decline
 	Life         uint64    `msgpack:"l,omitempty"` // of the sender's process, with Wish
 	Write        *Record   `msgpack:"k,omitempty"` // to the leader: the owner wants this to be kept of its job
 	Records      []Record  `msgpack:"a,omitempty"` // from it: what is kept
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -432,7 +432,7 @@
 	for _, id := range ranked[:min(len(ranked), mostAsk)] {
 		p.offered = append(p.offered, id)
 		if id != t.self {
-			t.do.Send(id, &Message{Offer: []string{p.job}})
+			t.do.Send(id, &Message{Offered: []string{p.job}})
 		}
 	}
 	t.dueAt = min(t.dueAt, t.now+patientS)
@@ -445,7 +445,7 @@
 	}
 	for _, p := range t.jobs {
 		if slices.Contains(p.offered, id) && t.now-p.offeredAt < bidS && t.bidOf(id, p.job) == 0 {
-			t.do.Send(id, &Message{Offer: []string{p.job}})
+			t.do.Send(id, &Message{Offered: []string{p.job}})
 		}
 	}
 }
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -178,8 +178,8 @@
 	if m.RenewReply != nil {
 		t.renewed(m.RenewReply)
 	}
-	if m.Offer != nil {
-		t.offered(from, m.Offer)
+	if m.Offered != nil {
+		t.offered(from, m.Offered)
 	}
 	if m.Move != "" {
 		t.moved(m.Move)
