--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -170,7 +170,7 @@
 			t.wishAt = t.now + wishS*(1+4*t.rng.Float64())
 		}
 		if wish != nil && t.table.Leader != 0 {
-			t.send(t.table.Leader, &Message{Bids: wish, Life: t.life})
+			t.send(t.table.Leader, &Message{Bids: wish, BootID: t.life})
 		}
 	}
 }
@@ -182,7 +182,7 @@
 		return
 	}
 	t.renewAt = t.now + renewS
-	m := &Message{Life: t.life}
+	m := &Message{BootID: t.life}
 	if len(t.held) > 0 {
 		t.number++
 		r := &Renewal{Number: t.number}
@@ -273,7 +273,7 @@
 			not = append(not, job)
 		}
 	}
-	t.send(from, &Message{Bids: wish, Declined: not, Life: t.life})
+	t.send(from, &Message{Bids: wish, Declined: not, BootID: t.life})
 }
 
 // RequestStepDown has a job go to somebody else, as an operator wants.
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -144,7 +144,7 @@
 	for _, job := range m.Declined {
 		t.passOver(job, from, passS)
 	}
-	if len(m.Bids) > 0 && m.Life != 0 {
+	if len(m.Bids) > 0 && m.BootID != 0 {
 		t.bid(from, m)
 	}
 	if m.Move != "" {
@@ -169,7 +169,7 @@
 		t.bids = slices.Insert(t.bids, i, bid{id: from})
 	}
 	b := &t.bids[i]
-	if t.now-b.at < bidS && b.life == m.Life {
+	if t.now-b.at < bidS && b.life == m.BootID {
 		for _, job := range m.Bids {
 			if !slices.Contains(b.jobs, job) {
 				b.jobs = append(b.jobs, job)
@@ -178,7 +178,7 @@
 	} else {
 		b.jobs = slices.Clone(m.Bids)
 	}
-	b.at, b.life = t.now, m.Life
+	b.at, b.life = t.now, m.BootID
 }
 
 // unbid forgets that a member would do a job, since it has just given it back. Danger: one that began again between its word and the
