--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -65,7 +65,7 @@
 	Bids         []string  `msgpack:"w,omitempty"` // to the leader: jobs that the sender can do, so that they have an owner
 	Offered      []string  `msgpack:"o,omitempty"` // from the leader: who would do these; answered with Wish or Decline
 	BootID       uint64    `msgpack:"l,omitempty"` // of the sender's process, with Wish
-	Write        *Record   `msgpack:"k,omitempty"` // to the leader: the owner wants this to be kept of its job
+	WriteRecord  *Record   `msgpack:"k,omitempty"` // to the leader: the owner wants this to be kept of its job
 	Records      []Record  `msgpack:"a,omitempty"` // from it: what is kept
 	Move         string    `msgpack:"v,omitempty"` // to the leader: an operator wants the job to go to somebody else; from it: give it back
 }
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -124,7 +124,7 @@
 
 // hearAsLeader takes what only a leader can answer.
 func (t *Node) hearAsLeader(from swim.ID, m *Message) {
-	if m.RenewRequest == nil && m.Released == nil && m.Declined == nil && m.Bids == nil && m.Move == "" && m.Write == nil {
+	if m.RenewRequest == nil && m.Released == nil && m.Declined == nil && m.Bids == nil && m.Move == "" && m.WriteRecord == nil {
 		return
 	}
 	if !t.leading() {
@@ -150,8 +150,8 @@
 	if m.Move != "" {
 		t.moveOn(m.Move)
 	}
-	if m.Write != nil {
-		t.write(from, m.Write)
+	if m.WriteRecord != nil {
+		t.write(from, m.WriteRecord)
 	}
 	if m.RenewRequest != nil {
 		t.asked++
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -60,7 +60,7 @@
 func (t *Node) WriteRecord(now float64, job string, version uint64, body []byte) {
 	t.enter(now)
 	if h := t.holding(job); h != nil && h.owned && t.table.Leader != 0 && !t.over && len(body) <= MaxRecordBytes {
-		t.send(t.table.Leader, &Message{Write: &Record{Role: job, Version: version, Token: h.Token, Body: body}})
+		t.send(t.table.Leader, &Message{WriteRecord: &Record{Role: job, Version: version, Token: h.Token, Body: body}})
 	}
 	t.settle()
 }
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -386,7 +386,7 @@
 	h.until(h.now + 4)
 	next, _ := h.owner("works")
 	require.NotEqual(t, o, next)
-	h.leader().t.HandleMessage(h.now, o.id, &Message{Write: &Record{Role: "works", Version: last.Version + 1, Token: token, Body: []byte("old")}})
+	h.leader().t.HandleMessage(h.now, o.id, &Message{WriteRecord: &Record{Role: "works", Version: last.Version + 1, Token: token, Body: []byte("old")}})
 	h.until(h.now + 1)
 	require.Equal(t, last, next.agreed)
 }
