--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -67,7 +67,7 @@
 	BootID       uint64    `msgpack:"l,omitempty"` // of the sender's process, with Wish
 	WriteRecord  *Record   `msgpack:"k,omitempty"` // to the leader: the owner wants this to be kept of its job
 	Records      []Record  `msgpack:"a,omitempty"` // from it: what is kept
-	Move         string    `msgpack:"v,omitempty"` // to the leader: an operator wants the job to go to somebody else; from it: give it back
+	StepDown     string    `msgpack:"v,omitempty"` // to the leader: an operator wants the job to go to somebody else; from it: give it back
 }
 
 // Renewal asks that leases go on, all those of a member at once, or says that they do.
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -280,7 +280,7 @@
 func (t *Node) RequestStepDown(now float64, job string) {
 	t.enter(now)
 	if !t.over && t.table.Leader != 0 {
-		t.send(t.table.Leader, &Message{Move: job})
+		t.send(t.table.Leader, &Message{StepDown: job})
 	}
 	t.settle()
 }
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -124,7 +124,7 @@
 
 // hearAsLeader takes what only a leader can answer.
 func (t *Node) hearAsLeader(from swim.ID, m *Message) {
-	if m.RenewRequest == nil && m.Released == nil && m.Declined == nil && m.Bids == nil && m.Move == "" && m.WriteRecord == nil {
+	if m.RenewRequest == nil && m.Released == nil && m.Declined == nil && m.Bids == nil && m.StepDown == "" && m.WriteRecord == nil {
 		return
 	}
 	if !t.leading() {
@@ -147,8 +147,8 @@
 	if len(m.Bids) > 0 && m.BootID != 0 {
 		t.bid(from, m)
 	}
-	if m.Move != "" {
-		t.moveOn(m.Move)
+	if m.StepDown != "" {
+		t.moveOn(m.StepDown)
 	}
 	if m.WriteRecord != nil {
 		t.write(from, m.WriteRecord)
@@ -254,7 +254,7 @@
 	if g.Holder == t.self {
 		t.moved(g.Role)
 	} else {
-		t.do.Send(g.Holder, &Message{Move: g.Role})
+		t.do.Send(g.Holder, &Message{StepDown: g.Role})
 	}
 }
 
--- a/internal/decide/lease/stored_form_test.go
+++ b/internal/decide/lease/stored_form_test.go
@@ -41,7 +41,7 @@
 		"message": &Message{Epoch: 7, Raft: []byte("raft"), Serial: 31, WriterID: 32, Lineage: []Writer{{33, 34}, {35, 36}}, Founding: &founding,
 			Table:        &Table{Epoch: 7, Index: 41, Term: 42, Leader: 11, Voters: []swim.ID{11, 12, 13}, Grants: []Grant{grant}},
 			RenewRequest: &renewal, RenewReply: &Renewal{Number: 22}, Released: []Grant{grant}, Declined: []string{"list"}, Bids: []string{"works", "report"},
-			Offered: []string{"a"}, BootID: 51, WriteRecord: &record, Records: []Record{record}, Move: "report"},
+			Offered: []string{"a"}, BootID: 51, WriteRecord: &record, Records: []Record{record}, StepDown: "report"},
 		"message-empty":   &Message{},
 		"message-renewed": &Message{RenewReply: &renewal},
 		"commands":        &[]command{{Job: "list", Owner: 11, Life: 12, Was: 13}, {Job: "works", Was: 14}, {Put: &record}},
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -181,8 +181,8 @@
 	if m.Offered != nil {
 		t.offered(from, m.Offered)
 	}
-	if m.Move != "" {
-		t.moved(m.Move)
+	if m.StepDown != "" {
+		t.moved(m.StepDown)
 	}
 	if t.over {
 		return
