--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -110,7 +110,7 @@
 	Ballot   uint64    `msgpack:"b"`
 	Accepted uint64    `msgpack:"a,omitempty"` // the ballot at which Members was accepted
 	Epoch    uint64    `msgpack:"e,omitempty"` // the group's; of who promises, the greatest that it knows of
-	Members  []swim.ID `msgpack:"m,omitempty"` // in the order of Settings.Electors
+	Voters   []swim.ID `msgpack:"m,omitempty"` // in the order of Settings.Electors
 	Step     uint8     `msgpack:"s"`           // prepare, promise, accept, accepted, chosen, refused, asked
 }
 
--- a/internal/decide/lease/electors.go
+++ b/internal/decide/lease/electors.go
@@ -44,7 +44,7 @@
 		}
 	}
 	size := len(g.conf.GetVoters())
-	target := max(min(len(t.founding.Members), (keepers+1)/2*2-1), fewest)
+	target := max(min(len(t.founding.Voters), (keepers+1)/2*2-1), fewest)
 	if learners := g.conf.GetLearners(); len(learners) > 0 {
 		t.promote(learners[0], gone, size < target)
 		return
--- a/internal/decide/lease/found.go
+++ b/internal/decide/lease/found.go
@@ -83,7 +83,7 @@
 
 // hearFounding takes a word of the founding.
 func (t *Node) hearFounding(from swim.ID, f *Founding) {
-	if len(f.Members) > mostList {
+	if len(f.Voters) > mostList {
 		return
 	}
 	answer := func(a *Founding) { t.sendKept(from, &Message{Founding: a}) }
@@ -107,12 +107,12 @@
 			t.promised, t.dirty = f.Ballot, true
 			a := &Founding{Ballot: f.Ballot, Step: stepPromise, Epoch: t.epoch}
 			if t.accepted != nil {
-				a.Accepted, a.Epoch, a.Members = t.accepted.Ballot, t.accepted.Epoch, t.accepted.Members
+				a.Accepted, a.Epoch, a.Voters = t.accepted.Ballot, t.accepted.Epoch, t.accepted.Voters
 			}
 			answer(a)
 		default:
 			t.promised, t.dirty = f.Ballot, true
-			t.accepted = &Founding{Ballot: f.Ballot, Epoch: f.Epoch, Members: f.Members, Step: stepAccepted}
+			t.accepted = &Founding{Ballot: f.Ballot, Epoch: f.Epoch, Voters: f.Voters, Step: stepAccepted}
 			answer(&Founding{Ballot: f.Ballot, Step: stepAccepted})
 		}
 	case stepPromise, stepAccepted, stepRefused:
@@ -135,11 +135,11 @@
 		if slices.Contains(p.promises, nil) {
 			return
 		}
-		value := &Founding{Ballot: p.ballot, Members: ids, Step: stepAccept}
+		value := &Founding{Ballot: p.ballot, Voters: ids, Step: stepAccept}
 		best := uint64(0)
 		for _, a := range p.promises {
 			if a.Accepted > best {
-				best, value.Epoch, value.Members = a.Accepted, a.Epoch, a.Members
+				best, value.Epoch, value.Voters = a.Accepted, a.Epoch, a.Voters
 			} else if best == 0 {
 				value.Epoch = max(value.Epoch, a.Epoch+1)
 			}
@@ -163,13 +163,13 @@
 
 // chosen takes that a group is founded. Who is named in it takes part.
 func (t *Node) chosen(f *Founding) {
-	if f.Epoch < t.epoch || f.Epoch == 0 || t.founding != nil && t.founding.Epoch >= f.Epoch || len(f.Members) < 3 {
+	if f.Epoch < t.epoch || f.Epoch == 0 || t.founding != nil && t.founding.Epoch >= f.Epoch || len(f.Voters) < 3 {
 		return
 	}
 	known := *f
 	t.epoch, t.proposal, t.dirty = f.Epoch, nil, true
 	// Who is not among the founders takes part once a leader of the group has spoken to it as to one who does.
-	if slices.Contains(f.Members, t.self) || t.called == f.Epoch {
+	if slices.Contains(f.Voters, t.self) || t.called == f.Epoch {
 		t.join(&known)
 	}
 }
--- a/internal/decide/lease/group.go
+++ b/internal/decide/lease/group.go
@@ -60,9 +60,9 @@
 func (t *Node) enterGroup(hard, snapshot []byte, entries [][]byte) error {
 	g := &group{store: &store{MemoryStorage: raft.NewMemoryStorage()}, machine: machine{Epoch: t.founding.Epoch}, conf: &raftpb.ConfState{}, tickAt: t.now}
 	g.store.latest = func() (uint64, *raftpb.ConfState, []byte) { return g.applied, g.conf, g.machine.bytes() }
-	if snapshot == nil && slices.Contains(t.founding.Members, t.self) {
+	if snapshot == nil && slices.Contains(t.founding.Voters, t.self) {
 		conf := &raftpb.ConfState{}
-		for _, id := range t.founding.Members {
+		for _, id := range t.founding.Voters {
 			conf.Voters = append(conf.Voters, uint64(id))
 		}
 		slices.Sort(conf.Voters)
--- a/internal/decide/lease/stored_form_test.go
+++ b/internal/decide/lease/stored_form_test.go
@@ -35,7 +35,7 @@
 func TestWireAndStoredForm(t *testing.T) {
 	grant := Grant{Role: "list", Holder: math.MaxUint64, Token: 7<<counterBits + 3, BootID: 1 << 63}
 	record := Record{Role: "works", Version: 9, Token: 7<<counterBits + 4, Body: []byte{0, 1, 255}}
-	founding := Founding{Ballot: 1<<32 | 0x1200 | 2, Accepted: 1<<32 | 1, Epoch: 7, Members: []swim.ID{11, 12, 13}, Step: stepAccepted}
+	founding := Founding{Ballot: 1<<32 | 0x1200 | 2, Accepted: 1<<32 | 1, Epoch: 7, Voters: []swim.ID{11, 12, 13}, Step: stepAccepted}
 	renewal := Renewal{Number: 21, Grants: []Grant{grant}, Records: []Record{record}}
 	wire := map[string]any{
 		"message": &Message{Epoch: 7, Raft: []byte("raft"), Serial: 31, WriterID: 32, Lineage: []Writer{{33, 34}, {35, 36}}, Founding: &founding,
