--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -127,7 +127,7 @@
 		}
 		return 0
 	}
-	all = append(all, sidecar.Figure{Name: "owner_electors", Value: uint64(len(table.Voters))}, sidecar.Figure{Name: "owner_elector", Value: one(here.Elector)},
+	all = append(all, sidecar.Figure{Name: "owner_electors", Value: uint64(len(table.Voters))}, sidecar.Figure{Name: "owner_elector", Value: one(here.IsVoter)},
 		sidecar.Figure{Name: "owner_leads", Value: one(here.Leads)}, sidecar.Figure{Name: "owner_term", Value: here.Term},
 		sidecar.Figure{Name: "owner_unkept", Value: one(here.Unkept)})
 	if l := o.lists; l != nil {
--- a/internal/coordination/stored_form_test.go
+++ b/internal/coordination/stored_form_test.go
@@ -49,7 +49,7 @@
 	f := &Fleet{net: &standing{now: 100}, o: Options{Rand: rand.New(rand.NewPCG(1, 1))}}
 	o := &owners{f: f}
 	require.NoError(t, o.begin(s.ID, s.Tenure))
-	assert.True(t, o.t.Stats().Elector)
+	assert.True(t, o.t.Stats().IsVoter)
 	assert.Error(t, o.begin(s.ID+1, s.Tenure))
 	assert.Equal(t, string(data), string(encodeState(s)))
 }
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -69,7 +69,7 @@
 	Epoch    uint64 `json:"epoch"` // of the group that this member is in; 0: of none
 	Term     uint64 `json:"term"`
 	Serial   uint64 `json:"serial"`
-	Elector  bool   `json:"elector"`
+	IsVoter  bool   `json:"elector"`
 	Leads    bool   `json:"leads"`
 	Unkept   bool   `json:"unkept"`   // the state can't be kept: this member does not vote
 	Grants   uint64 `json:"grants"`   // that were agreed, of all jobs
@@ -391,7 +391,7 @@
 		f.Epoch = t.founding.Epoch
 	}
 	if g := t.group; g != nil {
-		f.Term, f.Leads, f.Elector = g.current, g.leads, t.elects()
+		f.Term, f.Leads, f.IsVoter = g.current, g.leads, t.elects()
 	}
 	return f
 }
--- a/internal/sim/leasesim/measure.go
+++ b/internal/sim/leasesim/measure.go
@@ -58,7 +58,7 @@
 			}
 			continue
 		}
-		if way.name == "kill of owner and leader" && owner.t.Stats().Elector {
+		if way.name == "kill of owner and leader" && owner.t.Stats().IsVoter {
 			continue // of three electors two would be gone
 		}
 		at, grants := w.Now(), w.counts.Grants
@@ -117,7 +117,7 @@
 		switch {
 		case f.Leads:
 			i = 0
-		case f.Elector:
+		case f.IsVoter:
 			i = 1
 		case w.ownsAny(n):
 			i = 2
--- a/internal/sim/leasesim/owners_test.go
+++ b/internal/sim/leasesim/owners_test.go
@@ -36,7 +36,7 @@
 		leader := w.leaderNow()
 		require.NotNil(t, leader)
 		for _, n := range w.nodes {
-			if n != leader && n.t.Stats().Elector {
+			if n != leader && n.t.Stats().IsVoter {
 				n.kill()
 				n.out = true
 				break
