--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -146,7 +146,7 @@
 	c.poll("one leads", func() bool {
 		leader = nil
 		for _, m := range some {
-			if s, ok := m.owners(); ok && s.Here.Leads {
+			if s, ok := m.owners(); ok && s.Here.IsLeader {
 				leader = m
 			}
 		}
@@ -535,7 +535,7 @@
 	assert.Contains(t, text, "OK")
 	c.poll("it says that it does not vote", func() bool {
 		s, ok := full.owners()
-		return ok && s.Here.Unkept && !s.Here.Leads
+		return ok && s.Here.Unkept && !s.Here.IsLeader
 	})
 	c.took("the leader's disk is full", token, c.all...)
 	limit(unix.RLIM_INFINITY)
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -70,7 +70,7 @@
 	Term     uint64 `json:"term"`
 	Serial   uint64 `json:"serial"`
 	IsVoter  bool   `json:"elector"`
-	Leads    bool   `json:"leads"`
+	IsLeader bool   `json:"leads"`
 	Unkept   bool   `json:"unkept"`   // the state can't be kept: this member does not vote
 	Grants   uint64 `json:"grants"`   // that were agreed, of all jobs
 	Owned    uint64 `json:"owned"`    // grants to this member that became leases
@@ -391,7 +391,7 @@
 		f.Epoch = t.founding.Epoch
 	}
 	if g := t.group; g != nil {
-		f.Term, f.Leads, f.IsVoter = g.current, g.leads, t.elects()
+		f.Term, f.IsLeader, f.IsVoter = g.current, g.leads, t.elects()
 	}
 	return f
 }
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -146,7 +146,7 @@
 // leader returns who leads.
 func (h *hall) leader() *seat {
 	for _, s := range h.all {
-		if s.up && s.t.Stats().Leads {
+		if s.up && s.t.Stats().IsLeader {
 			return s
 		}
 	}
--- a/internal/sim/leasesim/day.go
+++ b/internal/sim/leasesim/day.go
@@ -55,7 +55,7 @@
 func (w *World) leaderNow() (best *node) {
 	term := uint64(0)
 	for _, n := range w.lives() {
-		if f := n.t.Stats(); f.Leads && f.Term >= term {
+		if f := n.t.Stats(); f.IsLeader && f.Term >= term {
 			best, term = n, f.Term
 		}
 	}
--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -113,7 +113,7 @@
 // check looks at a member that has just done something.
 func (w *World) check(n *node) {
 	f := n.t.Stats()
-	if f.Leads {
+	if f.IsLeader {
 		i := slices.IndexFunc(w.leaders, func(l ledTerm) bool { return l.epoch == f.Epoch && l.term == f.Term })
 		if i < 0 {
 			w.counts.Elected++
@@ -161,7 +161,7 @@
 		w.broken(RuleTables, "epoch %d index %d is %s, and at %d %s", t.Epoch, t.Index, w.tables[i].sum, n.number, sum)
 		w.tables[i].sum = sum
 	}
-	if !f.Leads || t.Epoch != f.Epoch || t.Leader != n.ident.id {
+	if !f.IsLeader || t.Epoch != f.Epoch || t.Leader != n.ident.id {
 		return
 	}
 	j := slices.IndexFunc(w.electors, func(e electorsAt) bool { return e.epoch == f.Epoch })
--- a/internal/sim/leasesim/measure.go
+++ b/internal/sim/leasesim/measure.go
@@ -115,7 +115,7 @@
 		f := n.t.Stats()
 		i := 3
 		switch {
-		case f.Leads:
+		case f.IsLeader:
 			i = 0
 		case f.IsVoter:
 			i = 1
