--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -535,13 +535,13 @@
 	assert.Contains(t, text, "OK")
 	c.poll("it says that it does not vote", func() bool {
 		s, ok := full.owners()
-		return ok && s.Here.Unkept && !s.Here.IsLeader
+		return ok && s.Here.PersistFailed && !s.Here.IsLeader
 	})
 	c.took("the leader's disk is full", token, c.all...)
 	limit(unix.RLIM_INFINITY)
 	c.poll("it votes again", func() bool {
 		s, ok := full.owners()
-		return ok && !s.Here.Unkept
+		return ok && !s.Here.PersistFailed
 	})
 	comeBack(c.all[1], "a disk that was set back as a whole", "goes on under another identity", false, func(file string, raw []byte) {
 		head, _, _ := bytes.Cut(raw, []byte{'\n'})
--- a/cmd/hazelwheel/owners.go
+++ b/cmd/hazelwheel/owners.go
@@ -84,7 +84,7 @@
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", e.Name, e.State, e.Address, e.ID, leads)
 	}
 	fmt.Fprintf(t, "epoch %d, term %d, log %d\n", s.Epoch, s.Term, s.Index)
-	if s.Here.Unkept {
+	if s.Here.PersistFailed {
 		fmt.Fprintln(t, "this sidecar does not vote: what it promises can't be kept on its disk")
 	}
 }
--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -52,7 +52,7 @@
 func (o *owners) known() (table lease.Table, here lease.Stats) {
 	if o.t != nil {
 		table, here = o.t.Table(), o.t.Stats()
-		here.IsLeader = here.IsLeader && !here.Unkept
+		here.IsLeader = here.IsLeader && !here.PersistFailed
 	}
 	return table, here
 }
@@ -129,7 +129,7 @@
 	}
 	all = append(all, sidecar.Figure{Name: "owner_electors", Value: uint64(len(table.Voters))}, sidecar.Figure{Name: "owner_elector", Value: one(here.IsVoter)},
 		sidecar.Figure{Name: "owner_leads", Value: one(here.IsLeader)}, sidecar.Figure{Name: "owner_term", Value: here.Term},
-		sidecar.Figure{Name: "owner_unkept", Value: one(here.Unkept)})
+		sidecar.Figure{Name: "owner_unkept", Value: one(here.PersistFailed)})
 	if l := o.lists; l != nil {
 		all = append(all, sidecar.Figure{Name: "owner_list_fed", Value: one(l.on)}, sidecar.Figure{Name: "owner_list_starved", Value: l.counts.Starved},
 			sidecar.Figure{Name: "owner_list_disagreed", Value: l.counts.Disagreed})
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -272,12 +272,12 @@
 	h.all[0].t.RequestStepDown(h.now, "list") // something to keep
 	h.until(h.now + 6)
 	require.NotNil(t, h.leader())
-	require.True(t, was.t.Stats().Unkept)
+	require.True(t, was.t.Stats().PersistFailed)
 	o, _ := h.owner("list")
 	require.NotNil(t, o)
 	was.full = false
 	h.until(h.now + 3)
-	require.False(t, was.t.Stats().Unkept)
+	require.False(t, was.t.Stats().PersistFailed)
 }
 
 // Who has lost its quorum while its disk writes does not stand for election by raft's own draw, which no seed repeats.
