--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -230,7 +230,7 @@
 		case t.now >= h.until:
 		case !h.owned && t.can(h.Role):
 			h.owned = true
-			t.figures.Owned++
+			t.figures.Acquired++
 			t.do.Granted(h.Role, h.Token)
 			if t.keepsRecord(h.Role) {
 				h.record.Role = h.Role
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -73,7 +73,7 @@
 	IsLeader      bool   `json:"leads"`
 	PersistFailed bool   `json:"unkept"`   // the state can't be kept: this member does not vote
 	Grants        uint64 `json:"grants"`   // that were agreed, of all jobs
-	Owned         uint64 `json:"owned"`    // grants to this member that became leases
+	Acquired      uint64 `json:"owned"`    // grants to this member that became leases
 	Lapsed        uint64 `json:"lapsed"`   // of these, leases that ended without a renewal
 	Rounds        uint64 `json:"rounds"`   // quorum rounds for renewals, of this member as the leader
 	Saves         uint64 `json:"saves"`    // writes of the state
