--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -193,7 +193,7 @@
 func (t *Node) ask() {
 	if !t.asking && len(t.waiting) > 0 && t.leading() {
 		t.asking = true
-		t.figures.Rounds++
+		t.figures.QuorumReads++
 		ctx := binary.BigEndian.AppendUint64(nil, t.asked)
 		t.try(func() { t.group.node.ReadIndex(ctx) })
 	}
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -75,7 +75,7 @@
 	Grants        uint64 `json:"grants"`   // that were agreed, of all jobs
 	Acquired      uint64 `json:"owned"`    // grants to this member that became leases
 	Lapsed        uint64 `json:"lapsed"`   // of these, leases that ended without a renewal
-	Rounds        uint64 `json:"rounds"`   // quorum rounds for renewals, of this member as the leader
+	QuorumReads   uint64 `json:"rounds"`   // quorum rounds for renewals, of this member as the leader
 	Saves         uint64 `json:"saves"`    // writes of the state
 	Leaders       uint64 `json:"leaders"`  // times that this member has come to lead
 	Dropped       uint64 `json:"dropped"`  // messages under a serial lower than heard before
