--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -76,7 +76,7 @@
 	Acquired      uint64 `json:"owned"`    // grants to this member that became leases
 	Lapsed        uint64 `json:"lapsed"`   // of these, leases that ended without a renewal
 	QuorumReads   uint64 `json:"rounds"`   // quorum rounds for renewals, of this member as the leader
-	Saves         uint64 `json:"saves"`    // writes of the state
+	Persists      uint64 `json:"saves"`    // writes of the state
 	Leaders       uint64 `json:"leaders"`  // times that this member has come to lead
 	Dropped       uint64 `json:"dropped"`  // messages under a serial lower than heard before
 	Replaced      uint64 `json:"replaced"` // electors that this member, leading, has had replaced
@@ -312,7 +312,7 @@
 	t.inflight, t.later = append(t.inflight, t.later...), nil
 	t.serial++
 	t.lineage = t.lineage.with(uint32(t.life>>32)|1, t.serial)
-	t.figures.Saves++
+	t.figures.Persists++
 	t.do.Save(t.state())
 }
 
