--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -79,7 +79,7 @@
 func (t *Node) turned(leads bool) {
 	t.leader = leader{leadsAt: t.now, changed: t.now, dueAt: t.now}
 	if leads {
-		t.figures.Leaders++
+		t.figures.ElectionsWon++
 		for _, g := range t.group.machine.Grants {
 			t.post(g.Role)
 		}
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -77,7 +77,7 @@
 	Lapsed        uint64 `json:"lapsed"`   // of these, leases that ended without a renewal
 	QuorumReads   uint64 `json:"rounds"`   // quorum rounds for renewals, of this member as the leader
 	Persists      uint64 `json:"saves"`    // writes of the state
-	Leaders       uint64 `json:"leaders"`  // times that this member has come to lead
+	ElectionsWon  uint64 `json:"leaders"`  // times that this member has come to lead
 	Dropped       uint64 `json:"dropped"`  // messages under a serial lower than heard before
 	Replaced      uint64 `json:"replaced"` // electors that this member, leading, has had replaced
 }
