--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -98,7 +98,7 @@
 	}
 	// Who wrote again since it was heard has to show what its state came of, unless its version knows of no such thing.
 	if m.Serial < h.serial || m.WriterID != h.life && m.WriterID != 0 && h.life != 0 && (len(m.Lineage) == 0 || !lineage(m.Lineage).has(h.serial, h.life)) {
-		t.figures.Dropped++
+		t.figures.DroppedStale++
 		t.do.Send(from, &Message{Serial: h.serial, WriterID: h.life})
 		return false
 	}
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -78,7 +78,7 @@
 	QuorumReads   uint64 `json:"rounds"`   // quorum rounds for renewals, of this member as the leader
 	Persists      uint64 `json:"saves"`    // writes of the state
 	ElectionsWon  uint64 `json:"leaders"`  // times that this member has come to lead
-	Dropped       uint64 `json:"dropped"`  // messages under a serial lower than heard before
+	DroppedStale  uint64 `json:"dropped"`  // messages under a serial lower than heard before
 	Replaced      uint64 `json:"replaced"` // electors that this member, leading, has had replaced
 }
 
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -253,7 +253,7 @@
 		h.until(h.now + 4)
 		for _, s := range h.all {
 			require.Empty(t, s.gone)
-			require.Zero(t, s.t.figures.Dropped)
+			require.Zero(t, s.t.figures.DroppedStale)
 			require.LessOrEqual(t, len(s.t.lineage), mostWriters)
 		}
 		require.NotNil(t, h.leader())
