--- a/internal/decide/lease/electors.go
+++ b/internal/decide/lease/electors.go
@@ -116,7 +116,7 @@
 	case gone == 0:
 		t.change(single(raftpb.ConfChangeAddNode, learner))
 	default:
-		t.figures.Replaced++
+		t.figures.VotersReplaced++
 		t.change(append(single(raftpb.ConfChangeAddNode, learner), single(raftpb.ConfChangeRemoveNode, gone)...))
 	}
 }
