--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -265,7 +265,7 @@
 	}
 }
 
-func (a tenureActions) Flood(m *lease.Message, except swim.ID) {
+func (a tenureActions) Broadcast(m *lease.Message, except swim.ID) {
 	body := packed(m)
 	for _, l := range slices.Clone(a.o.f.up) { // a link may end with what is sent over it
 		if swim.ID(l.Hello.ID) != except {
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -84,7 +84,7 @@
 	// Send sends a message to a member; what can't be sent is lost.
 	Send(to swim.ID, m *Message)
 	// Flood sends a message over all links but those to one member (0: over all).
-	Flood(m *Message, except swim.ID)
+	Broadcast(m *Message, except swim.ID)
 	// Want asks for links to these members, beside those that there are, in place of what was asked for before.
 	Want(members []swim.ID)
 	// Save keeps the state: with the member's identity in one write, synced. Saved follows, and until then nothing that
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -36,7 +36,7 @@
 		t.do.Note("another electors' group has been founded: this member leaves the old one", "epoch", t.table.Epoch)
 		t.founding, t.group, t.accepted, t.dirty = nil, nil, nil, true
 	}
-	t.do.Flood(&Message{Table: table}, except)
+	t.do.Broadcast(&Message{Table: table}, except)
 	t.learn()
 }
 
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -228,7 +228,7 @@
 	t.tickLeader()
 	if t.now >= t.compared {
 		t.compared = t.now + compareS*(0.5+t.rng.Float64())
-		t.do.Flood(&Message{Table: &Table{Epoch: t.table.Epoch, Index: t.table.Index, Term: t.table.Term}}, 0)
+		t.do.Broadcast(&Message{Table: &Table{Epoch: t.table.Epoch, Index: t.table.Index, Term: t.table.Term}}, 0)
 	}
 	t.settle()
 }
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 }
-func (s *seat) Flood(m *Message, except swim.ID) {
+func (s *seat) Broadcast(m *Message, except swim.ID) {
 	for _, o := range s.h.all {
 		if o != s && o.id != except {
 			s.Send(o.id, m)
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -345,7 +345,7 @@
 	}
 }
 
-func (h *hands) Flood(m *lease.Message, except swim.ID) {
+func (h *hands) Broadcast(m *lease.Message, except swim.ID) {
 	body := packed(m)
 	for _, o := range h.n.w.nodes {
 		if o != h.n && o.up && o.ident.id != except {
