--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -274,7 +274,7 @@
 	}
 }
 
-func (a tenureActions) Want(ids []swim.ID) {
+func (a tenureActions) RequestLinks(ids []swim.ID) {
 	f := a.o.f
 	f.later(func() {
 		if f.view != nil && !f.hushed {
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -86,7 +86,7 @@
 	// Flood sends a message over all links but those to one member (0: over all).
 	Broadcast(m *Message, except swim.ID)
 	// Want asks for links to these members, beside those that there are, in place of what was asked for before.
-	Want(members []swim.ID)
+	RequestLinks(members []swim.ID)
 	// Save keeps the state: with the member's identity in one write, synced. Saved follows, and until then nothing that
 	// depends on it is said. One Save at a time.
 	Save(state []byte)
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -376,7 +376,7 @@
 	ids = slices.DeleteFunc(slices.Compact(ids), func(id swim.ID) bool { return id == t.self || id == 0 })
 	if !slices.Equal(ids, t.wanted) {
 		t.wanted = ids
-		t.do.Want(slices.Clone(ids))
+		t.do.RequestLinks(slices.Clone(ids))
 	}
 }
 
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 }
-func (s *seat) Want([]swim.ID) {}
+func (s *seat) RequestLinks([]swim.ID) {}
 func (s *seat) Save(b []byte) {
 	if s.slow {
 		return
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -399,7 +399,7 @@
 	w.At(at, arrive)
 }
 
-func (h *hands) Want([]swim.ID) {}
+func (h *hands) RequestLinks([]swim.ID) {}
 
 var errFull = errors.New("no space left on device")
 
