--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -283,7 +283,7 @@
 	})
 }
 
-func (a tenureActions) Save(promised []byte) {
+func (a tenureActions) Persist(promised []byte) {
 	f, t := a.o.f, a.o
 	f.later(func() {
 		of := t.t
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -89,7 +89,7 @@
 	RequestLinks(members []swim.ID)
 	// Save keeps the state: with the member's identity in one write, synced. Saved follows, and until then nothing that
 	// depends on it is said. One Save at a time.
-	Save(state []byte)
+	Persist(state []byte)
 	// Granted tells that this member owns a job from now on, while Holds says so.
 	Granted(job string, token uint64)
 	// Agreed tells what is kept of a job that this member owns: after Granted for each that has a record, also where nothing was kept
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -313,7 +313,7 @@
 	t.serial++
 	t.lineage = t.lineage.with(uint32(t.life>>32)|1, t.serial)
 	t.figures.Persists++
-	t.do.Save(t.state())
+	t.do.Persist(t.state())
 }
 
 // HandlePersisted takes the end of the last Save.
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -56,7 +56,7 @@
 	}
 }
 func (s *seat) RequestLinks([]swim.ID) {}
-func (s *seat) Save(b []byte) {
+func (s *seat) Persist(b []byte) {
 	if s.slow {
 		return
 	}
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -403,7 +403,7 @@
 
 var errFull = errors.New("no space left on device")
 
-func (h *hands) Save(state []byte) {
+func (h *hands) Persist(state []byte) {
 	n, w, life := h.n, h.n.w, h.life
 	if n.saving {
 		w.broken("one-save", "%d saves while it saves", n.number)
