--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -299,7 +299,7 @@
 	})
 }
 
-func (a tenureActions) Granted(name string, token uint64) {
+func (a tenureActions) LeaseStarted(name string, token uint64) {
 	o, of := a.o, a.o.t
 	o.f.later(func() {
 		j := o.job(name)
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -91,7 +91,7 @@
 	// depends on it is said. One Save at a time.
 	Persist(state []byte)
 	// Granted tells that this member owns a job from now on, while Holds says so.
-	Granted(job string, token uint64)
+	LeaseStarted(job string, token uint64)
 	// Agreed tells what is kept of a job that this member owns: after Granted for each that has a record, also where nothing was kept
 	// yet, and then whenever one is agreed.
 	Agreed(r Record)
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -231,7 +231,7 @@
 		case !h.owned && t.can(h.Role):
 			h.owned = true
 			t.figures.Acquired++
-			t.do.Granted(h.Role, h.Token)
+			t.do.LeaseStarted(h.Role, h.Token)
 			if t.keepsRecord(h.Role) {
 				h.record.Role = h.Role
 				t.do.Agreed(h.record)
