--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -319,7 +319,7 @@
 	})
 }
 
-func (a tenureActions) Agreed(r lease.Record) {
+func (a tenureActions) RecordCommitted(r lease.Record) {
 	o, of := a.o, a.o.t
 	o.f.later(func() {
 		if w := o.works; o.t == of && w != nil && r.Role == worksName && w.held != 0 {
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -94,7 +94,7 @@
 	LeaseStarted(job string, token uint64)
 	// Agreed tells what is kept of a job that this member owns: after Granted for each that has a record, also where nothing was kept
 	// yet, and then whenever one is agreed.
-	Agreed(r Record)
+	RecordCommitted(r Record)
 	// Ended tells that it no longer does: nothing more may be done under the token.
 	Ended(job string, token uint64, why string)
 	// Renounce asks for another identity: what was promised under this one is not known any more. The Tenure says nothing
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -234,7 +234,7 @@
 			t.do.LeaseStarted(h.Role, h.Token)
 			if t.keepsRecord(h.Role) {
 				h.record.Role = h.Role
-				t.do.Agreed(h.record)
+				t.do.RecordCommitted(h.record)
 			}
 		}
 	}
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -85,7 +85,7 @@
 		}
 		h.version, h.record = r.Version, *r
 		if h.owned {
-			t.do.Agreed(*r)
+			t.do.RecordCommitted(*r)
 		}
 	}
 }
