--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -328,7 +328,7 @@
 	})
 }
 
-func (a tenureActions) Ended(name string, token uint64, why string) {
+func (a tenureActions) LeaseEnded(name string, token uint64, why string) {
 	o := a.o
 	o.f.later(func() {
 		if j := o.job(name); j != nil && j.held == token {
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -96,7 +96,7 @@
 	// yet, and then whenever one is agreed.
 	RecordCommitted(r Record)
 	// Ended tells that it no longer does: nothing more may be done under the token.
-	Ended(job string, token uint64, why string)
+	LeaseEnded(job string, token uint64, why string)
 	// Renounce asks for another identity: what was promised under this one is not known any more. The Tenure says nothing
 	// more; a new one takes its place.
 	Renounce(why string)
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -120,7 +120,7 @@
 func (t *Node) end(h *holding, why string) {
 	t.held = slices.DeleteFunc(t.held, func(o *holding) bool { return o == h })
 	if h.owned {
-		t.do.Ended(h.Role, h.Token, why)
+		t.do.LeaseEnded(h.Role, h.Token, why)
 	}
 	t.giveBack(h.Grant)
 }
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -436,9 +436,11 @@
 	})
 }
 
-func (h *hands) LeaseStarted(job string, token uint64)      { h.n.w.granted(h.n, job, token) }
-func (h *hands) RecordCommitted(lease.Record)               {}
-func (h *hands) Ended(job string, token uint64, why string) { h.n.w.endedOne(h.n, job, token, why) }
+func (h *hands) LeaseStarted(job string, token uint64) { h.n.w.granted(h.n, job, token) }
+func (h *hands) RecordCommitted(lease.Record)          {}
+func (h *hands) LeaseEnded(job string, token uint64, why string) {
+	h.n.w.endedOne(h.n, job, token, why)
+}
 
 func (h *hands) Renounce(why string) {
 	n, w := h.n, h.n.w
