--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -340,7 +340,7 @@
 	})
 }
 
-func (a tenureActions) Renounce(why string) {
+func (a tenureActions) ReplaceIdentity(why string) {
 	f := a.o.f
 	f.later(func() {
 		f.view.RenounceIdentity(f.net.Now())
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -99,7 +99,7 @@
 	LeaseEnded(job string, token uint64, why string)
 	// Renounce asks for another identity: what was promised under this one is not known any more. The Tenure says nothing
 	// more; a new one takes its place.
-	Renounce(why string)
+	ReplaceIdentity(why string)
 	// Note tells something that an operator should read in the log.
 	Note(text string, args ...any)
 }
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -353,7 +353,7 @@
 	}
 	t.endAll("the identity is given up")
 	t.over, t.group, t.local, t.later, t.inflight = true, nil, nil, nil, nil
-	t.do.Renounce(why)
+	t.do.ReplaceIdentity(why)
 }
 
 // want asks for links.
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -442,7 +442,7 @@
 	h.n.w.endedOne(h.n, job, token, why)
 }
 
-func (h *hands) Renounce(why string) {
+func (h *hands) ReplaceIdentity(why string) {
 	n, w := h.n, h.n.w
 	w.note("%d renounces: %s", n.number, why)
 	life := n.life
