--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -348,7 +348,7 @@
 	})
 }
 
-func (a tenureActions) Note(text string, args ...any) {
+func (a tenureActions) Log(text string, args ...any) {
 	if now := a.o.f.net.Now(); a.o.notes.room(now) {
 		a.o.f.log.Info(text, args...)
 	}
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -101,7 +101,7 @@
 	// more; a new one takes its place.
 	ReplaceIdentity(why string)
 	// Note tells something that an operator should read in the log.
-	Note(text string, args ...any)
+	Log(text string, args ...any)
 }
 
 // Founding is a word of the agreement on who the first electors are: one decree of Paxos among the listed addresses, which
--- a/internal/decide/lease/found.go
+++ b/internal/decide/lease/found.go
@@ -181,5 +181,5 @@
 		t.renounce(err.Error())
 		return
 	}
-	t.do.Note("this member is an elector", "epoch", f.Epoch)
+	t.do.Log("this member is an elector", "epoch", f.Epoch)
 }
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -33,7 +33,7 @@
 	t.table = *table
 	t.epoch = max(t.epoch, t.table.Epoch)
 	if t.founding != nil && t.founding.Epoch < t.table.Epoch {
-		t.do.Note("another electors' group has been founded: this member leaves the old one", "epoch", t.table.Epoch)
+		t.do.Log("another electors' group has been founded: this member leaves the old one", "epoch", t.table.Epoch)
 		t.founding, t.group, t.accepted, t.dirty = nil, nil, nil, true
 	}
 	t.do.Broadcast(&Message{Table: table}, except)
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -325,7 +325,7 @@
 	t.saving = false
 	if err != nil {
 		if !t.unkept {
-			t.do.Note("the state can't be kept: this member does not vote", "error", err)
+			t.do.Log("the state can't be kept: this member does not vote", "error", err)
 		}
 		// Danger: what waits for it must go on waiting; a vote that was told and not kept is a vote that can be given twice.
 		t.unkept, t.dirty, t.retryAt = true, true, t.now+1
@@ -333,7 +333,7 @@
 	}
 	if t.unkept {
 		t.unkept = false
-		t.do.Note("the state is kept again: this member votes")
+		t.do.Log("the state is kept again: this member votes")
 	}
 	inflight := t.inflight
 	t.inflight = nil
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -73,7 +73,7 @@
 func (s *seat) LeaseEnded(job string, t uint64, w string) {}
 func (s *seat) RecordCommitted(r Record)                  { s.agreed = r }
 func (s *seat) ReplaceIdentity(why string)                { s.gone = why }
-func (s *seat) Note(string, ...any)                       {}
+func (s *seat) Log(string, ...any)                        {}
 
 func (h *hall) until(at float64) {
 	for h.now < at {
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -456,7 +456,7 @@
 	})
 }
 
-func (h *hands) Note(text string, args ...any) { h.n.w.note("%d notes: %s %v", h.n.number, text, args) }
+func (h *hands) Log(text string, args ...any) { h.n.w.note("%d notes: %s %v", h.n.number, text, args) }
 
 // --- Who is there ---
 
