--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -37,14 +37,14 @@
 func (n *Node) exchange(ctx context.Context, address string) {
 	request := n.buildExchange()
 	n.mu.Lock()
-	request.WantsTable, request.WantsList = n.tableFetch.tryAcquire(), n.endpointsFetch.tryAcquire()
+	request.NeedsTable, request.NeedsList = n.tableFetch.tryAcquire(), n.endpointsFetch.tryAcquire()
 	n.mu.Unlock()
 	reply, err := n.call(ctx, address, request)
 	n.mu.Lock()
-	if request.WantsTable {
+	if request.NeedsTable {
 		n.tableFetch.release()
 	}
-	if request.WantsList {
+	if request.NeedsList {
 		n.endpointsFetch.release()
 	}
 	n.mu.Unlock()
@@ -58,11 +58,11 @@
 
 // sendRequested sends a peer what its reply asks for.
 func (n *Node) sendRequested(ctx context.Context, address string, reply *message.Gossip) {
-	if !reply.WantsTable && !reply.WantsList {
+	if !reply.NeedsTable && !reply.NeedsList {
 		return
 	}
 	update := n.buildUpdate()
-	n.attachRequested(update, reply.WantsTable, reply.WantsList)
+	n.attachRequested(update, reply.NeedsTable, reply.NeedsList)
 	if answer, err := n.call(ctx, address, update); err == nil {
 		n.merge(answer)
 	}
@@ -151,11 +151,11 @@
 	}
 	hasNewerTable := reply.ConfigVersion > request.ConfigVersion
 	hasOtherEndpoints := reply.List.Digest != request.List.Digest && !needsEndpoints
-	n.attachRequested(reply, request.WantsTable && hasNewerTable, request.WantsList && hasOtherEndpoints)
+	n.attachRequested(reply, request.NeedsTable && hasNewerTable, request.NeedsList && hasOtherEndpoints)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	reply.WantsTable = needsTable && request.Table == nil && n.tableFetch.tryAcquire()
-	reply.WantsList = needsEndpoints && request.List.Data == nil && n.endpointsFetch.tryAcquire()
+	reply.NeedsTable = needsTable && request.Table == nil && n.tableFetch.tryAcquire()
+	reply.NeedsList = needsEndpoints && request.List.Data == nil && n.endpointsFetch.tryAcquire()
 	return reply, nil
 }
 
--- a/internal/gossip/wire_form_test.go
+++ b/internal/gossip/wire_form_test.go
@@ -36,7 +36,7 @@
 		Voters: register.Value{Epoch: 5, Voters: []register.Voter{voter}}, Grants: []register.Grant{{Role: "stages", Holder: "core-1/control", Token: 9}},
 		Plan: message.StagePlan{Token: 9, Sequence: 4, Stages: map[string]message.Stage{"i-1": message.Decode}}, ConfigVersion: 300,
 		Table: &message.PackedTable{Version: 300, Data: []byte("table")}, List: message.InstanceList{Digest: 1 << 60, AgeMs: 12.5, Data: []byte("list")},
-		Loads: []message.Load{{InstanceKey: 7, Running: 3, Waiting: 2, AgeMs: 900}}, WantsTable: true, WantsList: true, UpdatesOnly: true,
+		Loads: []message.Load{{InstanceKey: 7, Running: 3, Waiting: 2, AgeMs: 900}}, NeedsTable: true, NeedsList: true, UpdatesOnly: true,
 	})
 	assert.Equal(t, "/fleet/v1/gossip", gossipPath)
 }
--- a/internal/message/gossip.go
+++ b/internal/message/gossip.go
@@ -6,7 +6,7 @@
 )
 
 // Gossip is the request and the reply of an exchange between two processes. Each names the versions that its sender holds. The
-// configuration and the endpoint list, which are large, are attached only where the receiver has asked for them (WantsTable, WantsList):
+// configuration and the endpoint list, which are large, are attached only where the receiver has asked for them (NeedsTable, NeedsList):
 // an update reaches many processes in a few bytes, and each process fetches the large parts once.
 type Gossip struct {
 	FormatVersion int                    `msgpack:"f"`
@@ -19,7 +19,7 @@
 	Table         *PackedTable           `msgpack:"t"`  // the configuration, nil where it was not asked for
 	List          InstanceList           `msgpack:"l"`  // digest and age of the endpoint list; Data only where it was asked for
 	Loads         []Load                 `msgpack:"o"`  // recent loads of servers
-	WantsTable    bool                   `msgpack:"tt"` // the receiver's configuration is newer: attach it to the reply or the next request
-	WantsList     bool                   `msgpack:"tl"` // the same for a younger endpoint list
+	NeedsTable    bool                   `msgpack:"tt"` // the receiver's configuration is newer: attach it to the reply or the next request
+	NeedsList     bool                   `msgpack:"tl"` // the same for a younger endpoint list
 	UpdatesOnly   bool                   `msgpack:"w"`  // records, heartbeats and loads are left out, here and in the reply
 }
