--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -73,10 +73,10 @@
 	}
 	proxies := newProxyFeeds(a)
 	go proxies.serve(feed)
-	work, stop := context.WithCancel(context.Background())
+	taskCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go a.node.Run(work)
-	go a.refreshStaleLists(work)
+	go a.node.Run(taskCtx)
+	go a.refreshStaleLists(taskCtx)
 	if err := servers.run(ctx, a.node, reload); err != nil {
 		return err
 	}
--- a/internal/agent/redirector.go
+++ b/internal/agent/redirector.go
@@ -37,8 +37,8 @@
 	if err := serveRedirect(settings, node, router, servers); err != nil {
 		return err
 	}
-	work, stop := context.WithCancel(context.Background())
+	taskCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go node.Run(work)
+	go node.Run(taskCtx)
 	return servers.run(ctx, node, reload)
 }
--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -48,9 +48,9 @@
 	gossipVoters func() register.Value // the newest set of voters that gossip has brought
 	onChosen     func(chosenValue)     // called with each value that was found chosen, from any goroutine
 
-	mu           sync.Mutex      // guards what follows
-	highestRound uint64          // highest round of a ballot that was observed
-	lastChosen   register.Ballot // highest ballot at which this process has found a value chosen
+	mu            sync.Mutex      // guards what follows
+	highestNumber uint64          // of the highest ballot that was observed
+	lastChosen    register.Ballot // highest ballot at which this process has found a value chosen
 }
 
 // chosenValue is a value of the register that was chosen, with the ballot at which it was.
@@ -120,15 +120,15 @@
 func (p *proposer) nextBallot() register.Ballot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.highestRound = max(p.highestRound, p.replica.state().Promised.Number) + 1
-	return register.Ballot{Number: p.highestRound, Proposer: p.proposerID}
+	p.highestNumber = max(p.highestNumber, p.replica.state().Promised.Number) + 1
+	return register.Ballot{Number: p.highestNumber, Proposer: p.proposerID}
 }
 
-// observeRound notes a ballot of another proposer, for nextBallot to pass.
-func (p *proposer) observeRound(ballot register.Ballot) {
+// observeBallot notes a ballot of another proposer, for nextBallot to pass.
+func (p *proposer) observeBallot(ballot register.Ballot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.highestRound = max(p.highestRound, ballot.Number)
+	p.highestNumber = max(p.highestNumber, ballot.Number)
 }
 
 // recordChosen notes a ballot at which this process has found a value chosen.
@@ -169,7 +169,7 @@
 			step = applyReply(proposal, reply)
 		}
 	}
-	p.observeRound(proposal.HighestPromised)
+	p.observeBallot(proposal.HighestPromised)
 	if proposal.ChosenAt != (register.Ballot{}) && proposal.Outcome != register.Undecided {
 		p.recordChosen(proposal.ChosenAt)
 	}
@@ -181,10 +181,10 @@
 	switch {
 	case reply.err != nil:
 		return proposal.HandleNoReply(reply.from, reply.isAccept)
-	case reply.promise != nil:
-		return proposal.HandlePrepareReply(reply.from, *reply.promise)
+	case reply.prepareReply != nil:
+		return proposal.HandlePrepareReply(reply.from, *reply.prepareReply)
 	default:
-		return proposal.HandleAcceptReply(reply.from, *reply.accepted)
+		return proposal.HandleAcceptReply(reply.from, *reply.acceptReply)
 	}
 }
 
@@ -241,9 +241,9 @@
 	for !step.Done {
 		for _, voter := range step.SendPrepare {
 			go func() {
-				promise, err := callVoter(readCtx, p, voter, readPath, voteTimeout, &register.ReadRequest{To: voter.ID}, p.replica.handleRead)
+				prepareReply, err := callVoter(readCtx, p, voter, readPath, voteTimeout, &register.ReadRequest{To: voter.ID}, p.replica.handleRead)
 				select {
-				case replies <- voterReply{from: voter, promise: promise, err: err}:
+				case replies <- voterReply{from: voter, prepareReply: prepareReply, err: err}:
 				case <-readCtx.Done():
 				}
 			}()
@@ -255,7 +255,7 @@
 			if reply.err != nil {
 				step = reading.HandleNoReply()
 			} else {
-				step = reading.HandleReadReply(reply.from, *reply.promise)
+				step = reading.HandleReadReply(reply.from, *reply.prepareReply)
 			}
 		}
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -184,14 +184,14 @@
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
 	r.mu.Lock()
-	next, promise := r.acceptor.HandlePrepare(*request)
+	next, reply := r.acceptor.HandlePrepare(*request)
 	r.mu.Unlock()
 	if next != nil {
 		if err := r.persist(next, nil); err != nil {
 			return nil, err
 		}
 	}
-	return &promise, nil
+	return &reply, nil
 }
 
 // handleAccept answers an accept request. A value whose configuration is neither attached nor in memory is not accepted, and the reply asks
@@ -205,10 +205,10 @@
 		return nil, Error.New("the bytes of a configuration don't match its digest")
 	}
 	r.mu.Lock()
-	next, accepted := r.acceptor.HandleAccept(*request, cached || len(request.ConfigData) > 0)
+	next, reply := r.acceptor.HandleAccept(*request, cached || len(request.ConfigData) > 0)
 	r.mu.Unlock()
 	if next == nil {
-		return &accepted, nil
+		return &reply, nil
 	}
 	var newConfig []byte
 	if !cached {
@@ -217,15 +217,15 @@
 	if err := r.persist(next, newConfig); err != nil {
 		return nil, err
 	}
-	return &accepted, nil
+	return &reply, nil
 }
 
 // handleRead answers a read request, without a write.
 func (r *replica) handleRead(_ context.Context, request *register.ReadRequest) (*register.PrepareReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	promise := r.acceptor.HandleRead(*request)
-	return &promise, nil
+	reply := r.acceptor.HandleRead(*request)
+	return &reply, nil
 }
 
 // learn stores a value that was chosen, where it is newer than the stored one and the bytes of its configuration are here: in config, or in
--- a/internal/control/stageorder.go
+++ b/internal/control/stageorder.go
@@ -25,10 +25,10 @@
 
 // orderBody is the JSON body of an order to a model server. A server rejects an order whose token is below one that it has seen.
 type orderBody struct {
-	Op         string        `json:"Op"`
-	Stage      message.Stage `json:"Stage"`
-	Holder     string        `json:"Holder"`
-	FenceToken uint64        `json:"FenceToken"`
+	Op           string        `json:"Op"`
+	Stage        message.Stage `json:"Stage"`
+	LeaseHolder  string        `json:"Holder"`
+	FencingToken uint64        `json:"FenceToken"`
 }
 
 // sendOrder sends one order, once. An order without a response may have been executed, and counts as executed. A response of 412 says that
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -25,13 +25,13 @@
 	return reply, p.client.Call(ctx, from.Address, configPath, request, reply)
 }
 
-// voterReply is the outcome of one call to a voter: promise, accepted or err is set.
+// voterReply is the outcome of one call to a voter: prepareReply, acceptReply or err is set.
 type voterReply struct {
-	from     register.Voter
-	isAccept bool // the request was an accept, also where it failed
-	promise  *register.PrepareReply
-	accepted *register.AcceptReply
-	err      error
+	from         register.Voter
+	isAccept     bool // the request was an accept, also where it failed
+	prepareReply *register.PrepareReply
+	acceptReply  *register.AcceptReply
+	err          error
 }
 
 // callVoter sends a request to a voter and returns its reply. Where the voter is this process it calls local instead, without a time-out.
@@ -48,14 +48,14 @@
 
 // prepare sends a prepare request to a voter.
 func (p *proposer) prepare(ctx context.Context, voter register.Voter, request *register.PrepareRequest) voterReply {
-	promise, err := callVoter(ctx, p, voter, preparePath, voteTimeout, request, p.replica.handlePrepare)
-	return voterReply{from: voter, promise: promise, err: err}
+	reply, err := callVoter(ctx, p, voter, preparePath, voteTimeout, request, p.replica.handlePrepare)
+	return voterReply{from: voter, prepareReply: reply, err: err}
 }
 
 // accept sends an accept request to a voter, and allows for the transfer of the configuration with it.
 func (p *proposer) accept(ctx context.Context, voter register.Voter, request *register.AcceptRequest) voterReply {
-	accepted, err := callVoter(ctx, p, voter, acceptPath, voteTimeout+p.transferTime(len(request.ConfigData)), request, p.replica.handleAccept)
-	return voterReply{from: voter, isAccept: true, accepted: accepted, err: err}
+	reply, err := callVoter(ctx, p, voter, acceptPath, voteTimeout+p.transferTime(len(request.ConfigData)), request, p.replica.handleAccept)
+	return voterReply{from: voter, isAccept: true, acceptReply: reply, err: err}
 }
 
 // transferTime returns what a number of bytes may take on the own link while they go to all voters at once, 0 where the link is unknown.
--- a/internal/control/wire_form_test.go
+++ b/internal/control/wire_form_test.go
@@ -109,7 +109,7 @@
 			replicaStatus{Identity: "i", IsVoter: true, Epoch: 2, ConfigVersion: 3, ConfigBytes: 4, BallotRound: 5, PublishedVersion: 6, ReachesMajority: true,
 				Voters: []voterStatus{{Identity: "v", Address: "a", Reachable: true}}},
 			replicaStatus{},
-			orderBody{Op: stageOrderOp, Stage: message.Prefill, Holder: "c0", FenceToken: 9},
+			orderBody{Op: stageOrderOp, Stage: message.Prefill, LeaseHolder: "c0", FencingToken: 9},
 		}, "", "  ")
 		Expect(err).NotTo(HaveOccurred())
 		expectGolden("json.txt", string(data)+"\n")
