--- a/internal/nodeconfig/examine.go
+++ b/internal/nodeconfig/yaml.go
@@ -2,10 +2,8 @@
 
 import (
 	"errors"
-	"fmt"
 	"reflect"
 	"regexp"
-	"slices"
 	"strconv"
 	"strings"
 
@@ -14,50 +12,6 @@
 	"hazelwheel/internal/diagnostic"
 )
 
-// Report is what an examination of a settings file has found.
-type Report struct {
-	Settings *Settings            // nil where there are faults
-	Faults   []diagnostic.Finding // for any of which a process does not begin
-	Unknown  []diagnostic.Finding // fields that are passed over
-}
-
-// Validate reads settings and returns all that is wrong with them.
-func Validate(data []byte) Report {
-	var document yaml.Node
-	if err := yaml.Unmarshal(data, &document); err != nil {
-		return Report{Faults: unreadable(err)}
-	}
-	settings := defaults()
-	var found faults
-	if err := document.Decode(settings); err != nil {
-		found = unreadable(err) // the library goes on behind a value that it can't read
-	}
-	for _, refused := range settings.check(&document) {
-		sameLine := func(other diagnostic.Finding) bool { return other.Line == refused.Line && refused.Line > 0 }
-		if !slices.ContainsFunc(found, sameLine) {
-			found = append(found, refused)
-		}
-	}
-	diagnostic.Sort(found)
-	report := Report{Faults: found}
-	if len(document.Content) > 0 {
-		report.Unknown = unknownFields(document.Content[0], "", reflect.TypeFor[Settings]())
-	}
-	if len(found) == 0 {
-		settings.listenLine, _ = placeOf(&document, "Listen")
-		report.Settings = settings
-	}
-	return report
-}
-
-// faults collects what is wrong with a settings file.
-type faults []diagnostic.Finding
-
-func (f *faults) add(document *yaml.Node, place, format string, args ...any) {
-	line, column := placeOf(document, place)
-	*f = append(*f, diagnostic.Finding{Line: line, Column: column, Place: place, Text: fmt.Sprintf(format, args...)})
-}
-
 // lineOfText finds the line in an error of the library.
 var lineOfText = regexp.MustCompile(`^(?:yaml: )?line (\d+): `)
 
