--- a/internal/nodeconfig/settings_test.go
+++ b/internal/nodeconfig/settings_test.go
@@ -10,12 +10,12 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-func TestBoot(t *testing.T) {
+func TestNodeConfig(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "settings")
 }
 
-const sound = `NodeId: "edge-1"
+const validSettings = `NodeId: "edge-1"
 Ip: "10.1.0.13"
 Zone: "north"
 Listen:
@@ -35,8 +35,8 @@
 `
 
 var _ = Describe("the settings file", func() {
-	It("is read, fields that are not known passed over", func() {
-		settings, err := nodeconfig.Parse([]byte(sound))
+	It("is read, unknown keys ignored", func() {
+		settings, err := nodeconfig.Parse([]byte(validSettings))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.NodeID).To(Equal("edge-1"))
 		Expect(settings.DataDir).To(BeEmpty())
@@ -44,8 +44,8 @@
 		Expect(settings.InternalAddress("10.9.9.9", nodeconfig.AgentPort)).To(Equal("10.9.9.9:7721"))
 	})
 
-	DescribeTable("names line and field of a fault", func(was, is, line, field string) {
-		_, err := nodeconfig.Parse([]byte(strings.Replace(sound, was, is, 1)))
+	DescribeTable("is rejected with line and field of a fault", func(was, is, line, field string) {
+		_, err := nodeconfig.Parse([]byte(strings.Replace(validSettings, was, is, 1)))
 		Expect(err).To(MatchError(ContainSubstring(field)))
 		Expect(err).To(MatchError(ContainSubstring(line)))
 		Expect(strings.Count(err.Error(), "\n")).To(BeZero())
@@ -59,21 +59,21 @@
 		Entry("a word for a number", "DrainMs: 3000", "DrainMs: soon", "line 15", "soon"),
 	)
 
-	It("names the file that is not there", func() {
+	It("is named where it is missing", func() {
 		_, err := nodeconfig.Load("/nowhere/boot.yaml")
 		Expect(err).To(MatchError(ContainSubstring("/nowhere/boot.yaml")))
 	})
 })
 
-var _ = Describe("bounds that can't be kept together", func() {
+var _ = Describe("the warnings", func() {
 	settings := func(extra string) *nodeconfig.Settings {
-		parsed, err := nodeconfig.Parse([]byte(sound + "CountsForQuorum: true\nFaultTolerance: {Machines: 1}\n" + extra))
+		parsed, err := nodeconfig.Parse([]byte(validSettings + "CountsForQuorum: true\nFaultTolerance: {Machines: 1}\n" + extra))
 		Expect(err).NotTo(HaveOccurred())
 		parsed.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 		return parsed
 	}
 
-	It("are named once each", func() {
+	It("name each conflict once", func() {
 		s := settings("Limits: {LinkMbps: 8}\n")
 		Expect(s.Warnings()).To(ConsistOf(HavePrefix("CatchUpS: 4 s are too short to copy 4 MB at LinkMbps 8")))
 		s.Bounds.RecoverySeconds = 2
@@ -81,7 +81,7 @@
 		Expect(s.Warnings()).To(ConsistOf(HavePrefix("CatchUpS:"), HavePrefix("RecoveryS:"), HavePrefix("Seeds: 1 are too few")))
 	})
 
-	It("are not found where there are none, nor on machines that hold no copy", func() {
+	It("are empty without conflicts and on machines that don't count", func() {
 		Expect(settings("Limits: {LinkMbps: 120}\n").Warnings()).To(BeEmpty())
 		Expect(settings("").Warnings()).To(BeEmpty())
 		s := settings("Limits: {LinkMbps: 1}\n")
@@ -91,7 +91,7 @@
 })
 
 var _ = Describe("the number of voters", func() {
-	DescribeTable("bears what may be lost at once", func(machines, zones, regions, want int) {
+	DescribeTable("tolerates what may be lost at once", func(machines, zones, regions, want int) {
 		tolerance := nodeconfig.FaultTolerance{Machines: machines, Zones: zones, Regions: regions}
 		Expect(tolerance.MinVoters()).To(Equal(want))
 	},
@@ -101,8 +101,8 @@
 		Entry("a machine, or a region", 1, 0, 2, 5),
 	)
 
-	It("needs an address for the operator where the machine's disk counts, and only there", func() {
-		counting := strings.Replace(sound, "DataDir: null", "DataDir: /data\nCountsForQuorum: true", 1)
+	It("needs an operator's address where the machine's disk counts, and only there", func() {
+		counting := strings.Replace(validSettings, "DataDir: null", "DataDir: /data\nCountsForQuorum: true", 1)
 		settings, err := nodeconfig.Parse([]byte(counting))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.StoresConfig()).To(BeTrue())
@@ -110,8 +110,8 @@
 		settings, err = nodeconfig.Parse([]byte(strings.Replace(counting, "Listen:\n", "Listen:\n  Control: 10.1.0.13:8162\n", 1)))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.CheckOperatorAddress()).To(Succeed())
-		for _, without := range []string{sound, strings.Replace(sound, "DataDir: null", "DataDir: /data", 1),
-			strings.Replace(sound, "DataDir: null", "CountsForQuorum: true", 1)} {
+		for _, without := range []string{validSettings, strings.Replace(validSettings, "DataDir: null", "DataDir: /data", 1),
+			strings.Replace(validSettings, "DataDir: null", "CountsForQuorum: true", 1)} {
 			settings, err = nodeconfig.Parse([]byte(without))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(settings.StoresConfig()).To(BeFalse())
--- a/internal/nodeconfig/yaml.go
+++ b/internal/nodeconfig/yaml.go
@@ -12,46 +12,47 @@
 	"hazelwheel/internal/diagnostic"
 )
 
-// lineOfText finds the line in an error of the library.
-var lineOfText = regexp.MustCompile(`^(?:yaml: )?line (\d+): `)
+// errorLine matches the line in an error text of the YAML library.
+var errorLine = regexp.MustCompile(`^(?:yaml: )?line (\d+): `)
 
-// unreadable returns what the library says, a finding each.
-func unreadable(err error) (found faults) {
+// decodeProblems returns the errors of the YAML library as problems.
+func decodeProblems(err error) (problems problemList) {
 	texts := []string{err.Error()}
-	var several *yaml.TypeError
-	if errors.As(err, &several) {
-		texts = several.Errors
+	var typeError *yaml.TypeError
+	if errors.As(err, &typeError) {
+		texts = typeError.Errors
 	}
 	for _, text := range texts {
 		text = strings.ReplaceAll(text, "\n", " ")
 		line := 0
-		if match := lineOfText.FindStringSubmatch(text); match != nil {
-			line, _ = strconv.Atoi(match[1]) // digits
+		if match := errorLine.FindStringSubmatch(text); match != nil {
+			line, _ = strconv.Atoi(match[1]) // the match consists of digits
 			text = text[len(match[0]):]
 		}
-		found = append(found, diagnostic.Finding{Line: line, Column: min(line, 1), Text: text})
+		problems = append(problems, diagnostic.Finding{Line: line, Column: min(line, 1), Text: text})
 	}
-	return found
+	return problems
 }
 
-// placeOf returns the line and column of a field, such as Bounds.GraceS, or of the outermost one that is there; 0: none is.
-func placeOf(document *yaml.Node, place string) (line, column int) {
+// positionOf returns the line and column of the field at a path, such as Bounds.GraceS, or of the innermost key on the path
+// that exists; 0 if none does.
+func positionOf(document *yaml.Node, path string) (line, column int) {
 	if len(document.Content) == 0 {
 		return 0, 0
 	}
-	at := document.Content[0]
-	for name := range strings.SplitSeq(place, ".") {
-		i := keyIndex(at, name)
+	node := document.Content[0]
+	for name := range strings.SplitSeq(path, ".") {
+		i := keyIndex(node, name)
 		if i < 0 {
 			return line, column
 		}
-		line, column = at.Content[i].Line, at.Content[i].Column
-		at = at.Content[i+1]
+		line, column = node.Content[i].Line, node.Content[i].Column
+		node = node.Content[i+1]
 	}
 	return line, column
 }
 
-// keyIndex returns where a key of a mapping is, -1 where it isn't.
+// keyIndex returns the index of a key in the content of a mapping, -1 if it is not there.
 func keyIndex(mapping *yaml.Node, name string) int {
 	if mapping.Kind != yaml.MappingNode {
 		return -1
@@ -64,26 +65,26 @@
 	return -1
 }
 
-// unknownFields returns the fields of a mapping that a type does not have, and those of the mappings in it.
-func unknownFields(mapping *yaml.Node, place string, of reflect.Type) (unknown []diagnostic.Finding) {
-	if mapping.Kind != yaml.MappingNode || of.Kind() != reflect.Struct {
+// unknownFields returns the keys of a mapping, and of the mappings in it, for which a struct type has no field.
+func unknownFields(mapping *yaml.Node, path string, structType reflect.Type) (unknown []diagnostic.Finding) {
+	if mapping.Kind != yaml.MappingNode || structType.Kind() != reflect.Struct {
 		return nil
 	}
 	types := map[string]reflect.Type{}
-	for i := range of.NumField() {
-		if name := of.Field(i).Tag.Get("yaml"); name != "" {
-			types[name] = of.Field(i).Type
+	for i := range structType.NumField() {
+		if name := structType.Field(i).Tag.Get("yaml"); name != "" {
+			types[name] = structType.Field(i).Type
 		}
 	}
 	for i := 0; i+1 < len(mapping.Content); i += 2 {
 		key := mapping.Content[i]
-		fieldPlace := strings.TrimPrefix(place+"."+key.Value, ".")
+		fieldPath := strings.TrimPrefix(path+"."+key.Value, ".")
 		known, ok := types[key.Value]
 		if !ok {
-			unknown = append(unknown, diagnostic.Finding{Line: key.Line, Column: key.Column, Place: fieldPlace, Text: "not known, passed over"})
+			unknown = append(unknown, diagnostic.Finding{Line: key.Line, Column: key.Column, Place: fieldPath, Text: "not known, passed over"})
 			continue
 		}
-		unknown = append(unknown, unknownFields(mapping.Content[i+1], fieldPlace, known)...)
+		unknown = append(unknown, unknownFields(mapping.Content[i+1], fieldPath, known)...)
 	}
 	return unknown
 }
