--- a/internal/routeconfig/document.go
+++ b/internal/routeconfig/document.go
@@ -13,43 +13,43 @@
 	"hazelwheel/internal/diagnostic"
 )
 
-// node is a value of a JSON text with its place.
-type node struct {
-	offset  int             // of its first byte
-	scalar  json.RawMessage // of a string, a number, true, false or null
-	members []namedNode     // of an object, in their order
-	items   []*node         // of a list
-	kind    json.Delim      // '{' or '[', 0 for a scalar
-	dropped bool            // it can't be read, and is left out when the text is written again
+// jsonNode is a value of a JSON text with its place.
+type jsonNode struct {
+	offset    int             // of its first byte
+	scalar    json.RawMessage // of a string, a number, true, false or null
+	members   []jsonMember    // of an object, in their order
+	items     []*jsonNode     // of a list
+	kind      json.Delim      // '{' or '[', 0 for a scalar
+	isOmitted bool            // it can't be read, and is left out when the text is written again
 }
 
-// namedNode is a field of an object.
-type namedNode struct {
+// jsonMember is a field of an object.
+type jsonMember struct {
 	name   string
 	offset int // of the name
-	value  *node
+	value  *jsonNode
 }
 
-// mostDepth bounds how deep a text may be nested; no configuration comes near it.
-const mostDepth = 64
+// maxDepth bounds how deep a text may be nested; no configuration comes near it.
+const maxDepth = 64
 
-var errDepth = errors.New("nested too deep")
+var errTooDeep = errors.New("nested too deep")
 
-// document is a JSON text that is read by places.
-type document struct {
+// jsonDocument is a JSON text that is read by places.
+type jsonDocument struct {
 	text    []byte
 	lines   diagnostic.Lines
 	decoder *json.Decoder
-	places  map[string]int // offsets of values, by place
+	offsets map[string]int // offsets of values, by place
 	faults  []diagnostic.Finding
 	unknown []diagnostic.Finding
 }
 
-// newDocument returns a document and its outermost value; an error says that it is no JSON text.
-func newDocument(text []byte) (*document, *node, error) {
-	d := &document{text: text, lines: diagnostic.NewLines(text), decoder: json.NewDecoder(bytes.NewReader(text)), places: map[string]int{}}
+// parseDocument returns a document and its outermost value; an error says that it is no JSON text.
+func parseDocument(text []byte) (*jsonDocument, *jsonNode, error) {
+	d := &jsonDocument{text: text, lines: diagnostic.NewLines(text), decoder: json.NewDecoder(bytes.NewReader(text)), offsets: map[string]int{}}
 	d.decoder.UseNumber()
-	root, err := d.value(0)
+	root, err := d.parseValue(0)
 	if err != nil {
 		return d, nil, err
 	}
@@ -59,20 +59,20 @@
 	return d, root, nil
 }
 
-// begin returns where the next value begins.
-func (d *document) begin() int {
-	at := int(d.decoder.InputOffset())
-	for at < len(d.text) && bytes.IndexByte([]byte(" \t\r\n:,"), d.text[at]) >= 0 {
-		at++
+// nextOffset returns where the next value begins.
+func (d *jsonDocument) nextOffset() int {
+	offset := int(d.decoder.InputOffset())
+	for offset < len(d.text) && bytes.IndexByte([]byte(" \t\r\n:,"), d.text[offset]) >= 0 {
+		offset++
 	}
-	return at
+	return offset
 }
 
-func (d *document) value(depth int) (*node, error) {
-	if depth > mostDepth {
-		return nil, errDepth
+func (d *jsonDocument) parseValue(depth int) (*jsonNode, error) {
+	if depth > maxDepth {
+		return nil, errTooDeep
 	}
-	n := &node{offset: d.begin()}
+	n := &jsonNode{offset: d.nextOffset()}
 	token, err := d.decoder.Token()
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 	}
 	n.kind = delimiter
 	for d.decoder.More() {
-		if err := d.element(n, depth+1); err != nil {
+		if err := d.parseElement(n, depth+1); err != nil {
 			return nil, err
 		}
 	}
@@ -92,112 +92,112 @@
 	return n, err
 }
 
-// element reads a field of an object, or an item of a list.
-func (d *document) element(of *node, depth int) error {
-	if of.kind == '[' {
-		item, err := d.value(depth)
-		of.items = append(of.items, item)
+// parseElement reads a field of an object, or an item of a list.
+func (d *jsonDocument) parseElement(parent *jsonNode, depth int) error {
+	if parent.kind == '[' {
+		item, err := d.parseValue(depth)
+		parent.items = append(parent.items, item)
 		return err
 	}
-	field := namedNode{offset: d.begin()}
+	field := jsonMember{offset: d.nextOffset()}
 	name, err := d.decoder.Token()
 	if err != nil {
 		return err
 	}
 	field.name = name.(string) // the decoder returns nothing else for a name
-	field.value, err = d.value(depth)
-	of.members = append(of.members, field)
+	field.value, err = d.parseValue(depth)
+	parent.members = append(parent.members, field)
 	return err
 }
 
-func (d *document) found(offset int, place, text string) diagnostic.Finding {
+func (d *jsonDocument) newFinding(offset int, path, text string) diagnostic.Finding {
 	line, column := d.lines.At(offset)
-	return diagnostic.Finding{Line: line, Column: column, Place: place, Text: text}
+	return diagnostic.Finding{Line: line, Column: column, Place: path, Text: text}
 }
 
-func (d *document) fault(n *node, place, format string, args ...any) {
-	n.dropped = true
-	d.faults = append(d.faults, d.found(n.offset, place, fmt.Sprintf(format, args...)))
+func (d *jsonDocument) addFault(n *jsonNode, path, format string, args ...any) {
+	n.isOmitted = true
+	d.faults = append(d.faults, d.newFinding(n.offset, path, fmt.Sprintf(format, args...)))
 }
 
-// message compares an object with the type that is expected there: fields that are not known, values that can't be read.
-func (d *document) message(n *node, place string, of protoreflect.MessageDescriptor) {
-	d.places[place] = n.offset
-	if n.null() {
+// checkMessage compares an object with the type that is expected there: fields that are not known, values that can't be read.
+func (d *jsonDocument) checkMessage(n *jsonNode, path string, descriptor protoreflect.MessageDescriptor) {
+	d.offsets[path] = n.offset
+	if n.isNull() {
 		return
 	}
 	if n.kind != '{' {
-		d.fault(n, place, "want an object")
+		d.addFault(n, path, "want an object")
 		return
 	}
 	seen := map[string]bool{}
 	for _, member := range n.members {
-		fieldPlace := joined(place, member.name)
+		fieldPath := joinPath(path, member.name)
 		if seen[member.name] {
-			d.fault(member.value, fieldPlace, "stands twice")
+			d.addFault(member.value, fieldPath, "stands twice")
 			continue
 		}
 		seen[member.name] = true
-		field := of.Fields().ByJSONName(member.name)
+		field := descriptor.Fields().ByJSONName(member.name)
 		if field == nil {
-			field = of.Fields().ByTextName(member.name)
+			field = descriptor.Fields().ByTextName(member.name)
 		}
 		if field == nil {
-			d.unknown = append(d.unknown, d.found(member.offset, fieldPlace, "not known, passed over"))
+			d.unknown = append(d.unknown, d.newFinding(member.offset, fieldPath, "not known, passed over"))
 			continue
 		}
-		d.field(member.value, fieldPlace, field)
+		d.checkField(member.value, fieldPath, field)
 	}
 }
 
-func (d *document) field(n *node, place string, of protoreflect.FieldDescriptor) {
-	d.places[place] = n.offset
-	if !of.IsList() {
-		d.single(n, place, of)
+func (d *jsonDocument) checkField(n *jsonNode, path string, descriptor protoreflect.FieldDescriptor) {
+	d.offsets[path] = n.offset
+	if !descriptor.IsList() {
+		d.checkValue(n, path, descriptor)
 		return
 	}
-	if n.null() {
+	if n.isNull() {
 		return
 	}
 	if n.kind != '[' {
-		d.fault(n, place, "want a list")
+		d.addFault(n, path, "want a list")
 		return
 	}
 	for i, item := range n.items {
-		itemPlace := place + "[" + strconv.Itoa(i) + "]"
-		d.places[itemPlace] = item.offset
-		d.single(item, itemPlace, of)
+		itemPath := path + "[" + strconv.Itoa(i) + "]"
+		d.offsets[itemPath] = item.offset
+		d.checkValue(item, itemPath, descriptor)
 	}
 }
 
-func (d *document) single(n *node, place string, of protoreflect.FieldDescriptor) {
-	if of.Kind() == protoreflect.MessageKind {
-		d.message(n, place, of.Message())
+func (d *jsonDocument) checkValue(n *jsonNode, path string, descriptor protoreflect.FieldDescriptor) {
+	if descriptor.Kind() == protoreflect.MessageKind {
+		d.checkMessage(n, path, descriptor.Message())
 		return
 	}
-	if n.null() {
+	if n.isNull() {
 		return
 	}
 	var value any
 	if n.kind != 0 || json.Unmarshal(n.scalar, &value) != nil {
-		d.fault(n, place, "want %s", wanted(of.Kind()))
+		d.addFault(n, path, "want %s", describeKind(descriptor.Kind()))
 		return
 	}
-	if !readable(of.Kind(), value, n.scalar) {
-		d.fault(n, place, "want %s, not %s", wanted(of.Kind()), short(n.scalar))
+	if !matchesKind(descriptor.Kind(), value, n.scalar) {
+		d.addFault(n, path, "want %s, not %s", describeKind(descriptor.Kind()), abbreviate(n.scalar))
 	}
 }
 
-func (n *node) null() bool { return n.kind == 0 && string(n.scalar) == "null" }
+func (n *jsonNode) isNull() bool { return n.kind == 0 && string(n.scalar) == "null" }
 
 // The widths of whole numbers, in bits.
 const (
-	narrow = 32
-	wide   = 64
+	int32Bits = 32
+	int64Bits = 64
 )
 
-// readable tells whether a scalar can be read as a kind. Numbers may stand in quotes.
-func readable(kind protoreflect.Kind, value any, text []byte) bool {
+// matchesKind tells whether a scalar can be read as a kind. Numbers may stand in quotes.
+func matchesKind(kind protoreflect.Kind, value any, text []byte) bool {
 	number := string(text)
 	if quoted, ok := value.(string); ok {
 		number = quoted
@@ -211,18 +211,18 @@
 		_, ok := value.(string)
 		return ok
 	case protoreflect.Int32Kind:
-		_, err = strconv.ParseInt(number, 10, narrow)
+		_, err = strconv.ParseInt(number, 10, int32Bits)
 	case protoreflect.Int64Kind:
-		_, err = strconv.ParseInt(number, 10, wide)
+		_, err = strconv.ParseInt(number, 10, int64Bits)
 	case protoreflect.Uint64Kind:
-		_, err = strconv.ParseUint(number, 10, wide)
+		_, err = strconv.ParseUint(number, 10, int64Bits)
 	default:
-		_, err = strconv.ParseFloat(number, wide)
+		_, err = strconv.ParseFloat(number, int64Bits)
 	}
 	return err == nil
 }
 
-func wanted(kind protoreflect.Kind) string {
+func describeKind(kind protoreflect.Kind) string {
 	switch kind {
 	case protoreflect.BoolKind:
 		return "true or false"
@@ -235,21 +235,21 @@
 	}
 }
 
-func joined(place, name string) string {
-	if place == "" {
+func joinPath(path, name string) string {
+	if path == "" {
 		return name
 	}
-	return place + "." + name
+	return path + "." + name
 }
 
-// write returns the text without what can't be read.
-func (n *node) write(out *bytes.Buffer) {
+// writeReadable returns the text without what can't be read.
+func (n *jsonNode) writeReadable(out *bytes.Buffer) {
 	switch n.kind {
 	case '{':
 		out.WriteByte('{')
 		first := true
 		for _, member := range n.members {
-			if member.value.dropped {
+			if member.value.isOmitted {
 				continue
 			}
 			if !first {
@@ -259,7 +259,7 @@
 			name, _ := json.Marshal(member.name) // a string always marshals
 			out.Write(name)
 			out.WriteByte(':')
-			member.value.write(out)
+			member.value.writeReadable(out)
 		}
 		out.WriteByte('}')
 	case '[':
@@ -268,11 +268,11 @@
 			if i > 0 {
 				out.WriteByte(',')
 			}
-			if item.dropped {
+			if item.isOmitted {
 				out.WriteString("{}") // so that the others keep their places
 				continue
 			}
-			item.write(out)
+			item.writeReadable(out)
 		}
 		out.WriteByte(']')
 	default:
--- a/internal/routeconfig/examine.go
+++ b/internal/routeconfig/examine.go
@@ -20,58 +20,58 @@
 
 // Validate reads a configuration as Parse does, and returns all that is wrong with it instead of the first fault.
 func Validate(data []byte) Report {
-	doc, root, err := newDocument(data)
+	doc, root, err := parseDocument(data)
 	if err != nil {
 		line, column := doc.lines.At(int(doc.decoder.InputOffset()))
 		return Report{Faults: []diagnostic.Finding{{Line: line, Column: column, Text: err.Error()}}}
 	}
 	var config configpb.Config
-	doc.message(root, "", config.ProtoReflect().Descriptor())
+	doc.checkMessage(root, "", config.ProtoReflect().Descriptor())
 	report := Report{Faults: doc.faults, Unknown: doc.unknown}
-	if !root.dropped {
-		report.Faults = append(report.Faults, doc.refusals(root, &config)...)
+	if !root.isOmitted {
+		report.Faults = append(report.Faults, doc.checkConfig(root, &config)...)
 	}
 	diagnostic.Sort(report.Faults)
 	diagnostic.Sort(report.Unknown)
 	if len(report.Faults) == 0 {
-		report.Table = compile(&config)
+		report.Table = compileTable(&config)
 	}
 	return report
 }
 
-// refusals returns why a configuration is refused whose values can be read, but for places that can't.
-func (d *document) refusals(root *node, config *configpb.Config) (refused []diagnostic.Finding) {
+// checkConfig returns why a configuration is refused whose values can be read, but for places that can't.
+func (d *jsonDocument) checkConfig(root *jsonNode, config *configpb.Config) (problems []diagnostic.Finding) {
 	var text bytes.Buffer
-	root.write(&text)
+	root.writeReadable(&text)
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(text.Bytes(), config); err != nil {
 		return []diagnostic.Finding{{Text: err.Error()}}
 	}
 	unreadable := slices.Clone(d.faults)
-	for _, found := range check(config) {
-		under := func(fault diagnostic.Finding) bool {
-			return strings.HasPrefix(found.Place, fault.Place) || strings.HasPrefix(fault.Place, found.Place)
+	for _, problem := range validateConfig(config) {
+		isRelated := func(fault diagnostic.Finding) bool {
+			return strings.HasPrefix(problem.Place, fault.Place) || strings.HasPrefix(fault.Place, problem.Place)
 		}
-		if slices.ContainsFunc(unreadable, under) {
+		if slices.ContainsFunc(unreadable, isRelated) {
 			continue // it follows from that
 		}
-		if offset, there := d.nearest(found.Place); there {
-			found.Line, found.Column = d.lines.At(offset)
+		if offset, isKnown := d.nearestOffset(problem.Place); isKnown {
+			problem.Line, problem.Column = d.lines.At(offset)
 		}
-		refused = append(refused, found)
+		problems = append(problems, problem)
 	}
-	return refused
+	return problems
 }
 
-// nearest returns where a place is, or the one that it would be in.
-func (d *document) nearest(place string) (offset int, there bool) {
+// nearestOffset returns where a place is, or the one that it would be in.
+func (d *jsonDocument) nearestOffset(path string) (offset int, isKnown bool) {
 	for {
-		if offset, there = d.places[place]; there {
+		if offset, isKnown = d.offsets[path]; isKnown {
 			return offset, true
 		}
-		cut := strings.LastIndexAny(place, ".[")
-		if cut < 0 {
+		end := strings.LastIndexAny(path, ".[")
+		if end < 0 {
 			return 0, false
 		}
-		place = place[:cut]
+		path = path[:end]
 	}
 }
--- a/internal/routeconfig/patch.go
+++ b/internal/routeconfig/patch.go
@@ -28,17 +28,17 @@
 	text json.RawMessage
 }
 
-// member is a field of a JSON object, in its place.
-type member struct {
+// jsonField is a field of a JSON object, in its place.
+type jsonField struct {
 	key   string
 	value json.RawMessage
 }
 
 // The fields of a patch.
 const (
-	patchVersion = "Version"
-	patchUpsert  = "Upsert"
-	patchRemove  = "Remove"
+	versionKey = "Version"
+	upsertKey  = "Upsert"
+	removeKey  = "Remove"
 )
 
 // knownLists are the lists of a configuration whose items bear names. Others are known where a configuration holds them.
@@ -46,21 +46,21 @@
 
 // ParsePatch reads a patch. Its error names the list, the item and the field.
 func ParsePatch(data []byte) (*Patch, error) {
-	fields, err := object("patch", data)
+	fields, err := parseObject("patch", data)
 	if err != nil {
 		return nil, err
 	}
 	patch := &Patch{}
 	for _, field := range fields {
 		switch field.key {
-		case patchVersion:
+		case versionKey:
 			if err := json.Unmarshal(field.value, &patch.Version); err != nil {
-				return nil, Error.New("%s: want a whole number, not %s", patchVersion, short(field.value))
+				return nil, Error.New("%s: want a whole number, not %s", versionKey, abbreviate(field.value))
 			}
-		case patchUpsert:
-			err = patch.readUpsert(field.value)
-		case patchRemove:
-			err = patch.readRemove(field.value)
+		case upsertKey:
+			err = patch.parseUpsert(field.value)
+		case removeKey:
+			err = patch.parseRemove(field.value)
 		default:
 			err = Error.New("%s: a patch has no such field", field.key)
 		}
@@ -69,13 +69,13 @@
 		}
 	}
 	if patch.Version == 0 {
-		return nil, Error.New("%s: want a number above 0", patchVersion)
+		return nil, Error.New("%s: want a number above 0", versionKey)
 	}
-	return patch, patch.checkNames()
+	return patch, patch.validateNames()
 }
 
-// list returns the changes of a list, which are made where there are none.
-func (p *Patch) list(name string) *listPatch {
+// listNamed returns the changes of a list, which are made where there are none.
+func (p *Patch) listNamed(name string) *listPatch {
 	i := slices.IndexFunc(p.lists, func(l listPatch) bool { return l.name == name })
 	if i < 0 {
 		p.lists = append(p.lists, listPatch{name: name})
@@ -84,49 +84,49 @@
 	return &p.lists[i]
 }
 
-func (p *Patch) readUpsert(data json.RawMessage) error {
-	lists, err := object(patchUpsert, data)
+func (p *Patch) parseUpsert(data json.RawMessage) error {
+	lists, err := parseObject(upsertKey, data)
 	if err != nil {
 		return err
 	}
 	for _, list := range lists {
-		items, err := items(patchUpsert+"."+list.key, list.value)
+		items, err := parseItems(upsertKey+"."+list.key, list.value)
 		if err != nil {
 			return err
 		}
-		p.list(list.key).upsert = items
+		p.listNamed(list.key).upsert = items
 	}
 	return nil
 }
 
-func (p *Patch) readRemove(data json.RawMessage) error {
-	lists, err := object(patchRemove, data)
+func (p *Patch) parseRemove(data json.RawMessage) error {
+	lists, err := parseObject(removeKey, data)
 	if err != nil {
 		return err
 	}
 	for _, list := range lists {
 		var names []string
 		if err := json.Unmarshal(list.value, &names); err != nil {
-			return Error.New("%s.%s: want a list of names, not %s", patchRemove, list.key, short(list.value))
+			return Error.New("%s.%s: want a list of names, not %s", removeKey, list.key, abbreviate(list.value))
 		}
-		p.list(list.key).remove = names
+		p.listNamed(list.key).remove = names
 	}
 	return nil
 }
 
-// checkNames finds names that are changed twice: what would come of them is not said.
-func (p *Patch) checkNames() error {
+// validateNames finds names that are changed twice: what would come of them is not said.
+func (p *Patch) validateNames() error {
 	for _, list := range p.lists {
 		seen := map[string]bool{}
 		for _, item := range list.upsert {
 			if seen[item.name] {
-				return Error.New("%s.%s: %q stands twice", patchUpsert, list.name, item.name)
+				return Error.New("%s.%s: %q stands twice", upsertKey, list.name, item.name)
 			}
 			seen[item.name] = true
 		}
 		for _, name := range list.remove {
 			if seen[name] {
-				return Error.New("%s.%s: %q is changed as well, or stands twice", patchRemove, list.name, name)
+				return Error.New("%s.%s: %q is changed as well, or stands twice", removeKey, list.name, name)
 			}
 			seen[name] = true
 		}
@@ -136,26 +136,26 @@
 
 // Apply returns the configuration that a patch makes of another. Items that are replaced keep their places, new ones come behind.
 func (p *Patch) Apply(config []byte) ([]byte, error) {
-	fields, err := object("configuration", config)
+	fields, err := parseObject("configuration", config)
 	if err != nil {
 		return nil, err
 	}
-	fields = set(fields, patchVersion, json.RawMessage(strconv.FormatUint(p.Version, 10)))
+	fields = setField(fields, versionKey, json.RawMessage(strconv.FormatUint(p.Version, 10)))
 	for _, list := range p.lists {
-		i := slices.IndexFunc(fields, func(f member) bool { return f.key == list.name })
+		i := slices.IndexFunc(fields, func(f jsonField) bool { return f.key == list.name })
 		if i < 0 && !slices.Contains(knownLists, list.name) {
 			return nil, Error.New("%s: a configuration has no such list", list.name)
 		}
 		var current []item
 		if i >= 0 {
-			if current, err = items(list.name, fields[i].value); err != nil {
+			if current, err = parseItems(list.name, fields[i].value); err != nil {
 				return nil, err
 			}
 		}
 		if current, err = list.apply(current); err != nil {
 			return nil, err
 		}
-		fields = set(fields, list.name, encodeItems(current))
+		fields = setField(fields, list.name, encodeItems(current))
 	}
 	return encodeObject(fields), nil
 }
@@ -164,7 +164,7 @@
 	for _, name := range l.remove {
 		i := slices.IndexFunc(current, func(other item) bool { return other.name == name })
 		if i < 0 {
-			return nil, Error.New("%s.%s: there is no %q", patchRemove, l.name, name)
+			return nil, Error.New("%s.%s: there is no %q", removeKey, l.name, name)
 		}
 		current = slices.Delete(current, i, i+1)
 	}
@@ -179,52 +179,52 @@
 	return current, nil
 }
 
-// set replaces a field or adds it behind the others.
-func set(fields []member, key string, value json.RawMessage) []member {
-	i := slices.IndexFunc(fields, func(f member) bool { return f.key == key })
+// setField replaces a field or adds it behind the others.
+func setField(fields []jsonField, key string, value json.RawMessage) []jsonField {
+	i := slices.IndexFunc(fields, func(f jsonField) bool { return f.key == key })
 	if i < 0 {
-		return append(fields, member{key, value})
+		return append(fields, jsonField{key, value})
 	}
 	fields[i].value = value
 	return fields
 }
 
-// object reads the fields of a JSON object in their order. place is for the error.
-func object(place string, data []byte) ([]member, error) {
+// parseObject reads the fields of a JSON object in their order. place is for the error.
+func parseObject(path string, data []byte) ([]jsonField, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
-	begin, err := decoder.Token()
-	if err != nil || begin != json.Delim('{') {
-		return nil, Error.New("%s: want an object, not %s", place, short(data))
+	start, err := decoder.Token()
+	if err != nil || start != json.Delim('{') {
+		return nil, Error.New("%s: want an object, not %s", path, abbreviate(data))
 	}
-	var fields []member
+	var fields []jsonField
 	for decoder.More() {
 		key, err := decoder.Token()
 		if err != nil {
-			return nil, Error.New("%s: %v", place, err)
+			return nil, Error.New("%s: %v", path, err)
 		}
-		field := member{key: key.(string)} // the decoder returns nothing else for a key
+		field := jsonField{key: key.(string)} // the decoder returns nothing else for a key
 		if err := decoder.Decode(&field.value); err != nil {
-			return nil, Error.New("%s.%s: %v", place, field.key, err)
+			return nil, Error.New("%s.%s: %v", path, field.key, err)
 		}
-		if slices.ContainsFunc(fields, func(f member) bool { return f.key == field.key }) {
-			return nil, Error.New("%s.%s: stands twice", place, field.key)
+		if slices.ContainsFunc(fields, func(f jsonField) bool { return f.key == field.key }) {
+			return nil, Error.New("%s.%s: stands twice", path, field.key)
 		}
 		fields = append(fields, field)
 	}
 	if _, err := decoder.Token(); err != nil {
-		return nil, Error.New("%s: %v", place, err)
+		return nil, Error.New("%s: %v", path, err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, Error.New("%s: something stands behind the object", place)
+		return nil, Error.New("%s: something stands behind the object", path)
 	}
 	return fields, nil
 }
 
-// items reads a list of objects that bear names.
-func items(place string, data json.RawMessage) ([]item, error) {
+// parseItems reads a list of objects that bear names.
+func parseItems(path string, data json.RawMessage) ([]item, error) {
 	var texts []json.RawMessage
 	if err := json.Unmarshal(data, &texts); err != nil {
-		return nil, Error.New("%s: want a list, not %s", place, short(data))
+		return nil, Error.New("%s: want a list, not %s", path, abbreviate(data))
 	}
 	list := make([]item, 0, len(texts))
 	for i, text := range texts {
@@ -232,10 +232,10 @@
 			Name string `json:"Name"`
 		}
 		if err := json.Unmarshal(text, &named); err != nil {
-			return nil, Error.New("%s[%d]: want an object with a Name, not %s", place, i, short(text))
+			return nil, Error.New("%s[%d]: want an object with a Name, not %s", path, i, abbreviate(text))
 		}
 		if named.Name == "" {
-			return nil, Error.New("%s[%d].Name: a name is missing", place, i)
+			return nil, Error.New("%s[%d].Name: a name is missing", path, i)
 		}
 		list = append(list, item{named.Name, text})
 	}
@@ -255,7 +255,7 @@
 	return out.Bytes()
 }
 
-func encodeObject(fields []member) []byte {
+func encodeObject(fields []jsonField) []byte {
 	var out bytes.Buffer
 	out.WriteByte('{')
 	for i, field := range fields {
@@ -271,11 +271,11 @@
 	return out.Bytes()
 }
 
-// short cuts a text for an error of one line.
-func short(text []byte) string {
-	const most = 40
-	if len(text) > most {
-		text = append(slices.Clone(text[:most]), "..."...)
+// abbreviate cuts a text for an error of one line.
+func abbreviate(text []byte) string {
+	const maxBytes = 40
+	if len(text) > maxBytes {
+		text = append(slices.Clone(text[:maxBytes]), "..."...)
 	}
 	return strconv.Quote(string(text))
 }
--- a/internal/routeconfig/patch_test.go
+++ b/internal/routeconfig/patch_test.go
@@ -13,13 +13,13 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// patched applies a patch to the sound configuration.
-func patched(patch string) (string, error) {
+// applyPatch applies a patch to the sound configuration.
+func applyPatch(patch string) (string, error) {
 	read, err := routeconfig.ParsePatch([]byte(patch))
 	if err != nil {
 		return "", err
 	}
-	made, err := read.Apply([]byte(sound))
+	made, err := read.Apply([]byte(validConfig))
 	if err != nil {
 		return "", err
 	}
@@ -29,7 +29,7 @@
 
 var _ = Describe("a patch", func() {
 	It("replaces items in their places, adds others behind, removes, and leaves what it doesn't know", func() {
-		made, err := patched(`{"Version":9,"Upsert":{"Routes":[
+		made, err := applyPatch(`{"Version":9,"Upsert":{"Routes":[
 			{"Name":"c","Host":"h","PathPrefix":"/c/","RouteType":"idempotent","TimeoutMs":10,"Service":"s","Later":{"x":1}},
 			{"Name":"a","Host":"h","PathPrefix":"/a/","RouteType":"idempotent","TimeoutMs":70,"Service":"s"}]},"Remove":{"Routes":["b"]}}`)
 		Expect(err).NotTo(HaveOccurred())
@@ -54,7 +54,7 @@
 	})
 
 	DescribeTable("is refused in one line that names list, item and field", func(patch string, names ...string) {
-		_, err := patched(patch)
+		_, err := applyPatch(patch)
 		Expect(err).To(HaveOccurred())
 		for _, name := range names {
 			Expect(err.Error()).To(ContainSubstring(name))
@@ -86,13 +86,13 @@
 
 	It("makes the same of a configuration as putting the result would, in random series", func() {
 		for seed := range uint64(300) {
-			playPatches(rand.New(rand.NewPCG(seed, 56)))
+			comparePatches(rand.New(rand.NewPCG(seed, 56)))
 		}
 	})
 })
 
-// playPatches makes random patches one after the other and compares with a plain list.
-func playPatches(rng *rand.Rand) {
+// comparePatches makes random patches one after the other and compares with a plain list.
+func comparePatches(rng *rand.Rand) {
 	type route struct {
 		Name string
 		Mark int
--- a/internal/routeconfig/routes.go
+++ b/internal/routeconfig/routes.go
@@ -87,88 +87,88 @@
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(data, &config); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if faults := check(&config); len(faults) > 0 {
+	if faults := validateConfig(&config); len(faults) > 0 {
 		return nil, Error.New("%s", faults[0])
 	}
-	return compile(&config), nil
+	return compileTable(&config), nil
 }
 
-// faults collects what is wrong with a configuration.
-type faults []diagnostic.Finding
+// problemList collects what is wrong with a configuration.
+type problemList []diagnostic.Finding
 
-func (f *faults) add(place, format string, args ...any) {
-	*f = append(*f, diagnostic.Finding{Place: place, Text: fmt.Sprintf(format, args...)})
+func (f *problemList) add(path, format string, args ...any) {
+	*f = append(*f, diagnostic.Finding{Place: path, Text: fmt.Sprintf(format, args...)})
 }
 
-// check returns all that is wrong with a configuration by itself.
-func check(config *configpb.Config) (found faults) {
+// validateConfig returns all that is wrong with a configuration by itself.
+func validateConfig(config *configpb.Config) (problems problemList) {
 	if config.GetVersion() == 0 {
-		found.add("Version", "want a number above 0")
+		problems.add("Version", "want a number above 0")
 	}
 	services := map[string]bool{}
 	for i, service := range config.GetServices() {
 		name := service.GetName()
 		if name == "" || services[name] {
-			found.add(fmt.Sprintf("Services[%d].Name", i), "%q is empty or stands twice", name)
+			problems.add(fmt.Sprintf("Services[%d].Name", i), "%q is empty or stands twice", name)
 		}
 		services[name] = true
 	}
-	places := map[string]int{}
+	routeIndex := map[string]int{}
 	for i, route := range config.GetRoutes() {
-		at := fmt.Sprintf("Routes[%d]", i)
-		found.checkRoute(at, route, services)
-		place := route.GetHost() + route.GetPathPrefix()
-		if other, taken := places[place]; taken {
-			found.add(at, "same Host and PathPrefix as Routes[%d]", other)
+		path := fmt.Sprintf("Routes[%d]", i)
+		problems.validateRoute(path, route, services)
+		prefix := route.GetHost() + route.GetPathPrefix()
+		if other, isTaken := routeIndex[prefix]; isTaken {
+			problems.add(path, "same Host and PathPrefix as Routes[%d]", other)
 			continue
 		}
-		places[place] = i
+		routeIndex[prefix] = i
 	}
-	return found
+	return problems
 }
 
-func (f *faults) checkRoute(at string, route *configpb.Route, services map[string]bool) {
-	if !positive(route.GetTimeoutMs()) {
-		f.add(at+".TimeoutMs", "want a time above 0")
+func (f *problemList) validateRoute(path string, route *configpb.Route, services map[string]bool) {
+	if !isPositive(route.GetTimeoutMs()) {
+		f.add(path+".TimeoutMs", "want a time above 0")
 	}
 	switch RouteKind(route.GetRouteType()) {
 	case Idempotent, NonIdempotent, Streaming:
 	default:
-		f.add(at+".RouteType", "unknown %q", route.GetRouteType())
+		f.add(path+".RouteType", "unknown %q", route.GetRouteType())
 	}
 	prefix := route.GetPathPrefix()
 	if prefix == "" || prefix[0] != '/' || prefix[len(prefix)-1] != '/' {
-		f.add(at+".PathPrefix", "%q doesn't begin and end with a slash", prefix)
+		f.add(path+".PathPrefix", "%q doesn't begin and end with a slash", prefix)
 	}
 	if len(route.GetWeightedServices()) > 0 {
-		f.checkWeights(at+".WeightedServices", route.GetWeightedServices(), services)
+		f.validateWeights(path+".WeightedServices", route.GetWeightedServices(), services)
 	} else if !services[route.GetService()] {
-		f.add(at+".Service", "unknown service %q", route.GetService())
+		f.add(path+".Service", "unknown service %q", route.GetService())
 	}
 }
 
-// positive tells whether a figure is a number above 0; JSON texts may hold NaN and Infinity in quotes.
-func positive(figure float64) bool { return figure > 0 && !math.IsInf(figure, 1) }
+// isPositive tells whether a figure is a number above 0; JSON texts may hold NaN and Infinity in quotes.
+func isPositive(value float64) bool { return value > 0 && !math.IsInf(value, 1) }
 
-func (f *faults) checkWeights(at string, weights []*configpb.WeightedService, services map[string]bool) {
+func (f *problemList) validateWeights(path string, weights []*configpb.WeightedService, services map[string]bool) {
 	sum := 0.0
 	for i, weighted := range weights {
-		place := fmt.Sprintf("%s[%d]", at, i)
+		itemPath := fmt.Sprintf("%s[%d]", path, i)
 		if !services[weighted.GetService()] {
-			f.add(place, "unknown service %q", weighted.GetService())
+			f.add(itemPath, "unknown service %q", weighted.GetService())
 		}
-		if weight := weighted.GetWeight(); weight != 0 && !positive(weight) {
-			f.add(place+".Weight", "want a number that is not below 0, not %v", weight)
+		if weight := weighted.GetWeight(); weight != 0 && !isPositive(weight) {
+			f.add(itemPath+".Weight", "want a number that is not below 0, not %v", weight)
 			return
 		}
 		sum += weighted.GetWeight()
 	}
-	if !positive(sum) {
-		f.add(at, "weights add up to 0")
+	if !isPositive(sum) {
+		f.add(path, "weights add up to 0")
 	}
 }
 
-func compile(config *configpb.Config) *Table {
+func compileTable(config *configpb.Config) *Table {
 	table := &Table{Version: config.GetVersion(), Limits: Limits{
 		MaxHeaderBytes:  config.GetLimits().GetMaxHeaderBytes(),
 		MaxBodyBytes:    config.GetLimits().GetMaxBodyBytes(),
--- a/internal/routeconfig/routes_test.go
+++ b/internal/routeconfig/routes_test.go
@@ -15,7 +15,7 @@
 	RunSpecs(t, "configuration")
 }
 
-const sound = `{"Version":7,"New":[1],"Routes":[
+const validConfig = `{"Version":7,"New":[1],"Routes":[
 {"Name":"a","Host":"h","PathPrefix":"/a/","RouteType":"streaming","TimeoutMs":2500,"TargetLatencyMs":300,"Priority":0,"Service":"s","MaxAttempts":2,
 "Sticky":true,"Resumable":true,"gap_aim_ms":250},
 {"Name":"b","Host":"h","PathPrefix":"/b/","RouteType":"non_idempotent","TimeoutMs":1000.5,"WeightedServices":[{"Service":"s","Weight":90},
@@ -26,7 +26,7 @@
 
 var _ = Describe("a configuration", func() {
 	It("is compiled to a table, fields that are not known passed over", func() {
-		table, err := routeconfig.Parse([]byte(sound))
+		table, err := routeconfig.Parse([]byte(validConfig))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(table.Version).To(BeEquivalentTo(7))
 		Expect(table.Routes[0].Services).To(Equal([]routeconfig.WeightedService{{Service: "s", Weight: 1}}))
@@ -38,8 +38,8 @@
 	})
 
 	DescribeTable("is refused by the first fault's path", func(was, is, path string) {
-		Expect(strings.Contains(sound, was)).To(BeTrue(), "the case must change something")
-		_, err := routeconfig.Parse([]byte(strings.Replace(sound, was, is, 1)))
+		Expect(strings.Contains(validConfig, was)).To(BeTrue(), "the case must change something")
+		_, err := routeconfig.Parse([]byte(strings.Replace(validConfig, was, is, 1)))
 		Expect(err).To(MatchError(ContainSubstring(path)))
 	},
 		Entry("cut short", `"Limits"`, `"Lim`, "configuration"),
