--- a/internal/routeconfig/routes.go
+++ b/internal/routeconfig/table.go
@@ -1,14 +1,9 @@
-// Package routeconfig holds the operator's configuration: reading and checking it, and the compact table that proxies route by.
 package routeconfig
 
 import (
-	"fmt"
-	"math"
-
 	"github.com/zeebo/errs"
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"hazelwheel/internal/diagnostic"
 	"hazelwheel/internal/routeconfig/configpb"
 )
 
@@ -93,81 +88,6 @@
 	return compileTable(&config), nil
 }
 
-// problemList collects what is wrong with a configuration.
-type problemList []diagnostic.Finding
-
-func (f *problemList) add(path, format string, args ...any) {
-	*f = append(*f, diagnostic.Finding{Place: path, Text: fmt.Sprintf(format, args...)})
-}
-
-// validateConfig returns all that is wrong with a configuration by itself.
-func validateConfig(config *configpb.Config) (problems problemList) {
-	if config.GetVersion() == 0 {
-		problems.add("Version", "want a number above 0")
-	}
-	services := map[string]bool{}
-	for i, service := range config.GetServices() {
-		name := service.GetName()
-		if name == "" || services[name] {
-			problems.add(fmt.Sprintf("Services[%d].Name", i), "%q is empty or stands twice", name)
-		}
-		services[name] = true
-	}
-	routeIndex := map[string]int{}
-	for i, route := range config.GetRoutes() {
-		path := fmt.Sprintf("Routes[%d]", i)
-		problems.validateRoute(path, route, services)
-		prefix := route.GetHost() + route.GetPathPrefix()
-		if other, isTaken := routeIndex[prefix]; isTaken {
-			problems.add(path, "same Host and PathPrefix as Routes[%d]", other)
-			continue
-		}
-		routeIndex[prefix] = i
-	}
-	return problems
-}
-
-func (f *problemList) validateRoute(path string, route *configpb.Route, services map[string]bool) {
-	if !isPositive(route.GetTimeoutMs()) {
-		f.add(path+".TimeoutMs", "want a time above 0")
-	}
-	switch RouteKind(route.GetRouteType()) {
-	case Idempotent, NonIdempotent, Streaming:
-	default:
-		f.add(path+".RouteType", "unknown %q", route.GetRouteType())
-	}
-	prefix := route.GetPathPrefix()
-	if prefix == "" || prefix[0] != '/' || prefix[len(prefix)-1] != '/' {
-		f.add(path+".PathPrefix", "%q doesn't begin and end with a slash", prefix)
-	}
-	if len(route.GetWeightedServices()) > 0 {
-		f.validateWeights(path+".WeightedServices", route.GetWeightedServices(), services)
-	} else if !services[route.GetService()] {
-		f.add(path+".Service", "unknown service %q", route.GetService())
-	}
-}
-
-// isPositive tells whether a figure is a number above 0; JSON texts may hold NaN and Infinity in quotes.
-func isPositive(value float64) bool { return value > 0 && !math.IsInf(value, 1) }
-
-func (f *problemList) validateWeights(path string, weights []*configpb.WeightedService, services map[string]bool) {
-	sum := 0.0
-	for i, weighted := range weights {
-		itemPath := fmt.Sprintf("%s[%d]", path, i)
-		if !services[weighted.GetService()] {
-			f.add(itemPath, "unknown service %q", weighted.GetService())
-		}
-		if weight := weighted.GetWeight(); weight != 0 && !isPositive(weight) {
-			f.add(itemPath+".Weight", "want a number that is not below 0, not %v", weight)
-			return
-		}
-		sum += weighted.GetWeight()
-	}
-	if !isPositive(sum) {
-		f.add(path, "weights add up to 0")
-	}
-}
-
 func compileTable(config *configpb.Config) *Table {
 	table := &Table{Version: config.GetVersion(), Limits: Limits{
 		MaxHeaderBytes:  config.GetLimits().GetMaxHeaderBytes(),
