--- a/internal/routeconfig/json_document.go
+++ b/internal/routeconfig/json_document.go
@@ -13,39 +13,42 @@
 	"hazelwheel/internal/diagnostic"
 )
 
-// jsonNode is a value of a JSON text with its place.
+// jsonNode is a value of a JSON text with its offset.
 type jsonNode struct {
 	offset    int             // of its first byte
-	scalar    json.RawMessage // of a string, a number, true, false or null
-	members   []jsonMember    // of an object, in their order
+	scalar    json.RawMessage // the text of a string, a number, true, false or null
+	members   []jsonMember    // of an object, in order
 	items     []*jsonNode     // of a list
 	kind      json.Delim      // '{' or '[', 0 for a scalar
-	isOmitted bool            // it can't be read, and is left out when the text is written again
+	isOmitted bool            // it has the wrong type; writeReadable leaves it out
 }
 
-// jsonMember is a field of an object.
+// jsonMember is a member of an object.
 type jsonMember struct {
 	name   string
 	offset int // of the name
 	value  *jsonNode
 }
 
-// maxDepth bounds how deep a text may be nested; no configuration comes near it.
+// maxDepth bounds the nesting of a text, and so the recursion. Configurations are far less deep.
 const maxDepth = 64
 
+// errTooDeep rejects a text that is nested deeper than maxDepth.
 var errTooDeep = errors.New("nested too deep")
 
-// jsonDocument is a JSON text that is read by places.
+// jsonDocument is a JSON text that is compared with the message type which it should hold. Positions in the text are found by
+// paths such as Routes[2].TimeoutMs.
 type jsonDocument struct {
 	text    []byte
 	lines   diagnostic.Lines
 	decoder *json.Decoder
-	offsets map[string]int // offsets of values, by place
-	faults  []diagnostic.Finding
-	unknown []diagnostic.Finding
+	offsets map[string]int       // of values, by path
+	faults  []diagnostic.Finding // values of the wrong type
+	unknown []diagnostic.Finding // fields that the type doesn't have
 }
 
-// parseDocument returns a document and its outermost value; an error says that it is no JSON text.
+// parseDocument parses a text and returns its outermost value. With an error, for a text that is not JSON, the document serves
+// to find the line.
 func parseDocument(text []byte) (*jsonDocument, *jsonNode, error) {
 	d := &jsonDocument{text: text, lines: diagnostic.NewLines(text), decoder: json.NewDecoder(bytes.NewReader(text)), offsets: map[string]int{}}
 	d.decoder.UseNumber()
@@ -53,13 +56,13 @@
 	if err != nil {
 		return d, nil, err
 	}
-	if _, err := d.decoder.Token(); err != io.EOF {
+	if _, err := d.decoder.Token(); !errors.Is(err, io.EOF) {
 		return d, nil, errors.New("something stands behind the configuration")
 	}
 	return d, root, nil
 }
 
-// nextOffset returns where the next value begins.
+// nextOffset returns the offset of the next value.
 func (d *jsonDocument) nextOffset() int {
 	offset := int(d.decoder.InputOffset())
 	for offset < len(d.text) && bytes.IndexByte([]byte(" \t\r\n:,"), d.text[offset]) >= 0 {
@@ -68,6 +71,7 @@
 	return offset
 }
 
+// parseValue parses the next value.
 func (d *jsonDocument) parseValue(depth int) (*jsonNode, error) {
 	if depth > maxDepth {
 		return nil, errTooDeep
@@ -88,11 +92,11 @@
 			return nil, err
 		}
 	}
-	_, err = d.decoder.Token() // the end
+	_, err = d.decoder.Token() // the closing delimiter
 	return n, err
 }
 
-// parseElement reads a field of an object, or an item of a list.
+// parseElement parses the next member of an object or item of a list.
 func (d *jsonDocument) parseElement(parent *jsonNode, depth int) error {
 	if parent.kind == '[' {
 		item, err := d.parseValue(depth)
@@ -104,23 +108,25 @@
 	if err != nil {
 		return err
 	}
-	field.name = name.(string) // the decoder returns nothing else for a name
+	field.name = name.(string) // a decoder returns names as strings
 	field.value, err = d.parseValue(depth)
 	parent.members = append(parent.members, field)
 	return err
 }
 
+// newFinding returns a finding with the line and column of an offset.
 func (d *jsonDocument) newFinding(offset int, path, text string) diagnostic.Finding {
 	line, column := d.lines.At(offset)
 	return diagnostic.Finding{Line: line, Column: column, Place: path, Text: text}
 }
 
+// addFault adds a value of the wrong type, which is omitted from then on.
 func (d *jsonDocument) addFault(n *jsonNode, path, format string, args ...any) {
 	n.isOmitted = true
 	d.faults = append(d.faults, d.newFinding(n.offset, path, fmt.Sprintf(format, args...)))
 }
 
-// checkMessage compares an object with the type that is expected there: fields that are not known, values that can't be read.
+// checkMessage compares a value with a message type, and adds unknown fields and values of the wrong type.
 func (d *jsonDocument) checkMessage(n *jsonNode, path string, descriptor protoreflect.MessageDescriptor) {
 	d.offsets[path] = n.offset
 	if n.isNull() {
@@ -150,6 +156,7 @@
 	}
 }
 
+// checkField compares a value with a field, which may be a list.
 func (d *jsonDocument) checkField(n *jsonNode, path string, descriptor protoreflect.FieldDescriptor) {
 	d.offsets[path] = n.offset
 	if !descriptor.IsList() {
@@ -170,6 +177,7 @@
 	}
 }
 
+// checkValue compares a value with the type of a field or of its items.
 func (d *jsonDocument) checkValue(n *jsonNode, path string, descriptor protoreflect.FieldDescriptor) {
 	if descriptor.Kind() == protoreflect.MessageKind {
 		d.checkMessage(n, path, descriptor.Message())
@@ -190,13 +198,14 @@
 
 func (n *jsonNode) isNull() bool { return n.kind == 0 && string(n.scalar) == "null" }
 
-// The widths of whole numbers, in bits.
+// The sizes of numbers, in bits.
 const (
-	int32Bits = 32
-	int64Bits = 64
+	int32Bits   = 32
+	int64Bits   = 64
+	float64Bits = 64
 )
 
-// matchesKind tells whether a scalar can be read as a kind. Numbers may stand in quotes.
+// matchesKind reports whether a scalar can be read as a field of a kind, as protojson does: numbers may be in quotes.
 func matchesKind(kind protoreflect.Kind, value any, text []byte) bool {
 	number := string(text)
 	if quoted, ok := value.(string); ok {
@@ -217,11 +226,12 @@
 	case protoreflect.Uint64Kind:
 		_, err = strconv.ParseUint(number, 10, int64Bits)
 	default:
-		_, err = strconv.ParseFloat(number, int64Bits)
+		_, err = strconv.ParseFloat(number, float64Bits)
 	}
 	return err == nil
 }
 
+// describeKind returns what an error text calls a value of a kind.
 func describeKind(kind protoreflect.Kind) string {
 	switch kind {
 	case protoreflect.BoolKind:
@@ -235,6 +245,7 @@
 	}
 }
 
+// joinPath returns the path of a field in the object at a path.
 func joinPath(path, name string) string {
 	if path == "" {
 		return name
@@ -242,7 +253,7 @@
 	return path + "." + name
 }
 
-// writeReadable returns the text without what can't be read.
+// writeReadable writes the text without omitted values.
 func (n *jsonNode) writeReadable(out *bytes.Buffer) {
 	switch n.kind {
 	case '{':
@@ -256,7 +267,7 @@
 				out.WriteByte(',')
 			}
 			first = false
-			name, _ := json.Marshal(member.name) // a string always marshals
+			name, _ := json.Marshal(member.name) // never fails for a string
 			out.Write(name)
 			out.WriteByte(':')
 			member.value.writeReadable(out)
@@ -269,7 +280,7 @@
 				out.WriteByte(',')
 			}
 			if item.isOmitted {
-				out.WriteString("{}") // so that the others keep their places
+				out.WriteString("{}") // keeps the indexes of the other items
 				continue
 			}
 			item.writeReadable(out)
--- a/internal/routeconfig/json_object.go
+++ b/internal/routeconfig/json_object.go
@@ -3,18 +3,19 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"io"
 	"slices"
 	"strconv"
 )
 
-// jsonField is a field of a JSON object, in its place.
+// jsonField is a field of a JSON object whose fields keep their order.
 type jsonField struct {
 	key   string
 	value json.RawMessage
 }
 
-// setField replaces a field or adds it behind the others.
+// setField replaces a field in its position or appends it.
 func setField(fields []jsonField, key string, value json.RawMessage) []jsonField {
 	i := slices.IndexFunc(fields, func(f jsonField) bool { return f.key == key })
 	if i < 0 {
@@ -24,7 +25,7 @@
 	return fields
 }
 
-// parseObject reads the fields of a JSON object in their order. place is for the error.
+// parseObject parses the fields of a JSON object, in their order. path names the object in errors.
 func parseObject(path string, data []byte) ([]jsonField, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	start, err := decoder.Token()
@@ -35,11 +36,11 @@
 	for decoder.More() {
 		key, err := decoder.Token()
 		if err != nil {
-			return nil, Error.New("%s: %v", path, err)
+			return nil, Error.New("%s: %w", path, err)
 		}
-		field := jsonField{key: key.(string)} // the decoder returns nothing else for a key
+		field := jsonField{key: key.(string)} // a decoder returns keys as strings
 		if err := decoder.Decode(&field.value); err != nil {
-			return nil, Error.New("%s.%s: %v", path, field.key, err)
+			return nil, Error.New("%s.%s: %w", path, field.key, err)
 		}
 		if slices.ContainsFunc(fields, func(f jsonField) bool { return f.key == field.key }) {
 			return nil, Error.New("%s.%s: stands twice", path, field.key)
@@ -47,14 +48,15 @@
 		fields = append(fields, field)
 	}
 	if _, err := decoder.Token(); err != nil {
-		return nil, Error.New("%s: %v", path, err)
+		return nil, Error.New("%s: %w", path, err)
 	}
-	if _, err := decoder.Token(); err != io.EOF {
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return nil, Error.New("%s: something stands behind the object", path)
 	}
 	return fields, nil
 }
 
+// encodeObject encodes fields as a JSON object.
 func encodeObject(fields []jsonField) []byte {
 	var out bytes.Buffer
 	out.WriteByte('{')
@@ -62,7 +64,7 @@
 		if i > 0 {
 			out.WriteByte(',')
 		}
-		key, _ := json.Marshal(field.key) // a string always marshals
+		key, _ := json.Marshal(field.key) // never fails for a string
 		out.Write(key)
 		out.WriteByte(':')
 		out.Write(field.value)
@@ -71,7 +73,7 @@
 	return out.Bytes()
 }
 
-// abbreviate cuts a text for an error of one line.
+// abbreviate quotes a text, cut to a length that fits into an error of one line.
 func abbreviate(text []byte) string {
 	const maxBytes = 40
 	if len(text) > maxBytes {
--- a/internal/routeconfig/patch.go
+++ b/internal/routeconfig/patch.go
@@ -7,37 +7,37 @@
 	"strconv"
 )
 
-// Patch is a change of named items of a configuration. It goes by the JSON text, not by the types: fields of items that this version
-// doesn't know stay as the operator sent them.
+// Patch is a change of named items of a document. It works on the JSON text, not on the message type, so that fields which this
+// version doesn't know stay as the operator sent them.
 type Patch struct {
-	Version uint64
+	Version uint64 // of the patched document
 	lists   []listPatch
 }
 
-// listPatch is what changes in one list.
+// listPatch is the change of one list.
 type listPatch struct {
 	name   string
 	upsert []item
 	remove []string
 }
 
-// item is an element of a list.
+// item is a named item of a list.
 type item struct {
 	name string
 	text json.RawMessage
 }
 
-// The fields of a patch.
+// The keys of a patch.
 const (
 	versionKey = "Version"
 	upsertKey  = "Upsert"
 	removeKey  = "Remove"
 )
 
-// knownLists are the lists of a configuration whose items bear names. Others are known where a configuration holds them.
+// knownLists are the lists of named items that a patch may add to a document. Other lists must be in the document.
 var knownLists = []string{"Routes", "Services"}
 
-// ParsePatch reads a patch. Its error names the list, the item and the field.
+// ParsePatch parses a patch. Its error names the list, the item and the field.
 func ParsePatch(data []byte) (*Patch, error) {
 	fields, err := parseObject("patch", data)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return patch, patch.validateNames()
 }
 
-// listNamed returns the changes of a list, which are made where there are none.
+// listNamed returns the change of a list, which it adds if there is none.
 func (p *Patch) listNamed(name string) *listPatch {
 	i := slices.IndexFunc(p.lists, func(l listPatch) bool { return l.name == name })
 	if i < 0 {
@@ -77,6 +77,7 @@
 	return &p.lists[i]
 }
 
+// parseUpsert parses the items to replace or add, by list.
 func (p *Patch) parseUpsert(data json.RawMessage) error {
 	lists, err := parseObject(upsertKey, data)
 	if err != nil {
@@ -92,6 +93,7 @@
 	return nil
 }
 
+// parseRemove parses the names of items to remove, by list.
 func (p *Patch) parseRemove(data json.RawMessage) error {
 	lists, err := parseObject(removeKey, data)
 	if err != nil {
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// validateNames finds names that are changed twice: what would come of them is not said.
+// validateNames returns an error for an item that is changed twice: the result would depend on the order.
 func (p *Patch) validateNames() error {
 	for _, list := range p.lists {
 		seen := map[string]bool{}
@@ -127,7 +129,8 @@
 	return nil
 }
 
-// Apply returns the configuration that a patch makes of another. Items that are replaced keep their places, new ones come behind.
+// Apply returns the patched document. Replaced items keep their positions, new ones are appended. The result is not validated.
+// The same patch of the same document gives the same bytes.
 func (p *Patch) Apply(config []byte) ([]byte, error) {
 	fields, err := parseObject("configuration", config)
 	if err != nil {
@@ -153,6 +156,7 @@
 	return encodeObject(fields), nil
 }
 
+// apply returns the items of a list after the change. It may modify current.
 func (l *listPatch) apply(current []item) ([]item, error) {
 	for _, name := range l.remove {
 		i := slices.IndexFunc(current, func(other item) bool { return other.name == name })
@@ -172,7 +176,7 @@
 	return current, nil
 }
 
-// parseItems reads a list of objects that bear names.
+// parseItems parses a list of objects with names. path names the list in errors.
 func parseItems(path string, data json.RawMessage) ([]item, error) {
 	var texts []json.RawMessage
 	if err := json.Unmarshal(data, &texts); err != nil {
@@ -194,6 +198,7 @@
 	return list, nil
 }
 
+// encodeItems encodes items as a JSON list.
 func encodeItems(list []item) json.RawMessage {
 	var out bytes.Buffer
 	out.WriteByte('[')
--- a/internal/routeconfig/patch_test.go
+++ b/internal/routeconfig/patch_test.go
@@ -13,7 +13,7 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// applyPatch applies a patch to the sound configuration.
+// applyPatch applies a patch to validConfig and validates the result.
 func applyPatch(patch string) (string, error) {
 	read, err := routeconfig.ParsePatch([]byte(patch))
 	if err != nil {
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("a patch", func() {
-	It("replaces items in their places, adds others behind, removes, and leaves what it doesn't know", func() {
+	It("replaces items in position, appends and removes others, and leaves unknown fields as they are", func() {
 		made, err := applyPatch(`{"Version":9,"Upsert":{"Routes":[
 			{"Name":"c","Host":"h","PathPrefix":"/c/","RouteType":"idempotent","TimeoutMs":10,"Service":"s","Later":{"x":1}},
 			{"Name":"a","Host":"h","PathPrefix":"/a/","RouteType":"idempotent","TimeoutMs":70,"Service":"s"}]},"Remove":{"Routes":["b"]}}`)
@@ -42,10 +42,10 @@
 		Expect(table.Routes[1].Name).To(Equal("c"))
 		Expect(made).To(ContainSubstring(`"New":[1]`))
 		Expect(made).To(ContainSubstring(`"Later":{"x":1}`))
-		Expect(made).To(ContainSubstring(`"KvTokens":765689`), "what isn't named stays to the letter")
+		Expect(made).To(ContainSubstring(`"KvTokens":765689`), "what isn't named stays as it is")
 	})
 
-	It("adds a list that a configuration lacks", func() {
+	It("adds a list that the document lacks", func() {
 		read, err := routeconfig.ParsePatch([]byte(`{"Version":2,"Upsert":{"Services":[{"Name":"s","HealthPath":"/h"}]}}`))
 		Expect(err).NotTo(HaveOccurred())
 		made, err := read.Apply([]byte(`{"Version":1}`))
@@ -53,7 +53,7 @@
 		Expect(string(made)).To(Equal(`{"Version":2,"Services":[{"Name":"s","HealthPath":"/h"}]}`))
 	})
 
-	DescribeTable("is refused in one line that names list, item and field", func(patch string, names ...string) {
+	DescribeTable("is rejected in one line that names list, item and field", func(patch string, names ...string) {
 		_, err := applyPatch(patch)
 		Expect(err).To(HaveOccurred())
 		for _, name := range names {
@@ -61,37 +61,37 @@
 		}
 		Expect(strings.Count(err.Error(), "\n")).To(BeZero())
 	},
-		Entry("no object", `[1]`, "patch", "object"),
+		Entry("not an object", `[1]`, "patch", "object"),
 		Entry("cut short", `{"Version":9,"Upsert":{"Routes":[`, "Upsert"),
-		Entry("something behind", `{"Version":9} {}`, "behind"),
+		Entry("trailing text", `{"Version":9} {}`, "behind"),
 		Entry("no version", `{"Upsert":{}}`, "Version"),
-		Entry("a version that is no number", `{"Version":"x"}`, "Version", "x"),
-		Entry("a field that isn't known", `{"Version":9,"Replace":{}}`, "Replace"),
-		Entry("a field twice", `{"Version":9,"Version":10}`, "Version", "twice"),
-		Entry("lists that are no object", `{"Version":9,"Upsert":[]}`, "Upsert", "object"),
-		Entry("a list that is none", `{"Version":9,"Upsert":{"Routes":{}}}`, "Upsert.Routes", "list"),
-		Entry("a list that isn't known", `{"Version":9,"Upsert":{"Roots":[]}}`, "Roots"),
-		Entry("a field that is no list", `{"Version":9,"Upsert":{"Limits":[{"Name":"x"}]}}`, "Limits"),
+		Entry("a version that is not a number", `{"Version":"x"}`, "Version", "x"),
+		Entry("an unknown field", `{"Version":9,"Replace":{}}`, "Replace"),
+		Entry("a duplicate field", `{"Version":9,"Version":10}`, "Version", "twice"),
+		Entry("lists that are not an object", `{"Version":9,"Upsert":[]}`, "Upsert", "object"),
+		Entry("a list that is an object", `{"Version":9,"Upsert":{"Routes":{}}}`, "Upsert.Routes", "list"),
+		Entry("an unknown list", `{"Version":9,"Upsert":{"Roots":[]}}`, "Roots"),
+		Entry("a field that is not a list of items", `{"Version":9,"Upsert":{"Limits":[{"Name":"x"}]}}`, "Limits"),
 		Entry("a list without names", `{"Version":9,"Upsert":{"New":[{"Name":"x"}]}}`, "New[0]", "Name"),
-		Entry("an item that is none", `{"Version":9,"Upsert":{"Routes":[{"Name":"c"},3]}}`, "Upsert.Routes[1]", "Name"),
+		Entry("an item that is not an object", `{"Version":9,"Upsert":{"Routes":[{"Name":"c"},3]}}`, "Upsert.Routes[1]", "Name"),
 		Entry("an item without a name", `{"Version":9,"Upsert":{"Routes":[{"Host":"h"}]}}`, "Upsert.Routes[0].Name"),
-		Entry("an item twice", `{"Version":9,"Upsert":{"Routes":[{"Name":"c"},{"Name":"c"}]}}`, "Upsert.Routes", `"c"`),
+		Entry("a duplicate item", `{"Version":9,"Upsert":{"Routes":[{"Name":"c"},{"Name":"c"}]}}`, "Upsert.Routes", `"c"`),
 		Entry("an item changed and removed", `{"Version":9,"Upsert":{"Routes":[{"Name":"a"}]},"Remove":{"Routes":["a"]}}`, "Remove.Routes", `"a"`),
-		Entry("names that are none", `{"Version":9,"Remove":{"Routes":[{"Name":"a"}]}}`, "Remove.Routes"),
-		Entry("a name that isn't there", `{"Version":9,"Remove":{"Routes":["z"]}}`, "Remove.Routes", `"z"`),
-		Entry("a service in use removed", `{"Version":9,"Remove":{"Services":["t"]}}`, "Routes[1]", "t"),
-		Entry("a route to nowhere", `{"Version":9,"Upsert":{"Routes":[{"Name":"c","Host":"h","PathPrefix":"/c/","RouteType":"idempotent","TimeoutMs":1,"Service":"u"}]}}`,
+		Entry("names that are not texts", `{"Version":9,"Remove":{"Routes":[{"Name":"a"}]}}`, "Remove.Routes"),
+		Entry("an unknown name", `{"Version":9,"Remove":{"Routes":["z"]}}`, "Remove.Routes", `"z"`),
+		Entry("a service removed that is in use", `{"Version":9,"Remove":{"Services":["t"]}}`, "Routes[1]", "t"),
+		Entry("a route to an unknown service", `{"Version":9,"Upsert":{"Routes":[{"Name":"c","Host":"h","PathPrefix":"/c/","RouteType":"idempotent","TimeoutMs":1,"Service":"u"}]}}`,
 			"Routes[2].Service", "u"),
 	)
 
-	It("makes the same of a configuration as putting the result would, in random series", func() {
+	It("gives the same result as a plain list, in random series", func() {
 		for seed := range uint64(300) {
 			comparePatches(rand.New(rand.NewPCG(seed, 56)))
 		}
 	})
 })
 
-// comparePatches makes random patches one after the other and compares with a plain list.
+// comparePatches applies a random series of patches and compares the document with a plain list.
 func comparePatches(rng *rand.Rand) {
 	type route struct {
 		Name string
@@ -123,14 +123,14 @@
 		Expect(err).NotTo(HaveOccurred())
 		config, err = patch.Apply(config)
 		Expect(err).NotTo(HaveOccurred())
-		var told struct {
+		var decoded struct {
 			Version int
 			Keep    json.RawMessage
 			Routes  []route
 		}
-		Expect(json.Unmarshal(config, &told)).To(Succeed())
-		Expect(told.Version).To(Equal(version))
-		Expect(string(told.Keep)).To(Equal(`{"a":[1,2]}`))
-		Expect(told.Routes).To(Equal(want))
+		Expect(json.Unmarshal(config, &decoded)).To(Succeed())
+		Expect(decoded.Version).To(Equal(version))
+		Expect(string(decoded.Keep)).To(Equal(`{"a":[1,2]}`))
+		Expect(decoded.Routes).To(Equal(want))
 	}
 }
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -7,57 +7,57 @@
 	"hazelwheel/internal/routeconfig/configpb"
 )
 
-// Error is the class of errors that say why a configuration is invalid.
+// Error is the class of the errors of Parse, ParsePatch and Patch.Apply. They name the field, or list and item, in one line.
 var Error = errs.Class("configuration")
 
-// RouteKind says what may be repeated of a route's requests.
+// RouteKind says which attempts of a route's requests may be retried.
 type RouteKind string
 
 // The kinds of routes.
 const (
-	Idempotent    RouteKind = "idempotent"
-	NonIdempotent RouteKind = "non_idempotent"
-	Streaming     RouteKind = "streaming"
+	Idempotent    RouteKind = "idempotent"     // an attempt may be retried whatever has become of it
+	NonIdempotent RouteKind = "non_idempotent" // an attempt may be retried only if it was certainly not executed
+	Streaming     RouteKind = "streaming"      // the answer is a stream of events; retried as Route.Resumable allows
 )
 
-// WeightedService is a service with its share of a route's requests.
+// WeightedService is a service with its weight among the services of a route.
 type WeightedService struct {
 	Service string  `msgpack:"s"`
 	Weight  float64 `msgpack:"w"`
 }
 
-// Route is one route of the table. Times are in milliseconds.
+// Route is a route of the table. It applies to requests of its host whose path begins with its prefix.
 type Route struct {
 	Name             string            `msgpack:"n"`
 	Host             string            `msgpack:"h"`
-	PathPrefix       string            `msgpack:"p"`
+	PathPrefix       string            `msgpack:"p"` // begins and ends with a slash
 	Kind             RouteKind         `msgpack:"k"`
-	TimeoutMs        float64           `msgpack:"t"`
-	LatencyTargetMs  float64           `msgpack:"a"`
-	Priority         int               `msgpack:"r"`
-	Services         []WeightedService `msgpack:"s"`
-	MaxAttempts      int               `msgpack:"m"`
+	TimeoutMs        float64           `msgpack:"t"` // of a request with all its attempts
+	LatencyTargetMs  float64           `msgpack:"a"` // objective for the first event, 0: none
+	Priority         int               `msgpack:"r"` // priority class of the requests
+	Services         []WeightedService `msgpack:"s"` // at least one
+	MaxAttempts      int               `msgpack:"m"` // at least 1
 	Sticky           bool              `msgpack:"y"`
-	Resumable        bool              `msgpack:"e"`
-	TokenGapTargetMs float64           `msgpack:"g"`
+	Resumable        bool              `msgpack:"e"` // a stream may be continued by another attempt
+	TokenGapTargetMs float64           `msgpack:"g"` // objective for the pauses between events, 0: none
 }
 
-// Engine describes the model servers of a service.
+// Engine describes the model servers of a service; 0 means unknown.
 type Engine struct {
-	Slots              int     `msgpack:"s"`
-	KVTokens           int64   `msgpack:"t"`
-	KVTokenBytes       float64 `msgpack:"b"`
-	LinkMbps           float64 `msgpack:"l"`
-	HandleTTLSeconds   float64 `msgpack:"h"`
-	StageSwitchSeconds float64 `msgpack:"w"`
+	Slots              int     `msgpack:"s"` // answers that one server makes at a time
+	KVTokens           int64   `msgpack:"t"` // tokens that one server's KV cache holds
+	KVTokenBytes       float64 `msgpack:"b"` // size of a token in the KV cache
+	LinkMbps           float64 `msgpack:"l"` // of a server's link, for moves of the KV cache
+	HandleTTLSeconds   float64 `msgpack:"h"` // for which the result of a prefill is kept
+	StageSwitchSeconds float64 `msgpack:"w"` // how long a change of the stage takes
 }
 
-// Service is one service of the table. Engine is nil where its servers run no model.
+// Service is a service of the table.
 type Service struct {
 	Name           string  `msgpack:"n"`
 	HealthPath     string  `msgpack:"h"`
-	MaxConnections int     `msgpack:"c"`
-	Engine         *Engine `msgpack:"e"`
+	MaxConnections int     `msgpack:"c"` // that one server takes from all callers, 0: unknown
+	Engine         *Engine `msgpack:"e"` // nil where its servers run no model
 }
 
 // Limits bounds what clients may send.
@@ -68,7 +68,7 @@
 	IdleTimeoutMs   float64 `msgpack:"i"`
 }
 
-// Table is a configuration in the form that proxies use.
+// Table is a configuration in the form that proxies use. It is not changed once it is compiled.
 type Table struct {
 	Version  uint64    `msgpack:"v"`
 	Routes   []Route   `msgpack:"r"`
@@ -76,18 +76,20 @@
 	Limits   Limits    `msgpack:"l"`
 }
 
-// Parse reads a configuration and checks it by itself, without regard to the version that is current.
+// Parse validates and compiles a document. It doesn't compare its version with the current one. Its error names the first
+// problem; Validate returns all.
 func Parse(data []byte) (*Table, error) {
 	var config configpb.Config
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(data, &config); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if faults := validateConfig(&config); len(faults) > 0 {
-		return nil, Error.New("%s", faults[0])
+	if problems := validateConfig(&config); len(problems) > 0 {
+		return nil, Error.New("%s", problems[0])
 	}
 	return compileTable(&config), nil
 }
 
+// compileTable compiles a valid configuration.
 func compileTable(config *configpb.Config) *Table {
 	table := &Table{Version: config.GetVersion(), Limits: Limits{
 		MaxHeaderBytes:  config.GetLimits().GetMaxHeaderBytes(),
@@ -104,6 +106,7 @@
 	return table
 }
 
+// compileRoute compiles a route; a single service gets the weight 1.
 func compileRoute(route *configpb.Route) Route {
 	compiled := Route{
 		Name: route.GetName(), Host: route.GetHost(), PathPrefix: route.GetPathPrefix(), Kind: RouteKind(route.GetRouteType()),
--- a/internal/routeconfig/table_test.go
+++ b/internal/routeconfig/table_test.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-func TestRoutes(t *testing.T) {
+func TestRouteConfig(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "configuration")
 }
@@ -25,7 +25,7 @@
 "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":4194304,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}`
 
 var _ = Describe("a configuration", func() {
-	It("is compiled to a table, fields that are not known passed over", func() {
+	It("is compiled to a table, unknown fields ignored", func() {
 		table, err := routeconfig.Parse([]byte(validConfig))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(table.Version).To(BeEquivalentTo(7))
@@ -37,7 +37,7 @@
 		Expect(table.Limits.MaxBodyBytes).To(BeEquivalentTo(4194304))
 	})
 
-	DescribeTable("is refused by the first fault's path", func(was, is, path string) {
+	DescribeTable("is rejected with the path of the first fault", func(was, is, path string) {
 		Expect(strings.Contains(validConfig, was)).To(BeTrue(), "the case must change something")
 		_, err := routeconfig.Parse([]byte(strings.Replace(validConfig, was, is, 1)))
 		Expect(err).To(MatchError(ContainSubstring(path)))
@@ -45,8 +45,8 @@
 		Entry("cut short", `"Limits"`, `"Lim`, "configuration"),
 		Entry("an unknown service", `"Service":"s","MaxAttempts":2`, `"Service":"x","MaxAttempts":2`, "Routes[0].Service"),
 		Entry("an unknown service among weights", `{"Service":"t","Weight":10}`, `{"Service":"y","Weight":10}`, "Routes[1].WeightedServices[1]"),
-		Entry("the same place twice", `"/b/"`, `"/a/"`, "Routes[1]"),
-		Entry("weights of 0", `"Weight":90},
+		Entry("the same host and prefix twice", `"/b/"`, `"/a/"`, "Routes[1]"),
+		Entry("weights that add up to 0", `"Weight":90},
 {"Service":"t","Weight":10}`, `"Weight":0},
 {"Service":"t","Weight":0}`, "Routes[1].WeightedServices"),
 		Entry("a negative weight", `"Weight":10`, `"Weight":-10`, "WeightedServices[1].Weight"),
--- a/internal/routeconfig/validate.go
+++ b/internal/routeconfig/validate.go
@@ -13,14 +13,15 @@
 	"hazelwheel/internal/routeconfig/configpb"
 )
 
-// problemList collects what is wrong with a configuration.
+// problemList collects what is wrong with a configuration, by the paths of fields such as Routes[2].TimeoutMs.
 type problemList []diagnostic.Finding
 
-func (f *problemList) add(path, format string, args ...any) {
-	*f = append(*f, diagnostic.Finding{Place: path, Text: fmt.Sprintf(format, args...)})
+// add adds a problem with the field at a path.
+func (l *problemList) add(path, format string, args ...any) {
+	*l = append(*l, diagnostic.Finding{Place: path, Text: fmt.Sprintf(format, args...)})
 }
 
-// validateConfig returns all that is wrong with a configuration by itself.
+// validateConfig returns all that is wrong with the values of a configuration. Its version is not compared with the current one.
 func validateConfig(config *configpb.Config) (problems problemList) {
 	if config.GetVersion() == 0 {
 		problems.add("Version", "want a number above 0")
@@ -47,55 +48,57 @@
 	return problems
 }
 
-func (f *problemList) validateRoute(path string, route *configpb.Route, services map[string]bool) {
+// validateRoute adds what is wrong with a route. services holds the names of the services.
+func (l *problemList) validateRoute(path string, route *configpb.Route, services map[string]bool) {
 	if !isPositive(route.GetTimeoutMs()) {
-		f.add(path+".TimeoutMs", "want a time above 0")
+		l.add(path+".TimeoutMs", "want a time above 0")
 	}
 	switch RouteKind(route.GetRouteType()) {
 	case Idempotent, NonIdempotent, Streaming:
 	default:
-		f.add(path+".RouteType", "unknown %q", route.GetRouteType())
+		l.add(path+".RouteType", "unknown %q", route.GetRouteType())
 	}
 	prefix := route.GetPathPrefix()
 	if prefix == "" || prefix[0] != '/' || prefix[len(prefix)-1] != '/' {
-		f.add(path+".PathPrefix", "%q doesn't begin and end with a slash", prefix)
+		l.add(path+".PathPrefix", "%q doesn't begin and end with a slash", prefix)
 	}
 	if len(route.GetWeightedServices()) > 0 {
-		f.validateWeights(path+".WeightedServices", route.GetWeightedServices(), services)
+		l.validateWeights(path+".WeightedServices", route.GetWeightedServices(), services)
 	} else if !services[route.GetService()] {
-		f.add(path+".Service", "unknown service %q", route.GetService())
+		l.add(path+".Service", "unknown service %q", route.GetService())
 	}
 }
 
-// isPositive tells whether a figure is a number above 0; JSON texts may hold NaN and Infinity in quotes.
+// isPositive reports whether a value is finite and above 0. The JSON form of a double may be NaN or Infinity, in quotes.
 func isPositive(value float64) bool { return value > 0 && !math.IsInf(value, 1) }
 
-func (f *problemList) validateWeights(path string, weights []*configpb.WeightedService, services map[string]bool) {
+// validateWeights adds what is wrong with the weighted services of a route.
+func (l *problemList) validateWeights(path string, weights []*configpb.WeightedService, services map[string]bool) {
 	sum := 0.0
 	for i, weighted := range weights {
 		itemPath := fmt.Sprintf("%s[%d]", path, i)
 		if !services[weighted.GetService()] {
-			f.add(itemPath, "unknown service %q", weighted.GetService())
+			l.add(itemPath, "unknown service %q", weighted.GetService())
 		}
 		if weight := weighted.GetWeight(); weight != 0 && !isPositive(weight) {
-			f.add(itemPath+".Weight", "want a number that is not below 0, not %v", weight)
+			l.add(itemPath+".Weight", "want a number that is not below 0, not %v", weight)
 			return
 		}
 		sum += weighted.GetWeight()
 	}
 	if !isPositive(sum) {
-		f.add(path, "weights add up to 0")
+		l.add(path, "weights add up to 0")
 	}
 }
 
-// Report is what an examination of a configuration has found.
+// Report is the result of validating a document.
 type Report struct {
 	Table   *Table               // nil where there are faults
-	Faults  []diagnostic.Finding // for any of which control refuses it
-	Unknown []diagnostic.Finding // fields that this version passes over
+	Faults  []diagnostic.Finding // each of them makes a control process reject the document
+	Unknown []diagnostic.Finding // fields that this version ignores
 }
 
-// Validate reads a configuration as Parse does, and returns all that is wrong with it instead of the first fault.
+// Validate parses and compiles a document as Parse does, and returns all problems with their lines instead of the first one.
 func Validate(data []byte) Report {
 	doc, root, err := parseDocument(data)
 	if err != nil {
@@ -116,7 +119,8 @@
 	return report
 }
 
-// checkConfig returns why a configuration is refused whose values can be read, but for places that can't.
+// checkConfig reads the values that can be read into config and returns what is wrong with them. Problems that follow from
+// a value that can't be read are left out.
 func (d *jsonDocument) checkConfig(root *jsonNode, config *configpb.Config) (problems []diagnostic.Finding) {
 	var text bytes.Buffer
 	root.writeReadable(&text)
@@ -129,7 +133,7 @@
 			return strings.HasPrefix(problem.Place, fault.Place) || strings.HasPrefix(fault.Place, problem.Place)
 		}
 		if slices.ContainsFunc(unreadable, isRelated) {
-			continue // it follows from that
+			continue
 		}
 		if offset, isKnown := d.nearestOffset(problem.Place); isKnown {
 			problem.Line, problem.Column = d.lines.At(offset)
@@ -139,7 +143,7 @@
 	return problems
 }
 
-// nearestOffset returns where a place is, or the one that it would be in.
+// nearestOffset returns the offset of the value at a path, or of the innermost value on the path that exists.
 func (d *jsonDocument) nearestOffset(path string) (offset int, isKnown bool) {
 	for {
 		if offset, isKnown = d.offsets[path]; isKnown {
