--- a/internal/decide/subset/share.go
+++ b/internal/decide/subset/share.go
@@ -14,8 +14,8 @@
 	"slices"
 )
 
-// Box is a box as the list tells it.
-type Box struct {
+// Server is a box as the list tells it.
+type Server struct {
 	ID   uint64 // the same at all sidecars
 	Zone int    // any number; the same for all boxes where no zones are told
 }
@@ -31,9 +31,9 @@
 
 // Order returns the boxes in their order on the circle; the list is left as it is. Each zone's boxes are spread evenly over all of
 // the circle, so any arc holds of each zone its part, to within a box, and a small zone is as busy as a large one.
-func Order(list []Box) []Box {
+func Order(list []Server) []Server {
 	type spot struct {
-		box  Box
+		box  Server
 		hash uint64
 		at   float64
 	}
@@ -55,7 +55,7 @@
 		from = to
 	}
 	slices.SortStableFunc(spots, func(a, b spot) int { return cmp.Compare(a.at, b.at) })
-	order := make([]Box, len(spots))
+	order := make([]Server, len(spots))
 	for i, s := range spots {
 		order[i] = s.box
 	}
@@ -128,9 +128,9 @@
 }
 
 // Take returns the boxes of the arc that begins at a place, of an Order, the first ones first.
-func Take(order []Box, at Place, size int) []Box {
+func Take(order []Server, at Place, size int) []Server {
 	size = min(max(size, 0), len(order))
-	taken := make([]Box, size)
+	taken := make([]Server, size)
 	for i, from := 0, at.from(max(len(order), 1)); i < size; i++ {
 		taken[i] = order[(from+i)%len(order)]
 	}
@@ -141,7 +141,7 @@
 // before what lies at most slack places beside it, and as many more, the nearest first, as make half of what was held and is
 // still listed. So a list that trembles moves nothing twice; and peers' word, which moves the place, never takes more than half
 // at once: what is left over goes at a later call, when the new ones have been held for a while.
-func Next(order []Box, at Place, size, slack int, held map[uint64]bool) []Box {
+func Next(order []Server, at Place, size, slack int, held map[uint64]bool) []Server {
 	taken := Take(order, at, size)
 	if len(held) == 0 || len(taken) == len(order) {
 		return taken
--- a/internal/decide/subset/share_test.go
+++ b/internal/decide/subset/share_test.go
@@ -12,7 +12,7 @@
 	"hazelwheel/policy"
 )
 
-func drawBoxes(t *rapid.T, least, most int) (list []Box) {
+func drawBoxes(t *rapid.T, least, most int) (list []Server) {
 	zones := rapid.IntRange(1, 5).Draw(t, "zones")
 	rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "boxes' seed"), 1))
 	for i := range rapid.IntRange(least, most).Draw(t, "boxes") {
@@ -20,13 +20,13 @@
 		if rng.IntN(20) > 0 {
 			zone = min(zone, 1)
 		}
-		list = append(list, Box{ID: rng.Uint64()<<10 | uint64(i), Zone: zone})
+		list = append(list, Server{ID: rng.Uint64()<<10 | uint64(i), Zone: zone})
 	}
 	return list
 }
 
 // holders returns how many sidecars hold each box.
-func holders(order []Box, count int, place func(rank int) Place, size int) map[uint64]int {
+func holders(order []Server, count int, place func(rank int) Place, size int) map[uint64]int {
 	held := map[uint64]int{}
 	for rank := range count {
 		for _, b := range Take(order, place(rank), size) {
@@ -70,10 +70,10 @@
 		}
 		order := Order(list)
 		size := Size(len(order), count, count, rapid.Float64Range(0, 20).Draw(t, "need"))
-		more := Order(append(slices.Clone(list), Box{ID: 5}))
+		more := Order(append(slices.Clone(list), Server{ID: 5}))
 		for rank := range count {
 			before := Take(order, Dense(rank, count), size)
-			moved := func(after []Box) (n int) {
+			moved := func(after []Server) (n int) {
 				for _, b := range after {
 					if !slices.Contains(before, b) {
 						n++
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -34,19 +34,19 @@
 // fleet is one view: who there is, and which boxes.
 type fleet struct {
 	sidecars []sidecar // by identity
-	boxes    []subset.Box
-	order    []subset.Box // on the circle
-	ring     []subset.Box // by identity
-	hashed   []subset.Box // by a hash of it
-	mean     float64      // traffic
+	boxes    []subset.Server
+	order    []subset.Server // on the circle
+	ring     []subset.Server // by identity
+	hashed   []subset.Server // by a hash of it
+	mean     float64         // traffic
 	told     []int8
 	weights  map[uint64]float64 // of boxes, where rendezvous is by weight
 }
 
 func (f *fleet) settle() {
 	f.order, f.weights = subset.Order(f.boxes), nil
-	f.ring = slices.SortedFunc(slices.Values(f.boxes), func(a, b subset.Box) int { return cmp.Compare(a.ID, b.ID) })
-	f.hashed = slices.SortedFunc(slices.Values(f.boxes), func(a, b subset.Box) int { return cmp.Compare(mix(a.ID), mix(b.ID)) })
+	f.ring = slices.SortedFunc(slices.Values(f.boxes), func(a, b subset.Server) int { return cmp.Compare(a.ID, b.ID) })
+	f.hashed = slices.SortedFunc(slices.Values(f.boxes), func(a, b subset.Server) int { return cmp.Compare(mix(a.ID), mix(b.ID)) })
 	slices.SortFunc(f.sidecars, func(a, b sidecar) int { return cmp.Compare(a.id, b.id) })
 	f.told, f.mean = f.told[:0:0], 0
 	for _, s := range f.sidecars {
@@ -68,7 +68,7 @@
 	Name string
 	Talk bool // needs to know who lives, or more
 	Slow bool // its cost grows with sidecars times boxes
-	take func(f *fleet, s sidecar, held map[uint64]bool) []subset.Box
+	take func(f *fleet, s sidecar, held map[uint64]bool) []subset.Server
 }
 
 func mix(x uint64) uint64 {
@@ -78,9 +78,9 @@
 }
 
 // rendezvous takes the boxes with the greatest weighted draws of a sidecar.
-func (f *fleet) rendezvous(s sidecar) []subset.Box {
+func (f *fleet) rendezvous(s sidecar) []subset.Server {
 	type drawn struct {
-		box   subset.Box
+		box   subset.Server
 		score float64
 	}
 	all := make([]drawn, len(f.boxes))
@@ -93,7 +93,7 @@
 		all[i] = drawn{b, -w / math.Log(u)}
 	}
 	slices.SortFunc(all, func(a, b drawn) int { return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.box.ID, b.box.ID)) })
-	taken := make([]subset.Box, f.size(s))
+	taken := make([]subset.Server, f.size(s))
 	for i := range taken {
 		taken[i] = all[i].box
 	}
@@ -126,8 +126,8 @@
 
 // Ways returns the ways that are weighed.
 func Ways() []Way {
-	arc := func(place func(*fleet, sidecar) subset.Place, keep bool) func(*fleet, sidecar, map[uint64]bool) []subset.Box {
-		return func(f *fleet, s sidecar, held map[uint64]bool) []subset.Box {
+	arc := func(place func(*fleet, sidecar) subset.Place, keep bool) func(*fleet, sidecar, map[uint64]bool) []subset.Server {
+		return func(f *fleet, s sidecar, held map[uint64]bool) []subset.Server {
 			if !keep {
 				return subset.Take(f.order, place(f, s), f.size(s))
 			}
@@ -138,14 +138,14 @@
 	dense := func(f *fleet, s sidecar) subset.Place { return subset.Dense(f.rank(s), len(f.sidecars)) }
 	told := func(f *fleet, s sidecar) subset.Place { return subset.ByTraffic(f.rank(s), f.told) }
 	return []Way{
-		{Name: "today, by number", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Box { return f.today(s, s.number) }},
-		{Name: "today, by rank", Talk: true, take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Box { return f.today(s, f.rank(s)) }},
-		{Name: "ring of draws", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Box {
-			at, _ := slices.BinarySearchFunc(f.hashed, mix(s.id), func(b subset.Box, at uint64) int { return cmp.Compare(mix(b.ID), at) })
+		{Name: "today, by number", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.today(s, s.number) }},
+		{Name: "today, by rank", Talk: true, take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.today(s, f.rank(s)) }},
+		{Name: "ring of draws", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server {
+			at, _ := slices.BinarySearchFunc(f.hashed, mix(s.id), func(b subset.Server, at uint64) int { return cmp.Compare(mix(b.ID), at) })
 			return run(f.hashed, at, f.size(s))
 		}},
-		{Name: "rendezvous", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Box { return f.rendezvous(s) }, Slow: true},
-		{Name: "rendezvous by weight", Talk: true, Slow: true, take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Box {
+		{Name: "rendezvous", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.rendezvous(s) }, Slow: true},
+		{Name: "rendezvous by weight", Talk: true, Slow: true, take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server {
 			if f.weights == nil {
 				f.correct()
 			}
@@ -160,8 +160,8 @@
 	}
 }
 
-func run(ring []subset.Box, from, size int) []subset.Box {
-	taken := make([]subset.Box, min(size, len(ring)))
+func run(ring []subset.Server, from, size int) []subset.Server {
+	taken := make([]subset.Server, min(size, len(ring)))
 	for i := range taken {
 		taken[i] = ring[(from+i)%len(ring)]
 	}
@@ -169,7 +169,7 @@
 }
 
 // today is a run of the ring by identity, as the module takes it.
-func (f *fleet) today(s sidecar, number int) []subset.Box {
+func (f *fleet) today(s sidecar, number int) []subset.Server {
 	from, size := policy.Subset(len(f.ring), number, len(f.sidecars), 4+2*s.traffic*aimS)
 	return run(f.ring, from, size)
 }
@@ -206,9 +206,9 @@
 	fleet
 }
 
-func (w *world) box() subset.Box {
+func (w *world) box() subset.Server {
 	w.next++
-	return subset.Box{ID: uint64(w.next), Zone: zone(w.next)}
+	return subset.Server{ID: uint64(w.next), Zone: zone(w.next)}
 }
 
 func draw(sidecars, boxes int, unequal bool, seed uint64) *world {
@@ -276,7 +276,7 @@
 	return busiest, least, of
 }
 
-func set(boxes []subset.Box) map[uint64]bool {
+func set(boxes []subset.Server) map[uint64]bool {
 	s := make(map[uint64]bool, len(boxes))
 	for _, b := range boxes {
 		s[b.ID] = true
