--- a/internal/decide/subset/share.go
+++ b/internal/decide/subset/share.go
@@ -20,8 +20,8 @@
 	Zone int    // any number; the same for all boxes where no zones are told
 }
 
-// Place is where an arc begins, in parts of the circle of 2^-64.
-type Place uint64
+// Position is where an arc begins, in parts of the circle of 2^-64.
+type Position uint64
 
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -77,7 +77,7 @@
 // Spread is the place of one who knows its number alone: steps of the golden section. The count does not come into it, so one more
 // or one fewer at the end moves nobody, and any run of numbers is spread evenly, also where far fewer live than was told. Danger: where
 // ranks close up behind one that has gone, all behind it would jump; Dense is for ranks.
-func Spread(number int) Place { return Place(uint64(max(number, 0)) * golden) }
+func Spread(number int) Position { return Position(uint64(max(number, 0)) * golden) }
 
 // golden is the golden section of 2^64.
 const golden = 0x9e3779b97f4a7c15
@@ -85,12 +85,12 @@
 // Dense is the place of a rank among those that live: all are equally far apart, and one that comes or goes moves the others by
 // less than that. Danger: where ranks are not dense (of 100 that were told 10 live) nine in ten boxes are held by nobody; Spread is for
 // numbers that may have gaps.
-func Dense(rank, count int) Place {
+func Dense(rank, count int) Position {
 	if count <= 1 {
 		return 0
 	}
 	at, _ := bits.Div64(uint64(min(max(rank, 0), count-1)), 0, uint64(count))
-	return Place(at)
+	return Position(at)
 }
 
 // Class is the class of a traffic (in any unit, the same for all): its power of two. What is no traffic is in the lowest class. Who tells
@@ -106,7 +106,7 @@
 // class hold about as many boxes and bring about as much to each, so each class by itself loads the boxes evenly, however rare the heavy
 // ones are. A liar moves the others of two classes by less than they are apart. Danger: without classes the heavy ones stand where
 // ranks chance to be, and where two of them overlap boxes get twice as much.
-func ByTraffic(rank int, classes []int8) Place {
+func ByTraffic(rank int, classes []int8) Position {
 	if rank < 0 || rank >= len(classes) {
 		return 0
 	}
@@ -118,17 +118,17 @@
 			}
 		}
 	}
-	return Dense(before, count) + Place(uint64(own)*golden) // classes begin at different boxes
+	return Dense(before, count) + Position(uint64(own)*golden) // classes begin at different boxes
 }
 
 // from is the first box of the arc that begins at a place, of so many.
-func (p Place) from(boxes int) int {
+func (p Position) from(boxes int) int {
 	hi, _ := bits.Mul64(uint64(p), uint64(boxes))
 	return int(hi)
 }
 
 // Take returns the boxes of the arc that begins at a place, of an Order, the first ones first.
-func Take(order []Server, at Place, size int) []Server {
+func Take(order []Server, at Position, size int) []Server {
 	size = min(max(size, 0), len(order))
 	taken := make([]Server, size)
 	for i, from := 0, at.from(max(len(order), 1)); i < size; i++ {
@@ -141,7 +141,7 @@
 // before what lies at most slack places beside it, and as many more, the nearest first, as make half of what was held and is
 // still listed. So a list that trembles moves nothing twice; and peers' word, which moves the place, never takes more than half
 // at once: what is left over goes at a later call, when the new ones have been held for a while.
-func Next(order []Server, at Place, size, slack int, held map[uint64]bool) []Server {
+func Next(order []Server, at Position, size, slack int, held map[uint64]bool) []Server {
 	taken := Take(order, at, size)
 	if len(held) == 0 || len(taken) == len(order) {
 		return taken
@@ -175,11 +175,11 @@
 // Number is the number, of so many, that a module is to be told which steps through the circle by it (policy.Subset), so that its run
 // begins at a place, to within half a part in count of the circle. Step is where the module's number 1 begins, of so many boxes. Places that are
 // a part in count apart, as those of Dense, have numbers of their own. Danger: rounded down, rank 1 of 3 would begin where rank 0 does.
-func Number(at Place, count, step int) int {
+func Number(at Position, count, step int) int {
 	if count <= 1 {
 		return 0
 	}
-	slot := (at + Place(math.MaxUint64/uint64(2*count))).from(count)
+	slot := (at + Position(math.MaxUint64/uint64(2*count))).from(count)
 	inverse, next, r, rest := 0, 1, count, step // Euclid's: step times inverse is 1, in the round of count
 	for rest != 0 {
 		q := r / rest
--- a/internal/decide/subset/share_test.go
+++ b/internal/decide/subset/share_test.go
@@ -26,7 +26,7 @@
 }
 
 // holders returns how many sidecars hold each box.
-func holders(order []Server, count int, place func(rank int) Place, size int) map[uint64]int {
+func holders(order []Server, count int, place func(rank int) Position, size int) map[uint64]int {
 	held := map[uint64]int{}
 	for rank := range count {
 		for _, b := range Take(order, place(rank), size) {
@@ -45,8 +45,8 @@
 		for i := range classes {
 			classes[i] = int8(rapid.IntRange(0, 2).Draw(t, "class"))
 		}
-		for name, place := range map[string]func(int) Place{"dense": func(r int) Place { return Dense(r, count) }, "spread": Spread,
-			"by traffic": func(r int) Place { return ByTraffic(r, classes) }} {
+		for name, place := range map[string]func(int) Position{"dense": func(r int) Position { return Dense(r, count) }, "spread": Spread,
+			"by traffic": func(r int) Position { return ByTraffic(r, classes) }} {
 			held := holders(order, count, place, size)
 			least, most := math.MaxInt, 0
 			for _, b := range order {
@@ -98,7 +98,7 @@
 		require.Equal(t, order, Order(rapid.Permutation(list).Draw(t, "order")))
 		require.ElementsMatch(t, list, order)
 		size := rapid.IntRange(1, len(order)).Draw(t, "size")
-		arc := Take(order, Place(rapid.Uint64().Draw(t, "place")), size)
+		arc := Take(order, Position(rapid.Uint64().Draw(t, "place")), size)
 		zones, all := map[int]int{}, map[int]int{}
 		for _, b := range arc {
 			zones[b.Zone]++
@@ -126,7 +126,7 @@
 		for _, b := range Take(order, Spread(rapid.IntRange(0, 300).Draw(t, "number")), own) {
 			held[b.ID] = true
 		}
-		at := Place(rapid.Uint64().Draw(t, "any place"))
+		at := Position(rapid.Uint64().Draw(t, "any place"))
 		next := Next(order, at, size, 1, held)
 		kept, ids := 0, map[uint64]bool{}
 		for _, b := range next {
@@ -169,9 +169,9 @@
 // The module that is told Number begins where the place is, to half a step, and those of Dense all begin elsewhere.
 func TestNumberLeadsTheModuleToThePlace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		count, at := rapid.IntRange(1, 6000).Draw(t, "count"), Place(rapid.Uint64().Draw(t, "place"))
+		count, at := rapid.IntRange(1, 6000).Draw(t, "count"), Position(rapid.Uint64().Draw(t, "place"))
 		step, _ := policy.Subset(count, 1, count, 0)
-		begins := func(at Place) int {
+		begins := func(at Position) int {
 			number := Number(at, count, step)
 			require.True(t, number >= 0 && number < count)
 			from, _ := policy.Subset(count, number, count, 0)
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -126,7 +126,7 @@
 
 // Ways returns the ways that are weighed.
 func Ways() []Way {
-	arc := func(place func(*fleet, sidecar) subset.Place, keep bool) func(*fleet, sidecar, map[uint64]bool) []subset.Server {
+	arc := func(place func(*fleet, sidecar) subset.Position, keep bool) func(*fleet, sidecar, map[uint64]bool) []subset.Server {
 		return func(f *fleet, s sidecar, held map[uint64]bool) []subset.Server {
 			if !keep {
 				return subset.Take(f.order, place(f, s), f.size(s))
@@ -134,9 +134,9 @@
 			return subset.Next(f.order, place(f, s), f.size(s), beside, held)
 		}
 	}
-	spread := func(_ *fleet, s sidecar) subset.Place { return subset.Spread(s.number) }
-	dense := func(f *fleet, s sidecar) subset.Place { return subset.Dense(f.rank(s), len(f.sidecars)) }
-	told := func(f *fleet, s sidecar) subset.Place { return subset.ByTraffic(f.rank(s), f.told) }
+	spread := func(_ *fleet, s sidecar) subset.Position { return subset.Spread(s.number) }
+	dense := func(f *fleet, s sidecar) subset.Position { return subset.Dense(f.rank(s), len(f.sidecars)) }
+	told := func(f *fleet, s sidecar) subset.Position { return subset.ByTraffic(f.rank(s), f.told) }
 	return []Way{
 		{Name: "today, by number", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.today(s, s.number) }},
 		{Name: "today, by rank", Talk: true, take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.today(s, f.rank(s)) }},
