--- a/internal/decide/subset/share.go
+++ b/internal/decide/subset/share.go
@@ -29,9 +29,9 @@
 	return x ^ x>>31
 }
 
-// Order returns the boxes in their order on the circle; the list is left as it is. Each zone's boxes are spread evenly over all of
+// RingOrder returns the boxes in their order on the circle; the list is left as it is. Each zone's boxes are spread evenly over all of
 // the circle, so any arc holds of each zone its part, to within a box, and a small zone is as busy as a large one.
-func Order(list []Server) []Server {
+func RingOrder(list []Server) []Server {
 	type spot struct {
 		box  Server
 		hash uint64
--- a/internal/decide/subset/share_test.go
+++ b/internal/decide/subset/share_test.go
@@ -39,7 +39,7 @@
 // Each box is held by two at least, and by rank no box has more than two sidecars beyond another.
 func TestEachBoxIsHeldByTwoAndAboutAsMany(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		order, count := Order(drawBoxes(t, 2, 120)), rapid.IntRange(2, 200).Draw(t, "sidecars")
+		order, count := RingOrder(drawBoxes(t, 2, 120)), rapid.IntRange(2, 200).Draw(t, "sidecars")
 		size := Size(len(order), count, count, rapid.Float64Range(0, 30).Draw(t, "need"))
 		classes := make([]int8, count)
 		for i := range classes {
@@ -68,9 +68,9 @@
 		for i := range list {
 			list[i].Zone = 0
 		}
-		order := Order(list)
+		order := RingOrder(list)
 		size := Size(len(order), count, count, rapid.Float64Range(0, 20).Draw(t, "need"))
-		more := Order(append(slices.Clone(list), Server{ID: 5}))
+		more := RingOrder(append(slices.Clone(list), Server{ID: 5}))
 		for rank := range count {
 			before := Take(order, Dense(rank, count), size)
 			moved := func(after []Server) (n int) {
@@ -94,8 +94,8 @@
 func TestOrderIsOfTheSetAlone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawBoxes(t, 1, 150)
-		order := Order(list)
-		require.Equal(t, order, Order(rapid.Permutation(list).Draw(t, "order")))
+		order := RingOrder(list)
+		require.Equal(t, order, RingOrder(rapid.Permutation(list).Draw(t, "order")))
 		require.ElementsMatch(t, list, order)
 		size := rapid.IntRange(1, len(order)).Draw(t, "size")
 		arc := Take(order, Position(rapid.Uint64().Draw(t, "place")), size)
@@ -117,7 +117,7 @@
 func TestPeersTakeNoMoreThanHalf(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawBoxes(t, 1, 100)
-		order := Order(list)
+		order := RingOrder(list)
 		count, told := rapid.IntRange(-1, 1<<40).Draw(t, "count"), rapid.IntRange(1, 300).Draw(t, "told")
 		need := rapid.Float64Range(0, 40).Draw(t, "need")
 		size, own := Size(len(list), count, told, need), Size(len(list), told, told, need)
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -44,7 +44,7 @@
 }
 
 func (f *fleet) settle() {
-	f.order, f.weights = subset.Order(f.boxes), nil
+	f.order, f.weights = subset.RingOrder(f.boxes), nil
 	f.ring = slices.SortedFunc(slices.Values(f.boxes), func(a, b subset.Server) int { return cmp.Compare(a.ID, b.ID) })
 	f.hashed = slices.SortedFunc(slices.Values(f.boxes), func(a, b subset.Server) int { return cmp.Compare(mix(a.ID), mix(b.ID)) })
 	slices.SortFunc(f.sidecars, func(a, b sidecar) int { return cmp.Compare(a.id, b.id) })
