--- a/internal/decide/subset/share.go
+++ b/internal/decide/subset/share.go
@@ -74,10 +74,10 @@
 	return max(by(count), (by(told)+1)/2)
 }
 
-// Spread is the place of one who knows its number alone: steps of the golden section. The count does not come into it, so one more
+// PositionByNumber is the place of one who knows its number alone: steps of the golden section. The count does not come into it, so one more
 // or one fewer at the end moves nobody, and any run of numbers is spread evenly, also where far fewer live than was told. Danger: where
 // ranks close up behind one that has gone, all behind it would jump; Dense is for ranks.
-func Spread(number int) Position { return Position(uint64(max(number, 0)) * golden) }
+func PositionByNumber(number int) Position { return Position(uint64(max(number, 0)) * golden) }
 
 // golden is the golden section of 2^64.
 const golden = 0x9e3779b97f4a7c15
--- a/internal/decide/subset/share_test.go
+++ b/internal/decide/subset/share_test.go
@@ -45,7 +45,7 @@
 		for i := range classes {
 			classes[i] = int8(rapid.IntRange(0, 2).Draw(t, "class"))
 		}
-		for name, place := range map[string]func(int) Position{"dense": func(r int) Position { return Dense(r, count) }, "spread": Spread,
+		for name, place := range map[string]func(int) Position{"dense": func(r int) Position { return Dense(r, count) }, "spread": PositionByNumber,
 			"by traffic": func(r int) Position { return ByTraffic(r, classes) }} {
 			held := holders(order, count, place, size)
 			least, most := math.MaxInt, 0
@@ -123,7 +123,7 @@
 		size, own := Size(len(list), count, told, need), Size(len(list), told, told, need)
 		require.GreaterOrEqual(t, 2*size, own)
 		held := map[uint64]bool{}
-		for _, b := range Take(order, Spread(rapid.IntRange(0, 300).Draw(t, "number")), own) {
+		for _, b := range Take(order, PositionByNumber(rapid.IntRange(0, 300).Draw(t, "number")), own) {
 			held[b.ID] = true
 		}
 		at := Position(rapid.Uint64().Draw(t, "any place"))
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -134,7 +134,7 @@
 			return subset.Next(f.order, place(f, s), f.size(s), beside, held)
 		}
 	}
-	spread := func(_ *fleet, s sidecar) subset.Position { return subset.Spread(s.number) }
+	spread := func(_ *fleet, s sidecar) subset.Position { return subset.PositionByNumber(s.number) }
 	dense := func(f *fleet, s sidecar) subset.Position { return subset.Dense(f.rank(s), len(f.sidecars)) }
 	told := func(f *fleet, s sidecar) subset.Position { return subset.ByTraffic(f.rank(s), f.told) }
 	return []Way{
