--- a/internal/decide/subset/share.go
+++ b/internal/decide/subset/share.go
@@ -82,10 +82,10 @@
 // golden is the golden section of 2^64.
 const golden = 0x9e3779b97f4a7c15
 
-// Dense is the place of a rank among those that live: all are equally far apart, and one that comes or goes moves the others by
+// PositionByRank is the place of a rank among those that live: all are equally far apart, and one that comes or goes moves the others by
 // less than that. Danger: where ranks are not dense (of 100 that were told 10 live) nine in ten boxes are held by nobody; Spread is for
 // numbers that may have gaps.
-func Dense(rank, count int) Position {
+func PositionByRank(rank, count int) Position {
 	if count <= 1 {
 		return 0
 	}
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	return Dense(before, count) + Position(uint64(own)*golden) // classes begin at different boxes
+	return PositionByRank(before, count) + Position(uint64(own)*golden) // classes begin at different boxes
 }
 
 // from is the first box of the arc that begins at a place, of so many.
--- a/internal/decide/subset/share_test.go
+++ b/internal/decide/subset/share_test.go
@@ -45,7 +45,7 @@
 		for i := range classes {
 			classes[i] = int8(rapid.IntRange(0, 2).Draw(t, "class"))
 		}
-		for name, place := range map[string]func(int) Position{"dense": func(r int) Position { return Dense(r, count) }, "spread": PositionByNumber,
+		for name, place := range map[string]func(int) Position{"dense": func(r int) Position { return PositionByRank(r, count) }, "spread": PositionByNumber,
 			"by traffic": func(r int) Position { return ByTraffic(r, classes) }} {
 			held := holders(order, count, place, size)
 			least, most := math.MaxInt, 0
@@ -72,7 +72,7 @@
 		size := Size(len(order), count, count, rapid.Float64Range(0, 20).Draw(t, "need"))
 		more := RingOrder(append(slices.Clone(list), Server{ID: 5}))
 		for rank := range count {
-			before := Take(order, Dense(rank, count), size)
+			before := Take(order, PositionByRank(rank, count), size)
 			moved := func(after []Server) (n int) {
 				for _, b := range after {
 					if !slices.Contains(before, b) {
@@ -81,11 +81,11 @@
 				}
 				return n
 			}
-			require.LessOrEqual(t, moved(Take(more, Dense(rank, count), size)), 3, "a box")
+			require.LessOrEqual(t, moved(Take(more, PositionByRank(rank, count), size)), 3, "a box")
 			step := len(order)/count + 2
-			require.LessOrEqual(t, moved(Take(order, Dense(rank, count+1), size)), step, "a sidecar behind it")
-			require.LessOrEqual(t, moved(Take(order, Dense(rank+1, count+1), size)), step, "a sidecar before it")
-			require.Zero(t, moved(Take(order, Dense(rank, count), size)))
+			require.LessOrEqual(t, moved(Take(order, PositionByRank(rank, count+1), size)), step, "a sidecar behind it")
+			require.LessOrEqual(t, moved(Take(order, PositionByRank(rank+1, count+1), size)), step, "a sidecar before it")
+			require.Zero(t, moved(Take(order, PositionByRank(rank, count), size)))
 		}
 	})
 }
@@ -177,9 +177,9 @@
 			from, _ := policy.Subset(count, number, count, 0)
 			return from
 		}
-		off := int64(at - Dense(begins(at), count)) // the shorter way round
+		off := int64(at - PositionByRank(begins(at), count)) // the shorter way round
 		require.LessOrEqual(t, math.Abs(float64(off)), math.Exp2(63)/float64(count)*1.001)
 		rank := rapid.IntRange(0, count-1).Draw(t, "rank")
-		require.Equal(t, rank, begins(Dense(rank, count)))
+		require.Equal(t, rank, begins(PositionByRank(rank, count)))
 	})
 }
