--- a/internal/decide/subset/share.go
+++ b/internal/decide/subset/share.go
@@ -102,11 +102,11 @@
 	return int8(min(max(math.Round(math.Log2(traffic)), math.MinInt8+1), math.MaxInt8))
 }
 
-// ByTraffic is the place of a rank among those that live, of whom each tells the Class of its traffic: Dense among those of its class. Sidecars of a
+// PositionByTraffic is the place of a rank among those that live, of whom each tells the Class of its traffic: Dense among those of its class. Sidecars of a
 // class hold about as many boxes and bring about as much to each, so each class by itself loads the boxes evenly, however rare the heavy
 // ones are. A liar moves the others of two classes by less than they are apart. Danger: without classes the heavy ones stand where
 // ranks chance to be, and where two of them overlap boxes get twice as much.
-func ByTraffic(rank int, classes []int8) Position {
+func PositionByTraffic(rank int, classes []int8) Position {
 	if rank < 0 || rank >= len(classes) {
 		return 0
 	}
--- a/internal/decide/subset/share_test.go
+++ b/internal/decide/subset/share_test.go
@@ -46,7 +46,7 @@
 			classes[i] = int8(rapid.IntRange(0, 2).Draw(t, "class"))
 		}
 		for name, place := range map[string]func(int) Position{"dense": func(r int) Position { return PositionByRank(r, count) }, "spread": PositionByNumber,
-			"by traffic": func(r int) Position { return ByTraffic(r, classes) }} {
+			"by traffic": func(r int) Position { return PositionByTraffic(r, classes) }} {
 			held := holders(order, count, place, size)
 			least, most := math.MaxInt, 0
 			for _, b := range order {
@@ -160,7 +160,7 @@
 					alike++
 				}
 			}
-			moved := int64(ByTraffic(rank, classes) - ByTraffic(rank, lied)) // the shorter way round
+			moved := int64(PositionByTraffic(rank, classes) - PositionByTraffic(rank, lied)) // the shorter way round
 			require.LessOrEqual(t, math.Abs(float64(moved)), math.Exp2(64)/float64(alike)*1.001)
 		}
 	})
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -136,7 +136,7 @@
 	}
 	spread := func(_ *fleet, s sidecar) subset.Position { return subset.PositionByNumber(s.number) }
 	dense := func(f *fleet, s sidecar) subset.Position { return subset.PositionByRank(f.rank(s), len(f.sidecars)) }
-	told := func(f *fleet, s sidecar) subset.Position { return subset.ByTraffic(f.rank(s), f.told) }
+	told := func(f *fleet, s sidecar) subset.Position { return subset.PositionByTraffic(f.rank(s), f.told) }
 	return []Way{
 		{Name: "today, by number", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.today(s, s.number) }},
 		{Name: "today, by rank", Talk: true, take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.today(s, f.rank(s)) }},
