--- a/internal/decide/subset/share.go
+++ b/internal/decide/subset/share.go
@@ -93,9 +93,9 @@
 	return Position(at)
 }
 
-// Class is the class of a traffic (in any unit, the same for all): its power of two. What is no traffic is in the lowest class. Who tells
+// TrafficClass is the class of a traffic (in any unit, the same for all): its power of two. What is no traffic is in the lowest class. Who tells
 // its class should change it late, or a traffic at the edge of two classes moves its sidecar to and fro.
-func Class(traffic float64) int8 {
+func TrafficClass(traffic float64) int8 {
 	if !(traffic > 0) { // NaN, too
 		return math.MinInt8
 	}
--- a/internal/decide/subset/share_test.go
+++ b/internal/decide/subset/share_test.go
@@ -149,7 +149,7 @@
 		classes := rapid.SliceOfN(rapid.Map(rapid.IntRange(0, 2), func(c int) int8 { return int8(c) }), 2, 100).Draw(t, "classes")
 		liar := rapid.IntRange(0, len(classes)-1).Draw(t, "liar")
 		lied := slices.Clone(classes)
-		lied[liar] = Class(rapid.Float64().Draw(t, "told"))
+		lied[liar] = TrafficClass(rapid.Float64().Draw(t, "told"))
 		for rank, own := range classes {
 			if rank == liar {
 				continue
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -50,7 +50,7 @@
 	slices.SortFunc(f.sidecars, func(a, b sidecar) int { return cmp.Compare(a.id, b.id) })
 	f.told, f.mean = f.told[:0:0], 0
 	for _, s := range f.sidecars {
-		f.told, f.mean = append(f.told, subset.Class(s.traffic)), f.mean+s.traffic/float64(len(f.sidecars))
+		f.told, f.mean = append(f.told, subset.TrafficClass(s.traffic)), f.mean+s.traffic/float64(len(f.sidecars))
 	}
 }
 
