--- a/internal/decide/subset/share.go
+++ b/internal/decide/subset/share.go
@@ -127,8 +127,8 @@
 	return int(hi)
 }
 
-// Take returns the boxes of the arc that begins at a place, of an Order, the first ones first.
-func Take(order []Server, at Position, size int) []Server {
+// Select returns the boxes of the arc that begins at a place, of an Order, the first ones first.
+func Select(order []Server, at Position, size int) []Server {
 	size = min(max(size, 0), len(order))
 	taken := make([]Server, size)
 	for i, from := 0, at.from(max(len(order), 1)); i < size; i++ {
@@ -142,7 +142,7 @@
 // still listed. So a list that trembles moves nothing twice; and peers' word, which moves the place, never takes more than half
 // at once: what is left over goes at a later call, when the new ones have been held for a while.
 func Next(order []Server, at Position, size, slack int, held map[uint64]bool) []Server {
-	taken := Take(order, at, size)
+	taken := Select(order, at, size)
 	if len(held) == 0 || len(taken) == len(order) {
 		return taken
 	}
--- a/internal/decide/subset/share_test.go
+++ b/internal/decide/subset/share_test.go
@@ -29,7 +29,7 @@
 func holders(order []Server, count int, place func(rank int) Position, size int) map[uint64]int {
 	held := map[uint64]int{}
 	for rank := range count {
-		for _, b := range Take(order, place(rank), size) {
+		for _, b := range Select(order, place(rank), size) {
 			held[b.ID]++
 		}
 	}
@@ -72,7 +72,7 @@
 		size := Size(len(order), count, count, rapid.Float64Range(0, 20).Draw(t, "need"))
 		more := RingOrder(append(slices.Clone(list), Server{ID: 5}))
 		for rank := range count {
-			before := Take(order, PositionByRank(rank, count), size)
+			before := Select(order, PositionByRank(rank, count), size)
 			moved := func(after []Server) (n int) {
 				for _, b := range after {
 					if !slices.Contains(before, b) {
@@ -81,11 +81,11 @@
 				}
 				return n
 			}
-			require.LessOrEqual(t, moved(Take(more, PositionByRank(rank, count), size)), 3, "a box")
+			require.LessOrEqual(t, moved(Select(more, PositionByRank(rank, count), size)), 3, "a box")
 			step := len(order)/count + 2
-			require.LessOrEqual(t, moved(Take(order, PositionByRank(rank, count+1), size)), step, "a sidecar behind it")
-			require.LessOrEqual(t, moved(Take(order, PositionByRank(rank+1, count+1), size)), step, "a sidecar before it")
-			require.Zero(t, moved(Take(order, PositionByRank(rank, count), size)))
+			require.LessOrEqual(t, moved(Select(order, PositionByRank(rank, count+1), size)), step, "a sidecar behind it")
+			require.LessOrEqual(t, moved(Select(order, PositionByRank(rank+1, count+1), size)), step, "a sidecar before it")
+			require.Zero(t, moved(Select(order, PositionByRank(rank, count), size)))
 		}
 	})
 }
@@ -98,7 +98,7 @@
 		require.Equal(t, order, RingOrder(rapid.Permutation(list).Draw(t, "order")))
 		require.ElementsMatch(t, list, order)
 		size := rapid.IntRange(1, len(order)).Draw(t, "size")
-		arc := Take(order, Position(rapid.Uint64().Draw(t, "place")), size)
+		arc := Select(order, Position(rapid.Uint64().Draw(t, "place")), size)
 		zones, all := map[int]int{}, map[int]int{}
 		for _, b := range arc {
 			zones[b.Zone]++
@@ -123,7 +123,7 @@
 		size, own := Size(len(list), count, told, need), Size(len(list), told, told, need)
 		require.GreaterOrEqual(t, 2*size, own)
 		held := map[uint64]bool{}
-		for _, b := range Take(order, PositionByNumber(rapid.IntRange(0, 300).Draw(t, "number")), own) {
+		for _, b := range Select(order, PositionByNumber(rapid.IntRange(0, 300).Draw(t, "number")), own) {
 			held[b.ID] = true
 		}
 		at := Position(rapid.Uint64().Draw(t, "any place"))
@@ -137,7 +137,7 @@
 			ids[b.ID] = true
 		}
 		require.GreaterOrEqual(t, 2*kept, len(held))
-		for _, b := range Take(order, at, size) {
+		for _, b := range Select(order, at, size) {
 			require.True(t, ids[b.ID], "all of the arc is held")
 		}
 	})
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -129,7 +129,7 @@
 	arc := func(place func(*fleet, sidecar) subset.Position, keep bool) func(*fleet, sidecar, map[uint64]bool) []subset.Server {
 		return func(f *fleet, s sidecar, held map[uint64]bool) []subset.Server {
 			if !keep {
-				return subset.Take(f.order, place(f, s), f.size(s))
+				return subset.Select(f.order, place(f, s), f.size(s))
 			}
 			return subset.Next(f.order, place(f, s), f.size(s), beside, held)
 		}
