--- a/internal/decide/subset/share.go
+++ b/internal/decide/subset/share.go
@@ -137,11 +137,11 @@
 	return taken
 }
 
-// Next returns what one holds that has held some boxes (by ID) and whose arc is now another: all boxes of the arc, of those held
+// Reselect returns what one holds that has held some boxes (by ID) and whose arc is now another: all boxes of the arc, of those held
 // before what lies at most slack places beside it, and as many more, the nearest first, as make half of what was held and is
 // still listed. So a list that trembles moves nothing twice; and peers' word, which moves the place, never takes more than half
 // at once: what is left over goes at a later call, when the new ones have been held for a while.
-func Next(order []Server, at Position, size, slack int, held map[uint64]bool) []Server {
+func Reselect(order []Server, at Position, size, slack int, held map[uint64]bool) []Server {
 	taken := Select(order, at, size)
 	if len(held) == 0 || len(taken) == len(order) {
 		return taken
--- a/internal/decide/subset/share_test.go
+++ b/internal/decide/subset/share_test.go
@@ -127,7 +127,7 @@
 			held[b.ID] = true
 		}
 		at := Position(rapid.Uint64().Draw(t, "any place"))
-		next := Next(order, at, size, 1, held)
+		next := Reselect(order, at, size, 1, held)
 		kept, ids := 0, map[uint64]bool{}
 		for _, b := range next {
 			if held[b.ID] {
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -131,7 +131,7 @@
 			if !keep {
 				return subset.Select(f.order, place(f, s), f.size(s))
 			}
-			return subset.Next(f.order, place(f, s), f.size(s), beside, held)
+			return subset.Reselect(f.order, place(f, s), f.size(s), beside, held)
 		}
 	}
 	spread := func(_ *fleet, s sidecar) subset.Position { return subset.PositionByNumber(s.number) }
