--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -265,7 +265,7 @@
 // elsewhere whenever the count is another, and one sidecar that comes moves the links of all.
 func begins(rank, count int) int {
 	step, _ := policy.Subset(count, 1, count, 0)
-	return subset.Number(subset.PositionByRank(rank, count), count, step)
+	return subset.NumberAt(subset.PositionByRank(rank, count), count, step)
 }
 
 // arm asks for the next call.
--- a/internal/decide/subset/share.go
+++ b/internal/decide/subset/share.go
@@ -172,10 +172,10 @@
 	return taken
 }
 
-// Number is the number, of so many, that a module is to be told which steps through the circle by it (policy.Subset), so that its run
+// NumberAt is the number, of so many, that a module is to be told which steps through the circle by it (policy.Subset), so that its run
 // begins at a place, to within half a part in count of the circle. Step is where the module's number 1 begins, of so many boxes. Places that are
 // a part in count apart, as those of Dense, have numbers of their own. Danger: rounded down, rank 1 of 3 would begin where rank 0 does.
-func Number(at Position, count, step int) int {
+func NumberAt(at Position, count, step int) int {
 	if count <= 1 {
 		return 0
 	}
--- a/internal/decide/subset/share_test.go
+++ b/internal/decide/subset/share_test.go
@@ -172,7 +172,7 @@
 		count, at := rapid.IntRange(1, 6000).Draw(t, "count"), Position(rapid.Uint64().Draw(t, "place"))
 		step, _ := policy.Subset(count, 1, count, 0)
 		begins := func(at Position) int {
-			number := Number(at, count, step)
+			number := NumberAt(at, count, step)
 			require.True(t, number >= 0 && number < count)
 			from, _ := policy.Subset(count, number, count, 0)
 			return from
