--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -63,8 +63,8 @@
 	return i
 }
 
-// Way is one way to choose.
-type Way struct {
+// Strategy is one way to choose.
+type Strategy struct {
 	Name string
 	Talk bool // needs to know who lives, or more
 	Slow bool // its cost grows with sidecars times boxes
@@ -122,10 +122,10 @@
 }
 
 // Fits tells whether a way can be weighed for a size within some seconds: who corrects weights looks at each sidecar and box a dozen times.
-func (w Way) Fits(sidecars, boxes int) bool { return !w.Slow || sidecars*boxes <= 100_000 }
+func (w Strategy) Fits(sidecars, boxes int) bool { return !w.Slow || sidecars*boxes <= 100_000 }
 
 // Ways returns the ways that are weighed.
-func Ways() []Way {
+func Ways() []Strategy {
 	arc := func(place func(*fleet, sidecar) subset.Position, keep bool) func(*fleet, sidecar, map[uint64]bool) []subset.Server {
 		return func(f *fleet, s sidecar, held map[uint64]bool) []subset.Server {
 			if !keep {
@@ -137,7 +137,7 @@
 	spread := func(_ *fleet, s sidecar) subset.Position { return subset.PositionByNumber(s.number) }
 	dense := func(f *fleet, s sidecar) subset.Position { return subset.PositionByRank(f.rank(s), len(f.sidecars)) }
 	told := func(f *fleet, s sidecar) subset.Position { return subset.PositionByTraffic(f.rank(s), f.told) }
-	return []Way{
+	return []Strategy{
 		{Name: "today, by number", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.today(s, s.number) }},
 		{Name: "today, by rank", Talk: true, take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.today(s, f.rank(s)) }},
 		{Name: "ring of draws", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server {
@@ -285,7 +285,7 @@
 }
 
 // choose has sidecars choose by a view, and counts links that begin; those that are new choose, too, but count for nothing.
-func (w Way) choose(f *fleet, held map[uint64]map[uint64]bool, who func(id uint64) bool) (moves int) {
+func (w Strategy) choose(f *fleet, held map[uint64]map[uint64]bool, who func(id uint64) bool) (moves int) {
 	for _, s := range f.sidecars {
 		if held[s.id] != nil && !who(s.id) {
 			continue
@@ -316,7 +316,7 @@
 // Measure weighs one way for one size. Moves are those of sidecars that stay; the least possible for a box that comes is the mean
 // of a box's sidecars, and for a sidecar that comes as many as move to keep each box's number: none where boxes may have one more, so
 // it is told in parts of what the newcomer itself holds.
-func Measure(w Way, sidecars, boxes int, unequal bool, seed uint64) Figures {
+func Measure(w Strategy, sidecars, boxes int, unequal bool, seed uint64) Figures {
 	f := Figures{Way: w.Name, Sidecars: sidecars, Boxes: boxes, Unequal: unequal}
 	d := draw(sidecars, boxes, unequal, seed)
 	held := map[uint64]map[uint64]bool{}
