--- a/cmd/hazellab/share.go
+++ b/cmd/hazellab/share.go
@@ -36,7 +36,7 @@
 						return fault(fmt.Errorf("boxes: %d is not 2 to 2000", m))
 					}
 					for _, unequal := range []bool{false, true} {
-						for _, w := range subsetsim.Ways() {
+						for _, w := range subsetsim.Strategies() {
 							if !w.Fits(n, m) {
 								continue
 							}
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -124,8 +124,8 @@
 // Fits tells whether a way can be weighed for a size within some seconds: who corrects weights looks at each sidecar and box a dozen times.
 func (w Strategy) Fits(sidecars, boxes int) bool { return !w.Slow || sidecars*boxes <= 100_000 }
 
-// Ways returns the ways that are weighed.
-func Ways() []Strategy {
+// Strategies returns the ways that are weighed.
+func Strategies() []Strategy {
 	arc := func(place func(*fleet, sidecar) subset.Position, keep bool) func(*fleet, sidecar, map[uint64]bool) []subset.Server {
 		return func(f *fleet, s sidecar, held map[uint64]bool) []subset.Server {
 			if !keep {
--- a/internal/sim/subsetsim/share_test.go
+++ b/internal/sim/subsetsim/share_test.go
@@ -9,7 +9,7 @@
 // The ways that are taken keep what the design note says of them, beside today's; each figure is the same for the same seed.
 func TestPlacesAddUp(t *testing.T) {
 	figures := map[string]Figures{}
-	for _, w := range Ways() {
+	for _, w := range Strategies() {
 		if !w.Slow {
 			figures[w.Name] = Measure(w, 300, 200, true, 1)
 		}
@@ -20,5 +20,5 @@
 	require.Less(t, 10*taken.PeerMoves, today.PeerMoves)
 	require.GreaterOrEqual(t, taken.Covered, 2)
 	require.Less(t, figures["golden steps, held"].PeerMoves, 0.01, "who goes by number alone moves for no sidecar that comes")
-	require.Equal(t, today, Measure(Ways()[1], 300, 200, true, 1))
+	require.Equal(t, today, Measure(Strategies()[1], 300, 200, true, 1))
 }
