--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -65,10 +65,10 @@
 
 // Strategy is one way to choose.
 type Strategy struct {
-	Name string
-	Talk bool // needs to know who lives, or more
-	Slow bool // its cost grows with sidecars times boxes
-	take func(f *fleet, s sidecar, held map[uint64]bool) []subset.Server
+	Name            string
+	NeedsMembership bool // needs to know who lives, or more
+	Slow            bool // its cost grows with sidecars times boxes
+	take            func(f *fleet, s sidecar, held map[uint64]bool) []subset.Server
 }
 
 func mix(x uint64) uint64 {
@@ -139,13 +139,13 @@
 	told := func(f *fleet, s sidecar) subset.Position { return subset.PositionByTraffic(f.rank(s), f.told) }
 	return []Strategy{
 		{Name: "today, by number", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.today(s, s.number) }},
-		{Name: "today, by rank", Talk: true, take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.today(s, f.rank(s)) }},
+		{Name: "today, by rank", NeedsMembership: true, take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.today(s, f.rank(s)) }},
 		{Name: "ring of draws", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server {
 			at, _ := slices.BinarySearchFunc(f.hashed, mix(s.id), func(b subset.Server, at uint64) int { return cmp.Compare(mix(b.ID), at) })
 			return run(f.hashed, at, f.size(s))
 		}},
 		{Name: "rendezvous", take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server { return f.rendezvous(s) }, Slow: true},
-		{Name: "rendezvous by weight", Talk: true, Slow: true, take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server {
+		{Name: "rendezvous by weight", NeedsMembership: true, Slow: true, take: func(f *fleet, s sidecar, _ map[uint64]bool) []subset.Server {
 			if f.weights == nil {
 				f.correct()
 			}
@@ -153,10 +153,10 @@
 		}},
 		{Name: "golden steps by number", take: arc(spread, false)},
 		{Name: "golden steps, held", take: arc(spread, true)},
-		{Name: "rotation by rank", Talk: true, take: arc(dense, false)},
-		{Name: "rotation by rank, held", Talk: true, take: arc(dense, true)},
-		{Name: "rotation by traffic", Talk: true, take: arc(told, false)},
-		{Name: "rotation by traffic, held", Talk: true, take: arc(told, true)},
+		{Name: "rotation by rank", NeedsMembership: true, take: arc(dense, false)},
+		{Name: "rotation by rank, held", NeedsMembership: true, take: arc(dense, true)},
+		{Name: "rotation by traffic", NeedsMembership: true, take: arc(told, false)},
+		{Name: "rotation by traffic, held", NeedsMembership: true, take: arc(told, true)},
 	}
 }
 
