--- a/cmd/hazellab/share.go
+++ b/cmd/hazellab/share.go
@@ -37,7 +37,7 @@
 					}
 					for _, unequal := range []bool{false, true} {
 						for _, w := range subsetsim.Strategies() {
-							if !w.Fits(n, m) {
+							if !w.IsFeasible(n, m) {
 								continue
 							}
 							f := subsetsim.Measure(w, n, m, unequal, c.Uint64("seed"))
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// Fits tells whether a way can be weighed for a size within some seconds: who corrects weights looks at each sidecar and box a dozen times.
-func (w Strategy) Fits(sidecars, boxes int) bool { return !w.Slow || sidecars*boxes <= 100_000 }
+// IsFeasible tells whether a way can be weighed for a size within some seconds: who corrects weights looks at each sidecar and box a dozen times.
+func (w Strategy) IsFeasible(sidecars, boxes int) bool { return !w.Slow || sidecars*boxes <= 100_000 }
 
 // Strategies returns the ways that are weighed.
 func Strategies() []Strategy {
