--- a/cmd/hazellab/share.go
+++ b/cmd/hazellab/share.go
@@ -22,7 +22,7 @@
 			&cli.BoolFlag{Name: "json", Usage: "print the figures as JSON, one object a line"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			var all []subsetsim.Figures
+			var all []subsetsim.Result
 			out := c.Root().Writer
 			if !c.Bool("json") {
 				fmt.Fprintln(out, subsetsim.Head)
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -174,8 +174,8 @@
 	return run(f.ring, from, size)
 }
 
-// Figures are what a way comes to for one size.
-type Figures struct {
+// Result are what a way comes to for one size.
+type Result struct {
 	Way         string  `json:"way"`
 	Sidecars    int     `json:"sidecars"`
 	Boxes       int     `json:"boxes"`
@@ -316,8 +316,8 @@
 // Measure weighs one way for one size. Moves are those of sidecars that stay; the least possible for a box that comes is the mean
 // of a box's sidecars, and for a sidecar that comes as many as move to keep each box's number: none where boxes may have one more, so
 // it is told in parts of what the newcomer itself holds.
-func Measure(w Strategy, sidecars, boxes int, unequal bool, seed uint64) Figures {
-	f := Figures{Way: w.Name, Sidecars: sidecars, Boxes: boxes, Unequal: unequal}
+func Measure(w Strategy, sidecars, boxes int, unequal bool, seed uint64) Result {
+	f := Result{Way: w.Name, Sidecars: sidecars, Boxes: boxes, Unequal: unequal}
 	d := draw(sidecars, boxes, unequal, seed)
 	held := map[uint64]map[uint64]bool{}
 	w.choose(&d.fleet, held, all)
@@ -379,7 +379,7 @@
 	return f
 }
 
-func (f Figures) String() string {
+func (f Result) String() string {
 	traffic := "equal"
 	if f.Unequal {
 		traffic = "unequal"
@@ -388,7 +388,7 @@
 		f.Worst, f.Covered, f.BoxMoves, f.PeerMoves, f.ChangeMoves, f.Links, f.Zone, f.SmallZone)
 }
 
-func (f Figures) size() string { return fmt.Sprintf("%d, %d", f.Sidecars, f.Boxes) }
+func (f Result) size() string { return fmt.Sprintf("%d, %d", f.Sidecars, f.Boxes) }
 
 // Head is the line above a table of Figures.
 const Head = "sidecars boxes        way                    steady change  worst least  box x  sidecar  change x  links  zones: most, small"
--- a/internal/sim/subsetsim/share_test.go
+++ b/internal/sim/subsetsim/share_test.go
@@ -8,7 +8,7 @@
 
 // The ways that are taken keep what the design note says of them, beside today's; each figure is the same for the same seed.
 func TestPlacesAddUp(t *testing.T) {
-	figures := map[string]Figures{}
+	figures := map[string]Result{}
 	for _, w := range Strategies() {
 		if !w.Slow {
 			figures[w.Name] = Measure(w, 300, 200, true, 1)
