--- a/internal/sim/subsetsim/picture.go
+++ b/internal/sim/subsetsim/picture.go
@@ -22,10 +22,10 @@
 			places[size] = len(labels)
 			labels = append(labels, f.size())
 		}
-		if lines[f.Way] == nil {
-			ways = append(ways, f.Way)
+		if lines[f.Strategy] == nil {
+			ways = append(ways, f.Strategy)
 		}
-		lines[f.Way] = append(lines[f.Way], plotter.XY{X: float64(places[size]), Y: f.Steady})
+		lines[f.Strategy] = append(lines[f.Strategy], plotter.XY{X: float64(places[size]), Y: f.Steady})
 	}
 	for i, way := range ways {
 		line, points, err := plotter.NewLinePoints(lines[way])
