--- a/internal/sim/subsetsim/picture.go
+++ b/internal/sim/subsetsim/picture.go
@@ -17,7 +17,7 @@
 		if !f.Unequal {
 			continue
 		}
-		size := [2]int{f.Sidecars, f.Boxes}
+		size := [2]int{f.Sidecars, f.Servers}
 		if _, known := places[size]; !known {
 			places[size] = len(labels)
 			labels = append(labels, f.size())
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -178,7 +178,7 @@
 type Result struct {
 	Strategy    string  `json:"way"`
 	Sidecars    int     `json:"sidecars"`
-	Boxes       int     `json:"boxes"`
+	Servers     int     `json:"boxes"`
 	Unequal     bool    `json:"unequal"`
 	Steady      float64 `json:"busiest_over_mean"`
 	InChange    float64 `json:"busiest_over_mean_in_change"` // the mean of the seconds
@@ -317,7 +317,7 @@
 // of a box's sidecars, and for a sidecar that comes as many as move to keep each box's number: none where boxes may have one more, so
 // it is told in parts of what the newcomer itself holds.
 func Measure(w Strategy, sidecars, boxes int, unequal bool, seed uint64) Result {
-	f := Result{Strategy: w.Name, Sidecars: sidecars, Boxes: boxes, Unequal: unequal}
+	f := Result{Strategy: w.Name, Sidecars: sidecars, Servers: boxes, Unequal: unequal}
 	d := draw(sidecars, boxes, unequal, seed)
 	held := map[uint64]map[uint64]bool{}
 	w.choose(&d.fleet, held, all)
@@ -384,11 +384,11 @@
 	if f.Unequal {
 		traffic = "unequal"
 	}
-	return fmt.Sprintf("%5d %5d  %-7s  %-26s  %5.2f  %5.2f  %5.2f  %4d  %6.1f  %6.2f  %6.1f  %6.1f  %5.2f %5.2f", f.Sidecars, f.Boxes, traffic, f.Strategy, f.Steady, f.InChange,
+	return fmt.Sprintf("%5d %5d  %-7s  %-26s  %5.2f  %5.2f  %5.2f  %4d  %6.1f  %6.2f  %6.1f  %6.1f  %5.2f %5.2f", f.Sidecars, f.Servers, traffic, f.Strategy, f.Steady, f.InChange,
 		f.Worst, f.Covered, f.BoxMoves, f.PeerMoves, f.ChangeMoves, f.Links, f.Zone, f.SmallZone)
 }
 
-func (f Result) size() string { return fmt.Sprintf("%d, %d", f.Sidecars, f.Boxes) }
+func (f Result) size() string { return fmt.Sprintf("%d, %d", f.Sidecars, f.Servers) }
 
 // Head is the line above a table of Figures.
 const Head = "sidecars boxes        way                    steady change  worst least  box x  sidecar  change x  links  zones: most, small"
