--- a/internal/sim/subsetsim/picture.go
+++ b/internal/sim/subsetsim/picture.go
@@ -25,7 +25,7 @@
 		if lines[f.Strategy] == nil {
 			ways = append(ways, f.Strategy)
 		}
-		lines[f.Strategy] = append(lines[f.Strategy], plotter.XY{X: float64(places[size]), Y: f.Steady})
+		lines[f.Strategy] = append(lines[f.Strategy], plotter.XY{X: float64(places[size]), Y: f.PeakLoad})
 	}
 	for i, way := range ways {
 		line, points, err := plotter.NewLinePoints(lines[way])
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -180,7 +180,7 @@
 	Sidecars    int     `json:"sidecars"`
 	Servers     int     `json:"boxes"`
 	Unequal     bool    `json:"unequal"`
-	Steady      float64 `json:"busiest_over_mean"`
+	PeakLoad    float64 `json:"busiest_over_mean"`
 	InChange    float64 `json:"busiest_over_mean_in_change"` // the mean of the seconds
 	Worst       float64 `json:"worst_second"`
 	Covered     int     `json:"least_sidecars_at_a_box"`
@@ -322,7 +322,7 @@
 	held := map[uint64]map[uint64]bool{}
 	w.choose(&d.fleet, held, all)
 	var zones map[int]float64
-	f.Steady, f.Covered, zones = load(&d.fleet, held)
+	f.PeakLoad, f.Covered, zones = load(&d.fleet, held)
 	f.Links = float64(links(held)) / float64(sidecars)
 	for _, z := range zones {
 		f.Zone = max(f.Zone, z)
@@ -384,7 +384,7 @@
 	if f.Unequal {
 		traffic = "unequal"
 	}
-	return fmt.Sprintf("%5d %5d  %-7s  %-26s  %5.2f  %5.2f  %5.2f  %4d  %6.1f  %6.2f  %6.1f  %6.1f  %5.2f %5.2f", f.Sidecars, f.Servers, traffic, f.Strategy, f.Steady, f.InChange,
+	return fmt.Sprintf("%5d %5d  %-7s  %-26s  %5.2f  %5.2f  %5.2f  %4d  %6.1f  %6.2f  %6.1f  %6.1f  %5.2f %5.2f", f.Sidecars, f.Servers, traffic, f.Strategy, f.PeakLoad, f.InChange,
 		f.Worst, f.Covered, f.BoxMoves, f.PeerMoves, f.ChangeMoves, f.Links, f.Zone, f.SmallZone)
 }
 
