--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -176,20 +176,20 @@
 
 // Result are what a way comes to for one size.
 type Result struct {
-	Strategy    string  `json:"way"`
-	Sidecars    int     `json:"sidecars"`
-	Servers     int     `json:"boxes"`
-	Unequal     bool    `json:"unequal"`
-	PeakLoad    float64 `json:"busiest_over_mean"`
-	InChange    float64 `json:"busiest_over_mean_in_change"` // the mean of the seconds
-	Worst       float64 `json:"worst_second"`
-	Covered     int     `json:"least_sidecars_at_a_box"`
-	BoxMoves    float64 `json:"moves_by_a_box"`     // that comes, over the least possible
-	PeerMoves   float64 `json:"moves_by_a_sidecar"` // likewise
-	ChangeMoves float64 `json:"moves_in_change"`    // links that begin in a second, over the least possible
-	Links       float64 `json:"links_of_a_sidecar"`
-	Zone        float64 `json:"busiest_zone_over_mean"`
-	SmallZone   float64 `json:"smallest_zone_over_mean"`
+	Strategy        string  `json:"way"`
+	Sidecars        int     `json:"sidecars"`
+	Servers         int     `json:"boxes"`
+	Unequal         bool    `json:"unequal"`
+	PeakLoad        float64 `json:"busiest_over_mean"`
+	PeakLoadInChurn float64 `json:"busiest_over_mean_in_change"` // the mean of the seconds
+	Worst           float64 `json:"worst_second"`
+	Covered         int     `json:"least_sidecars_at_a_box"`
+	BoxMoves        float64 `json:"moves_by_a_box"`     // that comes, over the least possible
+	PeerMoves       float64 `json:"moves_by_a_sidecar"` // likewise
+	ChangeMoves     float64 `json:"moves_in_change"`    // links that begin in a second, over the least possible
+	Links           float64 `json:"links_of_a_sidecar"`
+	Zone            float64 `json:"busiest_zone_over_mean"`
+	SmallZone       float64 `json:"smallest_zone_over_mean"`
 }
 
 // zone gives one box in 25 to a small zone, and the rest to two large ones.
@@ -370,7 +370,7 @@
 		}
 		begun += w.choose(&d.fleet, held, func(id uint64) bool { return !late(id) })
 		busiest, least, _ := load(&d.fleet, held)
-		f.InChange += busiest / seconds
+		f.PeakLoadInChurn += busiest / seconds
 		f.Worst, f.Covered = max(f.Worst, busiest), min(f.Covered, least)
 		before = d.copy()
 		played++
@@ -384,7 +384,7 @@
 	if f.Unequal {
 		traffic = "unequal"
 	}
-	return fmt.Sprintf("%5d %5d  %-7s  %-26s  %5.2f  %5.2f  %5.2f  %4d  %6.1f  %6.2f  %6.1f  %6.1f  %5.2f %5.2f", f.Sidecars, f.Servers, traffic, f.Strategy, f.PeakLoad, f.InChange,
+	return fmt.Sprintf("%5d %5d  %-7s  %-26s  %5.2f  %5.2f  %5.2f  %4d  %6.1f  %6.2f  %6.1f  %6.1f  %5.2f %5.2f", f.Sidecars, f.Servers, traffic, f.Strategy, f.PeakLoad, f.PeakLoadInChurn,
 		f.Worst, f.Covered, f.BoxMoves, f.PeerMoves, f.ChangeMoves, f.Links, f.Zone, f.SmallZone)
 }
 
--- a/internal/sim/subsetsim/share_test.go
+++ b/internal/sim/subsetsim/share_test.go
@@ -16,7 +16,7 @@
 	}
 	taken, today := figures["rotation by traffic, held"], figures["today, by rank"]
 	require.Less(t, taken.PeakLoad, 1.15)
-	require.Less(t, taken.InChange, 1.3)
+	require.Less(t, taken.PeakLoadInChurn, 1.3)
 	require.Less(t, 10*taken.PeerMoves, today.PeerMoves)
 	require.GreaterOrEqual(t, taken.Covered, 2)
 	require.Less(t, figures["golden steps, held"].PeerMoves, 0.01, "who goes by number alone moves for no sidecar that comes")
