--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -182,7 +182,7 @@
 	Unequal         bool    `json:"unequal"`
 	PeakLoad        float64 `json:"busiest_over_mean"`
 	PeakLoadInChurn float64 `json:"busiest_over_mean_in_change"` // the mean of the seconds
-	Worst           float64 `json:"worst_second"`
+	WorstSecond     float64 `json:"worst_second"`
 	Covered         int     `json:"least_sidecars_at_a_box"`
 	BoxMoves        float64 `json:"moves_by_a_box"`     // that comes, over the least possible
 	PeerMoves       float64 `json:"moves_by_a_sidecar"` // likewise
@@ -371,7 +371,7 @@
 		begun += w.choose(&d.fleet, held, func(id uint64) bool { return !late(id) })
 		busiest, least, _ := load(&d.fleet, held)
 		f.PeakLoadInChurn += busiest / seconds
-		f.Worst, f.Covered = max(f.Worst, busiest), min(f.Covered, least)
+		f.WorstSecond, f.Covered = max(f.WorstSecond, busiest), min(f.Covered, least)
 		before = d.copy()
 		played++
 	}
@@ -385,7 +385,7 @@
 		traffic = "unequal"
 	}
 	return fmt.Sprintf("%5d %5d  %-7s  %-26s  %5.2f  %5.2f  %5.2f  %4d  %6.1f  %6.2f  %6.1f  %6.1f  %5.2f %5.2f", f.Sidecars, f.Servers, traffic, f.Strategy, f.PeakLoad, f.PeakLoadInChurn,
-		f.Worst, f.Covered, f.BoxMoves, f.PeerMoves, f.ChangeMoves, f.Links, f.Zone, f.SmallZone)
+		f.WorstSecond, f.Covered, f.BoxMoves, f.PeerMoves, f.ChangeMoves, f.Links, f.Zone, f.SmallZone)
 }
 
 func (f Result) size() string { return fmt.Sprintf("%d, %d", f.Sidecars, f.Servers) }
