--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -176,20 +176,20 @@
 
 // Result are what a way comes to for one size.
 type Result struct {
-	Strategy        string  `json:"way"`
-	Sidecars        int     `json:"sidecars"`
-	Servers         int     `json:"boxes"`
-	Unequal         bool    `json:"unequal"`
-	PeakLoad        float64 `json:"busiest_over_mean"`
-	PeakLoadInChurn float64 `json:"busiest_over_mean_in_change"` // the mean of the seconds
-	WorstSecond     float64 `json:"worst_second"`
-	Covered         int     `json:"least_sidecars_at_a_box"`
-	BoxMoves        float64 `json:"moves_by_a_box"`     // that comes, over the least possible
-	PeerMoves       float64 `json:"moves_by_a_sidecar"` // likewise
-	ChangeMoves     float64 `json:"moves_in_change"`    // links that begin in a second, over the least possible
-	Links           float64 `json:"links_of_a_sidecar"`
-	Zone            float64 `json:"busiest_zone_over_mean"`
-	SmallZone       float64 `json:"smallest_zone_over_mean"`
+	Strategy             string  `json:"way"`
+	Sidecars             int     `json:"sidecars"`
+	Servers              int     `json:"boxes"`
+	Unequal              bool    `json:"unequal"`
+	PeakLoad             float64 `json:"busiest_over_mean"`
+	PeakLoadInChurn      float64 `json:"busiest_over_mean_in_change"` // the mean of the seconds
+	WorstSecond          float64 `json:"worst_second"`
+	MinSidecarsPerServer int     `json:"least_sidecars_at_a_box"`
+	BoxMoves             float64 `json:"moves_by_a_box"`     // that comes, over the least possible
+	PeerMoves            float64 `json:"moves_by_a_sidecar"` // likewise
+	ChangeMoves          float64 `json:"moves_in_change"`    // links that begin in a second, over the least possible
+	Links                float64 `json:"links_of_a_sidecar"`
+	Zone                 float64 `json:"busiest_zone_over_mean"`
+	SmallZone            float64 `json:"smallest_zone_over_mean"`
 }
 
 // zone gives one box in 25 to a small zone, and the rest to two large ones.
@@ -322,7 +322,7 @@
 	held := map[uint64]map[uint64]bool{}
 	w.choose(&d.fleet, held, all)
 	var zones map[int]float64
-	f.PeakLoad, f.Covered, zones = load(&d.fleet, held)
+	f.PeakLoad, f.MinSidecarsPerServer, zones = load(&d.fleet, held)
 	f.Links = float64(links(held)) / float64(sidecars)
 	for _, z := range zones {
 		f.Zone = max(f.Zone, z)
@@ -371,7 +371,7 @@
 		begun += w.choose(&d.fleet, held, func(id uint64) bool { return !late(id) })
 		busiest, least, _ := load(&d.fleet, held)
 		f.PeakLoadInChurn += busiest / seconds
-		f.WorstSecond, f.Covered = max(f.WorstSecond, busiest), min(f.Covered, least)
+		f.WorstSecond, f.MinSidecarsPerServer = max(f.WorstSecond, busiest), min(f.MinSidecarsPerServer, least)
 		before = d.copy()
 		played++
 	}
@@ -385,7 +385,7 @@
 		traffic = "unequal"
 	}
 	return fmt.Sprintf("%5d %5d  %-7s  %-26s  %5.2f  %5.2f  %5.2f  %4d  %6.1f  %6.2f  %6.1f  %6.1f  %5.2f %5.2f", f.Sidecars, f.Servers, traffic, f.Strategy, f.PeakLoad, f.PeakLoadInChurn,
-		f.WorstSecond, f.Covered, f.BoxMoves, f.PeerMoves, f.ChangeMoves, f.Links, f.Zone, f.SmallZone)
+		f.WorstSecond, f.MinSidecarsPerServer, f.BoxMoves, f.PeerMoves, f.ChangeMoves, f.Links, f.Zone, f.SmallZone)
 }
 
 func (f Result) size() string { return fmt.Sprintf("%d, %d", f.Sidecars, f.Servers) }
