--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -184,7 +184,7 @@
 	PeakLoadInChurn      float64 `json:"busiest_over_mean_in_change"` // the mean of the seconds
 	WorstSecond          float64 `json:"worst_second"`
 	MinSidecarsPerServer int     `json:"least_sidecars_at_a_box"`
-	BoxMoves             float64 `json:"moves_by_a_box"`     // that comes, over the least possible
+	MovesPerServer       float64 `json:"moves_by_a_box"`     // that comes, over the least possible
 	PeerMoves            float64 `json:"moves_by_a_sidecar"` // likewise
 	ChangeMoves          float64 `json:"moves_in_change"`    // links that begin in a second, over the least possible
 	Links                float64 `json:"links_of_a_sidecar"`
@@ -333,7 +333,7 @@
 	for range trials {
 		d.boxes = append(d.boxes, d.box())
 		d.settle()
-		f.BoxMoves += float64(w.choose(&d.fleet, held, all)) / (float64(links(held)) / float64(len(d.boxes))) / trials
+		f.MovesPerServer += float64(w.choose(&d.fleet, held, all)) / (float64(links(held)) / float64(len(d.boxes))) / trials
 	}
 	for range trials {
 		one := sidecar{id: d.rng.Uint64(), number: len(d.sidecars), traffic: d.mean}
@@ -385,7 +385,7 @@
 		traffic = "unequal"
 	}
 	return fmt.Sprintf("%5d %5d  %-7s  %-26s  %5.2f  %5.2f  %5.2f  %4d  %6.1f  %6.2f  %6.1f  %6.1f  %5.2f %5.2f", f.Sidecars, f.Servers, traffic, f.Strategy, f.PeakLoad, f.PeakLoadInChurn,
-		f.WorstSecond, f.MinSidecarsPerServer, f.BoxMoves, f.PeerMoves, f.ChangeMoves, f.Links, f.Zone, f.SmallZone)
+		f.WorstSecond, f.MinSidecarsPerServer, f.MovesPerServer, f.PeerMoves, f.ChangeMoves, f.Links, f.Zone, f.SmallZone)
 }
 
 func (f Result) size() string { return fmt.Sprintf("%d, %d", f.Sidecars, f.Servers) }
