--- a/internal/sim/subsetsim/share_test.go
+++ b/internal/sim/subsetsim/share_test.go
@@ -17,8 +17,8 @@
 	taken, today := figures["rotation by traffic, held"], figures["today, by rank"]
 	require.Less(t, taken.PeakLoad, 1.15)
 	require.Less(t, taken.PeakLoadInChurn, 1.3)
-	require.Less(t, 10*taken.PeerMoves, today.PeerMoves)
+	require.Less(t, 10*taken.MovesPerSidecar, today.MovesPerSidecar)
 	require.GreaterOrEqual(t, taken.MinSidecarsPerServer, 2)
-	require.Less(t, figures["golden steps, held"].PeerMoves, 0.01, "who goes by number alone moves for no sidecar that comes")
+	require.Less(t, figures["golden steps, held"].MovesPerSidecar, 0.01, "who goes by number alone moves for no sidecar that comes")
 	require.Equal(t, today, Measure(Strategies()[1], 300, 200, true, 1))
 }
