--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -188,7 +188,7 @@
 	MovesPerSidecar      float64 `json:"moves_by_a_sidecar"` // likewise
 	MovesInChurn         float64 `json:"moves_in_change"`    // links that begin in a second, over the least possible
 	LinksPerSidecar      float64 `json:"links_of_a_sidecar"`
-	Zone                 float64 `json:"busiest_zone_over_mean"`
+	MaxZoneLoad          float64 `json:"busiest_zone_over_mean"`
 	SmallZone            float64 `json:"smallest_zone_over_mean"`
 }
 
@@ -325,7 +325,7 @@
 	f.PeakLoad, f.MinSidecarsPerServer, zones = load(&d.fleet, held)
 	f.LinksPerSidecar = float64(links(held)) / float64(sidecars)
 	for _, z := range zones {
-		f.Zone = max(f.Zone, z)
+		f.MaxZoneLoad = max(f.MaxZoneLoad, z)
 	}
 	f.SmallZone = zones[2]
 
@@ -385,7 +385,7 @@
 		traffic = "unequal"
 	}
 	return fmt.Sprintf("%5d %5d  %-7s  %-26s  %5.2f  %5.2f  %5.2f  %4d  %6.1f  %6.2f  %6.1f  %6.1f  %5.2f %5.2f", f.Sidecars, f.Servers, traffic, f.Strategy, f.PeakLoad, f.PeakLoadInChurn,
-		f.WorstSecond, f.MinSidecarsPerServer, f.MovesPerServer, f.MovesPerSidecar, f.MovesInChurn, f.LinksPerSidecar, f.Zone, f.SmallZone)
+		f.WorstSecond, f.MinSidecarsPerServer, f.MovesPerServer, f.MovesPerSidecar, f.MovesInChurn, f.LinksPerSidecar, f.MaxZoneLoad, f.SmallZone)
 }
 
 func (f Result) size() string { return fmt.Sprintf("%d, %d", f.Sidecars, f.Servers) }
