--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -189,7 +189,7 @@
 	MovesInChurn         float64 `json:"moves_in_change"`    // links that begin in a second, over the least possible
 	LinksPerSidecar      float64 `json:"links_of_a_sidecar"`
 	MaxZoneLoad          float64 `json:"busiest_zone_over_mean"`
-	SmallZone            float64 `json:"smallest_zone_over_mean"`
+	SmallestZoneLoad     float64 `json:"smallest_zone_over_mean"`
 }
 
 // zone gives one box in 25 to a small zone, and the rest to two large ones.
@@ -327,7 +327,7 @@
 	for _, z := range zones {
 		f.MaxZoneLoad = max(f.MaxZoneLoad, z)
 	}
-	f.SmallZone = zones[2]
+	f.SmallestZoneLoad = zones[2]
 
 	const trials = 4
 	for range trials {
@@ -385,7 +385,7 @@
 		traffic = "unequal"
 	}
 	return fmt.Sprintf("%5d %5d  %-7s  %-26s  %5.2f  %5.2f  %5.2f  %4d  %6.1f  %6.2f  %6.1f  %6.1f  %5.2f %5.2f", f.Sidecars, f.Servers, traffic, f.Strategy, f.PeakLoad, f.PeakLoadInChurn,
-		f.WorstSecond, f.MinSidecarsPerServer, f.MovesPerServer, f.MovesPerSidecar, f.MovesInChurn, f.LinksPerSidecar, f.MaxZoneLoad, f.SmallZone)
+		f.WorstSecond, f.MinSidecarsPerServer, f.MovesPerServer, f.MovesPerSidecar, f.MovesInChurn, f.LinksPerSidecar, f.MaxZoneLoad, f.SmallestZoneLoad)
 }
 
 func (f Result) size() string { return fmt.Sprintf("%d, %d", f.Sidecars, f.Servers) }
