--- a/cmd/hazellab/share.go
+++ b/cmd/hazellab/share.go
@@ -25,7 +25,7 @@
 			var all []subsetsim.Result
 			out := c.Root().Writer
 			if !c.Bool("json") {
-				fmt.Fprintln(out, subsetsim.Head)
+				fmt.Fprintln(out, subsetsim.TableHeader)
 			}
 			for _, n := range c.IntSlice("sidecars") {
 				for _, m := range c.IntSlice("boxes") {
--- a/internal/sim/subsetsim/share.go
+++ b/internal/sim/subsetsim/share.go
@@ -390,5 +390,5 @@
 
 func (f Result) size() string { return fmt.Sprintf("%d, %d", f.Sidecars, f.Servers) }
 
-// Head is the line above a table of Figures.
-const Head = "sidecars boxes        way                    steady change  worst least  box x  sidecar  change x  links  zones: most, small"
+// TableHeader is the line above a table of Figures.
+const TableHeader = "sidecars boxes        way                    steady change  worst least  box x  sidecar  change x  links  zones: most, small"
