--- a/cmd/hazellab/share.go
+++ b/cmd/hazellab/share.go
@@ -52,7 +52,7 @@
 				}
 			}
 			if path := c.String("picture"); path != "" {
-				return subsetsim.Picture(path, all)
+				return subsetsim.WriteChart(path, all)
 			}
 			return nil
 		},
--- a/internal/sim/subsetsim/picture.go
+++ b/internal/sim/subsetsim/picture.go
@@ -7,8 +7,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Picture writes an SVG: by way, the busiest box over the mean for each size, steady.
-func Picture(path string, all []Result) error {
+// WriteChart writes an SVG: by way, the busiest box over the mean for each size, steady.
+func WriteChart(path string, all []Result) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "the busiest box, where one sidecar in 20 has ten times the mean", "sidecars and boxes", "times the mean, steady"
 	var labels []string
