--- a/internal/sim/leasesim/day.go
+++ b/internal/sim/leasesim/day.go
@@ -22,11 +22,11 @@
 // trouble is something that happens to members for a while.
 type trouble struct {
 	name string
-	do   func(w *World, forS float64)
+	do   func(w *Simulation, forS float64)
 }
 
 // lives returns the members that live and are not frozen.
-func (w *World) lives() (all []*node) {
+func (w *Simulation) lives() (all []*node) {
 	for _, n := range w.nodes {
 		if n.up && !n.frozen {
 			all = append(all, n)
@@ -36,14 +36,14 @@
 }
 
 // some draws members that live, up to so many.
-func (w *World) some(most int) []*node {
+func (w *Simulation) some(most int) []*node {
 	all := w.lives()
 	w.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(len(all), 1+w.rng.IntN(max(most, 1)))]
 }
 
 // ownerOf returns who owns a job now, and leaderNow who leads, as the members themselves say; nil: nobody.
-func (w *World) ownerOf(job string) *node {
+func (w *Simulation) ownerOf(job string) *node {
 	for _, n := range w.lives() {
 		if _, ok := n.t.Holds(n.clock(), job); ok {
 			return n
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func (w *World) leaderNow() (best *node) {
+func (w *Simulation) leaderNow() (best *node) {
 	term := uint64(0)
 	for _, n := range w.lives() {
 		if f := n.t.Stats(); f.IsLeader && f.Term >= term {
@@ -63,7 +63,7 @@
 }
 
 // aimed draws who is hit: the owner of a job, who leads, or anybody.
-func (w *World) aimed() *node {
+func (w *Simulation) aimed() *node {
 	var n *node
 	switch w.rng.IntN(3) {
 	case 0:
@@ -81,7 +81,7 @@
 
 // back starts a process again: mostly with its state, else without, with an old copy that its host finds to be one, or with one
 // that is torn.
-func (w *World) back(n *node, after float64) {
+func (w *Simulation) back(n *node, after float64) {
 	how := w.rng.IntN(10)
 	w.After(after, func() {
 		if n.up || n.out {
@@ -100,7 +100,7 @@
 
 // mayForget tells whether a majority of the electors keeps its state, without this one. Danger: a fleet whose electors forget
 // all never has owners again, and its day tries nothing more.
-func (w *World) mayForget(n *node) bool {
+func (w *Simulation) mayForget(n *node) bool {
 	if w.forgets { // but the last that knows of a group: whoever knows of none can't know which tokens there were
 		return slices.ContainsFunc(w.nodes, func(o *node) bool { return o != n && !o.out && o.knows() })
 	}
@@ -126,7 +126,7 @@
 	return msgpack.Unmarshal(n.disk, &kept) == nil && kept.Epoch > 0
 }
 
-func (w *World) sever(a, b *node, both bool, forS float64) {
+func (w *Simulation) sever(a, b *node, both bool, forS float64) {
 	w.cut[a.number][b.number] = true
 	if both {
 		w.cut[b.number][a.number] = true
@@ -139,13 +139,13 @@
 
 // troubles are all kinds; a day has some of them.
 var troubles = []trouble{
-	{"kill", func(w *World, forS float64) {
+	{"kill", func(w *Simulation, forS float64) {
 		if n := w.aimed(); n != nil {
 			n.kill()
 			w.back(n, forS)
 		}
 	}},
-	{"kill-both", func(w *World, forS float64) { // leader and owner, and maybe who comes next
+	{"kill-both", func(w *Simulation, forS float64) { // leader and owner, and maybe who comes next
 		for range 1 + w.rng.IntN(2) {
 			for _, n := range []*node{w.leaderNow(), w.ownerOf(w.jobs[0])} {
 				if n != nil {
@@ -155,17 +155,17 @@
 			}
 		}
 	}},
-	{"freeze", func(w *World, forS float64) {
+	{"freeze", func(w *Simulation, forS float64) {
 		if n := w.aimed(); n != nil {
 			n.freeze(forS)
 		}
 	}},
-	{"freeze-some", func(w *World, forS float64) {
+	{"freeze-some", func(w *Simulation, forS float64) {
 		for _, n := range w.some(3) {
 			n.freeze(forS * w.between(0.3, 1))
 		}
 	}},
-	{"cut-off", func(w *World, forS float64) { // one from some, one way or both
+	{"cut-off", func(w *Simulation, forS float64) { // one from some, one way or both
 		n := w.aimed()
 		if n == nil {
 			return
@@ -184,7 +184,7 @@
 			}
 		}
 	}},
-	{"cut-electors", func(w *World, forS float64) { // an owner from electors, and not from receivers, or the other way round
+	{"cut-electors", func(w *Simulation, forS float64) { // an owner from electors, and not from receivers, or the other way round
 		n := w.ownerOf(w.jobs[0])
 		if n == nil {
 			return
@@ -197,7 +197,7 @@
 			}
 		}
 	}},
-	{"cut-leader", func(w *World, forS float64) { // from electors alone: who owns still reaches it
+	{"cut-leader", func(w *Simulation, forS float64) { // from electors alone: who owns still reaches it
 		n := w.leaderNow()
 		if n == nil {
 			return
@@ -209,7 +209,7 @@
 			}
 		}
 	}},
-	{"cut-halves", func(w *World, forS float64) {
+	{"cut-halves", func(w *Simulation, forS float64) {
 		side := make([]bool, len(w.nodes))
 		for i := range side {
 			side[i] = w.chance(0.5)
@@ -222,7 +222,7 @@
 			}
 		}
 	}},
-	{"hold", func(w *World, forS float64) { // bytes stop, links stay up
+	{"hold", func(w *Simulation, forS float64) { // bytes stop, links stay up
 		n := w.aimed()
 		if n == nil {
 			return
@@ -245,21 +245,21 @@
 			}
 		}
 	}},
-	{"disk-full", func(w *World, forS float64) {
+	{"disk-full", func(w *Simulation, forS float64) {
 		for _, n := range w.some(2) {
 			n.diskFull = true
 			w.After(forS, func() { n.diskFull = false })
 		}
 	}},
-	{"disk-slow", func(w *World, forS float64) {
+	{"disk-slow", func(w *Simulation, forS float64) {
 		w.slowS, w.slowTo = w.between(0.05, 1), w.Now()+forS
 	}},
-	{"term", func(w *World, forS float64) {
+	{"term", func(w *Simulation, forS float64) {
 		if n := w.aimed(); n != nil {
 			n.leave(func() { w.back(n, forS/4) })
 		}
 	}},
-	{"roll", func(w *World, _ float64) { // all, one after the other
+	{"roll", func(w *Simulation, _ float64) { // all, one after the other
 		at := 0.0
 		for _, n := range w.nodes {
 			w.After(at, func() {
@@ -270,7 +270,7 @@
 			at += w.between(1.5, 3)
 		}
 	}},
-	{"majority", func(w *World, forS float64) {
+	{"majority", func(w *Simulation, forS float64) {
 		if len(w.electors) == 0 {
 			return
 		}
@@ -282,20 +282,20 @@
 			}
 		}
 	}},
-	{"all", func(w *World, _ float64) {
+	{"all", func(w *Simulation, _ float64) {
 		for _, n := range w.nodes {
 			n.kill()
 			w.After(w.between(0.2, 3), n.start)
 		}
 	}},
-	{"grow", func(w *World, _ float64) {
+	{"grow", func(w *Simulation, _ float64) {
 		for range 1 + w.rng.IntN(3) {
 			if len(w.nodes) < 14 {
 				w.add(w.chance(0.85)).start()
 			}
 		}
 	}},
-	{"shrink", func(w *World, forS float64) { // for good; as few go at a time as the electors can be replaced
+	{"shrink", func(w *Simulation, forS float64) { // for good; as few go at a time as the electors can be replaced
 		for _, n := range w.some(2) {
 			if in := len(w.lives()); in > 4 && w.mayForget(n) {
 				n.out = true
@@ -310,19 +310,19 @@
 			}
 		}
 	}},
-	{"move", func(w *World, _ float64) {
+	{"move", func(w *Simulation, _ float64) {
 		if n := w.aimed(); n != nil {
 			n.call(n.life, func() { n.t.RequestStepDown(n.clock(), w.jobs[w.rng.IntN(len(w.jobs))]) })
 		}
 	}},
-	{"move-freeze", func(w *World, forS float64) { // the owner stands still just after it was told to give the job up
+	{"move-freeze", func(w *Simulation, forS float64) { // the owner stands still just after it was told to give the job up
 		job := w.jobs[w.rng.IntN(len(w.jobs))]
 		if n := w.ownerOf(job); n != nil {
 			n.call(n.life, func() { n.t.RequestStepDown(n.clock(), job) })
 			w.After(w.between(1, 8)*w.latencyS, func() { n.freeze(forS) })
 		}
 	}},
-	{"unwilling", func(w *World, forS float64) {
+	{"unwilling", func(w *Simulation, forS float64) {
 		n := w.aimed()
 		if n == nil {
 			return
@@ -333,7 +333,7 @@
 	}},
 }
 
-func (w *World) ownsAny(n *node) bool {
+func (w *Simulation) ownsAny(n *node) bool {
 	return slices.ContainsFunc(w.leases, func(l observedLease) bool { return l.n == n })
 }
 
@@ -406,7 +406,7 @@
 const calmS = 15.0
 
 // calm ends all troubles and sees whether each job has an owner.
-func (w *World) calm() {
+func (w *Simulation) calm() {
 	w.Until(w.Now() + 1.3) // what was to begin a little later has begun
 	w.note("all is mended")
 	w.lossPart, w.strayPart, w.liesPart, w.stallPart = 0, 0, 0, 0
@@ -452,7 +452,7 @@
 }
 
 // majority tells whether the electors can agree: of those that the newest table names more than half live as who they are.
-func (w *World) majority() bool {
+func (w *Simulation) majority() bool {
 	var list []swim.ID
 	epoch, index := uint64(0), uint64(0)
 	for _, n := range w.lives() {
@@ -477,7 +477,7 @@
 	return there > len(list)/2
 }
 
-func (w *World) result(seed uint64) *Result {
+func (w *Simulation) result(seed uint64) *Result {
 	return &Result{Seed: seed, Findings: w.findings, Hash: w.hash, Steps: w.Steps(), Counts: w.counts, Gaps: w.gaps}
 }
 
--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -37,7 +37,7 @@
 
 // judge is what is seen from outside.
 type judge struct {
-	w        *World
+	w        *Simulation
 	findings []Finding
 	leaders  []ledTerm
 	tables   []knownTable
@@ -102,7 +102,7 @@
 	Took float64 // from the trouble to the next owner
 }
 
-func (w *World) broken(rule, format string, args ...any) {
+func (w *Simulation) broken(rule, format string, args ...any) {
 	why := fmt.Sprintf(format, args...)
 	w.note("BROKEN %s: %s", rule, why)
 	if len(w.findings) < 20 {
@@ -111,7 +111,7 @@
 }
 
 // check looks at a member that has just done something.
-func (w *World) check(n *node) {
+func (w *Simulation) check(n *node) {
 	f := n.t.Stats()
 	if f.IsLeader {
 		i := slices.IndexFunc(w.leaders, func(l ledTerm) bool { return l.epoch == f.Epoch && l.term == f.Term })
@@ -140,7 +140,7 @@
 	}
 }
 
-func (w *World) checkTable(n *node, f lease.Stats) {
+func (w *Simulation) checkTable(n *node, f lease.Stats) {
 	t := n.t.Table()
 	if at := [4]uint64{t.Epoch, t.Index, t.Term, uint64(t.Leader)}; t.Epoch == 0 || n.table == at {
 		return
@@ -198,7 +198,7 @@
 }
 
 // checkKept looks whether what a member promises is on its disk.
-func (w *World) checkKept(n *node, m *lease.Message) {
+func (w *Simulation) checkKept(n *node, m *lease.Message) {
 	promises := m.Founding != nil && (m.Founding.Step == 1 || m.Founding.Step == 3) // promise, accepted
 	var vote raftpb.Message
 	if m.Raft != nil {
@@ -228,7 +228,7 @@
 }
 
 // granted takes that a lease begins.
-func (w *World) granted(n *node, job string, token uint64) {
+func (w *Simulation) granted(n *node, job string, token uint64) {
 	w.note("%d owns %s under %#x", n.number, job, token)
 	w.counts.Grants++
 	for _, o := range w.owners {
@@ -256,14 +256,14 @@
 }
 
 // endedOne takes that a lease ends.
-func (w *World) endedOne(n *node, job string, token uint64, why string) {
+func (w *Simulation) endedOne(n *node, job string, token uint64, why string) {
 	w.note("%d owns %s under %#x no more: %s", n.number, job, token, why)
 	w.leases = slices.DeleteFunc(w.leases, func(l observedLease) bool { return l.n == n && l.job == job })
 	w.op(n, job, input{"end", token, n.number}, w.Now(), w.Now())
 	w.idles(n, job)
 }
 
-func (w *World) idles(n *node, job string) {
+func (w *Simulation) idles(n *node, job string) {
 	for i := range w.idle {
 		if g := &w.idle[i]; g.job == job && g.last == n && math.IsInf(g.since, 1) {
 			g.since = w.Now()
@@ -272,7 +272,7 @@
 }
 
 // ended takes that a process is no more.
-func (w *World) ended(n *node, why string) {
+func (w *Simulation) ended(n *node, why string) {
 	for _, l := range slices.Clone(w.leases) {
 		if l.n == n {
 			w.endedOne(n, l.job, l.token, why)
@@ -281,12 +281,12 @@
 }
 
 // used takes that a member is about to act.
-func (w *World) used(n *node, job string, token uint64) {
+func (w *Simulation) used(n *node, job string, token uint64) {
 	w.op(n, job, input{"use", token, n.number}, w.Now(), w.Now())
 }
 
 // took takes that a receiver has taken an effect.
-func (w *World) took(n *node, by *identity, job string, token, number uint64) {
+func (w *Simulation) took(n *node, by *identity, job string, token, number uint64) {
 	i := slices.IndexFunc(w.owners, func(o tokenOwner) bool { return o.job == job && o.token == token })
 	if i < 0 || w.owners[i].by != by {
 		w.broken(RuleOneOwner, "%d takes %s of %v under %#x, which it was not granted", n.number, job, by.id, token)
@@ -315,7 +315,7 @@
 	input
 }
 
-func (w *World) op(n *node, name string, in input, from, to float64) {
+func (w *Simulation) op(n *node, name string, in input, from, to float64) {
 	w.ops = append(w.ops, porcupine.Operation{ClientId: n.number, Input: job{name, in}, Call: int64(from * 1e9), Output: nil, Return: int64(to * 1e9)})
 }
 
@@ -359,7 +359,7 @@
 }
 
 // checkHistory looks for an order of all that was seen.
-func (w *World) checkHistory() {
+func (w *Simulation) checkHistory() {
 	if porcupine.CheckOperationsTimeout(model, w.ops, time.Minute) == porcupine.Illegal {
 		w.broken(RuleHistory, "grants, uses and ends have no order")
 	}
--- a/internal/sim/leasesim/measure.go
+++ b/internal/sim/leasesim/measure.go
@@ -8,7 +8,7 @@
 )
 
 // quiet returns a fleet that has been calm for a while: so many members, of which the first are listed as electors.
-func quiet(seed uint64, members, electors int, jobs ...string) *World {
+func quiet(seed uint64, members, electors int, jobs ...string) *Simulation {
 	w := newWorld(seed, electors, jobs...)
 	for range members {
 		w.add(true)
@@ -23,23 +23,23 @@
 // without is a way to take the owner of a job away.
 type without struct {
 	name string
-	do   func(w *World, owner, leader *node)
+	do   func(w *Simulation, owner, leader *node)
 }
 
 var ways = []without{
-	{"kill", func(_ *World, o, _ *node) { o.kill() }},
-	{"kill of the leader, which owns it", func(_ *World, _, l *node) { l.kill() }},
-	{"kill of owner and leader", func(_ *World, o, l *node) { o.kill(); l.kill() }},
-	{"freeze", func(_ *World, o, _ *node) { o.freeze(20) }},
-	{"cut off", func(w *World, o, _ *node) { w.cutOff(o, true, true) }},
-	{"cut, its words go out", func(w *World, o, _ *node) { w.cutOff(o, false, true) }},
-	{"cut, words come in", func(w *World, o, _ *node) { w.cutOff(o, true, false) }},
-	{"SIGTERM", func(_ *World, o, _ *node) { o.leave(func() {}) }},
-	{"SIGTERM of the leader, which owns it", func(_ *World, _, l *node) { l.leave(func() {}) }},
-	{"step-down", func(w *World, o, _ *node) { o.call(o.life, func() { o.t.RequestStepDown(o.clock(), w.jobs[0]) }) }},
+	{"kill", func(_ *Simulation, o, _ *node) { o.kill() }},
+	{"kill of the leader, which owns it", func(_ *Simulation, _, l *node) { l.kill() }},
+	{"kill of owner and leader", func(_ *Simulation, o, l *node) { o.kill(); l.kill() }},
+	{"freeze", func(_ *Simulation, o, _ *node) { o.freeze(20) }},
+	{"cut off", func(w *Simulation, o, _ *node) { w.cutOff(o, true, true) }},
+	{"cut, its words go out", func(w *Simulation, o, _ *node) { w.cutOff(o, false, true) }},
+	{"cut, words come in", func(w *Simulation, o, _ *node) { w.cutOff(o, true, false) }},
+	{"SIGTERM", func(_ *Simulation, o, _ *node) { o.leave(func() {}) }},
+	{"SIGTERM of the leader, which owns it", func(_ *Simulation, _, l *node) { l.leave(func() {}) }},
+	{"step-down", func(w *Simulation, o, _ *node) { o.call(o.life, func() { o.t.RequestStepDown(o.clock(), w.jobs[0]) }) }},
 }
 
-func (w *World) cutOff(n *node, out, in bool) {
+func (w *Simulation) cutOff(n *node, out, in bool) {
 	for _, o := range w.nodes {
 		if o != n {
 			w.cut[n.number][o.number], w.cut[o.number][n.number] = out, in
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -18,8 +18,8 @@
 	"hazelwheel/internal/sim/seeds"
 )
 
-// World is members that own jobs. It belongs to one goroutine.
-type World struct {
+// Simulation is members that own jobs. It belongs to one goroutine.
+type Simulation struct {
 	seeds.Queue
 	rng   *rand.Rand
 	nodes []*node
@@ -72,7 +72,7 @@
 
 // node is one sidecar over all lives of its process.
 type node struct {
-	w       *World
+	w       *Simulation
 	number  int
 	address string
 	keeps   bool
@@ -109,8 +109,8 @@
 }
 
 // newWorld returns one without members.
-func newWorld(seed uint64, electors int, jobs ...string) *World {
-	w := &World{Queue: seeds.NewQueue(1000), rng: rand.New(rand.NewPCG(seed, 0x6f776e657273)), jobs: jobs, latencyS: 0.001, diskS: 0.002, hash: 14695981039346656037}
+func newWorld(seed uint64, electors int, jobs ...string) *Simulation {
+	w := &Simulation{Queue: seeds.NewQueue(1000), rng: rand.New(rand.NewPCG(seed, 0x6f776e657273)), jobs: jobs, latencyS: 0.001, diskS: 0.002, hash: 14695981039346656037}
 	w.set.Roles = jobs
 	for i := range electors {
 		w.set.InitialVoters = append(w.set.InitialVoters, address(i))
@@ -122,7 +122,7 @@
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:7946", i) }
 
 // note adds to the history.
-func (w *World) note(format string, args ...any) {
+func (w *Simulation) note(format string, args ...any) {
 	h := fnv.New64a()
 	line := fmt.Sprintf(format, args...)
 	fmt.Fprintf(h, "%x %.9f %s", w.hash, w.Now(), line)
@@ -133,12 +133,12 @@
 }
 
 // between draws from a range, evenly.
-func (w *World) between(a, b float64) float64 { return a + (b-a)*w.rng.Float64() }
+func (w *Simulation) between(a, b float64) float64 { return a + (b-a)*w.rng.Float64() }
 
-func (w *World) chance(part float64) bool { return part > 0 && w.rng.Float64() < part }
+func (w *Simulation) chance(part float64) bool { return part > 0 && w.rng.Float64() < part }
 
 // add adds a member that has not begun.
-func (w *World) add(keeps bool) *node {
+func (w *Simulation) add(keeps bool) *node {
 	n := &node{w: w, number: len(w.nodes), address: address(len(w.nodes)), keeps: keeps, greatest: &lease.Fence{}}
 	w.nodes = append(w.nodes, n)
 	for i := range w.cut {
@@ -208,7 +208,7 @@
 }
 
 // linkUp tells two that there is a new link between them.
-func (w *World) linkUp(a, b *node) {
+func (w *Simulation) linkUp(a, b *node) {
 	for _, p := range [2][2]*node{{a, b}, {b, a}} {
 		life, other := p[0].life, p[1].life
 		w.After(w.latency(), func() {
@@ -219,7 +219,7 @@
 	}
 }
 
-func (w *World) latency() float64 { return w.latencyS * (1 + w.rng.Float64()) }
+func (w *Simulation) latency() float64 { return w.latencyS * (1 + w.rng.Float64()) }
 
 // call has the process do something, unless it has ended; one that stands still does it later.
 func (n *node) call(life int, do func()) {
@@ -365,7 +365,7 @@
 const headLen = 6
 
 // send brings a message from one to another.
-func (w *World) send(from, to *node, body []byte) {
+func (w *Simulation) send(from, to *node, body []byte) {
 	from.bytes += uint64(len(body) + headLen)
 	from.messages++
 	id, life := from.ident.id, to.life
@@ -381,7 +381,7 @@
 }
 
 // carry has something arrive, if it does.
-func (w *World) carry(from, to *node, arrive func()) {
+func (w *Simulation) carry(from, to *node, arrive func()) {
 	if from == to {
 		w.After(0, arrive)
 		return
@@ -544,7 +544,7 @@
 }
 
 // reach tells whom a member hears, by way of others too.
-func (w *World) reach(n *node) []bool {
+func (w *Simulation) reach(n *node) []bool {
 	got := make([]bool, len(w.nodes))
 	got[n.number] = true
 	next := []int{n.number}
