--- a/cmd/hazellab/owners.go
+++ b/cmd/hazellab/owners.go
@@ -43,7 +43,7 @@
 		if !c.IsSet("seed") {
 			return fault(errors.New("--trace goes with --seed"))
 		}
-		r := leasesim.Play(first, leasesim.Options{Trace: func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }})
+		r := leasesim.Run(first, leasesim.Options{Trace: func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }})
 		if len(r.Findings) > 0 {
 			return errBroken
 		}
--- a/internal/sim/leasesim/day.go
+++ b/internal/sim/leasesim/day.go
@@ -342,8 +342,8 @@
 	Trace func(at float64, line string)
 }
 
-// Play plays the day of a seed.
-func Play(seed uint64, o Options) (r *Result) {
+// Run plays the day of a seed.
+func Run(seed uint64, o Options) (r *Result) {
 	d := newWorld(seed, 3, "list", "report")
 	w := d
 	w.trace = o.Trace
@@ -483,5 +483,5 @@
 
 // Many plays seeds, so many at a time, and calls told with each in order until it says no.
 func Many(first, last uint64, jobs int, told func(*Result) bool) {
-	seeds.Many(first, last, jobs, func(seed uint64) *Result { return Play(seed, Options{}) }, told)
+	seeds.Many(first, last, jobs, func(seed uint64) *Result { return Run(seed, Options{}) }, told)
 }
--- a/internal/sim/leasesim/owners_test.go
+++ b/internal/sim/leasesim/owners_test.go
@@ -20,9 +20,9 @@
 // On the day of seed 20 a leader loses its quorum while its disk writes.
 func TestOneSeedOneHistory(t *testing.T) {
 	for seed, again := range map[uint64]int{7: 1, 20: 6} {
-		was := Play(seed, Options{}).Hash
+		was := Run(seed, Options{}).Hash
 		for range again {
-			require.Equal(t, was, Play(seed, Options{}).Hash, "seed %d", seed)
+			require.Equal(t, was, Run(seed, Options{}).Hash, "seed %d", seed)
 		}
 	}
 }
