--- a/cmd/hazellab/owners.go
+++ b/cmd/hazellab/owners.go
@@ -51,7 +51,7 @@
 	}
 	began := time.Now()
 	var t leasesim.Tally
-	overSeeds(c, out, first, last, leasesim.Many, func(r *leasesim.Result) (uint64, []seeds.Finding) {
+	overSeeds(c, out, first, last, leasesim.RunSeeds, func(r *leasesim.Result) (uint64, []seeds.Finding) {
 		t.Add(r)
 		return r.Seed, r.Findings
 	})
--- a/internal/sim/leasesim/day.go
+++ b/internal/sim/leasesim/day.go
@@ -481,7 +481,7 @@
 	return &Result{Seed: seed, Findings: w.findings, Hash: w.hash, Steps: w.Steps(), Counts: w.counts, Gaps: w.gaps}
 }
 
-// Many plays seeds, so many at a time, and calls told with each in order until it says no.
-func Many(first, last uint64, jobs int, told func(*Result) bool) {
+// RunSeeds plays seeds, so many at a time, and calls told with each in order until it says no.
+func RunSeeds(first, last uint64, jobs int, told func(*Result) bool) {
 	seeds.Many(first, last, jobs, func(seed uint64) *Result { return Run(seed, Options{}) }, told)
 }
--- a/internal/sim/leasesim/owners_test.go
+++ b/internal/sim/leasesim/owners_test.go
@@ -8,7 +8,7 @@
 
 func TestOwners(t *testing.T) {
 	var sum Counts
-	Many(1, 24, 3, func(r *Result) bool {
+	RunSeeds(1, 24, 3, func(r *Result) bool {
 		require.Empty(t, r.Findings, "seed %d", r.Seed)
 		sum.Grants += r.Counts.Grants
 		sum.Refused += r.Counts.Refused
