--- a/internal/sim/leasesim/measure.go
+++ b/internal/sim/leasesim/measure.go
@@ -152,7 +152,7 @@
 		w.Until(w.Now() + 30)
 		most, sum, had = max(most, w.counts.Moves-own), sum+w.counts.Moves, had+own
 		for _, g := range w.gaps {
-			slowest = max(slowest, g.S)
+			slowest = max(slowest, g.Seconds)
 		}
 	}
 	fmt.Fprintf(out, "  %d jobs: %d moved, the dead ones had %d; at most %d more than the dead one's; longest without an owner %.2f s\n", jobs, sum, had, most, slowest)
