--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -98,7 +98,7 @@
 type Gap struct {
 	Role    string
 	Seconds float64
-	Why     string
+	Fault   string
 	Took    float64 // from the trouble to the next owner
 }
 
@@ -246,7 +246,7 @@
 				w.counts.Moves++
 			}
 			if !math.IsInf(g.since, 1) && g.last != nil {
-				w.gaps = append(w.gaps, Gap{Role: job, Seconds: w.Now() - g.since, Why: w.why, Took: w.Now() - w.whyAt})
+				w.gaps = append(w.gaps, Gap{Role: job, Seconds: w.Now() - g.since, Fault: w.why, Took: w.Now() - w.whyAt})
 			}
 			g.since, g.last = math.Inf(1), n
 			return
