--- a/internal/sim/leasesim/owners_test.go
+++ b/internal/sim/leasesim/owners_test.go
@@ -11,10 +11,10 @@
 	RunSeeds(1, 24, 3, func(r *Result) bool {
 		require.Empty(t, r.Findings, "seed %d", r.Seed)
 		sum.Grants += r.Counts.Grants
-		sum.Refused += r.Counts.Refused
+		sum.Rejected += r.Counts.Rejected
 		return true
 	})
-	require.Positive(t, sum.Refused, "old owners have acted, and were refused")
+	require.Positive(t, sum.Rejected, "old owners have acted, and were refused")
 }
 
 // On the day of seed 20 a leader loses its quorum while its disk writes.
--- a/internal/sim/leasesim/run.go
+++ b/internal/sim/leasesim/run.go
@@ -18,7 +18,7 @@
 	c.Grants += o.Grants
 	c.Moves += o.Moves
 	c.Effects += o.Effects
-	c.Refused += o.Refused
+	c.Rejected += o.Rejected
 	c.Stalls += o.Stalls
 	c.Elected += o.Elected
 	c.Lost += o.Lost
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -54,7 +54,7 @@
 	Grants   int `json:"Grants"`   // leases that began
 	Moves    int `json:"Moves"`    // of these: to another member than before
 	Effects  int `json:"Effects"`  // that were taken
-	Refused  int `json:"Refused"`  // that came under a token lower than one taken before
+	Rejected int `json:"Refused"`  // that came under a token lower than one taken before
 	Stalls   int `json:"Stalls"`   // between the check of a lease and the effect
 	Elected  int `json:"Elected"`  // leaders
 	Lost     int `json:"Lost"`     // identities that ended with their state
@@ -615,7 +615,7 @@
 		w.took(n, by, job, token, number)
 		return
 	}
-	w.counts.Refused++
+	w.counts.Rejected++
 	table := n.t.Table()
 	if from.up && from != n && table.Epoch != 0 {
 		w.send(n, from, packed(&lease.Message{Table: &table}))
