--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -116,7 +116,7 @@
 	if f.IsLeader {
 		i := slices.IndexFunc(w.leaders, func(l ledTerm) bool { return l.epoch == f.Epoch && l.term == f.Term })
 		if i < 0 {
-			w.counts.Elected++
+			w.counts.ElectionsWon++
 			w.note("%d leads in term %d", n.number, f.Term)
 			w.leaders = append(w.leaders, ledTerm{f.Epoch, f.Term, n.ident.id})
 		} else if w.leaders[i].id != n.ident.id {
--- a/internal/sim/leasesim/run.go
+++ b/internal/sim/leasesim/run.go
@@ -20,7 +20,7 @@
 	c.Effects += o.Effects
 	c.Rejected += o.Rejected
 	c.Stalls += o.Stalls
-	c.Elected += o.Elected
+	c.ElectionsWon += o.ElectionsWon
 	c.Lost += o.Lost
 	c.Founded += o.Founded
 	c.Replaced += o.Replaced
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -51,15 +51,15 @@
 
 // Counts are what a day was about.
 type Counts struct {
-	Grants   int `json:"Grants"`   // leases that began
-	Moves    int `json:"Moves"`    // of these: to another member than before
-	Effects  int `json:"Effects"`  // that were taken
-	Rejected int `json:"Refused"`  // that came under a token lower than one taken before
-	Stalls   int `json:"Stalls"`   // between the check of a lease and the effect
-	Elected  int `json:"Elected"`  // leaders
-	Lost     int `json:"Lost"`     // identities that ended with their state
-	Founded  int `json:"Founded"`  // groups
-	Replaced int `json:"Replaced"` // electors
+	Grants       int `json:"Grants"`   // leases that began
+	Moves        int `json:"Moves"`    // of these: to another member than before
+	Effects      int `json:"Effects"`  // that were taken
+	Rejected     int `json:"Refused"`  // that came under a token lower than one taken before
+	Stalls       int `json:"Stalls"`   // between the check of a lease and the effect
+	ElectionsWon int `json:"Elected"`  // leaders
+	Lost         int `json:"Lost"`     // identities that ended with their state
+	Founded      int `json:"Founded"`  // groups
+	Replaced     int `json:"Replaced"` // electors
 }
 
 // identity is one that a member had.
