--- a/internal/sim/leasesim/run.go
+++ b/internal/sim/leasesim/run.go
@@ -21,7 +21,7 @@
 	c.Rejected += o.Rejected
 	c.Stalls += o.Stalls
 	c.ElectionsWon += o.ElectionsWon
-	c.Lost += o.Lost
+	c.IdentitiesLost += o.IdentitiesLost
 	c.Founded += o.Founded
 	c.Replaced += o.Replaced
 }
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -51,15 +51,15 @@
 
 // Counts are what a day was about.
 type Counts struct {
-	Grants       int `json:"Grants"`   // leases that began
-	Moves        int `json:"Moves"`    // of these: to another member than before
-	Effects      int `json:"Effects"`  // that were taken
-	Rejected     int `json:"Refused"`  // that came under a token lower than one taken before
-	Stalls       int `json:"Stalls"`   // between the check of a lease and the effect
-	ElectionsWon int `json:"Elected"`  // leaders
-	Lost         int `json:"Lost"`     // identities that ended with their state
-	Founded      int `json:"Founded"`  // groups
-	Replaced     int `json:"Replaced"` // electors
+	Grants         int `json:"Grants"`   // leases that began
+	Moves          int `json:"Moves"`    // of these: to another member than before
+	Effects        int `json:"Effects"`  // that were taken
+	Rejected       int `json:"Refused"`  // that came under a token lower than one taken before
+	Stalls         int `json:"Stalls"`   // between the check of a lease and the effect
+	ElectionsWon   int `json:"Elected"`  // leaders
+	IdentitiesLost int `json:"Lost"`     // identities that ended with their state
+	Founded        int `json:"Founded"`  // groups
+	Replaced       int `json:"Replaced"` // electors
 }
 
 // identity is one that a member had.
@@ -172,7 +172,7 @@
 	w := n.w
 	if n.ident != nil {
 		n.ident.gone = true
-		w.counts.Lost++
+		w.counts.IdentitiesLost++
 	}
 	n.ident = &identity{id: swim.ID(w.rng.Uint64() | 1), of: n}
 	n.disk, n.copied, n.greatest = nil, nil, &lease.Fence{}
