--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -166,7 +166,7 @@
 	}
 	j := slices.IndexFunc(w.electors, func(e electorsAt) bool { return e.epoch == f.Epoch })
 	if j < 0 {
-		w.counts.Founded++
+		w.counts.GroupsFounded++
 		w.electors = append(w.electors, electorsAt{f.Epoch, f.Term, n.ident.id, t.Voters})
 		return
 	}
--- a/internal/sim/leasesim/run.go
+++ b/internal/sim/leasesim/run.go
@@ -22,6 +22,6 @@
 	c.Stalls += o.Stalls
 	c.ElectionsWon += o.ElectionsWon
 	c.IdentitiesLost += o.IdentitiesLost
-	c.Founded += o.Founded
+	c.GroupsFounded += o.GroupsFounded
 	c.Replaced += o.Replaced
 }
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -58,7 +58,7 @@
 	Stalls         int `json:"Stalls"`   // between the check of a lease and the effect
 	ElectionsWon   int `json:"Elected"`  // leaders
 	IdentitiesLost int `json:"Lost"`     // identities that ended with their state
-	Founded        int `json:"Founded"`  // groups
+	GroupsFounded  int `json:"Founded"`  // groups
 	Replaced       int `json:"Replaced"` // electors
 }
 
