--- a/cmd/hazellab/owners.go
+++ b/cmd/hazellab/owners.go
@@ -63,7 +63,7 @@
 		broken := tellBroken(out, t.Broken)
 		n := t.Counts
 		fmt.Fprintf(out, "%d leases in %.0f s: %d leaders, %d electors replaced, %d states lost, %d effects taken, %d refused, %d stalls before a send\n",
-			n.Grants, time.Since(began).Seconds(), n.ElectionsWon, n.Replaced, n.IdentitiesLost, n.Effects, n.Rejected, n.Stalls)
+			n.Grants, time.Since(began).Seconds(), n.ElectionsWon, n.VotersReplaced, n.IdentitiesLost, n.Effects, n.Rejected, n.Stalls)
 		fmt.Fprintf(out, "history %016x\n%d seeds, %d rules broken\n", t.Hash, t.Days, broken)
 	}
 	if len(t.Broken) > 0 {
--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -188,7 +188,7 @@
 		}
 		if came+went > 0 {
 			w.note("electors are %v", t.Voters)
-			w.counts.Replaced += went
+			w.counts.VotersReplaced += went
 		}
 		if came > 1 || went > 1 {
 			w.broken(RuleElectors, "%d come and %d go at once", came, went)
--- a/internal/sim/leasesim/owners_test.go
+++ b/internal/sim/leasesim/owners_test.go
@@ -42,10 +42,10 @@
 				break
 			}
 		}
-		for until := w.Now() + 90; w.counts.Replaced == 0 && w.Now() < until; {
+		for until := w.Now() + 90; w.counts.VotersReplaced == 0 && w.Now() < until; {
 			w.Until(w.Now() + 0.1)
 		}
-		require.Positive(t, w.counts.Replaced, "seed %d", seed)
+		require.Positive(t, w.counts.VotersReplaced, "seed %d", seed)
 		w.Until(w.Now() + 1)
 		leader.out = true
 		for _, n := range w.nodes {
--- a/internal/sim/leasesim/run.go
+++ b/internal/sim/leasesim/run.go
@@ -23,5 +23,5 @@
 	c.ElectionsWon += o.ElectionsWon
 	c.IdentitiesLost += o.IdentitiesLost
 	c.GroupsFounded += o.GroupsFounded
-	c.Replaced += o.Replaced
+	c.VotersReplaced += o.VotersReplaced
 }
--- a/internal/sim/leasesim/stored_form_test.go
+++ b/internal/sim/leasesim/stored_form_test.go
@@ -11,7 +11,7 @@
 
 // TestResultFormIsKept writes the results that commands print as JSON, all fields set.
 func TestResultFormIsKept(t *testing.T) {
-	counts := Counts{Grants: 1, Moves: 2, Effects: 3, Rejected: 4, Stalls: 5, ElectionsWon: 6, IdentitiesLost: 7, GroupsFounded: 8, Replaced: 9}
+	counts := Counts{Grants: 1, Moves: 2, Effects: 3, Rejected: 4, Stalls: 5, ElectionsWon: 6, IdentitiesLost: 7, GroupsFounded: 8, VotersReplaced: 9}
 	const countsForm = `"counts":{"Grants":1,"Moves":2,"Effects":3,"Refused":4,"Stalls":5,"Elected":6,"Lost":7,"Founded":8,"Replaced":9}}`
 	raw, err := json.Marshal(&Result{Seed: 1, Findings: []Finding{{At: 1.5, Rule: "rule", Why: "why"}}, Hash: 2, Steps: 3, Counts: counts, Gaps: []Gap{{}}})
 	require.NoError(t, err)
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -59,7 +59,7 @@
 	ElectionsWon   int `json:"Elected"`  // leaders
 	IdentitiesLost int `json:"Lost"`     // identities that ended with their state
 	GroupsFounded  int `json:"Founded"`  // groups
-	Replaced       int `json:"Replaced"` // electors
+	VotersReplaced int `json:"Replaced"` // electors
 }
 
 // identity is one that a member had.
