--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -22,17 +22,17 @@
 
 // The rules.
 const (
-	RuleTwoLeases = "two-leases"       // at one instant two members hold a valid lease for one job
-	RuleToken     = "token-falls"      // a receiver takes an effect under a token lower than one that it took before
-	RuleOneOwner  = "token-of-two"     // one token has two owners, or a grant does not raise the token
-	RuleLeaders   = "two-leaders"      // two lead in one term
-	RuleTables    = "two-histories"    // of one epoch and index there are two tables
-	RuleElectors  = "electors-leap"    // more than one elector is replaced at once
-	RuleHistory   = "not-linearizable" // there is no order of grants, uses and ends that all have seen
-	RuleNobody    = "nobody"           // a majority is up and calm, and a job has no owner
-	RuleSpread    = "uneven"           // a calm fleet's jobs are not spread evenly
-	RuleKept      = "told-before-kept" // a vote or a promise is told that is not on the disk
-	RulePanic     = "panic"
+	RuleTwoLeases      = "two-leases"       // at one instant two members hold a valid lease for one job
+	RuleTokenDecreased = "token-falls"      // a receiver takes an effect under a token lower than one that it took before
+	RuleOneOwner       = "token-of-two"     // one token has two owners, or a grant does not raise the token
+	RuleLeaders        = "two-leaders"      // two lead in one term
+	RuleTables         = "two-histories"    // of one epoch and index there are two tables
+	RuleElectors       = "electors-leap"    // more than one elector is replaced at once
+	RuleHistory        = "not-linearizable" // there is no order of grants, uses and ends that all have seen
+	RuleNobody         = "nobody"           // a majority is up and calm, and a job has no owner
+	RuleSpread         = "uneven"           // a calm fleet's jobs are not spread evenly
+	RuleKept           = "told-before-kept" // a vote or a promise is told that is not on the disk
+	RulePanic          = "panic"
 )
 
 // judge is what is seen from outside.
@@ -296,7 +296,7 @@
 	case j < 0:
 		w.taken = append(w.taken, takenToken{n.ident, job, token})
 	case token < w.taken[j].token:
-		w.broken(RuleToken, "%d takes %s under %#x after %#x", n.number, job, token, w.taken[j].token)
+		w.broken(RuleTokenDecreased, "%d takes %s under %#x after %#x", n.number, job, token, w.taken[j].token)
 	default:
 		w.taken[j].token = token
 	}
