--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -24,7 +24,7 @@
 const (
 	RuleTwoLeases      = "two-leases"       // at one instant two members hold a valid lease for one job
 	RuleTokenDecreased = "token-falls"      // a receiver takes an effect under a token lower than one that it took before
-	RuleOneOwner       = "token-of-two"     // one token has two owners, or a grant does not raise the token
+	RuleTokenOfTwo     = "token-of-two"     // one token has two owners, or a grant does not raise the token
 	RuleLeaders        = "two-leaders"      // two lead in one term
 	RuleTables         = "two-histories"    // of one epoch and index there are two tables
 	RuleElectors       = "electors-leap"    // more than one elector is replaced at once
@@ -233,7 +233,7 @@
 	w.counts.Grants++
 	for _, o := range w.owners {
 		if o.job == job && (o.token > token || o.token == token) {
-			w.broken(RuleOneOwner, "%s is granted under %#x to %d, after %#x", job, token, n.number, o.token)
+			w.broken(RuleTokenOfTwo, "%s is granted under %#x to %d, after %#x", job, token, n.number, o.token)
 			break
 		}
 	}
@@ -289,7 +289,7 @@
 func (w *Simulation) took(n *node, by *identity, job string, token, number uint64) {
 	i := slices.IndexFunc(w.owners, func(o tokenOwner) bool { return o.job == job && o.token == token })
 	if i < 0 || w.owners[i].by != by {
-		w.broken(RuleOneOwner, "%d takes %s of %v under %#x, which it was not granted", n.number, job, by.id, token)
+		w.broken(RuleTokenOfTwo, "%d takes %s of %v under %#x, which it was not granted", n.number, job, by.id, token)
 	}
 	j := slices.IndexFunc(w.taken, func(t takenToken) bool { return t.by == n.ident && t.job == job })
 	switch {
