--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -25,7 +25,7 @@
 	RuleTwoLeases      = "two-leases"       // at one instant two members hold a valid lease for one job
 	RuleTokenDecreased = "token-falls"      // a receiver takes an effect under a token lower than one that it took before
 	RuleTokenOfTwo     = "token-of-two"     // one token has two owners, or a grant does not raise the token
-	RuleLeaders        = "two-leaders"      // two lead in one term
+	RuleTwoLeaders     = "two-leaders"      // two lead in one term
 	RuleTables         = "two-histories"    // of one epoch and index there are two tables
 	RuleElectors       = "electors-leap"    // more than one elector is replaced at once
 	RuleHistory        = "not-linearizable" // there is no order of grants, uses and ends that all have seen
@@ -120,7 +120,7 @@
 			w.note("%d leads in term %d", n.number, f.Term)
 			w.leaders = append(w.leaders, ledTerm{f.Epoch, f.Term, n.ident.id})
 		} else if w.leaders[i].id != n.ident.id {
-			w.broken(RuleLeaders, "%v and %v lead in term %d", w.leaders[i].id, n.ident.id, f.Term)
+			w.broken(RuleTwoLeaders, "%v and %v lead in term %d", w.leaders[i].id, n.ident.id, f.Term)
 		}
 	}
 	w.checkTable(n, f)
