--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -26,7 +26,7 @@
 	RuleTokenDecreased = "token-falls"      // a receiver takes an effect under a token lower than one that it took before
 	RuleTokenOfTwo     = "token-of-two"     // one token has two owners, or a grant does not raise the token
 	RuleTwoLeaders     = "two-leaders"      // two lead in one term
-	RuleTables         = "two-histories"    // of one epoch and index there are two tables
+	RuleTwoHistories   = "two-histories"    // of one epoch and index there are two tables
 	RuleElectors       = "electors-leap"    // more than one elector is replaced at once
 	RuleHistory        = "not-linearizable" // there is no order of grants, uses and ends that all have seen
 	RuleNobody         = "nobody"           // a majority is up and calm, and a job has no owner
@@ -158,7 +158,7 @@
 	case !known:
 		w.tables = slices.Insert(w.tables, i, knownTable{t.Epoch, t.Index, sum})
 	case w.tables[i].sum != sum:
-		w.broken(RuleTables, "epoch %d index %d is %s, and at %d %s", t.Epoch, t.Index, w.tables[i].sum, n.number, sum)
+		w.broken(RuleTwoHistories, "epoch %d index %d is %s, and at %d %s", t.Epoch, t.Index, w.tables[i].sum, n.number, sum)
 		w.tables[i].sum = sum
 	}
 	if !f.IsLeader || t.Epoch != f.Epoch || t.Leader != n.ident.id {
