--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -27,7 +27,7 @@
 	RuleTokenOfTwo     = "token-of-two"     // one token has two owners, or a grant does not raise the token
 	RuleTwoLeaders     = "two-leaders"      // two lead in one term
 	RuleTwoHistories   = "two-histories"    // of one epoch and index there are two tables
-	RuleElectors       = "electors-leap"    // more than one elector is replaced at once
+	RuleVoters         = "electors-leap"    // more than one elector is replaced at once
 	RuleHistory        = "not-linearizable" // there is no order of grants, uses and ends that all have seen
 	RuleNobody         = "nobody"           // a majority is up and calm, and a job has no owner
 	RuleSpread         = "uneven"           // a calm fleet's jobs are not spread evenly
@@ -191,7 +191,7 @@
 			w.counts.VotersReplaced += went
 		}
 		if came > 1 || went > 1 {
-			w.broken(RuleElectors, "%d come and %d go at once", came, went)
+			w.broken(RuleVoters, "%d come and %d go at once", came, went)
 		}
 	}
 	e.term, e.of, e.list = f.Term, n.ident.id, t.Voters
