--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -22,17 +22,17 @@
 
 // The rules.
 const (
-	RuleTwoLeases      = "two-leases"       // at one instant two members hold a valid lease for one job
-	RuleTokenDecreased = "token-falls"      // a receiver takes an effect under a token lower than one that it took before
-	RuleTokenOfTwo     = "token-of-two"     // one token has two owners, or a grant does not raise the token
-	RuleTwoLeaders     = "two-leaders"      // two lead in one term
-	RuleTwoHistories   = "two-histories"    // of one epoch and index there are two tables
-	RuleVoters         = "electors-leap"    // more than one elector is replaced at once
-	RuleHistory        = "not-linearizable" // there is no order of grants, uses and ends that all have seen
-	RuleNobody         = "nobody"           // a majority is up and calm, and a job has no owner
-	RuleSpread         = "uneven"           // a calm fleet's jobs are not spread evenly
-	RuleKept           = "told-before-kept" // a vote or a promise is told that is not on the disk
-	RulePanic          = "panic"
+	RuleTwoLeases       = "two-leases"       // at one instant two members hold a valid lease for one job
+	RuleTokenDecreased  = "token-falls"      // a receiver takes an effect under a token lower than one that it took before
+	RuleTokenOfTwo      = "token-of-two"     // one token has two owners, or a grant does not raise the token
+	RuleTwoLeaders      = "two-leaders"      // two lead in one term
+	RuleTwoHistories    = "two-histories"    // of one epoch and index there are two tables
+	RuleVoters          = "electors-leap"    // more than one elector is replaced at once
+	RuleNotLinearizable = "not-linearizable" // there is no order of grants, uses and ends that all have seen
+	RuleNobody          = "nobody"           // a majority is up and calm, and a job has no owner
+	RuleSpread          = "uneven"           // a calm fleet's jobs are not spread evenly
+	RuleKept            = "told-before-kept" // a vote or a promise is told that is not on the disk
+	RulePanic           = "panic"
 )
 
 // judge is what is seen from outside.
@@ -361,6 +361,6 @@
 // checkHistory looks for an order of all that was seen.
 func (w *Simulation) checkHistory() {
 	if porcupine.CheckOperationsTimeout(model, w.ops, time.Minute) == porcupine.Illegal {
-		w.broken(RuleHistory, "grants, uses and ends have no order")
+		w.broken(RuleNotLinearizable, "grants, uses and ends have no order")
 	}
 }
