--- a/internal/sim/leasesim/day.go
+++ b/internal/sim/leasesim/day.go
@@ -444,7 +444,7 @@
 	if w.majority() {
 		for _, job := range w.jobs {
 			if w.ownerOf(job) == nil {
-				w.broken(RuleNobody, "%s has no owner %g s after all was mended", job, 2*calmS)
+				w.broken(RuleNoHolder, "%s has no owner %g s after all was mended", job, 2*calmS)
 			}
 		}
 	}
--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -29,7 +29,7 @@
 	RuleTwoHistories    = "two-histories"    // of one epoch and index there are two tables
 	RuleVoters          = "electors-leap"    // more than one elector is replaced at once
 	RuleNotLinearizable = "not-linearizable" // there is no order of grants, uses and ends that all have seen
-	RuleNobody          = "nobody"           // a majority is up and calm, and a job has no owner
+	RuleNoHolder        = "nobody"           // a majority is up and calm, and a job has no owner
 	RuleSpread          = "uneven"           // a calm fleet's jobs are not spread evenly
 	RuleKept            = "told-before-kept" // a vote or a promise is told that is not on the disk
 	RulePanic           = "panic"
