--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -30,7 +30,7 @@
 	RuleVoters          = "electors-leap"    // more than one elector is replaced at once
 	RuleNotLinearizable = "not-linearizable" // there is no order of grants, uses and ends that all have seen
 	RuleNoHolder        = "nobody"           // a majority is up and calm, and a job has no owner
-	RuleSpread          = "uneven"           // a calm fleet's jobs are not spread evenly
+	RuleUneven          = "uneven"           // a calm fleet's jobs are not spread evenly
 	RuleKept            = "told-before-kept" // a vote or a promise is told that is not on the disk
 	RulePanic           = "panic"
 )
