--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -31,7 +31,7 @@
 	RuleNotLinearizable = "not-linearizable" // there is no order of grants, uses and ends that all have seen
 	RuleNoHolder        = "nobody"           // a majority is up and calm, and a job has no owner
 	RuleUneven          = "uneven"           // a calm fleet's jobs are not spread evenly
-	RuleKept            = "told-before-kept" // a vote or a promise is told that is not on the disk
+	RuleNotPersisted    = "told-before-kept" // a vote or a promise is told that is not on the disk
 	RulePanic           = "panic"
 )
 
@@ -221,9 +221,9 @@
 	}
 	switch {
 	case promises && m.Founding.Ballot > kept.Promised:
-		w.broken(RuleKept, "%d promises %#x, and its disk has %#x", n.number, m.Founding.Ballot, kept.Promised)
+		w.broken(RuleNotPersisted, "%d promises %#x, and its disk has %#x", n.number, m.Founding.Ballot, kept.Promised)
 	case !promises && (hard.GetTerm() < vote.GetTerm() || hard.GetTerm() == vote.GetTerm() && hard.GetVote() != vote.GetTo()):
-		w.broken(RuleKept, "%d votes in term %d, and its disk has a vote in %d", n.number, vote.GetTerm(), hard.GetTerm())
+		w.broken(RuleNotPersisted, "%d votes in term %d, and its disk has a vote in %d", n.number, vote.GetTerm(), hard.GetTerm())
 	}
 }
 
