--- a/internal/sim/membershipsim/discrepancies.go
+++ b/internal/sim/membershipsim/discrepancies.go
@@ -6,51 +6,52 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Wrong returns what members that live hold otherwise than it is, a line each, at most so many: who lives and is not held for
-// alive, who does not and is, and ranks that two share.
-func (c *Fleet) Discrepancies(most int) (wrong []string) {
-	say := func(format string, args ...any) {
-		if len(wrong) < most {
-			wrong = append(wrong, fmt.Sprintf(format, args...))
+// Discrepancies compares what the members that are up know with what is so: at most so many lines, one for each live member that is
+// dead to one, each dead one that is alive to one, each wrong count and each rank that two have.
+func (f *Fleet) Discrepancies(limit int) (lines []string) {
+	report := func(format string, args ...any) {
+		if len(lines) < limit {
+			lines = append(lines, fmt.Sprintf(format, args...))
 		}
 	}
-	up := 0
-	truth := map[swim.ID]bool{}
-	for _, n := range c.Nodes {
-		if n.IsRunning && !n.IsFrozen {
-			up++
-			truth[n.View.Self().ID] = true
+	up := map[swim.ID]bool{}
+	for _, n := range f.Nodes {
+		if n.isUp() {
+			up[n.View.Self().ID] = true
 		}
 	}
-	ranks := map[int]int{}
-	for _, n := range c.Nodes {
-		if len(wrong) >= most {
-			return wrong
+	nodeByRank := map[int]int{}
+	for _, n := range f.Nodes {
+		if len(lines) >= limit {
+			return lines
 		}
-		if !n.IsRunning || n.IsFrozen {
+		if !n.isUp() {
 			continue
 		}
 		live := 0
 		for m := range n.View.Members {
 			switch {
 			case m.State.IsDeadOrLeft():
-				if truth[m.ID] {
-					say("s%d holds %s for %s, which lives", n.Number, m.Name, m.State)
+				if up[m.ID] {
+					report("s%d holds %s for %s, which lives", n.Number, m.Name, m.State)
 				}
-			case !truth[m.ID]:
-				say("s%d holds %s (%s) for %s, which does not live", n.Number, m.Name, m.ID, m.State)
+			case !up[m.ID]:
+				report("s%d holds %s (%s) for %s, which does not live", n.Number, m.Name, m.ID, m.State)
 			default:
 				live++
 			}
 		}
-		if live != up {
-			say("s%d knows %d that live, of %d", n.Number, live, up)
+		if live != len(up) {
+			report("s%d knows %d that live, of %d", n.Number, live, len(up))
 		}
 		rank, _ := n.View.Rank(0)
-		if other, twice := ranks[rank]; twice {
-			say("s%d and s%d both have rank %d", other, n.Number, rank)
+		if other, taken := nodeByRank[rank]; taken {
+			report("s%d and s%d both have rank %d", other, n.Number, rank)
 		}
-		ranks[rank] = n.Number
+		nodeByRank[rank] = n.Number
 	}
-	return wrong
+	return lines
 }
+
+// isUp reports whether the process is running and not frozen.
+func (n *Node) isUp() bool { return n.IsRunning && !n.IsFrozen }
--- a/internal/sim/membershipsim/link.go
+++ b/internal/sim/membershipsim/link.go
@@ -1,51 +1,49 @@
 package membershipsim
 
-import (
-	"hazelwheel/internal/decide/swim"
-)
+import "hazelwheel/internal/decide/swim"
 
-// end is one end of a link.
+// linkEnd is one end of a link.
 type linkEnd struct {
 	node          *Node
 	process       int
-	number        int
+	number        int // of the link at this node
 	other         *linkEnd
-	dialedAddress string // that was dialed
+	dialedAddress string // empty at the end that was dialed
 	isUp          bool   // LinkUp was called
 	isClosed      bool
-	lastArrival   float64 // what is sent later must not arrive earlier
-	hasLost       bool
-	isReported    bool // the process has been told
+	lastArrival   float64 // at the other end; what is sent later must not arrive earlier
+	hasLost       bool    // a message that was sent from here
+	isReported    bool    // the View knows that it has ended
 }
 
-// deliver has something done at the other end, behind all that went there before.
-func (e *linkEnd) deliver(do func()) {
-	c, o := e.node.fleet, e.other
-	c.At(e.arrival(), func() {
-		if !o.isClosed {
-			o.node.run(o.process, func() {
-				if !o.isClosed {
-					do()
+// deliver runs an event at the other end, after all that was sent there before.
+func (e *linkEnd) deliver(event func()) {
+	other := e.other
+	e.node.fleet.At(e.arrival(), func() {
+		if !other.isClosed {
+			other.node.run(other.process, func() {
+				if !other.isClosed {
+					event()
 				}
 			})
 		}
 	})
 }
 
-// arrival draws when the other end gets what is sent now.
+// arrival draws when something that is sent now arrives at the other end.
 func (e *linkEnd) arrival() float64 {
 	e.lastArrival = max(e.node.fleet.Now()+e.node.fleet.latency(), e.lastArrival)
 	return e.lastArrival
 }
 
-// Take takes a message that comes over the link, if that still is.
+// Take takes a message that arrives over the link.
 func (e *linkEnd) Take(m any) {
 	if !e.isClosed {
 		e.receive(m.(*swim.Message))
 	}
 }
 
-// take has a process hear a message. One that stood still is woken by it also where the link has ended meanwhile.
+// receive hands a message to the View. A process that was frozen is woken up by it even if the link has ended meanwhile.
 func (e *linkEnd) receive(m *swim.Message) {
 	n := e.node
 	switch {
@@ -59,7 +57,7 @@
 	}
 }
 
-// close ends a link; the other end learns of it.
+// close closes this end; the other one learns of it later.
 func (e *linkEnd) close() {
 	if e.isClosed {
 		return
--- a/internal/sim/membershipsim/node.go
+++ b/internal/sim/membershipsim/node.go
@@ -6,28 +6,29 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Node is one sidecar over all lives of its process.
+// Node is a sidecar over all its processes.
 type Node struct {
 	Number    int
 	Address   string
-	View      *swim.View
-	IsRunning bool // its process lives
-	IsFrozen  bool
+	View      *swim.View // of the current process, or of the last one
+	IsRunning bool
+	IsFrozen  bool // the process is stalled
+
+	SentBytes uint64
+	Messages  uint64 // sent
+	Wakeups   uint64 // of the process's loop
+	MaxLinks  int    // at a time
 
 	fleet      *Fleet
 	id         swim.ID
-	generation uint64
-	process    int // of the process; what was meant for an earlier one is lost
+	generation uint64 // of the identity; grows with each start
+	process    int    // number of the process; events for an earlier one are dropped
 	ends       map[int]*linkEnd
 	lastLink   int
-	deferred   []func()
-	SentBytes  uint64 // bytes
-	Messages   uint64
-	Wakeups    uint64 // of its loop
-	MaxLinks   int
+	deferred   []func() // until the process is not frozen any more
 }
 
-// Start begins a process; with its state it is who it was.
+// Start starts a process, with the state of the one before if kept is true; else it draws a new identity.
 func (n *Node) Start(kept bool, join ...string) {
 	if n.IsRunning {
 		return
@@ -38,48 +39,49 @@
 	n.generation++
 	n.IsRunning, n.IsFrozen = true, false
 	n.process++
-	self := swim.Record{ID: n.id, Version: swim.Version{Incarnation: n.generation << 32, BootID: n.fleet.rng.Uint64()}, Name: fmt.Sprintf("s%d", n.Number),
-		Address: n.Address}
+	self := swim.Record{
+		ID:      n.id,
+		Version: swim.Version{Incarnation: n.generation << 32, BootID: n.fleet.rng.Uint64()},
+		Name:    fmt.Sprintf("s%d", n.Number),
+		Address: n.Address,
+	}
 	n.View = swim.New(n.fleet.Now(), self, swim.Settings{Join: join, Seed: n.fleet.rng.Uint64()}, actions{n})
 	n.scheduleTick(n.process)
 }
 
-// ID returns the identity, and 0 before the first start.
-func (n *Node) ID() swim.ID { return n.id }
-
-func (n *Node) scheduleTick(life int) {
+func (n *Node) scheduleTick(process int) {
 	n.fleet.At(n.View.NextTick(), func() {
-		n.run(life, func() { n.View.Tick(n.fleet.Now()) })
-		if n.process == life && n.IsRunning {
+		n.run(process, func() { n.View.Tick(n.fleet.Now()) })
+		if n.process == process && n.IsRunning {
 			if n.IsFrozen {
-				n.deferred = append(n.deferred, func() { n.scheduleTick(life) })
+				n.deferred = append(n.deferred, func() { n.scheduleTick(process) })
 			} else {
-				n.scheduleTick(life)
+				n.scheduleTick(process)
 			}
 		}
 	})
 }
 
-// call has the process do something, unless it has ended; one that stands still does it later.
-func (n *Node) run(life int, do func()) {
+// run runs an event of a process: later if it is frozen, and not at all if it has ended.
+func (n *Node) run(process int, event func()) {
 	switch {
-	case n.process != life || !n.IsRunning:
+	case n.process != process || !n.IsRunning:
 	case n.IsFrozen:
-		n.deferred = append(n.deferred, func() { n.run(life, do) })
+		n.deferred = append(n.deferred, func() { n.run(process, event) })
 	default:
 		n.Wakeups++
-		do()
+		event()
 	}
 }
 
-// Kill ends the process: its links are reset.
+// Kill ends the process; its links are reset.
 func (n *Node) Kill() {
 	if !n.IsRunning {
 		return
 	}
 	n.IsRunning, n.IsFrozen, n.deferred = false, false, nil
 	n.process++
-	for i := 1; i <= n.lastLink; i++ { // in order: the same history each time
+	for i := 1; i <= n.lastLink; i++ { // not by the map, in order to have the same history each time
 		if e := n.ends[i]; e != nil {
 			e.close()
 		}
@@ -87,36 +89,23 @@
 	n.ends = map[int]*linkEnd{}
 }
 
-// Leave ends it with a word to the others.
-func (n *Node) Leave() {
-	if n.IsRunning && !n.IsFrozen {
-		n.View.Leave(n.fleet.Now())
-		life := n.process
-		n.fleet.At(n.fleet.Now()+0.3, func() {
-			if n.process == life {
-				n.Kill()
-			}
-		})
-	}
-}
-
-// Freeze has the process stand still, and Thaw go on.
+// Freeze stalls the process if it is running, until Thaw.
 func (n *Node) Freeze() { n.IsFrozen = n.IsRunning }
 
-// Thaw hands over what has come meanwhile.
+// Thaw ends Freeze and runs the events that came meanwhile.
 func (n *Node) Thaw() {
 	if !n.IsFrozen {
 		return
 	}
 	n.IsFrozen = false
-	waiting := n.deferred
+	deferred := n.deferred
 	n.deferred = nil
-	for _, do := range waiting {
-		do()
+	for _, event := range deferred {
+		event()
 	}
 }
 
-// down has a process learn that a link has ended.
+// linkEnded reports the end of a link, or of a dial, to the View, once.
 func (n *Node) linkEnded(e *linkEnd) {
 	e.isClosed = true
 	delete(n.ends, e.number)
