--- a/internal/decide/placement/engine.go
+++ b/internal/decide/placement/engine.go
@@ -8,7 +8,7 @@
 
 // Engine tells what model servers of a service are like.
 type Engine struct {
-	Present      bool
+	IsPresent    bool
 	KVTokenBytes float64
 	KVTokens     float64
 	LinkMbps     float64
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -300,7 +300,7 @@
 var _ = Describe("the place of a prompt", func() {
 	prompt := &Prompt{Tokens: 12000, Output: 100, Parts: []Part{{"aa", 500}, {"bb", 4900}, {"cc", 6600}}}
 	list := append(instances(4, message.Prefill), instances(4, message.Decode)...)
-	engine := Engine{Present: true, KVTokenBytes: 35000, KVTokens: 900e3, LinkMbps: 1e6}
+	engine := Engine{IsPresent: true, KVTokenBytes: 35000, KVTokens: 900e3, LinkMbps: 1e6}
 
 	It("is the same for an opening at every proxy", func() {
 		var first *Endpoint
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -243,7 +243,7 @@
 
 // SetLoads takes what servers told other proxies, where it is younger.
 func (p *Pool) SetLoads(now float64, loads []message.Load) {
-	if len(loads) == 0 || !p.Engine.Present {
+	if len(loads) == 0 || !p.Engine.IsPresent {
 		return
 	}
 	byKey := make(map[uint32]message.Load, len(loads))
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -277,7 +277,7 @@
 // Pick returns the one of two random members with fewer own requests in flight, nil if none may be drawn.
 func (p *Pool) Pick(now float64, without []*Endpoint) *Endpoint {
 	stage := message.Stage("")
-	if p.Engine.Present {
+	if p.Engine.IsPresent {
 		stage = message.Decode // a request without a prompt goes to the servers that make answers
 	}
 	drawn := p.candidates(now, stage, without)
--- a/internal/decide/placement/returns_test.go
+++ b/internal/decide/placement/returns_test.go
@@ -30,7 +30,7 @@
 // newEngine returns a pool of model servers, and its planner.
 func newEngine(readers, runners int) (*Pool, *Planner) {
 	p := newPool(append(instances(readers, message.Prefill), instances(runners, message.Decode)...))
-	p.Engine = Engine{Present: true, KVTokenBytes: 35000, KVTokens: 900e3, LinkMbps: 1e6}
+	p.Engine = Engine{IsPresent: true, KVTokenBytes: 35000, KVTokens: 900e3, LinkMbps: 1e6}
 	return p, NewPlanner(p, 8)
 }
 
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -32,7 +32,7 @@
 	h := &history{rng: rand.New(rand.NewPCG(seed, 5)), list: append(instances(3, message.Prefill), instances(5, message.Decode)...),
 		other: map[string]bool{}, host: host}
 	h.pool = newPool(h.list)
-	h.pool.Engine = Engine{Present: true, SwitchS: 2}
+	h.pool.Engine = Engine{IsPresent: true, SwitchS: 2}
 	return h
 }
 
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -80,7 +80,7 @@
 	p.state.do(j.service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
 		if pool != nil {
 			pool.Budget.Request(now)
-			engine = pool.Engine.Present
+			engine = pool.Engine.IsPresent
 		}
 	})
 	if route.Kind == routeconfig.Streaming {
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -153,7 +153,7 @@
 	if service.Engine == nil {
 		return placement.Engine{}
 	}
-	return placement.Engine{Present: true, KVTokenBytes: service.Engine.KVTokenBytes, KVTokens: float64(service.Engine.KVTokens),
+	return placement.Engine{IsPresent: true, KVTokenBytes: service.Engine.KVTokenBytes, KVTokens: float64(service.Engine.KVTokens),
 		LinkMbps: service.Engine.LinkMbps, SwitchS: service.Engine.StageSwitchSeconds}
 }
 
@@ -178,7 +178,7 @@
 	}
 	now := s.now()
 	for name, planner := range s.planners {
-		if s.pools[name].Engine.Present {
+		if s.pools[name].Engine.IsPresent {
 			out.Demands = append(out.Demands, planner.Demand(now))
 			out.Loads = append(out.Loads, s.pools[name].TakeLoads(now)...)
 		}
