--- a/internal/decide/placement/engine.go
+++ b/internal/decide/placement/engine.go
@@ -8,11 +8,11 @@
 
 // Engine tells what model servers of a service are like.
 type Engine struct {
-	IsPresent    bool
-	KVTokenBytes float64
-	KVTokens     float64
-	LinkMbps     float64
-	SwitchS      float64 // what a change of the stage takes, in seconds
+	IsPresent     bool
+	KVTokenBytes  float64
+	KVTokens      float64
+	LinkMbps      float64
+	SwitchSeconds float64 // what a change of the stage takes, in seconds
 }
 
 // Part is a piece of a prompt that other prompts may begin with too.
--- a/internal/decide/placement/returns_test.go
+++ b/internal/decide/placement/returns_test.go
@@ -90,7 +90,7 @@
 
 	It("keeps a server out for as long as it may take, whoever goes on telling of it", func() {
 		p, _ := newEngine(0, 4)
-		p.Engine.SwitchS = 2
+		p.Engine.SwitchSeconds = 2
 		for now := 0.0; now < 2+switchMargin; now += 0.5 {
 			p.Switching(now, plan)
 			Expect(p.members).NotTo(ContainElement(e(p)))
--- a/internal/decide/placement/switching.go
+++ b/internal/decide/placement/switching.go
@@ -24,7 +24,7 @@
 		case !ordered:
 			*s = switching{}
 		case s.until == 0 || s.stage != stage || s.token != plan.Token:
-			*s = switching{stage: stage, token: plan.Token, until: now + p.Engine.SwitchS + switchMargin}
+			*s = switching{stage: stage, token: plan.Token, until: now + p.Engine.SwitchSeconds + switchMargin}
 		}
 		s.on = ordered && stage != e.Stage && now < s.until
 	}
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -32,7 +32,7 @@
 	h := &history{rng: rand.New(rand.NewPCG(seed, 5)), list: append(instances(3, message.Prefill), instances(5, message.Decode)...),
 		other: map[string]bool{}, host: host}
 	h.pool = newPool(h.list)
-	h.pool.Engine = Engine{IsPresent: true, SwitchS: 2}
+	h.pool.Engine = Engine{IsPresent: true, SwitchSeconds: 2}
 	return h
 }
 
@@ -103,7 +103,7 @@
 	h.pool.Switching(h.now, h.plan)
 	clear(h.other)
 	h.pool.Place(0, 1)
-	h.pass(goneFor + h.pool.Engine.SwitchS + switchMargin + 2*ProbeEvery)
+	h.pass(goneFor + h.pool.Engine.SwitchSeconds + switchMargin + 2*ProbeEvery)
 	if s := h.pool.Standing(h.now); s.Free != len(h.list) {
 		return fmt.Sprintf("%+v", s)
 	}
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -154,7 +154,7 @@
 		return placement.Engine{}
 	}
 	return placement.Engine{IsPresent: true, KVTokenBytes: service.Engine.KVTokenBytes, KVTokens: float64(service.Engine.KVTokens),
-		LinkMbps: service.Engine.LinkMbps, SwitchS: service.Engine.StageSwitchSeconds}
+		LinkMbps: service.Engine.LinkMbps, SwitchSeconds: service.Engine.StageSwitchSeconds}
 }
 
 // addresses returns those of all servers that are listed and not leaving.
