--- a/internal/decide/placement/engine.go
+++ b/internal/decide/placement/engine.go
@@ -15,8 +15,8 @@
 	SwitchSeconds float64 // what a change of the stage takes, in seconds
 }
 
-// Part is a piece of a prompt that other prompts may begin with too.
-type Part struct {
+// Chunk is a piece of a prompt that other prompts may begin with too.
+type Chunk struct {
 	ID     string
 	Tokens int
 }
@@ -91,7 +91,7 @@
 
 // Prompt is what the choice of servers goes by.
 type Prompt struct {
-	Parts  []Part
+	Parts  []Chunk
 	Tokens int     // of the whole prompt
 	Output int     // most tokens to go out
 	AimS   float64 // the objective for the first event, in seconds; 0: none
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -414,12 +414,12 @@
 }
 
 // ParsePrefix reads ID:TOKENS parts, separated by commas.
-func ParsePrefix(field string) (parts []Part) {
+func ParsePrefix(field string) (parts []Chunk) {
 	for piece := range strings.SplitSeq(field, ",") {
 		id, tokens, ok := strings.Cut(strings.TrimSpace(piece), ":")
 		count := parseCount(tokens)
 		if ok && id != "" && count > 0 {
-			parts = append(parts, Part{ID: id, Tokens: count})
+			parts = append(parts, Chunk{ID: id, Tokens: count})
 		}
 	}
 	return parts
