--- a/internal/decide/placement/engine.go
+++ b/internal/decide/placement/engine.go
@@ -91,7 +91,7 @@
 
 // Prompt is what the choice of servers goes by.
 type Prompt struct {
-	Parts  []Chunk
+	Chunks []Chunk
 	Tokens int     // of the whole prompt
 	Output int     // most tokens to go out
 	AimS   float64 // the objective for the first event, in seconds; 0: none
@@ -100,18 +100,18 @@
 
 // Shared returns the key of the parts that others may share, "" if there are none.
 func (q *Prompt) Shared() string {
-	if len(q.Parts) < 2 {
+	if len(q.Chunks) < 2 {
 		return ""
 	}
-	return q.Parts[len(q.Parts)-2].ID
+	return q.Chunks[len(q.Chunks)-2].ID
 }
 
 // own returns the tokens that no other prompt shares.
 func (q *Prompt) own() float64 {
-	if len(q.Parts) == 0 {
+	if len(q.Chunks) == 0 {
 		return float64(max(q.Tokens, 1))
 	}
-	return float64(q.Parts[len(q.Parts)-1].Tokens)
+	return float64(q.Chunks[len(q.Chunks)-1].Tokens)
 }
 
 // paces holds what was learned of how fast servers of each stage read.
@@ -161,8 +161,8 @@
 // parts, since other proxies send them there too.
 func (e *Endpoint) fresh(q *Prompt, now, keepS float64, home bool) float64 {
 	left := q.Tokens
-	for i, part := range q.Parts {
-		if i == len(q.Parts)-1 {
+	for i, part := range q.Chunks {
+		if i == len(q.Chunks)-1 {
 			break
 		}
 		used, known := e.engine.parts[part.ID]
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -204,8 +204,8 @@
 	if e.engine.parts == nil || len(e.engine.parts) > partsMost {
 		e.engine.parts = map[string]float64{}
 	}
-	for i, part := range q.Parts {
-		if i < len(q.Parts)-1 {
+	for i, part := range q.Chunks {
+		if i < len(q.Chunks)-1 {
 			e.engine.parts[part.ID] = now
 		}
 	}
