--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -298,7 +298,7 @@
 })
 
 var _ = Describe("the place of a prompt", func() {
-	prompt := &Prompt{Tokens: 12000, Output: 100, Chunks: []Chunk{{"aa", 500}, {"bb", 4900}, {"cc", 6600}}}
+	prompt := &Prompt{Tokens: 12000, MaxOutputTokens: 100, Chunks: []Chunk{{"aa", 500}, {"bb", 4900}, {"cc", 6600}}}
 	list := append(instances(4, message.Prefill), instances(4, message.Decode)...)
 	engine := Engine{IsPresent: true, KVTokenBytes: 35000, KVTokens: 900e3, LinkMbps: 1e6}
 
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -226,10 +226,10 @@
 }
 
 // BeginAnswer counts an answer that a server makes, EndAnswer takes it away.
-func (e *Endpoint) BeginAnswer(q *Prompt) { e.engine.held += float64(q.Tokens + q.Output) }
+func (e *Endpoint) BeginAnswer(q *Prompt) { e.engine.held += float64(q.Tokens + q.MaxOutputTokens) }
 
 // EndAnswer takes an answer away that BeginAnswer counted.
-func (e *Endpoint) EndAnswer(q *Prompt) { e.engine.held -= float64(q.Tokens + q.Output) }
+func (e *Endpoint) EndAnswer(q *Prompt) { e.engine.held -= float64(q.Tokens + q.MaxOutputTokens) }
 
 // Loaded takes the figures that a server told this proxy with an answer: requests running and waiting.
 func (e *Endpoint) Loaded(now float64, running, waiting int) {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -349,7 +349,7 @@
 	prompt.AimS = nodeconfig.FromMillis(route.LatencyTargetMs).Seconds()
 	prompt.GapS = nodeconfig.FromMillis(route.TokenGapTargetMs).Seconds()
 	in, out, _ := strings.Cut(r.Header.Get(headerTokenCounts), ",")
-	prompt.Tokens, prompt.Output = tokenCount(in), tokenCount(out)
+	prompt.Tokens, prompt.MaxOutputTokens = tokenCount(in), tokenCount(out)
 	return prompt
 }
 
