--- a/internal/decide/placement/engine.go
+++ b/internal/decide/placement/engine.go
@@ -91,11 +91,11 @@
 
 // Prompt is what the choice of servers goes by.
 type Prompt struct {
-	Chunks          []Chunk
-	Tokens          int     // of the whole prompt
-	MaxOutputTokens int     // most tokens to go out
-	AimS            float64 // the objective for the first event, in seconds; 0: none
-	GapS            float64 // the longest pause between events that is in time, in seconds; 0: none
+	Chunks               []Chunk
+	Tokens               int     // of the whole prompt
+	MaxOutputTokens      int     // most tokens to go out
+	LatencyTargetSeconds float64 // the objective for the first event, in seconds; 0: none
+	GapS                 float64 // the longest pause between events that is in time, in seconds; 0: none
 }
 
 // Shared returns the key of the parts that others may share, "" if there are none.
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -346,7 +346,7 @@
 		p.Engine = engine
 		l := NewPlanner(p, 8)
 		l.pace.prefill = pace{latency: 0.05, perToken: 1e-5}
-		inTime := &Prompt{Tokens: 12000, Chunks: prompt.Chunks, AimS: 0.5}
+		inTime := &Prompt{Tokens: 12000, Chunks: prompt.Chunks, LatencyTargetSeconds: 0.5}
 		home, _ := l.Choose(0, inTime, nil, true)
 		r := l.BeginReading(0, home.Reader, inTime)
 		l.EndReading(0.7, home.Reader, r, true) // it took 0.5 s longer than alone: less than what its home holds is worth
@@ -385,7 +385,7 @@
 				e.engine.wait, e.engine.waitAt = 0.6, 0 // all that read have a line
 			}
 		}
-		plan, ok := l.Choose(0, &Prompt{Tokens: tokens, Chunks: []Chunk{{"x", tokens}}, AimS: 0.5, GapS: gap}, nil, true)
+		plan, ok := l.Choose(0, &Prompt{Tokens: tokens, Chunks: []Chunk{{"x", tokens}}, LatencyTargetSeconds: 0.5, GapS: gap}, nil, true)
 		Expect(ok).To(BeTrue())
 		Expect(plan.Reader == nil).To(Equal(beside))
 	}, Entry("a short one", 1000, 4, 0.2, true), Entry("a long one beside nobody", 9000, 0, 0.2, true),
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -63,7 +63,7 @@
 	if e.Zone != l.pool.Zone {
 		seconds += crossPenalty
 	}
-	return seconds + againPenalty*max(fresh-q.own(), 0) + lateness(seconds, q.AimS)
+	return seconds + againPenalty*max(fresh-q.own(), 0) + lateness(seconds, q.LatencyTargetSeconds)
 }
 
 // lateness is what it counts for that a prompt is read too late for its objective, in seconds.
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -346,7 +346,7 @@
 // promptOf reads what the choice of model servers goes by.
 func promptOf(r *http.Request, route *routeconfig.Route) placement.Prompt {
 	prompt := placement.Prompt{Chunks: placement.ParsePrefix(r.Header.Get(headerPrefixHash))}
-	prompt.AimS = nodeconfig.FromMillis(route.LatencyTargetMs).Seconds()
+	prompt.LatencyTargetSeconds = nodeconfig.FromMillis(route.LatencyTargetMs).Seconds()
 	prompt.GapS = nodeconfig.FromMillis(route.TokenGapTargetMs).Seconds()
 	in, out, _ := strings.Cut(r.Header.Get(headerTokenCounts), ",")
 	prompt.Tokens, prompt.MaxOutputTokens = tokenCount(in), tokenCount(out)
