--- a/internal/decide/placement/engine.go
+++ b/internal/decide/placement/engine.go
@@ -95,7 +95,7 @@
 	Tokens               int     // of the whole prompt
 	MaxOutputTokens      int     // most tokens to go out
 	LatencyTargetSeconds float64 // the objective for the first event, in seconds; 0: none
-	GapS                 float64 // the longest pause between events that is in time, in seconds; 0: none
+	GapTargetSeconds     float64 // the longest pause between events that is in time, in seconds; 0: none
 }
 
 // Shared returns the key of the parts that others may share, "" if there are none.
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -385,7 +385,7 @@
 				e.engine.wait, e.engine.waitAt = 0.6, 0 // all that read have a line
 			}
 		}
-		plan, ok := l.Choose(0, &Prompt{Tokens: tokens, Chunks: []Chunk{{"x", tokens}}, LatencyTargetSeconds: 0.5, GapS: gap}, nil, true)
+		plan, ok := l.Choose(0, &Prompt{Tokens: tokens, Chunks: []Chunk{{"x", tokens}}, LatencyTargetSeconds: 0.5, GapTargetSeconds: gap}, nil, true)
 		Expect(ok).To(BeTrue())
 		Expect(plan.Reader == nil).To(Equal(beside))
 	}, Entry("a short one", 1000, 4, 0.2, true), Entry("a long one beside nobody", 9000, 0, 0.2, true),
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -125,11 +125,11 @@
 // pauses is what it counts for that answers under way at a server pause for too long while it reads a prompt, in seconds. Reading takes
 // turns with them, and for as long as it goes on they come several times as slowly.
 func (l *Planner) pauses(now float64, q *Prompt, e *Endpoint) float64 {
-	if q.GapS <= 0 {
+	if q.GapTargetSeconds <= 0 {
 		return 0
 	}
 	reading := l.seconds(e.Stage, e.engine.tokens+e.fresh(q, now, l.keepS, false))
-	late := min(max(reading/q.GapS-pauseFrom, 0)/(1-pauseFrom), 1)
+	late := min(max(reading/q.GapTargetSeconds-pauseFrom, 0)/(1-pauseFrom), 1)
 	return latePenalty * late * float64(max(e.engine.running, e.InFlight))
 }
 
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -347,7 +347,7 @@
 func promptOf(r *http.Request, route *routeconfig.Route) placement.Prompt {
 	prompt := placement.Prompt{Chunks: placement.ParsePrefix(r.Header.Get(headerPrefixHash))}
 	prompt.LatencyTargetSeconds = nodeconfig.FromMillis(route.LatencyTargetMs).Seconds()
-	prompt.GapS = nodeconfig.FromMillis(route.TokenGapTargetMs).Seconds()
+	prompt.GapTargetSeconds = nodeconfig.FromMillis(route.TokenGapTargetMs).Seconds()
 	in, out, _ := strings.Cut(r.Header.Get(headerTokenCounts), ",")
 	prompt.Tokens, prompt.MaxOutputTokens = tokenCount(in), tokenCount(out)
 	return prompt
