--- a/internal/decide/placement/engine.go
+++ b/internal/decide/placement/engine.go
@@ -98,8 +98,8 @@
 	GapTargetSeconds     float64 // the longest pause between events that is in time, in seconds; 0: none
 }
 
-// Shared returns the key of the parts that others may share, "" if there are none.
-func (q *Prompt) Shared() string {
+// SharedPrefixKey returns the key of the parts that others may share, "" if there are none.
+func (q *Prompt) SharedPrefixKey() string {
 	if len(q.Chunks) < 2 {
 		return ""
 	}
