--- a/internal/decide/placement/engine.go
+++ b/internal/decide/placement/engine.go
@@ -78,11 +78,11 @@
 	waiting  int
 	held     float64            // tokens that own answers hold in memory
 	parts    map[string]float64 // when own requests used them last there
-	readings []*Reading         // that are under way
+	readings []*Prefill         // that are under way
 }
 
-// Reading is a prompt that a server reads.
-type Reading struct {
+// Prefill is a prompt that a server reads.
+type Prefill struct {
 	tokens   float64
 	own      float64 // tokens that nobody shares
 	began    float64
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -195,9 +195,9 @@
 }
 
 // BeginReading counts a prompt that a server begins to read.
-func (l *Planner) BeginReading(now float64, e *Endpoint, q *Prompt) *Reading {
+func (l *Planner) BeginReading(now float64, e *Endpoint, q *Prompt) *Prefill {
 	tokens := e.fresh(q, now, l.keepS, false)
-	r := &Reading{tokens: tokens, own: q.own(), began: now, expected: l.seconds(e.Stage, tokens)}
+	r := &Prefill{tokens: tokens, own: q.own(), began: now, expected: l.seconds(e.Stage, tokens)}
 	e.engine.readings = append(e.engine.readings, r)
 	e.engine.tokens += tokens
 	l.read.add(now, tokens)
@@ -213,9 +213,9 @@
 }
 
 // EndReading takes a prompt away. read tells whether it was read to its end.
-func (l *Planner) EndReading(now float64, e *Endpoint, r *Reading, read bool) {
+func (l *Planner) EndReading(now float64, e *Endpoint, r *Prefill, read bool) {
 	e.engine.tokens -= r.tokens
-	e.engine.readings = slices.DeleteFunc(e.engine.readings, func(other *Reading) bool { return other == r })
+	e.engine.readings = slices.DeleteFunc(e.engine.readings, func(other *Prefill) bool { return other == r })
 	if !read {
 		return
 	}
--- a/internal/proxy/reading.go
+++ b/internal/proxy/reading.go
@@ -34,7 +34,7 @@
 
 // readPrompt has a prompt read and returns the handle of its cache, "" if that failed, and how far it came.
 func (p *Proxy) readPrompt(ctx context.Context, j *job, reader *placement.Endpoint, prompt *placement.Prompt) (string, Verdict) {
-	var reading *placement.Reading
+	var reading *placement.Prefill
 	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		if planner != nil {
 			reading = planner.BeginReading(now, reader, prompt)
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -70,7 +70,7 @@
 // run is one try to have a stream made.
 type run struct {
 	endpoint *placement.Endpoint
-	reading  *placement.Reading // where the prompt is read here
+	reading  *placement.Prefill // where the prompt is read here
 	prompt   *placement.Prompt
 }
 
