--- a/internal/decide/placement/engine.go
+++ b/internal/decide/placement/engine.go
@@ -153,8 +153,8 @@
 // Plan says where a prompt is read: at Reader, after which Runner has to be asked for, or where Reader is nil at Runner, which makes
 // the answer too.
 type Plan struct {
-	Reader *Endpoint
-	Runner *Endpoint
+	PrefillServer *Endpoint
+	Runner        *Endpoint
 }
 
 // fresh returns the tokens of a prompt that a server has to read, as far as is known here. Its home is taken to hold the shared
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -310,11 +310,11 @@
 			p.Place(rank, 6)
 			plan, ok := NewPlanner(p, 8).Choose(0, prompt, nil, true)
 			Expect(ok).To(BeTrue())
-			Expect(plan.Reader).NotTo(BeNil())
+			Expect(plan.PrefillServer).NotTo(BeNil())
 			if first == nil {
-				first = plan.Reader
+				first = plan.PrefillServer
 			}
-			Expect(plan.Reader.ID).To(Equal(first.ID))
+			Expect(plan.PrefillServer.ID).To(Equal(first.ID))
 		}
 	})
 
@@ -324,10 +324,10 @@
 		l := NewPlanner(p, 8)
 		plan, _ := l.Choose(0, prompt, nil, true)
 		for range 20 {
-			l.BeginReading(0, plan.Reader, prompt)
+			l.BeginReading(0, plan.PrefillServer, prompt)
 		}
 		next, _ := l.Choose(0.01, prompt, nil, true)
-		Expect(next.Reader).NotTo(Equal(plan.Reader))
+		Expect(next.PrefillServer).NotTo(Equal(plan.PrefillServer))
 	})
 
 	It("moves on when a prompt there is overdue", func() {
@@ -335,10 +335,10 @@
 		p.Engine = engine
 		l := NewPlanner(p, 8)
 		plan, _ := l.Choose(0, prompt, nil, true)
-		l.BeginReading(0, plan.Reader, prompt)
-		Expect(plan.Reader.engine.waitNow(2)).To(BeNumerically(">", 1))
+		l.BeginReading(0, plan.PrefillServer, prompt)
+		Expect(plan.PrefillServer.engine.waitNow(2)).To(BeNumerically(">", 1))
 		next, _ := l.Choose(2, prompt, nil, true)
-		Expect(next.Reader).NotTo(Equal(plan.Reader))
+		Expect(next.PrefillServer).NotTo(Equal(plan.PrefillServer))
 	})
 
 	It("leaves its home once it would be too late there", func() {
@@ -348,14 +348,14 @@
 		l.pace.prefill = pace{latency: 0.05, perToken: 1e-5}
 		inTime := &Prompt{Tokens: 12000, Chunks: prompt.Chunks, LatencyTargetSeconds: 0.5}
 		home, _ := l.Choose(0, inTime, nil, true)
-		r := l.BeginReading(0, home.Reader, inTime)
-		l.EndReading(0.7, home.Reader, r, true) // it took 0.5 s longer than alone: less than what its home holds is worth
+		r := l.BeginReading(0, home.PrefillServer, inTime)
+		l.EndReading(0.7, home.PrefillServer, r, true) // it took 0.5 s longer than alone: less than what its home holds is worth
 		next, _ := l.Choose(0.7, inTime, nil, true)
-		Expect(next.Reader).To(Equal(home.Reader))
-		r = l.BeginReading(0.7, home.Reader, inTime)
-		l.EndReading(3.1, home.Reader, r, true)
+		Expect(next.PrefillServer).To(Equal(home.PrefillServer))
+		r = l.BeginReading(0.7, home.PrefillServer, inTime)
+		l.EndReading(3.1, home.PrefillServer, r, true)
 		next, _ = l.Choose(3.1, inTime, nil, true)
-		Expect(next.Reader).NotTo(Equal(home.Reader))
+		Expect(next.PrefillServer).NotTo(Equal(home.PrefillServer))
 	})
 
 	It("is not beside answers for what others may have read there, since nobody agrees on that", func() {
@@ -365,11 +365,11 @@
 		l.pace.prefill = pace{latency: 0.05, perToken: 1e-5}
 		l.pace.decode = pace{latency: 0.05, perToken: 2e-5}
 		plan, _ := l.Choose(0, prompt, nil, true)
-		r := l.BeginReading(0, plan.Reader, prompt)
-		l.EndReading(0.8, plan.Reader, r, true) // there is a line of 0.3 s at its home
+		r := l.BeginReading(0, plan.PrefillServer, prompt)
+		l.EndReading(0.8, plan.PrefillServer, r, true) // there is a line of 0.3 s at its home
 		for range 20 {
 			plan, _ = l.Choose(0.8, prompt, nil, true)
-			Expect(plan.Reader).NotTo(BeNil())
+			Expect(plan.PrefillServer).NotTo(BeNil())
 		}
 	})
 
@@ -387,7 +387,7 @@
 		}
 		plan, ok := l.Choose(0, &Prompt{Tokens: tokens, Chunks: []Chunk{{"x", tokens}}, LatencyTargetSeconds: 0.5, GapTargetSeconds: gap}, nil, true)
 		Expect(ok).To(BeTrue())
-		Expect(plan.Reader == nil).To(Equal(beside))
+		Expect(plan.PrefillServer == nil).To(Equal(beside))
 	}, Entry("a short one", 1000, 4, 0.2, true), Entry("a long one beside nobody", 9000, 0, 0.2, true),
 		Entry("a long one beside a few", 9000, 3, 0.2, false), Entry("a long one where pauses don't matter", 9000, 3, 0.0, true))
 
@@ -407,7 +407,7 @@
 		p := newPool(instances(3, message.Decode))
 		plan, ok := NewPlanner(p, 8).Choose(0, prompt, nil, true)
 		Expect(ok).To(BeTrue())
-		Expect(plan.Reader).To(BeNil())
+		Expect(plan.PrefillServer).To(BeNil())
 		Expect(plan.Runner).NotTo(BeNil())
 	})
 
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -99,7 +99,7 @@
 	case reader == nil || directS*direct.heldUp()+l.pauses(now, q, direct) <= readS+l.moveSeconds(q, reader, direct):
 		return Plan{Runner: direct}, true
 	}
-	return Plan{Reader: reader}, true
+	return Plan{PrefillServer: reader}, true
 }
 
 // decoders returns the servers that may make an answer. Where none is left that has not failed it, those outside the proxy's part are asked,
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -87,11 +87,11 @@
 			j.last = NotSent
 			return false
 		}
-		if plan.Reader == nil {
+		if plan.PrefillServer == nil {
 			return p.runStream(ctx, out, j, run{endpoint: plan.Runner, prompt: prompt})
 		}
-		cache, verdict := p.readPrompt(ctx, j, plan.Reader, prompt)
-		j.handle, j.times.read = handle{cache: cache, zone: plan.Reader.Zone}, time.Now()
+		cache, verdict := p.readPrompt(ctx, j, plan.PrefillServer, prompt)
+		j.handle, j.times.read = handle{cache: cache, zone: plan.PrefillServer.Zone}, time.Now()
 		if ctx.Err() != nil {
 			j.last = Canceled
 			return false
@@ -101,7 +101,7 @@
 			break
 		}
 		// Reading it beside answers would hold these up for a server that is merely gone or changing.
-		without = append(without, plan.Reader)
+		without = append(without, plan.PrefillServer)
 	}
 	return p.runRead(ctx, out, j, prompt)
 }
@@ -113,8 +113,8 @@
 		if !some {
 			return false
 		}
-		if plan = chosen; plan.Reader != nil {
-			plan.Reader.Begin()
+		if plan = chosen; plan.PrefillServer != nil {
+			plan.PrefillServer.Begin()
 		} else {
 			plan.Runner.Begin()
 		}
