--- a/internal/decide/placement/engine.go
+++ b/internal/decide/placement/engine.go
@@ -154,7 +154,7 @@
 // the answer too.
 type Plan struct {
 	PrefillServer *Endpoint
-	Runner        *Endpoint
+	DecodeServer  *Endpoint
 }
 
 // fresh returns the tokens of a prompt that a server has to read, as far as is known here. Its home is taken to hold the shared
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -408,7 +408,7 @@
 		plan, ok := NewPlanner(p, 8).Choose(0, prompt, nil, true)
 		Expect(ok).To(BeTrue())
 		Expect(plan.PrefillServer).To(BeNil())
-		Expect(plan.Runner).NotTo(BeNil())
+		Expect(plan.DecodeServer).NotTo(BeNil())
 	})
 
 	It("forgets what was counted once it has ended", func() {
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -90,14 +90,14 @@
 	// Danger: nobody agrees on where a key is read beside answers, so that no such server is taken to hold what others had read there.
 	direct, directS := l.best(now, q, "", l.decoders(now, without))
 	if !apart {
-		return Plan{Runner: direct}, direct != nil
+		return Plan{DecodeServer: direct}, direct != nil
 	}
 	reader, readS := l.best(now, q, key, l.pool.candidates(now, message.Prefill, without))
 	switch {
 	case direct == nil:
 		return Plan{}, false
 	case reader == nil || directS*direct.heldUp()+l.pauses(now, q, direct) <= readS+l.moveSeconds(q, reader, direct):
-		return Plan{Runner: direct}, true
+		return Plan{DecodeServer: direct}, true
 	}
 	return Plan{PrefillServer: reader}, true
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -88,7 +88,7 @@
 			return false
 		}
 		if plan.PrefillServer == nil {
-			return p.runStream(ctx, out, j, run{endpoint: plan.Runner, prompt: prompt})
+			return p.runStream(ctx, out, j, run{endpoint: plan.DecodeServer, prompt: prompt})
 		}
 		cache, verdict := p.readPrompt(ctx, j, plan.PrefillServer, prompt)
 		j.handle, j.times.read = handle{cache: cache, zone: plan.PrefillServer.Zone}, time.Now()
@@ -116,7 +116,7 @@
 		if plan = chosen; plan.PrefillServer != nil {
 			plan.PrefillServer.Begin()
 		} else {
-			plan.Runner.Begin()
+			plan.DecodeServer.Begin()
 		}
 		return true
 	})
