--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -308,7 +308,7 @@
 			p := newPool(list)
 			p.Engine = engine
 			p.Place(rank, 6)
-			plan, ok := NewPlanner(p, 8).Choose(0, prompt, nil, true)
+			plan, ok := NewPlanner(p, 8).PlanPrompt(0, prompt, nil, true)
 			Expect(ok).To(BeTrue())
 			Expect(plan.PrefillServer).NotTo(BeNil())
 			if first == nil {
@@ -322,11 +322,11 @@
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
-		plan, _ := l.Choose(0, prompt, nil, true)
+		plan, _ := l.PlanPrompt(0, prompt, nil, true)
 		for range 20 {
 			l.BeginReading(0, plan.PrefillServer, prompt)
 		}
-		next, _ := l.Choose(0.01, prompt, nil, true)
+		next, _ := l.PlanPrompt(0.01, prompt, nil, true)
 		Expect(next.PrefillServer).NotTo(Equal(plan.PrefillServer))
 	})
 
@@ -334,10 +334,10 @@
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
-		plan, _ := l.Choose(0, prompt, nil, true)
+		plan, _ := l.PlanPrompt(0, prompt, nil, true)
 		l.BeginReading(0, plan.PrefillServer, prompt)
 		Expect(plan.PrefillServer.engine.waitNow(2)).To(BeNumerically(">", 1))
-		next, _ := l.Choose(2, prompt, nil, true)
+		next, _ := l.PlanPrompt(2, prompt, nil, true)
 		Expect(next.PrefillServer).NotTo(Equal(plan.PrefillServer))
 	})
 
@@ -347,14 +347,14 @@
 		l := NewPlanner(p, 8)
 		l.pace.prefill = pace{latency: 0.05, perToken: 1e-5}
 		inTime := &Prompt{Tokens: 12000, Chunks: prompt.Chunks, LatencyTargetSeconds: 0.5}
-		home, _ := l.Choose(0, inTime, nil, true)
+		home, _ := l.PlanPrompt(0, inTime, nil, true)
 		r := l.BeginReading(0, home.PrefillServer, inTime)
 		l.EndReading(0.7, home.PrefillServer, r, true) // it took 0.5 s longer than alone: less than what its home holds is worth
-		next, _ := l.Choose(0.7, inTime, nil, true)
+		next, _ := l.PlanPrompt(0.7, inTime, nil, true)
 		Expect(next.PrefillServer).To(Equal(home.PrefillServer))
 		r = l.BeginReading(0.7, home.PrefillServer, inTime)
 		l.EndReading(3.1, home.PrefillServer, r, true)
-		next, _ = l.Choose(3.1, inTime, nil, true)
+		next, _ = l.PlanPrompt(3.1, inTime, nil, true)
 		Expect(next.PrefillServer).NotTo(Equal(home.PrefillServer))
 	})
 
@@ -364,11 +364,11 @@
 		l := NewPlanner(p, 8)
 		l.pace.prefill = pace{latency: 0.05, perToken: 1e-5}
 		l.pace.decode = pace{latency: 0.05, perToken: 2e-5}
-		plan, _ := l.Choose(0, prompt, nil, true)
+		plan, _ := l.PlanPrompt(0, prompt, nil, true)
 		r := l.BeginReading(0, plan.PrefillServer, prompt)
 		l.EndReading(0.8, plan.PrefillServer, r, true) // there is a line of 0.3 s at its home
 		for range 20 {
-			plan, _ = l.Choose(0.8, prompt, nil, true)
+			plan, _ = l.PlanPrompt(0.8, prompt, nil, true)
 			Expect(plan.PrefillServer).NotTo(BeNil())
 		}
 	})
@@ -385,7 +385,7 @@
 				e.engine.wait, e.engine.waitAt = 0.6, 0 // all that read have a line
 			}
 		}
-		plan, ok := l.Choose(0, &Prompt{Tokens: tokens, Chunks: []Chunk{{"x", tokens}}, LatencyTargetSeconds: 0.5, GapTargetSeconds: gap}, nil, true)
+		plan, ok := l.PlanPrompt(0, &Prompt{Tokens: tokens, Chunks: []Chunk{{"x", tokens}}, LatencyTargetSeconds: 0.5, GapTargetSeconds: gap}, nil, true)
 		Expect(ok).To(BeTrue())
 		Expect(plan.PrefillServer == nil).To(Equal(beside))
 	}, Entry("a short one", 1000, 4, 0.2, true), Entry("a long one beside nobody", 9000, 0, 0.2, true),
@@ -405,7 +405,7 @@
 
 	It("is where the answer is made where nobody reads", func() {
 		p := newPool(instances(3, message.Decode))
-		plan, ok := NewPlanner(p, 8).Choose(0, prompt, nil, true)
+		plan, ok := NewPlanner(p, 8).PlanPrompt(0, prompt, nil, true)
 		Expect(ok).To(BeTrue())
 		Expect(plan.PrefillServer).To(BeNil())
 		Expect(plan.DecodeServer).NotTo(BeNil())
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -84,8 +84,8 @@
 	return wait
 }
 
-// Choose returns where a prompt is to be read, and false if there is no server. Those in without are passed over.
-func (l *Planner) Choose(now float64, q *Prompt, without []*Endpoint, apart bool) (Plan, bool) {
+// PlanPrompt returns where a prompt is to be read, and false if there is no server. Those in without are passed over.
+func (l *Planner) PlanPrompt(now float64, q *Prompt, without []*Endpoint, apart bool) (Plan, bool) {
 	key := q.SharedPrefixKey()
 	// Danger: nobody agrees on where a key is read beside answers, so that no such server is taken to hold what others had read there.
 	direct, directS := l.best(now, q, "", l.decoders(now, without))
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -109,7 +109,7 @@
 // place chooses servers for a prompt and counts it at the one that is asked first.
 func (p *Proxy) place(ctx context.Context, j *job, prompt *placement.Prompt, without []*placement.Endpoint, apart bool) (plan placement.Plan, found bool) {
 	found = p.await(ctx, j, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
-		chosen, some := planner.Choose(now, prompt, without, apart)
+		chosen, some := planner.PlanPrompt(now, prompt, without, apart)
 		if !some {
 			return false
 		}
