--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -133,8 +133,8 @@
 	return latePenalty * late * float64(max(e.engine.running, e.InFlight))
 }
 
-// Runner returns the server that makes the answer of a prompt that was read in a zone, nil if there is none.
-func (l *Planner) Runner(now float64, zone string, without []*Endpoint) *Endpoint {
+// PickDecodeServer returns the server that makes the answer of a prompt that was read in a zone, nil if there is none.
+func (l *Planner) PickDecodeServer(now float64, zone string, without []*Endpoint) *Endpoint {
 	drawn := l.decoders(now, without)
 	if len(drawn) == 0 {
 		return nil
--- a/internal/decide/placement/returns_test.go
+++ b/internal/decide/placement/returns_test.go
@@ -80,7 +80,7 @@
 		plan, found := l.PlanPrompt(0.1, &Prompt{Tokens: 100}, nil, false)
 		Expect(found).To(BeTrue())
 		Expect(plan.DecodeServer.Stage).To(Equal(message.Decode))
-		Expect(l.Runner(0.1, "z0", nil)).NotTo(BeNil())
+		Expect(l.PickDecodeServer(0.1, "z0", nil)).NotTo(BeNil())
 	})
 })
 
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -127,7 +127,7 @@
 func (p *Proxy) runRead(ctx context.Context, out *relay, j *job, prompt *placement.Prompt) bool {
 	var runner *placement.Endpoint
 	p.await(ctx, j, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
-		if runner = planner.Runner(now, j.handle.zone, j.tried); runner != nil {
+		if runner = planner.PickDecodeServer(now, j.handle.zone, j.tried); runner != nil {
 			runner.Begin()
 		}
 		return runner != nil
