--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -324,7 +324,7 @@
 		l := NewPlanner(p, 8)
 		plan, _ := l.PlanPrompt(0, prompt, nil, true)
 		for range 20 {
-			l.BeginReading(0, plan.PrefillServer, prompt)
+			l.StartPrefill(0, plan.PrefillServer, prompt)
 		}
 		next, _ := l.PlanPrompt(0.01, prompt, nil, true)
 		Expect(next.PrefillServer).NotTo(Equal(plan.PrefillServer))
@@ -335,7 +335,7 @@
 		p.Engine = engine
 		l := NewPlanner(p, 8)
 		plan, _ := l.PlanPrompt(0, prompt, nil, true)
-		l.BeginReading(0, plan.PrefillServer, prompt)
+		l.StartPrefill(0, plan.PrefillServer, prompt)
 		Expect(plan.PrefillServer.engine.waitNow(2)).To(BeNumerically(">", 1))
 		next, _ := l.PlanPrompt(2, prompt, nil, true)
 		Expect(next.PrefillServer).NotTo(Equal(plan.PrefillServer))
@@ -348,11 +348,11 @@
 		l.pace.prefill = pace{latency: 0.05, perToken: 1e-5}
 		inTime := &Prompt{Tokens: 12000, Chunks: prompt.Chunks, LatencyTargetSeconds: 0.5}
 		home, _ := l.PlanPrompt(0, inTime, nil, true)
-		r := l.BeginReading(0, home.PrefillServer, inTime)
+		r := l.StartPrefill(0, home.PrefillServer, inTime)
 		l.EndReading(0.7, home.PrefillServer, r, true) // it took 0.5 s longer than alone: less than what its home holds is worth
 		next, _ := l.PlanPrompt(0.7, inTime, nil, true)
 		Expect(next.PrefillServer).To(Equal(home.PrefillServer))
-		r = l.BeginReading(0.7, home.PrefillServer, inTime)
+		r = l.StartPrefill(0.7, home.PrefillServer, inTime)
 		l.EndReading(3.1, home.PrefillServer, r, true)
 		next, _ = l.PlanPrompt(3.1, inTime, nil, true)
 		Expect(next.PrefillServer).NotTo(Equal(home.PrefillServer))
@@ -365,7 +365,7 @@
 		l.pace.prefill = pace{latency: 0.05, perToken: 1e-5}
 		l.pace.decode = pace{latency: 0.05, perToken: 2e-5}
 		plan, _ := l.PlanPrompt(0, prompt, nil, true)
-		r := l.BeginReading(0, plan.PrefillServer, prompt)
+		r := l.StartPrefill(0, plan.PrefillServer, prompt)
 		l.EndReading(0.8, plan.PrefillServer, r, true) // there is a line of 0.3 s at its home
 		for range 20 {
 			plan, _ = l.PlanPrompt(0.8, prompt, nil, true)
@@ -416,7 +416,7 @@
 		l := NewPlanner(p, 8)
 		e := p.endpoints["i-prefill000"]
 		for i := range 30 {
-			r := l.BeginReading(float64(i), e, prompt)
+			r := l.StartPrefill(float64(i), e, prompt)
 			e.BeginAnswer(prompt)
 			l.EndReading(float64(i)+0.2, e, r, i%2 == 0)
 			e.EndAnswer(prompt)
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -194,8 +194,8 @@
 	return seconds + moveSetup
 }
 
-// BeginReading counts a prompt that a server begins to read.
-func (l *Planner) BeginReading(now float64, e *Endpoint, q *Prompt) *Prefill {
+// StartPrefill counts a prompt that a server begins to read.
+func (l *Planner) StartPrefill(now float64, e *Endpoint, q *Prompt) *Prefill {
 	tokens := e.fresh(q, now, l.keepS, false)
 	r := &Prefill{tokens: tokens, own: q.own(), began: now, expected: l.seconds(e.Stage, tokens)}
 	e.engine.readings = append(e.engine.readings, r)
--- a/internal/proxy/reading.go
+++ b/internal/proxy/reading.go
@@ -37,7 +37,7 @@
 	var reading *placement.Prefill
 	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		if planner != nil {
-			reading = planner.BeginReading(now, reader, prompt)
+			reading = planner.StartPrefill(now, reader, prompt)
 		}
 	})
 	limit := time.Duration(readingMost * j.route.LatencyTargetMs * float64(time.Millisecond))
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -183,7 +183,7 @@
 	}
 	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		if planner != nil {
-			r.reading = planner.BeginReading(now, r.endpoint, r.prompt)
+			r.reading = planner.StartPrefill(now, r.endpoint, r.prompt)
 		}
 	})
 }
