--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -349,11 +349,11 @@
 		inTime := &Prompt{Tokens: 12000, Chunks: prompt.Chunks, LatencyTargetSeconds: 0.5}
 		home, _ := l.PlanPrompt(0, inTime, nil, true)
 		r := l.StartPrefill(0, home.PrefillServer, inTime)
-		l.EndReading(0.7, home.PrefillServer, r, true) // it took 0.5 s longer than alone: less than what its home holds is worth
+		l.FinishPrefill(0.7, home.PrefillServer, r, true) // it took 0.5 s longer than alone: less than what its home holds is worth
 		next, _ := l.PlanPrompt(0.7, inTime, nil, true)
 		Expect(next.PrefillServer).To(Equal(home.PrefillServer))
 		r = l.StartPrefill(0.7, home.PrefillServer, inTime)
-		l.EndReading(3.1, home.PrefillServer, r, true)
+		l.FinishPrefill(3.1, home.PrefillServer, r, true)
 		next, _ = l.PlanPrompt(3.1, inTime, nil, true)
 		Expect(next.PrefillServer).NotTo(Equal(home.PrefillServer))
 	})
@@ -366,7 +366,7 @@
 		l.pace.decode = pace{latency: 0.05, perToken: 2e-5}
 		plan, _ := l.PlanPrompt(0, prompt, nil, true)
 		r := l.StartPrefill(0, plan.PrefillServer, prompt)
-		l.EndReading(0.8, plan.PrefillServer, r, true) // there is a line of 0.3 s at its home
+		l.FinishPrefill(0.8, plan.PrefillServer, r, true) // there is a line of 0.3 s at its home
 		for range 20 {
 			plan, _ = l.PlanPrompt(0.8, prompt, nil, true)
 			Expect(plan.PrefillServer).NotTo(BeNil())
@@ -418,7 +418,7 @@
 		for i := range 30 {
 			r := l.StartPrefill(float64(i), e, prompt)
 			e.BeginAnswer(prompt)
-			l.EndReading(float64(i)+0.2, e, r, i%2 == 0)
+			l.FinishPrefill(float64(i)+0.2, e, r, i%2 == 0)
 			e.EndAnswer(prompt)
 		}
 		Expect(e.engine.tokens).To(BeNumerically("~", 0, 1e-6))
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -212,8 +212,8 @@
 	return r
 }
 
-// EndReading takes a prompt away. read tells whether it was read to its end.
-func (l *Planner) EndReading(now float64, e *Endpoint, r *Prefill, read bool) {
+// FinishPrefill takes a prompt away. read tells whether it was read to its end.
+func (l *Planner) FinishPrefill(now float64, e *Endpoint, r *Prefill, read bool) {
 	e.engine.tokens -= r.tokens
 	e.engine.readings = slices.DeleteFunc(e.engine.readings, func(other *Prefill) bool { return other == r })
 	if !read {
--- a/internal/proxy/reading.go
+++ b/internal/proxy/reading.go
@@ -47,7 +47,7 @@
 	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		reader.End()
 		if planner != nil && reading != nil {
-			planner.EndReading(now, reader, reading, verdict == Served)
+			planner.FinishPrefill(now, reader, reading, verdict == Served)
 		}
 		switch {
 		case verdict == Served:
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -194,7 +194,7 @@
 	}
 	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		if planner != nil {
-			planner.EndReading(now, r.endpoint, r.reading, read)
+			planner.FinishPrefill(now, r.endpoint, r.reading, read)
 		}
 	})
 	r.reading = nil
