--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -239,7 +239,7 @@
 			if e == nil {
 				break
 			}
-			e.Begin()
+			e.StartRequest()
 			if begun[e.ID]++; len(begun) > part {
 				for _, member := range p.members {
 					Expect(member.InFlight).To(Equal(p.most), "members first")
@@ -463,7 +463,7 @@
 		p.endpoints["i-000"].Identified("i-other")
 		p.endpoints["i-001"].Failed(60, true)
 		for range p.most {
-			p.endpoints["i-002"].Begin()
+			p.endpoints["i-002"].StartRequest()
 		}
 		Expect(p.Standing(60.1)).To(Equal(Standing{Listed: 6, Members: 6, Free: 3, Misplaced: 1, Cooling: 1, Full: 1}))
 		Expect(p.Standing(90)).To(Equal(Standing{Listed: 6, Members: 6, Misplaced: 1, Full: 1, Suspected: 4}))
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -343,8 +343,8 @@
 // load is the part of a server's slots that own requests take.
 func (e *Endpoint) load() float64 { return float64(e.InFlight) / float64(max(e.Slots, 1)) }
 
-// Begin counts an own request.
-func (e *Endpoint) Begin() { e.InFlight++ }
+// StartRequest counts an own request.
+func (e *Endpoint) StartRequest() { e.InFlight++ }
 
 // End takes it away.
 func (e *Endpoint) End() { e.InFlight-- }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -178,7 +178,7 @@
 			picked = pool.Pick(now, nil)
 		}
 		if picked != nil {
-			picked.Begin()
+			picked.StartRequest()
 		}
 		return picked != nil
 	})
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -114,9 +114,9 @@
 			return false
 		}
 		if plan = chosen; plan.PrefillServer != nil {
-			plan.PrefillServer.Begin()
+			plan.PrefillServer.StartRequest()
 		} else {
-			plan.DecodeServer.Begin()
+			plan.DecodeServer.StartRequest()
 		}
 		return true
 	})
@@ -128,7 +128,7 @@
 	var runner *placement.Endpoint
 	p.await(ctx, j, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
 		if runner = planner.PickDecodeServer(now, j.handle.zone, j.tried); runner != nil {
-			runner.Begin()
+			runner.StartRequest()
 		}
 		return runner != nil
 	})
