--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -346,8 +346,8 @@
 // StartRequest counts an own request.
 func (e *Endpoint) StartRequest() { e.InFlight++ }
 
-// End takes it away.
-func (e *Endpoint) End() { e.InFlight-- }
+// FinishRequest takes it away.
+func (e *Endpoint) FinishRequest() { e.InFlight-- }
 
 // Succeeded tells that a server served a request.
 func (e *Endpoint) Succeeded() { e.failures, e.coolUntil = 0, 0 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -328,7 +328,7 @@
 		j.runs++
 	}
 	p.state.with(func(now float64) {
-		endpoint.End()
+		endpoint.FinishRequest()
 		switch {
 		case verdict == Served:
 			endpoint.Succeeded()
--- a/internal/proxy/reading.go
+++ b/internal/proxy/reading.go
@@ -45,7 +45,7 @@
 	defer cancel()
 	handle, verdict := p.callReader(readCtx, j, reader)
 	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
-		reader.End()
+		reader.FinishRequest()
 		if planner != nil && reading != nil {
 			planner.FinishPrefill(now, reader, reading, verdict == Served)
 		}
