--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -417,7 +417,7 @@
 		e := p.endpoints["i-prefill000"]
 		for i := range 30 {
 			r := l.StartPrefill(float64(i), e, prompt)
-			e.BeginAnswer(prompt)
+			e.StartDecode(prompt)
 			l.FinishPrefill(float64(i)+0.2, e, r, i%2 == 0)
 			e.EndAnswer(prompt)
 		}
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -225,8 +225,8 @@
 	e.engine.wait, e.engine.waitAt = (seconds-l.seconds(e.Stage, r.tokens))*metPart, now
 }
 
-// BeginAnswer counts an answer that a server makes, EndAnswer takes it away.
-func (e *Endpoint) BeginAnswer(q *Prompt) { e.engine.held += float64(q.Tokens + q.MaxOutputTokens) }
+// StartDecode counts an answer that a server makes, EndAnswer takes it away.
+func (e *Endpoint) StartDecode(q *Prompt) { e.engine.held += float64(q.Tokens + q.MaxOutputTokens) }
 
 // EndAnswer takes an answer away that BeginAnswer counted.
 func (e *Endpoint) EndAnswer(q *Prompt) { e.engine.held -= float64(q.Tokens + q.MaxOutputTokens) }
