--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -419,7 +419,7 @@
 			r := l.StartPrefill(float64(i), e, prompt)
 			e.StartDecode(prompt)
 			l.FinishPrefill(float64(i)+0.2, e, r, i%2 == 0)
-			e.EndAnswer(prompt)
+			e.FinishDecode(prompt)
 		}
 		Expect(e.engine.tokens).To(BeNumerically("~", 0, 1e-6))
 		Expect(e.engine.readings).To(BeEmpty())
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -228,8 +228,8 @@
 // StartDecode counts an answer that a server makes, EndAnswer takes it away.
 func (e *Endpoint) StartDecode(q *Prompt) { e.engine.held += float64(q.Tokens + q.MaxOutputTokens) }
 
-// EndAnswer takes an answer away that BeginAnswer counted.
-func (e *Endpoint) EndAnswer(q *Prompt) { e.engine.held -= float64(q.Tokens + q.MaxOutputTokens) }
+// FinishDecode takes an answer away that BeginAnswer counted.
+func (e *Endpoint) FinishDecode(q *Prompt) { e.engine.held -= float64(q.Tokens + q.MaxOutputTokens) }
 
 // Loaded takes the figures that a server told this proxy with an answer: requests running and waiting.
 func (e *Endpoint) Loaded(now float64, running, waiting int) {
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -152,7 +152,7 @@
 	p.beginReading(j, &r)
 	if r.prompt != nil {
 		p.state.with(func(float64) { r.endpoint.StartDecode(r.prompt) })
-		defer p.state.with(func(float64) { r.endpoint.EndAnswer(r.prompt) })
+		defer p.state.with(func(float64) { r.endpoint.FinishDecode(r.prompt) })
 	}
 	got, verdict := p.exchange(ctx, j, r.endpoint, encodeRequest(j.request, j.body, j.left(), set...))
 	if verdict != Served {
