--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -210,7 +210,7 @@
 		Expect(p.usable(bad, 1.1)).To(BeFalse())
 		Expect(p.usable(bad, 1+coolMost)).To(BeTrue())
 		bad.Failed(2, true)
-		bad.Succeeded()
+		bad.RecordSuccess()
 		Expect(p.usable(bad, 2)).To(BeTrue())
 	})
 
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -349,8 +349,8 @@
 // FinishRequest takes it away.
 func (e *Endpoint) FinishRequest() { e.InFlight-- }
 
-// Succeeded tells that a server served a request.
-func (e *Endpoint) Succeeded() { e.failures, e.coolUntil = 0, 0 }
+// RecordSuccess tells that a server served a request.
+func (e *Endpoint) RecordSuccess() { e.failures, e.coolUntil = 0, 0 }
 
 // Failed tells that a request failed at a server by the server's fault. After some in a row it gets none for a while, and
 // it is probed at once.
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -331,7 +331,7 @@
 		endpoint.FinishRequest()
 		switch {
 		case verdict == Served:
-			endpoint.Succeeded()
+			endpoint.RecordSuccess()
 		case verdict == NotSent && ctx.Err() == nil:
 			endpoint.Failed(now, true)
 		case verdict == MayHaveRun && ctx.Err() == nil:
--- a/internal/proxy/reading.go
+++ b/internal/proxy/reading.go
@@ -51,7 +51,7 @@
 		}
 		switch {
 		case verdict == Served:
-			reader.Succeeded()
+			reader.RecordSuccess()
 		case ctx.Err() == nil && verdict != NotExecuted:
 			reader.Failed(now, verdict == NotSent)
 		}
