--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -204,12 +204,12 @@
 	It("leaves who fails in a row alone for a while, and goes back on proof", func() {
 		p := newPool(instances(2, ""))
 		bad := p.endpoints["i-000"]
-		bad.Failed(1, false)
+		bad.RecordFailure(1, false)
 		Expect(p.usable(bad, 1)).To(BeTrue(), "one failure proves little")
-		bad.Failed(1, false)
+		bad.RecordFailure(1, false)
 		Expect(p.usable(bad, 1.1)).To(BeFalse())
 		Expect(p.usable(bad, 1+coolMost)).To(BeTrue())
-		bad.Failed(2, true)
+		bad.RecordFailure(2, true)
 		bad.RecordSuccess()
 		Expect(p.usable(bad, 2)).To(BeTrue())
 	})
@@ -263,7 +263,7 @@
 		outside := p.outside(0, message.Decode, nil)
 		Expect(len(outside)).To(Equal(8 - len(p.members)))
 		outside[0].Draining = true
-		outside[1].Failed(0, true)
+		outside[1].RecordFailure(0, true)
 		Expect(p.outside(0, message.Decode, nil)).To(Equal(outside[2:]))
 		Expect(l.decoders(0, outside[3:])).To(Equal(outside[2:3]))
 		Expect(p.outside(0, message.Prefill, nil)).To(BeEmpty())
@@ -461,7 +461,7 @@
 		answerProbes(p, 0, 60)
 		p.SetConnections(100)
 		p.endpoints["i-000"].Identified("i-other")
-		p.endpoints["i-001"].Failed(60, true)
+		p.endpoints["i-001"].RecordFailure(60, true)
 		for range p.most {
 			p.endpoints["i-002"].StartRequest()
 		}
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -352,9 +352,9 @@
 // RecordSuccess tells that a server served a request.
 func (e *Endpoint) RecordSuccess() { e.failures, e.coolUntil = 0, 0 }
 
-// Failed tells that a request failed at a server by the server's fault. After some in a row it gets none for a while, and
+// RecordFailure tells that a request failed at a server by the server's fault. After some in a row it gets none for a while, and
 // it is probed at once.
-func (e *Endpoint) Failed(now float64, unreachable bool) {
+func (e *Endpoint) RecordFailure(now float64, unreachable bool) {
 	e.failures++
 	e.nextProbe = min(e.nextProbe, now)
 	if e.failures >= coolAfter || unreachable {
@@ -374,7 +374,7 @@
 // Misdirected tells that the server did not take a request for its own. Danger: that is the word on one request. It may go by the
 // stage, the weights or the request itself as well as by the instance, so that it holds the server back for a while and has it probed:
 // who lives at the address is told by answers that name an instance, alone.
-func (e *Endpoint) Misdirected(now float64) { e.Failed(now, true) }
+func (e *Endpoint) Misdirected(now float64) { e.RecordFailure(now, true) }
 
 // DueProbes returns the members to probe now.
 func (p *Pool) DueProbes(now float64) (due []*Endpoint) {
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -50,7 +50,7 @@
 	case 0:
 		e.Misdirected(h.now)
 	case 1:
-		e.Failed(h.now, h.rng.IntN(2) == 0)
+		e.RecordFailure(h.now, h.rng.IntN(2) == 0)
 	case 2:
 		h.other[e.ID] = !h.other[e.ID]
 	case 3: // orders, some of which come to nothing
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -333,9 +333,9 @@
 		case verdict == Served:
 			endpoint.RecordSuccess()
 		case verdict == NotSent && ctx.Err() == nil:
-			endpoint.Failed(now, true)
+			endpoint.RecordFailure(now, true)
 		case verdict == MayHaveRun && ctx.Err() == nil:
-			endpoint.Failed(now, false)
+			endpoint.RecordFailure(now, false)
 		}
 	})
 	if verdict != Served {
--- a/internal/proxy/reading.go
+++ b/internal/proxy/reading.go
@@ -53,7 +53,7 @@
 		case verdict == Served:
 			reader.RecordSuccess()
 		case ctx.Err() == nil && verdict != NotExecuted:
-			reader.Failed(now, verdict == NotSent)
+			reader.RecordFailure(now, verdict == NotSent)
 		}
 	})
 	if verdict == NotExecuted {
