--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -371,10 +371,10 @@
 	}
 }
 
-// Misdirected tells that the server did not take a request for its own. Danger: that is the word on one request. It may go by the
+// RecordMisdirected tells that the server did not take a request for its own. Danger: that is the word on one request. It may go by the
 // stage, the weights or the request itself as well as by the instance, so that it holds the server back for a while and has it probed:
 // who lives at the address is told by answers that name an instance, alone.
-func (e *Endpoint) Misdirected(now float64) { e.RecordFailure(now, true) }
+func (e *Endpoint) RecordMisdirected(now float64) { e.RecordFailure(now, true) }
 
 // DueProbes returns the members to probe now.
 func (p *Pool) DueProbes(now float64) (due []*Endpoint) {
--- a/internal/decide/placement/returns_test.go
+++ b/internal/decide/placement/returns_test.go
@@ -14,7 +14,7 @@
 func TestServerThatAnswersAsItselfReturns(t *testing.T) {
 	p := newPool(instances(1, ""))
 	e := p.endpoints["i-000"]
-	e.Misdirected(0)
+	e.RecordMisdirected(0)
 	e.Identified("i-other")
 	for now := 0.0; now < 10; now += 0.1 {
 		for _, due := range p.DueProbes(now) {
@@ -39,7 +39,7 @@
 		p := newPool(instances(2, ""))
 		answerProbes(p, 0, 20)
 		e := p.endpoints["i-000"]
-		e.Misdirected(20)
+		e.RecordMisdirected(20)
 		Expect(p.candidates(20.1, "", nil)).NotTo(ContainElement(e))
 		Expect(p.DueProbes(20.1)).To(ContainElement(e))
 		Expect(p.candidates(20.1+coolFirst, "", nil)).To(ContainElement(e))
@@ -74,7 +74,7 @@
 		p, l := newEngine(2, 2)
 		for _, e := range p.members {
 			if e.Stage == message.Decode {
-				e.Misdirected(0)
+				e.RecordMisdirected(0)
 			}
 		}
 		plan, found := l.PlanPrompt(0.1, &Prompt{Tokens: 100}, nil, false)
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -48,7 +48,7 @@
 	e := h.any()
 	switch h.rng.IntN(7) {
 	case 0:
-		e.Misdirected(h.now)
+		e.RecordMisdirected(h.now)
 	case 1:
 		e.RecordFailure(h.now, h.rng.IntN(2) == 0)
 	case 2:
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -296,7 +296,7 @@
 			endpoint.Loaded(now, running, waiting)
 		}
 		if got.answer.StatusCode == http.StatusMisdirectedRequest {
-			endpoint.Misdirected(now)
+			endpoint.RecordMisdirected(now)
 			endpoint.Identified(got.answer.Header.Get(headerInstanceID))
 		}
 	})
