--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -183,7 +183,7 @@
 		p.Update(1, list[:4])
 		p.Update(2, instances(5, "")) // an older reading
 		p.Switching(0, message.StagePlan{Stages: map[string]message.Stage{"i-001": message.Prefill}})
-		p.endpoints["i-002"].Identified("i-other")
+		p.endpoints["i-002"].RecordIdentity("i-other")
 		for range 100 {
 			Expect(p.Pick(2, nil).ID).To(Equal("i-003"))
 		}
@@ -460,7 +460,7 @@
 		p.Place(0, 1)
 		answerProbes(p, 0, 60)
 		p.SetConnections(100)
-		p.endpoints["i-000"].Identified("i-other")
+		p.endpoints["i-000"].RecordIdentity("i-other")
 		p.endpoints["i-001"].RecordFailure(60, true)
 		for range p.most {
 			p.endpoints["i-002"].StartRequest()
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -363,9 +363,9 @@
 	}
 }
 
-// Identified takes the instance that an answer from the server's address names, "" where it names none. Another instance's keeps
+// RecordIdentity takes the instance that an answer from the server's address names, "" where it names none. Another instance's keeps
 // requests away until this one's own is heard again.
-func (e *Endpoint) Identified(instance string) {
+func (e *Endpoint) RecordIdentity(instance string) {
 	if instance != "" {
 		e.misplaced = instance != e.ID
 	}
--- a/internal/decide/placement/returns_test.go
+++ b/internal/decide/placement/returns_test.go
@@ -15,10 +15,10 @@
 	p := newPool(instances(1, ""))
 	e := p.endpoints["i-000"]
 	e.RecordMisdirected(0)
-	e.Identified("i-other")
+	e.RecordIdentity("i-other")
 	for now := 0.0; now < 10; now += 0.1 {
 		for _, due := range p.DueProbes(now) {
-			due.Identified(due.ID)
+			due.RecordIdentity(due.ID)
 			due.Probed(now, true)
 		}
 	}
@@ -57,7 +57,7 @@
 					continue
 				}
 				probes++
-				e.Identified("i-other")
+				e.RecordIdentity("i-other")
 				e.Probed(now, false)
 			}
 			if probes > 0 {
@@ -65,7 +65,7 @@
 			}
 		}
 		Expect(probes).To(BeNumerically("~", 45/ProbeEvery, 1.1))
-		e.Identified(e.ID)
+		e.RecordIdentity(e.ID)
 		e.Probed(65, true)
 		Expect(p.candidates(65, "", nil)).To(ContainElement(e))
 	})
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -78,7 +78,7 @@
 				if h.other[e.ID] {
 					instance = "i-other"
 				}
-				e.Identified(instance)
+				e.RecordIdentity(instance)
 				e.Probed(h.now, instance == e.ID)
 			}
 		}
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -297,7 +297,7 @@
 		}
 		if got.answer.StatusCode == http.StatusMisdirectedRequest {
 			endpoint.RecordMisdirected(now)
-			endpoint.Identified(got.answer.Header.Get(headerInstanceID))
+			endpoint.RecordIdentity(got.answer.Header.Get(headerInstanceID))
 		}
 	})
 	return got, Served
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -67,7 +67,7 @@
 	header, status := p.askHealth(ctx, target)
 	p.state.with(func(now float64) {
 		instance := header.Get(headerInstanceID)
-		target.endpoint.Identified(instance)
+		target.endpoint.RecordIdentity(instance)
 		alive := status == http.StatusOK && (instance == "" || instance == target.id)
 		if running, waiting, ok := serverLoad(header); ok {
 			target.endpoint.Loaded(now, running, waiting)
