--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -38,7 +38,7 @@
 			for _, id := range silent {
 				answered = answered && e.ID != id
 			}
-			e.Probed(now, answered)
+			e.RecordProbe(now, answered)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 		for now := 0.0; now < 100; now += 0.1 {
 			for _, e := range p.DueProbes(now) {
 				last[e.ID] = now
-				e.Probed(now, true)
+				e.RecordProbe(now, true)
 			}
 			for id := range p.endpoints {
 				Expect(now-last[id]).To(BeNumerically("<=", 5), id)
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -388,8 +388,8 @@
 	return due
 }
 
-// Probed takes what came of a probe.
-func (e *Endpoint) Probed(now float64, answered bool) {
+// RecordProbe takes what came of a probe.
+func (e *Endpoint) RecordProbe(now float64, answered bool) {
 	e.probing = false
 	if answered {
 		e.window.arrive(now)
--- a/internal/decide/placement/returns_test.go
+++ b/internal/decide/placement/returns_test.go
@@ -19,7 +19,7 @@
 	for now := 0.0; now < 10; now += 0.1 {
 		for _, due := range p.DueProbes(now) {
 			due.RecordIdentity(due.ID)
-			due.Probed(now, true)
+			due.RecordProbe(now, true)
 		}
 	}
 	if p.Pick(10, nil) == nil {
@@ -53,12 +53,12 @@
 		for now := 20.0; now < 65; now += 0.1 {
 			for _, due := range p.DueProbes(now) {
 				if due != e {
-					due.Probed(now, true)
+					due.RecordProbe(now, true)
 					continue
 				}
 				probes++
 				e.RecordIdentity("i-other")
-				e.Probed(now, false)
+				e.RecordProbe(now, false)
 			}
 			if probes > 0 {
 				Expect(p.Pick(now, nil)).NotTo(Equal(e))
@@ -66,7 +66,7 @@
 		}
 		Expect(probes).To(BeNumerically("~", 45/ProbeEvery, 1.1))
 		e.RecordIdentity(e.ID)
-		e.Probed(65, true)
+		e.RecordProbe(65, true)
 		Expect(p.candidates(65, "", nil)).To(ContainElement(e))
 	})
 
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -79,7 +79,7 @@
 					instance = "i-other"
 				}
 				e.RecordIdentity(instance)
-				e.Probed(h.now, instance == e.ID)
+				e.RecordProbe(h.now, instance == e.ID)
 			}
 		}
 		if h.host.noRevisit {
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -72,7 +72,7 @@
 		if running, waiting, ok := serverLoad(header); ok {
 			target.endpoint.Loaded(now, running, waiting)
 		}
-		target.endpoint.Probed(now, alive)
+		target.endpoint.RecordProbe(now, alive)
 	})
 }
 
