--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -395,7 +395,7 @@
 		p := newPool(list)
 		p.Engine = engine
 		e := p.endpoints["i-decode001"]
-		e.Loaded(10, 3, 1)
+		e.RecordLoad(10, 3, 1)
 		p.SetLoads(10.5, []message.Load{{InstanceKey: e.key, Running: 9, Waiting: 2, AgeMs: 100}})
 		p.SetLoads(10.6, []message.Load{{InstanceKey: e.key, Running: 1, Waiting: 0, AgeMs: 900}})
 		Expect(e.engine.running).To(Equal(9))
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -231,8 +231,8 @@
 // FinishDecode takes an answer away that BeginAnswer counted.
 func (e *Endpoint) FinishDecode(q *Prompt) { e.engine.held -= float64(q.Tokens + q.MaxOutputTokens) }
 
-// Loaded takes the figures that a server told this proxy with an answer: requests running and waiting.
-func (e *Endpoint) Loaded(now float64, running, waiting int) {
+// RecordLoad takes the figures that a server told this proxy with an answer: requests running and waiting.
+func (e *Endpoint) RecordLoad(now float64, running, waiting int) {
 	e.engine.load(now, running, waiting)
 	e.engine.untold = true
 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -293,7 +293,7 @@
 	}
 	p.state.with(func(now float64) {
 		if running, waiting, ok := serverLoad(got.answer.Header); ok {
-			endpoint.Loaded(now, running, waiting)
+			endpoint.RecordLoad(now, running, waiting)
 		}
 		if got.answer.StatusCode == http.StatusMisdirectedRequest {
 			endpoint.RecordMisdirected(now)
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -70,7 +70,7 @@
 		target.endpoint.RecordIdentity(instance)
 		alive := status == http.StatusOK && (instance == "" || instance == target.id)
 		if running, waiting, ok := serverLoad(header); ok {
-			target.endpoint.Loaded(now, running, waiting)
+			target.endpoint.RecordLoad(now, running, waiting)
 		}
 		target.endpoint.RecordProbe(now, alive)
 	})
