--- a/internal/decide/placement/health.go
+++ b/internal/decide/placement/health.go
@@ -12,8 +12,8 @@
 	// sigmaFloor and sigmaCap clamp sigma, as parts of the mean gap.
 	sigmaFloor = 0.1
 	sigmaCap   = 0.3
-	// ProbeEvery is the time between probes of a server, in seconds. The design asks for five at most.
-	ProbeEvery = 4.8
+	// ProbeIntervalSeconds is the time between probes of a server, in seconds. The design asks for five at most.
+	ProbeIntervalSeconds = 4.8
 	// probeAgain is the time to the next probe of a server that failed lately, in seconds.
 	probeAgain = 0.5
 )
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -128,7 +128,7 @@
 		p := newPool(instances(3, ""))
 		answerProbes(p, 0, 60)
 		for _, e := range p.endpoints {
-			e.window.seed(60, ProbeEvery)
+			e.window.seed(60, ProbeIntervalSeconds)
 		}
 		p.endpoints["i-001"].window.last += 1
 		for range 50 {
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -137,7 +137,7 @@
 	if known == nil {
 		known = &Endpoint{key: message.InstanceKey(listed.ID)}
 		known.window.seed(now, p.meanGap())
-		known.nextProbe = now + p.rng.Float64()*ProbeEvery
+		known.nextProbe = now + p.rng.Float64()*ProbeIntervalSeconds
 		p.endpoints[listed.ID] = known
 	}
 	draining := known.Draining || listed.Draining
@@ -148,7 +148,7 @@
 // meanGap is the mean of all windows.
 func (p *Pool) meanGap() float64 {
 	if len(p.endpoints) == 0 {
-		return ProbeEvery
+		return ProbeIntervalSeconds
 	}
 	sum := 0.0
 	for _, endpoint := range p.endpoints {
@@ -381,7 +381,7 @@
 	for _, e := range p.members {
 		if !e.probing && now >= e.nextProbe {
 			e.probing = true
-			e.nextProbe = now + ProbeEvery
+			e.nextProbe = now + ProbeIntervalSeconds
 			due = append(due, e)
 		}
 	}
--- a/internal/decide/placement/returns_test.go
+++ b/internal/decide/placement/returns_test.go
@@ -64,7 +64,7 @@
 				Expect(p.Pick(now, nil)).NotTo(Equal(e))
 			}
 		}
-		Expect(probes).To(BeNumerically("~", 45/ProbeEvery, 1.1))
+		Expect(probes).To(BeNumerically("~", 45/ProbeIntervalSeconds, 1.1))
 		e.RecordIdentity(e.ID)
 		e.RecordProbe(65, true)
 		Expect(p.candidates(65, "", nil)).To(ContainElement(e))
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -103,7 +103,7 @@
 	h.pool.Switching(h.now, h.plan)
 	clear(h.other)
 	h.pool.Place(0, 1)
-	h.pass(goneFor + h.pool.Engine.SwitchSeconds + switchMargin + 2*ProbeEvery)
+	h.pass(goneFor + h.pool.Engine.SwitchSeconds + switchMargin + 2*ProbeIntervalSeconds)
 	if s := h.pool.Standing(h.now); s.Free != len(h.list) {
 		return fmt.Sprintf("%+v", s)
 	}
