--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -48,7 +48,7 @@
 		uses := map[string]int{}
 		for rank := range proxies {
 			p := newPool(instances(servers, ""))
-			p.Place(rank, proxies)
+			p.SetRank(rank, proxies)
 			for _, e := range p.members {
 				uses[e.ID]++
 			}
@@ -68,7 +68,7 @@
 		uses := map[string]int{}
 		for rank := range proxies {
 			p := newPool(instances(servers, ""))
-			p.Place(rank, proxies)
+			p.SetRank(rank, proxies)
 			p.SetConnections(connections)
 			Expect(len(p.members)).To(BeNumerically(">=", leastMembers))
 			for _, e := range p.members {
@@ -84,7 +84,7 @@
 	It("bound nothing where a service takes many or does not tell", func() {
 		for _, connections := range []int{0, 500} {
 			p := newPool(instances(8, ""))
-			p.Place(3, 9)
+			p.SetRank(3, 9)
 			p.SetConnections(connections)
 			Expect(len(p.members)).To(BeNumerically(">=", subsetFloor))
 		}
@@ -191,7 +191,7 @@
 
 	It("takes others into its subset while servers change their stage", func() {
 		p := newPool(instances(60, ""))
-		p.Place(0, 60)
+		p.SetRank(0, 60)
 		stages := map[string]message.Stage{}
 		for _, e := range p.members {
 			stages[e.ID] = message.Prefill
@@ -216,7 +216,7 @@
 
 	It("keeps within the connections of a server", func() {
 		p := newPool(instances(1, ""))
-		p.Place(0, 10)
+		p.SetRank(0, 10)
 		p.SetConnections(50)
 		only := p.endpoints["i-000"]
 		only.InFlight = 3
@@ -229,7 +229,7 @@
 var _ = Describe("a proxy whose part of the servers is full", func() {
 	It("uses the others before it refuses anything, each within its connections", func() {
 		p := newPool(instances(20, ""))
-		p.Place(3, 50)
+		p.SetRank(3, 50)
 		p.SetConnections(200)
 		part := len(p.members)
 		Expect(part).To(BeNumerically("<", 20))
@@ -254,7 +254,7 @@
 
 	It("passes over others that drain, change their stage, cool down or have failed the request", func() {
 		p := newPool(instances(8, message.Decode))
-		p.Place(0, 100)
+		p.SetRank(0, 100)
 		p.SetConnections(100)
 		l := NewPlanner(p, 60)
 		for _, member := range p.members {
@@ -307,7 +307,7 @@
 		for rank := range 6 {
 			p := newPool(list)
 			p.Engine = engine
-			p.Place(rank, 6)
+			p.SetRank(rank, 6)
 			plan, ok := NewPlanner(p, 8).PlanPrompt(0, prompt, nil, true)
 			Expect(ok).To(BeTrue())
 			Expect(plan.PrefillServer).NotTo(BeNil())
@@ -457,7 +457,7 @@
 var _ = Describe("the standing of a pool", func() {
 	It("counts each member once, by why it is not chosen", func() {
 		p := newPool(instances(6, ""))
-		p.Place(0, 1)
+		p.SetRank(0, 1)
 		answerProbes(p, 0, 60)
 		p.SetConnections(100)
 		p.endpoints["i-000"].RecordIdentity("i-other")
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -74,8 +74,8 @@
 	return &Pool{Service: service, Zone: zone, Budget: budget, rng: rng, endpoints: map[string]*Endpoint{}, gone: map[string]float64{}, count: 1}
 }
 
-// Place tells the proxy's number among so many.
-func (p *Pool) Place(rank, count int) {
+// SetRank tells the proxy's number among so many.
+func (p *Pool) SetRank(rank, count int) {
 	if count > 0 && (rank != p.rank || count != p.count) {
 		p.rank, p.count = rank, count
 		p.subset()
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -64,7 +64,7 @@
 		h.pool.Update(h.now, h.list)
 		h.pool.Switching(h.now, h.plan)
 	case 6:
-		h.pool.Place(h.rng.IntN(3), 1+h.rng.IntN(3))
+		h.pool.SetRank(h.rng.IntN(3), 1+h.rng.IntN(3))
 	}
 }
 
@@ -102,7 +102,7 @@
 	h.pool.Update(h.now, h.list) // the last word on the list; nothing new is told from here on
 	h.pool.Switching(h.now, h.plan)
 	clear(h.other)
-	h.pool.Place(0, 1)
+	h.pool.SetRank(0, 1)
 	h.pass(goneFor + h.pool.Engine.SwitchSeconds + switchMargin + 2*ProbeIntervalSeconds)
 	if s := h.pool.Standing(h.now); s.Free != len(h.list) {
 		return fmt.Sprintf("%+v", s)
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -73,7 +73,7 @@
 	}
 	now := s.now()
 	for name, pool := range s.pools {
-		pool.Place(s.rank, s.count)
+		pool.SetRank(s.rank, s.count)
 		if feed.List != nil || feed.Plan != nil || table != nil {
 			s.look(now, pool)
 		}
@@ -144,7 +144,7 @@
 	bounds := s.settings.Bounds
 	budget := placement.Budget{WindowS: bounds.BudgetWindowSeconds, Ratio: bounds.RetryBudgetRatio, Slack: bounds.BudgetSlack}
 	pool := placement.NewPool(name, s.settings.Zone, budget, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	pool.Place(s.rank, s.count)
+	pool.SetRank(s.rank, s.count)
 	pool.Update(s.now(), s.list)
 	return pool
 }
