--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// Count returns the number of proxies that is known of.
-func (p *Pool) Count() int { return p.count }
+// ProxyCount returns the number of proxies that is known of.
+func (p *Pool) ProxyCount() int { return p.count }
 
 // SetConnections tells how many connections a server takes from all callers together.
 func (p *Pool) SetConnections(most int) {
