--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -69,7 +69,7 @@
 		for rank := range proxies {
 			p := newPool(instances(servers, ""))
 			p.SetRank(rank, proxies)
-			p.SetConnections(connections)
+			p.SetMaxConnections(connections)
 			Expect(len(p.members)).To(BeNumerically(">=", leastMembers))
 			for _, e := range p.members {
 				uses[e.ID]++
@@ -85,7 +85,7 @@
 		for _, connections := range []int{0, 500} {
 			p := newPool(instances(8, ""))
 			p.SetRank(3, 9)
-			p.SetConnections(connections)
+			p.SetMaxConnections(connections)
 			Expect(len(p.members)).To(BeNumerically(">=", subsetFloor))
 		}
 	})
@@ -217,7 +217,7 @@
 	It("keeps within the connections of a server", func() {
 		p := newPool(instances(1, ""))
 		p.SetRank(0, 10)
-		p.SetConnections(50)
+		p.SetMaxConnections(50)
 		only := p.endpoints["i-000"]
 		only.InFlight = 3
 		Expect(p.Pick(0, nil)).NotTo(BeNil())
@@ -230,7 +230,7 @@
 	It("uses the others before it refuses anything, each within its connections", func() {
 		p := newPool(instances(20, ""))
 		p.SetRank(3, 50)
-		p.SetConnections(200)
+		p.SetMaxConnections(200)
 		part := len(p.members)
 		Expect(part).To(BeNumerically("<", 20))
 		begun := map[string]int{}
@@ -255,7 +255,7 @@
 	It("passes over others that drain, change their stage, cool down or have failed the request", func() {
 		p := newPool(instances(8, message.Decode))
 		p.SetRank(0, 100)
-		p.SetConnections(100)
+		p.SetMaxConnections(100)
 		l := NewPlanner(p, 60)
 		for _, member := range p.members {
 			member.InFlight = p.most
@@ -459,7 +459,7 @@
 		p := newPool(instances(6, ""))
 		p.SetRank(0, 1)
 		answerProbes(p, 0, 60)
-		p.SetConnections(100)
+		p.SetMaxConnections(100)
 		p.endpoints["i-000"].RecordIdentity("i-other")
 		p.endpoints["i-001"].RecordFailure(60, true)
 		for range p.most {
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -85,8 +85,8 @@
 // ProxyCount returns the number of proxies that is known of.
 func (p *Pool) ProxyCount() int { return p.count }
 
-// SetConnections tells how many connections a server takes from all callers together.
-func (p *Pool) SetConnections(most int) {
+// SetMaxConnections tells how many connections a server takes from all callers together.
+func (p *Pool) SetMaxConnections(most int) {
 	if most != p.connections {
 		p.connections = most
 		p.subset()
--- a/internal/proxy/plain_test.go
+++ b/internal/proxy/plain_test.go
@@ -69,7 +69,7 @@
 			one.setCrowded(crowdedFirst)
 			two.setCrowded(!crowdedFirst)
 			p, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
-			p.state.do("s", func(_ float64, pool *placement.Pool, _ *placement.Planner) { pool.SetConnections(2) })
+			p.state.do("s", func(_ float64, pool *placement.Pool, _ *placement.Planner) { pool.SetMaxConnections(2) })
 			for n := range 6 {
 				answer, _, err := ask(front, headerRequestID, fmt.Sprint("id-", n))
 				Expect(err).NotTo(HaveOccurred())
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -78,7 +78,7 @@
 			s.look(now, pool)
 		}
 		if service := s.table.services[name]; service != nil {
-			pool.SetConnections(service.MaxConnections)
+			pool.SetMaxConnections(service.MaxConnections)
 		}
 	}
 	for _, pool := range s.pools {
