--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// FewConnections tells whether two connections of each proxy would be more than a server takes: those of processes that have lost power
+// HasFewConnections tells whether two connections of each proxy would be more than a server takes: those of processes that have lost power
 // may still be there beside the ones of the processes that came back.
-func (p *Pool) FewConnections() bool { return p.connections > 0 && 2*p.count >= p.connections }
+func (p *Pool) HasFewConnections() bool { return p.connections > 0 && 2*p.count >= p.connections }
 
 // Update takes a reading of the list. Draining never ends but by leaving, and who has left does not come back.
 func (p *Pool) Update(now float64, instances []message.Instance) {
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -113,7 +113,7 @@
 	target, scarce := dueProbe{host: j.service}, false
 	p.state.do(j.service, func(_ float64, pool *placement.Pool, _ *placement.Planner) {
 		if service := p.state.table.services[j.service]; service != nil && pool != nil {
-			target.healthPath, scarce = service.HealthPath, pool.FewConnections()
+			target.healthPath, scarce = service.HealthPath, pool.HasFewConnections()
 		}
 	})
 	if !scarce || target.healthPath == "" {
