--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -26,7 +26,7 @@
 
 func newPool(list []message.Instance) *Pool {
 	p := NewPool("s", "z0", Budget{WindowS: 10, Ratio: 0.2, Slack: 50}, rand.New(rand.NewPCG(1, 1)))
-	p.Update(0, list)
+	p.UpdateInstances(0, list)
 	return p
 }
 
@@ -147,7 +147,7 @@
 	It("seeds who comes with the mean of the others", func() {
 		p := newPool(instances(3, ""))
 		answerProbes(p, 0, 60)
-		p.Update(60, instances(4, ""))
+		p.UpdateInstances(60, instances(4, ""))
 		Expect(p.endpoints["i-003"].window.mean()).To(BeNumerically("~", p.endpoints["i-000"].window.mean(), 0.5))
 		Expect(p.endpoints["i-003"].window.phi(60)).To(BeNumerically("<", phiHalf))
 	})
@@ -180,8 +180,8 @@
 		p := newPool(instances(5, ""))
 		list := instances(5, "")
 		list[0].Draining = true
-		p.Update(1, list[:4])
-		p.Update(2, instances(5, "")) // an older reading
+		p.UpdateInstances(1, list[:4])
+		p.UpdateInstances(2, instances(5, "")) // an older reading
 		p.Switching(0, message.StagePlan{Stages: map[string]message.Stage{"i-001": message.Prefill}})
 		p.endpoints["i-002"].RecordIdentity("i-other")
 		for range 100 {
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -101,8 +101,8 @@
 // may still be there beside the ones of the processes that came back.
 func (p *Pool) HasFewConnections() bool { return p.connections > 0 && 2*p.count >= p.connections }
 
-// Update takes a reading of the list. Draining never ends but by leaving, and who has left does not come back.
-func (p *Pool) Update(now float64, instances []message.Instance) {
+// UpdateInstances takes a reading of the list. Draining never ends but by leaving, and who has left does not come back.
+func (p *Pool) UpdateInstances(now float64, instances []message.Instance) {
 	for id, at := range p.gone {
 		if now-at > goneFor {
 			delete(p.gone, id)
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -58,10 +58,10 @@
 			Stages: map[string]message.Stage{e.ID: message.Prefill, h.any().ID: message.Decode}}
 		h.pool.Switching(h.now, h.plan)
 	case 4: // a reading in which a server is missing
-		h.pool.Update(h.now, slices.DeleteFunc(slices.Clone(h.list), func(i message.Instance) bool { return i.ID == e.ID }))
+		h.pool.UpdateInstances(h.now, slices.DeleteFunc(slices.Clone(h.list), func(i message.Instance) bool { return i.ID == e.ID }))
 		h.pool.Switching(h.now, h.plan)
 	case 5:
-		h.pool.Update(h.now, h.list)
+		h.pool.UpdateInstances(h.now, h.list)
 		h.pool.Switching(h.now, h.plan)
 	case 6:
 		h.pool.SetRank(h.rng.IntN(3), 1+h.rng.IntN(3))
@@ -87,7 +87,7 @@
 		}
 		h.pool.Expire(h.now)
 		if h.pool.Returning(h.now) {
-			h.pool.Update(h.now, h.list)
+			h.pool.UpdateInstances(h.now, h.list)
 			h.pool.Switching(h.now, h.plan)
 		}
 	}
@@ -99,7 +99,7 @@
 		h.meet()
 		h.pass(h.rng.ExpFloat64() * 1.5)
 	}
-	h.pool.Update(h.now, h.list) // the last word on the list; nothing new is told from here on
+	h.pool.UpdateInstances(h.now, h.list) // the last word on the list; nothing new is told from here on
 	h.pool.Switching(h.now, h.plan)
 	clear(h.other)
 	h.pool.SetRank(0, 1)
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -93,7 +93,7 @@
 
 // look has a pool go by the list and the plan that were told last.
 func (s *state) look(now float64, pool *placement.Pool) {
-	pool.Update(now, s.list)
+	pool.UpdateInstances(now, s.list)
 	pool.Switching(now, s.plan)
 }
 
@@ -145,7 +145,7 @@
 	budget := placement.Budget{WindowS: bounds.BudgetWindowSeconds, Ratio: bounds.RetryBudgetRatio, Slack: bounds.BudgetSlack}
 	pool := placement.NewPool(name, s.settings.Zone, budget, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	pool.SetRank(s.rank, s.count)
-	pool.Update(s.now(), s.list)
+	pool.UpdateInstances(s.now(), s.list)
 	return pool
 }
 
