--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -157,8 +157,8 @@
 	return sum / float64(len(p.endpoints))
 }
 
-// Returning tells whether an instance that was taken to be gone for long enough could come back with the next Update.
-func (p *Pool) Returning(now float64) bool {
+// CanReadmit tells whether an instance that was taken to be gone for long enough could come back with the next Update.
+func (p *Pool) CanReadmit(now float64) bool {
 	for _, at := range p.gone {
 		if now-at > goneFor {
 			return true
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -86,7 +86,7 @@
 			continue
 		}
 		h.pool.Expire(h.now)
-		if h.pool.Returning(h.now) {
+		if h.pool.CanReadmit(h.now) {
 			h.pool.UpdateInstances(h.now, h.list)
 			h.pool.Switching(h.now, h.plan)
 		}
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -104,7 +104,7 @@
 	now := s.now()
 	for _, pool := range s.pools {
 		pool.Expire(now)
-		if pool.Returning(now) {
+		if pool.CanReadmit(now) {
 			s.look(now, pool)
 		}
 	}
