--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -209,9 +209,9 @@
 	return !e.Draining && !e.misplaced && !e.switching.on && now >= e.coolUntil && (p.most == 0 || e.InFlight < p.most)
 }
 
-// Standing counts the servers of a pool, and its members by why they are not chosen now. A member counts once, by the first reason
+// Status counts the servers of a pool, and its members by why they are not chosen now. A member counts once, by the first reason
 // that holds.
-type Standing struct {
+type Status struct {
 	Listed    int
 	Draining  int // of those listed
 	Switching int // of those listed: they are changing their stage
@@ -224,8 +224,8 @@
 }
 
 // Standing tells how the members stand now.
-func (p *Pool) Standing(now float64) Standing {
-	s := Standing{Listed: len(p.endpoints), Members: len(p.members)}
+func (p *Pool) Standing(now float64) Status {
+	s := Status{Listed: len(p.endpoints), Members: len(p.members)}
 	for _, e := range p.endpoints {
 		switch {
 		case e.Draining:
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -148,7 +148,7 @@
 // logUnserved tells how many requests were not served, and why the servers of their services were not chosen.
 func (p *Proxy) logUnserved(now time.Time) {
 	for service, counts := range p.observed.due(now) {
-		var standing placement.Standing
+		var standing placement.Status
 		p.state.do(service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
 			if pool != nil {
 				standing = pool.Standing(now)
