--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -223,8 +223,8 @@
 	Suspected int // probes were not answered for too long
 }
 
-// Standing tells how the members stand now.
-func (p *Pool) Standing(now float64) Status {
+// Status tells how the members stand now.
+func (p *Pool) Status(now float64) Status {
 	s := Status{Listed: len(p.endpoints), Members: len(p.members)}
 	for _, e := range p.endpoints {
 		switch {
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -151,7 +151,7 @@
 		var standing placement.Status
 		p.state.do(service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
 			if pool != nil {
-				standing = pool.Standing(now)
+				standing = pool.Status(now)
 			}
 		})
 		p.log.WithField("service", service).WithField("refused", counts.Refused).WithField("broken_off", counts.BrokenOff).
