--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -216,7 +216,7 @@
 	Draining  int // of those listed
 	Switching int // of those listed: they are changing their stage
 	Members   int // of the proxy's subset
-	Free      int // members that may be chosen
+	Available int // members that may be chosen
 	Misplaced int // another instance answered at the address
 	Cooling   int // requests failed there lately
 	Full      int // as many own requests are under way as connections are allowed
@@ -245,7 +245,7 @@
 		case e.window.phi(now) > phiOut:
 			s.Suspected++
 		default:
-			s.Free++
+			s.Available++
 		}
 	}
 	return s
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -104,7 +104,7 @@
 	clear(h.other)
 	h.pool.SetRank(0, 1)
 	h.pass(goneFor + h.pool.Engine.SwitchSeconds + switchMargin + 2*ProbeIntervalSeconds)
-	if s := h.pool.Status(h.now); s.Free != len(h.list) {
+	if s := h.pool.Status(h.now); s.Available != len(h.list) {
 		return fmt.Sprintf("%+v", s)
 	}
 	return ""
