--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -212,15 +212,15 @@
 // Status counts the servers of a pool, and its members by why they are not chosen now. A member counts once, by the first reason
 // that holds.
 type Status struct {
-	Listed    int
-	Draining  int // of those listed
-	Switching int // of those listed: they are changing their stage
-	Members   int // of the proxy's subset
-	Available int // members that may be chosen
-	Misplaced int // another instance answered at the address
-	Cooling   int // requests failed there lately
-	Full      int // as many own requests are under way as connections are allowed
-	Suspected int // probes were not answered for too long
+	Listed        int
+	Draining      int // of those listed
+	Switching     int // of those listed: they are changing their stage
+	Members       int // of the proxy's subset
+	Available     int // members that may be chosen
+	WrongInstance int // another instance answered at the address
+	Cooling       int // requests failed there lately
+	Full          int // as many own requests are under way as connections are allowed
+	Suspected     int // probes were not answered for too long
 }
 
 // Status tells how the members stand now.
@@ -237,7 +237,7 @@
 	for _, e := range p.members {
 		switch {
 		case e.misplaced:
-			s.Misplaced++
+			s.WrongInstance++
 		case now < e.coolUntil:
 			s.Cooling++
 		case p.most > 0 && e.InFlight >= p.most:
