--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -465,7 +465,7 @@
 		for range p.most {
 			p.endpoints["i-002"].StartRequest()
 		}
-		Expect(p.Status(60.1)).To(Equal(Status{Listed: 6, Members: 6, Available: 3, WrongInstance: 1, Cooling: 1, Full: 1}))
+		Expect(p.Status(60.1)).To(Equal(Status{Listed: 6, Members: 6, Available: 3, WrongInstance: 1, Ejected: 1, Full: 1}))
 		Expect(p.Status(90)).To(Equal(Status{Listed: 6, Members: 6, WrongInstance: 1, Full: 1, Suspected: 4}))
 	})
 })
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -218,7 +218,7 @@
 	Members       int // of the proxy's subset
 	Available     int // members that may be chosen
 	WrongInstance int // another instance answered at the address
-	Cooling       int // requests failed there lately
+	Ejected       int // requests failed there lately
 	Full          int // as many own requests are under way as connections are allowed
 	Suspected     int // probes were not answered for too long
 }
@@ -239,7 +239,7 @@
 		case e.misplaced:
 			s.WrongInstance++
 		case now < e.coolUntil:
-			s.Cooling++
+			s.Ejected++
 		case p.most > 0 && e.InFlight >= p.most:
 			s.Full++
 		case e.window.phi(now) > phiOut:
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -157,7 +157,7 @@
 		p.log.WithField("service", service).WithField("refused", counts.Refused).WithField("broken_off", counts.BrokenOff).
 			WithField("out_of_time", counts.OutOfTime).WithField("listed", standing.Listed).WithField("draining", standing.Draining).
 			WithField("switching", standing.Switching).WithField("members", standing.Members).WithField("free", standing.Available).
-			WithField("misplaced", standing.WrongInstance).WithField("cooling", standing.Cooling).WithField("full", standing.Full).
+			WithField("misplaced", standing.WrongInstance).WithField("cooling", standing.Ejected).WithField("full", standing.Full).
 			WithField("suspected", standing.Suspected).Warn("requests not served")
 	}
 }
