--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -182,7 +182,7 @@
 		list[0].Draining = true
 		p.UpdateInstances(1, list[:4])
 		p.UpdateInstances(2, instances(5, "")) // an older reading
-		p.Switching(0, message.StagePlan{Stages: map[string]message.Stage{"i-001": message.Prefill}})
+		p.ApplyStagePlan(0, message.StagePlan{Stages: map[string]message.Stage{"i-001": message.Prefill}})
 		p.endpoints["i-002"].RecordIdentity("i-other")
 		for range 100 {
 			Expect(p.Pick(2, nil).ID).To(Equal("i-003"))
@@ -196,7 +196,7 @@
 		for _, e := range p.members {
 			stages[e.ID] = message.Prefill
 		}
-		p.Switching(0, message.StagePlan{Stages: stages})
+		p.ApplyStagePlan(0, message.StagePlan{Stages: stages})
 		Expect(p.Pick(0, nil)).NotTo(BeNil())
 		Expect(stages).NotTo(HaveKey(p.Pick(0, nil).ID))
 	})
--- a/internal/decide/placement/returns_test.go
+++ b/internal/decide/placement/returns_test.go
@@ -92,15 +92,15 @@
 		p, _ := newEngine(0, 4)
 		p.Engine.SwitchSeconds = 2
 		for now := 0.0; now < 2+switchMargin; now += 0.5 {
-			p.Switching(now, plan)
+			p.ApplyStagePlan(now, plan)
 			Expect(p.members).NotTo(ContainElement(e(p)))
 		}
 		Expect(p.Expire(2+switchMargin)).To(BeTrue(), "without another word of the holder")
 		Expect(p.members).To(ContainElement(e(p)))
-		p.Switching(20, plan)
+		p.ApplyStagePlan(20, plan)
 		Expect(p.members).To(ContainElement(e(p)))
 		plan.Token = 2
-		p.Switching(21, plan)
+		p.ApplyStagePlan(21, plan)
 		Expect(p.members).NotTo(ContainElement(e(p)), "another holder has ordered it anew")
 	})
 })
--- a/internal/decide/placement/switching.go
+++ b/internal/decide/placement/switching.go
@@ -14,9 +14,9 @@
 	until float64       // for how long the plan is believed, 0: it names no change
 }
 
-// Switching takes the plan of the holder of the role. A change that it names keeps the server out of the choice until the list shows
+// ApplyStagePlan takes the plan of the holder of the role. A change that it names keeps the server out of the choice until the list shows
 // it, for as long as a change may take from when this proxy first heard of it.
-func (p *Pool) Switching(now float64, plan message.StagePlan) {
+func (p *Pool) ApplyStagePlan(now float64, plan message.StagePlan) {
 	for id, e := range p.endpoints {
 		stage, ordered := plan.Stages[id]
 		s := &e.switching
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -56,13 +56,13 @@
 	case 3: // orders, some of which come to nothing
 		h.plan = message.StagePlan{Token: h.plan.Token + uint64(h.rng.IntN(2)), Sequence: h.plan.Sequence + 1,
 			Stages: map[string]message.Stage{e.ID: message.Prefill, h.any().ID: message.Decode}}
-		h.pool.Switching(h.now, h.plan)
+		h.pool.ApplyStagePlan(h.now, h.plan)
 	case 4: // a reading in which a server is missing
 		h.pool.UpdateInstances(h.now, slices.DeleteFunc(slices.Clone(h.list), func(i message.Instance) bool { return i.ID == e.ID }))
-		h.pool.Switching(h.now, h.plan)
+		h.pool.ApplyStagePlan(h.now, h.plan)
 	case 5:
 		h.pool.UpdateInstances(h.now, h.list)
-		h.pool.Switching(h.now, h.plan)
+		h.pool.ApplyStagePlan(h.now, h.plan)
 	case 6:
 		h.pool.SetRank(h.rng.IntN(3), 1+h.rng.IntN(3))
 	}
@@ -88,7 +88,7 @@
 		h.pool.Expire(h.now)
 		if h.pool.CanReadmit(h.now) {
 			h.pool.UpdateInstances(h.now, h.list)
-			h.pool.Switching(h.now, h.plan)
+			h.pool.ApplyStagePlan(h.now, h.plan)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 		h.pass(h.rng.ExpFloat64() * 1.5)
 	}
 	h.pool.UpdateInstances(h.now, h.list) // the last word on the list; nothing new is told from here on
-	h.pool.Switching(h.now, h.plan)
+	h.pool.ApplyStagePlan(h.now, h.plan)
 	clear(h.other)
 	h.pool.SetRank(0, 1)
 	h.pass(goneFor + h.pool.Engine.SwitchSeconds + switchMargin + 2*ProbeIntervalSeconds)
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -94,7 +94,7 @@
 // look has a pool go by the list and the plan that were told last.
 func (s *state) look(now float64, pool *placement.Pool) {
 	pool.UpdateInstances(now, s.list)
-	pool.Switching(now, s.plan)
+	pool.ApplyStagePlan(now, s.plan)
 }
 
 // revisit takes back servers that were kept out for a time that is over. Nothing new needs to be told for that.
