--- a/internal/decide/placement/returns_test.go
+++ b/internal/decide/placement/returns_test.go
@@ -95,7 +95,7 @@
 			p.ApplyStagePlan(now, plan)
 			Expect(p.members).NotTo(ContainElement(e(p)))
 		}
-		Expect(p.Expire(2+switchMargin)).To(BeTrue(), "without another word of the holder")
+		Expect(p.ExpireStageChanges(2+switchMargin)).To(BeTrue(), "without another word of the holder")
 		Expect(p.members).To(ContainElement(e(p)))
 		p.ApplyStagePlan(20, plan)
 		Expect(p.members).To(ContainElement(e(p)))
--- a/internal/decide/placement/switching.go
+++ b/internal/decide/placement/switching.go
@@ -31,8 +31,8 @@
 	p.subset()
 }
 
-// Expire takes servers back whose change has not come about in its time. It returns whether there were any.
-func (p *Pool) Expire(now float64) bool {
+// ExpireStageChanges takes servers back whose change has not come about in its time. It returns whether there were any.
+func (p *Pool) ExpireStageChanges(now float64) bool {
 	expired := false
 	for _, e := range p.endpoints {
 		if e.switching.on && now >= e.switching.until {
--- a/internal/decide/placement/wayback_test.go
+++ b/internal/decide/placement/wayback_test.go
@@ -85,7 +85,7 @@
 		if h.host.noRevisit {
 			continue
 		}
-		h.pool.Expire(h.now)
+		h.pool.ExpireStageChanges(h.now)
 		if h.pool.CanReadmit(h.now) {
 			h.pool.UpdateInstances(h.now, h.list)
 			h.pool.ApplyStagePlan(h.now, h.plan)
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -103,7 +103,7 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	for _, pool := range s.pools {
-		pool.Expire(now)
+		pool.ExpireStageChanges(now)
 		if pool.CanReadmit(now) {
 			s.look(now, pool)
 		}
