--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -241,8 +241,8 @@
 	v.running, v.waiting, v.loadAt = running, waiting, at
 }
 
-// SetLoads takes what servers told other proxies, where it is younger.
-func (p *Pool) SetLoads(now float64, loads []message.Load) {
+// MergeLoads takes what servers told other proxies, where it is younger.
+func (p *Pool) MergeLoads(now float64, loads []message.Load) {
 	if len(loads) == 0 || !p.Engine.IsPresent {
 		return
 	}
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, pool := range s.pools {
-		pool.SetLoads(now, feed.Loads)
+		pool.MergeLoads(now, feed.Loads)
 	}
 	if s.table != nil && s.listed && !s.served {
 		s.served = true
