--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -399,8 +399,8 @@
 		p.MergeLoads(10.5, []message.Load{{InstanceKey: e.key, Running: 9, Waiting: 2, AgeMs: 100}})
 		p.MergeLoads(10.6, []message.Load{{InstanceKey: e.key, Running: 1, Waiting: 0, AgeMs: 900}})
 		Expect(e.engine.running).To(Equal(9))
-		Expect(p.TakeLoads(10.6)).To(HaveLen(1), "what was told here goes on to others once")
-		Expect(p.TakeLoads(10.7)).To(BeEmpty())
+		Expect(p.TakeNewLoads(10.6)).To(HaveLen(1), "what was told here goes on to others once")
+		Expect(p.TakeNewLoads(10.7)).To(BeEmpty())
 	})
 
 	It("is where the answer is made where nobody reads", func() {
--- a/internal/decide/placement/plan.go
+++ b/internal/decide/placement/plan.go
@@ -258,8 +258,8 @@
 	}
 }
 
-// TakeLoads returns what servers have told this proxy since it was called last.
-func (p *Pool) TakeLoads(now float64) (loads []message.Load) {
+// TakeNewLoads returns what servers have told this proxy since it was called last.
+func (p *Pool) TakeNewLoads(now float64) (loads []message.Load) {
 	for _, e := range p.members {
 		if !e.engine.untold {
 			continue
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -180,7 +180,7 @@
 	for name, planner := range s.planners {
 		if s.pools[name].Engine.IsPresent {
 			out.Demands = append(out.Demands, planner.Demand(now))
-			out.Loads = append(out.Loads, s.pools[name].TakeLoads(now)...)
+			out.Loads = append(out.Loads, s.pools[name].TakeNewLoads(now)...)
 		}
 	}
 	return out
