--- a/internal/decide/placement/budget.go
+++ b/internal/decide/placement/budget.go
@@ -12,9 +12,9 @@
 	leastFleet = 4
 )
 
-// Budget bounds what a proxy sends to a service beyond the first arrival of each request, in a sliding window. Summed over all
+// RetryBudget bounds what a proxy sends to a service beyond the first arrival of each request, in a sliding window. Summed over all
 // proxies it keeps the fleet's bound.
-type Budget struct {
+type RetryBudget struct {
 	WindowS float64
 	Ratio   float64
 	Slack   float64 // of the whole fleet
@@ -24,10 +24,10 @@
 }
 
 // Request counts a request of a client.
-func (b *Budget) Request(now float64) { b.requests = append(b.requests, now) }
+func (b *RetryBudget) Request(now float64) { b.requests = append(b.requests, now) }
 
 // Spend takes one further arrival out of the budget, if there is room.
-func (b *Budget) Spend(now float64, proxies int) bool {
+func (b *RetryBudget) Spend(now float64, proxies int) bool {
 	b.requests, b.extra = since(b.requests, now-b.WindowS), since(b.extra, now-b.WindowS)
 	room := budgetPart*b.Ratio*float64(len(b.requests)) + slackPart*b.Slack/float64(max(proxies, leastFleet))
 	if float64(len(b.extra)+1) > room {
@@ -38,7 +38,7 @@
 }
 
 // Trim drops what is out of the window.
-func (b *Budget) Trim(now float64) {
+func (b *RetryBudget) Trim(now float64) {
 	b.requests, b.extra = since(b.requests, now-b.WindowS), since(b.extra, now-b.WindowS)
 }
 
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -25,7 +25,7 @@
 }
 
 func newPool(list []message.Instance) *Pool {
-	p := NewPool("s", "z0", Budget{WindowS: 10, Ratio: 0.2, Slack: 50}, rand.New(rand.NewPCG(1, 1)))
+	p := NewPool("s", "z0", RetryBudget{WindowS: 10, Ratio: 0.2, Slack: 50}, rand.New(rand.NewPCG(1, 1)))
 	p.UpdateInstances(0, list)
 	return p
 }
@@ -275,9 +275,9 @@
 		for seed := range uint64(40) {
 			rng := rand.New(rand.NewPCG(seed, 5))
 			proxies := 4 + rng.IntN(30)
-			budgets := make([]Budget, proxies)
+			budgets := make([]RetryBudget, proxies)
 			for i := range budgets {
-				budgets[i] = Budget{WindowS: 10, Ratio: 0.2, Slack: 58}
+				budgets[i] = RetryBudget{WindowS: 10, Ratio: 0.2, Slack: 58}
 			}
 			var requests, extra []float64
 			for now := 0.0; now < 60; now += rng.ExpFloat64() / 200 {
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -57,7 +57,7 @@
 	Service string
 	Zone    string // of the proxy
 	Engine  Engine
-	Budget  Budget
+	Budget  RetryBudget
 
 	rng         *rand.Rand
 	endpoints   map[string]*Endpoint
@@ -70,7 +70,7 @@
 }
 
 // NewPool returns a pool without servers.
-func NewPool(service, zone string, budget Budget, rng *rand.Rand) *Pool {
+func NewPool(service, zone string, budget RetryBudget, rng *rand.Rand) *Pool {
 	return &Pool{Service: service, Zone: zone, Budget: budget, rng: rng, endpoints: map[string]*Endpoint{}, gone: map[string]float64{}, count: 1}
 }
 
