--- a/internal/decide/placement/budget.go
+++ b/internal/decide/placement/budget.go
@@ -15,9 +15,9 @@
 // RetryBudget bounds what a proxy sends to a service beyond the first arrival of each request, in a sliding window. Summed over all
 // proxies it keeps the fleet's bound.
 type RetryBudget struct {
-	WindowS float64
-	Ratio   float64
-	Slack   float64 // of the whole fleet
+	WindowSeconds float64
+	Ratio         float64
+	Slack         float64 // of the whole fleet
 
 	requests []float64 // times
 	extra    []float64
@@ -28,7 +28,7 @@
 
 // Spend takes one further arrival out of the budget, if there is room.
 func (b *RetryBudget) Spend(now float64, proxies int) bool {
-	b.requests, b.extra = since(b.requests, now-b.WindowS), since(b.extra, now-b.WindowS)
+	b.requests, b.extra = since(b.requests, now-b.WindowSeconds), since(b.extra, now-b.WindowSeconds)
 	room := budgetPart*b.Ratio*float64(len(b.requests)) + slackPart*b.Slack/float64(max(proxies, leastFleet))
 	if float64(len(b.extra)+1) > room {
 		return false
@@ -39,7 +39,7 @@
 
 // Trim drops what is out of the window.
 func (b *RetryBudget) Trim(now float64) {
-	b.requests, b.extra = since(b.requests, now-b.WindowS), since(b.extra, now-b.WindowS)
+	b.requests, b.extra = since(b.requests, now-b.WindowSeconds), since(b.extra, now-b.WindowSeconds)
 }
 
 func since(times []float64, from float64) []float64 {
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -25,7 +25,7 @@
 }
 
 func newPool(list []message.Instance) *Pool {
-	p := NewPool("s", "z0", RetryBudget{WindowS: 10, Ratio: 0.2, Slack: 50}, rand.New(rand.NewPCG(1, 1)))
+	p := NewPool("s", "z0", RetryBudget{WindowSeconds: 10, Ratio: 0.2, Slack: 50}, rand.New(rand.NewPCG(1, 1)))
 	p.UpdateInstances(0, list)
 	return p
 }
@@ -277,7 +277,7 @@
 			proxies := 4 + rng.IntN(30)
 			budgets := make([]RetryBudget, proxies)
 			for i := range budgets {
-				budgets[i] = RetryBudget{WindowS: 10, Ratio: 0.2, Slack: 58}
+				budgets[i] = RetryBudget{WindowSeconds: 10, Ratio: 0.2, Slack: 58}
 			}
 			var requests, extra []float64
 			for now := 0.0; now < 60; now += rng.ExpFloat64() / 200 {
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -142,7 +142,7 @@
 
 func (s *state) openPool(name string) *placement.Pool {
 	bounds := s.settings.Bounds
-	budget := placement.RetryBudget{WindowS: bounds.BudgetWindowSeconds, Ratio: bounds.RetryBudgetRatio, Slack: bounds.BudgetSlack}
+	budget := placement.RetryBudget{WindowSeconds: bounds.BudgetWindowSeconds, Ratio: bounds.RetryBudgetRatio, Slack: bounds.BudgetSlack}
 	pool := placement.NewPool(name, s.settings.Zone, budget, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	pool.SetRank(s.rank, s.count)
 	pool.UpdateInstances(s.now(), s.list)
