--- a/internal/decide/placement/budget.go
+++ b/internal/decide/placement/budget.go
@@ -23,8 +23,8 @@
 	extra    []float64
 }
 
-// Request counts a request of a client.
-func (b *RetryBudget) Request(now float64) { b.requests = append(b.requests, now) }
+// RecordRequest counts a request of a client.
+func (b *RetryBudget) RecordRequest(now float64) { b.requests = append(b.requests, now) }
 
 // Spend takes one further arrival out of the budget, if there is room.
 func (b *RetryBudget) Spend(now float64, proxies int) bool {
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -282,7 +282,7 @@
 			var requests, extra []float64
 			for now := 0.0; now < 60; now += rng.ExpFloat64() / 200 {
 				b := &budgets[rng.IntN(rng.IntN(proxies)+1)] // uneven shares
-				b.Request(now)
+				b.RecordRequest(now)
 				requests = append(requests, now)
 				for range rng.IntN(4) {
 					if b.Spend(now, proxies) {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -79,7 +79,7 @@
 	engine := false
 	p.state.do(j.service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
 		if pool != nil {
-			pool.Budget.Request(now)
+			pool.Budget.RecordRequest(now)
 			engine = pool.Engine.IsPresent
 		}
 	})
