--- a/internal/decide/placement/budget.go
+++ b/internal/decide/placement/budget.go
@@ -26,8 +26,8 @@
 // RecordRequest counts a request of a client.
 func (b *RetryBudget) RecordRequest(now float64) { b.requests = append(b.requests, now) }
 
-// Spend takes one further arrival out of the budget, if there is room.
-func (b *RetryBudget) Spend(now float64, proxies int) bool {
+// TrySpend takes one further arrival out of the budget, if there is room.
+func (b *RetryBudget) TrySpend(now float64, proxies int) bool {
 	b.requests, b.extra = since(b.requests, now-b.WindowSeconds), since(b.extra, now-b.WindowSeconds)
 	room := budgetPart*b.Ratio*float64(len(b.requests)) + slackPart*b.Slack/float64(max(proxies, leastFleet))
 	if float64(len(b.extra)+1) > room {
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -285,7 +285,7 @@
 				b.RecordRequest(now)
 				requests = append(requests, now)
 				for range rng.IntN(4) {
-					if b.Spend(now, proxies) {
+					if b.TrySpend(now, proxies) {
 						extra = append(extra, now)
 					}
 				}
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -197,7 +197,7 @@
 func (p *Proxy) spend(j *job) bool {
 	ok := false
 	p.state.do(j.service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
-		ok = pool != nil && pool.Budget.Spend(now, pool.ProxyCount())
+		ok = pool != nil && pool.Budget.TrySpend(now, pool.ProxyCount())
 	})
 	return ok
 }
