--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -450,7 +450,7 @@
 	})
 
 	DescribeTable("is read from the fields that a client sends", func(field string, want int) {
-		Expect(ParsePrefix(field)).To(HaveLen(want))
+		Expect(ParseChunks(field)).To(HaveLen(want))
 	}, Entry("three parts", "5c1e07a2:800,91bd3f06:410, e4402b7d:250", 3), Entry("none", "", 0), Entry("no size", "aa,bb:0,cc:-4,dd:x", 0))
 })
 
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -413,8 +413,8 @@
 	return x
 }
 
-// ParsePrefix reads ID:TOKENS parts, separated by commas.
-func ParsePrefix(field string) (parts []Chunk) {
+// ParseChunks reads ID:TOKENS parts, separated by commas.
+func ParseChunks(field string) (parts []Chunk) {
 	for piece := range strings.SplitSeq(field, ",") {
 		id, tokens, ok := strings.Cut(strings.TrimSpace(piece), ":")
 		count := parseCount(tokens)
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -345,7 +345,7 @@
 
 // promptOf reads what the choice of model servers goes by.
 func promptOf(r *http.Request, route *routeconfig.Route) placement.Prompt {
-	prompt := placement.Prompt{Chunks: placement.ParsePrefix(r.Header.Get(headerPrefixHash))}
+	prompt := placement.Prompt{Chunks: placement.ParseChunks(r.Header.Get(headerPrefixHash))}
 	prompt.LatencyTargetSeconds = nodeconfig.FromMillis(route.LatencyTargetMs).Seconds()
 	prompt.GapTargetSeconds = nodeconfig.FromMillis(route.TokenGapTargetMs).Seconds()
 	in, out, _ := strings.Cut(r.Header.Get(headerTokenCounts), ",")
