--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -21,8 +21,8 @@
 	RunSpecs(t, "control")
 }
 
-var _ = Describe("a control process that is cut off", func() {
-	It("answers 503 to reads and changes, soon once it knows, and tells the newest when it is back", func() {
+var _ = Describe("a partitioned control process", func() {
+	It("answers 503 to reads and changes, soon once it has noticed, and the newest configuration after it is reachable again", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		s.network.setPartitioned(s.ip(2), true)
@@ -39,13 +39,13 @@
 		s.network.setPartitioned(s.ip(2), false)
 		for range 200 {
 			if status, version := s.get(2); status == http.StatusOK {
-				Expect(version).To(Equal(3), "never an older one")
+				Expect(version).To(Equal(3), "never an older version")
 			}
 		}
 		Eventually(func() int { return s.storedVersion(2) }, waitTimeout).Should(Equal(3))
 	})
 
-	It("does not hold the upkeep of the voters up", func() {
+	It("does not delay reconfigurations of the voters", func() {
 		s := newTestCluster(5)
 		s.commitFirstConfig()
 		s.network.setPartitioned(s.ip(0), true)
@@ -62,7 +62,7 @@
 })
 
 var _ = Describe("two operators", func() {
-	It("are not both confirmed on one version, and what is sent again is answered as before", func() {
+	It("are not both acknowledged on one base version, and a repeated change is answered as before", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		for base := 1; base < 12; base++ {
@@ -82,7 +82,7 @@
 		Expect(s.put(2, 12, testConfig(12, 9))).To(Equal(http.StatusBadRequest), "a version that is not above the current one")
 	})
 
-	It("get the same answer across a restart of all", func() {
+	It("get the same answer after a restart of all processes", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		Expect(s.put(1, 1, testConfig(5, 0))).To(Equal(http.StatusOK))
@@ -98,8 +98,8 @@
 	})
 })
 
-var _ = Describe("losses one after another", func() {
-	It("leave a majority that holds the newest, as each lost disk is made good", func() {
+var _ = Describe("control processes that fail one after another", func() {
+	It("leave a majority with the newest configuration, since each lost disk is replaced", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		for i := range 3 {
@@ -114,7 +114,7 @@
 		}
 	})
 
-	It("let a newcomer in before the one that leaves is gone", func() {
+	It("are replaced by a new voter before one that leaves has ended", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		s.start(3, false)
@@ -123,15 +123,15 @@
 		s.stop(1)
 		value, err := s.machines[0].control.proposer.read(context.Background())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(value.AllVoters()).To(HaveLen(3), "the one that left does not vote any longer")
+		Expect(value.AllVoters()).To(HaveLen(3), "the process that left is no longer a voter")
 		s.stop(2)
 		Eventually(func() int { return s.put(3, 1, testConfig(2, 0)) }, waitTimeout).Should(Equal(http.StatusOK))
 	})
 
-	It("have a voter that ends wait for its place to be taken, though it has not heard of the newcomer", func() {
+	It("have a voter that leaves wait for its replacement, also where gossip has not brought it the new voter", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
-		unaware := func() *Control { // a process that has heard of no other, and of the first voters alone
+		unaware := func() *Control { // a process that knows no other, and only the first set of voters
 			m := s.machines[1]
 			c := newControl(m.control.settings, m.control.replica, m.control.proposer.client, m.control.log)
 			c.node.MergeRegisterValue(foundingValue(m.control.settings.SeedAddresses()))
@@ -145,7 +145,7 @@
 	})
 })
 
-var _ = Describe("a member that comes back after many changes", func() {
+var _ = Describe("a control process that returns after many changes", func() {
 	It("catches up though configurations are large and the network is slow", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
@@ -164,7 +164,7 @@
 })
 
 var _ = Describe("a disk", func() {
-	It("that held something does not found, though the settings still say that this is the first start", func() {
+	It("that held something does not found the register, though the settings still say that this is the first start", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		s.stop(0)
@@ -179,8 +179,8 @@
 	})
 })
 
-var _ = Describe("a disk that is spoiled while its process runs", func() {
-	It("is written anew, so that its member keeps its identity and its value", func() {
+var _ = Describe("a disk that is damaged while its process runs", func() {
+	It("is repaired, so that the process keeps its identity and its value", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		replica := s.machines[1].control.replica
@@ -202,8 +202,8 @@
 	})
 })
 
-var _ = Describe("pieces of a configuration", func() {
-	It("go on at another source where the first one fails, and are checked", func() {
+var _ = Describe("chunks of a configuration", func() {
+	It("are fetched from where an earlier attempt failed, and verified", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		data := testConfig(2, 700_000)
@@ -226,12 +226,12 @@
 		got, err = fetched.fetch(context.Background(), value.ConfigDigest, value.Voters[:1], ask)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got).To(Equal(data))
-		Expect(calls).To(Equal((len(data)+chunkSize-1)/chunkSize+1), "no piece is fetched twice")
+		Expect(calls).To(Equal((len(data)+chunkSize-1)/chunkSize+1), "no chunk is fetched twice")
 	})
 })
 
-var _ = Describe("what a process holds", func() {
-	It("is told by each", func() {
+var _ = Describe("the status of a control process", func() {
+	It("is answered by each process", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		for i := range 3 {
--- a/internal/control/endpointlist_test.go
+++ b/internal/control/endpointlist_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("the reading of the platform's list", func() {
-	It("goes to one process, and to the others by turns before half of the time to drain is over", func() {
+var _ = Describe("the platform's endpoint list", func() {
+	It("is read by one process, and by the others in turns before two thirds of the draining time are over", func() {
 		const drain = 3 * time.Second // the shortest of the deployments
 		Expect(maxListAge(0)).To(Equal(listReadInterval))
 		for rank := 1; rank < 40; rank++ {
--- a/internal/control/patch_test.go
+++ b/internal/control/patch_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// patchText is a patch that sets the time of the route of configuration() and adds a route of its own.
+// patchText is a patch that sets the time of the route of testConfig and adds another route.
 func patchText(version, mark int) []byte {
 	return fmt.Appendf(nil, `{"Version":%d,"Upsert":{"Routes":[{"Name":"p%d","Host":"h","PathPrefix":"/p%d/","RouteType":"idempotent",`+
 		`"TimeoutMs":%d,"Service":"s"}]}}`, version, mark%7, mark%7, 1000+mark)
@@ -23,12 +23,12 @@
 	return s.send(http.MethodPatch, i, base, data)
 }
 
-// settledPatch sends a patch until there is a clear answer, and returns its status.
+// patchUntilDecided sends a patch until the response is definite, and returns its status.
 func (s *testCluster) patchUntilDecided(i, base int, data []byte) int {
 	return s.sendUntilDecided(http.MethodPatch, i, base, data)
 }
 
-// text returns the configuration as a process tells it, once it has a majority's word for it.
+// configText returns the configuration that a process answers with, once it has read it from a majority.
 func (s *testCluster) configText(i int) (text string) {
 	Eventually(func() int {
 		answer, err := (&http.Client{Timeout: waitTimeout}).Get("http://" + s.operatorAddress(i) + "/config")
@@ -46,7 +46,7 @@
 	return text
 }
 
-// told returns the version of the configuration as a process tells it.
+// configVersion returns the version of the configuration that a process answers with.
 func (s *testCluster) configVersion(i int) int {
 	var config struct{ Version int }
 	Expect(json.Unmarshal([]byte(s.configText(i)), &config)).To(Succeed())
@@ -54,13 +54,13 @@
 }
 
 var _ = Describe("a patch of the configuration", func() {
-	It("is taken on the version that it names, confirmed again after later changes, and else refused with nothing changed", func() {
+	It("is accepted on its base version, acknowledged again after later changes, and otherwise rejected with nothing changed", func() {
 		s := newTestCluster(3)
 		Eventually(func() int { return s.patch(0, 0, patchText(1, 1)) }, waitTimeout).Should(Equal(http.StatusBadRequest), "there is none yet")
 		s.commitFirstConfig()
 		first := patchText(3, 1)
 		Expect(s.patchUntilDecided(0, 1, first)).To(Equal(http.StatusOK))
-		Expect(s.patchUntilDecided(1, 1, first)).To(Equal(http.StatusOK), "sent again")
+		Expect(s.patchUntilDecided(1, 1, first)).To(Equal(http.StatusOK), "repeated")
 		Expect(s.patchUntilDecided(2, 1, patchText(4, 2))).To(Equal(http.StatusPreconditionFailed))
 		Expect(s.patchUntilDecided(2, 3, patchText(3, 2))).To(Equal(http.StatusBadRequest), "its version is not above")
 		Expect(s.patchUntilDecided(2, 3, first)).To(Equal(http.StatusBadRequest), "the same bytes on another base are another change")
@@ -69,14 +69,14 @@
 		}
 		Expect(s.configVersion(2)).To(Equal(3))
 		Expect(s.sendUntilDecided(http.MethodPut, 1, 3, testConfig(5, 0))).To(Equal(http.StatusOK))
-		Expect(s.patchUntilDecided(2, 1, first)).To(Equal(http.StatusOK), "its base and its result are gone")
+		Expect(s.patchUntilDecided(2, 1, first)).To(Equal(http.StatusOK), "its base and its result no longer exist")
 		Expect(s.configVersion(0)).To(Equal(5))
 	})
 
-	It("makes what putting the result makes, with two operators and lost answers", func() {
+	It("results in the configuration that a PUT of the result gives, with two operators and lost answers", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
-		var confirmed sync.Map // text by version, as an operator without the system would make it
+		var confirmed sync.Map // text by version, built by the test alone
 		var operators sync.WaitGroup
 		for operator := range 2 {
 			operators.Go(func() {
@@ -88,14 +88,15 @@
 		version := s.configVersion(0)
 		Expect(version).To(BeNumerically(">", 10))
 		want, known := confirmed.Load(version)
-		Expect(known).To(BeTrue(), "the newest was confirmed to one of them")
+		Expect(known).To(BeTrue(), "the newest version was acknowledged to one of them")
 		for i := range 3 {
 			Expect(s.configText(i)).To(MatchJSON(want.(string)))
 		}
 	})
 })
 
-// operate makes changes on top of what it reads, by patches or whole, and sends each twice as if the first answer had been lost.
+// runOperator makes changes on top of what it reads, by patches or by complete configurations, and sends each twice as if the first response
+// had been lost.
 func (s *testCluster) runOperator(rng *rand.Rand, operator int, confirmed *sync.Map) {
 	for n := range 25 {
 		var current map[string]any
@@ -111,16 +112,16 @@
 		first, again := send(), send()
 		Expect(first).To(BeElementOf(http.StatusOK, http.StatusPreconditionFailed, http.StatusServiceUnavailable))
 		if first == http.StatusOK {
-			Expect(again).To(BeElementOf(http.StatusOK, http.StatusServiceUnavailable), "what was taken is not refused")
+			Expect(again).To(BeElementOf(http.StatusOK, http.StatusServiceUnavailable), "an acknowledged change is not rejected")
 		}
 		if first == http.StatusOK || again == http.StatusOK {
 			_, twice := confirmed.LoadOrStore(version, string(made))
-			Expect(twice).To(BeFalse(), "version %d was confirmed to both", version)
+			Expect(twice).To(BeFalse(), "version %d was acknowledged to both", version)
 		}
 	}
 }
 
-// patchedByHand makes the configuration that patchText asks for, without the system's code.
+// applyPatchByHand builds the result of a patch without the code under test.
 func applyPatchByHand(current map[string]any, text []byte) []byte {
 	var patch struct {
 		Version int
--- a/internal/control/shutdown_test.go
+++ b/internal/control/shutdown_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("the end of a control process", func() {
-	It("is no failure where a connection was opened on which nothing was sent", func() {
+var _ = Describe("the shutdown of a control process", func() {
+	It("succeeds where a connection was opened on which nothing was sent", func() {
 		listener, err := listenTCP("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		opened := make(chan struct{}, 1)
--- a/internal/control/steadychange_test.go
+++ b/internal/control/steadychange_test.go
@@ -13,9 +13,9 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// steadyChange puts one configuration after the other, each as soon as the one before is confirmed, until it is stopped.
+// changeStream puts one configuration after the other, each as soon as the one before is acknowledged, until it is stopped.
 type changeStream struct {
-	confirmed atomic.Int64 // confirmed last
+	confirmed atomic.Int64 // the version acknowledged last
 	stopped   chan struct{}
 	ended     chan struct{}
 }
@@ -51,8 +51,8 @@
 	<-c.ended
 }
 
-var _ = Describe("a machine whose disk was lost, while changes keep coming", func() {
-	DescribeTable("votes again before they end", func(size int, perKB time.Duration) {
+var _ = Describe("a machine whose disk was lost, during a series of changes", func() {
+	DescribeTable("votes again before the changes end", func(size int, perKB time.Duration) {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		changes := s.startChanges(0, size)
@@ -71,18 +71,18 @@
 		changes.stop()
 		Eventually(func() int { return s.storedVersion(2) }, waitTimeout).Should(BeEquivalentTo(changes.confirmed.Load()))
 	},
-		Entry("small ones, as fast as they are confirmed", 0, time.Duration(0)),
-		Entry("large ones over a slow network", 300_000, 100*time.Microsecond))
+		Entry("small configurations, as fast as they are acknowledged", 0, time.Duration(0)),
+		Entry("large configurations over a slow network", 300_000, 100*time.Microsecond))
 })
 
-var _ = Describe("the bytes of a configuration that was superseded", func() {
+var _ = Describe("the cached bytes of a superseded configuration", func() {
 	hold := func(r *replica, version int) []byte {
 		data := testConfig(version, 0)
 		r.cacheConfig(register.DigestOf(data), data)
 		return data
 	}
 
-	It("stay for who fetches them, within bounds", func() {
+	It("stay while a process fetches them, within bounds", func() {
 		r := &replica{}
 		first, second := hold(r, 1), hold(r, 2)
 		Expect(r.lendConfig(register.DigestOf(first))).To(Equal(first))
@@ -95,11 +95,11 @@
 			data := hold(r, version)
 			r.lendConfig(register.DigestOf(data))
 			Expect(len(r.configs)).To(BeNumerically("<=", maxCachedConfigs))
-			Expect(r.configBytes(register.DigestOf(data))).To(Equal(data), "the newest never gives way")
+			Expect(r.configBytes(register.DigestOf(data))).To(Equal(data), "the newest is never evicted")
 		}
 	})
 
-	It("go where nobody fetches them", func() {
+	It("are evicted where no process fetches them", func() {
 		r := &replica{}
 		for version := 1; version < 9; version++ {
 			hold(r, version)
--- a/internal/control/stored_form_test.go
+++ b/internal/control/stored_form_test.go
@@ -14,13 +14,13 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// update writes the golden files anew. Only for a form that is new: disks of the version before must stay readable.
+// update writes the golden files anew. Only for a form that is new: disks of older versions must stay readable.
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// storedFolder is a disk that version 1 of the format has written; see writeStored.
+// storedFolder is a disk that version 1 of the format has written; see writeStoredFolder.
 var storedFolder = filepath.Join("testdata", "stored")
 
-// openStored opens the replica of a founder on a folder.
+// openStoredReplica opens the replica of a founder on a folder.
 func openStoredReplica(dir string) *replica {
 	settings, err := nodeconfig.Parse([]byte("NodeId: c0\nIp: 127.0.5.10\nZone: z\nBootstrap: true\nInternalPortRange: [20000, 20015]\nSeeds:\n" +
 		"  - 127.0.5.10:20020\n  - 127.0.5.11:20020\n  - 127.0.5.12:20020\nFaultTolerance: {Machines: 1}\nBounds: {GraceS: 4}\n" +
@@ -38,7 +38,7 @@
 	return register.Ballot{Number: round, Proposer: "c1/00000000000000aa"}
 }
 
-// storedValue is the value after so many configurations. From the third one on the voters are changing.
+// storedValue returns the value after a number of configurations. From the third one on a reconfiguration is in progress.
 func storedValue(configs int) register.Value {
 	founder := func(ip string) register.Voter {
 		return register.Voter{ID: "founder@" + ip + ":20000", Address: ip + ":20000"}
@@ -56,8 +56,8 @@
 	return value
 }
 
-// writeStored writes a disk: in a first life two configurations, in a second one, behind a snapshot, a third one beside a change of the
-// voters, a promise of a higher ballot and an end that is torn.
+// writeStoredFolder writes a disk: a first process accepts two configurations; a second one, behind its snapshot, accepts a third with a
+// reconfiguration in progress and promises higher ballots, the last of which is torn.
 func writeStoredFolder(dir string) {
 	ctx := context.Background()
 	accept := func(r *replica, version int) {
@@ -114,7 +114,7 @@
 		Expect(folderContent(dir)).To(Equal(folderContent(storedFolder)))
 	})
 
-	It("is read: configurations, a change of the voters under way and grants, up to the torn end", func() {
+	It("is read: configurations, a reconfiguration in progress and grants, up to the torn end", func() {
 		dir := GinkgoT().TempDir()
 		Expect(os.CopyFS(dir, os.DirFS(storedFolder))).To(Succeed())
 		r := openStoredReplica(dir)
--- a/internal/control/testcluster_test.go
+++ b/internal/control/testcluster_test.go
@@ -22,17 +22,17 @@
 	"hazelwheel/internal/transport"
 )
 
-// within bounds each wait. It is far above what is needed.
+// waitTimeout bounds each wait, far above what is needed.
 const waitTimeout = 30 * time.Second
 
-// errCut ends connections that a cut has met.
+// errPartitioned is the error of connections to and from a partitioned machine.
 var errPartitioned = fmt.Errorf("the network is cut")
 
-// network stands between control processes: it cuts single machines off and slows bytes down.
+// faultyNetwork carries the calls between control processes: it partitions single machines off and delays bytes.
 type faultyNetwork struct {
 	mu          sync.Mutex
 	partitioned map[string]bool // by IP
-	perKB       time.Duration   // what 1,000 bytes take, on every connection
+	perKB       time.Duration   // delay of 1,000 bytes, on each connection
 }
 
 func (n *faultyNetwork) setPartitioned(ip string, cut bool) {
@@ -41,14 +41,14 @@
 	n.partitioned[ip] = cut
 }
 
-// blocked tells whether anything goes between two machines.
+// isBlocked tells whether the connection between two machines is cut.
 func (n *faultyNetwork) isBlocked(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return a != b && (n.partitioned[a] || n.partitioned[b])
 }
 
-// dial opens connections of the machine with this IP. Behind a cut they hang as they would without packets.
+// dial returns the dial function of a machine. Across a partition it blocks until its context ends, as without packets.
 func (n *faultyNetwork) dial(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		to, _, err := net.SplitHostPort(address)
@@ -67,7 +67,7 @@
 	}
 }
 
-// slowConn is a connection on the network.
+// networkConn is a connection on a faultyNetwork.
 type networkConn struct {
 	net.Conn
 	network  *faultyNetwork
@@ -90,12 +90,12 @@
 	pause := c.network.perKB * time.Duration(count) / 1000
 	c.network.mu.Unlock()
 	if pause > 0 {
-		time.Sleep(pause) // the bytes are still on their way
+		time.Sleep(pause) // the delay of the bytes
 	}
 	return count, err
 }
 
-// machine is a control process within the test.
+// machine is a control process that runs within the test.
 type machine struct {
 	ip      string
 	control *Control
@@ -103,7 +103,7 @@
 	ended   chan error
 }
 
-// side is the control side: machines on loopback addresses.
+// testCluster is a set of control processes on loopback addresses.
 type testCluster struct {
 	dir      string
 	base     int
@@ -164,12 +164,12 @@
 	delete(s.machines, i)
 	m.stop()
 	Eventually(m.ended, waitTimeout).Should(Receive())
-	// What is still under way in this process must not write to the disk any longer, as in one that has ended.
+	// Calls that are still in progress must not write to the disk any longer, as in a process that has ended.
 	m.control.replica.writeMu.Lock()
 	Expect(m.control.replica.store.Close()).To(Succeed())
 }
 
-// configuration returns the bytes of a version, with a text of a size in it.
+// testConfig returns a configuration of a version, with a name of a given length in it.
 func testConfig(version int, size int) []byte {
 	return fmt.Appendf(nil, `{"Version":%d,"Routes":[{"Name":"%s","Host":"h","PathPrefix":"/p/","RouteType":"non_idempotent","TimeoutMs":2000,`+
 		`"TargetLatencyMs":500,"Service":"s","MaxAttempts":1}],"Services":[{"Name":"s","HealthPath":"/health","MaxConnections":10}]}`,
@@ -192,7 +192,7 @@
 	return answer.StatusCode
 }
 
-// settled sends a change, unchanged, until there is a clear answer, as an operator does, and returns its status.
+// sendUntilDecided sends a change, unchanged, until the response is definite, as an operator does, and returns its status.
 func (s *testCluster) sendUntilDecided(method string, i, base int, data []byte) (status int) {
 	Eventually(func() int {
 		status = s.send(method, i, base, data)
@@ -201,7 +201,7 @@
 	return status
 }
 
-// get returns the status and the version of the configuration that a process tells.
+// get returns the status and the version of the configuration that a process answers with.
 func (s *testCluster) get(i int) (status, version int) {
 	answer, err := (&http.Client{Timeout: waitTimeout}).Get("http://" + s.operatorAddress(i) + "/config")
 	if err != nil {
@@ -222,7 +222,7 @@
 	return version
 }
 
-// held returns the version on a machine's disk, 0 where the bytes of its configuration are not there.
+// storedVersion returns the version on a machine's disk, 0 where the bytes of its configuration are missing.
 func (s *testCluster) storedVersion(i int) int {
 	value := s.machines[i].control.replica.state().Value
 	if s.machines[i].control.replica.configBytes(value.ConfigDigest) == nil {
@@ -231,7 +231,7 @@
 	return int(value.ConfigVersion)
 }
 
-// votes tells whether a machine's disk votes and decides alone with the other voters.
+// isVoter tells whether a machine is a voter and no reconfiguration is in progress.
 func (s *testCluster) isVoter(i int) bool {
 	gossipState, _ := s.machines[0].control.node.State()
 	for _, voter := range gossipState.Voters.Voters {
@@ -242,7 +242,7 @@
 	return false
 }
 
-// begin has the first configuration taken.
+// commitFirstConfig puts the first configuration.
 func (s *testCluster) commitFirstConfig() {
 	Eventually(func() int { return s.put(0, 0, testConfig(1, 0)) }, waitTimeout).Should(Equal(http.StatusOK))
 	for i := range s.founders {
--- a/internal/control/wire_form_test.go
+++ b/internal/control/wire_form_test.go
@@ -36,7 +36,7 @@
 	text    strings.Builder
 }
 
-// call sends a request and notes its answer, but for the date.
+// call sends a request and appends it with its response, but for the date.
 func (t *transcript) call(method, ifMatch, body string) {
 	request := httptest.NewRequest(method, "/config", strings.NewReader(body))
 	if ifMatch != "" {
@@ -103,7 +103,7 @@
 	})
 })
 
-var _ = Describe("the form of what is told to people and servers", func() {
+var _ = Describe("the form of the status and of orders", func() {
 	It("has the same JSON keys", func() {
 		data, err := json.MarshalIndent([]any{
 			replicaStatus{Identity: "i", IsVoter: true, Epoch: 2, ConfigVersion: 3, ConfigBytes: 4, BallotRound: 5, PublishedVersion: 6, ReachesMajority: true,
