--- a/internal/decide/lease/found.go
+++ b/internal/decide/lease/found.go
@@ -26,16 +26,16 @@
 }
 
 const (
-	lookS    = 0.5  // between two looks whether all are there
-	foundS   = 2.0  // between two proposals, with as much again drawn
-	goneS    = 60.0 // all electors of a group that is known must be gone before another is founded
-	mostList = 7
+	foundingCheckIntervalSeconds = 0.5  // between two looks whether all are there
+	foundingRetrySeconds         = 2.0  // between two proposals, with as much again drawn
+	groupGoneSeconds             = 60.0 // all electors of a group that is known must be gone before another is founded
+	maxInitialVoters             = 7
 )
 
-// listed returns the members at the listed addresses, 0 where there is none that lives and keeps its state.
-func (t *Node) listed() []swim.ID {
-	ids := make([]swim.ID, len(t.set.InitialVoters))
-	for i, address := range t.set.InitialVoters {
+// initialVoterIDs returns the members at the listed addresses, 0 where there is none that lives and keeps its state.
+func (t *Node) initialVoterIDs() []swim.ID {
+	ids := make([]swim.ID, len(t.settings.InitialVoters))
+	for i, address := range t.settings.InitialVoters {
 		for _, m := range t.members {
 			if m.Address == address && !m.State.IsDeadOrLeft() && m.Durable {
 				ids[i] = m.ID
@@ -47,84 +47,84 @@
 
 // tickFounding proposes a founding where all are there and nobody has.
 func (t *Node) tickFounding() {
-	place := slices.Index(t.set.InitialVoters, t.set.Address)
-	if place < 0 || t.founding != nil || t.unkept || t.leaving || t.now < t.foundAt {
+	place := slices.Index(t.settings.InitialVoters, t.settings.Address)
+	if place < 0 || t.founding != nil || t.persistFailed || t.leaving || t.now < t.foundingDueAt {
 		return
 	}
-	ids := t.listed()
-	if slices.Contains(ids, 0) || ids[place] != t.self || !t.noGroup() {
+	ids := t.initialVoterIDs()
+	if slices.Contains(ids, 0) || ids[place] != t.self || !t.hasNoLiveGroup() {
 		return
 	}
-	t.foundAt = t.now + foundS*(1+t.rng.Float64())
+	t.foundingDueAt = t.now + foundingRetrySeconds*(1+t.rng.Float64())
 	// Danger: one that forgot its state must never propose another value under a ballot that it has used before.
-	t.round = max(t.round, t.promised>>32) + 1
-	b := t.round<<32 | uint64(t.rng.Uint32()>>8)<<8 | uint64(place)
+	t.ballotRound = max(t.ballotRound, t.promisedBallot>>32) + 1
+	b := t.ballotRound<<32 | uint64(t.rng.Uint32()>>8)<<8 | uint64(place)
 	t.proposal = &proposal{ballot: b, promises: make([]*Founding, len(ids)), accepted: make([]bool, len(ids))}
 	for _, id := range ids {
 		t.send(id, &Message{Founding: &Founding{Ballot: b, Step: stepPrepare}})
 	}
 }
 
-// noGroup tells that no group is known that may still live.
-func (t *Node) noGroup() bool {
+// hasNoLiveGroup tells that no group is known that may still live.
+func (t *Node) hasNoLiveGroup() bool {
 	if t.table.Epoch == 0 {
 		return true
 	}
-	if t.now-t.began < goneS {
+	if t.now-t.startedAt < groupGoneSeconds {
 		return false // not all may have been met yet
 	}
 	for _, id := range t.table.Voters {
-		if m := t.member(id); m != nil && (!m.State.IsDeadOrLeft() || t.sinceS(m) < goneS) {
+		if m := t.memberByID(id); m != nil && (!m.State.IsDeadOrLeft() || t.stateAgeSeconds(m) < groupGoneSeconds) {
 			return false
 		}
 	}
 	return true
 }
 
-// hearFounding takes a word of the founding.
-func (t *Node) hearFounding(from swim.ID, f *Founding) {
-	if len(f.Voters) > mostList {
+// handleFounding takes a word of the founding.
+func (t *Node) handleFounding(from swim.ID, f *Founding) {
+	if len(f.Voters) > maxInitialVoters {
 		return
 	}
-	answer := func(a *Founding) { t.sendKept(from, &Message{Founding: a}) }
+	answer := func(a *Founding) { t.sendAfterPersist(from, &Message{Founding: a}) }
 	switch f.Step {
 	case stepAsked:
 		if t.founding != nil {
 			answer(t.founding)
 		}
 	case stepChosen:
-		t.chosen(f)
+		t.handleChosen(f)
 	case stepPrepare, stepAccept:
-		if slices.Index(t.set.InitialVoters, t.set.Address) < 0 || t.unkept {
+		if slices.Index(t.settings.InitialVoters, t.settings.Address) < 0 || t.persistFailed {
 			return
 		}
 		switch {
 		case t.founding != nil:
 			answer(t.founding)
-		case f.Ballot < t.promised || f.Ballot == t.promised && f.Step == stepPrepare:
-			answer(&Founding{Ballot: t.promised, Step: stepRefused})
+		case f.Ballot < t.promisedBallot || f.Ballot == t.promisedBallot && f.Step == stepPrepare:
+			answer(&Founding{Ballot: t.promisedBallot, Step: stepRefused})
 		case f.Step == stepPrepare:
-			t.promised, t.dirty = f.Ballot, true
-			a := &Founding{Ballot: f.Ballot, Step: stepPromise, Epoch: t.epoch}
-			if t.accepted != nil {
-				a.Accepted, a.Epoch, a.Voters = t.accepted.Ballot, t.accepted.Epoch, t.accepted.Voters
+			t.promisedBallot, t.dirty = f.Ballot, true
+			a := &Founding{Ballot: f.Ballot, Step: stepPromise, Epoch: t.highestEpoch}
+			if t.acceptedFounding != nil {
+				a.Accepted, a.Epoch, a.Voters = t.acceptedFounding.Ballot, t.acceptedFounding.Epoch, t.acceptedFounding.Voters
 			}
 			answer(a)
 		default:
-			t.promised, t.dirty = f.Ballot, true
-			t.accepted = &Founding{Ballot: f.Ballot, Epoch: f.Epoch, Voters: f.Voters, Step: stepAccepted}
+			t.promisedBallot, t.dirty = f.Ballot, true
+			t.acceptedFounding = &Founding{Ballot: f.Ballot, Epoch: f.Epoch, Voters: f.Voters, Step: stepAccepted}
 			answer(&Founding{Ballot: f.Ballot, Step: stepAccepted})
 		}
 	case stepPromise, stepAccepted, stepRefused:
-		t.answered(from, f)
+		t.handleFoundingReply(from, f)
 	}
 }
 
-// answered takes an answer to a proposal of this member.
-func (t *Node) answered(from swim.ID, f *Founding) {
-	t.round = max(t.round, f.Ballot>>32)
+// handleFoundingReply takes an answer to a proposal of this member.
+func (t *Node) handleFoundingReply(from swim.ID, f *Founding) {
+	t.ballotRound = max(t.ballotRound, f.Ballot>>32)
 	p := t.proposal
-	ids := t.listed()
+	ids := t.initialVoterIDs()
 	place := slices.Index(ids, from)
 	if p == nil || place < 0 || f.Ballot != p.ballot || t.founding != nil {
 		return
@@ -161,25 +161,25 @@
 	}
 }
 
-// chosen takes that a group is founded. Who is named in it takes part.
-func (t *Node) chosen(f *Founding) {
-	if f.Epoch < t.epoch || f.Epoch == 0 || t.founding != nil && t.founding.Epoch >= f.Epoch || len(f.Voters) < 3 {
+// handleChosen takes that a group is founded. Who is named in it takes part.
+func (t *Node) handleChosen(f *Founding) {
+	if f.Epoch < t.highestEpoch || f.Epoch == 0 || t.founding != nil && t.founding.Epoch >= f.Epoch || len(f.Voters) < 3 {
 		return
 	}
 	known := *f
-	t.epoch, t.proposal, t.dirty = f.Epoch, nil, true
+	t.highestEpoch, t.proposal, t.dirty = f.Epoch, nil, true
 	// Who is not among the founders takes part once a leader of the group has spoken to it as to one who does.
-	if slices.Contains(f.Voters, t.self) || t.called == f.Epoch {
-		t.join(&known)
+	if slices.Contains(f.Voters, t.self) || t.contactedEpoch == f.Epoch {
+		t.joinGroup(&known)
 	}
 }
 
-// join takes part in a group from now on.
-func (t *Node) join(f *Founding) {
+// joinGroup takes part in a group from now on.
+func (t *Node) joinGroup(f *Founding) {
 	t.founding, t.group = f, nil
-	if err := t.enterGroup(nil, nil, nil); err != nil {
-		t.renounce(err.Error())
+	if err := t.startGroup(nil, nil, nil); err != nil {
+		t.replaceIdentity(err.Error())
 		return
 	}
-	t.do.Log("this member is an elector", "epoch", f.Epoch)
+	t.actions.Log("this member is an elector", "epoch", f.Epoch)
 }
--- a/internal/decide/lease/greatest.go
+++ b/internal/decide/lease/greatest.go
@@ -7,15 +7,15 @@
 	seen []Grant // by job, without owners
 }
 
-// mostJobs bounds the jobs that are kept. Danger: their names come from outside.
-const mostJobs = 256
+// maxRoles bounds the jobs that are kept. Danger: their names come from outside.
+const maxRoles = 256
 
 // Admit tells whether an effect under a token may be taken, and the greatest token seen of the job. A token that is equal to
 // the greatest is good: one grant has many effects.
 func (g *Fence) Admit(job string, token uint64) (ok bool, greatest uint64) {
 	i, known := g.place(job)
 	switch {
-	case !known && len(g.seen) >= mostJobs || token == 0:
+	case !known && len(g.seen) >= maxRoles || token == 0:
 		return false, 0
 	case !known:
 		g.seen = slices.Insert(g.seen, i, Grant{Role: job, Token: token})
@@ -36,10 +36,10 @@
 	}
 }
 
-func (g *Fence) place(job string) (int, bool) { return placeOf(g.seen, job) }
+func (g *Fence) place(job string) (int, bool) { return grantIndex(g.seen, job) }
 
-// placeOf finds a job among grants that are sorted by it.
-func placeOf(grants []Grant, job string) (int, bool) {
+// grantIndex finds a job among grants that are sorted by it.
+func grantIndex(grants []Grant, job string) (int, bool) {
 	return slices.BinarySearchFunc(grants, job, func(g Grant, job string) int {
 		switch {
 		case g.Role < job:
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -20,29 +20,29 @@
 const (
 	// MaxRecordBytes bounds a record's body, in bytes: with what goes around it it is one frame between members.
 	MaxRecordBytes = 40 << 10
-	// mostLogged bounds what entries hold before they become a snapshot, in bytes: all of it is written with each change.
-	mostLogged = 96 << 10
+	// maxLogBytes bounds what entries hold before they become a snapshot, in bytes: all of it is written with each change.
+	maxLogBytes = 96 << 10
 )
 
-func placeOfRecord(records []Record, job string) (int, bool) {
+func recordIndex(records []Record, job string) (int, bool) {
 	return slices.BinarySearchFunc(records, job, func(r Record, job string) int { return cmp.Compare(r.Role, job) })
 }
 
 // record returns what is kept of a job.
-func (m *machine) record(job string) Record {
-	if i, known := placeOfRecord(m.Records, job); known {
+func (m *stateMachine) record(job string) Record {
+	if i, known := recordIndex(m.Records, job); known {
 		return m.Records[i]
 	}
 	return Record{Role: job}
 }
 
-// put takes a record, if its job still has the grant under which it is written, and the version before it.
-func (m *machine) put(r *Record) bool {
+// putRecord takes a record, if its job still has the grant under which it is written, and the version before it.
+func (m *stateMachine) putRecord(r *Record) bool {
 	g, known := m.grant(r.Role)
 	if now := m.record(r.Role); !known || g.Holder == 0 || g.Token != r.Token || now.Version+1 != r.Version || len(r.Body) > MaxRecordBytes {
 		return false
 	}
-	i, kept := placeOfRecord(m.Records, r.Role)
+	i, kept := recordIndex(m.Records, r.Role)
 	if !kept {
 		m.Records = slices.Insert(m.Records, i, Record{})
 	}
@@ -52,69 +52,69 @@
 
 // --- at the owner ---
 
-// keepsRecord tells whether this member wants the record of a job that it owns.
-func (t *Node) keepsRecord(job string) bool { return slices.Contains(t.set.RecordedRoles, job) }
+// hasRecord tells whether this member wants the record of a job that it owns.
+func (t *Node) hasRecord(job string) bool { return slices.Contains(t.settings.RecordedRoles, job) }
 
 // WriteRecord asks that a record takes the place of the version before it. Actions.Agreed follows once one is agreed, which may be
 // another's; until then Write is to be called again. It tells nothing of what is lost on the way.
 func (t *Node) WriteRecord(now float64, job string, version uint64, body []byte) {
-	t.enter(now)
-	if h := t.holding(job); h != nil && h.owned && t.table.Leader != 0 && !t.over && len(body) <= MaxRecordBytes {
+	t.advanceTo(now)
+	if h := t.leaseFor(job); h != nil && h.started && t.table.Leader != 0 && !t.retired && len(body) <= MaxRecordBytes {
 		t.send(t.table.Leader, &Message{WriteRecord: &Record{Role: job, Version: version, Token: h.Token, Body: body}})
 	}
-	t.settle()
+	t.finishCall()
 }
 
 // known are the versions that this member knows of the records of what it holds.
-func (t *Node) knownRecords() (all []Record) {
-	for _, h := range t.held {
-		if t.keepsRecord(h.Role) {
-			all = append(all, Record{Role: h.Role, Version: h.version})
+func (t *Node) knownRecordVersions() (all []Record) {
+	for _, h := range t.leases {
+		if t.hasRecord(h.Role) {
+			all = append(all, Record{Role: h.Role, Version: h.recordVersion})
 		}
 	}
 	return all
 }
 
-// learnRecords takes records that are agreed.
-func (t *Node) learnRecords(records []Record) {
+// handleRecords takes records that are agreed.
+func (t *Node) handleRecords(records []Record) {
 	for i := range records {
 		r := &records[i]
-		h := t.holding(r.Role)
-		if h == nil || !t.keepsRecord(r.Role) || r.Version <= h.version || len(r.Body) > MaxRecordBytes {
+		h := t.leaseFor(r.Role)
+		if h == nil || !t.hasRecord(r.Role) || r.Version <= h.recordVersion || len(r.Body) > MaxRecordBytes {
 			continue
 		}
-		h.version, h.record = r.Version, *r
-		if h.owned {
-			t.do.RecordCommitted(*r)
+		h.recordVersion, h.record = r.Version, *r
+		if h.started {
+			t.actions.RecordCommitted(*r)
 		}
 	}
 }
 
 // --- at the leader ---
 
-// write has a record agreed that an owner wants.
-func (t *Node) write(from swim.ID, r *Record) {
+// proposeRecord has a record agreed that an owner wants.
+func (t *Node) proposeRecord(from swim.ID, r *Record) {
 	g, known := t.group.machine.grant(r.Role)
-	p := t.post(r.Role)
+	p := t.roleFor(r.Role)
 	switch now := t.group.machine.record(r.Role); {
-	case !known || p == nil || g.Holder != from || g.Token != r.Token || p.freed == g.Token || p.pending || len(r.Body) > MaxRecordBytes:
+	case !known || p == nil || g.Holder != from || g.Token != r.Token || p.releasedToken == g.Token || p.hasPendingCommand || len(r.Body) > MaxRecordBytes:
 		// it is not the owner, or not for long any more
 	case now.Version >= r.Version: // it is agreed, or another was faster
 		t.send(from, &Message{Records: []Record{now}})
-	case now.Version+1 == r.Version && p.writing != r.Version:
-		if p.writing = r.Version; !t.propose(command{Job: r.Role, Put: r}) {
-			p.writing = 0
+	case now.Version+1 == r.Version && p.writingVersion != r.Version:
+		if p.writingVersion = r.Version; !t.propose(command{Role: r.Role, Record: r}) {
+			p.writingVersion = 0
 		}
 	}
 }
 
-// wrote takes that a record is agreed, or turned out to be too late.
-func (t *Node) wrote(r *Record) {
-	if !t.group.leads {
+// recordApplied takes that a record is agreed, or turned out to be too late.
+func (t *Node) recordApplied(r *Record) {
+	if !t.group.isLeader {
 		return
 	}
-	if p := t.post(r.Role); p != nil {
-		p.writing = 0
+	if p := t.roleFor(r.Role); p != nil {
+		p.writingVersion = 0
 	}
 	if g, known := t.group.machine.grant(r.Role); known && g.Holder != 0 {
 		t.send(g.Holder, &Message{Records: []Record{t.group.machine.record(r.Role)}})
--- a/internal/decide/lease/state.go
+++ b/internal/decide/lease/state.go
@@ -11,94 +11,94 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// stateVersion is that of the saved state. One of another version is not read.
-const stateVersion = 1
-
-// saved is what a member keeps: whole, in one write.
-type saved struct {
-	Version  uint8     `msgpack:"v"`
-	Self     swim.ID   `msgpack:"i"`
-	Serial   uint64    `msgpack:"s"` // of this state; each later one's is greater
-	Lineage  lineage   `msgpack:"w,omitempty"`
-	Epoch    uint64    `msgpack:"e"` // the greatest heard of
-	Promised uint64    `msgpack:"p,omitempty"`
-	Accepted *Founding `msgpack:"a,omitempty"`
-	Group    *Founding `msgpack:"g,omitempty"` // the group that this member is or was in
-	Hard     []byte    `msgpack:"h,omitempty"`
-	Snapshot []byte    `msgpack:"n,omitempty"`
-	Entries  [][]byte  `msgpack:"l,omitempty"` // after the snapshot
+// stateFormatVersion is that of the saved state. One of another version is not read.
+const stateFormatVersion = 1
+
+// persistedState is what a member keeps: whole, in one write.
+type persistedState struct {
+	Version   uint8     `msgpack:"v"`
+	MemberID  swim.ID   `msgpack:"i"`
+	Serial    uint64    `msgpack:"s"` // of this state; each later one's is greater
+	Lineage   lineage   `msgpack:"w,omitempty"`
+	Epoch     uint64    `msgpack:"e"` // the greatest heard of
+	Promised  uint64    `msgpack:"p,omitempty"`
+	Accepted  *Founding `msgpack:"a,omitempty"`
+	Founding  *Founding `msgpack:"g,omitempty"` // the group that this member is or was in
+	HardState []byte    `msgpack:"h,omitempty"`
+	Snapshot  []byte    `msgpack:"n,omitempty"`
+	Entries   [][]byte  `msgpack:"l,omitempty"` // after the snapshot
 }
 
-// errState is the fault of a saved state that can't be used.
-var errState = errors.New("tenure: the saved state can't be used")
+// ErrInvalidState is the fault of a saved state that can't be used.
+var ErrInvalidState = errors.New("tenure: the saved state can't be used")
 
-// readSaved reads a state. What is not usable as a whole is an error: a vote that was half read would be a vote forgotten.
-func readSaved(b []byte, self swim.ID) (saved, error) {
-	var s saved
-	if err := unpack(b, &s); err != nil {
-		return s, fmt.Errorf("%w: %w", errState, err)
+// decodeState reads a state. What is not usable as a whole is an error: a vote that was half read would be a vote forgotten.
+func decodeState(b []byte, self swim.ID) (persistedState, error) {
+	var s persistedState
+	if err := decode(b, &s); err != nil {
+		return s, fmt.Errorf("%w: %w", ErrInvalidState, err)
 	}
 	switch {
-	case s.Version != stateVersion:
-		return s, fmt.Errorf("%w: it is of version %d", errState, s.Version)
-	case s.Self != self:
-		return s, fmt.Errorf("%w: it is of %v", errState, s.Self)
+	case s.Version != stateFormatVersion:
+		return s, fmt.Errorf("%w: it is of version %d", ErrInvalidState, s.Version)
+	case s.MemberID != self:
+		return s, fmt.Errorf("%w: it is of %v", ErrInvalidState, s.MemberID)
 	}
 	return s, nil
 }
 
-// state returns what is to be kept now.
-func (t *Node) state() []byte {
-	s := saved{Version: stateVersion, Self: t.self, Serial: t.serial, Lineage: t.lineage, Epoch: t.epoch, Promised: t.promised, Accepted: t.accepted, Group: t.founding}
+// encodeState returns what is to be kept now.
+func (t *Node) encodeState() []byte {
+	s := persistedState{Version: stateFormatVersion, MemberID: t.self, Serial: t.serial, Lineage: t.lineage, Epoch: t.highestEpoch, Promised: t.promisedBallot, Accepted: t.acceptedFounding, Founding: t.founding}
 	if g := t.group; g != nil {
-		s.Hard, s.Snapshot, s.Entries = g.store.bytes()
+		s.HardState, s.Snapshot, s.Entries = g.storage.encode()
 	}
-	return pack(&s)
+	return encode(&s)
 }
 
-// store is the electors' log in memory; what is in it is on disk before anything follows from it.
-type store struct {
+// raftStorage is the electors' log in memory; what is in it is on disk before anything follows from it.
+type raftStorage struct {
 	*raft.MemoryStorage
-	hard *raftpb.HardState
+	hardState *raftpb.HardState
 	// latest returns what has been applied, for who must be sent it whole.
 	latest func() (index uint64, conf *raftpb.ConfState, data []byte)
 }
 
 // Snapshot returns the state as of now. Danger: an older one may not name who is to get it, who would then turn it away.
-func (s *store) Snapshot() (*raftpb.Snapshot, error) {
-	s.snap()
+func (s *raftStorage) Snapshot() (*raftpb.Snapshot, error) {
+	s.refreshSnapshot()
 	return s.MemoryStorage.Snapshot()
 }
 
-// snap brings the snapshot up to what has been applied.
-func (s *store) snap() {
+// refreshSnapshot brings the snapshot up to what has been applied.
+func (s *raftStorage) refreshSnapshot() {
 	index, conf, data := s.latest()
 	// An old one is kept where there is nothing newer.
 	_, _ = s.CreateSnapshot(index, conf, data)
 }
 
 const (
-	mostEntries = 64 // before they become a snapshot
-	keptEntries = 16 // that who is a little behind needs
+	maxLogEntries   = 64 // before they become a snapshot
+	retainedEntries = 16 // that who is a little behind needs
 )
 
 // compact drops old entries, and tells whether there was anything to drop.
-func (s *store) compact() {
+func (s *raftStorage) compact() {
 	first, _ := s.FirstIndex()
 	index, _, _ := s.latest()
-	keep := uint64(keptEntries)
-	if index < first+mostEntries {
-		if s.logged() < mostLogged {
+	keep := uint64(retainedEntries)
+	if index < first+maxLogEntries {
+		if s.logBytes() < maxLogBytes {
 			return
 		}
 		keep = 1
 	}
-	s.snap()
+	s.refreshSnapshot()
 	_ = s.Compact(index - keep)
 }
 
-// logged returns how much all entries hold, in bytes.
-func (s *store) logged() (n int) {
+// logBytes returns how much all entries hold, in bytes.
+func (s *raftStorage) logBytes() (n int) {
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
 	if first > last {
@@ -111,12 +111,12 @@
 	return n
 }
 
-func (s *store) bytes() (hard, snapshot []byte, entries [][]byte) {
+func (s *raftStorage) encode() (hard, snapshot []byte, entries [][]byte) {
 	snap, _ := s.MemoryStorage.Snapshot()
-	if s.hard != nil {
-		hard = marshal(s.hard)
+	if s.hardState != nil {
+		hard = mustMarshal(s.hardState)
 	}
-	snapshot = marshal(snap)
+	snapshot = mustMarshal(snap)
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
 	if first = max(first, snap.GetMetadata().GetIndex()+1); first <= last {
@@ -125,13 +125,13 @@
 			panic(fmt.Sprintf("tenure: %v", err))
 		}
 		for _, e := range list {
-			entries = append(entries, marshal(e))
+			entries = append(entries, mustMarshal(e))
 		}
 	}
 	return hard, snapshot, entries
 }
 
-func marshal(m proto.Message) []byte {
+func mustMarshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
 		panic(fmt.Sprintf("tenure: %v", err))
@@ -140,7 +140,7 @@
 }
 
 // restore fills an empty store.
-func (s *store) restore(hard, snapshot []byte, entries [][]byte) error {
+func (s *raftStorage) restore(hard, snapshot []byte, entries [][]byte) error {
 	var snap raftpb.Snapshot
 	if err := proto.Unmarshal(snapshot, &snap); err != nil {
 		return err
@@ -173,7 +173,7 @@
 		if last, _ := s.LastIndex(); h.GetCommit() > last || h.GetCommit() < snap.GetMetadata().GetIndex() {
 			return fmt.Errorf("%d is committed of %d to %d", h.GetCommit(), next, last)
 		}
-		s.hard = &h
+		s.hardState = &h
 		return s.SetHardState(&h)
 	}
 	return nil
--- a/internal/decide/lease/stored_form_test.go
+++ b/internal/decide/lease/stored_form_test.go
@@ -33,8 +33,8 @@
 // TestWireAndStoredForm encodes values of every message, log entry and stored record, all fields set, to the bytes that released
 // versions write, and reads these bytes back.
 func TestWireAndStoredForm(t *testing.T) {
-	grant := Grant{Role: "list", Holder: math.MaxUint64, Token: 7<<counterBits + 3, BootID: 1 << 63}
-	record := Record{Role: "works", Version: 9, Token: 7<<counterBits + 4, Body: []byte{0, 1, 255}}
+	grant := Grant{Role: "list", Holder: math.MaxUint64, Token: 7<<tokenCounterBits + 3, BootID: 1 << 63}
+	record := Record{Role: "works", Version: 9, Token: 7<<tokenCounterBits + 4, Body: []byte{0, 1, 255}}
 	founding := Founding{Ballot: 1<<32 | 0x1200 | 2, Accepted: 1<<32 | 1, Epoch: 7, Voters: []swim.ID{11, 12, 13}, Step: stepAccepted}
 	renewal := Renewal{Number: 21, Grants: []Grant{grant}, Records: []Record{record}}
 	wire := map[string]any{
@@ -44,20 +44,20 @@
 			Offered: []string{"a"}, BootID: 51, WriteRecord: &record, Records: []Record{record}, StepDown: "report"},
 		"message-empty":   &Message{},
 		"message-renewed": &Message{RenewReply: &renewal},
-		"commands":        &[]command{{Job: "list", Owner: 11, Life: 12, Was: 13}, {Job: "works", Was: 14}, {Put: &record}},
-		"machine":         &machine{Epoch: 7, Grants: []Grant{grant, {Role: "report", Token: 7 << counterBits}}, Records: []Record{record}},
-		"saved": &saved{Version: stateVersion, Self: 11, Serial: 31, Lineage: lineage{{33, 34}}, Epoch: 7, Promised: 61, Accepted: &founding,
-			Group: &founding, Hard: []byte("hard"), Snapshot: []byte("snapshot"), Entries: [][]byte{[]byte("one"), []byte("two")}},
+		"commands":        &[]command{{Role: "list", Holder: 11, BootID: 12, ExpectedToken: 13}, {Role: "works", ExpectedToken: 14}, {Record: &record}},
+		"machine":         &stateMachine{Epoch: 7, Grants: []Grant{grant, {Role: "report", Token: 7 << tokenCounterBits}}, Records: []Record{record}},
+		"saved": &persistedState{Version: stateFormatVersion, MemberID: 11, Serial: 31, Lineage: lineage{{33, 34}}, Epoch: 7, Promised: 61, Accepted: &founding,
+			Founding: &founding, HardState: []byte("hard"), Snapshot: []byte("snapshot"), Entries: [][]byte{[]byte("one"), []byte("two")}},
 	}
 	fresh := map[string]func() any{
 		"message": func() any { return &Message{} }, "message-empty": func() any { return &Message{} }, "message-renewed": func() any { return &Message{} },
-		"commands": func() any { return &[]command{} }, "machine": func() any { return &machine{} }, "saved": func() any { return &saved{} },
+		"commands": func() any { return &[]command{} }, "machine": func() any { return &stateMachine{} }, "saved": func() any { return &persistedState{} },
 	}
 	for name, value := range wire {
 		t.Run(name, func(t *testing.T) {
-			raw := golden(t, "form/"+name+".msgpack", pack(value))
+			raw := golden(t, "form/"+name+".msgpack", encode(value))
 			read := fresh[name]()
-			require.NoError(t, unpack(raw, read))
+			require.NoError(t, decode(raw, read))
 			require.Equal(t, value, read)
 		})
 	}
@@ -74,11 +74,11 @@
 	h.until(h.now + 1)
 	for _, s := range h.all {
 		raw := golden(t, fmt.Sprintf("state/member-%d.msgpack", s.id), s.saved)
-		set := s.t.set
+		set := s.t.settings
 		set.Seed += 1000 // another process
 		next, err := New(h.now, s.id, set, raw, s)
 		require.NoError(t, err)
-		require.Equal(t, raw, next.state(), "what is read is written the same")
+		require.Equal(t, raw, next.encodeState(), "what is read is written the same")
 		next.SetMembers(h.now, s.t.members)
 		s.t = next
 	}
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -7,37 +7,37 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-const compareS = 10.0 // between two questions whether others know a newer table
+const compareIntervalSeconds = 10.0 // between two questions whether others know a newer table
 
-// newer orders tables.
-func (a *Table) newer(b *Table) bool {
+// isNewerThan orders tables.
+func (a *Table) isNewerThan(b *Table) bool {
 	return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.Index, b.Index), cmp.Compare(a.Term, b.Term)) > 0
 }
 
-// hearTable takes what another knows of all grants.
-func (t *Node) hearTable(from swim.ID, table *Table) {
+// handleTable takes what another knows of all grants.
+func (t *Node) handleTable(from swim.ID, table *Table) {
 	switch {
-	case from == t.self || len(table.Grants) > mostJobs || len(table.Voters) > 2*mostList:
-	case t.table.newer(table):
-		t.do.Send(from, t.tableMessage())
-	case !table.newer(&t.table):
+	case from == t.self || len(table.Grants) > maxRoles || len(table.Voters) > 2*maxInitialVoters:
+	case t.table.isNewerThan(table):
+		t.actions.Send(from, t.tableMessage())
+	case !table.isNewerThan(&t.table):
 	case len(table.Voters) == 0:
-		t.do.Send(from, &Message{Table: &Table{Epoch: t.table.Epoch, Index: t.table.Index, Term: t.table.Term}})
+		t.actions.Send(from, &Message{Table: &Table{Epoch: t.table.Epoch, Index: t.table.Index, Term: t.table.Term}})
 	default:
-		t.take(table, from)
+		t.adoptTable(table, from)
 	}
 }
 
-// take takes a newer table and passes it on.
-func (t *Node) take(table *Table, except swim.ID) {
+// adoptTable takes a newer table and passes it on.
+func (t *Node) adoptTable(table *Table, except swim.ID) {
 	t.table = *table
-	t.epoch = max(t.epoch, t.table.Epoch)
+	t.highestEpoch = max(t.highestEpoch, t.table.Epoch)
 	if t.founding != nil && t.founding.Epoch < t.table.Epoch {
-		t.do.Log("another electors' group has been founded: this member leaves the old one", "epoch", t.table.Epoch)
-		t.founding, t.group, t.accepted, t.dirty = nil, nil, nil, true
+		t.actions.Log("another electors' group has been founded: this member leaves the old one", "epoch", t.table.Epoch)
+		t.founding, t.group, t.acceptedFounding, t.dirty = nil, nil, nil, true
 	}
-	t.do.Broadcast(&Message{Table: table}, except)
-	t.learn()
+	t.actions.Broadcast(&Message{Table: table}, except)
+	t.applyTable()
 }
 
 // tableMessage tells what is known as of now, whenever it is read.
@@ -46,27 +46,27 @@
 	return &Message{Table: &table}
 }
 
-// publish makes the table of what this elector has applied.
-func (t *Node) publish() {
+// publishTable makes the table of what this elector has applied.
+func (t *Node) publishTable() {
 	g := t.group
-	if g.applied == 0 {
+	if g.appliedIndex == 0 {
 		return
 	}
-	table := Table{Epoch: t.founding.Epoch, Index: g.applied, Term: g.current, Leader: g.lead, Grants: slices.Clone(g.machine.Grants)}
-	for _, id := range slices.Concat(g.conf.GetVoters(), g.conf.GetVotersOutgoing()) { // while one is replaced, both count
+	table := Table{Epoch: t.founding.Epoch, Index: g.appliedIndex, Term: g.term, Leader: g.leaderID, Grants: slices.Clone(g.machine.Grants)}
+	for _, id := range slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing()) { // while one is replaced, both count
 		table.Voters = append(table.Voters, swim.ID(id))
 	}
 	slices.Sort(table.Voters)
 	table.Voters = slices.Compact(table.Voters)
-	if table.Leader == 0 && !table.newer(&t.table) {
+	if table.Leader == 0 && !table.isNewerThan(&t.table) {
 		return
 	}
-	if table.newer(&t.table) || table.Epoch == t.table.Epoch && table.Index == t.table.Index && table.Term == t.table.Term && table.Leader != t.table.Leader {
-		t.take(&table, 0)
+	if table.isNewerThan(&t.table) || table.Epoch == t.table.Epoch && table.Index == t.table.Index && table.Term == t.table.Term && table.Leader != t.table.Leader {
+		t.adoptTable(&table, 0)
 	}
 }
 
-// peers returns all that the group sends to, or may.
-func (g *group) peers() []uint64 {
-	return slices.Concat(g.conf.GetVoters(), g.conf.GetVotersOutgoing(), g.conf.GetLearners(), g.conf.GetLearnersNext())
+// memberIDs returns all that the group sends to, or may.
+func (g *group) memberIDs() []uint64 {
+	return slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing(), g.confState.GetLearners(), g.confState.GetLearnersNext())
 }
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -14,49 +14,49 @@
 
 // Node is one member's part of who owns what.
 type Node struct {
-	set  Settings
-	self swim.ID
-	life uint64 // of this process
-	do   Actions
-	rng  *rand.Rand
-	now  float64
-
-	began   float64
-	members []Member // by ID
-	viewAt  float64  // when they were told: their states have held for as much longer
-	wanted  []swim.ID
-	local   []*Message // from this member to itself
+	settings Settings
+	self     swim.ID
+	bootID   uint64 // of this process
+	actions  Actions
+	rng      *rand.Rand
+	now      float64
+
+	startedAt      float64
+	members        []Member // by ID
+	membersAt      float64  // when they were told: their states have held for as much longer
+	requestedLinks []swim.ID
+	loopback       []*Message // from this member to itself
 
 	// What is kept, and what waits for it.
-	serial   uint64 // of the state that was kept last
-	saving   bool
-	dirty    bool // there is something to keep
-	unkept   bool // it could not be kept
-	retryAt  float64
-	later    []outgoing // what is said once the state is kept
-	inflight []outgoing
-	heard    []heard // by ID
-	lineage  lineage // of the state that was kept last
-	over     bool    // the identity is given up
-	epoch    uint64  // the greatest heard of
-
-	promised uint64
-	accepted *Founding
-	kept     uint64    // the epoch that is on the disk
-	founding *Founding // of the group that this member is in
-	proposal *proposal
-	round    uint64
-	foundAt  float64
-	askedAt  float64
-	called   uint64 // the epoch of a group whose leader has spoken to this member as to an elector
-	group    *group
-
-	table    Table
-	compared float64
-
-	holder
-	leader
-	figures Stats
+	serial          uint64 // of the state that was kept last
+	persisting      bool
+	dirty           bool // there is something to keep
+	persistFailed   bool // it could not be kept
+	persistRetryAt  float64
+	deferred        []outgoing // what is said once the state is kept
+	awaitingPersist []outgoing
+	peers           []peerState // by ID
+	lineage         lineage     // of the state that was kept last
+	retired         bool        // the identity is given up
+	highestEpoch    uint64      // the greatest heard of
+
+	promisedBallot   uint64
+	acceptedFounding *Founding
+	persistedEpoch   uint64    // the epoch that is on the disk
+	founding         *Founding // of the group that this member is in
+	proposal         *proposal
+	ballotRound      uint64
+	foundingDueAt    float64
+	foundingAskedAt  float64
+	contactedEpoch   uint64 // the epoch of a group whose leader has spoken to this member as to an elector
+	group            *group
+
+	table        Table
+	compareDueAt float64
+
+	holderState
+	leaderState
+	stats Stats
 }
 
 type outgoing struct {
@@ -85,24 +85,24 @@
 // New returns the part of a member. An error says that what was saved can't be used: the identity is then not to be used
 // either.
 func New(now float64, self swim.ID, set Settings, state []byte, do Actions) (*Node, error) {
-	t := &Node{set: set, self: self, do: do, now: now, began: now, rng: rand.New(rand.NewPCG(set.Seed, uint64(self)))}
-	t.set.Roles = slices.Sorted(slices.Values(set.Roles))
-	t.life = t.rng.Uint64() | 1
-	t.number = t.rng.Uint64() >> 1
-	t.foundAt = now + foundS*t.rng.Float64()
-	t.compared = now + compareS*t.rng.Float64()
-	t.wishAt = now + wishS*(1+4*t.rng.Float64())
+	t := &Node{settings: set, self: self, actions: do, now: now, startedAt: now, rng: rand.New(rand.NewPCG(set.Seed, uint64(self)))}
+	t.settings.Roles = slices.Sorted(slices.Values(set.Roles))
+	t.bootID = t.rng.Uint64() | 1
+	t.renewalNumber = t.rng.Uint64() >> 1
+	t.foundingDueAt = now + foundingRetrySeconds*t.rng.Float64()
+	t.compareDueAt = now + compareIntervalSeconds*t.rng.Float64()
+	t.bidDueAt = now + bidIntervalSeconds*(1+4*t.rng.Float64())
 	if len(state) == 0 {
 		return t, nil
 	}
-	s, err := readSaved(state, self)
+	s, err := decodeState(state, self)
 	if err != nil {
 		return nil, err
 	}
 	t.lineage = s.Lineage
-	t.serial, t.epoch, t.kept, t.promised, t.accepted, t.founding = s.Serial, s.Epoch, s.Epoch, s.Promised, s.Accepted, s.Group
+	t.serial, t.highestEpoch, t.persistedEpoch, t.promisedBallot, t.acceptedFounding, t.founding = s.Serial, s.Epoch, s.Epoch, s.Promised, s.Accepted, s.Founding
 	if t.founding != nil {
-		if err := t.enterGroup(s.Hard, s.Snapshot, s.Entries); err != nil {
+		if err := t.startGroup(s.HardState, s.Snapshot, s.Entries); err != nil {
 			return nil, err
 		}
 	}
@@ -111,13 +111,13 @@
 
 // SetMembers takes who is there, by ID, with this member.
 func (t *Node) SetMembers(now float64, members []Member) {
-	t.enter(now)
-	t.members, t.viewAt = members, t.now
-	t.settle()
+	t.advanceTo(now)
+	t.members, t.membersAt = members, t.now
+	t.finishCall()
 }
 
-// member returns what is known of one; nil: nothing.
-func (t *Node) member(id swim.ID) *Member {
+// memberByID returns what is known of one; nil: nothing.
+func (t *Node) memberByID(id swim.ID) *Member {
 	i, known := slices.BinarySearchFunc(t.members, id, func(m Member, id swim.ID) int { return cmp.Compare(m.ID, id) })
 	if !known {
 		return nil
@@ -125,258 +125,260 @@
 	return &t.members[i]
 }
 
-// keeps tells whether this member has where to keep its state.
-func (t *Node) keeps() bool {
-	self := t.member(t.self)
+// isDurable tells whether this member has where to keep its state.
+func (t *Node) isDurable() bool {
+	self := t.memberByID(t.self)
 	return self != nil && self.Durable
 }
 
-// sinceS tells for how long a member's state has held.
-func (t *Node) sinceS(m *Member) float64 { return m.StateAgeSeconds + t.now - t.viewAt }
+// stateAgeSeconds tells for how long a member's state has held.
+func (t *Node) stateAgeSeconds(m *Member) float64 { return m.StateAgeSeconds + t.now - t.membersAt }
 
 // HandleLinkUp takes that there is a new link to a member.
 func (t *Node) HandleLinkUp(now float64, id swim.ID) {
-	t.enter(now)
-	if t.over {
+	t.advanceTo(now)
+	if t.retired {
 		return
 	}
 	if t.table.Epoch != 0 {
-		t.do.Send(id, t.tableMessage())
+		t.actions.Send(id, t.tableMessage())
 	}
-	t.leadLink(id)
-	if slices.Contains(t.wanted, id) {
-		t.renewAt = min(t.renewAt, t.now)
+	t.resendOffers(id)
+	if slices.Contains(t.requestedLinks, id) {
+		t.renewDueAt = min(t.renewDueAt, t.now)
 	}
-	t.settle()
+	t.finishCall()
 }
 
 // HandleMessage takes a message.
 func (t *Node) HandleMessage(now float64, from swim.ID, m *Message) {
-	t.enter(now)
-	if !t.over {
-		t.hear(from, m)
+	t.advanceTo(now)
+	if !t.retired {
+		t.dispatch(from, m)
 	}
-	t.settle()
+	t.finishCall()
 }
 
-func (t *Node) hear(from swim.ID, m *Message) {
-	if m.Serial != 0 && from != t.self && !t.hearSerial(from, m) {
+func (t *Node) dispatch(from swim.ID, m *Message) {
+	if m.Serial != 0 && from != t.self && !t.checkSerial(from, m) {
 		return
 	}
 	if m.Founding != nil {
-		t.hearFounding(from, m.Founding)
+		t.handleFounding(from, m.Founding)
 	}
 	if m.Raft != nil {
-		t.hearRaft(from, m)
+		t.handleRaft(from, m)
 	}
 	if m.Table != nil {
-		t.hearTable(from, m.Table)
+		t.handleTable(from, m.Table)
 	}
 	if m.Records != nil {
-		t.learnRecords(m.Records)
+		t.handleRecords(m.Records)
 	}
 	if m.RenewReply != nil {
-		t.renewed(m.RenewReply)
+		t.handleRenewReply(m.RenewReply)
 	}
 	if m.Offered != nil {
-		t.offered(from, m.Offered)
+		t.handleOffer(from, m.Offered)
 	}
 	if m.StepDown != "" {
-		t.moved(m.StepDown)
+		t.handleStepDown(m.StepDown)
 	}
-	if t.over {
+	if t.retired {
 		return
 	}
-	t.hearAsLeader(from, m)
+	t.handleAsLeader(from, m)
 }
 
-// hearRaft takes a message of an electors' group.
-func (t *Node) hearRaft(from swim.ID, m *Message) {
+// handleRaft takes a message of an electors' group.
+func (t *Node) handleRaft(from swim.ID, m *Message) {
 	switch {
 	case t.founding != nil && t.founding.Epoch == m.Epoch:
 		if t.group != nil {
-			t.stepGroup(from, m.Raft)
+			t.stepRaft(from, m.Raft)
 		}
-	case m.Epoch >= t.epoch && t.now-t.askedAt > tickS && !t.leaving && !t.unkept:
+	case m.Epoch >= t.highestEpoch && t.now-t.foundingAskedAt > raftTickSeconds && !t.leaving && !t.persistFailed:
 		var r raftpb.Message
-		if proto.Unmarshal(m.Raft, &r) != nil || !t.keeps() {
+		if proto.Unmarshal(m.Raft, &r) != nil || !t.isDurable() {
 			return
 		}
-		t.askedAt = t.now
+		t.foundingAskedAt = t.now
 		switch r.GetType() {
 		case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
-			t.called = m.Epoch
+			t.contactedEpoch = m.Epoch
 		}
-		t.do.Send(from, &Message{Founding: &Founding{Step: stepAsked}})
+		t.actions.Send(from, &Message{Founding: &Founding{Step: stepAsked}})
 	}
 }
 
 // Tick does what is due.
 func (t *Node) Tick(now float64) {
-	t.enter(now)
-	if t.over {
+	t.advanceTo(now)
+	if t.retired {
 		return
 	}
 	if t.group != nil {
-		t.work()
+		t.advanceRaft()
 		if t.group != nil {
-			t.tickGroup()
+			t.tickRaft()
 		}
 	}
 	t.tickFounding()
 	t.tickHolder()
 	t.tickLeader()
-	if t.now >= t.compared {
-		t.compared = t.now + compareS*(0.5+t.rng.Float64())
-		t.do.Broadcast(&Message{Table: &Table{Epoch: t.table.Epoch, Index: t.table.Index, Term: t.table.Term}}, 0)
+	if t.now >= t.compareDueAt {
+		t.compareDueAt = t.now + compareIntervalSeconds*(0.5+t.rng.Float64())
+		t.actions.Broadcast(&Message{Table: &Table{Epoch: t.table.Epoch, Index: t.table.Index, Term: t.table.Term}}, 0)
 	}
-	t.settle()
+	t.finishCall()
 }
 
 // NextTick returns when Tick is to be called.
 func (t *Node) NextTick() float64 {
-	if t.over {
+	if t.retired {
 		return math.Inf(1)
 	}
-	next := t.compared
+	next := t.compareDueAt
 	if t.group != nil {
-		next = min(next, t.group.tickAt)
-		if !t.group.leads {
-			next = min(next, t.group.electAt)
+		next = min(next, t.group.tickDueAt)
+		if !t.group.isLeader {
+			next = min(next, t.group.electionDueAt)
 		}
 	}
-	if len(t.set.InitialVoters) > 0 && t.founding == nil && slices.Contains(t.set.InitialVoters, t.set.Address) {
-		next = min(next, max(t.foundAt, t.now+lookS))
+	if len(t.settings.InitialVoters) > 0 && t.founding == nil && slices.Contains(t.settings.InitialVoters, t.settings.Address) {
+		next = min(next, max(t.foundingDueAt, t.now+foundingCheckIntervalSeconds))
 	}
-	if t.unkept {
-		next = min(next, t.retryAt)
+	if t.persistFailed {
+		next = min(next, t.persistRetryAt)
 	}
-	return max(min(next, t.holderNext(), t.leaderNext()), t.now+0.001)
+	return max(min(next, t.holderNextTick(), t.leaderNextTick()), t.now+0.001)
 }
 
-// enter takes the time, and what has ended by it.
-func (t *Node) enter(now float64) {
+// advanceTo takes the time, and what has ended by it.
+func (t *Node) advanceTo(now float64) {
 	t.now = max(t.now, now)
-	t.lapse()
+	t.expireLeases()
 }
 
-// settle does what follows from a call.
-func (t *Node) settle() {
+// finishCall does what follows from a call.
+func (t *Node) finishCall() {
 	// Danger: where all founders lose what they kept, whoever founds a group again must know that there was one, or its tokens
 	// begin below those that were granted.
-	t.dirty = t.dirty || t.epoch > t.kept && !t.over && t.keeps()
-	for !t.over {
-		t.work()
-		if len(t.local) == 0 {
+	t.dirty = t.dirty || t.highestEpoch > t.persistedEpoch && !t.retired && t.isDurable()
+	for !t.retired {
+		t.advanceRaft()
+		if len(t.loopback) == 0 {
 			break
 		}
-		m := t.local[0]
-		t.local = t.local[1:]
-		t.hear(t.self, m)
+		m := t.loopback[0]
+		t.loopback = t.loopback[1:]
+		t.dispatch(t.self, m)
 	}
-	t.want()
+	t.updateLinks()
 }
 
 // send sends a message, also to this member itself.
 func (t *Node) send(to swim.ID, m *Message) {
 	if to == t.self {
-		t.local = append(t.local, m)
+		t.loopback = append(t.loopback, m)
 	} else {
-		t.do.Send(to, m)
+		t.actions.Send(to, m)
 	}
 }
 
-// sendKept sends a message once the state as it is now is kept.
-func (t *Node) sendKept(to swim.ID, m *Message) { t.later = append(t.later, outgoing{to, m}) }
+// sendAfterPersist sends a message once the state as it is now is kept.
+func (t *Node) sendAfterPersist(to swim.ID, m *Message) {
+	t.deferred = append(t.deferred, outgoing{to, m})
+}
 
-// save keeps the state, if there is anything to keep.
-func (t *Node) save() {
-	if t.saving || t.over {
+// persist keeps the state, if there is anything to keep.
+func (t *Node) persist() {
+	if t.persisting || t.retired {
 		return
 	}
 	if !t.dirty {
-		later := t.later
-		t.later = nil
+		later := t.deferred
+		t.deferred = nil
 		for _, o := range later {
 			t.send(o.to, o.m)
 		}
 		return
 	}
-	if t.unkept {
-		if t.now < t.retryAt {
+	if t.persistFailed {
+		if t.now < t.persistRetryAt {
 			return
 		}
-		t.retryAt = t.now + 1
+		t.persistRetryAt = t.now + 1
 	}
-	t.dirty, t.saving, t.kept = false, true, t.epoch
-	t.inflight, t.later = append(t.inflight, t.later...), nil
+	t.dirty, t.persisting, t.persistedEpoch = false, true, t.highestEpoch
+	t.awaitingPersist, t.deferred = append(t.awaitingPersist, t.deferred...), nil
 	t.serial++
-	t.lineage = t.lineage.with(uint32(t.life>>32)|1, t.serial)
-	t.figures.Persists++
-	t.do.Persist(t.state())
+	t.lineage = t.lineage.extended(uint32(t.bootID>>32)|1, t.serial)
+	t.stats.Persists++
+	t.actions.Persist(t.encodeState())
 }
 
 // HandlePersisted takes the end of the last Save.
 func (t *Node) HandlePersisted(now float64, err error) {
-	t.enter(now)
-	if t.over || !t.saving {
+	t.advanceTo(now)
+	if t.retired || !t.persisting {
 		return
 	}
-	t.saving = false
+	t.persisting = false
 	if err != nil {
-		if !t.unkept {
-			t.do.Log("the state can't be kept: this member does not vote", "error", err)
+		if !t.persistFailed {
+			t.actions.Log("the state can't be kept: this member does not vote", "error", err)
 		}
 		// Danger: what waits for it must go on waiting; a vote that was told and not kept is a vote that can be given twice.
-		t.unkept, t.dirty, t.retryAt = true, true, t.now+1
+		t.persistFailed, t.dirty, t.persistRetryAt = true, true, t.now+1
 		return
 	}
-	if t.unkept {
-		t.unkept = false
-		t.do.Log("the state is kept again: this member votes")
+	if t.persistFailed {
+		t.persistFailed = false
+		t.actions.Log("the state is kept again: this member votes")
 	}
-	inflight := t.inflight
-	t.inflight = nil
+	inflight := t.awaitingPersist
+	t.awaitingPersist = nil
 	for _, o := range inflight {
 		t.send(o.to, o.m)
 	}
 	if t.group != nil && t.group.ready != nil {
-		t.finish()
+		t.completeReady()
 	}
-	t.settle()
+	t.finishCall()
 }
 
-// renounce gives up the identity: nothing is said under it any more.
-func (t *Node) renounce(why string) {
-	if t.over {
+// replaceIdentity gives up the identity: nothing is said under it any more.
+func (t *Node) replaceIdentity(why string) {
+	if t.retired {
 		return
 	}
-	t.endAll("the identity is given up")
-	t.over, t.group, t.local, t.later, t.inflight = true, nil, nil, nil, nil
-	t.do.ReplaceIdentity(why)
+	t.endAllLeases("the identity is given up")
+	t.retired, t.group, t.loopback, t.deferred, t.awaitingPersist = true, nil, nil, nil, nil
+	t.actions.ReplaceIdentity(why)
 }
 
-// want asks for links.
-func (t *Node) want() {
+// updateLinks asks for links.
+func (t *Node) updateLinks() {
 	var ids []swim.ID
-	if t.over {
+	if t.retired {
 		return
 	}
-	if t.elects() {
-		for _, id := range t.group.peers() {
+	if t.isVoter() {
+		for _, id := range t.group.memberIDs() {
 			ids = append(ids, swim.ID(id))
 		}
 	}
-	if t.founding == nil && slices.Contains(t.set.InitialVoters, t.set.Address) && t.table.Epoch == 0 {
-		ids = append(ids, t.listed()...)
+	if t.founding == nil && slices.Contains(t.settings.InitialVoters, t.settings.Address) && t.table.Epoch == 0 {
+		ids = append(ids, t.initialVoterIDs()...)
 	}
-	ids = append(ids, t.holderWants()...)
-	ids = append(ids, t.leaderWants()...)
+	ids = append(ids, t.holderLinks()...)
+	ids = append(ids, t.leaderLinks()...)
 	slices.Sort(ids)
 	ids = slices.DeleteFunc(slices.Compact(ids), func(id swim.ID) bool { return id == t.self || id == 0 })
-	if !slices.Equal(ids, t.wanted) {
-		t.wanted = ids
-		t.do.RequestLinks(slices.Clone(ids))
+	if !slices.Equal(ids, t.requestedLinks) {
+		t.requestedLinks = ids
+		t.actions.RequestLinks(slices.Clone(ids))
 	}
 }
 
@@ -385,13 +387,13 @@
 
 // Stats returns the counts so far.
 func (t *Node) Stats() Stats {
-	f := t.figures
-	f.Serial, f.PersistFailed = t.serial, t.unkept
+	f := t.stats
+	f.Serial, f.PersistFailed = t.serial, t.persistFailed
 	if t.founding != nil {
 		f.Epoch = t.founding.Epoch
 	}
 	if g := t.group; g != nil {
-		f.Term, f.IsLeader, f.IsVoter = g.current, g.leads, t.elects()
+		f.Term, f.IsLeader, f.IsVoter = g.term, g.isLeader, t.isVoter()
 	}
 	return f
 }
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -39,7 +39,7 @@
 	for _, o := range s.h.all {
 		if o.id == to {
 			c := Message{}
-			require.NoError(s.h.t, unpack(pack(m), &c))
+			require.NoError(s.h.t, decode(encode(m), &c))
 			s.h.queue = append(s.h.queue, func() {
 				if o.up && s.up && !s.mute {
 					o.t.HandleMessage(s.h.now, s.id, &c)
@@ -192,7 +192,7 @@
 		h.until(h.now + 1)
 	}
 	require.NotEqual(t, copied, o.saved)
-	back, err := New(h.now, o.id, o.t.set, copied, o)
+	back, err := New(h.now, o.id, o.t.settings, copied, o)
 	require.NoError(t, err)
 	back.SetMembers(h.now, o.t.members)
 	o.t = back
@@ -210,7 +210,7 @@
 		h.until(110)
 		handed := func() {
 			was := h.leader()
-			was.t.handOn()
+			was.t.transferLeadership()
 			h.until(h.now + 0.5)
 		}
 		for h.leader() == h.all[2] || len(h.all[2].kept) < 6 {
@@ -218,15 +218,15 @@
 		}
 		o := h.all[2]
 		last := o.t.serial
-		o.mute, o.t.set.Seed = true, 77
-		next, err := New(h.now, o.id, o.t.set, o.kept[len(o.kept)-1-back], o)
+		o.mute, o.t.settings.Seed = true, 77
+		next, err := New(h.now, o.id, o.t.settings, o.kept[len(o.kept)-1-back], o)
 		require.NoError(t, err)
 		next.SetMembers(h.now, o.t.members)
 		o.t, o.kept = next, nil
 		for i := 0; o.t.serial < last; i++ { // each new leader is a write
 			require.Less(t, i, 20)
 			if l := h.leader(); l != nil && l != o {
-				l.t.handOn()
+				l.t.transferLeadership()
 			}
 			h.until(h.now + 0.5)
 			require.Empty(t, o.gone)
@@ -243,23 +243,23 @@
 func TestLivesOfOneStateAreBelieved(t *testing.T) {
 	h := newHall(t, 3, "list")
 	h.until(110)
-	for life := range uint64(3 * mostWriters) {
+	for life := range uint64(3 * maxWriters) {
 		o := h.all[life%3]
-		o.t.set.Seed = 1000 + life
-		next, err := New(h.now, o.id, o.t.set, o.saved, o)
+		o.t.settings.Seed = 1000 + life
+		next, err := New(h.now, o.id, o.t.settings, o.saved, o)
 		require.NoError(t, err)
 		next.SetMembers(h.now, o.t.members)
 		o.t = next
 		h.until(h.now + 4)
 		for _, s := range h.all {
 			require.Empty(t, s.gone)
-			require.Zero(t, s.t.figures.DroppedStale)
-			require.LessOrEqual(t, len(s.t.lineage), mostWriters)
+			require.Zero(t, s.t.stats.DroppedStale)
+			require.LessOrEqual(t, len(s.t.lineage), maxWriters)
 		}
 		require.NotNil(t, h.leader())
 	}
 	for _, s := range h.all {
-		require.Len(t, s.t.lineage, mostWriters)
+		require.Len(t, s.t.lineage, maxWriters)
 	}
 }
 
@@ -288,14 +288,14 @@
 	was.slow = true
 	was.t.RequestStepDown(h.now, "list") // something to keep
 	h.until(h.now + 0.1)
-	require.True(t, was.t.saving)
+	require.True(t, was.t.persisting)
 	for _, s := range h.all {
 		s.up = s == was
 	}
-	h.until(h.now + 2*electS)
-	require.Equal(t, raft.StateFollower, was.t.group.node.BasicStatus().RaftState)
-	h.until(h.now + 10*electS)
-	require.Equal(t, raft.StateFollower, was.t.group.node.BasicStatus().RaftState)
+	h.until(h.now + 2*electionTimeoutSeconds)
+	require.Equal(t, raft.StateFollower, was.t.group.rawNode.BasicStatus().RaftState)
+	h.until(h.now + 10*electionTimeoutSeconds)
+	require.Equal(t, raft.StateFollower, was.t.group.rawNode.BasicStatus().RaftState)
 }
 
 // A state that is torn, or another's, is none.
@@ -304,17 +304,17 @@
 	h.until(110)
 	s := h.all[0]
 	for cut := 1; cut < len(s.saved); cut += 7 {
-		_, err := New(h.now, s.id, s.t.set, s.saved[:cut], s)
-		require.ErrorIs(t, err, errState, "%d", cut)
+		_, err := New(h.now, s.id, s.t.settings, s.saved[:cut], s)
+		require.ErrorIs(t, err, ErrInvalidState, "%d", cut)
 	}
-	_, err := New(h.now, s.id+1, s.t.set, s.saved, s)
-	require.ErrorIs(t, err, errState)
-	kept, err := New(h.now, s.id, s.t.set, s.saved, s)
+	_, err := New(h.now, s.id+1, s.t.settings, s.saved, s)
+	require.ErrorIs(t, err, ErrInvalidState)
+	kept, err := New(h.now, s.id, s.t.settings, s.saved, s)
 	require.NoError(t, err)
-	was, _ := s.t.group.store.LastIndex()
-	is, _ := kept.group.store.LastIndex()
+	was, _ := s.t.group.storage.LastIndex()
+	is, _ := kept.group.storage.LastIndex()
 	require.Equal(t, was, is)
-	require.Equal(t, s.t.group.current, kept.group.current)
+	require.Equal(t, s.t.group.term, kept.group.term)
 }
 
 // Of the tokens of a job the greatest ever seen holds, also over a restart, and no other job's.
@@ -359,7 +359,7 @@
 		o.t.WriteRecord(h.now, "works", last.Version, []byte("earlier"))
 		h.until(h.now + 0.1)
 		require.Equal(t, last, o.agreed)
-		require.Less(t, len(o.saved), 4*mostLogged)
+		require.Less(t, len(o.saved), 4*maxLogBytes)
 		leader := h.leader()
 		switch round % 3 {
 		case 0:
@@ -372,7 +372,7 @@
 		h.until(h.now + 8)
 		for _, s := range h.all { // back as they were: links lost what came meanwhile
 			if !s.up {
-				back, err := New(h.now, s.id, s.t.set, s.saved, s)
+				back, err := New(h.now, s.id, s.t.settings, s.saved, s)
 				require.NoError(t, err)
 				back.SetMembers(h.now, s.t.members)
 				s.t, s.up = back, true
