--- a/internal/decide/lease/electors.go
+++ b/internal/decide/lease/electors.go
@@ -21,47 +21,47 @@
 
 // reconfigureVoters has electors that are gone for good replaced, one at a time: the new one learns all first, then it comes in and the
 // old one goes by one joint change. Where there is nobody to come in, the group becomes smaller, so that its majority lives.
-func (t *Node) reconfigureVoters() {
-	g := t.group
-	if t.now < t.votersDueAt {
+func (n *Node) reconfigureVoters() {
+	g := n.group
+	if n.now < n.votersDueAt {
 		return
 	}
-	t.votersDueAt = t.now + voterCheckIntervalSeconds
+	n.votersDueAt = n.now + voterCheckIntervalSeconds
 	if len(g.confState.GetVotersOutgoing()) > 0 {
 		return
 	}
 	gone, longest := uint64(0), 0.0
 	for _, id := range g.confState.GetVoters() {
-		if s := t.goneSeconds(swim.ID(id)); s >= voterGoneSeconds && s > longest {
+		if s := n.goneSeconds(swim.ID(id)); s >= voterGoneSeconds && s > longest {
 			gone, longest = id, s
 		}
 	}
 	keepers := 0
-	for _, m := range t.members {
+	for _, m := range n.members {
 		// Danger: a group that shrinks with each restart has no majority once another elector goes.
-		if m.Durable && t.goneSeconds(m.ID) < voterGoneSeconds {
+		if m.Durable && n.goneSeconds(m.ID) < voterGoneSeconds {
 			keepers++
 		}
 	}
 	size := len(g.confState.GetVoters())
-	target := max(min(len(t.founding.Voters), (keepers+1)/2*2-1), minVoters)
+	target := max(min(len(n.founding.Voters), (keepers+1)/2*2-1), minVoters)
 	if learners := g.confState.GetLearners(); len(learners) > 0 {
-		t.promoteLearner(learners[0], gone, size < target)
+		n.promoteLearner(learners[0], gone, size < target)
 		return
 	}
-	if next := t.nextVoter(); next != 0 && (gone != 0 && size <= target || size < target) {
-		t.proposeConfChange(singleChange(raftpb.ConfChangeAddLearnerNode, next))
+	if next := n.nextVoter(); next != 0 && (gone != 0 && size <= target || size < target) {
+		n.proposeConfChange(singleChange(raftpb.ConfChangeAddLearnerNode, next))
 		return
 	}
 	switch {
 	case size <= target:
 	case gone != 0:
-		t.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, gone))
+		n.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, gone))
 	default:
 		// All live, and there is one more than an odd number: it adds nothing to what the group can lose.
 		for _, id := range slices.Backward(g.confState.GetVoters()) {
-			if id != uint64(t.self) {
-				t.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, id))
+			if id != uint64(n.self) {
+				n.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, id))
 				return
 			}
 		}
@@ -69,25 +69,25 @@
 }
 
 // goneSeconds tells for how long a member is gone; 0: it is there. Of one that nobody knows it is as long as this member leads.
-func (t *Node) goneSeconds(id swim.ID) float64 {
-	switch m := t.memberByID(id); {
-	case id == t.self:
+func (n *Node) goneSeconds(id swim.ID) float64 {
+	switch m := n.memberByID(id); {
+	case id == n.self:
 		return 0
 	case m == nil:
-		return t.now - t.leadingSince
+		return n.now - n.leadingSince
 	case m.State.IsDeadOrLeft():
-		return t.stateAgeSeconds(m)
+		return n.stateAgeSeconds(m)
 	}
 	return 0
 }
 
 // nextVoter returns who would be the next elector: of those that keep their state, who has lived longest.
-func (t *Node) nextVoter() uint64 {
+func (n *Node) nextVoter() uint64 {
 	var best *Member
-	for i := range t.members {
-		m := &t.members[i]
-		if m.State == swim.Alive && m.Durable && t.stateAgeSeconds(m) >= minAliveSeconds && !slices.Contains(t.group.memberIDs(), uint64(m.ID)) &&
-			!slices.ContainsFunc(t.exclusions, func(p exclusion) bool { return p.role == "" && p.id == m.ID && t.now < p.until }) &&
+	for i := range n.members {
+		m := &n.members[i]
+		if m.State == swim.Alive && m.Durable && n.stateAgeSeconds(m) >= minAliveSeconds && !slices.Contains(n.group.memberIDs(), uint64(m.ID)) &&
+			!slices.ContainsFunc(n.exclusions, func(p exclusion) bool { return p.role == "" && p.id == m.ID && n.now < p.until }) &&
 			(best == nil || m.StateAgeSeconds > best.StateAgeSeconds) {
 			best = m
 		}
@@ -99,25 +99,25 @@
 }
 
 // promoteLearner has a learner become an elector once it knows all, in the place of one that is gone.
-func (t *Node) promoteLearner(learner, gone uint64, grow bool) {
-	g := t.group
+func (n *Node) promoteLearner(learner, gone uint64, grow bool) {
+	g := n.group
 	caughtUp := false
 	g.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
 		caughtUp = caughtUp || id == learner && pr.State == tracker.StateReplicate && pr.RecentActive && pr.Match >= g.appliedIndex
 	})
-	if t.learnerSince == 0 {
-		t.learnerSince = t.now
+	if n.learnerSince == 0 {
+		n.learnerSince = n.now
 	}
 	switch {
-	case gone == 0 && !grow, t.goneSeconds(swim.ID(learner)) > learnerTimeoutSeconds || !caughtUp && t.now-t.learnerSince > learnerTimeoutSeconds:
-		t.exclude("", swim.ID(learner), declineExclusionSeconds)
-		t.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, learner))
+	case gone == 0 && !grow, n.goneSeconds(swim.ID(learner)) > learnerTimeoutSeconds || !caughtUp && n.now-n.learnerSince > learnerTimeoutSeconds:
+		n.exclude("", swim.ID(learner), declineExclusionSeconds)
+		n.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, learner))
 	case !caughtUp:
 	case gone == 0:
-		t.proposeConfChange(singleChange(raftpb.ConfChangeAddNode, learner))
+		n.proposeConfChange(singleChange(raftpb.ConfChangeAddNode, learner))
 	default:
-		t.stats.VotersReplaced++
-		t.proposeConfChange(append(singleChange(raftpb.ConfChangeAddNode, learner), singleChange(raftpb.ConfChangeRemoveNode, gone)...))
+		n.stats.VotersReplaced++
+		n.proposeConfChange(append(singleChange(raftpb.ConfChangeAddNode, learner), singleChange(raftpb.ConfChangeRemoveNode, gone)...))
 	}
 }
 
@@ -126,7 +126,7 @@
 }
 
 // proposeConfChange has a change of electors agreed. Raft turns one away while another is under way.
-func (t *Node) proposeConfChange(changes []*raftpb.ConfChangeSingle) {
-	t.learnerSince = 0
-	t.runRaft(func() { _ = t.group.rawNode.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes}) })
+func (n *Node) proposeConfChange(changes []*raftpb.ConfChangeSingle) {
+	n.learnerSince = 0
+	n.runRaft(func() { _ = n.group.rawNode.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes}) })
 }
--- a/internal/decide/lease/found.go
+++ b/internal/decide/lease/found.go
@@ -33,10 +33,10 @@
 )
 
 // initialVoterIDs returns the members at the listed addresses, 0 where there is none that lives and keeps its state.
-func (t *Node) initialVoterIDs() []swim.ID {
-	ids := make([]swim.ID, len(t.settings.InitialVoters))
-	for i, address := range t.settings.InitialVoters {
-		for _, m := range t.members {
+func (n *Node) initialVoterIDs() []swim.ID {
+	ids := make([]swim.ID, len(n.settings.InitialVoters))
+	for i, address := range n.settings.InitialVoters {
+		for _, m := range n.members {
 			if m.Address == address && !m.State.IsDeadOrLeft() && m.Durable {
 				ids[i] = m.ID
 			}
@@ -46,35 +46,35 @@
 }
 
 // tickFounding proposes a founding where all are there and nobody has.
-func (t *Node) tickFounding() {
-	place := slices.Index(t.settings.InitialVoters, t.settings.Address)
-	if place < 0 || t.founding != nil || t.persistFailed || t.leaving || t.now < t.foundingDueAt {
+func (n *Node) tickFounding() {
+	place := slices.Index(n.settings.InitialVoters, n.settings.Address)
+	if place < 0 || n.founding != nil || n.persistFailed || n.leaving || n.now < n.foundingDueAt {
 		return
 	}
-	ids := t.initialVoterIDs()
-	if slices.Contains(ids, 0) || ids[place] != t.self || !t.hasNoLiveGroup() {
+	ids := n.initialVoterIDs()
+	if slices.Contains(ids, 0) || ids[place] != n.self || !n.hasNoLiveGroup() {
 		return
 	}
-	t.foundingDueAt = t.now + foundingRetrySeconds*(1+t.rng.Float64())
+	n.foundingDueAt = n.now + foundingRetrySeconds*(1+n.rng.Float64())
 	// Danger: one that forgot its state must never propose another value under a ballot that it has used before.
-	t.ballotRound = max(t.ballotRound, t.promisedBallot>>32) + 1
-	b := t.ballotRound<<32 | uint64(t.rng.Uint32()>>8)<<8 | uint64(place)
-	t.proposal = &proposal{ballot: b, promises: make([]*Founding, len(ids)), accepted: make([]bool, len(ids))}
+	n.ballotRound = max(n.ballotRound, n.promisedBallot>>32) + 1
+	b := n.ballotRound<<32 | uint64(n.rng.Uint32()>>8)<<8 | uint64(place)
+	n.proposal = &proposal{ballot: b, promises: make([]*Founding, len(ids)), accepted: make([]bool, len(ids))}
 	for _, id := range ids {
-		t.send(id, &Message{Founding: &Founding{Ballot: b, Step: stepPrepare}})
+		n.send(id, &Message{Founding: &Founding{Ballot: b, Step: stepPrepare}})
 	}
 }
 
 // hasNoLiveGroup tells that no group is known that may still live.
-func (t *Node) hasNoLiveGroup() bool {
-	if t.table.Epoch == 0 {
+func (n *Node) hasNoLiveGroup() bool {
+	if n.table.Epoch == 0 {
 		return true
 	}
-	if t.now-t.startedAt < groupGoneSeconds {
+	if n.now-n.startedAt < groupGoneSeconds {
 		return false // not all may have been met yet
 	}
-	for _, id := range t.table.Voters {
-		if m := t.memberByID(id); m != nil && (!m.State.IsDeadOrLeft() || t.stateAgeSeconds(m) < groupGoneSeconds) {
+	for _, id := range n.table.Voters {
+		if m := n.memberByID(id); m != nil && (!m.State.IsDeadOrLeft() || n.stateAgeSeconds(m) < groupGoneSeconds) {
 			return false
 		}
 	}
@@ -82,51 +82,51 @@
 }
 
 // handleFounding takes a word of the founding.
-func (t *Node) handleFounding(from swim.ID, f *Founding) {
+func (n *Node) handleFounding(from swim.ID, f *Founding) {
 	if len(f.Voters) > maxInitialVoters {
 		return
 	}
-	answer := func(a *Founding) { t.sendAfterPersist(from, &Message{Founding: a}) }
+	answer := func(a *Founding) { n.sendAfterPersist(from, &Message{Founding: a}) }
 	switch f.Step {
 	case stepAsked:
-		if t.founding != nil {
-			answer(t.founding)
+		if n.founding != nil {
+			answer(n.founding)
 		}
 	case stepChosen:
-		t.handleChosen(f)
+		n.handleChosen(f)
 	case stepPrepare, stepAccept:
-		if slices.Index(t.settings.InitialVoters, t.settings.Address) < 0 || t.persistFailed {
+		if slices.Index(n.settings.InitialVoters, n.settings.Address) < 0 || n.persistFailed {
 			return
 		}
 		switch {
-		case t.founding != nil:
-			answer(t.founding)
-		case f.Ballot < t.promisedBallot || f.Ballot == t.promisedBallot && f.Step == stepPrepare:
-			answer(&Founding{Ballot: t.promisedBallot, Step: stepRefused})
+		case n.founding != nil:
+			answer(n.founding)
+		case f.Ballot < n.promisedBallot || f.Ballot == n.promisedBallot && f.Step == stepPrepare:
+			answer(&Founding{Ballot: n.promisedBallot, Step: stepRefused})
 		case f.Step == stepPrepare:
-			t.promisedBallot, t.dirty = f.Ballot, true
-			a := &Founding{Ballot: f.Ballot, Step: stepPromise, Epoch: t.highestEpoch}
-			if t.acceptedFounding != nil {
-				a.Accepted, a.Epoch, a.Voters = t.acceptedFounding.Ballot, t.acceptedFounding.Epoch, t.acceptedFounding.Voters
+			n.promisedBallot, n.dirty = f.Ballot, true
+			a := &Founding{Ballot: f.Ballot, Step: stepPromise, Epoch: n.highestEpoch}
+			if n.acceptedFounding != nil {
+				a.Accepted, a.Epoch, a.Voters = n.acceptedFounding.Ballot, n.acceptedFounding.Epoch, n.acceptedFounding.Voters
 			}
 			answer(a)
 		default:
-			t.promisedBallot, t.dirty = f.Ballot, true
-			t.acceptedFounding = &Founding{Ballot: f.Ballot, Epoch: f.Epoch, Voters: f.Voters, Step: stepAccepted}
+			n.promisedBallot, n.dirty = f.Ballot, true
+			n.acceptedFounding = &Founding{Ballot: f.Ballot, Epoch: f.Epoch, Voters: f.Voters, Step: stepAccepted}
 			answer(&Founding{Ballot: f.Ballot, Step: stepAccepted})
 		}
 	case stepPromise, stepAccepted, stepRefused:
-		t.handleFoundingReply(from, f)
+		n.handleFoundingReply(from, f)
 	}
 }
 
 // handleFoundingReply takes an answer to a proposal of this member.
-func (t *Node) handleFoundingReply(from swim.ID, f *Founding) {
-	t.ballotRound = max(t.ballotRound, f.Ballot>>32)
-	p := t.proposal
-	ids := t.initialVoterIDs()
+func (n *Node) handleFoundingReply(from swim.ID, f *Founding) {
+	n.ballotRound = max(n.ballotRound, f.Ballot>>32)
+	p := n.proposal
+	ids := n.initialVoterIDs()
 	place := slices.Index(ids, from)
-	if p == nil || place < 0 || f.Ballot != p.ballot || t.founding != nil {
+	if p == nil || place < 0 || f.Ballot != p.ballot || n.founding != nil {
 		return
 	}
 	switch {
@@ -146,7 +146,7 @@
 		}
 		p.value = value
 		for _, id := range ids {
-			t.send(id, &Message{Founding: value})
+			n.send(id, &Message{Founding: value})
 		}
 	case f.Step == stepAccepted && p.value != nil:
 		p.accepted[place] = true
@@ -156,30 +156,30 @@
 		c := *p.value
 		c.Step = stepChosen
 		for _, id := range ids {
-			t.send(id, &Message{Founding: &c})
+			n.send(id, &Message{Founding: &c})
 		}
 	}
 }
 
 // handleChosen takes that a group is founded. Who is named in it takes part.
-func (t *Node) handleChosen(f *Founding) {
-	if f.Epoch < t.highestEpoch || f.Epoch == 0 || t.founding != nil && t.founding.Epoch >= f.Epoch || len(f.Voters) < 3 {
+func (n *Node) handleChosen(f *Founding) {
+	if f.Epoch < n.highestEpoch || f.Epoch == 0 || n.founding != nil && n.founding.Epoch >= f.Epoch || len(f.Voters) < 3 {
 		return
 	}
 	known := *f
-	t.highestEpoch, t.proposal, t.dirty = f.Epoch, nil, true
+	n.highestEpoch, n.proposal, n.dirty = f.Epoch, nil, true
 	// Who is not among the founders takes part once a leader of the group has spoken to it as to one who does.
-	if slices.Contains(f.Voters, t.self) || t.contactedEpoch == f.Epoch {
-		t.joinGroup(&known)
+	if slices.Contains(f.Voters, n.self) || n.contactedEpoch == f.Epoch {
+		n.joinGroup(&known)
 	}
 }
 
 // joinGroup takes part in a group from now on.
-func (t *Node) joinGroup(f *Founding) {
-	t.founding, t.group = f, nil
-	if err := t.startGroup(nil, nil, nil); err != nil {
-		t.replaceIdentity(err.Error())
+func (n *Node) joinGroup(f *Founding) {
+	n.founding, n.group = f, nil
+	if err := n.startGroup(nil, nil, nil); err != nil {
+		n.replaceIdentity(err.Error())
 		return
 	}
-	t.actions.Log("this member is an elector", "epoch", f.Epoch)
+	n.actions.Log("this member is an elector", "epoch", f.Epoch)
 }
--- a/internal/decide/lease/group.go
+++ b/internal/decide/lease/group.go
@@ -57,14 +57,14 @@
 
 // startGroup begins to take part. Without anything kept, who founded the group begins with what all founders know, and who is
 // added later with nothing: it votes only once it has been sent who it votes with.
-func (t *Node) startGroup(hard, snapshot []byte, entries [][]byte) error {
-	g := &group{storage: &raftStorage{MemoryStorage: raft.NewMemoryStorage()}, machine: stateMachine{Epoch: t.founding.Epoch}, confState: &raftpb.ConfState{}, tickDueAt: t.now}
+func (n *Node) startGroup(hard, snapshot []byte, entries [][]byte) error {
+	g := &group{storage: &raftStorage{MemoryStorage: raft.NewMemoryStorage()}, machine: stateMachine{Epoch: n.founding.Epoch}, confState: &raftpb.ConfState{}, tickDueAt: n.now}
 	g.storage.latest = func() (uint64, *raftpb.ConfState, []byte) {
 		return g.appliedIndex, g.confState, g.machine.snapshotData()
 	}
-	if snapshot == nil && slices.Contains(t.founding.Voters, t.self) {
+	if snapshot == nil && slices.Contains(n.founding.Voters, n.self) {
 		conf := &raftpb.ConfState{}
-		for _, id := range t.founding.Voters {
+		for _, id := range n.founding.Voters {
 			conf.Voters = append(conf.Voters, uint64(id))
 		}
 		slices.Sort(conf.Voters)
@@ -83,21 +83,21 @@
 	if h := g.storage.hardState; h != nil {
 		g.term, g.vote, g.commitAtStart = h.GetTerm(), h.GetVote(), h.GetCommit()
 	}
-	return t.guardRaft(func() {
+	return n.guardRaft(func() {
 		var err error
-		g.rawNode, err = raft.NewRawNode(&raft.Config{ID: uint64(t.self), ElectionTick: electionTicks, HeartbeatTick: 1, Storage: g.storage,
+		g.rawNode, err = raft.NewRawNode(&raft.Config{ID: uint64(n.self), ElectionTick: electionTicks, HeartbeatTick: 1, Storage: g.storage,
 			Applied: g.appliedIndex, MaxSizePerMsg: 16 << 10, MaxInflightMsgs: 16, CheckQuorum: true, PreVote: true, StepDownOnRemoval: true,
 			DisableProposalForwarding: true, Logger: raftLogger{}})
 		if err != nil {
 			panic(err)
 		}
-		t.group = g
-		t.resetElectionTimer()
+		n.group = g
+		n.resetElectionTimer()
 	})
 }
 
 // guardRaft has raft do something. Danger: it panics with what it can't make sense of, and a message may come from anywhere.
-func (t *Node) guardRaft(do func()) (err error) {
+func (n *Node) guardRaft(do func()) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("%w: %v", ErrInvalidState, cause)
@@ -108,9 +108,9 @@
 }
 
 // runRaft is guard for what runs: a group that fails is left, and with it the identity.
-func (t *Node) runRaft(do func()) {
-	if err := t.guardRaft(do); err != nil {
-		t.replaceIdentity(err.Error())
+func (n *Node) runRaft(do func()) {
+	if err := n.guardRaft(do); err != nil {
+		n.replaceIdentity(err.Error())
 	}
 }
 
@@ -124,98 +124,98 @@
 }
 
 // resetElectionTimer sets when this member stands. Raft's own draw can't be replayed, so its elections never come due by its ticks.
-func (t *Node) resetElectionTimer() {
-	t.group.electionDueAt = t.now + electionTimeoutSeconds*(1+t.rng.Float64())
+func (n *Node) resetElectionTimer() {
+	n.group.electionDueAt = n.now + electionTimeoutSeconds*(1+n.rng.Float64())
 }
 
 // tickRaft moves raft's clock.
-func (t *Node) tickRaft() {
-	g := t.group
-	if t.now-g.tickDueAt > stallSeconds {
+func (n *Node) tickRaft() {
+	g := n.group
+	if n.now-g.tickDueAt > stallSeconds {
 		// It stood still. What the others said meanwhile is read before it stands for election.
-		g.tickDueAt = t.now - stallSeconds
+		g.tickDueAt = n.now - stallSeconds
 		if !g.isLeader {
-			t.resetElectionTimer()
+			n.resetElectionTimer()
 		}
 	}
-	for ; g.tickDueAt <= t.now; g.tickDueAt += raftTickSeconds {
+	for ; g.tickDueAt <= n.now; g.tickDueAt += raftTickSeconds {
 		// Danger: who lost its quorum while its disk wrote still has to take note that it leads no more. Raft has it wait for an election
 		// by then, for as long as the machine's random source said.
 		if g.rawNode.BasicStatus().RaftState == raft.StateLeader {
-			t.runRaft(g.rawNode.Tick)
+			n.runRaft(g.rawNode.Tick)
 		} else {
 			g.rawNode.TickQuiesced() // the wait before a vote for another; no more
 		}
-		t.advanceRaft()
-		if t.group != g {
+		n.advanceRaft()
+		if n.group != g {
 			return
 		}
 	}
-	if !g.isLeader && t.now >= g.electionDueAt {
-		t.resetElectionTimer()
-		if t.canVote() && t.isVoter() {
-			t.runRaft(func() { _ = g.rawNode.Campaign() })
+	if !g.isLeader && n.now >= g.electionDueAt {
+		n.resetElectionTimer()
+		if n.canVote() && n.isVoter() {
+			n.runRaft(func() { _ = g.rawNode.Campaign() })
 		}
 	}
 }
 
 // isVoter tells whether this member is an elector, as far as it knows.
-func (t *Node) isVoter() bool {
-	g := t.group
-	if g == nil || !slices.Contains(slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing()), uint64(t.self)) {
+func (n *Node) isVoter() bool {
+	g := n.group
+	if g == nil || !slices.Contains(slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing()), uint64(n.self)) {
 		return false
 	}
-	return t.table.Epoch != t.founding.Epoch || t.table.Index <= g.appliedIndex || slices.Contains(t.table.Voters, t.self)
+	return n.table.Epoch != n.founding.Epoch || n.table.Index <= g.appliedIndex || slices.Contains(n.table.Voters, n.self)
 }
 
 // canVote tells whether this member takes part: who leaves, or can't keep what it says, does not.
-func (t *Node) canVote() bool { return !t.persistFailed && !(t.leaving && t.leadershipTransferred) }
+func (n *Node) canVote() bool { return !n.persistFailed && !(n.leaving && n.leadershipTransferred) }
 
 // stepRaft takes a message of the group.
-func (t *Node) stepRaft(from swim.ID, body []byte) {
-	g := t.group
+func (n *Node) stepRaft(from swim.ID, body []byte) {
+	g := n.group
 	var m raftpb.Message
-	if err := proto.Unmarshal(body, &m); err != nil || m.GetFrom() != uint64(from) || m.GetTo() != uint64(t.self) || !t.canVote() {
+	if err := proto.Unmarshal(body, &m); err != nil || m.GetFrom() != uint64(from) || m.GetTo() != uint64(n.self) || !n.canVote() {
 		return
 	}
-	t.runRaft(func() { _ = g.rawNode.Step(&m) })
-	if t.group != g {
+	n.runRaft(func() { _ = g.rawNode.Step(&m) })
+	if n.group != g {
 		return
 	}
 	switch m.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if status := g.rawNode.BasicStatus(); status.Lead == m.GetFrom() && status.GetTerm() == m.GetTerm() {
-			t.resetElectionTimer()
+			n.resetElectionTimer()
 		}
 	}
 }
 
 // advanceRaft does all that raft wants done, up to where it must wait for the disk.
-func (t *Node) advanceRaft() {
-	for t.group != nil && !t.persisting && !t.retired {
-		g := t.group
+func (n *Node) advanceRaft() {
+	for n.group != nil && !n.persisting && !n.retired {
+		g := n.group
 		if g.ready == nil && g.rawNode.HasReady() {
 			var rd raft.Ready
-			t.runRaft(func() { rd = g.rawNode.Ready(); t.storeReady(&rd) })
-			if t.group != g {
+			n.runRaft(func() { rd = g.rawNode.Ready(); n.storeReady(&rd) })
+			if n.group != g {
 				return
 			}
 			g.ready = &rd
 			if rd.MustSync || !raft.IsEmptySnap(rd.Snapshot) {
-				t.dirty = true
+				n.dirty = true
 			}
 		}
-		if t.dirty || g.ready == nil {
+		if n.dirty || g.ready == nil {
 			break
 		}
-		t.completeReady()
+		n.completeReady()
 	}
-	t.persist()
+	n.persist()
 }
 
 // storeReady puts what is to be kept into the store.
-func (t *Node) storeReady(rd *raft.Ready) {
-	g := t.group
+func (n *Node) storeReady(rd *raft.Ready) {
+	g := n.group
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := g.storage.ApplySnapshot(rd.Snapshot); err != nil {
 			panic(err)
@@ -226,11 +226,11 @@
 	}
 	if h := rd.HardState; !raft.IsEmptyHardState(h) {
 		if h.GetVote() != g.vote && h.GetVote() != 0 {
-			t.resetElectionTimer()
+			n.resetElectionTimer()
 		}
 		if h.GetTerm() != g.term && g.isLeader { // it leads no more, and is told so before anything else of this term is done
 			g.isLeader, g.leaderID = false, 0
-			t.leadershipChanged(false)
+			n.leadershipChanged(false)
 		}
 		g.storage.hardState, g.term, g.vote = h, h.GetTerm(), h.GetVote()
 		if err := g.storage.SetHardState(h); err != nil {
@@ -240,21 +240,21 @@
 }
 
 // completeReady does what follows from a Ready whose state is kept: it tells the others, and applies what is agreed.
-func (t *Node) completeReady() {
-	g := t.group
+func (n *Node) completeReady() {
+	g := n.group
 	rd := g.ready
 	g.ready = nil
 	for _, m := range rd.Messages {
-		t.sendRaft(swim.ID(m.GetTo()), mustMarshal(m))
+		n.sendRaft(swim.ID(m.GetTo()), mustMarshal(m))
 	}
-	t.runRaft(func() {
+	n.runRaft(func() {
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			if err := g.installSnapshot(rd.Snapshot); err != nil {
 				panic(err)
 			}
 		}
 		for _, e := range rd.CommittedEntries {
-			t.applyEntry(e)
+			n.applyEntry(e)
 		}
 		g.rawNode.Advance(*rd)
 		for _, m := range rd.Messages {
@@ -264,21 +264,21 @@
 		}
 		g.storage.compact()
 	})
-	if t.group != g {
+	if n.group != g {
 		return
 	}
-	t.updateLeader(rd)
+	n.updateLeader(rd)
 	for _, r := range rd.ReadStates {
-		t.quorumReadDone(binary.BigEndian.Uint64(r.RequestCtx))
+		n.quorumReadDone(binary.BigEndian.Uint64(r.RequestCtx))
 	}
 	if len(rd.CommittedEntries) > 0 || !raft.IsEmptySnap(rd.Snapshot) || rd.SoftState != nil {
-		t.publishTable()
+		n.publishTable()
 	}
 }
 
 // applyEntry takes an entry that is agreed.
-func (t *Node) applyEntry(e *raftpb.Entry) {
-	g := t.group
+func (n *Node) applyEntry(e *raftpb.Entry) {
+	g := n.group
 	g.appliedIndex, g.appliedTerm = e.GetIndex(), e.GetTerm()
 	switch e.GetType() {
 	case raftpb.EntryConfChangeV2:
@@ -290,7 +290,7 @@
 		// Danger: that a change of electors is agreed is known to who is running alone. Where they begin again and the leader does not,
 		// they want votes of those that it has taken out. What the disk had at the start is not written again: with a write before its
 		// first word an old copy would look as new as what it lacks.
-		t.dirty = t.dirty || e.GetIndex() > g.commitAtStart
+		n.dirty = n.dirty || e.GetIndex() > g.commitAtStart
 	case raftpb.EntryNormal:
 		var list []command
 		if len(e.GetData()) == 0 {
@@ -301,28 +301,28 @@
 		}
 		for _, c := range list {
 			if g.machine.apply(c) {
-				t.stats.Grants++
+				n.stats.Grants++
 			}
-			t.commandApplied(c)
+			n.commandApplied(c)
 		}
 	}
 }
 
 // updateLeader takes who leads.
-func (t *Node) updateLeader(rd *raft.Ready) {
-	g := t.group
+func (n *Node) updateLeader(rd *raft.Ready) {
+	g := n.group
 	if rd.SoftState != nil {
 		g.leaderID = swim.ID(rd.SoftState.Lead)
 		if leads := rd.SoftState.RaftState == raft.StateLeader; leads != g.isLeader {
 			g.isLeader = leads
-			t.leadershipChanged(leads)
+			n.leadershipChanged(leads)
 		}
 	}
 }
 
 // propose has commands agreed, and tells whether they are in the log.
-func (t *Node) propose(list ...command) (ok bool) {
-	g := t.group
-	t.runRaft(func() { ok = g.rawNode.Propose(encode(list)) == nil })
-	return ok && t.group == g
+func (n *Node) propose(list ...command) (ok bool) {
+	g := n.group
+	n.runRaft(func() { ok = g.rawNode.Propose(encode(list)) == nil })
+	return ok && n.group == g
 }
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -50,15 +50,15 @@
 }
 
 // Holds tells whether this member may act for a job now, and under which token.
-func (t *Node) Holds(now float64, job string) (token uint64, ok bool) {
-	if h := t.leaseFor(job); h != nil && h.started && now < h.expiresAt && !t.retired {
+func (n *Node) Holds(now float64, job string) (token uint64, ok bool) {
+	if h := n.leaseFor(job); h != nil && h.started && now < h.expiresAt && !n.retired {
 		return h.Token, true
 	}
 	return 0, false
 }
 
-func (t *Node) leaseFor(job string) *heldLease {
-	for _, h := range t.leases {
+func (n *Node) leaseFor(job string) *heldLease {
+	for _, h := range n.leases {
 		if h.Role == job {
 			return h
 		}
@@ -67,251 +67,251 @@
 }
 
 // applyTable takes what the table says of this member.
-func (t *Node) applyTable() {
-	t.ended = slices.DeleteFunc(t.ended, func(d Grant) bool { return !t.isOurs(d) })
-	for _, h := range slices.Clone(t.leases) {
-		if g, known := t.grantFor(h.Role); known && (g.Token > h.Token || g.Token == h.Token && g.Holder != t.self) {
-			t.endLease(h, "it was granted to another")
+func (n *Node) applyTable() {
+	n.ended = slices.DeleteFunc(n.ended, func(d Grant) bool { return !n.isOurs(d) })
+	for _, h := range slices.Clone(n.leases) {
+		if g, known := n.grantFor(h.Role); known && (g.Token > h.Token || g.Token == h.Token && g.Holder != n.self) {
+			n.endLease(h, "it was granted to another")
 		}
 	}
-	for _, g := range t.table.Grants {
-		if g.Holder != t.self || t.leaseFor(g.Role) != nil || t.hasEnded(g) {
+	for _, g := range n.table.Grants {
+		if g.Holder != n.self || n.leaseFor(g.Role) != nil || n.hasEnded(g) {
 			continue
 		}
-		if g.BootID != t.bootID || !t.canHold(g.Role) {
-			if !t.canHold(g.Role) {
-				t.sendDeclined([]string{g.Role})
+		if g.BootID != n.bootID || !n.canHold(g.Role) {
+			if !n.canHold(g.Role) {
+				n.sendDeclined([]string{g.Role})
 			}
-			t.release(g)
+			n.release(g)
 			continue
 		}
-		if len(t.leases) == 0 {
-			t.renewedAt = t.now
+		if len(n.leases) == 0 {
+			n.renewedAt = n.now
 		}
-		t.leases = append(t.leases, &heldLease{Grant: g, expiresAt: math.Inf(-1)})
-		t.renewDueAt = t.now
+		n.leases = append(n.leases, &heldLease{Grant: g, expiresAt: math.Inf(-1)})
+		n.renewDueAt = n.now
 	}
 }
 
-func (t *Node) grantFor(job string) (Grant, bool) {
-	i, known := grantIndex(t.table.Grants, job)
+func (n *Node) grantFor(job string) (Grant, bool) {
+	i, known := grantIndex(n.table.Grants, job)
 	if !known {
 		return Grant{}, false
 	}
-	return t.table.Grants[i], true
+	return n.table.Grants[i], true
 }
 
 // isOurs tells whether the table still says that a grant is this member's.
-func (t *Node) isOurs(g Grant) bool {
-	now, known := t.grantFor(g.Role)
-	return known && now.Token == g.Token && now.Holder == t.self
+func (n *Node) isOurs(g Grant) bool {
+	now, known := n.grantFor(g.Role)
+	return known && now.Token == g.Token && now.Holder == n.self
 }
 
-func (t *Node) hasEnded(g Grant) bool {
-	return slices.ContainsFunc(t.ended, func(d Grant) bool { return d.Role == g.Role && d.Token >= g.Token })
+func (n *Node) hasEnded(g Grant) bool {
+	return slices.ContainsFunc(n.ended, func(d Grant) bool { return d.Role == g.Role && d.Token >= g.Token })
 }
 
 // canHold tells whether this member does a job.
-func (t *Node) canHold(job string) bool {
-	return !t.leaving && slices.Contains(t.settings.Roles, job) && !slices.Contains(t.declinedRoles, job)
+func (n *Node) canHold(job string) bool {
+	return !n.leaving && slices.Contains(n.settings.Roles, job) && !slices.Contains(n.declinedRoles, job)
 }
 
 // endLease ends what is held. Nothing is done under it any more, so it can be given back.
-func (t *Node) endLease(h *heldLease, why string) {
-	t.leases = slices.DeleteFunc(t.leases, func(o *heldLease) bool { return o == h })
+func (n *Node) endLease(h *heldLease, why string) {
+	n.leases = slices.DeleteFunc(n.leases, func(o *heldLease) bool { return o == h })
 	if h.started {
-		t.actions.LeaseEnded(h.Role, h.Token, why)
+		n.actions.LeaseEnded(h.Role, h.Token, why)
 	}
-	t.release(h.Grant)
+	n.release(h.Grant)
 }
 
-func (t *Node) endAllLeases(why string) {
-	for len(t.leases) > 0 {
-		t.endLease(t.leases[0], why)
+func (n *Node) endAllLeases(why string) {
+	for len(n.leases) > 0 {
+		n.endLease(n.leases[0], why)
 	}
 }
 
 // release has the leader know that nothing is done under a grant, until the table says so.
-func (t *Node) release(g Grant) {
-	if t.retired {
+func (n *Node) release(g Grant) {
+	if n.retired {
 		return
 	}
-	t.ended = append(t.ended, g)
-	if t.isOurs(g) && t.table.Leader != 0 {
-		t.send(t.table.Leader, &Message{Released: []Grant{g}})
+	n.ended = append(n.ended, g)
+	if n.isOurs(g) && n.table.Leader != 0 {
+		n.send(n.table.Leader, &Message{Released: []Grant{g}})
 	}
-	t.renewDueAt = min(t.renewDueAt, t.now+renewIntervalSeconds)
+	n.renewDueAt = min(n.renewDueAt, n.now+renewIntervalSeconds)
 }
 
 // expireLeases ends leases. Danger: this process may have stood still since its last call; it comes before all else.
-func (t *Node) expireLeases() {
-	for _, h := range slices.Clone(t.leases) {
-		if h.started && t.now >= h.expiresAt {
-			t.stats.Lapsed++
-			t.endLease(h, ReasonNotRenewed)
+func (n *Node) expireLeases() {
+	for _, h := range slices.Clone(n.leases) {
+		if h.started && n.now >= h.expiresAt {
+			n.stats.Lapsed++
+			n.endLease(h, ReasonNotRenewed)
 		}
 	}
 }
 
 // tickHolder has leases renewed.
-func (t *Node) tickHolder() {
-	if t.now >= t.renewDueAt {
-		t.sendRenewal()
+func (n *Node) tickHolder() {
+	if n.now >= n.renewDueAt {
+		n.sendRenewal()
 	}
-	if t.now >= t.bidDueAt {
-		t.bidDueAt = t.now + compareIntervalSeconds
+	if n.now >= n.bidDueAt {
+		n.bidDueAt = n.now + compareIntervalSeconds
 		var wish []string
-		for _, job := range t.settings.Roles {
-			if _, known := t.grantFor(job); !known && t.canHold(job) {
+		for _, job := range n.settings.Roles {
+			if _, known := n.grantFor(job); !known && n.canHold(job) {
 				wish = append(wish, job)
 			}
 		}
 		if wish != nil {
-			t.bidDueAt = t.now + bidIntervalSeconds*(1+4*t.rng.Float64())
+			n.bidDueAt = n.now + bidIntervalSeconds*(1+4*n.rng.Float64())
 		}
-		if wish != nil && t.table.Leader != 0 {
-			t.send(t.table.Leader, &Message{Bids: wish, BootID: t.bootID})
+		if wish != nil && n.table.Leader != 0 {
+			n.send(n.table.Leader, &Message{Bids: wish, BootID: n.bootID})
 		}
 	}
 }
 
 // sendRenewal asks for all leases at once, and gives back what is not known to be given back.
-func (t *Node) sendRenewal() {
-	t.renewDueAt = math.Inf(1)
-	if len(t.leases) == 0 && len(t.ended) == 0 || t.retired {
+func (n *Node) sendRenewal() {
+	n.renewDueAt = math.Inf(1)
+	if len(n.leases) == 0 && len(n.ended) == 0 || n.retired {
 		return
 	}
-	t.renewDueAt = t.now + renewIntervalSeconds
-	m := &Message{BootID: t.bootID}
-	if len(t.leases) > 0 {
-		t.renewalNumber++
-		r := &Renewal{Number: t.renewalNumber}
-		for _, h := range t.leases {
+	n.renewDueAt = n.now + renewIntervalSeconds
+	m := &Message{BootID: n.bootID}
+	if len(n.leases) > 0 {
+		n.renewalNumber++
+		r := &Renewal{Number: n.renewalNumber}
+		for _, h := range n.leases {
 			r.Grants = append(r.Grants, h.Grant)
 		}
-		r.Records = t.knownRecordVersions()
-		t.pendingRenewals = append(t.pendingRenewals, sentRenewal{t.renewalNumber, t.now, r.Grants})
-		if len(t.pendingRenewals) > maxPendingRenewals {
-			t.pendingRenewals = slices.Delete(t.pendingRenewals, 0, len(t.pendingRenewals)-maxPendingRenewals)
+		r.Records = n.knownRecordVersions()
+		n.pendingRenewals = append(n.pendingRenewals, sentRenewal{n.renewalNumber, n.now, r.Grants})
+		if len(n.pendingRenewals) > maxPendingRenewals {
+			n.pendingRenewals = slices.Delete(n.pendingRenewals, 0, len(n.pendingRenewals)-maxPendingRenewals)
 		}
 		m.RenewRequest = r
 	}
-	for _, g := range t.ended {
-		if t.isOurs(g) {
+	for _, g := range n.ended {
+		if n.isOurs(g) {
 			m.Released = append(m.Released, g)
 		}
 	}
-	leader := t.table.Leader
-	if leader != 0 && (t.now-t.renewedAt < 2*renewIntervalSeconds || leader == t.self) {
-		t.send(leader, m)
+	leader := n.table.Leader
+	if leader != 0 && (n.now-n.renewedAt < 2*renewIntervalSeconds || leader == n.self) {
+		n.send(leader, m)
 		return
 	}
-	for _, id := range t.table.Voters { // one of them knows who leads
-		t.send(id, m)
+	for _, id := range n.table.Voters { // one of them knows who leads
+		n.send(id, m)
 	}
 }
 
 // handleRenewReply takes what the leader has confirmed.
-func (t *Node) handleRenewReply(r *Renewal) {
-	i := slices.IndexFunc(t.pendingRenewals, func(s sentRenewal) bool { return s.number == r.Number })
+func (n *Node) handleRenewReply(r *Renewal) {
+	i := slices.IndexFunc(n.pendingRenewals, func(s sentRenewal) bool { return s.number == r.Number })
 	if i < 0 {
 		return
 	}
-	sent := t.pendingRenewals[i]
-	t.renewedAt = t.now
-	t.handleRecords(r.Records)
+	sent := n.pendingRenewals[i]
+	n.renewedAt = n.now
+	n.handleRecords(r.Records)
 	for _, g := range r.Grants {
-		h := t.leaseFor(g.Role)
+		h := n.leaseFor(g.Role)
 		if h == nil || h.Token != g.Token || !slices.Contains(sent.grants, h.Grant) {
 			continue
 		}
 		h.expiresAt = max(h.expiresAt, sent.sentAt+holderLeaseFraction*leaseSeconds)
 		switch {
-		case t.now >= h.expiresAt:
-		case !h.started && t.canHold(h.Role):
+		case n.now >= h.expiresAt:
+		case !h.started && n.canHold(h.Role):
 			h.started = true
-			t.stats.Acquired++
-			t.actions.LeaseStarted(h.Role, h.Token)
-			if t.hasRecord(h.Role) {
+			n.stats.Acquired++
+			n.actions.LeaseStarted(h.Role, h.Token)
+			if n.hasRecord(h.Role) {
 				h.record.Role = h.Role
-				t.actions.RecordCommitted(h.record)
+				n.actions.RecordCommitted(h.record)
 			}
 		}
 	}
 }
 
 // SetWilling tells whether this member wants a job.
-func (t *Node) SetWilling(now float64, job string, willing bool) {
-	t.advanceTo(now)
-	i, not := slices.BinarySearch(t.declinedRoles, job)
+func (n *Node) SetWilling(now float64, job string, willing bool) {
+	n.advanceTo(now)
+	i, not := slices.BinarySearch(n.declinedRoles, job)
 	switch {
 	case willing && not:
-		t.declinedRoles = slices.Delete(t.declinedRoles, i, i+1)
+		n.declinedRoles = slices.Delete(n.declinedRoles, i, i+1)
 	case !willing && !not:
-		t.declinedRoles = slices.Insert(t.declinedRoles, i, job)
-		if h := t.leaseFor(job); h != nil {
-			t.sendDeclined([]string{job})
-			t.endLease(h, "this member does not want it")
+		n.declinedRoles = slices.Insert(n.declinedRoles, i, job)
+		if h := n.leaseFor(job); h != nil {
+			n.sendDeclined([]string{job})
+			n.endLease(h, "this member does not want it")
 		}
 	}
-	t.finishCall()
+	n.finishCall()
 }
 
-func (t *Node) sendDeclined(jobs []string) {
-	if t.table.Leader != 0 && len(jobs) > 0 {
-		t.send(t.table.Leader, &Message{Declined: jobs})
+func (n *Node) sendDeclined(jobs []string) {
+	if n.table.Leader != 0 && len(jobs) > 0 {
+		n.send(n.table.Leader, &Message{Declined: jobs})
 	}
 }
 
 // handleOffer answers who would do jobs.
-func (t *Node) handleOffer(from swim.ID, jobs []string) {
+func (n *Node) handleOffer(from swim.ID, jobs []string) {
 	var wish, not []string
 	for _, job := range jobs {
-		if t.canHold(job) {
+		if n.canHold(job) {
 			wish = append(wish, job)
 		} else {
 			not = append(not, job)
 		}
 	}
-	t.send(from, &Message{Bids: wish, Declined: not, BootID: t.bootID})
+	n.send(from, &Message{Bids: wish, Declined: not, BootID: n.bootID})
 }
 
 // RequestStepDown has a job go to somebody else, as an operator wants.
-func (t *Node) RequestStepDown(now float64, job string) {
-	t.advanceTo(now)
-	if !t.retired && t.table.Leader != 0 {
-		t.send(t.table.Leader, &Message{StepDown: job})
+func (n *Node) RequestStepDown(now float64, job string) {
+	n.advanceTo(now)
+	if !n.retired && n.table.Leader != 0 {
+		n.send(n.table.Leader, &Message{StepDown: job})
 	}
-	t.finishCall()
+	n.finishCall()
 }
 
 // handleStepDown takes that a job is to go to somebody else: who owns it gives it back.
-func (t *Node) handleStepDown(job string) {
-	if h := t.leaseFor(job); h != nil {
-		t.sendDeclined([]string{job})
-		t.endLease(h, "it is to go to another member")
+func (n *Node) handleStepDown(job string) {
+	if h := n.leaseFor(job); h != nil {
+		n.sendDeclined([]string{job})
+		n.endLease(h, "it is to go to another member")
 	}
 }
 
 // Leave gives everything back, and says nothing more as an elector once another leads.
-func (t *Node) Leave(now float64) {
-	t.advanceTo(now)
-	if !t.leaving && !t.retired {
-		t.leaving, t.leavingSince = true, t.now
-		t.endAllLeases("this member leaves")
-		t.tickLeader()
+func (n *Node) Leave(now float64) {
+	n.advanceTo(now)
+	if !n.leaving && !n.retired {
+		n.leaving, n.leavingSince = true, n.now
+		n.endAllLeases("this member leaves")
+		n.tickLeader()
 	}
-	t.finishCall()
+	n.finishCall()
 }
 
 // HasLeft tells whether all that was given back is known to be, and another leads.
-func (t *Node) HasLeft() bool {
-	return t.retired || t.leaving && len(t.leases) == 0 && t.leadershipTransferred && !slices.ContainsFunc(t.ended, t.isOurs)
+func (n *Node) HasLeft() bool {
+	return n.retired || n.leaving && len(n.leases) == 0 && n.leadershipTransferred && !slices.ContainsFunc(n.ended, n.isOurs)
 }
 
-func (t *Node) holderNextTick() float64 {
-	next := min(t.renewDueAt, t.bidDueAt)
-	for _, h := range t.leases {
+func (n *Node) holderNextTick() float64 {
+	next := min(n.renewDueAt, n.bidDueAt)
+	for _, h := range n.leases {
 		if h.started {
 			next = min(next, h.expiresAt)
 		}
@@ -320,9 +320,9 @@
 }
 
 // holderLinks are the links that who owns anything needs.
-func (t *Node) holderLinks() []swim.ID {
-	if len(t.leases) == 0 && len(t.ended) == 0 {
+func (n *Node) holderLinks() []swim.ID {
+	if len(n.leases) == 0 && len(n.ended) == 0 {
 		return nil
 	}
-	return append(slices.Clone(t.table.Voters), t.table.Leader)
+	return append(slices.Clone(n.table.Voters), n.table.Leader)
 }
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -76,100 +76,100 @@
 }
 
 // leadershipChanged takes that this member has come to lead, or no longer does.
-func (t *Node) leadershipChanged(leads bool) {
-	t.leaderState = leaderState{leadingSince: t.now, changedAt: t.now, dueAt: t.now}
+func (n *Node) leadershipChanged(leads bool) {
+	n.leaderState = leaderState{leadingSince: n.now, changedAt: n.now, dueAt: n.now}
 	if leads {
-		t.stats.ElectionsWon++
-		for _, g := range t.group.machine.Grants {
-			t.roleFor(g.Role)
+		n.stats.ElectionsWon++
+		for _, g := range n.group.machine.Grants {
+			n.roleFor(g.Role)
 		}
 	} else {
-		t.resetElectionTimer()
+		n.resetElectionTimer()
 	}
 }
 
 // isLeaderReady tells whether this member leads and knows all that was agreed.
-func (t *Node) isLeaderReady() bool {
-	g := t.group
-	return g != nil && g.isLeader && !t.retired && g.appliedTerm == g.term && !t.persistFailed
+func (n *Node) isLeaderReady() bool {
+	g := n.group
+	return g != nil && g.isLeader && !n.retired && g.appliedTerm == g.term && !n.persistFailed
 }
 
-func (t *Node) roleFor(job string) *roleState {
-	i, known := slices.BinarySearchFunc(t.roles, job, func(p *roleState, job string) int { return cmp.Compare(p.role, job) })
+func (n *Node) roleFor(job string) *roleState {
+	i, known := slices.BinarySearchFunc(n.roles, job, func(p *roleState, job string) int { return cmp.Compare(p.role, job) })
 	if !known {
-		if len(t.roles) >= maxRoles || job == "" || len(job) > 64 {
+		if len(n.roles) >= maxRoles || job == "" || len(job) > 64 {
 			return nil
 		}
-		t.roles = slices.Insert(t.roles, i, &roleState{role: job, renewedAt: t.leadingSince})
+		n.roles = slices.Insert(n.roles, i, &roleState{role: job, renewedAt: n.leadingSince})
 	}
-	return t.roles[i]
+	return n.roles[i]
 }
 
 // commandApplied takes that a command is agreed, or turned out to be too late.
-func (t *Node) commandApplied(c command) {
+func (n *Node) commandApplied(c command) {
 	if c.Record != nil {
-		t.recordApplied(c.Record)
+		n.recordApplied(c.Record)
 		return
 	}
-	if t.group.isLeader {
-		if p := t.roleFor(c.Role); p != nil {
-			p.hasPendingCommand, p.renewedAt, p.releasedToken, p.releasedAt = false, t.now, 0, t.now
+	if n.group.isLeader {
+		if p := n.roleFor(c.Role); p != nil {
+			p.hasPendingCommand, p.renewedAt, p.releasedToken, p.releasedAt = false, n.now, 0, n.now
 			if c.Holder == 0 {
 				p.releasedToken = c.ExpectedToken
 			}
-			t.changedAt, t.dueAt = t.now, t.now
+			n.changedAt, n.dueAt = n.now, n.now
 		}
 	}
 }
 
 // handleAsLeader takes what only a leader can answer.
-func (t *Node) handleAsLeader(from swim.ID, m *Message) {
+func (n *Node) handleAsLeader(from swim.ID, m *Message) {
 	if m.RenewRequest == nil && m.Released == nil && m.Declined == nil && m.Bids == nil && m.StepDown == "" && m.WriteRecord == nil {
 		return
 	}
-	if !t.isLeaderReady() {
-		if t.group != nil && from != t.self && t.table.Leader != 0 {
-			t.actions.Send(from, t.tableMessage()) // who leads, as far as this elector knows
+	if !n.isLeaderReady() {
+		if n.group != nil && from != n.self && n.table.Leader != 0 {
+			n.actions.Send(from, n.tableMessage()) // who leads, as far as this elector knows
 		}
 		return
 	}
-	t.dueAt = t.now
+	n.dueAt = n.now
 	for _, g := range m.Released {
-		p := t.roleFor(g.Role)
-		if now, known := t.group.machine.grant(g.Role); p != nil && known && now.Token == g.Token && now.Holder == from && p.releasedToken != g.Token {
-			p.releasedToken, p.releasedAt = g.Token, t.now
-			t.withdrawBid(from, g.Role)
+		p := n.roleFor(g.Role)
+		if now, known := n.group.machine.grant(g.Role); p != nil && known && now.Token == g.Token && now.Holder == from && p.releasedToken != g.Token {
+			p.releasedToken, p.releasedAt = g.Token, n.now
+			n.withdrawBid(from, g.Role)
 		}
 	}
 	for _, job := range m.Declined {
-		t.exclude(job, from, declineExclusionSeconds)
+		n.exclude(job, from, declineExclusionSeconds)
 	}
 	if len(m.Bids) > 0 && m.BootID != 0 {
-		t.recordBid(from, m)
+		n.recordBid(from, m)
 	}
 	if m.StepDown != "" {
-		t.startStepDown(m.StepDown)
+		n.startStepDown(m.StepDown)
 	}
 	if m.WriteRecord != nil {
-		t.proposeRecord(from, m.WriteRecord)
+		n.proposeRecord(from, m.WriteRecord)
 	}
 	if m.RenewRequest != nil {
-		t.lastQuorumRead++
-		t.waitingRenewals = append(t.waitingRenewals, waitingRenewal{from, t.lastQuorumRead, m.RenewRequest})
-		t.startQuorumRead()
+		n.lastQuorumRead++
+		n.waitingRenewals = append(n.waitingRenewals, waitingRenewal{from, n.lastQuorumRead, m.RenewRequest})
+		n.startQuorumRead()
 	}
 }
 
-func (t *Node) recordBid(from swim.ID, m *Message) {
+func (n *Node) recordBid(from swim.ID, m *Message) {
 	for _, job := range m.Bids {
-		t.roleFor(job)
+		n.roleFor(job)
 	}
-	i, known := slices.BinarySearchFunc(t.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) })
+	i, known := slices.BinarySearchFunc(n.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) })
 	if !known {
-		t.bids = slices.Insert(t.bids, i, bid{id: from})
+		n.bids = slices.Insert(n.bids, i, bid{id: from})
 	}
-	b := &t.bids[i]
-	if t.now-b.receivedAt < bidValidSeconds && b.bootID == m.BootID {
+	b := &n.bids[i]
+	if n.now-b.receivedAt < bidValidSeconds && b.bootID == m.BootID {
 		for _, job := range m.Bids {
 			if !slices.Contains(b.roles, job) {
 				b.roles = append(b.roles, job)
@@ -178,176 +178,176 @@
 	} else {
 		b.roles = slices.Clone(m.Bids)
 	}
-	b.receivedAt, b.bootID = t.now, m.BootID
+	b.receivedAt, b.bootID = n.now, m.BootID
 }
 
 // withdrawBid forgets that a member would do a job, since it has just given it back. Danger: one that began again between its word and the
 // grant gives back what its former life was granted, and by that word it would be granted the job again and again.
-func (t *Node) withdrawBid(from swim.ID, job string) {
-	if i, known := slices.BinarySearchFunc(t.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) }); known {
-		t.bids[i].roles = slices.DeleteFunc(t.bids[i].roles, func(o string) bool { return o == job })
+func (n *Node) withdrawBid(from swim.ID, job string) {
+	if i, known := slices.BinarySearchFunc(n.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) }); known {
+		n.bids[i].roles = slices.DeleteFunc(n.bids[i].roles, func(o string) bool { return o == job })
 	}
 }
 
 // startQuorumRead has a quorum confirm that this member leads. One round confirms all renewals that came before it began.
-func (t *Node) startQuorumRead() {
-	if !t.quorumReadInFlight && len(t.waitingRenewals) > 0 && t.isLeaderReady() {
-		t.quorumReadInFlight = true
-		t.stats.QuorumReads++
-		ctx := binary.BigEndian.AppendUint64(nil, t.lastQuorumRead)
-		t.runRaft(func() { t.group.rawNode.ReadIndex(ctx) })
+func (n *Node) startQuorumRead() {
+	if !n.quorumReadInFlight && len(n.waitingRenewals) > 0 && n.isLeaderReady() {
+		n.quorumReadInFlight = true
+		n.stats.QuorumReads++
+		ctx := binary.BigEndian.AppendUint64(nil, n.lastQuorumRead)
+		n.runRaft(func() { n.group.rawNode.ReadIndex(ctx) })
 	}
 }
 
 // quorumReadDone takes that a round has ended: this member led when it began.
-func (t *Node) quorumReadDone(round uint64) {
-	if t.quorumReadInFlight = false; !t.isLeaderReady() {
+func (n *Node) quorumReadDone(round uint64) {
+	if n.quorumReadInFlight = false; !n.isLeaderReady() {
 		return
 	}
-	waiting := t.waitingRenewals
-	t.waitingRenewals = nil
+	waiting := n.waitingRenewals
+	n.waitingRenewals = nil
 	for _, w := range waiting {
 		if w.quorumRead > round {
-			t.waitingRenewals = append(t.waitingRenewals, w)
+			n.waitingRenewals = append(n.waitingRenewals, w)
 			continue
 		}
-		t.confirmRenewal(w)
+		n.confirmRenewal(w)
 	}
-	t.startQuorumRead()
+	n.startQuorumRead()
 }
 
 // confirmRenewal has leases go on.
-func (t *Node) confirmRenewal(w waitingRenewal) {
+func (n *Node) confirmRenewal(w waitingRenewal) {
 	answer := &Renewal{Number: w.Number}
 	for _, g := range w.Grants {
-		now, known := t.group.machine.grant(g.Role)
-		p := t.roleFor(g.Role)
+		now, known := n.group.machine.grant(g.Role)
+		p := n.roleFor(g.Role)
 		if !known || p == nil || now != g || now.Holder != w.from || p.hasPendingCommand || p.releasedToken == g.Token {
 			continue
 		}
-		p.renewedAt = t.now
+		p.renewedAt = n.now
 		answer.Grants = append(answer.Grants, g)
 	}
-	answer.Records = t.newerRecords(w.Records)
+	answer.Records = n.newerRecords(w.Records)
 	m := &Message{RenewReply: answer}
 	if len(answer.Grants) < len(w.Grants) {
-		m.Table = t.tableMessage().Table
+		m.Table = n.tableMessage().Table
 	}
-	t.send(w.from, m)
+	n.send(w.from, m)
 }
 
 // exclude has a member not be granted a job for a while.
-func (t *Node) exclude(job string, id swim.ID, forS float64) {
-	t.exclusions = slices.DeleteFunc(t.exclusions, func(p exclusion) bool { return p.until <= t.now || p.role == job && p.id == id })
-	t.exclusions = append(t.exclusions, exclusion{job, id, t.now + forS})
+func (n *Node) exclude(job string, id swim.ID, forS float64) {
+	n.exclusions = slices.DeleteFunc(n.exclusions, func(p exclusion) bool { return p.until <= n.now || p.role == job && p.id == id })
+	n.exclusions = append(n.exclusions, exclusion{job, id, n.now + forS})
 }
 
 // startStepDown asks the owner of a job to give it up.
-func (t *Node) startStepDown(job string) {
-	if g, known := t.group.machine.grant(job); known && g.Holder != 0 {
-		t.exclude(job, g.Holder, declineExclusionSeconds)
-		t.sendStepDown(g)
+func (n *Node) startStepDown(job string) {
+	if g, known := n.group.machine.grant(job); known && g.Holder != 0 {
+		n.exclude(job, g.Holder, declineExclusionSeconds)
+		n.sendStepDown(g)
 	}
 }
 
-func (t *Node) sendStepDown(g Grant) {
-	if g.Holder == t.self {
-		t.handleStepDown(g.Role)
+func (n *Node) sendStepDown(g Grant) {
+	if g.Holder == n.self {
+		n.handleStepDown(g.Role)
 	} else {
-		t.actions.Send(g.Holder, &Message{StepDown: g.Role})
+		n.actions.Send(g.Holder, &Message{StepDown: g.Role})
 	}
 }
 
 // tickLeader grants what is free.
-func (t *Node) tickLeader() {
-	t.tickLeaving()
-	if !t.isLeaderReady() {
+func (n *Node) tickLeader() {
+	n.tickLeaving()
+	if !n.isLeaderReady() {
 		return
 	}
-	for _, job := range t.settings.Roles {
-		t.roleFor(job)
+	for _, job := range n.settings.Roles {
+		n.roleFor(job)
 	}
-	t.dueAt = t.now + raftTickSeconds
-	if n := t.countAlive(); n != t.liveMembers {
-		t.liveMembers, t.changedAt = n, t.now
+	n.dueAt = n.now + raftTickSeconds
+	if alive := n.countAlive(); alive != n.liveMembers {
+		n.liveMembers, n.changedAt = alive, n.now
 	}
 	var list []command
-	for _, p := range t.roles {
+	for _, p := range n.roles {
 		if p.hasPendingCommand {
 			continue
 		}
-		g, _ := t.group.machine.grant(p.role)
+		g, _ := n.group.machine.grant(p.role)
 		nobodys := g.Holder == 0 || p.releasedToken == g.Token
-		over := t.now >= max(p.renewedAt, t.leadingSince)+leaseSeconds
+		over := n.now >= max(p.renewedAt, n.leadingSince)+leaseSeconds
 		switch {
 		case nobodys || over:
-			id, life := t.chooseHolder(p, list)
+			id, life := n.chooseHolder(p, list)
 			switch {
 			case id != 0:
 				list = append(list, command{Role: p.role, Holder: id, BootID: life, ExpectedToken: g.Token})
-			case g.Holder != 0 && (nobodys && t.now-p.releasedAt > vacateSeconds || t.now-max(p.renewedAt, t.leadingSince) > leaseSeconds+vacateSeconds):
+			case g.Holder != 0 && (nobodys && n.now-p.releasedAt > vacateSeconds || n.now-max(p.renewedAt, n.leadingSince) > leaseSeconds+vacateSeconds):
 				list = append(list, command{Role: p.role, ExpectedToken: g.Token})
 			}
-		case t.now-max(p.renewedAt, t.leadingSince) > renewalOverdueSeconds:
-			t.solicitBids(p) // so that there is somebody when the lease is over
+		case n.now-max(p.renewedAt, n.leadingSince) > renewalOverdueSeconds:
+			n.solicitBids(p) // so that there is somebody when the lease is over
 		}
 	}
 	for _, c := range list {
-		t.roleFor(c.Role).hasPendingCommand = true
+		n.roleFor(c.Role).hasPendingCommand = true
 	}
-	if len(list) > 0 && !t.propose(list...) {
+	if len(list) > 0 && !n.propose(list...) {
 		for _, c := range list {
-			t.roleFor(c.Role).hasPendingCommand = false
+			n.roleFor(c.Role).hasPendingCommand = false
 		}
 	}
-	if t.group == nil {
+	if n.group == nil {
 		return
 	}
-	t.rebalance()
-	t.reconfigureVoters()
+	n.rebalance()
+	n.reconfigureVoters()
 }
 
 // countAlive counts who can be granted anything, as far as is known.
-func (t *Node) countAlive() (n int) {
-	for _, m := range t.members {
+func (n *Node) countAlive() (count int) {
+	for _, m := range n.members {
 		if m.State == swim.Alive {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // roleCount counts a member's jobs, with those of a list that is to be proposed.
-func (t *Node) roleCount(id swim.ID, list []command) (n int) {
-	for _, g := range t.group.machine.Grants {
+func (n *Node) roleCount(id swim.ID, list []command) (count int) {
+	for _, g := range n.group.machine.Grants {
 		if g.Holder == id {
-			n++
+			count++
 		}
 	}
 	for _, c := range list {
 		if c.Holder == id {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // rankCandidates returns who may be granted a job, the best first: who has the fewest jobs, and of these by a draw that is the same
 // for all and another for each job.
-func (t *Node) rankCandidates(p *roleState, list []command) (ids []swim.ID) {
-	g, _ := t.group.machine.grant(p.role)
+func (n *Node) rankCandidates(p *roleState, list []command) (ids []swim.ID) {
+	g, _ := n.group.machine.grant(p.role)
 	type rank struct {
 		id   swim.ID
 		load int
 		draw uint64
 	}
 	var ranks []rank
-	for _, m := range t.members {
-		if m.State != swim.Alive || m.ID == t.self && !t.canHold(p.role) ||
-			slices.ContainsFunc(t.exclusions, func(o exclusion) bool { return o.role == p.role && o.id == m.ID && t.now < o.until }) {
+	for _, m := range n.members {
+		if m.State != swim.Alive || m.ID == n.self && !n.canHold(p.role) ||
+			slices.ContainsFunc(n.exclusions, func(o exclusion) bool { return o.role == p.role && o.id == m.ID && n.now < o.until }) {
 			continue
 		}
-		load := t.roleCount(m.ID, list)
+		load := n.roleCount(m.ID, list)
 		if m.ID == g.Holder {
 			load-- // this very job
 		}
@@ -374,36 +374,36 @@
 }
 
 // bidBootID returns the life of a member that would do a job; 0: it has not said so lately.
-func (t *Node) bidBootID(id swim.ID, job string) uint64 {
-	if id == t.self {
-		if t.canHold(job) {
-			return t.bootID
+func (n *Node) bidBootID(id swim.ID, job string) uint64 {
+	if id == n.self {
+		if n.canHold(job) {
+			return n.bootID
 		}
 		return 0
 	}
-	i, known := slices.BinarySearchFunc(t.bids, id, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) })
-	if known && t.now-t.bids[i].receivedAt < bidValidSeconds && slices.Contains(t.bids[i].roles, job) {
-		return t.bids[i].bootID
+	i, known := slices.BinarySearchFunc(n.bids, id, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) })
+	if known && n.now-n.bids[i].receivedAt < bidValidSeconds && slices.Contains(n.bids[i].roles, job) {
+		return n.bids[i].bootID
 	}
 	return 0
 }
 
 // chooseHolder returns who is to own a job that is free: 0 while nobody has said yes.
-func (t *Node) chooseHolder(p *roleState, list []command) (swim.ID, uint64) {
-	ranked := t.rankCandidates(p, list)
+func (n *Node) chooseHolder(p *roleState, list []command) (swim.ID, uint64) {
+	ranked := n.rankCandidates(p, list)
 	if len(ranked) == 0 {
 		return 0, 0
 	}
-	if life := t.bidBootID(ranked[0], p.role); life != 0 {
+	if life := n.bidBootID(ranked[0], p.role); life != 0 {
 		return ranked[0], life
 	}
-	t.offerRole(p, ranked)
-	if t.now-p.offeredAt < bestBidWaitSeconds {
-		t.dueAt = min(t.dueAt, p.offeredAt+bestBidWaitSeconds)
+	n.offerRole(p, ranked)
+	if n.now-p.offeredAt < bestBidWaitSeconds {
+		n.dueAt = min(n.dueAt, p.offeredAt+bestBidWaitSeconds)
 		return 0, 0
 	}
 	for _, id := range ranked {
-		if life := t.bidBootID(id, p.role); life != 0 {
+		if life := n.bidBootID(id, p.role); life != 0 {
 			return id, life
 		}
 	}
@@ -411,137 +411,137 @@
 }
 
 // solicitBids asks who would take a job.
-func (t *Node) solicitBids(p *roleState) { t.offerRole(p, t.rankCandidates(p, nil)) }
+func (n *Node) solicitBids(p *roleState) { n.offerRole(p, n.rankCandidates(p, nil)) }
 
-func (t *Node) offerRole(p *roleState, ranked []swim.ID) {
+func (n *Node) offerRole(p *roleState, ranked []swim.ID) {
 	switch {
-	case p.offered != nil && t.now-p.offeredAt < offerTimeoutSeconds:
+	case p.offered != nil && n.now-p.offeredAt < offerTimeoutSeconds:
 		return
-	case p.offered != nil && t.now-p.offeredAt < bidValidSeconds:
+	case p.offered != nil && n.now-p.offeredAt < bidValidSeconds:
 		for _, id := range p.offered {
-			if t.bidBootID(id, p.role) == 0 {
-				t.exclude(p.role, id, silentExclusionSeconds)
+			if n.bidBootID(id, p.role) == 0 {
+				n.exclude(p.role, id, silentExclusionSeconds)
 			}
 		}
-		if slices.ContainsFunc(p.offered, func(id swim.ID) bool { return t.bidBootID(id, p.role) != 0 }) && t.now-p.offeredAt < bidValidSeconds/2 {
+		if slices.ContainsFunc(p.offered, func(id swim.ID) bool { return n.bidBootID(id, p.role) != 0 }) && n.now-p.offeredAt < bidValidSeconds/2 {
 			return
 		}
-		ranked = t.rankCandidates(p, nil)
+		ranked = n.rankCandidates(p, nil)
 	}
-	p.offered, p.offeredAt = nil, t.now
+	p.offered, p.offeredAt = nil, n.now
 	for _, id := range ranked[:min(len(ranked), maxOffers)] {
 		p.offered = append(p.offered, id)
-		if id != t.self {
-			t.actions.Send(id, &Message{Offered: []string{p.role}})
+		if id != n.self {
+			n.actions.Send(id, &Message{Offered: []string{p.role}})
 		}
 	}
-	t.dueAt = min(t.dueAt, t.now+bestBidWaitSeconds)
+	n.dueAt = min(n.dueAt, n.now+bestBidWaitSeconds)
 }
 
 // resendOffers takes a new link: who was asked without one is asked again.
-func (t *Node) resendOffers(id swim.ID) {
-	if !t.isLeaderReady() {
+func (n *Node) resendOffers(id swim.ID) {
+	if !n.isLeaderReady() {
 		return
 	}
-	for _, p := range t.roles {
-		if slices.Contains(p.offered, id) && t.now-p.offeredAt < bidValidSeconds && t.bidBootID(id, p.role) == 0 {
-			t.actions.Send(id, &Message{Offered: []string{p.role}})
+	for _, p := range n.roles {
+		if slices.Contains(p.offered, id) && n.now-p.offeredAt < bidValidSeconds && n.bidBootID(id, p.role) == 0 {
+			n.actions.Send(id, &Message{Offered: []string{p.role}})
 		}
 	}
 }
 
 // rebalance has the most loaded give up a job where somebody has two fewer.
-func (t *Node) rebalance() {
-	if t.now-t.changedAt < rebalanceQuietSeconds {
+func (n *Node) rebalance() {
+	if n.now-n.changedAt < rebalanceQuietSeconds {
 		return
 	}
 	most, least := -1, math.MaxInt
 	var from swim.ID
-	for _, m := range t.members {
+	for _, m := range n.members {
 		if m.State != swim.Alive {
 			continue
 		}
-		n := t.roleCount(m.ID, nil)
-		if n > most {
-			most, from = n, m.ID
+		count := n.roleCount(m.ID, nil)
+		if count > most {
+			most, from = count, m.ID
 		}
-		least = min(least, n)
+		least = min(least, count)
 	}
 	if most-least < 2 {
 		return
 	}
-	for _, p := range t.roles {
-		g, _ := t.group.machine.grant(p.role)
-		if g.Holder != from || p.hasPendingCommand || p.releasedToken == g.Token || t.now-p.moveRequestedAt < rebalanceQuietSeconds {
+	for _, p := range n.roles {
+		g, _ := n.group.machine.grant(p.role)
+		if g.Holder != from || p.hasPendingCommand || p.releasedToken == g.Token || n.now-p.moveRequestedAt < rebalanceQuietSeconds {
 			continue
 		}
-		ranked := t.rankCandidates(p, nil)
-		if len(ranked) == 0 || t.roleCount(ranked[0], nil) > most-2 {
+		ranked := n.rankCandidates(p, nil)
+		if len(ranked) == 0 || n.roleCount(ranked[0], nil) > most-2 {
 			continue
 		}
-		if t.bidBootID(ranked[0], p.role) == 0 { // Danger: a job that is given up for one that does not want it only rests
-			t.offerRole(p, ranked)
+		if n.bidBootID(ranked[0], p.role) == 0 { // Danger: a job that is given up for one that does not want it only rests
+			n.offerRole(p, ranked)
 			return
 		}
-		p.moveRequestedAt, t.changedAt = t.now, t.now
-		t.sendStepDown(g)
+		p.moveRequestedAt, n.changedAt = n.now, n.now
+		n.sendStepDown(g)
 		return
 	}
 }
 
 // tickLeaving hands leadership on, once all that this member owned is another's.
-func (t *Node) tickLeaving() {
-	if !t.leaving || t.leadershipTransferred {
+func (n *Node) tickLeaving() {
+	if !n.leaving || n.leadershipTransferred {
 		return
 	}
-	g := t.group
+	g := n.group
 	switch {
 	case g == nil || !g.isLeader:
-		t.leadershipTransferred = true
-	case slices.ContainsFunc(t.ended, t.isOurs) && t.now-t.leavingSince < 1:
-		t.dueAt = min(t.dueAt, t.now+0.02)
-	case t.now-t.leavingSince > 2:
-		t.leadershipTransferred = true // nobody takes it
+		n.leadershipTransferred = true
+	case slices.ContainsFunc(n.ended, n.isOurs) && n.now-n.leavingSince < 1:
+		n.dueAt = min(n.dueAt, n.now+0.02)
+	case n.now-n.leavingSince > 2:
+		n.leadershipTransferred = true // nobody takes it
 	default:
-		if t.now >= t.transferDueAt {
-			t.transferDueAt = t.now + transferRetrySeconds
-			t.transferLeadership()
+		if n.now >= n.transferDueAt {
+			n.transferDueAt = n.now + transferRetrySeconds
+			n.transferLeadership()
 		}
-		t.dueAt = min(t.dueAt, t.now+0.05)
+		n.dueAt = min(n.dueAt, n.now+0.05)
 	}
 }
 
 // transferLeadership transfers leadership to an elector that is there, each time to another.
-func (t *Node) transferLeadership() {
+func (n *Node) transferLeadership() {
 	var there []uint64
-	for _, id := range t.group.confState.GetVoters() {
-		if m := t.memberByID(swim.ID(id)); swim.ID(id) != t.self && m != nil && m.State == swim.Alive {
+	for _, id := range n.group.confState.GetVoters() {
+		if m := n.memberByID(swim.ID(id)); swim.ID(id) != n.self && m != nil && m.State == swim.Alive {
 			there = append(there, id)
 		}
 	}
 	if len(there) > 0 {
-		t.transferAttempts++
-		t.runRaft(func() { t.group.rawNode.TransferLeader(there[t.transferAttempts%len(there)]) })
+		n.transferAttempts++
+		n.runRaft(func() { n.group.rawNode.TransferLeader(there[n.transferAttempts%len(there)]) })
 	}
 }
 
-func (t *Node) leaderNextTick() float64 {
-	if t.group != nil && t.group.isLeader || t.leaving && !t.leadershipTransferred {
-		return t.dueAt
+func (n *Node) leaderNextTick() float64 {
+	if n.group != nil && n.group.isLeader || n.leaving && !n.leadershipTransferred {
+		return n.dueAt
 	}
 	return math.Inf(1)
 }
 
 // leaderLinks are the links that a leader needs beside those to electors.
-func (t *Node) leaderLinks() (ids []swim.ID) {
-	if !t.isLeaderReady() {
+func (n *Node) leaderLinks() (ids []swim.ID) {
+	if !n.isLeaderReady() {
 		return nil
 	}
-	for _, g := range t.group.machine.Grants {
+	for _, g := range n.group.machine.Grants {
 		ids = append(ids, g.Holder)
 	}
-	for _, p := range t.roles {
-		if t.now-p.offeredAt < bidValidSeconds {
+	for _, p := range n.roles {
+		if n.now-p.offeredAt < bidValidSeconds {
 			ids = append(ids, p.offered...)
 		}
 	}
--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -58,36 +58,36 @@
 const maxPeers = 256
 
 // peer returns what was heard of a member; nil: there is no room for more.
-func (t *Node) peer(id swim.ID) *peerState {
-	i, known := slices.BinarySearchFunc(t.peers, id, func(h peerState, id swim.ID) int { return cmp.Compare(h.id, id) })
+func (n *Node) peer(id swim.ID) *peerState {
+	i, known := slices.BinarySearchFunc(n.peers, id, func(h peerState, id swim.ID) int { return cmp.Compare(h.id, id) })
 	if !known {
-		if len(t.peers) >= maxPeers {
+		if len(n.peers) >= maxPeers {
 			return nil
 		}
-		t.peers = slices.Insert(t.peers, i, peerState{id: id})
+		n.peers = slices.Insert(n.peers, i, peerState{id: id})
 	}
-	return &t.peers[i]
+	return &n.peers[i]
 }
 
 // sendRaft sends a message of the group, with the state that it rests on.
-func (t *Node) sendRaft(to swim.ID, raft []byte) {
-	m := &Message{Epoch: t.founding.Epoch, Serial: t.serial, WriterID: t.lineage.writerOf(t.serial), Raft: raft}
-	if h := t.peer(to); h == nil || h.shownWriterID == 0 || h.shownWriterID != m.WriterID || t.now-h.shownAt >= lineageIntervalSeconds {
-		if m.Lineage = t.lineage; h != nil {
-			h.shownWriterID, h.shownAt = m.WriterID, t.now
+func (n *Node) sendRaft(to swim.ID, raft []byte) {
+	m := &Message{Epoch: n.founding.Epoch, Serial: n.serial, WriterID: n.lineage.writerOf(n.serial), Raft: raft}
+	if h := n.peer(to); h == nil || h.shownWriterID == 0 || h.shownWriterID != m.WriterID || n.now-h.shownAt >= lineageIntervalSeconds {
+		if m.Lineage = n.lineage; h != nil {
+			h.shownWriterID, h.shownAt = m.WriterID, n.now
 		}
 	}
-	t.actions.Send(to, m)
+	n.actions.Send(to, m)
 }
 
 // checkSerial tells whether a message of one member rests on the latest state that was heard of it, or on one that came of that. Danger:
 // who came back with an old copy of its state has forgotten votes that others count on.
-func (t *Node) checkSerial(from swim.ID, m *Message) bool {
-	h := t.peer(from)
+func (n *Node) checkSerial(from swim.ID, m *Message) bool {
+	h := n.peer(from)
 	if m.Raft == nil { // what the other has heard of this member
 		switch {
-		case m.Serial > t.serial || !t.lineage.contains(m.Serial, m.WriterID):
-			t.replaceIdentity("others know a later state of this identity: an old copy")
+		case m.Serial > n.serial || !n.lineage.contains(m.Serial, m.WriterID):
+			n.replaceIdentity("others know a later state of this identity: an old copy")
 		case h != nil:
 			h.shownWriterID = 0
 		}
@@ -98,8 +98,8 @@
 	}
 	// Who wrote again since it was heard has to show what its state came of, unless its version knows of no such thing.
 	if m.Serial < h.serial || m.WriterID != h.writerID && m.WriterID != 0 && h.writerID != 0 && (len(m.Lineage) == 0 || !lineage(m.Lineage).contains(h.serial, h.writerID)) {
-		t.stats.DroppedStale++
-		t.actions.Send(from, &Message{Serial: h.serial, WriterID: h.writerID})
+		n.stats.DroppedStale++
+		n.actions.Send(from, &Message{Serial: h.serial, WriterID: h.writerID})
 		return false
 	}
 	h.serial, h.writerID = m.Serial, m.WriterID
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -53,22 +53,22 @@
 // --- at the owner ---
 
 // hasRecord tells whether this member wants the record of a job that it owns.
-func (t *Node) hasRecord(job string) bool { return slices.Contains(t.settings.RecordedRoles, job) }
+func (n *Node) hasRecord(job string) bool { return slices.Contains(n.settings.RecordedRoles, job) }
 
 // WriteRecord asks that a record takes the place of the version before it. Actions.Agreed follows once one is agreed, which may be
 // another's; until then Write is to be called again. It tells nothing of what is lost on the way.
-func (t *Node) WriteRecord(now float64, job string, version uint64, body []byte) {
-	t.advanceTo(now)
-	if h := t.leaseFor(job); h != nil && h.started && t.table.Leader != 0 && !t.retired && len(body) <= MaxRecordBytes {
-		t.send(t.table.Leader, &Message{WriteRecord: &Record{Role: job, Version: version, Token: h.Token, Body: body}})
+func (n *Node) WriteRecord(now float64, job string, version uint64, body []byte) {
+	n.advanceTo(now)
+	if h := n.leaseFor(job); h != nil && h.started && n.table.Leader != 0 && !n.retired && len(body) <= MaxRecordBytes {
+		n.send(n.table.Leader, &Message{WriteRecord: &Record{Role: job, Version: version, Token: h.Token, Body: body}})
 	}
-	t.finishCall()
+	n.finishCall()
 }
 
 // known are the versions that this member knows of the records of what it holds.
-func (t *Node) knownRecordVersions() (all []Record) {
-	for _, h := range t.leases {
-		if t.hasRecord(h.Role) {
+func (n *Node) knownRecordVersions() (all []Record) {
+	for _, h := range n.leases {
+		if n.hasRecord(h.Role) {
 			all = append(all, Record{Role: h.Role, Version: h.recordVersion})
 		}
 	}
@@ -76,16 +76,16 @@
 }
 
 // handleRecords takes records that are agreed.
-func (t *Node) handleRecords(records []Record) {
+func (n *Node) handleRecords(records []Record) {
 	for i := range records {
 		r := &records[i]
-		h := t.leaseFor(r.Role)
-		if h == nil || !t.hasRecord(r.Role) || r.Version <= h.recordVersion || len(r.Body) > MaxRecordBytes {
+		h := n.leaseFor(r.Role)
+		if h == nil || !n.hasRecord(r.Role) || r.Version <= h.recordVersion || len(r.Body) > MaxRecordBytes {
 			continue
 		}
 		h.recordVersion, h.record = r.Version, *r
 		if h.started {
-			t.actions.RecordCommitted(*r)
+			n.actions.RecordCommitted(*r)
 		}
 	}
 }
@@ -93,38 +93,38 @@
 // --- at the leader ---
 
 // proposeRecord has a record agreed that an owner wants.
-func (t *Node) proposeRecord(from swim.ID, r *Record) {
-	g, known := t.group.machine.grant(r.Role)
-	p := t.roleFor(r.Role)
-	switch now := t.group.machine.record(r.Role); {
+func (n *Node) proposeRecord(from swim.ID, r *Record) {
+	g, known := n.group.machine.grant(r.Role)
+	p := n.roleFor(r.Role)
+	switch now := n.group.machine.record(r.Role); {
 	case !known || p == nil || g.Holder != from || g.Token != r.Token || p.releasedToken == g.Token || p.hasPendingCommand || len(r.Body) > MaxRecordBytes:
 		// it is not the owner, or not for long any more
 	case now.Version >= r.Version: // it is agreed, or another was faster
-		t.send(from, &Message{Records: []Record{now}})
+		n.send(from, &Message{Records: []Record{now}})
 	case now.Version+1 == r.Version && p.writingVersion != r.Version:
-		if p.writingVersion = r.Version; !t.propose(command{Role: r.Role, Record: r}) {
+		if p.writingVersion = r.Version; !n.propose(command{Role: r.Role, Record: r}) {
 			p.writingVersion = 0
 		}
 	}
 }
 
 // recordApplied takes that a record is agreed, or turned out to be too late.
-func (t *Node) recordApplied(r *Record) {
-	if !t.group.isLeader {
+func (n *Node) recordApplied(r *Record) {
+	if !n.group.isLeader {
 		return
 	}
-	if p := t.roleFor(r.Role); p != nil {
+	if p := n.roleFor(r.Role); p != nil {
 		p.writingVersion = 0
 	}
-	if g, known := t.group.machine.grant(r.Role); known && g.Holder != 0 {
-		t.send(g.Holder, &Message{Records: []Record{t.group.machine.record(r.Role)}})
+	if g, known := n.group.machine.grant(r.Role); known && g.Holder != 0 {
+		n.send(g.Holder, &Message{Records: []Record{n.group.machine.record(r.Role)}})
 	}
 }
 
 // newerRecords returns what is kept of jobs beyond what the asker knows.
-func (t *Node) newerRecords(known []Record) (all []Record) {
+func (n *Node) newerRecords(known []Record) (all []Record) {
 	for _, k := range known {
-		if now := t.group.machine.record(k.Role); now.Version > k.Version {
+		if now := n.group.machine.record(k.Role); now.Version > k.Version {
 			all = append(all, now)
 		}
 	}
--- a/internal/decide/lease/state.go
+++ b/internal/decide/lease/state.go
@@ -48,9 +48,9 @@
 }
 
 // encodeState returns what is to be kept now.
-func (t *Node) encodeState() []byte {
-	s := persistedState{Version: stateFormatVersion, MemberID: t.self, Serial: t.serial, Lineage: t.lineage, Epoch: t.highestEpoch, Promised: t.promisedBallot, Accepted: t.acceptedFounding, Founding: t.founding}
-	if g := t.group; g != nil {
+func (n *Node) encodeState() []byte {
+	s := persistedState{Version: stateFormatVersion, MemberID: n.self, Serial: n.serial, Lineage: n.lineage, Epoch: n.highestEpoch, Promised: n.promisedBallot, Accepted: n.acceptedFounding, Founding: n.founding}
+	if g := n.group; g != nil {
 		s.HardState, s.Snapshot, s.Entries = g.storage.encode()
 	}
 	return encode(&s)
--- a/internal/decide/lease/stored_form_test.go
+++ b/internal/decide/lease/stored_form_test.go
@@ -66,28 +66,28 @@
 // TestStateOfReleasedVersionIsRead starts members with the states that an earlier version has written. They go on with the group, its
 // grants and its records.
 func TestStateOfReleasedVersionIsRead(t *testing.T) {
-	h := newHall(t, 3, "list", "report")
-	h.until(110)
-	o, token := h.owner("list")
+	h := newCluster(t, 3, "list", "report")
+	h.runUntil(110)
+	o, token := h.holder("list")
 	require.NotNil(t, o)
-	o.t.WriteRecord(h.now, "list", 1, []byte("kept"))
-	h.until(h.now + 1)
+	o.node.WriteRecord(h.now, "list", 1, []byte("kept"))
+	h.runUntil(h.now + 1)
 	for _, s := range h.all {
-		raw := golden(t, fmt.Sprintf("state/member-%d.msgpack", s.id), s.saved)
-		set := s.t.settings
+		raw := golden(t, fmt.Sprintf("state/member-%d.msgpack", s.id), s.state)
+		set := s.node.settings
 		set.Seed += 1000 // another process
 		next, err := New(h.now, s.id, set, raw, s)
 		require.NoError(t, err)
 		require.Equal(t, raw, next.encodeState(), "what is read is written the same")
-		next.SetMembers(h.now, s.t.members)
-		s.t = next
+		next.SetMembers(h.now, s.node.members)
+		s.node = next
 	}
-	h.until(h.now + 10)
-	next, later := h.owner("list")
+	h.runUntil(h.now + 10)
+	next, later := h.holder("list")
 	require.NotNil(t, next)
 	require.Greater(t, later, token, "a token that was granted is not granted again")
-	require.Equal(t, []byte("kept"), next.agreed.Body)
+	require.Equal(t, []byte("kept"), next.record.Body)
 	for _, s := range h.all {
-		require.Empty(t, s.gone)
+		require.Empty(t, s.replacedReason)
 	}
 }
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -15,54 +15,54 @@
 }
 
 // handleTable takes what another knows of all grants.
-func (t *Node) handleTable(from swim.ID, table *Table) {
+func (n *Node) handleTable(from swim.ID, table *Table) {
 	switch {
-	case from == t.self || len(table.Grants) > maxRoles || len(table.Voters) > 2*maxInitialVoters:
-	case t.table.isNewerThan(table):
-		t.actions.Send(from, t.tableMessage())
-	case !table.isNewerThan(&t.table):
+	case from == n.self || len(table.Grants) > maxRoles || len(table.Voters) > 2*maxInitialVoters:
+	case n.table.isNewerThan(table):
+		n.actions.Send(from, n.tableMessage())
+	case !table.isNewerThan(&n.table):
 	case len(table.Voters) == 0:
-		t.actions.Send(from, &Message{Table: &Table{Epoch: t.table.Epoch, Index: t.table.Index, Term: t.table.Term}})
+		n.actions.Send(from, &Message{Table: &Table{Epoch: n.table.Epoch, Index: n.table.Index, Term: n.table.Term}})
 	default:
-		t.adoptTable(table, from)
+		n.adoptTable(table, from)
 	}
 }
 
 // adoptTable takes a newer table and passes it on.
-func (t *Node) adoptTable(table *Table, except swim.ID) {
-	t.table = *table
-	t.highestEpoch = max(t.highestEpoch, t.table.Epoch)
-	if t.founding != nil && t.founding.Epoch < t.table.Epoch {
-		t.actions.Log("another electors' group has been founded: this member leaves the old one", "epoch", t.table.Epoch)
-		t.founding, t.group, t.acceptedFounding, t.dirty = nil, nil, nil, true
+func (n *Node) adoptTable(table *Table, except swim.ID) {
+	n.table = *table
+	n.highestEpoch = max(n.highestEpoch, n.table.Epoch)
+	if n.founding != nil && n.founding.Epoch < n.table.Epoch {
+		n.actions.Log("another electors' group has been founded: this member leaves the old one", "epoch", n.table.Epoch)
+		n.founding, n.group, n.acceptedFounding, n.dirty = nil, nil, nil, true
 	}
-	t.actions.Broadcast(&Message{Table: table}, except)
-	t.applyTable()
+	n.actions.Broadcast(&Message{Table: table}, except)
+	n.applyTable()
 }
 
 // tableMessage tells what is known as of now, whenever it is read.
-func (t *Node) tableMessage() *Message {
-	table := t.table
+func (n *Node) tableMessage() *Message {
+	table := n.table
 	return &Message{Table: &table}
 }
 
 // publishTable makes the table of what this elector has applied.
-func (t *Node) publishTable() {
-	g := t.group
+func (n *Node) publishTable() {
+	g := n.group
 	if g.appliedIndex == 0 {
 		return
 	}
-	table := Table{Epoch: t.founding.Epoch, Index: g.appliedIndex, Term: g.term, Leader: g.leaderID, Grants: slices.Clone(g.machine.Grants)}
+	table := Table{Epoch: n.founding.Epoch, Index: g.appliedIndex, Term: g.term, Leader: g.leaderID, Grants: slices.Clone(g.machine.Grants)}
 	for _, id := range slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing()) { // while one is replaced, both count
 		table.Voters = append(table.Voters, swim.ID(id))
 	}
 	slices.Sort(table.Voters)
 	table.Voters = slices.Compact(table.Voters)
-	if table.Leader == 0 && !table.isNewerThan(&t.table) {
+	if table.Leader == 0 && !table.isNewerThan(&n.table) {
 		return
 	}
-	if table.isNewerThan(&t.table) || table.Epoch == t.table.Epoch && table.Index == t.table.Index && table.Term == t.table.Term && table.Leader != t.table.Leader {
-		t.adoptTable(&table, 0)
+	if table.isNewerThan(&n.table) || table.Epoch == n.table.Epoch && table.Index == n.table.Index && table.Term == n.table.Term && table.Leader != n.table.Leader {
+		n.adoptTable(&table, 0)
 	}
 }
 
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/tenure.go
@@ -110,290 +110,290 @@
 }
 
 // SetMembers takes who is there, by ID, with this member.
-func (t *Node) SetMembers(now float64, members []Member) {
-	t.advanceTo(now)
-	t.members, t.membersAt = members, t.now
-	t.finishCall()
+func (n *Node) SetMembers(now float64, members []Member) {
+	n.advanceTo(now)
+	n.members, n.membersAt = members, n.now
+	n.finishCall()
 }
 
 // memberByID returns what is known of one; nil: nothing.
-func (t *Node) memberByID(id swim.ID) *Member {
-	i, known := slices.BinarySearchFunc(t.members, id, func(m Member, id swim.ID) int { return cmp.Compare(m.ID, id) })
+func (n *Node) memberByID(id swim.ID) *Member {
+	i, known := slices.BinarySearchFunc(n.members, id, func(m Member, id swim.ID) int { return cmp.Compare(m.ID, id) })
 	if !known {
 		return nil
 	}
-	return &t.members[i]
+	return &n.members[i]
 }
 
 // isDurable tells whether this member has where to keep its state.
-func (t *Node) isDurable() bool {
-	self := t.memberByID(t.self)
+func (n *Node) isDurable() bool {
+	self := n.memberByID(n.self)
 	return self != nil && self.Durable
 }
 
 // stateAgeSeconds tells for how long a member's state has held.
-func (t *Node) stateAgeSeconds(m *Member) float64 { return m.StateAgeSeconds + t.now - t.membersAt }
+func (n *Node) stateAgeSeconds(m *Member) float64 { return m.StateAgeSeconds + n.now - n.membersAt }
 
 // HandleLinkUp takes that there is a new link to a member.
-func (t *Node) HandleLinkUp(now float64, id swim.ID) {
-	t.advanceTo(now)
-	if t.retired {
+func (n *Node) HandleLinkUp(now float64, id swim.ID) {
+	n.advanceTo(now)
+	if n.retired {
 		return
 	}
-	if t.table.Epoch != 0 {
-		t.actions.Send(id, t.tableMessage())
+	if n.table.Epoch != 0 {
+		n.actions.Send(id, n.tableMessage())
 	}
-	t.resendOffers(id)
-	if slices.Contains(t.requestedLinks, id) {
-		t.renewDueAt = min(t.renewDueAt, t.now)
+	n.resendOffers(id)
+	if slices.Contains(n.requestedLinks, id) {
+		n.renewDueAt = min(n.renewDueAt, n.now)
 	}
-	t.finishCall()
+	n.finishCall()
 }
 
 // HandleMessage takes a message.
-func (t *Node) HandleMessage(now float64, from swim.ID, m *Message) {
-	t.advanceTo(now)
-	if !t.retired {
-		t.dispatch(from, m)
+func (n *Node) HandleMessage(now float64, from swim.ID, m *Message) {
+	n.advanceTo(now)
+	if !n.retired {
+		n.dispatch(from, m)
 	}
-	t.finishCall()
+	n.finishCall()
 }
 
-func (t *Node) dispatch(from swim.ID, m *Message) {
-	if m.Serial != 0 && from != t.self && !t.checkSerial(from, m) {
+func (n *Node) dispatch(from swim.ID, m *Message) {
+	if m.Serial != 0 && from != n.self && !n.checkSerial(from, m) {
 		return
 	}
 	if m.Founding != nil {
-		t.handleFounding(from, m.Founding)
+		n.handleFounding(from, m.Founding)
 	}
 	if m.Raft != nil {
-		t.handleRaft(from, m)
+		n.handleRaft(from, m)
 	}
 	if m.Table != nil {
-		t.handleTable(from, m.Table)
+		n.handleTable(from, m.Table)
 	}
 	if m.Records != nil {
-		t.handleRecords(m.Records)
+		n.handleRecords(m.Records)
 	}
 	if m.RenewReply != nil {
-		t.handleRenewReply(m.RenewReply)
+		n.handleRenewReply(m.RenewReply)
 	}
 	if m.Offered != nil {
-		t.handleOffer(from, m.Offered)
+		n.handleOffer(from, m.Offered)
 	}
 	if m.StepDown != "" {
-		t.handleStepDown(m.StepDown)
+		n.handleStepDown(m.StepDown)
 	}
-	if t.retired {
+	if n.retired {
 		return
 	}
-	t.handleAsLeader(from, m)
+	n.handleAsLeader(from, m)
 }
 
 // handleRaft takes a message of an electors' group.
-func (t *Node) handleRaft(from swim.ID, m *Message) {
+func (n *Node) handleRaft(from swim.ID, m *Message) {
 	switch {
-	case t.founding != nil && t.founding.Epoch == m.Epoch:
-		if t.group != nil {
-			t.stepRaft(from, m.Raft)
+	case n.founding != nil && n.founding.Epoch == m.Epoch:
+		if n.group != nil {
+			n.stepRaft(from, m.Raft)
 		}
-	case m.Epoch >= t.highestEpoch && t.now-t.foundingAskedAt > raftTickSeconds && !t.leaving && !t.persistFailed:
-		var r raftpb.Message
-		if proto.Unmarshal(m.Raft, &r) != nil || !t.isDurable() {
+	case m.Epoch >= n.highestEpoch && n.now-n.foundingAskedAt > raftTickSeconds && !n.leaving && !n.persistFailed:
+		var raftMessage raftpb.Message
+		if proto.Unmarshal(m.Raft, &raftMessage) != nil || !n.isDurable() {
 			return
 		}
-		t.foundingAskedAt = t.now
-		switch r.GetType() {
+		n.foundingAskedAt = n.now
+		switch raftMessage.GetType() {
 		case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
-			t.contactedEpoch = m.Epoch
+			n.contactedEpoch = m.Epoch
 		}
-		t.actions.Send(from, &Message{Founding: &Founding{Step: stepAsked}})
+		n.actions.Send(from, &Message{Founding: &Founding{Step: stepAsked}})
 	}
 }
 
 // Tick does what is due.
-func (t *Node) Tick(now float64) {
-	t.advanceTo(now)
-	if t.retired {
+func (n *Node) Tick(now float64) {
+	n.advanceTo(now)
+	if n.retired {
 		return
 	}
-	if t.group != nil {
-		t.advanceRaft()
-		if t.group != nil {
-			t.tickRaft()
+	if n.group != nil {
+		n.advanceRaft()
+		if n.group != nil {
+			n.tickRaft()
 		}
 	}
-	t.tickFounding()
-	t.tickHolder()
-	t.tickLeader()
-	if t.now >= t.compareDueAt {
-		t.compareDueAt = t.now + compareIntervalSeconds*(0.5+t.rng.Float64())
-		t.actions.Broadcast(&Message{Table: &Table{Epoch: t.table.Epoch, Index: t.table.Index, Term: t.table.Term}}, 0)
+	n.tickFounding()
+	n.tickHolder()
+	n.tickLeader()
+	if n.now >= n.compareDueAt {
+		n.compareDueAt = n.now + compareIntervalSeconds*(0.5+n.rng.Float64())
+		n.actions.Broadcast(&Message{Table: &Table{Epoch: n.table.Epoch, Index: n.table.Index, Term: n.table.Term}}, 0)
 	}
-	t.finishCall()
+	n.finishCall()
 }
 
 // NextTick returns when Tick is to be called.
-func (t *Node) NextTick() float64 {
-	if t.retired {
+func (n *Node) NextTick() float64 {
+	if n.retired {
 		return math.Inf(1)
 	}
-	next := t.compareDueAt
-	if t.group != nil {
-		next = min(next, t.group.tickDueAt)
-		if !t.group.isLeader {
-			next = min(next, t.group.electionDueAt)
+	next := n.compareDueAt
+	if n.group != nil {
+		next = min(next, n.group.tickDueAt)
+		if !n.group.isLeader {
+			next = min(next, n.group.electionDueAt)
 		}
 	}
-	if len(t.settings.InitialVoters) > 0 && t.founding == nil && slices.Contains(t.settings.InitialVoters, t.settings.Address) {
-		next = min(next, max(t.foundingDueAt, t.now+foundingCheckIntervalSeconds))
+	if len(n.settings.InitialVoters) > 0 && n.founding == nil && slices.Contains(n.settings.InitialVoters, n.settings.Address) {
+		next = min(next, max(n.foundingDueAt, n.now+foundingCheckIntervalSeconds))
 	}
-	if t.persistFailed {
-		next = min(next, t.persistRetryAt)
+	if n.persistFailed {
+		next = min(next, n.persistRetryAt)
 	}
-	return max(min(next, t.holderNextTick(), t.leaderNextTick()), t.now+0.001)
+	return max(min(next, n.holderNextTick(), n.leaderNextTick()), n.now+0.001)
 }
 
 // advanceTo takes the time, and what has ended by it.
-func (t *Node) advanceTo(now float64) {
-	t.now = max(t.now, now)
-	t.expireLeases()
+func (n *Node) advanceTo(now float64) {
+	n.now = max(n.now, now)
+	n.expireLeases()
 }
 
 // finishCall does what follows from a call.
-func (t *Node) finishCall() {
+func (n *Node) finishCall() {
 	// Danger: where all founders lose what they kept, whoever founds a group again must know that there was one, or its tokens
 	// begin below those that were granted.
-	t.dirty = t.dirty || t.highestEpoch > t.persistedEpoch && !t.retired && t.isDurable()
-	for !t.retired {
-		t.advanceRaft()
-		if len(t.loopback) == 0 {
+	n.dirty = n.dirty || n.highestEpoch > n.persistedEpoch && !n.retired && n.isDurable()
+	for !n.retired {
+		n.advanceRaft()
+		if len(n.loopback) == 0 {
 			break
 		}
-		m := t.loopback[0]
-		t.loopback = t.loopback[1:]
-		t.dispatch(t.self, m)
+		m := n.loopback[0]
+		n.loopback = n.loopback[1:]
+		n.dispatch(n.self, m)
 	}
-	t.updateLinks()
+	n.updateLinks()
 }
 
 // send sends a message, also to this member itself.
-func (t *Node) send(to swim.ID, m *Message) {
-	if to == t.self {
-		t.loopback = append(t.loopback, m)
+func (n *Node) send(to swim.ID, m *Message) {
+	if to == n.self {
+		n.loopback = append(n.loopback, m)
 	} else {
-		t.actions.Send(to, m)
+		n.actions.Send(to, m)
 	}
 }
 
 // sendAfterPersist sends a message once the state as it is now is kept.
-func (t *Node) sendAfterPersist(to swim.ID, m *Message) {
-	t.deferred = append(t.deferred, outgoing{to, m})
+func (n *Node) sendAfterPersist(to swim.ID, m *Message) {
+	n.deferred = append(n.deferred, outgoing{to, m})
 }
 
 // persist keeps the state, if there is anything to keep.
-func (t *Node) persist() {
-	if t.persisting || t.retired {
+func (n *Node) persist() {
+	if n.persisting || n.retired {
 		return
 	}
-	if !t.dirty {
-		later := t.deferred
-		t.deferred = nil
+	if !n.dirty {
+		later := n.deferred
+		n.deferred = nil
 		for _, o := range later {
-			t.send(o.to, o.m)
+			n.send(o.to, o.m)
 		}
 		return
 	}
-	if t.persistFailed {
-		if t.now < t.persistRetryAt {
+	if n.persistFailed {
+		if n.now < n.persistRetryAt {
 			return
 		}
-		t.persistRetryAt = t.now + 1
-	}
-	t.dirty, t.persisting, t.persistedEpoch = false, true, t.highestEpoch
-	t.awaitingPersist, t.deferred = append(t.awaitingPersist, t.deferred...), nil
-	t.serial++
-	t.lineage = t.lineage.extended(uint32(t.bootID>>32)|1, t.serial)
-	t.stats.Persists++
-	t.actions.Persist(t.encodeState())
+		n.persistRetryAt = n.now + 1
+	}
+	n.dirty, n.persisting, n.persistedEpoch = false, true, n.highestEpoch
+	n.awaitingPersist, n.deferred = append(n.awaitingPersist, n.deferred...), nil
+	n.serial++
+	n.lineage = n.lineage.extended(uint32(n.bootID>>32)|1, n.serial)
+	n.stats.Persists++
+	n.actions.Persist(n.encodeState())
 }
 
 // HandlePersisted takes the end of the last Save.
-func (t *Node) HandlePersisted(now float64, err error) {
-	t.advanceTo(now)
-	if t.retired || !t.persisting {
+func (n *Node) HandlePersisted(now float64, err error) {
+	n.advanceTo(now)
+	if n.retired || !n.persisting {
 		return
 	}
-	t.persisting = false
+	n.persisting = false
 	if err != nil {
-		if !t.persistFailed {
-			t.actions.Log("the state can't be kept: this member does not vote", "error", err)
+		if !n.persistFailed {
+			n.actions.Log("the state can't be kept: this member does not vote", "error", err)
 		}
 		// Danger: what waits for it must go on waiting; a vote that was told and not kept is a vote that can be given twice.
-		t.persistFailed, t.dirty, t.persistRetryAt = true, true, t.now+1
+		n.persistFailed, n.dirty, n.persistRetryAt = true, true, n.now+1
 		return
 	}
-	if t.persistFailed {
-		t.persistFailed = false
-		t.actions.Log("the state is kept again: this member votes")
+	if n.persistFailed {
+		n.persistFailed = false
+		n.actions.Log("the state is kept again: this member votes")
 	}
-	inflight := t.awaitingPersist
-	t.awaitingPersist = nil
+	inflight := n.awaitingPersist
+	n.awaitingPersist = nil
 	for _, o := range inflight {
-		t.send(o.to, o.m)
+		n.send(o.to, o.m)
 	}
-	if t.group != nil && t.group.ready != nil {
-		t.completeReady()
+	if n.group != nil && n.group.ready != nil {
+		n.completeReady()
 	}
-	t.finishCall()
+	n.finishCall()
 }
 
 // replaceIdentity gives up the identity: nothing is said under it any more.
-func (t *Node) replaceIdentity(why string) {
-	if t.retired {
+func (n *Node) replaceIdentity(why string) {
+	if n.retired {
 		return
 	}
-	t.endAllLeases("the identity is given up")
-	t.retired, t.group, t.loopback, t.deferred, t.awaitingPersist = true, nil, nil, nil, nil
-	t.actions.ReplaceIdentity(why)
+	n.endAllLeases("the identity is given up")
+	n.retired, n.group, n.loopback, n.deferred, n.awaitingPersist = true, nil, nil, nil, nil
+	n.actions.ReplaceIdentity(why)
 }
 
 // updateLinks asks for links.
-func (t *Node) updateLinks() {
+func (n *Node) updateLinks() {
 	var ids []swim.ID
-	if t.retired {
+	if n.retired {
 		return
 	}
-	if t.isVoter() {
-		for _, id := range t.group.memberIDs() {
+	if n.isVoter() {
+		for _, id := range n.group.memberIDs() {
 			ids = append(ids, swim.ID(id))
 		}
 	}
-	if t.founding == nil && slices.Contains(t.settings.InitialVoters, t.settings.Address) && t.table.Epoch == 0 {
-		ids = append(ids, t.initialVoterIDs()...)
+	if n.founding == nil && slices.Contains(n.settings.InitialVoters, n.settings.Address) && n.table.Epoch == 0 {
+		ids = append(ids, n.initialVoterIDs()...)
 	}
-	ids = append(ids, t.holderLinks()...)
-	ids = append(ids, t.leaderLinks()...)
+	ids = append(ids, n.holderLinks()...)
+	ids = append(ids, n.leaderLinks()...)
 	slices.Sort(ids)
-	ids = slices.DeleteFunc(slices.Compact(ids), func(id swim.ID) bool { return id == t.self || id == 0 })
-	if !slices.Equal(ids, t.requestedLinks) {
-		t.requestedLinks = ids
-		t.actions.RequestLinks(slices.Clone(ids))
+	ids = slices.DeleteFunc(slices.Compact(ids), func(id swim.ID) bool { return id == n.self || id == 0 })
+	if !slices.Equal(ids, n.requestedLinks) {
+		n.requestedLinks = ids
+		n.actions.RequestLinks(slices.Clone(ids))
 	}
 }
 
 // Table returns what is known of all grants.
-func (t *Node) Table() Table { return t.table }
+func (n *Node) Table() Table { return n.table }
 
 // Stats returns the counts so far.
-func (t *Node) Stats() Stats {
-	f := t.stats
-	f.Serial, f.PersistFailed = t.serial, t.persistFailed
-	if t.founding != nil {
-		f.Epoch = t.founding.Epoch
-	}
-	if g := t.group; g != nil {
-		f.Term, f.IsLeader, f.IsVoter = g.term, g.isLeader, t.isVoter()
+func (n *Node) Stats() Stats {
+	f := n.stats
+	f.Serial, f.PersistFailed = n.serial, n.persistFailed
+	if n.founding != nil {
+		f.Epoch = n.founding.Epoch
+	}
+	if g := n.group; g != nil {
+		f.Term, f.IsLeader, f.IsVoter = g.term, g.isLeader, n.isVoter()
 	}
 	return f
 }
--- a/internal/decide/lease/tenure_test.go
+++ b/internal/decide/lease/tenure_test.go
@@ -12,70 +12,70 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// hall is three members whose words arrive at once.
-type hall struct {
+// cluster is three members whose words arrive at once.
+type cluster struct {
 	t     *testing.T
 	now   float64
-	all   []*seat
+	all   []*testNode
 	queue []func()
 }
 
-type seat struct {
-	h     *hall
-	id    swim.ID
-	t     *Node
-	saved []byte
-	up    bool
-	full  bool // its disk
-	slow  bool // its disk ends no write
-	mute  bool // its words are lost
-	kept  [][]byte
-	gone  string // why the identity was given up
+type testNode struct {
+	cluster        *cluster
+	id             swim.ID
+	node           *Node
+	state          []byte
+	up             bool
+	diskFull       bool // its disk
+	diskStalled    bool // its disk ends no write
+	muted          bool // its words are lost
+	history        [][]byte
+	replacedReason string // why the identity was given up
 
-	agreed Record // of a job, as it was told last
+	record Record // of a job, as it was told last
 }
 
-func (s *seat) Send(to swim.ID, m *Message) {
-	for _, o := range s.h.all {
+func (s *testNode) Send(to swim.ID, m *Message) {
+	for _, o := range s.cluster.all {
 		if o.id == to {
 			c := Message{}
-			require.NoError(s.h.t, decode(encode(m), &c))
-			s.h.queue = append(s.h.queue, func() {
-				if o.up && s.up && !s.mute {
-					o.t.HandleMessage(s.h.now, s.id, &c)
+			require.NoError(s.cluster.t, decode(encode(m), &c))
+			s.cluster.queue = append(s.cluster.queue, func() {
+				if o.up && s.up && !s.muted {
+					o.node.HandleMessage(s.cluster.now, s.id, &c)
 				}
 			})
 		}
 	}
 }
-func (s *seat) Broadcast(m *Message, except swim.ID) {
-	for _, o := range s.h.all {
+func (s *testNode) Broadcast(m *Message, except swim.ID) {
+	for _, o := range s.cluster.all {
 		if o != s && o.id != except {
 			s.Send(o.id, m)
 		}
 	}
 }
-func (s *seat) RequestLinks([]swim.ID) {}
-func (s *seat) Persist(b []byte) {
-	if s.slow {
+func (s *testNode) RequestLinks([]swim.ID) {}
+func (s *testNode) Persist(b []byte) {
+	if s.diskStalled {
 		return
 	}
-	s.h.queue = append(s.h.queue, func() {
-		if s.full {
-			s.t.HandlePersisted(s.h.now, errors.New("full"))
+	s.cluster.queue = append(s.cluster.queue, func() {
+		if s.diskFull {
+			s.node.HandlePersisted(s.cluster.now, errors.New("full"))
 		} else {
-			s.saved, s.kept = b, append(s.kept, b)
-			s.t.HandlePersisted(s.h.now, nil)
+			s.state, s.history = b, append(s.history, b)
+			s.node.HandlePersisted(s.cluster.now, nil)
 		}
 	})
 }
-func (s *seat) LeaseStarted(job string, token uint64)     {}
-func (s *seat) LeaseEnded(job string, t uint64, w string) {}
-func (s *seat) RecordCommitted(r Record)                  { s.agreed = r }
-func (s *seat) ReplaceIdentity(why string)                { s.gone = why }
-func (s *seat) Log(string, ...any)                        {}
+func (s *testNode) LeaseStarted(job string, token uint64)     {}
+func (s *testNode) LeaseEnded(job string, t uint64, w string) {}
+func (s *testNode) RecordCommitted(r Record)                  { s.record = r }
+func (s *testNode) ReplaceIdentity(why string)                { s.replacedReason = why }
+func (s *testNode) Log(string, ...any)                        {}
 
-func (h *hall) until(at float64) {
+func (h *cluster) runUntil(at float64) {
 	for h.now < at {
 		for i := 0; len(h.queue) > 0; i++ {
 			require.Less(h.t, i, 10000)
@@ -85,38 +85,38 @@
 		}
 		h.now += 0.01
 		for _, s := range h.all {
-			if s.up && s.t.NextTick() <= h.now {
-				s.t.Tick(h.now)
+			if s.up && s.node.NextTick() <= h.now {
+				s.node.Tick(h.now)
 			}
 		}
 	}
 }
 
-func newHall(t *testing.T, n int, jobs ...string) *hall {
-	h := &hall{t: t, now: 100}
+func newCluster(t *testing.T, n int, jobs ...string) *cluster {
+	h := &cluster{t: t, now: 100}
 	set := Settings{Roles: jobs, RecordedRoles: jobs[:1]}
 	for i := range 3 {
 		set.InitialVoters = append(set.InitialVoters, fmt.Sprint("a", i))
 	}
 	var members []Member
 	for i := range n {
-		s := &seat{h: h, id: swim.ID(i + 1), up: true}
+		s := &testNode{cluster: h, id: swim.ID(i + 1), up: true}
 		set.Address, set.Seed = fmt.Sprint("a", i), uint64(i)
 		var err error
-		s.t, err = New(h.now, s.id, set, nil, s)
+		s.node, err = New(h.now, s.id, set, nil, s)
 		require.NoError(t, err)
 		h.all = append(h.all, s)
 		members = append(members, Member{ID: s.id, Address: set.Address, Durable: true})
 	}
 	for _, s := range h.all {
-		s.t.SetMembers(h.now, members)
+		s.node.SetMembers(h.now, members)
 	}
 	return h
 }
 
-func (h *hall) owner(job string) (owner *seat, token uint64) {
+func (h *cluster) holder(job string) (owner *testNode, token uint64) {
 	for _, s := range h.all {
-		if tok, ok := s.t.Holds(h.now, job); ok && s.up {
+		if tok, ok := s.node.Holds(h.now, job); ok && s.up {
 			require.Nil(h.t, owner, "two owners")
 			owner, token = s, tok
 		}
@@ -124,29 +124,29 @@
 	return owner, token
 }
 
-func TestElectsGrantsRenews(t *testing.T) {
-	h := newHall(t, 5, "list", "report")
-	h.until(110)
-	o, token := h.owner("list")
+func TestNodesElectGrantAndRenew(t *testing.T) {
+	h := newCluster(t, 5, "list", "report")
+	h.runUntil(110)
+	o, token := h.holder("list")
 	require.NotNil(t, o)
-	h.until(130)
-	again, same := h.owner("list")
+	h.runUntil(130)
+	again, same := h.holder("list")
 	require.Equal(t, o, again)
 	require.Equal(t, token, same, "renewed, not granted again")
-	r, _ := h.owner("report")
+	r, _ := h.holder("report")
 	require.NotEqual(t, o, r, "spread")
 	o.up = false
-	h.until(136)
-	next, greater := h.owner("list")
+	h.runUntil(136)
+	next, greater := h.holder("list")
 	require.NotNil(t, next)
 	require.NotEqual(t, o, next)
 	require.Greater(t, greater, token)
 }
 
 // leader returns who leads.
-func (h *hall) leader() *seat {
+func (h *cluster) leader() *testNode {
 	for _, s := range h.all {
-		if s.up && s.t.Stats().IsLeader {
+		if s.up && s.node.Stats().IsLeader {
 			return s
 		}
 	}
@@ -154,171 +154,171 @@
 }
 
 // What was given back is another's at once, whoever gives it back and why.
-func TestGivenBackIsGrantedAtOnce(t *testing.T) {
-	for name, give := range map[string]func(h *hall, o *seat){
-		"unwilling": func(h *hall, o *seat) { o.t.SetWilling(h.now, "list", false) },
-		"step-down": func(h *hall, o *seat) { h.all[4].t.RequestStepDown(h.now, "list") },
-		"leaves":    func(h *hall, o *seat) { o.t.Leave(h.now) },
+func TestReleasedRoleIsGrantedAtOnce(t *testing.T) {
+	for name, give := range map[string]func(h *cluster, o *testNode){
+		"unwilling": func(h *cluster, o *testNode) { o.node.SetWilling(h.now, "list", false) },
+		"step-down": func(h *cluster, o *testNode) { h.all[4].node.RequestStepDown(h.now, "list") },
+		"leaves":    func(h *cluster, o *testNode) { o.node.Leave(h.now) },
 	} {
-		h := newHall(t, 5, "list")
-		h.until(110)
-		o, token := h.owner("list")
+		h := newCluster(t, 5, "list")
+		h.runUntil(110)
+		o, token := h.holder("list")
 		require.NotNil(t, o, name)
 		give(h, o)
-		h.until(h.now + 0.2)
-		next, greater := h.owner("list")
+		h.runUntil(h.now + 0.2)
+		next, greater := h.holder("list")
 		require.NotNil(t, next, name)
 		require.NotEqual(t, o.id, next.id, name)
 		require.Equal(t, token+1, greater, name)
 		if name == "leaves" {
-			h.until(h.now + 1)
-			require.True(t, o.t.HasLeft())
+			h.runUntil(h.now + 1)
+			require.True(t, o.node.HasLeft())
 			require.NotEqual(t, o, h.leader())
 		}
 	}
 }
 
 // Who comes back with an old copy of its state is told so by those that heard it later, and says nothing more under its identity.
-func TestOldCopyIsGivenUp(t *testing.T) {
-	h := newHall(t, 3, "list")
-	h.until(102)
+func TestNodeWithOldStateReplacesItsIdentity(t *testing.T) {
+	h := newCluster(t, 3, "list")
+	h.runUntil(102)
 	o := h.all[2]
-	copied := o.saved
+	copied := o.state
 	for range 5 {
-		owner, _ := h.owner("list")
+		owner, _ := h.holder("list")
 		if owner != nil {
-			owner.t.RequestStepDown(h.now, "list")
+			owner.node.RequestStepDown(h.now, "list")
 		}
-		h.until(h.now + 1)
+		h.runUntil(h.now + 1)
 	}
-	require.NotEqual(t, copied, o.saved)
-	back, err := New(h.now, o.id, o.t.settings, copied, o)
+	require.NotEqual(t, copied, o.state)
+	back, err := New(h.now, o.id, o.node.settings, copied, o)
 	require.NoError(t, err)
-	back.SetMembers(h.now, o.t.members)
-	o.t = back
-	h.until(h.now + 3)
-	require.Contains(t, o.gone, "old copy")
+	back.SetMembers(h.now, o.node.members)
+	o.node = back
+	h.runUntil(h.now + 3)
+	require.Contains(t, o.replacedReason, "old copy")
 	require.Nil(t, back.group)
 	require.True(t, back.HasLeft())
 }
 
 // Who comes back with a copy that is older by as many writes as it makes before it is heard has the serial that it had, and is told so
 // none the less. Danger: the votes that it gave before count, and it may give them again.
-func TestOldCopyThatWritesIsGivenUp(t *testing.T) {
+func TestNodeThatWroteOnOldStateReplacesItsIdentity(t *testing.T) {
 	for back := 1; back <= 3; back++ {
-		h := newHall(t, 3, "list")
-		h.until(110)
+		h := newCluster(t, 3, "list")
+		h.runUntil(110)
 		handed := func() {
 			was := h.leader()
-			was.t.transferLeadership()
-			h.until(h.now + 0.5)
+			was.node.transferLeadership()
+			h.runUntil(h.now + 0.5)
 		}
-		for h.leader() == h.all[2] || len(h.all[2].kept) < 6 {
+		for h.leader() == h.all[2] || len(h.all[2].history) < 6 {
 			handed()
 		}
 		o := h.all[2]
-		last := o.t.serial
-		o.mute, o.t.settings.Seed = true, 77
-		next, err := New(h.now, o.id, o.t.settings, o.kept[len(o.kept)-1-back], o)
+		last := o.node.serial
+		o.muted, o.node.settings.Seed = true, 77
+		next, err := New(h.now, o.id, o.node.settings, o.history[len(o.history)-1-back], o)
 		require.NoError(t, err)
-		next.SetMembers(h.now, o.t.members)
-		o.t, o.kept = next, nil
-		for i := 0; o.t.serial < last; i++ { // each new leader is a write
+		next.SetMembers(h.now, o.node.members)
+		o.node, o.history = next, nil
+		for i := 0; o.node.serial < last; i++ { // each new leader is a write
 			require.Less(t, i, 20)
 			if l := h.leader(); l != nil && l != o {
-				l.t.transferLeadership()
+				l.node.transferLeadership()
 			}
-			h.until(h.now + 0.5)
-			require.Empty(t, o.gone)
+			h.runUntil(h.now + 0.5)
+			require.Empty(t, o.replacedReason)
 		}
-		require.Equal(t, last, o.t.serial)
-		o.mute = false
-		h.until(h.now + 3)
-		require.Contains(t, o.gone, "old copy", "%d writes", back)
-		require.Nil(t, o.t.group)
+		require.Equal(t, last, o.node.serial)
+		o.muted = false
+		h.runUntil(h.now + 3)
+		require.Contains(t, o.replacedReason, "old copy", "%d writes", back)
+		require.Nil(t, o.node.group)
 	}
 }
 
 // Who begins again with what it kept is believed at once, however often it does.
-func TestLivesOfOneStateAreBelieved(t *testing.T) {
-	h := newHall(t, 3, "list")
-	h.until(110)
+func TestRestartsOnLatestStateAreAccepted(t *testing.T) {
+	h := newCluster(t, 3, "list")
+	h.runUntil(110)
 	for life := range uint64(3 * maxWriters) {
 		o := h.all[life%3]
-		o.t.settings.Seed = 1000 + life
-		next, err := New(h.now, o.id, o.t.settings, o.saved, o)
+		o.node.settings.Seed = 1000 + life
+		next, err := New(h.now, o.id, o.node.settings, o.state, o)
 		require.NoError(t, err)
-		next.SetMembers(h.now, o.t.members)
-		o.t = next
-		h.until(h.now + 4)
+		next.SetMembers(h.now, o.node.members)
+		o.node = next
+		h.runUntil(h.now + 4)
 		for _, s := range h.all {
-			require.Empty(t, s.gone)
-			require.Zero(t, s.t.stats.DroppedStale)
-			require.LessOrEqual(t, len(s.t.lineage), maxWriters)
+			require.Empty(t, s.replacedReason)
+			require.Zero(t, s.node.stats.DroppedStale)
+			require.LessOrEqual(t, len(s.node.lineage), maxWriters)
 		}
 		require.NotNil(t, h.leader())
 	}
 	for _, s := range h.all {
-		require.Len(t, s.t.lineage, maxWriters)
+		require.Len(t, s.node.lineage, maxWriters)
 	}
 }
 
 // Who can't keep its state neither votes nor leads, and the others go on without it.
-func TestFullDiskVotesNoMore(t *testing.T) {
-	h := newHall(t, 3, "list")
-	h.until(110)
+func TestNodeWithFullDiskDoesNotVote(t *testing.T) {
+	h := newCluster(t, 3, "list")
+	h.runUntil(110)
 	was := h.leader()
-	was.full = true
-	h.all[0].t.RequestStepDown(h.now, "list") // something to keep
-	h.until(h.now + 6)
+	was.diskFull = true
+	h.all[0].node.RequestStepDown(h.now, "list") // something to keep
+	h.runUntil(h.now + 6)
 	require.NotNil(t, h.leader())
-	require.True(t, was.t.Stats().PersistFailed)
-	o, _ := h.owner("list")
+	require.True(t, was.node.Stats().PersistFailed)
+	o, _ := h.holder("list")
 	require.NotNil(t, o)
-	was.full = false
-	h.until(h.now + 3)
-	require.False(t, was.t.Stats().PersistFailed)
+	was.diskFull = false
+	h.runUntil(h.now + 3)
+	require.False(t, was.node.Stats().PersistFailed)
 }
 
 // Who has lost its quorum while its disk writes does not stand for election by raft's own draw, which no seed repeats.
-func TestSlowDiskDrawsNoElection(t *testing.T) {
-	h := newHall(t, 3, "list")
-	h.until(110)
+func TestLeaderWithStalledDiskDoesNotCampaign(t *testing.T) {
+	h := newCluster(t, 3, "list")
+	h.runUntil(110)
 	was := h.leader()
-	was.slow = true
-	was.t.RequestStepDown(h.now, "list") // something to keep
-	h.until(h.now + 0.1)
-	require.True(t, was.t.persisting)
+	was.diskStalled = true
+	was.node.RequestStepDown(h.now, "list") // something to keep
+	h.runUntil(h.now + 0.1)
+	require.True(t, was.node.persisting)
 	for _, s := range h.all {
 		s.up = s == was
 	}
-	h.until(h.now + 2*electionTimeoutSeconds)
-	require.Equal(t, raft.StateFollower, was.t.group.rawNode.BasicStatus().RaftState)
-	h.until(h.now + 10*electionTimeoutSeconds)
-	require.Equal(t, raft.StateFollower, was.t.group.rawNode.BasicStatus().RaftState)
+	h.runUntil(h.now + 2*electionTimeoutSeconds)
+	require.Equal(t, raft.StateFollower, was.node.group.rawNode.BasicStatus().RaftState)
+	h.runUntil(h.now + 10*electionTimeoutSeconds)
+	require.Equal(t, raft.StateFollower, was.node.group.rawNode.BasicStatus().RaftState)
 }
 
 // A state that is torn, or another's, is none.
-func TestStateIsWholeOrNone(t *testing.T) {
-	h := newHall(t, 3, "list")
-	h.until(110)
+func TestInvalidStateIsRejected(t *testing.T) {
+	h := newCluster(t, 3, "list")
+	h.runUntil(110)
 	s := h.all[0]
-	for cut := 1; cut < len(s.saved); cut += 7 {
-		_, err := New(h.now, s.id, s.t.settings, s.saved[:cut], s)
+	for cut := 1; cut < len(s.state); cut += 7 {
+		_, err := New(h.now, s.id, s.node.settings, s.state[:cut], s)
 		require.ErrorIs(t, err, ErrInvalidState, "%d", cut)
 	}
-	_, err := New(h.now, s.id+1, s.t.settings, s.saved, s)
+	_, err := New(h.now, s.id+1, s.node.settings, s.state, s)
 	require.ErrorIs(t, err, ErrInvalidState)
-	kept, err := New(h.now, s.id, s.t.settings, s.saved, s)
+	kept, err := New(h.now, s.id, s.node.settings, s.state, s)
 	require.NoError(t, err)
-	was, _ := s.t.group.storage.LastIndex()
+	was, _ := s.node.group.storage.LastIndex()
 	is, _ := kept.group.storage.LastIndex()
 	require.Equal(t, was, is)
-	require.Equal(t, s.t.group.term, kept.group.term)
+	require.Equal(t, s.node.group.term, kept.group.term)
 }
 
 // Of the tokens of a job the greatest ever seen holds, also over a restart, and no other job's.
-func TestGreatestOnlyGrows(t *testing.T) {
+func TestFenceNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var g Fence
 		seen := map[string]uint64{}
@@ -339,54 +339,54 @@
 
 // What is agreed of a job outlives its owners and leaders: each new owner is told of the last one before it does anything, versions grow
 // one by one, and what an owner wrote under an earlier grant, or in place of an earlier version, is not kept.
-func TestRecordOutlivesOwners(t *testing.T) {
-	h := newHall(t, 7, "works")
-	h.until(110)
+func TestRecordOutlivesHolders(t *testing.T) {
+	h := newCluster(t, 7, "works")
+	h.runUntil(110)
 	var last Record
 	for round := range 12 {
-		o, token := h.owner("works")
+		o, token := h.holder("works")
 		require.NotNil(t, o, round)
-		require.Equal(t, last.Version, o.agreed.Version, round)
-		require.Equal(t, last.Body, o.agreed.Body, round)
+		require.Equal(t, last.Version, o.record.Version, round)
+		require.Equal(t, last.Body, o.record.Body, round)
 		// An entry that was written again and again is kept once; several that are together more than is logged are a snapshot.
 		body := append(make([]byte, 20<<10), byte(round))
 		for range 3 {
-			o.t.WriteRecord(h.now, "works", last.Version+1, body)
-			h.until(h.now + 0.1)
+			o.node.WriteRecord(h.now, "works", last.Version+1, body)
+			h.runUntil(h.now + 0.1)
 		}
-		require.Equal(t, Record{"works", last.Version + 1, token, body}, o.agreed, round)
-		last = o.agreed
-		o.t.WriteRecord(h.now, "works", last.Version, []byte("earlier"))
-		h.until(h.now + 0.1)
-		require.Equal(t, last, o.agreed)
-		require.Less(t, len(o.saved), 4*maxLogBytes)
+		require.Equal(t, Record{"works", last.Version + 1, token, body}, o.record, round)
+		last = o.record
+		o.node.WriteRecord(h.now, "works", last.Version, []byte("earlier"))
+		h.runUntil(h.now + 0.1)
+		require.Equal(t, last, o.record)
+		require.Less(t, len(o.state), 4*maxLogBytes)
 		leader := h.leader()
 		switch round % 3 {
 		case 0:
-			o.t.RequestStepDown(h.now, "works")
+			o.node.RequestStepDown(h.now, "works")
 		case 1:
 			o.up = false
 		default:
 			leader.up = false
 		}
-		h.until(h.now + 8)
+		h.runUntil(h.now + 8)
 		for _, s := range h.all { // back as they were: links lost what came meanwhile
 			if !s.up {
-				back, err := New(h.now, s.id, s.t.settings, s.saved, s)
+				back, err := New(h.now, s.id, s.node.settings, s.state, s)
 				require.NoError(t, err)
-				back.SetMembers(h.now, s.t.members)
-				s.t, s.up = back, true
+				back.SetMembers(h.now, s.node.members)
+				s.node, s.up = back, true
 			}
 		}
-		h.until(h.now + 4)
+		h.runUntil(h.now + 4)
 	}
 	// The old owner's write comes in after all.
-	o, token := h.owner("works")
-	o.t.RequestStepDown(h.now, "works")
-	h.until(h.now + 4)
-	next, _ := h.owner("works")
+	o, token := h.holder("works")
+	o.node.RequestStepDown(h.now, "works")
+	h.runUntil(h.now + 4)
+	next, _ := h.holder("works")
 	require.NotEqual(t, o, next)
-	h.leader().t.HandleMessage(h.now, o.id, &Message{WriteRecord: &Record{Role: "works", Version: last.Version + 1, Token: token, Body: []byte("old")}})
-	h.until(h.now + 1)
-	require.Equal(t, last, next.agreed)
+	h.leader().node.HandleMessage(h.now, o.id, &Message{WriteRecord: &Record{Role: "works", Version: last.Version + 1, Token: token, Body: []byte("old")}})
+	h.runUntil(h.now + 1)
+	require.Equal(t, last, next.record)
 }
