--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -43,12 +43,6 @@
 	leavingSince          float64
 }
 
-type sentRenewal struct {
-	number uint64
-	sentAt float64
-	grants []Grant
-}
-
 // Holds tells whether this member may act for a job now, and under which token.
 func (n *Node) Holds(now float64, job string) (token uint64, ok bool) {
 	if h := n.leaseFor(job); h != nil && h.started && now < h.expiresAt && !n.retired {
@@ -175,71 +169,6 @@
 	}
 }
 
-// sendRenewal asks for all leases at once, and gives back what is not known to be given back.
-func (n *Node) sendRenewal() {
-	n.renewDueAt = math.Inf(1)
-	if len(n.leases) == 0 && len(n.ended) == 0 || n.retired {
-		return
-	}
-	n.renewDueAt = n.now + renewIntervalSeconds
-	m := &Message{BootID: n.bootID}
-	if len(n.leases) > 0 {
-		n.renewalNumber++
-		r := &Renewal{Number: n.renewalNumber}
-		for _, h := range n.leases {
-			r.Grants = append(r.Grants, h.Grant)
-		}
-		r.Records = n.knownRecordVersions()
-		n.pendingRenewals = append(n.pendingRenewals, sentRenewal{n.renewalNumber, n.now, r.Grants})
-		if len(n.pendingRenewals) > maxPendingRenewals {
-			n.pendingRenewals = slices.Delete(n.pendingRenewals, 0, len(n.pendingRenewals)-maxPendingRenewals)
-		}
-		m.RenewRequest = r
-	}
-	for _, g := range n.ended {
-		if n.isOurs(g) {
-			m.Released = append(m.Released, g)
-		}
-	}
-	leader := n.table.Leader
-	if leader != 0 && (n.now-n.renewedAt < 2*renewIntervalSeconds || leader == n.self) {
-		n.send(leader, m)
-		return
-	}
-	for _, id := range n.table.Voters { // one of them knows who leads
-		n.send(id, m)
-	}
-}
-
-// handleRenewReply takes what the leader has confirmed.
-func (n *Node) handleRenewReply(r *Renewal) {
-	i := slices.IndexFunc(n.pendingRenewals, func(s sentRenewal) bool { return s.number == r.Number })
-	if i < 0 {
-		return
-	}
-	sent := n.pendingRenewals[i]
-	n.renewedAt = n.now
-	n.handleRecords(r.Records)
-	for _, g := range r.Grants {
-		h := n.leaseFor(g.Role)
-		if h == nil || h.Token != g.Token || !slices.Contains(sent.grants, h.Grant) {
-			continue
-		}
-		h.expiresAt = max(h.expiresAt, sent.sentAt+holderLeaseFraction*leaseSeconds)
-		switch {
-		case n.now >= h.expiresAt:
-		case !h.started && n.canHold(h.Role):
-			h.started = true
-			n.stats.Acquired++
-			n.actions.LeaseStarted(h.Role, h.Token)
-			if n.hasRecord(h.Role) {
-				h.record.Role = h.Role
-				n.actions.RecordCommitted(h.record)
-			}
-		}
-	}
-}
-
 // SetWilling tells whether this member wants a job.
 func (n *Node) SetWilling(now float64, job string, willing bool) {
 	n.advanceTo(now)
@@ -293,22 +222,6 @@
 	}
 }
 
-// Leave gives everything back, and says nothing more as an elector once another leads.
-func (n *Node) Leave(now float64) {
-	n.advanceTo(now)
-	if !n.leaving && !n.retired {
-		n.leaving, n.leavingSince = true, n.now
-		n.endAllLeases("this member leaves")
-		n.tickLeader()
-	}
-	n.finishCall()
-}
-
-// HasLeft tells whether all that was given back is known to be, and another leads.
-func (n *Node) HasLeft() bool {
-	return n.retired || n.leaving && len(n.leases) == 0 && n.leadershipTransferred && !slices.ContainsFunc(n.ended, n.isOurs)
-}
-
 func (n *Node) holderNextTick() float64 {
 	next := min(n.renewDueAt, n.bidDueAt)
 	for _, h := range n.leases {
@@ -326,3 +239,6 @@
 	}
 	return append(slices.Clone(n.table.Voters), n.table.Leader)
 }
+
+// ReasonNotRenewed is why a job has ended whose lease was not confirmed in time: nobody need have been granted it since.
+const ReasonNotRenewed = "the lease was not renewed in time"
--- a/internal/decide/lease/tenure.go
+++ b/internal/decide/lease/node.go
@@ -64,24 +64,6 @@
 	m  *Message
 }
 
-// Stats count what a Tenure has done, and say what it is.
-type Stats struct {
-	Epoch          uint64 `json:"epoch"` // of the group that this member is in; 0: of none
-	Term           uint64 `json:"term"`
-	Serial         uint64 `json:"serial"`
-	IsVoter        bool   `json:"elector"`
-	IsLeader       bool   `json:"leads"`
-	PersistFailed  bool   `json:"unkept"`   // the state can't be kept: this member does not vote
-	Grants         uint64 `json:"grants"`   // that were agreed, of all jobs
-	Acquired       uint64 `json:"owned"`    // grants to this member that became leases
-	Lapsed         uint64 `json:"lapsed"`   // of these, leases that ended without a renewal
-	QuorumReads    uint64 `json:"rounds"`   // quorum rounds for renewals, of this member as the leader
-	Persists       uint64 `json:"saves"`    // writes of the state
-	ElectionsWon   uint64 `json:"leaders"`  // times that this member has come to lead
-	DroppedStale   uint64 `json:"dropped"`  // messages under a serial lower than heard before
-	VotersReplaced uint64 `json:"replaced"` // electors that this member, leading, has had replaced
-}
-
 // New returns the part of a member. An error says that what was saved can't be used: the identity is then not to be used
 // either.
 func New(now float64, self swim.ID, set Settings, state []byte, do Actions) (*Node, error) {
@@ -286,78 +268,6 @@
 	}
 }
 
-// sendAfterPersist sends a message once the state as it is now is kept.
-func (n *Node) sendAfterPersist(to swim.ID, m *Message) {
-	n.deferred = append(n.deferred, outgoing{to, m})
-}
-
-// persist keeps the state, if there is anything to keep.
-func (n *Node) persist() {
-	if n.persisting || n.retired {
-		return
-	}
-	if !n.dirty {
-		later := n.deferred
-		n.deferred = nil
-		for _, o := range later {
-			n.send(o.to, o.m)
-		}
-		return
-	}
-	if n.persistFailed {
-		if n.now < n.persistRetryAt {
-			return
-		}
-		n.persistRetryAt = n.now + 1
-	}
-	n.dirty, n.persisting, n.persistedEpoch = false, true, n.highestEpoch
-	n.awaitingPersist, n.deferred = append(n.awaitingPersist, n.deferred...), nil
-	n.serial++
-	n.lineage = n.lineage.extended(uint32(n.bootID>>32)|1, n.serial)
-	n.stats.Persists++
-	n.actions.Persist(n.encodeState())
-}
-
-// HandlePersisted takes the end of the last Save.
-func (n *Node) HandlePersisted(now float64, err error) {
-	n.advanceTo(now)
-	if n.retired || !n.persisting {
-		return
-	}
-	n.persisting = false
-	if err != nil {
-		if !n.persistFailed {
-			n.actions.Log("the state can't be kept: this member does not vote", "error", err)
-		}
-		// Danger: what waits for it must go on waiting; a vote that was told and not kept is a vote that can be given twice.
-		n.persistFailed, n.dirty, n.persistRetryAt = true, true, n.now+1
-		return
-	}
-	if n.persistFailed {
-		n.persistFailed = false
-		n.actions.Log("the state is kept again: this member votes")
-	}
-	inflight := n.awaitingPersist
-	n.awaitingPersist = nil
-	for _, o := range inflight {
-		n.send(o.to, o.m)
-	}
-	if n.group != nil && n.group.ready != nil {
-		n.completeReady()
-	}
-	n.finishCall()
-}
-
-// replaceIdentity gives up the identity: nothing is said under it any more.
-func (n *Node) replaceIdentity(why string) {
-	if n.retired {
-		return
-	}
-	n.endAllLeases("the identity is given up")
-	n.retired, n.group, n.loopback, n.deferred, n.awaitingPersist = true, nil, nil, nil, nil
-	n.actions.ReplaceIdentity(why)
-}
-
 // updateLinks asks for links.
 func (n *Node) updateLinks() {
 	var ids []swim.ID
@@ -384,16 +294,3 @@
 
 // Table returns what is known of all grants.
 func (n *Node) Table() Table { return n.table }
-
-// Stats returns the counts so far.
-func (n *Node) Stats() Stats {
-	f := n.stats
-	f.Serial, f.PersistFailed = n.serial, n.persistFailed
-	if n.founding != nil {
-		f.Epoch = n.founding.Epoch
-	}
-	if g := n.group; g != nil {
-		f.Term, f.IsLeader, f.IsVoter = g.term, g.isLeader, n.isVoter()
-	}
-	return f
-}
--- /dev/null
+++ b/internal/decide/lease/ready.go
@@ -0,0 +1,148 @@
+package lease
+
+import (
+	"encoding/binary"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"hazelwheel/internal/decide/swim"
+)
+
+// advanceRaft does all that raft wants done, up to where it must wait for the disk.
+func (n *Node) advanceRaft() {
+	for n.group != nil && !n.persisting && !n.retired {
+		g := n.group
+		if g.ready == nil && g.rawNode.HasReady() {
+			var rd raft.Ready
+			n.runRaft(func() { rd = g.rawNode.Ready(); n.storeReady(&rd) })
+			if n.group != g {
+				return
+			}
+			g.ready = &rd
+			if rd.MustSync || !raft.IsEmptySnap(rd.Snapshot) {
+				n.dirty = true
+			}
+		}
+		if n.dirty || g.ready == nil {
+			break
+		}
+		n.completeReady()
+	}
+	n.persist()
+}
+
+// storeReady puts what is to be kept into the store.
+func (n *Node) storeReady(rd *raft.Ready) {
+	g := n.group
+	if !raft.IsEmptySnap(rd.Snapshot) {
+		if err := g.storage.ApplySnapshot(rd.Snapshot); err != nil {
+			panic(err)
+		}
+	}
+	if err := g.storage.Append(rd.Entries); err != nil {
+		panic(err)
+	}
+	if h := rd.HardState; !raft.IsEmptyHardState(h) {
+		if h.GetVote() != g.vote && h.GetVote() != 0 {
+			n.resetElectionTimer()
+		}
+		if h.GetTerm() != g.term && g.isLeader { // it leads no more, and is told so before anything else of this term is done
+			g.isLeader, g.leaderID = false, 0
+			n.leadershipChanged(false)
+		}
+		g.storage.hardState, g.term, g.vote = h, h.GetTerm(), h.GetVote()
+		if err := g.storage.SetHardState(h); err != nil {
+			panic(err)
+		}
+	}
+}
+
+// completeReady does what follows from a Ready whose state is kept: it tells the others, and applies what is agreed.
+func (n *Node) completeReady() {
+	g := n.group
+	rd := g.ready
+	g.ready = nil
+	for _, m := range rd.Messages {
+		n.sendRaft(swim.ID(m.GetTo()), mustMarshal(m))
+	}
+	n.runRaft(func() {
+		if !raft.IsEmptySnap(rd.Snapshot) {
+			if err := g.installSnapshot(rd.Snapshot); err != nil {
+				panic(err)
+			}
+		}
+		for _, e := range rd.CommittedEntries {
+			n.applyEntry(e)
+		}
+		g.rawNode.Advance(*rd)
+		for _, m := range rd.Messages {
+			if m.GetType() == raftpb.MsgSnap {
+				g.rawNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // or it is lost, and the next entry is turned away
+			}
+		}
+		g.storage.compact()
+	})
+	if n.group != g {
+		return
+	}
+	n.updateLeader(rd)
+	for _, r := range rd.ReadStates {
+		n.quorumReadDone(binary.BigEndian.Uint64(r.RequestCtx))
+	}
+	if len(rd.CommittedEntries) > 0 || !raft.IsEmptySnap(rd.Snapshot) || rd.SoftState != nil {
+		n.publishTable()
+	}
+}
+
+// applyEntry takes an entry that is agreed.
+func (n *Node) applyEntry(e *raftpb.Entry) {
+	g := n.group
+	g.appliedIndex, g.appliedTerm = e.GetIndex(), e.GetTerm()
+	switch e.GetType() {
+	case raftpb.EntryConfChangeV2:
+		var cc raftpb.ConfChangeV2
+		if err := proto.Unmarshal(e.GetData(), &cc); err != nil {
+			panic(err)
+		}
+		g.confState = g.rawNode.ApplyConfChange(&cc)
+		// Danger: that a change of electors is agreed is known to who is running alone. Where they begin again and the leader does not,
+		// they want votes of those that it has taken out. What the disk had at the start is not written again: with a write before its
+		// first word an old copy would look as new as what it lacks.
+		n.dirty = n.dirty || e.GetIndex() > g.commitAtStart
+	case raftpb.EntryNormal:
+		var list []command
+		if len(e.GetData()) == 0 {
+			return
+		}
+		if err := decode(e.GetData(), &list); err != nil {
+			panic(err)
+		}
+		for _, c := range list {
+			if g.machine.apply(c) {
+				n.stats.Grants++
+			}
+			n.commandApplied(c)
+		}
+	}
+}
+
+// updateLeader takes who leads.
+func (n *Node) updateLeader(rd *raft.Ready) {
+	g := n.group
+	if rd.SoftState != nil {
+		g.leaderID = swim.ID(rd.SoftState.Lead)
+		if leads := rd.SoftState.RaftState == raft.StateLeader; leads != g.isLeader {
+			g.isLeader = leads
+			n.leadershipChanged(leads)
+		}
+	}
+}
+
+// propose has commands agreed, and tells whether they are in the log.
+func (n *Node) propose(list ...command) (ok bool) {
+	g := n.group
+	n.runRaft(func() { ok = g.rawNode.Propose(encode(list)) == nil })
+	return ok && n.group == g
+}
--- /dev/null
+++ b/internal/decide/lease/renewal.go
@@ -0,0 +1,133 @@
+package lease
+
+import (
+	"encoding/binary"
+	"math"
+	"slices"
+
+	"hazelwheel/internal/decide/swim"
+)
+
+type waitingRenewal struct {
+	from       swim.ID
+	quorumRead uint64 // that it waits for
+	*Renewal
+}
+
+// startQuorumRead has a quorum confirm that this member leads. One round confirms all renewals that came before it began.
+func (n *Node) startQuorumRead() {
+	if !n.quorumReadInFlight && len(n.waitingRenewals) > 0 && n.isLeaderReady() {
+		n.quorumReadInFlight = true
+		n.stats.QuorumReads++
+		ctx := binary.BigEndian.AppendUint64(nil, n.lastQuorumRead)
+		n.runRaft(func() { n.group.rawNode.ReadIndex(ctx) })
+	}
+}
+
+// quorumReadDone takes that a round has ended: this member led when it began.
+func (n *Node) quorumReadDone(round uint64) {
+	if n.quorumReadInFlight = false; !n.isLeaderReady() {
+		return
+	}
+	waiting := n.waitingRenewals
+	n.waitingRenewals = nil
+	for _, w := range waiting {
+		if w.quorumRead > round {
+			n.waitingRenewals = append(n.waitingRenewals, w)
+			continue
+		}
+		n.confirmRenewal(w)
+	}
+	n.startQuorumRead()
+}
+
+// confirmRenewal has leases go on.
+func (n *Node) confirmRenewal(w waitingRenewal) {
+	answer := &Renewal{Number: w.Number}
+	for _, g := range w.Grants {
+		now, known := n.group.machine.grant(g.Role)
+		p := n.roleFor(g.Role)
+		if !known || p == nil || now != g || now.Holder != w.from || p.hasPendingCommand || p.releasedToken == g.Token {
+			continue
+		}
+		p.renewedAt = n.now
+		answer.Grants = append(answer.Grants, g)
+	}
+	answer.Records = n.newerRecords(w.Records)
+	m := &Message{RenewReply: answer}
+	if len(answer.Grants) < len(w.Grants) {
+		m.Table = n.tableMessage().Table
+	}
+	n.send(w.from, m)
+}
+
+type sentRenewal struct {
+	number uint64
+	sentAt float64
+	grants []Grant
+}
+
+// sendRenewal asks for all leases at once, and gives back what is not known to be given back.
+func (n *Node) sendRenewal() {
+	n.renewDueAt = math.Inf(1)
+	if len(n.leases) == 0 && len(n.ended) == 0 || n.retired {
+		return
+	}
+	n.renewDueAt = n.now + renewIntervalSeconds
+	m := &Message{BootID: n.bootID}
+	if len(n.leases) > 0 {
+		n.renewalNumber++
+		r := &Renewal{Number: n.renewalNumber}
+		for _, h := range n.leases {
+			r.Grants = append(r.Grants, h.Grant)
+		}
+		r.Records = n.knownRecordVersions()
+		n.pendingRenewals = append(n.pendingRenewals, sentRenewal{n.renewalNumber, n.now, r.Grants})
+		if len(n.pendingRenewals) > maxPendingRenewals {
+			n.pendingRenewals = slices.Delete(n.pendingRenewals, 0, len(n.pendingRenewals)-maxPendingRenewals)
+		}
+		m.RenewRequest = r
+	}
+	for _, g := range n.ended {
+		if n.isOurs(g) {
+			m.Released = append(m.Released, g)
+		}
+	}
+	leader := n.table.Leader
+	if leader != 0 && (n.now-n.renewedAt < 2*renewIntervalSeconds || leader == n.self) {
+		n.send(leader, m)
+		return
+	}
+	for _, id := range n.table.Voters { // one of them knows who leads
+		n.send(id, m)
+	}
+}
+
+// handleRenewReply takes what the leader has confirmed.
+func (n *Node) handleRenewReply(r *Renewal) {
+	i := slices.IndexFunc(n.pendingRenewals, func(s sentRenewal) bool { return s.number == r.Number })
+	if i < 0 {
+		return
+	}
+	sent := n.pendingRenewals[i]
+	n.renewedAt = n.now
+	n.handleRecords(r.Records)
+	for _, g := range r.Grants {
+		h := n.leaseFor(g.Role)
+		if h == nil || h.Token != g.Token || !slices.Contains(sent.grants, h.Grant) {
+			continue
+		}
+		h.expiresAt = max(h.expiresAt, sent.sentAt+holderLeaseFraction*leaseSeconds)
+		switch {
+		case n.now >= h.expiresAt:
+		case !h.started && n.canHold(h.Role):
+			h.started = true
+			n.stats.Acquired++
+			n.actions.LeaseStarted(h.Role, h.Token)
+			if n.hasRecord(h.Role) {
+				h.record.Role = h.Role
+				n.actions.RecordCommitted(h.record)
+			}
+		}
+	}
+}
--- a/internal/decide/lease/state.go
+++ b/internal/decide/lease/storage.go
@@ -1,61 +1,13 @@
 package lease
 
 import (
-	"errors"
 	"fmt"
 
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"hazelwheel/internal/decide/swim"
 )
 
-// stateFormatVersion is that of the saved state. One of another version is not read.
-const stateFormatVersion = 1
-
-// persistedState is what a member keeps: whole, in one write.
-type persistedState struct {
-	Version   uint8     `msgpack:"v"`
-	MemberID  swim.ID   `msgpack:"i"`
-	Serial    uint64    `msgpack:"s"` // of this state; each later one's is greater
-	Lineage   lineage   `msgpack:"w,omitempty"`
-	Epoch     uint64    `msgpack:"e"` // the greatest heard of
-	Promised  uint64    `msgpack:"p,omitempty"`
-	Accepted  *Founding `msgpack:"a,omitempty"`
-	Founding  *Founding `msgpack:"g,omitempty"` // the group that this member is or was in
-	HardState []byte    `msgpack:"h,omitempty"`
-	Snapshot  []byte    `msgpack:"n,omitempty"`
-	Entries   [][]byte  `msgpack:"l,omitempty"` // after the snapshot
-}
-
-// ErrInvalidState is the fault of a saved state that can't be used.
-var ErrInvalidState = errors.New("tenure: the saved state can't be used")
-
-// decodeState reads a state. What is not usable as a whole is an error: a vote that was half read would be a vote forgotten.
-func decodeState(b []byte, self swim.ID) (persistedState, error) {
-	var s persistedState
-	if err := decode(b, &s); err != nil {
-		return s, fmt.Errorf("%w: %w", ErrInvalidState, err)
-	}
-	switch {
-	case s.Version != stateFormatVersion:
-		return s, fmt.Errorf("%w: it is of version %d", ErrInvalidState, s.Version)
-	case s.MemberID != self:
-		return s, fmt.Errorf("%w: it is of %v", ErrInvalidState, s.MemberID)
-	}
-	return s, nil
-}
-
-// encodeState returns what is to be kept now.
-func (n *Node) encodeState() []byte {
-	s := persistedState{Version: stateFormatVersion, MemberID: n.self, Serial: n.serial, Lineage: n.lineage, Epoch: n.highestEpoch, Promised: n.promisedBallot, Accepted: n.acceptedFounding, Founding: n.founding}
-	if g := n.group; g != nil {
-		s.HardState, s.Snapshot, s.Entries = g.storage.encode()
-	}
-	return encode(&s)
-}
-
 // raftStorage is the electors' log in memory; what is in it is on disk before anything follows from it.
 type raftStorage struct {
 	*raft.MemoryStorage
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -65,8 +65,3 @@
 		n.adoptTable(&table, 0)
 	}
 }
-
-// memberIDs returns all that the group sends to, or may.
-func (g *group) memberIDs() []uint64 {
-	return slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing(), g.confState.GetLearners(), g.confState.GetLearnersNext())
-}
