--- a/internal/sim/maintenancesim/world.go
+++ b/internal/sim/maintenancesim/world.go
@@ -52,16 +52,16 @@
 
 // Counts are what a day was about.
 type Counts struct {
-	Plans   int // that were agreed
-	Worked  int // boxes on which work began
-	Done    int
-	Skipped int
-	Lost    int
-	Forced  int
-	Backed  int // boxes that were given back before anybody had them
-	Owners  int
-	Stopped int // owners that died or stood still at a step
-	Refused int // writes of owners that were replaced, or came late
+	Plans   int `json:"Plans"`  // that were agreed
+	Worked  int `json:"Worked"` // boxes on which work began
+	Done    int `json:"Done"`
+	Skipped int `json:"Skipped"`
+	Lost    int `json:"Lost"`
+	Forced  int `json:"Forced"`
+	Backed  int `json:"Backed"` // boxes that were given back before anybody had them
+	Owners  int `json:"Owners"`
+	Stopped int `json:"Stopped"` // owners that died or stood still at a step
+	Refused int `json:"Refused"` // writes of owners that were replaced, or came late
 }
 
 type box struct {
