--- a/cmd/hazellab/works.go
+++ b/cmd/hazellab/works.go
@@ -47,7 +47,7 @@
 		if !c.IsSet("seed") {
 			return fault(errors.New("--trace goes with --seed"))
 		}
-		r := maintenancesim.Play(first, maintenancesim.Options{Trace: func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }})
+		r := maintenancesim.Run(first, maintenancesim.Options{Trace: func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }})
 		if len(r.Findings) > 0 {
 			return errBroken
 		}
@@ -55,7 +55,7 @@
 	}
 	began := time.Now()
 	var t maintenancesim.Tally
-	overSeeds(c, out, first, last, maintenancesim.Many, func(r *maintenancesim.Result) (uint64, []seeds.Finding) {
+	overSeeds(c, out, first, last, maintenancesim.RunSeeds, func(r *maintenancesim.Result) (uint64, []seeds.Finding) {
 		t.Add(r)
 		return r.Seed, r.Findings
 	})
--- a/internal/sim/maintenancesim/actors.go
+++ b/internal/sim/maintenancesim/actors.go
@@ -16,7 +16,7 @@
 }
 
 // ask has a command be given at a sidecar, which passes it on until it is answered or nobody waits any more.
-func (w *World) ask(cmd maintenance.Command, forS float64, then func(maintenance.Reply)) {
+func (w *Simulation) ask(cmd maintenance.Command, forS float64, then func(maintenance.Reply)) {
 	for cmd.Nonce == 0 {
 		cmd.Nonce = w.rng.Uint64()
 	}
@@ -25,7 +25,7 @@
 	w.pass(a)
 }
 
-func (w *World) pass(a *asked) {
+func (w *Simulation) pass(a *asked) {
 	if a.over {
 		return
 	}
@@ -62,13 +62,13 @@
 // noAnswer is the error of a command that nobody has answered.
 const noAnswer = "nobody answers"
 
-func (w *World) end(a *asked) {
+func (w *Simulation) end(a *asked) {
 	a.over = true
 	w.asked = slices.DeleteFunc(w.asked, func(o *asked) bool { return o == a })
 }
 
 // replied brings an answer to who waits for it.
-func (w *World) replied(by *node, r maintenance.Reply) {
+func (w *Simulation) replied(by *node, r maintenance.Reply) {
 	i := slices.IndexFunc(w.asked, func(a *asked) bool { return a.cmd.Nonce == r.Nonce })
 	if i < 0 || by.cut || w.chance(w.lossPart) {
 		return
@@ -86,7 +86,7 @@
 
 // mechanic works boxes. What it has done, and the greatest token, last over its deaths.
 type mechanic struct {
-	w        *World
+	w        *Simulation
 	name     string
 	run      int
 	greatest uint64
@@ -206,7 +206,7 @@
 
 // --- Operators ---
 
-func (w *World) give(spec maintenance.Spec, nonce uint64) {
+func (w *Simulation) give(spec maintenance.Spec, nonce uint64) {
 	w.ask(maintenance.Command{Kind: maintenance.SubmitPlan, Nonce: nonce, Spec: &spec}, 20, func(r maintenance.Reply) {
 		w.note("plan %s: %d %s %s", spec.Name, r.Plan, r.Err, r.Text)
 		if r.Err == "" {
@@ -216,7 +216,7 @@
 }
 
 // drawSpec draws a plan over some of the boxes.
-func (w *World) drawSpec(i int) maintenance.Spec {
+func (w *Simulation) drawSpec(i int) maintenance.Spec {
 	s := w.spec
 	s.Name = fmt.Sprint("plan-", i)
 	switch w.rng.IntN(4) {
@@ -249,7 +249,7 @@
 }
 
 // meddle has an operator do something to the plans that there are.
-func (w *World) meddle() {
+func (w *Simulation) meddle() {
 	b := w.boxes[w.rng.IntN(len(w.boxes))]
 	state := w.agreed().State
 	kinds := []maintenance.Kind{maintenance.PausePlan, maintenance.ResumePlan, maintenance.ResumePlan, maintenance.SkipServer, maintenance.ForceDrained, maintenance.ForceDrained, maintenance.AbortPlan}
--- a/internal/sim/maintenancesim/day.go
+++ b/internal/sim/maintenancesim/day.go
@@ -25,7 +25,7 @@
 }
 
 // back has a process begin again, mostly with what it had on disk.
-func (w *World) back(n *node) {
+func (w *Simulation) back(n *node) {
 	w.After(w.between(0.5, 0.5*w.spec.DeadMemberSeconds), func() {
 		if w.chance(0.2) && !n.cut { // danger: one that is new and can't ask knows of no ban; nobody can help that
 			n.version, n.state, n.outs = 0, maintenance.State{}, nil
@@ -37,11 +37,11 @@
 
 type trouble struct {
 	name string
-	do   func(w *World, forS float64)
+	do   func(w *Simulation, forS float64)
 }
 
 // some is a sidecar that lives, the owner more often than others.
-func (w *World) some() *node {
+func (w *Simulation) some() *node {
 	if w.owner != nil && w.chance(0.4) && w.owner.up {
 		return w.owner
 	}
@@ -55,14 +55,14 @@
 
 // troubles are all kinds; a day has some of them.
 var troubles = []trouble{
-	{"kill", func(w *World, _ float64) {
+	{"kill", func(w *Simulation, _ float64) {
 		n := w.some()
 		if n.up {
 			n.stop(false)
 			w.back(n)
 		}
 	}},
-	{"kill-for-good", func(w *World, _ float64) {
+	{"kill-for-good", func(w *Simulation, _ float64) {
 		live := 0
 		for _, n := range w.nodes {
 			if n.up {
@@ -73,34 +73,34 @@
 			w.some().stop(false)
 		}
 	}},
-	{"term", func(w *World, _ float64) {
+	{"term", func(w *Simulation, _ float64) {
 		n := w.some()
 		if n.up {
 			n.stop(true)
 			w.back(n)
 		}
 	}},
-	{"freeze", func(w *World, forS float64) { w.some().freeze(forS) }},
-	{"cut", func(w *World, forS float64) { w.sever(w.some(), forS) }},
-	{"cut-half", func(w *World, forS float64) {
+	{"freeze", func(w *Simulation, forS float64) { w.some().freeze(forS) }},
+	{"cut", func(w *Simulation, forS float64) { w.sever(w.some(), forS) }},
+	{"cut-half", func(w *Simulation, forS float64) {
 		for _, n := range w.nodes {
 			if w.chance(0.5) {
 				w.sever(n, forS)
 			}
 		}
 	}},
-	{"move", func(w *World, _ float64) { w.grant(w.some()) }},
-	{"majority", func(w *World, forS float64) {
+	{"move", func(w *Simulation, _ float64) { w.grant(w.some()) }},
+	{"majority", func(w *Simulation, forS float64) {
 		w.down = true
 		w.After(forS, func() { w.down = false })
 	}},
-	{"loss", func(w *World, forS float64) {
+	{"loss", func(w *Simulation, forS float64) {
 		was := w.lossPart
 		w.lossPart = 0.4
 		w.After(forS, func() { w.lossPart = was })
 	}},
-	{"silent", func(w *World, forS float64) { w.boxes[w.rng.IntN(len(w.boxes))].fails(w, forS) }},
-	{"site", func(w *World, forS float64) {
+	{"silent", func(w *Simulation, forS float64) { w.boxes[w.rng.IntN(len(w.boxes))].fails(w, forS) }},
+	{"site", func(w *Simulation, forS float64) {
 		site := w.boxes[w.rng.IntN(len(w.boxes))].site
 		for _, b := range w.boxes {
 			if b.site == site {
@@ -108,43 +108,43 @@
 			}
 		}
 	}},
-	{"unlisted", func(w *World, forS float64) {
+	{"unlisted", func(w *Simulation, forS float64) {
 		b := w.boxes[w.rng.IntN(len(w.boxes))]
 		b.unlisted, w.quietAt = true, math.Inf(1)
 		w.After(forS, func() { b.unlisted, w.quietAt = false, w.Now() })
 	}},
-	{"drained", func(w *World, forS float64) {
+	{"drained", func(w *Simulation, forS float64) {
 		b := w.boxes[w.rng.IntN(len(w.boxes))]
 		b.draining, w.quietAt = true, math.Inf(1)
 		w.After(forS, func() { b.draining, w.quietAt = false, w.Now() })
 	}},
-	{"load", func(w *World, forS float64) {
+	{"load", func(w *Simulation, forS float64) {
 		was := w.perS
 		w.perS *= w.between(1.5, 2.5)
 		w.After(forS, func() { w.perS = was })
 	}},
-	{"refusing", func(w *World, forS float64) {
+	{"refusing", func(w *Simulation, forS float64) {
 		w.refusing = 0.2
 		w.After(forS, func() { w.refusing = 0 })
 	}},
-	{"late", func(w *World, forS float64) {
+	{"late", func(w *Simulation, forS float64) {
 		w.late = len(w.nodes)
 		w.After(forS, func() { w.late = 0 })
 	}},
-	{"by-hand", func(w *World, forS float64) {
+	{"by-hand", func(w *Simulation, forS float64) {
 		n, b := w.some(), w.boxes[w.rng.IntN(len(w.boxes))]
 		if n.up {
 			n.hand[b.name] = w.Now() + forS
 		}
 	}},
-	{"meddle", func(w *World, _ float64) { w.meddle() }},
-	{"mechanic", func(w *World, forS float64) {
+	{"meddle", func(w *Simulation, _ float64) { w.meddle() }},
+	{"mechanic", func(w *Simulation, forS float64) {
 		if m := w.mechanics[w.rng.IntN(len(w.mechanics))]; !m.dead {
 			m.die(forS)
 		}
 	}},
-	{"plan", func(w *World, _ float64) { w.give(w.drawSpec(int(w.Asked())), 0) }},
-	{"plan-twice", func(w *World, _ float64) {
+	{"plan", func(w *Simulation, _ float64) { w.give(w.drawSpec(int(w.Asked())), 0) }},
+	{"plan-twice", func(w *Simulation, _ float64) {
 		s := w.drawSpec(int(w.Asked()))
 		nonce := uint64(0)
 		if w.chance(0.5) { // the same command
@@ -155,7 +155,7 @@
 	}},
 }
 
-func (w *World) sever(n *node, forS float64) {
+func (w *Simulation) sever(n *node, forS float64) {
 	if n.cut {
 		return
 	}
@@ -173,7 +173,7 @@
 }
 
 // fails has a box be silent for a while, unless somebody works on it.
-func (b *box) fails(w *World, forS float64) {
+func (b *box) fails(w *Simulation, forS float64) {
 	if b.worker != nil || b.down {
 		return
 	}
@@ -184,8 +184,8 @@
 }
 
 // Play plays the day of a seed.
-func Play(seed uint64, o Options) (r *Result) {
-	w := &World{Queue: seeds.NewQueue(100), rng: rand.New(rand.NewPCG(seed, 0x706c616e73)), trace: o.Trace, hash: 14695981039346656037, epoch: 1 + seed%3}
+func Run(seed uint64, o Options) (r *Result) {
+	w := &Simulation{Queue: seeds.NewQueue(100), rng: rand.New(rand.NewPCG(seed, 0x706c616e73)), trace: o.Trace, hash: 14695981039346656037, epoch: 1 + seed%3}
 	w.judge.cold = map[string]float64{}
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -225,7 +225,7 @@
 }
 
 // draw draws what there is.
-func (w *World) draw() {
+func (w *Simulation) draw() {
 	sites := 1 + w.rng.IntN(4)
 	for i := range 3 + w.rng.IntN(12) {
 		w.boxes = append(w.boxes, &box{name: fmt.Sprintf("b%02d", i), site: fmt.Sprint("site-", w.rng.IntN(sites)), kind: fmt.Sprint("kind-", w.rng.IntN(2)),
@@ -252,7 +252,7 @@
 }
 
 // lease has the job be granted to another when its owner is not heard, and sometimes to one more at random.
-func (w *World) lease() {
+func (w *Simulation) lease() {
 	gone := func() bool {
 		return w.owner == nil || !w.owner.up || w.owner.frozen || w.owner.cut || w.owner.run != w.ownerRun
 	}
@@ -270,7 +270,7 @@
 const mostCalmS = 3000.0
 
 // calm ends all troubles, and sees whether all plans end.
-func (w *World) calm() {
+func (w *Simulation) calm() {
 	w.Until(w.Now() + 1)
 	w.note("all is mended")
 	w.calmly, w.stopPart = true, 0
@@ -313,11 +313,11 @@
 	w.over()
 }
 
-func (w *World) result(seed uint64) *Result {
+func (w *Simulation) result(seed uint64) *Result {
 	return &Result{Seed: seed, Findings: w.findings, Hash: w.hash, Steps: w.Steps(), Counts: w.counts}
 }
 
 // Many plays seeds, so many at a time, and calls told with each in order until it says no.
-func Many(first, last uint64, jobs int, told func(*Result) bool) {
-	seeds.Many(first, last, jobs, func(seed uint64) *Result { return Play(seed, Options{}) }, told)
+func RunSeeds(first, last uint64, jobs int, told func(*Result) bool) {
+	seeds.Many(first, last, jobs, func(seed uint64) *Result { return Run(seed, Options{}) }, told)
 }
--- a/internal/sim/maintenancesim/judge.go
+++ b/internal/sim/maintenancesim/judge.go
@@ -47,7 +47,7 @@
 	to    float64 // 0: it goes on
 }
 
-func (w *World) broken(rule, format string, args ...any) {
+func (w *Simulation) broken(rule, format string, args ...any) {
 	f := Finding{At: w.Now(), Rule: rule, Why: fmt.Sprintf(format, args...)}
 	w.note("BROKEN %v", f)
 	if len(w.findings) < 20 {
@@ -56,12 +56,12 @@
 }
 
 // handed tells whether a box was given back by hand somewhere, now or just before: who did that has it in use.
-func (w *World) byHand(b *box) bool {
+func (w *Simulation) byHand(b *box) bool {
 	return slices.ContainsFunc(w.nodes, func(n *node) bool { return n.hand[b.name] > w.Now()-3 })
 }
 
 // forced tells whether a box's hand-over was forced, or it was given back by an operator after it was lost.
-func (w *World) forced(box string, token uint64) bool {
+func (w *Simulation) forced(box string, token uint64) bool {
 	for _, p := range w.agreed().State.Plans {
 		for _, b := range p.Servers {
 			if b.Name == box && b.Token == token {
@@ -73,7 +73,7 @@
 }
 
 // got takes that a box gets a new request.
-func (w *World) got(b *box, n *node) {
+func (w *Simulation) got(b *box, n *node) {
 	if b.worker != nil && n.hand[b.name] <= w.Now() && !w.forced(b.name, b.token) {
 		w.broken(RuleOccupied, "%s gets a request from %s, which goes by version %d of %d, while %s works on it", b.name, n.name(), n.version,
 			w.version, b.worker.name)
@@ -81,7 +81,7 @@
 }
 
 // started takes that a mechanic begins to work on a box, or goes on.
-func (w *World) started(m *mechanic, b *box, token uint64) {
+func (w *Simulation) started(m *mechanic, b *box, token uint64) {
 	w.note("%s works on %s under %d", m.name, b.name, token)
 	for _, k := range w.works {
 		if k.token == token && k.box == b && k.by == m && k.to == 0 { // it died and goes on
@@ -138,7 +138,7 @@
 }
 
 // lost tells whether a box was given up while it was worked on.
-func (w *World) lost(k *work) bool {
+func (w *Simulation) lost(k *work) bool {
 	for _, p := range w.agreed().State.Plans {
 		for _, b := range p.Servers {
 			if b.Token == k.token && (b.Stage == maintenance.Lost || b.Stage == maintenance.Skipped) {
@@ -149,7 +149,7 @@
 	return false
 }
 
-func (w *World) ended(m *mechanic, b *box, token uint64) {
+func (w *Simulation) ended(m *mechanic, b *box, token uint64) {
 	w.note("%s has worked on %s under %d", m.name, b.name, token)
 	for _, k := range w.works {
 		if k.token == token && k.box == b {
@@ -160,7 +160,7 @@
 }
 
 // changed takes what is agreed in place of what was.
-func (w *World) changed(body []byte) {
+func (w *Simulation) changed(body []byte) {
 	state, err := maintenance.Decode(body)
 	if err != nil {
 		w.broken(RuleState, "%v", err)
@@ -216,7 +216,7 @@
 }
 
 // alone sees that a box is of one plan that has not ended.
-func (w *World) alone(s *maintenance.State, by *maintenance.Plan, box string) {
+func (w *Simulation) alone(s *maintenance.State, by *maintenance.Plan, box string) {
 	for i := range s.Plans {
 		if p := &s.Plans[i]; p.Number > by.Number && !p.Ended && slices.ContainsFunc(p.Servers, func(b maintenance.Server) bool { return b.Name == box }) {
 			w.broken(RuleShared, "%s is of plans %d and %d", box, by.Number, p.Number)
@@ -225,7 +225,7 @@
 }
 
 // stage takes that a box of a plan comes from one stage to another.
-func (w *World) stage(was, s *maintenance.State, p *maintenance.Plan, from, to maintenance.Server) {
+func (w *Simulation) stage(was, s *maintenance.State, p *maintenance.Plan, from, to maintenance.Server) {
 	if from.Stage >= maintenance.Done && !(from.Stage == maintenance.Lost && to.Stage == maintenance.Skipped) {
 		w.broken(RuleEnd, "%s of plan %d had ended as %d and is %d", to.Name, p.Number, from.Stage, to.Stage)
 	}
@@ -256,7 +256,7 @@
 }
 
 // leaves sees that a box may leave.
-func (w *World) leaves(was, s *maintenance.State, p *maintenance.Plan, b maintenance.Server) {
+func (w *Simulation) leaves(was, s *maintenance.State, p *maintenance.Plan, b maintenance.Server) {
 	coldS := p.Spec.WarmUpSeconds
 	if coldS == 0 {
 		coldS = max(w.coldS, 5)
@@ -309,14 +309,14 @@
 }
 
 // gave takes that a plan was agreed, by its answer.
-func (w *World) gave(r maintenance.Reply) {
+func (w *Simulation) gave(r maintenance.Reply) {
 	if r.Plan == 0 || r.Plan > w.agreed().State.LastNumber {
 		w.broken(RuleAnswer, "plan %d is answered, which is not agreed", r.Plan)
 	}
 }
 
 // over sees how plans have ended.
-func (w *World) over() {
+func (w *Simulation) over() {
 	state := w.agreed().State
 	for i := range state.Plans {
 		p := &state.Plans[i]
--- a/internal/sim/maintenancesim/plans_test.go
+++ b/internal/sim/maintenancesim/plans_test.go
@@ -8,7 +8,7 @@
 
 func TestPlans(t *testing.T) {
 	var sum Counts
-	Many(1, 40, 2, func(r *Result) bool {
+	RunSeeds(1, 40, 2, func(r *Result) bool {
 		require.Empty(t, r.Findings, "seed %d", r.Seed)
 		sum.add(r.Counts)
 		return true
@@ -19,6 +19,6 @@
 	require.Positive(t, sum.Refused, "and old ones wrote")
 	require.Positive(t, sum.Backed)
 	require.Positive(t, sum.Forced)
-	a, b := Play(7, Options{}), Play(7, Options{})
+	a, b := Run(7, Options{}), Run(7, Options{})
 	require.Equal(t, a.Hash, b.Hash, "the same history each time")
 }
--- a/internal/sim/maintenancesim/world.go
+++ b/internal/sim/maintenancesim/world.go
@@ -16,7 +16,7 @@
 )
 
 // World is a fleet whose boxes are worked on. It belongs to one goroutine.
-type World struct {
+type Simulation struct {
 	seeds.Queue
 	rng   *rand.Rand
 	trace func(at float64, line string)
@@ -80,7 +80,7 @@
 
 // node is a sidecar over all lives of its process.
 type node struct {
-	w       *World
+	w       *Simulation
 	number  int
 	id      swim.ID
 	life    uint64
@@ -107,11 +107,11 @@
 	timer   float64
 }
 
-func (w *World) between(a, b float64) float64 { return a + (b-a)*w.rng.Float64() }
-func (w *World) chance(part float64) bool     { return part > 0 && w.rng.Float64() < part }
+func (w *Simulation) between(a, b float64) float64 { return a + (b-a)*w.rng.Float64() }
+func (w *Simulation) chance(part float64) bool     { return part > 0 && w.rng.Float64() < part }
 
 // note adds to the history.
-func (w *World) note(format string, args ...any) {
+func (w *Simulation) note(format string, args ...any) {
 	h := fnv.New64a()
 	line := fmt.Sprintf(format, args...)
 	fmt.Fprintf(h, "%x %.9f %s", w.hash, w.Now(), line)
@@ -121,7 +121,7 @@
 	}
 }
 
-func (w *World) latency() float64 { return w.between(0.001, 0.03) }
+func (w *Simulation) latency() float64 { return w.between(0.001, 0.03) }
 
 // --- Sidecars ---
 
@@ -280,7 +280,7 @@
 }
 
 // members is who is there as one sidecar sees it.
-func (w *World) members(by *node) (all []maintenance.Member) {
+func (w *Simulation) members(by *node) (all []maintenance.Member) {
 	for _, n := range w.nodes {
 		if n.life == 0 || n.run == 1 && n != by && w.Now()-n.beganAt < 0.3 {
 			continue // nobody knows of it yet
@@ -307,14 +307,14 @@
 	return all
 }
 
-func (w *World) box(name string) *box {
+func (w *Simulation) box(name string) *box {
 	return w.boxes[slices.IndexFunc(w.boxes, func(b *box) bool { return b.name == name })]
 }
 
 // --- The owner ---
 
 // grant has the job go to a sidecar.
-func (w *World) grant(n *node) {
+func (w *Simulation) grant(n *node) {
 	if w.down || !n.up || n.frozen || n.cut {
 		return
 	}
@@ -358,7 +358,7 @@
 	n.c, n.writing = nil, false
 }
 
-func (w *World) agreed() maintenance.Committed {
+func (w *Simulation) agreed() maintenance.Committed {
 	state, err := maintenance.Decode(w.body)
 	if err != nil {
 		w.broken(RuleState, "%v", err)
@@ -415,7 +415,7 @@
 }
 
 // seen is what all say of the boxes.
-func (w *World) seen() (all []maintenance.ServerStatus) {
+func (w *Simulation) seen() (all []maintenance.ServerStatus) {
 	up := 0
 	for _, n := range w.nodes {
 		if n.up {
@@ -517,7 +517,7 @@
 }
 
 // write has the electors agree on a state, if it is the owner's and in place of the one that there is.
-func (w *World) write(n *node, run int, token, version uint64, body []byte) {
+func (w *Simulation) write(n *node, run int, token, version uint64, body []byte) {
 	if w.down {
 		return
 	}
@@ -563,7 +563,7 @@
 }
 
 // spread has what is agreed go to all that can be reached, sooner or later.
-func (w *World) spread() {
+func (w *Simulation) spread() {
 	version, body := w.version, w.body
 	for _, n := range w.nodes {
 		run := n.run
