--- a/cmd/hazellab/works.go
+++ b/cmd/hazellab/works.go
@@ -67,7 +67,7 @@
 		broken := tellBroken(out, t.Broken)
 		n := t.Counts
 		fmt.Fprintf(out, "%d plans in %.0f s: %d boxes worked on, %d done, %d skipped, %d lost, %d forced, %d given back, %d owners, %d stopped at a step, %d writes refused\n",
-			n.Plans, time.Since(began).Seconds(), n.Worked, n.Done, n.Skipped, n.Lost, n.Forced, n.Backed, n.Owners, n.Stopped, n.Refused)
+			n.Plans, time.Since(began).Seconds(), n.WorkStarted, n.Done, n.Skipped, n.Lost, n.Forced, n.GivenBack, n.Leases, n.HolderFaults, n.StaleWrites)
 		fmt.Fprintf(out, "history %016x\n%d seeds, %d rules broken\n", t.Hash, t.Days, broken)
 	}
 	if len(t.Broken) > 0 {
--- a/internal/sim/maintenancesim/actors.go
+++ b/internal/sim/maintenancesim/actors.go
@@ -190,7 +190,7 @@
 		if r.Err == "" && w.chance(0.2) {
 			w.ask(cmd, 8, func(again maintenance.Reply) { // it says so twice
 				if again.Err != "" && again.Err != noAnswer {
-					w.broken(RuleAnswer, "%s is done under %d, and again: %s", box, token, again.Err)
+					w.broken(RuleReply, "%s is done under %d, and again: %s", box, token, again.Err)
 				}
 			})
 		}
--- a/internal/sim/maintenancesim/judge.go
+++ b/internal/sim/maintenancesim/judge.go
@@ -14,17 +14,17 @@
 
 // The rules.
 const (
-	RuleOccupied = "work-occupied" // a box is worked on that has an execution out, or has got a new request within the time to settle
-	RuleMany     = "work-many"     // more is out than a plan allows
-	RuleTwice    = "work-twice"    // a box is worked on twice for one plan, or by two
-	RuleToken    = "work-token"    // a token of a hand-over is no greater than one before
-	RuleShared   = "work-shared"   // two plans that have not ended have a box in common
-	RuleCold     = "work-cold"     // a box leaves while another has not had its time to warm up
-	RuleKeep     = "work-keep"     // a box leaves though less than must stay is left
-	RuleEnd      = "work-end"      // a plan does not end, or a box of it ends without its work or a cause
-	RuleAnswer   = "work-answer"   // an answer does not hold
-	RuleState    = "work-state"    // what is agreed can't be read, or reads as something else
-	RulePanic    = "panic"
+	RuleInUse       = "work-occupied" // a box is worked on that has an execution out, or has got a new request within the time to settle
+	RuleTooMany     = "work-many"     // more is out than a plan allows
+	RuleWorkedTwice = "work-twice"    // a box is worked on twice for one plan, or by two
+	RuleToken       = "work-token"    // a token of a hand-over is no greater than one before
+	RuleShared      = "work-shared"   // two plans that have not ended have a box in common
+	RuleWarmUp      = "work-cold"     // a box leaves while another has not had its time to warm up
+	RuleMinCapacity = "work-keep"     // a box leaves though less than must stay is left
+	RuleEnd         = "work-end"      // a plan does not end, or a box of it ends without its work or a cause
+	RuleReply       = "work-answer"   // an answer does not hold
+	RuleState       = "work-state"    // what is agreed can't be read, or reads as something else
+	RulePanic       = "panic"
 )
 
 // judge is what is seen from outside.
@@ -75,7 +75,7 @@
 // got takes that a box gets a new request.
 func (w *Simulation) got(b *box, n *node) {
 	if b.worker != nil && n.hand[b.name] <= w.Now() && !w.forced(b.name, b.token) {
-		w.broken(RuleOccupied, "%s gets a request from %s, which goes by version %d of %d, while %s works on it", b.name, n.name(), n.version,
+		w.broken(RuleInUse, "%s gets a request from %s, which goes by version %d of %d, while %s works on it", b.name, n.name(), n.version,
 			w.version, b.worker.name)
 	}
 }
@@ -105,13 +105,13 @@
 		return
 	}
 	if b.worker != nil && b.worker != m && !w.forced(b.name, b.token) {
-		w.broken(RuleTwice, "%s works on %s, on which %s works", m.name, b.name, b.worker.name)
+		w.broken(RuleWorkedTwice, "%s works on %s, on which %s works", m.name, b.name, b.worker.name)
 	}
 	if settle := plan.Spec.QuietPeriodSeconds(); !w.forced(b.name, token) && !w.byHand(b) {
 		if b.out > 0 {
-			w.broken(RuleOccupied, "%d executions are out on %s as %s begins", b.out, b.name, m.name)
+			w.broken(RuleInUse, "%d executions are out on %s as %s begins", b.out, b.name, m.name)
 		} else if b.lastAt > 0 && w.Now()-b.lastAt < settle-1e-9 {
-			w.broken(RuleOccupied, "%s got something %.3f s before %s begins, %g s must be; it was of %s", b.name, w.Now()-b.lastAt, m.name, settle, b.lastBy.name())
+			w.broken(RuleInUse, "%s got something %.3f s before %s begins, %g s must be; it was of %s", b.name, w.Now()-b.lastAt, m.name, settle, b.lastBy.name())
 		}
 	}
 	at, site := 1, 1
@@ -120,7 +120,7 @@
 			continue
 		}
 		if o.box == b {
-			w.broken(RuleTwice, "%s is worked on under %d, for plan %d, and was under %d", b.name, token, k.plan, o.token)
+			w.broken(RuleWorkedTwice, "%s is worked on under %d, for plan %d, and was under %d", b.name, token, k.plan, o.token)
 		}
 		if o.to == 0 && !w.lost(o) {
 			at++
@@ -130,10 +130,10 @@
 		}
 	}
 	if !lost && (at > plan.Spec.MaxConcurrent || site > max(plan.Spec.MaxPerSite, 1)) {
-		w.broken(RuleMany, "mechanics work on %d boxes of plan %d, %d of site %s", at, k.plan, site, b.site)
+		w.broken(RuleTooMany, "mechanics work on %d boxes of plan %d, %d of site %s", at, k.plan, site, b.site)
 	}
 	w.works = append(w.works, k)
-	w.counts.Worked++
+	w.counts.WorkStarted++
 	b.worker, b.token = m, token
 }
 
@@ -184,7 +184,7 @@
 				at++
 				sites[b.Site]++
 				if sites[b.Site] > max(p.Spec.MaxPerSite, 1) {
-					w.broken(RuleMany, "%d of site %s are out for plan %d", sites[b.Site], b.Site, p.Number)
+					w.broken(RuleTooMany, "%d of site %s are out for plan %d", sites[b.Site], b.Site, p.Number)
 				}
 			}
 			if !p.Ended {
@@ -202,7 +202,7 @@
 			}
 		}
 		if at > p.Spec.MaxConcurrent {
-			w.broken(RuleMany, "%d boxes are out for plan %d, at most %d may", at, p.Number, p.Spec.MaxConcurrent)
+			w.broken(RuleTooMany, "%d boxes are out for plan %d, at most %d may", at, p.Number, p.Spec.MaxConcurrent)
 		}
 	}
 	w.handed = max(w.handed, handed)
@@ -242,7 +242,7 @@
 	case maintenance.WarmingUp:
 		w.cold[to.Name] = w.Now()
 	case maintenance.Pending:
-		w.counts.Backed++
+		w.counts.GivenBack++
 	case maintenance.Done:
 		w.counts.Done++
 	case maintenance.Skipped:
@@ -274,7 +274,7 @@
 		}
 	}
 	if at > p.Spec.MaxConcurrent {
-		w.broken(RuleCold, "%s leaves as one of %d that are out or have not had %g s to warm up", b.Name, at, coldS)
+		w.broken(RuleWarmUp, "%s leaves as one of %d that are out or have not had %g s to warm up", b.Name, at, coldS)
 	}
 	total, left := 0.0, 0.0
 	me := w.box(b.Name)
@@ -292,7 +292,7 @@
 		}
 	}
 	if !me.missing() && !lost && left/total < p.Spec.MinCapacity-1e-9 && w.Now()-w.quietAt > 8 {
-		w.broken(RuleKeep, "%s leaves, %.3f of the capacity is left, %.3f must be", b.Name, left/total, p.Spec.MinCapacity)
+		w.broken(RuleMinCapacity, "%s leaves, %.3f of the capacity is left, %.3f must be", b.Name, left/total, p.Spec.MinCapacity)
 	}
 }
 
@@ -311,7 +311,7 @@
 // gave takes that a plan was agreed, by its answer.
 func (w *Simulation) gave(r maintenance.Reply) {
 	if r.Plan == 0 || r.Plan > w.agreed().State.LastNumber {
-		w.broken(RuleAnswer, "plan %d is answered, which is not agreed", r.Plan)
+		w.broken(RuleReply, "plan %d is answered, which is not agreed", r.Plan)
 	}
 }
 
--- a/internal/sim/maintenancesim/run.go
+++ b/internal/sim/maintenancesim/run.go
@@ -16,13 +16,13 @@
 
 func (c *Counts) add(o Counts) {
 	c.Plans += o.Plans
-	c.Worked += o.Worked
+	c.WorkStarted += o.WorkStarted
 	c.Done += o.Done
 	c.Skipped += o.Skipped
 	c.Lost += o.Lost
 	c.Forced += o.Forced
-	c.Backed += o.Backed
-	c.Owners += o.Owners
-	c.Stopped += o.Stopped
-	c.Refused += o.Refused
+	c.GivenBack += o.GivenBack
+	c.Leases += o.Leases
+	c.HolderFaults += o.HolderFaults
+	c.StaleWrites += o.StaleWrites
 }
--- a/internal/sim/maintenancesim/world.go
+++ b/internal/sim/maintenancesim/world.go
@@ -52,16 +52,16 @@
 
 // Counts are what a day was about.
 type Counts struct {
-	Plans   int `json:"Plans"`  // that were agreed
-	Worked  int `json:"Worked"` // boxes on which work began
-	Done    int `json:"Done"`
-	Skipped int `json:"Skipped"`
-	Lost    int `json:"Lost"`
-	Forced  int `json:"Forced"`
-	Backed  int `json:"Backed"` // boxes that were given back before anybody had them
-	Owners  int `json:"Owners"`
-	Stopped int `json:"Stopped"` // owners that died or stood still at a step
-	Refused int `json:"Refused"` // writes of owners that were replaced, or came late
+	Plans        int `json:"Plans"`  // that were agreed
+	WorkStarted  int `json:"Worked"` // boxes on which work began
+	Done         int `json:"Done"`
+	Skipped      int `json:"Skipped"`
+	Lost         int `json:"Lost"`
+	Forced       int `json:"Forced"`
+	GivenBack    int `json:"Backed"` // boxes that were given back before anybody had them
+	Leases       int `json:"Owners"`
+	HolderFaults int `json:"Stopped"` // owners that died or stood still at a step
+	StaleWrites  int `json:"Refused"` // writes of owners that were replaced, or came late
 }
 
 type box struct {
@@ -320,7 +320,7 @@
 	}
 	w.token++
 	w.owner, w.ownerRun = n, n.run
-	w.counts.Owners++
+	w.counts.Leases++
 	w.note("%s owns the job under %d", n.name(), w.token)
 	token, run := w.token, n.run
 	a := w.agreed()
@@ -492,7 +492,7 @@
 		})
 	}
 	if w.chance(w.stopPart) {
-		w.counts.Stopped++
+		w.counts.HolderFaults++
 		switch w.rng.IntN(3) {
 		case 0: // it dies before it has written
 			n.stop(false)
@@ -528,7 +528,7 @@
 		w.before, w.body = w.body, body
 		w.spread()
 	} else {
-		w.counts.Refused++
+		w.counts.StaleWrites++
 	}
 	current, at, old := w.body, w.version, token < w.token
 	if w.chance(w.lossPart) {
