--- a/internal/sim/maintenancesim/judge.go
+++ b/internal/sim/maintenancesim/judge.go
@@ -28,41 +28,41 @@
 )
 
 // judge is what is seen from outside.
-type judge struct {
-	findings []Finding
-	handed   uint64 // the greatest token
-	works    []*work
-	cold     map[string]float64 // when a box was given back after work
-	asked    []*asked
-	quietAt  float64 // since when no box has changed by itself
+type checker struct {
+	findings         []Finding
+	greatestToken    uint64 // the greatest token
+	acquisitions     []*acquisition
+	completedAt      map[string]float64 // when a box was given back after work
+	pendingCommands  []*pendingCommand
+	undisturbedSince float64 // since when no box has changed by itself
 }
 
 // work is what a mechanic has on record.
-type work struct {
-	plan  uint64
-	box   *box
-	by    *mechanic
-	token uint64
-	from  float64
-	to    float64 // 0: it goes on
+type acquisition struct {
+	plan      uint64
+	server    *server
+	agent     *agent
+	token     uint64
+	startedAt float64
+	endedAt   float64 // 0: it goes on
 }
 
-func (w *Simulation) broken(rule, format string, args ...any) {
+func (w *Simulation) violated(rule, format string, args ...any) {
 	f := Finding{At: w.Now(), Rule: rule, Why: fmt.Sprintf(format, args...)}
-	w.note("BROKEN %v", f)
+	w.log("BROKEN %v", f)
 	if len(w.findings) < 20 {
 		w.findings = append(w.findings, f)
 	}
 }
 
 // handed tells whether a box was given back by hand somewhere, now or just before: who did that has it in use.
-func (w *Simulation) byHand(b *box) bool {
-	return slices.ContainsFunc(w.nodes, func(n *node) bool { return n.hand[b.name] > w.Now()-3 })
+func (w *Simulation) isUncordoned(b *server) bool {
+	return slices.ContainsFunc(w.sidecars, func(n *sidecar) bool { return n.uncordonedUntil[b.name] > w.Now()-3 })
 }
 
 // forced tells whether a box's hand-over was forced, or it was given back by an operator after it was lost.
-func (w *Simulation) forced(box string, token uint64) bool {
-	for _, p := range w.agreed().State.Plans {
+func (w *Simulation) wasForced(box string, token uint64) bool {
+	for _, p := range w.committed().State.Plans {
 		for _, b := range p.Servers {
 			if b.Name == box && b.Token == token {
 				return len(b.ForcedPast) > 0 || b.Stage == maintenance.Skipped
@@ -73,25 +73,25 @@
 }
 
 // got takes that a box gets a new request.
-func (w *Simulation) got(b *box, n *node) {
-	if b.worker != nil && n.hand[b.name] <= w.Now() && !w.forced(b.name, b.token) {
-		w.broken(RuleInUse, "%s gets a request from %s, which goes by version %d of %d, while %s works on it", b.name, n.name(), n.version,
-			w.version, b.worker.name)
+func (w *Simulation) checkRequest(b *server, n *sidecar) {
+	if b.agent != nil && n.uncordonedUntil[b.name] <= w.Now() && !w.wasForced(b.name, b.token) {
+		w.violated(RuleInUse, "%s gets a request from %s, which goes by version %d of %d, while %s works on it", b.name, n.name(), n.version,
+			w.version, b.agent.name)
 	}
 }
 
 // started takes that a mechanic begins to work on a box, or goes on.
-func (w *Simulation) started(m *mechanic, b *box, token uint64) {
-	w.note("%s works on %s under %d", m.name, b.name, token)
-	for _, k := range w.works {
-		if k.token == token && k.box == b && k.by == m && k.to == 0 { // it died and goes on
-			b.worker = m
+func (w *Simulation) workStarted(m *agent, b *server, token uint64) {
+	w.log("%s works on %s under %d", m.name, b.name, token)
+	for _, k := range w.acquisitions {
+		if k.token == token && k.server == b && k.agent == m && k.endedAt == 0 { // it died and goes on
+			b.agent = m
 			return
 		}
 	}
-	k := &work{box: b, by: m, token: token, from: w.Now()}
+	k := &acquisition{server: b, agent: m, token: token, startedAt: w.Now()}
 	var plan *maintenance.Plan
-	state := w.agreed().State
+	state := w.committed().State
 	lost := false
 	for i := range state.Plans {
 		for _, o := range state.Plans[i].Servers {
@@ -101,45 +101,45 @@
 		}
 	}
 	if plan == nil {
-		w.broken(RuleToken, "%s is handed over to %s under %d, which is not agreed", b.name, m.name, token)
+		w.violated(RuleToken, "%s is handed over to %s under %d, which is not agreed", b.name, m.name, token)
 		return
 	}
-	if b.worker != nil && b.worker != m && !w.forced(b.name, b.token) {
-		w.broken(RuleWorkedTwice, "%s works on %s, on which %s works", m.name, b.name, b.worker.name)
+	if b.agent != nil && b.agent != m && !w.wasForced(b.name, b.token) {
+		w.violated(RuleWorkedTwice, "%s works on %s, on which %s works", m.name, b.name, b.agent.name)
 	}
-	if settle := plan.Spec.QuietPeriodSeconds(); !w.forced(b.name, token) && !w.byHand(b) {
-		if b.out > 0 {
-			w.broken(RuleInUse, "%d executions are out on %s as %s begins", b.out, b.name, m.name)
-		} else if b.lastAt > 0 && w.Now()-b.lastAt < settle-1e-9 {
-			w.broken(RuleInUse, "%s got something %.3f s before %s begins, %g s must be; it was of %s", b.name, w.Now()-b.lastAt, m.name, settle, b.lastBy.name())
+	if settle := plan.Spec.QuietPeriodSeconds(); !w.wasForced(b.name, token) && !w.isUncordoned(b) {
+		if b.inFlight > 0 {
+			w.violated(RuleInUse, "%d executions are out on %s as %s begins", b.inFlight, b.name, m.name)
+		} else if b.lastUsedAt > 0 && w.Now()-b.lastUsedAt < settle-1e-9 {
+			w.violated(RuleInUse, "%s got something %.3f s before %s begins, %g s must be; it was of %s", b.name, w.Now()-b.lastUsedAt, m.name, settle, b.lastUser.name())
 		}
 	}
 	at, site := 1, 1
-	for _, o := range w.works {
+	for _, o := range w.acquisitions {
 		if o.plan != k.plan {
 			continue
 		}
-		if o.box == b {
-			w.broken(RuleWorkedTwice, "%s is worked on under %d, for plan %d, and was under %d", b.name, token, k.plan, o.token)
+		if o.server == b {
+			w.violated(RuleWorkedTwice, "%s is worked on under %d, for plan %d, and was under %d", b.name, token, k.plan, o.token)
 		}
-		if o.to == 0 && !w.lost(o) {
+		if o.endedAt == 0 && !w.wasAbandoned(o) {
 			at++
-			if o.box.site == b.site {
+			if o.server.site == b.site {
 				site++
 			}
 		}
 	}
 	if !lost && (at > plan.Spec.MaxConcurrent || site > max(plan.Spec.MaxPerSite, 1)) {
-		w.broken(RuleTooMany, "mechanics work on %d boxes of plan %d, %d of site %s", at, k.plan, site, b.site)
+		w.violated(RuleTooMany, "mechanics work on %d boxes of plan %d, %d of site %s", at, k.plan, site, b.site)
 	}
-	w.works = append(w.works, k)
+	w.acquisitions = append(w.acquisitions, k)
 	w.counts.WorkStarted++
-	b.worker, b.token = m, token
+	b.agent, b.token = m, token
 }
 
 // lost tells whether a box was given up while it was worked on.
-func (w *Simulation) lost(k *work) bool {
-	for _, p := range w.agreed().State.Plans {
+func (w *Simulation) wasAbandoned(k *acquisition) bool {
+	for _, p := range w.committed().State.Plans {
 		for _, b := range p.Servers {
 			if b.Token == k.token && (b.Stage == maintenance.Lost || b.Stage == maintenance.Skipped) {
 				return true
@@ -149,32 +149,32 @@
 	return false
 }
 
-func (w *Simulation) ended(m *mechanic, b *box, token uint64) {
-	w.note("%s has worked on %s under %d", m.name, b.name, token)
-	for _, k := range w.works {
-		if k.token == token && k.box == b {
-			k.to = w.Now()
+func (w *Simulation) workEnded(m *agent, b *server, token uint64) {
+	w.log("%s has worked on %s under %d", m.name, b.name, token)
+	for _, k := range w.acquisitions {
+		if k.token == token && k.server == b {
+			k.endedAt = w.Now()
 		}
 	}
-	b.worker = nil
+	b.agent = nil
 }
 
 // changed takes what is agreed in place of what was.
-func (w *Simulation) changed(body []byte) {
+func (w *Simulation) checkCommit(body []byte) {
 	state, err := maintenance.Decode(body)
 	if err != nil {
-		w.broken(RuleState, "%v", err)
+		w.violated(RuleState, "%v", err)
 		return
 	}
 	if again, err := state.Encode(); err != nil || !bytes.Equal(again, body) {
-		w.broken(RuleState, "it reads as something else: %v", err)
+		w.violated(RuleState, "it reads as something else: %v", err)
 	}
-	was := w.agreed().State
-	w.note("version %d: %s", w.version+1, brief(&state))
+	was := w.committed().State
+	w.log("version %d: %s", w.version+1, summary(&state))
 	handed := uint64(0)
 	for i := range state.Plans {
 		p := &state.Plans[i]
-		old := find(&was, p.Number)
+		old := findPlan(&was, p.Number)
 		if old == nil {
 			w.counts.Plans++
 		}
@@ -184,63 +184,63 @@
 				at++
 				sites[b.Site]++
 				if sites[b.Site] > max(p.Spec.MaxPerSite, 1) {
-					w.broken(RuleTooMany, "%d of site %s are out for plan %d", sites[b.Site], b.Site, p.Number)
+					w.violated(RuleTooMany, "%d of site %s are out for plan %d", sites[b.Site], b.Site, p.Number)
 				}
 			}
 			if !p.Ended {
-				w.alone(&state, p, b.Name)
+				w.checkDisjoint(&state, p, b.Name)
 			}
 			if old == nil || old.Servers[j].Stage == b.Stage {
 				continue
 			}
-			w.stage(&was, &state, p, old.Servers[j], b)
+			w.checkStage(&was, &state, p, old.Servers[j], b)
 			if b.Stage == maintenance.InMaintenance {
-				if b.Token <= w.handed || handed != 0 {
-					w.broken(RuleToken, "%s is handed over under %d, one before it under %d", b.Name, b.Token, max(w.handed, handed))
+				if b.Token <= w.greatestToken || handed != 0 {
+					w.violated(RuleToken, "%s is handed over under %d, one before it under %d", b.Name, b.Token, max(w.greatestToken, handed))
 				}
 				handed = b.Token
 			}
 		}
 		if at > p.Spec.MaxConcurrent {
-			w.broken(RuleTooMany, "%d boxes are out for plan %d, at most %d may", at, p.Number, p.Spec.MaxConcurrent)
+			w.violated(RuleTooMany, "%d boxes are out for plan %d, at most %d may", at, p.Number, p.Spec.MaxConcurrent)
 		}
 	}
-	w.handed = max(w.handed, handed)
+	w.greatestToken = max(w.greatestToken, handed)
 	for i := range was.Plans {
 		p := &was.Plans[i]
-		gone := find(&state, p.Number) == nil
+		gone := findPlan(&state, p.Number) == nil
 		if gone && (!p.Ended || slices.ContainsFunc(p.Servers, func(b maintenance.Server) bool { return b.Stage == maintenance.Lost })) {
-			w.broken(RuleEnd, "plan %d is forgotten", p.Number)
+			w.violated(RuleEnd, "plan %d is forgotten", p.Number)
 		}
 	}
 }
 
 // alone sees that a box is of one plan that has not ended.
-func (w *Simulation) alone(s *maintenance.State, by *maintenance.Plan, box string) {
+func (w *Simulation) checkDisjoint(s *maintenance.State, by *maintenance.Plan, box string) {
 	for i := range s.Plans {
 		if p := &s.Plans[i]; p.Number > by.Number && !p.Ended && slices.ContainsFunc(p.Servers, func(b maintenance.Server) bool { return b.Name == box }) {
-			w.broken(RuleShared, "%s is of plans %d and %d", box, by.Number, p.Number)
+			w.violated(RuleShared, "%s is of plans %d and %d", box, by.Number, p.Number)
 		}
 	}
 }
 
 // stage takes that a box of a plan comes from one stage to another.
-func (w *Simulation) stage(was, s *maintenance.State, p *maintenance.Plan, from, to maintenance.Server) {
+func (w *Simulation) checkStage(was, s *maintenance.State, p *maintenance.Plan, from, to maintenance.Server) {
 	if from.Stage >= maintenance.Done && !(from.Stage == maintenance.Lost && to.Stage == maintenance.Skipped) {
-		w.broken(RuleEnd, "%s of plan %d had ended as %d and is %d", to.Name, p.Number, from.Stage, to.Stage)
+		w.violated(RuleEnd, "%s of plan %d had ended as %d and is %d", to.Name, p.Number, from.Stage, to.Stage)
 	}
 	if from.Stage == maintenance.InMaintenance && to.Stage != maintenance.WarmingUp && to.Stage != maintenance.Lost {
-		w.broken(RuleEnd, "%s is taken from who works on it", to.Name)
+		w.violated(RuleEnd, "%s is taken from who works on it", to.Name)
 	}
 	switch to.Stage {
 	case maintenance.Draining:
-		w.leaves(was, s, p, to)
+		w.checkDrain(was, s, p, to)
 	case maintenance.Drained:
 		if len(to.ForcedPast) > 0 {
 			w.counts.Forced++
 		}
 	case maintenance.WarmingUp:
-		w.cold[to.Name] = w.Now()
+		w.completedAt[to.Name] = w.Now()
 	case maintenance.Pending:
 		w.counts.GivenBack++
 	case maintenance.Done:
@@ -251,15 +251,15 @@
 		w.counts.Lost++
 	}
 	if (to.Stage == maintenance.Skipped || to.Stage == maintenance.Lost) && to.Reason == "" {
-		w.broken(RuleEnd, "%s ends without a cause", to.Name)
+		w.violated(RuleEnd, "%s ends without a cause", to.Name)
 	}
 }
 
 // leaves sees that a box may leave.
-func (w *Simulation) leaves(was, s *maintenance.State, p *maintenance.Plan, b maintenance.Server) {
+func (w *Simulation) checkDrain(was, s *maintenance.State, p *maintenance.Plan, b maintenance.Server) {
 	coldS := p.Spec.WarmUpSeconds
 	if coldS == 0 {
-		coldS = max(w.coldS, 5)
+		coldS = max(w.warmUpSeconds, 5)
 	}
 	at, lost := 0, false // lost: an earlier plan has it out already
 	for name := range was.Cordoned {
@@ -268,18 +268,18 @@
 	for _, q := range s.Plans {
 		for _, o := range q.Servers {
 			if o.Stage >= maintenance.Draining && o.Stage <= maintenance.InMaintenance || q.Number == p.Number && o.Stage >= maintenance.WarmingUp && o.Stage <= maintenance.Done &&
-				w.cold[o.Name] > 0 && w.Now()-w.cold[o.Name] < coldS-1e-6 && !warm(o) {
+				w.completedAt[o.Name] > 0 && w.Now()-w.completedAt[o.Name] < coldS-1e-6 && !wasDeclaredWarm(o) {
 				at++
 			}
 		}
 	}
 	if at > p.Spec.MaxConcurrent {
-		w.broken(RuleWarmUp, "%s leaves as one of %d that are out or have not had %g s to warm up", b.Name, at, coldS)
+		w.violated(RuleWarmUp, "%s leaves as one of %d that are out or have not had %g s to warm up", b.Name, at, coldS)
 	}
 	total, left := 0.0, 0.0
-	me := w.box(b.Name)
-	for _, o := range w.boxes {
-		total += o.size
+	me := w.serverByName(b.Name)
+	for _, o := range w.servers {
+		total += o.capacity
 		out := false
 		for name := range s.Cordoned {
 			out = out || name == o.name
@@ -287,21 +287,21 @@
 		for _, q := range s.Plans {
 			out = out || slices.ContainsFunc(q.Servers, func(k maintenance.Server) bool { return k.Name == o.name && k.Stage == maintenance.WarmingUp })
 		}
-		if !out && o != me && !o.missing() {
-			left += o.size
+		if !out && o != me && !o.isUnavailable() {
+			left += o.capacity
 		}
 	}
-	if !me.missing() && !lost && left/total < p.Spec.MinCapacity-1e-9 && w.Now()-w.quietAt > 8 {
-		w.broken(RuleMinCapacity, "%s leaves, %.3f of the capacity is left, %.3f must be", b.Name, left/total, p.Spec.MinCapacity)
+	if !me.isUnavailable() && !lost && left/total < p.Spec.MinCapacity-1e-9 && w.Now()-w.undisturbedSince > 8 {
+		w.violated(RuleMinCapacity, "%s leaves, %.3f of the capacity is left, %.3f must be", b.Name, left/total, p.Spec.MinCapacity)
 	}
 }
 
 // warm tells whether an operator has said that a box is.
-func warm(b maintenance.Server) bool { return b.Stage == maintenance.Done && b.Reason != "" }
+func wasDeclaredWarm(b maintenance.Server) bool { return b.Stage == maintenance.Done && b.Reason != "" }
 
-func (b *box) missing() bool { return b.down || b.unlisted || b.draining }
+func (b *server) isUnavailable() bool { return b.isDown || b.isUnlisted || b.isDraining }
 
-func find(s *maintenance.State, number uint64) *maintenance.Plan {
+func findPlan(s *maintenance.State, number uint64) *maintenance.Plan {
 	if i := slices.IndexFunc(s.Plans, func(p maintenance.Plan) bool { return p.Number == number }); i >= 0 {
 		return &s.Plans[i]
 	}
@@ -309,40 +309,40 @@
 }
 
 // gave takes that a plan was agreed, by its answer.
-func (w *Simulation) gave(r maintenance.Reply) {
-	if r.Plan == 0 || r.Plan > w.agreed().State.LastNumber {
-		w.broken(RuleReply, "plan %d is answered, which is not agreed", r.Plan)
+func (w *Simulation) checkPlanReply(r maintenance.Reply) {
+	if r.Plan == 0 || r.Plan > w.committed().State.LastNumber {
+		w.violated(RuleReply, "plan %d is answered, which is not agreed", r.Plan)
 	}
 }
 
 // over sees how plans have ended.
-func (w *Simulation) over() {
-	state := w.agreed().State
+func (w *Simulation) checkEnd() {
+	state := w.committed().State
 	for i := range state.Plans {
 		p := &state.Plans[i]
 		if !p.Ended {
 			var why []maintenance.Blocker
-			if w.owner != nil && w.owner.c != nil {
-				why = w.owner.c.Blockers()
+			if w.leaseHolder != nil && w.leaseHolder.coordinator != nil {
+				why = w.leaseHolder.coordinator.Blockers()
 			}
 			who := "nobody"
-			if w.owner != nil {
-				who = fmt.Sprintf("%s (up %t, owns %t)", w.owner.name(), w.owner.up, w.owner.c != nil)
+			if w.leaseHolder != nil {
+				who = fmt.Sprintf("%s (up %t, owns %t)", w.leaseHolder.name(), w.leaseHolder.isRunning, w.leaseHolder.coordinator != nil)
 			}
-			w.broken(RuleEnd, "plan %d has not ended: %s; %v; the owner is %s", p.Number, brief(&state), why, who)
+			w.violated(RuleEnd, "plan %d has not ended: %s; %v; the owner is %s", p.Number, summary(&state), why, who)
 			continue
 		}
 		for _, b := range p.Servers {
-			worked := slices.ContainsFunc(w.works, func(k *work) bool { return k.plan == p.Number && k.box.name == b.Name && k.to > 0 })
+			worked := slices.ContainsFunc(w.acquisitions, func(k *acquisition) bool { return k.plan == p.Number && k.server.name == b.Name && k.endedAt > 0 })
 			if b.Stage < maintenance.Done || b.Stage == maintenance.Done && !worked {
-				w.broken(RuleEnd, "%s of plan %d has ended as %d, worked on: %t", b.Name, p.Number, b.Stage, worked)
+				w.violated(RuleEnd, "%s of plan %d has ended as %d, worked on: %t", b.Name, p.Number, b.Stage, worked)
 			}
 		}
 	}
 }
 
 // brief is a state in one line: the stages of the boxes of each plan.
-func brief(s *maintenance.State) string {
+func summary(s *maintenance.State) string {
 	line := ""
 	for _, p := range s.Plans {
 		stages := make([]byte, 0, len(p.Servers))
--- a/internal/sim/maintenancesim/plans_test.go
+++ b/internal/sim/maintenancesim/plans_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPlans(t *testing.T) {
+func TestRunSeeds(t *testing.T) {
 	var sum Counts
 	RunSeeds(1, 40, 2, func(r *Result) bool {
 		require.Empty(t, r.Findings, "seed %d", r.Seed)
--- a/internal/sim/maintenancesim/world.go
+++ b/internal/sim/maintenancesim/world.go
@@ -22,31 +22,31 @@
 	trace func(at float64, line string)
 	hash  uint64
 
-	boxes     []*box
-	nodes     []*node
-	mechanics []*mechanic
-	order     maintenance.Order
-	coldS     float64 // by the settings
-	spec      maintenance.Spec
+	servers       []*server
+	sidecars      []*sidecar
+	agents        []*agent
+	order         maintenance.Order
+	warmUpSeconds float64 // by the settings
+	specTemplate  maintenance.Spec
 
 	// What the electors keep. A write is agreed if it is of the token granted last and of the version that there is.
-	epoch    uint64
-	version  uint64
-	body     []byte
-	before   []byte // the version before
-	token    uint64
-	owner    *node // that it was granted to, in that run
-	ownerRun int
-	down     bool // no majority: nothing is agreed, nothing granted
-
-	perS     float64 // requests a second, all together
-	refusing float64 // part that is refused
-	late     int     // sidecars whose lists are late
-	lossPart float64 // of messages
-	stopPart float64 // of the owner's steps at which it dies or stands still
-	calmly   bool    // nothing happens any more but the work
-
-	judge
+	epoch              uint64
+	version            uint64
+	body               []byte
+	previousBody       []byte // the version before
+	token              uint64
+	leaseHolder        *sidecar // that it was granted to, in that run
+	leaseHolderProcess int
+	hasNoQuorum        bool // no majority: nothing is agreed, nothing granted
+
+	requestsPerSecond      float64 // requests a second, all together
+	rejectedFraction       float64 // part that is refused
+	staleLists             int     // sidecars whose lists are late
+	lossProbability        float64 // of messages
+	holderFaultProbability float64 // of the owner's steps at which it dies or stands still
+	isCalm                 bool    // nothing happens any more but the work
+
+	checker
 	counts Counts
 }
 
@@ -64,54 +64,54 @@
 	StaleWrites  int `json:"Refused"` // writes of owners that were replaced, or came late
 }
 
-type box struct {
-	name, site, kind string
-	size             float64
-	down             bool // it answers nobody
-	unlisted         bool
-	draining         bool
-	coldTo           float64
-	out              int     // executions that are out there
-	lastAt           float64 // when something new came, or ended
-	lastBy           *node
-	worker           *mechanic // who works on it,
-	token            uint64    // under which
+type server struct {
+	name, site, serverType string
+	capacity               float64
+	isDown                 bool // it answers nobody
+	isUnlisted             bool
+	isDraining             bool
+	warmUntil              float64
+	inFlight               int     // executions that are out there
+	lastUsedAt             float64 // when something new came, or ended
+	lastUser               *sidecar
+	agent                  *agent // who works on it,
+	token                  uint64 // under which
 }
 
 // node is a sidecar over all lives of its process.
-type node struct {
-	w       *Simulation
-	number  int
-	id      swim.ID
-	life    uint64
-	run     int // events of an earlier run are void
-	up      bool
-	frozen  bool
-	cut     bool    // from its peers, not from boxes
-	left    bool    // it said that it leaves
-	sinceAt float64 // since when it has been heard, or not
-	beganAt float64
-	waiting []func()
-
-	version uint64 // by which it goes; it lasts, with the state
-	state   maintenance.State
-	outs    map[string]bool    // banned
-	hand    map[string]float64 // boxes that were given back here by hand, until then
-	open    map[string]int     // executions
-	lastAt  map[string]float64
-
-	c       *maintenance.Coordinator // as an owner, by its own view
-	token   uint64
-	learned uint64 // the version that its coordinator goes by
-	writing bool
-	timer   float64
+type sidecar struct {
+	sim                   *Simulation
+	number                int
+	id                    swim.ID
+	bootID                uint64
+	process               int // events of an earlier run are void
+	isRunning             bool
+	isFrozen              bool
+	isIsolated            bool    // from its peers, not from boxes
+	hasLeft               bool    // it said that it leaves
+	reachabilityChangedAt float64 // since when it has been heard, or not
+	startedAt             float64
+	deferred              []func()
+
+	version         uint64 // by which it goes; it lasts, with the state
+	state           maintenance.State
+	cordoned        map[string]bool    // banned
+	uncordonedUntil map[string]float64 // boxes that were given back here by hand, until then
+	inFlight        map[string]int     // executions
+	lastUsedAt      map[string]float64
+
+	coordinator        *maintenance.Coordinator // as an owner, by its own view
+	leaseToken         uint64
+	coordinatorVersion uint64 // the version that its coordinator goes by
+	isWriting          bool
+	nextStep           float64
 }
 
-func (w *Simulation) between(a, b float64) float64 { return a + (b-a)*w.rng.Float64() }
+func (w *Simulation) uniform(a, b float64) float64 { return a + (b-a)*w.rng.Float64() }
 func (w *Simulation) chance(part float64) bool     { return part > 0 && w.rng.Float64() < part }
 
 // note adds to the history.
-func (w *Simulation) note(format string, args ...any) {
+func (w *Simulation) log(format string, args ...any) {
 	h := fnv.New64a()
 	line := fmt.Sprintf(format, args...)
 	fmt.Fprintf(h, "%x %.9f %s", w.hash, w.Now(), line)
@@ -121,148 +121,150 @@
 	}
 }
 
-func (w *Simulation) latency() float64 { return w.between(0.001, 0.03) }
+func (w *Simulation) latency() float64 { return w.uniform(0.001, 0.03) }
 
 // --- Sidecars ---
 
-func (n *node) name() string { return fmt.Sprint("n", n.number) }
+func (n *sidecar) name() string { return fmt.Sprint("n", n.number) }
 
 // call has a process do something, now or when it goes on; one that has ended does nothing.
-func (n *node) call(run int, do func()) {
+func (n *sidecar) run(run int, do func()) {
 	switch {
-	case n.run != run || !n.up:
-	case n.frozen:
-		n.waiting = append(n.waiting, func() { n.call(run, do) })
+	case n.process != run || !n.isRunning:
+	case n.isFrozen:
+		n.deferred = append(n.deferred, func() { n.run(run, do) })
 	default:
 		do()
 	}
 }
 
-func (n *node) start() {
-	w := n.w
-	if n.up {
+func (n *sidecar) start() {
+	w := n.sim
+	if n.isRunning {
 		return
 	}
-	n.up, n.frozen, n.left, n.waiting, n.sinceAt, n.beganAt = true, false, false, nil, w.Now(), w.Now()
-	n.run++
-	n.life = w.rng.Uint64() | 1
-	n.open, n.lastAt, n.hand = map[string]int{}, map[string]float64{}, map[string]float64{}
-	if n.outs == nil {
-		n.outs = map[string]bool{}
+	n.isRunning, n.isFrozen, n.hasLeft, n.deferred, n.reachabilityChangedAt, n.startedAt = true, false, false, nil, w.Now(), w.Now()
+	n.process++
+	n.bootID = w.rng.Uint64() | 1
+	n.inFlight, n.lastUsedAt, n.uncordonedUntil = map[string]int{}, map[string]float64{}, map[string]float64{}
+	if n.cordoned == nil {
+		n.cordoned = map[string]bool{}
 	}
-	w.note("%s begins, version %d", n.name(), n.version)
-	if !n.cut { // it asks before it sends
-		n.take(w.version, w.body)
+	w.log("%s begins, version %d", n.name(), n.version)
+	if !n.isIsolated { // it asks before it sends
+		n.apply(w.version, w.body)
 	}
-	run := n.run
-	w.After(w.between(0, 0.5), func() { n.send(run) })
+	run := n.process
+	w.After(w.uniform(0, 0.5), func() { n.sendRequests(run) })
 }
 
-func (n *node) stop(word bool) {
-	if !n.up {
+func (n *sidecar) stop(word bool) {
+	if !n.isRunning {
 		return
 	}
-	n.w.note("%s ends", n.name())
-	n.up, n.frozen, n.waiting, n.left, n.sinceAt = false, false, nil, word, n.w.Now()
-	n.run++
-	for name, k := range n.open { // its links end, and what was out there with them
-		b := n.w.box(name)
-		b.out -= k
+	n.sim.log("%s ends", n.name())
+	n.isRunning, n.isFrozen, n.deferred, n.hasLeft, n.reachabilityChangedAt = false, false, nil, word, n.sim.Now()
+	n.process++
+	for name, k := range n.inFlight { // its links end, and what was out there with them
+		b := n.sim.serverByName(name)
+		b.inFlight -= k
 	}
-	n.open = nil
-	n.drop("its process has ended")
+	n.inFlight = nil
+	n.dropLease("its process has ended")
 }
 
-func (n *node) freeze(forS float64) {
-	if !n.up || n.frozen {
+func (n *sidecar) freeze(forS float64) {
+	if !n.isRunning || n.isFrozen {
 		return
 	}
-	n.w.note("%s stands still for %.2f s", n.name(), forS)
-	n.frozen, n.sinceAt = true, n.w.Now()
-	run := n.run
-	n.w.After(forS, func() {
-		if n.run == run {
+	n.sim.log("%s stands still for %.2f s", n.name(), forS)
+	n.isFrozen, n.reachabilityChangedAt = true, n.sim.Now()
+	run := n.process
+	n.sim.After(forS, func() {
+		if n.process == run {
 			n.thaw()
 		}
 	})
 }
 
-func (n *node) thaw() {
-	if !n.frozen {
+func (n *sidecar) thaw() {
+	if !n.isFrozen {
 		return
 	}
-	n.frozen = false
-	waiting := n.waiting
-	n.waiting = nil
+	n.isFrozen = false
+	waiting := n.deferred
+	n.deferred = nil
 	for _, do := range waiting {
 		do()
 	}
 }
 
 // take has a sidecar go by what is agreed.
-func (n *node) take(version uint64, body []byte) {
+func (n *sidecar) apply(version uint64, body []byte) {
 	if version <= n.version {
 		return
 	}
 	state, err := maintenance.Decode(body)
 	if err != nil {
-		n.w.broken(RuleState, "%v", err)
+		n.sim.violated(RuleState, "%v", err)
 		return
 	}
-	n.version, n.state, n.outs = version, state, map[string]bool{}
+	n.version, n.state, n.cordoned = version, state, map[string]bool{}
 	for b := range state.Cordoned {
-		n.outs[b] = true
+		n.cordoned[b] = true
 	}
 }
 
 // banned tells whether a sidecar sends nothing new to a box.
-func (n *node) banned(name string) bool { return n.outs[name] && n.hand[name] <= n.w.Now() }
+func (n *sidecar) isCordoned(name string) bool {
+	return n.cordoned[name] && n.uncordonedUntil[name] <= n.sim.Now()
+}
 
 // send sends to one of the boxes that it may send to, again and again.
-func (n *node) send(run int) {
-	w := n.w
-	n.call(run, func() {
-		b := w.boxes[w.rng.IntN(len(w.boxes))]
-		if n.banned(b.name) || b.unlisted || b.down && w.chance(0.9) {
+func (n *sidecar) sendRequests(run int) {
+	w := n.sim
+	n.run(run, func() {
+		b := w.servers[w.rng.IntN(len(w.servers))]
+		if n.isCordoned(b.name) || b.isUnlisted || b.isDown && w.chance(0.9) {
 			return
 		}
-		w.got(b, n)
-		n.open[b.name]++
-		n.lastAt[b.name], b.lastAt, b.lastBy = w.Now(), w.Now(), n
-		b.out++
-		lasts := w.between(0.01, 0.4)
+		w.checkRequest(b, n)
+		n.inFlight[b.name]++
+		n.lastUsedAt[b.name], b.lastUsedAt, b.lastUser = w.Now(), w.Now(), n
+		b.inFlight++
+		lasts := w.uniform(0.01, 0.4)
 		if w.chance(0.003) {
-			lasts = w.between(5, 30)
+			lasts = w.uniform(5, 30)
 		}
 		w.After(lasts, func() {
-			if n.run != run {
+			if n.process != run {
 				return
 			}
-			b.out--
-			b.lastAt, b.lastBy = w.Now(), n
-			n.call(run, func() {
-				n.open[b.name]--
-				n.lastAt[b.name] = w.Now()
+			b.inFlight--
+			b.lastUsedAt, b.lastUser = w.Now(), n
+			n.run(run, func() {
+				n.inFlight[b.name]--
+				n.lastUsedAt[b.name] = w.Now()
 			})
 		})
 	})
-	w.After(w.between(0.1, 0.9), func() {
-		if n.run == run {
-			n.send(run)
+	w.After(w.uniform(0.1, 0.9), func() {
+		if n.process == run {
+			n.sendRequests(run)
 		}
 	})
 }
 
 // reached tells whether two hear each other.
-func (n *node) reached(by *node) bool {
-	return n == by || n.up && by.up && !n.cut && !by.cut && !n.frozen && !by.frozen
+func (n *sidecar) reaches(by *sidecar) bool {
+	return n == by || n.isRunning && by.isRunning && !n.isIsolated && !by.isIsolated && !n.isFrozen && !by.isFrozen
 }
 
 // says is what one sidecar says of itself and of the boxes.
-func (n *node) says() (from maintenance.Reporter, open []maintenance.InUse) {
-	from = maintenance.Reporter{ID: n.id, BootID: n.life, Version: n.version}
-	for _, b := range n.w.boxes {
-		if !n.outs[b.name] {
+func (n *sidecar) report() (from maintenance.Reporter, open []maintenance.InUse) {
+	from = maintenance.Reporter{ID: n.id, BootID: n.bootID, Version: n.version}
+	for _, b := range n.sim.servers {
+		if !n.cordoned[b.name] {
 			continue
 		}
 		settle := 1.0
@@ -271,25 +273,25 @@
 				settle = p.Spec.QuietPeriodSeconds()
 			}
 		}
-		hand := n.hand[b.name] > n.w.Now()
-		if last, sent := n.lastAt[b.name]; hand || n.open[b.name] > 0 || sent && n.w.Now()-last < settle {
-			open = append(open, maintenance.InUse{Server: b.name, Member: n.id, Uncordoned: hand, InFlight: n.open[b.name]})
+		hand := n.uncordonedUntil[b.name] > n.sim.Now()
+		if last, sent := n.lastUsedAt[b.name]; hand || n.inFlight[b.name] > 0 || sent && n.sim.Now()-last < settle {
+			open = append(open, maintenance.InUse{Server: b.name, Member: n.id, Uncordoned: hand, InFlight: n.inFlight[b.name]})
 		}
 	}
 	return from, open
 }
 
 // members is who is there as one sidecar sees it.
-func (w *Simulation) members(by *node) (all []maintenance.Member) {
-	for _, n := range w.nodes {
-		if n.life == 0 || n.run == 1 && n != by && w.Now()-n.beganAt < 0.3 {
+func (w *Simulation) membersSeenBy(by *sidecar) (all []maintenance.Member) {
+	for _, n := range w.sidecars {
+		if n.bootID == 0 || n.process == 1 && n != by && w.Now()-n.startedAt < 0.3 {
 			continue // nobody knows of it yet
 		}
-		m := maintenance.Member{ID: n.id, Name: n.name(), BootID: n.life, StateAgeSeconds: w.Now() - n.sinceAt}
+		m := maintenance.Member{ID: n.id, Name: n.name(), BootID: n.bootID, StateAgeSeconds: w.Now() - n.reachabilityChangedAt}
 		switch {
-		case n.left && !n.up:
+		case n.hasLeft && !n.isRunning:
 			m.State = swim.Left
-		case n.reached(by):
+		case n.reaches(by):
 		case m.StateAgeSeconds < 1.5:
 		case m.StateAgeSeconds < 4:
 			m.State = swim.Suspect
@@ -307,141 +309,141 @@
 	return all
 }
 
-func (w *Simulation) box(name string) *box {
-	return w.boxes[slices.IndexFunc(w.boxes, func(b *box) bool { return b.name == name })]
+func (w *Simulation) serverByName(name string) *server {
+	return w.servers[slices.IndexFunc(w.servers, func(b *server) bool { return b.name == name })]
 }
 
 // --- The owner ---
 
 // grant has the job go to a sidecar.
-func (w *Simulation) grant(n *node) {
-	if w.down || !n.up || n.frozen || n.cut {
+func (w *Simulation) grantLease(n *sidecar) {
+	if w.hasNoQuorum || !n.isRunning || n.isFrozen || n.isIsolated {
 		return
 	}
 	w.token++
-	w.owner, w.ownerRun = n, n.run
+	w.leaseHolder, w.leaseHolderProcess = n, n.process
 	w.counts.Leases++
-	w.note("%s owns the job under %d", n.name(), w.token)
-	token, run := w.token, n.run
-	a := w.agreed()
+	w.log("%s owns the job under %d", n.name(), w.token)
+	token, run := w.token, n.process
+	a := w.committed()
 	if w.version > 1 && w.chance(0.3) { // the last write comes late
 		a.Version--
-		a.State, _ = maintenance.Decode(w.before)
-		w.After(w.between(0.1, 2), func() {
-			n.call(run, func() {
-				if n.token == token && n.c != nil {
-					n.learn(w.version, w.body)
+		a.State, _ = maintenance.Decode(w.previousBody)
+		w.After(w.uniform(0.1, 2), func() {
+			n.run(run, func() {
+				if n.leaseToken == token && n.coordinator != nil {
+					n.applyCommitted(w.version, w.body)
 				}
 			})
 		})
 	}
-	n.drop("it is granted anew")
+	n.dropLease("it is granted anew")
 	w.After(w.latency(), func() {
-		n.call(run, func() {
-			if n.token >= token {
+		n.run(run, func() {
+			if n.leaseToken >= token {
 				return
 			}
-			n.token = token
-			n.c = maintenance.New(maintenance.Settings{WarmUpSeconds: w.coldS, Order: w.order})
-			n.c.Start(w.Now(), a)
-			n.learned, n.writing, n.timer = a.Version, false, 0
-			n.ask(run, token)
-			n.drive()
+			n.leaseToken = token
+			n.coordinator = maintenance.New(maintenance.Settings{WarmUpSeconds: w.warmUpSeconds, Order: w.order})
+			n.coordinator.Start(w.Now(), a)
+			n.coordinatorVersion, n.isWriting, n.nextStep = a.Version, false, 0
+			n.pollFleet(run, token)
+			n.step()
 		})
 	})
 }
 
-func (n *node) drop(why string) {
-	if n.c != nil {
-		n.w.note("%s does not own the job any more: %s", n.name(), why)
+func (n *sidecar) dropLease(why string) {
+	if n.coordinator != nil {
+		n.sim.log("%s does not own the job any more: %s", n.name(), why)
 	}
-	n.c, n.writing = nil, false
+	n.coordinator, n.isWriting = nil, false
 }
 
-func (w *Simulation) agreed() maintenance.Committed {
+func (w *Simulation) committed() maintenance.Committed {
 	state, err := maintenance.Decode(w.body)
 	if err != nil {
-		w.broken(RuleState, "%v", err)
+		w.violated(RuleState, "%v", err)
 	}
 	return maintenance.Committed{Epoch: w.epoch, Version: w.version, State: state}
 }
 
 // ask asks all for their words, again and again.
-func (n *node) ask(run int, token uint64) {
-	w := n.w
-	if n.c == nil || n.token != token || n.run != run {
+func (n *sidecar) pollFleet(run int, token uint64) {
+	w := n.sim
+	if n.coordinator == nil || n.leaseToken != token || n.process != run {
 		return
 	}
 	again := func() {
-		w.After(w.between(0.4, 0.9), func() { n.call(run, func() { n.ask(run, token) }) })
+		w.After(w.uniform(0.4, 0.9), func() { n.run(run, func() { n.pollFleet(run, token) }) })
 	}
-	if !n.c.NeedsSnapshot() {
+	if !n.coordinator.NeedsSnapshot() {
 		again()
 		return
 	}
 	r := maintenance.FleetSnapshot{Complete: true}
-	for _, o := range w.nodes {
-		if !o.up || o.life == 0 {
+	for _, o := range w.sidecars {
+		if !o.isRunning || o.bootID == 0 {
 			continue
 		}
-		if !o.reached(n) || w.chance(w.lossPart) {
-			if o.up {
+		if !o.reaches(n) || w.chance(w.lossProbability) {
+			if o.isRunning {
 				r.Complete = false
 			}
 			continue
 		}
-		life := o.run
-		w.After(w.between(0.01, 0.2), func() {
-			if o.run != life || !o.reached(n) {
+		life := o.process
+		w.After(w.uniform(0.01, 0.2), func() {
+			if o.process != life || !o.reaches(n) {
 				return
 			}
-			from, open := o.says()
+			from, open := o.report()
 			r.Report.Reporters, r.Report.InUse = append(r.Report.Reporters, from), append(r.Report.InUse, open...)
 		})
 	}
-	w.After(w.between(0.25, 0.4), func() {
-		r.Members = w.members(n) // as it is known when all has come
-		r.Report.Servers = w.seen()
-		r.Report.CompletedPerSecond, r.Report.RejectedPerSecond, r.Report.StaleMembers = w.perS*w.between(0.95, 1.05), w.perS*w.refusing, w.late
-		n.call(run, func() {
-			if n.c == nil || n.token != token {
+	w.After(w.uniform(0.25, 0.4), func() {
+		r.Members = w.membersSeenBy(n) // as it is known when all has come
+		r.Report.Servers = w.serverStatuses()
+		r.Report.CompletedPerSecond, r.Report.RejectedPerSecond, r.Report.StaleMembers = w.requestsPerSecond*w.uniform(0.95, 1.05), w.requestsPerSecond*w.rejectedFraction, w.staleLists
+		n.run(run, func() {
+			if n.coordinator == nil || n.leaseToken != token {
 				return
 			}
-			n.c.Observe(w.Now(), r)
-			n.drive()
+			n.coordinator.Observe(w.Now(), r)
+			n.step()
 			again()
 		})
 	})
 }
 
 // seen is what all say of the boxes.
-func (w *Simulation) seen() (all []maintenance.ServerStatus) {
+func (w *Simulation) serverStatuses() (all []maintenance.ServerStatus) {
 	up := 0
-	for _, n := range w.nodes {
-		if n.up {
+	for _, n := range w.sidecars {
+		if n.isRunning {
 			up++
 		}
 	}
 	serve := 0
-	for _, b := range w.boxes {
-		if !b.down && b.worker == nil {
+	for _, b := range w.servers {
+		if !b.isDown && b.agent == nil {
 			serve++
 		}
 	}
-	for _, b := range w.boxes {
-		s := maintenance.ServerStatus{Server: b.name, Site: b.site, Type: b.kind, Capacity: b.size, ListedBy: up, Busy: b.out > 0}
-		if b.unlisted {
+	for _, b := range w.servers {
+		s := maintenance.ServerStatus{Server: b.name, Site: b.site, Type: b.serverType, Capacity: b.capacity, ListedBy: up, Busy: b.inFlight > 0}
+		if b.isUnlisted {
 			s.ListedBy = 0
 		}
-		if b.draining {
+		if b.isDraining {
 			s.DrainingBy = up
 		}
-		if b.down {
+		if b.isDown {
 			s.UnresponsiveBy = up
 		} else {
-			s.CompletedPerSecond = w.perS / float64(max(serve, 1))
+			s.CompletedPerSecond = w.requestsPerSecond / float64(max(serve, 1))
 		}
-		if b.coldTo > w.Now() {
+		if b.warmUntil > w.Now() {
 			s.WarmingUpBy = up
 		}
 		all = append(all, s)
@@ -450,64 +452,64 @@
 }
 
 // drive has an owner's coordinator go on.
-func (n *node) drive() {
-	w, c, run, token := n.w, n.c, n.run, n.token
+func (n *sidecar) step() {
+	w, c, run, token := n.sim, n.coordinator, n.process, n.leaseToken
 	if c == nil {
 		return
 	}
 	next := c.Step(w.Now())
 	for _, r := range c.Replies() {
-		w.replied(n, r)
-	}
-	if at := c.StepDeadline(w.Now()); n.timer <= w.Now() || at < n.timer-1e-9 {
-		n.timer = max(at, w.Now()+0.05)
-		w.After(n.timer-w.Now(), func() {
-			n.call(run, func() {
-				if n.c == c {
-					n.timer = 0
-					n.drive()
+		w.deliverReply(n, r)
+	}
+	if at := c.StepDeadline(w.Now()); n.nextStep <= w.Now() || at < n.nextStep-1e-9 {
+		n.nextStep = max(at, w.Now()+0.05)
+		w.After(n.nextStep-w.Now(), func() {
+			n.run(run, func() {
+				if n.coordinator == c {
+					n.nextStep = 0
+					n.step()
 				}
 			})
 		})
 	}
-	if next == nil || n.writing {
+	if next == nil || n.isWriting {
 		return
 	}
 	body, err := next.Encode()
 	if err != nil {
-		w.broken(RuleState, "%v", err)
+		w.violated(RuleState, "%v", err)
 		return
 	}
-	version := n.learned
-	n.writing = true
+	version := n.coordinatorVersion
+	n.isWriting = true
 	write := func() {
-		w.After(w.between(0.003, 0.05), func() { w.write(n, run, token, version, body) })
+		w.After(w.uniform(0.003, 0.05), func() { w.commit(n, run, token, version, body) })
 		w.After(1, func() { // it is repeated until something is learned
-			n.call(run, func() {
-				if n.c == c && n.writing {
-					n.writing = false
-					n.drive()
+			n.run(run, func() {
+				if n.coordinator == c && n.isWriting {
+					n.isWriting = false
+					n.step()
 				}
 			})
 		})
 	}
-	if w.chance(w.stopPart) {
+	if w.chance(w.holderFaultProbability) {
 		w.counts.HolderFaults++
 		switch w.rng.IntN(3) {
 		case 0: // it dies before it has written
 			n.stop(false)
-			w.back(n)
+			w.restartLater(n)
 			return
 		case 1: // it stands still before it writes
-			n.freeze(w.between(0.3, 20))
-			n.waiting = append(n.waiting, func() { n.call(run, write) })
+			n.freeze(w.uniform(0.3, 20))
+			n.deferred = append(n.deferred, func() { n.run(run, write) })
 			return
 		default: // it has written, and dies before it learns of it
 			write()
-			w.After(w.between(0, 0.06), func() {
-				if n.run == run {
+			w.After(w.uniform(0, 0.06), func() {
+				if n.process == run {
 					n.stop(false)
-					w.back(n)
+					w.restartLater(n)
 				}
 			})
 			return
@@ -517,67 +519,67 @@
 }
 
 // write has the electors agree on a state, if it is the owner's and in place of the one that there is.
-func (w *Simulation) write(n *node, run int, token, version uint64, body []byte) {
-	if w.down {
+func (w *Simulation) commit(n *sidecar, run int, token, version uint64, body []byte) {
+	if w.hasNoQuorum {
 		return
 	}
 	ok := token == w.token && version == w.version
 	if ok {
-		w.changed(body)
+		w.checkCommit(body)
 		w.version++
-		w.before, w.body = w.body, body
-		w.spread()
+		w.previousBody, w.body = w.body, body
+		w.disseminate()
 	} else {
 		w.counts.StaleWrites++
 	}
 	current, at, old := w.body, w.version, token < w.token
-	if w.chance(w.lossPart) {
+	if w.chance(w.lossProbability) {
 		return
 	}
 	w.After(w.latency(), func() {
-		n.call(run, func() {
+		n.run(run, func() {
 			switch {
-			case n.c == nil || n.token != token:
+			case n.coordinator == nil || n.leaseToken != token:
 			case old:
-				n.drop("another one does")
+				n.dropLease("another one does")
 			default:
-				n.learn(at, current)
+				n.applyCommitted(at, current)
 			}
 		})
 	})
 }
 
 // learn tells an owner's coordinator what is agreed.
-func (n *node) learn(version uint64, body []byte) {
-	if version <= n.learned {
+func (n *sidecar) applyCommitted(version uint64, body []byte) {
+	if version <= n.coordinatorVersion {
 		return
 	}
 	state, err := maintenance.Decode(body)
 	if err != nil {
-		n.w.broken(RuleState, "%v", err)
+		n.sim.violated(RuleState, "%v", err)
 		return
 	}
-	n.learned, n.writing = version, false
-	n.c.ApplyCommitted(n.w.Now(), maintenance.Committed{Epoch: n.w.epoch, Version: version, State: state})
-	n.drive()
+	n.coordinatorVersion, n.isWriting = version, false
+	n.coordinator.ApplyCommitted(n.sim.Now(), maintenance.Committed{Epoch: n.sim.epoch, Version: version, State: state})
+	n.step()
 }
 
 // spread has what is agreed go to all that can be reached, sooner or later.
-func (w *Simulation) spread() {
+func (w *Simulation) disseminate() {
 	version, body := w.version, w.body
-	for _, n := range w.nodes {
-		run := n.run
+	for _, n := range w.sidecars {
+		run := n.process
 		var try func()
 		try = func() {
-			if n.run != run || n.version >= version {
+			if n.process != run || n.version >= version {
 				return
 			}
-			if n.cut || w.chance(0.2) {
-				w.After(w.between(0.2, 1), try)
+			if n.isIsolated || w.chance(0.2) {
+				w.After(w.uniform(0.2, 1), try)
 				return
 			}
-			n.call(run, func() { n.take(version, body) })
+			n.run(run, func() { n.apply(version, body) })
 		}
-		w.After(w.between(0.005, 0.3), try)
+		w.After(w.uniform(0.005, 0.3), try)
 	}
 }
