--- a/internal/sim/maintenancesim/judge.go
+++ b/internal/sim/maintenancesim/checker.go
@@ -72,6 +72,18 @@
 	return false
 }
 
+// lost tells whether a box was given up while it was worked on.
+func (w *Simulation) wasAbandoned(k *acquisition) bool {
+	for _, p := range w.committed().State.Plans {
+		for _, b := range p.Servers {
+			if b.Token == k.token && (b.Stage == maintenance.Lost || b.Stage == maintenance.Skipped) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
 // got takes that a box gets a new request.
 func (w *Simulation) checkRequest(b *server, n *sidecar) {
 	if b.agent != nil && n.uncordonedUntil[b.name] <= w.Now() && !w.wasForced(b.name, b.token) {
@@ -137,18 +149,6 @@
 	b.agent, b.token = m, token
 }
 
-// lost tells whether a box was given up while it was worked on.
-func (w *Simulation) wasAbandoned(k *acquisition) bool {
-	for _, p := range w.committed().State.Plans {
-		for _, b := range p.Servers {
-			if b.Token == k.token && (b.Stage == maintenance.Lost || b.Stage == maintenance.Skipped) {
-				return true
-			}
-		}
-	}
-	return false
-}
-
 func (w *Simulation) workEnded(m *agent, b *server, token uint64) {
 	w.log("%s has worked on %s under %d", m.name, b.name, token)
 	for _, k := range w.acquisitions {
@@ -299,8 +299,6 @@
 // warm tells whether an operator has said that a box is.
 func wasDeclaredWarm(b maintenance.Server) bool { return b.Stage == maintenance.Done && b.Reason != "" }
 
-func (b *server) isUnavailable() bool { return b.isDown || b.isUnlisted || b.isDraining }
-
 func findPlan(s *maintenance.State, number uint64) *maintenance.Plan {
 	if i := slices.IndexFunc(s.Plans, func(p maintenance.Plan) bool { return p.Number == number }); i >= 0 {
 		return &s.Plans[i]
--- a/internal/sim/maintenancesim/run.go
+++ b/internal/sim/maintenancesim/tally.go
@@ -1,6 +1,8 @@
 package maintenancesim
 
-import "hazelwheel/internal/sim/seeds"
+import (
+	"hazelwheel/internal/sim/seeds"
+)
 
 // Tally sums days.
 type Tally struct {
