--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -45,7 +45,7 @@
 	tried    []*placement.Endpoint
 	arrivals int     // at servers, the first reading of its prompt apart
 	runs     int     // servers that may have run it
-	last     Verdict // of the attempt before
+	last     outcome // of the attempt before
 	handle   handle
 	times    streamTimes
 }
@@ -187,7 +187,7 @@
 
 // allowed takes a further arrival out of the budget. What never reached a server is none.
 func (p *Proxy) allowed(j *job) bool {
-	if j.arrivals == 0 || j.last == NotSent {
+	if j.arrivals == 0 || j.last == outcomeNotSent {
 		return true
 	}
 	return p.spend(j)
@@ -223,7 +223,7 @@
 			_, _ = w.Write(body) // a client that is gone needs none
 			return
 		}
-		if !j.last.MayRepeat(j.route) || j.runs >= j.route.MaxAttempts || ctx.Err() != nil {
+		if !j.last.allowsRetry(j.route) || j.runs >= j.route.MaxAttempts || ctx.Err() != nil {
 			break
 		}
 	}
@@ -233,26 +233,26 @@
 // attempt sends a request to a server and reads the whole answer. Without an answer for the client, j.last says why.
 func (p *Proxy) attempt(ctx context.Context, j *job, endpoint *placement.Endpoint) (*http.Response, []byte) {
 	got, verdict := p.exchange(ctx, j, endpoint, encodeRequest(j.request, j.body, j.left(), field{headerExpectInstance, endpoint.ID}))
-	if verdict != Served {
+	if verdict != outcomeAnswered {
 		p.settle(ctx, j, endpoint, verdict)
 		return nil, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(got.answer.Body, maxAnswer))
 	if err != nil || !whole(got.answer) {
 		got.abort()
-		p.settle(ctx, j, endpoint, MayHaveRun)
+		p.settle(ctx, j, endpoint, outcomeMayHaveExecuted)
 		return nil, nil
 	}
 	got.finish(p.backends, endpoint.Address)
 	verdict = judge(got.answer)
 	failed := got.answer.StatusCode >= http.StatusInternalServerError
 	repeats := failed && j.route.Kind == routeconfig.Idempotent && j.runs+1 < j.route.MaxAttempts
-	if verdict == Served && !repeats {
-		p.settle(ctx, j, endpoint, Served)
+	if verdict == outcomeAnswered && !repeats {
+		p.settle(ctx, j, endpoint, outcomeAnswered)
 		return got.answer, body
 	}
-	if repeats && verdict == Served {
-		verdict = MayHaveRun
+	if repeats && verdict == outcomeAnswered {
+		verdict = outcomeMayHaveExecuted
 	}
 	p.settle(ctx, j, endpoint, verdict)
 	return nil, nil
@@ -262,26 +262,26 @@
 func whole(answer *http.Response) bool { return answer.ContentLength >= 0 || chunked(answer) }
 
 // judge tells what an answer that came whole means.
-func judge(answer *http.Response) Verdict {
+func judge(answer *http.Response) outcome {
 	switch {
 	case refusal(answer):
-		return NotExecuted
+		return outcomeNotExecuted
 	case answer.StatusCode < http.StatusMultipleChoices && (answer.Header.Get(headerStamp) == "" || answer.Header.Get("Content-Encoding") != ""):
-		return MayHaveRun
+		return outcomeMayHaveExecuted
 	case answer.StatusCode == http.StatusServiceUnavailable || answer.StatusCode == http.StatusTooManyRequests ||
 		answer.StatusCode == http.StatusRequestTimeout:
 		// Danger: without the server's word that it was not run, these statuses must not be passed on.
-		return MayHaveRun
+		return outcomeMayHaveExecuted
 	}
-	return Served
+	return outcomeAnswered
 }
 
 // exchange sends bytes to a server and reads the head of the answer.
-func (p *Proxy) exchange(ctx context.Context, j *job, endpoint *placement.Endpoint, request []byte) (*exchange, Verdict) {
+func (p *Proxy) exchange(ctx context.Context, j *job, endpoint *placement.Endpoint, request []byte) (*exchange, outcome) {
 	conn, err := p.connect(ctx, j, endpoint)
 	if err != nil {
 		p.log.WithField("server", endpoint.ID).WithError(err).Debug("not connected")
-		return nil, NotSent
+		return nil, outcomeNotSent
 	}
 	got, verdict, err := send(ctx, conn, j.request.Method, j.id, request)
 	if err != nil {
@@ -300,7 +300,7 @@
 			endpoint.RecordIdentity(got.answer.Header.Get(headerInstanceID))
 		}
 	})
-	return got, Served
+	return got, outcomeAnswered
 }
 
 // connect returns a connection to a server over which a request may go.
@@ -318,27 +318,27 @@
 }
 
 // settle counts what came of an attempt.
-func (p *Proxy) settle(ctx context.Context, j *job, endpoint *placement.Endpoint, verdict Verdict) {
+func (p *Proxy) settle(ctx context.Context, j *job, endpoint *placement.Endpoint, verdict outcome) {
 	j.last = verdict
 	j.tried = append(j.tried, endpoint)
-	if verdict != NotSent {
+	if verdict != outcomeNotSent {
 		j.arrivals++
 	}
-	if verdict.Ran() {
+	if verdict.mayHaveExecuted() {
 		j.runs++
 	}
 	p.state.with(func(now float64) {
 		endpoint.FinishRequest()
 		switch {
-		case verdict == Served:
+		case verdict == outcomeAnswered:
 			endpoint.RecordSuccess()
-		case verdict == NotSent && ctx.Err() == nil:
+		case verdict == outcomeNotSent && ctx.Err() == nil:
 			endpoint.RecordFailure(now, true)
-		case verdict == MayHaveRun && ctx.Err() == nil:
+		case verdict == outcomeMayHaveExecuted && ctx.Err() == nil:
 			endpoint.RecordFailure(now, false)
 		}
 	})
-	if verdict != Served {
+	if verdict != outcomeAnswered {
 		p.log.WithField("server", endpoint.ID).WithField("request", j.id).WithField("verdict", verdict).Debug("attempt failed")
 	}
 }
--- a/internal/proxy/reading.go
+++ b/internal/proxy/reading.go
@@ -14,13 +14,13 @@
 
 // readsAgain tells whether a prompt may be read at another server after a reading that ended so. Nothing counts until a server has taken it
 // up. A refusal counts as an arrival, and a reading that was lost as an attempt as well.
-func (p *Proxy) readsAgain(j *job, verdict Verdict) bool {
+func (p *Proxy) readsAgain(j *job, verdict outcome) bool {
 	switch verdict {
-	case NotSent:
+	case outcomeNotSent:
 		return true
-	case NotExecuted:
+	case outcomeNotExecuted:
 		return p.spend(j)
-	case MayHaveRun:
+	case outcomeMayHaveExecuted:
 		if j.runs+1 >= j.route.MaxAttempts || !p.spend(j) {
 			return false
 		}
@@ -33,7 +33,7 @@
 }
 
 // readPrompt has a prompt read and returns the handle of its cache, "" if that failed, and how far it came.
-func (p *Proxy) readPrompt(ctx context.Context, j *job, reader *placement.Endpoint, prompt *placement.Prompt) (string, Verdict) {
+func (p *Proxy) readPrompt(ctx context.Context, j *job, reader *placement.Endpoint, prompt *placement.Prompt) (string, outcome) {
 	var reading *placement.Prefill
 	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		if planner != nil {
@@ -47,16 +47,16 @@
 	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		reader.FinishRequest()
 		if planner != nil && reading != nil {
-			planner.FinishPrefill(now, reader, reading, verdict == Served)
+			planner.FinishPrefill(now, reader, reading, verdict == outcomeAnswered)
 		}
 		switch {
-		case verdict == Served:
+		case verdict == outcomeAnswered:
 			reader.RecordSuccess()
-		case ctx.Err() == nil && verdict != NotExecuted:
-			reader.RecordFailure(now, verdict == NotSent)
+		case ctx.Err() == nil && verdict != outcomeNotExecuted:
+			reader.RecordFailure(now, verdict == outcomeNotSent)
 		}
 	})
-	if verdict == NotExecuted {
+	if verdict == outcomeNotExecuted {
 		j.arrivals++ // one that was turned away counts
 	}
 	return handle, verdict
@@ -66,27 +66,27 @@
 	KvHandle string `json:"KvHandle"`
 }
 
-func (p *Proxy) callReader(ctx context.Context, j *job, reader *placement.Endpoint) (string, Verdict) {
+func (p *Proxy) callReader(ctx context.Context, j *job, reader *placement.Endpoint) (string, outcome) {
 	request := encodeRequest(j.request, j.body, j.left(), field{headerExpectInstance, reader.ID}, field{headerServingStage, stagePrefill},
 		field{headerPriority, priorityOf(j)})
 	got, verdict := p.exchange(ctx, j, reader, request)
-	if verdict != Served {
+	if verdict != outcomeAnswered {
 		return "", verdict
 	}
 	body, err := io.ReadAll(io.LimitReader(got.answer.Body, maxHandle))
 	if err != nil || !whole(got.answer) {
 		got.abort()
-		return "", MayHaveRun
+		return "", outcomeMayHaveExecuted
 	}
 	got.finish(p.backends, reader.Address)
 	var answer handleAnswer
 	switch {
 	case refusal(got.answer):
-		return "", NotExecuted
+		return "", outcomeNotExecuted
 	case got.answer.StatusCode != http.StatusOK || json.Unmarshal(body, &answer) != nil || answer.KvHandle == "":
-		return "", MayHaveRun
+		return "", outcomeMayHaveExecuted
 	}
-	return reader.Address + "/" + answer.KvHandle, Served
+	return reader.Address + "/" + answer.KvHandle, outcomeAnswered
 }
 
 func priorityOf(j *job) string { return strconv.Itoa(min(max(j.route.Priority, 0), priorityMost)) }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -41,7 +41,7 @@
 		if done {
 			return
 		}
-		if !j.last.MayRepeat(j.route) || j.runs >= j.route.MaxAttempts || ctx.Err() != nil {
+		if !j.last.allowsRetry(j.route) || j.runs >= j.route.MaxAttempts || ctx.Err() != nil {
 			break
 		}
 	}
@@ -84,7 +84,7 @@
 	for tries := 1; tries <= readersMost; tries++ {
 		plan, found := p.place(ctx, j, prompt, without, apart)
 		if !found {
-			j.last = NotSent
+			j.last = outcomeNotSent
 			return false
 		}
 		if plan.PrefillServer == nil {
@@ -93,7 +93,7 @@
 		cache, verdict := p.readPrompt(ctx, j, plan.PrefillServer, prompt)
 		j.handle, j.times.read = handle{cache: cache, zone: plan.PrefillServer.Zone}, time.Now()
 		if ctx.Err() != nil {
-			j.last = Canceled
+			j.last = outcomeCanceled
 			return false
 		}
 		// Danger: to ask whether it is read again spends of the budget, which the last one must not.
@@ -133,7 +133,7 @@
 		return runner != nil
 	})
 	if runner == nil {
-		j.last = NotSent
+		j.last = outcomeNotSent
 		return false
 	}
 	return p.runStream(ctx, out, j, run{endpoint: runner, prompt: prompt})
@@ -155,9 +155,9 @@
 		defer p.state.with(func(float64) { r.endpoint.FinishDecode(r.prompt) })
 	}
 	got, verdict := p.exchange(ctx, j, r.endpoint, encodeRequest(j.request, j.body, j.left(), set...))
-	if verdict != Served {
+	if verdict != outcomeAnswered {
 		p.endReading(j, &r, false)
-		if verdict != NotSent {
+		if verdict != outcomeNotSent {
 			j.handle.cache = "" // it may have been taken
 		}
 		p.settle(ctx, j, r.endpoint, verdict)
@@ -170,11 +170,11 @@
 	}
 	j.handle.cache = ""
 	verdict = p.passEvents(out, j, &r, got)
-	if verdict == Served {
+	if verdict == outcomeAnswered {
 		p.observed.stream(j)
 	}
 	p.settle(ctx, j, r.endpoint, verdict)
-	return verdict == Served
+	return verdict == outcomeAnswered
 }
 
 func (p *Proxy) beginReading(j *job, r *run) {
@@ -203,7 +203,7 @@
 // passFailure passes on an answer that is no stream, where it may be.
 func (p *Proxy) passFailure(ctx context.Context, out *relay, j *job, endpoint *placement.Endpoint, got *exchange) bool {
 	body, err := io.ReadAll(io.LimitReader(got.answer.Body, maxAnswer))
-	verdict := MayHaveRun
+	verdict := outcomeMayHaveExecuted
 	if err == nil && whole(got.answer) {
 		got.finish(p.backends, endpoint.Address)
 		verdict = judge(got.answer)
@@ -211,25 +211,25 @@
 		got.abort()
 	}
 	repeats := j.route.Resumable && j.runs+1 < j.route.MaxAttempts
-	if verdict != Served || out.begun || repeats {
-		if verdict == Served {
-			verdict = MayHaveRun
+	if verdict != outcomeAnswered || out.begun || repeats {
+		if verdict == outcomeAnswered {
+			verdict = outcomeMayHaveExecuted
 		}
 		p.settle(ctx, j, endpoint, verdict)
 		return false
 	}
-	p.settle(ctx, j, endpoint, Served)
+	p.settle(ctx, j, endpoint, outcomeAnswered)
 	out.head(got.answer)
 	_, _ = out.w.Write(body) // a client that is gone needs none
 	return true
 }
 
 // passEvents passes events on until the stream ends. Only whole events go out.
-func (p *Proxy) passEvents(out *relay, j *job, r *run, got *exchange) Verdict {
+func (p *Proxy) passEvents(out *relay, j *job, r *run, got *exchange) outcome {
 	if !whole(got.answer) || got.answer.Header.Get(headerStamp) == "" || got.answer.Header.Get("Content-Encoding") != "" {
 		got.abort()
 		p.endReading(j, r, false)
-		return MayHaveRun
+		return outcomeMayHaveExecuted
 	}
 	in := bufio.NewReaderSize(got.answer.Body, eventBuffer)
 	for {
@@ -237,19 +237,19 @@
 		p.endReading(j, r, err == nil)
 		if err != nil && !errors.Is(err, io.EOF) {
 			got.abort()
-			return MayHaveRun
+			return outcomeMayHaveExecuted
 		}
 		if len(event) > 0 {
 			if failed := out.event(got.answer, event); failed != nil {
 				got.abort()
-				return Canceled
+				return outcomeCanceled
 			}
 			j.times.event(time.Now())
 		}
 		if err != nil {
 			out.head(got.answer)
 			got.finish(p.backends, r.endpoint.Address)
-			return Served
+			return outcomeAnswered
 		}
 	}
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -165,25 +165,25 @@
 }
 
 // send writes a request and reads the head of its answer. Its verdict is Served where there is an answer.
-func send(ctx context.Context, conn *backendConn, method, id string, request []byte) (*exchange, Verdict, error) {
+func send(ctx context.Context, conn *backendConn, method, id string, request []byte) (*exchange, outcome, error) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	written, err := conn.Write(request)
 	if err != nil {
 		stop()
 		conn.Close()
 		if written == 0 {
-			return nil, NotSent, err
+			return nil, outcomeNotSent, err
 		}
-		return nil, MayHaveRun, err
+		return nil, outcomeMayHaveExecuted, err
 	}
 	answer, err := readAnswer(conn, method, id)
 	conn.used, conn.last = true, id
 	if err != nil {
 		stop()
 		conn.Close()
-		return nil, MayHaveRun, err
+		return nil, outcomeMayHaveExecuted, err
 	}
-	return &exchange{conn: conn, answer: answer, stop: stop}, Served, nil
+	return &exchange{conn: conn, answer: answer, stop: stop}, outcomeAnswered, nil
 }
 
 // readAnswer reads heads until that of the request's own answer. Answers that carry another id belong to requests before.
--- a/internal/proxy/verdict.go
+++ b/internal/proxy/verdict.go
@@ -4,31 +4,31 @@
 
 // Verdict says of an attempt that brought no answer for the client whether the server may have run the request. It is taken
 // from the wire alone.
-type Verdict int
+type outcome int
 
 // The verdicts.
 const (
 	// Served: there is an answer for the client.
-	Served Verdict = iota
+	outcomeAnswered outcome = iota
 	// NotSent: no byte of the request went out.
-	NotSent
+	outcomeNotSent
 	// NotExecuted: the server says that it did not run the request.
-	NotExecuted
+	outcomeNotExecuted
 	// MayHaveRun: bytes went out, and nothing that came back says that the request was not run.
-	MayHaveRun
+	outcomeMayHaveExecuted
 	// Canceled: the client has gone or its time is over.
-	Canceled
+	outcomeCanceled
 )
 
 // Ran tells whether the server may have run the request.
-func (v Verdict) Ran() bool { return v == MayHaveRun || v == Served }
+func (o outcome) mayHaveExecuted() bool { return o == outcomeMayHaveExecuted || o == outcomeAnswered }
 
 // MayRepeat tells whether a request of a route may be sent to another server.
-func (v Verdict) MayRepeat(route *routeconfig.Route) bool {
-	switch v {
-	case NotSent, NotExecuted:
+func (o outcome) allowsRetry(route *routeconfig.Route) bool {
+	switch o {
+	case outcomeNotSent, outcomeNotExecuted:
 		return true
-	case MayHaveRun:
+	case outcomeMayHaveExecuted:
 		return route.Kind == routeconfig.Idempotent || route.Kind == routeconfig.Streaming && route.Resumable
 	default:
 		return false
