--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -78,7 +78,7 @@
 }
 
 // stream counts a stream that was served.
-func (o *observations) stream(j *job) {
+func (o *observations) stream(j *proxyRequest) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	counts := o.streams[j.route.Name]
@@ -86,7 +86,7 @@
 		counts = &streamCounts{}
 		o.streams[j.route.Name] = counts
 	}
-	counts.add(j.route, j.arrived, &j.times)
+	counts.add(j.route, j.arrivedAt, &j.timing)
 }
 
 // dueStreams returns the counts of streams once it is time for a line, nil before.
@@ -163,11 +163,11 @@
 }
 
 // logMisdirected tells of a server that turned a request away as not its own, and which of the system's fields the client had sent.
-func (p *Proxy) logMisdirected(j *job, endpoint *placement.Endpoint, answer *http.Response) {
+func (p *Proxy) logMisdirected(j *proxyRequest, endpoint *placement.Endpoint, answer *http.Response) {
 	p.observed.misdirected.Do(func() {
 		p.log.WithField("server", endpoint.ID).WithField("address", endpoint.Address).WithField("stage", endpoint.Stage).
 			WithField("request", j.id).WithField("answered_by", answer.Header.Get(headerInstanceID)).
-			WithField("client_fields", systemFieldsOf(j.request.Header)).Warn("misdirected")
+			WithField("client_fields", systemFieldsOf(j.incoming.Header)).Warn("misdirected")
 	})
 }
 
--- a/internal/proxy/observe_test.go
+++ b/internal/proxy/observe_test.go
@@ -53,8 +53,8 @@
 var _ = Describe("the counts of streams", func() {
 	It("are told once in a while, by route", func() {
 		o := newObservations()
-		j := &job{route: &routeconfig.Route{Name: "r", LatencyTargetMs: 400}, arrived: time.Now()}
-		j.times.event(j.arrived)
+		j := &proxyRequest{route: &routeconfig.Route{Name: "r", LatencyTargetMs: 400}, arrivedAt: time.Now()}
+		j.timing.event(j.arrivedAt)
 		o.stream(j)
 		o.stream(j)
 		Expect(o.dueStreams(o.streamsLogged.Add(unservedEvery - time.Millisecond))).To(BeNil())
@@ -64,6 +64,6 @@
 })
 
 var _ = DescribeTable("the tokens that a client names", func(text string, tokens int) {
-	Expect(tokenCount(text)).To(Equal(tokens))
+	Expect(parseTokenCount(text)).To(Equal(tokens))
 }, Entry("a number", " 1460", 1460), Entry("nothing", "", 0), Entry("no number", "many", 0), Entry("a negative one", "-7", 0),
-	Entry("one that would outweigh the fleet", "999999999999", tokensMost), Entry("one that does not fit", "99999999999999999999999", 0))
+	Entry("one that would outweigh the fleet", "999999999999", maxTokenCount), Entry("one that does not fit", "99999999999999999999999", 0))
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -86,17 +86,17 @@
 		return nil, 0
 	}
 	got.finish(p.backends, target.address)
-	return got.answer.Header, got.answer.StatusCode
+	return got.response.Header, got.response.StatusCode
 }
 
 // askHealthOn asks for a server's health on a connection, and reads the whole answer. Where that fails the connection is closed.
-func askHealthOn(ctx context.Context, conn *backendConn, target dueProbe) (*exchange, error) {
+func askHealthOn(ctx context.Context, conn *backendConn, target dueProbe) (*backendExchange, error) {
 	request := "GET " + target.healthPath + " HTTP/1.1\r\nHost: " + target.host + "\r\n\r\n"
 	got, _, err := send(ctx, conn, http.MethodGet, "", []byte(request))
 	if err != nil {
 		return nil, err
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(got.answer.Body, maxSurplus)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(got.response.Body, maxSurplus)); err != nil {
 		got.abort()
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 // tryNew asks for a server's health on a new connection before a request that may run once goes over it, where the service has few
 // connections. Danger: a server accepts what goes beyond its MaxConnections and resets it a moment later, so that a request on it may have
 // run. That happens after processes have lost power, whose connections servers keep for a while. It returns whether the connection is good.
-func (p *Proxy) tryNew(ctx context.Context, j *job, endpoint *placement.Endpoint, conn *backendConn) bool {
+func (p *Proxy) verifyNewConn(ctx context.Context, j *proxyRequest, endpoint *placement.Endpoint, conn *backendConn) bool {
 	if conn.used || j.route.Kind == routeconfig.Idempotent {
 		return true
 	}
@@ -119,11 +119,11 @@
 	if !scarce || target.healthPath == "" {
 		return true
 	}
-	got, err := askHealthOn(ctx, conn, target)
+	exchanged, err := askHealthOn(ctx, conn, target)
 	if err != nil {
 		return false
 	}
-	if !got.stop() || got.answer.Close {
+	if !exchanged.detachContext() || exchanged.response.Close {
 		conn.Close()
 		return false
 	}
--- a/internal/proxy/reading.go
+++ b/internal/proxy/reading.go
@@ -14,18 +14,18 @@
 
 // readsAgain tells whether a prompt may be read at another server after a reading that ended so. Nothing counts until a server has taken it
 // up. A refusal counts as an arrival, and a reading that was lost as an attempt as well.
-func (p *Proxy) readsAgain(j *job, verdict outcome) bool {
+func (p *Proxy) readsAgain(j *proxyRequest, verdict outcome) bool {
 	switch verdict {
 	case outcomeNotSent:
 		return true
 	case outcomeNotExecuted:
-		return p.spend(j)
+		return p.spendRetryBudget(j)
 	case outcomeMayHaveExecuted:
-		if j.runs+1 >= j.route.MaxAttempts || !p.spend(j) {
+		if j.possibleExecutions+1 >= j.route.MaxAttempts || !p.spendRetryBudget(j) {
 			return false
 		}
-		j.arrivals++
-		j.runs++
+		j.deliveredAttempts++
+		j.possibleExecutions++
 		return true
 	default:
 		return false
@@ -33,7 +33,7 @@
 }
 
 // readPrompt has a prompt read and returns the handle of its cache, "" if that failed, and how far it came.
-func (p *Proxy) readPrompt(ctx context.Context, j *job, reader *placement.Endpoint, prompt *placement.Prompt) (string, outcome) {
+func (p *Proxy) readPrompt(ctx context.Context, j *proxyRequest, reader *placement.Endpoint, prompt *placement.Prompt) (string, outcome) {
 	var reading *placement.Prefill
 	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		if planner != nil {
@@ -57,7 +57,7 @@
 		}
 	})
 	if verdict == outcomeNotExecuted {
-		j.arrivals++ // one that was turned away counts
+		j.deliveredAttempts++ // one that was turned away counts
 	}
 	return handle, verdict
 }
@@ -66,30 +66,32 @@
 	KvHandle string `json:"KvHandle"`
 }
 
-func (p *Proxy) callReader(ctx context.Context, j *job, reader *placement.Endpoint) (string, outcome) {
-	request := encodeRequest(j.request, j.body, j.left(), field{headerExpectInstance, reader.ID}, field{headerServingStage, stagePrefill},
+func (p *Proxy) callReader(ctx context.Context, j *proxyRequest, reader *placement.Endpoint) (string, outcome) {
+	request := encodeRequest(j.incoming, j.body, j.remaining(), field{headerExpectInstance, reader.ID}, field{headerServingStage, stagePrefill},
 		field{headerPriority, priorityOf(j)})
-	got, verdict := p.exchange(ctx, j, reader, request)
+	got, verdict := p.roundTrip(ctx, j, reader, request)
 	if verdict != outcomeAnswered {
 		return "", verdict
 	}
-	body, err := io.ReadAll(io.LimitReader(got.answer.Body, maxHandle))
-	if err != nil || !whole(got.answer) {
+	body, err := io.ReadAll(io.LimitReader(got.response.Body, maxHandle))
+	if err != nil || !hasDelimitedBody(got.response) {
 		got.abort()
 		return "", outcomeMayHaveExecuted
 	}
 	got.finish(p.backends, reader.Address)
 	var answer handleAnswer
 	switch {
-	case refusal(got.answer):
+	case refusal(got.response):
 		return "", outcomeNotExecuted
-	case got.answer.StatusCode != http.StatusOK || json.Unmarshal(body, &answer) != nil || answer.KvHandle == "":
+	case got.response.StatusCode != http.StatusOK || json.Unmarshal(body, &answer) != nil || answer.KvHandle == "":
 		return "", outcomeMayHaveExecuted
 	}
 	return reader.Address + "/" + answer.KvHandle, outcomeAnswered
 }
 
-func priorityOf(j *job) string { return strconv.Itoa(min(max(j.route.Priority, 0), priorityMost)) }
+func priorityOf(j *proxyRequest) string {
+	return strconv.Itoa(min(max(j.route.Priority, 0), priorityMost))
+}
 
 // freeHandle lets a server forget a cache that nobody takes.
 func (p *Proxy) freeHandle(handle string) {
@@ -109,7 +111,7 @@
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(got.answer.Body, maxSurplus)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(got.response.Body, maxSurplus)); err != nil {
 			got.abort()
 			return
 		}
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -24,24 +24,24 @@
 )
 
 // stream serves a request whose answer is a series of events.
-func (p *Proxy) stream(ctx context.Context, w http.ResponseWriter, j *job, engine bool) {
+func (p *Proxy) serveStream(ctx context.Context, w http.ResponseWriter, j *proxyRequest, engine bool) {
 	out := &relay{w: w, control: http.NewResponseController(w)}
-	defer func() { p.freeHandle(j.handle.cache) }()
-	prompt := promptOf(j.request, j.route)
-	for range attemptsMost {
-		if !p.allowed(j) {
+	defer func() { p.freeHandle(j.cache.handle) }()
+	prompt := promptFromRequest(j.incoming, j.route)
+	for range maxAttemptsPerRequest {
+		if !p.chargeAttempt(j) {
 			break
 		}
 		done := false
 		if engine {
 			done = p.runPrompt(ctx, out, j, &prompt)
-		} else if endpoint := p.pick(ctx, j); endpoint != nil {
+		} else if endpoint := p.pickEndpoint(ctx, j); endpoint != nil {
 			done = p.runStream(ctx, out, j, run{endpoint: endpoint})
 		}
 		if done {
 			return
 		}
-		if !j.last.allowsRetry(j.route) || j.runs >= j.route.MaxAttempts || ctx.Err() != nil {
+		if !j.lastOutcome.allowsRetry(j.route) || j.possibleExecutions >= j.route.MaxAttempts || ctx.Err() != nil {
 			break
 		}
 	}
@@ -49,21 +49,21 @@
 		// Danger: an answer that ends here must not look complete.
 		panic(http.ErrAbortHandler)
 	}
-	p.fail(ctx, w, j)
+	p.respondFailure(ctx, w, j)
 }
 
 // handle is a cache that was read and not taken yet.
-type handle struct {
-	cache    string // IP:PORT/HANDLE; empty: there is none
-	zone     string // where it was read
-	refusals int
+type kvCache struct {
+	handle     string // IP:PORT/HANDLE; empty: there is none
+	zone       string // where it was read
+	rejections int
 }
 
 // refused tells that a server did not run the request that names the cache. The first time the cache may still be there, as
 // where the server was full; after that it is given up.
-func (h *handle) refused(answer *http.Response) {
-	if h.refusals++; h.refusals > 1 || !refusal(answer) {
-		h.cache = ""
+func (h *kvCache) handleRejection(response *http.Response) {
+	if h.rejections++; h.rejections > 1 || !refusal(response) {
+		h.handle = ""
 	}
 }
 
@@ -75,25 +75,25 @@
 }
 
 // runPrompt chooses servers for a prompt, has it read and its answer made. It returns whether the client has its answer.
-func (p *Proxy) runPrompt(ctx context.Context, out *relay, j *job, prompt *placement.Prompt) bool {
-	if j.handle.cache != "" {
+func (p *Proxy) runPrompt(ctx context.Context, out *relay, j *proxyRequest, prompt *placement.Prompt) bool {
+	if j.cache.handle != "" {
 		return p.runRead(ctx, out, j, prompt)
 	}
-	apart := j.arrivals == 0 && !out.begun
-	without := slices.Clone(j.tried)
+	apart := j.deliveredAttempts == 0 && !out.begun
+	without := slices.Clone(j.triedEndpoints)
 	for tries := 1; tries <= readersMost; tries++ {
 		plan, found := p.place(ctx, j, prompt, without, apart)
 		if !found {
-			j.last = outcomeNotSent
+			j.lastOutcome = outcomeNotSent
 			return false
 		}
 		if plan.PrefillServer == nil {
 			return p.runStream(ctx, out, j, run{endpoint: plan.DecodeServer, prompt: prompt})
 		}
 		cache, verdict := p.readPrompt(ctx, j, plan.PrefillServer, prompt)
-		j.handle, j.times.read = handle{cache: cache, zone: plan.PrefillServer.Zone}, time.Now()
+		j.cache, j.timing.read = kvCache{handle: cache, zone: plan.PrefillServer.Zone}, time.Now()
 		if ctx.Err() != nil {
-			j.last = outcomeCanceled
+			j.lastOutcome = outcomeCanceled
 			return false
 		}
 		// Danger: to ask whether it is read again spends of the budget, which the last one must not.
@@ -107,8 +107,8 @@
 }
 
 // place chooses servers for a prompt and counts it at the one that is asked first.
-func (p *Proxy) place(ctx context.Context, j *job, prompt *placement.Prompt, without []*placement.Endpoint, apart bool) (plan placement.Plan, found bool) {
-	found = p.await(ctx, j, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
+func (p *Proxy) place(ctx context.Context, j *proxyRequest, prompt *placement.Prompt, without []*placement.Endpoint, apart bool) (plan placement.Plan, found bool) {
+	found = p.awaitPlacement(ctx, j, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
 		chosen, some := planner.PlanPrompt(now, prompt, without, apart)
 		if !some {
 			return false
@@ -124,25 +124,25 @@
 }
 
 // runRead has an answer made of the cache that was read, or without one where reading failed. Its server is chosen only now.
-func (p *Proxy) runRead(ctx context.Context, out *relay, j *job, prompt *placement.Prompt) bool {
+func (p *Proxy) runRead(ctx context.Context, out *relay, j *proxyRequest, prompt *placement.Prompt) bool {
 	var runner *placement.Endpoint
-	p.await(ctx, j, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
-		if runner = planner.PickDecodeServer(now, j.handle.zone, j.tried); runner != nil {
+	p.awaitPlacement(ctx, j, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
+		if runner = planner.PickDecodeServer(now, j.cache.zone, j.triedEndpoints); runner != nil {
 			runner.StartRequest()
 		}
 		return runner != nil
 	})
 	if runner == nil {
-		j.last = outcomeNotSent
+		j.lastOutcome = outcomeNotSent
 		return false
 	}
 	return p.runStream(ctx, out, j, run{endpoint: runner, prompt: prompt})
 }
 
 // runStream has an answer made and passes it on. It returns whether the client has its answer, else j.last says why not.
-func (p *Proxy) runStream(ctx context.Context, out *relay, j *job, r run) bool {
+func (p *Proxy) runStream(ctx context.Context, out *relay, j *proxyRequest, r run) bool {
 	set := []field{{headerExpectInstance, r.endpoint.ID}, {headerPriority, priorityOf(j)}}
-	taken := j.handle.cache
+	taken := j.cache.handle
 	if taken != "" {
 		set = append(set, field{headerKVFrom, taken})
 	}
@@ -154,31 +154,31 @@
 		p.state.with(func(float64) { r.endpoint.StartDecode(r.prompt) })
 		defer p.state.with(func(float64) { r.endpoint.FinishDecode(r.prompt) })
 	}
-	got, verdict := p.exchange(ctx, j, r.endpoint, encodeRequest(j.request, j.body, j.left(), set...))
+	got, verdict := p.roundTrip(ctx, j, r.endpoint, encodeRequest(j.incoming, j.body, j.remaining(), set...))
 	if verdict != outcomeAnswered {
 		p.endReading(j, &r, false)
 		if verdict != outcomeNotSent {
-			j.handle.cache = "" // it may have been taken
+			j.cache.handle = "" // it may have been taken
 		}
-		p.settle(ctx, j, r.endpoint, verdict)
+		p.recordOutcome(ctx, j, r.endpoint, verdict)
 		return false
 	}
-	if got.answer.StatusCode != http.StatusOK {
+	if got.response.StatusCode != http.StatusOK {
 		p.endReading(j, &r, false)
-		j.handle.refused(got.answer)
+		j.cache.handleRejection(got.response)
 		return p.passFailure(ctx, out, j, r.endpoint, got)
 	}
-	j.handle.cache = ""
+	j.cache.handle = ""
 	verdict = p.passEvents(out, j, &r, got)
 	if verdict == outcomeAnswered {
 		p.observed.stream(j)
 	}
-	p.settle(ctx, j, r.endpoint, verdict)
+	p.recordOutcome(ctx, j, r.endpoint, verdict)
 	return verdict == outcomeAnswered
 }
 
-func (p *Proxy) beginReading(j *job, r *run) {
-	if r.prompt == nil || j.handle.cache != "" {
+func (p *Proxy) beginReading(j *proxyRequest, r *run) {
+	if r.prompt == nil || j.cache.handle != "" {
 		return
 	}
 	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
@@ -188,7 +188,7 @@
 	})
 }
 
-func (p *Proxy) endReading(j *job, r *run, read bool) {
+func (p *Proxy) endReading(j *proxyRequest, r *run, read bool) {
 	if r.reading == nil {
 		return
 	}
@@ -201,37 +201,37 @@
 }
 
 // passFailure passes on an answer that is no stream, where it may be.
-func (p *Proxy) passFailure(ctx context.Context, out *relay, j *job, endpoint *placement.Endpoint, got *exchange) bool {
-	body, err := io.ReadAll(io.LimitReader(got.answer.Body, maxAnswer))
+func (p *Proxy) passFailure(ctx context.Context, out *relay, j *proxyRequest, endpoint *placement.Endpoint, got *backendExchange) bool {
+	body, err := io.ReadAll(io.LimitReader(got.response.Body, maxResponseBytes))
 	verdict := outcomeMayHaveExecuted
-	if err == nil && whole(got.answer) {
+	if err == nil && hasDelimitedBody(got.response) {
 		got.finish(p.backends, endpoint.Address)
-		verdict = judge(got.answer)
+		verdict = classifyResponse(got.response)
 	} else {
 		got.abort()
 	}
-	repeats := j.route.Resumable && j.runs+1 < j.route.MaxAttempts
+	repeats := j.route.Resumable && j.possibleExecutions+1 < j.route.MaxAttempts
 	if verdict != outcomeAnswered || out.begun || repeats {
 		if verdict == outcomeAnswered {
 			verdict = outcomeMayHaveExecuted
 		}
-		p.settle(ctx, j, endpoint, verdict)
+		p.recordOutcome(ctx, j, endpoint, verdict)
 		return false
 	}
-	p.settle(ctx, j, endpoint, outcomeAnswered)
-	out.head(got.answer)
+	p.recordOutcome(ctx, j, endpoint, outcomeAnswered)
+	out.head(got.response)
 	_, _ = out.w.Write(body) // a client that is gone needs none
 	return true
 }
 
 // passEvents passes events on until the stream ends. Only whole events go out.
-func (p *Proxy) passEvents(out *relay, j *job, r *run, got *exchange) outcome {
-	if !whole(got.answer) || got.answer.Header.Get(headerStamp) == "" || got.answer.Header.Get("Content-Encoding") != "" {
+func (p *Proxy) passEvents(out *relay, j *proxyRequest, r *run, got *backendExchange) outcome {
+	if !hasDelimitedBody(got.response) || got.response.Header.Get(headerStamp) == "" || got.response.Header.Get("Content-Encoding") != "" {
 		got.abort()
 		p.endReading(j, r, false)
 		return outcomeMayHaveExecuted
 	}
-	in := bufio.NewReaderSize(got.answer.Body, eventBuffer)
+	in := bufio.NewReaderSize(got.response.Body, eventBuffer)
 	for {
 		event, err := readEvent(in)
 		p.endReading(j, r, err == nil)
@@ -240,14 +240,14 @@
 			return outcomeMayHaveExecuted
 		}
 		if len(event) > 0 {
-			if failed := out.event(got.answer, event); failed != nil {
+			if failed := out.event(got.response, event); failed != nil {
 				got.abort()
 				return outcomeCanceled
 			}
-			j.times.event(time.Now())
+			j.timing.event(time.Now())
 		}
 		if err != nil {
-			out.head(got.answer)
+			out.head(got.response)
 			got.finish(p.backends, r.endpoint.Address)
 			return outcomeAnswered
 		}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -158,14 +158,14 @@
 }
 
 // exchange is one request on a connection.
-type exchange struct {
-	conn   *backendConn
-	answer *http.Response
-	stop   func() bool // takes back what ends the connection with the context
+type backendExchange struct {
+	conn          *backendConn
+	response      *http.Response
+	detachContext func() bool // takes back what ends the connection with the context
 }
 
 // send writes a request and reads the head of its answer. Its verdict is Served where there is an answer.
-func send(ctx context.Context, conn *backendConn, method, id string, request []byte) (*exchange, outcome, error) {
+func send(ctx context.Context, conn *backendConn, method, id string, request []byte) (*backendExchange, outcome, error) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	written, err := conn.Write(request)
 	if err != nil {
@@ -183,7 +183,7 @@
 		conn.Close()
 		return nil, outcomeMayHaveExecuted, err
 	}
-	return &exchange{conn: conn, answer: answer, stop: stop}, outcomeAnswered, nil
+	return &backendExchange{conn: conn, response: answer, detachContext: stop}, outcomeAnswered, nil
 }
 
 // readAnswer reads heads until that of the request's own answer. Answers that carry another id belong to requests before.
@@ -221,20 +221,20 @@
 }
 
 // finish ends an exchange whose body was read whole, and lets the connection rest if it may.
-func (x *exchange) finish(b *backends, address string) {
+func (x *backendExchange) finish(b *backends, address string) {
 	// Danger: where the context has ended the connection may be given its last deadline at any moment.
-	if !x.stop() || x.answer.Close || x.answer.ContentLength < 0 && !chunked(x.answer) {
+	if !x.detachContext() || x.response.Close || x.response.ContentLength < 0 && !chunked(x.response) {
 		x.conn.Close()
 		return
 	}
-	x.conn.expires = time.Now().Add(restOf(x.answer.Header.Get("Keep-Alive")))
+	x.conn.expires = time.Now().Add(restOf(x.response.Header.Get("Keep-Alive")))
 	_ = x.conn.SetDeadline(time.Time{})
 	b.put(address, x.conn)
 }
 
 // abort ends an exchange whose answer is not wanted.
-func (x *exchange) abort() {
-	x.stop()
+func (x *backendExchange) abort() {
+	x.detachContext()
 	x.conn.Close()
 }
 
