--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -71,13 +71,13 @@
 		http.Error(w, http.StatusText(status), status)
 		return
 	}
-	j := &proxyRequest{incoming: r, body: body, id: r.Header.Get(headerRequestID), route: route, service: target(route), arrivedAt: arrivedAt}
+	j := &proxyRequest{incoming: r, body: body, id: r.Header.Get(headerRequestID), route: route, service: drawService(route), arrivedAt: arrivedAt}
 	j.deadline = arrivedAt.Add(timeLimit(r, route))
 	ctx, cancel := context.WithDeadline(r.Context(), j.deadline)
 	defer cancel()
 	_ = http.NewResponseController(w).SetWriteDeadline(j.deadline.Add(time.Second)) // connections without deadlines serve on without
 	servesModel := false
-	p.state.do(j.service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
+	p.state.withService(j.service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
 		if pool != nil {
 			pool.Budget.RecordRequest(now)
 			servesModel = pool.Engine.IsPresent
@@ -93,13 +93,13 @@
 // awaitRoutes returns the table in force. A proxy that has just begun is told within a moment; until then requests wait, since
 // clients come back only so often.
 func (p *Proxy) awaitRoutes(ctx context.Context) *routeTable {
-	if p.state.ready() {
+	if p.state.isReady() {
 		return p.state.routes()
 	}
 	timer := time.NewTimer(startupTimeout)
 	defer timer.Stop()
 	select {
-	case <-p.state.begun:
+	case <-p.state.servable:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -161,7 +161,7 @@
 	deadline := j.arrivedAt.Add(time.Duration(queueFraction * float64(nodeconfig.FromMillis(j.route.LatencyTargetMs))))
 	for {
 		found := false
-		p.state.do(j.service, func(now float64, pool *placement.Pool, planner *placement.Planner) {
+		p.state.withService(j.service, func(now float64, pool *placement.Pool, planner *placement.Planner) {
 			found = pool != nil && choose(now, pool, planner)
 		})
 		if found || time.Now().After(deadline) || ctx.Err() != nil {
@@ -196,7 +196,7 @@
 // spend takes one arrival out of the budget, if there is room.
 func (p *Proxy) spendRetryBudget(j *proxyRequest) bool {
 	ok := false
-	p.state.do(j.service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
+	p.state.withService(j.service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
 		ok = pool != nil && pool.Budget.TrySpend(now, pool.ProxyCount())
 	})
 	return ok
@@ -293,7 +293,7 @@
 	if exchanged.response.StatusCode == http.StatusMisdirectedRequest {
 		p.logMisdirected(j, endpoint, exchanged.response)
 	}
-	p.state.with(func(now float64) {
+	p.state.withLock(func(now float64) {
 		if running, waiting, ok := serverLoad(exchanged.response.Header); ok {
 			endpoint.RecordLoad(now, running, waiting)
 		}
@@ -329,7 +329,7 @@
 	if result.mayHaveExecuted() {
 		j.possibleExecutions++
 	}
-	p.state.with(func(now float64) {
+	p.state.withLock(func(now float64) {
 		endpoint.FinishRequest()
 		switch {
 		case result == outcomeAnswered:
--- a/internal/proxy/misdirected_test.go
+++ b/internal/proxy/misdirected_test.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := p.state.take(&message.Feed{Table: table, List: &message.InstanceList{Digest: 1, Data: data}, ProxyCount: 1}); err != nil {
+	if err := p.state.applyFeed(&message.Feed{Table: table, List: &message.InstanceList{Digest: 1, Data: data}, ProxyCount: 1}); err != nil {
 		t.Fatal(err)
 	}
 	front := httptest.NewServer(p)
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -149,7 +149,7 @@
 func (p *Proxy) logUnserved(now time.Time) {
 	for service, counts := range p.observed.due(now) {
 		var standing placement.Status
-		p.state.do(service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
+		p.state.withService(service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
 			if pool != nil {
 				standing = pool.Status(now)
 			}
--- a/internal/proxy/plain_test.go
+++ b/internal/proxy/plain_test.go
@@ -69,7 +69,7 @@
 			one.setCrowded(crowdedFirst)
 			two.setCrowded(!crowdedFirst)
 			p, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
-			p.state.do("s", func(_ float64, pool *placement.Pool, _ *placement.Planner) { pool.SetMaxConnections(2) })
+			p.state.withService("s", func(_ float64, pool *placement.Pool, _ *placement.Planner) { pool.SetMaxConnections(2) })
 			for n := range 6 {
 				answer, _, err := ask(front, headerRequestID, fmt.Sprint("id-", n))
 				Expect(err).NotTo(HaveOccurred())
@@ -196,8 +196,8 @@
 		p, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
 		draining := one.Instance
 		draining.Draining = true
-		Expect(p.state.take(&message.Feed{List: list(draining, two.Instance)})).To(Succeed())
-		Expect(p.state.take(&message.Feed{List: list(one.Instance, two.Instance)})).To(Succeed())
+		Expect(p.state.applyFeed(&message.Feed{List: list(draining, two.Instance)})).To(Succeed())
+		Expect(p.state.applyFeed(&message.Feed{List: list(one.Instance, two.Instance)})).To(Succeed())
 		for range 10 {
 			_, _, err := ask(front)
 			Expect(err).NotTo(HaveOccurred())
@@ -227,7 +227,7 @@
 		packed, err := message.PackTable(&routeconfig.Table{Version: 1, Routes: []routeconfig.Route{route(routeconfig.NonIdempotent)},
 			Services: []routeconfig.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100}}})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(begun.state.take(&message.Feed{Table: packed, List: list(s.Instance), ProxyCount: 1})).To(Succeed())
+		Expect(begun.state.applyFeed(&message.Feed{Table: packed, List: list(s.Instance), ProxyCount: 1})).To(Succeed())
 		Eventually(statuses).Should(Receive(Equal(http.StatusOK)))
 	})
 
@@ -235,7 +235,7 @@
 		p, front := startProxy(route(routeconfig.NonIdempotent), false, startServer("i-1", "s", "", echo))
 		older, err := message.PackTable(&routeconfig.Table{Version: 0})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(p.state.take(&message.Feed{Table: older})).To(Succeed())
+		Expect(p.state.applyFeed(&message.Feed{Table: older})).To(Succeed())
 		answer, _, err := ask(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusOK))
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -30,8 +30,8 @@
 		p.logUnserved(time.Now())
 		p.logStreams(time.Now())
 		if tick%sweepEvery == 0 {
-			p.state.revisit()
-			wanted := p.state.addresses()
+			p.state.refreshExpired()
+			wanted := p.state.listedAddresses()
 			p.backends.sweep(func(address string) bool { return wanted[address] })
 		}
 	}
@@ -46,7 +46,7 @@
 
 func (p *Proxy) probeDue(ctx context.Context) {
 	var due []dueProbe
-	p.state.with(func(now float64) {
+	p.state.withLock(func(now float64) {
 		for name, pool := range p.state.pools {
 			service := p.state.table.services[name]
 			pool.Budget.Trim(now)
@@ -65,7 +65,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeWithin)
 	defer cancel()
 	header, status := p.askHealth(ctx, target)
-	p.state.with(func(now float64) {
+	p.state.withLock(func(now float64) {
 		instance := header.Get(headerInstanceID)
 		target.endpoint.RecordIdentity(instance)
 		alive := status == http.StatusOK && (instance == "" || instance == target.id)
@@ -111,7 +111,7 @@
 		return true
 	}
 	target, scarce := dueProbe{host: j.service}, false
-	p.state.do(j.service, func(_ float64, pool *placement.Pool, _ *placement.Planner) {
+	p.state.withService(j.service, func(_ float64, pool *placement.Pool, _ *placement.Planner) {
 		if service := p.state.table.services[j.service]; service != nil && pool != nil {
 			target.healthPath, scarce = service.HealthPath, pool.HasFewConnections()
 		}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -38,14 +38,14 @@
 type Proxy struct {
 	settings *nodeconfig.Settings
 	log      *logrus.Entry
-	state    *state
+	state    *routingState
 	backends *backends
 	observed *observations
 	leaving  atomic.Bool
 }
 
 func newProxy(settings *nodeconfig.Settings, log *logrus.Entry) *Proxy {
-	return &Proxy{settings: settings, log: log, state: newState(settings), backends: newBackends(), observed: newObservations()}
+	return &Proxy{settings: settings, log: log, state: newRoutingState(settings), backends: newBackends(), observed: newObservations()}
 }
 
 // Run serves until the context ends and the requests that were taken are served.
@@ -91,7 +91,7 @@
 func (p *Proxy) readyRouter() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/ready", func(w http.ResponseWriter, _ *http.Request) {
-		if p.leaving.Load() || !p.state.ready() {
+		if p.leaving.Load() || !p.state.isReady() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
@@ -125,7 +125,7 @@
 		if err := transport.ReadFrame(conn, feed); err != nil {
 			return err
 		}
-		if err := p.state.take(feed); err != nil {
+		if err := p.state.applyFeed(feed); err != nil {
 			return err
 		}
 		if feed.Table != nil {
@@ -145,7 +145,7 @@
 		case <-ticker.C:
 		}
 		_ = conn.SetWriteDeadline(time.Now().Add(time.Second)) // the write tells of a connection that is gone
-		if transport.WriteFrame(conn, p.state.report()) != nil {
+		if transport.WriteFrame(conn, p.state.buildReport()) != nil {
 			return
 		}
 	}
--- a/internal/proxy/proxy_suite_test.go
+++ b/internal/proxy/proxy_suite_test.go
@@ -188,7 +188,7 @@
 	}
 	packed, err := message.PackTable(table)
 	Expect(err).NotTo(HaveOccurred())
-	Expect(p.state.take(&message.Feed{Table: packed, List: list(instances...), ProxyRank: 0, ProxyCount: 1})).To(Succeed())
+	Expect(p.state.applyFeed(&message.Feed{Table: packed, List: list(instances...), ProxyRank: 0, ProxyCount: 1})).To(Succeed())
 	front := httptest.NewServer(p)
 	DeferCleanup(front.Close)
 	return p, front
--- a/internal/proxy/reading.go
+++ b/internal/proxy/reading.go
@@ -14,8 +14,8 @@
 
 // readsAgain tells whether a prompt may be read at another server after a reading that ended so. Nothing counts until a server has taken it
 // up. A refusal counts as an arrival, and a reading that was lost as an attempt as well.
-func (p *Proxy) readsAgain(j *proxyRequest, verdict outcome) bool {
-	switch verdict {
+func (p *Proxy) retriesPrefill(j *proxyRequest, result outcome) bool {
+	switch result {
 	case outcomeNotSent:
 		return true
 	case outcomeNotExecuted:
@@ -33,88 +33,88 @@
 }
 
 // readPrompt has a prompt read and returns the handle of its cache, "" if that failed, and how far it came.
-func (p *Proxy) readPrompt(ctx context.Context, j *proxyRequest, reader *placement.Endpoint, prompt *placement.Prompt) (string, outcome) {
+func (p *Proxy) prefill(ctx context.Context, j *proxyRequest, server *placement.Endpoint, prompt *placement.Prompt) (string, outcome) {
 	var reading *placement.Prefill
-	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
+	p.state.withService(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		if planner != nil {
-			reading = planner.StartPrefill(now, reader, prompt)
+			reading = planner.StartPrefill(now, server, prompt)
 		}
 	})
-	limit := time.Duration(readingMost * j.route.LatencyTargetMs * float64(time.Millisecond))
-	readCtx, cancel := context.WithTimeout(ctx, limit)
+	timeout := time.Duration(prefillTimeoutFactor * j.route.LatencyTargetMs * float64(time.Millisecond))
+	readCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	handle, verdict := p.callReader(readCtx, j, reader)
-	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
-		reader.FinishRequest()
+	handle, result := p.sendPrefill(readCtx, j, server)
+	p.state.withService(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
+		server.FinishRequest()
 		if planner != nil && reading != nil {
-			planner.FinishPrefill(now, reader, reading, verdict == outcomeAnswered)
+			planner.FinishPrefill(now, server, reading, result == outcomeAnswered)
 		}
 		switch {
-		case verdict == outcomeAnswered:
-			reader.RecordSuccess()
-		case ctx.Err() == nil && verdict != outcomeNotExecuted:
-			reader.RecordFailure(now, verdict == outcomeNotSent)
+		case result == outcomeAnswered:
+			server.RecordSuccess()
+		case ctx.Err() == nil && result != outcomeNotExecuted:
+			server.RecordFailure(now, result == outcomeNotSent)
 		}
 	})
-	if verdict == outcomeNotExecuted {
+	if result == outcomeNotExecuted {
 		j.deliveredAttempts++ // one that was turned away counts
 	}
-	return handle, verdict
+	return handle, result
 }
 
-type handleAnswer struct {
+type prefillResponse struct {
 	KvHandle string `json:"KvHandle"`
 }
 
-func (p *Proxy) callReader(ctx context.Context, j *proxyRequest, reader *placement.Endpoint) (string, outcome) {
-	request := encodeRequest(j.incoming, j.body, j.remaining(), field{headerExpectInstance, reader.ID}, field{headerServingStage, stagePrefill},
-		field{headerPriority, priorityOf(j)})
-	got, verdict := p.roundTrip(ctx, j, reader, request)
-	if verdict != outcomeAnswered {
-		return "", verdict
+func (p *Proxy) sendPrefill(ctx context.Context, j *proxyRequest, server *placement.Endpoint) (string, outcome) {
+	request := encodeRequest(j.incoming, j.body, j.remaining(), field{headerExpectInstance, server.ID}, field{headerServingStage, stagePrefill},
+		field{headerPriority, priorityValue(j)})
+	exchanged, result := p.roundTrip(ctx, j, server, request)
+	if result != outcomeAnswered {
+		return "", result
 	}
-	body, err := io.ReadAll(io.LimitReader(got.response.Body, maxHandle))
-	if err != nil || !hasDelimitedBody(got.response) {
-		got.abort()
+	body, err := io.ReadAll(io.LimitReader(exchanged.response.Body, maxPrefillResponseBytes))
+	if err != nil || !hasDelimitedBody(exchanged.response) {
+		exchanged.abort()
 		return "", outcomeMayHaveExecuted
 	}
-	got.finish(p.backends, reader.Address)
-	var answer handleAnswer
+	exchanged.finish(p.backends, server.Address)
+	var response prefillResponse
 	switch {
-	case refusal(got.response):
+	case refusal(exchanged.response):
 		return "", outcomeNotExecuted
-	case got.response.StatusCode != http.StatusOK || json.Unmarshal(body, &answer) != nil || answer.KvHandle == "":
+	case exchanged.response.StatusCode != http.StatusOK || json.Unmarshal(body, &response) != nil || response.KvHandle == "":
 		return "", outcomeMayHaveExecuted
 	}
-	return reader.Address + "/" + answer.KvHandle, outcomeAnswered
+	return server.Address + "/" + response.KvHandle, outcomeAnswered
 }
 
-func priorityOf(j *proxyRequest) string {
-	return strconv.Itoa(min(max(j.route.Priority, 0), priorityMost))
+func priorityValue(j *proxyRequest) string {
+	return strconv.Itoa(min(max(j.route.Priority, 0), maxPriority))
 }
 
 // freeHandle lets a server forget a cache that nobody takes.
-func (p *Proxy) freeHandle(handle string) {
+func (p *Proxy) releaseKVHandle(handle string) {
 	address, id, ok := strings.Cut(handle, "/")
 	if !ok {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), freeWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		conn, err := p.backends.get(ctx, address, "")
 		if err != nil {
 			return
 		}
 		request := "DELETE /kv-handle/" + id + " HTTP/1.1\r\nHost: " + address + "\r\nContent-Length: 0\r\n\r\n"
-		got, _, err := send(ctx, conn, http.MethodDelete, "", []byte(request))
+		exchanged, _, err := send(ctx, conn, http.MethodDelete, "", []byte(request))
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(got.response.Body, maxSurplus)); err != nil {
-			got.abort()
+		if _, err := io.Copy(io.Discard, io.LimitReader(exchanged.response.Body, maxSurplus)); err != nil {
+			exchanged.abort()
 			return
 		}
-		got.finish(p.backends, address)
+		exchanged.finish(p.backends, address)
 	}()
 }
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -9,37 +9,37 @@
 )
 
 // relay passes a stream's events on to a client. It holds the head back until there is an event to go with it.
-type relay struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	begun   bool
-	lastID  string
+type eventRelay struct {
+	w           http.ResponseWriter
+	control     *http.ResponseController
+	headWritten bool
+	lastEventID string
 }
 
 // errClient says that the client takes no more.
-var errClient = errors.New("the client is gone")
+var errClientGone = errors.New("the client is gone")
 
 // head writes the head of the first server's answer.
-func (s *relay) head(answer *http.Response) {
-	if s.begun {
+func (s *eventRelay) writeHead(response *http.Response) {
+	if s.headWritten {
 		return
 	}
-	s.begun = true
-	passHead(s.w, answer)
-	s.w.WriteHeader(answer.StatusCode)
+	s.headWritten = true
+	passHead(s.w, response)
+	s.w.WriteHeader(response.StatusCode)
 }
 
 // event passes on one whole event.
-func (s *relay) event(answer *http.Response, event []byte) error {
-	s.head(answer)
+func (s *eventRelay) writeEvent(response *http.Response, event []byte) error {
+	s.writeHead(response)
 	if _, err := s.w.Write(event); err != nil {
-		return errClient
+		return errClientGone
 	}
 	if err := s.control.Flush(); err != nil {
-		return errClient
+		return errClientGone
 	}
 	if id := eventID(event); id != "" {
-		s.lastID = id
+		s.lastEventID = id
 	}
 	return nil
 }
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -12,47 +12,47 @@
 )
 
 // state holds what the decisions know. All of it is guarded by one lock, which is never held during I/O.
-type state struct {
-	settings *nodeconfig.Settings
-	start    time.Time
-	begun    chan struct{} // closed once requests can be served
-
-	mu       sync.Mutex
-	table    *routeTable
-	list     []message.Instance
-	listed   bool // a list was told at all
-	served   bool // begun is closed
-	plan     message.StagePlan
-	rank     int
-	count    int
-	pools    map[string]*placement.Pool
-	planners map[string]*placement.Planner
+type routingState struct {
+	settings  *nodeconfig.Settings
+	startedAt time.Time
+	servable  chan struct{} // closed once requests can be served
+
+	mu         sync.Mutex
+	table      *routeTable
+	instances  []message.Instance
+	hasList    bool // a list was told at all
+	isServable bool // begun is closed
+	stagePlan  message.StagePlan
+	rank       int
+	count      int
+	pools      map[string]*placement.Pool
+	planners   map[string]*placement.Planner
 }
 
-func newState(settings *nodeconfig.Settings) *state {
-	return &state{settings: settings, start: time.Now(), begun: make(chan struct{}), pools: map[string]*placement.Pool{}, planners: map[string]*placement.Planner{}}
+func newRoutingState(settings *nodeconfig.Settings) *routingState {
+	return &routingState{settings: settings, startedAt: time.Now(), servable: make(chan struct{}), pools: map[string]*placement.Pool{}, planners: map[string]*placement.Planner{}}
 }
 
 // now is the time of the decisions: seconds on the steady clock.
-func (s *state) now() float64 { return time.Since(s.start).Seconds() }
+func (s *routingState) now() float64 { return time.Since(s.startedAt).Seconds() }
 
 // ready tells whether requests can be served at all.
-func (s *state) ready() bool {
+func (s *routingState) isReady() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table != nil && s.listed
+	return s.table != nil && s.hasList
 }
 
 // routes returns the table in force, nil before the first.
-func (s *state) routes() *routeTable {
+func (s *routingState) routes() *routeTable {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table
 }
 
 // take takes what the agent tells. Danger: an agent that has restarted may know an older configuration; versions never go back.
-func (s *state) take(feed *message.Feed) error {
-	table, instances, err := unpack(feed)
+func (s *routingState) applyFeed(feed *message.Feed) error {
+	table, instances, err := unpackFeed(feed)
 	if err != nil {
 		return err
 	}
@@ -60,22 +60,22 @@
 	defer s.mu.Unlock()
 	if table != nil && (s.table == nil || table.Version > s.table.version) {
 		s.table = newRouteTable(table)
-		s.openPools()
+		s.syncPools()
 	}
 	if feed.Plan != nil {
-		s.plan = *feed.Plan
+		s.stagePlan = *feed.Plan
 	}
 	if feed.ProxyCount > 0 {
 		s.rank, s.count = feed.ProxyRank, feed.ProxyCount
 	}
 	if feed.List != nil {
-		s.list, s.listed = instances, true
+		s.instances, s.hasList = instances, true
 	}
 	now := s.now()
 	for name, pool := range s.pools {
 		pool.SetRank(s.rank, s.count)
 		if feed.List != nil || feed.Plan != nil || table != nil {
-			s.look(now, pool)
+			s.updatePool(now, pool)
 		}
 		if service := s.table.services[name]; service != nil {
 			pool.SetMaxConnections(service.MaxConnections)
@@ -84,34 +84,34 @@
 	for _, pool := range s.pools {
 		pool.MergeLoads(now, feed.Loads)
 	}
-	if s.table != nil && s.listed && !s.served {
-		s.served = true
-		close(s.begun)
+	if s.table != nil && s.hasList && !s.isServable {
+		s.isServable = true
+		close(s.servable)
 	}
 	return nil
 }
 
 // look has a pool go by the list and the plan that were told last.
-func (s *state) look(now float64, pool *placement.Pool) {
-	pool.UpdateInstances(now, s.list)
-	pool.ApplyStagePlan(now, s.plan)
+func (s *routingState) updatePool(now float64, pool *placement.Pool) {
+	pool.UpdateInstances(now, s.instances)
+	pool.ApplyStagePlan(now, s.stagePlan)
 }
 
 // revisit takes back servers that were kept out for a time that is over. Nothing new needs to be told for that.
-func (s *state) revisit() {
+func (s *routingState) refreshExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	for _, pool := range s.pools {
 		pool.ExpireStageChanges(now)
 		if pool.CanReadmit(now) {
-			s.look(now, pool)
+			s.updatePool(now, pool)
 		}
 	}
 }
 
 // unpack returns the configuration and the servers that a feed brings, nil for what it does not.
-func unpack(feed *message.Feed) (table *routeconfig.Table, instances []message.Instance, err error) {
+func unpackFeed(feed *message.Feed) (table *routeconfig.Table, instances []message.Instance, err error) {
 	if feed.Table != nil {
 		if table, err = feed.Table.Unpack(); err != nil {
 			return nil, nil, err
@@ -124,13 +124,13 @@
 }
 
 // openPools makes a pool for each service of the table that has none, and drops those of services that are gone.
-func (s *state) openPools() {
+func (s *routingState) syncPools() {
 	for name, service := range s.table.services {
 		if s.pools[name] == nil {
-			s.pools[name] = s.openPool(name)
+			s.pools[name] = s.newPool(name)
 			s.planners[name] = placement.NewPlanner(s.pools[name], s.settings.Bounds.PrefixCacheSeconds)
 		}
-		s.pools[name].Engine = engineOf(service)
+		s.pools[name].Engine = engineFor(service)
 	}
 	for name := range s.pools {
 		if s.table.services[name] == nil {
@@ -140,16 +140,16 @@
 	}
 }
 
-func (s *state) openPool(name string) *placement.Pool {
+func (s *routingState) newPool(name string) *placement.Pool {
 	bounds := s.settings.Bounds
 	budget := placement.RetryBudget{WindowSeconds: bounds.BudgetWindowSeconds, Ratio: bounds.RetryBudgetRatio, Slack: bounds.BudgetSlack}
 	pool := placement.NewPool(name, s.settings.Zone, budget, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	pool.SetRank(s.rank, s.count)
-	pool.UpdateInstances(s.now(), s.list)
+	pool.UpdateInstances(s.now(), s.instances)
 	return pool
 }
 
-func engineOf(service *routeconfig.Service) placement.Engine {
+func engineFor(service *routeconfig.Service) placement.Engine {
 	if service.Engine == nil {
 		return placement.Engine{}
 	}
@@ -158,43 +158,43 @@
 }
 
 // addresses returns those of all servers that are listed and not leaving.
-func (s *state) addresses() map[string]bool {
+func (s *routingState) listedAddresses() map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wanted := map[string]bool{}
-	for i := range s.list {
-		wanted[s.list[i].Address] = true
+	for i := range s.instances {
+		wanted[s.instances[i].Address] = true
 	}
 	return wanted
 }
 
 // report sums up what this proxy asks of model servers.
-func (s *state) report() *message.ProxyReport {
+func (s *routingState) buildReport() *message.ProxyReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := &message.ProxyReport{}
+	report := &message.ProxyReport{}
 	if s.table != nil {
-		out.ConfigVersion = s.table.version
+		report.ConfigVersion = s.table.version
 	}
 	now := s.now()
 	for name, planner := range s.planners {
 		if s.pools[name].Engine.IsPresent {
-			out.Demands = append(out.Demands, planner.Demand(now))
-			out.Loads = append(out.Loads, s.pools[name].TakeNewLoads(now)...)
+			report.Demands = append(report.Demands, planner.Demand(now))
+			report.Loads = append(report.Loads, s.pools[name].TakeNewLoads(now)...)
 		}
 	}
-	return out
+	return report
 }
 
 // do runs f on a service's pool and planner under the lock; f gets nil where the service is unknown.
-func (s *state) do(service string, f func(now float64, pool *placement.Pool, planner *placement.Planner)) {
+func (s *routingState) withService(service string, f func(now float64, pool *placement.Pool, planner *placement.Planner)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.now(), s.pools[service], s.planners[service])
 }
 
 // with runs f under the lock.
-func (s *state) with(f func(now float64)) {
+func (s *routingState) withLock(f func(now float64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.now())
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -14,19 +14,19 @@
 
 const (
 	// readingMost is how long the reading of a prompt is waited for, in times the route's objective.
-	readingMost = 6
+	prefillTimeoutFactor = 6
 	// readersMost bounds the servers that are tried for the reading of a prompt.
-	readersMost  = 3
-	maxHandle    = 64 << 10
-	eventBuffer  = 4 << 10
-	freeWithin   = time.Second
-	priorityMost = 9
+	maxPrefillAttempts      = 3
+	maxPrefillResponseBytes = 64 << 10
+	eventBufferSize         = 4 << 10
+	releaseTimeout          = time.Second
+	maxPriority             = 9
 )
 
 // stream serves a request whose answer is a series of events.
 func (p *Proxy) serveStream(ctx context.Context, w http.ResponseWriter, j *proxyRequest, engine bool) {
-	out := &relay{w: w, control: http.NewResponseController(w)}
-	defer func() { p.freeHandle(j.cache.handle) }()
+	out := &eventRelay{w: w, control: http.NewResponseController(w)}
+	defer func() { p.releaseKVHandle(j.cache.handle) }()
 	prompt := promptFromRequest(j.incoming, j.route)
 	for range maxAttemptsPerRequest {
 		if !p.chargeAttempt(j) {
@@ -34,9 +34,9 @@
 		}
 		done := false
 		if engine {
-			done = p.runPrompt(ctx, out, j, &prompt)
+			done = p.attemptPrompt(ctx, out, j, &prompt)
 		} else if endpoint := p.pickEndpoint(ctx, j); endpoint != nil {
-			done = p.runStream(ctx, out, j, run{endpoint: endpoint})
+			done = p.attemptStream(ctx, out, j, streamAttempt{endpoint: endpoint})
 		}
 		if done {
 			return
@@ -45,7 +45,7 @@
 			break
 		}
 	}
-	if out.begun {
+	if out.headWritten {
 		// Danger: an answer that ends here must not look complete.
 		panic(http.ErrAbortHandler)
 	}
@@ -68,49 +68,49 @@
 }
 
 // run is one try to have a stream made.
-type run struct {
+type streamAttempt struct {
 	endpoint *placement.Endpoint
-	reading  *placement.Prefill // where the prompt is read here
+	prefill  *placement.Prefill // where the prompt is read here
 	prompt   *placement.Prompt
 }
 
 // runPrompt chooses servers for a prompt, has it read and its answer made. It returns whether the client has its answer.
-func (p *Proxy) runPrompt(ctx context.Context, out *relay, j *proxyRequest, prompt *placement.Prompt) bool {
+func (p *Proxy) attemptPrompt(ctx context.Context, out *eventRelay, j *proxyRequest, prompt *placement.Prompt) bool {
 	if j.cache.handle != "" {
-		return p.runRead(ctx, out, j, prompt)
+		return p.attemptDecode(ctx, out, j, prompt)
 	}
-	apart := j.deliveredAttempts == 0 && !out.begun
-	without := slices.Clone(j.triedEndpoints)
-	for tries := 1; tries <= readersMost; tries++ {
-		plan, found := p.place(ctx, j, prompt, without, apart)
+	separately := j.deliveredAttempts == 0 && !out.headWritten
+	excluded := slices.Clone(j.triedEndpoints)
+	for attempt := 1; attempt <= maxPrefillAttempts; attempt++ {
+		plan, found := p.planPrompt(ctx, j, prompt, excluded, separately)
 		if !found {
 			j.lastOutcome = outcomeNotSent
 			return false
 		}
 		if plan.PrefillServer == nil {
-			return p.runStream(ctx, out, j, run{endpoint: plan.DecodeServer, prompt: prompt})
+			return p.attemptStream(ctx, out, j, streamAttempt{endpoint: plan.DecodeServer, prompt: prompt})
 		}
-		cache, verdict := p.readPrompt(ctx, j, plan.PrefillServer, prompt)
-		j.cache, j.timing.read = kvCache{handle: cache, zone: plan.PrefillServer.Zone}, time.Now()
+		handle, result := p.prefill(ctx, j, plan.PrefillServer, prompt)
+		j.cache, j.timing.read = kvCache{handle: handle, zone: plan.PrefillServer.Zone}, time.Now()
 		if ctx.Err() != nil {
 			j.lastOutcome = outcomeCanceled
 			return false
 		}
 		// Danger: to ask whether it is read again spends of the budget, which the last one must not.
-		if tries == readersMost || !p.readsAgain(j, verdict) {
+		if attempt == maxPrefillAttempts || !p.retriesPrefill(j, result) {
 			break
 		}
 		// Reading it beside answers would hold these up for a server that is merely gone or changing.
-		without = append(without, plan.PrefillServer)
+		excluded = append(excluded, plan.PrefillServer)
 	}
-	return p.runRead(ctx, out, j, prompt)
+	return p.attemptDecode(ctx, out, j, prompt)
 }
 
 // place chooses servers for a prompt and counts it at the one that is asked first.
-func (p *Proxy) place(ctx context.Context, j *proxyRequest, prompt *placement.Prompt, without []*placement.Endpoint, apart bool) (plan placement.Plan, found bool) {
+func (p *Proxy) planPrompt(ctx context.Context, j *proxyRequest, prompt *placement.Prompt, excluded []*placement.Endpoint, separately bool) (plan placement.Plan, found bool) {
 	found = p.awaitPlacement(ctx, j, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
-		chosen, some := planner.PlanPrompt(now, prompt, without, apart)
-		if !some {
+		chosen, ok := planner.PlanPrompt(now, prompt, excluded, separately)
+		if !ok {
 			return false
 		}
 		if plan = chosen; plan.PrefillServer != nil {
@@ -124,131 +124,131 @@
 }
 
 // runRead has an answer made of the cache that was read, or without one where reading failed. Its server is chosen only now.
-func (p *Proxy) runRead(ctx context.Context, out *relay, j *proxyRequest, prompt *placement.Prompt) bool {
-	var runner *placement.Endpoint
+func (p *Proxy) attemptDecode(ctx context.Context, out *eventRelay, j *proxyRequest, prompt *placement.Prompt) bool {
+	var server *placement.Endpoint
 	p.awaitPlacement(ctx, j, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
-		if runner = planner.PickDecodeServer(now, j.cache.zone, j.triedEndpoints); runner != nil {
-			runner.StartRequest()
+		if server = planner.PickDecodeServer(now, j.cache.zone, j.triedEndpoints); server != nil {
+			server.StartRequest()
 		}
-		return runner != nil
+		return server != nil
 	})
-	if runner == nil {
+	if server == nil {
 		j.lastOutcome = outcomeNotSent
 		return false
 	}
-	return p.runStream(ctx, out, j, run{endpoint: runner, prompt: prompt})
+	return p.attemptStream(ctx, out, j, streamAttempt{endpoint: server, prompt: prompt})
 }
 
 // runStream has an answer made and passes it on. It returns whether the client has its answer, else j.last says why not.
-func (p *Proxy) runStream(ctx context.Context, out *relay, j *proxyRequest, r run) bool {
-	set := []field{{headerExpectInstance, r.endpoint.ID}, {headerPriority, priorityOf(j)}}
-	taken := j.cache.handle
-	if taken != "" {
-		set = append(set, field{headerKVFrom, taken})
-	}
-	if out.lastID != "" {
-		set = append(set, field{headerLastEventID, out.lastID})
-	}
-	p.beginReading(j, &r)
-	if r.prompt != nil {
-		p.state.with(func(float64) { r.endpoint.StartDecode(r.prompt) })
-		defer p.state.with(func(float64) { r.endpoint.FinishDecode(r.prompt) })
-	}
-	got, verdict := p.roundTrip(ctx, j, r.endpoint, encodeRequest(j.incoming, j.body, j.remaining(), set...))
-	if verdict != outcomeAnswered {
-		p.endReading(j, &r, false)
-		if verdict != outcomeNotSent {
+func (p *Proxy) attemptStream(ctx context.Context, out *eventRelay, j *proxyRequest, attempt streamAttempt) bool {
+	fields := []field{{headerExpectInstance, attempt.endpoint.ID}, {headerPriority, priorityValue(j)}}
+	handle := j.cache.handle
+	if handle != "" {
+		fields = append(fields, field{headerKVFrom, handle})
+	}
+	if out.lastEventID != "" {
+		fields = append(fields, field{headerLastEventID, out.lastEventID})
+	}
+	p.startPrefill(j, &attempt)
+	if attempt.prompt != nil {
+		p.state.withLock(func(float64) { attempt.endpoint.StartDecode(attempt.prompt) })
+		defer p.state.withLock(func(float64) { attempt.endpoint.FinishDecode(attempt.prompt) })
+	}
+	exchanged, result := p.roundTrip(ctx, j, attempt.endpoint, encodeRequest(j.incoming, j.body, j.remaining(), fields...))
+	if result != outcomeAnswered {
+		p.finishPrefill(j, &attempt, false)
+		if result != outcomeNotSent {
 			j.cache.handle = "" // it may have been taken
 		}
-		p.recordOutcome(ctx, j, r.endpoint, verdict)
+		p.recordOutcome(ctx, j, attempt.endpoint, result)
 		return false
 	}
-	if got.response.StatusCode != http.StatusOK {
-		p.endReading(j, &r, false)
-		j.cache.handleRejection(got.response)
-		return p.passFailure(ctx, out, j, r.endpoint, got)
+	if exchanged.response.StatusCode != http.StatusOK {
+		p.finishPrefill(j, &attempt, false)
+		j.cache.handleRejection(exchanged.response)
+		return p.forwardFailure(ctx, out, j, attempt.endpoint, exchanged)
 	}
 	j.cache.handle = ""
-	verdict = p.passEvents(out, j, &r, got)
-	if verdict == outcomeAnswered {
+	result = p.forwardEvents(out, j, &attempt, exchanged)
+	if result == outcomeAnswered {
 		p.observed.stream(j)
 	}
-	p.recordOutcome(ctx, j, r.endpoint, verdict)
-	return verdict == outcomeAnswered
+	p.recordOutcome(ctx, j, attempt.endpoint, result)
+	return result == outcomeAnswered
 }
 
-func (p *Proxy) beginReading(j *proxyRequest, r *run) {
-	if r.prompt == nil || j.cache.handle != "" {
+func (p *Proxy) startPrefill(j *proxyRequest, attempt *streamAttempt) {
+	if attempt.prompt == nil || j.cache.handle != "" {
 		return
 	}
-	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
+	p.state.withService(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		if planner != nil {
-			r.reading = planner.StartPrefill(now, r.endpoint, r.prompt)
+			attempt.prefill = planner.StartPrefill(now, attempt.endpoint, attempt.prompt)
 		}
 	})
 }
 
-func (p *Proxy) endReading(j *proxyRequest, r *run, read bool) {
-	if r.reading == nil {
+func (p *Proxy) finishPrefill(j *proxyRequest, attempt *streamAttempt, succeeded bool) {
+	if attempt.prefill == nil {
 		return
 	}
-	p.state.do(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
+	p.state.withService(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		if planner != nil {
-			planner.FinishPrefill(now, r.endpoint, r.reading, read)
+			planner.FinishPrefill(now, attempt.endpoint, attempt.prefill, succeeded)
 		}
 	})
-	r.reading = nil
+	attempt.prefill = nil
 }
 
 // passFailure passes on an answer that is no stream, where it may be.
-func (p *Proxy) passFailure(ctx context.Context, out *relay, j *proxyRequest, endpoint *placement.Endpoint, got *backendExchange) bool {
-	body, err := io.ReadAll(io.LimitReader(got.response.Body, maxResponseBytes))
-	verdict := outcomeMayHaveExecuted
-	if err == nil && hasDelimitedBody(got.response) {
-		got.finish(p.backends, endpoint.Address)
-		verdict = classifyResponse(got.response)
+func (p *Proxy) forwardFailure(ctx context.Context, out *eventRelay, j *proxyRequest, endpoint *placement.Endpoint, exchanged *backendExchange) bool {
+	body, err := io.ReadAll(io.LimitReader(exchanged.response.Body, maxResponseBytes))
+	result := outcomeMayHaveExecuted
+	if err == nil && hasDelimitedBody(exchanged.response) {
+		exchanged.finish(p.backends, endpoint.Address)
+		result = classifyResponse(exchanged.response)
 	} else {
-		got.abort()
+		exchanged.abort()
 	}
-	repeats := j.route.Resumable && j.possibleExecutions+1 < j.route.MaxAttempts
-	if verdict != outcomeAnswered || out.begun || repeats {
-		if verdict == outcomeAnswered {
-			verdict = outcomeMayHaveExecuted
+	retries := j.route.Resumable && j.possibleExecutions+1 < j.route.MaxAttempts
+	if result != outcomeAnswered || out.headWritten || retries {
+		if result == outcomeAnswered {
+			result = outcomeMayHaveExecuted
 		}
-		p.recordOutcome(ctx, j, endpoint, verdict)
+		p.recordOutcome(ctx, j, endpoint, result)
 		return false
 	}
 	p.recordOutcome(ctx, j, endpoint, outcomeAnswered)
-	out.head(got.response)
+	out.writeHead(exchanged.response)
 	_, _ = out.w.Write(body) // a client that is gone needs none
 	return true
 }
 
 // passEvents passes events on until the stream ends. Only whole events go out.
-func (p *Proxy) passEvents(out *relay, j *proxyRequest, r *run, got *backendExchange) outcome {
-	if !hasDelimitedBody(got.response) || got.response.Header.Get(headerStamp) == "" || got.response.Header.Get("Content-Encoding") != "" {
-		got.abort()
-		p.endReading(j, r, false)
+func (p *Proxy) forwardEvents(out *eventRelay, j *proxyRequest, attempt *streamAttempt, exchanged *backendExchange) outcome {
+	if !hasDelimitedBody(exchanged.response) || exchanged.response.Header.Get(headerStamp) == "" || exchanged.response.Header.Get("Content-Encoding") != "" {
+		exchanged.abort()
+		p.finishPrefill(j, attempt, false)
 		return outcomeMayHaveExecuted
 	}
-	in := bufio.NewReaderSize(got.response.Body, eventBuffer)
+	in := bufio.NewReaderSize(exchanged.response.Body, eventBufferSize)
 	for {
 		event, err := readEvent(in)
-		p.endReading(j, r, err == nil)
+		p.finishPrefill(j, attempt, err == nil)
 		if err != nil && !errors.Is(err, io.EOF) {
-			got.abort()
+			exchanged.abort()
 			return outcomeMayHaveExecuted
 		}
 		if len(event) > 0 {
-			if failed := out.event(got.response, event); failed != nil {
-				got.abort()
+			if writeErr := out.writeEvent(exchanged.response, event); writeErr != nil {
+				exchanged.abort()
 				return outcomeCanceled
 			}
 			j.timing.event(time.Now())
 		}
 		if err != nil {
-			out.head(got.response)
-			got.finish(p.backends, r.endpoint.Address)
+			out.writeHead(exchanged.response)
+			exchanged.finish(p.backends, attempt.endpoint.Address)
 			return outcomeAnswered
 		}
 	}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -217,7 +217,7 @@
 
 // budgetLeft uses a proxy's budget up, and returns how many arrivals there was room for.
 func budgetLeft(p *Proxy) (left int) {
-	p.state.do("s", func(now float64, pool *placement.Pool, _ *placement.Planner) {
+	p.state.withService("s", func(now float64, pool *placement.Pool, _ *placement.Planner) {
 		for pool.Budget.TrySpend(now, pool.ProxyCount()) {
 			left++
 		}
--- a/internal/proxy/table.go
+++ b/internal/proxy/table.go
@@ -13,7 +13,7 @@
 type routeTable struct {
 	version  uint64
 	limits   routeconfig.Limits
-	tree     *iradix.Tree[*routeconfig.Route]
+	byPlace  *iradix.Tree[*routeconfig.Route]
 	services map[string]*routeconfig.Service
 }
 
@@ -22,9 +22,9 @@
 	txn := iradix.New[*routeconfig.Route]().Txn()
 	for i := range table.Routes {
 		route := &table.Routes[i]
-		txn.Insert([]byte(placeKey(route.Host, route.PathPrefix)), route)
+		txn.Insert([]byte(routeKey(route.Host, route.PathPrefix)), route)
 	}
-	t.tree = txn.Commit()
+	t.byPlace = txn.Commit()
 	for i := range table.Services {
 		t.services[table.Services[i].Name] = &table.Services[i]
 	}
@@ -32,14 +32,14 @@
 }
 
 // placeKey joins a host and a path. No host holds a zero byte, so none is the beginning of another.
-func placeKey(host, path string) string { return strings.ToLower(host) + "\x00" + path }
+func routeKey(host, path string) string { return strings.ToLower(host) + "\x00" + path }
 
 // find returns the route with the longest prefix, nil if there is none.
 func (t *routeTable) find(host, path string) *routeconfig.Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
 	}
-	_, route, found := t.tree.Root().LongestPrefix([]byte(placeKey(host, path)))
+	_, route, found := t.byPlace.Root().LongestPrefix([]byte(routeKey(host, path)))
 	if !found {
 		return nil
 	}
@@ -47,7 +47,7 @@
 }
 
 // target draws the service of a request by the weights.
-func target(route *routeconfig.Route) string {
+func drawService(route *routeconfig.Route) string {
 	if len(route.Services) == 1 {
 		return route.Services[0].Service
 	}
--- a/internal/proxy/wire_form_test.go
+++ b/internal/proxy/wire_form_test.go
@@ -69,8 +69,8 @@
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(func() uint64 { return p.state.routes().version }).Should(BeEquivalentTo(7))
 		p.state.mu.Lock()
-		Expect(p.state.list).To(Equal([]message.Instance{{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 4, Stage: message.Decode}}))
-		Expect(p.state.plan).To(Equal(message.StagePlan{Token: 3, Sequence: 9, Stages: map[string]message.Stage{"i-1": message.Prefill}}))
+		Expect(p.state.instances).To(Equal([]message.Instance{{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 4, Stage: message.Decode}}))
+		Expect(p.state.stagePlan).To(Equal(message.StagePlan{Token: 3, Sequence: 9, Stages: map[string]message.Stage{"i-1": message.Prefill}}))
 		Expect([]int{p.state.rank, p.state.count}).To(Equal([]int{1, 3}))
 		p.state.mu.Unlock()
 		Expect(conn.SetReadDeadline(time.Now().Add(30 * time.Second))).To(Succeed())
@@ -87,7 +87,7 @@
 	})
 
 	It("has the same JSON key for the handle of a cache", func() {
-		var answer handleAnswer
+		var answer prefillResponse
 		Expect(json.Unmarshal([]byte(`{"KvHandle":"h1"}`), &answer)).To(Succeed())
 		Expect(answer.KvHandle).To(Equal("h1"))
 		data, err := json.Marshal(answer)
