--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -47,7 +47,7 @@
 	possibleExecutions int     // servers that may have run it
 	lastOutcome        outcome // of the attempt before
 	cache              kvCache
-	timing             streamTimes
+	timing             streamTiming
 }
 
 // left is the time that remains.
@@ -142,13 +142,13 @@
 func (p *Proxy) respondFailure(ctx context.Context, w http.ResponseWriter, j *proxyRequest) {
 	switch {
 	case j.possibleExecutions == 0 && (ctx.Err() == nil || j.remaining() <= 0):
-		p.observed.count(j.service, func(counts *unserved) { counts.Refused++ })
+		p.stats.countUnserved(j.service, func(counts *unservedCounts) { counts.Rejected++ })
 		respondUnavailable(w, retryAfterSeconds)
 	case j.remaining() <= 0:
-		p.observed.count(j.service, func(counts *unserved) { counts.OutOfTime++ })
+		p.stats.countUnserved(j.service, func(counts *unservedCounts) { counts.TimedOut++ })
 		http.Error(w, "out of time", http.StatusGatewayTimeout)
 	default:
-		p.observed.count(j.service, func(counts *unserved) { counts.BrokenOff++ })
+		p.stats.countUnserved(j.service, func(counts *unservedCounts) { counts.BackendFailed++ })
 		http.Error(w, "the server broke off", http.StatusBadGateway)
 	}
 }
@@ -217,7 +217,7 @@
 		}
 		response, body := p.attemptUnary(ctx, j, endpoint)
 		if response != nil {
-			passHead(w, response)
+			copyResponseHeader(w, response)
 			w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 			w.WriteHeader(response.StatusCode)
 			_, _ = w.Write(body) // a client that is gone needs none
@@ -232,7 +232,7 @@
 
 // attempt sends a request to a server and reads the whole answer. Without an answer for the client, j.last says why.
 func (p *Proxy) attemptUnary(ctx context.Context, j *proxyRequest, endpoint *placement.Endpoint) (*http.Response, []byte) {
-	exchanged, result := p.roundTrip(ctx, j, endpoint, encodeRequest(j.incoming, j.body, j.remaining(), field{headerExpectInstance, endpoint.ID}))
+	exchanged, result := p.roundTrip(ctx, j, endpoint, encodeRequest(j.incoming, j.body, j.remaining(), headerField{headerExpectInstance, endpoint.ID}))
 	if result != outcomeAnswered {
 		p.recordOutcome(ctx, j, endpoint, result)
 		return nil, nil
@@ -243,7 +243,7 @@
 		p.recordOutcome(ctx, j, endpoint, outcomeMayHaveExecuted)
 		return nil, nil
 	}
-	exchanged.finish(p.backends, endpoint.Address)
+	exchanged.finish(p.conns, endpoint.Address)
 	result = classifyResponse(exchanged.response)
 	isServerError := exchanged.response.StatusCode >= http.StatusInternalServerError
 	retries := isServerError && j.route.Kind == routeconfig.Idempotent && j.possibleExecutions+1 < j.route.MaxAttempts
@@ -260,13 +260,13 @@
 
 // whole tells whether the end of an answer can be known.
 func hasDelimitedBody(response *http.Response) bool {
-	return response.ContentLength >= 0 || chunked(response)
+	return response.ContentLength >= 0 || isChunked(response)
 }
 
 // judge tells what an answer that came whole means.
 func classifyResponse(response *http.Response) outcome {
 	switch {
-	case refusal(response):
+	case isNotExecuted(response):
 		return outcomeNotExecuted
 	case response.StatusCode < http.StatusMultipleChoices && (response.Header.Get(headerStamp) == "" || response.Header.Get("Content-Encoding") != ""):
 		return outcomeMayHaveExecuted
@@ -285,7 +285,7 @@
 		p.log.WithField("server", endpoint.ID).WithError(err).Debug("not connected")
 		return nil, outcomeNotSent
 	}
-	exchanged, result, err := send(ctx, conn, j.incoming.Method, j.id, request)
+	exchanged, result, err := sendRequest(ctx, conn, j.incoming.Method, j.id, request)
 	if err != nil {
 		p.log.WithField("server", endpoint.ID).WithField("request", j.id).WithError(err).Debug("no answer")
 		return nil, result
@@ -294,7 +294,7 @@
 		p.logMisdirected(j, endpoint, exchanged.response)
 	}
 	p.state.withLock(func(now float64) {
-		if running, waiting, ok := serverLoad(exchanged.response.Header); ok {
+		if running, waiting, ok := parseServerLoad(exchanged.response.Header); ok {
 			endpoint.RecordLoad(now, running, waiting)
 		}
 		if exchanged.response.StatusCode == http.StatusMisdirectedRequest {
@@ -309,12 +309,12 @@
 func (p *Proxy) connectBackend(ctx context.Context, j *proxyRequest, endpoint *placement.Endpoint) (*backendConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, backendConnectTimeout)
 	defer cancel()
-	conn, err := p.backends.get(ctx, endpoint.Address, j.id)
+	conn, err := p.conns.get(ctx, endpoint.Address, j.id)
 	if err != nil {
 		return nil, err
 	}
 	if !p.verifyNewConn(ctx, j, endpoint, conn) {
-		return nil, errNotTaken
+		return nil, errNewConnRejected
 	}
 	return conn, nil
 }
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -28,12 +28,12 @@
 )
 
 // connectionFields concern one connection only.
-var connectionFields = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te",
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
 // perHop tells whether a field must not be passed on.
-func perHop(name string, header http.Header) bool {
-	if slices.Contains(connectionFields, name) {
+func isHopByHop(name string, header http.Header) bool {
+	if slices.Contains(hopByHopHeaders, name) {
 		return true
 	}
 	for _, line := range header["Connection"] {
@@ -47,20 +47,20 @@
 }
 
 // field is one that the proxy sets.
-type field struct{ name, value string }
+type headerField struct{ name, value string }
 
 // systemFields are those that only the system sets on requests to servers, which go by them. Danger: a server to which a client's
 // word comes in one of them turns the request away as misdirected, or takes it for what it is not.
-var systemFields = []string{headerServingStage, headerKVFrom, headerExpectInstance, headerExpectVersion, headerPriority, headerDeadline}
+var reservedHeaders = []string{headerServingStage, headerKVFrom, headerExpectInstance, headerExpectVersion, headerPriority, headerDeadline}
 
 // passedOn tells whether a client's field goes along to servers, beside those that are set.
-func passedOn(name string, header http.Header, set []field) bool {
-	return !perHop(name, header) && !slices.Contains(systemFields, name) &&
-		!slices.ContainsFunc(set, func(f field) bool { return f.name == name })
+func isForwarded(name string, header http.Header, set []headerField) bool {
+	return !isHopByHop(name, header) && !slices.Contains(reservedHeaders, name) &&
+		!slices.ContainsFunc(set, func(f headerField) bool { return f.name == name })
 }
 
 // encodeRequest writes a client's request as it goes to a server, with fields set in place of the client's.
-func encodeRequest(r *http.Request, body []byte, left time.Duration, set ...field) []byte {
+func encodeRequest(r *http.Request, body []byte, left time.Duration, set ...headerField) []byte {
 	target := r.RequestURI
 	if !strings.HasPrefix(target, "/") {
 		target = r.URL.RequestURI()
@@ -68,9 +68,9 @@
 	var out strings.Builder
 	out.Grow(len(body) + 1024)
 	out.WriteString(r.Method + " " + target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	set = append(set, field{headerDeadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10)})
+	set = append(set, headerField{headerDeadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10)})
 	for name, values := range r.Header {
-		if !passedOn(name, r.Header, set) {
+		if !isForwarded(name, r.Header, set) {
 			continue
 		}
 		for _, value := range values {
@@ -91,23 +91,23 @@
 }
 
 // passHead copies the fields of a server's answer that are for the client.
-func passHead(w http.ResponseWriter, answer *http.Response) {
+func copyResponseHeader(w http.ResponseWriter, response *http.Response) {
 	header := w.Header()
-	for name, values := range answer.Header {
-		if !perHop(name, answer.Header) {
+	for name, values := range response.Header {
+		if !isHopByHop(name, response.Header) {
 			header[name] = values
 		}
 	}
 	// Danger: net/http would add what the server has not sent.
 	for _, name := range []string{"Content-Type", "Date"} {
-		if _, sent := header[name]; !sent {
+		if _, isSet := header[name]; !isSet {
 			header[name] = nil
 		}
 	}
 }
 
 // serverLoad reads "running,waiting,slots".
-func serverLoad(header http.Header) (running, waiting int, ok bool) {
+func parseServerLoad(header http.Header) (running, waiting int, ok bool) {
 	pieces := strings.Split(header.Get(headerServerLoad), ",")
 	if len(pieces) != 3 {
 		return 0, 0, false
--- a/internal/proxy/misdirected_test.go
+++ b/internal/proxy/misdirected_test.go
@@ -99,13 +99,13 @@
 }
 
 // sendPrompt returns the status that a prompt with these further fields gets.
-func sendPrompt(t *testing.T, front *httptest.Server, id string, fields ...field) int {
+func sendPrompt(t *testing.T, front *httptest.Server, id string, fields ...headerField) int {
 	request, err := http.NewRequest(http.MethodPost, front.URL+"/p/x", strings.NewReader("body"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	request.Host = "h.example"
-	fields = append(fields, field{headerRequestID, id}, field{headerDeadline, "4000"}, field{headerPrefixHash, prefix}, field{headerTokenCounts, "20800,20"})
+	fields = append(fields, headerField{headerRequestID, id}, headerField{headerDeadline, "4000"}, headerField{headerPrefixHash, prefix}, headerField{headerTokenCounts, "20800,20"})
 	for _, f := range fields {
 		request.Header.Set(f.name, f.value)
 	}
@@ -125,7 +125,7 @@
 func TestClientsSendFieldsOfTheSystem(t *testing.T) {
 	reader, runner := newModelServer(t, "i-1", message.Prefill), newModelServer(t, "i-2", message.Decode)
 	front := promptFront(t, reader, runner)
-	sent := []field{{headerServingStage, stagePrefill}, {"Expect-Version", "7"}, {headerKVFrom, "10.0.0.1:1/h9"}, {headerExpectInstance, "i-9"},
+	sent := []headerField{{headerServingStage, stagePrefill}, {"Expect-Version", "7"}, {headerKVFrom, "10.0.0.1:1/h9"}, {headerExpectInstance, "i-9"},
 		{headerPriority, "0"}}
 	for i, f := range sent {
 		if status := sendPrompt(t, front, fmt.Sprint("id-", i), f); status != http.StatusOK {
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -15,70 +15,70 @@
 
 const (
 	// misdirectedEvery is the least time between log lines about servers that turn requests away as not theirs.
-	misdirectedEvery = 2 * time.Second
+	misdirectedLogInterval = 2 * time.Second
 	// unservedEvery is the time between log lines about requests that were not served.
-	unservedEvery = 5 * time.Second
+	unservedLogInterval = 5 * time.Second
 )
 
 // observations counts what operators need to see of requests that no server took, and keeps its log lines few.
-type observations struct {
-	misdirected rate.Sometimes
+type requestStats struct {
+	misdirectedLog rate.Sometimes
 
-	mu       sync.Mutex
-	unserved map[string]unserved // since the last line, by service
-	logged   time.Time
+	mu               sync.Mutex
+	unserved         map[string]unservedCounts // since the last line, by service
+	unservedLoggedAt time.Time
 
-	streams       map[string]*streamCounts // since the last line, by route
-	streamsLogged time.Time
+	streams         map[string]*streamCounts // since the last line, by route
+	streamsLoggedAt time.Time
 }
 
 // streamCounts counts the streams of a route that were served, and those of them that came late by what made them so.
 type streamCounts struct {
-	Served      int
-	LateReading int // more than half of the objective was over when the prompt had been read
-	LateFirst   int // the first event came late all the same
-	LatePause   int // a pause between events was too long
+	Served         int
+	LatePrefill    int // more than half of the objective was over when the prompt had been read
+	LateFirstEvent int // the first event came late all the same
+	LateGap        int // a pause between events was too long
 }
 
 // streamTimes is when what mattered to a stream happened.
-type streamTimes struct {
-	read  time.Time // the prompt had been read apart; zero: it was not
-	first time.Time // the first event went out
-	last  time.Time // the newest event went out
-	pause time.Duration
+type streamTiming struct {
+	prefilledAt  time.Time // the prompt had been read apart; zero: it was not
+	firstEventAt time.Time // the first event went out
+	lastEventAt  time.Time // the newest event went out
+	longestGap   time.Duration
 }
 
 // event notes that an event goes out.
-func (s *streamTimes) event(now time.Time) {
-	if s.first.IsZero() {
-		s.first = now
+func (s *streamTiming) recordEvent(now time.Time) {
+	if s.firstEventAt.IsZero() {
+		s.firstEventAt = now
 	} else {
-		s.pause = max(s.pause, now.Sub(s.last))
+		s.longestGap = max(s.longestGap, now.Sub(s.lastEventAt))
 	}
-	s.last = now
+	s.lastEventAt = now
 }
 
 // readingPart is the part of the objective after which a prompt has been read late.
-const readingPart = 0.5
+const latePrefillFraction = 0.5
 
 // add counts a stream of a route that was served.
-func (c *streamCounts) add(route *routeconfig.Route, arrived time.Time, times *streamTimes) {
+func (c *streamCounts) add(route *routeconfig.Route, arrived time.Time, times *streamTiming) {
 	c.Served++
 	target := nodeconfig.FromMillis(route.LatencyTargetMs)
 	switch {
-	case target > 0 && times.first.Sub(arrived) > target:
-		if !times.read.IsZero() && float64(times.read.Sub(arrived)) > readingPart*float64(target) {
-			c.LateReading++
+	case target > 0 && times.firstEventAt.Sub(arrived) > target:
+		if !times.prefilledAt.IsZero() && float64(times.prefilledAt.Sub(arrived)) > latePrefillFraction*float64(target) {
+			c.LatePrefill++
 		} else {
-			c.LateFirst++
+			c.LateFirstEvent++
 		}
-	case route.TokenGapTargetMs > 0 && times.pause > nodeconfig.FromMillis(route.TokenGapTargetMs):
-		c.LatePause++
+	case route.TokenGapTargetMs > 0 && times.longestGap > nodeconfig.FromMillis(route.TokenGapTargetMs):
+		c.LateGap++
 	}
 }
 
 // stream counts a stream that was served.
-func (o *observations) stream(j *proxyRequest) {
+func (o *requestStats) countStream(j *proxyRequest) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	counts := o.streams[j.route.Name]
@@ -90,42 +90,42 @@
 }
 
 // dueStreams returns the counts of streams once it is time for a line, nil before.
-func (o *observations) dueStreams(now time.Time) map[string]*streamCounts {
+func (o *requestStats) takeDueStreams(now time.Time) map[string]*streamCounts {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.streams) == 0 || now.Sub(o.streamsLogged) < unservedEvery {
+	if len(o.streams) == 0 || now.Sub(o.streamsLoggedAt) < unservedLogInterval {
 		return nil
 	}
 	counts := o.streams
-	o.streams, o.streamsLogged = map[string]*streamCounts{}, now
+	o.streams, o.streamsLoggedAt = map[string]*streamCounts{}, now
 	return counts
 }
 
 // logStreams tells of routes whose streams came late, and by what.
 func (p *Proxy) logStreams(now time.Time) {
-	for route, counts := range p.observed.dueStreams(now) {
-		if counts.LateReading+counts.LateFirst+counts.LatePause == 0 {
+	for route, counts := range p.stats.takeDueStreams(now) {
+		if counts.LatePrefill+counts.LateFirstEvent+counts.LateGap == 0 {
 			continue
 		}
-		p.log.WithField("route", route).WithField("served", counts.Served).WithField("late_reading", counts.LateReading).
-			WithField("late_first", counts.LateFirst).WithField("late_pause", counts.LatePause).Info("streams late")
+		p.log.WithField("route", route).WithField("served", counts.Served).WithField("late_reading", counts.LatePrefill).
+			WithField("late_first", counts.LateFirstEvent).WithField("late_pause", counts.LateGap).Info("streams late")
 	}
 }
 
 // unserved counts requests that brought no answer of a server.
-type unserved struct {
-	Refused   int // none has run
-	BrokenOff int // the server broke off and may have run it
-	OutOfTime int // the time was over and a server may have run it
+type unservedCounts struct {
+	Rejected      int // none has run
+	BackendFailed int // the server broke off and may have run it
+	TimedOut      int // the time was over and a server may have run it
 }
 
-func newObservations() *observations {
-	return &observations{misdirected: rate.Sometimes{Interval: misdirectedEvery}, unserved: map[string]unserved{}, logged: time.Now(),
-		streams: map[string]*streamCounts{}, streamsLogged: time.Now()}
+func newRequestStats() *requestStats {
+	return &requestStats{misdirectedLog: rate.Sometimes{Interval: misdirectedLogInterval}, unserved: map[string]unservedCounts{}, unservedLoggedAt: time.Now(),
+		streams: map[string]*streamCounts{}, streamsLoggedAt: time.Now()}
 }
 
 // count adds to what is counted for a service.
-func (o *observations) count(service string, add func(counts *unserved)) {
+func (o *requestStats) countUnserved(service string, add func(counts *unservedCounts)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	counts := o.unserved[service]
@@ -134,28 +134,28 @@
 }
 
 // due returns the counts once it is time for a line, nil before.
-func (o *observations) due(now time.Time) map[string]unserved {
+func (o *requestStats) takeDueUnserved(now time.Time) map[string]unservedCounts {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.unserved) == 0 || now.Sub(o.logged) < unservedEvery {
+	if len(o.unserved) == 0 || now.Sub(o.unservedLoggedAt) < unservedLogInterval {
 		return nil
 	}
 	counts := o.unserved
-	o.unserved, o.logged = map[string]unserved{}, now
+	o.unserved, o.unservedLoggedAt = map[string]unservedCounts{}, now
 	return counts
 }
 
 // logUnserved tells how many requests were not served, and why the servers of their services were not chosen.
 func (p *Proxy) logUnserved(now time.Time) {
-	for service, counts := range p.observed.due(now) {
+	for service, counts := range p.stats.takeDueUnserved(now) {
 		var standing placement.Status
 		p.state.withService(service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
 			if pool != nil {
 				standing = pool.Status(now)
 			}
 		})
-		p.log.WithField("service", service).WithField("refused", counts.Refused).WithField("broken_off", counts.BrokenOff).
-			WithField("out_of_time", counts.OutOfTime).WithField("listed", standing.Listed).WithField("draining", standing.Draining).
+		p.log.WithField("service", service).WithField("refused", counts.Rejected).WithField("broken_off", counts.BackendFailed).
+			WithField("out_of_time", counts.TimedOut).WithField("listed", standing.Listed).WithField("draining", standing.Draining).
 			WithField("switching", standing.Switching).WithField("members", standing.Members).WithField("free", standing.Available).
 			WithField("misplaced", standing.WrongInstance).WithField("cooling", standing.Ejected).WithField("full", standing.Full).
 			WithField("suspected", standing.Suspected).Warn("requests not served")
@@ -163,17 +163,17 @@
 }
 
 // logMisdirected tells of a server that turned a request away as not its own, and which of the system's fields the client had sent.
-func (p *Proxy) logMisdirected(j *proxyRequest, endpoint *placement.Endpoint, answer *http.Response) {
-	p.observed.misdirected.Do(func() {
+func (p *Proxy) logMisdirected(j *proxyRequest, endpoint *placement.Endpoint, response *http.Response) {
+	p.stats.misdirectedLog.Do(func() {
 		p.log.WithField("server", endpoint.ID).WithField("address", endpoint.Address).WithField("stage", endpoint.Stage).
-			WithField("request", j.id).WithField("answered_by", answer.Header.Get(headerInstanceID)).
-			WithField("client_fields", systemFieldsOf(j.incoming.Header)).Warn("misdirected")
+			WithField("request", j.id).WithField("answered_by", response.Header.Get(headerInstanceID)).
+			WithField("client_fields", sentReservedHeaders(j.incoming.Header)).Warn("misdirected")
 	})
 }
 
 // systemFieldsOf returns those of the system's fields that a client has sent, but for the time that it has.
-func systemFieldsOf(header http.Header) (names []string) {
-	for _, name := range systemFields {
+func sentReservedHeaders(header http.Header) (names []string) {
+	for _, name := range reservedHeaders {
 		if _, sent := header[name]; sent && name != headerDeadline {
 			names = append(names, name)
 		}
--- a/internal/proxy/observe_test.go
+++ b/internal/proxy/observe_test.go
@@ -12,15 +12,15 @@
 
 var _ = Describe("what operators see of requests that are not served", func() {
 	It("is counted by service and told once in a while", func() {
-		o := newObservations()
-		began := o.logged
-		refused := func(counts *unserved) { counts.Refused++ }
-		o.count("s", refused)
-		o.count("s", refused)
-		o.count("t", func(counts *unserved) { counts.BrokenOff++ })
-		Expect(o.due(began.Add(unservedEvery - time.Millisecond))).To(BeNil())
-		Expect(o.due(began.Add(unservedEvery))).To(Equal(map[string]unserved{"s": {Refused: 2}, "t": {BrokenOff: 1}}))
-		Expect(o.due(began.Add(3 * unservedEvery))).To(BeNil())
+		o := newRequestStats()
+		began := o.unservedLoggedAt
+		refused := func(counts *unservedCounts) { counts.Rejected++ }
+		o.countUnserved("s", refused)
+		o.countUnserved("s", refused)
+		o.countUnserved("t", func(counts *unservedCounts) { counts.BackendFailed++ })
+		Expect(o.takeDueUnserved(began.Add(unservedLogInterval - time.Millisecond))).To(BeNil())
+		Expect(o.takeDueUnserved(began.Add(unservedLogInterval))).To(Equal(map[string]unservedCounts{"s": {Rejected: 2}, "t": {BackendFailed: 1}}))
+		Expect(o.takeDueUnserved(began.Add(3 * unservedLogInterval))).To(BeNil())
 	})
 
 	It("names the system's fields that a client has sent", func() {
@@ -28,38 +28,38 @@
 		header.Set(headerRequestID, "id-1")
 		header.Set(headerServingStage, "prefill")
 		header.Set(headerKVFrom, "somewhere")
-		Expect(systemFieldsOf(header)).To(Equal([]string{headerServingStage, headerKVFrom}))
+		Expect(sentReservedHeaders(header)).To(Equal([]string{headerServingStage, headerKVFrom}))
 	})
 })
 
 var _ = DescribeTable("a stream counts by what made it late", func(read, first, pause time.Duration, want streamCounts) {
 	arrived := time.Now()
-	times := &streamTimes{}
+	times := &streamTiming{}
 	if read > 0 {
-		times.read = arrived.Add(read)
+		times.prefilledAt = arrived.Add(read)
 	}
-	times.event(arrived.Add(first))
-	times.event(arrived.Add(first + pause))
+	times.recordEvent(arrived.Add(first))
+	times.recordEvent(arrived.Add(first + pause))
 	counts := &streamCounts{}
 	counts.add(&routeconfig.Route{LatencyTargetMs: 400, TokenGapTargetMs: 200}, arrived, times)
 	want.Served = 1
 	Expect(*counts).To(Equal(want))
 }, Entry("in time", 100*time.Millisecond, 300*time.Millisecond, 50*time.Millisecond, streamCounts{}),
-	Entry("its prompt was read late", 250*time.Millisecond, 500*time.Millisecond, 500*time.Millisecond, streamCounts{LateReading: 1}),
-	Entry("its first event came late", 100*time.Millisecond, 500*time.Millisecond, 0*time.Second, streamCounts{LateFirst: 1}),
-	Entry("nothing was read apart", 0*time.Second, 500*time.Millisecond, 0*time.Second, streamCounts{LateFirst: 1}),
-	Entry("it paused", 100*time.Millisecond, 300*time.Millisecond, 250*time.Millisecond, streamCounts{LatePause: 1}))
+	Entry("its prompt was read late", 250*time.Millisecond, 500*time.Millisecond, 500*time.Millisecond, streamCounts{LatePrefill: 1}),
+	Entry("its first event came late", 100*time.Millisecond, 500*time.Millisecond, 0*time.Second, streamCounts{LateFirstEvent: 1}),
+	Entry("nothing was read apart", 0*time.Second, 500*time.Millisecond, 0*time.Second, streamCounts{LateFirstEvent: 1}),
+	Entry("it paused", 100*time.Millisecond, 300*time.Millisecond, 250*time.Millisecond, streamCounts{LateGap: 1}))
 
 var _ = Describe("the counts of streams", func() {
 	It("are told once in a while, by route", func() {
-		o := newObservations()
+		o := newRequestStats()
 		j := &proxyRequest{route: &routeconfig.Route{Name: "r", LatencyTargetMs: 400}, arrivedAt: time.Now()}
-		j.timing.event(j.arrivedAt)
-		o.stream(j)
-		o.stream(j)
-		Expect(o.dueStreams(o.streamsLogged.Add(unservedEvery - time.Millisecond))).To(BeNil())
-		Expect(o.dueStreams(o.streamsLogged.Add(unservedEvery))).To(Equal(map[string]*streamCounts{"r": {Served: 2}}))
-		Expect(o.dueStreams(o.streamsLogged.Add(3 * unservedEvery))).To(BeNil())
+		j.timing.recordEvent(j.arrivedAt)
+		o.countStream(j)
+		o.countStream(j)
+		Expect(o.takeDueStreams(o.streamsLoggedAt.Add(unservedLogInterval - time.Millisecond))).To(BeNil())
+		Expect(o.takeDueStreams(o.streamsLoggedAt.Add(unservedLogInterval))).To(Equal(map[string]*streamCounts{"r": {Served: 2}}))
+		Expect(o.takeDueStreams(o.streamsLoggedAt.Add(3 * unservedLogInterval))).To(BeNil())
 	})
 })
 
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	probeTick   = 100 * time.Millisecond
-	probeWithin = 3 * time.Second
-	sweepEvery  = 20 // ticks
+	healthCheckTick    = 100 * time.Millisecond
+	healthCheckTimeout = 3 * time.Second
+	sweepTicks         = 20 // ticks
 )
 
 // probe asks each member for its health in its time, until the context ends.
-func (p *Proxy) probe(ctx context.Context) {
-	ticker := time.NewTicker(probeTick)
+func (p *Proxy) runHealthChecks(ctx context.Context) {
+	ticker := time.NewTicker(healthCheckTick)
 	defer ticker.Stop()
 	for tick := 0; ; tick++ {
 		select {
@@ -26,91 +26,91 @@
 			return
 		case <-ticker.C:
 		}
-		p.probeDue(ctx)
+		p.checkDueEndpoints(ctx)
 		p.logUnserved(time.Now())
 		p.logStreams(time.Now())
-		if tick%sweepEvery == 0 {
+		if tick%sweepTicks == 0 {
 			p.state.refreshExpired()
 			wanted := p.state.listedAddresses()
-			p.backends.sweep(func(address string) bool { return wanted[address] })
+			p.conns.closeExpired(func(address string) bool { return wanted[address] })
 		}
 	}
 }
 
 // dueProbe is a server to be probed.
-type dueProbe struct {
+type healthCheck struct {
 	endpoint         *placement.Endpoint
 	address, id      string
 	healthPath, host string
 }
 
-func (p *Proxy) probeDue(ctx context.Context) {
-	var due []dueProbe
+func (p *Proxy) checkDueEndpoints(ctx context.Context) {
+	var due []healthCheck
 	p.state.withLock(func(now float64) {
 		for name, pool := range p.state.pools {
 			service := p.state.table.services[name]
 			pool.Budget.Trim(now)
 			for _, endpoint := range pool.DueProbes(now) {
-				due = append(due, dueProbe{endpoint, endpoint.Address, endpoint.ID, service.HealthPath, name})
+				due = append(due, healthCheck{endpoint, endpoint.Address, endpoint.ID, service.HealthPath, name})
 			}
 		}
 	})
 	for _, target := range due {
-		go p.probeOne(ctx, target)
+		go p.checkEndpoint(ctx, target)
 	}
 }
 
 // probeOne takes an answer of 200 of the instance that is meant for a sign of life; nothing else is.
-func (p *Proxy) probeOne(ctx context.Context, target dueProbe) {
-	ctx, cancel := context.WithTimeout(ctx, probeWithin)
+func (p *Proxy) checkEndpoint(ctx context.Context, target healthCheck) {
+	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	header, status := p.askHealth(ctx, target)
+	header, status := p.requestHealth(ctx, target)
 	p.state.withLock(func(now float64) {
 		instance := header.Get(headerInstanceID)
 		target.endpoint.RecordIdentity(instance)
 		alive := status == http.StatusOK && (instance == "" || instance == target.id)
-		if running, waiting, ok := serverLoad(header); ok {
+		if running, waiting, ok := parseServerLoad(header); ok {
 			target.endpoint.RecordLoad(now, running, waiting)
 		}
 		target.endpoint.RecordProbe(now, alive)
 	})
 }
 
-func (p *Proxy) askHealth(ctx context.Context, target dueProbe) (http.Header, int) {
-	conn, err := p.backends.get(ctx, target.address, "")
+func (p *Proxy) requestHealth(ctx context.Context, target healthCheck) (http.Header, int) {
+	conn, err := p.conns.get(ctx, target.address, "")
 	if err != nil {
 		return nil, 0
 	}
-	got, err := askHealthOn(ctx, conn, target)
+	exchanged, err := requestHealthOn(ctx, conn, target)
 	if err != nil {
 		return nil, 0
 	}
-	got.finish(p.backends, target.address)
-	return got.response.Header, got.response.StatusCode
+	exchanged.finish(p.conns, target.address)
+	return exchanged.response.Header, exchanged.response.StatusCode
 }
 
 // askHealthOn asks for a server's health on a connection, and reads the whole answer. Where that fails the connection is closed.
-func askHealthOn(ctx context.Context, conn *backendConn, target dueProbe) (*backendExchange, error) {
+func requestHealthOn(ctx context.Context, conn *backendConn, target healthCheck) (*backendExchange, error) {
 	request := "GET " + target.healthPath + " HTTP/1.1\r\nHost: " + target.host + "\r\n\r\n"
-	got, _, err := send(ctx, conn, http.MethodGet, "", []byte(request))
+	exchanged, _, err := sendRequest(ctx, conn, http.MethodGet, "", []byte(request))
 	if err != nil {
 		return nil, err
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(got.response.Body, maxSurplus)); err != nil {
-		got.abort()
+	if _, err := io.Copy(io.Discard, io.LimitReader(exchanged.response.Body, maxSurplusBytes)); err != nil {
+		exchanged.abort()
 		return nil, err
 	}
-	return got, nil
+	return exchanged, nil
 }
 
 // tryNew asks for a server's health on a new connection before a request that may run once goes over it, where the service has few
 // connections. Danger: a server accepts what goes beyond its MaxConnections and resets it a moment later, so that a request on it may have
 // run. That happens after processes have lost power, whose connections servers keep for a while. It returns whether the connection is good.
 func (p *Proxy) verifyNewConn(ctx context.Context, j *proxyRequest, endpoint *placement.Endpoint, conn *backendConn) bool {
-	if conn.used || j.route.Kind == routeconfig.Idempotent {
+	if conn.hasCarried || j.route.Kind == routeconfig.Idempotent {
 		return true
 	}
-	target, scarce := dueProbe{host: j.service}, false
+	target, scarce := healthCheck{host: j.service}, false
 	p.state.withService(j.service, func(_ float64, pool *placement.Pool, _ *placement.Planner) {
 		if service := p.state.table.services[j.service]; service != nil && pool != nil {
 			target.healthPath, scarce = service.HealthPath, pool.HasFewConnections()
@@ -119,7 +119,7 @@
 	if !scarce || target.healthPath == "" {
 		return true
 	}
-	exchanged, err := askHealthOn(ctx, conn, target)
+	exchanged, err := requestHealthOn(ctx, conn, target)
 	if err != nil {
 		return false
 	}
@@ -128,6 +128,6 @@
 		return false
 	}
 	// No request has gone over it: a refusal that names none can still be meant for the first one only, as a health answer refuses nothing.
-	conn.used = false
+	conn.hasCarried = false
 	return true
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -27,60 +27,60 @@
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 32 << 10
 	// leaveAfter is how long a proxy that ends still takes new connections: until the platform has noticed that it isn't ready.
-	leaveAfter = 2500 * time.Millisecond
+	drainDelay = 2500 * time.Millisecond
 	// leaveMargin is what is left of the grace period for the end itself.
-	leaveMargin = 700 * time.Millisecond
-	feedPause   = 100 * time.Millisecond
-	reportEvery = 400 * time.Millisecond
+	shutdownMargin = 700 * time.Millisecond
+	feedRetryPause = 100 * time.Millisecond
+	reportInterval = 400 * time.Millisecond
 )
 
 // Proxy is a proxy process.
 type Proxy struct {
-	settings *nodeconfig.Settings
-	log      *logrus.Entry
-	state    *routingState
-	backends *backends
-	observed *observations
-	leaving  atomic.Bool
+	settings  *nodeconfig.Settings
+	log       *logrus.Entry
+	state     *routingState
+	conns     *connPool
+	stats     *requestStats
+	isLeaving atomic.Bool
 }
 
 func newProxy(settings *nodeconfig.Settings, log *logrus.Entry) *Proxy {
-	return &Proxy{settings: settings, log: log, state: newRoutingState(settings), backends: newBackends(), observed: newObservations()}
+	return &Proxy{settings: settings, log: log, state: newRoutingState(settings), conns: newConnPool(), stats: newRequestStats()}
 }
 
 // Run serves until the context ends and the requests that were taken are served.
 func Run(ctx context.Context, settings *nodeconfig.Settings, log *logrus.Entry) error {
 	p := newProxy(settings, log)
-	front, err := net.Listen("tcp4", settings.Listen.Front)
+	frontListener, err := net.Listen("tcp4", settings.Listen.Front)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	ready, err := net.Listen("tcp4", settings.Listen.Ready)
+	readyListener, err := net.Listen("tcp4", settings.Listen.Ready)
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	server := &http.Server{Handler: p, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	failed := make(chan error, 2)
-	go func() { failed <- server.Serve(front) }()
-	go func() { failed <- http.Serve(ready, p.readyRouter()) }()
-	work, stop := context.WithCancel(context.Background())
-	defer stop()
-	go p.follow(work)
-	go p.probe(work)
+	go func() { failed <- server.Serve(frontListener) }()
+	go func() { failed <- http.Serve(readyListener, p.readyRouter()) }()
+	taskCtx, stopTasks := context.WithCancel(context.Background())
+	defer stopTasks()
+	go p.runFeed(taskCtx)
+	go p.runHealthChecks(taskCtx)
 	select {
 	case err := <-failed:
 		return Error.Wrap(err)
 	case <-ctx.Done():
 	}
-	return p.leave(server)
+	return p.shutdown(server)
 }
 
 // leave ends in order: not ready first, then no new connections, then what was taken is served.
-func (p *Proxy) leave(server *http.Server) error {
-	p.leaving.Store(true)
+func (p *Proxy) shutdown(server *http.Server) error {
+	p.isLeaving.Store(true)
 	grace := p.settings.GracePeriod()
-	time.Sleep(min(leaveAfter, grace/3))
-	ctx, cancel := context.WithTimeout(context.Background(), grace-min(leaveAfter, grace/3)-leaveMargin)
+	time.Sleep(min(drainDelay, grace/3))
+	ctx, cancel := context.WithTimeout(context.Background(), grace-min(drainDelay, grace/3)-shutdownMargin)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		return Error.Wrap(server.Close())
@@ -91,7 +91,7 @@
 func (p *Proxy) readyRouter() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/ready", func(w http.ResponseWriter, _ *http.Request) {
-		if p.leaving.Load() || !p.state.isReady() {
+		if p.isLeaving.Load() || !p.state.isReady() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
@@ -101,17 +101,17 @@
 }
 
 // follow takes what the agent tells, and connects anew when the agent has restarted. The facts that are there stay.
-func (p *Proxy) follow(ctx context.Context) {
+func (p *Proxy) runFeed(ctx context.Context) {
 	address := p.settings.FeedAddress()
 	for ctx.Err() == nil {
-		if err := p.followOnce(ctx, address); err != nil {
+		if err := p.receiveFeed(ctx, address); err != nil {
 			p.log.WithError(err).Debug("the feed ended")
 		}
-		time.Sleep(feedPause)
+		time.Sleep(feedRetryPause)
 	}
 }
 
-func (p *Proxy) followOnce(ctx context.Context, address string) error {
+func (p *Proxy) receiveFeed(ctx context.Context, address string) error {
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return err
@@ -119,7 +119,7 @@
 	defer conn.Close()
 	stop := make(chan struct{})
 	defer close(stop)
-	go p.report(conn, stop)
+	go p.sendReports(conn, stop)
 	for {
 		feed := &message.Feed{}
 		if err := transport.ReadFrame(conn, feed); err != nil {
@@ -135,8 +135,8 @@
 }
 
 // report tells the agent what this proxy asks of servers, until it is stopped.
-func (p *Proxy) report(conn net.Conn, stop <-chan struct{}) {
-	ticker := time.NewTicker(reportEvery)
+func (p *Proxy) sendReports(conn net.Conn, stop <-chan struct{}) {
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/proxy/reading.go
+++ b/internal/proxy/reading.go
@@ -67,8 +67,8 @@
 }
 
 func (p *Proxy) sendPrefill(ctx context.Context, j *proxyRequest, server *placement.Endpoint) (string, outcome) {
-	request := encodeRequest(j.incoming, j.body, j.remaining(), field{headerExpectInstance, server.ID}, field{headerServingStage, stagePrefill},
-		field{headerPriority, priorityValue(j)})
+	request := encodeRequest(j.incoming, j.body, j.remaining(), headerField{headerExpectInstance, server.ID}, headerField{headerServingStage, stagePrefill},
+		headerField{headerPriority, priorityValue(j)})
 	exchanged, result := p.roundTrip(ctx, j, server, request)
 	if result != outcomeAnswered {
 		return "", result
@@ -78,10 +78,10 @@
 		exchanged.abort()
 		return "", outcomeMayHaveExecuted
 	}
-	exchanged.finish(p.backends, server.Address)
+	exchanged.finish(p.conns, server.Address)
 	var response prefillResponse
 	switch {
-	case refusal(exchanged.response):
+	case isNotExecuted(exchanged.response):
 		return "", outcomeNotExecuted
 	case exchanged.response.StatusCode != http.StatusOK || json.Unmarshal(body, &response) != nil || response.KvHandle == "":
 		return "", outcomeMayHaveExecuted
@@ -102,19 +102,19 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
-		conn, err := p.backends.get(ctx, address, "")
+		conn, err := p.conns.get(ctx, address, "")
 		if err != nil {
 			return
 		}
 		request := "DELETE /kv-handle/" + id + " HTTP/1.1\r\nHost: " + address + "\r\nContent-Length: 0\r\n\r\n"
-		exchanged, _, err := send(ctx, conn, http.MethodDelete, "", []byte(request))
+		exchanged, _, err := sendRequest(ctx, conn, http.MethodDelete, "", []byte(request))
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(exchanged.response.Body, maxSurplus)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(exchanged.response.Body, maxSurplusBytes)); err != nil {
 			exchanged.abort()
 			return
 		}
-		exchanged.finish(p.backends, address)
+		exchanged.finish(p.conns, address)
 	}()
 }
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -25,7 +25,7 @@
 		return
 	}
 	s.headWritten = true
-	passHead(s.w, response)
+	copyResponseHeader(s.w, response)
 	s.w.WriteHeader(response.StatusCode)
 }
 
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -62,7 +62,7 @@
 // refused tells that a server did not run the request that names the cache. The first time the cache may still be there, as
 // where the server was full; after that it is given up.
 func (h *kvCache) handleRejection(response *http.Response) {
-	if h.rejections++; h.rejections > 1 || !refusal(response) {
+	if h.rejections++; h.rejections > 1 || !isNotExecuted(response) {
 		h.handle = ""
 	}
 }
@@ -91,7 +91,7 @@
 			return p.attemptStream(ctx, out, j, streamAttempt{endpoint: plan.DecodeServer, prompt: prompt})
 		}
 		handle, result := p.prefill(ctx, j, plan.PrefillServer, prompt)
-		j.cache, j.timing.read = kvCache{handle: handle, zone: plan.PrefillServer.Zone}, time.Now()
+		j.cache, j.timing.prefilledAt = kvCache{handle: handle, zone: plan.PrefillServer.Zone}, time.Now()
 		if ctx.Err() != nil {
 			j.lastOutcome = outcomeCanceled
 			return false
@@ -141,13 +141,13 @@
 
 // runStream has an answer made and passes it on. It returns whether the client has its answer, else j.last says why not.
 func (p *Proxy) attemptStream(ctx context.Context, out *eventRelay, j *proxyRequest, attempt streamAttempt) bool {
-	fields := []field{{headerExpectInstance, attempt.endpoint.ID}, {headerPriority, priorityValue(j)}}
+	fields := []headerField{{headerExpectInstance, attempt.endpoint.ID}, {headerPriority, priorityValue(j)}}
 	handle := j.cache.handle
 	if handle != "" {
-		fields = append(fields, field{headerKVFrom, handle})
+		fields = append(fields, headerField{headerKVFrom, handle})
 	}
 	if out.lastEventID != "" {
-		fields = append(fields, field{headerLastEventID, out.lastEventID})
+		fields = append(fields, headerField{headerLastEventID, out.lastEventID})
 	}
 	p.startPrefill(j, &attempt)
 	if attempt.prompt != nil {
@@ -171,7 +171,7 @@
 	j.cache.handle = ""
 	result = p.forwardEvents(out, j, &attempt, exchanged)
 	if result == outcomeAnswered {
-		p.observed.stream(j)
+		p.stats.countStream(j)
 	}
 	p.recordOutcome(ctx, j, attempt.endpoint, result)
 	return result == outcomeAnswered
@@ -205,7 +205,7 @@
 	body, err := io.ReadAll(io.LimitReader(exchanged.response.Body, maxResponseBytes))
 	result := outcomeMayHaveExecuted
 	if err == nil && hasDelimitedBody(exchanged.response) {
-		exchanged.finish(p.backends, endpoint.Address)
+		exchanged.finish(p.conns, endpoint.Address)
 		result = classifyResponse(exchanged.response)
 	} else {
 		exchanged.abort()
@@ -244,11 +244,11 @@
 				exchanged.abort()
 				return outcomeCanceled
 			}
-			j.timing.event(time.Now())
+			j.timing.recordEvent(time.Now())
 		}
 		if err != nil {
 			out.writeHead(exchanged.response)
-			exchanged.finish(p.backends, attempt.endpoint.Address)
+			exchanged.finish(p.conns, attempt.endpoint.Address)
 			return outcomeAnswered
 		}
 	}
--- a/internal/proxy/wire_form_test.go
+++ b/internal/proxy/wire_form_test.go
@@ -61,7 +61,7 @@
 		p, _ := startProxy(route(routeconfig.Idempotent), false)
 		p.settings = settings
 		ended := make(chan error, 1)
-		go func() { ended <- p.followOnce(GinkgoT().Context(), settings.FeedAddress()) }()
+		go func() { ended <- p.receiveFeed(GinkgoT().Context(), settings.FeedAddress()) }()
 		conn, err := listener.Accept()
 		Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
