--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -19,9 +19,9 @@
 	DescribeTable("is handed on to the server, as much as is left", func(deadline string, mostMs float64) {
 		s := startServer("i-1", "s", "", echo)
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
-		_, _, err := ask(front, headerDeadline, deadline)
+		_, _, err := sendClientRequest(front, headerDeadline, deadline)
 		Expect(err).NotTo(HaveOccurred())
-		told, err := strconv.ParseFloat(s.seen()[0].Header.Get(headerDeadline), 64)
+		told, err := strconv.ParseFloat(s.received()[0].Header.Get(headerDeadline), 64)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(told).To(BeNumerically("<=", mostMs))
 		Expect(told).To(BeNumerically(">", 0))
@@ -34,22 +34,22 @@
 	It("ends at the route's limit though the server is silent", func() {
 		limited := route(routeconfig.NonIdempotent)
 		limited.TimeoutMs = 300
-		s := startServer("i-1", "s", "", func(conn net.Conn, _ taken, _ int) bool {
+		s := startServer("i-1", "s", "", func(conn net.Conn, _ receivedRequest, _ int) bool {
 			_, _ = io.Copy(io.Discard, conn) // until the proxy hangs up
 			return false
 		})
 		_, front := startProxy(limited, false, s)
 		began := time.Now()
-		answer, _, err := ask(front)
+		answer, _, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusGatewayTimeout))
 		Expect(time.Since(began)).To(BeNumerically(">=", 300*time.Millisecond))
-		Expect(s.seen()).To(HaveLen(1))
+		Expect(s.received()).To(HaveLen(1))
 	})
 
 	It("is over once the client has left: the server's connection ends, and no other server is asked", func() {
 		hungUp := make(chan struct{}, 2)
-		silent := func(conn net.Conn, _ taken, _ int) bool {
+		silent := func(conn net.Conn, _ receivedRequest, _ int) bool {
 			_, _ = io.Copy(io.Discard, conn)
 			hungUp <- struct{}{}
 			return false
@@ -69,10 +69,10 @@
 			}
 			ended <- err
 		}()
-		Eventually(func() int { return len(one.seen()) + len(two.seen()) }).WithTimeout(10 * time.Second).Should(Equal(1))
+		Eventually(func() int { return len(one.received()) + len(two.received()) }).WithTimeout(10 * time.Second).Should(Equal(1))
 		leave()
 		Eventually(ended).WithTimeout(10 * time.Second).Should(Receive(HaveOccurred()))
 		Eventually(hungUp).WithTimeout(10 * time.Second).Should(Receive())
-		Expect(len(one.seen()) + len(two.seen())).To(Equal(1))
+		Expect(len(one.received()) + len(two.received())).To(Equal(1))
 	})
 })
--- a/internal/proxy/plain_test.go
+++ b/internal/proxy/plain_test.go
@@ -19,12 +19,12 @@
 	It("reaches the server unchanged, and its answer the client", func() {
 		s := startServer("i-1", "s", "", echo)
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
-		answer, body, err := ask(front, "X-Own", "kept", "Connection", "X-Hop", "X-Hop", "dropped")
+		answer, body, err := sendClientRequest(front, "X-Own", "kept", "Connection", "X-Hop", "X-Hop", "dropped")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusOK))
 		Expect(body).To(Equal("answer of body"))
 		Expect(answer.Header.Get(headerStamp)).To(Equal("stamp"))
-		got := s.seen()[0]
+		got := s.received()[0]
 		Expect(got.RequestURI).To(Equal("/p/x?q=1"))
 		Expect(got.Host).To(Equal("h.example"))
 		Expect(got.body).To(Equal("body"))
@@ -35,29 +35,29 @@
 	})
 
 	It("is sent once where it may run once only and the server breaks off", func() {
-		one, two := startServer("i-1", "s", "", reset), startServer("i-2", "s", "", reset)
+		one, two := startServer("i-1", "s", "", resetConn), startServer("i-2", "s", "", resetConn)
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
-		answer, _, err := ask(front)
+		answer, _, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway), "a 503 would promise that it has not run")
-		Expect(len(one.seen()) + len(two.seen())).To(Equal(1))
+		Expect(len(one.received()) + len(two.received())).To(Equal(1))
 	})
 
 	It("goes to another server where it may run again", func() {
-		one, two := startServer("i-1", "s", "", reset), startServer("i-2", "s", "", reset)
+		one, two := startServer("i-1", "s", "", resetConn), startServer("i-2", "s", "", resetConn)
 		_, front := startProxy(route(routeconfig.Idempotent), false, one, two)
-		answer, _, err := ask(front)
+		answer, _, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway))
-		Expect(one.seen()).To(HaveLen(1))
-		Expect(two.seen()).To(HaveLen(1))
+		Expect(one.received()).To(HaveLen(1))
+		Expect(two.received()).To(HaveLen(1))
 	})
 
 	It("goes to another server where the first has not run it", func() {
-		one, two := startServer("i-1", "s", "", full), startServer("i-2", "s", "", echo)
+		one, two := startServer("i-1", "s", "", rejectFull), startServer("i-2", "s", "", echo)
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
 		for range 4 {
-			answer, _, err := ask(front)
+			answer, _, err := sendClientRequest(front)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(answer.StatusCode).To(Equal(http.StatusOK))
 		}
@@ -66,98 +66,98 @@
 	It("goes nowhere where a server that takes few connections resets a new one", func() {
 		for _, crowdedFirst := range []bool{true, false} {
 			one, two := startServer("i-1", "s", "", echo), startServer("i-2", "s", "", echo)
-			one.setCrowded(crowdedFirst)
-			two.setCrowded(!crowdedFirst)
+			one.setResetsNewConns(crowdedFirst)
+			two.setResetsNewConns(!crowdedFirst)
 			p, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
 			p.state.withService("s", func(_ float64, pool *placement.Pool, _ *placement.Planner) { pool.SetMaxConnections(2) })
 			for n := range 6 {
-				answer, _, err := ask(front, headerRequestID, fmt.Sprint("id-", n))
+				answer, _, err := sendClientRequest(front, headerRequestID, fmt.Sprint("id-", n))
 				Expect(err).NotTo(HaveOccurred())
 				Expect(answer.StatusCode).To(Equal(http.StatusOK))
 			}
-			Expect(len(one.seen()) + len(two.seen())).To(Equal(6))
+			Expect(len(one.received()) + len(two.received())).To(Equal(6))
 		}
 	})
 
 	It("is refused with a time to come back where no server has run it", func() {
-		_, front := startProxy(route(routeconfig.NonIdempotent), false, startServer("i-1", "s", "", full))
-		answer, _, err := ask(front)
+		_, front := startProxy(route(routeconfig.NonIdempotent), false, startServer("i-1", "s", "", rejectFull))
+		answer, _, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(answer.Header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(answer.Header.Get(headerStamp)).To(BeEmpty())
 	})
 
-	DescribeTable("never is answered with what no server gave whole", func(broken behaviour) {
+	DescribeTable("never is answered with what no server gave whole", func(broken serverBehavior) {
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, startServer("i-1", "s", "", broken))
-		answer, _, err := ask(front)
+		answer, _, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway))
 	},
-		Entry("no stamp", behaviour(func(conn net.Conn, r taken, _ int) bool {
+		Entry("no stamp", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nContent-Length: 2\r\n\r\nok", r.Header.Get(headerRequestID))
 			return true
 		})),
-		Entry("an encoded body", behaviour(func(conn net.Conn, r taken, _ int) bool {
+		Entry("an encoded body", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: s\r\nContent-Encoding: br\r\n"+
 				"Content-Length: 2\r\n\r\nok", r.Header.Get(headerRequestID))
 			return true
 		})),
-		Entry("a body that ends early", behaviour(func(conn net.Conn, r taken, _ int) bool {
+		Entry("a body that ends early", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: s\r\nContent-Length: 20\r\n\r\nok",
 				r.Header.Get(headerRequestID))
 			return false
 		})),
-		Entry("a body whose end can't be known", behaviour(func(conn net.Conn, r taken, _ int) bool {
+		Entry("a body whose end can't be known", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: s\r\n\r\nok", r.Header.Get(headerRequestID))
 			return false
 		})),
-		Entry("bytes that are no answer", behaviour(func(conn net.Conn, _ taken, _ int) bool {
+		Entry("bytes that are no answer", serverBehavior(func(conn net.Conn, _ receivedRequest, _ int) bool {
 			fmt.Fprint(conn, "no answer at all\r\n\r\n")
 			return false
 		})),
-		Entry("a refusal without the word that it was not run", behaviour(func(conn net.Conn, r taken, _ int) bool {
+		Entry("a refusal without the word that it was not run", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 503 Busy\r\nHazelwheel-Request-Id: %s\r\nContent-Length: 0\r\n\r\n", r.Header.Get(headerRequestID))
 			return true
 		})),
 	)
 
 	It("gets its own answer where one of another request comes before it", func() {
-		s := startServer("i-1", "s", "", func(conn net.Conn, r taken, n int) bool {
+		s := startServer("i-1", "s", "", func(conn net.Conn, r receivedRequest, n int) bool {
 			if n == 2 {
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: other\r\nHazelwheel-Response-Stamp: x\r\nContent-Length: 5\r\n\r\nother")
 			}
-			return wholeAnswer(conn, r, fmt.Sprint("answer ", n))
+			return writeAnswer(conn, r, fmt.Sprint("answer ", n))
 		})
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		for n := 1; n <= 3; n++ {
-			_, body, err := ask(front, headerRequestID, fmt.Sprint("id-", n))
+			_, body, err := sendClientRequest(front, headerRequestID, fmt.Sprint("id-", n))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(body).To(Equal(fmt.Sprint("answer ", n)))
 		}
 	})
 
 	It("does not use a connection on which more came than was asked", func() {
-		s := startServer("i-1", "s", "", func(conn net.Conn, r taken, n int) bool {
-			wholeAnswer(conn, r, "one")
-			return wholeAnswer(conn, r, "again")
+		s := startServer("i-1", "s", "", func(conn net.Conn, r receivedRequest, n int) bool {
+			writeAnswer(conn, r, "one")
+			return writeAnswer(conn, r, "again")
 		})
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		for range 3 {
-			_, body, err := ask(front)
+			_, body, err := sendClientRequest(front)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(body).To(Equal("one"))
 		}
 	})
 
 	It("passes a server's own failure on with its stamp", func() {
-		s := startServer("i-1", "s", "", func(conn net.Conn, r taken, _ int) bool {
+		s := startServer("i-1", "s", "", func(conn net.Conn, r receivedRequest, _ int) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 500 Oops\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: st\r\nContent-Length: 4\r\n\r\noops",
 				r.Header.Get(headerRequestID))
 			return true
 		})
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
-		answer, body, err := ask(front)
+		answer, body, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusInternalServerError))
 		Expect(answer.Header.Get(headerStamp)).To(Equal("st"))
@@ -165,17 +165,17 @@
 	})
 
 	It("leaves a server alone whose address another has", func() {
-		one := startServer("i-1", "s", "", func(conn net.Conn, _ taken, _ int) bool {
+		one := startServer("i-1", "s", "", func(conn net.Conn, _ receivedRequest, _ int) bool {
 			fmt.Fprint(conn, "HTTP/1.1 421 Misdirected\r\nHazelwheel-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n")
 			return true
 		})
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, one, startServer("i-2", "s", "", echo))
 		for range 8 {
-			answer, _, err := ask(front)
+			answer, _, err := sendClientRequest(front)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(answer.StatusCode).To(Equal(http.StatusOK))
 		}
-		Expect(len(one.seen())).To(BeNumerically("<=", 1))
+		Expect(len(one.received())).To(BeNumerically("<=", 1))
 	})
 
 	It("is turned away where there is no route, and where its body is too large", func() {
@@ -199,10 +199,10 @@
 		Expect(p.state.applyFeed(&message.Feed{List: list(draining, two.Instance)})).To(Succeed())
 		Expect(p.state.applyFeed(&message.Feed{List: list(one.Instance, two.Instance)})).To(Succeed())
 		for range 10 {
-			_, _, err := ask(front)
+			_, _, err := sendClientRequest(front)
 			Expect(err).NotTo(HaveOccurred())
 		}
-		Expect(one.seen()).To(BeEmpty())
+		Expect(one.received()).To(BeEmpty())
 	})
 
 	It("waits for a proxy that has just begun, and is refused when the first facts don't come", func() {
@@ -211,7 +211,7 @@
 		begun := newProxy(ready.settings, ready.log)
 		front := httptest.NewServer(begun)
 		DeferCleanup(front.Close)
-		answer, _, err := ask(front)
+		answer, _, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(answer.Header.Get("Retry-After")).NotTo(BeEmpty())
@@ -219,7 +219,7 @@
 		statuses := make(chan int)
 		go func() {
 			defer GinkgoRecover()
-			late, _, err := ask(front)
+			late, _, err := sendClientRequest(front)
 			Expect(err).NotTo(HaveOccurred())
 			statuses <- late.StatusCode
 		}()
@@ -236,7 +236,7 @@
 		older, err := message.PackTable(&routeconfig.Table{Version: 0})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.state.applyFeed(&message.Feed{Table: older})).To(Succeed())
-		answer, _, err := ask(front)
+		answer, _, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusOK))
 	})
--- a/internal/proxy/proxy_suite_test.go
+++ b/internal/proxy/proxy_suite_test.go
@@ -26,29 +26,29 @@
 }
 
 // taken is a request that a server has read.
-type taken struct {
+type receivedRequest struct {
 	*http.Request
 	body string
 }
 
 // server is a stand-in for a server: what it answers is written by the test, byte by byte.
-type server struct {
+type testServer struct {
 	message.Instance
 	listener net.Listener
 
-	mu       sync.Mutex
-	requests []taken
-	conns    int
-	crowded  bool // it resets new connections a moment after it has accepted them
+	mu             sync.Mutex
+	requests       []receivedRequest
+	conns          int
+	resetsNewConns bool // it resets new connections a moment after it has accepted them
 }
 
 // behaviour answers the n-th request of a server on its connection. It returns whether the connection goes on.
-type behaviour func(conn net.Conn, r taken, n int) bool
+type serverBehavior func(conn net.Conn, r receivedRequest, n int) bool
 
-func startServer(id, service string, stage message.Stage, answer behaviour) *server {
+func startServer(id, service string, stage message.Stage, answer serverBehavior) *testServer {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	s := &server{listener: listener, Instance: message.Instance{ID: id, Service: service, Address: listener.Addr().String(), Zone: "z",
+	s := &testServer{listener: listener, Instance: message.Instance{ID: id, Service: service, Address: listener.Addr().String(), Zone: "z",
 		Slots: 4, Stage: stage}}
 	DeferCleanup(func() { _ = listener.Close() }) // a test may have closed it
 	go func() {
@@ -63,15 +63,15 @@
 	return s
 }
 
-func (s *server) serve(conn net.Conn, answer behaviour) {
+func (s *testServer) serve(conn net.Conn, answer serverBehavior) {
 	defer conn.Close()
 	s.mu.Lock()
 	s.conns++
-	crowded := s.crowded
+	crowded := s.resetsNewConns
 	s.mu.Unlock()
 	if crowded {
 		_, _ = conn.Read(make([]byte, 1)) // whatever is sent first
-		reset(conn, taken{}, 0)
+		resetConn(conn, receivedRequest{}, 0)
 		return
 	}
 	in := bufio.NewReader(conn)
@@ -88,7 +88,7 @@
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Instance-Id: %s\r\nContent-Length: 0\r\n\r\n", s.ID)
 			continue
 		}
-		r := taken{request, string(body)}
+		r := receivedRequest{request, string(body)}
 		s.mu.Lock()
 		s.requests = append(s.requests, r)
 		n := len(s.requests)
@@ -99,36 +99,38 @@
 	}
 }
 
-func (s *server) setCrowded(crowded bool) {
+func (s *testServer) setResetsNewConns(crowded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.crowded = crowded
+	s.resetsNewConns = crowded
 }
 
-func (s *server) seen() []taken {
+func (s *testServer) received() []receivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]taken(nil), s.requests...)
+	return append([]receivedRequest(nil), s.requests...)
 }
 
 // whole answers with a body and everything that a server's answer has.
-func wholeAnswer(conn net.Conn, r taken, body string) bool {
+func writeAnswer(conn net.Conn, r receivedRequest, body string) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: stamp\r\nContent-Length: %d\r\n\r\n%s",
 		r.Header.Get(headerRequestID), len(body), body)
 	return err == nil
 }
 
-func echo(conn net.Conn, r taken, _ int) bool { return wholeAnswer(conn, r, "answer of "+r.body) }
+func echo(conn net.Conn, r receivedRequest, _ int) bool {
+	return writeAnswer(conn, r, "answer of "+r.body)
+}
 
 // full refuses a request as a server does that has no place.
-func full(conn net.Conn, r taken, _ int) bool {
+func rejectFull(conn net.Conn, r receivedRequest, _ int) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 503 Full\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
 		r.Header.Get(headerRequestID))
 	return err == nil
 }
 
 // reset ends the connection without an answer, as a process does that is killed.
-func reset(conn net.Conn, _ taken, _ int) bool {
+func resetConn(conn net.Conn, _ receivedRequest, _ int) bool {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -136,7 +138,7 @@
 }
 
 // streamHead begins an answer of events.
-func streamHead(conn net.Conn, r taken) {
+func streamHead(conn net.Conn, r receivedRequest) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: stamp\r\n"+
 		"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get(headerRequestID))
 }
@@ -151,8 +153,8 @@
 }
 
 // events answers with all events after the one that the request names.
-func events(count int) behaviour {
-	return func(conn net.Conn, r taken, _ int) bool {
+func events(count int) serverBehavior {
+	return func(conn net.Conn, r receivedRequest, _ int) bool {
 		streamHead(conn, r)
 		from := 0
 		if _, err := fmt.Sscan(r.Header.Get(headerLastEventID), &from); err != nil {
@@ -172,7 +174,7 @@
 }
 
 // startProxy begins a proxy with one route and these servers. The budget allows some repeats.
-func startProxy(r routeconfig.Route, engine bool, servers ...*server) (*Proxy, *httptest.Server) {
+func startProxy(r routeconfig.Route, engine bool, servers ...*testServer) (*Proxy, *httptest.Server) {
 	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowSeconds: 10, BudgetSlack: 100, PrefixCacheSeconds: 8}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -201,7 +203,7 @@
 }
 
 // ask sends a request and returns the answer, its body and how the body ended.
-func ask(front *httptest.Server, set ...string) (*http.Response, string, error) {
+func sendClientRequest(front *httptest.Server, set ...string) (*http.Response, string, error) {
 	request, err := http.NewRequest(http.MethodPost, front.URL+"/p/x?q=1", strings.NewReader("body"))
 	Expect(err).NotTo(HaveOccurred())
 	request.Host = "h.example"
