--- a/internal/proxy/reading.go
+++ b/internal/proxy/prefill.go
@@ -6,7 +6,6 @@
 	"io"
 	"net/http"
 	"strconv"
-	"strings"
 	"time"
 
 	"hazelwheel/internal/decide/placement"
@@ -92,29 +91,3 @@
 func priorityValue(j *proxyRequest) string {
 	return strconv.Itoa(min(max(j.route.Priority, 0), maxPriority))
 }
-
-// freeHandle lets a server forget a cache that nobody takes.
-func (p *Proxy) releaseKVHandle(handle string) {
-	address, id, ok := strings.Cut(handle, "/")
-	if !ok {
-		return
-	}
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
-		defer cancel()
-		conn, err := p.conns.get(ctx, address, "")
-		if err != nil {
-			return
-		}
-		request := "DELETE /kv-handle/" + id + " HTTP/1.1\r\nHost: " + address + "\r\nContent-Length: 0\r\n\r\n"
-		exchanged, _, err := sendRequest(ctx, conn, http.MethodDelete, "", []byte(request))
-		if err != nil {
-			return
-		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(exchanged.response.Body, maxSurplusBytes)); err != nil {
-			exchanged.abort()
-			return
-		}
-		exchanged.finish(p.conns, address)
-	}()
-}
--- a/internal/proxy/state.go
+++ b/internal/proxy/routingstate.go
@@ -110,19 +110,6 @@
 	}
 }
 
-// unpack returns the configuration and the servers that a feed brings, nil for what it does not.
-func unpackFeed(feed *message.Feed) (table *routeconfig.Table, instances []message.Instance, err error) {
-	if feed.Table != nil {
-		if table, err = feed.Table.Unpack(); err != nil {
-			return nil, nil, err
-		}
-	}
-	if feed.List != nil {
-		instances, err = message.UnpackInstances(feed.List.Data)
-	}
-	return table, instances, err
-}
-
 // openPools makes a pool for each service of the table that has none, and drops those of services that are gone.
 func (s *routingState) syncPools() {
 	for name, service := range s.table.services {
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -52,21 +52,6 @@
 	p.respondFailure(ctx, w, j)
 }
 
-// handle is a cache that was read and not taken yet.
-type kvCache struct {
-	handle     string // IP:PORT/HANDLE; empty: there is none
-	zone       string // where it was read
-	rejections int
-}
-
-// refused tells that a server did not run the request that names the cache. The first time the cache may still be there, as
-// where the server was full; after that it is given up.
-func (h *kvCache) handleRejection(response *http.Response) {
-	if h.rejections++; h.rejections > 1 || !isNotExecuted(response) {
-		h.handle = ""
-	}
-}
-
 // run is one try to have a stream made.
 type streamAttempt struct {
 	endpoint *placement.Endpoint
