--- a/internal/decide/placement/budget.go
+++ b/internal/decide/placement/budget.go
@@ -5,11 +5,11 @@
 func sqrt(x float64) float64 { return math.Sqrt(x) }
 
 const (
-	// budgetPart is the part of the ratio that a proxy uses, slackPart that of the slack that all proxies together use.
-	budgetPart = 0.7
-	slackPart  = 0.5
-	// leastFleet is the number of proxies that is assumed where fewer are known of.
-	leastFleet = 4
+	// ratioFraction is the part of the ratio that a proxy uses, slackPart that of the slack that all proxies together use.
+	ratioFraction = 0.7
+	slackFraction = 0.5
+	// minAssumedProxies is the number of proxies that is assumed where fewer are known of.
+	minAssumedProxies = 4
 )
 
 // RetryBudget bounds what a proxy sends to a service beyond the first arrival of each request, in a sliding window. Summed over all
@@ -20,7 +20,7 @@
 	Slack         float64 // of the whole fleet
 
 	requests []float64 // times
-	extra    []float64
+	retries  []float64
 }
 
 // RecordRequest counts a request of a client.
@@ -28,27 +28,27 @@
 
 // TrySpend takes one further arrival out of the budget, if there is room.
 func (b *RetryBudget) TrySpend(now float64, proxies int) bool {
-	b.requests, b.extra = since(b.requests, now-b.WindowSeconds), since(b.extra, now-b.WindowSeconds)
-	room := budgetPart*b.Ratio*float64(len(b.requests)) + slackPart*b.Slack/float64(max(proxies, leastFleet))
-	if float64(len(b.extra)+1) > room {
+	b.requests, b.retries = dropBefore(b.requests, now-b.WindowSeconds), dropBefore(b.retries, now-b.WindowSeconds)
+	allowed := ratioFraction*b.Ratio*float64(len(b.requests)) + slackFraction*b.Slack/float64(max(proxies, minAssumedProxies))
+	if float64(len(b.retries)+1) > allowed {
 		return false
 	}
-	b.extra = append(b.extra, now)
+	b.retries = append(b.retries, now)
 	return true
 }
 
 // Trim drops what is out of the window.
 func (b *RetryBudget) Trim(now float64) {
-	b.requests, b.extra = since(b.requests, now-b.WindowSeconds), since(b.extra, now-b.WindowSeconds)
+	b.requests, b.retries = dropBefore(b.requests, now-b.WindowSeconds), dropBefore(b.retries, now-b.WindowSeconds)
 }
 
-func since(times []float64, from float64) []float64 {
-	drop := 0
-	for drop < len(times) && times[drop] < from {
-		drop++
+func dropBefore(times []float64, from float64) []float64 {
+	expired := 0
+	for expired < len(times) && times[expired] < from {
+		expired++
 	}
-	if drop == 0 {
+	if expired == 0 {
 		return times
 	}
-	return append(times[:0], times[drop:]...)
+	return append(times[:0], times[expired:]...)
 }
--- a/internal/decide/placement/engine.go
+++ b/internal/decide/placement/engine.go
@@ -30,63 +30,63 @@
 }
 
 const (
-	// pacePrior is the reading pace that is assumed before any was seen, in tokens per second.
-	pacePrior = 60_000.0
-	// fastStep and slowStep are the weights of a reading that was faster or slower than expected.
-	fastStep = 0.15
-	slowStep = 0.03
-	// learnUnit is the number of tokens by which readings are scaled, perTokenLeast a bound against nonsense, in seconds.
-	learnUnit     = 10_000
-	perTokenLeast = 1e-7
-	// waitTau is the time in seconds in which a wait that was seen counts for a third.
-	waitTau = 0.6
-	// latePenalty is what it counts for that a prompt is surely too late, in seconds; between lateFrom and lateTo, in parts of the
+	// initialTokensPerSecond is the reading pace that is assumed before any was seen, in tokens per second.
+	initialTokensPerSecond = 60_000.0
+	// fastLearningRate and slowStep are the weights of a reading that was faster or slower than expected.
+	fastLearningRate = 0.15
+	slowLearningRate = 0.03
+	// tokenScale is the number of tokens by which readings are scaled, perTokenLeast a bound against nonsense, in seconds.
+	tokenScale         = 10_000
+	minSecondsPerToken = 1e-7
+	// waitTimeConstant is the time in seconds in which a wait that was seen counts for a third.
+	waitTimeConstant = 0.6
+	// latePenaltySeconds is what it counts for that a prompt is surely too late, in seconds; between lateFrom and lateTo, in parts of the
 	// objective, it grows.
-	latePenalty = 0.5
-	lateFrom    = 0.6
-	lateTo      = 1.1
-	// metPart is the part of the wait that a prompt met that is taken to last.
-	metPart = 0.5
-	// partsMost bounds the parts that are remembered of a server.
-	partsMost = 4096
-	// crossPenalty is what another zone counts for when a prompt is read, in seconds; crossRunner when its answer is made, as a part of
+	latePenaltySeconds = 0.5
+	latenessStart      = 0.6
+	latenessEnd        = 1.1
+	// waitPersistence is the part of the wait that a prompt met that is taken to last.
+	waitPersistence = 0.5
+	// maxChunks bounds the parts that are remembered of a server.
+	maxChunks = 4096
+	// crossZonePrefillSeconds is what another zone counts for when a prompt is read, in seconds; crossRunner when its answer is made, as a part of
 	// a server's slots.
-	crossPenalty = 0.003
-	crossRunner  = 0.08
-	// againPenalty is what a token of a shared part counts for that is read where it is not held, in seconds.
-	againPenalty = 100e-6
-	// directPenalty is what each answer under way counts for that is held up by a prompt read beside it, as a part of the time.
-	directPenalty = 0.5
-	// pauseFrom is the part of the longest pause in time for which a prompt may be read beside answers without making them late.
-	pauseFrom = 0.5
-	// demandTau is the time in seconds over which what is asked is averaged.
-	demandTau = 1.5
-	// directPart is how much slower a decode server reads than a prefill server, until both were seen.
-	directPart = 0.5
-	// moveSetup is what a move takes beside its bytes, in seconds.
-	moveSetup = 0.004
+	crossZonePrefillSeconds = 0.003
+	crossZoneDecodeLoad     = 0.08
+	// repeatedTokenSeconds is what a token of a shared part counts for that is read where it is not held, in seconds.
+	repeatedTokenSeconds = 100e-6
+	// interferencePenalty is what each answer under way counts for that is held up by a prompt read beside it, as a part of the time.
+	interferencePenalty = 0.5
+	// gapPenaltyStart is the part of the longest pause in time for which a prompt may be read beside answers without making them late.
+	gapPenaltyStart = 0.5
+	// demandTimeConstant is the time in seconds over which what is asked is averaged.
+	demandTimeConstant = 1.5
+	// decodeServerPace is how much slower a decode server reads than a prefill server, until both were seen.
+	decodeServerPace = 0.5
+	// transferSetupSeconds is what a move takes beside its bytes, in seconds.
+	transferSetupSeconds = 0.004
 )
 
-// engineView is what a proxy knows of a model server.
-type engineView struct {
-	tokens   float64 // own prompt tokens that are being read there
-	wait     float64 // seconds waited beyond the reading itself, as seen last
-	waitAt   float64
-	loadAt   float64 // when the server told running and waiting
-	untold   bool    // this was told here and not passed on yet
-	running  int
-	waiting  int
-	held     float64            // tokens that own answers hold in memory
-	parts    map[string]float64 // when own requests used them last there
-	readings []*Prefill         // that are under way
+// engineState is what a proxy knows of a model server.
+type engineState struct {
+	prefillTokens  float64 // own prompt tokens that are being read there
+	waitSeconds    float64 // seconds waited beyond the reading itself, as seen last
+	waitObservedAt float64
+	loadReportedAt float64 // when the server told running and waiting
+	hasNewLoad     bool    // this was told here and not passed on yet
+	running        int
+	waiting        int
+	kvTokens       float64            // tokens that own answers hold in memory
+	chunkUsedAt    map[string]float64 // when own requests used them last there
+	prefills       []*Prefill         // that are under way
 }
 
 // Prefill is a prompt that a server reads.
 type Prefill struct {
-	tokens   float64
-	own      float64 // tokens that nobody shares
-	began    float64
-	expected float64 // seconds, if it is read at once
+	tokens          float64
+	ownTokens       float64 // tokens that nobody shares
+	startedAt       float64
+	expectedSeconds float64 // seconds, if it is read at once
 }
 
 // Prompt is what the choice of servers goes by.
@@ -106,48 +106,48 @@
 	return q.Chunks[len(q.Chunks)-2].ID
 }
 
-// own returns the tokens that no other prompt shares.
-func (q *Prompt) own() float64 {
+// ownTokens returns the tokens that no other prompt shares.
+func (q *Prompt) ownTokens() float64 {
 	if len(q.Chunks) == 0 {
 		return float64(max(q.Tokens, 1))
 	}
 	return float64(q.Chunks[len(q.Chunks)-1].Tokens)
 }
 
-// paces holds what was learned of how fast servers of each stage read.
-type paces struct {
-	prefill, decode pace
+// stagePaces holds what was learned of how fast servers of each stage read.
+type stagePaces struct {
+	prefill, decode prefillPace
 }
 
-func newPaces() paces {
-	return paces{prefill: pace{perToken: 1 / pacePrior}, decode: pace{perToken: 1 / (pacePrior * directPart)}}
+func newStagePaces() stagePaces {
+	return stagePaces{prefill: prefillPace{secondsPerToken: 1 / initialTokensPerSecond}, decode: prefillPace{secondsPerToken: 1 / (initialTokensPerSecond * decodeServerPace)}}
 }
 
-func (p *paces) of(stage message.Stage) *pace {
+func (p *stagePaces) forStage(stage message.Stage) *prefillPace {
 	if stage == message.Prefill {
 		return &p.prefill
 	}
 	return &p.decode
 }
 
-// pace says that reading takes a latency and a time for each token, where nothing else is read. It is fitted to the readings
+// prefillPace says that reading takes a latency and a time for each token, where nothing else is read. It is fitted to the readings
 // that went fast: one that was held up tells little.
-type pace struct {
-	latency  float64 // seconds
-	perToken float64 // seconds
+type prefillPace struct {
+	latencySeconds  float64 // seconds
+	secondsPerToken float64 // seconds
 }
 
-// learn takes a reading, by a step of a regression that weighs fast readings more.
-func (p *pace) learn(tokens, seconds float64) {
-	x := tokens / learnUnit
-	wrong := seconds - p.latency - tokens*p.perToken
-	step := slowStep
-	if wrong < 0 {
-		step = fastStep
+// observe takes a reading, by a step of a regression that weighs fast readings more.
+func (p *prefillPace) observe(tokens, seconds float64) {
+	x := tokens / tokenScale
+	deviation := seconds - p.latencySeconds - tokens*p.secondsPerToken
+	step := slowLearningRate
+	if deviation < 0 {
+		step = fastLearningRate
 	}
-	step *= wrong / (1 + x*x)
-	p.latency = max(p.latency+step, 0)
-	p.perToken = max(p.perToken+step*x/learnUnit, perTokenLeast)
+	step *= deviation / (1 + x*x)
+	p.latencySeconds = max(p.latencySeconds+step, 0)
+	p.secondsPerToken = max(p.secondsPerToken+step*x/tokenScale, minSecondsPerToken)
 }
 
 // Plan says where a prompt is read: at Reader, after which Runner has to be asked for, or where Reader is nil at Runner, which makes
@@ -157,16 +157,16 @@
 	DecodeServer  *Endpoint
 }
 
-// fresh returns the tokens of a prompt that a server has to read, as far as is known here. Its home is taken to hold the shared
+// uncachedTokens returns the tokens of a prompt that a server has to read, as far as is known here. Its home is taken to hold the shared
 // parts, since other proxies send them there too.
-func (e *Endpoint) fresh(q *Prompt, now, keepS float64, home bool) float64 {
+func (e *Endpoint) uncachedTokens(q *Prompt, now, cacheSeconds float64, isHome bool) float64 {
 	left := q.Tokens
 	for i, part := range q.Chunks {
 		if i == len(q.Chunks)-1 {
 			break
 		}
-		used, known := e.engine.parts[part.ID]
-		if !home && (!known || now-used > keepS) {
+		used, known := e.engine.chunkUsedAt[part.ID]
+		if !isHome && (!known || now-used > cacheSeconds) {
 			break
 		}
 		left -= part.Tokens
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -70,7 +70,7 @@
 			p := newPool(instances(servers, ""))
 			p.SetRank(rank, proxies)
 			p.SetMaxConnections(connections)
-			Expect(len(p.members)).To(BeNumerically(">=", leastMembers))
+			Expect(len(p.members)).To(BeNumerically(">=", minMembers))
 			for _, e := range p.members {
 				uses[e.ID]++
 			}
@@ -86,7 +86,7 @@
 			p := newPool(instances(8, ""))
 			p.SetRank(3, 9)
 			p.SetMaxConnections(connections)
-			Expect(len(p.members)).To(BeNumerically(">=", subsetFloor))
+			Expect(len(p.members)).To(BeNumerically(">=", minSubset))
 		}
 	})
 })
@@ -95,9 +95,9 @@
 	It("keeps who answers, halves who is late and leaves out who is silent", func() {
 		p := newPool(instances(4, ""))
 		answerProbes(p, 0, 60)
-		Expect(p.endpoints["i-000"].window.phi(60.5)).To(BeNumerically("<", phiHalf))
+		Expect(p.endpoints["i-000"].probeGaps.phi(60.5)).To(BeNumerically("<", suspectPhi))
 		answerProbes(p, 60, 90, "i-000")
-		Expect(p.endpoints["i-000"].window.phi(90)).To(BeNumerically(">", phiOut))
+		Expect(p.endpoints["i-000"].probeGaps.phi(90)).To(BeNumerically(">", excludePhi))
 		for range 200 {
 			Expect(p.Pick(90, nil).ID).NotTo(Equal("i-000"))
 		}
@@ -108,11 +108,11 @@
 		answerProbes(p, 0, 60)
 		late := p.endpoints["i-000"]
 		now := 60.0
-		for late.window.phi(now) <= phiHalf {
+		for late.probeGaps.phi(now) <= suspectPhi {
 			now += 0.05
 		}
-		p.endpoints["i-001"].window.last = now
-		Expect(late.window.phi(now)).To(BeNumerically("<=", phiOut))
+		p.endpoints["i-001"].probeGaps.lastArrival = now
+		Expect(late.probeGaps.phi(now)).To(BeNumerically("<=", excludePhi))
 		drawn := 0
 		for range 4000 {
 			for _, e := range p.candidates(now, "", nil) {
@@ -128,9 +128,9 @@
 		p := newPool(instances(3, ""))
 		answerProbes(p, 0, 60)
 		for _, e := range p.endpoints {
-			e.window.seed(60, ProbeIntervalSeconds)
+			e.probeGaps.seed(60, ProbeIntervalSeconds)
 		}
-		p.endpoints["i-001"].window.last += 1
+		p.endpoints["i-001"].probeGaps.lastArrival += 1
 		for range 50 {
 			Expect(p.Pick(500, nil).ID).To(Equal("i-001"))
 		}
@@ -139,17 +139,17 @@
 	It("grows its window on arrivals alone", func() {
 		p := newPool(instances(1, ""))
 		answerProbes(p, 0, 30)
-		gaps := len(p.endpoints["i-000"].window.gaps)
+		gaps := len(p.endpoints["i-000"].probeGaps.gaps)
 		answerProbes(p, 30, 300, "i-000")
-		Expect(p.endpoints["i-000"].window.gaps).To(HaveLen(gaps))
+		Expect(p.endpoints["i-000"].probeGaps.gaps).To(HaveLen(gaps))
 	})
 
 	It("seeds who comes with the mean of the others", func() {
 		p := newPool(instances(3, ""))
 		answerProbes(p, 0, 60)
 		p.UpdateInstances(60, instances(4, ""))
-		Expect(p.endpoints["i-003"].window.mean()).To(BeNumerically("~", p.endpoints["i-000"].window.mean(), 0.5))
-		Expect(p.endpoints["i-003"].window.phi(60)).To(BeNumerically("<", phiHalf))
+		Expect(p.endpoints["i-003"].probeGaps.mean()).To(BeNumerically("~", p.endpoints["i-000"].probeGaps.mean(), 0.5))
+		Expect(p.endpoints["i-003"].probeGaps.phi(60)).To(BeNumerically("<", suspectPhi))
 	})
 
 	It("probes each member at least every five seconds", func() {
@@ -205,13 +205,13 @@
 		p := newPool(instances(2, ""))
 		bad := p.endpoints["i-000"]
 		bad.RecordFailure(1, false)
-		Expect(p.usable(bad, 1)).To(BeTrue(), "one failure proves little")
+		Expect(p.isUsable(bad, 1)).To(BeTrue(), "one failure proves little")
 		bad.RecordFailure(1, false)
-		Expect(p.usable(bad, 1.1)).To(BeFalse())
-		Expect(p.usable(bad, 1+coolMost)).To(BeTrue())
+		Expect(p.isUsable(bad, 1.1)).To(BeFalse())
+		Expect(p.isUsable(bad, 1+maxEjectionSeconds)).To(BeTrue())
 		bad.RecordFailure(2, true)
 		bad.RecordSuccess()
-		Expect(p.usable(bad, 2)).To(BeTrue())
+		Expect(p.isUsable(bad, 2)).To(BeTrue())
 	})
 
 	It("keeps within the connections of a server", func() {
@@ -242,13 +242,13 @@
 			e.StartRequest()
 			if begun[e.ID]++; len(begun) > part {
 				for _, member := range p.members {
-					Expect(member.InFlight).To(Equal(p.most), "members first")
+					Expect(member.InFlight).To(Equal(p.maxConnections), "members first")
 				}
 			}
 		}
 		Expect(begun).To(HaveLen(20))
 		for id, count := range begun {
-			Expect(count).To(Equal(p.most), id)
+			Expect(count).To(Equal(p.maxConnections), id)
 		}
 	})
 
@@ -258,15 +258,15 @@
 		p.SetMaxConnections(100)
 		l := NewPlanner(p, 60)
 		for _, member := range p.members {
-			member.InFlight = p.most
+			member.InFlight = p.maxConnections
 		}
-		outside := p.outside(0, message.Decode, nil)
+		outside := p.outsideSubset(0, message.Decode, nil)
 		Expect(len(outside)).To(Equal(8 - len(p.members)))
 		outside[0].Draining = true
 		outside[1].RecordFailure(0, true)
-		Expect(p.outside(0, message.Decode, nil)).To(Equal(outside[2:]))
-		Expect(l.decoders(0, outside[3:])).To(Equal(outside[2:3]))
-		Expect(p.outside(0, message.Prefill, nil)).To(BeEmpty())
+		Expect(p.outsideSubset(0, message.Decode, nil)).To(Equal(outside[2:]))
+		Expect(l.decodeCandidates(0, outside[3:])).To(Equal(outside[2:3]))
+		Expect(p.outsideSubset(0, message.Prefill, nil)).To(BeEmpty())
 	})
 })
 
@@ -289,7 +289,7 @@
 						extra = append(extra, now)
 					}
 				}
-				requests, extra = since(requests, now-10), since(extra, now-10)
+				requests, extra = dropBefore(requests, now-10), dropBefore(extra, now-10)
 				Expect(float64(len(extra))).To(BeNumerically("<=", 0.2*float64(len(requests))+58), "seed %d at %.2f s", seed, now)
 			}
 			Expect(extra).NotTo(BeEmpty())
@@ -336,7 +336,7 @@
 		l := NewPlanner(p, 8)
 		plan, _ := l.PlanPrompt(0, prompt, nil, true)
 		l.StartPrefill(0, plan.PrefillServer, prompt)
-		Expect(plan.PrefillServer.engine.waitNow(2)).To(BeNumerically(">", 1))
+		Expect(plan.PrefillServer.engine.expectedWait(2)).To(BeNumerically(">", 1))
 		next, _ := l.PlanPrompt(2, prompt, nil, true)
 		Expect(next.PrefillServer).NotTo(Equal(plan.PrefillServer))
 	})
@@ -345,7 +345,7 @@
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
-		l.pace.prefill = pace{latency: 0.05, perToken: 1e-5}
+		l.paces.prefill = prefillPace{latencySeconds: 0.05, secondsPerToken: 1e-5}
 		inTime := &Prompt{Tokens: 12000, Chunks: prompt.Chunks, LatencyTargetSeconds: 0.5}
 		home, _ := l.PlanPrompt(0, inTime, nil, true)
 		r := l.StartPrefill(0, home.PrefillServer, inTime)
@@ -362,8 +362,8 @@
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
-		l.pace.prefill = pace{latency: 0.05, perToken: 1e-5}
-		l.pace.decode = pace{latency: 0.05, perToken: 2e-5}
+		l.paces.prefill = prefillPace{latencySeconds: 0.05, secondsPerToken: 1e-5}
+		l.paces.decode = prefillPace{latencySeconds: 0.05, secondsPerToken: 2e-5}
 		plan, _ := l.PlanPrompt(0, prompt, nil, true)
 		r := l.StartPrefill(0, plan.PrefillServer, prompt)
 		l.FinishPrefill(0.8, plan.PrefillServer, r, true) // there is a line of 0.3 s at its home
@@ -377,12 +377,12 @@
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
-		l.pace.prefill = pace{latency: 0.05, perToken: 1e-5}
-		l.pace.decode = pace{latency: 0.01, perToken: 2e-5}
+		l.paces.prefill = prefillPace{latencySeconds: 0.05, secondsPerToken: 1e-5}
+		l.paces.decode = prefillPace{latencySeconds: 0.01, secondsPerToken: 2e-5}
 		for _, e := range p.members {
 			e.engine.running = running
 			if e.Stage == message.Prefill {
-				e.engine.wait, e.engine.waitAt = 0.6, 0 // all that read have a line
+				e.engine.waitSeconds, e.engine.waitObservedAt = 0.6, 0 // all that read have a line
 			}
 		}
 		plan, ok := l.PlanPrompt(0, &Prompt{Tokens: tokens, Chunks: []Chunk{{"x", tokens}}, LatencyTargetSeconds: 0.5, GapTargetSeconds: gap}, nil, true)
@@ -396,8 +396,8 @@
 		p.Engine = engine
 		e := p.endpoints["i-decode001"]
 		e.RecordLoad(10, 3, 1)
-		p.MergeLoads(10.5, []message.Load{{InstanceKey: e.key, Running: 9, Waiting: 2, AgeMs: 100}})
-		p.MergeLoads(10.6, []message.Load{{InstanceKey: e.key, Running: 1, Waiting: 0, AgeMs: 900}})
+		p.MergeLoads(10.5, []message.Load{{InstanceKey: e.loadKey, Running: 9, Waiting: 2, AgeMs: 100}})
+		p.MergeLoads(10.6, []message.Load{{InstanceKey: e.loadKey, Running: 1, Waiting: 0, AgeMs: 900}})
 		Expect(e.engine.running).To(Equal(9))
 		Expect(p.TakeNewLoads(10.6)).To(HaveLen(1), "what was told here goes on to others once")
 		Expect(p.TakeNewLoads(10.7)).To(BeEmpty())
@@ -421,13 +421,13 @@
 			l.FinishPrefill(float64(i)+0.2, e, r, i%2 == 0)
 			e.FinishDecode(prompt)
 		}
-		Expect(e.engine.tokens).To(BeNumerically("~", 0, 1e-6))
-		Expect(e.engine.readings).To(BeEmpty())
-		Expect(e.engine.held).To(BeZero())
+		Expect(e.engine.prefillTokens).To(BeNumerically("~", 0, 1e-6))
+		Expect(e.engine.prefills).To(BeEmpty())
+		Expect(e.engine.kvTokens).To(BeZero())
 	})
 
 	It("learns latency and pace from the fast ones among readings that are held up", func() {
-		l := newPaces()
+		l := newStagePaces()
 		rng := rand.New(rand.NewPCG(9, 9))
 		for range 3000 {
 			tokens := 500 + rng.Float64()*12000
@@ -435,18 +435,18 @@
 			if rng.IntN(2) == 0 {
 				seconds += rng.ExpFloat64() * 0.2
 			}
-			l.prefill.learn(tokens, seconds)
+			l.prefill.observe(tokens, seconds)
 		}
 		for _, tokens := range []float64{1000, 4000, 12000} {
 			alone := 0.047 + tokens/112_000
-			Expect(l.prefill.latency+tokens*l.prefill.perToken).To(BeNumerically("~", alone, 0.06), "%v tokens", tokens)
+			Expect(l.prefill.latencySeconds+tokens*l.prefill.secondsPerToken).To(BeNumerically("~", alone, 0.06), "%v tokens", tokens)
 		}
 	})
 
 	It("begins with a pace that is finite", func() {
-		l := newPaces()
-		Expect(l.prefill.perToken).To(BeNumerically("~", 1/pacePrior, 1e-9))
-		Expect(l.decode.perToken).To(BeNumerically(">", l.prefill.perToken))
+		l := newStagePaces()
+		Expect(l.prefill.secondsPerToken).To(BeNumerically("~", 1/initialTokensPerSecond, 1e-9))
+		Expect(l.decode.secondsPerToken).To(BeNumerically(">", l.prefill.secondsPerToken))
 	})
 
 	DescribeTable("is read from the fields that a client sends", func(field string, want int) {
@@ -462,7 +462,7 @@
 		p.SetMaxConnections(100)
 		p.endpoints["i-000"].RecordIdentity("i-other")
 		p.endpoints["i-001"].RecordFailure(60, true)
-		for range p.most {
+		for range p.maxConnections {
 			p.endpoints["i-002"].StartRequest()
 		}
 		Expect(p.Status(60.1)).To(Equal(Status{Listed: 6, Members: 6, Available: 3, WrongInstance: 1, Ejected: 1, Full: 1}))
--- a/internal/decide/placement/returns_test.go
+++ b/internal/decide/placement/returns_test.go
@@ -42,7 +42,7 @@
 		e.RecordMisdirected(20)
 		Expect(p.candidates(20.1, "", nil)).NotTo(ContainElement(e))
 		Expect(p.DueProbes(20.1)).To(ContainElement(e))
-		Expect(p.candidates(20.1+coolFirst, "", nil)).To(ContainElement(e))
+		Expect(p.candidates(20.1+firstEjectionSeconds, "", nil)).To(ContainElement(e))
 	})
 
 	It("is out while another instance answers at its address, and goes on being probed in its time", func() {
@@ -91,11 +91,11 @@
 	It("keeps a server out for as long as it may take, whoever goes on telling of it", func() {
 		p, _ := newEngine(0, 4)
 		p.Engine.SwitchSeconds = 2
-		for now := 0.0; now < 2+switchMargin; now += 0.5 {
+		for now := 0.0; now < 2+switchMarginSeconds; now += 0.5 {
 			p.ApplyStagePlan(now, plan)
 			Expect(p.members).NotTo(ContainElement(e(p)))
 		}
-		Expect(p.ExpireStageChanges(2+switchMargin)).To(BeTrue(), "without another word of the holder")
+		Expect(p.ExpireStageChanges(2+switchMarginSeconds)).To(BeTrue(), "without another word of the holder")
 		Expect(p.members).To(ContainElement(e(p)))
 		p.ApplyStagePlan(20, plan)
 		Expect(p.members).To(ContainElement(e(p)))
@@ -112,10 +112,10 @@
 		p.UpdateInstances(1, all[:2])
 		p.UpdateInstances(1.1, all)
 		Expect(p.endpoints).To(HaveLen(2), "an older reading may come after")
-		Expect(p.CanReadmit(1 + goneFor)).To(BeFalse())
-		Expect(p.CanReadmit(1.1 + goneFor)).To(BeTrue())
-		p.UpdateInstances(1.1+goneFor, all)
+		Expect(p.CanReadmit(1 + readmissionSeconds)).To(BeFalse())
+		Expect(p.CanReadmit(1.1 + readmissionSeconds)).To(BeTrue())
+		p.UpdateInstances(1.1+readmissionSeconds, all)
 		Expect(p.endpoints).To(HaveLen(3))
-		Expect(p.CanReadmit(2 + goneFor)).To(BeFalse())
+		Expect(p.CanReadmit(2 + readmissionSeconds)).To(BeFalse())
 	})
 })
--- a/internal/decide/placement/switching.go
+++ b/internal/decide/placement/switching.go
@@ -2,16 +2,16 @@
 
 import "hazelwheel/internal/message"
 
-// switchMargin is what is added to the time that a change of the stage takes, for answers under way to end and the list to show it, in
+// switchMarginSeconds is what is added to the time that a change of the stage takes, for answers under way to end and the list to show it, in
 // seconds. After that the plan is no longer believed: who made it may be gone, and the order may have come to nothing.
-const switchMargin = 10.0
+const switchMarginSeconds = 10.0
 
-// switching is what a proxy knows of a server's change of its stage.
-type switching struct {
-	on    bool
-	stage message.Stage // that it will have
-	token uint64        // of the holder that ordered it
-	until float64       // for how long the plan is believed, 0: it names no change
+// stageChange is what a proxy knows of a server's change of its stage.
+type stageChange struct {
+	isActive  bool
+	stage     message.Stage // that it will have
+	token     uint64        // of the holder that ordered it
+	expiresAt float64       // for how long the plan is believed, 0: it names no change
 }
 
 // ApplyStagePlan takes the plan of the holder of the role. A change that it names keeps the server out of the choice until the list shows
@@ -19,29 +19,29 @@
 func (p *Pool) ApplyStagePlan(now float64, plan message.StagePlan) {
 	for id, e := range p.endpoints {
 		stage, ordered := plan.Stages[id]
-		s := &e.switching
+		s := &e.stageChange
 		switch {
 		case !ordered:
-			*s = switching{}
-		case s.until == 0 || s.stage != stage || s.token != plan.Token:
-			*s = switching{stage: stage, token: plan.Token, until: now + p.Engine.SwitchSeconds + switchMargin}
+			*s = stageChange{}
+		case s.expiresAt == 0 || s.stage != stage || s.token != plan.Token:
+			*s = stageChange{stage: stage, token: plan.Token, expiresAt: now + p.Engine.SwitchSeconds + switchMarginSeconds}
 		}
-		s.on = ordered && stage != e.Stage && now < s.until
+		s.isActive = ordered && stage != e.Stage && now < s.expiresAt
 	}
-	p.subset()
+	p.updateSubset()
 }
 
 // ExpireStageChanges takes servers back whose change has not come about in its time. It returns whether there were any.
 func (p *Pool) ExpireStageChanges(now float64) bool {
 	expired := false
 	for _, e := range p.endpoints {
-		if e.switching.on && now >= e.switching.until {
-			e.switching.on = false
+		if e.stageChange.isActive && now >= e.stageChange.expiresAt {
+			e.stageChange.isActive = false
 			expired = true
 		}
 	}
 	if expired {
-		p.subset()
+		p.updateSubset()
 	}
 	return expired
 }
