--- a/internal/decide/placement/budget.go
+++ /dev/null
@@ -1,5 +0,0 @@
-package placement
-
-import "math"
-
-func sqrt(x float64) float64 { return math.Sqrt(x) }
--- a/internal/decide/placement/cost.go
+++ b/internal/decide/placement/cost.go
@@ -7,38 +7,40 @@
 )
 
 const (
-	// waitTimeConstant is the time in seconds in which a wait that was seen counts for a third.
+	// waitTimeConstant is the time constant with which an observed wait fades, in seconds.
 	waitTimeConstant = 0.6
-	// latePenaltySeconds is what it counts for that a prompt is surely too late, in seconds; between lateFrom and lateTo, in parts of the
-	// objective, it grows.
+	// latePenaltySeconds is the cost of a prefill that is certainly too late for the latency target. It grows from 0 between
+	// latenessStart and latenessEnd, fractions of the target.
 	latePenaltySeconds = 0.5
 	latenessStart      = 0.6
 	latenessEnd        = 1.1
-	// crossZonePrefillSeconds is what another zone counts for when a prompt is read, in seconds; crossRunner when its answer is made, as a part of
-	// a server's slots.
+	// crossZonePrefillSeconds is the cost of prefill in another zone, crossZoneDecodeLoad that of decode in another zone, as a
+	// fraction of a server's slots.
 	crossZonePrefillSeconds = 0.003
 	crossZoneDecodeLoad     = 0.08
-	// repeatedTokenSeconds is what a token of a shared part counts for that is read where it is not held, in seconds.
+	// repeatedTokenSeconds is the cost of a token of a shared prefix that is read again where it is not cached.
 	repeatedTokenSeconds = 100e-6
-	// interferencePenalty is what each answer under way counts for that is held up by a prompt read beside it, as a part of the time.
+	// interferencePenalty is the cost of each answer in progress at a server that does prefill beside it, as a fraction of the
+	// prefill's cost.
 	interferencePenalty = 0.5
-	// gapPenaltyStart is the part of the longest pause in time for which a prompt may be read beside answers without making them late.
+	// gapPenaltyStart is the fraction of the gap target up to which a prefill doesn't delay the answers beside it too much.
 	gapPenaltyStart = 0.5
-	// transferSetupSeconds is what a move takes beside its bytes, in seconds.
+	// transferSetupSeconds is the duration of a transfer of the KV cache beside that of its bytes.
 	transferSetupSeconds = 0.004
 )
 
-// prefillSeconds is what a server of a stage takes to read so many tokens at once.
+// prefillSeconds returns the duration of a prefill at a server of a stage that does nothing else.
 func (l *Planner) prefillSeconds(stage message.Stage, tokens float64) float64 {
 	return l.paces.forStage(stage).latencySeconds + tokens/l.tokensPerSecond(stage)
 }
 
+// tokensPerSecond returns the speed of prefill at servers of a stage.
 func (l *Planner) tokensPerSecond(stage message.Stage) float64 {
 	return 1 / l.paces.forStage(stage).secondsPerToken
 }
 
-// prefillCost estimates the cost of having a server read a prompt, in seconds: the time until it is read, and what reading shared
-// parts again counts for.
+// prefillCost returns the cost of the prefill of a prompt at a server, in seconds: its duration with all waits, the cost of
+// tokens that are read again, and a penalty if it is late.
 func (l *Planner) prefillCost(e *Endpoint, q *Prompt, now float64, isHome bool) float64 {
 	uncached := e.uncachedTokens(q, now, l.cacheSeconds, isHome)
 	seconds := e.engine.expectedWait(now) + l.prefillSeconds(e.Stage, e.engine.prefillTokens+uncached)
@@ -48,7 +50,7 @@
 	return seconds + repeatedTokenSeconds*max(uncached-q.ownTokens(), 0) + latenessPenalty(seconds, q.LatencyTargetSeconds)
 }
 
-// latenessPenalty is what it counts for that a prompt is read too late for its objective, in seconds.
+// latenessPenalty returns the cost of a prefill that ends after some seconds, where there is a latency target.
 func latenessPenalty(seconds, targetSeconds float64) float64 {
 	if targetSeconds <= 0 {
 		return 0
@@ -56,8 +58,8 @@
 	return latePenaltySeconds * min(max((seconds/targetSeconds-latenessStart)/(latenessEnd-latenessStart), 0), 1)
 }
 
-// expectedWait is how long a prompt is taken to wait before it is read: by what the server told or was seen to take, which fades, and by
-// the prompts that are overdue there now.
+// expectedWait returns how long a prompt is expected to wait at a server: the wait that was last observed, which fades, or the
+// time by which a prefill there is overdue.
 func (v *engineState) expectedWait(now float64) float64 {
 	wait := v.waitSeconds * math.Exp(-(now-v.waitObservedAt)/waitTimeConstant)
 	for _, r := range v.prefills {
@@ -66,13 +68,13 @@
 	return wait
 }
 
-// interferenceFactor is by how much a prompt counts more that is read beside answers under way.
+// interferenceFactor returns the factor by which answers in progress raise the cost of a colocated prefill.
 func (e *Endpoint) interferenceFactor() float64 {
 	return 1 + interferencePenalty*float64(max(e.engine.running, e.InFlight))
 }
 
-// gapPenalty is what it counts for that answers under way at a server pause for too long while it reads a prompt, in seconds. Reading takes
-// turns with them, and for as long as it goes on they come several times as slowly.
+// gapPenalty returns the cost of the gaps in answers in progress at a server during a colocated prefill, in seconds. The server
+// alternates between prefill and decode, so that events come several times as slowly while a prefill lasts.
 func (l *Planner) gapPenalty(now float64, q *Prompt, e *Endpoint) float64 {
 	if q.GapTargetSeconds <= 0 {
 		return 0
@@ -82,7 +84,7 @@
 	return latePenaltySeconds * late * float64(max(e.engine.running, e.InFlight))
 }
 
-// decodeLoad is the part of a server's slots that is taken, as far as is known, and what a move from another zone counts for.
+// decodeLoad returns the known fraction of a server's slots in use, plus the cost of a transfer from a zone.
 func (e *Endpoint) decodeLoad(zone string) float64 {
 	taken := float64(max(e.engine.running+e.engine.waiting, e.InFlight)) / float64(max(e.Slots, 1))
 	if e.Zone != zone {
@@ -91,6 +93,7 @@
 	return taken
 }
 
+// transferSeconds returns the duration of the transfer of a prompt's KV cache between two servers.
 func (l *Planner) transferSeconds(q *Prompt, from, to *Endpoint) float64 {
 	if l.pool.Engine.LinkMbps <= 0 {
 		return transferSetupSeconds
--- a/internal/decide/placement/endpoint.go
+++ b/internal/decide/placement/endpoint.go
@@ -1,48 +1,47 @@
 package placement
 
-import (
-	"hazelwheel/internal/message"
-)
+import "hazelwheel/internal/message"
 
 const (
-	// firstEjectionSeconds and coolMost bound how long a server that fails requests gets none, in seconds. It doubles from failure to failure.
+	// firstEjectionSeconds is how long a server is ejected first. The time doubles with each further failure, up to
+	// maxEjectionSeconds.
 	firstEjectionSeconds = 0.4
 	maxEjectionSeconds   = 6.0
-	// ejectionFailures is the number of failures in a row after which it does.
+	// ejectionFailures is the number of consecutive failures from which on a server is ejected.
 	ejectionFailures = 2
 )
 
 // Endpoint is a server as one proxy knows it.
 type Endpoint struct {
 	message.Instance
-	InFlight int // own requests
+	InFlight int // requests of this proxy in progress
 
-	loadKey         uint32 // in loads
-	isMember        bool   // of the proxy's part
+	loadKey         uint32 // see message.Load.InstanceKey
+	isMember        bool   // of the proxy's subset
 	probeGaps       gapWindow
 	nextProbeAt     float64
 	isProbing       bool
-	failures        int
+	failures        int // consecutive ones
 	ejectedUntil    float64
-	isWrongInstance bool // another instance answered at the address, and this one has not since
+	isWrongInstance bool // another instance has answered at the address, and this one has not since
 	stageChange     stageChange
 	engine          engineState
 }
 
-// ownLoad is the part of a server's slots that own requests take.
+// ownLoad returns the fraction of a server's slots that requests of this proxy take.
 func (e *Endpoint) ownLoad() float64 { return float64(e.InFlight) / float64(max(e.Slots, 1)) }
 
-// StartRequest counts an own request.
+// StartRequest counts a request that this proxy starts.
 func (e *Endpoint) StartRequest() { e.InFlight++ }
 
-// FinishRequest takes it away.
+// FinishRequest counts a request that has ended.
 func (e *Endpoint) FinishRequest() { e.InFlight-- }
 
-// RecordSuccess tells that a server served a request.
+// RecordSuccess records that a server has served a request. It ends an ejection.
 func (e *Endpoint) RecordSuccess() { e.failures, e.ejectedUntil = 0, 0 }
 
-// RecordFailure tells that a request failed at a server by the server's fault. After some in a row it gets none for a while, and
-// it is probed at once.
+// RecordFailure records that a request has failed by the server's fault. The server is probed at once, and ejected after
+// ejectionFailures consecutive failures, or at once if it is unreachable.
 func (e *Endpoint) RecordFailure(now float64, unreachable bool) {
 	e.failures++
 	e.nextProbeAt = min(e.nextProbeAt, now)
@@ -52,20 +51,20 @@
 	}
 }
 
-// RecordIdentity takes the instance that an answer from the server's address names, "" where it names none. Another instance's keeps
-// requests away until this one's own is heard again.
+// RecordIdentity records the instance that an answer from the server's address names, "" where it names none. After another
+// instance has answered, the server gets no requests until it answers itself.
 func (e *Endpoint) RecordIdentity(instance string) {
 	if instance != "" {
 		e.isWrongInstance = instance != e.ID
 	}
 }
 
-// RecordMisdirected tells that the server did not take a request for its own. Danger: that is the word on one request. It may go by the
-// stage, the weights or the request itself as well as by the instance, so that it holds the server back for a while and has it probed:
-// who lives at the address is told by answers that name an instance, alone.
+// RecordMisdirected records that the server has rejected a request as misdirected. Danger: that is a statement about one
+// request. Its reason may be the stage, the weights or the request itself as well as the instance, so the server is only
+// ejected and probed; which instance is at the address is known only from answers that name one.
 func (e *Endpoint) RecordMisdirected(now float64) { e.RecordFailure(now, true) }
 
-// RecordProbe takes what came of a probe.
+// RecordProbe records the result of a probe that DueProbes has returned.
 func (e *Endpoint) RecordProbe(now float64, answered bool) {
 	e.isProbing = false
 	if answered {
--- a/internal/decide/placement/failure_detector.go
+++ b/internal/decide/placement/failure_detector.go
@@ -1,36 +1,42 @@
 package placement
 
-import "hazelwheel/policy"
+import (
+	"math"
+
+	"hazelwheel/policy"
+)
 
 const (
+	// windowSize is the number of gaps from which the suspicion is computed.
 	windowSize = 30
-	// suspectPhi is the suspicion above which a server is drawn half as often, phiOut the one above which it gets probes alone.
+	// suspectPhi is the suspicion above which a server is drawn half as often, excludePhi the one above which it gets only
+	// probes.
 	suspectPhi = 3.0
 	excludePhi = 8.0
-	// minSigmaFraction and sigmaCap clamp sigma, as parts of the mean gap.
+	// minSigmaFraction and maxSigmaFraction bound the standard deviation, as fractions of the mean gap.
 	minSigmaFraction = 0.1
 	maxSigmaFraction = 0.3
-	// ProbeIntervalSeconds is the time between probes of a server, in seconds. The design asks for five at most.
+	// ProbeIntervalSeconds is the time between probes of a server. The design asks for five seconds at most.
 	ProbeIntervalSeconds = 4.8
-	// retryProbeSeconds is the time to the next probe of a server that failed lately, in seconds.
+	// retryProbeSeconds is the time until the next probe of a server that did not reply to one.
 	retryProbeSeconds = 0.5
 )
 
-// gapWindow holds the gaps between a server's probe answers. It grows on arrivals alone.
+// gapWindow holds the last gaps between a server's probe replies, for a phi accrual failure detector (Hayashibara et al.).
+// Only replies add gaps: silence must not raise the mean to which it is compared.
 type gapWindow struct {
 	gaps        []float64
-	nextGap     int
-	lastArrival float64 // when the last answer came
-	probes      bool    // whether an answer came at all
+	nextGap     int     // index of the oldest gap, once the window is full
+	lastArrival float64 // time of the last reply
 }
 
-// seed begins a window with the mean of others.
+// seed starts a window with the mean gap of other servers.
 func (w *gapWindow) seed(now, mean float64) {
 	w.gaps = append(w.gaps[:0], mean, mean, mean)
 	w.nextGap, w.lastArrival = len(w.gaps)%windowSize, now
 }
 
-// record takes a probe answer.
+// record adds a probe reply.
 func (w *gapWindow) record(now float64) {
 	gap := now - w.lastArrival
 	if len(w.gaps) < windowSize {
@@ -39,9 +45,10 @@
 		w.gaps[w.nextGap] = gap
 		w.nextGap = (w.nextGap + 1) % windowSize
 	}
-	w.lastArrival, w.probes = now, true
+	w.lastArrival = now
 }
 
+// mean returns the mean gap.
 func (w *gapWindow) mean() float64 {
 	sum := 0.0
 	for _, gap := range w.gaps {
@@ -50,7 +57,7 @@
 	return sum / float64(len(w.gaps))
 }
 
-// phi is the suspicion after the silence since the last answer.
+// phi returns the suspicion of a server that has been silent since its last reply.
 func (w *gapWindow) phi(now float64) float64 {
 	mean := w.mean()
 	square := 0.0
@@ -59,6 +66,6 @@
 	}
 	variance := square / float64(len(w.gaps))
 	low, high := minSigmaFraction*mean, maxSigmaFraction*mean
-	sigma := min(max(sqrt(variance), low), high)
+	sigma := min(max(math.Sqrt(variance), low), high)
 	return policy.Phi(now-w.lastArrival, mean, sigma)
 }
--- a/internal/decide/placement/loads.go
+++ b/internal/decide/placement/loads.go
@@ -6,17 +6,18 @@
 	"hazelwheel/internal/message"
 )
 
-// RecordLoad takes the figures that a server told this proxy with an answer: requests running and waiting.
+// RecordLoad records the load that a server has reported to this proxy: requests running and waiting.
 func (e *Endpoint) RecordLoad(now float64, running, waiting int) {
 	e.engine.setLoad(now, running, waiting)
 	e.engine.hasNewLoad = true
 }
 
+// setLoad sets the load that a server had at a time.
 func (v *engineState) setLoad(at float64, running, waiting int) {
 	v.running, v.waiting, v.loadReportedAt = running, waiting, at
 }
 
-// MergeLoads takes what servers told other proxies, where it is younger.
+// MergeLoads adopts loads that servers have reported to other proxies, where they are younger.
 func (p *Pool) MergeLoads(now float64, loads []message.Load) {
 	if len(loads) == 0 || !p.Engine.IsPresent {
 		return
@@ -33,7 +34,7 @@
 	}
 }
 
-// TakeNewLoads returns what servers have told this proxy since it was called last.
+// TakeNewLoads returns the loads that members have reported to this proxy since the last call.
 func (p *Pool) TakeNewLoads(now float64) (loads []message.Load) {
 	for _, e := range p.members {
 		if !e.engine.hasNewLoad {
@@ -41,9 +42,11 @@
 		}
 		e.engine.hasNewLoad = false
 		age := min(max(now-e.engine.loadReportedAt, 0)*1000, math.MaxUint16)
-		loads = append(loads, message.Load{InstanceKey: e.loadKey, Running: clampUint16(e.engine.running), Waiting: clampUint16(e.engine.waiting), AgeMs: uint16(age)})
+		loads = append(loads, message.Load{InstanceKey: e.loadKey, Running: clampUint16(e.engine.running),
+			Waiting: clampUint16(e.engine.waiting), AgeMs: uint16(age)})
 	}
 	return loads
 }
 
+// clampUint16 returns a count, or the bound of its type that it exceeds.
 func clampUint16(count int) uint16 { return uint16(min(max(count, 0), math.MaxUint16)) }
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -30,7 +30,7 @@
 	return p
 }
 
-// answerProbes has every due probe answered by all but some endpoints, in steps of 0.1 s.
+// answerProbes answers all due probes except those of silent endpoints, in steps of 0.1 s.
 func answerProbes(p *Pool, from, to float64, silent ...string) {
 	for now := from; now < to; now += 0.1 {
 		for _, e := range p.DueProbes(now) {
@@ -54,16 +54,16 @@
 			}
 		}
 		Expect(uses).To(HaveLen(servers))
-		least, most := 1<<30, 0
+		fewest, most := 1<<30, 0
 		for _, count := range uses {
-			least, most = min(least, count), max(most, count)
+			fewest, most = min(fewest, count), max(most, count)
 		}
-		Expect(most - least).To(BeNumerically("<=", 2))
+		Expect(most - fewest).To(BeNumerically("<=", 2))
 	}, Entry("few servers", 3, 9), Entry("as many", 20, 20), Entry("many servers", 300, 20), Entry("many proxies", 40, 300))
 })
 
-var _ = Describe("the connections of a fleet", func() {
-	It("to a server leave room for those of processes that have lost power, and each proxy has its servers", func() {
+var _ = Describe("the connections of all proxies", func() {
+	It("to a server leave room for those of processes that have lost power, and each proxy has a subset", func() {
 		const connections, servers, proxies = 75, 5, 58
 		uses := map[string]int{}
 		for rank := range proxies {
@@ -81,7 +81,7 @@
 		}
 	})
 
-	It("bound nothing where a service takes many or does not tell", func() {
+	It("bound no subset where a service takes many or the limit is unknown", func() {
 		for _, connections := range []int{0, 500} {
 			p := newPool(instances(8, ""))
 			p.SetRank(3, 9)
@@ -92,7 +92,7 @@
 })
 
 var _ = Describe("suspicion", func() {
-	It("keeps who answers, halves who is late and leaves out who is silent", func() {
+	It("keeps servers that reply and excludes silent ones", func() {
 		p := newPool(instances(4, ""))
 		answerProbes(p, 0, 60)
 		Expect(p.endpoints["i-000"].probeGaps.phi(60.5)).To(BeNumerically("<", suspectPhi))
@@ -103,7 +103,7 @@
 		}
 	})
 
-	It("draws who is between the thresholds half as often", func() {
+	It("halves the traffic of servers between the thresholds", func() {
 		p := newPool(instances(2, ""))
 		answerProbes(p, 0, 60)
 		late := p.endpoints["i-000"]
@@ -124,7 +124,7 @@
 		Expect(drawn).To(BeNumerically("~", 2000, 200))
 	})
 
-	It("gives the least suspected the traffic where all are silent", func() {
+	It("picks the least suspected server where all are silent", func() {
 		p := newPool(instances(3, ""))
 		answerProbes(p, 0, 60)
 		for _, e := range p.endpoints {
@@ -136,7 +136,7 @@
 		}
 	})
 
-	It("grows its window on arrivals alone", func() {
+	It("adds gaps for replies only", func() {
 		p := newPool(instances(1, ""))
 		answerProbes(p, 0, 30)
 		gaps := len(p.endpoints["i-000"].probeGaps.gaps)
@@ -144,7 +144,7 @@
 		Expect(p.endpoints["i-000"].probeGaps.gaps).To(HaveLen(gaps))
 	})
 
-	It("seeds who comes with the mean of the others", func() {
+	It("seeds a new server with the mean gap of the others", func() {
 		p := newPool(instances(3, ""))
 		answerProbes(p, 0, 60)
 		p.UpdateInstances(60, instances(4, ""))
@@ -168,7 +168,7 @@
 })
 
 var _ = Describe("the choice of a server", func() {
-	It("takes the one of two with fewer own requests", func() {
+	It("picks the one of two with fewer requests in progress", func() {
 		p := newPool(instances(2, ""))
 		p.endpoints["i-000"].InFlight = 3
 		for range 50 {
@@ -176,7 +176,7 @@
 		}
 	})
 
-	It("never takes who is draining, gone, changing its stage or another instance", func() {
+	It("skips servers that drain, are removed, change their stage or are another instance", func() {
 		p := newPool(instances(5, ""))
 		list := instances(5, "")
 		list[0].Draining = true
@@ -189,7 +189,7 @@
 		}
 	})
 
-	It("takes others into its subset while servers change their stage", func() {
+	It("replaces servers in the subset that change their stage", func() {
 		p := newPool(instances(60, ""))
 		p.SetRank(0, 60)
 		stages := map[string]message.Stage{}
@@ -201,11 +201,11 @@
 		Expect(stages).NotTo(HaveKey(p.Pick(0, nil).ID))
 	})
 
-	It("leaves who fails in a row alone for a while, and goes back on proof", func() {
+	It("ejects a server after consecutive failures until it succeeds or the time is over", func() {
 		p := newPool(instances(2, ""))
 		bad := p.endpoints["i-000"]
 		bad.RecordFailure(1, false)
-		Expect(p.isUsable(bad, 1)).To(BeTrue(), "one failure proves little")
+		Expect(p.isUsable(bad, 1)).To(BeTrue(), "one failure is not enough")
 		bad.RecordFailure(1, false)
 		Expect(p.isUsable(bad, 1.1)).To(BeFalse())
 		Expect(p.isUsable(bad, 1+maxEjectionSeconds)).To(BeTrue())
@@ -214,45 +214,45 @@
 		Expect(p.isUsable(bad, 2)).To(BeTrue())
 	})
 
-	It("keeps within the connections of a server", func() {
+	It("keeps the limit of connections", func() {
 		p := newPool(instances(1, ""))
 		p.SetRank(0, 10)
 		p.SetMaxConnections(50)
 		only := p.endpoints["i-000"]
 		only.InFlight = 3
 		Expect(p.Pick(0, nil)).NotTo(BeNil())
-		only.InFlight = 4 // a tenth of the part of 50 that is used
+		only.InFlight = 4 // a tenth of the fraction of 50 that is used
 		Expect(p.candidates(0, "", nil)).To(BeEmpty())
 	})
 })
 
-var _ = Describe("a proxy whose part of the servers is full", func() {
-	It("uses the others before it refuses anything, each within its connections", func() {
+var _ = Describe("a proxy whose subset is full", func() {
+	It("uses servers outside the subset, each within its connections", func() {
 		p := newPool(instances(20, ""))
 		p.SetRank(3, 50)
 		p.SetMaxConnections(200)
-		part := len(p.members)
-		Expect(part).To(BeNumerically("<", 20))
-		begun := map[string]int{}
+		subsetSize := len(p.members)
+		Expect(subsetSize).To(BeNumerically("<", 20))
+		started := map[string]int{}
 		for {
 			e := p.Pick(0, nil)
 			if e == nil {
 				break
 			}
 			e.StartRequest()
-			if begun[e.ID]++; len(begun) > part {
+			if started[e.ID]++; len(started) > subsetSize {
 				for _, member := range p.members {
 					Expect(member.InFlight).To(Equal(p.maxConnections), "members first")
 				}
 			}
 		}
-		Expect(begun).To(HaveLen(20))
-		for id, count := range begun {
+		Expect(started).To(HaveLen(20))
+		for id, count := range started {
 			Expect(count).To(Equal(p.maxConnections), id)
 		}
 	})
 
-	It("passes over others that drain, change their stage, cool down or have failed the request", func() {
+	It("skips servers outside that drain, change their stage, are ejected or have failed the request", func() {
 		p := newPool(instances(8, message.Decode))
 		p.SetRank(0, 100)
 		p.SetMaxConnections(100)
@@ -279,30 +279,30 @@
 			for i := range budgets {
 				budgets[i] = RetryBudget{WindowSeconds: 10, Ratio: 0.2, Slack: 58}
 			}
-			var requests, extra []float64
+			var requests, retries []float64
 			for now := 0.0; now < 60; now += rng.ExpFloat64() / 200 {
 				b := &budgets[rng.IntN(rng.IntN(proxies)+1)] // uneven shares
 				b.RecordRequest(now)
 				requests = append(requests, now)
 				for range rng.IntN(4) {
 					if b.TrySpend(now, proxies) {
-						extra = append(extra, now)
+						retries = append(retries, now)
 					}
 				}
-				requests, extra = dropBefore(requests, now-10), dropBefore(extra, now-10)
-				Expect(float64(len(extra))).To(BeNumerically("<=", 0.2*float64(len(requests))+58), "seed %d at %.2f s", seed, now)
+				requests, retries = dropBefore(requests, now-10), dropBefore(retries, now-10)
+				Expect(float64(len(retries))).To(BeNumerically("<=", 0.2*float64(len(requests))+58), "seed %d at %.2f s", seed, now)
 			}
-			Expect(extra).NotTo(BeEmpty())
+			Expect(retries).NotTo(BeEmpty())
 		}
 	})
 })
 
-var _ = Describe("the place of a prompt", func() {
+var _ = Describe("the plan of a prompt", func() {
 	prompt := &Prompt{Tokens: 12000, MaxOutputTokens: 100, Chunks: []Chunk{{"aa", 500}, {"bb", 4900}, {"cc", 6600}}}
 	list := append(instances(4, message.Prefill), instances(4, message.Decode)...)
 	engine := Engine{IsPresent: true, KVTokenBytes: 35000, KVTokens: 900e3, LinkMbps: 1e6}
 
-	It("is the same for an opening at every proxy", func() {
+	It("uses the same prefill server for a shared prefix at every proxy", func() {
 		var first *Endpoint
 		for rank := range 6 {
 			p := newPool(list)
@@ -318,7 +318,7 @@
 		}
 	})
 
-	It("moves on when its home has a long line", func() {
+	It("leaves the home when it has a long queue", func() {
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
@@ -330,7 +330,7 @@
 		Expect(next.PrefillServer).NotTo(Equal(plan.PrefillServer))
 	})
 
-	It("moves on when a prompt there is overdue", func() {
+	It("leaves the home when a prefill there is overdue", func() {
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
@@ -341,7 +341,7 @@
 		Expect(next.PrefillServer).NotTo(Equal(plan.PrefillServer))
 	})
 
-	It("leaves its home once it would be too late there", func() {
+	It("leaves the home when it would miss the latency target there", func() {
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
@@ -349,7 +349,7 @@
 		inTime := &Prompt{Tokens: 12000, Chunks: prompt.Chunks, LatencyTargetSeconds: 0.5}
 		home, _ := l.PlanPrompt(0, inTime, nil, true)
 		r := l.StartPrefill(0, home.PrefillServer, inTime)
-		l.FinishPrefill(0.7, home.PrefillServer, r, true) // it took 0.5 s longer than alone: less than what its home holds is worth
+		l.FinishPrefill(0.7, home.PrefillServer, r, true) // 0.5 s longer than alone: less than the cost of reading the prefix again
 		next, _ := l.PlanPrompt(0.7, inTime, nil, true)
 		Expect(next.PrefillServer).To(Equal(home.PrefillServer))
 		r = l.StartPrefill(0.7, home.PrefillServer, inTime)
@@ -358,7 +358,7 @@
 		Expect(next.PrefillServer).NotTo(Equal(home.PrefillServer))
 	})
 
-	It("is not beside answers for what others may have read there, since nobody agrees on that", func() {
+	It("is not colocated for what other proxies may have cached at a decode server", func() {
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
@@ -366,14 +366,14 @@
 		l.paces.decode = prefillPace{latencySeconds: 0.05, secondsPerToken: 2e-5}
 		plan, _ := l.PlanPrompt(0, prompt, nil, true)
 		r := l.StartPrefill(0, plan.PrefillServer, prompt)
-		l.FinishPrefill(0.8, plan.PrefillServer, r, true) // there is a line of 0.3 s at its home
+		l.FinishPrefill(0.8, plan.PrefillServer, r, true) // an observed wait of 0.3 s at the home
 		for range 20 {
 			plan, _ = l.PlanPrompt(0.8, prompt, nil, true)
 			Expect(plan.PrefillServer).NotTo(BeNil())
 		}
 	})
 
-	DescribeTable("is beside answers only where they don't pause for too long", func(tokens, running int, gap float64, beside bool) {
+	DescribeTable("is colocated only where the gaps in other answers stay short", func(tokens, running int, gapTarget float64, isColocated bool) {
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
@@ -382,16 +382,16 @@
 		for _, e := range p.members {
 			e.engine.running = running
 			if e.Stage == message.Prefill {
-				e.engine.waitSeconds, e.engine.waitObservedAt = 0.6, 0 // all that read have a line
+				e.engine.waitSeconds, e.engine.waitObservedAt = 0.6, 0 // all prefill servers have a queue
 			}
 		}
-		plan, ok := l.PlanPrompt(0, &Prompt{Tokens: tokens, Chunks: []Chunk{{"x", tokens}}, LatencyTargetSeconds: 0.5, GapTargetSeconds: gap}, nil, true)
+		plan, ok := l.PlanPrompt(0, &Prompt{Tokens: tokens, Chunks: []Chunk{{"x", tokens}}, LatencyTargetSeconds: 0.5, GapTargetSeconds: gapTarget}, nil, true)
 		Expect(ok).To(BeTrue())
-		Expect(plan.PrefillServer == nil).To(Equal(beside))
-	}, Entry("a short one", 1000, 4, 0.2, true), Entry("a long one beside nobody", 9000, 0, 0.2, true),
-		Entry("a long one beside a few", 9000, 3, 0.2, false), Entry("a long one where pauses don't matter", 9000, 3, 0.0, true))
+		Expect(plan.PrefillServer == nil).To(Equal(isColocated))
+	}, Entry("a short prompt", 1000, 4, 0.2, true), Entry("a long prompt without other answers", 9000, 0, 0.2, true),
+		Entry("a long prompt with a few other answers", 9000, 3, 0.2, false), Entry("a long prompt without a gap target", 9000, 3, 0.0, true))
 
-	It("takes the youngest word on a server's load, in any order", func() {
+	It("uses the youngest load of a server, in any order", func() {
 		p := newPool(list)
 		p.Engine = engine
 		e := p.endpoints["i-decode001"]
@@ -399,11 +399,11 @@
 		p.MergeLoads(10.5, []message.Load{{InstanceKey: e.loadKey, Running: 9, Waiting: 2, AgeMs: 100}})
 		p.MergeLoads(10.6, []message.Load{{InstanceKey: e.loadKey, Running: 1, Waiting: 0, AgeMs: 900}})
 		Expect(e.engine.running).To(Equal(9))
-		Expect(p.TakeNewLoads(10.6)).To(HaveLen(1), "what was told here goes on to others once")
+		Expect(p.TakeNewLoads(10.6)).To(HaveLen(1), "a reported load is sent on once")
 		Expect(p.TakeNewLoads(10.7)).To(BeEmpty())
 	})
 
-	It("is where the answer is made where nobody reads", func() {
+	It("is colocated without prefill servers", func() {
 		p := newPool(instances(3, message.Decode))
 		plan, ok := NewPlanner(p, 8).PlanPrompt(0, prompt, nil, true)
 		Expect(ok).To(BeTrue())
@@ -411,7 +411,7 @@
 		Expect(plan.DecodeServer).NotTo(BeNil())
 	})
 
-	It("forgets what was counted once it has ended", func() {
+	It("returns to zero load once all has ended", func() {
 		p := newPool(list)
 		l := NewPlanner(p, 8)
 		e := p.endpoints["i-prefill000"]
@@ -426,7 +426,7 @@
 		Expect(e.engine.kvTokens).To(BeZero())
 	})
 
-	It("learns latency and pace from the fast ones among readings that are held up", func() {
+	It("learns latency and speed from the fast ones among delayed prefills", func() {
 		l := newStagePaces()
 		rng := rand.New(rand.NewPCG(9, 9))
 		for range 3000 {
@@ -443,19 +443,19 @@
 		}
 	})
 
-	It("begins with a pace that is finite", func() {
+	It("starts with finite speeds", func() {
 		l := newStagePaces()
 		Expect(l.prefill.secondsPerToken).To(BeNumerically("~", 1/initialTokensPerSecond, 1e-9))
 		Expect(l.decode.secondsPerToken).To(BeNumerically(">", l.prefill.secondsPerToken))
 	})
 
-	DescribeTable("is read from the fields that a client sends", func(field string, want int) {
+	DescribeTable("is made from the chunks that a client sends", func(field string, want int) {
 		Expect(ParseChunks(field)).To(HaveLen(want))
-	}, Entry("three parts", "5c1e07a2:800,91bd3f06:410, e4402b7d:250", 3), Entry("none", "", 0), Entry("no size", "aa,bb:0,cc:-4,dd:x", 0))
+	}, Entry("three chunks", "5c1e07a2:800,91bd3f06:410, e4402b7d:250", 3), Entry("none", "", 0), Entry("no size", "aa,bb:0,cc:-4,dd:x", 0))
 })
 
-var _ = Describe("the standing of a pool", func() {
-	It("counts each member once, by why it is not chosen", func() {
+var _ = Describe("the status of a pool", func() {
+	It("counts each member once, by why it can't be picked", func() {
 		p := newPool(instances(6, ""))
 		p.SetRank(0, 1)
 		answerProbes(p, 0, 60)
--- a/internal/decide/placement/planner.go
+++ b/internal/decide/placement/planner.go
@@ -7,40 +7,39 @@
 	"hazelwheel/internal/message"
 )
 
-const (
-	// demandTimeConstant is the time in seconds over which what is asked is averaged.
-	demandTimeConstant = 1.5
-)
+// demandTimeConstant is the time constant of the average of the demand, in seconds.
+const demandTimeConstant = 1.5
 
-// Planner chooses servers for prompts.
+// Planner plans where the prompts of a service are processed.
 type Planner struct {
 	pool         *Pool
 	paces        stagePaces
-	cacheSeconds float64     // for how long a part that was read is taken to be held
-	prefillRate  decayingSum // prompt tokens
+	cacheSeconds float64     // for which a chunk counts as cached after its last use
+	prefillRate  decayingSum // prompt tokens that were sent to prefill
 }
 
-// decayingSum sums what comes, and forgets it in demandTau seconds.
+// decayingSum is a sum that decays with demandTimeConstant.
 type decayingSum struct {
 	sum, updatedAt float64
 }
 
+// add adds an amount.
 func (d *decayingSum) add(now, amount float64) {
 	d.sum = d.sum*math.Exp(-(now-d.updatedAt)/demandTimeConstant) + amount
 	d.updatedAt = now
 }
 
-// perSecond returns the amount a second.
+// perSecond returns the rate of the amounts.
 func (d *decayingSum) perSecond(now float64) float64 {
 	return d.sum * math.Exp(-(now-d.updatedAt)/demandTimeConstant) / demandTimeConstant
 }
 
-// NewPlanner returns a planner for a pool.
+// NewPlanner returns a planner for a pool. Chunks count as cached for cacheSeconds after their last use.
 func NewPlanner(pool *Pool, cacheSeconds float64) *Planner {
 	return &Planner{pool: pool, cacheSeconds: cacheSeconds, paces: newStagePaces()}
 }
 
-// Demand returns what this proxy asks of the service.
+// Demand returns the load that this proxy puts on the service.
 func (l *Planner) Demand(now float64) membership.Demand {
 	demand := membership.Demand{Service: l.pool.Service, PrefillTokensPerSecond: l.prefillRate.perSecond(now)}
 	for _, e := range l.pool.endpoints {
@@ -52,10 +51,12 @@
 	return demand
 }
 
-// PlanPrompt returns where a prompt is to be read, and false if there is no server. Those in without are passed over.
+// PlanPrompt returns where a prompt is to be processed, and false if there is no server. excluded are servers that have failed
+// the request before. Without allowSplit one decode server does it all.
 func (l *Planner) PlanPrompt(now float64, q *Prompt, excluded []*Endpoint, allowSplit bool) (Plan, bool) {
 	key := q.SharedPrefixKey()
-	// Danger: nobody agrees on where a key is read beside answers, so that no such server is taken to hold what others had read there.
+	// Danger: proxies agree on the home of a key among prefill servers only. No decode server may count as having cached what
+	// other proxies have sent.
 	colocated, colocatedSeconds := l.cheapest(now, q, "", l.decodeCandidates(now, excluded))
 	if !allowSplit {
 		return Plan{DecodeServer: colocated}, colocated != nil
@@ -64,14 +65,15 @@
 	switch {
 	case colocated == nil:
 		return Plan{}, false
-	case prefillServer == nil || colocatedSeconds*colocated.interferenceFactor()+l.gapPenalty(now, q, colocated) <= prefillSeconds+l.transferSeconds(q, prefillServer, colocated):
+	case prefillServer == nil ||
+		colocatedSeconds*colocated.interferenceFactor()+l.gapPenalty(now, q, colocated) <= prefillSeconds+l.transferSeconds(q, prefillServer, colocated):
 		return Plan{DecodeServer: colocated}, true
 	}
 	return Plan{PrefillServer: prefillServer}, true
 }
 
-// decodeCandidates returns the servers that may make an answer. Where none is left that has not failed it, those outside the proxy's part are asked,
-// then the others again, and those that cool down before the request is refused.
+// decodeCandidates returns decode servers for a prompt: members that have not failed it, else servers outside the subset, else
+// members that have failed it, else an ejected one.
 func (l *Planner) decodeCandidates(now float64, excluded []*Endpoint) []*Endpoint {
 	if candidates := l.pool.candidates(now, message.Decode, excluded); len(candidates) > 0 {
 		return candidates
@@ -85,7 +87,7 @@
 	return l.pool.lastResort(now, message.Decode, excluded)
 }
 
-// PickDecodeServer returns the server that makes the answer of a prompt that was read in a zone, nil if there is none.
+// PickDecodeServer returns the server that is to answer a prompt after its prefill in a zone, nil if there is none.
 func (l *Planner) PickDecodeServer(now float64, zone string, excluded []*Endpoint) *Endpoint {
 	candidates := l.decodeCandidates(now, excluded)
 	if len(candidates) == 0 {
@@ -94,7 +96,8 @@
 	return l.pickLessLoaded(candidates, zone)
 }
 
-// cheapest returns the candidate that has read the prompt first.
+// cheapest returns the candidate with the lowest cost of prefill, and that cost. key is the key of the shared prefix, empty if
+// no home counts.
 func (l *Planner) cheapest(now float64, q *Prompt, key string, candidates []*Endpoint) (best *Endpoint, seconds float64) {
 	home := homeServer(key, candidates)
 	for _, e := range candidates {
@@ -105,7 +108,7 @@
 	return best, seconds
 }
 
-// homeServer returns the server on which all proxies agree for a key.
+// homeServer returns the home of a key among candidates: the server with the highest score.
 func homeServer(key string, candidates []*Endpoint) (server *Endpoint) {
 	bestScore := uint64(0)
 	for _, e := range candidates {
@@ -116,9 +119,9 @@
 	return server
 }
 
-// pickLessLoaded returns the one of two random candidates with less to do, of the reader's zone where that has room.
-func (l *Planner) pickLessLoaded(decoders []*Endpoint, zone string) *Endpoint {
-	first, second := l.pool.pickTwo(decoders)
+// pickLessLoaded returns the less loaded one of two random candidates, with a preference for a zone.
+func (l *Planner) pickLessLoaded(candidates []*Endpoint, zone string) *Endpoint {
+	first, second := l.pool.pickTwo(candidates)
 	a, b := first.decodeLoad(zone), second.decodeLoad(zone)
 	if b < a {
 		return second
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -8,13 +8,16 @@
 )
 
 const (
-	// connectionFraction is the part of a service's connections that all proxies together use.
+	// connectionFraction is the fraction of a server's connections that all proxies together use.
 	connectionFraction = 0.8
-	// readmissionSeconds is for how long an instance that left the list is not taken back from an older reading, in seconds.
+	// readmissionSeconds is how long an instance that has left the list is not readmitted, since an older reading of the list
+	// may arrive later.
 	readmissionSeconds = 10.0
+	// unlimitedConnections is the limit for services whose limit is unknown.
+	unlimitedConnections = 1 << 20
 )
 
-// Pool holds the servers of one service.
+// Pool holds the servers of one service as one proxy knows them.
 type Pool struct {
 	Service string
 	Zone    string // of the proxy
@@ -22,21 +25,21 @@
 	Budget  RetryBudget
 
 	rng               *rand.Rand
-	endpoints         map[string]*Endpoint
-	ids               []string // in order
-	members           []*Endpoint
-	removedAt         map[string]float64 // when instances left the list
-	rank, proxyCount  int
-	maxConnections    int // connections of this proxy to one server
-	serverConnections int // that a server takes from all callers, 0: not known
+	endpoints         map[string]*Endpoint // by instance
+	ids               []string             // of endpoints, sorted
+	members           []*Endpoint          // the subset
+	removedAt         map[string]float64   // when instances have left the list
+	rank, proxyCount  int                  // of this proxy, and of all
+	maxConnections    int                  // that this proxy may use to one server
+	serverConnections int                  // that one server takes from all callers, 0: unknown
 }
 
-// NewPool returns a pool without servers.
+// NewPool returns a pool without servers for a proxy in a zone. It draws all random numbers from rng.
 func NewPool(service, zone string, budget RetryBudget, rng *rand.Rand) *Pool {
 	return &Pool{Service: service, Zone: zone, Budget: budget, rng: rng, endpoints: map[string]*Endpoint{}, removedAt: map[string]float64{}, proxyCount: 1}
 }
 
-// SetRank tells the proxy's number among so many.
+// SetRank sets the rank of this proxy among the proxies, and their number.
 func (p *Pool) SetRank(rank, count int) {
 	if count > 0 && (rank != p.rank || count != p.proxyCount) {
 		p.rank, p.proxyCount = rank, count
@@ -44,10 +47,10 @@
 	}
 }
 
-// ProxyCount returns the number of proxies that is known of.
+// ProxyCount returns the number of proxies.
 func (p *Pool) ProxyCount() int { return p.proxyCount }
 
-// SetMaxConnections tells how many connections a server takes from all callers together.
+// SetMaxConnections sets the number of connections that one server takes from all callers together, 0 if unknown.
 func (p *Pool) SetMaxConnections(connections int) {
 	if connections != p.serverConnections {
 		p.serverConnections = connections
@@ -55,17 +58,18 @@
 	}
 	p.maxConnections = max(int(connectionFraction*float64(connections))/max(p.proxyCount, 1), 2)
 	if connections <= 0 {
-		p.maxConnections = 1 << 20
+		p.maxConnections = unlimitedConnections
 	}
 }
 
-// HasFewConnections tells whether two connections of each proxy would be more than a server takes: those of processes that have lost power
-// may still be there beside the ones of the processes that came back.
+// HasFewConnections reports whether a server could not take two connections of each proxy. It may still hold those of processes
+// that have lost power beside the connections of the restarted processes.
 func (p *Pool) HasFewConnections() bool {
 	return p.serverConnections > 0 && 2*p.proxyCount >= p.serverConnections
 }
 
-// UpdateInstances takes a reading of the list. Draining never ends but by leaving, and who has left does not come back.
+// UpdateInstances adopts a reading of the list. A server that drains does so until it leaves the list, and one that has left
+// is not readmitted for readmissionSeconds. The caller calls ApplyStagePlan after it.
 func (p *Pool) UpdateInstances(now float64, instances []message.Instance) {
 	for id, at := range p.removedAt {
 		if now-at > readmissionSeconds {
@@ -93,8 +97,9 @@
 	p.updateSubset()
 }
 
+// updateEndpoint adopts a listed instance.
 func (p *Pool) updateEndpoint(now float64, listed *message.Instance) {
-	if _, left := p.removedAt[listed.ID]; left {
+	if _, isRemoved := p.removedAt[listed.ID]; isRemoved {
 		return
 	}
 	known := p.endpoints[listed.ID]
@@ -104,12 +109,12 @@
 		known.nextProbeAt = now + p.rng.Float64()*ProbeIntervalSeconds
 		p.endpoints[listed.ID] = known
 	}
-	draining := known.Draining || listed.Draining
+	isDraining := known.Draining || listed.Draining
 	known.Instance = *listed
-	known.Draining = draining
+	known.Draining = isDraining
 }
 
-// meanGap is the mean of all windows.
+// meanGap returns the mean gap between probe replies of all servers.
 func (p *Pool) meanGap() float64 {
 	if len(p.endpoints) == 0 {
 		return ProbeIntervalSeconds
@@ -121,7 +126,7 @@
 	return sum / float64(len(p.endpoints))
 }
 
-// CanReadmit tells whether an instance that was taken to be gone for long enough could come back with the next Update.
+// CanReadmit reports whether an instance could be readmitted by calling UpdateInstances with the last reading again.
 func (p *Pool) CanReadmit(now float64) bool {
 	for _, at := range p.removedAt {
 		if now-at > readmissionSeconds {
@@ -131,7 +136,7 @@
 	return false
 }
 
-// DueProbes returns the members to probe now.
+// DueProbes returns the members to probe now. The host reports each result to Endpoint.RecordProbe.
 func (p *Pool) DueProbes(now float64) (due []*Endpoint) {
 	for _, e := range p.members {
 		if !e.isProbing && now >= e.nextProbeAt {
--- a/internal/decide/placement/prefill.go
+++ b/internal/decide/placement/prefill.go
@@ -1,17 +1,15 @@
 package placement
 
-import (
-	"slices"
-)
+import "slices"
 
 const (
-	// waitPersistence is the part of the wait that a prompt met that is taken to last.
+	// waitPersistence is the fraction of an observed wait that the next prompt is expected to meet.
 	waitPersistence = 0.5
-	// maxChunks bounds the parts that are remembered of a server.
+	// maxChunks bounds the chunks that are remembered for one server.
 	maxChunks = 4096
 )
 
-// StartPrefill counts a prompt that a server begins to read.
+// StartPrefill records a prefill that starts at a server. The caller ends it by FinishPrefill.
 func (l *Planner) StartPrefill(now float64, e *Endpoint, q *Prompt) *Prefill {
 	tokens := e.uncachedTokens(q, now, l.cacheSeconds, false)
 	r := &Prefill{tokens: tokens, ownTokens: q.ownTokens(), startedAt: now, expectedSeconds: l.prefillSeconds(e.Stage, tokens)}
@@ -21,15 +19,15 @@
 	if e.engine.chunkUsedAt == nil || len(e.engine.chunkUsedAt) > maxChunks {
 		e.engine.chunkUsedAt = map[string]float64{}
 	}
-	for i, part := range q.Chunks {
+	for i, chunk := range q.Chunks {
 		if i < len(q.Chunks)-1 {
-			e.engine.chunkUsedAt[part.ID] = now
+			e.engine.chunkUsedAt[chunk.ID] = now
 		}
 	}
 	return r
 }
 
-// FinishPrefill takes a prompt away. read tells whether it was read to its end.
+// FinishPrefill records the end of a prefill. isComplete says that it was not broken off, so that its duration is a measurement.
 func (l *Planner) FinishPrefill(now float64, e *Endpoint, r *Prefill, isComplete bool) {
 	e.engine.prefillTokens -= r.tokens
 	e.engine.prefills = slices.DeleteFunc(e.engine.prefills, func(other *Prefill) bool { return other == r })
@@ -37,23 +35,24 @@
 		return
 	}
 	seconds := now - r.startedAt
-	// Danger: what other proxies had read there is not known here. Only the part that nobody shares was read for certain.
+	// Danger: which prefixes other proxies have cached there is unknown. Only the tokens that no prompt shares were certainly
+	// read.
 	l.paces.forStage(e.Stage).observe(r.ownTokens, seconds)
 	e.engine.waitSeconds, e.engine.waitObservedAt = (seconds-l.prefillSeconds(e.Stage, r.tokens))*waitPersistence, now
 }
 
-// StartDecode counts an answer that a server makes, EndAnswer takes it away.
+// StartDecode records an answer that starts at a server. The caller ends it by FinishDecode with the same prompt.
 func (e *Endpoint) StartDecode(q *Prompt) { e.engine.kvTokens += float64(q.Tokens + q.MaxOutputTokens) }
 
-// FinishDecode takes an answer away that BeginAnswer counted.
+// FinishDecode records the end of an answer that StartDecode has recorded.
 func (e *Endpoint) FinishDecode(q *Prompt) {
 	e.engine.kvTokens -= float64(q.Tokens + q.MaxOutputTokens)
 }
 
-// Prefill is a prompt that a server reads.
+// Prefill is a prefill in progress.
 type Prefill struct {
-	tokens          float64
-	ownTokens       float64 // tokens that nobody shares
+	tokens          float64 // tokens that the server was expected to read
+	ownTokens       float64 // tokens that no other prompt shares
 	startedAt       float64
-	expectedSeconds float64 // seconds, if it is read at once
+	expectedSeconds float64 // duration without a wait
 }
--- a/internal/decide/placement/prompt.go
+++ b/internal/decide/placement/prompt.go
@@ -5,24 +5,25 @@
 	"strings"
 )
 
-// ParseChunks reads ID:TOKENS parts, separated by commas.
-func ParseChunks(field string) (parts []Chunk) {
-	for piece := range strings.SplitSeq(field, ",") {
-		id, tokens, ok := strings.Cut(strings.TrimSpace(piece), ":")
+// ParseChunks parses the chunks of a prompt as clients send them: ID:TOKENS, separated by commas. It skips what has another form.
+func ParseChunks(field string) (chunks []Chunk) {
+	for text := range strings.SplitSeq(field, ",") {
+		id, tokens, ok := strings.Cut(strings.TrimSpace(text), ":")
 		count := parseCount(tokens)
 		if ok && id != "" && count > 0 {
-			parts = append(parts, Chunk{ID: id, Tokens: count})
+			chunks = append(chunks, Chunk{ID: id, Tokens: count})
 		}
 	}
-	return parts
+	return chunks
 }
 
-// Chunk is a piece of a prompt that other prompts may begin with too.
+// Chunk is a part of a prompt. Prompts that begin with the same chunks share the KV cache of these.
 type Chunk struct {
 	ID     string
 	Tokens int
 }
 
+// parseCount returns a number of tokens, 0 for what is not one.
 func parseCount(text string) int {
 	count, err := strconv.Atoi(text)
 	if err != nil || count < 0 {
@@ -31,16 +32,16 @@
 	return count
 }
 
-// Prompt is what the choice of servers goes by.
+// Prompt describes a prompt to the planner.
 type Prompt struct {
-	Chunks               []Chunk
-	Tokens               int     // of the whole prompt
-	MaxOutputTokens      int     // most tokens to go out
-	LatencyTargetSeconds float64 // the objective for the first event, in seconds; 0: none
-	GapTargetSeconds     float64 // the longest pause between events that is in time, in seconds; 0: none
+	Chunks               []Chunk // in order; the last one is not shared with other prompts
+	Tokens               int     // of all chunks
+	MaxOutputTokens      int     // bound on the tokens of the answer
+	LatencyTargetSeconds float64 // for the first event of the answer, 0: none
+	GapTargetSeconds     float64 // for the gaps between events of the answer, 0: none
 }
 
-// SharedPrefixKey returns the key of the parts that others may share, "" if there are none.
+// SharedPrefixKey returns a key of the prefix that other prompts may share, "" if there is none.
 func (q *Prompt) SharedPrefixKey() string {
 	if len(q.Chunks) < 2 {
 		return ""
@@ -48,7 +49,7 @@
 	return q.Chunks[len(q.Chunks)-2].ID
 }
 
-// ownTokens returns the tokens that no other prompt shares.
+// ownTokens returns the number of tokens that no other prompt shares.
 func (q *Prompt) ownTokens() float64 {
 	if len(q.Chunks) == 0 {
 		return float64(max(q.Tokens, 1))
--- a/internal/decide/placement/readmission_test.go
+++ b/internal/decide/placement/readmission_test.go
@@ -9,9 +9,9 @@
 	"hazelwheel/internal/message"
 )
 
-// TestServerThatAnswersAsItselfReturns has a server turn a request away as not its own, and then answer a probe as itself: what it said
-// of one request holds no longer than its next sign of life.
-func TestServerThatAnswersAsItselfReturns(t *testing.T) {
+// TestServerIsReadmittedByItsIdentity has a server reject a request as misdirected and then reply to a probe as itself: the
+// rejection must not exclude it for longer than that.
+func TestServerIsReadmittedByItsIdentity(t *testing.T) {
 	p := newPool(instances(1, ""))
 	e := p.endpoints["i-000"]
 	e.RecordMisdirected(0)
@@ -23,19 +23,19 @@
 		}
 	}
 	if p.Pick(10, nil) == nil {
-		t.Fatal("it is out for good")
+		t.Fatal("the server is excluded for good")
 	}
 }
 
 // newEngine returns a pool of model servers, and its planner.
-func newEngine(readers, runners int) (*Pool, *Planner) {
-	p := newPool(append(instances(readers, message.Prefill), instances(runners, message.Decode)...))
+func newEngine(prefill, decode int) (*Pool, *Planner) {
+	p := newPool(append(instances(prefill, message.Prefill), instances(decode, message.Decode)...))
 	p.Engine = Engine{IsPresent: true, KVTokenBytes: 35000, KVTokens: 900e3, LinkMbps: 1e6}
 	return p, NewPlanner(p, 8)
 }
 
-var _ = Describe("a server that has turned a request away as not its own", func() {
-	It("is held back for a moment and probed at once", func() {
+var _ = Describe("a server that has rejected a request as misdirected", func() {
+	It("is ejected for a moment and probed at once", func() {
 		p := newPool(instances(2, ""))
 		answerProbes(p, 0, 20)
 		e := p.endpoints["i-000"]
@@ -45,7 +45,7 @@
 		Expect(p.candidates(20.1+firstEjectionSeconds, "", nil)).To(ContainElement(e))
 	})
 
-	It("is out while another instance answers at its address, and goes on being probed in its time", func() {
+	It("is excluded while another instance answers at its address, and probed at the usual interval", func() {
 		p := newPool(instances(2, ""))
 		answerProbes(p, 0, 20)
 		e := p.endpoints["i-000"]
@@ -70,7 +70,7 @@
 		Expect(p.candidates(65, "", nil)).To(ContainElement(e))
 	})
 
-	It("makes an answer rather than none where all servers are held back", func() {
+	It("answers where all servers are ejected", func() {
 		p, l := newEngine(2, 2)
 		for _, e := range p.members {
 			if e.Stage == message.Decode {
@@ -84,34 +84,34 @@
 	})
 })
 
-var _ = Describe("a change of the stage that comes to nothing", func() {
+var _ = Describe("a change of the stage that never happens", func() {
 	plan := message.StagePlan{Token: 1, Stages: map[string]message.Stage{"i-decode000": message.Prefill}}
 	e := func(p *Pool) *Endpoint { return p.endpoints["i-decode000"] }
 
-	It("keeps a server out for as long as it may take, whoever goes on telling of it", func() {
+	It("excludes a server for as long as it may take, however often the plan arrives", func() {
 		p, _ := newEngine(0, 4)
 		p.Engine.SwitchSeconds = 2
 		for now := 0.0; now < 2+switchMarginSeconds; now += 0.5 {
 			p.ApplyStagePlan(now, plan)
 			Expect(p.members).NotTo(ContainElement(e(p)))
 		}
-		Expect(p.ExpireStageChanges(2+switchMarginSeconds)).To(BeTrue(), "without another word of the holder")
+		Expect(p.ExpireStageChanges(2+switchMarginSeconds)).To(BeTrue(), "without a new plan")
 		Expect(p.members).To(ContainElement(e(p)))
 		p.ApplyStagePlan(20, plan)
 		Expect(p.members).To(ContainElement(e(p)))
 		plan.Token = 2
 		p.ApplyStagePlan(21, plan)
-		Expect(p.members).NotTo(ContainElement(e(p)), "another holder has ordered it anew")
+		Expect(p.members).NotTo(ContainElement(e(p)), "another lease holder has planned it again")
 	})
 })
 
 var _ = Describe("an instance that was missing in one reading of the list", func() {
-	It("comes back with a later one, though nothing else changes", func() {
+	It("is readmitted with a later one, though nothing else changes", func() {
 		all := instances(3, "")
 		p := newPool(all)
 		p.UpdateInstances(1, all[:2])
 		p.UpdateInstances(1.1, all)
-		Expect(p.endpoints).To(HaveLen(2), "an older reading may come after")
+		Expect(p.endpoints).To(HaveLen(2), "an older reading may arrive later")
 		Expect(p.CanReadmit(1 + readmissionSeconds)).To(BeFalse())
 		Expect(p.CanReadmit(1.1 + readmissionSeconds)).To(BeTrue())
 		p.UpdateInstances(1.1+readmissionSeconds, all)
--- a/internal/decide/placement/recovery_test.go
+++ b/internal/decide/placement/recovery_test.go
@@ -11,20 +11,20 @@
 	"hazelwheel/internal/message"
 )
 
-// hostOmissions is what a host leaves out, to show that the property notices it.
+// hostOmissions are duties that a host omits, which the property must detect.
 type hostOmissions struct {
-	skipsRevisits bool // it goes by the list and the plan only when it is told something new
-	skipsProbes   bool // it does not ask servers for their health
+	skipsRevisits bool // it applies list and plan only when they change
+	skipsProbes   bool // it doesn't probe servers
 }
 
-// simulation is a pool whose host meets everything that keeps servers out of the choice.
+// simulation is a pool with its host and all events that exclude servers.
 type simulation struct {
 	rng           *rand.Rand
 	pool          *Pool
-	list          []message.Instance // all servers that are there
+	list          []message.Instance // all servers
 	plan          message.StagePlan
 	now           float64
-	wrongInstance map[string]bool // servers whose addresses another instance answers for
+	wrongInstance map[string]bool // servers at whose addresses another instance answers
 	omissions     hostOmissions
 }
 
@@ -40,7 +40,7 @@
 	return h.pool.endpoints[h.pool.ids[h.rng.IntN(len(h.pool.ids))]]
 }
 
-// injectEvent has something happen to a server.
+// injectEvent excludes or readmits a random server in a random way.
 func (h *simulation) injectEvent() {
 	if len(h.pool.ids) == 0 {
 		return
@@ -53,11 +53,11 @@
 		e.RecordFailure(h.now, h.rng.IntN(2) == 0)
 	case 2:
 		h.wrongInstance[e.ID] = !h.wrongInstance[e.ID]
-	case 3: // orders, some of which come to nothing
+	case 3: // planned changes that never happen
 		h.plan = message.StagePlan{Token: h.plan.Token + uint64(h.rng.IntN(2)), Sequence: h.plan.Sequence + 1,
 			Stages: map[string]message.Stage{e.ID: message.Prefill, h.randomEndpoint().ID: message.Decode}}
 		h.pool.ApplyStagePlan(h.now, h.plan)
-	case 4: // a reading in which a server is missing
+	case 4: // a reading without the server
 		h.pool.UpdateInstances(h.now, slices.DeleteFunc(slices.Clone(h.list), func(i message.Instance) bool { return i.ID == e.ID }))
 		h.pool.ApplyStagePlan(h.now, h.plan)
 	case 5:
@@ -68,7 +68,7 @@
 	}
 }
 
-// advance lets time go by for the host.
+// advance runs the host for some time.
 func (h *simulation) advance(seconds float64) {
 	const tick = 0.5
 	for until := h.now + seconds; h.now < until; h.now += tick {
@@ -93,13 +93,13 @@
 	}
 }
 
-// run has a server meet something again and again, lets all be well for a while, and returns what still keeps servers out, "" if nothing does.
+// run injects events, lets all faults end, and returns the status if servers are still excluded, else "".
 func (h *simulation) run() string {
 	for range 60 {
 		h.injectEvent()
 		h.advance(h.rng.ExpFloat64() * 1.5)
 	}
-	h.pool.UpdateInstances(h.now, h.list) // the last word on the list; nothing new is told from here on
+	h.pool.UpdateInstances(h.now, h.list) // the last reading; list and plan don't change from here on
 	h.pool.ApplyStagePlan(h.now, h.plan)
 	clear(h.wrongInstance)
 	h.pool.SetRank(0, 1)
@@ -110,8 +110,8 @@
 	return ""
 }
 
-var _ = Describe("each way out of the choice", func() {
-	It("has its way back once all is well, without another word from the list or the plan", func() {
+var _ = Describe("each exclusion of a server", func() {
+	It("ends once the faults have ended, without a new list or plan", func() {
 		for seed := range uint64(500) {
 			Expect(newSimulation(seed, hostOmissions{}).run()).To(BeEmpty(), "seed %d", seed)
 		}
@@ -123,8 +123,8 @@
 				return
 			}
 		}
-		Fail("nothing was kept out in 500 histories")
+		Fail("no server stayed excluded in 500 histories")
 	},
-		Entry("looks again at what was told before", hostOmissions{skipsRevisits: true}),
+		Entry("applies list and plan again", hostOmissions{skipsRevisits: true}),
 		Entry("probes its servers", hostOmissions{skipsProbes: true}))
 })
--- a/internal/decide/placement/retry_budget.go
+++ b/internal/decide/placement/retry_budget.go
@@ -1,28 +1,28 @@
 package placement
 
 const (
-	// ratioFraction is the part of the ratio that a proxy uses, slackPart that of the slack that all proxies together use.
+	// ratioFraction and slackFraction are the fractions of the ratio and of the slack that proxies use. The rest is a margin.
 	ratioFraction = 0.7
 	slackFraction = 0.5
-	// minAssumedProxies is the number of proxies that is assumed where fewer are known of.
+	// minAssumedProxies is the number of proxies among which the slack is divided at least, since not all may be known yet.
 	minAssumedProxies = 4
 )
 
-// RetryBudget bounds what a proxy sends to a service beyond the first arrival of each request, in a sliding window. Summed over all
-// proxies it keeps the fleet's bound.
+// RetryBudget bounds the retries that a proxy sends to a service in a sliding window: a ratio of its requests and a share of
+// the fleet's slack. The budgets of all proxies together keep the bound of the fleet.
 type RetryBudget struct {
 	WindowSeconds float64
 	Ratio         float64
-	Slack         float64 // of the whole fleet
+	Slack         float64 // retries of the whole fleet beyond Ratio
 
-	requests []float64 // times
-	retries  []float64
+	requests []float64 // times of requests in the window
+	retries  []float64 // times of retries in the window
 }
 
-// RecordRequest counts a request of a client.
+// RecordRequest records a client's request.
 func (b *RetryBudget) RecordRequest(now float64) { b.requests = append(b.requests, now) }
 
-// TrySpend takes one further arrival out of the budget, if there is room.
+// TrySpend records a retry and returns true if the budget allows one. proxies is the known number of proxies.
 func (b *RetryBudget) TrySpend(now float64, proxies int) bool {
 	b.requests, b.retries = dropBefore(b.requests, now-b.WindowSeconds), dropBefore(b.retries, now-b.WindowSeconds)
 	allowed := ratioFraction*b.Ratio*float64(len(b.requests)) + slackFraction*b.Slack/float64(max(proxies, minAssumedProxies))
@@ -33,11 +33,12 @@
 	return true
 }
 
-// Trim drops what is out of the window.
+// Trim drops what has left the window. The host calls it now and then for services without retries.
 func (b *RetryBudget) Trim(now float64) {
 	b.requests, b.retries = dropBefore(b.requests, now-b.WindowSeconds), dropBefore(b.retries, now-b.WindowSeconds)
 }
 
+// dropBefore drops the times before from. The times are sorted; it may modify the slice.
 func dropBefore(times []float64, from float64) []float64 {
 	expired := 0
 	for expired < len(times) && times[expired] < from {
--- a/internal/decide/placement/stage_change.go
+++ b/internal/decide/placement/stage_change.go
@@ -2,46 +2,48 @@
 
 import "hazelwheel/internal/message"
 
-// switchMarginSeconds is what is added to the time that a change of the stage takes, for answers under way to end and the list to show it, in
-// seconds. After that the plan is no longer believed: who made it may be gone, and the order may have come to nothing.
+// switchMarginSeconds is added to the time that a change of the stage takes, until answers in progress have ended and the list
+// shows the change. After that the change is ignored: the lease holder that planned it may be down, and the change lost.
 const switchMarginSeconds = 10.0
 
-// stageChange is what a proxy knows of a server's change of its stage.
+// stageChange is a planned change of a server's stage.
 type stageChange struct {
-	isActive  bool
-	stage     message.Stage // that it will have
-	token     uint64        // of the holder that ordered it
-	expiresAt float64       // for how long the plan is believed, 0: it names no change
+	isActive  bool          // the list doesn't show the change yet, and it has not expired
+	stage     message.Stage // the new stage
+	token     uint64        // fencing token of the lease holder that planned it
+	expiresAt float64       // 0: no change is planned
 }
 
-// ApplyStagePlan takes the plan of the holder of the role. A change that it names keeps the server out of the choice until the list shows
-// it, for as long as a change may take from when this proxy first heard of it.
+// ApplyStagePlan applies the stage plan of the lease holder. A server that it names gets no requests until the list shows the
+// change, for as long as a change may take since this proxy first received the plan. It must also be called after
+// UpdateInstances.
 func (p *Pool) ApplyStagePlan(now float64, plan message.StagePlan) {
 	for id, e := range p.endpoints {
-		stage, ordered := plan.Stages[id]
+		stage, isPlanned := plan.Stages[id]
 		s := &e.stageChange
 		switch {
-		case !ordered:
+		case !isPlanned:
 			*s = stageChange{}
 		case s.expiresAt == 0 || s.stage != stage || s.token != plan.Token:
 			*s = stageChange{stage: stage, token: plan.Token, expiresAt: now + p.Engine.SwitchSeconds + switchMarginSeconds}
 		}
-		s.isActive = ordered && stage != e.Stage && now < s.expiresAt
+		s.isActive = isPlanned && stage != e.Stage && now < s.expiresAt
 	}
 	p.updateSubset()
 }
 
-// ExpireStageChanges takes servers back whose change has not come about in its time. It returns whether there were any.
+// ExpireStageChanges readmits servers whose change has not come about in time. It reports whether there were any. The host
+// calls it regularly.
 func (p *Pool) ExpireStageChanges(now float64) bool {
-	expired := false
+	hasExpired := false
 	for _, e := range p.endpoints {
 		if e.stageChange.isActive && now >= e.stageChange.expiresAt {
 			e.stageChange.isActive = false
-			expired = true
+			hasExpired = true
 		}
 	}
-	if expired {
+	if hasExpired {
 		p.updateSubset()
 	}
-	return expired
+	return hasExpired
 }
--- a/internal/decide/placement/status.go
+++ b/internal/decide/placement/status.go
@@ -1,20 +1,20 @@
 package placement
 
-// Status counts the servers of a pool, and its members by why they are not chosen now. A member counts once, by the first reason
-// that holds.
+// Status counts the servers of a pool, and the members of the subset by why they can't be picked now. A member counts once,
+// for the first reason that applies.
 type Status struct {
 	Listed        int
 	Draining      int // of those listed
-	Switching     int // of those listed: they are changing their stage
-	Members       int // of the proxy's subset
-	Available     int // members that may be chosen
+	Switching     int // of those listed: changing their stage
+	Members       int // servers in the subset
+	Available     int // members that can be picked
 	WrongInstance int // another instance answered at the address
-	Ejected       int // requests failed there lately
-	Full          int // as many own requests are under way as connections are allowed
-	Suspected     int // probes were not answered for too long
+	Ejected       int // ejected after failures
+	Full          int // the connections that this proxy may use are in use
+	Suspected     int // silent for too long
 }
 
-// Status tells how the members stand now.
+// Status returns the current status.
 func (p *Pool) Status(now float64) Status {
 	s := Status{Listed: len(p.endpoints), Members: len(p.members)}
 	for _, e := range p.endpoints {
--- a/internal/decide/placement/subset.go
+++ b/internal/decide/placement/subset.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// minSubset is the number of servers that each proxy takes at least, where there are so many. Of those that read prompts it is
-	// more: openings that are held at one server are found there only by proxies that have it in their subset.
+	// minSubset and minPrefillSubset are the least numbers of servers in a subset, where there are as many. Of prefill servers
+	// there are more: a prefix that is cached at one server is found there only by proxies that have it in their subset.
 	minSubset        = 6
 	minPrefillSubset = 64
-	// memberFraction is the part of a server's connections for which there are proxies with the server in their subset. Danger: a server keeps
-	// the connections of processes that lost power until they have rested for too long. Those and the ones of the processes that come back
-	// must fit, or it resets what is sent meanwhile, and a request that may run once can't be sent again.
+	// memberFraction is the fraction of a server's connections that proxies with the server in their subset may use. Danger: a
+	// server keeps the connections of processes that lost power until they time out. Those and the connections of the restarted
+	// processes must fit, or the server resets connections, and a request that is not idempotent can't be retried.
 	memberFraction = 0.5
-	// minMembers is the number of servers that a proxy has all the same.
+	// minMembers is the least size of a subset, whatever the connections.
 	minMembers = 3
 )
 
-// updateSubset takes an even part of the servers by the proxy's number, of each stage by itself.
+// updateSubset derives the subset from the proxy's rank, for each stage separately.
 func (p *Pool) updateSubset() {
 	for _, member := range p.members {
 		member.isMember = false
@@ -49,7 +49,7 @@
 	}
 }
 
-// maxMembers bounds a proxy's part of so many servers by their connections.
+// maxMembers returns the bound that connections set to the subset of a number of servers.
 func (p *Pool) maxMembers(servers int) float64 {
 	if p.serverConnections <= 0 {
 		return float64(servers)
