--- a/internal/decide/lease/actions.go
+++ b/internal/decide/lease/actions.go
@@ -13,13 +13,13 @@
 	// Save keeps the state: with the member's identity in one write, synced. Saved follows, and until then nothing that
 	// depends on it is said. One Save at a time.
 	Persist(state []byte)
-	// Granted tells that this member owns a job from now on, while Holds says so.
-	LeaseStarted(job string, token uint64)
-	// Agreed tells what is kept of a job that this member owns: after Granted for each that has a record, also where nothing was kept
+	// Granted tells that this member owns a role from now on, while Holds says so.
+	LeaseStarted(role string, token uint64)
+	// Agreed tells what is kept of a role that this member owns: after Granted for each that has a record, also where nothing was kept
 	// yet, and then whenever one is agreed.
 	RecordCommitted(r Record)
 	// Ended tells that it no longer does: nothing more may be done under the token.
-	LeaseEnded(job string, token uint64, why string)
+	LeaseEnded(role string, token uint64, why string)
 	// Renounce asks for another identity: what was promised under this one is not known any more. The Tenure says nothing
 	// more; a new one takes its place.
 	ReplaceIdentity(why string)
--- a/internal/decide/lease/candidates.go
+++ b/internal/decide/lease/candidates.go
@@ -7,7 +7,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// bid is a member's word that it would do jobs.
+// bid is a member's word that it would do roles.
 type bid struct {
 	id         swim.ID
 	bootID     uint64
@@ -22,8 +22,8 @@
 }
 
 func (n *Node) recordBid(from swim.ID, m *Message) {
-	for _, job := range m.Bids {
-		n.roleFor(job)
+	for _, role := range m.Bids {
+		n.roleFor(role)
 	}
 	i, known := slices.BinarySearchFunc(n.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) })
 	if !known {
@@ -31,9 +31,9 @@
 	}
 	b := &n.bids[i]
 	if n.now-b.receivedAt < bidValidSeconds && b.bootID == m.BootID {
-		for _, job := range m.Bids {
-			if !slices.Contains(b.roles, job) {
-				b.roles = append(b.roles, job)
+		for _, role := range m.Bids {
+			if !slices.Contains(b.roles, role) {
+				b.roles = append(b.roles, role)
 			}
 		}
 	} else {
@@ -42,39 +42,39 @@
 	b.receivedAt, b.bootID = n.now, m.BootID
 }
 
-// withdrawBid forgets that a member would do a job, since it has just given it back. Danger: one that began again between its word and the
-// grant gives back what its former life was granted, and by that word it would be granted the job again and again.
-func (n *Node) withdrawBid(from swim.ID, job string) {
+// withdrawBid forgets that a member would do a role, since it has just given it back. Danger: one that began again between its word and the
+// grant gives back what its former life was granted, and by that word it would be granted the role again and again.
+func (n *Node) withdrawBid(from swim.ID, role string) {
 	if i, known := slices.BinarySearchFunc(n.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) }); known {
-		n.bids[i].roles = slices.DeleteFunc(n.bids[i].roles, func(o string) bool { return o == job })
+		n.bids[i].roles = slices.DeleteFunc(n.bids[i].roles, func(o string) bool { return o == role })
 	}
 }
 
-// bidBootID returns the life of a member that would do a job; 0: it has not said so lately.
-func (n *Node) bidBootID(id swim.ID, job string) uint64 {
+// bidBootID returns the life of a member that would do a role; 0: it has not said so lately.
+func (n *Node) bidBootID(id swim.ID, role string) uint64 {
 	if id == n.self {
-		if n.canHold(job) {
+		if n.canHold(role) {
 			return n.bootID
 		}
 		return 0
 	}
 	i, known := slices.BinarySearchFunc(n.bids, id, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) })
-	if known && n.now-n.bids[i].receivedAt < bidValidSeconds && slices.Contains(n.bids[i].roles, job) {
+	if known && n.now-n.bids[i].receivedAt < bidValidSeconds && slices.Contains(n.bids[i].roles, role) {
 		return n.bids[i].bootID
 	}
 	return 0
 }
 
-// exclude has a member not be granted a job for a while.
-func (n *Node) exclude(job string, id swim.ID, forS float64) {
-	n.exclusions = slices.DeleteFunc(n.exclusions, func(p exclusion) bool { return p.until <= n.now || p.role == job && p.id == id })
-	n.exclusions = append(n.exclusions, exclusion{job, id, n.now + forS})
+// exclude has a member not be granted a role for a while.
+func (n *Node) exclude(role string, id swim.ID, seconds float64) {
+	n.exclusions = slices.DeleteFunc(n.exclusions, func(p exclusion) bool { return p.until <= n.now || p.role == role && p.id == id })
+	n.exclusions = append(n.exclusions, exclusion{role, id, n.now + seconds})
 }
 
-// rankCandidates returns who may be granted a job, the best first: who has the fewest jobs, and of these by a draw that is the same
-// for all and another for each job.
-func (n *Node) rankCandidates(p *roleState, list []command) (ids []swim.ID) {
-	g, _ := n.group.machine.grant(p.role)
+// rankCandidates returns who may be granted a role, the best first: who has the fewest roles, and of these by a draw that is the same
+// for all and another for each role.
+func (n *Node) rankCandidates(state *roleState, list []command) (ids []swim.ID) {
+	g, _ := n.group.machine.grant(state.role)
 	type rank struct {
 		id   swim.ID
 		load int
@@ -82,15 +82,15 @@
 	}
 	var ranks []rank
 	for _, m := range n.members {
-		if m.State != swim.Alive || m.ID == n.self && !n.canHold(p.role) ||
-			slices.ContainsFunc(n.exclusions, func(o exclusion) bool { return o.role == p.role && o.id == m.ID && n.now < o.until }) {
+		if m.State != swim.Alive || m.ID == n.self && !n.canHold(state.role) ||
+			slices.ContainsFunc(n.exclusions, func(o exclusion) bool { return o.role == state.role && o.id == m.ID && n.now < o.until }) {
 			continue
 		}
 		load := n.roleCount(m.ID, list)
 		if m.ID == g.Holder {
-			load-- // this very job
+			load-- // this very role
 		}
-		ranks = append(ranks, rank{m.ID, load, candidateHash(p.role, m.ID)})
+		ranks = append(ranks, rank{m.ID, load, candidateHash(state.role, m.ID)})
 	}
 	slices.SortFunc(ranks, func(a, b rank) int {
 		return cmp.Or(cmp.Compare(a.load, b.load), cmp.Compare(a.draw, b.draw), cmp.Compare(a.id, b.id))
@@ -101,10 +101,10 @@
 	return ids
 }
 
-// candidateHash is a number of a job and a member.
-func candidateHash(job string, id swim.ID) uint64 {
+// candidateHash is a number of a role and a member.
+func candidateHash(role string, id swim.ID) uint64 {
 	x := uint64(id)
-	for _, b := range []byte(job) {
+	for _, b := range []byte(role) {
 		x = (x ^ uint64(b)) * 0x100000001b3
 	}
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -112,51 +112,51 @@
 	return x ^ x>>31
 }
 
-// chooseHolder returns who is to own a job that is free: 0 while nobody has said yes.
-func (n *Node) chooseHolder(p *roleState, list []command) (swim.ID, uint64) {
-	ranked := n.rankCandidates(p, list)
+// chooseHolder returns who is to own a role that is free: 0 while nobody has said yes.
+func (n *Node) chooseHolder(state *roleState, list []command) (swim.ID, uint64) {
+	ranked := n.rankCandidates(state, list)
 	if len(ranked) == 0 {
 		return 0, 0
 	}
-	if life := n.bidBootID(ranked[0], p.role); life != 0 {
+	if life := n.bidBootID(ranked[0], state.role); life != 0 {
 		return ranked[0], life
 	}
-	n.offerRole(p, ranked)
-	if n.now-p.offeredAt < bestBidWaitSeconds {
-		n.dueAt = min(n.dueAt, p.offeredAt+bestBidWaitSeconds)
+	n.offerRole(state, ranked)
+	if n.now-state.offeredAt < bestBidWaitSeconds {
+		n.dueAt = min(n.dueAt, state.offeredAt+bestBidWaitSeconds)
 		return 0, 0
 	}
 	for _, id := range ranked {
-		if life := n.bidBootID(id, p.role); life != 0 {
+		if life := n.bidBootID(id, state.role); life != 0 {
 			return id, life
 		}
 	}
 	return 0, 0
 }
 
-// solicitBids asks who would take a job.
-func (n *Node) solicitBids(p *roleState) { n.offerRole(p, n.rankCandidates(p, nil)) }
+// solicitBids asks who would take a role.
+func (n *Node) solicitBids(state *roleState) { n.offerRole(state, n.rankCandidates(state, nil)) }
 
-func (n *Node) offerRole(p *roleState, ranked []swim.ID) {
+func (n *Node) offerRole(state *roleState, ranked []swim.ID) {
 	switch {
-	case p.offered != nil && n.now-p.offeredAt < offerTimeoutSeconds:
+	case state.offered != nil && n.now-state.offeredAt < offerTimeoutSeconds:
 		return
-	case p.offered != nil && n.now-p.offeredAt < bidValidSeconds:
-		for _, id := range p.offered {
-			if n.bidBootID(id, p.role) == 0 {
-				n.exclude(p.role, id, silentExclusionSeconds)
+	case state.offered != nil && n.now-state.offeredAt < bidValidSeconds:
+		for _, id := range state.offered {
+			if n.bidBootID(id, state.role) == 0 {
+				n.exclude(state.role, id, silentExclusionSeconds)
 			}
 		}
-		if slices.ContainsFunc(p.offered, func(id swim.ID) bool { return n.bidBootID(id, p.role) != 0 }) && n.now-p.offeredAt < bidValidSeconds/2 {
+		if slices.ContainsFunc(state.offered, func(id swim.ID) bool { return n.bidBootID(id, state.role) != 0 }) && n.now-state.offeredAt < bidValidSeconds/2 {
 			return
 		}
-		ranked = n.rankCandidates(p, nil)
+		ranked = n.rankCandidates(state, nil)
 	}
-	p.offered, p.offeredAt = nil, n.now
+	state.offered, state.offeredAt = nil, n.now
 	for _, id := range ranked[:min(len(ranked), maxOffers)] {
-		p.offered = append(p.offered, id)
+		state.offered = append(state.offered, id)
 		if id != n.self {
-			n.actions.Send(id, &Message{Offered: []string{p.role}})
+			n.actions.Send(id, &Message{Offered: []string{state.role}})
 		}
 	}
 	n.dueAt = min(n.dueAt, n.now+bestBidWaitSeconds)
@@ -167,9 +167,9 @@
 	if !n.isLeaderReady() {
 		return
 	}
-	for _, p := range n.roles {
-		if slices.Contains(p.offered, id) && n.now-p.offeredAt < bidValidSeconds && n.bidBootID(id, p.role) == 0 {
-			n.actions.Send(id, &Message{Offered: []string{p.role}})
+	for _, state := range n.roles {
+		if slices.Contains(state.offered, id) && n.now-state.offeredAt < bidValidSeconds && n.bidBootID(id, state.role) == 0 {
+			n.actions.Send(id, &Message{Offered: []string{state.role}})
 		}
 	}
 }
--- a/internal/decide/lease/founding.go
+++ b/internal/decide/lease/founding.go
@@ -47,21 +47,21 @@
 
 // tickFounding proposes a founding where all are there and nobody has.
 func (n *Node) tickFounding() {
-	place := slices.Index(n.settings.InitialVoters, n.settings.Address)
-	if place < 0 || n.founding != nil || n.persistFailed || n.leaving || n.now < n.foundingDueAt {
+	index := slices.Index(n.settings.InitialVoters, n.settings.Address)
+	if index < 0 || n.founding != nil || n.persistFailed || n.leaving || n.now < n.foundingDueAt {
 		return
 	}
 	ids := n.initialVoterIDs()
-	if slices.Contains(ids, 0) || ids[place] != n.self || !n.hasNoLiveGroup() {
+	if slices.Contains(ids, 0) || ids[index] != n.self || !n.hasNoLiveGroup() {
 		return
 	}
 	n.foundingDueAt = n.now + foundingRetrySeconds*(1+n.rng.Float64())
 	// Danger: one that forgot its state must never propose another value under a ballot that it has used before.
 	n.ballotRound = max(n.ballotRound, n.promisedBallot>>32) + 1
-	b := n.ballotRound<<32 | uint64(n.rng.Uint32()>>8)<<8 | uint64(place)
-	n.proposal = &proposal{ballot: b, promises: make([]*Founding, len(ids)), accepted: make([]bool, len(ids))}
+	ballot := n.ballotRound<<32 | uint64(n.rng.Uint32()>>8)<<8 | uint64(index)
+	n.proposal = &proposal{ballot: ballot, promises: make([]*Founding, len(ids)), accepted: make([]bool, len(ids))}
 	for _, id := range ids {
-		n.send(id, &Message{Founding: &Founding{Ballot: b, Step: stepPrepare}})
+		n.send(id, &Message{Founding: &Founding{Ballot: ballot, Step: stepPrepare}})
 	}
 }
 
@@ -125,13 +125,13 @@
 	n.ballotRound = max(n.ballotRound, f.Ballot>>32)
 	p := n.proposal
 	ids := n.initialVoterIDs()
-	place := slices.Index(ids, from)
-	if p == nil || place < 0 || f.Ballot != p.ballot || n.founding != nil {
+	index := slices.Index(ids, from)
+	if p == nil || index < 0 || f.Ballot != p.ballot || n.founding != nil {
 		return
 	}
 	switch {
 	case f.Step == stepPromise && p.value == nil:
-		p.promises[place] = f
+		p.promises[index] = f
 		if slices.Contains(p.promises, nil) {
 			return
 		}
@@ -149,7 +149,7 @@
 			n.send(id, &Message{Founding: value})
 		}
 	case f.Step == stepAccepted && p.value != nil:
-		p.accepted[place] = true
+		p.accepted[index] = true
 		if slices.Contains(p.accepted, false) {
 			return
 		}
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -14,7 +14,7 @@
 	leaseSeconds         = 1.5
 	holderLeaseFraction  = 0.85
 	renewIntervalSeconds = 0.35
-	bidIntervalSeconds   = 1.0 // without an owner, a job is wished for
+	bidIntervalSeconds   = 1.0 // without an owner, a role is wished for
 	maxPendingRenewals   = 8   // renewals that wait for an answer
 )
 
@@ -30,7 +30,7 @@
 
 // holderState is a member's side of its grants.
 type holderState struct {
-	leases                []*heldLease // by job
+	leases                []*heldLease // by role
 	ended                 []Grant      // grants that this life has ended or never takes, until the table says that they are another's
 	pendingRenewals       []sentRenewal
 	renewalNumber         uint64
@@ -43,18 +43,18 @@
 	leavingSince          float64
 }
 
-// Holds tells whether this member may act for a job now, and under which token.
-func (n *Node) Holds(now float64, job string) (token uint64, ok bool) {
-	if h := n.leaseFor(job); h != nil && h.started && now < h.expiresAt && !n.retired {
-		return h.Token, true
+// Holds tells whether this member may act for a role now, and under which token.
+func (n *Node) Holds(now float64, role string) (token uint64, ok bool) {
+	if held := n.leaseFor(role); held != nil && held.started && now < held.expiresAt && !n.retired {
+		return held.Token, true
 	}
 	return 0, false
 }
 
-func (n *Node) leaseFor(job string) *heldLease {
-	for _, h := range n.leases {
-		if h.Role == job {
-			return h
+func (n *Node) leaseFor(role string) *heldLease {
+	for _, held := range n.leases {
+		if held.Role == role {
+			return held
 		}
 	}
 	return nil
@@ -63,9 +63,9 @@
 // applyTable takes what the table says of this member.
 func (n *Node) applyTable() {
 	n.ended = slices.DeleteFunc(n.ended, func(d Grant) bool { return !n.isOurs(d) })
-	for _, h := range slices.Clone(n.leases) {
-		if g, known := n.grantFor(h.Role); known && (g.Token > h.Token || g.Token == h.Token && g.Holder != n.self) {
-			n.endLease(h, "it was granted to another")
+	for _, held := range slices.Clone(n.leases) {
+		if g, known := n.grantFor(held.Role); known && (g.Token > held.Token || g.Token == held.Token && g.Holder != n.self) {
+			n.endLease(held, "it was granted to another")
 		}
 	}
 	for _, g := range n.table.Grants {
@@ -87,8 +87,8 @@
 	}
 }
 
-func (n *Node) grantFor(job string) (Grant, bool) {
-	i, known := grantIndex(n.table.Grants, job)
+func (n *Node) grantFor(role string) (Grant, bool) {
+	i, known := grantIndex(n.table.Grants, role)
 	if !known {
 		return Grant{}, false
 	}
@@ -97,31 +97,31 @@
 
 // isOurs tells whether the table still says that a grant is this member's.
 func (n *Node) isOurs(g Grant) bool {
-	now, known := n.grantFor(g.Role)
-	return known && now.Token == g.Token && now.Holder == n.self
+	current, known := n.grantFor(g.Role)
+	return known && current.Token == g.Token && current.Holder == n.self
 }
 
 func (n *Node) hasEnded(g Grant) bool {
 	return slices.ContainsFunc(n.ended, func(d Grant) bool { return d.Role == g.Role && d.Token >= g.Token })
 }
 
-// canHold tells whether this member does a job.
-func (n *Node) canHold(job string) bool {
-	return !n.leaving && slices.Contains(n.settings.Roles, job) && !slices.Contains(n.declinedRoles, job)
+// canHold tells whether this member does a role.
+func (n *Node) canHold(role string) bool {
+	return !n.leaving && slices.Contains(n.settings.Roles, role) && !slices.Contains(n.declinedRoles, role)
 }
 
 // endLease ends what is held. Nothing is done under it any more, so it can be given back.
-func (n *Node) endLease(h *heldLease, why string) {
-	n.leases = slices.DeleteFunc(n.leases, func(o *heldLease) bool { return o == h })
-	if h.started {
-		n.actions.LeaseEnded(h.Role, h.Token, why)
+func (n *Node) endLease(held *heldLease, reason string) {
+	n.leases = slices.DeleteFunc(n.leases, func(o *heldLease) bool { return o == held })
+	if held.started {
+		n.actions.LeaseEnded(held.Role, held.Token, reason)
 	}
-	n.release(h.Grant)
+	n.release(held.Grant)
 }
 
-func (n *Node) endAllLeases(why string) {
+func (n *Node) endAllLeases(reason string) {
 	for len(n.leases) > 0 {
-		n.endLease(n.leases[0], why)
+		n.endLease(n.leases[0], reason)
 	}
 }
 
@@ -139,10 +139,10 @@
 
 // expireLeases ends leases. Danger: this process may have stood still since its last call; it comes before all else.
 func (n *Node) expireLeases() {
-	for _, h := range slices.Clone(n.leases) {
-		if h.started && n.now >= h.expiresAt {
+	for _, held := range slices.Clone(n.leases) {
+		if held.started && n.now >= held.expiresAt {
 			n.stats.Lapsed++
-			n.endLease(h, ReasonNotRenewed)
+			n.endLease(held, ReasonNotRenewed)
 		}
 	}
 }
@@ -154,79 +154,79 @@
 	}
 	if n.now >= n.bidDueAt {
 		n.bidDueAt = n.now + compareIntervalSeconds
-		var wish []string
-		for _, job := range n.settings.Roles {
-			if _, known := n.grantFor(job); !known && n.canHold(job) {
-				wish = append(wish, job)
+		var bids []string
+		for _, role := range n.settings.Roles {
+			if _, known := n.grantFor(role); !known && n.canHold(role) {
+				bids = append(bids, role)
 			}
 		}
-		if wish != nil {
+		if bids != nil {
 			n.bidDueAt = n.now + bidIntervalSeconds*(1+4*n.rng.Float64())
 		}
-		if wish != nil && n.table.Leader != 0 {
-			n.send(n.table.Leader, &Message{Bids: wish, BootID: n.bootID})
+		if bids != nil && n.table.Leader != 0 {
+			n.send(n.table.Leader, &Message{Bids: bids, BootID: n.bootID})
 		}
 	}
 }
 
-// SetWilling tells whether this member wants a job.
-func (n *Node) SetWilling(now float64, job string, willing bool) {
+// SetWilling tells whether this member wants a role.
+func (n *Node) SetWilling(now float64, role string, willing bool) {
 	n.advanceTo(now)
-	i, not := slices.BinarySearch(n.declinedRoles, job)
+	i, isDeclined := slices.BinarySearch(n.declinedRoles, role)
 	switch {
-	case willing && not:
+	case willing && isDeclined:
 		n.declinedRoles = slices.Delete(n.declinedRoles, i, i+1)
-	case !willing && !not:
-		n.declinedRoles = slices.Insert(n.declinedRoles, i, job)
-		if h := n.leaseFor(job); h != nil {
-			n.sendDeclined([]string{job})
-			n.endLease(h, "this member does not want it")
+	case !willing && !isDeclined:
+		n.declinedRoles = slices.Insert(n.declinedRoles, i, role)
+		if held := n.leaseFor(role); held != nil {
+			n.sendDeclined([]string{role})
+			n.endLease(held, "this member does not want it")
 		}
 	}
 	n.finishCall()
 }
 
-func (n *Node) sendDeclined(jobs []string) {
-	if n.table.Leader != 0 && len(jobs) > 0 {
-		n.send(n.table.Leader, &Message{Declined: jobs})
+func (n *Node) sendDeclined(roles []string) {
+	if n.table.Leader != 0 && len(roles) > 0 {
+		n.send(n.table.Leader, &Message{Declined: roles})
 	}
 }
 
-// handleOffer answers who would do jobs.
-func (n *Node) handleOffer(from swim.ID, jobs []string) {
-	var wish, not []string
-	for _, job := range jobs {
-		if n.canHold(job) {
-			wish = append(wish, job)
+// handleOffer answers who would do roles.
+func (n *Node) handleOffer(from swim.ID, roles []string) {
+	var bids, declined []string
+	for _, role := range roles {
+		if n.canHold(role) {
+			bids = append(bids, role)
 		} else {
-			not = append(not, job)
+			declined = append(declined, role)
 		}
 	}
-	n.send(from, &Message{Bids: wish, Declined: not, BootID: n.bootID})
+	n.send(from, &Message{Bids: bids, Declined: declined, BootID: n.bootID})
 }
 
-// RequestStepDown has a job go to somebody else, as an operator wants.
-func (n *Node) RequestStepDown(now float64, job string) {
+// RequestStepDown has a role go to somebody else, as an operator wants.
+func (n *Node) RequestStepDown(now float64, role string) {
 	n.advanceTo(now)
 	if !n.retired && n.table.Leader != 0 {
-		n.send(n.table.Leader, &Message{StepDown: job})
+		n.send(n.table.Leader, &Message{StepDown: role})
 	}
 	n.finishCall()
 }
 
-// handleStepDown takes that a job is to go to somebody else: who owns it gives it back.
-func (n *Node) handleStepDown(job string) {
-	if h := n.leaseFor(job); h != nil {
-		n.sendDeclined([]string{job})
-		n.endLease(h, "it is to go to another member")
+// handleStepDown takes that a role is to go to somebody else: who owns it gives it back.
+func (n *Node) handleStepDown(role string) {
+	if held := n.leaseFor(role); held != nil {
+		n.sendDeclined([]string{role})
+		n.endLease(held, "it is to go to another member")
 	}
 }
 
 func (n *Node) holderNextTick() float64 {
 	next := min(n.renewDueAt, n.bidDueAt)
-	for _, h := range n.leases {
-		if h.started {
-			next = min(next, h.expiresAt)
+	for _, held := range n.leases {
+		if held.started {
+			next = min(next, held.expiresAt)
 		}
 	}
 	return next
@@ -240,5 +240,5 @@
 	return append(slices.Clone(n.table.Voters), n.table.Leader)
 }
 
-// ReasonNotRenewed is why a job has ended whose lease was not confirmed in time: nobody need have been granted it since.
+// ReasonNotRenewed is why a role has ended whose lease was not confirmed in time: nobody need have been granted it since.
 const ReasonNotRenewed = "the lease was not renewed in time"
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -16,8 +16,8 @@
 	renewalOverdueSeconds   = 0.75 // without a renewal: who could take over is asked before the lease is over
 	declineExclusionSeconds = 30.0 // who declined or was moved off is passed over
 	silentExclusionSeconds  = 2.0  // who did not answer is
-	rebalanceQuietSeconds   = 2.0  // nothing has changed, before a job is moved to have them spread evenly
-	vacateSeconds           = 0.3  // a job that was given back and has no taker is nobody's
+	rebalanceQuietSeconds   = 2.0  // nothing has changed, before a role is moved to have them spread evenly
+	vacateSeconds           = 0.3  // a role that was given back and has no taker is nobody's
 	transferRetrySeconds    = 0.3  // for a successor to lead, before another is asked
 	maxOffers               = 3    // members asked at a time
 )
@@ -25,7 +25,7 @@
 // leaderState is what the one that leads remembers, of this term alone.
 type leaderState struct {
 	leadingSince       float64      // since when; the leases that an earlier leader confirmed are over a lease later
-	roles              []*roleState // by job
+	roles              []*roleState // by role
 	bids               []bid        // by member
 	waitingRenewals    []waitingRenewal
 	lastQuorumRead     uint64 // quorum rounds begun
@@ -41,7 +41,7 @@
 	learnerSince float64 // the learner was first looked at
 }
 
-// roleState is a job as its leader sees it.
+// roleState is a role as its leader sees it.
 type roleState struct {
 	role              string
 	renewedAt         float64 // the last renewal
@@ -73,13 +73,13 @@
 	return g != nil && g.isLeader && !n.retired && g.appliedTerm == g.term && !n.persistFailed
 }
 
-func (n *Node) roleFor(job string) *roleState {
-	i, known := slices.BinarySearchFunc(n.roles, job, func(p *roleState, job string) int { return cmp.Compare(p.role, job) })
+func (n *Node) roleFor(role string) *roleState {
+	i, known := slices.BinarySearchFunc(n.roles, role, func(state *roleState, role string) int { return cmp.Compare(state.role, role) })
 	if !known {
-		if len(n.roles) >= maxRoles || job == "" || len(job) > 64 {
+		if len(n.roles) >= maxRoles || role == "" || len(role) > 64 {
 			return nil
 		}
-		n.roles = slices.Insert(n.roles, i, &roleState{role: job, renewedAt: n.leadingSince})
+		n.roles = slices.Insert(n.roles, i, &roleState{role: role, renewedAt: n.leadingSince})
 	}
 	return n.roles[i]
 }
@@ -91,10 +91,10 @@
 		return
 	}
 	if n.group.isLeader {
-		if p := n.roleFor(c.Role); p != nil {
-			p.hasPendingCommand, p.renewedAt, p.releasedToken, p.releasedAt = false, n.now, 0, n.now
+		if state := n.roleFor(c.Role); state != nil {
+			state.hasPendingCommand, state.renewedAt, state.releasedToken, state.releasedAt = false, n.now, 0, n.now
 			if c.Holder == 0 {
-				p.releasedToken = c.ExpectedToken
+				state.releasedToken = c.ExpectedToken
 			}
 			n.changedAt, n.dueAt = n.now, n.now
 		}
@@ -114,14 +114,14 @@
 	}
 	n.dueAt = n.now
 	for _, g := range m.Released {
-		p := n.roleFor(g.Role)
-		if now, known := n.group.machine.grant(g.Role); p != nil && known && now.Token == g.Token && now.Holder == from && p.releasedToken != g.Token {
-			p.releasedToken, p.releasedAt = g.Token, n.now
+		state := n.roleFor(g.Role)
+		if current, known := n.group.machine.grant(g.Role); state != nil && known && current.Token == g.Token && current.Holder == from && state.releasedToken != g.Token {
+			state.releasedToken, state.releasedAt = g.Token, n.now
 			n.withdrawBid(from, g.Role)
 		}
 	}
-	for _, job := range m.Declined {
-		n.exclude(job, from, declineExclusionSeconds)
+	for _, role := range m.Declined {
+		n.exclude(role, from, declineExclusionSeconds)
 	}
 	if len(m.Bids) > 0 && m.BootID != 0 {
 		n.recordBid(from, m)
@@ -145,32 +145,32 @@
 	if !n.isLeaderReady() {
 		return
 	}
-	for _, job := range n.settings.Roles {
-		n.roleFor(job)
+	for _, role := range n.settings.Roles {
+		n.roleFor(role)
 	}
 	n.dueAt = n.now + raftTickSeconds
 	if alive := n.countAlive(); alive != n.liveMembers {
 		n.liveMembers, n.changedAt = alive, n.now
 	}
 	var list []command
-	for _, p := range n.roles {
-		if p.hasPendingCommand {
+	for _, state := range n.roles {
+		if state.hasPendingCommand {
 			continue
 		}
-		g, _ := n.group.machine.grant(p.role)
-		nobodys := g.Holder == 0 || p.releasedToken == g.Token
-		over := n.now >= max(p.renewedAt, n.leadingSince)+leaseSeconds
+		g, _ := n.group.machine.grant(state.role)
+		nobodys := g.Holder == 0 || state.releasedToken == g.Token
+		over := n.now >= max(state.renewedAt, n.leadingSince)+leaseSeconds
 		switch {
 		case nobodys || over:
-			id, life := n.chooseHolder(p, list)
+			id, life := n.chooseHolder(state, list)
 			switch {
 			case id != 0:
-				list = append(list, command{Role: p.role, Holder: id, BootID: life, ExpectedToken: g.Token})
-			case g.Holder != 0 && (nobodys && n.now-p.releasedAt > vacateSeconds || n.now-max(p.renewedAt, n.leadingSince) > leaseSeconds+vacateSeconds):
-				list = append(list, command{Role: p.role, ExpectedToken: g.Token})
+				list = append(list, command{Role: state.role, Holder: id, BootID: life, ExpectedToken: g.Token})
+			case g.Holder != 0 && (nobodys && n.now-state.releasedAt > vacateSeconds || n.now-max(state.renewedAt, n.leadingSince) > leaseSeconds+vacateSeconds):
+				list = append(list, command{Role: state.role, ExpectedToken: g.Token})
 			}
-		case n.now-max(p.renewedAt, n.leadingSince) > renewalOverdueSeconds:
-			n.solicitBids(p) // so that there is somebody when the lease is over
+		case n.now-max(state.renewedAt, n.leadingSince) > renewalOverdueSeconds:
+			n.solicitBids(state) // so that there is somebody when the lease is over
 		}
 	}
 	for _, c := range list {
@@ -213,9 +213,9 @@
 	for _, g := range n.group.machine.Grants {
 		ids = append(ids, g.Holder)
 	}
-	for _, p := range n.roles {
-		if n.now-p.offeredAt < bidValidSeconds {
-			ids = append(ids, p.offered...)
+	for _, state := range n.roles {
+		if n.now-state.offeredAt < bidValidSeconds {
+			ids = append(ids, state.offered...)
 		}
 	}
 	return ids
--- a/internal/decide/lease/leave.go
+++ b/internal/decide/lease/leave.go
@@ -30,15 +30,15 @@
 
 // transferLeadership transfers leadership to an elector that is there, each time to another.
 func (n *Node) transferLeadership() {
-	var there []uint64
+	var live []uint64
 	for _, id := range n.group.confState.GetVoters() {
 		if m := n.memberByID(swim.ID(id)); swim.ID(id) != n.self && m != nil && m.State == swim.Alive {
-			there = append(there, id)
+			live = append(live, id)
 		}
 	}
-	if len(there) > 0 {
+	if len(live) > 0 {
 		n.transferAttempts++
-		n.runRaft(func() { n.group.rawNode.TransferLeader(there[n.transferAttempts%len(there)]) })
+		n.runRaft(func() { n.group.rawNode.TransferLeader(live[n.transferAttempts%len(live)]) })
 	}
 }
 
--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -72,9 +72,9 @@
 // sendRaft sends a message of the group, with the state that it rests on.
 func (n *Node) sendRaft(to swim.ID, raft []byte) {
 	m := &Message{Epoch: n.founding.Epoch, Serial: n.serial, WriterID: n.lineage.writerOf(n.serial), Raft: raft}
-	if h := n.peer(to); h == nil || h.shownWriterID == 0 || h.shownWriterID != m.WriterID || n.now-h.shownAt >= lineageIntervalSeconds {
-		if m.Lineage = n.lineage; h != nil {
-			h.shownWriterID, h.shownAt = m.WriterID, n.now
+	if peer := n.peer(to); peer == nil || peer.shownWriterID == 0 || peer.shownWriterID != m.WriterID || n.now-peer.shownAt >= lineageIntervalSeconds {
+		if m.Lineage = n.lineage; peer != nil {
+			peer.shownWriterID, peer.shownAt = m.WriterID, n.now
 		}
 	}
 	n.actions.Send(to, m)
@@ -83,25 +83,25 @@
 // checkSerial tells whether a message of one member rests on the latest state that was heard of it, or on one that came of that. Danger:
 // who came back with an old copy of its state has forgotten votes that others count on.
 func (n *Node) checkSerial(from swim.ID, m *Message) bool {
-	h := n.peer(from)
+	peer := n.peer(from)
 	if m.Raft == nil { // what the other has heard of this member
 		switch {
 		case m.Serial > n.serial || !n.lineage.contains(m.Serial, m.WriterID):
 			n.replaceIdentity("others know a later state of this identity: an old copy")
-		case h != nil:
-			h.shownWriterID = 0
+		case peer != nil:
+			peer.shownWriterID = 0
 		}
 		return false
 	}
-	if h == nil {
+	if peer == nil {
 		return true
 	}
 	// Who wrote again since it was heard has to show what its state came of, unless its version knows of no such thing.
-	if m.Serial < h.serial || m.WriterID != h.writerID && m.WriterID != 0 && h.writerID != 0 && (len(m.Lineage) == 0 || !lineage(m.Lineage).contains(h.serial, h.writerID)) {
+	if m.Serial < peer.serial || m.WriterID != peer.writerID && m.WriterID != 0 && peer.writerID != 0 && (len(m.Lineage) == 0 || !lineage(m.Lineage).contains(peer.serial, peer.writerID)) {
 		n.stats.DroppedStale++
-		n.actions.Send(from, &Message{Serial: h.serial, WriterID: h.writerID})
+		n.actions.Send(from, &Message{Serial: peer.serial, WriterID: peer.writerID})
 		return false
 	}
-	h.serial, h.writerID = m.Serial, m.WriterID
+	peer.serial, peer.writerID = m.Serial, m.WriterID
 	return true
 }
--- a/internal/decide/lease/message.go
+++ b/internal/decide/lease/message.go
@@ -2,12 +2,12 @@
 
 import "hazelwheel/internal/decide/swim"
 
-// Grant is a job in one member's hands, or, without an owner, the last token of one that nobody has.
+// Grant is a role in one member's hands, or, without an owner, the last token of one that nobody has.
 type Grant struct {
 	Role   string  `msgpack:"j"`
 	Holder swim.ID `msgpack:"o,omitempty"` // 0: nobody
-	Token  uint64  `msgpack:"t"`           // of this grant; the job's next one is greater
-	BootID uint64  `msgpack:"l,omitempty"` // of the owner's process: another one with its identity gives the job back
+	Token  uint64  `msgpack:"t"`           // of this grant; the role's next one is greater
+	BootID uint64  `msgpack:"l,omitempty"` // of the owner's process: another one with its identity gives the role back
 }
 
 // Table is what is known of all grants. Of two the one of the greater Epoch, then Index, then Term, is newer; it goes to all
@@ -18,7 +18,7 @@
 	Term   uint64    `msgpack:"t"`
 	Leader swim.ID   `msgpack:"l"`
 	Voters []swim.ID `msgpack:"m,omitempty"`
-	Grants []Grant   `msgpack:"g,omitempty"` // by job
+	Grants []Grant   `msgpack:"g,omitempty"` // by role
 }
 
 // Message goes between two members. Each field stands for itself.
@@ -33,13 +33,13 @@
 	RenewRequest *Renewal  `msgpack:"n,omitempty"` // to the leader
 	RenewReply   *Renewal  `msgpack:"d,omitempty"` // from it: what a quorum has confirmed since the Renew of that number came
 	Released     []Grant   `msgpack:"b,omitempty"` // to the leader: given back, nothing is done under them any more
-	Declined     []string  `msgpack:"x,omitempty"` // to the leader: jobs that the sender does not want for now
-	Bids         []string  `msgpack:"w,omitempty"` // to the leader: jobs that the sender can do, so that they have an owner
+	Declined     []string  `msgpack:"x,omitempty"` // to the leader: roles that the sender does not want for now
+	Bids         []string  `msgpack:"w,omitempty"` // to the leader: roles that the sender can do, so that they have an owner
 	Offered      []string  `msgpack:"o,omitempty"` // from the leader: who would do these; answered with Wish or Decline
 	BootID       uint64    `msgpack:"l,omitempty"` // of the sender's process, with Wish
-	WriteRecord  *Record   `msgpack:"k,omitempty"` // to the leader: the owner wants this to be kept of its job
+	WriteRecord  *Record   `msgpack:"k,omitempty"` // to the leader: the owner wants this to be kept of its role
 	Records      []Record  `msgpack:"a,omitempty"` // from it: what is kept
-	StepDown     string    `msgpack:"v,omitempty"` // to the leader: an operator wants the job to go to somebody else; from it: give it back
+	StepDown     string    `msgpack:"v,omitempty"` // to the leader: an operator wants the role to go to somebody else; from it: give it back
 }
 
 // Renewal asks that leases go on, all those of a member at once, or says that they do.
--- a/internal/decide/lease/node.go
+++ b/internal/decide/lease/node.go
@@ -66,29 +66,29 @@
 
 // New returns the part of a member. An error says that what was saved can't be used: the identity is then not to be used
 // either.
-func New(now float64, self swim.ID, set Settings, state []byte, do Actions) (*Node, error) {
-	t := &Node{settings: set, self: self, actions: do, now: now, startedAt: now, rng: rand.New(rand.NewPCG(set.Seed, uint64(self)))}
-	t.settings.Roles = slices.Sorted(slices.Values(set.Roles))
-	t.bootID = t.rng.Uint64() | 1
-	t.renewalNumber = t.rng.Uint64() >> 1
-	t.foundingDueAt = now + foundingRetrySeconds*t.rng.Float64()
-	t.compareDueAt = now + compareIntervalSeconds*t.rng.Float64()
-	t.bidDueAt = now + bidIntervalSeconds*(1+4*t.rng.Float64())
-	if len(state) == 0 {
-		return t, nil
+func New(now float64, self swim.ID, settings Settings, savedState []byte, actions Actions) (*Node, error) {
+	n := &Node{settings: settings, self: self, actions: actions, now: now, startedAt: now, rng: rand.New(rand.NewPCG(settings.Seed, uint64(self)))}
+	n.settings.Roles = slices.Sorted(slices.Values(settings.Roles))
+	n.bootID = n.rng.Uint64() | 1
+	n.renewalNumber = n.rng.Uint64() >> 1
+	n.foundingDueAt = now + foundingRetrySeconds*n.rng.Float64()
+	n.compareDueAt = now + compareIntervalSeconds*n.rng.Float64()
+	n.bidDueAt = now + bidIntervalSeconds*(1+4*n.rng.Float64())
+	if len(savedState) == 0 {
+		return n, nil
 	}
-	s, err := decodeState(state, self)
+	saved, err := decodeState(savedState, self)
 	if err != nil {
 		return nil, err
 	}
-	t.lineage = s.Lineage
-	t.serial, t.highestEpoch, t.persistedEpoch, t.promisedBallot, t.acceptedFounding, t.founding = s.Serial, s.Epoch, s.Epoch, s.Promised, s.Accepted, s.Founding
-	if t.founding != nil {
-		if err := t.startGroup(s.HardState, s.Snapshot, s.Entries); err != nil {
+	n.lineage = saved.Lineage
+	n.serial, n.highestEpoch, n.persistedEpoch, n.promisedBallot, n.acceptedFounding, n.founding = saved.Serial, saved.Epoch, saved.Epoch, saved.Promised, saved.Accepted, saved.Founding
+	if n.founding != nil {
+		if err := n.startGroup(saved.HardState, saved.Snapshot, saved.Entries); err != nil {
 			return nil, err
 		}
 	}
-	return t, nil
+	return n, nil
 }
 
 // SetMembers takes who is there, by ID, with this member.
--- a/internal/decide/lease/node_test.go
+++ b/internal/decide/lease/node_test.go
@@ -32,7 +32,7 @@
 	history        [][]byte
 	replacedReason string // why the identity was given up
 
-	record Record // of a job, as it was told last
+	record Record // of a role, as it was told last
 }
 
 func (s *testNode) Send(to swim.ID, m *Message) {
@@ -69,11 +69,11 @@
 		}
 	})
 }
-func (s *testNode) LeaseStarted(job string, token uint64)     {}
-func (s *testNode) LeaseEnded(job string, t uint64, w string) {}
-func (s *testNode) RecordCommitted(r Record)                  { s.record = r }
-func (s *testNode) ReplaceIdentity(why string)                { s.replacedReason = why }
-func (s *testNode) Log(string, ...any)                        {}
+func (s *testNode) LeaseStarted(role string, token uint64)     {}
+func (s *testNode) LeaseEnded(role string, t uint64, w string) {}
+func (s *testNode) RecordCommitted(r Record)                   { s.record = r }
+func (s *testNode) ReplaceIdentity(why string)                 { s.replacedReason = why }
+func (s *testNode) Log(string, ...any)                         {}
 
 func (h *cluster) runUntil(at float64) {
 	for h.now < at {
@@ -92,9 +92,9 @@
 	}
 }
 
-func newCluster(t *testing.T, n int, jobs ...string) *cluster {
+func newCluster(t *testing.T, n int, roles ...string) *cluster {
 	h := &cluster{t: t, now: 100}
-	set := Settings{Roles: jobs, RecordedRoles: jobs[:1]}
+	set := Settings{Roles: roles, RecordedRoles: roles[:1]}
 	for i := range 3 {
 		set.InitialVoters = append(set.InitialVoters, fmt.Sprint("a", i))
 	}
@@ -114,9 +114,9 @@
 	return h
 }
 
-func (h *cluster) holder(job string) (owner *testNode, token uint64) {
+func (h *cluster) holder(role string) (owner *testNode, token uint64) {
 	for _, s := range h.all {
-		if tok, ok := s.node.Holds(h.now, job); ok && s.up {
+		if tok, ok := s.node.Holds(h.now, role); ok && s.up {
 			require.Nil(h.t, owner, "two owners")
 			owner, token = s, tok
 		}
@@ -317,17 +317,17 @@
 	require.Equal(t, s.node.group.term, kept.group.term)
 }
 
-// Of the tokens of a job the greatest ever seen holds, also over a restart, and no other job's.
+// Of the tokens of a role the greatest ever seen holds, also over a restart, and no other role's.
 func TestFenceNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var g Fence
 		seen := map[string]uint64{}
 		for range rapid.IntRange(1, 40).Draw(t, "effects") {
-			job, token := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "job"), rapid.Uint64Range(1, 9).Draw(t, "token")
-			ok, greatest := g.Admit(job, token)
-			require.Equal(t, token >= seen[job], ok)
-			seen[job] = max(seen[job], token)
-			require.Equal(t, seen[job], greatest)
+			role, token := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "role"), rapid.Uint64Range(1, 9).Draw(t, "token")
+			ok, greatest := g.Admit(role, token)
+			require.Equal(t, token >= seen[role], ok)
+			seen[role] = max(seen[role], token)
+			require.Equal(t, seen[role], greatest)
 			if rapid.Bool().Draw(t, "restart") {
 				var next Fence
 				next.Restore(g.Highest())
@@ -337,7 +337,7 @@
 	})
 }
 
-// What is agreed of a job outlives its owners and leaders: each new owner is told of the last one before it does anything, versions grow
+// What is agreed of a role outlives its owners and leaders: each new owner is told of the last one before it does anything, versions grow
 // one by one, and what an owner wrote under an earlier grant, or in place of an earlier version, is not kept.
 func TestRecordOutlivesHolders(t *testing.T) {
 	h := newCluster(t, 7, "works")
--- a/internal/decide/lease/persist.go
+++ b/internal/decide/lease/persist.go
@@ -70,13 +70,13 @@
 }
 
 // replaceIdentity gives up the identity: nothing is said under it any more.
-func (n *Node) replaceIdentity(why string) {
+func (n *Node) replaceIdentity(reason string) {
 	if n.retired {
 		return
 	}
 	n.endAllLeases("the identity is given up")
 	n.retired, n.group, n.loopback, n.deferred, n.awaitingPersist = true, nil, nil, nil, nil
-	n.actions.ReplaceIdentity(why)
+	n.actions.ReplaceIdentity(reason)
 }
 
 // stateFormatVersion is that of the saved state. One of another version is not read.
--- a/internal/decide/lease/raft.go
+++ b/internal/decide/lease/raft.go
@@ -114,11 +114,11 @@
 }
 
 func (g *group) installSnapshot(snap *raftpb.Snapshot) error {
-	var m stateMachine
-	if err := decode(snap.GetData(), &m); err != nil {
+	var machine stateMachine
+	if err := decode(snap.GetData(), &machine); err != nil {
 		return err
 	}
-	g.machine, g.appliedIndex, g.appliedTerm, g.confState = m, snap.GetMetadata().GetIndex(), snap.GetMetadata().GetTerm(), snap.GetMetadata().GetConfState()
+	g.machine, g.appliedIndex, g.appliedTerm, g.confState = machine, snap.GetMetadata().GetIndex(), snap.GetMetadata().GetTerm(), snap.GetMetadata().GetConfState()
 	return nil
 }
 
--- a/internal/decide/lease/rebalance.go
+++ b/internal/decide/lease/rebalance.go
@@ -6,7 +6,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// rebalance has the most loaded give up a job where somebody has two fewer.
+// rebalance has the most loaded give up a role where somebody has two fewer.
 func (n *Node) rebalance() {
 	if n.now-n.changedAt < rebalanceQuietSeconds {
 		return
@@ -26,29 +26,29 @@
 	if most-least < 2 {
 		return
 	}
-	for _, p := range n.roles {
-		g, _ := n.group.machine.grant(p.role)
-		if g.Holder != from || p.hasPendingCommand || p.releasedToken == g.Token || n.now-p.moveRequestedAt < rebalanceQuietSeconds {
+	for _, state := range n.roles {
+		g, _ := n.group.machine.grant(state.role)
+		if g.Holder != from || state.hasPendingCommand || state.releasedToken == g.Token || n.now-state.moveRequestedAt < rebalanceQuietSeconds {
 			continue
 		}
-		ranked := n.rankCandidates(p, nil)
+		ranked := n.rankCandidates(state, nil)
 		if len(ranked) == 0 || n.roleCount(ranked[0], nil) > most-2 {
 			continue
 		}
-		if n.bidBootID(ranked[0], p.role) == 0 { // Danger: a job that is given up for one that does not want it only rests
-			n.offerRole(p, ranked)
+		if n.bidBootID(ranked[0], state.role) == 0 { // Danger: a role that is given up for one that does not want it only rests
+			n.offerRole(state, ranked)
 			return
 		}
-		p.moveRequestedAt, n.changedAt = n.now, n.now
+		state.moveRequestedAt, n.changedAt = n.now, n.now
 		n.sendStepDown(g)
 		return
 	}
 }
 
-// startStepDown asks the owner of a job to give it up.
-func (n *Node) startStepDown(job string) {
-	if g, known := n.group.machine.grant(job); known && g.Holder != 0 {
-		n.exclude(job, g.Holder, declineExclusionSeconds)
+// startStepDown asks the owner of a role to give it up.
+func (n *Node) startStepDown(role string) {
+	if g, known := n.group.machine.grant(role); known && g.Holder != 0 {
+		n.exclude(role, g.Holder, declineExclusionSeconds)
 		n.sendStepDown(g)
 	}
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// roleCount counts a member's jobs, with those of a list that is to be proposed.
+// roleCount counts a member's roles, with those of a list that is to be proposed.
 func (n *Node) roleCount(id swim.ID, list []command) (count int) {
 	for _, g := range n.group.machine.Grants {
 		if g.Holder == id {
--- a/internal/decide/lease/renewal.go
+++ b/internal/decide/lease/renewal.go
@@ -45,12 +45,12 @@
 func (n *Node) confirmRenewal(w waitingRenewal) {
 	answer := &Renewal{Number: w.Number}
 	for _, g := range w.Grants {
-		now, known := n.group.machine.grant(g.Role)
-		p := n.roleFor(g.Role)
-		if !known || p == nil || now != g || now.Holder != w.from || p.hasPendingCommand || p.releasedToken == g.Token {
+		current, known := n.group.machine.grant(g.Role)
+		state := n.roleFor(g.Role)
+		if !known || state == nil || current != g || current.Holder != w.from || state.hasPendingCommand || state.releasedToken == g.Token {
 			continue
 		}
-		p.renewedAt = n.now
+		state.renewedAt = n.now
 		answer.Grants = append(answer.Grants, g)
 	}
 	answer.Records = n.newerRecords(w.Records)
@@ -78,8 +78,8 @@
 	if len(n.leases) > 0 {
 		n.renewalNumber++
 		r := &Renewal{Number: n.renewalNumber}
-		for _, h := range n.leases {
-			r.Grants = append(r.Grants, h.Grant)
+		for _, held := range n.leases {
+			r.Grants = append(r.Grants, held.Grant)
 		}
 		r.Records = n.knownRecordVersions()
 		n.pendingRenewals = append(n.pendingRenewals, sentRenewal{n.renewalNumber, n.now, r.Grants})
@@ -113,20 +113,20 @@
 	n.renewedAt = n.now
 	n.handleRecords(r.Records)
 	for _, g := range r.Grants {
-		h := n.leaseFor(g.Role)
-		if h == nil || h.Token != g.Token || !slices.Contains(sent.grants, h.Grant) {
+		held := n.leaseFor(g.Role)
+		if held == nil || held.Token != g.Token || !slices.Contains(sent.grants, held.Grant) {
 			continue
 		}
-		h.expiresAt = max(h.expiresAt, sent.sentAt+holderLeaseFraction*leaseSeconds)
+		held.expiresAt = max(held.expiresAt, sent.sentAt+holderLeaseFraction*leaseSeconds)
 		switch {
-		case n.now >= h.expiresAt:
-		case !h.started && n.canHold(h.Role):
-			h.started = true
+		case n.now >= held.expiresAt:
+		case !held.started && n.canHold(held.Role):
+			held.started = true
 			n.stats.Acquired++
-			n.actions.LeaseStarted(h.Role, h.Token)
-			if n.hasRecord(h.Role) {
-				h.record.Role = h.Role
-				n.actions.RecordCommitted(h.record)
+			n.actions.LeaseStarted(held.Role, held.Token)
+			if n.hasRecord(held.Role) {
+				held.record.Role = held.Role
+				n.actions.RecordCommitted(held.record)
 			}
 		}
 	}
--- a/internal/decide/lease/statemachine.go
+++ b/internal/decide/lease/statemachine.go
@@ -10,20 +10,20 @@
 	"hazelwheel/internal/msgpacklimit"
 )
 
-// command is an entry of the electors' log: a job goes to somebody, if its token still is the one that was meant.
+// command is an entry of the electors' log: a role goes to somebody, if its token still is the one that was meant.
 type command struct {
 	Role          string  `msgpack:"j"`
 	Holder        swim.ID `msgpack:"o,omitempty"` // 0: nobody, the token stays
 	BootID        uint64  `msgpack:"l,omitempty"`
-	ExpectedToken uint64  `msgpack:"w,omitempty"` // the token so far; 0: the job is new
+	ExpectedToken uint64  `msgpack:"w,omitempty"` // the token so far; 0: the role is new
 	Record        *Record `msgpack:"p,omitempty"` // the command is to keep this, and nothing else
 }
 
 // stateMachine is the replicated state: who has been granted what. Equal logs make equal machines.
 type stateMachine struct {
 	Epoch  uint64  `msgpack:"e"`
-	Grants []Grant `msgpack:"g,omitempty"` // by job; a job never goes, so that its tokens only grow
-	// Records are by job, and never go either, so that their versions only grow.
+	Grants []Grant `msgpack:"g,omitempty"` // by role; a role never goes, so that its tokens only grow
+	// Records are by role, and never go either, so that their versions only grow.
 	Records []Record `msgpack:"r,omitempty"`
 }
 
@@ -50,11 +50,11 @@
 	return true
 }
 
-// grant returns what holds of a job.
-func (m *stateMachine) grant(job string) (Grant, bool) {
-	i, known := grantIndex(m.Grants, job)
+// grant returns what holds of a role.
+func (m *stateMachine) grant(role string) (Grant, bool) {
+	i, known := grantIndex(m.Grants, role)
 	if !known {
-		return Grant{Role: job}, false
+		return Grant{Role: role}, false
 	}
 	return m.Grants[i], true
 }
--- a/internal/decide/lease/stats.go
+++ b/internal/decide/lease/stats.go
@@ -8,7 +8,7 @@
 	IsVoter        bool   `json:"elector"`
 	IsLeader       bool   `json:"leads"`
 	PersistFailed  bool   `json:"unkept"`   // the state can't be kept: this member does not vote
-	Grants         uint64 `json:"grants"`   // that were agreed, of all jobs
+	Grants         uint64 `json:"grants"`   // that were agreed, of all roles
 	Acquired       uint64 `json:"owned"`    // grants to this member that became leases
 	Lapsed         uint64 `json:"lapsed"`   // of these, leases that ended without a renewal
 	QuorumReads    uint64 `json:"rounds"`   // quorum rounds for renewals, of this member as the leader
--- a/internal/decide/lease/voters.go
+++ b/internal/decide/lease/voters.go
@@ -36,15 +36,15 @@
 			gone, longest = id, s
 		}
 	}
-	keepers := 0
+	durable := 0
 	for _, m := range n.members {
 		// Danger: a group that shrinks with each restart has no majority once another elector goes.
 		if m.Durable && n.goneSeconds(m.ID) < voterGoneSeconds {
-			keepers++
+			durable++
 		}
 	}
 	size := len(g.confState.GetVoters())
-	target := max(min(len(n.founding.Voters), (keepers+1)/2*2-1), minVoters)
+	target := max(min(len(n.founding.Voters), (durable+1)/2*2-1), minVoters)
 	if learners := g.confState.GetLearners(); len(learners) > 0 {
 		n.promoteLearner(learners[0], gone, size < target)
 		return
