--- a/internal/decide/lease/actions.go
+++ b/internal/decide/lease/actions.go
@@ -2,27 +2,28 @@
 
 import "hazelwheel/internal/decide/swim"
 
-// Actions is what a Tenure asks for. None may call back into it.
+// Actions carries out what a Node asks for. Its methods are called from within calls of the Node, on the caller's goroutine, and
+// must not call back into the Node.
 type Actions interface {
-	// Send sends a message to a member; what can't be sent is lost.
+	// Send sends a message to a member. A message that can't be sent is dropped; the Node retries by itself.
 	Send(to swim.ID, m *Message)
-	// Flood sends a message over all links but those to one member (0: over all).
+	// Broadcast sends a message over all links, except those to one member (0: none is left out).
 	Broadcast(m *Message, except swim.ID)
-	// Want asks for links to these members, beside those that there are, in place of what was asked for before.
+	// RequestLinks replaces the set of members that links are wanted to, in addition to the links that exist for other reasons.
 	RequestLinks(members []swim.ID)
-	// Save keeps the state: with the member's identity in one write, synced. Saved follows, and until then nothing that
-	// depends on it is said. One Save at a time.
+	// Persist writes the state and the member's identity to disk in one synced write and then calls Node.HandlePersisted. It is not
+	// called again before that. Danger: messages that depend on the state are sent after HandlePersisted without an error.
 	Persist(state []byte)
-	// Granted tells that this member owns a role from now on, while Holds says so.
+	// LeaseStarted reports that this member may act for a role from now on, whenever Node.Holds says so.
 	LeaseStarted(role string, token uint64)
-	// Agreed tells what is kept of a role that this member owns: after Granted for each that has a record, also where nothing was kept
-	// yet, and then whenever one is agreed.
+	// RecordCommitted reports the committed record of a role that this member holds: once after LeaseStarted for each role that has
+	// one, with Version 0 where nothing was written, and then for each new version.
 	RecordCommitted(r Record)
-	// Ended tells that it no longer does: nothing more may be done under the token.
-	LeaseEnded(role string, token uint64, why string)
-	// Renounce asks for another identity: what was promised under this one is not known any more. The Tenure says nothing
-	// more; a new one takes its place.
-	ReplaceIdentity(why string)
-	// Note tells something that an operator should read in the log.
+	// LeaseEnded reports that this member must not act under the token any more.
+	LeaseEnded(role string, token uint64, reason string)
+	// ReplaceIdentity asks for a new identity and a new Node for it, since votes of this one may have been lost. The Node does nothing
+	// more after that.
+	ReplaceIdentity(reason string)
+	// Log writes a line to the operators' log, with key-value pairs as log/slog takes them.
 	Log(text string, args ...any)
 }
--- a/internal/decide/lease/candidates.go
+++ b/internal/decide/lease/candidates.go
@@ -7,7 +7,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// bid is a member's word that it would do roles.
+// bid is a member's offer to take roles.
 type bid struct {
 	id         swim.ID
 	bootID     uint64
@@ -15,12 +15,14 @@
 	receivedAt float64
 }
 
+// exclusion keeps a member from being granted a role for a while. An empty role excludes it from becoming a voter.
 type exclusion struct {
 	role  string
 	id    swim.ID
 	until float64
 }
 
+// recordBid keeps a member's bid. Bids of one process add up while they are valid.
 func (n *Node) recordBid(from swim.ID, m *Message) {
 	for _, role := range m.Bids {
 		n.roleFor(role)
@@ -42,15 +44,15 @@
 	b.receivedAt, b.bootID = n.now, m.BootID
 }
 
-// withdrawBid forgets that a member would do a role, since it has just given it back. Danger: one that began again between its word and the
-// grant gives back what its former life was granted, and by that word it would be granted the role again and again.
+// withdrawBid drops a member's bid for a role that it has just released. Danger: a process that restarted between its bid and the
+// grant releases what its predecessor was granted, and would be granted the role again and again by that bid.
 func (n *Node) withdrawBid(from swim.ID, role string) {
 	if i, known := slices.BinarySearchFunc(n.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) }); known {
 		n.bids[i].roles = slices.DeleteFunc(n.bids[i].roles, func(o string) bool { return o == role })
 	}
 }
 
-// bidBootID returns the life of a member that would do a role; 0: it has not said so lately.
+// bidBootID returns the boot ID of a member that has bid for a role, 0 if it has no valid bid.
 func (n *Node) bidBootID(id swim.ID, role string) uint64 {
 	if id == n.self {
 		if n.canHold(role) {
@@ -65,14 +67,14 @@
 	return 0
 }
 
-// exclude has a member not be granted a role for a while.
+// exclude keeps a member from being granted a role for some seconds.
 func (n *Node) exclude(role string, id swim.ID, seconds float64) {
 	n.exclusions = slices.DeleteFunc(n.exclusions, func(p exclusion) bool { return p.until <= n.now || p.role == role && p.id == id })
 	n.exclusions = append(n.exclusions, exclusion{role, id, n.now + seconds})
 }
 
-// rankCandidates returns who may be granted a role, the best first: who has the fewest roles, and of these by a draw that is the same
-// for all and another for each role.
+// rankCandidates returns the members that may be granted a role, best first: those with the fewest roles, and among equals by a
+// hash that differs by role.
 func (n *Node) rankCandidates(state *roleState, list []command) (ids []swim.ID) {
 	g, _ := n.group.machine.grant(state.role)
 	type rank struct {
@@ -88,7 +90,7 @@
 		}
 		load := n.roleCount(m.ID, list)
 		if m.ID == g.Holder {
-			load-- // this very role
+			load-- // the role itself
 		}
 		ranks = append(ranks, rank{m.ID, load, candidateHash(state.role, m.ID)})
 	}
@@ -101,7 +103,7 @@
 	return ids
 }
 
-// candidateHash is a number of a role and a member.
+// candidateHash mixes a role and a member into a number that is the same on all members.
 func candidateHash(role string, id swim.ID) uint64 {
 	x := uint64(id)
 	for _, b := range []byte(role) {
@@ -112,7 +114,8 @@
 	return x ^ x>>31
 }
 
-// chooseHolder returns who is to own a role that is free: 0 while nobody has said yes.
+// chooseHolder returns the next holder of a vacant role and its boot ID, 0 until one has bid. The best candidate is waited for a
+// little before another bidder is chosen.
 func (n *Node) chooseHolder(state *roleState, list []command) (swim.ID, uint64) {
 	ranked := n.rankCandidates(state, list)
 	if len(ranked) == 0 {
@@ -134,9 +137,10 @@
 	return 0, 0
 }
 
-// solicitBids asks who would take a role.
+// solicitBids offers a role whose lease may soon expire, so that bids are there by then.
 func (n *Node) solicitBids(state *roleState) { n.offerRole(state, n.rankCandidates(state, nil)) }
 
+// offerRole offers a role to the best candidates, a few at a time. Candidates that did not reply to the last offer are excluded.
 func (n *Node) offerRole(state *roleState, ranked []swim.ID) {
 	switch {
 	case state.offered != nil && n.now-state.offeredAt < offerTimeoutSeconds:
@@ -162,7 +166,7 @@
 	n.dueAt = min(n.dueAt, n.now+bestBidWaitSeconds)
 }
 
-// resendOffers takes a new link: who was asked without one is asked again.
+// resendOffers repeats offers to a member that a new link leads to, since the first may have been lost.
 func (n *Node) resendOffers(id swim.ID) {
 	if !n.isLeaderReady() {
 		return
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -1,8 +1,27 @@
-// Package lease decides who does what one sidecar does on behalf of all: a named role has at most one owner by grant, each
-// grant has a token that only grows, and who owns a role may act while its lease, by its own clock, has not ended. Grants are
-// agreed among a few electors, by Raft's published state machine. It is a pure state machine: it is told the time, of members
-// and of messages, and asks for messages and for its state to be kept. The same calls give the same calls back.
+// Package lease grants the singleton roles of the sidecars: work that one sidecar does on behalf of all. Each role has at most one
+// grant at a time, each grant carries a fencing token that only grows, and the holder may act for a role while its lease has not
+// expired by its own clock. Grants are agreed by a Raft group of a few voters among the sidecars (go.etcd.io/raft).
 //
-// What makes two owners harmless is not the lease but the token: whoever takes an effect keeps the greatest token that it has
-// seen for the role (Greatest) and turns lower ones away. docs/design/owner.md weighs the ways.
+// # State machine
+//
+// A Node is one member's part: voter, leader and lease holder in one. It does no I/O, starts no goroutine and reads no clock. The
+// caller passes the time, in seconds of the member's own monotonic clock, with each call, and carries out what the Node asks for by
+// Actions. Calls to one Node must not overlap. The same calls with the same Settings.Seed lead to the same actions.
+//
+// # Persist before send
+//
+// Votes, accepted founding proposals and log entries are written to disk before any message that depends on them is sent: Node asks
+// for a write by Actions.Persist and holds back such messages until HandlePersisted. While writes fail the member does not vote.
+//
+// # Safety
+//
+// A lease does not exclude two holders by itself, since a process may stand still between checking its lease and acting. The fencing
+// token does: whoever applies the effects of a role keeps the highest token that it has seen, in a Fence, and rejects lower ones.
+//
+// # Related packages
+//
+// Package election decides for one candidate of the router fleet whether it acts for a role whose grants are stored in the Paxos
+// register (package register); it has no group, no log and no messages of its own. This package holds the whole protocol for the
+// sidecars, which have no control processes: founding of the voters, their replacement, grants, renewals and records. Package swim
+// tells who is alive. docs/design/owner.md compares the alternatives.
 package lease
--- a/internal/decide/lease/fence.go
+++ b/internal/decide/lease/fence.go
@@ -2,16 +2,17 @@
 
 import "slices"
 
-// Fence keeps the greatest token seen of each role: what makes an old owner harmless. Its zero value has seen none.
+// Fence holds the highest fencing token seen of each role, by which a receiver rejects what a former lease holder still sends. The
+// zero value has seen none. It is not safe for concurrent use.
 type Fence struct {
-	seen []Grant // by role, without owners
+	seen []Grant // sorted by role; without holders
 }
 
-// maxRoles bounds the roles that are kept. Danger: their names come from outside.
+// maxRoles bounds the roles that a Fence or a leader keeps. Danger: their names come from other processes.
 const maxRoles = 256
 
-// Admit tells whether an effect under a token may be taken, and the greatest token seen of the role. A token that is equal to
-// the greatest is good: one grant has many effects.
+// Admit reports whether an effect under a token may be applied, and the highest token seen of the role. A token equal to the
+// highest is admitted, since one grant has many effects. A new role beyond maxRoles is rejected.
 func (f *Fence) Admit(role string, token uint64) (ok bool, greatest uint64) {
 	i, known := f.place(role)
 	switch {
@@ -26,10 +27,10 @@
 	return true, token
 }
 
-// Highest returns the greatest token of each role, by role; it is not to be changed.
+// Highest returns the highest token of each role, sorted by role. The caller must not change it.
 func (f *Fence) Highest() []Grant { return f.seen }
 
-// Restore takes what an earlier process had seen. What is lower than what was seen since changes nothing.
+// Restore adds the tokens that an earlier process had seen. Those that are lower than what was seen since change nothing.
 func (f *Fence) Restore(seen []Grant) {
 	for _, s := range seen {
 		f.Admit(s.Role, s.Token)
@@ -38,7 +39,7 @@
 
 func (f *Fence) place(role string) (int, bool) { return grantIndex(f.seen, role) }
 
-// grantIndex finds a role among grants that are sorted by it.
+// grantIndex finds a role among grants sorted by role.
 func grantIndex(grants []Grant, role string) (int, bool) {
 	return slices.BinarySearchFunc(grants, role, func(g Grant, role string) int {
 		switch {
--- a/internal/decide/lease/founding.go
+++ b/internal/decide/lease/founding.go
@@ -6,7 +6,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// The steps of the founding.
+// The steps of the founding, as they are sent.
 const (
 	stepPrepare uint8 = iota
 	stepPromise
@@ -14,25 +14,26 @@
 	stepAccepted
 	stepChosen
 	stepRefused
-	stepAsked // for the founding of the group that the other is in
+	stepAsked // asks for the founding of the group that the receiver belongs to
 )
 
-// proposal is what a proposer of the founding is at.
+// proposal is the state of this member's proposal of a founding.
 type proposal struct {
 	ballot   uint64
-	promises []*Founding // by place in Settings.Electors
+	promises []*Founding // by index in Settings.InitialVoters
 	accepted []bool
-	value    *Founding // nil: not all have promised
+	value    *Founding // nil until all have promised
 }
 
+// Times of the founding, in seconds.
 const (
-	foundingCheckIntervalSeconds = 0.5  // between two looks whether all are there
-	foundingRetrySeconds         = 2.0  // between two proposals, with as much again drawn
-	groupGoneSeconds             = 60.0 // all electors of a group that is known must be gone before another is founded
+	foundingCheckIntervalSeconds = 0.5  // between two checks whether all initial voters are alive
+	foundingRetrySeconds         = 2.0  // least time between two proposals; up to as much again is added at random
+	groupGoneSeconds             = 60.0 // all voters of a known group must be gone for as long before another is founded
 	maxInitialVoters             = 7
 )
 
-// initialVoterIDs returns the members at the listed addresses, 0 where there is none that lives and keeps its state.
+// initialVoterIDs returns the members at the initial voters' addresses, 0 where no durable member is alive there.
 func (n *Node) initialVoterIDs() []swim.ID {
 	ids := make([]swim.ID, len(n.settings.InitialVoters))
 	for i, address := range n.settings.InitialVoters {
@@ -45,7 +46,7 @@
 	return ids
 }
 
-// tickFounding proposes a founding where all are there and nobody has.
+// tickFounding proposes a founding once all initial voters are alive and none belongs to a group.
 func (n *Node) tickFounding() {
 	index := slices.Index(n.settings.InitialVoters, n.settings.Address)
 	if index < 0 || n.founding != nil || n.persistFailed || n.leaving || n.now < n.foundingDueAt {
@@ -56,7 +57,7 @@
 		return
 	}
 	n.foundingDueAt = n.now + foundingRetrySeconds*(1+n.rng.Float64())
-	// Danger: one that forgot its state must never propose another value under a ballot that it has used before.
+	// Danger: a member that lost its state must never propose another value under a ballot that it has used before.
 	n.ballotRound = max(n.ballotRound, n.promisedBallot>>32) + 1
 	ballot := n.ballotRound<<32 | uint64(n.rng.Uint32()>>8)<<8 | uint64(index)
 	n.proposal = &proposal{ballot: ballot, promises: make([]*Founding, len(ids)), accepted: make([]bool, len(ids))}
@@ -65,13 +66,13 @@
 	}
 }
 
-// hasNoLiveGroup tells that no group is known that may still live.
+// hasNoLiveGroup reports that no group is known whose voters may still be alive.
 func (n *Node) hasNoLiveGroup() bool {
 	if n.table.Epoch == 0 {
 		return true
 	}
 	if n.now-n.startedAt < groupGoneSeconds {
-		return false // not all may have been met yet
+		return false // members may not have been discovered yet
 	}
 	for _, id := range n.table.Voters {
 		if m := n.memberByID(id); m != nil && (!m.State.IsDeadOrLeft() || n.stateAgeSeconds(m) < groupGoneSeconds) {
@@ -81,16 +82,16 @@
 	return true
 }
 
-// handleFounding takes a word of the founding.
+// handleFounding handles one message of the founding. Replies that promise something wait until the promise is on disk.
 func (n *Node) handleFounding(from swim.ID, f *Founding) {
 	if len(f.Voters) > maxInitialVoters {
 		return
 	}
-	answer := func(a *Founding) { n.sendAfterPersist(from, &Message{Founding: a}) }
+	reply := func(a *Founding) { n.sendAfterPersist(from, &Message{Founding: a}) }
 	switch f.Step {
 	case stepAsked:
 		if n.founding != nil {
-			answer(n.founding)
+			reply(n.founding)
 		}
 	case stepChosen:
 		n.handleChosen(f)
@@ -100,27 +101,27 @@
 		}
 		switch {
 		case n.founding != nil:
-			answer(n.founding)
+			reply(n.founding)
 		case f.Ballot < n.promisedBallot || f.Ballot == n.promisedBallot && f.Step == stepPrepare:
-			answer(&Founding{Ballot: n.promisedBallot, Step: stepRefused})
+			reply(&Founding{Ballot: n.promisedBallot, Step: stepRefused})
 		case f.Step == stepPrepare:
 			n.promisedBallot, n.dirty = f.Ballot, true
 			a := &Founding{Ballot: f.Ballot, Step: stepPromise, Epoch: n.highestEpoch}
 			if n.acceptedFounding != nil {
 				a.Accepted, a.Epoch, a.Voters = n.acceptedFounding.Ballot, n.acceptedFounding.Epoch, n.acceptedFounding.Voters
 			}
-			answer(a)
+			reply(a)
 		default:
 			n.promisedBallot, n.dirty = f.Ballot, true
 			n.acceptedFounding = &Founding{Ballot: f.Ballot, Epoch: f.Epoch, Voters: f.Voters, Step: stepAccepted}
-			answer(&Founding{Ballot: f.Ballot, Step: stepAccepted})
+			reply(&Founding{Ballot: f.Ballot, Step: stepAccepted})
 		}
 	case stepPromise, stepAccepted, stepRefused:
 		n.handleFoundingReply(from, f)
 	}
 }
 
-// handleFoundingReply takes an answer to a proposal of this member.
+// handleFoundingReply handles a reply to this member's proposal.
 func (n *Node) handleFoundingReply(from swim.ID, f *Founding) {
 	n.ballotRound = max(n.ballotRound, f.Ballot>>32)
 	p := n.proposal
@@ -161,20 +162,20 @@
 	}
 }
 
-// handleChosen takes that a group is founded. Who is named in it takes part.
+// handleChosen records that a group is founded, and joins it where this member is one of its voters.
 func (n *Node) handleChosen(f *Founding) {
 	if f.Epoch < n.highestEpoch || f.Epoch == 0 || n.founding != nil && n.founding.Epoch >= f.Epoch || len(f.Voters) < 3 {
 		return
 	}
 	known := *f
 	n.highestEpoch, n.proposal, n.dirty = f.Epoch, nil, true
-	// Who is not among the founders takes part once a leader of the group has spoken to it as to one who does.
+	// A member that was added later joins once a leader of the group has sent it Raft messages.
 	if slices.Contains(f.Voters, n.self) || n.contactedEpoch == f.Epoch {
 		n.joinGroup(&known)
 	}
 }
 
-// joinGroup takes part in a group from now on.
+// joinGroup makes this member part of a group.
 func (n *Node) joinGroup(f *Founding) {
 	n.founding, n.group = f, nil
 	if err := n.startGroup(nil, nil, nil); err != nil {
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -7,43 +7,44 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Times of leases, in seconds. Danger: clocks may run 5 % apart either way. An owner counts from when it sent the renewal, to
-// holderLeaseFraction of the lease by its own clock; the leader waits for the whole of it by its own, from when it confirmed:
-// ownPart / 0.95 < 1 / 1.05.
+// Times of leases, in seconds. Danger: clocks may run up to 5 % fast or slow. A holder counts holderLeaseFraction of the lease by
+// its own clock from when it sent the renewal; the leader waits for the whole lease by its own clock from when it confirmed it.
+// Safe as long as holderLeaseFraction / 0.95 < 1 / 1.05.
 const (
 	leaseSeconds         = 1.5
 	holderLeaseFraction  = 0.85
 	renewIntervalSeconds = 0.35
-	bidIntervalSeconds   = 1.0 // without an owner, a role is wished for
-	maxPendingRenewals   = 8   // renewals that wait for an answer
+	bidIntervalSeconds   = 1.0 // least time between two bids for roles that have no grant
+	maxPendingRenewals   = 8   // renewals without a reply that are remembered
 )
 
 // heldLease is a grant to this member that has not ended.
 type heldLease struct {
 	Grant
-	expiresAt float64 // the lease is over; -Inf: it has not begun
-	started   bool    // Granted was said
+	expiresAt float64 // by this member's clock; -Inf: it has not started
+	started   bool    // LeaseStarted was called
 
-	recordVersion uint64 // of the record that is known
+	recordVersion uint64 // of record
 	record        Record
 }
 
-// holderState is a member's side of its grants.
+// holderState is the part of a Node that holds leases.
 type holderState struct {
 	leases                []*heldLease // by role
-	ended                 []Grant      // grants that this life has ended or never takes, until the table says that they are another's
+	ended                 []Grant      // grants that this process has ended or never accepted, until the table assigns them anew
 	pendingRenewals       []sentRenewal
 	renewalNumber         uint64
 	renewDueAt            float64
-	renewedAt             float64 // the last renewal that was confirmed
+	renewedAt             float64 // when a renewal was last confirmed
 	bidDueAt              float64
-	declinedRoles         []string // by name
+	declinedRoles         []string // sorted
 	leaving               bool
-	leadershipTransferred bool // leadership too
+	leadershipTransferred bool // or given up on
 	leavingSince          float64
 }
 
-// Holds tells whether this member may act for a role now, and under which token.
+// Holds reports whether this member may act for a role at a time, and under which fencing token. The caller checks it right before
+// each effect.
 func (n *Node) Holds(now float64, role string) (token uint64, ok bool) {
 	if held := n.leaseFor(role); held != nil && held.started && now < held.expiresAt && !n.retired {
 		return held.Token, true
@@ -51,6 +52,7 @@
 	return 0, false
 }
 
+// leaseFor returns this member's lease for a role, nil if there is none.
 func (n *Node) leaseFor(role string) *heldLease {
 	for _, held := range n.leases {
 		if held.Role == role {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// applyTable takes what the table says of this member.
+// applyTable ends leases that the table assigns to others, and accepts or releases grants that it assigns to this member.
 func (n *Node) applyTable() {
 	n.ended = slices.DeleteFunc(n.ended, func(d Grant) bool { return !n.isOurs(d) })
 	for _, held := range slices.Clone(n.leases) {
@@ -87,6 +89,7 @@
 	}
 }
 
+// grantFor returns the table's grant of a role.
 func (n *Node) grantFor(role string) (Grant, bool) {
 	i, known := grantIndex(n.table.Grants, role)
 	if !known {
@@ -95,22 +98,23 @@
 	return n.table.Grants[i], true
 }
 
-// isOurs tells whether the table still says that a grant is this member's.
+// isOurs reports whether the table still assigns a grant to this member.
 func (n *Node) isOurs(g Grant) bool {
 	current, known := n.grantFor(g.Role)
 	return known && current.Token == g.Token && current.Holder == n.self
 }
 
+// hasEnded reports whether this process has ended a grant.
 func (n *Node) hasEnded(g Grant) bool {
 	return slices.ContainsFunc(n.ended, func(d Grant) bool { return d.Role == g.Role && d.Token >= g.Token })
 }
 
-// canHold tells whether this member does a role.
+// canHold reports whether this member takes a role now.
 func (n *Node) canHold(role string) bool {
 	return !n.leaving && slices.Contains(n.settings.Roles, role) && !slices.Contains(n.declinedRoles, role)
 }
 
-// endLease ends what is held. Nothing is done under it any more, so it can be given back.
+// endLease ends a lease and releases its grant. The order matters: LeaseEnded stops the work before the leader hears of it.
 func (n *Node) endLease(held *heldLease, reason string) {
 	n.leases = slices.DeleteFunc(n.leases, func(o *heldLease) bool { return o == held })
 	if held.started {
@@ -119,13 +123,14 @@
 	n.release(held.Grant)
 }
 
+// endAllLeases ends every lease of this member.
 func (n *Node) endAllLeases(reason string) {
 	for len(n.leases) > 0 {
 		n.endLease(n.leases[0], reason)
 	}
 }
 
-// release has the leader know that nothing is done under a grant, until the table says so.
+// release reports to the leader that nothing is done under a grant any more, again and again until the table shows it.
 func (n *Node) release(g Grant) {
 	if n.retired {
 		return
@@ -137,7 +142,8 @@
 	n.renewDueAt = min(n.renewDueAt, n.now+renewIntervalSeconds)
 }
 
-// expireLeases ends leases. Danger: this process may have stood still since its last call; it comes before all else.
+// expireLeases ends leases that have run out. Danger: the process may have stood still since the last call, so each call into the
+// Node does this first.
 func (n *Node) expireLeases() {
 	for _, held := range slices.Clone(n.leases) {
 		if held.started && n.now >= held.expiresAt {
@@ -147,7 +153,7 @@
 	}
 }
 
-// tickHolder has leases renewed.
+// tickHolder sends renewals and bids that are due.
 func (n *Node) tickHolder() {
 	if n.now >= n.renewDueAt {
 		n.sendRenewal()
@@ -169,7 +175,7 @@
 	}
 }
 
-// SetWilling tells whether this member wants a role.
+// SetWilling sets whether this member takes a role. A lease that it has for a role that it no longer takes ends at once.
 func (n *Node) SetWilling(now float64, role string, willing bool) {
 	n.advanceTo(now)
 	i, isDeclined := slices.BinarySearch(n.declinedRoles, role)
@@ -186,13 +192,14 @@
 	n.finishCall()
 }
 
+// sendDeclined tells the leader which roles this member does not take.
 func (n *Node) sendDeclined(roles []string) {
 	if n.table.Leader != 0 && len(roles) > 0 {
 		n.send(n.table.Leader, &Message{Declined: roles})
 	}
 }
 
-// handleOffer answers who would do roles.
+// handleOffer replies which of the offered roles this member would take.
 func (n *Node) handleOffer(from swim.ID, roles []string) {
 	var bids, declined []string
 	for _, role := range roles {
@@ -205,7 +212,8 @@
 	n.send(from, &Message{Bids: bids, Declined: declined, BootID: n.bootID})
 }
 
-// RequestStepDown has a role go to somebody else, as an operator wants.
+// RequestStepDown asks the leader, on behalf of an operator, to move a role to another member. Nothing reports a request that is
+// lost.
 func (n *Node) RequestStepDown(now float64, role string) {
 	n.advanceTo(now)
 	if !n.retired && n.table.Leader != 0 {
@@ -214,7 +222,7 @@
 	n.finishCall()
 }
 
-// handleStepDown takes that a role is to go to somebody else: who owns it gives it back.
+// handleStepDown ends this member's lease for a role that is to move to another member.
 func (n *Node) handleStepDown(role string) {
 	if held := n.leaseFor(role); held != nil {
 		n.sendDeclined([]string{role})
@@ -222,6 +230,7 @@
 	}
 }
 
+// holderNextTick returns when tickHolder or a lease's expiry is due.
 func (n *Node) holderNextTick() float64 {
 	next := min(n.renewDueAt, n.bidDueAt)
 	for _, held := range n.leases {
@@ -232,7 +241,7 @@
 	return next
 }
 
-// holderLinks are the links that who owns anything needs.
+// holderLinks returns the members that a lease holder needs links to.
 func (n *Node) holderLinks() []swim.ID {
 	if len(n.leases) == 0 && len(n.ended) == 0 {
 		return nil
@@ -240,5 +249,6 @@
 	return append(slices.Clone(n.table.Voters), n.table.Leader)
 }
 
-// ReasonNotRenewed is why a role has ended whose lease was not confirmed in time: nobody need have been granted it since.
+// ReasonNotRenewed is the reason of LeaseEnded for a lease that was not confirmed in time. The role need not have been granted to
+// another member.
 const ReasonNotRenewed = "the lease was not renewed in time"
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -10,51 +10,51 @@
 
 // Times of a leader, in seconds.
 const (
-	bidValidSeconds         = 3.0  // an answer to an offer holds
-	bestBidWaitSeconds      = 0.1  // for the best of those asked, before another that has answered is taken
-	offerTimeoutSeconds     = 0.3  // for an answer, before others are asked
-	renewalOverdueSeconds   = 0.75 // without a renewal: who could take over is asked before the lease is over
-	declineExclusionSeconds = 30.0 // who declined or was moved off is passed over
-	silentExclusionSeconds  = 2.0  // who did not answer is
-	rebalanceQuietSeconds   = 2.0  // nothing has changed, before a role is moved to have them spread evenly
-	vacateSeconds           = 0.3  // a role that was given back and has no taker is nobody's
-	transferRetrySeconds    = 0.3  // for a successor to lead, before another is asked
-	maxOffers               = 3    // members asked at a time
+	bidValidSeconds         = 3.0  // a bid is valid
+	bestBidWaitSeconds      = 0.1  // for the best candidate's bid, before another bidder is chosen
+	offerTimeoutSeconds     = 0.3  // for replies to an offer, before other candidates get it
+	renewalOverdueSeconds   = 0.75 // since the last renewal: bids are asked for ahead of the lease's expiry
+	declineExclusionSeconds = 30.0 // after it declined or was asked to step down
+	silentExclusionSeconds  = 2.0  // after it did not reply to an offer
+	rebalanceQuietSeconds   = 2.0  // without a change, before a role is moved to balance the load
+	vacateSeconds           = 0.3  // a released role without a bidder, before it is recorded as vacant
+	transferRetrySeconds    = 0.3  // for a successor to become leader, before another is tried
+	maxOffers               = 3    // candidates that are offered a role at a time
 )
 
-// leaderState is what the one that leads remembers, of this term alone.
+// leaderState is the part of a Node that is the voters' leader. It is reset with each change of leadership.
 type leaderState struct {
-	leadingSince       float64      // since when; the leases that an earlier leader confirmed are over a lease later
-	roles              []*roleState // by role
-	bids               []bid        // by member
+	leadingSince       float64      // leases that an earlier leader confirmed expire within leaseSeconds of it
+	roles              []*roleState // sorted by role
+	bids               []bid        // sorted by member
 	waitingRenewals    []waitingRenewal
-	lastQuorumRead     uint64 // quorum rounds begun
-	quorumReadInFlight bool   // a round is under way
+	lastQuorumRead     uint64 // number of the last quorum read
+	quorumReadInFlight bool
 	exclusions         []exclusion
-	changedAt          float64 // the last grant, or coming or going of a member
-	liveMembers        int     // members, when last looked
+	changedAt          float64 // of the last grant, or the last change of how many members are alive
+	liveMembers        int     // at the last tick
 	dueAt              float64
-	transferDueAt      float64 // leadership is offered to the next
-	transferAttempts   int     // to how many it was
+	transferDueAt      float64 // of the next attempt to transfer leadership
+	transferAttempts   int     // so far
 
-	votersDueAt  float64 // the electors are looked at next
-	learnerSince float64 // the learner was first looked at
+	votersDueAt  float64 // of the next check of the voters
+	learnerSince float64 // when the present learner was first checked
 }
 
-// roleState is a role as its leader sees it.
+// roleState is what the leader keeps of a role.
 type roleState struct {
 	role              string
-	renewedAt         float64 // the last renewal
-	releasedToken     uint64  // the token that was given back
+	renewedAt         float64 // of the last confirmed renewal or applied command
+	releasedToken     uint64  // of a grant that its holder has released; 0: none
 	releasedAt        float64
-	writingVersion    uint64 // the version of its record that is in the log and has not been applied; 0: none is
-	hasPendingCommand bool   // a command about it is in the log and has not been applied
+	writingVersion    uint64 // of the record that is in the log and not applied yet; 0: none
+	hasPendingCommand bool   // in the log and not applied yet
 	offeredAt         float64
-	offered           []swim.ID // who was asked last
-	moveRequestedAt   float64   // the owner was asked to give it up
+	offered           []swim.ID // to whom the role was offered last
+	moveRequestedAt   float64   // when rebalancing last asked the holder to step down
 }
 
-// leadershipChanged takes that this member has come to lead, or no longer does.
+// leadershipChanged resets the leader's state when this member has become leader, or no longer is.
 func (n *Node) leadershipChanged(leads bool) {
 	n.leaderState = leaderState{leadingSince: n.now, changedAt: n.now, dueAt: n.now}
 	if leads {
@@ -67,12 +67,13 @@
 	}
 }
 
-// isLeaderReady tells whether this member leads and knows all that was agreed.
+// isLeaderReady reports whether this member leads and has applied an entry of its own term, so that its state is complete.
 func (n *Node) isLeaderReady() bool {
 	g := n.group
 	return g != nil && g.isLeader && !n.retired && g.appliedTerm == g.term && !n.persistFailed
 }
 
+// roleFor returns the state of a role, created if it is new; nil if the name is invalid or there are too many.
 func (n *Node) roleFor(role string) *roleState {
 	i, known := slices.BinarySearchFunc(n.roles, role, func(state *roleState, role string) int { return cmp.Compare(state.role, role) })
 	if !known {
@@ -84,7 +85,7 @@
 	return n.roles[i]
 }
 
-// commandApplied takes that a command is agreed, or turned out to be too late.
+// commandApplied updates a role's state after a command was applied, or was found to be outdated.
 func (n *Node) commandApplied(c command) {
 	if c.Record != nil {
 		n.recordApplied(c.Record)
@@ -101,14 +102,15 @@
 	}
 }
 
-// handleAsLeader takes what only a leader can answer.
+// handleAsLeader handles the parts of a message that only a leader can. Other voters reply with their table, which names the
+// leader.
 func (n *Node) handleAsLeader(from swim.ID, m *Message) {
 	if m.RenewRequest == nil && m.Released == nil && m.Declined == nil && m.Bids == nil && m.StepDown == "" && m.WriteRecord == nil {
 		return
 	}
 	if !n.isLeaderReady() {
 		if n.group != nil && from != n.self && n.table.Leader != 0 {
-			n.actions.Send(from, n.tableMessage()) // who leads, as far as this elector knows
+			n.actions.Send(from, n.tableMessage()) // names the leader, as far as this voter knows
 		}
 		return
 	}
@@ -139,7 +141,7 @@
 	}
 }
 
-// tickLeader grants what is free.
+// tickLeader grants vacant roles and those whose lease has expired, and checks balance and voters.
 func (n *Node) tickLeader() {
 	n.tickLeaving()
 	if !n.isLeaderReady() {
@@ -170,7 +172,7 @@
 				list = append(list, command{Role: state.role, ExpectedToken: g.Token})
 			}
 		case n.now-max(state.renewedAt, n.leadingSince) > renewalOverdueSeconds:
-			n.solicitBids(state) // so that there is somebody when the lease is over
+			n.solicitBids(state) // so that a bidder is known when the lease expires
 		}
 	}
 	for _, c := range list {
@@ -188,7 +190,7 @@
 	n.reconfigureVoters()
 }
 
-// countAlive counts who can be granted anything, as far as is known.
+// countAlive returns how many members are alive.
 func (n *Node) countAlive() (count int) {
 	for _, m := range n.members {
 		if m.State == swim.Alive {
@@ -198,6 +200,7 @@
 	return count
 }
 
+// leaderNextTick returns when tickLeader is due.
 func (n *Node) leaderNextTick() float64 {
 	if n.group != nil && n.group.isLeader || n.leaving && !n.leadershipTransferred {
 		return n.dueAt
@@ -205,7 +208,7 @@
 	return math.Inf(1)
 }
 
-// leaderLinks are the links that a leader needs beside those to electors.
+// leaderLinks returns the members that a leader needs links to, beside the voters.
 func (n *Node) leaderLinks() (ids []swim.ID) {
 	if !n.isLeaderReady() {
 		return nil
--- a/internal/decide/lease/leave.go
+++ b/internal/decide/lease/leave.go
@@ -6,7 +6,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// tickLeaving hands leadership on, once all that this member owned is another's.
+// tickLeaving transfers leadership once the grants that this member released are assigned anew.
 func (n *Node) tickLeaving() {
 	if !n.leaving || n.leadershipTransferred {
 		return
@@ -18,7 +18,7 @@
 	case slices.ContainsFunc(n.ended, n.isOurs) && n.now-n.leavingSince < 1:
 		n.dueAt = min(n.dueAt, n.now+0.02)
 	case n.now-n.leavingSince > 2:
-		n.leadershipTransferred = true // nobody takes it
+		n.leadershipTransferred = true // no voter has taken it; the group elects one by itself
 	default:
 		if n.now >= n.transferDueAt {
 			n.transferDueAt = n.now + transferRetrySeconds
@@ -28,7 +28,7 @@
 	}
 }
 
-// transferLeadership transfers leadership to an elector that is there, each time to another.
+// transferLeadership asks Raft to transfer leadership to a live voter, each time to another.
 func (n *Node) transferLeadership() {
 	var live []uint64
 	for _, id := range n.group.confState.GetVoters() {
@@ -42,7 +42,8 @@
 	}
 }
 
-// Leave gives everything back, and says nothing more as an elector once another leads.
+// Leave ends all leases, releases their grants and, once leadership is transferred, stops taking part as a voter. The caller goes
+// on to call the Node until HasLeft.
 func (n *Node) Leave(now float64) {
 	n.advanceTo(now)
 	if !n.leaving && !n.retired {
@@ -53,7 +54,7 @@
 	n.finishCall()
 }
 
-// HasLeft tells whether all that was given back is known to be, and another leads.
+// HasLeft reports whether all released grants are assigned anew and another member leads, so that the process may end.
 func (n *Node) HasLeft() bool {
 	return n.retired || n.leaving && len(n.leases) == 0 && n.leadershipTransferred && !slices.ContainsFunc(n.ended, n.isOurs)
 }
--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -7,22 +7,22 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Writer is a life of a process that wrote states of its member, from a serial up to where the next one begins.
+// Writer is a process that wrote persisted states of its member, from FirstSerial up to that of the next Writer.
 type Writer struct {
 	ID          uint32 `msgpack:"l"`
 	FirstSerial uint64 `msgpack:"f"`
 }
 
-// lineage is whose states one came of, the first first. Danger: by its serial alone a state that was written on an old copy looks like
-// the one that it took the place of.
+// lineage lists the writers that a state descends from, oldest first. Danger: a state written on top of an old copy has the serial
+// of one that it replaces, so a serial alone does not identify it.
 type lineage []Writer
 
 const (
-	maxWriters             = 8   // that are kept; what older lives wrote is known by its serial alone
-	lineageIntervalSeconds = 1.0 // between two messages to one member that have the lineage
+	maxWriters             = 8   // in a lineage; older states are known by their serial alone
+	lineageIntervalSeconds = 1.0 // between two messages to a member that carry the lineage
 )
 
-// writerOf returns the life that wrote the state of a serial; 0: that is not known.
+// writerOf returns the writer of the state with a serial, 0 if it is not known.
 func (l lineage) writerOf(serial uint64) uint32 {
 	for _, w := range slices.Backward(l) {
 		if w.FirstSerial <= serial {
@@ -32,7 +32,7 @@
 	return 0
 }
 
-// extended returns the lineage of a state that a life writes.
+// extended returns the lineage of a state that a writer writes next.
 func (l lineage) extended(life uint32, serial uint64) lineage {
 	if len(l) > 0 && l[len(l)-1].ID == life {
 		return l
@@ -40,24 +40,25 @@
 	return append(slices.Clone(l[max(len(l)+1-maxWriters, 0):]), Writer{life, serial})
 }
 
-// contains tells whether the state of a serial and its writer is among those that this lineage's state came of, as far as it can be known.
+// contains reports whether this lineage includes the state of a serial and its writer, or can't rule it out.
 func (l lineage) contains(serial uint64, life uint32) bool {
 	w := l.writerOf(serial)
 	return w == 0 || life == 0 || w == life
 }
 
-// peerState is what was heard of another's state, and told it of this member's.
+// peerState is what is known of another member's persisted state, and what that member was sent of this one's.
 type peerState struct {
 	id            swim.ID
 	serial        uint64
-	writerID      uint32  // that wrote it; 0: the other's version does not tell
-	shownWriterID uint32  // the last life of the lineage that it was sent; 0: it is to be sent it
-	shownAt       float64 // when it was
+	writerID      uint32  // of that state; 0: the peer's version does not send it
+	shownWriterID uint32  // the last writer of the lineage that it was sent; 0: the lineage is due
+	shownAt       float64 // when it was sent
 }
 
+// maxPeers bounds the members whose states are remembered. Danger: their identities come from other processes.
 const maxPeers = 256
 
-// peer returns what was heard of a member; nil: there is no room for more.
+// peer returns the state of a member, created if it is new; nil if there are too many.
 func (n *Node) peer(id swim.ID) *peerState {
 	i, known := slices.BinarySearchFunc(n.peers, id, func(h peerState, id swim.ID) int { return cmp.Compare(h.id, id) })
 	if !known {
@@ -69,7 +70,7 @@
 	return &n.peers[i]
 }
 
-// sendRaft sends a message of the group, with the state that it rests on.
+// sendRaft sends a Raft message with the serial and, where it is due, the lineage of the state that it rests on.
 func (n *Node) sendRaft(to swim.ID, raft []byte) {
 	m := &Message{Epoch: n.founding.Epoch, Serial: n.serial, WriterID: n.lineage.writerOf(n.serial), Raft: raft}
 	if peer := n.peer(to); peer == nil || peer.shownWriterID == 0 || peer.shownWriterID != m.WriterID || n.now-peer.shownAt >= lineageIntervalSeconds {
@@ -80,11 +81,12 @@
 	n.actions.Send(to, m)
 }
 
-// checkSerial tells whether a message of one member rests on the latest state that was heard of it, or on one that came of that. Danger:
-// who came back with an old copy of its state has forgotten votes that others count on.
+// checkSerial reports whether a message rests on the latest state known of its sender, or on one that descends from it. Danger: a
+// member that came back with an old copy of its state has lost votes that others count on; it is told so and replaces its
+// identity.
 func (n *Node) checkSerial(from swim.ID, m *Message) bool {
 	peer := n.peer(from)
-	if m.Raft == nil { // what the other has heard of this member
+	if m.Raft == nil { // it reports the latest state known of this member
 		switch {
 		case m.Serial > n.serial || !n.lineage.contains(m.Serial, m.WriterID):
 			n.replaceIdentity("others know a later state of this identity: an old copy")
@@ -96,7 +98,7 @@
 	if peer == nil {
 		return true
 	}
-	// Who wrote again since it was heard has to show what its state came of, unless its version knows of no such thing.
+	// A state of a new writer needs a lineage that contains the known state, unless the peer's version sends no writers.
 	if m.Serial < peer.serial || m.WriterID != peer.writerID && m.WriterID != 0 && peer.writerID != 0 && (len(m.Lineage) == 0 || !lineage(m.Lineage).contains(peer.serial, peer.writerID)) {
 		n.stats.DroppedStale++
 		n.actions.Send(from, &Message{Serial: peer.serial, WriterID: peer.writerID})
--- a/internal/decide/lease/message.go
+++ b/internal/decide/lease/message.go
@@ -2,61 +2,67 @@
 
 import "hazelwheel/internal/decide/swim"
 
-// Grant is a role in one member's hands, or, without an owner, the last token of one that nobody has.
+// Grant assigns a role to a member. Without a holder it keeps the last token of a vacant role.
 type Grant struct {
 	Role   string  `msgpack:"j"`
-	Holder swim.ID `msgpack:"o,omitempty"` // 0: nobody
-	Token  uint64  `msgpack:"t"`           // of this grant; the role's next one is greater
-	BootID uint64  `msgpack:"l,omitempty"` // of the owner's process: another one with its identity gives the role back
+	Holder swim.ID `msgpack:"o,omitempty"` // 0: the role is vacant
+	Token  uint64  `msgpack:"t"`           // fencing token; the role's next grant has a greater one
+	BootID uint64  `msgpack:"l,omitempty"` // of the holder's process; a later process with the same identity releases the grant
 }
 
-// Table is what is known of all grants. Of two the one of the greater Epoch, then Index, then Term, is newer; it goes to all
-// members, each over all its links, once. Without Electors it only asks whether the other has a newer one.
+// Table is a copy of all grants as of an entry of the voters' log. Tables are ordered by Epoch, Index and Term. Each member keeps
+// the newest one and forwards a newer one once over all its links. A Table without Voters carries no grants: it asks whether the
+// receiver has a newer one.
 type Table struct {
-	Epoch  uint64    `msgpack:"e"` // of the electors' founding
-	Index  uint64    `msgpack:"i"` // of the electors' log up to which it holds
+	Epoch  uint64    `msgpack:"e"` // of the group's founding
+	Index  uint64    `msgpack:"i"` // of the last log entry that is applied
 	Term   uint64    `msgpack:"t"`
 	Leader swim.ID   `msgpack:"l"`
 	Voters []swim.ID `msgpack:"m,omitempty"`
 	Grants []Grant   `msgpack:"g,omitempty"` // by role
 }
 
-// Message goes between two members. Each field stands for itself.
+// Message is what two members exchange. Any combination of the fields may be set; each is handled by itself. The msgpack keys are
+// the wire form, which earlier versions read.
 type Message struct {
-	Epoch        uint64    `msgpack:"e,omitempty"` // of Raft
-	Raft         []byte    `msgpack:"r,omitempty"` // a message of the electors' group
-	Serial       uint64    `msgpack:"s,omitempty"` // of the sender's state on disk, with Raft
-	WriterID     uint32    `msgpack:"y,omitempty"` // the life that wrote that state
-	Lineage      []Writer  `msgpack:"z,omitempty"` // whose states it came of; now and then
-	Founding     *Founding `msgpack:"f,omitempty"`
-	Table        *Table    `msgpack:"t,omitempty"`
-	RenewRequest *Renewal  `msgpack:"n,omitempty"` // to the leader
-	RenewReply   *Renewal  `msgpack:"d,omitempty"` // from it: what a quorum has confirmed since the Renew of that number came
-	Released     []Grant   `msgpack:"b,omitempty"` // to the leader: given back, nothing is done under them any more
-	Declined     []string  `msgpack:"x,omitempty"` // to the leader: roles that the sender does not want for now
-	Bids         []string  `msgpack:"w,omitempty"` // to the leader: roles that the sender can do, so that they have an owner
-	Offered      []string  `msgpack:"o,omitempty"` // from the leader: who would do these; answered with Wish or Decline
-	BootID       uint64    `msgpack:"l,omitempty"` // of the sender's process, with Wish
-	WriteRecord  *Record   `msgpack:"k,omitempty"` // to the leader: the owner wants this to be kept of its role
-	Records      []Record  `msgpack:"a,omitempty"` // from it: what is kept
-	StepDown     string    `msgpack:"v,omitempty"` // to the leader: an operator wants the role to go to somebody else; from it: give it back
+	// Raft traffic between members of the group.
+	Epoch    uint64   `msgpack:"e,omitempty"` // of the group that Raft belongs to
+	Raft     []byte   `msgpack:"r,omitempty"` // a raftpb.Message
+	Serial   uint64   `msgpack:"s,omitempty"` // of the sender's persisted state; without Raft, the one that the sender knows of the receiver
+	WriterID uint32   `msgpack:"y,omitempty"` // of the process that wrote that state
+	Lineage  []Writer `msgpack:"z,omitempty"` // the writers of the states before it; sent now and then
+
+	Founding *Founding `msgpack:"f,omitempty"`
+	Table    *Table    `msgpack:"t,omitempty"`
+
+	// Between lease holders and the leader.
+	RenewRequest *Renewal `msgpack:"n,omitempty"` // to the leader
+	RenewReply   *Renewal `msgpack:"d,omitempty"` // from the leader: confirmed by a quorum after the request with this number came in
+	Released     []Grant  `msgpack:"b,omitempty"` // to the leader: the sender no longer acts under these grants
+	Declined     []string `msgpack:"x,omitempty"` // to the leader: roles that the sender does not take for now
+	Bids         []string `msgpack:"w,omitempty"` // to the leader: roles that the sender would take
+	Offered      []string `msgpack:"o,omitempty"` // from the leader: roles that need a holder; answered by Bids and Declined
+	BootID       uint64   `msgpack:"l,omitempty"` // of the sender's process, with Bids and RenewRequest
+	WriteRecord  *Record  `msgpack:"k,omitempty"` // to the leader: the holder's next version of its role's record
+	Records      []Record `msgpack:"a,omitempty"` // from the leader: committed records
+	StepDown     string   `msgpack:"v,omitempty"` // to the leader: an operator's request to move this role; from it: the holder is to release it
 }
 
-// Renewal asks that leases go on, all those of a member at once, or says that they do.
+// Renewal requests the renewal of all leases of a member, or confirms it.
 type Renewal struct {
-	Number uint64  `msgpack:"n"`
+	Number uint64  `msgpack:"n"` // matches replies to requests
 	Grants []Grant `msgpack:"g,omitempty"`
-	// Records are, in the question, the versions that the owner knows, without bodies, and in the answer those that are newer: what
-	// was agreed under any grant before this one is among them.
+	// Records holds, in a request, the versions that the holder has, without bodies; in a reply, the newer records. A reply includes
+	// every record that was committed under an earlier grant of the role.
 	Records []Record `msgpack:"r,omitempty"`
 }
 
-// Founding is a word of the agreement on who the first electors are: one decree of Paxos among the listed addresses, which
-// wants all of them, so that nobody who kept its state can be passed over.
+// Founding is a message of the single-decree Paxos by which the configured addresses agree on the first voters. It needs all of them
+// rather than a majority, so that no member that kept the state of an earlier group is left out.
 type Founding struct {
 	Ballot   uint64    `msgpack:"b"`
-	Accepted uint64    `msgpack:"a,omitempty"` // the ballot at which Members was accepted
-	Epoch    uint64    `msgpack:"e,omitempty"` // the group's; of who promises, the greatest that it knows of
-	Voters   []swim.ID `msgpack:"m,omitempty"` // in the order of Settings.Electors
-	Step     uint8     `msgpack:"s"`           // prepare, promise, accept, accepted, chosen, refused, asked
+	Accepted uint64    `msgpack:"a,omitempty"` // the ballot at which Voters was accepted
+	Epoch    uint64    `msgpack:"e,omitempty"` // of the group; in a promise, the highest epoch that the sender knows
+	Voters   []swim.ID `msgpack:"m,omitempty"` // in the order of Settings.InitialVoters
+	Step     uint8     `msgpack:"s"`           // one of the step constants
 }
--- a/internal/decide/lease/node.go
+++ b/internal/decide/lease/node.go
@@ -12,43 +12,44 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Node is one member's part of who owns what.
+// Node is one member's part in granting roles: voter, leader and lease holder. Calls must not overlap; see the package doc. Times
+// are seconds of the member's own monotonic clock; one that goes back counts as the last.
 type Node struct {
 	settings Settings
 	self     swim.ID
-	bootID   uint64 // of this process
+	bootID   uint64 // drawn at the start of the process, never 0
 	actions  Actions
 	rng      *rand.Rand
 	now      float64
 
 	startedAt      float64
-	members        []Member // by ID
-	membersAt      float64  // when they were told: their states have held for as much longer
+	members        []Member // sorted by ID
+	membersAt      float64  // of the last SetMembers, to which their StateAgeSeconds refer
 	requestedLinks []swim.ID
-	loopback       []*Message // from this member to itself
+	loopback       []*Message // messages from this member to itself, handled at the end of a call
 
-	// What is kept, and what waits for it.
-	serial          uint64 // of the state that was kept last
-	persisting      bool
-	dirty           bool // there is something to keep
-	persistFailed   bool // it could not be kept
+	// The persisted state, and what waits for it.
+	serial          uint64 // of the last state that was passed to Persist
+	persisting      bool   // a Persist has not been answered
+	dirty           bool   // the state has changed since
+	persistFailed   bool   // the last write failed
 	persistRetryAt  float64
-	deferred        []outgoing // what is said once the state is kept
-	awaitingPersist []outgoing
-	peers           []peerState // by ID
-	lineage         lineage     // of the state that was kept last
-	retired         bool        // the identity is given up
-	highestEpoch    uint64      // the greatest heard of
+	deferred        []outgoing  // messages that depend on a state that has not been passed to Persist
+	awaitingPersist []outgoing  // messages that depend on the state that is being written
+	peers           []peerState // sorted by ID
+	lineage         lineage     // of the last state that was passed to Persist
+	retired         bool        // ReplaceIdentity was called: the Node does nothing more
+	highestEpoch    uint64      // of any group that this member knows of
 
 	promisedBallot   uint64
 	acceptedFounding *Founding
-	persistedEpoch   uint64    // the epoch that is on the disk
-	founding         *Founding // of the group that this member is in
+	persistedEpoch   uint64    // highestEpoch as it was last passed to Persist
+	founding         *Founding // of the group that this member belongs to; nil: none
 	proposal         *proposal
 	ballotRound      uint64
 	foundingDueAt    float64
 	foundingAskedAt  float64
-	contactedEpoch   uint64 // the epoch of a group whose leader has spoken to this member as to an elector
+	contactedEpoch   uint64 // of a group whose leader has sent this member Raft messages as to a voter
 	group            *group
 
 	table        Table
@@ -59,13 +60,15 @@
 	stats Stats
 }
 
+// outgoing is a message that waits to be sent.
 type outgoing struct {
 	to swim.ID
 	m  *Message
 }
 
-// New returns the part of a member. An error says that what was saved can't be used: the identity is then not to be used
-// either.
+// New returns the Node of a member, which goes on from a state that an earlier Persist was given; without a state it begins anew.
+// An error wraps ErrInvalidState: the identity must then not be used any more, and the caller draws another. The Node calls
+// actions only from within its other methods.
 func New(now float64, self swim.ID, settings Settings, savedState []byte, actions Actions) (*Node, error) {
 	n := &Node{settings: settings, self: self, actions: actions, now: now, startedAt: now, rng: rand.New(rand.NewPCG(settings.Seed, uint64(self)))}
 	n.settings.Roles = slices.Sorted(slices.Values(settings.Roles))
@@ -91,14 +94,14 @@
 	return n, nil
 }
 
-// SetMembers takes who is there, by ID, with this member.
+// SetMembers updates the list of members, sorted by ID and including this one. The Node keeps the slice.
 func (n *Node) SetMembers(now float64, members []Member) {
 	n.advanceTo(now)
 	n.members, n.membersAt = members, n.now
 	n.finishCall()
 }
 
-// memberByID returns what is known of one; nil: nothing.
+// memberByID returns a member, nil if it is not known.
 func (n *Node) memberByID(id swim.ID) *Member {
 	i, known := slices.BinarySearchFunc(n.members, id, func(m Member, id swim.ID) int { return cmp.Compare(m.ID, id) })
 	if !known {
@@ -107,16 +110,16 @@
 	return &n.members[i]
 }
 
-// isDurable tells whether this member has where to keep its state.
+// isDurable reports whether this member can store its state.
 func (n *Node) isDurable() bool {
 	self := n.memberByID(n.self)
 	return self != nil && self.Durable
 }
 
-// stateAgeSeconds tells for how long a member's state has held.
+// stateAgeSeconds returns how long ago a member's State last changed.
 func (n *Node) stateAgeSeconds(m *Member) float64 { return m.StateAgeSeconds + n.now - n.membersAt }
 
-// HandleLinkUp takes that there is a new link to a member.
+// HandleLinkUp sends a member what it may have missed without a link.
 func (n *Node) HandleLinkUp(now float64, id swim.ID) {
 	n.advanceTo(now)
 	if n.retired {
@@ -132,7 +135,7 @@
 	n.finishCall()
 }
 
-// HandleMessage takes a message.
+// HandleMessage handles a message of another member. Its content is not trusted beyond what a message of this package can hold.
 func (n *Node) HandleMessage(now float64, from swim.ID, m *Message) {
 	n.advanceTo(now)
 	if !n.retired {
@@ -141,6 +144,7 @@
 	n.finishCall()
 }
 
+// dispatch handles each part of a message.
 func (n *Node) dispatch(from swim.ID, m *Message) {
 	if m.Serial != 0 && from != n.self && !n.checkSerial(from, m) {
 		return
@@ -172,7 +176,8 @@
 	n.handleAsLeader(from, m)
 }
 
-// handleRaft takes a message of an electors' group.
+// handleRaft handles a Raft message. A member that does not belong to the message's group asks the sender for the group's
+// founding.
 func (n *Node) handleRaft(from swim.ID, m *Message) {
 	switch {
 	case n.founding != nil && n.founding.Epoch == m.Epoch:
@@ -193,7 +198,7 @@
 	}
 }
 
-// Tick does what is due.
+// Tick does what is due by time. The caller calls it at NextTick or soon after.
 func (n *Node) Tick(now float64) {
 	n.advanceTo(now)
 	if n.retired {
@@ -215,7 +220,7 @@
 	n.finishCall()
 }
 
-// NextTick returns when Tick is to be called.
+// NextTick returns when Tick is due next, +Inf if never. It may change with every call.
 func (n *Node) NextTick() float64 {
 	if n.retired {
 		return math.Inf(1)
@@ -236,16 +241,17 @@
 	return max(min(next, n.holderNextTick(), n.leaderNextTick()), n.now+0.001)
 }
 
-// advanceTo takes the time, and what has ended by it.
+// advanceTo moves the clock, and ends the leases that have expired by it.
 func (n *Node) advanceTo(now float64) {
 	n.now = max(n.now, now)
 	n.expireLeases()
 }
 
-// finishCall does what follows from a call.
+// finishCall lets Raft go on, handles messages from this member to itself, and updates the requested links. Each call that changes
+// anything ends with it.
 func (n *Node) finishCall() {
-	// Danger: where all founders lose what they kept, whoever founds a group again must know that there was one, or its tokens
-	// begin below those that were granted.
+	// Danger: where all voters lose their state, a member that founds another group must know the old epoch, or tokens begin below
+	// those that were granted. So every durable member persists the highest epoch.
 	n.dirty = n.dirty || n.highestEpoch > n.persistedEpoch && !n.retired && n.isDurable()
 	for !n.retired {
 		n.advanceRaft()
@@ -259,7 +265,7 @@
 	n.updateLinks()
 }
 
-// send sends a message, also to this member itself.
+// send sends a message, to this member itself by loopback.
 func (n *Node) send(to swim.ID, m *Message) {
 	if to == n.self {
 		n.loopback = append(n.loopback, m)
@@ -268,7 +274,7 @@
 	}
 }
 
-// updateLinks asks for links.
+// updateLinks requests links to the members that this one depends on.
 func (n *Node) updateLinks() {
 	var ids []swim.ID
 	if n.retired {
@@ -292,5 +298,5 @@
 	}
 }
 
-// Table returns what is known of all grants.
+// Table returns the newest table that this member knows. The caller must not change its slices.
 func (n *Node) Table() Table { return n.table }
--- a/internal/decide/lease/persist.go
+++ b/internal/decide/lease/persist.go
@@ -7,12 +7,12 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// sendAfterPersist sends a message once the state as it is now is kept.
+// sendAfterPersist sends a message once the present state is on disk.
 func (n *Node) sendAfterPersist(to swim.ID, m *Message) {
 	n.deferred = append(n.deferred, outgoing{to, m})
 }
 
-// persist keeps the state, if there is anything to keep.
+// persist passes the state to Actions.Persist if it has changed. Otherwise it sends what is deferred.
 func (n *Node) persist() {
 	if n.persisting || n.retired {
 		return
@@ -39,7 +39,8 @@
 	n.actions.Persist(n.encodeState())
 }
 
-// HandlePersisted takes the end of the last Save.
+// HandlePersisted takes the result of the last Persist. After an error the member does not vote until a later write succeeds; the
+// write is tried again after a second.
 func (n *Node) HandlePersisted(now float64, err error) {
 	n.advanceTo(now)
 	if n.retired || !n.persisting {
@@ -50,7 +51,7 @@
 		if !n.persistFailed {
 			n.actions.Log("the state can't be kept: this member does not vote", "error", err)
 		}
-		// Danger: what waits for it must go on waiting; a vote that was told and not kept is a vote that can be given twice.
+		// Danger: messages that depend on the state must go on waiting. A vote that was sent and not stored can be given twice.
 		n.persistFailed, n.dirty, n.persistRetryAt = true, true, n.now+1
 		return
 	}
@@ -69,7 +70,7 @@
 	n.finishCall()
 }
 
-// replaceIdentity gives up the identity: nothing is said under it any more.
+// replaceIdentity ends all leases and retires the Node, since its state can't be trusted any more.
 func (n *Node) replaceIdentity(reason string) {
 	if n.retired {
 		return
@@ -79,28 +80,29 @@
 	n.actions.ReplaceIdentity(reason)
 }
 
-// stateFormatVersion is that of the saved state. One of another version is not read.
+// stateFormatVersion is the version of the persisted form. States of another version are rejected.
 const stateFormatVersion = 1
 
-// persistedState is what a member keeps: whole, in one write.
+// persistedState is what a member stores, as one msgpack value in one write.
 type persistedState struct {
 	Version   uint8     `msgpack:"v"`
 	MemberID  swim.ID   `msgpack:"i"`
-	Serial    uint64    `msgpack:"s"` // of this state; each later one's is greater
+	Serial    uint64    `msgpack:"s"` // grows with each write
 	Lineage   lineage   `msgpack:"w,omitempty"`
-	Epoch     uint64    `msgpack:"e"` // the greatest heard of
+	Epoch     uint64    `msgpack:"e"` // the highest that is known
 	Promised  uint64    `msgpack:"p,omitempty"`
 	Accepted  *Founding `msgpack:"a,omitempty"`
-	Founding  *Founding `msgpack:"g,omitempty"` // the group that this member is or was in
+	Founding  *Founding `msgpack:"g,omitempty"` // of the group that this member belongs to
 	HardState []byte    `msgpack:"h,omitempty"`
 	Snapshot  []byte    `msgpack:"n,omitempty"`
 	Entries   [][]byte  `msgpack:"l,omitempty"` // after the snapshot
 }
 
-// ErrInvalidState is the fault of a saved state that can't be used.
+// ErrInvalidState is wrapped by the errors of New for a state that can't be used: damaged, of another version or of another
+// member.
 var ErrInvalidState = errors.New("tenure: the saved state can't be used")
 
-// decodeState reads a state. What is not usable as a whole is an error: a vote that was half read would be a vote forgotten.
+// decodeState decodes a state as a whole or not at all. Danger: a state that is read in part is a vote forgotten.
 func decodeState(b []byte, self swim.ID) (persistedState, error) {
 	var s persistedState
 	if err := decode(b, &s); err != nil {
@@ -115,7 +117,7 @@
 	return s, nil
 }
 
-// encodeState returns what is to be kept now.
+// encodeState returns the present state in its persisted form.
 func (n *Node) encodeState() []byte {
 	s := persistedState{Version: stateFormatVersion, MemberID: n.self, Serial: n.serial, Lineage: n.lineage, Epoch: n.highestEpoch, Promised: n.promisedBallot, Accepted: n.acceptedFounding, Founding: n.founding}
 	if g := n.group; g != nil {
--- a/internal/decide/lease/raft.go
+++ b/internal/decide/lease/raft.go
@@ -11,33 +11,33 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Raft's times, in seconds and in its ticks.
+// Times of Raft, in seconds and in ticks.
 const (
-	raftTickSeconds        = 0.15 // a heartbeat each
-	electionTicks          = 6    // without a word of the leader, before a member votes for another
+	raftTickSeconds        = 0.15 // the leader sends a heartbeat each tick
+	electionTicks          = 6    // without a message of the leader, before a voter votes for another
 	electionTimeoutSeconds = raftTickSeconds * electionTicks
-	stallSeconds           = 0.6 // between two calls: this process stood still
+	stallSeconds           = 0.6 // between two calls: the process stood still
 )
 
-// group is this member's part of the electors' group.
+// group is this member's part of a Raft group: Raft itself, its log and the state machine that entries are applied to.
 type group struct {
 	rawNode       *raft.RawNode
 	storage       *raftStorage
 	machine       stateMachine
 	appliedIndex  uint64
-	appliedTerm   uint64 // of the last entry applied
+	appliedTerm   uint64 // of the last applied entry
 	confState     *raftpb.ConfState
-	ready         *raft.Ready // that waits for its state to be kept
+	ready         *raft.Ready // waits for its state to be persisted
 	leaderID      swim.ID
 	isLeader      bool
-	commitAtStart uint64 // up to which the disk said at the start that all is agreed
-	term          uint64 // the term
+	commitAtStart uint64 // the commit index of the state that the process started with
+	term          uint64
 	vote          uint64
 	tickDueAt     float64
-	electionDueAt float64 // when this member stands for election, if it hears no leader
+	electionDueAt float64 // when this member campaigns unless a leader's message comes in before
 }
 
-// raftLogger is raft's log: nothing is passed on, but what it panics with.
+// raftLogger discards what Raft logs, and panics where Raft does.
 type raftLogger struct{}
 
 func (raftLogger) Debug(...any)            {}
@@ -54,8 +54,8 @@
 func (raftLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
 func (raftLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
 
-// startGroup begins to take part. Without anything kept, who founded the group begins with what all founders know, and who is
-// added later with nothing: it votes only once it has been sent who it votes with.
+// startGroup starts Raft for the present founding. Without a stored state an initial voter starts from a snapshot that names all
+// initial voters, and a member that was added later from nothing: it can't vote before it has received the configuration.
 func (n *Node) startGroup(hard, snapshot []byte, entries [][]byte) error {
 	g := &group{storage: &raftStorage{MemoryStorage: raft.NewMemoryStorage()}, machine: stateMachine{Epoch: n.founding.Epoch}, confState: &raftpb.ConfState{}, tickDueAt: n.now}
 	g.storage.latest = func() (uint64, *raftpb.ConfState, []byte) {
@@ -95,7 +95,8 @@
 	})
 }
 
-// guardRaft has raft do something. Danger: it panics with what it can't make sense of, and a message may come from anywhere.
+// guardRaft calls Raft and turns its panics into errors that wrap ErrInvalidState. Danger: Raft panics on input that it can't make
+// sense of, and messages come from other processes.
 func (n *Node) guardRaft(do func()) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -106,13 +107,14 @@
 	return nil
 }
 
-// runRaft is guard for what runs: a group that fails is left, and with it the identity.
+// runRaft calls Raft and gives up this identity if Raft panics.
 func (n *Node) runRaft(do func()) {
 	if err := n.guardRaft(do); err != nil {
 		n.replaceIdentity(err.Error())
 	}
 }
 
+// installSnapshot replaces the state machine by that of a snapshot.
 func (g *group) installSnapshot(snap *raftpb.Snapshot) error {
 	var machine stateMachine
 	if err := decode(snap.GetData(), &machine); err != nil {
@@ -122,28 +124,29 @@
 	return nil
 }
 
-// resetElectionTimer sets when this member stands. Raft's own draw can't be replayed, so its elections never come due by its ticks.
+// resetElectionTimer draws when this member campaigns next. Raft's own timer draws from a source that a simulation can't repeat,
+// so it is kept from firing.
 func (n *Node) resetElectionTimer() {
 	n.group.electionDueAt = n.now + electionTimeoutSeconds*(1+n.rng.Float64())
 }
 
-// tickRaft moves raft's clock.
+// tickRaft moves Raft's clock to the present, and campaigns when the election timer has fired.
 func (n *Node) tickRaft() {
 	g := n.group
 	if n.now-g.tickDueAt > stallSeconds {
-		// It stood still. What the others said meanwhile is read before it stands for election.
+		// The process stood still. Messages that wait are handled before it campaigns.
 		g.tickDueAt = n.now - stallSeconds
 		if !g.isLeader {
 			n.resetElectionTimer()
 		}
 	}
 	for ; g.tickDueAt <= n.now; g.tickDueAt += raftTickSeconds {
-		// Danger: who lost its quorum while its disk wrote still has to take note that it leads no more. Raft has it wait for an election
-		// by then, for as long as the machine's random source said.
+		// Danger: a leader that lost its quorum while a write was pending has yet to step down. A full tick of Raft as a follower would
+		// start its own election timer, which is not drawn from the seed.
 		if g.rawNode.BasicStatus().RaftState == raft.StateLeader {
 			n.runRaft(g.rawNode.Tick)
 		} else {
-			g.rawNode.TickQuiesced() // the wait before a vote for another; no more
+			g.rawNode.TickQuiesced() // counts towards the lease of the last leader's vote, without Raft's own elections
 		}
 		n.advanceRaft()
 		if n.group != g {
@@ -158,7 +161,7 @@
 	}
 }
 
-// isVoter tells whether this member is an elector, as far as it knows.
+// isVoter reports whether this member is a voter, as far as it knows.
 func (n *Node) isVoter() bool {
 	g := n.group
 	if g == nil || !slices.Contains(slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing()), uint64(n.self)) {
@@ -167,10 +170,10 @@
 	return n.table.Epoch != n.founding.Epoch || n.table.Index <= g.appliedIndex || slices.Contains(n.table.Voters, n.self)
 }
 
-// canVote tells whether this member takes part: who leaves, or can't keep what it says, does not.
+// canVote reports whether this member takes part in Raft: not while its state can't be stored, nor after it has left.
 func (n *Node) canVote() bool { return !n.persistFailed && !(n.leaving && n.leadershipTransferred) }
 
-// stepRaft takes a message of the group.
+// stepRaft passes a message to Raft. Messages that are not from their sender, or not to this member, are dropped.
 func (n *Node) stepRaft(from swim.ID, body []byte) {
 	g := n.group
 	var m raftpb.Message
@@ -189,7 +192,7 @@
 	}
 }
 
-// memberIDs returns all that the group sends to, or may.
+// memberIDs returns all voters and learners, including those of a configuration change that is under way.
 func (g *group) memberIDs() []uint64 {
 	return slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing(), g.confState.GetLearners(), g.confState.GetLearnersNext())
 }
--- a/internal/decide/lease/ready.go
+++ b/internal/decide/lease/ready.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// advanceRaft does all that raft wants done, up to where it must wait for the disk.
+// advanceRaft does what Raft asks for, up to where it must wait for a write to disk, and starts that write.
 func (n *Node) advanceRaft() {
 	for n.group != nil && !n.persisting && !n.retired {
 		g := n.group
@@ -33,7 +33,7 @@
 	n.persist()
 }
 
-// storeReady puts what is to be kept into the store.
+// storeReady adds what Raft wants stored to the storage in memory, which persist then writes.
 func (n *Node) storeReady(rd *raft.Ready) {
 	g := n.group
 	if !raft.IsEmptySnap(rd.Snapshot) {
@@ -48,7 +48,7 @@
 		if h.GetVote() != g.vote && h.GetVote() != 0 {
 			n.resetElectionTimer()
 		}
-		if h.GetTerm() != g.term && g.isLeader { // it leads no more, and is told so before anything else of this term is done
+		if h.GetTerm() != g.term && g.isLeader { // it no longer leads, which must show before anything else of the new term is done
 			g.isLeader, g.leaderID = false, 0
 			n.leadershipChanged(false)
 		}
@@ -59,7 +59,7 @@
 	}
 }
 
-// completeReady does what follows from a Ready whose state is kept: it tells the others, and applies what is agreed.
+// completeReady sends the messages of a Ready whose state is on disk, and applies its committed entries.
 func (n *Node) completeReady() {
 	g := n.group
 	rd := g.ready
@@ -79,7 +79,7 @@
 		g.rawNode.Advance(*rd)
 		for _, m := range rd.Messages {
 			if m.GetType() == raftpb.MsgSnap {
-				g.rawNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // or it is lost, and the next entry is turned away
+				g.rawNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // Raft would otherwise wait for a report, and reject the next entry
 			}
 		}
 		g.storage.compact()
@@ -96,7 +96,8 @@
 	}
 }
 
-// applyEntry takes an entry that is agreed.
+// applyEntry applies a committed entry to the group's configuration or state machine. It panics on an entry that can't be decoded;
+// runRaft handles that.
 func (n *Node) applyEntry(e *raftpb.Entry) {
 	g := n.group
 	g.appliedIndex, g.appliedTerm = e.GetIndex(), e.GetTerm()
@@ -107,9 +108,9 @@
 			panic(err)
 		}
 		g.confState = g.rawNode.ApplyConfChange(&cc)
-		// Danger: that a change of electors is agreed is known to who is running alone. Where they begin again and the leader does not,
-		// they want votes of those that it has taken out. What the disk had at the start is not written again: with a write before its
-		// first word an old copy would look as new as what it lacks.
+		// Danger: Raft does not ask for a write for a commit index alone. If the members restart without it and the leader does not come
+		// back, they would want votes of members that were removed. What was committed at the start is not written again: with a write
+		// before the first message an old copy of the state would look as new as the one that it lacks.
 		n.dirty = n.dirty || e.GetIndex() > g.commitAtStart
 	case raftpb.EntryNormal:
 		var list []command
@@ -128,7 +129,7 @@
 	}
 }
 
-// updateLeader takes who leads.
+// updateLeader records who leads.
 func (n *Node) updateLeader(rd *raft.Ready) {
 	g := n.group
 	if rd.SoftState != nil {
@@ -140,7 +141,7 @@
 	}
 }
 
-// propose has commands agreed, and tells whether they are in the log.
+// propose appends commands to the log and reports whether it could. Whether they are committed shows in commandApplied.
 func (n *Node) propose(list ...command) (ok bool) {
 	g := n.group
 	n.runRaft(func() { ok = g.rawNode.Propose(encode(list)) == nil })
--- a/internal/decide/lease/rebalance.go
+++ b/internal/decide/lease/rebalance.go
@@ -6,7 +6,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// rebalance has the most loaded give up a role where somebody has two fewer.
+// rebalance moves a role from the member with the most roles to one that has at least two fewer.
 func (n *Node) rebalance() {
 	if n.now-n.changedAt < rebalanceQuietSeconds {
 		return
@@ -35,7 +35,7 @@
 		if len(ranked) == 0 || n.roleCount(ranked[0], nil) > most-2 {
 			continue
 		}
-		if n.bidBootID(ranked[0], state.role) == 0 { // Danger: a role that is given up for one that does not want it only rests
+		if n.bidBootID(ranked[0], state.role) == 0 { // Danger: without a bidder the role would only become vacant
 			n.offerRole(state, ranked)
 			return
 		}
@@ -45,7 +45,7 @@
 	}
 }
 
-// startStepDown asks the owner of a role to give it up.
+// startStepDown asks the holder of a role to release it, and excludes the holder from it for a while.
 func (n *Node) startStepDown(role string) {
 	if g, known := n.group.machine.grant(role); known && g.Holder != 0 {
 		n.exclude(role, g.Holder, declineExclusionSeconds)
@@ -53,6 +53,7 @@
 	}
 }
 
+// sendStepDown asks a grant's holder to release it.
 func (n *Node) sendStepDown(g Grant) {
 	if g.Holder == n.self {
 		n.handleStepDown(g.Role)
@@ -61,7 +62,7 @@
 	}
 }
 
-// roleCount counts a member's roles, with those of a list that is to be proposed.
+// roleCount returns how many roles a member holds, counting commands that are about to be proposed.
 func (n *Node) roleCount(id swim.ID, list []command) (count int) {
 	for _, g := range n.group.machine.Grants {
 		if g.Holder == id {
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -7,28 +7,30 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Record is what is agreed of a role beyond who owns it: its owner writes it, the electors keep it over all owners. Danger: an owner
-// that stood still goes on to write; so a record is written under a grant and in place of one version, and is not where the role has
-// been granted anew or another version was faster.
+// Record is what a role's holder stores with the voters, and what outlives the holder. Danger: a holder that stood still goes on
+// writing. So a record is written under a grant and in place of the version before it, and is rejected if the role was granted
+// anew or another version was committed first.
 type Record struct {
 	Role    string `msgpack:"j"`
-	Version uint64 `msgpack:"v"`           // one more with each; 0: nothing was written
+	Version uint64 `msgpack:"v"`           // grows by one; 0: nothing was written
 	Token   uint64 `msgpack:"t,omitempty"` // of the grant under which it was written
 	Body    []byte `msgpack:"b,omitempty"`
 }
 
 const (
-	// MaxRecordBytes bounds a record's body, in bytes: with what goes around it it is one frame between members.
+	// MaxRecordBytes bounds a record's body, so that a message with one record fits into a frame between members.
 	MaxRecordBytes = 40 << 10
-	// maxLogBytes bounds what entries hold before they become a snapshot, in bytes: all of it is written with each change.
+	// maxLogBytes bounds the data of log entries before they are compacted into a snapshot, since every write to disk holds all of
+	// them.
 	maxLogBytes = 96 << 10
 )
 
+// recordIndex finds a role among records sorted by role.
 func recordIndex(records []Record, role string) (int, bool) {
 	return slices.BinarySearchFunc(records, role, func(r Record, role string) int { return cmp.Compare(r.Role, role) })
 }
 
-// record returns what is kept of a role.
+// record returns a role's record, with Version 0 if there is none.
 func (m *stateMachine) record(role string) Record {
 	if i, known := recordIndex(m.Records, role); known {
 		return m.Records[i]
@@ -36,7 +38,7 @@
 	return Record{Role: role}
 }
 
-// putRecord takes a record, if its role still has the grant under which it is written, and the version before it.
+// putRecord stores a record, unless its grant or version is outdated.
 func (m *stateMachine) putRecord(r *Record) bool {
 	g, known := m.grant(r.Role)
 	if current := m.record(r.Role); !known || g.Holder == 0 || g.Token != r.Token || current.Version+1 != r.Version || len(r.Body) > MaxRecordBytes {
@@ -50,13 +52,14 @@
 	return true
 }
 
-// --- at the owner ---
+// The holder's side.
 
-// hasRecord tells whether this member wants the record of a role that it owns.
+// hasRecord reports whether a role has a record.
 func (n *Node) hasRecord(role string) bool { return slices.Contains(n.settings.RecordedRoles, role) }
 
-// WriteRecord asks that a record takes the place of the version before it. Actions.Agreed follows once one is agreed, which may be
-// another's; until then Write is to be called again. It tells nothing of what is lost on the way.
+// WriteRecord proposes the next version of a role's record; version is one more than the last committed one.
+// Actions.RecordCommitted follows once a version is committed, which may be another one. A proposal that is lost on the way is not
+// reported: the caller repeats the call until then. Without a valid lease, or with a body above MaxRecordBytes, it does nothing.
 func (n *Node) WriteRecord(now float64, role string, version uint64, body []byte) {
 	n.advanceTo(now)
 	if held := n.leaseFor(role); held != nil && held.started && n.table.Leader != 0 && !n.retired && len(body) <= MaxRecordBytes {
@@ -65,7 +68,7 @@
 	n.finishCall()
 }
 
-// known are the versions that this member knows of the records of what it holds.
+// knownRecordVersions returns the versions of the records that this member has of the roles that it holds.
 func (n *Node) knownRecordVersions() (all []Record) {
 	for _, held := range n.leases {
 		if n.hasRecord(held.Role) {
@@ -75,7 +78,7 @@
 	return all
 }
 
-// handleRecords takes records that are agreed.
+// handleRecords takes committed records from the leader.
 func (n *Node) handleRecords(records []Record) {
 	for i := range records {
 		r := &records[i]
@@ -90,16 +93,16 @@
 	}
 }
 
-// --- at the leader ---
+// The leader's side.
 
-// proposeRecord has a record agreed that an owner wants.
+// proposeRecord proposes a holder's record to the group.
 func (n *Node) proposeRecord(from swim.ID, r *Record) {
 	g, known := n.group.machine.grant(r.Role)
 	state := n.roleFor(r.Role)
 	switch current := n.group.machine.record(r.Role); {
 	case !known || state == nil || g.Holder != from || g.Token != r.Token || state.releasedToken == g.Token || state.hasPendingCommand || len(r.Body) > MaxRecordBytes:
-		// it is not the owner, or not for long any more
-	case current.Version >= r.Version: // it is agreed, or another was faster
+		// not the holder, or about to lose the role
+	case current.Version >= r.Version: // committed already, or another version was first
 		n.send(from, &Message{Records: []Record{current}})
 	case current.Version+1 == r.Version && state.writingVersion != r.Version:
 		if state.writingVersion = r.Version; !n.propose(command{Role: r.Role, Record: r}) {
@@ -108,7 +111,7 @@
 	}
 }
 
-// recordApplied takes that a record is agreed, or turned out to be too late.
+// recordApplied sends the committed record to the holder after a write was applied or found to be outdated.
 func (n *Node) recordApplied(r *Record) {
 	if !n.group.isLeader {
 		return
@@ -121,7 +124,7 @@
 	}
 }
 
-// newerRecords returns what is kept of roles beyond what the asker knows.
+// newerRecords returns the records that are newer than the versions that a holder has.
 func (n *Node) newerRecords(known []Record) (all []Record) {
 	for _, k := range known {
 		if current := n.group.machine.record(k.Role); current.Version > k.Version {
--- a/internal/decide/lease/renewal.go
+++ b/internal/decide/lease/renewal.go
@@ -8,13 +8,15 @@
 	"hazelwheel/internal/decide/swim"
 )
 
+// waitingRenewal is a request that waits for a quorum to confirm that this member leads.
 type waitingRenewal struct {
 	from       swim.ID
-	quorumRead uint64 // that it waits for
+	quorumRead uint64 // the number of the quorum read that must finish before it is confirmed
 	*Renewal
 }
 
-// startQuorumRead has a quorum confirm that this member leads. One round confirms all renewals that came before it began.
+// startQuorumRead has a quorum confirm that this member leads, by Raft's ReadIndex. One quorum read serves all requests that came
+// in before it began.
 func (n *Node) startQuorumRead() {
 	if !n.quorumReadInFlight && len(n.waitingRenewals) > 0 && n.isLeaderReady() {
 		n.quorumReadInFlight = true
@@ -24,7 +26,7 @@
 	}
 }
 
-// quorumReadDone takes that a round has ended: this member led when it began.
+// quorumReadDone confirms the requests that a finished quorum read serves.
 func (n *Node) quorumReadDone(round uint64) {
 	if n.quorumReadInFlight = false; !n.isLeaderReady() {
 		return
@@ -41,7 +43,7 @@
 	n.startQuorumRead()
 }
 
-// confirmRenewal has leases go on.
+// confirmRenewal extends the leases of a request that are still granted as the holder says, and replies.
 func (n *Node) confirmRenewal(w waitingRenewal) {
 	answer := &Renewal{Number: w.Number}
 	for _, g := range w.Grants {
@@ -61,13 +63,14 @@
 	n.send(w.from, m)
 }
 
+// sentRenewal is a request that was sent to the leader and may yet be confirmed.
 type sentRenewal struct {
 	number uint64
 	sentAt float64
 	grants []Grant
 }
 
-// sendRenewal asks for all leases at once, and gives back what is not known to be given back.
+// sendRenewal requests the renewal of all leases at once, and reports releases that the table does not show yet.
 func (n *Node) sendRenewal() {
 	n.renewDueAt = math.Inf(1)
 	if len(n.leases) == 0 && len(n.ended) == 0 || n.retired {
@@ -98,12 +101,13 @@
 		n.send(leader, m)
 		return
 	}
-	for _, id := range n.table.Voters { // one of them knows who leads
+	for _, id := range n.table.Voters { // one of them knows the leader
 		n.send(id, m)
 	}
 }
 
-// handleRenewReply takes what the leader has confirmed.
+// handleRenewReply extends the leases that the leader has confirmed, from when the request was sent, and starts those that are
+// new.
 func (n *Node) handleRenewReply(r *Renewal) {
 	i := slices.IndexFunc(n.pendingRenewals, func(s sentRenewal) bool { return s.number == r.Number })
 	if i < 0 {
--- a/internal/decide/lease/settings.go
+++ b/internal/decide/lease/settings.go
@@ -2,23 +2,23 @@
 
 import "hazelwheel/internal/decide/swim"
 
-// Settings are what a Tenure is told at its start.
+// Settings configure a Node. They do not change during its lifetime.
 type Settings struct {
-	// Electors are the addresses of 3, 5 or 7 members that found the group together, once, each as others dial it. They are
-	// the same at all members; those that come and go for good later take each other's place without it. Empty: there are no
-	// electors, and nobody owns anything.
+	// InitialVoters are the addresses, as others dial them, of the 3, 5 or 7 members that found the group. The list is the same on all
+	// members and is used once: voters that leave for good are replaced without it. Empty disables grants: no role has a holder.
 	InitialVoters []string
 	Address       string   // of this member
-	Roles         []string // that this member can do, and wants owned; by name
-	RecordedRoles []string // of these, such as have a record
-	Seed          uint64   // drawn anew by each process: what one life was granted the next must not go on with
+	Roles         []string // that this member can hold, and that need a holder
+	RecordedRoles []string // those of Roles that have a Record
+	// Seed must differ for each process: the boot ID is drawn from it, and a process must not go on under its predecessor's grants.
+	Seed uint64
 }
 
-// Member is what is known of one, from the decisions about who is there.
+// Member is the status of a member, as package swim reports it.
 type Member struct {
 	ID              swim.ID
 	Address         string
 	State           swim.State
-	Durable         bool    // its identity is on disk: it can be an elector
-	StateAgeSeconds float64 // for how long the state has held
+	Durable         bool    // it stores its identity on disk, and so can vote
+	StateAgeSeconds float64 // since State last changed
 }
--- a/internal/decide/lease/statemachine.go
+++ b/internal/decide/lease/statemachine.go
@@ -10,26 +10,27 @@
 	"hazelwheel/internal/msgpacklimit"
 )
 
-// command is an entry of the electors' log: a role goes to somebody, if its token still is the one that was meant.
+// command is a log entry that changes a role's grant or record. It has no effect if the grant has changed since it was proposed.
 type command struct {
 	Role          string  `msgpack:"j"`
-	Holder        swim.ID `msgpack:"o,omitempty"` // 0: nobody, the token stays
+	Holder        swim.ID `msgpack:"o,omitempty"` // 0: the role becomes vacant and the token stays
 	BootID        uint64  `msgpack:"l,omitempty"`
-	ExpectedToken uint64  `msgpack:"w,omitempty"` // the token so far; 0: the role is new
-	Record        *Record `msgpack:"p,omitempty"` // the command is to keep this, and nothing else
+	ExpectedToken uint64  `msgpack:"w,omitempty"` // of the grant that it replaces; 0: the role is new
+	Record        *Record `msgpack:"p,omitempty"` // if set, the command only stores this
 }
 
-// stateMachine is the replicated state: who has been granted what. Equal logs make equal machines.
+// stateMachine is the replicated state. The same log leads to the same state on every voter.
 type stateMachine struct {
 	Epoch  uint64  `msgpack:"e"`
-	Grants []Grant `msgpack:"g,omitempty"` // by role; a role never goes, so that its tokens only grow
-	// Records are by role, and never go either, so that their versions only grow.
+	Grants []Grant `msgpack:"g,omitempty"` // by role; never removed, so that tokens only grow
+	// Records is sorted by role. Records are never removed, so that versions only grow.
 	Records []Record `msgpack:"r,omitempty"`
 }
 
-const tokenCounterBits = 40 // of a token; above is the epoch
+// tokenCounterBits is how many low bits of a token count grants; the bits above hold the group's epoch.
+const tokenCounterBits = 40
 
-// apply takes a command and tells whether it changed anything.
+// apply applies a command and reports whether it changed anything.
 func (m *stateMachine) apply(c command) bool {
 	if c.Record != nil {
 		return m.putRecord(c.Record)
@@ -41,7 +42,7 @@
 	case !known:
 		m.Grants = slices.Insert(m.Grants, i, Grant{Role: c.Role, Token: m.Epoch << tokenCounterBits})
 	case m.Grants[i].Token != c.ExpectedToken:
-		return false // somebody else was faster: what was meant by it does not hold any more
+		return false // another command was first
 	}
 	g := &m.Grants[i]
 	if g.Holder, g.BootID = c.Holder, c.BootID; c.Holder != 0 {
@@ -50,7 +51,7 @@
 	return true
 }
 
-// grant returns what holds of a role.
+// grant returns a role's grant.
 func (m *stateMachine) grant(role string) (Grant, bool) {
 	i, known := grantIndex(m.Grants, role)
 	if !known {
@@ -59,9 +60,10 @@
 	return m.Grants[i], true
 }
 
+// snapshotData returns the state as Raft's snapshots hold it.
 func (m *stateMachine) snapshotData() []byte { return encode(m) }
 
-// encode packs what always packs: numbers, names and lists of them.
+// encode encodes types of this package, for which msgpack has no errors.
 func encode(v any) []byte {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
@@ -70,7 +72,7 @@
 	return b
 }
 
-// decode reads what came from a disk or another member.
+// decode decodes what came from a disk or another member. Danger: input may be crafted; its size is bounded before it is decoded.
 func decode(b []byte, v any) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/decide/lease/storage.go
+++ b/internal/decide/lease/storage.go
@@ -8,33 +8,35 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// raftStorage is the electors' log in memory; what is in it is on disk before anything follows from it.
+// raftStorage holds the log of the group in memory. Its content is written to disk, as part of the persisted state, before
+// anything that depends on it is sent.
 type raftStorage struct {
 	*raft.MemoryStorage
 	hardState *raftpb.HardState
-	// latest returns what has been applied, for who must be sent it whole.
+	// latest returns the applied state, for snapshots.
 	latest func() (index uint64, conf *raftpb.ConfState, data []byte)
 }
 
-// Snapshot returns the state as of now. Danger: an older one may not name who is to get it, who would then turn it away.
+// Snapshot returns a snapshot of the applied state. Danger: an older one may not name the member that it is sent to, which would
+// reject it.
 func (s *raftStorage) Snapshot() (*raftpb.Snapshot, error) {
 	s.refreshSnapshot()
 	return s.MemoryStorage.Snapshot()
 }
 
-// refreshSnapshot brings the snapshot up to what has been applied.
+// refreshSnapshot replaces the stored snapshot by one of the applied state.
 func (s *raftStorage) refreshSnapshot() {
 	index, conf, data := s.latest()
-	// An old one is kept where there is nothing newer.
+	// The only error is that the stored one is as new.
 	_, _ = s.CreateSnapshot(index, conf, data)
 }
 
 const (
-	maxLogEntries   = 64 // before they become a snapshot
-	retainedEntries = 16 // that who is a little behind needs
+	maxLogEntries   = 64 // before the log is compacted
+	retainedEntries = 16 // after compaction, for followers that are slightly behind
 )
 
-// compact drops old entries, and tells whether there was anything to drop.
+// compact replaces old entries by a snapshot when the log has become too long.
 func (s *raftStorage) compact() {
 	first, _ := s.FirstIndex()
 	index, _, _ := s.latest()
@@ -49,20 +51,21 @@
 	_ = s.Compact(index - keep)
 }
 
-// logBytes returns how much all entries hold, in bytes.
+// logBytes returns the size of all entries' data.
 func (s *raftStorage) logBytes() (n int) {
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
 	if first > last {
 		return 0
 	}
-	list, _ := s.Entries(first, last+1, 1<<62) // they are there
+	list, _ := s.Entries(first, last+1, 1<<62) // the range is valid
 	for _, e := range list {
 		n += len(e.GetData())
 	}
 	return n
 }
 
+// encode returns the protobuf form of what is stored.
 func (s *raftStorage) encode() (hard, snapshot []byte, entries [][]byte) {
 	snap, _ := s.MemoryStorage.Snapshot()
 	if s.hardState != nil {
@@ -83,6 +86,7 @@
 	return hard, snapshot, entries
 }
 
+// mustMarshal encodes messages of Raft, for which protobuf has no errors.
 func mustMarshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
@@ -91,7 +95,7 @@
 	return b
 }
 
-// restore fills an empty store.
+// restore fills an empty storage. An error says what does not fit together.
 func (s *raftStorage) restore(hard, snapshot []byte, entries [][]byte) error {
 	var snap raftpb.Snapshot
 	if err := proto.Unmarshal(snapshot, &snap); err != nil {
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -7,14 +7,15 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-const compareIntervalSeconds = 10.0 // between two questions whether others know a newer table
+// compareIntervalSeconds is the mean time between two requests for newer tables.
+const compareIntervalSeconds = 10.0
 
-// isNewerThan orders tables.
+// isNewerThan compares the versions of two tables.
 func (a *Table) isNewerThan(b *Table) bool {
 	return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.Index, b.Index), cmp.Compare(a.Term, b.Term)) > 0
 }
 
-// handleTable takes what another knows of all grants.
+// handleTable adopts a newer table, and replies to an older one.
 func (n *Node) handleTable(from swim.ID, table *Table) {
 	switch {
 	case from == n.self || len(table.Grants) > maxRoles || len(table.Voters) > 2*maxInitialVoters:
@@ -28,7 +29,7 @@
 	}
 }
 
-// adoptTable takes a newer table and passes it on.
+// adoptTable replaces the table, forwards it, and leaves a group that another one has superseded.
 func (n *Node) adoptTable(table *Table, except swim.ID) {
 	n.table = *table
 	n.highestEpoch = max(n.highestEpoch, n.table.Epoch)
@@ -40,20 +41,20 @@
 	n.applyTable()
 }
 
-// tableMessage tells what is known as of now, whenever it is read.
+// tableMessage returns a message with a copy of the present table.
 func (n *Node) tableMessage() *Message {
 	table := n.table
 	return &Message{Table: &table}
 }
 
-// publishTable makes the table of what this elector has applied.
+// publishTable makes a table of what this voter has applied, and adopts it if it is newer.
 func (n *Node) publishTable() {
 	g := n.group
 	if g.appliedIndex == 0 {
 		return
 	}
 	table := Table{Epoch: n.founding.Epoch, Index: g.appliedIndex, Term: g.term, Leader: g.leaderID, Grants: slices.Clone(g.machine.Grants)}
-	for _, id := range slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing()) { // while one is replaced, both count
+	for _, id := range slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing()) { // during a change of voters, both sets
 		table.Voters = append(table.Voters, swim.ID(id))
 	}
 	slices.Sort(table.Voters)
--- a/internal/decide/lease/voters.go
+++ b/internal/decide/lease/voters.go
@@ -10,17 +10,18 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Times of changes of electors, in seconds.
+// Times of changes of voters, in seconds.
 const (
-	voterGoneSeconds          = 30.0 // an elector is gone, before another takes its place
-	learnerTimeoutSeconds     = 10.0 // one that is to take a place is gone, or does not catch up
-	minAliveSeconds           = 5.0  // a member lives, before it can be an elector
-	voterCheckIntervalSeconds = 1.0  // between two looks
-	minVoters                 = 3    // electors
+	voterGoneSeconds          = 30.0 // a voter is gone, before it is replaced
+	learnerTimeoutSeconds     = 10.0 // a learner is gone or does not catch up, before it is given up
+	minAliveSeconds           = 5.0  // a member is alive, before it can become a voter
+	voterCheckIntervalSeconds = 1.0  // between two checks
+	minVoters                 = 3
 )
 
-// reconfigureVoters has electors that are gone for good replaced, one at a time: the new one learns all first, then it comes in and the
-// old one goes by one joint change. Where there is nobody to come in, the group becomes smaller, so that its majority lives.
+// reconfigureVoters replaces voters that are gone for good, one at a time: the new one is added as a learner, and takes the old
+// one's place by one joint change once it has caught up. Without a candidate the group shrinks, so that its quorum stays among the
+// living.
 func (n *Node) reconfigureVoters() {
 	g := n.group
 	if n.now < n.votersDueAt {
@@ -38,7 +39,7 @@
 	}
 	durable := 0
 	for _, m := range n.members {
-		// Danger: a group that shrinks with each restart has no majority once another elector goes.
+		// Danger: a group that shrank with each restart would lose its quorum with the next voter.
 		if m.Durable && n.goneSeconds(m.ID) < voterGoneSeconds {
 			durable++
 		}
@@ -58,7 +59,7 @@
 	case gone != 0:
 		n.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, gone))
 	default:
-		// All live, and there is one more than an odd number: it adds nothing to what the group can lose.
+		// All are alive and their number is even: one more than an odd number tolerates no further failure.
 		for _, id := range slices.Backward(g.confState.GetVoters()) {
 			if id != uint64(n.self) {
 				n.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, id))
@@ -68,7 +69,8 @@
 	}
 }
 
-// goneSeconds tells for how long a member is gone; 0: it is there. Of one that nobody knows it is as long as this member leads.
+// goneSeconds returns for how long a member is dead or has left, 0 if it is alive. A member that is not known counts as gone since
+// this member leads.
 func (n *Node) goneSeconds(id swim.ID) float64 {
 	switch m := n.memberByID(id); {
 	case id == n.self:
@@ -81,7 +83,7 @@
 	return 0
 }
 
-// nextVoter returns who would be the next elector: of those that keep their state, who has lived longest.
+// nextVoter returns the candidate to become a voter: the durable member that has been alive for longest, 0 if there is none.
 func (n *Node) nextVoter() uint64 {
 	var best *Member
 	for i := range n.members {
@@ -98,7 +100,7 @@
 	return uint64(best.ID)
 }
 
-// promoteLearner has a learner become an elector once it knows all, in the place of one that is gone.
+// promoteLearner makes a learner a voter once it has caught up, in place of one that is gone, or gives it up.
 func (n *Node) promoteLearner(learner, gone uint64, grow bool) {
 	g := n.group
 	caughtUp := false
@@ -121,11 +123,12 @@
 	}
 }
 
+// singleChange returns a configuration change of one member.
 func singleChange(what raftpb.ConfChangeType, id uint64) []*raftpb.ConfChangeSingle {
 	return []*raftpb.ConfChangeSingle{{Type: what.Enum(), NodeId: &id}}
 }
 
-// proposeConfChange has a change of electors agreed. Raft turns one away while another is under way.
+// proposeConfChange proposes a change of the group's members. Raft ignores it while another change is under way.
 func (n *Node) proposeConfChange(changes []*raftpb.ConfChangeSingle) {
 	n.learnerSince = 0
 	n.runRaft(func() { _ = n.group.rawNode.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes}) })
