--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -328,11 +328,11 @@
 	})
 }
 
-func (a tenureActions) LeaseEnded(name string, token uint64, why string) {
+func (a tenureActions) LeaseEnded(name string, token uint64, why lease.EndReason) {
 	o := a.o
 	o.f.later(func() {
 		if j := o.job(name); j != nil && j.held == token {
-			o.end(j, why)
+			o.end(j, string(why))
 			if l, ok := j.work.(lapser); ok && why == lease.ReasonNotRenewed {
 				l.Lapsed(token)
 			}
--- a/internal/decide/lease/actions.go
+++ b/internal/decide/lease/actions.go
@@ -20,7 +20,7 @@
 	// one, with Version 0 where nothing was written, and then for each new version.
 	RecordCommitted(r Record)
 	// LeaseEnded reports that this member must not act under the token any more.
-	LeaseEnded(role string, token uint64, reason string)
+	LeaseEnded(role string, token uint64, reason EndReason)
 	// ReplaceIdentity asks for a new identity and a new Node for it, since votes of this one may have been lost. The Node does nothing
 	// more after that.
 	ReplaceIdentity(reason string)
--- a/internal/decide/lease/founding.go
+++ b/internal/decide/lease/founding.go
@@ -182,5 +182,5 @@
 		n.replaceIdentity(err.Error())
 		return
 	}
-	n.actions.Log("this member is an elector", "epoch", f.Epoch)
+	n.actions.Log("joined the voters", "epoch", f.Epoch)
 }
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -67,7 +67,7 @@
 	n.ended = slices.DeleteFunc(n.ended, func(d Grant) bool { return !n.isOurs(d) })
 	for _, held := range slices.Clone(n.leases) {
 		if g, known := n.grantFor(held.Role); known && (g.Token > held.Token || g.Token == held.Token && g.Holder != n.self) {
-			n.endLease(held, "it was granted to another")
+			n.endLease(held, ReasonGrantedElsewhere)
 		}
 	}
 	for _, g := range n.table.Grants {
@@ -115,7 +115,7 @@
 }
 
 // endLease ends a lease and releases its grant. The order matters: LeaseEnded stops the work before the leader hears of it.
-func (n *Node) endLease(held *heldLease, reason string) {
+func (n *Node) endLease(held *heldLease, reason EndReason) {
 	n.leases = slices.DeleteFunc(n.leases, func(o *heldLease) bool { return o == held })
 	if held.started {
 		n.actions.LeaseEnded(held.Role, held.Token, reason)
@@ -124,7 +124,7 @@
 }
 
 // endAllLeases ends every lease of this member.
-func (n *Node) endAllLeases(reason string) {
+func (n *Node) endAllLeases(reason EndReason) {
 	for len(n.leases) > 0 {
 		n.endLease(n.leases[0], reason)
 	}
@@ -186,7 +186,7 @@
 		n.declinedRoles = slices.Insert(n.declinedRoles, i, role)
 		if held := n.leaseFor(role); held != nil {
 			n.sendDeclined([]string{role})
-			n.endLease(held, "this member does not want it")
+			n.endLease(held, ReasonDeclined)
 		}
 	}
 	n.finishCall()
@@ -226,7 +226,7 @@
 func (n *Node) handleStepDown(role string) {
 	if held := n.leaseFor(role); held != nil {
 		n.sendDeclined([]string{role})
-		n.endLease(held, "it is to go to another member")
+		n.endLease(held, ReasonStepDown)
 	}
 }
 
@@ -249,6 +249,16 @@
 	return append(slices.Clone(n.table.Voters), n.table.Leader)
 }
 
-// ReasonNotRenewed is the reason of LeaseEnded for a lease that was not confirmed in time. The role need not have been granted to
-// another member.
-const ReasonNotRenewed = "the lease was not renewed in time"
+// EndReason is why a lease has ended.
+type EndReason string
+
+// The reasons of Actions.LeaseEnded.
+const (
+	// ReasonNotRenewed: the leader has not confirmed the lease in time. The role need not have been granted to another member.
+	ReasonNotRenewed       EndReason = "lease not renewed in time"
+	ReasonGrantedElsewhere EndReason = "role granted to another member"
+	ReasonDeclined         EndReason = "role declined by this member"
+	ReasonStepDown         EndReason = "step-down requested"
+	ReasonLeaving          EndReason = "member leaving"
+	ReasonIdentityReplaced EndReason = "identity replaced"
+)
--- a/internal/decide/lease/leave.go
+++ b/internal/decide/lease/leave.go
@@ -48,7 +48,7 @@
 	n.advanceTo(now)
 	if !n.leaving && !n.retired {
 		n.leaving, n.leavingSince = true, n.now
-		n.endAllLeases("this member leaves")
+		n.endAllLeases(ReasonLeaving)
 		n.tickLeader()
 	}
 	n.finishCall()
--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -89,7 +89,7 @@
 	if m.Raft == nil { // it reports the latest state known of this member
 		switch {
 		case m.Serial > n.serial || !n.lineage.contains(m.Serial, m.WriterID):
-			n.replaceIdentity("others know a later state of this identity: an old copy")
+			n.replaceIdentity("peers know a later state of this identity: this one is an old copy")
 		case peer != nil:
 			peer.shownWriterID = 0
 		}
--- a/internal/decide/lease/node_test.go
+++ b/internal/decide/lease/node_test.go
@@ -69,11 +69,11 @@
 		}
 	})
 }
-func (s *testNode) LeaseStarted(role string, token uint64)     {}
-func (s *testNode) LeaseEnded(role string, t uint64, w string) {}
-func (s *testNode) RecordCommitted(r Record)                   { s.record = r }
-func (s *testNode) ReplaceIdentity(why string)                 { s.replacedReason = why }
-func (s *testNode) Log(string, ...any)                         {}
+func (s *testNode) LeaseStarted(role string, token uint64)        {}
+func (s *testNode) LeaseEnded(role string, t uint64, w EndReason) {}
+func (s *testNode) RecordCommitted(r Record)                      { s.record = r }
+func (s *testNode) ReplaceIdentity(why string)                    { s.replacedReason = why }
+func (s *testNode) Log(string, ...any)                            {}
 
 func (h *cluster) runUntil(at float64) {
 	for h.now < at {
--- a/internal/decide/lease/persist.go
+++ b/internal/decide/lease/persist.go
@@ -49,7 +49,7 @@
 	n.persisting = false
 	if err != nil {
 		if !n.persistFailed {
-			n.actions.Log("the state can't be kept: this member does not vote", "error", err)
+			n.actions.Log("lease state not persisted: this member does not vote", "error", err)
 		}
 		// Danger: messages that depend on the state must go on waiting. A vote that was sent and not stored can be given twice.
 		n.persistFailed, n.dirty, n.persistRetryAt = true, true, n.now+1
@@ -57,7 +57,7 @@
 	}
 	if n.persistFailed {
 		n.persistFailed = false
-		n.actions.Log("the state is kept again: this member votes")
+		n.actions.Log("lease state persisted again: this member votes")
 	}
 	inflight := n.awaitingPersist
 	n.awaitingPersist = nil
@@ -75,7 +75,7 @@
 	if n.retired {
 		return
 	}
-	n.endAllLeases("the identity is given up")
+	n.endAllLeases(ReasonIdentityReplaced)
 	n.retired, n.group, n.loopback, n.deferred, n.awaitingPersist = true, nil, nil, nil, nil
 	n.actions.ReplaceIdentity(reason)
 }
@@ -100,7 +100,7 @@
 
 // ErrInvalidState is wrapped by the errors of New for a state that can't be used: damaged, of another version or of another
 // member.
-var ErrInvalidState = errors.New("tenure: the saved state can't be used")
+var ErrInvalidState = errors.New("lease: invalid persisted state")
 
 // decodeState decodes a state as a whole or not at all. Danger: a state that is read in part is a vote forgotten.
 func decodeState(b []byte, self swim.ID) (persistedState, error) {
@@ -110,9 +110,9 @@
 	}
 	switch {
 	case s.Version != stateFormatVersion:
-		return s, fmt.Errorf("%w: it is of version %d", ErrInvalidState, s.Version)
+		return s, fmt.Errorf("%w: version %d", ErrInvalidState, s.Version)
 	case s.MemberID != self:
-		return s, fmt.Errorf("%w: it is of %v", ErrInvalidState, s.MemberID)
+		return s, fmt.Errorf("%w: of member %v", ErrInvalidState, s.MemberID)
 	}
 	return s, nil
 }
--- a/internal/decide/lease/statemachine.go
+++ b/internal/decide/lease/statemachine.go
@@ -67,7 +67,7 @@
 func encode(v any) []byte {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("tenure: %v", err))
+		panic(fmt.Sprintf("lease: %v", err))
 	}
 	return b
 }
@@ -76,7 +76,7 @@
 func decode(b []byte, v any) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = fmt.Errorf("it can't be read: %v", cause)
+			err = fmt.Errorf("decode: %v", cause)
 		}
 	}()
 	if err := msgpacklimit.Whole(b); err != nil {
--- a/internal/decide/lease/storage.go
+++ b/internal/decide/lease/storage.go
@@ -77,7 +77,7 @@
 	if first = max(first, snap.GetMetadata().GetIndex()+1); first <= last {
 		list, err := s.Entries(first, last+1, 1<<62)
 		if err != nil {
-			panic(fmt.Sprintf("tenure: %v", err))
+			panic(fmt.Sprintf("lease: %v", err))
 		}
 		for _, e := range list {
 			entries = append(entries, mustMarshal(e))
@@ -90,7 +90,7 @@
 func mustMarshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		panic(fmt.Sprintf("tenure: %v", err))
+		panic(fmt.Sprintf("lease: %v", err))
 	}
 	return b
 }
@@ -114,7 +114,7 @@
 			return err
 		}
 		if e.GetIndex() != next+uint64(i) {
-			return fmt.Errorf("entry %d stands where %d belongs", e.GetIndex(), next+uint64(i))
+			return fmt.Errorf("entry %d in place of %d", e.GetIndex(), next+uint64(i))
 		}
 		list[i] = &e
 	}
@@ -127,7 +127,7 @@
 			return err
 		}
 		if last, _ := s.LastIndex(); h.GetCommit() > last || h.GetCommit() < snap.GetMetadata().GetIndex() {
-			return fmt.Errorf("%d is committed of %d to %d", h.GetCommit(), next, last)
+			return fmt.Errorf("commit index %d outside of entries %d to %d", h.GetCommit(), next, last)
 		}
 		s.hardState = &h
 		return s.SetHardState(&h)
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -34,7 +34,7 @@
 	n.table = *table
 	n.highestEpoch = max(n.highestEpoch, n.table.Epoch)
 	if n.founding != nil && n.founding.Epoch < n.table.Epoch {
-		n.actions.Log("another electors' group has been founded: this member leaves the old one", "epoch", n.table.Epoch)
+		n.actions.Log("group superseded: this member leaves it", "epoch", n.table.Epoch)
 		n.founding, n.group, n.acceptedFounding, n.dirty = nil, nil, nil, true
 	}
 	n.actions.Broadcast(&Message{Table: table}, except)
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -438,8 +438,8 @@
 
 func (h *hands) LeaseStarted(job string, token uint64) { h.n.w.granted(h.n, job, token) }
 func (h *hands) RecordCommitted(lease.Record)          {}
-func (h *hands) LeaseEnded(job string, token uint64, why string) {
-	h.n.w.endedOne(h.n, job, token, why)
+func (h *hands) LeaseEnded(job string, token uint64, why lease.EndReason) {
+	h.n.w.endedOne(h.n, job, token, string(why))
 }
 
 func (h *hands) ReplaceIdentity(why string) {
