--- a/internal/sim/maintenancesim/agent.go
+++ b/internal/sim/maintenancesim/agent.go
@@ -1,127 +1,136 @@
 package maintenancesim
 
-import (
-	"hazelwheel/internal/decide/maintenance"
-)
+import "hazelwheel/internal/decide/maintenance"
 
-// --- Mechanics ---
+const (
+	agentCommandSeconds    = 8.0 // for which an agent waits for a reply
+	staleCommandSeconds    = 3.0
+	operatorCommandSeconds = 15.0
+	submitPlanSeconds      = 20.0
+)
 
-// mechanic works boxes. What it has done, and the greatest token, last over its deaths.
+// agent is a maintenance agent, over all its processes. Its record of completed work and the greatest token survive a crash.
 type agent struct {
 	sim           *Simulation
 	name          string
 	process       int
 	greatestToken uint64
-	completed     map[uint64]bool // tokens under which the work has ended
+	completed     map[uint64]bool // by token
 	workSeconds   float64
 	isDown        bool
 }
 
-func (m *agent) poll(run int) {
-	if m.process != run || m.isDown {
+// poll asks for a server until it gets one, and works on it.
+func (a *agent) poll(process int) {
+	s := a.sim
+	if a.process != process || a.isDown {
 		return
 	}
-	m.sim.submit(maintenance.Command{Kind: maintenance.AcquireServer, Agent: m.name}, 8, func(r maintenance.Reply) {
-		if m.process != run || m.isDown {
-			return
-		}
-		if m.completed[r.Token] && r.Server != "" { // it died before it could say so
-			m.reportEnd(run, r.Server, r.Token, true)
-			return
-		}
-		if r.Err != "" || r.Server == "" || !m.accepts(r) {
-			m.sim.After(m.sim.uniform(0.5, 2), func() { m.poll(run) })
-			return
+	s.submit(maintenance.Command{Kind: maintenance.AcquireServer, Agent: a.name}, agentCommandSeconds, func(r maintenance.Reply) {
+		switch {
+		case a.process != process || a.isDown:
+		case a.completed[r.Token] && r.Server != "": // it crashed before it could report that
+			a.reportEnd(process, r.Server, r.Token, true)
+		case r.Err != "" || r.Server == "" || !a.accepts(r):
+			s.After(s.uniform(0.5, 2), func() { a.poll(process) })
+		default:
+			a.work(process, r)
 		}
-		m.work(run, r)
 	})
 }
 
-// accepts tells whether a box that is handed over may be worked on. A token lower than one seen is an old word.
-func (m *agent) accepts(r maintenance.Reply) bool {
-	if r.Token < m.greatestToken {
-		m.sim.log("%s turns %s under %d down", m.name, r.Server, r.Token)
+// accepts reports whether a server that was handed out may be worked on: its fencing token is not lower than one seen before.
+func (a *agent) accepts(r maintenance.Reply) bool {
+	if r.Token < a.greatestToken {
+		a.sim.log("%s turns %s under %d down", a.name, r.Server, r.Token)
 		return false
 	}
-	m.greatestToken = r.Token
+	a.greatestToken = r.Token
 	return true
 }
 
-func (m *agent) work(run int, r maintenance.Reply) {
-	w, b := m.sim, m.sim.serverByName(r.Server)
-	w.workStarted(m, b, r.Token)
-	lasts := m.workSeconds * w.uniform(0.5, 1.2)
-	if w.chance(0.05) && !w.isCalm {
-		lasts = m.workSeconds * w.uniform(2, 5)
+// work works on a server. The work may take too long, and the agent may crash during it.
+func (a *agent) work(process int, r maintenance.Reply) {
+	s, b := a.sim, a.sim.serverByName(r.Server)
+	s.workStarted(a, b, r.Token)
+	lasts := a.workSeconds * s.uniform(0.5, 1.2)
+	if s.chance(0.05) && !s.isCalm {
+		lasts = a.workSeconds * s.uniform(2, 5)
 	}
-	if w.chance(0.05) && !w.isCalm { // it dies, and comes back later
-		w.After(lasts*w.rng.Float64(), func() {
-			if m.process == run {
-				m.crash(w.uniform(1, 30))
+	if s.chance(0.05) && !s.isCalm {
+		s.After(lasts*s.rng.Float64(), func() {
+			if a.process == process {
+				a.crash(s.uniform(1, 30))
 			}
 		})
 	}
-	if w.chance(0.7) { // the box is begun anew while it is worked on
-		w.After(lasts*0.3, func() {
-			if b.agent == m {
+	if s.chance(0.7) { // the server is restarted by the work
+		s.After(lasts*0.3, func() {
+			if b.agent == a {
 				b.isDown = true
 			}
 		})
 	}
-	w.After(lasts, func() {
-		if m.process != run {
-			return
-		}
-		m.completed[r.Token] = true
-		ok := !w.chance(0.04) || w.isCalm
-		b.isDown, b.warmUntil = false, w.Now()+w.warmUpSeconds
-		w.workEnded(m, b, r.Token)
-		if ok && w.chance(0.05) && !w.isCalm { // it comes back dead, for a while
-			b.isDown = true
-			w.After(w.uniform(1, 20), func() { b.isDown = false })
+	s.After(lasts, func() {
+		if a.process == process {
+			a.endWork(process, b, r.Token)
 		}
-		m.reportEnd(run, b.name, r.Token, ok)
 	})
 }
 
-func (m *agent) crash(forS float64) {
-	m.sim.log("%s dies", m.name)
-	m.process++
-	m.isDown = true
-	m.sim.After(forS, func() {
-		m.isDown = false
-		m.poll(m.process)
+// endWork ends the work on a server. It may have failed, and the server may come back dead for a while.
+func (a *agent) endWork(process int, b *server, token uint64) {
+	s := a.sim
+	a.completed[token] = true
+	ok := !s.chance(0.04) || s.isCalm
+	b.isDown, b.warmUntil = false, s.Now()+s.warmUpSeconds
+	s.workEnded(a, b, token)
+	if ok && s.chance(0.05) && !s.isCalm {
+		b.isDown = true
+		s.After(s.uniform(1, 20), func() { b.isDown = false })
+	}
+	a.reportEnd(process, b.name, token, ok)
+}
+
+// crash ends the agent's process for some seconds.
+func (a *agent) crash(seconds float64) {
+	a.sim.log("%s dies", a.name)
+	a.process++
+	a.isDown = true
+	a.sim.After(seconds, func() {
+		a.isDown = false
+		a.poll(a.process)
 	})
 }
 
-// tell has the end of the work be known, again and again until it is.
-func (m *agent) reportEnd(run int, box string, token uint64, ok bool) {
-	w := m.sim
-	cmd := maintenance.Command{Kind: maintenance.CompleteServer, Server: box, Token: token, Agent: m.name}
+// reportEnd reports the end of the work until there is a reply. Sometimes it reports it twice, or again with an old token.
+func (a *agent) reportEnd(process int, server string, token uint64, ok bool) {
+	s := a.sim
+	command := maintenance.Command{Kind: maintenance.CompleteServer, Server: server, Token: token, Agent: a.name}
 	if !ok {
-		cmd.Kind, cmd.Reason = maintenance.FailServer, "it does not start"
+		command.Kind, command.Reason = maintenance.FailServer, "it does not start"
 	}
-	w.submit(cmd, 8, func(r maintenance.Reply) {
-		if m.process != run && !w.chance(0.5) { // who died meanwhile may find in its notes that it was done
+	s.submit(command, agentCommandSeconds, func(r maintenance.Reply) {
+		if a.process != process && !s.chance(0.5) { // after a crash it may find in its record that it has to report
 			return
 		}
 		if r.Err == noAnswer {
-			m.reportEnd(run, box, token, ok)
+			a.reportEnd(process, server, token, ok)
 			return
 		}
-		if r.Err == "" && w.chance(0.2) {
-			w.submit(cmd, 8, func(again maintenance.Reply) { // it says so twice
+		if r.Err == "" && s.chance(0.2) {
+			s.submit(command, agentCommandSeconds, func(again maintenance.Reply) {
 				if again.Err != "" && again.Err != noAnswer {
-					w.violated(RuleReply, "%s is done under %d, and again: %s", box, token, again.Err)
+					s.violated(RuleReply, "%s is done under %d, and again: %s", server, token, again.Err)
 				}
 			})
 		}
-		if w.chance(0.1) { // and comes with an old token
-			old := maintenance.Command{Kind: maintenance.CompleteServer, Server: w.servers[w.rng.IntN(len(w.servers))].name, Token: token - 1, Agent: m.name}
-			w.submit(old, 3, func(maintenance.Reply) {})
+		if s.chance(0.1) {
+			stale := maintenance.Command{Kind: maintenance.CompleteServer, Server: s.servers[s.rng.IntN(len(s.servers))].name, Token: token - 1, Agent: a.name}
+			s.submit(stale, staleCommandSeconds, func(maintenance.Reply) {})
 		}
-		if m.process == run {
-			w.After(w.uniform(0.1, 1), func() { m.poll(run) })
+		if a.process == process {
+			s.After(s.uniform(0.1, 1), func() { a.poll(process) })
 		}
 	})
 }
--- a/internal/sim/maintenancesim/checker.go
+++ b/internal/sim/maintenancesim/checker.go
@@ -14,30 +14,38 @@
 
 // The rules.
 const (
-	RuleInUse       = "work-occupied" // a box is worked on that has an execution out, or has got a new request within the time to settle
-	RuleTooMany     = "work-many"     // more is out than a plan allows
-	RuleWorkedTwice = "work-twice"    // a box is worked on twice for one plan, or by two
-	RuleToken       = "work-token"    // a token of a hand-over is no greater than one before
-	RuleShared      = "work-shared"   // two plans that have not ended have a box in common
-	RuleWarmUp      = "work-cold"     // a box leaves while another has not had its time to warm up
-	RuleMinCapacity = "work-keep"     // a box leaves though less than must stay is left
-	RuleEnd         = "work-end"      // a plan does not end, or a box of it ends without its work or a cause
-	RuleReply       = "work-answer"   // an answer does not hold
-	RuleState       = "work-state"    // what is agreed can't be read, or reads as something else
+	RuleInUse       = "work-occupied" // work begins on a server with requests in flight or within its quiet period, or a server that is worked on gets a request
+	RuleTooMany     = "work-many"     // more servers are out of service than a plan allows
+	RuleWorkedTwice = "work-twice"    // work on a server begins twice for one plan, or by two agents
+	RuleToken       = "work-token"    // a fencing token is no greater than an earlier one, or was never committed
+	RuleShared      = "work-shared"   // two plans that go on have a server in common
+	RuleWarmUp      = "work-cold"     // a server drains while an earlier one has not had its time to warm up
+	RuleMinCapacity = "work-keep"     // a server drains though less than the plan's minimum capacity remains
+	RuleEnd         = "work-end"      // a plan does not end, or a server of it reaches a final stage without its work or a reason
+	RuleReply       = "work-answer"   // a reply does not hold
+	RuleState       = "work-state"    // a committed state can't be decoded, or is encoded to something else
 	RulePanic       = "panic"
 )
 
-// judge is what is seen from outside.
+const (
+	maxFindings          = 20
+	capacityTolerance    = 1e-9
+	timeTolerance        = 1e-6
+	disturbanceSeconds   = 8.0 // after which sidecars know of a server that changed by itself
+	uncordonDelaySeconds = 3.0 // after the end of an operator's uncordon in which the server may still be in use
+)
+
+// checker is what the rules are checked against: what agents have done and when servers changed.
 type checker struct {
 	findings         []Finding
-	greatestToken    uint64 // the greatest token
+	greatestToken    uint64
 	acquisitions     []*acquisition
-	completedAt      map[string]float64 // when a box was given back after work
+	completedAt      map[string]float64 // when work on a server was last completed
 	pendingCommands  []*pendingCommand
-	undisturbedSince float64 // since when no box has changed by itself
+	undisturbedSince float64 // since when no server has changed by itself; +Inf: one is changed
 }
 
-// work is what a mechanic has on record.
+// acquisition is the work of an agent on a server.
 type acquisition struct {
 	plan      uint64
 	server    *server
@@ -47,36 +55,37 @@
 	endedAt   float64 // 0: it goes on
 }
 
-func (w *Simulation) violated(rule, format string, args ...any) {
-	f := Finding{At: w.Now(), Rule: rule, Why: fmt.Sprintf(format, args...)}
-	w.log("BROKEN %v", f)
-	if len(w.findings) < 20 {
-		w.findings = append(w.findings, f)
+// violated records a broken rule.
+func (s *Simulation) violated(rule, format string, args ...any) {
+	f := Finding{At: s.Now(), Rule: rule, Why: fmt.Sprintf(format, args...)}
+	s.log("BROKEN %v", f)
+	if len(s.findings) < maxFindings {
+		s.findings = append(s.findings, f)
 	}
 }
 
-// handed tells whether a box was given back by hand somewhere, now or just before: who did that has it in use.
-func (w *Simulation) isUncordoned(b *server) bool {
-	return slices.ContainsFunc(w.sidecars, func(n *sidecar) bool { return n.uncordonedUntil[b.name] > w.Now()-3 })
+// isUncordoned reports whether an operator has a server in use at some sidecar, or had until just now.
+func (s *Simulation) isUncordoned(b *server) bool {
+	return slices.ContainsFunc(s.sidecars, func(n *sidecar) bool { return n.uncordonedUntil[b.name] > s.Now()-uncordonDelaySeconds })
 }
 
-// forced tells whether a box's hand-over was forced, or it was given back by an operator after it was lost.
-func (w *Simulation) wasForced(box string, token uint64) bool {
-	for _, p := range w.committed().State.Plans {
-		for _, b := range p.Servers {
-			if b.Name == box && b.Token == token {
-				return len(b.ForcedPast) > 0 || b.Stage == maintenance.Skipped
+// wasForced reports whether a server was handed out by force under a token, or put back in service by an operator after it was lost.
+func (s *Simulation) wasForced(name string, token uint64) bool {
+	for _, p := range s.committed().State.Plans {
+		for _, server := range p.Servers {
+			if server.Name == name && server.Token == token {
+				return len(server.ForcedPast) > 0 || server.Stage == maintenance.Skipped
 			}
 		}
 	}
 	return false
 }
 
-// lost tells whether a box was given up while it was worked on.
-func (w *Simulation) wasAbandoned(k *acquisition) bool {
-	for _, p := range w.committed().State.Plans {
-		for _, b := range p.Servers {
-			if b.Token == k.token && (b.Stage == maintenance.Lost || b.Stage == maintenance.Skipped) {
+// wasAbandoned reports whether the work was abandoned while it went on.
+func (s *Simulation) wasAbandoned(a *acquisition) bool {
+	for _, p := range s.committed().State.Plans {
+		for _, server := range p.Servers {
+			if server.Token == a.token && (server.Stage == maintenance.Lost || server.Stage == maintenance.Skipped) {
 				return true
 			}
 		}
@@ -84,268 +93,324 @@
 	return false
 }
 
-// got takes that a box gets a new request.
-func (w *Simulation) checkRequest(b *server, n *sidecar) {
-	if b.agent != nil && n.uncordonedUntil[b.name] <= w.Now() && !w.wasForced(b.name, b.token) {
-		w.violated(RuleInUse, "%s gets a request from %s, which goes by version %d of %d, while %s works on it", b.name, n.name(), n.version,
-			w.version, b.agent.name)
+// checkRequest checks that a server that gets a request is not being worked on.
+func (s *Simulation) checkRequest(b *server, from *sidecar) {
+	if b.agent != nil && from.uncordonedUntil[b.name] <= s.Now() && !s.wasForced(b.name, b.token) {
+		s.violated(RuleInUse, "%s gets a request from %s, which goes by version %d of %d, while %s works on it", b.name, from.name(), from.version,
+			s.version, b.agent.name)
 	}
 }
 
-// started takes that a mechanic begins to work on a box, or goes on.
-func (w *Simulation) workStarted(m *agent, b *server, token uint64) {
-	w.log("%s works on %s under %d", m.name, b.name, token)
-	for _, k := range w.acquisitions {
-		if k.token == token && k.server == b && k.agent == m && k.endedAt == 0 { // it died and goes on
-			b.agent = m
-			return
-		}
+// workStarted checks that an agent may begin to work on a server. After a crash it may continue.
+func (s *Simulation) workStarted(by *agent, b *server, token uint64) {
+	s.log("%s works on %s under %d", by.name, b.name, token)
+	if slices.ContainsFunc(s.acquisitions, func(a *acquisition) bool {
+		return a.token == token && a.server == b && a.agent == by && a.endedAt == 0
+	}) {
+		b.agent = by
+		return
+	}
+	state := s.committed().State
+	plan, handedOut := findToken(&state, b.name, token)
+	if plan == nil {
+		s.violated(RuleToken, "%s is handed over to %s under %d, which is not agreed", b.name, by.name, token)
+		return
 	}
-	k := &acquisition{server: b, agent: m, token: token, startedAt: w.Now()}
-	var plan *maintenance.Plan
-	state := w.committed().State
-	lost := false
+	if b.agent != nil && b.agent != by && !s.wasForced(b.name, b.token) {
+		s.violated(RuleWorkedTwice, "%s works on %s, on which %s works", by.name, b.name, b.agent.name)
+	}
+	s.checkEmpty(plan, by, b, token)
+	a := &acquisition{plan: plan.Number, server: b, agent: by, token: token, startedAt: s.Now()}
+	s.checkConcurrent(plan, a, handedOut.Stage == maintenance.Lost)
+	s.acquisitions = append(s.acquisitions, a)
+	s.counts.WorkStarted++
+	b.agent, b.token = by, token
+}
+
+// findToken returns the server that was handed out under a token, with its plan; of several the last.
+func findToken(state *maintenance.State, name string, token uint64) (plan *maintenance.Plan, server *maintenance.Server) {
 	for i := range state.Plans {
-		for _, o := range state.Plans[i].Servers {
-			if o.Name == b.name && o.Token == token {
-				plan, k.plan, lost = &state.Plans[i], state.Plans[i].Number, o.Stage == maintenance.Lost
+		p := &state.Plans[i]
+		for j := range p.Servers {
+			if o := &p.Servers[j]; o.Name == name && o.Token == token {
+				plan, server = p, o
 			}
 		}
 	}
-	if plan == nil {
-		w.violated(RuleToken, "%s is handed over to %s under %d, which is not agreed", b.name, m.name, token)
+	return plan, server
+}
+
+// checkEmpty checks that a server that is not forced has no request in flight, nor had one within the quiet period.
+func (s *Simulation) checkEmpty(p *maintenance.Plan, by *agent, b *server, token uint64) {
+	quietSeconds := p.Spec.QuietPeriodSeconds()
+	if s.wasForced(b.name, token) || s.isUncordoned(b) {
 		return
 	}
-	if b.agent != nil && b.agent != m && !w.wasForced(b.name, b.token) {
-		w.violated(RuleWorkedTwice, "%s works on %s, on which %s works", m.name, b.name, b.agent.name)
+	if b.inFlight > 0 {
+		s.violated(RuleInUse, "%d executions are out on %s as %s begins", b.inFlight, b.name, by.name)
+	} else if b.lastUsedAt > 0 && s.Now()-b.lastUsedAt < quietSeconds-1e-9 {
+		s.violated(RuleInUse, "%s got something %.3f s before %s begins, %g s must be; it was of %s", b.name, s.Now()-b.lastUsedAt, by.name, quietSeconds, b.lastUser.name())
 	}
-	if settle := plan.Spec.QuietPeriodSeconds(); !w.wasForced(b.name, token) && !w.isUncordoned(b) {
-		if b.inFlight > 0 {
-			w.violated(RuleInUse, "%d executions are out on %s as %s begins", b.inFlight, b.name, m.name)
-		} else if b.lastUsedAt > 0 && w.Now()-b.lastUsedAt < settle-1e-9 {
-			w.violated(RuleInUse, "%s got something %.3f s before %s begins, %g s must be; it was of %s", b.name, w.Now()-b.lastUsedAt, m.name, settle, b.lastUser.name())
-		}
-	}
-	at, site := 1, 1
-	for _, o := range w.acquisitions {
-		if o.plan != k.plan {
+}
+
+// checkConcurrent checks that agents work on no more servers of a plan than it allows, and on none twice.
+func (s *Simulation) checkConcurrent(p *maintenance.Plan, next *acquisition, isLost bool) {
+	b := next.server
+	concurrent, atSite := 1, 1
+	for _, a := range s.acquisitions {
+		if a.plan != next.plan {
 			continue
 		}
-		if o.server == b {
-			w.violated(RuleWorkedTwice, "%s is worked on under %d, for plan %d, and was under %d", b.name, token, k.plan, o.token)
+		if a.server == b {
+			s.violated(RuleWorkedTwice, "%s is worked on under %d, for plan %d, and was under %d", b.name, next.token, next.plan, a.token)
 		}
-		if o.endedAt == 0 && !w.wasAbandoned(o) {
-			at++
-			if o.server.site == b.site {
-				site++
+		if a.endedAt == 0 && !s.wasAbandoned(a) {
+			concurrent++
+			if a.server.site == b.site {
+				atSite++
 			}
 		}
 	}
-	if !lost && (at > plan.Spec.MaxConcurrent || site > max(plan.Spec.MaxPerSite, 1)) {
-		w.violated(RuleTooMany, "mechanics work on %d boxes of plan %d, %d of site %s", at, k.plan, site, b.site)
+	if !isLost && (concurrent > p.Spec.MaxConcurrent || atSite > max(p.Spec.MaxPerSite, 1)) {
+		s.violated(RuleTooMany, "mechanics work on %d boxes of plan %d, %d of site %s", concurrent, next.plan, atSite, b.site)
 	}
-	w.acquisitions = append(w.acquisitions, k)
-	w.counts.WorkStarted++
-	b.agent, b.token = m, token
 }
 
-func (w *Simulation) workEnded(m *agent, b *server, token uint64) {
-	w.log("%s has worked on %s under %d", m.name, b.name, token)
-	for _, k := range w.acquisitions {
-		if k.token == token && k.server == b {
-			k.endedAt = w.Now()
+// workEnded records the end of the work on a server.
+func (s *Simulation) workEnded(by *agent, b *server, token uint64) {
+	s.log("%s has worked on %s under %d", by.name, b.name, token)
+	for _, a := range s.acquisitions {
+		if a.token == token && a.server == b {
+			a.endedAt = s.Now()
 		}
 	}
 	b.agent = nil
 }
 
-// changed takes what is agreed in place of what was.
-func (w *Simulation) checkCommit(body []byte) {
+// checkCommit checks a state that is about to be committed against the one that it replaces.
+func (s *Simulation) checkCommit(body []byte) {
 	state, err := maintenance.Decode(body)
 	if err != nil {
-		w.violated(RuleState, "%v", err)
+		s.violated(RuleState, "%v", err)
 		return
 	}
 	if again, err := state.Encode(); err != nil || !bytes.Equal(again, body) {
-		w.violated(RuleState, "it reads as something else: %v", err)
+		s.violated(RuleState, "it reads as something else: %v", err)
 	}
-	was := w.committed().State
-	w.log("version %d: %s", w.version+1, summary(&state))
-	handed := uint64(0)
+	was := s.committed().State
+	s.log("version %d: %s", s.version+1, summary(&state))
+	token := uint64(0) // of the server that is handed out
 	for i := range state.Plans {
-		p := &state.Plans[i]
-		old := findPlan(&was, p.Number)
-		if old == nil {
-			w.counts.Plans++
+		token = s.checkPlan(&was, &state, &state.Plans[i], token)
+	}
+	s.greatestToken = max(s.greatestToken, token)
+	for i := range was.Plans {
+		p := &was.Plans[i]
+		isMissing := findPlan(&state, p.Number) == nil
+		if isMissing && (!p.Ended || slices.ContainsFunc(p.Servers, func(server maintenance.Server) bool { return server.Stage == maintenance.Lost })) {
+			s.violated(RuleEnd, "plan %d is forgotten", p.Number)
 		}
-		at, sites := 0, map[string]int{}
-		for j, b := range p.Servers {
-			if b.Stage >= maintenance.Draining && b.Stage <= maintenance.WarmingUp {
-				at++
-				sites[b.Site]++
-				if sites[b.Site] > max(p.Spec.MaxPerSite, 1) {
-					w.violated(RuleTooMany, "%d of site %s are out for plan %d", sites[b.Site], b.Site, p.Number)
-				}
-			}
-			if !p.Ended {
-				w.checkDisjoint(&state, p, b.Name)
-			}
-			if old == nil || old.Servers[j].Stage == b.Stage {
-				continue
-			}
-			w.checkStage(&was, &state, p, old.Servers[j], b)
-			if b.Stage == maintenance.InMaintenance {
-				if b.Token <= w.greatestToken || handed != 0 {
-					w.violated(RuleToken, "%s is handed over under %d, one before it under %d", b.Name, b.Token, max(w.greatestToken, handed))
-				}
-				handed = b.Token
+	}
+}
+
+// checkPlan checks a plan of a state that is about to be committed. token is that of a server that the state hands out, 0 if there was
+// none in earlier plans; the result includes this plan.
+func (s *Simulation) checkPlan(was, state *maintenance.State, p *maintenance.Plan, token uint64) uint64 {
+	old := findPlan(was, p.Number)
+	if old == nil {
+		s.counts.Plans++
+	}
+	out, outAtSite := 0, map[string]int{}
+	for j, server := range p.Servers {
+		if server.Stage >= maintenance.Draining && server.Stage <= maintenance.WarmingUp {
+			out++
+			outAtSite[server.Site]++
+			if outAtSite[server.Site] > max(p.Spec.MaxPerSite, 1) {
+				s.violated(RuleTooMany, "%d of site %s are out for plan %d", outAtSite[server.Site], server.Site, p.Number)
 			}
 		}
-		if at > p.Spec.MaxConcurrent {
-			w.violated(RuleTooMany, "%d boxes are out for plan %d, at most %d may", at, p.Number, p.Spec.MaxConcurrent)
+		if !p.Ended {
+			s.checkDisjoint(state, p, server.Name)
 		}
-	}
-	w.greatestToken = max(w.greatestToken, handed)
-	for i := range was.Plans {
-		p := &was.Plans[i]
-		gone := findPlan(&state, p.Number) == nil
-		if gone && (!p.Ended || slices.ContainsFunc(p.Servers, func(b maintenance.Server) bool { return b.Stage == maintenance.Lost })) {
-			w.violated(RuleEnd, "plan %d is forgotten", p.Number)
+		if old == nil || old.Servers[j].Stage == server.Stage {
+			continue
+		}
+		s.checkStage(was, state, p, old.Servers[j], server)
+		if server.Stage == maintenance.InMaintenance {
+			if server.Token <= s.greatestToken || token != 0 {
+				s.violated(RuleToken, "%s is handed over under %d, one before it under %d", server.Name, server.Token, max(s.greatestToken, token))
+			}
+			token = server.Token
 		}
 	}
+	if out > p.Spec.MaxConcurrent {
+		s.violated(RuleTooMany, "%d boxes are out for plan %d, at most %d may", out, p.Number, p.Spec.MaxConcurrent)
+	}
+	return token
 }
 
-// alone sees that a box is of one plan that has not ended.
-func (w *Simulation) checkDisjoint(s *maintenance.State, by *maintenance.Plan, box string) {
-	for i := range s.Plans {
-		if p := &s.Plans[i]; p.Number > by.Number && !p.Ended && slices.ContainsFunc(p.Servers, func(b maintenance.Server) bool { return b.Name == box }) {
-			w.violated(RuleShared, "%s is of plans %d and %d", box, by.Number, p.Number)
+// checkDisjoint checks that a server belongs to no later plan that goes on.
+func (s *Simulation) checkDisjoint(state *maintenance.State, by *maintenance.Plan, name string) {
+	for i := range state.Plans {
+		p := &state.Plans[i]
+		if p.Number > by.Number && !p.Ended && slices.ContainsFunc(p.Servers, func(server maintenance.Server) bool { return server.Name == name }) {
+			s.violated(RuleShared, "%s is of plans %d and %d", name, by.Number, p.Number)
 		}
 	}
 }
 
-// stage takes that a box of a plan comes from one stage to another.
-func (w *Simulation) checkStage(was, s *maintenance.State, p *maintenance.Plan, from, to maintenance.Server) {
+// checkStage checks and counts the change of a server's stage.
+func (s *Simulation) checkStage(was, state *maintenance.State, p *maintenance.Plan, from, to maintenance.Server) {
 	if from.Stage >= maintenance.Done && !(from.Stage == maintenance.Lost && to.Stage == maintenance.Skipped) {
-		w.violated(RuleEnd, "%s of plan %d had ended as %d and is %d", to.Name, p.Number, from.Stage, to.Stage)
+		s.violated(RuleEnd, "%s of plan %d had ended as %d and is %d", to.Name, p.Number, from.Stage, to.Stage)
 	}
 	if from.Stage == maintenance.InMaintenance && to.Stage != maintenance.WarmingUp && to.Stage != maintenance.Lost {
-		w.violated(RuleEnd, "%s is taken from who works on it", to.Name)
+		s.violated(RuleEnd, "%s is taken from who works on it", to.Name)
 	}
 	switch to.Stage {
 	case maintenance.Draining:
-		w.checkDrain(was, s, p, to)
+		s.checkDrain(was, state, p, to)
 	case maintenance.Drained:
 		if len(to.ForcedPast) > 0 {
-			w.counts.Forced++
+			s.counts.Forced++
 		}
 	case maintenance.WarmingUp:
-		w.completedAt[to.Name] = w.Now()
+		s.completedAt[to.Name] = s.Now()
 	case maintenance.Pending:
-		w.counts.GivenBack++
+		s.counts.GivenBack++
 	case maintenance.Done:
-		w.counts.Done++
+		s.counts.Done++
 	case maintenance.Skipped:
-		w.counts.Skipped++
+		s.counts.Skipped++
 	case maintenance.Lost:
-		w.counts.Lost++
+		s.counts.Lost++
 	}
 	if (to.Stage == maintenance.Skipped || to.Stage == maintenance.Lost) && to.Reason == "" {
-		w.violated(RuleEnd, "%s ends without a cause", to.Name)
+		s.violated(RuleEnd, "%s ends without a cause", to.Name)
 	}
 }
 
-// leaves sees that a box may leave.
-func (w *Simulation) checkDrain(was, s *maintenance.State, p *maintenance.Plan, b maintenance.Server) {
-	coldS := p.Spec.WarmUpSeconds
-	if coldS == 0 {
-		coldS = max(w.warmUpSeconds, 5)
+// checkDrain checks that a server may drain: the one before has warmed up, and enough capacity remains.
+func (s *Simulation) checkDrain(was, state *maintenance.State, p *maintenance.Plan, draining maintenance.Server) {
+	warmUpSeconds := p.Spec.WarmUpSeconds
+	if warmUpSeconds == 0 {
+		warmUpSeconds = max(s.warmUpSeconds, 5)
 	}
-	at, lost := 0, false // lost: an earlier plan has it out already
+	if out := s.countNotWarm(state, p, warmUpSeconds); out > p.Spec.MaxConcurrent {
+		s.violated(RuleWarmUp, "%s leaves as one of %d that are out or have not had %g s to warm up", draining.Name, out, warmUpSeconds)
+	}
+	wasOut := false // a server that an earlier plan has lost
 	for name := range was.Cordoned {
-		lost = lost || name == b.Name
+		wasOut = wasOut || name == draining.Name
+	}
+	b := s.serverByName(draining.Name)
+	remaining := s.remainingCapacity(state, b)
+	isDisturbed := s.Now()-s.undisturbedSince <= disturbanceSeconds
+	if !b.isUnavailable() && !wasOut && !isDisturbed && remaining < p.Spec.MinCapacity-capacityTolerance {
+		s.violated(RuleMinCapacity, "%s leaves, %.3f of the capacity is left, %.3f must be", draining.Name, remaining, p.Spec.MinCapacity)
 	}
-	for _, q := range s.Plans {
-		for _, o := range q.Servers {
-			if o.Stage >= maintenance.Draining && o.Stage <= maintenance.InMaintenance || q.Number == p.Number && o.Stage >= maintenance.WarmingUp && o.Stage <= maintenance.Done &&
-				w.completedAt[o.Name] > 0 && w.Now()-w.completedAt[o.Name] < coldS-1e-6 && !wasDeclaredWarm(o) {
-				at++
+}
+
+// countNotWarm counts the servers that are out of service, and those of a plan that have not had their time to warm up.
+func (s *Simulation) countNotWarm(state *maintenance.State, p *maintenance.Plan, warmUpSeconds float64) (n int) {
+	for _, q := range state.Plans {
+		for _, server := range q.Servers {
+			isOut := server.Stage >= maintenance.Draining && server.Stage <= maintenance.InMaintenance
+			isBack := q.Number == p.Number && (server.Stage == maintenance.WarmingUp || server.Stage == maintenance.Done)
+			completedAt := s.completedAt[server.Name]
+			if isOut || isBack && completedAt > 0 && s.Now()-completedAt < warmUpSeconds-timeTolerance && !wasDeclaredWarm(server) {
+				n++
 			}
 		}
 	}
-	if at > p.Spec.MaxConcurrent {
-		w.violated(RuleWarmUp, "%s leaves as one of %d that are out or have not had %g s to warm up", b.Name, at, coldS)
+	return n
+}
+
+// remainingCapacity returns the fraction of the capacity that serves without one more server.
+func (s *Simulation) remainingCapacity(state *maintenance.State, without *server) float64 {
+	out := map[string]bool{}
+	for name := range state.Cordoned {
+		out[name] = true
 	}
-	total, left := 0.0, 0.0
-	me := w.serverByName(b.Name)
-	for _, o := range w.servers {
-		total += o.capacity
-		out := false
-		for name := range s.Cordoned {
-			out = out || name == o.name
-		}
-		for _, q := range s.Plans {
-			out = out || slices.ContainsFunc(q.Servers, func(k maintenance.Server) bool { return k.Name == o.name && k.Stage == maintenance.WarmingUp })
-		}
-		if !out && o != me && !o.isUnavailable() {
-			left += o.capacity
+	for _, p := range state.Plans {
+		for _, server := range p.Servers {
+			if server.Stage == maintenance.WarmingUp {
+				out[server.Name] = true
+			}
 		}
 	}
-	if !me.isUnavailable() && !lost && left/total < p.Spec.MinCapacity-1e-9 && w.Now()-w.undisturbedSince > 8 {
-		w.violated(RuleMinCapacity, "%s leaves, %.3f of the capacity is left, %.3f must be", b.Name, left/total, p.Spec.MinCapacity)
+	total, remaining := 0.0, 0.0
+	for _, b := range s.servers {
+		total += b.capacity
+		if !out[b.name] && b != without && !b.isUnavailable() {
+			remaining += b.capacity
+		}
 	}
+	return remaining / total
 }
 
-// warm tells whether an operator has said that a box is.
-func wasDeclaredWarm(b maintenance.Server) bool { return b.Stage == maintenance.Done && b.Reason != "" }
+// wasDeclaredWarm reports whether an operator ended a server's slow start.
+func wasDeclaredWarm(server maintenance.Server) bool {
+	return server.Stage == maintenance.Done && server.Reason != ""
+}
 
-func findPlan(s *maintenance.State, number uint64) *maintenance.Plan {
-	if i := slices.IndexFunc(s.Plans, func(p maintenance.Plan) bool { return p.Number == number }); i >= 0 {
-		return &s.Plans[i]
+func findPlan(state *maintenance.State, number uint64) *maintenance.Plan {
+	if i := slices.IndexFunc(state.Plans, func(p maintenance.Plan) bool { return p.Number == number }); i >= 0 {
+		return &state.Plans[i]
 	}
 	return nil
 }
 
-// gave takes that a plan was agreed, by its answer.
-func (w *Simulation) checkPlanReply(r maintenance.Reply) {
-	if r.Plan == 0 || r.Plan > w.committed().State.LastNumber {
-		w.violated(RuleReply, "plan %d is answered, which is not agreed", r.Plan)
+// checkPlanReply checks that a plan whose submission was answered is committed.
+func (s *Simulation) checkPlanReply(r maintenance.Reply) {
+	if r.Plan == 0 || r.Plan > s.committed().State.LastNumber {
+		s.violated(RuleReply, "plan %d is answered, which is not agreed", r.Plan)
 	}
 }
 
-// over sees how plans have ended.
-func (w *Simulation) checkEnd() {
-	state := w.committed().State
+// checkEnd checks that all plans have ended, and that work was done on each server that is Done.
+func (s *Simulation) checkEnd() {
+	state := s.committed().State
 	for i := range state.Plans {
 		p := &state.Plans[i]
 		if !p.Ended {
-			var why []maintenance.Blocker
-			if w.leaseHolder != nil && w.leaseHolder.coordinator != nil {
-				why = w.leaseHolder.coordinator.Blockers()
-			}
-			who := "nobody"
-			if w.leaseHolder != nil {
-				who = fmt.Sprintf("%s (up %t, owns %t)", w.leaseHolder.name(), w.leaseHolder.isRunning, w.leaseHolder.coordinator != nil)
-			}
-			w.violated(RuleEnd, "plan %d has not ended: %s; %v; the owner is %s", p.Number, summary(&state), why, who)
+			s.violated(RuleEnd, "plan %d has not ended: %s; %v; the owner is %s", p.Number, summary(&state), s.blockers(), s.describeLeaseHolder())
 			continue
 		}
-		for _, b := range p.Servers {
-			worked := slices.ContainsFunc(w.acquisitions, func(k *acquisition) bool { return k.plan == p.Number && k.server.name == b.Name && k.endedAt > 0 })
-			if b.Stage < maintenance.Done || b.Stage == maintenance.Done && !worked {
-				w.violated(RuleEnd, "%s of plan %d has ended as %d, worked on: %t", b.Name, p.Number, b.Stage, worked)
+		for _, server := range p.Servers {
+			wasWorkedOn := slices.ContainsFunc(s.acquisitions, func(a *acquisition) bool { return a.plan == p.Number && a.server.name == server.Name && a.endedAt > 0 })
+			if server.Stage < maintenance.Done || server.Stage == maintenance.Done && !wasWorkedOn {
+				s.violated(RuleEnd, "%s of plan %d has ended as %d, worked on: %t", server.Name, p.Number, server.Stage, wasWorkedOn)
 			}
 		}
 	}
 }
 
-// brief is a state in one line: the stages of the boxes of each plan.
-func summary(s *maintenance.State) string {
+// blockers returns what the lease holder's coordinator waits for.
+func (s *Simulation) blockers() []maintenance.Blocker {
+	if s.leaseHolder == nil || s.leaseHolder.coordinator == nil {
+		return nil
+	}
+	return s.leaseHolder.coordinator.Blockers()
+}
+
+func (s *Simulation) describeLeaseHolder() string {
+	h := s.leaseHolder
+	if h == nil {
+		return "nobody"
+	}
+	return fmt.Sprintf("%s (up %t, owns %t)", h.name(), h.isRunning, h.coordinator != nil)
+}
+
+// summary returns a state in one line: for each plan its number, the stages of its servers, "p" if it is paused and "." if it has
+// ended.
+func summary(state *maintenance.State) string {
+	const letters = "wlrTcdsX" // by stage
 	line := ""
-	for _, p := range s.Plans {
+	for _, p := range state.Plans {
 		stages := make([]byte, 0, len(p.Servers))
-		for _, b := range p.Servers {
-			stages = append(stages, "wlrTcdsX"[b.Stage])
+		for _, server := range p.Servers {
+			stages = append(stages, letters[server.Stage])
 		}
 		line += fmt.Sprintf("%d:%s", p.Number, stages)
 		if p.PausedBy != "" {
--- a/internal/sim/maintenancesim/commands.go
+++ b/internal/sim/maintenancesim/commands.go
@@ -7,7 +7,16 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
-// asked is a command on its way.
+// noAnswer is the error of a command that got no reply in time.
+const noAnswer = "nobody answers"
+
+// operator is the name under which operators issue commands.
+const operator = "operator"
+
+// forwardInterval is the time between two attempts to forward a command, in seconds.
+const forwardInterval = 1.0
+
+// pendingCommand is a command without a reply yet.
 type pendingCommand struct {
 	command    maintenance.Command
 	handle     func(maintenance.Reply)
@@ -15,135 +24,138 @@
 	isAnswered bool
 }
 
-// noAnswer is the error of a command that nobody has answered.
-const noAnswer = "nobody answers"
-
-// ask has a command be given at a sidecar, which passes it on until it is answered or nobody waits any more.
-func (w *Simulation) submit(cmd maintenance.Command, forS float64, then func(maintenance.Reply)) {
-	for cmd.Nonce == 0 {
-		cmd.Nonce = w.rng.Uint64()
+// submit submits a command to a random sidecar, which forwards it to the lease holder, again and again until there is a reply or the
+// time is over. handle is called once.
+func (s *Simulation) submit(command maintenance.Command, seconds float64, handle func(maintenance.Reply)) {
+	for command.Nonce == 0 {
+		command.Nonce = s.rng.Uint64()
 	}
-	a := &pendingCommand{command: cmd, handle: then, deadline: w.Now() + forS}
-	w.pendingCommands = append(w.pendingCommands, a)
-	w.forward(a)
+	p := &pendingCommand{command: command, handle: handle, deadline: s.Now() + seconds}
+	s.pendingCommands = append(s.pendingCommands, p)
+	s.forward(p)
 }
 
-func (w *Simulation) forward(a *pendingCommand) {
-	if a.isAnswered {
+func (s *Simulation) forward(p *pendingCommand) {
+	if p.isAnswered {
 		return
 	}
-	if w.Now() > a.deadline {
-		w.finish(a)
-		a.handle(maintenance.Reply{Nonce: a.command.Nonce, Err: noAnswer})
+	if s.Now() > p.deadline {
+		s.finish(p)
+		p.handle(maintenance.Reply{Nonce: p.command.Nonce, Err: noAnswer})
 		return
 	}
-	door := w.sidecars[w.rng.IntN(len(w.sidecars))]
-	owner := w.leaseHolder
-	if w.chance(0.2) { // who holds itself for the owner, for all that the door knows
-		if i := slices.IndexFunc(w.sidecars, func(n *sidecar) bool { return n.coordinator != nil }); i >= 0 {
-			owner = w.sidecars[i]
+	entry := s.sidecars[s.rng.IntN(len(s.sidecars))]
+	holder := s.leaseHolder
+	if s.chance(0.2) { // one that believes to be the lease holder, for all that the entry knows
+		if i := slices.IndexFunc(s.sidecars, func(n *sidecar) bool { return n.coordinator != nil }); i >= 0 {
+			holder = s.sidecars[i]
 		}
 	}
-	if owner != nil && door.isRunning && owner.reaches(door) && !w.chance(w.lossProbability) {
-		run := owner.process
-		w.After(w.latency(), func() {
-			owner.run(run, func() {
-				if owner.coordinator == nil {
-					return
-				}
-				if r, answered := owner.coordinator.Submit(w.Now(), a.command); answered {
-					w.deliverReply(owner, r)
-				} else {
-					owner.step()
-				}
-			})
+	if holder != nil && entry.isRunning && holder.reaches(entry) && !s.chance(s.lossProbability) {
+		process := holder.process
+		s.After(s.latency(), func() {
+			holder.run(process, func() { holder.handleCommand(p) })
 		})
 	}
-	w.After(1, func() { w.forward(a) })
+	s.After(forwardInterval, func() { s.forward(p) })
 }
 
-func (w *Simulation) finish(a *pendingCommand) {
-	a.isAnswered = true
-	w.pendingCommands = slices.DeleteFunc(w.pendingCommands, func(o *pendingCommand) bool { return o == a })
+// handleCommand submits a command to the coordinator, if this sidecar believes to hold the lease.
+func (n *sidecar) handleCommand(p *pendingCommand) {
+	if n.coordinator == nil {
+		return
+	}
+	if r, answered := n.coordinator.Submit(n.sim.Now(), p.command); answered {
+		n.sim.deliverReply(n, r)
+	} else {
+		n.step()
+	}
+}
+
+func (s *Simulation) finish(p *pendingCommand) {
+	p.isAnswered = true
+	s.pendingCommands = slices.DeleteFunc(s.pendingCommands, func(other *pendingCommand) bool { return other == p })
 }
 
-// replied brings an answer to who waits for it.
-func (w *Simulation) deliverReply(by *sidecar, r maintenance.Reply) {
-	i := slices.IndexFunc(w.pendingCommands, func(a *pendingCommand) bool { return a.command.Nonce == r.Nonce })
-	if i < 0 || by.isIsolated || w.chance(w.lossProbability) {
+// deliverReply delivers a reply to who waits for it, unless it is lost.
+func (s *Simulation) deliverReply(by *sidecar, r maintenance.Reply) {
+	i := slices.IndexFunc(s.pendingCommands, func(p *pendingCommand) bool { return p.command.Nonce == r.Nonce })
+	if i < 0 || by.isIsolated || s.chance(s.lossProbability) {
 		return
 	}
-	a := w.pendingCommands[i]
-	w.After(w.latency(), func() {
-		if !a.isAnswered {
-			w.finish(a)
-			a.handle(r)
+	p := s.pendingCommands[i]
+	s.After(s.latency(), func() {
+		if !p.isAnswered {
+			s.finish(p)
+			p.handle(r)
 		}
 	})
 }
 
-// --- Operators ---
-
-func (w *Simulation) submitPlan(spec maintenance.Spec, nonce uint64) {
-	w.submit(maintenance.Command{Kind: maintenance.SubmitPlan, Nonce: nonce, Spec: &spec}, 20, func(r maintenance.Reply) {
-		w.log("plan %s: %d %s %s", spec.Name, r.Plan, r.Err, r.Text)
+// submitPlan submits a plan and checks the reply.
+func (s *Simulation) submitPlan(spec maintenance.Spec, nonce uint64) {
+	s.submit(maintenance.Command{Kind: maintenance.SubmitPlan, Nonce: nonce, Spec: &spec}, submitPlanSeconds, func(r maintenance.Reply) {
+		s.log("plan %s: %d %s %s", spec.Name, r.Plan, r.Err, r.Text)
 		if r.Err == "" {
-			w.checkPlanReply(r)
+			s.checkPlanReply(r)
 		}
 	})
 }
 
-// drawSpec draws a plan over some of the boxes.
-func (w *Simulation) drawSpec(i int) maintenance.Spec {
-	s := w.specTemplate
-	s.Name = fmt.Sprint("plan-", i)
-	switch w.rng.IntN(4) {
+// drawSpec draws a plan for some of the servers.
+func (s *Simulation) drawSpec(number int) maintenance.Spec {
+	spec := s.specTemplate
+	spec.Name = fmt.Sprint("plan-", number)
+	switch s.rng.IntN(4) {
 	case 0:
-		s.Sites = []string{w.servers[w.rng.IntN(len(w.servers))].site}
+		spec.Sites = []string{s.servers[s.rng.IntN(len(s.servers))].site}
 	case 1:
-		s.Types = []string{w.servers[w.rng.IntN(len(w.servers))].serverType}
+		spec.Types = []string{s.servers[s.rng.IntN(len(s.servers))].serverType}
 	default:
-		for _, b := range w.servers {
-			if w.chance(0.5) {
-				s.Servers = append(s.Servers, b.name)
+		for _, b := range s.servers {
+			if s.chance(0.5) {
+				spec.Servers = append(spec.Servers, b.name)
 			}
 		}
-		if len(s.Servers) == 0 {
-			s.Servers = []string{w.servers[0].name}
+		if len(spec.Servers) == 0 {
+			spec.Servers = []string{s.servers[0].name}
 		}
 	}
-	s.MaxConcurrent, s.MaxPerSite = 1+w.rng.IntN(3), w.rng.IntN(3)
-	if s.MinCapacity = w.uniform(0, 0.6); w.chance(0.2) {
-		s.MinCapacity = 0
+	spec.MaxConcurrent, spec.MaxPerSite = 1+s.rng.IntN(3), s.rng.IntN(3)
+	if spec.MinCapacity = s.uniform(0, 0.6); s.chance(0.2) {
+		spec.MinCapacity = 0
 	}
-	s.AbandonOverdue = w.chance(0.3)
-	if w.chance(0.2) {
-		s.StartAfterSeconds = w.uniform(1, 20)
+	spec.AbandonOverdue = s.chance(0.3)
+	if s.chance(0.2) {
+		spec.StartAfterSeconds = s.uniform(1, 20)
 	}
-	if w.chance(0.1) {
-		s.EndAfterSeconds = s.StartAfterSeconds + w.uniform(20, 200)
+	if s.chance(0.1) {
+		spec.EndAfterSeconds = spec.StartAfterSeconds + s.uniform(20, 200)
 	}
-	return s
+	return spec
 }
 
-// meddle has an operator do something to the plans that there are.
-func (w *Simulation) issueOperatorCommand() {
-	b := w.servers[w.rng.IntN(len(w.servers))]
-	state := w.committed().State
-	kinds := []maintenance.Kind{maintenance.PausePlan, maintenance.ResumePlan, maintenance.ResumePlan, maintenance.SkipServer, maintenance.ForceDrained, maintenance.ForceDrained, maintenance.AbortPlan}
-	cmd := maintenance.Command{Kind: kinds[w.rng.IntN(len(kinds))], Server: b.name, Agent: "operator"}
+// issueOperatorCommand issues a random command on the plans that there are.
+func (s *Simulation) issueOperatorCommand() {
+	server := s.servers[s.rng.IntN(len(s.servers))]
+	state := s.committed().State
+	kinds := []maintenance.Kind{maintenance.PausePlan, maintenance.ResumePlan, maintenance.ResumePlan, maintenance.SkipServer,
+		maintenance.ForceDrained, maintenance.ForceDrained, maintenance.AbortPlan}
+	command := maintenance.Command{Kind: kinds[s.rng.IntN(len(kinds))], Server: server.name, Agent: operator}
 	for _, p := range state.Plans {
 		for _, o := range p.Servers {
-			if cmd.Kind == maintenance.ForceDrained && (o.Stage == maintenance.Draining || o.Stage == maintenance.Drained) {
-				cmd.Server = o.Name
+			if command.Kind == maintenance.ForceDrained && (o.Stage == maintenance.Draining || o.Stage == maintenance.Drained) {
+				command.Server = o.Name
 			}
 		}
-		if !p.Ended && w.chance(0.5) {
-			cmd.Plan = p.Number
+		if !p.Ended && s.chance(0.5) {
+			command.Plan = p.Number
 		}
 	}
-	if cmd.Kind == maintenance.SkipServer || cmd.Kind == maintenance.ForceDrained {
-		cmd.Plan = 0
+	if command.Kind == maintenance.SkipServer || command.Kind == maintenance.ForceDrained {
+		command.Plan = 0
 	}
-	w.submit(cmd, 15, func(r maintenance.Reply) { w.log("%s %s: %s %s", cmd.Kind, cmd.Server, r.Err, r.Text) })
+	s.submit(command, operatorCommandSeconds, func(r maintenance.Reply) {
+		s.log("%s %s: %s %s", command.Kind, command.Server, r.Err, r.Text)
+	})
 }
--- a/internal/sim/maintenancesim/doc.go
+++ b/internal/sim/maintenancesim/doc.go
@@ -1,5 +1,5 @@
-// Package maintenancesim plays work on boxes by itself: sidecars that send to boxes and go by what is agreed, owners of the job that carry
-// plans out and are replaced at any instant, mechanics and operators, all drawn from a seed. What is decided is the program's own
-// (internal/decide/maintenance); who is there, the electors and the links are played. It judges from outside: what boxes got, what
-// mechanics did, and what was agreed.
+// Package maintenancesim simulates maintenance plans alone: sidecars that send requests to servers and apply what is committed, lease
+// holders that carry out plans and are replaced at any instant, maintenance agents and operators, all determined by a seed. The
+// decisions are those of package maintenance; membership, voters and peer connections are simulated. A checker that sees only what
+// servers get, what agents do and what is committed looks for broken rules.
 package maintenancesim
--- a/internal/sim/maintenancesim/faults.go
+++ b/internal/sim/maintenancesim/faults.go
@@ -7,160 +7,163 @@
 	"hazelwheel/internal/decide/swim"
 )
 
+// fault is a kind of fault. inject lets it begin, and last for some seconds if it lasts at all.
 type fault struct {
 	name   string
-	inject func(w *Simulation, forS float64)
+	inject func(s *Simulation, seconds float64)
 }
 
-// troubles are all kinds; a day has some of them.
+// faults are all kinds; a run has some of them. Their order determines what a seed draws.
 var faults = []fault{
-	{"kill", func(w *Simulation, _ float64) {
-		n := w.pickSidecar()
+	{"kill", func(s *Simulation, _ float64) {
+		n := s.pickSidecar()
 		if n.isRunning {
 			n.stop(false)
-			w.restartLater(n)
+			s.restartLater(n)
 		}
 	}},
-	{"kill-for-good", func(w *Simulation, _ float64) {
-		live := 0
-		for _, n := range w.sidecars {
+	{"kill-for-good", func(s *Simulation, _ float64) {
+		running := 0
+		for _, n := range s.sidecars {
 			if n.isRunning {
-				live++
+				running++
 			}
 		}
-		if live > 2 {
-			w.pickSidecar().stop(false)
+		if running > 2 {
+			s.pickSidecar().stop(false)
 		}
 	}},
-	{"term", func(w *Simulation, _ float64) {
-		n := w.pickSidecar()
+	{"term", func(s *Simulation, _ float64) {
+		n := s.pickSidecar()
 		if n.isRunning {
 			n.stop(true)
-			w.restartLater(n)
+			s.restartLater(n)
 		}
 	}},
-	{"freeze", func(w *Simulation, forS float64) { w.pickSidecar().freeze(forS) }},
-	{"cut", func(w *Simulation, forS float64) { w.isolate(w.pickSidecar(), forS) }},
-	{"cut-half", func(w *Simulation, forS float64) {
-		for _, n := range w.sidecars {
-			if w.chance(0.5) {
-				w.isolate(n, forS)
+	{"freeze", func(s *Simulation, seconds float64) { s.pickSidecar().freeze(seconds) }},
+	{"cut", func(s *Simulation, seconds float64) { s.isolate(s.pickSidecar(), seconds) }},
+	{"cut-half", func(s *Simulation, seconds float64) {
+		for _, n := range s.sidecars {
+			if s.chance(0.5) {
+				s.isolate(n, seconds)
 			}
 		}
 	}},
-	{"move", func(w *Simulation, _ float64) { w.grantLease(w.pickSidecar()) }},
-	{"majority", func(w *Simulation, forS float64) {
-		w.hasNoQuorum = true
-		w.After(forS, func() { w.hasNoQuorum = false })
+	{"move", func(s *Simulation, _ float64) { s.grantLease(s.pickSidecar()) }},
+	{"majority", func(s *Simulation, seconds float64) {
+		s.hasNoQuorum = true
+		s.After(seconds, func() { s.hasNoQuorum = false })
 	}},
-	{"loss", func(w *Simulation, forS float64) {
-		was := w.lossProbability
-		w.lossProbability = 0.4
-		w.After(forS, func() { w.lossProbability = was })
+	{"loss", func(s *Simulation, seconds float64) {
+		before := s.lossProbability
+		s.lossProbability = 0.4
+		s.After(seconds, func() { s.lossProbability = before })
 	}},
-	{"silent", func(w *Simulation, forS float64) { w.servers[w.rng.IntN(len(w.servers))].fail(w, forS) }},
-	{"site", func(w *Simulation, forS float64) {
-		site := w.servers[w.rng.IntN(len(w.servers))].site
-		for _, b := range w.servers {
+	{"silent", func(s *Simulation, seconds float64) { s.failServer(s.pickServer(), seconds) }},
+	{"site", func(s *Simulation, seconds float64) {
+		site := s.pickServer().site
+		for _, b := range s.servers {
 			if b.site == site {
-				b.fail(w, forS)
+				s.failServer(b, seconds)
 			}
 		}
 	}},
-	{"unlisted", func(w *Simulation, forS float64) {
-		b := w.servers[w.rng.IntN(len(w.servers))]
-		b.isUnlisted, w.undisturbedSince = true, math.Inf(1)
-		w.After(forS, func() { b.isUnlisted, w.undisturbedSince = false, w.Now() })
+	{"unlisted", func(s *Simulation, seconds float64) {
+		b := s.pickServer()
+		b.isUnlisted, s.undisturbedSince = true, math.Inf(1)
+		s.After(seconds, func() { b.isUnlisted, s.undisturbedSince = false, s.Now() })
 	}},
-	{"drained", func(w *Simulation, forS float64) {
-		b := w.servers[w.rng.IntN(len(w.servers))]
-		b.isDraining, w.undisturbedSince = true, math.Inf(1)
-		w.After(forS, func() { b.isDraining, w.undisturbedSince = false, w.Now() })
+	{"drained", func(s *Simulation, seconds float64) {
+		b := s.pickServer()
+		b.isDraining, s.undisturbedSince = true, math.Inf(1)
+		s.After(seconds, func() { b.isDraining, s.undisturbedSince = false, s.Now() })
 	}},
-	{"load", func(w *Simulation, forS float64) {
-		was := w.requestsPerSecond
-		w.requestsPerSecond *= w.uniform(1.5, 2.5)
-		w.After(forS, func() { w.requestsPerSecond = was })
+	{"load", func(s *Simulation, seconds float64) {
+		before := s.requestsPerSecond
+		s.requestsPerSecond *= s.uniform(1.5, 2.5)
+		s.After(seconds, func() { s.requestsPerSecond = before })
 	}},
-	{"refusing", func(w *Simulation, forS float64) {
-		w.rejectedFraction = 0.2
-		w.After(forS, func() { w.rejectedFraction = 0 })
+	{"refusing", func(s *Simulation, seconds float64) {
+		s.rejectedFraction = 0.2
+		s.After(seconds, func() { s.rejectedFraction = 0 })
 	}},
-	{"late", func(w *Simulation, forS float64) {
-		w.staleLists = len(w.sidecars)
-		w.After(forS, func() { w.staleLists = 0 })
+	{"late", func(s *Simulation, seconds float64) {
+		s.staleLists = len(s.sidecars)
+		s.After(seconds, func() { s.staleLists = 0 })
 	}},
-	{"by-hand", func(w *Simulation, forS float64) {
-		n, b := w.pickSidecar(), w.servers[w.rng.IntN(len(w.servers))]
+	{"by-hand", func(s *Simulation, seconds float64) {
+		n, b := s.pickSidecar(), s.pickServer()
 		if n.isRunning {
-			n.uncordonedUntil[b.name] = w.Now() + forS
+			n.uncordonedUntil[b.name] = s.Now() + seconds
 		}
 	}},
-	{"meddle", func(w *Simulation, _ float64) { w.issueOperatorCommand() }},
-	{"mechanic", func(w *Simulation, forS float64) {
-		if m := w.agents[w.rng.IntN(len(w.agents))]; !m.isDown {
-			m.crash(forS)
+	{"meddle", func(s *Simulation, _ float64) { s.issueOperatorCommand() }},
+	{"mechanic", func(s *Simulation, seconds float64) {
+		if a := s.agents[s.rng.IntN(len(s.agents))]; !a.isDown {
+			a.crash(seconds)
 		}
 	}},
-	{"plan", func(w *Simulation, _ float64) { w.submitPlan(w.drawSpec(int(w.Asked())), 0) }},
-	{"plan-twice", func(w *Simulation, _ float64) {
-		s := w.drawSpec(int(w.Asked()))
+	{"plan", func(s *Simulation, _ float64) { s.submitPlan(s.drawSpec(int(s.Asked())), 0) }},
+	{"plan-twice", func(s *Simulation, _ float64) {
+		spec := s.drawSpec(int(s.Asked()))
 		nonce := uint64(0)
-		if w.chance(0.5) { // the same command
-			nonce = w.rng.Uint64() | 1
+		if s.chance(0.5) { // the same command, not two for the same plan
+			nonce = s.rng.Uint64() | 1
 		}
-		w.submitPlan(s, nonce)
-		w.submitPlan(s, nonce)
+		s.submitPlan(spec, nonce)
+		s.submitPlan(spec, nonce)
 	}},
 }
 
-// some is a sidecar that lives, the owner more often than others.
-func (w *Simulation) pickSidecar() *sidecar {
-	if w.leaseHolder != nil && w.chance(0.4) && w.leaseHolder.isRunning {
-		return w.leaseHolder
+// pickSidecar draws a running sidecar, the lease holder more often than others.
+func (s *Simulation) pickSidecar() *sidecar {
+	if s.leaseHolder != nil && s.chance(0.4) && s.leaseHolder.isRunning {
+		return s.leaseHolder
 	}
 	for range 20 {
-		if n := w.sidecars[w.rng.IntN(len(w.sidecars))]; n.isRunning {
+		if n := s.sidecars[s.rng.IntN(len(s.sidecars))]; n.isRunning {
 			return n
 		}
 	}
-	return w.sidecars[0]
+	return s.sidecars[0]
 }
 
-func (w *Simulation) isolate(n *sidecar, forS float64) {
+func (s *Simulation) pickServer() *server { return s.servers[s.rng.IntN(len(s.servers))] }
+
+// isolate partitions a sidecar from the others and the voters for some seconds.
+func (s *Simulation) isolate(n *sidecar, seconds float64) {
 	if n.isIsolated {
 		return
 	}
-	w.log("%s is cut off", n.name())
+	s.log("%s is cut off", n.name())
 	n.isIsolated = true
 	if n.isRunning && !n.isFrozen {
-		n.reachabilityChangedAt = w.Now()
+		n.reachabilityChangedAt = s.Now()
 	}
-	w.After(forS, func() {
-		w.log("%s is back", n.name())
+	s.After(seconds, func() {
+		s.log("%s is back", n.name())
 		n.isIsolated = false
-		run := n.process
-		w.After(w.uniform(0.1, 1), func() { n.run(run, func() { n.apply(w.version, w.body) }) })
+		process := n.process
+		s.After(s.uniform(0.1, 1), func() { n.run(process, func() { n.apply(s.version, s.body) }) })
 	})
 }
 
-// fails has a box be silent for a while, unless somebody works on it.
-func (b *server) fail(w *Simulation, forS float64) {
+// failServer lets a server answer nothing for some seconds, unless an agent works on it.
+func (s *Simulation) failServer(b *server, seconds float64) {
 	if b.agent != nil || b.isDown {
 		return
 	}
-	b.isDown, w.undisturbedSince = true, math.Inf(1)
-	w.After(forS, func() {
-		b.isDown, w.undisturbedSince = false, w.Now()
-	})
+	b.isDown, s.undisturbedSince = true, math.Inf(1)
+	s.After(seconds, func() { b.isDown, s.undisturbedSince = false, s.Now() })
 }
 
-// back has a process begin again, mostly with what it had on disk.
-func (w *Simulation) restartLater(n *sidecar) {
-	w.After(w.uniform(0.5, 0.5*w.specTemplate.DeadMemberSeconds), func() {
-		if w.chance(0.2) && !n.isIsolated { // danger: one that is new and can't ask knows of no ban; nobody can help that
+// restartLater starts a new process of a sidecar after a while, mostly with its state. A sidecar without state that can't ask others
+// knows of no cordon, which nothing can prevent; so an isolated one keeps its state.
+func (s *Simulation) restartLater(n *sidecar) {
+	s.After(s.uniform(0.5, 0.5*s.specTemplate.DeadMemberSeconds), func() {
+		if s.chance(0.2) && !n.isIsolated {
 			n.version, n.state, n.cordoned = 0, maintenance.State{}, nil
-			n.id = swim.ID(w.rng.Uint64() | 1)
+			n.id = swim.ID(s.rng.Uint64() | 1)
 		}
 		n.start()
 	})
--- a/internal/sim/maintenancesim/leaseholder.go
+++ b/internal/sim/maintenancesim/leaseholder.go
@@ -1,162 +1,204 @@
 package maintenancesim
 
-import (
-	"hazelwheel/internal/decide/maintenance"
+import "hazelwheel/internal/decide/maintenance"
+
+const (
+	minStepSeconds     = 0.05 // between two steps of a coordinator
+	retryWriteSeconds  = 1.0  // after which a write without an answer is repeated
+	pollTimeoutSeconds = 0.25 // least time that a poll of the fleet takes; up to 0.15 more is drawn
 )
 
-// lease has the job be granted to another when its owner is not heard, and sometimes to one more at random.
-func (w *Simulation) superviseLease() {
-	gone := func() bool {
-		return w.leaseHolder == nil || !w.leaseHolder.isRunning || w.leaseHolder.isFrozen || w.leaseHolder.isIsolated || w.leaseHolder.process != w.leaseHolderProcess
+// superviseLease grants the lease to another sidecar when the voters don't hear from its holder, again and again.
+func (s *Simulation) superviseLease() {
+	isHolderLost := func() bool {
+		h := s.leaseHolder
+		return h == nil || !h.isRunning || h.isFrozen || h.isIsolated || h.process != s.leaseHolderProcess
 	}
-	if gone() {
-		w.After(w.uniform(0.5, 3), func() {
-			if gone() {
-				w.grantLease(w.sidecars[w.rng.IntN(len(w.sidecars))])
+	if isHolderLost() {
+		s.After(s.uniform(0.5, 3), func() {
+			if isHolderLost() {
+				s.grantLease(s.sidecars[s.rng.IntN(len(s.sidecars))])
 			}
 		})
 	}
-	w.After(w.uniform(1, 2), w.superviseLease)
+	s.After(s.uniform(1, 2), s.superviseLease)
 }
 
-// --- The owner ---
-
-// grant has the job go to a sidecar.
-func (w *Simulation) grantLease(n *sidecar) {
-	if w.hasNoQuorum || !n.isRunning || n.isFrozen || n.isIsolated {
+// grantLease grants the lease to a sidecar that the voters can reach. Sometimes the grant carries the version before the last one,
+// and the last one arrives later.
+func (s *Simulation) grantLease(n *sidecar) {
+	if s.hasNoQuorum || !n.isRunning || n.isFrozen || n.isIsolated {
 		return
 	}
-	w.token++
-	w.leaseHolder, w.leaseHolderProcess = n, n.process
-	w.counts.Leases++
-	w.log("%s owns the job under %d", n.name(), w.token)
-	token, run := w.token, n.process
-	a := w.committed()
-	if w.version > 1 && w.chance(0.3) { // the last write comes late
-		a.Version--
-		a.State, _ = maintenance.Decode(w.previousBody)
-		w.After(w.uniform(0.1, 2), func() {
-			n.run(run, func() {
+	s.token++
+	s.leaseHolder, s.leaseHolderProcess = n, n.process
+	s.counts.Leases++
+	s.log("%s owns the job under %d", n.name(), s.token)
+	token, process := s.token, n.process
+	committed := s.committed()
+	if s.version > 1 && s.chance(0.3) {
+		committed.Version--
+		committed.State = s.decode(s.previousBody)
+		s.After(s.uniform(0.1, 2), func() {
+			n.run(process, func() {
 				if n.leaseToken == token && n.coordinator != nil {
-					n.applyCommitted(w.version, w.body)
+					n.applyCommitted(s.version, s.body)
 				}
 			})
 		})
 	}
 	n.dropLease("it is granted anew")
-	w.After(w.latency(), func() {
-		n.run(run, func() {
-			if n.leaseToken >= token {
-				return
-			}
-			n.leaseToken = token
-			n.coordinator = maintenance.New(maintenance.Settings{WarmUpSeconds: w.warmUpSeconds, Order: w.order})
-			n.coordinator.Start(w.Now(), a)
-			n.coordinatorVersion, n.isWriting, n.nextStep = a.Version, false, 0
-			n.pollFleet(run, token)
-			n.step()
-		})
+	s.After(s.latency(), func() {
+		n.run(process, func() { n.startLease(token, committed) })
 	})
 }
 
-func (n *sidecar) dropLease(why string) {
+// startLease starts the coordinator for a lease, unless a later one has arrived before.
+func (n *sidecar) startLease(token uint64, committed maintenance.Committed) {
+	if n.leaseToken >= token {
+		return
+	}
+	n.leaseToken = token
+	n.coordinator = maintenance.New(maintenance.Settings{WarmUpSeconds: n.sim.warmUpSeconds, Order: n.sim.order})
+	n.coordinator.Start(n.sim.Now(), committed)
+	n.coordinatorVersion, n.isWriting, n.nextStep = committed.Version, false, 0
+	n.pollFleet(n.process, token)
+	n.step()
+}
+
+// dropLease ends the lease as far as this sidecar knows.
+func (n *sidecar) dropLease(reason string) {
 	if n.coordinator != nil {
-		n.sim.log("%s does not own the job any more: %s", n.name(), why)
+		n.sim.log("%s does not own the job any more: %s", n.name(), reason)
 	}
 	n.coordinator, n.isWriting = nil, false
 }
 
-func (w *Simulation) committed() maintenance.Committed {
-	state, err := maintenance.Decode(w.body)
+// committed returns what the voters have committed.
+func (s *Simulation) committed() maintenance.Committed {
+	return maintenance.Committed{Epoch: s.epoch, Version: s.version, State: s.decode(s.body)}
+}
+
+// decode decodes a committed State; that it can't is a finding.
+func (s *Simulation) decode(body []byte) maintenance.State {
+	state, err := maintenance.Decode(body)
 	if err != nil {
-		w.violated(RuleState, "%v", err)
+		s.violated(RuleState, "%v", err)
 	}
-	return maintenance.Committed{Epoch: w.epoch, Version: w.version, State: state}
+	return state
 }
 
-// ask asks all for their words, again and again.
-func (n *sidecar) pollFleet(run int, token uint64) {
-	w := n.sim
-	if n.coordinator == nil || n.leaseToken != token || n.process != run {
+// pollFleet takes snapshots of the fleet as long as the coordinator needs them and the lease lasts.
+func (n *sidecar) pollFleet(process int, token uint64) {
+	s := n.sim
+	if n.coordinator == nil || n.leaseToken != token || n.process != process {
 		return
 	}
 	again := func() {
-		w.After(w.uniform(0.4, 0.9), func() { n.run(run, func() { n.pollFleet(run, token) }) })
+		s.After(s.uniform(0.4, 0.9), func() { n.run(process, func() { n.pollFleet(process, token) }) })
 	}
 	if !n.coordinator.NeedsSnapshot() {
 		again()
 		return
 	}
-	r := maintenance.FleetSnapshot{Complete: true}
-	for _, o := range w.sidecars {
-		if !o.isRunning || o.bootID == 0 {
+	snapshot := n.queryMembers()
+	s.After(s.uniform(pollTimeoutSeconds, 0.4), func() {
+		snapshot.Members = s.membersSeenBy(n) // at the end of the poll, as the sidecar does
+		s.fillReport(&snapshot.Report)
+		n.run(process, func() {
+			if n.coordinator == nil || n.leaseToken != token {
+				return
+			}
+			n.coordinator.Observe(s.Now(), *snapshot)
+			n.step()
+			again()
+		})
+	})
+}
+
+// queryMembers asks all sidecars for their part of the report, which arrives in the snapshot within a fraction of a second.
+func (n *sidecar) queryMembers() *maintenance.FleetSnapshot {
+	s := n.sim
+	snapshot := &maintenance.FleetSnapshot{Complete: true}
+	for _, member := range s.sidecars {
+		if !member.isRunning || member.bootID == 0 {
 			continue
 		}
-		if !o.reaches(n) || w.chance(w.lossProbability) {
-			if o.isRunning {
-				r.Complete = false
-			}
+		if !member.reaches(n) || s.chance(s.lossProbability) {
+			snapshot.Complete = false
 			continue
 		}
-		life := o.process
-		w.After(w.uniform(0.01, 0.2), func() {
-			if o.process != life || !o.reaches(n) {
+		process := member.process
+		s.After(s.uniform(0.01, 0.2), func() {
+			if member.process != process || !member.reaches(n) {
 				return
 			}
-			from, open := o.report()
-			r.Report.Reporters, r.Report.InUse = append(r.Report.Reporters, from), append(r.Report.InUse, open...)
+			reporter, inUse := member.report()
+			snapshot.Report.Reporters = append(snapshot.Report.Reporters, reporter)
+			snapshot.Report.InUse = append(snapshot.Report.InUse, inUse...)
 		})
 	}
-	w.After(w.uniform(0.25, 0.4), func() {
-		r.Members = w.membersSeenBy(n) // as it is known when all has come
-		r.Report.Servers = w.serverStatuses()
-		r.Report.CompletedPerSecond, r.Report.RejectedPerSecond, r.Report.StaleMembers = w.requestsPerSecond*w.uniform(0.95, 1.05), w.requestsPerSecond*w.rejectedFraction, w.staleLists
-		n.run(run, func() {
-			if n.coordinator == nil || n.leaseToken != token {
-				return
-			}
-			n.coordinator.Observe(w.Now(), r)
-			n.step()
-			again()
-		})
-	})
+	return snapshot
 }
 
-// drive has an owner's coordinator go on.
+// fillReport adds what all sidecars together report.
+func (s *Simulation) fillReport(r *maintenance.Report) {
+	r.Servers = s.serverStatuses()
+	r.CompletedPerSecond = s.requestsPerSecond * s.uniform(0.95, 1.05)
+	r.RejectedPerSecond = s.requestsPerSecond * s.rejectedFraction
+	r.StaleMembers = s.staleLists
+}
+
+// step lets the coordinator make a step, delivers its replies and writes what it proposes.
 func (n *sidecar) step() {
-	w, c, run, token := n.sim, n.coordinator, n.process, n.leaseToken
+	s, c := n.sim, n.coordinator
 	if c == nil {
 		return
 	}
-	next := c.Step(w.Now())
+	next := c.Step(s.Now())
 	for _, r := range c.Replies() {
-		w.deliverReply(n, r)
-	}
-	if at := c.StepDeadline(w.Now()); n.nextStep <= w.Now() || at < n.nextStep-1e-9 {
-		n.nextStep = max(at, w.Now()+0.05)
-		w.After(n.nextStep-w.Now(), func() {
-			n.run(run, func() {
-				if n.coordinator == c {
-					n.nextStep = 0
-					n.step()
-				}
-			})
-		})
+		s.deliverReply(n, r)
 	}
+	n.scheduleStep()
 	if next == nil || n.isWriting {
 		return
 	}
 	body, err := next.Encode()
 	if err != nil {
-		w.violated(RuleState, "%v", err)
+		s.violated(RuleState, "%v", err)
 		return
 	}
-	version := n.coordinatorVersion
 	n.isWriting = true
+	n.writeOrFail(body)
+}
+
+// scheduleStep schedules the step that the coordinator needs at the latest, if none is scheduled that early.
+func (n *sidecar) scheduleStep() {
+	s, c := n.sim, n.coordinator
+	at := c.StepDeadline(s.Now())
+	if n.nextStep > s.Now() && at >= n.nextStep-1e-9 {
+		return
+	}
+	n.nextStep = max(at, s.Now()+minStepSeconds)
+	process := n.process
+	s.After(n.nextStep-s.Now(), func() {
+		n.run(process, func() {
+			if n.coordinator == c {
+				n.nextStep = 0
+				n.step()
+			}
+		})
+	})
+}
+
+// writeOrFail writes a proposal; with holderFaultProbability the process crashes before it, freezes before it, or crashes before it
+// learns of the result.
+func (n *sidecar) writeOrFail(body []byte) {
+	s, c, process, token, version := n.sim, n.coordinator, n.process, n.leaseToken, n.coordinatorVersion
 	write := func() {
-		w.After(w.uniform(0.003, 0.05), func() { w.commit(n, run, token, version, body) })
-		w.After(1, func() { // it is repeated until something is learned
-			n.run(run, func() {
+		s.After(s.uniform(0.003, 0.05), func() { s.commit(n, process, token, version, body) })
+		s.After(retryWriteSeconds, func() {
+			n.run(process, func() {
 				if n.coordinator == c && n.isWriting {
 					n.isWriting = false
 					n.step()
@@ -164,63 +206,60 @@
 			})
 		})
 	}
-	if w.chance(w.holderFaultProbability) {
-		w.counts.HolderFaults++
-		switch w.rng.IntN(3) {
-		case 0: // it dies before it has written
-			n.stop(false)
-			w.restartLater(n)
-			return
-		case 1: // it stands still before it writes
-			n.freeze(w.uniform(0.3, 20))
-			n.deferred = append(n.deferred, func() { n.run(run, write) })
-			return
-		default: // it has written, and dies before it learns of it
-			write()
-			w.After(w.uniform(0, 0.06), func() {
-				if n.process == run {
-					n.stop(false)
-					w.restartLater(n)
-				}
-			})
-			return
-		}
+	if !s.chance(s.holderFaultProbability) {
+		write()
+		return
+	}
+	s.counts.HolderFaults++
+	switch s.rng.IntN(3) {
+	case 0:
+		n.stop(false)
+		s.restartLater(n)
+	case 1:
+		n.freeze(s.uniform(0.3, 20))
+		n.deferred = append(n.deferred, func() { n.run(process, write) })
+	default:
+		write()
+		s.After(s.uniform(0, 0.06), func() {
+			if n.process == process {
+				n.stop(false)
+				s.restartLater(n)
+			}
+		})
 	}
-	write()
 }
 
-// write has the electors agree on a state, if it is the owner's and in place of the one that there is.
-func (w *Simulation) commit(n *sidecar, run int, token, version uint64, body []byte) {
-	if w.hasNoQuorum {
+// commit commits a write if it has the token of the last lease and replaces the current version, and answers it.
+func (s *Simulation) commit(n *sidecar, process int, token, version uint64, body []byte) {
+	if s.hasNoQuorum {
 		return
 	}
-	ok := token == w.token && version == w.version
-	if ok {
-		w.checkCommit(body)
-		w.version++
-		w.previousBody, w.body = w.body, body
-		w.disseminate()
+	if token == s.token && version == s.version {
+		s.checkCommit(body)
+		s.version++
+		s.previousBody, s.body = s.body, body
+		s.disseminate()
 	} else {
-		w.counts.StaleWrites++
+		s.counts.StaleWrites++
 	}
-	current, at, old := w.body, w.version, token < w.token
-	if w.chance(w.lossProbability) {
+	currentVersion, currentBody, isReplaced := s.version, s.body, token < s.token
+	if s.chance(s.lossProbability) {
 		return
 	}
-	w.After(w.latency(), func() {
-		n.run(run, func() {
+	s.After(s.latency(), func() {
+		n.run(process, func() {
 			switch {
 			case n.coordinator == nil || n.leaseToken != token:
-			case old:
+			case isReplaced:
 				n.dropLease("another one does")
 			default:
-				n.applyCommitted(at, current)
+				n.applyCommitted(currentVersion, currentBody)
 			}
 		})
 	})
 }
 
-// learn tells an owner's coordinator what is agreed.
+// applyCommitted passes a committed State to the coordinator if it is newer.
 func (n *sidecar) applyCommitted(version uint64, body []byte) {
 	if version <= n.coordinatorVersion {
 		return
@@ -235,22 +274,22 @@
 	n.step()
 }
 
-// spread has what is agreed go to all that can be reached, sooner or later.
-func (w *Simulation) disseminate() {
-	version, body := w.version, w.body
-	for _, n := range w.sidecars {
-		run := n.process
-		var try func()
-		try = func() {
-			if n.process != run || n.version >= version {
+// disseminate sends the committed State to all sidecars, again and again until they have it or a newer one.
+func (s *Simulation) disseminate() {
+	version, body := s.version, s.body
+	for _, n := range s.sidecars {
+		process := n.process
+		var send func()
+		send = func() {
+			if n.process != process || n.version >= version {
 				return
 			}
-			if n.isIsolated || w.chance(0.2) {
-				w.After(w.uniform(0.2, 1), try)
+			if n.isIsolated || s.chance(0.2) {
+				s.After(s.uniform(0.2, 1), send)
 				return
 			}
-			n.run(run, func() { n.apply(version, body) })
+			n.run(process, func() { n.apply(version, body) })
 		}
-		w.After(w.uniform(0.005, 0.3), try)
+		s.After(s.uniform(0.005, 0.3), send)
 	}
 }
--- a/internal/sim/maintenancesim/server.go
+++ b/internal/sim/maintenancesim/server.go
@@ -6,57 +6,58 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
+// server is a server as it is, whatever sidecars and plans know of it.
 type server struct {
 	name, site, serverType string
 	capacity               float64
-	isDown                 bool // it answers nobody
-	isUnlisted             bool
-	isDraining             bool
+	isDown                 bool // it answers no request
+	isUnlisted             bool // it is on no endpoint list
+	isDraining             bool // the endpoint lists mark it as draining
 	warmUntil              float64
-	inFlight               int     // executions that are out there
-	lastUsedAt             float64 // when something new came, or ended
-	lastUser               *sidecar
-	agent                  *agent // who works on it,
-	token                  uint64 // under which
+	inFlight               int      // requests
+	lastUsedAt             float64  // when a request last began or ended
+	lastUser               *sidecar // whose it was
+	agent                  *agent   // that works on it, under token
+	token                  uint64
 }
 
 func (b *server) isUnavailable() bool { return b.isDown || b.isUnlisted || b.isDraining }
 
-func (w *Simulation) serverByName(name string) *server {
-	return w.servers[slices.IndexFunc(w.servers, func(b *server) bool { return b.name == name })]
+func (s *Simulation) serverByName(name string) *server {
+	return s.servers[slices.IndexFunc(s.servers, func(b *server) bool { return b.name == name })]
 }
 
-// seen is what all say of the boxes.
-func (w *Simulation) serverStatuses() (all []maintenance.ServerStatus) {
+// serverStatuses returns what all sidecars together report of the servers.
+func (s *Simulation) serverStatuses() (all []maintenance.ServerStatus) {
 	up := 0
-	for _, n := range w.sidecars {
+	for _, n := range s.sidecars {
 		if n.isRunning {
 			up++
 		}
 	}
-	serve := 0
-	for _, b := range w.servers {
+	serving := 0
+	for _, b := range s.servers {
 		if !b.isDown && b.agent == nil {
-			serve++
+			serving++
 		}
 	}
-	for _, b := range w.servers {
-		s := maintenance.ServerStatus{Server: b.name, Site: b.site, Type: b.serverType, Capacity: b.capacity, ListedBy: up, Busy: b.inFlight > 0}
+	for _, b := range s.servers {
+		status := maintenance.ServerStatus{Server: b.name, Site: b.site, Type: b.serverType, Capacity: b.capacity, ListedBy: up, Busy: b.inFlight > 0}
 		if b.isUnlisted {
-			s.ListedBy = 0
+			status.ListedBy = 0
 		}
 		if b.isDraining {
-			s.DrainingBy = up
+			status.DrainingBy = up
 		}
 		if b.isDown {
-			s.UnresponsiveBy = up
+			status.UnresponsiveBy = up
 		} else {
-			s.CompletedPerSecond = w.requestsPerSecond / float64(max(serve, 1))
+			status.CompletedPerSecond = s.requestsPerSecond / float64(max(serving, 1))
 		}
-		if b.warmUntil > w.Now() {
-			s.WarmingUpBy = up
+		if b.warmUntil > s.Now() {
+			status.WarmingUpBy = up
 		}
-		all = append(all, s)
+		all = append(all, status)
 	}
 	return all
 }
--- a/internal/sim/maintenancesim/sidecar.go
+++ b/internal/sim/maintenancesim/sidecar.go
@@ -1,6 +1,7 @@
 package maintenancesim
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 
@@ -8,112 +9,124 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// node is a sidecar over all lives of its process.
+// Times after which a sidecar that is not reachable is suspect, and dead, to others; and until others know of a new one.
+const (
+	suspectSeconds  = 1.5
+	deadSeconds     = 4.0
+	discoverSeconds = 0.3
+)
+
+// sidecar is a sidecar over all its processes.
 type sidecar struct {
 	sim                   *Simulation
 	number                int
 	id                    swim.ID
-	bootID                uint64
-	process               int // events of an earlier run are void
+	bootID                uint64 // of the process; 0: none was started yet
+	process               int    // number of the process; events for an earlier one are dropped
 	isRunning             bool
 	isFrozen              bool
-	isIsolated            bool    // from its peers, not from boxes
-	hasLeft               bool    // it said that it leaves
-	reachabilityChangedAt float64 // since when it has been heard, or not
+	isIsolated            bool // from other sidecars and the voters, not from servers
+	hasLeft               bool
+	reachabilityChangedAt float64
 	startedAt             float64
-	deferred              []func()
+	deferred              []func() // until the process is not frozen any more
 
-	version         uint64 // by which it goes; it lasts, with the state
+	// What it applies, which is stored, and what it sends.
+	version         uint64
 	state           maintenance.State
-	cordoned        map[string]bool    // banned
-	uncordonedUntil map[string]float64 // boxes that were given back here by hand, until then
-	inFlight        map[string]int     // executions
+	cordoned        map[string]bool
+	uncordonedUntil map[string]float64 // by an operator at this sidecar
+	inFlight        map[string]int     // requests
 	lastUsedAt      map[string]float64
 
-	coordinator        *maintenance.Coordinator // as an owner, by its own view
+	// As lease holder, as far as it knows.
+	coordinator        *maintenance.Coordinator // nil: it holds no lease
 	leaseToken         uint64
-	coordinatorVersion uint64 // the version that its coordinator goes by
+	coordinatorVersion uint64 // of the State that the coordinator knows
 	isWriting          bool
 	nextStep           float64
 }
 
-// --- Sidecars ---
-
 func (n *sidecar) name() string { return fmt.Sprint("n", n.number) }
 
-// call has a process do something, now or when it goes on; one that has ended does nothing.
-func (n *sidecar) run(run int, do func()) {
+// run runs an event of a process: later if it is frozen, and not at all if it has ended.
+func (n *sidecar) run(process int, event func()) {
 	switch {
-	case n.process != run || !n.isRunning:
+	case n.process != process || !n.isRunning:
 	case n.isFrozen:
-		n.deferred = append(n.deferred, func() { n.run(run, do) })
+		n.deferred = append(n.deferred, func() { n.run(process, event) })
 	default:
-		do()
+		event()
 	}
 }
 
+// start starts a process, unless one is running. It asks others for the committed State before it sends any request.
 func (n *sidecar) start() {
-	w := n.sim
+	s := n.sim
 	if n.isRunning {
 		return
 	}
-	n.isRunning, n.isFrozen, n.hasLeft, n.deferred, n.reachabilityChangedAt, n.startedAt = true, false, false, nil, w.Now(), w.Now()
+	n.isRunning, n.isFrozen, n.hasLeft, n.deferred = true, false, false, nil
+	n.reachabilityChangedAt, n.startedAt = s.Now(), s.Now()
 	n.process++
-	n.bootID = w.rng.Uint64() | 1
+	n.bootID = s.rng.Uint64() | 1
 	n.inFlight, n.lastUsedAt, n.uncordonedUntil = map[string]int{}, map[string]float64{}, map[string]float64{}
 	if n.cordoned == nil {
 		n.cordoned = map[string]bool{}
 	}
-	w.log("%s begins, version %d", n.name(), n.version)
-	if !n.isIsolated { // it asks before it sends
-		n.apply(w.version, w.body)
+	s.log("%s begins, version %d", n.name(), n.version)
+	if !n.isIsolated {
+		n.apply(s.version, s.body)
 	}
-	run := n.process
-	w.After(w.uniform(0, 0.5), func() { n.sendRequests(run) })
+	process := n.process
+	s.After(s.uniform(0, 0.5), func() { n.sendRequests(process) })
 }
 
-func (n *sidecar) stop(word bool) {
+// stop ends the process, and with it its connections and the requests on them. announced: it leaves the membership first.
+func (n *sidecar) stop(announced bool) {
 	if !n.isRunning {
 		return
 	}
 	n.sim.log("%s ends", n.name())
-	n.isRunning, n.isFrozen, n.deferred, n.hasLeft, n.reachabilityChangedAt = false, false, nil, word, n.sim.Now()
+	n.isRunning, n.isFrozen, n.deferred, n.hasLeft = false, false, nil, announced
+	n.reachabilityChangedAt = n.sim.Now()
 	n.process++
-	for name, k := range n.inFlight { // its links end, and what was out there with them
-		b := n.sim.serverByName(name)
-		b.inFlight -= k
+	for name, requests := range n.inFlight {
+		n.sim.serverByName(name).inFlight -= requests
 	}
 	n.inFlight = nil
 	n.dropLease("its process has ended")
 }
 
-func (n *sidecar) freeze(forS float64) {
+// freeze stalls the process for some seconds.
+func (n *sidecar) freeze(seconds float64) {
 	if !n.isRunning || n.isFrozen {
 		return
 	}
-	n.sim.log("%s stands still for %.2f s", n.name(), forS)
+	n.sim.log("%s stands still for %.2f s", n.name(), seconds)
 	n.isFrozen, n.reachabilityChangedAt = true, n.sim.Now()
-	run := n.process
-	n.sim.After(forS, func() {
-		if n.process == run {
+	process := n.process
+	n.sim.After(seconds, func() {
+		if n.process == process {
 			n.thaw()
 		}
 	})
 }
 
+// thaw ends freeze and runs the events that came meanwhile.
 func (n *sidecar) thaw() {
 	if !n.isFrozen {
 		return
 	}
 	n.isFrozen = false
-	waiting := n.deferred
+	deferred := n.deferred
 	n.deferred = nil
-	for _, do := range waiting {
-		do()
+	for _, event := range deferred {
+		event()
 	}
 }
 
-// take has a sidecar go by what is agreed.
+// apply takes a committed State if it is newer.
 func (n *sidecar) apply(version uint64, body []byte) {
 	if version <= n.version {
 		return
@@ -124,101 +137,109 @@
 		return
 	}
 	n.version, n.state, n.cordoned = version, state, map[string]bool{}
-	for b := range state.Cordoned {
-		n.cordoned[b] = true
+	for name := range state.Cordoned {
+		n.cordoned[name] = true
 	}
 }
 
-// banned tells whether a sidecar sends nothing new to a box.
+// isCordoned reports whether this sidecar sends no new requests to a server.
 func (n *sidecar) isCordoned(name string) bool {
 	return n.cordoned[name] && n.uncordonedUntil[name] <= n.sim.Now()
 }
 
-// send sends to one of the boxes that it may send to, again and again.
-func (n *sidecar) sendRequests(run int) {
-	w := n.sim
-	n.run(run, func() {
-		b := w.servers[w.rng.IntN(len(w.servers))]
-		if n.isCordoned(b.name) || b.isUnlisted || b.isDown && w.chance(0.9) {
+// sendRequests sends a request to a random server if it may, and again after a random time.
+func (n *sidecar) sendRequests(process int) {
+	s := n.sim
+	n.run(process, func() {
+		b := s.servers[s.rng.IntN(len(s.servers))]
+		if n.isCordoned(b.name) || b.isUnlisted || b.isDown && s.chance(0.9) {
 			return
 		}
-		w.checkRequest(b, n)
-		n.inFlight[b.name]++
-		n.lastUsedAt[b.name], b.lastUsedAt, b.lastUser = w.Now(), w.Now(), n
-		b.inFlight++
-		lasts := w.uniform(0.01, 0.4)
-		if w.chance(0.003) {
-			lasts = w.uniform(5, 30)
+		n.sendRequest(process, b)
+	})
+	s.After(s.uniform(0.1, 0.9), func() {
+		if n.process == process {
+			n.sendRequests(process)
 		}
-		w.After(lasts, func() {
-			if n.process != run {
-				return
-			}
-			b.inFlight--
-			b.lastUsedAt, b.lastUser = w.Now(), n
-			n.run(run, func() {
-				n.inFlight[b.name]--
-				n.lastUsedAt[b.name] = w.Now()
-			})
-		})
 	})
-	w.After(w.uniform(0.1, 0.9), func() {
-		if n.process == run {
-			n.sendRequests(run)
+}
+
+// sendRequest sends a request. A few take much longer than the quiet period.
+func (n *sidecar) sendRequest(process int, b *server) {
+	s := n.sim
+	s.checkRequest(b, n)
+	n.inFlight[b.name]++
+	n.lastUsedAt[b.name], b.lastUsedAt, b.lastUser = s.Now(), s.Now(), n
+	b.inFlight++
+	lasts := s.uniform(0.01, 0.4)
+	if s.chance(0.003) {
+		lasts = s.uniform(5, 30)
+	}
+	s.After(lasts, func() {
+		if n.process != process {
+			return
 		}
+		b.inFlight--
+		b.lastUsedAt, b.lastUser = s.Now(), n
+		n.run(process, func() {
+			n.inFlight[b.name]--
+			n.lastUsedAt[b.name] = s.Now()
+		})
 	})
 }
 
-// reached tells whether two hear each other.
-func (n *sidecar) reaches(by *sidecar) bool {
-	return n == by || n.isRunning && by.isRunning && !n.isIsolated && !by.isIsolated && !n.isFrozen && !by.isFrozen
+// reaches reports whether two sidecars can exchange messages.
+func (n *sidecar) reaches(other *sidecar) bool {
+	return n == other || n.isRunning && other.isRunning && !n.isIsolated && !other.isIsolated && !n.isFrozen && !other.isFrozen
 }
 
-// says is what one sidecar says of itself and of the boxes.
-func (n *sidecar) report() (from maintenance.Reporter, open []maintenance.InUse) {
-	from = maintenance.Reporter{ID: n.id, BootID: n.bootID, Version: n.version}
+// report returns this sidecar's part of a report.
+func (n *sidecar) report() (reporter maintenance.Reporter, inUse []maintenance.InUse) {
+	now := n.sim.Now()
 	for _, b := range n.sim.servers {
 		if !n.cordoned[b.name] {
 			continue
 		}
-		settle := 1.0
-		for _, p := range n.state.Plans {
-			if slices.ContainsFunc(p.Servers, func(o maintenance.Server) bool { return o.Name == b.name && o.Stage.IsCordoned() }) {
-				settle = p.Spec.QuietPeriodSeconds()
-			}
+		isUncordoned := n.uncordonedUntil[b.name] > now
+		last, used := n.lastUsedAt[b.name]
+		if isUncordoned || n.inFlight[b.name] > 0 || used && now-last < n.quietSeconds(b.name) {
+			inUse = append(inUse, maintenance.InUse{Server: b.name, Member: n.id, Uncordoned: isUncordoned, InFlight: n.inFlight[b.name]})
 		}
-		hand := n.uncordonedUntil[b.name] > n.sim.Now()
-		if last, sent := n.lastUsedAt[b.name]; hand || n.inFlight[b.name] > 0 || sent && n.sim.Now()-last < settle {
-			open = append(open, maintenance.InUse{Server: b.name, Member: n.id, Uncordoned: hand, InFlight: n.inFlight[b.name]})
+	}
+	return maintenance.Reporter{ID: n.id, BootID: n.bootID, Version: n.version}, inUse
+}
+
+// quietSeconds returns the quiet period of the plan that has a server cordoned.
+func (n *sidecar) quietSeconds(name string) float64 {
+	seconds := 1.0
+	for _, p := range n.state.Plans {
+		if slices.ContainsFunc(p.Servers, func(o maintenance.Server) bool { return o.Name == name && o.Stage.IsCordoned() }) {
+			seconds = p.Spec.QuietPeriodSeconds()
 		}
 	}
-	return from, open
+	return seconds
 }
 
-// members is who is there as one sidecar sees it.
-func (w *Simulation) membersSeenBy(by *sidecar) (all []maintenance.Member) {
-	for _, n := range w.sidecars {
-		if n.bootID == 0 || n.process == 1 && n != by && w.Now()-n.startedAt < 0.3 {
-			continue // nobody knows of it yet
+// membersSeenBy returns the membership as one sidecar knows it.
+func (s *Simulation) membersSeenBy(observer *sidecar) (all []maintenance.Member) {
+	for _, n := range s.sidecars {
+		isUnknown := n.process == 1 && n != observer && s.Now()-n.startedAt < discoverSeconds
+		if n.bootID == 0 || isUnknown {
+			continue
 		}
-		m := maintenance.Member{ID: n.id, Name: n.name(), BootID: n.bootID, StateAgeSeconds: w.Now() - n.reachabilityChangedAt}
+		m := maintenance.Member{ID: n.id, Name: n.name(), BootID: n.bootID, StateAgeSeconds: s.Now() - n.reachabilityChangedAt}
 		switch {
 		case n.hasLeft && !n.isRunning:
 			m.State = swim.Left
-		case n.reaches(by):
-		case m.StateAgeSeconds < 1.5:
-		case m.StateAgeSeconds < 4:
+		case n.reaches(observer), m.StateAgeSeconds < suspectSeconds:
+			m.State = swim.Alive
+		case m.StateAgeSeconds < deadSeconds:
 			m.State = swim.Suspect
 		default:
 			m.State = swim.Dead
 		}
 		all = append(all, m)
 	}
-	slices.SortFunc(all, func(a, b maintenance.Member) int {
-		if a.ID < b.ID {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(all, func(a, b maintenance.Member) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
--- a/internal/sim/maintenancesim/simulation.go
+++ b/internal/sim/maintenancesim/simulation.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/sim/seeds"
 )
 
-// World is a fleet whose boxes are worked on. It belongs to one goroutine.
+// Simulation is one run. It is not safe for concurrent use.
 type Simulation struct {
 	seeds.Queue
 	rng   *rand.Rand
@@ -21,195 +21,234 @@
 	sidecars      []*sidecar
 	agents        []*agent
 	order         maintenance.Order
-	warmUpSeconds float64 // by the settings
+	warmUpSeconds float64 // of the settings
 	specTemplate  maintenance.Spec
 
-	// What the electors keep. A write is agreed if it is of the token granted last and of the version that there is.
+	voters
+	load
+	isCalm bool // no more faults
+
+	checker
+	counts Counts
+}
+
+// voters is what the voters keep: the committed State and the lease. A write is committed if it has the token of the last lease and
+// replaces the current version.
+type voters struct {
 	epoch              uint64
 	version            uint64
 	body               []byte
-	previousBody       []byte // the version before
+	previousBody       []byte // of the version before
 	token              uint64
-	leaseHolder        *sidecar // that it was granted to, in that run
-	leaseHolderProcess int
-	hasNoQuorum        bool // no majority: nothing is agreed, nothing granted
+	leaseHolder        *sidecar
+	leaseHolderProcess int  // of the lease holder, when the lease was granted
+	hasNoQuorum        bool // nothing is committed, no lease is granted
+}
 
-	requestsPerSecond      float64 // requests a second, all together
-	rejectedFraction       float64 // part that is refused
-	staleLists             int     // sidecars whose lists are late
-	lossProbability        float64 // of messages
-	holderFaultProbability float64 // of the owner's steps at which it dies or stands still
-	isCalm                 bool    // nothing happens any more but the work
+// load is what the fleet reports and what the network does.
+type load struct {
+	requestsPerSecond      float64 // of the fleet
+	rejectedFraction       float64
+	staleLists             int     // sidecars whose endpoint list is stale
+	lossProbability        float64 // of a message
+	holderFaultProbability float64 // that the lease holder crashes or freezes as it writes
+}
 
-	checker
-	counts Counts
+// Options configure a run.
+type Options struct {
+	Trace func(at float64, line string) // called for each line of the history; nil: none
 }
 
-// Counts are what a day was about.
+// Result is the result of a run.
+type Result struct {
+	Seed     uint64
+	Findings []Finding
+	Hash     uint64 // of the history; equal seeds give equal ones
+	Steps    uint64
+	Counts   Counts
+}
+
+// Counts are what happened in a run.
 type Counts struct {
-	Plans        int `json:"Plans"`  // that were agreed
-	WorkStarted  int `json:"Worked"` // boxes on which work began
+	Plans        int `json:"Plans"`  // that were committed
+	WorkStarted  int `json:"Worked"` // servers on which work began
 	Done         int `json:"Done"`
 	Skipped      int `json:"Skipped"`
 	Lost         int `json:"Lost"`
 	Forced       int `json:"Forced"`
-	GivenBack    int `json:"Backed"` // boxes that were given back before anybody had them
+	GivenBack    int `json:"Backed"` // servers that were put back in service before work began
 	Leases       int `json:"Owners"`
-	HolderFaults int `json:"Stopped"` // owners that died or stood still at a step
-	StaleWrites  int `json:"Refused"` // writes of owners that were replaced, or came late
+	HolderFaults int `json:"Stopped"` // lease holders that crashed or froze as they wrote
+	StaleWrites  int `json:"Refused"` // of lease holders that were replaced, or that came late
 }
 
-// Result is what came of a day.
-type Result struct {
-	Seed     uint64
-	Findings []Finding
-	Hash     uint64 // of the history: equal seeds give equal ones
-	Steps    uint64
-	Counts   Counts
-}
+const (
+	startSeconds       = 3.0    // before the first plan
+	maxRecoverySeconds = 3000.0 // for plans to end after all faults
+	recoveryStep       = 20.0   // seconds between two checks whether they have
+)
 
-// Options say how a day is played.
-type Options struct {
-	Trace func(at float64, line string)
+// RunSeeds runs a range of seeds, jobs of them at a time, and calls handle with each result in order until it returns false.
+func RunSeeds(first, last uint64, jobs int, handle func(*Result) bool) {
+	seeds.Many(first, last, jobs, func(seed uint64) *Result { return Run(seed, Options{}) }, handle)
 }
 
-// Play plays the day of a seed.
+// Run runs a seed. A panic is a finding.
 func Run(seed uint64, o Options) (r *Result) {
-	w := &Simulation{Queue: seeds.NewQueue(100), rng: rand.New(rand.NewPCG(seed, 0x706c616e73)), trace: o.Trace, hash: 14695981039346656037, epoch: 1 + seed%3}
-	w.checker.completedAt = map[string]float64{}
+	s := &Simulation{
+		Queue:  seeds.NewQueue(100),
+		rng:    rand.New(rand.NewPCG(seed, 0x706c616e73)),
+		trace:  o.Trace,
+		hash:   14695981039346656037, // the offset basis of FNV-1a
+		voters: voters{epoch: 1 + seed%3},
+	}
+	s.completedAt = map[string]float64{}
 	defer func() {
 		if cause := recover(); cause != nil {
-			w.violated(RulePanic, "%v", cause)
-			r = w.result(seed)
+			s.violated(RulePanic, "%v", cause)
+			r = s.result(seed)
 		}
 	}()
-	w.populate()
-	for _, n := range w.sidecars {
+	s.populate()
+	for _, n := range s.sidecars {
 		n.start()
 	}
-	w.grantLease(w.sidecars[w.rng.IntN(len(w.sidecars))])
-	w.superviseLease()
-	for _, m := range w.agents {
-		m.poll(0)
-	}
-	w.Until(w.Now() + 3)
-	w.submitPlan(w.drawSpec(0), 0)
-	var kinds []fault
-	for _, t := range faults {
-		if w.chance(0.4) {
-			kinds = append(kinds, t)
-		}
+	s.grantLease(s.sidecars[s.rng.IntN(len(s.sidecars))])
+	s.superviseLease()
+	for _, a := range s.agents {
+		a.poll(0)
 	}
-	end := w.Now() + w.uniform(60, 200)
-	for w.Now() < end {
-		forS := []float64{w.uniform(0.2, 2), w.uniform(1, 8), w.uniform(5, 0.7*w.specTemplate.DeadMemberSeconds)}[w.rng.IntN(3)]
-		if len(kinds) > 0 {
-			t := kinds[w.rng.IntN(len(kinds))]
-			w.log("trouble %s for %.2f s", t.name, forS)
-			t.inject(w, forS)
-		}
-		w.Until(w.Now() + []float64{w.uniform(0, 0.5), w.uniform(0.5, 5), w.uniform(3, 20)}[w.rng.IntN(3)])
-	}
-	w.endFaults()
-	return w.result(seed)
-}
-
-// Many plays seeds, so many at a time, and calls told with each in order until it says no.
-func RunSeeds(first, last uint64, jobs int, told func(*Result) bool) {
-	seeds.Many(first, last, jobs, func(seed uint64) *Result { return Run(seed, Options{}) }, told)
+	s.Until(s.Now() + startSeconds)
+	s.submitPlan(s.drawSpec(0), 0)
+	s.injectFaults()
+	s.endFaults()
+	return s.result(seed)
 }
 
-// mostCalmS is how long plans may take after all troubles.
-const maxRecoverySeconds = 3000.0
-
-// draw draws what there is.
-func (w *Simulation) populate() {
-	sites := 1 + w.rng.IntN(4)
-	for i := range 3 + w.rng.IntN(12) {
-		w.servers = append(w.servers, &server{name: fmt.Sprintf("b%02d", i), site: fmt.Sprint("site-", w.rng.IntN(sites)), serverType: fmt.Sprint("kind-", w.rng.IntN(2)),
-			capacity: float64(1 + w.rng.IntN(3))})
+// populate draws servers, sidecars, agents, settings and load.
+func (s *Simulation) populate() {
+	sites := 1 + s.rng.IntN(4)
+	for i := range 3 + s.rng.IntN(12) {
+		s.servers = append(s.servers, &server{
+			name:       fmt.Sprintf("b%02d", i),
+			site:       fmt.Sprint("site-", s.rng.IntN(sites)),
+			serverType: fmt.Sprint("kind-", s.rng.IntN(2)),
+			capacity:   float64(1 + s.rng.IntN(3)),
+		})
 	}
-	for i := range 2 + w.rng.IntN(7) {
-		w.sidecars = append(w.sidecars, &sidecar{sim: w, number: i, id: swim.ID(w.rng.Uint64() | 1)})
+	for i := range 2 + s.rng.IntN(7) {
+		s.sidecars = append(s.sidecars, &sidecar{sim: s, number: i, id: swim.ID(s.rng.Uint64() | 1)})
 	}
-	for i := range 1 + w.rng.IntN(3) {
-		w.agents = append(w.agents, &agent{sim: w, name: fmt.Sprint("m", i), completed: map[uint64]bool{}, workSeconds: w.uniform(1, 10)})
+	for i := range 1 + s.rng.IntN(3) {
+		s.agents = append(s.agents, &agent{sim: s, name: fmt.Sprint("m", i), completed: map[uint64]bool{}, workSeconds: s.uniform(1, 10)})
 	}
-	w.warmUpSeconds = w.uniform(2, 12)
-	w.specTemplate = maintenance.Spec{WorkSeconds: w.uniform(3, 12), DeadMemberSeconds: w.uniform(25, 90), QuietSeconds: []float64{0, 0.5, 2}[w.rng.IntN(3)]}
-	if w.chance(0.3) {
-		w.specTemplate.WarmUpSeconds = w.uniform(1, 20)
+	s.warmUpSeconds = s.uniform(2, 12)
+	s.specTemplate = maintenance.Spec{WorkSeconds: s.uniform(3, 12), DeadMemberSeconds: s.uniform(25, 90), QuietSeconds: []float64{0, 0.5, 2}[s.rng.IntN(3)]}
+	if s.chance(0.3) {
+		s.specTemplate.WarmUpSeconds = s.uniform(1, 20)
 	}
-	w.requestsPerSecond = w.uniform(20, 500)
-	if w.chance(0.4) {
-		w.lossProbability = w.uniform(0, 0.1)
+	s.requestsPerSecond = s.uniform(20, 500)
+	if s.chance(0.4) {
+		s.lossProbability = s.uniform(0, 0.1)
 	}
-	if w.chance(0.5) {
-		w.holderFaultProbability = w.uniform(0, 0.1)
+	if s.chance(0.5) {
+		s.holderFaultProbability = s.uniform(0, 0.1)
 	}
 }
 
-// calm ends all troubles, and sees whether all plans end.
-func (w *Simulation) endFaults() {
-	w.Until(w.Now() + 1)
-	w.log("all is mended")
-	w.isCalm, w.holderFaultProbability = true, 0
-	w.Until(w.Now() + w.specTemplate.DeadMemberSeconds) // what was to last has lasted
-	w.lossProbability = 0
-	w.sidecars[0].start() // one must be there
-	for _, n := range w.sidecars {
+// injectFaults injects faults of some kinds for a few minutes.
+func (s *Simulation) injectFaults() {
+	var kinds []fault
+	for _, f := range faults {
+		if s.chance(0.4) {
+			kinds = append(kinds, f)
+		}
+	}
+	for end := s.Now() + s.uniform(60, 200); s.Now() < end; {
+		seconds := []float64{s.uniform(0.2, 2), s.uniform(1, 8), s.uniform(5, 0.7*s.specTemplate.DeadMemberSeconds)}[s.rng.IntN(3)]
+		if len(kinds) > 0 {
+			f := kinds[s.rng.IntN(len(kinds))]
+			s.log("trouble %s for %.2f s", f.name, seconds)
+			f.inject(s, seconds)
+		}
+		s.Until(s.Now() + []float64{s.uniform(0, 0.5), s.uniform(0.5, 5), s.uniform(3, 20)}[s.rng.IntN(3)])
+	}
+}
+
+// endFaults ends all faults, lets operators handle what waits for them, and checks that all plans end.
+func (s *Simulation) endFaults() {
+	s.Until(s.Now() + 1)
+	s.log("all is mended")
+	s.isCalm, s.holderFaultProbability = true, 0
+	s.Until(s.Now() + s.specTemplate.DeadMemberSeconds) // after which no fault has any effect
+	s.lossProbability = 0
+	s.sidecars[0].start() // at least one is needed
+	for _, n := range s.sidecars {
 		n.thaw()
 		if n.isRunning && n.isIsolated {
 			n.isIsolated = false
 		}
 		n.uncordonedUntil = map[string]float64{}
 	}
-	for end := w.Now() + maxRecoverySeconds; w.Now() < end; {
-		live := false
-		for _, p := range w.committed().State.Plans {
-			for _, b := range p.Servers {
-				if b.Stage == maintenance.Lost {
-					w.submit(maintenance.Command{Kind: maintenance.SkipServer, Server: b.Name, Plan: p.Number, Agent: "operator"}, 10, func(maintenance.Reply) {})
-				}
-			}
-			if p.Ended {
-				continue
-			}
-			if live = true; p.PausedBy != "" {
-				w.submit(maintenance.Command{Kind: maintenance.ResumePlan, Plan: p.Number}, 10, func(maintenance.Reply) {})
+	for end := s.Now() + maxRecoverySeconds; s.Now() < end && s.resolvePlans(); {
+		s.releaseAbandoned()
+		s.Until(s.Now() + recoveryStep)
+	}
+	s.Until(s.Now() + 5)
+	s.checkEnd()
+}
+
+// resolvePlans skips Lost servers and resumes paused plans. It reports whether any plan goes on.
+func (s *Simulation) resolvePlans() (anyOngoing bool) {
+	ignore := func(maintenance.Reply) {}
+	for _, p := range s.committed().State.Plans {
+		for _, server := range p.Servers {
+			if server.Stage == maintenance.Lost {
+				s.submit(maintenance.Command{Kind: maintenance.SkipServer, Server: server.Name, Plan: p.Number, Agent: operator}, 10, ignore)
 			}
 		}
-		if !live {
-			break
+		if p.Ended {
+			continue
 		}
-		for _, b := range w.servers { // who had it is not told that it was given up: somebody sees to the box
-			if b.agent != nil && w.wasForced(b.name, b.token) {
-				b.agent, b.isDown = nil, false
-			}
+		anyOngoing = true
+		if p.PausedBy != "" {
+			s.submit(maintenance.Command{Kind: maintenance.ResumePlan, Plan: p.Number}, 10, ignore)
+		}
+	}
+	return anyOngoing
+}
+
+// releaseAbandoned ends the work on servers that were abandoned or forced; their agents are not notified of it.
+func (s *Simulation) releaseAbandoned() {
+	for _, server := range s.servers {
+		if server.agent != nil && s.wasForced(server.name, server.token) {
+			server.agent, server.isDown = nil, false
 		}
-		w.Until(w.Now() + 20)
 	}
-	w.Until(w.Now() + 5)
-	w.checkEnd()
 }
 
-func (w *Simulation) result(seed uint64) *Result {
-	return &Result{Seed: seed, Findings: w.findings, Hash: w.hash, Steps: w.Steps(), Counts: w.counts}
+func (s *Simulation) result(seed uint64) *Result {
+	return &Result{Seed: seed, Findings: s.findings, Hash: s.hash, Steps: s.Steps(), Counts: s.counts}
 }
 
-func (w *Simulation) uniform(a, b float64) float64 { return a + (b-a)*w.rng.Float64() }
+// uniform draws a number from a range.
+func (s *Simulation) uniform(from, to float64) float64 { return from + (to-from)*s.rng.Float64() }
 
-func (w *Simulation) chance(part float64) bool { return part > 0 && w.rng.Float64() < part }
+// chance draws whether something happens that has a probability. Without any it draws nothing.
+func (s *Simulation) chance(probability float64) bool {
+	return probability > 0 && s.rng.Float64() < probability
+}
 
-func (w *Simulation) latency() float64 { return w.uniform(0.001, 0.03) }
+// latency draws the latency of a message, in seconds.
+func (s *Simulation) latency() float64 { return s.uniform(0.001, 0.03) }
 
-// note adds to the history.
-func (w *Simulation) log(format string, args ...any) {
+// log adds a line to the history, which the hash is taken of.
+func (s *Simulation) log(format string, args ...any) {
 	h := fnv.New64a()
 	line := fmt.Sprintf(format, args...)
-	fmt.Fprintf(h, "%x %.9f %s", w.hash, w.Now(), line)
-	w.hash = h.Sum64()
-	if w.trace != nil {
-		w.trace(w.Now(), line)
+	_, _ = fmt.Fprintf(h, "%x %.9f %s", s.hash, s.Now(), line) // a hash takes everything
+	s.hash = h.Sum64()
+	if s.trace != nil {
+		s.trace(s.Now(), line)
 	}
 }
