--- a/internal/proxy/backendconn.go
+++ b/internal/proxy/backendconn.go
@@ -41,7 +41,7 @@
 
 // quiet tells whether a connection at rest is open and has nothing to read. Danger: bytes that came meanwhile belong to no
 // request of ours.
-func (c *backendConn) isQuiet() bool {
+func (c *backendConn) isReusable() bool {
 	if c.reader.Buffered() > 0 || !time.Now().Before(c.expiresAt) {
 		return false
 	}
--- a/internal/proxy/backendexchange.go
+++ b/internal/proxy/backendexchange.go
@@ -73,21 +73,21 @@
 }
 
 // finish ends an exchange whose body was read whole, and lets the connection rest if it may.
-func (x *backendExchange) finish(b *connPool, address string) {
+func (e *backendExchange) finish(pool *connPool, address string) {
 	// Danger: where the context has ended the connection may be given its last deadline at any moment.
-	if !x.detachContext() || x.response.Close || x.response.ContentLength < 0 && !isChunked(x.response) {
-		x.conn.Close()
+	if !e.detachContext() || e.response.Close || e.response.ContentLength < 0 && !isChunked(e.response) {
+		e.conn.Close()
 		return
 	}
-	x.conn.expiresAt = time.Now().Add(keepAliveTimeout(x.response.Header.Get("Keep-Alive")))
-	_ = x.conn.SetDeadline(time.Time{})
-	b.release(address, x.conn)
+	e.conn.expiresAt = time.Now().Add(keepAliveTimeout(e.response.Header.Get("Keep-Alive")))
+	_ = e.conn.SetDeadline(time.Time{})
+	pool.release(address, e.conn)
 }
 
 // abort ends an exchange whose answer is not wanted.
-func (x *backendExchange) abort() {
-	x.detachContext()
-	x.conn.Close()
+func (e *backendExchange) abort() {
+	e.detachContext()
+	e.conn.Close()
 }
 
 func isChunked(response *http.Response) bool {
--- a/internal/proxy/eventrelay.go
+++ b/internal/proxy/eventrelay.go
@@ -20,26 +20,26 @@
 var errClientGone = errors.New("the client is gone")
 
 // head writes the head of the first server's answer.
-func (s *eventRelay) writeHead(response *http.Response) {
-	if s.headWritten {
+func (r *eventRelay) writeHead(response *http.Response) {
+	if r.headWritten {
 		return
 	}
-	s.headWritten = true
-	copyResponseHeader(s.w, response)
-	s.w.WriteHeader(response.StatusCode)
+	r.headWritten = true
+	copyResponseHeader(r.w, response)
+	r.w.WriteHeader(response.StatusCode)
 }
 
 // event passes on one whole event.
-func (s *eventRelay) writeEvent(response *http.Response, event []byte) error {
-	s.writeHead(response)
-	if _, err := s.w.Write(event); err != nil {
+func (r *eventRelay) writeEvent(response *http.Response, event []byte) error {
+	r.writeHead(response)
+	if _, err := r.w.Write(event); err != nil {
 		return errClientGone
 	}
-	if err := s.control.Flush(); err != nil {
+	if err := r.control.Flush(); err != nil {
 		return errClientGone
 	}
 	if id := eventID(event); id != "" {
-		s.lastEventID = id
+		r.lastEventID = id
 	}
 	return nil
 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -46,23 +46,23 @@
 		http.Error(w, http.StatusText(status), status)
 		return
 	}
-	j := &proxyRequest{incoming: r, body: body, id: r.Header.Get(headerRequestID), route: route, service: drawService(route), arrivedAt: arrivedAt}
-	j.deadline = arrivedAt.Add(timeLimit(r, route))
-	ctx, cancel := context.WithDeadline(r.Context(), j.deadline)
+	req := &proxyRequest{incoming: r, body: body, id: r.Header.Get(headerRequestID), route: route, service: drawService(route), arrivedAt: arrivedAt}
+	req.deadline = arrivedAt.Add(timeLimit(r, route))
+	ctx, cancel := context.WithDeadline(r.Context(), req.deadline)
 	defer cancel()
-	_ = http.NewResponseController(w).SetWriteDeadline(j.deadline.Add(time.Second)) // connections without deadlines serve on without
+	_ = http.NewResponseController(w).SetWriteDeadline(req.deadline.Add(time.Second)) // connections without deadlines serve on without
 	servesModel := false
-	p.state.withService(j.service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
+	p.state.withService(req.service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
 		if pool != nil {
 			pool.Budget.RecordRequest(now)
 			servesModel = pool.Engine.IsPresent
 		}
 	})
 	if route.Kind == routeconfig.Streaming {
-		p.serveStream(ctx, w, j, servesModel)
+		p.serveStream(ctx, w, req, servesModel)
 		return
 	}
-	p.serveUnary(ctx, w, j)
+	p.serveUnary(ctx, w, req)
 }
 
 // awaitRoutes returns the table in force. A proxy that has just begun is told within a moment; until then requests wait, since
@@ -88,16 +88,16 @@
 }
 
 // fail ends a request that brought no answer.
-func (p *Proxy) respondFailure(ctx context.Context, w http.ResponseWriter, j *proxyRequest) {
+func (p *Proxy) respondFailure(ctx context.Context, w http.ResponseWriter, req *proxyRequest) {
 	switch {
-	case j.possibleExecutions == 0 && (ctx.Err() == nil || j.remaining() <= 0):
-		p.stats.countUnserved(j.service, func(counts *unservedCounts) { counts.Rejected++ })
+	case req.possibleExecutions == 0 && (ctx.Err() == nil || req.remaining() <= 0):
+		p.stats.countUnserved(req.service, func(counts *unservedCounts) { counts.Rejected++ })
 		respondUnavailable(w, retryAfterSeconds)
-	case j.remaining() <= 0:
-		p.stats.countUnserved(j.service, func(counts *unservedCounts) { counts.TimedOut++ })
+	case req.remaining() <= 0:
+		p.stats.countUnserved(req.service, func(counts *unservedCounts) { counts.TimedOut++ })
 		http.Error(w, "out of time", http.StatusGatewayTimeout)
 	default:
-		p.stats.countUnserved(j.service, func(counts *unservedCounts) { counts.BackendFailed++ })
+		p.stats.countUnserved(req.service, func(counts *unservedCounts) { counts.BackendFailed++ })
 		http.Error(w, "the server broke off", http.StatusBadGateway)
 	}
 }
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -60,7 +60,7 @@
 }
 
 // encodeRequest writes a client's request as it goes to a server, with fields set in place of the client's.
-func encodeRequest(r *http.Request, body []byte, left time.Duration, set ...headerField) []byte {
+func encodeRequest(r *http.Request, body []byte, remaining time.Duration, set ...headerField) []byte {
 	target := r.RequestURI
 	if !strings.HasPrefix(target, "/") {
 		target = r.URL.RequestURI()
@@ -68,7 +68,7 @@
 	var out strings.Builder
 	out.Grow(len(body) + 1024)
 	out.WriteString(r.Method + " " + target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	set = append(set, headerField{headerDeadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10)})
+	set = append(set, headerField{headerDeadline, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10)})
 	for name, values := range r.Header {
 		if !isForwarded(name, r.Header, set) {
 			continue
@@ -108,14 +108,14 @@
 
 // serverLoad reads "running,waiting,slots".
 func parseServerLoad(header http.Header) (running, waiting int, ok bool) {
-	pieces := strings.Split(header.Get(headerServerLoad), ",")
-	if len(pieces) != 3 {
+	figures := strings.Split(header.Get(headerServerLoad), ",")
+	if len(figures) != 3 {
 		return 0, 0, false
 	}
-	running, err := strconv.Atoi(strings.TrimSpace(pieces[0]))
+	running, err := strconv.Atoi(strings.TrimSpace(figures[0]))
 	if err != nil {
 		return 0, 0, false
 	}
-	waiting, err = strconv.Atoi(strings.TrimSpace(pieces[1]))
+	waiting, err = strconv.Atoi(strings.TrimSpace(figures[1]))
 	return running, waiting, err == nil
 }
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -55,43 +55,43 @@
 			}
 		}
 	})
-	for _, target := range due {
-		go p.checkEndpoint(ctx, target)
+	for _, check := range due {
+		go p.checkEndpoint(ctx, check)
 	}
 }
 
 // probeOne takes an answer of 200 of the instance that is meant for a sign of life; nothing else is.
-func (p *Proxy) checkEndpoint(ctx context.Context, target healthCheck) {
+func (p *Proxy) checkEndpoint(ctx context.Context, check healthCheck) {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	header, status := p.requestHealth(ctx, target)
+	header, status := p.requestHealth(ctx, check)
 	p.state.withLock(func(now float64) {
 		instance := header.Get(headerInstanceID)
-		target.endpoint.RecordIdentity(instance)
-		alive := status == http.StatusOK && (instance == "" || instance == target.id)
+		check.endpoint.RecordIdentity(instance)
+		alive := status == http.StatusOK && (instance == "" || instance == check.id)
 		if running, waiting, ok := parseServerLoad(header); ok {
-			target.endpoint.RecordLoad(now, running, waiting)
+			check.endpoint.RecordLoad(now, running, waiting)
 		}
-		target.endpoint.RecordProbe(now, alive)
+		check.endpoint.RecordProbe(now, alive)
 	})
 }
 
-func (p *Proxy) requestHealth(ctx context.Context, target healthCheck) (http.Header, int) {
-	conn, err := p.conns.get(ctx, target.address, "")
+func (p *Proxy) requestHealth(ctx context.Context, check healthCheck) (http.Header, int) {
+	conn, err := p.conns.get(ctx, check.address, "")
 	if err != nil {
 		return nil, 0
 	}
-	exchanged, err := requestHealthOn(ctx, conn, target)
+	exchanged, err := requestHealthOn(ctx, conn, check)
 	if err != nil {
 		return nil, 0
 	}
-	exchanged.finish(p.conns, target.address)
+	exchanged.finish(p.conns, check.address)
 	return exchanged.response.Header, exchanged.response.StatusCode
 }
 
 // askHealthOn asks for a server's health on a connection, and reads the whole answer. Where that fails the connection is closed.
-func requestHealthOn(ctx context.Context, conn *backendConn, target healthCheck) (*backendExchange, error) {
-	request := "GET " + target.healthPath + " HTTP/1.1\r\nHost: " + target.host + "\r\n\r\n"
+func requestHealthOn(ctx context.Context, conn *backendConn, check healthCheck) (*backendExchange, error) {
+	request := "GET " + check.healthPath + " HTTP/1.1\r\nHost: " + check.host + "\r\n\r\n"
 	exchanged, _, err := sendRequest(ctx, conn, http.MethodGet, "", []byte(request))
 	if err != nil {
 		return nil, err
@@ -106,20 +106,20 @@
 // tryNew asks for a server's health on a new connection before a request that may run once goes over it, where the service has few
 // connections. Danger: a server accepts what goes beyond its MaxConnections and resets it a moment later, so that a request on it may have
 // run. That happens after processes have lost power, whose connections servers keep for a while. It returns whether the connection is good.
-func (p *Proxy) verifyNewConn(ctx context.Context, j *proxyRequest, endpoint *placement.Endpoint, conn *backendConn) bool {
-	if conn.hasCarried || j.route.Kind == routeconfig.Idempotent {
+func (p *Proxy) verifyNewConn(ctx context.Context, req *proxyRequest, endpoint *placement.Endpoint, conn *backendConn) bool {
+	if conn.hasCarried || req.route.Kind == routeconfig.Idempotent {
 		return true
 	}
-	target, scarce := healthCheck{host: j.service}, false
-	p.state.withService(j.service, func(_ float64, pool *placement.Pool, _ *placement.Planner) {
-		if service := p.state.table.services[j.service]; service != nil && pool != nil {
-			target.healthPath, scarce = service.HealthPath, pool.HasFewConnections()
+	check, scarce := healthCheck{host: req.service}, false
+	p.state.withService(req.service, func(_ float64, pool *placement.Pool, _ *placement.Planner) {
+		if service := p.state.table.services[req.service]; service != nil && pool != nil {
+			check.healthPath, scarce = service.HealthPath, pool.HasFewConnections()
 		}
 	})
-	if !scarce || target.healthPath == "" {
+	if !scarce || check.healthPath == "" {
 		return true
 	}
-	exchanged, err := requestHealthOn(ctx, conn, target)
+	exchanged, err := requestHealthOn(ctx, conn, check)
 	if err != nil {
 		return false
 	}
--- a/internal/proxy/kvcache.go
+++ b/internal/proxy/kvcache.go
@@ -42,8 +42,8 @@
 
 // refused tells that a server did not run the request that names the cache. The first time the cache may still be there, as
 // where the server was full; after that it is given up.
-func (h *kvCache) handleRejection(response *http.Response) {
-	if h.rejections++; h.rejections > 1 || !isNotExecuted(response) {
-		h.handle = ""
+func (c *kvCache) handleRejection(response *http.Response) {
+	if c.rejections++; c.rejections > 1 || !isNotExecuted(response) {
+		c.handle = ""
 	}
 }
--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -13,18 +13,18 @@
 
 // readsAgain tells whether a prompt may be read at another server after a reading that ended so. Nothing counts until a server has taken it
 // up. A refusal counts as an arrival, and a reading that was lost as an attempt as well.
-func (p *Proxy) retriesPrefill(j *proxyRequest, result outcome) bool {
+func (p *Proxy) retriesPrefill(req *proxyRequest, result outcome) bool {
 	switch result {
 	case outcomeNotSent:
 		return true
 	case outcomeNotExecuted:
-		return p.spendRetryBudget(j)
+		return p.spendRetryBudget(req)
 	case outcomeMayHaveExecuted:
-		if j.possibleExecutions+1 >= j.route.MaxAttempts || !p.spendRetryBudget(j) {
+		if req.possibleExecutions+1 >= req.route.MaxAttempts || !p.spendRetryBudget(req) {
 			return false
 		}
-		j.deliveredAttempts++
-		j.possibleExecutions++
+		req.deliveredAttempts++
+		req.possibleExecutions++
 		return true
 	default:
 		return false
@@ -32,21 +32,21 @@
 }
 
 // readPrompt has a prompt read and returns the handle of its cache, "" if that failed, and how far it came.
-func (p *Proxy) prefill(ctx context.Context, j *proxyRequest, server *placement.Endpoint, prompt *placement.Prompt) (string, outcome) {
-	var reading *placement.Prefill
-	p.state.withService(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
+func (p *Proxy) prefill(ctx context.Context, req *proxyRequest, server *placement.Endpoint, prompt *placement.Prompt) (string, outcome) {
+	var prefill *placement.Prefill
+	p.state.withService(req.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		if planner != nil {
-			reading = planner.StartPrefill(now, server, prompt)
+			prefill = planner.StartPrefill(now, server, prompt)
 		}
 	})
-	timeout := time.Duration(prefillTimeoutFactor * j.route.LatencyTargetMs * float64(time.Millisecond))
-	readCtx, cancel := context.WithTimeout(ctx, timeout)
+	timeout := time.Duration(prefillTimeoutFactor * req.route.LatencyTargetMs * float64(time.Millisecond))
+	prefillCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	handle, result := p.sendPrefill(readCtx, j, server)
-	p.state.withService(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
+	handle, result := p.sendPrefill(prefillCtx, req, server)
+	p.state.withService(req.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		server.FinishRequest()
-		if planner != nil && reading != nil {
-			planner.FinishPrefill(now, server, reading, result == outcomeAnswered)
+		if planner != nil && prefill != nil {
+			planner.FinishPrefill(now, server, prefill, result == outcomeAnswered)
 		}
 		switch {
 		case result == outcomeAnswered:
@@ -56,7 +56,7 @@
 		}
 	})
 	if result == outcomeNotExecuted {
-		j.deliveredAttempts++ // one that was turned away counts
+		req.deliveredAttempts++ // one that was turned away counts
 	}
 	return handle, result
 }
@@ -65,10 +65,10 @@
 	KvHandle string `json:"KvHandle"`
 }
 
-func (p *Proxy) sendPrefill(ctx context.Context, j *proxyRequest, server *placement.Endpoint) (string, outcome) {
-	request := encodeRequest(j.incoming, j.body, j.remaining(), headerField{headerExpectInstance, server.ID}, headerField{headerServingStage, stagePrefill},
-		headerField{headerPriority, priorityValue(j)})
-	exchanged, result := p.roundTrip(ctx, j, server, request)
+func (p *Proxy) sendPrefill(ctx context.Context, req *proxyRequest, server *placement.Endpoint) (string, outcome) {
+	request := encodeRequest(req.incoming, req.body, req.remaining(), headerField{headerExpectInstance, server.ID}, headerField{headerServingStage, stagePrefill},
+		headerField{headerPriority, priorityValue(req)})
+	exchanged, result := p.roundTrip(ctx, req, server, request)
 	if result != outcomeAnswered {
 		return "", result
 	}
@@ -88,6 +88,6 @@
 	return server.Address + "/" + response.KvHandle, outcomeAnswered
 }
 
-func priorityValue(j *proxyRequest) string {
-	return strconv.Itoa(min(max(j.route.Priority, 0), maxPriority))
+func priorityValue(req *proxyRequest) string {
+	return strconv.Itoa(min(max(req.route.Priority, 0), maxPriority))
 }
--- a/internal/proxy/proxyrequest.go
+++ b/internal/proxy/proxyrequest.go
@@ -32,7 +32,7 @@
 }
 
 // left is the time that remains.
-func (j *proxyRequest) remaining() time.Duration { return time.Until(j.deadline) }
+func (req *proxyRequest) remaining() time.Duration { return time.Until(req.deadline) }
 
 // readBody returns the whole body, or the status with which it is turned away.
 func readBody(w http.ResponseWriter, r *http.Request, limits routeconfig.Limits) ([]byte, int) {
--- a/internal/proxy/requeststats.go
+++ b/internal/proxy/requeststats.go
@@ -31,26 +31,26 @@
 }
 
 // stream counts a stream that was served.
-func (o *requestStats) countStream(j *proxyRequest) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	counts := o.streams[j.route.Name]
+func (s *requestStats) countStream(req *proxyRequest) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	counts := s.streams[req.route.Name]
 	if counts == nil {
 		counts = &streamCounts{}
-		o.streams[j.route.Name] = counts
+		s.streams[req.route.Name] = counts
 	}
-	counts.add(j.route, j.arrivedAt, &j.timing)
+	counts.add(req.route, req.arrivedAt, &req.timing)
 }
 
 // dueStreams returns the counts of streams once it is time for a line, nil before.
-func (o *requestStats) takeDueStreams(now time.Time) map[string]*streamCounts {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.streams) == 0 || now.Sub(o.streamsLoggedAt) < unservedLogInterval {
+func (s *requestStats) takeDueStreams(now time.Time) map[string]*streamCounts {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.streams) == 0 || now.Sub(s.streamsLoggedAt) < unservedLogInterval {
 		return nil
 	}
-	counts := o.streams
-	o.streams, o.streamsLoggedAt = map[string]*streamCounts{}, now
+	counts := s.streams
+	s.streams, s.streamsLoggedAt = map[string]*streamCounts{}, now
 	return counts
 }
 
@@ -78,49 +78,49 @@
 }
 
 // count adds to what is counted for a service.
-func (o *requestStats) countUnserved(service string, add func(counts *unservedCounts)) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	counts := o.unserved[service]
+func (s *requestStats) countUnserved(service string, add func(counts *unservedCounts)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	counts := s.unserved[service]
 	add(&counts)
-	o.unserved[service] = counts
+	s.unserved[service] = counts
 }
 
 // due returns the counts once it is time for a line, nil before.
-func (o *requestStats) takeDueUnserved(now time.Time) map[string]unservedCounts {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.unserved) == 0 || now.Sub(o.unservedLoggedAt) < unservedLogInterval {
+func (s *requestStats) takeDueUnserved(now time.Time) map[string]unservedCounts {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.unserved) == 0 || now.Sub(s.unservedLoggedAt) < unservedLogInterval {
 		return nil
 	}
-	counts := o.unserved
-	o.unserved, o.unservedLoggedAt = map[string]unservedCounts{}, now
+	counts := s.unserved
+	s.unserved, s.unservedLoggedAt = map[string]unservedCounts{}, now
 	return counts
 }
 
 // logUnserved tells how many requests were not served, and why the servers of their services were not chosen.
 func (p *Proxy) logUnserved(now time.Time) {
 	for service, counts := range p.stats.takeDueUnserved(now) {
-		var standing placement.Status
+		var status placement.Status
 		p.state.withService(service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
 			if pool != nil {
-				standing = pool.Status(now)
+				status = pool.Status(now)
 			}
 		})
 		p.log.WithField("service", service).WithField("refused", counts.Rejected).WithField("broken_off", counts.BackendFailed).
-			WithField("out_of_time", counts.TimedOut).WithField("listed", standing.Listed).WithField("draining", standing.Draining).
-			WithField("switching", standing.Switching).WithField("members", standing.Members).WithField("free", standing.Available).
-			WithField("misplaced", standing.WrongInstance).WithField("cooling", standing.Ejected).WithField("full", standing.Full).
-			WithField("suspected", standing.Suspected).Warn("requests not served")
+			WithField("out_of_time", counts.TimedOut).WithField("listed", status.Listed).WithField("draining", status.Draining).
+			WithField("switching", status.Switching).WithField("members", status.Members).WithField("free", status.Available).
+			WithField("misplaced", status.WrongInstance).WithField("cooling", status.Ejected).WithField("full", status.Full).
+			WithField("suspected", status.Suspected).Warn("requests not served")
 	}
 }
 
 // logMisdirected tells of a server that turned a request away as not its own, and which of the system's fields the client had sent.
-func (p *Proxy) logMisdirected(j *proxyRequest, endpoint *placement.Endpoint, response *http.Response) {
+func (p *Proxy) logMisdirected(req *proxyRequest, endpoint *placement.Endpoint, response *http.Response) {
 	p.stats.misdirectedLog.Do(func() {
 		p.log.WithField("server", endpoint.ID).WithField("address", endpoint.Address).WithField("stage", endpoint.Stage).
-			WithField("request", j.id).WithField("answered_by", response.Header.Get(headerInstanceID)).
-			WithField("client_fields", sentReservedHeaders(j.incoming.Header)).Warn("misdirected")
+			WithField("request", req.id).WithField("answered_by", response.Header.Get(headerInstanceID)).
+			WithField("client_fields", sentReservedHeaders(req.incoming.Header)).Warn("misdirected")
 	})
 }
 
--- a/internal/proxy/routetable.go
+++ b/internal/proxy/routetable.go
@@ -18,17 +18,17 @@
 }
 
 func newRouteTable(table *routeconfig.Table) *routeTable {
-	t := &routeTable{version: table.Version, limits: table.Limits, services: map[string]*routeconfig.Service{}}
+	routes := &routeTable{version: table.Version, limits: table.Limits, services: map[string]*routeconfig.Service{}}
 	txn := iradix.New[*routeconfig.Route]().Txn()
 	for i := range table.Routes {
 		route := &table.Routes[i]
 		txn.Insert([]byte(routeKey(route.Host, route.PathPrefix)), route)
 	}
-	t.byPlace = txn.Commit()
+	routes.byPlace = txn.Commit()
 	for i := range table.Services {
-		t.services[table.Services[i].Name] = &table.Services[i]
+		routes.services[table.Services[i].Name] = &table.Services[i]
 	}
-	return t
+	return routes
 }
 
 // placeKey joins a host and a path. No host holds a zero byte, so none is the beginning of another.
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -24,32 +24,32 @@
 )
 
 // stream serves a request whose answer is a series of events.
-func (p *Proxy) serveStream(ctx context.Context, w http.ResponseWriter, j *proxyRequest, engine bool) {
-	out := &eventRelay{w: w, control: http.NewResponseController(w)}
-	defer func() { p.releaseKVHandle(j.cache.handle) }()
-	prompt := promptFromRequest(j.incoming, j.route)
+func (p *Proxy) serveStream(ctx context.Context, w http.ResponseWriter, req *proxyRequest, servesModel bool) {
+	relay := &eventRelay{w: w, control: http.NewResponseController(w)}
+	defer func() { p.releaseKVHandle(req.cache.handle) }()
+	prompt := promptFromRequest(req.incoming, req.route)
 	for range maxAttemptsPerRequest {
-		if !p.chargeAttempt(j) {
+		if !p.chargeAttempt(req) {
 			break
 		}
 		done := false
-		if engine {
-			done = p.attemptPrompt(ctx, out, j, &prompt)
-		} else if endpoint := p.pickEndpoint(ctx, j); endpoint != nil {
-			done = p.attemptStream(ctx, out, j, streamAttempt{endpoint: endpoint})
+		if servesModel {
+			done = p.attemptPrompt(ctx, relay, req, &prompt)
+		} else if endpoint := p.pickEndpoint(ctx, req); endpoint != nil {
+			done = p.attemptStream(ctx, relay, req, streamAttempt{endpoint: endpoint})
 		}
 		if done {
 			return
 		}
-		if !j.lastOutcome.allowsRetry(j.route) || j.possibleExecutions >= j.route.MaxAttempts || ctx.Err() != nil {
+		if !req.lastOutcome.allowsRetry(req.route) || req.possibleExecutions >= req.route.MaxAttempts || ctx.Err() != nil {
 			break
 		}
 	}
-	if out.headWritten {
+	if relay.headWritten {
 		// Danger: an answer that ends here must not look complete.
 		panic(http.ErrAbortHandler)
 	}
-	p.respondFailure(ctx, w, j)
+	p.respondFailure(ctx, w, req)
 }
 
 // run is one try to have a stream made.
@@ -60,40 +60,40 @@
 }
 
 // runPrompt chooses servers for a prompt, has it read and its answer made. It returns whether the client has its answer.
-func (p *Proxy) attemptPrompt(ctx context.Context, out *eventRelay, j *proxyRequest, prompt *placement.Prompt) bool {
-	if j.cache.handle != "" {
-		return p.attemptDecode(ctx, out, j, prompt)
+func (p *Proxy) attemptPrompt(ctx context.Context, relay *eventRelay, req *proxyRequest, prompt *placement.Prompt) bool {
+	if req.cache.handle != "" {
+		return p.attemptDecode(ctx, relay, req, prompt)
 	}
-	separately := j.deliveredAttempts == 0 && !out.headWritten
-	excluded := slices.Clone(j.triedEndpoints)
+	separately := req.deliveredAttempts == 0 && !relay.headWritten
+	excluded := slices.Clone(req.triedEndpoints)
 	for attempt := 1; attempt <= maxPrefillAttempts; attempt++ {
-		plan, found := p.planPrompt(ctx, j, prompt, excluded, separately)
+		plan, found := p.planPrompt(ctx, req, prompt, excluded, separately)
 		if !found {
-			j.lastOutcome = outcomeNotSent
+			req.lastOutcome = outcomeNotSent
 			return false
 		}
 		if plan.PrefillServer == nil {
-			return p.attemptStream(ctx, out, j, streamAttempt{endpoint: plan.DecodeServer, prompt: prompt})
+			return p.attemptStream(ctx, relay, req, streamAttempt{endpoint: plan.DecodeServer, prompt: prompt})
 		}
-		handle, result := p.prefill(ctx, j, plan.PrefillServer, prompt)
-		j.cache, j.timing.prefilledAt = kvCache{handle: handle, zone: plan.PrefillServer.Zone}, time.Now()
+		handle, result := p.prefill(ctx, req, plan.PrefillServer, prompt)
+		req.cache, req.timing.prefilledAt = kvCache{handle: handle, zone: plan.PrefillServer.Zone}, time.Now()
 		if ctx.Err() != nil {
-			j.lastOutcome = outcomeCanceled
+			req.lastOutcome = outcomeCanceled
 			return false
 		}
 		// Danger: to ask whether it is read again spends of the budget, which the last one must not.
-		if attempt == maxPrefillAttempts || !p.retriesPrefill(j, result) {
+		if attempt == maxPrefillAttempts || !p.retriesPrefill(req, result) {
 			break
 		}
 		// Reading it beside answers would hold these up for a server that is merely gone or changing.
 		excluded = append(excluded, plan.PrefillServer)
 	}
-	return p.attemptDecode(ctx, out, j, prompt)
+	return p.attemptDecode(ctx, relay, req, prompt)
 }
 
 // place chooses servers for a prompt and counts it at the one that is asked first.
-func (p *Proxy) planPrompt(ctx context.Context, j *proxyRequest, prompt *placement.Prompt, excluded []*placement.Endpoint, separately bool) (plan placement.Plan, found bool) {
-	found = p.awaitPlacement(ctx, j, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
+func (p *Proxy) planPrompt(ctx context.Context, req *proxyRequest, prompt *placement.Prompt, excluded []*placement.Endpoint, separately bool) (plan placement.Plan, found bool) {
+	found = p.awaitPlacement(ctx, req, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
 		chosen, ok := planner.PlanPrompt(now, prompt, excluded, separately)
 		if !ok {
 			return false
@@ -109,75 +109,75 @@
 }
 
 // runRead has an answer made of the cache that was read, or without one where reading failed. Its server is chosen only now.
-func (p *Proxy) attemptDecode(ctx context.Context, out *eventRelay, j *proxyRequest, prompt *placement.Prompt) bool {
+func (p *Proxy) attemptDecode(ctx context.Context, relay *eventRelay, req *proxyRequest, prompt *placement.Prompt) bool {
 	var server *placement.Endpoint
-	p.awaitPlacement(ctx, j, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
-		if server = planner.PickDecodeServer(now, j.cache.zone, j.triedEndpoints); server != nil {
+	p.awaitPlacement(ctx, req, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
+		if server = planner.PickDecodeServer(now, req.cache.zone, req.triedEndpoints); server != nil {
 			server.StartRequest()
 		}
 		return server != nil
 	})
 	if server == nil {
-		j.lastOutcome = outcomeNotSent
+		req.lastOutcome = outcomeNotSent
 		return false
 	}
-	return p.attemptStream(ctx, out, j, streamAttempt{endpoint: server, prompt: prompt})
+	return p.attemptStream(ctx, relay, req, streamAttempt{endpoint: server, prompt: prompt})
 }
 
 // runStream has an answer made and passes it on. It returns whether the client has its answer, else j.last says why not.
-func (p *Proxy) attemptStream(ctx context.Context, out *eventRelay, j *proxyRequest, attempt streamAttempt) bool {
-	fields := []headerField{{headerExpectInstance, attempt.endpoint.ID}, {headerPriority, priorityValue(j)}}
-	handle := j.cache.handle
+func (p *Proxy) attemptStream(ctx context.Context, relay *eventRelay, req *proxyRequest, attempt streamAttempt) bool {
+	fields := []headerField{{headerExpectInstance, attempt.endpoint.ID}, {headerPriority, priorityValue(req)}}
+	handle := req.cache.handle
 	if handle != "" {
 		fields = append(fields, headerField{headerKVFrom, handle})
 	}
-	if out.lastEventID != "" {
-		fields = append(fields, headerField{headerLastEventID, out.lastEventID})
+	if relay.lastEventID != "" {
+		fields = append(fields, headerField{headerLastEventID, relay.lastEventID})
 	}
-	p.startPrefill(j, &attempt)
+	p.startPrefill(req, &attempt)
 	if attempt.prompt != nil {
 		p.state.withLock(func(float64) { attempt.endpoint.StartDecode(attempt.prompt) })
 		defer p.state.withLock(func(float64) { attempt.endpoint.FinishDecode(attempt.prompt) })
 	}
-	exchanged, result := p.roundTrip(ctx, j, attempt.endpoint, encodeRequest(j.incoming, j.body, j.remaining(), fields...))
+	exchanged, result := p.roundTrip(ctx, req, attempt.endpoint, encodeRequest(req.incoming, req.body, req.remaining(), fields...))
 	if result != outcomeAnswered {
-		p.finishPrefill(j, &attempt, false)
+		p.finishPrefill(req, &attempt, false)
 		if result != outcomeNotSent {
-			j.cache.handle = "" // it may have been taken
+			req.cache.handle = "" // it may have been taken
 		}
-		p.recordOutcome(ctx, j, attempt.endpoint, result)
+		p.recordOutcome(ctx, req, attempt.endpoint, result)
 		return false
 	}
 	if exchanged.response.StatusCode != http.StatusOK {
-		p.finishPrefill(j, &attempt, false)
-		j.cache.handleRejection(exchanged.response)
-		return p.forwardFailure(ctx, out, j, attempt.endpoint, exchanged)
+		p.finishPrefill(req, &attempt, false)
+		req.cache.handleRejection(exchanged.response)
+		return p.forwardFailure(ctx, relay, req, attempt.endpoint, exchanged)
 	}
-	j.cache.handle = ""
-	result = p.forwardEvents(out, j, &attempt, exchanged)
+	req.cache.handle = ""
+	result = p.forwardEvents(relay, req, &attempt, exchanged)
 	if result == outcomeAnswered {
-		p.stats.countStream(j)
+		p.stats.countStream(req)
 	}
-	p.recordOutcome(ctx, j, attempt.endpoint, result)
+	p.recordOutcome(ctx, req, attempt.endpoint, result)
 	return result == outcomeAnswered
 }
 
-func (p *Proxy) startPrefill(j *proxyRequest, attempt *streamAttempt) {
-	if attempt.prompt == nil || j.cache.handle != "" {
+func (p *Proxy) startPrefill(req *proxyRequest, attempt *streamAttempt) {
+	if attempt.prompt == nil || req.cache.handle != "" {
 		return
 	}
-	p.state.withService(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
+	p.state.withService(req.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		if planner != nil {
 			attempt.prefill = planner.StartPrefill(now, attempt.endpoint, attempt.prompt)
 		}
 	})
 }
 
-func (p *Proxy) finishPrefill(j *proxyRequest, attempt *streamAttempt, succeeded bool) {
+func (p *Proxy) finishPrefill(req *proxyRequest, attempt *streamAttempt, succeeded bool) {
 	if attempt.prefill == nil {
 		return
 	}
-	p.state.withService(j.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
+	p.state.withService(req.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
 		if planner != nil {
 			planner.FinishPrefill(now, attempt.endpoint, attempt.prefill, succeeded)
 		}
@@ -186,7 +186,7 @@
 }
 
 // passFailure passes on an answer that is no stream, where it may be.
-func (p *Proxy) forwardFailure(ctx context.Context, out *eventRelay, j *proxyRequest, endpoint *placement.Endpoint, exchanged *backendExchange) bool {
+func (p *Proxy) forwardFailure(ctx context.Context, relay *eventRelay, req *proxyRequest, endpoint *placement.Endpoint, exchanged *backendExchange) bool {
 	body, err := io.ReadAll(io.LimitReader(exchanged.response.Body, maxResponseBytes))
 	result := outcomeMayHaveExecuted
 	if err == nil && hasDelimitedBody(exchanged.response) {
@@ -195,44 +195,44 @@
 	} else {
 		exchanged.abort()
 	}
-	retries := j.route.Resumable && j.possibleExecutions+1 < j.route.MaxAttempts
-	if result != outcomeAnswered || out.headWritten || retries {
+	retries := req.route.Resumable && req.possibleExecutions+1 < req.route.MaxAttempts
+	if result != outcomeAnswered || relay.headWritten || retries {
 		if result == outcomeAnswered {
 			result = outcomeMayHaveExecuted
 		}
-		p.recordOutcome(ctx, j, endpoint, result)
+		p.recordOutcome(ctx, req, endpoint, result)
 		return false
 	}
-	p.recordOutcome(ctx, j, endpoint, outcomeAnswered)
-	out.writeHead(exchanged.response)
-	_, _ = out.w.Write(body) // a client that is gone needs none
+	p.recordOutcome(ctx, req, endpoint, outcomeAnswered)
+	relay.writeHead(exchanged.response)
+	_, _ = relay.w.Write(body) // a client that is gone needs none
 	return true
 }
 
 // passEvents passes events on until the stream ends. Only whole events go out.
-func (p *Proxy) forwardEvents(out *eventRelay, j *proxyRequest, attempt *streamAttempt, exchanged *backendExchange) outcome {
+func (p *Proxy) forwardEvents(relay *eventRelay, req *proxyRequest, attempt *streamAttempt, exchanged *backendExchange) outcome {
 	if !hasDelimitedBody(exchanged.response) || exchanged.response.Header.Get(headerStamp) == "" || exchanged.response.Header.Get("Content-Encoding") != "" {
 		exchanged.abort()
-		p.finishPrefill(j, attempt, false)
+		p.finishPrefill(req, attempt, false)
 		return outcomeMayHaveExecuted
 	}
 	in := bufio.NewReaderSize(exchanged.response.Body, eventBufferSize)
 	for {
 		event, err := readEvent(in)
-		p.finishPrefill(j, attempt, err == nil)
+		p.finishPrefill(req, attempt, err == nil)
 		if err != nil && !errors.Is(err, io.EOF) {
 			exchanged.abort()
 			return outcomeMayHaveExecuted
 		}
 		if len(event) > 0 {
-			if writeErr := out.writeEvent(exchanged.response, event); writeErr != nil {
+			if writeErr := relay.writeEvent(exchanged.response, event); writeErr != nil {
 				exchanged.abort()
 				return outcomeCanceled
 			}
-			j.timing.recordEvent(time.Now())
+			req.timing.recordEvent(time.Now())
 		}
 		if err != nil {
-			out.writeHead(exchanged.response)
+			relay.writeHead(exchanged.response)
 			exchanged.finish(p.conns, attempt.endpoint.Address)
 			return outcomeAnswered
 		}
--- a/internal/proxy/streamtiming.go
+++ b/internal/proxy/streamtiming.go
@@ -37,17 +37,17 @@
 const latePrefillFraction = 0.5
 
 // add counts a stream of a route that was served.
-func (c *streamCounts) add(route *routeconfig.Route, arrived time.Time, times *streamTiming) {
+func (c *streamCounts) add(route *routeconfig.Route, arrivedAt time.Time, timing *streamTiming) {
 	c.Served++
 	target := nodeconfig.FromMillis(route.LatencyTargetMs)
 	switch {
-	case target > 0 && times.firstEventAt.Sub(arrived) > target:
-		if !times.prefilledAt.IsZero() && float64(times.prefilledAt.Sub(arrived)) > latePrefillFraction*float64(target) {
+	case target > 0 && timing.firstEventAt.Sub(arrivedAt) > target:
+		if !timing.prefilledAt.IsZero() && float64(timing.prefilledAt.Sub(arrivedAt)) > latePrefillFraction*float64(target) {
 			c.LatePrefill++
 		} else {
 			c.LateFirstEvent++
 		}
-	case route.TokenGapTargetMs > 0 && times.longestGap > nodeconfig.FromMillis(route.TokenGapTargetMs):
+	case route.TokenGapTargetMs > 0 && timing.longestGap > nodeconfig.FromMillis(route.TokenGapTargetMs):
 		c.LateGap++
 	}
 }
--- a/internal/proxy/unary.go
+++ b/internal/proxy/unary.go
@@ -11,16 +11,16 @@
 )
 
 // plain serves a request whose answer is short.
-func (p *Proxy) serveUnary(ctx context.Context, w http.ResponseWriter, j *proxyRequest) {
+func (p *Proxy) serveUnary(ctx context.Context, w http.ResponseWriter, req *proxyRequest) {
 	for range maxAttemptsPerRequest {
-		if !p.chargeAttempt(j) {
+		if !p.chargeAttempt(req) {
 			break
 		}
-		endpoint := p.pickEndpoint(ctx, j)
+		endpoint := p.pickEndpoint(ctx, req)
 		if endpoint == nil {
 			break
 		}
-		response, body := p.attemptUnary(ctx, j, endpoint)
+		response, body := p.attemptUnary(ctx, req, endpoint)
 		if response != nil {
 			copyResponseHeader(w, response)
 			w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -28,37 +28,37 @@
 			_, _ = w.Write(body) // a client that is gone needs none
 			return
 		}
-		if !j.lastOutcome.allowsRetry(j.route) || j.possibleExecutions >= j.route.MaxAttempts || ctx.Err() != nil {
+		if !req.lastOutcome.allowsRetry(req.route) || req.possibleExecutions >= req.route.MaxAttempts || ctx.Err() != nil {
 			break
 		}
 	}
-	p.respondFailure(ctx, w, j)
+	p.respondFailure(ctx, w, req)
 }
 
 // attempt sends a request to a server and reads the whole answer. Without an answer for the client, j.last says why.
-func (p *Proxy) attemptUnary(ctx context.Context, j *proxyRequest, endpoint *placement.Endpoint) (*http.Response, []byte) {
-	exchanged, result := p.roundTrip(ctx, j, endpoint, encodeRequest(j.incoming, j.body, j.remaining(), headerField{headerExpectInstance, endpoint.ID}))
+func (p *Proxy) attemptUnary(ctx context.Context, req *proxyRequest, endpoint *placement.Endpoint) (*http.Response, []byte) {
+	exchanged, result := p.roundTrip(ctx, req, endpoint, encodeRequest(req.incoming, req.body, req.remaining(), headerField{headerExpectInstance, endpoint.ID}))
 	if result != outcomeAnswered {
-		p.recordOutcome(ctx, j, endpoint, result)
+		p.recordOutcome(ctx, req, endpoint, result)
 		return nil, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(exchanged.response.Body, maxResponseBytes))
 	if err != nil || !hasDelimitedBody(exchanged.response) {
 		exchanged.abort()
-		p.recordOutcome(ctx, j, endpoint, outcomeMayHaveExecuted)
+		p.recordOutcome(ctx, req, endpoint, outcomeMayHaveExecuted)
 		return nil, nil
 	}
 	exchanged.finish(p.conns, endpoint.Address)
 	result = classifyResponse(exchanged.response)
 	isServerError := exchanged.response.StatusCode >= http.StatusInternalServerError
-	retries := isServerError && j.route.Kind == routeconfig.Idempotent && j.possibleExecutions+1 < j.route.MaxAttempts
+	retries := isServerError && req.route.Kind == routeconfig.Idempotent && req.possibleExecutions+1 < req.route.MaxAttempts
 	if result == outcomeAnswered && !retries {
-		p.recordOutcome(ctx, j, endpoint, outcomeAnswered)
+		p.recordOutcome(ctx, req, endpoint, outcomeAnswered)
 		return exchanged.response, body
 	}
 	if retries && result == outcomeAnswered {
 		result = outcomeMayHaveExecuted
 	}
-	p.recordOutcome(ctx, j, endpoint, result)
+	p.recordOutcome(ctx, req, endpoint, result)
 	return nil, nil
 }
