--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -9,10 +9,22 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// choice looks for a server under the lock of the decisions, and returns whether there is one.
+const (
+	// maxAttemptsPerRequest bounds the attempts of one request, those that reach no server included.
+	maxAttemptsPerRequest = 4
+	// backendConnectTimeout bounds the opening of a connection to a server, with its health check where one is made.
+	backendConnectTimeout = 300 * time.Millisecond
+	// queueFraction is the part of a route's latency target for which a request may wait for a free server.
+	queueFraction = 0.2
+	// queuePollInterval is the time between two tries to place a waiting request.
+	queuePollInterval = 4 * time.Millisecond
+)
+
+// placementChoice chooses a server under the lock of routingState, and returns whether there is one.
 type placementChoice func(now float64, pool *placement.Pool, planner *placement.Planner) bool
 
-// await makes a choice, again and again for a part of the route's objective while there is no place. It returns whether one was found.
+// awaitPlacement calls choose until it finds a server, for queueFraction of the route's latency target since the request's arrival. It returns
+// whether one was found.
 func (p *Proxy) awaitPlacement(ctx context.Context, req *proxyRequest, choose placementChoice) bool {
 	deadline := req.arrivedAt.Add(time.Duration(queueFraction * float64(nodeconfig.FromMillis(req.route.LatencyTargetMs))))
 	for {
@@ -27,7 +39,8 @@
 	}
 }
 
-// pick returns the next server for a job, waiting a little for a place, nil if there is none.
+// pickEndpoint returns the server for the next attempt, nil where there is none in time. It prefers servers that were not tried. The request
+// counts as started there, and the caller has to call recordOutcome.
 func (p *Proxy) pickEndpoint(ctx context.Context, req *proxyRequest) (picked *placement.Endpoint) {
 	p.awaitPlacement(ctx, req, func(now float64, pool *placement.Pool, _ *placement.Planner) bool {
 		if picked = pool.Pick(now, req.triedEndpoints); picked == nil && len(req.triedEndpoints) > 0 {
@@ -41,7 +54,8 @@
 	return picked
 }
 
-// allowed takes a further arrival out of the budget. What never reached a server is none.
+// chargeAttempt charges a retry to the service's retry budget and returns whether there was room. The first attempt, and one after an attempt
+// that reached no server, are free.
 func (p *Proxy) chargeAttempt(req *proxyRequest) bool {
 	if req.deliveredAttempts == 0 || req.lastOutcome == outcomeNotSent {
 		return true
@@ -49,7 +63,7 @@
 	return p.spendRetryBudget(req)
 }
 
-// spend takes one arrival out of the budget, if there is room.
+// spendRetryBudget charges one retry, and returns false where there is no room for it.
 func (p *Proxy) spendRetryBudget(req *proxyRequest) bool {
 	ok := false
 	p.state.withService(req.service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
@@ -58,10 +72,9 @@
 	return ok
 }
 
-// attemptsMost bounds the tries at servers that can't be reached.
-const maxAttemptsPerRequest = 4
-
-// exchange sends bytes to a server and reads the head of the answer.
+// roundTrip sends an encoded request to a server and reads the head of the response. It returns an exchange with the outcome
+// outcomeAnswered, and nil with any other; the caller has to finish or abort the exchange. Loads and identities that the head reports are
+// recorded.
 func (p *Proxy) roundTrip(ctx context.Context, req *proxyRequest, endpoint *placement.Endpoint, request []byte) (*backendExchange, outcome) {
 	conn, err := p.connectBackend(ctx, req, endpoint)
 	if err != nil {
@@ -88,7 +101,7 @@
 	return exchanged, outcomeAnswered
 }
 
-// connect returns a connection to a server over which a request may go.
+// connectBackend returns a connection on which a request may be sent to a server.
 func (p *Proxy) connectBackend(ctx context.Context, req *proxyRequest, endpoint *placement.Endpoint) (*backendConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, backendConnectTimeout)
 	defer cancel()
@@ -102,7 +115,7 @@
 	return conn, nil
 }
 
-// settle counts what came of an attempt.
+// recordOutcome records the outcome of an attempt, in the request's counters and in the statistics of the server.
 func (p *Proxy) recordOutcome(ctx context.Context, req *proxyRequest, endpoint *placement.Endpoint, result outcome) {
 	req.lastOutcome = result
 	req.triedEndpoints = append(req.triedEndpoints, endpoint)
--- a/internal/proxy/backendconn.go
+++ b/internal/proxy/backendconn.go
@@ -8,39 +8,24 @@
 	"time"
 )
 
-const (
-	// idleDefault is how long a connection rests where the server does not say; idleMargin is what is taken off what it says.
-	defaultKeepAlive = 6 * time.Second
-	keepAliveMargin  = time.Second
-	// restMost bounds the connections at rest to one server.
-	maxIdlePerBackend = 8
-	// surplusMost bounds the answers of other requests that are skipped on a connection.
-	maxSurplusResponses = 3
-	readBufferSize      = 4 << 10
-)
-
-var (
-	errTooManySurplus = errors.New("too many answers that belong to other requests")
-	// errUnnamed says that an answer on a connection that has served before names no request. Danger: it may be a second answer to an
-	// earlier one, and its word that the request was not run does not hold for this one.
-	errUnidentifiedRejection = errors.New("a refusal that names no request, on a connection that has served others")
-)
+// readBufferSize is the size of a connection's read buffer, in bytes.
+const readBufferSize = 4 << 10
 
-// errNotTaken says that a server did not answer on a new connection.
-var errNewConnRejected = errors.New("the server does not answer on a new connection")
+// errNewConnRejected is returned where a server did not answer a health check on a new connection.
+var errNewConnRejected = errors.New("the server did not answer on a new connection")
 
-// backendConn is a connection to a server.
+// backendConn is a connection to a server. One exchange uses it at a time.
 type backendConn struct {
 	net.Conn
 	reader        *bufio.Reader
-	expiresAt     time.Time
-	tainted       bool   // it has carried an answer that belongs to no request
-	hasCarried    bool   // it has carried an exchange before
-	lastRequestID string // the id of the request before, "" where that had none
+	expiresAt     time.Time // from then on the server may close it, and it is not used again
+	tainted       bool      // a response arrived that belongs to no request of it: it is not used again
+	hasCarried    bool      // it has carried an exchange
+	lastRequestID string    // of the last exchange, "" where that had none
 }
 
-// quiet tells whether a connection at rest is open and has nothing to read. Danger: bytes that came meanwhile belong to no
-// request of ours.
+// isReusable tells whether an idle connection is open, not expired, and has nothing to read. Danger: bytes that have arrived while it was
+// idle belong to an earlier request, and would be taken for the response to the next one.
 func (c *backendConn) isReusable() bool {
 	if c.reader.Buffered() > 0 || !time.Now().Before(c.expiresAt) {
 		return false
@@ -57,8 +42,11 @@
 	err = raw.Read(func(fd uintptr) bool {
 		var peek [1]byte
 		_, _, failed := syscall.Recvfrom(int(fd), peek[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		isQuiet = failed == syscall.EAGAIN
+		isQuiet = errors.Is(failed, syscall.EAGAIN)
 		return true
 	})
 	return err == nil && isQuiet
 }
+
+// discard closes a connection that is not used again. An error would change nothing.
+func (c *backendConn) discard() { _ = c.Close() }
--- a/internal/proxy/backendexchange.go
+++ b/internal/proxy/backendexchange.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net/http"
 	"strconv"
@@ -9,20 +10,39 @@
 	"time"
 )
 
-// exchange is one request on a connection.
+const (
+	// maxSurplusResponses bounds the responses to earlier requests that are skipped before the one to this request.
+	maxSurplusResponses = 3
+	// maxSurplusBytes bounds what is read of a body that nobody needs.
+	maxSurplusBytes = 1 << 20
+	// defaultKeepAlive is how long a connection may be idle where the server does not say.
+	defaultKeepAlive = 6 * time.Second
+	// keepAliveMargin is subtracted from the time that the server says, so that the server is not the first to close the connection.
+	keepAliveMargin = time.Second
+)
+
+var (
+	errTooManySurplus = errors.New("too many responses that belong to other requests")
+	// errUnidentifiedRejection is returned for a rejection without a request ID on a connection that has carried others. Danger: it may be a
+	// second response to an earlier request, and then does not say that this request was not executed.
+	errUnidentifiedRejection = errors.New("a rejection without a request ID, on a connection that has carried others")
+)
+
+// backendExchange is a request on a connection whose response has arrived, at least its head. finish or abort has to be called.
 type backendExchange struct {
 	conn          *backendConn
 	response      *http.Response
-	detachContext func() bool // takes back what ends the connection with the context
+	detachContext func() bool // ends the context's effect on the connection; returns false where the context has already closed it
 }
 
-// send writes a request and reads the head of its answer. Its verdict is Served where there is an answer.
+// sendRequest writes an encoded request and reads the head of its response, within the context. Where it returns no exchange the connection
+// is closed, and the outcome says whether the server may have executed the request.
 func sendRequest(ctx context.Context, conn *backendConn, method, id string, request []byte) (*backendExchange, outcome, error) {
 	detachContext := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	written, err := conn.Write(request)
 	if err != nil {
 		detachContext()
-		conn.Close()
+		conn.discard()
 		if written == 0 {
 			return nil, outcomeNotSent, err
 		}
@@ -32,13 +52,14 @@
 	conn.hasCarried, conn.lastRequestID = true, id
 	if err != nil {
 		detachContext()
-		conn.Close()
+		conn.discard()
 		return nil, outcomeMayHaveExecuted, err
 	}
 	return &backendExchange{conn: conn, response: response, detachContext: detachContext}, outcomeAnswered, nil
 }
 
-// readAnswer reads heads until that of the request's own answer. Answers that carry another id belong to requests before.
+// readResponse reads the head of the response to a request. It skips informational responses, and responses with another ID: a server may
+// answer an earlier request twice. A response without an ID is accepted only where the connection has carried no other request.
 func readResponse(conn *backendConn, method, id string) (*http.Response, error) {
 	for range maxSurplusResponses {
 		response, err := http.ReadResponse(conn.reader, &http.Request{Method: method})
@@ -65,18 +86,26 @@
 	return nil, errTooManySurplus
 }
 
-const maxSurplusBytes = 1 << 20
-
-// refusal tells whether an answer says that the request was not run.
+// isNotExecuted tells whether a response says that the request was not executed.
 func isNotExecuted(response *http.Response) bool {
 	return response.Header.Get(headerNotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest
 }
 
-// finish ends an exchange whose body was read whole, and lets the connection rest if it may.
+// discardBody reads the body and drops it. It aborts the exchange where that fails.
+func (e *backendExchange) discardBody() error {
+	_, err := io.Copy(io.Discard, io.LimitReader(e.response.Body, maxSurplusBytes))
+	if err != nil {
+		e.abort()
+	}
+	return err
+}
+
+// finish ends an exchange whose body was read completely. The connection goes back to the pool where it can be used again, and is closed
+// otherwise.
 func (e *backendExchange) finish(pool *connPool, address string) {
-	// Danger: where the context has ended the connection may be given its last deadline at any moment.
+	// Danger: where the context has ended, its callback may set the connection's deadline at any moment.
 	if !e.detachContext() || e.response.Close || e.response.ContentLength < 0 && !isChunked(e.response) {
-		e.conn.Close()
+		e.conn.discard()
 		return
 	}
 	e.conn.expiresAt = time.Now().Add(keepAliveTimeout(e.response.Header.Get("Keep-Alive")))
@@ -84,17 +113,18 @@
 	pool.release(address, e.conn)
 }
 
-// abort ends an exchange whose answer is not wanted.
+// abort ends an exchange whose response is not needed, and closes the connection.
 func (e *backendExchange) abort() {
 	e.detachContext()
-	e.conn.Close()
+	e.conn.discard()
 }
 
+// isChunked tells whether a body has the chunked transfer encoding.
 func isChunked(response *http.Response) bool {
 	return len(response.TransferEncoding) > 0 && response.TransferEncoding[0] == "chunked"
 }
 
-// restOf reads how long a connection may rest from the field Keep-Alive.
+// keepAliveTimeout returns how long a connection may be idle, by a response's Keep-Alive field.
 func keepAliveTimeout(field string) time.Duration {
 	for parameter := range strings.SplitSeq(field, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -108,12 +138,13 @@
 	return defaultKeepAlive
 }
 
-// whole tells whether the end of an answer can be known.
+// hasDelimitedBody tells whether the end of a body can be recognized. Where it can't, a body that was cut off would look complete.
 func hasDelimitedBody(response *http.Response) bool {
 	return response.ContentLength >= 0 || isChunked(response)
 }
 
-// judge tells what an answer that came whole means.
+// classifyResponse returns the outcome of an attempt by its complete response. A success without the server's stamp, or with an encoded body,
+// does not come from the application and counts as outcomeMayHaveExecuted.
 func classifyResponse(response *http.Response) outcome {
 	switch {
 	case isNotExecuted(response):
@@ -122,7 +153,8 @@
 		return outcomeMayHaveExecuted
 	case response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests ||
 		response.StatusCode == http.StatusRequestTimeout:
-		// Danger: without the server's word that it was not run, these statuses must not be passed on.
+		// Danger: these statuses tell the client that it may retry. Without the server's statement that it has not executed the request
+		// they must not be forwarded.
 		return outcomeMayHaveExecuted
 	}
 	return outcomeAnswered
--- a/internal/proxy/connpool.go
+++ b/internal/proxy/connpool.go
@@ -11,21 +11,25 @@
 	"hazelwheel/internal/transport"
 )
 
-// backends holds the connections at rest by address.
+// maxIdlePerBackend bounds the idle connections to one server.
+const maxIdlePerBackend = 8
+
+// connPool holds the idle connections to servers. It is safe for concurrent use.
 type connPool struct {
 	dialer *net.Dialer
 
-	mu   sync.Mutex
-	idle map[string][]*backendConn
+	mu   sync.Mutex                // guards idle
+	idle map[string][]*backendConn // by address; the one that was used last is at the end
 }
 
+// newConnPool returns an empty pool.
 func newConnPool() *connPool {
 	return &connPool{dialer: transport.NewDialer(), idle: map[string][]*backendConn{}}
 }
 
-// get returns a connection at rest that is still good, or a new one. Danger: a server may answer a request twice. A connection that
-// has just carried the request with this id is not taken for it again, since the second answer to the first sending would be taken
-// for the answer to the next one.
+// get returns an idle connection that can be used again, or a new one. The caller owns it until release. Danger: a server may answer a request
+// twice. A connection that has just carried the request with this ID is not used for its retry, since the second response to the first
+// attempt would be taken for the response to the retry.
 func (pool *connPool) get(ctx context.Context, address, id string) (*backendConn, error) {
 	for {
 		conn := pool.takeIdle(address, id)
@@ -35,7 +39,7 @@
 		if conn.isReusable() {
 			return conn, nil
 		}
-		conn.Close()
+		conn.discard()
 	}
 	raw, err := pool.dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
@@ -44,6 +48,7 @@
 	return &backendConn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
+// takeIdle removes and returns the newest idle connection that may carry the request with this ID, nil where there is none.
 func (pool *connPool) takeIdle(address, id string) *backendConn {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -59,22 +64,22 @@
 	return nil
 }
 
-// put lets a connection rest.
+// release puts a connection back, or closes it where it can't be used again or there are enough.
 func (pool *connPool) release(address string, conn *backendConn) {
 	if conn.tainted || conn.reader.Buffered() > 0 || !time.Now().Before(conn.expiresAt) {
-		conn.Close()
+		conn.discard()
 		return
 	}
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	if len(pool.idle[address]) >= maxIdlePerBackend {
-		conn.Close()
+		conn.discard()
 		return
 	}
 	pool.idle[address] = append(pool.idle[address], conn)
 }
 
-// sweep closes connections whose rest is over, and all to addresses that keep does not want.
+// closeExpired closes idle connections that have expired, and all to addresses for which keep returns false.
 func (pool *connPool) closeExpired(keep func(address string) bool) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -85,7 +90,7 @@
 			if keep(address) && now.Before(conn.expiresAt) {
 				kept = append(kept, conn)
 			} else {
-				conn.Close()
+				conn.discard()
 			}
 		}
 		if len(kept) == 0 {
--- a/internal/proxy/eventrelay.go
+++ b/internal/proxy/eventrelay.go
@@ -8,18 +8,19 @@
 	"strings"
 )
 
-// relay passes a stream's events on to a client. It holds the head back until there is an event to go with it.
+// eventRelay forwards a stream's events to a client. It defers the head until the first event, so that another server can be tried up to
+// then. It is for one goroutine.
 type eventRelay struct {
 	w           http.ResponseWriter
 	control     *http.ResponseController
 	headWritten bool
-	lastEventID string
+	lastEventID string // of the last event that was written; a retry resumes behind it
 }
 
-// errClient says that the client takes no more.
+// errClientGone is returned where the client no longer reads.
 var errClientGone = errors.New("the client is gone")
 
-// head writes the head of the first server's answer.
+// writeHead writes the head of a response, once: a retry's response continues the first one.
 func (r *eventRelay) writeHead(response *http.Response) {
 	if r.headWritten {
 		return
@@ -29,7 +30,7 @@
 	r.w.WriteHeader(response.StatusCode)
 }
 
-// event passes on one whole event.
+// writeEvent writes one complete event and flushes it.
 func (r *eventRelay) writeEvent(response *http.Response, event []byte) error {
 	r.writeHead(response)
 	if _, err := r.w.Write(event); err != nil {
@@ -44,6 +45,7 @@
 	return nil
 }
 
+// eventID returns the ID of an event, "" where it has none.
 func eventID(event []byte) string {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -53,7 +55,8 @@
 	return ""
 }
 
-// readEvent returns the bytes up to and with the next empty line. At a proper end it returns what is left with io.EOF.
+// readEvent returns the bytes up to and including the next empty line. At the end of the stream it returns the rest with io.EOF; after any
+// other error the event is incomplete.
 func readEvent(in *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -10,23 +10,35 @@
 	"hazelwheel/internal/transport"
 )
 
-// follow takes what the agent tells, and connects anew when the agent has restarted. The facts that are there stay.
+const (
+	// feedRetryPause is the pause before the proxy connects to its agent again.
+	feedRetryPause = 100 * time.Millisecond
+	// feedConnectTimeout bounds the connecting, reportWriteTimeout the sending of one report.
+	feedConnectTimeout = time.Second
+	reportWriteTimeout = time.Second
+	// reportInterval is the time between two reports.
+	reportInterval = 400 * time.Millisecond
+)
+
+// runFeed applies the updates of the agent, and reconnects after each failure until the context ends. Without a connection the proxy goes on
+// with the state that it has.
 func (p *Proxy) runFeed(ctx context.Context) {
 	address := p.settings.FeedAddress()
 	for ctx.Err() == nil {
 		if err := p.receiveFeed(ctx, address); err != nil {
-			p.log.WithError(err).Debug("the feed ended")
+			p.log.WithError(err).Debug("agent feed ended")
 		}
 		time.Sleep(feedRetryPause)
 	}
 }
 
+// receiveFeed connects to the agent, applies its updates and sends reports, until the connection fails.
 func (p *Proxy) receiveFeed(ctx context.Context, address string) error {
-	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp4", address)
+	conn, err := (&net.Dialer{Timeout: feedConnectTimeout}).DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // it has failed already
 	stop := make(chan struct{})
 	defer close(stop)
 	go p.sendReports(conn, stop)
@@ -44,7 +56,7 @@
 	}
 }
 
-// report tells the agent what this proxy asks of servers, until it is stopped.
+// sendReports sends a report at each interval, until it is stopped or the connection fails.
 func (p *Proxy) sendReports(conn net.Conn, stop <-chan struct{}) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -54,14 +66,14 @@
 			return
 		case <-ticker.C:
 		}
-		_ = conn.SetWriteDeadline(time.Now().Add(time.Second)) // the write tells of a connection that is gone
+		_ = conn.SetWriteDeadline(time.Now().Add(reportWriteTimeout)) // where this fails, so does the write
 		if transport.WriteFrame(conn, p.state.buildReport()) != nil {
 			return
 		}
 	}
 }
 
-// unpack returns the configuration and the servers that a feed brings, nil for what it does not.
+// unpackFeed returns the configuration and the endpoint list of an update, nil for what it does not hold.
 func unpackFeed(feed *message.Feed) (table *routeconfig.Table, instances []message.Instance, err error) {
 	if feed.Table != nil {
 		if table, err = feed.Table.Unpack(); err != nil {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -11,24 +11,16 @@
 )
 
 const (
-	// maxAnswer bounds an answer that is held until it is whole, in bytes.
-	maxResponseBytes = 16 << 20
-	// retryAfterS is told with requests that were not run, in seconds.
+	// retryAfterSeconds is the Retry-After field of responses to requests that were not executed.
 	retryAfterSeconds = 0.1
-	// backendDialWithin bounds the opening of a connection to a server.
-	backendConnectTimeout = 300 * time.Millisecond
-	// waitPart is the part of a route's objective for which a request may wait for a place.
-	queueFraction     = 0.2
-	queuePollInterval = 4 * time.Millisecond
-	// startWithin is how long a request waits for a proxy that has just begun.
+	// startupTimeout bounds how long a request waits for the first configuration of a proxy that has just started.
 	startupTimeout = 1200 * time.Millisecond
-	// tokensMost bounds the tokens of a prompt or an answer that a client's word is believed for.
-	maxTokenCount = 1 << 22
-	// bodyDefault is what an unset limit of bodies stands for, in bytes.
-	defaultMaxBodyBytes = 4 << 20
+	// writeDeadlineMargin is added to a request's deadline for the writing of its response.
+	writeDeadlineMargin = time.Second
 )
 
-// ServeHTTP serves a request of a client.
+// ServeHTTP forwards a client's request to a server of its route's service, with retries as far as the route and the budget allow, and
+// writes the response.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := time.Now()
 	table := p.awaitRoutes(r.Context())
@@ -50,7 +42,7 @@
 	req.deadline = arrivedAt.Add(timeLimit(r, route))
 	ctx, cancel := context.WithDeadline(r.Context(), req.deadline)
 	defer cancel()
-	_ = http.NewResponseController(w).SetWriteDeadline(req.deadline.Add(time.Second)) // connections without deadlines serve on without
+	_ = http.NewResponseController(w).SetWriteDeadline(req.deadline.Add(writeDeadlineMargin)) // a connection that supports none is served without
 	servesModel := false
 	p.state.withService(req.service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
 		if pool != nil {
@@ -65,8 +57,8 @@
 	p.serveUnary(ctx, w, req)
 }
 
-// awaitRoutes returns the table in force. A proxy that has just begun is told within a moment; until then requests wait, since
-// clients come back only so often.
+// awaitRoutes returns the route table in force, nil where there is none in time. A proxy that has just started gets one within a moment;
+// requests wait for it, since clients retry only a few times.
 func (p *Proxy) awaitRoutes(ctx context.Context) *routeTable {
 	if p.state.isReady() {
 		return p.state.routes()
@@ -81,13 +73,14 @@
 	return p.state.routes()
 }
 
-// refuse tells that a request was not run and when to come back.
+// respondUnavailable responds that the request was not executed, and when to retry, in seconds.
 func respondUnavailable(w http.ResponseWriter, retryAfter float64) {
 	w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter, 'f', 2, 64))
 	http.Error(w, "no server can take it now", http.StatusServiceUnavailable)
 }
 
-// fail ends a request that brought no answer.
+// respondFailure responds to a request that no server has answered: 503 where none can have executed it, else 504 after the deadline and 502
+// before it.
 func (p *Proxy) respondFailure(ctx context.Context, w http.ResponseWriter, req *proxyRequest) {
 	switch {
 	case req.possibleExecutions == 0 && (ctx.Err() == nil || req.remaining() <= 0):
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The fields of the fleet's protocol.
+// The header fields of the protocol between proxies, clients and servers.
 const (
 	headerRequestID      = "Hazelwheel-Request-Id"
 	headerDeadline       = "Hazelwheel-Deadline-Ms"
@@ -27,11 +27,11 @@
 	stagePrefill         = "prefill"
 )
 
-// connectionFields concern one connection only.
+// hopByHopHeaders concern a single connection and are not forwarded.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// perHop tells whether a field must not be passed on.
+// isHopByHop tells whether a field of a message must not be forwarded.
 func isHopByHop(name string, header http.Header) bool {
 	if slices.Contains(hopByHopHeaders, name) {
 		return true
@@ -46,20 +46,21 @@
 	return false
 }
 
-// field is one that the proxy sets.
+// headerField is a field that the proxy sets.
 type headerField struct{ name, value string }
 
-// systemFields are those that only the system sets on requests to servers, which go by them. Danger: a server to which a client's
-// word comes in one of them turns the request away as misdirected, or takes it for what it is not.
+// reservedHeaders are the fields that only proxies set on requests to servers. Danger: a server that received a client's value in one of them
+// would reject the request as misdirected, or run it as something that it is not.
 var reservedHeaders = []string{headerServingStage, headerKVFrom, headerExpectInstance, headerExpectVersion, headerPriority, headerDeadline}
 
-// passedOn tells whether a client's field goes along to servers, beside those that are set.
+// isForwarded tells whether a client's field is forwarded beside the fields that the proxy sets.
 func isForwarded(name string, header http.Header, set []headerField) bool {
 	return !isHopByHop(name, header) && !slices.Contains(reservedHeaders, name) &&
 		!slices.ContainsFunc(set, func(f headerField) bool { return f.name == name })
 }
 
-// encodeRequest writes a client's request as it goes to a server, with fields set in place of the client's.
+// encodeRequest returns a client's request in the form that is sent to a server: with the given fields in place of the client's, and the
+// remaining time as its deadline.
 func encodeRequest(r *http.Request, body []byte, remaining time.Duration, set ...headerField) []byte {
 	target := r.RequestURI
 	if !strings.HasPrefix(target, "/") {
@@ -90,7 +91,7 @@
 	return []byte(out.String())
 }
 
-// passHead copies the fields of a server's answer that are for the client.
+// copyResponseHeader copies the fields of a server's response that are for the client.
 func copyResponseHeader(w http.ResponseWriter, response *http.Response) {
 	header := w.Header()
 	for name, values := range response.Header {
@@ -98,7 +99,7 @@
 			header[name] = values
 		}
 	}
-	// Danger: net/http would add what the server has not sent.
+	// Danger: net/http would add these fields where the server has not sent them.
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, isSet := header[name]; !isSet {
 			header[name] = nil
@@ -106,7 +107,7 @@
 	}
 }
 
-// serverLoad reads "running,waiting,slots".
+// parseServerLoad returns the load that a response reports, as "running,waiting,slots". It returns false where there is none.
 func parseServerLoad(header http.Header) (running, waiting int, ok bool) {
 	figures := strings.Split(header.Get(headerServerLoad), ",")
 	if len(figures) != 3 {
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"io"
 	"net/http"
 	"time"
 
@@ -11,12 +10,16 @@
 )
 
 const (
-	healthCheckTick    = 100 * time.Millisecond
+	// healthCheckTick is the time between two looks for endpoints whose health check is due.
+	healthCheckTick = 100 * time.Millisecond
+	// healthCheckTimeout bounds one check.
 	healthCheckTimeout = 3 * time.Second
-	sweepTicks         = 20 // ticks
+	// sweepTicks is the number of ticks between two sweeps of expired state and connections.
+	sweepTicks = 20
 )
 
-// probe asks each member for its health in its time, until the context ends.
+// runHealthChecks starts the health checks that are due at each tick, writes the log lines that are due and sweeps expired state and
+// connections, until the context ends.
 func (p *Proxy) runHealthChecks(ctx context.Context) {
 	ticker := time.NewTicker(healthCheckTick)
 	defer ticker.Stop()
@@ -37,13 +40,14 @@
 	}
 }
 
-// dueProbe is a server to be probed.
+// healthCheck is a check of one server.
 type healthCheck struct {
 	endpoint         *placement.Endpoint
-	address, id      string
+	address, id      string // of the instance that is expected
 	healthPath, host string
 }
 
+// checkDueEndpoints starts the checks that are due, each in a goroutine of its own.
 func (p *Proxy) checkDueEndpoints(ctx context.Context) {
 	var due []healthCheck
 	p.state.withLock(func(now float64) {
@@ -60,7 +64,8 @@
 	}
 }
 
-// probeOne takes an answer of 200 of the instance that is meant for a sign of life; nothing else is.
+// checkEndpoint makes one check and records its result. A server is alive if it answers 200, as the instance that is expected where it names
+// one.
 func (p *Proxy) checkEndpoint(ctx context.Context, check healthCheck) {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
@@ -76,6 +81,7 @@
 	})
 }
 
+// requestHealth returns the header and the status of a server's health response, 0 where there is none.
 func (p *Proxy) requestHealth(ctx context.Context, check healthCheck) (http.Header, int) {
 	conn, err := p.conns.get(ctx, check.address, "")
 	if err != nil {
@@ -89,23 +95,23 @@
 	return exchanged.response.Header, exchanged.response.StatusCode
 }
 
-// askHealthOn asks for a server's health on a connection, and reads the whole answer. Where that fails the connection is closed.
+// requestHealthOn requests a server's health on a connection and reads the complete response. Where that fails the connection is closed.
 func requestHealthOn(ctx context.Context, conn *backendConn, check healthCheck) (*backendExchange, error) {
 	request := "GET " + check.healthPath + " HTTP/1.1\r\nHost: " + check.host + "\r\n\r\n"
 	exchanged, _, err := sendRequest(ctx, conn, http.MethodGet, "", []byte(request))
 	if err != nil {
 		return nil, err
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(exchanged.response.Body, maxSurplusBytes)); err != nil {
-		exchanged.abort()
+	if err := exchanged.discardBody(); err != nil {
 		return nil, err
 	}
 	return exchanged, nil
 }
 
-// tryNew asks for a server's health on a new connection before a request that may run once goes over it, where the service has few
-// connections. Danger: a server accepts what goes beyond its MaxConnections and resets it a moment later, so that a request on it may have
-// run. That happens after processes have lost power, whose connections servers keep for a while. It returns whether the connection is good.
+// verifyNewConn requests a server's health on a new connection before a request that must not run twice is sent on it, where the service has
+// few connections. It returns whether the connection can be used; where not it is closed. Danger: a server accepts a connection beyond its
+// MaxConnections and resets it a moment later, so that a request on it may or may not have run. That happens after machines have lost
+// power, whose connections servers keep open for a while.
 func (p *Proxy) verifyNewConn(ctx context.Context, req *proxyRequest, endpoint *placement.Endpoint, conn *backendConn) bool {
 	if conn.hasCarried || req.route.Kind == routeconfig.Idempotent {
 		return true
@@ -124,10 +130,10 @@
 		return false
 	}
 	if !exchanged.detachContext() || exchanged.response.Close {
-		conn.Close()
+		conn.discard()
 		return false
 	}
-	// No request has gone over it: a refusal that names none can still be meant for the first one only, as a health answer refuses nothing.
+	// No request of a client was sent on it, and a health response rejects none: a rejection without an ID can only be for the next one.
 	conn.hasCarried = false
 	return true
 }
--- a/internal/proxy/kvcache.go
+++ b/internal/proxy/kvcache.go
@@ -2,12 +2,16 @@
 
 import (
 	"context"
-	"io"
 	"net/http"
 	"strings"
+	"time"
 )
 
-// freeHandle lets a server forget a cache that nobody takes.
+// releaseTimeout bounds the release of a KV cache.
+const releaseTimeout = time.Second
+
+// releaseKVHandle has a server free a KV cache that no decode server has fetched, in the background. It does nothing for an empty handle; a
+// failure is ignored, since the server frees the cache by itself later.
 func (p *Proxy) releaseKVHandle(handle string) {
 	address, id, ok := strings.Cut(handle, "/")
 	if !ok {
@@ -25,23 +29,22 @@
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(exchanged.response.Body, maxSurplusBytes)); err != nil {
-			exchanged.abort()
+		if err := exchanged.discardBody(); err != nil {
 			return
 		}
 		exchanged.finish(p.conns, address)
 	}()
 }
 
-// handle is a cache that was read and not taken yet.
+// kvCache is the KV cache of a prefill, which no decode server has fetched yet.
 type kvCache struct {
-	handle     string // IP:PORT/HANDLE; empty: there is none
-	zone       string // where it was read
-	rejections int
+	handle     string // IP:PORT/HANDLE of the prefill server; empty: there is no cache
+	zone       string // of the prefill server
+	rejections int    // of requests that named the handle
 }
 
-// refused tells that a server did not run the request that names the cache. The first time the cache may still be there, as
-// where the server was full; after that it is given up.
+// handleRejection handles a response that is no stream to a request that named the handle. After a first rejection without execution the cache
+// may still exist, as where the decode server was full; after anything else it is given up.
 func (c *kvCache) handleRejection(response *http.Response) {
 	if c.rejections++; c.rejections > 1 || !isNotExecuted(response) {
 		c.handle = ""
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -2,28 +2,24 @@
 
 import "hazelwheel/internal/routeconfig"
 
-// Verdict says of an attempt that brought no answer for the client whether the server may have run the request. It is taken
-// from the wire alone.
+// outcome is the outcome of an attempt. It follows from what was sent and received alone, and says whether the server may have executed the
+// request.
 type outcome int
 
-// The verdicts.
+// The outcomes.
 const (
-	// Served: there is an answer for the client.
-	outcomeAnswered outcome = iota
-	// NotSent: no byte of the request went out.
-	outcomeNotSent
-	// NotExecuted: the server says that it did not run the request.
-	outcomeNotExecuted
-	// MayHaveRun: bytes went out, and nothing that came back says that the request was not run.
-	outcomeMayHaveExecuted
-	// Canceled: the client has gone or its time is over.
-	outcomeCanceled
+	outcomeAnswered        outcome = iota // there is a response for the client
+	outcomeNotSent                        // no byte of the request was sent
+	outcomeNotExecuted                    // the server says that it has not executed the request
+	outcomeMayHaveExecuted                // bytes were sent, and no response says that the request was not executed
+	outcomeCanceled                       // the client has disconnected or its deadline has passed
 )
 
-// Ran tells whether the server may have run the request.
+// mayHaveExecuted tells whether the server may have executed the request.
 func (o outcome) mayHaveExecuted() bool { return o == outcomeMayHaveExecuted || o == outcomeAnswered }
 
-// MayRepeat tells whether a request of a route may be sent to another server.
+// allowsRetry tells whether a request of a route may be sent to another server after this outcome: always where it was not executed, else
+// where executing it twice does no harm.
 func (o outcome) allowsRetry(route *routeconfig.Route) bool {
 	switch o {
 	case outcomeNotSent, outcomeNotExecuted:
--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -11,8 +11,20 @@
 	"hazelwheel/internal/decide/placement"
 )
 
-// readsAgain tells whether a prompt may be read at another server after a reading that ended so. Nothing counts until a server has taken it
-// up. A refusal counts as an arrival, and a reading that was lost as an attempt as well.
+const (
+	// prefillTimeoutFactor times the route's latency target bounds a prefill.
+	prefillTimeoutFactor = 6
+	// maxPrefillAttempts bounds the servers that are tried for one prefill.
+	maxPrefillAttempts = 3
+	// maxPrefillResponseBytes bounds the body of a prefill server's response.
+	maxPrefillResponseBytes = 64 << 10
+	// maxPriority is the highest value of the Priority field.
+	maxPriority = 9
+)
+
+// retriesPrefill tells whether a prompt may be sent to another prefill server after this outcome, and charges the retry budget where that
+// counts as a retry. An attempt that reached no server is free. One that may have been executed counts against the route's MaxAttempts as
+// well.
 func (p *Proxy) retriesPrefill(req *proxyRequest, result outcome) bool {
 	switch result {
 	case outcomeNotSent:
@@ -31,7 +43,8 @@
 	}
 }
 
-// readPrompt has a prompt read and returns the handle of its cache, "" if that failed, and how far it came.
+// prefill has a server prefill a prompt, and returns the handle of the KV cache, "" where that failed, and the outcome. It records the result
+// at the server.
 func (p *Proxy) prefill(ctx context.Context, req *proxyRequest, server *placement.Endpoint, prompt *placement.Prompt) (string, outcome) {
 	var prefill *placement.Prefill
 	p.state.withService(req.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
@@ -56,18 +69,20 @@
 		}
 	})
 	if result == outcomeNotExecuted {
-		req.deliveredAttempts++ // one that was turned away counts
+		req.deliveredAttempts++ // a rejected one counts
 	}
 	return handle, result
 }
 
+// prefillResponse is the JSON body of a prefill server's response.
 type prefillResponse struct {
 	KvHandle string `json:"KvHandle"`
 }
 
+// sendPrefill sends a request to a prefill server, and returns the handle in its response as IP:PORT/HANDLE.
 func (p *Proxy) sendPrefill(ctx context.Context, req *proxyRequest, server *placement.Endpoint) (string, outcome) {
-	request := encodeRequest(req.incoming, req.body, req.remaining(), headerField{headerExpectInstance, server.ID}, headerField{headerServingStage, stagePrefill},
-		headerField{headerPriority, priorityValue(req)})
+	request := encodeRequest(req.incoming, req.body, req.remaining(), headerField{headerExpectInstance, server.ID},
+		headerField{headerServingStage, stagePrefill}, headerField{headerPriority, priorityValue(req)})
 	exchanged, result := p.roundTrip(ctx, req, server, request)
 	if result != outcomeAnswered {
 		return "", result
@@ -88,6 +103,7 @@
 	return server.Address + "/" + response.KvHandle, outcomeAnswered
 }
 
+// priorityValue returns the Priority field of a request, by its route.
 func priorityValue(req *proxyRequest) string {
 	return strconv.Itoa(min(max(req.route.Priority, 0), maxPriority))
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,11 @@
-// Package proxy hosts the data plane: it takes requests from clients and passes each to a server, by the decisions of
-// internal/decide/placement.
+// Package proxy runs the proxy process, the data plane of the router fleet: it accepts requests of clients and forwards each to a server.
+//
+// Which server is chosen is decided by package placement; routingState holds its pools and planners under one lock, and the updates of the
+// agent that they go by (see runFeed). A request makes attempts until one has an outcome that ends it. The outcome of an attempt says whether
+// the server may have executed the request, by what was sent and received alone; a request that must not run twice is never sent again
+// after an attempt that may have been executed. Retries are charged to a budget for each service.
+//
+// A service with model servers may have a prompt prefilled at one server and decoded at another, which fetches the KV cache by a handle.
 package proxy
 
 import (
@@ -20,33 +26,37 @@
 var Error = errs.Class("proxy")
 
 const (
-	headerTimeout = 4 * time.Second
-	// idleTimeout must be above the IdleTimeoutMs of configurations, so that no client meets a connection that is just being closed.
-	idleTimeout    = 60 * time.Second
+	// headerTimeout and maxHeaderBytes bound the head of a client's request.
+	headerTimeout  = 4 * time.Second
 	maxHeaderBytes = 32 << 10
-	// leaveAfter is how long a proxy that ends still takes new connections: until the platform has noticed that it isn't ready.
-	drainDelay = 2500 * time.Millisecond
-	// leaveMargin is what is left of the grace period for the end itself.
+	// idleTimeout bounds idle connections of clients. It has to be above the IdleTimeoutMs of configurations, so that no client sends a
+	// request on a connection that is just being closed.
+	idleTimeout = 60 * time.Second
+	// drainDelay is how long a proxy that shuts down still accepts connections, until the platform has noticed that it is not ready. It is
+	// at most the grace period divided by drainDivisor.
+	drainDelay   = 2500 * time.Millisecond
+	drainDivisor = 3
+	// shutdownMargin is the part of the grace period that is left unused.
 	shutdownMargin = 700 * time.Millisecond
-	feedRetryPause = 100 * time.Millisecond
-	reportInterval = 400 * time.Millisecond
 )
 
-// Proxy is a proxy process.
+// Proxy is a proxy process, and the handler of its clients' requests. It is safe for concurrent use.
 type Proxy struct {
 	settings  *nodeconfig.Settings
 	log       *logrus.Entry
 	state     *routingState
 	conns     *connPool
 	stats     *requestStats
-	isLeaving atomic.Bool
+	isLeaving atomic.Bool // it reports that it is not ready, since it shuts down
 }
 
+// newProxy returns a proxy without configuration and endpoint list.
 func newProxy(settings *nodeconfig.Settings, log *logrus.Entry) *Proxy {
 	return &Proxy{settings: settings, log: log, state: newRoutingState(settings), conns: newConnPool(), stats: newRequestStats()}
 }
 
-// Run serves until the context ends and the requests that were taken are served.
+// Run serves until the context ends, and then until the requests in flight are served or the grace period is over. It returns early with the
+// error of a server that fails.
 func Run(ctx context.Context, settings *nodeconfig.Settings, log *logrus.Entry) error {
 	p := newProxy(settings, log)
 	frontListener, err := net.Listen("tcp4", settings.Listen.Front)
@@ -73,12 +83,14 @@
 	return p.shutdown(server)
 }
 
-// leave ends in order: not ready first, then no new connections, then what was taken is served.
+// shutdown shuts the proxy down gracefully: first it reports that it is not ready, after a delay it stops accepting connections, and then it
+// serves the requests in flight.
 func (p *Proxy) shutdown(server *http.Server) error {
 	p.isLeaving.Store(true)
 	grace := p.settings.GracePeriod()
-	time.Sleep(min(drainDelay, grace/3))
-	ctx, cancel := context.WithTimeout(context.Background(), grace-min(drainDelay, grace/3)-shutdownMargin)
+	delay := min(drainDelay, grace/drainDivisor)
+	time.Sleep(delay)
+	ctx, cancel := context.WithTimeout(context.Background(), grace-delay-shutdownMargin)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		return Error.Wrap(server.Close())
@@ -86,6 +98,7 @@
 	return nil
 }
 
+// readyRouter returns the handler of the platform's readiness checks.
 func (p *Proxy) readyRouter() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/ready", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/proxy/proxyrequest.go
+++ b/internal/proxy/proxyrequest.go
@@ -13,28 +13,35 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// job is a request of a client on its way.
+const (
+	// defaultMaxBodyBytes bounds a request's body where the configuration sets no limit.
+	defaultMaxBodyBytes = 4 << 20
+	// maxTokenCount bounds the number of tokens that is taken from a client's field.
+	maxTokenCount = 1 << 22
+)
+
+// proxyRequest is a client's request with the state of its attempts. It belongs to the goroutine that serves it.
 type proxyRequest struct {
 	incoming  *http.Request
 	body      []byte
-	id        string
+	id        string // from the client, "" where it has sent none
 	route     *routeconfig.Route
-	service   string
+	service   string // drawn for all attempts
 	arrivedAt time.Time
 	deadline  time.Time
 
-	triedEndpoints     []*placement.Endpoint
-	deliveredAttempts  int     // at servers, the first reading of its prompt apart
-	possibleExecutions int     // servers that may have run it
-	lastOutcome        outcome // of the attempt before
-	cache              kvCache
+	triedEndpoints     []*placement.Endpoint // in the order of the attempts
+	deliveredAttempts  int                   // that have reached a server; a separate prefill counts where it was rejected or retried
+	possibleExecutions int                   // attempts that a server may have executed
+	lastOutcome        outcome               // of the newest attempt
+	cache              kvCache               // of a separate prefill
 	timing             streamTiming
 }
 
-// left is the time that remains.
+// remaining returns the time until the deadline.
 func (req *proxyRequest) remaining() time.Duration { return time.Until(req.deadline) }
 
-// readBody returns the whole body, or the status with which it is turned away.
+// readBody returns the complete body, or the status of the response that rejects it, 0 where it is accepted.
 func readBody(w http.ResponseWriter, r *http.Request, limits routeconfig.Limits) ([]byte, int) {
 	maxBytes := limits.MaxBodyBytes
 	if maxBytes <= 0 {
@@ -51,7 +58,7 @@
 	return body, 0
 }
 
-// timeFor is how long a request may take: what the client waits, and what the route allows.
+// timeLimit returns how long a request may take: the route's time-out, or less where the client's deadline is shorter.
 func timeLimit(r *http.Request, route *routeconfig.Route) time.Duration {
 	limit := nodeconfig.FromMillis(route.TimeoutMs)
 	if ms, err := strconv.ParseFloat(r.Header.Get(headerDeadline), 64); err == nil && ms > 0 {
@@ -60,7 +67,7 @@
 	return limit
 }
 
-// promptOf reads what the choice of model servers goes by.
+// promptFromRequest returns what model servers are chosen by, from the request's fields and the route's latency targets.
 func promptFromRequest(r *http.Request, route *routeconfig.Route) placement.Prompt {
 	prompt := placement.Prompt{Chunks: placement.ParseChunks(r.Header.Get(headerPrefixHash))}
 	prompt.LatencyTargetSeconds = nodeconfig.FromMillis(route.LatencyTargetMs).Seconds()
@@ -70,7 +77,8 @@
 	return prompt
 }
 
-// tokenCount reads a number of tokens, 0 where it can't be read. Danger: it is a client's word and is summed over the fleet.
+// parseTokenCount returns a number of tokens, 0 where it can't be parsed. Danger: a client chooses it, and it is added up over all proxies;
+// without a bound one client could outweigh all others.
 func parseTokenCount(text string) int {
 	count, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil {
--- a/internal/proxy/requeststats.go
+++ b/internal/proxy/requeststats.go
@@ -6,23 +6,24 @@
 	"sync"
 	"time"
 
+	"github.com/sirupsen/logrus"
 	"golang.org/x/time/rate"
 
 	"hazelwheel/internal/decide/placement"
 )
 
 const (
-	// misdirectedEvery is the least time between log lines about servers that turn requests away as not theirs.
+	// misdirectedLogInterval is the least time between log lines about misdirected requests.
 	misdirectedLogInterval = 2 * time.Second
-	// unservedEvery is the time between log lines about requests that were not served.
+	// unservedLogInterval is the time between log lines about requests that were not served, and about streams that were late.
 	unservedLogInterval = 5 * time.Second
 )
 
-// observations counts what operators need to see of requests that no server took, and keeps its log lines few.
+// requestStats counts what operators need to see of failed and late requests, and limits the rate of log lines. It is safe for concurrent use.
 type requestStats struct {
 	misdirectedLog rate.Sometimes
 
-	mu               sync.Mutex
+	mu               sync.Mutex                // guards what follows
 	unserved         map[string]unservedCounts // since the last line, by service
 	unservedLoggedAt time.Time
 
@@ -30,7 +31,7 @@
 	streamsLoggedAt time.Time
 }
 
-// stream counts a stream that was served.
+// countStream counts a completed stream.
 func (s *requestStats) countStream(req *proxyRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +43,7 @@
 	counts.add(req.route, req.arrivedAt, &req.timing)
 }
 
-// dueStreams returns the counts of streams once it is time for a line, nil before.
+// takeDueStreams returns the counts of streams and resets them once a log line is due; it returns nil before.
 func (s *requestStats) takeDueStreams(now time.Time) map[string]*streamCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,30 +55,32 @@
 	return counts
 }
 
-// logStreams tells of routes whose streams came late, and by what.
+// logStreams logs the routes whose streams were late, with the causes, where that is due.
 func (p *Proxy) logStreams(now time.Time) {
 	for route, counts := range p.stats.takeDueStreams(now) {
 		if counts.LatePrefill+counts.LateFirstEvent+counts.LateGap == 0 {
 			continue
 		}
-		p.log.WithField("route", route).WithField("served", counts.Served).WithField("late_reading", counts.LatePrefill).
-			WithField("late_first", counts.LateFirstEvent).WithField("late_pause", counts.LateGap).Info("streams late")
+		p.log.WithFields(logrus.Fields{"route": route, "served": counts.Served, "late_reading": counts.LatePrefill,
+			"late_first": counts.LateFirstEvent, "late_pause": counts.LateGap}).Info("streams late")
 	}
 }
 
-// unserved counts requests that brought no answer of a server.
+// unservedCounts counts requests without a server's response.
 type unservedCounts struct {
-	Rejected      int // none has run
-	BackendFailed int // the server broke off and may have run it
-	TimedOut      int // the time was over and a server may have run it
+	Rejected      int // not executed
+	BackendFailed int // a server has failed, and may have executed it
+	TimedOut      int // the deadline has passed, and a server may have executed it
 }
 
+// newRequestStats returns counters at zero.
 func newRequestStats() *requestStats {
-	return &requestStats{misdirectedLog: rate.Sometimes{Interval: misdirectedLogInterval}, unserved: map[string]unservedCounts{}, unservedLoggedAt: time.Now(),
+	return &requestStats{misdirectedLog: rate.Sometimes{Interval: misdirectedLogInterval},
+		unserved: map[string]unservedCounts{}, unservedLoggedAt: time.Now(),
 		streams: map[string]*streamCounts{}, streamsLoggedAt: time.Now()}
 }
 
-// count adds to what is counted for a service.
+// countUnserved has add change the counts of a service.
 func (s *requestStats) countUnserved(service string, add func(counts *unservedCounts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +89,7 @@
 	s.unserved[service] = counts
 }
 
-// due returns the counts once it is time for a line, nil before.
+// takeDueUnserved returns the counts and resets them once a log line is due; it returns nil before.
 func (s *requestStats) takeDueUnserved(now time.Time) map[string]unservedCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +101,7 @@
 	return counts
 }
 
-// logUnserved tells how many requests were not served, and why the servers of their services were not chosen.
+// logUnserved logs how many requests were not served, with the state of the service's servers, where that is due.
 func (p *Proxy) logUnserved(now time.Time) {
 	for service, counts := range p.stats.takeDueUnserved(now) {
 		var status placement.Status
@@ -107,24 +110,34 @@
 				status = pool.Status(now)
 			}
 		})
-		p.log.WithField("service", service).WithField("refused", counts.Rejected).WithField("broken_off", counts.BackendFailed).
-			WithField("out_of_time", counts.TimedOut).WithField("listed", status.Listed).WithField("draining", status.Draining).
-			WithField("switching", status.Switching).WithField("members", status.Members).WithField("free", status.Available).
-			WithField("misplaced", status.WrongInstance).WithField("cooling", status.Ejected).WithField("full", status.Full).
-			WithField("suspected", status.Suspected).Warn("requests not served")
+		p.log.WithFields(logrus.Fields{
+			"service":     service,
+			"refused":     counts.Rejected,
+			"broken_off":  counts.BackendFailed,
+			"out_of_time": counts.TimedOut,
+			"listed":      status.Listed,
+			"draining":    status.Draining,
+			"switching":   status.Switching,
+			"members":     status.Members,
+			"free":        status.Available,
+			"misplaced":   status.WrongInstance,
+			"cooling":     status.Ejected,
+			"full":        status.Full,
+			"suspected":   status.Suspected,
+		}).Warn("requests not served")
 	}
 }
 
-// logMisdirected tells of a server that turned a request away as not its own, and which of the system's fields the client had sent.
+// logMisdirected logs that a server has rejected a request as misdirected, with the reserved fields that the client had sent.
 func (p *Proxy) logMisdirected(req *proxyRequest, endpoint *placement.Endpoint, response *http.Response) {
 	p.stats.misdirectedLog.Do(func() {
-		p.log.WithField("server", endpoint.ID).WithField("address", endpoint.Address).WithField("stage", endpoint.Stage).
-			WithField("request", req.id).WithField("answered_by", response.Header.Get(headerInstanceID)).
-			WithField("client_fields", sentReservedHeaders(req.incoming.Header)).Warn("misdirected")
+		p.log.WithFields(logrus.Fields{"server": endpoint.ID, "address": endpoint.Address, "stage": endpoint.Stage, "request": req.id,
+			"answered_by":   response.Header.Get(headerInstanceID),
+			"client_fields": sentReservedHeaders(req.incoming.Header)}).Warn("misdirected")
 	})
 }
 
-// systemFieldsOf returns those of the system's fields that a client has sent, but for the time that it has.
+// sentReservedHeaders returns the reserved fields in a client's request, but for the deadline, which clients may send.
 func sentReservedHeaders(header http.Header) (names []string) {
 	for _, name := range reservedHeaders {
 		if _, sent := header[name]; sent && name != headerDeadline {
--- a/internal/proxy/routetable.go
+++ b/internal/proxy/routetable.go
@@ -9,14 +9,15 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// routeTable finds routes by host and path. It never changes.
+// routeTable finds routes by host and path. It is immutable.
 type routeTable struct {
 	version  uint64
 	limits   routeconfig.Limits
-	byPlace  *iradix.Tree[*routeconfig.Route]
-	services map[string]*routeconfig.Service
+	byPlace  *iradix.Tree[*routeconfig.Route] // by routeKey
+	services map[string]*routeconfig.Service  // by name
 }
 
+// newRouteTable returns the table of a configuration, which must not change afterwards.
 func newRouteTable(table *routeconfig.Table) *routeTable {
 	routes := &routeTable{version: table.Version, limits: table.Limits, services: map[string]*routeconfig.Service{}}
 	txn := iradix.New[*routeconfig.Route]().Txn()
@@ -31,10 +32,10 @@
 	return routes
 }
 
-// placeKey joins a host and a path. No host holds a zero byte, so none is the beginning of another.
+// routeKey joins a host and a path prefix. The zero byte between them, which no host contains, keeps one host from being a prefix of another.
 func routeKey(host, path string) string { return strings.ToLower(host) + "\x00" + path }
 
-// find returns the route with the longest prefix, nil if there is none.
+// find returns the route with the longest matching path prefix, nil where there is none. A port in the host is ignored.
 func (t *routeTable) find(host, path string) *routeconfig.Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
@@ -46,7 +47,7 @@
 	return route
 }
 
-// target draws the service of a request by the weights.
+// drawService draws the service of a request, by the weights of the route.
 func drawService(route *routeconfig.Route) string {
 	if len(route.Services) == 1 {
 		return route.Services[0].Service
--- a/internal/proxy/routingstate.go
+++ b/internal/proxy/routingstate.go
@@ -11,46 +11,50 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// state holds what the decisions know. All of it is guarded by one lock, which is never held during I/O.
+// routingState is what requests are placed by: configuration, endpoint list, stage plan, and the pools and planners of package placement,
+// which are not safe for concurrent use themselves. It is guarded by one lock, which is never held during I/O.
 type routingState struct {
 	settings  *nodeconfig.Settings
 	startedAt time.Time
 	servable  chan struct{} // closed once requests can be served
 
-	mu         sync.Mutex
-	table      *routeTable
+	mu         sync.Mutex  // guards what follows
+	table      *routeTable // nil before the first configuration
 	instances  []message.Instance
-	hasList    bool // a list was told at all
-	isServable bool // begun is closed
+	hasList    bool // an endpoint list was received
+	isServable bool // the channel servable is closed
 	stagePlan  message.StagePlan
-	rank       int
-	count      int
-	pools      map[string]*placement.Pool
-	planners   map[string]*placement.Planner
+	rank       int                           // of this proxy
+	count      int                           // of proxies
+	pools      map[string]*placement.Pool    // by service
+	planners   map[string]*placement.Planner // by service
 }
 
+// newRoutingState returns a state without configuration and endpoint list.
 func newRoutingState(settings *nodeconfig.Settings) *routingState {
-	return &routingState{settings: settings, startedAt: time.Now(), servable: make(chan struct{}), pools: map[string]*placement.Pool{}, planners: map[string]*placement.Planner{}}
+	return &routingState{settings: settings, startedAt: time.Now(), servable: make(chan struct{}),
+		pools: map[string]*placement.Pool{}, planners: map[string]*placement.Planner{}}
 }
 
-// now is the time of the decisions: seconds on the steady clock.
+// now returns the time of pools and planners, in seconds since the start.
 func (s *routingState) now() float64 { return time.Since(s.startedAt).Seconds() }
 
-// ready tells whether requests can be served at all.
+// isReady tells whether requests can be served.
 func (s *routingState) isReady() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table != nil && s.hasList
 }
 
-// routes returns the table in force, nil before the first.
+// routes returns the table in force, nil before the first configuration.
 func (s *routingState) routes() *routeTable {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table
 }
 
-// take takes what the agent tells. Danger: an agent that has restarted may know an older configuration; versions never go back.
+// applyFeed applies an update of the agent. An error says that it can't be unpacked; nothing has changed then. Danger: an agent that has
+// restarted may send an older configuration. The version in force must never go back.
 func (s *routingState) applyFeed(feed *message.Feed) error {
 	table, instances, err := unpackFeed(feed)
 	if err != nil {
@@ -91,13 +95,13 @@
 	return nil
 }
 
-// look has a pool go by the list and the plan that were told last.
+// updatePool applies the newest endpoint list and stage plan to a pool. The caller holds the lock.
 func (s *routingState) updatePool(now float64, pool *placement.Pool) {
 	pool.UpdateInstances(now, s.instances)
 	pool.ApplyStagePlan(now, s.stagePlan)
 }
 
-// revisit takes back servers that were kept out for a time that is over. Nothing new needs to be told for that.
+// refreshExpired readmits servers whose time of exclusion is over; no update of the agent announces that.
 func (s *routingState) refreshExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +114,8 @@
 	}
 }
 
-// openPools makes a pool for each service of the table that has none, and drops those of services that are gone.
+// syncPools creates a pool and a planner for each service of the table that has none, and removes those of other services. The caller holds
+// the lock.
 func (s *routingState) syncPools() {
 	for name, service := range s.table.services {
 		if s.pools[name] == nil {
@@ -127,6 +132,7 @@
 	}
 }
 
+// newPool returns a pool with the present endpoint list. The caller holds the lock.
 func (s *routingState) newPool(name string) *placement.Pool {
 	bounds := s.settings.Bounds
 	budget := placement.RetryBudget{WindowSeconds: bounds.BudgetWindowSeconds, Ratio: bounds.RetryBudgetRatio, Slack: bounds.BudgetSlack}
@@ -136,6 +142,7 @@
 	return pool
 }
 
+// engineFor returns the model servers' figures of a service, the zero value where it has none.
 func engineFor(service *routeconfig.Service) placement.Engine {
 	if service.Engine == nil {
 		return placement.Engine{}
@@ -144,7 +151,7 @@
 		LinkMbps: service.Engine.LinkMbps, SwitchSeconds: service.Engine.StageSwitchSeconds}
 }
 
-// addresses returns those of all servers that are listed and not leaving.
+// listedAddresses returns the addresses of the endpoint list.
 func (s *routingState) listedAddresses() map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +162,7 @@
 	return wanted
 }
 
-// report sums up what this proxy asks of model servers.
+// buildReport returns the next report to the agent. Loads that it contains are not reported again.
 func (s *routingState) buildReport() *message.ProxyReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,14 +180,14 @@
 	return report
 }
 
-// do runs f on a service's pool and planner under the lock; f gets nil where the service is unknown.
+// withService calls f with a service's pool and planner under the lock, nil where the service is unknown. f must not block.
 func (s *routingState) withService(service string, f func(now float64, pool *placement.Pool, planner *placement.Planner)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.now(), s.pools[service], s.planners[service])
 }
 
-// with runs f under the lock.
+// withLock calls f under the lock. f must not block.
 func (s *routingState) withLock(f func(now float64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -12,18 +12,12 @@
 	"hazelwheel/internal/decide/placement"
 )
 
-const (
-	// readingMost is how long the reading of a prompt is waited for, in times the route's objective.
-	prefillTimeoutFactor = 6
-	// readersMost bounds the servers that are tried for the reading of a prompt.
-	maxPrefillAttempts      = 3
-	maxPrefillResponseBytes = 64 << 10
-	eventBufferSize         = 4 << 10
-	releaseTimeout          = time.Second
-	maxPriority             = 9
-)
+// eventBufferSize is the size of the buffer that events are read into, in bytes.
+const eventBufferSize = 4 << 10
 
-// stream serves a request whose answer is a series of events.
+// serveStream serves a request whose response is a stream of events. With model servers, a prompt may be prefilled at one server and decoded at
+// another. A stream that breaks off after its first event is resumed at another server where the route allows it; otherwise the
+// connection to the client is cut, so that the response does not look complete.
 func (p *Proxy) serveStream(ctx context.Context, w http.ResponseWriter, req *proxyRequest, servesModel bool) {
 	relay := &eventRelay{w: w, control: http.NewResponseController(w)}
 	defer func() { p.releaseKVHandle(req.cache.handle) }()
@@ -46,20 +40,21 @@
 		}
 	}
 	if relay.headWritten {
-		// Danger: an answer that ends here must not look complete.
+		// Danger: a response that ends here must not look complete.
 		panic(http.ErrAbortHandler)
 	}
 	p.respondFailure(ctx, w, req)
 }
 
-// run is one try to have a stream made.
+// streamAttempt is one attempt at a stream.
 type streamAttempt struct {
 	endpoint *placement.Endpoint
-	prefill  *placement.Prefill // where the prompt is read here
-	prompt   *placement.Prompt
+	prefill  *placement.Prefill // where the endpoint prefills the prompt itself, until that is done
+	prompt   *placement.Prompt  // nil where the service has no model servers
 }
 
-// runPrompt chooses servers for a prompt, has it read and its answer made. It returns whether the client has its answer.
+// attemptPrompt makes one attempt with model servers: it chooses them, has the prompt prefilled where that is planned separately, and has it
+// decoded. It returns whether the client has a complete response; where not, req.lastOutcome says why.
 func (p *Proxy) attemptPrompt(ctx context.Context, relay *eventRelay, req *proxyRequest, prompt *placement.Prompt) bool {
 	if req.cache.handle != "" {
 		return p.attemptDecode(ctx, relay, req, prompt)
@@ -81,18 +76,20 @@
 			req.lastOutcome = outcomeCanceled
 			return false
 		}
-		// Danger: to ask whether it is read again spends of the budget, which the last one must not.
+		// Danger: retriesPrefill charges the retry budget, which must not happen after the last attempt.
 		if attempt == maxPrefillAttempts || !p.retriesPrefill(req, result) {
 			break
 		}
-		// Reading it beside answers would hold these up for a server that is merely gone or changing.
+		// A decode server that prefilled it would delay its streams, merely because one prefill server has failed or is changing.
 		excluded = append(excluded, plan.PrefillServer)
 	}
 	return p.attemptDecode(ctx, relay, req, prompt)
 }
 
-// place chooses servers for a prompt and counts it at the one that is asked first.
-func (p *Proxy) planPrompt(ctx context.Context, req *proxyRequest, prompt *placement.Prompt, excluded []*placement.Endpoint, separately bool) (plan placement.Plan, found bool) {
+// planPrompt chooses the servers for a prompt, and counts the request as started at the one that it is sent to first. separately allows a
+// prefill server apart from the decode server.
+func (p *Proxy) planPrompt(ctx context.Context, req *proxyRequest, prompt *placement.Prompt, excluded []*placement.Endpoint,
+	separately bool) (plan placement.Plan, found bool) {
 	found = p.awaitPlacement(ctx, req, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
 		chosen, ok := planner.PlanPrompt(now, prompt, excluded, separately)
 		if !ok {
@@ -108,7 +105,8 @@
 	return plan, found
 }
 
-// runRead has an answer made of the cache that was read, or without one where reading failed. Its server is chosen only now.
+// attemptDecode has a prompt decoded, from its KV cache or without one where the prefill has failed. The decode server is chosen only now, by
+// what is known after the prefill.
 func (p *Proxy) attemptDecode(ctx context.Context, relay *eventRelay, req *proxyRequest, prompt *placement.Prompt) bool {
 	var server *placement.Endpoint
 	p.awaitPlacement(ctx, req, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
@@ -124,7 +122,8 @@
 	return p.attemptStream(ctx, relay, req, streamAttempt{endpoint: server, prompt: prompt})
 }
 
-// runStream has an answer made and passes it on. It returns whether the client has its answer, else j.last says why not.
+// attemptStream sends the request to a server and forwards its events. It returns whether the client has a complete response; where not,
+// req.lastOutcome says why.
 func (p *Proxy) attemptStream(ctx context.Context, relay *eventRelay, req *proxyRequest, attempt streamAttempt) bool {
 	fields := []headerField{{headerExpectInstance, attempt.endpoint.ID}, {headerPriority, priorityValue(req)}}
 	handle := req.cache.handle
@@ -143,7 +142,7 @@
 	if result != outcomeAnswered {
 		p.finishPrefill(req, &attempt, false)
 		if result != outcomeNotSent {
-			req.cache.handle = "" // it may have been taken
+			req.cache.handle = "" // it may have been fetched
 		}
 		p.recordOutcome(ctx, req, attempt.endpoint, result)
 		return false
@@ -162,6 +161,7 @@
 	return result == outcomeAnswered
 }
 
+// startPrefill records that the endpoint starts to prefill the prompt itself, unless there is a KV cache.
 func (p *Proxy) startPrefill(req *proxyRequest, attempt *streamAttempt) {
 	if attempt.prompt == nil || req.cache.handle != "" {
 		return
@@ -173,6 +173,7 @@
 	})
 }
 
+// finishPrefill records the end of a prefill that startPrefill has recorded. Further calls do nothing.
 func (p *Proxy) finishPrefill(req *proxyRequest, attempt *streamAttempt, succeeded bool) {
 	if attempt.prefill == nil {
 		return
@@ -185,7 +186,8 @@
 	attempt.prefill = nil
 }
 
-// passFailure passes on an answer that is no stream, where it may be.
+// forwardFailure handles a response that is no stream. It forwards it where it is an answer, nothing was written yet and no retry is allowed;
+// it returns whether it has.
 func (p *Proxy) forwardFailure(ctx context.Context, relay *eventRelay, req *proxyRequest, endpoint *placement.Endpoint, exchanged *backendExchange) bool {
 	body, err := io.ReadAll(io.LimitReader(exchanged.response.Body, maxResponseBytes))
 	result := outcomeMayHaveExecuted
@@ -205,11 +207,11 @@
 	}
 	p.recordOutcome(ctx, req, endpoint, outcomeAnswered)
 	relay.writeHead(exchanged.response)
-	_, _ = relay.w.Write(body) // a client that is gone needs none
+	_, _ = relay.w.Write(body) // a client that has disconnected needs none
 	return true
 }
 
-// passEvents passes events on until the stream ends. Only whole events go out.
+// forwardEvents forwards events until the stream ends, and returns the outcome. Only complete events are written.
 func (p *Proxy) forwardEvents(relay *eventRelay, req *proxyRequest, attempt *streamAttempt, exchanged *backendExchange) outcome {
 	if !hasDelimitedBody(exchanged.response) || exchanged.response.Header.Get(headerStamp) == "" || exchanged.response.Header.Get("Content-Encoding") != "" {
 		exchanged.abort()
--- a/internal/proxy/streamtiming.go
+++ b/internal/proxy/streamtiming.go
@@ -7,23 +7,26 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// streamCounts counts the streams of a route that were served, and those of them that came late by what made them so.
+// latePrefillFraction is the part of the latency target after which a prefill counts as late.
+const latePrefillFraction = 0.5
+
+// streamCounts counts the completed streams of a route, and those of them that missed a latency target, each by its first cause.
 type streamCounts struct {
 	Served         int
-	LatePrefill    int // more than half of the objective was over when the prompt had been read
-	LateFirstEvent int // the first event came late all the same
-	LateGap        int // a pause between events was too long
+	LatePrefill    int // the first event was late, and a separate prefill took more than latePrefillFraction of the target
+	LateFirstEvent int // the first event was late for another reason
+	LateGap        int // a gap between events was too long
 }
 
-// streamTimes is when what mattered to a stream happened.
+// streamTiming holds the moments of a stream that its latency targets are about.
 type streamTiming struct {
-	prefilledAt  time.Time // the prompt had been read apart; zero: it was not
-	firstEventAt time.Time // the first event went out
-	lastEventAt  time.Time // the newest event went out
+	prefilledAt  time.Time // end of a separate prefill; zero: there was none
+	firstEventAt time.Time // first event written
+	lastEventAt  time.Time // newest event written
 	longestGap   time.Duration
 }
 
-// event notes that an event goes out.
+// recordEvent records that an event was written.
 func (s *streamTiming) recordEvent(now time.Time) {
 	if s.firstEventAt.IsZero() {
 		s.firstEventAt = now
@@ -33,10 +36,7 @@
 	s.lastEventAt = now
 }
 
-// readingPart is the part of the objective after which a prompt has been read late.
-const latePrefillFraction = 0.5
-
-// add counts a stream of a route that was served.
+// add counts a completed stream of a route.
 func (c *streamCounts) add(route *routeconfig.Route, arrivedAt time.Time, timing *streamTiming) {
 	c.Served++
 	target := nodeconfig.FromMillis(route.LatencyTargetMs)
--- a/internal/proxy/unary.go
+++ b/internal/proxy/unary.go
@@ -10,7 +10,10 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// plain serves a request whose answer is short.
+// maxResponseBytes bounds a response that is buffered until it is complete.
+const maxResponseBytes = 16 << 20
+
+// serveUnary serves a request whose response is buffered and forwarded once it is complete, so that it can be retried up to then.
 func (p *Proxy) serveUnary(ctx context.Context, w http.ResponseWriter, req *proxyRequest) {
 	for range maxAttemptsPerRequest {
 		if !p.chargeAttempt(req) {
@@ -25,7 +28,7 @@
 			copyResponseHeader(w, response)
 			w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 			w.WriteHeader(response.StatusCode)
-			_, _ = w.Write(body) // a client that is gone needs none
+			_, _ = w.Write(body) // a client that has disconnected needs none
 			return
 		}
 		if !req.lastOutcome.allowsRetry(req.route) || req.possibleExecutions >= req.route.MaxAttempts || ctx.Err() != nil {
@@ -35,7 +38,8 @@
 	p.respondFailure(ctx, w, req)
 }
 
-// attempt sends a request to a server and reads the whole answer. Without an answer for the client, j.last says why.
+// attemptUnary makes one attempt, and returns the response with its complete body. Where it returns nil, req.lastOutcome says why. A server
+// error of an idempotent request is no response as long as another attempt is allowed.
 func (p *Proxy) attemptUnary(ctx context.Context, req *proxyRequest, endpoint *placement.Endpoint) (*http.Response, []byte) {
 	exchanged, result := p.roundTrip(ctx, req, endpoint, encodeRequest(req.incoming, req.body, req.remaining(), headerField{headerExpectInstance, endpoint.ID}))
 	if result != outcomeAnswered {
