--- a/internal/decide/placement/engine.go
+++ b/internal/decide/placement/engine.go
@@ -15,7 +15,7 @@
 	waitSeconds    float64 // wait of the last prefill of this proxy
 	waitObservedAt float64 // when waitSeconds was observed
 	loadReportedAt float64 // when the server had running and waiting requests
-	hasNewLoad     bool    // the load was reported to this proxy and not sent on yet
+	hasNewLoad     bool    // the load was reported to this proxy and not forwarded yet
 	running        int
 	waiting        int
 	kvTokens       float64            // of answers of this proxy in progress
--- a/internal/decide/reconfiguration/candidates.go
+++ b/internal/decide/reconfiguration/candidates.go
@@ -55,7 +55,7 @@
 
 // IsLiveVoter returns a predicate that reports whether a voter is alive with its identity. Danger: a machine that lost its
 // disk has another identity at the same address. If it counted as the voter that it was, it would get a rank at which
-// nobody acts.
+// no process acts.
 func IsLiveVoter(candidates []register.Candidate) func(register.Voter) bool {
 	return func(voter register.Voter) bool { return register.FindLiveCandidate(voter, candidates) != nil }
 }
--- a/internal/decide/register/proposal.go
+++ b/internal/decide/register/proposal.go
@@ -55,8 +55,8 @@
 	return p, Step{SendPrepare: p.contacted.add(initial)}
 }
 
-// SetKnownChosen sets a ballot at which a proposal or read of this process has found a value chosen. It spares a change of
-// the voters the round that would find that out.
+// SetKnownChosen sets a ballot at which a proposal or read of this process has found a value chosen. Without it a change of the
+// voters needs a proposal of NoChange before, where the replies do not show that the value is chosen.
 func (p *Proposal) SetKnownChosen(ballot Ballot) { p.knownChosen = ballot }
 
 // contactedVoters are the voters that were sent a first message.
@@ -94,7 +94,7 @@
 }
 
 // highestAccepted returns the promise with the highest accepted ballot. Danger: the value of a voter that has accepted
-// nothing says nothing about who votes. Until something was accepted the initial voters hold, which all founders share.
+// nothing does not reveal the voters. Until something was accepted the initial voters hold, which all founders share.
 func (p *Proposal) highestAccepted() PrepareReply {
 	newest := PrepareReply{Value: p.initial}
 	for _, promise := range p.promises {
--- a/internal/decide/register/simulation_test.go
+++ b/internal/decide/register/simulation_test.go
@@ -302,7 +302,9 @@
 func (s *simulation) finishCall(op *operation) {
 	n := op.node
 	n.op = nil
-	value, outcome, at := register.Value{}, register.Undecided, register.Ballot{}
+	var value register.Value
+	var outcome register.Outcome
+	var at register.Ballot
 	if op.quorumRead != nil {
 		value, outcome, at = op.quorumRead.Value, op.quorumRead.Outcome, op.quorumRead.ChosenAt
 	} else {
--- a/internal/gossip/loads.go
+++ b/internal/gossip/loads.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// loadRetention is the age up to which a server's load is sent on.
+	// loadRetention is the age up to which a server's load is forwarded.
 	loadRetention = 1500 * time.Millisecond
 	// maxLoadsPerExchange bounds the loads in one exchange.
 	maxLoadsPerExchange = 200
