--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -15,8 +15,8 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-var _ = Describe("the time that a request has", func() {
-	DescribeTable("is handed on to the server, as much as is left", func(deadline string, mostMs float64) {
+var _ = Describe("the deadline of a request", func() {
+	DescribeTable("is forwarded to the server as the remaining time", func(deadline string, mostMs float64) {
 		s := startServer("i-1", "s", "", echo)
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		_, _, err := sendClientRequest(front, headerDeadline, deadline)
@@ -27,15 +27,15 @@
 		Expect(told).To(BeNumerically(">", 0))
 	},
 		Entry("the client's", "3000", 3000.0),
-		Entry("the route's, where the client would wait for longer", "60000", 5000.0),
-		Entry("the route's, where the client does not say", "", 5000.0),
+		Entry("the route's, where the client's is later", "60000", 5000.0),
+		Entry("the route's, where the client sends none", "", 5000.0),
 	)
 
-	It("ends at the route's limit though the server is silent", func() {
+	It("ends a request at the route's time-out where the server does not answer", func() {
 		limited := route(routeconfig.NonIdempotent)
 		limited.TimeoutMs = 300
 		s := startServer("i-1", "s", "", func(conn net.Conn, _ receivedRequest, _ int) bool {
-			_, _ = io.Copy(io.Discard, conn) // until the proxy hangs up
+			_, _ = io.Copy(io.Discard, conn) // until the proxy disconnects
 			return false
 		})
 		_, front := startProxy(limited, false, s)
@@ -47,7 +47,7 @@
 		Expect(s.received()).To(HaveLen(1))
 	})
 
-	It("is over once the client has left: the server's connection ends, and no other server is asked", func() {
+	It("ends when the client disconnects: the server's connection is closed, and there is no retry", func() {
 		hungUp := make(chan struct{}, 2)
 		silent := func(conn net.Conn, _ receivedRequest, _ int) bool {
 			_, _ = io.Copy(io.Discard, conn)
--- a/internal/proxy/misdirected_test.go
+++ b/internal/proxy/misdirected_test.go
@@ -17,24 +17,24 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// modelServer is a stand-in that goes by the fields of a request as model servers do: what is not for its stage, its instance or its
-// weights gets 421.
-type modelServer struct {
+// fakeModelServer checks the reserved fields of requests as model servers do: a request for another stage, instance or version of weights
+// gets 421.
+type fakeModelServer struct {
 	instance message.Instance
 
 	mu    sync.Mutex
 	asked []http.Header
 }
 
-// seen returns the fields of all requests that have come.
-func (s *modelServer) seen() []http.Header {
+// seen returns the headers of all requests that were received.
+func (s *fakeModelServer) seen() []http.Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.asked)
 }
 
-func newModelServer(t *testing.T, id string, stage message.Stage) *modelServer {
-	s := &modelServer{instance: message.Instance{ID: id, Service: "s", Zone: "z", Slots: 4, Stage: stage}}
+func newFakeModelServer(t *testing.T, id string, stage message.Stage) *fakeModelServer {
+	s := &fakeModelServer{instance: message.Instance{ID: id, Service: "s", Zone: "z", Slots: 4, Stage: stage}}
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
 	s.instance.Address = strings.TrimPrefix(server.URL, "http://")
@@ -43,7 +43,7 @@
 
 const weightsVersion = "1"
 
-func (s *modelServer) misdirected(header http.Header) bool {
+func (s *fakeModelServer) misdirected(header http.Header) bool {
 	stage := message.Decode
 	if header.Get(headerServingStage) == stagePrefill {
 		stage = message.Prefill
@@ -52,7 +52,7 @@
 	return stage != s.instance.Stage || version != "" && version != weightsVersion || instance != "" && instance != s.instance.ID
 }
 
-func (s *modelServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeModelServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.asked = append(s.asked, r.Header)
 	s.mu.Unlock()
@@ -70,8 +70,8 @@
 	}
 }
 
-// promptFront returns the front of a proxy with a route for prompts to these servers.
-func promptFront(t *testing.T, servers ...*modelServer) *httptest.Server {
+// promptFront returns a server with a proxy whose route sends prompts to these model servers.
+func promptFront(t *testing.T, servers ...*fakeModelServer) *httptest.Server {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowSeconds: 10, BudgetSlack: 100, PrefixCacheSeconds: 8}}
@@ -98,7 +98,7 @@
 	return front
 }
 
-// sendPrompt returns the status that a prompt with these further fields gets.
+// sendPrompt sends a prompt with further fields and returns the status.
 func sendPrompt(t *testing.T, front *httptest.Server, id string, fields ...headerField) int {
 	request, err := http.NewRequest(http.MethodPost, front.URL+"/p/x", strings.NewReader("body"))
 	if err != nil {
@@ -120,11 +120,11 @@
 	return answer.StatusCode
 }
 
-// TestClientsSendFieldsOfTheSystem lets clients send fields by which servers go and that are the system's to set. They get their answer,
-// and so does everybody after them.
-func TestClientsSendFieldsOfTheSystem(t *testing.T) {
-	reader, runner := newModelServer(t, "i-1", message.Prefill), newModelServer(t, "i-2", message.Decode)
-	front := promptFront(t, reader, runner)
+// TestReservedHeadersOfClientsAreDropped has clients send the fields that only proxies set. Their requests are served, and so are those of
+// other clients after them.
+func TestReservedHeadersOfClientsAreDropped(t *testing.T) {
+	prefillServer, decodeServer := newFakeModelServer(t, "i-1", message.Prefill), newFakeModelServer(t, "i-2", message.Decode)
+	front := promptFront(t, prefillServer, decodeServer)
 	sent := []headerField{{headerServingStage, stagePrefill}, {"Expect-Version", "7"}, {headerKVFrom, "10.0.0.1:1/h9"}, {headerExpectInstance, "i-9"},
 		{headerPriority, "0"}}
 	for i, f := range sent {
@@ -135,7 +135,7 @@
 			t.Errorf("the client after one that has sent %s gets %d", f.name, status)
 		}
 	}
-	for _, header := range append(reader.seen(), runner.seen()...) {
+	for _, header := range append(prefillServer.seen(), decodeServer.seen()...) {
 		for _, f := range sent {
 			if header.Get(f.name) == f.value && (f.name != headerServingStage || header.Get(headerExpectInstance) != "i-1") {
 				t.Errorf("%s: %s reached a server", f.name, f.value)
--- a/internal/proxy/proxy_suite_test.go
+++ b/internal/proxy/proxy_suite_test.go
@@ -25,13 +25,13 @@
 	RunSpecs(t, "proxy")
 }
 
-// taken is a request that a server has read.
+// receivedRequest is a request that a server has read.
 type receivedRequest struct {
 	*http.Request
 	body string
 }
 
-// server is a stand-in for a server: what it answers is written by the test, byte by byte.
+// testServer is a fake server: the test writes its responses byte by byte.
 type testServer struct {
 	message.Instance
 	listener net.Listener
@@ -42,7 +42,7 @@
 	resetsNewConns bool // it resets new connections a moment after it has accepted them
 }
 
-// behaviour answers the n-th request of a server on its connection. It returns whether the connection goes on.
+// serverBehavior answers the n-th request of a server on its connection. It returns whether the connection stays open.
 type serverBehavior func(conn net.Conn, r receivedRequest, n int) bool
 
 func startServer(id, service string, stage message.Stage, answer serverBehavior) *testServer {
@@ -70,7 +70,7 @@
 	crowded := s.resetsNewConns
 	s.mu.Unlock()
 	if crowded {
-		_, _ = conn.Read(make([]byte, 1)) // whatever is sent first
+		_, _ = conn.Read(make([]byte, 1)) // the first byte
 		resetConn(conn, receivedRequest{}, 0)
 		return
 	}
@@ -111,7 +111,7 @@
 	return append([]receivedRequest(nil), s.requests...)
 }
 
-// whole answers with a body and everything that a server's answer has.
+// writeAnswer answers with a body and all fields of a server's response.
 func writeAnswer(conn net.Conn, r receivedRequest, body string) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: stamp\r\nContent-Length: %d\r\n\r\n%s",
 		r.Header.Get(headerRequestID), len(body), body)
@@ -122,14 +122,14 @@
 	return writeAnswer(conn, r, "answer of "+r.body)
 }
 
-// full refuses a request as a server does that has no place.
+// rejectFull rejects a request as a server without capacity does.
 func rejectFull(conn net.Conn, r receivedRequest, _ int) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 503 Full\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
 		r.Header.Get(headerRequestID))
 	return err == nil
 }
 
-// reset ends the connection without an answer, as a process does that is killed.
+// resetConn resets the connection without a response, as a killed process does.
 func resetConn(conn net.Conn, _ receivedRequest, _ int) bool {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -137,7 +137,7 @@
 	return false
 }
 
-// streamHead begins an answer of events.
+// streamHead writes the head of a stream.
 func streamHead(conn net.Conn, r receivedRequest) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: stamp\r\n"+
 		"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get(headerRequestID))
@@ -152,7 +152,7 @@
 	return err == nil
 }
 
-// events answers with all events after the one that the request names.
+// events answers with all events after the one whose ID is in the request.
 func events(count int) serverBehavior {
 	return func(conn net.Conn, r receivedRequest, _ int) bool {
 		streamHead(conn, r)
@@ -167,13 +167,13 @@
 	}
 }
 
-// route is one to the service "s" with two attempts.
+// route returns a route to the service "s" with two attempts.
 func route(kind routeconfig.RouteKind) routeconfig.Route {
 	return routeconfig.Route{Name: "r", Host: "h.example", PathPrefix: "/p/", Kind: kind, TimeoutMs: 5000, LatencyTargetMs: 500, Priority: 1,
 		Services: []routeconfig.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2}
 }
 
-// startProxy begins a proxy with one route and these servers. The budget allows some repeats.
+// startProxy starts a proxy with one route and these servers. The budget allows some retries.
 func startProxy(r routeconfig.Route, engine bool, servers ...*testServer) (*Proxy, *httptest.Server) {
 	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowSeconds: 10, BudgetSlack: 100, PrefixCacheSeconds: 8}}
 	log := logrus.New()
@@ -202,7 +202,7 @@
 	return &message.InstanceList{Digest: 1, Data: data}
 }
 
-// ask sends a request and returns the answer, its body and how the body ended.
+// sendClientRequest sends a request and returns the response, its body and the error of reading the body.
 func sendClientRequest(front *httptest.Server, set ...string) (*http.Response, string, error) {
 	request, err := http.NewRequest(http.MethodPost, front.URL+"/p/x?q=1", strings.NewReader("body"))
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/proxy/requeststats_test.go
+++ b/internal/proxy/requeststats_test.go
@@ -10,8 +10,8 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-var _ = Describe("what operators see of requests that are not served", func() {
-	It("is counted by service and told once in a while", func() {
+var _ = Describe("the statistics of requests that are not served", func() {
+	It("are counted by service and reported at intervals", func() {
 		o := newRequestStats()
 		began := o.unservedLoggedAt
 		refused := func(counts *unservedCounts) { counts.Rejected++ }
@@ -23,7 +23,7 @@
 		Expect(o.takeDueUnserved(began.Add(3 * unservedLogInterval))).To(BeNil())
 	})
 
-	It("names the system's fields that a client has sent", func() {
+	It("name the reserved fields that a client has sent", func() {
 		header := http.Header{}
 		header.Set(headerRequestID, "id-1")
 		header.Set(headerServingStage, "prefill")
@@ -32,7 +32,7 @@
 	})
 })
 
-var _ = DescribeTable("a stream counts by what made it late", func(read, first, pause time.Duration, want streamCounts) {
+var _ = DescribeTable("a stream is counted by the cause of its delay", func(read, first, pause time.Duration, want streamCounts) {
 	arrived := time.Now()
 	times := &streamTiming{}
 	if read > 0 {
@@ -45,13 +45,13 @@
 	want.Served = 1
 	Expect(*counts).To(Equal(want))
 }, Entry("in time", 100*time.Millisecond, 300*time.Millisecond, 50*time.Millisecond, streamCounts{}),
-	Entry("its prompt was read late", 250*time.Millisecond, 500*time.Millisecond, 500*time.Millisecond, streamCounts{LatePrefill: 1}),
-	Entry("its first event came late", 100*time.Millisecond, 500*time.Millisecond, 0*time.Second, streamCounts{LateFirstEvent: 1}),
-	Entry("nothing was read apart", 0*time.Second, 500*time.Millisecond, 0*time.Second, streamCounts{LateFirstEvent: 1}),
+	Entry("its prefill was late", 250*time.Millisecond, 500*time.Millisecond, 500*time.Millisecond, streamCounts{LatePrefill: 1}),
+	Entry("its first event was late", 100*time.Millisecond, 500*time.Millisecond, 0*time.Second, streamCounts{LateFirstEvent: 1}),
+	Entry("there was no separate prefill", 0*time.Second, 500*time.Millisecond, 0*time.Second, streamCounts{LateFirstEvent: 1}),
 	Entry("it paused", 100*time.Millisecond, 300*time.Millisecond, 250*time.Millisecond, streamCounts{LateGap: 1}))
 
-var _ = Describe("the counts of streams", func() {
-	It("are told once in a while, by route", func() {
+var _ = Describe("the statistics of streams", func() {
+	It("are reported at intervals, by route", func() {
 		o := newRequestStats()
 		j := &proxyRequest{route: &routeconfig.Route{Name: "r", LatencyTargetMs: 400}, arrivedAt: time.Now()}
 		j.timing.recordEvent(j.arrivedAt)
@@ -63,7 +63,7 @@
 	})
 })
 
-var _ = DescribeTable("the tokens that a client names", func(text string, tokens int) {
+var _ = DescribeTable("the token count of a client", func(text string, tokens int) {
 	Expect(parseTokenCount(text)).To(Equal(tokens))
 }, Entry("a number", " 1460", 1460), Entry("nothing", "", 0), Entry("no number", "many", 0), Entry("a negative one", "-7", 0),
 	Entry("one that would outweigh the fleet", "999999999999", maxTokenCount), Entry("one that does not fit", "99999999999999999999999", 0))
--- a/internal/proxy/unary_test.go
+++ b/internal/proxy/unary_test.go
@@ -15,8 +15,8 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-var _ = Describe("a request with a short answer", func() {
-	It("reaches the server unchanged, and its answer the client", func() {
+var _ = Describe("a unary request", func() {
+	It("is forwarded unchanged, and so is its response", func() {
 		s := startServer("i-1", "s", "", echo)
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		answer, body, err := sendClientRequest(front, "X-Own", "kept", "Connection", "X-Hop", "X-Hop", "dropped")
@@ -34,16 +34,16 @@
 		Expect(got.Header).NotTo(HaveKey("X-Hop"))
 	})
 
-	It("is sent once where it may run once only and the server breaks off", func() {
+	It("is sent once where it must not run twice and the server breaks off", func() {
 		one, two := startServer("i-1", "s", "", resetConn), startServer("i-2", "s", "", resetConn)
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
 		answer, _, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway), "a 503 would promise that it has not run")
+		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway), "a 503 would say that it was not executed")
 		Expect(len(one.received()) + len(two.received())).To(Equal(1))
 	})
 
-	It("goes to another server where it may run again", func() {
+	It("is retried at another server where it is idempotent", func() {
 		one, two := startServer("i-1", "s", "", resetConn), startServer("i-2", "s", "", resetConn)
 		_, front := startProxy(route(routeconfig.Idempotent), false, one, two)
 		answer, _, err := sendClientRequest(front)
@@ -53,7 +53,7 @@
 		Expect(two.received()).To(HaveLen(1))
 	})
 
-	It("goes to another server where the first has not run it", func() {
+	It("is retried at another server where the first has not executed it", func() {
 		one, two := startServer("i-1", "s", "", rejectFull), startServer("i-2", "s", "", echo)
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
 		for range 4 {
@@ -63,7 +63,7 @@
 		}
 	})
 
-	It("goes nowhere where a server that takes few connections resets a new one", func() {
+	It("is not sent on a new connection that a server with few connections resets", func() {
 		for _, crowdedFirst := range []bool{true, false} {
 			one, two := startServer("i-1", "s", "", echo), startServer("i-2", "s", "", echo)
 			one.setResetsNewConns(crowdedFirst)
@@ -79,7 +79,7 @@
 		}
 	})
 
-	It("is refused with a time to come back where no server has run it", func() {
+	It("is rejected with a Retry-After where no server has executed it", func() {
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, startServer("i-1", "s", "", rejectFull))
 		answer, _, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
@@ -88,7 +88,7 @@
 		Expect(answer.Header.Get(headerStamp)).To(BeEmpty())
 	})
 
-	DescribeTable("never is answered with what no server gave whole", func(broken serverBehavior) {
+	DescribeTable("is never answered with an incomplete response", func(broken serverBehavior) {
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, startServer("i-1", "s", "", broken))
 		answer, _, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
@@ -108,21 +108,21 @@
 				r.Header.Get(headerRequestID))
 			return false
 		})),
-		Entry("a body whose end can't be known", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
+		Entry("a body without a delimited end", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: s\r\n\r\nok", r.Header.Get(headerRequestID))
 			return false
 		})),
-		Entry("bytes that are no answer", serverBehavior(func(conn net.Conn, _ receivedRequest, _ int) bool {
+		Entry("bytes that are no HTTP response", serverBehavior(func(conn net.Conn, _ receivedRequest, _ int) bool {
 			fmt.Fprint(conn, "no answer at all\r\n\r\n")
 			return false
 		})),
-		Entry("a refusal without the word that it was not run", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
+		Entry("a rejection that does not say that the request was not executed", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 503 Busy\r\nHazelwheel-Request-Id: %s\r\nContent-Length: 0\r\n\r\n", r.Header.Get(headerRequestID))
 			return true
 		})),
 	)
 
-	It("gets its own answer where one of another request comes before it", func() {
+	It("gets its own response where one of another request precedes it", func() {
 		s := startServer("i-1", "s", "", func(conn net.Conn, r receivedRequest, n int) bool {
 			if n == 2 {
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: other\r\nHazelwheel-Response-Stamp: x\r\nContent-Length: 5\r\n\r\nother")
@@ -137,7 +137,7 @@
 		}
 	})
 
-	It("does not use a connection on which more came than was asked", func() {
+	It("does not reuse a connection with a surplus response", func() {
 		s := startServer("i-1", "s", "", func(conn net.Conn, r receivedRequest, n int) bool {
 			writeAnswer(conn, r, "one")
 			return writeAnswer(conn, r, "again")
@@ -150,7 +150,7 @@
 		}
 	})
 
-	It("passes a server's own failure on with its stamp", func() {
+	It("forwards a server's own error with its stamp", func() {
 		s := startServer("i-1", "s", "", func(conn net.Conn, r receivedRequest, _ int) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 500 Oops\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: st\r\nContent-Length: 4\r\n\r\noops",
 				r.Header.Get(headerRequestID))
@@ -164,7 +164,7 @@
 		Expect(body).To(Equal("oops"))
 	})
 
-	It("leaves a server alone whose address another has", func() {
+	It("avoids a server whose address another instance has", func() {
 		one := startServer("i-1", "s", "", func(conn net.Conn, _ receivedRequest, _ int) bool {
 			fmt.Fprint(conn, "HTTP/1.1 421 Misdirected\r\nHazelwheel-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n")
 			return true
@@ -178,7 +178,7 @@
 		Expect(len(one.received())).To(BeNumerically("<=", 1))
 	})
 
-	It("is turned away where there is no route, and where its body is too large", func() {
+	It("is rejected where there is no route, and where its body is too large", func() {
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, startServer("i-1", "s", "", echo))
 		answer, err := front.Client().Post(front.URL+"/elsewhere/", "", nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -191,7 +191,7 @@
 		Expect(answer.StatusCode).To(Equal(http.StatusRequestEntityTooLarge))
 	})
 
-	It("goes to no server that is draining, also where an older list says otherwise", func() {
+	It("is sent to no draining server, also where an older list says otherwise", func() {
 		one, two := startServer("i-1", "s", "", echo), startServer("i-2", "s", "", echo)
 		p, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
 		draining := one.Instance
@@ -205,7 +205,7 @@
 		Expect(one.received()).To(BeEmpty())
 	})
 
-	It("waits for a proxy that has just begun, and is refused when the first facts don't come", func() {
+	It("waits for a proxy that has just started, and is rejected where the first update does not arrive", func() {
 		s := startServer("i-1", "s", "", echo)
 		ready, _ := startProxy(route(routeconfig.NonIdempotent), false, s)
 		begun := newProxy(ready.settings, ready.log)
@@ -231,7 +231,7 @@
 		Eventually(statuses).Should(Receive(Equal(http.StatusOK)))
 	})
 
-	It("never goes by an older configuration than before", func() {
+	It("is never routed by an older configuration than before", func() {
 		p, front := startProxy(route(routeconfig.NonIdempotent), false, startServer("i-1", "s", "", echo))
 		older, err := message.PackTable(&routeconfig.Table{Version: 0})
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/proxy/wire_form_test.go
+++ b/internal/proxy/wire_form_test.go
@@ -38,7 +38,7 @@
 	return frame
 }
 
-// feedFrame is what an agent sends: a length of four bytes and a feed.
+// feedFrame returns the frame of an update as an agent sends it: a length of four bytes and a message.Feed.
 func feedFrame() []byte {
 	table, err := message.PackTable(&routeconfig.Table{Version: 7, Services: []routeconfig.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100,
 		Engine: &routeconfig.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLSeconds: 5}}}})
@@ -51,7 +51,7 @@
 }
 
 var _ = Describe("the form of what a proxy and its agent exchange over loopback", func() {
-	It("is the same: the feed is read, the report has its bytes", func() {
+	It("is the same: the update is read, the report has its bytes", func() {
 		settings, err := nodeconfig.Parse([]byte("NodeId: n\nIp: 127.0.6.10\nZone: z\nInternalPortRange: [21500, 21515]\nSeeds:\n  - 127.0.6.10:21520\n" +
 			"Cloud: {Address: \"127.0.0.1:1\"}\nListen: {Front: \"127.0.6.10:21521\", Ready: \"127.0.6.10:21522\"}\n"))
 		Expect(err).NotTo(HaveOccurred())
