--- a/internal/decide/lease/candidates.go
+++ b/internal/decide/lease/candidates.go
@@ -7,6 +7,16 @@
 	"hazelwheel/internal/decide/swim"
 )
 
+// Times and bounds of offers, in seconds where nothing else is said.
+const (
+	bidValidSeconds         = 3.0  // a bid is valid
+	bestBidWaitSeconds      = 0.1  // for the best candidate's bid, before another bidder is chosen
+	offerTimeoutSeconds     = 0.3  // for replies to an offer, before other candidates get it
+	declineExclusionSeconds = 30.0 // after it declined or was asked to step down
+	silentExclusionSeconds  = 2.0  // after it did not reply to an offer
+	maxOffers               = 3    // candidates that are offered a role at a time
+)
+
 // bid is a member's offer to take roles.
 type bid struct {
 	id         swim.ID
@@ -75,7 +85,7 @@
 
 // rankCandidates returns the members that may be granted a role, best first: those with the fewest roles, and among equals by a
 // hash that differs by role.
-func (n *Node) rankCandidates(state *roleState, list []command) (ids []swim.ID) {
+func (n *Node) rankCandidates(state *roleState, commands []command) (ids []swim.ID) {
 	g, _ := n.group.machine.grant(state.role)
 	type rank struct {
 		id   swim.ID
@@ -88,7 +98,7 @@
 			slices.ContainsFunc(n.exclusions, func(o exclusion) bool { return o.role == state.role && o.id == m.ID && n.now < o.until }) {
 			continue
 		}
-		load := n.roleCount(m.ID, list)
+		load := n.roleCount(m.ID, commands)
 		if m.ID == g.Holder {
 			load-- // the role itself
 		}
@@ -116,13 +126,13 @@
 
 // chooseHolder returns the next holder of a vacant role and its boot ID, 0 until one has bid. The best candidate is waited for a
 // little before another bidder is chosen.
-func (n *Node) chooseHolder(state *roleState, list []command) (swim.ID, uint64) {
-	ranked := n.rankCandidates(state, list)
+func (n *Node) chooseHolder(state *roleState, commands []command) (swim.ID, uint64) {
+	ranked := n.rankCandidates(state, commands)
 	if len(ranked) == 0 {
 		return 0, 0
 	}
-	if life := n.bidBootID(ranked[0], state.role); life != 0 {
-		return ranked[0], life
+	if bootID := n.bidBootID(ranked[0], state.role); bootID != 0 {
+		return ranked[0], bootID
 	}
 	n.offerRole(state, ranked)
 	if n.now-state.offeredAt < bestBidWaitSeconds {
@@ -130,8 +140,8 @@
 		return 0, 0
 	}
 	for _, id := range ranked {
-		if life := n.bidBootID(id, state.role); life != 0 {
-			return id, life
+		if bootID := n.bidBootID(id, state.role); bootID != 0 {
+			return id, bootID
 		}
 	}
 	return 0, 0
--- a/internal/decide/lease/founding.go
+++ b/internal/decide/lease/founding.go
@@ -6,15 +6,18 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// The steps of the founding, as they are sent.
+// FoundingStep is what a Founding message says. The numbers are the wire form.
+type FoundingStep uint8
+
+// The steps of the founding.
 const (
-	stepPrepare uint8 = iota
-	stepPromise
-	stepAccept
-	stepAccepted
-	stepChosen
-	stepRefused
-	stepAsked // asks for the founding of the group that the receiver belongs to
+	StepPrepare FoundingStep = iota
+	StepPromise
+	StepAccept
+	StepAccepted
+	StepChosen
+	StepRejected
+	StepQuery // asks for the founding of the group that the receiver belongs to
 )
 
 // proposal is the state of this member's proposal of a founding.
@@ -62,7 +65,7 @@
 	ballot := n.ballotRound<<32 | uint64(n.rng.Uint32()>>8)<<8 | uint64(index)
 	n.proposal = &proposal{ballot: ballot, promises: make([]*Founding, len(ids)), accepted: make([]bool, len(ids))}
 	for _, id := range ids {
-		n.send(id, &Message{Founding: &Founding{Ballot: ballot, Step: stepPrepare}})
+		n.send(id, &Message{Founding: &Founding{Ballot: ballot, Step: StepPrepare}})
 	}
 }
 
@@ -89,38 +92,44 @@
 	}
 	reply := func(a *Founding) { n.sendAfterPersist(from, &Message{Founding: a}) }
 	switch f.Step {
-	case stepAsked:
+	case StepQuery:
 		if n.founding != nil {
 			reply(n.founding)
 		}
-	case stepChosen:
+	case StepChosen:
 		n.handleChosen(f)
-	case stepPrepare, stepAccept:
-		if slices.Index(n.settings.InitialVoters, n.settings.Address) < 0 || n.persistFailed {
-			return
-		}
-		switch {
-		case n.founding != nil:
-			reply(n.founding)
-		case f.Ballot < n.promisedBallot || f.Ballot == n.promisedBallot && f.Step == stepPrepare:
-			reply(&Founding{Ballot: n.promisedBallot, Step: stepRefused})
-		case f.Step == stepPrepare:
-			n.promisedBallot, n.dirty = f.Ballot, true
-			a := &Founding{Ballot: f.Ballot, Step: stepPromise, Epoch: n.highestEpoch}
-			if n.acceptedFounding != nil {
-				a.Accepted, a.Epoch, a.Voters = n.acceptedFounding.Ballot, n.acceptedFounding.Epoch, n.acceptedFounding.Voters
-			}
-			reply(a)
-		default:
-			n.promisedBallot, n.dirty = f.Ballot, true
-			n.acceptedFounding = &Founding{Ballot: f.Ballot, Epoch: f.Epoch, Voters: f.Voters, Step: stepAccepted}
-			reply(&Founding{Ballot: f.Ballot, Step: stepAccepted})
-		}
-	case stepPromise, stepAccepted, stepRefused:
+	case StepPrepare, StepAccept:
+		n.handleBallot(f, reply)
+	case StepPromise, StepAccepted, StepRejected:
 		n.handleFoundingReply(from, f)
 	}
 }
 
+// handleBallot is the acceptor of the founding: it promises or accepts a ballot unless a higher one was promised. A member of a group
+// replies with its founding instead.
+func (n *Node) handleBallot(f *Founding, reply func(*Founding)) {
+	if slices.Index(n.settings.InitialVoters, n.settings.Address) < 0 || n.persistFailed {
+		return
+	}
+	switch {
+	case n.founding != nil:
+		reply(n.founding)
+	case f.Ballot < n.promisedBallot || f.Ballot == n.promisedBallot && f.Step == StepPrepare:
+		reply(&Founding{Ballot: n.promisedBallot, Step: StepRejected})
+	case f.Step == StepPrepare:
+		n.promisedBallot, n.dirty = f.Ballot, true
+		a := &Founding{Ballot: f.Ballot, Step: StepPromise, Epoch: n.highestEpoch}
+		if n.acceptedFounding != nil {
+			a.Accepted, a.Epoch, a.Voters = n.acceptedFounding.Ballot, n.acceptedFounding.Epoch, n.acceptedFounding.Voters
+		}
+		reply(a)
+	default:
+		n.promisedBallot, n.dirty = f.Ballot, true
+		n.acceptedFounding = &Founding{Ballot: f.Ballot, Epoch: f.Epoch, Voters: f.Voters, Step: StepAccepted}
+		reply(&Founding{Ballot: f.Ballot, Step: StepAccepted})
+	}
+}
+
 // handleFoundingReply handles a reply to this member's proposal.
 func (n *Node) handleFoundingReply(from swim.ID, f *Founding) {
 	n.ballotRound = max(n.ballotRound, f.Ballot>>32)
@@ -131,12 +140,12 @@
 		return
 	}
 	switch {
-	case f.Step == stepPromise && p.value == nil:
+	case f.Step == StepPromise && p.value == nil:
 		p.promises[index] = f
 		if slices.Contains(p.promises, nil) {
 			return
 		}
-		value := &Founding{Ballot: p.ballot, Voters: ids, Step: stepAccept}
+		value := &Founding{Ballot: p.ballot, Voters: ids, Step: StepAccept}
 		best := uint64(0)
 		for _, a := range p.promises {
 			if a.Accepted > best {
@@ -149,13 +158,13 @@
 		for _, id := range ids {
 			n.send(id, &Message{Founding: value})
 		}
-	case f.Step == stepAccepted && p.value != nil:
+	case f.Step == StepAccepted && p.value != nil:
 		p.accepted[index] = true
 		if slices.Contains(p.accepted, false) {
 			return
 		}
 		c := *p.value
-		c.Step = stepChosen
+		c.Step = StepChosen
 		for _, id := range ids {
 			n.send(id, &Message{Founding: &c})
 		}
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -8,18 +8,10 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Times of a leader, in seconds.
+// Times after which a leader acts on a lease, in seconds.
 const (
-	bidValidSeconds         = 3.0  // a bid is valid
-	bestBidWaitSeconds      = 0.1  // for the best candidate's bid, before another bidder is chosen
-	offerTimeoutSeconds     = 0.3  // for replies to an offer, before other candidates get it
-	renewalOverdueSeconds   = 0.75 // since the last renewal: bids are asked for ahead of the lease's expiry
-	declineExclusionSeconds = 30.0 // after it declined or was asked to step down
-	silentExclusionSeconds  = 2.0  // after it did not reply to an offer
-	rebalanceQuietSeconds   = 2.0  // without a change, before a role is moved to balance the load
-	vacateSeconds           = 0.3  // a released role without a bidder, before it is recorded as vacant
-	transferRetrySeconds    = 0.3  // for a successor to become leader, before another is tried
-	maxOffers               = 3    // candidates that are offered a role at a time
+	renewalOverdueSeconds = 0.75 // since the last renewal: bids are asked for ahead of the lease's expiry
+	vacateSeconds         = 0.3  // a released role without a bidder, before it is recorded as vacant
 )
 
 // leaderState is the part of a Node that is the voters' leader. It is reset with each change of leadership.
@@ -154,40 +146,47 @@
 	if alive := n.countAlive(); alive != n.liveMembers {
 		n.liveMembers, n.changedAt = alive, n.now
 	}
-	var list []command
+	n.proposeGrants()
+	if n.group == nil {
+		return
+	}
+	n.rebalance()
+	n.reconfigureVoters()
+}
+
+// proposeGrants proposes a grant for each vacant role that has a bidder and for each whose lease has expired, and vacates those that
+// have had no bidder for a while.
+func (n *Node) proposeGrants() {
+	var commands []command
 	for _, state := range n.roles {
 		if state.hasPendingCommand {
 			continue
 		}
 		g, _ := n.group.machine.grant(state.role)
-		nobodys := g.Holder == 0 || state.releasedToken == g.Token
-		over := n.now >= max(state.renewedAt, n.leadingSince)+leaseSeconds
+		isVacant := g.Holder == 0 || state.releasedToken == g.Token
+		renewedAt := max(state.renewedAt, n.leadingSince)
+		isExpired := n.now >= renewedAt+leaseSeconds
 		switch {
-		case nobodys || over:
-			id, life := n.chooseHolder(state, list)
+		case isVacant || isExpired:
+			holder, bootID := n.chooseHolder(state, commands)
 			switch {
-			case id != 0:
-				list = append(list, command{Role: state.role, Holder: id, BootID: life, ExpectedToken: g.Token})
-			case g.Holder != 0 && (nobodys && n.now-state.releasedAt > vacateSeconds || n.now-max(state.renewedAt, n.leadingSince) > leaseSeconds+vacateSeconds):
-				list = append(list, command{Role: state.role, ExpectedToken: g.Token})
+			case holder != 0:
+				commands = append(commands, command{Role: state.role, Holder: holder, BootID: bootID, ExpectedToken: g.Token})
+			case g.Holder != 0 && (isVacant && n.now-state.releasedAt > vacateSeconds || n.now-renewedAt > leaseSeconds+vacateSeconds):
+				commands = append(commands, command{Role: state.role, ExpectedToken: g.Token})
 			}
-		case n.now-max(state.renewedAt, n.leadingSince) > renewalOverdueSeconds:
+		case n.now-renewedAt > renewalOverdueSeconds:
 			n.solicitBids(state) // so that a bidder is known when the lease expires
 		}
 	}
-	for _, c := range list {
+	for _, c := range commands {
 		n.roleFor(c.Role).hasPendingCommand = true
 	}
-	if len(list) > 0 && !n.propose(list...) {
-		for _, c := range list {
+	if len(commands) > 0 && !n.propose(commands...) {
+		for _, c := range commands {
 			n.roleFor(c.Role).hasPendingCommand = false
 		}
 	}
-	if n.group == nil {
-		return
-	}
-	n.rebalance()
-	n.reconfigureVoters()
 }
 
 // countAlive returns how many members are alive.
--- a/internal/decide/lease/leave.go
+++ b/internal/decide/lease/leave.go
@@ -6,6 +6,9 @@
 	"hazelwheel/internal/decide/swim"
 )
 
+// transferRetrySeconds is how long a voter has to become leader before another is tried.
+const transferRetrySeconds = 0.3
+
 // tickLeaving transfers leadership once the grants that this member released are assigned anew.
 func (n *Node) tickLeaving() {
 	if !n.leaving || n.leadershipTransferred {
--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -33,17 +33,17 @@
 }
 
 // extended returns the lineage of a state that a writer writes next.
-func (l lineage) extended(life uint32, serial uint64) lineage {
-	if len(l) > 0 && l[len(l)-1].ID == life {
+func (l lineage) extended(writerID uint32, serial uint64) lineage {
+	if len(l) > 0 && l[len(l)-1].ID == writerID {
 		return l
 	}
-	return append(slices.Clone(l[max(len(l)+1-maxWriters, 0):]), Writer{life, serial})
+	return append(slices.Clone(l[max(len(l)+1-maxWriters, 0):]), Writer{writerID, serial})
 }
 
 // contains reports whether this lineage includes the state of a serial and its writer, or can't rule it out.
-func (l lineage) contains(serial uint64, life uint32) bool {
-	w := l.writerOf(serial)
-	return w == 0 || life == 0 || w == life
+func (l lineage) contains(serial uint64, writerID uint32) bool {
+	writer := l.writerOf(serial)
+	return writer == 0 || writerID == 0 || writer == writerID
 }
 
 // peerState is what is known of another member's persisted state, and what that member was sent of this one's.
--- a/internal/decide/lease/message.go
+++ b/internal/decide/lease/message.go
@@ -60,9 +60,9 @@
 // Founding is a message of the single-decree Paxos by which the configured addresses agree on the first voters. It needs all of them
 // rather than a majority, so that no member that kept the state of an earlier group is left out.
 type Founding struct {
-	Ballot   uint64    `msgpack:"b"`
-	Accepted uint64    `msgpack:"a,omitempty"` // the ballot at which Voters was accepted
-	Epoch    uint64    `msgpack:"e,omitempty"` // of the group; in a promise, the highest epoch that the sender knows
-	Voters   []swim.ID `msgpack:"m,omitempty"` // in the order of Settings.InitialVoters
-	Step     uint8     `msgpack:"s"`           // one of the step constants
+	Ballot   uint64       `msgpack:"b"`
+	Accepted uint64       `msgpack:"a,omitempty"` // the ballot at which Voters was accepted
+	Epoch    uint64       `msgpack:"e,omitempty"` // of the group; in a promise, the highest epoch that the sender knows
+	Voters   []swim.ID    `msgpack:"m,omitempty"` // in the order of Settings.InitialVoters
+	Step     FoundingStep `msgpack:"s"`
 }
--- a/internal/decide/lease/node.go
+++ b/internal/decide/lease/node.go
@@ -194,7 +194,7 @@
 		case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 			n.contactedEpoch = m.Epoch
 		}
-		n.actions.Send(from, &Message{Founding: &Founding{Step: stepAsked}})
+		n.actions.Send(from, &Message{Founding: &Founding{Step: StepQuery}})
 	}
 }
 
--- a/internal/decide/lease/node_test.go
+++ b/internal/decide/lease/node_test.go
@@ -12,7 +12,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// cluster is three members whose words arrive at once.
+// cluster is a number of nodes, three of them initial voters, whose messages arrive at once.
 type cluster struct {
 	t     *testing.T
 	now   float64
@@ -75,318 +75,320 @@
 func (s *testNode) ReplaceIdentity(why string)                    { s.replacedReason = why }
 func (s *testNode) Log(string, ...any)                            {}
 
-func (h *cluster) runUntil(at float64) {
-	for h.now < at {
-		for i := 0; len(h.queue) > 0; i++ {
-			require.Less(h.t, i, 10000)
-			f := h.queue[0]
-			h.queue = h.queue[1:]
+func (c *cluster) runUntil(at float64) {
+	for c.now < at {
+		for i := 0; len(c.queue) > 0; i++ {
+			require.Less(c.t, i, 10000)
+			f := c.queue[0]
+			c.queue = c.queue[1:]
 			f()
 		}
-		h.now += 0.01
-		for _, s := range h.all {
-			if s.up && s.node.NextTick() <= h.now {
-				s.node.Tick(h.now)
+		c.now += 0.01
+		for _, node := range c.all {
+			if node.up && node.node.NextTick() <= c.now {
+				node.node.Tick(c.now)
 			}
 		}
 	}
 }
 
 func newCluster(t *testing.T, n int, roles ...string) *cluster {
-	h := &cluster{t: t, now: 100}
-	set := Settings{Roles: roles, RecordedRoles: roles[:1]}
+	c := &cluster{t: t, now: 100}
+	settings := Settings{Roles: roles, RecordedRoles: roles[:1]}
 	for i := range 3 {
-		set.InitialVoters = append(set.InitialVoters, fmt.Sprint("a", i))
+		settings.InitialVoters = append(settings.InitialVoters, fmt.Sprint("a", i))
 	}
 	var members []Member
 	for i := range n {
-		s := &testNode{cluster: h, id: swim.ID(i + 1), up: true}
-		set.Address, set.Seed = fmt.Sprint("a", i), uint64(i)
+		node := &testNode{cluster: c, id: swim.ID(i + 1), up: true}
+		settings.Address, settings.Seed = fmt.Sprint("a", i), uint64(i)
 		var err error
-		s.node, err = New(h.now, s.id, set, nil, s)
+		node.node, err = New(c.now, node.id, settings, nil, node)
 		require.NoError(t, err)
-		h.all = append(h.all, s)
-		members = append(members, Member{ID: s.id, Address: set.Address, Durable: true})
+		c.all = append(c.all, node)
+		members = append(members, Member{ID: node.id, Address: settings.Address, Durable: true})
 	}
-	for _, s := range h.all {
-		s.node.SetMembers(h.now, members)
+	for _, node := range c.all {
+		node.node.SetMembers(c.now, members)
 	}
-	return h
+	return c
 }
 
-func (h *cluster) holder(role string) (owner *testNode, token uint64) {
-	for _, s := range h.all {
-		if tok, ok := s.node.Holds(h.now, role); ok && s.up {
-			require.Nil(h.t, owner, "two owners")
-			owner, token = s, tok
+func (c *cluster) holder(role string) (holder *testNode, token uint64) {
+	for _, node := range c.all {
+		if heldToken, ok := node.node.Holds(c.now, role); ok && node.up {
+			require.Nil(c.t, holder, "two holders")
+			holder, token = node, heldToken
 		}
 	}
-	return owner, token
+	return holder, token
 }
 
 func TestNodesElectGrantAndRenew(t *testing.T) {
-	h := newCluster(t, 5, "list", "report")
-	h.runUntil(110)
-	o, token := h.holder("list")
-	require.NotNil(t, o)
-	h.runUntil(130)
-	again, same := h.holder("list")
-	require.Equal(t, o, again)
+	c := newCluster(t, 5, "list", "report")
+	c.runUntil(110)
+	holder, token := c.holder("list")
+	require.NotNil(t, holder)
+	c.runUntil(130)
+	again, same := c.holder("list")
+	require.Equal(t, holder, again)
 	require.Equal(t, token, same, "renewed, not granted again")
-	r, _ := h.holder("report")
-	require.NotEqual(t, o, r, "spread")
-	o.up = false
-	h.runUntil(136)
-	next, greater := h.holder("list")
+	other, _ := c.holder("report")
+	require.NotEqual(t, holder, other, "spread")
+	holder.up = false
+	c.runUntil(136)
+	next, greater := c.holder("list")
 	require.NotNil(t, next)
-	require.NotEqual(t, o, next)
+	require.NotEqual(t, holder, next)
 	require.Greater(t, greater, token)
 }
 
-// leader returns who leads.
-func (h *cluster) leader() *testNode {
-	for _, s := range h.all {
-		if s.up && s.node.Stats().IsLeader {
-			return s
+// leader returns the node that leads, nil if there is none.
+func (c *cluster) leader() *testNode {
+	for _, node := range c.all {
+		if node.up && node.node.Stats().IsLeader {
+			return node
 		}
 	}
 	return nil
 }
 
-// What was given back is another's at once, whoever gives it back and why.
+// A role that its holder releases is granted to another member at once, whatever the reason.
 func TestReleasedRoleIsGrantedAtOnce(t *testing.T) {
-	for name, give := range map[string]func(h *cluster, o *testNode){
-		"unwilling": func(h *cluster, o *testNode) { o.node.SetWilling(h.now, "list", false) },
-		"step-down": func(h *cluster, o *testNode) { h.all[4].node.RequestStepDown(h.now, "list") },
-		"leaves":    func(h *cluster, o *testNode) { o.node.Leave(h.now) },
+	for name, release := range map[string]func(c *cluster, holder *testNode){
+		"unwilling": func(c *cluster, holder *testNode) { holder.node.SetWilling(c.now, "list", false) },
+		"step-down": func(c *cluster, holder *testNode) { c.all[4].node.RequestStepDown(c.now, "list") },
+		"leaves":    func(c *cluster, holder *testNode) { holder.node.Leave(c.now) },
 	} {
-		h := newCluster(t, 5, "list")
-		h.runUntil(110)
-		o, token := h.holder("list")
-		require.NotNil(t, o, name)
-		give(h, o)
-		h.runUntil(h.now + 0.2)
-		next, greater := h.holder("list")
+		c := newCluster(t, 5, "list")
+		c.runUntil(110)
+		holder, token := c.holder("list")
+		require.NotNil(t, holder, name)
+		release(c, holder)
+		c.runUntil(c.now + 0.2)
+		next, greater := c.holder("list")
 		require.NotNil(t, next, name)
-		require.NotEqual(t, o.id, next.id, name)
+		require.NotEqual(t, holder.id, next.id, name)
 		require.Equal(t, token+1, greater, name)
 		if name == "leaves" {
-			h.runUntil(h.now + 1)
-			require.True(t, o.node.HasLeft())
-			require.NotEqual(t, o, h.leader())
+			c.runUntil(c.now + 1)
+			require.True(t, holder.node.HasLeft())
+			require.NotEqual(t, holder, c.leader())
 		}
 	}
 }
 
-// Who comes back with an old copy of its state is told so by those that heard it later, and says nothing more under its identity.
+// A node that restarts on an old copy of its state is told so by peers that know a later one, and retires.
 func TestNodeWithOldStateReplacesItsIdentity(t *testing.T) {
-	h := newCluster(t, 3, "list")
-	h.runUntil(102)
-	o := h.all[2]
-	copied := o.state
+	c := newCluster(t, 3, "list")
+	c.runUntil(102)
+	node := c.all[2]
+	copied := node.state
 	for range 5 {
-		owner, _ := h.holder("list")
-		if owner != nil {
-			owner.node.RequestStepDown(h.now, "list")
+		holder, _ := c.holder("list")
+		if holder != nil {
+			holder.node.RequestStepDown(c.now, "list")
 		}
-		h.runUntil(h.now + 1)
+		c.runUntil(c.now + 1)
 	}
-	require.NotEqual(t, copied, o.state)
-	back, err := New(h.now, o.id, o.node.settings, copied, o)
+	require.NotEqual(t, copied, node.state)
+	restarted, err := New(c.now, node.id, node.node.settings, copied, node)
 	require.NoError(t, err)
-	back.SetMembers(h.now, o.node.members)
-	o.node = back
-	h.runUntil(h.now + 3)
-	require.Contains(t, o.replacedReason, "old copy")
-	require.Nil(t, back.group)
-	require.True(t, back.HasLeft())
+	restarted.SetMembers(c.now, node.node.members)
+	node.node = restarted
+	c.runUntil(c.now + 3)
+	require.Contains(t, node.replacedReason, "old copy")
+	require.Nil(t, restarted.group)
+	require.True(t, restarted.HasLeft())
 }
 
-// Who comes back with a copy that is older by as many writes as it makes before it is heard has the serial that it had, and is told so
-// none the less. Danger: the votes that it gave before count, and it may give them again.
+// A node that restarts on an old copy, and writes as often as the copy lacks before its first message, has the serial that it
+// had before the restart, and is detected all the same. Danger: the votes that it gave before count, and it may give them
+// again.
 func TestNodeThatWroteOnOldStateReplacesItsIdentity(t *testing.T) {
 	for back := 1; back <= 3; back++ {
-		h := newCluster(t, 3, "list")
-		h.runUntil(110)
-		handed := func() {
-			was := h.leader()
+		c := newCluster(t, 3, "list")
+		c.runUntil(110)
+		transfer := func() {
+			was := c.leader()
 			was.node.transferLeadership()
-			h.runUntil(h.now + 0.5)
+			c.runUntil(c.now + 0.5)
 		}
-		for h.leader() == h.all[2] || len(h.all[2].history) < 6 {
-			handed()
+		for c.leader() == c.all[2] || len(c.all[2].history) < 6 {
+			transfer()
 		}
-		o := h.all[2]
-		last := o.node.serial
-		o.muted, o.node.settings.Seed = true, 77
-		next, err := New(h.now, o.id, o.node.settings, o.history[len(o.history)-1-back], o)
+		node := c.all[2]
+		last := node.node.serial
+		node.muted, node.node.settings.Seed = true, 77
+		restarted, err := New(c.now, node.id, node.node.settings, node.history[len(node.history)-1-back], node)
 		require.NoError(t, err)
-		next.SetMembers(h.now, o.node.members)
-		o.node, o.history = next, nil
-		for i := 0; o.node.serial < last; i++ { // each new leader is a write
+		restarted.SetMembers(c.now, node.node.members)
+		node.node, node.history = restarted, nil
+		for i := 0; node.node.serial < last; i++ { // each election is a write
 			require.Less(t, i, 20)
-			if l := h.leader(); l != nil && l != o {
+			if l := c.leader(); l != nil && l != node {
 				l.node.transferLeadership()
 			}
-			h.runUntil(h.now + 0.5)
-			require.Empty(t, o.replacedReason)
+			c.runUntil(c.now + 0.5)
+			require.Empty(t, node.replacedReason)
 		}
-		require.Equal(t, last, o.node.serial)
-		o.muted = false
-		h.runUntil(h.now + 3)
-		require.Contains(t, o.replacedReason, "old copy", "%d writes", back)
-		require.Nil(t, o.node.group)
+		require.Equal(t, last, node.node.serial)
+		node.muted = false
+		c.runUntil(c.now + 3)
+		require.Contains(t, node.replacedReason, "old copy", "%d writes", back)
+		require.Nil(t, node.node.group)
 	}
 }
 
-// Who begins again with what it kept is believed at once, however often it does.
+// A node that restarts on its latest state is accepted at once, however often it restarts.
 func TestRestartsOnLatestStateAreAccepted(t *testing.T) {
-	h := newCluster(t, 3, "list")
-	h.runUntil(110)
-	for life := range uint64(3 * maxWriters) {
-		o := h.all[life%3]
-		o.node.settings.Seed = 1000 + life
-		next, err := New(h.now, o.id, o.node.settings, o.state, o)
+	c := newCluster(t, 3, "list")
+	c.runUntil(110)
+	for boot := range uint64(3 * maxWriters) {
+		node := c.all[boot%3]
+		node.node.settings.Seed = 1000 + boot
+		restarted, err := New(c.now, node.id, node.node.settings, node.state, node)
 		require.NoError(t, err)
-		next.SetMembers(h.now, o.node.members)
-		o.node = next
-		h.runUntil(h.now + 4)
-		for _, s := range h.all {
+		restarted.SetMembers(c.now, node.node.members)
+		node.node = restarted
+		c.runUntil(c.now + 4)
+		for _, s := range c.all {
 			require.Empty(t, s.replacedReason)
 			require.Zero(t, s.node.stats.DroppedStale)
 			require.LessOrEqual(t, len(s.node.lineage), maxWriters)
 		}
-		require.NotNil(t, h.leader())
+		require.NotNil(t, c.leader())
 	}
-	for _, s := range h.all {
+	for _, s := range c.all {
 		require.Len(t, s.node.lineage, maxWriters)
 	}
 }
 
-// Who can't keep its state neither votes nor leads, and the others go on without it.
+// A node that can't persist its state neither votes nor leads, and the others go on without it.
 func TestNodeWithFullDiskDoesNotVote(t *testing.T) {
-	h := newCluster(t, 3, "list")
-	h.runUntil(110)
-	was := h.leader()
-	was.diskFull = true
-	h.all[0].node.RequestStepDown(h.now, "list") // something to keep
-	h.runUntil(h.now + 6)
-	require.NotNil(t, h.leader())
-	require.True(t, was.node.Stats().PersistFailed)
-	o, _ := h.holder("list")
-	require.NotNil(t, o)
-	was.diskFull = false
-	h.runUntil(h.now + 3)
-	require.False(t, was.node.Stats().PersistFailed)
+	c := newCluster(t, 3, "list")
+	c.runUntil(110)
+	leader := c.leader()
+	leader.diskFull = true
+	c.all[0].node.RequestStepDown(c.now, "list") // a grant is a write
+	c.runUntil(c.now + 6)
+	require.NotNil(t, c.leader())
+	require.True(t, leader.node.Stats().PersistFailed)
+	holder, _ := c.holder("list")
+	require.NotNil(t, holder)
+	leader.diskFull = false
+	c.runUntil(c.now + 3)
+	require.False(t, leader.node.Stats().PersistFailed)
 }
 
-// Who has lost its quorum while its disk writes does not stand for election by raft's own draw, which no seed repeats.
+// A leader that loses its quorum while a write is pending does not campaign by Raft's own timer, which is not drawn from the
+// seed.
 func TestLeaderWithStalledDiskDoesNotCampaign(t *testing.T) {
-	h := newCluster(t, 3, "list")
-	h.runUntil(110)
-	was := h.leader()
-	was.diskStalled = true
-	was.node.RequestStepDown(h.now, "list") // something to keep
-	h.runUntil(h.now + 0.1)
-	require.True(t, was.node.persisting)
-	for _, s := range h.all {
-		s.up = s == was
+	c := newCluster(t, 3, "list")
+	c.runUntil(110)
+	leader := c.leader()
+	leader.diskStalled = true
+	leader.node.RequestStepDown(c.now, "list") // a grant is a write
+	c.runUntil(c.now + 0.1)
+	require.True(t, leader.node.persisting)
+	for _, s := range c.all {
+		s.up = s == leader
 	}
-	h.runUntil(h.now + 2*electionTimeoutSeconds)
-	require.Equal(t, raft.StateFollower, was.node.group.rawNode.BasicStatus().RaftState)
-	h.runUntil(h.now + 10*electionTimeoutSeconds)
-	require.Equal(t, raft.StateFollower, was.node.group.rawNode.BasicStatus().RaftState)
+	c.runUntil(c.now + 2*electionTimeoutSeconds)
+	require.Equal(t, raft.StateFollower, leader.node.group.rawNode.BasicStatus().RaftState)
+	c.runUntil(c.now + 10*electionTimeoutSeconds)
+	require.Equal(t, raft.StateFollower, leader.node.group.rawNode.BasicStatus().RaftState)
 }
 
-// A state that is torn, or another's, is none.
+// A truncated state, or one of another member, is rejected as a whole.
 func TestInvalidStateIsRejected(t *testing.T) {
-	h := newCluster(t, 3, "list")
-	h.runUntil(110)
-	s := h.all[0]
+	c := newCluster(t, 3, "list")
+	c.runUntil(110)
+	s := c.all[0]
 	for cut := 1; cut < len(s.state); cut += 7 {
-		_, err := New(h.now, s.id, s.node.settings, s.state[:cut], s)
+		_, err := New(c.now, s.id, s.node.settings, s.state[:cut], s)
 		require.ErrorIs(t, err, ErrInvalidState, "%d", cut)
 	}
-	_, err := New(h.now, s.id+1, s.node.settings, s.state, s)
+	_, err := New(c.now, s.id+1, s.node.settings, s.state, s)
 	require.ErrorIs(t, err, ErrInvalidState)
-	kept, err := New(h.now, s.id, s.node.settings, s.state, s)
+	restarted, err := New(c.now, s.id, s.node.settings, s.state, s)
 	require.NoError(t, err)
 	was, _ := s.node.group.storage.LastIndex()
-	is, _ := kept.group.storage.LastIndex()
+	is, _ := restarted.group.storage.LastIndex()
 	require.Equal(t, was, is)
-	require.Equal(t, s.node.group.term, kept.group.term)
+	require.Equal(t, s.node.group.term, restarted.group.term)
 }
 
-// Of the tokens of a role the greatest ever seen holds, also over a restart, and no other role's.
+// A fence admits tokens from the highest seen of a role on, also after a restart, and roles do not affect each other.
 func TestFenceNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var g Fence
+		var fence Fence
 		seen := map[string]uint64{}
 		for range rapid.IntRange(1, 40).Draw(t, "effects") {
 			role, token := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "role"), rapid.Uint64Range(1, 9).Draw(t, "token")
-			ok, greatest := g.Admit(role, token)
+			ok, greatest := fence.Admit(role, token)
 			require.Equal(t, token >= seen[role], ok)
 			seen[role] = max(seen[role], token)
 			require.Equal(t, seen[role], greatest)
 			if rapid.Bool().Draw(t, "restart") {
 				var next Fence
-				next.Restore(g.Highest())
-				g = next
+				next.Restore(fence.Highest())
+				fence = next
 			}
 		}
 	})
 }
 
-// What is agreed of a role outlives its owners and leaders: each new owner is told of the last one before it does anything, versions grow
-// one by one, and what an owner wrote under an earlier grant, or in place of an earlier version, is not kept.
+// A role's record outlives its holders and leaders: a new holder gets the last version before it may act, versions grow by one,
+// and writes under an earlier grant or in place of an earlier version are rejected.
 func TestRecordOutlivesHolders(t *testing.T) {
-	h := newCluster(t, 7, "works")
-	h.runUntil(110)
+	c := newCluster(t, 7, "works")
+	c.runUntil(110)
 	var last Record
 	for round := range 12 {
-		o, token := h.holder("works")
-		require.NotNil(t, o, round)
-		require.Equal(t, last.Version, o.record.Version, round)
-		require.Equal(t, last.Body, o.record.Body, round)
-		// An entry that was written again and again is kept once; several that are together more than is logged are a snapshot.
+		holder, token := c.holder("works")
+		require.NotNil(t, holder, round)
+		require.Equal(t, last.Version, holder.record.Version, round)
+		require.Equal(t, last.Body, holder.record.Body, round)
+		// A version that is proposed several times is committed once; entries above maxLogBytes are compacted into a snapshot.
 		body := append(make([]byte, 20<<10), byte(round))
 		for range 3 {
-			o.node.WriteRecord(h.now, "works", last.Version+1, body)
-			h.runUntil(h.now + 0.1)
+			holder.node.WriteRecord(c.now, "works", last.Version+1, body)
+			c.runUntil(c.now + 0.1)
 		}
-		require.Equal(t, Record{"works", last.Version + 1, token, body}, o.record, round)
-		last = o.record
-		o.node.WriteRecord(h.now, "works", last.Version, []byte("earlier"))
-		h.runUntil(h.now + 0.1)
-		require.Equal(t, last, o.record)
-		require.Less(t, len(o.state), 4*maxLogBytes)
-		leader := h.leader()
+		require.Equal(t, Record{"works", last.Version + 1, token, body}, holder.record, round)
+		last = holder.record
+		holder.node.WriteRecord(c.now, "works", last.Version, []byte("earlier"))
+		c.runUntil(c.now + 0.1)
+		require.Equal(t, last, holder.record)
+		require.Less(t, len(holder.state), 4*maxLogBytes)
+		leader := c.leader()
 		switch round % 3 {
 		case 0:
-			o.node.RequestStepDown(h.now, "works")
+			holder.node.RequestStepDown(c.now, "works")
 		case 1:
-			o.up = false
+			holder.up = false
 		default:
 			leader.up = false
 		}
-		h.runUntil(h.now + 8)
-		for _, s := range h.all { // back as they were: links lost what came meanwhile
+		c.runUntil(c.now + 8)
+		for _, s := range c.all { // restart on their own state
 			if !s.up {
-				back, err := New(h.now, s.id, s.node.settings, s.state, s)
+				restarted, err := New(c.now, s.id, s.node.settings, s.state, s)
 				require.NoError(t, err)
-				back.SetMembers(h.now, s.node.members)
-				s.node, s.up = back, true
+				restarted.SetMembers(c.now, s.node.members)
+				s.node, s.up = restarted, true
 			}
 		}
-		h.runUntil(h.now + 4)
+		c.runUntil(c.now + 4)
 	}
-	// The old owner's write comes in after all.
-	o, token := h.holder("works")
-	o.node.RequestStepDown(h.now, "works")
-	h.runUntil(h.now + 4)
-	next, _ := h.holder("works")
-	require.NotEqual(t, o, next)
-	h.leader().node.HandleMessage(h.now, o.id, &Message{WriteRecord: &Record{Role: "works", Version: last.Version + 1, Token: token, Body: []byte("old")}})
-	h.runUntil(h.now + 1)
+	// A write of the former holder comes in late.
+	holder, token := c.holder("works")
+	holder.node.RequestStepDown(c.now, "works")
+	c.runUntil(c.now + 4)
+	next, _ := c.holder("works")
+	require.NotEqual(t, holder, next)
+	c.leader().node.HandleMessage(c.now, holder.id, &Message{WriteRecord: &Record{Role: "works", Version: last.Version + 1, Token: token, Body: []byte("old")}})
+	c.runUntil(c.now + 1)
 	require.Equal(t, last, next.record)
 }
--- a/internal/decide/lease/ready.go
+++ b/internal/decide/lease/ready.go
@@ -113,14 +113,14 @@
 		// before the first message an old copy of the state would look as new as the one that it lacks.
 		n.dirty = n.dirty || e.GetIndex() > g.commitAtStart
 	case raftpb.EntryNormal:
-		var list []command
+		var commands []command
 		if len(e.GetData()) == 0 {
 			return
 		}
-		if err := decode(e.GetData(), &list); err != nil {
+		if err := decode(e.GetData(), &commands); err != nil {
 			panic(err)
 		}
-		for _, c := range list {
+		for _, c := range commands {
 			if g.machine.apply(c) {
 				n.stats.Grants++
 			}
@@ -142,8 +142,8 @@
 }
 
 // propose appends commands to the log and reports whether it could. Whether they are committed shows in commandApplied.
-func (n *Node) propose(list ...command) (ok bool) {
+func (n *Node) propose(commands ...command) (ok bool) {
 	g := n.group
-	n.runRaft(func() { ok = g.rawNode.Propose(encode(list)) == nil })
+	n.runRaft(func() { ok = g.rawNode.Propose(encode(commands)) == nil })
 	return ok && n.group == g
 }
--- a/internal/decide/lease/rebalance.go
+++ b/internal/decide/lease/rebalance.go
@@ -6,33 +6,36 @@
 	"hazelwheel/internal/decide/swim"
 )
 
+// rebalanceQuietSeconds is how long grants and members must not have changed before a role is moved.
+const rebalanceQuietSeconds = 2.0
+
 // rebalance moves a role from the member with the most roles to one that has at least two fewer.
 func (n *Node) rebalance() {
 	if n.now-n.changedAt < rebalanceQuietSeconds {
 		return
 	}
-	most, least := -1, math.MaxInt
-	var from swim.ID
+	highest, lowest := -1, math.MaxInt
+	var busiest swim.ID
 	for _, m := range n.members {
 		if m.State != swim.Alive {
 			continue
 		}
 		count := n.roleCount(m.ID, nil)
-		if count > most {
-			most, from = count, m.ID
+		if count > highest {
+			highest, busiest = count, m.ID
 		}
-		least = min(least, count)
+		lowest = min(lowest, count)
 	}
-	if most-least < 2 {
+	if highest-lowest < 2 {
 		return
 	}
 	for _, state := range n.roles {
 		g, _ := n.group.machine.grant(state.role)
-		if g.Holder != from || state.hasPendingCommand || state.releasedToken == g.Token || n.now-state.moveRequestedAt < rebalanceQuietSeconds {
+		if g.Holder != busiest || state.hasPendingCommand || state.releasedToken == g.Token || n.now-state.moveRequestedAt < rebalanceQuietSeconds {
 			continue
 		}
 		ranked := n.rankCandidates(state, nil)
-		if len(ranked) == 0 || n.roleCount(ranked[0], nil) > most-2 {
+		if len(ranked) == 0 || n.roleCount(ranked[0], nil) > highest-2 {
 			continue
 		}
 		if n.bidBootID(ranked[0], state.role) == 0 { // Danger: without a bidder the role would only become vacant
@@ -63,13 +66,13 @@
 }
 
 // roleCount returns how many roles a member holds, counting commands that are about to be proposed.
-func (n *Node) roleCount(id swim.ID, list []command) (count int) {
+func (n *Node) roleCount(id swim.ID, commands []command) (count int) {
 	for _, g := range n.group.machine.Grants {
 		if g.Holder == id {
 			count++
 		}
 	}
-	for _, c := range list {
+	for _, c := range commands {
 		if c.Holder == id {
 			count++
 		}
--- a/internal/decide/lease/renewal.go
+++ b/internal/decide/lease/renewal.go
@@ -27,14 +27,14 @@
 }
 
 // quorumReadDone confirms the requests that a finished quorum read serves.
-func (n *Node) quorumReadDone(round uint64) {
+func (n *Node) quorumReadDone(number uint64) {
 	if n.quorumReadInFlight = false; !n.isLeaderReady() {
 		return
 	}
 	waiting := n.waitingRenewals
 	n.waitingRenewals = nil
 	for _, w := range waiting {
-		if w.quorumRead > round {
+		if w.quorumRead > number {
 			n.waitingRenewals = append(n.waitingRenewals, w)
 			continue
 		}
--- a/internal/decide/lease/stored_form_test.go
+++ b/internal/decide/lease/stored_form_test.go
@@ -35,7 +35,7 @@
 func TestWireAndStoredForm(t *testing.T) {
 	grant := Grant{Role: "list", Holder: math.MaxUint64, Token: 7<<tokenCounterBits + 3, BootID: 1 << 63}
 	record := Record{Role: "works", Version: 9, Token: 7<<tokenCounterBits + 4, Body: []byte{0, 1, 255}}
-	founding := Founding{Ballot: 1<<32 | 0x1200 | 2, Accepted: 1<<32 | 1, Epoch: 7, Voters: []swim.ID{11, 12, 13}, Step: stepAccepted}
+	founding := Founding{Ballot: 1<<32 | 0x1200 | 2, Accepted: 1<<32 | 1, Epoch: 7, Voters: []swim.ID{11, 12, 13}, Step: StepAccepted}
 	renewal := Renewal{Number: 21, Grants: []Grant{grant}, Records: []Record{record}}
 	wire := map[string]any{
 		"message": &Message{Epoch: 7, Raft: []byte("raft"), Serial: 31, WriterID: 32, Lineage: []Writer{{33, 34}, {35, 36}}, Founding: &founding,
@@ -66,28 +66,28 @@
 // TestStateOfReleasedVersionIsRead starts members with the states that an earlier version has written. They go on with the group, its
 // grants and its records.
 func TestStateOfReleasedVersionIsRead(t *testing.T) {
-	h := newCluster(t, 3, "list", "report")
-	h.runUntil(110)
-	o, token := h.holder("list")
-	require.NotNil(t, o)
-	o.node.WriteRecord(h.now, "list", 1, []byte("kept"))
-	h.runUntil(h.now + 1)
-	for _, s := range h.all {
+	c := newCluster(t, 3, "list", "report")
+	c.runUntil(110)
+	holder, token := c.holder("list")
+	require.NotNil(t, holder)
+	holder.node.WriteRecord(c.now, "list", 1, []byte("kept"))
+	c.runUntil(c.now + 1)
+	for _, s := range c.all {
 		raw := golden(t, fmt.Sprintf("state/member-%d.msgpack", s.id), s.state)
 		set := s.node.settings
 		set.Seed += 1000 // another process
-		next, err := New(h.now, s.id, set, raw, s)
+		next, err := New(c.now, s.id, set, raw, s)
 		require.NoError(t, err)
 		require.Equal(t, raw, next.encodeState(), "what is read is written the same")
-		next.SetMembers(h.now, s.node.members)
+		next.SetMembers(c.now, s.node.members)
 		s.node = next
 	}
-	h.runUntil(h.now + 10)
-	next, later := h.holder("list")
+	c.runUntil(c.now + 10)
+	next, later := c.holder("list")
 	require.NotNil(t, next)
 	require.Greater(t, later, token, "a token that was granted is not granted again")
 	require.Equal(t, []byte("kept"), next.record.Body)
-	for _, s := range h.all {
+	for _, s := range c.all {
 		require.Empty(t, s.replacedReason)
 	}
 }
--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -199,7 +199,7 @@
 
 // checkKept looks whether what a member promises is on its disk.
 func (w *Simulation) checkKept(n *node, m *lease.Message) {
-	promises := m.Founding != nil && (m.Founding.Step == 1 || m.Founding.Step == 3) // promise, accepted
+	promises := m.Founding != nil && (m.Founding.Step == lease.StepPromise || m.Founding.Step == lease.StepAccepted)
 	var vote raftpb.Message
 	if m.Raft != nil {
 		if err := proto.Unmarshal(m.Raft, &vote); err != nil {
