--- a/internal/decide/lease/node_test.go
+++ b/internal/decide/lease/node_test.go
@@ -26,13 +26,13 @@
 	node           *Node
 	state          []byte
 	up             bool
-	diskFull       bool // its disk
-	diskStalled    bool // its disk ends no write
-	muted          bool // its words are lost
+	diskFull       bool
+	diskStalled    bool // writes never finish
+	muted          bool // its messages are lost
 	history        [][]byte
-	replacedReason string // why the identity was given up
+	replacedReason string // of ReplaceIdentity; empty: not called
 
-	record Record // of a role, as it was told last
+	record Record // of the last RecordCommitted
 }
 
 func (s *testNode) Send(to swim.ID, m *Message) {
