--- a/internal/decide/election/candidate.go
+++ b/internal/decide/election/candidate.go
@@ -24,7 +24,7 @@
 	LeaseSeconds float64
 
 	startedAt     float64
-	token         uint64  // of the own grant, 0: none
+	token         uint64  // of the local grant, 0: none
 	confirmedAt   float64 // start of the last acquisition or successful confirmation
 	holderSeenAt  float64 // last sign of life of the lease holder
 	observedToken uint64  // the token that holderSeenAt is about
@@ -85,8 +85,8 @@
 	return Wait
 }
 
-// isLeaseExpired reports whether the own grant was not confirmed for a whole lease. Danger: another process may be about to
-// acquire the role, which a read that still finds the own grant doesn't prevent. The role must be acquired again, so that
+// isLeaseExpired reports whether the local grant was not confirmed for a whole lease. Danger: another process may be about to
+// acquire the role, which a read that still finds the local grant doesn't prevent. The role must be acquired again, so that
 // the register decides between the two.
 func (c *Candidate) isLeaseExpired(now float64) bool { return now-c.confirmedAt > c.LeaseSeconds }
 
--- a/internal/decide/membership/exchange.go
+++ b/internal/decide/membership/exchange.go
@@ -9,7 +9,7 @@
 // maxRefutations bounds the refutations that wait for the next exchange.
 const maxRefutations = 4
 
-// SampleRecords returns the records to send in an exchange: the own one, refutations, and a random sample of the others.
+// SampleRecords returns the records to send in an exchange: the local one, refutations, and a random sample of the others.
 func (v *View) SampleRecords(now float64) []Record {
 	records := append([]Record{v.self}, v.refutations...)
 	v.refutations = nil
@@ -124,7 +124,7 @@
 	}
 }
 
-// raiseIncarnation puts the own incarnation above that of another run of this process. The incarnation comes from the wall
+// raiseIncarnation puts the local incarnation above that of another run of this process. The incarnation comes from the wall
 // clock, which may step back between runs, and processes without a disk can't remember it.
 func (v *View) raiseIncarnation(record *Record) {
 	if record.RunID != v.self.RunID && record.Incarnation >= v.self.Incarnation {
--- a/internal/decide/membership/partners.go
+++ b/internal/decide/membership/partners.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// otherZonesWeight is the weight of all other zones together when a partner is drawn, as a number of processes of the own
+// otherZonesWeight is the weight of all other zones together when a partner is drawn, as a number of processes of the local
 // zone. Traffic between zones is expensive: updates spread within a zone, and now and then one of its processes exchanges
 // with another zone. In a small zone most exchanges leave it.
 const otherZonesWeight = 4.0
@@ -42,7 +42,7 @@
 	}
 }
 
-// PickPartner returns the address for the next exchange, "" if none is known: a live process of the own zone or a peer of the
+// PickPartner returns the address for the next exchange, "" if none is known: a live process of the local zone or a peer of the
 // partial view, now and then a seed. Seeds are always used while the partial view is empty.
 func (v *View) PickPartner(now float64) string {
 	if sameZone := v.sameZoneAddresses(now); v.rng.Float64() < sameZoneFraction(len(sameZone)) {
@@ -60,7 +60,7 @@
 	return v.known[v.peers[v.nextPeer]].record.Address
 }
 
-// PickFanout returns up to n addresses of random live processes for an urgent update: most of the own zone, at least one of
+// PickFanout returns up to n addresses of random live processes for an urgent update: most of the local zone, at least one of
 // another zone where there is one.
 func (v *View) PickFanout(now float64, n int) []string {
 	sameZone := v.sameZoneAddresses(now)
@@ -81,7 +81,7 @@
 	return append(sameZone[:min(n-fromOtherZones, len(sameZone))], otherZones[:fromOtherZones]...)
 }
 
-// sameZoneAddresses returns the addresses of live processes of the own zone, sorted.
+// sameZoneAddresses returns the addresses of live processes of the local zone, sorted.
 func (v *View) sameZoneAddresses(now float64) (addresses []string) {
 	for _, process := range v.known {
 		if process.record.Zone == v.self.Zone && v.isAlive(process, now) {
--- a/internal/decide/membership/view.go
+++ b/internal/decide/membership/view.go
@@ -49,7 +49,7 @@
 	refutations []Record                 // sent in the next exchange to runs that don't know of a later incarnation
 }
 
-// New returns a view that knows the own record and the addresses of seeds. It draws all random numbers from rng.
+// New returns a view that knows the local record and the addresses of seeds. It draws all random numbers from rng.
 func New(settings Settings, self Record, seeds []string, rng *rand.Rand) *View {
 	return &View{settings: settings, rng: rng, self: self, known: map[string]*knownProcess{}, forgotten: map[string]Record{},
 		seeds: slices.Clone(seeds)}
@@ -58,35 +58,35 @@
 // SetSeeds replaces the addresses of seeds.
 func (v *View) SetSeeds(seeds []string) { v.seeds = slices.Clone(seeds) }
 
-// Self returns the own record.
+// Self returns the local record.
 func (v *View) Self() Record { return v.self }
 
-// SetDemands replaces the demands in the own record. They are not urgent: the heartbeat is left as it is, and the new
+// SetDemands replaces the demands in the local record. They are not urgent: the heartbeat is left as it is, and the new
 // content spreads with the next one.
 func (v *View) SetDemands(demands []Demand) {
 	v.self.Demands = demands
 	v.self.Revision++
 }
 
-// SetReleasedToken puts the fencing token of a released role into the own record.
+// SetReleasedToken puts the fencing token of a released role into the local record.
 func (v *View) SetReleasedToken(token uint64) {
 	v.self.ReleasedToken = token
 	v.markRevised()
 }
 
-// MarkLeaving marks the own record as leaving.
+// MarkLeaving marks the local record as leaving.
 func (v *View) MarkLeaving() {
 	v.self.Leaving = true
 	v.markRevised()
 }
 
-// markRevised makes peers adopt the changed content of the own record.
+// markRevised makes peers adopt the changed content of the local record.
 func (v *View) markRevised() {
 	v.self.Revision++
 	v.self.Heartbeat++
 }
 
-// Tick raises the own heartbeat and drops processes whose heartbeat is too old. The host calls it before each exchange.
+// Tick raises the local heartbeat and drops processes whose heartbeat is too old. The host calls it before each exchange.
 func (v *View) Tick(now float64) {
 	v.self.Heartbeat++
 	for name, process := range v.known {
@@ -116,7 +116,7 @@
 	Alive         bool
 }
 
-// Members returns all known processes, the own one among them, in the order of their names.
+// Members returns all known processes, the local one among them, in the order of their names.
 func (v *View) Members(now float64) []Member {
 	members := []Member{{Record: v.self, Alive: true}}
 	for _, process := range v.known {
--- a/internal/decide/reconfiguration/simulation_test.go
+++ b/internal/decide/reconfiguration/simulation_test.go
@@ -300,7 +300,7 @@
 	}
 }
 
-// refreshDisk reads regularly and has the own disk learn the chosen value.
+// refreshDisk reads regularly and has the local disk learn the chosen value.
 func (s *simulation) refreshDisk(n *node, incarnation int) {
 	if n.incarnation != incarnation || !n.isUp {
 		return
--- a/internal/decide/register/backoff.go
+++ b/internal/decide/register/backoff.go
@@ -13,7 +13,7 @@
 // Backoff spaces the proposals of one change. The zero Backoff is ready for use; each change needs a new one.
 //
 // Danger: two proposers that retry sooner than a proposal takes pre-empt each other again and again, however fast the voters
-// are. The delays therefore scale with how long the own proposal took. They are drawn evenly from zero up to a length that
+// are. The delays therefore scale with how long the last proposal took. They are drawn evenly from zero up to a length that
 // doubles, so that one proposer retries so much sooner that it finishes before the other starts.
 type Backoff struct {
 	failures int
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -167,7 +167,7 @@
 type explorer struct {
 	nodes          []string
 	script         []scriptedCall
-	trustsAccepted bool // fault of the host: what the own disk has accepted counts as chosen
+	trustsAccepted bool // fault of the host: what the local disk has accepted counts as chosen
 	maxStates      int  // bound on visited states
 	states, depth  int
 	trail          []trailStep // index 0 is the initial state
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -159,7 +159,7 @@
 	return reply, nil
 }
 
-// outdated reports whether the own configuration and endpoints are older than those that a message names.
+// outdated reports whether the local configuration and endpoints are older than those that a message names.
 func (n *Node) outdated(request *message.Gossip) (hasOldTable, hasOldEndpoints bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -167,7 +167,7 @@
 	return hasOldTable, n.isYounger(request.List) && request.List.Digest != n.state.Endpoints.Digest
 }
 
-// isYounger reports whether a peer's reading of the endpoints is younger than the own one. Danger: the time of a reading is
+// isYounger reports whether a peer's reading of the endpoints is younger than the local one. Danger: the time of a reading is
 // derived from its age when it was sent, and so differs by the delay of the network. readingTolerance keeps an older reading
 // from replacing a younger one. The caller holds mu.
 func (n *Node) isYounger(list message.InstanceList) bool {
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -144,7 +144,7 @@
 	return slices.Concat(addresses[first:], addresses[:first])[:maxControlPartners]
 }
 
-// updateRank updates the own rank among the processes of its kind. The caller holds mu.
+// updateRank updates the local rank among the processes of its kind. The caller holds mu.
 func (n *Node) updateRank() {
 	self := n.view.Self()
 	rank, count := n.view.Rank(self.Name, self.Kind)
