--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -83,14 +83,14 @@
 func (h *history) commit() {
 	for n := 0; ; n++ {
 		require.Less(h.t, n, 100, "no more proposals")
-		next := h.Step(h.driver.now)
+		next := h.Step(h.now)
 		for _, r := range h.Replies() {
 			h.replies[r.Nonce] = r
 		}
 		if next == nil {
 			return
 		}
-		require.Same(h.t, next, h.Step(h.driver.now), "the same proposal until it is committed")
+		require.Same(h.t, next, h.Step(h.now), "the same proposal until it is committed")
 		body, err := next.Encode()
 		require.NoError(h.t, err)
 		state, err := Decode(body)
@@ -101,21 +101,21 @@
 		was, before := h.committed.State, h.committed
 		lost := rapid.IntRange(0, 19).Draw(h.t, "fate of the proposal")
 		if lost == 0 { // it is lost, and another holds the lease
-			h.Start(h.driver.now, h.committed)
+			h.Start(h.now, h.committed)
 			return
 		}
 		h.committed = Committed{h.committed.Epoch, h.committed.Version + 1, state}
 		h.check(was)
 		switch lost {
 		case 1: // it is committed, and the lease holder died
-			h.Start(h.driver.now, h.committed)
+			h.Start(h.now, h.committed)
 			return
 		case 2: // the next lease holder learns of it late
-			h.Start(h.driver.now, before)
+			h.Start(h.now, before)
 			h.report()
-			h.Step(h.driver.now)
+			h.Step(h.now)
 		}
-		h.ApplyCommitted(h.driver.now, h.committed)
+		h.ApplyCommitted(h.now, h.committed)
 	}
 }
 
@@ -128,7 +128,7 @@
 		}
 	}
 	r.Complete = len(r.Report.Reporters) == len(r.Members)
-	h.Observe(h.driver.now, r)
+	h.Observe(h.now, r)
 }
 
 func TestPlanInvariants(t *testing.T) {
@@ -140,7 +140,7 @@
 		}
 		part := rapid.IntRange(0, 9)
 		for range rapid.IntRange(50, 250).Draw(t, "rounds") {
-			h.driver.now += rapid.SampledFrom([]float64{0.5, 0.5, 0.5, 1, 4, 15}).Draw(t, "seconds")
+			h.now += rapid.SampledFrom([]float64{0.5, 0.5, 0.5, 1, 4, 15}).Draw(t, "seconds")
 			// Danger: all that is drawn here may happen between any two snapshots.
 			h.snapshot.Report.InUse, h.snapshot.Report.RejectedPerSecond = nil, 0
 			clear(h.silent)
@@ -177,7 +177,7 @@
 		clear(h.silent)
 		for n := 0; slices.ContainsFunc(h.committed.State.Plans, func(p Plan) bool { return !p.Ended }); n++ {
 			require.Less(t, n, 3000, "the plans end: %+v", h.Blockers())
-			h.driver.now += 1
+			h.now += 1
 			h.report()
 			for _, p := range h.committed.State.Plans {
 				for _, b := range p.Servers {
@@ -201,7 +201,7 @@
 func (h *history) submitOnly(c Command) {
 	h.nonce++
 	c.Nonce = h.nonce
-	if r, answered := h.Submit(h.driver.now, c); answered {
+	if r, answered := h.Submit(h.now, c); answered {
 		h.replies[c.Nonce] = r
 	}
 }
--- a/internal/decide/swim/members.go
+++ b/internal/decide/swim/members.go
@@ -25,7 +25,7 @@
 	change()
 	v.trackEntry(e)
 	if e.State != was || !known {
-		if !(was <= Suspect && e.State <= Suspect) || !known {
+		if was > Suspect || e.State > Suspect || !known {
 			v.digestChangedAt = v.now
 		}
 		v.neighborsTouched = true
--- a/internal/sim/membershipsim/alternatives.go
+++ b/internal/sim/membershipsim/alternatives.go
@@ -98,9 +98,9 @@
 			}
 			now := float64(period)*swimPeriodSeconds + phase[i]
 			j := rng.IntN(n)
-			switch {
-			case j == i:
-			case j == 0:
+			switch j {
+			case i:
+			case 0:
 				if found := now + swimPeriodSeconds; learned[i] > found {
 					learn(i, found)
 				}
