--- a/internal/sim/maintenancesim/agent.go
+++ b/internal/sim/maintenancesim/agent.go
@@ -42,7 +42,7 @@
 // accepts reports whether a server that was handed out may be worked on: its fencing token is not lower than one seen before.
 func (a *agent) accepts(r maintenance.Reply) bool {
 	if r.Token < a.greatestToken {
-		a.sim.log("%s turns %s under %d down", a.name, r.Server, r.Token)
+		a.sim.log("%s rejects %s, token %d", a.name, r.Server, r.Token)
 		return false
 	}
 	a.greatestToken = r.Token
@@ -94,7 +94,7 @@
 
 // crash ends the agent's process for some seconds.
 func (a *agent) crash(seconds float64) {
-	a.sim.log("%s dies", a.name)
+	a.sim.log("%s crashed", a.name)
 	a.process++
 	a.isDown = true
 	a.sim.After(seconds, func() {
@@ -121,7 +121,7 @@
 		if r.Err == "" && s.chance(0.2) {
 			s.submit(command, agentCommandSeconds, func(again maintenance.Reply) {
 				if again.Err != "" && again.Err != noAnswer {
-					s.violated(RuleReply, "%s is done under %d, and again: %s", server, token, again.Err)
+					s.violated(RuleReply, "%s is completed under token %d, and repeated: %s", server, token, again.Err)
 				}
 			})
 		}
--- a/internal/sim/maintenancesim/checker.go
+++ b/internal/sim/maintenancesim/checker.go
@@ -96,14 +96,14 @@
 // checkRequest checks that a server that gets a request is not being worked on.
 func (s *Simulation) checkRequest(b *server, from *sidecar) {
 	if b.agent != nil && from.uncordonedUntil[b.name] <= s.Now() && !s.wasForced(b.name, b.token) {
-		s.violated(RuleInUse, "%s gets a request from %s, which goes by version %d of %d, while %s works on it", b.name, from.name(), from.version,
+		s.violated(RuleInUse, "%s gets a request from %s, which applies version %d of %d, while %s works on it", b.name, from.name(), from.version,
 			s.version, b.agent.name)
 	}
 }
 
 // workStarted checks that an agent may begin to work on a server. After a crash it may continue.
 func (s *Simulation) workStarted(by *agent, b *server, token uint64) {
-	s.log("%s works on %s under %d", by.name, b.name, token)
+	s.log("%s starts work on %s, token %d", by.name, b.name, token)
 	if slices.ContainsFunc(s.acquisitions, func(a *acquisition) bool {
 		return a.token == token && a.server == b && a.agent == by && a.endedAt == 0
 	}) {
@@ -113,7 +113,7 @@
 	state := s.committed().State
 	plan, handedOut := findToken(&state, b.name, token)
 	if plan == nil {
-		s.violated(RuleToken, "%s is handed over to %s under %d, which is not agreed", b.name, by.name, token)
+		s.violated(RuleToken, "%s was handed out to %s under token %d, which was never committed", b.name, by.name, token)
 		return
 	}
 	if b.agent != nil && b.agent != by && !s.wasForced(b.name, b.token) {
@@ -147,9 +147,9 @@
 		return
 	}
 	if b.inFlight > 0 {
-		s.violated(RuleInUse, "%d executions are out on %s as %s begins", b.inFlight, b.name, by.name)
+		s.violated(RuleInUse, "%d requests are in flight to %s as %s begins", b.inFlight, b.name, by.name)
 	} else if b.lastUsedAt > 0 && s.Now()-b.lastUsedAt < quietSeconds-1e-9 {
-		s.violated(RuleInUse, "%s got something %.3f s before %s begins, %g s must be; it was of %s", b.name, s.Now()-b.lastUsedAt, by.name, quietSeconds, b.lastUser.name())
+		s.violated(RuleInUse, "%s was in use %.3f s before %s begins, less than %g s, by %s", b.name, s.Now()-b.lastUsedAt, by.name, quietSeconds, b.lastUser.name())
 	}
 }
 
@@ -162,7 +162,7 @@
 			continue
 		}
 		if a.server == b {
-			s.violated(RuleWorkedTwice, "%s is worked on under %d, for plan %d, and was under %d", b.name, next.token, next.plan, a.token)
+			s.violated(RuleWorkedTwice, "%s is worked on under token %d for plan %d, and was under token %d", b.name, next.token, next.plan, a.token)
 		}
 		if a.endedAt == 0 && !s.wasAbandoned(a) {
 			concurrent++
@@ -172,13 +172,13 @@
 		}
 	}
 	if !isLost && (concurrent > p.Spec.MaxConcurrent || atSite > max(p.Spec.MaxPerSite, 1)) {
-		s.violated(RuleTooMany, "mechanics work on %d boxes of plan %d, %d of site %s", concurrent, next.plan, atSite, b.site)
+		s.violated(RuleTooMany, "agents work on %d servers of plan %d, %d of them of site %s", concurrent, next.plan, atSite, b.site)
 	}
 }
 
 // workEnded records the end of the work on a server.
 func (s *Simulation) workEnded(by *agent, b *server, token uint64) {
-	s.log("%s has worked on %s under %d", by.name, b.name, token)
+	s.log("%s ended work on %s, token %d", by.name, b.name, token)
 	for _, a := range s.acquisitions {
 		if a.token == token && a.server == b {
 			a.endedAt = s.Now()
@@ -195,7 +195,7 @@
 		return
 	}
 	if again, err := state.Encode(); err != nil || !bytes.Equal(again, body) {
-		s.violated(RuleState, "it reads as something else: %v", err)
+		s.violated(RuleState, "encoded again it differs: %v", err)
 	}
 	was := s.committed().State
 	s.log("version %d: %s", s.version+1, summary(&state))
@@ -208,7 +208,7 @@
 		p := &was.Plans[i]
 		isMissing := findPlan(&state, p.Number) == nil
 		if isMissing && (!p.Ended || slices.ContainsFunc(p.Servers, func(server maintenance.Server) bool { return server.Stage == maintenance.Lost })) {
-			s.violated(RuleEnd, "plan %d is forgotten", p.Number)
+			s.violated(RuleEnd, "plan %d is missing", p.Number)
 		}
 	}
 }
@@ -226,7 +226,7 @@
 			out++
 			outAtSite[server.Site]++
 			if outAtSite[server.Site] > max(p.Spec.MaxPerSite, 1) {
-				s.violated(RuleTooMany, "%d of site %s are out for plan %d", outAtSite[server.Site], server.Site, p.Number)
+				s.violated(RuleTooMany, "%d servers of site %s are out for plan %d", outAtSite[server.Site], server.Site, p.Number)
 			}
 		}
 		if !p.Ended {
@@ -238,13 +238,13 @@
 		s.checkStage(was, state, p, old.Servers[j], server)
 		if server.Stage == maintenance.InMaintenance {
 			if server.Token <= s.greatestToken || token != 0 {
-				s.violated(RuleToken, "%s is handed over under %d, one before it under %d", server.Name, server.Token, max(s.greatestToken, token))
+				s.violated(RuleToken, "%s is handed out under token %d, after token %d", server.Name, server.Token, max(s.greatestToken, token))
 			}
 			token = server.Token
 		}
 	}
 	if out > p.Spec.MaxConcurrent {
-		s.violated(RuleTooMany, "%d boxes are out for plan %d, at most %d may", out, p.Number, p.Spec.MaxConcurrent)
+		s.violated(RuleTooMany, "%d servers are out for plan %d, at most %d may be", out, p.Number, p.Spec.MaxConcurrent)
 	}
 	return token
 }
@@ -254,7 +254,7 @@
 	for i := range state.Plans {
 		p := &state.Plans[i]
 		if p.Number > by.Number && !p.Ended && slices.ContainsFunc(p.Servers, func(server maintenance.Server) bool { return server.Name == name }) {
-			s.violated(RuleShared, "%s is of plans %d and %d", name, by.Number, p.Number)
+			s.violated(RuleShared, "%s belongs to plans %d and %d", name, by.Number, p.Number)
 		}
 	}
 }
@@ -262,10 +262,10 @@
 // checkStage checks and counts the change of a server's stage.
 func (s *Simulation) checkStage(was, state *maintenance.State, p *maintenance.Plan, from, to maintenance.Server) {
 	if from.Stage >= maintenance.Done && !(from.Stage == maintenance.Lost && to.Stage == maintenance.Skipped) {
-		s.violated(RuleEnd, "%s of plan %d had ended as %d and is %d", to.Name, p.Number, from.Stage, to.Stage)
+		s.violated(RuleEnd, "%s of plan %d changed from final stage %d to %d", to.Name, p.Number, from.Stage, to.Stage)
 	}
 	if from.Stage == maintenance.InMaintenance && to.Stage != maintenance.WarmingUp && to.Stage != maintenance.Lost {
-		s.violated(RuleEnd, "%s is taken from who works on it", to.Name)
+		s.violated(RuleEnd, "%s leaves maintenance without its agent", to.Name)
 	}
 	switch to.Stage {
 	case maintenance.Draining:
@@ -286,7 +286,7 @@
 		s.counts.Lost++
 	}
 	if (to.Stage == maintenance.Skipped || to.Stage == maintenance.Lost) && to.Reason == "" {
-		s.violated(RuleEnd, "%s ends without a cause", to.Name)
+		s.violated(RuleEnd, "%s ends without a reason", to.Name)
 	}
 }
 
@@ -297,7 +297,7 @@
 		warmUpSeconds = max(s.warmUpSeconds, 5)
 	}
 	if out := s.countNotWarm(state, p, warmUpSeconds); out > p.Spec.MaxConcurrent {
-		s.violated(RuleWarmUp, "%s leaves as one of %d that are out or have not had %g s to warm up", draining.Name, out, warmUpSeconds)
+		s.violated(RuleWarmUp, "%s drains as one of %d that are out or have not had %g s to warm up", draining.Name, out, warmUpSeconds)
 	}
 	wasOut := false // a server that an earlier plan has lost
 	for name := range was.Cordoned {
@@ -307,7 +307,7 @@
 	remaining := s.remainingCapacity(state, b)
 	isDisturbed := s.Now()-s.undisturbedSince <= disturbanceSeconds
 	if !b.isUnavailable() && !wasOut && !isDisturbed && remaining < p.Spec.MinCapacity-capacityTolerance {
-		s.violated(RuleMinCapacity, "%s leaves, %.3f of the capacity is left, %.3f must be", draining.Name, remaining, p.Spec.MinCapacity)
+		s.violated(RuleMinCapacity, "%s drains, %.3f of the capacity remains, %.3f is required", draining.Name, remaining, p.Spec.MinCapacity)
 	}
 }
 
@@ -364,7 +364,7 @@
 // checkPlanReply checks that a plan whose submission was answered is committed.
 func (s *Simulation) checkPlanReply(r maintenance.Reply) {
 	if r.Plan == 0 || r.Plan > s.committed().State.LastNumber {
-		s.violated(RuleReply, "plan %d is answered, which is not agreed", r.Plan)
+		s.violated(RuleReply, "plan %d is answered, which is not committed", r.Plan)
 	}
 }
 
@@ -374,7 +374,7 @@
 	for i := range state.Plans {
 		p := &state.Plans[i]
 		if !p.Ended {
-			s.violated(RuleEnd, "plan %d has not ended: %s; %v; the owner is %s", p.Number, summary(&state), s.blockers(), s.describeLeaseHolder())
+			s.violated(RuleEnd, "plan %d has not ended: %s; %v; lease holder: %s", p.Number, summary(&state), s.blockers(), s.describeLeaseHolder())
 			continue
 		}
 		for _, server := range p.Servers {
@@ -397,9 +397,9 @@
 func (s *Simulation) describeLeaseHolder() string {
 	h := s.leaseHolder
 	if h == nil {
-		return "nobody"
+		return "none"
 	}
-	return fmt.Sprintf("%s (up %t, owns %t)", h.name(), h.isRunning, h.coordinator != nil)
+	return fmt.Sprintf("%s (running %t, coordinates %t)", h.name(), h.isRunning, h.coordinator != nil)
 }
 
 // summary returns a state in one line: for each plan its number, the stages of its servers, "p" if it is paused and "." if it has
--- a/internal/sim/maintenancesim/commands.go
+++ b/internal/sim/maintenancesim/commands.go
@@ -8,7 +8,7 @@
 )
 
 // noAnswer is the error of a command that got no reply in time.
-const noAnswer = "nobody answers"
+const noAnswer = "no answer"
 
 // operator is the name under which operators issue commands.
 const operator = "operator"
--- a/internal/sim/maintenancesim/faults.go
+++ b/internal/sim/maintenancesim/faults.go
@@ -135,13 +135,13 @@
 	if n.isIsolated {
 		return
 	}
-	s.log("%s is cut off", n.name())
+	s.log("%s isolated", n.name())
 	n.isIsolated = true
 	if n.isRunning && !n.isFrozen {
 		n.reachabilityChangedAt = s.Now()
 	}
 	s.After(seconds, func() {
-		s.log("%s is back", n.name())
+		s.log("%s reachable again", n.name())
 		n.isIsolated = false
 		process := n.process
 		s.After(s.uniform(0.1, 1), func() { n.run(process, func() { n.apply(s.version, s.body) }) })
--- a/internal/sim/maintenancesim/leaseholder.go
+++ b/internal/sim/maintenancesim/leaseholder.go
@@ -33,7 +33,7 @@
 	s.token++
 	s.leaseHolder, s.leaseHolderProcess = n, n.process
 	s.counts.Leases++
-	s.log("%s owns the job under %d", n.name(), s.token)
+	s.log("%s granted the lease, token %d", n.name(), s.token)
 	token, process := s.token, n.process
 	committed := s.committed()
 	if s.version > 1 && s.chance(0.3) {
@@ -47,7 +47,7 @@
 			})
 		})
 	}
-	n.dropLease("it is granted anew")
+	n.dropLease("granted anew")
 	s.After(s.latency(), func() {
 		n.run(process, func() { n.startLease(token, committed) })
 	})
@@ -69,7 +69,7 @@
 // dropLease ends the lease as far as this sidecar knows.
 func (n *sidecar) dropLease(reason string) {
 	if n.coordinator != nil {
-		n.sim.log("%s does not own the job any more: %s", n.name(), reason)
+		n.sim.log("%s dropped the lease: %s", n.name(), reason)
 	}
 	n.coordinator, n.isWriting = nil, false
 }
@@ -251,7 +251,7 @@
 			switch {
 			case n.coordinator == nil || n.leaseToken != token:
 			case isReplaced:
-				n.dropLease("another one does")
+				n.dropLease("replaced")
 			default:
 				n.applyCommitted(currentVersion, currentBody)
 			}
--- a/internal/sim/maintenancesim/sidecar.go
+++ b/internal/sim/maintenancesim/sidecar.go
@@ -74,7 +74,7 @@
 	if n.cordoned == nil {
 		n.cordoned = map[string]bool{}
 	}
-	s.log("%s begins, version %d", n.name(), n.version)
+	s.log("%s started, version %d", n.name(), n.version)
 	if !n.isIsolated {
 		n.apply(s.version, s.body)
 	}
@@ -87,7 +87,7 @@
 	if !n.isRunning {
 		return
 	}
-	n.sim.log("%s ends", n.name())
+	n.sim.log("%s stopped", n.name())
 	n.isRunning, n.isFrozen, n.deferred, n.hasLeft = false, false, nil, announced
 	n.reachabilityChangedAt = n.sim.Now()
 	n.process++
@@ -95,7 +95,7 @@
 		n.sim.serverByName(name).inFlight -= requests
 	}
 	n.inFlight = nil
-	n.dropLease("its process has ended")
+	n.dropLease("process ended")
 }
 
 // freeze stalls the process for some seconds.
@@ -103,7 +103,7 @@
 	if !n.isRunning || n.isFrozen {
 		return
 	}
-	n.sim.log("%s stands still for %.2f s", n.name(), seconds)
+	n.sim.log("%s frozen for %.2f s", n.name(), seconds)
 	n.isFrozen, n.reachabilityChangedAt = true, n.sim.Now()
 	process := n.process
 	n.sim.After(seconds, func() {
--- a/internal/sim/maintenancesim/simulation.go
+++ b/internal/sim/maintenancesim/simulation.go
@@ -168,7 +168,7 @@
 		seconds := []float64{s.uniform(0.2, 2), s.uniform(1, 8), s.uniform(5, 0.7*s.specTemplate.DeadMemberSeconds)}[s.rng.IntN(3)]
 		if len(kinds) > 0 {
 			f := kinds[s.rng.IntN(len(kinds))]
-			s.log("trouble %s for %.2f s", f.name, seconds)
+			s.log("fault %s for %.2f s", f.name, seconds)
 			f.inject(s, seconds)
 		}
 		s.Until(s.Now() + []float64{s.uniform(0, 0.5), s.uniform(0.5, 5), s.uniform(3, 20)}[s.rng.IntN(3)])
@@ -178,7 +178,7 @@
 // endFaults ends all faults, lets operators handle what waits for them, and checks that all plans end.
 func (s *Simulation) endFaults() {
 	s.Until(s.Now() + 1)
-	s.log("all is mended")
+	s.log("faults ended")
 	s.isCalm, s.holderFaultProbability = true, 0
 	s.Until(s.Now() + s.specTemplate.DeadMemberSeconds) // after which no fault has any effect
 	s.lossProbability = 0
--- a/internal/sim/membershipsim/discrepancies.go
+++ b/internal/sim/membershipsim/discrepancies.go
@@ -33,16 +33,16 @@
 			switch {
 			case m.State.IsDeadOrLeft():
 				if up[m.ID] {
-					report("s%d holds %s for %s, which lives", n.Number, m.Name, m.State)
+					report("s%d has %s as %s, which is up", n.Number, m.Name, m.State)
 				}
 			case !up[m.ID]:
-				report("s%d holds %s (%s) for %s, which does not live", n.Number, m.Name, m.ID, m.State)
+				report("s%d has %s (%s) as %s, which is not up", n.Number, m.Name, m.ID, m.State)
 			default:
 				live++
 			}
 		}
 		if live != len(up) {
-			report("s%d knows %d that live, of %d", n.Number, live, len(up))
+			report("s%d knows %d live members of %d", n.Number, live, len(up))
 		}
 		rank, _ := n.View.Rank(0)
 		if other, taken := nodeByRank[rank]; taken {
--- a/internal/sim/membershipsim/faults.go
+++ b/internal/sim/membershipsim/faults.go
@@ -54,7 +54,7 @@
 		}
 		f.Until(f.Now() + recoverySeconds)
 		if lines := f.Discrepancies(3); len(lines) > 0 {
-			return p.result, fmt.Errorf("%d members, seed %d, 10 s after the last trouble: %v", n, seed, lines)
+			return p.result, fmt.Errorf("%d members, seed %d, 10 s after the last fault: %v", n, seed, lines)
 		}
 	}
 	p.result.HoursPlayed, p.result.Trace = seconds/3600, f.Trace()
@@ -71,7 +71,7 @@
 		if isMeant && now-p.reachableSince[i] > reachableSeconds && !by.IsFrozen && p.isolation[by.Number] == 0 {
 			p.result.FalseDeaths++
 			if len(p.result.Discrepancies) < maxFalseDeathLines {
-				p.result.Discrepancies = append(p.result.Discrepancies, fmt.Sprintf("%.2f: s%d holds s%d for dead, by the word of %v", now, by.Number, i, r.Accusers))
+				p.result.Discrepancies = append(p.result.Discrepancies, fmt.Sprintf("%.2f: s%d has s%d as dead, accused by %v", now, by.Number, i, r.Accusers))
 			}
 		}
 	}
