--- a/internal/coordination/asking.go
+++ b/internal/coordination/asking.go
@@ -107,7 +107,7 @@
 }
 
 // answerAsker tells somebody who is no member yet what is agreed. Its link ends with that.
-func (f *Fleet) answerAsker(l *peers.Link) {
+func (f *Node) answerAsker(l *peers.Link) {
 	if f.owners == nil || f.owners.works == nil {
 		return
 	}
@@ -117,10 +117,10 @@
 }
 
 // Learn takes what others have said is agreed. It comes after Keep and before Start.
-func (f *Fleet) Learn(k *KeptWorks) { f.keepWorks(k) }
+func (f *Node) Learn(k *KeptWorks) { f.keepWorks(k) }
 
 // Agreed returns what this sidecar goes by, as Learn takes it; nil: nothing is agreed.
-func (f *Fleet) Agreed() *KeptWorks {
+func (f *Node) Agreed() *KeptWorks {
 	if f.owners == nil || f.owners.works == nil || f.owners.works.version == 0 {
 		return nil
 	}
--- a/internal/coordination/drill.go
+++ b/internal/coordination/drill.go
@@ -68,7 +68,7 @@
 func (d *driller) End() { d.token = 0 }
 
 // Drilled takes a drill that was started at this sidecar, where the secret was looked at.
-func (f *Fleet) Drilled(name string, durationS float64, mark func(id uint64) []byte) {
+func (f *Node) Drilled(name string, durationS float64, mark func(id uint64) []byte) {
 	f.enter(func() {
 		if f.owners == nil || f.owners.drills == nil {
 			return
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -61,8 +61,8 @@
 	Log            *slog.Logger
 }
 
-// Fleet is a sidecar's part in its fleet. It is a netio.Host for the connections that Owns tells of.
-type Fleet struct {
+// Node is a sidecar's part in its fleet. It is a netio.Host for the connections that Owns tells of.
+type Node struct {
 	o      Options
 	net    netio.Net
 	log    *slog.Logger
@@ -90,11 +90,11 @@
 	panics uint64
 }
 
-var _ netio.Host = (*Fleet)(nil)
+var _ netio.Host = (*Node)(nil)
 
 // New returns a fleet that has not begun. What is saved is taken over first; where it can't be, the process is a new one.
-func New(o Options) (*Fleet, error) {
-	f := &Fleet{o: o, net: o.Net, log: o.Log.With("part", "fleet"), links: map[int]*peers.Link{}, byID: map[swim.ID]*peers.Link{}, part: swim.NewStableRank(o.Self, o.Replicas)}
+func New(o Options) (*Node, error) {
+	f := &Node{o: o, net: o.Net, log: o.Log.With("part", "fleet"), links: map[int]*peers.Link{}, byID: map[swim.ID]*peers.Link{}, part: swim.NewStableRank(o.Self, o.Replicas)}
 	if f.o.Advertise == "" {
 		f.o.Advertise = o.Listen
 	}
@@ -115,7 +115,7 @@
 
 // Keep says where the state is kept, and what is there already. It comes before Start, and before the sidecar sends anything: boxes
 // that are out by what is there are out from the first request on.
-func (f *Fleet) Keep(disk Disk, saved Saved) {
+func (f *Node) Keep(disk Disk, saved Saved) {
 	f.disk, f.saved = disk, saved
 	if st, err := saved.decode(); err == nil {
 		f.keepWorks(st.Works)
@@ -123,7 +123,7 @@
 }
 
 // keepWorks takes what is known of boxes that are out, from an earlier life or from another sidecar.
-func (f *Fleet) keepWorks(k *KeptWorks) {
+func (f *Node) keepWorks(k *KeptWorks) {
 	if f.owners == nil || f.owners.works == nil || k == nil {
 		return
 	}
@@ -140,11 +140,11 @@
 }
 
 // drawn returns a number that is not 0.
-func (f *Fleet) drawn() uint64 { return f.o.Rand.Uint64() | 1 }
+func (f *Node) drawn() uint64 { return f.o.Rand.Uint64() | 1 }
 
 // Start reads the identity and begins to look for others. Danger: what was promised under an identity must not be forgotten
 // under it; one that can't be written again is not used.
-func (f *Fleet) Start() {
+func (f *Node) Start() {
 	f.enter(func() {
 		works := f.state.Works
 		f.state = state{ID: swim.ID(f.drawn()), Generation: 1}
@@ -169,7 +169,7 @@
 }
 
 // save keeps the state. A sidecar without a folder has nothing to keep.
-func (f *Fleet) save(done func(error)) {
+func (f *Node) save(done func(error)) {
 	if f.disk == nil {
 		f.later(func() { done(errNoDisk) })
 		return
@@ -180,7 +180,7 @@
 var errNoDisk = errors.New("there is no folder")
 
 // begin comes once the identity is on disk, or known not to be.
-func (f *Fleet) begin(version swim.Version) {
+func (f *Node) begin(version swim.Version) {
 	if f.hushed {
 		return
 	}
@@ -199,7 +199,7 @@
 }
 
 // anew draws another identity, and has done called once it is on disk or known not to be.
-func (f *Fleet) anew(done func()) {
+func (f *Node) anew(done func()) {
 	f.state = state{ID: swim.ID(f.drawn()), Generation: 1, Works: f.state.Works}
 	f.save(func(err error) {
 		if f.stored = err == nil; err != nil {
@@ -210,7 +210,7 @@
 }
 
 // listen opens the listener. Another process may still hold it, the one that this one replaces; nothing waits for that.
-func (f *Fleet) listen() {
+func (f *Node) listen() {
 	stop, err := f.net.Listen(f.o.Listen)
 	if err != nil {
 		if f.again = f.net.Now() + 0.2; !f.told {
@@ -227,7 +227,7 @@
 }
 
 // tick does what is due, and asks for the next call.
-func (f *Fleet) tick() {
+func (f *Node) tick() {
 	now := f.net.Now()
 	if f.again > 0 && now >= f.again && !f.hushed {
 		f.listen()
@@ -269,7 +269,7 @@
 }
 
 // arm asks for the next call.
-func (f *Fleet) arm() {
+func (f *Node) arm() {
 	now := f.net.Now()
 	next := f.view.NextTick()
 	if next <= now {
@@ -286,9 +286,9 @@
 const leastTickS = 0.005
 
 // Heed looks whether the core has been told to end.
-func (f *Fleet) Heed() { f.enter(f.heed) }
+func (f *Node) Heed() { f.enter(f.heed) }
 
-func (f *Fleet) heed() {
+func (f *Node) heed() {
 	switch ending, succeeded := f.o.Asked.Ending(); {
 	case !ending || f.hushed || f.left || f.view == nil:
 	case succeeded: // another process speaks under this identity
@@ -303,13 +303,13 @@
 }
 
 // hush has nothing said any more: another process speaks in place of this one.
-func (f *Fleet) hush() {
+func (f *Node) hush() {
 	if f.hushed = true; f.owners != nil {
 		f.owners.stop("another process has taken this one's place")
 	}
 }
 
-func (f *Fleet) shut() {
+func (f *Node) shut() {
 	if f.stop != nil {
 		f.stop()
 		f.stop = nil
@@ -318,7 +318,7 @@
 }
 
 // enter wraps each call on the loop: a panic stops here, and what follows from the call is done before it ends.
-func (f *Fleet) enter(do func()) {
+func (f *Node) enter(do func()) {
 	f.depth++
 	f.guard(do)
 	for f.depth == 1 && len(f.posted) > 0 {
@@ -332,7 +332,7 @@
 	f.depth--
 }
 
-func (f *Fleet) guard(do func()) (failed bool) {
+func (f *Node) guard(do func()) (failed bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			failed = true
@@ -345,12 +345,12 @@
 }
 
 // later has something done at the end of the present call. Danger: the decisions' actions must not call back into them.
-func (f *Fleet) later(do func()) { f.posted = append(f.posted, do) }
+func (f *Node) later(do func()) { f.posted = append(f.posted, do) }
 
 // --- the loop's calls ---
 
 // Owns tells whether a connection is a peer's.
-func (f *Fleet) Owns(c netio.Conn) bool {
+func (f *Node) Owns(c netio.Conn) bool {
 	switch c.Context().(type) {
 	case *peers.Link:
 		return true
@@ -362,13 +362,13 @@
 }
 
 // Open takes a connection.
-func (f *Fleet) Open(c netio.Conn) (keep bool) {
+func (f *Node) Open(c netio.Conn) (keep bool) {
 	f.enter(func() { keep = f.view != nil && !f.hushed && f.peers.Open(c) })
 	return keep
 }
 
 // Traffic takes what has come over one.
-func (f *Fleet) Traffic(c netio.Conn, data []byte) {
+func (f *Node) Traffic(c netio.Conn, data []byte) {
 	f.enter(func() {
 		if f.guard(func() { f.peers.Traffic(c, data) }) {
 			f.net.Close(c)
@@ -377,10 +377,10 @@
 }
 
 // Closed takes its end.
-func (f *Fleet) Closed(c netio.Conn, err error) { f.enter(func() { f.peers.Closed(c, err) }) }
+func (f *Node) Closed(c netio.Conn, err error) { f.enter(func() { f.peers.Closed(c, err) }) }
 
 // Alarm comes when something is due.
-func (f *Fleet) Alarm() {
+func (f *Node) Alarm() {
 	f.enter(func() {
 		if f.view != nil {
 			f.tick()
@@ -391,7 +391,7 @@
 // --- the links' calls ---
 
 // Hello says who this sidecar is.
-func (f *Fleet) Hello() frames.Hello {
+func (f *Node) Hello() frames.Hello {
 	h := f.view.Hello()
 	body, err := frames.Pack(h)
 	if err != nil { // numbers and names always pack
@@ -401,7 +401,7 @@
 }
 
 // Up takes a link.
-func (f *Fleet) Up(l *peers.Link, h frames.Hello) bool {
+func (f *Node) Up(l *peers.Link, h frames.Hello) bool {
 	var hello swim.Hello
 	if h.ID == 0 {
 		f.answerAsker(l)
@@ -430,7 +430,7 @@
 }
 
 // drop forgets a link.
-func (f *Fleet) drop(l *peers.Link) {
+func (f *Node) drop(l *peers.Link) {
 	delete(f.links, l.Number)
 	if id := swim.ID(l.Hello.ID); f.byID[id] == l {
 		delete(f.byID, id)
@@ -441,19 +441,19 @@
 }
 
 // Down takes a link's end.
-func (f *Fleet) Down(l *peers.Link, _ error) {
+func (f *Node) Down(l *peers.Link, _ error) {
 	f.drop(l)
 	f.view.LinkDown(f.net.Now(), l.Number)
 }
 
 // NotUp takes the end of a dial.
-func (f *Fleet) NotUp(address string, err error) {
+func (f *Node) NotUp(address string, err error) {
 	f.log.Debug("a peer can't be reached", "address", address, "error", err)
 	f.enter(func() { f.view.DialFailed(f.net.Now(), address) })
 }
 
 // Heard takes a frame. A topic that is not known here is a later version's, and skipped.
-func (f *Fleet) Heard(l *peers.Link, topic frames.Topic, body []byte) error {
+func (f *Node) Heard(l *peers.Link, topic frames.Topic, body []byte) error {
 	switch topic {
 	case frames.TopicMember:
 		var m swim.Message
@@ -483,7 +483,7 @@
 
 // --- the decisions' actions ---
 
-type actions struct{ f *Fleet }
+type actions struct{ f *Node }
 
 func (a actions) Dial(address string) { a.f.later(func() { a.f.peers.Dial(address) }) }
 
--- a/internal/coordination/list.go
+++ b/internal/coordination/list.go
@@ -204,7 +204,7 @@
 }
 
 // Listed passes on what discovery has written.
-func (f *Fleet) Listed(before uint64, held bool, raw []byte) {
+func (f *Node) Listed(before uint64, held bool, raw []byte) {
 	f.enter(func() {
 		if f.owners != nil && f.owners.lists != nil {
 			f.owners.lists.listed(before, held, raw)
@@ -213,7 +213,7 @@
 }
 
 // Unlisted passes on that it says no more.
-func (f *Fleet) Unlisted() {
+func (f *Node) Unlisted() {
 	f.enter(func() {
 		if f.owners != nil && f.owners.lists != nil {
 			f.owners.lists.unlisted()
@@ -221,7 +221,7 @@
 	})
 }
 
-var _ sidecar.Passer = (*Fleet)(nil)
+var _ sidecar.Passer = (*Node)(nil)
 
 func (f *feeder) listed(before uint64, held bool, raw []byte) {
 	defer f.answer()
--- a/internal/coordination/list_test.go
+++ b/internal/coordination/list_test.go
@@ -32,9 +32,9 @@
 }
 
 // fedFleet returns a fleet of which nothing is up but one link, which takes nothing.
-func fedFleet(h *holder) (*Fleet, *stillNet) {
+func fedFleet(h *holder) (*Node, *stillNet) {
 	net := &stillNet{now: 100}
-	f := &Fleet{net: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, o: Options{Settings: Settings{Jobs: withLists([]string{"list"})}, Lists: h,
+	f := &Node{net: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, o: Options{Settings: Settings{Jobs: withLists([]string{"list"})}, Lists: h,
 		Rand: rand.New(rand.NewPCG(1, 2))}}
 	f.owners = newOwners(f)
 	peers.New("yard", 1, f, net, f.log).Dial("x:1")
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -54,7 +54,7 @@
 
 // owners is a sidecar's part in who does what on behalf of all. It belongs to its Fleet.
 type owners struct {
-	f        *Fleet
+	f        *Node
 	t        *lease.Node // nil: the identity is being drawn anew, or is another process's
 	greatest lease.Fence
 	jobs     []*job   // by name
@@ -69,7 +69,7 @@
 	refusals notes
 }
 
-func newOwners(f *Fleet) *owners {
+func newOwners(f *Node) *owners {
 	o := &owners{f: f}
 	for _, name := range slices.Sorted(slices.Values(f.o.Jobs)) {
 		j := &job{name: name}
--- a/internal/coordination/owner_test.go
+++ b/internal/coordination/owner_test.go
@@ -21,7 +21,7 @@
 // A process that stood still for longer than its lease may be asked before its loop has ended what it owned. It must not say that it
 // still acts under that token: it doesn't.
 func TestTokenWhoseLeaseHasEnded(t *testing.T) {
-	f := &Fleet{net: &standing{now: 100}, o: Options{Rand: rand.New(rand.NewPCG(1, 1))}}
+	f := &Node{net: &standing{now: 100}, o: Options{Rand: rand.New(rand.NewPCG(1, 1))}}
 	o := &owners{f: f, jobs: []*job{{name: "report", held: 7}}}
 	require.NoError(t, o.begin(1, nil))
 	assert.Zero(t, o.seen().Jobs[0].Held)
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -356,7 +356,7 @@
 }
 
 // Report returns the last report that was heard. Where none was, the error names the owner.
-func (f *Fleet) Report() (rep Report, err error) {
+func (f *Node) Report() (rep Report, err error) {
 	seen, err := f.Owners()
 	if err != nil {
 		return rep, err
--- a/internal/coordination/seen.go
+++ b/internal/coordination/seen.go
@@ -41,7 +41,7 @@
 }
 
 // Seen returns what this sidecar knows, of so many members at most.
-func (f *Fleet) Seen(most int) (s Seen) {
+func (f *Node) Seen(most int) (s Seen) {
 	if f.view == nil {
 		return Seen{Fleet: f.o.Name}
 	}
@@ -68,7 +68,7 @@
 }
 
 // Figures returns what a sidecar's door tells of its fleet.
-func (f *Fleet) Figures() []sidecar.Figure {
+func (f *Node) Figures() []sidecar.Figure {
 	if f.view == nil {
 		return nil
 	}
--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -156,7 +156,7 @@
 var ErrNoOwners = errors.New("this sidecar's fleet has no electors")
 
 // Owners returns what is known of who owns what.
-func (f *Fleet) Owners() (*SeenOwners, error) {
+func (f *Node) Owners() (*SeenOwners, error) {
 	if f.owners == nil || f.view == nil {
 		return nil, ErrNoOwners
 	}
@@ -164,7 +164,7 @@
 }
 
 // StepDown asks that a job goes to another owner.
-func (f *Fleet) StepDown(name string) (err error) {
+func (f *Node) StepDown(name string) (err error) {
 	f.enter(func() {
 		switch {
 		case f.owners == nil || f.owners.t == nil:
--- a/internal/coordination/seenworks.go
+++ b/internal/coordination/seenworks.go
@@ -22,7 +22,7 @@
 var ErrNoWorks = errors.New("this sidecar's fleet does not settle work on boxes: fleet.jobs has no \"works\"")
 
 // Works returns what is known of work on boxes.
-func (f *Fleet) Works() (*SeenWorks, error) {
+func (f *Node) Works() (*SeenWorks, error) {
 	if f.owners == nil || f.owners.works == nil {
 		return nil, ErrNoWorks
 	}
@@ -52,7 +52,7 @@
 
 // Work passes a command on to whoever settles the order. The answer comes with one of the next calls of the same nonce; false: not
 // yet. A command that nobody has answered is passed on again and again until it has not been asked for any more for a while.
-func (f *Fleet) Work(c maintenance.Command) (reply maintenance.Reply, answered bool, err error) {
+func (f *Node) Work(c maintenance.Command) (reply maintenance.Reply, answered bool, err error) {
 	f.enter(func() {
 		switch {
 		case f.owners == nil || f.owners.works == nil || f.view == nil:
--- a/internal/coordination/stored_form_test.go
+++ b/internal/coordination/stored_form_test.go
@@ -46,7 +46,7 @@
 	agreed, err := maintenance.Decode(s.Works.Body)
 	require.NoError(t, err)
 	assert.Len(t, agreed.Plans, 1)
-	f := &Fleet{net: &standing{now: 100}, o: Options{Rand: rand.New(rand.NewPCG(1, 1))}}
+	f := &Node{net: &standing{now: 100}, o: Options{Rand: rand.New(rand.NewPCG(1, 1))}}
 	o := &owners{f: f}
 	require.NoError(t, o.begin(s.ID, s.Tenure))
 	assert.True(t, o.t.Stats().IsVoter)
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -136,7 +136,7 @@
 // Dashboards read the figures by their names.
 func TestFigureNames(t *testing.T) {
 	net := &stillNet{now: 100}
-	f := &Fleet{net: net, log: slog.New(slog.DiscardHandler), o: Options{Settings: Settings{Jobs: withLists([]string{listName, reportName, drillName, worksName})}}}
+	f := &Node{net: net, log: slog.New(slog.DiscardHandler), o: Options{Settings: Settings{Jobs: withLists([]string{listName, reportName, drillName, worksName})}}}
 	f.owners = newOwners(f)
 	f.peers = peers.New("yard", 1, f, net, f.log)
 	f.view = swim.New(net.now, swim.Record{ID: 1}, swim.Settings{}, actions{f})
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -43,10 +43,10 @@
 type Process struct {
 	*sidecar.Sidecar
 	loop   *sockets.Net
-	host   netio.Host          // what the loop calls: the sidecar, or the sidecar and its fleet
-	fleet  *coordination.Fleet // nil: it knows no other sidecar
-	folder *folder.Folder      // of the fleet; nil: nothing is kept
-	door   *admin.Door         // nil: there is none
+	host   netio.Host         // what the loop calls: the sidecar, or the sidecar and its fleet
+	fleet  *coordination.Node // nil: it knows no other sidecar
+	folder *folder.Folder     // of the fleet; nil: nothing is kept
+	door   *admin.Door        // nil: there is none
 
 	askFirst func() // comes before there are clients; nil: nothing is asked
 	passed   int
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -49,7 +49,7 @@
 type known struct {
 	core
 	host netio.Host
-	f    *coordination.Fleet
+	f    *coordination.Node
 }
 
 func (k known) Start()                            { k.host.Start() }
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -364,7 +364,7 @@
 }
 
 // began has a sidecar that begins ask the others what is agreed, as its process does before it listens.
-func (w *plans) began(s *instance, f *coordination.Fleet) {
+func (w *plans) began(s *instance, f *coordination.Node) {
 	var latest *coordination.KeptWorks
 	asked := false
 	for i, o := range w.d.sidecars {
