--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -67,7 +67,7 @@
 	net    netio.Net
 	log    *slog.Logger
 	port   int
-	peers  *peers.Peers
+	peers  *peers.Transport
 	view   *swim.View
 	part   swim.StableRank
 	links  map[int]*peers.Link     // looked up, never walked
@@ -400,8 +400,8 @@
 	return frames.Hello{Fleet: f.o.Name, Name: f.o.Sidecar, ID: uint64(h.Self.ID), Address: f.o.Advertise, Body: body}
 }
 
-// Up takes a link.
-func (f *Node) Up(l *peers.Link, h frames.Hello) bool {
+// LinkUp takes a link.
+func (f *Node) LinkUp(l *peers.Link, h frames.Hello) bool {
 	var hello swim.Hello
 	if h.ID == 0 {
 		f.answerAsker(l)
@@ -440,20 +440,20 @@
 	}
 }
 
-// Down takes a link's end.
-func (f *Node) Down(l *peers.Link, _ error) {
+// LinkDown takes a link's end.
+func (f *Node) LinkDown(l *peers.Link, _ error) {
 	f.drop(l)
 	f.view.LinkDown(f.net.Now(), l.Number)
 }
 
-// NotUp takes the end of a dial.
-func (f *Node) NotUp(address string, err error) {
+// DialFailed takes the end of a dial.
+func (f *Node) DialFailed(address string, err error) {
 	f.log.Debug("a peer can't be reached", "address", address, "error", err)
 	f.enter(func() { f.view.DialFailed(f.net.Now(), address) })
 }
 
-// Heard takes a frame. A topic that is not known here is a later version's, and skipped.
-func (f *Node) Heard(l *peers.Link, topic frames.Topic, body []byte) error {
+// HandleFrame takes a frame. A topic that is not known here is a later version's, and skipped.
+func (f *Node) HandleFrame(l *peers.Link, topic frames.Topic, body []byte) error {
 	switch topic {
 	case frames.TopicMember:
 		var m swim.Message
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -34,18 +34,18 @@
 // Descriptors returns what so many links hold, with the listener and what is being closed.
 func Descriptors(links int) int { return links + 4 }
 
-// Owner decides what the links are for.
-type Owner interface {
+// Handler decides what the links are for.
+type Handler interface {
 	// Hello returns what is said first on a link that comes up.
 	Hello() frames.Hello
 	// Up takes a link of which both ends have said who they are; false has it closed.
-	Up(l *Link, h frames.Hello) bool
+	LinkUp(l *Link, h frames.Hello) bool
 	// Down takes the end of a link that was up and that Close has not ended.
-	Down(l *Link, err error)
+	LinkDown(l *Link, err error)
 	// NotUp takes the end of a dial that came to nothing.
-	NotUp(address string, err error)
+	DialFailed(address string, err error)
 	// Heard takes a frame. After an error the link is closed, and Down follows.
-	Heard(l *Link, topic frames.Topic, body []byte) error
+	HandleFrame(l *Link, topic frames.Topic, body []byte) error
 }
 
 // Link is a connection to a peer.
@@ -54,7 +54,7 @@
 	Address string // that was dialed; empty: the other has dialed
 	Hello   frames.Hello
 
-	p      *Peers
+	p      *Transport
 	conn   netio.Conn
 	buf    buffer.Buffer
 	up     bool
@@ -88,11 +88,11 @@
 	TooMany    uint64 `json:"too_many"`  // links refused beyond the bound
 }
 
-// Peers holds the links.
-type Peers struct {
+// Transport holds the links.
+type Transport struct {
 	fleet   string
 	most    int // links
-	owner   Owner
+	owner   Handler
 	net     netio.Net
 	log     *slog.Logger
 	links   []*Link
@@ -105,21 +105,21 @@
 }
 
 // New returns links that have not begun, at most so many, of a fleet's sidecar.
-func New(fleet string, most int, owner Owner, net netio.Net, log *slog.Logger) *Peers {
-	return &Peers{fleet: fleet, most: most, owner: owner, net: net, log: log, told: map[string]bool{}, said: bucket{sentAtOnce, net.Now()}}
+func New(fleet string, most int, owner Handler, net netio.Net, log *slog.Logger) *Transport {
+	return &Transport{fleet: fleet, most: most, owner: owner, net: net, log: log, told: map[string]bool{}, said: bucket{sentAtOnce, net.Now()}}
 }
 
 // Figures returns the counts so far.
-func (p *Peers) Figures() Figures {
+func (p *Transport) Figures() Figures {
 	p.figures.Links = len(p.links)
 	return p.figures
 }
 
 // Dial opens a link.
-func (p *Peers) Dial(address string) {
+func (p *Transport) Dial(address string) {
 	if p.closed || len(p.links) >= p.most {
 		p.figures.TooMany++
-		p.net.Post(func() { p.owner.NotUp(address, errMany) })
+		p.net.Post(func() { p.owner.DialFailed(address, errMany) })
 		return
 	}
 	p.figures.Dials++
@@ -138,7 +138,7 @@
 	errFlood = errors.New("the other end says too much")
 )
 
-func (p *Peers) add(address string) *Link {
+func (p *Transport) add(address string) *Link {
 	p.last++
 	now := p.net.Now()
 	l := &Link{Number: p.last, Address: address, p: p, by: now + helloS, budget: bucket{heardAtOnce, now}}
@@ -147,7 +147,7 @@
 }
 
 // Open takes a connection that is up. The one who dialed speaks first: whoever stands between reads who it is.
-func (p *Peers) Open(c netio.Conn) bool {
+func (p *Transport) Open(c netio.Conn) bool {
 	l, dialed := c.Context().(*Link)
 	if !dialed {
 		if p.closed || len(p.links) >= p.most {
@@ -175,7 +175,7 @@
 }
 
 // Traffic reads what has come.
-func (p *Peers) Traffic(c netio.Conn, data []byte) {
+func (p *Transport) Traffic(c netio.Conn, data []byte) {
 	l, ok := c.Context().(*Link)
 	if !ok || l.over {
 		return
@@ -210,7 +210,7 @@
 		if topic == frames.TopicHello {
 			return nil
 		}
-		return l.p.owner.Heard(l, topic, body)
+		return l.p.owner.HandleFrame(l, topic, body)
 	}
 	if topic != frames.TopicHello {
 		return errHello
@@ -229,14 +229,14 @@
 	}
 	l.up = true
 	l.p.figures.Up++
-	if !l.p.owner.Up(l, l.Hello) {
+	if !l.p.owner.LinkUp(l, l.Hello) {
 		l.p.Close(l)
 	}
 	return nil
 }
 
 // senseless ends a link for what came over it. Each cause is told once.
-func (p *Peers) senseless(l *Link, err error) {
+func (p *Transport) senseless(l *Link, err error) {
 	p.figures.Senseless++
 	cause := err.Error()
 	if len(p.told) < 16 && !p.told[cause] {
@@ -278,13 +278,13 @@
 var errUnread = errors.New("the other end does not read")
 
 // Close ends a link of the owner's.
-func (p *Peers) Close(l *Link) {
+func (p *Transport) Close(l *Link) {
 	l.up = false
 	p.end(l, nil)
 }
 
 // Closed takes the end of a connection.
-func (p *Peers) Closed(c netio.Conn, err error) {
+func (p *Transport) Closed(c netio.Conn, err error) {
 	if l, ok := c.Context().(*Link); ok {
 		l.conn = nil
 		p.end(l, err)
@@ -292,7 +292,7 @@
 }
 
 // end ends a link, once, and tells the owner.
-func (p *Peers) end(l *Link, err error) {
+func (p *Transport) end(l *Link, err error) {
 	if l.over {
 		return
 	}
@@ -309,14 +309,14 @@
 	}
 	switch {
 	case l.up:
-		p.owner.Down(l, err)
+		p.owner.LinkDown(l, err)
 	case l.Address != "" && err != nil:
-		p.owner.NotUp(l.Address, err)
+		p.owner.DialFailed(l.Address, err)
 	}
 }
 
 // Tick ends links that take too long to say who speaks.
-func (p *Peers) Tick() {
+func (p *Transport) Tick() {
 	now := p.net.Now()
 	for i := len(p.links) - 1; i >= 0; i-- {
 		if i < len(p.links) && !p.links[i].up && now > p.links[i].by {
@@ -326,7 +326,7 @@
 }
 
 // Shut ends all links, and none comes up any more.
-func (p *Peers) Shut() {
+func (p *Transport) Shut() {
 	p.closed = true
 	for len(p.links) > 0 {
 		l := p.links[len(p.links)-1]
