--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -509,8 +509,8 @@
 	assert.Less(t, len(s.Members), 4000)
 	// The last one says too much, if it says it fast enough; on a machine whose cores are taken its link goes before that, as one that
 	// nobody needs.
-	assert.GreaterOrEqual(t, s.Links.Senseless, uint64(6))
-	assert.Less(t, s.Links.HeardBytes, uint64(4<<20))
+	assert.GreaterOrEqual(t, s.Links.ProtocolErrors, uint64(6))
+	assert.Less(t, s.Links.ReceivedBytes, uint64(4<<20))
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", victim.cmd.Process.Pid))
 	require.NoError(t, err)
 	peak := 0
--- a/internal/coordination/seen.go
+++ b/internal/coordination/seen.go
@@ -10,21 +10,21 @@
 
 // Seen is what a sidecar says of its fleet.
 type Seen struct {
-	Fleet   string        `json:"fleet"`
-	ID      string        `json:"id"`
-	Stored  bool          `json:"stored"` // the identity survives a restart
-	Quiet   bool          `json:"quiet,omitempty"`
-	Rank    int           `json:"rank"` // in force
-	Count   int           `json:"count"`
-	Live    int           `json:"live"`
-	Doubts  int           `json:"doubts"` // that it has about itself
-	Sum     string        `json:"sum"`    // of what it holds of all; equal at those that agree
-	View    swim.Stats    `json:"view"`
-	Links   peers.Figures `json:"peers"`
-	Panics  uint64        `json:"panics,omitempty"`
-	Owners  *SeenOwners   `json:"owners,omitempty"`
-	Members []SeenMember  `json:"members"`
-	More    int           `json:"more,omitempty"` // members that are not listed
+	Fleet   string       `json:"fleet"`
+	ID      string       `json:"id"`
+	Stored  bool         `json:"stored"` // the identity survives a restart
+	Quiet   bool         `json:"quiet,omitempty"`
+	Rank    int          `json:"rank"` // in force
+	Count   int          `json:"count"`
+	Live    int          `json:"live"`
+	Doubts  int          `json:"doubts"` // that it has about itself
+	Sum     string       `json:"sum"`    // of what it holds of all; equal at those that agree
+	View    swim.Stats   `json:"view"`
+	Links   peers.Stats  `json:"peers"`
+	Panics  uint64       `json:"panics,omitempty"`
+	Owners  *SeenOwners  `json:"owners,omitempty"`
+	Members []SeenMember `json:"members"`
+	More    int          `json:"more,omitempty"` // members that are not listed
 }
 
 // SeenMember is what is held of one.
@@ -48,7 +48,7 @@
 	rank, count := f.part.Current()
 	self := f.view.Self()
 	s = Seen{Fleet: f.o.Name, ID: self.ID.String(), Stored: f.stored, Quiet: f.view.HasLostIdentity() || f.hushed, Rank: rank, Count: count,
-		Live: f.view.LiveCount(), Doubts: f.view.HealthScore(), Sum: swim.ID(f.view.Digest()).String(), View: f.view.Stats(), Links: f.peers.Figures(), Panics: f.panics}
+		Live: f.view.LiveCount(), Doubts: f.view.HealthScore(), Sum: swim.ID(f.view.Digest()).String(), View: f.view.Stats(), Links: f.peers.Stats(), Panics: f.panics}
 	if f.owners != nil {
 		s.Owners = f.owners.seen()
 	}
@@ -77,7 +77,7 @@
 	for m := range f.view.Members {
 		byState[m.State]++
 	}
-	v, l := f.view.Stats(), f.peers.Figures()
+	v, l := f.view.Stats(), f.peers.Stats()
 	figures := []sidecar.Figure{{Name: "peers_alive", Value: byState[swim.Alive]}, {Name: "peers_suspected", Value: byState[swim.Suspect]},
 		{Name: "peers_dead", Value: byState[swim.Dead]}, {Name: "peers_left", Value: byState[swim.Left]}, {Name: "peers_links", Value: uint64(l.Links)},
 		{Name: "peers_rank", Value: uint64(rank)}, {Name: "peers_count", Value: uint64(count)}, {Name: "peers_deaths", Value: v.Deaths},
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -28,8 +28,8 @@
 	heardPerS, heardAtOnce = 128 << 10, 1 << 20
 )
 
-// Links returns how many links a process may have that has so many descriptors.
-func Links(sockets int) int { return min(max(sockets/linksPart, leastLinks), mostLinks) }
+// MaxLinks returns how many links a process may have that has so many descriptors.
+func MaxLinks(sockets int) int { return min(max(sockets/linksPart, leastLinks), mostLinks) }
 
 // Descriptors returns what so many links hold, with the listener and what is being closed.
 func Descriptors(links int) int { return links + 4 }
@@ -75,17 +75,17 @@
 	return true
 }
 
-// Figures count what the links have done.
-type Figures struct {
-	Links      int    `json:"links"` // now
-	Dials      uint64 `json:"dials"`
-	Up         uint64 `json:"links_up"`
-	SentBytes  uint64 `json:"sent_bytes"`
-	HeardBytes uint64 `json:"heard_bytes"`
-	Unsaid     uint64 `json:"unsaid"`    // frames beyond the budget, or for links that had gone
-	Senseless  uint64 `json:"senseless"` // links ended for what came over them
-	Unread     uint64 `json:"unread"`    // links ended since the peer did not read
-	TooMany    uint64 `json:"too_many"`  // links refused beyond the bound
+// Stats count what the links have done.
+type Stats struct {
+	Links          int    `json:"links"` // now
+	Dials          uint64 `json:"dials"`
+	LinksUp        uint64 `json:"links_up"`
+	SentBytes      uint64 `json:"sent_bytes"`
+	ReceivedBytes  uint64 `json:"heard_bytes"`
+	DroppedFrames  uint64 `json:"unsaid"`    // frames beyond the budget, or for links that had gone
+	ProtocolErrors uint64 `json:"senseless"` // links ended for what came over them
+	SlowPeers      uint64 `json:"unread"`    // links ended since the peer did not read
+	RejectedLinks  uint64 `json:"too_many"`  // links refused beyond the bound
 }
 
 // Transport holds the links.
@@ -100,7 +100,7 @@
 	said    bucket
 	told    map[string]bool // what was told of links that made no sense
 	scratch []byte
-	figures Figures
+	figures Stats
 	closed  bool
 }
 
@@ -109,8 +109,8 @@
 	return &Transport{fleet: fleet, most: most, owner: owner, net: net, log: log, told: map[string]bool{}, said: bucket{sentAtOnce, net.Now()}}
 }
 
-// Figures returns the counts so far.
-func (p *Transport) Figures() Figures {
+// Stats returns the counts so far.
+func (p *Transport) Stats() Stats {
 	p.figures.Links = len(p.links)
 	return p.figures
 }
@@ -118,7 +118,7 @@
 // Dial opens a link.
 func (p *Transport) Dial(address string) {
 	if p.closed || len(p.links) >= p.most {
-		p.figures.TooMany++
+		p.figures.RejectedLinks++
 		p.net.Post(func() { p.owner.DialFailed(address, errMany) })
 		return
 	}
@@ -151,7 +151,7 @@
 	l, dialed := c.Context().(*Link)
 	if !dialed {
 		if p.closed || len(p.links) >= p.most {
-			p.figures.TooMany++
+			p.figures.RejectedLinks++
 			return false
 		}
 		l = p.add("")
@@ -180,7 +180,7 @@
 	if !ok || l.over {
 		return
 	}
-	p.figures.HeardBytes += uint64(len(data))
+	p.figures.ReceivedBytes += uint64(len(data))
 	if !l.budget.take(p.net.Now(), float64(len(data)), heardPerS, heardAtOnce) {
 		p.senseless(l, errFlood)
 		return
@@ -228,7 +228,7 @@
 		return nil
 	}
 	l.up = true
-	l.p.figures.Up++
+	l.p.figures.LinksUp++
 	if !l.p.owner.LinkUp(l, l.Hello) {
 		l.p.Close(l)
 	}
@@ -237,7 +237,7 @@
 
 // senseless ends a link for what came over it. Each cause is told once.
 func (p *Transport) senseless(l *Link, err error) {
-	p.figures.Senseless++
+	p.figures.ProtocolErrors++
 	cause := err.Error()
 	if len(p.told) < 16 && !p.told[cause] {
 		p.told[cause] = true
@@ -254,18 +254,18 @@
 func (l *Link) Send(topic frames.Topic, body []byte) {
 	p := l.p
 	if l.over || l.conn == nil {
-		p.figures.Unsaid++
+		p.figures.DroppedFrames++
 		return
 	}
 	frame, err := frames.Append(p.scratch[:0], topic, body)
 	p.scratch = frame[:0]
 	if err != nil || !p.said.take(p.net.Now(), float64(len(frame)), sentPerS, sentAtOnce) {
-		p.figures.Unsaid++
+		p.figures.DroppedFrames++
 		return
 	}
 	// Danger: what a peer does not read would grow without a bound, and with it this process.
 	if l.conn.OutboundBuffered() > mostQueued {
-		p.figures.Unread++
+		p.figures.SlowPeers++
 		p.net.Post(func() { p.end(l, errUnread) })
 		return
 	}
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -26,7 +26,7 @@
 
 // join has the sidecar know the others of its fleet.
 func (p *Process) join(cfg sidecarconfig.Config, on featureconfig.Fleet, shared *multiplex.Loop) (err error) {
-	links := peers.Links(cfg.Limits.Sockets)
+	links := peers.MaxLinks(cfg.Limits.Sockets)
 	p.fleet, err = coordination.New(coordination.Options{Links: links,
 		Settings: coordination.Settings(on), Sidecar: cfg.Name, Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas,
 		Replaceable: cfg.Passed > 0, Asked: p.Sidecar, Told: p.Sidecar, Lists: p.Sidecar, Drills: p.Sidecar, Boxes: p.Sidecar, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
