--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -502,7 +502,7 @@
 func (a actions) Close(link int) {
 	if l := a.f.links[link]; l != nil {
 		a.f.drop(l)
-		a.f.later(func() { a.f.peers.Close(l) })
+		a.f.later(func() { a.f.peers.CloseLink(l) })
 	}
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -230,7 +230,7 @@
 	l.up = true
 	l.p.figures.LinksUp++
 	if !l.p.owner.LinkUp(l, l.Hello) {
-		l.p.Close(l)
+		l.p.CloseLink(l)
 	}
 	return nil
 }
@@ -277,8 +277,8 @@
 
 var errUnread = errors.New("the other end does not read")
 
-// Close ends a link of the owner's.
-func (p *Transport) Close(l *Link) {
+// CloseLink ends a link of the owner's.
+func (p *Transport) CloseLink(l *Link) {
 	l.up = false
 	p.end(l, nil)
 }
