--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -325,8 +325,8 @@
 	}
 }
 
-// Shut ends all links, and none comes up any more.
-func (p *Transport) Shut() {
+// Close ends all links, and none comes up any more.
+func (p *Transport) Close() {
 	p.closed = true
 	for len(p.links) > 0 {
 		l := p.links[len(p.links)-1]
