--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -353,8 +353,8 @@
 		require.NoError(t, err)
 	}
 	r := bufio.NewReader(conn)
-	var e frames.Effect
-	for e.Job == "" {
+	var e frames.RoleMessage
+	for e.Role == "" {
 		head, err := r.Peek(4)
 		require.NoError(t, err)
 		whole := make([]byte, 4+binary.BigEndian.Uint32(head))
@@ -364,7 +364,7 @@
 			require.NoError(t, frames.Unpack(body, &e))
 		}
 	}
-	assert.Equal(t, frames.KindRefused, e.Kind)
+	assert.Equal(t, frames.KindRejected, e.Kind)
 	assert.GreaterOrEqual(t, e.Token, later)
 	after := victim.job()
 	assert.Greater(t, after.Refused, before.Refused)
@@ -387,11 +387,11 @@
 	if err != nil {
 		return
 	}
-	var e frames.Effect
+	var e frames.RoleMessage
 	switch {
 	case topic == frames.TopicHello:
 		r.hello[w.From] = frame
-	case topic == frames.TopicEffect && frames.Unpack(body, &e) == nil && e.Number > 0:
+	case topic == frames.TopicEffect && frames.Unpack(body, &e) == nil && e.Sequence > 0:
 		r.effects[w.From], r.tokens[w.From] = append(r.effects[w.From], frame), append(r.tokens[w.From], e.Token)
 	}
 }
--- a/internal/coordination/asking.go
+++ b/internal/coordination/asking.go
@@ -89,12 +89,12 @@
 
 // answeredWorks reads an answer.
 func answeredWorks(body []byte) (*KeptWorks, error) {
-	var e frames.Effect
+	var e frames.RoleMessage
 	var a agreedWord
 	if err := frames.Unpack(body, &e); err != nil {
 		return nil, err
 	}
-	if e.Job != worksName || e.Kind != kindAgreed {
+	if e.Role != worksName || e.Kind != kindAgreed {
 		return nil, errNoAnswer
 	}
 	if err := frames.Unpack(e.Body, &a); err != nil {
@@ -112,7 +112,7 @@
 		return
 	}
 	w := f.owners.works
-	f.owners.send(l, &frames.Effect{Job: worksName, Token: w.known(), Origin: uint64(f.state.ID), Kind: kindAgreed,
+	f.owners.send(l, &frames.RoleMessage{Role: worksName, Token: w.known(), Origin: uint64(f.state.ID), Kind: kindAgreed,
 		Body: packed(&agreedWord{Epoch: w.epoch, Version: w.version, Body: w.body})})
 }
 
--- a/internal/coordination/drill.go
+++ b/internal/coordination/drill.go
@@ -108,7 +108,7 @@
 }
 
 // Heard takes an order on its way to the owner, or what the owner tells.
-func (d *driller) Heard(from *peers.Link, e *frames.Effect) {
+func (d *driller) Heard(from *peers.Link, e *frames.RoleMessage) {
 	now := d.o.f.net.Now()
 	switch e.Kind {
 	case kindOrder:
--- a/internal/coordination/drill_test.go
+++ b/internal/coordination/drill_test.go
@@ -31,7 +31,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "words") {
 			net.now += rapid.Float64Range(0, 40).Draw(t, "pause")
 			r := drillRun{ID: rapid.Uint64Range(0, 4).Draw(t, "id"), Name: "lag", LeftS: rapid.Float64Range(-1, 60).Draw(t, "left")}
-			e := frames.Effect{Job: drillName, Token: 1, Kind: kindOrder, Body: packed(r)}
+			e := frames.RoleMessage{Role: drillName, Token: 1, Kind: kindOrder, Body: packed(r)}
 			if rapid.Bool().Draw(t, "by the owner") {
 				e.Kind, e.Body = kindRuns, packed(drillRuns{[]drillRun{r}})
 			}
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -63,7 +63,7 @@
 	}
 	j.number++
 	j.heard.first(j.held, j.number)
-	o.flood(&frames.Effect{Job: name, Token: j.held, Origin: uint64(o.f.state.ID), Number: j.number, Kind: kind, Body: body}, nil)
+	o.flood(&frames.RoleMessage{Role: name, Token: j.held, Origin: uint64(o.f.state.ID), Sequence: j.number, Kind: kind, Body: body}, nil)
 	return true
 }
 
@@ -79,21 +79,21 @@
 	}
 	j.number++
 	j.heard.first(token, j.number)
-	o.flood(&frames.Effect{Job: name, Token: token, Origin: uint64(o.f.state.ID), Number: j.number, Kind: kind, Body: body}, nil)
+	o.flood(&frames.RoleMessage{Role: name, Token: token, Origin: uint64(o.f.state.ID), Sequence: j.number, Kind: kind, Body: body}, nil)
 	return true
 }
 
 // reply says something over one link, to what was said under a token. Danger: after a greater one it would be an old owner's word.
 func (o *owners) reply(l *peers.Link, name string, token uint64, kind uint8, body []byte) {
 	if ok, _ := o.greatest.Admit(name, token); ok {
-		o.send(l, &frames.Effect{Job: name, Token: token, Origin: uint64(o.f.state.ID), Kind: kind, Body: body})
+		o.send(l, &frames.RoleMessage{Role: name, Token: token, Origin: uint64(o.f.state.ID), Kind: kind, Body: body})
 	}
 }
 
-func (o *owners) send(l *peers.Link, e *frames.Effect) { l.Send(frames.TopicEffect, packed(e)) }
+func (o *owners) send(l *peers.Link, e *frames.RoleMessage) { l.Send(frames.TopicEffect, packed(e)) }
 
 // flood sends an effect over all links but one.
-func (o *owners) flood(e *frames.Effect, except *peers.Link) {
+func (o *owners) flood(e *frames.RoleMessage, except *peers.Link) {
 	body := packed(e)
 	for _, l := range slices.Clone(o.f.up) { // a link may end with what is sent over it
 		if l != except {
@@ -104,12 +104,12 @@
 
 // take is where every effect comes in. Danger: the lease of who sent it may have ended while it stood still, or while the bytes
 // lay in the network; the token is what makes that harmless, so nothing of an effect is looked at before.
-func (o *owners) take(l *peers.Link, e *frames.Effect) {
-	j := o.job(e.Job)
+func (o *owners) take(l *peers.Link, e *frames.RoleMessage) {
+	j := o.job(e.Role)
 	if j == nil || e.Token == 0 {
 		return
 	}
-	ok, greatest := o.greatest.Admit(e.Job, e.Token)
+	ok, greatest := o.greatest.Admit(e.Role, e.Token)
 	if !ok {
 		o.refuse(l, j, e, greatest)
 		return
@@ -119,15 +119,15 @@
 	}
 	news := e.Token > j.seen
 	j.seen = max(j.seen, e.Token)
-	if e.Kind == frames.KindRefused {
+	if e.Kind == frames.KindRejected {
 		// It goes on the way that what was refused came by. Danger: told again and again it could go in circles.
 		if from := o.f.links[j.from]; from != nil && news && from != l {
 			o.send(from, e)
 		}
 		return
 	}
-	if e.Number > 0 {
-		if !j.heard.first(e.Token, e.Number) {
+	if e.Sequence > 0 {
+		if !j.heard.first(e.Token, e.Sequence) {
 			return
 		}
 		j.from = l.Number
@@ -144,16 +144,16 @@
 }
 
 // refuse turns an effect away, and tells who sent it of the greater token.
-func (o *owners) refuse(l *peers.Link, j *job, e *frames.Effect, greatest uint64) {
+func (o *owners) refuse(l *peers.Link, j *job, e *frames.RoleMessage, greatest uint64) {
 	j.refused++
 	if now := o.f.net.Now(); o.refusals.room(now) {
-		o.f.log.Warn("an old owner's effect is refused", "job", e.Job, "token", e.Token, "greatest", greatest, "origin", swim.ID(e.Origin),
+		o.f.log.Warn("an old owner's effect is refused", "job", e.Role, "token", e.Token, "greatest", greatest, "origin", swim.ID(e.Origin),
 			"from", l.Hello.Name, "kind", e.Kind)
 	}
-	if e.Kind == frames.KindRefused {
+	if e.Kind == frames.KindRejected {
 		return
 	}
-	o.send(l, &frames.Effect{Job: e.Job, Token: greatest, Origin: uint64(o.f.state.ID), Kind: frames.KindRefused})
+	o.send(l, &frames.RoleMessage{Role: e.Role, Token: greatest, Origin: uint64(o.f.state.ID), Kind: frames.KindRejected})
 	if o.t != nil {
 		if table := o.t.Table(); table.Epoch > 0 {
 			l.Send(frames.TopicOwner, packed(&lease.Message{Table: &table}))
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -471,7 +471,7 @@
 		}
 	case frames.TopicEffect:
 		if o := f.owners; o != nil && f.links[l.Number] == l {
-			var e frames.Effect
+			var e frames.RoleMessage
 			if err := frames.Unpack(body, &e); err != nil {
 				return err
 			}
--- a/internal/coordination/list.go
+++ b/internal/coordination/list.go
@@ -261,7 +261,7 @@
 }
 
 // Heard takes a word, a call for the whole list, or a part of that.
-func (j *listJob) Heard(from *peers.Link, e *frames.Effect) {
+func (j *listJob) Heard(from *peers.Link, e *frames.RoleMessage) {
 	f := j.f
 	switch e.Kind {
 	case kindWord:
@@ -287,7 +287,7 @@
 }
 
 // word takes a word. Danger: a list of a lower version never takes the place of a later one, whoever passes it on.
-func (f *feeder) word(from *peers.Link, j *listJob, e *frames.Effect, w *listWord) error {
+func (f *feeder) word(from *peers.Link, j *listJob, e *frames.RoleMessage, w *listWord) error {
 	now := f.o.f.net.Now()
 	f.counts.Words++
 	if e.Token != j.of {
--- a/internal/coordination/list_test.go
+++ b/internal/coordination/list_test.go
@@ -103,10 +103,10 @@
 				}
 				if j := l.jobs[rapid.IntRange(0, 2).Draw(t, "owner")]; rapid.IntRange(0, 9).Draw(t, "torn") == 0 {
 					before := f.owners.job(j.name).foolish
-					j.Heard(net.link, &frames.Effect{Job: j.name, Token: 1, Kind: kindWord, Body: []byte{0xc1}})
+					j.Heard(net.link, &frames.RoleMessage{Role: j.name, Token: 1, Kind: kindWord, Body: []byte{0xc1}})
 					require.Equal(t, before+1, f.owners.job(j.name).foolish, "what makes no sense is counted")
 				} else {
-					j.Heard(net.link, &frames.Effect{Job: j.name, Token: 1, Kind: kindWord, Body: packed(w)})
+					j.Heard(net.link, &frames.RoleMessage{Role: j.name, Token: 1, Kind: kindWord, Body: packed(w)})
 				}
 			}
 			l.look(net.now)
@@ -124,7 +124,7 @@
 		// A word that can't be discovery's.
 		w := words[held]
 		w.Sum, w.AtS = w.Sum+1, net.now-100
-		l.jobs[0].Heard(net.link, &frames.Effect{Job: listName, Token: 1, Kind: kindWord, Body: packed(w)})
+		l.jobs[0].Heard(net.link, &frames.RoleMessage{Role: listName, Token: 1, Kind: kindWord, Body: packed(w)})
 		assert.Equal(t, 1, h.wary)
 		assert.False(t, h.fed)
 		_, ok := h.ListVersion()
@@ -140,7 +140,7 @@
 	require.NoError(t, h.TakeList([]byte(`{"index":7,"snapshot":true,"endpoints":[]}`)))
 	v, _ := h.ListVersion()
 	say := func(at float64) {
-		l.jobs[1].Heard(net.link, &frames.Effect{Job: l.jobs[1].name, Token: 1, Kind: kindWord, Body: packed(listWord{Discovery: "d:1", Index: 7, Sum: v.Sum, AtS: at})})
+		l.jobs[1].Heard(net.link, &frames.RoleMessage{Role: l.jobs[1].name, Token: 1, Kind: kindWord, Body: packed(listWord{Discovery: "d:1", Index: 7, Sum: v.Sum, AtS: at})})
 		l.look(net.now)
 	}
 	say(0)
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -16,7 +16,7 @@
 	Begin(token uint64)
 	End()
 	// Heard takes an effect that has come over a link and whose token is not too low, also where another owns the job.
-	Heard(from *peers.Link, e *frames.Effect)
+	Heard(from *peers.Link, e *frames.RoleMessage)
 	// Tick does what is due, owner or not, and says when to be called next.
 	Tick(now float64) (next float64)
 }
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -202,7 +202,7 @@
 func (r *reporter) End() { r.owning, r.sum = false, nil }
 
 // Heard takes a question, an answer or a report.
-func (r *reporter) Heard(from *peers.Link, e *frames.Effect) {
+func (r *reporter) Heard(from *peers.Link, e *frames.RoleMessage) {
 	switch e.Kind {
 	case kindAsk:
 		var q question
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -214,7 +214,7 @@
 // --- what comes ---
 
 // Heard takes an effect.
-func (w *worker) Heard(from *peers.Link, e *frames.Effect) {
+func (w *worker) Heard(from *peers.Link, e *frames.RoleMessage) {
 	now := w.o.f.net.Now()
 	switch e.Kind {
 	case kindAgreed:
--- a/internal/lab/processcluster/effects.go
+++ b/internal/lab/processcluster/effects.go
@@ -37,7 +37,7 @@
 
 // Tap is for a Switchboard.
 func (e *Effects) Tap(call uint64, w Way, topic frames.Topic, body []byte) {
-	var f frames.Effect
+	var f frames.RoleMessage
 	if topic == frames.TopicHello {
 		var h frames.Hello
 		if frames.Unpack(body, &h) == nil {
@@ -52,25 +52,25 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.seen++; f.Kind == frames.KindRefused {
+	if e.seen++; f.Kind == frames.KindRejected {
 		e.refused++
 	}
-	if e.greatest[f.Job] > f.Token {
+	if e.greatest[f.Role] > f.Token {
 		e.old++
-		if f.Number > 0 && f.Origin == e.ids[w.From] {
+		if f.Sequence > 0 && f.Origin == e.ids[w.From] {
 			e.late++
 		}
 	}
-	if x := (grant{f.Job, f.Token}); f.Number > 0 && e.origins[x] != f.Origin {
+	if x := (grant{f.Role, f.Token}); f.Sequence > 0 && e.origins[x] != f.Origin {
 		if e.origins[x] != 0 && len(e.wrong) < 20 {
-			e.wrong = append(e.wrong, fmt.Sprintf("%s is done under token %d by %x and by %x", f.Job, f.Token, e.origins[x], f.Origin))
+			e.wrong = append(e.wrong, fmt.Sprintf("%s is done under token %d by %x and by %x", f.Role, f.Token, e.origins[x], f.Origin))
 		}
 		e.origins[x] = f.Origin
 	}
-	e.greatest[f.Job] = max(e.greatest[f.Job], f.Token)
-	k := said{call, w.From, f.Job}
+	e.greatest[f.Role] = max(e.greatest[f.Role], f.Token)
+	k := said{call, w.From, f.Role}
 	if e.last[k] > f.Token && len(e.wrong) < 20 {
-		e.wrong = append(e.wrong, fmt.Sprintf("%s says an effect of %s under token %d after one under %d", w.From, f.Job, f.Token, e.last[k]))
+		e.wrong = append(e.wrong, fmt.Sprintf("%s says an effect of %s under token %d after one under %d", w.From, f.Role, f.Token, e.last[k]))
 	}
 	e.last[k] = max(e.last[k], f.Token)
 }
--- a/internal/lab/processcluster/grants.go
+++ b/internal/lab/processcluster/grants.go
@@ -50,7 +50,7 @@
 // Tap is for a Switchboard.
 func (g *Grants) Tap(_ uint64, w Way, topic frames.Topic, body []byte) {
 	var m lease.Message
-	var e frames.Effect
+	var e frames.RoleMessage
 	switch {
 	case topic == frames.TopicOwner && frames.Unpack(body, &m) == nil:
 	case topic == frames.TopicEffect && frames.Unpack(body, &e) == nil:
@@ -61,7 +61,7 @@
 	defer g.mu.Unlock()
 	now := int64(time.Since(g.began))
 	if e.Token != 0 {
-		g.note(grant{e.Job, e.Token}, now)
+		g.note(grant{e.Role, e.Token}, now)
 	}
 	if m.Table != nil {
 		for _, x := range m.Table.Grants {
--- a/internal/lab/processcluster/grants_test.go
+++ b/internal/lab/processcluster/grants_test.go
@@ -50,7 +50,7 @@
 func TestTokenOfTwo(t *testing.T) {
 	e := NewEffects()
 	for i, origin := range []uint64{7, 7, 8} {
-		body, err := frames.Pack(frames.Effect{Job: "report", Token: 5, Origin: origin, Number: uint64(i + 1), Kind: 1})
+		body, err := frames.Pack(frames.RoleMessage{Role: "report", Token: 5, Origin: origin, Sequence: uint64(i + 1), Kind: 1})
 		require.NoError(t, err)
 		e.Tap(uint64(i), Way{"a", "b"}, frames.TopicEffect, body)
 	}
--- a/internal/peers/frames/frames.go
+++ b/internal/peers/frames/frames.go
@@ -33,19 +33,19 @@
 	TopicEffect Topic = 4 // Effect: what an owner does, and what is said to it
 )
 
-// Effect is something done or said under a grant. Whoever takes one keeps the greatest token of each job that it has seen, and
+// RoleMessage is something done or said under a grant. Whoever takes one keeps the greatest token of each job that it has seen, and
 // turns lower ones away.
-type Effect struct {
-	Job    string `msgpack:"j"`
-	Token  uint64 `msgpack:"t"`
-	Origin uint64 `msgpack:"o"`           // the member that began it
-	Number uint64 `msgpack:"n,omitempty"` // of the token's effects, from 1; each goes to all, once. 0: it is for one link alone
-	Kind   uint8  `msgpack:"k,omitempty"` // the job's, from 1
-	Body   []byte `msgpack:"b,omitempty"`
+type RoleMessage struct {
+	Role     string `msgpack:"j"`
+	Token    uint64 `msgpack:"t"`
+	Origin   uint64 `msgpack:"o"`           // the member that began it
+	Sequence uint64 `msgpack:"n,omitempty"` // of the token's effects, from 1; each goes to all, once. 0: it is for one link alone
+	Kind     uint8  `msgpack:"k,omitempty"` // the job's, from 1
+	Body     []byte `msgpack:"b,omitempty"`
 }
 
-// KindRefused is the answer to an effect whose token is too low: Token is the greatest that is known.
-const KindRefused uint8 = 0
+// KindRejected is the answer to an effect whose token is too low: Token is the greatest that is known.
+const KindRejected uint8 = 0
 
 // Hello is the first thing that each end of a link says. Name is enough for who reads along.
 type Hello struct {
--- a/internal/peers/frames/wire_form_test.go
+++ b/internal/peers/frames/wire_form_test.go
@@ -20,8 +20,8 @@
 	}{
 		{"hello", TopicHello, &Hello{Fleet: "yard", Name: "m01", ID: 1 << 40, Address: "10.0.0.1:7", Body: []byte{1, 2}}, &Hello{}},
 		{"hello_least", TopicHello, &Hello{}, &Hello{}},
-		{"effect", TopicEffect, &Effect{Job: "report", Token: 1<<40 + 7, Origin: 3, Number: 300, Kind: 2, Body: []byte{1, 2}}, &Effect{}},
-		{"effect_refused", TopicEffect, &Effect{Job: "report", Token: 7, Origin: 3, Kind: KindRefused}, &Effect{}},
+		{"effect", TopicEffect, &RoleMessage{Role: "report", Token: 1<<40 + 7, Origin: 3, Sequence: 300, Kind: 2, Body: []byte{1, 2}}, &RoleMessage{}},
+		{"effect_refused", TopicEffect, &RoleMessage{Role: "report", Token: 7, Origin: 3, Kind: KindRejected}, &RoleMessage{}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			raw, err := os.ReadFile("testdata/wire/" + c.file + ".hex")
