--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -465,7 +465,7 @@
 		}
 		body, err := frames.Pack(m)
 		require.NoError(t, err)
-		frame, err := frames.Append(nil, frames.TopicMember, body)
+		frame, err := frames.Append(nil, frames.TopicMembership, body)
 		require.NoError(t, err)
 		return frame
 	}
--- a/internal/coordination/asking.go
+++ b/internal/coordination/asking.go
@@ -72,7 +72,7 @@
 			if length == 0 {
 				break
 			}
-			if topic == frames.TopicEffect {
+			if topic == frames.TopicRole {
 				return answeredWorks(body)
 			}
 			read.Next(length)
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -90,14 +90,14 @@
 	}
 }
 
-func (o *owners) send(l *peers.Link, e *frames.RoleMessage) { l.Send(frames.TopicEffect, packed(e)) }
+func (o *owners) send(l *peers.Link, e *frames.RoleMessage) { l.Send(frames.TopicRole, packed(e)) }
 
 // flood sends an effect over all links but one.
 func (o *owners) flood(e *frames.RoleMessage, except *peers.Link) {
 	body := packed(e)
 	for _, l := range slices.Clone(o.f.up) { // a link may end with what is sent over it
 		if l != except {
-			l.Send(frames.TopicEffect, body)
+			l.Send(frames.TopicRole, body)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 	o.send(l, &frames.RoleMessage{Role: e.Role, Token: greatest, Origin: uint64(o.f.state.ID), Kind: frames.KindRejected})
 	if o.t != nil {
 		if table := o.t.Table(); table.Epoch > 0 {
-			l.Send(frames.TopicOwner, packed(&lease.Message{Table: &table}))
+			l.Send(frames.TopicLease, packed(&lease.Message{Table: &table}))
 		}
 	}
 }
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -455,13 +455,13 @@
 // HandleFrame takes a frame. A topic that is not known here is a later version's, and skipped.
 func (f *Node) HandleFrame(l *peers.Link, topic frames.Topic, body []byte) error {
 	switch topic {
-	case frames.TopicMember:
+	case frames.TopicMembership:
 		var m swim.Message
 		if err := frames.Unpack(body, &m); err != nil {
 			return err
 		}
 		f.view.HandleMessage(f.net.Now(), l.Number, &m)
-	case frames.TopicOwner:
+	case frames.TopicLease:
 		if o := f.owners; o != nil && o.t != nil && f.links[l.Number] == l {
 			var m lease.Message
 			if err := frames.Unpack(body, &m); err != nil {
@@ -469,7 +469,7 @@
 			}
 			o.t.HandleMessage(f.net.Now(), swim.ID(l.Hello.ID), &m)
 		}
-	case frames.TopicEffect:
+	case frames.TopicRole:
 		if o := f.owners; o != nil && f.links[l.Number] == l {
 			var e frames.RoleMessage
 			if err := frames.Unpack(body, &e); err != nil {
@@ -496,7 +496,7 @@
 	if err != nil { // numbers and names always pack
 		panic(err)
 	}
-	l.Send(frames.TopicMember, body)
+	l.Send(frames.TopicMembership, body)
 }
 
 func (a actions) Close(link int) {
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -261,7 +261,7 @@
 
 func (a tenureActions) Send(to swim.ID, m *lease.Message) {
 	if l := a.o.f.byID[to]; l != nil {
-		l.Send(frames.TopicOwner, packed(m))
+		l.Send(frames.TopicLease, packed(m))
 	}
 }
 
@@ -269,7 +269,7 @@
 	body := packed(m)
 	for _, l := range slices.Clone(a.o.f.up) { // a link may end with what is sent over it
 		if swim.ID(l.Hello.ID) != except {
-			l.Send(frames.TopicOwner, body)
+			l.Send(frames.TopicLease, body)
 		}
 	}
 }
--- a/internal/lab/processcluster/effects.go
+++ b/internal/lab/processcluster/effects.go
@@ -47,7 +47,7 @@
 		}
 		return
 	}
-	if topic != frames.TopicEffect || frames.Unpack(body, &f) != nil {
+	if topic != frames.TopicRole || frames.Unpack(body, &f) != nil {
 		return
 	}
 	e.mu.Lock()
--- a/internal/lab/processcluster/grants_test.go
+++ b/internal/lab/processcluster/grants_test.go
@@ -15,7 +15,7 @@
 	say := func(g *Grants, from, to string, m lease.Message) {
 		body, err := frames.Pack(m)
 		require.NoError(t, err)
-		g.Tap(1, Way{from, to}, frames.TopicOwner, body)
+		g.Tap(1, Way{from, to}, frames.TopicLease, body)
 	}
 	renewal := func(number, token uint64) *lease.Renewal {
 		return &lease.Renewal{Number: number, Grants: []lease.Grant{{Role: "report", Holder: 7, Token: token}}}
@@ -52,7 +52,7 @@
 	for i, origin := range []uint64{7, 7, 8} {
 		body, err := frames.Pack(frames.RoleMessage{Role: "report", Token: 5, Origin: origin, Sequence: uint64(i + 1), Kind: 1})
 		require.NoError(t, err)
-		e.Tap(uint64(i), Way{"a", "b"}, frames.TopicEffect, body)
+		e.Tap(uint64(i), Way{"a", "b"}, frames.TopicRole, body)
 	}
 	wrong, _, _, _ := e.Found()
 	assert.Len(t, wrong, 1)
--- a/internal/peers/frames/frames.go
+++ b/internal/peers/frames/frames.go
@@ -27,10 +27,10 @@
 
 // The topics.
 const (
-	TopicHello  Topic = 1 // Hello: the first frame of each end
-	TopicMember Topic = 2 // who is there
-	TopicOwner  Topic = 3 // who does what on behalf of all
-	TopicEffect Topic = 4 // Effect: what an owner does, and what is said to it
+	TopicHello      Topic = 1 // Hello: the first frame of each end
+	TopicMembership Topic = 2 // who is there
+	TopicLease      Topic = 3 // who does what on behalf of all
+	TopicRole       Topic = 4 // Effect: what an owner does, and what is said to it
 )
 
 // RoleMessage is something done or said under a grant. Whoever takes one keeps the greatest token of each job that it has seen, and
--- a/internal/peers/frames/wire_form_test.go
+++ b/internal/peers/frames/wire_form_test.go
@@ -20,8 +20,8 @@
 	}{
 		{"hello", TopicHello, &Hello{Fleet: "yard", Name: "m01", ID: 1 << 40, Address: "10.0.0.1:7", Body: []byte{1, 2}}, &Hello{}},
 		{"hello_least", TopicHello, &Hello{}, &Hello{}},
-		{"effect", TopicEffect, &RoleMessage{Role: "report", Token: 1<<40 + 7, Origin: 3, Sequence: 300, Kind: 2, Body: []byte{1, 2}}, &RoleMessage{}},
-		{"effect_refused", TopicEffect, &RoleMessage{Role: "report", Token: 7, Origin: 3, Kind: KindRejected}, &RoleMessage{}},
+		{"effect", TopicRole, &RoleMessage{Role: "report", Token: 1<<40 + 7, Origin: 3, Sequence: 300, Kind: 2, Body: []byte{1, 2}}, &RoleMessage{}},
+		{"effect_refused", TopicRole, &RoleMessage{Role: "report", Token: 7, Origin: 3, Kind: KindRejected}, &RoleMessage{}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			raw, err := os.ReadFile("testdata/wire/" + c.file + ".hex")
@@ -39,5 +39,5 @@
 			assert.Equal(t, c.value, c.empty)
 		})
 	}
-	assert.Equal(t, []Topic{1, 2, 3, 4}, []Topic{TopicHello, TopicMember, TopicOwner, TopicEffect})
+	assert.Equal(t, []Topic{1, 2, 3, 4}, []Topic{TopicHello, TopicMembership, TopicLease, TopicRole})
 }
--- a/internal/peers/stalledpeer/deafpeer.go
+++ b/internal/peers/stalledpeer/deafpeer.go
@@ -30,6 +30,6 @@
 	if body, err = frames.Pack(swim.Message{BucketDigests: make([]uint64, sums)}); err != nil {
 		return nil, nil, err
 	}
-	ask, err = frames.Append(nil, frames.TopicMember, body)
+	ask, err = frames.Append(nil, frames.TopicMembership, body)
 	return hello, ask, err
 }
