--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -448,9 +448,9 @@
 	stop, victim := c.serveAll(), c.all[0]
 	hello := func(fleetName string) []byte {
 		self := swim.Record{ID: 7, Version: swim.Version{Incarnation: 1 << 32, BootID: 1}, Name: "liar", Address: "127.0.0.1:1"}
-		inner, err := frames.Pack(swim.Hello{Self: self})
+		inner, err := frames.Marshal(swim.Hello{Self: self})
 		require.NoError(t, err)
-		body, err := frames.Pack(frames.Hello{Fleet: fleetName, Name: "liar", ID: 7, Address: self.Address, Body: inner})
+		body, err := frames.Marshal(frames.Hello{Fleet: fleetName, Name: "liar", ID: 7, Address: self.Address, Body: inner})
 		require.NoError(t, err)
 		frame, err := frames.Append(nil, frames.TopicHello, body)
 		require.NoError(t, err)
@@ -463,7 +463,7 @@
 			m.Records = append(m.Records, swim.Record{ID: swim.ID(rng.Uint64()), Version: swim.Version{Incarnation: 1 << 32, BootID: 1}, Name: "phantom",
 				Address: fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(9))})
 		}
-		body, err := frames.Pack(m)
+		body, err := frames.Marshal(m)
 		require.NoError(t, err)
 		frame, err := frames.Append(nil, frames.TopicMembership, body)
 		require.NoError(t, err)
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -361,7 +361,7 @@
 		_, err = io.ReadFull(r, whole)
 		require.NoError(t, err)
 		if topic, body, _, err := frames.Next(whole); err == nil && topic == frames.TopicRole {
-			require.NoError(t, frames.Unpack(body, &e))
+			require.NoError(t, frames.Unmarshal(body, &e))
 		}
 	}
 	assert.Equal(t, frames.KindRejected, e.Kind)
@@ -391,7 +391,7 @@
 	switch {
 	case topic == frames.TopicHello:
 		r.hello[w.From] = frame
-	case topic == frames.TopicRole && frames.Unpack(body, &e) == nil && e.Sequence > 0:
+	case topic == frames.TopicRole && frames.Unmarshal(body, &e) == nil && e.Sequence > 0:
 		r.effects[w.From], r.tokens[w.From] = append(r.effects[w.From], frame), append(r.tokens[w.From], e.Token)
 	}
 }
--- a/internal/coordination/asking.go
+++ b/internal/coordination/asking.go
@@ -46,7 +46,7 @@
 	}
 	defer c.Close()
 	_ = c.SetDeadline(by) // fails only on one that is closed
-	hello, err := frames.Pack(frames.Hello{Fleet: fleet, Name: name})
+	hello, err := frames.Marshal(frames.Hello{Fleet: fleet, Name: name})
 	if err != nil {
 		return nil, err
 	}
@@ -91,13 +91,13 @@
 func answeredWorks(body []byte) (*KeptWorks, error) {
 	var e frames.RoleMessage
 	var a agreedWord
-	if err := frames.Unpack(body, &e); err != nil {
+	if err := frames.Unmarshal(body, &e); err != nil {
 		return nil, err
 	}
 	if e.Role != worksName || e.Kind != kindAgreed {
 		return nil, errNoAnswer
 	}
-	if err := frames.Unpack(e.Body, &a); err != nil {
+	if err := frames.Unmarshal(e.Body, &a); err != nil {
 		return nil, err
 	}
 	if _, err := maintenance.Decode(a.Body); err != nil {
--- a/internal/coordination/drill.go
+++ b/internal/coordination/drill.go
@@ -113,7 +113,7 @@
 	switch e.Kind {
 	case kindOrder:
 		var r drillRun
-		if frames.Unpack(e.Body, &r) != nil || !r.sane() {
+		if frames.Unmarshal(e.Body, &r) != nil || !r.sane() {
 			d.o.senseless(drillName)
 			return
 		}
@@ -130,7 +130,7 @@
 		d.pass(now, n, e.Token, from)
 	case kindRuns:
 		var all drillRuns
-		if frames.Unpack(e.Body, &all) != nil || len(all.Runs) > mostRuns || slices.ContainsFunc(all.Runs, func(r drillRun) bool { return !r.sane() }) {
+		if frames.Unmarshal(e.Body, &all) != nil || len(all.Runs) > mostRuns || slices.ContainsFunc(all.Runs, func(r drillRun) bool { return !r.sane() }) {
 			d.o.senseless(drillName)
 			return
 		}
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -393,7 +393,7 @@
 // Hello says who this sidecar is.
 func (f *Node) Hello() frames.Hello {
 	h := f.view.Hello()
-	body, err := frames.Pack(h)
+	body, err := frames.Marshal(h)
 	if err != nil { // numbers and names always pack
 		panic(err)
 	}
@@ -407,7 +407,7 @@
 		f.answerAsker(l)
 		return false
 	}
-	if err := frames.Unpack(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || f.left || f.view.HasLostIdentity() {
+	if err := frames.Unmarshal(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || f.left || f.view.HasLostIdentity() {
 		if l.Address != "" { // Danger: a dial of which the decisions hear nothing is never made again
 			f.view.DialFailed(f.net.Now(), l.Address)
 		}
@@ -457,14 +457,14 @@
 	switch topic {
 	case frames.TopicMembership:
 		var m swim.Message
-		if err := frames.Unpack(body, &m); err != nil {
+		if err := frames.Unmarshal(body, &m); err != nil {
 			return err
 		}
 		f.view.HandleMessage(f.net.Now(), l.Number, &m)
 	case frames.TopicLease:
 		if o := f.owners; o != nil && o.t != nil && f.links[l.Number] == l {
 			var m lease.Message
-			if err := frames.Unpack(body, &m); err != nil {
+			if err := frames.Unmarshal(body, &m); err != nil {
 				return err
 			}
 			o.t.HandleMessage(f.net.Now(), swim.ID(l.Hello.ID), &m)
@@ -472,7 +472,7 @@
 	case frames.TopicRole:
 		if o := f.owners; o != nil && f.links[l.Number] == l {
 			var e frames.RoleMessage
-			if err := frames.Unpack(body, &e); err != nil {
+			if err := frames.Unmarshal(body, &e); err != nil {
 				return err
 			}
 			o.take(l, &e)
@@ -492,7 +492,7 @@
 	if l == nil {
 		return
 	}
-	body, err := frames.Pack(m)
+	body, err := frames.Marshal(m)
 	if err != nil { // numbers and names always pack
 		panic(err)
 	}
--- a/internal/coordination/list.go
+++ b/internal/coordination/list.go
@@ -266,13 +266,13 @@
 	switch e.Kind {
 	case kindWord:
 		var w listWord
-		if frames.Unpack(e.Body, &w) != nil || f.word(from, j, e, &w) != nil {
+		if frames.Unmarshal(e.Body, &w) != nil || f.word(from, j, e, &w) != nil {
 			f.o.senseless(j.name)
 		}
 	case kindNeed:
 		var n listNeed
 		f.answer() // which forgets who has waited too long
-		if frames.Unpack(e.Body, &n) != nil {
+		if frames.Unmarshal(e.Body, &n) != nil {
 			f.o.senseless(j.name)
 		} else if n.Discovery == f.to.Discovery() && len(f.asking) < mostAsking {
 			f.asking = append(f.asking, asking{from.Number, e.Token, j, n.Index, f.o.f.net.Now() + needAgainS})
@@ -280,7 +280,7 @@
 		}
 	case kindWhole:
 		var w listWhole
-		if frames.Unpack(e.Body, &w) != nil || f.whole(from, &w) != nil {
+		if frames.Unmarshal(e.Body, &w) != nil || f.whole(from, &w) != nil {
 			f.o.senseless(j.name)
 		}
 	}
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -356,7 +356,7 @@
 
 // packed returns a message as a body.
 func packed(v any) []byte {
-	body, err := frames.Pack(v)
+	body, err := frames.Marshal(v)
 	if err != nil { // numbers and names always pack
 		panic(err)
 	}
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -206,13 +206,13 @@
 	switch e.Kind {
 	case kindAsk:
 		var q question
-		if frames.Unpack(e.Body, &q) == nil {
+		if frames.Unmarshal(e.Body, &q) == nil {
 			r.up, r.token, r.round = from.Number, e.Token, q.Round
 			r.gathered, r.sendAt = r.own(), r.o.f.net.Now()+gatherS
 		}
 	case kindAnswer:
 		var a answer
-		if frames.Unpack(e.Body, &a) != nil || a.Round != r.round {
+		if frames.Unmarshal(e.Body, &a) != nil || a.Round != r.round {
 			return
 		}
 		switch {
@@ -228,7 +228,7 @@
 		}
 	case kindReport:
 		var rep Report
-		if frames.Unpack(e.Body, &rep) == nil {
+		if frames.Unmarshal(e.Body, &rep) == nil {
 			r.last, r.lastAt = &rep, r.o.f.net.Now()
 		}
 	}
--- a/internal/coordination/report_test.go
+++ b/internal/coordination/report_test.go
@@ -39,7 +39,7 @@
 				a.Classes[i].Times = packTimes(a.Classes[i].times)
 			}
 			var got answer
-			require.NoError(t, frames.Unpack(packed(a), &got))
+			require.NoError(t, frames.Unmarshal(packed(a), &got))
 			require.NoError(t, pending[rapid.IntRange(0, from-1).Draw(t, "to")].add(&got))
 			pending = append(pending[:from], pending[from+1:]...)
 		}
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -57,7 +57,7 @@
 			body := packed(c.value)
 			assert.Equal(t, golden(t, "wire", c.file+".hex"), hex.EncodeToString(body))
 			back := reflect.New(reflect.TypeOf(c.value).Elem()).Interface()
-			require.NoError(t, frames.Unpack(body, back))
+			require.NoError(t, frames.Unmarshal(body, back))
 			assert.Equal(t, c.value, back)
 		})
 	}
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -219,17 +219,17 @@
 	switch e.Kind {
 	case kindAgreed:
 		var a agreedWord
-		if frames.Unpack(e.Body, &a) == nil {
+		if frames.Unmarshal(e.Body, &a) == nil {
 			w.heardAgreed(now, from, &a)
 		}
 	case kindHold:
 		var h heldWord
-		if frames.Unpack(e.Body, &h) == nil {
+		if frames.Unmarshal(e.Body, &h) == nil {
 			w.heardHeld(from, h)
 		}
 	case kindWorkAsk:
 		var q worksQuestion
-		if frames.Unpack(e.Body, &q) == nil {
+		if frames.Unmarshal(e.Body, &q) == nil {
 			w.up, w.token, w.round = from.Number, e.Token, q.Round
 			w.gathered, w.sendAt = w.own(now), now+workGatherS
 			if newer(q.Epoch, q.Version, w.epoch, w.version) {
@@ -238,7 +238,7 @@
 		}
 	case kindSum:
 		var s worksSum
-		if frames.Unpack(e.Body, &s) != nil || s.Round != w.round {
+		if frames.Unmarshal(e.Body, &s) != nil || s.Round != w.round {
 			return
 		}
 		switch {
@@ -254,12 +254,12 @@
 		}
 	case kindCommand:
 		var c maintenance.Command
-		if frames.Unpack(e.Body, &c) == nil && c.Nonce != 0 {
+		if frames.Unmarshal(e.Body, &c) == nil && c.Nonce != 0 {
 			w.ordered(now, &c, from)
 		}
 	case kindReply:
 		var r maintenance.Reply
-		if frames.Unpack(e.Body, &r) == nil {
+		if frames.Unmarshal(e.Body, &r) == nil {
 			w.replied(now, &r)
 		}
 	}
--- a/internal/lab/processcluster/effects.go
+++ b/internal/lab/processcluster/effects.go
@@ -40,14 +40,14 @@
 	var f frames.RoleMessage
 	if topic == frames.TopicHello {
 		var h frames.Hello
-		if frames.Unpack(body, &h) == nil {
+		if frames.Unmarshal(body, &h) == nil {
 			e.mu.Lock()
 			e.ids[w.From] = h.ID
 			e.mu.Unlock()
 		}
 		return
 	}
-	if topic != frames.TopicRole || frames.Unpack(body, &f) != nil {
+	if topic != frames.TopicRole || frames.Unmarshal(body, &f) != nil {
 		return
 	}
 	e.mu.Lock()
--- a/internal/lab/processcluster/grants.go
+++ b/internal/lab/processcluster/grants.go
@@ -52,8 +52,8 @@
 	var m lease.Message
 	var e frames.RoleMessage
 	switch {
-	case topic == frames.TopicLease && frames.Unpack(body, &m) == nil:
-	case topic == frames.TopicRole && frames.Unpack(body, &e) == nil:
+	case topic == frames.TopicLease && frames.Unmarshal(body, &m) == nil:
+	case topic == frames.TopicRole && frames.Unmarshal(body, &e) == nil:
 	default:
 		return
 	}
--- a/internal/lab/processcluster/grants_test.go
+++ b/internal/lab/processcluster/grants_test.go
@@ -13,7 +13,7 @@
 // What leaders confirm has an order with the grants, or is told.
 func TestGrantsHaveAnOrder(t *testing.T) {
 	say := func(g *Grants, from, to string, m lease.Message) {
-		body, err := frames.Pack(m)
+		body, err := frames.Marshal(m)
 		require.NoError(t, err)
 		g.Tap(1, Way{from, to}, frames.TopicLease, body)
 	}
@@ -50,7 +50,7 @@
 func TestTokenOfTwo(t *testing.T) {
 	e := NewEffects()
 	for i, origin := range []uint64{7, 7, 8} {
-		body, err := frames.Pack(frames.RoleMessage{Role: "report", Token: 5, Origin: origin, Sequence: uint64(i + 1), Kind: 1})
+		body, err := frames.Marshal(frames.RoleMessage{Role: "report", Token: 5, Origin: origin, Sequence: uint64(i + 1), Kind: 1})
 		require.NoError(t, err)
 		e.Tap(uint64(i), Way{"a", "b"}, frames.TopicRole, body)
 	}
--- a/internal/lab/processcluster/switchboard.go
+++ b/internal/lab/processcluster/switchboard.go
@@ -229,7 +229,7 @@
 	}
 	topic, body, _, err := frames.Next(first)
 	if err == nil && topic == frames.TopicHello {
-		err = frames.Unpack(body, &h)
+		err = frames.Unmarshal(body, &h)
 	}
 	return first, h, err
 }
--- a/internal/peers/frames/frames.go
+++ b/internal/peers/frames/frames.go
@@ -93,11 +93,11 @@
 	return append(append(dst, Version, byte(topic)), body...), nil
 }
 
-// Pack returns a value as a body.
-func Pack(v any) ([]byte, error) { return msgpack.Marshal(v) }
+// Marshal returns a value as a body.
+func Marshal(v any) ([]byte, error) { return msgpack.Marshal(v) }
 
-// Unpack reads a body into a value. What a body holds beyond the value's fields is skipped.
-func Unpack(body []byte, v any) (err error) {
+// Unmarshal reads a body into a value. What a body holds beyond the value's fields is skipped.
+func Unmarshal(body []byte, v any) (err error) {
 	// Danger: a body comes from outside; the loop must outlive what a library makes of it.
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/peers/frames/frames_test.go
+++ b/internal/peers/frames/frames_test.go
@@ -9,17 +9,17 @@
 
 // A field that is not known is skipped; what is known is read.
 func TestUnknownFieldsAreSkipped(t *testing.T) {
-	body, err := Pack(map[string]any{"f": "yard", "z": map[string]any{"deep": []int{1, 2}}, "n": "m01", "i": 7})
+	body, err := Marshal(map[string]any{"f": "yard", "z": map[string]any{"deep": []int{1, 2}}, "n": "m01", "i": 7})
 	require.NoError(t, err)
 	var h Hello
-	require.NoError(t, Unpack(body, &h))
+	require.NoError(t, Unmarshal(body, &h))
 	assert.Equal(t, Hello{Fleet: "yard", Name: "m01", ID: 7}, h)
 }
 
 // FuzzNext reads what comes over a link, in whatever pieces: it never fails otherwise than by an error, takes no more than is
 // there, and a frame that was appended comes back.
 func FuzzNext(f *testing.F) {
-	hello, err := Pack(Hello{Fleet: "yard", Name: "m01", ID: 7})
+	hello, err := Marshal(Hello{Fleet: "yard", Name: "m01", ID: 7})
 	require.NoError(f, err)
 	frame, err := Append(nil, TopicHello, hello)
 	require.NoError(f, err)
@@ -35,7 +35,7 @@
 			}
 			require.LessOrEqual(t, n, len(rest))
 			var h Hello
-			_ = Unpack(body, &h) // an error is an answer, too
+			_ = Unmarshal(body, &h) // an error is an answer, too
 			again, err := Append(nil, topic, body)
 			require.NoError(t, err)
 			require.Equal(t, rest[:n], again)
--- a/internal/peers/frames/wire_form_test.go
+++ b/internal/peers/frames/wire_form_test.go
@@ -26,7 +26,7 @@
 		t.Run(c.file, func(t *testing.T) {
 			raw, err := os.ReadFile("testdata/wire/" + c.file + ".hex")
 			require.NoError(t, err)
-			body, err := Pack(c.value)
+			body, err := Marshal(c.value)
 			require.NoError(t, err)
 			frame, err := Append(nil, c.topic, body)
 			require.NoError(t, err)
@@ -35,7 +35,7 @@
 			require.NoError(t, err)
 			assert.Equal(t, c.topic, topic)
 			assert.Equal(t, len(frame), length)
-			require.NoError(t, Unpack(body, c.empty))
+			require.NoError(t, Unmarshal(body, c.empty))
 			assert.Equal(t, c.value, c.empty)
 		})
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -167,7 +167,7 @@
 }
 
 func (l *Link) hello() {
-	body, err := frames.Pack(l.p.owner.Hello())
+	body, err := frames.Marshal(l.p.owner.Hello())
 	if err != nil { // numbers and names always pack
 		panic(err)
 	}
@@ -215,7 +215,7 @@
 	if topic != frames.TopicHello {
 		return errHello
 	}
-	if err := frames.Unpack(body, &l.Hello); err != nil {
+	if err := frames.Unmarshal(body, &l.Hello); err != nil {
 		return err
 	}
 	if l.Hello.Fleet != l.p.fleet {
--- a/internal/peers/stalledpeer/deafpeer.go
+++ b/internal/peers/stalledpeer/deafpeer.go
@@ -16,18 +16,18 @@
 // Frames returns the hello to a fleet's sidecar at an address, and the question that asks for all that it knows.
 func Frames(fleet, address string) (hello, ask []byte, err error) {
 	self := swim.Record{ID: id, Version: swim.Version{Incarnation: 1 << 32, BootID: id}, Name: name, Address: address}
-	inner, err := frames.Pack(swim.Hello{Self: self})
+	inner, err := frames.Marshal(swim.Hello{Self: self})
 	if err != nil {
 		return nil, nil, err
 	}
-	body, err := frames.Pack(frames.Hello{Fleet: fleet, Name: name, ID: id, Address: address, Body: inner})
+	body, err := frames.Marshal(frames.Hello{Fleet: fleet, Name: name, ID: id, Address: address, Body: inner})
 	if err != nil {
 		return nil, nil, err
 	}
 	if hello, err = frames.Append(nil, frames.TopicHello, body); err != nil {
 		return nil, nil, err
 	}
-	if body, err = frames.Pack(swim.Message{BucketDigests: make([]uint64, sums)}); err != nil {
+	if body, err = frames.Marshal(swim.Message{BucketDigests: make([]uint64, sums)}); err != nil {
 		return nil, nil, err
 	}
 	ask, err = frames.Append(nil, frames.TopicMembership, body)
--- a/internal/sim/membershipsim/actions.go
+++ b/internal/sim/membershipsim/actions.go
@@ -157,7 +157,7 @@
 
 // encodedSize returns the size of a value in a frame.
 func encodedSize(v any) uint64 {
-	body, err := frames.Pack(v)
+	body, err := frames.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("membershipsim: numbers and names can always be packed: %v", err))
 	}
