--- a/internal/coordination/asking.go
+++ b/internal/coordination/asking.go
@@ -61,8 +61,8 @@
 	part := make([]byte, 4096)
 	for {
 		n, err := c.Read(part)
-		if read.Write(part[:n]); read.Len() > 2*frames.Most {
-			return nil, frames.ErrLong
+		if read.Write(part[:n]); read.Len() > 2*frames.MaxFrameBytes {
+			return nil, frames.ErrTooLong
 		}
 		for {
 			topic, body, length, fault := frames.Next(read.Bytes())
--- a/internal/lab/processcluster/switchboard.go
+++ b/internal/lab/processcluster/switchboard.go
@@ -168,7 +168,7 @@
 func (s *Switchboard) serve(in net.Conn, name, listens string) {
 	defer in.Close()
 	_ = in.SetReadDeadline(time.Now().Add(mostHello)) // fails only on one that is closed
-	first, hello, err := readHello(bufio.NewReaderSize(in, frames.Most))
+	first, hello, err := readHello(bufio.NewReaderSize(in, frames.MaxFrameBytes))
 	if err != nil {
 		// Whoever speaks otherwise speaks to the sidecar itself: it must cope.
 		hello.Name = ""
@@ -219,7 +219,7 @@
 func readHello(r *bufio.Reader) (first []byte, h frames.Hello, err error) {
 	head, err := r.Peek(4)
 	if err == nil {
-		n := min(int(binary.BigEndian.Uint32(head)), frames.Most-4)
+		n := min(int(binary.BigEndian.Uint32(head)), frames.MaxFrameBytes-4)
 		_, err = r.Peek(4 + n)
 	}
 	first, _ = r.Peek(r.Buffered())
@@ -277,7 +277,7 @@
 	for {
 		topic, body, n, err := frames.Next(data)
 		if err != nil || n == 0 {
-			return data[:min(len(data), frames.Most)]
+			return data[:min(len(data), frames.MaxFrameBytes)]
 		}
 		s.Tap(c.number, w, topic, body)
 		data = data[n:]
--- a/internal/peers/frames/frames.go
+++ b/internal/peers/frames/frames.go
@@ -16,11 +16,11 @@
 // Version is spoken here. A frame of another is not understood.
 const Version = 1
 
-// Most bounds a frame with its head, in bytes.
-const Most = 64 << 10
+// MaxFrameBytes bounds a frame with its head, in bytes.
+const MaxFrameBytes = 64 << 10
 
-// HeadLen is the length of a frame's head.
-const HeadLen = 6
+// HeaderBytes is the length of a frame's head.
+const HeaderBytes = 6
 
 // Topic says what a body is about.
 type Topic byte
@@ -57,8 +57,8 @@
 }
 
 var (
-	// ErrLong is the fault of a frame that says it is longer than Most.
-	ErrLong = errors.New("a frame is longer than allowed")
+	// ErrTooLong is the fault of a frame that says it is longer than Most.
+	ErrTooLong = errors.New("a frame is longer than allowed")
 	// ErrVersion is the fault of a frame of another version.
 	ErrVersion = errors.New("a frame is of a version that is not spoken here")
 )
@@ -69,8 +69,8 @@
 		return 0, nil, 0, nil
 	}
 	n := binary.BigEndian.Uint32(data)
-	if n > Most-4 {
-		return 0, nil, 0, fmt.Errorf("%w: %d bytes", ErrLong, n)
+	if n > MaxFrameBytes-4 {
+		return 0, nil, 0, fmt.Errorf("%w: %d bytes", ErrTooLong, n)
 	}
 	if len(data) >= 5 && data[4] != Version {
 		return 0, nil, 0, fmt.Errorf("%w: %d", ErrVersion, data[4])
@@ -81,13 +81,13 @@
 	if length = 4 + int(n); len(data) < length {
 		return 0, nil, 0, nil
 	}
-	return Topic(data[5]), data[HeadLen:length], length, nil
+	return Topic(data[5]), data[HeaderBytes:length], length, nil
 }
 
 // Append appends a frame. A body that is too long is ErrLong, and nothing is appended.
 func Append(dst []byte, topic Topic, body []byte) ([]byte, error) {
-	if len(body)+HeadLen > Most {
-		return dst, fmt.Errorf("%w: %d bytes", ErrLong, len(body))
+	if len(body)+HeaderBytes > MaxFrameBytes {
+		return dst, fmt.Errorf("%w: %d bytes", ErrTooLong, len(body))
 	}
 	dst = binary.BigEndian.AppendUint32(dst, uint32(len(body)+2))
 	return append(append(dst, Version, byte(topic)), body...), nil
--- a/internal/sim/membershipsim/actions.go
+++ b/internal/sim/membershipsim/actions.go
@@ -129,9 +129,9 @@
 func (f *Fleet) messageSize(m *swim.Message) uint64 {
 	rest := *m
 	rest.Records = nil
-	size := uint64(frames.HeadLen + messageMapHeadBytes)
+	size := uint64(frames.HeaderBytes + messageMapHeadBytes)
 	if rest.Heartbeat != nil || rest.BucketDigests != nil || rest.WantedBuckets != nil || rest.Closing {
-		size = encodedSize(&rest) + frames.HeadLen
+		size = encodedSize(&rest) + frames.HeaderBytes
 	}
 	if len(m.Records) == 0 {
 		return size
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -281,7 +281,7 @@
 }
 
 // mostQueued is what may wait for one peer: the bound, and a frame.
-const mostQueued = 256<<10 + frames.Most
+const mostQueued = 256<<10 + frames.MaxFrameBytes
 
 // endless is long after any day.
 const endless = 1e12
