--- a/internal/hotrestart/open_test.go
+++ b/internal/hotrestart/open_test.go
@@ -24,7 +24,7 @@
 				case <-stop:
 					return
 				default:
-					first.Neighbours()
+					first.OtherProcesses()
 				}
 			}
 		})
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -70,14 +70,14 @@
 	return filepath.Join(append([]string{s.dir}, parts...)...)
 }
 
-// Serving notes that this process serves.
-func (s *Store) Serving() error {
+// MarkServing notes that this process serves.
+func (s *Store) MarkServing() error {
 	_, err := s.life.WriteAt([]byte("serving"), 0)
 	return err
 }
 
-// Neighbours tells how many other processes live here, and whether one that began later serves.
-func (s *Store) Neighbours() (n int, successor bool) {
+// OtherProcesses tells how many other processes live here, and whether one that began later serves.
+func (s *Store) OtherProcesses() (n int, successor bool) {
 	lives, err := os.ReadDir(s.path("lives"))
 	if err != nil {
 		return 0, false
@@ -106,19 +106,21 @@
 	return n, successor
 }
 
-// Ban notes that a server is out by hand; Lift, that it no longer is.
-func (s *Store) Ban(server string) error { return s.note(s.path("bans", url.PathEscape(server)), true) }
+// Cordon notes that a server is out by hand; Lift, that it no longer is.
+func (s *Store) Cordon(server string) error {
+	return s.note(s.path("bans", url.PathEscape(server)), true)
+}
 
-// Lift ends the note of Ban.
-func (s *Store) Lift(server string) error {
+// Uncordon ends the note of Ban.
+func (s *Store) Uncordon(server string) error {
 	return s.note(s.path("bans", url.PathEscape(server)), false)
 }
 
 // away stands in the folder of bans, so that one look tells of any change; no escaped name is like it.
 const away = "%away"
 
-// Away notes whether the sidecar is drained by hand.
-func (s *Store) Away(on bool) error { return s.note(s.path("bans", away), on) }
+// SetDrained notes whether the sidecar is drained by hand.
+func (s *Store) SetDrained(on bool) error { return s.note(s.path("bans", away), on) }
 
 func (s *Store) note(path string, on bool) error {
 	var err error
@@ -133,8 +135,8 @@
 	return nil
 }
 
-// Read returns what operators have said and not taken back.
-func (s *Store) Read() (bans []string, drained bool, err error) {
+// OperatorState returns what operators have said and not taken back.
+func (s *Store) OperatorState() (bans []string, drained bool, err error) {
 	all, err := os.ReadDir(s.path("bans"))
 	if err != nil {
 		return nil, false, fmt.Errorf("handover: %w", err)
@@ -149,10 +151,10 @@
 	return bans, drained, nil
 }
 
-// Stamp differs wherever Read's result does. Danger: a folder's time counts in ticks, and of two changes within one the
+// OperatorStamp differs wherever Read's result does. Danger: a folder's time counts in ticks, and of two changes within one the
 // second would go unseen.
-func (s *Store) Stamp() string {
-	bans, drained, _ := s.Read()
+func (s *Store) OperatorStamp() string {
+	bans, drained, _ := s.OperatorState()
 	return fmt.Sprint(drained, bans)
 }
 
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -132,7 +132,7 @@
 	go func() {
 		<-ends
 		if p.store != nil {
-			if _, successor := p.store.Neighbours(); successor {
+			if _, successor := p.store.OtherProcesses(); successor {
 				p.Do(p.Succeeded)
 			}
 		}
--- a/internal/process/succeed.go
+++ b/internal/process/succeed.go
@@ -42,11 +42,11 @@
 		}
 	}
 	p.Keep(p.store)
-	n, _ := p.store.Neighbours()
+	n, _ := p.store.OtherProcesses()
 	p.neighbours = n
 	p.Do(func() {
 		p.Share(n)
-		if err := p.store.Serving(); err != nil {
+		if err := p.store.MarkServing(); err != nil {
 			p.log.Error("the process that is replaced can't be told", "error", err)
 		}
 	})
@@ -67,7 +67,7 @@
 
 // lookAround tells the loop of its neighbours, and of what operators have said to them.
 func (p *Process) lookAround(neighbours int) {
-	said := p.store.Stamp()
+	said := p.store.OperatorStamp()
 	look := time.NewTicker(lookEvery)
 	defer look.Stop()
 	for i := 0; ; i++ {
@@ -76,12 +76,12 @@
 			return
 		case <-look.C:
 		}
-		if now := p.store.Stamp(); now != said {
+		if now := p.store.OperatorStamp(); now != said {
 			said = now
 			p.Do(p.Reconcile)
 		}
 		if i%10 == 0 {
-			if n, _ := p.store.Neighbours(); n != neighbours {
+			if n, _ := p.store.OtherProcesses(); n != neighbours {
 				neighbours = n
 				p.Do(func() { p.Share(n) })
 			}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -25,11 +25,11 @@
 // Shelf is where what a successor needs is kept.
 type Shelf interface {
 	// Ban, Lift and Away note what operators have said, before they are told yes.
-	Ban(server string) error
-	Lift(server string) error
-	Away(on bool) error
+	Cordon(server string) error
+	Uncordon(server string) error
+	SetDrained(on bool) error
 	// Read returns what has been said, at this process or at its neighbours.
-	Read() (bans []string, away bool, err error)
+	OperatorState() (bans []string, away bool, err error)
 	// Save takes a state over and returns at once.
 	Save(s hotrestart.State)
 }
@@ -37,11 +37,11 @@
 // noShelf is that of a process that has no successor.
 type noShelf struct{}
 
-func (noShelf) Ban(string) error              { return nil }
-func (noShelf) Lift(string) error             { return nil }
-func (noShelf) Away(bool) error               { return nil }
-func (noShelf) Read() ([]string, bool, error) { return nil, false, nil }
-func (noShelf) Save(hotrestart.State)         {}
+func (noShelf) Cordon(string) error                    { return nil }
+func (noShelf) Uncordon(string) error                  { return nil }
+func (noShelf) SetDrained(bool) error                  { return nil }
+func (noShelf) OperatorState() ([]string, bool, error) { return nil, false, nil }
+func (noShelf) Save(hotrestart.State)                  {}
 
 // Keep has the sidecar keep on a shelf what a successor needs, and obey what lies there. It comes before Start.
 func (s *Sidecar) Keep(shelf Shelf) {
@@ -112,7 +112,7 @@
 
 // Reconcile obeys what lies on the shelf: operators may have spoken to a neighbour.
 func (s *Sidecar) Reconcile() {
-	bans, away, err := s.shelf.Read()
+	bans, away, err := s.shelf.OperatorState()
 	if err != nil {
 		s.log.Error("what operators have said can't be read", "error", err)
 		return
--- a/internal/sidecar/operate.go
+++ b/internal/sidecar/operate.go
@@ -63,7 +63,7 @@
 	}
 	s.log.Info("server taken out by hand", "server", name)
 	s.retell(info)
-	return s.shelf.Ban(name)
+	return s.shelf.Cordon(name)
 }
 
 // Online ends a server's ban, however often it was called for.
@@ -74,7 +74,7 @@
 	}
 	s.log.Info("server given back by hand", "server", name)
 	s.retell(info)
-	return s.shelf.Lift(name)
+	return s.shelf.Uncordon(name)
 }
 
 // retell tells the decisions of a server that is to be used in another way from now on.
@@ -104,7 +104,7 @@
 		return nil
 	}
 	s.setAway(true)
-	return s.shelf.Away(true)
+	return s.shelf.SetDrained(true)
 }
 
 func (s *Sidecar) setAway(on bool) {
@@ -132,5 +132,5 @@
 		return errEnding
 	}
 	s.setAway(false)
-	return s.shelf.Away(false)
+	return s.shelf.SetDrained(false)
 }
