--- a/cmd/hazelwheel/replace_test.go
+++ b/cmd/hazelwheel/replace_test.go
@@ -138,7 +138,7 @@
 			return false
 		}
 		state, err := hotrestart.Decode(text)
-		return err == nil && strings.Contains(string(state.List), "s-00000001") && strings.Contains(string(state.List), "s-00000002")
+		return err == nil && strings.Contains(string(state.EndpointList), "s-00000001") && strings.Contains(string(state.EndpointList), "s-00000002")
 	})
 	for range 3 {
 		next := p.begin()
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -12,8 +12,8 @@
 // A state comes back as it was; whatever byte is changed or missing, it is not taken.
 func TestStateIsWholeOrNotAtAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := State{At: rapid.Float64Range(0, 1e10).Draw(t, "at"), Settings: rapid.StringMatching("[0-9a-f]{64}").Draw(t, "settings"),
-			List: []byte(`{"Index":7}`), Module: rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "module")}
+		s := State{UnixSeconds: rapid.Float64Range(0, 1e10).Draw(t, "at"), SettingsHash: rapid.StringMatching("[0-9a-f]{64}").Draw(t, "settings"),
+			EndpointList: []byte(`{"Index":7}`), PolicyCheckpoint: rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "module")}
 		raw, err := Encode(s)
 		require.NoError(t, err)
 		back, err := Decode(raw)
@@ -31,7 +31,7 @@
 
 // FuzzDecode has nothing that can be read make the program fail.
 func FuzzDecode(f *testing.F) {
-	raw, _ := Encode(State{At: 1, List: []byte("{}")})
+	raw, _ := Encode(State{UnixSeconds: 1, EndpointList: []byte("{}")})
 	f.Add(raw)
 	f.Add([]byte("hazelwheel-handover 1 2 00000000\n{}"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -18,10 +18,10 @@
 
 // State is what a successor begins with.
 type State struct {
-	At       float64         `json:"At"`       // when it was taken, in seconds of Unix time
-	Settings string          `json:"Settings"` // a hash of the settings that it was learned under
-	List     json.RawMessage `json:"List"`     // the host group's
-	Module   []byte          `json:"Module"`   // the decisions' checkpoint
+	UnixSeconds      float64         `json:"At"`       // when it was taken, in seconds of Unix time
+	SettingsHash     string          `json:"Settings"` // a hash of the settings that it was learned under
+	EndpointList     json.RawMessage `json:"List"`     // the host group's
+	PolicyCheckpoint []byte          `json:"Module"`   // the decisions' checkpoint
 }
 
 // Why a state is not taken.
--- a/internal/hotrestart/stored_form_test.go
+++ b/internal/hotrestart/stored_form_test.go
@@ -14,7 +14,7 @@
 // A process of a new version takes the place of an old one, and the other way round: the state has the bytes of the golden file,
 // and a folder as it was written is read.
 func TestStoredForm(t *testing.T) {
-	want := State{At: 1700000000.25, Settings: "0123456789abcdef", List: json.RawMessage(`{"Index":7}`), Module: []byte{1, 2, 3}}
+	want := State{UnixSeconds: 1700000000.25, SettingsHash: "0123456789abcdef", EndpointList: json.RawMessage(`{"Index":7}`), PolicyCheckpoint: []byte{1, 2, 3}}
 	text, err := Encode(want)
 	require.NoError(t, err)
 	raw, err := os.ReadFile("testdata/folder/state")
--- a/internal/process/succeed.go
+++ b/internal/process/succeed.go
@@ -38,7 +38,7 @@
 		if err := p.Inherit(st); err != nil {
 			p.log.Warn("a plain start", "error", err)
 		} else {
-			p.log.Info("going on from another process's state", "age_s", p.loop.Now()-st.At)
+			p.log.Info("going on from another process's state", "age_s", p.loop.Now()-st.UnixSeconds)
 		}
 	}
 	p.Keep(p.store)
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -70,8 +70,8 @@
 
 // State returns what a successor begins with. It is for the loop, between events.
 func (s *Sidecar) State() (st hotrestart.State, ok bool) {
-	st = hotrestart.State{At: s.now(), Settings: s.settingsHash(), List: s.hosts.Export()}
-	st.Module, ok = s.balancer.Checkpoint(nil, mostCheckpoint)
+	st = hotrestart.State{UnixSeconds: s.now(), SettingsHash: s.settingsHash(), EndpointList: s.hosts.Export()}
+	st.PolicyCheckpoint, ok = s.balancer.Checkpoint(nil, mostCheckpoint)
 	return st, ok
 }
 
@@ -90,18 +90,18 @@
 func (s *Sidecar) Inherit(st hotrestart.State) error {
 	now := s.now()
 	switch {
-	case st.Settings != s.settingsHash():
+	case st.SettingsHash != s.settingsHash():
 		return errSettings
-	case now-st.At > oldestS:
+	case now-st.UnixSeconds > oldestS:
 		return errOld
 	}
-	b, err := policy.Succeed(s.cfg.Settings.Policy, st.Module, now, s)
+	b, err := policy.Succeed(s.cfg.Settings.Policy, st.PolicyCheckpoint, now, s)
 	if err != nil {
 		return err
 	}
 	before := s.queue // the list that was last known, which is older
 	s.queue = nil
-	if err := s.listKnown(st.List); err != nil {
+	if err := s.listKnown(st.EndpointList); err != nil {
 		s.queue = before
 		return err
 	}
