--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -38,8 +38,8 @@
 // On tells whether the sidecar looks for peers.
 func (s *Settings) On() bool { return s.Name != "" }
 
-// Disk keeps the state. What Save was given is on disk, synced, when done is called with nil, on the loop.
-type Disk interface {
+// StateStore keeps the state. What Save was given is on disk, synced, when done is called with nil, on the loop.
+type StateStore interface {
 	Save(data []byte, done func(error))
 }
 
@@ -80,8 +80,8 @@
 	alarm  float64
 	depth  int
 	posted []func()
-	disk   Disk // nil: there is none
-	saved  Saved
+	disk   StateStore // nil: there is none
+	saved  SavedState
 	state  state // that is kept, or that would be
 	notes  notes
 	stored bool // the identity is on disk
@@ -115,7 +115,7 @@
 
 // Keep says where the state is kept, and what is there already. It comes before Start, and before the sidecar sends anything: boxes
 // that are out by what is there are out from the first request on.
-func (f *Node) Keep(disk Disk, saved Saved) {
+func (f *Node) Keep(disk StateStore, saved SavedState) {
 	f.disk, f.saved = disk, saved
 	if st, err := saved.decode(); err == nil {
 		f.keepWorks(st.Works)
@@ -133,8 +133,8 @@
 	}
 }
 
-// Usable tells why what is saved can't be taken over; nil where it can, or where there is nothing.
-func Usable(saved Saved) error {
+// ValidateState tells why what is saved can't be taken over; nil where it can, or where there is nothing.
+func ValidateState(saved SavedState) error {
 	_, err := saved.decode()
 	return err
 }
--- a/internal/coordination/folder/folder.go
+++ b/internal/coordination/folder/folder.go
@@ -50,7 +50,7 @@
 	birth int64 // in nanoseconds; 0 where the file system does not keep it
 }
 
-var _ coordination.Disk = (*Folder)(nil)
+var _ coordination.StateStore = (*Folder)(nil)
 
 // ErrTaken is the fault of a write where another process has written meanwhile: it goes on from this one's state.
 var ErrTaken = errors.New("another process goes on from this state")
@@ -72,31 +72,31 @@
 
 // Load returns what was saved last. It comes before the loop. Until the first write nobody else writes: what another process has
 // said that it keeps must not be gone with that write.
-func (f *Folder) Load() (s coordination.Saved) {
+func (f *Folder) Load() (s coordination.SavedState) {
 	var err error
 	if f.held, err = f.lock(); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return coordination.Saved{Err: err}
+		return coordination.SavedState{Err: err}
 	}
 	file, err := os.Open(filepath.Join(f.dir, name))
 	if errors.Is(err, fs.ErrNotExist) {
-		return coordination.Saved{}
+		return coordination.SavedState{}
 	} else if err != nil {
-		return coordination.Saved{Err: err}
+		return coordination.SavedState{Err: err}
 	}
 	defer file.Close()
 	if f.last, err = markOf(file); err != nil {
-		return coordination.Saved{Err: err}
+		return coordination.SavedState{Err: err}
 	}
 	raw, err := io.ReadAll(io.LimitReader(file, mostState))
 	if err != nil {
-		return coordination.Saved{Err: err}
+		return coordination.SavedState{Err: err}
 	}
 	line, rest, _ := bytes.Cut(raw, []byte{'\n'})
 	var own mark
 	if n, _ := fmt.Sscanf(string(line)+"\n", head, &own.inode, &own.birth); n != 2 {
-		return coordination.Saved{Data: raw} // of an earlier form, or torn
+		return coordination.SavedState{Data: raw} // of an earlier form, or torn
 	}
-	return coordination.Saved{Data: rest, Copied: own != f.last}
+	return coordination.SavedState{Data: rest, IsCopy: own != f.last}
 }
 
 // markOf returns a file's mark.
--- a/internal/coordination/folder/folder_test.go
+++ b/internal/coordination/folder/folder_test.go
@@ -35,7 +35,7 @@
 	g := open()
 	s := g.Load()
 	assert.Equal(t, "third", string(s.Data))
-	assert.False(t, s.Copied)
+	assert.False(t, s.IsCopy)
 	require.NoError(t, save(g, "fourth"))
 	assert.ErrorIs(t, save(f, "fifth"), ErrTaken)
 	g = open()
@@ -52,7 +52,7 @@
 		h := open()
 		s := h.Load()
 		assert.Contains(t, string(s.Data), "first", name)
-		assert.Equal(t, name != "kept old", s.Copied, name)
+		assert.Equal(t, name != "kept old", s.IsCopy, name)
 		assert.NoError(t, save(h, "again"), name)
 	}
 }
--- a/internal/coordination/folder/stored_form_test.go
+++ b/internal/coordination/folder/stored_form_test.go
@@ -35,7 +35,7 @@
 		s := f.Load()
 		assert.NoError(t, s.Err)
 		assert.Equal(t, data, string(s.Data))
-		assert.Equal(t, !own, s.Copied)
+		assert.Equal(t, !own, s.IsCopy)
 		done := make(chan error)
 		f.Save([]byte(data), func(err error) { done <- err })
 		require.NoError(t, <-done)
--- a/internal/coordination/state.go
+++ b/internal/coordination/state.go
@@ -10,10 +10,10 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Saved is what a disk holds of an earlier life.
-type Saved struct {
+// SavedState is what a disk holds of an earlier life.
+type SavedState struct {
 	Data   []byte // nil: nothing
-	Copied bool   // what is there was put there by somebody else than Save: a copy, which may be old
+	IsCopy bool   // what is there was put there by somebody else than Save: a copy, which may be old
 	Err    error  // it can't be read
 }
 
@@ -50,7 +50,7 @@
 }
 
 // decode returns the state; there is none where Data is nil. Danger: who comes back with an old copy has forgotten its votes.
-func (saved *Saved) decode() (s state, err error) {
+func (saved *SavedState) decode() (s state, err error) {
 	if saved.Err != nil || saved.Data == nil {
 		return s, saved.Err
 	}
@@ -73,7 +73,7 @@
 	switch {
 	case s.ID == 0 || s.Generation >= 1<<24:
 		return s, errTorn
-	case saved.Copied && len(s.Tenure) > 0:
+	case saved.IsCopy && len(s.Tenure) > 0:
 		return s, errCopied
 	}
 	return s, nil
--- a/internal/coordination/stored_form_test.go
+++ b/internal/coordination/stored_form_test.go
@@ -21,13 +21,13 @@
 		"state_2": s,
 		"state_1": {ID: 1 << 40, Generation: 7},
 	} {
-		back, err := (&Saved{Data: []byte(golden(t, "stored", file))}).decode()
+		back, err := (&SavedState{Data: []byte(golden(t, "stored", file))}).decode()
 		require.NoError(t, err, file)
 		assert.Equal(t, want, back, file)
 	}
-	_, err := (&Saved{Data: []byte(golden(t, "stored", "state_2")), Copied: true}).decode()
+	_, err := (&SavedState{Data: []byte(golden(t, "stored", "state_2")), IsCopy: true}).decode()
 	assert.ErrorIs(t, err, errCopied)
-	_, err = (&Saved{Data: []byte("hazelwheel-peer 3 2 00000000\n{}")}).decode()
+	_, err = (&SavedState{Data: []byte("hazelwheel-peer 3 2 00000000\n{}")}).decode()
 	assert.ErrorIs(t, err, errForm)
 }
 
@@ -36,7 +36,7 @@
 	raw, err := os.ReadFile("folder/testdata/folder/peer")
 	require.NoError(t, err)
 	_, data, _ := bytes.Cut(raw, []byte{'\n'})
-	saved := Saved{Data: data}
+	saved := SavedState{Data: data}
 	s, err := saved.decode()
 	require.NoError(t, err)
 	assert.Equal(t, swim.ID(7474564059039998591), s.ID)
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -72,7 +72,7 @@
 // remember reads what an earlier life of the sidecar has left.
 func (p *Process) remember() {
 	saved := p.folder.Load()
-	if saved.Err == nil && coordination.Usable(saved) != nil {
+	if saved.Err == nil && coordination.ValidateState(saved) != nil {
 		if err := p.folder.Aside(); err != nil {
 			p.log.Error("what was saved can't be put aside", "error", err)
 		}
--- a/internal/sim/ground.go
+++ b/internal/sim/ground.go
@@ -33,9 +33,9 @@
 	denied  int
 	stalls  *rand.Rand
 
-	fleet     *coordination.Node // of the last life; nil: sidecars do not know each other
-	saved     coordination.Saved // on its disk
-	older     [][]byte           // what it held before, the oldest first
+	fleet     *coordination.Node      // of the last life; nil: sidecars do not know each other
+	saved     coordination.SavedState // on its disk
+	older     [][]byte                // what it held before, the oldest first
 	lives     int
 	gone      map[string]uint64 // by identity, the incarnation by which the present life has held one for gone; looked up, never walked
 	goneLife  int
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -95,7 +95,7 @@
 				if s.older = append(s.older, s.saved.Data); len(s.older) > mostOlder {
 					s.older = s.older[1:]
 				}
-				s.saved = coordination.Saved{Data: kept}
+				s.saved = coordination.SavedState{Data: kept}
 			}
 			d.proc.Post(func() { done(err) })
 		}
@@ -309,10 +309,10 @@
 	}
 	switch {
 	case state == environment.Lost:
-		s.saved = coordination.Saved{}
+		s.saved = coordination.SavedState{}
 	case state == environment.Old:
 		if len(s.older) > 0 && s.older[0] != nil {
-			s.saved = coordination.Saved{Data: s.older[0], Copied: true}
+			s.saved = coordination.SavedState{Data: s.older[0], IsCopy: true}
 		}
 	case len(s.saved.Data) > 0:
 		s.saved.Data = s.saved.Data[:len(s.saved.Data)/2]
