--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -65,7 +65,7 @@
 	c.board.Set(processcluster.Rule{Cut: true}, ways...)
 	c.poll("somebody is suspected", func() bool {
 		s, _ := left[0].seen()
-		return slices.ContainsFunc(s.Members, func(m coordination.SeenMember) bool { return m.State != "alive" })
+		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
 	c.board.Set(processcluster.Rule{}, ways...)
 	t.Logf("after a short cut one again after %v", c.agree(c.all...))
@@ -84,7 +84,7 @@
 	c.board.Set(processcluster.Rule{PerS: 10}, ways...)
 	c.poll("somebody is suspected", func() bool {
 		s, _ := c.all[0].seen()
-		return slices.ContainsFunc(s.Members, func(m coordination.SeenMember) bool { return m.State != "alive" })
+		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
 	c.board.Set(processcluster.Rule{}, ways...)
 	t.Logf("agree after %v", c.agree(c.all...))
@@ -133,7 +133,7 @@
 				return false
 			}
 			for _, other := range s.Members {
-				if other.Watched && other.Linked {
+				if other.Monitored && other.Connected {
 					of[other.Name] = append(of[other.Name], m)
 				}
 			}
@@ -252,7 +252,7 @@
 	}
 	for _, m := range lonely.all[:2] {
 		lonely.ready(m.start())
-		var s coordination.Seen
+		var s coordination.Status
 		lonely.poll("it has begun", func() bool { // it serves before its identity is on disk
 			s, _ = m.seen()
 			return s.ID != ""
@@ -302,7 +302,7 @@
 		c.agree(c.all...)
 		assert.Equal(t, k.same, id == m.id(), k.name)
 		s, _ := m.seen()
-		assert.True(t, s.Stored, k.name)
+		assert.True(t, s.IdentityStored, k.name)
 		c.poll(k.name, func() bool { return strings.Contains(m.log.String(), k.says) })
 		if k.says != "" {
 			kept, err := os.ReadFile(file + "-unusable")
@@ -316,7 +316,7 @@
 	c.ready(m)
 	c.agree(c.all...)
 	s, _ := m.seen()
-	assert.False(t, s.Stored)
+	assert.False(t, s.IdentityStored)
 	c.poll("it says so", func() bool { return strings.Contains(m.log.String(), "the identity can't be kept") })
 
 	// A disk that is full: no byte of a file can be written.
@@ -326,7 +326,7 @@
 	c.ready(m)
 	c.agree(c.all...)
 	s, _ = m.seen()
-	assert.False(t, s.Stored)
+	assert.False(t, s.IdentityStored)
 	stop()
 }
 
--- a/cmd/hazelwheel/peers.go
+++ b/cmd/hazelwheel/peers.go
@@ -33,7 +33,7 @@
 		_, err := c.Root().Writer.Write(raw)
 		return err
 	}
-	var s coordination.Seen
+	var s coordination.Status
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return fmt.Errorf("the sidecar's answer makes no sense: %w", err)
 	}
@@ -41,22 +41,22 @@
 	fmt.Fprintln(t, "NAME\tSTATE\tFOR\tADDRESS\tID\tLINKED\tBY")
 	for _, m := range s.Members {
 		linked, by := "", "itself"
-		if m.Linked {
+		if m.Connected {
 			linked = "yes"
 		}
 		if m.ID == s.ID {
 			linked = "this one"
 		}
-		if len(m.By) > 0 {
-			by = strings.Join(m.By, " ")
+		if len(m.AccusedBy) > 0 {
+			by = strings.Join(m.AccusedBy, " ")
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, time.Duration(m.ForS*float64(time.Second)).Round(time.Second), m.Address, m.ID, linked, by)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, time.Duration(m.StateSeconds*float64(time.Second)).Round(time.Second), m.Address, m.ID, linked, by)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	kept := ""
-	if !s.Stored {
+	if !s.IdentityStored {
 		kept = "; its identity does not survive a restart"
 	}
 	_, err = fmt.Fprintf(c.Root().Writer, "fleet %s: %d live; this one is rank %d of %d%s\n", s.Fleet, s.Live, s.Rank, s.Count, kept)
--- a/cmd/hazelwheel/peers_test.go
+++ b/cmd/hazelwheel/peers_test.go
@@ -253,7 +253,7 @@
 }
 
 // seen asks the sidecar at its door who is there; false: it does not say.
-func (m *mate) seen() (s coordination.Seen, ok bool) {
+func (m *mate) seen() (s coordination.Status, ok bool) {
 	if m.frozen.Load() {
 		return s, false
 	}
@@ -262,7 +262,7 @@
 }
 
 // states returns what a sidecar holds of each name; of several identities of one name the one that lives, or else the last.
-func states(s coordination.Seen) map[string]string {
+func states(s coordination.Status) map[string]string {
 	all := map[string]string{}
 	for _, m := range s.Members {
 		if old, ok := all[m.Name]; !ok || old != "alive" {
@@ -273,7 +273,7 @@
 }
 
 // alive returns the names of those whom a sidecar holds for alive, sorted; one that is alive twice stands there twice.
-func alive(s coordination.Seen) (names []string) {
+func alive(s coordination.Status) (names []string) {
 	for _, m := range s.Members {
 		if m.State == "alive" {
 			names = append(names, m.Name)
@@ -303,7 +303,7 @@
 		done := true
 		for _, m := range some {
 			s, ok := m.seen()
-			unsure := slices.ContainsFunc(s.Members, func(m coordination.SeenMember) bool { return m.State == "suspected" })
+			unsure := slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State == "suspected" })
 			if got := alive(s); !ok || unsure || !slices.Equal(got, want) {
 				done, last = false, fmt.Sprintf("%s holds %v alive, wanted %v", m.name, states(s), want)
 				break
--- a/internal/coordination/seen.go
+++ b/internal/coordination/seen.go
@@ -8,59 +8,59 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// Seen is what a sidecar says of its fleet.
-type Seen struct {
-	Fleet   string       `json:"fleet"`
-	ID      string       `json:"id"`
-	Stored  bool         `json:"stored"` // the identity survives a restart
-	Quiet   bool         `json:"quiet,omitempty"`
-	Rank    int          `json:"rank"` // in force
-	Count   int          `json:"count"`
-	Live    int          `json:"live"`
-	Doubts  int          `json:"doubts"` // that it has about itself
-	Sum     string       `json:"sum"`    // of what it holds of all; equal at those that agree
-	View    swim.Stats   `json:"view"`
-	Links   peers.Stats  `json:"peers"`
-	Panics  uint64       `json:"panics,omitempty"`
-	Owners  *SeenOwners  `json:"owners,omitempty"`
-	Members []SeenMember `json:"members"`
-	More    int          `json:"more,omitempty"` // members that are not listed
+// Status is what a sidecar says of its fleet.
+type Status struct {
+	Fleet          string         `json:"fleet"`
+	ID             string         `json:"id"`
+	IdentityStored bool           `json:"stored"` // the identity survives a restart
+	Silenced       bool           `json:"quiet,omitempty"`
+	Rank           int            `json:"rank"` // in force
+	Count          int            `json:"count"`
+	Live           int            `json:"live"`
+	HealthScore    int            `json:"doubts"` // that it has about itself
+	Checksum       string         `json:"sum"`    // of what it holds of all; equal at those that agree
+	View           swim.Stats     `json:"view"`
+	Links          peers.Stats    `json:"peers"`
+	Panics         uint64         `json:"panics,omitempty"`
+	Leases         *SeenOwners    `json:"owners,omitempty"`
+	Members        []MemberStatus `json:"members"`
+	OmittedMembers int            `json:"more,omitempty"` // members that are not listed
 }
 
-// SeenMember is what is held of one.
-type SeenMember struct {
-	ID          string   `json:"id"`
-	Name        string   `json:"name"`
-	Address     string   `json:"address"`
-	State       string   `json:"state"`
-	Incarnation uint64   `json:"incarnation"`
-	ForS        float64  `json:"for_s"`
-	By          []string `json:"by,omitempty"` // whose word it is; none: its own
-	Linked      bool     `json:"linked,omitempty"`
-	Watched     bool     `json:"watched,omitempty"` // this sidecar notices its silence
+// MemberStatus is what is held of one.
+type MemberStatus struct {
+	ID           string   `json:"id"`
+	Name         string   `json:"name"`
+	Address      string   `json:"address"`
+	State        string   `json:"state"`
+	Incarnation  uint64   `json:"incarnation"`
+	StateSeconds float64  `json:"for_s"`
+	AccusedBy    []string `json:"by,omitempty"` // whose word it is; none: its own
+	Connected    bool     `json:"linked,omitempty"`
+	Monitored    bool     `json:"watched,omitempty"` // this sidecar notices its silence
 }
 
-// Seen returns what this sidecar knows, of so many members at most.
-func (f *Node) Seen(most int) (s Seen) {
+// Status returns what this sidecar knows, of so many members at most.
+func (f *Node) Status(most int) (s Status) {
 	if f.view == nil {
-		return Seen{Fleet: f.o.Name}
+		return Status{Fleet: f.o.Name}
 	}
 	rank, count := f.part.Current()
 	self := f.view.Self()
-	s = Seen{Fleet: f.o.Name, ID: self.ID.String(), Stored: f.stored, Quiet: f.view.HasLostIdentity() || f.hushed, Rank: rank, Count: count,
-		Live: f.view.LiveCount(), Doubts: f.view.HealthScore(), Sum: swim.ID(f.view.Digest()).String(), View: f.view.Stats(), Links: f.peers.Stats(), Panics: f.panics}
+	s = Status{Fleet: f.o.Name, ID: self.ID.String(), IdentityStored: f.stored, Silenced: f.view.HasLostIdentity() || f.hushed, Rank: rank, Count: count,
+		Live: f.view.LiveCount(), HealthScore: f.view.HealthScore(), Checksum: swim.ID(f.view.Digest()).String(), View: f.view.Stats(), Links: f.peers.Stats(), Panics: f.panics}
 	if f.owners != nil {
-		s.Owners = f.owners.seen()
+		s.Leases = f.owners.seen()
 	}
 	for m := range f.view.Members {
 		if len(s.Members) >= most {
-			s.More++
+			s.OmittedMembers++
 			continue
 		}
-		e := SeenMember{ID: m.ID.String(), Name: m.Name, Address: m.Address, State: m.State.String(), Incarnation: m.Version.Incarnation,
-			ForS: math.Round(10*m.StateAgeSeconds) / 10, Linked: m.IsLinked, Watched: m.IsNeighbor}
+		e := MemberStatus{ID: m.ID.String(), Name: m.Name, Address: m.Address, State: m.State.String(), Incarnation: m.Version.Incarnation,
+			StateSeconds: math.Round(10*m.StateAgeSeconds) / 10, Connected: m.IsLinked, Monitored: m.IsNeighbor}
 		for _, by := range m.Accusers {
-			e.By = append(e.By, by.String())
+			e.AccusedBy = append(e.AccusedBy, by.String())
 		}
 		s.Members = append(s.Members, e)
 	}
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -79,7 +79,7 @@
 		file  string
 		value any
 	}{
-		{"peers", filled[Seen]()},
+		{"peers", filled[Status]()},
 		{"owners", filled[SeenOwners]()},
 		{"works", filled[SeenWorks]()},
 		{"report", filled[Report]()},
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -50,9 +50,9 @@
 		join := slices.DeleteFunc(slices.Clone(on.Join), func(a string) bool { return a == on.Advertise || a == on.Listen })
 		p.askFirst = func() { p.ask(on.Name, cfg.Name, join[:min(len(join), mostAsked)]) }
 	}
-	p.ShowFleet(func() any { return p.fleet.Seen(mostCounted) }, p.fleet)
+	p.ShowFleet(func() any { return p.fleet.Status(mostCounted) }, p.fleet)
 	if p.door != nil {
-		p.door.Peers = func() []byte { return line(p.fleet.Seen(mostAtDoor)) }
+		p.door.Peers = func() []byte { return line(p.fleet.Status(mostAtDoor)) }
 	}
 	if p.door != nil && len(on.Electors) > 0 {
 		p.door.Owners = p.owners()
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -341,7 +341,7 @@
 	calm := now - d.troubledAt
 	up := 0
 	byID := map[string]*instance{} // looked up, never walked
-	seen := make([]coordination.Seen, len(d.sidecars))
+	seen := make([]coordination.Status, len(d.sidecars))
 	for i, s := range d.sidecars {
 		if s.proc == nil || !s.proc.Alive() || s.termed || s.frozen {
 			if s.downAt == 0 {
@@ -353,7 +353,7 @@
 			s.downAt, s.upAt, d.troubledAt, calm = 0, now, now, 0
 		}
 		up++
-		seen[i] = s.fleet.Seen(len(d.sidecars) * 20)
+		seen[i] = s.fleet.Status(len(d.sidecars) * 20)
 		byID[seen[i].ID] = s
 		d.lookForRisen(s, &seen[i])
 		d.lookForOld(s, &seen[i])
@@ -400,7 +400,7 @@
 }
 
 // lookForRisen tells the judge of one that a process held for gone and that lives again as it was.
-func (d *day) lookForRisen(s *instance, seen *coordination.Seen) {
+func (d *day) lookForRisen(s *instance, seen *coordination.Status) {
 	if s.goneLife != s.lives {
 		s.gone, s.goneLife = map[string]uint64{}, s.lives
 	}
@@ -416,11 +416,11 @@
 }
 
 // lookForOld tells the judge of one that has taken an old owner's effect.
-func (d *day) lookForOld(s *instance, seen *coordination.Seen) {
-	if seen.Owners == nil || d.wrong {
+func (d *day) lookForOld(s *instance, seen *coordination.Status) {
+	if seen.Leases == nil || d.wrong {
 		return
 	}
-	for _, j := range seen.Owners.Jobs {
+	for _, j := range seen.Leases.Jobs {
 		if !slices.IsSorted(j.Tokens) {
 			d.wrong = true
 			d.see(checker.Event{Kind: checker.FleetWrong, Sidecar: int32(s.number), Status: checker.TokenWrong,
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/troubles_test.go
@@ -16,7 +16,7 @@
 	const seed, at = 3, 6.0
 	last := func(d *day) *instance { return d.sidecars[len(d.sidecars)-1] }
 	seen := func(d *day) (of string) {
-		for _, m := range d.sidecars[0].fleet.Seen(99).Members {
+		for _, m := range d.sidecars[0].fleet.Status(99).Members {
 			if m.Name == last(d).spec.Name {
 				of = m.State
 			}
@@ -31,10 +31,10 @@
 		does   func(d *day) bool
 	}{
 		{"peer-slow", []environment.Trouble{{Kind: environment.PeerSlow, AtS: at, ForS: 4, From: []int{0}, PerS: 10}}, nil, func(d *day) bool {
-			return d.sidecars[0].fleet.Seen(0).View.Accusations > 0
+			return d.sidecars[0].fleet.Status(0).View.Accusations > 0
 		}},
 		{"disk-full", []environment.Trouble{{Kind: environment.DiskFull, AtS: at, ForS: 5, Sidecars: []int{0}}}, []environment.Trouble{kill}, func(d *day) bool {
-			return !d.sidecars[0].fleet.Seen(0).Stored
+			return !d.sidecars[0].fleet.Status(0).IdentityStored
 		}},
 		{"clock", []environment.Trouble{{Kind: environment.Clock, AtS: at, ForS: 10, Sidecars: []int{0}, Rate: 1.05}}, nil, func(d *day) bool {
 			ahead := d.sidecars[0].proc.Now() - d.net.Now()
