--- a/cmd/hazelwheel/jobs_test.go
+++ b/cmd/hazelwheel/jobs_test.go
@@ -164,7 +164,7 @@
 			if !ok || s.Lists == nil {
 				return false
 			}
-			if slices.ContainsFunc(s.Jobs, func(j coordination.SeenJob) bool { return strings.HasPrefix(j.Job, "list") && j.Held != 0 }) {
+			if slices.ContainsFunc(s.Roles, func(j coordination.RoleStatus) bool { return strings.HasPrefix(j.Role, "list") && j.HeldToken != 0 }) {
 				owners = append(owners, m)
 			} else if !s.Lists.Fed {
 				return false
@@ -268,7 +268,7 @@
 		c.poll("one owns the drills", func() bool {
 			for _, m := range some {
 				s, _ := m.owners()
-				if slices.ContainsFunc(s.Jobs, func(j coordination.SeenJob) bool { return j.Job == "drill" && j.Held != 0 }) {
+				if slices.ContainsFunc(s.Roles, func(j coordination.RoleStatus) bool { return j.Role == "drill" && j.HeldToken != 0 }) {
 					found = m
 				}
 			}
@@ -288,7 +288,7 @@
 	out, code := start(drillSecret)
 	require.Zero(t, code, out)
 	began := time.Now()
-	drills := func(m *mate) []coordination.SeenDrill { s, _ := m.owners(); return s.Drills }
+	drills := func(m *mate) []coordination.SeenDrill { s, _ := m.owners(); return s.Faults }
 	c.poll("it runs at all", func() bool {
 		return !slices.ContainsFunc(c.all, func(m *mate) bool { d := drills(m); return len(d) != 1 || d[0].LeftS == 0 || !d[0].Told })
 	})
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -69,7 +69,7 @@
 }
 
 // owners asks the sidecar at its door who owns what; false: it does not say.
-func (m *mate) owners() (s coordination.SeenOwners, ok bool) {
+func (m *mate) owners() (s coordination.LeaseStatus, ok bool) {
 	if m.frozen.Load() || m.cmd == nil {
 		return s, false
 	}
@@ -78,7 +78,7 @@
 }
 
 // job returns what a sidecar knows of the job "report".
-func (m *mate) job() coordination.SeenJob { return m.jobOf("report") }
+func (m *mate) job() coordination.RoleStatus { return m.jobOf("report") }
 
 // report returns the last report that a sidecar knows.
 func (m *mate) report() (r coordination.Report) {
@@ -94,8 +94,8 @@
 	c.poll("one owns the job", func() bool {
 		owner, token = nil, 0
 		for _, m := range some {
-			if j := m.job(); j.Held > above {
-				owner, token = m, j.Held
+			if j := m.job(); j.HeldToken > above {
+				owner, token = m, j.HeldToken
 			}
 		}
 		if owner == nil {
@@ -103,10 +103,10 @@
 		}
 		for _, m := range some {
 			j := m.job()
-			if !slices.IsSorted(j.Tokens) {
-				assert.Fail(c, "tokens that were taken go back", "%s: %v", m.name, j.Tokens)
+			if !slices.IsSorted(j.AcceptedTokens) {
+				assert.Fail(c, "tokens that were taken go back", "%s: %v", m.name, j.AcceptedTokens)
 			}
-			if j.Name != owner.name || j.Token != token || !m.plain && j.Seen != token {
+			if j.OwnerName != owner.name || j.Token != token || !m.plain && j.MaxToken != token {
 				return false
 			}
 		}
@@ -146,7 +146,7 @@
 	c.poll("one leads", func() bool {
 		leader = nil
 		for _, m := range some {
-			if s, ok := m.owners(); ok && s.Here.IsLeader {
+			if s, ok := m.owners(); ok && s.Local.IsLeader {
 				leader = m
 			}
 		}
@@ -199,7 +199,7 @@
 	stop := c.serveAll()
 	refused := func(some ...*mate) (n uint64) {
 		for _, m := range some {
-			n += m.job().Refused
+			n += m.job().Rejected
 		}
 		return n
 	}
@@ -225,12 +225,12 @@
 		}
 		later := uint64(0)
 		c.poll("another acts", func() bool {
-			later = others[0].job().Seen
-			return later > token && !slices.ContainsFunc(others[1:], func(m *mate) bool { return m.job().Seen < later })
+			later = others[0].job().MaxToken
+			return later > token && !slices.ContainsFunc(others[1:], func(m *mate) bool { return m.job().MaxToken < later })
 		})
 		owner.log.forget()
 		owner.thaw()
-		c.poll("it knows", func() bool { j := owner.job(); return j.Held != token && j.Seen >= later })
+		c.poll("it knows", func() bool { j := owner.job(); return j.HeldToken != token && j.MaxToken >= later })
 		c.poll("it says so", func() bool { return strings.Contains(owner.log.String(), "no longer the owner of a job") })
 		c.owner(later-1, c.all...)
 		if refused(others...) > before {
@@ -276,7 +276,7 @@
 			ways := cut(c, owner, electors, others)
 			c.board.Set(processcluster.Rule{Cut: true}, ways...)
 			_, later := c.took(name, token, c.without(owner)...)
-			c.poll("the old one has ended its job", func() bool { return owner.job().Held != token })
+			c.poll("the old one has ended its job", func() bool { return owner.job().HeldToken != token })
 			c.board.Set(processcluster.Rule{}, ways...)
 			c.owner(later-1, c.all...)
 			stop()
@@ -325,7 +325,7 @@
 	_, later := c.took("held", token, c.without(owner)...)
 	c.poll("the old one has ended its job", func() bool {
 		j, told := owner.toldOf("report")
-		return told && j.Held == 0
+		return told && j.HeldToken == 0
 	})
 	c.poll("the new one acts", func() bool {
 		r := c.without(owner)[0].report()
@@ -367,7 +367,7 @@
 	assert.Equal(t, frames.KindRejected, e.Kind)
 	assert.GreaterOrEqual(t, e.Token, later)
 	after := victim.job()
-	assert.Greater(t, after.Refused, before.Refused)
+	assert.Greater(t, after.Rejected, before.Rejected)
 	c.poll("it says so", func() bool { return strings.Contains(victim.log.String(), "an old owner's effect is refused") })
 	stop()
 }
@@ -432,7 +432,7 @@
 			}
 		}
 		c.poll("nobody acts any more", func() bool {
-			return !slices.ContainsFunc(c.without(away...), func(m *mate) bool { return m.job().Held != 0 })
+			return !slices.ContainsFunc(c.without(away...), func(m *mate) bool { return m.job().HeldToken != 0 })
 		})
 		time.Sleep(4 * time.Second) // the trouble itself: the lease of one that is away ends, too
 		for _, m := range away {
@@ -443,7 +443,7 @@
 			}
 		}
 		c.ready(away...)
-		if slices.ContainsFunc(away, func(m *mate) bool { return m.job().Held == token }) {
+		if slices.ContainsFunc(away, func(m *mate) bool { return m.job().HeldToken == token }) {
 			assert.Fail(t, "a lease has outlived a majority", how)
 		}
 		c.took("a majority was "+how, token, c.all...)
@@ -501,7 +501,7 @@
 	// Two of three are left of the electors, and a new one takes the place of who it was.
 	c.poll("an elector is replaced", func() bool {
 		s, _ := c.all[0].owners()
-		return len(s.Electors) == 3 && !slices.ContainsFunc(s.Electors, func(e coordination.SeenElector) bool { return e.State != "alive" || e.ID == was })
+		return len(s.Voters) == 3 && !slices.ContainsFunc(s.Voters, func(e coordination.VoterStatus) bool { return e.State != "alive" || e.ID == was })
 	})
 	for _, k := range []struct {
 		name  string
@@ -535,13 +535,13 @@
 	assert.Contains(t, text, "OK")
 	c.poll("it says that it does not vote", func() bool {
 		s, ok := full.owners()
-		return ok && s.Here.PersistFailed && !s.Here.IsLeader
+		return ok && s.Local.PersistFailed && !s.Local.IsLeader
 	})
 	c.took("the leader's disk is full", token, c.all...)
 	limit(unix.RLIM_INFINITY)
 	c.poll("it votes again", func() bool {
 		s, ok := full.owners()
-		return ok && !s.Here.PersistFailed
+		return ok && !s.Local.PersistFailed
 	})
 	comeBack(c.all[1], "a disk that was set back as a whole", "goes on under another identity", false, func(file string, raw []byte) {
 		head, _, _ := bytes.Cut(raw, []byte{'\n'})
@@ -558,13 +558,15 @@
 	stop := c.serveAll()
 	_, token := c.owner(0, c.all...)
 	for _, m := range c.all {
-		mine := m.job().Held != 0
+		mine := m.job().HeldToken != 0
 		m.gone.Store(true)
 		at := time.Now()
 		m.signal(syscall.SIGTERM)
 		if mine {
 			others := c.without(m)
-			c.poll("another owns the job", func() bool { return slices.ContainsFunc(others, func(m *mate) bool { return m.job().Held > token }) })
+			c.poll("another owns the job", func() bool {
+				return slices.ContainsFunc(others, func(m *mate) bool { return m.job().HeldToken > token })
+			})
 			gap := time.Since(at)
 			t.Logf("%s gave the job up: another had it after %v", m.name, gap.Round(time.Millisecond))
 			assert.Less(t, gap, 5*time.Second)
@@ -594,12 +596,12 @@
 		rest := slices.DeleteFunc(slices.Clone(able), func(m *mate) bool { return m.gone.Load() })
 		c.pollFor(90*time.Second, "those that have gone are no electors", func() bool {
 			s, ok := left[0].owners()
-			return ok && !slices.ContainsFunc(s.Electors, func(e coordination.SeenElector) bool { return e.State != "alive" })
+			return ok && !slices.ContainsFunc(s.Voters, func(e coordination.VoterStatus) bool { return e.State != "alive" })
 		})
 		_, token = c.owner(token-1, rest...)
 	}
 	s, _ := left[0].owners()
-	assert.Len(t, s.Electors, 3)
+	assert.Len(t, s.Voters, 3)
 	owner, token := c.owner(0, left...)
 	owner.kill()
 	c.took("killed, of three", token, slices.DeleteFunc(slices.Clone(left), func(m *mate) bool { return m == owner })...)
--- a/cmd/hazelwheel/owners.go
+++ b/cmd/hazelwheel/owners.go
@@ -45,20 +45,20 @@
 	}
 }
 
-func writeOwners(t *tabwriter.Writer, s *coordination.SeenOwners) {
+func writeOwners(t *tabwriter.Writer, s *coordination.LeaseStatus) {
 	fmt.Fprintln(t, "JOB\tOWNER\tID\tTOKEN\tHERE\tTAKEN\tREFUSED")
-	for _, j := range s.Jobs {
-		owner, here := j.Name, ""
+	for _, j := range s.Roles {
+		owner, here := j.OwnerName, ""
 		if j.Owner == "" {
 			owner = "nobody"
 		}
 		switch {
-		case j.Held != 0:
+		case j.HeldToken != 0:
 			here = "owned"
-		case j.Can:
+		case j.Capable:
 			here = "can"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\n", j.Job, owner, j.Owner, tokenText(j.Token), here, j.Taken, j.Refused)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\n", j.Role, owner, j.Owner, tokenText(j.Token), here, j.Accepted, j.Rejected)
 	}
 	switch {
 	case s.Epoch == 0:
@@ -66,17 +66,17 @@
 	case s.Leader == nil:
 		fmt.Fprintln(t, "no leader is known")
 	}
-	if s.Unwilling != "" {
-		fmt.Fprintf(t, "this sidecar works for no others: it is %s\n", s.Unwilling)
+	if s.IneligibleReason != "" {
+		fmt.Fprintf(t, "this sidecar works for no others: it is %s\n", s.IneligibleReason)
 	}
 }
 
 // tokenText writes a token as its epoch and its number in it.
 func tokenText(token uint64) string { return fmt.Sprintf("%d.%d", token>>40, token&(1<<40-1)) }
 
-func writeElectors(t *tabwriter.Writer, s *coordination.SeenOwners) {
+func writeElectors(t *tabwriter.Writer, s *coordination.LeaseStatus) {
 	fmt.Fprintln(t, "NAME\tSTATE\tADDRESS\tID\tLEADS")
-	for _, e := range s.Electors {
+	for _, e := range s.Voters {
 		leads := ""
 		if s.Leader != nil && s.Leader.ID == e.ID {
 			leads = "yes"
@@ -84,7 +84,7 @@
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", e.Name, e.State, e.Address, e.ID, leads)
 	}
 	fmt.Fprintf(t, "epoch %d, term %d, log %d\n", s.Epoch, s.Term, s.Index)
-	if s.Here.PersistFailed {
+	if s.Local.PersistFailed {
 		fmt.Fprintln(t, "this sidecar does not vote: what it promises can't be kept on its disk")
 	}
 }
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -292,7 +292,7 @@
 	y.poll("one settles the order", func() bool {
 		owner = nil
 		for _, m := range some {
-			if j := m.jobOf("works"); j.Held != 0 {
+			if j := m.jobOf("works"); j.HeldToken != 0 {
 				owner = m
 			}
 		}
@@ -302,16 +302,16 @@
 }
 
 // jobOf returns what a sidecar knows of a job; nothing where its door does not answer.
-func (m *mate) jobOf(name string) coordination.SeenJob {
+func (m *mate) jobOf(name string) coordination.RoleStatus {
 	j, _ := m.toldOf(name)
 	return j
 }
 
 // toldOf does so, and tells whether the door has answered: without an answer nothing is known of who owns the job.
-func (m *mate) toldOf(name string) (j coordination.SeenJob, told bool) {
+func (m *mate) toldOf(name string) (j coordination.RoleStatus, told bool) {
 	s, told := m.owners()
-	for _, k := range s.Jobs {
-		if k.Job == name {
+	for _, k := range s.Roles {
+		if k.Role == name {
 			j = k
 		}
 	}
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -428,7 +428,7 @@
 	y.poll("nobody settles anything", func() bool {
 		return !slices.ContainsFunc(left, func(m *mate) bool {
 			j, told := m.toldOf("works")
-			return !told || j.Held != 0
+			return !told || j.HeldToken != 0
 		})
 	})
 	bob, ends := y.mechanic("bob", nil)
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -84,7 +84,7 @@
 			return true
 		}
 		s := y.newest()
-		moved = s.Plans[len(s.Plans)-1].Ended || slices.ContainsFunc(y.without(owner), func(m *mate) bool { return m.jobOf("works").Held != 0 })
+		moved = s.Plans[len(s.Plans)-1].Ended || slices.ContainsFunc(y.without(owner), func(m *mate) bool { return m.jobOf("works").HeldToken != 0 })
 		return moved
 	})
 	if !moved || os.Remove(filepath.Join(owner.tmp, "step")) != nil { // it is there just now
@@ -204,7 +204,7 @@
 			y.poll("the old one knows", func() bool {
 				s, ok := old.works()
 				j, told := old.toldOf("works")
-				return ok && told && len(s.Plans) > 0 && s.Plans[len(s.Plans)-1].Ended && j.Held != token
+				return ok && told && len(s.Plans) > 0 && s.Plans[len(s.Plans)-1].Ended && j.HeldToken != token
 			})
 			tokens := map[uint64]bool{}
 			for _, r := range y.records() {
--- a/internal/coordination/owner_test.go
+++ b/internal/coordination/owner_test.go
@@ -24,6 +24,6 @@
 	f := &Node{net: &standing{now: 100}, o: Options{Rand: rand.New(rand.NewPCG(1, 1))}}
 	o := &owners{f: f, jobs: []*job{{name: "report", held: 7}}}
 	require.NoError(t, o.begin(1, nil))
-	assert.Zero(t, o.seen().Jobs[0].Held)
+	assert.Zero(t, o.seen().Roles[0].HeldToken)
 	assert.False(t, o.spread("report", 1, nil))
 }
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -357,11 +357,11 @@
 
 // Report returns the last report that was heard. Where none was, the error names the owner.
 func (f *Node) Report() (rep Report, err error) {
-	seen, err := f.Owners()
+	seen, err := f.LeaseStatus()
 	if err != nil {
 		return rep, err
 	}
-	i := slices.IndexFunc(seen.Jobs, func(j SeenJob) bool { return j.Job == reportName })
+	i := slices.IndexFunc(seen.Roles, func(j RoleStatus) bool { return j.Role == reportName })
 	if i < 0 {
 		return rep, errNoReport
 	}
@@ -370,13 +370,13 @@
 		rep.AgeS = math.Round(10*(f.net.Now()-r.lastAt)) / 10
 		return rep, nil
 	}
-	switch j := seen.Jobs[i]; {
+	switch j := seen.Roles[i]; {
 	case j.Owner == "":
 		return rep, errNoReport
-	case !j.Can:
-		return rep, fmt.Errorf("this sidecar takes no part in reports: ask %s (%s), which makes them", j.Name, j.Owner)
+	case !j.Capable:
+		return rep, fmt.Errorf("this sidecar takes no part in reports: ask %s (%s), which makes them", j.OwnerName, j.Owner)
 	default:
-		return rep, fmt.Errorf("no report has come yet from %s (%s), which makes them", j.Name, j.Owner)
+		return rep, fmt.Errorf("no report has come yet from %s (%s), which makes them", j.OwnerName, j.Owner)
 	}
 }
 
--- a/internal/coordination/seen.go
+++ b/internal/coordination/seen.go
@@ -22,7 +22,7 @@
 	View           swim.Stats     `json:"view"`
 	Links          peers.Stats    `json:"peers"`
 	Panics         uint64         `json:"panics,omitempty"`
-	Leases         *SeenOwners    `json:"owners,omitempty"`
+	Leases         *LeaseStatus   `json:"owners,omitempty"`
 	Members        []MemberStatus `json:"members"`
 	OmittedMembers int            `json:"more,omitempty"` // members that are not listed
 }
--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -10,42 +10,42 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// SeenOwners is what a sidecar knows of who owns what.
-type SeenOwners struct {
-	Epoch     uint64        `json:"epoch"` // of the electors' founding; 0: none is known
-	Index     uint64        `json:"index"` // of their log up to which this holds
-	Term      uint64        `json:"term"`
-	Leader    *SeenElector  `json:"leader,omitempty"`
-	Electors  []SeenElector `json:"electors,omitempty"`
-	Jobs      []SeenJob     `json:"jobs,omitempty"`
-	Unwilling string        `json:"unwilling,omitempty"` // why this sidecar does nothing for others
-	Lists     *ListCounts   `json:"lists,omitempty"`
-	Drills    []SeenDrill   `json:"drills,omitempty"` // of the whole fleet, also such as have ended
-	Here      lease.Stats   `json:"here"`
+// LeaseStatus is what a sidecar knows of who owns what.
+type LeaseStatus struct {
+	Epoch            uint64        `json:"epoch"` // of the electors' founding; 0: none is known
+	Index            uint64        `json:"index"` // of their log up to which this holds
+	Term             uint64        `json:"term"`
+	Leader           *VoterStatus  `json:"leader,omitempty"`
+	Voters           []VoterStatus `json:"electors,omitempty"`
+	Roles            []RoleStatus  `json:"jobs,omitempty"`
+	IneligibleReason string        `json:"unwilling,omitempty"` // why this sidecar does nothing for others
+	Lists            *ListCounts   `json:"lists,omitempty"`
+	Faults           []SeenDrill   `json:"drills,omitempty"` // of the whole fleet, also such as have ended
+	Local            lease.Stats   `json:"here"`
 }
 
-// SeenElector is one that agrees on who owns what.
-type SeenElector struct {
+// VoterStatus is one that agrees on who owns what.
+type VoterStatus struct {
 	ID      string `json:"id"`
 	Name    string `json:"name,omitempty"` // empty: it is not known who that is
 	Address string `json:"address,omitempty"`
 	State   string `json:"state"`
 }
 
-// SeenJob is one that is owned, was, or was heard of.
-type SeenJob struct {
-	Job     string   `json:"job"`
-	Token   uint64   `json:"token"`               // of the last grant that is known
-	Owner   string   `json:"owner,omitempty"`     // its id; empty: nobody's
-	Name    string   `json:"name,omitempty"`      // of the owner
-	Held    uint64   `json:"held,omitempty"`      // the token under which this sidecar acts
-	Seen    uint64   `json:"seen,omitempty"`      // the greatest token of an effect
-	Taken   uint64   `json:"taken,omitempty"`     // effects
-	Refused uint64   `json:"refused,omitempty"`   // effects of a token that was too low
-	Foolish uint64   `json:"senseless,omitempty"` // effects whose body made no sense
-	Tokens  []uint64 `json:"taken_of,omitempty"`  // of the effects that were taken last, as they changed
-	Can     bool     `json:"can"`                 // this sidecar can do it
-	AgeS    float64  `json:"report_s,omitempty"`  // since the last report, of that job
+// RoleStatus is one that is owned, was, or was heard of.
+type RoleStatus struct {
+	Role             string   `json:"job"`
+	Token            uint64   `json:"token"`               // of the last grant that is known
+	Owner            string   `json:"owner,omitempty"`     // its id; empty: nobody's
+	OwnerName        string   `json:"name,omitempty"`      // of the owner
+	HeldToken        uint64   `json:"held,omitempty"`      // the token under which this sidecar acts
+	MaxToken         uint64   `json:"seen,omitempty"`      // the greatest token of an effect
+	Accepted         uint64   `json:"taken,omitempty"`     // effects
+	Rejected         uint64   `json:"refused,omitempty"`   // effects of a token that was too low
+	Malformed        uint64   `json:"senseless,omitempty"` // effects whose body made no sense
+	AcceptedTokens   []uint64 `json:"taken_of,omitempty"`  // of the effects that were taken last, as they changed
+	Capable          bool     `json:"can"`                 // this sidecar can do it
+	ReportAgeSeconds float64  `json:"report_s,omitempty"`  // since the last report, of that job
 }
 
 // known returns what the decisions say. Who can't keep what it promises leads nobody, whatever it was when it last could.
@@ -58,58 +58,58 @@
 }
 
 // seen tells what is known.
-func (o *owners) seen() *SeenOwners {
-	s := &SeenOwners{Unwilling: o.why}
+func (o *owners) seen() *LeaseStatus {
+	s := &LeaseStatus{IneligibleReason: o.why}
 	if o.lists != nil {
 		s.Lists = o.lists.seen()
 	}
 	if o.drills != nil {
-		s.Drills = o.drills.seen()
+		s.Faults = o.drills.seen()
 	}
 	table, here := o.known()
-	s.Here = here
+	s.Local = here
 	s.Epoch, s.Index, s.Term = table.Epoch, table.Index, table.Term
 	if table.Leader != 0 {
 		e := o.elector(table.Leader)
 		s.Leader = &e
 	}
 	for _, id := range table.Voters {
-		s.Electors = append(s.Electors, o.elector(id))
+		s.Voters = append(s.Voters, o.elector(id))
 	}
 	for _, g := range table.Grants {
 		o.job(g.Role)
 	}
 	for _, j := range o.jobs {
-		e := SeenJob{Job: j.name, Held: o.actsUnder(j), Taken: j.taken, Refused: j.refused, Foolish: j.foolish, Can: j.work != nil}
+		e := RoleStatus{Role: j.name, HeldToken: o.actsUnder(j), Accepted: j.taken, Rejected: j.refused, Malformed: j.foolish, Capable: j.work != nil}
 		for _, g := range table.Grants {
 			if g.Role == j.name {
 				if e.Token = g.Token; g.Holder != 0 {
 					who := o.elector(g.Holder)
-					e.Owner, e.Name = who.ID, who.Name
+					e.Owner, e.OwnerName = who.ID, who.Name
 				}
 			}
 		}
 		for _, g := range o.greatest.Highest() {
 			if g.Role == j.name {
-				e.Seen = g.Token
+				e.MaxToken = g.Token
 			}
 		}
 		for i := range j.tokens {
 			if token := j.tokens[(j.tokensAt+1+i)%len(j.tokens)]; token != 0 {
-				e.Tokens = append(e.Tokens, token)
+				e.AcceptedTokens = append(e.AcceptedTokens, token)
 			}
 		}
 		if r, ok := j.work.(*reporter); ok && r.last != nil {
-			e.AgeS = math.Round(10*(o.f.net.Now()-r.lastAt)) / 10
+			e.ReportAgeSeconds = math.Round(10*(o.f.net.Now()-r.lastAt)) / 10
 		}
-		s.Jobs = append(s.Jobs, e)
+		s.Roles = append(s.Roles, e)
 	}
 	return s
 }
 
 // elector says who a member is.
-func (o *owners) elector(id swim.ID) SeenElector {
-	e := SeenElector{ID: id.String(), State: "unknown"}
+func (o *owners) elector(id swim.ID) VoterStatus {
+	e := VoterStatus{ID: id.String(), State: "unknown"}
 	for m := range o.f.view.Members {
 		if m.ID == id {
 			e.Name, e.Address, e.State = m.Name, m.Address, m.State.String()
@@ -155,8 +155,8 @@
 // ErrNoOwners is the answer where nobody owns anything.
 var ErrNoOwners = errors.New("this sidecar's fleet has no electors")
 
-// Owners returns what is known of who owns what.
-func (f *Node) Owners() (*SeenOwners, error) {
+// LeaseStatus returns what is known of who owns what.
+func (f *Node) LeaseStatus() (*LeaseStatus, error) {
 	if f.owners == nil || f.view == nil {
 		return nil, ErrNoOwners
 	}
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -80,7 +80,7 @@
 		value any
 	}{
 		{"peers", filled[Status]()},
-		{"owners", filled[SeenOwners]()},
+		{"owners", filled[LeaseStatus]()},
 		{"works", filled[SeenWorks]()},
 		{"report", filled[Report]()},
 	} {
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -107,7 +107,7 @@
 // owners are the door's calls about who owns what.
 func (p *Process) owners() *admin.Owners {
 	owners := func() ([]byte, error) {
-		seen, err := p.fleet.Owners()
+		seen, err := p.fleet.LeaseStatus()
 		return line(seen), err
 	}
 	return &admin.Owners{Owners: owners, Electors: owners, StepDown: p.fleet.StepDown, Report: func() ([]byte, error) {
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -420,13 +420,13 @@
 	if seen.Leases == nil || d.wrong {
 		return
 	}
-	for _, j := range seen.Leases.Jobs {
-		if !slices.IsSorted(j.Tokens) {
+	for _, j := range seen.Leases.Roles {
+		if !slices.IsSorted(j.AcceptedTokens) {
 			d.wrong = true
 			d.see(checker.Event{Kind: checker.FleetWrong, Sidecar: int32(s.number), Status: checker.TokenWrong,
-				Text: fmt.Sprintf("%s has taken effects of %s under the tokens %v", s.spec.Name, j.Job, j.Tokens)})
+				Text: fmt.Sprintf("%s has taken effects of %s under the tokens %v", s.spec.Name, j.Role, j.AcceptedTokens)})
 		}
-		d.granted = max(d.granted, j.Seen)
+		d.granted = max(d.granted, j.MaxToken)
 	}
 }
 
