--- a/cmd/hazelwheel/jobs_test.go
+++ b/cmd/hazelwheel/jobs_test.go
@@ -143,7 +143,7 @@
 	return c, c.serveAll()
 }
 
-func (m *mate) lists() (l coordination.ListCounts) {
+func (m *mate) lists() (l coordination.ListStats) {
 	if s, ok := m.owners(); ok && s.Lists != nil {
 		l = *s.Lists
 	}
@@ -166,7 +166,7 @@
 			}
 			if slices.ContainsFunc(s.Roles, func(j coordination.RoleStatus) bool { return strings.HasPrefix(j.Role, "list") && j.HeldToken != 0 }) {
 				owners = append(owners, m)
-			} else if !s.Lists.Fed {
+			} else if !s.Lists.Relayed {
 				return false
 			}
 		}
@@ -203,8 +203,8 @@
 	oldest := 0.0
 	c.poll("there is a third", func() bool {
 		for _, m := range left {
-			if l := m.lists(); l.Passed == 0 {
-				oldest = max(oldest, l.AgeS)
+			if l := m.lists(); l.UpdatesSent == 0 {
+				oldest = max(oldest, l.AgeSeconds)
 			}
 		}
 		watches, _ := c.registry.state()
@@ -213,10 +213,10 @@
 	c.fed("after the kill", left...)
 	c.know(c.registry.publish(c.server.endpoint(), false), left...)
 	for _, m := range left {
-		if l := m.lists(); l.Passed == 0 {
-			assert.Zero(t, l.Starved, m.name)
+		if l := m.lists(); l.UpdatesSent == 0 {
+			assert.Zero(t, l.Stale, m.name)
 		}
-		assert.Zero(t, m.lists().Disagreed, m.name)
+		assert.Zero(t, m.lists().Mismatches, m.name)
 	}
 	assert.Less(t, oldest, 5.0)
 	t.Logf("news was %.1f s old at most", oldest)
@@ -228,7 +228,7 @@
 	c, stop := newListeners(t)
 	c.registry.fail(true)
 	c.poll("nobody is fed", func() bool {
-		return !slices.ContainsFunc(c.all, func(m *mate) bool { return m.lists().Fed })
+		return !slices.ContainsFunc(c.all, func(m *mate) bool { return m.lists().Relayed })
 	})
 	index := c.registry.publish(c.server.endpoint(), false)
 	c.registry.fail(false)
@@ -251,7 +251,7 @@
 			c.registry.publish(c.server.endpoint(), true)
 			again = time.Now().Add(3 * time.Second)
 		}
-		return slices.ContainsFunc(c.all, func(m *mate) bool { return m.lists().Disagreed > 0 })
+		return slices.ContainsFunc(c.all, func(m *mate) bool { return m.lists().Mismatches > 0 })
 	})
 	c.poll("discovery is asked", func() bool { _, calls := c.registry.state(); return calls > before })
 	c.know(c.registry.publish(c.server.endpoint(), false), c.all...)
@@ -288,20 +288,23 @@
 	out, code := start(drillSecret)
 	require.Zero(t, code, out)
 	began := time.Now()
-	drills := func(m *mate) []coordination.SeenDrill { s, _ := m.owners(); return s.Faults }
+	drills := func(m *mate) []coordination.FaultStatus { s, _ := m.owners(); return s.Faults }
 	c.poll("it runs at all", func() bool {
-		return !slices.ContainsFunc(c.all, func(m *mate) bool { d := drills(m); return len(d) != 1 || d[0].LeftS == 0 || !d[0].Told })
+		return !slices.ContainsFunc(c.all, func(m *mate) bool {
+			d := drills(m)
+			return len(d) != 1 || d[0].RemainingSeconds == 0 || !d[0].Announced
+		})
 	})
 	t.Logf("it runs at all after %v", time.Since(began))
 	id := drills(given)[0].ID
 	first.kill()
 	c.ready(first.start())
-	c.poll("who comes late has what is left", func() bool { d := drills(first); return len(d) == 1 && d[0].LeftS > 0 })
+	c.poll("who comes late has what is left", func() bool { d := drills(first); return len(d) == 1 && d[0].RemainingSeconds > 0 })
 	late := drills(first)[0]
-	assert.LessOrEqual(t, late.LeftS, 6-time.Since(began).Seconds()+1, "it is the rest")
+	assert.LessOrEqual(t, late.RemainingSeconds, 6-time.Since(began).Seconds()+1, "it is the rest")
 	owner(c.all...)
 	c.poll("it has ended at all", func() bool {
-		return !slices.ContainsFunc(c.all, func(m *mate) bool { d := drills(m); return len(d) != 1 || d[0].LeftS > 0 })
+		return !slices.ContainsFunc(c.all, func(m *mate) bool { d := drills(m); return len(d) != 1 || d[0].RemainingSeconds > 0 })
 	})
 	t.Logf("it has ended at all after %v", time.Since(began))
 	for _, m := range c.all {
--- a/internal/coordination/drill.go
+++ b/internal/coordination/drill.go
@@ -219,19 +219,19 @@
 	}
 }
 
-// SeenDrill is a drill of the whole fleet.
-type SeenDrill struct {
-	ID      uint64  `json:"id"`
-	Drill   string  `json:"drill"`
-	LeftS   float64 `json:"left_s"`            // until it ends here; 0: it has
-	Told    bool    `json:"told,omitempty"`    // the owner has told all of it
-	Refused string  `json:"refused,omitempty"` // why it does not run here
+// FaultStatus is a drill of the whole fleet.
+type FaultStatus struct {
+	ID               uint64  `json:"id"`
+	Fault            string  `json:"drill"`
+	RemainingSeconds float64 `json:"left_s"`            // until it ends here; 0: it has
+	Announced        bool    `json:"told,omitempty"`    // the owner has told all of it
+	Rejection        string  `json:"refused,omitempty"` // why it does not run here
 }
 
-func (d *driller) seen() (all []SeenDrill) {
+func (d *driller) seen() (all []FaultStatus) {
 	now := d.o.f.net.Now()
 	for _, r := range d.runs {
-		all = append(all, SeenDrill{r.ID, r.Name, math.Round(10*max(r.until-now, 0)) / 10, r.told, r.refused})
+		all = append(all, FaultStatus{r.ID, r.Name, math.Round(10*max(r.until-now, 0)) / 10, r.told, r.refused})
 	}
 	return all
 }
--- a/internal/coordination/list.go
+++ b/internal/coordination/list.go
@@ -115,7 +115,7 @@
 	parts  [][]byte
 	asking []asking
 
-	counts ListCounts
+	counts ListStats
 }
 
 // asking is who waits for a whole list.
@@ -127,19 +127,19 @@
 	until float64
 }
 
-// ListCounts say how the lists fare that are passed on.
-type ListCounts struct {
-	Fed       bool    `json:"fed"`               // what others pass on takes the place of a watch
-	AgeS      float64 `json:"age_s,omitempty"`   // since the last good news
-	Index     uint64  `json:"index"`             // of the list that is held
-	Words     uint64  `json:"words"`             // heard
-	Taken     uint64  `json:"taken"`             // lists and changes that were applied
-	Passed    uint64  `json:"passed"`            // words said as an owner
-	Asked     uint64  `json:"asked"`             // for the whole list
-	Answered  uint64  `json:"answered"`          // such calls
-	Disagreed uint64  `json:"disagreed"`         // with what was held
-	Starved   uint64  `json:"starved"`           // times that the news was too old
-	Foreign   uint64  `json:"foreign,omitempty"` // words of another discovery service
+// ListStats say how the lists fare that are passed on.
+type ListStats struct {
+	Relayed            bool    `json:"fed"`               // what others pass on takes the place of a watch
+	AgeSeconds         float64 `json:"age_s,omitempty"`   // since the last good news
+	Index              uint64  `json:"index"`             // of the list that is held
+	UpdatesReceived    uint64  `json:"words"`             // heard
+	Applied            uint64  `json:"taken"`             // lists and changes that were applied
+	UpdatesSent        uint64  `json:"passed"`            // words said as an owner
+	SnapshotsRequested uint64  `json:"asked"`             // for the whole list
+	SnapshotsServed    uint64  `json:"answered"`          // such calls
+	Mismatches         uint64  `json:"disagreed"`         // with what was held
+	Stale              uint64  `json:"starved"`           // times that the news was too old
+	ForeignUpdates     uint64  `json:"foreign,omitempty"` // words of another discovery service
 }
 
 func newFeeder(o *owners) *feeder {
@@ -255,7 +255,7 @@
 		said = f.o.spreadOn(j.name, j.late, kindWord, packed(w))
 	}
 	if said {
-		f.counts.Passed++
+		f.counts.UpdatesSent++
 		f.said = max(f.said, w.Index)
 	}
 }
@@ -289,12 +289,12 @@
 // word takes a word. Danger: a list of a lower version never takes the place of a later one, whoever passes it on.
 func (f *feeder) word(from *peers.Link, j *listJob, e *frames.RoleMessage, w *listWord) error {
 	now := f.o.f.net.Now()
-	f.counts.Words++
+	f.counts.UpdatesReceived++
 	if e.Token != j.of {
 		j.of, j.floor, j.flooredS = e.Token, now-w.AtS, now
 	}
 	if w.Discovery != f.to.Discovery() {
-		f.counts.Foreign++
+		f.counts.ForeignUpdates++
 		return nil
 	}
 	if w.Ended {
@@ -342,7 +342,7 @@
 	if err := f.to.TakeList(raw); err != nil {
 		return err
 	}
-	f.counts.Taken++
+	f.counts.Applied++
 	if v, held := f.to.ListVersion(); !held || v.Index != index {
 		f.disagree(f.o.f.net.Now(), index)
 		return errList
@@ -369,7 +369,7 @@
 
 // disagree has the sidecar watch for itself: two words that can't both be discovery's.
 func (f *feeder) disagree(now float64, index uint64) {
-	f.counts.Disagreed++
+	f.counts.Mismatches++
 	f.o.note("a list that was passed on is not the one that is held: watching for oneself", "index", index)
 	f.forget()
 	f.doubt = now + distrustS
@@ -392,7 +392,7 @@
 		return
 	}
 	f.need, f.needAt, f.newsAt, f.link, f.parts = listNeed{w.Discovery, w.Index}, now, newsAt, l.Number, nil
-	f.counts.Asked++
+	f.counts.SnapshotsRequested++
 	f.o.reply(l, j.name, token, kindNeed, packed(f.need))
 }
 
@@ -415,7 +415,7 @@
 			if body == nil {
 				body = deflate(f.to.WholeList())
 			}
-			f.counts.Answered++
+			f.counts.SnapshotsServed++
 			parts := (len(body) + partSize - 1) / partSize
 			for i := range parts {
 				f.o.reply(l, a.job.name, a.token, kindWhole, packed(listWhole{v.Discovery, v.Index, v.Sum, i, parts, body[i*partSize : min((i+1)*partSize, len(body))]}))
@@ -470,7 +470,7 @@
 	newest := f.newest()
 	switch {
 	case newest == 0 || now >= newest+silentS:
-		f.counts.Starved++
+		f.counts.Stale++
 		f.forget()
 		f.to.Starved()
 		return now + silentS
@@ -510,13 +510,13 @@
 }
 
 // seen returns the counts.
-func (f *feeder) seen() *ListCounts {
+func (f *feeder) seen() *ListStats {
 	c := f.counts
 	if v, held := f.to.ListVersion(); held {
 		c.Index = v.Index
 	}
-	if c.Fed = f.on; f.on {
-		c.AgeS = f.o.f.net.Now() - f.newest()
+	if c.Relayed = f.on; f.on {
+		c.AgeSeconds = f.o.f.net.Now() - f.newest()
 	}
 	return &c
 }
--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -19,8 +19,8 @@
 	Voters           []VoterStatus `json:"electors,omitempty"`
 	Roles            []RoleStatus  `json:"jobs,omitempty"`
 	IneligibleReason string        `json:"unwilling,omitempty"` // why this sidecar does nothing for others
-	Lists            *ListCounts   `json:"lists,omitempty"`
-	Faults           []SeenDrill   `json:"drills,omitempty"` // of the whole fleet, also such as have ended
+	Lists            *ListStats    `json:"lists,omitempty"`
+	Faults           []FaultStatus `json:"drills,omitempty"` // of the whole fleet, also such as have ended
 	Local            lease.Stats   `json:"here"`
 }
 
@@ -131,8 +131,8 @@
 		sidecar.Figure{Name: "owner_leads", Value: one(here.IsLeader)}, sidecar.Figure{Name: "owner_term", Value: here.Term},
 		sidecar.Figure{Name: "owner_unkept", Value: one(here.PersistFailed)})
 	if l := o.lists; l != nil {
-		all = append(all, sidecar.Figure{Name: "owner_list_fed", Value: one(l.on)}, sidecar.Figure{Name: "owner_list_starved", Value: l.counts.Starved},
-			sidecar.Figure{Name: "owner_list_disagreed", Value: l.counts.Disagreed})
+		all = append(all, sidecar.Figure{Name: "owner_list_fed", Value: one(l.on)}, sidecar.Figure{Name: "owner_list_starved", Value: l.counts.Stale},
+			sidecar.Figure{Name: "owner_list_disagreed", Value: l.counts.Mismatches})
 	}
 	if w := o.works; w != nil {
 		plans := 0
