--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -230,7 +230,7 @@
 	maintenance.Done: "done", maintenance.Skipped: "skipped", maintenance.Lost: "lost"}
 
 // writeWorks writes plans, box by box, and what each waits for.
-func writeWorks(t *tabwriter.Writer, s *coordination.SeenWorks) {
+func writeWorks(t *tabwriter.Writer, s *coordination.MaintenanceStatus) {
 	fmt.Fprintln(t, "PLAN\tBOX\tSITE\tSTAGE\tSINCE\tMECHANIC\tTOKEN\tWAITS FOR")
 	waits := func(plan uint64, box string) string {
 		var all []string
@@ -294,9 +294,9 @@
 	if s.Owner == "" {
 		fmt.Fprintf(t, "version %d is agreed; nobody settles the order at the moment\n", s.Version)
 	} else {
-		fmt.Fprintf(t, "version %d is agreed; %s settles the order, %.1f s ago\n", s.Version, s.Owner, s.AgeS)
+		fmt.Fprintf(t, "version %d is agreed; %s settles the order, %.1f s ago\n", s.Version, s.Owner, s.AgeSeconds)
 	}
-	if len(s.Hand) > 0 {
-		fmt.Fprintf(t, "given back here by hand: %s\n", strings.Join(s.Hand, " "))
+	if len(s.Reinstated) > 0 {
+		fmt.Fprintf(t, "given back here by hand: %s\n", strings.Join(s.Reinstated, " "))
 	}
 }
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -216,7 +216,7 @@
 }
 
 // works returns what a sidecar's door tells of plans.
-func (m *mate) works() (s coordination.SeenWorks, ok bool) {
+func (m *mate) works() (s coordination.MaintenanceStatus, ok bool) {
 	if m.frozen.Load() || m.gone.Load() || m.cmd == nil {
 		return s, false
 	}
@@ -225,9 +225,9 @@
 }
 
 // newest returns the latest version that any door tells.
-func (y *yard) newest() (newest coordination.SeenWorks) {
+func (y *yard) newest() (newest coordination.MaintenanceStatus) {
 	for _, m := range y.all {
-		if s, ok := m.works(); ok && (s.Version > newest.Version || s.Version == newest.Version && s.AgeS < newest.AgeS) {
+		if s, ok := m.works(); ok && (s.Version > newest.Version || s.Version == newest.Version && s.AgeSeconds < newest.AgeSeconds) {
 			newest = s
 		}
 	}
@@ -235,7 +235,7 @@
 }
 
 // stage returns how far the work on a box has come, by the latest plan that has it.
-func stage(s *coordination.SeenWorks, b *box) (found maintenance.Server) {
+func stage(s *coordination.MaintenanceStatus, b *box) (found maintenance.Server) {
 	for _, p := range s.Plans {
 		for _, k := range p.Servers {
 			if k.Name == b.name {
@@ -278,7 +278,7 @@
 // ended waits until no plan goes on, and returns the last one.
 func (y *yard) ended() maintenance.Plan {
 	y.Helper()
-	var s coordination.SeenWorks
+	var s coordination.MaintenanceStatus
 	y.pollFor(6*patience, "all plans have ended", func() bool {
 		s = y.newest()
 		return len(s.Plans) > 0 && !slices.ContainsFunc(s.Plans, func(p maintenance.Plan) bool { return !p.Ended })
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -188,7 +188,7 @@
 	b.release()
 	y.waits(b, "in use there by hand", hand.name)
 	s, _ := hand.works()
-	assert.Equal(t, []string{b.name}, s.Hand)
+	assert.Equal(t, []string{b.name}, s.Reinstated)
 	assert.Empty(t, y.records())
 	said("OFFLINE")
 	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
--- a/cmd/hazelwheel/workline_test.go
+++ b/cmd/hazelwheel/workline_test.go
@@ -152,7 +152,7 @@
 func TestWorkStatus(t *testing.T) {
 	t.Parallel()
 	c := &crew{T: t}
-	raw, err := json.Marshal(coordination.SeenWorks{Version: 17, Owner: "m01", AgeS: 0.3, Hand: []string{"s-2"},
+	raw, err := json.Marshal(coordination.MaintenanceStatus{Version: 17, Owner: "m01", AgeSeconds: 0.3, Reinstated: []string{"s-2"},
 		Plans: []maintenance.Plan{{Number: 1, Spec: maintenance.Spec{Name: "firmware"}, AgeSeconds: 90, PausedBy: "anna", Servers: []maintenance.Server{
 			{Name: "s-1", Site: "site-a", Stage: maintenance.Draining, SinceVersion: 17},
 			{Name: "s-2", Site: "site-a", Stage: maintenance.InMaintenance, SinceVersion: 16, Token: 1<<40 | 16, Agent: "bob", Overdue: true, ForcedPast: []string{"m04"}},
--- a/internal/coordination/seenowners.go
+++ b/internal/coordination/seenowners.go
@@ -152,13 +152,13 @@
 	return all
 }
 
-// ErrNoOwners is the answer where nobody owns anything.
-var ErrNoOwners = errors.New("this sidecar's fleet has no electors")
+// ErrNoVoters is the answer where nobody owns anything.
+var ErrNoVoters = errors.New("this sidecar's fleet has no electors")
 
 // LeaseStatus returns what is known of who owns what.
 func (f *Node) LeaseStatus() (*LeaseStatus, error) {
 	if f.owners == nil || f.view == nil {
-		return nil, ErrNoOwners
+		return nil, ErrNoVoters
 	}
 	return f.owners.seen(), nil
 }
@@ -168,7 +168,7 @@
 	f.enter(func() {
 		switch {
 		case f.owners == nil || f.owners.t == nil:
-			err = ErrNoOwners
+			err = ErrNoVoters
 		default:
 			for _, g := range f.owners.t.Table().Grants {
 				if g.Role == name && g.Holder != 0 {
--- a/internal/coordination/seenworks.go
+++ b/internal/coordination/seenworks.go
@@ -7,30 +7,30 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
-// SeenWorks is what a sidecar knows of work on boxes.
-type SeenWorks struct {
-	Version uint64                `json:"version"` // of what is agreed, as far as it is known here; 0: nothing is
-	Owner   string                `json:"owner"`   // name of who settles the order; empty: nobody has said so yet
-	AgeS    float64               `json:"age_s"`   // since its last word
-	Plans   []maintenance.Plan    `json:"plans"`
-	Waits   []maintenance.Blocker `json:"waits"` // what it waits for, by its last word
-	Out     []string              `json:"out"`   // boxes that are out here by what is agreed
-	Hand    []string              `json:"hand"`  // of these, such as were given back here by hand
+// MaintenanceStatus is what a sidecar knows of work on boxes.
+type MaintenanceStatus struct {
+	Version    uint64                `json:"version"` // of what is agreed, as far as it is known here; 0: nothing is
+	Owner      string                `json:"owner"`   // name of who settles the order; empty: nobody has said so yet
+	AgeSeconds float64               `json:"age_s"`   // since its last word
+	Plans      []maintenance.Plan    `json:"plans"`
+	Waits      []maintenance.Blocker `json:"waits"` // what it waits for, by its last word
+	Out        []string              `json:"out"`   // boxes that are out here by what is agreed
+	Reinstated []string              `json:"hand"`  // of these, such as were given back here by hand
 }
 
-// ErrNoWorks is the answer where no order is settled.
-var ErrNoWorks = errors.New("this sidecar's fleet does not settle work on boxes: fleet.jobs has no \"works\"")
+// ErrNoMaintenance is the answer where no order is settled.
+var ErrNoMaintenance = errors.New("this sidecar's fleet does not settle work on boxes: fleet.jobs has no \"works\"")
 
-// Works returns what is known of work on boxes.
-func (f *Node) Works() (*SeenWorks, error) {
+// MaintenanceStatus returns what is known of work on boxes.
+func (f *Node) MaintenanceStatus() (*MaintenanceStatus, error) {
 	if f.owners == nil || f.owners.works == nil {
-		return nil, ErrNoWorks
+		return nil, ErrNoMaintenance
 	}
 	w, now := f.owners.works, f.net.Now()
-	s := &SeenWorks{Version: w.version, Owner: w.owner, Plans: append([]maintenance.Plan{}, w.state.Plans...), Waits: append([]maintenance.Blocker{}, w.waits...),
-		Out: []string{}, Hand: []string{}}
+	s := &MaintenanceStatus{Version: w.version, Owner: w.owner, Plans: append([]maintenance.Plan{}, w.state.Plans...), Waits: append([]maintenance.Blocker{}, w.waits...),
+		Out: []string{}, Reinstated: []string{}}
 	if !math.IsInf(w.wordAt, -1) {
-		s.AgeS = math.Round(10*(now-w.wordAt)) / 10
+		s.AgeSeconds = math.Round(10*(now-w.wordAt)) / 10
 	}
 	for i := range s.Plans {
 		for _, a := range w.ages {
@@ -43,20 +43,20 @@
 		if _, out := w.outAt[b.Name]; out {
 			s.Out = append(s.Out, b.Name)
 			if b.Kept {
-				s.Hand = append(s.Hand, b.Name)
+				s.Reinstated = append(s.Reinstated, b.Name)
 			}
 		}
 	}
 	return s, nil
 }
 
-// Work passes a command on to whoever settles the order. The answer comes with one of the next calls of the same nonce; false: not
+// SubmitMaintenance passes a command on to whoever settles the order. The answer comes with one of the next calls of the same nonce; false: not
 // yet. A command that nobody has answered is passed on again and again until it has not been asked for any more for a while.
-func (f *Node) Work(c maintenance.Command) (reply maintenance.Reply, answered bool, err error) {
+func (f *Node) SubmitMaintenance(c maintenance.Command) (reply maintenance.Reply, answered bool, err error) {
 	f.enter(func() {
 		switch {
 		case f.owners == nil || f.owners.works == nil || f.view == nil:
-			err = ErrNoWorks
+			err = ErrNoMaintenance
 		case c.Nonce == 0:
 			err = errors.New("the command has no nonce")
 		default:
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -81,7 +81,7 @@
 	}{
 		{"peers", filled[Status]()},
 		{"owners", filled[LeaseStatus]()},
-		{"works", filled[SeenWorks]()},
+		{"works", filled[MaintenanceStatus]()},
 		{"report", filled[Report]()},
 	} {
 		text, err := json.MarshalIndent(c.value, "", " ")
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -114,14 +114,14 @@
 		rep, err := p.fleet.Report()
 		return line(rep), err
 	}, Works: func() ([]byte, error) {
-		seen, err := p.fleet.Works()
+		seen, err := p.fleet.MaintenanceStatus()
 		return line(seen), err
 	}, Work: func(command []byte) ([]byte, error) {
 		var c maintenance.Command
 		if err := json.Unmarshal(command, &c); err != nil {
 			return nil, fmt.Errorf("the command makes no sense: %w", err)
 		}
-		reply, answered, err := p.fleet.Work(c)
+		reply, answered, err := p.fleet.SubmitMaintenance(c)
 		if err == nil && !answered {
 			return []byte("WAIT\n"), nil
 		}
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -123,7 +123,7 @@
 		}
 		if f := door.fleet; door.proc != nil && door.proc.Alive() && f != nil {
 			door.proc.Post(func() {
-				if r, answered, err := f.Work(cmd); err == nil && answered && !over {
+				if r, answered, err := f.SubmitMaintenance(cmd); err == nil && answered && !over {
 					over = true
 					w.after(0, func() { then(r, true) })
 				}
@@ -426,7 +426,7 @@
 			if s.proc == nil || !s.proc.Alive() || s.fleet == nil {
 				continue
 			}
-			if seen, err := s.fleet.Works(); err == nil && seen.Owner == s.spec.Name {
+			if seen, err := s.fleet.MaintenanceStatus(); err == nil && seen.Owner == s.spec.Name {
 				w.restart(i)
 				break
 			}
