--- a/internal/coordination/asking.go
+++ b/internal/coordination/asking.go
@@ -17,9 +17,9 @@
 // listens for clients: whoever it is to send for waits in nobody's queue, and is served from the first request on. Where nobody
 // answers it goes by what its own disk says. Danger: asked for later, a request would go to a box that a mechanic has open.
 
-// AskWorks asks at addresses what is agreed, until all that can be reached have answered or until a time, and returns the latest. It
+// QueryMaintenance asks at addresses what is agreed, until all that can be reached have answered or until a time, and returns the latest. It
 // blocks, and is for a process whose loop has not begun.
-func AskWorks(fleet, name string, addresses []string, by time.Time) (latest *KeptWorks) {
+func QueryMaintenance(fleet, name string, addresses []string, by time.Time) (latest *MaintenanceRecord) {
 	var mu sync.Mutex
 	var asking sync.WaitGroup
 	for _, address := range addresses {
@@ -39,7 +39,7 @@
 	return latest
 }
 
-func askWorks(fleet, name, address string, by time.Time) (*KeptWorks, error) {
+func askWorks(fleet, name, address string, by time.Time) (*MaintenanceRecord, error) {
 	c, err := net.DialTimeout("tcp", address, time.Until(by))
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 var errNoAnswer = errors.New("it does not say what is agreed")
 
 // answeredWorks reads an answer.
-func answeredWorks(body []byte) (*KeptWorks, error) {
+func answeredWorks(body []byte) (*MaintenanceRecord, error) {
 	var e frames.RoleMessage
 	var a agreedWord
 	if err := frames.Unmarshal(body, &e); err != nil {
@@ -103,7 +103,7 @@
 	if _, err := maintenance.Decode(a.Body); err != nil {
 		return nil, err
 	}
-	return &KeptWorks{a.Epoch, a.Version, e.Token, a.Body}, nil
+	return &MaintenanceRecord{a.Epoch, a.Version, e.Token, a.Body}, nil
 }
 
 // answerAsker tells somebody who is no member yet what is agreed. Its link ends with that.
@@ -116,14 +116,14 @@
 		Body: packed(&agreedWord{Epoch: w.epoch, Version: w.version, Body: w.body})})
 }
 
-// Learn takes what others have said is agreed. It comes after Keep and before Start.
-func (f *Node) Learn(k *KeptWorks) { f.keepWorks(k) }
+// LearnMaintenance takes what others have said is agreed. It comes after Keep and before Start.
+func (f *Node) LearnMaintenance(k *MaintenanceRecord) { f.keepWorks(k) }
 
-// Agreed returns what this sidecar goes by, as Learn takes it; nil: nothing is agreed.
-func (f *Node) Agreed() *KeptWorks {
+// MaintenanceRecord returns what this sidecar goes by, as Learn takes it; nil: nothing is agreed.
+func (f *Node) MaintenanceRecord() *MaintenanceRecord {
 	if f.owners == nil || f.owners.works == nil || f.owners.works.version == 0 {
 		return nil
 	}
 	w := f.owners.works
-	return &KeptWorks{w.epoch, w.version, w.known(), w.body}
+	return &MaintenanceRecord{w.epoch, w.version, w.known(), w.body}
 }
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -123,13 +123,13 @@
 }
 
 // keepWorks takes what is known of boxes that are out, from an earlier life or from another sidecar.
-func (f *Node) keepWorks(k *KeptWorks) {
+func (f *Node) keepWorks(k *MaintenanceRecord) {
 	if f.owners == nil || f.owners.works == nil || k == nil {
 		return
 	}
 	w := f.owners.works
 	if w.restore(k); w.version > 0 {
-		f.state.Works = &KeptWorks{w.epoch, w.version, max(k.Token, w.known()), w.body}
+		f.state.Works = &MaintenanceRecord{w.epoch, w.version, max(k.Token, w.known()), w.body}
 	}
 }
 
--- a/internal/coordination/state.go
+++ b/internal/coordination/state.go
@@ -23,7 +23,7 @@
 	Generation uint64  `json:"generation"`       // lives so far; on disk before any word of the life is said
 	Tenure     []byte  `json:"tenure,omitempty"` // what was promised to others
 	// Works is what is agreed of boxes that are out. It is no promise of this identity's and outlives it.
-	Works *KeptWorks `json:"works,omitempty"`
+	Works *MaintenanceRecord `json:"works,omitempty"`
 }
 
 // stateForm is written here. An earlier program does not guess at a later one's. plainForm has no promises in it.
--- a/internal/coordination/stored_form_test.go
+++ b/internal/coordination/stored_form_test.go
@@ -15,7 +15,7 @@
 
 // A sidecar that is updated goes on from what the version before it has stored: identity, promises and what is agreed of servers.
 func TestStoredForm(t *testing.T) {
-	s := state{ID: 1 << 40, Generation: 7, Tenure: []byte{1, 2, 3}, Works: &KeptWorks{Epoch: 3, Version: 9, Token: 3<<40 + 5, Body: []byte{4, 5}}}
+	s := state{ID: 1 << 40, Generation: 7, Tenure: []byte{1, 2, 3}, Works: &MaintenanceRecord{Epoch: 3, Version: 9, Token: 3<<40 + 5, Body: []byte{4, 5}}}
 	assert.Equal(t, golden(t, "stored", "state_2"), string(encodeState(s)))
 	for file, want := range map[string]state{
 		"state_2": s,
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -72,8 +72,8 @@
 	Sum   maintenance.Report `msgpack:"s"`
 }
 
-// KeptWorks is what a sidecar goes by, as its disk keeps it and as others tell it.
-type KeptWorks struct {
+// MaintenanceRecord is what a sidecar goes by, as its disk keeps it and as others tell it.
+type MaintenanceRecord struct {
 	Epoch   uint64 `json:"epoch"`
 	Version uint64 `json:"version"`
 	Token   uint64 `json:"token"` // the greatest that was seen of the job: a lower one must not undo what is kept
@@ -158,7 +158,7 @@
 }
 
 // restore takes what an earlier life went by, before anything is sent.
-func (w *worker) restore(k *KeptWorks) {
+func (w *worker) restore(k *MaintenanceRecord) {
 	if k == nil {
 		return
 	}
@@ -205,7 +205,7 @@
 			token = g.Token
 		}
 	}
-	f.state.Works = &KeptWorks{w.epoch, w.version, token, w.body}
+	f.state.Works = &MaintenanceRecord{w.epoch, w.version, token, w.body}
 	if f.stored {
 		f.save(func(error) {})
 	}
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -86,13 +86,13 @@
 // ask asks others of the fleet which boxes are out, before there are clients.
 func (p *Process) ask(fleetName, name string, join []string) {
 	began := time.Now()
-	k := coordination.AskWorks(fleetName, name, join, began.Add(askWithin))
+	k := coordination.QueryMaintenance(fleetName, name, join, began.Add(askWithin))
 	if k == nil {
 		p.log.Warn("nobody could be asked which servers are out by agreement: going by what is kept here", "after", time.Since(began).Round(time.Millisecond))
 		return
 	}
 	p.log.Info("asked which servers are out by agreement", "epoch", k.Epoch, "version", k.Version, "after", time.Since(began).Round(time.Millisecond))
-	p.fleet.Learn(k)
+	p.fleet.LearnMaintenance(k)
 }
 
 // line returns a value as a line of JSON.
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -365,20 +365,20 @@
 
 // began has a sidecar that begins ask the others what is agreed, as its process does before it listens.
 func (w *plans) began(s *instance, f *coordination.Node) {
-	var latest *coordination.KeptWorks
+	var latest *coordination.MaintenanceRecord
 	asked := false
 	for i, o := range w.d.sidecars {
 		if i >= 3 || o == s || o.proc == nil || !o.proc.Alive() || o.frozen || o.fleet == nil || w.cut(s, o) {
 			continue
 		}
-		k := o.fleet.Agreed()
+		k := o.fleet.MaintenanceRecord()
 		asked = true
 		if k != nil && (latest == nil || k.Epoch > latest.Epoch || k.Epoch == latest.Epoch && k.Version > latest.Version) {
 			latest = k
 		}
 	}
 	if latest != nil {
-		f.Learn(latest)
+		f.LearnMaintenance(latest)
 	}
 	s.blind, s.spoilt = !asked && (s.spoilt || s.saved.Data == nil), false
 }
@@ -408,7 +408,7 @@
 		if !up || s.fleet == nil {
 			continue
 		}
-		if k := s.fleet.Agreed(); k != nil && (k.Epoch > w.epoch || k.Epoch == w.epoch && k.Version > w.version) {
+		if k := s.fleet.MaintenanceRecord(); k != nil && (k.Epoch > w.epoch || k.Epoch == w.epoch && k.Version > w.version) {
 			if state, err := maintenance.Decode(k.Body); err == nil {
 				w.epoch, w.version, w.latest = k.Epoch, k.Version, state
 				w.counts()
