--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -35,7 +35,7 @@
 	if file == "" {
 		return
 	}
-	coordination.Between = func() {
+	coordination.BeforeRoleMessage = func() {
 		if err := os.Remove(file); errors.Is(err, fs.ErrNotExist) {
 			return
 		}
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -28,7 +28,7 @@
 		return
 	}
 	passed := 0
-	coordination.AtStep = func(step string) {
+	coordination.OnMaintenanceStep = func(step string) {
 		text, err := os.ReadFile(file)
 		words := strings.Fields(string(text))
 		if err != nil || words[0] != step {
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -10,7 +10,7 @@
 )
 
 // Between, where a build for tests sets it, is called between the check of a lease and what is done under it.
-var Between func()
+var BeforeRoleMessage func()
 
 // window tells which effects for all were heard. They come over several links, in any order; what is older than the window is
 // taken for heard.
@@ -58,8 +58,8 @@
 	if j == nil || o.actsUnder(j) == 0 {
 		return false
 	}
-	if Between != nil {
-		Between()
+	if BeforeRoleMessage != nil {
+		BeforeRoleMessage()
 	}
 	j.number++
 	j.heard.first(j.held, j.number)
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -113,9 +113,9 @@
 	return f, nil
 }
 
-// Keep says where the state is kept, and what is there already. It comes before Start, and before the sidecar sends anything: boxes
+// UseStore says where the state is kept, and what is there already. It comes before Start, and before the sidecar sends anything: boxes
 // that are out by what is there are out from the first request on.
-func (f *Node) Keep(disk StateStore, saved SavedState) {
+func (f *Node) UseStore(disk StateStore, saved SavedState) {
 	f.disk, f.saved = disk, saved
 	if st, err := saved.decode(); err == nil {
 		f.keepWorks(st.Works)
@@ -285,8 +285,8 @@
 // leastTickS is between two calls that nothing else has asked for.
 const leastTickS = 0.005
 
-// Heed looks whether the core has been told to end.
-func (f *Node) Heed() { f.enter(f.heed) }
+// CheckShutdown looks whether the core has been told to end.
+func (f *Node) CheckShutdown() { f.enter(f.heed) }
 
 func (f *Node) heed() {
 	switch ending, succeeded := f.o.Asked.Ending(); {
@@ -349,8 +349,8 @@
 
 // --- the loop's calls ---
 
-// Owns tells whether a connection is a peer's.
-func (f *Node) Owns(c netio.Conn) bool {
+// OwnsConn tells whether a connection is a peer's.
+func (f *Node) OwnsConn(c netio.Conn) bool {
 	switch c.Context().(type) {
 	case *peers.Link:
 		return true
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -149,11 +149,11 @@
 
 // AtStep, where a build for tests sets it, is called by the owner at named instants: "agreed", when a version is agreed and before
 // anybody is told; "told", when all were; "empty", before a box that is empty is agreed to be; "handed", before a mechanic is told.
-var AtStep func(step string)
+var OnMaintenanceStep func(step string)
 
 func atStep(step string) {
-	if AtStep != nil {
-		AtStep(step)
+	if OnMaintenanceStep != nil {
+		OnMaintenanceStep(step)
 	}
 }
 
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	p.host = shared.Host(p.Sidecar, p.fleet, p.fleet.Owns)
+	p.host = shared.Host(p.Sidecar, p.fleet, p.fleet.OwnsConn)
 	p.Reserve(peers.Descriptors(links))
 	if slices.Contains(on.Jobs, "report") {
 		p.Measure()
@@ -77,7 +77,7 @@
 			p.log.Error("what was saved can't be put aside", "error", err)
 		}
 	}
-	p.fleet.Keep(p.folder, saved)
+	p.fleet.UseStore(p.folder, saved)
 }
 
 // askWithin is how long a start may wait for others' word of what is agreed. It is no request that waits.
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -138,7 +138,7 @@
 		}
 		p.Do(p.Drain)
 		if p.fleet != nil {
-			p.Do(p.fleet.Heed)
+			p.Do(p.fleet.CheckShutdown)
 		}
 		<-ends // a second one does not wait
 		os.Exit(1)
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -61,7 +61,7 @@
 // Drain has the others told, too.
 func (k known) Drain() {
 	k.core.Drain()
-	k.f.Heed()
+	k.f.CheckShutdown()
 }
 
 // Held leaves out the links to peers, which are none of the sidecar's.
@@ -136,13 +136,13 @@
 		if len(settings.Jobs) > 0 {
 			sc.PassLists(f)
 		}
-		f.Keep(disk{s, loop, 0.02 * rng.Float64()}, s.saved)
+		f.UseStore(disk{s, loop, 0.02 * rng.Float64()}, s.saved)
 		if d.works != nil {
 			d.works.began(s, f)
 		}
 		sc.Reserve(peers.Descriptors(links))
 		s.fleet = f
-		return known{core{sc}, shared.Host(sc, f, f.Owns), f}, nil
+		return known{core{sc}, shared.Host(sc, f, f.OwnsConn), f}, nil
 	}
 }
 
