--- a/internal/coordination/drill.go
+++ b/internal/coordination/drill.go
@@ -88,7 +88,7 @@
 	n := &run{drillRun: *r, until: now + r.LeftS, passAt: math.Inf(-1)}
 	n.forget = n.until + rememberS + rememberPart*r.LeftS
 	if !begun {
-		if err := d.o.f.o.Drills.RunDrill(r.Name, r.ID, r.Mark, r.LeftS); err != nil {
+		if err := d.o.f.o.Faults.RunDrill(r.Name, r.ID, r.Mark, r.LeftS); err != nil {
 			n.refused = err.Error()
 			d.o.note("a drill of the fleet does not run here", "drill", r.Name, "error", err)
 		}
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -46,19 +46,19 @@
 // Options are what a fleet is made of.
 type Options struct {
 	Settings
-	Sidecar        string // its name
-	Self, Replicas int    // by the configuration
-	Links          int    // that there may be to peers
-	Replaceable    bool   // another process may take this one's place, with its identity and address
-	Asked          sidecar.Asked
-	Told           sidecar.Placed
-	Lists          sidecar.Lists     // for the job "list" alone
-	Drills         sidecar.Drills    // for the job "drill" alone
-	Boxes          sidecar.Boxes     // for the job "works" alone
-	WorkOrder      maintenance.Order // which box leaves next; others than the first are there to be weighed
-	Rand           *rand.Rand
-	Net            netio.Net
-	Log            *slog.Logger
+	Sidecar          string // its name
+	Self, Replicas   int    // by the configuration
+	MaxLinks         int    // that there may be to peers
+	Replaceable      bool   // another process may take this one's place, with its identity and address
+	Host             sidecar.Asked
+	Placement        sidecar.Placed
+	Lists            sidecar.Lists     // for the job "list" alone
+	Faults           sidecar.Drills    // for the job "drill" alone
+	Servers          sidecar.Boxes     // for the job "works" alone
+	MaintenanceOrder maintenance.Order // which box leaves next; others than the first are there to be weighed
+	Rand             *rand.Rand
+	Net              netio.Net
+	Log              *slog.Logger
 }
 
 // Node is a sidecar's part in its fleet. It is a netio.Host for the connections that Owns tells of.
@@ -106,7 +106,7 @@
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
 	f.o.Log, f.o.Jobs = f.log, withLists(o.Jobs)
-	f.peers = peers.New(o.Name, o.Links, f, o.Net, f.log)
+	f.peers = peers.New(o.Name, o.MaxLinks, f, o.Net, f.log)
 	if len(o.Electors) > 0 {
 		f.owners = newOwners(f)
 	}
@@ -252,7 +252,7 @@
 		if !f.part.IsConfigured() {
 			rank = begins(rank, count)
 		}
-		f.o.Told.TakePlace(rank, count)
+		f.o.Placement.TakePlace(rank, count)
 	}
 	f.notes.flush(now, f.log)
 	if f.owners != nil {
@@ -289,7 +289,7 @@
 func (f *Node) CheckShutdown() { f.enter(f.heed) }
 
 func (f *Node) heed() {
-	switch ending, succeeded := f.o.Asked.Ending(); {
+	switch ending, succeeded := f.o.Host.Ending(); {
 	case !ending || f.hushed || f.left || f.view == nil:
 	case succeeded: // another process speaks under this identity
 		f.hush()
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -165,7 +165,7 @@
 // lookFit tells the decisions whether this sidecar may work for others.
 func (o *owners) lookFit(now float64) {
 	o.fitAt = now + fitEveryS
-	fit, why := o.f.o.Asked.Fit()
+	fit, why := o.f.o.Host.Fit()
 	if why != o.why {
 		o.note("work for others", "willing", fit, "why", why)
 	}
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -241,7 +241,7 @@
 	r.measuredAt = now
 	a := &answer{Round: r.round}
 	mine := &answer{From: []swim.ID{r.o.f.state.ID}}
-	for _, m := range r.o.f.o.Asked.Measured() {
+	for _, m := range r.o.f.o.Host.Measured() {
 		ended := m.Served + m.Throttled + m.Failed + m.Abandoned
 		mine.Classes = append(mine.Classes, classAnswer{Class: m.Class, Served: m.Served, Throttled: m.Throttled, Failed: m.Failed, Abandoned: m.Abandoned,
 			PerS: float64(ended) / spanS, Times: packTimes(m.Times)})
--- a/internal/coordination/works.go
+++ b/internal/coordination/works.go
@@ -138,7 +138,7 @@
 
 func newWorker(o *owners) *worker {
 	now := o.f.net.Now()
-	w := &worker{o: o, to: o.f.o.Boxes, outAt: map[string]float64{}, wordAt: math.Inf(-1), bucket: budget{answersAtOnce, now}, endedAt: now,
+	w := &worker{o: o, to: o.f.o.Servers, outAt: map[string]float64{}, wordAt: math.Inf(-1), bucket: budget{answersAtOnce, now}, endedAt: now,
 		boxEnded: map[string]uint64{}}
 	return w
 }
@@ -506,7 +506,7 @@
 	}
 	a := maintenance.Committed{Epoch: epoch, Version: r.Version, State: state}
 	if w.writing = nil; w.c == nil {
-		w.c = maintenance.New(maintenance.Settings{WarmUpSeconds: w.to.ColdS(), Order: w.o.f.o.WorkOrder})
+		w.c = maintenance.New(maintenance.Settings{WarmUpSeconds: w.to.ColdS(), Order: w.o.f.o.MaintenanceOrder})
 		w.c.Start(now, a)
 		for _, d := range w.orders { // what came while nobody owned the job
 			if !d.ended {
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -128,8 +128,8 @@
 			sc.Measure()
 			sc.WorkOnBoxes()
 		}
-		f, err := coordination.New(coordination.Options{Links: links, Settings: settings, Sidecar: s.spec.Name,
-			Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas, Asked: sc, Told: sc, Lists: listener{sc, s}, Drills: sc, Boxes: sc, WorkOrder: d.workOrder, Rand: rng, Net: shared.Companion(), Log: log})
+		f, err := coordination.New(coordination.Options{MaxLinks: links, Settings: settings, Sidecar: s.spec.Name,
+			Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas, Host: sc, Placement: sc, Lists: listener{sc, s}, Faults: sc, Servers: sc, MaintenanceOrder: d.workOrder, Rand: rng, Net: shared.Companion(), Log: log})
 		if err != nil {
 			return nil, err
 		}
