--- a/cmd/hazelwheel/owners.go
+++ b/cmd/hazelwheel/owners.go
@@ -92,17 +92,17 @@
 func writeReport(t *tabwriter.Writer, r *coordination.Report) {
 	fmt.Fprintln(t, "CLASS\tPER S\tSERVED\tTHROTTLED\tFAILED\tABANDONED\tP50\tP90\tP99\tP99.9\tMAX")
 	for _, c := range r.Classes {
-		fmt.Fprintf(t, "%s\t%.1f\t%d\t%d\t%d\t%d\t%.1f ms\t%.1f ms\t%.1f ms\t%.1f ms\t%.1f ms\n", c.Class, c.PerS, c.Served, c.Throttled, c.Failed, c.Abandoned,
+		fmt.Fprintf(t, "%s\t%.1f\t%d\t%d\t%d\t%d\t%.1f ms\t%.1f ms\t%.1f ms\t%.1f ms\t%.1f ms\n", c.Class, c.RatePerSecond, c.Served, c.Throttled, c.Failed, c.Abandoned,
 			c.P50, c.P90, c.P99, c.P999, c.Max)
 	}
 	missing := ""
 	if len(r.Missing) > 0 {
 		missing = "; missing: " + strings.Join(r.Missing, " ")
 	}
-	if r.More > 0 {
-		missing += fmt.Sprintf(" and %d more", r.More)
+	if r.OmittedMissing > 0 {
+		missing += fmt.Sprintf(" and %d more", r.OmittedMissing)
 	}
-	fmt.Fprintf(t, "%d of %d sidecars, %.1f s ago, by %s under %s%s\n", r.Answered, r.Asked, r.AgeS, r.Owner, tokenText(r.Token), missing)
+	fmt.Fprintf(t, "%d of %d sidecars, %.1f s ago, by %s under %s%s\n", r.Answered, r.Asked, r.AgeSeconds, r.Owner, tokenText(r.Token), missing)
 }
 
 // stepDown asks for another owner.
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -61,30 +61,30 @@
 
 // Report is how the requests of the whole fleet have fared since the report before.
 type Report struct {
-	Owner    string        `json:"owner" msgpack:"o"`
-	Token    uint64        `json:"token" msgpack:"t"`
-	Round    uint64        `json:"round" msgpack:"r"`
-	Asked    int           `json:"asked" msgpack:"a"` // members that lived when they were asked, or died within the minute before
-	Answered int           `json:"answered" msgpack:"n"`
-	Missing  []string      `json:"missing,omitempty" msgpack:"m,omitempty"` // names of those that did not answer in time
-	More     int           `json:"more_missing,omitempty" msgpack:"x,omitempty"`
-	Classes  []ClassReport `json:"classes" msgpack:"c"`
-	AgeS     float64       `json:"age_s" msgpack:"-"` // since this sidecar heard it
+	Owner          string        `json:"owner" msgpack:"o"`
+	Token          uint64        `json:"token" msgpack:"t"`
+	Round          uint64        `json:"round" msgpack:"r"`
+	Asked          int           `json:"asked" msgpack:"a"` // members that lived when they were asked, or died within the minute before
+	Answered       int           `json:"answered" msgpack:"n"`
+	Missing        []string      `json:"missing,omitempty" msgpack:"m,omitempty"` // names of those that did not answer in time
+	OmittedMissing int           `json:"more_missing,omitempty" msgpack:"x,omitempty"`
+	Classes        []ClassReport `json:"classes" msgpack:"c"`
+	AgeSeconds     float64       `json:"age_s" msgpack:"-"` // since this sidecar heard it
 }
 
 // ClassReport is how the requests of a class have fared. Times are in milliseconds, to answer those that were served.
 type ClassReport struct {
-	Class     string  `json:"class" msgpack:"c"`
-	PerS      float64 `json:"per_s" msgpack:"p"`
-	Served    uint64  `json:"served" msgpack:"s"`
-	Throttled uint64  `json:"throttled" msgpack:"t"`
-	Failed    uint64  `json:"failed" msgpack:"f"`
-	Abandoned uint64  `json:"abandoned" msgpack:"a"`
-	P50       float64 `json:"p50_ms" msgpack:"5"`
-	P90       float64 `json:"p90_ms" msgpack:"9"`
-	P99       float64 `json:"p99_ms" msgpack:"99"`
-	P999      float64 `json:"p999_ms" msgpack:"999"`
-	Max       float64 `json:"max_ms" msgpack:"x"`
+	Class         string  `json:"class" msgpack:"c"`
+	RatePerSecond float64 `json:"per_s" msgpack:"p"`
+	Served        uint64  `json:"served" msgpack:"s"`
+	Throttled     uint64  `json:"throttled" msgpack:"t"`
+	Failed        uint64  `json:"failed" msgpack:"f"`
+	Abandoned     uint64  `json:"abandoned" msgpack:"a"`
+	P50           float64 `json:"p50_ms" msgpack:"5"`
+	P90           float64 `json:"p90_ms" msgpack:"9"`
+	P99           float64 `json:"p99_ms" msgpack:"99"`
+	P999          float64 `json:"p999_ms" msgpack:"999"`
+	Max           float64 `json:"max_ms" msgpack:"x"`
 }
 
 var errAnswer = errors.New("the counts of an answer make no sense")
@@ -336,7 +336,7 @@
 		if len(rep.Missing) < mostMissing {
 			rep.Missing = append(rep.Missing, m.Name)
 		} else {
-			rep.More++
+			rep.OmittedMissing++
 		}
 	}
 	for i := range r.sum.Classes {
@@ -345,7 +345,7 @@
 		snapshot.Counts = c.times
 		h := hdrhistogram.Import(&snapshot)
 		ms := func(us int64) float64 { return float64(us) / 1000 }
-		rep.Classes = append(rep.Classes, ClassReport{Class: c.Class, PerS: math.Round(10*c.PerS) / 10, Served: c.Served, Throttled: c.Throttled,
+		rep.Classes = append(rep.Classes, ClassReport{Class: c.Class, RatePerSecond: math.Round(10*c.PerS) / 10, Served: c.Served, Throttled: c.Throttled,
 			Failed: c.Failed, Abandoned: c.Abandoned, P50: ms(h.ValueAtPercentile(50)), P90: ms(h.ValueAtPercentile(90)), P99: ms(h.ValueAtPercentile(99)),
 			P999: ms(h.ValueAtPercentile(99.9)), Max: ms(h.Max())})
 	}
@@ -367,7 +367,7 @@
 	}
 	if r, ok := f.owners.job(reportName).work.(*reporter); ok && r.last != nil {
 		rep = *r.last
-		rep.AgeS = math.Round(10*(f.net.Now()-r.lastAt)) / 10
+		rep.AgeSeconds = math.Round(10*(f.net.Now()-r.lastAt)) / 10
 		return rep, nil
 	}
 	switch j := seen.Roles[i]; {
