--- a/internal/decide/maintenance/baseline_test.go
+++ b/internal/decide/maintenance/baseline_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// runWithAgent advances by steps of half a second with an agent that completes its work at once. refuse returns the fraction of
-// requests that is rejected now; left, if set, is called after each server that becomes Draining.
-func (d *driver) runWithAgent(rounds int, refuse func() float64, left func()) {
-	for range rounds {
-		d.snapshot.Report.RejectedPerSecond = refuse() * d.snapshot.Report.CompletedPerSecond
+// runWithAgent advances by steps of half a second with an agent that completes its work at once. rejected returns the fraction of
+// requests that is rejected now; drained, if set, is called after each server that becomes Draining.
+func (d *driver) runWithAgent(steps int, rejected func() float64, drained func()) {
+	for range steps {
+		d.snapshot.Report.RejectedPerSecond = rejected() * d.snapshot.Report.CompletedPerSecond
 		before := d.countStages()[Pending]
 		d.advance(0.5)
-		if d.countStages()[Pending] < before && left != nil {
-			left()
+		if d.countStages()[Pending] < before && drained != nil {
+			drained()
 		}
 		if n := d.countStages(); n[Drained] > 0 {
 			d.submit(Command{Kind: AcquireServer, Agent: "m"})
@@ -34,23 +34,23 @@
 // A plan continues one server at a time while the fleet rejects a steady fraction by itself, and records the baseline; above
 // MaxRejection no server drains.
 func TestPlanContinuesDespiteBaselineRejection(t *testing.T) {
-	for own, leaves := range map[float64]bool{0.05: true, 0.2: true, 0.27: false, 0.6: false} {
+	for own, drains := range map[float64]bool{0.05: true, 0.2: true, 0.27: false, 0.6: false} {
 		d := newDriver(t, 3, 3, 3)
 		s := spec()
 		s.MaxConcurrent = 3
 		require.Empty(t, d.submit(Command{Kind: SubmitPlan, Spec: s}).Err)
-		most := 0
+		maxOut := 0
 		d.runWithAgent(1200, func() float64 {
 			n := d.countStages()
-			most = max(most, n[Draining]+n[Drained]+n[InMaintenance]+n[WarmingUp])
+			maxOut = max(maxOut, n[Draining]+n[Drained]+n[InMaintenance]+n[WarmingUp])
 			return own
 		}, nil)
-		if !leaves {
-			assert.Zero(t, most, "%g", own)
+		if !drains {
+			assert.Zero(t, maxOut, "%g", own)
 			assert.Contains(t, d.Blockers()[0].Reason, "are refused or fail, at most 0.250 may")
 			continue
 		}
-		assert.Equal(t, 1, most, "%g", own)
+		assert.Equal(t, 1, maxOut, "%g", own)
 		assert.True(t, d.committed.State.Plans[0].Ended, "%g: %v", own, d.Blockers())
 		assert.InDelta(t, own, d.committed.State.Plans[0].BaselineRejection, 0.001)
 	}
@@ -112,33 +112,33 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDriver(t, 2, 3, 4)
 		s := spec()
-		s.MaxConcurrent = rapid.IntRange(1, 4).Draw(t, "at once")
-		s.RejectionBudget = rapid.Float64Range(0.01, 0.1).Draw(t, "refusing")
-		s.MaxRejection = rapid.Float64Range(0.1, 1).Draw(t, "most")
-		s.WorkSeconds, s.WarmUpSeconds = 1, rapid.Float64Range(1, 15).Draw(t, "cold")
+		s.MaxConcurrent = rapid.IntRange(1, 4).Draw(t, "max concurrent")
+		s.RejectionBudget = rapid.Float64Range(0.01, 0.1).Draw(t, "rejection budget")
+		s.MaxRejection = rapid.Float64Range(0.1, 1).Draw(t, "max rejection")
+		s.WorkSeconds, s.WarmUpSeconds = 1, rapid.Float64Range(1, 15).Draw(t, "warm up")
 		require.Empty(t, d.submit(Command{Kind: SubmitPlan, Spec: s}).Err)
 		own, greatest := 0.0, 0.0
-		harm := rapid.Float64Range(0, 0.1).Draw(t, "effect while a server is out")
-		stays := rapid.Float64Range(0, 0.05).Draw(t, "effect that stays")
-		left := 0
-		for range rapid.IntRange(5, 40).Draw(t, "times") {
+		effect := rapid.Float64Range(0, 0.1).Draw(t, "effect while a server is out")
+		lastingEffect := rapid.Float64Range(0, 0.05).Draw(t, "effect that stays")
+		drained := 0
+		for range rapid.IntRange(5, 40).Draw(t, "phases") {
 			if rapid.IntRange(0, 3).Draw(t, "change") == 0 {
 				own = rapid.Float64Range(0, 0.15).Draw(t, "own")
 			}
 			if rapid.IntRange(0, 5).Draw(t, "another lease holder") == 0 {
 				d.Start(d.now, d.committed)
 			}
-			d.runWithAgent(rapid.IntRange(1, 60).Draw(t, "rounds"), func() float64 {
-				if left == 0 {
+			d.runWithAgent(rapid.IntRange(1, 60).Draw(t, "steps"), func() float64 {
+				if drained == 0 {
 					greatest = max(greatest, own)
 				}
 				n := d.countStages()
 				out := n[Draining] + n[Drained] + n[InMaintenance] + n[WarmingUp]
-				return min(own+harm*float64(out)+stays*float64(left), 1)
+				return min(own+effect*float64(out)+lastingEffect*float64(drained), 1)
 			}, func() {
-				left++
-				most := min(greatest+(1+drainMargin)*s.RejectionBudget, s.MaxRejection)
-				require.LessOrEqual(t, d.fleet.rejectionFraction(), most+1e-3, "server %d drained", left)
+				drained++
+				limit := min(greatest+(1+drainMargin)*s.RejectionBudget, s.MaxRejection)
+				require.LessOrEqual(t, d.fleet.rejectionFraction(), limit+1e-3, "server %d drained", drained)
 			})
 		}
 	})
@@ -149,20 +149,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDriver(t, 2, 3, 4)
 		s := spec()
-		s.MaxConcurrent, s.RejectionBudget, s.WorkSeconds, s.WarmUpSeconds = 2, rapid.Float64Range(0.01, 0.2).Draw(t, "refusing"), 1, 3
+		s.MaxConcurrent, s.RejectionBudget, s.WorkSeconds, s.WarmUpSeconds = 2, rapid.Float64Range(0.01, 0.2).Draw(t, "rejection budget"), 1, 3
 		require.Empty(t, d.submit(Command{Kind: SubmitPlan, Spec: s}).Err)
 		own, greatest, outAt := 0.0, 0.0, -100.0
-		harm, lasts := rapid.Float64Range(0, 0.3).Draw(t, "harm"), rapid.Float64Range(0, aftermathSeconds-1).Draw(t, "lasts")
-		for range rapid.IntRange(5, 40).Draw(t, "times") {
+		effect, lasts := rapid.Float64Range(0, 0.3).Draw(t, "effect"), rapid.Float64Range(0, aftermathSeconds-1).Draw(t, "lasts")
+		for range rapid.IntRange(5, 40).Draw(t, "phases") {
 			if rapid.IntRange(0, 2).Draw(t, "change") == 0 {
 				own = rapid.Float64Range(0, 0.2).Draw(t, "own")
 			}
-			d.runWithAgent(rapid.IntRange(1, 60).Draw(t, "rounds"), func() float64 {
+			d.runWithAgent(rapid.IntRange(1, 60).Draw(t, "steps"), func() float64 {
 				if greatest = max(greatest, own); d.committed.State.hasServerOut() {
 					outAt = d.now
 				}
 				if d.now-outAt <= lasts {
-					return min(own+harm, 1)
+					return min(own+effect, 1)
 				}
 				return own
 			}, nil)
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -23,7 +23,7 @@
 
 // check compares the committed state with the one before.
 func (h *history) check(was State) {
-	owner := map[string]uint64{}
+	planOf := map[string]uint64{}
 	for i := range h.committed.State.Plans {
 		p := &h.committed.State.Plans[i]
 		out, sites := 0, map[string]int{}
@@ -48,8 +48,8 @@
 				require.NotEmpty(h.t, b.Reason)
 			}
 			if !p.Ended {
-				require.Zero(h.t, owner[b.Name], "%s belongs to two plans", b.Name)
-				owner[b.Name] = p.Number
+				require.Zero(h.t, planOf[b.Name], "%s belongs to two plans", b.Name)
+				planOf[b.Name] = p.Number
 			}
 		}
 		require.LessOrEqual(h.t, out, p.Spec.MaxConcurrent)
@@ -131,6 +131,7 @@
 	h.Observe(h.now, r)
 }
 
+// Whatever faults and commands are drawn, committed states keep the rules; and when the faults are over all plans end.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &history{driver: newDriver(t, rapid.IntRange(1, 4).Draw(t, "sidecars"), rapid.IntRange(1, 3).Draw(t, "sites"), 3), t: t, stages: map[string]Stage{}}
@@ -138,66 +139,80 @@
 		for _, b := range h.snapshot.Report.Servers {
 			servers = append(servers, b.Server)
 		}
-		part := rapid.IntRange(0, 9)
-		for range rapid.IntRange(50, 250).Draw(t, "rounds") {
+		for range rapid.IntRange(50, 250).Draw(t, "snapshots") {
 			h.now += rapid.SampledFrom([]float64{0.5, 0.5, 0.5, 1, 4, 15}).Draw(t, "seconds")
-			// Danger: all that is drawn here may happen between any two snapshots.
-			h.snapshot.Report.InUse, h.snapshot.Report.RejectedPerSecond = nil, 0
-			clear(h.silent)
-			if part.Draw(t, "open") == 0 {
-				h.snapshot.Report.InUse = []InUse{{Server: rapid.SampledFrom(servers).Draw(t, "server"), Member: 1, InFlight: rapid.IntRange(0, 2).Draw(t, "out")}}
-			}
-			if part.Draw(t, "mute") == 0 {
-				h.silent[rapid.SampledFrom(h.snapshot.Members).Draw(t, "who").ID] = true
-			}
-			if part.Draw(t, "refused") == 0 {
-				h.snapshot.Report.RejectedPerSecond = h.snapshot.Report.CompletedPerSecond / 2
-			}
-			m := &h.snapshot.Members[rapid.IntRange(0, len(h.snapshot.Members)-1).Draw(t, "member")]
-			switch part.Draw(t, "member's state") {
-			case 0:
-				m.State, m.StateAgeSeconds = swim.Dead, rapid.SampledFrom([]float64{1, 400}).Draw(t, "dead for")
-			case 1:
-				m.State, m.StateAgeSeconds = swim.Left, rapid.SampledFrom([]float64{1, 100}).Draw(t, "left for")
-			default:
-				m.State, m.BootID = swim.Alive, m.BootID+1
-			}
+			h.drawFaults(servers)
 			h.report()
 			h.commit()
-			if part.Draw(t, "command") < 5 {
+			if rapid.IntRange(0, 9).Draw(t, "command") < 5 {
 				h.submitRandom(servers)
 				h.commit()
 			}
 		}
-		// No more faults, and an operator handles what waits for one.
-		for i := range h.snapshot.Members {
-			h.snapshot.Members[i].State = swim.Alive
-		}
-		h.snapshot.Report.InUse, h.snapshot.Report.RejectedPerSecond = nil, 0
-		clear(h.silent)
+		h.endFaults()
 		for n := 0; slices.ContainsFunc(h.committed.State.Plans, func(p Plan) bool { return !p.Ended }); n++ {
 			require.Less(t, n, 3000, "the plans end: %+v", h.Blockers())
 			h.now += 1
 			h.report()
-			for _, p := range h.committed.State.Plans {
-				for _, b := range p.Servers {
-					switch {
-					case p.PausedBy != "" && !p.Aborted && !p.Ended:
-						h.submitOnly(Command{Kind: ResumePlan, Plan: p.Number})
-					case b.Stage == Drained:
-						h.submitOnly(Command{Kind: AcquireServer, Agent: "last"})
-					case b.Stage == InMaintenance:
-						h.submitOnly(Command{Kind: CompleteServer, Server: b.Name, Token: b.Token})
-					case b.Stage == Lost:
-						h.submitOnly(Command{Kind: SkipServer, Server: b.Name, Plan: p.Number})
-					}
-				}
-			}
+			h.resolvePlans()
 			h.commit()
 		}
 	})
 }
 
+// drawFaults draws what happens to the fleet before a snapshot. Danger: all of it may happen between any two snapshots.
+func (h *history) drawFaults(servers []string) {
+	t, tenth := h.t, rapid.IntRange(0, 9)
+	h.snapshot.Report.InUse, h.snapshot.Report.RejectedPerSecond = nil, 0
+	clear(h.silent)
+	if tenth.Draw(t, "in use") == 0 {
+		h.snapshot.Report.InUse = []InUse{{Server: rapid.SampledFrom(servers).Draw(t, "server"), Member: 1, InFlight: rapid.IntRange(0, 2).Draw(t, "in flight")}}
+	}
+	if tenth.Draw(t, "silent") == 0 {
+		h.silent[rapid.SampledFrom(h.snapshot.Members).Draw(t, "silent member").ID] = true
+	}
+	if tenth.Draw(t, "rejections") == 0 {
+		h.snapshot.Report.RejectedPerSecond = h.snapshot.Report.CompletedPerSecond / 2
+	}
+	m := &h.snapshot.Members[rapid.IntRange(0, len(h.snapshot.Members)-1).Draw(t, "member")]
+	switch tenth.Draw(t, "member's state") {
+	case 0:
+		m.State, m.StateAgeSeconds = swim.Dead, rapid.SampledFrom([]float64{1, 400}).Draw(t, "dead for")
+	case 1:
+		m.State, m.StateAgeSeconds = swim.Left, rapid.SampledFrom([]float64{1, 100}).Draw(t, "left for")
+	default:
+		m.State, m.BootID = swim.Alive, m.BootID+1
+	}
+}
+
+// endFaults ends all faults for good.
+func (h *history) endFaults() {
+	for i := range h.snapshot.Members {
+		h.snapshot.Members[i].State = swim.Alive
+	}
+	h.snapshot.Report.InUse, h.snapshot.Report.RejectedPerSecond = nil, 0
+	clear(h.silent)
+}
+
+// resolvePlans does what plans wait for: an operator resumes them and puts lost servers back in service, an agent does the work.
+func (h *history) resolvePlans() {
+	for _, p := range h.committed.State.Plans {
+		for _, b := range p.Servers {
+			switch {
+			case p.PausedBy != "" && !p.Aborted && !p.Ended:
+				h.submitOnly(Command{Kind: ResumePlan, Plan: p.Number})
+			case b.Stage == Drained:
+				h.submitOnly(Command{Kind: AcquireServer, Agent: "last"})
+			case b.Stage == InMaintenance:
+				h.submitOnly(Command{Kind: CompleteServer, Server: b.Name, Token: b.Token})
+			case b.Stage == Lost:
+				h.submitOnly(Command{Kind: SkipServer, Server: b.Name, Plan: p.Number})
+			}
+		}
+	}
+}
+
+// submitOnly submits a command without waiting for its reply.
 func (h *history) submitOnly(c Command) {
 	h.nonce++
 	c.Nonce = h.nonce
@@ -219,8 +234,8 @@
 	}
 	if c.Kind == SubmitPlan {
 		s := Spec{Name: "drawn", Servers: rapid.SliceOfNDistinct(rapid.SampledFrom(servers), 1, len(servers), rapid.ID[string]).Draw(h.t, "servers"),
-			WorkSeconds: rapid.Float64Range(1, 60).Draw(h.t, "takes"), MaxConcurrent: rapid.IntRange(1, 4).Draw(h.t, "at once"), MaxPerSite: rapid.IntRange(0, 2).Draw(h.t, "by site"),
-			MinCapacity: rapid.Float64Range(0, 0.6).Draw(h.t, "keep"), AbandonOverdue: rapid.Bool().Draw(h.t, "give up"), WarmUpSeconds: rapid.Float64Range(1, 20).Draw(h.t, "cold")}
+			WorkSeconds: rapid.Float64Range(1, 60).Draw(h.t, "work"), MaxConcurrent: rapid.IntRange(1, 4).Draw(h.t, "max concurrent"), MaxPerSite: rapid.IntRange(0, 2).Draw(h.t, "max per site"),
+			MinCapacity: rapid.Float64Range(0, 0.6).Draw(h.t, "min capacity"), AbandonOverdue: rapid.Bool().Draw(h.t, "abandon overdue"), WarmUpSeconds: rapid.Float64Range(1, 20).Draw(h.t, "warm up")}
 		c.Spec = &s
 	}
 	h.submitOnly(c)
