--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -238,7 +238,7 @@
 			Eventually(func(g Gomega) {
 				answer, err := http.Get("http://" + s.machines[i].control.proposer.self.Address + statusPath)
 				g.Expect(err).NotTo(HaveOccurred())
-				defer answer.Body.Close()
+				defer func() { _ = answer.Body.Close() }()
 				var told replicaStatus
 				g.Expect(json.NewDecoder(answer.Body).Decode(&told)).To(Succeed())
 				g.Expect(told.Identity).To(Equal(s.machines[i].control.proposer.self.ID))
--- a/internal/control/patch_test.go
+++ b/internal/control/patch_test.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			return 0
 		}
-		defer answer.Body.Close()
+		defer func() { _ = answer.Body.Close() }()
 		data, err := io.ReadAll(answer.Body)
 		if err != nil {
 			return 0
--- a/internal/control/shutdown_test.go
+++ b/internal/control/shutdown_test.go
@@ -23,7 +23,7 @@
 		go func() { ended <- server.Serve(listener) }()
 		silent, err := net.Dial("tcp4", listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
-		defer silent.Close()
+		defer func() { _ = silent.Close() }()
 		Eventually(opened).Should(Receive())
 		Expect(shutdown([]*http.Server{server}, 10*time.Millisecond)).To(Succeed())
 		Expect(<-ended).To(MatchError(http.ErrServerClosed))
--- a/internal/control/testcluster_test.go
+++ b/internal/control/testcluster_test.go
@@ -188,7 +188,7 @@
 	if err != nil {
 		return 0
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }()
 	return answer.StatusCode
 }
 
@@ -207,7 +207,7 @@
 	if err != nil {
 		return 0, 0
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }()
 	data, err := io.ReadAll(answer.Body)
 	Expect(err).NotTo(HaveOccurred())
 	var told struct{ Version int }
--- a/internal/proxy/backendexchange.go
+++ b/internal/proxy/backendexchange.go
@@ -48,7 +48,7 @@
 		}
 		return nil, outcomeMayHaveExecuted, err
 	}
-	response, err := readResponse(conn, method, id)
+	response, err := readResponse(conn, method, id) //nolint:bodyclose // finish and abort end the use of the connection
 	conn.hasCarried, conn.lastRequestID = true, id
 	if err != nil {
 		detachContext()
--- a/internal/proxy/misdirected_test.go
+++ b/internal/proxy/misdirected_test.go
@@ -62,11 +62,11 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	case r.Method == http.MethodDelete:
 	case s.instance.Stage == message.Prefill:
-		fmt.Fprint(w, `{"KvHandle":"h1","Tokens":1000,"Version":1}`)
+		writeText(w, `{"KvHandle":"h1","Tokens":1000,"Version":1}`)
 	default:
 		w.Header().Set(headerStamp, "stamp")
 		w.Header().Set("Content-Type", "text/event-stream")
-		fmt.Fprint(w, event(1))
+		writeText(w, "%s", event(1))
 	}
 }
 
@@ -113,7 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }()
 	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/proxy_suite_test.go
+++ b/internal/proxy/proxy_suite_test.go
@@ -64,7 +64,7 @@
 }
 
 func (s *testServer) serve(conn net.Conn, answer serverBehavior) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	s.mu.Lock()
 	s.conns++
 	crowded := s.resetsNewConns
@@ -85,7 +85,7 @@
 			return
 		}
 		if request.URL.Path == "/health" {
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Instance-Id: %s\r\nContent-Length: 0\r\n\r\n", s.ID)
+			writeText(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Instance-Id: %s\r\nContent-Length: 0\r\n\r\n", s.ID)
 			continue
 		}
 		r := receivedRequest{request, string(body)}
@@ -111,6 +111,9 @@
 	return append([]receivedRequest(nil), s.requests...)
 }
 
+// writeText writes to a client. A failure shows in what the client receives.
+func writeText(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
+
 // writeAnswer answers with a body and all fields of a server's response.
 func writeAnswer(conn net.Conn, r receivedRequest, body string) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: stamp\r\nContent-Length: %d\r\n\r\n%s",
@@ -139,11 +142,11 @@
 
 // streamHead writes the head of a stream.
 func streamHead(conn net.Conn, r receivedRequest) {
-	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: stamp\r\n"+
+	writeText(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: stamp\r\n"+
 		"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get(headerRequestID))
 }
 
-func chunk(conn net.Conn, text string) { fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text), text) }
+func chunk(conn net.Conn, text string) { writeText(conn, "%x\r\n%s\r\n", len(text), text) }
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
@@ -216,7 +219,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }()
 	body, err := io.ReadAll(answer.Body)
 	return answer, string(body), err
 }
--- a/internal/proxy/unary.go
+++ b/internal/proxy/unary.go
@@ -23,7 +23,7 @@
 		if endpoint == nil {
 			break
 		}
-		response, body := p.attemptUnary(ctx, req, endpoint)
+		response, body := p.attemptUnary(ctx, req, endpoint) //nolint:bodyclose // body holds all of it
 		if response != nil {
 			copyResponseHeader(w, response)
 			w.Header().Set("Content-Length", strconv.Itoa(len(body)))
--- a/internal/proxy/unary_test.go
+++ b/internal/proxy/unary_test.go
@@ -95,29 +95,29 @@
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway))
 	},
 		Entry("no stamp", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nContent-Length: 2\r\n\r\nok", r.Header.Get(headerRequestID))
+			writeText(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nContent-Length: 2\r\n\r\nok", r.Header.Get(headerRequestID))
 			return true
 		})),
 		Entry("an encoded body", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: s\r\nContent-Encoding: br\r\n"+
+			writeText(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: s\r\nContent-Encoding: br\r\n"+
 				"Content-Length: 2\r\n\r\nok", r.Header.Get(headerRequestID))
 			return true
 		})),
 		Entry("a body that ends early", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: s\r\nContent-Length: 20\r\n\r\nok",
+			writeText(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: s\r\nContent-Length: 20\r\n\r\nok",
 				r.Header.Get(headerRequestID))
 			return false
 		})),
 		Entry("a body without a delimited end", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: s\r\n\r\nok", r.Header.Get(headerRequestID))
+			writeText(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: s\r\n\r\nok", r.Header.Get(headerRequestID))
 			return false
 		})),
 		Entry("bytes that are no HTTP response", serverBehavior(func(conn net.Conn, _ receivedRequest, _ int) bool {
-			fmt.Fprint(conn, "no answer at all\r\n\r\n")
+			writeText(conn, "no answer at all\r\n\r\n")
 			return false
 		})),
 		Entry("a rejection that does not say that the request was not executed", serverBehavior(func(conn net.Conn, r receivedRequest, _ int) bool {
-			fmt.Fprintf(conn, "HTTP/1.1 503 Busy\r\nHazelwheel-Request-Id: %s\r\nContent-Length: 0\r\n\r\n", r.Header.Get(headerRequestID))
+			writeText(conn, "HTTP/1.1 503 Busy\r\nHazelwheel-Request-Id: %s\r\nContent-Length: 0\r\n\r\n", r.Header.Get(headerRequestID))
 			return true
 		})),
 	)
@@ -125,7 +125,7 @@
 	It("gets its own response where one of another request precedes it", func() {
 		s := startServer("i-1", "s", "", func(conn net.Conn, r receivedRequest, n int) bool {
 			if n == 2 {
-				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: other\r\nHazelwheel-Response-Stamp: x\r\nContent-Length: 5\r\n\r\nother")
+				writeText(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: other\r\nHazelwheel-Response-Stamp: x\r\nContent-Length: 5\r\n\r\nother")
 			}
 			return writeAnswer(conn, r, fmt.Sprint("answer ", n))
 		})
@@ -152,7 +152,7 @@
 
 	It("forwards a server's own error with its stamp", func() {
 		s := startServer("i-1", "s", "", func(conn net.Conn, r receivedRequest, _ int) bool {
-			fmt.Fprintf(conn, "HTTP/1.1 500 Oops\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: st\r\nContent-Length: 4\r\n\r\noops",
+			writeText(conn, "HTTP/1.1 500 Oops\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: st\r\nContent-Length: 4\r\n\r\noops",
 				r.Header.Get(headerRequestID))
 			return true
 		})
@@ -166,7 +166,7 @@
 
 	It("avoids a server whose address another instance has", func() {
 		one := startServer("i-1", "s", "", func(conn net.Conn, _ receivedRequest, _ int) bool {
-			fmt.Fprint(conn, "HTTP/1.1 421 Misdirected\r\nHazelwheel-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n")
+			writeText(conn, "HTTP/1.1 421 Misdirected\r\nHazelwheel-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n")
 			return true
 		})
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, one, startServer("i-2", "s", "", echo))
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -226,8 +226,10 @@
 	p.disk.steps = 1 + p.rng.IntN(60)
 	defer func() {
 		p.disk.steps = 0
-		if met := recover(); met != nil && met != errPowerLoss {
-			panic(met)
+		if met := recover(); met != nil {
+			if err, isError := met.(error); !isError || !errors.Is(err, errPowerLoss) {
+				panic(met)
+			}
 		}
 		p.disk.losePower()
 	}()
