--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -234,8 +234,8 @@
 }
 
 // mustWait reports whether a command can't be decided yet: a plan without a fresh snapshot, or a token of a later version than the
-// committed one. Danger: an agent that was handed a server by a later lease holder must not be told by an earlier one that it has
-// none.
+// committed one. Danger: a lease holder that does not know what a later one has handed out must not reply that nobody works on the
+// server.
 func (c *Coordinator) mustWait(q *queuedCommand) bool {
 	switch q.Kind {
 	case SubmitPlan:
--- a/internal/sim/maintenancesim/commands.go
+++ b/internal/sim/maintenancesim/commands.go
@@ -13,8 +13,8 @@
 // operator is the name under which operators issue commands.
 const operator = "operator"
 
-// forwardInterval is the time between two attempts to forward a command, in seconds.
-const forwardInterval = 1.0
+// forwardIntervalSeconds is the time between two attempts to forward a command.
+const forwardIntervalSeconds = 1.0
 
 // pendingCommand is a command without a reply yet.
 type pendingCommand struct {
@@ -57,7 +57,7 @@
 			holder.run(process, func() { holder.handleCommand(p) })
 		})
 	}
-	s.After(forwardInterval, func() { s.forward(p) })
+	s.After(forwardIntervalSeconds, func() { s.forward(p) })
 }
 
 // handleCommand submits a command to the coordinator, if this sidecar believes to hold the lease.
--- a/internal/sim/maintenancesim/faults.go
+++ b/internal/sim/maintenancesim/faults.go
@@ -41,16 +41,16 @@
 		}
 	}},
 	{"freeze", func(s *Simulation, seconds float64) { s.pickSidecar().freeze(seconds) }},
-	{"cut", func(s *Simulation, seconds float64) { s.isolate(s.pickSidecar(), seconds) }},
-	{"cut-half", func(s *Simulation, seconds float64) {
+	{"partition", func(s *Simulation, seconds float64) { s.isolate(s.pickSidecar(), seconds) }},
+	{"partition-half", func(s *Simulation, seconds float64) {
 		for _, n := range s.sidecars {
 			if s.chance(0.5) {
 				s.isolate(n, seconds)
 			}
 		}
 	}},
-	{"move", func(s *Simulation, _ float64) { s.grantLease(s.pickSidecar()) }},
-	{"majority", func(s *Simulation, seconds float64) {
+	{"move-lease", func(s *Simulation, _ float64) { s.grantLease(s.pickSidecar()) }},
+	{"no-quorum", func(s *Simulation, seconds float64) {
 		s.hasNoQuorum = true
 		s.After(seconds, func() { s.hasNoQuorum = false })
 	}},
@@ -59,8 +59,8 @@
 		s.lossProbability = 0.4
 		s.After(seconds, func() { s.lossProbability = before })
 	}},
-	{"silent", func(s *Simulation, seconds float64) { s.failServer(s.pickServer(), seconds) }},
-	{"site", func(s *Simulation, seconds float64) {
+	{"server-down", func(s *Simulation, seconds float64) { s.failServer(s.pickServer(), seconds) }},
+	{"site-down", func(s *Simulation, seconds float64) {
 		site := s.pickServer().site
 		for _, b := range s.servers {
 			if b.site == site {
@@ -73,7 +73,7 @@
 		b.isUnlisted, s.undisturbedSince = true, math.Inf(1)
 		s.After(seconds, func() { b.isUnlisted, s.undisturbedSince = false, s.Now() })
 	}},
-	{"drained", func(s *Simulation, seconds float64) {
+	{"draining", func(s *Simulation, seconds float64) {
 		b := s.pickServer()
 		b.isDraining, s.undisturbedSince = true, math.Inf(1)
 		s.After(seconds, func() { b.isDraining, s.undisturbedSince = false, s.Now() })
@@ -83,22 +83,22 @@
 		s.requestsPerSecond *= s.uniform(1.5, 2.5)
 		s.After(seconds, func() { s.requestsPerSecond = before })
 	}},
-	{"refusing", func(s *Simulation, seconds float64) {
+	{"rejections", func(s *Simulation, seconds float64) {
 		s.rejectedFraction = 0.2
 		s.After(seconds, func() { s.rejectedFraction = 0 })
 	}},
-	{"late", func(s *Simulation, seconds float64) {
+	{"stale-lists", func(s *Simulation, seconds float64) {
 		s.staleLists = len(s.sidecars)
 		s.After(seconds, func() { s.staleLists = 0 })
 	}},
-	{"by-hand", func(s *Simulation, seconds float64) {
+	{"uncordon", func(s *Simulation, seconds float64) {
 		n, b := s.pickSidecar(), s.pickServer()
 		if n.isRunning {
 			n.uncordonedUntil[b.name] = s.Now() + seconds
 		}
 	}},
-	{"meddle", func(s *Simulation, _ float64) { s.issueOperatorCommand() }},
-	{"mechanic", func(s *Simulation, seconds float64) {
+	{"operator-command", func(s *Simulation, _ float64) { s.issueOperatorCommand() }},
+	{"agent-crash", func(s *Simulation, seconds float64) {
 		if a := s.agents[s.rng.IntN(len(s.agents))]; !a.isDown {
 			a.crash(seconds)
 		}
--- a/internal/sim/maintenancesim/simulation.go
+++ b/internal/sim/maintenancesim/simulation.go
@@ -83,9 +83,9 @@
 }
 
 const (
-	startSeconds       = 3.0    // before the first plan
-	maxRecoverySeconds = 3000.0 // for plans to end after all faults
-	recoveryStep       = 20.0   // seconds between two checks whether they have
+	startSeconds        = 3.0    // before the first plan
+	maxRecoverySeconds  = 3000.0 // for plans to end after all faults
+	recoveryStepSeconds = 20.0   // between two checks whether they have
 )
 
 // RunSeeds runs a range of seeds, jobs of them at a time, and calls handle with each result in order until it returns false.
@@ -192,7 +192,7 @@
 	}
 	for end := s.Now() + maxRecoverySeconds; s.Now() < end && s.resolvePlans(); {
 		s.releaseAbandoned()
-		s.Until(s.Now() + recoveryStep)
+		s.Until(s.Now() + recoveryStepSeconds)
 	}
 	s.Until(s.Now() + 5)
 	s.checkEnd()
