--- a/cmd/hazelfleet/fleet_test.go
+++ b/cmd/hazelfleet/fleet_test.go
@@ -12,6 +12,7 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -25,7 +26,10 @@
 	RunSpecs(t, "processes of the fleet")
 }
 
-var binary string
+var (
+	binary string
+	starts atomic.Uint64 // of processes
+)
 
 var _ = BeforeSuite(func() {
 	binary = filepath.Join(GinkgoT().TempDir(), "hazelfleet")
@@ -137,9 +141,19 @@
 
 func (f *fleet) start(name string, bootstrap bool) { f.startWith(name, f.settings(name, bootstrap)) }
 
+// nextBinary returns the program for a start. HAZELFLEET_OTHER names another version's program, which then takes turns with this one, also
+// on the same disks: it shows that the two versions read what the other has stored and sent.
+func nextBinary() string {
+	other := os.Getenv("HAZELFLEET_OTHER")
+	if other == "" || starts.Add(1)%2 == 0 {
+		return binary
+	}
+	return other
+}
+
 // startWith starts a process, whose name is its role and a number, with a settings file.
 func (f *fleet) startWith(name, settings string) {
-	process := exec.Command(binary, strings.TrimRight(name, "0123456789"))
+	process := exec.Command(nextBinary(), strings.TrimRight(name, "0123456789"))
 	process.Env = append(os.Environ(), "HAZELWHEEL_CONFIG="+settings)
 	process.Stdout, process.Stderr = GinkgoWriter, GinkgoWriter
 	Expect(process.Start()).To(Succeed())
