--- a/internal/control/antientropy.go
+++ b/internal/control/antientropy.go
@@ -22,8 +22,8 @@
 )
 
 // runAntiEntropy reads the register at regular intervals, so that a value that this process has missed reaches handleChosen. It also reads
-// soon after this process has accepted a configuration that was not published since: its proposer may have failed, and then somebody has
-// to find out whether it was chosen.
+// soon after this process has accepted a configuration that was not published since: its proposer may have failed before it knew whether the
+// configuration was chosen.
 func (c *Control) runAntiEntropy(ctx context.Context) {
 	pause := firstReadDelay
 	for {
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -32,6 +32,7 @@
 	value chosenValue
 }
 
+// newChosenTracker returns a tracker that has observed nothing.
 func newChosenTracker() *chosenTracker { return &chosenTracker{wake: make(chan struct{}, 1)} }
 
 // observe notes a chosen value; an older one than the latest is ignored.
@@ -85,9 +86,9 @@
 // where this disk is full.
 func (c *Control) catchUp(ctx context.Context, value chosenValue) error {
 	gossipState, _ := c.node.State()
-	published := value.ConfigVersion == 0 || gossipState.Table != nil && gossipState.Table.Version >= value.ConfigVersion
-	behind := value.Ballot.Compare(c.replica.state().Accepted) > 0
-	if published && !behind {
+	isPublished := value.ConfigVersion == 0 || gossipState.Table != nil && gossipState.Table.Version >= value.ConfigVersion
+	isBehind := value.Ballot.Compare(c.replica.state().Accepted) > 0
+	if isPublished && !isBehind {
 		return nil
 	}
 	var data []byte
@@ -97,14 +98,14 @@
 			return err
 		}
 	}
-	if !published {
+	if !isPublished {
 		table, err := routeconfig.Parse(data)
 		if err != nil {
 			return Error.New("parsing the chosen configuration: %w", err)
 		}
 		c.node.SetTable(table)
 	}
-	if !behind {
+	if !isBehind {
 		return nil
 	}
 	_, err := c.replica.learn(value, data)
--- a/internal/control/configapi.go
+++ b/internal/control/configapi.go
@@ -32,6 +32,7 @@
 	message string // the reason, where status is not 200
 }
 
+// changeAccepted is the response to a change that is chosen.
 var changeAccepted = changeResult{status: http.StatusOK}
 
 // invalidChange is the response to a change that no process would accept.
--- a/internal/control/configfetch.go
+++ b/internal/control/configfetch.go
@@ -25,6 +25,7 @@
 	data   []byte          // its first bytes, as far as they have arrived
 }
 
+// newConfigFetcher returns a fetcher without bytes.
 func newConfigFetcher() *configFetcher { return &configFetcher{busy: make(chan struct{}, 1)} }
 
 // chunkRequester requests a chunk from a control process.
--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -31,9 +31,9 @@
 	for sleep(ctx, reconfigurationInterval) == nil {
 		gossipState, _ := c.node.State()
 		candidates := reconfiguration.AddReachableVoters(&gossipState.Voters, c.candidates(), c.isReachable)
-		needed := reconfiguration.IsNeeded(&gossipState.Voters, candidates, c.targetVoters())
-		rank, votes := reconfiguration.Rank(c.proposer.self.ID, &gossipState.Voters, reconfiguration.IsLiveVoter(candidates))
-		if !turns.IsDue(time.Since(startedAt).Seconds(), needed && votes, rank) {
+		isNeeded := reconfiguration.IsNeeded(&gossipState.Voters, candidates, c.targetVoters())
+		rank, isVoter := reconfiguration.Rank(c.proposer.self.ID, &gossipState.Voters, reconfiguration.IsLiveVoter(candidates))
+		if !turns.IsDue(time.Since(startedAt).Seconds(), isNeeded && isVoter, rank) {
 			continue
 		}
 		changed, err := c.reconfigure(ctx, &learners)
@@ -58,8 +58,8 @@
 	if len(value.OutgoingVoters) == 0 {
 		assumed := reconfiguration.AddReachableVoters(&value.Value, c.candidates(), c.isReachable)
 		candidates := c.queryLearners(ctx, value, assumed, learners)
-		next, needed := register.NextVoters(value.Voters, candidates, c.targetVoters())
-		if !needed {
+		next, isNeeded := register.NextVoters(value.Voters, candidates, c.targetVoters())
+		if !isNeeded {
 			return false, nil
 		}
 		if changed, err = c.changeVoters(ctx, register.BeginReconfiguration(value.Epoch, next)); err != nil || !changed {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -155,13 +155,13 @@
 		return err
 	}
 	r.mu.Lock()
-	newVersion := state.Value.ConfigVersion > r.acceptor.State().Value.ConfigVersion
+	isNewer := state.Value.ConfigVersion > r.acceptor.State().Value.ConfigVersion
 	r.acceptor.MarkPersisted(*state)
 	if config != nil {
 		r.cacheConfig(state.Value.ConfigDigest, config)
 	}
 	r.mu.Unlock()
-	if newVersion {
+	if isNewer {
 		notify(r.valueStored)
 	}
 	if r.store.SegmentSize() > snapshotThreshold {
@@ -200,18 +200,18 @@
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
 	digest := request.Value.ConfigDigest
-	cached := r.configBytes(digest) != nil
+	isCached := r.configBytes(digest) != nil
 	if len(request.ConfigData) > 0 && register.DigestOf(request.ConfigData) != digest {
 		return nil, Error.New("the bytes of a configuration don't match its digest")
 	}
 	r.mu.Lock()
-	next, reply := r.acceptor.HandleAccept(*request, cached || len(request.ConfigData) > 0)
+	next, reply := r.acceptor.HandleAccept(*request, isCached || len(request.ConfigData) > 0)
 	r.mu.Unlock()
 	if next == nil {
 		return &reply, nil
 	}
 	var newConfig []byte
-	if !cached {
+	if !isCached {
 		newConfig = request.ConfigData
 	}
 	if err := r.persist(next, newConfig); err != nil {
@@ -233,14 +233,14 @@
 func (r *replica) learn(value chosenValue, config []byte) (upToDate bool, err error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
-	cached := r.configBytes(value.ConfigDigest) != nil
+	isCached := r.configBytes(value.ConfigDigest) != nil
 	r.mu.Lock()
-	next, upToDate := r.acceptor.HandleLearn(value.Ballot, value.Value, cached || config != nil)
+	next, upToDate := r.acceptor.HandleLearn(value.Ballot, value.Value, isCached || config != nil)
 	r.mu.Unlock()
 	if next == nil {
 		return upToDate, nil
 	}
-	if cached {
+	if isCached {
 		config = nil
 	}
 	return upToDate, r.persist(next, config)
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -61,7 +61,7 @@
 // requests wait for it, since clients retry only a few times.
 func (p *Proxy) awaitRoutes(ctx context.Context) *routeTable {
 	if p.state.isReady() {
-		return p.state.routes()
+		return p.state.currentTable()
 	}
 	timer := time.NewTimer(startupTimeout)
 	defer timer.Stop()
@@ -70,7 +70,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return p.state.routes()
+	return p.state.currentTable()
 }
 
 // respondUnavailable responds that the request was not executed, and when to retry, in seconds.
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -116,13 +116,13 @@
 	if conn.hasCarried || req.route.Kind == routeconfig.Idempotent {
 		return true
 	}
-	check, scarce := healthCheck{host: req.service}, false
+	check, hasFewConns := healthCheck{host: req.service}, false
 	p.state.withService(req.service, func(_ float64, pool *placement.Pool, _ *placement.Planner) {
 		if service := p.state.table.services[req.service]; service != nil && pool != nil {
-			check.healthPath, scarce = service.HealthPath, pool.HasFewConnections()
+			check.healthPath, hasFewConns = service.HealthPath, pool.HasFewConnections()
 		}
 	})
-	if !scarce || check.healthPath == "" {
+	if !hasFewConns || check.healthPath == "" {
 		return true
 	}
 	exchanged, err := requestHealthOn(ctx, conn, check)
--- a/internal/proxy/routingstate.go
+++ b/internal/proxy/routingstate.go
@@ -46,8 +46,8 @@
 	return s.table != nil && s.hasList
 }
 
-// routes returns the table in force, nil before the first configuration.
-func (s *routingState) routes() *routeTable {
+// currentTable returns the table in force, nil before the first configuration.
+func (s *routingState) currentTable() *routeTable {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table
--- a/internal/proxy/streamtiming.go
+++ b/internal/proxy/streamtiming.go
@@ -39,10 +39,10 @@
 // add counts a completed stream of a route.
 func (c *streamCounts) add(route *routeconfig.Route, arrivedAt time.Time, timing *streamTiming) {
 	c.Served++
-	target := nodeconfig.FromMillis(route.LatencyTargetMs)
+	latencyTarget := nodeconfig.FromMillis(route.LatencyTargetMs)
 	switch {
-	case target > 0 && timing.firstEventAt.Sub(arrivedAt) > target:
-		if !timing.prefilledAt.IsZero() && float64(timing.prefilledAt.Sub(arrivedAt)) > latePrefillFraction*float64(target) {
+	case latencyTarget > 0 && timing.firstEventAt.Sub(arrivedAt) > latencyTarget:
+		if !timing.prefilledAt.IsZero() && float64(timing.prefilledAt.Sub(arrivedAt)) > latePrefillFraction*float64(latencyTarget) {
 			c.LatePrefill++
 		} else {
 			c.LateFirstEvent++
--- a/internal/proxy/wire_form_test.go
+++ b/internal/proxy/wire_form_test.go
@@ -67,7 +67,7 @@
 		defer func() { _ = conn.Close() }()
 		_, err = conn.Write(goldenFrame("feed", feedFrame()))
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() uint64 { return p.state.routes().version }).Should(BeEquivalentTo(7))
+		Eventually(func() uint64 { return p.state.currentTable().version }).Should(BeEquivalentTo(7))
 		p.state.mu.Lock()
 		Expect(p.state.instances).To(Equal([]message.Instance{{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 4, Stage: message.Decode}}))
 		Expect(p.state.stagePlan).To(Equal(message.StagePlan{Token: 3, Sequence: 9, Stages: map[string]message.Stage{"i-1": message.Prefill}}))
