--- a/internal/sim/leasesim/judge.go
+++ b/internal/sim/leasesim/judge.go
@@ -22,76 +22,76 @@
 
 // The rules.
 const (
-	RuleTwoLeases       = "two-leases"       // at one instant two members hold a valid lease for one job
+	RuleTwoLeases       = "two-leases"       // at one instant two members hold a valid lease for one role
 	RuleTokenDecreased  = "token-falls"      // a receiver takes an effect under a token lower than one that it took before
 	RuleTokenOfTwo      = "token-of-two"     // one token has two owners, or a grant does not raise the token
 	RuleTwoLeaders      = "two-leaders"      // two lead in one term
 	RuleTwoHistories    = "two-histories"    // of one epoch and index there are two tables
 	RuleVoters          = "electors-leap"    // more than one elector is replaced at once
 	RuleNotLinearizable = "not-linearizable" // there is no order of grants, uses and ends that all have seen
-	RuleNoHolder        = "nobody"           // a majority is up and calm, and a job has no owner
-	RuleUneven          = "uneven"           // a calm fleet's jobs are not spread evenly
+	RuleNoHolder        = "nobody"           // a majority is up and calm, and a role has no owner
+	RuleUneven          = "uneven"           // a calm fleet's roles are not spread evenly
 	RuleNotPersisted    = "told-before-kept" // a vote or a promise is told that is not on the disk
 	RulePanic           = "panic"
 )
 
-// judge is what is seen from outside.
-type judge struct {
-	w        *Simulation
-	findings []Finding
-	leaders  []ledTerm
-	tables   []knownTable
-	electors []electorsAt
-	owners   []tokenOwner
-	leases   []observedLease
-	taken    []takenToken
-	ops      []porcupine.Operation
-	idle     []rest
-	gaps     []Gap
-	why      string // what the last trouble was, for gaps
-	whyAt    float64
+// checker is what is seen from outside.
+type checker struct {
+	sim           *Simulation
+	findings      []Finding
+	leaders       []termLeader
+	tables        []observedTable
+	voterSets     []voterSet
+	tokenHolders  []tokenHolder
+	leases        []observedLease
+	appliedTokens []appliedToken
+	operations    []porcupine.Operation
+	vacancies     []vacancy
+	gaps          []Gap
+	lastFault     string // what the last trouble was, for gaps
+	lastFaultAt   float64
 }
 
-type ledTerm struct {
+type termLeader struct {
 	epoch, term uint64
-	id          swim.ID
+	leader      swim.ID
 }
 
-type knownTable struct {
+type observedTable struct {
 	epoch, index uint64
 	sum          string
 }
 
-type electorsAt struct {
+type voterSet struct {
 	epoch, term uint64
-	of          swim.ID
-	list        []swim.ID
+	leader      swim.ID
+	voters      []swim.ID
 }
 
-type tokenOwner struct {
-	job   string
-	token uint64
-	by    *identity
+type tokenHolder struct {
+	role     string
+	token    uint64
+	identity *identity
 }
 
 // observedLease is one that a member was told of, and that it was not told the end of.
 type observedLease struct {
-	n     *node
-	life  int
-	job   string
-	token uint64
+	node        *node
+	incarnation int
+	role        string
+	token       uint64
 }
 
-type takenToken struct {
-	by    *identity
-	job   string
-	token uint64
+type appliedToken struct {
+	identity *identity
+	role     string
+	token    uint64
 }
 
-type rest struct {
-	job   string
-	since float64
-	last  *node
+type vacancy struct {
+	role       string
+	since      float64
+	lastHolder *node
 }
 
 // Gap is a time without an owner.
@@ -102,53 +102,53 @@
 	RecoverySeconds float64 // from the trouble to the next owner
 }
 
-func (w *Simulation) broken(rule, format string, args ...any) {
+func (s *Simulation) breakRule(rule, format string, args ...any) {
 	why := fmt.Sprintf(format, args...)
-	w.note("BROKEN %s: %s", rule, why)
-	if len(w.findings) < 20 {
-		w.findings = append(w.findings, Finding{At: w.Now(), Rule: rule, Why: why})
+	s.record("BROKEN %s: %s", rule, why)
+	if len(s.findings) < 20 {
+		s.findings = append(s.findings, Finding{At: s.Now(), Rule: rule, Why: why})
 	}
 }
 
-// check looks at a member that has just done something.
-func (w *Simulation) check(n *node) {
-	f := n.t.Stats()
+// checkNode looks at a member that has just done something.
+func (s *Simulation) checkNode(n *node) {
+	f := n.lease.Stats()
 	if f.IsLeader {
-		i := slices.IndexFunc(w.leaders, func(l ledTerm) bool { return l.epoch == f.Epoch && l.term == f.Term })
+		i := slices.IndexFunc(s.leaders, func(l termLeader) bool { return l.epoch == f.Epoch && l.term == f.Term })
 		if i < 0 {
-			w.counts.ElectionsWon++
-			w.note("%d leads in term %d", n.number, f.Term)
-			w.leaders = append(w.leaders, ledTerm{f.Epoch, f.Term, n.ident.id})
-		} else if w.leaders[i].id != n.ident.id {
-			w.broken(RuleTwoLeaders, "%v and %v lead in term %d", w.leaders[i].id, n.ident.id, f.Term)
+			s.counts.ElectionsWon++
+			s.record("%d leads in term %d", n.number, f.Term)
+			s.leaders = append(s.leaders, termLeader{f.Epoch, f.Term, n.identity.id})
+		} else if s.leaders[i].leader != n.identity.id {
+			s.breakRule(RuleTwoLeaders, "%v and %v lead in term %d", s.leaders[i].leader, n.identity.id, f.Term)
 		}
 	}
-	w.checkTable(n, f)
-	for _, job := range w.jobs {
-		token, ok := n.t.Holds(n.clock(), job)
+	s.checkTable(n, f)
+	for _, role := range s.roles {
+		token, ok := n.lease.Holds(n.localTime(), role)
 		if !ok {
 			continue
 		}
-		for _, o := range w.nodes {
+		for _, o := range s.nodes {
 			if o == n || !o.up {
 				continue
 			}
-			if other, too := o.t.Holds(o.clock(), job); too {
-				w.broken(RuleTwoLeases, "%d under %#x and %d under %#x may act for %s", n.number, token, o.number, other, job)
+			if other, too := o.lease.Holds(o.localTime(), role); too {
+				s.breakRule(RuleTwoLeases, "%d under %#x and %d under %#x may act for %s", n.number, token, o.number, other, role)
 			}
 		}
 	}
 }
 
-func (w *Simulation) checkTable(n *node, f lease.Stats) {
-	t := n.t.Table()
-	if at := [4]uint64{t.Epoch, t.Index, t.Term, uint64(t.Leader)}; t.Epoch == 0 || n.table == at {
+func (s *Simulation) checkTable(n *node, f lease.Stats) {
+	t := n.lease.Table()
+	if at := [4]uint64{t.Epoch, t.Index, t.Term, uint64(t.Leader)}; t.Epoch == 0 || n.checkedTable == at {
 		return
 	} else {
-		n.table = at
+		n.checkedTable = at
 	}
 	sum := fmt.Sprint(t.Grants, t.Voters)
-	i, known := slices.BinarySearchFunc(w.tables, t, func(k knownTable, t lease.Table) int {
+	i, known := slices.BinarySearchFunc(s.tables, t, func(k observedTable, t lease.Table) int {
 		if k.epoch != t.Epoch {
 			return int(int64(k.epoch) - int64(t.Epoch))
 		}
@@ -156,49 +156,49 @@
 	})
 	switch {
 	case !known:
-		w.tables = slices.Insert(w.tables, i, knownTable{t.Epoch, t.Index, sum})
-	case w.tables[i].sum != sum:
-		w.broken(RuleTwoHistories, "epoch %d index %d is %s, and at %d %s", t.Epoch, t.Index, w.tables[i].sum, n.number, sum)
-		w.tables[i].sum = sum
+		s.tables = slices.Insert(s.tables, i, observedTable{t.Epoch, t.Index, sum})
+	case s.tables[i].sum != sum:
+		s.breakRule(RuleTwoHistories, "epoch %d index %d is %s, and at %d %s", t.Epoch, t.Index, s.tables[i].sum, n.number, sum)
+		s.tables[i].sum = sum
 	}
-	if !f.IsLeader || t.Epoch != f.Epoch || t.Leader != n.ident.id {
+	if !f.IsLeader || t.Epoch != f.Epoch || t.Leader != n.identity.id {
 		return
 	}
-	j := slices.IndexFunc(w.electors, func(e electorsAt) bool { return e.epoch == f.Epoch })
+	j := slices.IndexFunc(s.voterSets, func(e voterSet) bool { return e.epoch == f.Epoch })
 	if j < 0 {
-		w.counts.GroupsFounded++
-		w.electors = append(w.electors, electorsAt{f.Epoch, f.Term, n.ident.id, t.Voters})
+		s.counts.GroupsFounded++
+		s.voterSets = append(s.voterSets, voterSet{f.Epoch, f.Term, n.identity.id, t.Voters})
 		return
 	}
-	e := &w.electors[j]
+	e := &s.voterSets[j]
 	if f.Term < e.term {
 		return
 	}
 	if f.Term == e.term {
 		came, went := 0, 0
 		for _, id := range t.Voters {
-			if !slices.Contains(e.list, id) {
+			if !slices.Contains(e.voters, id) {
 				came++
 			}
 		}
-		for _, id := range e.list {
+		for _, id := range e.voters {
 			if !slices.Contains(t.Voters, id) {
 				went++
 			}
 		}
 		if came+went > 0 {
-			w.note("electors are %v", t.Voters)
-			w.counts.VotersReplaced += went
+			s.record("electors are %v", t.Voters)
+			s.counts.VotersReplaced += went
 		}
 		if came > 1 || went > 1 {
-			w.broken(RuleVoters, "%d come and %d go at once", came, went)
+			s.breakRule(RuleVoters, "%d come and %d go at once", came, went)
 		}
 	}
-	e.term, e.of, e.list = f.Term, n.ident.id, t.Voters
+	e.term, e.leader, e.voters = f.Term, n.identity.id, t.Voters
 }
 
-// checkKept looks whether what a member promises is on its disk.
-func (w *Simulation) checkKept(n *node, m *lease.Message) {
+// checkPersisted looks whether what a member promises is on its disk.
+func (s *Simulation) checkPersisted(n *node, m *lease.Message) {
 	promises := m.Founding != nil && (m.Founding.Step == lease.StepPromise || m.Founding.Step == lease.StepAccepted)
 	var vote raftpb.Message
 	if m.Raft != nil {
@@ -221,118 +221,118 @@
 	}
 	switch {
 	case promises && m.Founding.Ballot > kept.Promised:
-		w.broken(RuleNotPersisted, "%d promises %#x, and its disk has %#x", n.number, m.Founding.Ballot, kept.Promised)
+		s.breakRule(RuleNotPersisted, "%d promises %#x, and its disk has %#x", n.number, m.Founding.Ballot, kept.Promised)
 	case !promises && (hard.GetTerm() < vote.GetTerm() || hard.GetTerm() == vote.GetTerm() && hard.GetVote() != vote.GetTo()):
-		w.broken(RuleNotPersisted, "%d votes in term %d, and its disk has a vote in %d", n.number, vote.GetTerm(), hard.GetTerm())
+		s.breakRule(RuleNotPersisted, "%d votes in term %d, and its disk has a vote in %d", n.number, vote.GetTerm(), hard.GetTerm())
 	}
 }
 
-// granted takes that a lease begins.
-func (w *Simulation) granted(n *node, job string, token uint64) {
-	w.note("%d owns %s under %#x", n.number, job, token)
-	w.counts.Grants++
-	for _, o := range w.owners {
-		if o.job == job && (o.token > token || o.token == token) {
-			w.broken(RuleTokenOfTwo, "%s is granted under %#x to %d, after %#x", job, token, n.number, o.token)
+// leaseStarted takes that a lease begins.
+func (s *Simulation) leaseStarted(n *node, role string, token uint64) {
+	s.record("%d owns %s under %#x", n.number, role, token)
+	s.counts.Grants++
+	for _, o := range s.tokenHolders {
+		if o.role == role && (o.token > token || o.token == token) {
+			s.breakRule(RuleTokenOfTwo, "%s is granted under %#x to %d, after %#x", role, token, n.number, o.token)
 			break
 		}
 	}
-	w.owners = append(w.owners, tokenOwner{job, token, n.ident})
-	w.leases = append(w.leases, observedLease{n, n.life, job, token})
-	w.op(n, job, input{"acquire", token, n.number}, w.Now(), w.Now())
-	for i := range w.idle {
-		if g := &w.idle[i]; g.job == job {
-			if g.last != nil && g.last != n {
-				w.counts.Moves++
+	s.tokenHolders = append(s.tokenHolders, tokenHolder{role, token, n.identity})
+	s.leases = append(s.leases, observedLease{n, n.incarnation, role, token})
+	s.recordOperation(n, role, operation{"acquire", token, n.number}, s.Now(), s.Now())
+	for i := range s.vacancies {
+		if g := &s.vacancies[i]; g.role == role {
+			if g.lastHolder != nil && g.lastHolder != n {
+				s.counts.Moves++
 			}
-			if !math.IsInf(g.since, 1) && g.last != nil {
-				w.gaps = append(w.gaps, Gap{Role: job, Seconds: w.Now() - g.since, Fault: w.why, RecoverySeconds: w.Now() - w.whyAt})
+			if !math.IsInf(g.since, 1) && g.lastHolder != nil {
+				s.gaps = append(s.gaps, Gap{Role: role, Seconds: s.Now() - g.since, Fault: s.lastFault, RecoverySeconds: s.Now() - s.lastFaultAt})
 			}
-			g.since, g.last = math.Inf(1), n
+			g.since, g.lastHolder = math.Inf(1), n
 			return
 		}
 	}
-	w.idle = append(w.idle, rest{job, math.Inf(1), n})
+	s.vacancies = append(s.vacancies, vacancy{role, math.Inf(1), n})
 }
 
-// endedOne takes that a lease ends.
-func (w *Simulation) endedOne(n *node, job string, token uint64, why string) {
-	w.note("%d owns %s under %#x no more: %s", n.number, job, token, why)
-	w.leases = slices.DeleteFunc(w.leases, func(l observedLease) bool { return l.n == n && l.job == job })
-	w.op(n, job, input{"end", token, n.number}, w.Now(), w.Now())
-	w.idles(n, job)
+// leaseEnded takes that a lease ends.
+func (s *Simulation) leaseEnded(n *node, role string, token uint64, why string) {
+	s.record("%d owns %s under %#x no more: %s", n.number, role, token, why)
+	s.leases = slices.DeleteFunc(s.leases, func(l observedLease) bool { return l.node == n && l.role == role })
+	s.recordOperation(n, role, operation{"end", token, n.number}, s.Now(), s.Now())
+	s.roleVacated(n, role)
 }
 
-func (w *Simulation) idles(n *node, job string) {
-	for i := range w.idle {
-		if g := &w.idle[i]; g.job == job && g.last == n && math.IsInf(g.since, 1) {
-			g.since = w.Now()
+func (s *Simulation) roleVacated(n *node, role string) {
+	for i := range s.vacancies {
+		if g := &s.vacancies[i]; g.role == role && g.lastHolder == n && math.IsInf(g.since, 1) {
+			g.since = s.Now()
 		}
 	}
 }
 
-// ended takes that a process is no more.
-func (w *Simulation) ended(n *node, why string) {
-	for _, l := range slices.Clone(w.leases) {
-		if l.n == n {
-			w.endedOne(n, l.job, l.token, why)
+// processEnded takes that a process is no more.
+func (s *Simulation) processEnded(n *node, why string) {
+	for _, l := range slices.Clone(s.leases) {
+		if l.node == n {
+			s.leaseEnded(n, l.role, l.token, why)
 		}
 	}
 }
 
-// used takes that a member is about to act.
-func (w *Simulation) used(n *node, job string, token uint64) {
-	w.op(n, job, input{"use", token, n.number}, w.Now(), w.Now())
+// effectSent takes that a member is about to act.
+func (s *Simulation) effectSent(n *node, role string, token uint64) {
+	s.recordOperation(n, role, operation{"use", token, n.number}, s.Now(), s.Now())
 }
 
-// took takes that a receiver has taken an effect.
-func (w *Simulation) took(n *node, by *identity, job string, token, number uint64) {
-	i := slices.IndexFunc(w.owners, func(o tokenOwner) bool { return o.job == job && o.token == token })
-	if i < 0 || w.owners[i].by != by {
-		w.broken(RuleTokenOfTwo, "%d takes %s of %v under %#x, which it was not granted", n.number, job, by.id, token)
+// effectApplied takes that a receiver has taken an effect.
+func (s *Simulation) effectApplied(n *node, by *identity, role string, token, number uint64) {
+	i := slices.IndexFunc(s.tokenHolders, func(o tokenHolder) bool { return o.role == role && o.token == token })
+	if i < 0 || s.tokenHolders[i].identity != by {
+		s.breakRule(RuleTokenOfTwo, "%d takes %s of %v under %#x, which it was not granted", n.number, role, by.id, token)
 	}
-	j := slices.IndexFunc(w.taken, func(t takenToken) bool { return t.by == n.ident && t.job == job })
+	j := slices.IndexFunc(s.appliedTokens, func(t appliedToken) bool { return t.identity == n.identity && t.role == role })
 	switch {
 	case j < 0:
-		w.taken = append(w.taken, takenToken{n.ident, job, token})
-	case token < w.taken[j].token:
-		w.broken(RuleTokenDecreased, "%d takes %s under %#x after %#x", n.number, job, token, w.taken[j].token)
+		s.appliedTokens = append(s.appliedTokens, appliedToken{n.identity, role, token})
+	case token < s.appliedTokens[j].token:
+		s.breakRule(RuleTokenDecreased, "%d takes %s under %#x after %#x", n.number, role, token, s.appliedTokens[j].token)
 	default:
-		w.taken[j].token = token
+		s.appliedTokens[j].token = token
 	}
 }
 
 // --- The history of grants ---
 
-type input struct {
-	what  string
+type operation struct {
+	kind  string
 	token uint64
-	by    int
+	node  int
 }
 
-type job struct {
-	name string
-	input
+type roleOperation struct {
+	role string
+	operation
 }
 
-func (w *Simulation) op(n *node, name string, in input, from, to float64) {
-	w.ops = append(w.ops, porcupine.Operation{ClientId: n.number, Input: job{name, in}, Call: int64(from * 1e9), Output: nil, Return: int64(to * 1e9)})
+func (s *Simulation) recordOperation(n *node, name string, in operation, from, to float64) {
+	s.operations = append(s.operations, porcupine.Operation{ClientId: n.number, Input: roleOperation{name, in}, Call: int64(from * 1e9), Output: nil, Return: int64(to * 1e9)})
 }
 
-// held is the state of a job: the last token, and who holds it; -1: nobody.
-type held struct {
+// lockState is the state of a role: the last token, and who holds it; -1: nobody.
+type lockState struct {
 	token uint64
-	by    int
+	node  int
 }
 
-// model is a lock with tokens: it may be taken under a greater token at any time (the lease before has ended by then), is used
+// lockModel is a lock with tokens: it may be taken under a greater token at any time (the lease before has ended by then), is used
 // only by who took it last, and ends once.
-var model = porcupine.Model{
+var lockModel = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		var names []string
 		var parts [][]porcupine.Operation
 		for _, o := range all {
-			name := o.Input.(job).name
+			name := o.Input.(roleOperation).role
 			i := slices.Index(names, name)
 			if i < 0 {
 				i, names, parts = len(names), append(names, name), append(parts, nil)
@@ -341,17 +341,17 @@
 		}
 		return parts
 	},
-	Init: func() any { return held{by: -1} },
+	Init: func() any { return lockState{node: -1} },
 	Step: func(state, in, _ any) (bool, any) {
-		s, o := state.(held), in.(job)
-		switch o.what {
+		s, o := state.(lockState), in.(roleOperation)
+		switch o.kind {
 		case "acquire":
-			return o.token > s.token, held{o.token, o.by}
+			return o.token > s.token, lockState{o.token, o.node}
 		case "use":
-			return s.token == o.token && s.by == o.by, s
+			return s.token == o.token && s.node == o.node, s
 		}
-		if s.token == o.token && s.by == o.by {
-			return true, held{s.token, -1}
+		if s.token == o.token && s.node == o.node {
+			return true, lockState{s.token, -1}
 		}
 		return o.token < s.token, s
 	},
@@ -359,8 +359,8 @@
 }
 
 // checkHistory looks for an order of all that was seen.
-func (w *Simulation) checkHistory() {
-	if porcupine.CheckOperationsTimeout(model, w.ops, time.Minute) == porcupine.Illegal {
-		w.broken(RuleNotLinearizable, "grants, uses and ends have no order")
+func (s *Simulation) checkHistory() {
+	if porcupine.CheckOperationsTimeout(lockModel, s.operations, time.Minute) == porcupine.Illegal {
+		s.breakRule(RuleNotLinearizable, "grants, uses and ends have no order")
 	}
 }
--- a/internal/sim/leasesim/measure.go
+++ b/internal/sim/leasesim/measure.go
@@ -7,153 +7,155 @@
 	"strings"
 )
 
-// quiet returns a fleet that has been calm for a while: so many members, of which the first are listed as electors.
-func quiet(seed uint64, members, electors int, jobs ...string) *Simulation {
-	w := newWorld(seed, electors, jobs...)
+// newSettled returns a fleet that has been calm for a while: so many members, of which the first are listed as electors.
+func newSettled(seed uint64, members, electors int, roles ...string) *Simulation {
+	s := newSimulation(seed, electors, roles...)
 	for range members {
-		w.add(true)
+		s.addNode(true)
 	}
-	for _, n := range w.nodes {
-		w.After(w.between(0, 0.3), n.start)
+	for _, n := range s.nodes {
+		s.After(s.uniform(0, 0.3), n.start)
 	}
-	w.Until(w.Now() + 20 + w.between(0, 1))
-	return w
+	s.Until(s.Now() + 20 + s.uniform(0, 1))
+	return s
 }
 
-// without is a way to take the owner of a job away.
-type without struct {
-	name string
-	do   func(w *Simulation, owner, leader *node)
+// disruption is a way to take the owner of a role away.
+type disruption struct {
+	name   string
+	inject func(w *Simulation, owner, leader *node)
 }
 
-var ways = []without{
+var disruptions = []disruption{
 	{"kill", func(_ *Simulation, o, _ *node) { o.kill() }},
 	{"kill of the leader, which owns it", func(_ *Simulation, _, l *node) { l.kill() }},
 	{"kill of owner and leader", func(_ *Simulation, o, l *node) { o.kill(); l.kill() }},
 	{"freeze", func(_ *Simulation, o, _ *node) { o.freeze(20) }},
-	{"cut off", func(w *Simulation, o, _ *node) { w.cutOff(o, true, true) }},
-	{"cut, its words go out", func(w *Simulation, o, _ *node) { w.cutOff(o, false, true) }},
-	{"cut, words come in", func(w *Simulation, o, _ *node) { w.cutOff(o, true, false) }},
+	{"cut off", func(s *Simulation, o, _ *node) { s.partitionNode(o, true, true) }},
+	{"cut, its words go out", func(s *Simulation, o, _ *node) { s.partitionNode(o, false, true) }},
+	{"cut, words come in", func(s *Simulation, o, _ *node) { s.partitionNode(o, true, false) }},
 	{"SIGTERM", func(_ *Simulation, o, _ *node) { o.leave(func() {}) }},
 	{"SIGTERM of the leader, which owns it", func(_ *Simulation, _, l *node) { l.leave(func() {}) }},
-	{"step-down", func(w *Simulation, o, _ *node) { o.call(o.life, func() { o.t.RequestStepDown(o.clock(), w.jobs[0]) }) }},
+	{"step-down", func(s *Simulation, o, _ *node) {
+		o.call(o.incarnation, func() { o.lease.RequestStepDown(o.localTime(), s.roles[0]) })
+	}},
 }
 
-func (w *Simulation) cutOff(n *node, out, in bool) {
-	for _, o := range w.nodes {
+func (s *Simulation) partitionNode(n *node, out, in bool) {
+	for _, o := range s.nodes {
 		if o != n {
-			w.cut[n.number][o.number], w.cut[o.number][n.number] = out, in
+			s.partitioned[n.number][o.number], s.partitioned[o.number][n.number] = out, in
 		}
 	}
 }
 
-// times returns how long the job is without an owner after what a way does to it, sorted.
-func times(way without, trials, members, electors int) (all []float64) {
+// gapSeconds returns how long the role is without an owner after what a way does to it, sorted.
+func gapSeconds(way disruption, trials, members, electors int) (all []float64) {
 	for seed := uint64(1); len(all) < trials; seed++ {
-		w := quiet(seed, members, electors, "list")
-		owner, leader := w.ownerOf("list"), w.leaderNow()
+		s := newSettled(seed, members, electors, "list")
+		owner, leader := s.holderOf("list"), s.leader()
 		if owner == nil || leader == nil || (owner == leader) != (strings.HasSuffix(way.name, "owns it")) {
 			if seed > uint64(trials)*50 {
 				break
 			}
 			continue
 		}
-		if way.name == "kill of owner and leader" && owner.t.Stats().IsVoter {
+		if way.name == "kill of owner and leader" && owner.lease.Stats().IsVoter {
 			continue // of three electors two would be gone
 		}
-		at, grants := w.Now(), w.counts.Grants
-		way.do(w, owner, leader)
-		for w.counts.Grants == grants && w.Now() < at+30 {
-			w.Until(w.Now() + 0.001)
+		at, grants := s.Now(), s.counts.Grants
+		way.inject(s, owner, leader)
+		for s.counts.Grants == grants && s.Now() < at+30 {
+			s.Until(s.Now() + 0.001)
 		}
-		all = append(all, w.Now()-at)
+		all = append(all, s.Now()-at)
 	}
 	slices.Sort(all)
 	return all
 }
 
-// Measure prints how long a job is without an owner, what being ready costs, and how many jobs move.
+// Measure prints how long a role is without an owner, what being ready costs, and how many roles move.
 func Measure(out io.Writer) {
 	const trials, members = 100, 7
 	fmt.Fprintf(out, "from the trouble to the next owner, %d members, 3 electors, %d trials: median, 99 %%, longest\n", members, trials)
-	for _, way := range ways {
-		if t := times(way, trials, members, 3); len(t) > 0 {
+	for _, way := range disruptions {
+		if t := gapSeconds(way, trials, members, 3); len(t) > 0 {
 			fmt.Fprintf(out, "  %-38s %.3f  %.3f  %.3f s  (%d)\n", way.name, t[len(t)/2], t[len(t)*99/100], t[len(t)-1], len(t))
 		}
 	}
 	fmt.Fprintln(out, "idle, a second each: bytes and messages sent, writes of the state, calls")
-	for _, c := range []struct{ members, electors, jobs int }{{5, 3, 3}, {60, 3, 3}, {60, 5, 3}, {60, 7, 3}, {300, 3, 3}, {300, 7, 3}} {
-		idle(out, c.members, c.electors, c.jobs)
+	for _, c := range []struct{ members, electors, roles int }{{5, 3, 3}, {60, 3, 3}, {60, 5, 3}, {60, 7, 3}, {300, 3, 3}, {300, 7, 3}} {
+		measureIdle(out, c.members, c.electors, c.roles)
 	}
 	fmt.Fprintln(out, "jobs that move when one of 60 goes, 5 trials each")
-	for _, jobs := range []int{3, 60, 120} {
-		moved(out, 60, jobs)
+	for _, roles := range []int{3, 60, 120} {
+		measureMoves(out, 60, roles)
 	}
 }
 
-func named(n int) (jobs []string) {
+func roleNames(n int) (roles []string) {
 	for i := range n {
-		jobs = append(jobs, fmt.Sprintf("job%03d", i))
+		roles = append(roles, fmt.Sprintf("job%03d", i))
 	}
-	return jobs
+	return roles
 }
 
-func idle(out io.Writer, members, electors, jobs int) {
-	w := quiet(1, members, electors, named(jobs)...)
+func measureIdle(out io.Writer, members, electors, roles int) {
+	s := newSettled(1, members, electors, roleNames(roles)...)
 	const forS = 60
-	for _, n := range w.nodes {
-		n.bytes, n.messages, n.saves, n.calls = 0, 0, 0, 0
+	for _, n := range s.nodes {
+		n.bytes, n.messages, n.persists, n.calls = 0, 0, 0, 0
 	}
-	w.Until(w.Now() + forS)
+	s.Until(s.Now() + forS)
 	type sum struct {
 		n                             int
 		bytes, messages, saves, calls uint64
 	}
 	var sums [4]sum
 	names := [4]string{"leader", "other electors", "other owners", "the others"}
-	for _, n := range w.nodes {
-		f := n.t.Stats()
+	for _, n := range s.nodes {
+		f := n.lease.Stats()
 		i := 3
 		switch {
 		case f.IsLeader:
 			i = 0
 		case f.IsVoter:
 			i = 1
-		case w.ownsAny(n):
+		case s.holdsAny(n):
 			i = 2
 		}
-		s := &sums[i]
-		s.n++
-		s.bytes, s.messages, s.saves, s.calls = s.bytes+n.bytes, s.messages+n.messages, s.saves+n.saves, s.calls+n.calls
+		total := &sums[i]
+		total.n++
+		total.bytes, total.messages, total.saves, total.calls = total.bytes+n.bytes, total.messages+n.messages, total.saves+n.persists, total.calls+n.calls
 	}
-	for i, s := range sums {
-		if s.n > 0 {
-			d := float64(s.n) * forS
-			fmt.Fprintf(out, "  %d members, %d electors, %d jobs: %-15s %7.0f B  %5.1f messages  %.2f writes  %5.1f calls\n", members, electors, jobs, names[i],
-				float64(s.bytes)/d, float64(s.messages)/d, float64(s.saves)/d, float64(s.calls)/d)
+	for i, total := range sums {
+		if total.n > 0 {
+			d := float64(total.n) * forS
+			fmt.Fprintf(out, "  %d members, %d electors, %d jobs: %-15s %7.0f B  %5.1f messages  %.2f writes  %5.1f calls\n", members, electors, roles, names[i],
+				float64(total.bytes)/d, float64(total.messages)/d, float64(total.saves)/d, float64(total.calls)/d)
 		}
 	}
 }
 
-func moved(out io.Writer, members, jobs int) {
+func measureMoves(out io.Writer, members, roles int) {
 	most, sum, had, slowest := 0, 0, 0, 0.0
 	for seed := uint64(1); seed <= 5; seed++ {
-		w := quiet(seed, members, 3, named(jobs)...)
-		w.Until(w.Now() + 60)
-		n := w.nodes[w.rng.IntN(len(w.nodes))]
+		s := newSettled(seed, members, 3, roleNames(roles)...)
+		s.Until(s.Now() + 60)
+		n := s.nodes[s.rng.IntN(len(s.nodes))]
 		own := 0
-		for _, l := range w.leases {
-			if l.n == n {
+		for _, l := range s.leases {
+			if l.node == n {
 				own++
 			}
 		}
-		w.counts.Moves, w.gaps = 0, nil
+		s.counts.Moves, s.gaps = 0, nil
 		n.kill()
-		w.Until(w.Now() + 30)
-		most, sum, had = max(most, w.counts.Moves-own), sum+w.counts.Moves, had+own
-		for _, g := range w.gaps {
+		s.Until(s.Now() + 30)
+		most, sum, had = max(most, s.counts.Moves-own), sum+s.counts.Moves, had+own
+		for _, g := range s.gaps {
 			slowest = max(slowest, g.Seconds)
 		}
 	}
-	fmt.Fprintf(out, "  %d jobs: %d moved, the dead ones had %d; at most %d more than the dead one's; longest without an owner %.2f s\n", jobs, sum, had, most, slowest)
+	fmt.Fprintf(out, "  %d jobs: %d moved, the dead ones had %d; at most %d more than the dead one's; longest without an owner %.2f s\n", roles, sum, had, most, slowest)
 }
--- a/internal/sim/leasesim/world.go
+++ b/internal/sim/leasesim/world.go
@@ -1,4 +1,4 @@
-// Package leasesim plays the decisions about who owns a job by themselves: members on a network, each with a clock of its own
+// Package leasesim plays the decisions about who owns a role by themselves: members on a network, each with a clock of its own
 // rate and a disk that loses what was not synced, all drawn from a seed. It judges from what it sees from outside: whose lease is
 // valid at an instant, what receivers take, who leads, and what disks and tables hold.
 package leasesim
@@ -18,33 +18,33 @@
 	"hazelwheel/internal/sim/seeds"
 )
 
-// Simulation is members that own jobs. It belongs to one goroutine.
+// Simulation is members that own roles. It belongs to one goroutine.
 type Simulation struct {
 	seeds.Queue
-	rng   *rand.Rand
-	nodes []*node
-	ids   []*identity // all that ever were, as they began
-	jobs  []string
-	set   lease.Settings
-	trace func(at float64, line string)
-
-	cut  [][]bool    // ways that lose what is sent
-	held [][]float64 // ways that hold it until then
-	last [][]float64 // what is sent later must not arrive earlier
-
-	latencyS  float64
-	lossPart  float64 // of messages that are lost, one by one
-	strayPart float64 // that come late, past those that were sent after them
-	liesPart  float64 // of views of who is there
-	stallPart float64 // of effects between whose check and whose send the process stands still
-	diskS     float64 // a write takes, with as much again drawn
-	slowS     float64 // it takes until slowTo
-	slowTo    float64
-
-	forgets bool // states are lost though a majority may go with them
-	calmly  bool // nothing ends any more
-
-	judge
+	rng        *rand.Rand
+	nodes      []*node
+	identities []*identity // all that ever were, as they began
+	roles      []string
+	settings   lease.Settings
+	trace      func(at float64, line string)
+
+	partitioned  [][]bool    // ways that lose what is sent
+	stalledUntil [][]float64 // ways that hold it until then
+	lastArrival  [][]float64 // what is sent later must not arrive earlier
+
+	latencySeconds       float64
+	lossProbability      float64 // of messages that are lost, one by one
+	delayProbability     float64 // that come late, past those that were sent after them
+	misreportProbability float64 // of views of who is there
+	stallProbability     float64 // of effects between whose check and whose send the process stands still
+	diskSeconds          float64 // a write takes, with as much again drawn
+	slowDiskSeconds      float64 // it takes until slowTo
+	slowDiskUntil        float64
+
+	losesQuorumState bool // states are lost though a majority may go with them
+	isSettling       bool // nothing ends any more
+
+	checker
 	hash   uint64
 	counts Counts
 }
@@ -64,197 +64,196 @@
 
 // identity is one that a member had.
 type identity struct {
-	id   swim.ID
-	of   *node
-	gone bool // its state is lost
-	left bool
+	id      swim.ID
+	node    *node
+	isLost  bool // its state is lost
+	hasLeft bool
 }
 
 // node is one sidecar over all lives of its process.
 type node struct {
-	w       *Simulation
-	number  int
-	address string
-	keeps   bool
-	up      bool
-	out     bool // taken out of the fleet for good
-	frozen  bool
-	life    int
-	ident   *identity
-	rate    float64 // of its clock
-	base    float64 // true time at which the clock showed zero
-	t       *lease.Node
-	armed   float64
-	waiting []func()
-	saving  bool
-	view    []*seen // by ID
-	viewAt  float64 // its own clock
-
-	disk     []byte // what lasts
-	diskFull bool
-	copied   []byte // an old copy of it
-	greatest *lease.Fence
-	nextFx   uint64
-	table    [4]uint64 // that was checked last
-
-	bytes, messages, saves, calls uint64
-}
-
-// seen is what one member holds of another.
-type seen struct {
-	of    *identity
-	state swim.State
-	since float64
-	heard float64
-}
-
-// newWorld returns one without members.
-func newWorld(seed uint64, electors int, jobs ...string) *Simulation {
-	w := &Simulation{Queue: seeds.NewQueue(1000), rng: rand.New(rand.NewPCG(seed, 0x6f776e657273)), jobs: jobs, latencyS: 0.001, diskS: 0.002, hash: 14695981039346656037}
-	w.set.Roles = jobs
+	sim         *Simulation
+	number      int
+	address     string
+	durable     bool
+	up          bool
+	removed     bool // taken out of the fleet for good
+	frozen      bool
+	incarnation int
+	identity    *identity
+	clockRate   float64 // of its clock
+	clockBase   float64 // true time at which the clock showed zero
+	lease       *lease.Node
+	timerAt     float64
+	postponed   []func()
+	persisting  bool
+	view        []*memberView // by ID
+	viewAt      float64       // its own clock
+
+	disk         []byte // what lasts
+	diskFull     bool
+	fence        *lease.Fence
+	lastEffect   uint64
+	checkedTable [4]uint64 // that was checked last
+
+	bytes, messages, persists, calls uint64
+}
+
+// memberView is what one member holds of another.
+type memberView struct {
+	identity   *identity
+	state      swim.State
+	stateSince float64
+	lastHeard  float64
+}
+
+// newSimulation returns one without members.
+func newSimulation(seed uint64, electors int, roles ...string) *Simulation {
+	s := &Simulation{Queue: seeds.NewQueue(1000), rng: rand.New(rand.NewPCG(seed, 0x6f776e657273)), roles: roles, latencySeconds: 0.001, diskSeconds: 0.002, hash: 14695981039346656037}
+	s.settings.Roles = roles
 	for i := range electors {
-		w.set.InitialVoters = append(w.set.InitialVoters, address(i))
+		s.settings.InitialVoters = append(s.settings.InitialVoters, address(i))
 	}
-	w.judge.w = w
-	return w
+	s.checker.sim = s
+	return s
 }
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:7946", i) }
 
-// note adds to the history.
-func (w *Simulation) note(format string, args ...any) {
+// record adds to the history.
+func (s *Simulation) record(format string, args ...any) {
 	h := fnv.New64a()
 	line := fmt.Sprintf(format, args...)
-	fmt.Fprintf(h, "%x %.9f %s", w.hash, w.Now(), line)
-	w.hash = h.Sum64()
-	if w.trace != nil {
-		w.trace(w.Now(), line)
+	fmt.Fprintf(h, "%x %.9f %s", s.hash, s.Now(), line)
+	s.hash = h.Sum64()
+	if s.trace != nil {
+		s.trace(s.Now(), line)
 	}
 }
 
-// between draws from a range, evenly.
-func (w *Simulation) between(a, b float64) float64 { return a + (b-a)*w.rng.Float64() }
+// uniform draws from a range, evenly.
+func (s *Simulation) uniform(a, b float64) float64 { return a + (b-a)*s.rng.Float64() }
 
-func (w *Simulation) chance(part float64) bool { return part > 0 && w.rng.Float64() < part }
+func (s *Simulation) chance(part float64) bool { return part > 0 && s.rng.Float64() < part }
 
-// add adds a member that has not begun.
-func (w *Simulation) add(keeps bool) *node {
-	n := &node{w: w, number: len(w.nodes), address: address(len(w.nodes)), keeps: keeps, greatest: &lease.Fence{}}
-	w.nodes = append(w.nodes, n)
-	for i := range w.cut {
-		w.cut[i], w.held[i], w.last[i] = append(w.cut[i], false), append(w.held[i], 0), append(w.last[i], 0)
+// addNode adds a member that has not begun.
+func (s *Simulation) addNode(keeps bool) *node {
+	n := &node{sim: s, number: len(s.nodes), address: address(len(s.nodes)), durable: keeps, fence: &lease.Fence{}}
+	s.nodes = append(s.nodes, n)
+	for i := range s.partitioned {
+		s.partitioned[i], s.stalledUntil[i], s.lastArrival[i] = append(s.partitioned[i], false), append(s.stalledUntil[i], 0), append(s.lastArrival[i], 0)
 	}
-	w.cut = append(w.cut, make([]bool, len(w.nodes)))
-	w.held = append(w.held, make([]float64, len(w.nodes)))
-	w.last = append(w.last, make([]float64, len(w.nodes)))
+	s.partitioned = append(s.partitioned, make([]bool, len(s.nodes)))
+	s.stalledUntil = append(s.stalledUntil, make([]float64, len(s.nodes)))
+	s.lastArrival = append(s.lastArrival, make([]float64, len(s.nodes)))
 	return n
 }
 
-func (n *node) clock() float64            { return (n.w.Now() - n.base) * n.rate }
-func (n *node) trueOf(at float64) float64 { return n.base + at/n.rate }
+func (n *node) localTime() float64                { return (n.sim.Now() - n.clockBase) * n.clockRate }
+func (n *node) simulationTime(at float64) float64 { return n.clockBase + at/n.clockRate }
 
 // start begins a process. Without its state it is somebody else.
 func (n *node) start() {
-	w := n.w
-	if n.up || n.out {
+	s := n.sim
+	if n.up || n.removed {
 		return
 	}
-	n.life++
-	n.up, n.frozen, n.waiting, n.saving = true, false, nil, false
-	n.rate, n.base, n.armed = w.between(0.95, 1.05), w.Now()-w.between(0, 1e6), math.Inf(1)
-	if n.ident == nil || !n.keeps {
-		n.newIdentity()
+	n.incarnation++
+	n.up, n.frozen, n.postponed, n.persisting = true, false, nil, false
+	n.clockRate, n.clockBase, n.timerAt = s.uniform(0.95, 1.05), s.Now()-s.uniform(0, 1e6), math.Inf(1)
+	if n.identity == nil || !n.durable {
+		n.replaceIdentity()
 	}
-	n.begin()
+	n.startProcess()
 }
 
-func (n *node) newIdentity() {
-	w := n.w
-	if n.ident != nil {
-		n.ident.gone = true
-		w.counts.IdentitiesLost++
+func (n *node) replaceIdentity() {
+	s := n.sim
+	if n.identity != nil {
+		n.identity.isLost = true
+		s.counts.IdentitiesLost++
 	}
-	n.ident = &identity{id: swim.ID(w.rng.Uint64() | 1), of: n}
-	n.disk, n.copied, n.greatest = nil, nil, &lease.Fence{}
-	w.ids = append(w.ids, n.ident)
+	n.identity = &identity{id: swim.ID(s.rng.Uint64() | 1), node: n}
+	n.disk, n.fence = nil, &lease.Fence{}
+	s.identities = append(s.identities, n.identity)
 }
 
-func (n *node) begin() {
-	w := n.w
-	set := w.set
-	set.Address, set.Seed = n.address, w.rng.Uint64()
-	n.ident.left = false
-	n.view, n.table = nil, [4]uint64{}
-	t, err := lease.New(n.clock(), n.ident.id, set, n.disk, &hands{n, n.life})
+func (n *node) startProcess() {
+	s := n.sim
+	set := s.settings
+	set.Address, set.Seed = n.address, s.rng.Uint64()
+	n.identity.hasLeft = false
+	n.view, n.checkedTable = nil, [4]uint64{}
+	t, err := lease.New(n.localTime(), n.identity.id, set, n.disk, &leaseActions{n, n.incarnation})
 	if err != nil {
-		w.note("%d can't use its state: %v", n.number, err)
-		n.newIdentity()
-		t, err = lease.New(n.clock(), n.ident.id, set, nil, &hands{n, n.life})
+		s.record("%d can't use its state: %v", n.number, err)
+		n.replaceIdentity()
+		t, err = lease.New(n.localTime(), n.identity.id, set, nil, &leaseActions{n, n.incarnation})
 		if err != nil {
 			panic(err)
 		}
 	}
-	n.t = t
-	w.note("%d begins as %v", n.number, n.ident.id)
-	life := n.life
-	n.look(life)
-	n.acts(life)
-	for _, o := range w.nodes {
+	n.lease = t
+	s.record("%d begins as %v", n.number, n.identity.id)
+	life := n.incarnation
+	n.watchMembers(life)
+	n.actAsHolder(life)
+	for _, o := range s.nodes {
 		if o != n {
-			w.linkUp(n, o)
+			s.linkUp(n, o)
 		}
 	}
-	n.arm()
+	n.armTimer()
 }
 
 // linkUp tells two that there is a new link between them.
-func (w *Simulation) linkUp(a, b *node) {
+func (s *Simulation) linkUp(a, b *node) {
 	for _, p := range [2][2]*node{{a, b}, {b, a}} {
-		life, other := p[0].life, p[1].life
-		w.After(w.latency(), func() {
-			if p[1].life == other && p[1].up && !w.cut[a.number][b.number] && !w.cut[b.number][a.number] {
-				p[0].call(life, func() { p[0].t.HandleLinkUp(p[0].clock(), p[1].ident.id) })
+		life, other := p[0].incarnation, p[1].incarnation
+		s.After(s.latency(), func() {
+			if p[1].incarnation == other && p[1].up && !s.partitioned[a.number][b.number] && !s.partitioned[b.number][a.number] {
+				p[0].call(life, func() { p[0].lease.HandleLinkUp(p[0].localTime(), p[1].identity.id) })
 			}
 		})
 	}
 }
 
-func (w *Simulation) latency() float64 { return w.latencyS * (1 + w.rng.Float64()) }
+func (s *Simulation) latency() float64 { return s.latencySeconds * (1 + s.rng.Float64()) }
 
 // call has the process do something, unless it has ended; one that stands still does it later.
 func (n *node) call(life int, do func()) {
 	switch {
-	case n.life != life || !n.up:
+	case n.incarnation != life || !n.up:
 	case n.frozen:
-		n.waiting = append(n.waiting, func() { n.call(life, do) })
+		n.postponed = append(n.postponed, func() { n.call(life, do) })
 	default:
 		n.calls++
 		do()
-		n.arm()
-		if n.up && n.life == life {
-			n.w.check(n)
+		n.armTimer()
+		if n.up && n.incarnation == life {
+			n.sim.checkNode(n)
 		}
 	}
 }
 
-// arm has Tick called when it is due.
-func (n *node) arm() {
+// armTimer has Tick called when it is due.
+func (n *node) armTimer() {
 	if !n.up {
 		return
 	}
-	at := n.trueOf(n.t.NextTick())
-	if at >= n.armed || math.IsInf(at, 1) {
+	at := n.simulationTime(n.lease.NextTick())
+	if at >= n.timerAt || math.IsInf(at, 1) {
 		return
 	}
-	n.armed = at
-	life := n.life
-	n.w.At(at, func() {
-		if n.life != life || n.armed != at {
+	n.timerAt = at
+	life := n.incarnation
+	n.sim.At(at, func() {
+		if n.incarnation != life || n.timerAt != at {
 			return
 		}
 		n.call(life, func() {
-			n.armed = math.Inf(1)
-			n.t.Tick(n.clock())
+			n.timerAt = math.Inf(1)
+			n.lease.Tick(n.localTime())
 		})
 	})
 }
@@ -264,21 +263,21 @@
 	if !n.up {
 		return
 	}
-	n.w.note("%d is killed", n.number)
-	n.up, n.frozen, n.waiting = false, false, nil
-	n.life++
-	n.w.ended(n, "it was killed")
+	n.sim.record("%d is killed", n.number)
+	n.up, n.frozen, n.postponed = false, false, nil
+	n.incarnation++
+	n.sim.processEnded(n, "it was killed")
 }
 
 func (n *node) freeze(forS float64) {
 	if !n.up || n.frozen {
 		return
 	}
-	n.w.note("%d stands still for %.3f s", n.number, forS)
+	n.sim.record("%d stands still for %.3f s", n.number, forS)
 	n.frozen = true
-	life := n.life
-	n.w.After(forS, func() {
-		if n.life == life {
+	life := n.incarnation
+	n.sim.After(forS, func() {
+		if n.incarnation == life {
 			n.thaw()
 		}
 	})
@@ -289,18 +288,18 @@
 	if !n.frozen {
 		return
 	}
-	n.w.note("%d goes on", n.number)
+	n.sim.record("%d goes on", n.number)
 	n.frozen = false
-	waiting, life := n.waiting, n.life
-	n.waiting = nil
-	if n.w.chance(0.5) {
-		n.call(life, func() { n.t.Tick(n.clock()) })
+	waiting, life := n.postponed, n.incarnation
+	n.postponed = nil
+	if n.sim.chance(0.5) {
+		n.call(life, func() { n.lease.Tick(n.localTime()) })
 	}
 	for _, do := range waiting {
 		do()
 	}
-	n.armed = math.Inf(1)
-	n.arm()
+	n.timerAt = math.Inf(1)
+	n.armTimer()
 }
 
 // leave ends the process with a word, as SIGTERM does.
@@ -308,19 +307,19 @@
 	if !n.up {
 		return
 	}
-	n.w.note("%d leaves", n.number)
-	life := n.life
-	n.call(life, func() { n.t.Leave(n.clock()) })
-	began := n.w.Now()
+	n.sim.record("%d leaves", n.number)
+	life := n.incarnation
+	n.call(life, func() { n.lease.Leave(n.localTime()) })
+	began := n.sim.Now()
 	var poll func()
 	poll = func() {
 		n.call(life, func() {
-			if n.t.HasLeft() || n.w.Now()-began > 1 {
-				n.ident.left = true
+			if n.lease.HasLeft() || n.sim.Now()-began > 1 {
+				n.identity.hasLeft = true
 				n.kill()
 				then()
 			} else {
-				n.w.After(0.01, poll)
+				n.sim.After(0.01, poll)
 			}
 		})
 	}
@@ -329,32 +328,32 @@
 
 // --- What a process does ---
 
-type hands struct {
-	n    *node
-	life int
+type leaseActions struct {
+	node        *node
+	incarnation int
 }
 
-func (h *hands) Send(to swim.ID, m *lease.Message) {
-	w := h.n.w
-	w.checkKept(h.n, m)
-	for _, o := range w.nodes {
-		if o.up && o.ident.id == to {
-			w.send(h.n, o, packed(m))
+func (a *leaseActions) Send(to swim.ID, m *lease.Message) {
+	s := a.node.sim
+	s.checkPersisted(a.node, m)
+	for _, o := range s.nodes {
+		if o.up && o.identity.id == to {
+			s.send(a.node, o, encode(m))
 			return
 		}
 	}
 }
 
-func (h *hands) Broadcast(m *lease.Message, except swim.ID) {
-	body := packed(m)
-	for _, o := range h.n.w.nodes {
-		if o != h.n && o.up && o.ident.id != except {
-			h.n.w.send(h.n, o, body)
+func (a *leaseActions) Broadcast(m *lease.Message, except swim.ID) {
+	body := encode(m)
+	for _, o := range a.node.sim.nodes {
+		if o != a.node && o.up && o.identity.id != except {
+			a.node.sim.send(a.node, o, body)
 		}
 	}
 }
 
-func packed(m *lease.Message) []byte {
+func encode(m *lease.Message) []byte {
 	b, err := msgpack.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -362,197 +361,201 @@
 	return b
 }
 
-const headLen = 6
+const frameHeaderBytes = 6
 
 // send brings a message from one to another.
-func (w *Simulation) send(from, to *node, body []byte) {
-	from.bytes += uint64(len(body) + headLen)
+func (s *Simulation) send(from, to *node, body []byte) {
+	from.bytes += uint64(len(body) + frameHeaderBytes)
 	from.messages++
-	id, life := from.ident.id, to.life
-	w.carry(from, to, func() {
+	id, life := from.identity.id, to.incarnation
+	s.deliver(from, to, func() {
 		to.call(life, func() {
 			var m lease.Message
 			if err := msgpack.Unmarshal(body, &m); err != nil {
 				panic(err)
 			}
-			to.t.HandleMessage(to.clock(), id, &m)
+			to.lease.HandleMessage(to.localTime(), id, &m)
 		})
 	})
 }
 
-// carry has something arrive, if it does.
-func (w *Simulation) carry(from, to *node, arrive func()) {
+// deliver has something arrive, if it does.
+func (s *Simulation) deliver(from, to *node, arrive func()) {
 	if from == to {
-		w.After(0, arrive)
+		s.After(0, arrive)
 		return
 	}
 	i, j := from.number, to.number
-	if w.cut[i][j] || w.chance(w.lossPart) {
+	if s.partitioned[i][j] || s.chance(s.lossProbability) {
 		return
 	}
-	at := max(w.Now()+w.latency(), w.held[i][j], w.last[i][j])
-	if w.chance(w.strayPart) {
-		at += w.between(0, 60) // an old link, whose bytes come in after all
+	at := max(s.Now()+s.latency(), s.stalledUntil[i][j], s.lastArrival[i][j])
+	if s.chance(s.delayProbability) {
+		at += s.uniform(0, 60) // an old link, whose bytes come in after all
 	} else {
-		w.last[i][j] = at
+		s.lastArrival[i][j] = at
 	}
-	w.At(at, arrive)
+	s.At(at, arrive)
 }
 
-func (h *hands) RequestLinks([]swim.ID) {}
+func (a *leaseActions) RequestLinks([]swim.ID) {}
 
-var errFull = errors.New("no space left on device")
+var errDiskFull = errors.New("no space left on device")
 
-func (h *hands) Persist(state []byte) {
-	n, w, life := h.n, h.n.w, h.life
-	if n.saving {
-		w.broken("one-save", "%d saves while it saves", n.number)
+func (a *leaseActions) Persist(state []byte) {
+	n, s, life := a.node, a.node.sim, a.incarnation
+	if n.persisting {
+		s.breakRule("one-save", "%d saves while it saves", n.number)
 	}
-	n.saving = true
-	n.saves++
-	took := w.diskS * (1 + w.rng.Float64())
-	if w.Now() < w.slowTo {
-		took = w.slowS * (1 + w.rng.Float64())
+	n.persisting = true
+	n.persists++
+	took := s.diskSeconds * (1 + s.rng.Float64())
+	if s.Now() < s.slowDiskUntil {
+		took = s.slowDiskSeconds * (1 + s.rng.Float64())
 	}
-	if n.life != life {
+	if n.incarnation != life {
 		return
 	}
-	w.After(took, func() {
-		if n.life != life { // it ended meanwhile: what was not synced may have lasted
+	s.After(took, func() {
+		if n.incarnation != life { // it ended meanwhile: what was not synced may have lasted
 			return
 		}
 		full := n.diskFull
-		if !full && n.keeps {
+		if !full && n.durable {
 			n.disk = state
 		}
 		n.call(life, func() {
-			n.saving = false
+			n.persisting = false
 			if full {
-				n.t.HandlePersisted(n.clock(), errFull)
+				n.lease.HandlePersisted(n.localTime(), errDiskFull)
 			} else {
-				n.t.HandlePersisted(n.clock(), nil)
+				n.lease.HandlePersisted(n.localTime(), nil)
 			}
 		})
 	})
 }
 
-func (h *hands) LeaseStarted(job string, token uint64) { h.n.w.granted(h.n, job, token) }
-func (h *hands) RecordCommitted(lease.Record)          {}
-func (h *hands) LeaseEnded(job string, token uint64, why lease.EndReason) {
-	h.n.w.endedOne(h.n, job, token, string(why))
+func (a *leaseActions) LeaseStarted(role string, token uint64) {
+	a.node.sim.leaseStarted(a.node, role, token)
+}
+func (a *leaseActions) RecordCommitted(lease.Record) {}
+func (a *leaseActions) LeaseEnded(role string, token uint64, why lease.EndReason) {
+	a.node.sim.leaseEnded(a.node, role, token, string(why))
 }
 
-func (h *hands) ReplaceIdentity(why string) {
-	n, w := h.n, h.n.w
-	w.note("%d renounces: %s", n.number, why)
-	life := n.life
-	w.After(0.01, func() {
+func (a *leaseActions) ReplaceIdentity(why string) {
+	n, s := a.node, a.node.sim
+	s.record("%d renounces: %s", n.number, why)
+	life := n.incarnation
+	s.After(0.01, func() {
 		n.call(life, func() {
-			n.newIdentity()
-			n.life++
-			n.saving, n.armed = false, math.Inf(1)
-			n.begin()
+			n.replaceIdentity()
+			n.incarnation++
+			n.persisting, n.timerAt = false, math.Inf(1)
+			n.startProcess()
 		})
 	})
 }
 
-func (h *hands) Log(text string, args ...any) { h.n.w.note("%d notes: %s %v", h.n.number, text, args) }
+func (a *leaseActions) Log(text string, args ...any) {
+	a.node.sim.record("%d notes: %s %v", a.node.number, text, args)
+}
 
 // --- Who is there ---
 
 const (
-	lookS    = 0.25
-	silentS  = 1.4
-	deadS    = 2.4
-	forgetS  = 600
-	stallIsS = 0.9
+	viewIntervalSeconds = 0.25
+	suspectAfterSeconds = 1.4
+	deadAfterSeconds    = 2.4
+	forgetAfterSeconds  = 600
+	stallSeconds        = 0.9
 )
 
-// look has a member's view follow what is so, late as it would.
-func (n *node) look(life int) {
-	n.call(life, func() { n.lookNow() })
-	n.w.After(lookS/n.rate, func() {
-		if n.life == life && n.up {
+// watchMembers has a member's view follow what is so, late as it would.
+func (n *node) watchMembers(life int) {
+	n.call(life, func() { n.updateView() })
+	n.sim.After(viewIntervalSeconds/n.clockRate, func() {
+		if n.incarnation == life && n.up {
 			if n.frozen {
-				n.waiting = append(n.waiting, func() { n.look(life) })
+				n.postponed = append(n.postponed, func() { n.watchMembers(life) })
 			} else {
-				n.look(life)
+				n.watchMembers(life)
 			}
 		}
 	})
 }
 
-func (n *node) lookNow() {
-	w, now := n.w, n.clock()
-	stalled := n.view != nil && now-n.viewAt > stallIsS
+func (n *node) updateView() {
+	s, now := n.sim, n.localTime()
+	stalled := n.view != nil && now-n.viewAt > stallSeconds
 	n.viewAt = now
-	reach := w.reach(n)
+	reach := s.reachable(n)
 	changed := n.view == nil
-	for _, id := range w.ids {
-		i := slices.IndexFunc(n.view, func(s *seen) bool { return s.of == id })
-		heard := id.of == n && id == n.ident || reach[id.of.number] && id.of.ident == id
+	for _, known := range s.identities {
+		i := slices.IndexFunc(n.view, func(seen *memberView) bool { return seen.identity == known })
+		heard := known.node == n && known == n.identity || reach[known.node.number] && known.node.identity == known
 		if i < 0 {
 			if !heard {
 				continue
 			}
-			n.view = append(n.view, &seen{of: id, state: swim.Alive, since: now, heard: now})
+			n.view = append(n.view, &memberView{identity: known, state: swim.Alive, stateSince: now, lastHeard: now})
 			changed = true
 			continue
 		}
-		s := n.view[i]
-		was := s.state
+		seen := n.view[i]
+		was := seen.state
 		if stalled {
-			s.heard = max(s.heard, now-silentS/2)
+			seen.lastHeard = max(seen.lastHeard, now-suspectAfterSeconds/2)
 		}
 		switch {
-		case heard && !(id != n.ident && w.chance(w.liesPart)):
-			s.heard = now
-			if s.state = swim.Alive; id.left {
-				s.state = swim.Left
+		case heard && !(known != n.identity && s.chance(s.misreportProbability)):
+			seen.lastHeard = now
+			if seen.state = swim.Alive; known.hasLeft {
+				seen.state = swim.Left
 			}
-		case id.left && reach[id.of.number]:
-			s.state = swim.Left
-		case s.state == swim.Alive && now-s.heard > silentS:
-			s.state = swim.Suspect
-		case s.state == swim.Suspect && now-s.heard > deadS:
-			s.state = swim.Dead
+		case known.hasLeft && reach[known.node.number]:
+			seen.state = swim.Left
+		case seen.state == swim.Alive && now-seen.lastHeard > suspectAfterSeconds:
+			seen.state = swim.Suspect
+		case seen.state == swim.Suspect && now-seen.lastHeard > deadAfterSeconds:
+			seen.state = swim.Dead
 		}
-		if s.state != was {
+		if seen.state != was {
 			changed = true
-			if !(was <= swim.Suspect && s.state <= swim.Suspect) {
-				s.since = now
+			if !(was <= swim.Suspect && seen.state <= swim.Suspect) {
+				seen.stateSince = now
 			}
 		}
 	}
 	if !changed {
 		return
 	}
-	slices.SortFunc(n.view, func(a, b *seen) int {
-		if a.of.id < b.of.id {
+	slices.SortFunc(n.view, func(a, b *memberView) int {
+		if a.identity.id < b.identity.id {
 			return -1
 		}
 		return 1
 	})
 	var list []lease.Member
-	for _, s := range n.view {
-		if s.state.IsDeadOrLeft() && now-s.since > forgetS {
+	for _, seen := range n.view {
+		if seen.state.IsDeadOrLeft() && now-seen.stateSince > forgetAfterSeconds {
 			continue
 		}
-		list = append(list, lease.Member{ID: s.of.id, Address: s.of.of.address, State: s.state, Durable: s.of.of.keeps, StateAgeSeconds: now - s.since})
+		list = append(list, lease.Member{ID: seen.identity.id, Address: seen.identity.node.address, State: seen.state, Durable: seen.identity.node.durable, StateAgeSeconds: now - seen.stateSince})
 	}
-	n.t.SetMembers(now, list)
+	n.lease.SetMembers(now, list)
 }
 
-// reach tells whom a member hears, by way of others too.
-func (w *Simulation) reach(n *node) []bool {
-	got := make([]bool, len(w.nodes))
+// reachable tells whom a member hears, by way of others too.
+func (s *Simulation) reachable(n *node) []bool {
+	got := make([]bool, len(s.nodes))
 	got[n.number] = true
 	next := []int{n.number}
 	for len(next) > 0 {
 		i := next[0]
 		next = next[1:]
-		for j, o := range w.nodes {
-			if got[j] || !o.up || o.frozen || w.cut[i][j] || w.cut[j][i] || w.held[i][j] > w.Now() || w.held[j][i] > w.Now() {
+		for j, o := range s.nodes {
+			if got[j] || !o.up || o.frozen || s.partitioned[i][j] || s.partitioned[j][i] || s.stalledUntil[i][j] > s.Now() || s.stalledUntil[j][i] > s.Now() {
 				continue
 			}
 			got[j] = true
@@ -564,60 +567,60 @@
 
 // --- What owners do ---
 
-// acts has the owner of a job act again and again: it looks whether it may, and then its effect goes to all. Between the two it
+// actAsHolder has the owner of a role act again and again: it looks whether it may, and then its effect goes to all. Between the two it
 // may stand still.
-func (n *node) acts(life int) {
-	w := n.w
+func (n *node) actAsHolder(life int) {
+	s := n.sim
 	n.call(life, func() {
-		for _, job := range w.jobs {
-			token, ok := n.t.Holds(n.clock(), job)
+		for _, role := range s.roles {
+			token, ok := n.lease.Holds(n.localTime(), role)
 			if !ok {
 				continue
 			}
-			w.used(n, job, token)
-			n.nextFx++
-			number, by := n.nextFx, n.ident
+			s.effectSent(n, role, token)
+			n.lastEffect++
+			number, by := n.lastEffect, n.identity
 			tell := func() {
-				for _, o := range w.nodes {
+				for _, o := range s.nodes {
 					if !o.up {
 						continue
 					}
-					olife := o.life
-					w.carry(n, o, func() { o.call(olife, func() { o.receive(n, by, job, token, number) }) })
+					olife := o.incarnation
+					s.deliver(n, o, func() { o.call(olife, func() { o.receiveEffect(n, by, role, token, number) }) })
 				}
 			}
-			if w.chance(w.stallPart) {
-				w.counts.Stalls++
-				n.freeze(w.between(0.3, 6))
-				n.waiting = append(n.waiting, func() { n.call(life, tell) })
+			if s.chance(s.stallProbability) {
+				s.counts.Stalls++
+				n.freeze(s.uniform(0.3, 6))
+				n.postponed = append(n.postponed, func() { n.call(life, tell) })
 				return
 			}
 			tell()
 		}
 	})
-	w.After(w.between(0.05, 0.25), func() {
-		if n.life == life && n.up {
+	s.After(s.uniform(0.05, 0.25), func() {
+		if n.incarnation == life && n.up {
 			if n.frozen {
-				n.waiting = append(n.waiting, func() { n.acts(life) })
+				n.postponed = append(n.postponed, func() { n.actAsHolder(life) })
 			} else {
-				n.acts(life)
+				n.actAsHolder(life)
 			}
 		}
 	})
 }
 
-// receive takes an effect, if its token is good; else it has the old owner know what is newer.
-func (n *node) receive(from *node, by *identity, job string, token, number uint64) {
-	w := n.w
-	ok, _ := n.greatest.Admit(job, token)
+// receiveEffect takes an effect, if its token is good; else it has the old owner know what is newer.
+func (n *node) receiveEffect(from *node, by *identity, role string, token, number uint64) {
+	s := n.sim
+	ok, _ := n.fence.Admit(role, token)
 	if ok {
-		w.counts.Effects++
-		w.took(n, by, job, token, number)
+		s.counts.Effects++
+		s.effectApplied(n, by, role, token, number)
 		return
 	}
-	w.counts.Rejected++
-	table := n.t.Table()
+	s.counts.Rejected++
+	table := n.lease.Table()
 	if from.up && from != n && table.Epoch != 0 {
-		w.send(n, from, packed(&lease.Message{Table: &table}))
+		s.send(n, from, encode(&lease.Message{Table: &table}))
 	}
 }
