--- /dev/null
+++ b/internal/sim/leasesim/actions.go
@@ -0,0 +1,109 @@
+package leasesim
+
+import (
+	"errors"
+	"math"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"hazelwheel/internal/decide/lease"
+	"hazelwheel/internal/decide/swim"
+)
+
+type leaseActions struct {
+	node        *node
+	incarnation int
+}
+
+func (a *leaseActions) Send(to swim.ID, m *lease.Message) {
+	s := a.node.sim
+	s.checkPersisted(a.node, m)
+	for _, o := range s.nodes {
+		if o.up && o.identity.id == to {
+			s.send(a.node, o, encode(m))
+			return
+		}
+	}
+}
+
+func (a *leaseActions) Broadcast(m *lease.Message, except swim.ID) {
+	body := encode(m)
+	for _, o := range a.node.sim.nodes {
+		if o != a.node && o.up && o.identity.id != except {
+			a.node.sim.send(a.node, o, body)
+		}
+	}
+}
+
+func encode(m *lease.Message) []byte {
+	b, err := msgpack.Marshal(m)
+	if err != nil {
+		panic(err)
+	}
+	return b
+}
+
+func (a *leaseActions) RequestLinks([]swim.ID) {}
+
+var errDiskFull = errors.New("no space left on device")
+
+func (a *leaseActions) Persist(state []byte) {
+	n, s, life := a.node, a.node.sim, a.incarnation
+	if n.persisting {
+		s.breakRule("one-save", "%d saves while it saves", n.number)
+	}
+	n.persisting = true
+	n.persists++
+	took := s.diskSeconds * (1 + s.rng.Float64())
+	if s.Now() < s.slowDiskUntil {
+		took = s.slowDiskSeconds * (1 + s.rng.Float64())
+	}
+	if n.incarnation != life {
+		return
+	}
+	s.After(took, func() {
+		if n.incarnation != life { // it ended meanwhile: what was not synced may have lasted
+			return
+		}
+		full := n.diskFull
+		if !full && n.durable {
+			n.disk = state
+		}
+		n.call(life, func() {
+			n.persisting = false
+			if full {
+				n.lease.HandlePersisted(n.localTime(), errDiskFull)
+			} else {
+				n.lease.HandlePersisted(n.localTime(), nil)
+			}
+		})
+	})
+}
+
+func (a *leaseActions) LeaseStarted(role string, token uint64) {
+	a.node.sim.leaseStarted(a.node, role, token)
+}
+
+func (a *leaseActions) RecordCommitted(lease.Record) {}
+
+func (a *leaseActions) LeaseEnded(role string, token uint64, why lease.EndReason) {
+	a.node.sim.leaseEnded(a.node, role, token, string(why))
+}
+
+func (a *leaseActions) ReplaceIdentity(why string) {
+	n, s := a.node, a.node.sim
+	s.record("%d renounces: %s", n.number, why)
+	life := n.incarnation
+	s.After(0.01, func() {
+		n.call(life, func() {
+			n.replaceIdentity()
+			n.incarnation++
+			n.persisting, n.timerAt = false, math.Inf(1)
+			n.startProcess()
+		})
+	})
+}
+
+func (a *leaseActions) Log(text string, args ...any) {
+	a.node.sim.record("%d notes: %s %v", a.node.number, text, args)
+}
--- /dev/null
+++ b/internal/sim/leasesim/tally.go
@@ -0,0 +1,27 @@
+package leasesim
+
+import "hazelwheel/internal/sim/seeds"
+
+// Tally sums days.
+type Tally struct {
+	seeds.Tally
+	Counts Counts `json:"counts"`
+}
+
+// Add adds a day.
+func (t *Tally) Add(r *Result) {
+	t.Tally.Add(r.Seed, r.Steps, r.Hash, r.Findings)
+	t.Counts.add(r.Counts)
+}
+
+func (c *Counts) add(o Counts) {
+	c.Grants += o.Grants
+	c.Moves += o.Moves
+	c.Effects += o.Effects
+	c.Rejected += o.Rejected
+	c.Stalls += o.Stalls
+	c.ElectionsWon += o.ElectionsWon
+	c.IdentitiesLost += o.IdentitiesLost
+	c.GroupsFounded += o.GroupsFounded
+	c.VotersReplaced += o.VotersReplaced
+}
