--- a/internal/sim/leasesim/actions.go
+++ b/internal/sim/leasesim/actions.go
@@ -10,11 +10,13 @@
 	"hazelwheel/internal/decide/swim"
 )
 
+// leaseActions carries out what the lease.Node of one incarnation asks for.
 type leaseActions struct {
 	node        *node
 	incarnation int
 }
 
+// Send implements lease.Actions.
 func (a *leaseActions) Send(to swim.ID, m *lease.Message) {
 	s := a.node.sim
 	s.checkPersisted(a.node, m)
@@ -26,6 +28,7 @@
 	}
 }
 
+// Broadcast implements lease.Actions.
 func (a *leaseActions) Broadcast(m *lease.Message, except swim.ID) {
 	body := encode(m)
 	for _, o := range a.node.sim.nodes {
@@ -35,6 +38,7 @@
 	}
 }
 
+// encode returns a message as it is sent.
 func encode(m *lease.Message) []byte {
 	b, err := msgpack.Marshal(m)
 	if err != nil {
@@ -43,14 +47,16 @@
 	return b
 }
 
+// RequestLinks implements lease.Actions. All nodes have links to all others.
 func (a *leaseActions) RequestLinks([]swim.ID) {}
 
 var errDiskFull = errors.New("no space left on device")
 
+// Persist implements lease.Actions. The state is on disk when the write ends, even if the process has not heard of it by then.
 func (a *leaseActions) Persist(state []byte) {
-	n, s, life := a.node, a.node.sim, a.incarnation
+	n, s, incarnation := a.node, a.node.sim, a.incarnation
 	if n.persisting {
-		s.breakRule("one-save", "%d saves while it saves", n.number)
+		s.breakRule(RuleOnePersist, "%d saves while it saves", n.number)
 	}
 	n.persisting = true
 	n.persists++
@@ -58,18 +64,18 @@
 	if s.Now() < s.slowDiskUntil {
 		took = s.slowDiskSeconds * (1 + s.rng.Float64())
 	}
-	if n.incarnation != life {
+	if n.incarnation != incarnation {
 		return
 	}
 	s.After(took, func() {
-		if n.incarnation != life { // it ended meanwhile: what was not synced may have lasted
+		if n.incarnation != incarnation { // the process has ended and the write is lost
 			return
 		}
 		full := n.diskFull
 		if !full && n.durable {
 			n.disk = state
 		}
-		n.call(life, func() {
+		n.call(incarnation, func() {
 			n.persisting = false
 			if full {
 				n.lease.HandlePersisted(n.localTime(), errDiskFull)
@@ -80,22 +86,26 @@
 	})
 }
 
+// LeaseStarted implements lease.Actions.
 func (a *leaseActions) LeaseStarted(role string, token uint64) {
 	a.node.sim.leaseStarted(a.node, role, token)
 }
 
+// RecordCommitted implements lease.Actions.
 func (a *leaseActions) RecordCommitted(lease.Record) {}
 
+// LeaseEnded implements lease.Actions.
 func (a *leaseActions) LeaseEnded(role string, token uint64, why lease.EndReason) {
 	a.node.sim.leaseEnded(a.node, role, token, string(why))
 }
 
+// ReplaceIdentity implements lease.Actions: the process goes on under another identity.
 func (a *leaseActions) ReplaceIdentity(why string) {
 	n, s := a.node, a.node.sim
 	s.record("%d renounces: %s", n.number, why)
-	life := n.incarnation
+	incarnation := n.incarnation
 	s.After(0.01, func() {
-		n.call(life, func() {
+		n.call(incarnation, func() {
 			n.replaceIdentity()
 			n.incarnation++
 			n.persisting, n.timerAt = false, math.Inf(1)
@@ -104,6 +114,7 @@
 	})
 }
 
+// Log implements lease.Actions.
 func (a *leaseActions) Log(text string, args ...any) {
 	a.node.sim.record("%d notes: %s %v", a.node.number, text, args)
 }
--- a/internal/sim/leasesim/checker.go
+++ b/internal/sim/leasesim/checker.go
@@ -16,25 +16,25 @@
 	"hazelwheel/internal/sim/seeds"
 )
 
-// Finding is a rule that was broken.
+// Finding is a violation of a rule.
 type Finding = seeds.Finding
 
-// The rules.
+// The rules. The names are printed and are kept.
 const (
-	RuleTwoLeases       = "two-leases"       // at one instant two members hold a valid lease for one role
-	RuleTokenDecreased  = "token-falls"      // a receiver takes an effect under a token lower than one that it took before
-	RuleTokenOfTwo      = "token-of-two"     // one token has two owners, or a grant does not raise the token
-	RuleTwoLeaders      = "two-leaders"      // two lead in one term
-	RuleTwoHistories    = "two-histories"    // of one epoch and index there are two tables
-	RuleVoters          = "electors-leap"    // more than one elector is replaced at once
-	RuleNotLinearizable = "not-linearizable" // there is no order of grants, uses and ends that all have seen
-	RuleNoHolder        = "nobody"           // a majority is up and calm, and a role has no owner
-	RuleUneven          = "uneven"           // a calm fleet's roles are not spread evenly
-	RuleNotPersisted    = "told-before-kept" // a vote or a promise is told that is not on the disk
+	RuleTwoLeases       = "two-leases"       // at one instant two nodes hold a valid lease for one role
+	RuleTokenDecreased  = "token-falls"      // a receiver applies an effect under a token lower than an earlier one
+	RuleTokenOfTwo      = "token-of-two"     // one token has two holders, or a grant does not raise the token
+	RuleTwoLeaders      = "two-leaders"      // two nodes lead in one term
+	RuleTwoHistories    = "two-histories"    // two tables of one epoch and index differ
+	RuleVoters          = "electors-leap"    // more than one voter is replaced at once
+	RuleNotLinearizable = "not-linearizable" // no order of grants, uses and ends explains what was observed
+	RuleNoHolder        = "nobody"           // a role has no holder though a quorum is up and the faults are over
+	RuleOnePersist      = "one-save"         // a node asks for a write while another one is under way
+	RuleNotPersisted    = "told-before-kept" // a vote or promise is sent that is not on disk
 	RulePanic           = "panic"
 )
 
-// checker is what is seen from outside.
+// checker observes the nodes from outside.
 type checker struct {
 	sim           *Simulation
 	findings      []Finding
@@ -47,33 +47,37 @@
 	operations    []porcupine.Operation
 	vacancies     []vacancy
 	gaps          []Gap
-	lastFault     string // what the last trouble was, for gaps
+	lastFault     string // for Gap
 	lastFaultAt   float64
 }
 
+// termLeader is who leads in a term.
 type termLeader struct {
 	epoch, term uint64
 	leader      swim.ID
 }
 
+// observedTable is the content of the table of an epoch and index.
 type observedTable struct {
 	epoch, index uint64
 	sum          string
 }
 
+// voterSet is the voters that the leader of an epoch last published.
 type voterSet struct {
 	epoch, term uint64
 	leader      swim.ID
 	voters      []swim.ID
 }
 
+// tokenHolder is the identity that a token was granted to.
 type tokenHolder struct {
 	role     string
 	token    uint64
 	identity *identity
 }
 
-// observedLease is one that a member was told of, and that it was not told the end of.
+// observedLease is a lease that has started and not ended.
 type observedLease struct {
 	node        *node
 	incarnation int
@@ -81,26 +85,29 @@
 	token       uint64
 }
 
+// appliedToken is the highest token under which a receiver has applied effects.
 type appliedToken struct {
 	identity *identity
 	role     string
 	token    uint64
 }
 
+// vacancy is since when a role has no holder, +Inf while it has one.
 type vacancy struct {
 	role       string
 	since      float64
 	lastHolder *node
 }
 
-// Gap is a time without an owner.
+// Gap is a time in which a role had no holder.
 type Gap struct {
 	Role            string
 	Seconds         float64
 	Fault           string
-	RecoverySeconds float64 // from the trouble to the next owner
+	RecoverySeconds float64 // from the last fault to the next holder
 }
 
+// breakRule records a violation. Only the first twenty are kept.
 func (s *Simulation) breakRule(rule, format string, args ...any) {
 	why := fmt.Sprintf(format, args...)
 	s.record("BROKEN %s: %s", rule, why)
@@ -109,7 +116,7 @@
 	}
 }
 
-// checkNode looks at a member that has just done something.
+// checkNode checks a node that has just handled a call.
 func (s *Simulation) checkNode(n *node) {
 	f := n.lease.Stats()
 	if f.IsLeader {
@@ -139,6 +146,7 @@
 	}
 }
 
+// checkTable compares a node's table with those seen before, and a leader's voters with those that it published before.
 func (s *Simulation) checkTable(n *node, f lease.Stats) {
 	t := n.lease.Table()
 	if at := [4]uint64{t.Epoch, t.Index, t.Term, uint64(t.Leader)}; t.Epoch == 0 || n.checkedTable == at {
@@ -196,7 +204,7 @@
 	e.term, e.leader, e.voters = f.Term, n.identity.id, t.Voters
 }
 
-// checkPersisted looks whether what a member promises is on its disk.
+// checkPersisted checks that a vote or promise that is about to be sent is on the node's disk.
 func (s *Simulation) checkPersisted(n *node, m *lease.Message) {
 	promises := m.Founding != nil && (m.Founding.Step == lease.StepPromise || m.Founding.Step == lease.StepAccepted)
 	var vote raftpb.Message
@@ -226,7 +234,7 @@
 	}
 }
 
-// leaseStarted takes that a lease begins.
+// leaseStarted observes that a lease starts.
 func (s *Simulation) leaseStarted(n *node, role string, token uint64) {
 	s.record("%d owns %s under %#x", n.number, role, token)
 	s.counts.Grants++
@@ -254,7 +262,7 @@
 	s.vacancies = append(s.vacancies, vacancy{role, math.Inf(1), n})
 }
 
-// leaseEnded takes that a lease ends.
+// leaseEnded observes that a lease ends.
 func (s *Simulation) leaseEnded(n *node, role string, token uint64, why string) {
 	s.record("%d owns %s under %#x no more: %s", n.number, role, token, why)
 	s.leases = slices.DeleteFunc(s.leases, func(l observedLease) bool { return l.node == n && l.role == role })
@@ -262,6 +270,7 @@
 	s.roleVacated(n, role)
 }
 
+// roleVacated observes that a role has no holder any more.
 func (s *Simulation) roleVacated(n *node, role string) {
 	for i := range s.vacancies {
 		if g := &s.vacancies[i]; g.role == role && g.lastHolder == n && math.IsInf(g.since, 1) {
@@ -270,7 +279,7 @@
 	}
 }
 
-// processEnded takes that a process is no more.
+// processEnded ends the leases of a process that is gone.
 func (s *Simulation) processEnded(n *node, why string) {
 	for _, l := range slices.Clone(s.leases) {
 		if l.node == n {
@@ -279,12 +288,12 @@
 	}
 }
 
-// effectSent takes that a member is about to act.
+// effectSent observes that a holder is about to act.
 func (s *Simulation) effectSent(n *node, role string, token uint64) {
 	s.recordOperation(n, role, operation{"use", token, n.number}, s.Now(), s.Now())
 }
 
-// effectApplied takes that a receiver has taken an effect.
+// effectApplied observes that a receiver applies an effect.
 func (s *Simulation) effectApplied(n *node, by *identity, role string, token, number uint64) {
 	i := slices.IndexFunc(s.tokenHolders, func(o tokenHolder) bool { return o.role == role && o.token == token })
 	if i < 0 || s.tokenHolders[i].identity != by {
--- a/internal/sim/leasesim/effects.go
+++ b/internal/sim/leasesim/effects.go
@@ -4,11 +4,11 @@
 	"hazelwheel/internal/decide/lease"
 )
 
-// actAsHolder has the owner of a role act again and again: it looks whether it may, and then its effect goes to all. Between the two it
-// may stand still.
-func (n *node) actAsHolder(life int) {
+// actAsHolder lets a node act for the roles that it holds, again and again: it checks its lease and then sends an effect to all
+// nodes. Between the two the process may stand still.
+func (n *node) actAsHolder(incarnation int) {
 	s := n.sim
-	n.call(life, func() {
+	n.call(incarnation, func() {
 		for _, role := range s.roles {
 			token, ok := n.lease.Holds(n.localTime(), role)
 			if !ok {
@@ -17,36 +17,36 @@
 			s.effectSent(n, role, token)
 			n.lastEffect++
 			number, by := n.lastEffect, n.identity
-			tell := func() {
+			send := func() {
 				for _, o := range s.nodes {
 					if !o.up {
 						continue
 					}
-					olife := o.incarnation
-					s.deliver(n, o, func() { o.call(olife, func() { o.receiveEffect(n, by, role, token, number) }) })
+					receiverIncarnation := o.incarnation
+					s.deliver(n, o, func() { o.call(receiverIncarnation, func() { o.receiveEffect(n, by, role, token, number) }) })
 				}
 			}
 			if s.chance(s.stallProbability) {
 				s.counts.Stalls++
 				n.freeze(s.uniform(0.3, 6))
-				n.postponed = append(n.postponed, func() { n.call(life, tell) })
+				n.postponed = append(n.postponed, func() { n.call(incarnation, send) })
 				return
 			}
-			tell()
+			send()
 		}
 	})
 	s.After(s.uniform(0.05, 0.25), func() {
-		if n.incarnation == life && n.up {
+		if n.incarnation == incarnation && n.up {
 			if n.frozen {
-				n.postponed = append(n.postponed, func() { n.actAsHolder(life) })
+				n.postponed = append(n.postponed, func() { n.actAsHolder(incarnation) })
 			} else {
-				n.actAsHolder(life)
+				n.actAsHolder(incarnation)
 			}
 		}
 	})
 }
 
-// receiveEffect takes an effect, if its token is good; else it has the old owner know what is newer.
+// receiveEffect applies an effect if its token is admitted. Otherwise it sends the newest table to the sender.
 func (n *node) receiveEffect(from *node, by *identity, role string, token, number uint64) {
 	s := n.sim
 	ok, _ := n.fence.Admit(role, token)
--- a/internal/sim/leasesim/faults.go
+++ b/internal/sim/leasesim/faults.go
@@ -6,13 +6,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// fault is something that happens to members for a while.
+// fault is a kind of disturbance that is injected for a while.
 type fault struct {
 	name   string
-	inject func(w *Simulation, forS float64)
+	inject func(s *Simulation, seconds float64)
 }
 
-// liveNodes returns the members that live and are not frozen.
+// liveNodes returns the nodes that run and do not stand still.
 func (s *Simulation) liveNodes() (all []*node) {
 	for _, n := range s.nodes {
 		if n.up && !n.frozen {
@@ -22,14 +22,14 @@
 	return all
 }
 
-// pickLive draws members that live, up to so many.
-func (s *Simulation) pickLive(most int) []*node {
+// pickLive draws up to limit live nodes, at least one if there are any.
+func (s *Simulation) pickLive(limit int) []*node {
 	all := s.liveNodes()
 	s.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	return all[:min(len(all), 1+s.rng.IntN(max(most, 1)))]
+	return all[:min(len(all), 1+s.rng.IntN(max(limit, 1)))]
 }
 
-// holderOf returns who owns a role now, and leaderNow who leads, as the members themselves say; nil: nobody.
+// holderOf returns the node that holds a role by its own account, nil if there is none.
 func (s *Simulation) holderOf(role string) *node {
 	for _, n := range s.liveNodes() {
 		if _, ok := n.lease.Holds(n.localTime(), role); ok {
@@ -39,6 +39,7 @@
 	return nil
 }
 
+// leader returns the node that leads in the highest term by its own account, nil if there is none.
 func (s *Simulation) leader() (best *node) {
 	term := uint64(0)
 	for _, n := range s.liveNodes() {
@@ -49,7 +50,7 @@
 	return best
 }
 
-// pickTarget draws who is hit: the owner of a role, who leads, or anybody.
+// pickTarget draws the target of a fault: the holder of a role, the leader, or any live node; nil if there is none.
 func (s *Simulation) pickTarget() *node {
 	var n *node
 	switch s.rng.IntN(3) {
@@ -66,8 +67,7 @@
 	return n
 }
 
-// restartAfter starts a process again: mostly with its state, else without, with an old copy that its host finds to be one, or with one
-// that is torn.
+// restartAfter restarts a process after a delay: mostly with its state, else without it or with a truncated one.
 func (s *Simulation) restartAfter(n *node, after float64) {
 	how := s.rng.IntN(10)
 	s.After(after, func() {
@@ -85,10 +85,10 @@
 	})
 }
 
-// canLoseState tells whether a majority of the electors keeps its state, without this one. Danger: a fleet whose electors forget
-// all never has owners again, and its day tries nothing more.
+// canLoseState reports whether a quorum of the voters keeps its state without this node's. Danger: a group whose voters lose all
+// state never grants anything again, and the rest of the run would test nothing.
 func (s *Simulation) canLoseState(n *node) bool {
-	if s.losesQuorumState { // but the last that knows of a group: whoever knows of none can't know which tokens there were
+	if s.losesQuorumState { // except the last node that knows of the group: without it no node could know which tokens were granted
 		return slices.ContainsFunc(s.nodes, func(o *node) bool { return o != n && !o.removed && o.knowsGroup() })
 	}
 	for _, l := range s.voterSets {
@@ -105,7 +105,7 @@
 	return true
 }
 
-// knowsGroup tells whether a member's disk says that there is a group.
+// knowsGroup reports whether a node's disk holds the epoch of a group.
 func (n *node) knowsGroup() bool {
 	var kept struct {
 		Epoch uint64 `msgpack:"e"`
@@ -113,35 +113,35 @@
 	return msgpack.Unmarshal(n.disk, &kept) == nil && kept.Epoch > 0
 }
 
-// faults are all kinds; a day has some of them.
+// faults are all kinds of faults. A run injects some of them.
 var faults = []fault{
-	{"kill", func(s *Simulation, forS float64) {
+	{"kill", func(s *Simulation, seconds float64) {
 		if n := s.pickTarget(); n != nil {
 			n.kill()
-			s.restartAfter(n, forS)
+			s.restartAfter(n, seconds)
 		}
 	}},
-	{"kill-both", func(s *Simulation, forS float64) { // leader and owner, and maybe who comes next
+	{"kill-both", func(s *Simulation, seconds float64) { // the leader and a holder, and perhaps their successors
 		for range 1 + s.rng.IntN(2) {
 			for _, n := range []*node{s.leader(), s.holderOf(s.roles[0])} {
 				if n != nil {
 					n.kill()
-					s.restartAfter(n, forS)
+					s.restartAfter(n, seconds)
 				}
 			}
 		}
 	}},
-	{"freeze", func(s *Simulation, forS float64) {
+	{"freeze", func(s *Simulation, seconds float64) {
 		if n := s.pickTarget(); n != nil {
-			n.freeze(forS)
+			n.freeze(seconds)
 		}
 	}},
-	{"freeze-some", func(s *Simulation, forS float64) {
+	{"freeze-some", func(s *Simulation, seconds float64) {
 		for _, n := range s.pickLive(3) {
-			n.freeze(forS * s.uniform(0.3, 1))
+			n.freeze(seconds * s.uniform(0.3, 1))
 		}
 	}},
-	{"cut-off", func(s *Simulation, forS float64) { // one from some, one way or both
+	{"cut-off", func(s *Simulation, seconds float64) { // a node from most others, one way or both
 		n := s.pickTarget()
 		if n == nil {
 			return
@@ -151,16 +151,16 @@
 			if o != n && s.chance(0.8) {
 				switch way {
 				case 0:
-					s.partition(n, o, true, forS)
+					s.partition(n, o, true, seconds)
 				case 1:
-					s.partition(n, o, false, forS)
+					s.partition(n, o, false, seconds)
 				default:
-					s.partition(o, n, false, forS)
+					s.partition(o, n, false, seconds)
 				}
 			}
 		}
 	}},
-	{"cut-electors", func(s *Simulation, forS float64) { // an owner from electors, and not from receivers, or the other way round
+	{"cut-electors", func(s *Simulation, seconds float64) { // a holder from the voters but not from receivers, or the reverse
 		n := s.holderOf(s.roles[0])
 		if n == nil {
 			return
@@ -169,11 +169,11 @@
 		not := s.chance(0.3)
 		for _, o := range s.nodes {
 			if o != n && o.identity != nil && slices.Contains(electors, o.identity.id) != not {
-				s.partition(n, o, s.chance(0.5), forS)
+				s.partition(n, o, s.chance(0.5), seconds)
 			}
 		}
 	}},
-	{"cut-leader", func(s *Simulation, forS float64) { // from electors alone: who owns still reaches it
+	{"cut-leader", func(s *Simulation, seconds float64) { // the leader from other voters, while holders still reach it
 		n := s.leader()
 		if n == nil {
 			return
@@ -181,11 +181,11 @@
 		electors := n.lease.Table().Voters
 		for _, o := range s.nodes {
 			if o != n && o.identity != nil && slices.Contains(electors, o.identity.id) && !s.holdsAny(o) {
-				s.partition(n, o, true, forS)
+				s.partition(n, o, true, seconds)
 			}
 		}
 	}},
-	{"cut-halves", func(s *Simulation, forS float64) {
+	{"cut-halves", func(s *Simulation, seconds float64) {
 		side := make([]bool, len(s.nodes))
 		for i := range side {
 			side[i] = s.chance(0.5)
@@ -193,18 +193,18 @@
 		for i, a := range s.nodes {
 			for j, b := range s.nodes {
 				if side[i] && !side[j] {
-					s.partition(a, b, true, forS)
+					s.partition(a, b, true, seconds)
 				}
 			}
 		}
 	}},
-	{"hold", func(s *Simulation, forS float64) { // bytes stop, links stay up
+	{"hold", func(s *Simulation, seconds float64) { // messages are delayed, links stay up
 		n := s.pickTarget()
 		if n == nil {
 			return
 		}
-		out, in, outS, inS, outAt := s.chance(0.7), s.chance(0.7), forS, forS, 0.0
-		if s.chance(0.5) { // what it asks goes out for a little longer; the answers come late, and then nothing more
+		out, in, outS, inS, outAt := s.chance(0.7), s.chance(0.7), seconds, seconds, 0.0
+		if s.chance(0.5) { // requests go out for a little longer, replies come late, and then nothing does
 			out, in, inS = true, true, s.uniform(0.4, 1.0)
 			outAt = s.uniform(0, inS)
 		}
@@ -217,25 +217,27 @@
 			}
 			if in {
 				s.stalledUntil[o.number][n.number] = s.Now() + inS
-				s.After(inS+0.001, func() { s.stalledUntil[o.number][n.number] = max(s.stalledUntil[o.number][n.number], s.Now()+forS-inS) })
+				s.After(inS+0.001, func() {
+					s.stalledUntil[o.number][n.number] = max(s.stalledUntil[o.number][n.number], s.Now()+seconds-inS)
+				})
 			}
 		}
 	}},
-	{"disk-full", func(s *Simulation, forS float64) {
+	{"disk-full", func(s *Simulation, seconds float64) {
 		for _, n := range s.pickLive(2) {
 			n.diskFull = true
-			s.After(forS, func() { n.diskFull = false })
+			s.After(seconds, func() { n.diskFull = false })
 		}
 	}},
-	{"disk-slow", func(s *Simulation, forS float64) {
-		s.slowDiskSeconds, s.slowDiskUntil = s.uniform(0.05, 1), s.Now()+forS
+	{"disk-slow", func(s *Simulation, seconds float64) {
+		s.slowDiskSeconds, s.slowDiskUntil = s.uniform(0.05, 1), s.Now()+seconds
 	}},
-	{"term", func(s *Simulation, forS float64) {
+	{"term", func(s *Simulation, seconds float64) {
 		if n := s.pickTarget(); n != nil {
-			n.leave(func() { s.restartAfter(n, forS/4) })
+			n.leave(func() { s.restartAfter(n, seconds/4) })
 		}
 	}},
-	{"roll", func(s *Simulation, _ float64) { // all, one after the other
+	{"roll", func(s *Simulation, _ float64) { // a rolling restart
 		at := 0.0
 		for _, n := range s.nodes {
 			s.After(at, func() {
@@ -246,7 +248,7 @@
 			at += s.uniform(1.5, 3)
 		}
 	}},
-	{"majority", func(s *Simulation, forS float64) {
+	{"majority", func(s *Simulation, seconds float64) {
 		if len(s.voterSets) == 0 {
 			return
 		}
@@ -254,7 +256,7 @@
 		for _, n := range s.nodes {
 			if n.up && slices.Contains(list, n.identity.id) && s.chance(0.8) {
 				n.kill()
-				s.After(forS, n.start)
+				s.After(seconds, n.start)
 			}
 		}
 	}},
@@ -271,7 +273,7 @@
 			}
 		}
 	}},
-	{"shrink", func(s *Simulation, forS float64) { // for good; as few go at a time as the electors can be replaced
+	{"shrink", func(s *Simulation, seconds float64) { // nodes are removed for good, as few at a time as voters can be replaced
 		for _, n := range s.pickLive(2) {
 			if in := len(s.liveNodes()); in > 4 && s.canLoseState(n) {
 				n.removed = true
@@ -291,24 +293,25 @@
 			n.call(n.incarnation, func() { n.lease.RequestStepDown(n.localTime(), s.roles[s.rng.IntN(len(s.roles))]) })
 		}
 	}},
-	{"move-freeze", func(s *Simulation, forS float64) { // the owner stands still just after it was told to give the role up
+	{"move-freeze", func(s *Simulation, seconds float64) { // the holder stands still just after it was asked to step down
 		role := s.roles[s.rng.IntN(len(s.roles))]
 		if n := s.holderOf(role); n != nil {
 			n.call(n.incarnation, func() { n.lease.RequestStepDown(n.localTime(), role) })
-			s.After(s.uniform(1, 8)*s.latencySeconds, func() { n.freeze(forS) })
+			s.After(s.uniform(1, 8)*s.latencySeconds, func() { n.freeze(seconds) })
 		}
 	}},
-	{"unwilling", func(s *Simulation, forS float64) {
+	{"unwilling", func(s *Simulation, seconds float64) {
 		n := s.pickTarget()
 		if n == nil {
 			return
 		}
-		role, life := s.roles[s.rng.IntN(len(s.roles))], n.incarnation
-		n.call(life, func() { n.lease.SetWilling(n.localTime(), role, false) })
-		s.After(forS, func() { n.call(life, func() { n.lease.SetWilling(n.localTime(), role, true) }) })
+		role, incarnation := s.roles[s.rng.IntN(len(s.roles))], n.incarnation
+		n.call(incarnation, func() { n.lease.SetWilling(n.localTime(), role, false) })
+		s.After(seconds, func() { n.call(incarnation, func() { n.lease.SetWilling(n.localTime(), role, true) }) })
 	}},
 }
 
+// holdsAny reports whether a node holds any role, as observed from outside.
 func (s *Simulation) holdsAny(n *node) bool {
 	return slices.ContainsFunc(s.leases, func(l observedLease) bool { return l.node == n })
 }
--- a/internal/sim/leasesim/measure.go
+++ b/internal/sim/leasesim/measure.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// newSettled returns a fleet that has been calm for a while: so many members, of which the first are listed as electors.
+// newSettled returns a simulation without faults that has run for a while, with so many nodes, the first of which are initial
+// voters.
 func newSettled(seed uint64, members, electors int, roles ...string) *Simulation {
 	s := newSimulation(seed, electors, roles...)
 	for range members {
@@ -20,12 +21,13 @@
 	return s
 }
 
-// disruption is a way to take the owner of a role away.
+// disruption is a way to take a role's holder away.
 type disruption struct {
 	name   string
-	inject func(w *Simulation, owner, leader *node)
+	inject func(s *Simulation, owner, leader *node)
 }
 
+// disruptions are the ways that are measured.
 var disruptions = []disruption{
 	{"kill", func(_ *Simulation, o, _ *node) { o.kill() }},
 	{"kill of the leader, which owns it", func(_ *Simulation, _, l *node) { l.kill() }},
@@ -41,6 +43,7 @@
 	}},
 }
 
+// partitionNode cuts a node off from all others, in the given directions.
 func (s *Simulation) partitionNode(n *node, out, in bool) {
 	for _, o := range s.nodes {
 		if o != n {
@@ -49,7 +52,7 @@
 	}
 }
 
-// gapSeconds returns how long the role is without an owner after what a way does to it, sorted.
+// gapSeconds returns, sorted, how long a role has no holder after a disruption.
 func gapSeconds(way disruption, trials, members, electors int) (all []float64) {
 	for seed := uint64(1); len(all) < trials; seed++ {
 		s := newSettled(seed, members, electors, "list")
@@ -61,7 +64,7 @@
 			continue
 		}
 		if way.name == "kill of owner and leader" && owner.lease.Stats().IsVoter {
-			continue // of three electors two would be gone
+			continue // of three voters two would be gone
 		}
 		at, grants := s.Now(), s.counts.Grants
 		way.inject(s, owner, leader)
@@ -74,7 +77,7 @@
 	return all
 }
 
-// Measure prints how long a role is without an owner, what being ready costs, and how many roles move.
+// Measure prints how long a role has no holder, what an idle fleet costs, and how many roles move.
 func Measure(out io.Writer) {
 	const trials, members = 100, 7
 	fmt.Fprintf(out, "from the trouble to the next owner, %d members, 3 electors, %d trials: median, 99 %%, longest\n", members, trials)
@@ -93,6 +96,7 @@
 	}
 }
 
+// roleNames returns the names of so many roles.
 func roleNames(n int) (roles []string) {
 	for i := range n {
 		roles = append(roles, fmt.Sprintf("job%03d", i))
@@ -100,13 +104,14 @@
 	return roles
 }
 
+// measureIdle prints the cost of a fleet in which nothing happens.
 func measureIdle(out io.Writer, members, electors, roles int) {
 	s := newSettled(1, members, electors, roleNames(roles)...)
-	const forS = 60
+	const seconds = 60
 	for _, n := range s.nodes {
 		n.bytes, n.messages, n.persists, n.calls = 0, 0, 0, 0
 	}
-	s.Until(s.Now() + forS)
+	s.Until(s.Now() + seconds)
 	type sum struct {
 		n                             int
 		bytes, messages, saves, calls uint64
@@ -130,13 +135,14 @@
 	}
 	for i, total := range sums {
 		if total.n > 0 {
-			d := float64(total.n) * forS
+			d := float64(total.n) * seconds
 			fmt.Fprintf(out, "  %d members, %d electors, %d jobs: %-15s %7.0f B  %5.1f messages  %.2f writes  %5.1f calls\n", members, electors, roles, names[i],
 				float64(total.bytes)/d, float64(total.messages)/d, float64(total.saves)/d, float64(total.calls)/d)
 		}
 	}
 }
 
+// measureMoves prints how many roles move when one node of many ends.
 func measureMoves(out io.Writer, members, roles int) {
 	most, sum, had, slowest := 0, 0, 0, 0.0
 	for seed := uint64(1); seed <= 5; seed++ {
--- a/internal/sim/leasesim/membership.go
+++ b/internal/sim/leasesim/membership.go
@@ -7,7 +7,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// memberView is what one member holds of another.
+// memberView is what a node knows of another's identity.
 type memberView struct {
 	identity   *identity
 	state      swim.State
@@ -15,28 +15,30 @@
 	lastHeard  float64
 }
 
+// The model of package swim, in seconds of a node's clock.
 const (
 	viewIntervalSeconds = 0.25
-	suspectAfterSeconds = 1.4
+	suspectAfterSeconds = 1.4 // without hearing of a member
 	deadAfterSeconds    = 2.4
-	forgetAfterSeconds  = 600
-	stallSeconds        = 0.9
+	forgetAfterSeconds  = 600 // after which dead members are left out
+	stallSeconds        = 0.9 // between two updates: the process stood still
 )
 
-// watchMembers has a member's view follow what is so, late as it would.
-func (n *node) watchMembers(life int) {
-	n.call(life, func() { n.updateView() })
+// watchMembers updates a node's view again and again, so that it follows the others with the delay of real failure detection.
+func (n *node) watchMembers(incarnation int) {
+	n.call(incarnation, func() { n.updateView() })
 	n.sim.After(viewIntervalSeconds/n.clockRate, func() {
-		if n.incarnation == life && n.up {
+		if n.incarnation == incarnation && n.up {
 			if n.frozen {
-				n.postponed = append(n.postponed, func() { n.watchMembers(life) })
+				n.postponed = append(n.postponed, func() { n.watchMembers(incarnation) })
 			} else {
-				n.watchMembers(life)
+				n.watchMembers(incarnation)
 			}
 		}
 	})
 }
 
+// updateView updates what a node knows of the others, and passes a change on to its lease.Node.
 func (n *node) updateView() {
 	s, now := n.sim, n.localTime()
 	stalled := n.view != nil && now-n.viewAt > stallSeconds
--- a/internal/sim/leasesim/network.go
+++ b/internal/sim/leasesim/network.go
@@ -6,29 +6,31 @@
 	"hazelwheel/internal/decide/lease"
 )
 
-// linkUp tells two that there is a new link between them.
+// linkUp reports a new link to the nodes at both ends.
 func (s *Simulation) linkUp(a, b *node) {
 	for _, p := range [2][2]*node{{a, b}, {b, a}} {
-		life, other := p[0].incarnation, p[1].incarnation
+		incarnation, other := p[0].incarnation, p[1].incarnation
 		s.After(s.latency(), func() {
 			if p[1].incarnation == other && p[1].up && !s.partitioned[a.number][b.number] && !s.partitioned[b.number][a.number] {
-				p[0].call(life, func() { p[0].lease.HandleLinkUp(p[0].localTime(), p[1].identity.id) })
+				p[0].call(incarnation, func() { p[0].lease.HandleLinkUp(p[0].localTime(), p[1].identity.id) })
 			}
 		})
 	}
 }
 
+// latency draws the seconds that a message takes.
 func (s *Simulation) latency() float64 { return s.latencySeconds * (1 + s.rng.Float64()) }
 
+// frameHeaderBytes is what a frame adds to a message on the wire.
 const frameHeaderBytes = 6
 
-// send brings a message from one to another.
+// send transmits a message of one node to another.
 func (s *Simulation) send(from, to *node, body []byte) {
 	from.bytes += uint64(len(body) + frameHeaderBytes)
 	from.messages++
-	id, life := from.identity.id, to.incarnation
+	id, incarnation := from.identity.id, to.incarnation
 	s.deliver(from, to, func() {
-		to.call(life, func() {
+		to.call(incarnation, func() {
 			var m lease.Message
 			if err := msgpack.Unmarshal(body, &m); err != nil {
 				panic(err)
@@ -38,7 +40,7 @@
 	})
 }
 
-// deliver has something arrive, if it does.
+// deliver calls arrive when a message would arrive, unless it is lost.
 func (s *Simulation) deliver(from, to *node, arrive func()) {
 	if from == to {
 		s.After(0, arrive)
@@ -50,14 +52,14 @@
 	}
 	at := max(s.Now()+s.latency(), s.stalledUntil[i][j], s.lastArrival[i][j])
 	if s.chance(s.delayProbability) {
-		at += s.uniform(0, 60) // an old link, whose bytes come in after all
+		at += s.uniform(0, 60) // a message on an old link that arrives after all
 	} else {
 		s.lastArrival[i][j] = at
 	}
 	s.At(at, arrive)
 }
 
-// reachable tells whom a member hears, by way of others too.
+// reachable returns, by number, the nodes that a node can hear, also by way of others.
 func (s *Simulation) reachable(n *node) []bool {
 	got := make([]bool, len(s.nodes))
 	got[n.number] = true
@@ -76,12 +78,13 @@
 	return got
 }
 
-func (s *Simulation) partition(a, b *node, both bool, forS float64) {
+// partition cuts the link between two nodes for a while, from a to b alone or both ways.
+func (s *Simulation) partition(a, b *node, both bool, seconds float64) {
 	s.partitioned[a.number][b.number] = true
 	if both {
 		s.partitioned[b.number][a.number] = true
 	}
-	s.After(forS, func() {
+	s.After(seconds, func() {
 		s.partitioned[a.number][b.number], s.partitioned[b.number][a.number] = false, false
 		s.linkUp(a, b)
 	})
--- a/internal/sim/leasesim/node.go
+++ b/internal/sim/leasesim/node.go
@@ -7,48 +7,50 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// identity is one that a member had.
+// identity is one of the identities that a node has had.
 type identity struct {
 	id      swim.ID
 	node    *node
-	isLost  bool // its state is lost
+	isLost  bool // its state is lost or it was removed
 	hasLeft bool
 }
 
-// node is one sidecar over all lives of its process.
+// node is a sidecar, over all incarnations of its process.
 type node struct {
 	sim         *Simulation
 	number      int
 	address     string
 	durable     bool
 	up          bool
-	removed     bool // taken out of the fleet for good
+	removed     bool // for good
 	frozen      bool
-	incarnation int
+	incarnation int // of the process; what was scheduled for an earlier one is dropped
 	identity    *identity
-	clockRate   float64 // of its clock
-	clockBase   float64 // true time at which the clock showed zero
+	clockRate   float64 // of its clock to the simulation's
+	clockBase   float64 // simulation time at which its clock was 0
 	lease       *lease.Node
-	timerAt     float64
-	postponed   []func()
-	persisting  bool
-	view        []*memberView // by ID
-	viewAt      float64       // its own clock
+	timerAt     float64       // simulation time of the scheduled Tick
+	postponed   []func()      // calls that wait while the process stands still
+	persisting  bool          // a write is under way
+	view        []*memberView // sorted by ID
+	viewAt      float64       // of the last update, by its own clock
 
-	disk         []byte // what lasts
+	disk         []byte // the persisted state
 	diskFull     bool
 	fence        *lease.Fence
 	lastEffect   uint64
-	checkedTable [4]uint64 // that was checked last
+	checkedTable [4]uint64 // version of the last table that was checked
 
-	bytes, messages, persists, calls uint64
+	bytes, messages, persists, calls uint64 // for measurements
 }
 
+// localTime returns the present time by the node's clock.
 func (n *node) localTime() float64 { return (n.sim.Now() - n.clockBase) * n.clockRate }
 
+// simulationTime converts a time of the node's clock.
 func (n *node) simulationTime(at float64) float64 { return n.clockBase + at/n.clockRate }
 
-// start begins a process. Without its state it is somebody else.
+// start starts a process, under a new identity if there is no state.
 func (n *node) start() {
 	s := n.sim
 	if n.up || n.removed {
@@ -63,6 +65,7 @@
 	n.startProcess()
 }
 
+// replaceIdentity gives the node a new identity and an empty disk.
 func (n *node) replaceIdentity() {
 	s := n.sim
 	if n.identity != nil {
@@ -74,6 +77,7 @@
 	s.identities = append(s.identities, n.identity)
 }
 
+// startProcess creates the lease.Node from the disk.
 func (n *node) startProcess() {
 	s := n.sim
 	set := s.settings
@@ -91,9 +95,9 @@
 	}
 	n.lease = t
 	s.record("%d begins as %v", n.number, n.identity.id)
-	life := n.incarnation
-	n.watchMembers(life)
-	n.actAsHolder(life)
+	incarnation := n.incarnation
+	n.watchMembers(incarnation)
+	n.actAsHolder(incarnation)
 	for _, o := range s.nodes {
 		if o != n {
 			s.linkUp(n, o)
@@ -102,23 +106,23 @@
 	n.armTimer()
 }
 
-// call has the process do something, unless it has ended; one that stands still does it later.
-func (n *node) call(life int, do func()) {
+// call runs something in the process of an incarnation, unless that has ended. While the process stands still it is postponed.
+func (n *node) call(incarnation int, do func()) {
 	switch {
-	case n.incarnation != life || !n.up:
+	case n.incarnation != incarnation || !n.up:
 	case n.frozen:
-		n.postponed = append(n.postponed, func() { n.call(life, do) })
+		n.postponed = append(n.postponed, func() { n.call(incarnation, do) })
 	default:
 		n.calls++
 		do()
 		n.armTimer()
-		if n.up && n.incarnation == life {
+		if n.up && n.incarnation == incarnation {
 			n.sim.checkNode(n)
 		}
 	}
 }
 
-// armTimer has Tick called when it is due.
+// armTimer schedules Tick.
 func (n *node) armTimer() {
 	if !n.up {
 		return
@@ -128,19 +132,19 @@
 		return
 	}
 	n.timerAt = at
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.sim.At(at, func() {
-		if n.incarnation != life || n.timerAt != at {
+		if n.incarnation != incarnation || n.timerAt != at {
 			return
 		}
-		n.call(life, func() {
+		n.call(incarnation, func() {
 			n.timerAt = math.Inf(1)
 			n.lease.Tick(n.localTime())
 		})
 	})
 }
 
-// kill ends the process: what was being written may have lasted or not.
+// kill ends the process. A write that is under way is lost.
 func (n *node) kill() {
 	if !n.up {
 		return
@@ -151,31 +155,32 @@
 	n.sim.processEnded(n, "it was killed")
 }
 
-func (n *node) freeze(forS float64) {
+// freeze makes the process stand still for a while.
+func (n *node) freeze(seconds float64) {
 	if !n.up || n.frozen {
 		return
 	}
-	n.sim.record("%d stands still for %.3f s", n.number, forS)
+	n.sim.record("%d stands still for %.3f s", n.number, seconds)
 	n.frozen = true
-	life := n.incarnation
-	n.sim.After(forS, func() {
-		if n.incarnation == life {
+	incarnation := n.incarnation
+	n.sim.After(seconds, func() {
+		if n.incarnation == incarnation {
 			n.thaw()
 		}
 	})
 }
 
-// thaw hands over what has come meanwhile, or has the clock looked at first.
+// thaw lets the process go on, with a Tick before or after the postponed calls.
 func (n *node) thaw() {
 	if !n.frozen {
 		return
 	}
 	n.sim.record("%d goes on", n.number)
 	n.frozen = false
-	waiting, life := n.postponed, n.incarnation
+	waiting, incarnation := n.postponed, n.incarnation
 	n.postponed = nil
 	if n.sim.chance(0.5) {
-		n.call(life, func() { n.lease.Tick(n.localTime()) })
+		n.call(incarnation, func() { n.lease.Tick(n.localTime()) })
 	}
 	for _, do := range waiting {
 		do()
@@ -184,18 +189,18 @@
 	n.armTimer()
 }
 
-// leave ends the process with a word, as SIGTERM does.
+// leave ends the process gracefully, as SIGTERM does, and calls then.
 func (n *node) leave(then func()) {
 	if !n.up {
 		return
 	}
 	n.sim.record("%d leaves", n.number)
-	life := n.incarnation
-	n.call(life, func() { n.lease.Leave(n.localTime()) })
+	incarnation := n.incarnation
+	n.call(incarnation, func() { n.lease.Leave(n.localTime()) })
 	began := n.sim.Now()
 	var poll func()
 	poll = func() {
-		n.call(life, func() {
+		n.call(incarnation, func() {
 			if n.lease.HasLeft() || n.sim.Now()-began > 1 {
 				n.identity.hasLeft = true
 				n.kill()
--- a/internal/sim/leasesim/result.go
+++ b/internal/sim/leasesim/result.go
@@ -1,23 +1,23 @@
 package leasesim
 
-// Counts are what a day was about.
+// Counts sums up what happened in a run.
 type Counts struct {
-	Grants         int `json:"Grants"`   // leases that began
-	Moves          int `json:"Moves"`    // of these: to another member than before
-	Effects        int `json:"Effects"`  // that were taken
-	Rejected       int `json:"Refused"`  // that came under a token lower than one taken before
-	Stalls         int `json:"Stalls"`   // between the check of a lease and the effect
-	ElectionsWon   int `json:"Elected"`  // leaders
-	IdentitiesLost int `json:"Lost"`     // identities that ended with their state
-	GroupsFounded  int `json:"Founded"`  // groups
-	VotersReplaced int `json:"Replaced"` // electors
+	Grants         int `json:"Grants"`  // leases that started
+	Moves          int `json:"Moves"`   // of these: on another node than the role's last one
+	Effects        int `json:"Effects"` // applied by receivers
+	Rejected       int `json:"Refused"` // effects under a token lower than one seen before
+	Stalls         int `json:"Stalls"`  // of a process between checking its lease and sending
+	ElectionsWon   int `json:"Elected"` // terms with a leader
+	IdentitiesLost int `json:"Lost"`    // with their state
+	GroupsFounded  int `json:"Founded"` // epochs with a leader
+	VotersReplaced int `json:"Replaced"`
 }
 
-// Result is what came of a day.
+// Result is the outcome of a run.
 type Result struct {
 	Seed     uint64    `json:"seed"`
 	Findings []Finding `json:"findings,omitempty"`
-	Hash     uint64    `json:"hash"` // of the history: equal seeds give equal ones
+	Hash     uint64    `json:"hash"` // of the history; equal for equal seeds
 	Steps    uint64    `json:"steps"`
 	Counts   Counts    `json:"counts"`
 	Gaps     []Gap     `json:"-"`
--- a/internal/sim/leasesim/run.go
+++ b/internal/sim/leasesim/run.go
@@ -7,12 +7,13 @@
 	"hazelwheel/internal/sim/seeds"
 )
 
-// Options say how a day is played.
+// Options configure a run.
 type Options struct {
+	// Trace is called with each line of the history; nil: not at all.
 	Trace func(at float64, line string)
 }
 
-// Run plays the day of a seed.
+// Run simulates the history of a seed.
 func Run(seed uint64, o Options) (r *Result) {
 	s := newSimulation(seed, 3, "list", "report")
 	s.trace = o.Trace
@@ -22,6 +23,18 @@
 			r = s.result(seed)
 		}
 	}()
+	s.drawEnvironment()
+	for _, n := range s.nodes {
+		s.After(s.uniform(0, 2), n.start)
+	}
+	s.Until(s.Now() + s.uniform(4, 10))
+	s.injectFaults()
+	s.settle()
+	return s.result(seed)
+}
+
+// drawEnvironment draws the members, the roles and what the network and the disks are like.
+func (s *Simulation) drawEnvironment() {
 	if s.chance(0.4) {
 		s.settings.InitialVoters = append(s.settings.InitialVoters, address(3), address(4))
 	}
@@ -47,36 +60,34 @@
 	for range len(s.settings.InitialVoters) + s.rng.IntN(10-len(s.settings.InitialVoters)) {
 		s.addNode(len(s.nodes) < len(s.settings.InitialVoters) || s.chance(0.85))
 	}
-	for _, n := range s.nodes {
-		s.After(s.uniform(0, 2), n.start)
-	}
-	s.Until(s.Now() + s.uniform(4, 10))
+}
+
+// injectFaults draws some kinds of faults and injects them for a while.
+func (s *Simulation) injectFaults() {
 	var kinds []fault
-	for _, t := range faults {
+	for _, f := range faults {
 		if s.chance(0.4) {
-			kinds = append(kinds, t)
+			kinds = append(kinds, f)
 		}
 	}
 	end := s.Now() + s.uniform(30, 150)
 	for len(kinds) > 0 && s.Now() < end {
-		forS := []float64{s.uniform(0.2, 2), s.uniform(1, 8), s.uniform(5, 60)}[s.rng.IntN(3)]
-		t := kinds[s.rng.IntN(len(kinds))]
-		s.record("trouble %s for %.2f s", t.name, forS)
-		s.lastFault, s.lastFaultAt = t.name, s.Now()
-		t.inject(s, forS)
+		seconds := []float64{s.uniform(0.2, 2), s.uniform(1, 8), s.uniform(5, 60)}[s.rng.IntN(3)]
+		f := kinds[s.rng.IntN(len(kinds))]
+		s.record("trouble %s for %.2f s", f.name, seconds)
+		s.lastFault, s.lastFaultAt = f.name, s.Now()
+		f.inject(s, seconds)
 		s.Until(s.Now() + []float64{s.uniform(0, 0.5), s.uniform(0.5, 5), s.uniform(3, 20)}[s.rng.IntN(3)])
 	}
-	s.settle()
-	return s.result(seed)
 }
 
-// settleSeconds is how long after all troubles each role must have an owner: the longest wait of a founding or an election, several of
-// them, and a lease.
+// settleSeconds is half of the time within which, after all faults, each role must have a holder: the longest wait of a founding
+// or an election, several of them, and a lease.
 const settleSeconds = 15.0
 
-// settle ends all troubles and sees whether each role has an owner.
+// settle ends all faults and checks that each role gets a holder.
 func (s *Simulation) settle() {
-	s.Until(s.Now() + 1.3) // what was to begin a little later has begun
+	s.Until(s.Now() + 1.3) // faults that were scheduled have started
 	s.record("all is mended")
 	s.lossProbability, s.delayProbability, s.misreportProbability, s.stallProbability = 0, 0, 0, 0
 	for i, n := range s.nodes {
@@ -85,7 +96,7 @@
 		}
 		n.diskFull = false
 		for j, o := range s.nodes {
-			if s.partitioned[i][j] || s.lastArrival[i][j] > s.Now()+s.latencySeconds { // what an old link holds may come yet; there is a new one
+			if s.partitioned[i][j] || s.lastArrival[i][j] > s.Now()+s.latencySeconds { // a new link replaces one that is partitioned or still holds messages
 				s.partitioned[i][j], s.stalledUntil[i][j], s.lastArrival[i][j] = false, 0, 0
 				s.linkUp(n, o)
 			}
@@ -102,13 +113,13 @@
 	}
 	s.Until(s.Now() + settleSeconds)
 	for i := range s.nodes {
-		if n := s.nodes[i]; !n.up && !n.removed { // one that was leaving
+		if n := s.nodes[i]; !n.up && !n.removed { // it was leaving
 			n.start()
 		}
 	}
 	s.Until(s.Now() + settleSeconds)
 	for until := s.Now() + 4; s.Now() < until && slices.ContainsFunc(s.roles, func(role string) bool { return s.holderOf(role) == nil }); {
-		s.Until(s.Now() + 0.1) // one may just be moving
+		s.Until(s.Now() + 0.1) // a role may just be moving
 	}
 	if s.hasQuorum() {
 		for _, role := range s.roles {
@@ -120,22 +131,22 @@
 	s.checkHistory()
 }
 
-// hasQuorum tells whether the electors can agree: of those that the newest table names more than half live as who they are.
+// hasQuorum reports whether the voters can commit: more than half of those in the newest table are alive under the same identity.
 func (s *Simulation) hasQuorum() bool {
-	var list []swim.ID
+	var voters []swim.ID
 	epoch, index := uint64(0), uint64(0)
 	for _, n := range s.liveNodes() {
 		if t := n.lease.Table(); t.Epoch > epoch || t.Epoch == epoch && t.Index > index {
-			epoch, index, list = t.Epoch, t.Index, t.Voters
+			epoch, index, voters = t.Epoch, t.Index, t.Voters
 		}
 	}
-	there := 0
+	alive := 0
 	for _, n := range s.liveNodes() {
-		if slices.Contains(list, n.identity.id) {
-			there++
+		if slices.Contains(voters, n.identity.id) {
+			alive++
 		}
 	}
-	if epoch == 0 { // none is founded: it needs all that are listed
+	if epoch == 0 { // no group is founded: that needs all initial voters
 		for i := range s.settings.InitialVoters {
 			if !s.nodes[i].up {
 				return false
@@ -143,14 +154,14 @@
 		}
 		return true
 	}
-	return there > len(list)/2
+	return alive > len(voters)/2
 }
 
 func (s *Simulation) result(seed uint64) *Result {
 	return &Result{Seed: seed, Findings: s.findings, Hash: s.hash, Steps: s.Steps(), Counts: s.counts, Gaps: s.gaps}
 }
 
-// RunSeeds plays seeds, so many at a time, and calls told with each in order until it says no.
-func RunSeeds(first, last uint64, roles int, told func(*Result) bool) {
-	seeds.Many(first, last, roles, func(seed uint64) *Result { return Run(seed, Options{}) }, told)
+// RunSeeds runs seeds, up to parallel at a time, and calls yield with each result in order until it returns false.
+func RunSeeds(first, last uint64, parallel int, yield func(*Result) bool) {
+	seeds.Many(first, last, parallel, func(seed uint64) *Result { return Run(seed, Options{}) }, yield)
 }
--- a/internal/sim/leasesim/simulation.go
+++ b/internal/sim/leasesim/simulation.go
@@ -1,6 +1,8 @@
-// Package leasesim plays the decisions about who owns a role by themselves: members on a network, each with a clock of its own
-// rate and a disk that loses what was not synced, all drawn from a seed. It judges from what it sees from outside: whose lease is
-// valid at an instant, what receivers take, who leads, and what disks and tables hold.
+// Package leasesim simulates package lease alone: nodes on a network, each with a clock of its own rate and a disk that loses what
+// was not synced, under faults that are drawn from a seed. A checker observes them from outside and reports violations of the
+// rules: which leases are valid at an instant, which effects receivers apply, who leads, and what disks and tables hold.
+//
+// One seed is one history, the same on every machine.
 package leasesim
 
 import (
@@ -12,51 +14,52 @@
 	"hazelwheel/internal/sim/seeds"
 )
 
-// Simulation is members that own roles. It belongs to one goroutine.
+// Simulation is a group of nodes that share roles, with its network and clock. It belongs to one goroutine.
 type Simulation struct {
 	seeds.Queue
 	rng        *rand.Rand
 	nodes      []*node
-	identities []*identity // all that ever were, as they began
+	identities []*identity // all that ever were, in the order of their creation
 	roles      []string
 	settings   lease.Settings
 	trace      func(at float64, line string)
 
-	partitioned  [][]bool    // ways that lose what is sent
-	stalledUntil [][]float64 // ways that hold it until then
-	lastArrival  [][]float64 // what is sent later must not arrive earlier
+	partitioned  [][]bool    // by sender and receiver: messages are lost
+	stalledUntil [][]float64 // by sender and receiver: messages arrive no earlier
+	lastArrival  [][]float64 // by sender and receiver: messages are not reordered
 
 	latencySeconds       float64
-	lossProbability      float64 // of messages that are lost, one by one
-	delayProbability     float64 // that come late, past those that were sent after them
-	misreportProbability float64 // of views of who is there
-	stallProbability     float64 // of effects between whose check and whose send the process stands still
-	diskSeconds          float64 // a write takes, with as much again drawn
-	slowDiskSeconds      float64 // it takes until slowTo
+	lossProbability      float64 // of each message
+	delayProbability     float64 // of each message: it arrives up to a minute late, out of order
+	misreportProbability float64 // of each update of a member's view
+	stallProbability     float64 // of each effect: the process stands still between checking its lease and sending
+	diskSeconds          float64 // that a write takes; up to as much again is drawn
+	slowDiskSeconds      float64 // that it takes until slowDiskUntil
 	slowDiskUntil        float64
 
-	losesQuorumState bool // states are lost though a majority may go with them
-	isSettling       bool // nothing ends any more
+	losesQuorumState bool // nodes may lose their states even if the group loses its quorum with them
+	isSettling       bool // the faults are over
 
 	checker
 	hash   uint64
 	counts Counts
 }
 
-// newSimulation returns one without members.
-func newSimulation(seed uint64, electors int, roles ...string) *Simulation {
+// newSimulation returns a simulation without nodes, for a number of initial voters.
+func newSimulation(seed uint64, voters int, roles ...string) *Simulation {
 	s := &Simulation{Queue: seeds.NewQueue(1000), rng: rand.New(rand.NewPCG(seed, 0x6f776e657273)), roles: roles, latencySeconds: 0.001, diskSeconds: 0.002, hash: 14695981039346656037}
 	s.settings.Roles = roles
-	for i := range electors {
+	for i := range voters {
 		s.settings.InitialVoters = append(s.settings.InitialVoters, address(i))
 	}
 	s.checker.sim = s
 	return s
 }
 
+// address returns the address of a node by its number.
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:7946", i) }
 
-// record adds to the history.
+// record adds a line to the history, which its hash covers.
 func (s *Simulation) record(format string, args ...any) {
 	h := fnv.New64a()
 	line := fmt.Sprintf(format, args...)
@@ -67,14 +70,17 @@
 	}
 }
 
-// uniform draws from a range, evenly.
+// uniform draws a number from a range.
 func (s *Simulation) uniform(a, b float64) float64 { return a + (b-a)*s.rng.Float64() }
 
-func (s *Simulation) chance(part float64) bool { return part > 0 && s.rng.Float64() < part }
+// chance draws true with a probability. It draws nothing for 0.
+func (s *Simulation) chance(probability float64) bool {
+	return probability > 0 && s.rng.Float64() < probability
+}
 
-// addNode adds a member that has not begun.
-func (s *Simulation) addNode(keeps bool) *node {
-	n := &node{sim: s, number: len(s.nodes), address: address(len(s.nodes)), durable: keeps, fence: &lease.Fence{}}
+// addNode adds a node that has not started.
+func (s *Simulation) addNode(durable bool) *node {
+	n := &node{sim: s, number: len(s.nodes), address: address(len(s.nodes)), durable: durable, fence: &lease.Fence{}}
 	s.nodes = append(s.nodes, n)
 	for i := range s.partitioned {
 		s.partitioned[i], s.stalledUntil[i], s.lastArrival[i] = append(s.partitioned[i], false), append(s.stalledUntil[i], 0), append(s.lastArrival[i], 0)
--- a/internal/sim/leasesim/tally.go
+++ b/internal/sim/leasesim/tally.go
@@ -2,13 +2,13 @@
 
 import "hazelwheel/internal/sim/seeds"
 
-// Tally sums days.
+// Tally sums the results of many seeds.
 type Tally struct {
 	seeds.Tally
 	Counts Counts `json:"counts"`
 }
 
-// Add adds a day.
+// Add adds a result.
 func (t *Tally) Add(r *Result) {
 	t.Tally.Add(r.Seed, r.Steps, r.Hash, r.Findings)
 	t.Counts.add(r.Counts)
