--- a/internal/sim/leasesim/actions.go
+++ b/internal/sim/leasesim/actions.go
@@ -56,7 +56,7 @@
 func (a *leaseActions) Persist(state []byte) {
 	n, s, incarnation := a.node, a.node.sim, a.incarnation
 	if n.persisting {
-		s.breakRule(RuleOnePersist, "%d saves while it saves", n.number)
+		s.breakRule(RuleOnePersist, "%d asks for a write during a write", n.number)
 	}
 	n.persisting = true
 	n.persists++
@@ -102,7 +102,7 @@
 // ReplaceIdentity implements lease.Actions: the process goes on under another identity.
 func (a *leaseActions) ReplaceIdentity(why string) {
 	n, s := a.node, a.node.sim
-	s.record("%d renounces: %s", n.number, why)
+	s.record("%d replaces its identity: %s", n.number, why)
 	incarnation := n.incarnation
 	s.After(0.01, func() {
 		n.call(incarnation, func() {
@@ -116,5 +116,5 @@
 
 // Log implements lease.Actions.
 func (a *leaseActions) Log(text string, args ...any) {
-	a.node.sim.record("%d notes: %s %v", a.node.number, text, args)
+	a.node.sim.record("%d logs: %s %v", a.node.number, text, args)
 }
--- a/internal/sim/leasesim/checker.go
+++ b/internal/sim/leasesim/checker.go
@@ -194,7 +194,7 @@
 			}
 		}
 		if came+went > 0 {
-			s.record("electors are %v", t.Voters)
+			s.record("voters are %v", t.Voters)
 			s.counts.VotersReplaced += went
 		}
 		if came > 1 || went > 1 {
@@ -228,7 +228,7 @@
 	}
 	switch {
 	case promises && m.Founding.Ballot > kept.Promised:
-		s.breakRule(RuleNotPersisted, "%d promises %#x, and its disk has %#x", n.number, m.Founding.Ballot, kept.Promised)
+		s.breakRule(RuleNotPersisted, "%d promises %#x, its disk has %#x", n.number, m.Founding.Ballot, kept.Promised)
 	case !promises && (hard.GetTerm() < vote.GetTerm() || hard.GetTerm() == vote.GetTerm() && hard.GetVote() != vote.GetTo()):
 		s.breakRule(RuleNotPersisted, "%d votes in term %d, and its disk has a vote in %d", n.number, vote.GetTerm(), hard.GetTerm())
 	}
@@ -236,7 +236,7 @@
 
 // leaseStarted observes that a lease starts.
 func (s *Simulation) leaseStarted(n *node, role string, token uint64) {
-	s.record("%d owns %s under %#x", n.number, role, token)
+	s.record("%d holds %s under %#x", n.number, role, token)
 	s.counts.Grants++
 	for _, o := range s.tokenHolders {
 		if o.role == role && (o.token > token || o.token == token) {
@@ -264,7 +264,7 @@
 
 // leaseEnded observes that a lease ends.
 func (s *Simulation) leaseEnded(n *node, role string, token uint64, why string) {
-	s.record("%d owns %s under %#x no more: %s", n.number, role, token, why)
+	s.record("%d no longer holds %s under %#x: %s", n.number, role, token, why)
 	s.leases = slices.DeleteFunc(s.leases, func(l observedLease) bool { return l.node == n && l.role == role })
 	s.recordOperation(n, role, operation{"end", token, n.number}, s.Now(), s.Now())
 	s.roleVacated(n, role)
@@ -297,14 +297,14 @@
 func (s *Simulation) effectApplied(n *node, by *identity, role string, token, number uint64) {
 	i := slices.IndexFunc(s.tokenHolders, func(o tokenHolder) bool { return o.role == role && o.token == token })
 	if i < 0 || s.tokenHolders[i].identity != by {
-		s.breakRule(RuleTokenOfTwo, "%d takes %s of %v under %#x, which it was not granted", n.number, role, by.id, token)
+		s.breakRule(RuleTokenOfTwo, "%d applies %s of %v under %#x, which it was not granted", n.number, role, by.id, token)
 	}
 	j := slices.IndexFunc(s.appliedTokens, func(t appliedToken) bool { return t.identity == n.identity && t.role == role })
 	switch {
 	case j < 0:
 		s.appliedTokens = append(s.appliedTokens, appliedToken{n.identity, role, token})
 	case token < s.appliedTokens[j].token:
-		s.breakRule(RuleTokenDecreased, "%d takes %s under %#x after %#x", n.number, role, token, s.appliedTokens[j].token)
+		s.breakRule(RuleTokenDecreased, "%d applies %s under %#x after %#x", n.number, role, token, s.appliedTokens[j].token)
 	default:
 		s.appliedTokens[j].token = token
 	}
--- a/internal/sim/leasesim/faults.go
+++ b/internal/sim/leasesim/faults.go
@@ -165,10 +165,10 @@
 		if n == nil {
 			return
 		}
-		electors := n.lease.Table().Voters
+		voters := n.lease.Table().Voters
 		not := s.chance(0.3)
 		for _, o := range s.nodes {
-			if o != n && o.identity != nil && slices.Contains(electors, o.identity.id) != not {
+			if o != n && o.identity != nil && slices.Contains(voters, o.identity.id) != not {
 				s.partition(n, o, s.chance(0.5), seconds)
 			}
 		}
@@ -178,9 +178,9 @@
 		if n == nil {
 			return
 		}
-		electors := n.lease.Table().Voters
+		voters := n.lease.Table().Voters
 		for _, o := range s.nodes {
-			if o != n && o.identity != nil && slices.Contains(electors, o.identity.id) && !s.holdsAny(o) {
+			if o != n && o.identity != nil && slices.Contains(voters, o.identity.id) && !s.holdsAny(o) {
 				s.partition(n, o, true, seconds)
 			}
 		}
--- a/internal/sim/leasesim/leasesim_test.go
+++ b/internal/sim/leasesim/leasesim_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// No rule is broken, and former holders have acted and were rejected.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	var sum Counts
 	RunSeeds(1, 24, 3, func(r *Result) bool {
@@ -14,10 +15,10 @@
 		sum.Rejected += r.Counts.Rejected
 		return true
 	})
-	require.Positive(t, sum.Rejected, "old owners have acted, and were refused")
+	require.Positive(t, sum.Rejected, "former holders have acted, and were rejected")
 }
 
-// On the day of seed 20 a leader loses its quorum while its disk writes.
+// One seed gives one history. In seed 20 a leader loses its quorum while a write is pending.
 func TestSeedDeterminesHistory(t *testing.T) {
 	for seed, again := range map[uint64]int{7: 1, 20: 6} {
 		was := Run(seed, Options{}).Hash
@@ -27,9 +28,9 @@
 	}
 }
 
-// One elector of three is gone for good and replaced. Then all are killed, and the leader that replaced it comes back no more: the
-// two that are left are a majority of those who are electors now. Danger: who does not keep that the change is agreed still wants a
-// majority of those who were.
+// One voter of three is removed and replaced. Then all processes are killed, and the leader of the change does not come back:
+// the other two are a quorum of the present voters. Danger: a node that did not persist the commit of the change would still
+// want a quorum of the former voters.
 func TestVoterChangeOutlivesItsLeader(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSettled(seed, 6, 3, "list")
@@ -60,8 +61,8 @@
 	}
 }
 
-// Who would take a job says so, and begins again before it is granted. Danger: the grant is to its former life, so it gives the job
-// back; a leader that goes by what it said before grants it again and again for as long as that counts.
+// A process bids for a role and restarts before it is granted. The grant names its former process, so it releases the role.
+// Danger: a leader that goes by the old bid grants the role again and again for as long as the bid is valid.
 func TestGrantToFormerProcessIsNotRepeated(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSettled(seed, 5, 3, "list")
--- a/internal/sim/leasesim/measure.go
+++ b/internal/sim/leasesim/measure.go
@@ -9,8 +9,8 @@
 
 // newSettled returns a simulation without faults that has run for a while, with so many nodes, the first of which are initial
 // voters.
-func newSettled(seed uint64, members, electors int, roles ...string) *Simulation {
-	s := newSimulation(seed, electors, roles...)
+func newSettled(seed uint64, members, voters int, roles ...string) *Simulation {
+	s := newSimulation(seed, voters, roles...)
 	for range members {
 		s.addNode(true)
 	}
@@ -24,7 +24,7 @@
 // disruption is a way to take a role's holder away.
 type disruption struct {
 	name   string
-	inject func(s *Simulation, owner, leader *node)
+	inject func(s *Simulation, holder, leader *node)
 }
 
 // disruptions are the ways that are measured.
@@ -53,21 +53,21 @@
 }
 
 // gapSeconds returns, sorted, how long a role has no holder after a disruption.
-func gapSeconds(way disruption, trials, members, electors int) (all []float64) {
+func gapSeconds(way disruption, trials, members, voters int) (all []float64) {
 	for seed := uint64(1); len(all) < trials; seed++ {
-		s := newSettled(seed, members, electors, "list")
-		owner, leader := s.holderOf("list"), s.leader()
-		if owner == nil || leader == nil || (owner == leader) != (strings.HasSuffix(way.name, "owns it")) {
+		s := newSettled(seed, members, voters, "list")
+		holder, leader := s.holderOf("list"), s.leader()
+		if holder == nil || leader == nil || (holder == leader) != (strings.HasSuffix(way.name, "owns it")) {
 			if seed > uint64(trials)*50 {
 				break
 			}
 			continue
 		}
-		if way.name == "kill of owner and leader" && owner.lease.Stats().IsVoter {
+		if way.name == "kill of owner and leader" && holder.lease.Stats().IsVoter {
 			continue // of three voters two would be gone
 		}
 		at, grants := s.Now(), s.counts.Grants
-		way.inject(s, owner, leader)
+		way.inject(s, holder, leader)
 		for s.counts.Grants == grants && s.Now() < at+30 {
 			s.Until(s.Now() + 0.001)
 		}
@@ -87,8 +87,8 @@
 		}
 	}
 	fmt.Fprintln(out, "idle, a second each: bytes and messages sent, writes of the state, calls")
-	for _, c := range []struct{ members, electors, roles int }{{5, 3, 3}, {60, 3, 3}, {60, 5, 3}, {60, 7, 3}, {300, 3, 3}, {300, 7, 3}} {
-		measureIdle(out, c.members, c.electors, c.roles)
+	for _, c := range []struct{ members, voters, roles int }{{5, 3, 3}, {60, 3, 3}, {60, 5, 3}, {60, 7, 3}, {300, 3, 3}, {300, 7, 3}} {
+		measureIdle(out, c.members, c.voters, c.roles)
 	}
 	fmt.Fprintln(out, "jobs that move when one of 60 goes, 5 trials each")
 	for _, roles := range []int{3, 60, 120} {
@@ -105,8 +105,8 @@
 }
 
 // measureIdle prints the cost of a fleet in which nothing happens.
-func measureIdle(out io.Writer, members, electors, roles int) {
-	s := newSettled(1, members, electors, roleNames(roles)...)
+func measureIdle(out io.Writer, members, voters, roles int) {
+	s := newSettled(1, members, voters, roleNames(roles)...)
 	const seconds = 60
 	for _, n := range s.nodes {
 		n.bytes, n.messages, n.persists, n.calls = 0, 0, 0, 0
@@ -136,7 +136,7 @@
 	for i, total := range sums {
 		if total.n > 0 {
 			d := float64(total.n) * seconds
-			fmt.Fprintf(out, "  %d members, %d electors, %d jobs: %-15s %7.0f B  %5.1f messages  %.2f writes  %5.1f calls\n", members, electors, roles, names[i],
+			fmt.Fprintf(out, "  %d members, %d electors, %d jobs: %-15s %7.0f B  %5.1f messages  %.2f writes  %5.1f calls\n", members, voters, roles, names[i],
 				float64(total.bytes)/d, float64(total.messages)/d, float64(total.saves)/d, float64(total.calls)/d)
 		}
 	}
--- a/internal/sim/leasesim/node.go
+++ b/internal/sim/leasesim/node.go
@@ -86,7 +86,7 @@
 	n.view, n.checkedTable = nil, [4]uint64{}
 	t, err := lease.New(n.localTime(), n.identity.id, set, n.disk, &leaseActions{n, n.incarnation})
 	if err != nil {
-		s.record("%d can't use its state: %v", n.number, err)
+		s.record("%d rejects its state: %v", n.number, err)
 		n.replaceIdentity()
 		t, err = lease.New(n.localTime(), n.identity.id, set, nil, &leaseActions{n, n.incarnation})
 		if err != nil {
@@ -94,7 +94,7 @@
 		}
 	}
 	n.lease = t
-	s.record("%d begins as %v", n.number, n.identity.id)
+	s.record("%d started as %v", n.number, n.identity.id)
 	incarnation := n.incarnation
 	n.watchMembers(incarnation)
 	n.actAsHolder(incarnation)
@@ -152,7 +152,7 @@
 	n.sim.record("%d is killed", n.number)
 	n.up, n.frozen, n.postponed = false, false, nil
 	n.incarnation++
-	n.sim.processEnded(n, "it was killed")
+	n.sim.processEnded(n, "process killed")
 }
 
 // freeze makes the process stand still for a while.
@@ -160,7 +160,7 @@
 	if !n.up || n.frozen {
 		return
 	}
-	n.sim.record("%d stands still for %.3f s", n.number, seconds)
+	n.sim.record("%d frozen for %.3f s", n.number, seconds)
 	n.frozen = true
 	incarnation := n.incarnation
 	n.sim.After(seconds, func() {
@@ -175,7 +175,7 @@
 	if !n.frozen {
 		return
 	}
-	n.sim.record("%d goes on", n.number)
+	n.sim.record("%d thawed", n.number)
 	n.frozen = false
 	waiting, incarnation := n.postponed, n.incarnation
 	n.postponed = nil
@@ -194,7 +194,7 @@
 	if !n.up {
 		return
 	}
-	n.sim.record("%d leaves", n.number)
+	n.sim.record("%d leaving", n.number)
 	incarnation := n.incarnation
 	n.call(incarnation, func() { n.lease.Leave(n.localTime()) })
 	began := n.sim.Now()
--- a/internal/sim/leasesim/run.go
+++ b/internal/sim/leasesim/run.go
@@ -74,7 +74,7 @@
 	for len(kinds) > 0 && s.Now() < end {
 		seconds := []float64{s.uniform(0.2, 2), s.uniform(1, 8), s.uniform(5, 60)}[s.rng.IntN(3)]
 		f := kinds[s.rng.IntN(len(kinds))]
-		s.record("trouble %s for %.2f s", f.name, seconds)
+		s.record("fault %s for %.2f s", f.name, seconds)
 		s.lastFault, s.lastFaultAt = f.name, s.Now()
 		f.inject(s, seconds)
 		s.Until(s.Now() + []float64{s.uniform(0, 0.5), s.uniform(0.5, 5), s.uniform(3, 20)}[s.rng.IntN(3)])
@@ -88,7 +88,7 @@
 // settle ends all faults and checks that each role gets a holder.
 func (s *Simulation) settle() {
 	s.Until(s.Now() + 1.3) // faults that were scheduled have started
-	s.record("all is mended")
+	s.record("faults over")
 	s.lossProbability, s.delayProbability, s.misreportProbability, s.stallProbability = 0, 0, 0, 0
 	for i, n := range s.nodes {
 		if n.frozen {
@@ -124,7 +124,7 @@
 	if s.hasQuorum() {
 		for _, role := range s.roles {
 			if s.holderOf(role) == nil {
-				s.breakRule(RuleNoHolder, "%s has no owner %g s after all was mended", role, 2*settleSeconds)
+				s.breakRule(RuleNoHolder, "%s has no holder %g s after all faults", role, 2*settleSeconds)
 			}
 		}
 	}
