--- a/internal/featureconfig/features.go
+++ b/internal/featureconfig/features.go
@@ -55,7 +55,7 @@
 	if f.Rewrites.On() {
 		on = append(on, fmt.Sprintf("rewrites (%d rules)", len(f.Rewrites.Rules)))
 	}
-	if f.Health.On() {
+	if f.Health.IsEnabled() {
 		on = append(on, fmt.Sprintf("health (port %d)", f.Health.Port))
 	}
 	if f.Capture.On {
--- a/internal/featureconfig/features_test.go
+++ b/internal/featureconfig/features_test.go
@@ -79,7 +79,7 @@
 
 	f, err = read(`{}`)
 	require.NoError(t, err)
-	assert.False(t, f.Drills.List != nil || f.Drills.Secret != nil || f.Rewrites.On() || f.Health.On() || f.Capture.On || f.Admission.On() || f.Thrift.On(), "what is not named is off")
+	assert.False(t, f.Drills.List != nil || f.Drills.Secret != nil || f.Rewrites.On() || f.Health.IsEnabled() || f.Capture.On || f.Admission.On() || f.Thrift.On(), "what is not named is off")
 	_, err = Load(filepath.Join(t.TempDir(), "none.json"), &sidecarconfig.Config{})
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -25,8 +25,8 @@
 	MaxInflight  int
 }
 
-// On tells whether there is a side port.
-func (s *Settings) On() bool { return s.Port != 0 }
+// IsEnabled tells whether there is a side port.
+func (s *Settings) IsEnabled() bool { return s.Port != 0 }
 
 const (
 	// mostConnections bounds those at the side port; further ones wait until one of them has its answer.
@@ -41,12 +41,12 @@
 
 // Snapshot is what the event loop says of itself at one of its beats.
 type Snapshot struct {
-	At       float64 // the time of the beat
-	ListAt   float64 // when anything was last read from discovery; before that, the program's start
-	Started  bool    // a list has been loaded
-	Draining bool
-	Usable   int // servers
-	Inflight int // requests
+	TakenAt       float64 // the time of the beat
+	ListReadAt    float64 // when anything was last read from discovery; before that, the program's start
+	Started       bool    // a list has been loaded
+	Draining      bool
+	UsableServers int // servers
+	Inflight      int // requests
 }
 
 // Server answers at the side port.
@@ -60,7 +60,7 @@
 // New returns a server that does not listen yet. The loop counts as beating from now on.
 func New(s Settings, now func() float64, log *slog.Logger) *Server {
 	h := &Server{settings: s, now: now}
-	h.Beat(Snapshot{At: now(), ListAt: now()})
+	h.Publish(Snapshot{TakenAt: now(), ListReadAt: now()})
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /alive", h.alive)
 	mux.HandleFunc("GET /ready", h.ready)
@@ -71,8 +71,8 @@
 	return h
 }
 
-// Beat takes a new snapshot. It does not wait for readers.
-func (h *Server) Beat(s Snapshot) { h.last.Store(&s) }
+// Publish takes a new snapshot. It does not wait for readers.
+func (h *Server) Publish(s Snapshot) { h.last.Store(&s) }
 
 // Listen begins to answer at the side port of a host.
 func (h *Server) Listen(host string) error {
@@ -103,7 +103,7 @@
 func (h *Server) ageMS(at float64) float64 { return max(math.Round((h.now()-at)*1000), 0) }
 
 func (h *Server) alive(w http.ResponseWriter, _ *http.Request) {
-	stall, why := h.ageMS(h.last.Load().At), reasons{}
+	stall, why := h.ageMS(h.last.Load().TakenAt), reasons{}
 	why.above("loop_stall_ms", stall, mostStallMS)
 	answer(w, len(why) == 0, struct {
 		Alive   bool    `json:"alive"`
@@ -114,11 +114,11 @@
 
 func (h *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	s, why := h.last.Load(), reasons{}
-	age := h.ageMS(s.ListAt)
+	age := h.ageMS(s.ListReadAt)
 	why.above("list_age_ms", age, h.settings.MaxListAgeMS)
-	why.below("servers_usable", float64(s.Usable), float64(h.settings.MinUsable))
+	why.below("servers_usable", float64(s.UsableServers), float64(h.settings.MinUsable))
 	why.above("inflight", float64(s.Inflight), float64(h.settings.MaxInflight))
-	why.above("loop_stall_ms", h.ageMS(s.At), mostStallMS)
+	why.above("loop_stall_ms", h.ageMS(s.TakenAt), mostStallMS)
 	if s.Draining {
 		why = append(why, "draining")
 	}
@@ -128,7 +128,7 @@
 		ListAge  float64 `json:"list_age_ms"`
 		Usable   int     `json:"servers_usable"`
 		Inflight int     `json:"inflight"`
-	}{len(why) == 0, why, age, s.Usable, s.Inflight})
+	}{len(why) == 0, why, age, s.UsableServers, s.Inflight})
 }
 
 func (h *Server) started(w http.ResponseWriter, _ *http.Request) {
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -36,14 +36,14 @@
 		}
 	}
 	expect("/started", 503, `{"started":false,"reasons":["no list loaded"]}`)
-	h.Beat(Snapshot{At: 1000, ListAt: 999.5, Started: true, Usable: 1, Inflight: 256})
+	h.Publish(Snapshot{TakenAt: 1000, ListReadAt: 999.5, Started: true, UsableServers: 1, Inflight: 256})
 	now = 1001
 	expect("/started", 200, `{"started":true,"reasons":[]}`)
 	expect("/alive", 200, `{"alive":true,"reasons":[],"loop_stall_ms":1000}`)
 	expect("/ready", 200, `{"ready":true,"reasons":[],"list_age_ms":1500,"servers_usable":1,"inflight":256}`)
 	now = 1001.001
 	expect("/alive", 503, `{"alive":false,"reasons":["loop_stall_ms 1001 > 1000"],"loop_stall_ms":1001}`)
-	h.Beat(Snapshot{At: 1001, ListAt: 991.901, Started: true, Inflight: 257, Draining: true})
+	h.Publish(Snapshot{TakenAt: 1001, ListReadAt: 991.901, Started: true, Inflight: 257, Draining: true})
 	expect("/ready", 503, `{"ready":false,"reasons":["list_age_ms 9100 > 6000","servers_usable 0 < 1","inflight 257 > 256",`+
 		`"draining"],"list_age_ms":9100,"servers_usable":0,"inflight":257}`)
 	expect("/alive", 200, "")
--- a/internal/sidecar/health.go
+++ b/internal/sidecar/health.go
@@ -13,8 +13,8 @@
 // never asks the loop.
 func (s *Sidecar) publishHealth() {
 	now := s.now()
-	s.health.Beat(health.Snapshot{At: now, ListAt: s.listAt, Started: s.listed, Draining: s.leaving(),
-		Usable: s.balancer.Usable(now), Inflight: s.counters.Open})
+	s.health.Publish(health.Snapshot{TakenAt: now, ListReadAt: s.listAt, Started: s.listed, Draining: s.leaving(),
+		UsableServers: s.balancer.Usable(now), Inflight: s.counters.Open})
 	s.timers.at(now+heartbeatEveryS, s.publishHealth)
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -117,7 +117,7 @@
 			s.prober = f
 		}
 	}
-	if s.listAt = s.now(); on.Health.On() {
+	if s.listAt = s.now(); on.Health.IsEnabled() {
 		s.health = health.New(on.Health, loop.Now, log)
 		s.reserved += health.Descriptors
 	}
