--- a/internal/faultinjection/drill.go
+++ b/internal/faultinjection/drill.go
@@ -11,20 +11,20 @@
 	"math/rand/v2"
 )
 
-// Drill is one rehearsal, as the operators have written it.
-type Drill struct {
-	Name      string
-	Class     string
-	Share     float64 // percent of the class's requests
-	DelayMS   float64
-	Abort     string // "503", or "none"
-	DurationS float64
+// Fault is one rehearsal, as the operators have written it.
+type Fault struct {
+	Name            string
+	Class           string
+	Percent         float64 // percent of the class's requests
+	DelayMS         float64
+	Abort           string // "503", or "none"
+	DurationSeconds float64
 }
 
 // Settings are the drills that can be started, and the SHA-256 of the secret that starts them; without one none can.
 type Settings struct {
-	List   []Drill
-	Secret []byte
+	Faults     []Fault
+	SecretHash []byte
 }
 
 // What a start can fail for.
@@ -34,91 +34,91 @@
 	ErrMark    = errors.New("it was not started by the secret that is known here")
 )
 
-// Hits counts the requests that a drill has touched.
-type Hits struct {
-	Drill string `json:"drill"`
+// HitCount counts the requests that a drill has touched.
+type HitCount struct {
+	Fault string `json:"drill"`
 	Class string `json:"class"`
-	Hits  uint64 `json:"hits"`
+	Count uint64 `json:"hits"`
 }
 
-// Set holds the drills and which of them run.
-type Set struct {
+// Injector holds the drills and which of them run.
+type Injector struct {
 	Settings
 	until []float64 // when each ends
-	hits  []Hits
+	hits  []HitCount
 	draw  func() float64
 }
 
 // New returns drills of which none runs.
-func New(s Settings) *Set {
-	d := &Set{Settings: s, until: make([]float64, len(s.List)), hits: make([]Hits, len(s.List)), draw: rand.Float64}
-	for i, e := range s.List {
-		d.hits[i] = Hits{Drill: e.Name, Class: e.Class}
+func New(s Settings) *Injector {
+	d := &Injector{Settings: s, until: make([]float64, len(s.Faults)), hits: make([]HitCount, len(s.Faults)), draw: rand.Float64}
+	for i, e := range s.Faults {
+		d.hits[i] = HitCount{Fault: e.Name, Class: e.Class}
 	}
 	return d
 }
 
 // Armed tells whether drills can be started at all.
-func (s *Set) Armed() bool { return len(s.Secret) > 0 }
+func (s *Injector) Armed() bool { return len(s.SecretHash) > 0 }
 
 // Start starts a drill, or begins its time anew. The secret is looked at first: without it nobody learns which
 // drills there are.
-func (s *Set) Start(now float64, secret []byte, name string) (Drill, error) {
+func (s *Injector) Start(now float64, secret []byte, name string) (Fault, error) {
 	sum := sha256.Sum256(secret)
-	if !s.Armed() || subtle.ConstantTimeCompare(sum[:], s.Secret) != 1 {
-		return Drill{}, ErrSecret
+	if !s.Armed() || subtle.ConstantTimeCompare(sum[:], s.SecretHash) != 1 {
+		return Fault{}, ErrSecret
 	}
-	for i, d := range s.List {
+	for i, d := range s.Faults {
 		if d.Name == name {
-			s.until[i] = now + d.DurationS
+			s.until[i] = now + d.DurationSeconds
 			return d, nil
 		}
 	}
-	return Drill{}, ErrUnknown
+	return Fault{}, ErrUnknown
 }
 
 // Mark returns what shows who has the same hash that the secret of a drill was looked at, by its id.
-func (s *Set) Mark(id uint64, name string) []byte {
-	mac := hmac.New(sha256.New, s.Secret)
+func (s *Injector) Mark(id uint64, name string) []byte {
+	mac := hmac.New(sha256.New, s.SecretHash)
 	mac.Write(binary.BigEndian.AppendUint64(nil, id)) // never fails, as below
 	mac.Write([]byte(name))
 	return mac.Sum(nil)
 }
 
 // Run has a drill run for what is left of it, which another has started. It never runs longer than it is written here.
-func (s *Set) Run(now float64, id uint64, name string, mark []byte, leftS float64) (Drill, error) {
+func (s *Injector) Run(now float64, id uint64, name string, mark []byte, leftS float64) (Fault, error) {
 	if !s.Armed() || !hmac.Equal(mark, s.Mark(id, name)) {
-		return Drill{}, ErrMark
+		return Fault{}, ErrMark
 	}
-	for i, d := range s.List {
+	for i, d := range s.Faults {
 		if d.Name == name {
-			s.until[i] = max(s.until[i], now+min(leftS, d.DurationS))
+			s.until[i] = max(s.until[i], now+min(leftS, d.DurationSeconds))
 			return d, nil
 		}
 	}
-	return Drill{}, ErrUnknown
+	return Fault{}, ErrUnknown
 }
 
 // Hit returns the drill that touches a request of a class, nil for most. One draw decides for all that run: each
 // gets its own share as long as they are 100 together, and no request meets two.
-func (s *Set) Hit(now float64, class string) *Drill {
+func (s *Injector) Hit(now float64, class string) *Fault {
 	from, x := 0.0, -1.0
-	for i := range s.List {
-		d := &s.List[i]
+	for i := range s.Faults {
+		d := &s.Faults[i]
 		if d.Class != class || now >= s.until[i] {
 			continue
 		}
 		if x < 0 {
 			x = 100 * s.draw()
 		}
-		if x >= from && x < from+d.Share {
-			s.hits[i].Hits++
+		if x >= from && x < from+d.Percent {
+			s.hits[i].Count++
 			return d
 		}
-		from += d.Share
+		from += d.Percent
 	}
 	return nil
 }
 
-// Hits returns the count of each drill, in the file's order.
-func (s *Set) Hits() []Hits { return s.hits }
+// HitCounts returns the count of each drill, in the file's order.
+func (s *Injector) HitCounts() []HitCount { return s.hits }
--- a/internal/faultinjection/drill_test.go
+++ b/internal/faultinjection/drill_test.go
@@ -10,8 +10,8 @@
 // Shares are exact for an even draw, drills of one class stand side by side, and each has its own time.
 func TestShares(t *testing.T) {
 	sum := sha256.Sum256([]byte("s3"))
-	s := New(Settings{Secret: sum[:], List: []Drill{{Name: "a", Class: "c", Share: 10, DurationS: 60},
-		{Name: "b", Class: "c", Share: 25, DurationS: 30}, {Name: "none", Class: "c", DurationS: 99}, {Name: "x", Class: "d", Share: 100, DurationS: 99}}})
+	s := New(Settings{SecretHash: sum[:], Faults: []Fault{{Name: "a", Class: "c", Percent: 10, DurationSeconds: 60},
+		{Name: "b", Class: "c", Percent: 25, DurationSeconds: 30}, {Name: "none", Class: "c", DurationSeconds: 99}, {Name: "x", Class: "d", Percent: 100, DurationSeconds: 99}}})
 	n := 0
 	s.draw = func() float64 { n++; return float64(n%1000) / 1000 }
 	round := func(now float64) (a, b, other int) {
@@ -47,26 +47,26 @@
 	start(88, "b")
 	expect(117, 100, 250)
 	expect(118, 100, 0)
-	assert.Equal(t, []Hits{{"a", "c", 400}, {"b", "c", 750}, {"none", "c", 0}, {"x", "d", 0}}, s.Hits())
+	assert.Equal(t, []HitCount{{"a", "c", 400}, {"b", "c", 750}, {"none", "c", 0}, {"x", "d", 0}}, s.HitCounts())
 
 	for name, want := range map[string]error{"s3": ErrUnknown, "s3 ": ErrSecret, "": ErrSecret} {
 		_, err := s.Start(0, []byte(name), "nobody's")
 		assert.ErrorIs(t, err, want)
 	}
-	_, err := New(Settings{List: s.List}).Start(0, nil, "a")
+	_, err := New(Settings{Faults: s.Faults}).Start(0, nil, "a")
 	assert.ErrorIs(t, err, ErrSecret, "without a hash no secret is right")
 }
 
 // What another sidecar has started runs here for what is left, by a mark of who has the same hash, and never longer than written.
 func TestRun(t *testing.T) {
 	sum := sha256.Sum256([]byte("s3"))
-	s := New(Settings{Secret: sum[:], List: []Drill{{Name: "a", Class: "c", Share: 100, DurationS: 60}}})
+	s := New(Settings{SecretHash: sum[:], Faults: []Fault{{Name: "a", Class: "c", Percent: 100, DurationSeconds: 60}}})
 	mark := s.Mark(7, "a")
 	for _, wrong := range [][]byte{nil, s.Mark(8, "a"), s.Mark(7, "b")} {
 		_, err := s.Run(0, 7, "a", wrong, 5)
 		assert.ErrorIs(t, err, ErrMark)
 	}
-	_, err := New(Settings{List: s.List}).Run(0, 7, "a", New(Settings{}).Mark(7, "a"), 5)
+	_, err := New(Settings{Faults: s.Faults}).Run(0, 7, "a", New(Settings{}).Mark(7, "a"), 5)
 	assert.ErrorIs(t, err, ErrMark, "without a hash no mark is right")
 	_, err = s.Run(0, 7, "b", s.Mark(7, "b"), 5)
 	assert.ErrorIs(t, err, ErrUnknown)
--- a/internal/featureconfig/features.go
+++ b/internal/featureconfig/features.go
@@ -49,7 +49,7 @@
 // String says in a few words what is on.
 func (f *Features) String() string {
 	var on []string
-	if n := len(f.Drills.List); n > 0 && len(f.Drills.Secret) > 0 {
+	if n := len(f.Drills.Faults); n > 0 && len(f.Drills.SecretHash) > 0 {
 		on = append(on, fmt.Sprintf("drills (%d)", n))
 	}
 	if f.Rewrites.On() {
@@ -120,23 +120,23 @@
 func (f *Features) readDrills(o *object, c *sidecarconfig.Config) {
 	names := map[string]bool{}
 	for _, e := range o.list("drills") {
-		d := faultinjection.Drill{Abort: "none", DurationS: 60}
+		d := faultinjection.Fault{Abort: "none", DurationSeconds: 60}
 		field(e, "name", &d.Name, "a name of its own, of at most 64 letters, digits, '.', '_' and '-'",
 			func(s string) bool { return plainName(s) && !names[s] })
 		field(e, "class", &d.Class, "a class of the settings", func(s string) bool { return hasClass(c, s) })
-		field(e, "share", &d.Share, "0 to 100", func(v float64) bool { return v >= 0 && v <= 100 })
+		field(e, "share", &d.Percent, "0 to 100", func(v float64) bool { return v >= 0 && v <= 100 })
 		field(e, "delay_ms", &d.DelayMS, "0 to 3600000", func(v float64) bool { return v >= 0 && v <= 3.6e6 })
 		field(e, "abort", &d.Abort, `"none" or "503"`, func(s string) bool { return s == "none" || s == "503" })
-		field(e, "duration_s", &d.DurationS, "more than 0, at most 86400", func(v float64) bool { return v > 0 && v <= 86400 })
+		field(e, "duration_s", &d.DurationSeconds, "more than 0, at most 86400", func(v float64) bool { return v > 0 && v <= 86400 })
 		e.need("name", "class")
 		names[d.Name] = true
-		f.Drills.List = append(f.Drills.List, d)
+		f.Drills.Faults = append(f.Drills.Faults, d)
 	}
 	var hash string
 	nothing := sha256.Sum256(nil) // a secret that everybody has
 	field(o, "drills.secret_sha256", &hash, "the 64 hexadecimal digits of a secret's SHA-256", func(s string) bool {
 		sum, err := hex.DecodeString(s)
-		f.Drills.Secret = sum
+		f.Drills.SecretHash = sum
 		return err == nil && len(sum) == sha256.Size && !bytes.Equal(sum, nothing[:])
 	})
 }
--- a/internal/featureconfig/features_test.go
+++ b/internal/featureconfig/features_test.go
@@ -33,9 +33,9 @@
 	f, err := read(`{"drills":[{"name":"lag1","class":"latest-reading","share":10,"delay_ms":800},
 		{"name":"x","class":"log-calibration","abort":"503","duration_s":5}],"drills.secret_sha256":"` + hash + `"}`)
 	require.NoError(t, err)
-	assert.Equal(t, []faultinjection.Drill{{Name: "lag1", Class: "latest-reading", Share: 10, DelayMS: 800, Abort: "none", DurationS: 60},
-		{Name: "x", Class: "log-calibration", Abort: "503", DurationS: 5}}, f.Drills.List)
-	assert.Len(t, f.Drills.Secret, 32)
+	assert.Equal(t, []faultinjection.Fault{{Name: "lag1", Class: "latest-reading", Percent: 10, DelayMS: 800, Abort: "none", DurationSeconds: 60},
+		{Name: "x", Class: "log-calibration", Abort: "503", DurationSeconds: 5}}, f.Drills.Faults)
+	assert.Len(t, f.Drills.SecretHash, 32)
 
 	f, err = read(`{"rewrites":[{"dir":"in","when":{"class":"log-calibration"},"op":"drop","name":"X-Station-Debug"},
 		{"dir":"out","when":{"path_prefix":"/l"},"op":"rename","name":"X-A","to":"X-B"}]}`)
@@ -79,7 +79,7 @@
 
 	f, err = read(`{}`)
 	require.NoError(t, err)
-	assert.False(t, f.Drills.List != nil || f.Drills.Secret != nil || f.Rewrites.On() || f.Health.IsEnabled() || f.Capture.On || f.Admission.On() || f.Thrift.On(), "what is not named is off")
+	assert.False(t, f.Drills.Faults != nil || f.Drills.SecretHash != nil || f.Rewrites.On() || f.Health.IsEnabled() || f.Capture.On || f.Admission.On() || f.Thrift.On(), "what is not named is off")
 	_, err = Load(filepath.Join(t.TempDir(), "none.json"), &sidecarconfig.Config{})
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
--- a/internal/sidecar/counters.go
+++ b/internal/sidecar/counters.go
@@ -62,7 +62,7 @@
 	Descriptors int     `json:"descriptors"` // held by links now
 	LateMS      float64 `json:"late_ms"`     // how late the latest of all timers was
 
-	DrillHits []faultinjection.Hits `json:"hazelwheel_drill_hits,omitempty"` // requests that each drill has touched
+	DrillHits []faultinjection.HitCount `json:"hazelwheel_drill_hits,omitempty"` // requests that each drill has touched
 
 	Capture *capture.Stats `json:"capture,omitempty"`
 	Quotas  *QuotaCounters `json:"quotas,omitempty"`
--- a/internal/sidecar/drills.go
+++ b/internal/sidecar/drills.go
@@ -10,15 +10,15 @@
 func (s *Sidecar) DrillsArmed() bool { return s.drills.Armed() }
 
 // StartDrill starts a drill on the operators' word. Danger: the secret must not reach the log.
-func (s *Sidecar) StartDrill(secret []byte, name string) (faultinjection.Drill, error) {
+func (s *Sidecar) StartDrill(secret []byte, name string) (faultinjection.Fault, error) {
 	d, err := s.drills.Start(s.now(), secret, name)
 	if err != nil {
 		s.log.Warn("drill refused", "error", err)
 		return d, err
 	}
-	s.log.Info("drill started", "drill", d.Name, "class", d.Class, "duration_s", d.DurationS)
+	s.log.Info("drill started", "drill", d.Name, "class", d.Class, "duration_s", d.DurationSeconds)
 	if s.together != nil {
-		s.together.Drilled(d.Name, d.DurationS, func(id uint64) []byte { return s.drills.Mark(id, d.Name) })
+		s.together.Drilled(d.Name, d.DurationSeconds, func(id uint64) []byte { return s.drills.Mark(id, d.Name) })
 	}
 	return d, nil
 }
@@ -44,13 +44,13 @@
 	if err != nil {
 		return err
 	}
-	s.log.Info("drill of the fleet started", "drill", d.Name, "class", d.Class, "left_s", min(leftS, d.DurationS))
+	s.log.Info("drill of the fleet started", "drill", d.Name, "class", d.Class, "left_s", min(leftS, d.DurationSeconds))
 	return nil
 }
 
 // heldFor returns for how many seconds a drill holds a request that has so many left: as long as the drill says, but never so long that
 // less than a fifth of them is left for its send.
-func heldFor(d *faultinjection.Drill, leftS float64) float64 {
+func heldFor(d *faultinjection.Fault, leftS float64) float64 {
 	return min(d.DelayMS/1000, delayPart*leftS)
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -68,7 +68,7 @@
 	watcher   *watcher
 	passed    passed
 	admission featureconfig.Admission
-	drills    *faultinjection.Set
+	drills    *faultinjection.Injector
 	together  Driller        // is told of drills that are started here; nil: nobody is
 	health    *health.Server // nil: there is no side port
 	listAt    float64        // when anything was last read from discovery
@@ -322,7 +322,7 @@
 // Counters returns the counters as JSON. Once the loop has ended it may be called from outside.
 func (s *Sidecar) Counters() []byte {
 	s.counters.Descriptors = s.conns + s.dialing
-	s.counters.DrillHits, s.counters.Capture = s.drills.Hits(), s.capture.Stats()
+	s.counters.DrillHits, s.counters.Capture = s.drills.HitCounts(), s.capture.Stats()
 	s.counters.Quotas = s.quotaCounters()
 	if s.fleet != nil {
 		s.counters.Fleet = s.fleet()
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -189,6 +189,6 @@
 // A drill holds a request for as long as it says, and leaves a fifth of the request's time for the send.
 func TestDrillLeavesTimeForTheSend(t *testing.T) {
 	for _, row := range []struct{ delayMS, leftS, want float64 }{{600, 10, 0.6}, {60_000, 15, 12}, {60_000, 1.5, 1.2}, {0, 3, 0}, {4000, 5, 4}} {
-		assert.InDelta(t, row.want, heldFor(&faultinjection.Drill{DelayMS: row.delayMS}, row.leftS), 1e-9, "%v ms of %v s", row.delayMS, row.leftS)
+		assert.InDelta(t, row.want, heldFor(&faultinjection.Fault{DelayMS: row.delayMS}, row.leftS), 1e-9, "%v ms of %v s", row.delayMS, row.leftS)
 	}
 }
