--- a/internal/faultinjection/drill.go
+++ b/internal/faultinjection/drill.go
@@ -29,9 +29,9 @@
 
 // What a start can fail for.
 var (
-	ErrSecret  = errors.New("wrong secret")
-	ErrUnknown = errors.New("no such drill")
-	ErrMark    = errors.New("it was not started by the secret that is known here")
+	ErrSecret    = errors.New("wrong secret")
+	ErrUnknown   = errors.New("no such drill")
+	ErrSignature = errors.New("it was not started by the secret that is known here")
 )
 
 // HitCount counts the requests that a drill has touched.
@@ -58,14 +58,14 @@
 	return d
 }
 
-// Armed tells whether drills can be started at all.
-func (s *Injector) Armed() bool { return len(s.SecretHash) > 0 }
+// IsArmed tells whether drills can be started at all.
+func (s *Injector) IsArmed() bool { return len(s.SecretHash) > 0 }
 
 // Start starts a drill, or begins its time anew. The secret is looked at first: without it nobody learns which
 // drills there are.
 func (s *Injector) Start(now float64, secret []byte, name string) (Fault, error) {
 	sum := sha256.Sum256(secret)
-	if !s.Armed() || subtle.ConstantTimeCompare(sum[:], s.SecretHash) != 1 {
+	if !s.IsArmed() || subtle.ConstantTimeCompare(sum[:], s.SecretHash) != 1 {
 		return Fault{}, ErrSecret
 	}
 	for i, d := range s.Faults {
@@ -77,18 +77,18 @@
 	return Fault{}, ErrUnknown
 }
 
-// Mark returns what shows who has the same hash that the secret of a drill was looked at, by its id.
-func (s *Injector) Mark(id uint64, name string) []byte {
+// Sign returns what shows who has the same hash that the secret of a drill was looked at, by its id.
+func (s *Injector) Sign(id uint64, name string) []byte {
 	mac := hmac.New(sha256.New, s.SecretHash)
 	mac.Write(binary.BigEndian.AppendUint64(nil, id)) // never fails, as below
 	mac.Write([]byte(name))
 	return mac.Sum(nil)
 }
 
-// Run has a drill run for what is left of it, which another has started. It never runs longer than it is written here.
-func (s *Injector) Run(now float64, id uint64, name string, mark []byte, leftS float64) (Fault, error) {
-	if !s.Armed() || !hmac.Equal(mark, s.Mark(id, name)) {
-		return Fault{}, ErrMark
+// StartRemote has a drill run for what is left of it, which another has started. It never runs longer than it is written here.
+func (s *Injector) StartRemote(now float64, id uint64, name string, mark []byte, leftS float64) (Fault, error) {
+	if !s.IsArmed() || !hmac.Equal(mark, s.Sign(id, name)) {
+		return Fault{}, ErrSignature
 	}
 	for i, d := range s.Faults {
 		if d.Name == name {
@@ -99,9 +99,9 @@
 	return Fault{}, ErrUnknown
 }
 
-// Hit returns the drill that touches a request of a class, nil for most. One draw decides for all that run: each
+// Match returns the drill that touches a request of a class, nil for most. One draw decides for all that run: each
 // gets its own share as long as they are 100 together, and no request meets two.
-func (s *Injector) Hit(now float64, class string) *Fault {
+func (s *Injector) Match(now float64, class string) *Fault {
 	from, x := 0.0, -1.0
 	for i := range s.Faults {
 		d := &s.Faults[i]
--- a/internal/faultinjection/drill_test.go
+++ b/internal/faultinjection/drill_test.go
@@ -16,7 +16,7 @@
 	s.draw = func() float64 { n++; return float64(n%1000) / 1000 }
 	round := func(now float64) (a, b, other int) {
 		for range 1000 {
-			switch d := s.Hit(now, "c"); {
+			switch d := s.Match(now, "c"); {
 			case d == nil:
 			case d.Name == "a":
 				a++
@@ -61,22 +61,22 @@
 func TestRun(t *testing.T) {
 	sum := sha256.Sum256([]byte("s3"))
 	s := New(Settings{SecretHash: sum[:], Faults: []Fault{{Name: "a", Class: "c", Percent: 100, DurationSeconds: 60}}})
-	mark := s.Mark(7, "a")
-	for _, wrong := range [][]byte{nil, s.Mark(8, "a"), s.Mark(7, "b")} {
-		_, err := s.Run(0, 7, "a", wrong, 5)
-		assert.ErrorIs(t, err, ErrMark)
+	mark := s.Sign(7, "a")
+	for _, wrong := range [][]byte{nil, s.Sign(8, "a"), s.Sign(7, "b")} {
+		_, err := s.StartRemote(0, 7, "a", wrong, 5)
+		assert.ErrorIs(t, err, ErrSignature)
 	}
-	_, err := New(Settings{Faults: s.Faults}).Run(0, 7, "a", New(Settings{}).Mark(7, "a"), 5)
-	assert.ErrorIs(t, err, ErrMark, "without a hash no mark is right")
-	_, err = s.Run(0, 7, "b", s.Mark(7, "b"), 5)
+	_, err := New(Settings{Faults: s.Faults}).StartRemote(0, 7, "a", New(Settings{}).Sign(7, "a"), 5)
+	assert.ErrorIs(t, err, ErrSignature, "without a hash no mark is right")
+	_, err = s.StartRemote(0, 7, "b", s.Sign(7, "b"), 5)
 	assert.ErrorIs(t, err, ErrUnknown)
-	assert.Nil(t, s.Hit(0, "c"))
-	_, err = s.Run(0, 7, "a", mark, 5)
+	assert.Nil(t, s.Match(0, "c"))
+	_, err = s.StartRemote(0, 7, "a", mark, 5)
 	assert.NoError(t, err)
-	assert.NotNil(t, s.Hit(4.9, "c"))
-	assert.Nil(t, s.Hit(5, "c"))
-	_, err = s.Run(10, 9, "a", s.Mark(9, "a"), 1e9)
+	assert.NotNil(t, s.Match(4.9, "c"))
+	assert.Nil(t, s.Match(5, "c"))
+	_, err = s.StartRemote(10, 9, "a", s.Sign(9, "a"), 1e9)
 	assert.NoError(t, err)
-	assert.NotNil(t, s.Hit(69.9, "c"))
-	assert.Nil(t, s.Hit(70, "c"))
+	assert.NotNil(t, s.Match(69.9, "c"))
+	assert.Nil(t, s.Match(70, "c"))
 }
--- a/internal/sidecar/drills.go
+++ b/internal/sidecar/drills.go
@@ -7,7 +7,7 @@
 const delayPart = 0.8
 
 // DrillsArmed tells whether drills can be started.
-func (s *Sidecar) DrillsArmed() bool { return s.drills.Armed() }
+func (s *Sidecar) DrillsArmed() bool { return s.drills.IsArmed() }
 
 // StartDrill starts a drill on the operators' word. Danger: the secret must not reach the log.
 func (s *Sidecar) StartDrill(secret []byte, name string) (faultinjection.Fault, error) {
@@ -18,7 +18,7 @@
 	}
 	s.log.Info("drill started", "drill", d.Name, "class", d.Class, "duration_s", d.DurationSeconds)
 	if s.together != nil {
-		s.together.Drilled(d.Name, d.DurationSeconds, func(id uint64) []byte { return s.drills.Mark(id, d.Name) })
+		s.together.Drilled(d.Name, d.DurationSeconds, func(id uint64) []byte { return s.drills.Sign(id, d.Name) })
 	}
 	return d, nil
 }
@@ -40,7 +40,7 @@
 
 // RunDrill is for the loop.
 func (s *Sidecar) RunDrill(name string, id uint64, mark []byte, leftS float64) error {
-	d, err := s.drills.Run(s.net.Now(), id, name, mark, leftS)
+	d, err := s.drills.StartRemote(s.net.Now(), id, name, mark, leftS)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 // decisions are told how long it was held.
 func (s *Sidecar) drilled(r *request, class int, decide func(held float64)) bool {
 	now := s.now()
-	d := s.drills.Hit(now, s.cfg.Settings.Policy.Classes[class].Name)
+	d := s.drills.Match(now, s.cfg.Settings.Policy.Classes[class].Name)
 	if d == nil {
 		return false
 	}
