--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -84,8 +84,8 @@
 		return maintenance.Spec{}, err
 	}
 	spec, err := maintenanceplan.Parse(path, text, time.Now())
-	if err == nil && len(workLine(maintenance.Command{Nonce: 1<<64 - 1, Kind: maintenance.SubmitPlan, Spec: &spec})) >= admin.MostWork {
-		err = fmt.Errorf("%s: the plan is too long for a door, which takes %d bytes", path, admin.MostWork)
+	if err == nil && len(workLine(maintenance.Command{Nonce: 1<<64 - 1, Kind: maintenance.SubmitPlan, Spec: &spec})) >= admin.MaxMaintenanceLine {
+		err = fmt.Errorf("%s: the plan is too long for a door, which takes %d bytes", path, admin.MaxMaintenanceLine)
 	}
 	return spec, err
 }
--- a/internal/frontend/admin/ops.go
+++ b/internal/frontend/admin/ops.go
@@ -21,7 +21,7 @@
 	// mostCallers bounds those at the door. Who has been there longest without ending a line goes for a newcomer.
 	mostCallers = sidecar.DoorDescriptors - 2
 	// mostLine bounds a call, in bytes, and MostWork one that is WORK, both with their end.
-	mostLine, MostWork = 512, 32 << 10
+	mostLine, MaxMaintenanceLine = 512, 32 << 10
 	// callS is how long a caller may take for its line.
 	callS = 10
 	// doneS is how long the loop may take for what a caller wants; callers wait for a second.
@@ -34,8 +34,8 @@
 	mostStillS = 3.0
 )
 
-// Desk is what the door asks of the sidecar. All but Figures and Do is for the loop.
-type Desk interface {
+// Controller is what the door asks of the sidecar. All but Figures and Do is for the loop.
+type Controller interface {
 	Figures() *sidecar.Figures
 	Do(f func())
 	Offline(server string) error
@@ -44,10 +44,10 @@
 	Join() error
 }
 
-// Door is the operators' door.
-type Door struct {
+// Server is the operators' door.
+type Server struct {
 	address string
-	desk    Desk
+	desk    Controller
 	now     func() float64 // on the clock of the figures
 	listen  net.Listener
 
@@ -71,15 +71,15 @@
 }
 
 // New returns a door that is not open yet.
-func New(address string, desk Desk, now func() float64) *Door {
-	return &Door{address: address, desk: desk, now: now}
+func New(address string, desk Controller, now func() float64) *Server {
+	return &Server{address: address, desk: desk, now: now}
 }
 
 // ErrListen is the fault of an address that the door can't be opened at.
 var ErrListen = errors.New("ops")
 
 // Listen opens the door. An error names the key at fault.
-func (d *Door) Listen() (err error) {
+func (d *Server) Listen() (err error) {
 	if d.listen, err = net.Listen("tcp", d.address); err != nil {
 		return fmt.Errorf("%w: %w", ErrListen, err)
 	}
@@ -88,9 +88,9 @@
 }
 
 // Close shuts the door; calls that have begun go on.
-func (d *Door) Close() { d.listen.Close() }
+func (d *Server) Close() { d.listen.Close() }
 
-func (d *Door) accept() {
+func (d *Server) accept() {
 	for {
 		c, err := d.listen.Accept()
 		switch {
@@ -107,7 +107,7 @@
 }
 
 // enter finds room for a caller.
-func (d *Door) enter(c net.Conn) bool {
+func (d *Server) enter(c net.Conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.n >= mostCallers {
@@ -123,7 +123,7 @@
 }
 
 // spoken notes that a caller has said all that it will.
-func (d *Door) spoken(c net.Conn) {
+func (d *Server) spoken(c net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, w := range d.waiting {
@@ -135,7 +135,7 @@
 }
 
 // serve answers one call.
-func (d *Door) serve(c net.Conn) {
+func (d *Server) serve(c net.Conn) {
 	defer func() {
 		d.mu.Lock()
 		d.n--
@@ -181,7 +181,7 @@
 			return string(bytes.TrimSuffix(b[:n+end], []byte{'\r'})), nil
 		}
 		if n += k; n == mostLine && len(b) == mostLine && bytes.EqualFold(b[:len(workCall)], []byte(workCall)) {
-			b = append(b, make([]byte, MostWork-mostLine)...)
+			b = append(b, make([]byte, MaxMaintenanceLine-mostLine)...)
 		}
 		switch {
 		case errors.Is(err, io.EOF) && n > 0:
@@ -196,30 +196,30 @@
 // command is one word that operators say.
 type command struct {
 	word     string
-	argument bool                              // it wants a server's id
-	do       func(d *Door, last string) []byte // last is the last word of the call
+	argument bool                                // it wants a server's id
+	do       func(d *Server, last string) []byte // last is the last word of the call
 }
 
 // commands are all calls that there are.
 var commands = []command{
-	{"HEALTH", false, (*Door).health},
-	{"DUMP", false, (*Door).dump},
-	{"OFFLINE", true, func(d *Door, server string) []byte {
+	{"HEALTH", false, (*Server).health},
+	{"DUMP", false, (*Server).dump},
+	{"OFFLINE", true, func(d *Server, server string) []byte {
 		return d.onLoop(server+" is left out", func() error { return d.desk.Offline(server) })
 	}},
-	{"ONLINE", true, func(d *Door, server string) []byte {
+	{"ONLINE", true, func(d *Server, server string) []byte {
 		return d.onLoop(server+" may serve", func() error { return d.desk.Online(server) })
 	}},
-	{"LEAVE", false, func(d *Door, _ string) []byte {
+	{"LEAVE", false, func(d *Server, _ string) []byte {
 		return d.onLoop("draining", func() error { return d.desk.Leave() })
 	}},
-	{"JOIN", false, func(d *Door, _ string) []byte {
+	{"JOIN", false, func(d *Server, _ string) []byte {
 		return d.onLoop("serving", func() error { return d.desk.Join() })
 	}},
 }
 
 // tell returns what is told on the loop.
-func (d *Door) tell(what func() ([]byte, error)) []byte {
+func (d *Server) tell(what func() ([]byte, error)) []byte {
 	told := make(chan []byte, 1)
 	answer := d.onLoop("", func() error {
 		text, err := what()
@@ -233,7 +233,7 @@
 }
 
 // ofFleet answers what a sidecar is asked that knows others; false: it is no such call.
-func (d *Door) ofFleet(words []string, line string) (answer []byte, ok bool) {
+func (d *Server) ofFleet(words []string, line string) (answer []byte, ok bool) {
 	switch call := strings.ToUpper(words[0]); {
 	case d.Peers != nil && len(words) == 1 && call == "PEERS":
 		return d.tell(func() ([]byte, error) { return d.Peers(), nil }), true
@@ -256,7 +256,7 @@
 }
 
 // call answers one line.
-func (d *Door) call(line string) []byte {
+func (d *Server) call(line string) []byte {
 	words := strings.Fields(line)
 	if len(words) == 0 {
 		return []byte("ERR an empty line\n")
@@ -284,7 +284,7 @@
 }
 
 // health says whether this process can serve.
-func (d *Door) health(string) []byte {
+func (d *Server) health(string) []byte {
 	switch f := d.desk.Figures(); {
 	case f == nil:
 		return []byte("ERR not serving yet\n")
@@ -297,7 +297,7 @@
 }
 
 // onLoop has the loop do something, and says yes once it is done.
-func (d *Door) onLoop(yes string, do func() error) []byte {
+func (d *Server) onLoop(yes string, do func() error) []byte {
 	done := make(chan error, 1)
 	d.desk.Do(func() { done <- do() })
 	select {
@@ -312,7 +312,7 @@
 }
 
 // dump tells the figures.
-func (d *Door) dump(string) []byte {
+func (d *Server) dump(string) []byte {
 	f := d.desk.Figures()
 	if f == nil {
 		return []byte("ERR no figures yet\n")
--- a/internal/frontend/admin/ops_test.go
+++ b/internal/frontend/admin/ops_test.go
@@ -34,7 +34,7 @@
 		}
 		assert.NoError(t, err)
 		desk := &desk{}
-		answer := string((&Door{desk: desk, now: func() float64 { return 0 }}).call(line))
+		answer := string((&Server{desk: desk, now: func() float64 { return 0 }}).call(line))
 		assert.True(t, strings.HasSuffix(answer, "\n"))
 		assert.True(t, strings.HasPrefix(answer, "OK ") || strings.HasPrefix(answer, "ERR ") || strings.HasSuffix(answer, "END\n"), answer)
 		words := strings.Fields(line)
--- a/internal/frontend/admin/wire_form_test.go
+++ b/internal/frontend/admin/wire_form_test.go
@@ -25,7 +25,7 @@
 	require.NoError(t, json.Unmarshal([]byte(`[{"class":"read","served":1,"throttled":2,"failed":3,"abandoned":4},{"class":"write","served":5}]`), &figures.Classes))
 	d := &figuresDesk{figures: figures}
 	now := 103.0
-	door := &Door{desk: d, now: func() float64 { return now }}
+	door := &Server{desk: d, now: func() float64 { return now }}
 	raw, err := os.ReadFile("testdata/answers/dump")
 	require.NoError(t, err)
 	assert.Equal(t, string(raw), string(door.call("DUMP")))
