--- a/internal/frontend/admin/ops.go
+++ b/internal/frontend/admin/ops.go
@@ -55,19 +55,19 @@
 	Peers func() []byte
 
 	// Owners, if it is set, is asked on the loop who does what on behalf of all.
-	Owners *Owners
+	Leases *LeaseCommands
 
 	mu      sync.Mutex
 	waiting []net.Conn // whose line has not come whole, the oldest first
 	n       int        // callers
 }
 
-// Owners are what the calls OWNERS, ELECTORS, STEPDOWN JOB, REPORT, WORKS and WORK COMMAND have done on the loop.
-type Owners struct {
-	Owners, Electors, Report func() ([]byte, error)
-	StepDown                 func(job string) error
-	Works                    func() ([]byte, error)
-	Work                     func(command []byte) ([]byte, error)
+// LeaseCommands are what the calls OWNERS, ELECTORS, STEPDOWN JOB, REPORT, WORKS and WORK COMMAND have done on the loop.
+type LeaseCommands struct {
+	Status, Voters, Report func() ([]byte, error)
+	StepDown               func(job string) error
+	Maintenance            func() ([]byte, error)
+	SubmitMaintenance      func(command []byte) ([]byte, error)
 }
 
 // New returns a door that is not open yet.
@@ -237,20 +237,20 @@
 	switch call := strings.ToUpper(words[0]); {
 	case d.Peers != nil && len(words) == 1 && call == "PEERS":
 		return d.tell(func() ([]byte, error) { return d.Peers(), nil }), true
-	case d.Owners == nil:
+	case d.Leases == nil:
 	case len(words) == 1 && call == "OWNERS":
-		return d.tell(d.Owners.Owners), true
+		return d.tell(d.Leases.Status), true
 	case len(words) == 1 && call == "ELECTORS":
-		return d.tell(d.Owners.Electors), true
+		return d.tell(d.Leases.Voters), true
 	case len(words) == 1 && call == "REPORT":
-		return d.tell(d.Owners.Report), true
+		return d.tell(d.Leases.Report), true
 	case len(words) == 1 && call == "WORKS":
-		return d.tell(d.Owners.Works), true
+		return d.tell(d.Leases.Maintenance), true
 	case len(words) > 1 && call == "WORK":
 		command := strings.TrimSpace(line)[len("WORK"):]
-		return d.tell(func() ([]byte, error) { return d.Owners.Work([]byte(command)) }), true
+		return d.tell(func() ([]byte, error) { return d.Leases.SubmitMaintenance([]byte(command)) }), true
 	case len(words) == 2 && call == "STEPDOWN":
-		return d.onLoop("the job "+words[1]+" is to go to another owner", func() error { return d.Owners.StepDown(words[1]) }), true
+		return d.onLoop("the job "+words[1]+" is to go to another owner", func() error { return d.Leases.StepDown(words[1]) }), true
 	}
 	return nil, false
 }
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -55,7 +55,7 @@
 		p.door.Peers = func() []byte { return line(p.fleet.Status(mostAtDoor)) }
 	}
 	if p.door != nil && len(on.Electors) > 0 {
-		p.door.Owners = p.owners()
+		p.door.Leases = p.owners()
 	}
 	if on.Dir != "" {
 		p.folder = folder.Open(on.Dir, func(done func()) {
@@ -105,18 +105,18 @@
 }
 
 // owners are the door's calls about who owns what.
-func (p *Process) owners() *admin.Owners {
+func (p *Process) owners() *admin.LeaseCommands {
 	owners := func() ([]byte, error) {
 		seen, err := p.fleet.LeaseStatus()
 		return line(seen), err
 	}
-	return &admin.Owners{Owners: owners, Electors: owners, StepDown: p.fleet.StepDown, Report: func() ([]byte, error) {
+	return &admin.LeaseCommands{Status: owners, Voters: owners, StepDown: p.fleet.StepDown, Report: func() ([]byte, error) {
 		rep, err := p.fleet.Report()
 		return line(rep), err
-	}, Works: func() ([]byte, error) {
+	}, Maintenance: func() ([]byte, error) {
 		seen, err := p.fleet.MaintenanceStatus()
 		return line(seen), err
-	}, Work: func(command []byte) ([]byte, error) {
+	}, SubmitMaintenance: func(command []byte) ([]byte, error) {
 		var c maintenance.Command
 		if err := json.Unmarshal(command, &c); err != nil {
 			return nil, fmt.Errorf("the command makes no sense: %w", err)
