--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -35,8 +35,8 @@
 	Jobs      []string // that this sidecar can do on behalf of all
 }
 
-// On tells whether the sidecar looks for peers.
-func (s *Settings) On() bool { return s.Name != "" }
+// IsEnabled tells whether the sidecar looks for peers.
+func (s *Settings) IsEnabled() bool { return s.Name != "" }
 
 // StateStore keeps the state. What Save was given is on disk, synced, when done is called with nil, on the loop.
 type StateStore interface {
