--- a/internal/coordination/folder/folder.go
+++ b/internal/coordination/folder/folder.go
@@ -28,8 +28,8 @@
 	head = "hazelwheel-peer 2 %d %d\n"
 )
 
-// Folder is a folder for one sidecar. Save is for one loop.
-type Folder struct {
+// Store is a folder for one sidecar. Save is for one loop.
+type Store struct {
 	dir   string
 	post  func(func())
 	saves chan save
@@ -50,14 +50,14 @@
 	birth int64 // in nanoseconds; 0 where the file system does not keep it
 }
 
-var _ coordination.StateStore = (*Folder)(nil)
+var _ coordination.StateStore = (*Store)(nil)
 
-// ErrTaken is the fault of a write where another process has written meanwhile: it goes on from this one's state.
-var ErrTaken = errors.New("another process goes on from this state")
+// ErrConflict is the fault of a write where another process has written meanwhile: it goes on from this one's state.
+var ErrConflict = errors.New("another process goes on from this state")
 
 // Open returns a folder whose answers come by post.
-func Open(dir string, post func(func())) *Folder {
-	f := &Folder{dir: dir, post: post, saves: make(chan save, 16)}
+func Open(dir string, post func(func())) *Store {
+	f := &Store{dir: dir, post: post, saves: make(chan save, 16)}
 	go func() {
 		for s := range f.saves {
 			err := f.write(s.data)
@@ -68,11 +68,11 @@
 }
 
 // Close ends the goroutine that writes.
-func (f *Folder) Close() { close(f.saves) }
+func (f *Store) Close() { close(f.saves) }
 
 // Load returns what was saved last. It comes before the loop. Until the first write nobody else writes: what another process has
 // said that it keeps must not be gone with that write.
-func (f *Folder) Load() (s coordination.SavedState) {
+func (f *Store) Load() (s coordination.SavedState) {
 	var err error
 	if f.held, err = f.lock(); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return coordination.SavedState{Err: err}
@@ -114,7 +114,7 @@
 
 // lock locks the folder; closing what it returns ends that, and so does the end of the process. Danger: whoever has it locked may
 // stand still, so nobody waits for long.
-func (f *Folder) lock() (*os.File, error) {
+func (f *Store) lock() (*os.File, error) {
 	d, err := os.Open(f.dir)
 	if err != nil {
 		return nil, err
@@ -130,19 +130,19 @@
 	}
 }
 
-// Aside keeps what is there under another name, where a sidecar begins anew.
-func (f *Folder) Aside() error {
+// Quarantine keeps what is there under another name, where a sidecar begins anew.
+func (f *Store) Quarantine() error {
 	f.last = mark{}
 	return os.Rename(filepath.Join(f.dir, name), filepath.Join(f.dir, name+"-unusable"))
 }
 
 // Save writes a state.
-func (f *Folder) Save(data []byte, done func(error)) { f.saves <- save{data, done} }
+func (f *Store) Save(data []byte, done func(error)) { f.saves <- save{data, done} }
 
 // write has either the old state or the new one on disk, whatever happens. What can't be read of an old one is kept beside.
-func (f *Folder) write(data []byte) (err error) {
+func (f *Store) write(data []byte) (err error) {
 	defer func() {
-		if err != nil && !errors.Is(err, ErrTaken) {
+		if err != nil && !errors.Is(err, ErrConflict) {
 			err = fmt.Errorf("fleet.dir: %w", err)
 		}
 	}()
@@ -181,7 +181,7 @@
 
 // unchanged tells whether the file is the one that this process knows. Danger: two processes that write in turns would each
 // overwrite what the other has promised.
-func (f *Folder) unchanged(path string) error {
+func (f *Store) unchanged(path string) error {
 	file, err := os.Open(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -194,7 +194,7 @@
 	case err != nil:
 		return err
 	case now != f.last:
-		return ErrTaken
+		return ErrConflict
 	}
 	return nil
 }
--- a/internal/coordination/folder/folder_test.go
+++ b/internal/coordination/folder/folder_test.go
@@ -14,12 +14,12 @@
 func TestFolder(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "below")
 	path := filepath.Join(dir, name)
-	open := func() *Folder {
+	open := func() *Store {
 		f := Open(dir, func(do func()) { do() })
 		t.Cleanup(f.Close)
 		return f
 	}
-	save := func(f *Folder, text string) error {
+	save := func(f *Store, text string) error {
 		done := make(chan error)
 		f.Save([]byte(text), func(err error) { done <- err })
 		return <-done
@@ -37,7 +37,7 @@
 	assert.Equal(t, "third", string(s.Data))
 	assert.False(t, s.IsCopy)
 	require.NoError(t, save(g, "fourth"))
-	assert.ErrorIs(t, save(f, "fifth"), ErrTaken)
+	assert.ErrorIs(t, save(f, "fifth"), ErrConflict)
 	g = open()
 	assert.Equal(t, "fourth", string(g.Load().Data))
 	require.NoError(t, save(g, "sixth"))
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -73,7 +73,7 @@
 func (p *Process) remember() {
 	saved := p.folder.Load()
 	if saved.Err == nil && coordination.ValidateState(saved) != nil {
-		if err := p.folder.Aside(); err != nil {
+		if err := p.folder.Quarantine(); err != nil {
 			p.log.Error("what was saved can't be put aside", "error", err)
 		}
 	}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -45,7 +45,7 @@
 	loop   *sockets.Net
 	host   netio.Host         // what the loop calls: the sidecar, or the sidecar and its fleet
 	fleet  *coordination.Node // nil: it knows no other sidecar
-	folder *folder.Folder     // of the fleet; nil: nothing is kept
+	folder *folder.Store      // of the fleet; nil: nothing is kept
 	door   *admin.Server      // nil: there is none
 
 	askFirst func() // comes before there are clients; nil: nothing is asked
