--- a/internal/coordination/folder/folder.go
+++ b/internal/coordination/statefile/store.go
@@ -1,6 +1,6 @@
-// Package folder keeps a fleet's state on the machine's disk. It writes beside the loop, and what it says is written is
+// Package statefile keeps a fleet's state on the machine's disk. It writes beside the loop, and what it says is written is
 // synced.
-package folder
+package statefile
 
 import (
 	"bytes"
--- a/internal/coordination/folder/folder_test.go
+++ b/internal/coordination/statefile/store_test.go
@@ -1,4 +1,4 @@
-package folder
+package statefile
 
 import (
 	"os"
--- a/internal/coordination/stored_form_test.go
+++ b/internal/coordination/stored_form_test.go
@@ -33,7 +33,7 @@
 
 // A folder's file that a process has written is taken over whole: the promises are read under its identity, and so is what is agreed.
 func TestStoredByAProcess(t *testing.T) {
-	raw, err := os.ReadFile("folder/testdata/folder/peer")
+	raw, err := os.ReadFile("statefile/testdata/folder/peer")
 	require.NoError(t, err)
 	_, data, _ := bytes.Cut(raw, []byte{'\n'})
 	saved := SavedState{Data: data}
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"hazelwheel/internal/coordination"
-	"hazelwheel/internal/coordination/folder"
+	"hazelwheel/internal/coordination/statefile"
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/frontend/admin"
@@ -58,7 +58,7 @@
 		p.door.Leases = p.owners()
 	}
 	if on.Dir != "" {
-		p.folder = folder.Open(on.Dir, func(done func()) {
+		p.folder = statefile.Open(on.Dir, func(done func()) {
 			select {
 			case <-p.over: // nobody waits for it any more
 			default:
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -15,7 +15,7 @@
 
 	"hazelwheel/internal/capture"
 	"hazelwheel/internal/coordination"
-	"hazelwheel/internal/coordination/folder"
+	"hazelwheel/internal/coordination/statefile"
 	"hazelwheel/internal/featureconfig"
 	"hazelwheel/internal/frontend/admin"
 	"hazelwheel/internal/frontend/http1"
@@ -45,7 +45,7 @@
 	loop   *sockets.Net
 	host   netio.Host         // what the loop calls: the sidecar, or the sidecar and its fleet
 	fleet  *coordination.Node // nil: it knows no other sidecar
-	folder *folder.Store      // of the fleet; nil: nothing is kept
+	folder *statefile.Store   // of the fleet; nil: nothing is kept
 	door   *admin.Server      // nil: there is none
 
 	askFirst func() // comes before there are clients; nil: nothing is asked
