--- a/internal/decide/subset/ring.go
+++ b/internal/decide/subset/ring.go
@@ -5,80 +5,82 @@
 	"slices"
 )
 
-// RingOrder returns the boxes in their order on the circle; the list is left as it is. Each zone's boxes are spread evenly over all of
-// the circle, so any arc holds of each zone its part, to within a box, and a small zone is as busy as a large one.
-func RingOrder(list []Server) []Server {
-	type spot struct {
-		box  Server
-		hash uint64
-		at   float64
+// RingOrder returns the servers in their order on the ring, in a new slice. The servers of each zone are spread evenly over the
+// ring, so that any arc holds a fair part of each zone, to within a server, and servers of small zones are as busy as others.
+func RingOrder(servers []Server) []Server {
+	type slot struct {
+		server Server
+		hash   uint64
+		at     float64
 	}
-	spots := make([]spot, len(list))
-	for i, b := range list {
-		spots[i] = spot{box: b, hash: mix(b.ID + golden)}
+	slots := make([]slot, len(servers))
+	for i, b := range servers {
+		slots[i] = slot{server: b, hash: mixBits(b.ID + goldenRatio)}
 	}
-	slices.SortFunc(spots, func(a, b spot) int {
-		return cmp.Or(cmp.Compare(a.box.Zone, b.box.Zone), cmp.Compare(a.hash, b.hash), cmp.Compare(a.box.ID, b.box.ID))
+	slices.SortFunc(slots, func(a, b slot) int {
+		return cmp.Or(cmp.Compare(a.server.Zone, b.server.Zone), cmp.Compare(a.hash, b.hash), cmp.Compare(a.server.ID, b.server.ID))
 	})
-	for from := 0; from < len(spots); {
+	for from := 0; from < len(slots); {
 		to := from
-		for to < len(spots) && spots[to].box.Zone == spots[from].box.Zone {
+		for to < len(slots) && slots[to].server.Zone == slots[from].server.Zone {
 			to++
 		}
 		for i := from; i < to; i++ {
-			spots[i].at = (float64(i-from) + 0.5) / float64(to-from)
+			slots[i].at = (float64(i-from) + 0.5) / float64(to-from)
 		}
 		from = to
 	}
-	slices.SortStableFunc(spots, func(a, b spot) int { return cmp.Compare(a.at, b.at) })
-	order := make([]Server, len(spots))
-	for i, s := range spots {
-		order[i] = s.box
+	slices.SortStableFunc(slots, func(a, b slot) int { return cmp.Compare(a.at, b.at) })
+	order := make([]Server, len(slots))
+	for i, s := range slots {
+		order[i] = s.server
 	}
 	return order
 }
 
-// Select returns the boxes of the arc that begins at a place, of an Order, the first ones first.
-func Select(order []Server, at Position, size int) []Server {
+// Select returns the servers of the arc that begins at a position, in the order of the ring. order is a result of RingOrder; size
+// is limited to its length.
+func Select(order []Server, position Position, size int) []Server {
 	size = min(max(size, 0), len(order))
-	taken := make([]Server, size)
-	for i, from := 0, at.from(max(len(order), 1)); i < size; i++ {
-		taken[i] = order[(from+i)%len(order)]
+	selected := make([]Server, size)
+	for i, first := 0, position.firstServer(max(len(order), 1)); i < size; i++ {
+		selected[i] = order[(first+i)%len(order)]
 	}
-	return taken
+	return selected
 }
 
-// Reselect returns what one holds that has held some boxes (by ID) and whose arc is now another: all boxes of the arc, of those held
-// before what lies at most slack places beside it, and as many more, the nearest first, as make half of what was held and is
-// still listed. So a list that trembles moves nothing twice; and peers' word, which moves the place, never takes more than half
-// at once: what is left over goes at a later call, when the new ones have been held for a while.
-func Reselect(order []Server, at Position, size, slack int, held map[uint64]bool) []Server {
-	taken := Select(order, at, size)
-	if len(held) == 0 || len(taken) == len(order) {
-		return taken
+// Reselect returns the servers of a sidecar whose arc has moved and that was connected to others before (by ID): all servers of
+// the new arc; of the previous ones, those at most slack steps beside the arc; and the nearest other previous ones, as many as
+// keep half of those that are still listed. So a list that oscillates does not move connections back and forth, and reports of
+// peers, which move the position, never replace more than half at once. What is kept beyond the arc is dropped by a later call,
+// when the new connections have been in use for a while.
+func Reselect(order []Server, position Position, size, slack int, previous map[uint64]bool) []Server {
+	selected := Select(order, position, size)
+	if len(previous) == 0 || len(selected) == len(order) {
+		return selected
 	}
 	kept, listed := 0, 0
-	for _, b := range order {
-		if held[b.ID] {
+	for _, server := range order {
+		if previous[server.ID] {
 			listed++
 		}
 	}
-	for _, b := range taken {
-		if held[b.ID] {
+	for _, server := range selected {
+		if previous[server.ID] {
 			kept++
 		}
 	}
-	n, from := len(order), at.from(len(order))
-	rest := n - len(taken)
-	for i := range rest { // outwards, behind the arc and before it in turns
+	count, first := len(order), position.firstServer(len(order))
+	others := count - len(selected)
+	for i := range others { // outwards from the arc, alternately after its end and before its beginning
 		steps := i/2 + 1
-		b := order[(from+len(taken)+i/2)%n]
+		server := order[(first+len(selected)+i/2)%count]
 		if i%2 == 1 {
-			b = order[(from-steps+n)%n]
+			server = order[(first-steps+count)%count]
 		}
-		if held[b.ID] && (steps <= slack || 2*kept < listed) {
-			taken, kept = append(taken, b), kept+1
+		if previous[server.ID] && (steps <= slack || 2*kept < listed) {
+			selected, kept = append(selected, server), kept+1
 		}
 	}
-	return taken
+	return selected
 }
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -1,26 +1,27 @@
-// Package subset decides which boxes a sidecar holds, so that the choices of many add up: every box is held by about as many, by
-// two at least, and few are moved when a sidecar or a box comes or goes. It is pure: no clock, no state, no I/O; the same
-// arguments give the same answer, in whatever order the list of boxes comes.
+// Package subset decides which servers a sidecar connects to, so that the choices of many sidecars add up: each server gets about
+// as many sidecars, at least two, and few connections move when a sidecar or a server comes or goes.
 //
-// The boxes lie on a circle, in an order that all sidecars compute alike. Each sidecar holds an arc of it, which begins at its
-// place. Three ways give a place: Spread by number alone, Dense by rank among those that are known to live, ByTraffic by
-// rank among those with as much traffic as one's own. docs/design/share.md weighs them.
+// Servers lie on a ring, in an order that all sidecars compute alike (RingOrder). Each sidecar selects an arc of the ring that
+// begins at its position (Select). Three rules give the position: PositionByNumber by the configured number alone, PositionByRank
+// by the rank among live sidecars, PositionByTraffic by the rank among those with similar traffic. Reselect moves an arc without
+// dropping too many connections at once. The functions are pure, and their results do not depend on the order of the list of
+// servers. docs/design/share.md compares the rules.
 package subset
 
-// Server is a box as the list tells it.
+// Server is a server as a list of endpoints names it.
 type Server struct {
-	ID   uint64 // the same at all sidecars
-	Zone int    // any number; the same for all boxes where no zones are told
+	ID   uint64 // the same on all sidecars
+	Zone int    // any number; the same for all servers if zones are not known
 }
 
-// Size is how many of so many boxes a sidecar holds that wants need of them for its own traffic, by the formula that policy.Subset has:
-// more where there are more boxes for each sidecar, and as many as give every box two sidecars. Count is how many sidecars there are by what
-// peers tell, told by the settings. Danger: a count that is wrong or a lie must not leave too few, so peers' word takes no more
-// than half of what the settings give.
-func Size(boxes, count, told int, need float64) int {
-	by := func(count int) int {
+// Size returns how many of the servers a sidecar selects that needs so many for its own traffic, by the formula of policy.Subset:
+// more where there are more servers for each sidecar, and enough to give each server two sidecars. count is the number of sidecars
+// as peers report it, configuredCount as the settings have it. Danger: a reported count may be wrong or false, so it shrinks the
+// subset to no less than half of what the settings give.
+func Size(servers, count, configuredCount int, need float64) int {
+	sizeFor := func(count int) int {
 		count = max(count, 1)
-		return min(boxes, max(int(min(max(need, 0), 1e6)+6*float64(boxes)/float64(count)), 2*((boxes+count-1)/count)))
+		return min(servers, max(int(min(max(need, 0), 1e6)+6*float64(servers)/float64(count)), 2*((servers+count-1)/count)))
 	}
-	return max(by(count), (by(told)+1)/2)
+	return max(sizeFor(count), (sizeFor(configuredCount)+1)/2)
 }
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -12,10 +12,10 @@
 	"hazelwheel/policy"
 )
 
-func drawBoxes(t *rapid.T, least, most int) (list []Server) {
+func drawServers(t *rapid.T, least, most int) (list []Server) {
 	zones := rapid.IntRange(1, 5).Draw(t, "zones")
-	rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "boxes' seed"), 1))
-	for i := range rapid.IntRange(least, most).Draw(t, "boxes") {
+	rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "servers' seed"), 1))
+	for i := range rapid.IntRange(least, most).Draw(t, "servers") {
 		zone := rng.IntN(zones)
 		if rng.IntN(20) > 0 {
 			zone = min(zone, 1)
@@ -25,29 +25,29 @@
 	return list
 }
 
-// holders returns how many sidecars hold each box.
-func holders(order []Server, count int, place func(rank int) Position, size int) map[uint64]int {
+// sidecarsPerServer returns how many sidecars select each server.
+func sidecarsPerServer(order []Server, count int, position func(rank int) Position, size int) map[uint64]int {
 	held := map[uint64]int{}
 	for rank := range count {
-		for _, b := range Select(order, place(rank), size) {
+		for _, b := range Select(order, position(rank), size) {
 			held[b.ID]++
 		}
 	}
 	return held
 }
 
-// Each box is held by two at least, and by rank no box has more than two sidecars beyond another.
-func TestEachBoxIsHeldByTwoAndAboutAsMany(t *testing.T) {
+// Each server gets two sidecars at least, and by rank no server has more than two sidecars beyond another.
+func TestEachServerHasTwoSidecarsAndLoadIsEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		order, count := RingOrder(drawBoxes(t, 2, 120)), rapid.IntRange(2, 200).Draw(t, "sidecars")
+		order, count := RingOrder(drawServers(t, 2, 120)), rapid.IntRange(2, 200).Draw(t, "sidecars")
 		size := Size(len(order), count, count, rapid.Float64Range(0, 30).Draw(t, "need"))
 		classes := make([]int8, count)
 		for i := range classes {
 			classes[i] = int8(rapid.IntRange(0, 2).Draw(t, "class"))
 		}
-		for name, place := range map[string]func(int) Position{"dense": func(r int) Position { return PositionByRank(r, count) }, "spread": PositionByNumber,
+		for name, position := range map[string]func(int) Position{"by rank": func(r int) Position { return PositionByRank(r, count) }, "by number": PositionByNumber,
 			"by traffic": func(r int) Position { return PositionByTraffic(r, classes) }} {
-			held := holders(order, count, place, size)
+			held := sidecarsPerServer(order, count, position, size)
 			least, most := math.MaxInt, 0
 			for _, b := range order {
 				least, most = min(least, held[b.ID]), max(most, held[b.ID])
@@ -55,16 +55,16 @@
 			if name != "by traffic" || count >= 6 {
 				require.GreaterOrEqual(t, least, 2, name)
 			}
-			slack := map[string]int{"dense": 2, "spread": 8, "by traffic": 6}[name] // two a class
+			slack := map[string]int{"by rank": 2, "by number": 8, "by traffic": 6}[name] // two a class
 			require.LessOrEqual(t, most-least, slack, name)
 		}
 	})
 }
 
-// One box or one sidecar more moves each sidecar's arc by a step at most, so few boxes change hands; in zones a little more.
-func TestOneThatComesMovesLittle(t *testing.T) {
+// One server or sidecar more moves each arc by a step at most, so few servers are replaced; with zones a few more.
+func TestNewServerOrSidecarMovesFewLinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list, count := drawBoxes(t, 3, 150), rapid.IntRange(2, 100).Draw(t, "sidecars")
+		list, count := drawServers(t, 3, 150), rapid.IntRange(2, 100).Draw(t, "sidecars")
 		for i := range list {
 			list[i].Zone = 0
 		}
@@ -81,7 +81,7 @@
 				}
 				return n
 			}
-			require.LessOrEqual(t, moved(Select(more, PositionByRank(rank, count), size)), 3, "a box")
+			require.LessOrEqual(t, moved(Select(more, PositionByRank(rank, count), size)), 3, "a server")
 			step := len(order)/count + 2
 			require.LessOrEqual(t, moved(Select(order, PositionByRank(rank, count+1), size)), step, "a sidecar behind it")
 			require.LessOrEqual(t, moved(Select(order, PositionByRank(rank+1, count+1), size)), step, "a sidecar before it")
@@ -90,15 +90,15 @@
 	})
 }
 
-// The order of the list makes no difference, and any arc has of each zone its part, to within two boxes.
-func TestOrderIsOfTheSetAlone(t *testing.T) {
+// The order of the list makes no difference, and any arc has a fair part of each zone, to within two servers.
+func TestRingOrderIgnoresInputOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := drawBoxes(t, 1, 150)
+		list := drawServers(t, 1, 150)
 		order := RingOrder(list)
 		require.Equal(t, order, RingOrder(rapid.Permutation(list).Draw(t, "order")))
 		require.ElementsMatch(t, list, order)
 		size := rapid.IntRange(1, len(order)).Draw(t, "size")
-		arc := Select(order, Position(rapid.Uint64().Draw(t, "place")), size)
+		arc := Select(order, Position(rapid.Uint64().Draw(t, "position")), size)
 		zones, all := map[int]int{}, map[int]int{}
 		for _, b := range arc {
 			zones[b.Zone]++
@@ -113,12 +113,13 @@
 	})
 }
 
-// What peers tell takes no more than half of the size that the settings give, and no more than half of what is held at once.
-func TestPeersTakeNoMoreThanHalf(t *testing.T) {
+// A count that peers report shrinks the subset to no less than half of its size by the settings, and replaces no more than half
+// of the connections at once.
+func TestReportedCountShrinksSubsetByHalfAtMost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := drawBoxes(t, 1, 100)
+		list := drawServers(t, 1, 100)
 		order := RingOrder(list)
-		count, told := rapid.IntRange(-1, 1<<40).Draw(t, "count"), rapid.IntRange(1, 300).Draw(t, "told")
+		count, told := rapid.IntRange(-1, 1<<40).Draw(t, "count"), rapid.IntRange(1, 300).Draw(t, "reported")
 		need := rapid.Float64Range(0, 40).Draw(t, "need")
 		size, own := Size(len(list), count, told, need), Size(len(list), told, told, need)
 		require.GreaterOrEqual(t, 2*size, own)
@@ -126,7 +127,7 @@
 		for _, b := range Select(order, PositionByNumber(rapid.IntRange(0, 300).Draw(t, "number")), own) {
 			held[b.ID] = true
 		}
-		at := Position(rapid.Uint64().Draw(t, "any place"))
+		at := Position(rapid.Uint64().Draw(t, "any position"))
 		next := Reselect(order, at, size, 1, held)
 		kept, ids := 0, map[uint64]bool{}
 		for _, b := range next {
@@ -138,18 +139,18 @@
 		}
 		require.GreaterOrEqual(t, 2*kept, len(held))
 		for _, b := range Select(order, at, size) {
-			require.True(t, ids[b.ID], "all of the arc is held")
+			require.True(t, ids[b.ID], "all of the arc is selected")
 		}
 	})
 }
 
-// Whatever a peer says of its traffic, another sidecar moves by less than those of its class are apart.
-func TestOneLiarMovesOthersByAStep(t *testing.T) {
+// Whatever class a sidecar reports, another one moves by less than the distance between sidecars of its class.
+func TestFalseTrafficClassMovesOthersByOneStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := rapid.SliceOfN(rapid.Map(rapid.IntRange(0, 2), func(c int) int8 { return int8(c) }), 2, 100).Draw(t, "classes")
 		liar := rapid.IntRange(0, len(classes)-1).Draw(t, "liar")
 		lied := slices.Clone(classes)
-		lied[liar] = TrafficClass(rapid.Float64().Draw(t, "told"))
+		lied[liar] = TrafficClass(rapid.Float64().Draw(t, "reported"))
 		for rank, own := range classes {
 			if rank == liar {
 				continue
@@ -166,10 +167,11 @@
 	})
 }
 
-// The module that is told Number begins where the place is, to half a step, and those of Dense all begin elsewhere.
-func TestNumberLeadsTheModuleToThePlace(t *testing.T) {
+// policy.Subset begins at the position, to half a step, by the number that NumberAt returns, and those of different ranks begin
+// apart.
+func TestNumberAtLeadsToPosition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		count, at := rapid.IntRange(1, 6000).Draw(t, "count"), Position(rapid.Uint64().Draw(t, "place"))
+		count, at := rapid.IntRange(1, 6000).Draw(t, "count"), Position(rapid.Uint64().Draw(t, "position"))
 		step, _ := policy.Subset(count, 1, count, 0)
 		begins := func(at Position) int {
 			number := NumberAt(at, count, step)
