--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -12,8 +12,8 @@
 //   - proposer runs rounds and reads against the voters. Each process draws a proposer ID of its own, so that no two processes, and no two
 //     runs of one, ever use the same ballot.
 //
-// Bytes of configurations travel apart from values where they are large: a value names them by their digest, and who lacks them fetches
-// them from the voters in chunks (configFetcher).
+// Bytes of configurations travel apart from values where they are large: a value names them by their digest, and a process that lacks them
+// fetches them from the voters in chunks (configFetcher).
 //
 // # Tasks
 //
@@ -21,6 +21,6 @@
 // runDiskScrub, runListReader and stageController.run. They share the replica, the proposer and the node, which are safe for concurrent
 // use; handlers of requests use the same.
 //
-// A chosen value takes this way: the proposer that finds it calls handleChosen, which hands its voters to gossip and the value to
-// chosenTracker; runCatchUp then publishes its configuration and stores it.
+// A chosen value is processed in two steps. The proposer that finds it calls handleChosen, which passes its voters to gossip and the value
+// to chosenTracker; runCatchUp then publishes its configuration and stores it.
 package control
--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -176,7 +176,7 @@
 	return chosenValue{proposal.Value, proposal.ChosenAt}, proposal.Outcome, nil
 }
 
-// applyReply hands a voter's reply, or its failure, to the round and returns what to send next.
+// applyReply applies a voter's reply, or its failure, to the proposal and returns what to send next.
 func applyReply(proposal *register.Proposal, reply voterReply) register.Step {
 	switch {
 	case reply.err != nil:
@@ -228,7 +228,7 @@
 }
 
 // read returns the value that is chosen, by replies of a majority. Where these differ it runs a round that completes one first. An error
-// says that no majority was reached in time, or that the voters are not known yet.
+// means that no majority was reached in time, or that the voters are not known yet.
 func (p *proposer) read(ctx context.Context) (chosenValue, error) {
 	known, err := p.knownVoters()
 	if err != nil {
--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -47,7 +47,7 @@
 }
 
 // reconfigure makes the next change of the voters that is needed, or completes one that is in progress. It decides by the value that a
-// majority holds; what gossip says of the voters only tells when to try.
+// majority holds; the voters that gossip carries only determine when it is tried.
 func (c *Control) reconfigure(ctx context.Context, learners *reconfiguration.LearnerTargets) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -179,7 +179,7 @@
 	return r.acceptor.State()
 }
 
-// handlePrepare answers a prepare request. An error says that the disk has failed; nothing was promised then.
+// handlePrepare answers a prepare request. An error means that the disk has failed; nothing was promised then.
 func (r *replica) handlePrepare(_ context.Context, request *register.PrepareRequest) (*register.PrepareReply, error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
@@ -195,7 +195,7 @@
 }
 
 // handleAccept answers an accept request. A value whose configuration is neither attached nor in memory is not accepted, and the reply asks
-// for the bytes. An error says that the bytes don't match the digest or that the disk has failed; nothing was accepted then.
+// for the bytes. An error means that the bytes don't match the digest or that the disk has failed; nothing was accepted then.
 func (r *replica) handleAccept(_ context.Context, request *register.AcceptRequest) (*register.AcceptReply, error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
--- a/internal/control/stageorder.go
+++ b/internal/control/stageorder.go
@@ -31,7 +31,7 @@
 	FencingToken uint64        `json:"FenceToken"`
 }
 
-// sendOrder sends one order, once. An order without a response may have been executed, and counts as executed. A response of 412 says that
+// sendOrder sends one order, once. An order without a response may have been executed, and counts as executed. A response of 412 means that
 // the server has seen a higher token: the lease is lost.
 func (s *stageController) sendOrder(ctx context.Context, change stages.StageChange) {
 	if !s.lease.CanAct(s.now()) {
--- a/internal/proxy/backendexchange.go
+++ b/internal/proxy/backendexchange.go
@@ -13,18 +13,18 @@
 const (
 	// maxSurplusResponses bounds the responses to earlier requests that are skipped before the one to this request.
 	maxSurplusResponses = 3
-	// maxSurplusBytes bounds what is read of a body that nobody needs.
+	// maxSurplusBytes bounds what is read of a body that is discarded.
 	maxSurplusBytes = 1 << 20
-	// defaultKeepAlive is how long a connection may be idle where the server does not say.
+	// defaultKeepAlive is how long a connection may be idle where the response has no Keep-Alive time-out.
 	defaultKeepAlive = 6 * time.Second
-	// keepAliveMargin is subtracted from the time that the server says, so that the server is not the first to close the connection.
+	// keepAliveMargin is subtracted from the server's time-out, so that the server is not the first to close the connection.
 	keepAliveMargin = time.Second
 )
 
 var (
 	errTooManySurplus = errors.New("too many responses that belong to other requests")
 	// errUnidentifiedRejection is returned for a rejection without a request ID on a connection that has carried others. Danger: it may be a
-	// second response to an earlier request, and then does not say that this request was not executed.
+	// second response to an earlier request, and then means nothing for this one.
 	errUnidentifiedRejection = errors.New("a rejection without a request ID, on a connection that has carried others")
 )
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,7 +1,7 @@
 // Package proxy runs the proxy process, the data plane of the router fleet: it accepts requests of clients and forwards each to a server.
 //
-// Which server is chosen is decided by package placement; routingState holds its pools and planners under one lock, and the updates of the
-// agent that they go by (see runFeed). A request makes attempts until one has an outcome that ends it. The outcome of an attempt says whether
+// Package placement chooses the server; routingState holds its pools and planners under one lock, and updates them by what the agent sends
+// (see runFeed). A request makes attempts until one has an outcome that ends it. The outcome of an attempt says whether
 // the server may have executed the request, by what was sent and received alone; a request that must not run twice is never sent again
 // after an attempt that may have been executed. Retries are charged to a budget for each service.
 //
--- a/internal/proxy/routingstate.go
+++ b/internal/proxy/routingstate.go
@@ -53,7 +53,7 @@
 	return s.table
 }
 
-// applyFeed applies an update of the agent. An error says that it can't be unpacked; nothing has changed then. Danger: an agent that has
+// applyFeed applies an update of the agent. An error means that it can't be unpacked; nothing has changed then. Danger: an agent that has
 // restarted may send an older configuration. The version in force must never go back.
 func (s *routingState) applyFeed(feed *message.Feed) error {
 	table, instances, err := unpackFeed(feed)
