--- a/internal/decide/quota/helpers_test.go
+++ b/internal/decide/quota/helpers_test.go
@@ -23,7 +23,7 @@
 
 // shop is a machine that is used, with a look at its books at the end.
 type shop struct {
-	*Machine
+	*Limiter
 	t  testing.TB
 	at float64
 }
@@ -34,7 +34,7 @@
 const usualRepay = 0.1
 
 func newShop(t testing.TB, tr *Tree) *shop {
-	return &shop{Machine: New(tr, Settings{Repay: usualRepay}, began), t: t, at: began}
+	return &shop{Limiter: New(tr, Settings{Repay: usualRepay}, began), t: t, at: began}
 }
 
 func (s *shop) group(name string) int32 {
--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -18,8 +18,8 @@
 	DefaultStretch = 0.1
 )
 
-// Machine decides who may take what. Calls come one at a time.
-type Machine struct {
+// Limiter decides who may take what. Calls come one at a time.
+type Limiter struct {
 	tree     *Tree
 	settings Settings
 	books    []*book // of the limits with a window
@@ -64,16 +64,16 @@
 }
 
 // Request returns a request of a group of the present tree.
-func (m *Machine) Request(g int32, bytes float64, floor bool) Request {
+func (m *Limiter) Request(g int32, bytes float64, floor bool) Request {
 	return Request{Group: g, Bytes: bytes, Floor: floor, tree: m.trees}
 }
 
 // New returns a machine in which nothing has been used.
-func New(t *Tree, s Settings, now float64) *Machine {
+func New(t *Tree, s Settings, now float64) *Limiter {
 	if s.FadeS <= 0 {
 		s.FadeS = DefaultFadeS
 	}
-	m := &Machine{tree: t, settings: s, now: now, stats: make([]Stats, t.Len()), refusals: make([]Refusal, t.Len())}
+	m := &Limiter{tree: t, settings: s, now: now, stats: make([]Stats, t.Len()), refusals: make([]Refusal, t.Len())}
 	for i, l := range t.Limits {
 		if l.Measure == Open {
 			m.books, m.opens = append(m.books, nil), append(m.opens, newOpenBook(t, i, &m.settings))
@@ -88,10 +88,10 @@
 }
 
 // Tree returns the machine's tree.
-func (m *Machine) Tree() *Tree { return m.tree }
+func (m *Limiter) Tree() *Tree { return m.tree }
 
 // clock takes a time. One that is before the last, or no number, counts as the last.
-func (m *Machine) clock(now float64) float64 {
+func (m *Limiter) clock(now float64) float64 {
 	if now > m.now && !math.IsInf(now, 1) {
 		m.now = now
 	}
@@ -114,7 +114,7 @@
 }
 
 // Ask decides on a request and books what it costs so far. It takes nothing where it refuses.
-func (m *Machine) Ask(now float64, q Request) Verdict {
+func (m *Limiter) Ask(now float64, q Request) Verdict {
 	now = m.clock(now)
 	q.tree = m.trees
 	v := Verdict{OK: true}
@@ -159,13 +159,13 @@
 }
 
 // refuse remembers why.
-func (m *Machine) refuse(limit int, afterS, lacks, own float64, capped bool, q *Request) {
+func (m *Limiter) refuse(limit int, afterS, lacks, own float64, capped bool, q *Request) {
 	m.refusals[q.Group] = Refusal{At: m.now, Limit: int32(limit), Capped: capped, Lacked: lacks, AfterS: afterS, Own: own}
 }
 
 // Done notes that a request that has been taken up is answered, after a time, with an answer of so many bytes that took
 // so much work. What they cost may go beyond what is there; the debt counts.
-func (m *Machine) Done(now float64, q Request, afterS, bytes, workS float64) {
+func (m *Limiter) Done(now float64, q Request, afterS, bytes, workS float64) {
 	now = m.clock(now)
 	if q.Group = m.present(&q); q.Group < 0 {
 		return
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -77,7 +77,7 @@
 	return all
 }
 
-func (e *event) play(m *Machine) Verdict {
+func (e *event) play(m *Limiter) Verdict {
 	q := m.Request(e.q.Group, e.q.Bytes, e.q.Floor)
 	v := m.Ask(e.at, q)
 	if v.OK {
--- a/internal/decide/quota/state.go
+++ b/internal/decide/quota/state.go
@@ -46,7 +46,7 @@
 )
 
 // State returns a copy of what the machine knows, which may be encoded while the machine goes on.
-func (m *Machine) State() *State {
+func (m *Limiter) State() *State {
 	s := &State{At: m.now, Stats: slices.Clone(m.stats), Refusals: slices.Clone(m.refusals), tree: m.tree, settings: m.settings}
 	for i, l := range m.tree.Limits {
 		s.Limits = append(s.Limits, l.Name())
@@ -143,7 +143,7 @@
 
 // Restore returns a machine that goes on from a state. With the tree and the settings that the state is of it goes on as
 // if nothing had been; else each group whose path and limit there still are keeps its account, see Replace.
-func Restore(t *Tree, settings Settings, s *State, now float64) *Machine {
+func Restore(t *Tree, settings Settings, s *State, now float64) *Limiter {
 	s.name()
 	if now < s.At {
 		s.shift(now - s.At)
@@ -193,7 +193,7 @@
 // Replace puts another tree in a machine's place. What a group holds, owes and is owed goes on under its path, within its
 // new bounds. The debts of a group that is gone are written off, and its claims fall to the pool that they are on; a new
 // group begins with a full bucket.
-func (m *Machine) Replace(now float64, t *Tree, settings Settings) *Machine {
+func (m *Limiter) Replace(now float64, t *Tree, settings Settings) *Limiter {
 	now = m.clock(now)
 	for _, b := range m.books {
 		if b != nil {
@@ -232,7 +232,7 @@
 const mostTrees = 16
 
 // present returns where a request that was taken up counts now, -1: nowhere.
-func (m *Machine) present(q *Request) int32 {
+func (m *Limiter) present(q *Request) int32 {
 	g := q.Group
 	for tree := q.tree; tree < m.trees && g >= 0; tree++ {
 		at := len(m.moved) - (m.trees - tree)
@@ -252,7 +252,7 @@
 }
 
 // carry takes over a state of another tree. It returns the numbers here of the state's groups, -1 of those that are gone.
-func (m *Machine) carry(s *State) []int {
+func (m *Limiter) carry(s *State) []int {
 	s.name()
 	to := make([]int, len(s.Paths))
 	for n, path := range s.Paths {
@@ -320,7 +320,7 @@
 
 // Audit returns by how much the accounts of a group, those of its children and what it holds disagree, the worst of all
 // limits; it is 0 but for the last digits of sums.
-func (m *Machine) Audit(now float64) (worst float64, at string) {
+func (m *Limiter) Audit(now float64) (worst float64, at string) {
 	now = m.clock(now)
 	for _, b := range m.books {
 		if b == nil {
--- a/internal/decide/quota/stored_form_test.go
+++ b/internal/decide/quota/stored_form_test.go
@@ -14,7 +14,7 @@
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
 // storedMachine has used accounts of every measure: loans, debts, a cap that was reached and requests that are open.
-func storedMachine(t *testing.T) (*Machine, *Tree, Settings, float64) {
+func storedMachine(t *testing.T) (*Limiter, *Tree, Settings, float64) {
 	tr := tree(t, []Limit{{Requests, 10, 100}, {Bytes, 60, 1 << 20}, {Work, 10, 5}, {Open, 0, 8}},
 		Group{Name: "north", Share: 50}, Group{Name: "city", Parent: "north", Share: 60, Floor: 10}, Group{Name: "port", Parent: "north", Share: 30, Cap: 90},
 		Group{Name: "ministry", Share: 20, Weight: 2}, Group{Name: "others"})
--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -34,7 +34,7 @@
 }
 
 // View shows at most so many groups, and of a tree that has more those that have been asked for, as far as they go.
-func (m *Machine) View(now float64, most int) View {
+func (m *Limiter) View(now float64, most int) View {
 	now = m.clock(now)
 	v := View{At: now, All: m.tree.Len() - 1, Groups: []GroupView{}}
 	for i, b := range m.books {
@@ -70,7 +70,7 @@
 }
 
 // sums adds up the requests of each group and all below it.
-func (m *Machine) sums() (served, refused []uint64) {
+func (m *Limiter) sums() (served, refused []uint64) {
 	served, refused = make([]uint64, len(m.stats)), make([]uint64, len(m.stats))
 	for n := len(m.stats) - 1; n >= 0; n-- {
 		served[n] += m.stats[n].Served
@@ -83,7 +83,7 @@
 	return served, refused
 }
 
-func (m *Machine) group(n int32) GroupView {
+func (m *Limiter) group(n int32) GroupView {
 	t := &m.tree.nodes[n]
 	g := GroupView{Path: m.tree.Path(n), Depth: int(t.depth), Served: m.stats[n].Served, Refused: m.stats[n].Refused}
 	for i, l := range m.tree.Limits {
@@ -112,7 +112,7 @@
 }
 
 // Explain tells of a group.
-func (m *Machine) Explain(now float64, g int32) Explanation {
+func (m *Limiter) Explain(now float64, g int32) Explanation {
 	now = m.clock(now)
 	_, refused := m.sums()
 	e := Explanation{Group: m.tree.Path(g), Refused: refused[g]}
@@ -138,7 +138,7 @@
 }
 
 // MostRefused returns the groups with most refusals, at most so many, the one with most first.
-func (m *Machine) MostRefused(most int) []Busy {
+func (m *Limiter) MostRefused(most int) []Busy {
 	all := make([]Busy, 0, most+1)
 	for g, s := range m.stats {
 		if s.Refused == 0 || len(all) == most && s.Refused <= all[most-1].Refused {
@@ -157,26 +157,26 @@
 }
 
 // Stats returns a group's requests, without those of the groups below it.
-func (m *Machine) Stats(g int32) Stats { return m.stats[g] }
+func (m *Limiter) Stats(g int32) Stats { return m.stats[g] }
 
 // Tally returns what has happened to a group's account, and its balance with its parent. It is settled as of the last call.
-func (m *Machine) Tally(g int32, limit int) (t Tally, balance float64) {
+func (m *Limiter) Tally(g int32, limit int) (t Tally, balance float64) {
 	b := m.books[limit]
 	b.settleChain(g, m.now)
 	return b.cells[g].Tally, b.cells[g].Balance
 }
 
 // Lost returns what of a limit's quota has found no room since nobody wanted it.
-func (m *Machine) Lost(limit int) float64 {
+func (m *Limiter) Lost(limit int) float64 {
 	m.books[limit].settleAll(m.now)
 	return m.books[limit].lost
 }
 
 // LostBy is Lost at a time.
-func (m *Machine) LostBy(now float64, limit int) float64 {
+func (m *Limiter) LostBy(now float64, limit int) float64 {
 	m.clock(now)
 	return m.Lost(limit)
 }
 
 // Capped tells whether a group's last refusal was for a cap.
-func (m *Machine) Capped(g int32) bool { return m.refusals[g].Limit >= 0 && m.refusals[g].Capped }
+func (m *Limiter) Capped(g int32) bool { return m.refusals[g].Limit >= 0 && m.refusals[g].Capped }
--- a/internal/quotas/replay/fleet_test.go
+++ b/internal/quotas/replay/fleet_test.go
@@ -32,7 +32,7 @@
 func playFleet(t *testing.T, tree *quota.Tree, load *Series, s quota.Settings, n int, skew float64) exactness {
 	rng := rand.New(rand.NewPCG(14, uint64(n)))
 	spread := func() float64 { return math.Exp(skew * rng.NormFloat64()) }
-	machines, sums := make([]*quota.Machine, n), make([][]float64, tree.Len())
+	machines, sums := make([]*quota.Limiter, n), make([][]float64, tree.Len())
 	weights := make([]float64, n)
 	for i := range machines {
 		machines[i], weights[i] = quota.New(tree, s, startS), spread()
--- a/internal/quotas/replay/replay.go
+++ b/internal/quotas/replay/replay.go
@@ -66,7 +66,7 @@
 
 // player is a load that is being played.
 type player struct {
-	m       *quota.Machine
+	m       *quota.Limiter
 	r       *Result
 	sources []*source // by group; nil: it has not asked
 	queue   due
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -17,7 +17,7 @@
 // quotaDesk is the quotas' place in the sidecar; nil where there are none.
 type quotaDesk struct {
 	settings  quotas.Settings
-	machine   *quota.Machine
+	machine   *quota.Limiter
 	directory *quotas.Directory
 	exempt    []bool // by class
 	floor     []bool
