--- a/internal/decide/quota/bench_test.go
+++ b/internal/decide/quota/bench_test.go
@@ -73,7 +73,7 @@
 					b.ResetTimer()
 					for i := range b.N {
 						at += step
-						if m.Ask(at, Request{Group: how.who[i*7919%len(how.who)]}).OK {
+						if m.Admit(at, Request{Group: how.who[i*7919%len(how.who)]}).OK {
 							served++
 						}
 					}
@@ -93,7 +93,7 @@
 	if n := testing.AllocsPerRun(20000, func() {
 		at += 1e-5
 		i++
-		m.Ask(at, Request{Group: leaves[i*31%len(leaves)]})
+		m.Admit(at, Request{Group: leaves[i*31%len(leaves)]})
 	}); n > 0 {
 		t.Fatalf("%g allocations", n)
 	}
--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Ask decides on a request and books what it costs so far. It takes nothing where it refuses.
-func (m *Limiter) Ask(now float64, q Request) Verdict {
+// Admit decides on a request and books what it costs so far. It takes nothing where it refuses.
+func (m *Limiter) Admit(now float64, q Request) Verdict {
 	now = m.clock(now)
 	q.tree = m.trees
 	v := Verdict{OK: true}
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -79,7 +79,7 @@
 
 func (e *event) play(m *Limiter) Verdict {
 	q := m.Request(e.q.Group, e.q.Bytes, e.q.Floor)
-	v := m.Ask(e.at, q)
+	v := m.Admit(e.at, q)
 	if v.OK {
 		m.Done(e.at, q, 0.01, e.bytes, 0)
 	}
@@ -206,7 +206,7 @@
 	leaves := leavesOf(tr)
 	served := 0
 	for i := range 100_000 {
-		if m.Ask(began+float64(i)*2e-4, Request{Group: leaves[i*7919%len(leaves)]}).OK {
+		if m.Admit(began+float64(i)*2e-4, Request{Group: leaves[i*7919%len(leaves)]}).OK {
 			served++
 		}
 	}
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -278,7 +278,7 @@
 	s.load(60, map[string]float64{"a": 500, "b": 500}) // the batch of its own group, and another
 	alerts := 0
 	for range 200 {
-		if s.Ask(s.at, Request{Group: s.group("a"), Floor: true}).OK {
+		if s.Admit(s.at, Request{Group: s.group("a"), Floor: true}).OK {
 			alerts++
 		}
 	}
@@ -290,7 +290,7 @@
 			s.ask("a")
 			s.ask("b")
 		}
-		if i%3 == 0 && s.Ask(s.at, Request{Group: s.group("a"), Floor: true}).OK {
+		if i%3 == 0 && s.Admit(s.at, Request{Group: s.group("a"), Floor: true}).OK {
 			alerts++
 		}
 	}
@@ -301,44 +301,44 @@
 func TestBytesAreChargedAfterwards(t *testing.T) {
 	s := newShop(t, tree(t, []Limit{{Bytes, 10, 10000}, {Work, 60, 6}}, Group{Name: "a", Share: 100, Cap: 100}))
 	q := Request{Group: s.group("a"), Bytes: 100}
-	require.True(t, s.Ask(s.at, q).OK)
+	require.True(t, s.Admit(s.at, q).OK)
 	s.Done(s.at, q, 0.1, 14900, 0.1)
-	v := s.Ask(s.at, q)
+	v := s.Admit(s.at, q)
 	require.False(t, v.OK, "the debt counts")
 	assert.InDelta(t, 5.1, v.AfterS, 0.01)
 	s.at += v.AfterS
-	require.True(t, s.Ask(s.at, q).OK)
+	require.True(t, s.Admit(s.at, q).OK)
 	s.Done(s.at, q, 0.1, 0, 60)
-	v = s.Ask(s.at+20, q)
+	v = s.Admit(s.at+20, q)
 	assert.Equal(t, 1, v.Limit)
 	huge := Request{Group: s.group("a"), Bytes: 1e6}
 	s.at += 3600
-	assert.True(t, s.Ask(s.at, huge).OK, "one that is larger than any window is taken up where all is there")
-	assert.False(t, s.Ask(s.at, huge).OK)
+	assert.True(t, s.Admit(s.at, huge).OK, "one that is larger than any window is taken up where all is there")
+	assert.False(t, s.Admit(s.at, huge).OK)
 }
 
 func TestOpenRequests(t *testing.T) {
 	s := newShop(t, tree(t, []Limit{{Open, 0, 10}}, Group{Name: "a", Share: 50, Cap: 80}, Group{Name: "b", Share: 50, Floor: 20}))
 	a, b := s.Request(s.group("a"), 0, false), s.Request(s.group("b"), 0, false)
 	for range 8 {
-		require.True(t, s.Ask(s.at, a).OK)
+		require.True(t, s.Admit(s.at, a).OK)
 	}
-	assert.False(t, s.Ask(s.at, a).OK, "beyond its cap")
+	assert.False(t, s.Admit(s.at, a).OK, "beyond its cap")
 	for range 3 {
-		require.True(t, s.Ask(s.at, b).OK, "its own, at once")
+		require.True(t, s.Admit(s.at, b).OK, "its own, at once")
 	}
-	assert.False(t, s.Ask(s.at, b).OK, "what is left is the floor")
+	assert.False(t, s.Admit(s.at, b).OK, "what is left is the floor")
 	b.Floor = true
 	for range 2 {
-		require.True(t, s.Ask(s.at, b).OK)
+		require.True(t, s.Admit(s.at, b).OK)
 	}
-	v := s.Ask(s.at, b)
+	v := s.Admit(s.at, b)
 	assert.False(t, v.OK)
 	assert.Positive(t, v.AfterS)
 	for range 6 {
 		s.Done(s.at, a, 0.1, 0, 0)
 	}
-	assert.True(t, s.Ask(s.at, b).OK, "what others leave")
+	assert.True(t, s.Admit(s.at, b).OK, "what others leave")
 	next := tree(t, []Limit{{Open, 0, 10}}, Group{Name: "b", Share: 100})
 	s.Limiter = s.Replace(s.at, next, Settings{})
 	s.Done(s.at, a, 0.1, 0, 0)
@@ -351,7 +351,7 @@
 	// A limit that comes while requests are out has not counted them.
 	s = newShop(t, tree(t, []Limit{perSecond(1)}, Group{Name: "a", Share: 100}))
 	q := s.Request(s.group("a"), 0, false)
-	require.True(t, s.Ask(s.at, q).OK)
+	require.True(t, s.Admit(s.at, q).OK)
 	s.Limiter = s.Replace(s.at, tree(t, []Limit{perSecond(1), {Open, 0, 1}}, Group{Name: "a", Share: 100}), Settings{})
 	s.Done(s.at, q, 1, 0, 0)
 	assert.Equal(t, int32(0), s.opens[1].open[0])
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -64,7 +64,7 @@
 		h["Organisation"] = fmt.Sprintf("north.name%d", i)
 		g := d.Group(h, "latest-reading", netip.Addr{})
 		require.Equal(t, "others", tree.Path(g))
-		m.Ask(float64(i)/1e5, quota.Request{Group: g})
+		m.Admit(float64(i)/1e5, quota.Request{Group: g})
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -84,7 +84,7 @@
 	m := quota.New(tree, quota.Settings{}, 100)
 	g, _ := tree.Find("ministry")
 	for range 15 {
-		m.Ask(100, quota.Request{Group: g})
+		m.Admit(100, quota.Request{Group: g})
 	}
 	d := NewDisk(dir, log)
 	d.Write(m.State())
