--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -163,9 +163,9 @@
 	m.refusals[q.Group] = Refusal{At: m.now, Limit: int32(limit), Capped: capped, Lacked: lacks, AfterS: afterS, Own: own}
 }
 
-// Done notes that a request that has been taken up is answered, after a time, with an answer of so many bytes that took
+// Complete notes that a request that has been taken up is answered, after a time, with an answer of so many bytes that took
 // so much work. What they cost may go beyond what is there; the debt counts.
-func (m *Limiter) Done(now float64, q Request, afterS, bytes, workS float64) {
+func (m *Limiter) Complete(now float64, q Request, afterS, bytes, workS float64) {
 	now = m.clock(now)
 	if q.Group = m.present(&q); q.Group < 0 {
 		return
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -81,7 +81,7 @@
 	q := m.Request(e.q.Group, e.q.Bytes, e.q.Floor)
 	v := m.Admit(e.at, q)
 	if v.OK {
-		m.Done(e.at, q, 0.01, e.bytes, 0)
+		m.Complete(e.at, q, 0.01, e.bytes, 0)
 	}
 	return v
 }
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -145,7 +145,7 @@
 
 	s.Limiter = s.Replace(s.at, tree(t, []Limit{perSecond(100)}, Group{Name: "b", Share: 60}, Group{Name: "c", Share: 40}), Settings{Repay: usualRepay})
 	s.audit()
-	s.Done(s.at, taken, 1, 0, 0) // what it had out ends when it is gone
+	s.Complete(s.at, taken, 1, 0, 0) // what it had out ends when it is gone
 	_, left := s.Tally(s.group("b"), 0)
 	assert.InDelta(t, claim, left, 1, "its lenders' claims stand")
 	got := s.load(600, map[string]float64{"b": 100, "c": 100})
@@ -302,13 +302,13 @@
 	s := newShop(t, tree(t, []Limit{{Bytes, 10, 10000}, {Work, 60, 6}}, Group{Name: "a", Share: 100, Cap: 100}))
 	q := Request{Group: s.group("a"), Bytes: 100}
 	require.True(t, s.Admit(s.at, q).OK)
-	s.Done(s.at, q, 0.1, 14900, 0.1)
+	s.Complete(s.at, q, 0.1, 14900, 0.1)
 	v := s.Admit(s.at, q)
 	require.False(t, v.OK, "the debt counts")
 	assert.InDelta(t, 5.1, v.AfterS, 0.01)
 	s.at += v.AfterS
 	require.True(t, s.Admit(s.at, q).OK)
-	s.Done(s.at, q, 0.1, 0, 60)
+	s.Complete(s.at, q, 0.1, 0, 60)
 	v = s.Admit(s.at+20, q)
 	assert.Equal(t, 1, v.Limit)
 	huge := Request{Group: s.group("a"), Bytes: 1e6}
@@ -336,15 +336,15 @@
 	assert.False(t, v.OK)
 	assert.Positive(t, v.AfterS)
 	for range 6 {
-		s.Done(s.at, a, 0.1, 0, 0)
+		s.Complete(s.at, a, 0.1, 0, 0)
 	}
 	assert.True(t, s.Admit(s.at, b).OK, "what others leave")
 	next := tree(t, []Limit{{Open, 0, 10}}, Group{Name: "b", Share: 100})
 	s.Limiter = s.Replace(s.at, next, Settings{})
-	s.Done(s.at, a, 0.1, 0, 0)
-	s.Done(s.at, a, 0.1, 0, 0)
+	s.Complete(s.at, a, 0.1, 0, 0)
+	s.Complete(s.at, a, 0.1, 0, 0)
 	for range 6 {
-		s.Done(s.at, b, 0.1, 0, 0)
+		s.Complete(s.at, b, 0.1, 0, 0)
 	}
 	assert.Equal(t, int32(0), s.opens[0].open[0], "whoever goes, nothing is left over")
 
@@ -353,7 +353,7 @@
 	q := s.Request(s.group("a"), 0, false)
 	require.True(t, s.Admit(s.at, q).OK)
 	s.Limiter = s.Replace(s.at, tree(t, []Limit{perSecond(1), {Open, 0, 1}}, Group{Name: "a", Share: 100}), Settings{})
-	s.Done(s.at, q, 1, 0, 0)
+	s.Complete(s.at, q, 1, 0, 0)
 	assert.Equal(t, int32(0), s.opens[1].open[0])
 }
 
--- a/internal/quotas/replay/replay.go
+++ b/internal/quotas/replay/replay.go
@@ -166,7 +166,7 @@
 	p.r.Asks++
 	if v := p.m.Admit(now, q); v.OK {
 		h.Served++
-		p.m.Done(now, q, 0, 0, src.step.WorkS)
+		p.m.Complete(now, q, 0, 0, src.step.WorkS)
 	} else {
 		h.Refused++
 		p.wanted = p.wanted || v.Limit == p.r.Limit && !p.m.Capped(g)
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -207,7 +207,7 @@
 func (s *Sidecar) settleQuota(r *request) {
 	if t := &r.quota; t.taken {
 		now := s.now()
-		s.quotas.machine.Done(now, t.ask, now-t.at, t.bytes, t.worked)
+		s.quotas.machine.Complete(now, t.ask, now-t.at, t.bytes, t.worked)
 	}
 }
 
