--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -63,8 +63,8 @@
 	tree int // which of the machine's trees, one after the other, Group is in
 }
 
-// Request returns a request of a group of the present tree.
-func (m *Limiter) Request(g int32, bytes float64, floor bool) Request {
+// NewRequest returns a request of a group of the present tree.
+func (m *Limiter) NewRequest(g int32, bytes float64, floor bool) Request {
 	return Request{Group: g, Bytes: bytes, Floor: floor, tree: m.trees}
 }
 
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -78,7 +78,7 @@
 }
 
 func (e *event) play(m *Limiter) Verdict {
-	q := m.Request(e.q.Group, e.q.Bytes, e.q.Floor)
+	q := m.NewRequest(e.q.Group, e.q.Bytes, e.q.Floor)
 	v := m.Admit(e.at, q)
 	if v.OK {
 		m.Complete(e.at, q, 0.01, e.bytes, 0)
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -141,7 +141,7 @@
 	s.load(600, map[string]float64{"a": 200})
 	_, claim := s.Tally(s.group("b"), 0)
 	require.Greater(t, claim, 20000.0)
-	taken := s.Request(s.group("a"), 0, false)
+	taken := s.NewRequest(s.group("a"), 0, false)
 
 	s.Limiter = s.Replace(s.at, tree(t, []Limit{perSecond(100)}, Group{Name: "b", Share: 60}, Group{Name: "c", Share: 40}), Settings{Repay: usualRepay})
 	s.audit()
@@ -319,7 +319,7 @@
 
 func TestOpenRequests(t *testing.T) {
 	s := newShop(t, tree(t, []Limit{{Open, 0, 10}}, Group{Name: "a", Share: 50, Cap: 80}, Group{Name: "b", Share: 50, Floor: 20}))
-	a, b := s.Request(s.group("a"), 0, false), s.Request(s.group("b"), 0, false)
+	a, b := s.NewRequest(s.group("a"), 0, false), s.NewRequest(s.group("b"), 0, false)
 	for range 8 {
 		require.True(t, s.Admit(s.at, a).OK)
 	}
@@ -350,7 +350,7 @@
 
 	// A limit that comes while requests are out has not counted them.
 	s = newShop(t, tree(t, []Limit{perSecond(1)}, Group{Name: "a", Share: 100}))
-	q := s.Request(s.group("a"), 0, false)
+	q := s.NewRequest(s.group("a"), 0, false)
 	require.True(t, s.Admit(s.at, q).OK)
 	s.Limiter = s.Replace(s.at, tree(t, []Limit{perSecond(1), {Open, 0, 1}}, Group{Name: "a", Share: 100}), Settings{})
 	s.Complete(s.at, q, 1, 0, 0)
--- a/internal/quotas/replay/replay.go
+++ b/internal/quotas/replay/replay.go
@@ -160,7 +160,7 @@
 
 func (p *player) ask(src *source) {
 	g, now := src.step.Group, startS+src.next
-	q := p.m.Request(g, src.step.Bytes, false)
+	q := p.m.NewRequest(g, src.step.Bytes, false)
 	h := &p.r.Hours[g][p.hour]
 	h.Asked++
 	p.r.Asks++
--- a/internal/quotas/stored_form_test.go
+++ b/internal/quotas/stored_form_test.go
@@ -24,7 +24,7 @@
 		g, ok := tree.Find(name)
 		require.True(t, ok)
 		for range 15 * (i + 1) {
-			m.Admit(100+float64(i), m.Request(g, 0, false))
+			m.Admit(100+float64(i), m.NewRequest(g, 0, false))
 		}
 	}
 	log := slog.New(slog.DiscardHandler)
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -169,7 +169,7 @@
 		bytes, header = q.Bytes(), q
 	}
 	g := d.directory.Group(header, s.cfg.Settings.Policy.Classes[a.Class].Name, clientAddress(l.conn))
-	t := quotaTicket{ask: d.machine.Request(g, float64(bytes), d.floor[a.Class]), taken: true, at: now}
+	t := quotaTicket{ask: d.machine.NewRequest(g, float64(bytes), d.floor[a.Class]), taken: true, at: now}
 	v := d.machine.Admit(now, t.ask)
 	if v.OK {
 		d.counts.Served++
