--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -191,7 +191,7 @@
 				e.play(m)
 				late = max(late, e.at)
 			}
-			m = m.Replace(late, drawTree(t), Settings{Repay: 0.1})
+			m = m.WithTree(late, drawTree(t), Settings{Repay: 0.1})
 			worst, at := m.Audit(late)
 			if worst > 1e-3 {
 				t.Fatalf("%s is off by %g", at, worst)
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -143,7 +143,7 @@
 	require.Greater(t, claim, 20000.0)
 	taken := s.NewRequest(s.group("a"), 0, false)
 
-	s.Limiter = s.Replace(s.at, tree(t, []Limit{perSecond(100)}, Group{Name: "b", Share: 60}, Group{Name: "c", Share: 40}), Settings{Repay: usualRepay})
+	s.Limiter = s.WithTree(s.at, tree(t, []Limit{perSecond(100)}, Group{Name: "b", Share: 60}, Group{Name: "c", Share: 40}), Settings{Repay: usualRepay})
 	s.audit()
 	s.Complete(s.at, taken, 1, 0, 0) // what it had out ends when it is gone
 	_, left := s.Tally(s.group("b"), 0)
@@ -161,7 +161,7 @@
 	tallied, owed := s.Tally(1, 0)
 	next := tree(t, []Limit{perSecond(200), {Bytes, 60, 1e6}}, Group{Name: "new", Share: 20}, Group{Name: "b", Share: 40},
 		Group{Name: "a", Share: 40}, Group{Name: "x", Parent: "a", Share: 50}) // a has become a group of groups
-	s.Limiter = s.Replace(s.at, next, Settings{Repay: usualRepay})
+	s.Limiter = s.WithTree(s.at, next, Settings{Repay: usualRepay})
 	s.audit()
 	now, still := s.Tally(s.group("a"), 0)
 	assert.Equal(t, owed, still)
@@ -169,7 +169,7 @@
 	s.load(600, map[string]float64{"x": 300, "b": 300, "new": 300})
 	_, still = s.Tally(s.group("a"), 0)
 	assert.Greater(t, still, owed, "it pays on")
-	s.Limiter = s.Replace(s.at, tree(t, []Limit{perSecond(100)}, Group{Name: "a", Share: 50}, Group{Name: "b", Share: 50}), Settings{Repay: usualRepay})
+	s.Limiter = s.WithTree(s.at, tree(t, []Limit{perSecond(100)}, Group{Name: "a", Share: 50}, Group{Name: "b", Share: 50}), Settings{Repay: usualRepay})
 	s.audit()
 	got := s.load(600, map[string]float64{"a": 50, "b": 50})
 	assert.Greater(t, got["b"], 29000.0)
@@ -340,7 +340,7 @@
 	}
 	assert.True(t, s.Admit(s.at, b).OK, "what others leave")
 	next := tree(t, []Limit{{Open, 0, 10}}, Group{Name: "b", Share: 100})
-	s.Limiter = s.Replace(s.at, next, Settings{})
+	s.Limiter = s.WithTree(s.at, next, Settings{})
 	s.Complete(s.at, a, 0.1, 0, 0)
 	s.Complete(s.at, a, 0.1, 0, 0)
 	for range 6 {
@@ -352,7 +352,7 @@
 	s = newShop(t, tree(t, []Limit{perSecond(1)}, Group{Name: "a", Share: 100}))
 	q := s.NewRequest(s.group("a"), 0, false)
 	require.True(t, s.Admit(s.at, q).OK)
-	s.Limiter = s.Replace(s.at, tree(t, []Limit{perSecond(1), {Open, 0, 1}}, Group{Name: "a", Share: 100}), Settings{})
+	s.Limiter = s.WithTree(s.at, tree(t, []Limit{perSecond(1), {Open, 0, 1}}, Group{Name: "a", Share: 100}), Settings{})
 	s.Complete(s.at, q, 1, 0, 0)
 	assert.Equal(t, int32(0), s.opens[1].open[0])
 }
--- a/internal/decide/quota/state.go
+++ b/internal/decide/quota/state.go
@@ -190,10 +190,10 @@
 	}
 }
 
-// Replace puts another tree in a machine's place. What a group holds, owes and is owed goes on under its path, within its
+// WithTree puts another tree in a machine's place. What a group holds, owes and is owed goes on under its path, within its
 // new bounds. The debts of a group that is gone are written off, and its claims fall to the pool that they are on; a new
 // group begins with a full bucket.
-func (m *Limiter) Replace(now float64, t *Tree, settings Settings) *Limiter {
+func (m *Limiter) WithTree(now float64, t *Tree, settings Settings) *Limiter {
 	now = m.clock(now)
 	for _, b := range m.books {
 		if b != nil {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -122,7 +122,7 @@
 		s.log.Error("the quotas stay as they were", "error", err)
 	case tree != nil:
 		d.counts.Reloads++
-		d.machine = d.machine.Replace(s.now(), tree, d.settings.Machine(s.cfg.Settings.Policy.Replicas))
+		d.machine = d.machine.WithTree(s.now(), tree, d.settings.Machine(s.cfg.Settings.Policy.Replicas))
 		d.directory = quotas.NewDirectory(&d.settings, tree)
 		s.log.Info("quotas read", "groups", tree.Len()-1)
 	}
