--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -137,8 +137,8 @@
 	Refused uint64 `json:"refused"`
 }
 
-// MostRefused returns the groups with most refusals, at most so many, the one with most first.
-func (m *Limiter) MostRefused(most int) []Busy {
+// TopRejected returns the groups with most refusals, at most so many, the one with most first.
+func (m *Limiter) TopRejected(most int) []Busy {
 	all := make([]Busy, 0, most+1)
 	for g, s := range m.stats {
 		if s.Refused == 0 || len(all) == most && s.Refused <= all[most-1].Refused {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -218,7 +218,7 @@
 		return nil
 	}
 	c := &d.counts
-	c.Groups, c.MostRefused = d.machine.Tree().Len()-1, d.machine.MostRefused(countedGroups)
+	c.Groups, c.MostRefused = d.machine.Tree().Len()-1, d.machine.TopRejected(countedGroups)
 	if d.disk != nil {
 		c.Snapshots, c.SnapshotLate, c.SnapshotErrs = d.disk.Written.Load(), d.disk.Late, d.disk.Errors.Load()
 	}
