--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -172,8 +172,8 @@
 	return m.books[limit].lost
 }
 
-// LostBy is Lost at a time.
-func (m *Limiter) LostBy(now float64, limit int) float64 {
+// LostAt is Lost at a time.
+func (m *Limiter) LostAt(now float64, limit int) float64 {
 	m.clock(now)
 	return m.Lost(limit)
 }
--- a/internal/quotas/replay/replay.go
+++ b/internal/quotas/replay/replay.go
@@ -176,7 +176,7 @@
 // endMinute adds up what was left in a minute in which somebody wanted more. Danger: what flows into the buckets of those
 // who were asleep is kept for them and not lost; lost is what found no room.
 func (p *player) endMinute(at float64) {
-	lost := p.m.LostBy(startS+at, p.r.Limit)
+	lost := p.m.LostAt(startS+at, p.r.Limit)
 	root, _ := p.m.Tally(0, p.r.Limit)
 	if p.wanted {
 		p.r.Offered += p.root * minuteS
