--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -178,5 +178,5 @@
 	return m.Lost(limit)
 }
 
-// Capped tells whether a group's last refusal was for a cap.
-func (m *Limiter) Capped(g int32) bool { return m.refusals[g].Limit >= 0 && m.refusals[g].Capped }
+// WasCapped tells whether a group's last refusal was for a cap.
+func (m *Limiter) WasCapped(g int32) bool { return m.refusals[g].Limit >= 0 && m.refusals[g].Capped }
--- a/internal/quotas/replay/replay.go
+++ b/internal/quotas/replay/replay.go
@@ -169,7 +169,7 @@
 		p.m.Complete(now, q, 0, 0, src.step.WorkS)
 	} else {
 		h.Refused++
-		p.wanted = p.wanted || v.Limit == p.r.Limit && !p.m.Capped(g)
+		p.wanted = p.wanted || v.Limit == p.r.Limit && !p.m.WasCapped(g)
 	}
 }
 
