--- a/internal/decide/quota/helpers_test.go
+++ b/internal/decide/quota/helpers_test.go
@@ -44,7 +44,7 @@
 }
 
 // ask asks for a request of a group now.
-func (s *shop) ask(name string) Verdict { return s.Admit(s.at, Request{Group: s.group(name)}) }
+func (s *shop) ask(name string) Decision { return s.Admit(s.at, Request{Group: s.group(name)}) }
 
 // load has groups ask steadily for so many requests a second each, in turns, and returns how many were taken up.
 func (s *shop) load(forS float64, ratePS map[string]float64) map[string]float64 {
--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -47,8 +47,8 @@
 	Own    float64 // the group's own level then
 }
 
-// Verdict says whether a request may be taken up.
-type Verdict struct {
+// Decision says whether a request may be taken up.
+type Decision struct {
 	OK     bool
 	Limit  int     // that refuses
 	AfterS float64 // when it could be had
@@ -114,14 +114,14 @@
 }
 
 // Admit decides on a request and books what it costs so far. It takes nothing where it refuses.
-func (m *Limiter) Admit(now float64, q Request) Verdict {
+func (m *Limiter) Admit(now float64, q Request) Decision {
 	now = m.clock(now)
 	q.tree = m.trees
-	v := Verdict{OK: true}
+	v := Decision{OK: true}
 	for i, b := range m.books {
 		if b == nil {
 			if after := m.opens[i].refuses(q.Group, q.Floor); after > 0 && after > v.AfterS {
-				v = Verdict{Limit: i, AfterS: after}
+				v = Decision{Limit: i, AfterS: after}
 				m.refuse(i, after, 1, 0, false, &q)
 			}
 			continue
@@ -139,7 +139,7 @@
 			}
 		}
 		if after > v.AfterS {
-			v = Verdict{Limit: i, AfterS: after}
+			v = Decision{Limit: i, AfterS: after}
 			m.refuse(i, after, lacks, b.cells[q.Group].Level, capped, &q)
 		}
 	}
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -77,7 +77,7 @@
 	return all
 }
 
-func (e *event) play(m *Limiter) Verdict {
+func (e *event) play(m *Limiter) Decision {
 	q := m.NewRequest(e.q.Group, e.q.Bytes, e.q.Floor)
 	v := m.Admit(e.at, q)
 	if v.OK {
