--- a/internal/decide/quota/bench_test.go
+++ b/internal/decide/quota/bench_test.go
@@ -73,7 +73,7 @@
 					b.ResetTimer()
 					for i := range b.N {
 						at += step
-						if m.Admit(at, Request{Group: how.who[i*7919%len(how.who)]}).OK {
+						if m.Admit(at, Request{Group: how.who[i*7919%len(how.who)]}).Allowed {
 							served++
 						}
 					}
--- a/internal/decide/quota/helpers_test.go
+++ b/internal/decide/quota/helpers_test.go
@@ -74,7 +74,7 @@
 		}
 		s.at = first.nextAt
 		first.nextAt += first.every
-		if s.ask(first.name).OK {
+		if s.ask(first.name).Allowed {
 			served[first.name]++
 		}
 	}
--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -49,9 +49,9 @@
 
 // Decision says whether a request may be taken up.
 type Decision struct {
-	OK     bool
-	Limit  int     // that refuses
-	AfterS float64 // when it could be had
+	Allowed bool
+	Limit   int     // that refuses
+	AfterS  float64 // when it could be had
 }
 
 // Request is what is known of a request before it is taken up.
@@ -117,7 +117,7 @@
 func (m *Limiter) Admit(now float64, q Request) Decision {
 	now = m.clock(now)
 	q.tree = m.trees
-	v := Decision{OK: true}
+	v := Decision{Allowed: true}
 	for i, b := range m.books {
 		if b == nil {
 			if after := m.opens[i].refuses(q.Group, q.Floor); after > 0 && after > v.AfterS {
@@ -143,7 +143,7 @@
 			m.refuse(i, after, lacks, b.cells[q.Group].Level, capped, &q)
 		}
 	}
-	if !v.OK {
+	if !v.Allowed {
 		m.stats[q.Group].Refused++
 		return v
 	}
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -80,7 +80,7 @@
 func (e *event) play(m *Limiter) Decision {
 	q := m.NewRequest(e.q.Group, e.q.Bytes, e.q.Floor)
 	v := m.Admit(e.at, q)
-	if v.OK {
+	if v.Allowed {
 		m.Complete(e.at, q, 0.01, e.bytes, 0)
 	}
 	return v
@@ -95,7 +95,7 @@
 		late := began
 		for i, e := range drawEvents(t, tr) {
 			v := e.play(m)
-			if late = max(late, e.at); !v.OK && (v.AfterS <= 0 || v.AfterS > 31*86400) {
+			if late = max(late, e.at); !v.Allowed && (v.AfterS <= 0 || v.AfterS > 31*86400) {
 				t.Fatalf("refused for %g s", v.AfterS)
 			}
 			if i%32 == 0 {
@@ -206,7 +206,7 @@
 	leaves := leavesOf(tr)
 	served := 0
 	for i := range 100_000 {
-		if m.Admit(began+float64(i)*2e-4, Request{Group: leaves[i*7919%len(leaves)]}).OK {
+		if m.Admit(began+float64(i)*2e-4, Request{Group: leaves[i*7919%len(leaves)]}).Allowed {
 			served++
 		}
 	}
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -179,21 +179,21 @@
 	limits := []Limit{{Requests, 10, 100}, {Requests, 3600, 7200}}
 	s := newShop(t, tree(t, limits, Group{Name: "a", Share: 100}))
 	for range 100 {
-		require.True(t, s.ask("a").OK)
+		require.True(t, s.ask("a").Allowed)
 	}
 	v := s.ask("a")
-	assert.False(t, v.OK)
+	assert.False(t, v.Allowed)
 	assert.Equal(t, 0, v.Limit, "the short one is used up, the long one is open")
 	assert.InDelta(t, 0.1, v.AfterS, 0.01)
 	s.at += v.AfterS
-	assert.True(t, s.ask("a").OK, "when it was said")
+	assert.True(t, s.ask("a").Allowed, "when it was said")
 
 	s.load(1200, map[string]float64{"a": 10})
 	v = s.ask("a")
-	require.False(t, v.OK)
+	require.False(t, v.Allowed)
 	assert.Equal(t, 1, v.Limit, "the long one is used up")
 	s.at += 0.4
-	for !s.ask("a").OK {
+	for !s.ask("a").Allowed {
 		s.at += 0.01
 	}
 	assert.Positive(t, s.books[0].cells[1].Level, "while the short one is open")
@@ -205,7 +205,7 @@
 	s := pair(t)
 	served := 0
 	for range 10000 { // it stands
-		if s.ask("a").OK {
+		if s.ask("a").Allowed {
 			served++
 		}
 	}
@@ -213,7 +213,7 @@
 	s.at += 3600 // the machine slept
 	served = 0
 	for range 10000 {
-		if s.ask("a").OK {
+		if s.ask("a").Allowed {
 			served++
 		}
 	}
@@ -221,9 +221,9 @@
 	s.audit()
 	before := s.at
 	s.at -= 7200
-	assert.False(t, s.ask("a").OK)
+	assert.False(t, s.ask("a").Allowed)
 	s.at = math.NaN()
-	assert.False(t, s.ask("a").OK)
+	assert.False(t, s.ask("a").Allowed)
 	s.at = before
 	got := s.load(60, map[string]float64{"a": 40, "b": 40})
 	assert.InDelta(t, 2400, got["a"], 30)
@@ -236,7 +236,7 @@
 	assert.InDelta(t, 100, got["a"], 4)
 	assert.InDelta(t, 100, got["b"], 4)
 	v := s.ask("a")
-	require.False(t, v.OK)
+	require.False(t, v.Allowed)
 	assert.LessOrEqual(t, v.AfterS, 45.0, "one request's time of its own, and what it pays back")
 }
 
@@ -246,14 +246,14 @@
 	var waiting [60]float64 // each of its clients has one request out, and sends the next when that is served
 	hasty, patient := 0, 0
 	for end := s.at + 120; s.at < end; s.at += 0.002 {
-		if s.ask("hasty").OK { // 500 a second
+		if s.ask("hasty").Allowed { // 500 a second
 			hasty++
 		}
 		for i := range waiting {
 			if s.at < waiting[i] {
 				continue
 			}
-			if v := s.ask("patient"); v.OK {
+			if v := s.ask("patient"); v.Allowed {
 				patient++
 				waiting[i] = s.at + 0.5
 			} else {
@@ -278,7 +278,7 @@
 	s.load(60, map[string]float64{"a": 500, "b": 500}) // the batch of its own group, and another
 	alerts := 0
 	for range 200 {
-		if s.Admit(s.at, Request{Group: s.group("a"), Floor: true}).OK {
+		if s.Admit(s.at, Request{Group: s.group("a"), Floor: true}).Allowed {
 			alerts++
 		}
 	}
@@ -290,7 +290,7 @@
 			s.ask("a")
 			s.ask("b")
 		}
-		if i%3 == 0 && s.Admit(s.at, Request{Group: s.group("a"), Floor: true}).OK {
+		if i%3 == 0 && s.Admit(s.at, Request{Group: s.group("a"), Floor: true}).Allowed {
 			alerts++
 		}
 	}
@@ -301,44 +301,44 @@
 func TestBytesAreChargedAfterwards(t *testing.T) {
 	s := newShop(t, tree(t, []Limit{{Bytes, 10, 10000}, {Work, 60, 6}}, Group{Name: "a", Share: 100, Cap: 100}))
 	q := Request{Group: s.group("a"), Bytes: 100}
-	require.True(t, s.Admit(s.at, q).OK)
+	require.True(t, s.Admit(s.at, q).Allowed)
 	s.Complete(s.at, q, 0.1, 14900, 0.1)
 	v := s.Admit(s.at, q)
-	require.False(t, v.OK, "the debt counts")
+	require.False(t, v.Allowed, "the debt counts")
 	assert.InDelta(t, 5.1, v.AfterS, 0.01)
 	s.at += v.AfterS
-	require.True(t, s.Admit(s.at, q).OK)
+	require.True(t, s.Admit(s.at, q).Allowed)
 	s.Complete(s.at, q, 0.1, 0, 60)
 	v = s.Admit(s.at+20, q)
 	assert.Equal(t, 1, v.Limit)
 	huge := Request{Group: s.group("a"), Bytes: 1e6}
 	s.at += 3600
-	assert.True(t, s.Admit(s.at, huge).OK, "one that is larger than any window is taken up where all is there")
-	assert.False(t, s.Admit(s.at, huge).OK)
+	assert.True(t, s.Admit(s.at, huge).Allowed, "one that is larger than any window is taken up where all is there")
+	assert.False(t, s.Admit(s.at, huge).Allowed)
 }
 
 func TestOpenRequests(t *testing.T) {
 	s := newShop(t, tree(t, []Limit{{Open, 0, 10}}, Group{Name: "a", Share: 50, Cap: 80}, Group{Name: "b", Share: 50, Floor: 20}))
 	a, b := s.NewRequest(s.group("a"), 0, false), s.NewRequest(s.group("b"), 0, false)
 	for range 8 {
-		require.True(t, s.Admit(s.at, a).OK)
+		require.True(t, s.Admit(s.at, a).Allowed)
 	}
-	assert.False(t, s.Admit(s.at, a).OK, "beyond its cap")
+	assert.False(t, s.Admit(s.at, a).Allowed, "beyond its cap")
 	for range 3 {
-		require.True(t, s.Admit(s.at, b).OK, "its own, at once")
+		require.True(t, s.Admit(s.at, b).Allowed, "its own, at once")
 	}
-	assert.False(t, s.Admit(s.at, b).OK, "what is left is the floor")
+	assert.False(t, s.Admit(s.at, b).Allowed, "what is left is the floor")
 	b.Floor = true
 	for range 2 {
-		require.True(t, s.Admit(s.at, b).OK)
+		require.True(t, s.Admit(s.at, b).Allowed)
 	}
 	v := s.Admit(s.at, b)
-	assert.False(t, v.OK)
+	assert.False(t, v.Allowed)
 	assert.Positive(t, v.AfterS)
 	for range 6 {
 		s.Complete(s.at, a, 0.1, 0, 0)
 	}
-	assert.True(t, s.Admit(s.at, b).OK, "what others leave")
+	assert.True(t, s.Admit(s.at, b).Allowed, "what others leave")
 	next := tree(t, []Limit{{Open, 0, 10}}, Group{Name: "b", Share: 100})
 	s.Limiter = s.WithTree(s.at, next, Settings{})
 	s.Complete(s.at, a, 0.1, 0, 0)
@@ -351,7 +351,7 @@
 	// A limit that comes while requests are out has not counted them.
 	s = newShop(t, tree(t, []Limit{perSecond(1)}, Group{Name: "a", Share: 100}))
 	q := s.NewRequest(s.group("a"), 0, false)
-	require.True(t, s.Admit(s.at, q).OK)
+	require.True(t, s.Admit(s.at, q).Allowed)
 	s.Limiter = s.WithTree(s.at, tree(t, []Limit{perSecond(1), {Open, 0, 1}}, Group{Name: "a", Share: 100}), Settings{})
 	s.Complete(s.at, q, 1, 0, 0)
 	assert.Equal(t, int32(0), s.opens[1].open[0])
--- a/internal/decide/quota/stored_form_test.go
+++ b/internal/decide/quota/stored_form_test.go
@@ -25,7 +25,7 @@
 		for n, name := range []string{"city", "port", "ministry"} {
 			if g, _ := tr.Find(name); i%(n+1) == 0 && (i < 250 || n != 1) {
 				q := m.NewRequest(g, float64(100*n+i), i%2 == 0)
-				if m.Admit(now, q).OK && i%9 > 0 {
+				if m.Admit(now, q).Allowed && i%9 > 0 {
 					m.Complete(now+0.02, q, 0.02, float64(i*10), 0.01)
 				}
 			}
--- a/internal/quotas/replay/fleet_test.go
+++ b/internal/quotas/replay/fleet_test.go
@@ -70,7 +70,7 @@
 			minute, wanted, inMinute = m, false, 0
 		}
 		i := min(sort.SearchFloat64s(sums[g], rng.Float64()*sums[g][n-1]), n-1)
-		if machines[i].Admit(startS+at, machines[i].NewRequest(g, 0, false)).OK {
+		if machines[i].Admit(startS+at, machines[i].NewRequest(g, 0, false)).Allowed {
 			served[g][int(at/hourS)]++
 			total[int(at/hourS)]++
 			inMinute++
--- a/internal/quotas/replay/replay.go
+++ b/internal/quotas/replay/replay.go
@@ -164,7 +164,7 @@
 	h := &p.r.Hours[g][p.hour]
 	h.Asked++
 	p.r.Asks++
-	if v := p.m.Admit(now, q); v.OK {
+	if v := p.m.Admit(now, q); v.Allowed {
 		h.Served++
 		p.m.Complete(now, q, 0, 0, src.step.WorkS)
 	} else {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -171,7 +171,7 @@
 	g := d.directory.Group(header, s.cfg.Settings.Policy.Classes[a.Class].Name, clientAddress(l.conn))
 	t := quotaTicket{ask: d.machine.NewRequest(g, float64(bytes), d.floor[a.Class]), taken: true, at: now}
 	v := d.machine.Admit(now, t.ask)
-	if v.OK {
+	if v.Allowed {
 		d.counts.Served++
 		return t, true
 	}
