--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -49,9 +49,9 @@
 
 // Decision says whether a request may be taken up.
 type Decision struct {
-	Allowed bool
-	Limit   int     // that refuses
-	AfterS  float64 // when it could be had
+	Allowed           bool
+	Limit             int     // that refuses
+	RetryAfterSeconds float64 // when it could be had
 }
 
 // Request is what is known of a request before it is taken up.
@@ -120,8 +120,8 @@
 	v := Decision{Allowed: true}
 	for i, b := range m.books {
 		if b == nil {
-			if after := m.opens[i].refuses(q.Group, q.Floor); after > 0 && after > v.AfterS {
-				v = Decision{Limit: i, AfterS: after}
+			if after := m.opens[i].refuses(q.Group, q.Floor); after > 0 && after > v.RetryAfterSeconds {
+				v = Decision{Limit: i, RetryAfterSeconds: after}
 				m.refuse(i, after, 1, 0, false, &q)
 			}
 			continue
@@ -138,8 +138,8 @@
 				after, capped = b.wait(q.Group, need, q.Floor), false
 			}
 		}
-		if after > v.AfterS {
-			v = Decision{Limit: i, AfterS: after}
+		if after > v.RetryAfterSeconds {
+			v = Decision{Limit: i, RetryAfterSeconds: after}
 			m.refuse(i, after, lacks, b.cells[q.Group].Level, capped, &q)
 		}
 	}
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -95,8 +95,8 @@
 		late := began
 		for i, e := range drawEvents(t, tr) {
 			v := e.play(m)
-			if late = max(late, e.at); !v.Allowed && (v.AfterS <= 0 || v.AfterS > 31*86400) {
-				t.Fatalf("refused for %g s", v.AfterS)
+			if late = max(late, e.at); !v.Allowed && (v.RetryAfterSeconds <= 0 || v.RetryAfterSeconds > 31*86400) {
+				t.Fatalf("refused for %g s", v.RetryAfterSeconds)
 			}
 			if i%32 == 0 {
 				worst, at := m.Audit(late)
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -184,8 +184,8 @@
 	v := s.ask("a")
 	assert.False(t, v.Allowed)
 	assert.Equal(t, 0, v.Limit, "the short one is used up, the long one is open")
-	assert.InDelta(t, 0.1, v.AfterS, 0.01)
-	s.at += v.AfterS
+	assert.InDelta(t, 0.1, v.RetryAfterSeconds, 0.01)
+	s.at += v.RetryAfterSeconds
 	assert.True(t, s.ask("a").Allowed, "when it was said")
 
 	s.load(1200, map[string]float64{"a": 10})
@@ -237,7 +237,7 @@
 	assert.InDelta(t, 100, got["b"], 4)
 	v := s.ask("a")
 	require.False(t, v.Allowed)
-	assert.LessOrEqual(t, v.AfterS, 45.0, "one request's time of its own, and what it pays back")
+	assert.LessOrEqual(t, v.RetryAfterSeconds, 45.0, "one request's time of its own, and what it pays back")
 }
 
 // Two groups want more than they have. One asks again at once, however often it is refused; the other waits as it is told.
@@ -257,7 +257,7 @@
 				patient++
 				waiting[i] = s.at + 0.5
 			} else {
-				waiting[i] = s.at + v.AfterS
+				waiting[i] = s.at + v.RetryAfterSeconds
 			}
 		}
 	}
@@ -305,8 +305,8 @@
 	s.Complete(s.at, q, 0.1, 14900, 0.1)
 	v := s.Admit(s.at, q)
 	require.False(t, v.Allowed, "the debt counts")
-	assert.InDelta(t, 5.1, v.AfterS, 0.01)
-	s.at += v.AfterS
+	assert.InDelta(t, 5.1, v.RetryAfterSeconds, 0.01)
+	s.at += v.RetryAfterSeconds
 	require.True(t, s.Admit(s.at, q).Allowed)
 	s.Complete(s.at, q, 0.1, 0, 60)
 	v = s.Admit(s.at+20, q)
@@ -334,7 +334,7 @@
 	}
 	v := s.Admit(s.at, b)
 	assert.False(t, v.Allowed)
-	assert.Positive(t, v.AfterS)
+	assert.Positive(t, v.RetryAfterSeconds)
 	for range 6 {
 		s.Complete(s.at, a, 0.1, 0, 0)
 	}
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -180,9 +180,9 @@
 	s.counters.end(a.Class, throttled)
 	s.counters.OverQuota++
 	if knows {
-		q.OverQuota(d.machine.Tree().Path(g), v.AfterS)
+		q.OverQuota(d.machine.Tree().Path(g), v.RetryAfterSeconds)
 	} else {
-		l.client.Throttle(v.AfterS)
+		l.client.Throttle(v.RetryAfterSeconds)
 	}
 	return t, false
 }
