--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -4,10 +4,10 @@
 
 // Settings are what a Machine goes by beside its tree.
 type Settings struct {
-	Replicas int     // sidecars that share the quotas; 0 means 1
-	Stretch  float64 // by what part of it a sidecar's part of a group's quota may be stretched by the group's demand
-	Repay    float64 // what part of a debtor's own pays its debt
-	FadeS    float64 // in this time all but 37 % of an old debt, and of an old claim, are forgotten
+	Replicas        int     // sidecars that share the quotas; 0 means 1
+	StretchFraction float64 // by what part of it a sidecar's part of a group's quota may be stretched by the group's demand
+	Repay           float64 // what part of a debtor's own pays its debt
+	FadeS           float64 // in this time all but 37 % of an old debt, and of an old claim, are forgotten
 }
 
 // Defaults of the settings. Danger: what a debtor pays is missing in its share; a group that wants its share, and has
@@ -126,11 +126,11 @@
 			}
 			continue
 		}
-		b.fire(now, mostFired, m.settings.Stretch)
+		b.fire(now, mostFired, m.settings.StretchFraction)
 		cost, need := b.cost(&q)
 		b.settleChain(q.Group, now)
-		if m.settings.Stretch > 0 {
-			b.want(q.Group, max(cost, need), m.settings.Stretch, now)
+		if m.settings.StretchFraction > 0 {
+			b.want(q.Group, max(cost, need), m.settings.StretchFraction, now)
 		}
 		after, lacks, capped := b.capped(q.Group, need, now), 0.0, true
 		if after == 0 {
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -136,7 +136,7 @@
 func TestSnapshotGoesOnTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
-		s := Settings{Repay: 0.1, Replicas: rapid.IntRange(1, 3).Draw(t, "replicas"), Stretch: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "stretch")}
+		s := Settings{Repay: 0.1, Replicas: rapid.IntRange(1, 3).Draw(t, "replicas"), StretchFraction: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "stretch")}
 		one, two := New(tr, s, began), New(tr, s, began)
 		events := drawEvents(t, tr)
 		restart := rapid.IntRange(0, len(events)-1).Draw(t, "restart")
--- a/internal/quotas/replay/fleet_test.go
+++ b/internal/quotas/replay/fleet_test.go
@@ -49,7 +49,7 @@
 	hours := int(load.EndS / hourS)
 	served, wants := make([][]float64, tree.Len()), make([][]bool, tree.Len())
 	one := s
-	one.Replicas, one.Stretch = 1, 0
+	one.Replicas, one.StretchFraction = 1, 0
 	ref := Play(tree, load, one)
 	for g := range served {
 		served[g], wants[g] = make([]float64, hours), make([]bool, hours)
