--- a/internal/decide/quota/bench_test.go
+++ b/internal/decide/quota/bench_test.go
@@ -66,7 +66,7 @@
 					var before, after runtime.MemStats
 					runtime.GC()
 					runtime.ReadMemStats(&before)
-					m := New(tr, Settings{Repay: 0.1}, began)
+					m := New(tr, Settings{RepayFraction: 0.1}, began)
 					runtime.GC()
 					runtime.ReadMemStats(&after)
 					at, served, step := began, 0, 1/how.ratePS
@@ -87,7 +87,7 @@
 
 func TestAskAllocatesNothing(t *testing.T) {
 	tr := bigTree(t, 1000, 4)
-	m := New(tr, Settings{Repay: 0.1, Replicas: 3, StretchFraction: 0.1}, began)
+	m := New(tr, Settings{RepayFraction: 0.1, Replicas: 3, StretchFraction: 0.1}, began)
 	leaves := leavesOf(tr)
 	at, i := began, 0
 	if n := testing.AllocsPerRun(20000, func() {
--- a/internal/decide/quota/helpers_test.go
+++ b/internal/decide/quota/helpers_test.go
@@ -34,7 +34,7 @@
 const usualRepay = 0.1
 
 func newShop(t testing.TB, tr *Tree) *shop {
-	return &shop{Limiter: New(tr, Settings{Repay: usualRepay}, began), t: t, at: began}
+	return &shop{Limiter: New(tr, Settings{RepayFraction: usualRepay}, began), t: t, at: began}
 }
 
 func (s *shop) group(name string) int32 {
--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -6,7 +6,7 @@
 type Settings struct {
 	Replicas        int     // sidecars that share the quotas; 0 means 1
 	StretchFraction float64 // by what part of it a sidecar's part of a group's quota may be stretched by the group's demand
-	Repay           float64 // what part of a debtor's own pays its debt
+	RepayFraction   float64 // what part of a debtor's own pays its debt
 	FadeS           float64 // in this time all but 37 % of an old debt, and of an old claim, are forgotten
 }
 
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -90,7 +90,7 @@
 func TestBooksAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
-		m := New(tr, Settings{Repay: rapid.Float64Range(0, 1).Draw(t, "repay"), FadeS: rapid.Float64Range(10, 1e5).Draw(t, "fade")}, began)
+		m := New(tr, Settings{RepayFraction: rapid.Float64Range(0, 1).Draw(t, "repay"), FadeS: rapid.Float64Range(10, 1e5).Draw(t, "fade")}, began)
 		first := m.State()
 		late := began
 		for i, e := range drawEvents(t, tr) {
@@ -136,7 +136,7 @@
 func TestSnapshotGoesOnTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
-		s := Settings{Repay: 0.1, Replicas: rapid.IntRange(1, 3).Draw(t, "replicas"), StretchFraction: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "stretch")}
+		s := Settings{RepayFraction: 0.1, Replicas: rapid.IntRange(1, 3).Draw(t, "replicas"), StretchFraction: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "stretch")}
 		one, two := New(tr, s, began), New(tr, s, began)
 		events := drawEvents(t, tr)
 		restart := rapid.IntRange(0, len(events)-1).Draw(t, "restart")
@@ -159,7 +159,7 @@
 func TestDebtsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
-		m := New(tr, Settings{Repay: 0.2, FadeS: 600}, began)
+		m := New(tr, Settings{RepayFraction: 0.2, FadeS: 600}, began)
 		late := began
 		for _, e := range drawEvents(t, tr) {
 			e.play(m)
@@ -183,7 +183,7 @@
 // The tree changes again and again while there are loans and requests out.
 func TestReplacedTreesKeepTheBooks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(drawTree(t), Settings{Repay: 0.1}, began)
+		m := New(drawTree(t), Settings{RepayFraction: 0.1}, began)
 		late := began
 		for range 3 {
 			for _, e := range drawEvents(t, m.tree) {
@@ -191,7 +191,7 @@
 				e.play(m)
 				late = max(late, e.at)
 			}
-			m = m.WithTree(late, drawTree(t), Settings{Repay: 0.1})
+			m = m.WithTree(late, drawTree(t), Settings{RepayFraction: 0.1})
 			worst, at := m.Audit(late)
 			if worst > 1e-3 {
 				t.Fatalf("%s is off by %g", at, worst)
@@ -202,7 +202,7 @@
 
 func TestManyGroupsAndStrangers(t *testing.T) {
 	tr := bigTree(t, 100_000, 4)
-	m := New(tr, Settings{Repay: 0.1}, began)
+	m := New(tr, Settings{RepayFraction: 0.1}, began)
 	leaves := leavesOf(tr)
 	served := 0
 	for i := range 100_000 {
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -143,7 +143,7 @@
 	require.Greater(t, claim, 20000.0)
 	taken := s.NewRequest(s.group("a"), 0, false)
 
-	s.Limiter = s.WithTree(s.at, tree(t, []Limit{perSecond(100)}, Group{Name: "b", Share: 60}, Group{Name: "c", Share: 40}), Settings{Repay: usualRepay})
+	s.Limiter = s.WithTree(s.at, tree(t, []Limit{perSecond(100)}, Group{Name: "b", Share: 60}, Group{Name: "c", Share: 40}), Settings{RepayFraction: usualRepay})
 	s.audit()
 	s.Complete(s.at, taken, 1, 0, 0) // what it had out ends when it is gone
 	_, left := s.Tally(s.group("b"), 0)
@@ -161,7 +161,7 @@
 	tallied, owed := s.Tally(1, 0)
 	next := tree(t, []Limit{perSecond(200), {Bytes, 60, 1e6}}, Group{Name: "new", Share: 20}, Group{Name: "b", Share: 40},
 		Group{Name: "a", Share: 40}, Group{Name: "x", Parent: "a", Share: 50}) // a has become a group of groups
-	s.Limiter = s.WithTree(s.at, next, Settings{Repay: usualRepay})
+	s.Limiter = s.WithTree(s.at, next, Settings{RepayFraction: usualRepay})
 	s.audit()
 	now, still := s.Tally(s.group("a"), 0)
 	assert.Equal(t, owed, still)
@@ -169,7 +169,7 @@
 	s.load(600, map[string]float64{"x": 300, "b": 300, "new": 300})
 	_, still = s.Tally(s.group("a"), 0)
 	assert.Greater(t, still, owed, "it pays on")
-	s.Limiter = s.WithTree(s.at, tree(t, []Limit{perSecond(100)}, Group{Name: "a", Share: 50}, Group{Name: "b", Share: 50}), Settings{Repay: usualRepay})
+	s.Limiter = s.WithTree(s.at, tree(t, []Limit{perSecond(100)}, Group{Name: "a", Share: 50}, Group{Name: "b", Share: 50}), Settings{RepayFraction: usualRepay})
 	s.audit()
 	got := s.load(600, map[string]float64{"a": 50, "b": 50})
 	assert.Greater(t, got["b"], 29000.0)
