--- a/internal/decide/quota/book.go
+++ b/internal/decide/quota/book.go
@@ -98,7 +98,7 @@
 func newBook(t *Tree, i int, s *Settings, now float64) *book {
 	l := t.Limits[i]
 	b := &book{limit: l, tree: t, cells: make([]cell, len(t.nodes)), epochS: epochPart * l.WindowS, grainS: grainPart * l.WindowS,
-		repay: s.RepayFraction, fadeS: s.FadeS, queue: make([]dueCell, 0, len(t.nodes)), place: make([]int32, len(t.nodes))}
+		repay: s.RepayFraction, fadeS: s.FadeSeconds, queue: make([]dueCell, 0, len(t.nodes)), place: make([]int32, len(t.nodes))}
 	part := 1 / float64(max(s.Replicas, 1))
 	least := 0.0
 	if l.Measure == Requests {
--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -7,7 +7,7 @@
 	Replicas        int     // sidecars that share the quotas; 0 means 1
 	StretchFraction float64 // by what part of it a sidecar's part of a group's quota may be stretched by the group's demand
 	RepayFraction   float64 // what part of a debtor's own pays its debt
-	FadeS           float64 // in this time all but 37 % of an old debt, and of an old claim, are forgotten
+	FadeSeconds     float64 // in this time all but 37 % of an old debt, and of an old claim, are forgotten
 }
 
 // Defaults of the settings. Danger: what a debtor pays is missing in its share; a group that wants its share, and has
@@ -70,8 +70,8 @@
 
 // New returns a machine in which nothing has been used.
 func New(t *Tree, s Settings, now float64) *Limiter {
-	if s.FadeS <= 0 {
-		s.FadeS = DefaultFadeS
+	if s.FadeSeconds <= 0 {
+		s.FadeSeconds = DefaultFadeS
 	}
 	m := &Limiter{tree: t, settings: s, now: now, stats: make([]Stats, t.Len()), refusals: make([]Refusal, t.Len())}
 	for i, l := range t.Limits {
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -90,7 +90,7 @@
 func TestBooksAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
-		m := New(tr, Settings{RepayFraction: rapid.Float64Range(0, 1).Draw(t, "repay"), FadeS: rapid.Float64Range(10, 1e5).Draw(t, "fade")}, began)
+		m := New(tr, Settings{RepayFraction: rapid.Float64Range(0, 1).Draw(t, "repay"), FadeSeconds: rapid.Float64Range(10, 1e5).Draw(t, "fade")}, began)
 		first := m.State()
 		late := began
 		for i, e := range drawEvents(t, tr) {
@@ -159,7 +159,7 @@
 func TestDebtsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
-		m := New(tr, Settings{RepayFraction: 0.2, FadeS: 600}, began)
+		m := New(tr, Settings{RepayFraction: 0.2, FadeSeconds: 600}, began)
 		late := began
 		for _, e := range drawEvents(t, tr) {
 			e.play(m)
--- a/internal/decide/quota/stored_form_test.go
+++ b/internal/decide/quota/stored_form_test.go
@@ -18,7 +18,7 @@
 	tr := tree(t, []Limit{{Requests, 10, 100}, {Bytes, 60, 1 << 20}, {Work, 10, 5}, {Open, 0, 8}},
 		Group{Name: "north", Share: 50}, Group{Name: "city", Parent: "north", Share: 60, Floor: 10}, Group{Name: "port", Parent: "north", Share: 30, Cap: 90},
 		Group{Name: "ministry", Share: 20, Weight: 2}, Group{Name: "others"})
-	settings := Settings{Replicas: 2, StretchFraction: 0.1, RepayFraction: 0.2, FadeS: 900}
+	settings := Settings{Replicas: 2, StretchFraction: 0.1, RepayFraction: 0.2, FadeSeconds: 900}
 	m, now := New(tr, settings, began), began
 	for i := range 400 {
 		now += 0.03 + 0.01*float64(i%7)
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -36,7 +36,7 @@
 	if replicas <= 1 {
 		stretch = 0 // its part is the whole, and exact
 	}
-	return quota.Settings{Replicas: replicas, StretchFraction: stretch, RepayFraction: s.Repay, FadeS: s.FadeS}
+	return quota.Settings{Replicas: replicas, StretchFraction: stretch, RepayFraction: s.Repay, FadeSeconds: s.FadeS}
 }
 
 // Rule is one way to know a request's group: the value of a header field names it, or it is that of all requests of a
