--- a/internal/quotas/replay/week_test.go
+++ b/internal/quotas/replay/week_test.go
@@ -22,7 +22,7 @@
 var (
 	whole   = flag.Bool("week", false, "play the whole week and not its first day")
 	write   = flag.Bool("write", false, "write the example's files anew")
-	repay   = flag.Float64("repay", quota.DefaultRepay, "what part of a debtor's own pays its debt")
+	repay   = flag.Float64("repay", quota.DefaultRepayFraction, "what part of a debtor's own pays its debt")
 	picture = flag.String("picture", "", "the `FILE` for a picture of the week")
 )
 
