--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -14,7 +14,7 @@
 // borrowed, is to have it to a hundredth all the same.
 const (
 	DefaultRepayFraction = 0.01
-	DefaultFadeS         = 6 * 3600.0
+	DefaultFadeSeconds   = 6 * 3600.0
 	DefaultStretch       = 0.1
 )
 
@@ -71,7 +71,7 @@
 // New returns a machine in which nothing has been used.
 func New(t *Tree, s Settings, now float64) *Limiter {
 	if s.FadeSeconds <= 0 {
-		s.FadeSeconds = DefaultFadeS
+		s.FadeSeconds = DefaultFadeSeconds
 	}
 	m := &Limiter{tree: t, settings: s, now: now, stats: make([]Stats, t.Len()), refusals: make([]Refusal, t.Len())}
 	for i, l := range t.Limits {
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -150,7 +150,7 @@
 	assert.InDelta(t, claim, left, 1, "its lenders' claims stand")
 	got := s.load(600, map[string]float64{"b": 100, "c": 100})
 	assert.InDelta(t, 60000, got["b"]+got["c"], 2000, "but no more is taken than there is")
-	s.load(3*DefaultFadeS, map[string]float64{"b": 10, "c": 10})
+	s.load(3*DefaultFadeSeconds, map[string]float64{"b": 10, "c": 10})
 	_, left = s.Tally(s.group("b"), 0)
 	assert.Less(t, left, claim/10, "and they end")
 }
