--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -13,9 +13,9 @@
 // Defaults of the settings. Danger: what a debtor pays is missing in its share; a group that wants its share, and has
 // borrowed, is to have it to a hundredth all the same.
 const (
-	DefaultRepayFraction = 0.01
-	DefaultFadeSeconds   = 6 * 3600.0
-	DefaultStretch       = 0.1
+	DefaultRepayFraction   = 0.01
+	DefaultFadeSeconds     = 6 * 3600.0
+	DefaultStretchFraction = 0.1
 )
 
 // Limiter decides who may take what. Calls come one at a time.
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -24,7 +24,7 @@
 
 // Defaults returns the settings where nothing is said.
 func Defaults() Settings {
-	return Settings{SnapshotS: 10, Stretch: quota.DefaultStretch, Repay: quota.DefaultRepayFraction, FadeS: quota.DefaultFadeSeconds}
+	return Settings{SnapshotS: 10, Stretch: quota.DefaultStretchFraction, Repay: quota.DefaultRepayFraction, FadeS: quota.DefaultFadeSeconds}
 }
 
 // On tells whether there are quotas.
