--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -56,16 +56,16 @@
 
 // Request is what is known of a request before it is taken up.
 type Request struct {
-	Group int32 // that takes requests, see Tree.Takes
-	Bytes float64
-	Floor bool // it may touch the floors
+	Group       int32 // that takes requests, see Tree.Takes
+	Bytes       float64
+	MayUseFloor bool // it may touch the floors
 
 	tree int // which of the machine's trees, one after the other, Group is in
 }
 
 // NewRequest returns a request of a group of the present tree.
 func (m *Limiter) NewRequest(g int32, bytes float64, floor bool) Request {
-	return Request{Group: g, Bytes: bytes, Floor: floor, tree: m.trees}
+	return Request{Group: g, Bytes: bytes, MayUseFloor: floor, tree: m.trees}
 }
 
 // New returns a machine in which nothing has been used.
@@ -120,7 +120,7 @@
 	v := Decision{Allowed: true}
 	for i, b := range m.books {
 		if b == nil {
-			if after := m.opens[i].refuses(q.Group, q.Floor); after > 0 && after > v.RetryAfterSeconds {
+			if after := m.opens[i].refuses(q.Group, q.MayUseFloor); after > 0 && after > v.RetryAfterSeconds {
 				v = Decision{Limit: i, RetryAfterSeconds: after}
 				m.refuse(i, after, 1, 0, false, &q)
 			}
@@ -134,8 +134,8 @@
 		}
 		after, lacks, capped := b.capped(q.Group, need, now), 0.0, true
 		if after == 0 {
-			if lacks = b.lacks(q.Group, need, q.Floor, now); lacks > 0 {
-				after, capped = b.wait(q.Group, need, q.Floor), false
+			if lacks = b.lacks(q.Group, need, q.MayUseFloor, now); lacks > 0 {
+				after, capped = b.wait(q.Group, need, q.MayUseFloor), false
 			}
 		}
 		if after > v.RetryAfterSeconds {
@@ -152,7 +152,7 @@
 		if b == nil {
 			m.opens[i].add(q.Group, 1)
 		} else if cost, _ := b.cost(&q); cost > 0 {
-			b.take(q.Group, cost, q.Floor, now)
+			b.take(q.Group, cost, q.MayUseFloor, now)
 		}
 	}
 	return v
@@ -186,7 +186,7 @@
 		}
 		if amount > 0 && m.tree.Takes(q.Group) {
 			b.settleChain(q.Group, now)
-			b.take(q.Group, amount, q.Floor, now)
+			b.take(q.Group, amount, q.MayUseFloor, now)
 		}
 	}
 }
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -63,7 +63,7 @@
 	for range rapid.IntRange(1, 25).Draw(t, "phases") {
 		at += rapid.SampledFrom([]float64{0, 0.5, 8, 100, 4000, -50}).Draw(t, "silence")
 		e := event{q: Request{Group: rapid.SampledFrom(leaves).Draw(t, "group"), Bytes: rapid.Float64Range(0, 3000).Draw(t, "bytes"),
-			Floor: rapid.Bool().Draw(t, "floor")}, bytes: rapid.Float64Range(0, 3000).Draw(t, "answer")}
+			MayUseFloor: rapid.Bool().Draw(t, "floor")}, bytes: rapid.Float64Range(0, 3000).Draw(t, "answer")}
 		other := rapid.SampledFrom(leaves).Draw(t, "other")
 		gap := rapid.SampledFrom([]float64{0, 0.001, 0.03, 0.7}).Draw(t, "gap")
 		for i := range rapid.IntRange(1, 150).Draw(t, "asked") {
@@ -78,7 +78,7 @@
 }
 
 func (e *event) play(m *Limiter) Decision {
-	q := m.NewRequest(e.q.Group, e.q.Bytes, e.q.Floor)
+	q := m.NewRequest(e.q.Group, e.q.Bytes, e.q.MayUseFloor)
 	v := m.Admit(e.at, q)
 	if v.Allowed {
 		m.Complete(e.at, q, 0.01, e.bytes, 0)
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -278,7 +278,7 @@
 	s.load(60, map[string]float64{"a": 500, "b": 500}) // the batch of its own group, and another
 	alerts := 0
 	for range 200 {
-		if s.Admit(s.at, Request{Group: s.group("a"), Floor: true}).Allowed {
+		if s.Admit(s.at, Request{Group: s.group("a"), MayUseFloor: true}).Allowed {
 			alerts++
 		}
 	}
@@ -290,7 +290,7 @@
 			s.ask("a")
 			s.ask("b")
 		}
-		if i%3 == 0 && s.Admit(s.at, Request{Group: s.group("a"), Floor: true}).Allowed {
+		if i%3 == 0 && s.Admit(s.at, Request{Group: s.group("a"), MayUseFloor: true}).Allowed {
 			alerts++
 		}
 	}
@@ -328,7 +328,7 @@
 		require.True(t, s.Admit(s.at, b).Allowed, "its own, at once")
 	}
 	assert.False(t, s.Admit(s.at, b).Allowed, "what is left is the floor")
-	b.Floor = true
+	b.MayUseFloor = true
 	for range 2 {
 		require.True(t, s.Admit(s.at, b).Allowed)
 	}
