--- a/internal/decide/quota/book.go
+++ b/internal/decide/quota/book.go
@@ -97,7 +97,7 @@
 
 func newBook(t *Tree, i int, s *Settings, now float64) *book {
 	l := t.Limits[i]
-	b := &book{limit: l, tree: t, cells: make([]cell, len(t.nodes)), epochS: epochPart * l.WindowS, grainS: grainPart * l.WindowS,
+	b := &book{limit: l, tree: t, cells: make([]cell, len(t.nodes)), epochS: epochPart * l.WindowSeconds, grainS: grainPart * l.WindowSeconds,
 		repay: s.RepayFraction, fadeS: s.FadeSeconds, queue: make([]dueCell, 0, len(t.nodes)), place: make([]int32, len(t.nodes))}
 	part := 1 / float64(max(s.Replicas, 1))
 	least := 0.0
@@ -107,7 +107,7 @@
 	for n := range b.cells {
 		g, c := &t.nodes[n], &b.cells[n]
 		c.Last, c.CapLast, c.Quiet, c.Epoch, c.Asked, c.DemandIn = now, now, math.Inf(-1), -1, -1, -1
-		c.Own = g.rest[i] / l.WindowS * part
+		c.Own = g.rest[i] / l.WindowSeconds * part
 		if g.inner {
 			// Each account below holds less than what comes to it in the time for which it may be left alone.
 			c.Depth = max(g.quota[i]*part*poolPart, leastPool*least)
@@ -117,8 +117,8 @@
 		}
 		// Danger: a floor that leaves less than a request would keep all other requests out for good.
 		c.Reserve = min(c.Depth*g.floor, max(c.Depth-least, 0))
-		if c.CapRate = g.cap[i] * part / l.WindowS; c.CapRate < math.Inf(1) {
-			c.CapLevel = max(c.CapRate*l.WindowS, least)
+		if c.CapRate = g.cap[i] * part / l.WindowSeconds; c.CapRate < math.Inf(1) {
+			c.CapLevel = max(c.CapRate*l.WindowSeconds, least)
 		}
 	}
 	b.arrange(now)
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -118,13 +118,13 @@
 				}
 			}
 			root := &m.books[l].cells[0]
-			most := limit.Quota/limit.WindowS*(late-began) + stored + owed
+			most := limit.Quota/limit.WindowSeconds*(late-began) + stored + owed
 			if root.Tally.Used > most*(1+1e-9)+1e-3 {
 				t.Fatalf("%s: %g is used of %g that there was", limit.Name(), root.Tally.Used, most)
 			}
 			for n := range m.books[l].cells {
 				c := &m.books[l].cells[n]
-				if c.CapRate < 1e300 && c.Tally.Used > c.CapRate*(late-began+limit.WindowS)+slack {
+				if c.CapRate < 1e300 && c.Tally.Used > c.CapRate*(late-began+limit.WindowSeconds)+slack {
 					t.Fatalf("%s of %s: %g is used beyond its cap", limit.Name(), tr.Path(int32(n)), c.Tally.Used)
 				}
 			}
--- a/internal/decide/quota/share.go
+++ b/internal/decide/quota/share.go
@@ -70,7 +70,7 @@
 		}
 		if dt := now - c.CapLast; dt > 0 {
 			c.CapLast = now
-			c.CapLevel = min(c.CapLevel+c.CapRate*dt, max(c.CapRate*b.limit.WindowS, b.least()))
+			c.CapLevel = min(c.CapLevel+c.CapRate*dt, max(c.CapRate*b.limit.WindowSeconds, b.least()))
 		}
 		if lacks := need - c.CapLevel; lacks > 0 {
 			waitS = max(waitS, b.until(lacks, c.CapRate))
@@ -150,7 +150,7 @@
 // until returns how long an amount takes at a rate. Nobody is told to wait for longer than a window, or a request's time
 // where a window brings less than one.
 func (b *book) until(amount, rate float64) float64 {
-	longest := max(b.limit.WindowS, b.least()/max(rate, 1e-9))
+	longest := max(b.limit.WindowSeconds, b.least()/max(rate, 1e-9))
 	return min(max(amount/max(rate, 1e-9)+1e-6, 1e-3), longest, 31*86400) // a clock's last digit is not waited for
 }
 
@@ -182,12 +182,12 @@
 // all sidecars together would be any number of quotas. What nobody asks for here is not cut: it would be lent to nobody.
 func (b *book) want(g int32, amount, stretch, now float64) {
 	c := &b.cells[g]
-	if e := int64(now / b.limit.WindowS); c.DemandIn != e {
+	if e := int64(now / b.limit.WindowSeconds); c.DemandIn != e {
 		if c.DemandIn >= 0 && c.Own > 0 {
 			if c.DemandIn < e-1 {
 				c.DemandAvg = 0
 			}
-			c.DemandAvg += 0.5 * (c.Demand/b.limit.WindowS - c.DemandAvg)
+			c.DemandAvg += 0.5 * (c.Demand/b.limit.WindowSeconds - c.DemandAvg)
 			c.Boost = min(max(c.DemandAvg/c.Own-1, 0), stretch)
 			b.flow(g, c.Own*(1+c.Boost), now)
 		}
--- a/internal/decide/quota/tree.go
+++ b/internal/decide/quota/tree.go
@@ -43,9 +43,9 @@
 
 // Limit is what the root, the whole fleet, has of a measure.
 type Limit struct {
-	Measure Measure
-	WindowS float64 // seconds; 0 of Open, which has no window
-	Quota   float64 // in each window; of Open, at a time
+	Measure       Measure
+	WindowSeconds float64 // seconds; 0 of Open, which has no window
+	Quota         float64 // in each window; of Open, at a time
 }
 
 // Name names a limit as files and figures do: requests/10, or open.
@@ -53,7 +53,7 @@
 	if l.Measure == Open {
 		return "open"
 	}
-	return l.Measure.String() + "/" + strconv.FormatFloat(l.WindowS, 'g', -1, 64)
+	return l.Measure.String() + "/" + strconv.FormatFloat(l.WindowSeconds, 'g', -1, 64)
 }
 
 // Group is a group as it is configured. Percentages are of its parent's quotas.
@@ -162,9 +162,9 @@
 		switch {
 		case l.Measure >= measures:
 			return fmt.Errorf("%s.measure: want requests, bytes, work or open", at)
-		case l.Measure == Open && l.WindowS != 0:
+		case l.Measure == Open && l.WindowSeconds != 0:
 			return fmt.Errorf("%s.window_s: open requests have no window", at)
-		case l.Measure != Open && !(l.WindowS >= 0.1 && l.WindowS <= 31*86400):
+		case l.Measure != Open && !(l.WindowSeconds >= 0.1 && l.WindowSeconds <= 31*86400):
 			return fmt.Errorf("%s.window_s: want seconds, 0.1 to 2678400", at)
 		case !(l.Quota > 0 && l.Quota <= 1e15):
 			return fmt.Errorf("%s.quota: want more than 0, at most 1e15", at)
--- a/internal/quotas/file.go
+++ b/internal/quotas/file.go
@@ -71,7 +71,7 @@
 		if !ok {
 			return nil, fmt.Errorf("limits[%d].measure: %q is unknown, want requests, bytes, work or open", i, l.Measure)
 		}
-		limits = append(limits, quota.Limit{Measure: m, WindowS: l.WindowS, Quota: l.Quota})
+		limits = append(limits, quota.Limit{Measure: m, WindowSeconds: l.WindowS, Quota: l.Quota})
 	}
 	groups := make([]quota.Group, 0, len(f.Groups))
 	for _, g := range f.Groups {
--- a/internal/quotas/replay/fleet_test.go
+++ b/internal/quotas/replay/fleet_test.go
@@ -64,8 +64,8 @@
 	p.dealt = func(g int32, at float64) {
 		if m := int(at / minuteS); m != minute {
 			if wanted {
-				offered += limit.Quota / limit.WindowS * minuteS
-				missed += max(0, limit.Quota/limit.WindowS*minuteS-inMinute)
+				offered += limit.Quota / limit.WindowSeconds * minuteS
+				missed += max(0, limit.Quota/limit.WindowSeconds*minuteS-inMinute)
 			}
 			minute, wanted, inMinute = m, false, 0
 		}
@@ -85,12 +85,12 @@
 	p.until(load.EndS)
 	parts, all, want := []float64{}, 0.0, 0.0
 	for h := range hours {
-		x.over = max(x.over, total[h]/(limit.Quota/limit.WindowS*hourS))
+		x.over = max(x.over, total[h]/(limit.Quota/limit.WindowSeconds*hourS))
 		for g := range served {
 			all += served[g][h]
 			want += float64(ref.Hours[g][h].Served)
 			if wants[g][h] {
-				parts = append(parts, served[g][h]/(tree.Quota(int32(g), 0)/limit.WindowS*hourS))
+				parts = append(parts, served[g][h]/(tree.Quota(int32(g), 0)/limit.WindowSeconds*hourS))
 			}
 		}
 	}
@@ -152,7 +152,7 @@
 				t.Logf("%3d sidecars, skew %.1f, stretch %.1f: at most %.1f %% of the quota in an hour; who wanted its share had %.1f %% of it, at least %.1f %%; "+
 					"%.1f %% of what one machine serves; %.1f %% not served while somebody was refused", n, skew, stretch, 100*x.over, 100*x.had, 100*x.worst, 100*x.served, 100*x.unused)
 				// Each account of each sidecar holds a request at least, and a pool two: so many may be taken at once.
-				held := 2 * float64(n*tree.Len()) / (tree.Limits[0].Quota / tree.Limits[0].WindowS * hourS)
+				held := 2 * float64(n*tree.Len()) / (tree.Limits[0].Quota / tree.Limits[0].WindowSeconds * hourS)
 				assert.Less(t, x.over, 1.02+stretch+held, "no more than the quotas, stretched, and what is held")
 				assert.Greater(t, x.served, 0.75)
 			}
--- a/internal/quotas/replay/picture.go
+++ b/internal/quotas/replay/picture.go
@@ -49,7 +49,7 @@
 
 func (r *Result) levels() []line {
 	limit := r.Tree.Limits[r.Limit]
-	all := []line{{"the quota of all", true, func(int) float64 { return limit.Quota / limit.WindowS }}}
+	all := []line{{"the quota of all", true, func(int) float64 { return limit.Quota / limit.WindowSeconds }}}
 	for g := int32(0); int(g) < r.Tree.Len() && len(all) <= mostLinesShown; g++ {
 		if r.Tree.Parent(g) <= 0 {
 			all = append(all, line{r.Tree.Path(g), false, func(h int) float64 { return r.Hours[g][h].Used / hourS }})
--- a/internal/quotas/replay/replay.go
+++ b/internal/quotas/replay/replay.go
@@ -89,7 +89,7 @@
 		Balance: make([]float64, n)}
 	for p.r.Limit = 0; p.r.Limit < len(t.Limits)-1 && t.Limits[p.r.Limit].Measure == quota.Open; p.r.Limit++ {
 	}
-	p.root = t.Limits[p.r.Limit].Quota / t.Limits[p.r.Limit].WindowS / float64(max(settings.Replicas, 1))
+	p.root = t.Limits[p.r.Limit].Quota / t.Limits[p.r.Limit].WindowSeconds / float64(max(settings.Replicas, 1))
 	p.beginHour()
 	for _, step := range s.Steps {
 		p.until(step.AtS)
@@ -201,7 +201,7 @@
 	for g := range p.r.Hours {
 		is, _ := p.m.Tally(int32(g), p.r.Limit)
 		was, h := &p.was[g], &p.r.Hours[g][p.hour]
-		sharePS := p.r.Tree.Quota(int32(g), p.r.Limit) / limit.WindowS
+		sharePS := p.r.Tree.Quota(int32(g), p.r.Limit) / limit.WindowSeconds
 		h.Share, h.Used = sharePS*lengthS, is.Used-was.Used
 		h.Borrowed, h.Repaid = is.Borrowed-was.Borrowed, is.Repaid-was.Repaid
 		h.Lent, h.Returned = is.Lent-was.Lent, is.Returned-was.Returned
--- a/internal/quotas/replay/week_test.go
+++ b/internal/quotas/replay/week_test.go
@@ -96,7 +96,7 @@
 		if !t.Takes(g) {
 			continue
 		}
-		share, name := t.Quota(g, 0)/t.Limits[0].WindowS, t.Path(g)
+		share, name := t.Quota(g, 0)/t.Limits[0].WindowSeconds, t.Path(g)
 		greedy, sleeps := rng.IntN(5) == 0, rng.IntN(6) == 0
 		for day := range 7 {
 			at := float64(day) * 86400
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -39,7 +39,7 @@
 func withQuotas(d *environment.Day) (Core, error) {
 	const all = cityTimes + ministryTimes
 	share := 100 * ministryTimes / all
-	tree, err := quota.NewTree([]quota.Limit{{Measure: quota.Requests, WindowS: quotaWindowS, Quota: all * d.Clients.RatePS * quotaWindowS}},
+	tree, err := quota.NewTree([]quota.Limit{{Measure: quota.Requests, WindowSeconds: quotaWindowS, Quota: all * d.Clients.RatePS * quotaWindowS}},
 		[]quota.Group{{Name: "cities", Share: 100 - share, Weight: 1}, {Name: "ministry", Share: share, Weight: 1, Cap: ministryCap * share}})
 	if err != nil {
 		return nil, err
