--- a/internal/decide/quota/bench_test.go
+++ b/internal/decide/quota/bench_test.go
@@ -16,7 +16,7 @@
 		var next []string
 		for _, parent := range level {
 			for range fan {
-				if len(all) == groups || len(all) == MostGroups {
+				if len(all) == groups || len(all) == MaxGroups {
 					break
 				}
 				g := Group{Name: fmt.Sprintf("g%d", len(all)), Parent: parent, Share: 90 / float64(fan), Weight: 1}
@@ -26,7 +26,7 @@
 		}
 		level = next
 	}
-	for d := 1; len(all) < min(groups, MostGroups); d++ { // what the root of that power leaves out
+	for d := 1; len(all) < min(groups, MaxGroups); d++ { // what the root of that power leaves out
 		all = append(all, Group{Name: fmt.Sprintf("more%d", d), Parent: all[len(all)-1].Parent, Weight: 1})
 	}
 	tr, err := NewTree([]Limit{perSecond(1e5)}, all)
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -404,7 +404,7 @@
 		{limits, []Group{{Name: "x.y"}}, `"x.y": want a name`},
 		{limits, long, "g0.g1.g2.g3.g4.g5.g6.g7.g8.g9.g10.g11.g12: it is deeper"},
 		{limits, nil, "groups: there is none"},
-		{limits, make([]Group, MostGroups+1), "groups: 100001, want at most 100000"},
+		{limits, make([]Group, MaxGroups+1), "groups: 100001, want at most 100000"},
 		{[]Limit{{Requests, 0, 1}}, nil, "limits[0].window_s: want seconds"},
 		{[]Limit{{Open, 1, 1}}, nil, "limits[0].window_s: open requests have no window"},
 		{[]Limit{{measures, 1, 1}}, nil, "limits[0].measure: want"},
--- a/internal/decide/quota/tree.go
+++ b/internal/decide/quota/tree.go
@@ -9,7 +9,7 @@
 
 // The bounds of a tree.
 const (
-	MostGroups = 100_000
+	MaxGroups  = 100_000
 	MostDepth  = 12 // groups above each other, the root not counted
 	MostLimits = 8
 	mostName   = 64
@@ -108,8 +108,8 @@
 	if len(groups) == 0 {
 		return nil, fmt.Errorf("groups: there is none")
 	}
-	if len(groups) > MostGroups {
-		return nil, fmt.Errorf("groups: %d, want at most %d", len(groups), MostGroups)
+	if len(groups) > MaxGroups {
+		return nil, fmt.Errorf("groups: %d, want at most %d", len(groups), MaxGroups)
 	}
 	byName, children := make(map[string]int, len(groups)), map[string][]int{}
 	for i, g := range groups {
