--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -375,7 +375,7 @@
 func TestFaultsNameTheGroup(t *testing.T) {
 	limits := []Limit{perSecond(100)}
 	long := []Group{}
-	for i := range MostDepth + 1 {
+	for i := range MaxDepth + 1 {
 		g := Group{Name: fmt.Sprintf("g%d", i), Share: 1}
 		if i > 0 {
 			g.Parent = fmt.Sprintf("g%d", i-1)
--- a/internal/decide/quota/tree.go
+++ b/internal/decide/quota/tree.go
@@ -10,7 +10,7 @@
 // The bounds of a tree.
 const (
 	MaxGroups  = 100_000
-	MostDepth  = 12 // groups above each other, the root not counted
+	MaxDepth   = 12 // groups above each other, the root not counted
 	MostLimits = 8
 	mostName   = 64
 )
@@ -219,8 +219,8 @@
 	}
 	percent := func(v float64) bool { return v >= 0 && v <= 100 }
 	switch {
-	case n.depth > MostDepth:
-		return n, &Fault{n.path, fmt.Sprintf("it is deeper than %d groups", MostDepth)}
+	case n.depth > MaxDepth:
+		return n, &Fault{n.path, fmt.Sprintf("it is deeper than %d groups", MaxDepth)}
 	case !percent(g.Share):
 		return n, &Fault{n.path, fmt.Sprintf("share: want percent of its parent, 0 to 100, not %g", g.Share)}
 	case !(g.Weight >= 0 && g.Weight <= 1e6):
@@ -282,7 +282,7 @@
 	path, seen := groups[i].Name, map[int]bool{i: true}
 	for {
 		j, ok := byName[groups[i].Parent]
-		if groups[i].Parent == "" || !ok || len(seen) > MostDepth {
+		if groups[i].Parent == "" || !ok || len(seen) > MaxDepth {
 			return path
 		}
 		path = groups[j].Name + "." + path
