--- a/internal/decide/quota/tree.go
+++ b/internal/decide/quota/tree.go
@@ -9,10 +9,10 @@
 
 // The bounds of a tree.
 const (
-	MaxGroups  = 100_000
-	MaxDepth   = 12 // groups above each other, the root not counted
-	MostLimits = 8
-	mostName   = 64
+	MaxGroups = 100_000
+	MaxDepth  = 12 // groups above each other, the root not counted
+	MaxLimits = 8
+	mostName  = 64
 )
 
 // Measure is what a limit counts.
@@ -153,8 +153,8 @@
 }
 
 func checkLimits(limits []Limit) error {
-	if len(limits) == 0 || len(limits) > MostLimits {
-		return fmt.Errorf("limits: %d, want 1 to %d", len(limits), MostLimits)
+	if len(limits) == 0 || len(limits) > MaxLimits {
+		return fmt.Errorf("limits: %d, want 1 to %d", len(limits), MaxLimits)
 	}
 	seen := map[string]bool{}
 	for i, l := range limits {
