--- a/internal/decide/quota/tree.go
+++ b/internal/decide/quota/tree.go
@@ -95,10 +95,10 @@
 	inner  bool
 }
 
-// Fault is an error of one group.
-type Fault struct{ Path, Why string }
+// GroupError is an error of one group.
+type GroupError struct{ Path, Why string }
 
-func (f *Fault) Error() string { return f.Path + ": " + f.Why }
+func (f *GroupError) Error() string { return f.Path + ": " + f.Why }
 
 // NewTree checks groups, which may come in any order. An error names the path of the group at fault.
 func NewTree(limits []Limit, groups []Group) (*Tree, error) {
@@ -114,16 +114,16 @@
 	byName, children := make(map[string]int, len(groups)), map[string][]int{}
 	for i, g := range groups {
 		if !plainName(g.Name) {
-			return nil, &Fault{fmt.Sprintf("%q", g.Name), "want a name of at most 64 letters, digits, '_' and '-'"}
+			return nil, &GroupError{fmt.Sprintf("%q", g.Name), "want a name of at most 64 letters, digits, '_' and '-'"}
 		}
 		if j, twice := byName[g.Name]; twice {
-			return nil, &Fault{pathOf(groups, byName, j), fmt.Sprintf("another group has the name %q, below %q", g.Name, g.Parent)}
+			return nil, &GroupError{pathOf(groups, byName, j), fmt.Sprintf("another group has the name %q, below %q", g.Name, g.Parent)}
 		}
 		byName[g.Name] = i
 	}
 	for i, g := range groups {
 		if _, ok := byName[g.Parent]; g.Parent != "" && !ok {
-			return nil, &Fault{pathOf(groups, byName, i), fmt.Sprintf("its parent %q is no group", g.Parent)}
+			return nil, &GroupError{pathOf(groups, byName, i), fmt.Sprintf("its parent %q is no group", g.Parent)}
 		}
 		children[g.Parent] = append(children[g.Parent], i)
 	}
@@ -141,7 +141,7 @@
 	if len(t.nodes) <= len(groups) { // what can't be reached from the root has itself above it
 		for i, g := range groups {
 			if _, ok := t.byName[g.Name]; !ok {
-				return nil, &Fault{pathOf(groups, byName, i), "it is below itself: the parents are a cycle"}
+				return nil, &GroupError{pathOf(groups, byName, i), "it is below itself: the parents are a cycle"}
 			}
 		}
 	}
@@ -195,12 +195,12 @@
 		t.nodes = append(t.nodes, n) // its memory is there already
 	}
 	if shares > 100+1e-6 {
-		return &Fault{t.Path(at), fmt.Sprintf("its children's shares come to %.6g %%, over 100 %%", shares)}
+		return &GroupError{t.Path(at), fmt.Sprintf("its children's shares come to %.6g %%, over 100 %%", shares)}
 	}
 	p = &t.nodes[at]
 	for l, limit := range t.Limits {
 		if p.rest[l] < -1e-9*p.quota[l] {
-			return &Fault{t.Path(at), fmt.Sprintf("its children's quotas of %s come to %.6g, over its own %.6g", limit.Name(), p.quota[l]-p.rest[l], p.quota[l])}
+			return &GroupError{t.Path(at), fmt.Sprintf("its children's quotas of %s come to %.6g, over its own %.6g", limit.Name(), p.quota[l]-p.rest[l], p.quota[l])}
 		}
 		// Danger: sums that differ in their last digit would leave a rest that fills a pool within a million years.
 		if p.rest[l] = max(p.rest[l], 0); p.rest[l] < 1e-9*p.quota[l] {
@@ -220,17 +220,17 @@
 	percent := func(v float64) bool { return v >= 0 && v <= 100 }
 	switch {
 	case n.depth > MaxDepth:
-		return n, &Fault{n.path, fmt.Sprintf("it is deeper than %d groups", MaxDepth)}
+		return n, &GroupError{n.path, fmt.Sprintf("it is deeper than %d groups", MaxDepth)}
 	case !percent(g.Share):
-		return n, &Fault{n.path, fmt.Sprintf("share: want percent of its parent, 0 to 100, not %g", g.Share)}
+		return n, &GroupError{n.path, fmt.Sprintf("share: want percent of its parent, 0 to 100, not %g", g.Share)}
 	case !(g.Weight >= 0 && g.Weight <= 1e6):
-		return n, &Fault{n.path, fmt.Sprintf("weight: want 0 to 1000000, not %g", g.Weight)}
+		return n, &GroupError{n.path, fmt.Sprintf("weight: want 0 to 1000000, not %g", g.Weight)}
 	case g.Floor > 100:
-		return n, &Fault{n.path, fmt.Sprintf("floor: %g %% is above the parent", g.Floor)}
+		return n, &GroupError{n.path, fmt.Sprintf("floor: %g %% is above the parent", g.Floor)}
 	case !(g.Floor >= 0 && g.Floor <= g.Share):
-		return n, &Fault{n.path, fmt.Sprintf("floor: %g %% of its parent is above its share, %g %%", g.Floor, g.Share)}
+		return n, &GroupError{n.path, fmt.Sprintf("floor: %g %% of its parent is above its share, %g %%", g.Floor, g.Share)}
 	case !percent(g.Cap) || g.Cap > 0 && g.Cap < g.Share:
-		return n, &Fault{n.path, fmt.Sprintf("cap: want percent of its parent from its share, %g, to 100, not %g", g.Share, g.Cap)}
+		return n, &GroupError{n.path, fmt.Sprintf("cap: want percent of its parent from its share, %g, to 100, not %g", g.Share, g.Cap)}
 	}
 	if g.Floor > 0 {
 		n.floor = g.Floor / g.Share
@@ -248,12 +248,12 @@
 		}
 		named++
 		if n.quota[l] = v; !(v >= 0 && v <= p.quota[l]) || v > n.cap[l] {
-			return n, &Fault{n.path, fmt.Sprintf("quotas: %s: want 0 to %g, what its parent and its cap allow", limit.Name(), min(p.quota[l], n.cap[l]))}
+			return n, &GroupError{n.path, fmt.Sprintf("quotas: %s: want 0 to %g, what its parent and its cap allow", limit.Name(), min(p.quota[l], n.cap[l]))}
 		}
 	}
 	for name := range g.Quotas {
 		if _, ok := t.limit(name); !ok && named < len(g.Quotas) {
-			return n, &Fault{n.path, "quotas: it names what is no limit; limits are " + t.limitNames()}
+			return n, &GroupError{n.path, "quotas: it names what is no limit; limits are " + t.limitNames()}
 		}
 	}
 	return n, nil
