--- a/internal/decide/quota/tree.go
+++ b/internal/decide/quota/tree.go
@@ -96,9 +96,9 @@
 }
 
 // GroupError is an error of one group.
-type GroupError struct{ Path, Why string }
+type GroupError struct{ Path, Reason string }
 
-func (f *GroupError) Error() string { return f.Path + ": " + f.Why }
+func (f *GroupError) Error() string { return f.Path + ": " + f.Reason }
 
 // NewTree checks groups, which may come in any order. An error names the path of the group at fault.
 func NewTree(limits []Limit, groups []Group) (*Tree, error) {
