--- a/internal/decide/quota/bench_test.go
+++ b/internal/decide/quota/bench_test.go
@@ -38,7 +38,7 @@
 
 func leavesOf(t *Tree) (leaves []int32) {
 	for g := range int32(t.Len()) {
-		if t.Takes(g) {
+		if t.AcceptsRequests(g) {
 			leaves = append(leaves, g)
 		}
 	}
--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -184,7 +184,7 @@
 		case Work:
 			amount = workS
 		}
-		if amount > 0 && m.tree.Takes(q.Group) {
+		if amount > 0 && m.tree.AcceptsRequests(q.Group) {
 			b.settleChain(q.Group, now)
 			b.take(q.Group, amount, q.MayUseFloor, now)
 		}
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -54,7 +54,7 @@
 func drawEvents(t *rapid.T, tr *Tree) []event {
 	var leaves []int32
 	for g := range int32(tr.Len()) {
-		if tr.Takes(g) {
+		if tr.AcceptsRequests(g) {
 			leaves = append(leaves, g)
 		}
 	}
--- a/internal/decide/quota/tree.go
+++ b/internal/decide/quota/tree.go
@@ -324,8 +324,8 @@
 // Name returns the name of a group, the last of its path.
 func (t *Tree) Name(g int32) string { return t.nodes[g].name }
 
-// Takes tells whether a group takes requests: one that has children does not.
-func (t *Tree) Takes(g int32) bool { return g > 0 && !t.nodes[g].inner }
+// AcceptsRequests tells whether a group takes requests: one that has children does not.
+func (t *Tree) AcceptsRequests(g int32) bool { return g > 0 && !t.nodes[g].inner }
 
 // Parent returns a group's parent, -1 of the root.
 func (t *Tree) Parent(g int32) int32 { return t.nodes[g].parent }
--- a/internal/quotas/replay/picture.go
+++ b/internal/quotas/replay/picture.go
@@ -61,7 +61,7 @@
 func (r *Result) parts() []line {
 	var shown []int32
 	for g := range int32(r.Tree.Len()) {
-		if r.Tree.Takes(g) && r.Total[g].Share > 0 {
+		if r.Tree.AcceptsRequests(g) && r.Total[g].Share > 0 {
 			shown = append(shown, g)
 		}
 	}
--- a/internal/quotas/replay/series.go
+++ b/internal/quotas/replay/series.go
@@ -81,7 +81,7 @@
 	for i, text := range record {
 		if i == 1 {
 			g, ok := t.Find(text)
-			if !ok || !t.Takes(g) {
+			if !ok || !t.AcceptsRequests(g) {
 				return step, fmt.Errorf("group: %q is no group without others below it", text)
 			}
 			step.Group = g
--- a/internal/quotas/replay/text.go
+++ b/internal/quotas/replay/text.go
@@ -13,7 +13,7 @@
 	fmt.Fprintf(out, "%-54s %10s %10s %10s %7s %10s %10s %10s %10s\n", "GROUP", "ASKED", "SERVED", "REFUSED", "SHARE%", "BORROWED", "REPAID", "LENT", "RETURNED")
 	for g := int32(1); int(g) < r.Tree.Len(); g++ {
 		t, counts := &r.Total[g], [3]string{}
-		if r.Tree.Takes(g) {
+		if r.Tree.AcceptsRequests(g) {
 			counts = [3]string{strconv.Itoa(t.Asked), strconv.Itoa(t.Served), strconv.Itoa(t.Refused)}
 		}
 		fmt.Fprintf(out, row, r.Tree.Path(g), counts[0], counts[1], counts[2], part(t), t.Borrowed, t.Repaid, t.Lent, t.Returned)
--- a/internal/quotas/replay/week_test.go
+++ b/internal/quotas/replay/week_test.go
@@ -93,7 +93,7 @@
 		lines = append(lines, line{at, fmt.Sprintf("%.0f,%s,%.4g,2000", at, name, rate)})
 	}
 	for g := int32(1); int(g) < t.Len(); g++ {
-		if !t.Takes(g) {
+		if !t.AcceptsRequests(g) {
 			continue
 		}
 		share, name := t.Quota(g, 0)/t.Limits[0].WindowSeconds, t.Path(g)
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -70,7 +70,7 @@
 	switch {
 	case !ok:
 		return fmt.Errorf("%q is no group of the file", path)
-	case !t.Takes(g):
+	case !t.AcceptsRequests(g):
 		return fmt.Errorf("%q has groups below it; requests belong to one that has none", path)
 	}
 	return nil
@@ -108,7 +108,7 @@
 		r := &d.rules[i]
 		switch {
 		case r.Header != "":
-			if g, ok := d.tree.Find(header.Field(r.Header)); ok && d.tree.Takes(g) {
+			if g, ok := d.tree.Find(header.Field(r.Header)); ok && d.tree.AcceptsRequests(g) {
 				return g
 			}
 		case r.Class != "":
