--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -27,16 +27,16 @@
 
 // QuotaCounters are the quotas' part of the counters.
 type QuotaCounters struct {
-	Groups       int          `json:"groups"`
-	Served       uint64       `json:"served"`
-	Refused      uint64       `json:"refused"`
-	Exempt       uint64       `json:"exempt"` // requests of exempt classes
-	Snapshots    uint64       `json:"snapshots"`
-	SnapshotLate uint64       `json:"snapshots_late"` // left out since the disk was slow
-	SnapshotErrs uint64       `json:"snapshot_errors"`
-	Reloads      uint64       `json:"reloads"` // files of groups taken into use while running
-	ReloadFailed uint64       `json:"reload_failed"`
-	MostRefused  []quota.Busy `json:"most_refused"` // the groups with most refusals
+	Groups       int                 `json:"groups"`
+	Served       uint64              `json:"served"`
+	Refused      uint64              `json:"refused"`
+	Exempt       uint64              `json:"exempt"` // requests of exempt classes
+	Snapshots    uint64              `json:"snapshots"`
+	SnapshotLate uint64              `json:"snapshots_late"` // left out since the disk was slow
+	SnapshotErrs uint64              `json:"snapshot_errors"`
+	Reloads      uint64              `json:"reloads"` // files of groups taken into use while running
+	ReloadFailed uint64              `json:"reload_failed"`
+	MostRefused  []quota.GroupCounts `json:"most_refused"` // the groups with most refusals
 }
 
 // quotaTicket is what a request has of its group's quota.
