--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -132,20 +132,20 @@
 
 // GroupCounts is how often a group's requests were taken up and refused.
 type GroupCounts struct {
-	Group   string `json:"group"`
-	Served  uint64 `json:"served"`
-	Refused uint64 `json:"refused"`
+	Group    string `json:"group"`
+	Served   uint64 `json:"served"`
+	Rejected uint64 `json:"refused"`
 }
 
 // TopRejected returns the groups with most refusals, at most so many, the one with most first.
 func (m *Limiter) TopRejected(most int) []GroupCounts {
 	all := make([]GroupCounts, 0, most+1)
 	for g, s := range m.stats {
-		if s.Refused == 0 || len(all) == most && s.Refused <= all[most-1].Refused {
+		if s.Refused == 0 || len(all) == most && s.Refused <= all[most-1].Rejected {
 			continue
 		}
 		at, _ := slices.BinarySearchFunc(all, s.Refused, func(b GroupCounts, n uint64) int {
-			if b.Refused >= n { // of equals the first in the tree
+			if b.Rejected >= n { // of equals the first in the tree
 				return -1
 			}
 			return 1
