--- a/cmd/hazelwheel/quota.go
+++ b/cmd/hazelwheel/quota.go
@@ -70,7 +70,7 @@
 			fmt.Fprintf(t, "%s\t%s\t%.6g\t%.6g\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f", name, l.Limit, l.Quota, l.Holds, l.Used, l.Owes, l.Claims, l.Borrowed,
 				l.Repaid, l.Lent)
 			if i == 0 {
-				fmt.Fprintf(t, "\t%d\t%d", g.Served, g.Refused)
+				fmt.Fprintf(t, "\t%d\t%d", g.Served, g.Rejected)
 			}
 			fmt.Fprintln(t)
 			name = ""
--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -13,11 +13,11 @@
 
 // GroupView is a group.
 type GroupView struct {
-	Path    string      `json:"path"`
-	Depth   int         `json:"depth"`
-	Served  uint64      `json:"served"`
-	Refused uint64      `json:"refused"`
-	Limits  []LimitView `json:"limits"`
+	Path     string      `json:"path"`
+	Depth    int         `json:"depth"`
+	Served   uint64      `json:"served"`
+	Rejected uint64      `json:"refused"`
+	Limits   []LimitView `json:"limits"`
 }
 
 // LimitView is a group's account for one limit, in its unit. Quota is this sidecar's part, in a window.
@@ -59,7 +59,7 @@
 			return
 		}
 		g := m.group(n)
-		g.Served, g.Refused = served[n], refused[n]
+		g.Served, g.Rejected = served[n], refused[n]
 		v.Groups = append(v.Groups, g)
 		for _, child := range children[n] {
 			visit(child)
@@ -85,7 +85,7 @@
 
 func (m *Limiter) group(n int32) GroupView {
 	t := &m.tree.nodes[n]
-	g := GroupView{Path: m.tree.Path(n), Depth: int(t.depth), Served: m.stats[n].Served, Refused: m.stats[n].Refused}
+	g := GroupView{Path: m.tree.Path(n), Depth: int(t.depth), Served: m.stats[n].Served, Rejected: m.stats[n].Refused}
 	for i, l := range m.tree.Limits {
 		if o := m.opens[i]; o != nil {
 			g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: o.quota[n], Holds: float64(o.open[n]), Depth: float64(o.most[n])})
