--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -24,7 +24,7 @@
 type LimitView struct {
 	Limit   string  `json:"limit"`
 	Quota   float64 `json:"quota"`
-	Holds   float64 `json:"holds"` // of open requests, how many there are
+	Level   float64 `json:"holds"` // of open requests, how many there are
 	Depth   float64 `json:"depth"`
 	Claims  float64 `json:"claims,omitempty"` // deposited with its parent and not had back
 	Owes    float64 `json:"owes,omitempty"`
@@ -88,11 +88,11 @@
 	g := GroupView{Path: m.tree.Path(n), Depth: int(t.depth), Served: m.stats[n].Served, Rejected: m.stats[n].Refused}
 	for i, l := range m.tree.Limits {
 		if o := m.opens[i]; o != nil {
-			g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: o.quota[n], Holds: float64(o.open[n]), Depth: float64(o.most[n])})
+			g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: o.quota[n], Level: float64(o.open[n]), Depth: float64(o.most[n])})
 			continue
 		}
 		c := &m.books[i].cells[n]
-		g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: t.quota[i] / float64(max(m.settings.Replicas, 1)), Holds: c.Level, Depth: c.Depth,
+		g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: t.quota[i] / float64(max(m.settings.Replicas, 1)), Level: c.Level, Depth: c.Depth,
 			Claims: max(c.Balance, 0), Owes: max(-c.Balance, 0), Lends: c.Idle, Stretch: c.Boost, Tally: c.Tally})
 	}
 	return g
