--- a/cmd/hazelwheel/quota.go
+++ b/cmd/hazelwheel/quota.go
@@ -67,7 +67,7 @@
 	for _, g := range v.Groups {
 		name := strings.Repeat("  ", g.Depth) + g.Path[strings.LastIndexByte(g.Path, '.')+1:]
 		for i, l := range g.Limits {
-			fmt.Fprintf(t, "%s\t%s\t%.6g\t%.6g\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f", name, l.Limit, l.Quota, l.Level, l.Used, l.Owes, l.Credit, l.Borrowed,
+			fmt.Fprintf(t, "%s\t%s\t%.6g\t%.6g\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f", name, l.Limit, l.Quota, l.Level, l.Used, l.Debt, l.Credit, l.Borrowed,
 				l.Repaid, l.Lent)
 			if i == 0 {
 				fmt.Fprintf(t, "\t%d\t%d", g.Served, g.Rejected)
@@ -126,8 +126,8 @@
 			}
 			fmt.Fprintf(out, "  %s: %s %s %.4g of %.4g", g.Path, l.Limit, what, l.Level, of)
 			switch {
-			case l.Owes >= 1:
-				fmt.Fprintf(out, ", owes %.0f", l.Owes)
+			case l.Debt >= 1:
+				fmt.Fprintf(out, ", owes %.0f", l.Debt)
 			case l.Credit >= 1:
 				fmt.Fprintf(out, ", has lent %.0f", l.Credit)
 			}
--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -27,7 +27,7 @@
 	Level   float64 `json:"holds"` // of open requests, how many there are
 	Depth   float64 `json:"depth"`
 	Credit  float64 `json:"claims,omitempty"` // deposited with its parent and not had back
-	Owes    float64 `json:"owes,omitempty"`
+	Debt    float64 `json:"owes,omitempty"`
 	Lends   bool    `json:"lends,omitempty"` // all that comes in goes to its parent
 	Stretch float64 `json:"stretch,omitempty"`
 	Tally   `json:"tally"`
@@ -93,7 +93,7 @@
 		}
 		c := &m.books[i].cells[n]
 		g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: t.quota[i] / float64(max(m.settings.Replicas, 1)), Level: c.Level, Depth: c.Depth,
-			Credit: max(c.Balance, 0), Owes: max(-c.Balance, 0), Lends: c.Idle, Stretch: c.Boost, Tally: c.Tally})
+			Credit: max(c.Balance, 0), Debt: max(-c.Balance, 0), Lends: c.Idle, Stretch: c.Boost, Tally: c.Tally})
 	}
 	return g
 }
