--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -22,15 +22,15 @@
 
 // LimitView is a group's account for one limit, in its unit. Quota is this sidecar's part, in a window.
 type LimitView struct {
-	Limit   string  `json:"limit"`
-	Quota   float64 `json:"quota"`
-	Level   float64 `json:"holds"` // of open requests, how many there are
-	Depth   float64 `json:"depth"`
-	Credit  float64 `json:"claims,omitempty"` // deposited with its parent and not had back
-	Debt    float64 `json:"owes,omitempty"`
-	Lends   bool    `json:"lends,omitempty"` // all that comes in goes to its parent
-	Stretch float64 `json:"stretch,omitempty"`
-	Tally   `json:"tally"`
+	Limit     string  `json:"limit"`
+	Quota     float64 `json:"quota"`
+	Level     float64 `json:"holds"` // of open requests, how many there are
+	Depth     float64 `json:"depth"`
+	Credit    float64 `json:"claims,omitempty"` // deposited with its parent and not had back
+	Debt      float64 `json:"owes,omitempty"`
+	IsLending bool    `json:"lends,omitempty"` // all that comes in goes to its parent
+	Stretch   float64 `json:"stretch,omitempty"`
+	Tally     `json:"tally"`
 }
 
 // View shows at most so many groups, and of a tree that has more those that have been asked for, as far as they go.
@@ -93,7 +93,7 @@
 		}
 		c := &m.books[i].cells[n]
 		g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: t.quota[i] / float64(max(m.settings.Replicas, 1)), Level: c.Level, Depth: c.Depth,
-			Credit: max(c.Balance, 0), Debt: max(-c.Balance, 0), Lends: c.Idle, Stretch: c.Boost, Tally: c.Tally})
+			Credit: max(c.Balance, 0), Debt: max(-c.Balance, 0), IsLending: c.Idle, Stretch: c.Boost, Tally: c.Tally})
 	}
 	return g
 }
