--- a/cmd/hazelwheel/quota.go
+++ b/cmd/hazelwheel/quota.go
@@ -111,7 +111,7 @@
 		fmt.Fprintf(out, "%s: refused %.1f s ago by %s: its own bucket held %.4g, and with what it could borrow it lacked %.4g; told to come after %.3f s\n",
 			e.Group, e.AgoS, e.Limit, e.Own, e.Lacked, e.AfterS)
 	}
-	fmt.Fprintf(out, "%d refusals in all. Now, from the group to the root:\n", e.Refused)
+	fmt.Fprintf(out, "%d refusals in all. Now, from the group to the root:\n", e.Rejected)
 	for _, g := range e.Chain {
 		for _, l := range g.Limits {
 			if e.Limit != "" && l.Limit != e.Limit {
