--- a/cmd/hazelwheel/quota.go
+++ b/cmd/hazelwheel/quota.go
@@ -105,11 +105,11 @@
 	case e.Limit == "":
 		fmt.Fprintf(out, "%s: no refusal is remembered\n", e.Group)
 	case e.Capped:
-		fmt.Fprintf(out, "%s: refused %.1f s ago by %s: its cap, or that of a group above it, was reached; told to come after %.3f s\n", e.Group, e.AgoS,
+		fmt.Fprintf(out, "%s: refused %.1f s ago by %s: its cap, or that of a group above it, was reached; told to come after %.3f s\n", e.Group, e.AgoSeconds,
 			e.Limit, e.AfterS)
 	default:
 		fmt.Fprintf(out, "%s: refused %.1f s ago by %s: its own bucket held %.4g, and with what it could borrow it lacked %.4g; told to come after %.3f s\n",
-			e.Group, e.AgoS, e.Limit, e.Own, e.Lacked, e.AfterS)
+			e.Group, e.AgoSeconds, e.Limit, e.Own, e.Lacked, e.AfterS)
 	}
 	fmt.Fprintf(out, "%d refusals in all. Now, from the group to the root:\n", e.Rejected)
 	for _, g := range e.Chain {
