--- a/cmd/hazelwheel/quota.go
+++ b/cmd/hazelwheel/quota.go
@@ -106,10 +106,10 @@
 		fmt.Fprintf(out, "%s: no refusal is remembered\n", e.Group)
 	case e.Capped:
 		fmt.Fprintf(out, "%s: refused %.1f s ago by %s: its cap, or that of a group above it, was reached; told to come after %.3f s\n", e.Group, e.AgoSeconds,
-			e.Limit, e.AfterS)
+			e.Limit, e.RetryAfterSeconds)
 	default:
 		fmt.Fprintf(out, "%s: refused %.1f s ago by %s: its own bucket held %.4g, and with what it could borrow it lacked %.4g; told to come after %.3f s\n",
-			e.Group, e.AgoSeconds, e.Limit, e.Level, e.Shortfall, e.AfterS)
+			e.Group, e.AgoSeconds, e.Limit, e.Level, e.Shortfall, e.RetryAfterSeconds)
 	}
 	fmt.Fprintf(out, "%d refusals in all. Now, from the group to the root:\n", e.Rejected)
 	for _, g := range e.Chain {
--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -100,15 +100,15 @@
 
 // Explanation is why a group's last refusal was made, and how it and those above it stand.
 type Explanation struct {
-	Group      string      `json:"group"`
-	Rejected   uint64      `json:"refused"`
-	AgoSeconds float64     `json:"ago_s"`
-	Limit      string      `json:"limit"` // "": none is remembered
-	Capped     bool        `json:"capped"`
-	Shortfall  float64     `json:"lacked"`
-	Level      float64     `json:"own"`
-	AfterS     float64     `json:"after_s"`
-	Chain      []GroupView `json:"chain"` // the group first, the root last
+	Group             string      `json:"group"`
+	Rejected          uint64      `json:"refused"`
+	AgoSeconds        float64     `json:"ago_s"`
+	Limit             string      `json:"limit"` // "": none is remembered
+	Capped            bool        `json:"capped"`
+	Shortfall         float64     `json:"lacked"`
+	Level             float64     `json:"own"`
+	RetryAfterSeconds float64     `json:"after_s"`
+	Chain             []GroupView `json:"chain"` // the group first, the root last
 }
 
 // Explain tells of a group.
@@ -117,7 +117,7 @@
 	_, refused := m.sums()
 	e := Explanation{Group: m.tree.Path(g), Rejected: refused[g]}
 	if r := m.refusals[g]; r.Limit >= 0 {
-		e.AgoSeconds, e.Limit, e.Capped, e.Shortfall, e.Level, e.AfterS = now-r.At, m.tree.Limits[r.Limit].Name(), r.Capped, r.Lacked, r.Own, r.AfterS
+		e.AgoSeconds, e.Limit, e.Capped, e.Shortfall, e.Level, e.RetryAfterSeconds = now-r.At, m.tree.Limits[r.Limit].Name(), r.Capped, r.Lacked, r.Own, r.AfterS
 	}
 	for _, b := range m.books {
 		if b != nil {
