--- a/internal/featureconfig/quotas.go
+++ b/internal/featureconfig/quotas.go
@@ -43,7 +43,7 @@
 		})
 	}
 	for _, e := range o.list("quotas.identify") {
-		q.Identify = append(q.Identify, readIdentity(e, cfg))
+		q.Rules = append(q.Rules, readIdentity(e, cfg))
 	}
 	for _, name := range []string{"quotas.file", "quotas.default"} {
 		if _, ok := o.fields[name]; !ok {
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -11,7 +11,7 @@
 type Settings struct {
 	File      string      // of groups; "": there are no quotas
 	Tree      *quota.Tree // what it said at the start
-	Identify  []Rule      // in the order in which they are tried
+	Rules     []Rule      // in the order in which they are tried
 	Default   string      // the group of whoever is in none
 	Exempt    []string    // classes that are neither counted nor refused
 	Floor     []string    // classes that may use the groups' floors
@@ -53,7 +53,7 @@
 	if err := checkGroup(t, s.Default); err != nil {
 		return fmt.Errorf("default: %w", err)
 	}
-	for i, r := range s.Identify {
+	for i, r := range s.Rules {
 		if r.Header != "" {
 			continue
 		}
@@ -87,8 +87,8 @@
 
 // NewDirectory returns the directory of a tree that the settings have been checked for.
 func NewDirectory(s *Settings, t *quota.Tree) *Directory {
-	d := &Directory{tree: t, rules: s.Identify}
-	for _, r := range s.Identify {
+	d := &Directory{tree: t, rules: s.Rules}
+	for _, r := range s.Rules {
 		g, _ := t.Find(r.Group) // 0 of a field, which has no group of its own
 		d.groups = append(d.groups, g)
 	}
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -46,7 +46,7 @@
 	}
 	s := quotas.Defaults()
 	s.File, s.Tree, s.Default = "of the day", tree, "cities"
-	s.Identify = []quotas.Rule{{Header: "Organisation"}}
+	s.Rules = []quotas.Rule{{Header: "Organisation"}}
 	return func(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
 		p, err := sidecar.New(cfg, featureconfig.Features{Quotas: s}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, net, log)
 		if err != nil {
