--- a/internal/lint/quotas.go
+++ b/internal/lint/quotas.go
@@ -115,12 +115,12 @@
 		extras: func(u *unit, say say) {
 			t, err := tree(u.groupsIn)
 			if q := u.extras.Quotas; q != nil && t != nil && err == nil {
-				s := quotas.Settings{Default: q.Default}
+				s := quotas.Settings{DefaultGroup: q.Default}
 				if err := s.Check(t); err != nil {
 					say(u.atExtra("quotas.default"), strings.TrimPrefix(err.Error(), "default: "))
 				}
 				for i, r := range q.Identify {
-					s = quotas.Settings{Default: r.Group}
+					s = quotas.Settings{DefaultGroup: r.Group}
 					if err := s.Check(t); err != nil && r.Header == "" && r.Group != "" {
 						say(u.atExtra("quotas.identify[%d].group", i), strings.TrimPrefix(err.Error(), "default: "))
 					}
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -25,7 +25,7 @@
 	tree, err := Parse([]byte(`{"limits": [{"measure": "requests", "window_s": 10, "quota": 100}], "groups": [{"name": "north", "share": 50},
 		{"name": "city", "parent": "north", "share": 50}, {"name": "ministry", "share": 20}, {"name": "others"}]}`))
 	require.NoError(t, err)
-	s := Settings{File: "x", Tree: tree, Default: "others", Rules: []Rule{{Header: "Organisation"},
+	s := Settings{File: "x", Tree: tree, DefaultGroup: "others", Rules: []Rule{{Header: "Organisation"},
 		{Addresses: netip.MustParsePrefix("10.1.0.0/16"), Group: "ministry"}, {Class: "raise-alert", Group: "north.city"}}}
 	require.NoError(t, s.Check(tree))
 	return NewDirectory(&s, tree), tree
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -9,17 +9,17 @@
 
 // Settings are the operators' word on quotas. The zero value has none.
 type Settings struct {
-	File      string      // of groups; "": there are no quotas
-	Tree      *quota.Tree // what it said at the start
-	Rules     []Rule      // in the order in which they are tried
-	Default   string      // the group of whoever is in none
-	Exempt    []string    // classes that are neither counted nor refused
-	Floor     []string    // classes that may use the groups' floors
-	Dir       string      // of snapshots; "": none are made
-	SnapshotS float64     // the time between two
-	Stretch   float64     // of a sidecar's part, see quota.Settings
-	Repay     float64
-	FadeS     float64
+	File         string      // of groups; "": there are no quotas
+	Tree         *quota.Tree // what it said at the start
+	Rules        []Rule      // in the order in which they are tried
+	DefaultGroup string      // the group of whoever is in none
+	Exempt       []string    // classes that are neither counted nor refused
+	Floor        []string    // classes that may use the groups' floors
+	Dir          string      // of snapshots; "": none are made
+	SnapshotS    float64     // the time between two
+	Stretch      float64     // of a sidecar's part, see quota.Settings
+	Repay        float64
+	FadeS        float64
 }
 
 // Defaults returns the settings where nothing is said.
@@ -50,7 +50,7 @@
 
 // Check tells what in the settings does not fit a tree. An error names the field.
 func (s *Settings) Check(t *quota.Tree) error {
-	if err := checkGroup(t, s.Default); err != nil {
+	if err := checkGroup(t, s.DefaultGroup); err != nil {
 		return fmt.Errorf("default: %w", err)
 	}
 	for i, r := range s.Rules {
@@ -92,7 +92,7 @@
 		g, _ := t.Find(r.Group) // 0 of a field, which has no group of its own
 		d.groups = append(d.groups, g)
 	}
-	d.other, _ = t.Find(s.Default)
+	d.other, _ = t.Find(s.DefaultGroup)
 	return d
 }
 
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	s := quotas.Defaults()
-	s.File, s.Tree, s.Default = "of the day", tree, "cities"
+	s.File, s.Tree, s.DefaultGroup = "of the day", tree, "cities"
 	s.Rules = []quotas.Rule{{Header: "Organisation"}}
 	return func(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
 		p, err := sidecar.New(cfg, featureconfig.Features{Quotas: s}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, net, log)
