--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -9,17 +9,17 @@
 
 // Settings are the operators' word on quotas. The zero value has none.
 type Settings struct {
-	File         string      // of groups; "": there are no quotas
-	Tree         *quota.Tree // what it said at the start
-	Rules        []Rule      // in the order in which they are tried
-	DefaultGroup string      // the group of whoever is in none
-	Exempt       []string    // classes that are neither counted nor refused
-	Floor        []string    // classes that may use the groups' floors
-	Dir          string      // of snapshots; "": none are made
-	SnapshotS    float64     // the time between two
-	Stretch      float64     // of a sidecar's part, see quota.Settings
-	Repay        float64
-	FadeS        float64
+	File          string      // of groups; "": there are no quotas
+	Tree          *quota.Tree // what it said at the start
+	Rules         []Rule      // in the order in which they are tried
+	DefaultGroup  string      // the group of whoever is in none
+	ExemptClasses []string    // classes that are neither counted nor refused
+	Floor         []string    // classes that may use the groups' floors
+	Dir           string      // of snapshots; "": none are made
+	SnapshotS     float64     // the time between two
+	Stretch       float64     // of a sidecar's part, see quota.Settings
+	Repay         float64
+	FadeS         float64
 }
 
 // Defaults returns the settings where nothing is said.
