--- a/internal/featureconfig/quotas.go
+++ b/internal/featureconfig/quotas.go
@@ -32,7 +32,7 @@
 	for _, list := range []struct {
 		name    string
 		classes *[]string
-	}{{"quotas.exempt", &q.ExemptClasses}, {"quotas.floor", &q.Floor}} {
+	}{{"quotas.exempt", &q.ExemptClasses}, {"quotas.floor", &q.FloorClasses}} {
 		field(o, list.name, list.classes, "a list of classes of the settings", func(names []string) bool {
 			for _, name := range names {
 				if !hasClass(cfg, name) {
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -14,7 +14,7 @@
 	Rules         []Rule      // in the order in which they are tried
 	DefaultGroup  string      // the group of whoever is in none
 	ExemptClasses []string    // classes that are neither counted nor refused
-	Floor         []string    // classes that may use the groups' floors
+	FloorClasses  []string    // classes that may use the groups' floors
 	Dir           string      // of snapshots; "": none are made
 	SnapshotS     float64     // the time between two
 	Stretch       float64     // of a sidecar's part, see quota.Settings
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -65,7 +65,7 @@
 		}
 		return flags
 	}
-	d.exempt, d.floor = named(on.ExemptClasses), named(on.Floor)
+	d.exempt, d.floor = named(on.ExemptClasses), named(on.FloorClasses)
 	if on.Dir != "" {
 		s.reserved += quotas.DiskDescriptors
 	}
