--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -15,7 +15,7 @@
 	DefaultGroup  string      // the group of whoever is in none
 	ExemptClasses []string    // classes that are neither counted nor refused
 	FloorClasses  []string    // classes that may use the groups' floors
-	Dir           string      // of snapshots; "": none are made
+	SnapshotDir   string      // of snapshots; "": none are made
 	SnapshotS     float64     // the time between two
 	Stretch       float64     // of a sidecar's part, see quota.Settings
 	Repay         float64
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -66,7 +66,7 @@
 		return flags
 	}
 	d.exempt, d.floor = named(on.ExemptClasses), named(on.FloorClasses)
-	if on.Dir != "" {
+	if on.SnapshotDir != "" {
 		s.reserved += quotas.DiskDescriptors
 	}
 	return d
@@ -75,13 +75,13 @@
 // beginQuotas goes on from the last snapshot and has the next ones made.
 func (s *Sidecar) beginQuotas() {
 	d := s.quotas
-	if d == nil || d.settings.Dir == "" {
+	if d == nil || d.settings.SnapshotDir == "" {
 		return
 	}
-	if state := quotas.Load(d.settings.Dir, s.log); state != nil {
+	if state := quotas.Load(d.settings.SnapshotDir, s.log); state != nil {
 		d.machine = quota.Restore(d.settings.Tree, d.settings.Machine(s.cfg.Settings.Policy.Replicas), state, s.now())
 	}
-	d.disk = quotas.NewDisk(d.settings.Dir, s.log)
+	d.disk = quotas.NewDisk(d.settings.SnapshotDir, s.log)
 	s.timers.at(s.now()+d.settings.SnapshotS, s.snapshotQuotas)
 }
 
