--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -9,22 +9,22 @@
 
 // Settings are the operators' word on quotas. The zero value has none.
 type Settings struct {
-	File          string      // of groups; "": there are no quotas
-	Tree          *quota.Tree // what it said at the start
-	Rules         []Rule      // in the order in which they are tried
-	DefaultGroup  string      // the group of whoever is in none
-	ExemptClasses []string    // classes that are neither counted nor refused
-	FloorClasses  []string    // classes that may use the groups' floors
-	SnapshotDir   string      // of snapshots; "": none are made
-	SnapshotS     float64     // the time between two
-	Stretch       float64     // of a sidecar's part, see quota.Settings
-	Repay         float64
-	FadeS         float64
+	File                    string      // of groups; "": there are no quotas
+	Tree                    *quota.Tree // what it said at the start
+	Rules                   []Rule      // in the order in which they are tried
+	DefaultGroup            string      // the group of whoever is in none
+	ExemptClasses           []string    // classes that are neither counted nor refused
+	FloorClasses            []string    // classes that may use the groups' floors
+	SnapshotDir             string      // of snapshots; "": none are made
+	SnapshotIntervalSeconds float64     // the time between two
+	Stretch                 float64     // of a sidecar's part, see quota.Settings
+	Repay                   float64
+	FadeS                   float64
 }
 
 // Defaults returns the settings where nothing is said.
 func Defaults() Settings {
-	return Settings{SnapshotS: 10, Stretch: quota.DefaultStretchFraction, Repay: quota.DefaultRepayFraction, FadeS: quota.DefaultFadeSeconds}
+	return Settings{SnapshotIntervalSeconds: 10, Stretch: quota.DefaultStretchFraction, Repay: quota.DefaultRepayFraction, FadeS: quota.DefaultFadeSeconds}
 }
 
 // On tells whether there are quotas.
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -82,7 +82,7 @@
 		d.machine = quota.Restore(d.settings.Tree, d.settings.Machine(s.cfg.Settings.Policy.Replicas), state, s.now())
 	}
 	d.disk = quotas.NewDisk(d.settings.SnapshotDir, s.log)
-	s.timers.at(s.now()+d.settings.SnapshotS, s.snapshotQuotas)
+	s.timers.at(s.now()+d.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
 }
 
 // snapshotQuotas hands a copy of the quotas' state to the disk, again and again.
@@ -90,7 +90,7 @@
 	if s.quotas.disk.Ready() {
 		s.quotas.disk.Write(s.quotas.machine.State())
 	}
-	s.timers.at(s.now()+s.quotas.settings.SnapshotS, s.snapshotQuotas)
+	s.timers.at(s.now()+s.quotas.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
 }
 
 // endQuotas writes the last snapshot, once the loop has gone.
