--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -17,14 +17,14 @@
 	FloorClasses            []string    // classes that may use the groups' floors
 	SnapshotDir             string      // of snapshots; "": none are made
 	SnapshotIntervalSeconds float64     // the time between two
-	Stretch                 float64     // of a sidecar's part, see quota.Settings
+	StretchFraction         float64     // of a sidecar's part, see quota.Settings
 	Repay                   float64
 	FadeS                   float64
 }
 
 // Defaults returns the settings where nothing is said.
 func Defaults() Settings {
-	return Settings{SnapshotIntervalSeconds: 10, Stretch: quota.DefaultStretchFraction, Repay: quota.DefaultRepayFraction, FadeS: quota.DefaultFadeSeconds}
+	return Settings{SnapshotIntervalSeconds: 10, StretchFraction: quota.DefaultStretchFraction, Repay: quota.DefaultRepayFraction, FadeS: quota.DefaultFadeSeconds}
 }
 
 // On tells whether there are quotas.
@@ -32,7 +32,7 @@
 
 // Machine returns the settings of the decisions in one of so many sidecars.
 func (s *Settings) Machine(replicas int) quota.Settings {
-	stretch := s.Stretch
+	stretch := s.StretchFraction
 	if replicas <= 1 {
 		stretch = 0 // its part is the whole, and exact
 	}
