--- a/internal/quotas/replay/week_test.go
+++ b/internal/quotas/replay/week_test.go
@@ -180,7 +180,7 @@
 		load.EndS = dayS
 	}
 	s := quotas.Defaults()
-	s.Repay = *repay
+	s.RepayFraction = *repay
 	began := time.Now()
 	r := Play(tree, load, s.Machine(1))
 	var text bytes.Buffer
@@ -191,7 +191,7 @@
 	assert.Greater(t, hours, 150)
 	assert.Greater(t, part, 0.99, "each has its share in each hour in which it wants it, less what it pays back")
 	part, _ = r.Worst(false)
-	assert.Greater(t, part, 0.999-s.Repay, "and it pays back no more than is said, by default a hundredth")
+	assert.Greater(t, part, 0.999-s.RepayFraction, "and it pays back no more than is said, by default a hundredth")
 	assert.Less(t, r.Imbalance(), 1.0)
 	assert.Less(t, r.Off, 0.01)
 	assert.Positive(t, r.Offered)
