--- a/internal/featureconfig/quotas.go
+++ b/internal/featureconfig/quotas.go
@@ -28,7 +28,7 @@
 	field(o, "quotas.snapshot_s", &q.SnapshotIntervalSeconds, "1 to 3600", func(v float64) bool { return v >= 1 && v <= 3600 })
 	field(o, "quotas.stretch", &q.StretchFraction, "0 to 0.5", func(v float64) bool { return v >= 0 && v <= 0.5 })
 	field(o, "quotas.repay", &q.RepayFraction, "0 to 0.5", func(v float64) bool { return v >= 0 && v <= 0.5 })
-	field(o, "quotas.forget_s", &q.FadeS, "60 to 2678400", func(v float64) bool { return v >= 60 && v <= 31*86400 })
+	field(o, "quotas.forget_s", &q.FadeSeconds, "60 to 2678400", func(v float64) bool { return v >= 60 && v <= 31*86400 })
 	for _, list := range []struct {
 		name    string
 		classes *[]string
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -19,12 +19,12 @@
 	SnapshotIntervalSeconds float64     // the time between two
 	StretchFraction         float64     // of a sidecar's part, see quota.Settings
 	RepayFraction           float64
-	FadeS                   float64
+	FadeSeconds             float64
 }
 
 // Defaults returns the settings where nothing is said.
 func Defaults() Settings {
-	return Settings{SnapshotIntervalSeconds: 10, StretchFraction: quota.DefaultStretchFraction, RepayFraction: quota.DefaultRepayFraction, FadeS: quota.DefaultFadeSeconds}
+	return Settings{SnapshotIntervalSeconds: 10, StretchFraction: quota.DefaultStretchFraction, RepayFraction: quota.DefaultRepayFraction, FadeSeconds: quota.DefaultFadeSeconds}
 }
 
 // On tells whether there are quotas.
@@ -36,7 +36,7 @@
 	if replicas <= 1 {
 		stretch = 0 // its part is the whole, and exact
 	}
-	return quota.Settings{Replicas: replicas, StretchFraction: stretch, RepayFraction: s.RepayFraction, FadeSeconds: s.FadeS}
+	return quota.Settings{Replicas: replicas, StretchFraction: stretch, RepayFraction: s.RepayFraction, FadeSeconds: s.FadeSeconds}
 }
 
 // Rule is one way to know a request's group: the value of a header field names it, or it is that of all requests of a
