--- a/internal/featureconfig/features.go
+++ b/internal/featureconfig/features.go
@@ -71,7 +71,7 @@
 		}
 		on = append(on, fmt.Sprintf("thrift (%s, %d methods)", f.Thrift.Listen, methods))
 	}
-	if f.Quotas.On() {
+	if f.Quotas.IsEnabled() {
 		on = append(on, fmt.Sprintf("quotas (%d groups, %d limits)", f.Quotas.Tree.Len()-1, len(f.Quotas.Tree.Limits)))
 	}
 	if f.Fleet.On() {
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -27,8 +27,8 @@
 	return Settings{SnapshotIntervalSeconds: 10, StretchFraction: quota.DefaultStretchFraction, RepayFraction: quota.DefaultRepayFraction, FadeSeconds: quota.DefaultFadeSeconds}
 }
 
-// On tells whether there are quotas.
-func (s *Settings) On() bool { return s.File != "" }
+// IsEnabled tells whether there are quotas.
+func (s *Settings) IsEnabled() bool { return s.File != "" }
 
 // Machine returns the settings of the decisions in one of so many sidecars.
 func (s *Settings) Machine(replicas int) quota.Settings {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -50,7 +50,7 @@
 
 // newQuotas returns the desk of the settings, nil where there are no quotas.
 func (s *Sidecar) newQuotas(on quotas.Settings) *quotaDesk {
-	if !on.On() {
+	if !on.IsEnabled() {
 		return nil
 	}
 	d := &quotaDesk{settings: on, machine: quota.New(on.Tree, on.Machine(s.cfg.Settings.Policy.Replicas), s.now()),
