--- a/cmd/hazelwheel/quota.go
+++ b/cmd/hazelwheel/quota.go
@@ -157,7 +157,7 @@
 		return fault(fmt.Errorf("%s: %w", c.String("load"), err))
 	}
 	s := quotas.Defaults()
-	r := played.Play(tree, load, s.Machine(replicas))
+	r := played.Play(tree, load, s.LimiterSettings(replicas))
 	if err := r.Text(c.Root().Writer); err != nil || c.String("picture") == "" {
 		return err
 	}
--- a/internal/quotas/replay/fleet_test.go
+++ b/internal/quotas/replay/fleet_test.go
@@ -148,7 +148,7 @@
 			for _, stretch := range stretches {
 				s := quotas.Defaults()
 				s.StretchFraction = stretch
-				x := playFleet(t, tree, load, s.Machine(n), n, skew)
+				x := playFleet(t, tree, load, s.LimiterSettings(n), n, skew)
 				t.Logf("%3d sidecars, skew %.1f, stretch %.1f: at most %.1f %% of the quota in an hour; who wanted its share had %.1f %% of it, at least %.1f %%; "+
 					"%.1f %% of what one machine serves; %.1f %% not served while somebody was refused", n, skew, stretch, 100*x.over, 100*x.had, 100*x.worst, 100*x.served, 100*x.unused)
 				// Each account of each sidecar holds a request at least, and a pool two: so many may be taken at once.
--- a/internal/quotas/replay/week_test.go
+++ b/internal/quotas/replay/week_test.go
@@ -182,7 +182,7 @@
 	s := quotas.Defaults()
 	s.RepayFraction = *repay
 	began := time.Now()
-	r := Play(tree, load, s.Machine(1))
+	r := Play(tree, load, s.LimiterSettings(1))
 	var text bytes.Buffer
 	require.NoError(t, r.Text(&text))
 	t.Logf("%d groups, %d decisions in %.1f s\n%s", tree.Len()-1, r.Asks, time.Since(began).Seconds(), text.String())
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -30,8 +30,8 @@
 // IsEnabled tells whether there are quotas.
 func (s *Settings) IsEnabled() bool { return s.File != "" }
 
-// Machine returns the settings of the decisions in one of so many sidecars.
-func (s *Settings) Machine(replicas int) quota.Settings {
+// LimiterSettings returns the settings of the decisions in one of so many sidecars.
+func (s *Settings) LimiterSettings(replicas int) quota.Settings {
 	stretch := s.StretchFraction
 	if replicas <= 1 {
 		stretch = 0 // its part is the whole, and exact
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -53,7 +53,7 @@
 	if !on.IsEnabled() {
 		return nil
 	}
-	d := &quotaDesk{settings: on, machine: quota.New(on.Tree, on.Machine(s.cfg.Settings.Policy.Replicas), s.now()),
+	d := &quotaDesk{settings: on, machine: quota.New(on.Tree, on.LimiterSettings(s.cfg.Settings.Policy.Replicas), s.now()),
 		directory: quotas.NewDirectory(&on, on.Tree)}
 	named := func(names []string) (flags []bool) {
 		for _, c := range s.cfg.Settings.Policy.Classes {
@@ -79,7 +79,7 @@
 		return
 	}
 	if state := quotas.Load(d.settings.SnapshotDir, s.log); state != nil {
-		d.machine = quota.Restore(d.settings.Tree, d.settings.Machine(s.cfg.Settings.Policy.Replicas), state, s.now())
+		d.machine = quota.Restore(d.settings.Tree, d.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas), state, s.now())
 	}
 	d.disk = quotas.NewDisk(d.settings.SnapshotDir, s.log)
 	s.timers.at(s.now()+d.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
@@ -122,7 +122,7 @@
 		s.log.Error("the quotas stay as they were", "error", err)
 	case tree != nil:
 		d.counts.Reloads++
-		d.machine = d.machine.WithTree(s.now(), tree, d.settings.Machine(s.cfg.Settings.Policy.Replicas))
+		d.machine = d.machine.WithTree(s.now(), tree, d.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas))
 		d.directory = quotas.NewDirectory(&d.settings, tree)
 		s.log.Info("quotas read", "groups", tree.Len()-1)
 	}
