--- a/internal/featureconfig/quotas.go
+++ b/internal/featureconfig/quotas.go
@@ -59,7 +59,7 @@
 		return
 	}
 	q.Tree = tree
-	if err := q.Check(tree); err != nil {
+	if err := q.Validate(tree); err != nil {
 		o.err = fmt.Errorf("quotas.%w", err)
 	}
 }
--- a/internal/lint/quotas.go
+++ b/internal/lint/quotas.go
@@ -116,12 +116,12 @@
 			t, err := tree(u.groupsIn)
 			if q := u.extras.Quotas; q != nil && t != nil && err == nil {
 				s := quotas.Settings{DefaultGroup: q.Default}
-				if err := s.Check(t); err != nil {
+				if err := s.Validate(t); err != nil {
 					say(u.atExtra("quotas.default"), strings.TrimPrefix(err.Error(), "default: "))
 				}
 				for i, r := range q.Identify {
 					s = quotas.Settings{DefaultGroup: r.Group}
-					if err := s.Check(t); err != nil && r.Header == "" && r.Group != "" {
+					if err := s.Validate(t); err != nil && r.Header == "" && r.Group != "" {
 						say(u.atExtra("quotas.identify[%d].group", i), strings.TrimPrefix(err.Error(), "default: "))
 					}
 				}
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -48,8 +48,8 @@
 	Group     string // of Class and Addresses
 }
 
-// Check tells what in the settings does not fit a tree. An error names the field.
-func (s *Settings) Check(t *quota.Tree) error {
+// Validate tells what in the settings does not fit a tree. An error names the field.
+func (s *Settings) Validate(t *quota.Tree) error {
 	if err := checkGroup(t, s.DefaultGroup); err != nil {
 		return fmt.Errorf("default: %w", err)
 	}
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -107,7 +107,7 @@
 	}
 	tree, err := quotas.Read(s.quotas.settings.File)
 	if err == nil {
-		err = s.quotas.settings.Check(tree)
+		err = s.quotas.settings.Validate(tree)
 	}
 	return tree, err
 }
