--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -21,7 +21,7 @@
 
 func (h header) Field(name string) string { return h[name] }
 
-func directory(t *testing.T) (*Directory, *quota.Tree) {
+func directory(t *testing.T) (*Classifier, *quota.Tree) {
 	tree, err := Parse([]byte(`{"limits": [{"measure": "requests", "window_s": 10, "quota": 100}], "groups": [{"name": "north", "share": 50},
 		{"name": "city", "parent": "north", "share": 50}, {"name": "ministry", "share": 20}, {"name": "others"}]}`))
 	require.NoError(t, err)
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -76,9 +76,9 @@
 	return nil
 }
 
-// Directory knows the groups of requests. It holds what the tree and the settings name and nothing else, so whatever
+// Classifier knows the groups of requests. It holds what the tree and the settings name and nothing else, so whatever
 // names come, it does not grow.
-type Directory struct {
+type Classifier struct {
 	tree   *quota.Tree
 	rules  []Rule
 	groups []int32 // of the rules
@@ -86,8 +86,8 @@
 }
 
 // NewDirectory returns the directory of a tree that the settings have been checked for.
-func NewDirectory(s *Settings, t *quota.Tree) *Directory {
-	d := &Directory{tree: t, rules: s.Rules}
+func NewDirectory(s *Settings, t *quota.Tree) *Classifier {
+	d := &Classifier{tree: t, rules: s.Rules}
 	for _, r := range s.Rules {
 		g, _ := t.Find(r.Group) // 0 of a field, which has no group of its own
 		d.groups = append(d.groups, g)
@@ -103,7 +103,7 @@
 }
 
 // Group returns the group of a request.
-func (d *Directory) Group(header Header, class string, from netip.Addr) int32 {
+func (d *Classifier) Group(header Header, class string, from netip.Addr) int32 {
 	for i := range d.rules {
 		r := &d.rules[i]
 		switch {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -18,7 +18,7 @@
 type quotaDesk struct {
 	settings  quotas.Settings
 	machine   *quota.Limiter
-	directory *quotas.Directory
+	directory *quotas.Classifier
 	exempt    []bool // by class
 	floor     []bool
 	disk      *quotas.Disk // nil: no snapshots are made
