--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -28,7 +28,7 @@
 	s := Settings{File: "x", Tree: tree, DefaultGroup: "others", Rules: []Rule{{Header: "Organisation"},
 		{Addresses: netip.MustParsePrefix("10.1.0.0/16"), Group: "ministry"}, {Class: "raise-alert", Group: "north.city"}}}
 	require.NoError(t, s.Validate(tree))
-	return NewDirectory(&s, tree), tree
+	return NewClassifier(&s, tree), tree
 }
 
 func TestTheFirstRuleThatFitsDecides(t *testing.T) {
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -85,8 +85,8 @@
 	other  int32
 }
 
-// NewDirectory returns the directory of a tree that the settings have been checked for.
-func NewDirectory(s *Settings, t *quota.Tree) *Classifier {
+// NewClassifier returns the directory of a tree that the settings have been checked for.
+func NewClassifier(s *Settings, t *quota.Tree) *Classifier {
 	d := &Classifier{tree: t, rules: s.Rules}
 	for _, r := range s.Rules {
 		g, _ := t.Find(r.Group) // 0 of a field, which has no group of its own
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -54,7 +54,7 @@
 		return nil
 	}
 	d := &quotaDesk{settings: on, machine: quota.New(on.Tree, on.LimiterSettings(s.cfg.Settings.Policy.Replicas), s.now()),
-		directory: quotas.NewDirectory(&on, on.Tree)}
+		directory: quotas.NewClassifier(&on, on.Tree)}
 	named := func(names []string) (flags []bool) {
 		for _, c := range s.cfg.Settings.Policy.Classes {
 			is := false
@@ -123,7 +123,7 @@
 	case tree != nil:
 		d.counts.Reloads++
 		d.machine = d.machine.WithTree(s.now(), tree, d.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas))
-		d.directory = quotas.NewDirectory(&d.settings, tree)
+		d.directory = quotas.NewClassifier(&d.settings, tree)
 		s.log.Info("quotas read", "groups", tree.Len()-1)
 	}
 }
