--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -48,7 +48,7 @@
 		{"nobody", "latest-reading", outside, "others"},
 		{"", "latest-reading", netip.Addr{}, "others"},
 	} {
-		assert.Equal(t, c.want, tree.Path(d.Group(header{"Organisation": c.header}, c.class, c.from)), "%+v", c)
+		assert.Equal(t, c.want, tree.Path(d.GroupOf(header{"Organisation": c.header}, c.class, c.from)), "%+v", c)
 	}
 }
 
@@ -62,7 +62,7 @@
 	h := header{}
 	for i := range 1_000_000 {
 		h["Organisation"] = fmt.Sprintf("north.name%d", i)
-		g := d.Group(h, "latest-reading", netip.Addr{})
+		g := d.GroupOf(h, "latest-reading", netip.Addr{})
 		require.Equal(t, "others", tree.Path(g))
 		m.Admit(float64(i)/1e5, quota.Request{Group: g})
 	}
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -102,8 +102,8 @@
 	Field(name string) string
 }
 
-// Group returns the group of a request.
-func (d *Classifier) Group(header Header, class string, from netip.Addr) int32 {
+// GroupOf returns the group of a request.
+func (d *Classifier) GroupOf(header Header, class string, from netip.Addr) int32 {
 	for i := range d.rules {
 		r := &d.rules[i]
 		switch {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -168,7 +168,7 @@
 	if knows {
 		bytes, header = q.Bytes(), q
 	}
-	g := d.directory.Group(header, s.cfg.Settings.Policy.Classes[a.Class].Name, clientAddress(l.conn))
+	g := d.directory.GroupOf(header, s.cfg.Settings.Policy.Classes[a.Class].Name, clientAddress(l.conn))
 	t := quotaTicket{ask: d.machine.NewRequest(g, float64(bytes), d.floor[a.Class]), taken: true, at: now}
 	v := d.machine.Admit(now, t.ask)
 	if v.Allowed {
