--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -96,14 +96,14 @@
 	return d
 }
 
-// Header is what a request says of itself.
-type Header interface {
+// FieldGetter is what a request says of itself.
+type FieldGetter interface {
 	// Field returns the value of a field, "" if it is absent.
 	Field(name string) string
 }
 
 // GroupOf returns the group of a request.
-func (d *Classifier) GroupOf(header Header, class string, from netip.Addr) int32 {
+func (d *Classifier) GroupOf(header FieldGetter, class string, from netip.Addr) int32 {
 	for i := range d.rules {
 		r := &d.rules[i]
 		switch {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -163,7 +163,7 @@
 		d.counts.Exempt++
 		return quotaTicket{}, true
 	}
-	now, bytes, header := s.now(), a.Size, quotas.Header(noFields{})
+	now, bytes, header := s.now(), a.Size, quotas.FieldGetter(noFields{})
 	q, knows := l.client.(Quoted)
 	if knows {
 		bytes, header = q.Bytes(), q
