--- a/internal/quotas/disk.go
+++ b/internal/quotas/disk.go
@@ -20,9 +20,9 @@
 	DiskDescriptors = 2
 )
 
-// Disk writes snapshots to a folder beside the event loop. Danger: a disk may be slow, full or gone; serving goes on, and
+// SnapshotWriter writes snapshots to a folder beside the event loop. Danger: a disk may be slow, full or gone; serving goes on, and
 // one that can't be written in time is left out: the next holds all that it would have.
-type Disk struct {
+type SnapshotWriter struct {
 	dir    string
 	log    *slog.Logger
 	queue  chan *quota.State
@@ -35,14 +35,14 @@
 }
 
 // NewDisk returns a writer to a folder.
-func NewDisk(dir string, log *slog.Logger) *Disk {
-	d := &Disk{dir: dir, log: log, queue: make(chan *quota.State, 1), done: make(chan struct{})}
+func NewDisk(dir string, log *slog.Logger) *SnapshotWriter {
+	d := &SnapshotWriter{dir: dir, log: log, queue: make(chan *quota.State, 1), done: make(chan struct{})}
 	go d.run()
 	return d
 }
 
 // Ready tells whether another snapshot would be taken now. It is asked before one is made, which costs time.
-func (d *Disk) Ready() bool {
+func (d *SnapshotWriter) Ready() bool {
 	if len(d.queue) == cap(d.queue) {
 		d.Late++
 		return false
@@ -51,7 +51,7 @@
 }
 
 // Write has a state written. It never waits.
-func (d *Disk) Write(s *quota.State) {
+func (d *SnapshotWriter) Write(s *quota.State) {
 	select {
 	case d.queue <- s:
 	default:
@@ -60,7 +60,7 @@
 }
 
 // Close has a last state written and waits for it.
-func (d *Disk) Close(last *quota.State) {
+func (d *SnapshotWriter) Close(last *quota.State) {
 	until := time.After(closeWithinS * time.Second)
 	select {
 	case d.queue <- last:
@@ -74,7 +74,7 @@
 	}
 }
 
-func (d *Disk) run() {
+func (d *SnapshotWriter) run() {
 	defer close(d.done)
 	for s := range d.queue {
 		err := d.write(s)
@@ -91,7 +91,7 @@
 
 // write replaces the snapshot. Danger: a file that is written over is half old and half new where the machine goes down
 // meanwhile; so another is written, and takes its name when it is whole.
-func (d *Disk) write(s *quota.State) error {
+func (d *SnapshotWriter) write(s *quota.State) error {
 	raw, err := s.Encode()
 	if err != nil {
 		return err
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -21,7 +21,7 @@
 	directory *quotas.Classifier
 	exempt    []bool // by class
 	floor     []bool
-	disk      *quotas.Disk // nil: no snapshots are made
+	disk      *quotas.SnapshotWriter // nil: no snapshots are made
 	counts    QuotaCounters
 }
 
