--- a/internal/quotas/disk.go
+++ b/internal/quotas/disk.go
@@ -34,8 +34,8 @@
 	Late    uint64 // left out since the one before was still being written
 }
 
-// NewDisk returns a writer to a folder.
-func NewDisk(dir string, log *slog.Logger) *SnapshotWriter {
+// NewSnapshotWriter returns a writer to a folder.
+func NewSnapshotWriter(dir string, log *slog.Logger) *SnapshotWriter {
 	d := &SnapshotWriter{dir: dir, log: log, queue: make(chan *quota.State, 1), done: make(chan struct{})}
 	go d.run()
 	return d
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -86,7 +86,7 @@
 	for range 15 {
 		m.Admit(100, quota.Request{Group: g})
 	}
-	d := NewDisk(dir, log)
+	d := NewSnapshotWriter(dir, log)
 	d.Write(m.State())
 	d.Close(m.State())
 	assert.GreaterOrEqual(t, d.Written.Load(), uint64(1))
@@ -109,7 +109,7 @@
 		assert.FileExists(t, file+".set-aside")
 	}
 	text.Reset()
-	broken := NewDisk(file+".set-aside", log) // a file is no folder
+	broken := NewSnapshotWriter(file+".set-aside", log) // a file is no folder
 	broken.Write(m.State())
 	broken.Close(m.State())
 	assert.Equal(t, 1, strings.Count(text.String(), "can't be written"), "one line, however often")
--- a/internal/quotas/stored_form_test.go
+++ b/internal/quotas/stored_form_test.go
@@ -33,7 +33,7 @@
 	if *update {
 		dir = stored
 	}
-	d := NewDisk(dir, log)
+	d := NewSnapshotWriter(dir, log)
 	d.Close(m.State())
 	require.EqualValues(t, 1, d.Written.Load())
 	got, err := os.ReadFile(filepath.Join(dir, "quotas.snapshot"))
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -81,7 +81,7 @@
 	if state := quotas.Load(d.settings.SnapshotDir, s.log); state != nil {
 		d.machine = quota.Restore(d.settings.Tree, d.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas), state, s.now())
 	}
-	d.disk = quotas.NewDisk(d.settings.SnapshotDir, s.log)
+	d.disk = quotas.NewSnapshotWriter(d.settings.SnapshotDir, s.log)
 	s.timers.at(s.now()+d.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
 }
 
