--- a/internal/quotas/disk.go
+++ b/internal/quotas/disk.go
@@ -41,8 +41,8 @@
 	return d
 }
 
-// Ready tells whether another snapshot would be taken now. It is asked before one is made, which costs time.
-func (d *SnapshotWriter) Ready() bool {
+// IsReady tells whether another snapshot would be taken now. It is asked before one is made, which costs time.
+func (d *SnapshotWriter) IsReady() bool {
 	if len(d.queue) == cap(d.queue) {
 		d.Late++
 		return false
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -87,7 +87,7 @@
 
 // snapshotQuotas hands a copy of the quotas' state to the disk, again and again.
 func (s *Sidecar) snapshotQuotas() {
-	if s.quotas.disk.Ready() {
+	if s.quotas.disk.IsReady() {
 		s.quotas.disk.Write(s.quotas.machine.State())
 	}
 	s.timers.at(s.now()+s.quotas.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
