--- a/internal/quotas/disk.go
+++ b/internal/quotas/disk.go
@@ -31,7 +31,7 @@
 
 	Written atomic.Uint64
 	Errors  atomic.Uint64
-	Late    uint64 // left out since the one before was still being written
+	Skipped uint64 // left out since the one before was still being written
 }
 
 // NewSnapshotWriter returns a writer to a folder.
@@ -44,7 +44,7 @@
 // IsReady tells whether another snapshot would be taken now. It is asked before one is made, which costs time.
 func (d *SnapshotWriter) IsReady() bool {
 	if len(d.queue) == cap(d.queue) {
-		d.Late++
+		d.Skipped++
 		return false
 	}
 	return true
@@ -55,7 +55,7 @@
 	select {
 	case d.queue <- s:
 	default:
-		d.Late++
+		d.Skipped++
 	}
 }
 
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -220,7 +220,7 @@
 	c := &d.counts
 	c.Groups, c.MostRefused = d.machine.Tree().Len()-1, d.machine.TopRejected(countedGroups)
 	if d.disk != nil {
-		c.Snapshots, c.SnapshotLate, c.SnapshotErrs = d.disk.Written.Load(), d.disk.Late, d.disk.Errors.Load()
+		c.Snapshots, c.SnapshotLate, c.SnapshotErrs = d.disk.Written.Load(), d.disk.Skipped, d.disk.Errors.Load()
 	}
 	return c
 }
