--- a/internal/quotas/disk.go
+++ b/internal/quotas/disk.go
@@ -16,8 +16,8 @@
 	snapshotName = "quotas.snapshot"
 	// closeWithinS is how long the last snapshot may take at the end.
 	closeWithinS = 2
-	// DiskDescriptors is what the writer may hold.
-	DiskDescriptors = 2
+	// WriterDescriptors is what the writer may hold.
+	WriterDescriptors = 2
 )
 
 // SnapshotWriter writes snapshots to a folder beside the event loop. Danger: a disk may be slow, full or gone; serving goes on, and
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -67,7 +67,7 @@
 	}
 	d.exempt, d.floor = named(on.ExemptClasses), named(on.FloorClasses)
 	if on.SnapshotDir != "" {
-		s.reserved += quotas.DiskDescriptors
+		s.reserved += quotas.WriterDescriptors
 	}
 	return d
 }
