--- a/internal/quotas/disk.go
+++ b/internal/quotas/disk.go
@@ -114,9 +114,9 @@
 	return os.Rename(path+".new", path)
 }
 
-// Load reads the folder's snapshot, nil if there is none. One that can't be used is set aside under another name, with a
+// LoadSnapshot reads the folder's snapshot, nil if there is none. One that can't be used is set aside under another name, with a
 // line in the log, and it is as if there were none.
-func Load(dir string, log *slog.Logger) *quota.State {
+func LoadSnapshot(dir string, log *slog.Logger) *quota.State {
 	path := filepath.Join(dir, snapshotName)
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -78,7 +78,7 @@
 	dir := filepath.Join(t.TempDir(), "not", "there")
 	var text bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&text, nil))
-	assert.Nil(t, Load(dir, log))
+	assert.Nil(t, LoadSnapshot(dir, log))
 	assert.Empty(t, text.String(), "none is no fault")
 
 	m := quota.New(tree, quota.Settings{}, 100)
@@ -90,7 +90,7 @@
 	d.Write(m.State())
 	d.Close(m.State())
 	assert.GreaterOrEqual(t, d.Written.Load(), uint64(1))
-	s := Load(dir, log)
+	s := LoadSnapshot(dir, log)
 	require.NotNil(t, s)
 	again := quota.Restore(tree, quota.Settings{}, s, 100)
 	assert.Equal(t, m.Stats(g), again.Stats(g))
@@ -103,7 +103,7 @@
 	for _, bad := range [][]byte{newer, raw[:len(raw)/2], []byte("?")} {
 		require.NoError(t, os.WriteFile(file, bad, 0o600))
 		text.Reset()
-		assert.Nil(t, Load(dir, log))
+		assert.Nil(t, LoadSnapshot(dir, log))
 		assert.Equal(t, 1, strings.Count(text.String(), "\n"), text.String())
 		assert.NoFileExists(t, file)
 		assert.FileExists(t, file+".set-aside")
--- a/internal/quotas/stored_form_test.go
+++ b/internal/quotas/stored_form_test.go
@@ -42,7 +42,7 @@
 	require.NoError(t, err)
 	require.True(t, bytes.Equal(want, got), "a snapshot of the same machine has other bytes")
 
-	s := Load(stored, log) // it sets aside what it can't use
+	s := LoadSnapshot(stored, log) // it sets aside what it can't use
 	require.NotNil(t, s)
 	next := quota.Restore(tree, quota.Settings{}, s, 100)
 	for g := range int32(tree.Len()) {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -78,7 +78,7 @@
 	if d == nil || d.settings.SnapshotDir == "" {
 		return
 	}
-	if state := quotas.Load(d.settings.SnapshotDir, s.log); state != nil {
+	if state := quotas.LoadSnapshot(d.settings.SnapshotDir, s.log); state != nil {
 		d.machine = quota.Restore(d.settings.Tree, d.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas), state, s.now())
 	}
 	d.disk = quotas.NewSnapshotWriter(d.settings.SnapshotDir, s.log)
