--- a/cmd/hazelwheel/quota.go
+++ b/cmd/hazelwheel/quota.go
@@ -139,7 +139,7 @@
 
 // simulateQuotas ends with 2 where the file or the series is at fault.
 func simulateQuotas(_ context.Context, c *cli.Command) error {
-	tree, err := quotas.Read(c.String("quotas"))
+	tree, err := quotas.ReadFile(c.String("quotas"))
 	if err != nil {
 		return fault(err)
 	}
--- a/internal/featureconfig/quotas.go
+++ b/internal/featureconfig/quotas.go
@@ -53,7 +53,7 @@
 	if q.File == "" || o.err != nil {
 		return
 	}
-	tree, err := quotas.Read(q.File)
+	tree, err := quotas.ReadFile(q.File)
 	if err != nil {
 		o.err = err
 		return
--- a/internal/quotas/file.go
+++ b/internal/quotas/file.go
@@ -34,8 +34,8 @@
 	} `json:"groups"`
 }
 
-// Read reads a file of groups. An error is one line that names the file, and the group or the field at fault.
-func Read(path string) (*quota.Tree, error) {
+// ReadFile reads a file of groups. An error is one line that names the file, and the group or the field at fault.
+func ReadFile(path string) (*quota.Tree, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("quotas: %w", err)
--- a/internal/quotas/replay/fleet_test.go
+++ b/internal/quotas/replay/fleet_test.go
@@ -104,7 +104,7 @@
 
 // What it costs in exactness that sidecars share nothing.
 func TestFleets(t *testing.T) {
-	tree, err := quotas.Read(groupsFile)
+	tree, err := quotas.ReadFile(groupsFile)
 	require.NoError(t, err)
 	tree, err = quota.NewTree(tree.Limits[:1], groupsOf(tree))
 	require.NoError(t, err)
--- a/internal/quotas/replay/week_test.go
+++ b/internal/quotas/replay/week_test.go
@@ -163,11 +163,11 @@
 		raw := "{\n  \"limits\": [\n    {\"measure\": \"requests\", \"window_s\": 10, \"quota\": 200},\n" +
 			"    {\"measure\": \"bytes\", \"window_s\": 60, \"quota\": 3000000}\n  ],\n  \"groups\": [\n    " + list + "\n  ]\n}\n"
 		require.NoError(t, os.WriteFile(groupsFile, []byte(raw), 0o644))
-		tree, err := quotas.Read(groupsFile)
+		tree, err := quotas.ReadFile(groupsFile)
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(weekFile, []byte(weekLoad(tree)), 0o644))
 	}
-	tree, err := quotas.Read(groupsFile)
+	tree, err := quotas.ReadFile(groupsFile)
 	require.NoError(t, err)
 	f, err := os.Open(weekFile)
 	require.NoError(t, err)
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -105,7 +105,7 @@
 	if s.quotas == nil {
 		return nil, nil
 	}
-	tree, err := quotas.Read(s.quotas.settings.File)
+	tree, err := quotas.ReadFile(s.quotas.settings.File)
 	if err == nil {
 		err = s.quotas.settings.Validate(tree)
 	}
