--- a/internal/decide/membership/wire_form_test.go
+++ b/internal/decide/membership/wire_form_test.go
@@ -25,19 +25,19 @@
 	}
 	checkForm(t, "demand", demand)
 	checkForm(t, "record", record)
-	checkForm(t, "beat", membership.Heartbeat{Key: 0xfedcba98, Counter: 70000})
+	checkForm(t, "heartbeat", membership.Heartbeat{Key: 0xfedcba98, Counter: 70000})
 	assert.Equal(t, []membership.Kind{"control", "agent", "gateway"}, []membership.Kind{membership.Control, membership.Agent, membership.Gateway})
 }
 
-// TestBeatKey pins the key by which a heartbeat without its record is matched. Peers of other versions derive the same one.
-func TestBeatKey(t *testing.T) {
+// TestHeartbeatKey pins the key by which a heartbeat without its record is matched. Peers of other versions derive the same one.
+func TestHeartbeatKey(t *testing.T) {
 	self := membership.Record{Name: "self", Kind: membership.Agent, Address: "127.0.0.1:1"}
 	view := membership.New(membership.Settings{SuspectAfterSeconds: 3, ForgetAfterSeconds: 12, PartialViewSize: 8, RecordsPerExchange: 12, HeartbeatsPerExchange: 200}, self, nil, nil)
 	record := membership.Record{Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", RunID: 0xfedcba9876543210, Heartbeat: 7}
 	view.MergeRecords(0, []membership.Record{record})
-	beats := view.SampleHeartbeats(0)
-	require.Len(t, beats, 1)
-	assert.Equal(t, membership.Heartbeat{Key: 0x9a55167b, Counter: 7}, beats[0])
+	heartbeats := view.SampleHeartbeats(0)
+	require.Len(t, heartbeats, 1)
+	assert.Equal(t, membership.Heartbeat{Key: 0x9a55167b, Counter: 7}, heartbeats[0])
 }
 
 // checkForm compares a value's encoding with a golden file, and what the golden file decodes to with the value.
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -202,8 +202,8 @@
 	if _, known := r.firstByToken[order.token]; !known {
 		r.firstByToken[order.token] = order
 	}
-	turned := r.lastOrder.address != "" && r.lastOrder.address != order.address
-	if turned && order.at-r.lastOrder.at < leaseSeconds*(1-2*maxClockDrift) {
+	hasChanged := r.lastOrder.address != "" && r.lastOrder.address != order.address
+	if hasChanged && order.at-r.lastOrder.at < leaseSeconds*(1-2*maxClockDrift) {
 		s.reportViolation("%s acts under token %d, %.2f s after %s under %d", order.address, order.token, order.at-r.lastOrder.at, r.lastOrder.address, r.lastOrder.token)
 	}
 	r.lastOrder = order
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -262,13 +262,13 @@
 		known = next.chosen
 	}
 	ballot := register.Ballot{Number: e.highestBallot(next) + 1, Proposer: fmt.Sprint(scripted.node, s.startedCalls)}
-	round, step := register.NewProposal(ballot, register.Value{Epoch: known.Epoch, Voters: known.Voters, OutgoingVoters: known.OutgoingVoters},
+	proposal, step := register.NewProposal(ballot, register.Value{Epoch: known.Epoch, Voters: known.Voters, OutgoingVoters: known.OutgoingVoters},
 		scripted.change(known))
-	round.SetKnownChosen(next.knownChosen[scripted.node])
+	proposal.SetKnownChosen(next.knownChosen[scripted.node])
 	if e.trustsAccepted {
-		round.SetKnownChosen(disk.Accepted)
+		proposal.SetKnownChosen(disk.Accepted)
 	}
-	call := &pendingCall{index: s.startedCalls, proposal: round, acknowledgedBefore: len(next.acknowledged)}
+	call := &pendingCall{index: s.startedCalls, proposal: proposal, acknowledgedBefore: len(next.acknowledged)}
 	call.add(step)
 	next.calls[scripted.node] = call
 	return next
