--- a/internal/coordination/drill.go
+++ b/internal/coordination/fault_role.go
@@ -27,18 +27,6 @@
 	mostDrillS              = 86400.0
 )
 
-// drillRun is a drill for the whole fleet.
-type drillRun struct {
-	ID    uint64  `msgpack:"i"`
-	Name  string  `msgpack:"n"`
-	LeftS float64 `msgpack:"l"` // until it ends
-	Mark  []byte  `msgpack:"m"` // by who has looked at the secret
-}
-
-type drillRuns struct {
-	Runs []drillRun `msgpack:"r,omitempty"`
-}
-
 // run is one that this sidecar knows.
 type run struct {
 	drillRun
@@ -59,8 +47,6 @@
 
 func newDriller(o *owners) *driller { return &driller{o: o} }
 
-var _ work = (*driller)(nil)
-
 func (d *driller) Name() string { return drillName }
 
 func (d *driller) Begin(token uint64) { d.token, d.at = token, 0 }
@@ -102,11 +88,6 @@
 	return slices.BinarySearchFunc(d.runs, id, func(r *run, id uint64) int { return cmp.Compare(r.ID, id) })
 }
 
-// sane tells whether what came over a link can be a drill.
-func (r *drillRun) sane() bool {
-	return r.ID != 0 && r.Name != "" && len(r.Name) <= 64 && len(r.Mark) <= 64 && r.LeftS >= 0 && r.LeftS <= mostDrillS
-}
-
 // Heard takes an order on its way to the owner, or what the owner tells.
 func (d *driller) Heard(from *peers.Link, e *frames.RoleMessage) {
 	now := d.o.f.net.Now()
@@ -235,3 +216,5 @@
 	}
 	return all
 }
+
+var _ work = (*driller)(nil)
