--- a/internal/coordination/fault_role.go
+++ b/internal/coordination/fault_role.go
@@ -14,188 +14,188 @@
 // tells the owner, over whoever lies between; the owner tells all. Each begins a drill once by its id and ends it by its own clock,
 // so the owner's death changes nothing; a later owner learns from those who run it, and tells who comes late what is left.
 const (
-	drillName = "drill"
+	faultRoleName = "drill"
 
-	kindOrder = 1 // drillRun, over one link after the other to the owner
-	kindRuns  = 2 // drillRuns, to all
+	kindFaultOrder = 1 // drillRun, over one link after the other to the owner
+	kindFaultList  = 2 // drillRuns, to all
 
-	// runsEveryS is between two words of the owner while a drill runs, and orderEveryS between two of who has not heard from it.
-	runsEveryS, orderEveryS = 2.0, 0.5
-	// rememberS is how long, and rememberPart for what part of its length, an id is known whose drill has ended: clocks run 5 % apart.
-	rememberS, rememberPart = 600.0, 0.2
-	mostRuns                = 64 // with those that have ended
-	mostDrillS              = 86400.0
+	// faultListIntervalSeconds is between two words of the owner while a drill runs, and orderEveryS between two of who has not heard from it.
+	faultListIntervalSeconds, faultOrderRetrySeconds = 2.0, 0.5
+	// retentionSeconds is how long, and rememberPart for what part of its length, an id is known whose drill has ended: clocks run 5 % apart.
+	retentionSeconds, retentionFraction = 600.0, 0.2
+	maxFaultRuns                        = 64 // with those that have ended
+	maxFaultSeconds                     = 86400.0
 )
 
-// run is one that this sidecar knows.
-type run struct {
-	drillRun
-	until   float64
-	forget  float64
-	told    bool    // the owner has told all of it
-	passAt  float64 // when it was last passed on to the owner
-	refused string  // why it does not run here; empty: it does, or did
+// faultRun is one that this sidecar knows.
+type faultRun struct {
+	faultOrder
+	endsAt      float64
+	forgetAt    float64
+	announced   bool    // the owner has told all of it
+	forwardedAt float64 // when it was last passed on to the owner
+	rejection   string  // why it does not run here; empty: it does, or did
 }
 
-// driller is a sidecar's part in the job.
-type driller struct {
-	o     *owners
-	runs  []*run // by id
-	token uint64 // under which it is owned here; 0: it is not
-	at    float64
+// faultRole is a sidecar's part in the job.
+type faultRole struct {
+	roles      *roleManager
+	runs       []*faultRun // by id
+	heldToken  uint64      // under which it is owned here; 0: it is not
+	announceAt float64
 }
 
-func newDriller(o *owners) *driller { return &driller{o: o} }
+func newFaultRole(o *roleManager) *faultRole { return &faultRole{roles: o} }
 
-func (d *driller) Name() string { return drillName }
+func (d *faultRole) Name() string { return faultRoleName }
 
-func (d *driller) Begin(token uint64) { d.token, d.at = token, 0 }
+func (d *faultRole) Start(token uint64) { d.heldToken, d.announceAt = token, 0 }
 
-func (d *driller) End() { d.token = 0 }
+func (d *faultRole) Stop() { d.heldToken = 0 }
 
 // Drilled takes a drill that was started at this sidecar, where the secret was looked at.
 func (f *Node) Drilled(name string, durationS float64, mark func(id uint64) []byte) {
-	f.enter(func() {
-		if f.owners == nil || f.owners.drills == nil {
+	f.run(func() {
+		if f.roles == nil || f.roles.faults == nil {
 			return
 		}
-		id := f.drawn()
-		d := f.owners.drills
-		d.add(f.net.Now(), &drillRun{ID: id, Name: name, LeftS: durationS, Mark: mark(id)}, true)
-		f.owners.job(drillName).next = 0
+		id := f.randomNonZero()
+		d := f.roles.faults
+		d.addRun(f.net.Now(), &faultOrder{ID: id, Name: name, RemainingSeconds: durationS, Signature: mark(id)}, true)
+		f.roles.state(faultRoleName).nextTick = 0
 	})
 }
 
-// add takes a drill that is not known yet, and has it begin here.
-func (d *driller) add(now float64, r *drillRun, begun bool) *run {
-	if len(d.runs) >= mostRuns {
+// addRun takes a drill that is not known yet, and has it begin here.
+func (d *faultRole) addRun(now float64, r *faultOrder, begun bool) *faultRun {
+	if len(d.runs) >= maxFaultRuns {
 		return nil
 	}
-	n := &run{drillRun: *r, until: now + r.LeftS, passAt: math.Inf(-1)}
-	n.forget = n.until + rememberS + rememberPart*r.LeftS
+	n := &faultRun{faultOrder: *r, endsAt: now + r.RemainingSeconds, forwardedAt: math.Inf(-1)}
+	n.forgetAt = n.endsAt + retentionSeconds + retentionFraction*r.RemainingSeconds
 	if !begun {
-		if err := d.o.f.o.Faults.RunDrill(r.Name, r.ID, r.Mark, r.LeftS); err != nil {
-			n.refused = err.Error()
-			d.o.note("a drill of the fleet does not run here", "drill", r.Name, "error", err)
+		if err := d.roles.node.options.Faults.RunDrill(r.Name, r.ID, r.Signature, r.RemainingSeconds); err != nil {
+			n.rejection = err.Error()
+			d.roles.logInfo("a drill of the fleet does not run here", "drill", r.Name, "error", err)
 		}
 	}
-	at, _ := d.find(r.ID)
+	at, _ := d.findRun(r.ID)
 	d.runs = slices.Insert(d.runs, at, n)
 	return n
 }
 
-func (d *driller) find(id uint64) (at int, found bool) {
-	return slices.BinarySearchFunc(d.runs, id, func(r *run, id uint64) int { return cmp.Compare(r.ID, id) })
+func (d *faultRole) findRun(id uint64) (at int, found bool) {
+	return slices.BinarySearchFunc(d.runs, id, func(r *faultRun, id uint64) int { return cmp.Compare(r.ID, id) })
 }
 
-// Heard takes an order on its way to the owner, or what the owner tells.
-func (d *driller) Heard(from *peers.Link, e *frames.RoleMessage) {
-	now := d.o.f.net.Now()
+// HandleMessage takes an order on its way to the owner, or what the owner tells.
+func (d *faultRole) HandleMessage(from *peers.Link, e *frames.RoleMessage) {
+	now := d.roles.node.net.Now()
 	switch e.Kind {
-	case kindOrder:
-		var r drillRun
-		if frames.Unmarshal(e.Body, &r) != nil || !r.sane() {
-			d.o.senseless(drillName)
+	case kindFaultOrder:
+		var r faultOrder
+		if frames.Unmarshal(e.Body, &r) != nil || !r.isValid() {
+			d.roles.countMalformed(faultRoleName)
 			return
 		}
-		n := d.take(now, &r)
-		if n == nil || now < n.passAt+0.9*orderEveryS || now >= n.until {
+		n := d.trackRun(now, &r)
+		if n == nil || now < n.forwardedAt+0.9*faultOrderRetrySeconds || now >= n.endsAt {
 			return
 		}
-		if n.passAt = now; d.token != 0 {
-			if !n.told {
-				d.at = 0
+		if n.forwardedAt = now; d.heldToken != 0 {
+			if !n.announced {
+				d.announceAt = 0
 			}
 			return
 		}
-		d.pass(now, n, e.Token, from)
-	case kindRuns:
-		var all drillRuns
-		if frames.Unmarshal(e.Body, &all) != nil || len(all.Runs) > mostRuns || slices.ContainsFunc(all.Runs, func(r drillRun) bool { return !r.sane() }) {
-			d.o.senseless(drillName)
+		d.forward(now, n, e.Token, from)
+	case kindFaultList:
+		var all faultList
+		if frames.Unmarshal(e.Body, &all) != nil || len(all.Orders) > maxFaultRuns || slices.ContainsFunc(all.Orders, func(r faultOrder) bool { return !r.isValid() }) {
+			d.roles.countMalformed(faultRoleName)
 			return
 		}
 		for _, n := range d.runs { // an owner that does not know it is told
-			n.told = false
+			n.announced = false
 		}
-		for i := range all.Runs {
-			if n := d.take(now, &all.Runs[i]); n != nil {
-				n.told = true
+		for i := range all.Orders {
+			if n := d.trackRun(now, &all.Orders[i]); n != nil {
+				n.announced = true
 			}
 		}
 	}
 }
 
-// take returns what is known of a drill. Danger: one that has begun or ended here must not begin again, whoever tells of it.
-func (d *driller) take(now float64, r *drillRun) *run {
-	at, found := d.find(r.ID)
+// trackRun returns what is known of a drill. Danger: one that has begun or ended here must not begin again, whoever tells of it.
+func (d *faultRole) trackRun(now float64, r *faultOrder) *faultRun {
+	at, found := d.findRun(r.ID)
 	if !found {
-		return d.add(now, r, false)
+		return d.addRun(now, r, false)
 	}
 	n := d.runs[at]
-	if n.Name != r.Name || !bytes.Equal(n.Mark, r.Mark) {
-		d.o.senseless(drillName)
+	if n.Name != r.Name || !bytes.Equal(n.Signature, r.Signature) {
+		d.roles.countMalformed(faultRoleName)
 		return nil
 	}
 	return n
 }
 
 // Tick passes on what the owner has not told of, and has the owner tell.
-func (d *driller) Tick(now float64) (next float64) {
-	d.runs = slices.DeleteFunc(d.runs, func(r *run) bool { return now >= r.forget })
-	next = now + runsEveryS
+func (d *faultRole) Tick(now float64) (next float64) {
+	d.runs = slices.DeleteFunc(d.runs, func(r *faultRun) bool { return now >= r.forgetAt })
+	next = now + faultListIntervalSeconds
 	token := uint64(0)
 	for _, r := range d.runs {
-		if now >= r.until || r.told || d.token != 0 {
+		if now >= r.endsAt || r.announced || d.heldToken != 0 {
 			continue
 		}
 		if token == 0 {
-			token = d.o.token(drillName)
+			token = d.roles.maxToken(faultRoleName)
 		}
-		if now >= r.passAt+orderEveryS && token != 0 {
-			r.passAt = now
-			d.pass(now, r, token, nil)
+		if now >= r.forwardedAt+faultOrderRetrySeconds && token != 0 {
+			r.forwardedAt = now
+			d.forward(now, r, token, nil)
 		}
-		next = min(next, now+orderEveryS)
+		next = min(next, now+faultOrderRetrySeconds)
 	}
-	if d.token == 0 {
+	if d.heldToken == 0 {
 		return next
 	}
-	if now < d.at {
-		return min(next, d.at)
+	if now < d.announceAt {
+		return min(next, d.announceAt)
 	}
-	d.at = now + runsEveryS
-	var all drillRuns
+	d.announceAt = now + faultListIntervalSeconds
+	var all faultList
 	for _, r := range d.runs {
-		if now < r.until {
-			all.Runs = append(all.Runs, r.left(now))
+		if now < r.endsAt {
+			all.Orders = append(all.Orders, r.orderAt(now))
 		}
 	}
 	// One without a drill is said at the beginning, so that who knows of any tells of it.
-	if len(all.Runs) == 0 && d.o.job(drillName).number > 0 {
+	if len(all.Orders) == 0 && d.roles.state(faultRoleName).sequence > 0 {
 		return next
 	}
-	if d.o.spread(drillName, kindRuns, packed(all)) {
+	if d.roles.broadcast(faultRoleName, kindFaultList, mustMarshal(all)) {
 		for _, r := range d.runs {
-			r.told = true
+			r.announced = true
 		}
 	}
-	return min(next, d.at)
+	return min(next, d.announceAt)
 }
 
-// left returns a drill as it is now.
-func (r *run) left(now float64) drillRun {
-	n := r.drillRun
-	n.LeftS = max(r.until-now, 0)
+// orderAt returns a drill as it is now.
+func (r *faultRun) orderAt(now float64) faultOrder {
+	n := r.faultOrder
+	n.RemainingSeconds = max(r.endsAt-now, 0)
 	return n
 }
 
-// pass passes a drill on over all links but one.
-func (d *driller) pass(now float64, r *run, token uint64, except *peers.Link) {
-	body := packed(r.left(now))
-	for _, l := range slices.Clone(d.o.f.up) { // a link may end with what is sent over it
+// forward passes a drill on over all links but one.
+func (d *faultRole) forward(now float64, r *faultRun, token uint64, except *peers.Link) {
+	body := mustMarshal(r.orderAt(now))
+	for _, l := range slices.Clone(d.roles.node.upLinks) { // a link may end with what is sent over it
 		if l != except {
-			d.o.reply(l, drillName, token, kindOrder, body)
+			d.roles.sendReply(l, faultRoleName, token, kindFaultOrder, body)
 		}
 	}
 }
@@ -209,12 +209,12 @@
 	Rejection        string  `json:"refused,omitempty"` // why it does not run here
 }
 
-func (d *driller) seen() (all []FaultStatus) {
-	now := d.o.f.net.Now()
+func (d *faultRole) status() (all []FaultStatus) {
+	now := d.roles.node.net.Now()
 	for _, r := range d.runs {
-		all = append(all, FaultStatus{r.ID, r.Name, math.Round(10*max(r.until-now, 0)) / 10, r.told, r.refused})
+		all = append(all, FaultStatus{r.ID, r.Name, math.Round(10*max(r.endsAt-now, 0)) / 10, r.announced, r.rejection})
 	}
 	return all
 }
 
-var _ work = (*driller)(nil)
+var _ singletonRole = (*faultRole)(nil)
--- a/internal/coordination/fault_role_test.go
+++ b/internal/coordination/fault_role_test.go
@@ -23,29 +23,29 @@
 func TestDrillsBeginOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		net, runs := &stillNet{now: 100}, begun{}
-		f := &Node{net: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, o: Options{Settings: Settings{Jobs: []string{drillName}}, Faults: runs}}
-		f.owners = newOwners(f)
-		d := f.owners.drills
+		f := &Node{net: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, options: Options{Settings: Settings{Jobs: []string{faultRoleName}}, Faults: runs}}
+		f.roles = newRoleManager(f)
+		d := f.roles.faults
 		peers.New("yard", 1, f, net, f.log).Dial("x:1")
 		ends, foolish := map[uint64]float64{}, uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "words") {
 			net.now += rapid.Float64Range(0, 40).Draw(t, "pause")
-			r := drillRun{ID: rapid.Uint64Range(0, 4).Draw(t, "id"), Name: "lag", LeftS: rapid.Float64Range(-1, 60).Draw(t, "left")}
-			e := frames.RoleMessage{Role: drillName, Token: 1, Kind: kindOrder, Body: packed(r)}
+			r := faultOrder{ID: rapid.Uint64Range(0, 4).Draw(t, "id"), Name: "lag", RemainingSeconds: rapid.Float64Range(-1, 60).Draw(t, "left")}
+			e := frames.RoleMessage{Role: faultRoleName, Token: 1, Kind: kindFaultOrder, Body: mustMarshal(r)}
 			if rapid.Bool().Draw(t, "by the owner") {
-				e.Kind, e.Body = kindRuns, packed(drillRuns{[]drillRun{r}})
+				e.Kind, e.Body = kindFaultList, mustMarshal(faultList{[]faultOrder{r}})
 			}
-			if d.Heard(net.link, &e); !r.sane() {
+			if d.HandleMessage(net.link, &e); !r.isValid() {
 				foolish++
 			}
-			require.Equal(t, foolish, f.owners.job(drillName).foolish)
+			require.Equal(t, foolish, f.roles.state(faultRoleName).malformed)
 			d.Tick(net.now)
 			for _, n := range d.runs {
 				require.Equal(t, 1, runs[n.ID])
 				if end, known := ends[n.ID]; known {
-					require.Equal(t, end, n.until)
+					require.Equal(t, end, n.endsAt)
 				}
-				ends[n.ID] = n.until
+				ends[n.ID] = n.endsAt
 			}
 		}
 	})
--- a/internal/coordination/identity.go
+++ b/internal/coordination/identity.go
@@ -9,20 +9,20 @@
 // UseStore says where the state is kept, and what is there already. It comes before Start, and before the sidecar sends anything: boxes
 // that are out by what is there are out from the first request on.
 func (f *Node) UseStore(disk StateStore, saved SavedState) {
-	f.disk, f.saved = disk, saved
+	f.store, f.saved = disk, saved
 	if st, err := saved.decode(); err == nil {
-		f.keepWorks(st.Works)
+		f.adoptMaintenance(st.Maintenance)
 	}
 }
 
-// keepWorks takes what is known of boxes that are out, from an earlier life or from another sidecar.
-func (f *Node) keepWorks(k *MaintenanceRecord) {
-	if f.owners == nil || f.owners.works == nil || k == nil {
+// adoptMaintenance takes what is known of boxes that are out, from an earlier life or from another sidecar.
+func (f *Node) adoptMaintenance(k *MaintenanceRecord) {
+	if f.roles == nil || f.roles.maintenance == nil || k == nil {
 		return
 	}
-	w := f.owners.works
+	w := f.roles.maintenance
 	if w.restore(k); w.version > 0 {
-		f.state.Works = &MaintenanceRecord{w.epoch, w.version, max(k.Token, w.known()), w.body}
+		f.state.Maintenance = &MaintenanceRecord{w.epoch, w.version, max(k.Token, w.maxToken()), w.body}
 	}
 }
 
@@ -32,25 +32,25 @@
 	return err
 }
 
-// drawn returns a number that is not 0.
-func (f *Node) drawn() uint64 { return f.o.Rand.Uint64() | 1 }
+// randomNonZero returns a number that is not 0.
+func (f *Node) randomNonZero() uint64 { return f.options.Rand.Uint64() | 1 }
 
-// save keeps the state. A sidecar without a folder has nothing to keep.
-func (f *Node) save(done func(error)) {
-	if f.disk == nil {
-		f.later(func() { done(errNoDisk) })
+// persist keeps the state. A sidecar without a folder has nothing to keep.
+func (f *Node) persist(done func(error)) {
+	if f.store == nil {
+		f.runAfterCall(func() { done(errNoStore) })
 		return
 	}
-	f.disk.Save(encodeState(f.state), func(err error) { f.enter(func() { done(err) }) })
+	f.store.Save(encodeState(f.state), func(err error) { f.run(func() { done(err) }) })
 }
 
-var errNoDisk = errors.New("there is no folder")
+var errNoStore = errors.New("there is no folder")
 
-// anew draws another identity, and has done called once it is on disk or known not to be.
-func (f *Node) anew(done func()) {
-	f.state = state{ID: swim.ID(f.drawn()), Generation: 1, Works: f.state.Works}
-	f.save(func(err error) {
-		if f.stored = err == nil; err != nil {
+// newIdentity draws another identity, and has done called once it is on disk or known not to be.
+func (f *Node) newIdentity(done func()) {
+	f.state = persistentState{ID: swim.ID(f.randomNonZero()), Generation: 1, Maintenance: f.state.Maintenance}
+	f.persist(func(err error) {
+		if f.identityStored = err == nil; err != nil {
 			f.log.Warn("the identity can't be kept: the next start is a new sidecar", "error", err)
 		}
 		done()
--- a/internal/coordination/lease_status.go
+++ b/internal/coordination/lease_status.go
@@ -48,69 +48,69 @@
 	ReportAgeSeconds float64  `json:"report_s,omitempty"`  // since the last report, of that job
 }
 
-// known returns what the decisions say. Who can't keep what it promises leads nobody, whatever it was when it last could.
-func (o *owners) known() (table lease.Table, here lease.Stats) {
-	if o.t != nil {
-		table, here = o.t.Table(), o.t.Stats()
+// leaseView returns what the decisions say. Who can't keep what it promises leads nobody, whatever it was when it last could.
+func (o *roleManager) leaseView() (table lease.Table, here lease.Stats) {
+	if o.lease != nil {
+		table, here = o.lease.Table(), o.lease.Stats()
 		here.IsLeader = here.IsLeader && !here.PersistFailed
 	}
 	return table, here
 }
 
-// seen tells what is known.
-func (o *owners) seen() *LeaseStatus {
-	s := &LeaseStatus{IneligibleReason: o.why}
-	if o.lists != nil {
-		s.Lists = o.lists.seen()
+// status tells what is known.
+func (o *roleManager) status() *LeaseStatus {
+	s := &LeaseStatus{IneligibleReason: o.ineligibleReason}
+	if o.listRelay != nil {
+		s.Lists = o.listRelay.snapshotStats()
 	}
-	if o.drills != nil {
-		s.Faults = o.drills.seen()
+	if o.faults != nil {
+		s.Faults = o.faults.status()
 	}
-	table, here := o.known()
+	table, here := o.leaseView()
 	s.Local = here
 	s.Epoch, s.Index, s.Term = table.Epoch, table.Index, table.Term
 	if table.Leader != 0 {
-		e := o.elector(table.Leader)
+		e := o.voterStatus(table.Leader)
 		s.Leader = &e
 	}
 	for _, id := range table.Voters {
-		s.Voters = append(s.Voters, o.elector(id))
+		s.Voters = append(s.Voters, o.voterStatus(id))
 	}
 	for _, g := range table.Grants {
-		o.job(g.Role)
+		o.state(g.Role)
 	}
-	for _, j := range o.jobs {
-		e := RoleStatus{Role: j.name, HeldToken: o.actsUnder(j), Accepted: j.taken, Rejected: j.refused, Malformed: j.foolish, Capable: j.work != nil}
+	for _, j := range o.states {
+		e := RoleStatus{Role: j.name, HeldToken: o.activeToken(j), Accepted: j.accepted, Rejected: j.rejected, Malformed: j.malformed, Capable: j.role != nil}
 		for _, g := range table.Grants {
 			if g.Role == j.name {
 				if e.Token = g.Token; g.Holder != 0 {
-					who := o.elector(g.Holder)
+					who := o.voterStatus(g.Holder)
 					e.Owner, e.OwnerName = who.ID, who.Name
 				}
 			}
 		}
-		for _, g := range o.greatest.Highest() {
+		for _, g := range o.fence.Highest() {
 			if g.Role == j.name {
 				e.MaxToken = g.Token
 			}
 		}
-		for i := range j.tokens {
-			if token := j.tokens[(j.tokensAt+1+i)%len(j.tokens)]; token != 0 {
+		for i := range j.acceptedTokens {
+			if token := j.acceptedTokens[(j.acceptedTokensAt+1+i)%len(j.acceptedTokens)]; token != 0 {
 				e.AcceptedTokens = append(e.AcceptedTokens, token)
 			}
 		}
-		if r, ok := j.work.(*reporter); ok && r.last != nil {
-			e.ReportAgeSeconds = math.Round(10*(o.f.net.Now()-r.lastAt)) / 10
+		if r, ok := j.role.(*reportRole); ok && r.lastReport != nil {
+			e.ReportAgeSeconds = math.Round(10*(o.node.net.Now()-r.lastReportAt)) / 10
 		}
 		s.Roles = append(s.Roles, e)
 	}
 	return s
 }
 
-// elector says who a member is.
-func (o *owners) elector(id swim.ID) VoterStatus {
+// voterStatus says who a member is.
+func (o *roleManager) voterStatus(id swim.ID) VoterStatus {
 	e := VoterStatus{ID: id.String(), State: "unknown"}
-	for m := range o.f.view.Members {
+	for m := range o.node.view.Members {
 		if m.ID == id {
 			e.Name, e.Address, e.State = m.Name, m.Address, m.State.String()
 		}
@@ -118,9 +118,9 @@
 	return e
 }
 
-// figures appends what the door's dump has.
-func (o *owners) figures(all []sidecar.Figure) []sidecar.Figure {
-	table, here := o.known()
+// appendFigures appends what the door's dump has.
+func (o *roleManager) appendFigures(all []sidecar.Figure) []sidecar.Figure {
+	table, here := o.leaseView()
 	one := func(on bool) uint64 {
 		if on {
 			return 1
@@ -130,11 +130,11 @@
 	all = append(all, sidecar.Figure{Name: "owner_electors", Value: uint64(len(table.Voters))}, sidecar.Figure{Name: "owner_elector", Value: one(here.IsVoter)},
 		sidecar.Figure{Name: "owner_leads", Value: one(here.IsLeader)}, sidecar.Figure{Name: "owner_term", Value: here.Term},
 		sidecar.Figure{Name: "owner_unkept", Value: one(here.PersistFailed)})
-	if l := o.lists; l != nil {
-		all = append(all, sidecar.Figure{Name: "owner_list_fed", Value: one(l.on)}, sidecar.Figure{Name: "owner_list_starved", Value: l.counts.Stale},
-			sidecar.Figure{Name: "owner_list_disagreed", Value: l.counts.Mismatches})
+	if l := o.listRelay; l != nil {
+		all = append(all, sidecar.Figure{Name: "owner_list_fed", Value: one(l.relayed)}, sidecar.Figure{Name: "owner_list_starved", Value: l.stats.Stale},
+			sidecar.Figure{Name: "owner_list_disagreed", Value: l.stats.Mismatches})
 	}
-	if w := o.works; w != nil {
+	if w := o.maintenance; w != nil {
 		plans := 0
 		for i := range w.state.Plans {
 			if !w.state.Plans[i].Ended {
@@ -142,12 +142,12 @@
 			}
 		}
 		all = append(all, sidecar.Figure{Name: "works_version", Value: w.version}, sidecar.Figure{Name: "works_plans", Value: uint64(plans)},
-			sidecar.Figure{Name: "works_out", Value: uint64(len(w.outAt))})
+			sidecar.Figure{Name: "works_out", Value: uint64(len(w.outSince))})
 	}
-	for _, j := range o.jobs {
+	for _, j := range o.states {
 		label := `{job="` + j.name + `"}`
-		all = append(all, sidecar.Figure{Name: "owner_held" + label, Value: one(o.actsUnder(j) != 0)}, sidecar.Figure{Name: "owner_token" + label, Value: j.heard.token},
-			sidecar.Figure{Name: "owner_taken" + label, Value: j.taken}, sidecar.Figure{Name: "owner_refused" + label, Value: j.refused})
+		all = append(all, sidecar.Figure{Name: "owner_held" + label, Value: one(o.activeToken(j) != 0)}, sidecar.Figure{Name: "owner_token" + label, Value: j.received.token},
+			sidecar.Figure{Name: "owner_taken" + label, Value: j.accepted}, sidecar.Figure{Name: "owner_refused" + label, Value: j.rejected})
 	}
 	return all
 }
@@ -157,22 +157,22 @@
 
 // LeaseStatus returns what is known of who owns what.
 func (f *Node) LeaseStatus() (*LeaseStatus, error) {
-	if f.owners == nil || f.view == nil {
+	if f.roles == nil || f.view == nil {
 		return nil, ErrNoVoters
 	}
-	return f.owners.seen(), nil
+	return f.roles.status(), nil
 }
 
 // StepDown asks that a job goes to another owner.
 func (f *Node) StepDown(name string) (err error) {
-	f.enter(func() {
+	f.run(func() {
 		switch {
-		case f.owners == nil || f.owners.t == nil:
+		case f.roles == nil || f.roles.lease == nil:
 			err = ErrNoVoters
 		default:
-			for _, g := range f.owners.t.Table().Grants {
+			for _, g := range f.roles.lease.Table().Grants {
 				if g.Role == name && g.Holder != 0 {
-					f.owners.t.RequestStepDown(f.net.Now(), name)
+					f.roles.lease.RequestStepDown(f.net.Now(), name)
 					return
 				}
 			}
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -16,17 +16,17 @@
 	if err != nil { // numbers and names always pack
 		panic(err)
 	}
-	return frames.Hello{Fleet: f.o.Name, Name: f.o.Sidecar, ID: uint64(h.Self.ID), Address: f.o.Advertise, Body: body}
+	return frames.Hello{Fleet: f.options.Name, Name: f.options.Sidecar, ID: uint64(h.Self.ID), Address: f.options.Advertise, Body: body}
 }
 
 // LinkUp takes a link.
 func (f *Node) LinkUp(l *peers.Link, h frames.Hello) bool {
 	var hello swim.Hello
 	if h.ID == 0 {
-		f.answerAsker(l)
+		f.answerQuery(l)
 		return false
 	}
-	if err := frames.Unmarshal(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || f.left || f.view.HasLostIdentity() {
+	if err := frames.Unmarshal(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || f.leaving || f.view.HasLostIdentity() {
 		if l.Address != "" { // Danger: a dial of which the decisions hear nothing is never made again
 			f.view.DialFailed(f.net.Now(), l.Address)
 		}
@@ -37,38 +37,38 @@
 	if f.links[l.Number] != l {
 		return true // it ends with this call
 	}
-	f.byID[hello.Self.ID] = l
-	f.up = append(f.up, l)
-	if o := f.owners; o != nil && o.t != nil {
-		o.t.HandleLinkUp(f.net.Now(), hello.Self.ID)
+	f.linkByMember[hello.Self.ID] = l
+	f.upLinks = append(f.upLinks, l)
+	if o := f.roles; o != nil && o.lease != nil {
+		o.lease.HandleLinkUp(f.net.Now(), hello.Self.ID)
 	}
-	if o := f.owners; o != nil && o.works != nil {
-		o.works.linkUp(l)
+	if o := f.roles; o != nil && o.maintenance != nil {
+		o.maintenance.handleLinkUp(l)
 	}
 	return true
 }
 
-// drop forgets a link.
-func (f *Node) drop(l *peers.Link) {
+// removeLink forgets a link.
+func (f *Node) removeLink(l *peers.Link) {
 	delete(f.links, l.Number)
-	if id := swim.ID(l.Hello.ID); f.byID[id] == l {
-		delete(f.byID, id)
+	if id := swim.ID(l.Hello.ID); f.linkByMember[id] == l {
+		delete(f.linkByMember, id)
 	}
-	if i := slices.Index(f.up, l); i >= 0 {
-		f.up = slices.Delete(f.up, i, i+1)
+	if i := slices.Index(f.upLinks, l); i >= 0 {
+		f.upLinks = slices.Delete(f.upLinks, i, i+1)
 	}
 }
 
 // LinkDown takes a link's end.
 func (f *Node) LinkDown(l *peers.Link, _ error) {
-	f.drop(l)
+	f.removeLink(l)
 	f.view.LinkDown(f.net.Now(), l.Number)
 }
 
 // DialFailed takes the end of a dial.
 func (f *Node) DialFailed(address string, err error) {
 	f.log.Debug("a peer can't be reached", "address", address, "error", err)
-	f.enter(func() { f.view.DialFailed(f.net.Now(), address) })
+	f.run(func() { f.view.DialFailed(f.net.Now(), address) })
 }
 
 // HandleFrame takes a frame. A topic that is not known here is a later version's, and skipped.
@@ -81,20 +81,20 @@
 		}
 		f.view.HandleMessage(f.net.Now(), l.Number, &m)
 	case frames.TopicLease:
-		if o := f.owners; o != nil && o.t != nil && f.links[l.Number] == l {
+		if o := f.roles; o != nil && o.lease != nil && f.links[l.Number] == l {
 			var m lease.Message
 			if err := frames.Unmarshal(body, &m); err != nil {
 				return err
 			}
-			o.t.HandleMessage(f.net.Now(), swim.ID(l.Hello.ID), &m)
+			o.lease.HandleMessage(f.net.Now(), swim.ID(l.Hello.ID), &m)
 		}
 	case frames.TopicRole:
-		if o := f.owners; o != nil && f.links[l.Number] == l {
+		if o := f.roles; o != nil && f.links[l.Number] == l {
 			var e frames.RoleMessage
 			if err := frames.Unmarshal(body, &e); err != nil {
 				return err
 			}
-			o.take(l, &e)
+			o.handleMessage(l, &e)
 		}
 	}
 	return nil
--- a/internal/coordination/list_relay.go
+++ b/internal/coordination/list_relay.go
@@ -8,34 +8,34 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// feeder is a sidecar's part in the three jobs.
-type feeder struct {
-	o      *owners
-	to     sidecar.Lists
-	jobs   [len(listNames)]*listJob
-	on     bool    // what others pass on takes the place of a watch
-	tries  bool    // a watch of its own was begun for want of news
-	tryAt  float64 // when
-	doubt  float64 // until when nothing that is passed on counts
-	said   uint64  // the greatest version of which changes have come
-	need   listNeed
-	needAt float64 // 0: nothing is wanted
-	newsAt float64 // when what is wanted was news
-	ownAt  float64 // when its own watch brought anything last
-	link   int     // that it was asked of
-	parts  [][]byte
-	asking []asking
+// listRelay is a sidecar's part in the three jobs.
+type listRelay struct {
+	roles            *roleManager
+	lists            sidecar.Lists
+	sources          [len(listRoleNames)]*listRole
+	relayed          bool    // what others pass on takes the place of a watch
+	triesOwnWatch    bool    // a watch of its own was begun for want of news
+	ownWatchAt       float64 // when
+	distrustUntil    float64 // until when nothing that is passed on counts
+	announcedIndex   uint64  // the greatest version of which changes have come
+	request          listRequest
+	requestedAt      float64 // 0: nothing is wanted
+	requestedFreshAt float64 // when what is wanted was news
+	ownWatchHeardAt  float64 // when its own watch brought anything last
+	requestLink      int     // that it was asked of
+	chunks           [][]byte
+	waiters          []listWaiter
 
-	counts ListStats
+	stats ListStats
 }
 
-// asking is who waits for a whole list.
-type asking struct {
-	link  int
-	token uint64
-	job   *listJob
-	index uint64
-	until float64
+// listWaiter is who waits for a whole list.
+type listWaiter struct {
+	link   int
+	token  uint64
+	source *listRole
+	index  uint64
+	until  float64
 }
 
 // ListStats say how the lists fare that are passed on.
@@ -53,25 +53,25 @@
 	ForeignUpdates     uint64  `json:"foreign,omitempty"` // words of another discovery service
 }
 
-func newFeeder(o *owners) *feeder {
-	f := &feeder{o: o, to: o.f.o.Lists}
-	for i, name := range listNames {
-		f.jobs[i] = &listJob{f: f, name: name}
+func newListRelay(o *roleManager) *listRelay {
+	f := &listRelay{roles: o, lists: o.node.options.Lists}
+	for i, name := range listRoleNames {
+		f.sources[i] = &listRole{relay: f, name: name}
 	}
 	return f
 }
 
-// release ends the watch that is held for others where none is owned.
-func (f *feeder) release() {
-	if f.owner() == nil {
-		f.to.WatchOwn(false)
+// releaseOwnWatch ends the watch that is held for others where none is owned.
+func (f *listRelay) releaseOwnWatch() {
+	if f.activeSource() == nil {
+		f.lists.WatchOwn(false)
 	}
 }
 
-// owner returns the job under which this sidecar speaks, nil: none.
-func (f *feeder) owner() *listJob {
-	for _, j := range f.jobs {
-		if j.token != 0 || j.isLate() {
+// activeSource returns the job under which this sidecar speaks, nil: none.
+func (f *listRelay) activeSource() *listRole {
+	for _, j := range f.sources {
+		if j.heldToken != 0 || j.continuesAfterLapse() {
 			return j
 		}
 	}
@@ -80,206 +80,206 @@
 
 // Listed passes on what discovery has written.
 func (f *Node) Listed(before uint64, held bool, raw []byte) {
-	f.enter(func() {
-		if f.owners != nil && f.owners.lists != nil {
-			f.owners.lists.listed(before, held, raw)
+	f.run(func() {
+		if f.roles != nil && f.roles.listRelay != nil {
+			f.roles.listRelay.handleDiscoveryUpdate(before, held, raw)
 		}
 	})
 }
 
 // Unlisted passes on that it says no more.
 func (f *Node) Unlisted() {
-	f.enter(func() {
-		if f.owners != nil && f.owners.lists != nil {
-			f.owners.lists.unlisted()
+	f.run(func() {
+		if f.roles != nil && f.roles.listRelay != nil {
+			f.roles.listRelay.handleWatchEnd()
 		}
 	})
 }
 
-func (f *feeder) listed(before uint64, held bool, raw []byte) {
-	defer f.answer()
-	f.ownAt = f.o.f.net.Now()
-	j := f.owner()
-	v, ok := f.to.ListVersion()
+func (f *listRelay) handleDiscoveryUpdate(before uint64, held bool, raw []byte) {
+	defer f.serveWaiters()
+	f.ownWatchHeardAt = f.roles.node.net.Now()
+	j := f.activeSource()
+	v, ok := f.lists.ListVersion()
 	if j == nil || !ok {
 		return
 	}
-	w := listWord{Discovery: v.Discovery, Index: v.Index, Sum: v.Sum}
-	if raw != nil && held && v.Index > f.said { // else all have it, or have been told of it
-		if packed := deflate(raw); len(packed) <= mostRaw {
-			w.From, w.Raw = before, packed
+	w := listUpdate{Discovery: v.Discovery, Index: v.Index, Checksum: v.Sum}
+	if raw != nil && held && v.Index > f.announcedIndex { // else all have it, or have been told of it
+		if packed := compress(raw); len(packed) <= maxDeltaBytes {
+			w.BaseIndex, w.Delta = before, packed
 		}
 	}
-	f.say(j, w)
+	f.publish(j, w)
 }
 
-func (f *feeder) unlisted() {
-	if j := f.owner(); j != nil {
-		f.say(j, listWord{Discovery: f.to.Discovery(), Ended: true})
+func (f *listRelay) handleWatchEnd() {
+	if j := f.activeSource(); j != nil {
+		f.publish(j, listUpdate{Discovery: f.lists.Discovery(), WatchEnded: true})
 	}
 }
 
-func (f *feeder) say(j *listJob, w listWord) {
-	w.AtS = f.o.f.net.Now() - j.beganAt
+func (f *listRelay) publish(j *listRole, w listUpdate) {
+	w.AtSeconds = f.roles.node.net.Now() - j.startedAt
 	said := false
-	if j.token != 0 {
-		said = f.o.spread(j.name, kindWord, packed(w))
+	if j.heldToken != 0 {
+		said = f.roles.broadcast(j.name, kindListUpdate, mustMarshal(w))
 	} else {
-		said = f.o.spreadOn(j.name, j.late, kindWord, packed(w))
+		said = f.roles.broadcastLapsed(j.name, j.lapsedToken, kindListUpdate, mustMarshal(w))
 	}
 	if said {
-		f.counts.UpdatesSent++
-		f.said = max(f.said, w.Index)
+		f.stats.UpdatesSent++
+		f.announcedIndex = max(f.announcedIndex, w.Index)
 	}
 }
 
-// word takes a word. Danger: a list of a lower version never takes the place of a later one, whoever passes it on.
-func (f *feeder) word(from *peers.Link, j *listJob, e *frames.RoleMessage, w *listWord) error {
-	now := f.o.f.net.Now()
-	f.counts.UpdatesReceived++
-	if e.Token != j.of {
-		j.of, j.floor, j.flooredS = e.Token, now-w.AtS, now
+// handleUpdate takes a word. Danger: a list of a lower version never takes the place of a later one, whoever passes it on.
+func (f *listRelay) handleUpdate(from *peers.Link, j *listRole, e *frames.RoleMessage, w *listUpdate) error {
+	now := f.roles.node.net.Now()
+	f.stats.UpdatesReceived++
+	if e.Token != j.sourceToken {
+		j.sourceToken, j.clockOffset, j.clockOffsetAt = e.Token, now-w.AtSeconds, now
 	}
-	if w.Discovery != f.to.Discovery() {
-		f.counts.ForeignUpdates++
+	if w.Discovery != f.lists.Discovery() {
+		f.stats.ForeignUpdates++
 		return nil
 	}
-	if w.Ended {
-		j.at = 0
-		f.look(now)
+	if w.WatchEnded {
+		j.freshAt = 0
+		f.checkFreshness(now)
 		return nil
 	}
 	// Danger: what waits in a queue is as old as the queue is long, and it would count as news.
-	j.floor, j.flooredS = min(j.floor+driftS*(now-j.flooredS), now-w.AtS), now
-	age := max(now-w.AtS-j.floor, 0)
-	if now < f.doubt || age > silentS {
+	j.clockOffset, j.clockOffsetAt = min(j.clockOffset+clockDriftRate*(now-j.clockOffsetAt), now-w.AtSeconds), now
+	age := max(now-w.AtSeconds-j.clockOffset, 0)
+	if now < f.distrustUntil || age > staleSeconds {
 		return nil
 	}
-	v, held := f.to.ListVersion()
+	v, held := f.lists.ListVersion()
 	switch {
 	case held && w.Index < v.Index:
 		return nil
 	case held && w.Index == v.Index:
-	case held && len(w.Raw) > 0 && w.From <= v.Index:
-		raw, err := inflate(w.Raw)
+	case held && len(w.Delta) > 0 && w.BaseIndex <= v.Index:
+		raw, err := decompress(w.Delta)
 		if err == nil {
-			err = f.take(raw, w.Index)
+			err = f.applyList(raw, w.Index)
 		}
 		if err != nil {
 			return err
 		}
-		f.said = max(f.said, w.Index)
+		f.announcedIndex = max(f.announcedIndex, w.Index)
 	default:
-		f.ask(from, j, e.Token, w, now, now-age)
+		f.requestList(from, j, e.Token, w, now, now-age)
 		return nil
 	}
-	if v, held = f.to.ListVersion(); !held || v.Sum != w.Sum {
-		f.disagree(now, w.Index)
+	if v, held = f.lists.ListVersion(); !held || v.Sum != w.Checksum {
+		f.handleMismatch(now, w.Index)
 		return nil
 	}
-	j.at = now - age
-	f.fed(now)
+	j.freshAt = now - age
+	f.confirmRelayed(now)
 	return nil
 }
 
-var errList = errors.New("what was passed on is not the version that it is said to be")
+var errListMismatch = errors.New("what was passed on is not the version that it is said to be")
 
-// take applies what discovery has written.
-func (f *feeder) take(raw []byte, index uint64) error {
-	if err := f.to.TakeList(raw); err != nil {
+// applyList applies what discovery has written.
+func (f *listRelay) applyList(raw []byte, index uint64) error {
+	if err := f.lists.TakeList(raw); err != nil {
 		return err
 	}
-	f.counts.Applied++
-	if v, held := f.to.ListVersion(); !held || v.Index != index {
-		f.disagree(f.o.f.net.Now(), index)
-		return errList
+	f.stats.Applied++
+	if v, held := f.lists.ListVersion(); !held || v.Index != index {
+		f.handleMismatch(f.roles.node.net.Now(), index)
+		return errListMismatch
 	}
-	f.answer()
+	f.serveWaiters()
 	return nil
 }
 
-// fed goes by what is passed on.
-func (f *feeder) fed(now float64) {
-	f.on, f.tryAt = true, 0
-	f.tries = false
-	f.release()
-	f.to.Fed()
+// confirmRelayed goes by what is passed on.
+func (f *listRelay) confirmRelayed(now float64) {
+	f.relayed, f.ownWatchAt = true, 0
+	f.triesOwnWatch = false
+	f.releaseOwnWatch()
+	f.lists.Fed()
 }
 
-// newest returns when the last good news was made.
-func (f *feeder) newest() (at float64) {
-	for _, j := range f.jobs {
-		at = max(at, j.at)
+// newestFreshAt returns when the last good news was made.
+func (f *listRelay) newestFreshAt() (at float64) {
+	for _, j := range f.sources {
+		at = max(at, j.freshAt)
 	}
 	return at
 }
 
-// disagree has the sidecar watch for itself: two words that can't both be discovery's.
-func (f *feeder) disagree(now float64, index uint64) {
-	f.counts.Mismatches++
-	f.o.note("a list that was passed on is not the one that is held: watching for oneself", "index", index)
-	f.forget()
-	f.doubt = now + distrustS
-	f.to.Distrust()
+// handleMismatch has the sidecar watch for itself: two words that can't both be discovery's.
+func (f *listRelay) handleMismatch(now float64, index uint64) {
+	f.stats.Mismatches++
+	f.roles.logInfo("a list that was passed on is not the one that is held: watching for oneself", "index", index)
+	f.stopRelaying()
+	f.distrustUntil = now + distrustSeconds
+	f.lists.Distrust()
 }
 
-// forget has nothing count that was passed on.
-func (f *feeder) forget() {
-	f.on, f.tryAt, f.needAt, f.parts = false, 0, 0, nil
-	for _, j := range f.jobs {
-		j.at = 0
+// stopRelaying has nothing count that was passed on.
+func (f *listRelay) stopRelaying() {
+	f.relayed, f.ownWatchAt, f.requestedAt, f.chunks = false, 0, 0, nil
+	for _, j := range f.sources {
+		j.freshAt = 0
 	}
-	f.tries = false
-	f.release()
+	f.triesOwnWatch = false
+	f.releaseOwnWatch()
 }
 
-// look tells the sidecar when the news is too old.
-func (f *feeder) look(now float64) (next float64) {
-	if !f.on {
-		return now + silentS
+// checkFreshness tells the sidecar when the news is too old.
+func (f *listRelay) checkFreshness(now float64) (next float64) {
+	if !f.relayed {
+		return now + staleSeconds
 	}
-	newest := f.newest()
+	newest := f.newestFreshAt()
 	switch {
-	case newest == 0 || now >= newest+silentS:
-		f.counts.Stale++
-		f.forget()
-		f.to.Starved()
-		return now + silentS
-	case now < newest+tryS:
-		f.giveUp(now)
-		return newest + tryS
-	case f.tryAt == 0:
-		f.tryAt = now + trySpreadS*f.o.f.o.Rand.Float64()
+	case newest == 0 || now >= newest+staleSeconds:
+		f.stats.Stale++
+		f.stopRelaying()
+		f.lists.Starved()
+		return now + staleSeconds
+	case now < newest+ownWatchDelaySeconds:
+		f.stepDownIfCutOff(now)
+		return newest + ownWatchDelaySeconds
+	case f.ownWatchAt == 0:
+		f.ownWatchAt = now + ownWatchJitterSeconds*f.roles.node.options.Rand.Float64()
 	}
-	if !f.tries && now >= f.tryAt && f.owner() == nil {
-		f.tries = true
-		f.to.WatchOwn(true)
+	if !f.triesOwnWatch && now >= f.ownWatchAt && f.activeSource() == nil {
+		f.triesOwnWatch = true
+		f.lists.WatchOwn(true)
 	}
-	if f.tries || f.owner() != nil {
-		return newest + silentS
+	if f.triesOwnWatch || f.activeSource() != nil {
+		return newest + staleSeconds
 	}
-	return min(f.tryAt, newest+silentS)
+	return min(f.ownWatchAt, newest+staleSeconds)
 }
 
-// giveUp has the jobs go to others where others hear of discovery and this sidecar does not.
-func (f *feeder) giveUp(now float64) {
-	for _, j := range f.jobs {
-		if j.token != 0 && now > max(j.beganAt, f.ownAt, j.movedAt)+deafS {
-			j.movedAt = now
-			f.o.note("discovery can't be reached from here: the job is to go to another", "job", j.name)
-			f.o.t.RequestStepDown(now, j.name)
+// stepDownIfCutOff has the jobs go to others where others hear of discovery and this sidecar does not.
+func (f *listRelay) stepDownIfCutOff(now float64) {
+	for _, j := range f.sources {
+		if j.heldToken != 0 && now > max(j.startedAt, f.ownWatchHeardAt, j.stepDownAt)+discoverySilenceSeconds {
+			j.stepDownAt = now
+			f.roles.logInfo("discovery can't be reached from here: the job is to go to another", "job", j.name)
+			f.roles.lease.RequestStepDown(now, j.name)
 		}
 	}
 }
 
-// seen returns the counts.
-func (f *feeder) seen() *ListStats {
-	c := f.counts
-	if v, held := f.to.ListVersion(); held {
+// snapshotStats returns the counts.
+func (f *listRelay) snapshotStats() *ListStats {
+	c := f.stats
+	if v, held := f.lists.ListVersion(); held {
 		c.Index = v.Index
 	}
-	if c.Relayed = f.on; f.on {
-		c.AgeSeconds = f.o.f.net.Now() - f.newest()
+	if c.Relayed = f.relayed; f.relayed {
+		c.AgeSeconds = f.roles.node.net.Now() - f.newestFreshAt()
 	}
 	return &c
 }
--- a/internal/coordination/list_relay_test.go
+++ b/internal/coordination/list_relay_test.go
@@ -34,9 +34,9 @@
 // fedFleet returns a fleet of which nothing is up but one link, which takes nothing.
 func fedFleet(h *holder) (*Node, *stillNet) {
 	net := &stillNet{now: 100}
-	f := &Node{net: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, o: Options{Settings: Settings{Jobs: withLists([]string{"list"})}, Lists: h,
+	f := &Node{net: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, options: Options{Settings: Settings{Jobs: expandListRoles([]string{"list"})}, Lists: h,
 		Rand: rand.New(rand.NewPCG(1, 2))}}
-	f.owners = newOwners(f)
+	f.roles = newRoleManager(f)
 	peers.New("yard", 1, f, net, f.log).Dial("x:1")
 	return f, net
 }
@@ -71,11 +71,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		h := &holder{g: endpointset.New(nil, nil), at: "d:1"}
 		f, net := fedFleet(h)
-		l := f.owners.lists
+		l := f.roles.listRelay
 		// What discovery has: the version n is the first n changes.
 		truth := endpointset.New(nil, nil)
 		var sums []uint64
-		var words []listWord
+		var words []listUpdate
 		n := rapid.IntRange(1, 10).Draw(t, "versions")
 		for i := range n + 1 {
 			raw, err := json.Marshal(map[string]any{"index": i, "snapshot": i == 0, "endpoints": []map[string]any{{"name": string(rune('a' + i%4)), "address": "x:1",
@@ -87,44 +87,44 @@
 				require.NoError(t, h.TakeList(raw))
 			}
 			sums = append(sums, truth.Sum())
-			words = append(words, listWord{Discovery: "d:1", Index: uint64(i), Sum: truth.Sum(), From: uint64(max(i-1, 0)), Raw: deflate(raw)})
+			words = append(words, listUpdate{Discovery: "d:1", Index: uint64(i), Checksum: truth.Sum(), BaseIndex: uint64(max(i-1, 0)), Delta: compress(raw)})
 		}
 		held, good := uint64(0), 0.0
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			net.now += rapid.Float64Range(0, 2).Draw(t, "pause")
 			if rapid.IntRange(0, 4).Draw(t, "silent") > 0 {
 				w := words[rapid.IntRange(0, n).Draw(t, "word")]
-				w.AtS = net.now - 100
+				w.AtSeconds = net.now - 100
 				if rapid.Bool().Draw(t, "bare") {
-					w.Raw = nil
+					w.Delta = nil
 				}
 				if rapid.IntRange(0, 9).Draw(t, "elsewhere") == 0 {
 					w.Discovery = "d:2"
 				}
-				if j := l.jobs[rapid.IntRange(0, 2).Draw(t, "owner")]; rapid.IntRange(0, 9).Draw(t, "torn") == 0 {
-					before := f.owners.job(j.name).foolish
-					j.Heard(net.link, &frames.RoleMessage{Role: j.name, Token: 1, Kind: kindWord, Body: []byte{0xc1}})
-					require.Equal(t, before+1, f.owners.job(j.name).foolish, "what makes no sense is counted")
+				if j := l.sources[rapid.IntRange(0, 2).Draw(t, "owner")]; rapid.IntRange(0, 9).Draw(t, "torn") == 0 {
+					before := f.roles.state(j.name).malformed
+					j.HandleMessage(net.link, &frames.RoleMessage{Role: j.name, Token: 1, Kind: kindListUpdate, Body: []byte{0xc1}})
+					require.Equal(t, before+1, f.roles.state(j.name).malformed, "what makes no sense is counted")
 				} else {
-					j.Heard(net.link, &frames.RoleMessage{Role: j.name, Token: 1, Kind: kindWord, Body: packed(w)})
+					j.HandleMessage(net.link, &frames.RoleMessage{Role: j.name, Token: 1, Kind: kindListUpdate, Body: mustMarshal(w)})
 				}
 			}
-			l.look(net.now)
+			l.checkFreshness(net.now)
 			v, ok := h.ListVersion()
 			require.True(t, ok)
 			require.GreaterOrEqual(t, v.Index, held, "a lower version takes no later one's place")
 			require.Equal(t, sums[v.Index], v.Sum)
-			if held = v.Index; l.newest() > good {
-				good = l.newest()
+			if held = v.Index; l.newestFreshAt() > good {
+				good = l.newestFreshAt()
 			}
 			if h.fed {
-				require.Less(t, net.now, good+silentS)
+				require.Less(t, net.now, good+staleSeconds)
 			}
 		}
 		// A word that can't be discovery's.
 		w := words[held]
-		w.Sum, w.AtS = w.Sum+1, net.now-100
-		l.jobs[0].Heard(net.link, &frames.RoleMessage{Role: listName, Token: 1, Kind: kindWord, Body: packed(w)})
+		w.Checksum, w.AtSeconds = w.Checksum+1, net.now-100
+		l.sources[0].HandleMessage(net.link, &frames.RoleMessage{Role: listRoleName, Token: 1, Kind: kindListUpdate, Body: mustMarshal(w)})
 		assert.Equal(t, 1, h.wary)
 		assert.False(t, h.fed)
 		_, ok := h.ListVersion()
@@ -136,12 +136,12 @@
 func TestHeldWordsAreOld(t *testing.T) {
 	h := &holder{g: endpointset.New(nil, nil), at: "d:1"}
 	f, net := fedFleet(h)
-	l := f.owners.lists
+	l := f.roles.listRelay
 	require.NoError(t, h.TakeList([]byte(`{"index":7,"snapshot":true,"endpoints":[]}`)))
 	v, _ := h.ListVersion()
 	say := func(at float64) {
-		l.jobs[1].Heard(net.link, &frames.RoleMessage{Role: l.jobs[1].name, Token: 1, Kind: kindWord, Body: packed(listWord{Discovery: "d:1", Index: 7, Sum: v.Sum, AtS: at})})
-		l.look(net.now)
+		l.sources[1].HandleMessage(net.link, &frames.RoleMessage{Role: l.sources[1].name, Token: 1, Kind: kindListUpdate, Body: mustMarshal(listUpdate{Discovery: "d:1", Index: 7, Checksum: v.Sum, AtSeconds: at})})
+		l.checkFreshness(net.now)
 	}
 	say(0)
 	assert.True(t, h.fed)
--- a/internal/coordination/list_transfer.go
+++ b/internal/coordination/list_transfer.go
@@ -6,78 +6,78 @@
 	"hazelwheel/internal/peers"
 )
 
-// ask asks for the whole list, over the link by which the word of it came.
-func (f *feeder) ask(l *peers.Link, j *listJob, token uint64, w *listWord, now, newsAt float64) {
-	if f.needAt > 0 && now < f.needAt+needAgainS {
+// requestList asks for the whole list, over the link by which the word of it came.
+func (f *listRelay) requestList(l *peers.Link, j *listRole, token uint64, w *listUpdate, now, newsAt float64) {
+	if f.requestedAt > 0 && now < f.requestedAt+listRequestRetrySeconds {
 		return
 	}
-	f.need, f.needAt, f.newsAt, f.link, f.parts = listNeed{w.Discovery, w.Index}, now, newsAt, l.Number, nil
-	f.counts.SnapshotsRequested++
-	f.o.reply(l, j.name, token, kindNeed, packed(f.need))
+	f.request, f.requestedAt, f.requestedFreshAt, f.requestLink, f.chunks = listRequest{w.Discovery, w.Index}, now, newsAt, l.Number, nil
+	f.stats.SnapshotsRequested++
+	f.roles.sendReply(l, j.name, token, kindListRequest, mustMarshal(f.request))
 }
 
-// answer sends the whole list to those who wait for a version that is held by now.
-func (f *feeder) answer() {
-	if len(f.asking) == 0 {
+// serveWaiters sends the whole list to those who wait for a version that is held by now.
+func (f *listRelay) serveWaiters() {
+	if len(f.waiters) == 0 {
 		return
 	}
-	now := f.o.f.net.Now()
-	v, held := f.to.ListVersion()
+	now := f.roles.node.net.Now()
+	v, held := f.lists.ListVersion()
 	var body []byte
-	wait := f.asking[:0:0]
-	for _, a := range f.asking {
-		l := f.o.f.links[a.link]
+	wait := f.waiters[:0:0]
+	for _, a := range f.waiters {
+		l := f.roles.node.links[a.link]
 		switch {
 		case l == nil || now > a.until:
 		case !held || v.Index < a.index:
 			wait = append(wait, a)
 		default:
 			if body == nil {
-				body = deflate(f.to.WholeList())
+				body = compress(f.lists.WholeList())
 			}
-			f.counts.SnapshotsServed++
-			parts := (len(body) + partSize - 1) / partSize
+			f.stats.SnapshotsServed++
+			parts := (len(body) + chunkBytes - 1) / chunkBytes
 			for i := range parts {
-				f.o.reply(l, a.job.name, a.token, kindWhole, packed(listWhole{v.Discovery, v.Index, v.Sum, i, parts, body[i*partSize : min((i+1)*partSize, len(body))]}))
+				f.roles.sendReply(l, a.source.name, a.token, kindListChunk, mustMarshal(listChunk{v.Discovery, v.Index, v.Sum, i, parts, body[i*chunkBytes : min((i+1)*chunkBytes, len(body))]}))
 			}
 		}
 	}
-	f.asking = wait
+	f.waiters = wait
 }
 
-// whole takes a part of the list that was asked for.
-func (f *feeder) whole(from *peers.Link, w *listWhole) error {
-	now := f.o.f.net.Now()
-	if f.needAt == 0 || from.Number != f.link || now < f.doubt || w.Discovery != f.to.Discovery() || w.Index < f.need.Index {
+// handleChunk takes a part of the list that was asked for.
+func (f *listRelay) handleChunk(from *peers.Link, w *listChunk) error {
+	now := f.roles.node.net.Now()
+	if f.requestedAt == 0 || from.Number != f.requestLink || now < f.distrustUntil || w.Discovery != f.lists.Discovery() || w.Index < f.request.Index {
 		return nil // it was asked for once
 	}
-	if w.Part != len(f.parts) || w.Parts < 1 || w.Parts > mostList/partSize {
-		return errList
+	if w.Chunk != len(f.chunks) || w.Chunks < 1 || w.Chunks > maxListBytes/chunkBytes {
+		return errListMismatch
 	}
-	if f.parts = append(f.parts, w.Body); len(f.parts) < w.Parts {
+	if f.chunks = append(f.chunks, w.Body); len(f.chunks) < w.Chunks {
 		return nil
 	}
-	raw, err := inflate(bytes.Join(f.parts, nil))
-	f.needAt, f.parts = 0, nil
+	raw, err := decompress(bytes.Join(f.chunks, nil))
+	f.requestedAt, f.chunks = 0, nil
 	if err != nil {
 		return err
 	}
-	if v, held := f.to.ListVersion(); held && v.Index > w.Index {
+	if v, held := f.lists.ListVersion(); held && v.Index > w.Index {
 		return nil
 	}
-	if err := f.take(raw, w.Index); err != nil {
+	if err := f.applyList(raw, w.Index); err != nil {
 		return err
 	}
-	if v, _ := f.to.ListVersion(); v.Sum != w.Sum {
-		f.disagree(now, w.Index)
+	if v, _ := f.lists.ListVersion(); v.Sum != w.Checksum {
+		f.handleMismatch(now, w.Index)
 		return nil
 	}
-	for _, j := range f.jobs {
-		if j.of != 0 && j.at < f.newsAt {
-			j.at = f.newsAt
+	for _, j := range f.sources {
+		if j.sourceToken != 0 && j.freshAt < f.requestedFreshAt {
+			j.freshAt = f.requestedFreshAt
 			break
 		}
 	}
-	f.fed(now)
+	f.confirmRelayed(now)
 	return nil
 }
--- a/internal/coordination/log_limiter.go
+++ b/internal/coordination/log_limiter.go
@@ -7,32 +7,32 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// notes bounds the log of changes: so many at once, and so many a second; the rest are counted.
-type notes struct {
-	left, at float64
-	unsaid   int
-	saidAt   float64
+// logLimiter bounds the log of changes: so many at once, and so many a second; the rest are counted.
+type logLimiter struct {
+	tokens, at float64
+	suppressed int
+	reportedAt float64
 }
 
 const (
-	notesPerS   = 2.0
-	notesAtOnce = 40.0
-	unsaidEvery = 5.0
+	logsPerSecond = 2.0
+	notesAtOnce   = 40.0
+	unsaidEvery   = 5.0
 )
 
-func (n *notes) room(now float64) bool {
-	n.left, n.at = min(n.left+(now-n.at)*notesPerS, notesAtOnce), now
-	if n.left < 1 {
-		n.unsaid++
+func (n *logLimiter) allow(now float64) bool {
+	n.tokens, n.at = min(n.tokens+(now-n.at)*logsPerSecond, notesAtOnce), now
+	if n.tokens < 1 {
+		n.suppressed++
 		return false
 	}
-	n.left--
+	n.tokens--
 	return true
 }
 
-// changed tells of a change.
-func (n *notes) changed(now float64, log *slog.Logger, r swim.Record, was swim.State, known bool) {
-	if !n.room(now) {
+// logMemberChange tells of a change.
+func (n *logLimiter) logMemberChange(now float64, log *slog.Logger, r swim.Record, was swim.State, known bool) {
+	if !n.allow(now) {
 		return
 	}
 	before := was.String()
@@ -43,10 +43,10 @@
 		"by", fmt.Sprint(r.Accusers))
 }
 
-// flush tells how many changes were not told.
-func (n *notes) flush(now float64, log *slog.Logger) {
-	if n.unsaid > 0 && now > n.saidAt+unsaidEvery {
-		log.Info("more changes of peers than the log takes", "unsaid", n.unsaid)
-		n.unsaid, n.saidAt = 0, now
+// logSuppressed tells how many changes were not told.
+func (n *logLimiter) logSuppressed(now float64, log *slog.Logger) {
+	if n.suppressed > 0 && now > n.reportedAt+unsaidEvery {
+		log.Info("more changes of peers than the log takes", "unsaid", n.suppressed)
+		n.suppressed, n.reportedAt = 0, now
 	}
 }
--- a/internal/coordination/maintenance_holder.go
+++ b/internal/coordination/maintenance_holder.go
@@ -5,53 +5,53 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
-// agreed takes what the electors keep, as the owner.
-func (w *worker) agreed(r *lease.Record) {
-	if w.held == 0 {
+// handleCommitted takes what the electors keep, as the owner.
+func (w *maintenanceRole) handleCommitted(r *lease.Record) {
+	if w.heldToken == 0 {
 		return
 	}
-	now, epoch := w.o.f.net.Now(), w.held>>40
+	now, epoch := w.roles.node.net.Now(), w.heldToken>>40
 	state, err := maintenance.Decode(r.Body)
 	if err != nil {
-		w.o.note("what is agreed of work on boxes can't be read", "version", r.Version, "error", err)
+		w.roles.logInfo("what is agreed of work on boxes can't be read", "version", r.Version, "error", err)
 		return
 	}
 	switch {
 	case r.Version == 0 && w.version > 0 && w.epoch < epoch:
 		// The electors were founded anew and know nothing. Danger: what was out is in a mechanic's hands still.
-		w.first = renumbered(w.state)
-		w.writeAt = 0
+		w.carriedOver = withInitialVersions(w.state)
+		w.writeRetryAt = 0
 		return
 	case r.Version > 0:
-		w.first = nil
-		atStep("agreed")
+		w.carriedOver = nil
+		reachStep("agreed")
 	}
 	for i := range state.Plans {
 		p := &state.Plans[i]
-		for _, a := range w.ages {
+		for _, a := range w.planAges {
 			if a.Plan == p.Number {
-				p.AgeSeconds = max(p.AgeSeconds, a.AgeS+now-w.agesAt)
+				p.AgeSeconds = max(p.AgeSeconds, a.AgeSeconds+now-w.planAgesAt)
 			}
 		}
 	}
 	a := maintenance.Committed{Epoch: epoch, Version: r.Version, State: state}
-	if w.writing = nil; w.c == nil {
-		w.c = maintenance.New(maintenance.Settings{WarmUpSeconds: w.to.ColdS(), Order: w.o.f.o.MaintenanceOrder})
-		w.c.Start(now, a)
-		for _, d := range w.orders { // what came while nobody owned the job
-			if !d.ended {
-				w.do(now, d)
+	if w.proposed = nil; w.coordinator == nil {
+		w.coordinator = maintenance.New(maintenance.Settings{WarmUpSeconds: w.servers.ColdS(), Order: w.roles.node.options.MaintenanceOrder})
+		w.coordinator.Start(now, a)
+		for _, d := range w.commands { // what came while nobody owned the job
+			if !d.answered {
+				w.execute(now, d)
 			}
 		}
 	} else {
-		w.c.ApplyCommitted(now, a)
+		w.coordinator.ApplyCommitted(now, a)
 	}
 	w.apply(epoch, r.Version, r.Body, true)
-	w.signAt, w.o.job(worksName).next = 0, 0
+	w.announceAt, w.roles.state(maintenanceRoleName).nextTick = 0, 0
 }
 
-// renumbered returns a state as the first version of another founding.
-func renumbered(s maintenance.State) []byte {
+// withInitialVersions returns a state as the first version of another founding.
+func withInitialVersions(s maintenance.State) []byte {
 	for i := range s.Plans {
 		for j := range s.Plans[i].Servers {
 			if b := &s.Plans[i].Servers[j]; b.SinceVersion > 0 {
@@ -66,73 +66,73 @@
 	return body
 }
 
-// tickOwner has things agreed, asks all, and tells them.
-func (w *worker) tickOwner(now float64) (next float64) {
-	if w.first != nil {
-		if now >= w.writeAt {
-			w.writeAt = now + writeAgainS
-			w.write(1, w.first)
+// tickHolder has things agreed, asks all, and tells them.
+func (w *maintenanceRole) tickHolder(now float64) (next float64) {
+	if w.carriedOver != nil {
+		if now >= w.writeRetryAt {
+			w.writeRetryAt = now + writeRetrySeconds
+			w.writeRecord(1, w.carriedOver)
 		}
-		return w.writeAt
+		return w.writeRetryAt
 	}
-	if w.c == nil {
-		return now + renewAgainS
+	if w.coordinator == nil {
+		return now + recordReadSeconds
 	}
-	for _, d := range w.orders {
-		if !d.ended && now-d.askedAt < askedForS && now >= d.passAt+commandAgainS {
-			d.passAt = now
-			w.do(now, d)
+	for _, d := range w.commands {
+		if !d.answered && now-d.requestedAt < commandInterestSeconds && now >= d.forwardedAt+commandRetrySeconds {
+			d.forwardedAt = now
+			w.execute(now, d)
 		}
 	}
-	w.rounds(now)
-	w.settle(now)
-	for _, r := range w.c.Replies() {
-		w.reply(now, &r)
+	w.runSurveys(now)
+	w.proposeNext(now)
+	for _, r := range w.coordinator.Replies() {
+		w.publishReply(now, &r)
 	}
-	w.sign(now)
-	next = min(w.c.StepDeadline(now), w.signAt)
-	if w.writing != nil {
-		next = min(next, w.writeAt)
+	w.announce(now)
+	next = min(w.coordinator.StepDeadline(now), w.announceAt)
+	if w.proposed != nil {
+		next = min(next, w.writeRetryAt)
 	}
-	if w.sum != nil {
-		next = min(next, now+workGatherS/2)
+	if w.collected != nil {
+		next = min(next, now+surveyGatherSeconds/2)
 	}
-	if w.c.NeedsSnapshot() {
-		next = min(next, w.askAt)
+	if w.coordinator.NeedsSnapshot() {
+		next = min(next, w.surveyAt)
 	}
 	return next
 }
 
-// renewAgainS is about how long it takes until a new owner has been told what is agreed.
-const renewAgainS = 0.35
+// recordReadSeconds is about how long it takes until a new owner has been told what is agreed.
+const recordReadSeconds = 0.35
 
-// settle has what the decisions want be agreed.
-func (w *worker) settle(now float64) {
-	state := w.c.Step(now)
+// proposeNext has what the decisions want be agreed.
+func (w *maintenanceRole) proposeNext(now float64) {
+	state := w.coordinator.Step(now)
 	if state == nil {
 		return
 	}
 	body, err := state.Encode()
 	if err != nil { // the decisions bound what they want
-		w.o.note("what is wanted of work on boxes can't be agreed", "error", err)
+		w.roles.logInfo("what is wanted of work on boxes can't be agreed", "error", err)
 		return
 	}
-	if w.writing != nil && now < w.writeAt {
+	if w.proposed != nil && now < w.writeRetryAt {
 		return
 	}
-	if w.writing == nil && emptied(&w.state, state) {
-		atStep("empty")
+	if w.proposed == nil && hasNewlyDrained(&w.state, state) {
+		reachStep("empty")
 	}
-	w.writing, w.writeAt = body, now+writeAgainS
-	w.write(w.c.Version()+1, body)
+	w.proposed, w.writeRetryAt = body, now+writeRetrySeconds
+	w.writeRecord(w.coordinator.Version()+1, body)
 }
 
-// emptied tells whether a box has come to be empty.
-func emptied(was, is *maintenance.State) bool {
+// hasNewlyDrained tells whether a box has come to be empty.
+func hasNewlyDrained(was, is *maintenance.State) bool {
 	ready := func(s *maintenance.State) (n int) {
 		for i := range s.Plans {
 			for _, b := range s.Plans[i].Servers {
-				n += one(b.Stage == maintenance.Drained)
+				n += boolToInt(b.Stage == maintenance.Drained)
 			}
 		}
 		return n
@@ -140,49 +140,49 @@
 	return ready(is) > ready(was)
 }
 
-// write asks the electors. Danger: the answer may come within the call.
-func (w *worker) write(version uint64, body []byte) {
-	o := w.o
-	o.f.later(func() {
-		if o.t != nil {
-			o.t.WriteRecord(o.f.net.Now(), worksName, version, body)
+// writeRecord asks the electors. Danger: the answer may come within the call.
+func (w *maintenanceRole) writeRecord(version uint64, body []byte) {
+	o := w.roles
+	o.node.runAfterCall(func() {
+		if o.lease != nil {
+			o.lease.WriteRecord(o.node.net.Now(), maintenanceRoleName, version, body)
 		}
 	})
 }
 
-// sign tells all what is agreed, and what is waited for.
-func (w *worker) sign(now float64) {
-	if now < w.signAt {
+// announce tells all what is agreed, and what is waited for.
+func (w *maintenanceRole) announce(now float64) {
+	if now < w.announceAt {
 		return
 	}
-	word := &agreedWord{Epoch: w.epoch, Version: w.version, Owner: w.o.f.o.Sidecar}
-	if w.epoch != w.held>>40 { // nothing was agreed yet
-		word.Epoch, word.Version = w.held>>40, 0
+	word := &recordMessage{Epoch: w.epoch, Version: w.version, Holder: w.roles.node.options.Sidecar}
+	if w.epoch != w.heldToken>>40 { // nothing was agreed yet
+		word.Epoch, word.Version = w.heldToken>>40, 0
 	}
-	if w.c.NeedsSnapshot() {
-		w.signAt = now + signS
-		word.Waits = w.c.Blockers()
+	if w.coordinator.NeedsSnapshot() {
+		w.announceAt = now + announceIntervalSeconds
+		word.Blockers = w.coordinator.Blockers()
 	} else {
-		w.signAt = now + restS
+		w.announceAt = now + idleAnnounceIntervalSeconds
 	}
 	for i := range w.state.Plans {
 		p := &w.state.Plans[i]
 		age := p.AgeSeconds
-		for _, a := range w.ages {
+		for _, a := range w.planAges {
 			if a.Plan == p.Number {
-				age = max(age, a.AgeS+now-w.agesAt)
+				age = max(age, a.AgeSeconds+now-w.planAgesAt)
 			}
 		}
 		if !p.Ended {
-			word.Ages = append(word.Ages, planAge{p.Number, age})
+			word.PlanAges = append(word.PlanAges, planAge{p.Number, age})
 		}
 	}
-	w.owner, w.waits, w.wordAt, w.ages, w.agesAt = word.Owner, word.Waits, now, word.Ages, now
-	if w.told != w.version || w.toldEpoch != w.epoch {
+	w.holderName, w.blockers, w.announcedAt, w.planAges, w.planAgesAt = word.Holder, word.Blockers, now, word.PlanAges, now
+	if w.announcedVersion != w.version || w.announcedEpoch != w.epoch {
 		word.Body = w.body
 	}
-	if w.o.spread(worksName, kindAgreed, packed(word)) && word.Body != nil {
-		w.told, w.toldEpoch = w.version, w.epoch
-		atStep("told")
+	if w.roles.broadcast(maintenanceRoleName, kindRecord, mustMarshal(word)) && word.Body != nil {
+		w.announcedVersion, w.announcedEpoch = w.version, w.epoch
+		reachStep("told")
 	}
 }
--- a/internal/coordination/maintenance_query.go
+++ b/internal/coordination/maintenance_query.go
@@ -24,13 +24,13 @@
 	var asking sync.WaitGroup
 	for _, address := range addresses {
 		asking.Go(func() {
-			k, err := askWorks(fleet, name, address, by)
+			k, err := queryMaintenance(fleet, name, address, by)
 			if err != nil {
 				return // it is not there, or knows nothing: the others are asked, too
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if latest == nil || newer(k.Epoch, k.Version, latest.Epoch, latest.Version) {
+			if latest == nil || isNewer(k.Epoch, k.Version, latest.Epoch, latest.Version) {
 				latest = k
 			}
 		})
@@ -39,7 +39,7 @@
 	return latest
 }
 
-func askWorks(fleet, name, address string, by time.Time) (*MaintenanceRecord, error) {
+func queryMaintenance(fleet, name, address string, by time.Time) (*MaintenanceRecord, error) {
 	c, err := net.DialTimeout("tcp", address, time.Until(by))
 	if err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 				break
 			}
 			if topic == frames.TopicRole {
-				return answeredWorks(body)
+				return decodeAnswer(body)
 			}
 			read.Next(length)
 		}
@@ -87,14 +87,14 @@
 
 var errNoAnswer = errors.New("it does not say what is agreed")
 
-// answeredWorks reads an answer.
-func answeredWorks(body []byte) (*MaintenanceRecord, error) {
+// decodeAnswer reads an answer.
+func decodeAnswer(body []byte) (*MaintenanceRecord, error) {
 	var e frames.RoleMessage
-	var a agreedWord
+	var a recordMessage
 	if err := frames.Unmarshal(body, &e); err != nil {
 		return nil, err
 	}
-	if e.Role != worksName || e.Kind != kindAgreed {
+	if e.Role != maintenanceRoleName || e.Kind != kindRecord {
 		return nil, errNoAnswer
 	}
 	if err := frames.Unmarshal(e.Body, &a); err != nil {
@@ -106,24 +106,24 @@
 	return &MaintenanceRecord{a.Epoch, a.Version, e.Token, a.Body}, nil
 }
 
-// answerAsker tells somebody who is no member yet what is agreed. Its link ends with that.
-func (f *Node) answerAsker(l *peers.Link) {
-	if f.owners == nil || f.owners.works == nil {
+// answerQuery tells somebody who is no member yet what is agreed. Its link ends with that.
+func (f *Node) answerQuery(l *peers.Link) {
+	if f.roles == nil || f.roles.maintenance == nil {
 		return
 	}
-	w := f.owners.works
-	f.owners.send(l, &frames.RoleMessage{Role: worksName, Token: w.known(), Origin: uint64(f.state.ID), Kind: kindAgreed,
-		Body: packed(&agreedWord{Epoch: w.epoch, Version: w.version, Body: w.body})})
+	w := f.roles.maintenance
+	f.roles.send(l, &frames.RoleMessage{Role: maintenanceRoleName, Token: w.maxToken(), Origin: uint64(f.state.ID), Kind: kindRecord,
+		Body: mustMarshal(&recordMessage{Epoch: w.epoch, Version: w.version, Body: w.body})})
 }
 
 // LearnMaintenance takes what others have said is agreed. It comes after Keep and before Start.
-func (f *Node) LearnMaintenance(k *MaintenanceRecord) { f.keepWorks(k) }
+func (f *Node) LearnMaintenance(k *MaintenanceRecord) { f.adoptMaintenance(k) }
 
 // MaintenanceRecord returns what this sidecar goes by, as Learn takes it; nil: nothing is agreed.
 func (f *Node) MaintenanceRecord() *MaintenanceRecord {
-	if f.owners == nil || f.owners.works == nil || f.owners.works.version == 0 {
+	if f.roles == nil || f.roles.maintenance == nil || f.roles.maintenance.version == 0 {
 		return nil
 	}
-	w := f.owners.works
-	return &MaintenanceRecord{w.epoch, w.version, w.known(), w.body}
+	w := f.roles.maintenance
+	return &MaintenanceRecord{w.epoch, w.version, w.maxToken(), w.body}
 }
--- a/internal/coordination/maintenance_role.go
+++ b/internal/coordination/maintenance_role.go
@@ -9,161 +9,161 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// worker is a sidecar's part in the job.
-type worker struct {
-	o  *owners
-	to sidecar.Boxes
+// maintenanceRole is a sidecar's part in the job.
+type maintenanceRole struct {
+	roles   *roleManager
+	servers sidecar.Boxes
 
 	// Of every sidecar.
-	epoch, version uint64 // of what it goes by
-	body           []byte
-	state          maintenance.State
-	outAt          map[string]float64 // since when a box is out here
-	waits          []maintenance.Blocker
-	owner          string
-	wordAt         float64 // of the owner's last word; -Inf: there was none
-	ages           []planAge
-	agesAt         float64
-	up             int // the link over which the question has come
-	token          uint64
-	round          uint64
-	gathered       *maintenance.Report // that is to go there; nil: nothing is
-	sendAt         float64
-	bucket         budget
-	ended, refused uint64 // requests, when it was asked last
-	endedAt        float64
-	boxEnded       map[string]uint64
-	orders         []*order // in the order in which they came
+	epoch, version      uint64 // of what it goes by
+	body                []byte
+	state               maintenance.State
+	outSince            map[string]float64 // since when a box is out here
+	blockers            []maintenance.Blocker
+	holderName          string
+	announcedAt         float64 // of the owner's last word; -Inf: there was none
+	planAges            []planAge
+	planAgesAt          float64
+	parentLink          int // the link over which the question has come
+	surveyToken         uint64
+	round               uint64
+	gathered            *maintenance.Report // that is to go there; nil: nothing is
+	sendAt              float64
+	budget              budget
+	completed, rejected uint64 // requests, when it was asked last
+	reportedAt          float64
+	serverCompleted     map[string]uint64
+	commands            []*trackedCommand // in the order in which they came
 
 	// Of the owner.
-	held    uint64
-	c       *maintenance.Coordinator // nil: what is agreed is not known yet
-	first   []byte                   // what was agreed under an earlier founding, and is to be kept again before all else
-	writing []byte                   // the body that is being agreed; nil: none
-	writeAt float64
-	signAt  float64
-	askAt   float64
-	by      float64
-	asked   []maintenance.Member
-	sum     *maintenance.Report // nil: no round is on
-
-	told, toldEpoch uint64 // what all were told of whole
+	heldToken      uint64
+	coordinator    *maintenance.Coordinator // nil: what is agreed is not known yet
+	carriedOver    []byte                   // what was agreed under an earlier founding, and is to be kept again before all else
+	proposed       []byte                   // the body that is being agreed; nil: none
+	writeRetryAt   float64
+	announceAt     float64
+	surveyAt       float64
+	surveyDeadline float64
+	surveyed       []maintenance.Member
+	collected      *maintenance.Report // nil: no round is on
+
+	announcedVersion, announcedEpoch uint64 // what all were told of whole
 }
 
-func newWorker(o *owners) *worker {
-	now := o.f.net.Now()
-	w := &worker{o: o, to: o.f.o.Servers, outAt: map[string]float64{}, wordAt: math.Inf(-1), bucket: budget{answersAtOnce, now}, endedAt: now,
-		boxEnded: map[string]uint64{}}
+func newMaintenanceRole(o *roleManager) *maintenanceRole {
+	now := o.node.net.Now()
+	w := &maintenanceRole{roles: o, servers: o.node.options.Servers, outSince: map[string]float64{}, announcedAt: math.Inf(-1), budget: budget{responseBurstBytes, now}, reportedAt: now,
+		serverCompleted: map[string]uint64{}}
 	return w
 }
 
-func (w *worker) Name() string { return worksName }
+func (w *maintenanceRole) Name() string { return maintenanceRoleName }
 
 // AtStep, where a build for tests sets it, is called by the owner at named instants: "agreed", when a version is agreed and before
 // anybody is told; "told", when all were; "empty", before a box that is empty is agreed to be; "handed", before a mechanic is told.
 var OnMaintenanceStep func(step string)
 
-func atStep(step string) {
+func reachStep(step string) {
 	if OnMaintenanceStep != nil {
 		OnMaintenanceStep(step)
 	}
 }
 
-// Heard takes an effect.
-func (w *worker) Heard(from *peers.Link, e *frames.RoleMessage) {
-	now := w.o.f.net.Now()
+// HandleMessage takes an effect.
+func (w *maintenanceRole) HandleMessage(from *peers.Link, e *frames.RoleMessage) {
+	now := w.roles.node.net.Now()
 	switch e.Kind {
-	case kindAgreed:
-		var a agreedWord
+	case kindRecord:
+		var a recordMessage
 		if frames.Unmarshal(e.Body, &a) == nil {
-			w.heardAgreed(now, from, &a)
+			w.handleRecord(now, from, &a)
 		}
-	case kindHold:
-		var h heldWord
+	case kindRecordVersion:
+		var h recordVersion
 		if frames.Unmarshal(e.Body, &h) == nil {
-			w.heardHeld(from, h)
+			w.handleRecordVersion(from, h)
 		}
-	case kindWorkAsk:
-		var q worksQuestion
+	case kindSurveyRequest:
+		var q surveyRequest
 		if frames.Unmarshal(e.Body, &q) == nil {
-			w.up, w.token, w.round = from.Number, e.Token, q.Round
-			w.gathered, w.sendAt = w.own(now), now+workGatherS
-			if newer(q.Epoch, q.Version, w.epoch, w.version) {
-				w.hold(from)
+			w.parentLink, w.surveyToken, w.round = from.Number, e.Token, q.Round
+			w.gathered, w.sendAt = w.localReport(now), now+surveyGatherSeconds
+			if isNewer(q.Epoch, q.Version, w.epoch, w.version) {
+				w.sendRecordVersion(from)
 			}
 		}
-	case kindSum:
-		var s worksSum
+	case kindSurveyResponse:
+		var s surveyResponse
 		if frames.Unmarshal(e.Body, &s) != nil || s.Round != w.round {
 			return
 		}
 		switch {
-		case w.held != 0 && e.Token == w.held:
-			if w.sum != nil {
-				_ = w.sum.Merge(&s.Sum) // what makes no sense is not in the round, nor those that it is from
+		case w.heldToken != 0 && e.Token == w.heldToken:
+			if w.collected != nil {
+				_ = w.collected.Merge(&s.Report) // what makes no sense is not in the round, nor those that it is from
 			}
-		case e.Token == w.token:
+		case e.Token == w.surveyToken:
 			if w.gathered == nil {
-				w.gathered, w.sendAt = &maintenance.Report{}, now+workGatherS
+				w.gathered, w.sendAt = &maintenance.Report{}, now+surveyGatherSeconds
 			}
-			_ = w.gathered.Merge(&s.Sum) // the same
+			_ = w.gathered.Merge(&s.Report) // the same
 		}
 	case kindCommand:
 		var c maintenance.Command
 		if frames.Unmarshal(e.Body, &c) == nil && c.Nonce != 0 {
-			w.ordered(now, &c, from)
+			w.handleCommand(now, &c, from)
 		}
-	case kindReply:
+	case kindCommandReply:
 		var r maintenance.Reply
 		if frames.Unmarshal(e.Body, &r) == nil {
-			w.replied(now, &r)
+			w.recordReply(now, &r)
 		}
 	}
 }
 
-func one(on bool) int {
+func boolToInt(on bool) int {
 	if on {
 		return 1
 	}
 	return 0
 }
 
-func (w *worker) Begin(token uint64) {
-	w.held, w.c, w.first, w.writing, w.sum = token, nil, nil, nil, nil
-	w.signAt, w.askAt, w.told, w.toldEpoch = 0, 0, 0, 0
+func (w *maintenanceRole) Start(token uint64) {
+	w.heldToken, w.coordinator, w.carriedOver, w.proposed, w.collected = token, nil, nil, nil, nil
+	w.announceAt, w.surveyAt, w.announcedVersion, w.announcedEpoch = 0, 0, 0, 0
 }
 
-func (w *worker) End() {
-	w.held, w.c, w.first, w.writing, w.sum = 0, nil, nil, nil, nil
-	for _, d := range w.orders { // the next owner says what came of them
-		d.passAt = math.Inf(-1)
+func (w *maintenanceRole) Stop() {
+	w.heldToken, w.coordinator, w.carriedOver, w.proposed, w.collected = 0, nil, nil, nil, nil
+	for _, d := range w.commands { // the next owner says what came of them
+		d.forwardedAt = math.Inf(-1)
 	}
 }
 
 // Tick does what is due, and says when to be called next.
-func (w *worker) Tick(now float64) (next float64) {
-	next = now + restS
+func (w *maintenanceRole) Tick(now float64) (next float64) {
+	next = now + idleAnnounceIntervalSeconds
 	if w.gathered != nil {
 		if now >= w.sendAt {
-			w.answer(now)
+			w.sendSurveyResponse(now)
 		}
 		if w.gathered != nil {
 			next = min(next, w.sendAt)
 		}
 	}
-	for _, d := range w.orders {
-		if d.ended || now-d.askedAt > askedForS || w.held != 0 {
+	for _, d := range w.commands {
+		if d.answered || now-d.requestedAt > commandInterestSeconds || w.heldToken != 0 {
 			continue
 		}
-		if now >= d.passAt+commandAgainS {
-			w.pass(now, d, nil)
+		if now >= d.forwardedAt+commandRetrySeconds {
+			w.forwardCommand(now, d, nil)
 		}
-		next = min(next, now+commandAgainS)
+		next = min(next, now+commandRetrySeconds)
 	}
-	if w.held == 0 {
+	if w.heldToken == 0 {
 		return next
 	}
-	return min(next, w.tickOwner(now))
+	return min(next, w.tickHolder(now))
 }
 
-var _ work = (*worker)(nil)
+var _ singletonRole = (*maintenanceRole)(nil)
--- a/internal/coordination/maintenance_status.go
+++ b/internal/coordination/maintenance_status.go
@@ -23,24 +23,24 @@
 
 // MaintenanceStatus returns what is known of work on boxes.
 func (f *Node) MaintenanceStatus() (*MaintenanceStatus, error) {
-	if f.owners == nil || f.owners.works == nil {
+	if f.roles == nil || f.roles.maintenance == nil {
 		return nil, ErrNoMaintenance
 	}
-	w, now := f.owners.works, f.net.Now()
-	s := &MaintenanceStatus{Version: w.version, Owner: w.owner, Plans: append([]maintenance.Plan{}, w.state.Plans...), Waits: append([]maintenance.Blocker{}, w.waits...),
+	w, now := f.roles.maintenance, f.net.Now()
+	s := &MaintenanceStatus{Version: w.version, Owner: w.holderName, Plans: append([]maintenance.Plan{}, w.state.Plans...), Waits: append([]maintenance.Blocker{}, w.blockers...),
 		Out: []string{}, Reinstated: []string{}}
-	if !math.IsInf(w.wordAt, -1) {
-		s.AgeSeconds = math.Round(10*(now-w.wordAt)) / 10
+	if !math.IsInf(w.announcedAt, -1) {
+		s.AgeSeconds = math.Round(10*(now-w.announcedAt)) / 10
 	}
 	for i := range s.Plans {
-		for _, a := range w.ages {
+		for _, a := range w.planAges {
 			if a.Plan == s.Plans[i].Number {
-				s.Plans[i].AgeSeconds = math.Round(10*(a.AgeS+now-w.agesAt)) / 10
+				s.Plans[i].AgeSeconds = math.Round(10*(a.AgeSeconds+now-w.planAgesAt)) / 10
 			}
 		}
 	}
-	for _, b := range w.to.Boxes() {
-		if _, out := w.outAt[b.Name]; out {
+	for _, b := range w.servers.Boxes() {
+		if _, out := w.outSince[b.Name]; out {
 			s.Out = append(s.Out, b.Name)
 			if b.Kept {
 				s.Reinstated = append(s.Reinstated, b.Name)
@@ -53,15 +53,15 @@
 // SubmitMaintenance passes a command on to whoever settles the order. The answer comes with one of the next calls of the same nonce; false: not
 // yet. A command that nobody has answered is passed on again and again until it has not been asked for any more for a while.
 func (f *Node) SubmitMaintenance(c maintenance.Command) (reply maintenance.Reply, answered bool, err error) {
-	f.enter(func() {
+	f.run(func() {
 		switch {
-		case f.owners == nil || f.owners.works == nil || f.view == nil:
+		case f.roles == nil || f.roles.maintenance == nil || f.view == nil:
 			err = ErrNoMaintenance
 		case c.Nonce == 0:
 			err = errors.New("the command has no nonce")
 		default:
 			if err = c.Validate(); err == nil {
-				reply, answered = f.owners.works.command(f.net.Now(), &c)
+				reply, answered = f.roles.maintenance.submit(f.net.Now(), &c)
 			}
 		}
 	})
--- a/internal/coordination/maintenance_survey.go
+++ b/internal/coordination/maintenance_survey.go
@@ -7,15 +7,15 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// own returns what this sidecar says.
-func (w *worker) own(now float64) *maintenance.Report {
-	f := w.o.f
-	spanS := max(now-w.endedAt, 0.001)
-	w.endedAt = now
-	all, refused := w.to.Ended()
-	s := &maintenance.Report{CompletedPerSecond: float64(all-w.ended) / spanS, RejectedPerSecond: float64(refused-w.refused) / spanS}
-	w.ended, w.refused = all, refused
-	if w.to.ListLate() {
+// localReport returns what this sidecar says.
+func (w *maintenanceRole) localReport(now float64) *maintenance.Report {
+	f := w.roles.node
+	spanS := max(now-w.reportedAt, 0.001)
+	w.reportedAt = now
+	all, refused := w.servers.Ended()
+	s := &maintenance.Report{CompletedPerSecond: float64(all-w.completed) / spanS, RejectedPerSecond: float64(refused-w.rejected) / spanS}
+	w.completed, w.rejected = all, refused
+	if w.servers.ListLate() {
 		s.StaleMembers = 1
 	}
 	s.Reporters = []maintenance.Reporter{{ID: f.state.ID, BootID: f.view.Self().Version.BootID, Version: w.version}}
@@ -28,64 +28,64 @@
 			}
 		}
 	}
-	for _, b := range w.to.Boxes() {
-		seen := maintenance.ServerStatus{Server: b.Name, Site: b.Site, Type: b.Type, Capacity: b.Size, ListedBy: one(b.Listed), DrainingBy: one(b.Draining), CordonedBy: one(b.Hand),
-			WarmingUpBy: one(b.Cold), UnresponsiveBy: one(b.Silent), InFlight: b.Out, Busy: b.Busy}
-		if was, known := w.boxEnded[b.Name]; known {
+	for _, b := range w.servers.Boxes() {
+		seen := maintenance.ServerStatus{Server: b.Name, Site: b.Site, Type: b.Type, Capacity: b.Size, ListedBy: boolToInt(b.Listed), DrainingBy: boolToInt(b.Draining), CordonedBy: boolToInt(b.Hand),
+			WarmingUpBy: boolToInt(b.Cold), UnresponsiveBy: boolToInt(b.Silent), InFlight: b.Out, Busy: b.Busy}
+		if was, known := w.serverCompleted[b.Name]; known {
 			seen.CompletedPerSecond = float64(b.Ended-was) / spanS
 		}
-		w.boxEnded[b.Name] = b.Ended
+		w.serverCompleted[b.Name] = b.Ended
 		s.Servers = append(s.Servers, seen)
-		if settleS, out := settle[b.Name]; out && (b.Kept || b.Out > 0 || now-w.outAt[b.Name] < settleS) {
+		if settleS, out := settle[b.Name]; out && (b.Kept || b.Out > 0 || now-w.outSince[b.Name] < settleS) {
 			s.InUse = append(s.InUse, maintenance.InUse{Server: b.Name, Member: f.state.ID, Uncordoned: b.Kept, InFlight: b.Out})
 		}
 	}
 	return s
 }
 
-// answer sends what has been gathered over the link by which the question came. Where there is no room for it, it waits.
-func (w *worker) answer(now float64) {
-	l := w.o.f.links[w.up]
+// sendSurveyResponse sends what has been gathered over the link by which the question came. Where there is no room for it, it waits.
+func (w *maintenanceRole) sendSurveyResponse(now float64) {
+	l := w.roles.node.links[w.parentLink]
 	if l == nil {
 		w.gathered = nil // the link has ended: those behind it are not heard in this round
 		return
 	}
-	body := packed(worksSum{w.round, *w.gathered})
-	b := &w.bucket
-	b.left, b.at = min(b.left+(now-b.at)*answersPerS, answersAtOnce), now
-	if need := float64(len(body)); b.left < need && b.left < answersAtOnce {
-		w.sendAt = now + min((need-b.left)/answersPerS, workWithinS)
+	body := mustMarshal(surveyResponse{w.round, *w.gathered})
+	b := &w.budget
+	b.left, b.at = min(b.left+(now-b.at)*responseBytesPerSecond, responseBurstBytes), now
+	if need := float64(len(body)); b.left < need && b.left < responseBurstBytes {
+		w.sendAt = now + min((need-b.left)/responseBytesPerSecond, surveyTimeoutSeconds)
 		return
 	}
 	b.left -= float64(len(body))
-	w.o.reply(l, worksName, w.token, kindSum, body)
+	w.roles.sendReply(l, maintenanceRoleName, w.surveyToken, kindSurveyResponse, body)
 	w.gathered = nil
 }
 
-// rounds has all be asked, again and again, as long as a plan goes on.
-func (w *worker) rounds(now float64) {
-	if w.sum != nil && (now >= w.by || w.whole()) {
-		w.c.Observe(now, maintenance.FleetSnapshot{Members: w.asked, Report: *w.sum, Complete: w.whole()})
-		w.sum = nil
+// runSurveys has all be asked, again and again, as long as a plan goes on.
+func (w *maintenanceRole) runSurveys(now float64) {
+	if w.collected != nil && (now >= w.surveyDeadline || w.isSurveyComplete()) {
+		w.coordinator.Observe(now, maintenance.FleetSnapshot{Members: w.surveyed, Report: *w.collected, Complete: w.isSurveyComplete()})
+		w.collected = nil
 	}
-	if w.sum != nil || now < w.askAt || !w.c.NeedsSnapshot() {
+	if w.collected != nil || now < w.surveyAt || !w.coordinator.NeedsSnapshot() {
 		return
 	}
-	w.askAt = now + workRoundS
+	w.surveyAt = now + surveyIntervalSeconds
 	w.round++
-	if !w.o.spread(worksName, kindWorkAsk, packed(worksQuestion{w.round, w.epoch, w.version})) {
+	if !w.roles.broadcast(maintenanceRoleName, kindSurveyRequest, mustMarshal(surveyRequest{w.round, w.epoch, w.version})) {
 		return
 	}
-	w.asked = nil
-	for m := range w.o.f.view.Members {
-		w.asked = append(w.asked, maintenance.Member{ID: m.ID, Name: m.Name, BootID: m.Version.BootID, State: m.State, StateAgeSeconds: m.StateAgeSeconds})
+	w.surveyed = nil
+	for m := range w.roles.node.view.Members {
+		w.surveyed = append(w.surveyed, maintenance.Member{ID: m.ID, Name: m.Name, BootID: m.Version.BootID, State: m.State, StateAgeSeconds: m.StateAgeSeconds})
 	}
-	w.sum, w.by = w.own(now), now+workWithinS
+	w.collected, w.surveyDeadline = w.localReport(now), now+surveyTimeoutSeconds
 }
 
-// whole tells whether all that live have answered.
-func (w *worker) whole() bool {
-	return !slices.ContainsFunc(w.asked, func(m maintenance.Member) bool {
-		return m.State == swim.Alive && !w.sum.HasReporter(maintenance.Reporter{ID: m.ID})
+// isSurveyComplete tells whether all that live have answered.
+func (w *maintenanceRole) isSurveyComplete() bool {
+	return !slices.ContainsFunc(w.surveyed, func(m maintenance.Member) bool {
+		return m.State == swim.Alive && !w.collected.HasReporter(maintenance.Reporter{ID: m.ID})
 	})
 }
--- a/internal/coordination/membership_actions.go
+++ b/internal/coordination/membership_actions.go
@@ -5,12 +5,14 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-type actions struct{ f *Node }
+type membershipActions struct{ node *Node }
 
-func (a actions) Dial(address string) { a.f.later(func() { a.f.peers.Dial(address) }) }
+func (a membershipActions) Dial(address string) {
+	a.node.runAfterCall(func() { a.node.peers.Dial(address) })
+}
 
-func (a actions) Send(link int, m *swim.Message) {
-	l := a.f.links[link]
+func (a membershipActions) Send(link int, m *swim.Message) {
+	l := a.node.links[link]
 	if l == nil {
 		return
 	}
@@ -21,31 +23,31 @@
 	l.Send(frames.TopicMembership, body)
 }
 
-func (a actions) Close(link int) {
-	if l := a.f.links[link]; l != nil {
-		a.f.drop(l)
-		a.f.later(func() { a.f.peers.CloseLink(l) })
+func (a membershipActions) Close(link int) {
+	if l := a.node.links[link]; l != nil {
+		a.node.removeLink(l)
+		a.node.runAfterCall(func() { a.node.peers.CloseLink(l) })
 	}
 }
 
-func (a actions) MemberChanged(r swim.Record, was swim.State, known bool) {
-	a.f.notes.changed(a.f.net.Now(), a.f.log, r, was, known)
+func (a membershipActions) MemberChanged(r swim.Record, was swim.State, known bool) {
+	a.node.memberLogs.logMemberChange(a.node.net.Now(), a.node.log, r, was, known)
 }
 
 // Renew draws another identity and speaks under it once it is on disk.
-func (a actions) ReplaceIdentity(why string) {
-	f := a.f
+func (a membershipActions) ReplaceIdentity(why string) {
+	f := a.node
 	f.log.Warn("this sidecar goes on under another identity", "why", why, "was", f.view.Self().ID)
-	f.later(func() {
-		if f.owners != nil {
-			f.owners.stop("the identity is given up")
+	f.runAfterCall(func() {
+		if f.roles != nil {
+			f.roles.stop("the identity is given up")
 		}
-		f.anew(func() {
-			f.view.AdoptIdentity(f.net.Now(), f.state.ID, swim.Version{Incarnation: 1 << 32, BootID: f.drawn()}, f.stored && f.owners != nil)
-			if f.owners == nil {
+		f.newIdentity(func() {
+			f.view.AdoptIdentity(f.net.Now(), f.state.ID, swim.Version{Incarnation: 1 << 32, BootID: f.randomNonZero()}, f.identityStored && f.roles != nil)
+			if f.roles == nil {
 				return
 			}
-			if err := f.owners.begin(f.state.ID, nil); err != nil { // there is nothing that could be wrong
+			if err := f.roles.start(f.state.ID, nil); err != nil { // there is nothing that could be wrong
 				panic(err)
 			}
 		})
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -15,38 +15,38 @@
 
 // Node is a sidecar's part in its fleet. It is a netio.Host for the connections that Owns tells of.
 type Node struct {
-	o      Options
-	net    netio.Net
-	log    *slog.Logger
-	port   int
-	peers  *peers.Transport
-	view   *swim.View
-	part   swim.StableRank
-	links  map[int]*peers.Link     // looked up, never walked
-	byID   map[swim.ID]*peers.Link // the same
-	up     []*peers.Link           // the same, in the order in which they came up
-	owners *owners                 // nil: nobody owns anything
-	stop   func()                  // listening
-	again  float64                 // when to try to listen again; 0: it listens
-	told   bool                    // that it can't
-	alarm  float64
-	depth  int
-	posted []func()
-	disk   StateStore // nil: there is none
-	saved  SavedState
-	state  state // that is kept, or that would be
-	notes  notes
-	stored bool // the identity is on disk
-	hushed bool
-	left   bool
-	panics uint64
+	options        Options
+	net            netio.Net
+	log            *slog.Logger
+	port           int
+	peers          *peers.Transport
+	view           *swim.View
+	rank           swim.StableRank
+	links          map[int]*peers.Link     // looked up, never walked
+	linkByMember   map[swim.ID]*peers.Link // the same
+	upLinks        []*peers.Link           // the same, in the order in which they came up
+	roles          *roleManager            // nil: nobody owns anything
+	stopListening  func()                  // listening
+	listenRetryAt  float64                 // when to try to listen again; 0: it listens
+	listenFailed   bool                    // that it can't
+	alarm          float64
+	depth          int
+	posted         []func()
+	store          StateStore // nil: there is none
+	saved          SavedState
+	state          persistentState // that is kept, or that would be
+	memberLogs     logLimiter
+	identityStored bool // the identity is on disk
+	silenced       bool
+	leaving        bool
+	panics         uint64
 }
 
 // New returns a fleet that has not begun. What is saved is taken over first; where it can't be, the process is a new one.
 func New(o Options) (*Node, error) {
-	f := &Node{o: o, net: o.Net, log: o.Log.With("part", "fleet"), links: map[int]*peers.Link{}, byID: map[swim.ID]*peers.Link{}, part: swim.NewStableRank(o.Self, o.Replicas)}
-	if f.o.Advertise == "" {
-		f.o.Advertise = o.Listen
+	f := &Node{options: o, net: o.Net, log: o.Log.With("part", "fleet"), links: map[int]*peers.Link{}, linkByMember: map[swim.ID]*peers.Link{}, rank: swim.NewStableRank(o.Self, o.Replicas)}
+	if f.options.Advertise == "" {
+		f.options.Advertise = o.Listen
 	}
 	_, port, err := net.SplitHostPort(o.Listen)
 	if err == nil {
@@ -55,10 +55,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
-	f.o.Log, f.o.Jobs = f.log, withLists(o.Jobs)
+	f.options.Log, f.options.Jobs = f.log, expandListRoles(o.Jobs)
 	f.peers = peers.New(o.Name, o.MaxLinks, f, o.Net, f.log)
 	if len(o.Electors) > 0 {
-		f.owners = newOwners(f)
+		f.roles = newRoleManager(f)
 	}
 	return f, nil
 }
@@ -66,152 +66,152 @@
 // Start reads the identity and begins to look for others. Danger: what was promised under an identity must not be forgotten
 // under it; one that can't be written again is not used.
 func (f *Node) Start() {
-	f.enter(func() {
-		works := f.state.Works
-		f.state = state{ID: swim.ID(f.drawn()), Generation: 1}
+	f.run(func() {
+		works := f.state.Maintenance
+		f.state = persistentState{ID: swim.ID(f.randomNonZero()), Generation: 1}
 		if st, err := f.saved.decode(); err != nil {
 			f.log.Warn("what was saved of this sidecar can't be used: it is a new one", "error", err)
 		} else if f.saved.Data != nil {
 			f.state = st
 			f.state.Generation++
 		}
-		f.state.Works = works
-		version := swim.Version{Incarnation: f.state.Generation << 32, BootID: f.drawn()}
-		f.save(func(err error) {
+		f.state.Maintenance = works
+		version := swim.Version{Incarnation: f.state.Generation << 32, BootID: f.randomNonZero()}
+		f.persist(func(err error) {
 			if err != nil {
-				f.state = state{ID: swim.ID(f.drawn()), Generation: 1, Works: f.state.Works}
+				f.state = persistentState{ID: swim.ID(f.randomNonZero()), Generation: 1, Maintenance: f.state.Maintenance}
 				version.Incarnation = 1 << 32
 				f.log.Warn("the identity can't be kept: the next start is a new sidecar", "error", err)
 			}
-			f.stored = err == nil
-			f.begin(version)
+			f.identityStored = err == nil
+			f.startMembership(version)
 		})
 	})
 }
 
-// begin comes once the identity is on disk, or known not to be.
-func (f *Node) begin(version swim.Version) {
-	if f.hushed {
+// startMembership comes once the identity is on disk, or known not to be.
+func (f *Node) startMembership(version swim.Version) {
+	if f.silenced {
 		return
 	}
-	if f.owners != nil {
-		if err := f.owners.begin(f.state.ID, f.state.Tenure); err != nil {
+	if f.roles != nil {
+		if err := f.roles.start(f.state.ID, f.state.LeaseState); err != nil {
 			f.log.Warn("what was promised to others can't be used: this sidecar is a new one", "error", err)
-			f.anew(func() { f.begin(swim.Version{Incarnation: 1 << 32, BootID: f.drawn()}) })
+			f.newIdentity(func() { f.startMembership(swim.Version{Incarnation: 1 << 32, BootID: f.randomNonZero()}) })
 			return
 		}
 	}
-	self := swim.Record{ID: f.state.ID, Version: version, Name: f.o.Sidecar, Address: f.o.Advertise, Durable: f.stored && f.owners != nil}
-	f.view = swim.New(f.net.Now(), self, swim.Settings{Join: f.o.Join, HotRestart: f.o.Replaceable, Seed: f.o.Rand.Uint64()}, actions{f})
-	f.log.Info("looking for peers", "fleet", f.o.Name, "listen", f.o.Listen, "advertise", f.o.Advertise, "id", self.ID, "incarnation", version.Incarnation)
+	self := swim.Record{ID: f.state.ID, Version: version, Name: f.options.Sidecar, Address: f.options.Advertise, Durable: f.identityStored && f.roles != nil}
+	f.view = swim.New(f.net.Now(), self, swim.Settings{Join: f.options.Join, HotRestart: f.options.Replaceable, Seed: f.options.Rand.Uint64()}, membershipActions{f})
+	f.log.Info("looking for peers", "fleet", f.options.Name, "listen", f.options.Listen, "advertise", f.options.Advertise, "id", self.ID, "incarnation", version.Incarnation)
 	f.listen()
 	f.tick()
 }
 
 // listen opens the listener. Another process may still hold it, the one that this one replaces; nothing waits for that.
 func (f *Node) listen() {
-	stop, err := f.net.Listen(f.o.Listen)
+	stop, err := f.net.Listen(f.options.Listen)
 	if err != nil {
-		if f.again = f.net.Now() + 0.2; !f.told {
-			f.told = true
+		if f.listenRetryAt = f.net.Now() + 0.2; !f.listenFailed {
+			f.listenFailed = true
 			f.log.Warn("peers can't come yet: trying again", "error", err)
 		}
 		return
 	}
-	f.stop, f.again = stop, 0
-	if f.told {
-		f.log.Info("peers can come", "listen", f.o.Listen)
+	f.stopListening, f.listenRetryAt = stop, 0
+	if f.listenFailed {
+		f.log.Info("peers can come", "listen", f.options.Listen)
 	}
-	f.told = false
+	f.listenFailed = false
 }
 
 // tick does what is due, and asks for the next call.
 func (f *Node) tick() {
 	now := f.net.Now()
-	if f.again > 0 && now >= f.again && !f.hushed {
+	if f.listenRetryAt > 0 && now >= f.listenRetryAt && !f.silenced {
 		f.listen()
 	}
-	f.heed()
-	if f.view.IsReplaced() && !f.hushed {
+	f.checkShutdown()
+	if f.view.IsReplaced() && !f.silenced {
 		f.log.Info("another process speaks for this sidecar")
-		f.hush()
-		f.shut()
+		f.silence()
+		f.closeListener()
 	}
 	f.peers.Tick()
 	if now >= f.view.NextTick() {
 		f.view.Tick(now)
 	}
 	rank, count := f.view.Rank(swim.DeadHoldSeconds)
-	if f.hushed || f.left {
+	if f.silenced || f.leaving {
 		rank, count = 0, 1
 	}
-	if f.part.Update(now, rank, count) {
-		rank, count = f.part.Current()
+	if f.rank.Update(now, rank, count) {
+		rank, count = f.rank.Current()
 		f.log.Info("place in the fleet", "rank", rank, "of", count, "live", f.view.LiveCount())
-		if !f.part.IsConfigured() {
-			rank = begins(rank, count)
+		if !f.rank.IsConfigured() {
+			rank = subsetStart(rank, count)
 		}
-		f.o.Placement.TakePlace(rank, count)
+		f.options.Placement.TakePlace(rank, count)
 	}
-	f.notes.flush(now, f.log)
-	if f.owners != nil {
-		f.owners.tick(now)
+	f.memberLogs.logSuppressed(now, f.log)
+	if f.roles != nil {
+		f.roles.tick(now)
 	}
-	f.arm()
+	f.scheduleTick()
 }
 
-// begins returns the number that has the decisions begin their part of the boxes where a rank's arc does. Danger: told the rank itself, they begin
+// subsetStart returns the number that has the decisions begin their part of the boxes where a rank's arc does. Danger: told the rank itself, they begin
 // elsewhere whenever the count is another, and one sidecar that comes moves the links of all.
-func begins(rank, count int) int {
+func subsetStart(rank, count int) int {
 	step, _ := policy.Subset(count, 1, count, 0)
 	return subset.NumberAt(subset.PositionByRank(rank, count), count, step)
 }
 
-// arm asks for the next call.
-func (f *Node) arm() {
+// scheduleTick asks for the next call.
+func (f *Node) scheduleTick() {
 	now := f.net.Now()
 	next := f.view.NextTick()
 	if next <= now {
 		next = now + 0.25
 	}
-	if f.owners != nil {
-		next = min(next, max(f.owners.next(now), now+leastTickS))
+	if f.roles != nil {
+		next = min(next, max(f.roles.nextTick(now), now+minTickSeconds))
 	}
 	f.alarm = next
 	f.net.Alarm(next)
 }
 
-// leastTickS is between two calls that nothing else has asked for.
-const leastTickS = 0.005
+// minTickSeconds is between two calls that nothing else has asked for.
+const minTickSeconds = 0.005
 
 // CheckShutdown looks whether the core has been told to end.
-func (f *Node) CheckShutdown() { f.enter(f.heed) }
+func (f *Node) CheckShutdown() { f.run(f.checkShutdown) }
 
-func (f *Node) heed() {
-	switch ending, succeeded := f.o.Host.Ending(); {
-	case !ending || f.hushed || f.left || f.view == nil:
+func (f *Node) checkShutdown() {
+	switch ending, succeeded := f.options.Host.Ending(); {
+	case !ending || f.silenced || f.leaving || f.view == nil:
 	case succeeded: // another process speaks under this identity
-		f.hush()
+		f.silence()
 		f.view.Silence(f.net.Now())
-		f.shut()
-	case f.owners != nil && f.owners.leaving(f.net.Now()):
+		f.closeListener()
+	case f.roles != nil && f.roles.releaseLeases(f.net.Now()):
 	default:
-		f.left = true
+		f.leaving = true
 		f.view.Leave(f.net.Now())
 	}
 }
 
-// hush has nothing said any more: another process speaks in place of this one.
-func (f *Node) hush() {
-	if f.hushed = true; f.owners != nil {
-		f.owners.stop("another process has taken this one's place")
+// silence has nothing said any more: another process speaks in place of this one.
+func (f *Node) silence() {
+	if f.silenced = true; f.roles != nil {
+		f.roles.stop("another process has taken this one's place")
 	}
 }
 
-func (f *Node) shut() {
-	if f.stop != nil {
-		f.stop()
-		f.stop = nil
+func (f *Node) closeListener() {
+	if f.stopListening != nil {
+		f.stopListening()
+		f.stopListening = nil
 	}
-	f.again = 0
+	f.listenRetryAt = 0
 }
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -41,13 +41,13 @@
 	if err != nil {
 		return rep, err
 	}
-	i := slices.IndexFunc(seen.Roles, func(j RoleStatus) bool { return j.Role == reportName })
+	i := slices.IndexFunc(seen.Roles, func(j RoleStatus) bool { return j.Role == reportRoleName })
 	if i < 0 {
 		return rep, errNoReport
 	}
-	if r, ok := f.owners.job(reportName).work.(*reporter); ok && r.last != nil {
-		rep = *r.last
-		rep.AgeSeconds = math.Round(10*(f.net.Now()-r.lastAt)) / 10
+	if r, ok := f.roles.state(reportRoleName).role.(*reportRole); ok && r.lastReport != nil {
+		rep = *r.lastReport
+		rep.AgeSeconds = math.Round(10*(f.net.Now()-r.lastReportAt)) / 10
 		return rep, nil
 	}
 	switch j := seen.Roles[i]; {
--- a/internal/coordination/report_role_test.go
+++ b/internal/coordination/report_role_test.go
@@ -19,7 +19,7 @@
 		n := rapid.IntRange(1, 12).Draw(t, "members")
 		want := sidecar.NewTimes()
 		served := uint64(0)
-		pending := make([]*answer, n)
+		pending := make([]*reportResponse, n)
 		for i := range n {
 			h := sidecar.NewTimes()
 			for range rapid.IntRange(0, 50).Draw(t, "requests") {
@@ -28,27 +28,27 @@
 				require.NoError(t, want.RecordValue(us))
 				served++
 			}
-			pending[i] = &answer{}
-			require.NoError(t, pending[i].add(&answer{From: []swim.ID{swim.ID(i + 1)}, Classes: []classAnswer{{Class: "read", Served: uint64(h.TotalCount()), PerS: 1,
-				Times: packTimes(h.Export().Counts)}}}))
+			pending[i] = &reportResponse{}
+			require.NoError(t, pending[i].merge(&reportResponse{Members: []swim.ID{swim.ID(i + 1)}, Classes: []classCounts{{Class: "read", Served: uint64(h.TotalCount()), RatePerSecond: 1,
+				Latencies: encodeCounts(h.Export().Counts)}}}))
 		}
 		for len(pending) > 1 { // one answers to another, over the wire
 			from := rapid.IntRange(1, len(pending)-1).Draw(t, "from")
 			a := pending[from]
 			for i := range a.Classes {
-				a.Classes[i].Times = packTimes(a.Classes[i].times)
+				a.Classes[i].Latencies = encodeCounts(a.Classes[i].latencyCounts)
 			}
-			var got answer
-			require.NoError(t, frames.Unmarshal(packed(a), &got))
-			require.NoError(t, pending[rapid.IntRange(0, from-1).Draw(t, "to")].add(&got))
+			var got reportResponse
+			require.NoError(t, frames.Unmarshal(mustMarshal(a), &got))
+			require.NoError(t, pending[rapid.IntRange(0, from-1).Draw(t, "to")].merge(&got))
 			pending = append(pending[:from], pending[from+1:]...)
 		}
 		sum := pending[0]
-		require.Len(t, sum.From, n)
+		require.Len(t, sum.Members, n)
 		require.Equal(t, served, sum.Classes[0].Served)
-		require.InDelta(t, float64(n), sum.Classes[0].PerS, 1e-9)
-		snapshot := *timesShape()
-		snapshot.Counts = sum.Classes[0].times
+		require.InDelta(t, float64(n), sum.Classes[0].RatePerSecond, 1e-9)
+		snapshot := *emptyHistogram()
+		snapshot.Counts = sum.Classes[0].latencyCounts
 		h := hdrhistogram.Import(&snapshot)
 		for _, p := range []float64{50, 90, 99, 99.9, 100} {
 			require.Equal(t, want.ValueAtPercentile(p), h.ValueAtPercentile(p))
@@ -59,10 +59,10 @@
 // Whatever comes in place of an answer's counts, it is taken or turned away, and nothing fails.
 func TestAnswersBearAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := &answer{}
-		_ = a.add(&answer{Classes: []classAnswer{{Class: "read", Times: rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")}}})
+		a := &reportResponse{}
+		_ = a.merge(&reportResponse{Classes: []classCounts{{Class: "read", Latencies: rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")}}})
 		for _, c := range a.Classes {
-			for _, n := range c.times {
+			for _, n := range c.latencyCounts {
 				require.GreaterOrEqual(t, n, int64(0))
 			}
 		}
@@ -72,10 +72,10 @@
 // In whatever order effects come and however often, each counts once, and no old one passes for new.
 func TestWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w window
+		var w replayWindow
 		heard, last := map[uint64]bool{}, uint64(0)
 		for _, n := range rapid.SliceOf(rapid.Uint64Range(1, 200)).Draw(t, "numbers") {
-			first := w.first(1, n)
+			first := w.accept(1, n)
 			switch {
 			case heard[n]:
 				require.False(t, first, "%d", n)
@@ -85,6 +85,6 @@
 			heard[n], last = true, max(last, n)
 		}
 	})
-	var w window
-	assert.True(t, w.first(1, 5) && w.first(2, 5) && !w.first(2, 5))
+	var w replayWindow
+	assert.True(t, w.accept(1, 5) && w.accept(2, 5) && !w.accept(2, 5))
 }
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -9,207 +9,207 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// work is a job that one sidecar does on behalf of all. Begin and End are called in turns, each on the loop; between them the job
+// singletonRole is a job that one sidecar does on behalf of all. Begin and End are called in turns, each on the loop; between them the job
 // may speak to all by owners.spread. What it says is checked where it is heard: to speak under a lease that has ended does no harm.
-type work interface {
+type singletonRole interface {
 	Name() string
-	Begin(token uint64)
-	End()
+	Start(token uint64)
+	Stop()
 	// Heard takes an effect that has come over a link and whose token is not too low, also where another owns the job.
-	Heard(from *peers.Link, e *frames.RoleMessage)
+	HandleMessage(from *peers.Link, e *frames.RoleMessage)
 	// Tick does what is due, owner or not, and says when to be called next.
 	Tick(now float64) (next float64)
 }
 
-// lapser is work that does no harm when two do it at once, and may go on by owners.spreadOn after its lease was not renewed.
-type lapser interface {
+// lapseHandler is work that does no harm when two do it at once, and may go on by owners.spreadOn after its lease was not renewed.
+type lapseHandler interface {
 	// Lapsed follows End.
-	Lapsed(token uint64)
+	HandleLapse(token uint64)
 }
 
 const (
-	// fitEveryS is the time between two looks whether this sidecar may work for others.
-	fitEveryS = 1.0
-	// leaveWithinS is how long what is owned may take to be given back, after the word to end. It is less than any drain takes.
-	leaveWithinS = 0.5
+	// fitnessIntervalSeconds is the time between two looks whether this sidecar may work for others.
+	fitnessIntervalSeconds = 1.0
+	// leaveTimeoutSeconds is how long what is owned may take to be given back, after the word to end. It is less than any drain takes.
+	leaveTimeoutSeconds = 0.5
 )
 
-// job is one that is known here.
-type job struct {
-	name     string
-	work     work    // nil: it is done by others alone
-	next     float64 // when work is to be called
-	held     uint64  // the token under which this sidecar owns it; 0: it does not
-	number   uint64  // of the last effect under it
-	unfit    bool
-	taken    uint64 // effects
-	refused  uint64 // of a token that was too low
-	foolish  uint64 // whose body made no sense
-	heard    window
-	seen     uint64    // the greatest token that has come in
-	from     int       // the link by which the last effect came that was for all
-	tokens   [8]uint64 // of the effects that were taken last, as they changed
-	tokensAt int
+// roleState is one that is known here.
+type roleState struct {
+	name             string
+	role             singletonRole // nil: it is done by others alone
+	nextTick         float64       // when work is to be called
+	heldToken        uint64        // the token under which this sidecar owns it; 0: it does not
+	sequence         uint64        // of the last effect under it
+	unfit            bool
+	accepted         uint64 // effects
+	rejected         uint64 // of a token that was too low
+	malformed        uint64 // whose body made no sense
+	received         replayWindow
+	maxToken         uint64    // the greatest token that has come in
+	lastLink         int       // the link by which the last effect came that was for all
+	acceptedTokens   [8]uint64 // of the effects that were taken last, as they changed
+	acceptedTokensAt int
 }
 
-// owners is a sidecar's part in who does what on behalf of all. It belongs to its Fleet.
-type owners struct {
-	f        *Node
-	t        *lease.Node // nil: the identity is being drawn anew, or is another process's
-	greatest lease.Fence
-	jobs     []*job   // by name
-	lists    *feeder  // nil: no lists are passed on
-	drills   *driller // nil: drills are each sidecar's own
-	works    *worker  // nil: no work on boxes is settled
-	changes  uint64   // of the view, that the decisions know of
-	fitAt    float64
-	why      string // it may not work for others; empty: it may
-	leaveBy  float64
-	notes    notes
-	refusals notes
+// roleManager is a sidecar's part in who does what on behalf of all. It belongs to its Fleet.
+type roleManager struct {
+	node              *Node
+	lease             *lease.Node // nil: the identity is being drawn anew, or is another process's
+	fence             lease.Fence
+	states            []*roleState     // by name
+	listRelay         *listRelay       // nil: no lists are passed on
+	faults            *faultRole       // nil: drills are each sidecar's own
+	maintenance       *maintenanceRole // nil: no work on boxes is settled
+	membershipChanges uint64           // of the view, that the decisions know of
+	fitnessAt         float64
+	ineligibleReason  string // it may not work for others; empty: it may
+	leaveDeadline     float64
+	logs              logLimiter
+	rejectionLogs     logLimiter
 }
 
-func newOwners(f *Node) *owners {
-	o := &owners{f: f}
-	for _, name := range slices.Sorted(slices.Values(f.o.Jobs)) {
-		j := &job{name: name}
-		switch i := slices.Index(listNames[:], name); {
-		case name == reportName:
-			j.work = newReport(o)
-		case name == drillName:
-			o.drills = newDriller(o)
-			j.work = o.drills
-		case name == worksName:
-			o.works = newWorker(o)
-			j.work = o.works
+func newRoleManager(f *Node) *roleManager {
+	o := &roleManager{node: f}
+	for _, name := range slices.Sorted(slices.Values(f.options.Jobs)) {
+		j := &roleState{name: name}
+		switch i := slices.Index(listRoleNames[:], name); {
+		case name == reportRoleName:
+			j.role = newReportRole(o)
+		case name == faultRoleName:
+			o.faults = newFaultRole(o)
+			j.role = o.faults
+		case name == maintenanceRoleName:
+			o.maintenance = newMaintenanceRole(o)
+			j.role = o.maintenance
 		case i >= 0:
-			if o.lists == nil {
-				o.lists = newFeeder(o)
+			if o.listRelay == nil {
+				o.listRelay = newListRelay(o)
 			}
-			j.work = o.lists.jobs[i]
+			j.role = o.listRelay.sources[i]
 		}
-		o.jobs = append(o.jobs, j)
+		o.states = append(o.states, j)
 	}
 	return o
 }
 
-// begin takes the identity and what was promised under it. An error says that neither is to be used.
-func (o *owners) begin(id swim.ID, promised []byte) (err error) {
-	o.t, err = lease.New(o.f.net.Now(), id, lease.Settings{InitialVoters: o.f.o.Electors, Address: o.f.o.Advertise, Roles: o.f.o.Jobs, RecordedRoles: []string{worksName}, Seed: o.f.o.Rand.Uint64()},
-		promised, tenureActions{o})
-	o.changes, o.fitAt = 0, 0
-	for _, j := range o.jobs {
+// start takes the identity and what was promised under it. An error says that neither is to be used.
+func (o *roleManager) start(id swim.ID, promised []byte) (err error) {
+	o.lease, err = lease.New(o.node.net.Now(), id, lease.Settings{InitialVoters: o.node.options.Electors, Address: o.node.options.Advertise, Roles: o.node.options.Jobs, RecordedRoles: []string{maintenanceRoleName}, Seed: o.node.options.Rand.Uint64()},
+		promised, leaseActions{o})
+	o.membershipChanges, o.fitnessAt = 0, 0
+	for _, j := range o.states {
 		j.unfit = false
 	}
 	return err
 }
 
 // stop ends all at once: this process no longer has its identity.
-func (o *owners) stop(why string) {
-	for _, j := range o.jobs {
-		o.end(j, why)
+func (o *roleManager) stop(why string) {
+	for _, j := range o.states {
+		o.stopRole(j, why)
 	}
-	o.t = nil
+	o.lease = nil
 }
 
-// end ends a job that is owned here.
-func (o *owners) end(j *job, why string) {
-	if j.held == 0 {
+// stopRole ends a job that is owned here.
+func (o *roleManager) stopRole(j *roleState, why string) {
+	if j.heldToken == 0 {
 		return
 	}
-	o.note("no longer the owner of a job", "job", j.name, "token", j.held, "why", why)
-	if j.held = 0; j.work != nil {
-		j.work.End()
+	o.logInfo("no longer the owner of a job", "job", j.name, "token", j.heldToken, "why", why)
+	if j.heldToken = 0; j.role != nil {
+		j.role.Stop()
 	}
 }
 
-// note writes a line of the log, unless there are too many.
-func (o *owners) note(text string, args ...any) {
-	if now := o.f.net.Now(); o.notes.room(now) {
-		o.f.log.Info(text, args...)
+// logInfo writes a line of the log, unless there are too many.
+func (o *roleManager) logInfo(text string, args ...any) {
+	if now := o.node.net.Now(); o.logs.allow(now) {
+		o.node.log.Info(text, args...)
 	}
 }
 
 // tick does what is due.
-func (o *owners) tick(now float64) {
-	if o.t == nil {
+func (o *roleManager) tick(now float64) {
+	if o.lease == nil {
 		return
 	}
-	if c := o.f.view.Changes(); c != o.changes {
-		o.changes = c
-		o.t.SetMembers(now, o.members())
+	if c := o.node.view.Changes(); c != o.membershipChanges {
+		o.membershipChanges = c
+		o.lease.SetMembers(now, o.leaseMembers())
 	}
-	if now >= o.fitAt {
-		o.lookFit(now)
+	if now >= o.fitnessAt {
+		o.updateFitness(now)
 	}
-	if now >= o.t.NextTick() {
-		o.t.Tick(now)
+	if now >= o.lease.NextTick() {
+		o.lease.Tick(now)
 	}
-	for _, j := range o.jobs {
-		if j.work != nil && now >= j.next {
-			j.next = j.work.Tick(now)
+	for _, j := range o.states {
+		if j.role != nil && now >= j.nextTick {
+			j.nextTick = j.role.Tick(now)
 		}
 	}
-	o.notes.flush(now, o.f.log)
-	o.refusals.flush(now, o.f.log)
+	o.logs.logSuppressed(now, o.node.log)
+	o.rejectionLogs.logSuppressed(now, o.node.log)
 }
 
-func (o *owners) members() []lease.Member {
+func (o *roleManager) leaseMembers() []lease.Member {
 	var all []lease.Member
-	for m := range o.f.view.Members {
+	for m := range o.node.view.Members {
 		all = append(all, lease.Member{ID: m.ID, Address: m.Address, State: m.State, Durable: m.Durable, StateAgeSeconds: m.StateAgeSeconds})
 	}
 	return all
 }
 
-// lookFit tells the decisions whether this sidecar may work for others.
-func (o *owners) lookFit(now float64) {
-	o.fitAt = now + fitEveryS
-	fit, why := o.f.o.Host.Fit()
-	if why != o.why {
-		o.note("work for others", "willing", fit, "why", why)
+// updateFitness tells the decisions whether this sidecar may work for others.
+func (o *roleManager) updateFitness(now float64) {
+	o.fitnessAt = now + fitnessIntervalSeconds
+	fit, why := o.node.options.Host.Fit()
+	if why != o.ineligibleReason {
+		o.logInfo("work for others", "willing", fit, "why", why)
 	}
-	o.why = why
-	for _, j := range o.jobs {
+	o.ineligibleReason = why
+	for _, j := range o.states {
 		if j.unfit == fit {
 			j.unfit = !fit
-			o.t.SetWilling(now, j.name, fit)
+			o.lease.SetWilling(now, j.name, fit)
 		}
 	}
 }
 
-// next returns when tick is to be called.
-func (o *owners) next(now float64) float64 {
-	if o.t == nil {
-		return now + fitEveryS
+// nextTick returns when tick is to be called.
+func (o *roleManager) nextTick(now float64) float64 {
+	if o.lease == nil {
+		return now + fitnessIntervalSeconds
 	}
-	next := min(o.t.NextTick(), o.fitAt)
-	for _, j := range o.jobs {
-		if j.work != nil {
-			next = min(next, j.next)
+	next := min(o.lease.NextTick(), o.fitnessAt)
+	for _, j := range o.states {
+		if j.role != nil {
+			next = min(next, j.nextTick)
 		}
 	}
-	if o.leaveBy > now {
-		next = min(next, o.leaveBy)
+	if o.leaveDeadline > now {
+		next = min(next, o.leaveDeadline)
 	}
 	return next
 }
 
-// leaving gives back what is owned, and tells whether that still takes time.
-func (o *owners) leaving(now float64) bool {
-	if o.t == nil {
+// releaseLeases gives back what is owned, and tells whether that still takes time.
+func (o *roleManager) releaseLeases(now float64) bool {
+	if o.lease == nil {
 		return false
 	}
-	if o.leaveBy == 0 {
-		o.leaveBy = now + leaveWithinS
-		o.t.Leave(now)
+	if o.leaveDeadline == 0 {
+		o.leaveDeadline = now + leaveTimeoutSeconds
+		o.lease.Leave(now)
 	}
-	return now < o.leaveBy && !o.t.HasLeft()
+	return now < o.leaveDeadline && !o.lease.HasLeft()
 }
 
-// job returns one by its name, nil where it is not known and there is room for no more.
-func (o *owners) job(name string) *job {
-	i, found := slices.BinarySearchFunc(o.jobs, name, func(j *job, name string) int {
+// state returns one by its name, nil where it is not known and there is room for no more.
+func (o *roleManager) state(name string) *roleState {
+	i, found := slices.BinarySearchFunc(o.states, name, func(j *roleState, name string) int {
 		switch {
 		case j.name < name:
 			return -1
@@ -219,28 +219,28 @@
 		return 0
 	})
 	if found {
-		return o.jobs[i]
+		return o.states[i]
 	}
 	// Danger: names come from outside.
-	if len(o.jobs) >= mostJobs || len(name) > 64 {
+	if len(o.states) >= maxRoles || len(name) > 64 {
 		return nil
 	}
-	o.jobs = slices.Insert(o.jobs, i, &job{name: name})
-	return o.jobs[i]
+	o.states = slices.Insert(o.states, i, &roleState{name: name})
+	return o.states[i]
 }
 
-const mostJobs = 64
+const maxRoles = 64
 
-// token returns the greatest token that is known of a job, 0: none is.
-func (o *owners) token(name string) (token uint64) {
-	if o.t != nil {
-		for _, g := range o.t.Table().Grants {
+// maxToken returns the greatest token that is known of a job, 0: none is.
+func (o *roleManager) maxToken(name string) (token uint64) {
+	if o.lease != nil {
+		for _, g := range o.lease.Table().Grants {
 			if g.Role == name {
 				token = g.Token
 			}
 		}
 	}
-	for _, g := range o.greatest.Highest() {
+	for _, g := range o.fence.Highest() {
 		if g.Role == name {
 			token = max(token, g.Token)
 		}
@@ -248,15 +248,15 @@
 	return token
 }
 
-// senseless counts an effect whose body makes no sense. It is dropped, and what it came over goes on: its token was good.
-func (o *owners) senseless(name string) {
-	if j := o.job(name); j != nil {
-		j.foolish++
+// countMalformed counts an effect whose body makes no sense. It is dropped, and what it came over goes on: its token was good.
+func (o *roleManager) countMalformed(name string) {
+	if j := o.state(name); j != nil {
+		j.malformed++
 	}
 }
 
-// packed returns a message as a body.
-func packed(v any) []byte {
+// mustMarshal returns a message as a body.
+func mustMarshal(v any) []byte {
 	body, err := frames.Marshal(v)
 	if err != nil { // numbers and names always pack
 		panic(err)
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -43,14 +43,14 @@
 // Status returns what this sidecar knows, of so many members at most.
 func (f *Node) Status(most int) (s Status) {
 	if f.view == nil {
-		return Status{Fleet: f.o.Name}
+		return Status{Fleet: f.options.Name}
 	}
-	rank, count := f.part.Current()
+	rank, count := f.rank.Current()
 	self := f.view.Self()
-	s = Status{Fleet: f.o.Name, ID: self.ID.String(), IdentityStored: f.stored, Silenced: f.view.HasLostIdentity() || f.hushed, Rank: rank, Count: count,
+	s = Status{Fleet: f.options.Name, ID: self.ID.String(), IdentityStored: f.identityStored, Silenced: f.view.HasLostIdentity() || f.silenced, Rank: rank, Count: count,
 		Live: f.view.LiveCount(), HealthScore: f.view.HealthScore(), Checksum: swim.ID(f.view.Digest()).String(), View: f.view.Stats(), Links: f.peers.Stats(), Panics: f.panics}
-	if f.owners != nil {
-		s.Leases = f.owners.seen()
+	if f.roles != nil {
+		s.Leases = f.roles.status()
 	}
 	for m := range f.view.Members {
 		if len(s.Members) >= most {
@@ -72,7 +72,7 @@
 	if f.view == nil {
 		return nil
 	}
-	rank, count := f.part.Current()
+	rank, count := f.rank.Current()
 	byState := [swim.Left + 1]uint64{}
 	for m := range f.view.Members {
 		byState[m.State]++
@@ -82,8 +82,8 @@
 		{Name: "peers_dead", Value: byState[swim.Dead]}, {Name: "peers_left", Value: byState[swim.Left]}, {Name: "peers_links", Value: uint64(l.Links)},
 		{Name: "peers_rank", Value: uint64(rank)}, {Name: "peers_count", Value: uint64(count)}, {Name: "peers_deaths", Value: v.Deaths},
 		{Name: "peers_refutations", Value: v.Refutations}, {Name: "peers_sent_bytes", Value: l.SentBytes}}
-	if f.owners != nil {
-		figures = f.owners.figures(figures)
+	if f.roles != nil {
+		figures = f.roles.appendFigures(figures)
 	}
 	return figures
 }
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -33,28 +33,28 @@
 		file  string
 		value any
 	}{
-		{"list_update", &listWord{Discovery: "d:1", Index: 300, Sum: 1 << 60, From: 299, Raw: []byte{1, 2, 3}, AtS: 1.5, Ended: true}},
-		{"list_update_least", &listWord{}},
-		{"list_request", &listNeed{Discovery: "d:1", Index: 300}},
-		{"list_chunk", &listWhole{Discovery: "d:1", Index: 300, Sum: 1 << 60, Part: 2, Parts: 9, Body: []byte{4, 5}}},
-		{"report_request", &question{Round: 17}},
-		{"report_response", &answer{Round: 17, From: []swim.ID{1, 1 << 40}, Classes: []classAnswer{{Class: "read", Served: 1, Throttled: 2, Failed: 3, Abandoned: 4,
-			PerS: 0.5, Times: packTimes([]int64{0, 3, 0, 0, 200})}}}},
-		{"report_response_least", &answer{Classes: []classAnswer{{Class: "read"}}}},
+		{"list_update", &listUpdate{Discovery: "d:1", Index: 300, Checksum: 1 << 60, BaseIndex: 299, Delta: []byte{1, 2, 3}, AtSeconds: 1.5, WatchEnded: true}},
+		{"list_update_least", &listUpdate{}},
+		{"list_request", &listRequest{Discovery: "d:1", Index: 300}},
+		{"list_chunk", &listChunk{Discovery: "d:1", Index: 300, Checksum: 1 << 60, Chunk: 2, Chunks: 9, Body: []byte{4, 5}}},
+		{"report_request", &reportRequest{Round: 17}},
+		{"report_response", &reportResponse{Round: 17, Members: []swim.ID{1, 1 << 40}, Classes: []classCounts{{Class: "read", Served: 1, Throttled: 2, Failed: 3, Abandoned: 4,
+			RatePerSecond: 0.5, Latencies: encodeCounts([]int64{0, 3, 0, 0, 200})}}}},
+		{"report_response_least", &reportResponse{Classes: []classCounts{{Class: "read"}}}},
 		{"report", &Report{Owner: "m01", Token: 1<<40 + 7, Round: 17, Asked: 5, Answered: 3, Missing: []string{"m02"}, OmittedMissing: 1, Classes: []ClassReport{{Class: "read", RatePerSecond: 1.5, Served: 1,
 			Throttled: 2, Failed: 3, Abandoned: 4, P50: 0.5, P90: 0.9, P99: 0.99, P999: 0.999, Max: 7}}}},
 		{"report_least", &Report{}},
-		{"fault_order", &drillRun{ID: 1 << 50, Name: "lag", LeftS: 59.5, Mark: []byte{6, 7}}},
-		{"fault_orders", &drillRuns{Runs: []drillRun{{ID: 1 << 50, Name: "lag", LeftS: 59.5, Mark: []byte{6, 7}}, {ID: 2, Name: "x"}}}},
-		{"fault_orders_least", &drillRuns{}},
-		{"maintenance_record", &agreedWord{Epoch: 3, Version: 9, Body: []byte{8, 9}, Waits: filled[[]maintenance.Blocker](), Ages: []planAge{{Plan: 4, AgeS: 12.5}}, Owner: "m01"}},
-		{"maintenance_record_least", &agreedWord{}},
-		{"maintenance_version", &heldWord{Epoch: 3, Version: 9}},
-		{"maintenance_request", &worksQuestion{Round: 17, Epoch: 3, Version: 9}},
-		{"maintenance_response", &worksSum{Round: 17, Sum: filled[maintenance.Report]()}},
+		{"fault_order", &faultOrder{ID: 1 << 50, Name: "lag", RemainingSeconds: 59.5, Signature: []byte{6, 7}}},
+		{"fault_orders", &faultList{Orders: []faultOrder{{ID: 1 << 50, Name: "lag", RemainingSeconds: 59.5, Signature: []byte{6, 7}}, {ID: 2, Name: "x"}}}},
+		{"fault_orders_least", &faultList{}},
+		{"maintenance_record", &recordMessage{Epoch: 3, Version: 9, Body: []byte{8, 9}, Blockers: filled[[]maintenance.Blocker](), PlanAges: []planAge{{Plan: 4, AgeSeconds: 12.5}}, Holder: "m01"}},
+		{"maintenance_record_least", &recordMessage{}},
+		{"maintenance_version", &recordVersion{Epoch: 3, Version: 9}},
+		{"maintenance_request", &surveyRequest{Round: 17, Epoch: 3, Version: 9}},
+		{"maintenance_response", &surveyResponse{Round: 17, Report: filled[maintenance.Report]()}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			body := packed(c.value)
+			body := mustMarshal(c.value)
 			assert.Equal(t, golden(t, "wire", c.file+".hex"), hex.EncodeToString(body))
 			back := reflect.New(reflect.TypeOf(c.value).Elem()).Interface()
 			require.NoError(t, frames.Unmarshal(body, back))
@@ -65,12 +65,12 @@
 
 // The numbers by which jobs tell their messages apart, and the names of the jobs, are on the wire.
 func TestWireNumbers(t *testing.T) {
-	assert.Equal(t, [3]string{"list", "list-2", "list-3"}, listNames)
-	assert.Equal(t, []string{"report", "drill", "works"}, []string{reportName, drillName, worksName})
-	assert.Equal(t, []int{1, 2, 3}, []int{kindWord, kindNeed, kindWhole})
-	assert.Equal(t, []int{1, 2, 3}, []int{kindAsk, kindAnswer, kindReport})
-	assert.Equal(t, []int{1, 2}, []int{kindOrder, kindRuns})
-	assert.Equal(t, []int{1, 2, 3, 4, 5, 6}, []int{kindAgreed, kindWorkAsk, kindSum, kindCommand, kindReply, kindHold})
+	assert.Equal(t, [3]string{"list", "list-2", "list-3"}, listRoleNames)
+	assert.Equal(t, []string{"report", "drill", "works"}, []string{reportRoleName, faultRoleName, maintenanceRoleName})
+	assert.Equal(t, []int{1, 2, 3}, []int{kindListUpdate, kindListRequest, kindListChunk})
+	assert.Equal(t, []int{1, 2, 3}, []int{kindReportRequest, kindReportResponse, kindReport})
+	assert.Equal(t, []int{1, 2}, []int{kindFaultOrder, kindFaultList})
+	assert.Equal(t, []int{1, 2, 3, 4, 5, 6}, []int{kindRecord, kindSurveyRequest, kindSurveyResponse, kindCommand, kindCommandReply, kindRecordVersion})
 }
 
 // What operators are told as JSON keeps its keys: each answer, with every field set, is as in its golden file.
@@ -136,10 +136,10 @@
 // Dashboards read the figures by their names.
 func TestFigureNames(t *testing.T) {
 	net := &stillNet{now: 100}
-	f := &Node{net: net, log: slog.New(slog.DiscardHandler), o: Options{Settings: Settings{Jobs: withLists([]string{listName, reportName, drillName, worksName})}}}
-	f.owners = newOwners(f)
+	f := &Node{net: net, log: slog.New(slog.DiscardHandler), options: Options{Settings: Settings{Jobs: expandListRoles([]string{listRoleName, reportRoleName, faultRoleName, maintenanceRoleName})}}}
+	f.roles = newRoleManager(f)
 	f.peers = peers.New("yard", 1, f, net, f.log)
-	f.view = swim.New(net.now, swim.Record{ID: 1}, swim.Settings{}, actions{f})
+	f.view = swim.New(net.now, swim.Record{ID: 1}, swim.Settings{}, membershipActions{f})
 	var names []string
 	for _, figure := range f.Figures() {
 		names = append(names, figure.Name)
