--- a/internal/coordination/identity.go
+++ b/internal/coordination/identity.go
@@ -6,53 +6,72 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// UseStore says where the state is kept, and what is there already. It comes before Start, and before the sidecar sends anything: boxes
-// that are out by what is there are out from the first request on.
-func (f *Node) UseStore(disk StateStore, saved SavedState) {
-	f.store, f.saved = disk, saved
-	if st, err := saved.decode(); err == nil {
-		f.adoptMaintenance(st.Maintenance)
+// firstIncarnation is the incarnation of an identity's first process. The upper half counts processes, the lower one refutations.
+const firstIncarnation = 1 << 32
+
+var errNoStore = errors.New("there is no folder")
+
+// UseStore sets where the state is persisted and what is stored there already. It must be called before Start, and before the
+// sidecar sends anything: servers that are cordoned for maintenance by the stored state are so from the first request on.
+func (n *Node) UseStore(store StateStore, saved SavedState) {
+	n.store, n.saved = store, saved
+	if state, err := saved.decode(); err == nil {
+		n.adoptMaintenance(state.Maintenance)
 	}
 }
 
-// adoptMaintenance takes what is known of boxes that are out, from an earlier life or from another sidecar.
-func (f *Node) adoptMaintenance(k *MaintenanceRecord) {
-	if f.roles == nil || f.roles.maintenance == nil || k == nil {
+// adoptMaintenance applies a maintenance record of an earlier process or of a peer, if it is newer than what is known; nil changes
+// nothing.
+func (n *Node) adoptMaintenance(record *MaintenanceRecord) {
+	if n.roles == nil || n.roles.maintenance == nil || record == nil {
 		return
 	}
-	w := f.roles.maintenance
-	if w.restore(k); w.version > 0 {
-		f.state.Maintenance = &MaintenanceRecord{w.epoch, w.version, max(k.Token, w.maxToken()), w.body}
+	r := n.roles.maintenance
+	if r.restore(record); r.version > 0 {
+		n.state.Maintenance = &MaintenanceRecord{r.epoch, r.version, max(record.Token, r.maxToken()), r.body}
 	}
 }
 
-// ValidateState tells why what is saved can't be taken over; nil where it can, or where there is nothing.
-func ValidateState(saved SavedState) error {
-	_, err := saved.decode()
-	return err
-}
-
-// randomNonZero returns a number that is not 0.
-func (f *Node) randomNonZero() uint64 { return f.options.Rand.Uint64() | 1 }
+// randomNonZero draws a number that is not 0.
+func (n *Node) randomNonZero() uint64 { return n.options.Rand.Uint64() | 1 }
 
-// persist keeps the state. A sidecar without a folder has nothing to keep.
-func (f *Node) persist(done func(error)) {
-	if f.store == nil {
-		f.runAfterCall(func() { done(errNoStore) })
+// persist writes the state and calls done on the loop. Without a store done gets an error at the end of the present call.
+func (n *Node) persist(done func(error)) {
+	if n.store == nil {
+		n.runAfterCall(func() { done(errNoStore) })
 		return
 	}
-	f.store.Save(encodeState(f.state), func(err error) { f.run(func() { done(err) }) })
+	n.store.Save(encodeState(n.state), func(err error) { n.run(func() { done(err) }) })
 }
 
-var errNoStore = errors.New("there is no folder")
-
-// newIdentity draws another identity, and has done called once it is on disk or known not to be.
-func (f *Node) newIdentity(done func()) {
-	f.state = persistentState{ID: swim.ID(f.randomNonZero()), Generation: 1, Maintenance: f.state.Maintenance}
-	f.persist(func(err error) {
-		if f.identityStored = err == nil; err != nil {
-			f.log.Warn("the identity can't be kept: the next start is a new sidecar", "error", err)
+// newIdentity draws a new identity and calls done once it is persisted or known not to be. The maintenance record is kept: it does
+// not belong to the identity.
+func (n *Node) newIdentity(done func()) {
+	n.state = persistentState{ID: swim.ID(n.randomNonZero()), Generation: 1, Maintenance: n.state.Maintenance}
+	n.persist(func(err error) {
+		if n.identityStored = err == nil; err != nil {
+			n.log.Warn("the identity can't be kept: the next start is a new sidecar", "error", err)
 		}
 		done()
 	})
 }
+
+// replaceIdentity ends all roles and continues under a new identity once that is persisted.
+func (n *Node) replaceIdentity(reason string) {
+	n.log.Warn("this sidecar goes on under another identity", "why", reason, "was", n.view.Self().ID)
+	n.runAfterCall(func() {
+		if n.roles != nil {
+			n.roles.stop("the identity is given up")
+		}
+		n.newIdentity(func() {
+			version := swim.Version{Incarnation: firstIncarnation, BootID: n.randomNonZero()}
+			n.view.AdoptIdentity(n.net.Now(), n.state.ID, version, n.identityStored && n.roles != nil)
+			if n.roles == nil {
+				return
+			}
+			if err := n.roles.start(n.state.ID, nil); err != nil { // impossible without a saved state
+				panic(err)
+			}
+		})
+	})
+}
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -9,93 +9,109 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// Hello says who this sidecar is.
-func (f *Node) Hello() frames.Hello {
-	h := f.view.Hello()
-	body, err := frames.Marshal(h)
-	if err != nil { // numbers and names always pack
-		panic(err)
-	}
-	return frames.Hello{Fleet: f.options.Name, Name: f.options.Sidecar, ID: uint64(h.Self.ID), Address: f.options.Advertise, Body: body}
+var _ peers.Handler = (*Node)(nil)
+
+// Hello implements peers.Handler.
+func (n *Node) Hello() frames.Hello {
+	hello := n.view.Hello()
+	return frames.Hello{Fleet: n.options.Name, Name: n.options.Sidecar, ID: uint64(hello.Self.ID), Address: n.options.Advertise, Body: mustMarshal(hello)}
 }
 
-// LinkUp takes a link.
-func (f *Node) LinkUp(l *peers.Link, h frames.Hello) bool {
+// LinkUp implements peers.Handler. A peer without an ID is no member yet; it is sent the maintenance record, see QueryMaintenance.
+func (n *Node) LinkUp(link *peers.Link, h frames.Hello) bool {
 	var hello swim.Hello
 	if h.ID == 0 {
-		f.answerQuery(l)
+		n.answerQuery(link)
 		return false
 	}
-	if err := frames.Unmarshal(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || f.leaving || f.view.HasLostIdentity() {
-		if l.Address != "" { // Danger: a dial of which the decisions hear nothing is never made again
-			f.view.DialFailed(f.net.Now(), l.Address)
+	if err := frames.Unmarshal(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || n.leaving || n.view.HasLostIdentity() {
+		if link.Address != "" { // Danger: the membership never dials an address again whose last dial has no result
+			n.view.DialFailed(n.net.Now(), link.Address)
 		}
 		return false
 	}
-	f.links[l.Number] = l
-	f.view.LinkUp(f.net.Now(), l.Number, l.Address, hello)
-	if f.links[l.Number] != l {
-		return true // it ends with this call
+	n.links[link.Number] = link
+	n.view.LinkUp(n.net.Now(), link.Number, link.Address, hello)
+	if n.links[link.Number] != link {
+		return true // the membership has asked to close it, which happens at the end of this call
 	}
-	f.linkByMember[hello.Self.ID] = l
-	f.upLinks = append(f.upLinks, l)
-	if o := f.roles; o != nil && o.lease != nil {
-		o.lease.HandleLinkUp(f.net.Now(), hello.Self.ID)
+	n.linkByMember[hello.Self.ID] = link
+	n.upLinks = append(n.upLinks, link)
+	if n.roles != nil && n.roles.lease != nil {
+		n.roles.lease.HandleLinkUp(n.net.Now(), hello.Self.ID)
 	}
-	if o := f.roles; o != nil && o.maintenance != nil {
-		o.maintenance.handleLinkUp(l)
+	if n.roles != nil && n.roles.maintenance != nil {
+		n.roles.maintenance.handleLinkUp(link)
 	}
 	return true
 }
 
-// removeLink forgets a link.
-func (f *Node) removeLink(l *peers.Link) {
-	delete(f.links, l.Number)
-	if id := swim.ID(l.Hello.ID); f.linkByMember[id] == l {
-		delete(f.linkByMember, id)
-	}
-	if i := slices.Index(f.upLinks, l); i >= 0 {
-		f.upLinks = slices.Delete(f.upLinks, i, i+1)
-	}
+// LinkDown implements peers.Handler.
+func (n *Node) LinkDown(link *peers.Link, _ error) {
+	n.removeLink(link)
+	n.view.LinkDown(n.net.Now(), link.Number)
 }
 
-// LinkDown takes a link's end.
-func (f *Node) LinkDown(l *peers.Link, _ error) {
-	f.removeLink(l)
-	f.view.LinkDown(f.net.Now(), l.Number)
+// removeLink removes a link from all indexes.
+func (n *Node) removeLink(link *peers.Link) {
+	delete(n.links, link.Number)
+	if id := swim.ID(link.Hello.ID); n.linkByMember[id] == link {
+		delete(n.linkByMember, id)
+	}
+	if i := slices.Index(n.upLinks, link); i >= 0 {
+		n.upLinks = slices.Delete(n.upLinks, i, i+1)
+	}
 }
 
-// DialFailed takes the end of a dial.
-func (f *Node) DialFailed(address string, err error) {
-	f.log.Debug("a peer can't be reached", "address", address, "error", err)
-	f.run(func() { f.view.DialFailed(f.net.Now(), address) })
+// DialFailed implements peers.Handler.
+func (n *Node) DialFailed(address string, err error) {
+	n.log.Debug("peer unreachable", "address", address, "error", err)
+	n.run(func() { n.view.DialFailed(n.net.Now(), address) })
 }
 
-// HandleFrame takes a frame. A topic that is not known here is a later version's, and skipped.
-func (f *Node) HandleFrame(l *peers.Link, topic frames.Topic, body []byte) error {
+// HandleFrame implements peers.Handler. Unknown topics belong to later versions and are skipped.
+func (n *Node) HandleFrame(link *peers.Link, topic frames.Topic, body []byte) error {
 	switch topic {
 	case frames.TopicMembership:
 		var m swim.Message
 		if err := frames.Unmarshal(body, &m); err != nil {
 			return err
 		}
-		f.view.HandleMessage(f.net.Now(), l.Number, &m)
+		n.view.HandleMessage(n.net.Now(), link.Number, &m)
 	case frames.TopicLease:
-		if o := f.roles; o != nil && o.lease != nil && f.links[l.Number] == l {
+		if n.roles != nil && n.roles.lease != nil && n.links[link.Number] == link {
 			var m lease.Message
 			if err := frames.Unmarshal(body, &m); err != nil {
 				return err
 			}
-			o.lease.HandleMessage(f.net.Now(), swim.ID(l.Hello.ID), &m)
+			n.roles.lease.HandleMessage(n.net.Now(), swim.ID(link.Hello.ID), &m)
 		}
 	case frames.TopicRole:
-		if o := f.roles; o != nil && f.links[l.Number] == l {
-			var e frames.RoleMessage
-			if err := frames.Unmarshal(body, &e); err != nil {
+		if n.roles != nil && n.links[link.Number] == link {
+			var m frames.RoleMessage
+			if err := frames.Unmarshal(body, &m); err != nil {
 				return err
 			}
-			o.handleMessage(l, &e)
+			n.roles.handleMessage(link, &m)
 		}
 	}
 	return nil
 }
+
+// broadcastFrame sends a frame over all links that are up but one; except may be nil.
+func (n *Node) broadcastFrame(topic frames.Topic, body []byte, except *peers.Link) {
+	for _, link := range slices.Clone(n.upLinks) { // sending may end a link
+		if link != except {
+			link.Send(topic, body)
+		}
+	}
+}
+
+// mustMarshal encodes a message, which consists of numbers, names and bytes and so always can be.
+func mustMarshal(v any) []byte {
+	body, err := frames.Marshal(v)
+	if err != nil {
+		panic(err)
+	}
+	return body
+}
--- a/internal/coordination/log_limiter.go
+++ b/internal/coordination/log_limiter.go
@@ -5,34 +5,36 @@
 	"log/slog"
 
 	"hazelwheel/internal/decide/swim"
+	"hazelwheel/internal/peers/tokenbucket"
 )
 
-// logLimiter bounds the log of changes: so many at once, and so many a second; the rest are counted.
-type logLimiter struct {
-	tokens, at float64
-	suppressed int
-	reportedAt float64
-}
-
 const (
+	// logsPerSecond and logBurst limit the lines of one logLimiter.
 	logsPerSecond = 2.0
-	notesAtOnce   = 40.0
-	unsaidEvery   = 5.0
+	logBurst      = 40.0
+	// suppressedLogSeconds is the least time between two lines about suppressed lines.
+	suppressedLogSeconds = 5.0
 )
 
-func (n *logLimiter) allow(now float64) bool {
-	n.tokens, n.at = min(n.tokens+(now-n.at)*logsPerSecond, notesAtOnce), now
-	if n.tokens < 1 {
-		n.suppressed++
-		return false
+// logLimiter limits the rate of log lines that peers can cause. Lines above the limit are counted, and the count is logged.
+type logLimiter struct {
+	bucket     tokenbucket.Bucket
+	suppressed int // since the last line about them
+	reportedAt float64
+}
+
+// allow reports whether a line may be written now, and counts it as suppressed if not.
+func (l *logLimiter) allow(now float64) bool {
+	if l.bucket.TryTake(now, 1, logsPerSecond, logBurst) {
+		return true
 	}
-	n.tokens--
-	return true
+	l.suppressed++
+	return false
 }
 
-// logMemberChange tells of a change.
-func (n *logLimiter) logMemberChange(now float64, log *slog.Logger, r swim.Record, was swim.State, known bool) {
-	if !n.allow(now) {
+// logMemberChange logs a change of a member's state.
+func (l *logLimiter) logMemberChange(now float64, log *slog.Logger, r swim.Record, was swim.State, known bool) {
+	if !l.allow(now) {
 		return
 	}
 	before := was.String()
@@ -43,10 +45,10 @@
 		"by", fmt.Sprint(r.Accusers))
 }
 
-// logSuppressed tells how many changes were not told.
-func (n *logLimiter) logSuppressed(now float64, log *slog.Logger) {
-	if n.suppressed > 0 && now > n.reportedAt+unsaidEvery {
-		log.Info("more changes of peers than the log takes", "unsaid", n.suppressed)
-		n.suppressed, n.reportedAt = 0, now
+// logSuppressed logs how many lines were suppressed.
+func (l *logLimiter) logSuppressed(now float64, log *slog.Logger) {
+	if l.suppressed > 0 && now > l.reportedAt+suppressedLogSeconds {
+		log.Info("log lines suppressed", "count", l.suppressed)
+		l.suppressed, l.reportedAt = 0, now
 	}
 }
--- a/internal/coordination/loop.go
+++ b/internal/coordination/loop.go
@@ -8,73 +8,76 @@
 	"hazelwheel/internal/peers"
 )
 
-// run wraps each call on the loop: a panic stops here, and what follows from the call is done before it ends.
-func (f *Node) run(do func()) {
-	f.depth++
-	f.runRecovered(do)
-	for f.depth == 1 && len(f.posted) > 0 {
-		next := f.posted[0]
-		f.posted = f.posted[1:]
-		f.runRecovered(next)
+var _ netio.Host = (*Node)(nil)
+
+// run is the boundary of each call from the loop. It recovers panics, runs what was postponed during the call, and reschedules the
+// tick, since the call may have brought forward what is due.
+func (n *Node) run(call func()) {
+	n.depth++
+	n.runRecovered(call)
+	for n.depth == 1 && len(n.afterCall) > 0 {
+		next := n.afterCall[0]
+		n.afterCall = n.afterCall[1:]
+		n.runRecovered(next)
 	}
-	if f.depth == 1 && f.roles != nil && f.view != nil { // what has come may bring what is due forward
-		f.runRecovered(f.scheduleTick)
+	if n.depth == 1 && n.roles != nil && n.view != nil {
+		n.runRecovered(n.scheduleTick)
 	}
-	f.depth--
+	n.depth--
 }
 
-func (f *Node) runRecovered(do func()) (failed bool) {
+// runRecovered reports whether the call panicked; the panic is logged and counted.
+func (n *Node) runRecovered(call func()) (failed bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			failed = true
-			f.panics++
-			f.log.Error("panic", "cause", cause, "stack", string(debug.Stack()))
+			n.panics++
+			n.log.Error("panic", "cause", cause, "stack", string(debug.Stack()))
 		}
 	}()
-	do()
+	call()
 	return false
 }
 
-// runAfterCall has something done at the end of the present call. Danger: the decisions' actions must not call back into them.
-func (f *Node) runAfterCall(do func()) { f.posted = append(f.posted, do) }
+// runAfterCall postpones a function to the end of the present call. Danger: actions of the protocols must not call back into them.
+func (n *Node) runAfterCall(f func()) { n.afterCall = append(n.afterCall, f) }
 
-// OwnsConn tells whether a connection is a peer's.
-func (f *Node) OwnsConn(c netio.Conn) bool {
+// OwnsConn reports whether a connection belongs to this Node rather than to the sidecar on the same loop: a link that was dialed or
+// accepted here, or a new connection to the port of the listener.
+func (n *Node) OwnsConn(c netio.Conn) bool {
 	switch c.Context().(type) {
 	case *peers.Link:
 		return true
 	case nil:
 		tcp, ok := c.LocalAddr().(*net.TCPAddr)
-		return ok && tcp.Port == f.port
+		return ok && tcp.Port == n.port
 	}
 	return false
 }
 
-// Open takes a connection.
-func (f *Node) Open(c netio.Conn) (keep bool) {
-	f.run(func() { keep = f.view != nil && !f.silenced && f.peers.Open(c) })
+// Open implements netio.Host.
+func (n *Node) Open(c netio.Conn) (keep bool) {
+	n.run(func() { keep = n.view != nil && !n.silenced && n.peers.Open(c) })
 	return keep
 }
 
-// Traffic takes what has come over one.
-func (f *Node) Traffic(c netio.Conn, data []byte) {
-	f.run(func() {
-		if f.runRecovered(func() { f.peers.Traffic(c, data) }) {
-			f.net.Close(c)
+// Traffic implements netio.Host. A connection whose data causes a panic is closed.
+func (n *Node) Traffic(c netio.Conn, data []byte) {
+	n.run(func() {
+		if n.runRecovered(func() { n.peers.Traffic(c, data) }) {
+			n.net.Close(c)
 		}
 	})
 }
 
-// Closed takes its end.
-func (f *Node) Closed(c netio.Conn, err error) { f.run(func() { f.peers.Closed(c, err) }) }
+// Closed implements netio.Host.
+func (n *Node) Closed(c netio.Conn, err error) { n.run(func() { n.peers.Closed(c, err) }) }
 
-// Alarm comes when something is due.
-func (f *Node) Alarm() {
-	f.run(func() {
-		if f.view != nil {
-			f.tick()
+// Alarm implements netio.Host.
+func (n *Node) Alarm() {
+	n.run(func() {
+		if n.view != nil {
+			n.tick()
 		}
 	})
 }
-
-var _ netio.Host = (*Node)(nil)
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -13,205 +13,225 @@
 	"hazelwheel/policy"
 )
 
-// Node is a sidecar's part in its fleet. It is a netio.Host for the connections that Owns tells of.
+// Node is one sidecar's part in its fleet. It belongs to the event loop; see the package doc. Times are seconds of netio.Net.Now.
 type Node struct {
-	options        Options
-	net            netio.Net
-	log            *slog.Logger
-	port           int
-	peers          *peers.Transport
-	view           *swim.View
-	rank           swim.StableRank
-	links          map[int]*peers.Link     // looked up, never walked
-	linkByMember   map[swim.ID]*peers.Link // the same
-	upLinks        []*peers.Link           // the same, in the order in which they came up
-	roles          *roleManager            // nil: nobody owns anything
-	stopListening  func()                  // listening
-	listenRetryAt  float64                 // when to try to listen again; 0: it listens
-	listenFailed   bool                    // that it can't
-	alarm          float64
-	depth          int
-	posted         []func()
-	store          StateStore // nil: there is none
-	saved          SavedState
-	state          persistentState // that is kept, or that would be
-	memberLogs     logLimiter
-	identityStored bool // the identity is on disk
-	silenced       bool
-	leaving        bool
-	panics         uint64
+	options Options
+	net     netio.Net
+	log     *slog.Logger
+	port    int // of Settings.Listen
+
+	peers        *peers.Transport
+	view         *swim.View // nil until the identity is persisted, or known not to be
+	rank         swim.StableRank
+	links        map[int]*peers.Link     // of which both ends are known, by Link.Number; never iterated, since the order would be random
+	linkByMember map[swim.ID]*peers.Link // the latest link to each member; never iterated
+	upLinks      []*peers.Link           // the same links in the order in which they came up
+	roles        *roleManager            // nil: there are no singleton roles
+
+	stopListening func()
+	listenRetryAt float64 // 0: it listens, or has ceased to
+	listenFailed  bool    // the last attempt to listen failed, which was logged
+
+	depth     int      // of nested calls of run
+	afterCall []func() // to be run at the end of the outermost call
+
+	store          StateStore // nil: nothing is persisted
+	saved          SavedState // as UseStore was given it
+	state          persistentState
+	identityStored bool // the identity in state is on disk
+
+	silenced   bool // another process has this identity: nothing is sent any more
+	leaving    bool // the membership has been told that this sidecar leaves
+	memberLogs logLimiter
+	panics     uint64 // recovered
 }
 
-// New returns a fleet that has not begun. What is saved is taken over first; where it can't be, the process is a new one.
+const (
+	// listenRetrySeconds is the time between two attempts to open the listener.
+	listenRetrySeconds = 0.2
+	// overdueTickSeconds is when tick is called next if the membership is still due after a tick.
+	overdueTickSeconds = 0.25
+	// minTickSeconds is the least time between two ticks for the sake of roles.
+	minTickSeconds = 0.005
+)
+
+// New returns a Node that does nothing before Start. An error names the setting at fault.
 func New(o Options) (*Node, error) {
-	f := &Node{options: o, net: o.Net, log: o.Log.With("part", "fleet"), links: map[int]*peers.Link{}, linkByMember: map[swim.ID]*peers.Link{}, rank: swim.NewStableRank(o.Self, o.Replicas)}
-	if f.options.Advertise == "" {
-		f.options.Advertise = o.Listen
+	n := &Node{options: o, net: o.Net, log: o.Log.With("part", "fleet"), links: map[int]*peers.Link{}, linkByMember: map[swim.ID]*peers.Link{},
+		rank: swim.NewStableRank(o.Self, o.Replicas)}
+	if n.options.Advertise == "" {
+		n.options.Advertise = o.Listen
 	}
 	_, port, err := net.SplitHostPort(o.Listen)
 	if err == nil {
-		f.port, err = strconv.Atoi(port)
+		n.port, err = strconv.Atoi(port)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
-	f.options.Log, f.options.Jobs = f.log, expandListRoles(o.Jobs)
-	f.peers = peers.New(o.Name, o.MaxLinks, f, o.Net, f.log)
+	n.options.Log, n.options.Jobs = n.log, expandListRoles(o.Jobs)
+	n.peers = peers.New(o.Name, o.MaxLinks, n, o.Net, n.log)
 	if len(o.Electors) > 0 {
-		f.roles = newRoleManager(f)
+		n.roles = newRoleManager(n)
 	}
-	return f, nil
+	return n, nil
 }
 
-// Start reads the identity and begins to look for others. Danger: what was promised under an identity must not be forgotten
-// under it; one that can't be written again is not used.
-func (f *Node) Start() {
-	f.run(func() {
-		works := f.state.Maintenance
-		f.state = persistentState{ID: swim.ID(f.randomNonZero()), Generation: 1}
-		if st, err := f.saved.decode(); err != nil {
-			f.log.Warn("what was saved of this sidecar can't be used: it is a new one", "error", err)
-		} else if f.saved.Data != nil {
-			f.state = st
-			f.state.Generation++
+// Start implements netio.Host: it continues the identity that UseStore was given, or draws a new one, persists it and then joins the
+// fleet. Danger: votes given under an identity must not be forgotten under it, so an identity that can't be written again is not
+// used.
+func (n *Node) Start() {
+	n.run(func() {
+		record := n.state.Maintenance
+		n.state = persistentState{ID: swim.ID(n.randomNonZero()), Generation: 1}
+		if state, err := n.saved.decode(); err != nil {
+			n.log.Warn("what was saved of this sidecar can't be used: it is a new one", "error", err)
+		} else if n.saved.Data != nil {
+			n.state = state
+			n.state.Generation++
 		}
-		f.state.Maintenance = works
-		version := swim.Version{Incarnation: f.state.Generation << 32, BootID: f.randomNonZero()}
-		f.persist(func(err error) {
+		n.state.Maintenance = record
+		version := swim.Version{Incarnation: n.state.Generation << 32, BootID: n.randomNonZero()}
+		n.persist(func(err error) {
 			if err != nil {
-				f.state = persistentState{ID: swim.ID(f.randomNonZero()), Generation: 1, Maintenance: f.state.Maintenance}
-				version.Incarnation = 1 << 32
-				f.log.Warn("the identity can't be kept: the next start is a new sidecar", "error", err)
+				n.state = persistentState{ID: swim.ID(n.randomNonZero()), Generation: 1, Maintenance: n.state.Maintenance}
+				version.Incarnation = firstIncarnation
+				n.log.Warn("the identity can't be kept: the next start is a new sidecar", "error", err)
 			}
-			f.identityStored = err == nil
-			f.startMembership(version)
+			n.identityStored = err == nil
+			n.startMembership(version)
 		})
 	})
 }
 
-// startMembership comes once the identity is on disk, or known not to be.
-func (f *Node) startMembership(version swim.Version) {
-	if f.silenced {
+// startMembership starts the protocols. The identity is persisted by then, or known not to be.
+func (n *Node) startMembership(version swim.Version) {
+	if n.silenced {
 		return
 	}
-	if f.roles != nil {
-		if err := f.roles.start(f.state.ID, f.state.LeaseState); err != nil {
-			f.log.Warn("what was promised to others can't be used: this sidecar is a new one", "error", err)
-			f.newIdentity(func() { f.startMembership(swim.Version{Incarnation: 1 << 32, BootID: f.randomNonZero()}) })
+	if n.roles != nil {
+		if err := n.roles.start(n.state.ID, n.state.LeaseState); err != nil {
+			n.log.Warn("saved lease state unusable: continuing under a new identity", "error", err)
+			n.newIdentity(func() { n.startMembership(swim.Version{Incarnation: firstIncarnation, BootID: n.randomNonZero()}) })
 			return
 		}
 	}
-	self := swim.Record{ID: f.state.ID, Version: version, Name: f.options.Sidecar, Address: f.options.Advertise, Durable: f.identityStored && f.roles != nil}
-	f.view = swim.New(f.net.Now(), self, swim.Settings{Join: f.options.Join, HotRestart: f.options.Replaceable, Seed: f.options.Rand.Uint64()}, membershipActions{f})
-	f.log.Info("looking for peers", "fleet", f.options.Name, "listen", f.options.Listen, "advertise", f.options.Advertise, "id", self.ID, "incarnation", version.Incarnation)
-	f.listen()
-	f.tick()
+	self := swim.Record{ID: n.state.ID, Version: version, Name: n.options.Sidecar, Address: n.options.Advertise, Durable: n.identityStored && n.roles != nil}
+	n.view = swim.New(n.net.Now(), self, swim.Settings{Join: n.options.Join, HotRestart: n.options.Replaceable, Seed: n.options.Rand.Uint64()}, membershipActions{n})
+	n.log.Info("membership started", "fleet", n.options.Name, "listen", n.options.Listen, "advertise", n.options.Advertise, "id", self.ID, "incarnation", version.Incarnation)
+	n.listen()
+	n.tick()
 }
 
-// listen opens the listener. Another process may still hold it, the one that this one replaces; nothing waits for that.
-func (f *Node) listen() {
-	stop, err := f.net.Listen(f.options.Listen)
+// listen opens the listener, or schedules another attempt: during a hot restart the port may still belong to the old process. Nothing
+// else waits for it.
+func (n *Node) listen() {
+	stop, err := n.net.Listen(n.options.Listen)
 	if err != nil {
-		if f.listenRetryAt = f.net.Now() + 0.2; !f.listenFailed {
-			f.listenFailed = true
-			f.log.Warn("peers can't come yet: trying again", "error", err)
+		if n.listenRetryAt = n.net.Now() + listenRetrySeconds; !n.listenFailed {
+			n.listenFailed = true
+			n.log.Warn("peers can't come yet: trying again", "error", err)
 		}
 		return
 	}
-	f.stopListening, f.listenRetryAt = stop, 0
-	if f.listenFailed {
-		f.log.Info("peers can come", "listen", f.options.Listen)
+	n.stopListening, n.listenRetryAt = stop, 0
+	if n.listenFailed {
+		n.log.Info("peers can come", "listen", n.options.Listen)
 	}
-	f.listenFailed = false
+	n.listenFailed = false
 }
 
-// tick does what is due, and asks for the next call.
-func (f *Node) tick() {
-	now := f.net.Now()
-	if f.listenRetryAt > 0 && now >= f.listenRetryAt && !f.silenced {
-		f.listen()
-	}
-	f.checkShutdown()
-	if f.view.IsReplaced() && !f.silenced {
-		f.log.Info("another process speaks for this sidecar")
-		f.silence()
-		f.closeListener()
+// closeListener stops accepting peers for good.
+func (n *Node) closeListener() {
+	if n.stopListening != nil {
+		n.stopListening()
+		n.stopListening = nil
 	}
-	f.peers.Tick()
-	if now >= f.view.NextTick() {
-		f.view.Tick(now)
-	}
-	rank, count := f.view.Rank(swim.DeadHoldSeconds)
-	if f.silenced || f.leaving {
+	n.listenRetryAt = 0
+}
+
+// tick does what is due by time and schedules the next call.
+func (n *Node) tick() {
+	now := n.net.Now()
+	if n.listenRetryAt > 0 && now >= n.listenRetryAt && !n.silenced {
+		n.listen()
+	}
+	n.checkShutdown()
+	if n.view.IsReplaced() && !n.silenced {
+		n.log.Info("identity taken over by another process")
+		n.silence()
+		n.closeListener()
+	}
+	n.peers.Tick()
+	if now >= n.view.NextTick() {
+		n.view.Tick(now)
+	}
+	n.updateRank(now)
+	n.memberLogs.logSuppressed(now, n.log)
+	if n.roles != nil {
+		n.roles.tick(now)
+	}
+	n.scheduleTick()
+}
+
+// updateRank tells the sidecar its rank among the live members once a new one is stable.
+func (n *Node) updateRank(now float64) {
+	rank, count := n.view.Rank(swim.DeadHoldSeconds)
+	if n.silenced || n.leaving {
 		rank, count = 0, 1
 	}
-	if f.rank.Update(now, rank, count) {
-		rank, count = f.rank.Current()
-		f.log.Info("place in the fleet", "rank", rank, "of", count, "live", f.view.LiveCount())
-		if !f.rank.IsConfigured() {
-			rank = subsetStart(rank, count)
-		}
-		f.options.Placement.TakePlace(rank, count)
+	if !n.rank.Update(now, rank, count) {
+		return
 	}
-	f.memberLogs.logSuppressed(now, f.log)
-	if f.roles != nil {
-		f.roles.tick(now)
+	rank, count = n.rank.Current()
+	n.log.Info("rank changed", "rank", rank, "count", count, "live", n.view.LiveCount())
+	if !n.rank.IsConfigured() {
+		rank = subsetStart(rank, count)
 	}
-	f.scheduleTick()
+	n.options.Placement.TakePlace(rank, count)
 }
 
-// subsetStart returns the number that has the decisions begin their part of the boxes where a rank's arc does. Danger: told the rank itself, they begin
-// elsewhere whenever the count is another, and one sidecar that comes moves the links of all.
+// subsetStart returns the number by which the policy starts its subset of the servers at the arc of a rank. Danger: given the rank
+// itself the policy would start elsewhere whenever the count changes, and one sidecar that joins would move the connections of all.
 func subsetStart(rank, count int) int {
 	step, _ := policy.Subset(count, 1, count, 0)
 	return subset.NumberAt(subset.PositionByRank(rank, count), count, step)
 }
 
-// scheduleTick asks for the next call.
-func (f *Node) scheduleTick() {
-	now := f.net.Now()
-	next := f.view.NextTick()
+// scheduleTick asks the loop for the next call of Alarm.
+func (n *Node) scheduleTick() {
+	now := n.net.Now()
+	next := n.view.NextTick()
 	if next <= now {
-		next = now + 0.25
+		next = now + overdueTickSeconds
 	}
-	if f.roles != nil {
-		next = min(next, max(f.roles.nextTick(now), now+minTickSeconds))
+	if n.roles != nil {
+		next = min(next, max(n.roles.nextTick(now), now+minTickSeconds))
 	}
-	f.alarm = next
-	f.net.Alarm(next)
+	n.net.Alarm(next)
 }
 
-// minTickSeconds is between two calls that nothing else has asked for.
-const minTickSeconds = 0.005
+// CheckShutdown starts leaving the fleet if the sidecar has been told to shut down. It is called when that may have changed; tick
+// checks it, too.
+func (n *Node) CheckShutdown() { n.run(n.checkShutdown) }
 
-// CheckShutdown looks whether the core has been told to end.
-func (f *Node) CheckShutdown() { f.run(f.checkShutdown) }
-
-func (f *Node) checkShutdown() {
-	switch ending, succeeded := f.options.Host.Ending(); {
-	case !ending || f.silenced || f.leaving || f.view == nil:
-	case succeeded: // another process speaks under this identity
-		f.silence()
-		f.view.Silence(f.net.Now())
-		f.closeListener()
-	case f.roles != nil && f.roles.releaseLeases(f.net.Now()):
+func (n *Node) checkShutdown() {
+	switch ending, succeeded := n.options.Host.Ending(); {
+	case !ending || n.silenced || n.leaving || n.view == nil:
+	case succeeded: // by a process that continues this identity
+		n.silence()
+		n.view.Silence(n.net.Now())
+		n.closeListener()
+	case n.roles != nil && n.roles.releaseLeases(n.net.Now()): // the members learn of it once the roles have other holders
 	default:
-		f.leaving = true
-		f.view.Leave(f.net.Now())
-	}
-}
-
-// silence has nothing said any more: another process speaks in place of this one.
-func (f *Node) silence() {
-	if f.silenced = true; f.roles != nil {
-		f.roles.stop("another process has taken this one's place")
+		n.leaving = true
+		n.view.Leave(n.net.Now())
 	}
 }
 
-func (f *Node) closeListener() {
-	if f.stopListening != nil {
-		f.stopListening()
-		f.stopListening = nil
+// silence ends all roles, since another process continues this identity. Nothing is sent under it from here any more.
+func (n *Node) silence() {
+	if n.silenced = true; n.roles != nil {
+		n.roles.stop("another process has taken this one's place")
 	}
-	f.listenRetryAt = 0
 }
--- a/internal/coordination/options.go
+++ b/internal/coordination/options.go
@@ -9,39 +9,40 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// Settings say how a sidecar is found and whom it looks for.
+// Settings are the operators' settings of the fleet (keys fleet.*).
 type Settings struct {
-	Name      string   // of the fleet; empty: the sidecar knows no other
-	Listen    string   // address and port for peers
-	Advertise string   // where peers dial it; empty: Listen
-	Join      []string // addresses to begin with
-	Dir       string   // for what must survive a restart; empty: each start is a new process
-	Electors  []string // addresses of those that agree on who owns which job; empty: nobody owns any
-	Jobs      []string // that this sidecar can do on behalf of all
+	Name      string   // of the fleet; only sidecars of the same fleet are linked. Empty: coordination is off
+	Listen    string   // host:port on which peers are accepted
+	Advertise string   // host:port that peers dial; empty: Listen
+	Join      []string // addresses of the first peers to dial
+	Dir       string   // for the state that must survive a restart; empty: each start is a new member
+	Electors  []string // addresses of the initial voters; empty: there are no singleton roles
+	Jobs      []string // singleton roles that this sidecar can hold
 }
 
-// IsEnabled tells whether the sidecar looks for peers.
+// IsEnabled reports whether the sidecar is a member of a fleet.
 func (s *Settings) IsEnabled() bool { return s.Name != "" }
 
-// StateStore keeps the state. What Save was given is on disk, synced, when done is called with nil, on the loop.
+// StateStore persists the state of a Node. Save returns at once and calls done on the event loop, with nil once the data is synced
+// to disk. Calls of done are in the order of the calls of Save.
 type StateStore interface {
 	Save(data []byte, done func(error))
 }
 
-// Options are what a fleet is made of.
+// Options configure a Node.
 type Options struct {
 	Settings
-	Sidecar          string // its name
-	Self, Replicas   int    // by the configuration
-	MaxLinks         int    // that there may be to peers
-	Replaceable      bool   // another process may take this one's place, with its identity and address
+	Sidecar          string // name of this sidecar
+	Self, Replicas   int    // rank and count by the configuration, until the membership is known
+	MaxLinks         int    // links to peers at a time
+	Replaceable      bool   // a hot restart may pass this process's identity and address on to another process
 	Host             sidecar.Asked
 	Placement        sidecar.Placed
-	Lists            sidecar.Lists     // for the job "list" alone
-	Faults           sidecar.Drills    // for the job "drill" alone
-	Servers          sidecar.Boxes     // for the job "works" alone
-	MaintenanceOrder maintenance.Order // which box leaves next; others than the first are there to be weighed
-	Rand             *rand.Rand
+	Lists            sidecar.Lists     // needed for the role "list"
+	Faults           sidecar.Drills    // needed for the role "drill"
+	Servers          sidecar.Boxes     // needed for the role "works"
+	MaintenanceOrder maintenance.Order // in which servers are taken down; the zero value is the one in production
+	Rand             *rand.Rand        // the only source of randomness
 	Net              netio.Net
 	Log              *slog.Logger
 }
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -254,12 +254,3 @@
 		j.malformed++
 	}
 }
-
-// mustMarshal returns a message as a body.
-func mustMarshal(v any) []byte {
-	body, err := frames.Marshal(v)
-	if err != nil { // numbers and names always pack
-		panic(err)
-	}
-	return body
-}
--- a/internal/coordination/state.go
+++ b/internal/coordination/state.go
@@ -10,68 +10,80 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// SavedState is what a disk holds of an earlier life.
+// SavedState is what a StateStore holds of an earlier process. The zero value is an empty store.
 type SavedState struct {
-	Data   []byte // nil: nothing
-	IsCopy bool   // what is there was put there by somebody else than Save: a copy, which may be old
-	Err    error  // it can't be read
+	Data   []byte // as given to StateStore.Save; nil: nothing is stored
+	IsCopy bool   // Data was not put there by StateStore.Save, so it may be out of date
+	Err    error  // reading failed
 }
 
 // persistentState is what must survive a restart.
 type persistentState struct {
 	ID         swim.ID `json:"id"`
-	Generation uint64  `json:"generation"`       // lives so far; on disk before any word of the life is said
-	LeaseState []byte  `json:"tenure,omitempty"` // what was promised to others
-	// Works is what is agreed of boxes that are out. It is no promise of this identity's and outlives it.
+	Generation uint64  `json:"generation"`       // number of processes of this identity; persisted before any message of a process is sent
+	LeaseState []byte  `json:"tenure,omitempty"` // of lease.Node; belongs to the identity
+	// Maintenance is the record that was applied last. It does not belong to the identity and outlives it.
 	Maintenance *MaintenanceRecord `json:"works,omitempty"`
 }
 
-// stateVersion is written here. An earlier program does not guess at a later one's. plainForm has no promises in it.
+// The format of the stored state: a line with magic, version, length and CRC-32C of what follows, and the state as JSON. A program
+// does not read versions that it does not know. Version 1 has no lease state.
 const (
+	stateMagic                = "hazelwheel-peer"
 	stateVersion              = 2
 	stateVersionWithoutLeases = 1
-	stateMagic                = "hazelwheel-peer"
+
+	// maxGeneration is so small that the generation fits into the upper half of an incarnation.
+	maxGeneration = 1 << 24
 )
 
 var (
 	errCorrupt        = errors.New("it is torn")
 	errUnknownVersion = errors.New("it is of a form that is not known here")
 	errCopied         = errors.New("it is a copy: what was promised after it was made is not known")
-	castagnoli        = crc32.MakeTable(crc32.Castagnoli)
+
+	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// encodeState returns a state as a file's text: a line with its form, length and checksum, and the state as JSON.
+// ValidateState returns why a stored state can't be continued, nil if it can or if there is none.
+func ValidateState(saved SavedState) error {
+	_, err := saved.decode()
+	return err
+}
+
+// encodeState returns the stored form of a state.
 func encodeState(s persistentState) []byte {
 	body, err := json.Marshal(s)
-	if err != nil { // numbers always marshal
+	if err != nil { // numbers and bytes can always be encoded
 		panic(err)
 	}
 	return append(fmt.Appendf(nil, "%s %d %d %08x\n", stateMagic, stateVersion, len(body), crc32.Checksum(body, castagnoli)), body...)
 }
 
-// decode returns the state; there is none where Data is nil. Danger: who comes back with an old copy has forgotten its votes.
+// decode returns the stored state, the zero value if there is none. Danger: a member that continues from an old copy has forgotten
+// votes, so a copy with lease state is an error.
 func (saved *SavedState) decode() (s persistentState, err error) {
 	if saved.Err != nil || saved.Data == nil {
 		return s, saved.Err
 	}
 	head, body, found := bytes.Cut(saved.Data, []byte{'\n'})
-	var name string
-	var form, length int
-	var sum uint32
-	n, _ := fmt.Sscanf(string(head), "%s %d %d %x", &name, &form, &length, &sum)
+	var magic string
+	var version, length int
+	var checksum uint32
+	n, _ := fmt.Sscanf(string(head), "%s %d %d %x", &magic, &version, &length, &checksum)
 	switch {
-	case n < 2 || name != stateMagic:
+	case n < 2 || magic != stateMagic:
 		return s, errCorrupt
-	case form != stateVersion && form != stateVersionWithoutLeases:
-		return s, fmt.Errorf("%w: %d", errUnknownVersion, form)
-	case n < 4 || !found || len(body) != length || crc32.Checksum(body, castagnoli) != sum:
+	case version != stateVersion && version != stateVersionWithoutLeases:
+		return s, fmt.Errorf("%w: %d", errUnknownVersion, version)
+	case n < 4 || !found || len(body) != length || crc32.Checksum(body, castagnoli) != checksum:
 		return s, errCorrupt
 	}
 	if err := json.Unmarshal(body, &s); err != nil {
 		return s, err
 	}
 	switch {
-	case s.ID == 0 || s.Generation >= 1<<24:
+	case s.ID == 0 || s.Generation >= maxGeneration:
 		return s, errCorrupt
 	case saved.IsCopy && len(s.LeaseState) > 0:
 		return s, errCopied
