--- a/internal/decide/quota/bench_test.go
+++ b/internal/decide/quota/bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// bigTree has about so many groups at so many levels, each inner one with as many children.
-func bigTree(t testing.TB, groups, depth int) *Tree {
+// newLargeTree has about so many groups at so many levels, each inner one with as many children.
+func newLargeTree(t testing.TB, groups, depth int) *Tree {
 	fan := max(int(math.Round(math.Pow(float64(groups), 1/float64(depth)))), 1)
 	var all []Group
 	level := []string{""}
@@ -29,14 +29,14 @@
 	for d := 1; len(all) < min(groups, MaxGroups); d++ { // what the root of that power leaves out
 		all = append(all, Group{Name: fmt.Sprintf("more%d", d), Parent: all[len(all)-1].Parent, Weight: 1})
 	}
-	tr, err := NewTree([]Limit{perSecond(1e5)}, all)
+	tr, err := NewTree([]Limit{requestsPerSecond(1e5)}, all)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return tr
 }
 
-func leavesOf(t *Tree) (leaves []int32) {
+func leaves(t *Tree) (leaves []int32) {
 	for g := range int32(t.Len()) {
 		if t.AcceptsRequests(g) {
 			leaves = append(leaves, g)
@@ -45,16 +45,16 @@
 	return leaves
 }
 
-// BenchmarkAsk asks for requests of all groups in turns: at half of the quota, at one and a half times, and for one in 16
+// BenchmarkAdmit asks for requests of all groups in turns: at half of the quota, at one and a half times, and for one in 16
 // groups alone at the whole of it, which lives of loans.
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkAdmit(b *testing.B) {
 	for _, groups := range []int{10, 1000, 100_000} {
 		for _, depth := range []int{2, 4, 8} {
 			if groups == 10 && depth == 8 {
 				continue // ten groups have no eight levels
 			}
-			tr := bigTree(b, groups, depth)
-			leaves := leavesOf(tr)
+			tr := newLargeTree(b, groups, depth)
+			leaves := leaves(tr)
 			few := leaves[:max(len(leaves)/16, 1)]
 			for _, how := range []struct {
 				name   string
@@ -66,10 +66,10 @@
 					var before, after runtime.MemStats
 					runtime.GC()
 					runtime.ReadMemStats(&before)
-					m := New(tr, Settings{RepayFraction: 0.1}, began)
+					m := New(tr, Settings{RepayFraction: 0.1}, startTime)
 					runtime.GC()
 					runtime.ReadMemStats(&after)
-					at, served, step := began, 0, 1/how.ratePS
+					at, served, step := startTime, 0, 1/how.ratePS
 					b.ResetTimer()
 					for i := range b.N {
 						at += step
@@ -85,11 +85,11 @@
 	}
 }
 
-func TestAskAllocatesNothing(t *testing.T) {
-	tr := bigTree(t, 1000, 4)
-	m := New(tr, Settings{RepayFraction: 0.1, Replicas: 3, StretchFraction: 0.1}, began)
-	leaves := leavesOf(tr)
-	at, i := began, 0
+func TestAdmitDoesNotAllocate(t *testing.T) {
+	tr := newLargeTree(t, 1000, 4)
+	m := New(tr, Settings{RepayFraction: 0.1, Replicas: 3, StretchFraction: 0.1}, startTime)
+	leaves := leaves(tr)
+	at, i := startTime, 0
 	if n := testing.AllocsPerRun(20000, func() {
 		at += 1e-5
 		i++
--- a/internal/decide/quota/helpers_test.go
+++ b/internal/decide/quota/helpers_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// perSecond is a limit of requests over 10 s.
-func perSecond(n float64) Limit { return Limit{Requests, 10, n * 10} }
+// requestsPerSecond is a limit of requests over 10 s.
+func requestsPerSecond(n float64) Limit { return Limit{Requests, 10, n * 10} }
 
-func tree(t testing.TB, limits []Limit, groups ...Group) *Tree {
+func newTestTree(t testing.TB, limits []Limit, groups ...Group) *Tree {
 	t.Helper()
 	for i := range groups {
 		if groups[i].Weight == 0 {
@@ -21,33 +21,35 @@
 	return tr
 }
 
-// shop is a machine that is used, with a look at its books at the end.
-type shop struct {
+// testLimiter is a machine that is used, with a look at its books at the end.
+type testLimiter struct {
 	*Limiter
 	t  testing.TB
 	at float64
 }
 
-const began = 1.8e9
+const startTime = 1.8e9
 
-// usualRepay is what debtors pay of their own in most tests: enough to see it within minutes.
-const usualRepay = 0.1
+// testRepayFraction is what debtors pay of their own in most tests: enough to see it within minutes.
+const testRepayFraction = 0.1
 
-func newShop(t testing.TB, tr *Tree) *shop {
-	return &shop{Limiter: New(tr, Settings{RepayFraction: usualRepay}, began), t: t, at: began}
+func newTestLimiter(t testing.TB, tr *Tree) *testLimiter {
+	return &testLimiter{Limiter: New(tr, Settings{RepayFraction: testRepayFraction}, startTime), t: t, at: startTime}
 }
 
-func (s *shop) group(name string) int32 {
+func (s *testLimiter) mustFind(name string) int32 {
 	g, ok := s.tree.Find(name)
 	require.True(s.t, ok, name)
 	return g
 }
 
-// ask asks for a request of a group now.
-func (s *shop) ask(name string) Decision { return s.Admit(s.at, Request{Group: s.group(name)}) }
+// admit asks for a request of a group now.
+func (s *testLimiter) admit(name string) Decision {
+	return s.Admit(s.at, Request{Group: s.mustFind(name)})
+}
 
-// load has groups ask steadily for so many requests a second each, in turns, and returns how many were taken up.
-func (s *shop) load(forS float64, ratePS map[string]float64) map[string]float64 {
+// runLoad has groups ask steadily for so many requests a second each, in turns, and returns how many were taken up.
+func (s *testLimiter) runLoad(forS float64, ratePS map[string]float64) map[string]float64 {
 	type source struct {
 		name   string
 		every  float64
@@ -69,18 +71,18 @@
 		}
 		if first.name == "" {
 			s.at = end
-			s.audit()
+			s.requireBalanced()
 			return served
 		}
 		s.at = first.nextAt
 		first.nextAt += first.every
-		if s.ask(first.name).Allowed {
+		if s.admit(first.name).Allowed {
 			served[first.name]++
 		}
 	}
 }
 
-func (s *shop) audit() {
+func (s *testLimiter) requireBalanced() {
 	s.t.Helper()
 	worst, at := s.Audit(s.at)
 	require.Less(s.t, worst, 1e-3, at)
--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -20,15 +20,15 @@
 
 // Limiter decides who may take what. Calls come one at a time.
 type Limiter struct {
-	tree     *Tree
-	settings Settings
-	books    []*book // of the limits with a window
-	opens    []*openBook
-	now      float64
-	stats    []Stats // by group
-	refusals []Refusal
-	trees    int       // that there have been before this one
-	moved    [][]int32 // for the last of them: where their groups' open requests count now; -1: nowhere
+	tree       *Tree
+	settings   Settings
+	tables     []*accountTable // of the limits with a window
+	openCounts []*openCounts
+	now        float64
+	stats      []Stats // by group
+	refusals   []Refusal
+	treeNumber int       // that there have been before this one
+	groupMoves [][]int32 // for the last of them: where their groups' open requests count now; -1: nowhere
 }
 
 // Stats count a group's requests.
@@ -65,7 +65,7 @@
 
 // NewRequest returns a request of a group of the present tree.
 func (m *Limiter) NewRequest(g int32, bytes float64, floor bool) Request {
-	return Request{Group: g, Bytes: bytes, MayUseFloor: floor, tree: m.trees}
+	return Request{Group: g, Bytes: bytes, MayUseFloor: floor, tree: m.treeNumber}
 }
 
 // New returns a machine in which nothing has been used.
@@ -76,9 +76,9 @@
 	m := &Limiter{tree: t, settings: s, now: now, stats: make([]Stats, t.Len()), refusals: make([]Refusal, t.Len())}
 	for i, l := range t.Limits {
 		if l.Measure == Open {
-			m.books, m.opens = append(m.books, nil), append(m.opens, newOpenBook(t, i, &m.settings))
+			m.tables, m.openCounts = append(m.tables, nil), append(m.openCounts, newOpenCounts(t, i, &m.settings))
 		} else {
-			m.books, m.opens = append(m.books, newBook(t, i, &m.settings, now)), append(m.opens, nil)
+			m.tables, m.openCounts = append(m.tables, newAccountTable(t, i, &m.settings, now)), append(m.openCounts, nil)
 		}
 	}
 	for i := range m.refusals {
@@ -90,8 +90,8 @@
 // Tree returns the machine's tree.
 func (m *Limiter) Tree() *Tree { return m.tree }
 
-// clock takes a time. One that is before the last, or no number, counts as the last.
-func (m *Limiter) clock(now float64) float64 {
+// advance takes a time. One that is before the last, or no number, counts as the last.
+func (m *Limiter) advance(now float64) float64 {
 	if now > m.now && !math.IsInf(now, 1) {
 		m.now = now
 	}
@@ -101,13 +101,13 @@
 // cost returns what a request costs of a measure before it is taken up, and what must be there for it. Danger: a message
 // that is larger than all that an account can hold would never be taken up; so what comes in bytes or work may be
 // overdrawn, and the debt counts.
-func (b *book) cost(q *Request) (cost, need float64) {
+func (b *accountTable) cost(q *Request) (cost, need float64) {
 	switch b.limit.Measure {
 	case Requests:
 		return 1, 1
 	case Bytes:
-		c := &b.cells[q.Group]
-		return q.Bytes, min(max(q.Bytes, 1), max(c.Depth-c.Reserve, 1))
+		c := &b.accounts[q.Group]
+		return q.Bytes, min(max(q.Bytes, 1), max(c.Capacity-c.Reserve, 1))
 	default:
 		return 0, 1e-3
 	}
@@ -115,32 +115,32 @@
 
 // Admit decides on a request and books what it costs so far. It takes nothing where it refuses.
 func (m *Limiter) Admit(now float64, q Request) Decision {
-	now = m.clock(now)
-	q.tree = m.trees
+	now = m.advance(now)
+	q.tree = m.treeNumber
 	v := Decision{Allowed: true}
-	for i, b := range m.books {
+	for i, b := range m.tables {
 		if b == nil {
-			if after := m.opens[i].refuses(q.Group, q.MayUseFloor); after > 0 && after > v.RetryAfterSeconds {
+			if after := m.openCounts[i].waitSeconds(q.Group, q.MayUseFloor); after > 0 && after > v.RetryAfterSeconds {
 				v = Decision{Limit: i, RetryAfterSeconds: after}
-				m.refuse(i, after, 1, 0, false, &q)
+				m.recordRefusal(i, after, 1, 0, false, &q)
 			}
 			continue
 		}
-		b.fire(now, mostFired, m.settings.StretchFraction)
+		b.processDue(now, maxDuePerCall, m.settings.StretchFraction)
 		cost, need := b.cost(&q)
 		b.settleChain(q.Group, now)
 		if m.settings.StretchFraction > 0 {
-			b.want(q.Group, max(cost, need), m.settings.StretchFraction, now)
+			b.recordDemand(q.Group, max(cost, need), m.settings.StretchFraction, now)
 		}
-		after, lacks, capped := b.capped(q.Group, need, now), 0.0, true
+		after, lacks, capped := b.capWaitSeconds(q.Group, need, now), 0.0, true
 		if after == 0 {
-			if lacks = b.lacks(q.Group, need, q.MayUseFloor, now); lacks > 0 {
-				after, capped = b.wait(q.Group, need, q.MayUseFloor), false
+			if lacks = b.shortfall(q.Group, need, q.MayUseFloor, now); lacks > 0 {
+				after, capped = b.retryAfterSeconds(q.Group, need, q.MayUseFloor), false
 			}
 		}
 		if after > v.RetryAfterSeconds {
 			v = Decision{Limit: i, RetryAfterSeconds: after}
-			m.refuse(i, after, lacks, b.cells[q.Group].Level, capped, &q)
+			m.recordRefusal(i, after, lacks, b.accounts[q.Group].Level, capped, &q)
 		}
 	}
 	if !v.Allowed {
@@ -148,35 +148,35 @@
 		return v
 	}
 	m.stats[q.Group].Served++
-	for i, b := range m.books {
+	for i, b := range m.tables {
 		if b == nil {
-			m.opens[i].add(q.Group, 1)
+			m.openCounts[i].add(q.Group, 1)
 		} else if cost, _ := b.cost(&q); cost > 0 {
-			b.take(q.Group, cost, q.MayUseFloor, now)
+			b.charge(q.Group, cost, q.MayUseFloor, now)
 		}
 	}
 	return v
 }
 
-// refuse remembers why.
-func (m *Limiter) refuse(limit int, afterS, lacks, own float64, capped bool, q *Request) {
+// recordRefusal remembers why.
+func (m *Limiter) recordRefusal(limit int, afterS, lacks, own float64, capped bool, q *Request) {
 	m.refusals[q.Group] = Refusal{At: m.now, Limit: int32(limit), Capped: capped, Lacked: lacks, AfterS: afterS, Own: own}
 }
 
 // Complete notes that a request that has been taken up is answered, after a time, with an answer of so many bytes that took
 // so much work. What they cost may go beyond what is there; the debt counts.
 func (m *Limiter) Complete(now float64, q Request, afterS, bytes, workS float64) {
-	now = m.clock(now)
-	if q.Group = m.present(&q); q.Group < 0 {
+	now = m.advance(now)
+	if q.Group = m.presentGroup(&q); q.Group < 0 {
 		return
 	}
-	for i, b := range m.books {
+	for i, b := range m.tables {
 		amount := 0.0
 		switch m.tree.Limits[i].Measure {
 		case Open:
-			if o := m.opens[i]; q.tree >= o.since { // what was open before has not been counted
+			if o := m.openCounts[i]; q.tree >= o.sinceTree { // what was open before has not been counted
 				o.add(q.Group, -1)
-				o.held(afterS)
+				o.recordDuration(afterS)
 			}
 			continue
 		case Bytes:
@@ -186,7 +186,7 @@
 		}
 		if amount > 0 && m.tree.AcceptsRequests(q.Group) {
 			b.settleChain(q.Group, now)
-			b.take(q.Group, amount, q.MayUseFloor, now)
+			b.charge(q.Group, amount, q.MayUseFloor, now)
 		}
 	}
 }
--- a/internal/decide/quota/open.go
+++ b/internal/decide/quota/open.go
@@ -2,22 +2,22 @@
 
 import "math"
 
-// openBook counts open requests. What is lent of them comes back when a request is answered, so nothing is owed: a group
+// openCounts counts open requests. What is lent of them comes back when a request is answered, so nothing is owed: a group
 // may always have its own, and what others leave of an ancestor's. Danger: a lender that asks for its own while it is
 // lent gets it at once, and for as long as the borrowers' requests last there are more open than the quota says.
-type openBook struct {
-	tree  *Tree
-	open  []int32
-	quota []float64
-	caps  []float64
-	most  []int32
-	since int // from which of the machine's trees on it has counted
-	meanS float64
+type openCounts struct {
+	tree        *Tree
+	open        []int32
+	quota       []float64
+	caps        []float64
+	peak        []int32
+	sinceTree   int // from which of the machine's trees on it has counted
+	meanSeconds float64
 }
 
-func newOpenBook(t *Tree, i int, s *Settings) *openBook {
-	o := &openBook{tree: t, open: make([]int32, t.Len()), most: make([]int32, t.Len()), quota: make([]float64, t.Len()), caps: make([]float64, t.Len()),
-		meanS: 0.1}
+func newOpenCounts(t *Tree, i int, s *Settings) *openCounts {
+	o := &openCounts{tree: t, open: make([]int32, t.Len()), peak: make([]int32, t.Len()), quota: make([]float64, t.Len()), caps: make([]float64, t.Len()),
+		meanSeconds: 0.1}
 	part := 1 / float64(max(s.Replicas, 1))
 	for n := range t.nodes {
 		o.quota[n], o.caps[n] = t.nodes[n].quota[i]*part, math.Inf(1)
@@ -29,13 +29,13 @@
 	return o
 }
 
-// refuses returns after what time a group could have one more open, 0: now.
-func (o *openBook) refuses(g int32, floor bool) float64 {
+// waitSeconds returns after what time a group could have one more open, 0: now.
+func (o *openCounts) waitSeconds(g int32, floor bool) float64 {
 	free := false
 	for n := g; n >= 0; n = o.tree.nodes[n].parent {
 		next, t := float64(o.open[n]+1), &o.tree.nodes[n]
 		if next > o.caps[n]+1e-9 {
-			return max(o.meanS/float64(max(o.open[n], 1)), 1e-3)
+			return max(o.meanSeconds/float64(max(o.open[n], 1)), 1e-3)
 		}
 		quota := o.quota[n]
 		if !floor {
@@ -46,15 +46,15 @@
 	if free {
 		return 0
 	}
-	return max(o.meanS/float64(max(o.open[0], 1)), 1e-3)
+	return max(o.meanSeconds/float64(max(o.open[0], 1)), 1e-3)
 }
 
-func (o *openBook) add(g, n int32) {
+func (o *openCounts) add(g, n int32) {
 	for at := g; at >= 0; at = o.tree.nodes[at].parent {
 		o.open[at] += n
-		o.most[at] = max(o.most[at], o.open[at])
+		o.peak[at] = max(o.peak[at], o.open[at])
 	}
 }
 
-// held notes how long a request was open.
-func (o *openBook) held(s float64) { o.meanS += 0.02 * (s - o.meanS) }
+// recordDuration notes how long a request was open.
+func (o *openCounts) recordDuration(s float64) { o.meanSeconds += 0.02 * (s - o.meanSeconds) }
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -44,25 +44,25 @@
 	return tr
 }
 
-// event is one thing that happens to a machine.
-type event struct {
+// testEvent is one thing that happens to a machine.
+type testEvent struct {
 	at    float64
 	q     Request
 	bytes float64 // of the answer
 }
 
-func drawEvents(t *rapid.T, tr *Tree) []event {
+func drawEvents(t *rapid.T, tr *Tree) []testEvent {
 	var leaves []int32
 	for g := range int32(tr.Len()) {
 		if tr.AcceptsRequests(g) {
 			leaves = append(leaves, g)
 		}
 	}
-	at := began
-	var all []event
+	at := startTime
+	var all []testEvent
 	for range rapid.IntRange(1, 25).Draw(t, "phases") {
 		at += rapid.SampledFrom([]float64{0, 0.5, 8, 100, 4000, -50}).Draw(t, "silence")
-		e := event{q: Request{Group: rapid.SampledFrom(leaves).Draw(t, "group"), Bytes: rapid.Float64Range(0, 3000).Draw(t, "bytes"),
+		e := testEvent{q: Request{Group: rapid.SampledFrom(leaves).Draw(t, "group"), Bytes: rapid.Float64Range(0, 3000).Draw(t, "bytes"),
 			MayUseFloor: rapid.Bool().Draw(t, "floor")}, bytes: rapid.Float64Range(0, 3000).Draw(t, "answer")}
 		other := rapid.SampledFrom(leaves).Draw(t, "other")
 		gap := rapid.SampledFrom([]float64{0, 0.001, 0.03, 0.7}).Draw(t, "gap")
@@ -77,7 +77,7 @@
 	return all
 }
 
-func (e *event) play(m *Limiter) Decision {
+func (e *testEvent) replay(m *Limiter) Decision {
 	q := m.NewRequest(e.q.Group, e.q.Bytes, e.q.MayUseFloor)
 	v := m.Admit(e.at, q)
 	if v.Allowed {
@@ -87,14 +87,14 @@
 }
 
 // Whatever happens the books agree, no token is used that has not come in, and no cap is passed by more than one answer.
-func TestBooksAgree(t *testing.T) {
+func TestAccountsBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
-		m := New(tr, Settings{RepayFraction: rapid.Float64Range(0, 1).Draw(t, "repay"), FadeSeconds: rapid.Float64Range(10, 1e5).Draw(t, "fade")}, began)
+		m := New(tr, Settings{RepayFraction: rapid.Float64Range(0, 1).Draw(t, "repay"), FadeSeconds: rapid.Float64Range(10, 1e5).Draw(t, "fade")}, startTime)
 		first := m.State()
-		late := began
+		late := startTime
 		for i, e := range drawEvents(t, tr) {
-			v := e.play(m)
+			v := e.replay(m)
 			if late = max(late, e.at); !v.Allowed && (v.RetryAfterSeconds <= 0 || v.RetryAfterSeconds > 31*86400) {
 				t.Fatalf("refused for %g s", v.RetryAfterSeconds)
 			}
@@ -111,20 +111,20 @@
 				slack = 6001 // a request and its answer may pass what is there
 			}
 			stored, owed := 0.0, 0.0
-			for n := range m.books[l].cells {
-				stored += first.Books[l].cells[n].Level
-				if c := &m.books[l].cells[n]; c.Level < 0 {
+			for n := range m.tables[l].accounts {
+				stored += first.Books[l].accounts[n].Level
+				if c := &m.tables[l].accounts[n]; c.Level < 0 {
 					owed -= c.Level
 				}
 			}
-			root := &m.books[l].cells[0]
-			most := limit.Quota/limit.WindowSeconds*(late-began) + stored + owed
+			root := &m.tables[l].accounts[0]
+			most := limit.Quota/limit.WindowSeconds*(late-startTime) + stored + owed
 			if root.Tally.Used > most*(1+1e-9)+1e-3 {
 				t.Fatalf("%s: %g is used of %g that there was", limit.Name(), root.Tally.Used, most)
 			}
-			for n := range m.books[l].cells {
-				c := &m.books[l].cells[n]
-				if c.CapRate < 1e300 && c.Tally.Used > c.CapRate*(late-began+limit.WindowSeconds)+slack {
+			for n := range m.tables[l].accounts {
+				c := &m.tables[l].accounts[n]
+				if c.CapRate < 1e300 && c.Tally.Used > c.CapRate*(late-startTime+limit.WindowSeconds)+slack {
 					t.Fatalf("%s of %s: %g is used beyond its cap", limit.Name(), tr.Path(int32(n)), c.Tally.Used)
 				}
 			}
@@ -133,11 +133,11 @@
 }
 
 // The same events give the same answers, and so they do after a restart in their midst.
-func TestSnapshotGoesOnTheSame(t *testing.T) {
+func TestRestoredLimiterBehavesTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
 		s := Settings{RepayFraction: 0.1, Replicas: rapid.IntRange(1, 3).Draw(t, "replicas"), StretchFraction: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "stretch")}
-		one, two := New(tr, s, began), New(tr, s, began)
+		one, two := New(tr, s, startTime), New(tr, s, startTime)
 		events := drawEvents(t, tr)
 		restart := rapid.IntRange(0, len(events)-1).Draw(t, "restart")
 		for i, e := range events {
@@ -148,7 +148,7 @@
 				require.NoError(t, err)
 				two = Restore(tr, s, st, two.now)
 			}
-			if x, y := e.play(one), e.play(two); x != y {
+			if x, y := e.replay(one), e.replay(two); x != y {
 				t.Fatalf("event %d: %+v and after a restart %+v", i, x, y)
 			}
 		}
@@ -156,21 +156,21 @@
 }
 
 // Once nobody asks for anything debts end, and so do claims but for what lies in the pools.
-func TestDebtsEnd(t *testing.T) {
+func TestDebtsFade(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
-		m := New(tr, Settings{RepayFraction: 0.2, FadeSeconds: 600}, began)
-		late := began
+		m := New(tr, Settings{RepayFraction: 0.2, FadeSeconds: 600}, startTime)
+		late := startTime
 		for _, e := range drawEvents(t, tr) {
-			e.play(m)
+			e.replay(m)
 			late = max(late, e.at)
 		}
 		m.Audit(late + 40*600)
-		for l, b := range m.books {
-			for n := range b.cells {
-				c, held := &b.cells[n], 0.0
+		for l, b := range m.tables {
+			for n := range b.accounts {
+				c, held := &b.accounts[n], 0.0
 				for p := tr.Parent(int32(n)); p >= 0; p = tr.Parent(p) {
-					held += b.cells[p].Level
+					held += b.accounts[p].Level
 				}
 				if c.Balance < -1e-3*(1+c.Tally.Used) || c.Balance > held+0.01*(1+c.Tally.Used) {
 					t.Fatalf("%s of %s: a balance of %g is left, and there is %g", tr.Limits[l].Name(), tr.Path(int32(n)), c.Balance, held)
@@ -181,14 +181,14 @@
 }
 
 // The tree changes again and again while there are loans and requests out.
-func TestReplacedTreesKeepTheBooks(t *testing.T) {
+func TestNewTreeKeepsAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(drawTree(t), Settings{RepayFraction: 0.1}, began)
-		late := began
+		m := New(drawTree(t), Settings{RepayFraction: 0.1}, startTime)
+		late := startTime
 		for range 3 {
 			for _, e := range drawEvents(t, m.tree) {
-				e.at += late - began
-				e.play(m)
+				e.at += late - startTime
+				e.replay(m)
 				late = max(late, e.at)
 			}
 			m = m.WithTree(late, drawTree(t), Settings{RepayFraction: 0.1})
@@ -200,18 +200,18 @@
 	})
 }
 
-func TestManyGroupsAndStrangers(t *testing.T) {
-	tr := bigTree(t, 100_000, 4)
-	m := New(tr, Settings{RepayFraction: 0.1}, began)
-	leaves := leavesOf(tr)
+func TestManyGroups(t *testing.T) {
+	tr := newLargeTree(t, 100_000, 4)
+	m := New(tr, Settings{RepayFraction: 0.1}, startTime)
+	leaves := leaves(tr)
 	served := 0
 	for i := range 100_000 {
-		if m.Admit(began+float64(i)*2e-4, Request{Group: leaves[i*7919%len(leaves)]}).Allowed {
+		if m.Admit(startTime+float64(i)*2e-4, Request{Group: leaves[i*7919%len(leaves)]}).Allowed {
 			served++
 		}
 	}
 	assert.Greater(t, served, 75_000)
-	worst, at := m.Audit(began + 30)
+	worst, at := m.Audit(startTime + 30)
 	assert.Less(t, worst, 1e-3, at)
 	_, found := tr.Find("nobody-knows-me")
 	assert.False(t, found)
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -9,23 +9,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair is a tree of two equal groups that share 100 requests a second.
-func pair(t testing.TB) *shop {
-	return newShop(t, tree(t, []Limit{perSecond(100)}, Group{Name: "a", Share: 50}, Group{Name: "b", Share: 50}))
+// newPair is a tree of two equal groups that share 100 requests a second.
+func newPair(t testing.TB) *testLimiter {
+	return newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "a", Share: 50}, Group{Name: "b", Share: 50}))
 }
 
-func TestIdleLendsAndIsPaidBack(t *testing.T) {
-	s := pair(t)
-	got := s.load(600, map[string]float64{"a": 200})
+func TestIdleGroupLendsAndIsRepaid(t *testing.T) {
+	s := newPair(t)
+	got := s.runLoad(600, map[string]float64{"a": 200})
 	assert.InDelta(t, 60000, got["a"], 600, "what b leaves is lent")
 	_, owed := s.Tally(1, 0)
 	assert.InDelta(t, -30000, owed, 600)
 
-	got = s.load(600, map[string]float64{"a": 200, "b": 200})
+	got = s.runLoad(600, map[string]float64{"a": 200, "b": 200})
 	assert.InDelta(t, 33000, got["b"], 600, "b has its own, and a tenth of a's")
 	assert.InDelta(t, 60000, got["a"]+got["b"], 600)
 
-	s.load(2*3600, map[string]float64{"a": 60, "b": 60})
+	s.runLoad(2*3600, map[string]float64{"a": 60, "b": 60})
 	a, owed := s.Tally(1, 0)
 	_, claim := s.Tally(2, 0)
 	assert.InDelta(t, 0, owed, 1, "debts end")
@@ -33,36 +33,36 @@
 	assert.InDelta(t, a.Borrowed, a.Repaid+a.Forgiven, 1)
 }
 
-func TestTheLenderHasItsOwnWithinOneShortWindow(t *testing.T) {
-	s := pair(t)
-	s.load(600, map[string]float64{"a": 1000})
-	got := s.load(10, map[string]float64{"a": 1000, "b": 200})
+func TestLenderGetsItsShareWithinOneWindow(t *testing.T) {
+	s := newPair(t)
+	s.runLoad(600, map[string]float64{"a": 1000})
+	got := s.runLoad(10, map[string]float64{"a": 1000, "b": 200})
 	assert.GreaterOrEqual(t, got["b"], 500.0, "its quota of one window, whatever a has borrowed")
-	got = s.load(10, map[string]float64{"a": 1000, "b": 200})
+	got = s.runLoad(10, map[string]float64{"a": 1000, "b": 200})
 	assert.GreaterOrEqual(t, got["b"], 495.0, "and of the next, out of what comes in")
 }
 
-func TestWeightsAmongEquals(t *testing.T) {
-	s := newShop(t, tree(t, []Limit{perSecond(100)}, Group{Name: "a", Share: 10, Weight: 3}, Group{Name: "b", Share: 10},
+func TestWeightsDivideLoans(t *testing.T) {
+	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "a", Share: 10, Weight: 3}, Group{Name: "b", Share: 10},
 		Group{Name: "none", Share: 10, Weight: 0}, Group{Name: "idle", Share: 70}))
-	s.load(60, map[string]float64{"a": 100, "b": 500}) // buckets are empty then
-	got := s.load(600, map[string]float64{"a": 100, "b": 500})
+	s.runLoad(60, map[string]float64{"a": 100, "b": 500}) // buckets are empty then
+	got := s.runLoad(600, map[string]float64{"a": 100, "b": 500})
 	assert.InDelta(t, 6000+3.0/4*48000, got["a"], 1500, "three parts of four, though b asks more")
 	assert.InDelta(t, 60000, got["a"]+got["b"], 600)
 }
 
-func TestWeightOfNothingTakesWhatNobodyWants(t *testing.T) {
-	tr, err := NewTree([]Limit{perSecond(100)}, []Group{{Name: "a", Share: 10, Weight: 0}, {Name: "b", Share: 10, Weight: 1}, {Name: "idle", Share: 80, Weight: 1}})
+func TestZeroWeightGetsOnlyUnwantedTokens(t *testing.T) {
+	tr, err := NewTree([]Limit{requestsPerSecond(100)}, []Group{{Name: "a", Share: 10, Weight: 0}, {Name: "b", Share: 10, Weight: 1}, {Name: "idle", Share: 80, Weight: 1}})
 	require.NoError(t, err)
-	s := newShop(t, tr)
-	s.load(60, map[string]float64{"a": 300, "b": 300})
-	got := s.load(600, map[string]float64{"a": 300, "b": 300})
+	s := newTestLimiter(t, tr)
+	s.runLoad(60, map[string]float64{"a": 300, "b": 300})
+	got := s.runLoad(600, map[string]float64{"a": 300, "b": 300})
 	assert.InDelta(t, 6000, got["a"], 1500, "while b wants it all")
-	got = s.load(600, map[string]float64{"a": 300})
+	got = s.runLoad(600, map[string]float64{"a": 300})
 	assert.InDelta(t, 60000, got["a"], 1500, "and then all of it")
 }
 
-func TestAllBorrowFromOneAndEachHasItsPart(t *testing.T) {
+func TestManyBorrowersShareOneLender(t *testing.T) {
 	groups := []Group{{Name: "giver", Share: 80}}
 	rates := map[string]float64{}
 	for i := range 10 {
@@ -70,9 +70,9 @@
 		groups = append(groups, Group{Name: name, Share: 2})
 		rates[name] = 12 + 8*float64(i)
 	}
-	s := newShop(t, tree(t, []Limit{perSecond(100)}, groups...))
-	s.load(60, rates)
-	got := s.load(600, rates)
+	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, groups...))
+	s.runLoad(60, rates)
+	got := s.runLoad(600, rates)
 	total := 0.0
 	for name, n := range got {
 		assert.InDelta(t, 6000, n, 400, name)
@@ -81,131 +81,131 @@
 	assert.InDelta(t, 60000, total, 600, "nothing is lent twice, and nothing is lost")
 }
 
-// line is a tree in which c may borrow over three levels: from its sibling, its uncle, and its great-uncle.
-func line(t testing.TB) *shop {
-	return newShop(t, tree(t, []Limit{perSecond(100)}, Group{Name: "north", Share: 50}, Group{Name: "south", Share: 50},
+// newChain is a tree in which c may borrow over three levels: from its sibling, its uncle, and its great-uncle.
+func newChain(t testing.TB) *testLimiter {
+	return newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "north", Share: 50}, Group{Name: "south", Share: 50},
 		Group{Name: "city", Parent: "north", Share: 50}, Group{Name: "plain", Parent: "north", Share: 50},
 		Group{Name: "c", Parent: "city", Share: 50}, Group{Name: "d", Parent: "city", Share: 50}))
 }
 
-func TestChainsOfLoansOverThreeLevels(t *testing.T) {
-	s := line(t)
-	got := s.load(3600, map[string]float64{"c": 200})
+func TestLoansCrossThreeLevels(t *testing.T) {
+	s := newChain(t)
+	got := s.runLoad(3600, map[string]float64{"c": 200})
 	assert.InDelta(t, 360000, got["c"], 3600)
 	for name, owes := range map[string]float64{"c": 87.5, "city": 75, "north": 50} {
-		_, balance := s.Tally(s.group(name), 0)
+		_, balance := s.Tally(s.mustFind(name), 0)
 		assert.Negative(t, balance, name)
-		y, _ := s.Tally(s.group(name), 0)
+		y, _ := s.Tally(s.mustFind(name), 0)
 		assert.InDelta(t, owes*3600, y.Borrowed-y.Repaid, 3600*owes*0.02, name)
 	}
 	// The nearest goes first: as long as its sibling's part is enough, nobody else's is touched.
-	s = line(t)
-	s.load(100, map[string]float64{"c": 24, "d": 1, "plain": 24, "south": 49})
-	s.load(600, map[string]float64{"c": 22, "plain": 24, "south": 49})
-	north, _ := s.Tally(s.group("north"), 0)
+	s = newChain(t)
+	s.runLoad(100, map[string]float64{"c": 24, "d": 1, "plain": 24, "south": 49})
+	s.runLoad(600, map[string]float64{"c": 22, "plain": 24, "south": 49})
+	north, _ := s.Tally(s.mustFind("north"), 0)
 	assert.Less(t, north.Borrowed, 40.0)
 	// When they wake, each has its own at once.
-	got = s.load(10, map[string]float64{"c": 200, "d": 25, "plain": 50, "south": 100})
+	got = s.runLoad(10, map[string]float64{"c": 200, "d": 25, "plain": 50, "south": 100})
 	assert.GreaterOrEqual(t, got["d"], 124.0)
 	assert.GreaterOrEqual(t, got["plain"], 249.0)
 	assert.GreaterOrEqual(t, got["south"], 499.0)
 }
 
-func TestRepaymentsGoUpToWhoHasLent(t *testing.T) {
-	s := newShop(t, tree(t, []Limit{perSecond(100)}, Group{Name: "north", Share: 50}, Group{Name: "south", Share: 50},
+func TestRepaymentsReachTheLender(t *testing.T) {
+	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "north", Share: 50}, Group{Name: "south", Share: 50},
 		Group{Name: "city", Parent: "north", Share: 100}, Group{Name: "c", Parent: "city", Share: 100}))
-	s.load(600, map[string]float64{"c": 200})
-	got := s.load(600, map[string]float64{"c": 200, "south": 200})
+	s.runLoad(600, map[string]float64{"c": 200})
+	got := s.runLoad(600, map[string]float64{"c": 200, "south": 200})
 	assert.InDelta(t, 33000, got["south"], 600, "its own, and what c pays, over three levels")
 	assert.InDelta(t, 27000, got["c"], 600)
 }
 
-func TestWhatComesBackToItsGiverIsNoLoan(t *testing.T) {
-	s := line(t)
-	s.load(600, map[string]float64{"south": 90}) // it borrows what c and d leave, over three levels
-	_, owed := s.Tally(s.group("south"), 0)
-	_, claim := s.Tally(s.group("c"), 0)
+func TestOwnDepositIsNoLoan(t *testing.T) {
+	s := newChain(t)
+	s.runLoad(600, map[string]float64{"south": 90}) // it borrows what c and d leave, over three levels
+	_, owed := s.Tally(s.mustFind("south"), 0)
+	_, claim := s.Tally(s.mustFind("c"), 0)
 	require.Less(t, owed, -10000.0)
 	require.Greater(t, claim, 1000.0)
-	got := s.load(600, map[string]float64{"c": 90})
+	got := s.runLoad(600, map[string]float64{"c": 90})
 	assert.Greater(t, got["c"], 600*85.0)
-	c, balance := s.Tally(s.group("c"), 0)
+	c, balance := s.Tally(s.mustFind("c"), 0)
 	assert.InEpsilon(t, claim, c.Returned+c.Expired, 0.03, "first it has back what it gave")
 	assert.Negative(t, balance, "then it borrows")
-	_, south := s.Tally(s.group("south"), 0)
+	_, south := s.Tally(s.mustFind("south"), 0)
 	assert.Greater(t, south, 0.0, "and south, which owed, has paid all back and is a lender")
 }
 
-func TestTheBorrowerDisappears(t *testing.T) {
-	s := newShop(t, tree(t, []Limit{perSecond(100)}, Group{Name: "a", Share: 40}, Group{Name: "b", Share: 40}, Group{Name: "c", Share: 20}))
-	s.load(600, map[string]float64{"a": 200})
-	_, claim := s.Tally(s.group("b"), 0)
+func TestBorrowerStopsAsking(t *testing.T) {
+	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "a", Share: 40}, Group{Name: "b", Share: 40}, Group{Name: "c", Share: 20}))
+	s.runLoad(600, map[string]float64{"a": 200})
+	_, claim := s.Tally(s.mustFind("b"), 0)
 	require.Greater(t, claim, 20000.0)
-	taken := s.NewRequest(s.group("a"), 0, false)
+	taken := s.NewRequest(s.mustFind("a"), 0, false)
 
-	s.Limiter = s.WithTree(s.at, tree(t, []Limit{perSecond(100)}, Group{Name: "b", Share: 60}, Group{Name: "c", Share: 40}), Settings{RepayFraction: usualRepay})
-	s.audit()
+	s.Limiter = s.WithTree(s.at, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "b", Share: 60}, Group{Name: "c", Share: 40}), Settings{RepayFraction: testRepayFraction})
+	s.requireBalanced()
 	s.Complete(s.at, taken, 1, 0, 0) // what it had out ends when it is gone
-	_, left := s.Tally(s.group("b"), 0)
+	_, left := s.Tally(s.mustFind("b"), 0)
 	assert.InDelta(t, claim, left, 1, "its lenders' claims stand")
-	got := s.load(600, map[string]float64{"b": 100, "c": 100})
+	got := s.runLoad(600, map[string]float64{"b": 100, "c": 100})
 	assert.InDelta(t, 60000, got["b"]+got["c"], 2000, "but no more is taken than there is")
-	s.load(3*DefaultFadeSeconds, map[string]float64{"b": 10, "c": 10})
-	_, left = s.Tally(s.group("b"), 0)
+	s.runLoad(3*DefaultFadeSeconds, map[string]float64{"b": 10, "c": 10})
+	_, left = s.Tally(s.mustFind("b"), 0)
 	assert.Less(t, left, claim/10, "and they end")
 }
 
-func TestTheFileChangesWhileLoansAreOut(t *testing.T) {
-	s := pair(t)
-	s.load(600, map[string]float64{"a": 200})
+func TestTreeChangesWhileLoansAreOut(t *testing.T) {
+	s := newPair(t)
+	s.runLoad(600, map[string]float64{"a": 200})
 	tallied, owed := s.Tally(1, 0)
-	next := tree(t, []Limit{perSecond(200), {Bytes, 60, 1e6}}, Group{Name: "new", Share: 20}, Group{Name: "b", Share: 40},
+	next := newTestTree(t, []Limit{requestsPerSecond(200), {Bytes, 60, 1e6}}, Group{Name: "new", Share: 20}, Group{Name: "b", Share: 40},
 		Group{Name: "a", Share: 40}, Group{Name: "x", Parent: "a", Share: 50}) // a has become a group of groups
-	s.Limiter = s.WithTree(s.at, next, Settings{RepayFraction: usualRepay})
-	s.audit()
-	now, still := s.Tally(s.group("a"), 0)
+	s.Limiter = s.WithTree(s.at, next, Settings{RepayFraction: testRepayFraction})
+	s.requireBalanced()
+	now, still := s.Tally(s.mustFind("a"), 0)
 	assert.Equal(t, owed, still)
 	assert.Equal(t, tallied, now)
-	s.load(600, map[string]float64{"x": 300, "b": 300, "new": 300})
-	_, still = s.Tally(s.group("a"), 0)
+	s.runLoad(600, map[string]float64{"x": 300, "b": 300, "new": 300})
+	_, still = s.Tally(s.mustFind("a"), 0)
 	assert.Greater(t, still, owed, "it pays on")
-	s.Limiter = s.WithTree(s.at, tree(t, []Limit{perSecond(100)}, Group{Name: "a", Share: 50}, Group{Name: "b", Share: 50}), Settings{RepayFraction: usualRepay})
-	s.audit()
-	got := s.load(600, map[string]float64{"a": 50, "b": 50})
+	s.Limiter = s.WithTree(s.at, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "a", Share: 50}, Group{Name: "b", Share: 50}), Settings{RepayFraction: testRepayFraction})
+	s.requireBalanced()
+	got := s.runLoad(600, map[string]float64{"a": 50, "b": 50})
 	assert.Greater(t, got["b"], 29000.0)
 }
 
 func TestShortAndLongWindows(t *testing.T) {
 	limits := []Limit{{Requests, 10, 100}, {Requests, 3600, 7200}}
-	s := newShop(t, tree(t, limits, Group{Name: "a", Share: 100}))
+	s := newTestLimiter(t, newTestTree(t, limits, Group{Name: "a", Share: 100}))
 	for range 100 {
-		require.True(t, s.ask("a").Allowed)
+		require.True(t, s.admit("a").Allowed)
 	}
-	v := s.ask("a")
+	v := s.admit("a")
 	assert.False(t, v.Allowed)
 	assert.Equal(t, 0, v.Limit, "the short one is used up, the long one is open")
 	assert.InDelta(t, 0.1, v.RetryAfterSeconds, 0.01)
 	s.at += v.RetryAfterSeconds
-	assert.True(t, s.ask("a").Allowed, "when it was said")
+	assert.True(t, s.admit("a").Allowed, "when it was said")
 
-	s.load(1200, map[string]float64{"a": 10})
-	v = s.ask("a")
+	s.runLoad(1200, map[string]float64{"a": 10})
+	v = s.admit("a")
 	require.False(t, v.Allowed)
 	assert.Equal(t, 1, v.Limit, "the long one is used up")
 	s.at += 0.4
-	for !s.ask("a").Allowed {
+	for !s.admit("a").Allowed {
 		s.at += 0.01
 	}
-	assert.Positive(t, s.books[0].cells[1].Level, "while the short one is open")
-	got := s.load(3600, map[string]float64{"a": 10})
+	assert.Positive(t, s.tables[0].accounts[1].Level, "while the short one is open")
+	got := s.runLoad(3600, map[string]float64{"a": 10})
 	assert.InDelta(t, 7200, got["a"], 10, "what comes in with the long one")
 }
 
-func TestTheClockStandsJumpsAndGoesBack(t *testing.T) {
-	s := pair(t)
+func TestClockStopsJumpsAndGoesBack(t *testing.T) {
+	s := newPair(t)
 	served := 0
 	for range 10000 { // it stands
-		if s.ask("a").Allowed {
+		if s.admit("a").Allowed {
 			served++
 		}
 	}
@@ -213,47 +213,47 @@
 	s.at += 3600 // the machine slept
 	served = 0
 	for range 10000 {
-		if s.ask("a").Allowed {
+		if s.admit("a").Allowed {
 			served++
 		}
 	}
 	assert.InDelta(t, 500+125, served, 1, "the bucket and the pool, not an hour's worth")
-	s.audit()
+	s.requireBalanced()
 	before := s.at
 	s.at -= 7200
-	assert.False(t, s.ask("a").Allowed)
+	assert.False(t, s.admit("a").Allowed)
 	s.at = math.NaN()
-	assert.False(t, s.ask("a").Allowed)
+	assert.False(t, s.admit("a").Allowed)
 	s.at = before
-	got := s.load(60, map[string]float64{"a": 40, "b": 40})
+	got := s.runLoad(60, map[string]float64{"a": 40, "b": 40})
 	assert.InDelta(t, 2400, got["a"], 30)
 	assert.InDelta(t, 2400, got["b"], 30)
 }
 
 func TestQuotaBelowOneRequestAWindow(t *testing.T) {
-	s := newShop(t, tree(t, []Limit{{Requests, 10, 0.5}}, Group{Name: "a", Share: 50}, Group{Name: "b", Share: 50}))
-	got := s.load(4000, map[string]float64{"a": 5, "b": 5})
+	s := newTestLimiter(t, newTestTree(t, []Limit{{Requests, 10, 0.5}}, Group{Name: "a", Share: 50}, Group{Name: "b", Share: 50}))
+	got := s.runLoad(4000, map[string]float64{"a": 5, "b": 5})
 	assert.InDelta(t, 100, got["a"], 4)
 	assert.InDelta(t, 100, got["b"], 4)
-	v := s.ask("a")
+	v := s.admit("a")
 	require.False(t, v.Allowed)
 	assert.LessOrEqual(t, v.RetryAfterSeconds, 45.0, "one request's time of its own, and what it pays back")
 }
 
 // Two groups want more than they have. One asks again at once, however often it is refused; the other waits as it is told.
-func TestRetriesEarnNoMoreThanWaiting(t *testing.T) {
-	s := newShop(t, tree(t, []Limit{perSecond(100)}, Group{Name: "hasty", Share: 20}, Group{Name: "patient", Share: 20}, Group{Name: "idle", Share: 60}))
+func TestRetryingGainsNothingOverWaiting(t *testing.T) {
+	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "hasty", Share: 20}, Group{Name: "patient", Share: 20}, Group{Name: "idle", Share: 60}))
 	var waiting [60]float64 // each of its clients has one request out, and sends the next when that is served
 	hasty, patient := 0, 0
 	for end := s.at + 120; s.at < end; s.at += 0.002 {
-		if s.ask("hasty").Allowed { // 500 a second
+		if s.admit("hasty").Allowed { // 500 a second
 			hasty++
 		}
 		for i := range waiting {
 			if s.at < waiting[i] {
 				continue
 			}
-			if v := s.ask("patient"); v.Allowed {
+			if v := s.admit("patient"); v.Allowed {
 				patient++
 				waiting[i] = s.at + 0.5
 			} else {
@@ -266,19 +266,19 @@
 }
 
 func TestCapsAreHeld(t *testing.T) {
-	s := newShop(t, tree(t, []Limit{perSecond(100)}, Group{Name: "a", Share: 20, Cap: 30}, Group{Name: "b", Share: 80}))
-	got := s.load(600, map[string]float64{"a": 200})
+	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "a", Share: 20, Cap: 30}, Group{Name: "b", Share: 80}))
+	got := s.runLoad(600, map[string]float64{"a": 200})
 	assert.LessOrEqual(t, got["a"], 30*600+300.0)
 	assert.GreaterOrEqual(t, got["a"], 30*600.0-5)
-	assert.True(t, s.Explain(s.at, s.group("a")).Capped)
+	assert.True(t, s.Explain(s.at, s.mustFind("a")).Capped)
 }
 
-func TestTheFloorIsNeverLent(t *testing.T) {
-	s := newShop(t, tree(t, []Limit{perSecond(100)}, Group{Name: "a", Share: 50, Floor: 10}, Group{Name: "b", Share: 50}))
-	s.load(60, map[string]float64{"a": 500, "b": 500}) // the batch of its own group, and another
+func TestFloorIsNeverLent(t *testing.T) {
+	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "a", Share: 50, Floor: 10}, Group{Name: "b", Share: 50}))
+	s.runLoad(60, map[string]float64{"a": 500, "b": 500}) // the batch of its own group, and another
 	alerts := 0
 	for range 200 {
-		if s.Admit(s.at, Request{Group: s.group("a"), MayUseFloor: true}).Allowed {
+		if s.Admit(s.at, Request{Group: s.mustFind("a"), MayUseFloor: true}).Allowed {
 			alerts++
 		}
 	}
@@ -287,20 +287,20 @@
 	for i := range 600 {
 		s.at += 0.1
 		for range 10 {
-			s.ask("a")
-			s.ask("b")
+			s.admit("a")
+			s.admit("b")
 		}
-		if i%3 == 0 && s.Admit(s.at, Request{Group: s.group("a"), MayUseFloor: true}).Allowed {
+		if i%3 == 0 && s.Admit(s.at, Request{Group: s.mustFind("a"), MayUseFloor: true}).Allowed {
 			alerts++
 		}
 	}
 	assert.Equal(t, 200, alerts, "and all that comes in, before others")
-	s.audit()
+	s.requireBalanced()
 }
 
-func TestBytesAreChargedAfterwards(t *testing.T) {
-	s := newShop(t, tree(t, []Limit{{Bytes, 10, 10000}, {Work, 60, 6}}, Group{Name: "a", Share: 100, Cap: 100}))
-	q := Request{Group: s.group("a"), Bytes: 100}
+func TestBytesAreChargedOnCompletion(t *testing.T) {
+	s := newTestLimiter(t, newTestTree(t, []Limit{{Bytes, 10, 10000}, {Work, 60, 6}}, Group{Name: "a", Share: 100, Cap: 100}))
+	q := Request{Group: s.mustFind("a"), Bytes: 100}
 	require.True(t, s.Admit(s.at, q).Allowed)
 	s.Complete(s.at, q, 0.1, 14900, 0.1)
 	v := s.Admit(s.at, q)
@@ -311,15 +311,15 @@
 	s.Complete(s.at, q, 0.1, 0, 60)
 	v = s.Admit(s.at+20, q)
 	assert.Equal(t, 1, v.Limit)
-	huge := Request{Group: s.group("a"), Bytes: 1e6}
+	huge := Request{Group: s.mustFind("a"), Bytes: 1e6}
 	s.at += 3600
 	assert.True(t, s.Admit(s.at, huge).Allowed, "one that is larger than any window is taken up where all is there")
 	assert.False(t, s.Admit(s.at, huge).Allowed)
 }
 
 func TestOpenRequests(t *testing.T) {
-	s := newShop(t, tree(t, []Limit{{Open, 0, 10}}, Group{Name: "a", Share: 50, Cap: 80}, Group{Name: "b", Share: 50, Floor: 20}))
-	a, b := s.NewRequest(s.group("a"), 0, false), s.NewRequest(s.group("b"), 0, false)
+	s := newTestLimiter(t, newTestTree(t, []Limit{{Open, 0, 10}}, Group{Name: "a", Share: 50, Cap: 80}, Group{Name: "b", Share: 50, Floor: 20}))
+	a, b := s.NewRequest(s.mustFind("a"), 0, false), s.NewRequest(s.mustFind("b"), 0, false)
 	for range 8 {
 		require.True(t, s.Admit(s.at, a).Allowed)
 	}
@@ -339,41 +339,41 @@
 		s.Complete(s.at, a, 0.1, 0, 0)
 	}
 	assert.True(t, s.Admit(s.at, b).Allowed, "what others leave")
-	next := tree(t, []Limit{{Open, 0, 10}}, Group{Name: "b", Share: 100})
+	next := newTestTree(t, []Limit{{Open, 0, 10}}, Group{Name: "b", Share: 100})
 	s.Limiter = s.WithTree(s.at, next, Settings{})
 	s.Complete(s.at, a, 0.1, 0, 0)
 	s.Complete(s.at, a, 0.1, 0, 0)
 	for range 6 {
 		s.Complete(s.at, b, 0.1, 0, 0)
 	}
-	assert.Equal(t, int32(0), s.opens[0].open[0], "whoever goes, nothing is left over")
+	assert.Equal(t, int32(0), s.openCounts[0].open[0], "whoever goes, nothing is left over")
 
 	// A limit that comes while requests are out has not counted them.
-	s = newShop(t, tree(t, []Limit{perSecond(1)}, Group{Name: "a", Share: 100}))
-	q := s.NewRequest(s.group("a"), 0, false)
+	s = newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(1)}, Group{Name: "a", Share: 100}))
+	q := s.NewRequest(s.mustFind("a"), 0, false)
 	require.True(t, s.Admit(s.at, q).Allowed)
-	s.Limiter = s.WithTree(s.at, tree(t, []Limit{perSecond(1), {Open, 0, 1}}, Group{Name: "a", Share: 100}), Settings{})
+	s.Limiter = s.WithTree(s.at, newTestTree(t, []Limit{requestsPerSecond(1), {Open, 0, 1}}, Group{Name: "a", Share: 100}), Settings{})
 	s.Complete(s.at, q, 1, 0, 0)
-	assert.Equal(t, int32(0), s.opens[1].open[0])
+	assert.Equal(t, int32(0), s.openCounts[1].open[0])
 }
 
 // The machine comes up again with its clock an hour behind what the snapshot knows.
-func TestAClockThatWasSetBack(t *testing.T) {
-	s := pair(t)
-	s.load(60, map[string]float64{"a": 200, "b": 200})
+func TestRestoreWithEarlierClock(t *testing.T) {
+	s := newPair(t)
+	s.runLoad(60, map[string]float64{"a": 200, "b": 200})
 	raw, err := s.State().Encode()
 	require.NoError(t, err)
-	for _, tr := range []*Tree{s.tree, tree(t, []Limit{perSecond(100)}, Group{Name: "b", Share: 50}, Group{Name: "a", Share: 40})} {
+	for _, tr := range []*Tree{s.tree, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "b", Share: 50}, Group{Name: "a", Share: 40})} {
 		st, err := Decode(raw)
 		require.NoError(t, err)
-		again := &shop{Limiter: Restore(tr, s.settings, st, s.at-3600), t: t, at: s.at - 3600}
-		got := again.load(60, map[string]float64{"a": 200, "b": 200})
+		again := &testLimiter{Limiter: Restore(tr, s.settings, st, s.at-3600), t: t, at: s.at - 3600}
+		got := again.runLoad(60, map[string]float64{"a": 200, "b": 200})
 		assert.InDelta(t, 6000, got["a"]+got["b"], 200)
 	}
 }
 
-func TestFaultsNameTheGroup(t *testing.T) {
-	limits := []Limit{perSecond(100)}
+func TestErrorsNameTheGroup(t *testing.T) {
+	limits := []Limit{requestsPerSecond(100)}
 	long := []Group{}
 	for i := range MaxDepth + 1 {
 		g := Group{Name: fmt.Sprintf("g%d", i), Share: 1}
@@ -407,8 +407,8 @@
 		{limits, make([]Group, MaxGroups+1), "groups: 100001, want at most 100000"},
 		{[]Limit{{Requests, 0, 1}}, nil, "limits[0].window_s: want seconds"},
 		{[]Limit{{Open, 1, 1}}, nil, "limits[0].window_s: open requests have no window"},
-		{[]Limit{{measures, 1, 1}}, nil, "limits[0].measure: want"},
-		{[]Limit{perSecond(1), perSecond(2)}, nil, "limits[1]: requests/10 is given twice"},
+		{[]Limit{{measureCount, 1, 1}}, nil, "limits[0].measure: want"},
+		{[]Limit{requestsPerSecond(1), requestsPerSecond(2)}, nil, "limits[1]: requests/10 is given twice"},
 		{nil, nil, "limits: 0, want 1 to 8"},
 	} {
 		_, err := NewTree(c.limits, c.groups)
@@ -419,8 +419,8 @@
 	}
 }
 
-func TestSnapshotsThatCantBeRead(t *testing.T) {
-	s := pair(t)
+func TestInvalidSnapshotsAreRejected(t *testing.T) {
+	s := newPair(t)
 	raw, err := s.State().Encode()
 	require.NoError(t, err)
 	_, err = Decode(raw)
--- a/internal/decide/quota/state.go
+++ b/internal/decide/quota/state.go
@@ -31,7 +31,7 @@
 	Queue []dueCell
 	Lost  float64
 
-	cells []cell
+	accounts []account
 }
 
 // stateVersion is raised whenever older programs would misread what is written.
@@ -51,27 +51,27 @@
 	for i, l := range m.tree.Limits {
 		s.Limits = append(s.Limits, l.Name())
 		var b BookState
-		if m.books[i] != nil {
-			b = BookState{cells: slices.Clone(m.books[i].cells), Queue: slices.Clone(m.books[i].queue), Lost: m.books[i].lost}
+		if m.tables[i] != nil {
+			b = BookState{accounts: slices.Clone(m.tables[i].accounts), Queue: slices.Clone(m.tables[i].queue), Lost: m.tables[i].overflow}
 		}
 		s.Books = append(s.Books, b)
 	}
 	return s
 }
 
-// name fills in what need not be written down while the loop waits.
-func (s *State) name() {
+// fillNames fills in what need not be written down while the loop waits.
+func (s *State) fillNames() {
 	if s.tree == nil || s.Paths != nil {
 		return
 	}
-	s.Mark = s.tree.mark(&s.settings)
+	s.Mark = s.tree.fingerprint(&s.settings)
 	for n := range s.tree.nodes {
 		s.Paths = append(s.Paths, s.tree.nodes[n].path)
 	}
 }
 
-// mark is the same for trees whose accounts mean the same.
-func (t *Tree) mark(s *Settings) uint64 {
+// fingerprint is the same for trees whose accounts mean the same.
+func (t *Tree) fingerprint(s *Settings) uint64 {
 	h := xxhash.New()
 	fmt.Fprint(h, *s, t.Limits)
 	for n := range t.nodes {
@@ -83,10 +83,10 @@
 
 // Encode returns a state as bytes: a name, a version, a checksum, and what they are of.
 func (s *State) Encode() ([]byte, error) {
-	s.name()
+	s.fillNames()
 	for i := range s.Books {
 		var raw bytes.Buffer
-		if err := binary.Write(&raw, binary.LittleEndian, s.Books[i].cells); err != nil {
+		if err := binary.Write(&raw, binary.LittleEndian, s.Books[i].accounts); err != nil {
 			return nil, err
 		}
 		s.Books[i].Cells = raw.Bytes()
@@ -130,11 +130,11 @@
 		if len(b.Cells) == 0 {
 			continue
 		}
-		b.cells = make([]cell, len(s.Paths))
-		if binary.Size(b.cells) != len(b.Cells) {
+		b.accounts = make([]account, len(s.Paths))
+		if binary.Size(b.accounts) != len(b.Cells) {
 			return nil, fmt.Errorf("%w: %s has another number of accounts", ErrDamaged, s.Limits[i])
 		}
-		if err := binary.Read(bytes.NewReader(b.Cells), binary.LittleEndian, b.cells); err != nil {
+		if err := binary.Read(bytes.NewReader(b.Cells), binary.LittleEndian, b.accounts); err != nil {
 			return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
 		}
 	}
@@ -144,45 +144,45 @@
 // Restore returns a machine that goes on from a state. With the tree and the settings that the state is of it goes on as
 // if nothing had been; else each group whose path and limit there still are keeps its account, see Replace.
 func Restore(t *Tree, settings Settings, s *State, now float64) *Limiter {
-	s.name()
+	s.fillNames()
 	if now < s.At {
-		s.shift(now - s.At)
+		s.shiftTimes(now - s.At)
 	}
 	m := New(t, settings, s.At)
-	if t.mark(&m.settings) == s.Mark && len(s.Paths) == t.Len() {
+	if t.fingerprint(&m.settings) == s.Mark && len(s.Paths) == t.Len() {
 		copy(m.stats, s.Stats)
 		copy(m.refusals, s.Refusals)
-		for i, b := range m.books {
+		for i, b := range m.tables {
 			if b != nil {
-				copy(b.cells, s.Books[i].cells)
-				b.lost = s.Books[i].Lost
+				copy(b.accounts, s.Books[i].accounts)
+				b.overflow = s.Books[i].Lost
 				b.queue = append(b.queue[:0], s.Books[i].Queue...)
-				clear(b.place)
+				clear(b.queueIndex)
 				for at, x := range b.queue {
-					b.place[x.Cell] = int32(at + 1)
+					b.queueIndex[x.Cell] = int32(at + 1)
 				}
 			}
 		}
 	} else {
-		m.carry(s)
+		m.adoptState(s)
 	}
-	m.clock(now)
+	m.advance(now)
 	return m
 }
 
-// shift moves all times. Danger: a clock that was set back while the program was down would stand still, for this machine,
+// shiftTimes moves all times. Danger: a clock that was set back while the program was down would stand still, for this machine,
 // until it has come to where it was.
-func (s *State) shift(by float64) {
+func (s *State) shiftTimes(by float64) {
 	s.At += by
 	for i := range s.Refusals {
 		s.Refusals[i].At += by
 	}
 	for i := range s.Books {
 		b := &s.Books[i]
-		for n := range b.cells {
-			c := &b.cells[n]
-			c.Last, c.Quiet, c.CapLast = c.Last+by, c.Quiet+by, c.CapLast+by
-			c.Epoch, c.Asked, c.DemandIn = -1, -1, -1
+		for n := range b.accounts {
+			c := &b.accounts[n]
+			c.SettledAt, c.LastDrawnAt, c.CapSettledAt = c.SettledAt+by, c.LastDrawnAt+by, c.CapSettledAt+by
+			c.Epoch, c.AskedEpoch, c.DemandWindow = -1, -1, -1
 		}
 		for n := range b.Queue {
 			b.Queue[n].Due += by
@@ -194,14 +194,14 @@
 // new bounds. The debts of a group that is gone are written off, and its claims fall to the pool that they are on; a new
 // group begins with a full bucket.
 func (m *Limiter) WithTree(now float64, t *Tree, settings Settings) *Limiter {
-	now = m.clock(now)
-	for _, b := range m.books {
+	now = m.advance(now)
+	for _, b := range m.tables {
 		if b != nil {
 			b.settleAll(now)
 		}
 	}
 	next := New(t, settings, now)
-	old := next.carry(m.State())
+	old := next.adoptState(m.State())
 	moved := make([]int32, m.tree.Len())
 	for n := range moved {
 		moved[n] = int32(old[n])
@@ -210,17 +210,17 @@
 		}
 	}
 	// Danger: a request is answered long after its group's number has come to mean another group.
-	next.trees, next.moved = m.trees+1, append(slices.Clone(m.moved[max(0, len(m.moved)-mostTrees+1):]), moved)
-	for i, o := range next.opens {
+	next.treeNumber, next.groupMoves = m.treeNumber+1, append(slices.Clone(m.groupMoves[max(0, len(m.groupMoves)-maxOldTrees+1):]), moved)
+	for i, o := range next.openCounts {
 		if o != nil {
-			o.since = next.trees
+			o.sinceTree = next.treeNumber
 		}
-		if j := m.tree.same(t.Limits[i].Name()); o != nil && j >= 0 {
-			o.since = m.opens[j].since
-			o.meanS = m.opens[j].meanS
+		if j := m.tree.limitIndex(t.Limits[i].Name()); o != nil && j >= 0 {
+			o.sinceTree = m.openCounts[j].sinceTree
+			o.meanSeconds = m.openCounts[j].meanSeconds
 			for n, to := range old {
 				if to >= 0 {
-					o.open[to] = m.opens[j].open[n]
+					o.open[to] = m.openCounts[j].open[n]
 				}
 			}
 		}
@@ -228,32 +228,32 @@
 	return next
 }
 
-// mostTrees before the present one are known to requests that are open.
-const mostTrees = 16
+// maxOldTrees before the present one are known to requests that are open.
+const maxOldTrees = 16
 
-// present returns where a request that was taken up counts now, -1: nowhere.
-func (m *Limiter) present(q *Request) int32 {
+// presentGroup returns where a request that was taken up counts now, -1: nowhere.
+func (m *Limiter) presentGroup(q *Request) int32 {
 	g := q.Group
-	for tree := q.tree; tree < m.trees && g >= 0; tree++ {
-		at := len(m.moved) - (m.trees - tree)
+	for tree := q.tree; tree < m.treeNumber && g >= 0; tree++ {
+		at := len(m.groupMoves) - (m.treeNumber - tree)
 		if at < 0 {
 			return -1
 		}
-		g = m.moved[at][g]
+		g = m.groupMoves[at][g]
 	}
 	return g
 }
 
-func (t *Tree) same(limit string) int {
+func (t *Tree) limitIndex(limit string) int {
 	if i, ok := t.limit(limit); ok {
 		return i
 	}
 	return -1
 }
 
-// carry takes over a state of another tree. It returns the numbers here of the state's groups, -1 of those that are gone.
-func (m *Limiter) carry(s *State) []int {
-	s.name()
+// adoptState takes over a state of another tree. It returns the numbers here of the state's groups, -1 of those that are gone.
+func (m *Limiter) adoptState(s *State) []int {
+	s.fillNames()
 	to := make([]int, len(s.Paths))
 	for n, path := range s.Paths {
 		if to[n] = 0; n == 0 {
@@ -269,72 +269,72 @@
 		if g >= 0 {
 			m.stats[g] = s.Stats[n]
 			if r := s.Refusals[n]; r.Limit >= 0 && int(r.Limit) < len(s.Limits) {
-				r.Limit = int32(m.tree.same(s.Limits[r.Limit]))
+				r.Limit = int32(m.tree.limitIndex(s.Limits[r.Limit]))
 				m.refusals[g] = r
 			}
 		}
 	}
 	for i, name := range s.Limits {
-		if j := m.tree.same(name); j >= 0 && m.books[j] != nil && len(s.Books[i].cells) > 0 {
-			m.books[j].carry(s.Books[i].cells, to, m.now)
-			m.books[j].lost = s.Books[i].Lost
+		if j := m.tree.limitIndex(name); j >= 0 && m.tables[j] != nil && len(s.Books[i].accounts) > 0 {
+			m.tables[j].adoptAccounts(s.Books[i].accounts, to, m.now)
+			m.tables[j].overflow = s.Books[i].Lost
 		}
 	}
 	return to
 }
 
-// carry takes over accounts; to says whose they are now.
-func (b *book) carry(cells []cell, to []int, now float64) {
+// adoptAccounts takes over accounts; to says whose they are now.
+func (b *accountTable) adoptAccounts(cells []account, to []int, now float64) {
 	for n, g := range to {
 		if g < 0 {
 			continue
 		}
-		c, o := &b.cells[g], &cells[n]
+		c, o := &b.accounts[g], &cells[n]
 		c.CapLevel = min(o.CapLevel, c.CapLevel)
-		if c.Level = min(o.Level, c.Depth); !b.tree.links[g].inner {
+		if c.Level = min(o.Level, c.Capacity); !b.tree.links[g].inner {
 			// Danger: a bucket that has become larger and stays as empty is below its floor for as long as that takes to fill.
-			c.Level += max(c.Depth-o.Depth, 0)
+			c.Level += max(c.Capacity-o.Capacity, 0)
 		}
 		if b.tree.links[g].inner {
 			c.Level = max(c.Level, 0)
 		}
-		c.Balance, c.Drawn, c.Quiet, c.Tally = o.Balance, o.Drawn, o.Quiet, o.Tally
-		c.Turn, c.Asked, c.Epoch = o.Turn, o.Asked, o.Epoch
+		c.Balance, c.Drawn, c.LastDrawnAt, c.Tally = o.Balance, o.Drawn, o.LastDrawnAt, o.Tally
+		c.Turn, c.AskedEpoch, c.Epoch = o.Turn, o.AskedEpoch, o.Epoch
 		c.Wanting, c.Wanted, c.Claiming, c.Claimed = o.Wanting, o.Wanted, o.Claiming, o.Claimed
 	}
-	b.cells[0].Balance = 0
-	for n := range b.cells {
-		b.cells[n].Equity = 0
+	b.accounts[0].Balance = 0
+	for n := range b.accounts {
+		b.accounts[n].Equity = 0
 	}
-	for n := range b.cells { // what the balances do not account for is nobody's, or written off
-		c := &b.cells[n]
+	for n := range b.accounts { // what the balances do not account for is nobody's, or written off
+		c := &b.accounts[n]
 		if b.tree.nodes[n].inner {
 			c.Equity += c.Level + c.Balance
 		}
 		if n > 0 {
-			b.cells[b.tree.nodes[n].parent].Equity -= c.Balance
+			b.accounts[b.tree.nodes[n].parent].Equity -= c.Balance
 		}
 	}
-	b.arrange(now)
+	b.resetFlows(now)
 }
 
 // Audit returns by how much the accounts of a group, those of its children and what it holds disagree, the worst of all
 // limits; it is 0 but for the last digits of sums.
 func (m *Limiter) Audit(now float64) (worst float64, at string) {
-	now = m.clock(now)
-	for _, b := range m.books {
+	now = m.advance(now)
+	for _, b := range m.tables {
 		if b == nil {
 			continue
 		}
 		b.settleAll(now)
-		sums := make([]float64, len(b.cells))
-		for n := len(b.cells) - 1; n >= 0; n-- {
-			c, t := &b.cells[n], &m.tree.nodes[n]
+		sums := make([]float64, len(b.accounts))
+		for n := len(b.accounts) - 1; n >= 0; n-- {
+			c, t := &b.accounts[n], &m.tree.nodes[n]
 			off := 0.0
 			if t.inner {
-				off = max(abs(c.Level-c.Equity-sums[n]+c.Balance), -c.Level, c.Level-c.Depth)
+				off = max(abs(c.Level-c.Equity-sums[n]+c.Balance), -c.Level, c.Level-c.Capacity)
 			} else {
-				off = c.Level - c.Depth
+				off = c.Level - c.Capacity
 			}
 			y := &c.Tally
 			off = max(off, abs(c.Balance-(y.Lent-y.Returned-y.Borrowed+y.Repaid+y.Forgiven-y.Expired)))
--- a/internal/decide/quota/stored_form_test.go
+++ b/internal/decide/quota/stored_form_test.go
@@ -15,11 +15,11 @@
 
 // storedMachine has used accounts of every measure: loans, debts, a cap that was reached and requests that are open.
 func storedMachine(t *testing.T) (*Limiter, *Tree, Settings, float64) {
-	tr := tree(t, []Limit{{Requests, 10, 100}, {Bytes, 60, 1 << 20}, {Work, 10, 5}, {Open, 0, 8}},
+	tr := newTestTree(t, []Limit{{Requests, 10, 100}, {Bytes, 60, 1 << 20}, {Work, 10, 5}, {Open, 0, 8}},
 		Group{Name: "north", Share: 50}, Group{Name: "city", Parent: "north", Share: 60, Floor: 10}, Group{Name: "port", Parent: "north", Share: 30, Cap: 90},
 		Group{Name: "ministry", Share: 20, Weight: 2}, Group{Name: "others"})
 	settings := Settings{Replicas: 2, StretchFraction: 0.1, RepayFraction: 0.2, FadeSeconds: 900}
-	m, now := New(tr, settings, began), began
+	m, now := New(tr, settings, startTime), startTime
 	for i := range 400 {
 		now += 0.03 + 0.01*float64(i%7)
 		for n, name := range []string{"city", "port", "ministry"} {
--- a/internal/decide/quota/tree.go
+++ b/internal/decide/quota/tree.go
@@ -9,10 +9,10 @@
 
 // The bounds of a tree.
 const (
-	MaxGroups = 100_000
-	MaxDepth  = 12 // groups above each other, the root not counted
-	MaxLimits = 8
-	mostName  = 64
+	MaxGroups     = 100_000
+	MaxDepth      = 12 // groups above each other, the root not counted
+	MaxLimits     = 8
+	maxNameLength = 64
 )
 
 // Measure is what a limit counts.
@@ -24,10 +24,10 @@
 	Bytes            // of requests and answers
 	Work             // seconds of a box
 	Open             // requests that have not been answered
-	measures
+	measureCount
 )
 
-var measureNames = [measures]string{"requests", "bytes", "work", "open"}
+var measureNames = [measureCount]string{"requests", "bytes", "work", "open"}
 
 func (m Measure) String() string { return measureNames[m] }
 
@@ -84,7 +84,7 @@
 	weight     float64
 	floor      float64 // part of its own quota
 	quota      []float64
-	rest       []float64 // of the quota, that no child has
+	unassigned []float64 // of the quota, that no child has
 	cap        []float64 // +Inf: none
 }
 
@@ -113,7 +113,7 @@
 	}
 	byName, children := make(map[string]int, len(groups)), map[string][]int{}
 	for i, g := range groups {
-		if !plainName(g.Name) {
+		if !isValidName(g.Name) {
 			return nil, &GroupError{fmt.Sprintf("%q", g.Name), "want a name of at most 64 letters, digits, '_' and '-'"}
 		}
 		if j, twice := byName[g.Name]; twice {
@@ -160,7 +160,7 @@
 	for i, l := range limits {
 		at := fmt.Sprintf("limits[%d]", i)
 		switch {
-		case l.Measure >= measures:
+		case l.Measure >= measureCount:
 			return fmt.Errorf("%s.measure: want requests, bytes, work or open", at)
 		case l.Measure == Open && l.WindowSeconds != 0:
 			return fmt.Errorf("%s.window_s: open requests have no window", at)
@@ -180,16 +180,16 @@
 func (t *Tree) addChildren(at int32, groups []Group, children []int) error {
 	p := &t.nodes[at]
 	p.inner = len(children) > 0
-	p.rest = append([]float64(nil), p.quota...)
+	p.unassigned = append([]float64(nil), p.quota...)
 	shares := 0.0
 	for _, i := range children {
-		n, err := t.child(at, &groups[i])
+		n, err := t.newChild(at, &groups[i])
 		if err != nil {
 			return err
 		}
 		shares += groups[i].Share
 		for l := range t.Limits {
-			t.nodes[at].rest[l] -= n.quota[l]
+			t.nodes[at].unassigned[l] -= n.quota[l]
 		}
 		t.byName[n.name] = int32(len(t.nodes))
 		t.nodes = append(t.nodes, n) // its memory is there already
@@ -199,19 +199,19 @@
 	}
 	p = &t.nodes[at]
 	for l, limit := range t.Limits {
-		if p.rest[l] < -1e-9*p.quota[l] {
-			return &GroupError{t.Path(at), fmt.Sprintf("its children's quotas of %s come to %.6g, over its own %.6g", limit.Name(), p.quota[l]-p.rest[l], p.quota[l])}
+		if p.unassigned[l] < -1e-9*p.quota[l] {
+			return &GroupError{t.Path(at), fmt.Sprintf("its children's quotas of %s come to %.6g, over its own %.6g", limit.Name(), p.quota[l]-p.unassigned[l], p.quota[l])}
 		}
 		// Danger: sums that differ in their last digit would leave a rest that fills a pool within a million years.
-		if p.rest[l] = max(p.rest[l], 0); p.rest[l] < 1e-9*p.quota[l] {
-			p.rest[l] = 0
+		if p.unassigned[l] = max(p.unassigned[l], 0); p.unassigned[l] < 1e-9*p.quota[l] {
+			p.unassigned[l] = 0
 		}
 	}
 	return nil
 }
 
-// child checks a group below a node.
-func (t *Tree) child(at int32, g *Group) (node, error) {
+// newChild checks a group below a node.
+func (t *Tree) newChild(at int32, g *Group) (node, error) {
 	p := &t.nodes[at]
 	n := node{name: g.Name, path: g.Name, parent: at, depth: p.depth + 1, weight: g.Weight}
 	if at > 0 {
@@ -293,12 +293,12 @@
 	}
 }
 
-func plainName(s string) bool {
+func isValidName(s string) bool {
 	odd := func(r rune) bool {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 		return !letter && r != '_' && r != '-'
 	}
-	return s != "" && len(s) <= mostName && !strings.ContainsFunc(s, odd)
+	return s != "" && len(s) <= maxNameLength && !strings.ContainsFunc(s, odd)
 }
 
 // Len returns how many groups there are, the root among them. They are numbered from 0, which is the root.
--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -35,18 +35,18 @@
 
 // View shows at most so many groups, and of a tree that has more those that have been asked for, as far as they go.
 func (m *Limiter) View(now float64, most int) View {
-	now = m.clock(now)
+	now = m.advance(now)
 	v := View{At: now, All: m.tree.Len() - 1, Groups: []GroupView{}}
-	for i, b := range m.books {
+	for i, b := range m.tables {
 		v.Limits = append(v.Limits, m.tree.Limits[i].Name())
 		lost := 0.0
 		if b != nil {
 			b.settleAll(now)
-			lost = b.lost
+			lost = b.overflow
 		}
 		v.Lost = append(v.Lost, lost)
 	}
-	served, refused := m.sums()
+	served, refused := m.subtreeCounts()
 	var visit func(n int32)
 	children := make([][]int32, m.tree.Len())
 	for n := 1; n < m.tree.Len(); n++ {
@@ -58,7 +58,7 @@
 		if len(v.Groups) >= most || !quietToo && n > 0 && served[n]+refused[n] == 0 {
 			return
 		}
-		g := m.group(n)
+		g := m.groupView(n)
 		g.Served, g.Rejected = served[n], refused[n]
 		v.Groups = append(v.Groups, g)
 		for _, child := range children[n] {
@@ -69,8 +69,8 @@
 	return v
 }
 
-// sums adds up the requests of each group and all below it.
-func (m *Limiter) sums() (served, refused []uint64) {
+// subtreeCounts adds up the requests of each group and all below it.
+func (m *Limiter) subtreeCounts() (served, refused []uint64) {
 	served, refused = make([]uint64, len(m.stats)), make([]uint64, len(m.stats))
 	for n := len(m.stats) - 1; n >= 0; n-- {
 		served[n] += m.stats[n].Served
@@ -83,17 +83,17 @@
 	return served, refused
 }
 
-func (m *Limiter) group(n int32) GroupView {
+func (m *Limiter) groupView(n int32) GroupView {
 	t := &m.tree.nodes[n]
 	g := GroupView{Path: m.tree.Path(n), Depth: int(t.depth), Served: m.stats[n].Served, Rejected: m.stats[n].Refused}
 	for i, l := range m.tree.Limits {
-		if o := m.opens[i]; o != nil {
-			g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: o.quota[n], Level: float64(o.open[n]), Depth: float64(o.most[n])})
+		if o := m.openCounts[i]; o != nil {
+			g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: o.quota[n], Level: float64(o.open[n]), Depth: float64(o.peak[n])})
 			continue
 		}
-		c := &m.books[i].cells[n]
-		g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: t.quota[i] / float64(max(m.settings.Replicas, 1)), Level: c.Level, Depth: c.Depth,
-			Credit: max(c.Balance, 0), Debt: max(-c.Balance, 0), IsLending: c.Idle, Stretch: c.Boost, Tally: c.Tally})
+		c := &m.tables[i].accounts[n]
+		g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: t.quota[i] / float64(max(m.settings.Replicas, 1)), Level: c.Level, Depth: c.Capacity,
+			Credit: max(c.Balance, 0), Debt: max(-c.Balance, 0), IsLending: c.IsOverflowing, Stretch: c.Stretch, Tally: c.Tally})
 	}
 	return g
 }
@@ -113,19 +113,19 @@
 
 // Explain tells of a group.
 func (m *Limiter) Explain(now float64, g int32) Explanation {
-	now = m.clock(now)
-	_, refused := m.sums()
+	now = m.advance(now)
+	_, refused := m.subtreeCounts()
 	e := Explanation{Group: m.tree.Path(g), Rejected: refused[g]}
 	if r := m.refusals[g]; r.Limit >= 0 {
 		e.AgoSeconds, e.Limit, e.Capped, e.Shortfall, e.Level, e.RetryAfterSeconds = now-r.At, m.tree.Limits[r.Limit].Name(), r.Capped, r.Lacked, r.Own, r.AfterS
 	}
-	for _, b := range m.books {
+	for _, b := range m.tables {
 		if b != nil {
 			b.settleChain(g, now)
 		}
 	}
 	for n := g; n >= 0; n = m.tree.nodes[n].parent {
-		e.Chain = append(e.Chain, m.group(n))
+		e.Chain = append(e.Chain, m.groupView(n))
 	}
 	return e
 }
@@ -161,20 +161,20 @@
 
 // Tally returns what has happened to a group's account, and its balance with its parent. It is settled as of the last call.
 func (m *Limiter) Tally(g int32, limit int) (t Tally, balance float64) {
-	b := m.books[limit]
+	b := m.tables[limit]
 	b.settleChain(g, m.now)
-	return b.cells[g].Tally, b.cells[g].Balance
+	return b.accounts[g].Tally, b.accounts[g].Balance
 }
 
 // Lost returns what of a limit's quota has found no room since nobody wanted it.
 func (m *Limiter) Lost(limit int) float64 {
-	m.books[limit].settleAll(m.now)
-	return m.books[limit].lost
+	m.tables[limit].settleAll(m.now)
+	return m.tables[limit].overflow
 }
 
 // LostAt is Lost at a time.
 func (m *Limiter) LostAt(now float64, limit int) float64 {
-	m.clock(now)
+	m.advance(now)
 	return m.Lost(limit)
 }
 
