--- a/internal/decide/quota/book.go
+++ b/internal/decide/quota/book.go
@@ -95,133 +95,133 @@
 	fadeSeconds   float64
 }
 
-func newAccountTable(t *Tree, i int, s *Settings, now float64) *accountTable {
-	l := t.Limits[i]
-	b := &accountTable{limit: l, tree: t, accounts: make([]account, len(t.nodes)), epochSeconds: epochFraction * l.WindowSeconds, quietSeconds: quietFraction * l.WindowSeconds,
-		repayFraction: s.RepayFraction, fadeSeconds: s.FadeSeconds, queue: make([]dueCell, 0, len(t.nodes)), queueIndex: make([]int32, len(t.nodes))}
-	part := 1 / float64(max(s.Replicas, 1))
+func newAccountTable(tree *Tree, i int, settings *Settings, now float64) *accountTable {
+	limit := tree.Limits[i]
+	t := &accountTable{limit: limit, tree: tree, accounts: make([]account, len(tree.nodes)), epochSeconds: epochFraction * limit.WindowSeconds, quietSeconds: quietFraction * limit.WindowSeconds,
+		repayFraction: settings.RepayFraction, fadeSeconds: settings.FadeSeconds, queue: make([]dueCell, 0, len(tree.nodes)), queueIndex: make([]int32, len(tree.nodes))}
+	part := 1 / float64(max(settings.Replicas, 1))
 	least := 0.0
-	if l.Measure == Requests {
+	if limit.Measure == Requests {
 		least = 1 // a quota below one request a window still comes to one in time
 	}
-	for n := range b.accounts {
-		g, c := &t.nodes[n], &b.accounts[n]
-		c.SettledAt, c.CapSettledAt, c.LastDrawnAt, c.Epoch, c.AskedEpoch, c.DemandWindow = now, now, math.Inf(-1), -1, -1, -1
-		c.OwnInflow = g.unassigned[i] / l.WindowSeconds * part
-		if g.inner {
+	for n := range t.accounts {
+		group, a := &tree.nodes[n], &t.accounts[n]
+		a.SettledAt, a.CapSettledAt, a.LastDrawnAt, a.Epoch, a.AskedEpoch, a.DemandWindow = now, now, math.Inf(-1), -1, -1, -1
+		a.OwnInflow = group.unassigned[i] / limit.WindowSeconds * part
+		if group.inner {
 			// Each account below holds less than what comes to it in the time for which it may be left alone.
-			c.Capacity = max(g.quota[i]*part*poolFraction, minPoolRequests*least)
+			a.Capacity = max(group.quota[i]*part*poolFraction, minPoolRequests*least)
 		} else {
-			c.Level = g.quota[i] * part
-			c.Capacity = max(c.Level, least)
+			a.Level = group.quota[i] * part
+			a.Capacity = max(a.Level, least)
 		}
 		// Danger: a floor that leaves less than a request would keep all other requests out for good.
-		c.Reserve = min(c.Capacity*g.floor, max(c.Capacity-least, 0))
-		if c.CapRate = g.cap[i] * part / l.WindowSeconds; c.CapRate < math.Inf(1) {
-			c.CapLevel = max(c.CapRate*l.WindowSeconds, least)
+		a.Reserve = min(a.Capacity*group.floor, max(a.Capacity-least, 0))
+		if a.CapRate = group.cap[i] * part / limit.WindowSeconds; a.CapRate < math.Inf(1) {
+			a.CapLevel = max(a.CapRate*limit.WindowSeconds, least)
 		}
 	}
-	b.resetFlows(now)
-	return b
+	t.resetFlows(now)
+	return t
 }
 
 // resetFlows has every account that is full flow over, and looks after the others. It is for accounts that are settled and
 // that nothing flows between yet.
-func (b *accountTable) resetFlows(now float64) {
-	b.queue = b.queue[:0]
-	clear(b.queueIndex)
-	for n := range b.accounts {
-		b.accounts[n].Inflow = b.accounts[n].OwnInflow * (1 + b.accounts[n].Stretch)
-	}
-	for n := len(b.accounts) - 1; n >= 0; n-- { // children before their parents
-		c := &b.accounts[n]
-		c.IsOverflowing = c.Inflow > 0 && c.Level >= c.Capacity && now >= c.LastDrawnAt+b.quietSeconds
-		if c.IsOverflowing && n > 0 {
-			p := &b.accounts[b.tree.links[n].parent]
-			p.Inflow += c.Inflow
-			c.OfferedSeen, c.RecentSeen = p.Offered, p.Recent
+func (t *accountTable) resetFlows(now float64) {
+	t.queue = t.queue[:0]
+	clear(t.queueIndex)
+	for n := range t.accounts {
+		t.accounts[n].Inflow = t.accounts[n].OwnInflow * (1 + t.accounts[n].Stretch)
+	}
+	for n := len(t.accounts) - 1; n >= 0; n-- { // children before their parents
+		a := &t.accounts[n]
+		a.IsOverflowing = a.Inflow > 0 && a.Level >= a.Capacity && now >= a.LastDrawnAt+t.quietSeconds
+		if a.IsOverflowing && n > 0 {
+			pool := &t.accounts[t.tree.links[n].parent]
+			pool.Inflow += a.Inflow
+			a.OfferedSeen, a.RecentSeen = pool.Offered, pool.Recent
 		}
 	}
-	for n := range b.accounts {
-		b.schedule(int32(n), now)
+	for n := range t.accounts {
+		t.schedule(int32(n), now)
 	}
 }
 
 // settle brings an account up to a time. Its ancestors are settled.
-func (b *accountTable) settle(n int32, now float64) {
-	c := &b.accounts[n]
-	dt := now - c.SettledAt
+func (t *accountTable) settle(n int32, now float64) {
+	a := &t.accounts[n]
+	dt := now - a.SettledAt
 	if dt <= 0 {
 		return
 	}
-	c.SettledAt = now
-	parent := b.tree.links[n].parent
+	a.SettledAt = now
+	parent := t.tree.links[n].parent
 	if parent < 0 {
-		b.settleRoot(c, dt)
+		t.settleRoot(a, dt)
 		return
 	}
-	p, inner := &b.accounts[parent], b.tree.links[n].inner
-	kept := fastExp(-dt / b.fadeSeconds)
-	b.fadeBalance(c, p, c.Balance*(1-kept), inner)
-	if c.IsOverflowing {
-		took, recent := p.Offered-c.OfferedSeen, p.Recent-c.RecentSeen*kept
-		c.OfferedSeen, c.RecentSeen = p.Offered, p.Recent
+	pool, inner := &t.accounts[parent], t.tree.links[n].inner
+	kept := fastExp(-dt / t.fadeSeconds)
+	t.fadeBalance(a, pool, a.Balance*(1-kept), inner)
+	if a.IsOverflowing {
+		took, recent := pool.Offered-a.OfferedSeen, pool.Recent-a.RecentSeen*kept
+		a.OfferedSeen, a.RecentSeen = pool.Offered, pool.Recent
 		if inner {
-			c.Offered += took
-			c.Recent = c.Recent*kept + recent
-			c.Equity += c.OwnInflow * took
+			a.Offered += took
+			a.Recent = a.Recent*kept + recent
+			a.Equity += a.OwnInflow * took
 		}
-		b.recordDeposit(c, c.Inflow*took)
+		t.recordDeposit(a, a.Inflow*took)
 		// Danger: a claim that only begins to fade when somebody looks outlives the debt that it is of.
-		b.fadeBalance(c, p, min(c.Inflow*(took-recent), max(c.Balance, 0)), inner)
+		t.fadeBalance(a, pool, min(a.Inflow*(took-recent), max(a.Balance, 0)), inner)
 		return
 	}
 	if inner {
-		c.Recent *= kept
+		a.Recent *= kept
 	}
-	in := c.Inflow * dt
+	in := a.Inflow * dt
 	if in <= 0 {
 		return
 	}
-	if !inner && c.Balance >= 0 && c.Level+in <= c.Capacity {
-		c.Level += in
+	if !inner && a.Balance >= 0 && a.Level+in <= a.Capacity {
+		a.Level += in
 		return
 	}
 	paid := 0.0
-	if c.Balance < 0 {
-		paid = b.deposit(parent, min(in*b.repayFraction, -c.Balance), true)
-		b.recordDeposit(c, paid)
+	if a.Balance < 0 {
+		paid = t.deposit(parent, min(in*t.repayFraction, -a.Balance), true)
+		t.recordDeposit(a, paid)
 	}
-	c.addInflow(in - paid)
+	a.addInflow(in - paid)
 	lost := 0.0
-	if over := c.Level - c.Capacity; over > 0 {
-		c.Level = c.Capacity
-		took := b.deposit(parent, over, false)
-		b.recordDeposit(c, took)
+	if over := a.Level - a.Capacity; over > 0 {
+		a.Level = a.Capacity
+		took := t.deposit(parent, over, false)
+		t.recordDeposit(a, took)
 		lost = over - took
 	}
 	if inner {
-		c.addOffered(dt * (1 - lost/in))
+		a.addOffered(dt * (1 - lost/in))
 	}
 }
 
 // addOffered notes for how long what came into a pool has found room.
-func (c *account) addOffered(s float64) {
-	c.Offered += s
-	c.Recent += s
-	c.Equity += c.OwnInflow * s
+func (a *account) addOffered(s float64) {
+	a.Offered += s
+	a.Recent += s
+	a.Equity += a.OwnInflow * s
 }
 
-func (b *accountTable) settleRoot(c *account, dt float64) {
-	c.Recent *= fastExp(-dt / b.fadeSeconds)
-	in := c.Inflow * dt
+func (t *accountTable) settleRoot(a *account, dt float64) {
+	a.Recent *= fastExp(-dt / t.fadeSeconds)
+	in := a.Inflow * dt
 	if in <= 0 {
 		return
 	}
-	lost := max(0, c.Level+in-c.Capacity)
-	c.addInflow(in - lost)
-	b.overflow += lost
-	c.addOffered(dt * (1 - lost/in))
+	lost := max(0, a.Level+in-a.Capacity)
+	a.addInflow(in - lost)
+	t.overflow += lost
+	a.addOffered(dt * (1 - lost/in))
 }
 
 // fastExp is math.Exp; of a number that is hardly below 0 it takes less time.
@@ -233,153 +233,153 @@
 }
 
 // addInflow puts an amount into an account; of a pool, those who want of it each have their part.
-func (c *account) addInflow(amount float64) {
-	if c.Level += amount; c.Wanted > 0 {
-		c.Turn += amount / c.Wanted
+func (a *account) addInflow(amount float64) {
+	if a.Level += amount; a.Wanted > 0 {
+		a.Turn += amount / a.Wanted
 	}
 }
 
 // recordDeposit notes that a parent holds more of a group.
-func (b *accountTable) recordDeposit(c *account, amount float64) {
-	back := min(amount, max(-c.Balance, 0))
-	c.Tally.Repaid += back
-	c.Tally.Lent += amount - back
-	c.Balance += amount
+func (t *accountTable) recordDeposit(a *account, amount float64) {
+	back := min(amount, max(-a.Balance, 0))
+	a.Tally.Repaid += back
+	a.Tally.Lent += amount - back
+	a.Balance += amount
 }
 
 // fadeBalance takes a part off a balance: what was lent long ago is neither owed nor claimed any more.
-func (b *accountTable) fadeBalance(c, p *account, gone float64, pool bool) {
-	if gone == 0 {
+func (t *accountTable) fadeBalance(a, pool *account, amount float64, isPool bool) {
+	if amount == 0 {
 		return
 	}
-	if math.Abs(c.Balance) < 1e-6 {
-		gone = c.Balance
+	if math.Abs(a.Balance) < 1e-6 {
+		amount = a.Balance
 	}
-	if c.Balance -= gone; gone < 0 {
-		c.Tally.Forgiven -= gone
+	if a.Balance -= amount; amount < 0 {
+		a.Tally.Forgiven -= amount
 	} else {
-		c.Tally.Expired += gone
+		a.Tally.Expired += amount
 	}
-	if p.Equity += gone; pool {
-		c.Equity -= gone
+	if pool.Equity += amount; isPool {
+		a.Equity -= amount
 	}
 }
 
 // deposit puts an amount into a pool and what does not fit into those above it; it returns how much has found room. A
 // repayment goes first to whom the pool's own group owes.
-func (b *accountTable) deposit(n int32, amount float64, repays bool) (took float64) {
-	c, parent := &b.accounts[n], b.tree.links[n].parent
-	if repays && c.Balance < 0 && parent >= 0 {
-		took = b.deposit(parent, min(amount, -c.Balance), true)
-		b.recordDeposit(c, took)
+func (t *accountTable) deposit(n int32, amount float64, repays bool) (took float64) {
+	a, parent := &t.accounts[n], t.tree.links[n].parent
+	if repays && a.Balance < 0 && parent >= 0 {
+		took = t.deposit(parent, min(amount, -a.Balance), true)
+		t.recordDeposit(a, took)
 		amount -= took
 	}
-	in := min(amount, max(c.Capacity-c.Level, 0))
-	c.addInflow(in)
+	in := min(amount, max(a.Capacity-a.Level, 0))
+	a.addInflow(in)
 	if took, amount = took+in, amount-in; amount <= 0 {
 		return took
 	}
 	if parent < 0 {
-		b.overflow += amount
+		t.overflow += amount
 		return took
 	}
-	up := b.deposit(parent, amount, false)
-	b.recordDeposit(c, up)
+	up := t.deposit(parent, amount, false)
+	t.recordDeposit(a, up)
 	return took + up
 }
 
 // setInflow has another rate come to an account, which is settled like its ancestors.
-func (b *accountTable) setInflow(n int32, rate, now float64) {
-	c := &b.accounts[n]
+func (t *accountTable) setInflow(n int32, rate, now float64) {
+	a := &t.accounts[n]
 	rate = max(rate, 0)
-	change := rate - c.Inflow
-	c.Inflow = rate
-	if !c.IsOverflowing {
-		b.schedule(n, now)
-	} else if parent := b.tree.links[n].parent; parent >= 0 {
-		b.setInflow(parent, b.accounts[parent].Inflow+change, now)
+	change := rate - a.Inflow
+	a.Inflow = rate
+	if !a.IsOverflowing {
+		t.schedule(n, now)
+	} else if parent := t.tree.links[n].parent; parent >= 0 {
+		t.setInflow(parent, t.accounts[parent].Inflow+change, now)
 	}
 }
 
 // markDrawn notes that an account is drawn on: it does not overflow any more.
-func (b *accountTable) markDrawn(n int32, now float64) {
-	c := &b.accounts[n]
-	c.LastDrawnAt = now
-	if c.IsOverflowing {
-		c.IsOverflowing = false
-		if parent := b.tree.links[n].parent; parent >= 0 {
-			b.setInflow(parent, b.accounts[parent].Inflow-c.Inflow, now)
+func (t *accountTable) markDrawn(n int32, now float64) {
+	a := &t.accounts[n]
+	a.LastDrawnAt = now
+	if a.IsOverflowing {
+		a.IsOverflowing = false
+		if parent := t.tree.links[n].parent; parent >= 0 {
+			t.setInflow(parent, t.accounts[parent].Inflow-a.Inflow, now)
 		}
 	}
-	if b.queueIndex[n] == 0 {
-		b.schedule(n, now)
+	if t.queueIndex[n] == 0 {
+		t.schedule(n, now)
 	}
 }
 
 // processDue looks at the accounts that are due, at no more than so many.
-func (b *accountTable) processDue(now float64, most int, stretch float64) {
-	for ; most > 0 && len(b.queue) > 0 && b.queue[0].Due <= now; most-- {
-		n := b.queue[0].Cell
-		b.dequeue(n)
-		b.settleChain(n, now)
-		c := &b.accounts[n]
-		if c.Level < c.Capacity || now < c.LastDrawnAt+b.quietSeconds {
-			b.schedule(n, now)
+func (t *accountTable) processDue(now float64, limit int, stretchFraction float64) {
+	for ; limit > 0 && len(t.queue) > 0 && t.queue[0].Due <= now; limit-- {
+		n := t.queue[0].Cell
+		t.dequeue(n)
+		t.settleChain(n, now)
+		a := &t.accounts[n]
+		if a.Level < a.Capacity || now < a.LastDrawnAt+t.quietSeconds {
+			t.schedule(n, now)
 			continue
 		}
-		if stretch > 0 {
-			b.resetStretch(n)
+		if stretchFraction > 0 {
+			t.resetStretch(n)
 		}
-		c.IsOverflowing = true
-		if parent := b.tree.links[n].parent; parent >= 0 {
-			p := &b.accounts[parent]
-			c.OfferedSeen, c.RecentSeen = p.Offered, p.Recent
-			b.setInflow(parent, p.Inflow+c.Inflow, now)
+		a.IsOverflowing = true
+		if parent := t.tree.links[n].parent; parent >= 0 {
+			pool := &t.accounts[parent]
+			a.OfferedSeen, a.RecentSeen = pool.Offered, pool.Recent
+			t.setInflow(parent, pool.Inflow+a.Inflow, now)
 		}
 	}
 }
 
 // settleChain settles an account and all above it.
-func (b *accountTable) settleChain(n int32, now float64) {
-	if parent := b.tree.links[n].parent; parent >= 0 {
-		b.settleChain(parent, now)
+func (t *accountTable) settleChain(n int32, now float64) {
+	if parent := t.tree.links[n].parent; parent >= 0 {
+		t.settleChain(parent, now)
 	}
-	b.settle(n, now)
+	t.settle(n, now)
 }
 
 // settleAll settles all accounts.
-func (b *accountTable) settleAll(now float64) {
-	for n := range b.accounts { // parents before their children
-		b.settle(int32(n), now)
+func (t *accountTable) settleAll(now float64) {
+	for n := range t.accounts { // parents before their children
+		t.settle(int32(n), now)
 	}
 }
 
 // schedule has an account looked at when it will be full. Danger: one that is looked at too late only deposits late, one
 // that is never looked at lends nothing.
-func (b *accountTable) schedule(n int32, now float64) {
-	c := &b.accounts[n]
-	if c.IsOverflowing || c.Inflow <= 0 {
+func (t *accountTable) schedule(n int32, now float64) {
+	a := &t.accounts[n]
+	if a.IsOverflowing || a.Inflow <= 0 {
 		return
 	}
-	due := max(now+(c.Capacity-c.Level)/c.Inflow, c.LastDrawnAt+b.quietSeconds, now+minScheduleSeconds)
-	if at := b.queueIndex[n]; at == 0 {
-		b.queue = append(b.queue, dueCell{due, n})
-		b.siftUp(len(b.queue) - 1)
-	} else if due < b.queue[at-1].Due {
-		b.queue[at-1].Due = due
-		b.siftUp(int(at) - 1)
+	due := max(now+(a.Capacity-a.Level)/a.Inflow, a.LastDrawnAt+t.quietSeconds, now+minScheduleSeconds)
+	if at := t.queueIndex[n]; at == 0 {
+		t.queue = append(t.queue, dueCell{due, n})
+		t.siftUp(len(t.queue) - 1)
+	} else if due < t.queue[at-1].Due {
+		t.queue[at-1].Due = due
+		t.siftUp(int(at) - 1)
 	}
 }
 
 // dequeue takes an account out of the queue.
-func (b *accountTable) dequeue(n int32) {
-	i, last := int(b.queueIndex[n])-1, len(b.queue)-1
-	moved := b.queue[last]
-	b.queue, b.queueIndex[n] = b.queue[:last], 0
+func (t *accountTable) dequeue(n int32) {
+	i, last := int(t.queueIndex[n])-1, len(t.queue)-1
+	moved := t.queue[last]
+	t.queue, t.queueIndex[n] = t.queue[:last], 0
 	if i < last {
-		b.queue[i] = moved
-		b.siftDown(i)
-		b.siftUp(int(b.queueIndex[moved.Cell]) - 1)
+		t.queue[i] = moved
+		t.siftDown(i)
+		t.siftUp(int(t.queueIndex[moved.Cell]) - 1)
 	}
 }
 
@@ -390,34 +390,34 @@
 func (x dueCell) isBefore(y dueCell) bool { return x.Due < y.Due || x.Due == y.Due && x.Cell < y.Cell }
 
 // siftUp moves an element towards the front, to where it belongs.
-func (b *accountTable) siftUp(i int) {
-	x := b.queue[i]
-	for ; i > 0 && x.isBefore(b.queue[(i-1)/heapFan]); i = (i - 1) / heapFan {
-		b.queue[i] = b.queue[(i-1)/heapFan]
-		b.queueIndex[b.queue[i].Cell] = int32(i + 1)
+func (t *accountTable) siftUp(i int) {
+	x := t.queue[i]
+	for ; i > 0 && x.isBefore(t.queue[(i-1)/heapFan]); i = (i - 1) / heapFan {
+		t.queue[i] = t.queue[(i-1)/heapFan]
+		t.queueIndex[t.queue[i].Cell] = int32(i + 1)
 	}
-	b.queue[i], b.queueIndex[x.Cell] = x, int32(i+1)
+	t.queue[i], t.queueIndex[x.Cell] = x, int32(i+1)
 }
 
 // siftDown moves an element towards the back.
-func (b *accountTable) siftDown(i int) {
-	x := b.queue[i]
+func (t *accountTable) siftDown(i int) {
+	x := t.queue[i]
 	for {
 		child := heapFan*i + 1
-		if child >= len(b.queue) {
+		if child >= len(t.queue) {
 			break
 		}
-		for other := child + 1; other < min(heapFan*i+1+heapFan, len(b.queue)); other++ {
-			if b.queue[other].isBefore(b.queue[child]) {
+		for other := child + 1; other < min(heapFan*i+1+heapFan, len(t.queue)); other++ {
+			if t.queue[other].isBefore(t.queue[child]) {
 				child = other
 			}
 		}
-		if !b.queue[child].isBefore(x) {
+		if !t.queue[child].isBefore(x) {
 			break
 		}
-		b.queue[i] = b.queue[child]
-		b.queueIndex[b.queue[i].Cell] = int32(i + 1)
+		t.queue[i] = t.queue[child]
+		t.queueIndex[t.queue[i].Cell] = int32(i + 1)
 		i = child
 	}
-	b.queue[i], b.queueIndex[x.Cell] = x, int32(i+1)
+	t.queue[i], t.queueIndex[x.Cell] = x, int32(i+1)
 }
--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/machine.go
@@ -64,119 +64,119 @@
 }
 
 // NewRequest returns a request of a group of the present tree.
-func (m *Limiter) NewRequest(g int32, bytes float64, floor bool) Request {
-	return Request{Group: g, Bytes: bytes, MayUseFloor: floor, tree: m.treeNumber}
+func (l *Limiter) NewRequest(g int32, bytes float64, floor bool) Request {
+	return Request{Group: g, Bytes: bytes, MayUseFloor: floor, tree: l.treeNumber}
 }
 
 // New returns a machine in which nothing has been used.
-func New(t *Tree, s Settings, now float64) *Limiter {
-	if s.FadeSeconds <= 0 {
-		s.FadeSeconds = DefaultFadeSeconds
+func New(tree *Tree, settings Settings, now float64) *Limiter {
+	if settings.FadeSeconds <= 0 {
+		settings.FadeSeconds = DefaultFadeSeconds
 	}
-	m := &Limiter{tree: t, settings: s, now: now, stats: make([]Stats, t.Len()), refusals: make([]Refusal, t.Len())}
-	for i, l := range t.Limits {
-		if l.Measure == Open {
-			m.tables, m.openCounts = append(m.tables, nil), append(m.openCounts, newOpenCounts(t, i, &m.settings))
+	l := &Limiter{tree: tree, settings: settings, now: now, stats: make([]Stats, tree.Len()), refusals: make([]Refusal, tree.Len())}
+	for i, limit := range tree.Limits {
+		if limit.Measure == Open {
+			l.tables, l.openCounts = append(l.tables, nil), append(l.openCounts, newOpenCounts(tree, i, &l.settings))
 		} else {
-			m.tables, m.openCounts = append(m.tables, newAccountTable(t, i, &m.settings, now)), append(m.openCounts, nil)
+			l.tables, l.openCounts = append(l.tables, newAccountTable(tree, i, &l.settings, now)), append(l.openCounts, nil)
 		}
 	}
-	for i := range m.refusals {
-		m.refusals[i].Limit = -1
+	for i := range l.refusals {
+		l.refusals[i].Limit = -1
 	}
-	return m
+	return l
 }
 
 // Tree returns the machine's tree.
-func (m *Limiter) Tree() *Tree { return m.tree }
+func (l *Limiter) Tree() *Tree { return l.tree }
 
 // advance takes a time. One that is before the last, or no number, counts as the last.
-func (m *Limiter) advance(now float64) float64 {
-	if now > m.now && !math.IsInf(now, 1) {
-		m.now = now
+func (l *Limiter) advance(now float64) float64 {
+	if now > l.now && !math.IsInf(now, 1) {
+		l.now = now
 	}
-	return m.now
+	return l.now
 }
 
 // cost returns what a request costs of a measure before it is taken up, and what must be there for it. Danger: a message
 // that is larger than all that an account can hold would never be taken up; so what comes in bytes or work may be
 // overdrawn, and the debt counts.
-func (b *accountTable) cost(q *Request) (cost, need float64) {
-	switch b.limit.Measure {
+func (t *accountTable) cost(q *Request) (cost, need float64) {
+	switch t.limit.Measure {
 	case Requests:
 		return 1, 1
 	case Bytes:
-		c := &b.accounts[q.Group]
-		return q.Bytes, min(max(q.Bytes, 1), max(c.Capacity-c.Reserve, 1))
+		a := &t.accounts[q.Group]
+		return q.Bytes, min(max(q.Bytes, 1), max(a.Capacity-a.Reserve, 1))
 	default:
 		return 0, 1e-3
 	}
 }
 
 // Admit decides on a request and books what it costs so far. It takes nothing where it refuses.
-func (m *Limiter) Admit(now float64, q Request) Decision {
-	now = m.advance(now)
-	q.tree = m.treeNumber
-	v := Decision{Allowed: true}
-	for i, b := range m.tables {
-		if b == nil {
-			if after := m.openCounts[i].waitSeconds(q.Group, q.MayUseFloor); after > 0 && after > v.RetryAfterSeconds {
-				v = Decision{Limit: i, RetryAfterSeconds: after}
-				m.recordRefusal(i, after, 1, 0, false, &q)
+func (l *Limiter) Admit(now float64, q Request) Decision {
+	now = l.advance(now)
+	q.tree = l.treeNumber
+	decision := Decision{Allowed: true}
+	for i, table := range l.tables {
+		if table == nil {
+			if after := l.openCounts[i].waitSeconds(q.Group, q.MayUseFloor); after > 0 && after > decision.RetryAfterSeconds {
+				decision = Decision{Limit: i, RetryAfterSeconds: after}
+				l.recordRefusal(i, after, 1, 0, false, &q)
 			}
 			continue
 		}
-		b.processDue(now, maxDuePerCall, m.settings.StretchFraction)
-		cost, need := b.cost(&q)
-		b.settleChain(q.Group, now)
-		if m.settings.StretchFraction > 0 {
-			b.recordDemand(q.Group, max(cost, need), m.settings.StretchFraction, now)
+		table.processDue(now, maxDuePerCall, l.settings.StretchFraction)
+		cost, need := table.cost(&q)
+		table.settleChain(q.Group, now)
+		if l.settings.StretchFraction > 0 {
+			table.recordDemand(q.Group, max(cost, need), l.settings.StretchFraction, now)
 		}
-		after, lacks, capped := b.capWaitSeconds(q.Group, need, now), 0.0, true
+		after, lacks, capped := table.capWaitSeconds(q.Group, need, now), 0.0, true
 		if after == 0 {
-			if lacks = b.shortfall(q.Group, need, q.MayUseFloor, now); lacks > 0 {
-				after, capped = b.retryAfterSeconds(q.Group, need, q.MayUseFloor), false
+			if lacks = table.shortfall(q.Group, need, q.MayUseFloor, now); lacks > 0 {
+				after, capped = table.retryAfterSeconds(q.Group, need, q.MayUseFloor), false
 			}
 		}
-		if after > v.RetryAfterSeconds {
-			v = Decision{Limit: i, RetryAfterSeconds: after}
-			m.recordRefusal(i, after, lacks, b.accounts[q.Group].Level, capped, &q)
+		if after > decision.RetryAfterSeconds {
+			decision = Decision{Limit: i, RetryAfterSeconds: after}
+			l.recordRefusal(i, after, lacks, table.accounts[q.Group].Level, capped, &q)
 		}
 	}
-	if !v.Allowed {
-		m.stats[q.Group].Refused++
-		return v
+	if !decision.Allowed {
+		l.stats[q.Group].Refused++
+		return decision
 	}
-	m.stats[q.Group].Served++
-	for i, b := range m.tables {
-		if b == nil {
-			m.openCounts[i].add(q.Group, 1)
-		} else if cost, _ := b.cost(&q); cost > 0 {
-			b.charge(q.Group, cost, q.MayUseFloor, now)
+	l.stats[q.Group].Served++
+	for i, table := range l.tables {
+		if table == nil {
+			l.openCounts[i].add(q.Group, 1)
+		} else if cost, _ := table.cost(&q); cost > 0 {
+			table.charge(q.Group, cost, q.MayUseFloor, now)
 		}
 	}
-	return v
+	return decision
 }
 
 // recordRefusal remembers why.
-func (m *Limiter) recordRefusal(limit int, afterS, lacks, own float64, capped bool, q *Request) {
-	m.refusals[q.Group] = Refusal{At: m.now, Limit: int32(limit), Capped: capped, Lacked: lacks, AfterS: afterS, Own: own}
+func (l *Limiter) recordRefusal(limit int, afterS, lacks, own float64, capped bool, q *Request) {
+	l.refusals[q.Group] = Refusal{At: l.now, Limit: int32(limit), Capped: capped, Lacked: lacks, AfterS: afterS, Own: own}
 }
 
 // Complete notes that a request that has been taken up is answered, after a time, with an answer of so many bytes that took
 // so much work. What they cost may go beyond what is there; the debt counts.
-func (m *Limiter) Complete(now float64, q Request, afterS, bytes, workS float64) {
-	now = m.advance(now)
-	if q.Group = m.presentGroup(&q); q.Group < 0 {
+func (l *Limiter) Complete(now float64, q Request, afterS, bytes, workS float64) {
+	now = l.advance(now)
+	if q.Group = l.presentGroup(&q); q.Group < 0 {
 		return
 	}
-	for i, b := range m.tables {
+	for i, table := range l.tables {
 		amount := 0.0
-		switch m.tree.Limits[i].Measure {
+		switch l.tree.Limits[i].Measure {
 		case Open:
-			if o := m.openCounts[i]; q.tree >= o.sinceTree { // what was open before has not been counted
-				o.add(q.Group, -1)
-				o.recordDuration(afterS)
+			if counts := l.openCounts[i]; q.tree >= counts.sinceTree { // what was open before has not been counted
+				counts.add(q.Group, -1)
+				counts.recordDuration(afterS)
 			}
 			continue
 		case Bytes:
@@ -184,9 +184,9 @@
 		case Work:
 			amount = workS
 		}
-		if amount > 0 && m.tree.AcceptsRequests(q.Group) {
-			b.settleChain(q.Group, now)
-			b.charge(q.Group, amount, q.MayUseFloor, now)
+		if amount > 0 && l.tree.AcceptsRequests(q.Group) {
+			table.settleChain(q.Group, now)
+			table.charge(q.Group, amount, q.MayUseFloor, now)
 		}
 	}
 }
--- a/internal/decide/quota/open.go
+++ b/internal/decide/quota/open.go
@@ -15,13 +15,13 @@
 	meanSeconds float64
 }
 
-func newOpenCounts(t *Tree, i int, s *Settings) *openCounts {
-	o := &openCounts{tree: t, open: make([]int32, t.Len()), peak: make([]int32, t.Len()), quota: make([]float64, t.Len()), caps: make([]float64, t.Len()),
+func newOpenCounts(tree *Tree, i int, settings *Settings) *openCounts {
+	o := &openCounts{tree: tree, open: make([]int32, tree.Len()), peak: make([]int32, tree.Len()), quota: make([]float64, tree.Len()), caps: make([]float64, tree.Len()),
 		meanSeconds: 0.1}
-	part := 1 / float64(max(s.Replicas, 1))
-	for n := range t.nodes {
-		o.quota[n], o.caps[n] = t.nodes[n].quota[i]*part, math.Inf(1)
-		if c := t.nodes[n].cap[i]; c < math.Inf(1) {
+	part := 1 / float64(max(settings.Replicas, 1))
+	for n := range tree.nodes {
+		o.quota[n], o.caps[n] = tree.nodes[n].quota[i]*part, math.Inf(1)
+		if c := tree.nodes[n].cap[i]; c < math.Inf(1) {
 			o.caps[n] = max(c*part, 1)
 		}
 	}
@@ -33,13 +33,13 @@
 func (o *openCounts) waitSeconds(g int32, floor bool) float64 {
 	free := false
 	for n := g; n >= 0; n = o.tree.nodes[n].parent {
-		next, t := float64(o.open[n]+1), &o.tree.nodes[n]
+		next, group := float64(o.open[n]+1), &o.tree.nodes[n]
 		if next > o.caps[n]+1e-9 {
 			return max(o.meanSeconds/float64(max(o.open[n], 1)), 1e-3)
 		}
 		quota := o.quota[n]
 		if !floor {
-			quota *= 1 - t.floor
+			quota *= 1 - group.floor
 		}
 		free = free || next <= quota+1e-9
 	}
--- a/internal/decide/quota/state.go
+++ b/internal/decide/quota/state.go
@@ -46,15 +46,15 @@
 )
 
 // State returns a copy of what the machine knows, which may be encoded while the machine goes on.
-func (m *Limiter) State() *State {
-	s := &State{At: m.now, Stats: slices.Clone(m.stats), Refusals: slices.Clone(m.refusals), tree: m.tree, settings: m.settings}
-	for i, l := range m.tree.Limits {
-		s.Limits = append(s.Limits, l.Name())
-		var b BookState
-		if m.tables[i] != nil {
-			b = BookState{accounts: slices.Clone(m.tables[i].accounts), Queue: slices.Clone(m.tables[i].queue), Lost: m.tables[i].overflow}
+func (l *Limiter) State() *State {
+	s := &State{At: l.now, Stats: slices.Clone(l.stats), Refusals: slices.Clone(l.refusals), tree: l.tree, settings: l.settings}
+	for i, limit := range l.tree.Limits {
+		s.Limits = append(s.Limits, limit.Name())
+		var table BookState
+		if l.tables[i] != nil {
+			table = BookState{accounts: slices.Clone(l.tables[i].accounts), Queue: slices.Clone(l.tables[i].queue), Lost: l.tables[i].overflow}
 		}
-		s.Books = append(s.Books, b)
+		s.Books = append(s.Books, table)
 	}
 	return s
 }
@@ -121,20 +121,20 @@
 		return nil, fmt.Errorf("%w: its parts do not fit together", ErrDamaged)
 	}
 	for i := range s.Books {
-		b := &s.Books[i]
-		for _, x := range b.Queue {
+		state := &s.Books[i]
+		for _, x := range state.Queue {
 			if x.Cell < 0 || int(x.Cell) >= len(s.Paths) {
 				return nil, fmt.Errorf("%w: %s waits for an account that it has not", ErrDamaged, s.Limits[i])
 			}
 		}
-		if len(b.Cells) == 0 {
+		if len(state.Cells) == 0 {
 			continue
 		}
-		b.accounts = make([]account, len(s.Paths))
-		if binary.Size(b.accounts) != len(b.Cells) {
+		state.accounts = make([]account, len(s.Paths))
+		if binary.Size(state.accounts) != len(state.Cells) {
 			return nil, fmt.Errorf("%w: %s has another number of accounts", ErrDamaged, s.Limits[i])
 		}
-		if err := binary.Read(bytes.NewReader(b.Cells), binary.LittleEndian, b.accounts); err != nil {
+		if err := binary.Read(bytes.NewReader(state.Cells), binary.LittleEndian, state.accounts); err != nil {
 			return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
 		}
 	}
@@ -143,31 +143,31 @@
 
 // Restore returns a machine that goes on from a state. With the tree and the settings that the state is of it goes on as
 // if nothing had been; else each group whose path and limit there still are keeps its account, see Replace.
-func Restore(t *Tree, settings Settings, s *State, now float64) *Limiter {
+func Restore(tree *Tree, settings Settings, s *State, now float64) *Limiter {
 	s.fillNames()
 	if now < s.At {
 		s.shiftTimes(now - s.At)
 	}
-	m := New(t, settings, s.At)
-	if t.fingerprint(&m.settings) == s.Mark && len(s.Paths) == t.Len() {
-		copy(m.stats, s.Stats)
-		copy(m.refusals, s.Refusals)
-		for i, b := range m.tables {
-			if b != nil {
-				copy(b.accounts, s.Books[i].accounts)
-				b.overflow = s.Books[i].Lost
-				b.queue = append(b.queue[:0], s.Books[i].Queue...)
-				clear(b.queueIndex)
-				for at, x := range b.queue {
-					b.queueIndex[x.Cell] = int32(at + 1)
+	l := New(tree, settings, s.At)
+	if tree.fingerprint(&l.settings) == s.Mark && len(s.Paths) == tree.Len() {
+		copy(l.stats, s.Stats)
+		copy(l.refusals, s.Refusals)
+		for i, table := range l.tables {
+			if table != nil {
+				copy(table.accounts, s.Books[i].accounts)
+				table.overflow = s.Books[i].Lost
+				table.queue = append(table.queue[:0], s.Books[i].Queue...)
+				clear(table.queueIndex)
+				for at, x := range table.queue {
+					table.queueIndex[x.Cell] = int32(at + 1)
 				}
 			}
 		}
 	} else {
-		m.adoptState(s)
+		l.adoptState(s)
 	}
-	m.advance(now)
-	return m
+	l.advance(now)
+	return l
 }
 
 // shiftTimes moves all times. Danger: a clock that was set back while the program was down would stand still, for this machine,
@@ -178,14 +178,14 @@
 		s.Refusals[i].At += by
 	}
 	for i := range s.Books {
-		b := &s.Books[i]
-		for n := range b.accounts {
-			c := &b.accounts[n]
-			c.SettledAt, c.LastDrawnAt, c.CapSettledAt = c.SettledAt+by, c.LastDrawnAt+by, c.CapSettledAt+by
-			c.Epoch, c.AskedEpoch, c.DemandWindow = -1, -1, -1
+		state := &s.Books[i]
+		for n := range state.accounts {
+			a := &state.accounts[n]
+			a.SettledAt, a.LastDrawnAt, a.CapSettledAt = a.SettledAt+by, a.LastDrawnAt+by, a.CapSettledAt+by
+			a.Epoch, a.AskedEpoch, a.DemandWindow = -1, -1, -1
 		}
-		for n := range b.Queue {
-			b.Queue[n].Due += by
+		for n := range state.Queue {
+			state.Queue[n].Due += by
 		}
 	}
 }
@@ -193,34 +193,34 @@
 // WithTree puts another tree in a machine's place. What a group holds, owes and is owed goes on under its path, within its
 // new bounds. The debts of a group that is gone are written off, and its claims fall to the pool that they are on; a new
 // group begins with a full bucket.
-func (m *Limiter) WithTree(now float64, t *Tree, settings Settings) *Limiter {
-	now = m.advance(now)
-	for _, b := range m.tables {
-		if b != nil {
-			b.settleAll(now)
+func (l *Limiter) WithTree(now float64, tree *Tree, settings Settings) *Limiter {
+	now = l.advance(now)
+	for _, table := range l.tables {
+		if table != nil {
+			table.settleAll(now)
 		}
 	}
-	next := New(t, settings, now)
-	old := next.adoptState(m.State())
-	moved := make([]int32, m.tree.Len())
+	next := New(tree, settings, now)
+	old := next.adoptState(l.State())
+	moved := make([]int32, l.tree.Len())
 	for n := range moved {
 		moved[n] = int32(old[n])
-		if parent := m.tree.nodes[n].parent; moved[n] < 0 && parent >= 0 {
+		if parent := l.tree.nodes[n].parent; moved[n] < 0 && parent >= 0 {
 			moved[n] = moved[parent]
 		}
 	}
 	// Danger: a request is answered long after its group's number has come to mean another group.
-	next.treeNumber, next.groupMoves = m.treeNumber+1, append(slices.Clone(m.groupMoves[max(0, len(m.groupMoves)-maxOldTrees+1):]), moved)
-	for i, o := range next.openCounts {
-		if o != nil {
-			o.sinceTree = next.treeNumber
+	next.treeNumber, next.groupMoves = l.treeNumber+1, append(slices.Clone(l.groupMoves[max(0, len(l.groupMoves)-maxOldTrees+1):]), moved)
+	for i, counts := range next.openCounts {
+		if counts != nil {
+			counts.sinceTree = next.treeNumber
 		}
-		if j := m.tree.limitIndex(t.Limits[i].Name()); o != nil && j >= 0 {
-			o.sinceTree = m.openCounts[j].sinceTree
-			o.meanSeconds = m.openCounts[j].meanSeconds
+		if j := l.tree.limitIndex(tree.Limits[i].Name()); counts != nil && j >= 0 {
+			counts.sinceTree = l.openCounts[j].sinceTree
+			counts.meanSeconds = l.openCounts[j].meanSeconds
 			for n, to := range old {
 				if to >= 0 {
-					o.open[to] = m.openCounts[j].open[n]
+					counts.open[to] = l.openCounts[j].open[n]
 				}
 			}
 		}
@@ -232,14 +232,14 @@
 const maxOldTrees = 16
 
 // presentGroup returns where a request that was taken up counts now, -1: nowhere.
-func (m *Limiter) presentGroup(q *Request) int32 {
+func (l *Limiter) presentGroup(q *Request) int32 {
 	g := q.Group
-	for tree := q.tree; tree < m.treeNumber && g >= 0; tree++ {
-		at := len(m.groupMoves) - (m.treeNumber - tree)
+	for tree := q.tree; tree < l.treeNumber && g >= 0; tree++ {
+		at := len(l.groupMoves) - (l.treeNumber - tree)
 		if at < 0 {
 			return -1
 		}
-		g = m.groupMoves[at][g]
+		g = l.groupMoves[at][g]
 	}
 	return g
 }
@@ -252,7 +252,7 @@
 }
 
 // adoptState takes over a state of another tree. It returns the numbers here of the state's groups, -1 of those that are gone.
-func (m *Limiter) adoptState(s *State) []int {
+func (l *Limiter) adoptState(s *State) []int {
 	s.fillNames()
 	to := make([]int, len(s.Paths))
 	for n, path := range s.Paths {
@@ -260,89 +260,89 @@
 			continue
 		}
 		if to[n] = -1; path != "" {
-			if g, ok := m.tree.Find(path); ok && m.tree.nodes[g].path == path {
+			if g, ok := l.tree.Find(path); ok && l.tree.nodes[g].path == path {
 				to[n] = int(g)
 			}
 		}
 	}
 	for n, g := range to {
 		if g >= 0 {
-			m.stats[g] = s.Stats[n]
+			l.stats[g] = s.Stats[n]
 			if r := s.Refusals[n]; r.Limit >= 0 && int(r.Limit) < len(s.Limits) {
-				r.Limit = int32(m.tree.limitIndex(s.Limits[r.Limit]))
-				m.refusals[g] = r
+				r.Limit = int32(l.tree.limitIndex(s.Limits[r.Limit]))
+				l.refusals[g] = r
 			}
 		}
 	}
 	for i, name := range s.Limits {
-		if j := m.tree.limitIndex(name); j >= 0 && m.tables[j] != nil && len(s.Books[i].accounts) > 0 {
-			m.tables[j].adoptAccounts(s.Books[i].accounts, to, m.now)
-			m.tables[j].overflow = s.Books[i].Lost
+		if j := l.tree.limitIndex(name); j >= 0 && l.tables[j] != nil && len(s.Books[i].accounts) > 0 {
+			l.tables[j].adoptAccounts(s.Books[i].accounts, to, l.now)
+			l.tables[j].overflow = s.Books[i].Lost
 		}
 	}
 	return to
 }
 
 // adoptAccounts takes over accounts; to says whose they are now.
-func (b *accountTable) adoptAccounts(cells []account, to []int, now float64) {
+func (t *accountTable) adoptAccounts(cells []account, to []int, now float64) {
 	for n, g := range to {
 		if g < 0 {
 			continue
 		}
-		c, o := &b.accounts[g], &cells[n]
-		c.CapLevel = min(o.CapLevel, c.CapLevel)
-		if c.Level = min(o.Level, c.Capacity); !b.tree.links[g].inner {
+		a, old := &t.accounts[g], &cells[n]
+		a.CapLevel = min(old.CapLevel, a.CapLevel)
+		if a.Level = min(old.Level, a.Capacity); !t.tree.links[g].inner {
 			// Danger: a bucket that has become larger and stays as empty is below its floor for as long as that takes to fill.
-			c.Level += max(c.Capacity-o.Capacity, 0)
+			a.Level += max(a.Capacity-old.Capacity, 0)
 		}
-		if b.tree.links[g].inner {
-			c.Level = max(c.Level, 0)
+		if t.tree.links[g].inner {
+			a.Level = max(a.Level, 0)
 		}
-		c.Balance, c.Drawn, c.LastDrawnAt, c.Tally = o.Balance, o.Drawn, o.LastDrawnAt, o.Tally
-		c.Turn, c.AskedEpoch, c.Epoch = o.Turn, o.AskedEpoch, o.Epoch
-		c.Wanting, c.Wanted, c.Claiming, c.Claimed = o.Wanting, o.Wanted, o.Claiming, o.Claimed
+		a.Balance, a.Drawn, a.LastDrawnAt, a.Tally = old.Balance, old.Drawn, old.LastDrawnAt, old.Tally
+		a.Turn, a.AskedEpoch, a.Epoch = old.Turn, old.AskedEpoch, old.Epoch
+		a.Wanting, a.Wanted, a.Claiming, a.Claimed = old.Wanting, old.Wanted, old.Claiming, old.Claimed
 	}
-	b.accounts[0].Balance = 0
-	for n := range b.accounts {
-		b.accounts[n].Equity = 0
+	t.accounts[0].Balance = 0
+	for n := range t.accounts {
+		t.accounts[n].Equity = 0
 	}
-	for n := range b.accounts { // what the balances do not account for is nobody's, or written off
-		c := &b.accounts[n]
-		if b.tree.nodes[n].inner {
-			c.Equity += c.Level + c.Balance
+	for n := range t.accounts { // what the balances do not account for is nobody's, or written off
+		a := &t.accounts[n]
+		if t.tree.nodes[n].inner {
+			a.Equity += a.Level + a.Balance
 		}
 		if n > 0 {
-			b.accounts[b.tree.nodes[n].parent].Equity -= c.Balance
+			t.accounts[t.tree.nodes[n].parent].Equity -= a.Balance
 		}
 	}
-	b.resetFlows(now)
+	t.resetFlows(now)
 }
 
 // Audit returns by how much the accounts of a group, those of its children and what it holds disagree, the worst of all
 // limits; it is 0 but for the last digits of sums.
-func (m *Limiter) Audit(now float64) (worst float64, at string) {
-	now = m.advance(now)
-	for _, b := range m.tables {
-		if b == nil {
+func (l *Limiter) Audit(now float64) (worst float64, at string) {
+	now = l.advance(now)
+	for _, table := range l.tables {
+		if table == nil {
 			continue
 		}
-		b.settleAll(now)
-		sums := make([]float64, len(b.accounts))
-		for n := len(b.accounts) - 1; n >= 0; n-- {
-			c, t := &b.accounts[n], &m.tree.nodes[n]
+		table.settleAll(now)
+		sums := make([]float64, len(table.accounts))
+		for n := len(table.accounts) - 1; n >= 0; n-- {
+			a, group := &table.accounts[n], &l.tree.nodes[n]
 			off := 0.0
-			if t.inner {
-				off = max(abs(c.Level-c.Equity-sums[n]+c.Balance), -c.Level, c.Level-c.Capacity)
+			if group.inner {
+				off = max(abs(a.Level-a.Equity-sums[n]+a.Balance), -a.Level, a.Level-a.Capacity)
 			} else {
-				off = c.Level - c.Capacity
+				off = a.Level - a.Capacity
 			}
-			y := &c.Tally
-			off = max(off, abs(c.Balance-(y.Lent-y.Returned-y.Borrowed+y.Repaid+y.Forgiven-y.Expired)))
+			y := &a.Tally
+			off = max(off, abs(a.Balance-(y.Lent-y.Returned-y.Borrowed+y.Repaid+y.Forgiven-y.Expired)))
 			if off /= 1 + 1e-9*y.Used; off > worst {
-				worst, at = off, b.limit.Name()+" of "+m.tree.Path(int32(n))
+				worst, at = off, table.limit.Name()+" of "+l.tree.Path(int32(n))
 			}
 			if n > 0 {
-				sums[t.parent] += c.Balance
+				sums[group.parent] += a.Balance
 			}
 		}
 	}
--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -34,48 +34,48 @@
 }
 
 // View shows at most so many groups, and of a tree that has more those that have been asked for, as far as they go.
-func (m *Limiter) View(now float64, most int) View {
-	now = m.advance(now)
-	v := View{At: now, All: m.tree.Len() - 1, Groups: []GroupView{}}
-	for i, b := range m.tables {
-		v.Limits = append(v.Limits, m.tree.Limits[i].Name())
+func (l *Limiter) View(now float64, limit int) View {
+	now = l.advance(now)
+	decision := View{At: now, All: l.tree.Len() - 1, Groups: []GroupView{}}
+	for i, table := range l.tables {
+		decision.Limits = append(decision.Limits, l.tree.Limits[i].Name())
 		lost := 0.0
-		if b != nil {
-			b.settleAll(now)
-			lost = b.overflow
+		if table != nil {
+			table.settleAll(now)
+			lost = table.overflow
 		}
-		v.Lost = append(v.Lost, lost)
+		decision.Lost = append(decision.Lost, lost)
 	}
-	served, refused := m.subtreeCounts()
+	served, refused := l.subtreeCounts()
 	var visit func(n int32)
-	children := make([][]int32, m.tree.Len())
-	for n := 1; n < m.tree.Len(); n++ {
-		p := m.tree.nodes[n].parent
+	children := make([][]int32, l.tree.Len())
+	for n := 1; n < l.tree.Len(); n++ {
+		p := l.tree.nodes[n].parent
 		children[p] = append(children[p], int32(n))
 	}
-	quietToo := m.tree.Len() <= most
+	quietToo := l.tree.Len() <= limit
 	visit = func(n int32) {
-		if len(v.Groups) >= most || !quietToo && n > 0 && served[n]+refused[n] == 0 {
+		if len(decision.Groups) >= limit || !quietToo && n > 0 && served[n]+refused[n] == 0 {
 			return
 		}
-		g := m.groupView(n)
+		g := l.groupView(n)
 		g.Served, g.Rejected = served[n], refused[n]
-		v.Groups = append(v.Groups, g)
+		decision.Groups = append(decision.Groups, g)
 		for _, child := range children[n] {
 			visit(child)
 		}
 	}
 	visit(0)
-	return v
+	return decision
 }
 
 // subtreeCounts adds up the requests of each group and all below it.
-func (m *Limiter) subtreeCounts() (served, refused []uint64) {
-	served, refused = make([]uint64, len(m.stats)), make([]uint64, len(m.stats))
-	for n := len(m.stats) - 1; n >= 0; n-- {
-		served[n] += m.stats[n].Served
-		refused[n] += m.stats[n].Refused
-		if p := m.tree.nodes[n].parent; p >= 0 {
+func (l *Limiter) subtreeCounts() (served, refused []uint64) {
+	served, refused = make([]uint64, len(l.stats)), make([]uint64, len(l.stats))
+	for n := len(l.stats) - 1; n >= 0; n-- {
+		served[n] += l.stats[n].Served
+		refused[n] += l.stats[n].Refused
+		if p := l.tree.nodes[n].parent; p >= 0 {
 			served[p] += served[n]
 			refused[p] += refused[n]
 		}
@@ -83,17 +83,17 @@
 	return served, refused
 }
 
-func (m *Limiter) groupView(n int32) GroupView {
-	t := &m.tree.nodes[n]
-	g := GroupView{Path: m.tree.Path(n), Depth: int(t.depth), Served: m.stats[n].Served, Rejected: m.stats[n].Refused}
-	for i, l := range m.tree.Limits {
-		if o := m.openCounts[i]; o != nil {
-			g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: o.quota[n], Level: float64(o.open[n]), Depth: float64(o.peak[n])})
+func (l *Limiter) groupView(n int32) GroupView {
+	group := &l.tree.nodes[n]
+	g := GroupView{Path: l.tree.Path(n), Depth: int(group.depth), Served: l.stats[n].Served, Rejected: l.stats[n].Refused}
+	for i, limit := range l.tree.Limits {
+		if counts := l.openCounts[i]; counts != nil {
+			g.Limits = append(g.Limits, LimitView{Limit: limit.Name(), Quota: counts.quota[n], Level: float64(counts.open[n]), Depth: float64(counts.peak[n])})
 			continue
 		}
-		c := &m.tables[i].accounts[n]
-		g.Limits = append(g.Limits, LimitView{Limit: l.Name(), Quota: t.quota[i] / float64(max(m.settings.Replicas, 1)), Level: c.Level, Depth: c.Capacity,
-			Credit: max(c.Balance, 0), Debt: max(-c.Balance, 0), IsLending: c.IsOverflowing, Stretch: c.Stretch, Tally: c.Tally})
+		a := &l.tables[i].accounts[n]
+		g.Limits = append(g.Limits, LimitView{Limit: limit.Name(), Quota: group.quota[i] / float64(max(l.settings.Replicas, 1)), Level: a.Level, Depth: a.Capacity,
+			Credit: max(a.Balance, 0), Debt: max(-a.Balance, 0), IsLending: a.IsOverflowing, Stretch: a.Stretch, Tally: a.Tally})
 	}
 	return g
 }
@@ -112,20 +112,20 @@
 }
 
 // Explain tells of a group.
-func (m *Limiter) Explain(now float64, g int32) Explanation {
-	now = m.advance(now)
-	_, refused := m.subtreeCounts()
-	e := Explanation{Group: m.tree.Path(g), Rejected: refused[g]}
-	if r := m.refusals[g]; r.Limit >= 0 {
-		e.AgoSeconds, e.Limit, e.Capped, e.Shortfall, e.Level, e.RetryAfterSeconds = now-r.At, m.tree.Limits[r.Limit].Name(), r.Capped, r.Lacked, r.Own, r.AfterS
+func (l *Limiter) Explain(now float64, g int32) Explanation {
+	now = l.advance(now)
+	_, refused := l.subtreeCounts()
+	e := Explanation{Group: l.tree.Path(g), Rejected: refused[g]}
+	if r := l.refusals[g]; r.Limit >= 0 {
+		e.AgoSeconds, e.Limit, e.Capped, e.Shortfall, e.Level, e.RetryAfterSeconds = now-r.At, l.tree.Limits[r.Limit].Name(), r.Capped, r.Lacked, r.Own, r.AfterS
 	}
-	for _, b := range m.tables {
-		if b != nil {
-			b.settleChain(g, now)
+	for _, table := range l.tables {
+		if table != nil {
+			table.settleChain(g, now)
 		}
 	}
-	for n := g; n >= 0; n = m.tree.nodes[n].parent {
-		e.Chain = append(e.Chain, m.groupView(n))
+	for n := g; n >= 0; n = l.tree.nodes[n].parent {
+		e.Chain = append(e.Chain, l.groupView(n))
 	}
 	return e
 }
@@ -138,45 +138,45 @@
 }
 
 // TopRejected returns the groups with most refusals, at most so many, the one with most first.
-func (m *Limiter) TopRejected(most int) []GroupCounts {
-	all := make([]GroupCounts, 0, most+1)
-	for g, s := range m.stats {
-		if s.Refused == 0 || len(all) == most && s.Refused <= all[most-1].Rejected {
+func (l *Limiter) TopRejected(limit int) []GroupCounts {
+	all := make([]GroupCounts, 0, limit+1)
+	for g, s := range l.stats {
+		if s.Refused == 0 || len(all) == limit && s.Refused <= all[limit-1].Rejected {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(all, s.Refused, func(b GroupCounts, n uint64) int {
-			if b.Rejected >= n { // of equals the first in the tree
+		at, _ := slices.BinarySearchFunc(all, s.Refused, func(table GroupCounts, n uint64) int {
+			if table.Rejected >= n { // of equals the first in the tree
 				return -1
 			}
 			return 1
 		})
-		all = slices.Insert(all, at, GroupCounts{m.tree.Path(int32(g)), s.Served, s.Refused})
-		all = all[:min(len(all), most)]
+		all = slices.Insert(all, at, GroupCounts{l.tree.Path(int32(g)), s.Served, s.Refused})
+		all = all[:min(len(all), limit)]
 	}
 	return all
 }
 
 // Stats returns a group's requests, without those of the groups below it.
-func (m *Limiter) Stats(g int32) Stats { return m.stats[g] }
+func (l *Limiter) Stats(g int32) Stats { return l.stats[g] }
 
 // Tally returns what has happened to a group's account, and its balance with its parent. It is settled as of the last call.
-func (m *Limiter) Tally(g int32, limit int) (t Tally, balance float64) {
-	b := m.tables[limit]
-	b.settleChain(g, m.now)
-	return b.accounts[g].Tally, b.accounts[g].Balance
+func (l *Limiter) Tally(g int32, limit int) (group Tally, balance float64) {
+	table := l.tables[limit]
+	table.settleChain(g, l.now)
+	return table.accounts[g].Tally, table.accounts[g].Balance
 }
 
 // Lost returns what of a limit's quota has found no room since nobody wanted it.
-func (m *Limiter) Lost(limit int) float64 {
-	m.tables[limit].settleAll(m.now)
-	return m.tables[limit].overflow
+func (l *Limiter) Lost(limit int) float64 {
+	l.tables[limit].settleAll(l.now)
+	return l.tables[limit].overflow
 }
 
 // LostAt is Lost at a time.
-func (m *Limiter) LostAt(now float64, limit int) float64 {
-	m.advance(now)
-	return m.Lost(limit)
+func (l *Limiter) LostAt(now float64, limit int) float64 {
+	l.advance(now)
+	return l.Lost(limit)
 }
 
 // WasCapped tells whether a group's last refusal was for a cap.
-func (m *Limiter) WasCapped(g int32) bool { return m.refusals[g].Limit >= 0 && m.refusals[g].Capped }
+func (l *Limiter) WasCapped(g int32) bool { return l.refusals[g].Limit >= 0 && l.refusals[g].Capped }
