--- /dev/null
+++ b/internal/decide/quota/accounttable.go
@@ -0,0 +1,114 @@
+package quota
+
+import "math"
+
+const (
+	// poolFraction of a window's quota is what a pool holds. Danger: all that lies in buckets and pools can be taken at once,
+	// beyond what a window brings; and a pool that holds less than some requests has nothing to lend.
+	poolFraction    = 1.0 / 8
+	minPoolRequests = 2.0
+	// quietFraction of a window is how long a group must have taken nothing before its overflow counts as a stream. Until then
+	// it is deposited when somebody looks.
+	quietFraction = 1.0 / 16
+	// epochFraction of a window is how long a group counts as wanting after it has asked.
+	epochFraction = 1.0 / 8
+	// minScheduleSeconds is the least time until an account is looked at again.
+	minScheduleSeconds = 1e-3
+	// maxDuePerCall accounts are looked at for one request. Danger: after a long silence all groups are due at once, and the
+	// loop would stand still for them; late, a deposit is made as a lump.
+	maxDuePerCall = 32
+)
+
+// accountTable is the accounts of one limit.
+type accountTable struct {
+	limit         Limit
+	tree          *Tree
+	accounts      []account
+	queue         []dueCell
+	queueIndex    []int32 // of each cell in the queue, from 1; 0: it is not in it
+	overflow      float64 // what found no room
+	epochSeconds  float64
+	quietSeconds  float64
+	repayFraction float64
+	fadeSeconds   float64
+}
+
+func newAccountTable(tree *Tree, i int, settings *Settings, now float64) *accountTable {
+	limit := tree.Limits[i]
+	t := &accountTable{limit: limit, tree: tree, accounts: make([]account, len(tree.nodes)), epochSeconds: epochFraction * limit.WindowSeconds, quietSeconds: quietFraction * limit.WindowSeconds,
+		repayFraction: settings.RepayFraction, fadeSeconds: settings.FadeSeconds, queue: make([]dueCell, 0, len(tree.nodes)), queueIndex: make([]int32, len(tree.nodes))}
+	part := 1 / float64(max(settings.Replicas, 1))
+	least := 0.0
+	if limit.Measure == Requests {
+		least = 1 // a quota below one request a window still comes to one in time
+	}
+	for n := range t.accounts {
+		group, a := &tree.nodes[n], &t.accounts[n]
+		a.SettledAt, a.CapSettledAt, a.LastDrawnAt, a.Epoch, a.AskedEpoch, a.DemandWindow = now, now, math.Inf(-1), -1, -1, -1
+		a.OwnInflow = group.unassigned[i] / limit.WindowSeconds * part
+		if group.inner {
+			// Each account below holds less than what comes to it in the time for which it may be left alone.
+			a.Capacity = max(group.quota[i]*part*poolFraction, minPoolRequests*least)
+		} else {
+			a.Level = group.quota[i] * part
+			a.Capacity = max(a.Level, least)
+		}
+		// Danger: a floor that leaves less than a request would keep all other requests out for good.
+		a.Reserve = min(a.Capacity*group.floor, max(a.Capacity-least, 0))
+		if a.CapRate = group.cap[i] * part / limit.WindowSeconds; a.CapRate < math.Inf(1) {
+			a.CapLevel = max(a.CapRate*limit.WindowSeconds, least)
+		}
+	}
+	t.resetFlows(now)
+	return t
+}
+
+// resetFlows has every account that is full flow over, and looks after the others. It is for accounts that are settled and
+// that nothing flows between yet.
+func (t *accountTable) resetFlows(now float64) {
+	t.queue = t.queue[:0]
+	clear(t.queueIndex)
+	for n := range t.accounts {
+		t.accounts[n].Inflow = t.accounts[n].OwnInflow * (1 + t.accounts[n].Stretch)
+	}
+	for n := len(t.accounts) - 1; n >= 0; n-- { // children before their parents
+		a := &t.accounts[n]
+		a.IsOverflowing = a.Inflow > 0 && a.Level >= a.Capacity && now >= a.LastDrawnAt+t.quietSeconds
+		if a.IsOverflowing && n > 0 {
+			pool := &t.accounts[t.tree.links[n].parent]
+			pool.Inflow += a.Inflow
+			a.OfferedSeen, a.RecentSeen = pool.Offered, pool.Recent
+		}
+	}
+	for n := range t.accounts {
+		t.schedule(int32(n), now)
+	}
+}
+
+// setInflow has another rate come to an account, which is settled like its ancestors.
+func (t *accountTable) setInflow(n int32, rate, now float64) {
+	a := &t.accounts[n]
+	rate = max(rate, 0)
+	change := rate - a.Inflow
+	a.Inflow = rate
+	if !a.IsOverflowing {
+		t.schedule(n, now)
+	} else if parent := t.tree.links[n].parent; parent >= 0 {
+		t.setInflow(parent, t.accounts[parent].Inflow+change, now)
+	}
+}
+
+// markDrawn notes that an account is drawn on: it does not overflow any more.
+func (t *accountTable) markDrawn(n int32, now float64) {
+	a := &t.accounts[n]
+	a.LastDrawnAt = now
+	if a.IsOverflowing {
+		a.IsOverflowing = false
+		if parent := t.tree.links[n].parent; parent >= 0 {
+			t.setInflow(parent, t.accounts[parent].Inflow-a.Inflow, now)
+		}
+	}
+	if t.queueIndex[n] == 0 {
+		t.schedule(n, now)
+	}
+}
--- a/internal/decide/quota/share.go
+++ b/internal/decide/quota/charge.go
@@ -36,14 +36,6 @@
 	return a.Drawn <= pool.Turn
 }
 
-// available returns what a request may take of an account.
-func (a *account) available(floor bool) float64 {
-	if floor {
-		return max(a.Level, 0)
-	}
-	return max(a.Level-a.Reserve, 0)
-}
-
 // shortfall returns what a need lacks in a group's own bucket and the pools above it, up to which the accounts are settled; 0:
 // it can be had.
 func (t *accountTable) shortfall(group int32, need float64, floor bool, now float64) float64 {
@@ -61,24 +53,6 @@
 	return 0
 }
 
-// capWaitSeconds returns how long a group, or one above it, is held by its cap; 0: it is not.
-func (t *accountTable) capWaitSeconds(group int32, need, now float64) (waitS float64) {
-	for n := group; n > 0; n = t.tree.links[n].parent {
-		a := &t.accounts[n]
-		if a.CapRate == math.Inf(1) {
-			continue
-		}
-		if dt := now - a.CapSettledAt; dt > 0 {
-			a.CapSettledAt = now
-			a.CapLevel = min(a.CapLevel+a.CapRate*dt, max(a.CapRate*t.limit.WindowSeconds, t.minCapacity()))
-		}
-		if missing := need - a.CapLevel; missing > 0 {
-			waitS = max(waitS, t.waitSeconds(missing, a.CapRate))
-		}
-	}
-	return waitS
-}
-
 // charge books an amount on a group: from its own bucket, then from the pools above it, the nearest first. What is not there
 // makes the bucket's level negative.
 func (t *accountTable) charge(group int32, amount float64, floor bool, now float64) {
@@ -139,67 +113,17 @@
 	}
 }
 
-// minCapacity is what every bucket and cap holds in time.
-func (t *accountTable) minCapacity() float64 {
-	if t.limit.Measure == Requests {
-		return 1
-	}
-	return 0
-}
-
-// waitSeconds returns how long an amount takes at a rate. Nobody is told to wait for longer than a window, or a request's time
-// where a window brings less than one.
-func (t *accountTable) waitSeconds(amount, rate float64) float64 {
-	longest := max(t.limit.WindowSeconds, t.minCapacity()/max(rate, 1e-9))
-	return min(max(amount/max(rate, 1e-9)+1e-6, 1e-3), longest, 31*86400) // a clock's last digit is not waited for
-}
-
-// retryAfterSeconds returns when what a need lacks could be had: of the own bucket alone, or of the group's turn at the nearest pool
-// that something comes to, whichever is sooner.
-func (t *accountTable) retryAfterSeconds(group int32, need float64, floor bool) float64 {
-	a := &t.accounts[group]
-	rate := a.Inflow
-	if a.Balance < 0 {
-		rate *= 1 - t.repayFraction
-	}
-	reserve := a.Reserve
-	if floor {
-		reserve = 0
-	}
-	soonest := t.waitSeconds(need+reserve-a.Level, rate)
-	for n := group; t.tree.links[n].parent >= 0; n = t.tree.links[n].parent {
-		pool, w := &t.accounts[t.tree.links[n].parent], t.tree.links[n].weight
-		if pool.Inflow > 0 && w > 0 && !floor {
-			missing := need - a.available(floor) - pool.available(floor)
-			return min(soonest, t.waitSeconds(max(missing, 0), pool.Inflow*w/max(pool.Wanted, w)))
-		}
-	}
-	return soonest
-}
-
-// recordDemand notes what a group asks for, and stretches its part of a fleet's quota by what it has asked for lately, within the
-// bounds: where it asks for more than its part, it asks for less elsewhere, as a rule. Danger: without bounds the parts of
-// all sidecars together would be any number of quotas. What nobody asks for here is not cut: it would be lent to nobody.
-func (t *accountTable) recordDemand(group int32, amount, stretch, now float64) {
-	a := &t.accounts[group]
-	if epoch := int64(now / t.limit.WindowSeconds); a.DemandWindow != epoch {
-		if a.DemandWindow >= 0 && a.OwnInflow > 0 {
-			if a.DemandWindow < epoch-1 {
-				a.DemandRate = 0
-			}
-			a.DemandRate += 0.5 * (a.Demand/t.limit.WindowSeconds - a.DemandRate)
-			a.Stretch = min(max(a.DemandRate/a.OwnInflow-1, 0), stretch)
-			t.setInflow(group, a.OwnInflow*(1+a.Stretch), now)
-		}
-		a.DemandWindow, a.Demand = epoch, 0
-	}
-	a.Demand += amount
-}
-
-// resetStretch has a group that has asked for nothing have its plain part.
-func (t *accountTable) resetStretch(n int32) {
-	if a := &t.accounts[n]; !t.tree.links[n].inner {
-		a.Stretch, a.DemandRate = 0, 0
-		a.Inflow = a.OwnInflow
+// cost returns what a request costs of a measure before it is taken up, and what must be there for it. Danger: a message
+// that is larger than all that an account can hold would never be taken up; so what comes in bytes or work may be
+// overdrawn, and the debt counts.
+func (t *accountTable) cost(q *Request) (cost, need float64) {
+	switch t.limit.Measure {
+	case Requests:
+		return 1, 1
+	case Bytes:
+		a := &t.accounts[q.Group]
+		return q.Bytes, min(max(q.Bytes, 1), max(a.Capacity-a.Reserve, 1))
+	default:
+		return 0, 1e-3
 	}
 }
--- /dev/null
+++ b/internal/decide/quota/limit.go
@@ -0,0 +1,71 @@
+package quota
+
+import (
+	"fmt"
+	"strconv"
+)
+
+// Measure is what a limit counts.
+type Measure uint8
+
+// The measures.
+const (
+	Requests Measure = iota
+	Bytes            // of requests and answers
+	Work             // seconds of a box
+	Open             // requests that have not been answered
+	measureCount
+)
+
+var measureNames = [measureCount]string{"requests", "bytes", "work", "open"}
+
+func (m Measure) String() string { return measureNames[m] }
+
+// ParseMeasure returns the measure of a name.
+func ParseMeasure(name string) (Measure, bool) {
+	for m, n := range measureNames {
+		if n == name {
+			return Measure(m), true
+		}
+	}
+	return 0, false
+}
+
+// Limit is what the root, the whole fleet, has of a measure.
+type Limit struct {
+	Measure       Measure
+	WindowSeconds float64 // seconds; 0 of Open, which has no window
+	Quota         float64 // in each window; of Open, at a time
+}
+
+// Name names a limit as files and figures do: requests/10, or open.
+func (l Limit) Name() string {
+	if l.Measure == Open {
+		return "open"
+	}
+	return l.Measure.String() + "/" + strconv.FormatFloat(l.WindowSeconds, 'g', -1, 64)
+}
+
+func checkLimits(limits []Limit) error {
+	if len(limits) == 0 || len(limits) > MaxLimits {
+		return fmt.Errorf("limits: %d, want 1 to %d", len(limits), MaxLimits)
+	}
+	seen := map[string]bool{}
+	for i, l := range limits {
+		at := fmt.Sprintf("limits[%d]", i)
+		switch {
+		case l.Measure >= measureCount:
+			return fmt.Errorf("%s.measure: want requests, bytes, work or open", at)
+		case l.Measure == Open && l.WindowSeconds != 0:
+			return fmt.Errorf("%s.window_s: open requests have no window", at)
+		case l.Measure != Open && !(l.WindowSeconds >= 0.1 && l.WindowSeconds <= 31*86400):
+			return fmt.Errorf("%s.window_s: want seconds, 0.1 to 2678400", at)
+		case !(l.Quota > 0 && l.Quota <= 1e15):
+			return fmt.Errorf("%s.quota: want more than 0, at most 1e15", at)
+		case seen[l.Name()]:
+			return fmt.Errorf("%s: %s is given twice", at, l.Name())
+		}
+		seen[l.Name()] = true
+	}
+	return nil
+}
--- a/internal/decide/quota/machine.go
+++ b/internal/decide/quota/limiter.go
@@ -2,22 +2,6 @@
 
 import "math"
 
-// Settings are what a Machine goes by beside its tree.
-type Settings struct {
-	Replicas        int     // sidecars that share the quotas; 0 means 1
-	StretchFraction float64 // by what part of it a sidecar's part of a group's quota may be stretched by the group's demand
-	RepayFraction   float64 // what part of a debtor's own pays its debt
-	FadeSeconds     float64 // in this time all but 37 % of an old debt, and of an old claim, are forgotten
-}
-
-// Defaults of the settings. Danger: what a debtor pays is missing in its share; a group that wants its share, and has
-// borrowed, is to have it to a hundredth all the same.
-const (
-	DefaultRepayFraction   = 0.01
-	DefaultFadeSeconds     = 6 * 3600.0
-	DefaultStretchFraction = 0.1
-)
-
 // Limiter decides who may take what. Calls come one at a time.
 type Limiter struct {
 	tree       *Tree
@@ -31,22 +15,6 @@
 	groupMoves [][]int32 // for the last of them: where their groups' open requests count now; -1: nowhere
 }
 
-// Stats count a group's requests.
-type Stats struct {
-	Served  uint64
-	Refused uint64
-}
-
-// Refusal is why a group's last refusal was made.
-type Refusal struct {
-	At     float64
-	Limit  int32 // in Tree.Limits; -1: there was none
-	Capped bool  // a cap was reached, of the group or one above it
-	Lacked float64
-	AfterS float64
-	Own    float64 // the group's own level then
-}
-
 // Decision says whether a request may be taken up.
 type Decision struct {
 	Allowed           bool
@@ -98,21 +66,6 @@
 	return l.now
 }
 
-// cost returns what a request costs of a measure before it is taken up, and what must be there for it. Danger: a message
-// that is larger than all that an account can hold would never be taken up; so what comes in bytes or work may be
-// overdrawn, and the debt counts.
-func (t *accountTable) cost(q *Request) (cost, need float64) {
-	switch t.limit.Measure {
-	case Requests:
-		return 1, 1
-	case Bytes:
-		a := &t.accounts[q.Group]
-		return q.Bytes, min(max(q.Bytes, 1), max(a.Capacity-a.Reserve, 1))
-	default:
-		return 0, 1e-3
-	}
-}
-
 // Admit decides on a request and books what it costs so far. It takes nothing where it refuses.
 func (l *Limiter) Admit(now float64, q Request) Decision {
 	now = l.advance(now)
--- /dev/null
+++ b/internal/decide/quota/node.go
@@ -0,0 +1,75 @@
+package quota
+
+import (
+	"fmt"
+	"math"
+)
+
+// newChild checks a group below a node.
+func (t *Tree) newChild(at int32, g *Group) (node, error) {
+	p := &t.nodes[at]
+	n := node{name: g.Name, path: g.Name, parent: at, depth: p.depth + 1, weight: g.Weight}
+	if at > 0 {
+		n.path = p.path + "." + g.Name
+	}
+	percent := func(v float64) bool { return v >= 0 && v <= 100 }
+	switch {
+	case n.depth > MaxDepth:
+		return n, &GroupError{n.path, fmt.Sprintf("it is deeper than %d groups", MaxDepth)}
+	case !percent(g.Share):
+		return n, &GroupError{n.path, fmt.Sprintf("share: want percent of its parent, 0 to 100, not %g", g.Share)}
+	case !(g.Weight >= 0 && g.Weight <= 1e6):
+		return n, &GroupError{n.path, fmt.Sprintf("weight: want 0 to 1000000, not %g", g.Weight)}
+	case g.Floor > 100:
+		return n, &GroupError{n.path, fmt.Sprintf("floor: %g %% is above the parent", g.Floor)}
+	case !(g.Floor >= 0 && g.Floor <= g.Share):
+		return n, &GroupError{n.path, fmt.Sprintf("floor: %g %% of its parent is above its share, %g %%", g.Floor, g.Share)}
+	case !percent(g.Cap) || g.Cap > 0 && g.Cap < g.Share:
+		return n, &GroupError{n.path, fmt.Sprintf("cap: want percent of its parent from its share, %g, to 100, not %g", g.Share, g.Cap)}
+	}
+	if g.Floor > 0 {
+		n.floor = g.Floor / g.Share
+	}
+	n.quota, n.cap = make([]float64, len(t.Limits)), make([]float64, len(t.Limits))
+	named := 0
+	for l, limit := range t.Limits {
+		n.quota[l], n.cap[l] = p.quota[l]*g.Share/100, math.Inf(1)
+		if g.Cap > 0 {
+			n.cap[l] = p.quota[l] * g.Cap / 100
+		}
+		v, ok := g.Quotas[limit.Name()]
+		if !ok {
+			continue
+		}
+		named++
+		if n.quota[l] = v; !(v >= 0 && v <= p.quota[l]) || v > n.cap[l] {
+			return n, &GroupError{n.path, fmt.Sprintf("quotas: %s: want 0 to %g, what its parent and its cap allow", limit.Name(), min(p.quota[l], n.cap[l]))}
+		}
+	}
+	for name := range g.Quotas {
+		if _, ok := t.limit(name); !ok && named < len(g.Quotas) {
+			return n, &GroupError{n.path, "quotas: it names what is no limit; limits are " + t.limitNames()}
+		}
+	}
+	return n, nil
+}
+
+// node is a group in a Tree.
+type node struct {
+	name, path string
+	parent     int32 // -1 of the root
+	depth      int32 // 0 of the root
+	inner      bool  // it has children
+	weight     float64
+	floor      float64 // part of its own quota
+	quota      []float64
+	unassigned []float64 // of the quota, that no child has
+	cap        []float64 // +Inf: none
+}
+
+// link is a node's place in the tree.
+type link struct {
+	weight float64
+	parent int32
+	inner  bool
+}
--- /dev/null
+++ b/internal/decide/quota/replace.go
@@ -0,0 +1,66 @@
+package quota
+
+import (
+	"slices"
+)
+
+// WithTree puts another tree in a machine's place. What a group holds, owes and is owed goes on under its path, within its
+// new bounds. The debts of a group that is gone are written off, and its claims fall to the pool that they are on; a new
+// group begins with a full bucket.
+func (l *Limiter) WithTree(now float64, tree *Tree, settings Settings) *Limiter {
+	now = l.advance(now)
+	for _, table := range l.tables {
+		if table != nil {
+			table.settleAll(now)
+		}
+	}
+	next := New(tree, settings, now)
+	old := next.adoptState(l.State())
+	moved := make([]int32, l.tree.Len())
+	for n := range moved {
+		moved[n] = int32(old[n])
+		if parent := l.tree.nodes[n].parent; moved[n] < 0 && parent >= 0 {
+			moved[n] = moved[parent]
+		}
+	}
+	// Danger: a request is answered long after its group's number has come to mean another group.
+	next.treeNumber, next.groupMoves = l.treeNumber+1, append(slices.Clone(l.groupMoves[max(0, len(l.groupMoves)-maxOldTrees+1):]), moved)
+	for i, counts := range next.openCounts {
+		if counts != nil {
+			counts.sinceTree = next.treeNumber
+		}
+		if j := l.tree.limitIndex(tree.Limits[i].Name()); counts != nil && j >= 0 {
+			counts.sinceTree = l.openCounts[j].sinceTree
+			counts.meanSeconds = l.openCounts[j].meanSeconds
+			for n, to := range old {
+				if to >= 0 {
+					counts.open[to] = l.openCounts[j].open[n]
+				}
+			}
+		}
+	}
+	return next
+}
+
+// maxOldTrees before the present one are known to requests that are open.
+const maxOldTrees = 16
+
+// presentGroup returns where a request that was taken up counts now, -1: nowhere.
+func (l *Limiter) presentGroup(q *Request) int32 {
+	g := q.Group
+	for tree := q.tree; tree < l.treeNumber && g >= 0; tree++ {
+		at := len(l.groupMoves) - (l.treeNumber - tree)
+		if at < 0 {
+			return -1
+		}
+		g = l.groupMoves[at][g]
+	}
+	return g
+}
+
+func (t *Tree) limitIndex(limit string) int {
+	if i, ok := t.limit(limit); ok {
+		return i
+	}
+	return -1
+}
--- /dev/null
+++ b/internal/decide/quota/restore.go
@@ -0,0 +1,117 @@
+package quota
+
+// Restore returns a machine that goes on from a state. With the tree and the settings that the state is of it goes on as
+// if nothing had been; else each group whose path and limit there still are keeps its account, see Replace.
+func Restore(tree *Tree, settings Settings, s *State, now float64) *Limiter {
+	s.fillNames()
+	if now < s.At {
+		s.shiftTimes(now - s.At)
+	}
+	l := New(tree, settings, s.At)
+	if tree.fingerprint(&l.settings) == s.Mark && len(s.Paths) == tree.Len() {
+		copy(l.stats, s.Stats)
+		copy(l.refusals, s.Refusals)
+		for i, table := range l.tables {
+			if table != nil {
+				copy(table.accounts, s.Books[i].accounts)
+				table.overflow = s.Books[i].Lost
+				table.queue = append(table.queue[:0], s.Books[i].Queue...)
+				clear(table.queueIndex)
+				for at, x := range table.queue {
+					table.queueIndex[x.Cell] = int32(at + 1)
+				}
+			}
+		}
+	} else {
+		l.adoptState(s)
+	}
+	l.advance(now)
+	return l
+}
+
+// shiftTimes moves all times. Danger: a clock that was set back while the program was down would stand still, for this machine,
+// until it has come to where it was.
+func (s *State) shiftTimes(by float64) {
+	s.At += by
+	for i := range s.Refusals {
+		s.Refusals[i].At += by
+	}
+	for i := range s.Books {
+		state := &s.Books[i]
+		for n := range state.accounts {
+			a := &state.accounts[n]
+			a.SettledAt, a.LastDrawnAt, a.CapSettledAt = a.SettledAt+by, a.LastDrawnAt+by, a.CapSettledAt+by
+			a.Epoch, a.AskedEpoch, a.DemandWindow = -1, -1, -1
+		}
+		for n := range state.Queue {
+			state.Queue[n].Due += by
+		}
+	}
+}
+
+// adoptState takes over a state of another tree. It returns the numbers here of the state's groups, -1 of those that are gone.
+func (l *Limiter) adoptState(s *State) []int {
+	s.fillNames()
+	to := make([]int, len(s.Paths))
+	for n, path := range s.Paths {
+		if to[n] = 0; n == 0 {
+			continue
+		}
+		if to[n] = -1; path != "" {
+			if g, ok := l.tree.Find(path); ok && l.tree.nodes[g].path == path {
+				to[n] = int(g)
+			}
+		}
+	}
+	for n, g := range to {
+		if g >= 0 {
+			l.stats[g] = s.Stats[n]
+			if r := s.Refusals[n]; r.Limit >= 0 && int(r.Limit) < len(s.Limits) {
+				r.Limit = int32(l.tree.limitIndex(s.Limits[r.Limit]))
+				l.refusals[g] = r
+			}
+		}
+	}
+	for i, name := range s.Limits {
+		if j := l.tree.limitIndex(name); j >= 0 && l.tables[j] != nil && len(s.Books[i].accounts) > 0 {
+			l.tables[j].adoptAccounts(s.Books[i].accounts, to, l.now)
+			l.tables[j].overflow = s.Books[i].Lost
+		}
+	}
+	return to
+}
+
+// adoptAccounts takes over accounts; to says whose they are now.
+func (t *accountTable) adoptAccounts(cells []account, to []int, now float64) {
+	for n, g := range to {
+		if g < 0 {
+			continue
+		}
+		a, old := &t.accounts[g], &cells[n]
+		a.CapLevel = min(old.CapLevel, a.CapLevel)
+		if a.Level = min(old.Level, a.Capacity); !t.tree.links[g].inner {
+			// Danger: a bucket that has become larger and stays as empty is below its floor for as long as that takes to fill.
+			a.Level += max(a.Capacity-old.Capacity, 0)
+		}
+		if t.tree.links[g].inner {
+			a.Level = max(a.Level, 0)
+		}
+		a.Balance, a.Drawn, a.LastDrawnAt, a.Tally = old.Balance, old.Drawn, old.LastDrawnAt, old.Tally
+		a.Turn, a.AskedEpoch, a.Epoch = old.Turn, old.AskedEpoch, old.Epoch
+		a.Wanting, a.Wanted, a.Claiming, a.Claimed = old.Wanting, old.Wanted, old.Claiming, old.Claimed
+	}
+	t.accounts[0].Balance = 0
+	for n := range t.accounts {
+		t.accounts[n].Equity = 0
+	}
+	for n := range t.accounts { // what the balances do not account for is nobody's, or written off
+		a := &t.accounts[n]
+		if t.tree.nodes[n].inner {
+			a.Equity += a.Level + a.Balance
+		}
+		if n > 0 {
+			t.accounts[t.tree.nodes[n].parent].Equity -= a.Balance
+		}
+	}
+	t.resetFlows(now)
+}
--- a/internal/decide/quota/tree.go
+++ b/internal/decide/quota/tree.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math"
-	"strconv"
 	"strings"
 )
 
@@ -15,47 +14,6 @@
 	maxNameLength = 64
 )
 
-// Measure is what a limit counts.
-type Measure uint8
-
-// The measures.
-const (
-	Requests Measure = iota
-	Bytes            // of requests and answers
-	Work             // seconds of a box
-	Open             // requests that have not been answered
-	measureCount
-)
-
-var measureNames = [measureCount]string{"requests", "bytes", "work", "open"}
-
-func (m Measure) String() string { return measureNames[m] }
-
-// ParseMeasure returns the measure of a name.
-func ParseMeasure(name string) (Measure, bool) {
-	for m, n := range measureNames {
-		if n == name {
-			return Measure(m), true
-		}
-	}
-	return 0, false
-}
-
-// Limit is what the root, the whole fleet, has of a measure.
-type Limit struct {
-	Measure       Measure
-	WindowSeconds float64 // seconds; 0 of Open, which has no window
-	Quota         float64 // in each window; of Open, at a time
-}
-
-// Name names a limit as files and figures do: requests/10, or open.
-func (l Limit) Name() string {
-	if l.Measure == Open {
-		return "open"
-	}
-	return l.Measure.String() + "/" + strconv.FormatFloat(l.WindowSeconds, 'g', -1, 64)
-}
-
 // Group is a group as it is configured. Percentages are of its parent's quotas.
 type Group struct {
 	Name   string
@@ -75,26 +33,6 @@
 	byName map[string]int32
 }
 
-// node is a group in a Tree.
-type node struct {
-	name, path string
-	parent     int32 // -1 of the root
-	depth      int32 // 0 of the root
-	inner      bool  // it has children
-	weight     float64
-	floor      float64 // part of its own quota
-	quota      []float64
-	unassigned []float64 // of the quota, that no child has
-	cap        []float64 // +Inf: none
-}
-
-// link is a node's place in the tree.
-type link struct {
-	weight float64
-	parent int32
-	inner  bool
-}
-
 // GroupError is an error of one group.
 type GroupError struct{ Path, Reason string }
 
@@ -152,30 +90,6 @@
 	return t, nil
 }
 
-func checkLimits(limits []Limit) error {
-	if len(limits) == 0 || len(limits) > MaxLimits {
-		return fmt.Errorf("limits: %d, want 1 to %d", len(limits), MaxLimits)
-	}
-	seen := map[string]bool{}
-	for i, l := range limits {
-		at := fmt.Sprintf("limits[%d]", i)
-		switch {
-		case l.Measure >= measureCount:
-			return fmt.Errorf("%s.measure: want requests, bytes, work or open", at)
-		case l.Measure == Open && l.WindowSeconds != 0:
-			return fmt.Errorf("%s.window_s: open requests have no window", at)
-		case l.Measure != Open && !(l.WindowSeconds >= 0.1 && l.WindowSeconds <= 31*86400):
-			return fmt.Errorf("%s.window_s: want seconds, 0.1 to 2678400", at)
-		case !(l.Quota > 0 && l.Quota <= 1e15):
-			return fmt.Errorf("%s.quota: want more than 0, at most 1e15", at)
-		case seen[l.Name()]:
-			return fmt.Errorf("%s: %s is given twice", at, l.Name())
-		}
-		seen[l.Name()] = true
-	}
-	return nil
-}
-
 // addChildren appends a node's children and sees what they leave of its quotas.
 func (t *Tree) addChildren(at int32, groups []Group, children []int) error {
 	p := &t.nodes[at]
@@ -210,55 +124,6 @@
 	return nil
 }
 
-// newChild checks a group below a node.
-func (t *Tree) newChild(at int32, g *Group) (node, error) {
-	p := &t.nodes[at]
-	n := node{name: g.Name, path: g.Name, parent: at, depth: p.depth + 1, weight: g.Weight}
-	if at > 0 {
-		n.path = p.path + "." + g.Name
-	}
-	percent := func(v float64) bool { return v >= 0 && v <= 100 }
-	switch {
-	case n.depth > MaxDepth:
-		return n, &GroupError{n.path, fmt.Sprintf("it is deeper than %d groups", MaxDepth)}
-	case !percent(g.Share):
-		return n, &GroupError{n.path, fmt.Sprintf("share: want percent of its parent, 0 to 100, not %g", g.Share)}
-	case !(g.Weight >= 0 && g.Weight <= 1e6):
-		return n, &GroupError{n.path, fmt.Sprintf("weight: want 0 to 1000000, not %g", g.Weight)}
-	case g.Floor > 100:
-		return n, &GroupError{n.path, fmt.Sprintf("floor: %g %% is above the parent", g.Floor)}
-	case !(g.Floor >= 0 && g.Floor <= g.Share):
-		return n, &GroupError{n.path, fmt.Sprintf("floor: %g %% of its parent is above its share, %g %%", g.Floor, g.Share)}
-	case !percent(g.Cap) || g.Cap > 0 && g.Cap < g.Share:
-		return n, &GroupError{n.path, fmt.Sprintf("cap: want percent of its parent from its share, %g, to 100, not %g", g.Share, g.Cap)}
-	}
-	if g.Floor > 0 {
-		n.floor = g.Floor / g.Share
-	}
-	n.quota, n.cap = make([]float64, len(t.Limits)), make([]float64, len(t.Limits))
-	named := 0
-	for l, limit := range t.Limits {
-		n.quota[l], n.cap[l] = p.quota[l]*g.Share/100, math.Inf(1)
-		if g.Cap > 0 {
-			n.cap[l] = p.quota[l] * g.Cap / 100
-		}
-		v, ok := g.Quotas[limit.Name()]
-		if !ok {
-			continue
-		}
-		named++
-		if n.quota[l] = v; !(v >= 0 && v <= p.quota[l]) || v > n.cap[l] {
-			return n, &GroupError{n.path, fmt.Sprintf("quotas: %s: want 0 to %g, what its parent and its cap allow", limit.Name(), min(p.quota[l], n.cap[l]))}
-		}
-	}
-	for name := range g.Quotas {
-		if _, ok := t.limit(name); !ok && named < len(g.Quotas) {
-			return n, &GroupError{n.path, "quotas: it names what is no limit; limits are " + t.limitNames()}
-		}
-	}
-	return n, nil
-}
-
 func (t *Tree) limit(name string) (int, bool) {
 	for i, l := range t.Limits {
 		if l.Name() == name {
