--- a/internal/decide/quota/account.go
+++ b/internal/decide/quota/account.go
@@ -1,75 +1,76 @@
 package quota
 
-// account is the account of a group in one book. Danger: with 100,000 groups a decision costs what it reads from memory; what
-// a group without children needs for it comes first.
-// Amounts are in the limit's unit, rates in units a second.
+// account is the account of a group for one limit. Amounts are in the limit's unit, rates in units per second. The account of a
+// group with children is a pool, for which Level = Equity + the children's balances - Balance always holds.
 //
-// Of a group with children the account is a pool: Level = Equity + the children's balances - Balance, always.
+// The order of the fields is the form in which State stores accounts: fields must not be moved, added or removed without a new
+// stateVersion. Danger: with 100,000 groups a decision costs what it reads from memory, so what a group without children needs
+// comes first.
 type account struct {
-	Level         float64 // below 0: what has been charged beyond it
+	Level         float64 // below 0: charged beyond what was there
 	Capacity      float64
-	Inflow        float64 // what comes in: of a pool, its own and that of all children that overflow
-	SettledAt     float64 // until when all this is settled
-	Balance       float64 // deposited with the parent less drawn there; below 0 it is a debt
-	LastDrawnAt   float64 // when it was last drawn on
+	Inflow        float64 // of a pool: its own and that of all children that overflow
+	SettledAt     float64 // the time up to which the account is settled
+	Balance       float64 // deposited with the parent less drawn there; below 0: a debt
+	LastDrawnAt   float64 // when something was last drawn from it
 	CapRate       float64 // +Inf: none
-	IsOverflowing bool    // the account is full, and Rate goes to the parent
+	IsOverflowing bool    // the account is full, and Inflow goes to the parent
 
-	Reserve     float64 // that only requests with a right to the floor may touch
-	OwnInflow   float64 // what comes in by the tree; of a pool, what no child has
-	OfferedSeen float64 // the parent's Offered until which the overflow is settled
-	RecentSeen  float64 // and its Recent
+	Reserve     float64 // part of Level that only requests with MayUseFloor may use
+	OwnInflow   float64 // by the tree; of a pool: what no child has
+	OfferedSeen float64 // the parent's Offered up to which the overflow is settled
+	RecentSeen  float64 // the parent's Recent then
 	Tally       Tally
 
-	Equity  float64 // of a pool: what is nobody's deposit
-	Offered float64 // of a pool: seconds for which what came in found room, here or above
-	Recent  float64 // the same, less what has faded since
-	Drawn   float64 // drawn on the parent for each unit of weight, within bounds of the parent's Turn
+	Equity  float64 // of a pool: tokens that are no child's deposit
+	Offered float64 // of a pool: seconds during which inflow found room, here or above
+	Recent  float64 // Offered, less what has faded since
+	Drawn   float64 // from the parent by unit of weight, within bounds of the parent's Turn
 
-	Epoch             int64   // of a pool: that Wanting is of
-	Wanting, Wanted   float64 // of a pool: the weights of the children that ask in this epoch, and in the one before
-	Claiming, Claimed float64 // of these, whose balance was above 0
-	Turn              float64 // of a pool: what has come in for each unit of weight
-	AskedEpoch        int64   // the epoch in which it last asked its parent
+	Epoch             int64   // of a pool: the epoch of Wanting
+	Wanting, Wanted   float64 // of a pool: summed weights of the children that ask in this epoch, and in the one before
+	Claiming, Claimed float64 // of these, children with a positive balance
+	Turn              float64 // of a pool: inflow by unit of weight
+	AskedEpoch        int64   // the epoch in which it last asked its parent for tokens
 
-	Stretch      float64 // by how much a part of a fleet's quota is stretched
-	Demand       float64 // asked for in this epoch
-	DemandWindow int64   // the epoch
-	DemandRate   float64 // a second
+	Stretch      float64 // fraction by which OwnInflow is stretched now
+	Demand       float64 // asked for in DemandWindow
+	DemandWindow int64   // number of the window
+	DemandRate   float64 // mean of the windows, per second
 
 	CapLevel, CapSettledAt float64
 
-	Padding [1]float64 // to whole lines of a processor's cache
+	Padding [1]float64 // to whole cache lines
 }
 
-// Tally adds up what has happened to a group's account, in the limit's unit. All of it is cumulative, and
-// balance = Lent - Returned - Borrowed + Repaid + Forgiven - Expired.
+// Tally sums up what has happened to a group's account, in the limit's unit. The sums never decrease, and balance = Lent -
+// Returned - Borrowed + Repaid + Forgiven - Expired.
 type Tally struct {
-	Used     float64 `json:"used"` // by it and all below it
-	Lent     float64 `json:"lent"` // deposited beyond its debts
+	Used     float64 `json:"used"` // by the group and all below it
+	Lent     float64 `json:"lent"` // deposited with the parent, beyond debts
 	Repaid   float64 `json:"repaid"`
-	Returned float64 `json:"returned"` // of its deposits, that it has had back
-	Borrowed float64 `json:"borrowed"` // drawn on pools as a loan
-	Forgiven float64 `json:"forgiven"` // of its debts
-	Expired  float64 `json:"expired"`  // of its deposits
-	Free     float64 `json:"free"`     // drawn on pools of what was nobody's
+	Returned float64 `json:"returned"` // drawn back from its deposits
+	Borrowed float64 `json:"borrowed"` // drawn from pools as a loan
+	Forgiven float64 `json:"forgiven"` // debts that have faded
+	Expired  float64 `json:"expired"`  // credits that have faded
+	Free     float64 `json:"free"`     // drawn from pools without a loan
 }
 
-// addOffered notes for how long what came into a pool has found room.
-func (a *account) addOffered(s float64) {
-	a.Offered += s
-	a.Recent += s
-	a.Equity += a.OwnInflow * s
+// addOffered records for how long inflow of a pool has found room.
+func (a *account) addOffered(seconds float64) {
+	a.Offered += seconds
+	a.Recent += seconds
+	a.Equity += a.OwnInflow * seconds
 }
 
-// addInflow puts an amount into an account; of a pool, those who want of it each have their part.
+// addInflow adds an amount to an account; in a pool it adds to the turn of those that want tokens.
 func (a *account) addInflow(amount float64) {
 	if a.Level += amount; a.Wanted > 0 {
 		a.Turn += amount / a.Wanted
 	}
 }
 
-// available returns what a request may take of an account.
+// available returns how much a request may use of an account.
 func (a *account) available(floor bool) float64 {
 	if floor {
 		return max(a.Level, 0)
--- a/internal/decide/quota/accounttable.go
+++ b/internal/decide/quota/accounttable.go
@@ -3,30 +3,30 @@
 import "math"
 
 const (
-	// poolFraction of a window's quota is what a pool holds. Danger: all that lies in buckets and pools can be taken at once,
-	// beyond what a window brings; and a pool that holds less than some requests has nothing to lend.
+	// poolFraction of a window's quota is the capacity of a pool. Danger: all that is in buckets and pools can be used at once, in
+	// addition to a window's quota; but a pool smaller than a request lends nothing.
 	poolFraction    = 1.0 / 8
 	minPoolRequests = 2.0
-	// quietFraction of a window is how long a group must have taken nothing before its overflow counts as a stream. Until then
-	// it is deposited when somebody looks.
+	// quietFraction of a window must have passed without a draw before overflow flows to the parent continuously. Until then it is
+	// deposited when the account is next settled.
 	quietFraction = 1.0 / 16
-	// epochFraction of a window is how long a group counts as wanting after it has asked.
+	// epochFraction of a window is how long a group counts as wanting tokens after it has asked.
 	epochFraction = 1.0 / 8
-	// minScheduleSeconds is the least time until an account is looked at again.
+	// minScheduleSeconds is the least time until an account is due again.
 	minScheduleSeconds = 1e-3
-	// maxDuePerCall accounts are looked at for one request. Danger: after a long silence all groups are due at once, and the
-	// loop would stand still for them; late, a deposit is made as a lump.
+	// maxDuePerCall bounds the due accounts that one request processes. Danger: after a long silence all groups are due at once,
+	// and the event loop would stall. Processed late, a deposit is made as a lump.
 	maxDuePerCall = 32
 )
 
-// accountTable is the accounts of one limit.
+// accountTable holds the accounts of one limit.
 type accountTable struct {
 	limit         Limit
 	tree          *Tree
 	accounts      []account
 	queue         []dueCell
-	queueIndex    []int32 // of each cell in the queue, from 1; 0: it is not in it
-	overflow      float64 // what found no room
+	queueIndex    []int32 // position of each account in the queue, from 1; 0: not queued
+	overflow      float64 // tokens that found no room
 	epochSeconds  float64
 	quietSeconds  float64
 	repayFraction float64
@@ -40,20 +40,20 @@
 	part := 1 / float64(max(settings.Replicas, 1))
 	least := 0.0
 	if limit.Measure == Requests {
-		least = 1 // a quota below one request a window still comes to one in time
+		least = 1 // a quota below one request per window still adds up to one
 	}
 	for n := range t.accounts {
 		group, a := &tree.nodes[n], &t.accounts[n]
 		a.SettledAt, a.CapSettledAt, a.LastDrawnAt, a.Epoch, a.AskedEpoch, a.DemandWindow = now, now, math.Inf(-1), -1, -1, -1
 		a.OwnInflow = group.unassigned[i] / limit.WindowSeconds * part
 		if group.inner {
-			// Each account below holds less than what comes to it in the time for which it may be left alone.
+			// A pool holds more than what its children may deposit as a lump.
 			a.Capacity = max(group.quota[i]*part*poolFraction, minPoolRequests*least)
 		} else {
 			a.Level = group.quota[i] * part
 			a.Capacity = max(a.Level, least)
 		}
-		// Danger: a floor that leaves less than a request would keep all other requests out for good.
+		// Danger: a floor that leaves less than one request would reject all other requests for good.
 		a.Reserve = min(a.Capacity*group.floor, max(a.Capacity-least, 0))
 		if a.CapRate = group.cap[i] * part / limit.WindowSeconds; a.CapRate < math.Inf(1) {
 			a.CapLevel = max(a.CapRate*limit.WindowSeconds, least)
@@ -63,15 +63,14 @@
 	return t
 }
 
-// resetFlows has every account that is full flow over, and looks after the others. It is for accounts that are settled and
-// that nothing flows between yet.
+// resetFlows computes all inflows anew and schedules the accounts that do not overflow. All accounts must be settled.
 func (t *accountTable) resetFlows(now float64) {
 	t.queue = t.queue[:0]
 	clear(t.queueIndex)
 	for n := range t.accounts {
 		t.accounts[n].Inflow = t.accounts[n].OwnInflow * (1 + t.accounts[n].Stretch)
 	}
-	for n := len(t.accounts) - 1; n >= 0; n-- { // children before their parents
+	for n := len(t.accounts) - 1; n >= 0; n-- { // children before parents
 		a := &t.accounts[n]
 		a.IsOverflowing = a.Inflow > 0 && a.Level >= a.Capacity && now >= a.LastDrawnAt+t.quietSeconds
 		if a.IsOverflowing && n > 0 {
@@ -85,7 +84,7 @@
 	}
 }
 
-// setInflow has another rate come to an account, which is settled like its ancestors.
+// setInflow changes the inflow of an account that is settled, like all above it.
 func (t *accountTable) setInflow(n int32, rate, now float64) {
 	a := &t.accounts[n]
 	rate = max(rate, 0)
@@ -98,7 +97,7 @@
 	}
 }
 
-// markDrawn notes that an account is drawn on: it does not overflow any more.
+// markDrawn records that something is drawn from an account, which ends its overflow.
 func (t *accountTable) markDrawn(n int32, now float64) {
 	a := &t.accounts[n]
 	a.LastDrawnAt = now
--- a/internal/decide/quota/charge.go
+++ b/internal/decide/quota/charge.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// canDraw tells whether a child may draw on a pool now, and notes that it asks. The account is settled.
+// canDraw reports whether a child may draw from its parent's pool now, and records that it asks. The pool is settled.
 //
-// Who has deposited goes before who borrows. Those who borrow go in turns by their weights as long as the pool holds
-// less than half; beyond that nobody else wants what is there, and to keep it back would waste it.
+// Children with a credit go first. Others take turns by their weights while the pool holds less than half of its capacity; beyond
+// that, tokens would only be wasted if they were held back.
 func (t *accountTable) canDraw(n int32, now float64) bool {
 	a, g := &t.accounts[n], &t.tree.links[n]
 	pool := &t.accounts[g.parent]
@@ -27,17 +27,17 @@
 		return true
 	case pool.Claimed > 0, g.weight == 0:
 		return false
-	case pool.Wanted <= g.weight: // nobody else wants anything
+	case pool.Wanted <= g.weight: // no other child asks
 		return true
 	}
-	// Danger: a turn that could be saved up, or overdrawn without bound, would shut others out later, or itself.
+	// Danger: a turn that could be saved up or overdrawn without bound would lock out others, or the child itself, later.
 	bound := pool.Capacity / pool.Wanted
 	a.Drawn = min(max(a.Drawn, pool.Turn-bound), pool.Turn+bound)
 	return a.Drawn <= pool.Turn
 }
 
-// shortfall returns what a need lacks in a group's own bucket and the pools above it, up to which the accounts are settled; 0:
-// it can be had.
+// shortfall returns how much of a need neither the group's bucket nor the pools above it can cover, 0 if they can. The accounts
+// are settled.
 func (t *accountTable) shortfall(group int32, need float64, floor bool, now float64) float64 {
 	need -= t.accounts[group].available(floor)
 	for n := group; need > 0; {
@@ -53,7 +53,7 @@
 	return 0
 }
 
-// charge books an amount on a group: from its own bucket, then from the pools above it, the nearest first. What is not there
+// charge takes an amount for a group, from its own bucket and then from the pools above it, the nearest first. What is missing
 // makes the bucket's level negative.
 func (t *accountTable) charge(group int32, amount float64, floor bool, now float64) {
 	for n := group; n >= 0; n = t.tree.links[n].parent {
@@ -65,15 +65,15 @@
 	}
 	a := &t.accounts[group]
 	if parent := t.tree.links[group].parent; a.IsOverflowing && a.Balance >= amount && t.accounts[parent].available(floor) >= amount {
-		// Its bucket is full, and what it has let flow over is still there: it has that back. Danger: to wake up for each
-		// request and to overflow again soon after costs more than all the rest where 100,000 groups ask now and then.
+		// The bucket is full and its deposit is still there: the amount comes from the deposit. Danger: to end the overflow for each
+		// request, and to start it again soon after, costs more than all the rest where 100,000 groups ask now and then.
 		t.drawFromPool(group, parent, amount, now)
 		return
 	}
 	t.markDrawn(group, now)
-	own := min(amount, a.available(floor))
-	a.Level -= own
-	amount -= own
+	fromBucket := min(amount, a.available(floor))
+	a.Level -= fromBucket
+	amount -= fromBucket
 	for n := t.tree.links[group].parent; n >= 0 && amount > 0; n = t.tree.links[n].parent {
 		if pool := &t.accounts[n]; pool.available(floor) > 0 && t.canDraw(t.childAbove(group, n), now) {
 			drawn := min(amount, pool.available(floor))
@@ -84,7 +84,7 @@
 	a.Level -= amount
 }
 
-// childAbove returns the child of a pool that a group is, or is below.
+// childAbove returns the child of a pool that is the group or is above it.
 func (t *accountTable) childAbove(group, pool int32) int32 {
 	for t.tree.links[group].parent != pool {
 		group = t.tree.links[group].parent
@@ -92,7 +92,8 @@
 	return group
 }
 
-// drawFromPool has a group draw on a pool above it: each group on the way draws on its parent. What is nobody's deposit is free.
+// drawFromPool takes tokens from a pool above a group. Each group on the way draws from its parent. Tokens that are no child's
+// deposit are free of debt.
 func (t *accountTable) drawFromPool(group, from int32, amount, now float64) {
 	t.markDrawn(from, now)
 	pool := &t.accounts[from]
@@ -101,21 +102,20 @@
 	pool.Equity -= free
 	for n := group; n != from; n = t.tree.links[n].parent {
 		a := &t.accounts[n]
-		if w := t.tree.links[n].weight; w > 0 {
-			a.Drawn += amount / w
+		if weight := t.tree.links[n].weight; weight > 0 {
+			a.Drawn += amount / weight
 		}
 		loan := amount - free
-		back := min(loan, max(a.Balance, 0))
+		returned := min(loan, max(a.Balance, 0))
 		a.Balance -= loan
 		a.Tally.Free += free
-		a.Tally.Returned += back
-		a.Tally.Borrowed += loan - back
+		a.Tally.Returned += returned
+		a.Tally.Borrowed += loan - returned
 	}
 }
 
-// cost returns what a request costs of a measure before it is taken up, and what must be there for it. Danger: a message
-// that is larger than all that an account can hold would never be taken up; so what comes in bytes or work may be
-// overdrawn, and the debt counts.
+// cost returns what a request costs of a measure before it runs, and what must be available for it. Danger: a message larger than
+// any account could never be admitted, so bytes and work may overdraw the account, and the debt counts.
 func (t *accountTable) cost(q *Request) (cost, need float64) {
 	switch t.limit.Measure {
 	case Requests:
--- a/internal/decide/quota/demand.go
+++ b/internal/decide/quota/demand.go
@@ -1,8 +1,9 @@
 package quota
 
-// recordDemand notes what a group asks for, and stretches its part of a fleet's quota by what it has asked for lately, within the
-// bounds: where it asks for more than its part, it asks for less elsewhere, as a rule. Danger: without bounds the parts of
-// all sidecars together would be any number of quotas. What nobody asks for here is not cut: it would be lent to nobody.
+// recordDemand records what a group asks for, and stretches the sidecar's part of the group's quota by recent demand, within the
+// bound: a group that asks for more than its part here usually asks for less elsewhere. Danger: without the bound, the parts of
+// all sidecars could add up to many times the quota. A part is never reduced, since what is left over here could not be lent to
+// other sidecars.
 func (t *accountTable) recordDemand(group int32, amount, stretch, now float64) {
 	a := &t.accounts[group]
 	if epoch := int64(now / t.limit.WindowSeconds); a.DemandWindow != epoch {
@@ -19,7 +20,7 @@
 	a.Demand += amount
 }
 
-// resetStretch has a group that has asked for nothing have its plain part.
+// resetStretch ends the stretch of a group that has asked for nothing.
 func (t *accountTable) resetStretch(n int32) {
 	if a := &t.accounts[n]; !t.tree.links[n].inner {
 		a.Stretch, a.DemandRate = 0, 0
--- a/internal/decide/quota/duequeue.go
+++ b/internal/decide/quota/duequeue.go
@@ -1,20 +1,20 @@
 package quota
 
-// dueCell is an account in the queue, a heap by when they are looked at again. Danger: 100,000 accounts do not fit into a
-// processor's cache; so what the heap compares lies in the heap.
+// dueCell is an entry of the queue of accounts, a heap by when they overflow at the latest. Its names are part of the stored form.
+// Danger: 100,000 accounts do not fit into a processor's cache, so the heap holds what it compares.
 type dueCell struct {
 	Due  float64
 	Cell int32
 }
 
-// heapFan is how many elements of the queue are below each: as many as lie beside each other in a cache.
+// heapFan is the number of children of each entry: as many as share a cache line.
 const heapFan = 4
 
-// isBefore orders the queue; at one time the group with the lower number is first, whatever came before.
+// isBefore orders the queue. Entries due at the same time are ordered by group, independent of history.
 func (x dueCell) isBefore(y dueCell) bool { return x.Due < y.Due || x.Due == y.Due && x.Cell < y.Cell }
 
-// schedule has an account looked at when it will be full. Danger: one that is looked at too late only deposits late, one
-// that is never looked at lends nothing.
+// schedule queues an account for when it will be full. Danger: one that is processed late deposits late, and one that is never
+// processed lends nothing.
 func (t *accountTable) schedule(n int32, now float64) {
 	a := &t.accounts[n]
 	if a.IsOverflowing || a.Inflow <= 0 {
@@ -30,7 +30,7 @@
 	}
 }
 
-// dequeue takes an account out of the queue.
+// dequeue removes an account from the queue.
 func (t *accountTable) dequeue(n int32) {
 	i, last := int(t.queueIndex[n])-1, len(t.queue)-1
 	moved := t.queue[last]
@@ -42,7 +42,7 @@
 	}
 }
 
-// siftUp moves an element towards the front, to where it belongs.
+// siftUp moves an entry towards the front.
 func (t *accountTable) siftUp(i int) {
 	x := t.queue[i]
 	for ; i > 0 && x.isBefore(t.queue[(i-1)/heapFan]); i = (i - 1) / heapFan {
@@ -52,7 +52,7 @@
 	t.queue[i], t.queueIndex[x.Cell] = x, int32(i+1)
 }
 
-// siftDown moves an element towards the back.
+// siftDown moves an entry towards the back.
 func (t *accountTable) siftDown(i int) {
 	x := t.queue[i]
 	for {
@@ -75,7 +75,7 @@
 	t.queue[i], t.queueIndex[x.Cell] = x, int32(i+1)
 }
 
-// processDue looks at the accounts that are due, at no more than so many.
+// processDue lets accounts overflow that are due and full, up to a limit.
 func (t *accountTable) processDue(now float64, limit int, stretchFraction float64) {
 	for ; limit > 0 && len(t.queue) > 0 && t.queue[0].Due <= now; limit-- {
 		n := t.queue[0].Cell
--- a/internal/decide/quota/limit.go
+++ b/internal/decide/quota/limit.go
@@ -11,17 +11,18 @@
 // The measures.
 const (
 	Requests Measure = iota
-	Bytes            // of requests and answers
-	Work             // seconds of a box
-	Open             // requests that have not been answered
+	Bytes            // of requests and responses
+	Work             // seconds of a server's time
+	Open             // requests in flight
 	measureCount
 )
 
 var measureNames = [measureCount]string{"requests", "bytes", "work", "open"}
 
+// String returns the name as in files. The fingerprint of stored states depends on it.
 func (m Measure) String() string { return measureNames[m] }
 
-// ParseMeasure returns the measure of a name.
+// ParseMeasure returns the measure with a name.
 func ParseMeasure(name string) (Measure, bool) {
 	for m, n := range measureNames {
 		if n == name {
@@ -31,14 +32,15 @@
 	return 0, false
 }
 
-// Limit is what the root, the whole fleet, has of a measure.
+// Limit is the quota of the root, the whole fleet, for a measure. It must not get a String method: the fingerprint of stored
+// states depends on how it prints.
 type Limit struct {
 	Measure       Measure
-	WindowSeconds float64 // seconds; 0 of Open, which has no window
-	Quota         float64 // in each window; of Open, at a time
+	WindowSeconds float64 // 0 for Open, which has no window
+	Quota         float64 // per window; for Open, at a time
 }
 
-// Name names a limit as files and figures do: requests/10, or open.
+// Name returns the name that files and reports use: "requests/10", or "open".
 func (l Limit) Name() string {
 	if l.Measure == Open {
 		return "open"
@@ -46,6 +48,7 @@
 	return l.Measure.String() + "/" + strconv.FormatFloat(l.WindowSeconds, 'g', -1, 64)
 }
 
+// checkLimits reports the first invalid limit, by its field.
 func checkLimits(limits []Limit) error {
 	if len(limits) == 0 || len(limits) > MaxLimits {
 		return fmt.Errorf("limits: %d, want 1 to %d", len(limits), MaxLimits)
--- a/internal/decide/quota/limiter.go
+++ b/internal/decide/quota/limiter.go
@@ -2,33 +2,33 @@
 
 import "math"
 
-// Limiter decides who may take what. Calls come one at a time.
+// Limiter admits requests by the quotas of their groups. Calls must not overlap.
 type Limiter struct {
 	tree       *Tree
 	settings   Settings
-	tables     []*accountTable // of the limits with a window
+	tables     []*accountTable // by limit; nil for Open
 	openCounts []*openCounts
 	now        float64
 	stats      []Stats // by group
 	refusals   []Refusal
-	treeNumber int       // that there have been before this one
-	groupMoves [][]int32 // for the last of them: where their groups' open requests count now; -1: nowhere
+	treeNumber int       // how many trees there were before the present one
+	groupMoves [][]int32 // for the last of these, the groups' numbers in the next tree; -1: none
 }
 
-// Decision says whether a request may be taken up.
+// Decision is the result of Admit.
 type Decision struct {
 	Allowed           bool
-	Limit             int     // that refuses
-	RetryAfterSeconds float64 // when it could be had
+	Limit             int     // in Tree.Limits, that rejects the request
+	RetryAfterSeconds float64 // when the request could be admitted
 }
 
-// Request is what is known of a request before it is taken up.
+// Request describes a request before it is admitted.
 type Request struct {
-	Group       int32 // that takes requests, see Tree.Takes
+	Group       int32 // must accept requests, see Tree.AcceptsRequests
 	Bytes       float64
-	MayUseFloor bool // it may touch the floors
+	MayUseFloor bool // it may use the groups' floors
 
-	tree int // which of the machine's trees, one after the other, Group is in
+	tree int // number of the tree that Group refers to
 }
 
 // NewRequest returns a request of a group of the present tree.
@@ -36,7 +36,7 @@
 	return Request{Group: g, Bytes: bytes, MayUseFloor: floor, tree: l.treeNumber}
 }
 
-// New returns a machine in which nothing has been used.
+// New returns a limiter without any use so far.
 func New(tree *Tree, settings Settings, now float64) *Limiter {
 	if settings.FadeSeconds <= 0 {
 		settings.FadeSeconds = DefaultFadeSeconds
@@ -55,10 +55,10 @@
 	return l
 }
 
-// Tree returns the machine's tree.
+// Tree returns the present tree.
 func (l *Limiter) Tree() *Tree { return l.tree }
 
-// advance takes a time. One that is before the last, or no number, counts as the last.
+// advance moves the clock. A time before the last one, or +Inf or NaN, counts as the last one.
 func (l *Limiter) advance(now float64) float64 {
 	if now > l.now && !math.IsInf(now, 1) {
 		l.now = now
@@ -66,16 +66,16 @@
 	return l.now
 }
 
-// Admit decides on a request and books what it costs so far. It takes nothing where it refuses.
+// Admit decides on a request, and charges what it costs before it runs. A rejected request is not charged.
 func (l *Limiter) Admit(now float64, q Request) Decision {
 	now = l.advance(now)
 	q.tree = l.treeNumber
 	decision := Decision{Allowed: true}
 	for i, table := range l.tables {
 		if table == nil {
-			if after := l.openCounts[i].waitSeconds(q.Group, q.MayUseFloor); after > 0 && after > decision.RetryAfterSeconds {
-				decision = Decision{Limit: i, RetryAfterSeconds: after}
-				l.recordRefusal(i, after, 1, 0, false, &q)
+			if retryAfter := l.openCounts[i].waitSeconds(q.Group, q.MayUseFloor); retryAfter > 0 && retryAfter > decision.RetryAfterSeconds {
+				decision = Decision{Limit: i, RetryAfterSeconds: retryAfter}
+				l.recordRefusal(i, retryAfter, 1, 0, false, &q)
 			}
 			continue
 		}
@@ -85,15 +85,15 @@
 		if l.settings.StretchFraction > 0 {
 			table.recordDemand(q.Group, max(cost, need), l.settings.StretchFraction, now)
 		}
-		after, lacks, capped := table.capWaitSeconds(q.Group, need, now), 0.0, true
-		if after == 0 {
-			if lacks = table.shortfall(q.Group, need, q.MayUseFloor, now); lacks > 0 {
-				after, capped = table.retryAfterSeconds(q.Group, need, q.MayUseFloor), false
+		retryAfter, shortfall, capped := table.capWaitSeconds(q.Group, need, now), 0.0, true
+		if retryAfter == 0 {
+			if shortfall = table.shortfall(q.Group, need, q.MayUseFloor, now); shortfall > 0 {
+				retryAfter, capped = table.retryAfterSeconds(q.Group, need, q.MayUseFloor), false
 			}
 		}
-		if after > decision.RetryAfterSeconds {
-			decision = Decision{Limit: i, RetryAfterSeconds: after}
-			l.recordRefusal(i, after, lacks, table.accounts[q.Group].Level, capped, &q)
+		if retryAfter > decision.RetryAfterSeconds {
+			decision = Decision{Limit: i, RetryAfterSeconds: retryAfter}
+			l.recordRefusal(i, retryAfter, shortfall, table.accounts[q.Group].Level, capped, &q)
 		}
 	}
 	if !decision.Allowed {
@@ -111,14 +111,14 @@
 	return decision
 }
 
-// recordRefusal remembers why.
-func (l *Limiter) recordRefusal(limit int, afterS, lacks, own float64, capped bool, q *Request) {
-	l.refusals[q.Group] = Refusal{At: l.now, Limit: int32(limit), Capped: capped, Lacked: lacks, AfterS: afterS, Own: own}
+// recordRefusal keeps why a request was rejected, for Explain.
+func (l *Limiter) recordRefusal(limit int, retryAfterSeconds, shortfall, level float64, capped bool, q *Request) {
+	l.refusals[q.Group] = Refusal{At: l.now, Limit: int32(limit), Capped: capped, Lacked: shortfall, AfterS: retryAfterSeconds, Own: level}
 }
 
-// Complete notes that a request that has been taken up is answered, after a time, with an answer of so many bytes that took
-// so much work. What they cost may go beyond what is there; the debt counts.
-func (l *Limiter) Complete(now float64, q Request, afterS, bytes, workS float64) {
+// Complete charges the rest of an admitted request: the response's bytes and the server's work, which may overdraw the account.
+// elapsedSeconds is how long the request was in flight. It must be called once for each admitted request.
+func (l *Limiter) Complete(now float64, q Request, elapsedSeconds, bytes, workSeconds float64) {
 	now = l.advance(now)
 	if q.Group = l.presentGroup(&q); q.Group < 0 {
 		return
@@ -127,15 +127,15 @@
 		amount := 0.0
 		switch l.tree.Limits[i].Measure {
 		case Open:
-			if counts := l.openCounts[i]; q.tree >= counts.sinceTree { // what was open before has not been counted
+			if counts := l.openCounts[i]; q.tree >= counts.sinceTree { // requests admitted before that were not counted
 				counts.add(q.Group, -1)
-				counts.recordDuration(afterS)
+				counts.recordDuration(elapsedSeconds)
 			}
 			continue
 		case Bytes:
 			amount = bytes
 		case Work:
-			amount = workS
+			amount = workSeconds
 		}
 		if amount > 0 && l.tree.AcceptsRequests(q.Group) {
 			table.settleChain(q.Group, now)
--- a/internal/decide/quota/node.go
+++ b/internal/decide/quota/node.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// newChild checks a group below a node.
+// newChild validates a group and returns its node below a parent.
 func (t *Tree) newChild(at int32, g *Group) (node, error) {
 	p := &t.nodes[at]
 	n := node{name: g.Name, path: g.Name, parent: at, depth: p.depth + 1, weight: g.Weight}
@@ -54,20 +54,20 @@
 	return n, nil
 }
 
-// node is a group in a Tree.
+// node is a group of a Tree.
 type node struct {
 	name, path string
-	parent     int32 // -1 of the root
-	depth      int32 // 0 of the root
+	parent     int32 // -1 for the root
+	depth      int32 // 0 for the root
 	inner      bool  // it has children
 	weight     float64
-	floor      float64 // part of its own quota
+	floor      float64 // fraction of its own quota
 	quota      []float64
-	unassigned []float64 // of the quota, that no child has
+	unassigned []float64 // part of the quota that no child has
 	cap        []float64 // +Inf: none
 }
 
-// link is a node's place in the tree.
+// link is the part of a node that every decision reads.
 type link struct {
 	weight float64
 	parent int32
--- a/internal/decide/quota/opencounts.go
+++ b/internal/decide/quota/opencounts.go
@@ -2,19 +2,20 @@
 
 import "math"
 
-// openCounts counts open requests. What is lent of them comes back when a request is answered, so nothing is owed: a group
-// may always have its own, and what others leave of an ancestor's. Danger: a lender that asks for its own while it is
-// lent gets it at once, and for as long as the borrowers' requests last there are more open than the quota says.
+// openCounts counts requests in flight. What is lent comes back when a request completes, so nothing is owed: a group may always
+// use its own quota, and what others leave of an ancestor's. Danger: a lender that asks for its own quota gets it at once, so
+// while borrowers' requests last, more requests are in flight than the quota allows.
 type openCounts struct {
 	tree        *Tree
 	open        []int32
 	quota       []float64
 	caps        []float64
 	peak        []int32
-	sinceTree   int // from which of the machine's trees on it has counted
+	sinceTree   int // number of the first tree whose requests it has counted
 	meanSeconds float64
 }
 
+// newOpenCounts returns the counts of a tree's groups for a limit.
 func newOpenCounts(tree *Tree, i int, settings *Settings) *openCounts {
 	o := &openCounts{tree: tree, open: make([]int32, tree.Len()), peak: make([]int32, tree.Len()), quota: make([]float64, tree.Len()), caps: make([]float64, tree.Len()),
 		meanSeconds: 0.1}
@@ -25,11 +26,11 @@
 			o.caps[n] = max(c*part, 1)
 		}
 	}
-	o.quota[0] = max(o.quota[0], 1) // a part of a fleet's quota that is less than a request still takes one
+	o.quota[0] = max(o.quota[0], 1) // a sidecar's part that is less than one request still admits one
 	return o
 }
 
-// waitSeconds returns after what time a group could have one more open, 0: now.
+// waitSeconds returns after how long a group may have one more request in flight, 0 if now.
 func (o *openCounts) waitSeconds(g int32, floor bool) float64 {
 	free := false
 	for n := g; n >= 0; n = o.tree.nodes[n].parent {
@@ -49,6 +50,7 @@
 	return max(o.meanSeconds/float64(max(o.open[0], 1)), 1e-3)
 }
 
+// add changes the counts of a group and all above it.
 func (o *openCounts) add(g, n int32) {
 	for at := g; at >= 0; at = o.tree.nodes[at].parent {
 		o.open[at] += n
@@ -56,5 +58,7 @@
 	}
 }
 
-// recordDuration notes how long a request was open.
-func (o *openCounts) recordDuration(s float64) { o.meanSeconds += 0.02 * (s - o.meanSeconds) }
+// recordDuration updates the mean time that requests are in flight.
+func (o *openCounts) recordDuration(seconds float64) {
+	o.meanSeconds += 0.02 * (seconds - o.meanSeconds)
+}
--- a/internal/decide/quota/replace.go
+++ b/internal/decide/quota/replace.go
@@ -4,9 +4,9 @@
 	"slices"
 )
 
-// WithTree puts another tree in a machine's place. What a group holds, owes and is owed goes on under its path, within its
-// new bounds. The debts of a group that is gone are written off, and its claims fall to the pool that they are on; a new
-// group begins with a full bucket.
+// WithTree returns a limiter for another tree that goes on from this one, which must not be used any more. Levels, debts and
+// credits stay with a group's path, within its new bounds. Debts of removed groups are written off and their credits stay in the
+// pools; new groups start with a full bucket.
 func (l *Limiter) WithTree(now float64, tree *Tree, settings Settings) *Limiter {
 	now = l.advance(now)
 	for _, table := range l.tables {
@@ -23,7 +23,7 @@
 			moved[n] = moved[parent]
 		}
 	}
-	// Danger: a request is answered long after its group's number has come to mean another group.
+	// Danger: a request may complete long after its group's number refers to another group.
 	next.treeNumber, next.groupMoves = l.treeNumber+1, append(slices.Clone(l.groupMoves[max(0, len(l.groupMoves)-maxOldTrees+1):]), moved)
 	for i, counts := range next.openCounts {
 		if counts != nil {
@@ -42,10 +42,10 @@
 	return next
 }
 
-// maxOldTrees before the present one are known to requests that are open.
+// maxOldTrees bounds the earlier trees whose requests in flight are still known.
 const maxOldTrees = 16
 
-// presentGroup returns where a request that was taken up counts now, -1: nowhere.
+// presentGroup returns the present number of a request's group, -1 if it is gone.
 func (l *Limiter) presentGroup(q *Request) int32 {
 	g := q.Group
 	for tree := q.tree; tree < l.treeNumber && g >= 0; tree++ {
@@ -58,6 +58,7 @@
 	return g
 }
 
+// limitIndex returns the index of a limit by its name, -1 if there is none.
 func (t *Tree) limitIndex(limit string) int {
 	if i, ok := t.limit(limit); ok {
 		return i
--- a/internal/decide/quota/restore.go
+++ b/internal/decide/quota/restore.go
@@ -1,7 +1,7 @@
 package quota
 
-// Restore returns a machine that goes on from a state. With the tree and the settings that the state is of it goes on as
-// if nothing had been; else each group whose path and limit there still are keeps its account, see Replace.
+// Restore returns a limiter that goes on from a state. With the same tree and settings it continues as if it had never stopped.
+// Otherwise groups keep their accounts by path and limit, as WithTree describes.
 func Restore(tree *Tree, settings Settings, s *State, now float64) *Limiter {
 	s.fillNames()
 	if now < s.At {
@@ -29,8 +29,8 @@
 	return l
 }
 
-// shiftTimes moves all times. Danger: a clock that was set back while the program was down would stand still, for this machine,
-// until it has come to where it was.
+// shiftTimes moves all times of a state. Danger: if the clock was set back while the program was down, the limiter would stand
+// still until it catches up.
 func (s *State) shiftTimes(by float64) {
 	s.At += by
 	for i := range s.Refusals {
@@ -49,7 +49,8 @@
 	}
 }
 
-// adoptState takes over a state of another tree. It returns the numbers here of the state's groups, -1 of those that are gone.
+// adoptState takes accounts and counters from a state of another tree. It returns the present numbers of the state's groups, -1
+// for those that are gone.
 func (l *Limiter) adoptState(s *State) []int {
 	s.fillNames()
 	to := make([]int, len(s.Paths))
@@ -81,7 +82,7 @@
 	return to
 }
 
-// adoptAccounts takes over accounts; to says whose they are now.
+// adoptAccounts takes accounts of another tree; to maps their groups to the present ones.
 func (t *accountTable) adoptAccounts(cells []account, to []int, now float64) {
 	for n, g := range to {
 		if g < 0 {
@@ -90,7 +91,7 @@
 		a, old := &t.accounts[g], &cells[n]
 		a.CapLevel = min(old.CapLevel, a.CapLevel)
 		if a.Level = min(old.Level, a.Capacity); !t.tree.links[g].inner {
-			// Danger: a bucket that has become larger and stays as empty is below its floor for as long as that takes to fill.
+			// Danger: a bucket that has grown must not stay as empty as it was, or it is below its floor until it fills.
 			a.Level += max(a.Capacity-old.Capacity, 0)
 		}
 		if t.tree.links[g].inner {
@@ -104,7 +105,7 @@
 	for n := range t.accounts {
 		t.accounts[n].Equity = 0
 	}
-	for n := range t.accounts { // what the balances do not account for is nobody's, or written off
+	for n := range t.accounts { // tokens that no balance accounts for are equity, or written off
 		a := &t.accounts[n]
 		if t.tree.nodes[n].inner {
 			a.Equity += a.Level + a.Balance
--- a/internal/decide/quota/settings.go
+++ b/internal/decide/quota/settings.go
@@ -1,15 +1,15 @@
 package quota
 
-// Settings are what a Machine goes by beside its tree.
+// Settings configure a Limiter beside its tree. The fingerprint of stored states depends on the order and values of the fields.
 type Settings struct {
-	Replicas        int     // sidecars that share the quotas; 0 means 1
-	StretchFraction float64 // by what part of it a sidecar's part of a group's quota may be stretched by the group's demand
-	RepayFraction   float64 // what part of a debtor's own pays its debt
-	FadeSeconds     float64 // in this time all but 37 % of an old debt, and of an old claim, are forgotten
+	Replicas        int     // sidecars that share the quotas; 0 counts as 1
+	StretchFraction float64 // by how much demand may stretch a sidecar's part of a group's quota
+	RepayFraction   float64 // fraction of a debtor's inflow that repays its debt
+	FadeSeconds     float64 // time in which debts and credits fade to 1/e
 }
 
-// Defaults of the settings. Danger: what a debtor pays is missing in its share; a group that wants its share, and has
-// borrowed, is to have it to a hundredth all the same.
+// Defaults of the settings. Danger: what a debtor repays is missing from its share; a group that has borrowed must still get its
+// share to within a hundredth.
 const (
 	DefaultRepayFraction   = 0.01
 	DefaultFadeSeconds     = 6 * 3600.0
--- a/internal/decide/quota/settle.go
+++ b/internal/decide/quota/settle.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// settle brings an account up to a time. Its ancestors are settled.
+// settle brings an account up to date. All accounts above it are settled.
 func (t *accountTable) settle(n int32, now float64) {
 	a := &t.accounts[n]
 	dt := now - a.SettledAt
@@ -16,63 +16,64 @@
 		return
 	}
 	pool, inner := &t.accounts[parent], t.tree.links[n].inner
-	kept := fastExp(-dt / t.fadeSeconds)
-	t.fadeBalance(a, pool, a.Balance*(1-kept), inner)
+	keptFraction := fastExp(-dt / t.fadeSeconds)
+	t.fadeBalance(a, pool, a.Balance*(1-keptFraction), inner)
 	if a.IsOverflowing {
-		took, recent := pool.Offered-a.OfferedSeen, pool.Recent-a.RecentSeen*kept
+		taken, recent := pool.Offered-a.OfferedSeen, pool.Recent-a.RecentSeen*keptFraction
 		a.OfferedSeen, a.RecentSeen = pool.Offered, pool.Recent
 		if inner {
-			a.Offered += took
-			a.Recent = a.Recent*kept + recent
-			a.Equity += a.OwnInflow * took
+			a.Offered += taken
+			a.Recent = a.Recent*keptFraction + recent
+			a.Equity += a.OwnInflow * taken
 		}
-		t.recordDeposit(a, a.Inflow*took)
-		// Danger: a claim that only begins to fade when somebody looks outlives the debt that it is of.
-		t.fadeBalance(a, pool, min(a.Inflow*(took-recent), max(a.Balance, 0)), inner)
+		t.recordDeposit(a, a.Inflow*taken)
+		// Danger: a credit that starts to fade only when the account is settled would outlive the matching debt.
+		t.fadeBalance(a, pool, min(a.Inflow*(taken-recent), max(a.Balance, 0)), inner)
 		return
 	}
 	if inner {
-		a.Recent *= kept
+		a.Recent *= keptFraction
 	}
-	in := a.Inflow * dt
-	if in <= 0 {
+	inflow := a.Inflow * dt
+	if inflow <= 0 {
 		return
 	}
-	if !inner && a.Balance >= 0 && a.Level+in <= a.Capacity {
-		a.Level += in
+	if !inner && a.Balance >= 0 && a.Level+inflow <= a.Capacity {
+		a.Level += inflow
 		return
 	}
 	paid := 0.0
 	if a.Balance < 0 {
-		paid = t.deposit(parent, min(in*t.repayFraction, -a.Balance), true)
+		paid = t.deposit(parent, min(inflow*t.repayFraction, -a.Balance), true)
 		t.recordDeposit(a, paid)
 	}
-	a.addInflow(in - paid)
+	a.addInflow(inflow - paid)
 	lost := 0.0
-	if over := a.Level - a.Capacity; over > 0 {
+	if excess := a.Level - a.Capacity; excess > 0 {
 		a.Level = a.Capacity
-		took := t.deposit(parent, over, false)
-		t.recordDeposit(a, took)
-		lost = over - took
+		taken := t.deposit(parent, excess, false)
+		t.recordDeposit(a, taken)
+		lost = excess - taken
 	}
 	if inner {
-		a.addOffered(dt * (1 - lost/in))
+		a.addOffered(dt * (1 - lost/inflow))
 	}
 }
 
+// settleRoot is settle for the root, whose overflow is lost.
 func (t *accountTable) settleRoot(a *account, dt float64) {
 	a.Recent *= fastExp(-dt / t.fadeSeconds)
-	in := a.Inflow * dt
-	if in <= 0 {
+	inflow := a.Inflow * dt
+	if inflow <= 0 {
 		return
 	}
-	lost := max(0, a.Level+in-a.Capacity)
-	a.addInflow(in - lost)
+	lost := max(0, a.Level+inflow-a.Capacity)
+	a.addInflow(inflow - lost)
 	t.overflow += lost
-	a.addOffered(dt * (1 - lost/in))
+	a.addOffered(dt * (1 - lost/inflow))
 }
 
-// fastExp is math.Exp; of a number that is hardly below 0 it takes less time.
+// fastExp is math.Exp, faster for numbers just below 0.
 func fastExp(x float64) float64 {
 	if x > -1e-3 {
 		return 1 + x*(1+x*(0.5+x*(1.0/6+x/24)))
@@ -80,15 +81,15 @@
 	return math.Exp(x)
 }
 
-// recordDeposit notes that a parent holds more of a group.
+// recordDeposit records that the parent holds more of a group's tokens.
 func (t *accountTable) recordDeposit(a *account, amount float64) {
-	back := min(amount, max(-a.Balance, 0))
-	a.Tally.Repaid += back
-	a.Tally.Lent += amount - back
+	repaid := min(amount, max(-a.Balance, 0))
+	a.Tally.Repaid += repaid
+	a.Tally.Lent += amount - repaid
 	a.Balance += amount
 }
 
-// fadeBalance takes a part off a balance: what was lent long ago is neither owed nor claimed any more.
+// fadeBalance reduces a balance that has faded: an old debt is forgiven, an old credit expires.
 func (t *accountTable) fadeBalance(a, pool *account, amount float64, isPool bool) {
 	if amount == 0 {
 		return
@@ -106,27 +107,27 @@
 	}
 }
 
-// deposit puts an amount into a pool and what does not fit into those above it; it returns how much has found room. A
-// repayment goes first to whom the pool's own group owes.
-func (t *accountTable) deposit(n int32, amount float64, repays bool) (took float64) {
+// deposit adds an amount to a pool, and what does not fit to those above it, and returns how much found room. A repayment first
+// repays what the pool's own group owes.
+func (t *accountTable) deposit(n int32, amount float64, repays bool) (taken float64) {
 	a, parent := &t.accounts[n], t.tree.links[n].parent
 	if repays && a.Balance < 0 && parent >= 0 {
-		took = t.deposit(parent, min(amount, -a.Balance), true)
-		t.recordDeposit(a, took)
-		amount -= took
+		taken = t.deposit(parent, min(amount, -a.Balance), true)
+		t.recordDeposit(a, taken)
+		amount -= taken
 	}
-	in := min(amount, max(a.Capacity-a.Level, 0))
-	a.addInflow(in)
-	if took, amount = took+in, amount-in; amount <= 0 {
-		return took
+	added := min(amount, max(a.Capacity-a.Level, 0))
+	a.addInflow(added)
+	if taken, amount = taken+added, amount-added; amount <= 0 {
+		return taken
 	}
 	if parent < 0 {
 		t.overflow += amount
-		return took
+		return taken
 	}
-	up := t.deposit(parent, amount, false)
-	t.recordDeposit(a, up)
-	return took + up
+	takenAbove := t.deposit(parent, amount, false)
+	t.recordDeposit(a, takenAbove)
+	return taken + takenAbove
 }
 
 // settleChain settles an account and all above it.
@@ -139,7 +140,7 @@
 
 // settleAll settles all accounts.
 func (t *accountTable) settleAll(now float64) {
-	for n := range t.accounts { // parents before their children
+	for n := range t.accounts { // parents before children
 		t.settle(int32(n), now)
 	}
 }
--- a/internal/decide/quota/state.go
+++ b/internal/decide/quota/state.go
@@ -11,13 +11,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is all that a machine knows, in one piece: its trees' groups by their paths, and their accounts.
+// State is a snapshot of a Limiter: the groups of its tree by path, and their accounts. It is stored by encoding/gob. The Go names
+// of its fields, and of the fields of BookState, dueCell, Stats and Refusal, are part of the stored form and must not change.
 type State struct {
 	At       float64
-	Mark     uint64 // of the tree and the settings
+	Mark     uint64 // fingerprint of the tree and the settings
 	Paths    []string
 	Limits   []string
-	Books    []BookState // empty of open requests, which end with the process
+	Books    []BookState // by limit; empty for Open, whose requests end with the process
 	Stats    []Stats
 	Refusals []Refusal
 
@@ -25,27 +26,28 @@
 	settings Settings
 }
 
-// BookState is one limit's accounts.
+// BookState is the stored form of the accounts of one limit.
 type BookState struct {
-	Cells []byte
+	Cells []byte // the accounts, by encoding/binary
 	Queue []dueCell
 	Lost  float64
 
 	accounts []account
 }
 
-// stateVersion is raised whenever older programs would misread what is written.
+// stateVersion is raised whenever older programs would misread the stored form.
 const stateVersion = 1
 
+// stateMagic begins each stored state.
 var stateMagic = []byte("hazelwheel quota")
 
-// The errors of Decode.
+// The errors of Decode. ErrNewer: a newer version of the program has written it. ErrDamaged: it is truncated or corrupted.
 var (
 	ErrNewer   = errors.New("it is of a newer version of the program")
 	ErrDamaged = errors.New("it is damaged")
 )
 
-// State returns a copy of what the machine knows, which may be encoded while the machine goes on.
+// State returns a snapshot, which may be encoded on another goroutine while the limiter goes on.
 func (l *Limiter) State() *State {
 	s := &State{At: l.now, Stats: slices.Clone(l.stats), Refusals: slices.Clone(l.refusals), tree: l.tree, settings: l.settings}
 	for i, limit := range l.tree.Limits {
@@ -59,7 +61,7 @@
 	return s
 }
 
-// fillNames fills in what need not be written down while the loop waits.
+// fillNames computes what Encode needs and State leaves out to return quickly.
 func (s *State) fillNames() {
 	if s.tree == nil || s.Paths != nil {
 		return
@@ -70,7 +72,7 @@
 	}
 }
 
-// fingerprint is the same for trees whose accounts mean the same.
+// fingerprint returns equal numbers for trees and settings under which accounts mean the same. It is stored.
 func (t *Tree) fingerprint(s *Settings) uint64 {
 	h := xxhash.New()
 	fmt.Fprint(h, *s, t.Limits)
@@ -81,7 +83,7 @@
 	return h.Sum64()
 }
 
-// Encode returns a state as bytes: a name, a version, a checksum, and what they are of.
+// Encode returns the stored form: a magic string, a version, a checksum and the encoded state.
 func (s *State) Encode() ([]byte, error) {
 	s.fillNames()
 	for i := range s.Books {
@@ -100,7 +102,7 @@
 	return append(out, body.Bytes()...), nil
 }
 
-// Decode returns the state that bytes hold. An error wraps ErrNewer or ErrDamaged.
+// Decode reads the stored form. An error wraps ErrNewer or ErrDamaged.
 func Decode(raw []byte) (*State, error) {
 	rest, ok := bytes.CutPrefix(raw, stateMagic)
 	if !ok || len(rest) < 12 {
--- a/internal/decide/quota/stats.go
+++ b/internal/decide/quota/stats.go
@@ -2,38 +2,38 @@
 
 import "slices"
 
-// Stats count a group's requests.
+// Stats counts a group's requests. It is part of the stored form.
 type Stats struct {
 	Served  uint64
 	Refused uint64
 }
 
-// Refusal is why a group's last refusal was made.
+// Refusal describes a group's last rejected request. It is part of the stored form.
 type Refusal struct {
 	At     float64
-	Limit  int32 // in Tree.Limits; -1: there was none
-	Capped bool  // a cap was reached, of the group or one above it
+	Limit  int32 // in Tree.Limits; -1: none was rejected
+	Capped bool  // by the cap of the group or one above it
 	Lacked float64
 	AfterS float64
-	Own    float64 // the group's own level then
+	Own    float64 // the level of the group's own account
 }
 
-// GroupCounts is how often a group's requests were taken up and refused.
+// GroupCounts is how many of a group's requests were admitted and rejected.
 type GroupCounts struct {
 	Group    string `json:"group"`
 	Served   uint64 `json:"served"`
 	Rejected uint64 `json:"refused"`
 }
 
-// TopRejected returns the groups with most refusals, at most so many, the one with most first.
+// TopRejected returns the groups with the most rejected requests, at most so many, in descending order.
 func (l *Limiter) TopRejected(limit int) []GroupCounts {
 	all := make([]GroupCounts, 0, limit+1)
 	for g, s := range l.stats {
 		if s.Refused == 0 || len(all) == limit && s.Refused <= all[limit-1].Rejected {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(all, s.Refused, func(table GroupCounts, n uint64) int {
-			if table.Rejected >= n { // of equals the first in the tree
+		at, _ := slices.BinarySearchFunc(all, s.Refused, func(other GroupCounts, n uint64) int {
+			if other.Rejected >= n { // equals are ordered as in the tree
 				return -1
 			}
 			return 1
@@ -44,17 +44,17 @@
 	return all
 }
 
-// Stats returns a group's requests, without those of the groups below it.
+// Stats returns the counts of a group without those below it.
 func (l *Limiter) Stats(g int32) Stats { return l.stats[g] }
 
-// Tally returns what has happened to a group's account, and its balance with its parent. It is settled as of the last call.
+// Tally returns the tally of a group's account and its balance with its parent, as of the last call.
 func (l *Limiter) Tally(g int32, limit int) (tally Tally, balance float64) {
 	table := l.tables[limit]
 	table.settleChain(g, l.now)
 	return table.accounts[g].Tally, table.accounts[g].Balance
 }
 
-// Lost returns what of a limit's quota has found no room since nobody wanted it.
+// Lost returns how much of a limit's quota has found no room, as of the last call.
 func (l *Limiter) Lost(limit int) float64 {
 	l.tables[limit].settleAll(l.now)
 	return l.tables[limit].overflow
@@ -66,5 +66,5 @@
 	return l.Lost(limit)
 }
 
-// WasCapped tells whether a group's last refusal was for a cap.
+// WasCapped reports whether a cap rejected the group's last rejected request.
 func (l *Limiter) WasCapped(g int32) bool { return l.refusals[g].Limit >= 0 && l.refusals[g].Capped }
--- a/internal/decide/quota/tree.go
+++ b/internal/decide/quota/tree.go
@@ -6,39 +6,40 @@
 	"strings"
 )
 
-// The bounds of a tree.
+// Bounds of a tree.
 const (
 	MaxGroups     = 100_000
-	MaxDepth      = 12 // groups above each other, the root not counted
+	MaxDepth      = 12 // levels below the root
 	MaxLimits     = 8
 	maxNameLength = 64
 )
 
-// Group is a group as it is configured. Percentages are of its parent's quotas.
+// Group is a group as it is configured. Percentages are of the parent's quotas.
 type Group struct {
 	Name   string
-	Parent string             // its name; "" is the root
+	Parent string             // name of the parent; "": the root
 	Share  float64            // percent
-	Weight float64            // among the children of its parent, when more is wanted of a pool than it holds
-	Cap    float64            // percent; 0: none
-	Floor  float64            // percent, within the share: kept for requests that may touch it
-	Quotas map[string]float64 // by a limit's name, in place of the share
+	Weight float64            // among its siblings, when they want more of a pool than it holds
+	Cap    float64            // percent; 0: no cap
+	Floor  float64            // percent, within the share: reserved for requests that may use it
+	Quotas map[string]float64 // by a limit's name; replaces the share
 }
 
-// Tree is a checked tree of groups.
+// Tree is a validated tree of groups. It is immutable. Groups are numbered from 0, the root.
 type Tree struct {
 	Limits []Limit
-	nodes  []node // the root first, parents before their children
-	links  []link // of the same, what every decision needs
+	nodes  []node // the root first, parents before children
+	links  []link // of the nodes
 	byName map[string]int32
 }
 
-// GroupError is an error of one group.
+// GroupError says what is invalid about a group.
 type GroupError struct{ Path, Reason string }
 
+// Error returns the path and the reason.
 func (f *GroupError) Error() string { return f.Path + ": " + f.Reason }
 
-// NewTree checks groups, which may come in any order. An error names the path of the group at fault.
+// NewTree validates groups, which may come in any order. An error names the path of the group or the limit at fault.
 func NewTree(limits []Limit, groups []Group) (*Tree, error) {
 	if err := checkLimits(limits); err != nil {
 		return nil, err
@@ -71,12 +72,12 @@
 		root.quota[i], root.cap[i] = l.Quota, math.Inf(1)
 	}
 	t.nodes = append(make([]node, 0, len(groups)+1), root)
-	for at := int32(0); int(at) < len(t.nodes); at++ { // the list grows as it is walked: parents first
+	for at := int32(0); int(at) < len(t.nodes); at++ { // the list grows during the loop: parents first
 		if err := t.addChildren(at, groups, children[t.nodes[at].name]); err != nil {
 			return nil, err
 		}
 	}
-	if len(t.nodes) <= len(groups) { // what can't be reached from the root has itself above it
+	if len(t.nodes) <= len(groups) { // groups that can't be reached from the root form a cycle
 		for i, g := range groups {
 			if _, ok := t.byName[g.Name]; !ok {
 				return nil, &GroupError{pathOf(groups, byName, i), "it is below itself: the parents are a cycle"}
@@ -90,7 +91,7 @@
 	return t, nil
 }
 
-// addChildren appends a node's children and sees what they leave of its quotas.
+// addChildren appends a node's children, and computes what they leave of its quotas.
 func (t *Tree) addChildren(at int32, groups []Group, children []int) error {
 	p := &t.nodes[at]
 	p.inner = len(children) > 0
@@ -106,7 +107,7 @@
 			t.nodes[at].unassigned[l] -= n.quota[l]
 		}
 		t.byName[n.name] = int32(len(t.nodes))
-		t.nodes = append(t.nodes, n) // its memory is there already
+		t.nodes = append(t.nodes, n) // within its capacity
 	}
 	if shares > 100+1e-6 {
 		return &GroupError{t.Path(at), fmt.Sprintf("its children's shares come to %.6g %%, over 100 %%", shares)}
@@ -116,7 +117,7 @@
 		if p.unassigned[l] < -1e-9*p.quota[l] {
 			return &GroupError{t.Path(at), fmt.Sprintf("its children's quotas of %s come to %.6g, over its own %.6g", limit.Name(), p.quota[l]-p.unassigned[l], p.quota[l])}
 		}
-		// Danger: sums that differ in their last digit would leave a rest that fills a pool within a million years.
+		// Danger: rounding would otherwise leave a tiny rest, an inflow that fills a pool in a million years.
 		if p.unassigned[l] = max(p.unassigned[l], 0); p.unassigned[l] < 1e-9*p.quota[l] {
 			p.unassigned[l] = 0
 		}
@@ -124,6 +125,7 @@
 	return nil
 }
 
+// limit returns the index of a limit by its name.
 func (t *Tree) limit(name string) (int, bool) {
 	for i, l := range t.Limits {
 		if l.Name() == name {
@@ -133,6 +135,7 @@
 	return 0, false
 }
 
+// limitNames returns all names for an error text.
 func (t *Tree) limitNames() string {
 	var names []string
 	for _, l := range t.Limits {
@@ -141,8 +144,7 @@
 	return strings.Join(names, ", ")
 }
 
-// pathOf returns the path of a group in groups that may be at fault: it ends at a parent that is absent, or that has come
-// already.
+// pathOf returns the path of a group among groups that may be invalid: it ends at a parent that is absent or repeated.
 func pathOf(groups []Group, byName map[string]int, i int) string {
 	path, seen := groups[i].Name, map[int]bool{i: true}
 	for {
@@ -158,6 +160,7 @@
 	}
 }
 
+// isValidName reports whether a name has only letters, digits, '_' and '-'.
 func isValidName(s string) bool {
 	odd := func(r rune) bool {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
@@ -166,10 +169,10 @@
 	return s != "" && len(s) <= maxNameLength && !strings.ContainsFunc(s, odd)
 }
 
-// Len returns how many groups there are, the root among them. They are numbered from 0, which is the root.
+// Len returns the number of groups, including the root.
 func (t *Tree) Len() int { return len(t.nodes) }
 
-// Path returns the path of a group, its ancestors' names and its own with dots between them; the root's is "all".
+// Path returns the path of a group: the names of its ancestors and its own, separated by dots. The root's is "all".
 func (t *Tree) Path(g int32) string {
 	if g == 0 {
 		return "all"
@@ -177,7 +180,7 @@
 	return t.nodes[g].path
 }
 
-// Find returns the group of a path or a name.
+// Find returns the group with a path or a name.
 func (t *Tree) Find(path string) (int32, bool) {
 	g, ok := t.byName[path[strings.LastIndexByte(path, '.')+1:]]
 	if !ok || t.nodes[g].path != path && t.nodes[g].name != path {
@@ -186,14 +189,14 @@
 	return g, true
 }
 
-// Name returns the name of a group, the last of its path.
+// Name returns the name of a group.
 func (t *Tree) Name(g int32) string { return t.nodes[g].name }
 
-// AcceptsRequests tells whether a group takes requests: one that has children does not.
+// AcceptsRequests reports whether requests may belong to a group: it has no children.
 func (t *Tree) AcceptsRequests(g int32) bool { return g > 0 && !t.nodes[g].inner }
 
-// Parent returns a group's parent, -1 of the root.
+// Parent returns the parent of a group, -1 for the root.
 func (t *Tree) Parent(g int32) int32 { return t.nodes[g].parent }
 
-// Quota returns what a group has of a limit, by its number in Limits.
+// Quota returns a group's quota for a limit, by its index in Limits.
 func (t *Tree) Quota(g int32, limit int) float64 { return t.nodes[g].quota[limit] }
--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -1,15 +1,15 @@
 package quota
 
-// View is what operators are shown: the groups in the order of the tree, parents before their children.
+// View is the state of the limiter for operators: groups in the order of the tree, parents before children.
 type View struct {
 	At     float64     `json:"at"`
 	Groups []GroupView `json:"groups"`
-	All    int         `json:"all"`            // how many groups there are
-	Lost   []float64   `json:"lost,omitempty"` // by limit: what found no room since nobody wanted it
+	All    int         `json:"all"`            // how many groups there are in all
+	Lost   []float64   `json:"lost,omitempty"` // by limit: tokens that found no room
 	Limits []string    `json:"limits"`
 }
 
-// GroupView is a group.
+// GroupView is the state of a group.
 type GroupView struct {
 	Path     string      `json:"path"`
 	Depth    int         `json:"depth"`
@@ -18,20 +18,20 @@
 	Limits   []LimitView `json:"limits"`
 }
 
-// LimitView is a group's account for one limit, in its unit. Quota is this sidecar's part, in a window.
+// LimitView is the state of a group's account for one limit, in its unit. Quota is this sidecar's part, per window.
 type LimitView struct {
 	Limit     string  `json:"limit"`
 	Quota     float64 `json:"quota"`
-	Level     float64 `json:"holds"` // of open requests, how many there are
+	Level     float64 `json:"holds"` // for open requests, how many are in flight
 	Depth     float64 `json:"depth"`
-	Credit    float64 `json:"claims,omitempty"` // deposited with its parent and not had back
+	Credit    float64 `json:"claims,omitempty"` // deposited with the parent and not drawn back
 	Debt      float64 `json:"owes,omitempty"`
-	IsLending bool    `json:"lends,omitempty"` // all that comes in goes to its parent
+	IsLending bool    `json:"lends,omitempty"` // its inflow goes to the parent
 	Stretch   float64 `json:"stretch,omitempty"`
 	Tally     `json:"tally"`
 }
 
-// View shows at most so many groups, and of a tree that has more those that have been asked for, as far as they go.
+// View returns the state of at most so many groups; of a larger tree, those that have had requests.
 func (l *Limiter) View(now float64, limit int) View {
 	now = l.advance(now)
 	decision := View{At: now, All: l.tree.Len() - 1, Groups: []GroupView{}}
@@ -67,7 +67,7 @@
 	return decision
 }
 
-// subtreeCounts adds up the requests of each group and all below it.
+// subtreeCounts sums the requests of each group and all below it.
 func (l *Limiter) subtreeCounts() (served, refused []uint64) {
 	served, refused = make([]uint64, len(l.stats)), make([]uint64, len(l.stats))
 	for n := len(l.stats) - 1; n >= 0; n-- {
@@ -81,6 +81,7 @@
 	return served, refused
 }
 
+// groupView returns the state of a group. Its accounts are settled.
 func (l *Limiter) groupView(n int32) GroupView {
 	group := &l.tree.nodes[n]
 	g := GroupView{Path: l.tree.Path(n), Depth: int(group.depth), Served: l.stats[n].Served, Rejected: l.stats[n].Refused}
@@ -96,20 +97,20 @@
 	return g
 }
 
-// Explanation is why a group's last refusal was made, and how it and those above it stand.
+// Explanation says why a group's last rejected request was rejected, with the present state of the group and those above it.
 type Explanation struct {
 	Group             string      `json:"group"`
 	Rejected          uint64      `json:"refused"`
 	AgoSeconds        float64     `json:"ago_s"`
-	Limit             string      `json:"limit"` // "": none is remembered
+	Limit             string      `json:"limit"` // "": no request was rejected
 	Capped            bool        `json:"capped"`
 	Shortfall         float64     `json:"lacked"`
 	Level             float64     `json:"own"`
 	RetryAfterSeconds float64     `json:"after_s"`
-	Chain             []GroupView `json:"chain"` // the group first, the root last
+	Chain             []GroupView `json:"chain"` // from the group to the root
 }
 
-// Explain tells of a group.
+// Explain returns the explanation of a group's last rejection.
 func (l *Limiter) Explain(now float64, g int32) Explanation {
 	now = l.advance(now)
 	_, refused := l.subtreeCounts()
