--- a/policy/api.go
+++ b/policy/api.go
@@ -30,23 +30,23 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Name     string
-	Effect   Effect
-	Group    Group   // for keyed classes
-	WindowS  float64 // for keyed classes: how long a repeat is remembered
-	AimS     float64 // an answer within this time has its full worth
-	GiveUpS  float64 // the client's total wait over all its tries
-	Worth    float64
-	LateGain float64 // part of the worth kept after the aim
-	Stretch  float64 // the aim grows by this many times the request's work
-	Stream   bool
+	Name     string  `json:"Name"`
+	Effect   Effect  `json:"Effect"`
+	Group    Group   `json:"Group"`   // for keyed classes
+	WindowS  float64 `json:"WindowS"` // for keyed classes: how long a repeat is remembered
+	AimS     float64 `json:"AimS"`    // an answer within this time has its full worth
+	GiveUpS  float64 `json:"GiveUpS"` // the client's total wait over all its tries
+	Worth    float64 `json:"Worth"`
+	LateGain float64 `json:"LateGain"` // part of the worth kept after the aim
+	Stretch  float64 `json:"Stretch"`  // the aim grows by this many times the request's work
+	Stream   bool    `json:"Stream"`
 }
 
 // Tenant is a customer with a stated part of the service.
 type Tenant struct {
-	Name    string
-	Share   float64
-	QuotaPS float64 // requests a second within its share, over all proxies
+	Name    string  `json:"Name"`
+	Share   float64 `json:"Share"`
+	QuotaPS float64 `json:"QuotaPS"` // requests a second within its share, over all proxies
 }
 
 // ReportField names one value of a host's load report.
@@ -62,35 +62,35 @@
 // Settings are the facts an instance is told at its start. The zero value is usable: an instance
 // without classes, probes or reports still answers everything it is given.
 type Settings struct {
-	Classes  []Class
-	Tenants  []Tenant
-	Self     int // this proxy's number, from 0
-	Replicas int // how many proxies there are
-
-	Zone      int     // this proxy's own, as in HostInfo
-	CrossZone float64 // price of an attempt in another zone, in parts of a request's worth; 0: none
-
-	ProbeCost float64 // price of a probe for each request, in parts of its worth; 0: none
-
-	TickS          float64 // least time between two events
-	Marked         bool    // clients mark their retries: what has no mark is a first try
-	Probes         bool
-	Cancel         bool
-	SecondCopies   bool
-	MaxAttempts    int     // for one request; 0 means 1
-	MaxRetryAfterS float64 // longest advice that clients follow
-	ConnIdleS      float64 // connections that are idle for longer close by themselves
-	ReportFields   []ReportField
-	ReportsOnProbe bool // reports come with probe answers alone
-	SizesKnown     bool // HostInfo.Size may be compared between hosts
-	AskForList     bool // the list comes only when asked for
-	AskWithinS     float64
-	DrainGraceS    float64
-	OnlyDrainBinds bool // a host that is gone may be used while it answers
-	ColdFrom       float64
-	ColdS          float64
-	ColdMultiple   float64
-	ColdWindowS    float64
+	Classes  []Class  `json:"Classes"`
+	Tenants  []Tenant `json:"Tenants"`
+	Self     int      `json:"Self"`     // this proxy's number, from 0
+	Replicas int      `json:"Replicas"` // how many proxies there are
+
+	Zone      int     `json:"Zone"`      // this proxy's own, as in HostInfo
+	CrossZone float64 `json:"CrossZone"` // price of an attempt in another zone, in parts of a request's worth; 0: none
+
+	ProbeCost float64 `json:"ProbeCost"` // price of a probe for each request, in parts of its worth; 0: none
+
+	TickS          float64       `json:"TickS"`  // least time between two events
+	Marked         bool          `json:"Marked"` // clients mark their retries: what has no mark is a first try
+	Probes         bool          `json:"Probes"`
+	Cancel         bool          `json:"Cancel"`
+	SecondCopies   bool          `json:"SecondCopies"`
+	MaxAttempts    int           `json:"MaxAttempts"`    // for one request; 0 means 1
+	MaxRetryAfterS float64       `json:"MaxRetryAfterS"` // longest advice that clients follow
+	ConnIdleS      float64       `json:"ConnIdleS"`      // connections that are idle for longer close by themselves
+	ReportFields   []ReportField `json:"ReportFields"`
+	ReportsOnProbe bool          `json:"ReportsOnProbe"` // reports come with probe answers alone
+	SizesKnown     bool          `json:"SizesKnown"`     // HostInfo.Size may be compared between hosts
+	AskForList     bool          `json:"AskForList"`     // the list comes only when asked for
+	AskWithinS     float64       `json:"AskWithinS"`
+	DrainGraceS    float64       `json:"DrainGraceS"`
+	OnlyDrainBinds bool          `json:"OnlyDrainBinds"` // a host that is gone may be used while it answers
+	ColdFrom       float64       `json:"ColdFrom"`
+	ColdS          float64       `json:"ColdS"`
+	ColdMultiple   float64       `json:"ColdMultiple"`
+	ColdWindowS    float64       `json:"ColdWindowS"`
 }
 
 // HostState is what the list says of a host.
--- a/policy/checkpoint_test.go
+++ b/policy/checkpoint_test.go
@@ -55,13 +55,18 @@
 
 // anyRun feeds a Balancer with random events and calls step after each, with the event, to be given to another.
 func anyRun(s Settings, seed uint64, steps int, acts *tape, step func(i int, b *Balancer, event func(*Balancer))) *Balancer {
+	return anyRunAmong(30, s, seed, steps, acts, step)
+}
+
+// anyRunAmong is anyRun with a number of hosts.
+func anyRunAmong(hosts int, s Settings, seed uint64, steps int, acts *tape, step func(i int, b *Balancer, event func(*Balancer))) *Balancer {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	now, nextID := 1.7e9, uint32(1)
 	b := New(s, seed, acts)
 	var out [][2]uint32
 	tries := map[uint32]int{}
-	started := make([]float64, 30)
-	states := make([]HostState, 30)
+	started := make([]float64, hosts)
+	states := make([]HostState, hosts)
 	for i := range steps {
 		now += 0.02 * rng.ExpFloat64()
 		if rng.IntN(2000) == 0 {
