--- a/policy/usable.go
+++ b/policy/query.go
@@ -1,20 +1,5 @@
-// What the decisions can be asked without changing them.
-
 package policy
 
-// doubt is what a member's silence and its refusals say against it. Danger: probes notice a dead host late,
-// requests die on it. Two connections that fail in a row shut it out till an answer or for two seconds; this
-// hurts a host that is only full.
-func (b *Balancer) doubt(h *host) (phi float64) {
-	if b.now-h.refusedAt < 2*probeEvery {
-		phi = (phiOut + 1) / 2 * float64(h.refused)
-	}
-	if b.s.Probes {
-		phi += b.suspicion(h)
-	}
-	return phi
-}
-
 // Waiting returns how many requests no host could take so far.
 func (b *Balancer) Waiting() int { return b.queue.len() }
 
@@ -29,3 +14,14 @@
 	}
 	return n
 }
+
+// Avoided returns a test of whether a host is a member that gets no traffic now, since its silence or its refusals say too much
+// against it.
+func (b *Balancer) Avoided(now float64) func(id uint32) bool {
+	view := *b // Danger: what is asked must not move the clock by which the next event is judged
+	view.now = now
+	return func(id uint32) bool {
+		h := b.hosts[id]
+		return h != nil && h.member && (h.bound || view.doubt(h) > phiOut)
+	}
+}
