--- a/internal/coordination/fault_role.go
+++ b/internal/coordination/fault_role.go
@@ -10,211 +10,228 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// The job "drill": a drill that operators start at any one sidecar runs at all. The sidecar that has looked at the secret begins it and
-// tells the owner, over whoever lies between; the owner tells all. Each begins a drill once by its id and ends it by its own clock,
-// so the owner's death changes nothing; a later owner learns from those who run it, and tells who comes late what is left.
-const (
-	faultRoleName = "drill"
-
-	kindFaultOrder = 1 // drillRun, over one link after the other to the owner
-	kindFaultList  = 2 // drillRuns, to all
+// faultRoleName is the role's name on the wire and in the settings.
+const faultRoleName = "drill"
 
-	// faultListIntervalSeconds is between two words of the owner while a drill runs, and orderEveryS between two of who has not heard from it.
-	faultListIntervalSeconds, faultOrderRetrySeconds = 2.0, 0.5
-	// retentionSeconds is how long, and rememberPart for what part of its length, an id is known whose drill has ended: clocks run 5 % apart.
+const (
+	// faultListIntervalSeconds is the time between two lists of the holder while a fault runs.
+	faultListIntervalSeconds = 2.0
+	// faultOrderRetrySeconds is the time between two orders of a sidecar whose fault the holder has not announced.
+	faultOrderRetrySeconds = 0.5
+	// An ended fault is remembered for retentionSeconds, and for retentionFraction of its duration since clocks run at rates that
+	// differ by up to 5 %.
 	retentionSeconds, retentionFraction = 600.0, 0.2
-	maxFaultRuns                        = 64 // with those that have ended
-	maxFaultSeconds                     = 86400.0
+	// forwardSlack is the part of a retry interval after which a message that comes again is forwarded again.
+	forwardSlack = 0.9
 )
 
-// faultRun is one that this sidecar knows.
+// faultRole is the role "drill": a fault that operators start at one sidecar runs at all. The sidecar that has checked the secret
+// starts it and sends an order towards the holder, which announces it to all. Each sidecar starts a fault once, by its ID, and ends it
+// by its own clock, so a change of the holder has no effect on running faults. A new holder learns them from those that run them, and
+// announces them to sidecars that join late with the time that is left.
+type faultRole struct {
+	roles      *roleManager
+	runs       []*faultRun // sorted by ID; also ended ones, until forgetAt
+	heldToken  uint64      // 0: this sidecar is not the holder
+	announceAt float64     // when the holder sends the next list
+}
+
+// faultRun is a fault that this sidecar knows.
 type faultRun struct {
 	faultOrder
 	endsAt      float64
 	forgetAt    float64
-	announced   bool    // the owner has told all of it
-	forwardedAt float64 // when it was last passed on to the owner
-	rejection   string  // why it does not run here; empty: it does, or did
+	announced   bool    // it is in the holder's last list
+	forwardedAt float64 // when it was last sent towards the holder; -Inf: never
+	rejection   string  // why it does not run here; empty: it does or did
 }
 
-// faultRole is a sidecar's part in the job.
-type faultRole struct {
-	roles      *roleManager
-	runs       []*faultRun // by id
-	heldToken  uint64      // under which it is owned here; 0: it is not
-	announceAt float64
+// FaultStatus is the status of a fault that runs or ran at the whole fleet.
+type FaultStatus struct {
+	ID               uint64  `json:"id"`
+	Fault            string  `json:"drill"`
+	RemainingSeconds float64 `json:"left_s"`            // here; 0: it has ended
+	Announced        bool    `json:"told,omitempty"`    // it is in the holder's last list
+	Rejection        string  `json:"refused,omitempty"` // why it does not run here
 }
 
-func newFaultRole(o *roleManager) *faultRole { return &faultRole{roles: o} }
+var _ singletonRole = (*faultRole)(nil)
+
+func newFaultRole(m *roleManager) *faultRole { return &faultRole{roles: m} }
 
-func (d *faultRole) Name() string { return faultRoleName }
+// Name implements singletonRole.
+func (r *faultRole) Name() string { return faultRoleName }
 
-func (d *faultRole) Start(token uint64) { d.heldToken, d.announceAt = token, 0 }
+// Start implements singletonRole.
+func (r *faultRole) Start(token uint64) { r.heldToken, r.announceAt = token, 0 }
 
-func (d *faultRole) Stop() { d.heldToken = 0 }
+// Stop implements singletonRole.
+func (r *faultRole) Stop() { r.heldToken = 0 }
 
-// Drilled takes a drill that was started at this sidecar, where the secret was looked at.
-func (f *Node) Drilled(name string, durationS float64, mark func(id uint64) []byte) {
-	f.run(func() {
-		if f.roles == nil || f.roles.faults == nil {
+// Drilled implements sidecar.Driller: it announces a fault that an operator has started at this sidecar to the fleet. sign returns
+// the signature for the ID that is drawn here.
+func (n *Node) Drilled(name string, durationSeconds float64, sign func(id uint64) []byte) {
+	n.run(func() {
+		if n.roles == nil || n.roles.faults == nil {
 			return
 		}
-		id := f.randomNonZero()
-		d := f.roles.faults
-		d.addRun(f.net.Now(), &faultOrder{ID: id, Name: name, RemainingSeconds: durationS, Signature: mark(id)}, true)
-		f.roles.state(faultRoleName).nextTick = 0
+		id := n.randomNonZero()
+		n.roles.faults.addRun(n.net.Now(), &faultOrder{ID: id, Name: name, RemainingSeconds: durationSeconds, Signature: sign(id)}, true)
+		n.roles.requestTick(faultRoleName)
 	})
 }
 
-// addRun takes a drill that is not known yet, and has it begin here.
-func (d *faultRole) addRun(now float64, r *faultOrder, begun bool) *faultRun {
-	if len(d.runs) >= maxFaultRuns {
+// addRun adds a fault that is not known yet, and starts it here unless it runs already. It returns nil if there are too many.
+func (r *faultRole) addRun(now float64, order *faultOrder, runsHere bool) *faultRun {
+	if len(r.runs) >= maxFaultRuns {
 		return nil
 	}
-	n := &faultRun{faultOrder: *r, endsAt: now + r.RemainingSeconds, forwardedAt: math.Inf(-1)}
-	n.forgetAt = n.endsAt + retentionSeconds + retentionFraction*r.RemainingSeconds
-	if !begun {
-		if err := d.roles.node.options.Faults.RunDrill(r.Name, r.ID, r.Signature, r.RemainingSeconds); err != nil {
-			n.rejection = err.Error()
-			d.roles.logInfo("a drill of the fleet does not run here", "drill", r.Name, "error", err)
+	run := &faultRun{faultOrder: *order, endsAt: now + order.RemainingSeconds, forwardedAt: math.Inf(-1)}
+	run.forgetAt = run.endsAt + retentionSeconds + retentionFraction*order.RemainingSeconds
+	if !runsHere {
+		if err := r.roles.node.options.Faults.RunDrill(order.Name, order.ID, order.Signature, order.RemainingSeconds); err != nil {
+			run.rejection = err.Error()
+			r.roles.logInfo("fault of the fleet not started", "fault", order.Name, "error", err)
 		}
 	}
-	at, _ := d.findRun(r.ID)
-	d.runs = slices.Insert(d.runs, at, n)
-	return n
+	i, _ := r.findRun(order.ID)
+	r.runs = slices.Insert(r.runs, i, run)
+	return run
+}
+
+// findRun returns where a fault is in runs, or belongs.
+func (r *faultRole) findRun(id uint64) (i int, found bool) {
+	return slices.BinarySearchFunc(r.runs, id, func(run *faultRun, id uint64) int { return cmp.Compare(run.ID, id) })
 }
 
-func (d *faultRole) findRun(id uint64) (at int, found bool) {
-	return slices.BinarySearchFunc(d.runs, id, func(r *faultRun, id uint64) int { return cmp.Compare(r.ID, id) })
+// trackRun returns what is known of a received fault; one that is not known is started. Danger: one that has been started or has
+// ended here must not be started again, whoever sends it. It returns nil if the order contradicts what is known or there are too many.
+func (r *faultRole) trackRun(now float64, order *faultOrder) *faultRun {
+	i, found := r.findRun(order.ID)
+	if !found {
+		return r.addRun(now, order, false)
+	}
+	run := r.runs[i]
+	if run.Name != order.Name || !bytes.Equal(run.Signature, order.Signature) {
+		r.roles.countMalformed(faultRoleName)
+		return nil
+	}
+	return run
 }
 
-// HandleMessage takes an order on its way to the owner, or what the owner tells.
-func (d *faultRole) HandleMessage(from *peers.Link, e *frames.RoleMessage) {
-	now := d.roles.node.net.Now()
-	switch e.Kind {
+// HandleMessage implements singletonRole.
+func (r *faultRole) HandleMessage(from *peers.Link, m *frames.RoleMessage) {
+	now := r.roles.node.net.Now()
+	switch m.Kind {
 	case kindFaultOrder:
-		var r faultOrder
-		if frames.Unmarshal(e.Body, &r) != nil || !r.isValid() {
-			d.roles.countMalformed(faultRoleName)
+		var order faultOrder
+		if frames.Unmarshal(m.Body, &order) != nil || !order.isValid() {
+			r.roles.countMalformed(faultRoleName)
 			return
 		}
-		n := d.trackRun(now, &r)
-		if n == nil || now < n.forwardedAt+0.9*faultOrderRetrySeconds || now >= n.endsAt {
-			return
-		}
-		if n.forwardedAt = now; d.heldToken != 0 {
-			if !n.announced {
-				d.announceAt = 0
-			}
-			return
-		}
-		d.forward(now, n, e.Token, from)
+		r.handleOrder(now, &order, m.Token, from)
 	case kindFaultList:
-		var all faultList
-		if frames.Unmarshal(e.Body, &all) != nil || len(all.Orders) > maxFaultRuns || slices.ContainsFunc(all.Orders, func(r faultOrder) bool { return !r.isValid() }) {
-			d.roles.countMalformed(faultRoleName)
+		var list faultList
+		if frames.Unmarshal(m.Body, &list) != nil || len(list.Orders) > maxFaultRuns || slices.ContainsFunc(list.Orders, func(o faultOrder) bool { return !o.isValid() }) {
+			r.roles.countMalformed(faultRoleName)
 			return
 		}
-		for _, n := range d.runs { // an owner that does not know it is told
-			n.announced = false
-		}
-		for i := range all.Orders {
-			if n := d.trackRun(now, &all.Orders[i]); n != nil {
-				n.announced = true
-			}
-		}
+		r.handleList(now, &list)
 	}
 }
 
-// trackRun returns what is known of a drill. Danger: one that has begun or ended here must not begin again, whoever tells of it.
-func (d *faultRole) trackRun(now float64, r *faultOrder) *faultRun {
-	at, found := d.findRun(r.ID)
-	if !found {
-		return d.addRun(now, r, false)
+// handleOrder handles an order on its way to the holder: the holder announces it, others forward it.
+func (r *faultRole) handleOrder(now float64, order *faultOrder, token uint64, from *peers.Link) {
+	run := r.trackRun(now, order)
+	if run == nil || now < run.forwardedAt+forwardSlack*faultOrderRetrySeconds || now >= run.endsAt {
+		return
 	}
-	n := d.runs[at]
-	if n.Name != r.Name || !bytes.Equal(n.Signature, r.Signature) {
-		d.roles.countMalformed(faultRoleName)
-		return nil
+	if run.forwardedAt = now; r.heldToken != 0 {
+		if !run.announced {
+			r.announceAt = 0
+		}
+		return
 	}
-	return n
+	r.forward(now, run, token, from)
 }
 
-// Tick passes on what the owner has not told of, and has the owner tell.
-func (d *faultRole) Tick(now float64) (next float64) {
-	d.runs = slices.DeleteFunc(d.runs, func(r *faultRun) bool { return now >= r.forgetAt })
-	next = now + faultListIntervalSeconds
-	token := uint64(0)
-	for _, r := range d.runs {
-		if now >= r.endsAt || r.announced || d.heldToken != 0 {
-			continue
-		}
-		if token == 0 {
-			token = d.roles.maxToken(faultRoleName)
-		}
-		if now >= r.forwardedAt+faultOrderRetrySeconds && token != 0 {
-			r.forwardedAt = now
-			d.forward(now, r, token, nil)
+// handleList handles the holder's list. Faults that are not in it are sent towards the holder again.
+func (r *faultRole) handleList(now float64, list *faultList) {
+	for _, run := range r.runs {
+		run.announced = false
+	}
+	for i := range list.Orders {
+		if run := r.trackRun(now, &list.Orders[i]); run != nil {
+			run.announced = true
 		}
-		next = min(next, now+faultOrderRetrySeconds)
 	}
-	if d.heldToken == 0 {
-		return next
+}
+
+// Tick implements singletonRole.
+func (r *faultRole) Tick(now float64) (next float64) {
+	r.runs = slices.DeleteFunc(r.runs, func(run *faultRun) bool { return now >= run.forgetAt })
+	next = now + faultListIntervalSeconds
+	if r.heldToken == 0 {
+		return min(next, r.retryOrders(now))
 	}
-	if now < d.announceAt {
-		return min(next, d.announceAt)
+	if now < r.announceAt {
+		return min(next, r.announceAt)
 	}
-	d.announceAt = now + faultListIntervalSeconds
-	var all faultList
-	for _, r := range d.runs {
-		if now < r.endsAt {
-			all.Orders = append(all.Orders, r.orderAt(now))
+	r.announceAt = now + faultListIntervalSeconds
+	var list faultList
+	for _, run := range r.runs {
+		if now < run.endsAt {
+			list.Orders = append(list.Orders, run.orderAt(now))
 		}
 	}
-	// One without a drill is said at the beginning, so that who knows of any tells of it.
-	if len(all.Orders) == 0 && d.roles.state(faultRoleName).sequence > 0 {
+	// The first list is sent even if it is empty, so that sidecars which know a fault send it here.
+	if len(list.Orders) == 0 && r.roles.state(faultRoleName).sequence > 0 {
 		return next
 	}
-	if d.roles.broadcast(faultRoleName, kindFaultList, mustMarshal(all)) {
-		for _, r := range d.runs {
-			r.announced = true
+	if r.roles.broadcast(faultRoleName, kindFaultList, mustMarshal(list)) {
+		for _, run := range r.runs {
+			run.announced = true
 		}
 	}
-	return min(next, d.announceAt)
-}
-
-// orderAt returns a drill as it is now.
-func (r *faultRun) orderAt(now float64) faultOrder {
-	n := r.faultOrder
-	n.RemainingSeconds = max(r.endsAt-now, 0)
-	return n
+	return min(next, r.announceAt)
 }
 
-// forward passes a drill on over all links but one.
-func (d *faultRole) forward(now float64, r *faultRun, token uint64, except *peers.Link) {
-	body := mustMarshal(r.orderAt(now))
-	for _, l := range slices.Clone(d.roles.node.upLinks) { // a link may end with what is sent over it
-		if l != except {
-			d.roles.sendReply(l, faultRoleName, token, kindFaultOrder, body)
+// retryOrders sends running faults that the holder has not announced towards it, and returns when to do so again; +Inf: never.
+func (r *faultRole) retryOrders(now float64) (next float64) {
+	next = math.Inf(1)
+	token := uint64(0)
+	for _, run := range r.runs {
+		if now >= run.endsAt || run.announced {
+			continue
 		}
+		if token == 0 {
+			token = r.roles.maxToken(faultRoleName)
+		}
+		if now >= run.forwardedAt+faultOrderRetrySeconds && token != 0 {
+			run.forwardedAt = now
+			r.forward(now, run, token, nil)
+		}
+		next = now + faultOrderRetrySeconds
 	}
+	return next
 }
 
-// FaultStatus is a drill of the whole fleet.
-type FaultStatus struct {
-	ID               uint64  `json:"id"`
-	Fault            string  `json:"drill"`
-	RemainingSeconds float64 `json:"left_s"`            // until it ends here; 0: it has
-	Announced        bool    `json:"told,omitempty"`    // the owner has told all of it
-	Rejection        string  `json:"refused,omitempty"` // why it does not run here
+// orderAt returns the order with the time that is left.
+func (run *faultRun) orderAt(now float64) faultOrder {
+	order := run.faultOrder
+	order.RemainingSeconds = max(run.endsAt-now, 0)
+	return order
 }
 
-func (d *faultRole) status() (all []FaultStatus) {
-	now := d.roles.node.net.Now()
-	for _, r := range d.runs {
-		all = append(all, FaultStatus{r.ID, r.Name, math.Round(10*max(r.endsAt-now, 0)) / 10, r.announced, r.rejection})
+// forward sends a fault towards the holder, over all links but one.
+func (r *faultRole) forward(now float64, run *faultRun, token uint64, except *peers.Link) {
+	r.roles.sendTowardsHolder(faultRoleName, token, kindFaultOrder, mustMarshal(run.orderAt(now)), except)
+}
+
+func (r *faultRole) status() (all []FaultStatus) {
+	now := r.roles.node.net.Now()
+	for _, run := range r.runs {
+		all = append(all, FaultStatus{run.ID, run.Name, roundTenths(max(run.endsAt-now, 0)), run.announced, run.rejection})
 	}
 	return all
 }
-
-var _ singletonRole = (*faultRole)(nil)
--- a/internal/coordination/lease_actions.go
+++ b/internal/coordination/lease_actions.go
@@ -8,101 +8,101 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// leaseActions are the decisions' hands. What they ask for is done at once where it does not call back into them, and at the
-// end of the present call otherwise.
+// leaseActions implements lease.Actions for a roleManager. What would call back into the lease node is postponed to the end of the
+// present call, and skipped if the identity has been replaced by then.
 type leaseActions struct{ roles *roleManager }
 
+var _ lease.Actions = leaseActions{}
+
 func (a leaseActions) Send(to swim.ID, m *lease.Message) {
-	if l := a.roles.node.linkByMember[to]; l != nil {
-		l.Send(frames.TopicLease, mustMarshal(m))
+	if link := a.roles.node.linkByMember[to]; link != nil {
+		link.Send(frames.TopicLease, mustMarshal(m))
 	}
 }
 
 func (a leaseActions) Broadcast(m *lease.Message, except swim.ID) {
 	body := mustMarshal(m)
-	for _, l := range slices.Clone(a.roles.node.upLinks) { // a link may end with what is sent over it
-		if swim.ID(l.Hello.ID) != except {
-			l.Send(frames.TopicLease, body)
+	for _, link := range slices.Clone(a.roles.node.upLinks) { // sending may end a link
+		if swim.ID(link.Hello.ID) != except {
+			link.Send(frames.TopicLease, body)
 		}
 	}
 }
 
-func (a leaseActions) RequestLinks(ids []swim.ID) {
-	f := a.roles.node
-	f.runAfterCall(func() {
-		if f.view != nil && !f.silenced {
-			f.view.RequestLinks(f.net.Now(), ids)
+func (a leaseActions) RequestLinks(members []swim.ID) {
+	n := a.roles.node
+	n.runAfterCall(func() {
+		if n.view != nil && !n.silenced {
+			n.view.RequestLinks(n.net.Now(), members)
 		}
 	})
 }
 
-func (a leaseActions) Persist(promised []byte) {
-	f, t := a.roles.node, a.roles
-	f.runAfterCall(func() {
-		of := t.lease
-		if of == nil {
+func (a leaseActions) Persist(state []byte) {
+	m, n := a.roles, a.roles.node
+	n.runAfterCall(func() {
+		node := m.lease
+		if node == nil {
 			return
 		}
-		f.state.LeaseState = promised
-		f.persist(func(err error) {
-			if t.lease == of { // else it was another identity's
-				of.HandlePersisted(f.net.Now(), err)
+		n.state.LeaseState = state
+		n.persist(func(err error) {
+			if m.lease == node {
+				node.HandlePersisted(n.net.Now(), err)
 			}
 		})
 	})
 }
 
-func (a leaseActions) RecordCommitted(r lease.Record) {
-	o, of := a.roles, a.roles.lease
-	o.node.runAfterCall(func() {
-		if w := o.maintenance; o.lease == of && w != nil && r.Role == maintenanceRoleName && w.heldToken != 0 {
-			w.handleCommitted(&r)
+func (a leaseActions) LeaseStarted(name string, token uint64) {
+	m, node := a.roles, a.roles.lease
+	m.node.runAfterCall(func() {
+		s := m.state(name)
+		if m.lease != node || s == nil {
+			return
+		}
+		m.stopRole(s, "it is granted anew")
+		if ok, _ := m.fence.Admit(name, token); !ok {
+			return // a message under a greater token has come: there is a later holder
+		}
+		s.heldToken, s.sequence = token, 0
+		m.logInfo("owner of a job", "job", name, "token", token)
+		if s.role != nil {
+			s.role.Start(token)
+			s.nextTick = 0
 		}
 	})
 }
 
-func (a leaseActions) LeaseEnded(name string, token uint64, why lease.EndReason) {
-	o := a.roles
-	o.node.runAfterCall(func() {
-		if j := o.state(name); j != nil && j.heldToken == token {
-			o.stopRole(j, string(why))
-			if l, ok := j.role.(lapseHandler); ok && why == lease.ReasonNotRenewed {
-				l.HandleLapse(token)
-			}
+func (a leaseActions) RecordCommitted(record lease.Record) {
+	m, node := a.roles, a.roles.lease
+	m.node.runAfterCall(func() {
+		if r := m.maintenance; m.lease == node && r != nil && record.Role == maintenanceRoleName && r.heldToken != 0 {
+			r.handleCommitted(&record)
 		}
 	})
 }
 
-func (a leaseActions) Log(text string, args ...any) {
-	if now := a.roles.node.net.Now(); a.roles.logs.allow(now) {
-		a.roles.node.log.Info(text, args...)
-	}
-}
-
-func (a leaseActions) LeaseStarted(name string, token uint64) {
-	o, of := a.roles, a.roles.lease
-	o.node.runAfterCall(func() {
-		j := o.state(name)
-		if o.lease != of || j == nil {
+func (a leaseActions) LeaseEnded(name string, token uint64, reason lease.EndReason) {
+	m := a.roles
+	m.node.runAfterCall(func() {
+		s := m.state(name)
+		if s == nil || s.heldToken != token {
 			return
 		}
-		o.stopRole(j, "it is granted anew")
-		if ok, _ := o.fence.Admit(name, token); !ok {
-			return // others have been heard under a greater one
-		}
-		j.heldToken, j.sequence = token, 0
-		o.logInfo("owner of a job", "job", name, "token", token)
-		if j.role != nil {
-			j.role.Start(token)
-			j.nextTick = 0
+		m.stopRole(s, string(reason))
+		if h, ok := s.role.(lapseHandler); ok && reason == lease.ReasonNotRenewed {
+			h.HandleLapse(token)
 		}
 	})
 }
 
-func (a leaseActions) ReplaceIdentity(why string) {
-	f := a.roles.node
-	f.runAfterCall(func() {
-		f.view.RenounceIdentity(f.net.Now())
-		membershipActions{f}.ReplaceIdentity(why)
+func (a leaseActions) ReplaceIdentity(reason string) {
+	n := a.roles.node
+	n.runAfterCall(func() {
+		n.view.RenounceIdentity(n.net.Now())
+		n.replaceIdentity(reason)
 	})
 }
+
+func (a leaseActions) Log(text string, args ...any) { a.roles.logInfo(text, args...) }
--- a/internal/coordination/role_messages.go
+++ b/internal/coordination/role_messages.go
@@ -9,156 +9,168 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// Between, where a build for tests sets it, is called between the check of a lease and what is done under it.
+// BeforeRoleMessage is a hook of tests, called between the check of a lease and the message that is sent under it; nil: none.
 var BeforeRoleMessage func()
 
-// replayWindow tells which effects for all were heard. They come over several links, in any order; what is older than the window is
-// taken for heard.
+// replayWindowSize is how many messages behind the last one are told apart from duplicates.
+const replayWindowSize = 64
+
+// replayWindow recognizes duplicates among the messages for all of one role. They come over several links and in any order; one that
+// is older than the window counts as a duplicate.
 type replayWindow struct {
-	token, last uint64
-	bits        uint64 // of last and the 63 before it
+	token, last uint64 // greatest sequence number under the token
+	bits        uint64 // which of last and those before it have come; bit 0 is last
 }
 
-// accept tells whether an effect is heard for the first time.
-func (w *replayWindow) accept(token, number uint64) bool {
+// accept reports whether a message has not come before, and records it. Another token than the last one starts a new window.
+func (w *replayWindow) accept(token, sequence uint64) bool {
 	if token != w.token {
 		*w = replayWindow{token: token}
 	}
 	switch {
-	case number > w.last:
-		if by := number - w.last; by < 64 {
-			w.bits <<= by
+	case sequence > w.last:
+		if shift := sequence - w.last; shift < replayWindowSize {
+			w.bits <<= shift
 		} else {
 			w.bits = 0
 		}
-		w.last, w.bits = number, w.bits|1
+		w.last, w.bits = sequence, w.bits|1
 		return true
-	case w.last-number >= 64 || w.bits>>(w.last-number)&1 == 1:
+	case w.last-sequence >= replayWindowSize || w.bits>>(w.last-sequence)&1 == 1:
 		return false
 	}
-	w.bits |= 1 << (w.last - number)
+	w.bits |= 1 << (w.last - sequence)
 	return true
 }
 
-// activeToken returns the token under which this sidecar may act for a job now, 0 if there is none. Danger: a process that stood still may be
-// asked before its loop has come to end what its lease no longer covers.
-func (o *roleManager) activeToken(j *roleState) uint64 {
-	if o.lease == nil || j.heldToken == 0 {
+// activeToken returns the token under which this sidecar may act for a role right now, 0 if it may not. Danger: heldToken alone is
+// not enough, since a process that stood still may be asked before its loop has ended a role whose lease has expired.
+func (m *roleManager) activeToken(s *roleState) uint64 {
+	if m.lease == nil || s.heldToken == 0 {
 		return 0
 	}
-	if token, ok := o.lease.Holds(o.node.net.Now(), j.name); !ok || token != j.heldToken {
+	if token, ok := m.lease.Holds(m.node.net.Now(), s.name); !ok || token != s.heldToken {
 		return 0
 	}
-	return j.heldToken
+	return s.heldToken
 }
 
-// broadcast says something to all under the grant of a job, and tells whether it was said: not without a lease that is valid now.
-func (o *roleManager) broadcast(name string, kind uint8, body []byte) bool {
-	j := o.state(name)
-	if j == nil || o.activeToken(j) == 0 {
+// broadcast sends a message to all under the lease of a role. It reports whether the lease is valid; otherwise nothing is sent.
+func (m *roleManager) broadcast(name string, kind uint8, body []byte) bool {
+	s := m.state(name)
+	if s == nil || m.activeToken(s) == 0 {
 		return false
 	}
 	if BeforeRoleMessage != nil {
 		BeforeRoleMessage()
 	}
-	j.sequence++
-	j.received.accept(j.heldToken, j.sequence)
-	o.flood(&frames.RoleMessage{Role: name, Token: j.heldToken, Origin: uint64(o.node.state.ID), Sequence: j.sequence, Kind: kind, Body: body}, nil)
+	m.broadcastUnder(s, s.heldToken, kind, body)
 	return true
 }
 
-// broadcastLapsed says something to all under a grant whose lease was not renewed, unless a greater token is known. Danger: another may be
-// granted the job meanwhile; who has heard of that refuses this. It is for work that does no harm when two do it at once.
-func (o *roleManager) broadcastLapsed(name string, token uint64, kind uint8, body []byte) bool {
-	j := o.state(name)
-	if o.lease == nil || j == nil || j.heldToken != 0 {
+// broadcastLapsed sends a message to all under a lease that was not renewed, unless a greater token is known; it reports whether it
+// did. Danger: the role may have another holder meanwhile; who knows of that one rejects the message. It is only for roles that do no
+// harm when two sidecars act at once.
+func (m *roleManager) broadcastLapsed(name string, token uint64, kind uint8, body []byte) bool {
+	s := m.state(name)
+	if m.lease == nil || s == nil || s.heldToken != 0 {
 		return false
 	}
-	if ok, _ := o.fence.Admit(name, token); !ok {
+	if ok, _ := m.fence.Admit(name, token); !ok {
 		return false
 	}
-	j.sequence++
-	j.received.accept(token, j.sequence)
-	o.flood(&frames.RoleMessage{Role: name, Token: token, Origin: uint64(o.node.state.ID), Sequence: j.sequence, Kind: kind, Body: body}, nil)
+	m.broadcastUnder(s, token, kind, body)
 	return true
 }
 
-// sendReply says something over one link, to what was said under a token. Danger: after a greater one it would be an old owner's word.
-func (o *roleManager) sendReply(l *peers.Link, name string, token uint64, kind uint8, body []byte) {
-	if ok, _ := o.fence.Admit(name, token); ok {
-		o.send(l, &frames.RoleMessage{Role: name, Token: token, Origin: uint64(o.node.state.ID), Kind: kind, Body: body})
-	}
+func (m *roleManager) broadcastUnder(s *roleState, token uint64, kind uint8, body []byte) {
+	s.sequence++
+	s.received.accept(token, s.sequence)
+	m.flood(&frames.RoleMessage{Role: s.name, Token: token, Origin: uint64(m.node.state.ID), Sequence: s.sequence, Kind: kind, Body: body}, nil)
 }
 
-func (o *roleManager) send(l *peers.Link, e *frames.RoleMessage) {
-	l.Send(frames.TopicRole, mustMarshal(e))
+// sendReply sends a message over one link under the token of the message that it answers. Danger: once a greater token is known it
+// is not sent, since it would count as a message of the earlier holder.
+func (m *roleManager) sendReply(link *peers.Link, name string, token uint64, kind uint8, body []byte) {
+	if ok, _ := m.fence.Admit(name, token); ok {
+		m.send(link, &frames.RoleMessage{Role: name, Token: token, Origin: uint64(m.node.state.ID), Kind: kind, Body: body})
+	}
 }
 
-// flood sends an effect over all links but one.
-func (o *roleManager) flood(e *frames.RoleMessage, except *peers.Link) {
-	body := mustMarshal(e)
-	for _, l := range slices.Clone(o.node.upLinks) { // a link may end with what is sent over it
-		if l != except {
-			l.Send(frames.TopicRole, body)
+// sendTowardsHolder sends a message over all links but one, for the holder of a role, which may be several links away; except may be
+// nil. Receivers forward it.
+func (m *roleManager) sendTowardsHolder(name string, token uint64, kind uint8, body []byte, except *peers.Link) {
+	for _, link := range slices.Clone(m.node.upLinks) { // sending may end a link
+		if link != except {
+			m.sendReply(link, name, token, kind, body)
 		}
 	}
 }
 
-// handleMessage is where every effect comes in. Danger: the lease of who sent it may have ended while it stood still, or while the bytes
-// lay in the network; the token is what makes that harmless, so nothing of an effect is looked at before.
-func (o *roleManager) handleMessage(l *peers.Link, e *frames.RoleMessage) {
-	j := o.state(e.Role)
-	if j == nil || e.Token == 0 {
+func (m *roleManager) send(link *peers.Link, msg *frames.RoleMessage) {
+	link.Send(frames.TopicRole, mustMarshal(msg))
+}
+
+// flood sends a message for all over all links but one; except may be nil.
+func (m *roleManager) flood(msg *frames.RoleMessage, except *peers.Link) {
+	m.node.broadcastFrame(frames.TopicRole, mustMarshal(msg), except)
+}
+
+// handleMessage handles each role message that comes. Danger: the sender's lease may have ended while it stood still, or while the
+// bytes were on their way. The token makes that harmless, so it is checked before anything else of the message is used.
+func (m *roleManager) handleMessage(link *peers.Link, msg *frames.RoleMessage) {
+	s := m.state(msg.Role)
+	if s == nil || msg.Token == 0 {
 		return
 	}
-	ok, greatest := o.fence.Admit(e.Role, e.Token)
+	ok, greatest := m.fence.Admit(msg.Role, msg.Token)
 	if !ok {
-		o.reject(l, j, e, greatest)
+		m.reject(link, s, msg, greatest)
 		return
 	}
-	if j.heldToken != 0 && e.Token > j.heldToken {
-		o.stopRole(j, "another owns it under a greater token")
+	if s.heldToken != 0 && msg.Token > s.heldToken {
+		m.stopRole(s, "another owns it under a greater token")
 	}
-	news := e.Token > j.maxToken
-	j.maxToken = max(j.maxToken, e.Token)
-	if e.Kind == frames.KindRejected {
-		// It goes on the way that what was refused came by. Danger: told again and again it could go in circles.
-		if from := o.node.links[j.lastLink]; from != nil && news && from != l {
-			o.send(from, e)
+	isNewToken := msg.Token > s.maxToken
+	s.maxToken = max(s.maxToken, msg.Token)
+	if msg.Kind == frames.KindRejected {
+		// It is sent back the way that the rejected message came by. Danger: forwarded more than once it could circulate for ever.
+		if back := m.node.links[s.lastLink]; back != nil && isNewToken && back != link {
+			m.send(back, msg)
 		}
 		return
 	}
-	if e.Sequence > 0 {
-		if !j.received.accept(e.Token, e.Sequence) {
+	if msg.Sequence > 0 {
+		if !s.received.accept(msg.Token, msg.Sequence) {
 			return
 		}
-		j.lastLink = l.Number
-		o.flood(e, l)
+		s.lastLink = link.Number
+		m.flood(msg, link)
 	}
-	if j.acceptedTokens[j.acceptedTokensAt] != e.Token {
-		j.acceptedTokensAt = (j.acceptedTokensAt + 1) % len(j.acceptedTokens)
-		j.acceptedTokens[j.acceptedTokensAt] = e.Token
+	if s.acceptedTokens[s.acceptedTokensAt] != msg.Token {
+		s.acceptedTokensAt = (s.acceptedTokensAt + 1) % len(s.acceptedTokens)
+		s.acceptedTokens[s.acceptedTokensAt] = msg.Token
 	}
-	if j.accepted++; j.role != nil {
-		j.role.HandleMessage(l, e)
-		j.nextTick = 0
+	if s.accepted++; s.role != nil {
+		s.role.HandleMessage(link, msg)
+		s.nextTick = 0
 	}
 }
 
-// reject turns an effect away, and tells who sent it of the greater token.
-func (o *roleManager) reject(l *peers.Link, j *roleState, e *frames.RoleMessage, greatest uint64) {
-	j.rejected++
-	if now := o.node.net.Now(); o.rejectionLogs.allow(now) {
-		o.node.log.Warn("an old owner's effect is refused", "job", e.Role, "token", e.Token, "greatest", greatest, "origin", swim.ID(e.Origin),
-			"from", l.Hello.Name, "kind", e.Kind)
-	}
-	if e.Kind == frames.KindRejected {
+// reject drops a message whose token is too low, and answers with the greatest token and the table of leases.
+func (m *roleManager) reject(link *peers.Link, s *roleState, msg *frames.RoleMessage, greatest uint64) {
+	s.rejected++
+	if m.rejectionLogs.allow(m.node.net.Now()) {
+		m.node.log.Warn("an old owner's effect is refused", "job", msg.Role, "token", msg.Token, "greatest", greatest, "origin", swim.ID(msg.Origin),
+			"from", link.Hello.Name, "kind", msg.Kind)
+	}
+	if msg.Kind == frames.KindRejected {
 		return
 	}
-	o.send(l, &frames.RoleMessage{Role: e.Role, Token: greatest, Origin: uint64(o.node.state.ID), Kind: frames.KindRejected})
-	if o.lease != nil {
-		if table := o.lease.Table(); table.Epoch > 0 {
-			l.Send(frames.TopicLease, mustMarshal(&lease.Message{Table: &table}))
+	m.send(link, &frames.RoleMessage{Role: msg.Role, Token: greatest, Origin: uint64(m.node.state.ID), Kind: frames.KindRejected})
+	if m.lease != nil {
+		if table := m.lease.Table(); table.Epoch > 0 {
+			link.Send(frames.TopicLease, mustMarshal(&lease.Message{Table: &table}))
 		}
 	}
 }
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"cmp"
 	"slices"
 
 	"hazelwheel/internal/decide/lease"
@@ -9,248 +10,259 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// singletonRole is a job that one sidecar does on behalf of all. Begin and End are called in turns, each on the loop; between them the job
-// may speak to all by owners.spread. What it says is checked where it is heard: to speak under a lease that has ended does no harm.
+// singletonRole is work that one sidecar, the holder of its lease, does on behalf of all. Start and Stop alternate; between them the
+// role may send to all by roleManager.broadcast. Receivers check the fencing token, so a message that is sent after the lease has
+// ended does no harm.
 type singletonRole interface {
 	Name() string
+	// Start tells that this sidecar holds the lease, under a token.
 	Start(token uint64)
+	// Stop tells that it no longer does.
 	Stop()
-	// Heard takes an effect that has come over a link and whose token is not too low, also where another owns the job.
-	HandleMessage(from *peers.Link, e *frames.RoleMessage)
-	// Tick does what is due, owner or not, and says when to be called next.
+	// HandleMessage handles a message of the role whose token is not too low, at the holder and at all others.
+	HandleMessage(from *peers.Link, m *frames.RoleMessage)
+	// Tick does what is due by time, at the holder and at all others, and returns when to call it next. It is also called soon after
+	// Start and after each HandleMessage.
 	Tick(now float64) (next float64)
 }
 
-// lapseHandler is work that does no harm when two do it at once, and may go on by owners.spreadOn after its lease was not renewed.
+// lapseHandler is a singletonRole that does no harm when two sidecars act as its holder. It may go on by roleManager.broadcastLapsed
+// after its lease was not renewed.
 type lapseHandler interface {
-	// Lapsed follows End.
+	// HandleLapse follows Stop if the lease ended since it was not renewed.
 	HandleLapse(token uint64)
 }
 
 const (
-	// fitnessIntervalSeconds is the time between two looks whether this sidecar may work for others.
+	// fitnessIntervalSeconds is the time between two checks whether this sidecar is fit to hold roles.
 	fitnessIntervalSeconds = 1.0
-	// leaveTimeoutSeconds is how long what is owned may take to be given back, after the word to end. It is less than any drain takes.
+	// leaveTimeoutSeconds limits how long a shutdown waits until the leases have other holders. It is shorter than any drain.
 	leaveTimeoutSeconds = 0.5
+	// maxRoles and maxRoleNameBytes limit what is kept of roles that peers name.
+	maxRoles         = 64
+	maxRoleNameBytes = 64
 )
 
-// roleState is one that is known here.
+// roleState is what is known here of one role.
 type roleState struct {
-	name             string
-	role             singletonRole // nil: it is done by others alone
-	nextTick         float64       // when work is to be called
-	heldToken        uint64        // the token under which this sidecar owns it; 0: it does not
-	sequence         uint64        // of the last effect under it
-	unfit            bool
-	accepted         uint64 // effects
-	rejected         uint64 // of a token that was too low
-	malformed        uint64 // whose body made no sense
+	name      string
+	role      singletonRole // nil: this sidecar can't hold it
+	nextTick  float64       // when role.Tick is due
+	heldToken uint64        // the token under which this sidecar holds the lease; 0: it does not
+	sequence  uint64        // of the last message for all that was sent under it
+	unfit     bool          // as the lease node was told last
+
+	accepted  uint64 // messages
+	rejected  uint64 // messages whose token was too low
+	malformed uint64 // messages whose body could not be decoded or was implausible
+
 	received         replayWindow
-	maxToken         uint64    // the greatest token that has come in
-	lastLink         int       // the link by which the last effect came that was for all
-	acceptedTokens   [8]uint64 // of the effects that were taken last, as they changed
+	maxToken         uint64    // greatest token of an accepted message
+	lastLink         int       // link by which the last message for all came
+	acceptedTokens   [8]uint64 // ring of the tokens of accepted messages, one entry for each change
 	acceptedTokensAt int
 }
 
-// roleManager is a sidecar's part in who does what on behalf of all. It belongs to its Fleet.
+// roleManager starts and stops the singleton roles as their leases come and go, and carries their messages. It belongs to its Node.
 type roleManager struct {
-	node              *Node
-	lease             *lease.Node // nil: the identity is being drawn anew, or is another process's
-	fence             lease.Fence
-	states            []*roleState     // by name
-	listRelay         *listRelay       // nil: no lists are passed on
-	faults            *faultRole       // nil: drills are each sidecar's own
-	maintenance       *maintenanceRole // nil: no work on boxes is settled
-	membershipChanges uint64           // of the view, that the decisions know of
+	node   *Node
+	lease  *lease.Node  // nil: there is no identity at the moment, or another process has it
+	fence  lease.Fence  // greatest token seen of each role
+	states []*roleState // sorted by name
+
+	listRelay   *listRelay       // nil: this sidecar has no part in it, as for those below
+	faults      *faultRole       //
+	maintenance *maintenanceRole //
+
+	membershipChanges uint64 // swim.View.Changes as of the last SetMembers
 	fitnessAt         float64
-	ineligibleReason  string // it may not work for others; empty: it may
-	leaveDeadline     float64
+	ineligibleReason  string  // why this sidecar is not fit to hold roles; empty: it is
+	leaveDeadline     float64 // 0: it does not leave
 	logs              logLimiter
 	rejectionLogs     logLimiter
 }
 
-func newRoleManager(f *Node) *roleManager {
-	o := &roleManager{node: f}
-	for _, name := range slices.Sorted(slices.Values(f.options.Jobs)) {
-		j := &roleState{name: name}
+func newRoleManager(n *Node) *roleManager {
+	m := &roleManager{node: n}
+	for _, name := range slices.Sorted(slices.Values(n.options.Jobs)) {
+		s := &roleState{name: name}
 		switch i := slices.Index(listRoleNames[:], name); {
 		case name == reportRoleName:
-			j.role = newReportRole(o)
+			s.role = newReportRole(m)
 		case name == faultRoleName:
-			o.faults = newFaultRole(o)
-			j.role = o.faults
+			m.faults = newFaultRole(m)
+			s.role = m.faults
 		case name == maintenanceRoleName:
-			o.maintenance = newMaintenanceRole(o)
-			j.role = o.maintenance
+			m.maintenance = newMaintenanceRole(m)
+			s.role = m.maintenance
 		case i >= 0:
-			if o.listRelay == nil {
-				o.listRelay = newListRelay(o)
+			if m.listRelay == nil {
+				m.listRelay = newListRelay(m)
 			}
-			j.role = o.listRelay.sources[i]
+			s.role = m.listRelay.sources[i]
 		}
-		o.states = append(o.states, j)
+		m.states = append(m.states, s)
 	}
-	return o
+	return m
 }
 
-// start takes the identity and what was promised under it. An error says that neither is to be used.
-func (o *roleManager) start(id swim.ID, promised []byte) (err error) {
-	o.lease, err = lease.New(o.node.net.Now(), id, lease.Settings{InitialVoters: o.node.options.Electors, Address: o.node.options.Advertise, Roles: o.node.options.Jobs, RecordedRoles: []string{maintenanceRoleName}, Seed: o.node.options.Rand.Uint64()},
-		promised, leaseActions{o})
-	o.membershipChanges, o.fitnessAt = 0, 0
-	for _, j := range o.states {
-		j.unfit = false
+// start starts the lease protocol under an identity. After an error neither the identity nor its saved state may be used.
+func (m *roleManager) start(id swim.ID, saved []byte) (err error) {
+	o := &m.node.options
+	settings := lease.Settings{InitialVoters: o.Electors, Address: o.Advertise, Roles: o.Jobs, RecordedRoles: []string{maintenanceRoleName}, Seed: o.Rand.Uint64()}
+	m.lease, err = lease.New(m.node.net.Now(), id, settings, saved, leaseActions{m})
+	m.membershipChanges, m.fitnessAt = 0, 0
+	for _, s := range m.states {
+		s.unfit = false
 	}
 	return err
 }
 
-// stop ends all at once: this process no longer has its identity.
-func (o *roleManager) stop(why string) {
-	for _, j := range o.states {
-		o.stopRole(j, why)
+// stop ends all roles and the lease protocol, since this process no longer has its identity.
+func (m *roleManager) stop(reason string) {
+	for _, s := range m.states {
+		m.stopRole(s, reason)
 	}
-	o.lease = nil
+	m.lease = nil
 }
 
-// stopRole ends a job that is owned here.
-func (o *roleManager) stopRole(j *roleState, why string) {
-	if j.heldToken == 0 {
+// stopRole ends a role if it is held here.
+func (m *roleManager) stopRole(s *roleState, reason string) {
+	if s.heldToken == 0 {
 		return
 	}
-	o.logInfo("no longer the owner of a job", "job", j.name, "token", j.heldToken, "why", why)
-	if j.heldToken = 0; j.role != nil {
-		j.role.Stop()
+	m.logInfo("no longer the owner of a job", "job", s.name, "token", s.heldToken, "why", reason)
+	if s.heldToken = 0; s.role != nil {
+		s.role.Stop()
 	}
 }
 
-// logInfo writes a line of the log, unless there are too many.
-func (o *roleManager) logInfo(text string, args ...any) {
-	if now := o.node.net.Now(); o.logs.allow(now) {
-		o.node.log.Info(text, args...)
+// logInfo writes a line to the log unless there are too many.
+func (m *roleManager) logInfo(message string, args ...any) {
+	if m.logs.allow(m.node.net.Now()) {
+		m.node.log.Info(message, args...)
 	}
 }
 
-// tick does what is due.
-func (o *roleManager) tick(now float64) {
-	if o.lease == nil {
+// tick does what is due by time.
+func (m *roleManager) tick(now float64) {
+	if m.lease == nil {
 		return
 	}
-	if c := o.node.view.Changes(); c != o.membershipChanges {
-		o.membershipChanges = c
-		o.lease.SetMembers(now, o.leaseMembers())
+	if c := m.node.view.Changes(); c != m.membershipChanges {
+		m.membershipChanges = c
+		m.lease.SetMembers(now, m.leaseMembers())
 	}
-	if now >= o.fitnessAt {
-		o.updateFitness(now)
+	if now >= m.fitnessAt {
+		m.updateFitness(now)
 	}
-	if now >= o.lease.NextTick() {
-		o.lease.Tick(now)
+	if now >= m.lease.NextTick() {
+		m.lease.Tick(now)
 	}
-	for _, j := range o.states {
-		if j.role != nil && now >= j.nextTick {
-			j.nextTick = j.role.Tick(now)
+	for _, s := range m.states {
+		if s.role != nil && now >= s.nextTick {
+			s.nextTick = s.role.Tick(now)
 		}
 	}
-	o.logs.logSuppressed(now, o.node.log)
-	o.rejectionLogs.logSuppressed(now, o.node.log)
+	m.logs.logSuppressed(now, m.node.log)
+	m.rejectionLogs.logSuppressed(now, m.node.log)
 }
 
-func (o *roleManager) leaseMembers() []lease.Member {
-	var all []lease.Member
-	for m := range o.node.view.Members {
-		all = append(all, lease.Member{ID: m.ID, Address: m.Address, State: m.State, Durable: m.Durable, StateAgeSeconds: m.StateAgeSeconds})
+// nextTick returns when tick is due.
+func (m *roleManager) nextTick(now float64) float64 {
+	if m.lease == nil {
+		return now + fitnessIntervalSeconds
 	}
-	return all
+	next := min(m.lease.NextTick(), m.fitnessAt)
+	for _, s := range m.states {
+		if s.role != nil {
+			next = min(next, s.nextTick)
+		}
+	}
+	if m.leaveDeadline > now {
+		next = min(next, m.leaveDeadline)
+	}
+	return next
 }
 
-// updateFitness tells the decisions whether this sidecar may work for others.
-func (o *roleManager) updateFitness(now float64) {
-	o.fitnessAt = now + fitnessIntervalSeconds
-	fit, why := o.node.options.Host.Fit()
-	if why != o.ineligibleReason {
-		o.logInfo("work for others", "willing", fit, "why", why)
-	}
-	o.ineligibleReason = why
-	for _, j := range o.states {
-		if j.unfit == fit {
-			j.unfit = !fit
-			o.lease.SetWilling(now, j.name, fit)
-		}
+// leaseMembers returns the membership as package lease takes it.
+func (m *roleManager) leaseMembers() []lease.Member {
+	var all []lease.Member
+	for member := range m.node.view.Members {
+		all = append(all, lease.Member{ID: member.ID, Address: member.Address, State: member.State, Durable: member.Durable, StateAgeSeconds: member.StateAgeSeconds})
 	}
+	return all
 }
 
-// nextTick returns when tick is to be called.
-func (o *roleManager) nextTick(now float64) float64 {
-	if o.lease == nil {
-		return now + fitnessIntervalSeconds
+// updateFitness tells the lease protocol whether this sidecar is fit to hold roles.
+func (m *roleManager) updateFitness(now float64) {
+	m.fitnessAt = now + fitnessIntervalSeconds
+	fit, reason := m.node.options.Host.Fit()
+	if reason != m.ineligibleReason {
+		m.logInfo("eligibility for roles changed", "eligible", fit, "reason", reason)
 	}
-	next := min(o.lease.NextTick(), o.fitnessAt)
-	for _, j := range o.states {
-		if j.role != nil {
-			next = min(next, j.nextTick)
+	m.ineligibleReason = reason
+	for _, s := range m.states {
+		if s.unfit == fit {
+			s.unfit = !fit
+			m.lease.SetWilling(now, s.name, fit)
 		}
 	}
-	if o.leaveDeadline > now {
-		next = min(next, o.leaveDeadline)
-	}
-	return next
 }
 
-// releaseLeases gives back what is owned, and tells whether that still takes time.
-func (o *roleManager) releaseLeases(now float64) bool {
-	if o.lease == nil {
+// releaseLeases gives all leases back and reports whether a shutdown should still wait for that.
+func (m *roleManager) releaseLeases(now float64) (pending bool) {
+	if m.lease == nil {
 		return false
 	}
-	if o.leaveDeadline == 0 {
-		o.leaveDeadline = now + leaveTimeoutSeconds
-		o.lease.Leave(now)
+	if m.leaveDeadline == 0 {
+		m.leaveDeadline = now + leaveTimeoutSeconds
+		m.lease.Leave(now)
 	}
-	return now < o.leaveDeadline && !o.lease.HasLeft()
+	return now < m.leaveDeadline && !m.lease.HasLeft()
 }
 
-// state returns one by its name, nil where it is not known and there is room for no more.
-func (o *roleManager) state(name string) *roleState {
-	i, found := slices.BinarySearchFunc(o.states, name, func(j *roleState, name string) int {
-		switch {
-		case j.name < name:
-			return -1
-		case j.name > name:
-			return 1
-		}
-		return 0
-	})
+// state returns the state of a role, which is added if need be; nil if there are too many. Danger: names come from peers.
+func (m *roleManager) state(name string) *roleState {
+	i, found := slices.BinarySearchFunc(m.states, name, func(s *roleState, name string) int { return cmp.Compare(s.name, name) })
 	if found {
-		return o.states[i]
+		return m.states[i]
 	}
-	// Danger: names come from outside.
-	if len(o.states) >= maxRoles || len(name) > 64 {
+	if len(m.states) >= maxRoles || len(name) > maxRoleNameBytes {
 		return nil
 	}
-	o.states = slices.Insert(o.states, i, &roleState{name: name})
-	return o.states[i]
+	m.states = slices.Insert(m.states, i, &roleState{name: name})
+	return m.states[i]
 }
 
-const maxRoles = 64
+// requestTick has a role's Tick called with the next tick.
+func (m *roleManager) requestTick(name string) { m.state(name).nextTick = 0 }
 
-// maxToken returns the greatest token that is known of a job, 0: none is.
-func (o *roleManager) maxToken(name string) (token uint64) {
-	if o.lease != nil {
-		for _, g := range o.lease.Table().Grants {
+// maxToken returns the greatest token of a role that is known from grants or messages, 0 if none is.
+func (m *roleManager) maxToken(name string) (token uint64) {
+	if m.lease != nil {
+		for _, g := range m.lease.Table().Grants {
 			if g.Role == name {
 				token = g.Token
 			}
 		}
 	}
-	for _, g := range o.fence.Highest() {
+	return max(token, m.fenceToken(name))
+}
+
+// fenceToken returns the greatest token of a role that is known from messages, 0 if none is.
+func (m *roleManager) fenceToken(name string) uint64 {
+	for _, g := range m.fence.Highest() {
 		if g.Role == name {
-			token = max(token, g.Token)
+			return g.Token
 		}
 	}
-	return token
+	return 0
 }
 
-// countMalformed counts an effect whose body makes no sense. It is dropped, and what it came over goes on: its token was good.
-func (o *roleManager) countMalformed(name string) {
-	if j := o.state(name); j != nil {
-		j.malformed++
+// countMalformed counts a message whose body can't be used. The message is dropped and its link stays: the token was valid.
+func (m *roleManager) countMalformed(name string) {
+	if s := m.state(name); s != nil {
+		s.malformed++
 	}
 }
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -8,82 +8,87 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// Status is what a sidecar says of its fleet.
+// Status is the answer of the admin command PEERS and the part "fleet" of the sidecar's counters. JSON keys are read by operators'
+// tools.
 type Status struct {
 	Fleet          string         `json:"fleet"`
 	ID             string         `json:"id"`
-	IdentityStored bool           `json:"stored"` // the identity survives a restart
-	Silenced       bool           `json:"quiet,omitempty"`
-	Rank           int            `json:"rank"` // in force
+	IdentityStored bool           `json:"stored"`          // the identity survives a restart
+	Silenced       bool           `json:"quiet,omitempty"` // another process has this identity
+	Rank           int            `json:"rank"`            // in force, see swim.StableRank
 	Count          int            `json:"count"`
-	Live           int            `json:"live"`
-	HealthScore    int            `json:"doubts"` // that it has about itself
-	Checksum       string         `json:"sum"`    // of what it holds of all; equal at those that agree
+	Live           int            `json:"live"`   // members
+	HealthScore    int            `json:"doubts"` // of this sidecar's own timeliness, 0 is best
+	Checksum       string         `json:"sum"`    // of the membership; equal at sidecars that hold the same one
 	View           swim.Stats     `json:"view"`
 	Links          peers.Stats    `json:"peers"`
-	Panics         uint64         `json:"panics,omitempty"`
+	Panics         uint64         `json:"panics,omitempty"` // recovered
 	Leases         *LeaseStatus   `json:"owners,omitempty"`
 	Members        []MemberStatus `json:"members"`
-	OmittedMembers int            `json:"more,omitempty"` // members that are not listed
+	OmittedMembers int            `json:"more,omitempty"` // members that are not in Members
 }
 
-// MemberStatus is what is held of one.
+// MemberStatus is what this sidecar holds of a member.
 type MemberStatus struct {
 	ID           string   `json:"id"`
 	Name         string   `json:"name"`
 	Address      string   `json:"address"`
-	State        string   `json:"state"`
+	State        string   `json:"state"` // swim.State
 	Incarnation  uint64   `json:"incarnation"`
-	StateSeconds float64  `json:"for_s"`
-	AccusedBy    []string `json:"by,omitempty"` // whose word it is; none: its own
+	StateSeconds float64  `json:"for_s"`        // since the state was learned
+	AccusedBy    []string `json:"by,omitempty"` // members that reported the state; none: the member itself
 	Connected    bool     `json:"linked,omitempty"`
-	Monitored    bool     `json:"watched,omitempty"` // this sidecar notices its silence
+	Monitored    bool     `json:"watched,omitempty"` // this sidecar detects its silence, see swim.MemberStatus.IsNeighbor
 }
 
-// Status returns what this sidecar knows, of so many members at most.
-func (f *Node) Status(most int) (s Status) {
-	if f.view == nil {
-		return Status{Fleet: f.options.Name}
+// Status returns the status with at most maxMembers members. It is for the loop.
+func (n *Node) Status(maxMembers int) (s Status) {
+	if n.view == nil {
+		return Status{Fleet: n.options.Name}
 	}
-	rank, count := f.rank.Current()
-	self := f.view.Self()
-	s = Status{Fleet: f.options.Name, ID: self.ID.String(), IdentityStored: f.identityStored, Silenced: f.view.HasLostIdentity() || f.silenced, Rank: rank, Count: count,
-		Live: f.view.LiveCount(), HealthScore: f.view.HealthScore(), Checksum: swim.ID(f.view.Digest()).String(), View: f.view.Stats(), Links: f.peers.Stats(), Panics: f.panics}
-	if f.roles != nil {
-		s.Leases = f.roles.status()
+	rank, count := n.rank.Current()
+	self := n.view.Self()
+	s = Status{Fleet: n.options.Name, ID: self.ID.String(), IdentityStored: n.identityStored, Silenced: n.view.HasLostIdentity() || n.silenced, Rank: rank, Count: count,
+		Live: n.view.LiveCount(), HealthScore: n.view.HealthScore(), Checksum: swim.ID(n.view.Digest()).String(), View: n.view.Stats(), Links: n.peers.Stats(), Panics: n.panics}
+	if n.roles != nil {
+		s.Leases = n.roles.status()
 	}
-	for m := range f.view.Members {
-		if len(s.Members) >= most {
+	for m := range n.view.Members {
+		if len(s.Members) >= maxMembers {
 			s.OmittedMembers++
 			continue
 		}
-		e := MemberStatus{ID: m.ID.String(), Name: m.Name, Address: m.Address, State: m.State.String(), Incarnation: m.Version.Incarnation,
-			StateSeconds: math.Round(10*m.StateAgeSeconds) / 10, Connected: m.IsLinked, Monitored: m.IsNeighbor}
-		for _, by := range m.Accusers {
-			e.AccusedBy = append(e.AccusedBy, by.String())
+		member := MemberStatus{ID: m.ID.String(), Name: m.Name, Address: m.Address, State: m.State.String(), Incarnation: m.Version.Incarnation,
+			StateSeconds: roundTenths(m.StateAgeSeconds), Connected: m.IsLinked, Monitored: m.IsNeighbor}
+		for _, id := range m.Accusers {
+			member.AccusedBy = append(member.AccusedBy, id.String())
 		}
-		s.Members = append(s.Members, e)
+		s.Members = append(s.Members, member)
 	}
 	return s
 }
 
-// Figures returns what a sidecar's door tells of its fleet.
-func (f *Node) Figures() []sidecar.Figure {
-	if f.view == nil {
+// Figures implements sidecar.Counted: the figures that the admin command DUMP adds for the fleet. Their names are read by operators'
+// tools.
+func (n *Node) Figures() []sidecar.Figure {
+	if n.view == nil {
 		return nil
 	}
-	rank, count := f.rank.Current()
+	rank, count := n.rank.Current()
 	byState := [swim.Left + 1]uint64{}
-	for m := range f.view.Members {
+	for m := range n.view.Members {
 		byState[m.State]++
 	}
-	v, l := f.view.Stats(), f.peers.Stats()
+	view, links := n.view.Stats(), n.peers.Stats()
 	figures := []sidecar.Figure{{Name: "peers_alive", Value: byState[swim.Alive]}, {Name: "peers_suspected", Value: byState[swim.Suspect]},
-		{Name: "peers_dead", Value: byState[swim.Dead]}, {Name: "peers_left", Value: byState[swim.Left]}, {Name: "peers_links", Value: uint64(l.Links)},
-		{Name: "peers_rank", Value: uint64(rank)}, {Name: "peers_count", Value: uint64(count)}, {Name: "peers_deaths", Value: v.Deaths},
-		{Name: "peers_refutations", Value: v.Refutations}, {Name: "peers_sent_bytes", Value: l.SentBytes}}
-	if f.roles != nil {
-		figures = f.roles.appendFigures(figures)
+		{Name: "peers_dead", Value: byState[swim.Dead]}, {Name: "peers_left", Value: byState[swim.Left]}, {Name: "peers_links", Value: uint64(links.Links)},
+		{Name: "peers_rank", Value: uint64(rank)}, {Name: "peers_count", Value: uint64(count)}, {Name: "peers_deaths", Value: view.Deaths},
+		{Name: "peers_refutations", Value: view.Refutations}, {Name: "peers_sent_bytes", Value: links.SentBytes}}
+	if n.roles != nil {
+		figures = n.roles.appendFigures(figures)
 	}
 	return figures
 }
+
+// roundTenths rounds seconds for people.
+func roundTenths(seconds float64) float64 { return math.Round(10*seconds) / 10 }
