--- a/internal/decide/quota/limiter_test.go
+++ b/internal/decide/quota/limiter_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newPair is a tree of two equal groups that share 100 requests a second.
+// newPair returns a limiter of two equal groups that share 100 requests per second.
 func newPair(t testing.TB) *testLimiter {
 	return newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "a", Share: 50}, Group{Name: "b", Share: 50}))
 }
@@ -81,7 +81,8 @@
 	assert.InDelta(t, 60000, total, 600, "nothing is lent twice, and nothing is lost")
 }
 
-// newChain is a tree in which c may borrow over three levels: from its sibling, its uncle, and its great-uncle.
+// newChain returns a limiter whose group c may borrow on three levels: from its sibling, and from the siblings of its parent and
+// grandparent.
 func newChain(t testing.TB) *testLimiter {
 	return newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "north", Share: 50}, Group{Name: "south", Share: 50},
 		Group{Name: "city", Parent: "north", Share: 50}, Group{Name: "plain", Parent: "north", Share: 50},
@@ -98,13 +99,13 @@
 		y, _ := s.Tally(s.mustFind(name), 0)
 		assert.InDelta(t, owes*3600, y.Borrowed-y.Repaid, 3600*owes*0.02, name)
 	}
-	// The nearest goes first: as long as its sibling's part is enough, nobody else's is touched.
+	// The nearest pool goes first: while the sibling's share is enough, no other is drawn on.
 	s = newChain(t)
 	s.runLoad(100, map[string]float64{"c": 24, "d": 1, "plain": 24, "south": 49})
 	s.runLoad(600, map[string]float64{"c": 22, "plain": 24, "south": 49})
 	north, _ := s.Tally(s.mustFind("north"), 0)
 	assert.Less(t, north.Borrowed, 40.0)
-	// When they wake, each has its own at once.
+	// When the lenders ask, each gets its own share at once.
 	got = s.runLoad(10, map[string]float64{"c": 200, "d": 25, "plain": 50, "south": 100})
 	assert.GreaterOrEqual(t, got["d"], 124.0)
 	assert.GreaterOrEqual(t, got["plain"], 249.0)
@@ -122,7 +123,7 @@
 
 func TestOwnDepositIsNoLoan(t *testing.T) {
 	s := newChain(t)
-	s.runLoad(600, map[string]float64{"south": 90}) // it borrows what c and d leave, over three levels
+	s.runLoad(600, map[string]float64{"south": 90}) // it borrows what c and d leave, on three levels
 	_, owed := s.Tally(s.mustFind("south"), 0)
 	_, claim := s.Tally(s.mustFind("c"), 0)
 	require.Less(t, owed, -10000.0)
@@ -145,7 +146,7 @@
 
 	s.Limiter = s.WithTree(s.at, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "b", Share: 60}, Group{Name: "c", Share: 40}), Settings{RepayFraction: testRepayFraction})
 	s.requireBalanced()
-	s.Complete(s.at, taken, 1, 0, 0) // what it had out ends when it is gone
+	s.Complete(s.at, taken, 1, 0, 0) // a request in flight completes after its group is gone
 	_, left := s.Tally(s.mustFind("b"), 0)
 	assert.InDelta(t, claim, left, 1, "its lenders' claims stand")
 	got := s.runLoad(600, map[string]float64{"b": 100, "c": 100})
@@ -160,7 +161,7 @@
 	s.runLoad(600, map[string]float64{"a": 200})
 	tallied, owed := s.Tally(1, 0)
 	next := newTestTree(t, []Limit{requestsPerSecond(200), {Bytes, 60, 1e6}}, Group{Name: "new", Share: 20}, Group{Name: "b", Share: 40},
-		Group{Name: "a", Share: 40}, Group{Name: "x", Parent: "a", Share: 50}) // a has become a group of groups
+		Group{Name: "a", Share: 40}, Group{Name: "x", Parent: "a", Share: 50}) // a has children now
 	s.Limiter = s.WithTree(s.at, next, Settings{RepayFraction: testRepayFraction})
 	s.requireBalanced()
 	now, still := s.Tally(s.mustFind("a"), 0)
@@ -204,13 +205,13 @@
 func TestClockStopsJumpsAndGoesBack(t *testing.T) {
 	s := newPair(t)
 	served := 0
-	for range 10000 { // it stands
+	for range 10000 { // the clock stands still
 		if s.admit("a").Allowed {
 			served++
 		}
 	}
 	assert.Equal(t, 500, served, "the bucket, and nothing comes in")
-	s.at += 3600 // the machine slept
+	s.at += 3600 // the machine was suspended
 	served = 0
 	for range 10000 {
 		if s.admit("a").Allowed {
@@ -240,13 +241,13 @@
 	assert.LessOrEqual(t, v.RetryAfterSeconds, 45.0, "one request's time of its own, and what it pays back")
 }
 
-// Two groups want more than they have. One asks again at once, however often it is refused; the other waits as it is told.
+// Two groups want more than their shares. One retries at once after each rejection; the other waits for as long as the decision says.
 func TestRetryingGainsNothingOverWaiting(t *testing.T) {
 	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "hasty", Share: 20}, Group{Name: "patient", Share: 20}, Group{Name: "idle", Share: 60}))
-	var waiting [60]float64 // each of its clients has one request out, and sends the next when that is served
+	var waiting [60]float64 // each of its clients has one request in flight, and sends the next when that is admitted
 	hasty, patient := 0, 0
 	for end := s.at + 120; s.at < end; s.at += 0.002 {
-		if s.admit("hasty").Allowed { // 500 a second
+		if s.admit("hasty").Allowed { // 500 requests per second
 			hasty++
 		}
 		for i := range waiting {
@@ -275,7 +276,7 @@
 
 func TestFloorIsNeverLent(t *testing.T) {
 	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "a", Share: 50, Floor: 10}, Group{Name: "b", Share: 50}))
-	s.runLoad(60, map[string]float64{"a": 500, "b": 500}) // the batch of its own group, and another
+	s.runLoad(60, map[string]float64{"a": 500, "b": 500}) // batch requests of the same group, and another group
 	alerts := 0
 	for range 200 {
 		if s.Admit(s.at, Request{Group: s.mustFind("a"), MayUseFloor: true}).Allowed {
@@ -348,7 +349,7 @@
 	}
 	assert.Equal(t, int32(0), s.openCounts[0].open[0], "whoever goes, nothing is left over")
 
-	// A limit that comes while requests are out has not counted them.
+	// A limit that is added while requests are in flight has not counted them.
 	s = newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(1)}, Group{Name: "a", Share: 100}))
 	q := s.NewRequest(s.mustFind("a"), 0, false)
 	require.True(t, s.Admit(s.at, q).Allowed)
@@ -357,7 +358,7 @@
 	assert.Equal(t, int32(0), s.openCounts[1].open[0])
 }
 
-// The machine comes up again with its clock an hour behind what the snapshot knows.
+// The limiter is restored when the clock is an hour behind the snapshot's.
 func TestRestoreWithEarlierClock(t *testing.T) {
 	s := newPair(t)
 	s.runLoad(60, map[string]float64{"a": 200, "b": 200})
@@ -425,7 +426,7 @@
 	require.NoError(t, err)
 	_, err = Decode(raw)
 	require.NoError(t, err)
-	for i := 0; i < len(raw); i += 7 { // any byte that differs is found out
+	for i := 0; i < len(raw); i += 7 { // any changed byte is detected
 		bad := append([]byte(nil), raw...)
 		bad[i] ^= 0x40
 		_, err = Decode(bad)
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -44,11 +44,11 @@
 	return tr
 }
 
-// testEvent is one thing that happens to a machine.
+// testEvent is a request and its response.
 type testEvent struct {
 	at    float64
 	q     Request
-	bytes float64 // of the answer
+	bytes float64 // of the response
 }
 
 func drawEvents(t *rapid.T, tr *Tree) []testEvent {
@@ -86,7 +86,7 @@
 	return v
 }
 
-// Whatever happens the books agree, no token is used that has not come in, and no cap is passed by more than one answer.
+// Whatever happens, accounts balance, no more tokens are used than came in, and no cap is exceeded by more than one response.
 func TestAccountsBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
@@ -108,7 +108,7 @@
 		for l, limit := range tr.Limits {
 			slack := 1.0
 			if limit.Measure == Bytes {
-				slack = 6001 // a request and its answer may pass what is there
+				slack = 6001 // one request and its response may overdraw the account
 			}
 			stored, owed := 0.0, 0.0
 			for n := range m.tables[l].accounts {
@@ -132,7 +132,7 @@
 	})
 }
 
-// The same events give the same answers, and so they do after a restart in their midst.
+// The same events lead to the same decisions, also after a restart in between.
 func TestRestoredLimiterBehavesTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
@@ -155,7 +155,7 @@
 	})
 }
 
-// Once nobody asks for anything debts end, and so do claims but for what lies in the pools.
+// When no group asks, debts fade, and so do credits beyond what the pools hold.
 func TestDebtsFade(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
@@ -180,7 +180,7 @@
 	})
 }
 
-// The tree changes again and again while there are loans and requests out.
+// The tree changes again and again while there are loans and requests in flight.
 func TestNewTreeKeepsAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(drawTree(t), Settings{RepayFraction: 0.1}, startTime)
--- a/internal/decide/quota/testlimiter_test.go
+++ b/internal/decide/quota/testlimiter_test.go
@@ -21,7 +21,7 @@
 	return tr
 }
 
-// testLimiter is a machine that is used, with a look at its books at the end.
+// testLimiter is a limiter with a clock, whose accounts are audited after each load.
 type testLimiter struct {
 	*Limiter
 	t  testing.TB
@@ -30,7 +30,7 @@
 
 const startTime = 1.8e9
 
-// testRepayFraction is what debtors pay of their own in most tests: enough to see it within minutes.
+// testRepayFraction is large enough for repayments to show within minutes.
 const testRepayFraction = 0.1
 
 func newTestLimiter(t testing.TB, tr *Tree) *testLimiter {
@@ -43,12 +43,12 @@
 	return g
 }
 
-// admit asks for a request of a group now.
+// admit decides on a request of a group now.
 func (s *testLimiter) admit(name string) Decision {
 	return s.Admit(s.at, Request{Group: s.mustFind(name)})
 }
 
-// runLoad has groups ask steadily for so many requests a second each, in turns, and returns how many were taken up.
+// runLoad lets groups ask for so many requests per second each, evenly, and returns how many were admitted.
 func (s *testLimiter) runLoad(forS float64, ratePS map[string]float64) map[string]float64 {
 	type source struct {
 		name   string
@@ -56,7 +56,7 @@
 		nextAt float64
 	}
 	var all []source
-	for _, n := range s.tree.nodes { // in the order of the tree: maps have none
+	for _, n := range s.tree.nodes { // in the order of the tree, since maps have none
 		if r := ratePS[n.name]; r > 0 {
 			all = append(all, source{n.name, 1 / r, s.at + 1/r})
 		}
