--- a/internal/quotas/file.go
+++ b/internal/quotas/groupsfile.go
@@ -13,11 +13,11 @@
 	"hazelwheel/internal/decide/quota"
 )
 
-// mostFileBytes bounds a file of groups: the most groups with long names fit into it.
-const mostFileBytes = 64 << 20
+// maxFileBytes bounds a file of groups: the most groups with long names fit into it.
+const maxFileBytes = 64 << 20
 
-// file is the text of a file of groups.
-type file struct {
+// groupsFile is the text of a file of groups.
+type groupsFile struct {
 	Limits []struct {
 		Measure string  `json:"measure"`
 		WindowS float64 `json:"window_s"`
@@ -40,8 +40,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("quotas: %w", err)
 	}
-	if info.Size() > mostFileBytes {
-		return nil, fmt.Errorf("quotas: %s: %d bytes, want at most %d", path, info.Size(), mostFileBytes)
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("quotas: %s: %d bytes, want at most %d", path, info.Size(), maxFileBytes)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -56,11 +56,11 @@
 
 // Parse reads the text of a file of groups.
 func Parse(raw []byte) (*quota.Tree, error) {
-	var f file
+	var f groupsFile
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&f); err != nil {
-		return nil, notJSON(raw, err)
+		return nil, jsonError(raw, err)
 	}
 	if d.More() {
 		return nil, errors.New("more follows the object")
@@ -84,8 +84,8 @@
 	return quota.NewTree(limits, groups)
 }
 
-// notJSON makes an error of the JSON package one line that says where.
-func notJSON(raw []byte, err error) error {
+// jsonError makes an error of the JSON package one line that says where.
+func jsonError(raw []byte, err error) error {
 	at := int64(-1)
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -17,11 +17,11 @@
 	"hazelwheel/internal/decide/quota"
 )
 
-type header map[string]string
+type testHeader map[string]string
 
-func (h header) Field(name string) string { return h[name] }
+func (h testHeader) Field(name string) string { return h[name] }
 
-func directory(t *testing.T) (*Classifier, *quota.Tree) {
+func newTestClassifier(t *testing.T) (*Classifier, *quota.Tree) {
 	tree, err := Parse([]byte(`{"limits": [{"measure": "requests", "window_s": 10, "quota": 100}], "groups": [{"name": "north", "share": 50},
 		{"name": "city", "parent": "north", "share": 50}, {"name": "ministry", "share": 20}, {"name": "others"}]}`))
 	require.NoError(t, err)
@@ -31,8 +31,8 @@
 	return NewClassifier(&s, tree), tree
 }
 
-func TestTheFirstRuleThatFitsDecides(t *testing.T) {
-	d, tree := directory(t)
+func TestFirstMatchingRuleDecides(t *testing.T) {
+	d, tree := newTestClassifier(t)
 	inside, outside := netip.MustParseAddr("10.1.2.3"), netip.MustParseAddr("10.2.0.1")
 	for _, c := range []struct {
 		header, class string
@@ -48,18 +48,18 @@
 		{"nobody", "latest-reading", outside, "others"},
 		{"", "latest-reading", netip.Addr{}, "others"},
 	} {
-		assert.Equal(t, c.want, tree.Path(d.GroupOf(header{"Organisation": c.header}, c.class, c.from)), "%+v", c)
+		assert.Equal(t, c.want, tree.Path(d.GroupOf(testHeader{"Organisation": c.header}, c.class, c.from)), "%+v", c)
 	}
 }
 
 // A million names that never come back cost no memory, whether or not they look like paths.
-func TestAFloodOfNames(t *testing.T) {
-	d, tree := directory(t)
+func TestUnknownNamesTakeNoMemory(t *testing.T) {
+	d, tree := newTestClassifier(t)
 	m := quota.New(tree, quota.Settings{}, 0)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	h := header{}
+	h := testHeader{}
 	for i := range 1_000_000 {
 		h["Organisation"] = fmt.Sprintf("north.name%d", i)
 		g := d.GroupOf(h, "latest-reading", netip.Addr{})
@@ -73,8 +73,8 @@
 	runtime.KeepAlive(m)
 }
 
-func TestSnapshotsOnDisk(t *testing.T) {
-	_, tree := directory(t)
+func TestSnapshotIsWrittenAndLoaded(t *testing.T) {
+	_, tree := newTestClassifier(t)
 	dir := filepath.Join(t.TempDir(), "not", "there")
 	var text bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&text, nil))
@@ -95,7 +95,7 @@
 	again := quota.Restore(tree, quota.Settings{}, s, 100)
 	assert.Equal(t, m.Stats(g), again.Stats(g))
 
-	file := filepath.Join(dir, snapshotName)
+	file := filepath.Join(dir, snapshotFileName)
 	raw, err := os.ReadFile(file)
 	require.NoError(t, err)
 	newer := bytes.Clone(raw)
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -79,10 +79,10 @@
 // Classifier knows the groups of requests. It holds what the tree and the settings name and nothing else, so whatever
 // names come, it does not grow.
 type Classifier struct {
-	tree   *quota.Tree
-	rules  []Rule
-	groups []int32 // of the rules
-	other  int32
+	tree         *quota.Tree
+	rules        []Rule
+	ruleGroups   []int32 // of the rules
+	defaultGroup int32
 }
 
 // NewClassifier returns the directory of a tree that the settings have been checked for.
@@ -90,9 +90,9 @@
 	d := &Classifier{tree: t, rules: s.Rules}
 	for _, r := range s.Rules {
 		g, _ := t.Find(r.Group) // 0 of a field, which has no group of its own
-		d.groups = append(d.groups, g)
+		d.ruleGroups = append(d.ruleGroups, g)
 	}
-	d.other, _ = t.Find(s.DefaultGroup)
+	d.defaultGroup, _ = t.Find(s.DefaultGroup)
 	return d
 }
 
@@ -113,11 +113,11 @@
 			}
 		case r.Class != "":
 			if r.Class == class {
-				return d.groups[i]
+				return d.ruleGroups[i]
 			}
 		case r.Addresses.Contains(from):
-			return d.groups[i]
+			return d.ruleGroups[i]
 		}
 	}
-	return d.other
+	return d.defaultGroup
 }
--- a/internal/quotas/disk.go
+++ b/internal/quotas/snapshot.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	snapshotName = "quotas.snapshot"
-	// closeWithinS is how long the last snapshot may take at the end.
-	closeWithinS = 2
+	snapshotFileName = "quotas.snapshot"
+	// closeTimeout is how long Close waits for the last snapshot.
+	closeTimeout = 2 * time.Second
 	// WriterDescriptors is what the writer may hold.
 	WriterDescriptors = 2
 )
@@ -23,11 +23,11 @@
 // SnapshotWriter writes snapshots to a folder beside the event loop. Danger: a disk may be slow, full or gone; serving goes on, and
 // one that can't be written in time is left out: the next holds all that it would have.
 type SnapshotWriter struct {
-	dir    string
-	log    *slog.Logger
-	queue  chan *quota.State
-	done   chan struct{}
-	failed bool // the last could not be written; the writer's
+	dir        string
+	log        *slog.Logger
+	queue      chan *quota.State
+	finished   chan struct{}
+	lastFailed bool // the last could not be written; the writer's
 
 	Written atomic.Uint64
 	Errors  atomic.Uint64
@@ -36,7 +36,7 @@
 
 // NewSnapshotWriter returns a writer to a folder.
 func NewSnapshotWriter(dir string, log *slog.Logger) *SnapshotWriter {
-	d := &SnapshotWriter{dir: dir, log: log, queue: make(chan *quota.State, 1), done: make(chan struct{})}
+	d := &SnapshotWriter{dir: dir, log: log, queue: make(chan *quota.State, 1), finished: make(chan struct{})}
 	go d.run()
 	return d
 }
@@ -61,31 +61,31 @@
 
 // Close has a last state written and waits for it.
 func (d *SnapshotWriter) Close(last *quota.State) {
-	until := time.After(closeWithinS * time.Second)
+	until := time.After(closeTimeout)
 	select {
 	case d.queue <- last:
 	case <-until:
 	}
 	close(d.queue)
 	select {
-	case <-d.done:
+	case <-d.finished:
 	case <-until:
 		d.log.Warn("quotas: the disk has not taken the last snapshot")
 	}
 }
 
 func (d *SnapshotWriter) run() {
-	defer close(d.done)
+	defer close(d.finished)
 	for s := range d.queue {
 		err := d.write(s)
 		if err != nil {
-			if d.Errors.Add(1); !d.failed {
+			if d.Errors.Add(1); !d.lastFailed {
 				d.log.Error("quotas: a snapshot can't be written", "error", err)
 			}
 		} else {
 			d.Written.Add(1)
 		}
-		d.failed = err != nil
+		d.lastFailed = err != nil
 	}
 }
 
@@ -99,7 +99,7 @@
 	if err := os.MkdirAll(d.dir, 0o755); err != nil {
 		return err
 	}
-	path := filepath.Join(d.dir, snapshotName)
+	path := filepath.Join(d.dir, snapshotFileName)
 	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 // LoadSnapshot reads the folder's snapshot, nil if there is none. One that can't be used is set aside under another name, with a
 // line in the log, and it is as if there were none.
 func LoadSnapshot(dir string, log *slog.Logger) *quota.State {
-	path := filepath.Join(dir, snapshotName)
+	path := filepath.Join(dir, snapshotFileName)
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
--- a/internal/quotas/stored_form_test.go
+++ b/internal/quotas/stored_form_test.go
@@ -18,7 +18,7 @@
 
 // TestFolderOfReleasedVersionIsRead writes the snapshot's folder as released versions do, and reads the folder that one has written.
 func TestFolderOfReleasedVersionIsRead(t *testing.T) {
-	_, tree := directory(t)
+	_, tree := newTestClassifier(t)
 	m := quota.New(tree, quota.Settings{}, 100)
 	for i, name := range []string{"ministry", "city", "others"} {
 		g, ok := tree.Find(name)
