--- /dev/null
+++ b/internal/quotas/classifier.go
@@ -0,0 +1,62 @@
+package quotas
+
+import (
+	"net/netip"
+
+	"hazelwheel/internal/decide/quota"
+)
+
+// Rule is one way to find a request's group: by the value of a header field, or by its class or client address. Exactly one of
+// Header, Class and Addresses is set.
+type Rule struct {
+	Header    string // the name of a field whose value is a group
+	Class     string
+	Addresses netip.Prefix
+	Group     string // for Class and Addresses
+}
+
+// Classifier finds the groups of requests. It holds only what the tree and the settings name, so unknown names in requests take no
+// memory. It is immutable.
+type Classifier struct {
+	tree         *quota.Tree
+	rules        []Rule
+	ruleGroups   []int32 // by rule; unused for rules with Header
+	defaultGroup int32
+}
+
+// NewClassifier returns the classifier for a tree that the settings were validated with.
+func NewClassifier(s *Settings, t *quota.Tree) *Classifier {
+	d := &Classifier{tree: t, rules: s.Rules}
+	for _, r := range s.Rules {
+		g, _ := t.Find(r.Group) // 0 for rules with Header
+		d.ruleGroups = append(d.ruleGroups, g)
+	}
+	d.defaultGroup, _ = t.Find(s.DefaultGroup)
+	return d
+}
+
+// FieldGetter gives access to a request's header.
+type FieldGetter interface {
+	// Field returns the value of a field, "" if it is absent.
+	Field(name string) string
+}
+
+// GroupOf returns the group of a request, by the first rule that matches.
+func (d *Classifier) GroupOf(header FieldGetter, class string, from netip.Addr) int32 {
+	for i := range d.rules {
+		r := &d.rules[i]
+		switch {
+		case r.Header != "":
+			if g, ok := d.tree.Find(header.Field(r.Header)); ok && d.tree.AcceptsRequests(g) {
+				return g
+			}
+		case r.Class != "":
+			if r.Class == class {
+				return d.ruleGroups[i]
+			}
+		case r.Addresses.Contains(from):
+			return d.ruleGroups[i]
+		}
+	}
+	return d.defaultGroup
+}
--- a/internal/quotas/groupsfile.go
+++ b/internal/quotas/groupsfile.go
@@ -1,5 +1,3 @@
-// Package quotas is what operators say about quotas and what the sidecar needs around package quota's decisions: the file of
-// groups, how a request's group is known, and snapshots on disk.
 package quotas
 
 import (
@@ -13,10 +11,10 @@
 	"hazelwheel/internal/decide/quota"
 )
 
-// maxFileBytes bounds a file of groups: the most groups with long names fit into it.
+// maxFileBytes bounds a file of groups; quota.MaxGroups groups with long names fit into it.
 const maxFileBytes = 64 << 20
 
-// groupsFile is the text of a file of groups.
+// groupsFile is the content of a file of groups.
 type groupsFile struct {
 	Limits []struct {
 		Measure string  `json:"measure"`
@@ -34,7 +32,7 @@
 	} `json:"groups"`
 }
 
-// ReadFile reads a file of groups. An error is one line that names the file, and the group or the field at fault.
+// ReadFile reads a file of groups. An error is one line that names the file, and the group or field at fault.
 func ReadFile(path string) (*quota.Tree, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -54,7 +52,7 @@
 	return t, nil
 }
 
-// Parse reads the text of a file of groups.
+// Parse parses the content of a file of groups. An error is one line.
 func Parse(raw []byte) (*quota.Tree, error) {
 	var f groupsFile
 	d := json.NewDecoder(bytes.NewReader(raw))
@@ -84,7 +82,7 @@
 	return quota.NewTree(limits, groups)
 }
 
-// jsonError makes an error of the JSON package one line that says where.
+// jsonError turns an error of encoding/json into one line with the line number.
 func jsonError(raw []byte, err error) error {
 	at := int64(-1)
 	var syntax *json.SyntaxError
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -41,7 +41,7 @@
 	}{
 		{"north.city", "latest-reading", inside, "north.city"},
 		{"city", "latest-reading", inside, "north.city"},
-		{"north", "latest-reading", inside, "ministry"}, // a group of groups takes no requests
+		{"north", "latest-reading", inside, "ministry"}, // a group with children accepts no requests
 		{"south.city", "latest-reading", inside, "ministry"},
 		{"", "raise-alert", inside, "ministry"},
 		{"", "raise-alert", outside, "north.city"},
@@ -52,7 +52,7 @@
 	}
 }
 
-// A million names that never come back cost no memory, whether or not they look like paths.
+// A million different names take no memory, whether or not they look like paths.
 func TestUnknownNamesTakeNoMemory(t *testing.T) {
 	d, tree := newTestClassifier(t)
 	m := quota.New(tree, quota.Settings{}, 0)
@@ -109,7 +109,7 @@
 		assert.FileExists(t, file+".set-aside")
 	}
 	text.Reset()
-	broken := NewSnapshotWriter(file+".set-aside", log) // a file is no folder
+	broken := NewSnapshotWriter(file+".set-aside", log) // a file in place of the folder
 	broken.Write(m.State())
 	broken.Close(m.State())
 	assert.Equal(t, 1, strings.Count(text.String(), "can't be written"), "one line, however often")
--- a/internal/quotas/snapshot.go
+++ b/internal/quotas/snapshot.go
@@ -16,32 +16,34 @@
 	snapshotFileName = "quotas.snapshot"
 	// closeTimeout is how long Close waits for the last snapshot.
 	closeTimeout = 2 * time.Second
-	// WriterDescriptors is what the writer may hold.
+	// WriterDescriptors is the most file descriptors that a SnapshotWriter uses.
 	WriterDescriptors = 2
 )
 
-// SnapshotWriter writes snapshots to a folder beside the event loop. Danger: a disk may be slow, full or gone; serving goes on, and
-// one that can't be written in time is left out: the next holds all that it would have.
+// SnapshotWriter writes snapshots to a folder on a goroutine of its own. Its methods belong to the event loop; Written and Errors
+// may be read from anywhere. Danger: a disk may be slow, full or gone. Serving goes on, and a snapshot that can't be written in
+// time is skipped, since the next one holds everything.
 type SnapshotWriter struct {
 	dir        string
 	log        *slog.Logger
 	queue      chan *quota.State
 	finished   chan struct{}
-	lastFailed bool // the last could not be written; the writer's
+	lastFailed bool // the last write failed; belongs to the goroutine
 
-	Written atomic.Uint64
-	Errors  atomic.Uint64
-	Skipped uint64 // left out since the one before was still being written
+	Written atomic.Uint64 // snapshots
+	Errors  atomic.Uint64 // failed writes
+	Skipped uint64        // since the one before was still being written; belongs to the event loop
 }
 
-// NewSnapshotWriter returns a writer to a folder.
+// NewSnapshotWriter starts a writer to a folder, which is created with the first snapshot. Close ends it.
 func NewSnapshotWriter(dir string, log *slog.Logger) *SnapshotWriter {
 	d := &SnapshotWriter{dir: dir, log: log, queue: make(chan *quota.State, 1), finished: make(chan struct{})}
 	go d.run()
 	return d
 }
 
-// IsReady tells whether another snapshot would be taken now. It is asked before one is made, which costs time.
+// IsReady reports whether a snapshot would be written now, and counts it as skipped if not. The caller asks before it makes one,
+// which takes time.
 func (d *SnapshotWriter) IsReady() bool {
 	if len(d.queue) == cap(d.queue) {
 		d.Skipped++
@@ -50,7 +52,7 @@
 	return true
 }
 
-// Write has a state written. It never waits.
+// Write queues a snapshot. It never blocks; if one is queued already, the new one is skipped.
 func (d *SnapshotWriter) Write(s *quota.State) {
 	select {
 	case d.queue <- s:
@@ -59,7 +61,7 @@
 	}
 }
 
-// Close has a last state written and waits for it.
+// Close queues a last snapshot and waits until it is written, for closeTimeout at most.
 func (d *SnapshotWriter) Close(last *quota.State) {
 	until := time.After(closeTimeout)
 	select {
@@ -70,10 +72,11 @@
 	select {
 	case <-d.finished:
 	case <-until:
-		d.log.Warn("quotas: the disk has not taken the last snapshot")
+		d.log.Warn("quotas: last snapshot not written in time")
 	}
 }
 
+// run writes queued snapshots. Of several failures in a row only the first is logged.
 func (d *SnapshotWriter) run() {
 	defer close(d.finished)
 	for s := range d.queue {
@@ -89,8 +92,8 @@
 	}
 }
 
-// write replaces the snapshot. Danger: a file that is written over is half old and half new where the machine goes down
-// meanwhile; so another is written, and takes its name when it is whole.
+// write replaces the snapshot file. Danger: a file that is overwritten in place is corrupt if the machine goes down meanwhile, so
+// a new file is synced and then renamed.
 func (d *SnapshotWriter) write(s *quota.State) error {
 	raw, err := s.Encode()
 	if err != nil {
@@ -114,8 +117,8 @@
 	return os.Rename(path+".new", path)
 }
 
-// LoadSnapshot reads the folder's snapshot, nil if there is none. One that can't be used is set aside under another name, with a
-// line in the log, and it is as if there were none.
+// LoadSnapshot reads the folder's snapshot, nil if there is none. One that can't be used is moved aside under another name and
+// logged, and nil is returned.
 func LoadSnapshot(dir string, log *slog.Logger) *quota.State {
 	path := filepath.Join(dir, snapshotFileName)
 	raw, err := os.ReadFile(path)
