--- a/internal/environment/actors_test.go
+++ b/internal/environment/actors_test.go
@@ -372,8 +372,8 @@
 				[]any{cfg.Listen, cfg.Discovery, cfg.Limits.Sockets, cfg.Settings.Policy.Replicas, cfg.Settings.Policy.Zone})
 			for k, c := range cfg.Settings.Policy.Classes {
 				want := s.day.Classes[k]
-				assert.Equal(t, policy.Class{Name: want.Name, Effect: policy.Effect(want.Effect), Group: policy.Group(want.Group), WindowS: want.WindowS,
-					AimS: want.AimS, GiveUpS: want.GiveUpS, Worth: want.Worth, LateGain: want.LateWorth}, c)
+				assert.Equal(t, policy.Class{Name: want.Name, Effect: policy.Effect(want.Effect), Group: policy.Group(want.Group), DedupWindowSeconds: want.WindowS,
+					LatencyTargetSeconds: want.AimS, TotalTimeoutSeconds: want.GiveUpS, PriorityWeight: want.Worth, LateFraction: want.LateWorth}, c)
 			}
 			var known struct{ Endpoints []struct{ Name string } }
 			require.NoError(t, json.Unmarshal(cfg.Known, &known))
--- a/internal/frontend/http1/link.go
+++ b/internal/frontend/http1/link.go
@@ -140,7 +140,7 @@
 		method = "GET"
 	}
 	id := p.Header.Get(fieldID)
-	patience, ok := c.GiveUpS, true
+	patience, ok := c.TotalTimeoutSeconds, true
 	if text := p.Header.Get(fieldPatience); text != "" {
 		patience, ok = parsePatience(text)
 	}
--- a/internal/frontend/thrift/link.go
+++ b/internal/frontend/thrift/link.go
@@ -74,7 +74,7 @@
 
 // ask hands a call of a class on, with what was found in it.
 func (l *link) ask(c *class, id, key, patience thrift.Value, again bool) {
-	a := sidecar.Ask{Class: c.number, Tenant: sidecar.UnknownTenant, Patience: c.GiveUpS, Size: len(l.m.Raw), Repeat: again, Detached: l.m.Kind == thrift.Oneway}
+	a := sidecar.Ask{Class: c.number, Tenant: sidecar.UnknownTenant, Patience: c.TotalTimeoutSeconds, Size: len(l.m.Raw), Repeat: again, Detached: l.m.Kind == thrift.Oneway}
 	if patience.Type != thrift.Stop {
 		var ok bool
 		if a.Patience, ok = seconds(patience, c.UnitS); !ok {
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -50,7 +50,7 @@
 	side := free()
 	cfg := sidecarconfig.Config{Name: "n0", Listen: fmt.Sprintf("127.0.0.1:%d", free()), Discovery: fmt.Sprintf("127.0.0.1:%d", free()),
 		Limits: sidecarconfig.Limits{Cores: 8, MemoryMB: 1024, Sockets: 256}}
-	cfg.Settings.Policy = policy.Settings{Classes: []policy.Class{{Name: "read", AimS: 1, GiveUpS: 3}}, Replicas: 1}
+	cfg.Settings.Policy = policy.Settings{Classes: []policy.Class{{Name: "read", LatencyTargetSeconds: 1, TotalTimeoutSeconds: 3}}, Replicas: 1}
 	cfg.Settings.ConnectTimeoutS = 1
 	log := stallingLog{slog.DiscardHandler, "configuration read", make(chan struct{}), make(chan struct{})}
 	s, err := New(cfg, featureconfig.Features{Health: health.Settings{Port: side, MaxListAgeMS: 6000, MinUsable: 1, MaxInflight: 256}}, slog.New(log))
--- a/internal/sidecar/arrival_test.go
+++ b/internal/sidecar/arrival_test.go
@@ -36,7 +36,7 @@
 // partialRequest returns a link on which a part of a request has come.
 func partialRequest(t *testing.T) (*clockNet, *partialClient, *Sidecar) {
 	var cfg sidecarconfig.Config
-	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", AimS: 1, GiveUpS: 3}}
+	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", LatencyTargetSeconds: 1, TotalTimeoutSeconds: 3}}
 	n, client := &clockNet{now: testNow}, &partialClient{came: 1}
 	s, err := New(cfg, featureconfig.Features{}, nil, n, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -89,7 +89,7 @@
 // longestWait is how long a client waits at most by the settings.
 func (s *Sidecar) longestWait() (longest float64) {
 	for _, c := range s.cfg.Settings.Policy.Classes {
-		longest = max(longest, c.GiveUpS)
+		longest = max(longest, c.TotalTimeoutSeconds)
 	}
 	return longest
 }
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -117,7 +117,7 @@
 	if from == 0 {
 		return math.Inf(1)
 	}
-	return from + class.WindowS
+	return from + class.DedupWindowSeconds
 }
 
 // attempt returns the one of a number that is out, nil if it is not.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -131,7 +131,7 @@
 	for i, c := range cfg.Settings.Policy.Classes {
 		s.classes[c.Name] = i
 		s.counters.Classes = append(s.counters.Classes, classCounts{Class: c.Name})
-		classes = append(classes, admission.Class{Worth: c.Worth, AimS: c.AimS})
+		classes = append(classes, admission.Class{Worth: c.PriorityWeight, AimS: c.LatencyTargetSeconds})
 	}
 	s.arrivals.queue = admission.NewQueue[arrival](classes)
 	s.balancer = policy.New(cfg.Settings.Policy, cfg.Seed, s)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -73,7 +73,7 @@
 // An attempt that waits for a descriptor gets that of a dial which has failed.
 func TestFailedDialMakesRoom(t *testing.T) {
 	var cfg sidecarconfig.Config
-	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", AimS: 1, GiveUpS: 3}}
+	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", LatencyTargetSeconds: 1, TotalTimeoutSeconds: 3}}
 	cfg.Settings.ConnectTimeoutS = 1
 	n := &dialingNet{}
 	s, err := New(cfg, featureconfig.Features{}, nil, n, slog.New(slog.DiscardHandler))
@@ -93,7 +93,7 @@
 
 func newTestSidecar(t *testing.T) *Sidecar {
 	var cfg sidecarconfig.Config
-	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", AimS: 1, GiveUpS: 3}}
+	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", LatencyTargetSeconds: 1, TotalTimeoutSeconds: 3}}
 	s, err := New(cfg, featureconfig.Features{}, nil, testNet{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	return s
--- a/internal/sidecar/works.go
+++ b/internal/sidecar/works.go
@@ -76,7 +76,7 @@
 	w := &boxWork{field: slices.Index(s.cfg.Settings.Policy.ReportFields, policy.FieldInflight), ended: map[uint32]uint64{}, report: map[uint32]boxReport{},
 		given: map[uint32][]float64{}, hungUp: map[uint32]hangUps{}}
 	for _, c := range s.cfg.Settings.Policy.Classes {
-		w.mostS = max(w.mostS, c.GiveUpS)
+		w.mostS = max(w.mostS, c.TotalTimeoutSeconds)
 	}
 	s.works = w
 }
--- a/internal/sidecarconfig/config.go
+++ b/internal/sidecarconfig/config.go
@@ -196,9 +196,9 @@
 			ok    bool
 		}{
 			{at + "name", class.Name != "" && !seen[class.Name]},
-			{at + "giveUpS", class.GiveUpS > 0},
-			{at + "objectiveS", class.AimS > 0},
-			{at + "windowS", class.WindowS >= 0},
+			{at + "giveUpS", class.TotalTimeoutSeconds > 0},
+			{at + "objectiveS", class.LatencyTargetSeconds > 0},
+			{at + "windowS", class.DedupWindowSeconds >= 0},
 		}...)
 		seen[class.Name] = true
 	}
--- a/internal/sidecarconfig/settings.go
+++ b/internal/sidecarconfig/settings.go
@@ -103,12 +103,12 @@
 			return s, fmt.Errorf("settings: class %q: unknown effect %q or scope %q", c.Name, c.Effect, c.DedupScope)
 		}
 		s.Policy.Classes = append(s.Policy.Classes, policy.Class{
-			Name: c.Name, Effect: effect, Group: group, WindowS: c.WindowS, AimS: c.ObjectiveS, GiveUpS: c.GiveUpS,
-			Worth: c.Importance, LateGain: c.LateWorth, Stretch: c.AimStretch, Stream: c.Stream,
+			Name: c.Name, Effect: effect, Group: group, DedupWindowSeconds: c.WindowS, LatencyTargetSeconds: c.ObjectiveS, TotalTimeoutSeconds: c.GiveUpS,
+			PriorityWeight: c.Importance, LateFraction: c.LateWorth, TargetStretch: c.AimStretch, Stream: c.Stream,
 		})
 	}
 	for _, t := range m.Tenants {
-		s.Policy.Tenants = append(s.Policy.Tenants, policy.Tenant{Name: t.Name, Share: t.Share, QuotaPS: t.AllowancePerS})
+		s.Policy.Tenants = append(s.Policy.Tenants, policy.Tenant{Name: t.Name, Share: t.Share, QuotaPerSecond: t.AllowancePerS})
 	}
 	return s, nil
 }
--- a/internal/sidecarconfig/settings_test.go
+++ b/internal/sidecarconfig/settings_test.go
@@ -16,7 +16,7 @@
 	}
 	s := settings.Policy
 	c := s.Classes[0]
-	if c.Effect != policy.Keyed || c.Group != policy.GroupCell || c.WindowS != 4 || c.AimS != 0.25 || c.Worth != 8 {
+	if c.Effect != policy.Keyed || c.Group != policy.GroupCell || c.DedupWindowSeconds != 4 || c.LatencyTargetSeconds != 0.25 || c.PriorityWeight != 8 {
 		t.Errorf("class %+v", c)
 	}
 	if s.ReportFields[0] != policy.FieldOther || s.ReportFields[1] != policy.FieldInflight || !s.ReportsOnProbe ||
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -29,12 +29,12 @@
 		b.unserved = slices.Delete(b.unserved, i, i+1)
 	}
 	c := &b.s.Classes[q.Class]
-	r := &request{Request: q, class: c, arrived: b.now, aim: b.now + c.AimS - b.lateness(q), units: 1,
+	r := &request{Request: q, class: c, arrived: b.now, aim: b.now + c.LatencyTargetSeconds - b.lateness(q), units: 1,
 		index: len(b.live), over: b.overShare(q.Tenant)}
 	b.budget = min(b.budget+repeatRate, 10)
 	b.asks.add(b.now, askMemory, 1)
 	if r.HasWork {
-		r.aim += c.Stretch * q.Work
+		r.aim += c.TargetStretch * q.Work
 		mean := cmp.Or(b.meanWork, q.Work)
 		b.meanWork = mean + 0.02*(min(q.Work, 4*mean)-mean)
 		r.units = q.Work / b.meanWork
@@ -70,7 +70,7 @@
 	case left < 0.98*u.usual && b.s.Marked && !q.Repeat:
 		return 0 // the first try of a client that waits for less
 	case left < 0.98*u.usual:
-		return max(b.s.Classes[q.Class].GiveUpS-left, 0)
+		return max(b.s.Classes[q.Class].TotalTimeoutSeconds-left, 0)
 	case left < 1.02*u.usual:
 		u.votes = min(u.votes+1, 100)
 	default: // a single longer one may be odd
--- a/policy/api.go
+++ b/policy/api.go
@@ -30,23 +30,23 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Name     string  `json:"Name"`
-	Effect   Effect  `json:"Effect"`
-	Group    Group   `json:"Group"`   // for keyed classes
-	WindowS  float64 `json:"WindowS"` // for keyed classes: how long a repeat is remembered
-	AimS     float64 `json:"AimS"`    // an answer within this time has its full worth
-	GiveUpS  float64 `json:"GiveUpS"` // the client's total wait over all its tries
-	Worth    float64 `json:"Worth"`
-	LateGain float64 `json:"LateGain"` // part of the worth kept after the aim
-	Stretch  float64 `json:"Stretch"`  // the aim grows by this many times the request's work
-	Stream   bool    `json:"Stream"`
+	Name                 string  `json:"Name"`
+	Effect               Effect  `json:"Effect"`
+	Group                Group   `json:"Group"`   // for keyed classes
+	DedupWindowSeconds   float64 `json:"WindowS"` // for keyed classes: how long a repeat is remembered
+	LatencyTargetSeconds float64 `json:"AimS"`    // an answer within this time has its full worth
+	TotalTimeoutSeconds  float64 `json:"GiveUpS"` // the client's total wait over all its tries
+	PriorityWeight       float64 `json:"Worth"`
+	LateFraction         float64 `json:"LateGain"` // part of the worth kept after the aim
+	TargetStretch        float64 `json:"Stretch"`  // the aim grows by this many times the request's work
+	Stream               bool    `json:"Stream"`
 }
 
 // Tenant is a customer with a stated part of the service.
 type Tenant struct {
-	Name    string  `json:"Name"`
-	Share   float64 `json:"Share"`
-	QuotaPS float64 `json:"QuotaPS"` // requests a second within its share, over all proxies
+	Name           string  `json:"Name"`
+	Share          float64 `json:"Share"`
+	QuotaPerSecond float64 `json:"QuotaPS"` // requests a second within its share, over all proxies
 }
 
 // ReportField names one value of a host's load report.
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -46,7 +46,7 @@
 		a, c := &r.attempts[i], r.class
 		same := c.Group == GroupAll || c.Group == GroupZone && a.host.Zone == h.Zone ||
 			c.Group == GroupCell && a.host.Cell == h.Cell
-		repeat := c.Effect == Safe || c.Effect == Keyed && same && b.now < a.sentAt+c.WindowS
+		repeat := c.Effect == Safe || c.Effect == Keyed && same && b.now < a.sentAt+c.DedupWindowSeconds
 		if a.ran && (!a.done && (!b.s.SecondCopies || a.host == h) || !repeat) {
 			return false
 		}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -73,7 +73,7 @@
 	b.polls = b.field >= 0 && s.ReportsOnProbe && s.Probes && drawn*s.ProbeCost <= probeWorth
 	b.classMean, b.tries = make([]float64, len(s.Classes)), make([]try, len(s.Classes))
 	for i := len(s.Classes) - 1; i >= 0; i-- {
-		b.classMean[i], b.svc, b.aim = s.Classes[i].AimS/5, s.Classes[i].AimS/4, min(b.aim, s.Classes[i].AimS)
+		b.classMean[i], b.svc, b.aim = s.Classes[i].LatencyTargetSeconds/5, s.Classes[i].LatencyTargetSeconds/4, min(b.aim, s.Classes[i].LatencyTargetSeconds)
 	}
 	return b
 }
--- a/policy/checkpoint_test.go
+++ b/policy/checkpoint_test.go
@@ -48,7 +48,7 @@
 	answers := plain()
 	answers.ReportFields, answers.Replicas, answers.Self = []ReportField{FieldQueue, FieldInflight}, 3, 2
 	for i := range answers.Classes { // requests that outlive the hosts that they went to
-		answers.Classes[i].AimS, answers.Classes[i].GiveUpS = 800, 1000
+		answers.Classes[i].LatencyTargetSeconds, answers.Classes[i].TotalTimeoutSeconds = 800, 1000
 	}
 	return []Settings{plain(), polled(), tenants, lines, answers}
 }
@@ -101,7 +101,7 @@
 			event = func(b *Balancer) { b.Hosts(at, kind, list) }
 		case x < 35:
 			q := Request{ID: nextID, Class: rng.IntN(len(s.Classes)), Tenant: rng.IntN(2), Key: rng.Uint64(),
-				Deadline: now + s.Classes[0].GiveUpS*(0.3+rng.Float64()), Work: rng.ExpFloat64(), HasWork: rng.IntN(2) == 0, Repeat: rng.IntN(4) == 0, Held: float64(rng.IntN(2))}
+				Deadline: now + s.Classes[0].TotalTimeoutSeconds*(0.3+rng.Float64()), Work: rng.ExpFloat64(), HasWork: rng.IntN(2) == 0, Repeat: rng.IntN(4) == 0, Held: float64(rng.IntN(2))}
 			nextID++
 			at := now
 			event = func(b *Balancer) { b.Request(at, q) }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -34,7 +34,7 @@
 	if r.over || hopeless || b.now-r.arrived >= holdPart*(r.aim-r.arrived) {
 		// Danger: an estimate that lets nothing through is never corrected by an answer. It fades.
 		for _, guess := range [...]*float64{&b.svc, &b.classMean[r.Request.Class]} {
-			if doubt**guess > 0.8*r.class.AimS {
+			if doubt**guess > 0.8*r.class.LatencyTargetSeconds {
 				*guess *= relax
 			}
 		}
@@ -42,7 +42,7 @@
 		return
 	}
 	r.held = true
-	b.queue.put(r, min(b.now+max(repollPart*r.class.AimS, b.s.TickS), r.Deadline-b.s.TickS))
+	b.queue.put(r, min(b.now+max(repollPart*r.class.LatencyTargetSeconds, b.s.TickS), r.Deadline-b.s.TickS))
 	b.due(r.decideAt)
 }
 
@@ -60,7 +60,7 @@
 // giveUp answers a request at once: refused if nothing may have run, else failed. Its aim is kept for the
 // client's next try: work on a marked repeat is lost once the aim of the first try has passed.
 func (b *Balancer) giveUp(r *request) {
-	e := ended{r.Request.Class, r.Tenant, r.Key, r.aim, r.arrived + r.class.GiveUpS}
+	e := ended{r.Request.Class, r.Tenant, r.Key, r.aim, r.arrived + r.class.TotalTimeoutSeconds}
 	b.unserved = b.unserved.with(e, b.now)
 	if b.mayRefuse(r) {
 		b.do.Refuse(r.ID, b.s.MaxRetryAfterS*(0.5+0.5*b.rng.Float64()))
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -21,7 +21,7 @@
 
 func Example() {
 	settings := policy.Settings{
-		Classes:     []policy.Class{{Name: "lookup", Effect: policy.Safe, AimS: 0.3, GiveUpS: 1}},
+		Classes:     []policy.Class{{Name: "lookup", Effect: policy.Safe, LatencyTargetSeconds: 0.3, TotalTimeoutSeconds: 1}},
 		Replicas:    1,
 		MaxAttempts: 2,
 	}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -77,10 +77,10 @@
 	if b.peers > 2*probePeers { // where few share a host, own requests in flight tell more than one answer
 		h.line, h.lineAt = max(delay-2.4**mean/b.strength(h), 0.5*b.line(h)), b.now
 	}
-	*mean += 0.02 * (min(max(delay-o.line, 0.3**mean), 4*r.class.AimS) - *mean)
+	*mean += 0.02 * (min(max(delay-o.line, 0.3**mean), 4*r.class.LatencyTargetSeconds) - *mean)
 	aim := math.Inf(1) // what this class may take while the class with the tightest aim still fits
 	for i, m := range b.classMean {
-		aim = min(aim, b.s.Classes[i].AimS**mean/m)
+		aim = min(aim, b.s.Classes[i].LatencyTargetSeconds**mean/m)
 	}
 	switch {
 	case delay > 0.3*aim && b.now-h.cutAt > 0.3*aim:
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,9 +10,9 @@
 func plain() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "safe", Effect: Safe, AimS: 0.3, GiveUpS: 1, Worth: 1},
-			{Name: "keyed", Effect: Keyed, Group: GroupCell, WindowS: 0.2, AimS: 0.3, GiveUpS: 1, Worth: 1},
-			{Name: "unsafe", Effect: Unsafe, AimS: 0.3, GiveUpS: 1, Worth: 1},
+			{Name: "safe", Effect: Safe, LatencyTargetSeconds: 0.3, TotalTimeoutSeconds: 1, PriorityWeight: 1},
+			{Name: "keyed", Effect: Keyed, Group: GroupCell, DedupWindowSeconds: 0.2, LatencyTargetSeconds: 0.3, TotalTimeoutSeconds: 1, PriorityWeight: 1},
+			{Name: "unsafe", Effect: Unsafe, LatencyTargetSeconds: 0.3, TotalTimeoutSeconds: 1, PriorityWeight: 1},
 		},
 		Replicas: 1, TickS: 0.001, MaxAttempts: 3, Cancel: true, SecondCopies: true, MaxRetryAfterS: 2,
 		DrainGraceS: 0.25, ColdFrom: 0.3, ColdS: 8, ColdMultiple: 3, ColdWindowS: 2, AskWithinS: 10,
@@ -412,7 +412,7 @@
 		}
 		s.SecondCopies, s.Cancel = seed%3 != 0, seed%5 != 0
 		s.OnlyDrainBinds, s.MaxAttempts = seed%7 == 0, 1+int(seed%4)
-		s.Classes[1].WindowS = 5 * rng.Float64()
+		s.Classes[1].DedupWindowSeconds = 5 * rng.Float64()
 		randomRun(newRecorder(t, s), rng)
 	}
 }
--- a/policy/recorder_test.go
+++ b/policy/recorder_test.go
@@ -88,7 +88,7 @@
 	case Unsafe:
 		r.t.Fatalf("%.3f: unsafe request %d sent again", r.now, q.ID)
 	case Keyed:
-		if r.now > a.at+c.WindowS || c.Group == GroupCell && first.Cell != h.Cell ||
+		if r.now > a.at+c.DedupWindowSeconds || c.Group == GroupCell && first.Cell != h.Cell ||
 			c.Group == GroupZone && first.Zone != h.Zone {
 			r.t.Fatalf("%.3f: keyed request %d sent again outside its window or group", r.now, q.ID)
 		}
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -123,7 +123,7 @@
 // A keyed request that may have run goes to the one host that its zone has left, however many others there are.
 func TestOneHostOfAZoneAmongMany(t *testing.T) {
 	s := plain()
-	s.Classes = []Class{{Name: "k", Effect: Keyed, Group: GroupZone, WindowS: 10, AimS: 2, GiveUpS: 5}}
+	s.Classes = []Class{{Name: "k", Effect: Keyed, Group: GroupZone, DedupWindowSeconds: 10, LatencyTargetSeconds: 2, TotalTimeoutSeconds: 5}}
 	s.MaxAttempts = 3
 	c := newCrowd(s, 1000)
 	for i := range c.hosts {
