--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -44,8 +44,8 @@
 func newRig(t *testing.T, s Settings, hosts int) *rig {
 	r := &rig{t: t, now: 1.7e9, rng: rand.New(rand.NewPCG(5, 5)), open: map[uint32]Label{}, tries: map[uint32]int{}}
 	under := policy.Settings{Classes: []policy.Class{{Name: "read", LatencyTargetSeconds: 0.3, TotalTimeoutSeconds: 1}, {Name: "write", Effect: policy.Unsafe, LatencyTargetSeconds: 1, TotalTimeoutSeconds: 2}},
-		Replicas: 1, TickS: 0.001, MaxAttempts: 3, Cancel: true, MaxRetryAfterS: 2, ColdFrom: 0.3, ColdS: 8, ColdMultiple: 3, ColdWindowS: 2,
-		Probes: true, ReportsOnProbe: true, ReportFields: []policy.ReportField{policy.FieldInflight}, AskForList: true, AskWithinS: 10}
+		Replicas: 1, TickSeconds: 0.001, MaxAttempts: 3, CanCancel: true, MaxRetryAfterSeconds: 2, SlowStartFraction: 0.3, SlowStartSeconds: 8, SlowStartMultiple: 3, SlowStartWindowSeconds: 2,
+		ProbesEnabled: true, ReportsOnProbe: true, ReportFields: []policy.ReportField{policy.FieldInflight}, ListOnDemand: true, MaxListRequestGapSeconds: 10}
 	var err error
 	r.Recorder, err = New(s, under, 7, r.now, r, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
--- a/internal/featureconfig/thrift.go
+++ b/internal/featureconfig/thrift.go
@@ -50,7 +50,7 @@
 	field(p, "probe", &t.Probe, "a method's name", methodName)
 	field(p, "not_started", &t.NotStarted, "text", func(s string) bool { return s != "" })
 	p.need("listen", "classes")
-	if t.Only && t.Probe == "" && c.Settings.Policy.Probes {
+	if t.Only && t.Probe == "" && c.Settings.Policy.ProbesEnabled {
 		p.fail("probe", "missing: the boxes speak no HTTP, and the settings have them probed")
 	}
 	classes, methods := map[string]bool{}, map[string]string{}
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -22,7 +22,7 @@
 	r.sent++
 	r.out = append(r.out, e)
 	s.counters.Executions++
-	if r.answered || len(r.out) > 1 && (r.once || !s.cfg.Settings.Policy.SecondCopies) {
+	if r.answered || len(r.out) > 1 && (r.once || !s.cfg.Settings.Policy.HedgingAllowed) {
 		s.finish(e, &attemptError{notConnected, overtaken, nil})
 		return
 	}
--- a/internal/sidecar/arrivals.go
+++ b/internal/sidecar/arrivals.go
@@ -76,7 +76,7 @@
 			continue
 		case shed:
 			s.counters.Shed++
-			s.answer(r, throttled, func() { r.origin.Throttle(s.cfg.Settings.Policy.MaxRetryAfterS) })
+			s.answer(r, throttled, func() { r.origin.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		default:
 			q.Held += now - w.Of.at
 			s.decide(r, q)
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -151,7 +151,7 @@
 	if r.body != nil && r.body.Gone() && !r.answered && result.Outcome != policy.OK {
 		// What has been sent of its body is no longer there, so nobody else can get it.
 		if r.ranFrom == 0 {
-			s.answer(r, throttled, func() { r.origin.Throttle(s.cfg.Settings.Policy.MaxRetryAfterS) })
+			s.answer(r, throttled, func() { r.origin.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		} else {
 			s.answer(r, failed, func() { r.origin.Fail(result.Outcome == policy.TimedOut) })
 		}
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -107,7 +107,7 @@
 		return
 	}
 	l.s.idle[l.host] = append(l.s.idle[l.host], l)
-	if limit := l.s.cfg.Settings.Policy.ConnIdleS; limit > 0 {
+	if limit := l.s.cfg.Settings.Policy.ConnIdleTimeoutSeconds; limit > 0 {
 		l.retire = l.s.timers.at(l.s.now()+min(0.8*limit, max(limit-0.5, 0.5*limit)), l.close)
 	}
 }
@@ -198,7 +198,7 @@
 // mayServe tells whether a server may still be sent something new.
 func (s *Sidecar) mayServe(host uint32) bool {
 	h := s.hosts.Host(host)
-	return h != nil && (h.State == policy.Ready || h.State == policy.Gone && s.cfg.Settings.Policy.OnlyDrainBinds)
+	return h != nil && (h.State == policy.Ready || h.State == policy.Gone && s.cfg.Settings.Policy.GoneHostsUsable)
 }
 
 // begin writes an attempt's request.
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -306,7 +306,7 @@
 	l.s.notice("requests are turned away: " + why)
 	l.s.log.Debug("request turned away", "client", l.conn.RemoteAddr(), "why", why)
 	l.keep = false
-	l.client.Throttle(l.s.cfg.Settings.Policy.MaxRetryAfterS)
+	l.client.Throttle(l.s.cfg.Settings.Policy.MaxRetryAfterSeconds)
 }
 
 // Served notes that the answer to come is a server's.
--- a/internal/sidecar/drills.go
+++ b/internal/sidecar/drills.go
@@ -69,7 +69,7 @@
 		switch {
 		case r.answered:
 		case d.Abort == "503": // nothing has run, which is what a throttle says
-			s.answer(r, throttled, func() { r.origin.Throttle(s.cfg.Settings.Policy.MaxRetryAfterS) })
+			s.answer(r, throttled, func() { r.origin.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		default:
 			decide(s.now() - now)
 		}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -176,7 +176,7 @@
 			s.Reconcile()
 			s.push(func(float64) { s.save() })
 		}
-		if !s.cfg.Settings.Policy.AskForList {
+		if !s.cfg.Settings.Policy.ListOnDemand {
 			s.watch()
 		}
 		s.beginQuotas()
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -294,7 +294,7 @@
 
 // askAgain has another watch begun in place of one that is over.
 func (s *Sidecar) askAgain() {
-	if s.cfg.Settings.Policy.AskForList {
+	if s.cfg.Settings.Policy.ListOnDemand {
 		s.tellHosts(policy.ListFailed, nil)
 		return
 	}
@@ -303,7 +303,7 @@
 
 // rewatchWait returns how long a watch that the decisions never ask for stays away after it has failed.
 func (s *Sidecar) rewatchWait() float64 {
-	if grace := s.cfg.Settings.Policy.DrainGraceS; grace > 0 {
+	if grace := s.cfg.Settings.Policy.DrainGraceSeconds; grace > 0 {
 		return min(rewatchS, rewatchPart*grace)
 	}
 	return rewatchS
--- a/internal/sidecar/works.go
+++ b/internal/sidecar/works.go
@@ -159,7 +159,7 @@
 		if !b.Listed && !agreed && !b.Hand && b.Out == 0 {
 			continue
 		}
-		b.Cold = p.ColdS > 0 && k.Started > 0 && now-k.Started < p.ColdS
+		b.Cold = p.SlowStartSeconds > 0 && k.Started > 0 && now-k.Started < p.SlowStartSeconds
 		b.Silent = h.State == policy.Ready && (avoided(id) || w.fails(id, now))
 		r, told := w.report[id]
 		b.Busy = told && now-r.at < reportS && r.inflight > 0
@@ -184,4 +184,4 @@
 func (s *Sidecar) ListLate() bool { return !s.watches() && s.net.Now()-s.listAt > lateListS }
 
 // ColdS is for the loop.
-func (s *Sidecar) ColdS() float64 { return s.cfg.Settings.Policy.ColdS }
+func (s *Sidecar) ColdS() float64 { return s.cfg.Settings.Policy.SlowStartSeconds }
--- a/internal/sidecarconfig/config.go
+++ b/internal/sidecarconfig/config.go
@@ -182,10 +182,10 @@
 		{"limits.sockets", c.Limits.Sockets >= leastSockets},
 		{"settings.classes", len(s.Classes) > 0},
 		{"settings.limits.connectTimeoutS", c.Settings.ConnectTimeoutS > 0},
-		{"settings.limits.connIdleS", s.ConnIdleS >= 0},
+		{"settings.limits.connIdleS", s.ConnIdleTimeoutSeconds >= 0},
 		{"settings.limits.sendCap", s.MaxAttempts >= 0},
-		{"settings.limits.maxRetryAfterS", s.MaxRetryAfterS >= 0},
-		{"settings.roundS", s.TickS >= 0},
+		{"settings.limits.maxRetryAfterS", s.MaxRetryAfterSeconds >= 0},
+		{"settings.roundS", s.TickSeconds >= 0},
 		{"settings.obligations.answerSlackS", c.Settings.AnswerSlackS >= 0},
 	}
 	seen := map[string]bool{}
--- a/internal/sidecarconfig/settings.go
+++ b/internal/sidecarconfig/settings.go
@@ -79,19 +79,19 @@
 		ConnectTimeoutS: m.Limits.ConnectTimeoutS, AnswerSlackS: m.Obligations.AnswerSlackS,
 	}
 	s.Policy = policy.Settings{
-		Self: m.SelfIndex, Replicas: m.ReplicasOfMe, TickS: m.RoundS, Marked: m.Clients.MarksRetry,
-		Probes: m.Limits.Probes, Cancel: m.Limits.Cancel, SecondCopies: m.Limits.SecondCopies,
-		MaxAttempts: m.Limits.SendCap, MaxRetryAfterS: m.Limits.MaxRetryAfterS, ConnIdleS: m.Limits.ConnIdleS,
-		ReportsOnProbe: m.Report.How == "on_probe",
-		SizesKnown:     m.Weights == "nominal" || m.Weights == "rough",
-		AskForList:     m.Discovery == "on_request", AskWithinS: m.Obligations.AskWithinS,
-		ProbeCost:   m.Deductions.Probe,
-		DrainGraceS: m.Obligations.DrainGraceS, OnlyDrainBinds: m.Obligations.SoftRemoval,
-		ColdFrom: m.Obligations.ColdFrom, ColdS: m.Obligations.ColdS,
-		ColdMultiple: m.Obligations.FallMultiple, ColdWindowS: m.Obligations.FallS,
+		Self: m.SelfIndex, Replicas: m.ReplicasOfMe, TickSeconds: m.RoundS, RetriesMarked: m.Clients.MarksRetry,
+		ProbesEnabled: m.Limits.Probes, CanCancel: m.Limits.Cancel, HedgingAllowed: m.Limits.SecondCopies,
+		MaxAttempts: m.Limits.SendCap, MaxRetryAfterSeconds: m.Limits.MaxRetryAfterS, ConnIdleTimeoutSeconds: m.Limits.ConnIdleS,
+		ReportsOnProbe:  m.Report.How == "on_probe",
+		SizesComparable: m.Weights == "nominal" || m.Weights == "rough",
+		ListOnDemand:    m.Discovery == "on_request", MaxListRequestGapSeconds: m.Obligations.AskWithinS,
+		ProbePrice:        m.Deductions.Probe,
+		DrainGraceSeconds: m.Obligations.DrainGraceS, GoneHostsUsable: m.Obligations.SoftRemoval,
+		SlowStartFraction: m.Obligations.ColdFrom, SlowStartSeconds: m.Obligations.ColdS,
+		SlowStartMultiple: m.Obligations.FallMultiple, SlowStartWindowSeconds: m.Obligations.FallS,
 	}
 	if m.Locality != nil { // without a place every zone is as far
-		s.Policy.Zone, s.Policy.CrossZone = *m.Locality, m.Deductions.CrossZone
+		s.Policy.Zone, s.Policy.CrossZonePrice = *m.Locality, m.Deductions.CrossZone
 	}
 	for _, name := range m.Report.Fields {
 		s.Policy.ReportFields = append(s.Policy.ReportFields, fields[name])
--- a/internal/sidecarconfig/settings_test.go
+++ b/internal/sidecarconfig/settings_test.go
@@ -20,8 +20,8 @@
 		t.Errorf("class %+v", c)
 	}
 	if s.ReportFields[0] != policy.FieldOther || s.ReportFields[1] != policy.FieldInflight || !s.ReportsOnProbe ||
-		!s.OnlyDrainBinds || !s.Marked || !s.AskForList || !s.Probes || s.MaxAttempts != 3 || s.Replicas != 4 || s.ColdFrom != 0.3 ||
-		s.Zone != 2 || s.CrossZone != 0.06 {
+		!s.GoneHostsUsable || !s.RetriesMarked || !s.ListOnDemand || !s.ProbesEnabled || s.MaxAttempts != 3 || s.Replicas != 4 || s.SlowStartFraction != 0.3 ||
+		s.Zone != 2 || s.CrossZonePrice != 0.06 {
 		t.Errorf("settings %+v", s)
 	}
 	for _, bad := range []string{`{`, `{"classes": [{"effect": "odd"}]}`} {
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -59,7 +59,7 @@
 			if err != nil {
 				panic(err) // the sidecars have read it
 			}
-			w.coldS = cfg.Settings.Policy.ColdS
+			w.coldS = cfg.Settings.Policy.SlowStartSeconds
 			w.byHand(0)
 		})
 	default:
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -23,7 +23,7 @@
 	aim := math.Inf(1)
 	if i := b.unserved.find(now, &q); i >= 0 {
 		if aim = b.unserved[i].aim; aim <= now {
-			b.do.Refuse(q.ID, b.s.MaxRetryAfterS)
+			b.do.Refuse(q.ID, b.s.MaxRetryAfterSeconds)
 			return
 		}
 		b.unserved = slices.Delete(b.unserved, i, i+1)
@@ -67,7 +67,7 @@
 func (b *Balancer) lateness(q Request) float64 {
 	u, left := &b.tries[q.Class], q.Deadline-b.now+q.Held
 	switch {
-	case left < 0.98*u.usual && b.s.Marked && !q.Repeat:
+	case left < 0.98*u.usual && b.s.RetriesMarked && !q.Repeat:
 		return 0 // the first try of a client that waits for less
 	case left < 0.98*u.usual:
 		return max(b.s.Classes[q.Class].TotalTimeoutSeconds-left, 0)
--- a/policy/api.go
+++ b/policy/api.go
@@ -67,30 +67,30 @@
 	Self     int      `json:"Self"`     // this proxy's number, from 0
 	Replicas int      `json:"Replicas"` // how many proxies there are
 
-	Zone      int     `json:"Zone"`      // this proxy's own, as in HostInfo
-	CrossZone float64 `json:"CrossZone"` // price of an attempt in another zone, in parts of a request's worth; 0: none
-
-	ProbeCost float64 `json:"ProbeCost"` // price of a probe for each request, in parts of its worth; 0: none
-
-	TickS          float64       `json:"TickS"`  // least time between two events
-	Marked         bool          `json:"Marked"` // clients mark their retries: what has no mark is a first try
-	Probes         bool          `json:"Probes"`
-	Cancel         bool          `json:"Cancel"`
-	SecondCopies   bool          `json:"SecondCopies"`
-	MaxAttempts    int           `json:"MaxAttempts"`    // for one request; 0 means 1
-	MaxRetryAfterS float64       `json:"MaxRetryAfterS"` // longest advice that clients follow
-	ConnIdleS      float64       `json:"ConnIdleS"`      // connections that are idle for longer close by themselves
-	ReportFields   []ReportField `json:"ReportFields"`
-	ReportsOnProbe bool          `json:"ReportsOnProbe"` // reports come with probe answers alone
-	SizesKnown     bool          `json:"SizesKnown"`     // HostInfo.Size may be compared between hosts
-	AskForList     bool          `json:"AskForList"`     // the list comes only when asked for
-	AskWithinS     float64       `json:"AskWithinS"`
-	DrainGraceS    float64       `json:"DrainGraceS"`
-	OnlyDrainBinds bool          `json:"OnlyDrainBinds"` // a host that is gone may be used while it answers
-	ColdFrom       float64       `json:"ColdFrom"`
-	ColdS          float64       `json:"ColdS"`
-	ColdMultiple   float64       `json:"ColdMultiple"`
-	ColdWindowS    float64       `json:"ColdWindowS"`
+	Zone           int     `json:"Zone"`      // this proxy's own, as in HostInfo
+	CrossZonePrice float64 `json:"CrossZone"` // price of an attempt in another zone, in parts of a request's worth; 0: none
+
+	ProbePrice float64 `json:"ProbeCost"` // price of a probe for each request, in parts of its worth; 0: none
+
+	TickSeconds              float64       `json:"TickS"`  // least time between two events
+	RetriesMarked            bool          `json:"Marked"` // clients mark their retries: what has no mark is a first try
+	ProbesEnabled            bool          `json:"Probes"`
+	CanCancel                bool          `json:"Cancel"`
+	HedgingAllowed           bool          `json:"SecondCopies"`
+	MaxAttempts              int           `json:"MaxAttempts"`    // for one request; 0 means 1
+	MaxRetryAfterSeconds     float64       `json:"MaxRetryAfterS"` // longest advice that clients follow
+	ConnIdleTimeoutSeconds   float64       `json:"ConnIdleS"`      // connections that are idle for longer close by themselves
+	ReportFields             []ReportField `json:"ReportFields"`
+	ReportsOnProbe           bool          `json:"ReportsOnProbe"` // reports come with probe answers alone
+	SizesComparable          bool          `json:"SizesKnown"`     // HostInfo.Size may be compared between hosts
+	ListOnDemand             bool          `json:"AskForList"`     // the list comes only when asked for
+	MaxListRequestGapSeconds float64       `json:"AskWithinS"`
+	DrainGraceSeconds        float64       `json:"DrainGraceS"`
+	GoneHostsUsable          bool          `json:"OnlyDrainBinds"` // a host that is gone may be used while it answers
+	SlowStartFraction        float64       `json:"ColdFrom"`
+	SlowStartSeconds         float64       `json:"ColdS"`
+	SlowStartMultiple        float64       `json:"ColdMultiple"`
+	SlowStartWindowSeconds   float64       `json:"ColdWindowS"`
 }
 
 // HostState is what the list says of a host.
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -25,7 +25,7 @@
 	r.attempts = append(r.attempts, attempt{host: h, sentAt: b.now, ran: true})
 	hint, rest := b.expect(h, r)
 	o := out{id: r.ID, class: r.Request.Class, sentAt: b.now, expected: max(hint+rest, 1e-6), line: b.line(h)}
-	if len(h.outs) == 0 && b.now-h.servedAt < b.s.ConnIdleS {
+	if len(h.outs) == 0 && b.now-h.servedAt < b.s.ConnIdleTimeoutSeconds {
 		if o.idle = b.now - h.servedAt; o.idle > b.dropAge && b.now < b.dropUntil {
 			b.do.CloseIdle(h.ID)
 			o.idle = 0
@@ -47,7 +47,7 @@
 		same := c.Group == GroupAll || c.Group == GroupZone && a.host.Zone == h.Zone ||
 			c.Group == GroupCell && a.host.Cell == h.Cell
 		repeat := c.Effect == Safe || c.Effect == Keyed && same && b.now < a.sentAt+c.DedupWindowSeconds
-		if a.ran && (!a.done && (!b.s.SecondCopies || a.host == h) || !repeat) {
+		if a.ran && (!a.done && (!b.s.HedgingAllowed || a.host == h) || !repeat) {
 			return false
 		}
 	}
@@ -85,7 +85,7 @@
 	case lost && !r.waiting:
 		r.aim = now
 		b.giveUp(r)
-	case now >= r.Deadline-b.s.TickS/2, !r.waiting:
+	case now >= r.Deadline-b.s.TickSeconds/2, !r.waiting:
 		b.again(r)
 	}
 	b.pump()
@@ -110,7 +110,7 @@
 // finish forgets a request that has its final answer and cancels what is still out for it.
 func (b *Balancer) finish(r *request, cancel bool) {
 	for i := range r.attempts {
-		if cancel && b.s.Cancel && !r.attempts[i].done {
+		if cancel && b.s.CanCancel && !r.attempts[i].done {
 			b.do.Cancel(r.ID, i)
 		}
 	}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -69,8 +69,8 @@
 	b := &Balancer{s: s, told: s.Replicas, do: do, pcg: pcg, rng: rand.New(pcg),
 		field: slices.Index(s.ReportFields, FieldInflight),
 		hosts: map[uint32]*host{}, byID: map[uint32]*request{}, meanGap: 1, budget: 3,
-		rtt: 2 * s.TickS, aim: math.Inf(1), asked: make([]float64, len(s.Tenants))}
-	b.polls = b.field >= 0 && s.ReportsOnProbe && s.Probes && drawn*s.ProbeCost <= probeWorth
+		rtt: 2 * s.TickSeconds, aim: math.Inf(1), asked: make([]float64, len(s.Tenants))}
+	b.polls = b.field >= 0 && s.ReportsOnProbe && s.ProbesEnabled && drawn*s.ProbePrice <= probeWorth
 	b.classMean, b.tries = make([]float64, len(s.Classes)), make([]try, len(s.Classes))
 	for i := len(s.Classes) - 1; i >= 0; i-- {
 		b.classMean[i], b.svc, b.aim = s.Classes[i].LatencyTargetSeconds/5, s.Classes[i].LatencyTargetSeconds/4, min(b.aim, s.Classes[i].LatencyTargetSeconds)
--- a/policy/checkpoint.go
+++ b/policy/checkpoint.go
@@ -235,7 +235,7 @@
 		b.hosts[h.ID] = h
 	}
 	if !slices.Contains(b.members, nil) {
-		b.sets.measure(b.members, b.s.SizesKnown)
+		b.sets.measure(b.members, b.s.SizesComparable)
 	}
 	for _, h := range b.members {
 		if c.failed = c.failed || h == nil || h.set > cold; c.failed {
--- a/policy/checkpoint_test.go
+++ b/policy/checkpoint_test.go
@@ -42,9 +42,9 @@
 func variety() []Settings {
 	tenants := polled()
 	tenants.Tenants = []Tenant{{"a", 0.7, 9}, {"b", 0.3, 4}}
-	tenants.CrossZone, tenants.SizesKnown, tenants.AskForList = 0.05, true, true
+	tenants.CrossZonePrice, tenants.SizesComparable, tenants.ListOnDemand = 0.05, true, true
 	lines := plain()
-	lines.Probes, lines.OnlyDrainBinds, lines.SecondCopies, lines.ConnIdleS, lines.AskForList = true, true, false, 5, true
+	lines.ProbesEnabled, lines.GoneHostsUsable, lines.HedgingAllowed, lines.ConnIdleTimeoutSeconds, lines.ListOnDemand = true, true, false, 5, true
 	answers := plain()
 	answers.ReportFields, answers.Replicas, answers.Self = []ReportField{FieldQueue, FieldInflight}, 3, 2
 	for i := range answers.Classes { // requests that outlive the hosts that they went to
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -22,7 +22,7 @@
 
 // place sends a waiting request, holds it or gives it up.
 func (b *Balancer) place(r *request) {
-	if h := r.suspect; h != nil && b.polls && h.seenAt < r.lostAt-b.s.TickS {
+	if h := r.suspect; h != nil && b.polls && h.seenAt < r.lostAt-b.s.TickSeconds {
 		r.aim = b.now
 		b.giveUp(r) // it was the host that died, not the connection alone
 		return
@@ -42,7 +42,7 @@
 		return
 	}
 	r.held = true
-	b.queue.put(r, min(b.now+max(repollPart*r.class.LatencyTargetSeconds, b.s.TickS), r.Deadline-b.s.TickS))
+	b.queue.put(r, min(b.now+max(repollPart*r.class.LatencyTargetSeconds, b.s.TickSeconds), r.Deadline-b.s.TickSeconds))
 	b.due(r.decideAt)
 }
 
@@ -63,7 +63,7 @@
 	e := ended{r.Request.Class, r.Tenant, r.Key, r.aim, r.arrived + r.class.TotalTimeoutSeconds}
 	b.unserved = b.unserved.with(e, b.now)
 	if b.mayRefuse(r) {
-		b.do.Refuse(r.ID, b.s.MaxRetryAfterS*(0.5+0.5*b.rng.Float64()))
+		b.do.Refuse(r.ID, b.s.MaxRetryAfterSeconds*(0.5+0.5*b.rng.Float64()))
 	} else {
 		b.do.Fail(r.ID)
 	}
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -51,8 +51,8 @@
 	// Departed hosts are forgotten in time, or memory and work would grow with every release.
 	b.order = slices.DeleteFunc(b.order, func(h *host) bool {
 		// Where only draining binds, an old list may call a host ready again that was told to drain.
-		h.bound = h.State == Draining || h.State == Gone && !b.s.OnlyDrainBinds ||
-			h.bound && (h.State != Ready || b.s.OnlyDrainBinds)
+		h.bound = h.State == Draining || h.State == Gone && !b.s.GoneHostsUsable ||
+			h.bound && (h.State != Ready || b.s.GoneHostsUsable)
 		if h.State != Gone {
 			h.goneAt = now
 		}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -52,7 +52,7 @@
 // newTown returns one whose proxies are told that there are s.Replicas of them, or how many there are where that is 1.
 func newTown(s Settings, proxies, hosts int, work float64) *town {
 	t := &town{rng: rand.New(rand.NewPCG(3, 9)), free: make([]float64, hosts+1), work: make([]float64, hosts+1), sends: make([]int, hosts+1)}
-	s.Probes = true
+	s.ProbesEnabled = true
 	if s.Replicas == 1 {
 		s.Replicas = proxies
 	}
@@ -135,7 +135,7 @@
 		served, refused := 0.0, 0.0
 		for seed := range uint64(seeds) {
 			s := plain()
-			s.ProbeCost, s.Replicas = 0.08, c.told
+			s.ProbePrice, s.Replicas = 0.08, c.told
 			town := newTown(s, c.proxies, c.hosts, 0.07)
 			town.rng = rand.New(rand.NewPCG(seed, 9))
 			town.play(20, c.load*float64(c.hosts)/0.07)
@@ -155,7 +155,7 @@
 		price, most float64 // probes for each request
 	}{{0.0081, 0.6}, {0.08, 0.25}} {
 		s := plain()
-		s.ProbeCost = c.price
+		s.ProbePrice = c.price
 		for _, proxies := range []int{5, 50, 300} {
 			town := newTown(s, proxies, 200, 0.03)
 			town.play(20, 0.63*200/0.03)
@@ -202,7 +202,7 @@
 			var first []float64
 			for self := range proxies {
 				s := plain()
-				s.AskForList = true
+				s.ListOnDemand = true
 				if !placed {
 					s.Self, s.Replicas = self, proxies
 				}
@@ -214,7 +214,7 @@
 				for failed := range 6 {
 					r.list(ListFailed)
 					was, began := r.watches, r.now
-					if r.advance(r.now + longestAsk + s.TickS); r.watches == was {
+					if r.advance(r.now + longestAsk + s.TickSeconds); r.watches == was {
 						t.Fatalf("%d proxies: number %d has not called within %v s after %d calls that failed", proxies, self, longestAsk, failed)
 					}
 					if failed == 0 {
@@ -235,7 +235,7 @@
 // Danger: a process whose first call failed before it knew the others waits by a number that the settings made up.
 func TestPlaceEndsALongWait(t *testing.T) {
 	s := plain()
-	s.AskForList, s.Replicas = true, 300
+	s.ListOnDemand, s.Replicas = true, 300
 	r := newRecorder(t, s)
 	r.list(ListCached, ready(1)...)
 	for range 3 {
@@ -243,7 +243,7 @@
 	}
 	r.b.Place(r.now, 299, 300)
 	was := r.watches
-	if r.advance(r.now + longestAsk + s.TickS); r.watches == was {
+	if r.advance(r.now + longestAsk + s.TickSeconds); r.watches == was {
 		t.Errorf("no call within %v s", longestAsk)
 	}
 }
--- a/policy/phi.go
+++ b/policy/phi.go
@@ -46,7 +46,7 @@
 	if b.now-h.refusedAt < 2*probeEvery {
 		phi = (phiOut + 1) / 2 * float64(h.refused)
 	}
-	if b.s.Probes {
+	if b.s.ProbesEnabled {
 		phi += b.suspicion(h)
 	}
 	return phi
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -40,7 +40,7 @@
 		return (hinted + guessed) * b.slowness(h)
 	}
 	ahead := float64(len(h.outs)) + 1 + b.line(h)/b.classMean[r.Request.Class]
-	if b.s.SizesKnown && h.Size > 0 {
+	if b.s.SizesComparable && h.Size > 0 {
 		ahead /= h.Size
 	}
 	return ahead * b.slowness(h) * b.kinds.of(h.Kind) / b.strength(h)
@@ -106,7 +106,7 @@
 	}
 	cost := b.cost(h, r) * (1 + scatter*b.rng.Float64())
 	if h.Zone != b.s.Zone {
-		cost *= 1 + farWeight*b.s.CrossZone
+		cost *= 1 + farWeight*b.s.CrossZonePrice
 	}
 	return cost
 }
@@ -134,14 +134,14 @@
 // sort parts the members by what they are good for, where they are too many to look at each for a pick.
 func (b *Balancer) sort() {
 	b.sets.clear()
-	b.sets.measure(b.members, b.s.SizesKnown)
+	b.sets.measure(b.members, b.s.SizesComparable)
 	for i := 0; i < len(b.members) && len(b.members) > scanMost; i++ {
 		switch h := b.members[i]; {
 		case h.bound || h.phi > phiOut:
 			b.sets.put(h, outside)
 		case b.strength(h) < 1:
 			b.sets.put(h, cold)
-		case h.Zone == b.s.Zone || b.s.CrossZone == 0:
+		case h.Zone == b.s.Zone || b.s.CrossZonePrice == 0:
 			b.sets.put(h, near)
 		default:
 			b.sets.put(h, far)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -14,15 +14,15 @@
 			{Name: "keyed", Effect: Keyed, Group: GroupCell, DedupWindowSeconds: 0.2, LatencyTargetSeconds: 0.3, TotalTimeoutSeconds: 1, PriorityWeight: 1},
 			{Name: "unsafe", Effect: Unsafe, LatencyTargetSeconds: 0.3, TotalTimeoutSeconds: 1, PriorityWeight: 1},
 		},
-		Replicas: 1, TickS: 0.001, MaxAttempts: 3, Cancel: true, SecondCopies: true, MaxRetryAfterS: 2,
-		DrainGraceS: 0.25, ColdFrom: 0.3, ColdS: 8, ColdMultiple: 3, ColdWindowS: 2, AskWithinS: 10,
+		Replicas: 1, TickSeconds: 0.001, MaxAttempts: 3, CanCancel: true, HedgingAllowed: true, MaxRetryAfterSeconds: 2,
+		DrainGraceSeconds: 0.25, SlowStartFraction: 0.3, SlowStartSeconds: 8, SlowStartMultiple: 3, SlowStartWindowSeconds: 2, MaxListRequestGapSeconds: 10,
 	}
 }
 
 // polled are settings where load reports come with probe answers alone.
 func polled() Settings {
 	s := plain()
-	s.Probes, s.ReportsOnProbe, s.ReportFields = true, true, []ReportField{FieldInflight}
+	s.ProbesEnabled, s.ReportsOnProbe, s.ReportFields = true, true, []ReportField{FieldInflight}
 	return s
 }
 
@@ -122,7 +122,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := plain()
-			s.SecondCopies = false
+			s.HedgingAllowed = false
 			r := newRecorder(t, s)
 			r.list(ListFull, ready(1, 2, 11, 12)...)
 			q := r.request(Request{ID: 1, Class: c.class, Deadline: 1})
@@ -177,7 +177,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := plain()
-			s.OnlyDrainBinds = c.soft
+			s.GoneHostsUsable = c.soft
 			r := newRecorder(t, s)
 			r.list(ListFull, ready(1)...)
 			r.list(c.list)
@@ -190,7 +190,7 @@
 	}
 	t.Run("draining binds also after it is gone", func(t *testing.T) {
 		s := plain()
-		s.OnlyDrainBinds = true
+		s.GoneHostsUsable = true
 		r := newRecorder(t, s)
 		r.list(ListFull, ready(1)...)
 		r.list(ListDelta, HostInfo{ID: 1, State: Draining})
@@ -204,7 +204,7 @@
 
 func TestListIsAskedForAgainAfterAFailure(t *testing.T) {
 	s := plain()
-	s.AskForList = true
+	s.ListOnDemand = true
 	r := newRecorder(t, s)
 	r.list(ListCached, ready(1)...)
 	r.advance(1)
@@ -250,7 +250,7 @@
 
 func TestGapOfAnOutageIsNotLearned(t *testing.T) {
 	s := plain()
-	s.Probes = true
+	s.ProbesEnabled = true
 	r := newRecorder(t, s)
 	r.b.sends.rate = 1e6 // so much traffic keeps the cadence at its shortest
 	r.list(ListFull, ready(1, 2, 3)...)
@@ -298,7 +298,7 @@
 // Silence that the host program did not listen to says nothing of the hosts; silence beyond it does.
 func TestStalled(t *testing.T) {
 	s := plain()
-	s.Probes = true
+	s.ProbesEnabled = true
 	r := newRecorder(t, s)
 	r.b.sends.rate = 1e6
 	r.list(ListFull, ready(1, 2, 3)...)
@@ -321,7 +321,7 @@
 
 func TestFirstAnswerIsNoGap(t *testing.T) {
 	s := plain()
-	s.Probes = true
+	s.ProbesEnabled = true
 	r := newRecorder(t, s)
 	r.list(ListFull, ready(1, 2, 3)...)
 	for r.now < 5 {
@@ -338,7 +338,7 @@
 
 func TestSomeHostGetsTrafficWhenAllAreSilent(t *testing.T) {
 	s := plain()
-	s.Probes = true
+	s.ProbesEnabled = true
 	r := newRecorder(t, s)
 	r.list(ListFull, ready(1, 2, 3)...)
 	r.advance(20)
@@ -410,8 +410,8 @@
 		if seed%2 == 0 {
 			s = polled()
 		}
-		s.SecondCopies, s.Cancel = seed%3 != 0, seed%5 != 0
-		s.OnlyDrainBinds, s.MaxAttempts = seed%7 == 0, 1+int(seed%4)
+		s.HedgingAllowed, s.CanCancel = seed%3 != 0, seed%5 != 0
+		s.GoneHostsUsable, s.MaxAttempts = seed%7 == 0, 1+int(seed%4)
 		s.Classes[1].DedupWindowSeconds = 5 * rng.Float64()
 		randomRun(newRecorder(t, s), rng)
 	}
@@ -581,7 +581,7 @@
 // the near one is busy.
 func TestOwnZoneGoesFirst(t *testing.T) {
 	s := plain()
-	s.Zone, s.CrossZone = 1, 0.06
+	s.Zone, s.CrossZonePrice = 1, 0.06
 	r := newRecorder(t, s)
 	hosts := ready(1, 2)
 	hosts[1].Zone = 1
@@ -661,7 +661,7 @@
 // Where clients mark their retries, one of little patience is not taken for a retry of a patient one.
 func TestTwoPatiencesInOneClass(t *testing.T) {
 	s := plain()
-	s.Marked = true
+	s.RetriesMarked = true
 	r := newRecorder(t, s)
 	r.list(ListFull, ready(1, 2)...)
 	for i := range uint32(40) {
@@ -743,10 +743,10 @@
 
 func TestUnansweredCallIsRepeatedInTime(t *testing.T) {
 	s := plain()
-	s.AskForList = true
+	s.ListOnDemand = true
 	r := newRecorder(t, s)
 	r.list(ListCached, ready(1)...)
-	r.advance(s.AskWithinS)
+	r.advance(s.MaxListRequestGapSeconds)
 	if r.watches < 2 {
 		t.Errorf("%d calls in the time after which an instance counts as told", r.watches)
 	}
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -31,13 +31,13 @@
 // cadence is the time between two probes of a member. Danger: a crowd would probe more than it serves.
 func (b *Balancer) cadence() float64 {
 	most := slowest - (slowest-1)*min(4*b.crowd, 1) // where probes wait, their news is needed
-	few, dear := float64(len(b.members))/max(b.usualRate(), 1e-9), max(b.s.ProbeCost/probeWorth, 2)
+	few, dear := float64(len(b.members))/max(b.usualRate(), 1e-9), max(b.s.ProbePrice/probeWorth, 2)
 	return probeEvery * max(min(max(0.5*few, 1), most), min((b.peers-probePeers)/2, dear*few, slowest))
 }
 
 // sendProbes sends the cadence probes that are due.
 func (b *Balancer) sendProbes() {
-	for i := 0; i < len(b.members) && b.s.Probes; i++ {
+	for i := 0; i < len(b.members) && b.s.ProbesEnabled; i++ {
 		h := b.members[i]
 		if h.nextProbe <= b.now {
 			b.do.Probe(h.ID)
@@ -57,7 +57,7 @@
 		return
 	}
 	sent := now - r.LateS - r.DelayS
-	out := func(at float64) bool { return math.Abs(sent-at) <= b.s.TickS+1e-4 } // a tick's wait
+	out := func(at float64) bool { return math.Abs(sent-at) <= b.s.TickSeconds+1e-4 } // a tick's wait
 	cadence := out(h.probedAt)
 	if cadence {
 		h.probedAt = 0
--- a/policy/recorder_test.go
+++ b/policy/recorder_test.go
@@ -67,7 +67,7 @@
 	if !named {
 		r.t.Fatalf("%.3f: send to host %d, never named", r.now, host)
 	}
-	if at, told := r.told[host]; told && r.now > at+r.s.DrainGraceS {
+	if at, told := r.told[host]; told && r.now > at+r.s.DrainGraceSeconds {
 		r.t.Fatalf("%.3f: send to host %d, told to stop at %.3f", r.now, host, at)
 	}
 	for _, a := range q.sends {
@@ -81,7 +81,7 @@
 func (r *recorder) checkRepeat(q *tracked, a tried, h HostInfo) {
 	r.t.Helper()
 	c, first := r.s.Classes[q.Class], r.hosts[a.host]
-	if !a.done && !r.s.SecondCopies {
+	if !a.done && !r.s.HedgingAllowed {
 		r.t.Fatalf("%.3f: second copy of request %d", r.now, q.ID)
 	}
 	switch c.Effect {
@@ -97,14 +97,14 @@
 
 func (r *recorder) Cancel(id uint32, n int) {
 	q := r.requests[id]
-	if q == nil || n >= len(q.sends) || !r.s.Cancel {
+	if q == nil || n >= len(q.sends) || !r.s.CanCancel {
 		r.t.Fatalf("%.3f: cancel of attempt %d of request %d", r.now, n, id)
 	}
 	q.sends[n].cancel = true
 }
 
 func (r *recorder) Probe(host uint32) {
-	if _, named := r.hosts[host]; !named || !r.s.Probes {
+	if _, named := r.hosts[host]; !named || !r.s.ProbesEnabled {
 		r.t.Fatalf("%.3f: probe of host %d", r.now, host)
 	}
 	r.probes = append(r.probes, sentProbe{host, r.now})
@@ -114,7 +114,7 @@
 
 func (r *recorder) Refuse(id uint32, after float64) {
 	r.t.Helper()
-	if after < 0 || after > r.s.MaxRetryAfterS {
+	if after < 0 || after > r.s.MaxRetryAfterSeconds {
 		r.t.Fatalf("%.3f: advice of %v", r.now, after)
 	}
 	if q := r.requests[id]; q != nil && q.Class < len(r.s.Classes) && q.Class >= 0 {
@@ -201,7 +201,7 @@
 	switch {
 	case state == Ready:
 		delete(r.told, id)
-	case !before && (state == Draining || !r.s.OnlyDrainBinds):
+	case !before && (state == Draining || !r.s.GoneHostsUsable):
 		r.told[id] = r.now
 	}
 }
--- a/policy/report.go
+++ b/policy/report.go
@@ -14,7 +14,7 @@
 	}
 }
 
-func (b *Balancer) pollWait() float64 { return max(pollRTTs*b.rtt, 2*b.s.TickS) }
+func (b *Balancer) pollWait() float64 { return max(pollRTTs*b.rtt, 2*b.s.TickSeconds) }
 
 // poll refreshes the reports of the candidates for a pick.
 func (b *Balancer) poll(r *request) {
--- a/policy/reports_test.go
+++ b/policy/reports_test.go
@@ -39,7 +39,7 @@
 func TestReportsInAnswersRefuseNothing(t *testing.T) {
 	for _, reported := range []float32{0, 4, 40} {
 		s := plain()
-		s.Probes, s.ReportFields = true, []ReportField{FieldInflight}
+		s.ProbesEnabled, s.ReportFields = true, []ReportField{FieldInflight}
 		if refused, _ := play(t, s, reported); refused > 0 {
 			t.Errorf("%d requests refused where hosts report %v requests", refused, reported)
 		}
@@ -53,7 +53,7 @@
 	if _, probes := play(t, s, 1); probes < 2 {
 		t.Errorf("%.2f probes a request where they cost nothing", probes)
 	}
-	s.ProbeCost = 0.01
+	s.ProbePrice = 0.01
 	if refused, probes := play(t, s, 4); refused > 0 || probes > 0.2 {
 		t.Errorf("%d requests refused, %.2f probes each", refused, probes)
 	}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -81,12 +81,12 @@
 	for i, from := range at {
 		n := 0
 		for _, x := range at[i:] {
-			if x <= from+s.ColdWindowS {
+			if x <= from+s.SlowStartWindowSeconds {
 				n++
 			}
 		}
-		strength := s.ColdFrom + (1-s.ColdFrom)*(from-20)/s.ColdS
-		if budget := s.ColdMultiple * strength * capacity * s.ColdWindowS; float64(n) > 1.15*budget {
+		strength := s.SlowStartFraction + (1-s.SlowStartFraction)*(from-20)/s.SlowStartSeconds
+		if budget := s.SlowStartMultiple * strength * capacity * s.SlowStartWindowSeconds; float64(n) > 1.15*budget {
 			t.Fatalf("%d sends in the window from %.2f, budget %.0f", n, from, budget)
 		}
 	}
@@ -100,7 +100,7 @@
 		low, high      float64 // probes a second
 	}{{160, 1000, 1, 0.8, 4}, {160, 1000, 0, 0, 2}, {12, 4, 25, 10, 14}, {160, 1000, 100, 40, 90}} {
 		s := plain()
-		s.Probes, s.Replicas = true, c.proxies
+		s.ProbesEnabled, s.Replicas = true, c.proxies
 		r := newRecorder(t, s)
 		r.list(ListFull, fleet(c.hosts)...)
 		probes, id := 0, uint32(0)
@@ -126,7 +126,7 @@
 // A change of the cadence is no silence: a sound host's phi stays low through it.
 func TestCadenceMayChange(t *testing.T) {
 	s := plain()
-	s.Probes, s.Replicas = true, 1000
+	s.ProbesEnabled, s.Replicas = true, 1000
 	r := newRecorder(t, s)
 	r.list(ListFull, fleet(160)...)
 	id := uint32(0)
@@ -152,7 +152,7 @@
 func TestDepartedHostsAreForgotten(t *testing.T) {
 	for _, soft := range []bool{false, true} {
 		s := plain()
-		s.Probes, s.OnlyDrainBinds, s.Replicas = true, soft, 100
+		s.ProbesEnabled, s.GoneHostsUsable, s.Replicas = true, soft, 100
 		r := newRecorder(t, s)
 		for g := range 60 {
 			list := fleet(40)
@@ -190,7 +190,7 @@
 	} {
 		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
 			s := plain()
-			s.Probes, s.OnlyDrainBinds = true, c.soft
+			s.ProbesEnabled, s.GoneHostsUsable = true, c.soft
 			r := newRecorder(t, s)
 			list := fleet(6)
 			r.list(ListFull, list...)
@@ -234,7 +234,7 @@
 		sent  bool
 	}{{OK, 0.004, true}, {OK, 0.25, false}, {TimedOut, 0.25, false}} {
 		s := plain()
-		s.Probes = true
+		s.ProbesEnabled = true
 		r := newRecorder(t, s)
 		r.list(ListFull, fleet(3)...)
 		for r.now < 10 {
@@ -291,7 +291,7 @@
 		closes bool
 	}{{"reset", Reset, 2, true}, {"silence", TimedOut, 2, true}, {"answered", OK, 2, false}} {
 		s := plain()
-		s.ConnIdleS = 15
+		s.ConnIdleTimeoutSeconds = 15
 		r := newRecorder(t, s)
 		r.list(ListFull, fleet(3)...)
 		id, closed := uint32(0), 0
@@ -362,7 +362,7 @@
 func TestQuickResetAsksTheHostFirst(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		s := polled()
-		s.ConnIdleS = 15
+		s.ConnIdleTimeoutSeconds = 15
 		r := newRecorder(t, s)
 		r.list(ListFull, fleet(4)...)
 		ask := func(id uint32, dead uint32) {
@@ -473,7 +473,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := plain()
-			s.Probes, s.OnlyDrainBinds, s.Self, s.Replicas = true, true, c.self, c.replicas
+			s.ProbesEnabled, s.GoneHostsUsable, s.Self, s.Replicas = true, true, c.self, c.replicas
 			s.Tenants = []Tenant{{Name: "a", Share: 1}}
 			r := newRecorder(t, s)
 			r.list(ListCached, c.first...)
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -20,7 +20,7 @@
 func newCrowd(s Settings, n int) *crowd {
 	c := &crowd{hosts: fleet(n), hang: map[uint32]bool{}}
 	c.silentActions = newSilent(&c.now)
-	s.Probes = true
+	s.ProbesEnabled = true
 	c.b = New(s, 7, c)
 	c.b.Hosts(0, ListFull, c.hosts)
 	return c
@@ -79,7 +79,7 @@
 	for _, name := range []string{"hang", "drain", "cold", "full", "mixed"} {
 		for _, bad := range []int{n / 3, n * 9 / 10, n - 1} {
 			s := plain()
-			s.Zone, s.CrossZone = 1, 0.06
+			s.Zone, s.CrossZonePrice = 1, 0.06
 			c := newCrowd(s, n)
 			for i := range c.hosts {
 				c.hosts[i].Zone = i % 4
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -9,10 +9,10 @@
 // strength is the part of its capacity that a host has: less than 1 while it warms up.
 func (b *Balancer) strength(h *host) float64 {
 	from := max(h.Started, h.rampFrom)
-	if from <= 0 || b.now >= from+b.s.ColdS || b.s.ColdS <= 0 {
+	if from <= 0 || b.now >= from+b.s.SlowStartSeconds || b.s.SlowStartSeconds <= 0 {
 		return 1
 	}
-	return b.s.ColdFrom + (1-b.s.ColdFrom)*max(b.now-from, 0)/b.s.ColdS
+	return b.s.SlowStartFraction + (1-b.s.SlowStartFraction)*max(b.now-from, 0)/b.s.SlowStartSeconds
 }
 
 // coldRoom tells whether this proxy's part of a cold host's budget has room, measured by what it sends to a
@@ -20,7 +20,7 @@
 // over. What is beyond whole requests is thinned by a draw, so that the parts add up. Where many are cold the
 // rate of all says too little: what is refused for want of room would keep the room small.
 func (b *Balancer) coldRoom(h *host) bool {
-	w := max(b.s.ColdWindowS, 1e-6)
+	w := max(b.s.SlowStartWindowSeconds, 1e-6)
 	if b.now >= h.winFrom+w { // what was sent in the window before counts as far as it is within one of now
 		if h.winPrev = h.winSent; b.now >= h.winFrom+2*w {
 			h.winPrev = 0
@@ -33,7 +33,7 @@
 		return true
 	}
 	usual := max(b.usualRate()*w/warm, b.brisk, 0.5*b.asks.now(b.now, askMemory)*w/float64(len(b.members)))
-	room := coldPart * b.s.ColdMultiple * strength * b.sets.part(h) * usual
+	room := coldPart * b.s.SlowStartMultiple * strength * b.sets.part(h) * usual
 	return h.winSent+h.winPrev*(1-(b.now-h.winFrom)/w)+h.winLuck < room
 }
 
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -19,7 +19,7 @@
 func (b *Balancer) subset() {
 	ring := make([]*host, 0, len(b.order))
 	for _, h := range b.order {
-		if !h.bound && (h.State != Gone || h.member && h.phi < phiOut && (h.met || !b.s.Probes)) {
+		if !h.bound && (h.State != Gone || h.member && h.phi < phiOut && (h.met || !b.s.ProbesEnabled)) {
 			ring = append(ring, h)
 		}
 	}
@@ -53,7 +53,7 @@
 func (b *Balancer) Place(now float64, self, replicas int) {
 	b.now, b.placed = now, true
 	b.s.Self, b.s.Replicas = self, max(replicas, 1)
-	if b.s.AskForList && !b.watching && b.askWait > 0 { // the wait that goes on was one by the settings' number
+	if b.s.ListOnDemand && !b.watching && b.askWait > 0 { // the wait that goes on was one by the settings' number
 		b.askAt = min(b.askAt, now+b.askTurn())
 		b.due(b.askAt)
 	}
--- a/policy/usable_test.go
+++ b/policy/usable_test.go
@@ -6,7 +6,7 @@
 // decisions stays, and the suspicion that they last read.
 func TestUsable(t *testing.T) {
 	s := plain()
-	s.Probes = true
+	s.ProbesEnabled = true
 	r := newRecorder(t, s)
 	r.list(ListFull, fleet(3)...)
 	expect := func(want int) {
--- a/policy/wakeup.go
+++ b/policy/wakeup.go
@@ -7,21 +7,21 @@
 	if b.armed && b.wake > b.now-1 && b.wake <= at {
 		return
 	}
-	b.armed, b.wake = true, max(at, b.now+b.s.TickS)
+	b.armed, b.wake = true, max(at, b.now+b.s.TickSeconds)
 	b.do.WakeAfter(b.wake - b.now)
 }
 
 // Wake does what is due.
 func (b *Balancer) Wake(now float64) {
 	b.now = now
-	if now < b.wake-b.s.TickS/2 {
+	if now < b.wake-b.s.TickSeconds/2 {
 		return // a wake-up that an earlier one has replaced
 	}
 	b.armed = false
-	if b.s.AskForList && !b.watching {
+	if b.s.ListOnDemand && !b.watching {
 		if now >= b.askAt {
 			b.do.Watch()
-			b.askAt = now + max(0.5*b.s.AskWithinS, 1)
+			b.askAt = now + max(0.5*b.s.MaxListRequestGapSeconds, 1)
 		}
 		b.due(b.askAt)
 	}
