--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -121,13 +121,13 @@
 		case x < 35:
 			r.last++
 			r.open[r.last] = Label{fmt.Sprintf("id \"%d\" \\ \xff{\"t\":", r.last), "read"}
-			q := policy.Request{ID: r.last, Class: r.rng.IntN(2), Deadline: r.now + 1, Repeat: x%2 == 0, Held: float64(x%3) / 10}
+			q := policy.Request{ID: r.last, Class: r.rng.IntN(2), Deadline: r.now + 1, Repeat: x%2 == 0, HeldBackSeconds: float64(x%3) / 10}
 			r.Recorder.Request(r.now, q, r.open[q.ID])
 			r.Balancer.Request(r.now, q)
 		case x < 60 && len(r.sent) > 0:
 			o := r.sent[0]
 			r.sent = r.sent[1:]
-			res := policy.Result{ID: o[0], Attempt: r.tries[o[0]] - 1, Host: o[1], Outcome: policy.Outcome(r.rng.IntN(8)), DelayS: r.rng.Float64() / 10}
+			res := policy.Result{ID: o[0], Attempt: r.tries[o[0]] - 1, Host: o[1], Outcome: policy.Outcome(r.rng.IntN(8)), DelaySeconds: r.rng.Float64() / 10}
 			if x%3 > 0 {
 				res.Outcome, res.Final = policy.OK, true
 			}
@@ -137,7 +137,7 @@
 				r.ended = append(r.ended, o[0])
 			}
 		case x < 80 && len(r.probe) > 0:
-			res := policy.Result{Host: r.probe[0], DelayS: r.rng.Float64() / 50}
+			res := policy.Result{Host: r.probe[0], DelaySeconds: r.rng.Float64() / 50}
 			r.probe = r.probe[1:]
 			res.Report = policy.Report{N: 2, Values: [4]float32{float32(r.rng.IntN(5)) / 3, float32(math.NaN())}}
 			r.Recorder.Probe(r.now, res)
@@ -279,7 +279,7 @@
 func TestLinesTakeNoMemory(t *testing.T) {
 	r := newRig(t, Settings{On: true, MaxBytes: 16 << 20, Files: 4}, 9).run(500)
 	q, id := policy.Request{ID: 5, Deadline: 1.7e9}, Label{"9b1f03aa5c7e2d41", "raise-alert"}
-	res := policy.Result{ID: 5, Host: 3, DelayS: 0.1, Report: policy.Report{N: 4}}
+	res := policy.Result{ID: 5, Host: 3, DelaySeconds: 0.1, Report: policy.Report{N: 4}}
 	host := "s-5be2a07c"
 	r.Recorder.source = named{r, host}
 	assert.Zero(t, testing.AllocsPerRun(1000, func() {
--- a/internal/capture/line.go
+++ b/internal/capture/line.go
@@ -252,7 +252,7 @@
 
 func (l *line) result() policy.Result {
 	r := policy.Result{ID: l.Request, Attempt: l.Attempt, Host: l.Host, Outcome: policy.Outcome(l.Outcome),
-		DelayS: float64(l.Delay), LateS: float64(l.Late), Final: l.Final}
+		DelaySeconds: float64(l.Delay), LateSeconds: float64(l.Late), Final: l.Final}
 	r.Report.N = min(len(l.Report), len(r.Report.Values))
 	for i := range r.Report.N {
 		r.Report.Values[i] = float32(l.Report[i])
@@ -262,5 +262,5 @@
 
 func (l *line) request() policy.Request {
 	return policy.Request{ID: l.Request, Class: l.ClassNo, Tenant: l.Tenant, Key: l.Key, Deadline: float64(l.Deadline),
-		Work: float64(l.Work), HasWork: l.HasWork, Repeat: l.Repeat, Held: float64(l.Held)}
+		WorkSeconds: float64(l.Work), HasWork: l.HasWork, Repeat: l.Repeat, HeldBackSeconds: float64(l.Held)}
 }
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -224,10 +224,10 @@
 		text = strconv.AppendUint(append(text, `,"key":`...), q.Key, 10)
 	}
 	if q.HasWork {
-		text = appendFloat(append(text, `,"has_work":true,"work":`...), q.Work)
+		text = appendFloat(append(text, `,"has_work":true,"work":`...), q.WorkSeconds)
 	}
-	if q.Held != 0 {
-		text = appendFloat(append(text, `,"held":`...), q.Held)
+	if q.HeldBackSeconds != 0 {
+		text = appendFloat(append(text, `,"held":`...), q.HeldBackSeconds)
 	}
 	c.input(appendBool(text, "repeat", q.Repeat))
 }
@@ -299,9 +299,9 @@
 	dst = appendString(append(dst, `,"to":`...), label(c.source.HostName(r.Host)))
 	dst = appendInt(append(dst, `,"host":`...), int64(r.Host))
 	dst = appendInt(append(dst, `,"outcome":`...), int64(r.Outcome))
-	dst = appendFloat(append(dst, `,"delay":`...), r.DelayS)
-	if r.LateS != 0 {
-		dst = appendFloat(append(dst, `,"late":`...), r.LateS)
+	dst = appendFloat(append(dst, `,"delay":`...), r.DelaySeconds)
+	if r.LateSeconds != 0 {
+		dst = appendFloat(append(dst, `,"late":`...), r.LateSeconds)
 	}
 	if r.Report.N == 0 {
 		return dst
--- a/internal/capture/stored_form_test.go
+++ b/internal/capture/stored_form_test.go
@@ -84,8 +84,8 @@
 func writeEachKind(r *rig, l Label) {
 	c := r.Recorder
 	c.Hosts(r.now, policy.ListCached, []policy.HostInfo{{ID: 1, Zone: 2, Kind: 3, Cell: 4, State: policy.Draining, Size: 0.5, Started: 1.6e9}})
-	c.Request(r.now, policy.Request{ID: 5, Class: 1, Tenant: 2, Key: 1 << 63, Deadline: r.now + 1, Work: 0.25, HasWork: true, Repeat: true, Held: 0.125}, l)
-	result := policy.Result{ID: 5, Attempt: 1, Host: 1, Outcome: policy.Outcome(3), DelayS: 0.0625, LateS: 0.5, Final: true,
+	c.Request(r.now, policy.Request{ID: 5, Class: 1, Tenant: 2, Key: 1 << 63, Deadline: r.now + 1, WorkSeconds: 0.25, HasWork: true, Repeat: true, HeldBackSeconds: 0.125}, l)
+	result := policy.Result{ID: 5, Attempt: 1, Host: 1, Outcome: policy.Outcome(3), DelaySeconds: 0.0625, LateSeconds: 0.5, Final: true,
 		Report: policy.Report{N: 3, Values: [4]float32{0.5, float32(math.NaN()), float32(math.Inf(1))}}}
 	c.Outcome(r.now, result, l)
 	c.Probe(r.now, result)
--- a/internal/sidecar/arrivals.go
+++ b/internal/sidecar/arrivals.go
@@ -34,7 +34,7 @@
 // arrive hands a request to the decisions, or has it wait its turn.
 func (s *Sidecar) arrive(r *request, q policy.Request) {
 	a, now := &s.arrivals, s.now()
-	if a.queue.Len() == 0 && !a.waiting && q.Held < staleS {
+	if a.queue.Len() == 0 && !a.waiting && q.HeldBackSeconds < staleS {
 		if now-a.since > takenWithinS {
 			a.taken, a.since = 0, now
 		}
@@ -44,8 +44,8 @@
 			return
 		}
 	}
-	from := now - q.Held
-	if q.Held >= staleS { // its wait is not shed load: it waits for this one look
+	from := now - q.HeldBackSeconds
+	if q.HeldBackSeconds >= staleS { // its wait is not shed load: it waits for this one look
 		from = now
 	}
 	a.queue.Put(admission.Waiting[arrival]{Of: arrival{r, q, now}, Class: q.Class, Arrived: from})
@@ -78,7 +78,7 @@
 			s.counters.Shed++
 			s.answer(r, throttled, func() { r.origin.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		default:
-			q.Held += now - w.Of.at
+			q.HeldBackSeconds += now - w.Of.at
 			s.decide(r, q)
 		}
 		a.taken++
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -123,7 +123,7 @@
 		}
 		s.counters.probes.count(result.Outcome)
 		s.push(func(now float64) {
-			result.DelayS, result.LateS = e.took(now)
+			result.DelaySeconds, result.LateSeconds = e.took(now)
 			s.capture.Probe(now, result)
 			s.balancer.ProbeDone(now, result)
 		})
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -288,7 +288,7 @@
 		quota: ticket}
 	l.request = r
 	// Danger: the decisions take a wait that is shorter than usual for a late retry's; what is cut off here is no sign of that.
-	q := policy.Request{Class: a.Class, Tenant: a.Tenant, Held: waited + cut, Repeat: a.Repeat, Deadline: r.deadline}
+	q := policy.Request{Class: a.Class, Tenant: a.Tenant, HeldBackSeconds: waited + cut, Repeat: a.Repeat, Deadline: r.deadline}
 	if r.uploading() { // its time counts from its last byte; the decisions go by what they are used to
 		r.deadline += longestUploadS
 		l.pause(netio.EndsShow)
--- a/internal/sidecar/events.go
+++ b/internal/sidecar/events.go
@@ -32,7 +32,7 @@
 		e.do(now)
 	case e.ended != nil:
 		r := e.ended.request
-		e.result.DelayS, e.result.LateS = e.ended.took(now)
+		e.result.DelaySeconds, e.result.LateSeconds = e.ended.took(now)
 		e.result.Final = e.result.Final || r.answered
 		s.capture.Outcome(now, e.result, r.label())
 		s.balancer.AttemptDone(now, e.result)
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -48,7 +48,7 @@
 	// Whatever the decisions do, the client gets its one answer in time.
 	s.timers.set(&r.safety, r.deadline+s.slack/2, r)
 	held := func(seconds float64) {
-		q.Held += seconds
+		q.HeldBackSeconds += seconds
 		s.arrive(r, q)
 	}
 	if !s.drilled(r, q.Class, held) {
--- a/internal/simulatorwire/frame.go
+++ b/internal/simulatorwire/frame.go
@@ -201,7 +201,7 @@
 	marks := r[40]
 	return policy.Request{
 		ID: le.Uint32(r[6:]), Class: int(le.Uint16(r[10:])), Tenant: int(le.Uint32(r[12:])),
-		Key: le.Uint64(r[16:]), Deadline: float(r[24:]), Work: float(r[32:]),
+		Key: le.Uint64(r[16:]), Deadline: float(r[24:]), WorkSeconds: float(r[32:]),
 		HasWork: marks&1 != 0, Repeat: marks&2 != 0,
 	}
 }
@@ -214,7 +214,7 @@
 	outcome, err := outcomeOf(le.Uint16(r[16:]))
 	return policy.Result{
 		ID: le.Uint32(r[6:]), Attempt: int(le.Uint16(r[10:])), Host: le.Uint32(r[12:]), Outcome: outcome,
-		DelayS: float(r[18:]), Final: r[26] != 0, Report: report(r[27:]),
+		DelaySeconds: float(r[18:]), Final: r[26] != 0, Report: report(r[27:]),
 	}, err
 }
 
@@ -222,7 +222,7 @@
 func DecodeStatusBack(r Record) (policy.Result, error) {
 	outcome, err := outcomeOf(le.Uint16(r[6:]))
 	return policy.Result{
-		Host: le.Uint32(r[8:]), Outcome: outcome, DelayS: float(r[12:]), Report: report(r[20:]),
+		Host: le.Uint32(r[8:]), Outcome: outcome, DelaySeconds: float(r[12:]), Report: report(r[20:]),
 	}, err
 }
 
--- a/internal/simulatorwire/frame_test.go
+++ b/internal/simulatorwire/frame_test.go
@@ -53,8 +53,8 @@
 	if q.ID != 0x5d3a91c4 || q.Key != 0x91f03b7c55d20a64 || !q.HasWork || q.Repeat {
 		t.Errorf("request %+v", q)
 	}
-	if math.Abs(q.Deadline-8.6523) > 1e-3 || math.Abs(q.Work-0.012) > 1e-3 {
-		t.Errorf("request times %v %v", q.Deadline, q.Work)
+	if math.Abs(q.Deadline-8.6523) > 1e-3 || math.Abs(q.WorkSeconds-0.012) > 1e-3 {
+		t.Errorf("request times %v %v", q.Deadline, q.WorkSeconds)
 	}
 	if DecodeRef(b.Record(2)) != 0x0e6f2b19 {
 		t.Error("reference of the departed request")
@@ -125,9 +125,9 @@
 	r := Record(unhex(t, "1004 03000000 c4913a5d 0200 074a1203 1e00 8b6ce7fba9f1923f 01",
 		"02 0000803f 00000040 00000000 00000000", zeros(4)))
 	res, err := DecodeReturned(r)
-	want := policy.Result{ID: 0x5d3a91c4, Attempt: 2, Host: 0x03124a07, Outcome: policy.Rejected, DelayS: res.DelayS,
+	want := policy.Result{ID: 0x5d3a91c4, Attempt: 2, Host: 0x03124a07, Outcome: policy.Rejected, DelaySeconds: res.DelaySeconds,
 		Final: true, Report: policy.Report{N: 2, Values: [4]float32{1, 2}}}
-	if err != nil || res != want || math.Abs(res.DelayS-0.0185) > 1e-4 {
+	if err != nil || res != want || math.Abs(res.DelaySeconds-0.0185) > 1e-4 {
 		t.Errorf("%+v, %v", res, err)
 	}
 	r[16] = 31
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -19,7 +19,7 @@
 		b.do.Refuse(q.ID, 0)
 		return
 	}
-	q.HasWork = q.HasWork && q.Work > 0 && q.Work < 1e6 // NaN is neither
+	q.HasWork = q.HasWork && q.WorkSeconds > 0 && q.WorkSeconds < 1e6 // NaN is neither
 	aim := math.Inf(1)
 	if i := b.unserved.find(now, &q); i >= 0 {
 		if aim = b.unserved[i].aim; aim <= now {
@@ -34,10 +34,10 @@
 	b.budget = min(b.budget+repeatRate, 10)
 	b.asks.add(b.now, askMemory, 1)
 	if r.HasWork {
-		r.aim += c.TargetStretch * q.Work
-		mean := cmp.Or(b.meanWork, q.Work)
-		b.meanWork = mean + 0.02*(min(q.Work, 4*mean)-mean)
-		r.units = q.Work / b.meanWork
+		r.aim += c.TargetStretch * q.WorkSeconds
+		mean := cmp.Or(b.meanWork, q.WorkSeconds)
+		b.meanWork = mean + 0.02*(min(q.WorkSeconds, 4*mean)-mean)
+		r.units = q.WorkSeconds / b.meanWork
 	}
 	r.aim = min(r.aim, q.Deadline, aim)
 	b.live, b.byID[q.ID] = append(b.live, r), r
@@ -65,7 +65,7 @@
 // lost once the aim of the first has passed. A try that is shorter than its class's usual one was cut by the
 // client's total wait, which tells when that began. It hurts where clients of unlike patience mark none.
 func (b *Balancer) lateness(q Request) float64 {
-	u, left := &b.tries[q.Class], q.Deadline-b.now+q.Held
+	u, left := &b.tries[q.Class], q.Deadline-b.now+q.HeldBackSeconds
 	switch {
 	case left < 0.98*u.usual && b.s.RetriesMarked && !q.Repeat:
 		return 0 // the first try of a client that waits for less
--- a/policy/api.go
+++ b/policy/api.go
@@ -127,15 +127,15 @@
 
 // Request is one try of a client.
 type Request struct {
-	ID       uint32
-	Class    int
-	Tenant   int
-	Key      uint64
-	Deadline float64 // when the client stops waiting
-	Work     float64 // expected work in seconds of a standard core, if HasWork
-	HasWork  bool
-	Repeat   bool
-	Held     float64 // seconds that the host program has held it back; they are no sign of an earlier try
+	ID              uint32
+	Class           int
+	Tenant          int
+	Key             uint64
+	Deadline        float64 // when the client stops waiting
+	WorkSeconds     float64 // expected work in seconds of a standard core, if HasWork
+	HasWork         bool
+	Repeat          bool
+	HeldBackSeconds float64 // seconds that the host program has held it back; they are no sign of an earlier try
 }
 
 // Outcome tells how an attempt or a probe ended.
@@ -164,14 +164,14 @@
 
 // Result is the end of an attempt.
 type Result struct {
-	ID      uint32
-	Attempt int
-	Host    uint32
-	Outcome Outcome
-	DelayS  float64 // from the send to the answer's arrival
-	LateS   float64 // for how long the answer had arrived and nobody had looked; then it is this event's time
-	Final   bool    // the request has had its final answer
-	Report  Report
+	ID           uint32
+	Attempt      int
+	Host         uint32
+	Outcome      Outcome
+	DelaySeconds float64 // from the send to the answer's arrival
+	LateSeconds  float64 // for how long the answer had arrived and nobody had looked; then it is this event's time
+	Final        bool    // the request has had its final answer
+	Report       Report
 }
 
 // Actions is what the host program does for a Balancer. Calls take effect at the time of the event
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -91,7 +91,7 @@
 	b.pump()
 	// Danger: hosts are idle while requests wait for their next look. What a host far from its limits has
 	// made free goes to the first; one with a line must have time to work it off.
-	brisk := res.Outcome == OK && res.DelayS < briskPart*b.aim && !b.polls
+	brisk := res.Outcome == OK && res.DelaySeconds < briskPart*b.aim && !b.polls
 	for first := b.queue.first(); brisk && first != nil && b.settle(first); first = b.queue.first() {
 	}
 }
--- a/policy/checkpoint.go
+++ b/policy/checkpoint.go
@@ -313,7 +313,7 @@
 	c.class(&q.Class)
 	whole(c, &q.Tenant)
 	c.word(&q.Key)
-	c.floats(&q.Deadline, &q.Work, &q.Held, &r.arrived, &r.units, &r.aim, &r.decideAt, &r.lostAt)
+	c.floats(&q.Deadline, &q.WorkSeconds, &q.HeldBackSeconds, &r.arrived, &r.units, &r.aim, &r.decideAt, &r.lostAt)
 	c.bools(&q.HasWork, &q.Repeat, &r.waiting, &r.held, &r.over)
 	if c.failed {
 		return
--- a/policy/checkpoint_test.go
+++ b/policy/checkpoint_test.go
@@ -101,7 +101,7 @@
 			event = func(b *Balancer) { b.Hosts(at, kind, list) }
 		case x < 35:
 			q := Request{ID: nextID, Class: rng.IntN(len(s.Classes)), Tenant: rng.IntN(2), Key: rng.Uint64(),
-				Deadline: now + s.Classes[0].TotalTimeoutSeconds*(0.3+rng.Float64()), Work: rng.ExpFloat64(), HasWork: rng.IntN(2) == 0, Repeat: rng.IntN(4) == 0, Held: float64(rng.IntN(2))}
+				Deadline: now + s.Classes[0].TotalTimeoutSeconds*(0.3+rng.Float64()), WorkSeconds: rng.ExpFloat64(), HasWork: rng.IntN(2) == 0, Repeat: rng.IntN(4) == 0, HeldBackSeconds: float64(rng.IntN(2))}
 			nextID++
 			at := now
 			event = func(b *Balancer) { b.Request(at, q) }
@@ -110,7 +110,7 @@
 			o := out[j]
 			out = slices.Delete(out, j, j+1)
 			n := tries[o[0]] - 1 // the last one; the module passes over what does not fit
-			res := Result{ID: o[0], Attempt: n, Host: o[1], Outcome: Outcome(rng.IntN(8)), DelayS: rng.ExpFloat64() * 0.1, Report: report}
+			res := Result{ID: o[0], Attempt: n, Host: o[1], Outcome: Outcome(rng.IntN(8)), DelaySeconds: rng.ExpFloat64() * 0.1, Report: report}
 			if rng.IntN(2) == 0 {
 				res.Outcome, res.Final = OK, true
 			}
@@ -119,7 +119,7 @@
 		case x < 80 && len(acts.probe) > 0:
 			host := acts.probe[0]
 			acts.probe = acts.probe[1:]
-			res := Result{Host: host, Outcome: Outcome(rng.IntN(6)), DelayS: rng.Float64() * 0.05, Report: report}
+			res := Result{Host: host, Outcome: Outcome(rng.IntN(6)), DelaySeconds: rng.Float64() * 0.05, Report: report}
 			if rng.IntN(3) > 0 {
 				res.Outcome = OK
 			}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -28,7 +28,7 @@
 	b := policy.New(settings, 1, printer{})
 	b.Hosts(0, policy.ListFull, []policy.HostInfo{{ID: 7, State: policy.Ready}})
 	b.Request(0.1, policy.Request{ID: 1, Class: 0, Deadline: 1.1})
-	b.AttemptDone(0.2, policy.Result{ID: 1, Attempt: 0, Host: 7, Outcome: policy.OK, DelayS: 0.1, Final: true})
+	b.AttemptDone(0.2, policy.Result{ID: 1, Attempt: 0, Host: 7, Outcome: policy.OK, DelaySeconds: 0.1, Final: true})
 	b.Hosts(0.3, policy.ListDelta, []policy.HostInfo{{ID: 7, State: policy.Draining}})
 	b.Request(0.4, policy.Request{ID: 2, Class: 0, Deadline: 1.4})
 	b.Wake(0.6)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -107,7 +107,7 @@
 		if c.town.now-c.arrived[id] <= 0.3 {
 			c.served++
 		}
-		c.b.AttemptDone(c.town.now, Result{ID: id, Attempt: number, Host: host, Outcome: OK, DelayS: c.town.now - began, Final: true})
+		c.b.AttemptDone(c.town.now, Result{ID: id, Attempt: number, Host: host, Outcome: OK, DelaySeconds: c.town.now - began, Final: true})
 	})
 }
 
@@ -115,7 +115,7 @@
 	c.town.probes++
 	began := c.town.now
 	c.at(c.serve(host, 0.0002), func() {
-		c.b.ProbeDone(c.town.now, Result{Host: host, Outcome: OK, DelayS: c.town.now - began})
+		c.b.ProbeDone(c.town.now, Result{Host: host, Outcome: OK, DelaySeconds: c.town.now - began})
 	})
 }
 
--- a/policy/idleconn.go
+++ b/policy/idleconn.go
@@ -12,7 +12,7 @@
 	if (res.Outcome == OK || res.Outcome == HostError) && o.idle > 0 {
 		b.deadIdle *= 0.5
 	}
-	quick := res.Outcome == Reset && res.DelayS < 0.25*o.expected // nothing but a dead connection is so quick
+	quick := res.Outcome == Reset && res.DelaySeconds < 0.25*o.expected // nothing but a dead connection is so quick
 	if o.idle < 0.2 || res.Outcome != Reset && res.Outcome != TimedOut {
 		return quick
 	}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -29,8 +29,8 @@
 	case OK:
 		h.refused, h.servedAt = 0, b.now
 		h.turned[o.class] /= 2
-		x = min(res.DelayS/o.expected, 10)
-		b.learnTimes(h, r, res.DelayS, o)
+		x = min(res.DelaySeconds/o.expected, 10)
+		b.learnTimes(h, r, res.DelaySeconds, o)
 	case HostError, Reset, TimedOut, ConnectFailed:
 		if res.Outcome == HostError {
 			// Danger: useless requests that fail anywhere condemn sound hosts. The more of all attempts err,
@@ -38,7 +38,7 @@
 			b.shun(h, o.class, 2-2*min(3*b.errors, 1))
 			x -= 5 * min(3*b.errors, 1)
 			b.errors += 0.05
-			b.budget += max(1-4*res.DelayS/o.expected, 0)
+			b.budget += max(1-4*res.DelaySeconds/o.expected, 0)
 		}
 		if res.Outcome == TimedOut {
 			b.cut(h)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -261,7 +261,7 @@
 			r.probes = nil
 			for _, p := range out {
 				if p.host != silent {
-					r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelayS: r.now - p.at})
+					r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelaySeconds: r.now - p.at})
 				}
 			}
 		}
@@ -373,7 +373,7 @@
 	}
 	r := newRecorder(t, polled())
 	r.list(ListCached)
-	q := r.request(Request{ID: 1, Deadline: 0.5, Tenant: 9, Work: math.NaN(), HasWork: true})
+	q := r.request(Request{ID: 1, Deadline: 0.5, Tenant: 9, WorkSeconds: math.NaN(), HasWork: true})
 	r.b.AttemptDone(r.now, Result{ID: 77, Host: 5, Attempt: 3})
 	r.b.ProbeDone(r.now, Result{Host: 5})
 	r.b.Abandoned(r.now, 9)
@@ -435,7 +435,7 @@
 		case k < 6:
 			id := uint32(len(r.ids) + 1)
 			r.request(Request{ID: id, Class: rng.IntN(3), Deadline: r.now + 0.2 + 0.4*rng.Float64(),
-				HasWork: rng.IntN(2) == 0, Work: 0.1 * rng.Float64()})
+				HasWork: rng.IntN(2) == 0, WorkSeconds: 0.1 * rng.Float64()})
 		case k < 12:
 			finishOne(r, rng, outcomes[rng.IntN(len(outcomes))])
 		case k < 17:
@@ -718,7 +718,7 @@
 			r.answer(OK, nil)
 		}
 		r.b.meanWork, r.b.svc = 0.05, 0.075
-		q := r.request(Request{ID: 1, Deadline: r.now + 1, HasWork: true, Work: c.work})
+		q := r.request(Request{ID: 1, Deadline: r.now + 1, HasWork: true, WorkSeconds: c.work})
 		r.advance(r.now + 0.001)
 		r.answer(OK, func(uint32) float32 { return 0 })
 		r.advance(r.now + 0.002)
@@ -759,7 +759,7 @@
 	q := r.request(Request{ID: 1, Deadline: 1})
 	again := newRecorder(t, plain())
 	again.list(ListCached, ready(1, 2)...)
-	again.b.AttemptDone(0.1, Result{ID: q.ID, Host: q.sends[0].host, Outcome: OK, DelayS: 0.1, Final: true})
+	again.b.AttemptDone(0.1, Result{ID: q.ID, Host: q.sends[0].host, Outcome: OK, DelaySeconds: 0.1, Final: true})
 	again.b.Abandoned(0.1, q.ID)
 	again.now = 0.1
 	if k := again.request(Request{ID: 2, Deadline: 1}); len(k.sends) != 1 {
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -56,7 +56,7 @@
 	if h == nil {
 		return
 	}
-	sent := now - r.LateS - r.DelayS
+	sent := now - r.LateSeconds - r.DelaySeconds
 	out := func(at float64) bool { return math.Abs(sent-at) <= b.s.TickSeconds+1e-4 } // a tick's wait
 	cadence := out(h.probedAt)
 	if cadence {
@@ -69,21 +69,21 @@
 		h.refused = 0
 		b.probeAnswered(h, cadence, sent, r)
 	}
-	b.learnLine(h, r.Outcome, r.DelayS)
+	b.learnLine(h, r.Outcome, r.DelaySeconds)
 	if b.polls {
 		b.pump()
 	}
 }
 
 func (b *Balancer) probeAnswered(h *host, cadence bool, sent float64, r Result) {
-	b.rtt += 0.05 * (min(r.DelayS, 2*b.rtt) - b.rtt)
+	b.rtt += 0.05 * (min(r.DelaySeconds, 2*b.rtt) - b.rtt)
 	b.takeReport(h, sent, r.Report)
 	if !cadence {
 		return
 	}
 	// Danger: an outage's gap would inflate the mean and slow the next verdict, and the host may be cold. The
 	// gap is not learned; trust comes back as to a cold host.
-	at := b.now - r.LateS
+	at := b.now - r.LateSeconds
 	gap := (at - h.answered) / h.every
 	switch {
 	case gap > outageGaps:
--- a/policy/recorder_test.go
+++ b/policy/recorder_test.go
@@ -223,7 +223,7 @@
 	if how == OK && q.ended == "" {
 		q.ended = "served"
 	}
-	r.b.AttemptDone(r.now, Result{ID: q.ID, Attempt: n, Host: a.host, Outcome: how, DelayS: r.now - a.at,
+	r.b.AttemptDone(r.now, Result{ID: q.ID, Attempt: n, Host: a.host, Outcome: how, DelaySeconds: r.now - a.at,
 		Final: q.ended != ""})
 }
 
@@ -233,7 +233,7 @@
 	out := r.probes
 	r.probes = nil
 	for _, p := range out {
-		res := Result{Host: p.host, Outcome: how, DelayS: r.now - p.at}
+		res := Result{Host: p.host, Outcome: how, DelaySeconds: r.now - p.at}
 		if held != nil {
 			res.Report = Report{N: 1, Values: [4]float32{held(p.host)}}
 		}
--- a/policy/reports_test.go
+++ b/policy/reports_test.go
@@ -26,7 +26,7 @@
 				}
 				q.ended = "served"
 				q.sends[0].done = true
-				r.b.AttemptDone(r.now, Result{ID: q.ID, Host: q.sends[0].host, DelayS: r.now - q.sends[0].at, Final: true,
+				r.b.AttemptDone(r.now, Result{ID: q.ID, Host: q.sends[0].host, DelaySeconds: r.now - q.sends[0].at, Final: true,
 					Report: Report{N: 1, Values: [4]float32{reported}}})
 			}
 		}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -69,7 +69,7 @@
 		before := acts[i].sent[72]
 		balancers[i].Request(now, Request{ID: id, Deadline: now + 0.6})
 		if host := acts[i].last; host > 0 {
-			balancers[i].AttemptDone(now+0.0005, Result{ID: id, Host: host, Outcome: OK, DelayS: 0.05, Final: true})
+			balancers[i].AttemptDone(now+0.0005, Result{ID: id, Host: host, Outcome: OK, DelaySeconds: 0.05, Final: true})
 		}
 		if acts[i].sent[72] > before && now >= 20 {
 			at = append(at, now)
@@ -167,7 +167,7 @@
 				r.probes = nil
 				for _, p := range out {
 					if p.host > uint32(g*40) {
-						r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelayS: 0.01})
+						r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelaySeconds: 0.01})
 					}
 				}
 			}
@@ -201,7 +201,7 @@
 				r.probes = nil
 				for _, p := range out {
 					if c.answers || p.host > 3 || r.now < 10 {
-						r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelayS: r.now - p.at})
+						r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelaySeconds: r.now - p.at})
 					}
 				}
 				if r.now >= 10 && r.now < 10.02 {
@@ -246,7 +246,7 @@
 			keep := r.probes[:0]
 			for _, p := range r.probes {
 				if r.now-p.at >= c.delay {
-					r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: c.how, DelayS: r.now - p.at})
+					r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: c.how, DelaySeconds: r.now - p.at})
 				} else {
 					keep = append(keep, p)
 				}
@@ -371,7 +371,7 @@
 				r.probes = nil
 				for _, p := range out {
 					if p.host != dead {
-						r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelayS: r.now - p.at, Report: Report{N: 1}})
+						r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelaySeconds: r.now - p.at, Report: Report{N: 1}})
 					}
 				}
 				r.advance(r.now + 0.001)
@@ -393,7 +393,7 @@
 		q.sends[0].at = r.now
 		dead := q.sends[0].host
 		q.sends[0].done, q.sends[0].outcome = true, Reset
-		r.b.AttemptDone(r.now, Result{ID: 99, Host: dead, Outcome: Reset, DelayS: 0.001})
+		r.b.AttemptDone(r.now, Result{ID: 99, Host: dead, Outcome: Reset, DelaySeconds: 0.001})
 		if alive {
 			dead = 0
 		}
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -36,11 +36,11 @@
 		c.asked = nil
 		for _, p := range asked {
 			if !c.hang[p.host] {
-				c.b.ProbeDone(c.now, Result{Host: p.host, Outcome: OK, DelayS: c.now - p.at})
+				c.b.ProbeDone(c.now, Result{Host: p.host, Outcome: OK, DelaySeconds: c.now - p.at})
 			} else if c.now < p.at+0.4 {
 				c.asked = append(c.asked, p)
 			} else {
-				c.b.ProbeDone(c.now, Result{Host: p.host, Outcome: TimedOut, DelayS: c.now - p.at})
+				c.b.ProbeDone(c.now, Result{Host: p.host, Outcome: TimedOut, DelaySeconds: c.now - p.at})
 			}
 		}
 		c.b.Wake(c.now)
@@ -57,9 +57,9 @@
 	case host == 0:
 		c.b.Abandoned(c.now, c.id)
 	case c.hang[host]:
-		c.b.AttemptDone(c.now, Result{ID: c.id, Host: host, Outcome: Cancelled, DelayS: 0.6, Final: true})
+		c.b.AttemptDone(c.now, Result{ID: c.id, Host: host, Outcome: Cancelled, DelaySeconds: 0.6, Final: true})
 	default:
-		c.b.AttemptDone(c.now, Result{ID: c.id, Host: host, Outcome: OK, DelayS: 0.02, Final: true})
+		c.b.AttemptDone(c.now, Result{ID: c.id, Host: host, Outcome: OK, DelaySeconds: 0.02, Final: true})
 	}
 	return host
 }
@@ -138,11 +138,11 @@
 		}
 		c.b.Request(c.now, Request{ID: c.id, Deadline: c.now + 2})
 		if first := c.last; first != c.hosts[400].ID && first != c.hosts[700].ID {
-			c.b.AttemptDone(c.now, Result{ID: c.id, Host: first, Outcome: OK, DelayS: 0.01, Final: true})
+			c.b.AttemptDone(c.now, Result{ID: c.id, Host: first, Outcome: OK, DelaySeconds: 0.01, Final: true})
 			continue
 		}
 		first := c.last
-		c.b.AttemptDone(c.now, Result{ID: c.id, Host: first, Outcome: HostError, DelayS: 0.01})
+		c.b.AttemptDone(c.now, Result{ID: c.id, Host: first, Outcome: HostError, DelaySeconds: 0.01})
 		if c.last == first || c.b.hosts[c.last].Zone != 2 {
 			t.Fatalf("the repeat went to host %d", c.last)
 		}
@@ -195,7 +195,7 @@
 		kept := out[:0]
 		for _, j := range out {
 			if took := 0.08 * (1 + 1.5*float64(j.host%10)/9); c.now >= j.began+took {
-				c.b.AttemptDone(c.now, Result{ID: j.id, Host: j.host, Outcome: OK, DelayS: c.now - j.began, Final: true})
+				c.b.AttemptDone(c.now, Result{ID: j.id, Host: j.host, Outcome: OK, DelaySeconds: c.now - j.began, Final: true})
 			} else {
 				kept = append(kept, j)
 			}
@@ -257,7 +257,7 @@
 			all[i].Request(now, Request{ID: id, Deadline: now + 0.6})
 			if host := acts[i].last; host != 0 {
 				load[host]++
-				all[i].AttemptDone(now, Result{ID: id, Host: host, Outcome: OK, DelayS: 0.02, Final: true})
+				all[i].AttemptDone(now, Result{ID: id, Host: host, Outcome: OK, DelaySeconds: 0.02, Final: true})
 			}
 		}
 		most := 0
