--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -106,9 +106,9 @@
 		if err != nil {
 			return err
 		}
-		bal.Hosts(now, kind, list)
+		bal.UpdateHosts(now, kind, list)
 	case simulatorwire.Inbound:
-		bal.Request(now, simulatorwire.DecodeInbound(r))
+		bal.StartRequest(now, simulatorwire.DecodeInbound(r))
 	case simulatorwire.Streaming:
 		bal.StreamStarted(now, simulatorwire.DecodeRef(r))
 	case simulatorwire.Returned:
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -101,7 +101,7 @@
 
 func (r *rig) list(kind policy.ListKind) {
 	r.Recorder.Hosts(r.now, kind, r.hosts)
-	r.Balancer.Hosts(r.now, kind, r.hosts)
+	r.Balancer.UpdateHosts(r.now, kind, r.hosts)
 }
 
 // run plays some random events.
@@ -123,7 +123,7 @@
 			r.open[r.last] = Label{fmt.Sprintf("id \"%d\" \\ \xff{\"t\":", r.last), "read"}
 			q := policy.Request{ID: r.last, Class: r.rng.IntN(2), Deadline: r.now + 1, Repeat: x%2 == 0, HeldBackSeconds: float64(x%3) / 10}
 			r.Recorder.Request(r.now, q, r.open[q.ID])
-			r.Balancer.Request(r.now, q)
+			r.Balancer.StartRequest(r.now, q)
 		case x < 60 && len(r.sent) > 0:
 			o := r.sent[0]
 			r.sent = r.sent[1:]
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -216,10 +216,10 @@
 			list = append(list, l.Members[i].info())
 			r.hosts[l.Members[i].ID] = l.Members[i].Name
 		}
-		r.b.Hosts(r.now, policy.ListKind(l.List), list)
+		r.b.UpdateHosts(r.now, policy.ListKind(l.List), list)
 	case kindRequest:
 		r.open[l.Request] = Label{l.ID, l.Class}
-		r.b.Request(r.now, l.request())
+		r.b.StartRequest(r.now, l.request())
 	case kindOutcome:
 		r.b.AttemptDone(r.now, l.result())
 	case kindProbe:
@@ -229,9 +229,9 @@
 	case kindGone:
 		r.b.Abandoned(r.now, l.Request)
 	case kindPlace:
-		r.b.Place(r.now, l.Rank, l.Count)
+		r.b.SetReplica(r.now, l.Rank, l.Count)
 	case kindStalled:
-		r.b.Stalled(r.now, float64(l.Late))
+		r.b.ObserveStall(r.now, float64(l.Late))
 	}
 }
 
--- a/internal/capture/stored_form_test.go
+++ b/internal/capture/stored_form_test.go
@@ -40,9 +40,9 @@
 	r.Recorder.source = ordered{r}
 	r.run(60)
 	r.Recorder.Stalled(r.now, 0.75)
-	r.Balancer.Stalled(r.now, 0.75)
+	r.Balancer.ObserveStall(r.now, 0.75)
 	r.Recorder.Place(r.now, 1, 3)
-	r.Balancer.Place(r.now, 1, 3)
+	r.Balancer.SetReplica(r.now, 1, 3)
 	r.run(40)
 	r.Recorder.Resume()
 	r.run(40)
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -264,7 +264,7 @@
 
 // short tells whether there is not enough for all: requests wait for a server, or for the sidecar itself.
 func (s *Sidecar) short() bool {
-	return s.arrivals.queue.Len() > 0 || s.balancer.Waiting() > 0
+	return s.arrivals.queue.Len() > 0 || s.balancer.QueueLength() > 0
 }
 
 // mostShown bounds the addresses that are told of at a time.
--- a/internal/sidecar/events.go
+++ b/internal/sidecar/events.go
@@ -39,6 +39,6 @@
 		s.forget(r)
 	case !e.request.answered: // its client may have gone since
 		s.capture.Request(now, e.told, e.request.label())
-		s.balancer.Request(now, e.told)
+		s.balancer.StartRequest(now, e.told)
 	}
 }
--- a/internal/sidecar/fit.go
+++ b/internal/sidecar/fit.go
@@ -50,7 +50,7 @@
 
 // noneUsable tells whether there are boxes and none is to be used.
 func (s *Sidecar) noneUsable(now float64) bool {
-	avoided, any := s.balancer.Avoided(now), false
+	avoided, any := s.balancer.Ejected(now), false
 	for h := range s.hosts.Listed {
 		if any = true; h.State == policy.Ready && !avoided(h.ID) {
 			return false
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -95,7 +95,7 @@
 	case now-st.UnixSeconds > oldestS:
 		return errOld
 	}
-	b, err := policy.Succeed(s.cfg.Settings.Policy, st.PolicyCheckpoint, now, s)
+	b, err := policy.RestoreSuccessor(s.cfg.Settings.Policy, st.PolicyCheckpoint, now, s)
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/health.go
+++ b/internal/sidecar/health.go
@@ -14,7 +14,7 @@
 func (s *Sidecar) publishHealth() {
 	now := s.now()
 	s.health.Publish(health.Snapshot{TakenAt: now, ListReadAt: s.listAt, Started: s.listed, Draining: s.leaving(),
-		UsableServers: s.balancer.Usable(now), Inflight: s.counters.Open})
+		UsableServers: s.balancer.UsableHosts(now), Inflight: s.counters.Open})
 	s.timers.at(now+heartbeatEveryS, s.publishHealth)
 }
 
--- a/internal/sidecar/lateness.go
+++ b/internal/sidecar/lateness.go
@@ -55,6 +55,6 @@
 	s.log.Debug("the loop stood still", "seconds", seconds)
 	s.push(func(now float64) {
 		s.capture.Stalled(now, seconds)
-		s.balancer.Stalled(now, seconds)
+		s.balancer.ObserveStall(now, seconds)
 	})
 }
--- a/internal/sidecar/operate.go
+++ b/internal/sidecar/operate.go
@@ -42,7 +42,7 @@
 	now := s.now()
 	f := &Figures{At: now, Ending: s.draining, Classes: append([]classCounts(nil), s.counters.Classes...), Written: s.counters.Written,
 		Open: s.counters.Open}
-	avoided := s.balancer.Avoided(now)
+	avoided := s.balancer.Ejected(now)
 	for h := range s.hosts.Listed {
 		if f.Members++; h.State != policy.Ready || avoided(h.ID) {
 			f.Unavailable++
--- a/internal/sidecar/place.go
+++ b/internal/sidecar/place.go
@@ -24,7 +24,7 @@
 	s.enter(func() {
 		s.push(func(now float64) {
 			s.capture.Place(now, number, count)
-			s.balancer.Place(now, number, count)
+			s.balancer.SetReplica(now, number, count)
 		})
 	})
 }
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -249,7 +249,7 @@
 func (s *Sidecar) tellHosts(kind policy.ListKind, infos []policy.HostInfo) {
 	s.push(func(now float64) {
 		s.capture.Hosts(now, kind, infos)
-		s.balancer.Hosts(now, kind, infos)
+		s.balancer.UpdateHosts(now, kind, infos)
 	})
 }
 
--- a/internal/sidecar/works.go
+++ b/internal/sidecar/works.go
@@ -149,7 +149,7 @@
 			out[e.host]++
 		}
 	}
-	avoided, w, p := s.balancer.Avoided(now), s.works, &s.cfg.Settings.Policy
+	avoided, w, p := s.balancer.Ejected(now), s.works, &s.cfg.Settings.Policy
 	for id := range s.hosts.Names {
 		h := s.hosts.Host(id)
 		k := h.Known()
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -13,7 +13,7 @@
 )
 
 // Request takes a request from a client.
-func (b *Balancer) Request(now float64, q Request) {
+func (b *Balancer) StartRequest(now float64, q Request) {
 	b.now = now
 	if q.Class < 0 || q.Class >= len(b.s.Classes) {
 		b.do.Refuse(q.ID, 0)
--- a/policy/checkpoint.go
+++ b/policy/checkpoint.go
@@ -331,7 +331,7 @@
 // Succeed returns a Balancer for the process that takes the place of the one whose checkpoint it is. What is known of hosts
 // passes over; requests do not: the old process still answers those that it has. The time in which nobody listened is no
 // sign against a host.
-func Succeed(s Settings, state []byte, now float64, do Actions) (*Balancer, error) {
+func RestoreSuccessor(s Settings, state []byte, now float64, do Actions) (*Balancer, error) {
 	b, err := Restore(s, state, do)
 	if err != nil {
 		return nil, err
@@ -342,6 +342,6 @@
 	}
 	b.armed, b.watching, b.placed = false, false, false
 	b.told, b.s.Self, b.s.Replicas = s.Replicas, s.Self, s.Replicas
-	b.Stalled(now, max(now-b.now, 0))
+	b.ObserveStall(now, max(now-b.now, 0))
 	return b, nil
 }
--- a/policy/checkpoint_test.go
+++ b/policy/checkpoint_test.go
@@ -98,13 +98,13 @@
 				}
 			}
 			at := now
-			event = func(b *Balancer) { b.Hosts(at, kind, list) }
+			event = func(b *Balancer) { b.UpdateHosts(at, kind, list) }
 		case x < 35:
 			q := Request{ID: nextID, Class: rng.IntN(len(s.Classes)), Tenant: rng.IntN(2), Key: rng.Uint64(),
 				Deadline: now + s.Classes[0].TotalTimeoutSeconds*(0.3+rng.Float64()), WorkSeconds: rng.ExpFloat64(), HasWork: rng.IntN(2) == 0, Repeat: rng.IntN(4) == 0, HeldBackSeconds: float64(rng.IntN(2))}
 			nextID++
 			at := now
-			event = func(b *Balancer) { b.Request(at, q) }
+			event = func(b *Balancer) { b.StartRequest(at, q) }
 		case x < 65 && len(out) > 0:
 			j := rng.IntN(len(out))
 			o := out[j]
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -15,7 +15,7 @@
 const soonestAsk = 0.2
 
 // Hosts takes a list of hosts.
-func (b *Balancer) Hosts(now float64, kind ListKind, list []HostInfo) {
+func (b *Balancer) UpdateHosts(now float64, kind ListKind, list []HostInfo) {
 	b.now = now
 	if kind == ListFailed {
 		// Danger: all proxies asking again at once keep the list service down: they ask in turn. Waits
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -26,11 +26,11 @@
 		MaxAttempts: 2,
 	}
 	b := policy.New(settings, 1, printer{})
-	b.Hosts(0, policy.ListFull, []policy.HostInfo{{ID: 7, State: policy.Ready}})
-	b.Request(0.1, policy.Request{ID: 1, Class: 0, Deadline: 1.1})
+	b.UpdateHosts(0, policy.ListFull, []policy.HostInfo{{ID: 7, State: policy.Ready}})
+	b.StartRequest(0.1, policy.Request{ID: 1, Class: 0, Deadline: 1.1})
 	b.AttemptDone(0.2, policy.Result{ID: 1, Attempt: 0, Host: 7, Outcome: policy.OK, DelaySeconds: 0.1, Final: true})
-	b.Hosts(0.3, policy.ListDelta, []policy.HostInfo{{ID: 7, State: policy.Draining}})
-	b.Request(0.4, policy.Request{ID: 2, Class: 0, Deadline: 1.4})
+	b.UpdateHosts(0.3, policy.ListDelta, []policy.HostInfo{{ID: 7, State: policy.Draining}})
+	b.StartRequest(0.4, policy.Request{ID: 2, Class: 0, Deadline: 1.4})
 	b.Wake(0.6)
 	// Output:
 	// send 1 to 7
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -63,7 +63,7 @@
 		s.Self = i
 		c := &citizen{town: t, silentActions: newSilent(&t.now), arrived: map[uint32]float64{}, tries: map[uint32]int{}}
 		c.b = New(s, uint64(i), c)
-		c.b.Hosts(0, ListFull, fleet(hosts))
+		c.b.UpdateHosts(0, ListFull, fleet(hosts))
 		t.proxies = append(t.proxies, c)
 	}
 	return t
@@ -90,7 +90,7 @@
 	t.id++
 	t.asked++
 	c.arrived[t.id] = t.now
-	c.b.Request(t.now, Request{ID: t.id, Deadline: t.now + 0.9})
+	c.b.StartRequest(t.now, Request{ID: t.id, Deadline: t.now + 0.9})
 }
 
 // serve has a host work, and returns when it is done.
@@ -179,7 +179,7 @@
 		}
 	}
 	for _, c := range town.proxies {
-		c.b.Hosts(0, ListFull, hosts)
+		c.b.UpdateHosts(0, ListFull, hosts)
 	}
 	town.play(20, 0.7*100*(1/0.03+1/0.09))
 	slow := 0
@@ -209,7 +209,7 @@
 				r := newRecorder(t, s)
 				r.list(ListFull, ready(1)...)
 				if placed { // and each was told by the settings that it is the only one
-					r.b.Place(0, self, proxies)
+					r.b.SetReplica(0, self, proxies)
 				}
 				for failed := range 6 {
 					r.list(ListFailed)
@@ -241,7 +241,7 @@
 	for range 3 {
 		r.list(ListFailed)
 	}
-	r.b.Place(r.now, 299, 300)
+	r.b.SetReplica(r.now, 299, 300)
 	was := r.watches
 	if r.advance(r.now + longestAsk + s.TickSeconds); r.watches == was {
 		t.Errorf("no call within %v s", longestAsk)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -309,7 +309,7 @@
 	for _, told := range []float64{10, 0} {
 		r.now += 10
 		if told > 0 {
-			r.b.Stalled(r.now, told)
+			r.b.ObserveStall(r.now, told)
 		}
 		for _, h := range r.b.members {
 			if r.b.now = r.now; (r.b.suspicion(h) < phiCut) != (told > 0) {
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -102,7 +102,7 @@
 
 // Stalled tells that the host program itself stood still for so long until now. Danger: silence that nobody
 // listened to is no sign against a host; read as one, a pause of this program shuts out the whole fleet.
-func (b *Balancer) Stalled(now, seconds float64) {
+func (b *Balancer) ObserveStall(now, seconds float64) {
 	b.now = now
 	for _, h := range b.members {
 		h.answered = min(h.answered+seconds, now)
--- a/policy/query.go
+++ b/policy/query.go
@@ -1,10 +1,10 @@
 package policy
 
 // Waiting returns how many requests no host could take so far.
-func (b *Balancer) Waiting() int { return b.queue.len() }
+func (b *Balancer) QueueLength() int { return b.queue.len() }
 
 // Usable returns how many members may be sent something new and are not taken for dead, each for itself.
-func (b *Balancer) Usable(now float64) (n int) {
+func (b *Balancer) UsableHosts(now float64) (n int) {
 	view := *b // Danger: what is asked must not move the clock by which the next event is judged
 	view.now = now
 	for _, h := range b.members {
@@ -17,7 +17,7 @@
 
 // Avoided returns a test of whether a host is a member that gets no traffic now, since its silence or its refusals say too much
 // against it.
-func (b *Balancer) Avoided(now float64) func(id uint32) bool {
+func (b *Balancer) Ejected(now float64) func(id uint32) bool {
 	view := *b // Danger: what is asked must not move the clock by which the next event is judged
 	view.now = now
 	return func(id uint32) bool {
--- a/policy/recorder_test.go
+++ b/policy/recorder_test.go
@@ -193,7 +193,7 @@
 		r.hosts[h.ID] = h
 		r.tell(h.ID, h.State)
 	}
-	r.b.Hosts(r.now, kind, hosts)
+	r.b.UpdateHosts(r.now, kind, hosts)
 }
 
 func (r *recorder) tell(id uint32, state HostState) {
@@ -211,7 +211,7 @@
 	k := &tracked{Request: q}
 	r.requests[q.ID] = k
 	r.ids = append(r.ids, q.ID)
-	r.b.Request(r.now, q)
+	r.b.StartRequest(r.now, q)
 	return k
 }
 
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -49,7 +49,7 @@
 		s.Self = i
 		acts[i] = newSilent(&now)
 		balancers[i] = New(s, uint64(i), acts[i])
-		balancers[i].Hosts(0, ListFull, fleet(hosts))
+		balancers[i].UpdateHosts(0, ListFull, fleet(hosts))
 	}
 	cold := fleet(hosts)
 	for i := range cold {
@@ -61,13 +61,13 @@
 		if now >= 20 && step == 0.0007 { // all hosts restart and clients storm them
 			step = 0.0003
 			for _, b := range balancers {
-				b.Hosts(now, ListFull, cold)
+				b.UpdateHosts(now, ListFull, cold)
 			}
 		}
 		i := rng.IntN(proxies)
 		id++
 		before := acts[i].sent[72]
-		balancers[i].Request(now, Request{ID: id, Deadline: now + 0.6})
+		balancers[i].StartRequest(now, Request{ID: id, Deadline: now + 0.6})
 		if host := acts[i].last; host > 0 {
 			balancers[i].AttemptDone(now+0.0005, Result{ID: id, Host: host, Outcome: OK, DelaySeconds: 0.05, Final: true})
 		}
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -22,7 +22,7 @@
 	c.silentActions = newSilent(&c.now)
 	s.ProbesEnabled = true
 	c.b = New(s, 7, c)
-	c.b.Hosts(0, ListFull, c.hosts)
+	c.b.UpdateHosts(0, ListFull, c.hosts)
 	return c
 }
 
@@ -51,7 +51,7 @@
 func (c *crowd) ask() uint32 {
 	c.id++
 	c.last = 0
-	c.b.Request(c.now, Request{ID: c.id, Deadline: c.now + 0.6})
+	c.b.StartRequest(c.now, Request{ID: c.id, Deadline: c.now + 0.6})
 	host := c.last
 	switch {
 	case host == 0:
@@ -84,7 +84,7 @@
 			for i := range c.hosts {
 				c.hosts[i].Zone = i % 4
 			}
-			c.b.Hosts(c.now, ListFull, c.hosts)
+			c.b.UpdateHosts(c.now, ListFull, c.hosts)
 			c.pass(5)
 			good := map[uint32]bool{}
 			for i, place := range rand.New(rand.NewPCG(3, 3)).Perm(n) {
@@ -96,7 +96,7 @@
 					kinds[name](c, place)
 				}
 			}
-			c.b.Hosts(c.now, ListDelta, c.hosts)
+			c.b.UpdateHosts(c.now, ListDelta, c.hosts)
 			c.pass(10)
 			found, wasted := 0, 0
 			for i := range asked {
@@ -130,13 +130,13 @@
 		c.hosts[i].Zone = 1
 	}
 	c.hosts[400].Zone, c.hosts[700].Zone = 2, 2
-	c.b.Hosts(c.now, ListFull, c.hosts)
+	c.b.UpdateHosts(c.now, ListFull, c.hosts)
 	c.pass(3)
 	for tries := 0; ; tries++ { // until one of the two is drawn
 		if c.id++; tries > 20_000 {
 			t.Fatal("neither host of the zone is ever drawn")
 		}
-		c.b.Request(c.now, Request{ID: c.id, Deadline: c.now + 2})
+		c.b.StartRequest(c.now, Request{ID: c.id, Deadline: c.now + 2})
 		if first := c.last; first != c.hosts[400].ID && first != c.hosts[700].ID {
 			c.b.AttemptDone(c.now, Result{ID: c.id, Host: first, Outcome: OK, DelaySeconds: 0.01, Final: true})
 			continue
@@ -158,7 +158,7 @@
 		for i := range 10 {
 			place := step*10 + i
 			c.hosts[place].State = Gone
-			c.b.Hosts(c.now, ListDelta, []HostInfo{c.hosts[place], {ID: uint32(5000 + place), State: Ready, Started: c.now}})
+			c.b.UpdateHosts(c.now, ListDelta, []HostInfo{c.hosts[place], {ID: uint32(5000 + place), State: Ready, Started: c.now}})
 		}
 		c.pass(0.1)
 		for range 5 {
@@ -168,7 +168,7 @@
 		}
 	}
 	c.pass(forgetAfter + 10)
-	c.b.Hosts(c.now, ListDelta, nil)
+	c.b.UpdateHosts(c.now, ListDelta, nil)
 	if len(c.b.hosts) != 1000 || len(c.b.order) != 1000 {
 		t.Errorf("%d hosts are remembered", len(c.b.hosts))
 	}
@@ -187,7 +187,7 @@
 		for range 10 {
 			c.id++
 			c.last = 0
-			if c.b.Request(c.now, Request{ID: c.id, Deadline: c.now + 2}); c.last != 0 {
+			if c.b.StartRequest(c.now, Request{ID: c.id, Deadline: c.now + 2}); c.last != 0 {
 				out = append(out, job{c.id, c.last, c.now})
 			}
 		}
@@ -237,7 +237,7 @@
 			}
 			a := newSilent(&now)
 			b := New(s, uint64(i), a)
-			b.Hosts(0, ListFull, fleet(hosts))
+			b.UpdateHosts(0, ListFull, fleet(hosts))
 			all, acts = append(all, b), append(acts, a)
 		}
 		var id uint32
@@ -254,7 +254,7 @@
 			}
 			id++
 			acts[i].last = 0
-			all[i].Request(now, Request{ID: id, Deadline: now + 0.6})
+			all[i].StartRequest(now, Request{ID: id, Deadline: now + 0.6})
 			if host := acts[i].last; host != 0 {
 				load[host]++
 				all[i].AttemptDone(now, Result{ID: id, Host: host, Outcome: OK, DelaySeconds: 0.02, Final: true})
@@ -288,7 +288,7 @@
 		b.Run(fmt.Sprintf("list/%d", n), func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
 				c.now += 0.01
-				c.b.Hosts(c.now, ListDelta, c.hosts[i%n:i%n+1])
+				c.b.UpdateHosts(c.now, ListDelta, c.hosts[i%n:i%n+1])
 			}
 		})
 		b.Run(fmt.Sprintf("wake/%d", n), func(b *testing.B) {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -50,7 +50,7 @@
 }
 
 // Place tells this proxy that it is the one of a number among so many. Until it is called the settings say so.
-func (b *Balancer) Place(now float64, self, replicas int) {
+func (b *Balancer) SetReplica(now float64, self, replicas int) {
 	b.now, b.placed = now, true
 	b.s.Self, b.s.Replicas = self, max(replicas, 1)
 	if b.s.ListOnDemand && !b.watching && b.askWait > 0 { // the wait that goes on was one by the settings' number
--- a/policy/usable_test.go
+++ b/policy/usable_test.go
@@ -12,7 +12,7 @@
 	expect := func(want int) {
 		t.Helper()
 		before := r.b.now
-		if n := r.b.Usable(r.now); n != want {
+		if n := r.b.UsableHosts(r.now); n != want {
 			t.Errorf("%.1f: %d usable, want %d", r.now, n, want)
 		}
 		if r.b.now != before {
