--- a/internal/coordination/lease_status.go
+++ b/internal/coordination/lease_status.go
@@ -3,181 +3,185 @@
 import (
 	"errors"
 	"fmt"
-	"math"
 
 	"hazelwheel/internal/decide/lease"
 	"hazelwheel/internal/decide/swim"
 	"hazelwheel/internal/sidecar"
 )
 
-// LeaseStatus is what a sidecar knows of who owns what.
+// LeaseStatus is the answer of the admin commands OWNERS and ELECTORS. JSON keys are read by operators' tools.
 type LeaseStatus struct {
-	Epoch            uint64        `json:"epoch"` // of the electors' founding; 0: none is known
-	Index            uint64        `json:"index"` // of their log up to which this holds
+	Epoch            uint64        `json:"epoch"` // of the voters' founding; 0: none is known
+	Index            uint64        `json:"index"` // of the voters' log as of which this holds
 	Term             uint64        `json:"term"`
 	Leader           *VoterStatus  `json:"leader,omitempty"`
 	Voters           []VoterStatus `json:"electors,omitempty"`
-	Roles            []RoleStatus  `json:"jobs,omitempty"`
-	IneligibleReason string        `json:"unwilling,omitempty"` // why this sidecar does nothing for others
+	Roles            []RoleStatus  `json:"jobs,omitempty"`      // sorted by name
+	IneligibleReason string        `json:"unwilling,omitempty"` // why this sidecar takes no role at the moment
 	Lists            *ListStats    `json:"lists,omitempty"`
-	Faults           []FaultStatus `json:"drills,omitempty"` // of the whole fleet, also such as have ended
-	Local            lease.Stats   `json:"here"`
+	Faults           []FaultStatus `json:"drills,omitempty"` // of the whole fleet, also ended ones
+	Local            lease.Stats   `json:"here"`             // of this sidecar's lease node
 }
 
-// VoterStatus is one that agrees on who owns what.
+// VoterStatus is the status of a voter, or of the holder of a role.
 type VoterStatus struct {
 	ID      string `json:"id"`
-	Name    string `json:"name,omitempty"` // empty: it is not known who that is
+	Name    string `json:"name,omitempty"` // empty: the member is not known here
 	Address string `json:"address,omitempty"`
-	State   string `json:"state"`
+	State   string `json:"state"` // swim.State, or "unknown"
 }
 
-// RoleStatus is one that is owned, was, or was heard of.
+// RoleStatus is the status of a role that was granted, that this sidecar can hold, or of which a message came.
 type RoleStatus struct {
 	Role             string   `json:"job"`
 	Token            uint64   `json:"token"`               // of the last grant that is known
-	Owner            string   `json:"owner,omitempty"`     // its id; empty: nobody's
-	OwnerName        string   `json:"name,omitempty"`      // of the owner
-	HeldToken        uint64   `json:"held,omitempty"`      // the token under which this sidecar acts
-	MaxToken         uint64   `json:"seen,omitempty"`      // the greatest token of an effect
-	Accepted         uint64   `json:"taken,omitempty"`     // effects
-	Rejected         uint64   `json:"refused,omitempty"`   // effects of a token that was too low
-	Malformed        uint64   `json:"senseless,omitempty"` // effects whose body made no sense
-	AcceptedTokens   []uint64 `json:"taken_of,omitempty"`  // of the effects that were taken last, as they changed
-	Capable          bool     `json:"can"`                 // this sidecar can do it
-	ReportAgeSeconds float64  `json:"report_s,omitempty"`  // since the last report, of that job
+	Owner            string   `json:"owner,omitempty"`     // ID of the holder; empty: there is none
+	OwnerName        string   `json:"name,omitempty"`      // of the holder
+	HeldToken        uint64   `json:"held,omitempty"`      // token under which this sidecar may act
+	MaxToken         uint64   `json:"seen,omitempty"`      // greatest token of a message
+	Accepted         uint64   `json:"taken,omitempty"`     // messages
+	Rejected         uint64   `json:"refused,omitempty"`   // messages whose token was too low
+	Malformed        uint64   `json:"senseless,omitempty"` // messages whose body could not be used
+	AcceptedTokens   []uint64 `json:"taken_of,omitempty"`  // of the last accepted messages, one entry for each change, the oldest first
+	Capable          bool     `json:"can"`                 // this sidecar can hold it
+	ReportAgeSeconds float64  `json:"report_s,omitempty"`  // of the last report; role "report" alone
 }
 
-// leaseView returns what the decisions say. Who can't keep what it promises leads nobody, whatever it was when it last could.
-func (o *roleManager) leaseView() (table lease.Table, here lease.Stats) {
-	if o.lease != nil {
-		table, here = o.lease.Table(), o.lease.Stats()
-		here.IsLeader = here.IsLeader && !here.PersistFailed
+// ErrNoVoters is returned where the fleet has no singleton roles.
+var ErrNoVoters = errors.New("this sidecar's fleet has no electors")
+
+// LeaseStatus returns the status of leases and voters, or ErrNoVoters. It is for the loop.
+func (n *Node) LeaseStatus() (*LeaseStatus, error) {
+	if n.roles == nil || n.view == nil {
+		return nil, ErrNoVoters
+	}
+	return n.roles.status(), nil
+}
+
+// StepDown asks the voters to move a role to another holder. It returns ErrNoVoters, or an error if the role has no holder. It is for
+// the loop.
+func (n *Node) StepDown(role string) (err error) {
+	n.run(func() {
+		if n.roles == nil || n.roles.lease == nil {
+			err = ErrNoVoters
+			return
+		}
+		for _, g := range n.roles.lease.Table().Grants {
+			if g.Role == role && g.Holder != 0 {
+				n.roles.lease.RequestStepDown(n.net.Now(), role)
+				return
+			}
+		}
+		err = fmt.Errorf("nobody owns a job %.40q", role)
+	})
+	return err
+}
+
+// leaseView returns the table of leases and this sidecar's lease statistics. A sidecar whose state could not be written counts as no
+// leader, since it votes no more.
+func (m *roleManager) leaseView() (table lease.Table, local lease.Stats) {
+	if m.lease != nil {
+		table, local = m.lease.Table(), m.lease.Stats()
+		local.IsLeader = local.IsLeader && !local.PersistFailed
 	}
-	return table, here
+	return table, local
 }
 
-// status tells what is known.
-func (o *roleManager) status() *LeaseStatus {
-	s := &LeaseStatus{IneligibleReason: o.ineligibleReason}
-	if o.listRelay != nil {
-		s.Lists = o.listRelay.snapshotStats()
-	}
-	if o.faults != nil {
-		s.Faults = o.faults.status()
-	}
-	table, here := o.leaseView()
-	s.Local = here
-	s.Epoch, s.Index, s.Term = table.Epoch, table.Index, table.Term
+func (m *roleManager) status() *LeaseStatus {
+	table, local := m.leaseView()
+	s := &LeaseStatus{Epoch: table.Epoch, Index: table.Index, Term: table.Term, IneligibleReason: m.ineligibleReason, Local: local}
+	if m.listRelay != nil {
+		s.Lists = m.listRelay.snapshotStats()
+	}
+	if m.faults != nil {
+		s.Faults = m.faults.status()
+	}
 	if table.Leader != 0 {
-		e := o.voterStatus(table.Leader)
-		s.Leader = &e
+		leader := m.voterStatus(table.Leader)
+		s.Leader = &leader
 	}
 	for _, id := range table.Voters {
-		s.Voters = append(s.Voters, o.voterStatus(id))
+		s.Voters = append(s.Voters, m.voterStatus(id))
 	}
 	for _, g := range table.Grants {
-		o.state(g.Role)
-	}
-	for _, j := range o.states {
-		e := RoleStatus{Role: j.name, HeldToken: o.activeToken(j), Accepted: j.accepted, Rejected: j.rejected, Malformed: j.malformed, Capable: j.role != nil}
-		for _, g := range table.Grants {
-			if g.Role == j.name {
-				if e.Token = g.Token; g.Holder != 0 {
-					who := o.voterStatus(g.Holder)
-					e.Owner, e.OwnerName = who.ID, who.Name
-				}
-			}
-		}
-		for _, g := range o.fence.Highest() {
-			if g.Role == j.name {
-				e.MaxToken = g.Token
-			}
+		m.state(g.Role) // added if it is not there
+	}
+	for _, role := range m.states {
+		s.Roles = append(s.Roles, m.roleStatus(role, &table))
+	}
+	return s
+}
+
+func (m *roleManager) roleStatus(s *roleState, table *lease.Table) RoleStatus {
+	status := RoleStatus{Role: s.name, HeldToken: m.activeToken(s), MaxToken: m.fenceToken(s.name), Accepted: s.accepted, Rejected: s.rejected, Malformed: s.malformed,
+		Capable: s.role != nil}
+	for _, g := range table.Grants {
+		if g.Role != s.name {
+			continue
 		}
-		for i := range j.acceptedTokens {
-			if token := j.acceptedTokens[(j.acceptedTokensAt+1+i)%len(j.acceptedTokens)]; token != 0 {
-				e.AcceptedTokens = append(e.AcceptedTokens, token)
-			}
+		if status.Token = g.Token; g.Holder != 0 {
+			holder := m.voterStatus(g.Holder)
+			status.Owner, status.OwnerName = holder.ID, holder.Name
 		}
-		if r, ok := j.role.(*reportRole); ok && r.lastReport != nil {
-			e.ReportAgeSeconds = math.Round(10*(o.node.net.Now()-r.lastReportAt)) / 10
+	}
+	for i := range s.acceptedTokens {
+		if token := s.acceptedTokens[(s.acceptedTokensAt+1+i)%len(s.acceptedTokens)]; token != 0 {
+			status.AcceptedTokens = append(status.AcceptedTokens, token)
 		}
-		s.Roles = append(s.Roles, e)
 	}
-	return s
+	if r, ok := s.role.(*reportRole); ok && r.lastReport != nil {
+		status.ReportAgeSeconds = roundTenths(m.node.net.Now() - r.lastReportAt)
+	}
+	return status
 }
 
-// voterStatus says who a member is.
-func (o *roleManager) voterStatus(id swim.ID) VoterStatus {
-	e := VoterStatus{ID: id.String(), State: "unknown"}
-	for m := range o.node.view.Members {
-		if m.ID == id {
-			e.Name, e.Address, e.State = m.Name, m.Address, m.State.String()
+func (m *roleManager) voterStatus(id swim.ID) VoterStatus {
+	s := VoterStatus{ID: id.String(), State: "unknown"}
+	for member := range m.node.view.Members {
+		if member.ID == id {
+			s.Name, s.Address, s.State = member.Name, member.Address, member.State.String()
 		}
 	}
-	return e
+	return s
 }
 
-// appendFigures appends what the door's dump has.
-func (o *roleManager) appendFigures(all []sidecar.Figure) []sidecar.Figure {
-	table, here := o.leaseView()
-	one := func(on bool) uint64 {
-		if on {
-			return 1
-		}
-		return 0
-	}
-	all = append(all, sidecar.Figure{Name: "owner_electors", Value: uint64(len(table.Voters))}, sidecar.Figure{Name: "owner_elector", Value: one(here.IsVoter)},
-		sidecar.Figure{Name: "owner_leads", Value: one(here.IsLeader)}, sidecar.Figure{Name: "owner_term", Value: here.Term},
-		sidecar.Figure{Name: "owner_unkept", Value: one(here.PersistFailed)})
-	if l := o.listRelay; l != nil {
-		all = append(all, sidecar.Figure{Name: "owner_list_fed", Value: one(l.relayed)}, sidecar.Figure{Name: "owner_list_starved", Value: l.stats.Stale},
-			sidecar.Figure{Name: "owner_list_disagreed", Value: l.stats.Mismatches})
-	}
-	if w := o.maintenance; w != nil {
-		plans := 0
-		for i := range w.state.Plans {
-			if !w.state.Plans[i].Ended {
-				plans++
-			}
+// appendFigures appends the figures of leases and roles for the admin command DUMP.
+func (m *roleManager) appendFigures(all []sidecar.Figure) []sidecar.Figure {
+	add := func(name string, value uint64) { all = append(all, sidecar.Figure{Name: name, Value: value}) }
+	table, local := m.leaseView()
+	add("owner_electors", uint64(len(table.Voters)))
+	add("owner_elector", uint64(boolToInt(local.IsVoter)))
+	add("owner_leads", uint64(boolToInt(local.IsLeader)))
+	add("owner_term", local.Term)
+	add("owner_unkept", uint64(boolToInt(local.PersistFailed)))
+	if l := m.listRelay; l != nil {
+		add("owner_list_fed", uint64(boolToInt(l.relayed)))
+		add("owner_list_starved", l.stats.Stale)
+		add("owner_list_disagreed", l.stats.Mismatches)
+	}
+	if r := m.maintenance; r != nil {
+		active := 0
+		for i := range r.state.Plans {
+			active += boolToInt(!r.state.Plans[i].Ended)
 		}
-		all = append(all, sidecar.Figure{Name: "works_version", Value: w.version}, sidecar.Figure{Name: "works_plans", Value: uint64(plans)},
-			sidecar.Figure{Name: "works_out", Value: uint64(len(w.outSince))})
+		add("works_version", r.version)
+		add("works_plans", uint64(active))
+		add("works_out", uint64(len(r.outSince)))
 	}
-	for _, j := range o.states {
-		label := `{job="` + j.name + `"}`
-		all = append(all, sidecar.Figure{Name: "owner_held" + label, Value: one(o.activeToken(j) != 0)}, sidecar.Figure{Name: "owner_token" + label, Value: j.received.token},
-			sidecar.Figure{Name: "owner_taken" + label, Value: j.accepted}, sidecar.Figure{Name: "owner_refused" + label, Value: j.rejected})
+	for _, s := range m.states {
+		label := `{job="` + s.name + `"}`
+		add("owner_held"+label, uint64(boolToInt(m.activeToken(s) != 0)))
+		add("owner_token"+label, s.received.token)
+		add("owner_taken"+label, s.accepted)
+		add("owner_refused"+label, s.rejected)
 	}
 	return all
 }
 
-// ErrNoVoters is the answer where nobody owns anything.
-var ErrNoVoters = errors.New("this sidecar's fleet has no electors")
-
-// LeaseStatus returns what is known of who owns what.
-func (f *Node) LeaseStatus() (*LeaseStatus, error) {
-	if f.roles == nil || f.view == nil {
-		return nil, ErrNoVoters
+// boolToInt returns 1 for true.
+func boolToInt(b bool) int {
+	if b {
+		return 1
 	}
-	return f.roles.status(), nil
-}
-
-// StepDown asks that a job goes to another owner.
-func (f *Node) StepDown(name string) (err error) {
-	f.run(func() {
-		switch {
-		case f.roles == nil || f.roles.lease == nil:
-			err = ErrNoVoters
-		default:
-			for _, g := range f.roles.lease.Table().Grants {
-				if g.Role == name && g.Holder != 0 {
-					f.roles.lease.RequestStepDown(f.net.Now(), name)
-					return
-				}
-			}
-			err = fmt.Errorf("nobody owns a job %.40q", name)
-		}
-	})
-	return err
+	return 0
 }
--- a/internal/coordination/list_relay.go
+++ b/internal/coordination/list_relay.go
@@ -1,287 +1,302 @@
 package coordination
 
 import (
-	"errors"
-
 	"hazelwheel/internal/peers"
-	"hazelwheel/internal/peers/frames"
 	"hazelwheel/internal/sidecar"
 )
 
-// listRelay is a sidecar's part in the three jobs.
+const (
+	// ownWatchDelaySeconds after the last confirmation of the list a sidecar starts a watch of its own, at a random time within
+	// ownWatchJitterSeconds: discovery sends something every 2 s. staleSeconds after it the list counts as stale, as if the
+	// sidecar's own watch had broken.
+	ownWatchDelaySeconds, ownWatchJitterSeconds, staleSeconds = 3.0, 1.0, 5.0
+	// distrustSeconds is how long a sidecar ignores updates after one that contradicted its list.
+	distrustSeconds = 30.0
+	// discoverySilenceSeconds is how long a holder's watch may be silent while other holders send updates, before it gives up the role.
+	discoverySilenceSeconds = 10.0
+	// clockDriftRate is by how much the clock offset may grow a second without a delay of the updates. Clocks run at rates that differ
+	// by up to 5 %.
+	clockDriftRate = 0.1
+)
+
+// listRelay lets few sidecars watch discovery: the holders of listRoleNames send each object of discovery, and its signs of life, to
+// all; the others apply them in place of a watch. It is the part of all of these roles that a sidecar has once.
 type listRelay struct {
-	roles            *roleManager
-	lists            sidecar.Lists
-	sources          [len(listRoleNames)]*listRole
-	relayed          bool    // what others pass on takes the place of a watch
-	triesOwnWatch    bool    // a watch of its own was begun for want of news
-	ownWatchAt       float64 // when
-	distrustUntil    float64 // until when nothing that is passed on counts
-	announcedIndex   uint64  // the greatest version of which changes have come
+	roles   *roleManager
+	lists   sidecar.Lists
+	sources [len(listRoleNames)]*listRole
+
+	relayed         bool    // updates of others replace this sidecar's watch
+	triesOwnWatch   bool    // a watch was started since updates are missing
+	ownWatchAt      float64 // when to start it; 0: not drawn
+	ownWatchHeardAt float64 // when this sidecar's watch brought something last
+	distrustUntil   float64 // updates are ignored until then
+	announcedIndex  uint64  // greatest version whose delta was sent to all, by this sidecar or another
+
+	// The transfer of a list that was requested, see list_transfer.go.
 	request          listRequest
-	requestedAt      float64 // 0: nothing is wanted
-	requestedFreshAt float64 // when what is wanted was news
-	ownWatchHeardAt  float64 // when its own watch brought anything last
-	requestLink      int     // that it was asked of
+	requestedAt      float64 // 0: none is wanted
+	requestedFreshAt float64 // when the update was sent that led to the request
+	requestLink      int     // that it was sent over
 	chunks           [][]byte
-	waiters          []listWaiter
+	waiters          []listWaiter // sidecars that have requested a list here
 
 	stats ListStats
 }
 
-// listWaiter is who waits for a whole list.
-type listWaiter struct {
-	link   int
-	token  uint64
-	source *listRole
-	index  uint64
-	until  float64
-}
-
-// ListStats say how the lists fare that are passed on.
+// ListStats are statistics of the relay. JSON keys are read by operators' tools.
 type ListStats struct {
-	Relayed            bool    `json:"fed"`               // what others pass on takes the place of a watch
-	AgeSeconds         float64 `json:"age_s,omitempty"`   // since the last good news
-	Index              uint64  `json:"index"`             // of the list that is held
-	UpdatesReceived    uint64  `json:"words"`             // heard
-	Applied            uint64  `json:"taken"`             // lists and changes that were applied
-	UpdatesSent        uint64  `json:"passed"`            // words said as an owner
-	SnapshotsRequested uint64  `json:"asked"`             // for the whole list
-	SnapshotsServed    uint64  `json:"answered"`          // such calls
-	Mismatches         uint64  `json:"disagreed"`         // with what was held
-	Stale              uint64  `json:"starved"`           // times that the news was too old
-	ForeignUpdates     uint64  `json:"foreign,omitempty"` // words of another discovery service
+	Relayed            bool    `json:"fed"`             // updates of others replace this sidecar's watch
+	AgeSeconds         float64 `json:"age_s,omitempty"` // since the last confirmation of the list
+	Index              uint64  `json:"index"`           // version of the list here
+	UpdatesReceived    uint64  `json:"words"`
+	Applied            uint64  `json:"taken"`  // lists and deltas
+	UpdatesSent        uint64  `json:"passed"` // as a holder
+	SnapshotsRequested uint64  `json:"asked"`  // whole lists
+	SnapshotsServed    uint64  `json:"answered"`
+	Mismatches         uint64  `json:"disagreed"`         // updates that contradicted the list here
+	Stale              uint64  `json:"starved"`           // times that the list became stale
+	ForeignUpdates     uint64  `json:"foreign,omitempty"` // of another discovery service
 }
 
-func newListRelay(o *roleManager) *listRelay {
-	f := &listRelay{roles: o, lists: o.node.options.Lists}
-	for i, name := range listRoleNames {
-		f.sources[i] = &listRole{relay: f, name: name}
-	}
-	return f
-}
+var _ sidecar.Passer = (*Node)(nil)
 
-// releaseOwnWatch ends the watch that is held for others where none is owned.
-func (f *listRelay) releaseOwnWatch() {
-	if f.activeSource() == nil {
-		f.lists.WatchOwn(false)
+func newListRelay(m *roleManager) *listRelay {
+	l := &listRelay{roles: m, lists: m.node.options.Lists}
+	for i, name := range listRoleNames {
+		l.sources[i] = &listRole{relay: l, name: name}
 	}
+	return l
 }
 
-// activeSource returns the job under which this sidecar speaks, nil: none.
-func (f *listRelay) activeSource() *listRole {
-	for _, j := range f.sources {
-		if j.heldToken != 0 || j.continuesAfterLapse() {
-			return j
+// Listed implements sidecar.Passer: it relays an object of discovery.
+func (n *Node) Listed(before uint64, held bool, raw []byte) {
+	n.run(func() {
+		if n.roles != nil && n.roles.listRelay != nil {
+			n.roles.listRelay.handleDiscoveryUpdate(before, held, raw)
 		}
-	}
-	return nil
+	})
 }
 
-// Listed passes on what discovery has written.
-func (f *Node) Listed(before uint64, held bool, raw []byte) {
-	f.run(func() {
-		if f.roles != nil && f.roles.listRelay != nil {
-			f.roles.listRelay.handleDiscoveryUpdate(before, held, raw)
+// Unlisted implements sidecar.Passer: it relays the end of the watch.
+func (n *Node) Unlisted() {
+	n.run(func() {
+		if n.roles != nil && n.roles.listRelay != nil {
+			n.roles.listRelay.handleWatchEnd()
 		}
 	})
 }
 
-// Unlisted passes on that it says no more.
-func (f *Node) Unlisted() {
-	f.run(func() {
-		if f.roles != nil && f.roles.listRelay != nil {
-			f.roles.listRelay.handleWatchEnd()
+func (l *listRelay) now() float64 { return l.roles.node.net.Now() }
+
+// activeSource returns a role as whose holder this sidecar sends updates, nil if there is none.
+func (l *listRelay) activeSource() *listRole {
+	for _, r := range l.sources {
+		if r.heldToken != 0 || r.continuesAfterLapse() {
+			return r
 		}
-	})
+	}
+	return nil
 }
 
-func (f *listRelay) handleDiscoveryUpdate(before uint64, held bool, raw []byte) {
-	defer f.serveWaiters()
-	f.ownWatchHeardAt = f.roles.node.net.Now()
-	j := f.activeSource()
-	v, ok := f.lists.ListVersion()
-	if j == nil || !ok {
+// releaseOwnWatch ends the watch unless this sidecar is a holder.
+func (l *listRelay) releaseOwnWatch() {
+	if l.activeSource() == nil {
+		l.lists.WatchOwn(false)
+	}
+}
+
+// --- holder ---
+
+// handleDiscoveryUpdate sends what this sidecar's watch has brought to all, if it is a holder. The arguments are those of
+// sidecar.Passer.Listed.
+func (l *listRelay) handleDiscoveryUpdate(before uint64, held bool, raw []byte) {
+	defer l.serveWaiters()
+	l.ownWatchHeardAt = l.now()
+	r := l.activeSource()
+	v, ok := l.lists.ListVersion()
+	if r == nil || !ok {
 		return
 	}
-	w := listUpdate{Discovery: v.Discovery, Index: v.Index, Checksum: v.Sum}
-	if raw != nil && held && v.Index > f.announcedIndex { // else all have it, or have been told of it
-		if packed := compress(raw); len(packed) <= maxDeltaBytes {
-			w.BaseIndex, w.Delta = before, packed
+	u := listUpdate{Discovery: v.Discovery, Index: v.Index, Checksum: v.Sum}
+	if raw != nil && held && v.Index > l.announcedIndex { // otherwise all have the delta, or will request the list
+		if delta := compress(raw); len(delta) <= maxDeltaBytes {
+			u.BaseIndex, u.Delta = before, delta
 		}
 	}
-	f.publish(j, w)
+	l.publish(r, u)
 }
 
-func (f *listRelay) handleWatchEnd() {
-	if j := f.activeSource(); j != nil {
-		f.publish(j, listUpdate{Discovery: f.lists.Discovery(), WatchEnded: true})
+// handleWatchEnd tells all that no updates will come from here for now.
+func (l *listRelay) handleWatchEnd() {
+	if r := l.activeSource(); r != nil {
+		l.publish(r, listUpdate{Discovery: l.lists.Discovery(), WatchEnded: true})
 	}
 }
 
-func (f *listRelay) publish(j *listRole, w listUpdate) {
-	w.AtSeconds = f.roles.node.net.Now() - j.startedAt
-	said := false
-	if j.heldToken != 0 {
-		said = f.roles.broadcast(j.name, kindListUpdate, mustMarshal(w))
+// publish sends an update to all as the holder of a role.
+func (l *listRelay) publish(r *listRole, u listUpdate) {
+	u.AtSeconds = l.now() - r.startedAt
+	sent := false
+	if r.heldToken != 0 {
+		sent = l.roles.broadcast(r.name, kindListUpdate, mustMarshal(u))
 	} else {
-		said = f.roles.broadcastLapsed(j.name, j.lapsedToken, kindListUpdate, mustMarshal(w))
+		sent = l.roles.broadcastLapsed(r.name, r.lapsedToken, kindListUpdate, mustMarshal(u))
 	}
-	if said {
-		f.stats.UpdatesSent++
-		f.announcedIndex = max(f.announcedIndex, w.Index)
+	if sent {
+		l.stats.UpdatesSent++
+		l.announcedIndex = max(l.announcedIndex, u.Index)
+	}
+}
+
+// stepDownIfCutOff asks the voters to move roles whose holder here hears nothing of discovery while other holders do.
+func (l *listRelay) stepDownIfCutOff(now float64) {
+	for _, r := range l.sources {
+		if r.heldToken != 0 && now > max(r.startedAt, l.ownWatchHeardAt, r.stepDownAt)+discoverySilenceSeconds {
+			r.stepDownAt = now
+			l.roles.logInfo("discovery unreachable: stepping down", "role", r.name)
+			l.roles.lease.RequestStepDown(now, r.name)
+		}
 	}
 }
 
-// handleUpdate takes a word. Danger: a list of a lower version never takes the place of a later one, whoever passes it on.
-func (f *listRelay) handleUpdate(from *peers.Link, j *listRole, e *frames.RoleMessage, w *listUpdate) error {
-	now := f.roles.node.net.Now()
-	f.stats.UpdatesReceived++
-	if e.Token != j.sourceToken {
-		j.sourceToken, j.clockOffset, j.clockOffsetAt = e.Token, now-w.AtSeconds, now
+// --- receivers ---
+
+// handleUpdate handles an update of a holder. An error says that it is malformed. Danger: a list must never be replaced by an earlier
+// version, whoever sends that.
+func (l *listRelay) handleUpdate(from *peers.Link, r *listRole, token uint64, u *listUpdate) error {
+	now := l.now()
+	l.stats.UpdatesReceived++
+	if token != r.sourceToken {
+		r.sourceToken, r.clockOffset, r.clockOffsetAt = token, now-u.AtSeconds, now
 	}
-	if w.Discovery != f.lists.Discovery() {
-		f.stats.ForeignUpdates++
+	if u.Discovery != l.lists.Discovery() {
+		l.stats.ForeignUpdates++
 		return nil
 	}
-	if w.WatchEnded {
-		j.freshAt = 0
-		f.checkFreshness(now)
+	if u.WatchEnded {
+		r.freshAt = 0
+		l.checkFreshness(now)
 		return nil
 	}
-	// Danger: what waits in a queue is as old as the queue is long, and it would count as news.
-	j.clockOffset, j.clockOffsetAt = min(j.clockOffset+clockDriftRate*(now-j.clockOffsetAt), now-w.AtSeconds), now
-	age := max(now-w.AtSeconds-j.clockOffset, 0)
-	if now < f.distrustUntil || age > staleSeconds {
+	// Danger: an update that was delayed in a queue would otherwise confirm the list as of now.
+	r.clockOffset, r.clockOffsetAt = min(r.clockOffset+clockDriftRate*(now-r.clockOffsetAt), now-u.AtSeconds), now
+	age := max(now-u.AtSeconds-r.clockOffset, 0)
+	if now < l.distrustUntil || age > staleSeconds {
 		return nil
 	}
-	v, held := f.lists.ListVersion()
+	v, held := l.lists.ListVersion()
 	switch {
-	case held && w.Index < v.Index:
+	case held && u.Index < v.Index:
 		return nil
-	case held && w.Index == v.Index:
-	case held && len(w.Delta) > 0 && w.BaseIndex <= v.Index:
-		raw, err := decompress(w.Delta)
+	case held && u.Index == v.Index:
+	case held && len(u.Delta) > 0 && u.BaseIndex <= v.Index:
+		raw, err := decompress(u.Delta)
 		if err == nil {
-			err = f.applyList(raw, w.Index)
+			err = l.applyList(raw, u.Index)
 		}
 		if err != nil {
 			return err
 		}
-		f.announcedIndex = max(f.announcedIndex, w.Index)
+		l.announcedIndex = max(l.announcedIndex, u.Index)
 	default:
-		f.requestList(from, j, e.Token, w, now, now-age)
+		l.requestList(from, r, token, u, now, now-age)
 		return nil
 	}
-	if v, held = f.lists.ListVersion(); !held || v.Sum != w.Checksum {
-		f.handleMismatch(now, w.Index)
+	if v, held = l.lists.ListVersion(); !held || v.Sum != u.Checksum {
+		l.handleMismatch(now, u.Index)
 		return nil
 	}
-	j.freshAt = now - age
-	f.confirmRelayed(now)
+	r.freshAt = now - age
+	l.confirmRelayed()
 	return nil
 }
 
-var errListMismatch = errors.New("what was passed on is not the version that it is said to be")
-
-// applyList applies what discovery has written.
-func (f *listRelay) applyList(raw []byte, index uint64) error {
-	if err := f.lists.TakeList(raw); err != nil {
+// applyList applies an object of discovery that must lead to a version.
+func (l *listRelay) applyList(raw []byte, index uint64) error {
+	if err := l.lists.TakeList(raw); err != nil {
 		return err
 	}
-	f.stats.Applied++
-	if v, held := f.lists.ListVersion(); !held || v.Index != index {
-		f.handleMismatch(f.roles.node.net.Now(), index)
+	l.stats.Applied++
+	if v, held := l.lists.ListVersion(); !held || v.Index != index {
+		l.handleMismatch(l.now(), index)
 		return errListMismatch
 	}
-	f.serveWaiters()
+	l.serveWaiters()
 	return nil
 }
 
-// confirmRelayed goes by what is passed on.
-func (f *listRelay) confirmRelayed(now float64) {
-	f.relayed, f.ownWatchAt = true, 0
-	f.triesOwnWatch = false
-	f.releaseOwnWatch()
-	f.lists.Fed()
+// confirmRelayed records that the list here is current by an update, so that no watch is needed.
+func (l *listRelay) confirmRelayed() {
+	l.relayed, l.ownWatchAt = true, 0
+	l.triesOwnWatch = false
+	l.releaseOwnWatch()
+	l.lists.Fed()
 }
 
-// newestFreshAt returns when the last good news was made.
-func (f *listRelay) newestFreshAt() (at float64) {
-	for _, j := range f.sources {
-		at = max(at, j.freshAt)
-	}
-	return at
+// handleMismatch handles an update that contradicts the list here: the sidecar requests the whole list from discovery and ignores
+// updates for a while, since one of the two is not discovery's.
+func (l *listRelay) handleMismatch(now float64, index uint64) {
+	l.stats.Mismatches++
+	l.roles.logInfo("relayed list mismatch: watching discovery", "index", index)
+	l.stopRelaying()
+	l.distrustUntil = now + distrustSeconds
+	l.lists.Distrust()
 }
 
-// handleMismatch has the sidecar watch for itself: two words that can't both be discovery's.
-func (f *listRelay) handleMismatch(now float64, index uint64) {
-	f.stats.Mismatches++
-	f.roles.logInfo("a list that was passed on is not the one that is held: watching for oneself", "index", index)
-	f.stopRelaying()
-	f.distrustUntil = now + distrustSeconds
-	f.lists.Distrust()
+// stopRelaying forgets all confirmations, so that the sidecar goes by its own watch.
+func (l *listRelay) stopRelaying() {
+	l.relayed, l.ownWatchAt, l.requestedAt, l.chunks = false, 0, 0, nil
+	for _, r := range l.sources {
+		r.freshAt = 0
+	}
+	l.triesOwnWatch = false
+	l.releaseOwnWatch()
 }
 
-// stopRelaying has nothing count that was passed on.
-func (f *listRelay) stopRelaying() {
-	f.relayed, f.ownWatchAt, f.requestedAt, f.chunks = false, 0, 0, nil
-	for _, j := range f.sources {
-		j.freshAt = 0
+// newestFreshAt returns when the list here was last confirmed, 0 if it was not.
+func (l *listRelay) newestFreshAt() (at float64) {
+	for _, r := range l.sources {
+		at = max(at, r.freshAt)
 	}
-	f.triesOwnWatch = false
-	f.releaseOwnWatch()
+	return at
 }
 
-// checkFreshness tells the sidecar when the news is too old.
-func (f *listRelay) checkFreshness(now float64) (next float64) {
-	if !f.relayed {
+// checkFreshness starts a watch if confirmations are missing, or stops relaying if the list is stale. It returns when to check again.
+func (l *listRelay) checkFreshness(now float64) (next float64) {
+	if !l.relayed {
 		return now + staleSeconds
 	}
-	newest := f.newestFreshAt()
+	newest := l.newestFreshAt()
 	switch {
 	case newest == 0 || now >= newest+staleSeconds:
-		f.stats.Stale++
-		f.stopRelaying()
-		f.lists.Starved()
+		l.stats.Stale++
+		l.stopRelaying()
+		l.lists.Starved()
 		return now + staleSeconds
 	case now < newest+ownWatchDelaySeconds:
-		f.stepDownIfCutOff(now)
+		l.stepDownIfCutOff(now)
 		return newest + ownWatchDelaySeconds
-	case f.ownWatchAt == 0:
-		f.ownWatchAt = now + ownWatchJitterSeconds*f.roles.node.options.Rand.Float64()
+	case l.ownWatchAt == 0:
+		l.ownWatchAt = now + ownWatchJitterSeconds*l.roles.node.options.Rand.Float64()
 	}
-	if !f.triesOwnWatch && now >= f.ownWatchAt && f.activeSource() == nil {
-		f.triesOwnWatch = true
-		f.lists.WatchOwn(true)
+	if !l.triesOwnWatch && now >= l.ownWatchAt && l.activeSource() == nil {
+		l.triesOwnWatch = true
+		l.lists.WatchOwn(true)
 	}
-	if f.triesOwnWatch || f.activeSource() != nil {
+	if l.triesOwnWatch || l.activeSource() != nil {
 		return newest + staleSeconds
 	}
-	return min(f.ownWatchAt, newest+staleSeconds)
+	return min(l.ownWatchAt, newest+staleSeconds)
 }
 
-// stepDownIfCutOff has the jobs go to others where others hear of discovery and this sidecar does not.
-func (f *listRelay) stepDownIfCutOff(now float64) {
-	for _, j := range f.sources {
-		if j.heldToken != 0 && now > max(j.startedAt, f.ownWatchHeardAt, j.stepDownAt)+discoverySilenceSeconds {
-			j.stepDownAt = now
-			f.roles.logInfo("discovery can't be reached from here: the job is to go to another", "job", j.name)
-			f.roles.lease.RequestStepDown(now, j.name)
-		}
+func (l *listRelay) snapshotStats() *ListStats {
+	s := l.stats
+	if v, held := l.lists.ListVersion(); held {
+		s.Index = v.Index
 	}
-}
-
-// snapshotStats returns the counts.
-func (f *listRelay) snapshotStats() *ListStats {
-	c := f.stats
-	if v, held := f.lists.ListVersion(); held {
-		c.Index = v.Index
-	}
-	if c.Relayed = f.relayed; f.relayed {
-		c.AgeSeconds = f.roles.node.net.Now() - f.newestFreshAt()
+	if s.Relayed = l.relayed; l.relayed {
+		s.AgeSeconds = l.now() - l.newestFreshAt()
 	}
-	return &c
+	return &s
 }
-
-var _ sidecar.Passer = (*Node)(nil)
--- a/internal/coordination/list_role.go
+++ b/internal/coordination/list_role.go
@@ -5,87 +5,124 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// listRole is one of the three jobs.
+// listRoleName is the name in the settings that stands for all of listRoleNames.
+const listRoleName = "list"
+
+// listRoleNames are the roles of the relay. Their holders all watch discovery, so that the loss of one does not make the lists old;
+// nothing is lost if two have the same holder or announce the same version.
+var listRoleNames = [...]string{listRoleName, listRoleName + "-2", listRoleName + "-3"}
+
+const (
+	// lapseGraceSeconds limits how long a holder goes on whose lease was not renewed while no later holder is known.
+	lapseGraceSeconds = 60.0
+	// otherSourceTickSeconds is the time between two ticks of the roles that have nothing to do in them.
+	otherSourceTickSeconds = 60.0
+)
+
+// listRole is one of the roles of a listRelay: as the holder a watch on discovery whose updates are sent to all, otherwise a source of
+// updates.
 type listRole struct {
-	relay         *listRelay
-	name          string
-	heldToken     uint64 // under which it is owned here; 0: it is not
-	lapsedToken   uint64 // under which it was, whose lease was not renewed; 0: none
+	relay *listRelay
+	name  string
+
+	// At the holder.
+	heldToken     uint64 // 0: this sidecar is not the holder
+	lapsedToken   uint64 // of a lease that was not renewed and under which this sidecar goes on; 0: none
 	lapseDeadline float64
-	startedAt     float64
-	stepDownAt    float64 // when it was asked to go to another
-	sourceToken   uint64  // the token of the words that come
-	freshAt       float64 // when the last good news was made; 0: there is none
-	clockOffset   float64 // what a word that was not held up shows between its owner's clock and this one's
+	startedAt     float64 // of the grant
+	stepDownAt    float64 // when the voters were last asked to move the role
+
+	// At receivers.
+	sourceToken uint64  // of the updates that come
+	freshAt     float64 // when the last update that confirmed the list here was sent, by this sidecar's clock; 0: none
+	// clockOffset is the least difference seen between this clock and the holder's, which an update shows that was not delayed.
+	clockOffset   float64
 	clockOffsetAt float64
 }
 
-func (j *listRole) Name() string { return j.name }
+var (
+	_ singletonRole = (*listRole)(nil)
+	_ lapseHandler  = (*listRole)(nil)
+)
 
-// Start has the sidecar watch for all.
-func (j *listRole) Start(token uint64) {
-	j.heldToken, j.lapsedToken, j.startedAt = token, 0, j.relay.roles.node.net.Now()
-	j.relay.triesOwnWatch = false
-	j.relay.lists.WatchOwn(true)
+// expandListRoles returns roles with listRoleNames in place of listRoleName.
+func expandListRoles(roles []string) (all []string) {
+	for _, name := range roles {
+		if name == listRoleName {
+			all = append(all, listRoleNames[:]...)
+		} else {
+			all = append(all, name)
+		}
+	}
+	return all
+}
+
+// Name implements singletonRole.
+func (r *listRole) Name() string { return r.name }
+
+// Start implements singletonRole: the holder watches discovery.
+func (r *listRole) Start(token uint64) {
+	r.heldToken, r.lapsedToken, r.startedAt = token, 0, r.relay.now()
+	r.relay.triesOwnWatch = false
+	r.relay.lists.WatchOwn(true)
 }
 
-// Stop leaves the watch up until what others pass on takes its place.
-func (j *listRole) Stop() {
-	j.heldToken = 0
-	j.relay.releaseOwnWatch()
+// Stop implements singletonRole. The watch stays until the updates of others replace it.
+func (r *listRole) Stop() {
+	r.heldToken = 0
+	r.relay.releaseOwnWatch()
 }
 
-// HandleLapse has it go on: where the leader of the electors is lost, all leases end at once, and nobody would pass anything on. What
-// discovery has written is so whoever says it.
-func (j *listRole) HandleLapse(token uint64) {
-	j.lapsedToken, j.lapseDeadline = token, j.relay.roles.node.net.Now()+lapseGraceSeconds
-	j.relay.lists.WatchOwn(true)
+// HandleLapse implements lapseHandler. When the leader of the voters is lost all leases end at once, and without this no updates would
+// be sent until there is a new one. An update of discovery is valid whoever sends it.
+func (r *listRole) HandleLapse(token uint64) {
+	r.lapsedToken, r.lapseDeadline = token, r.relay.now()+lapseGraceSeconds
+	r.relay.lists.WatchOwn(true)
 }
 
-// continuesAfterLapse tells whether a job goes on whose lease was not renewed: for a while, unless another is known to have been granted it.
-func (j *listRole) continuesAfterLapse() bool {
-	if j.lapsedToken == 0 {
+// continuesAfterLapse reports whether this sidecar goes on under a lease that was not renewed: for a limited time, unless a later
+// grant is known or this sidecar is not fit.
+func (r *listRole) continuesAfterLapse() bool {
+	if r.lapsedToken == 0 {
 		return false
 	}
-	ok, _ := j.relay.roles.fence.Admit(j.name, j.lapsedToken)
-	if !ok || j.relay.roles.node.net.Now() > j.lapseDeadline || j.relay.roles.ineligibleReason != "" {
-		j.lapsedToken = 0
+	ok, _ := r.relay.roles.fence.Admit(r.name, r.lapsedToken)
+	if !ok || r.relay.now() > r.lapseDeadline || r.relay.roles.ineligibleReason != "" {
+		r.lapsedToken = 0
 	}
-	return j.lapsedToken != 0
+	return r.lapsedToken != 0
 }
 
-// HandleMessage takes a word, a call for the whole list, or a part of that.
-func (j *listRole) HandleMessage(from *peers.Link, e *frames.RoleMessage) {
-	f := j.relay
-	switch e.Kind {
+// HandleMessage implements singletonRole.
+func (r *listRole) HandleMessage(from *peers.Link, m *frames.RoleMessage) {
+	l := r.relay
+	switch m.Kind {
 	case kindListUpdate:
-		var w listUpdate
-		if frames.Unmarshal(e.Body, &w) != nil || f.handleUpdate(from, j, e, &w) != nil {
-			f.roles.countMalformed(j.name)
+		var u listUpdate
+		if frames.Unmarshal(m.Body, &u) != nil || l.handleUpdate(from, r, m.Token, &u) != nil {
+			l.roles.countMalformed(r.name)
 		}
 	case kindListRequest:
-		var n listRequest
-		f.serveWaiters() // which forgets who has waited too long
-		if frames.Unmarshal(e.Body, &n) != nil {
-			f.roles.countMalformed(j.name)
-		} else if n.Discovery == f.lists.Discovery() && len(f.waiters) < maxWaiters {
-			f.waiters = append(f.waiters, listWaiter{from.Number, e.Token, j, n.Index, f.roles.node.net.Now() + listRequestRetrySeconds})
-			f.serveWaiters()
+		var request listRequest
+		l.serveWaiters() // removes those that have waited too long
+		if frames.Unmarshal(m.Body, &request) != nil {
+			l.roles.countMalformed(r.name)
+		} else if request.Discovery == l.lists.Discovery() && len(l.waiters) < maxWaiters {
+			l.waiters = append(l.waiters, listWaiter{from.Number, m.Token, r, request.Index, l.now() + listRequestRetrySeconds})
+			l.serveWaiters()
 		}
 	case kindListChunk:
-		var w listChunk
-		if frames.Unmarshal(e.Body, &w) != nil || f.handleChunk(from, &w) != nil {
-			f.roles.countMalformed(j.name)
+		var c listChunk
+		if frames.Unmarshal(m.Body, &c) != nil || l.handleChunk(from, &c) != nil {
+			l.roles.countMalformed(r.name)
 		}
 	}
 }
 
-// Tick looks at the age of the news, in one of the three.
-func (j *listRole) Tick(now float64) (next float64) {
-	if j != j.relay.sources[0] {
-		return now + 60
+// Tick implements singletonRole. The first of the roles checks the age of the list for all.
+func (r *listRole) Tick(now float64) (next float64) {
+	if r != r.relay.sources[0] {
+		return now + otherSourceTickSeconds
 	}
-	return j.relay.checkFreshness(now)
+	return r.relay.checkFreshness(now)
 }
-
-var _ singletonRole = (*listRole)(nil)
--- a/internal/coordination/list_transfer.go
+++ b/internal/coordination/list_transfer.go
@@ -6,78 +6,97 @@
 	"hazelwheel/internal/peers"
 )
 
-// requestList asks for the whole list, over the link by which the word of it came.
-func (f *listRelay) requestList(l *peers.Link, j *listRole, token uint64, w *listUpdate, now, newsAt float64) {
-	if f.requestedAt > 0 && now < f.requestedAt+listRequestRetrySeconds {
+const (
+	// listRequestRetrySeconds is the least time between two requests for a list. A request for a version that is not here yet is
+	// remembered as long.
+	listRequestRetrySeconds = 0.5
+	// maxWaiters limits the requests that are remembered.
+	maxWaiters = 64
+)
+
+// listWaiter is a request for a list that is not here yet.
+type listWaiter struct {
+	link   int
+	token  uint64 // of the request
+	source *listRole
+	index  uint64 // the least version that is wanted
+	until  float64
+}
+
+// requestList requests the list over the link by which an update of it came.
+func (l *listRelay) requestList(link *peers.Link, r *listRole, token uint64, u *listUpdate, now, freshAt float64) {
+	if l.requestedAt > 0 && now < l.requestedAt+listRequestRetrySeconds {
 		return
 	}
-	f.request, f.requestedAt, f.requestedFreshAt, f.requestLink, f.chunks = listRequest{w.Discovery, w.Index}, now, newsAt, l.Number, nil
-	f.stats.SnapshotsRequested++
-	f.roles.sendReply(l, j.name, token, kindListRequest, mustMarshal(f.request))
+	l.request, l.requestedAt, l.requestedFreshAt, l.requestLink, l.chunks = listRequest{u.Discovery, u.Index}, now, freshAt, link.Number, nil
+	l.stats.SnapshotsRequested++
+	l.roles.sendReply(link, r.name, token, kindListRequest, mustMarshal(l.request))
 }
 
-// serveWaiters sends the whole list to those who wait for a version that is held by now.
-func (f *listRelay) serveWaiters() {
-	if len(f.waiters) == 0 {
+// serveWaiters sends the list to those that wait for a version that is here by now, and removes those that have waited too long.
+func (l *listRelay) serveWaiters() {
+	if len(l.waiters) == 0 {
 		return
 	}
-	now := f.roles.node.net.Now()
-	v, held := f.lists.ListVersion()
+	now := l.now()
+	v, held := l.lists.ListVersion()
 	var body []byte
-	wait := f.waiters[:0:0]
-	for _, a := range f.waiters {
-		l := f.roles.node.links[a.link]
+	waiting := l.waiters[:0:0]
+	for _, w := range l.waiters {
+		link := l.roles.node.links[w.link]
 		switch {
-		case l == nil || now > a.until:
-		case !held || v.Index < a.index:
-			wait = append(wait, a)
+		case link == nil || now > w.until:
+		case !held || v.Index < w.index:
+			waiting = append(waiting, w)
 		default:
 			if body == nil {
-				body = compress(f.lists.WholeList())
+				body = compress(l.lists.WholeList())
 			}
-			f.stats.SnapshotsServed++
-			parts := (len(body) + chunkBytes - 1) / chunkBytes
-			for i := range parts {
-				f.roles.sendReply(l, a.source.name, a.token, kindListChunk, mustMarshal(listChunk{v.Discovery, v.Index, v.Sum, i, parts, body[i*chunkBytes : min((i+1)*chunkBytes, len(body))]}))
+			l.stats.SnapshotsServed++
+			chunks := (len(body) + chunkBytes - 1) / chunkBytes
+			for i := range chunks {
+				chunk := listChunk{v.Discovery, v.Index, v.Sum, i, chunks, body[i*chunkBytes : min((i+1)*chunkBytes, len(body))]}
+				l.roles.sendReply(link, w.source.name, w.token, kindListChunk, mustMarshal(chunk))
 			}
 		}
 	}
-	f.waiters = wait
+	l.waiters = waiting
 }
 
-// handleChunk takes a part of the list that was asked for.
-func (f *listRelay) handleChunk(from *peers.Link, w *listChunk) error {
-	now := f.roles.node.net.Now()
-	if f.requestedAt == 0 || from.Number != f.requestLink || now < f.distrustUntil || w.Discovery != f.lists.Discovery() || w.Index < f.request.Index {
-		return nil // it was asked for once
+// handleChunk handles a chunk of the list that was requested, and applies the list once it is complete. Chunks that were not requested
+// are ignored; an error says that the chunk is malformed.
+func (l *listRelay) handleChunk(from *peers.Link, c *listChunk) error {
+	now := l.now()
+	if l.requestedAt == 0 || from.Number != l.requestLink || now < l.distrustUntil || c.Discovery != l.lists.Discovery() || c.Index < l.request.Index {
+		return nil
 	}
-	if w.Chunk != len(f.chunks) || w.Chunks < 1 || w.Chunks > maxListBytes/chunkBytes {
+	if c.Chunk != len(l.chunks) || c.Chunks < 1 || c.Chunks > maxListBytes/chunkBytes {
 		return errListMismatch
 	}
-	if f.chunks = append(f.chunks, w.Body); len(f.chunks) < w.Chunks {
+	if l.chunks = append(l.chunks, c.Body); len(l.chunks) < c.Chunks {
 		return nil
 	}
-	raw, err := decompress(bytes.Join(f.chunks, nil))
-	f.requestedAt, f.chunks = 0, nil
+	raw, err := decompress(bytes.Join(l.chunks, nil))
+	l.requestedAt, l.chunks = 0, nil
 	if err != nil {
 		return err
 	}
-	if v, held := f.lists.ListVersion(); held && v.Index > w.Index {
+	if v, held := l.lists.ListVersion(); held && v.Index > c.Index {
 		return nil
 	}
-	if err := f.applyList(raw, w.Index); err != nil {
+	if err := l.applyList(raw, c.Index); err != nil {
 		return err
 	}
-	if v, _ := f.lists.ListVersion(); v.Sum != w.Checksum {
-		f.handleMismatch(now, w.Index)
+	if v, _ := l.lists.ListVersion(); v.Sum != c.Checksum {
+		l.handleMismatch(now, c.Index)
 		return nil
 	}
-	for _, j := range f.sources {
-		if j.sourceToken != 0 && j.freshAt < f.requestedFreshAt {
-			j.freshAt = f.requestedFreshAt
+	for _, r := range l.sources {
+		if r.sourceToken != 0 && r.freshAt < l.requestedFreshAt {
+			r.freshAt = l.requestedFreshAt
 			break
 		}
 	}
-	f.confirmRelayed(now)
+	l.confirmRelayed()
 	return nil
 }
--- a/internal/coordination/list_wire.go
+++ b/internal/coordination/list_wire.go
@@ -3,80 +3,54 @@
 import (
 	"bytes"
 	"compress/flate"
+	"errors"
 	"io"
 )
 
-// The job "list": up to three owners, each of a job of its own, keep watches at discovery and pass on what it writes, its signs of
-// life too; the others go by that in place of a watch. Three watch, so that nobody's death makes the news old; nothing is lost where
-// two of them are one, or say the same.
+// The messages of the list roles. The numbers are the wire form.
 const (
-	listRoleName = "list"
-
-	kindListUpdate  = 1 // listWord, to all
-	kindListRequest = 2 // listNeed, over one link
-	kindListChunk   = 3 // listWhole, over the same
-
-	// ownWatchDelaySeconds after the last good news a sidecar begins a watch of its own, at most trySpreadS later: discovery says something every
-	// 2 s. After silentS without news it counts as a watch that has broken, as a watch of its own does.
-	ownWatchDelaySeconds, ownWatchJitterSeconds, staleSeconds = 3.0, 1.0, 5.0
-	// distrustSeconds is how long a sidecar goes by its own watch after what was passed on was not what it knew.
-	distrustSeconds = 30.0
-	// discoverySilenceSeconds is how long an owner may hear nothing of discovery while others do.
-	discoverySilenceSeconds = 10.0
-	// lapseGraceSeconds is how long an owner goes on whose lease was not renewed, while nobody else is known to have been granted the job.
-	lapseGraceSeconds = 60.0
-	// listRequestRetrySeconds is between two calls for the whole list, and how long a call for one that is not there yet is remembered.
-	listRequestRetrySeconds = 0.5
-	// clockDriftRate is by how much more a second words may take that are none the older: clocks run 5 % apart.
-	clockDriftRate = 0.1
-
-	maxDeltaBytes = 40 << 10 // packed bytes of changes that go to all; what is longer is asked for
-	chunkBytes    = 32 << 10 // of a whole list
-	maxListBytes  = 8 << 20  // a whole list, unpacked
-	// maxWaiters bounds who waits for a whole list.
-	maxWaiters = 64
+	kindListUpdate  = 1 // listUpdate, from a holder to all
+	kindListRequest = 2 // listRequest, over one link
+	kindListChunk   = 3 // listChunk, over the same link
 )
 
-// listRoleNames are the jobs of the three.
-var listRoleNames = [...]string{listRoleName, listRoleName + "-2", listRoleName + "-3"}
-
-// expandListRoles returns jobs with those that stand for "list".
-func expandListRoles(jobs []string) (all []string) {
-	for _, name := range jobs {
-		if name == listRoleName {
-			all = append(all, listRoleNames[:]...)
-		} else {
-			all = append(all, name)
-		}
-	}
-	return all
-}
+const (
+	maxDeltaBytes = 40 << 10 // of a compressed delta in an update; receivers request the list instead of a longer one
+	chunkBytes    = 32 << 10 // of a compressed list in one chunk
+	maxListBytes  = 8 << 20  // of a list or delta, uncompressed
+)
 
-// listUpdate says what discovery has written, or that it has said that all is as it was.
+// listUpdate announces the version of the list that a holder has, with the delta that led to it, or that the version is still current.
 type listUpdate struct {
-	Discovery  string  `msgpack:"d"` // its address: each counts its own versions
-	Index      uint64  `msgpack:"i"` // of the list that its owner holds now
-	Checksum   uint64  `msgpack:"s"`
-	BaseIndex  uint64  `msgpack:"f,omitempty"` // Raw are the changes since this version
-	Delta      []byte  `msgpack:"r,omitempty"` // what discovery has written, packed; nil: who lacks the version asks for it
-	AtSeconds  float64 `msgpack:"t"`           // since the grant, by the owner's clock
-	WatchEnded bool    `msgpack:"e,omitempty"` // the owner's watch has ended: no more will come for now
+	Discovery  string  `msgpack:"d"`           // address of the discovery service; versions of different services can't be compared
+	Index      uint64  `msgpack:"i"`           // version of the holder's list
+	Checksum   uint64  `msgpack:"s"`           // of the list
+	BaseIndex  uint64  `msgpack:"f,omitempty"` // version that Delta applies to
+	Delta      []byte  `msgpack:"r,omitempty"` // compressed object of discovery; nil: receivers without the version request it
+	AtSeconds  float64 `msgpack:"t"`           // since the grant, by the holder's clock
+	WatchEnded bool    `msgpack:"e,omitempty"` // the holder's watch has ended: no updates will come for now
 }
 
+// listRequest requests the list.
 type listRequest struct {
 	Discovery string `msgpack:"d"`
-	Index     uint64 `msgpack:"i"` // that is wanted at least
+	Index     uint64 `msgpack:"i"` // the least version that is wanted
 }
 
+// listChunk is a part of a list. Chunks are sent in order.
 type listChunk struct {
 	Discovery string `msgpack:"d"`
 	Index     uint64 `msgpack:"i"`
 	Checksum  uint64 `msgpack:"s"`
-	Chunk     int    `msgpack:"p"`
+	Chunk     int    `msgpack:"p"` // from 0
 	Chunks    int    `msgpack:"n"`
-	Body      []byte `msgpack:"b"` // of the packed list
+	Body      []byte `msgpack:"b"` // of the compressed list
 }
 
+// errListMismatch is the error for a list or delta that is not the version that it was announced as.
+var errListMismatch = errors.New("relayed list is not the announced version")
+
+// compress returns the deflated form.
 func compress(raw []byte) []byte {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
@@ -86,13 +60,13 @@
 	if err == nil {
 		err = w.Close()
 	}
-	if err != nil { // a buffer takes all, and the level is one that there is
+	if err != nil { // impossible: the level is valid, and a buffer takes everything
 		panic(err)
 	}
 	return b.Bytes()
 }
 
-// decompress unpacks what came from outside, of no more than mostList.
+// decompress undoes compress. Danger: the input comes from a peer, so the output is limited to maxListBytes.
 func decompress(b []byte) ([]byte, error) {
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), maxListBytes+1))
 	if err == nil && len(raw) > maxListBytes {
--- a/internal/coordination/maintenance_role.go
+++ b/internal/coordination/maintenance_role.go
@@ -121,13 +121,6 @@
 	}
 }
 
-func boolToInt(on bool) int {
-	if on {
-		return 1
-	}
-	return 0
-}
-
 func (w *maintenanceRole) Start(token uint64) {
 	w.heldToken, w.coordinator, w.carriedOver, w.proposed, w.collected = token, nil, nil, nil, nil
 	w.announceAt, w.surveyAt, w.announcedVersion, w.announcedEpoch = 0, 0, 0, 0
--- a/internal/coordination/maintenance_status.go
+++ b/internal/coordination/maintenance_status.go
@@ -7,40 +7,42 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
-// MaintenanceStatus is what a sidecar knows of work on boxes.
+// MaintenanceStatus is the answer of the admin command WORKS. JSON keys are read by operators' tools.
 type MaintenanceStatus struct {
-	Version    uint64                `json:"version"` // of what is agreed, as far as it is known here; 0: nothing is
-	Owner      string                `json:"owner"`   // name of who settles the order; empty: nobody has said so yet
-	AgeSeconds float64               `json:"age_s"`   // since its last word
+	Version    uint64                `json:"version"` // of the record that is applied here; 0: none is
+	Owner      string                `json:"owner"`   // name of the role's holder; empty: no announcement has come yet
+	AgeSeconds float64               `json:"age_s"`   // since its last announcement
 	Plans      []maintenance.Plan    `json:"plans"`
-	Waits      []maintenance.Blocker `json:"waits"` // what it waits for, by its last word
-	Out        []string              `json:"out"`   // boxes that are out here by what is agreed
-	Reinstated []string              `json:"hand"`  // of these, such as were given back here by hand
+	Waits      []maintenance.Blocker `json:"waits"` // what the plans wait for, by the last announcement
+	Out        []string              `json:"out"`   // servers that are cordoned here by the record
+	Reinstated []string              `json:"hand"`  // those of Out that an operator has put back into use here
 }
 
-// ErrNoMaintenance is the answer where no order is settled.
+// ErrNoMaintenance is returned where this sidecar has no part in the role "works".
 var ErrNoMaintenance = errors.New("this sidecar's fleet does not settle work on boxes: fleet.jobs has no \"works\"")
 
-// MaintenanceStatus returns what is known of work on boxes.
-func (f *Node) MaintenanceStatus() (*MaintenanceStatus, error) {
-	if f.roles == nil || f.roles.maintenance == nil {
+var errNoNonce = errors.New("the command has no nonce")
+
+// MaintenanceStatus returns the status of maintenance, or ErrNoMaintenance. It is for the loop.
+func (n *Node) MaintenanceStatus() (*MaintenanceStatus, error) {
+	if n.roles == nil || n.roles.maintenance == nil {
 		return nil, ErrNoMaintenance
 	}
-	w, now := f.roles.maintenance, f.net.Now()
-	s := &MaintenanceStatus{Version: w.version, Owner: w.holderName, Plans: append([]maintenance.Plan{}, w.state.Plans...), Waits: append([]maintenance.Blocker{}, w.blockers...),
+	r, now := n.roles.maintenance, n.net.Now()
+	s := &MaintenanceStatus{Version: r.version, Owner: r.holderName, Plans: append([]maintenance.Plan{}, r.state.Plans...), Waits: append([]maintenance.Blocker{}, r.blockers...),
 		Out: []string{}, Reinstated: []string{}}
-	if !math.IsInf(w.announcedAt, -1) {
-		s.AgeSeconds = math.Round(10*(now-w.announcedAt)) / 10
+	if !math.IsInf(r.announcedAt, -1) {
+		s.AgeSeconds = roundTenths(now - r.announcedAt)
 	}
 	for i := range s.Plans {
-		for _, a := range w.planAges {
+		for _, a := range r.planAges {
 			if a.Plan == s.Plans[i].Number {
-				s.Plans[i].AgeSeconds = math.Round(10*(a.AgeSeconds+now-w.planAgesAt)) / 10
+				s.Plans[i].AgeSeconds = roundTenths(a.AgeSeconds + now - r.planAgesAt)
 			}
 		}
 	}
-	for _, b := range w.servers.Boxes() {
-		if _, out := w.outSince[b.Name]; out {
+	for _, b := range r.servers.Boxes() {
+		if _, out := r.outSince[b.Name]; out {
 			s.Out = append(s.Out, b.Name)
 			if b.Kept {
 				s.Reinstated = append(s.Reinstated, b.Name)
@@ -50,18 +52,20 @@
 	return s, nil
 }
 
-// SubmitMaintenance passes a command on to whoever settles the order. The answer comes with one of the next calls of the same nonce; false: not
-// yet. A command that nobody has answered is passed on again and again until it has not been asked for any more for a while.
-func (f *Node) SubmitMaintenance(c maintenance.Command) (reply maintenance.Reply, answered bool, err error) {
-	f.run(func() {
+// SubmitMaintenance sends a command to the holder of the role "works". Without an answer yet answered is false, and the caller calls
+// again with the same command; the nonce tells commands apart, so that each is executed once. Between the calls the command is sent
+// again until it has not been submitted for a while. It returns ErrNoMaintenance, or an error for an invalid command. It is for the
+// loop.
+func (n *Node) SubmitMaintenance(c maintenance.Command) (reply maintenance.Reply, answered bool, err error) {
+	n.run(func() {
 		switch {
-		case f.roles == nil || f.roles.maintenance == nil || f.view == nil:
+		case n.roles == nil || n.roles.maintenance == nil || n.view == nil:
 			err = ErrNoMaintenance
 		case c.Nonce == 0:
-			err = errors.New("the command has no nonce")
+			err = errNoNonce
 		default:
 			if err = c.Validate(); err == nil {
-				reply, answered = f.roles.maintenance.submit(f.net.Now(), &c)
+				reply, answered = n.roles.maintenance.submit(n.net.Now(), &c)
 			}
 		}
 	})
