--- a/cmd/hazelwheel/quota.go
+++ b/cmd/hazelwheel/quota.go
@@ -157,13 +157,13 @@
 		return fault(fmt.Errorf("%s: %w", c.String("load"), err))
 	}
 	s := quotas.Defaults()
-	r := played.Play(tree, load, s.LimiterSettings(replicas))
-	if err := r.Text(c.Root().Writer); err != nil || c.String("picture") == "" {
+	r := played.Run(tree, load, s.LimiterSettings(replicas))
+	if err := r.WriteTable(c.Root().Writer); err != nil || c.String("picture") == "" {
 		return err
 	}
 	out, err := os.Create(c.String("picture"))
 	if err != nil {
 		return fault(err)
 	}
-	return errors.Join(r.Picture(out), out.Close())
+	return errors.Join(r.WriteChart(out), out.Close())
 }
--- a/internal/quotas/replay/picture.go
+++ b/internal/quotas/replay/chart.go
@@ -11,54 +11,56 @@
 	svg "github.com/ajstarks/svgo"
 )
 
-// The picture's measures, in pixels. Danger: a library of plots brings fonts and four megabytes into every sidecar's memory
-// for a command that few run; this needs lines and text alone.
+// Sizes of the chart, in pixels. Danger: a plotting library brings fonts and four megabytes into the memory of every sidecar, for
+// a command that is rarely used; this needs lines and text alone.
 const (
-	wide, high      = 1080, 380 // of a panel
-	left, right     = 70, 330   // the legend is on the right
-	above, below    = 40, 45
-	mostLinesShown  = 7
-	legendLinePixel = 18
+	panelWidth, panelHeight = 1080, 380 // of each of the two panels
+	leftMargin, rightMargin = 70, 330   // the right margin holds the legend
+	topMargin, bottomMargin = 40, 45
+	maxLinesShown           = 7
+	legendLinePixel         = 18
 )
 
 var colors = []string{"#1b6ca8", "#d1495b", "#3c8d5a", "#e09f3e", "#6a4c93", "#00798c", "#8d6e63", "#444444"}
 
-// line is a value of each hour.
+// line is a value by hour.
 type line struct {
 	name   string
 	dashed bool
 	value  func(hour int) float64
 }
 
-// Picture writes a picture of the hours as SVG: above, what all and the groups of the first level had beside the quota; below,
-// of those that moved most by loans, what they had as a part of their shares.
-func (r *Result) Picture(out io.Writer) error {
+// WriteChart writes an SVG: above, what all groups and those of the first level used, beside the quota; below, for the groups with
+// the most loans, what they used as a fraction of their shares.
+func (r *Result) WriteChart(out io.Writer) error {
 	var b bytes.Buffer
 	canvas := svg.New(&b)
-	canvas.Start(wide, 2*high)
-	canvas.Rect(0, 0, wide, 2*high, "fill:white")
+	canvas.Start(panelWidth, 2*panelHeight)
+	canvas.Rect(0, 0, panelWidth, 2*panelHeight, "fill:white")
 	canvas.Gstyle("font-family:sans-serif;font-size:12px")
 	limit := r.Tree.Limits[r.Limit]
-	r.panel(canvas, 0, "What all groups had, and those of the first level: "+limit.Measure.String()+" a second, hour by hour", r.levels())
-	r.panel(canvas, high, "Of the groups that borrowed or lent most: what they had, as a part of their share", r.parts())
+	r.panel(canvas, 0, "What all groups had, and those of the first level: "+limit.Measure.String()+" a second, hour by hour", r.levelLines())
+	r.panel(canvas, panelHeight, "Of the groups that borrowed or lent most: what they had, as a part of their share", r.shareLines())
 	canvas.Gend()
 	canvas.End()
 	_, err := b.WriteTo(out)
 	return err
 }
 
-func (r *Result) levels() []line {
+// levelLines returns the lines of the upper panel.
+func (r *Result) levelLines() []line {
 	limit := r.Tree.Limits[r.Limit]
 	all := []line{{"the quota of all", true, func(int) float64 { return limit.Quota / limit.WindowSeconds }}}
-	for g := int32(0); int(g) < r.Tree.Len() && len(all) <= mostLinesShown; g++ {
+	for g := int32(0); int(g) < r.Tree.Len() && len(all) <= maxLinesShown; g++ {
 		if r.Tree.Parent(g) <= 0 {
-			all = append(all, line{r.Tree.Path(g), false, func(h int) float64 { return r.Hours[g][h].Used / hourS }})
+			all = append(all, line{r.Tree.Path(g), false, func(h int) float64 { return r.Hours[g][h].Used / hourSeconds }})
 		}
 	}
 	return all
 }
 
-func (r *Result) parts() []line {
+// shareLines returns the lines of the lower panel.
+func (r *Result) shareLines() []line {
 	var shown []int32
 	for g := range int32(r.Tree.Len()) {
 		if r.Tree.AcceptsRequests(g) && r.Total[g].Share > 0 {
@@ -68,28 +70,30 @@
 	moved := func(g int32) float64 { return (r.Total[g].Borrowed + r.Total[g].Lent) / r.Total[g].Share }
 	slices.SortStableFunc(shown, func(x, y int32) int { return cmp.Compare(moved(y), moved(x)) })
 	all := []line{{"its share", true, func(int) float64 { return 1 }}}
-	for _, g := range shown[:min(len(shown), mostLinesShown)] {
+	for _, g := range shown[:min(len(shown), maxLinesShown)] {
 		all = append(all, line{r.Tree.Path(g), false, func(h int) float64 { return r.Hours[g][h].Used / max(r.Hours[g][h].Share, 1e-9) }})
 	}
 	return all
 }
 
-// panel draws lines over the hours, from a height on.
+// panel draws lines over the hours below a vertical position.
 func (r *Result) panel(canvas *svg.SVG, top int, title string, lines []line) {
-	hours, most := len(r.Hours[0]), 1e-9
+	hours, highest := len(r.Hours[0]), 1e-9
 	for _, l := range lines {
 		for h := range hours {
-			most = max(most, l.value(h))
+			highest = max(highest, l.value(h))
 		}
 	}
-	step := niceStep(most / 5)
-	most = math.Ceil(most/step) * step
-	x := func(hour int) int { return left + hour*(wide-left-right)/max(hours, 1) }
-	y := func(v float64) int { return top + high - below - int(v/most*float64(high-above-below)) }
-	canvas.Text(left, top+22, title, "font-size:14px")
-	for v := 0.0; v <= most*1.001; v += step {
-		canvas.Line(left, y(v), wide-right, y(v), "stroke:#dddddd")
-		canvas.Text(left-8, y(v)+4, fmt.Sprintf("%.6g", math.Round(v/step)*step), "text-anchor:end")
+	step := niceStep(highest / 5)
+	highest = math.Ceil(highest/step) * step
+	x := func(hour int) int { return leftMargin + hour*(panelWidth-leftMargin-rightMargin)/max(hours, 1) }
+	y := func(v float64) int {
+		return top + panelHeight - bottomMargin - int(v/highest*float64(panelHeight-topMargin-bottomMargin))
+	}
+	canvas.Text(leftMargin, top+22, title, "font-size:14px")
+	for v := 0.0; v <= highest*1.001; v += step {
+		canvas.Line(leftMargin, y(v), panelWidth-rightMargin, y(v), "stroke:#dddddd")
+		canvas.Text(leftMargin-8, y(v)+4, fmt.Sprintf("%.6g", math.Round(v/step)*step), "text-anchor:end")
 	}
 	every := max(int(niceStep(float64(hours)/8)), 1)
 	if hours > 48 {
@@ -99,7 +103,7 @@
 		canvas.Line(x(h), y(0), x(h), y(0)+5, "stroke:#444444")
 		canvas.Text(x(h), y(0)+18, fmt.Sprint(h), "text-anchor:middle")
 	}
-	canvas.Text(left, top+high-8, "hours since the start")
+	canvas.Text(leftMargin, top+panelHeight-8, "hours since the start")
 	for i, l := range lines {
 		style := "fill:none;stroke-width:1.5;stroke:" + colors[(i+len(colors)-1)%len(colors)]
 		if l.dashed {
@@ -110,13 +114,13 @@
 			xs, ys = append(xs, x(h), x(h+1)), append(ys, y(l.value(h)), y(l.value(h)))
 		}
 		canvas.Polyline(xs, ys, style)
-		at := top + above + i*legendLinePixel
-		canvas.Line(wide-right+12, at, wide-right+34, at, style)
-		canvas.Text(wide-right+40, at+4, l.name, "font-size:10px")
+		at := top + topMargin + i*legendLinePixel
+		canvas.Line(panelWidth-rightMargin+12, at, panelWidth-rightMargin+34, at, style)
+		canvas.Text(panelWidth-rightMargin+40, at+4, l.name, "font-size:10px")
 	}
 }
 
-// niceStep returns the least of 1, 2 and 5 times a power of ten that is no less than a value.
+// niceStep returns the least of 1, 2 and 5 times a power of ten that is at least a value.
 func niceStep(v float64) float64 {
 	power := math.Pow(10, math.Floor(math.Log10(max(v, 1e-9))))
 	for _, m := range []float64{1, 2, 5} {
--- a/internal/quotas/replay/fleet_test.go
+++ b/internal/quotas/replay/fleet_test.go
@@ -18,8 +18,8 @@
 
 var fleets = flag.Bool("fleets", false, "measure 3, 30 and 300 sidecars over a day and not 3 and 30 over three hours")
 
-// exactness is what a fleet did beside one machine that sees all requests.
-type exactness struct {
+// accuracy is what a fleet did beside one machine that sees all requests.
+type accuracy struct {
 	over   float64 // the most that all groups together had of the quota in an hour
 	had    float64 // the mean part of its share that a group had in hours in which it wanted it
 	worst  float64 // the least
@@ -27,15 +27,15 @@
 	unused float64 // of the quota, in the minutes in which somebody was refused
 }
 
-// playFleet deals the requests of a load out to so many sidecars at random: to each by a weight of its own, and of its own for
+// runFleet deals the requests of a load out to so many sidecars at random: to each by a weight of its own, and of its own for
 // each group.
-func playFleet(t *testing.T, tree *quota.Tree, load *Series, s quota.Settings, n int, skew float64) exactness {
+func runFleet(t *testing.T, tree *quota.Tree, load *Series, s quota.Settings, n int, skew float64) accuracy {
 	rng := rand.New(rand.NewPCG(14, uint64(n)))
 	spread := func() float64 { return math.Exp(skew * rng.NormFloat64()) }
 	machines, sums := make([]*quota.Limiter, n), make([][]float64, tree.Len())
 	weights := make([]float64, n)
 	for i := range machines {
-		machines[i], weights[i] = quota.New(tree, s, startS), spread()
+		machines[i], weights[i] = quota.New(tree, s, startTime), spread()
 	}
 	for g := range sums {
 		sum := 0.0
@@ -45,52 +45,52 @@
 		}
 	}
 	// One machine's day says who wants what when; its requests are dealt out as they come.
-	var x exactness
-	hours := int(load.EndS / hourS)
+	var x accuracy
+	hours := int(load.EndSeconds / hourSeconds)
 	served, wants := make([][]float64, tree.Len()), make([][]bool, tree.Len())
 	one := s
 	one.Replicas, one.StretchFraction = 1, 0
-	ref := Play(tree, load, one)
+	ref := Run(tree, load, one)
 	for g := range served {
 		served[g], wants[g] = make([]float64, hours), make([]bool, hours)
 		for h := range hours {
-			wants[g][h] = ref.Hours[g][h].Wants
+			wants[g][h] = ref.Hours[g][h].WantsShare
 		}
 	}
 	limit := tree.Limits[0]
 	total, minute, wanted, offered, missed := make([]float64, hours), 0, false, 0.0, 0.0
 	inMinute := 0.0
-	p := &player{m: quota.New(tree, one, startS), r: &Result{Tree: tree}, sources: make([]*source, tree.Len()), least: make([]float64, tree.Len()), minute: math.Inf(1)}
-	p.dealt = func(g int32, at float64) {
-		if m := int(at / minuteS); m != minute {
+	p := &run{limiter: quota.New(tree, one, startTime), result: &Result{Tree: tree}, sources: make([]*source, tree.Len()), leastRates: make([]float64, tree.Len()), minuteEnd: math.Inf(1)}
+	p.dispatch = func(g int32, at float64) {
+		if m := int(at / minuteSeconds); m != minute {
 			if wanted {
-				offered += limit.Quota / limit.WindowSeconds * minuteS
-				missed += max(0, limit.Quota/limit.WindowSeconds*minuteS-inMinute)
+				offered += limit.Quota / limit.WindowSeconds * minuteSeconds
+				missed += max(0, limit.Quota/limit.WindowSeconds*minuteSeconds-inMinute)
 			}
 			minute, wanted, inMinute = m, false, 0
 		}
 		i := min(sort.SearchFloat64s(sums[g], rng.Float64()*sums[g][n-1]), n-1)
-		if machines[i].Admit(startS+at, machines[i].NewRequest(g, 0, false)).Allowed {
-			served[g][int(at/hourS)]++
-			total[int(at/hourS)]++
+		if machines[i].Admit(startTime+at, machines[i].NewRequest(g, 0, false)).Allowed {
+			served[g][int(at/hourSeconds)]++
+			total[int(at/hourSeconds)]++
 			inMinute++
 		} else {
 			wanted = true
 		}
 	}
 	for _, step := range load.Steps {
-		p.until(step.AtS)
-		p.begin(step)
+		p.advanceTo(step.AtSeconds)
+		p.startStep(step)
 	}
-	p.until(load.EndS)
+	p.advanceTo(load.EndSeconds)
 	parts, all, want := []float64{}, 0.0, 0.0
 	for h := range hours {
-		x.over = max(x.over, total[h]/(limit.Quota/limit.WindowSeconds*hourS))
+		x.over = max(x.over, total[h]/(limit.Quota/limit.WindowSeconds*hourSeconds))
 		for g := range served {
 			all += served[g][h]
 			want += float64(ref.Hours[g][h].Served)
 			if wants[g][h] {
-				parts = append(parts, served[g][h]/(tree.Quota(int32(g), 0)/limit.WindowSeconds*hourS))
+				parts = append(parts, served[g][h]/(tree.Quota(int32(g), 0)/limit.WindowSeconds*hourSeconds))
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 // What it costs in exactness that sidecars share nothing.
-func TestFleets(t *testing.T) {
+func TestFleetSharesQuotasClosely(t *testing.T) {
 	tree, err := quotas.ReadFile(groupsFile)
 	require.NoError(t, err)
 	tree, err = quota.NewTree(tree.Limits[:1], groupsOf(tree))
@@ -118,18 +118,18 @@
 		sizes, stretches, endS = []int{3, 30, 300}, []float64{0, 0.1, 0.3}, 86400
 	}
 	for i := range load.Steps { // a busy evening first, so that a part of the day shows it
-		load.Steps[i].RatePS *= 1.6
+		load.Steps[i].RequestsPerSecond *= 1.6
 	}
 	const fromS = 17 * 3600.0
 	if !*fleets {
 		last := map[int32]Step{}
 		var rest []Step
 		for _, s := range load.Steps {
-			if s.AtS <= fromS {
-				s.AtS = 0
+			if s.AtSeconds <= fromS {
+				s.AtSeconds = 0
 				last[s.Group] = s
-			} else if s.AtS < fromS+endS {
-				s.AtS -= fromS
+			} else if s.AtSeconds < fromS+endS {
+				s.AtSeconds -= fromS
 				rest = append(rest, s)
 			}
 		}
@@ -141,18 +141,18 @@
 		}
 		load.Steps = append(load.Steps, rest...)
 	}
-	load.Steps = slices.DeleteFunc(load.Steps, func(s Step) bool { return s.AtS >= endS })
-	load.EndS = endS
+	load.Steps = slices.DeleteFunc(load.Steps, func(s Step) bool { return s.AtSeconds >= endS })
+	load.EndSeconds = endS
 	for _, n := range sizes {
 		for _, skew := range []float64{0, 0.5} {
 			for _, stretch := range stretches {
 				s := quotas.Defaults()
 				s.StretchFraction = stretch
-				x := playFleet(t, tree, load, s.LimiterSettings(n), n, skew)
+				x := runFleet(t, tree, load, s.LimiterSettings(n), n, skew)
 				t.Logf("%3d sidecars, skew %.1f, stretch %.1f: at most %.1f %% of the quota in an hour; who wanted its share had %.1f %% of it, at least %.1f %%; "+
 					"%.1f %% of what one machine serves; %.1f %% not served while somebody was refused", n, skew, stretch, 100*x.over, 100*x.had, 100*x.worst, 100*x.served, 100*x.unused)
 				// Each account of each sidecar holds a request at least, and a pool two: so many may be taken at once.
-				held := 2 * float64(n*tree.Len()) / (tree.Limits[0].Quota / tree.Limits[0].WindowSeconds * hourS)
+				held := 2 * float64(n*tree.Len()) / (tree.Limits[0].Quota / tree.Limits[0].WindowSeconds * hourSeconds)
 				assert.Less(t, x.over, 1.02+stretch+held, "no more than the quotas, stretched, and what is held")
 				assert.Greater(t, x.served, 0.75)
 			}
--- a/internal/quotas/replay/replay.go
+++ b/internal/quotas/replay/replay.go
@@ -7,239 +7,243 @@
 	"hazelwheel/internal/decide/quota"
 )
 
-// hourS is the time over which shares are compared; minuteS that in which somebody wants what is left.
+// hourSeconds is the interval in which shares are compared, minuteSeconds the one in which unused quota is compared with unmet
+// demand.
 const (
-	hourS   = 3600.0
-	minuteS = 60.0
+	hourSeconds   = 3600.0
+	minuteSeconds = 60.0
 )
 
-// Hour is what a group had in an hour. What was lent and paid back is of the first limit with a window.
+// Hour is what a group got in an hour. Loans are those of the limit that shares are compared by.
 type Hour struct {
-	Asked, Served, Refused int
-	Share                  float64 // its own, in requests; of a limit of another measure, in its unit
-	Used                   float64
-	Borrowed, Repaid       float64
-	Lent, Returned         float64
-	Wants                  bool // all hour long it asks for its share at least
+	Asked, Served, Rejected int
+	Share                   float64 // the group's own, in the limit's unit
+	Used                    float64
+	Borrowed, Repaid        float64
+	Lent, Returned          float64
+	WantsShare              bool // it asked for its share or more during the whole hour
 }
 
-// Result is what came of a load.
+// Result is the outcome of a load.
 type Result struct {
-	Tree     *quota.Tree
-	Limit    int      // that shares are compared by
-	Hours    [][]Hour // by group, by hour
-	Total    []Hour   // by group
-	Forgiven []float64
-	Expired  []float64
-	Balance  []float64 // by group, at the end
-	Offered  float64   // of the limit, in the minutes in which somebody was refused for want of it
-	Unused   float64   // of that, which found no room
-	Unserved float64   // of that, which nobody had in the same minute: what fills the buckets of those who slept, too
-	Asks     int
-	Off      float64 // by how much the books disagree at the end
+	Tree        *quota.Tree
+	Limit       int      // in Tree.Limits, that shares are compared by
+	Hours       [][]Hour // by group, by hour
+	Total       []Hour   // by group
+	Forgiven    []float64
+	Expired     []float64
+	Balance     []float64 // by group, at the end
+	Offered     float64   // quota in the minutes in which a request was rejected for lack of it
+	Unused      float64   // part of Offered that found no room
+	Unserved    float64   // part of Offered that was not used in the same minute, including what filled buckets of idle groups
+	Decisions   int
+	Discrepancy float64 // of the accounts at the end, see quota.Limiter.Audit
 }
 
 // source is a group that asks.
 type source struct {
-	step Step
-	next float64 // when it asks again
-	last float64 // when it asked last
+	step   Step
+	nextAt float64 // of its next request
+	lastAt float64 // of its last request
 }
 
-// due orders the sources by their next requests; at one time the lower number is first.
-type due []*source
+// sourceQueue is a heap of sources by their next requests; at equal times the lower number is first.
+type sourceQueue []*source
 
-func (d due) Len() int { return len(d) }
-func (d due) Less(i, j int) bool {
-	return d[i].next < d[j].next || d[i].next == d[j].next && d[i].step.Group < d[j].step.Group
+func (d sourceQueue) Len() int { return len(d) }
+func (d sourceQueue) Less(i, j int) bool {
+	return d[i].nextAt < d[j].nextAt || d[i].nextAt == d[j].nextAt && d[i].step.Group < d[j].step.Group
 }
-func (d due) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *due) Push(x any)   { *d = append(*d, x.(*source)) }
-func (d *due) Pop() any {
+func (d sourceQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (d *sourceQueue) Push(x any)   { *d = append(*d, x.(*source)) }
+func (d *sourceQueue) Pop() any {
 	last := (*d)[len(*d)-1]
 	*d = (*d)[:len(*d)-1]
 	return last
 }
 
-// startS is the time of a load's start: any will do.
-const startS = 1.8e9
-
-// player is a load that is being played.
-type player struct {
-	m       *quota.Limiter
-	r       *Result
-	sources []*source // by group; nil: it has not asked
-	queue   due
-	hour    int
-	was     []quota.Tally             // at the hour's start
-	least   []float64                 // the least rate in this hour
-	minute  float64                   // its end
-	lost    float64                   // at its start
-	used    float64                   // likewise
-	wanted  bool                      // somebody has been refused in it for want of what there is
-	root    float64                   // a second, of the limit
-	dealt   func(g int32, at float64) // takes the requests in place of the machine, where it is set
-}
-
-// Play plays a load against a tree of quotas. Each request is answered at once; those that are refused do not come again.
-func Play(t *quota.Tree, s *Series, settings quota.Settings) *Result {
-	n := t.Len()
-	p := &player{m: quota.New(t, settings, startS), sources: make([]*source, n), was: make([]quota.Tally, n), least: make([]float64, n), minute: minuteS}
-	p.r = &Result{Tree: t, Hours: make([][]Hour, n), Total: make([]Hour, n), Forgiven: make([]float64, n), Expired: make([]float64, n),
-		Balance: make([]float64, n)}
-	for p.r.Limit = 0; p.r.Limit < len(t.Limits)-1 && t.Limits[p.r.Limit].Measure == quota.Open; p.r.Limit++ {
+// startTime is the time of a load's start; the value does not matter.
+const startTime = 1.8e9
+
+// run is the state of a load that is replayed.
+type run struct {
+	limiter            *quota.Limiter
+	result             *Result
+	sources            []*source // by group; nil: none yet
+	queue              sourceQueue
+	hour               int
+	talliesAtHourStart []quota.Tally             // by group
+	leastRates         []float64                 // by group: the lowest rate in this hour
+	minuteEnd          float64                   // of the present minute
+	lostAtMinuteStart  float64                   // at its start
+	usedAtMinuteStart  float64                   // likewise
+	hasUnmetDemand     bool                      // a request was rejected in this minute for lack of tokens
+	rootRate           float64                   // of the limit, per second
+	dispatch           func(g int32, at float64) // if set, gets the requests in place of the limiter
+}
+
+// Run replays a load against a tree of quotas. Each request completes at once; rejected requests are not retried.
+func Run(tree *quota.Tree, series *Series, settings quota.Settings) *Result {
+	groups := tree.Len()
+	r := &run{limiter: quota.New(tree, settings, startTime), sources: make([]*source, groups), talliesAtHourStart: make([]quota.Tally, groups), leastRates: make([]float64, groups), minuteEnd: minuteSeconds}
+	r.result = &Result{Tree: tree, Hours: make([][]Hour, groups), Total: make([]Hour, groups), Forgiven: make([]float64, groups), Expired: make([]float64, groups),
+		Balance: make([]float64, groups)}
+	for r.result.Limit = 0; r.result.Limit < len(tree.Limits)-1 && tree.Limits[r.result.Limit].Measure == quota.Open; r.result.Limit++ {
 	}
-	p.root = t.Limits[p.r.Limit].Quota / t.Limits[p.r.Limit].WindowSeconds / float64(max(settings.Replicas, 1))
-	p.beginHour()
-	for _, step := range s.Steps {
-		p.until(step.AtS)
-		p.begin(step)
+	r.rootRate = tree.Limits[r.result.Limit].Quota / tree.Limits[r.result.Limit].WindowSeconds / float64(max(settings.Replicas, 1))
+	r.beginHour()
+	for _, step := range series.Steps {
+		r.advanceTo(step.AtSeconds)
+		r.startStep(step)
 	}
-	p.until(s.EndS)
-	p.endMinute(s.EndS)
-	if s.EndS > float64(p.hour)*hourS {
-		p.endHour(s.EndS - float64(p.hour)*hourS)
+	r.advanceTo(series.EndSeconds)
+	r.endMinute(series.EndSeconds)
+	if series.EndSeconds > float64(r.hour)*hourSeconds {
+		r.endHour(series.EndSeconds - float64(r.hour)*hourSeconds)
 	}
-	p.r.Off, _ = p.m.Audit(startS + s.EndS)
-	for g := range n {
-		_, p.r.Balance[g] = p.m.Tally(int32(g), p.r.Limit)
+	r.result.Discrepancy, _ = r.limiter.Audit(startTime + series.EndSeconds)
+	for g := range groups {
+		_, r.result.Balance[g] = r.limiter.Tally(int32(g), r.result.Limit)
 	}
-	return p.r
+	return r.result
 }
 
-// begin has a group ask for something else.
-func (p *player) begin(step Step) {
+// startStep changes what a group asks for.
+func (r *run) startStep(step Step) {
 	g := step.Group
-	p.least[g] = min(p.least[g], step.RatePS)
-	src := p.sources[g]
+	r.leastRates[g] = min(r.leastRates[g], step.RequestsPerSecond)
+	src := r.sources[g]
 	switch {
 	case src != nil:
 		src.step = step
-		src.next = max(step.AtS, src.last+1/max(step.RatePS, 1e-12))
-		heap.Init(&p.queue)
-	case step.RatePS > 0:
-		// Danger: groups that all begin at once would ask in the same instants for ever.
-		src = &source{step: step, last: step.AtS - float64(g%97)/97/step.RatePS}
-		src.next = src.last + 1/step.RatePS
-		p.sources[g] = src
-		heap.Push(&p.queue, src)
+		src.nextAt = max(step.AtSeconds, src.lastAt+1/max(step.RequestsPerSecond, 1e-12))
+		heap.Init(&r.queue)
+	case step.RequestsPerSecond > 0:
+		// Danger: groups that all start at once would ask at the same instants forever.
+		src = &source{step: step, lastAt: step.AtSeconds - float64(g%97)/97/step.RequestsPerSecond}
+		src.nextAt = src.lastAt + 1/step.RequestsPerSecond
+		r.sources[g] = src
+		heap.Push(&r.queue, src)
 	}
 }
 
-// until plays up to a time.
-func (p *player) until(at float64) {
-	for len(p.queue) > 0 && p.queue[0].next < at {
-		src := p.queue[0]
-		if p.dealt != nil {
-			p.dealt(src.step.Group, src.next)
+// advanceTo replays the load up to a time.
+func (r *run) advanceTo(at float64) {
+	for len(r.queue) > 0 && r.queue[0].nextAt < at {
+		src := r.queue[0]
+		if r.dispatch != nil {
+			r.dispatch(src.step.Group, src.nextAt)
 		} else {
-			p.turn(src.next)
-			p.ask(src)
+			r.closeIntervals(src.nextAt)
+			r.admit(src)
 		}
-		src.last = src.next
-		src.next += 1 / src.step.RatePS
-		heap.Fix(&p.queue, 0)
+		src.lastAt = src.nextAt
+		src.nextAt += 1 / src.step.RequestsPerSecond
+		heap.Fix(&r.queue, 0)
 	}
-	if p.dealt == nil {
-		p.turn(at)
+	if r.dispatch == nil {
+		r.closeIntervals(at)
 	}
 }
 
-// turn ends the hours and minutes that are over at a time.
-func (p *player) turn(at float64) {
-	for at >= p.minute {
-		p.endMinute(p.minute)
-		if p.minute >= float64(p.hour+1)*hourS {
-			p.endHour(hourS)
-			p.hour++
-			p.beginHour()
+// closeIntervals ends the minutes and hours that are over at a time.
+func (r *run) closeIntervals(at float64) {
+	for at >= r.minuteEnd {
+		r.endMinute(r.minuteEnd)
+		if r.minuteEnd >= float64(r.hour+1)*hourSeconds {
+			r.endHour(hourSeconds)
+			r.hour++
+			r.beginHour()
 		}
-		p.minute += minuteS
+		r.minuteEnd += minuteSeconds
 	}
 }
 
-func (p *player) ask(src *source) {
-	g, now := src.step.Group, startS+src.next
-	q := p.m.NewRequest(g, src.step.Bytes, false)
-	h := &p.r.Hours[g][p.hour]
+// admit decides on the next request of a source.
+func (r *run) admit(src *source) {
+	g, now := src.step.Group, startTime+src.nextAt
+	q := r.limiter.NewRequest(g, src.step.Bytes, false)
+	h := &r.result.Hours[g][r.hour]
 	h.Asked++
-	p.r.Asks++
-	if v := p.m.Admit(now, q); v.Allowed {
+	r.result.Decisions++
+	if v := r.limiter.Admit(now, q); v.Allowed {
 		h.Served++
-		p.m.Complete(now, q, 0, 0, src.step.WorkS)
+		r.limiter.Complete(now, q, 0, 0, src.step.WorkSeconds)
 	} else {
-		h.Refused++
-		p.wanted = p.wanted || v.Limit == p.r.Limit && !p.m.WasCapped(g)
+		h.Rejected++
+		r.hasUnmetDemand = r.hasUnmetDemand || v.Limit == r.result.Limit && !r.limiter.WasCapped(g)
 	}
 }
 
-// endMinute adds up what was left in a minute in which somebody wanted more. Danger: what flows into the buckets of those
-// who were asleep is kept for them and not lost; lost is what found no room.
-func (p *player) endMinute(at float64) {
-	lost := p.m.LostAt(startS+at, p.r.Limit)
-	root, _ := p.m.Tally(0, p.r.Limit)
-	if p.wanted {
-		p.r.Offered += p.root * minuteS
-		p.r.Unused += lost - p.lost
-		p.r.Unserved += max(0, p.root*minuteS-(root.Used-p.used))
+// endMinute sums up the quota that was left over in a minute with unmet demand. Danger: what fills the buckets of idle groups is
+// kept and not lost; lost is only what found no room.
+func (r *run) endMinute(at float64) {
+	lost := r.limiter.LostAt(startTime+at, r.result.Limit)
+	root, _ := r.limiter.Tally(0, r.result.Limit)
+	if r.hasUnmetDemand {
+		r.result.Offered += r.rootRate * minuteSeconds
+		r.result.Unused += lost - r.lostAtMinuteStart
+		r.result.Unserved += max(0, r.rootRate*minuteSeconds-(root.Used-r.usedAtMinuteStart))
 	}
-	p.wanted, p.lost, p.used = false, lost, root.Used
+	r.hasUnmetDemand, r.lostAtMinuteStart, r.usedAtMinuteStart = false, lost, root.Used
 }
 
-func (p *player) beginHour() {
-	for g := range p.r.Hours {
-		p.r.Hours[g] = append(p.r.Hours[g], Hour{})
-		p.was[g], _ = p.m.Tally(int32(g), p.r.Limit)
-		if p.least[g] = 0; p.sources[g] != nil {
-			p.least[g] = p.sources[g].step.RatePS
+// beginHour starts an hour.
+func (r *run) beginHour() {
+	for g := range r.result.Hours {
+		r.result.Hours[g] = append(r.result.Hours[g], Hour{})
+		r.talliesAtHourStart[g], _ = r.limiter.Tally(int32(g), r.result.Limit)
+		if r.leastRates[g] = 0; r.sources[g] != nil {
+			r.leastRates[g] = r.sources[g].step.RequestsPerSecond
 		}
 	}
 }
 
-func (p *player) endHour(lengthS float64) {
-	limit := p.r.Tree.Limits[p.r.Limit]
-	for g := range p.r.Hours {
-		is, _ := p.m.Tally(int32(g), p.r.Limit)
-		was, h := &p.was[g], &p.r.Hours[g][p.hour]
-		sharePS := p.r.Tree.Quota(int32(g), p.r.Limit) / limit.WindowSeconds
-		h.Share, h.Used = sharePS*lengthS, is.Used-was.Used
-		h.Borrowed, h.Repaid = is.Borrowed-was.Borrowed, is.Repaid-was.Repaid
-		h.Lent, h.Returned = is.Lent-was.Lent, is.Returned-was.Returned
-		h.Wants = limit.Measure == quota.Requests && sharePS > 0 && p.least[g] >= sharePS
-		t := &p.r.Total[g]
-		t.Asked, t.Served, t.Refused, t.Used = t.Asked+h.Asked, t.Served+h.Served, t.Refused+h.Refused, t.Used+h.Used
+// endHour sums up an hour of so many seconds.
+func (r *run) endHour(seconds float64) {
+	limit := r.result.Tree.Limits[r.result.Limit]
+	for g := range r.result.Hours {
+		tally, _ := r.limiter.Tally(int32(g), r.result.Limit)
+		before, h := &r.talliesAtHourStart[g], &r.result.Hours[g][r.hour]
+		shareRate := r.result.Tree.Quota(int32(g), r.result.Limit) / limit.WindowSeconds
+		h.Share, h.Used = shareRate*seconds, tally.Used-before.Used
+		h.Borrowed, h.Repaid = tally.Borrowed-before.Borrowed, tally.Repaid-before.Repaid
+		h.Lent, h.Returned = tally.Lent-before.Lent, tally.Returned-before.Returned
+		h.WantsShare = limit.Measure == quota.Requests && shareRate > 0 && r.leastRates[g] >= shareRate
+		t := &r.result.Total[g]
+		t.Asked, t.Served, t.Rejected, t.Used = t.Asked+h.Asked, t.Served+h.Served, t.Rejected+h.Rejected, t.Used+h.Used
 		t.Share, t.Borrowed, t.Repaid, t.Lent, t.Returned = t.Share+h.Share, t.Borrowed+h.Borrowed, t.Repaid+h.Repaid, t.Lent+h.Lent, t.Returned+h.Returned
-		p.r.Forgiven[g], p.r.Expired[g] = is.Forgiven, is.Expired
+		r.result.Forgiven[g], r.result.Expired[g] = tally.Forgiven, tally.Expired
 	}
 }
 
-// Worst returns the least part of its share that a group had in an hour in which it wanted it all the time, and how many such
-// hours there were; lessRepaid takes what it paid back off its share.
-func (r *Result) Worst(lessRepaid bool) (part float64, hours int) {
-	part = math.Inf(1)
+// WorstShare returns the lowest fraction of its share that a group got in an hour in which it wanted all of it, and the number of
+// such hours. With lessRepaid, repayments are taken off the share.
+func (r *Result) WorstShare(lessRepaid bool) (share float64, hours int) {
+	share = math.Inf(1)
 	for g := range r.Hours {
 		for _, h := range r.Hours[g] {
-			due := h.Share
+			ownShare := h.Share
 			if lessRepaid {
-				due -= h.Repaid
+				ownShare -= h.Repaid
 			}
-			if h.Wants && due > 0 {
+			if h.WantsShare && ownShare > 0 {
 				hours++
-				part = min(part, float64(h.Served)/due)
+				share = min(share, float64(h.Served)/ownShare)
 			}
 		}
 	}
-	return part, hours
+	return share, hours
 }
 
-// Imbalance returns by how much the loans of a group, what it has paid back, what was forgiven and what it owes disagree, and
-// the same of what it has lent; the worst of all groups.
+// Imbalance returns the worst discrepancy of any group between its loans and what was repaid, forgiven and is still owed, or
+// between its deposits and what was returned, expired and is still there.
 func (r *Result) Imbalance() (worst float64) {
 	for g := 1; g < len(r.Total); g++ {
 		t := &r.Total[g]
-		owes, claims := max(-r.Balance[g], 0), max(r.Balance[g], 0)
-		for _, off := range []float64{t.Borrowed - t.Repaid - r.Forgiven[g] - owes, t.Lent - t.Returned - r.Expired[g] - claims} {
-			worst = max(worst, off, -off)
+		debt, credit := max(-r.Balance[g], 0), max(r.Balance[g], 0)
+		for _, discrepancy := range []float64{t.Borrowed - t.Repaid - r.Forgiven[g] - debt, t.Lent - t.Returned - r.Expired[g] - credit} {
+			worst = max(worst, discrepancy, -discrepancy)
 		}
 	}
 	return worst
--- a/internal/quotas/replay/series.go
+++ b/internal/quotas/replay/series.go
@@ -1,5 +1,5 @@
-// Package replay says what a file of quotas would have done to a load: it plays the load against the decisions in simulated
-// time and adds up, hour by hour, what each group had.
+// Package replay shows what a file of quotas would have done to a recorded load: it replays the load against package quota in
+// simulated time and sums up, hour by hour, what each group got.
 package replay
 
 import (
@@ -16,29 +16,29 @@
 	"hazelwheel/internal/decide/quota"
 )
 
-// mostLines bounds a series.
-const mostLines = 2_000_000
+// maxLines bounds the lines of a series.
+const maxLines = 2_000_000
 
-// Step is what a group asks for from a time on: so many requests a second, evenly spaced, of a size.
+// Step is what a group asks for from a time on: so many requests per second, evenly spaced, of a size.
 type Step struct {
-	AtS    float64 // since the start
-	Group  int32
-	RatePS float64
-	Bytes  float64 // of a request and its answer
-	WorkS  float64 // of a box
+	AtSeconds         float64 // seconds since the start
+	Group             int32
+	RequestsPerSecond float64
+	Bytes             float64 // of a request and its response
+	WorkSeconds       float64 // of a server's time per request
 }
 
-// Series is a load, in the order of its times.
+// Series is a load, ordered by time.
 type Series struct {
-	Steps []Step
-	EndS  float64 // since the start
+	Steps      []Step
+	EndSeconds float64 // seconds since the start
 }
 
-// columns of a series; the last two may be left out.
+// columns are the names in the first line; the last two are optional.
 var columns = []string{"at_s", "group", "rate_ps", "bytes", "work_s"}
 
-// ReadSeries reads a load as comma-separated values with a line of names. Its last line's time is the end. An error is one line
-// that names the line and the column at fault.
+// ReadSeries reads a load as comma-separated values with a line of names. The time of the last line is the end. An error is one
+// line that names the line and the column at fault.
 func ReadSeries(in io.Reader, t *quota.Tree) (*Series, error) {
 	r := csv.NewReader(bufio.NewReader(in))
 	r.ReuseRecord, r.TrimLeadingSpace = true, true
@@ -59,24 +59,25 @@
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", line, errors.Unwrap(err))
 		}
-		if line > mostLines {
-			return nil, fmt.Errorf("line %d: want at most %d", line, mostLines)
+		if line > maxLines {
+			return nil, fmt.Errorf("line %d: want at most %d", line, maxLines)
 		}
 		step, err := readStep(record, t)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", line, err)
 		}
-		if step.AtS < s.EndS {
-			return nil, fmt.Errorf("line %d: at_s: %g comes after %g", line, step.AtS, s.EndS)
+		if step.AtSeconds < s.EndSeconds {
+			return nil, fmt.Errorf("line %d: at_s: %g comes after %g", line, step.AtSeconds, s.EndSeconds)
 		}
-		s.Steps, s.EndS = append(s.Steps, step), step.AtS
+		s.Steps, s.EndSeconds = append(s.Steps, step), step.AtSeconds
 	}
-	if s.EndS <= 0 {
+	if s.EndSeconds <= 0 {
 		return nil, errors.New("the last line's time is the end, and it is 0")
 	}
 	return s, nil
 }
 
+// readStep parses one line.
 func readStep(record []string, t *quota.Tree) (step Step, err error) {
 	for i, text := range record {
 		if i == 1 {
@@ -91,9 +92,9 @@
 		if err != nil || !(v >= 0 && v <= 1e12) || math.IsInf(v, 0) {
 			return step, fmt.Errorf("%s: %q is no number from 0 to 1e12", columns[i], text)
 		}
-		*[]*float64{&step.AtS, nil, &step.RatePS, &step.Bytes, &step.WorkS}[i] = v
+		*[]*float64{&step.AtSeconds, nil, &step.RequestsPerSecond, &step.Bytes, &step.WorkSeconds}[i] = v
 	}
-	if step.RatePS > 1e6 {
+	if step.RequestsPerSecond > 1e6 {
 		return step, errors.New("rate_ps: want at most 1000000")
 	}
 	return step, nil
--- a/internal/quotas/replay/week_test.go
+++ b/internal/quotas/replay/week_test.go
@@ -155,7 +155,7 @@
 
 // The scripted week, or its first day: whoever wants its share has it, loans and what became of them agree, and nothing is
 // left over while anybody wants it.
-func TestWeek(t *testing.T) {
+func TestWeekOfLoadKeepsShares(t *testing.T) {
 	if *write {
 		text, err := json.Marshal(weekGroups())
 		require.NoError(t, err)
@@ -176,30 +176,30 @@
 	require.NoError(t, err)
 	if !*whole {
 		const dayS = 86400
-		load.Steps = slices.DeleteFunc(load.Steps, func(s Step) bool { return s.AtS >= dayS })
-		load.EndS = dayS
+		load.Steps = slices.DeleteFunc(load.Steps, func(s Step) bool { return s.AtSeconds >= dayS })
+		load.EndSeconds = dayS
 	}
 	s := quotas.Defaults()
 	s.RepayFraction = *repay
 	began := time.Now()
-	r := Play(tree, load, s.LimiterSettings(1))
+	r := Run(tree, load, s.LimiterSettings(1))
 	var text bytes.Buffer
-	require.NoError(t, r.Text(&text))
-	t.Logf("%d groups, %d decisions in %.1f s\n%s", tree.Len()-1, r.Asks, time.Since(began).Seconds(), text.String())
+	require.NoError(t, r.WriteTable(&text))
+	t.Logf("%d groups, %d decisions in %.1f s\n%s", tree.Len()-1, r.Decisions, time.Since(began).Seconds(), text.String())
 
-	part, hours := r.Worst(true)
+	part, hours := r.WorstShare(true)
 	assert.Greater(t, hours, 150)
 	assert.Greater(t, part, 0.99, "each has its share in each hour in which it wants it, less what it pays back")
-	part, _ = r.Worst(false)
+	part, _ = r.WorstShare(false)
 	assert.Greater(t, part, 0.999-s.RepayFraction, "and it pays back no more than is said, by default a hundredth")
 	assert.Less(t, r.Imbalance(), 1.0)
-	assert.Less(t, r.Off, 0.01)
+	assert.Less(t, r.Discrepancy, 0.01)
 	assert.Positive(t, r.Offered)
 	assert.Less(t, r.Unused/r.Offered, 0.01)
 	if *picture != "" {
 		out, err := os.Create(*picture)
 		require.NoError(t, err)
-		require.NoError(t, r.Picture(out))
+		require.NoError(t, r.WriteChart(out))
 		require.NoError(t, out.Close())
 	}
 }
