--- a/internal/coordination/maintenance_commands.go
+++ b/internal/coordination/maintenance_commands.go
@@ -8,106 +8,126 @@
 	"hazelwheel/internal/peers"
 )
 
-// trackedCommand is a command on its way, or its answer.
+const (
+	// commandRetrySeconds is the time between two times that a command without a reply is sent.
+	commandRetrySeconds = 0.4
+	// commandInterestSeconds is how long a command is sent again after it was submitted here last.
+	commandInterestSeconds = 3.0
+	// replyRetentionSeconds is how long a command and its reply are kept for those that submit it again.
+	replyRetentionSeconds = 60.0
+	maxCommands           = 256 // that are kept
+)
+
+// trackedCommand is a command that was submitted here or is on its way to the holder, with its reply.
 type trackedCommand struct {
 	maintenance.Command
 	reply       maintenance.Reply
-	answered    bool
-	requestedAt float64 // here, at the door; -Inf: it was not
-	forwardedAt float64
-	seenAt      float64
+	answered    bool    // reply is set
+	requestedAt float64 // when it was last submitted here; -Inf: it was not
+	forwardedAt float64 // when it was last sent; -Inf: never
+	seenAt      float64 // when it or its reply came last
 }
 
-// Work takes a command at this sidecar's door.
-func (w *maintenanceRole) submit(now float64, c *maintenance.Command) (reply maintenance.Reply, answered bool) {
-	d := w.trackCommand(now, c)
-	if d == nil {
+// submit returns the reply to a command that is submitted at this sidecar, or has it sent to the holder.
+func (r *maintenanceRole) submit(now float64, c *maintenance.Command) (reply maintenance.Reply, answered bool) {
+	t := r.trackCommand(now, c)
+	if t == nil {
 		return maintenance.Reply{Err: "too many commands wait"}, true
 	}
-	if d.requestedAt = now; d.answered {
-		return d.reply, true
+	if t.requestedAt = now; t.answered {
+		return t.reply, true
 	}
-	w.roles.state(maintenanceRoleName).nextTick = 0
+	r.roles.requestTick(maintenanceRoleName)
 	return maintenance.Reply{}, false
 }
 
-// trackCommand returns what is known of a command; nil: there is no room for one more.
-func (w *maintenanceRole) trackCommand(now float64, c *maintenance.Command) *trackedCommand {
-	for _, d := range w.commands {
-		if d.Nonce == c.Nonce {
-			d.seenAt = now
-			return d
+// trackCommand returns the entry of a command, which is added if need be; nil if there are too many.
+func (r *maintenanceRole) trackCommand(now float64, c *maintenance.Command) *trackedCommand {
+	for _, t := range r.commands {
+		if t.Nonce == c.Nonce {
+			t.seenAt = now
+			return t
 		}
 	}
-	w.expireCommands(now)
-	if len(w.commands) >= maxCommands {
+	r.expireCommands(now)
+	if len(r.commands) >= maxCommands {
 		return nil
 	}
-	d := &trackedCommand{Command: *c, requestedAt: math.Inf(-1), forwardedAt: math.Inf(-1), seenAt: now}
-	w.commands = append(w.commands, d)
-	return d
+	t := &trackedCommand{Command: *c, requestedAt: math.Inf(-1), forwardedAt: math.Inf(-1), seenAt: now}
+	r.commands = append(r.commands, t)
+	return t
 }
 
-func (w *maintenanceRole) expireCommands(now float64) {
-	w.commands = slices.DeleteFunc(w.commands, func(d *trackedCommand) bool { return now-max(d.seenAt, d.requestedAt) > replyRetentionSeconds })
+func (r *maintenanceRole) expireCommands(now float64) {
+	r.commands = slices.DeleteFunc(r.commands, func(t *trackedCommand) bool { return now-max(t.seenAt, t.requestedAt) > replyRetentionSeconds })
 }
 
-// handleCommand takes a command on its way to the owner.
-func (w *maintenanceRole) handleCommand(now float64, c *maintenance.Command, from *peers.Link) {
-	d := w.trackCommand(now, c)
+// handleCommand handles a command on its way to the holder: the holder executes it, others forward it.
+func (r *maintenanceRole) handleCommand(now float64, c *maintenance.Command, from *peers.Link) {
+	t := r.trackCommand(now, c)
 	switch {
-	case d == nil:
-	case w.heldToken != 0:
-		w.execute(now, d)
-	case now >= d.forwardedAt+0.9*commandRetrySeconds:
-		w.forwardCommand(now, d, from)
+	case t == nil:
+	case r.heldToken != 0:
+		r.execute(now, t)
+	case now >= t.forwardedAt+forwardSlack*commandRetrySeconds:
+		r.forwardCommand(now, t, from)
 	}
 }
 
-// forwardCommand passes a command on over all links but one.
-func (w *maintenanceRole) forwardCommand(now float64, d *trackedCommand, except *peers.Link) {
-	token := w.maxToken()
+// retryCommands sends commands without a reply towards the holder again, and returns when to do so next; +Inf: never.
+func (r *maintenanceRole) retryCommands(now float64) (next float64) {
+	next = math.Inf(1)
+	for _, t := range r.commands {
+		if t.answered || now-t.requestedAt > commandInterestSeconds {
+			continue
+		}
+		if now >= t.forwardedAt+commandRetrySeconds {
+			r.forwardCommand(now, t, nil)
+		}
+		next = now + commandRetrySeconds
+	}
+	return next
+}
+
+// forwardCommand sends a command towards the holder, over all links but one.
+func (r *maintenanceRole) forwardCommand(now float64, t *trackedCommand, except *peers.Link) {
+	token := r.maxToken()
 	if token == 0 {
 		return
 	}
-	d.forwardedAt = now
-	body := mustMarshal(&d.Command)
-	for _, l := range slices.Clone(w.roles.node.upLinks) { // a link may end with what is sent over it
-		if l != except {
-			w.roles.sendReply(l, maintenanceRoleName, token, kindCommand, body)
-		}
-	}
+	t.forwardedAt = now
+	r.roles.sendTowardsHolder(maintenanceRoleName, token, kindCommand, mustMarshal(&t.Command), except)
 }
 
-// execute has the owner carry a command out, once, and answer it, as often as it comes.
-func (w *maintenanceRole) execute(now float64, d *trackedCommand) {
+// execute executes a command once, as the holder, and sends the reply to all as often as the command comes.
+func (r *maintenanceRole) execute(now float64, t *trackedCommand) {
 	switch {
-	case d.answered:
-		w.roles.broadcast(maintenanceRoleName, kindCommandReply, mustMarshal(&d.reply))
-	case w.coordinator != nil:
-		if r, answered := w.coordinator.Submit(now, d.Command); answered {
-			r.Nonce = d.Nonce
-			w.publishReply(now, &r)
+	case t.answered:
+		r.roles.broadcast(maintenanceRoleName, kindCommandReply, mustMarshal(&t.reply))
+	case r.coordinator != nil:
+		if reply, answered := r.coordinator.Submit(now, t.Command); answered {
+			reply.Nonce = t.Nonce
+			r.publishReply(now, &reply)
 		}
-		w.roles.state(maintenanceRoleName).nextTick = 0
+		r.roles.requestTick(maintenanceRoleName)
 	}
 }
 
-// publishReply tells all of an answer: somebody waits for it.
-func (w *maintenanceRole) publishReply(now float64, r *maintenance.Reply) {
-	if r.Token != 0 {
+// publishReply sends a reply to all, since any sidecar may have submitted the command.
+func (r *maintenanceRole) publishReply(now float64, reply *maintenance.Reply) {
+	if reply.Token != 0 {
 		reachStep("handed")
 	}
-	if w.roles.broadcast(maintenanceRoleName, kindCommandReply, mustMarshal(r)) {
-		w.recordReply(now, r)
+	if r.roles.broadcast(maintenanceRoleName, kindCommandReply, mustMarshal(reply)) {
+		r.recordReply(now, reply)
 	}
 }
 
-// recordReply takes an answer.
-func (w *maintenanceRole) recordReply(now float64, r *maintenance.Reply) {
-	for _, d := range w.commands {
-		if d.Nonce == r.Nonce && !d.answered {
-			d.answered, d.reply, d.seenAt = true, *r, now
+// recordReply keeps a reply for those that submit the command again.
+func (r *maintenanceRole) recordReply(now float64, reply *maintenance.Reply) {
+	for _, t := range r.commands {
+		if t.Nonce == reply.Nonce && !t.answered {
+			t.answered, t.reply, t.seenAt = true, *reply, now
 		}
 	}
 }
--- a/internal/coordination/maintenance_holder.go
+++ b/internal/coordination/maintenance_holder.go
@@ -5,184 +5,197 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
-// handleCommitted takes what the electors keep, as the owner.
-func (w *maintenanceRole) handleCommitted(r *lease.Record) {
-	if w.heldToken == 0 {
+const (
+	// announceIntervalSeconds is the time between two announcements while a plan is active, idleAnnounceIntervalSeconds while none is.
+	announceIntervalSeconds, idleAnnounceIntervalSeconds = 1.0, 10.0
+	// writeRetrySeconds is the time between two attempts to commit a version.
+	writeRetrySeconds = 0.3
+	// recordReadSeconds is about how long it takes until a new holder knows the committed record.
+	recordReadSeconds = 0.35
+)
+
+// epochOf returns the epoch of the voters that granted a token.
+func epochOf(token uint64) uint64 { return token >> 40 }
+
+// handleCommitted handles the committed record, as the holder: the first time it starts the coordinator, later it tells it what has
+// been committed.
+func (r *maintenanceRole) handleCommitted(record *lease.Record) {
+	if r.heldToken == 0 {
 		return
 	}
-	now, epoch := w.roles.node.net.Now(), w.heldToken>>40
-	state, err := maintenance.Decode(r.Body)
+	now, epoch := r.roles.node.net.Now(), epochOf(r.heldToken)
+	state, err := maintenance.Decode(record.Body)
 	if err != nil {
-		w.roles.logInfo("what is agreed of work on boxes can't be read", "version", r.Version, "error", err)
+		r.roles.logInfo("committed maintenance record unreadable", "version", record.Version, "error", err)
 		return
 	}
 	switch {
-	case r.Version == 0 && w.version > 0 && w.epoch < epoch:
-		// The electors were founded anew and know nothing. Danger: what was out is in a mechanic's hands still.
-		w.carriedOver = withInitialVersions(w.state)
-		w.writeRetryAt = 0
+	case record.Version == 0 && r.version > 0 && r.epoch < epoch:
+		// The voters were founded anew and have no record. Danger: servers that were cordoned may still be taken apart, so the old state is
+		// committed first.
+		r.carriedOver = withInitialVersions(r.state)
+		r.writeRetryAt = 0
 		return
-	case r.Version > 0:
-		w.carriedOver = nil
+	case record.Version > 0:
+		r.carriedOver = nil
 		reachStep("agreed")
 	}
 	for i := range state.Plans {
-		p := &state.Plans[i]
-		for _, a := range w.planAges {
-			if a.Plan == p.Number {
-				p.AgeSeconds = max(p.AgeSeconds, a.AgeSeconds+now-w.planAgesAt)
-			}
+		state.Plans[i].AgeSeconds = r.planAge(now, &state.Plans[i])
+	}
+	committed := maintenance.Committed{Epoch: epoch, Version: record.Version, State: state}
+	if r.proposed = nil; r.coordinator == nil {
+		r.startCoordinator(now, committed)
+	} else {
+		r.coordinator.ApplyCommitted(now, committed)
+	}
+	r.apply(epoch, record.Version, record.Body, true)
+	r.announceAt = 0
+	r.roles.requestTick(maintenanceRoleName)
+}
+
+// startCoordinator starts the coordinator from the committed record, and executes the commands that came before that.
+func (r *maintenanceRole) startCoordinator(now float64, committed maintenance.Committed) {
+	r.coordinator = maintenance.New(maintenance.Settings{WarmUpSeconds: r.servers.ColdS(), Order: r.roles.node.options.MaintenanceOrder})
+	r.coordinator.Start(now, committed)
+	for _, t := range r.commands {
+		if !t.answered {
+			r.execute(now, t)
 		}
 	}
-	a := maintenance.Committed{Epoch: epoch, Version: r.Version, State: state}
-	if w.proposed = nil; w.coordinator == nil {
-		w.coordinator = maintenance.New(maintenance.Settings{WarmUpSeconds: w.servers.ColdS(), Order: w.roles.node.options.MaintenanceOrder})
-		w.coordinator.Start(now, a)
-		for _, d := range w.commands { // what came while nobody owned the job
-			if !d.answered {
-				w.execute(now, d)
-			}
+}
+
+// planAge returns the age of a plan: the greater of its own and the announced one.
+func (r *maintenanceRole) planAge(now float64, p *maintenance.Plan) float64 {
+	age := p.AgeSeconds
+	for _, a := range r.planAges {
+		if a.Plan == p.Number {
+			age = max(age, a.AgeSeconds+now-r.planAgesAt)
 		}
-	} else {
-		w.coordinator.ApplyCommitted(now, a)
 	}
-	w.apply(epoch, r.Version, r.Body, true)
-	w.announceAt, w.roles.state(maintenanceRoleName).nextTick = 0, 0
+	return age
 }
 
-// withInitialVersions returns a state as the first version of another founding.
+// withInitialVersions encodes a state as the first version of a new epoch.
 func withInitialVersions(s maintenance.State) []byte {
 	for i := range s.Plans {
 		for j := range s.Plans[i].Servers {
-			if b := &s.Plans[i].Servers[j]; b.SinceVersion > 0 {
-				b.SinceVersion = 1
+			if server := &s.Plans[i].Servers[j]; server.SinceVersion > 0 {
+				server.SinceVersion = 1
 			}
 		}
 	}
 	body, err := s.Encode()
-	if err != nil { // it was read a moment ago, and has become no longer
+	if err != nil { // impossible: it was decoded, and has not become longer
 		panic(err)
 	}
 	return body
 }
 
-// tickHolder has things agreed, asks all, and tells them.
-func (w *maintenanceRole) tickHolder(now float64) (next float64) {
-	if w.carriedOver != nil {
-		if now >= w.writeRetryAt {
-			w.writeRetryAt = now + writeRetrySeconds
-			w.writeRecord(1, w.carriedOver)
+// tickHolder commits versions, runs surveys, sends replies and announces the record, as the holder. It returns when to call it next.
+func (r *maintenanceRole) tickHolder(now float64) (next float64) {
+	if r.carriedOver != nil {
+		if now >= r.writeRetryAt {
+			r.writeRetryAt = now + writeRetrySeconds
+			r.writeRecord(1, r.carriedOver)
 		}
-		return w.writeRetryAt
+		return r.writeRetryAt
 	}
-	if w.coordinator == nil {
+	if r.coordinator == nil {
 		return now + recordReadSeconds
 	}
-	for _, d := range w.commands {
-		if !d.answered && now-d.requestedAt < commandInterestSeconds && now >= d.forwardedAt+commandRetrySeconds {
-			d.forwardedAt = now
-			w.execute(now, d)
+	for _, t := range r.commands {
+		if !t.answered && now-t.requestedAt < commandInterestSeconds && now >= t.forwardedAt+commandRetrySeconds {
+			t.forwardedAt = now
+			r.execute(now, t)
 		}
 	}
-	w.runSurveys(now)
-	w.proposeNext(now)
-	for _, r := range w.coordinator.Replies() {
-		w.publishReply(now, &r)
+	r.runSurveys(now)
+	r.proposeNext(now)
+	for _, reply := range r.coordinator.Replies() {
+		r.publishReply(now, &reply)
 	}
-	w.announce(now)
-	next = min(w.coordinator.StepDeadline(now), w.announceAt)
-	if w.proposed != nil {
-		next = min(next, w.writeRetryAt)
+	r.announce(now)
+	next = min(r.coordinator.StepDeadline(now), r.announceAt)
+	if r.proposed != nil {
+		next = min(next, r.writeRetryAt)
 	}
-	if w.collected != nil {
+	if r.collected != nil {
 		next = min(next, now+surveyGatherSeconds/2)
 	}
-	if w.coordinator.NeedsSnapshot() {
-		next = min(next, w.surveyAt)
+	if r.coordinator.NeedsSnapshot() {
+		next = min(next, r.surveyAt)
 	}
 	return next
 }
 
-// recordReadSeconds is about how long it takes until a new owner has been told what is agreed.
-const recordReadSeconds = 0.35
-
-// proposeNext has what the decisions want be agreed.
-func (w *maintenanceRole) proposeNext(now float64) {
-	state := w.coordinator.Step(now)
+// proposeNext has the voters commit the coordinator's next state, one at a time.
+func (r *maintenanceRole) proposeNext(now float64) {
+	state := r.coordinator.Step(now)
 	if state == nil {
 		return
 	}
 	body, err := state.Encode()
-	if err != nil { // the decisions bound what they want
-		w.roles.logInfo("what is wanted of work on boxes can't be agreed", "error", err)
+	if err != nil { // the coordinator limits the size of its states
+		r.roles.logInfo("maintenance state can't be committed", "error", err)
 		return
 	}
-	if w.proposed != nil && now < w.writeRetryAt {
+	if r.proposed != nil && now < r.writeRetryAt {
 		return
 	}
-	if w.proposed == nil && hasNewlyDrained(&w.state, state) {
+	if r.proposed == nil && drainedServers(state) > drainedServers(&r.state) {
 		reachStep("empty")
 	}
-	w.proposed, w.writeRetryAt = body, now+writeRetrySeconds
-	w.writeRecord(w.coordinator.Version()+1, body)
+	r.proposed, r.writeRetryAt = body, now+writeRetrySeconds
+	r.writeRecord(r.coordinator.Version()+1, body)
 }
 
-// hasNewlyDrained tells whether a box has come to be empty.
-func hasNewlyDrained(was, is *maintenance.State) bool {
-	ready := func(s *maintenance.State) (n int) {
-		for i := range s.Plans {
-			for _, b := range s.Plans[i].Servers {
-				n += boolToInt(b.Stage == maintenance.Drained)
-			}
+// drainedServers counts the servers that are drained in a state.
+func drainedServers(s *maintenance.State) (count int) {
+	for i := range s.Plans {
+		for _, server := range s.Plans[i].Servers {
+			count += boolToInt(server.Stage == maintenance.Drained)
 		}
-		return n
 	}
-	return ready(is) > ready(was)
+	return count
 }
 
-// writeRecord asks the electors. Danger: the answer may come within the call.
-func (w *maintenanceRole) writeRecord(version uint64, body []byte) {
-	o := w.roles
-	o.node.runAfterCall(func() {
-		if o.lease != nil {
-			o.lease.WriteRecord(o.node.net.Now(), maintenanceRoleName, version, body)
+// writeRecord proposes a version to the voters at the end of the present call, since the commit may be reported within it.
+func (r *maintenanceRole) writeRecord(version uint64, body []byte) {
+	m := r.roles
+	m.node.runAfterCall(func() {
+		if m.lease != nil {
+			m.lease.WriteRecord(m.node.net.Now(), maintenanceRoleName, version, body)
 		}
 	})
 }
 
-// announce tells all what is agreed, and what is waited for.
-func (w *maintenanceRole) announce(now float64) {
-	if now < w.announceAt {
+// announce sends the record's version, the ages of the plans and what they wait for to all. The body is sent once for each version.
+func (r *maintenanceRole) announce(now float64) {
+	if now < r.announceAt {
 		return
 	}
-	word := &recordMessage{Epoch: w.epoch, Version: w.version, Holder: w.roles.node.options.Sidecar}
-	if w.epoch != w.heldToken>>40 { // nothing was agreed yet
-		word.Epoch, word.Version = w.heldToken>>40, 0
+	m := &recordMessage{Epoch: r.epoch, Version: r.version, Holder: r.roles.node.options.Sidecar}
+	if epoch := epochOf(r.heldToken); r.epoch != epoch { // nothing has been committed in this epoch
+		m.Epoch, m.Version = epoch, 0
 	}
-	if w.coordinator.NeedsSnapshot() {
-		w.announceAt = now + announceIntervalSeconds
-		word.Blockers = w.coordinator.Blockers()
+	if r.coordinator.NeedsSnapshot() {
+		r.announceAt = now + announceIntervalSeconds
+		m.Blockers = r.coordinator.Blockers()
 	} else {
-		w.announceAt = now + idleAnnounceIntervalSeconds
-	}
-	for i := range w.state.Plans {
-		p := &w.state.Plans[i]
-		age := p.AgeSeconds
-		for _, a := range w.planAges {
-			if a.Plan == p.Number {
-				age = max(age, a.AgeSeconds+now-w.planAgesAt)
-			}
-		}
-		if !p.Ended {
-			word.PlanAges = append(word.PlanAges, planAge{p.Number, age})
+		r.announceAt = now + idleAnnounceIntervalSeconds
+	}
+	for i := range r.state.Plans {
+		if p := &r.state.Plans[i]; !p.Ended {
+			m.PlanAges = append(m.PlanAges, planAge{p.Number, r.planAge(now, p)})
 		}
 	}
-	w.holderName, w.blockers, w.announcedAt, w.planAges, w.planAgesAt = word.Holder, word.Blockers, now, word.PlanAges, now
-	if w.announcedVersion != w.version || w.announcedEpoch != w.epoch {
-		word.Body = w.body
+	r.holderName, r.blockers, r.announcedAt, r.planAges, r.planAgesAt = m.Holder, m.Blockers, now, m.PlanAges, now
+	if r.announcedVersion != r.version || r.announcedEpoch != r.epoch {
+		m.Body = r.body
 	}
-	if w.roles.broadcast(maintenanceRoleName, kindRecord, mustMarshal(word)) && word.Body != nil {
-		w.announcedVersion, w.announcedEpoch = w.version, w.epoch
+	if r.roles.broadcast(maintenanceRoleName, kindRecord, mustMarshal(m)) && m.Body != nil {
+		r.announcedVersion, r.announcedEpoch = r.version, r.epoch
 		reachStep("told")
 	}
 }
--- a/internal/coordination/maintenance_query.go
+++ b/internal/coordination/maintenance_query.go
@@ -13,39 +13,42 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// A process that begins may know nothing of boxes that are out, and who settles the order does not know of it yet. So it asks before it
-// listens for clients: whoever it is to send for waits in nobody's queue, and is served from the first request on. Where nobody
-// answers it goes by what its own disk says. Danger: asked for later, a request would go to a box that a mechanic has open.
+// A process that starts may not know which servers are cordoned, and the holder does not know of the process yet. So it queries peers
+// before it accepts clients, and no client waits for that. Without an answer it goes by its own disk. Danger: queried later, a request
+// would be sent to a server that is taken apart.
 
-// QueryMaintenance asks at addresses what is agreed, until all that can be reached have answered or until a time, and returns the latest. It
-// blocks, and is for a process whose loop has not begun.
-func QueryMaintenance(fleet, name string, addresses []string, by time.Time) (latest *MaintenanceRecord) {
-	var mu sync.Mutex
-	var asking sync.WaitGroup
+var errNoRecord = errors.New("peer sent no maintenance record")
+
+// QueryMaintenance asks the sidecars at addresses for the maintenance record and returns the newest, nil if none answers. It blocks
+// until all have answered or failed, at most until the deadline, and is for a process whose event loop has not started.
+func QueryMaintenance(fleet, name string, addresses []string, deadline time.Time) (newest *MaintenanceRecord) {
+	var mu sync.Mutex // guards newest
+	var queries sync.WaitGroup
 	for _, address := range addresses {
-		asking.Go(func() {
-			k, err := queryMaintenance(fleet, name, address, by)
+		queries.Go(func() {
+			record, err := queryMaintenance(fleet, name, address, deadline)
 			if err != nil {
-				return // it is not there, or knows nothing: the others are asked, too
+				return // not reachable, or without a record: the others count
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if latest == nil || isNewer(k.Epoch, k.Version, latest.Epoch, latest.Version) {
-				latest = k
+			if newest == nil || isNewer(record.Epoch, record.Version, newest.Epoch, newest.Version) {
+				newest = record
 			}
 		})
 	}
-	asking.Wait()
-	return latest
+	queries.Wait()
+	return newest
 }
 
-func queryMaintenance(fleet, name, address string, by time.Time) (*MaintenanceRecord, error) {
-	c, err := net.DialTimeout("tcp", address, time.Until(by))
+// queryMaintenance asks one sidecar: a hello without an ID is answered with the record, see Node.LinkUp.
+func queryMaintenance(fleet, name, address string, deadline time.Time) (*MaintenanceRecord, error) {
+	c, err := net.DialTimeout("tcp", address, time.Until(deadline))
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
-	_ = c.SetDeadline(by) // fails only on one that is closed
+	_ = c.SetDeadline(deadline) // fails only on a closed connection
 	hello, err := frames.Marshal(frames.Hello{Fleet: fleet, Name: name})
 	if err != nil {
 		return nil, err
@@ -57,73 +60,63 @@
 	if _, err := c.Write(frame); err != nil {
 		return nil, err
 	}
-	var read bytes.Buffer
-	part := make([]byte, 4096)
+	return readRecord(c)
+}
+
+// readRecord reads frames up to the first role message, which holds the record.
+func readRecord(c io.Reader) (*MaintenanceRecord, error) {
+	var received bytes.Buffer
+	chunk := make([]byte, 4096)
 	for {
-		n, err := c.Read(part)
-		if read.Write(part[:n]); read.Len() > 2*frames.MaxFrameBytes {
+		n, err := c.Read(chunk)
+		if received.Write(chunk[:n]); received.Len() > 2*frames.MaxFrameBytes {
 			return nil, frames.ErrTooLong
 		}
 		for {
-			topic, body, length, fault := frames.Next(read.Bytes())
-			if fault != nil {
-				return nil, fault
+			topic, body, length, frameErr := frames.Next(received.Bytes())
+			if frameErr != nil {
+				return nil, frameErr
 			}
 			if length == 0 {
 				break
 			}
 			if topic == frames.TopicRole {
-				return decodeAnswer(body)
+				return decodeRecord(body)
 			}
-			read.Next(length)
+			received.Next(length)
 		}
 		if errors.Is(err, io.EOF) {
-			return nil, errNoAnswer
+			return nil, errNoRecord
 		} else if err != nil {
 			return nil, err
 		}
 	}
 }
 
-var errNoAnswer = errors.New("it does not say what is agreed")
-
-// decodeAnswer reads an answer.
-func decodeAnswer(body []byte) (*MaintenanceRecord, error) {
-	var e frames.RoleMessage
-	var a recordMessage
-	if err := frames.Unmarshal(body, &e); err != nil {
+// decodeRecord decodes the role message that answers a query.
+func decodeRecord(body []byte) (*MaintenanceRecord, error) {
+	var envelope frames.RoleMessage
+	var m recordMessage
+	if err := frames.Unmarshal(body, &envelope); err != nil {
 		return nil, err
 	}
-	if e.Role != maintenanceRoleName || e.Kind != kindRecord {
-		return nil, errNoAnswer
+	if envelope.Role != maintenanceRoleName || envelope.Kind != kindRecord {
+		return nil, errNoRecord
 	}
-	if err := frames.Unmarshal(e.Body, &a); err != nil {
+	if err := frames.Unmarshal(envelope.Body, &m); err != nil {
 		return nil, err
 	}
-	if _, err := maintenance.Decode(a.Body); err != nil {
+	if _, err := maintenance.Decode(m.Body); err != nil {
 		return nil, err
 	}
-	return &MaintenanceRecord{a.Epoch, a.Version, e.Token, a.Body}, nil
+	return &MaintenanceRecord{m.Epoch, m.Version, envelope.Token, m.Body}, nil
 }
 
-// answerQuery tells somebody who is no member yet what is agreed. Its link ends with that.
-func (f *Node) answerQuery(l *peers.Link) {
-	if f.roles == nil || f.roles.maintenance == nil {
+// answerQuery sends the record to a process that is no member yet. Its link is closed after that.
+func (n *Node) answerQuery(link *peers.Link) {
+	if n.roles == nil || n.roles.maintenance == nil {
 		return
 	}
-	w := f.roles.maintenance
-	f.roles.send(l, &frames.RoleMessage{Role: maintenanceRoleName, Token: w.maxToken(), Origin: uint64(f.state.ID), Kind: kindRecord,
-		Body: mustMarshal(&recordMessage{Epoch: w.epoch, Version: w.version, Body: w.body})})
-}
-
-// LearnMaintenance takes what others have said is agreed. It comes after Keep and before Start.
-func (f *Node) LearnMaintenance(k *MaintenanceRecord) { f.adoptMaintenance(k) }
-
-// MaintenanceRecord returns what this sidecar goes by, as Learn takes it; nil: nothing is agreed.
-func (f *Node) MaintenanceRecord() *MaintenanceRecord {
-	if f.roles == nil || f.roles.maintenance == nil || f.roles.maintenance.version == 0 {
-		return nil
-	}
-	w := f.roles.maintenance
-	return &MaintenanceRecord{w.epoch, w.version, w.maxToken(), w.body}
+	r := n.roles.maintenance
+	n.roles.send(link, &frames.RoleMessage{Role: maintenanceRoleName, Token: r.maxToken(), Origin: uint64(n.state.ID), Kind: kindRecord, Body: mustMarshal(r.recordMessage())})
 }
--- a/internal/coordination/maintenance_record.go
+++ b/internal/coordination/maintenance_record.go
@@ -8,105 +8,119 @@
 	"hazelwheel/internal/peers"
 )
 
-// MaintenanceRecord is what a sidecar goes by, as its disk keeps it and as others tell it.
+// maxHolderNameBytes limits the holder's name in an announcement.
+const maxHolderNameBytes = 64
+
+// MaintenanceRecord is the maintenance record that a sidecar goes by: which servers are cordoned for which plan. It is persisted, and
+// read from peers by QueryMaintenance.
 type MaintenanceRecord struct {
-	Epoch   uint64 `json:"epoch"`
+	Epoch   uint64 `json:"epoch"` // of the voters' founding
 	Version uint64 `json:"version"`
-	Token   uint64 `json:"token"` // the greatest that was seen of the job: a lower one must not undo what is kept
-	Body    []byte `json:"body"`
+	Token   uint64 `json:"token"` // greatest token seen of the role, so that no message under a lower one can undo the record
+	Body    []byte `json:"body"`  // a maintenance.State
 }
 
-// isNewer orders what is agreed: of two founders' groups the later one's, and within it by version.
-func isNewer(epoch, version, epoch2, version2 uint64) bool {
-	return epoch > epoch2 || epoch == epoch2 && version > version2
+// isNewer reports whether one version of the record is newer than another: versions count from 1 in each epoch.
+func isNewer(epoch, version, otherEpoch, otherVersion uint64) bool {
+	return epoch > otherEpoch || epoch == otherEpoch && version > otherVersion
 }
 
-// restore takes what an earlier life went by, before anything is sent.
-func (w *maintenanceRole) restore(k *MaintenanceRecord) {
-	if k == nil {
-		return
+// LearnMaintenance applies a record that QueryMaintenance has returned. It must be called after UseStore and before Start.
+func (n *Node) LearnMaintenance(record *MaintenanceRecord) { n.adoptMaintenance(record) }
+
+// MaintenanceRecord returns the record that this sidecar goes by, nil if there is none. It is for the loop.
+func (n *Node) MaintenanceRecord() *MaintenanceRecord {
+	if n.roles == nil || n.roles.maintenance == nil || n.roles.maintenance.version == 0 {
+		return nil
 	}
-	w.roles.fence.Restore([]lease.Grant{{Role: maintenanceRoleName, Token: k.Token}})
-	w.apply(k.Epoch, k.Version, k.Body, false)
+	r := n.roles.maintenance
+	return &MaintenanceRecord{r.epoch, r.version, r.maxToken(), r.body}
+}
+
+// restore applies a record from before Start.
+func (r *maintenanceRole) restore(record *MaintenanceRecord) {
+	r.roles.fence.Restore([]lease.Grant{{Role: maintenanceRoleName, Token: record.Token}})
+	r.apply(record.Epoch, record.Version, record.Body, false)
 }
 
-// apply goes by a version from now on. One that is not newer than what is known changes nothing.
-func (w *maintenanceRole) apply(epoch, version uint64, body []byte, keep bool) {
-	if !isNewer(epoch, version, w.epoch, w.version) {
+// apply cordons the servers of a record, and uncordons those that are no longer in it. A record that is not newer than the present one
+// changes nothing.
+func (r *maintenanceRole) apply(epoch, version uint64, body []byte, persist bool) {
+	if !isNewer(epoch, version, r.epoch, r.version) {
 		return
 	}
 	state, err := maintenance.Decode(body)
 	if err != nil {
-		w.roles.countMalformed(maintenanceRoleName)
+		r.roles.countMalformed(maintenanceRoleName)
 		return
 	}
-	w.epoch, w.version, w.body, w.state = epoch, version, body, state
-	now := w.roles.node.net.Now()
+	r.epoch, r.version, r.body, r.state = epoch, version, body, state
+	now := r.roles.node.net.Now()
 	var names []string
 	for name := range state.Cordoned {
-		if names = append(names, name); w.outSince[name] == 0 {
-			w.outSince[name] = now
+		if names = append(names, name); r.outSince[name] == 0 {
+			r.outSince[name] = now
 		}
 	}
 	slices.Sort(names)
-	for name := range w.outSince {
+	for name := range r.outSince {
 		if _, out := slices.BinarySearch(names, name); !out {
-			delete(w.outSince, name)
+			delete(r.outSince, name)
 		}
 	}
-	w.servers.TakeOut(slices.Compact(names))
-	if keep {
-		w.roles.node.runAfterCall(w.persistRecord)
+	r.servers.TakeOut(slices.Compact(names))
+	if persist {
+		r.roles.node.runAfterCall(r.persistRecord)
 	}
 }
 
-// persistRecord has what it goes by outlive the process. Where it can't be, a later process asks.
-func (w *maintenanceRole) persistRecord() {
-	f := w.roles.node
-	token := uint64(0)
-	for _, g := range w.roles.fence.Highest() {
-		if g.Role == maintenanceRoleName {
-			token = g.Token
-		}
-	}
-	f.state.Maintenance = &MaintenanceRecord{w.epoch, w.version, token, w.body}
-	if f.identityStored {
-		f.persist(func(error) {})
+// persistRecord writes the record to disk with the node's state. Errors are ignored: the next process queries its peers.
+func (r *maintenanceRole) persistRecord() {
+	n := r.roles.node
+	n.state.Maintenance = &MaintenanceRecord{r.epoch, r.version, r.roles.fenceToken(maintenanceRoleName), r.body}
+	if n.identityStored {
+		n.persist(func(error) {})
 	}
 }
 
-func (w *maintenanceRole) handleRecord(now float64, from *peers.Link, a *recordMessage) {
-	if a.Holder != "" && len(a.Holder) <= 64 && len(a.Blockers) <= 2*maintenance.MaxServers && len(a.PlanAges) <= maintenance.MaxPlans {
-		w.holderName, w.blockers, w.announcedAt, w.planAges, w.planAgesAt = a.Holder, a.Blockers, now, a.PlanAges, now
+// handleRecord handles an announcement of the holder, or a record that was requested.
+func (r *maintenanceRole) handleRecord(now float64, from *peers.Link, m *recordMessage) {
+	if m.Holder != "" && len(m.Holder) <= maxHolderNameBytes && len(m.Blockers) <= 2*maintenance.MaxServers && len(m.PlanAges) <= maintenance.MaxPlans {
+		r.holderName, r.blockers, r.announcedAt, r.planAges, r.planAgesAt = m.Holder, m.Blockers, now, m.PlanAges, now
 	}
 	switch {
-	case !isNewer(a.Epoch, a.Version, w.epoch, w.version):
-	case a.Body == nil && a.Version > 0:
-		w.sendRecordVersion(from)
+	case !isNewer(m.Epoch, m.Version, r.epoch, r.version):
+	case m.Body == nil && m.Version > 0:
+		r.sendRecordVersion(from) // requests it
 	default:
-		w.apply(a.Epoch, a.Version, a.Body, true)
+		r.apply(m.Epoch, m.Version, m.Body, true)
 	}
 }
 
-// handleRecordVersion tells a neighbour what it lacks, or asks for what it has.
-func (w *maintenanceRole) handleRecordVersion(from *peers.Link, h recordVersion) {
+// handleRecordVersion sends a neighbor the record if its version is older, or requests the neighbor's if that is newer.
+func (r *maintenanceRole) handleRecordVersion(from *peers.Link, v recordVersion) {
 	switch {
-	case isNewer(w.epoch, w.version, h.Epoch, h.Version):
-		w.roles.sendReply(from, maintenanceRoleName, w.maxToken(), kindRecord, mustMarshal(&recordMessage{Epoch: w.epoch, Version: w.version, Body: w.body}))
-	case isNewer(h.Epoch, h.Version, w.epoch, w.version):
-		w.sendRecordVersion(from)
+	case isNewer(r.epoch, r.version, v.Epoch, v.Version):
+		r.roles.sendReply(from, maintenanceRoleName, r.maxToken(), kindRecord, mustMarshal(r.recordMessage()))
+	case isNewer(v.Epoch, v.Version, r.epoch, r.version):
+		r.sendRecordVersion(from)
 	}
 }
 
-// sendRecordVersion tells a neighbour by what this sidecar goes.
-func (w *maintenanceRole) sendRecordVersion(l *peers.Link) {
-	if token := w.maxToken(); token != 0 {
-		w.roles.sendReply(l, maintenanceRoleName, token, kindRecordVersion, mustMarshal(recordVersion{w.epoch, w.version}))
+// recordMessage returns the present record for a sidecar that lacks it.
+func (r *maintenanceRole) recordMessage() *recordMessage {
+	return &recordMessage{Epoch: r.epoch, Version: r.version, Body: r.body}
+}
+
+// sendRecordVersion tells a neighbor the version of the record here. A neighbor with a newer one answers with it.
+func (r *maintenanceRole) sendRecordVersion(link *peers.Link) {
+	if token := r.maxToken(); token != 0 {
+		r.roles.sendReply(link, maintenanceRoleName, token, kindRecordVersion, mustMarshal(recordVersion{r.epoch, r.version}))
 	}
 }
 
-// maxToken returns the greatest token that is known of the job; 0: none is.
-func (w *maintenanceRole) maxToken() uint64 { return w.roles.maxToken(maintenanceRoleName) }
+// handleLinkUp has a new neighbor send what this sidecar has missed.
+func (r *maintenanceRole) handleLinkUp(link *peers.Link) { r.sendRecordVersion(link) }
 
-// handleLinkUp takes a new link: who was cut off learns at once what it missed.
-func (w *maintenanceRole) handleLinkUp(l *peers.Link) { w.sendRecordVersion(l) }
+// maxToken returns the greatest token of the role that is known, 0 if none is.
+func (r *maintenanceRole) maxToken() uint64 { return r.roles.maxToken(maintenanceRoleName) }
--- a/internal/coordination/maintenance_role.go
+++ b/internal/coordination/maintenance_role.go
@@ -9,154 +9,145 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// maintenanceRole is a sidecar's part in the job.
+// maintenanceRoleName is the role's name on the wire and in the settings.
+const maintenanceRoleName = "works"
+
+// OnMaintenanceStep is a hook of tests, called by the holder of the role: at "agreed", when a version is committed and before it is
+// announced; "told", when it was announced; "empty", before a drained server is committed to be so; "handed", before a reply that
+// hands a server to a maintenance agent is sent. nil: none.
+var OnMaintenanceStep func(step string)
+
+func reachStep(step string) {
+	if OnMaintenanceStep != nil {
+		OnMaintenanceStep(step)
+	}
+}
+
+// maintenanceRole is the role "works": its holder decides by a maintenance.Coordinator in which order servers are taken down. The
+// decisions are versions of a record that the voters commit; the holder announces each, and a sidecar that lacks one gets it from a
+// neighbor. Every sidecar cordons the servers of the version that it has applied, over restarts, too. While a plan is active the
+// holder surveys all members for what they see of the servers; the request is flooded and answered as in reportRole. Commands of
+// operators and maintenance agents are forwarded over all links until they reach the holder, whose replies are flooded back.
 type maintenanceRole struct {
 	roles   *roleManager
 	servers sidecar.Boxes
 
-	// Of every sidecar.
-	epoch, version      uint64 // of what it goes by
-	body                []byte
-	state               maintenance.State
-	outSince            map[string]float64 // since when a box is out here
-	blockers            []maintenance.Blocker
-	holderName          string
-	announcedAt         float64 // of the owner's last word; -Inf: there was none
-	planAges            []planAge
-	planAgesAt          float64
-	parentLink          int // the link over which the question has come
+	// The record that is applied here.
+	epoch, version uint64 // 0, 0: none
+	body           []byte // encoded state
+	state          maintenance.State
+	outSince       map[string]float64 // when a server was cordoned here by the record
+
+	// The holder's last announcement.
+	holderName  string
+	blockers    []maintenance.Blocker
+	announcedAt float64 // -Inf: none has come
+	planAges    []planAge
+	planAgesAt  float64
+
+	// The last survey, as a member that responds.
+	parentLink          int // link by which the request came
 	surveyToken         uint64
 	round               uint64
-	gathered            *maintenance.Report // that is to go there; nil: nothing is
+	gathered            *maintenance.Report // to be sent over parentLink; nil: nothing is
 	sendAt              float64
-	budget              budget
-	completed, rejected uint64 // requests, when it was asked last
+	budget              responseBudget
+	completed, rejected uint64 // requests, as of the last local report
 	reportedAt          float64
-	serverCompleted     map[string]uint64
-	commands            []*trackedCommand // in the order in which they came
-
-	// Of the owner.
-	heldToken      uint64
-	coordinator    *maintenance.Coordinator // nil: what is agreed is not known yet
-	carriedOver    []byte                   // what was agreed under an earlier founding, and is to be kept again before all else
-	proposed       []byte                   // the body that is being agreed; nil: none
+	serverCompleted     map[string]uint64 // requests by server, as of the last local report
+
+	commands []*trackedCommand // oldest first
+
+	// At the holder.
+	heldToken      uint64                   // 0: this sidecar is not the holder
+	coordinator    *maintenance.Coordinator // nil: the committed record is not known yet
+	carriedOver    []byte                   // state of an earlier epoch that must be committed before anything else; nil: none
+	proposed       []byte                   // state that is being committed; nil: none
 	writeRetryAt   float64
 	announceAt     float64
 	surveyAt       float64
 	surveyDeadline float64
-	surveyed       []maintenance.Member
-	collected      *maintenance.Report // nil: no round is on
-
-	announcedVersion, announcedEpoch uint64 // what all were told of whole
+	surveyed       []maintenance.Member // of the present survey
+	collected      *maintenance.Report  // of the present survey; nil: there is none
+	// The version that was last announced with its body.
+	announcedEpoch, announcedVersion uint64
 }
 
-func newMaintenanceRole(o *roleManager) *maintenanceRole {
-	now := o.node.net.Now()
-	w := &maintenanceRole{roles: o, servers: o.node.options.Servers, outSince: map[string]float64{}, announcedAt: math.Inf(-1), budget: budget{responseBurstBytes, now}, reportedAt: now,
-		serverCompleted: map[string]uint64{}}
-	return w
+var _ singletonRole = (*maintenanceRole)(nil)
+
+func newMaintenanceRole(m *roleManager) *maintenanceRole {
+	now := m.node.net.Now()
+	return &maintenanceRole{roles: m, servers: m.node.options.Servers, outSince: map[string]float64{}, announcedAt: math.Inf(-1), budget: newResponseBudget(now),
+		reportedAt: now, serverCompleted: map[string]uint64{}}
 }
 
-func (w *maintenanceRole) Name() string { return maintenanceRoleName }
+// Name implements singletonRole.
+func (r *maintenanceRole) Name() string { return maintenanceRoleName }
 
-// AtStep, where a build for tests sets it, is called by the owner at named instants: "agreed", when a version is agreed and before
-// anybody is told; "told", when all were; "empty", before a box that is empty is agreed to be; "handed", before a mechanic is told.
-var OnMaintenanceStep func(step string)
+// Start implements singletonRole. The coordinator is created once the committed record is known, see handleCommitted.
+func (r *maintenanceRole) Start(token uint64) {
+	r.heldToken, r.coordinator, r.carriedOver, r.proposed, r.collected = token, nil, nil, nil, nil
+	r.announceAt, r.surveyAt, r.announcedVersion, r.announcedEpoch = 0, 0, 0, 0
+}
 
-func reachStep(step string) {
-	if OnMaintenanceStep != nil {
-		OnMaintenanceStep(step)
+// Stop implements singletonRole. Commands without a reply are sent to the next holder at once.
+func (r *maintenanceRole) Stop() {
+	r.heldToken, r.coordinator, r.carriedOver, r.proposed, r.collected = 0, nil, nil, nil, nil
+	for _, c := range r.commands {
+		c.forwardedAt = math.Inf(-1)
 	}
 }
 
-// HandleMessage takes an effect.
-func (w *maintenanceRole) HandleMessage(from *peers.Link, e *frames.RoleMessage) {
-	now := w.roles.node.net.Now()
-	switch e.Kind {
+// HandleMessage implements singletonRole. Messages that can't be decoded are ignored.
+func (r *maintenanceRole) HandleMessage(from *peers.Link, m *frames.RoleMessage) {
+	now := r.roles.node.net.Now()
+	switch m.Kind {
 	case kindRecord:
-		var a recordMessage
-		if frames.Unmarshal(e.Body, &a) == nil {
-			w.handleRecord(now, from, &a)
+		var record recordMessage
+		if frames.Unmarshal(m.Body, &record) == nil {
+			r.handleRecord(now, from, &record)
 		}
 	case kindRecordVersion:
-		var h recordVersion
-		if frames.Unmarshal(e.Body, &h) == nil {
-			w.handleRecordVersion(from, h)
+		var v recordVersion
+		if frames.Unmarshal(m.Body, &v) == nil {
+			r.handleRecordVersion(from, v)
 		}
 	case kindSurveyRequest:
-		var q surveyRequest
-		if frames.Unmarshal(e.Body, &q) == nil {
-			w.parentLink, w.surveyToken, w.round = from.Number, e.Token, q.Round
-			w.gathered, w.sendAt = w.localReport(now), now+surveyGatherSeconds
-			if isNewer(q.Epoch, q.Version, w.epoch, w.version) {
-				w.sendRecordVersion(from)
-			}
+		var request surveyRequest
+		if frames.Unmarshal(m.Body, &request) == nil {
+			r.handleSurveyRequest(now, from, m.Token, &request)
 		}
 	case kindSurveyResponse:
-		var s surveyResponse
-		if frames.Unmarshal(e.Body, &s) != nil || s.Round != w.round {
-			return
-		}
-		switch {
-		case w.heldToken != 0 && e.Token == w.heldToken:
-			if w.collected != nil {
-				_ = w.collected.Merge(&s.Report) // what makes no sense is not in the round, nor those that it is from
-			}
-		case e.Token == w.surveyToken:
-			if w.gathered == nil {
-				w.gathered, w.sendAt = &maintenance.Report{}, now+surveyGatherSeconds
-			}
-			_ = w.gathered.Merge(&s.Report) // the same
+		var response surveyResponse
+		if frames.Unmarshal(m.Body, &response) == nil {
+			r.handleSurveyResponse(now, m.Token, &response)
 		}
 	case kindCommand:
 		var c maintenance.Command
-		if frames.Unmarshal(e.Body, &c) == nil && c.Nonce != 0 {
-			w.handleCommand(now, &c, from)
+		if frames.Unmarshal(m.Body, &c) == nil && c.Nonce != 0 {
+			r.handleCommand(now, &c, from)
 		}
 	case kindCommandReply:
-		var r maintenance.Reply
-		if frames.Unmarshal(e.Body, &r) == nil {
-			w.recordReply(now, &r)
+		var reply maintenance.Reply
+		if frames.Unmarshal(m.Body, &reply) == nil {
+			r.recordReply(now, &reply)
 		}
 	}
 }
 
-func (w *maintenanceRole) Start(token uint64) {
-	w.heldToken, w.coordinator, w.carriedOver, w.proposed, w.collected = token, nil, nil, nil, nil
-	w.announceAt, w.surveyAt, w.announcedVersion, w.announcedEpoch = 0, 0, 0, 0
-}
-
-func (w *maintenanceRole) Stop() {
-	w.heldToken, w.coordinator, w.carriedOver, w.proposed, w.collected = 0, nil, nil, nil, nil
-	for _, d := range w.commands { // the next owner says what came of them
-		d.forwardedAt = math.Inf(-1)
-	}
-}
-
-// Tick does what is due, and says when to be called next.
-func (w *maintenanceRole) Tick(now float64) (next float64) {
+// Tick implements singletonRole.
+func (r *maintenanceRole) Tick(now float64) (next float64) {
 	next = now + idleAnnounceIntervalSeconds
-	if w.gathered != nil {
-		if now >= w.sendAt {
-			w.sendSurveyResponse(now)
-		}
-		if w.gathered != nil {
-			next = min(next, w.sendAt)
+	if r.gathered != nil {
+		if now >= r.sendAt {
+			r.sendSurveyResponse(now)
 		}
-	}
-	for _, d := range w.commands {
-		if d.answered || now-d.requestedAt > commandInterestSeconds || w.heldToken != 0 {
-			continue
-		}
-		if now >= d.forwardedAt+commandRetrySeconds {
-			w.forwardCommand(now, d, nil)
+		if r.gathered != nil {
+			next = min(next, r.sendAt)
 		}
-		next = min(next, now+commandRetrySeconds)
 	}
-	if w.heldToken == 0 {
-		return next
+	if r.heldToken == 0 {
+		return min(next, r.retryCommands(now))
 	}
-	return min(next, w.tickHolder(now))
+	return min(next, r.tickHolder(now))
 }
-
-var _ singletonRole = (*maintenanceRole)(nil)
--- a/internal/coordination/maintenance_survey.go
+++ b/internal/coordination/maintenance_survey.go
@@ -5,87 +5,128 @@
 
 	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/decide/swim"
+	"hazelwheel/internal/peers"
 )
 
-// localReport returns what this sidecar says.
-func (w *maintenanceRole) localReport(now float64) *maintenance.Report {
-	f := w.roles.node
-	spanS := max(now-w.reportedAt, 0.001)
-	w.reportedAt = now
-	all, refused := w.servers.Ended()
-	s := &maintenance.Report{CompletedPerSecond: float64(all-w.completed) / spanS, RejectedPerSecond: float64(refused-w.rejected) / spanS}
-	w.completed, w.rejected = all, refused
-	if w.servers.ListLate() {
-		s.StaleMembers = 1
+const (
+	surveyIntervalSeconds = 0.5  // between the starts of two surveys
+	surveyTimeoutSeconds  = 1.5  // of a survey
+	surveyGatherSeconds   = 0.06 // for which a member waits for responses from behind it before it sends its own
+	minSurveySpanSeconds  = 0.001
+)
+
+// handleSurveyRequest starts to gather the response to a survey.
+func (r *maintenanceRole) handleSurveyRequest(now float64, from *peers.Link, token uint64, request *surveyRequest) {
+	r.parentLink, r.surveyToken, r.round = from.Number, token, request.Round
+	r.gathered, r.sendAt = r.localReport(now), now+surveyGatherSeconds
+	if isNewer(request.Epoch, request.Version, r.epoch, r.version) {
+		r.sendRecordVersion(from)
 	}
-	s.Reporters = []maintenance.Reporter{{ID: f.state.ID, BootID: f.view.Self().Version.BootID, Version: w.version}}
-	settle := map[string]float64{}
-	for i := range w.state.Plans {
-		p := &w.state.Plans[i]
-		for _, b := range p.Servers {
-			if b.Stage.IsCordoned() {
-				settle[b.Name] = max(settle[b.Name], p.Spec.QuietPeriodSeconds())
-			}
+}
+
+// handleSurveyResponse adds a response to what is collected or gathered. One that can't be merged is left out, and its reporters count
+// as silent in the survey.
+func (r *maintenanceRole) handleSurveyResponse(now float64, token uint64, response *surveyResponse) {
+	if response.Round != r.round {
+		return
+	}
+	switch {
+	case r.heldToken != 0 && token == r.heldToken:
+		if r.collected != nil {
+			_ = r.collected.Merge(&response.Report) // left out, see above
+		}
+	case token == r.surveyToken:
+		if r.gathered == nil {
+			r.gathered, r.sendAt = &maintenance.Report{}, now+surveyGatherSeconds
 		}
+		_ = r.gathered.Merge(&response.Report) // left out, see above
 	}
-	for _, b := range w.servers.Boxes() {
-		seen := maintenance.ServerStatus{Server: b.Name, Site: b.Site, Type: b.Type, Capacity: b.Size, ListedBy: boolToInt(b.Listed), DrainingBy: boolToInt(b.Draining), CordonedBy: boolToInt(b.Hand),
-			WarmingUpBy: boolToInt(b.Cold), UnresponsiveBy: boolToInt(b.Silent), InFlight: b.Out, Busy: b.Busy}
-		if was, known := w.serverCompleted[b.Name]; known {
-			seen.CompletedPerSecond = float64(b.Ended-was) / spanS
+}
+
+// localReport returns what this sidecar sees of the servers, with rates since the last call.
+func (r *maintenanceRole) localReport(now float64) *maintenance.Report {
+	n := r.roles.node
+	spanSeconds := max(now-r.reportedAt, minSurveySpanSeconds)
+	r.reportedAt = now
+	completed, rejected := r.servers.Ended()
+	report := &maintenance.Report{CompletedPerSecond: float64(completed-r.completed) / spanSeconds, RejectedPerSecond: float64(rejected-r.rejected) / spanSeconds}
+	r.completed, r.rejected = completed, rejected
+	if r.servers.ListLate() {
+		report.StaleMembers = 1
+	}
+	report.Reporters = []maintenance.Reporter{{ID: n.state.ID, BootID: n.view.Self().Version.BootID, Version: r.version}}
+	quietSeconds := r.quietPeriods()
+	for _, b := range r.servers.Boxes() {
+		status := maintenance.ServerStatus{Server: b.Name, Site: b.Site, Type: b.Type, Capacity: b.Size, ListedBy: boolToInt(b.Listed), DrainingBy: boolToInt(b.Draining),
+			CordonedBy: boolToInt(b.Hand), WarmingUpBy: boolToInt(b.Cold), UnresponsiveBy: boolToInt(b.Silent), InFlight: b.Out, Busy: b.Busy}
+		if before, known := r.serverCompleted[b.Name]; known {
+			status.CompletedPerSecond = float64(b.Ended-before) / spanSeconds
+		}
+		r.serverCompleted[b.Name] = b.Ended
+		report.Servers = append(report.Servers, status)
+		if quiet, out := quietSeconds[b.Name]; out && (b.Kept || b.Out > 0 || now-r.outSince[b.Name] < quiet) {
+			report.InUse = append(report.InUse, maintenance.InUse{Server: b.Name, Member: n.state.ID, Uncordoned: b.Kept, InFlight: b.Out})
 		}
-		w.serverCompleted[b.Name] = b.Ended
-		s.Servers = append(s.Servers, seen)
-		if settleS, out := settle[b.Name]; out && (b.Kept || b.Out > 0 || now-w.outSince[b.Name] < settleS) {
-			s.InUse = append(s.InUse, maintenance.InUse{Server: b.Name, Member: f.state.ID, Uncordoned: b.Kept, InFlight: b.Out})
+	}
+	return report
+}
+
+// quietPeriods returns for each cordoned server how long it counts as in use after it was cordoned, in seconds.
+func (r *maintenanceRole) quietPeriods() map[string]float64 {
+	periods := map[string]float64{}
+	for i := range r.state.Plans {
+		p := &r.state.Plans[i]
+		for _, s := range p.Servers {
+			if s.Stage.IsCordoned() {
+				periods[s.Name] = max(periods[s.Name], p.Spec.QuietPeriodSeconds())
+			}
 		}
 	}
-	return s
+	return periods
 }
 
-// sendSurveyResponse sends what has been gathered over the link by which the question came. Where there is no room for it, it waits.
-func (w *maintenanceRole) sendSurveyResponse(now float64) {
-	l := w.roles.node.links[w.parentLink]
-	if l == nil {
-		w.gathered = nil // the link has ended: those behind it are not heard in this round
+// sendSurveyResponse sends what has been gathered over the link by which the request came, or postpones it if the budget is used up. If
+// the link has ended the response is dropped.
+func (r *maintenanceRole) sendSurveyResponse(now float64) {
+	link := r.roles.node.links[r.parentLink]
+	if link == nil {
+		r.gathered = nil
 		return
 	}
-	body := mustMarshal(surveyResponse{w.round, *w.gathered})
-	b := &w.budget
-	b.left, b.at = min(b.left+(now-b.at)*responseBytesPerSecond, responseBurstBytes), now
-	if need := float64(len(body)); b.left < need && b.left < responseBurstBytes {
-		w.sendAt = now + min((need-b.left)/responseBytesPerSecond, surveyTimeoutSeconds)
+	body := mustMarshal(surveyResponse{r.round, *r.gathered})
+	retryAt, ok := r.budget.take(now, len(body), surveyTimeoutSeconds)
+	if !ok {
+		r.sendAt = retryAt
 		return
 	}
-	b.left -= float64(len(body))
-	w.roles.sendReply(l, maintenanceRoleName, w.surveyToken, kindSurveyResponse, body)
-	w.gathered = nil
+	r.roles.sendReply(link, maintenanceRoleName, r.surveyToken, kindSurveyResponse, body)
+	r.gathered = nil
 }
 
-// runSurveys has all be asked, again and again, as long as a plan goes on.
-func (w *maintenanceRole) runSurveys(now float64) {
-	if w.collected != nil && (now >= w.surveyDeadline || w.isSurveyComplete()) {
-		w.coordinator.Observe(now, maintenance.FleetSnapshot{Members: w.surveyed, Report: *w.collected, Complete: w.isSurveyComplete()})
-		w.collected = nil
+// runSurveys finishes the present survey and starts the next one, as the holder, while the coordinator needs them.
+func (r *maintenanceRole) runSurveys(now float64) {
+	if r.collected != nil && (now >= r.surveyDeadline || r.isSurveyComplete()) {
+		r.coordinator.Observe(now, maintenance.FleetSnapshot{Members: r.surveyed, Report: *r.collected, Complete: r.isSurveyComplete()})
+		r.collected = nil
 	}
-	if w.collected != nil || now < w.surveyAt || !w.coordinator.NeedsSnapshot() {
+	if r.collected != nil || now < r.surveyAt || !r.coordinator.NeedsSnapshot() {
 		return
 	}
-	w.surveyAt = now + surveyIntervalSeconds
-	w.round++
-	if !w.roles.broadcast(maintenanceRoleName, kindSurveyRequest, mustMarshal(surveyRequest{w.round, w.epoch, w.version})) {
+	r.surveyAt = now + surveyIntervalSeconds
+	r.round++
+	if !r.roles.broadcast(maintenanceRoleName, kindSurveyRequest, mustMarshal(surveyRequest{r.round, r.epoch, r.version})) {
 		return
 	}
-	w.surveyed = nil
-	for m := range w.roles.node.view.Members {
-		w.surveyed = append(w.surveyed, maintenance.Member{ID: m.ID, Name: m.Name, BootID: m.Version.BootID, State: m.State, StateAgeSeconds: m.StateAgeSeconds})
+	r.surveyed = nil
+	for m := range r.roles.node.view.Members {
+		r.surveyed = append(r.surveyed, maintenance.Member{ID: m.ID, Name: m.Name, BootID: m.Version.BootID, State: m.State, StateAgeSeconds: m.StateAgeSeconds})
 	}
-	w.collected, w.surveyDeadline = w.localReport(now), now+surveyTimeoutSeconds
+	r.collected, r.surveyDeadline = r.localReport(now), now+surveyTimeoutSeconds
 }
 
-// isSurveyComplete tells whether all that live have answered.
-func (w *maintenanceRole) isSurveyComplete() bool {
-	return !slices.ContainsFunc(w.surveyed, func(m maintenance.Member) bool {
-		return m.State == swim.Alive && !w.collected.HasReporter(maintenance.Reporter{ID: m.ID})
+// isSurveyComplete reports whether all live members have responded.
+func (r *maintenanceRole) isSurveyComplete() bool {
+	return !slices.ContainsFunc(r.surveyed, func(m maintenance.Member) bool {
+		return m.State == swim.Alive && !r.collected.HasReporter(maintenance.Reporter{ID: m.ID})
 	})
 }
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -3,27 +3,27 @@
 import (
 	"errors"
 	"fmt"
-	"math"
 	"slices"
 )
 
-// Report is how the requests of the whole fleet have fared since the report before.
+// Report is how the requests of all sidecars have fared since the report before. It is sent to all, and the answer of the admin
+// command REPORT.
 type Report struct {
-	Owner          string        `json:"owner" msgpack:"o"`
+	Owner          string        `json:"owner" msgpack:"o"` // name of the holder that made it
 	Token          uint64        `json:"token" msgpack:"t"`
 	Round          uint64        `json:"round" msgpack:"r"`
-	Asked          int           `json:"asked" msgpack:"a"` // members that lived when they were asked, or died within the minute before
+	Asked          int           `json:"asked" msgpack:"a"` // members that lived at the request, or had died within the minute before
 	Answered       int           `json:"answered" msgpack:"n"`
-	Missing        []string      `json:"missing,omitempty" msgpack:"m,omitempty"` // names of those that did not answer in time
+	Missing        []string      `json:"missing,omitempty" msgpack:"m,omitempty"` // names of members that did not answer in time
 	OmittedMissing int           `json:"more_missing,omitempty" msgpack:"x,omitempty"`
-	Classes        []ClassReport `json:"classes" msgpack:"c"`
-	AgeSeconds     float64       `json:"age_s" msgpack:"-"` // since this sidecar heard it
+	Classes        []ClassReport `json:"classes" msgpack:"c"` // sorted by name
+	AgeSeconds     float64       `json:"age_s" msgpack:"-"`   // since this sidecar received it
 }
 
-// ClassReport is how the requests of a class have fared. Times are in milliseconds, to answer those that were served.
+// ClassReport is how the requests of a class have fared. Latencies are in milliseconds, of served requests.
 type ClassReport struct {
 	Class         string  `json:"class" msgpack:"c"`
-	RatePerSecond float64 `json:"per_s" msgpack:"p"`
+	RatePerSecond float64 `json:"per_s" msgpack:"p"` // of ended requests
 	Served        uint64  `json:"served" msgpack:"s"`
 	Throttled     uint64  `json:"throttled" msgpack:"t"`
 	Failed        uint64  `json:"failed" msgpack:"f"`
@@ -35,29 +35,30 @@
 	Max           float64 `json:"max_ms" msgpack:"x"`
 }
 
-// Report returns the last report that was heard. Where none was, the error names the owner.
-func (f *Node) Report() (rep Report, err error) {
-	seen, err := f.LeaseStatus()
+var errNoReport = errors.New("nobody makes a report at the moment")
+
+// Report returns the last report that this sidecar received. Where there is none the error says who makes it; without voters it is
+// ErrNoVoters. It is for the loop.
+func (n *Node) Report() (report Report, err error) {
+	status, err := n.LeaseStatus()
 	if err != nil {
-		return rep, err
+		return report, err
 	}
-	i := slices.IndexFunc(seen.Roles, func(j RoleStatus) bool { return j.Role == reportRoleName })
+	i := slices.IndexFunc(status.Roles, func(s RoleStatus) bool { return s.Role == reportRoleName })
 	if i < 0 {
-		return rep, errNoReport
+		return report, errNoReport
 	}
-	if r, ok := f.roles.state(reportRoleName).role.(*reportRole); ok && r.lastReport != nil {
-		rep = *r.lastReport
-		rep.AgeSeconds = math.Round(10*(f.net.Now()-r.lastReportAt)) / 10
-		return rep, nil
+	if r, ok := n.roles.state(reportRoleName).role.(*reportRole); ok && r.lastReport != nil {
+		report = *r.lastReport
+		report.AgeSeconds = roundTenths(n.net.Now() - r.lastReportAt)
+		return report, nil
 	}
-	switch j := seen.Roles[i]; {
-	case j.Owner == "":
-		return rep, errNoReport
-	case !j.Capable:
-		return rep, fmt.Errorf("this sidecar takes no part in reports: ask %s (%s), which makes them", j.OwnerName, j.Owner)
+	switch s := status.Roles[i]; {
+	case s.Owner == "":
+		return report, errNoReport
+	case !s.Capable:
+		return report, fmt.Errorf("this sidecar takes no part in reports: ask %s (%s), which makes them", s.OwnerName, s.Owner)
 	default:
-		return rep, fmt.Errorf("no report has come yet from %s (%s), which makes them", j.OwnerName, j.Owner)
+		return report, fmt.Errorf("no report has come yet from %s (%s), which makes them", s.OwnerName, s.Owner)
 	}
 }
-
-var errNoReport = errors.New("nobody makes a report at the moment")
--- a/internal/coordination/report_role.go
+++ b/internal/coordination/report_role.go
@@ -11,116 +11,113 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// The job "report": its owner asks all how the requests of each class have fared since they were asked last. The question goes
-// to all over all links; each answers over the link by which it first came, with what has come to it from those behind it, summed.
+// reportRoleName is the role's name on the wire and in the settings.
+const reportRoleName = "report"
+
 const (
-	reportRoleName = "report"
-
-	kindReportRequest  = 1 // question
-	kindReportResponse = 2 // answer, over one link
-	kindReport         = 3 // Report, to all
-
-	reportIntervalSeconds = 5.0
-	reportTimeoutSeconds  = 2.0  // after the question
-	reportGatherSeconds   = 0.12 // in which answers of others are waited for, to go on with one's own
-	// responseBytesPerSecond and answersAtOnce bound what answers take of the budget of the links, in bytes; what has no room waits.
-	responseBytesPerSecond, responseBurstBytes = 32 << 10, 64 << 10
-	deadMemberSeconds                          = 60.0 // for which one that died counts as missing
-	maxReporters                               = 2000 // members whose answers are in one
-	maxClasses                                 = 64
-	maxMissingNames                            = 50 // that are named
+	reportIntervalSeconds = 5.0  // between two rounds
+	reportTimeoutSeconds  = 2.0  // of a round
+	reportGatherSeconds   = 0.12 // for which a member waits for responses from behind it before it sends its own
+	deadMemberSeconds     = 60.0 // for which a dead member counts as missing in reports
+	maxMissingNames       = 50   // in a report
+	minReportSpanSeconds  = 0.001
 )
 
-// reportRole is a sidecar's part in the job.
+// reportRole is the role "report": in each round its holder requests statistics of all members and sends their sum to all. A request is
+// flooded; each member responds over the link by which the request came first, with the sum of its own statistics and of the
+// responses that came from behind it.
 type reportRole struct {
 	roles *roleManager
 
-	// Of every member.
-	parentLink   int // the link over which the question has come
+	// At every member.
+	parentLink   int // link by which the last request came
 	requestToken uint64
-	gathered     *reportResponse // that is to go there; nil: nothing is
+	round        uint64
+	gathered     *reportResponse // to be sent over parentLink; nil: nothing is
 	sendAt       float64
-	budget       budget
-	measuredAt   float64
-	lastReport   *Report
+	budget       responseBudget
+	measuredAt   float64 // when this sidecar's statistics were last taken
+	lastReport   *Report // nil: none has come
 	lastReportAt float64
 
-	// Of the owner.
+	// At the holder.
 	isHolder      bool
 	heldToken     uint64
-	round         uint64
 	nextRoundAt   float64
-	roundDeadline float64         // when the round ends
-	collected     *reportResponse // nil: no round is on
-	requested     []swim.ID
+	roundDeadline float64
+	collected     *reportResponse // of the round; nil: there is none
+	requested     []swim.ID       // members whose response the round waits for
 }
 
-// budget is a budget of bytes.
-type budget struct{ left, at float64 }
+var _ singletonRole = (*reportRole)(nil)
 
-func newReportRole(o *roleManager) *reportRole {
-	now := o.node.net.Now()
-	return &reportRole{roles: o, budget: budget{responseBurstBytes, now}, measuredAt: now}
+func newReportRole(m *roleManager) *reportRole {
+	now := m.node.net.Now()
+	return &reportRole{roles: m, budget: newResponseBudget(now), measuredAt: now}
 }
 
+// Name implements singletonRole.
 func (r *reportRole) Name() string { return reportRoleName }
 
+// Start implements singletonRole.
 func (r *reportRole) Start(token uint64) {
 	r.isHolder, r.heldToken, r.round, r.nextRoundAt, r.collected = true, token, 0, 0, nil
 }
 
+// Stop implements singletonRole.
 func (r *reportRole) Stop() { r.isHolder, r.collected = false, nil }
 
-// HandleMessage takes a question, an answer or a report.
-func (r *reportRole) HandleMessage(from *peers.Link, e *frames.RoleMessage) {
-	switch e.Kind {
+// HandleMessage implements singletonRole. A response that can't be merged is left out, and its members count as missing.
+func (r *reportRole) HandleMessage(from *peers.Link, m *frames.RoleMessage) {
+	now := r.roles.node.net.Now()
+	switch m.Kind {
 	case kindReportRequest:
-		var q reportRequest
-		if frames.Unmarshal(e.Body, &q) == nil {
-			r.parentLink, r.requestToken, r.round = from.Number, e.Token, q.Round
-			r.gathered, r.sendAt = r.localResponse(), r.roles.node.net.Now()+reportGatherSeconds
+		var request reportRequest
+		if frames.Unmarshal(m.Body, &request) == nil {
+			r.parentLink, r.requestToken, r.round = from.Number, m.Token, request.Round
+			r.gathered, r.sendAt = r.localResponse(), now+reportGatherSeconds
 		}
 	case kindReportResponse:
-		var a reportResponse
-		if frames.Unmarshal(e.Body, &a) != nil || a.Round != r.round {
+		var response reportResponse
+		if frames.Unmarshal(m.Body, &response) != nil || response.Round != r.round {
 			return
 		}
 		switch {
-		case r.isHolder && e.Token == r.heldToken:
+		case r.isHolder && m.Token == r.heldToken:
 			if r.collected != nil {
-				_ = r.collected.merge(&a) // what makes no sense is not in the report, nor those that it is from
+				_ = r.collected.merge(&response) // left out, see above
 			}
-		case e.Token == r.requestToken:
+		case m.Token == r.requestToken:
 			if r.gathered == nil {
-				r.gathered, r.sendAt = &reportResponse{Round: a.Round}, r.roles.node.net.Now()+reportGatherSeconds
+				r.gathered, r.sendAt = &reportResponse{Round: response.Round}, now+reportGatherSeconds
 			}
-			_ = r.gathered.merge(&a) // the same
+			_ = r.gathered.merge(&response) // left out, see above
 		}
 	case kindReport:
-		var rep Report
-		if frames.Unmarshal(e.Body, &rep) == nil {
-			r.lastReport, r.lastReportAt = &rep, r.roles.node.net.Now()
+		var report Report
+		if frames.Unmarshal(m.Body, &report) == nil {
+			r.lastReport, r.lastReportAt = &report, now
 		}
 	}
 }
 
-// localResponse returns how this sidecar's requests have fared since it was asked last.
+// localResponse returns this sidecar's statistics since the last call.
 func (r *reportRole) localResponse() *reportResponse {
 	now := r.roles.node.net.Now()
-	spanS := max(now-r.measuredAt, 0.001)
+	spanSeconds := max(now-r.measuredAt, minReportSpanSeconds)
 	r.measuredAt = now
-	a := &reportResponse{Round: r.round}
-	mine := &reportResponse{Members: []swim.ID{r.roles.node.state.ID}}
+	response := &reportResponse{Round: r.round}
+	local := &reportResponse{Members: []swim.ID{r.roles.node.state.ID}}
 	for _, m := range r.roles.node.options.Host.Measured() {
 		ended := m.Served + m.Throttled + m.Failed + m.Abandoned
-		mine.Classes = append(mine.Classes, classCounts{Class: m.Class, Served: m.Served, Throttled: m.Throttled, Failed: m.Failed, Abandoned: m.Abandoned,
-			RatePerSecond: float64(ended) / spanS, Latencies: encodeCounts(m.Times)})
+		local.Classes = append(local.Classes, classCounts{Class: m.Class, Served: m.Served, Throttled: m.Throttled, Failed: m.Failed, Abandoned: m.Abandoned,
+			RatePerSecond: float64(ended) / spanSeconds, Latencies: encodeCounts(m.Times)})
 	}
-	_ = a.merge(mine) // more classes than a report has room for are left out
-	return a
+	_ = response.merge(local) // classes above the limit are left out
+	return response
 }
 
-// Tick sends what has been gathered, and has the owner's rounds begin and end.
+// Tick implements singletonRole.
 func (r *reportRole) Tick(now float64) (next float64) {
 	next = now + reportIntervalSeconds
 	if r.gathered != nil && now >= r.sendAt {
@@ -132,7 +129,7 @@
 	if !r.isHolder {
 		return next
 	}
-	if r.collected != nil && (now >= r.roundDeadline || len(r.collected.Members) >= len(r.requested) && !slices.ContainsFunc(r.requested, func(id swim.ID) bool { return !r.collected.hasMember(id) })) {
+	if r.collected != nil && (now >= r.roundDeadline || r.isRoundComplete()) {
 		r.finishRound(now)
 	}
 	if now >= r.nextRoundAt {
@@ -145,35 +142,34 @@
 	return next
 }
 
-// sendResponse sends what has been gathered over the link by which the question came. Where there is no room for it, it waits.
+// sendResponse sends what has been gathered over the link by which the request came, or postpones it if the budget is used up. If the
+// link has ended the response is dropped, and the members in it are missing in the report.
 func (r *reportRole) sendResponse(now float64) {
-	l := r.roles.node.links[r.parentLink]
-	if l == nil {
-		r.gathered = nil // the link has ended: those behind it are missing in this report
+	link := r.roles.node.links[r.parentLink]
+	if link == nil {
+		r.gathered = nil
 		return
 	}
-	a := r.gathered
-	for i := range a.Classes {
-		a.Classes[i].Latencies = encodeCounts(a.Classes[i].latencyCounts)
-	}
-	rest := a.Members[min(len(a.Members), maxReporters):]
-	a.Members = a.Members[:len(a.Members)-len(rest)]
-	body := mustMarshal(a)
-	b := &r.budget
-	b.left, b.at = min(b.left+(now-b.at)*responseBytesPerSecond, responseBurstBytes), now
-	if need := float64(len(body)); b.left < need && b.left < responseBurstBytes {
-		a.Members = append(a.Members, rest...)
-		r.sendAt = now + min((need-b.left)/responseBytesPerSecond, reportTimeoutSeconds)
+	response := r.gathered
+	for i := range response.Classes {
+		response.Classes[i].Latencies = encodeCounts(response.Classes[i].latencyCounts)
+	}
+	rest := response.Members[min(len(response.Members), maxReporters):]
+	response.Members = response.Members[:len(response.Members)-len(rest)]
+	body := mustMarshal(response)
+	retryAt, ok := r.budget.take(now, len(body), reportTimeoutSeconds)
+	if !ok {
+		response.Members = append(response.Members, rest...)
+		r.sendAt = retryAt
 		return
 	}
-	b.left -= float64(len(body))
-	r.roles.sendReply(l, reportRoleName, r.requestToken, kindReportResponse, body)
+	r.roles.sendReply(link, reportRoleName, r.requestToken, kindReportResponse, body)
 	if r.gathered = nil; len(rest) > 0 {
-		r.gathered, r.sendAt = &reportResponse{Round: a.Round, Members: slices.Clone(rest)}, now+reportGatherSeconds
+		r.gathered, r.sendAt = &reportResponse{Round: response.Round, Members: slices.Clone(rest)}, now+reportGatherSeconds
 	}
 }
 
-// startRound begins a round.
+// startRound requests statistics of all members, as the holder.
 func (r *reportRole) startRound(now float64) {
 	r.nextRoundAt = now + reportIntervalSeconds
 	r.round++
@@ -190,32 +186,46 @@
 	r.collected, r.roundDeadline = r.localResponse(), now+reportTimeoutSeconds
 }
 
-// finishRound ends a round: what has come is the report.
+// isRoundComplete reports whether all requested members have responded.
+func (r *reportRole) isRoundComplete() bool {
+	return len(r.collected.Members) >= len(r.requested) &&
+		!slices.ContainsFunc(r.requested, func(id swim.ID) bool { return !r.collected.hasMember(id) })
+}
+
+// finishRound sends the report of what has been collected to all.
 func (r *reportRole) finishRound(now float64) {
-	f := r.roles.node
-	rep := Report{Owner: f.options.Sidecar, Token: r.heldToken, Round: r.round, Asked: len(r.requested), Answered: len(r.collected.Members)}
-	for m := range f.view.Members {
-		if _, asked := slices.BinarySearch(r.requested, m.ID); !asked || r.collected.hasMember(m.ID) {
+	report := r.makeReport()
+	r.collected = nil
+	if r.roles.broadcast(reportRoleName, kindReport, mustMarshal(report)) {
+		r.lastReport, r.lastReportAt = &report, now
+	}
+}
+
+func (r *reportRole) makeReport() Report {
+	n := r.roles.node
+	report := Report{Owner: n.options.Sidecar, Token: r.heldToken, Round: r.round, Asked: len(r.requested), Answered: len(r.collected.Members)}
+	for m := range n.view.Members {
+		if _, requested := slices.BinarySearch(r.requested, m.ID); !requested || r.collected.hasMember(m.ID) {
 			continue
 		}
-		if len(rep.Missing) < maxMissingNames {
-			rep.Missing = append(rep.Missing, m.Name)
+		if len(report.Missing) < maxMissingNames {
+			report.Missing = append(report.Missing, m.Name)
 		} else {
-			rep.OmittedMissing++
+			report.OmittedMissing++
 		}
 	}
 	for i := range r.collected.Classes {
-		c := &r.collected.Classes[i]
-		snapshot := *emptyHistogram()
-		snapshot.Counts = c.latencyCounts
-		h := hdrhistogram.Import(&snapshot)
-		ms := func(us int64) float64 { return float64(us) / 1000 }
-		rep.Classes = append(rep.Classes, ClassReport{Class: c.Class, RatePerSecond: math.Round(10*c.RatePerSecond) / 10, Served: c.Served, Throttled: c.Throttled,
-			Failed: c.Failed, Abandoned: c.Abandoned, P50: ms(h.ValueAtPercentile(50)), P90: ms(h.ValueAtPercentile(90)), P99: ms(h.ValueAtPercentile(99)),
-			P999: ms(h.ValueAtPercentile(99.9)), Max: ms(h.Max())})
-	}
-	r.collected = nil
-	if r.roles.broadcast(reportRoleName, kindReport, mustMarshal(rep)) {
-		r.lastReport, r.lastReportAt = &rep, now
+		report.Classes = append(report.Classes, r.collected.Classes[i].report())
 	}
+	return report
+}
+
+// report returns the statistics with the quantiles of the latencies.
+func (c *classCounts) report() ClassReport {
+	snapshot := *emptyHistogram()
+	snapshot.Counts = c.latencyCounts
+	h := hdrhistogram.Import(&snapshot)
+	ms := func(us int64) float64 { return float64(us) / 1000 }
+	return ClassReport{Class: c.Class, RatePerSecond: math.Round(10*c.RatePerSecond) / 10, Served: c.Served, Throttled: c.Throttled, Failed: c.Failed, Abandoned: c.Abandoned,
+		P50: ms(h.ValueAtPercentile(50)), P90: ms(h.ValueAtPercentile(90)), P99: ms(h.ValueAtPercentile(99)), P999: ms(h.ValueAtPercentile(99.9)), Max: ms(h.Max())}
 }
--- a/internal/coordination/report_wire.go
+++ b/internal/coordination/report_wire.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"cmp"
 	"encoding/binary"
 	"errors"
 	"math"
@@ -13,32 +14,53 @@
 	"hazelwheel/internal/sidecar"
 )
 
+// The messages of the role "report". The numbers are the wire form.
+const (
+	kindReportRequest  = 1 // reportRequest, from the holder to all
+	kindReportResponse = 2 // reportResponse, over one link towards the holder
+	kindReport         = 3 // Report, from the holder to all
+)
+
+const (
+	maxReporters      = 2000 // members in one response
+	maxClasses        = 64   // in a response or report
+	maxClassNameBytes = 64
+	// maxLatencyCount limits a count of a histogram, so that sums of many do not overflow.
+	maxLatencyCount = 1 << 40
+)
+
+// reportRequest asks all members for their statistics since the last request.
 type reportRequest struct {
 	Round uint64 `msgpack:"r"`
 }
 
-// reportResponse is how the requests of some members have fared.
+// reportResponse is the sum of the statistics of some members.
 type reportResponse struct {
 	Round   uint64        `msgpack:"r"`
-	Members []swim.ID     `msgpack:"f"`
-	Classes []classCounts `msgpack:"c,omitempty"` // by name
+	Members []swim.ID     `msgpack:"f"`           // sorted
+	Classes []classCounts `msgpack:"c,omitempty"` // sorted by name
 }
 
+// classCounts are the statistics of a class of requests.
 type classCounts struct {
 	Class         string  `msgpack:"c"`
 	Served        uint64  `msgpack:"s,omitempty"`
 	Throttled     uint64  `msgpack:"t,omitempty"`
 	Failed        uint64  `msgpack:"f,omitempty"`
 	Abandoned     uint64  `msgpack:"a,omitempty"`
-	RatePerSecond float64 `msgpack:"p,omitempty"` // requests that have ended, a second, of all members together
-	Latencies     []byte  `msgpack:"h,omitempty"` // counts of sidecar.NewTimes, packed
+	RatePerSecond float64 `msgpack:"p,omitempty"` // of ended requests, summed over the members
+	Latencies     []byte  `msgpack:"h,omitempty"` // latencyCounts as encodeCounts encodes them
 
-	latencyCounts []int64
+	latencyCounts []int64 // of a histogram of sidecar.NewTimes; not sent
 }
 
-var errMalformedResponse = errors.New("the counts of an answer make no sense")
+// errMalformedResponse is the error for a response that is implausible.
+var errMalformedResponse = errors.New("malformed report response")
 
-// encodeCounts returns counts as pairs of a distance and a count: most are 0.
+// emptyHistogram is the shape of the histograms of sidecar.NewTimes. It is made on first use, since it is large.
+var emptyHistogram = sync.OnceValue(func() *hdrhistogram.Snapshot { return sidecar.NewTimes().Export() })
+
+// encodeCounts encodes the counts that are not 0 as pairs of the distance to the one before and the count.
 func encodeCounts(counts []int64) (b []byte) {
 	last := 0
 	for i, n := range counts {
@@ -50,15 +72,15 @@
 	return b
 }
 
-// addCounts adds packed counts to others.
+// addCounts adds encoded counts to others. Counts before a malformed one have been added when it returns the error.
 func addCounts(b []byte, to []int64) error {
 	for at := uint64(0); len(b) > 0; {
-		by, n := binary.Uvarint(b)
+		distance, n := binary.Uvarint(b)
 		if n <= 0 {
 			return errMalformedResponse
 		}
 		count, m := binary.Uvarint(b[n:])
-		if at += by; m <= 0 || by >= uint64(len(to)) || at >= uint64(len(to)) || count > 1<<40 {
+		if at += distance; m <= 0 || distance >= uint64(len(to)) || at >= uint64(len(to)) || count > maxLatencyCount {
 			return errMalformedResponse
 		}
 		to[at] += int64(count)
@@ -67,50 +89,50 @@
 	return nil
 }
 
-// merge sums another answer of the same round into one.
-func (a *reportResponse) merge(b *reportResponse) error {
-	if len(b.Members) > maxReporters || len(b.Classes) > maxClasses {
+// merge adds another response of the same round to this one. After an error the classes before the malformed one have been added, and
+// no members.
+func (r *reportResponse) merge(other *reportResponse) error {
+	if len(other.Members) > maxReporters || len(other.Classes) > maxClasses {
 		return errMalformedResponse
 	}
-	for i := range b.Classes {
-		c := &b.Classes[i]
-		if len(c.Class) > 64 || math.IsNaN(c.RatePerSecond) || math.IsInf(c.RatePerSecond, 0) {
-			return errMalformedResponse
-		}
-		at, found := slices.BinarySearchFunc(a.Classes, c.Class, func(c classCounts, name string) int {
-			switch {
-			case c.Class < name:
-				return -1
-			case c.Class > name:
-				return 1
-			}
-			return 0
-		})
-		if !found {
-			if len(a.Classes) >= maxClasses {
-				return errMalformedResponse
-			}
-			a.Classes = slices.Insert(a.Classes, at, classCounts{Class: c.Class, latencyCounts: make([]int64, len(emptyHistogram().Counts))})
-		}
-		to := &a.Classes[at]
-		if err := addCounts(c.Latencies, to.latencyCounts); err != nil {
+	for i := range other.Classes {
+		if err := r.mergeClass(&other.Classes[i]); err != nil {
 			return err
 		}
-		to.Served, to.Throttled, to.Failed, to.Abandoned = to.Served+c.Served, to.Throttled+c.Throttled, to.Failed+c.Failed, to.Abandoned+c.Abandoned
-		to.RatePerSecond += c.RatePerSecond
 	}
-	for _, id := range b.Members {
-		if i, found := slices.BinarySearch(a.Members, id); !found {
-			a.Members = slices.Insert(a.Members, i, id)
+	for _, id := range other.Members {
+		if i, found := slices.BinarySearch(r.Members, id); !found {
+			r.Members = slices.Insert(r.Members, i, id)
 		}
 	}
 	return nil
 }
 
-// emptyHistogram is made once it is asked for: where there is no report it takes no room.
-var emptyHistogram = sync.OnceValue(func() *hdrhistogram.Snapshot { return sidecar.NewTimes().Export() })
+func (r *reportResponse) mergeClass(c *classCounts) error {
+	if len(c.Class) > maxClassNameBytes || math.IsNaN(c.RatePerSecond) || math.IsInf(c.RatePerSecond, 0) {
+		return errMalformedResponse
+	}
+	i, found := slices.BinarySearchFunc(r.Classes, c.Class, func(c classCounts, name string) int { return cmp.Compare(c.Class, name) })
+	if !found {
+		if len(r.Classes) >= maxClasses {
+			return errMalformedResponse
+		}
+		r.Classes = slices.Insert(r.Classes, i, classCounts{Class: c.Class, latencyCounts: make([]int64, len(emptyHistogram().Counts))})
+	}
+	sum := &r.Classes[i]
+	if err := addCounts(c.Latencies, sum.latencyCounts); err != nil {
+		return err
+	}
+	sum.Served += c.Served
+	sum.Throttled += c.Throttled
+	sum.Failed += c.Failed
+	sum.Abandoned += c.Abandoned
+	sum.RatePerSecond += c.RatePerSecond
+	return nil
+}
 
-func (a *reportResponse) hasMember(id swim.ID) bool {
-	_, found := slices.BinarySearch(a.Members, id)
+// hasMember reports whether the statistics of a member are in the response.
+func (r *reportResponse) hasMember(id swim.ID) bool {
+	_, found := slices.BinarySearch(r.Members, id)
 	return found
 }
