--- a/policy/checkpoint_test.go
+++ b/policy/checkpoint_test.go
@@ -198,7 +198,7 @@
 		for i := range v.NumField() {
 			f := v.Field(i)
 			switch v.Type().Field(i).Name {
-			case "s", "do", "pcg", "rng", "ID", "id", "index", "queue", "queued", "sets":
+			case "settings", "actions", "pcg", "rng", "ID", "requestID", "liveIndex", "queue", "queueIndex", "groups":
 			case "class", "Class":
 				if f.Kind() == reflect.Int {
 					set(f).SetInt(int64(*next)%2 + 1) // the others follow it
@@ -256,7 +256,7 @@
 		differ(t, at, a.Elem(), b.Elem(), seen, held)
 	case reflect.Struct:
 		for i := range a.NumField() {
-			if f := a.Type().Field(i).Name; !slices.Contains([]string{"s", "do", "rng", "queue", "queued", "mean", "sigma", "was", "sets"}, f) {
+			if f := a.Type().Field(i).Name; !slices.Contains([]string{"settings", "actions", "rng", "queue", "queueIndex", "gapMean", "gapSigma", "wasMember", "groups"}, f) {
 				differ(t, a.Type().Name()+"."+f, a.Field(i), b.Field(i), seen, held)
 			}
 		}
@@ -295,20 +295,20 @@
 	var b *Balancer
 	for seed := uint64(1); b == nil; seed++ { // until a run ends with an instance of everything
 		x := anyRun(s, seed, 300, &tape{}, func(int, *Balancer, func(*Balancer)) {})
-		sent := slices.IndexFunc(x.live, func(r *request) bool { return len(r.attempts) > 0 })
-		if sent >= 0 && len(x.live) > 1 && len(x.unserved) > 0 && slices.ContainsFunc(x.order, func(h *host) bool { return len(h.outs) > 0 }) {
+		sent := slices.IndexFunc(x.liveRequests, func(r *request) bool { return len(r.attempts) > 0 })
+		if sent >= 0 && len(x.liveRequests) > 1 && len(x.unserved) > 0 && slices.ContainsFunc(x.sortedHosts, func(h *host) bool { return len(h.inFlight) > 0 }) {
 			b = x
-			gone := *x.order[0]
-			gone.outs, gone.gaps = slices.Clone(gone.outs), slices.Clone(gone.gaps)
-			gone.turned, gone.shunned = slices.Clone(gone.turned), slices.Clone(gone.shunned)
-			x.live[sent].attempts[0].host, x.live[sent].suspect = &gone, x.order[1]
-			x.live[1-min(sent, 1)].suspect = &gone
+			gone := *x.sortedHosts[0]
+			gone.inFlight, gone.gaps = slices.Clone(gone.inFlight), slices.Clone(gone.gaps)
+			gone.rejections, gone.backoffUntil = slices.Clone(gone.rejections), slices.Clone(gone.backoffUntil)
+			x.liveRequests[sent].attempts[0].host, x.liveRequests[sent].suspectHost = &gone, x.sortedHosts[1]
+			x.liveRequests[1-min(sent, 1)].suspectHost = &gone
 		}
 	}
 	next := 0.0
 	fill(reflect.ValueOf(b), &next, map[unsafe.Pointer]bool{})
-	for _, r := range b.live {
-		r.class = &b.s.Classes[r.Request.Class]
+	for _, r := range b.liveRequests {
+		r.class = &b.settings.Classes[r.Request.Class]
 	}
 	state, ok := b.Checkpoint(nil, 1<<20)
 	if !ok {
@@ -318,8 +318,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range restored.live {
-		if r.waiting != (r.queued > 0) || r.waiting && restored.queue.heap[r.queued-1] != r {
+	for _, r := range restored.liveRequests {
+		if r.isWaiting != (r.queueIndex > 0) || r.isWaiting && restored.queue.heap[r.queueIndex-1] != r {
 			t.Error("a request that waits is not in the queue, or one that does not is")
 		}
 	}
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -3,87 +3,87 @@
 import "slices"
 
 const (
-	repollPart = 0.12 // of the aim: when a held request looks again
-	holdPart   = 0.15 // of the aim: longest hold of a request nobody can take
-	relax      = 0.98 // what estimates keep at each request that nobody could take
+	repollFraction      = 0.12 // of the aim: when a held request looks again
+	maxHoldFraction     = 0.15 // of the aim: longest hold of a request nobody can take
+	estimateRelaxFactor = 0.98 // what estimates keep at each request that nobody could take
 )
 
 // want asks for a send of a request, after fresh reports where they must be fetched.
-func (b *Balancer) want(r *request) {
-	r.waiting = true
-	b.queue.put(r, b.now)
-	if !b.polls || len(b.members) == 0 || r.aim <= b.now {
-		b.place(r)
+func (b *Balancer) dispatch(r *request) {
+	r.isWaiting = true
+	b.queue.schedule(r, b.now)
+	if !b.pollsReports || len(b.members) == 0 || r.targetAt <= b.now {
+		b.sendOrHold(r)
 		return
 	}
-	b.readPhi()
-	b.poll(r)
+	b.updatePhi()
+	b.pollReports(r)
 }
 
 // place sends a waiting request, holds it or gives it up.
-func (b *Balancer) place(r *request) {
-	if h := r.suspect; h != nil && b.polls && h.seenAt < r.lostAt-b.s.TickSeconds {
-		r.aim = b.now
-		b.giveUp(r) // it was the host that died, not the connection alone
+func (b *Balancer) sendOrHold(r *request) {
+	if h := r.suspectHost; h != nil && b.pollsReports && h.reportSentAt < r.lostAt-b.settings.TickSeconds {
+		r.targetAt = b.now
+		b.answerUnserved(r) // it was the host that died, not the connection alone
 		return
 	}
-	if b.settle(r) {
+	if b.trySend(r) {
 		return
 	}
-	hopeless := r.HasWork && b.polls && b.now+hope*b.svc*r.units > r.aim // even for an idle host
-	if r.over || hopeless || b.now-r.arrived >= holdPart*(r.aim-r.arrived) {
+	hopeless := r.HasWork && b.pollsReports && b.now+hintedTimeFactor*b.serviceSeconds*r.relativeWork > r.targetAt // even for an idle host
+	if r.isOverShare || hopeless || b.now-r.arrivedAt >= maxHoldFraction*(r.targetAt-r.arrivedAt) {
 		// Danger: an estimate that lets nothing through is never corrected by an answer. It fades.
-		for _, guess := range [...]*float64{&b.svc, &b.classMean[r.Request.Class]} {
-			if doubt**guess > 0.8*r.class.LatencyTargetSeconds {
-				*guess *= relax
+		for _, guess := range [...]*float64{&b.serviceSeconds, &b.classMeanSeconds[r.Request.Class]} {
+			if guessedTimeFactor**guess > 0.8*r.class.LatencyTargetSeconds {
+				*guess *= estimateRelaxFactor
 			}
 		}
-		b.giveUp(r)
+		b.answerUnserved(r)
 		return
 	}
-	r.held = true
-	b.queue.put(r, min(b.now+max(repollPart*r.class.LatencyTargetSeconds, b.s.TickSeconds), r.Deadline-b.s.TickSeconds))
-	b.due(r.decideAt)
+	r.isHeld = true
+	b.queue.schedule(r, min(b.now+max(repollFraction*r.class.LatencyTargetSeconds, b.settings.TickSeconds), r.Deadline-b.settings.TickSeconds))
+	b.armWake(r.dispatchAt)
 }
 
 // settle sends a waiting request if there is a host for it, and tells whether.
-func (b *Balancer) settle(r *request) bool {
-	h := b.pick(r)
-	if h == nil || !b.send(r, h) {
+func (b *Balancer) trySend(r *request) bool {
+	h := b.pickHost(r)
+	if h == nil || !b.startAttempt(r, h) {
 		return false
 	}
-	r.waiting = false
-	b.queue.drop(r)
+	r.isWaiting = false
+	b.queue.remove(r)
 	return true
 }
 
 // giveUp answers a request at once: refused if nothing may have run, else failed. Its aim is kept for the
 // client's next try: work on a marked repeat is lost once the aim of the first try has passed.
-func (b *Balancer) giveUp(r *request) {
-	e := ended{r.Request.Class, r.Tenant, r.Key, r.aim, r.arrived + r.class.TotalTimeoutSeconds}
-	b.unserved = b.unserved.with(e, b.now)
-	if b.mayRefuse(r) {
-		b.do.Refuse(r.ID, b.s.MaxRetryAfterSeconds*(0.5+0.5*b.rng.Float64()))
+func (b *Balancer) answerUnserved(r *request) {
+	e := unservedRequest{r.Request.Class, r.Tenant, r.Key, r.targetAt, r.arrivedAt + r.class.TotalTimeoutSeconds}
+	b.unserved = b.unserved.appended(e, b.now)
+	if b.isSafeToRefuse(r) {
+		b.actions.Refuse(r.ID, b.settings.MaxRetryAfterSeconds*(0.5+0.5*b.rng.Float64()))
 	} else {
-		b.do.Fail(r.ID)
+		b.actions.Fail(r.ID)
 	}
-	b.finish(r, true)
+	b.finishRequest(r, true)
 }
 
 // pump places the requests whose time has come; of those that wait for polls, once all of them are answered.
-func (b *Balancer) pump() {
-	due, wait := b.now, b.pollWait()
-	if b.polls && b.queue.len() > 0 && !slices.ContainsFunc(b.members, func(h *host) bool {
+func (b *Balancer) dispatchDue() {
+	due, wait := b.now, b.pollTimeout()
+	if b.pollsReports && b.queue.len() > 0 && !slices.ContainsFunc(b.members, func(h *host) bool {
 		return h.polledAt > 0 && b.now-h.polledAt < wait
 	}) {
 		due += wait
 	}
-	for _, r := range b.queue.take(due) {
-		if r.held && b.polls {
-			r.held = false
-			b.poll(r)
+	for _, r := range b.queue.popDue(due) {
+		if r.isHeld && b.pollsReports {
+			r.isHeld = false
+			b.pollReports(r)
 		} else {
-			b.place(r)
+			b.sendOrHold(r)
 		}
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -214,8 +214,8 @@
 				for failed := range 6 {
 					r.list(ListFailed)
 					was, began := r.watches, r.now
-					if r.advance(r.now + longestAsk + s.TickSeconds); r.watches == was {
-						t.Fatalf("%d proxies: number %d has not called within %v s after %d calls that failed", proxies, self, longestAsk, failed)
+					if r.advance(r.now + maxListBackoffSeconds + s.TickSeconds); r.watches == was {
+						t.Fatalf("%d proxies: number %d has not called within %v s after %d calls that failed", proxies, self, maxListBackoffSeconds, failed)
 					}
 					if failed == 0 {
 						first = append(first, r.askedAt-began)
@@ -224,7 +224,7 @@
 			}
 			slices.Sort(first)
 			for i := range len(first) - 1 {
-				if gap := first[i+1] - first[i]; gap > 3*firstAsk/float64(proxies) {
+				if gap := first[i+1] - first[i]; gap > 3*initialListBackoffSeconds/float64(proxies) {
 					t.Errorf("%d proxies: no call for %.2f s between the first ones", proxies, gap)
 				}
 			}
@@ -243,7 +243,7 @@
 	}
 	r.b.SetReplica(r.now, 299, 300)
 	was := r.watches
-	if r.advance(r.now + longestAsk + s.TickSeconds); r.watches == was {
-		t.Errorf("no call within %v s", longestAsk)
+	if r.advance(r.now + maxListBackoffSeconds + s.TickSeconds); r.watches == was {
+		t.Errorf("no call within %v s", maxListBackoffSeconds)
 	}
 }
--- a/policy/host.go
+++ b/policy/host.go
@@ -3,51 +3,51 @@
 // host is what is known of one host.
 type host struct {
 	HostInfo
-	bound  bool    // told that it drains or is gone: nothing new
-	goneAt float64 // when the list dropped it
-	member bool
-	was    bool // a member, while the subset is taken
-	set    part // where it was sorted to last
+	isWithdrawn bool    // told that it drains or is gone: nothing new
+	goneAt      float64 // when the list dropped it
+	isMember    bool
+	wasMember   bool        // a member, while the subset is taken
+	group       memberGroup // where it was sorted to last
 
-	gaps      []float32 // between answers on cadence, in cadences
-	mean      float64   // of the gaps
-	sigma     float64
-	every     float64 // the cadence by which its present silence is judged
-	planned   float64 // the cadence from the last probe to the next
-	answered  float64 // last probe answer on cadence
-	nextProbe float64
-	met       bool    // has answered on cadence in this life
-	probedAt  float64 // send time of the cadence probe that is out; 0: none
-	polledAt  float64 // send time of the poll that is out; 0: none
-	phi       float64 // suspicion at the last reading
-	refused   int     // connections refused or broken in a row
-	refusedAt float64
-	rampFrom  float64   // when trust began to come back
-	turned    []float64 // attempts of each class turned away or failed in a row; each answer forgives half
-	shunned   []float64 // until then it gets nothing new of the class
+	gaps              []float32 // between answers on cadence, in cadences
+	gapMean           float64   // of the gaps
+	gapSigma          float64
+	currentCadence    float64 // the cadence by which its present silence is judged
+	nextCadence       float64 // the cadence from the last probe to the next
+	lastAnswerAt      float64 // last probe answer on cadence
+	nextProbeAt       float64
+	hasAnswered       bool    // has answered on cadence in this life
+	probedAt          float64 // send time of the cadence probe that is out; 0: none
+	polledAt          float64 // send time of the poll that is out; 0: none
+	phi               float64 // suspicion at the last reading
+	connFailures      int     // connections refused or broken in a row
+	connFailedAt      float64
+	recoveryStartedAt float64   // when trust began to come back
+	rejections        []float64 // attempts of each class turned away or failed in a row; each answer forgives half
+	backoffUntil      []float64 // until then it gets nothing new of the class
 
-	outs     []out
-	servedAt float64 // last answer over a connection
-	reported float64 // requests held, by the last report
-	seenAt   float64 // send time of the probe that brought it; 0: never
-	ratio    float64 // delay against what is usual
-	ratioAt  float64
-	line     float64 // seconds that the last probe waited beyond what an idle host takes, where reports are absent
-	lineAt   float64
-	limit    float64 // own requests in flight, where reports are absent
-	cutAt    float64
+	inFlight         []inFlightAttempt
+	lastResponseAt   float64 // last answer over a connection
+	reportedLoad     float64 // requests held, by the last report
+	reportSentAt     float64 // send time of the probe that brought it; 0: never
+	latencyRatio     float64 // delay against what is usual
+	latencyRatioAt   float64
+	queueSeconds     float64 // seconds that the last probe waited beyond what an idle host takes, where reports are absent
+	queueMeasuredAt  float64
+	concurrencyLimit float64 // own requests in flight, where reports are absent
+	limitCutAt       float64
 
-	winFrom          float64
-	winSent, winPrev float64
-	winLuck          float64 // drawn for the window
+	windowStart                    float64
+	windowSent, previousWindowSent float64
+	windowDraw                     float64 // drawn for the window
 }
 
 // out is an attempt in flight, as its host sees it.
-type out struct {
-	id       uint32
-	class    int
-	sentAt   float64
-	expected float64
-	line     float64 // the line that was expected
-	idle     float64 // seconds since its connection brought the last answer
+type inFlightAttempt struct {
+	requestID            uint32
+	class                int
+	sentAt               float64
+	expectedSeconds      float64
+	expectedQueueSeconds float64 // the line that was expected
+	connIdleSeconds      float64 // seconds since its connection brought the last answer
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -6,91 +6,93 @@
 )
 
 const (
-	firstLine = 24.0 // requests in flight that all proxies allow a new host
-	leastLine = 4.0  // and at least
-	shunPart  = 0.05 // of the aim: shortest pause after a host has turned a request away
+	initialLimit       = 24.0 // requests in flight that all proxies allow a new host
+	minLimit           = 4.0  // and at least
+	minBackoffFraction = 0.05 // of the aim: shortest pause after a host has turned a request away
 )
 
 // learn takes from an outcome what it tells of the host; deadConn: it tells of the connection alone.
-func (b *Balancer) learn(h *host, res Result) (deadConn bool) {
-	i := slices.IndexFunc(h.outs, func(o out) bool { return o.id == res.ID })
+func (b *Balancer) learnOutcome(h *host, res Result) (deadConn bool) {
+	i := slices.IndexFunc(h.inFlight, func(o inFlightAttempt) bool { return o.requestID == res.ID })
 	if i < 0 {
 		return false
 	}
-	o := h.outs[i]
-	h.outs = slices.Delete(h.outs, i, i+1)
-	if b.lostIdle(o, res) {
+	o := h.inFlight[i]
+	h.inFlight = slices.Delete(h.inFlight, i, i+1)
+	if b.lostOnIdleConn(o, res) {
 		return true
 	}
-	r := b.byID[res.ID]
-	b.errors *= 0.95
+	r := b.requestsByID[res.ID]
+	b.errorFraction *= 0.95
 	x := 6.0 // a host that fails fast must not look quick
 	switch res.Outcome {
 	case OK:
-		h.refused, h.servedAt = 0, b.now
-		h.turned[o.class] /= 2
-		x = min(res.DelaySeconds/o.expected, 10)
-		b.learnTimes(h, r, res.DelaySeconds, o)
+		h.connFailures, h.lastResponseAt = 0, b.now
+		h.rejections[o.class] /= 2
+		x = min(res.DelaySeconds/o.expectedSeconds, 10)
+		b.learnLatency(h, r, res.DelaySeconds, o)
 	case HostError, Reset, TimedOut, ConnectFailed:
 		if res.Outcome == HostError {
 			// Danger: useless requests that fail anywhere condemn sound hosts. The more of all attempts err,
 			// the less an error accuses its host. A quick one costs no repeat.
-			b.shun(h, o.class, 2-2*min(3*b.errors, 1))
-			x -= 5 * min(3*b.errors, 1)
-			b.errors += 0.05
-			b.budget += max(1-4*res.DelaySeconds/o.expected, 0)
+			b.backOff(h, o.class, 2-2*min(3*b.errorFraction, 1))
+			x -= 5 * min(3*b.errorFraction, 1)
+			b.errorFraction += 0.05
+			b.retryBudget += max(1-4*res.DelaySeconds/o.expectedSeconds, 0)
 		}
 		if res.Outcome == TimedOut {
-			b.cut(h)
+			b.cutLimit(h)
 		} else if res.Outcome != HostError {
-			h.refused, h.refusedAt, b.phiAt = h.refused+1, b.now, b.now-1
+			h.connFailures, h.connFailedAt, b.phiUpdatedAt = h.connFailures+1, b.now, b.now-1
 		}
 	case Rejected:
-		if b.shun(h, o.class, 1); b.peers > 2*probePeers {
-			h.line, h.lineAt = max(b.line(h), 0.5*b.aim), b.now
+		if b.backOff(h, o.class, 1); b.proxiesPerHost > 2*probingProxies {
+			h.queueSeconds, h.queueMeasuredAt = max(b.queueDelay(h), 0.5*b.tightestTargetSeconds), b.now
 		}
 		return false
 	default:
 		return false
 	}
-	h.ratio, h.ratioAt = 0.9*b.faded(h)+0.1*x, b.now
+	h.latencyRatio, h.latencyRatioAt = 0.9*b.decayedLatencyRatio(h)+0.1*x, b.now
 	return false
 }
 
 // shun leaves a host alone for a class, longer each time. Danger: one that refuses at once looks idle.
-func (b *Balancer) shun(h *host, class int, step float64) {
-	h.turned[class] = min(h.turned[class]+step, 8)
-	h.shunned[class] = b.now + min(shunPart*b.aim*math.Exp2(h.turned[class]), 2*probeEvery)
+func (b *Balancer) backOff(h *host, class int, step float64) {
+	h.rejections[class] = min(h.rejections[class]+step, 8)
+	h.backoffUntil[class] = b.now + min(minBackoffFraction*b.tightestTargetSeconds*math.Exp2(h.rejections[class]), 2*probeIntervalSeconds)
 }
 
 // faded is a host's delay against what is usual; it fades to 1 as the samples age.
-func (b *Balancer) faded(h *host) float64 { return 1 + (h.ratio-1)/(1+(b.now-h.ratioAt)/5) }
+func (b *Balancer) decayedLatencyRatio(h *host) float64 {
+	return 1 + (h.latencyRatio-1)/(1+(b.now-h.latencyRatioAt)/5)
+}
 
 // learnTimes updates the usual times and, where reports are absent, the host's limit.
-func (b *Balancer) learnTimes(h *host, r *request, delay float64, o out) {
-	b.svc *= 1 + 0.02*(min(delay/o.expected, 3)-1)
+func (b *Balancer) learnLatency(h *host, r *request, delay float64, o inFlightAttempt) {
+	b.serviceSeconds *= 1 + 0.02*(min(delay/o.expectedSeconds, 3)-1)
 	if r == nil {
 		return
 	}
-	mean := &b.classMean[r.Request.Class]
-	b.kinds.learn(h.Kind, max(delay-o.line, 0) / *mean)
-	if b.peers > 2*probePeers { // where few share a host, own requests in flight tell more than one answer
-		h.line, h.lineAt = max(delay-2.4**mean/b.strength(h), 0.5*b.line(h)), b.now
+	mean := &b.classMeanSeconds[r.Request.Class]
+	b.kindFactors.learn(h.Kind, max(delay-o.expectedQueueSeconds, 0) / *mean)
+	if b.proxiesPerHost > 2*probingProxies { // where few share a host, own requests in flight tell more than one answer
+		h.queueSeconds, h.queueMeasuredAt = max(delay-2.4**mean/b.capacityFraction(h), 0.5*b.queueDelay(h)), b.now
 	}
-	*mean += 0.02 * (min(max(delay-o.line, 0.3**mean), 4*r.class.LatencyTargetSeconds) - *mean)
+	*mean += 0.02 * (min(max(delay-o.expectedQueueSeconds, 0.3**mean), 4*r.class.LatencyTargetSeconds) - *mean)
 	aim := math.Inf(1) // what this class may take while the class with the tightest aim still fits
-	for i, m := range b.classMean {
-		aim = min(aim, b.s.Classes[i].LatencyTargetSeconds**mean/m)
+	for i, m := range b.classMeanSeconds {
+		aim = min(aim, b.settings.Classes[i].LatencyTargetSeconds**mean/m)
 	}
 	switch {
-	case delay > 0.3*aim && b.now-h.cutAt > 0.3*aim:
-		b.cut(h)
-	case delay < 0.2*aim && float64(len(h.outs))+1 >= 0.6*h.limit:
-		h.limit += min(1/h.limit, 0.5*h.limit)
+	case delay > 0.3*aim && b.now-h.limitCutAt > 0.3*aim:
+		b.cutLimit(h)
+	case delay < 0.2*aim && float64(len(h.inFlight))+1 >= 0.6*h.concurrencyLimit:
+		h.concurrencyLimit += min(1/h.concurrencyLimit, 0.5*h.concurrencyLimit)
 	}
 }
 
 // cut shrinks a host's limit; where it is small, samples are rare and each one tells more.
-func (b *Balancer) cut(h *host) {
-	h.limit, h.cutAt = max(min(1, leastLine/b.peers), h.limit*min(0.5+0.1*h.limit, 0.85)), b.now
+func (b *Balancer) cutLimit(h *host) {
+	h.concurrencyLimit, h.limitCutAt = max(min(1, minLimit/b.proxiesPerHost), h.concurrencyLimit*min(0.5+0.1*h.concurrencyLimit, 0.85)), b.now
 }
--- a/policy/phi.go
+++ b/policy/phi.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	window   = 30  // gaps kept for each member
-	seeded   = 3   // gaps that a new or restarted host's window starts with
-	sigmaMin = 0.1 // floor of sigma, as a part of the cadence; its cap is twice that
-	phiCut   = 3.0 // above it a member is drawn half as often
-	phiOut   = 8.0 // above it a member gets probes and no traffic
+	gapWindowSize    = 30  // gaps kept for each member
+	seedGaps         = 3   // gaps that a new or restarted host's window starts with
+	minSigmaFraction = 0.1 // floor of sigma, as a part of the cadence; its cap is twice that
+	phiSuspect       = 3.0 // above it a member is drawn half as often
+	phiUnavailable   = 8.0 // above it a member gets probes and no traffic
 )
 
 // Phi is the suspicion after a silence: -log10 of the probability that a gap is still longer.
@@ -24,30 +24,30 @@
 }
 
 // measure takes the mean and the sigma of the window.
-func (h *host) measure() {
+func (h *host) updateGapStats() {
 	var sum, sq float64
 	for _, g := range h.gaps {
 		sum += float64(g)
 		sq += float64(g * g)
 	}
-	h.mean = sum / float64(len(h.gaps))
-	h.sigma = math.Sqrt(max(sq/float64(len(h.gaps))-h.mean*h.mean, 0))
+	h.gapMean = sum / float64(len(h.gaps))
+	h.gapSigma = math.Sqrt(max(sq/float64(len(h.gaps))-h.gapMean*h.gapMean, 0))
 }
 
 // suspicion is phi of a member's silence, by the mean and the clamped sigma of its window.
-func (b *Balancer) suspicion(h *host) float64 {
-	return Phi((b.now-h.answered)/h.every, h.mean, min(max(h.sigma, sigmaMin), 2*sigmaMin))
+func (b *Balancer) silencePhi(h *host) float64 {
+	return Phi((b.now-h.lastAnswerAt)/h.currentCadence, h.gapMean, min(max(h.gapSigma, minSigmaFraction), 2*minSigmaFraction))
 }
 
 // doubt is what a member's silence and its refusals say against it. Danger: probes notice a dead host late,
 // requests die on it. Two connections that fail in a row shut it out till an answer or for two seconds; this
 // hurts a host that is only full.
-func (b *Balancer) doubt(h *host) (phi float64) {
-	if b.now-h.refusedAt < 2*probeEvery {
-		phi = (phiOut + 1) / 2 * float64(h.refused)
+func (b *Balancer) suspicion(h *host) (phi float64) {
+	if b.now-h.connFailedAt < 2*probeIntervalSeconds {
+		phi = (phiUnavailable + 1) / 2 * float64(h.connFailures)
 	}
-	if b.s.ProbesEnabled {
-		phi += b.suspicion(h)
+	if b.settings.ProbesEnabled {
+		phi += b.silencePhi(h)
 	}
 	return phi
 }
@@ -55,32 +55,32 @@
 // readPhi reads every member's suspicion. Danger: when most members fall silent it is the network or
 // this prober, and shutting all of them out would lose everything; then only a member that is worse
 // than its peers is suspected. It hurts when most hosts really die: sends to them must fail first.
-func (b *Balancer) readPhi() {
-	if b.now-b.phiAt < max(0.01, 1e-5*float64(len(b.members))) { // Danger: thousands take long
+func (b *Balancer) updatePhi() {
+	if b.now-b.phiUpdatedAt < max(0.01, 1e-5*float64(len(b.members))) { // Danger: thousands take long
 		return
 	}
 	high, warm, sent, slow := 0, 0.0, 0.0, 0.0
-	b.phiAt, b.capacity = b.now, 0
+	b.phiUpdatedAt, b.warmCapacity = b.now, 0
 	for _, h := range b.members {
-		slow += b.faded(h)
-		if b.capacity += b.strength(h); b.strength(h) >= 1 && h.phi <= phiOut {
-			warm, sent = warm+1, sent+h.winPrev
+		slow += b.decayedLatencyRatio(h)
+		if b.warmCapacity += b.capacityFraction(h); b.capacityFraction(h) >= 1 && h.phi <= phiUnavailable {
+			warm, sent = warm+1, sent+h.previousWindowSent
 		}
-		if h.phi = b.doubt(h); h.phi > phiOut {
+		if h.phi = b.suspicion(h); h.phi > phiUnavailable {
 			high++
 		}
 	}
-	b.brisk, b.slow = sent/max(warm, 1), slow/float64(max(len(b.members), 1))
+	b.warmMemberSent, b.meanLatencyRatio = sent/max(warm, 1), slow/float64(max(len(b.members), 1))
 	if 2*high > len(b.members) {
 		low := slices.MinFunc(b.members, func(x, y *host) int { return cmp.Compare(x.phi, y.phi) }).phi
 		for _, h := range b.members {
 			h.phi -= low
 		}
 	}
-	b.sort()
+	b.groupMembers()
 }
 
 // candidate reads phi twice: above phiOut a member gets nothing, above phiCut it is drawn half as often.
-func (b *Balancer) candidate(h *host) bool {
-	return h.phi <= phiCut || h.phi <= phiOut && b.rng.Uint64()&1 == 0
+func (b *Balancer) isCandidate(h *host) bool {
+	return h.phi <= phiSuspect || h.phi <= phiUnavailable && b.rng.Uint64()&1 == 0
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -252,7 +252,7 @@
 	s := plain()
 	s.ProbesEnabled = true
 	r := newRecorder(t, s)
-	r.b.sends.rate = 1e6 // so much traffic keeps the cadence at its shortest
+	r.b.sendRate.rate = 1e6 // so much traffic keeps the cadence at its shortest
 	r.list(ListFull, ready(1, 2, 3)...)
 	run := func(until float64, silent uint32) {
 		for r.now < until {
@@ -269,12 +269,12 @@
 	run(20, 0)
 	h := r.b.hosts[1]
 	r.b.now = r.now
-	if phi := r.b.suspicion(h); phi > phiCut {
+	if phi := r.b.silencePhi(h); phi > phiSuspect {
 		t.Fatalf("phi of a sound host is %v", phi)
 	}
 	run(28, 1)
 	r.b.now = r.now
-	if phi := r.b.suspicion(h); phi < phiOut {
+	if phi := r.b.silencePhi(h); phi < phiUnavailable {
 		t.Fatalf("phi after 8 s of silence is %v", phi)
 	}
 	for i := range uint32(20) {
@@ -285,12 +285,12 @@
 		r.finish(q, 0, OK)
 	}
 	run(31, 0)
-	if r.b.strength(h) > 0.6 {
-		t.Errorf("trusted in full at once: strength %v", r.b.strength(h))
+	if r.b.capacityFraction(h) > 0.6 {
+		t.Errorf("trusted in full at once: strength %v", r.b.capacityFraction(h))
 	}
 	run(34, 1)
 	r.b.now = r.now
-	if phi := r.b.suspicion(h); phi < phiOut {
+	if phi := r.b.silencePhi(h); phi < phiUnavailable {
 		t.Errorf("the second outage is seen late: phi %v", phi)
 	}
 }
@@ -300,7 +300,7 @@
 	s := plain()
 	s.ProbesEnabled = true
 	r := newRecorder(t, s)
-	r.b.sends.rate = 1e6
+	r.b.sendRate.rate = 1e6
 	r.list(ListFull, ready(1, 2, 3)...)
 	for r.now < 20 {
 		r.advance(r.now + 0.01)
@@ -312,8 +312,8 @@
 			r.b.ObserveStall(r.now, told)
 		}
 		for _, h := range r.b.members {
-			if r.b.now = r.now; (r.b.suspicion(h) < phiCut) != (told > 0) {
-				t.Fatalf("phi %v after 10 s of which %v s were told as a stall", r.b.suspicion(h), told)
+			if r.b.now = r.now; (r.b.silencePhi(h) < phiSuspect) != (told > 0) {
+				t.Fatalf("phi %v after 10 s of which %v s were told as a stall", r.b.silencePhi(h), told)
 			}
 		}
 	}
@@ -329,7 +329,7 @@
 		r.answer(OK, nil)
 		for _, h := range r.b.members {
 			r.b.now = r.now
-			if phi := r.b.suspicion(h); phi > phiCut {
+			if phi := r.b.silencePhi(h); phi > phiSuspect {
 				t.Fatalf("%.2f: phi %v of a sound host", r.now, phi)
 			}
 		}
@@ -572,8 +572,8 @@
 		}
 		r.finish(q, 1, OK)
 	}
-	if h := r.b.hosts[1]; h.refused != 0 || h.ratio > 1.1 {
-		t.Errorf("the host is held to have failed %d times, ratio %v", h.refused, h.ratio)
+	if h := r.b.hosts[1]; h.connFailures != 0 || h.latencyRatio > 1.1 {
+		t.Errorf("the host is held to have failed %d times, ratio %v", h.connFailures, h.latencyRatio)
 	}
 }
 
@@ -610,7 +610,7 @@
 	b := New(s, 1, newRecorder(t, s))
 	over := [3]int{}
 	ask := func(tenant int) {
-		if b.overShare(tenant) {
+		if b.exceedsShare(tenant) {
 			over[tenant]++
 		}
 	}
@@ -634,10 +634,10 @@
 	for name, s := range map[string]Settings{"no reports": plain(), "polled": polled()} {
 		r := newRecorder(t, s)
 		r.list(ListFull, ready(1, 2)...)
-		for i := range r.b.classMean {
-			r.b.classMean[i] = 10
+		for i := range r.b.classMeanSeconds {
+			r.b.classMeanSeconds[i] = 10
 		}
-		r.b.svc = 10
+		r.b.serviceSeconds = 10
 		served := 0
 		for i := range uint32(400) {
 			r.advance(r.now + 0.05)
@@ -717,7 +717,7 @@
 			r.advance(r.now + 0.001)
 			r.answer(OK, nil)
 		}
-		r.b.meanWork, r.b.svc = 0.05, 0.075
+		r.b.meanWorkSeconds, r.b.serviceSeconds = 0.05, 0.075
 		q := r.request(Request{ID: 1, Deadline: r.now + 1, HasWork: true, WorkSeconds: c.work})
 		r.advance(r.now + 0.001)
 		r.answer(OK, func(uint32) float32 { return 0 })
@@ -785,8 +785,8 @@
 			}
 			r.request(Request{ID: 1 + i, Deadline: r.now + 1})
 		}
-		if h.limit < c.low || h.limit > c.high {
-			t.Errorf("answers after %v: limit %v", c.delay, h.limit)
+		if h.concurrencyLimit < c.low || h.concurrencyLimit > c.high {
+			t.Errorf("answers after %v: limit %v", c.delay, h.concurrencyLimit)
 		}
 	}
 }
@@ -799,7 +799,7 @@
 	}{{2.9, 1000, 1000}, {5, 420, 580}, {8.1, 0, 0}} {
 		n := 0
 		for range 1000 {
-			if b.candidate(&host{phi: c.phi}) {
+			if b.isCandidate(&host{phi: c.phi}) {
 				n++
 			}
 		}
@@ -816,9 +816,9 @@
 	}{"steady": {[2]float32{1, 1}, 0.1}, "wild": {[2]float32{0.2, 1.8}, 0.2}, "between": {[2]float32{0.85, 1.15}, 0.15}} {
 		b := New(plain(), 3, newRecorder(t, plain()))
 		b.now = 1.4
-		h := &host{gaps: c.gaps[:], every: 1}
-		h.measure()
-		if got, want := b.suspicion(h), Phi(1.4, 1, c.sigma); math.Abs(got-want) > 1e-6 {
+		h := &host{gaps: c.gaps[:], currentCadence: 1}
+		h.updateGapStats()
+		if got, want := b.silencePhi(h), Phi(1.4, 1, c.sigma); math.Abs(got-want) > 1e-6 {
 			t.Errorf("%s gaps: phi %v, want %v", name, got, want)
 		}
 	}
--- a/policy/query.go
+++ b/policy/query.go
@@ -8,7 +8,7 @@
 	view := *b // Danger: what is asked must not move the clock by which the next event is judged
 	view.now = now
 	for _, h := range b.members {
-		if !h.bound && view.doubt(h) <= phiOut {
+		if !h.isWithdrawn && view.suspicion(h) <= phiUnavailable {
 			n++
 		}
 	}
@@ -22,6 +22,6 @@
 	view.now = now
 	return func(id uint32) bool {
 		h := b.hosts[id]
-		return h != nil && h.member && (h.bound || view.doubt(h) > phiOut)
+		return h != nil && h.isMember && (h.isWithdrawn || view.suspicion(h) > phiUnavailable)
 	}
 }
--- a/policy/report.go
+++ b/policy/report.go
@@ -1,51 +1,55 @@
 package policy
 
 const (
-	drawn    = 4   // candidates whose reports are refreshed for a pick
-	pollRTTs = 4.0 // a poll waits for this many usual probe answers
+	pollSampleSize  = 4   // candidates whose reports are refreshed for a pick
+	pollTimeoutRTTs = 4.0 // a poll waits for this many usual probe answers
 )
 
 // takeReport keeps a host's load report if its figure makes sense.
-func (b *Balancer) takeReport(h *host, sent float64, r Report) {
-	if b.field >= 0 && b.field < r.N && sent >= h.seenAt {
-		if v := float64(r.Values[b.field]); v >= 0 && v < 1e6 {
-			h.reported, h.seenAt = v, sent
+func (b *Balancer) recordReport(h *host, sent float64, r Report) {
+	if b.loadField >= 0 && b.loadField < r.N && sent >= h.reportSentAt {
+		if v := float64(r.Values[b.loadField]); v >= 0 && v < 1e6 {
+			h.reportedLoad, h.reportSentAt = v, sent
 		}
 	}
 }
 
-func (b *Balancer) pollWait() float64 { return max(pollRTTs*b.rtt, 2*b.s.TickSeconds) }
+func (b *Balancer) pollTimeout() float64 {
+	return max(pollTimeoutRTTs*b.probeRTTSeconds, 2*b.settings.TickSeconds)
+}
 
 // poll refreshes the reports of the candidates for a pick.
-func (b *Balancer) poll(r *request) {
-	wait, left := b.pollWait(), drawn
-	b.queue.put(r, b.now+wait)
-	b.due(r.decideAt)
-	if h := r.suspect; h != nil && h.polledAt == 0 {
+func (b *Balancer) pollReports(r *request) {
+	wait, left := b.pollTimeout(), pollSampleSize
+	b.queue.schedule(r, b.now+wait)
+	b.armWake(r.dispatchAt)
+	if h := r.suspectHost; h != nil && h.polledAt == 0 {
 		h.polledAt = b.now
-		b.do.Probe(h.ID)
+		b.actions.Probe(h.ID)
 	}
 	for i := 0; i < len(b.members) && left > 0; i++ { // a partial shuffle: its head is the draw
 		j := i + b.rng.IntN(len(b.members)-i)
 		b.members[i], b.members[j] = b.members[j], b.members[i]
 		h := b.members[i]
-		if !b.candidate(h) || !b.allowed(r, h) {
+		if !b.isCandidate(h) || !b.mayAttempt(r, h) {
 			continue
 		}
-		if h.seenAt < b.now-wait/2 && h.polledAt == 0 {
+		if h.reportSentAt < b.now-wait/2 && h.polledAt == 0 {
 			h.polledAt = b.now
-			b.do.Probe(h.ID)
+			b.actions.Probe(h.ID)
 		}
 		left--
 	}
 }
 
-func (b *Balancer) fresh(h *host) bool { return h.seenAt > 0 && b.now-h.seenAt <= 2*b.pollWait() }
+func (b *Balancer) hasFreshReport(h *host) bool {
+	return h.reportSentAt > 0 && b.now-h.reportSentAt <= 2*b.pollTimeout()
+}
 
 // load is the number of requests that a host is believed to hold.
-func (b *Balancer) load(h *host) float64 {
-	sent := len(h.outs) // since that report
-	for ; sent > 0 && h.outs[len(h.outs)-sent].sentAt < h.seenAt; sent-- {
+func (b *Balancer) estimatedLoad(h *host) float64 {
+	sent := len(h.inFlight) // since that report
+	for ; sent > 0 && h.inFlight[len(h.inFlight)-sent].sentAt < h.reportSentAt; sent-- {
 	}
-	return max(h.reported+float64(sent), float64(len(h.outs)))
+	return max(h.reportedLoad+float64(sent), float64(len(h.inFlight)))
 }
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -141,7 +141,7 @@
 		}
 		for _, h := range r.b.members {
 			r.b.now = r.now
-			if phi := r.b.suspicion(h); phi > phiOut {
+			if phi := r.b.silencePhi(h); phi > phiUnavailable {
 				t.Fatalf("%.2f: phi %.1f of a sound host", r.now, phi)
 			}
 		}
@@ -172,7 +172,7 @@
 				}
 			}
 		}
-		if n := len(r.b.order); n > 400 || n != len(r.b.hosts) {
+		if n := len(r.b.sortedHosts); n > 400 || n != len(r.b.hosts) {
 			t.Errorf("only draining binds: %v: %d hosts known, %d by id", soft, n, len(r.b.hosts))
 		}
 	}
@@ -275,7 +275,7 @@
 		}
 	}
 	for _, h := range r.b.members {
-		if all := h.limit * r.b.peers; all > 20 {
+		if all := h.concurrencyLimit * r.b.proxiesPerHost; all > 20 {
 			t.Errorf("host %d: all proxies together may have %.0f requests out", h.ID, all)
 		}
 	}
@@ -440,7 +440,7 @@
 			r.finish(q, 0, how)
 			for _, h := range r.b.members {
 				if id > 300 {
-					worst = max(worst, r.b.slowness(h))
+					worst = max(worst, r.b.slowdown(h))
 				}
 			}
 		}
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -73,7 +73,7 @@
 		"cold":  func(c *crowd, i int) { c.hosts[i].Started = c.now },
 		"full": func(c *crowd, i int) {
 			h := c.b.hosts[c.hosts[i].ID]
-			h.shunned[0] = c.now + 1e6 // has turned requests away again and again
+			h.backoffUntil[0] = c.now + 1e6 // has turned requests away again and again
 		},
 	}
 	for _, name := range []string{"hang", "drain", "cold", "full", "mixed"} {
@@ -167,9 +167,9 @@
 			}
 		}
 	}
-	c.pass(forgetAfter + 10)
+	c.pass(forgetHostSeconds + 10)
 	c.b.UpdateHosts(c.now, ListDelta, nil)
-	if len(c.b.hosts) != 1000 || len(c.b.order) != 1000 {
+	if len(c.b.hosts) != 1000 || len(c.b.sortedHosts) != 1000 {
 		t.Errorf("%d hosts are remembered", len(c.b.hosts))
 	}
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -3,30 +3,30 @@
 import "math"
 
 const (
-	subsetMin = 4 // members of a proxy without traffic, beyond its part of the fleet
+	minSubsetHosts = 4 // members of a proxy without traffic, beyond its part of the fleet
 )
 
 // resize follows own traffic: a busy proxy needs more members, or it fills the few that it has.
-func (b *Balancer) resize() {
-	if need := subsetMin + 2*b.usualRate()*min(b.aim, 10); need < 0.6*b.need || need > 1.3*b.need {
-		b.need = need
-		b.subset()
+func (b *Balancer) resizeSubset() {
+	if need := minSubsetHosts + 2*b.ownSendRate()*min(b.tightestTargetSeconds, 10); need < 0.6*b.wantedMembers || need > 1.3*b.wantedMembers {
+		b.wantedMembers = need
+		b.chooseSubset()
 	}
 }
 
 // subset takes the members: a run of the ring of hosts from this proxy's own place on, so that the proxies
 // cover every host about equally. A host that is listed gone stays while it answers.
-func (b *Balancer) subset() {
-	ring := make([]*host, 0, len(b.order))
-	for _, h := range b.order {
-		if !h.bound && (h.State != Gone || h.member && h.phi < phiOut && (h.met || !b.s.ProbesEnabled)) {
+func (b *Balancer) chooseSubset() {
+	ring := make([]*host, 0, len(b.sortedHosts))
+	for _, h := range b.sortedHosts {
+		if !h.isWithdrawn && (h.State != Gone || h.isMember && h.phi < phiUnavailable && (h.hasAnswered || !b.settings.ProbesEnabled)) {
 			ring = append(ring, h)
 		}
 	}
-	from, size := b.run(len(ring))
-	b.peers = max(float64(size*b.s.Replicas)/float64(max(len(ring), 1)), 1)
+	from, size := b.subsetRange(len(ring))
+	b.proxiesPerHost = max(float64(size*b.settings.Replicas)/float64(max(len(ring), 1)), 1)
 	for _, h := range b.members {
-		h.member, h.was = false, true
+		h.isMember, h.wasMember = false, true
 	}
 	old := b.members
 	b.members = make([]*host, 0, size)
@@ -34,38 +34,38 @@
 	// run goes on until enough of it is warm; this holds in releases, enlargements and after a lost zone.
 	for i := 0; i < len(ring) && size > 0; i++ {
 		h := ring[(from+i)%len(ring)]
-		if b.members = append(b.members, h); h.was {
-			h.member = true
+		if b.members = append(b.members, h); h.wasMember {
+			h.isMember = true
 		} else {
-			b.enlist(h)
+			b.addMember(h)
 		}
-		if b.strength(h) >= 1 {
+		if b.capacityFraction(h) >= 1 {
 			size--
 		}
 	}
 	for _, h := range old {
-		h.was = false
+		h.wasMember = false
 	}
-	b.sort()
+	b.groupMembers()
 }
 
 // Place tells this proxy that it is the one of a number among so many. Until it is called the settings say so.
 func (b *Balancer) SetReplica(now float64, self, replicas int) {
-	b.now, b.placed = now, true
-	b.s.Self, b.s.Replicas = self, max(replicas, 1)
-	if b.s.ListOnDemand && !b.watching && b.askWait > 0 { // the wait that goes on was one by the settings' number
-		b.askAt = min(b.askAt, now+b.askTurn())
-		b.due(b.askAt)
+	b.now, b.isReplicaSet = now, true
+	b.settings.Self, b.settings.Replicas = self, max(replicas, 1)
+	if b.settings.ListOnDemand && !b.isWatching && b.listBackoffSeconds > 0 { // the wait that goes on was one by the settings' number
+		b.listRequestAt = min(b.listRequestAt, now+b.listBackoffDelay())
+		b.armWake(b.listRequestAt)
 	}
-	b.subset()
-	b.pump()
+	b.chooseSubset()
+	b.dispatchDue()
 }
 
 // run is the part of a ring of n hosts that this proxy takes. Danger: others' word moves the part and may make it smaller, but
 // it never takes more than half of what the settings give; a count that is wrong or a lie must not leave too few.
-func (b *Balancer) run(n int) (from, size int) {
-	from, size = Subset(n, b.s.Self, b.s.Replicas, b.need)
-	_, own := Subset(n, 0, b.told, b.need)
+func (b *Balancer) subsetRange(n int) (from, size int) {
+	from, size = Subset(n, b.settings.Self, b.settings.Replicas, b.wantedMembers)
+	_, own := Subset(n, 0, b.configuredReplicas, b.wantedMembers)
 	return from, max(size, (own+1)/2)
 }
 
@@ -74,12 +74,12 @@
 func Subset(n, self, replicas int, need float64) (from, size int) {
 	replicas, self = max(replicas, 1), max(self, 0)%max(replicas, 1)
 	size = min(n, max(int(min(need, 1e6)+6*float64(n)/float64(replicas)), 2*((n+replicas-1)/replicas)))
-	return place(self, replicas) * n / replicas, size
+	return spreadIndex(self, replicas) * n / replicas, size
 }
 
 // place spreads proxies evenly over as many places, whatever part of them there is. Danger: numbers taken as they come put all
 // proxies of a fleet that is smaller than it was told before the same few hosts.
-func place(self, replicas int) int {
+func spreadIndex(self, replicas int) int {
 	step := int(float64(replicas) * (math.Phi - 1))
 	for step = max(step, 1); gcd(step, replicas) != 1; step-- {
 	}
