--- a/internal/peers/frames/frames.go
+++ b/internal/peers/frames/frames.go
@@ -1,6 +1,6 @@
-// Package frames is what goes over a link between sidecars: frames of four bytes of length, one of the version, one of the
-// topic, and a body in MessagePack, whose fields are named: who does not know one skips it. docs/design/peers.md has the
-// topics. The package knows no sockets; whoever stands between two sidecars can read along with it.
+// Package frames is the wire form between sidecars: frames of four bytes of length, one of the version, one of the topic, and a body in
+// MessagePack with named fields. A receiver skips fields and topics that it does not know, so that versions can differ. docs/design/peers.md
+// describes the topics. The package has no state and no sockets; a proxy between two sidecars reads frames with it, too.
 package frames
 
 import (
@@ -13,92 +13,96 @@
 	"hazelwheel/internal/msgpacklimit"
 )
 
-// Version is spoken here. A frame of another is not understood.
+// Version is the version of the frames. Frames of another version are an error.
 const Version = 1
 
-// MaxFrameBytes bounds a frame with its head, in bytes.
-const MaxFrameBytes = 64 << 10
-
-// HeaderBytes is the length of a frame's head.
-const HeaderBytes = 6
+const (
+	// MaxFrameBytes limits a frame with its header.
+	MaxFrameBytes = 64 << 10
+	// HeaderBytes is the length of a frame's header.
+	HeaderBytes = 6
+	// lengthBytes is the part of the header whose bytes are not counted in the length field.
+	lengthBytes = 4
+)
 
-// Topic says what a body is about.
+// Topic is the kind of a frame's body.
 type Topic byte
 
-// The topics.
+// The topics. The numbers are the wire form.
 const (
-	TopicHello      Topic = 1 // Hello: the first frame of each end
-	TopicMembership Topic = 2 // who is there
-	TopicLease      Topic = 3 // who does what on behalf of all
-	TopicRole       Topic = 4 // Effect: what an owner does, and what is said to it
+	TopicHello      Topic = 1 // Hello, the first frame of each end
+	TopicMembership Topic = 2 // swim.Message
+	TopicLease      Topic = 3 // lease.Message
+	TopicRole       Topic = 4 // RoleMessage
 )
 
-// RoleMessage is something done or said under a grant. Whoever takes one keeps the greatest token of each job that it has seen, and
-// turns lower ones away.
+// RoleMessage is a message of a singleton role, sent under the fencing token of the role's lease. A receiver keeps the greatest token
+// that it has seen of each role, and rejects messages of lower ones.
 type RoleMessage struct {
 	Role     string `msgpack:"j"`
 	Token    uint64 `msgpack:"t"`
-	Origin   uint64 `msgpack:"o"`           // the member that began it
-	Sequence uint64 `msgpack:"n,omitempty"` // of the token's effects, from 1; each goes to all, once. 0: it is for one link alone
-	Kind     uint8  `msgpack:"k,omitempty"` // the job's, from 1
+	Origin   uint64 `msgpack:"o"`           // ID of the member that sent it first
+	Sequence uint64 `msgpack:"n,omitempty"` // of the token's messages for all, from 1; each is flooded once. 0: for one link only
+	Kind     uint8  `msgpack:"k,omitempty"` // of the role, from 1; or KindRejected
 	Body     []byte `msgpack:"b,omitempty"`
 }
 
-// KindRejected is the answer to an effect whose token is too low: Token is the greatest that is known.
+// KindRejected is the kind of the answer to a message whose token is too low: Token is the greatest that is known.
 const KindRejected uint8 = 0
 
-// Hello is the first thing that each end of a link says. Name is enough for who reads along.
+// Hello is the first frame of each end of a link. A proxy between two sidecars learns from Name who speaks.
 type Hello struct {
 	Fleet   string `msgpack:"f"`
-	Name    string `msgpack:"n"` // of the sidecar
-	ID      uint64 `msgpack:"i"`
-	Address string `msgpack:"a"` // where the sidecar is dialed
-	Body    []byte `msgpack:"b,omitempty"`
+	Name    string `msgpack:"n"`           // of the sidecar
+	ID      uint64 `msgpack:"i"`           // of the member; 0: no member yet
+	Address string `msgpack:"a"`           // that peers dial
+	Body    []byte `msgpack:"b,omitempty"` // a swim.Hello
 }
 
 var (
-	// ErrTooLong is the fault of a frame that says it is longer than Most.
+	// ErrTooLong is the error of a frame that is longer than MaxFrameBytes.
 	ErrTooLong = errors.New("a frame is longer than allowed")
-	// ErrVersion is the fault of a frame of another version.
+	// ErrVersion is the error of a frame of another version.
 	ErrVersion = errors.New("a frame is of a version that is not spoken here")
 )
 
-// Next returns the first whole frame of what has come: its topic, its body and its whole length; 0: there is none yet.
+// Next returns the first frame of received data: its topic, its body, which is part of data, and its length with the header. The
+// length is 0 if the frame is not complete yet. The error wraps ErrTooLong or ErrVersion.
 func Next(data []byte) (topic Topic, body []byte, length int, err error) {
-	if len(data) < 4 {
+	if len(data) < lengthBytes {
 		return 0, nil, 0, nil
 	}
 	n := binary.BigEndian.Uint32(data)
-	if n > MaxFrameBytes-4 {
+	if n > MaxFrameBytes-lengthBytes {
 		return 0, nil, 0, fmt.Errorf("%w: %d bytes", ErrTooLong, n)
 	}
-	if len(data) >= 5 && data[4] != Version {
-		return 0, nil, 0, fmt.Errorf("%w: %d", ErrVersion, data[4])
+	if len(data) > lengthBytes && data[lengthBytes] != Version {
+		return 0, nil, 0, fmt.Errorf("%w: %d", ErrVersion, data[lengthBytes])
 	}
-	if n < 2 {
+	if n < HeaderBytes-lengthBytes {
 		return 0, nil, 0, fmt.Errorf("%w: no head", ErrVersion)
 	}
-	if length = 4 + int(n); len(data) < length {
+	if length = lengthBytes + int(n); len(data) < length {
 		return 0, nil, 0, nil
 	}
-	return Topic(data[5]), data[HeaderBytes:length], length, nil
+	return Topic(data[lengthBytes+1]), data[HeaderBytes:length], length, nil
 }
 
-// Append appends a frame. A body that is too long is ErrLong, and nothing is appended.
+// Append appends a frame to dst. If the body is too long it appends nothing and the error wraps ErrTooLong.
 func Append(dst []byte, topic Topic, body []byte) ([]byte, error) {
 	if len(body)+HeaderBytes > MaxFrameBytes {
 		return dst, fmt.Errorf("%w: %d bytes", ErrTooLong, len(body))
 	}
-	dst = binary.BigEndian.AppendUint32(dst, uint32(len(body)+2))
+	dst = binary.BigEndian.AppendUint32(dst, uint32(len(body)+HeaderBytes-lengthBytes))
 	return append(append(dst, Version, byte(topic)), body...), nil
 }
 
-// Marshal returns a value as a body.
+// Marshal encodes a value as a body.
 func Marshal(v any) ([]byte, error) { return msgpack.Marshal(v) }
 
-// Unmarshal reads a body into a value. What a body holds beyond the value's fields is skipped.
+// Unmarshal decodes a body into a value. Fields that the value does not have are skipped.
 func Unmarshal(body []byte, v any) (err error) {
-	// Danger: a body comes from outside; the loop must outlive what a library makes of it.
+	// Danger: the body comes from a peer, and the event loop must survive a panic of the decoder.
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("a body can't be read: %v", cause)
--- a/internal/peers/stalledpeer/stalledpeer.go
+++ b/internal/peers/stalledpeer/stalledpeer.go
@@ -1,5 +1,5 @@
-// Package stalledpeer has what somebody says who calls at a sidecar as a peer does, asks what it knows, and reads nothing. It is for
-// those who try sidecars.
+// Package stalledpeer has the frames of a misbehaving peer: it says hello to a sidecar, requests the whole membership and is meant to read
+// none of it. It is for tests and simulations of the limit on what a peer does not read.
 package stalledpeer
 
 import (
@@ -7,14 +7,16 @@
 	"hazelwheel/internal/peers/frames"
 )
 
+// The identity that the peer claims, and the number of digests in its request; each differs from any digest that is not 0, so that all
+// members are sent.
 const (
-	name = "deaf"
-	id   = 3
-	sums = 64
+	name    = "deaf"
+	id      = 3
+	digests = 64
 )
 
-// Frames returns the hello to a fleet's sidecar at an address, and the question that asks for all that it knows.
-func Frames(fleet, address string) (hello, ask []byte, err error) {
+// Frames returns the hello to a sidecar of a fleet, with the address that the peer claims, and the request that is to follow it.
+func Frames(fleet, address string) (hello, request []byte, err error) {
 	self := swim.Record{ID: id, Version: swim.Version{Incarnation: 1 << 32, BootID: id}, Name: name, Address: address}
 	inner, err := frames.Marshal(swim.Hello{Self: self})
 	if err != nil {
@@ -27,9 +29,9 @@
 	if hello, err = frames.Append(nil, frames.TopicHello, body); err != nil {
 		return nil, nil, err
 	}
-	if body, err = frames.Marshal(swim.Message{BucketDigests: make([]uint64, sums)}); err != nil {
+	if body, err = frames.Marshal(swim.Message{BucketDigests: make([]uint64, digests)}); err != nil {
 		return nil, nil, err
 	}
-	ask, err = frames.Append(nil, frames.TopicMembership, body)
-	return hello, ask, err
+	request, err = frames.Append(nil, frames.TopicMembership, body)
+	return hello, request, err
 }
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -1,336 +1,223 @@
-// Package peers holds the links between sidecars: frames over TCP, and bounds on what they may cost. Who is there and what
-// is said is its owner's to decide. It belongs to the loop that calls it.
 package peers
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
 	"net"
+	"slices"
 
-	"hazelwheel/internal/buffer"
 	"hazelwheel/internal/netio"
 	"hazelwheel/internal/peers/frames"
+	"hazelwheel/internal/peers/tokenbucket"
 )
 
 const (
-	// mostLinks bounds the links of a sidecar, with those that come up; leastLinks is enough to watch and be watched.
-	mostLinks, leastLinks = 48, 12
-	// linksPart of the descriptors that a process has may be links to peers.
-	linksPart = 6
-	// helloS is how long a link may take to come up and to say who speaks.
-	helloS = 2.0
-	// mostQueued bounds what a peer has not read, in bytes; beyond it its link ends.
-	mostQueued = 256 << 10
-	// sentPerS and sentAtOnce bound what is said to all peers together, in bytes; what is beyond is not said.
-	sentPerS, sentAtOnce = 128 << 10, 2 << 20
-	// heardPerS and heardAtOnce bound what one peer says; beyond it its link ends.
-	heardPerS, heardAtOnce = 128 << 10, 1 << 20
+	// A process may have a linksPart of its descriptors as links, within these limits. minLinks is enough to monitor and be monitored.
+	minLinks, maxLinks = 12, 48
+	linksPart          = 6
+	// extraDescriptors are for the listener and for connections that are being closed.
+	extraDescriptors = 4
+	// helloTimeoutSeconds limits how long a link may take from the dial, or from being accepted, to the peer's hello.
+	helloTimeoutSeconds = 2.0
+	// maxQueuedBytes limits what a peer has not read. Above it the link is closed.
+	maxQueuedBytes = 256 << 10
+	// sendBytesPerSecond and sendBurstBytes limit what is sent over all links together. Frames above it are dropped.
+	sendBytesPerSecond, sendBurstBytes = 128 << 10, 2 << 20
+	// receiveBytesPerSecond and receiveBurstBytes limit what one peer sends. Above it the link is closed.
+	receiveBytesPerSecond, receiveBurstBytes = 128 << 10, 1 << 20
+	// maxLoggedErrors limits how many different protocol errors are logged.
+	maxLoggedErrors = 16
 )
 
-// MaxLinks returns how many links a process may have that has so many descriptors.
-func MaxLinks(sockets int) int { return min(max(sockets/linksPart, leastLinks), mostLinks) }
+// MaxLinks returns how many links a process with a number of descriptors may have.
+func MaxLinks(descriptors int) int { return min(max(descriptors/linksPart, minLinks), maxLinks) }
 
-// Descriptors returns what so many links hold, with the listener and what is being closed.
-func Descriptors(links int) int { return links + 4 }
+// Descriptors returns how many descriptors must be reserved for a number of links.
+func Descriptors(links int) int { return links + extraDescriptors }
 
-// Handler decides what the links are for.
+// Handler uses the links of a Transport.
 type Handler interface {
-	// Hello returns what is said first on a link that comes up.
+	// Hello returns the hello that is sent on each new link.
 	Hello() frames.Hello
-	// Up takes a link of which both ends have said who they are; false has it closed.
+	// LinkUp tells that both ends have sent their hello. If it returns false the link is closed without a LinkDown.
 	LinkUp(l *Link, h frames.Hello) bool
-	// Down takes the end of a link that was up and that Close has not ended.
+	// LinkDown tells that a link that was up is closed, other than by CloseLink.
 	LinkDown(l *Link, err error)
-	// NotUp takes the end of a dial that came to nothing.
+	// DialFailed tells that a dial has led to no link that is up.
 	DialFailed(address string, err error)
-	// Heard takes a frame. After an error the link is closed, and Down follows.
+	// HandleFrame handles a frame of a link that is up. After an error the link is closed, and LinkDown follows.
 	HandleFrame(l *Link, topic frames.Topic, body []byte) error
 }
 
-// Link is a connection to a peer.
-type Link struct {
-	Number  int
-	Address string // that was dialed; empty: the other has dialed
-	Hello   frames.Hello
-
-	p      *Transport
-	conn   netio.Conn
-	buf    buffer.Buffer
-	up     bool
-	over   bool
-	by     float64 // when it must have come up
-	budget bucket
-}
-
-// bucket is a budget of bytes.
-type bucket struct{ left, at float64 }
-
-func (b *bucket) take(now, n, perS, most float64) bool {
-	b.left, b.at = min(b.left+(now-b.at)*perS, most), now
-	if b.left < n {
-		return false
-	}
-	b.left -= n
-	return true
-}
-
-// Stats count what the links have done.
+// Stats are the statistics of a Transport. JSON keys are read by operators' tools.
 type Stats struct {
-	Links          int    `json:"links"` // now
+	Links          int    `json:"links"` // now, also those that are not up
 	Dials          uint64 `json:"dials"`
-	LinksUp        uint64 `json:"links_up"`
+	LinksUp        uint64 `json:"links_up"` // that have come up
 	SentBytes      uint64 `json:"sent_bytes"`
 	ReceivedBytes  uint64 `json:"heard_bytes"`
-	DroppedFrames  uint64 `json:"unsaid"`    // frames beyond the budget, or for links that had gone
-	ProtocolErrors uint64 `json:"senseless"` // links ended for what came over them
-	SlowPeers      uint64 `json:"unread"`    // links ended since the peer did not read
-	RejectedLinks  uint64 `json:"too_many"`  // links refused beyond the bound
+	DroppedFrames  uint64 `json:"unsaid"`    // above the budget, or for links that had been closed
+	ProtocolErrors uint64 `json:"senseless"` // links closed for what the peer sent
+	SlowPeers      uint64 `json:"unread"`    // links closed since the peer did not read
+	RejectedLinks  uint64 `json:"too_many"`  // above the limit
 }
 
-// Transport holds the links.
+// Transport holds the links of a sidecar. It passes the calls of a netio.Host for their connections on to it: Open, Traffic, Closed.
 type Transport struct {
-	fleet   string
-	most    int // links
-	owner   Handler
-	net     netio.Net
-	log     *slog.Logger
-	links   []*Link
-	last    int
-	said    bucket
-	told    map[string]bool // what was told of links that made no sense
-	scratch []byte
-	figures Stats
-	closed  bool
-}
-
-// New returns links that have not begun, at most so many, of a fleet's sidecar.
-func New(fleet string, most int, owner Handler, net netio.Net, log *slog.Logger) *Transport {
-	return &Transport{fleet: fleet, most: most, owner: owner, net: net, log: log, told: map[string]bool{}, said: bucket{sentAtOnce, net.Now()}}
-}
-
-// Stats returns the counts so far.
-func (p *Transport) Stats() Stats {
-	p.figures.Links = len(p.links)
-	return p.figures
-}
-
-// Dial opens a link.
-func (p *Transport) Dial(address string) {
-	if p.closed || len(p.links) >= p.most {
-		p.figures.RejectedLinks++
-		p.net.Post(func() { p.owner.DialFailed(address, errMany) })
+	fleet      string
+	maxLinks   int
+	handler    Handler
+	net        netio.Net
+	log        *slog.Logger
+	links      []*Link
+	lastNumber int                // of a link
+	sendBudget tokenbucket.Bucket // bytes, over all links
+	logged     map[string]bool    // protocol errors that have been logged
+	scratch    []byte             // reused for frames that are sent
+	stats      Stats
+}
+
+// New returns a Transport without links, for a sidecar of a fleet.
+func New(fleet string, maxLinks int, handler Handler, net netio.Net, log *slog.Logger) *Transport {
+	return &Transport{fleet: fleet, maxLinks: maxLinks, handler: handler, net: net, log: log, logged: map[string]bool{}, sendBudget: tokenbucket.New(sendBurstBytes, net.Now())}
+}
+
+// Stats returns the statistics so far.
+func (t *Transport) Stats() Stats {
+	t.stats.Links = len(t.links)
+	return t.stats
+}
+
+// Dial starts to open a link. Either Handler.LinkUp or Handler.DialFailed follows, never within this call.
+func (t *Transport) Dial(address string) {
+	if len(t.links) >= t.maxLinks {
+		t.stats.RejectedLinks++
+		t.net.Post(func() { t.handler.DialFailed(address, errTooManyLinks) })
 		return
 	}
-	p.figures.Dials++
-	l := p.add(address)
-	p.net.Dial(address, p.net.Now()+helloS, l, func(err error) {
-		if err != nil && !l.over {
-			p.end(l, err)
+	t.stats.Dials++
+	l := t.addLink(address)
+	t.net.Dial(address, t.net.Now()+helloTimeoutSeconds, l, func(err error) {
+		if err != nil && !l.isClosed {
+			t.closeLink(l, err)
 		}
 	})
 }
 
-var (
-	errMany  = errors.New("there are as many links as there may be")
-	errHello = errors.New("the other end did not say who it is")
-	errFleet = errors.New("the other end is of another fleet")
-	errFlood = errors.New("the other end says too much")
-)
-
-func (p *Transport) add(address string) *Link {
-	p.last++
-	now := p.net.Now()
-	l := &Link{Number: p.last, Address: address, p: p, by: now + helloS, budget: bucket{heardAtOnce, now}}
-	p.links = append(p.links, l)
+func (t *Transport) addLink(address string) *Link {
+	t.lastNumber++
+	now := t.net.Now()
+	l := &Link{Number: t.lastNumber, Address: address, transport: t, helloDeadline: now + helloTimeoutSeconds, receiveBudget: tokenbucket.New(receiveBurstBytes, now)}
+	t.links = append(t.links, l)
 	return l
 }
 
-// Open takes a connection that is up. The one who dialed speaks first: whoever stands between reads who it is.
-func (p *Transport) Open(c netio.Conn) bool {
+// Open takes a connection that was dialed or accepted. False has it closed.
+func (t *Transport) Open(c netio.Conn) (keep bool) {
 	l, dialed := c.Context().(*Link)
 	if !dialed {
-		if p.closed || len(p.links) >= p.most {
-			p.figures.RejectedLinks++
+		if len(t.links) >= t.maxLinks {
+			t.stats.RejectedLinks++
 			return false
 		}
-		l = p.add("")
+		l = t.addLink("")
 		c.SetContext(l)
 	}
-	if l.over {
+	if l.isClosed {
 		return false
 	}
 	if l.conn = c; dialed {
-		l.hello()
+		l.sendHello()
 	}
 	return true
 }
 
-func (l *Link) hello() {
-	body, err := frames.Marshal(l.p.owner.Hello())
-	if err != nil { // numbers and names always pack
-		panic(err)
-	}
-	l.Send(frames.TopicHello, body)
-}
-
-// Traffic reads what has come.
-func (p *Transport) Traffic(c netio.Conn, data []byte) {
+// Traffic handles the frames in received data. A peer that breaks the protocol or sends too much is closed.
+func (t *Transport) Traffic(c netio.Conn, data []byte) {
 	l, ok := c.Context().(*Link)
-	if !ok || l.over {
+	if !ok || l.isClosed {
 		return
 	}
-	p.figures.ReceivedBytes += uint64(len(data))
-	if !l.budget.take(p.net.Now(), float64(len(data)), heardPerS, heardAtOnce) {
-		p.senseless(l, errFlood)
+	t.stats.ReceivedBytes += uint64(len(data))
+	if !l.receiveBudget.TryTake(t.net.Now(), float64(len(data)), receiveBytesPerSecond, receiveBurstBytes) {
+		t.closeForProtocolError(l, errFlood)
 		return
 	}
-	l.buf.Write(data)
-	for !l.over {
-		topic, body, n, err := frames.Next(l.buf.Bytes())
+	l.received.Write(data)
+	for !l.isClosed {
+		topic, body, n, err := frames.Next(l.received.Bytes())
 		if err != nil {
-			p.senseless(l, err)
+			t.closeForProtocolError(l, err)
 			return
 		}
 		if n == 0 {
 			break
 		}
-		if err := l.take(topic, body); err != nil {
-			p.senseless(l, err)
+		if err := l.handleFrame(topic, body); err != nil {
+			t.closeForProtocolError(l, err)
 			return
 		}
-		l.buf.Discard(n)
+		l.received.Discard(n)
 	}
-	l.buf.Rest()
+	l.received.Rest()
 }
 
-// take takes one frame.
-func (l *Link) take(topic frames.Topic, body []byte) error {
-	if l.up {
-		if topic == frames.TopicHello {
-			return nil
-		}
-		return l.p.owner.HandleFrame(l, topic, body)
-	}
-	if topic != frames.TopicHello {
-		return errHello
-	}
-	if err := frames.Unmarshal(body, &l.Hello); err != nil {
-		return err
-	}
-	if l.Hello.Fleet != l.p.fleet {
-		return fmt.Errorf("%w: %.64q", errFleet, l.Hello.Fleet)
-	}
-	if l.Address == "" {
-		l.hello()
-	}
-	if l.over {
-		return nil
-	}
-	l.up = true
-	l.p.figures.LinksUp++
-	if !l.p.owner.LinkUp(l, l.Hello) {
-		l.p.CloseLink(l)
-	}
-	return nil
-}
-
-// senseless ends a link for what came over it. Each cause is told once.
-func (p *Transport) senseless(l *Link, err error) {
-	p.figures.ProtocolErrors++
+// closeForProtocolError closes a link for what the peer sent. Each error is logged once.
+func (t *Transport) closeForProtocolError(l *Link, err error) {
+	t.stats.ProtocolErrors++
 	cause := err.Error()
-	if len(p.told) < 16 && !p.told[cause] {
-		p.told[cause] = true
+	if len(t.logged) < maxLoggedErrors && !t.logged[cause] {
+		t.logged[cause] = true
 		from := ""
 		if tcp, ok := l.conn.RemoteAddr().(*net.TCPAddr); ok {
 			from = tcp.String()
 		}
-		p.log.Warn("a link to a peer is ended for what came over it", "cause", cause, "from", from, "name", fmt.Sprintf("%.64q", l.Hello.Name))
-	}
-	p.end(l, err)
-}
-
-// Send sends a frame. One that the link can't take is lost.
-func (l *Link) Send(topic frames.Topic, body []byte) {
-	p := l.p
-	if l.over || l.conn == nil {
-		p.figures.DroppedFrames++
-		return
-	}
-	frame, err := frames.Append(p.scratch[:0], topic, body)
-	p.scratch = frame[:0]
-	if err != nil || !p.said.take(p.net.Now(), float64(len(frame)), sentPerS, sentAtOnce) {
-		p.figures.DroppedFrames++
-		return
-	}
-	// Danger: what a peer does not read would grow without a bound, and with it this process.
-	if l.conn.OutboundBuffered() > mostQueued {
-		p.figures.SlowPeers++
-		p.net.Post(func() { p.end(l, errUnread) })
-		return
-	}
-	p.figures.SentBytes += uint64(len(frame))
-	if _, err := l.conn.Write(frame); err != nil {
-		p.net.Post(func() { p.end(l, err) })
+		t.log.Warn("a link to a peer is ended for what came over it", "cause", cause, "from", from, "name", fmt.Sprintf("%.64q", l.Hello.Name))
 	}
+	t.closeLink(l, err)
 }
 
-var errUnread = errors.New("the other end does not read")
-
-// CloseLink ends a link of the owner's.
-func (p *Transport) CloseLink(l *Link) {
-	l.up = false
-	p.end(l, nil)
+// CloseLink closes a link without a LinkDown. One that was dialed and is not up yet has no DialFailed either.
+func (t *Transport) CloseLink(l *Link) {
+	l.isUp = false
+	t.closeLink(l, nil)
 }
 
-// Closed takes the end of a connection.
-func (p *Transport) Closed(c netio.Conn, err error) {
+// Closed handles the end of a connection.
+func (t *Transport) Closed(c netio.Conn, err error) {
 	if l, ok := c.Context().(*Link); ok {
 		l.conn = nil
-		p.end(l, err)
+		t.closeLink(l, err)
 	}
 }
 
-// end ends a link, once, and tells the owner.
-func (p *Transport) end(l *Link, err error) {
-	if l.over {
+// closeLink closes a link and tells the handler. A closed link is left alone.
+func (t *Transport) closeLink(l *Link, err error) {
+	if l.isClosed {
 		return
 	}
-	l.over = true
-	for i, o := range p.links {
-		if o == l {
-			p.links = append(p.links[:i], p.links[i+1:]...)
-			break
-		}
+	l.isClosed = true
+	if i := slices.Index(t.links, l); i >= 0 {
+		t.links = slices.Delete(t.links, i, i+1)
 	}
 	if c := l.conn; c != nil {
 		l.conn = nil
-		p.net.Close(c)
+		t.net.Close(c)
 	}
 	switch {
-	case l.up:
-		p.owner.LinkDown(l, err)
+	case l.isUp:
+		t.handler.LinkDown(l, err)
 	case l.Address != "" && err != nil:
-		p.owner.DialFailed(l.Address, err)
+		t.handler.DialFailed(l.Address, err)
 	}
 }
 
-// Tick ends links that take too long to say who speaks.
-func (p *Transport) Tick() {
-	now := p.net.Now()
-	for i := len(p.links) - 1; i >= 0; i-- {
-		if i < len(p.links) && !p.links[i].up && now > p.links[i].by {
-			p.end(p.links[i], errHello)
+// Tick closes links whose peer has not sent its hello in time. It is to be called from time to time.
+func (t *Transport) Tick() {
+	now := t.net.Now()
+	for i := len(t.links) - 1; i >= 0; i-- {
+		if i < len(t.links) && !t.links[i].isUp && now > t.links[i].helloDeadline { // closing a link may close others
+			t.closeLink(t.links[i], errNoHello)
 		}
 	}
 }
-
-// Close ends all links, and none comes up any more.
-func (p *Transport) Close() {
-	p.closed = true
-	for len(p.links) > 0 {
-		l := p.links[len(p.links)-1]
-		l.up, l.Address = false, ""
-		p.end(l, nil)
-	}
-}
