--- a/internal/decide/quota/state.go
+++ b/internal/decide/quota/state.go
@@ -117,7 +117,7 @@
 	}
 	s := &State{}
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(s); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	if len(s.Books) != len(s.Limits) || len(s.Stats) != len(s.Paths) || len(s.Refusals) != len(s.Paths) {
 		return nil, fmt.Errorf("%w: its parts do not fit together", ErrDamaged)
@@ -137,7 +137,7 @@
 			return nil, fmt.Errorf("%w: %s has another number of accounts", ErrDamaged, s.Limits[i])
 		}
 		if err := binary.Read(bytes.NewReader(state.Cells), binary.LittleEndian, state.accounts); err != nil {
-			return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
+			return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 		}
 	}
 	return s, nil
