--- a/internal/decide/lease/fence.go
+++ b/internal/decide/lease/fence.go
@@ -11,6 +11,9 @@
 // maxRoles bounds the roles that a Fence or a leader keeps. Danger: their names come from other processes.
 const maxRoles = 256
 
+// maxRoleNameBytes bounds the name of a role that the leader keeps.
+const maxRoleNameBytes = 64
+
 // Admit reports whether an effect under a token may be applied, and the highest token seen of the role. A token equal to the
 // highest is admitted, since one grant has many effects. A new role beyond maxRoles is rejected.
 func (f *Fence) Admit(role string, token uint64) (ok bool, greatest uint64) {
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -69,7 +69,7 @@
 func (n *Node) roleFor(role string) *roleState {
 	i, known := slices.BinarySearchFunc(n.roles, role, func(state *roleState, role string) int { return cmp.Compare(state.role, role) })
 	if !known {
-		if len(n.roles) >= maxRoles || role == "" || len(role) > 64 {
+		if len(n.roles) >= maxRoles || role == "" || len(role) > maxRoleNameBytes {
 			return nil
 		}
 		n.roles = slices.Insert(n.roles, i, &roleState{role: role, renewedAt: n.leadingSince})
--- a/internal/decide/lease/leave.go
+++ b/internal/decide/lease/leave.go
@@ -6,8 +6,14 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// transferRetrySeconds is how long a voter has to become leader before another is tried.
-const transferRetrySeconds = 0.3
+// Times of leaving, in seconds.
+const (
+	releaseTimeoutSeconds  = 1.0  // for released grants to be assigned anew, before leadership is transferred
+	transferTimeoutSeconds = 2.0  // since the start of leaving, before the transfer is given up
+	transferRetrySeconds   = 0.3  // for a voter to become leader, before another is tried
+	releaseCheckSeconds    = 0.02 // between two checks whether the grants are assigned anew
+	transferCheckSeconds   = 0.05 // between two checks whether another leads
+)
 
 // tickLeaving transfers leadership once the grants that this member released are assigned anew.
 func (n *Node) tickLeaving() {
@@ -18,16 +24,16 @@
 	switch {
 	case g == nil || !g.isLeader:
 		n.leadershipTransferred = true
-	case slices.ContainsFunc(n.ended, n.isOurs) && n.now-n.leavingSince < 1:
-		n.dueAt = min(n.dueAt, n.now+0.02)
-	case n.now-n.leavingSince > 2:
+	case slices.ContainsFunc(n.ended, n.isOurs) && n.now-n.leavingSince < releaseTimeoutSeconds:
+		n.dueAt = min(n.dueAt, n.now+releaseCheckSeconds)
+	case n.now-n.leavingSince > transferTimeoutSeconds:
 		n.leadershipTransferred = true // no voter has taken it; the group elects one by itself
 	default:
 		if n.now >= n.transferDueAt {
 			n.transferDueAt = n.now + transferRetrySeconds
 			n.transferLeadership()
 		}
-		n.dueAt = min(n.dueAt, n.now+0.05)
+		n.dueAt = min(n.dueAt, n.now+transferCheckSeconds)
 	}
 }
 
--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -73,10 +73,12 @@
 // sendRaft sends a Raft message with the serial and, where it is due, the lineage of the state that it rests on.
 func (n *Node) sendRaft(to swim.ID, raft []byte) {
 	m := &Message{Epoch: n.founding.Epoch, Serial: n.serial, WriterID: n.lineage.writerOf(n.serial), Raft: raft}
-	if peer := n.peer(to); peer == nil || peer.shownWriterID == 0 || peer.shownWriterID != m.WriterID || n.now-peer.shownAt >= lineageIntervalSeconds {
-		if m.Lineage = n.lineage; peer != nil {
-			peer.shownWriterID, peer.shownAt = m.WriterID, n.now
-		}
+	switch peer := n.peer(to); {
+	case peer == nil:
+		m.Lineage = n.lineage
+	case peer.shownWriterID == 0 || peer.shownWriterID != m.WriterID || n.now-peer.shownAt >= lineageIntervalSeconds:
+		m.Lineage = n.lineage
+		peer.shownWriterID, peer.shownAt = m.WriterID, n.now
 	}
 	n.actions.Send(to, m)
 }
@@ -99,7 +101,9 @@
 		return true
 	}
 	// A state of a new writer needs a lineage that contains the known state, unless the peer's version sends no writers.
-	if m.Serial < peer.serial || m.WriterID != peer.writerID && m.WriterID != 0 && peer.writerID != 0 && (len(m.Lineage) == 0 || !lineage(m.Lineage).contains(peer.serial, peer.writerID)) {
+	isNewWriter := m.WriterID != peer.writerID && m.WriterID != 0 && peer.writerID != 0
+	descends := len(m.Lineage) > 0 && lineage(m.Lineage).contains(peer.serial, peer.writerID)
+	if m.Serial < peer.serial || isNewWriter && !descends {
 		n.stats.DroppedStale++
 		n.actions.Send(from, &Message{Serial: peer.serial, WriterID: peer.writerID})
 		return false
--- a/internal/decide/lease/node.go
+++ b/internal/decide/lease/node.go
@@ -12,6 +12,9 @@
 	"hazelwheel/internal/decide/swim"
 )
 
+// minTickSeconds is the least time between two ticks.
+const minTickSeconds = 0.001
+
 // Node is one member's part in granting roles: voter, leader and lease holder. Calls must not overlap; see the package doc. Times
 // are seconds of the member's own monotonic clock; one that goes back counts as the last.
 type Node struct {
@@ -85,7 +88,9 @@
 		return nil, err
 	}
 	n.lineage = saved.Lineage
-	n.serial, n.highestEpoch, n.persistedEpoch, n.promisedBallot, n.acceptedFounding, n.founding = saved.Serial, saved.Epoch, saved.Epoch, saved.Promised, saved.Accepted, saved.Founding
+	n.serial = saved.Serial
+	n.highestEpoch, n.persistedEpoch = saved.Epoch, saved.Epoch
+	n.promisedBallot, n.acceptedFounding, n.founding = saved.Promised, saved.Accepted, saved.Founding
 	if n.founding != nil {
 		if err := n.startGroup(saved.HardState, saved.Snapshot, saved.Entries); err != nil {
 			return nil, err
@@ -238,7 +243,7 @@
 	if n.persistFailed {
 		next = min(next, n.persistRetryAt)
 	}
-	return max(min(next, n.holderNextTick(), n.leaderNextTick()), n.now+0.001)
+	return max(min(next, n.holderNextTick(), n.leaderNextTick()), n.now+minTickSeconds)
 }
 
 // advanceTo moves the clock, and ends the leases that have expired by it.
--- a/internal/decide/lease/persist.go
+++ b/internal/decide/lease/persist.go
@@ -7,6 +7,9 @@
 	"hazelwheel/internal/decide/swim"
 )
 
+// persistRetrySeconds is the time between two attempts to write the state while writes fail.
+const persistRetrySeconds = 1
+
 // sendAfterPersist sends a message once the present state is on disk.
 func (n *Node) sendAfterPersist(to swim.ID, m *Message) {
 	n.deferred = append(n.deferred, outgoing{to, m})
@@ -29,7 +32,7 @@
 		if n.now < n.persistRetryAt {
 			return
 		}
-		n.persistRetryAt = n.now + 1
+		n.persistRetryAt = n.now + persistRetrySeconds
 	}
 	n.dirty, n.persisting, n.persistedEpoch = false, true, n.highestEpoch
 	n.awaitingPersist, n.deferred = append(n.awaitingPersist, n.deferred...), nil
@@ -52,7 +55,7 @@
 			n.actions.Log("lease state not persisted: this member does not vote", "error", err)
 		}
 		// Danger: messages that depend on the state must go on waiting. A vote that was sent and not stored can be given twice.
-		n.persistFailed, n.dirty, n.persistRetryAt = true, true, n.now+1
+		n.persistFailed, n.dirty, n.persistRetryAt = true, true, n.now+persistRetrySeconds
 		return
 	}
 	if n.persistFailed {
@@ -119,7 +122,16 @@
 
 // encodeState returns the present state in its persisted form.
 func (n *Node) encodeState() []byte {
-	s := persistedState{Version: stateFormatVersion, MemberID: n.self, Serial: n.serial, Lineage: n.lineage, Epoch: n.highestEpoch, Promised: n.promisedBallot, Accepted: n.acceptedFounding, Founding: n.founding}
+	s := persistedState{
+		Version:  stateFormatVersion,
+		MemberID: n.self,
+		Serial:   n.serial,
+		Lineage:  n.lineage,
+		Epoch:    n.highestEpoch,
+		Promised: n.promisedBallot,
+		Accepted: n.acceptedFounding,
+		Founding: n.founding,
+	}
 	if g := n.group; g != nil {
 		s.HardState, s.Snapshot, s.Entries = g.storage.encode()
 	}
--- a/internal/decide/lease/raft.go
+++ b/internal/decide/lease/raft.go
@@ -146,7 +146,7 @@
 		if g.rawNode.BasicStatus().RaftState == raft.StateLeader {
 			n.runRaft(g.rawNode.Tick)
 		} else {
-			g.rawNode.TickQuiesced() // counts towards the lease of the last leader's vote, without Raft's own elections
+			g.rawNode.TickQuiesced() // only advances the wait before a vote for another leader
 		}
 		n.advanceRaft()
 		if n.group != g {
--- a/internal/decide/lease/storage.go
+++ b/internal/decide/lease/storage.go
@@ -31,6 +31,7 @@
 	_, _ = s.CreateSnapshot(index, conf, data)
 }
 
+// Bounds of the log, in entries.
 const (
 	maxLogEntries   = 64 // before the log is compacted
 	retainedEntries = 16 // after compaction, for followers that are slightly behind
@@ -48,9 +49,12 @@
 		keep = 1
 	}
 	s.refreshSnapshot()
-	_ = s.Compact(index - keep)
+	_ = s.Compact(index - keep) // the only errors are indexes that are compacted already or not there yet
 }
 
+// noSizeLimit asks raft.MemoryStorage for all entries of a range.
+const noSizeLimit = 1 << 62
+
 // logBytes returns the size of all entries' data.
 func (s *raftStorage) logBytes() (n int) {
 	first, _ := s.FirstIndex()
@@ -58,7 +62,7 @@
 	if first > last {
 		return 0
 	}
-	list, _ := s.Entries(first, last+1, 1<<62) // the range is valid
+	list, _ := s.Entries(first, last+1, noSizeLimit) // the range is valid
 	for _, e := range list {
 		n += len(e.GetData())
 	}
@@ -75,7 +79,7 @@
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
 	if first = max(first, snap.GetMetadata().GetIndex()+1); first <= last {
-		list, err := s.Entries(first, last+1, 1<<62)
+		list, err := s.Entries(first, last+1, noSizeLimit)
 		if err != nil {
 			panic(fmt.Sprintf("lease: %v", err))
 		}
@@ -121,16 +125,16 @@
 	if err := s.Append(list); err != nil {
 		return err
 	}
-	if hard != nil {
-		var h raftpb.HardState
-		if err := proto.Unmarshal(hard, &h); err != nil {
-			return err
-		}
-		if last, _ := s.LastIndex(); h.GetCommit() > last || h.GetCommit() < snap.GetMetadata().GetIndex() {
-			return fmt.Errorf("commit index %d outside of entries %d to %d", h.GetCommit(), next, last)
-		}
-		s.hardState = &h
-		return s.SetHardState(&h)
+	if hard == nil {
+		return nil
+	}
+	var h raftpb.HardState
+	if err := proto.Unmarshal(hard, &h); err != nil {
+		return err
+	}
+	if last, _ := s.LastIndex(); h.GetCommit() > last || h.GetCommit() < snap.GetMetadata().GetIndex() {
+		return fmt.Errorf("commit index %d outside of entries %d to %d", h.GetCommit(), next, last)
 	}
-	return nil
+	s.hardState = &h
+	return s.SetHardState(&h)
 }
--- a/internal/decide/lease/voters.go
+++ b/internal/decide/lease/voters.go
@@ -110,8 +110,10 @@
 	if n.learnerSince == 0 {
 		n.learnerSince = n.now
 	}
+	isNeeded := gone != 0 || grow
+	hasFailed := n.goneSeconds(swim.ID(learner)) > learnerTimeoutSeconds || !caughtUp && n.now-n.learnerSince > learnerTimeoutSeconds
 	switch {
-	case gone == 0 && !grow, n.goneSeconds(swim.ID(learner)) > learnerTimeoutSeconds || !caughtUp && n.now-n.learnerSince > learnerTimeoutSeconds:
+	case !isNeeded || hasFailed:
 		n.exclude("", swim.ID(learner), declineExclusionSeconds)
 		n.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, learner))
 	case !caughtUp:
@@ -124,8 +126,8 @@
 }
 
 // singleChange returns a configuration change of one member.
-func singleChange(what raftpb.ConfChangeType, id uint64) []*raftpb.ConfChangeSingle {
-	return []*raftpb.ConfChangeSingle{{Type: what.Enum(), NodeId: &id}}
+func singleChange(kind raftpb.ConfChangeType, id uint64) []*raftpb.ConfChangeSingle {
+	return []*raftpb.ConfChangeSingle{{Type: kind.Enum(), NodeId: &id}}
 }
 
 // proposeConfChange proposes a change of the group's members. Raft ignores it while another change is under way.
