--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -106,7 +106,7 @@
 			if !slices.IsSorted(j.AcceptedTokens) {
 				assert.Fail(c, "tokens that were taken go back", "%s: %v", m.name, j.AcceptedTokens)
 			}
-			if j.OwnerName != owner.name || j.Token != token || !m.plain && j.MaxToken != token {
+			if j.HolderName != owner.name || j.Token != token || !m.plain && j.MaxToken != token {
 				return false
 			}
 		}
--- a/cmd/hazelwheel/owners.go
+++ b/cmd/hazelwheel/owners.go
@@ -48,8 +48,8 @@
 func writeOwners(t *tabwriter.Writer, s *coordination.LeaseStatus) {
 	fmt.Fprintln(t, "JOB\tOWNER\tID\tTOKEN\tHERE\tTAKEN\tREFUSED")
 	for _, j := range s.Roles {
-		owner, here := j.OwnerName, ""
-		if j.Owner == "" {
+		owner, here := j.HolderName, ""
+		if j.Holder == "" {
 			owner = "nobody"
 		}
 		switch {
@@ -58,7 +58,7 @@
 		case j.Capable:
 			here = "can"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\n", j.Role, owner, j.Owner, tokenText(j.Token), here, j.Accepted, j.Rejected)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\n", j.Role, owner, j.Holder, tokenText(j.Token), here, j.Accepted, j.Rejected)
 	}
 	switch {
 	case s.Epoch == 0:
@@ -102,7 +102,7 @@
 	if r.OmittedMissing > 0 {
 		missing += fmt.Sprintf(" and %d more", r.OmittedMissing)
 	}
-	fmt.Fprintf(t, "%d of %d sidecars, %.1f s ago, by %s under %s%s\n", r.Answered, r.Asked, r.AgeSeconds, r.Owner, tokenText(r.Token), missing)
+	fmt.Fprintf(t, "%d of %d sidecars, %.1f s ago, by %s under %s%s\n", r.Answered, r.Requested, r.AgeSeconds, r.Holder, tokenText(r.Token), missing)
 }
 
 // stepDown asks for another owner.
--- a/internal/coordination/lease_status.go
+++ b/internal/coordination/lease_status.go
@@ -35,8 +35,8 @@
 type RoleStatus struct {
 	Role             string   `json:"job"`
 	Token            uint64   `json:"token"`               // of the last grant that is known
-	Owner            string   `json:"owner,omitempty"`     // ID of the holder; empty: there is none
-	OwnerName        string   `json:"name,omitempty"`      // of the holder
+	Holder           string   `json:"owner,omitempty"`     // ID of the holder; empty: there is none
+	HolderName       string   `json:"name,omitempty"`      // of the holder
 	HeldToken        uint64   `json:"held,omitempty"`      // token under which this sidecar may act
 	MaxToken         uint64   `json:"seen,omitempty"`      // greatest token of a message
 	Accepted         uint64   `json:"taken,omitempty"`     // messages
@@ -121,7 +121,7 @@
 		}
 		if status.Token = g.Token; g.Holder != 0 {
 			holder := m.voterStatus(g.Holder)
-			status.Owner, status.OwnerName = holder.ID, holder.Name
+			status.Holder, status.HolderName = holder.ID, holder.Name
 		}
 	}
 	for i := range s.acceptedTokens {
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -9,10 +9,10 @@
 // Report is how the requests of all sidecars have fared since the report before. It is sent to all, and the answer of the admin
 // command REPORT.
 type Report struct {
-	Owner          string        `json:"owner" msgpack:"o"` // name of the holder that made it
+	Holder         string        `json:"owner" msgpack:"o"` // name of the holder that made it
 	Token          uint64        `json:"token" msgpack:"t"`
 	Round          uint64        `json:"round" msgpack:"r"`
-	Asked          int           `json:"asked" msgpack:"a"` // members that lived at the request, or had died within the minute before
+	Requested      int           `json:"asked" msgpack:"a"` // members that lived at the request, or had died within the minute before
 	Answered       int           `json:"answered" msgpack:"n"`
 	Missing        []string      `json:"missing,omitempty" msgpack:"m,omitempty"` // names of members that did not answer in time
 	OmittedMissing int           `json:"more_missing,omitempty" msgpack:"x,omitempty"`
@@ -54,11 +54,11 @@
 		return report, nil
 	}
 	switch s := status.Roles[i]; {
-	case s.Owner == "":
+	case s.Holder == "":
 		return report, errNoReport
 	case !s.Capable:
-		return report, fmt.Errorf("this sidecar takes no part in reports: ask %s (%s), which makes them", s.OwnerName, s.Owner)
+		return report, fmt.Errorf("this sidecar takes no part in reports: ask %s (%s), which makes them", s.HolderName, s.Holder)
 	default:
-		return report, fmt.Errorf("no report has come yet from %s (%s), which makes them", s.OwnerName, s.Owner)
+		return report, fmt.Errorf("no report has come yet from %s (%s), which makes them", s.HolderName, s.Holder)
 	}
 }
--- a/internal/coordination/report_role.go
+++ b/internal/coordination/report_role.go
@@ -203,7 +203,7 @@
 
 func (r *reportRole) makeReport() Report {
 	n := r.roles.node
-	report := Report{Owner: n.options.Sidecar, Token: r.heldToken, Round: r.round, Asked: len(r.requested), Answered: len(r.collected.Members)}
+	report := Report{Holder: n.options.Sidecar, Token: r.heldToken, Round: r.round, Requested: len(r.requested), Answered: len(r.collected.Members)}
 	for m := range n.view.Members {
 		if _, requested := slices.BinarySearch(r.requested, m.ID); !requested || r.collected.hasMember(m.ID) {
 			continue
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -41,7 +41,7 @@
 		{"report_response", &reportResponse{Round: 17, Members: []swim.ID{1, 1 << 40}, Classes: []classCounts{{Class: "read", Served: 1, Throttled: 2, Failed: 3, Abandoned: 4,
 			RatePerSecond: 0.5, Latencies: encodeCounts([]int64{0, 3, 0, 0, 200})}}}},
 		{"report_response_least", &reportResponse{Classes: []classCounts{{Class: "read"}}}},
-		{"report", &Report{Owner: "m01", Token: 1<<40 + 7, Round: 17, Asked: 5, Answered: 3, Missing: []string{"m02"}, OmittedMissing: 1, Classes: []ClassReport{{Class: "read", RatePerSecond: 1.5, Served: 1,
+		{"report", &Report{Holder: "m01", Token: 1<<40 + 7, Round: 17, Requested: 5, Answered: 3, Missing: []string{"m02"}, OmittedMissing: 1, Classes: []ClassReport{{Class: "read", RatePerSecond: 1.5, Served: 1,
 			Throttled: 2, Failed: 3, Abandoned: 4, P50: 0.5, P90: 0.9, P99: 0.99, P999: 0.999, Max: 7}}}},
 		{"report_least", &Report{}},
 		{"fault_order", &faultOrder{ID: 1 << 50, Name: "lag", RemainingSeconds: 59.5, Signature: []byte{6, 7}}},
