--- a/cmd/hazelwheel/work.go
+++ b/cmd/hazelwheel/work.go
@@ -234,7 +234,7 @@
 	fmt.Fprintln(t, "PLAN\tBOX\tSITE\tSTAGE\tSINCE\tMECHANIC\tTOKEN\tWAITS FOR")
 	waits := func(plan uint64, box string) string {
 		var all []string
-		for _, w := range s.Waits {
+		for _, w := range s.Blockers {
 			if w.Plan == plan && w.Server == box {
 				text := w.Reason
 				if len(w.Members) > 0 {
@@ -291,10 +291,10 @@
 		}
 		fmt.Fprintln(t, text)
 	}
-	if s.Owner == "" {
+	if s.Holder == "" {
 		fmt.Fprintf(t, "version %d is agreed; nobody settles the order at the moment\n", s.Version)
 	} else {
-		fmt.Fprintf(t, "version %d is agreed; %s settles the order, %.1f s ago\n", s.Version, s.Owner, s.AgeSeconds)
+		fmt.Fprintf(t, "version %d is agreed; %s settles the order, %.1f s ago\n", s.Version, s.Holder, s.AgeSeconds)
 	}
 	if len(s.Reinstated) > 0 {
 		fmt.Fprintf(t, "given back here by hand: %s\n", strings.Join(s.Reinstated, " "))
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -268,8 +268,8 @@
 	}()
 	y.poll(fmt.Sprintf("%s waits for %q of %s", b.name, why, who), func() bool {
 		s := y.newest()
-		last = fmt.Sprint(s.Waits)
-		return slices.ContainsFunc(s.Waits, func(w maintenance.Blocker) bool {
+		last = fmt.Sprint(s.Blockers)
+		return slices.ContainsFunc(s.Blockers, func(w maintenance.Blocker) bool {
 			return w.Server == b.name && strings.Contains(w.Reason, why) && (who == "" || slices.Contains(w.Members, who))
 		})
 	})
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -67,7 +67,7 @@
 		return !slices.ContainsFunc(y.all, func(m *mate) bool { return m.asked.Load() < asked[m]+50 })
 	})
 	for _, m := range y.all {
-		y.poll(m.name+" has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Out, []string{b.name}) })
+		y.poll(m.name+" has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 	}
 	s := y.newest()
 	require.Equal(t, maintenance.InMaintenance, stage(&s, b).Stage, "they have all been back before the work had ended")
@@ -155,7 +155,7 @@
 			t.Log("given back after", time.Since(began))
 			y.poll("it says why", func() bool {
 				s := y.newest()
-				return slices.ContainsFunc(s.Waits, func(w maintenance.Blocker) bool {
+				return slices.ContainsFunc(s.Blockers, func(w maintenance.Blocker) bool {
 					return strings.Contains(w.Reason, k.waits) || strings.Contains(w.Reason, "is seen how")
 				})
 			})
@@ -229,7 +229,7 @@
 	assert.Contains(t, out, "not known whether it was done")
 	y.poll("who is not heard is named", func() bool {
 		s, _ := left[0].works()
-		return slices.ContainsFunc(s.Waits, func(w maintenance.Blocker) bool { return w.Server == "" && slices.Equal(w.Members, names(right)) })
+		return slices.ContainsFunc(s.Blockers, func(w maintenance.Blocker) bool { return w.Server == "" && slices.Equal(w.Members, names(right)) })
 	})
 	assert.Equal(t, 3, y.counts()[maintenance.Pending])
 	y.board.Set(processcluster.Rule{}, ways...)
@@ -262,7 +262,7 @@
 	y.poll("what nobody works on is given back", func() bool { return y.counts()[maintenance.Skipped] == 4 })
 	s := y.newest()
 	assert.False(t, s.Plans[0].Ended)
-	assert.Len(t, s.Out, 1)
+	assert.Len(t, s.Cordoned, 1)
 	close(long)
 	p := y.ended()
 	for _, k := range p.Servers {
@@ -475,7 +475,7 @@
 		t.Helper()
 		asked := map[*mate]int64{}
 		for _, m := range y.all {
-			y.poll(m.name+" has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Out, []string{b.name}) })
+			y.poll(m.name+" has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 			asked[m] = m.asked.Load()
 		}
 		y.poll("all serve", func() bool {
@@ -487,7 +487,7 @@
 	old, ended := m.cmd, m.ended
 	m.ops = freeAddress(t) // each process has its own
 	m.start()
-	y.poll("the new process has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Out, []string{b.name}) })
+	y.poll("the new process has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 	<-ended
 	y.agree(y.all...)
--- a/cmd/hazelwheel/workline_test.go
+++ b/cmd/hazelwheel/workline_test.go
@@ -152,14 +152,14 @@
 func TestWorkStatus(t *testing.T) {
 	t.Parallel()
 	c := &crew{T: t}
-	raw, err := json.Marshal(coordination.MaintenanceStatus{Version: 17, Owner: "m01", AgeSeconds: 0.3, Reinstated: []string{"s-2"},
+	raw, err := json.Marshal(coordination.MaintenanceStatus{Version: 17, Holder: "m01", AgeSeconds: 0.3, Reinstated: []string{"s-2"},
 		Plans: []maintenance.Plan{{Number: 1, Spec: maintenance.Spec{Name: "firmware"}, AgeSeconds: 90, PausedBy: "anna", Servers: []maintenance.Server{
 			{Name: "s-1", Site: "site-a", Stage: maintenance.Draining, SinceVersion: 17},
 			{Name: "s-2", Site: "site-a", Stage: maintenance.InMaintenance, SinceVersion: 16, Token: 1<<40 | 16, Agent: "bob", Overdue: true, ForcedPast: []string{"m04"}},
 			{Name: "s-3", Site: "site-b", Stage: maintenance.Done, SinceVersion: 9},
 			{Name: "s-4", Site: "site-b", Stage: maintenance.Lost, SinceVersion: 8, Reason: "no disk"},
 			{Name: "s-5", Site: "site-b"}}}},
-		Waits: []maintenance.Blocker{{Plan: 1, Server: "s-1", Reason: "not said to be empty", Members: []string{"m02", "m03"}}, {Plan: 1, Reason: "a box is cold"}}})
+		Blockers: []maintenance.Blocker{{Plan: 1, Server: "s-1", Reason: "not said to be empty", Members: []string{"m02", "m03"}}, {Plan: 1, Reason: "a box is cold"}}})
 	require.NoError(t, err)
 	d := newFakeDoor(t, string(raw)+"\n")
 	out, code := c.command("fleet", "work", "status", "--ops", d.address)
--- a/internal/coordination/maintenance_status.go
+++ b/internal/coordination/maintenance_status.go
@@ -10,11 +10,11 @@
 // MaintenanceStatus is the answer of the admin command WORKS. JSON keys are read by operators' tools.
 type MaintenanceStatus struct {
 	Version    uint64                `json:"version"` // of the record that is applied here; 0: none is
-	Owner      string                `json:"owner"`   // name of the role's holder; empty: no announcement has come yet
+	Holder     string                `json:"owner"`   // name of the role's holder; empty: no announcement has come yet
 	AgeSeconds float64               `json:"age_s"`   // since its last announcement
 	Plans      []maintenance.Plan    `json:"plans"`
-	Waits      []maintenance.Blocker `json:"waits"` // what the plans wait for, by the last announcement
-	Out        []string              `json:"out"`   // servers that are cordoned here by the record
+	Blockers   []maintenance.Blocker `json:"waits"` // what the plans wait for, by the last announcement
+	Cordoned   []string              `json:"out"`   // servers that are cordoned here by the record
 	Reinstated []string              `json:"hand"`  // those of Out that an operator has put back into use here
 }
 
@@ -29,8 +29,8 @@
 		return nil, ErrNoMaintenance
 	}
 	r, now := n.roles.maintenance, n.net.Now()
-	s := &MaintenanceStatus{Version: r.version, Owner: r.holderName, Plans: append([]maintenance.Plan{}, r.state.Plans...), Waits: append([]maintenance.Blocker{}, r.blockers...),
-		Out: []string{}, Reinstated: []string{}}
+	s := &MaintenanceStatus{Version: r.version, Holder: r.holderName, Plans: append([]maintenance.Plan{}, r.state.Plans...), Blockers: append([]maintenance.Blocker{}, r.blockers...),
+		Cordoned: []string{}, Reinstated: []string{}}
 	if !math.IsInf(r.announcedAt, -1) {
 		s.AgeSeconds = roundTenths(now - r.announcedAt)
 	}
@@ -43,7 +43,7 @@
 	}
 	for _, b := range r.servers.Boxes() {
 		if _, out := r.outSince[b.Name]; out {
-			s.Out = append(s.Out, b.Name)
+			s.Cordoned = append(s.Cordoned, b.Name)
 			if b.Kept {
 				s.Reinstated = append(s.Reinstated, b.Name)
 			}
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -426,7 +426,7 @@
 			if s.proc == nil || !s.proc.Alive() || s.fleet == nil {
 				continue
 			}
-			if seen, err := s.fleet.MaintenanceStatus(); err == nil && seen.Owner == s.spec.Name {
+			if seen, err := s.fleet.MaintenanceStatus(); err == nil && seen.Holder == s.spec.Name {
 				w.restart(i)
 				break
 			}
