--- a/internal/coordination/fault_role_test.go
+++ b/internal/coordination/fault_role_test.go
@@ -23,7 +23,7 @@
 func TestDrillsBeginOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		net, runs := &stillNet{now: 100}, begun{}
-		f := &Node{net: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, options: Options{Settings: Settings{Jobs: []string{faultRoleName}}, Faults: runs}}
+		f := &Node{net: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, options: Options{Settings: Settings{Roles: []string{faultRoleName}}, Faults: runs}}
 		f.roles = newRoleManager(f)
 		d := f.roles.faults
 		peers.New("yard", 1, f, net, f.log).Dial("x:1")
--- a/internal/coordination/list_relay_test.go
+++ b/internal/coordination/list_relay_test.go
@@ -34,7 +34,7 @@
 // fedFleet returns a fleet of which nothing is up but one link, which takes nothing.
 func fedFleet(h *holder) (*Node, *stillNet) {
 	net := &stillNet{now: 100}
-	f := &Node{net: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, options: Options{Settings: Settings{Jobs: expandListRoles([]string{"list"})}, Lists: h,
+	f := &Node{net: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, options: Options{Settings: Settings{Roles: expandListRoles([]string{"list"})}, Lists: h,
 		Rand: rand.New(rand.NewPCG(1, 2))}}
 	f.roles = newRoleManager(f)
 	peers.New("yard", 1, f, net, f.log).Dial("x:1")
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -69,9 +69,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
-	n.options.Log, n.options.Jobs = n.log, expandListRoles(o.Jobs)
+	n.options.Log, n.options.Roles = n.log, expandListRoles(o.Roles)
 	n.peers = peers.New(o.Name, o.MaxLinks, n, o.Net, n.log)
-	if len(o.Electors) > 0 {
+	if len(o.Voters) > 0 {
 		n.roles = newRoleManager(n)
 	}
 	return n, nil
--- a/internal/coordination/options.go
+++ b/internal/coordination/options.go
@@ -16,8 +16,8 @@
 	Advertise string   // host:port that peers dial; empty: Listen
 	Join      []string // addresses of the first peers to dial
 	Dir       string   // for the state that must survive a restart; empty: each start is a new member
-	Electors  []string // addresses of the initial voters; empty: there are no singleton roles
-	Jobs      []string // singleton roles that this sidecar can hold
+	Voters    []string // addresses of the initial voters; empty: there are no singleton roles
+	Roles     []string // singleton roles that this sidecar can hold
 }
 
 // IsEnabled reports whether the sidecar is a member of a fleet.
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -84,7 +84,7 @@
 
 func newRoleManager(n *Node) *roleManager {
 	m := &roleManager{node: n}
-	for _, name := range slices.Sorted(slices.Values(n.options.Jobs)) {
+	for _, name := range slices.Sorted(slices.Values(n.options.Roles)) {
 		s := &roleState{name: name}
 		switch i := slices.Index(listRoleNames[:], name); {
 		case name == reportRoleName:
@@ -109,7 +109,7 @@
 // start starts the lease protocol under an identity. After an error neither the identity nor its saved state may be used.
 func (m *roleManager) start(id swim.ID, saved []byte) (err error) {
 	o := &m.node.options
-	settings := lease.Settings{InitialVoters: o.Electors, Address: o.Advertise, Roles: o.Jobs, RecordedRoles: []string{maintenanceRoleName}, Seed: o.Rand.Uint64()}
+	settings := lease.Settings{InitialVoters: o.Voters, Address: o.Advertise, Roles: o.Roles, RecordedRoles: []string{maintenanceRoleName}, Seed: o.Rand.Uint64()}
 	m.lease, err = lease.New(m.node.net.Now(), id, settings, saved, leaseActions{m})
 	m.membershipChanges, m.fitnessAt = 0, 0
 	for _, s := range m.states {
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -136,7 +136,7 @@
 // Dashboards read the figures by their names.
 func TestFigureNames(t *testing.T) {
 	net := &stillNet{now: 100}
-	f := &Node{net: net, log: slog.New(slog.DiscardHandler), options: Options{Settings: Settings{Jobs: expandListRoles([]string{listRoleName, reportRoleName, faultRoleName, maintenanceRoleName})}}}
+	f := &Node{net: net, log: slog.New(slog.DiscardHandler), options: Options{Settings: Settings{Roles: expandListRoles([]string{listRoleName, reportRoleName, faultRoleName, maintenanceRoleName})}}}
 	f.roles = newRoleManager(f)
 	f.peers = peers.New("yard", 1, f, net, f.log)
 	f.view = swim.New(net.now, swim.Record{ID: 1}, swim.Settings{}, membershipActions{f})
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -124,7 +124,7 @@
 		links := peers.MaxLinks(d.spec.Sockets)
 		settings := coordination.Settings{Name: fleetName, Listen: peersAddress(&s.spec), Join: join}
 		if d.owners && len(join) == 3 {
-			settings.Electors, settings.Jobs = join, sidecarconfig.Jobs
+			settings.Voters, settings.Roles = join, sidecarconfig.Jobs
 			sc.Measure()
 			sc.WorkOnBoxes()
 		}
@@ -133,7 +133,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if len(settings.Jobs) > 0 {
+		if len(settings.Roles) > 0 {
 			sc.PassLists(f)
 		}
 		f.UseStore(disk{s, loop, 0.02 * rng.Float64()}, s.saved)
