--- /dev/null
+++ b/internal/coordination/helpers_test.go
@@ -0,0 +1,33 @@
+package coordination
+
+import (
+	"log/slog"
+	"math/rand/v2"
+
+	"hazelwheel/internal/netio"
+	"hazelwheel/internal/peers"
+)
+
+// clockNet is a network on which nothing happens but that time passes. A dial stays under way for ever.
+type clockNet struct {
+	netio.Net
+	now  float64
+	link *peers.Link // that was dialed last
+}
+
+func (n *clockNet) Now() float64 { return n.now }
+
+func (n *clockNet) Dial(_ string, _ float64, context any, _ func(error)) (stop func()) {
+	n.link = context.(*peers.Link)
+	return func() {}
+}
+
+// newTestNode returns a node with roles, without membership and lease, on a network with one link over which nothing is sent.
+func newTestNode(o Options) (*Node, *clockNet) {
+	net := &clockNet{now: 100}
+	o.Rand = rand.New(rand.NewPCG(1, 2))
+	n := &Node{net: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, options: o}
+	n.roles = newRoleManager(n)
+	peers.New("yard", 1, n, net, n.log).Dial("x:1")
+	return n, net
+}
