--- a/internal/coordination/statefile/store.go
+++ b/internal/coordination/statefile/store.go
@@ -1,5 +1,9 @@
-// Package statefile keeps a fleet's state on the machine's disk. It writes beside the loop, and what it says is written is
-// synced.
+// Package statefile stores the state of a coordination.Node in a file on the machine's disk. A write is atomic and synced; the file
+// names the inode and birth time that it was written under, so that a copy of it is recognized.
+//
+// Several processes may use one folder during a hot restart. A lock on the folder excludes that two of them write at once, and a
+// process only overwrites the file that it has read or written last: the later of two processes wins, and the earlier one gets
+// ErrConflict.
 package statefile
 
 import (
@@ -18,25 +22,32 @@
 )
 
 const (
-	name = "peer"
-	// lockWithin is how long another process may take for its write.
-	lockWithin = time.Second
-	// mostState bounds what is read, in bytes.
-	mostState = 8 << 20
-	// head begins a file, with the form of what follows, the file's inode and its birth in nanoseconds. An earlier program reads the
-	// form and leaves the file alone.
-	head = "hazelwheel-peer 2 %d %d\n"
+	// fileName is the state's file in the folder; quarantineName is what Quarantine renames it to.
+	fileName       = "peer"
+	quarantineName = fileName + "-unusable"
+	// header is the first line: the format's version, and the file's inode and birth time in nanoseconds. Earlier programs read the
+	// version and leave the file alone.
+	header = "hazelwheel-peer 2 %d %d\n"
+
+	// lockTimeout limits how long another process may hold the lock for its write.
+	lockTimeout       = time.Second
+	lockRetryInterval = lockTimeout / 100
+	maxStateBytes     = 8 << 20 // that are read
+	maxPendingSaves   = 16
 )
 
-// Store is a folder for one sidecar. Save is for one loop.
+// ErrConflict is the error of a write after another process has written the file: that process continues the state.
+var ErrConflict = errors.New("another process goes on from this state")
+
+// Store is the folder of one sidecar. Writes happen on a goroutine of its own, one at a time.
 type Store struct {
 	dir   string
 	post  func(func())
 	saves chan save
 
-	// What follows is of whoever reads and, after that, of the goroutine that writes.
-	last mark     // of the file that this process has read or written last
-	held *os.File // the folder, locked from the reading to the first write; nil: it is not
+	// Used by Load and Quarantine, and after that by the writing goroutine alone.
+	known fileMark // of the file that this process has read or written last
+	lock  *os.File // the locked folder, from Load to the first write; nil: it is not locked
 }
 
 type save struct {
@@ -44,156 +55,163 @@
 	done func(error)
 }
 
-// mark tells a file from any other, also from a copy of it. The zero value is none.
-type mark struct {
+// fileMark identifies a file; a copy has another one. The zero value identifies none.
+type fileMark struct {
 	inode uint64
-	birth int64 // in nanoseconds; 0 where the file system does not keep it
+	birth int64 // nanoseconds of Unix time; 0 where the file system does not store it
 }
 
 var _ coordination.StateStore = (*Store)(nil)
 
-// ErrConflict is the fault of a write where another process has written meanwhile: it goes on from this one's state.
-var ErrConflict = errors.New("another process goes on from this state")
-
-// Open returns a folder whose answers come by post.
+// Open returns the store in a folder, which the first write makes if need be. post is called from another goroutine to run the done
+// function of Save on the event loop.
 func Open(dir string, post func(func())) *Store {
-	f := &Store{dir: dir, post: post, saves: make(chan save, 16)}
+	s := &Store{dir: dir, post: post, saves: make(chan save, maxPendingSaves)}
 	go func() {
-		for s := range f.saves {
-			err := f.write(s.data)
-			f.post(func() { s.done(err) })
+		for save := range s.saves {
+			err := s.write(save.data)
+			s.post(func() { save.done(err) })
 		}
 	}()
-	return f
+	return s
 }
 
-// Close ends the goroutine that writes.
-func (f *Store) Close() { close(f.saves) }
+// Close ends the writing goroutine. Save must not be called after it.
+func (s *Store) Close() { close(s.saves) }
 
-// Load returns what was saved last. It comes before the loop. Until the first write nobody else writes: what another process has
-// said that it keeps must not be gone with that write.
-func (f *Store) Load() (s coordination.SavedState) {
-	var err error
-	if f.held, err = f.lock(); err != nil && !errors.Is(err, fs.ErrNotExist) {
+// Load returns the stored state. It must be called before the first Save, and locks the folder until that is written: what another
+// process reports as written in the meantime would be overwritten.
+func (s *Store) Load() coordination.SavedState {
+	state, err := s.load()
+	if err != nil {
 		return coordination.SavedState{Err: err}
 	}
-	file, err := os.Open(filepath.Join(f.dir, name))
+	return state
+}
+
+func (s *Store) load() (state coordination.SavedState, err error) {
+	if s.lock, err = s.lockFolder(); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return state, err
+	}
+	file, err := os.Open(filepath.Join(s.dir, fileName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return coordination.SavedState{}
+		return state, nil
 	} else if err != nil {
-		return coordination.SavedState{Err: err}
+		return state, err
 	}
 	defer file.Close()
-	if f.last, err = markOf(file); err != nil {
-		return coordination.SavedState{Err: err}
+	if s.known, err = markOf(file); err != nil {
+		return state, err
 	}
-	raw, err := io.ReadAll(io.LimitReader(file, mostState))
+	raw, err := io.ReadAll(io.LimitReader(file, maxStateBytes))
 	if err != nil {
-		return coordination.SavedState{Err: err}
+		return state, err
 	}
-	line, rest, _ := bytes.Cut(raw, []byte{'\n'})
-	var own mark
-	if n, _ := fmt.Sscanf(string(line)+"\n", head, &own.inode, &own.birth); n != 2 {
-		return coordination.SavedState{Data: raw} // of an earlier form, or torn
+	line, data, _ := bytes.Cut(raw, []byte{'\n'})
+	var written fileMark
+	if n, _ := fmt.Sscanf(string(line)+"\n", header, &written.inode, &written.birth); n != 2 {
+		return coordination.SavedState{Data: raw}, nil // of an earlier version without a header, or corrupt
 	}
-	return coordination.SavedState{Data: rest, IsCopy: own != f.last}
+	return coordination.SavedState{Data: data, IsCopy: written != s.known}, nil
 }
 
-// markOf returns a file's mark.
-func markOf(file *os.File) (mark, error) {
+// markOf returns the mark of an open file.
+func markOf(file *os.File) (fileMark, error) {
 	var st unix.Statx_t
 	if err := unix.Statx(int(file.Fd()), "", unix.AT_EMPTY_PATH, unix.STATX_INO|unix.STATX_BTIME, &st); err != nil {
-		return mark{}, fmt.Errorf("statx: %w", err)
+		return fileMark{}, fmt.Errorf("statx: %w", err)
 	}
-	m := mark{inode: st.Ino}
+	m := fileMark{inode: st.Ino}
 	if st.Mask&unix.STATX_BTIME != 0 {
 		m.birth = st.Btime.Sec*1e9 + int64(st.Btime.Nsec)
 	}
 	return m, nil
 }
 
-// lock locks the folder; closing what it returns ends that, and so does the end of the process. Danger: whoever has it locked may
-// stand still, so nobody waits for long.
-func (f *Store) lock() (*os.File, error) {
-	d, err := os.Open(f.dir)
+// lockFolder locks the folder until the returned file is closed or the process ends. Danger: the process that holds the lock may stand
+// still, so it waits for lockTimeout at most.
+func (s *Store) lockFolder() (*os.File, error) {
+	dir, err := os.Open(s.dir)
 	if err != nil {
 		return nil, err
 	}
-	for by := time.Now().Add(lockWithin); ; time.Sleep(lockWithin / 100) {
-		if err = unix.Flock(int(d.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil {
-			return d, nil
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
+		if err = unix.Flock(int(dir.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil {
+			return dir, nil
 		}
-		if !errors.Is(err, unix.EWOULDBLOCK) || time.Now().After(by) {
-			d.Close()
+		if !errors.Is(err, unix.EWOULDBLOCK) || time.Now().After(deadline) {
+			dir.Close()
 			return nil, fmt.Errorf("flock: %w", err)
 		}
 	}
 }
 
-// Quarantine keeps what is there under another name, where a sidecar begins anew.
-func (f *Store) Quarantine() error {
-	f.last = mark{}
-	return os.Rename(filepath.Join(f.dir, name), filepath.Join(f.dir, name+"-unusable"))
+// Quarantine renames a state that can't be used, so that the next write does not overwrite it. It must be called between Load and the
+// first Save.
+func (s *Store) Quarantine() error {
+	s.known = fileMark{}
+	return os.Rename(filepath.Join(s.dir, fileName), filepath.Join(s.dir, quarantineName))
 }
 
-// Save writes a state.
-func (f *Store) Save(data []byte, done func(error)) { f.saves <- save{data, done} }
+// Save implements coordination.StateStore. It is for one goroutine.
+func (s *Store) Save(data []byte, done func(error)) { s.saves <- save{data, done} }
 
-// write has either the old state or the new one on disk, whatever happens. What can't be read of an old one is kept beside.
-func (f *Store) write(data []byte) (err error) {
+// write replaces the file, so that whatever happens either the old state or the new one is on disk. The error is ErrConflict or names
+// the setting of the folder.
+func (s *Store) write(data []byte) (err error) {
 	defer func() {
 		if err != nil && !errors.Is(err, ErrConflict) {
 			err = fmt.Errorf("fleet.dir: %w", err)
 		}
 	}()
-	if err := os.MkdirAll(f.dir, 0o700); err != nil {
+	if err := os.MkdirAll(s.dir, 0o700); err != nil {
 		return err
 	}
-	held := f.held
-	if f.held = nil; held == nil {
-		if held, err = f.lock(); err != nil {
+	lock := s.lock
+	if s.lock = nil; lock == nil {
+		if lock, err = s.lockFolder(); err != nil {
 			return err
 		}
 	}
-	defer held.Close()
-	path := filepath.Join(f.dir, name)
-	if err := f.unchanged(path); err != nil {
+	defer lock.Close()
+	path := filepath.Join(s.dir, fileName)
+	if err := s.checkUnchanged(path); err != nil {
 		return err
 	}
-	part, err := os.CreateTemp(f.dir, name+"-*")
+	temporary, err := os.CreateTemp(s.dir, fileName+"-*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(part.Name())
-	own, err := markOf(part)
+	defer os.Remove(temporary.Name())
+	mark, err := markOf(temporary)
 	if err == nil {
-		_, err = part.Write(append(fmt.Appendf(nil, head, own.inode, own.birth), data...))
+		_, err = temporary.Write(append(fmt.Appendf(nil, header, mark.inode, mark.birth), data...))
 	}
-	if err = errors.Join(err, part.Sync(), part.Close()); err != nil {
+	if err = errors.Join(err, temporary.Sync(), temporary.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(part.Name(), path); err != nil {
+	if err := os.Rename(temporary.Name(), path); err != nil {
 		return err
 	}
-	f.last = own
-	return held.Sync() // a renamed file stays renamed
+	s.known = mark
+	return lock.Sync() // the folder, so that the rename is durable
 }
 
-// unchanged tells whether the file is the one that this process knows. Danger: two processes that write in turns would each
-// overwrite what the other has promised.
-func (f *Store) unchanged(path string) error {
+// checkUnchanged returns ErrConflict unless the file is the one that this process knows, or is gone. Danger: two processes that write in
+// turns would each overwrite votes of the other.
+func (s *Store) checkUnchanged(path string) error {
 	file, err := os.Open(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return nil // somebody has taken it away: what this process knows is all that there is
+		return nil // removed by somebody: this process knows the latest state
 	case err != nil:
 		return err
 	}
 	defer file.Close()
-	switch now, err := markOf(file); {
+	switch mark, err := markOf(file); {
 	case err != nil:
 		return err
-	case now != f.last:
+	case mark != s.known:
 		return ErrConflict
 	}
 	return nil
--- a/internal/coordination/statefile/store_test.go
+++ b/internal/coordination/statefile/store_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What was written is read as it was; a copy that is put back, by whatever way, is told apart; and of two processes the one that
-// came later goes on.
-func TestFolder(t *testing.T) {
+// What was written is read as it was; a copy that is put back in any way is recognized; of two processes the later one continues the
+// state.
+func TestStoreRecognizesCopiesAndConflicts(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "below")
-	path := filepath.Join(dir, name)
+	path := filepath.Join(dir, fileName)
 	open := func() *Store {
 		f := Open(dir, func(do func()) { do() })
 		t.Cleanup(f.Close)
--- a/internal/coordination/statefile/stored_form_test.go
+++ b/internal/coordination/statefile/stored_form_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A folder as an earlier version has written it is read. The golden file is a copy, and is seen to be one; where its head names the
-// file that it stands in, it is not.
+// The file of an earlier version is read. The golden file is a copy and recognized as one; with a header that names the file's own inode
+// and birth time it is not.
 func TestStoredForm(t *testing.T) {
 	raw, err := os.ReadFile("testdata/folder/peer")
 	require.NoError(t, err)
