--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,82 +7,110 @@
 )
 
 const (
-	tenantDecaySeconds  = 5.0 // over which tenants are compared
-	arrivalDecaySeconds = 2.0 // over which requests are counted that come
-	retryBudgetRatio    = 0.1 // repeats for each request
+	// tenantDecaySeconds is the time constant over which the tenants' requests are compared.
+	tenantDecaySeconds = 5.0
+	// arrivalDecaySeconds is the time constant of the arrival rate.
+	arrivalDecaySeconds = 2.0
+	// retryBudgetRatio is how many retries each request adds to the retry budget.
+	retryBudgetRatio = 0.1
+	// maxRetryBudget is how many retries may be saved up.
+	maxRetryBudget = 10
+	// maxWorkSeconds bounds the hints of a request's work that are believed.
+	maxWorkSeconds = 1e6
+	// meanWorkGain is the gain of the moving average of work hints.
+	meanWorkGain = 0.02
+	// maxTimeoutVotes bounds how many longer tries it takes to replace the usual timeout of a class.
+	maxTimeoutVotes = 100
 )
 
-// Request takes a request from a client.
+// StartRequest takes a request from a client. It has been sent, refused or queued when the call returns; each request gets
+// exactly one final answer, of the host or by Actions.Refuse or Actions.Fail.
 func (b *Balancer) StartRequest(now float64, q Request) {
 	b.now = now
 	if q.Class < 0 || q.Class >= len(b.settings.Classes) {
 		b.actions.Refuse(q.ID, 0)
 		return
 	}
-	q.HasWork = q.HasWork && q.WorkSeconds > 0 && q.WorkSeconds < 1e6 // NaN is neither
-	aim := math.Inf(1)
+	q.HasWork = q.HasWork && q.WorkSeconds > 0 && q.WorkSeconds < maxWorkSeconds // false for NaN
+	firstTargetAt := math.Inf(1)
 	if i := b.unserved.indexOf(now, &q); i >= 0 {
-		if aim = b.unserved[i].targetAt; aim <= now {
+		firstTargetAt = b.unserved[i].targetAt
+		if firstTargetAt <= now {
 			b.actions.Refuse(q.ID, b.settings.MaxRetryAfterSeconds)
 			return
 		}
 		b.unserved = slices.Delete(b.unserved, i, i+1)
 	}
-	c := &b.settings.Classes[q.Class]
-	r := &request{Request: q, class: c, arrivedAt: b.now, targetAt: b.now + c.LatencyTargetSeconds - b.firstTryAge(q), relativeWork: 1,
-		liveIndex: len(b.liveRequests), isOverShare: b.exceedsShare(q.Tenant)}
-	b.retryBudget = min(b.retryBudget+retryBudgetRatio, 10)
+	class := &b.settings.Classes[q.Class]
+	r := &request{
+		Request:      q,
+		class:        class,
+		arrivedAt:    b.now,
+		targetAt:     b.now + class.LatencyTargetSeconds - b.firstTryAge(q),
+		relativeWork: 1,
+		liveIndex:    len(b.liveRequests),
+		isOverShare:  b.exceedsShare(q.Tenant),
+	}
+	b.retryBudget = min(b.retryBudget+retryBudgetRatio, maxRetryBudget)
 	b.arrivalRate.add(b.now, arrivalDecaySeconds, 1)
 	if r.HasWork {
-		r.targetAt += c.TargetStretch * q.WorkSeconds
+		r.targetAt += class.TargetStretch * q.WorkSeconds
 		mean := cmp.Or(b.meanWorkSeconds, q.WorkSeconds)
-		b.meanWorkSeconds = mean + 0.02*(min(q.WorkSeconds, 4*mean)-mean)
+		b.meanWorkSeconds = mean + meanWorkGain*(min(q.WorkSeconds, 4*mean)-mean)
 		r.relativeWork = q.WorkSeconds / b.meanWorkSeconds
 	}
-	r.targetAt = min(r.targetAt, q.Deadline, aim)
-	b.liveRequests, b.requestsByID[q.ID] = append(b.liveRequests, r), r
+	r.targetAt = min(r.targetAt, q.Deadline, firstTargetAt)
+	b.liveRequests = append(b.liveRequests, r)
+	b.requestsByID[q.ID] = r
 	b.dispatch(r)
 }
 
-// overShare counts a request; true: its tenant asks for clearly more than its share and goes last.
+// exceedsShare counts a request and returns whether its tenant sends clearly more than its share, by a margin that covers the
+// random variation of small numbers. Such a request is dispatched after the others and is not held.
 func (b *Balancer) exceedsShare(tenant int) bool {
 	if tenant < 0 || tenant >= len(b.tenantRequests) {
 		return false
 	}
-	fade := math.Exp(-(b.now - b.tenantRequestsAt) / tenantDecaySeconds)
+	decay := math.Exp(-(b.now - b.tenantRequestsAt) / tenantDecaySeconds)
 	b.tenantRequestsAt = b.now
-	all := 0.0
+	total := 0.0
 	for i := range b.tenantRequests {
-		b.tenantRequests[i] *= fade
-		all += b.tenantRequests[i]
+		b.tenantRequests[i] *= decay
+		total += b.tenantRequests[i]
 	}
 	b.tenantRequests[tenant]++
-	fair := b.settings.Tenants[tenant].Share / max(1-b.settings.Tenants[tenant].Share, 0.05) * (all + 1 - b.tenantRequests[tenant])
+	share := b.settings.Tenants[tenant].Share
+	fair := share / max(1-share, 0.05) * (total + 1 - b.tenantRequests[tenant])
 	return b.tenantRequests[tenant] > 1.4*fair+2*math.Sqrt(fair)+1
 }
 
-// lateness is how long before this try the client's first one must have been. Danger: work on a later try is
-// lost once the aim of the first has passed. A try that is shorter than its class's usual one was cut by the
-// client's total wait, which tells when that began. It hurts where clients of unlike patience mark none.
+// firstTryAge returns how many seconds before this try of a client its first one must have been, 0 if this is the first.
+//
+// Danger: work on a later try is lost once the target of the first has passed. A try with less time than is usual for its
+// class was cut short by the client's total timeout, and what is left of that tells when the first try was. Where clients
+// don't mark retries, those with a shorter timeout than the others are mistaken for retries.
 func (b *Balancer) firstTryAge(q Request) float64 {
-	u, left := &b.clientTimeouts[q.Class], q.Deadline-b.now+q.HeldBackSeconds
+	timeout := &b.clientTimeouts[q.Class]
+	left := q.Deadline - b.now + q.HeldBackSeconds
 	switch {
-	case left < 0.98*u.usualSeconds && b.settings.RetriesMarked && !q.Repeat:
-		return 0 // the first try of a client that waits for less
-	case left < 0.98*u.usualSeconds:
+	case left < 0.98*timeout.usualSeconds && b.settings.RetriesMarked && !q.Repeat:
+		return 0 // the first try of a client with a shorter timeout
+	case left < 0.98*timeout.usualSeconds:
 		return max(b.settings.Classes[q.Class].TotalTimeoutSeconds-left, 0)
-	case left < 1.02*u.usualSeconds:
-		u.votes = min(u.votes+1, 100)
-	default: // a single longer one may be odd
-		if u.votes--; u.votes < 0 {
-			u.usualSeconds, u.votes = left, 1
+	case left < 1.02*timeout.usualSeconds:
+		timeout.votes = min(timeout.votes+1, maxTimeoutVotes)
+	default: // longer than usual: it replaces the usual one only after as many as voted for that
+		timeout.votes--
+		if timeout.votes < 0 {
+			timeout.usualSeconds = left
+			timeout.votes = 1
 		}
 	}
 	return 0
 }
 
-// try is the usual length of a class's tries, with the votes for it.
+// clientTimeout is the usual timeout of a class's first tries, found by majority vote.
 type clientTimeout struct {
 	usualSeconds float64
-	votes        int
+	votes        int // tries that confirmed usualSeconds, less those that were longer
 }
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -3,19 +3,15 @@
 import "slices"
 
 const (
-	sendDecaySeconds   = 10.0 // over which own traffic is measured
-	fastAnswerFraction = 0.1  // of the aim: an answer within it came from a host that has room
+	// sendDecaySeconds is the time constant of the own send rate.
+	sendDecaySeconds = 10.0
+	// fastAnswerFraction, of the tightest latency target, is the longest delay of an answer from a host that has spare capacity.
+	fastAnswerFraction = 0.1
+	// minExpectedSeconds bounds expected delays from below, as delays are divided by them.
+	minExpectedSeconds = 1e-6
 )
 
-// attempt is one send of a request.
-type attempt struct {
-	host       *host
-	sentAt     float64
-	isDone     bool
-	mayHaveRun bool // may have run; true until an outcome proves otherwise
-}
-
-// send is the gate through which every send passes. It refuses what the rules forbid.
+// startAttempt sends a request to a host and returns whether the rules allowed it. Every send passes here.
 func (b *Balancer) startAttempt(r *request, h *host) bool {
 	if b.now >= r.Deadline || len(r.attempts) >= max(b.settings.MaxAttempts, 1) || !b.mayAttempt(r, h) {
 		return false
@@ -23,48 +19,55 @@
 	h.windowSent += r.relativeWork
 	b.sendRate.add(b.now, sendDecaySeconds, r.relativeWork)
 	r.attempts = append(r.attempts, attempt{host: h, sentAt: b.now, mayHaveRun: true})
-	hint, rest := b.expectedTimes(h, r)
-	o := inFlightAttempt{requestID: r.ID, class: r.Request.Class, sentAt: b.now, expectedSeconds: max(hint+rest, 1e-6), expectedQueueSeconds: b.queueDelay(h)}
-	if len(h.inFlight) == 0 && b.now-h.lastResponseAt < b.settings.ConnIdleTimeoutSeconds {
-		if o.connIdleSeconds = b.now - h.lastResponseAt; o.connIdleSeconds > b.maxConnIdleSeconds && b.now < b.idleDistrustUntil {
-			b.actions.CloseIdle(h.ID)
-			o.connIdleSeconds = 0
-		}
-	}
-	h.inFlight = append(h.inFlight, o)
+	hinted, guessed := b.expectedTimes(h, r)
+	h.inFlight = append(h.inFlight, inFlightAttempt{
+		requestID:            r.ID,
+		class:                r.Request.Class,
+		sentAt:               b.now,
+		expectedSeconds:      max(hinted+guessed, minExpectedSeconds),
+		expectedQueueSeconds: b.queueDelay(h),
+		connIdleSeconds:      b.useIdleConn(h),
+	})
 	b.actions.Send(r.ID, h.ID)
 	b.armWake(r.Deadline)
 	return true
 }
 
-// allowed tells whether the rules let a request go to a host: drains, cold budget, what its class allows.
+// mayAttempt returns whether the rules let a request go to a host now: the host takes new requests and, while it warms up, has
+// budget left, and no earlier attempt forbids another one. An earlier attempt that may have run allows another only if the
+// class is Safe, or Keyed and the host shares the first one's keys within the deduplication window; while it is in flight,
+// only as a hedge to another host.
 func (b *Balancer) mayAttempt(r *request, h *host) bool {
 	if h.isWithdrawn || !b.hasSlowStartBudget(h) {
 		return false
 	}
+	class := r.class
 	for i := range r.attempts {
-		a, c := &r.attempts[i], r.class
-		same := c.Group == GroupAll || c.Group == GroupZone && a.host.Zone == h.Zone ||
-			c.Group == GroupCell && a.host.Cell == h.Cell
-		repeat := c.Effect == Safe || c.Effect == Keyed && same && b.now < a.sentAt+c.DedupWindowSeconds
-		if a.mayHaveRun && (!a.isDone && (!b.settings.HedgingAllowed || a.host == h) || !repeat) {
+		earlier := &r.attempts[i]
+		sharesKeys := class.Group == GroupAll ||
+			class.Group == GroupZone && earlier.host.Zone == h.Zone ||
+			class.Group == GroupCell && earlier.host.Cell == h.Cell
+		isRepeatable := class.Effect == Safe ||
+			class.Effect == Keyed && sharesKeys && b.now < earlier.sentAt+class.DedupWindowSeconds
+		if earlier.mayHaveRun && (!earlier.isDone && (!b.settings.HedgingAllowed || earlier.host == h) || !isRepeatable) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayRefuse tells whether the client may be told that trying again is harmless.
+// isSafeToRefuse returns whether the client may be told that another try is harmless: nothing has run, or hosts drop a repeat
+// wherever it goes.
 func (b *Balancer) isSafeToRefuse(r *request) bool {
 	return r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll ||
 		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
 }
 
-// AttemptDone takes the end of an attempt.
+// AttemptDone handles the end of an attempt that Actions.Send started. It may come after the request's final answer.
 func (b *Balancer) AttemptDone(now float64, res Result) {
 	b.now = now
 	h := b.hosts[res.Host]
-	quick := h != nil && b.learnOutcome(h, res)
+	onlyConnLost := h != nil && b.learnOutcome(h, res)
 	r := b.requestsByID[res.ID]
 	if r == nil || res.Attempt < 0 || res.Attempt >= len(r.attempts) {
 		return
@@ -72,31 +75,44 @@
 	a := &r.attempts[res.Attempt]
 	a.isDone = true
 	a.mayHaveRun = a.mayHaveRun && !res.Outcome.NeverRan()
-	// Danger: some requests crash or hang whichever host begins them; each send or repeat costs another host.
-	// A proxy sees too few to count: what was lost in work is not sent again, its marked repeats are refused
-	// within the client's total wait. It costs what a host's own fault has lost; its aim has mostly passed.
-	lost := !res.Final && (res.Outcome == TimedOut || res.Outcome == Reset && (!quick || r.suspectHost != nil))
+	// Danger: some requests crash or hang whichever host executes them, and each attempt or retry would cost another host. One
+	// proxy sees too few of them to tell them apart, so a request that was lost in execution is not sent again, and its target
+	// is set to now, so that its marked retries are refused within the client's total timeout. The price: what was lost by a
+	// fault of the host is not retried either, but its target has mostly passed by then.
+	lostInExecution := !res.Final && (res.Outcome == TimedOut || res.Outcome == Reset && (!onlyConnLost || r.suspectHost != nil))
 	if res.Outcome == Reset {
-		r.suspectHost, r.lostAt = h, now
+		r.suspectHost = h
+		r.lostAt = now
 	}
 	switch {
 	case res.Final:
 		b.finishRequest(r, true)
-	case lost && !r.isWaiting:
+	case lostInExecution && !r.isWaiting:
 		r.targetAt = now
 		b.answerUnserved(r)
 	case now >= r.Deadline-b.settings.TickSeconds/2, !r.isWaiting:
 		b.retry(r)
 	}
 	b.dispatchDue()
-	// Danger: hosts are idle while requests wait for their next look. What a host far from its limits has
-	// made free goes to the first; one with a line must have time to work it off.
-	brisk := res.Outcome == OK && res.DelaySeconds < fastAnswerFraction*b.tightestTargetSeconds && !b.pollsReports
-	for first := b.queue.peek(); brisk && first != nil && b.trySend(first); first = b.queue.peek() {
+	if res.Outcome == OK && res.DelaySeconds < fastAnswerFraction*b.tightestTargetSeconds && !b.pollsReports {
+		b.sendQueued()
 	}
 }
 
-// again tries a request once more after a failed attempt, or gives it up.
+// sendQueued sends the first requests of the queue before they are due, as long as there are hosts for them. Danger: without it
+// a host stands idle while requests wait for their next dispatch. It is called when a host with spare capacity has become
+// free; a host with a queue is left to work it off.
+func (b *Balancer) sendQueued() {
+	for {
+		first := b.queue.peek()
+		if first == nil || !b.trySend(first) {
+			return
+		}
+	}
+}
+
+// retry dispatches a request again after a failed attempt if the target, the limit of attempts, the retry budget and the rules
+// allow it; else it answers the request as unserved.
 func (b *Balancer) retry(r *request) {
 	if b.now < r.targetAt && len(r.attempts) < b.settings.MaxAttempts && b.retryBudget >= 1 &&
 		slices.ContainsFunc(b.members, func(h *host) bool { return b.mayAttempt(r, h) }) {
@@ -107,31 +123,34 @@
 	b.answerUnserved(r)
 }
 
-// finish forgets a request that has its final answer and cancels what is still out for it.
-func (b *Balancer) finishRequest(r *request, cancel bool) {
+// finishRequest forgets a request that has its final answer and, with cancelInFlight, cancels its attempts in flight where the
+// host program can do so.
+func (b *Balancer) finishRequest(r *request, cancelInFlight bool) {
 	for i := range r.attempts {
-		if cancel && b.settings.CanCancel && !r.attempts[i].isDone {
+		if cancelInFlight && b.settings.CanCancel && !r.attempts[i].isDone {
 			b.actions.Cancel(r.ID, i)
 		}
 	}
 	b.queue.remove(r)
 	last := b.liveRequests[len(b.liveRequests)-1]
-	b.liveRequests[r.liveIndex], last.liveIndex = last, r.liveIndex
+	b.liveRequests[r.liveIndex] = last
+	last.liveIndex = r.liveIndex
 	b.liveRequests = b.liveRequests[:len(b.liveRequests)-1]
 	delete(b.requestsByID, r.ID)
 }
 
-// StreamStarted takes the start of a streamed answer: the request has its answer.
+// StreamStarted takes note that a streamed answer has begun, which is the request's final answer. The attempt stays in flight.
 func (b *Balancer) StreamStarted(now float64, id uint32) { b.endRequest(now, id, false) }
 
-// Abandoned takes the departure of a client: nothing is owed any more.
+// Abandoned takes note that a client has gone: its request needs no answer, and its attempts are cancelled.
 func (b *Balancer) Abandoned(now float64, id uint32) { b.endRequest(now, id, true) }
 
-func (b *Balancer) endRequest(now float64, id uint32, cancel bool) {
-	if b.now = now; b.requestsByID[id] != nil {
-		b.finishRequest(b.requestsByID[id], cancel)
+func (b *Balancer) endRequest(now float64, id uint32, cancelInFlight bool) {
+	b.now = now
+	if r := b.requestsByID[id]; r != nil {
+		b.finishRequest(r, cancelInFlight)
 	}
 }
 
-// usualRate is this proxy's own traffic in requests of usual work a second.
+// ownSendRate returns this proxy's own traffic, in requests of mean work a second.
 func (b *Balancer) ownSendRate() float64 { return b.sendRate.valueAt(b.now, sendDecaySeconds) }
--- a/policy/checkpoint.go
+++ b/policy/checkpoint.go
@@ -1,6 +1,3 @@
-// All that a Balancer remembers, as bytes: one that is restored from them acts as the original would. Nothing here
-// decides.
-
 package policy
 
 import (
@@ -12,26 +9,31 @@
 	"sort"
 )
 
-// checkpointForm changes with every change of what is remembered or of how it is written.
+// checkpointForm is the first byte of a checkpoint. It changes with every change of what is written or how.
 const checkpointForm = 7
 
+// randomStateBytes is the length of the marshalled state of a rand.PCG.
+const randomStateBytes = 20
+
 var errInvalidCheckpoint = errors.New("policy: not a checkpoint of this form")
 
-// Checkpoint appends what the Balancer remembers to dst, which holds at most the given number of bytes then; ok is
-// false where that is too few. It must not be called from within an action, and changes nothing.
-func (b *Balancer) Checkpoint(dst []byte, most int) (state []byte, ok bool) {
-	c := codec{b: b, buf: dst, maxBytes: most}
+// Checkpoint appends the complete state of the Balancer to dst, which then holds maxBytes at most; ok is false if that is too
+// few. A Balancer that Restore makes of it acts as this one would. Checkpoint must not be called from within an action, and
+// changes nothing.
+func (b *Balancer) Checkpoint(dst []byte, maxBytes int) (state []byte, ok bool) {
+	c := codec{b: b, buf: dst, maxBytes: maxBytes}
 	c.write(checkpointForm)
 	c.visitBalancer()
 	return c.buf, !c.failed
 }
 
-// Restore returns a Balancer that goes on from a checkpoint, under the settings of the original.
-func Restore(s Settings, state []byte, do Actions) (*Balancer, error) {
+// Restore returns a Balancer with the state of a checkpoint. The settings must be those of the original, apart from Self and
+// Replicas, which are part of the state. It fails if state is no complete checkpoint of the present form.
+func Restore(s Settings, state []byte, actions Actions) (*Balancer, error) {
 	if len(state) == 0 || state[0] != checkpointForm {
 		return nil, errInvalidCheckpoint
 	}
-	c := codec{b: New(s, 0, do), buf: state[1:], reading: true}
+	c := codec{b: New(s, 0, actions), buf: state[1:], reading: true}
 	c.visitBalancer()
 	if c.failed || len(c.buf) > 0 {
 		return nil, errInvalidCheckpoint
@@ -39,28 +41,55 @@
 	return c.b, nil
 }
 
-// codec writes or reads a checkpoint. One function visits each type for both, so that what is written and what is read
-// can't part. Danger: hosts are known to each other's requests by address, and one that was forgotten and listed again
-// is another than the one that an old attempt went to. Links are numbers of places: first those of Balancer.order, then
-// those that requests alone still know.
+// RestoreSuccessor returns a Balancer for the process that replaces the one of the checkpoint. What is known of hosts is taken
+// over; requests are not, since the old process still answers those that it has. The time since the checkpoint is no silence
+// of the hosts (see ObserveStall). It fails as Restore does.
+func RestoreSuccessor(s Settings, state []byte, now float64, actions Actions) (*Balancer, error) {
+	b, err := Restore(s, state, actions)
+	if err != nil {
+		return nil, err
+	}
+	b.liveRequests = nil
+	b.queue = queue{}
+	b.lastScanned = nil
+	b.requestsByID = map[uint32]*request{}
+	for _, h := range b.sortedHosts {
+		h.inFlight = nil
+		h.probedAt = 0
+		h.polledAt = 0
+	}
+	b.isWakeArmed, b.isWatching, b.isReplicaSet = false, false, false
+	b.configuredReplicas, b.settings.Self, b.settings.Replicas = s.Replicas, s.Self, s.Replicas
+	b.ObserveStall(now, max(now-b.now, 0))
+	return b, nil
+}
+
+// codec writes or reads a checkpoint. Each type has one visit method for both directions, so that what is written and what is
+// read can't differ. After a failure, writes do nothing and reads give zeros.
+//
+// Danger: a host that was forgotten and listed again is another *host than the one that an older attempt went to, with the same
+// ID. Pointers to hosts are therefore written as indices: first into Balancer.sortedHosts, then into pastHosts.
 type codec struct {
 	b         *Balancer
-	buf       []byte // what is written, or what is left to read
-	maxBytes  int
+	buf       []byte // what was written, or what is left to read
+	maxBytes  int    // bound of buf in writing
 	reading   bool
 	failed    bool
-	pastHosts []*host // hosts that only requests know
+	pastHosts []*host // hosts that are not in sortedHosts any more
 }
 
+// write appends bytes, unless they exceed maxBytes.
 func (c *codec) write(raw ...byte) {
-	if c.failed = c.failed || len(c.buf)+len(raw) > c.maxBytes; !c.failed {
+	c.failed = c.failed || len(c.buf)+len(raw) > c.maxBytes
+	if !c.failed {
 		c.buf = append(c.buf, raw...)
 	}
 }
 
-// take returns the next n bytes that are read; when there are too few, zeros.
+// read returns the next n bytes, zeros if there are fewer.
 func (c *codec) read(n int) []byte {
-	if c.failed = c.failed || len(c.buf) < n; c.failed {
+	c.failed = c.failed || len(c.buf) < n
+	if c.failed {
 		return make([]byte, n)
 	}
 	raw := c.buf[:n]
@@ -68,7 +97,7 @@
 	return raw
 }
 
-// word is a number of eight bytes: floats keep their bits, infinities too.
+// visitUint64 visits a number of eight bytes, little-endian.
 func (c *codec) visitUint64(v *uint64) {
 	if c.reading {
 		*v = binary.LittleEndian.Uint64(c.read(8))
@@ -79,6 +108,7 @@
 	c.write(raw[:]...)
 }
 
+// visitFloats visits floating-point numbers by their bits, so that infinities and NaN are kept.
 func (c *codec) visitFloats(all ...*float64) {
 	for _, v := range all {
 		bits := math.Float64bits(*v)
@@ -87,19 +117,21 @@
 	}
 }
 
+// visitBools visits truth values, a byte each.
 func (c *codec) visitBools(all ...*bool) {
 	for _, v := range all {
-		if c.reading {
+		switch {
+		case c.reading:
 			*v = c.read(1)[0] != 0
-		} else if *v {
+		case *v:
 			c.write(1)
-		} else {
+		default:
 			c.write(0)
 		}
 	}
 }
 
-// whole visits whole numbers, most of which are small.
+// visitInts visits integers as signed varints: most are small.
 func visitInts[T ~int | ~uint8 | ~uint32](c *codec, all ...*T) {
 	for _, v := range all {
 		if c.reading {
@@ -114,12 +146,14 @@
 	}
 }
 
-// each visits the elements of a slice, each of which takes a byte at least.
+// visitSlice visits the length of a slice and its elements, each of which takes a byte at least.
 func visitSlice[T any](c *codec, s *[]T, visit func(*T)) {
 	n := len(*s)
 	visitInts(c, &n)
 	if c.reading {
-		if c.failed = c.failed || n < 0 || n > len(c.buf); c.failed {
+		// Danger: a broken length must not make this allocate more than the checkpoint's own size in elements.
+		c.failed = c.failed || n < 0 || n > len(c.buf)
+		if c.failed {
 			n = 0
 		}
 		*s = make([]T, n)
@@ -129,78 +163,101 @@
 	}
 }
 
-// class visits the number of a class, which others use as an index.
+// visitClass visits the index of a class and checks it.
 func (c *codec) visitClass(v *int) {
 	visitInts(c, v)
-	if c.failed = c.failed || *v < 0 || *v >= len(c.b.settings.Classes); c.failed && c.reading {
+	c.failed = c.failed || *v < 0 || *v >= len(c.b.settings.Classes)
+	if c.failed && c.reading {
 		*v = 0
 	}
 }
 
-// perClass visits one number for each class.
+// visitPerClass visits one number for each class.
 func (c *codec) visitPerClass(s *[]float64) {
 	visitSlice(c, s, func(v *float64) { c.visitFloats(v) })
 	c.failed = c.failed || len(*s) != len(c.b.settings.Classes)
 }
 
-// place returns the number of a host's place, -1 if it has none yet.
+// hostIndex returns the index by which a host is written, -1 if it has none yet.
 func (c *codec) hostIndex(h *host) int {
-	order := c.b.sortedHosts // sorted by id
-	i := sort.Search(len(order), func(i int) bool { return order[i].ID >= h.ID })
-	if i < len(order) && order[i] == h {
+	hosts := c.b.sortedHosts
+	i := sort.Search(len(hosts), func(i int) bool { return hosts[i].ID >= h.ID })
+	if i < len(hosts) && hosts[i] == h {
 		return i
 	}
 	if i = slices.Index(c.pastHosts, h); i >= 0 {
-		return len(order) + i
+		return len(hosts) + i
 	}
 	return -1
 }
 
-// link visits a pointer to a host; nil is -1.
+// visitHostLink visits a pointer to a host as its index; nil is -1.
 func (c *codec) visitHostLink(p **host) {
-	n := -1
+	index := -1
 	if !c.reading && *p != nil {
-		n = c.hostIndex(*p)
+		index = c.hostIndex(*p)
 	}
-	visitInts(c, &n)
-	if !c.reading || n == -1 {
+	visitInts(c, &index)
+	if !c.reading || index == -1 {
 		return
 	}
-	all := len(c.b.sortedHosts) + len(c.pastHosts)
+	sorted := len(c.b.sortedHosts)
 	switch {
-	case c.failed || n < 0 || n >= all:
+	case c.failed || index < 0 || index >= sorted+len(c.pastHosts):
 		c.failed = true
-	case n < len(c.b.sortedHosts):
-		*p = c.b.sortedHosts[n]
+	case index < sorted:
+		*p = c.b.sortedHosts[index]
 	default:
-		*p = c.pastHosts[n-len(c.b.sortedHosts)]
+		*p = c.pastHosts[index-sorted]
 	}
 }
 
-// gather finds the hosts that only requests know.
+// collectPastHosts finds the hosts that are not in sortedHosts any more, in the order in which they are first referred to.
 func (c *codec) collectPastHosts() {
-	note := func(h *host) {
+	collect := func(h *host) {
 		if h != nil && c.hostIndex(h) < 0 {
 			c.pastHosts = append(c.pastHosts, h)
 		}
 	}
 	for _, h := range c.b.members {
-		note(h)
+		collect(h)
 	}
-	note(c.b.lastScanned)
+	collect(c.b.lastScanned)
 	for _, r := range c.b.liveRequests {
-		note(r.suspectHost)
+		collect(r.suspectHost)
 		for i := range r.attempts {
-			note(r.attempts[i].host)
+			collect(r.attempts[i].host)
 		}
 	}
 }
 
+// visitBalancer visits the complete state. The order is the form: it can't change without checkpointForm.
 func (c *codec) visitBalancer() {
 	b := c.b
 	c.visitRandomState()
-	c.visitFloats(&b.now, &b.wakeAt, &b.wantedMembers, &b.proxiesPerHost, &b.listRequestAt, &b.listBackoffSeconds, &b.tightestTargetSeconds, &b.probeRTTSeconds, &b.idleProbeSeconds, &b.usualQueueFraction, &b.meanGap, &b.meanLatencyRatio, &b.phiUpdatedAt,
-		&b.warmCapacity, &b.warmMemberSent, &b.nextScanAt, &b.serviceSeconds, &b.meanWorkSeconds, &b.idleConnLosses, &b.maxConnIdleSeconds, &b.idleDistrustUntil, &b.retryBudget, &b.errorFraction, &b.sendRate.rate, &b.sendRate.updatedAt, &b.arrivalRate.rate, &b.arrivalRate.updatedAt, &b.tenantRequestsAt)
+	c.visitEstimates()
+	visitSlice(c, (*[]unservedRequest)(&b.unserved), c.visitUnserved)
+	if !c.reading {
+		c.collectPastHosts()
+	}
+	visitSlice(c, &b.sortedHosts, c.visitHost)
+	visitSlice(c, &c.pastHosts, c.visitHost)
+	visitSlice(c, &b.members, c.visitHostLink)
+	c.visitHostLink(&b.lastScanned)
+	visitSlice(c, &b.liveRequests, c.visitRequest)
+	if c.reading && !c.failed {
+		c.rebuildIndexes()
+	}
+}
+
+// visitEstimates visits what is neither a host nor a request.
+func (c *codec) visitEstimates() {
+	b := c.b
+	c.visitFloats(&b.now, &b.wakeAt, &b.wantedMembers, &b.proxiesPerHost, &b.listRequestAt, &b.listBackoffSeconds,
+		&b.tightestTargetSeconds, &b.probeRTTSeconds, &b.idleProbeSeconds, &b.usualQueueFraction, &b.meanGap,
+		&b.meanLatencyRatio, &b.phiUpdatedAt, &b.warmCapacity, &b.warmMemberSent, &b.nextScanAt, &b.serviceSeconds,
+		&b.meanWorkSeconds, &b.idleConnLosses, &b.maxConnIdleSeconds, &b.idleDistrustUntil, &b.retryBudget, &b.errorFraction,
+		&b.sendRate.rate, &b.sendRate.updatedAt, &b.arrivalRate.rate, &b.arrivalRate.updatedAt, &b.tenantRequestsAt)
 	c.visitBools(&b.isWakeArmed, &b.isWatching, &b.pollsReports, &b.isReplicaSet)
 	visitInts(c, &b.loadField)
 	visitInts(c, &b.configuredReplicas, &b.settings.Self, &b.settings.Replicas)
@@ -214,23 +271,20 @@
 	c.failed = c.failed || len(b.clientTimeouts) != len(b.settings.Classes)
 	visitSlice(c, &b.tenantRequests, func(v *float64) { c.visitFloats(v) })
 	c.failed = c.failed || len(b.tenantRequests) != len(b.settings.Tenants)
-	visitSlice(c, (*[]unservedRequest)(&b.unserved), func(e *unservedRequest) {
-		c.visitClass(&e.class)
-		visitInts(c, &e.tenant)
-		c.visitUint64(&e.key)
-		c.visitFloats(&e.targetAt, &e.expiresAt)
-	})
-	if !c.reading {
-		c.collectPastHosts()
-	}
-	visitSlice(c, &b.sortedHosts, c.visitHost)
-	visitSlice(c, &c.pastHosts, c.visitHost)
-	visitSlice(c, &b.members, c.visitHostLink)
-	c.visitHostLink(&b.lastScanned)
-	visitSlice(c, &b.liveRequests, c.visitRequest)
-	if !c.reading || c.failed {
-		return
-	}
+}
+
+// visitUnserved visits an unserved request.
+func (c *codec) visitUnserved(e *unservedRequest) {
+	c.visitClass(&e.class)
+	visitInts(c, &e.tenant)
+	c.visitUint64(&e.key)
+	c.visitFloats(&e.targetAt, &e.expiresAt)
+}
+
+// rebuildIndexes derives from what was read what is not written: maps, member groups and the queue. It checks what later code
+// relies on.
+func (c *codec) rebuildIndexes() {
+	b := c.b
 	for _, h := range b.sortedHosts {
 		b.hosts[h.ID] = h
 	}
@@ -238,7 +292,8 @@
 		b.groups.updateMeanSize(b.members, b.settings.SizesComparable)
 	}
 	for _, h := range b.members {
-		if c.failed = c.failed || h == nil || h.group > groupWarming; c.failed {
+		c.failed = c.failed || h == nil || h.group > groupWarming
+		if c.failed {
 			return
 		}
 		if len(b.members) > maxScannedMembers {
@@ -252,27 +307,27 @@
 			b.queue.schedule(r, r.dispatchAt)
 		}
 	}
-	c.failed = slices.Contains(b.members, nil) || !slices.IsSortedFunc(b.sortedHosts, func(x, y *host) int { return int(x.ID) - int(y.ID) })
+	c.failed = slices.Contains(b.members, nil) ||
+		!slices.IsSortedFunc(b.sortedHosts, func(x, y *host) int { return int(x.ID) - int(y.ID) })
 }
 
-// random visits the state of the random numbers.
+// visitRandomState visits the state of the random numbers.
 func (c *codec) visitRandomState() {
 	if c.reading {
-		if err := c.b.pcg.UnmarshalBinary(c.read(pcgBytes)); err != nil {
+		if err := c.b.pcg.UnmarshalBinary(c.read(randomStateBytes)); err != nil {
 			c.failed = true
 		}
 		return
 	}
-	var room [pcgBytes]byte
+	var room [randomStateBytes]byte
 	raw, err := c.b.pcg.AppendBinary(room[:0])
-	if c.write(raw...); err != nil || len(raw) != pcgBytes {
-		panic(fmt.Sprintf("policy: %d bytes of random state: %v", len(raw), err)) // the library has changed its form
+	c.write(raw...)
+	if err != nil || len(raw) != randomStateBytes {
+		panic(fmt.Sprintf("policy: %d bytes of random state: %v", len(raw), err)) // the standard library has changed the form
 	}
 }
 
-// pcgBytes is the length of a PCG's state.
-const pcgBytes = 20
-
+// visitHost visits a host.
 func (c *codec) visitHost(p **host) {
 	if c.reading {
 		*p = &host{}
@@ -281,9 +336,10 @@
 	visitInts(c, &h.ID)
 	visitInts(c, &h.Zone, &h.Kind, &h.Cell, &h.connFailures)
 	visitInts(c, &h.State)
-	c.visitFloats(&h.Size, &h.Started, &h.goneAt, &h.currentCadence, &h.nextCadence, &h.lastAnswerAt, &h.nextProbeAt, &h.probedAt, &h.polledAt, &h.phi,
-		&h.connFailedAt, &h.recoveryStartedAt, &h.lastResponseAt, &h.reportedLoad, &h.reportSentAt, &h.latencyRatio, &h.latencyRatioAt, &h.queueSeconds, &h.queueMeasuredAt, &h.concurrencyLimit,
-		&h.limitCutAt, &h.windowStart, &h.windowSent, &h.previousWindowSent, &h.windowDraw)
+	c.visitFloats(&h.Size, &h.Started, &h.goneAt, &h.currentCadence, &h.nextCadence, &h.lastAnswerAt, &h.nextProbeAt, &h.probedAt,
+		&h.polledAt, &h.phi, &h.connFailedAt, &h.recoveryStartedAt, &h.lastResponseAt, &h.reportedLoad, &h.reportSentAt,
+		&h.latencyRatio, &h.latencyRatioAt, &h.queueSeconds, &h.queueMeasuredAt, &h.concurrencyLimit, &h.limitCutAt,
+		&h.windowStart, &h.windowSent, &h.previousWindowSent, &h.windowDraw)
 	c.visitBools(&h.isWithdrawn, &h.isMember, &h.hasAnswered)
 	visitInts(c, &h.group)
 	visitSlice(c, &h.gaps, func(v *float32) {
@@ -296,13 +352,14 @@
 	}
 	c.visitPerClass(&h.rejections)
 	c.visitPerClass(&h.backoffUntil)
-	visitSlice(c, &h.inFlight, func(o *inFlightAttempt) {
-		visitInts(c, &o.requestID)
-		c.visitClass(&o.class)
-		c.visitFloats(&o.sentAt, &o.expectedSeconds, &o.expectedQueueSeconds, &o.connIdleSeconds)
+	visitSlice(c, &h.inFlight, func(a *inFlightAttempt) {
+		visitInts(c, &a.requestID)
+		c.visitClass(&a.class)
+		c.visitFloats(&a.sentAt, &a.expectedSeconds, &a.expectedQueueSeconds, &a.connIdleSeconds)
 	})
 }
 
+// visitRequest visits a request without a final answer.
 func (c *codec) visitRequest(p **request) {
 	if c.reading {
 		*p = &request{}
@@ -313,12 +370,13 @@
 	c.visitClass(&q.Class)
 	visitInts(c, &q.Tenant)
 	c.visitUint64(&q.Key)
-	c.visitFloats(&q.Deadline, &q.WorkSeconds, &q.HeldBackSeconds, &r.arrivedAt, &r.relativeWork, &r.targetAt, &r.dispatchAt, &r.lostAt)
+	c.visitFloats(&q.Deadline, &q.WorkSeconds, &q.HeldBackSeconds, &r.arrivedAt, &r.relativeWork, &r.targetAt, &r.dispatchAt,
+		&r.lostAt)
 	c.visitBools(&q.HasWork, &q.Repeat, &r.isWaiting, &r.isHeld, &r.isOverShare)
 	if c.failed {
 		return
 	}
-	r.class = &c.b.settings.Classes[q.Class] // as Balancer.Request takes it
+	r.class = &c.b.settings.Classes[q.Class]
 	c.visitHostLink(&r.suspectHost)
 	visitSlice(c, &r.attempts, func(a *attempt) {
 		c.visitHostLink(&a.host)
@@ -327,21 +385,3 @@
 		c.failed = c.failed || a.host == nil
 	})
 }
-
-// Succeed returns a Balancer for the process that takes the place of the one whose checkpoint it is. What is known of hosts
-// passes over; requests do not: the old process still answers those that it has. The time in which nobody listened is no
-// sign against a host.
-func RestoreSuccessor(s Settings, state []byte, now float64, do Actions) (*Balancer, error) {
-	b, err := Restore(s, state, do)
-	if err != nil {
-		return nil, err
-	}
-	b.liveRequests, b.queue, b.lastScanned, b.requestsByID = nil, queue{}, nil, map[uint32]*request{}
-	for _, h := range b.sortedHosts {
-		h.inFlight, h.probedAt, h.polledAt = nil, 0, 0
-	}
-	b.isWakeArmed, b.isWatching, b.isReplicaSet = false, false, false
-	b.configuredReplicas, b.settings.Self, b.settings.Replicas = s.Replicas, s.Self, s.Replicas
-	b.ObserveStall(now, max(now-b.now, 0))
-	return b, nil
-}
--- /dev/null
+++ b/policy/decayingrate.go
@@ -0,0 +1,17 @@
+package policy
+
+import "math"
+
+// decayingRate is a rate of events with exponential decay.
+type decayingRate struct{ rate, updatedAt float64 }
+
+// valueAt returns the rate a second.
+func (r *decayingRate) valueAt(now, decaySeconds float64) float64 {
+	return r.rate * math.Exp(-(now-r.updatedAt)/decaySeconds)
+}
+
+// add counts events.
+func (r *decayingRate) add(now, decaySeconds, events float64) {
+	r.rate = r.valueAt(now, decaySeconds) + events/decaySeconds
+	r.updatedAt = now
+}
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -3,12 +3,16 @@
 import "slices"
 
 const (
-	repollFraction      = 0.12 // of the aim: when a held request looks again
-	maxHoldFraction     = 0.15 // of the aim: longest hold of a request nobody can take
-	estimateRelaxFactor = 0.98 // what estimates keep at each request that nobody could take
+	// repollFraction, of the class's latency target, is the interval at which a held request is dispatched again.
+	repollFraction = 0.12
+	// maxHoldFraction, of the time to a request's target, is the longest hold of a request that no host can take. More serves
+	// more requests after a burst; less leaves clients more time for another try elsewhere.
+	maxHoldFraction = 0.15
+	// estimateRelaxFactor is by what factor an estimate shrinks with each request that it made be refused.
+	estimateRelaxFactor = 0.98
 )
 
-// want asks for a send of a request, after fresh reports where they must be fetched.
+// dispatch sends a request, or queues it until the load reports that the pick needs have come.
 func (b *Balancer) dispatch(r *request) {
 	r.isWaiting = true
 	b.queue.schedule(r, b.now)
@@ -20,33 +24,41 @@
 	b.pollReports(r)
 }
 
-// place sends a waiting request, holds it or gives it up.
+// sendOrHold sends a waiting request if a host can take it. Else it holds the request for another dispatch, or answers it
+// as unserved when it was held long enough, is over its tenant's share or could not be answered by its target at all.
 func (b *Balancer) sendOrHold(r *request) {
 	if h := r.suspectHost; h != nil && b.pollsReports && h.reportSentAt < r.lostAt-b.settings.TickSeconds {
+		// The host has not answered since it reset the connection: it crashed, maybe by this request.
 		r.targetAt = b.now
-		b.answerUnserved(r) // it was the host that died, not the connection alone
+		b.answerUnserved(r)
 		return
 	}
 	if b.trySend(r) {
 		return
 	}
-	hopeless := r.HasWork && b.pollsReports && b.now+hintedTimeFactor*b.serviceSeconds*r.relativeWork > r.targetAt // even for an idle host
+	hopeless := r.HasWork && b.pollsReports && b.now+hintedTimeFactor*b.serviceSeconds*r.relativeWork > r.targetAt // even at an idle host
 	if r.isOverShare || hopeless || b.now-r.arrivedAt >= maxHoldFraction*(r.targetAt-r.arrivedAt) {
-		// Danger: an estimate that lets nothing through is never corrected by an answer. It fades.
-		for _, guess := range [...]*float64{&b.serviceSeconds, &b.classMeanSeconds[r.Request.Class]} {
-			if guessedTimeFactor**guess > 0.8*r.class.LatencyTargetSeconds {
-				*guess *= estimateRelaxFactor
-			}
-		}
+		b.relaxEstimates(r)
 		b.answerUnserved(r)
 		return
 	}
 	r.isHeld = true
-	b.queue.schedule(r, min(b.now+max(repollFraction*r.class.LatencyTargetSeconds, b.settings.TickSeconds), r.Deadline-b.settings.TickSeconds))
+	holdSeconds := max(repollFraction*r.class.LatencyTargetSeconds, b.settings.TickSeconds)
+	b.queue.schedule(r, min(b.now+holdSeconds, r.Deadline-b.settings.TickSeconds))
 	b.armWake(r.dispatchAt)
 }
 
-// settle sends a waiting request if there is a host for it, and tells whether.
+// relaxEstimates shrinks the estimates by which a request was refused. Danger: an estimate that lets no request through is
+// never corrected by an answer.
+func (b *Balancer) relaxEstimates(r *request) {
+	for _, estimate := range [...]*float64{&b.serviceSeconds, &b.classMeanSeconds[r.Request.Class]} {
+		if guessedTimeFactor**estimate > 0.8*r.class.LatencyTargetSeconds {
+			*estimate *= estimateRelaxFactor
+		}
+	}
+}
+
+// trySend sends a waiting request if there is a host for it, and returns whether there was.
 func (b *Balancer) trySend(r *request) bool {
 	h := b.pickHost(r)
 	if h == nil || !b.startAttempt(r, h) {
@@ -57,11 +69,16 @@
 	return true
 }
 
-// giveUp answers a request at once: refused if nothing may have run, else failed. Its aim is kept for the
-// client's next try: work on a marked repeat is lost once the aim of the first try has passed.
+// answerUnserved gives a request its final answer without a host's: refused if a retry is harmless, else failed. Its target is
+// kept for the client's next try, since work on that is lost once the target of the first try has passed.
 func (b *Balancer) answerUnserved(r *request) {
-	e := unservedRequest{r.Request.Class, r.Tenant, r.Key, r.targetAt, r.arrivedAt + r.class.TotalTimeoutSeconds}
-	b.unserved = b.unserved.appended(e, b.now)
+	b.unserved = b.unserved.appended(unservedRequest{
+		class:     r.Request.Class,
+		tenant:    r.Tenant,
+		key:       r.Key,
+		targetAt:  r.targetAt,
+		expiresAt: r.arrivedAt + r.class.TotalTimeoutSeconds,
+	}, b.now)
 	if b.isSafeToRefuse(r) {
 		b.actions.Refuse(r.ID, b.settings.MaxRetryAfterSeconds*(0.5+0.5*b.rng.Float64()))
 	} else {
@@ -70,15 +87,16 @@
 	b.finishRequest(r, true)
 }
 
-// pump places the requests whose time has come; of those that wait for polls, once all of them are answered.
+// dispatchDue dispatches the queued requests that are due, and where reports are polled also those that wait for answers of
+// polls when none is outstanding any more.
 func (b *Balancer) dispatchDue() {
-	due, wait := b.now, b.pollTimeout()
+	dueAt, timeoutSeconds := b.now, b.pollTimeout()
 	if b.pollsReports && b.queue.len() > 0 && !slices.ContainsFunc(b.members, func(h *host) bool {
-		return h.polledAt > 0 && b.now-h.polledAt < wait
+		return h.polledAt > 0 && b.now-h.polledAt < timeoutSeconds
 	}) {
-		due += wait
+		dueAt += timeoutSeconds
 	}
-	for _, r := range b.queue.popDue(due) {
+	for _, r := range b.queue.popDue(dueAt) {
 		if r.isHeld && b.pollsReports {
 			r.isHeld = false
 			b.pollReports(r)
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -6,27 +6,25 @@
 )
 
 const (
-	initialListBackoffSeconds = 1.0  // longest wait until the list is asked for after a failure
-	maxListBackoffSeconds     = 2.0  // and after further ones: what a failed call missed counts as told 6 s later
-	forgetHostSeconds         = 60.0 // what the list no longer names is forgotten then
+	// initialListBackoffSeconds is the longest delay before the list is requested again after a first failure.
+	initialListBackoffSeconds = 1.0
+	// maxListBackoffSeconds bounds the doubling backoff. Danger: a change that a failed request missed counts as delivered 6 s
+	// later; a longer backoff would send to hosts that are known to drain.
+	maxListBackoffSeconds = 2.0
+	// minListBackoffFraction is the fraction of the backoff that every proxy waits.
+	minListBackoffFraction = 0.2
+	// maxListRequestJitterSeconds spreads the first request after a cached list.
+	maxListRequestJitterSeconds = 0.2
+	// forgetHostSeconds is how long a host that the list no longer names is remembered.
+	forgetHostSeconds = 60.0
 )
 
-// soonestAsk is the part of a wait for the list that is always waited.
-const minListBackoffFraction = 0.2
-
-// Hosts takes a list of hosts.
+// UpdateHosts applies an endpoint list, or the failure to get one. After it the subset is chosen anew and waiting requests
+// are dispatched.
 func (b *Balancer) UpdateHosts(now float64, kind ListKind, list []HostInfo) {
 	b.now = now
 	if kind == ListFailed {
-		// Danger: all proxies asking again at once keep the list service down: they ask in turn. Waits
-		// beyond some seconds send to hosts whose drain counts as told by then.
-		if b.isWatching {
-			b.actions.Log("the list of hosts is not to be had: asking again, hosts are known by their answers")
-		}
-		b.isWatching = false
-		b.listBackoffSeconds = min(max(2*b.listBackoffSeconds, initialListBackoffSeconds), maxListBackoffSeconds)
-		b.listRequestAt = now + b.listBackoffDelay()
-		b.armWake(b.listRequestAt)
+		b.scheduleListRetry()
 		return
 	}
 	if kind == ListFull {
@@ -34,53 +32,86 @@
 			h.State = Gone
 		}
 	}
-	for _, e := range list {
-		h := b.hosts[e.ID]
-		if h == nil {
-			h = &host{HostInfo: HostInfo{ID: e.ID}}
-			b.resetHost(h)
-			b.hosts[e.ID] = h
-			b.sortedHosts = append(b.sortedHosts, h)
-		}
-		if e.Started > h.Started && e.State == Ready {
-			b.resetHost(h)
-		}
-		h.HostInfo = e
+	for _, info := range list {
+		b.updateHost(info)
 	}
 	slices.SortFunc(b.sortedHosts, func(x, y *host) int { return cmp.Compare(x.ID, y.ID) })
-	// Departed hosts are forgotten in time, or memory and work would grow with every release.
+	b.withdrawAndForget()
+	b.isWatching = kind != ListCached
+	b.listBackoffSeconds = 0
+	if !b.isWatching {
+		b.listRequestAt = now + b.rng.Float64()*maxListRequestJitterSeconds
+		b.armWake(b.listRequestAt)
+	}
+	b.chooseSubset()
+	b.dispatchDue()
+}
+
+// scheduleListRetry arms the next list request after a failed one, with a doubling backoff.
+//
+// Danger: proxies that all request the list at once keep an overloaded list service down. listBackoffDelay spreads them.
+func (b *Balancer) scheduleListRetry() {
+	if b.isWatching {
+		b.actions.Log("the list of hosts is not to be had: asking again, hosts are known by their answers")
+	}
+	b.isWatching = false
+	b.listBackoffSeconds = min(max(2*b.listBackoffSeconds, initialListBackoffSeconds), maxListBackoffSeconds)
+	b.listRequestAt = b.now + b.listBackoffDelay()
+	b.armWake(b.listRequestAt)
+}
+
+// listBackoffDelay returns the delay in seconds before the next list request, at most listBackoffSeconds. Each proxy has a
+// slot by its replica index, with jitter inside the slot, so that the requests of all proxies are spread evenly whatever their number.
+func (b *Balancer) listBackoffDelay() float64 {
+	slot := (float64(spreadIndex(b.settings.Self, b.settings.Replicas)) + b.rng.Float64()) / float64(max(b.settings.Replicas, 1))
+	return b.listBackoffSeconds * (minListBackoffFraction + (1-minListBackoffFraction)*slot)
+}
+
+// updateHost applies one entry of the list. A host that was started anew since the last entry loses what was learned of it.
+func (b *Balancer) updateHost(info HostInfo) {
+	h := b.hosts[info.ID]
+	if h == nil {
+		h = &host{HostInfo: HostInfo{ID: info.ID}}
+		b.resetHost(h)
+		b.hosts[info.ID] = h
+		b.sortedHosts = append(b.sortedHosts, h)
+	}
+	if info.Started > h.Started && info.State == Ready {
+		b.resetHost(h)
+	}
+	h.HostInfo = info
+}
+
+// withdrawAndForget updates isWithdrawn of all hosts and forgets those that have been gone for forgetHostSeconds; without that,
+// memory and work would grow with every release of the service.
+func (b *Balancer) withdrawAndForget() {
 	b.sortedHosts = slices.DeleteFunc(b.sortedHosts, func(h *host) bool {
-		// Where only draining binds, an old list may call a host ready again that was told to drain.
+		// With GoneHostsUsable only a drain withdraws a host, and a drain is final: an older list that calls the host ready
+		// again must not bring it back.
 		h.isWithdrawn = h.State == Draining || h.State == Gone && !b.settings.GoneHostsUsable ||
 			h.isWithdrawn && (h.State != Ready || b.settings.GoneHostsUsable)
 		if h.State != Gone {
-			h.goneAt = now
+			h.goneAt = b.now
 		}
-		if h.isMember || len(h.inFlight) > 0 || now-h.goneAt <= forgetHostSeconds {
+		if h.isMember || len(h.inFlight) > 0 || b.now-h.goneAt <= forgetHostSeconds {
 			return false
 		}
 		delete(b.hosts, h.ID)
 		return true
 	})
-	if b.isWatching, b.listBackoffSeconds = kind != ListCached, 0; !b.isWatching {
-		b.listRequestAt = now + b.rng.Float64()*0.2
-		b.armWake(b.listRequestAt)
-	}
-	b.chooseSubset()
-	b.dispatchDue()
 }
 
-// askTurn returns the wait until the list is asked for again after a failure, at most askWait. Proxies ask in the order of
-// their numbers, so that together they ask evenly whatever the size of the fleet.
-func (b *Balancer) listBackoffDelay() float64 {
-	turn := (float64(spreadIndex(b.settings.Self, b.settings.Replicas)) + b.rng.Float64()) / float64(max(b.settings.Replicas, 1))
-	return b.listBackoffSeconds * (minListBackoffFraction + (1-minListBackoffFraction)*turn)
-}
-
-// reset starts a host's life.
+// resetHost drops what was learned of a host, as it is new or was restarted. Attempts in flight stay.
 func (b *Balancer) resetHost(h *host) {
-	*h = host{HostInfo: h.HostInfo, inFlight: h.inFlight, latencyRatio: 1, isMember: h.isMember, gaps: h.gaps[:0],
-		rejections: make([]float64, len(b.settings.Classes)), backoffUntil: make([]float64, len(b.settings.Classes))}
+	*h = host{
+		HostInfo:     h.HostInfo,
+		inFlight:     h.inFlight,
+		latencyRatio: 1,
+		isMember:     h.isMember,
+		gaps:         h.gaps[:0],
+		rejections:   make([]float64, len(b.settings.Classes)),
+		backoffUntil: make([]float64, len(b.settings.Classes)),
+	}
 	if h.isMember {
 		b.addMember(h)
 	}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -6,93 +6,126 @@
 )
 
 const (
-	initialLimit       = 24.0 // requests in flight that all proxies allow a new host
-	minLimit           = 4.0  // and at least
-	minBackoffFraction = 0.05 // of the aim: shortest pause after a host has turned a request away
+	// initialLimit is the concurrency limit of a new host over all proxies that share it.
+	initialLimit = 24.0
+	// minLimit is the lowest concurrency limit over all proxies that share a host; one proxy's part of it is at most 1.
+	minLimit = 4.0
+	// minBackoffFraction, of the tightest latency target, is the unit of the backoff from a host that rejects requests.
+	minBackoffFraction = 0.05
+	// maxHostBackoffSeconds bounds that backoff.
+	maxHostBackoffSeconds = 2 * probeIntervalSeconds
+	// maxRejections bounds the exponent of that backoff.
+	maxRejections = 8
+	// failedLatencyRatio is the latency ratio that a failed attempt counts as. Danger: a host that fails fast must not look fast.
+	failedLatencyRatio = 6.0
+	// maxLatencyRatio bounds the latency ratio of an answer.
+	maxLatencyRatio = 10
+	// latencyRatioDecaySeconds is the age at which half of a latency ratio's distance from 1 has decayed.
+	latencyRatioDecaySeconds = 5
 )
 
-// learn takes from an outcome what it tells of the host; deadConn: it tells of the connection alone.
-func (b *Balancer) learnOutcome(h *host, res Result) (deadConn bool) {
-	i := slices.IndexFunc(h.inFlight, func(o inFlightAttempt) bool { return o.requestID == res.ID })
+// learnOutcome takes what the outcome of an attempt tells of its host. It returns whether it tells of the connection only.
+func (b *Balancer) learnOutcome(h *host, res Result) (onlyConnLost bool) {
+	i := slices.IndexFunc(h.inFlight, func(a inFlightAttempt) bool { return a.requestID == res.ID })
 	if i < 0 {
 		return false
 	}
-	o := h.inFlight[i]
+	sent := h.inFlight[i]
 	h.inFlight = slices.Delete(h.inFlight, i, i+1)
-	if b.lostOnIdleConn(o, res) {
+	if b.lostOnIdleConn(sent, res) {
 		return true
 	}
 	r := b.requestsByID[res.ID]
 	b.errorFraction *= 0.95
-	x := 6.0 // a host that fails fast must not look quick
+	ratio := failedLatencyRatio
 	switch res.Outcome {
 	case OK:
-		h.connFailures, h.lastResponseAt = 0, b.now
-		h.rejections[o.class] /= 2
-		x = min(res.DelaySeconds/o.expectedSeconds, 10)
-		b.learnLatency(h, r, res.DelaySeconds, o)
-	case HostError, Reset, TimedOut, ConnectFailed:
-		if res.Outcome == HostError {
-			// Danger: useless requests that fail anywhere condemn sound hosts. The more of all attempts err,
-			// the less an error accuses its host. A quick one costs no repeat.
-			b.backOff(h, o.class, 2-2*min(3*b.errorFraction, 1))
-			x -= 5 * min(3*b.errorFraction, 1)
-			b.errorFraction += 0.05
-			b.retryBudget += max(1-4*res.DelaySeconds/o.expectedSeconds, 0)
-		}
-		if res.Outcome == TimedOut {
-			b.cutLimit(h)
-		} else if res.Outcome != HostError {
-			h.connFailures, h.connFailedAt, b.phiUpdatedAt = h.connFailures+1, b.now, b.now-1
-		}
+		h.connFailures = 0
+		h.lastResponseAt = b.now
+		h.rejections[sent.class] /= 2
+		ratio = min(res.DelaySeconds/sent.expectedSeconds, maxLatencyRatio)
+		b.learnLatency(h, r, res.DelaySeconds, sent)
+	case HostError:
+		// Danger: bad requests that fail at any host would condemn healthy ones. The larger the fraction of all attempts that
+		// end with an error, the less an error counts against its host. A fast one gives its retry back to the budget.
+		commonness := min(3*b.errorFraction, 1)
+		b.backOff(h, sent.class, 2-2*commonness)
+		ratio -= 5 * commonness
+		b.errorFraction += 0.05
+		b.retryBudget += max(1-4*res.DelaySeconds/sent.expectedSeconds, 0)
+	case TimedOut:
+		b.cutLimit(h)
+	case Reset, ConnectFailed:
+		h.connFailures++
+		h.connFailedAt = b.now
+		b.phiUpdatedAt = b.now - 1 // the next pick updates phi
 	case Rejected:
-		if b.backOff(h, o.class, 1); b.proxiesPerHost > 2*probingProxies {
-			h.queueSeconds, h.queueMeasuredAt = max(b.queueDelay(h), 0.5*b.tightestTargetSeconds), b.now
+		b.backOff(h, sent.class, 1)
+		if b.isHostWidelyShared() {
+			h.queueSeconds = max(b.queueDelay(h), 0.5*b.tightestTargetSeconds)
+			h.queueMeasuredAt = b.now
 		}
 		return false
 	default:
 		return false
 	}
-	h.latencyRatio, h.latencyRatioAt = 0.9*b.decayedLatencyRatio(h)+0.1*x, b.now
+	h.latencyRatio = 0.9*b.decayedLatencyRatio(h) + 0.1*ratio
+	h.latencyRatioAt = b.now
 	return false
 }
 
-// shun leaves a host alone for a class, longer each time. Danger: one that refuses at once looks idle.
-func (b *Balancer) backOff(h *host, class int, step float64) {
-	h.rejections[class] = min(h.rejections[class]+step, 8)
-	h.backoffUntil[class] = b.now + min(minBackoffFraction*b.tightestTargetSeconds*math.Exp2(h.rejections[class]), 2*probeIntervalSeconds)
+// isHostWidelyShared returns whether so many proxies share a host that one answer tells more of its queue than the own attempts
+// in flight.
+func (b *Balancer) isHostWidelyShared() bool { return b.proxiesPerHost > 2*probingProxies }
+
+// backOff pauses new requests of a class to a host, with a pause that doubles with each rejection. Danger: a host that rejects
+// at once looks idle and would attract all requests.
+func (b *Balancer) backOff(h *host, class int, weight float64) {
+	h.rejections[class] = min(h.rejections[class]+weight, maxRejections)
+	pauseSeconds := min(minBackoffFraction*b.tightestTargetSeconds*math.Exp2(h.rejections[class]), maxHostBackoffSeconds)
+	h.backoffUntil[class] = b.now + pauseSeconds
 }
 
-// faded is a host's delay against what is usual; it fades to 1 as the samples age.
+// decayedLatencyRatio returns a host's delays in units of the expected ones; it decays to 1 as the samples age.
 func (b *Balancer) decayedLatencyRatio(h *host) float64 {
-	return 1 + (h.latencyRatio-1)/(1+(b.now-h.latencyRatioAt)/5)
+	return 1 + (h.latencyRatio-1)/(1+(b.now-h.latencyRatioAt)/latencyRatioDecaySeconds)
 }
 
-// learnTimes updates the usual times and, where reports are absent, the host's limit.
-func (b *Balancer) learnLatency(h *host, r *request, delay float64, o inFlightAttempt) {
-	b.serviceSeconds *= 1 + 0.02*(min(delay/o.expectedSeconds, 3)-1)
+// learnLatency updates the usual service times by an answer and, where reports are absent, the host's concurrency limit. r is
+// nil when the request has had its final answer before.
+func (b *Balancer) learnLatency(h *host, r *request, delaySeconds float64, sent inFlightAttempt) {
+	b.serviceSeconds *= 1 + 0.02*(min(delaySeconds/sent.expectedSeconds, 3)-1)
 	if r == nil {
 		return
 	}
 	mean := &b.classMeanSeconds[r.Request.Class]
-	b.kindFactors.learn(h.Kind, max(delay-o.expectedQueueSeconds, 0) / *mean)
-	if b.proxiesPerHost > 2*probingProxies { // where few share a host, own requests in flight tell more than one answer
-		h.queueSeconds, h.queueMeasuredAt = max(delay-2.4**mean/b.capacityFraction(h), 0.5*b.queueDelay(h)), b.now
+	b.kindFactors.learn(h.Kind, max(delaySeconds-sent.expectedQueueSeconds, 0) / *mean)
+	if b.isHostWidelyShared() {
+		h.queueSeconds = max(delaySeconds-2.4**mean/b.capacityFraction(h), 0.5*b.queueDelay(h))
+		h.queueMeasuredAt = b.now
 	}
-	*mean += 0.02 * (min(max(delay-o.expectedQueueSeconds, 0.3**mean), 4*r.class.LatencyTargetSeconds) - *mean)
-	aim := math.Inf(1) // what this class may take while the class with the tightest aim still fits
-	for i, m := range b.classMeanSeconds {
-		aim = min(aim, b.settings.Classes[i].LatencyTargetSeconds**mean/m)
+	*mean += 0.02 * (min(max(delaySeconds-sent.expectedQueueSeconds, 0.3**mean), 4*r.class.LatencyTargetSeconds) - *mean)
+	b.adaptLimit(h, *mean, delaySeconds)
+}
+
+// adaptLimit adapts a host's concurrency limit by an answer, with additive increase and multiplicative decrease: it is cut by a
+// slow answer, at most once in the time of one, and grows by fast answers while the limit is nearly used. mean is the mean
+// delay of the answer's class.
+func (b *Balancer) adaptLimit(h *host, mean, delaySeconds float64) {
+	targetSeconds := math.Inf(1) // longest delay in this class at which the class with the tightest target is still met
+	for i, otherMean := range b.classMeanSeconds {
+		targetSeconds = min(targetSeconds, b.settings.Classes[i].LatencyTargetSeconds*mean/otherMean)
 	}
 	switch {
-	case delay > 0.3*aim && b.now-h.limitCutAt > 0.3*aim:
+	case delaySeconds > 0.3*targetSeconds && b.now-h.limitCutAt > 0.3*targetSeconds:
 		b.cutLimit(h)
-	case delay < 0.2*aim && float64(len(h.inFlight))+1 >= 0.6*h.concurrencyLimit:
+	case delaySeconds < 0.2*targetSeconds && float64(len(h.inFlight))+1 >= 0.6*h.concurrencyLimit:
 		h.concurrencyLimit += min(1/h.concurrencyLimit, 0.5*h.concurrencyLimit)
 	}
 }
 
-// cut shrinks a host's limit; where it is small, samples are rare and each one tells more.
+// cutLimit decreases a host's concurrency limit. A small limit is cut by more: samples are rare there, and each one tells more.
 func (b *Balancer) cutLimit(h *host) {
-	h.concurrencyLimit, h.limitCutAt = max(min(1, minLimit/b.proxiesPerHost), h.concurrencyLimit*min(0.5+0.1*h.concurrencyLimit, 0.85)), b.now
+	h.concurrencyLimit = max(min(1, minLimit/b.proxiesPerHost), h.concurrencyLimit*min(0.5+0.1*h.concurrencyLimit, 0.85))
+	h.limitCutAt = b.now
 }
--- a/policy/phi.go
+++ b/policy/phi.go
@@ -6,15 +6,31 @@
 	"slices"
 )
 
+// The failure detector is the phi accrual detector of N. Hayashibara, X. Défago, R. Yared and T. Katayama, "The phi accrual
+// failure detector", SRDS 2004: instead of a verdict it gives a suspicion level that grows with the silence, on the scale of
+// the usual gaps between a host's answers, taken as normally distributed. Gaps are measured in cadences, since the cadence
+// changes.
 const (
-	gapWindowSize    = 30  // gaps kept for each member
-	seedGaps         = 3   // gaps that a new or restarted host's window starts with
-	minSigmaFraction = 0.1 // floor of sigma, as a part of the cadence; its cap is twice that
-	phiSuspect       = 3.0 // above it a member is drawn half as often
-	phiUnavailable   = 8.0 // above it a member gets probes and no traffic
+	// gapWindowSize is how many gaps are kept for each member. More make the estimate steadier and slower to follow.
+	gapWindowSize = 30
+	// seedGaps is how many mean gaps a window starts with, so that mean and sigma are defined.
+	seedGaps = 3
+	// minSigmaFraction bounds sigma from below, in cadences; it is bounded from above by twice that. A higher bound tolerates
+	// longer silences.
+	minSigmaFraction = 0.1
+	// phiSuspect is the level above which a member is a candidate for only half of the picks.
+	phiSuspect = 3.0
+	// phiUnavailable is the level above which a member gets probes only. At phi 8 a silence as long has a probability of 1e-8.
+	phiUnavailable = 8.0
+	// connFailureMemorySeconds is how long failed connections count against a host.
+	connFailureMemorySeconds = 2 * probeIntervalSeconds
+	// minPhiUpdateSeconds, and phiUpdateSecondsPerMember for each member, are the least time between two updates of all levels.
+	minPhiUpdateSeconds       = 0.01
+	phiUpdateSecondsPerMember = 1e-5
 )
 
-// Phi is the suspicion after a silence: -log10 of the probability that a gap is still longer.
+// Phi returns the suspicion level after a silence: -log10 of the probability that a gap of the normal distribution with mean
+// and sigma is longer. All three are in the same unit.
 func Phi(silence, mean, sigma float64) float64 {
 	x := (silence - mean) / (sigma * math.Sqrt2)
 	if x > 20 { // erfc underflows; its asymptote does not
@@ -23,27 +39,30 @@
 	return -math.Log10(0.5 * math.Erfc(x))
 }
 
-// measure takes the mean and the sigma of the window.
+// updateGapStats computes mean and sigma of the window of gaps, which must not be empty.
 func (h *host) updateGapStats() {
-	var sum, sq float64
-	for _, g := range h.gaps {
-		sum += float64(g)
-		sq += float64(g * g)
+	var sum, sumOfSquares float64
+	for _, gap := range h.gaps {
+		sum += float64(gap)
+		sumOfSquares += float64(gap * gap)
 	}
 	h.gapMean = sum / float64(len(h.gaps))
-	h.gapSigma = math.Sqrt(max(sq/float64(len(h.gaps))-h.gapMean*h.gapMean, 0))
+	h.gapSigma = math.Sqrt(max(sumOfSquares/float64(len(h.gaps))-h.gapMean*h.gapMean, 0))
 }
 
-// suspicion is phi of a member's silence, by the mean and the clamped sigma of its window.
+// silencePhi returns the suspicion level of a member's present silence.
 func (b *Balancer) silencePhi(h *host) float64 {
-	return Phi((b.now-h.lastAnswerAt)/h.currentCadence, h.gapMean, min(max(h.gapSigma, minSigmaFraction), 2*minSigmaFraction))
+	sigma := min(max(h.gapSigma, minSigmaFraction), 2*minSigmaFraction)
+	return Phi((b.now-h.lastAnswerAt)/h.currentCadence, h.gapMean, sigma)
 }
 
-// doubt is what a member's silence and its refusals say against it. Danger: probes notice a dead host late,
-// requests die on it. Two connections that fail in a row shut it out till an answer or for two seconds; this
-// hurts a host that is only full.
+// suspicion returns the suspicion level of a host by its silence and its failed connections.
+//
+// Danger: probes detect a dead host only after some cadences, and the requests sent until then are lost. Two connections that
+// fail in a row therefore make it unavailable until it answers or for connFailureMemorySeconds. The price: a host whose
+// accept queue is only full is avoided, too.
 func (b *Balancer) suspicion(h *host) (phi float64) {
-	if b.now-h.connFailedAt < 2*probeIntervalSeconds {
+	if b.now-h.connFailedAt < connFailureMemorySeconds {
 		phi = (phiUnavailable + 1) / 2 * float64(h.connFailures)
 	}
 	if b.settings.ProbesEnabled {
@@ -52,35 +71,52 @@
 	return phi
 }
 
-// readPhi reads every member's suspicion. Danger: when most members fall silent it is the network or
-// this prober, and shutting all of them out would lose everything; then only a member that is worse
-// than its peers is suspected. It hurts when most hosts really die: sends to them must fail first.
+// updatePhi updates phi of all members and the averages over members that picks use, unless that was done a moment ago.
+//
+// Danger: with thousands of members an update for each pick would take most of the processor.
 func (b *Balancer) updatePhi() {
-	if b.now-b.phiUpdatedAt < max(0.01, 1e-5*float64(len(b.members))) { // Danger: thousands take long
+	if b.now-b.phiUpdatedAt < max(minPhiUpdateSeconds, phiUpdateSecondsPerMember*float64(len(b.members))) {
 		return
 	}
-	high, warm, sent, slow := 0, 0.0, 0.0, 0.0
-	b.phiUpdatedAt, b.warmCapacity = b.now, 0
+	unavailable := 0
+	warmMembers, warmSent, latencyRatios := 0.0, 0.0, 0.0
+	b.phiUpdatedAt = b.now
+	b.warmCapacity = 0
 	for _, h := range b.members {
-		slow += b.decayedLatencyRatio(h)
-		if b.warmCapacity += b.capacityFraction(h); b.capacityFraction(h) >= 1 && h.phi <= phiUnavailable {
-			warm, sent = warm+1, sent+h.previousWindowSent
+		latencyRatios += b.decayedLatencyRatio(h)
+		capacity := b.capacityFraction(h)
+		b.warmCapacity += capacity
+		if capacity >= 1 && h.phi <= phiUnavailable {
+			warmMembers++
+			warmSent += h.previousWindowSent
 		}
-		if h.phi = b.suspicion(h); h.phi > phiUnavailable {
-			high++
+		h.phi = b.suspicion(h)
+		if h.phi > phiUnavailable {
+			unavailable++
 		}
 	}
-	b.warmMemberSent, b.meanLatencyRatio = sent/max(warm, 1), slow/float64(max(len(b.members), 1))
-	if 2*high > len(b.members) {
-		low := slices.MinFunc(b.members, func(x, y *host) int { return cmp.Compare(x.phi, y.phi) }).phi
-		for _, h := range b.members {
-			h.phi -= low
-		}
+	b.warmMemberSent = warmSent / max(warmMembers, 1)
+	b.meanLatencyRatio = latencyRatios / float64(max(len(b.members), 1))
+	if 2*unavailable > len(b.members) {
+		b.discountCommonPhi()
 	}
 	b.groupMembers()
 }
 
-// candidate reads phi twice: above phiOut a member gets nothing, above phiCut it is drawn half as often.
+// discountCommonPhi subtracts the lowest level from all.
+//
+// Danger: when most members fall silent at once, the fault is the network's or this process's, and ejecting all of them would
+// leave no host. Only a member that is worse than the best one stays suspected. The price: when most hosts do die at once,
+// attempts at them have to fail before they are avoided.
+func (b *Balancer) discountCommonPhi() {
+	lowest := slices.MinFunc(b.members, func(x, y *host) int { return cmp.Compare(x.phi, y.phi) }).phi
+	for _, h := range b.members {
+		h.phi -= lowest
+	}
+}
+
+// isCandidate returns whether a member takes part in a pick. Between phiSuspect and phiUnavailable a random draw says so in
+// half of the cases, which costs a draw only then.
 func (b *Balancer) isCandidate(h *host) bool {
 	return h.phi <= phiSuspect || h.phi <= phiUnavailable && b.rng.Uint64()&1 == 0
 }
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -6,36 +6,49 @@
 )
 
 const (
-	warmingOptimism           = 1.4  // a cold host probably has so many times the least that it must have
-	hintedTimeFactor          = 0.85 // and a hinted one shorter by so much, or heavy requests are all refused
-	queueGrowthFactor         = 1.5  // a line probably grows before a request comes to its head
-	guessedTimeFactor         = 1.3  // a guessed time may well be so many times longer
-	crossZoneCostWeight       = 20.0 // how much dearer a host of another zone is, for the price of crossing
-	costJitterFraction        = 0.12 // costs that differ by less are alike, or all proxies would go to the same host
-	maxScannedMembers         = 32   // members that are looked at for each pick
-	scanPauseSecondsPerMember = 2e-6 // for each member: between two looks at all where they are more
+	// warmingOptimism is by how much a warming host's capacity is taken to exceed the least that it must have.
+	warmingOptimism = 1.4
+	// hintedTimeFactor is the margin on the time that a request's own work should take. Danger: from 1 on, heavy requests whose
+	// work is known would all be refused.
+	hintedTimeFactor = 0.85
+	// guessedTimeFactor is the margin on estimated times; more refuses sooner and answers fewer requests late.
+	guessedTimeFactor = 1.3
+	// queueGrowthFactor is by how much a queue is taken to grow before a request comes to its head.
+	queueGrowthFactor = 1.5
+	// crossZoneCostWeight converts CrossZonePrice into a relative increase of the cost of a host in another zone.
+	crossZoneCostWeight = 20.0
+	// costJitterFraction randomizes costs by up to this fraction. Danger: without it all proxies would pick the same host
+	// whenever one is slightly better than the others.
+	costJitterFraction = 0.12
+	// maxScannedMembers is the largest number of members that are compared one by one for each pick.
+	maxScannedMembers = 32
+	// scanPauseSecondsPerMember, for each member, is the least time between two comparisons of all where there are more.
+	scanPauseSecondsPerMember = 2e-6
 )
 
-// slowness is how much slower than the others a host is taken to be by its answers. Danger: in a flood all
-// are late, by lines that are counted already; held against each, nearly all would be refused.
+// slowdown returns by what factor a host is slower than the others, at least 1. Danger: in an overload all answers are late by
+// queues that the expected times contain already; counted against each host again, nearly all requests would be refused. So
+// the ratio is taken relative to the mean of all members.
 func (b *Balancer) slowdown(h *host) float64 {
 	return max(b.decayedLatencyRatio(h)/max(b.meanLatencyRatio, 1), 1)
 }
 
-// expect is the time that a host no slower than usual should take: the part hinted at, and the part guessed.
+// expectedTimes returns the seconds in which a host without slowdown should answer a request: hinted is the part that follows
+// from the request's own work, guessed the part that is estimated.
 func (b *Balancer) expectedTimes(h *host, r *request) (hinted, guessed float64) {
-	strength := min(1, warmingOptimism*b.capacityFraction(h))
+	capacity := min(1, warmingOptimism*b.capacityFraction(h))
 	if !b.pollsReports {
-		return 0, b.classMeanSeconds[r.Request.Class]/strength + queueGrowthFactor*b.queueDelay(h)
+		return 0, b.classMeanSeconds[r.Request.Class]/capacity + queueGrowthFactor*b.queueDelay(h)
 	}
 	guessed = b.serviceSeconds * b.estimatedLoad(h)
 	if r.HasWork {
-		return b.serviceSeconds * r.relativeWork / strength, guessed / strength
+		return b.serviceSeconds * r.relativeWork / capacity, guessed / capacity
 	}
-	return 0, (guessed + b.serviceSeconds) / strength
+	return 0, (guessed + b.serviceSeconds) / capacity
 }
 
-// cost orders the hosts that could take a request.
+// loadCost returns the cost by which hosts are compared for a request: the expected time where load reports are polled, else a
+// weighted number of own attempts in flight.
 func (b *Balancer) loadCost(h *host, r *request) float64 {
 	if b.pollsReports {
 		hinted, guessed := b.expectedTimes(h, r)
@@ -48,7 +61,8 @@
 	return ahead * b.slowdown(h) * b.kindFactors.factor(h.Kind) / b.capacityFraction(h)
 }
 
-// fits tells whether a host can be expected to answer within the aim. Danger: a limit below one shuts hosts.
+// meetsTarget returns whether a host can be expected to answer a request by its target, and is not backed off from. Danger: a
+// concurrency limit below 1 would shut a host out for good, so at least one attempt is always allowed.
 func (b *Balancer) meetsTarget(h *host, r *request) bool {
 	limit := max(h.concurrencyLimit*b.capacityFraction(h), 1)
 	if b.now < h.backoffUntil[r.Request.Class] || !b.pollsReports && float64(len(h.inFlight)) >= limit {
@@ -58,50 +72,59 @@
 	return b.now+(hintedTimeFactor*hinted+guessedTimeFactor*guessed)*b.slowdown(h) <= r.targetAt
 }
 
-// pick returns the best host for a request, nil if none can answer it in time; of many it draws a few.
+// pickHost returns the host for a request, or nil if none can answer it by its target. Up to maxScannedMembers members are
+// compared one by one; of more, a few random ones (see pickFromGroups), and all only for a retry or when the draws find none.
 func (b *Balancer) pickHost(r *request) *host {
 	b.updatePhi()
 	if len(b.members) > maxScannedMembers && !b.pollsReports && len(r.attempts) == 0 {
-		if h := b.pickFromGroups(r); h != nil || b.now < b.nextScanAt {
+		h := b.pickFromGroups(r)
+		if h != nil || b.now < b.nextScanAt {
 			return h
 		}
 		b.nextScanAt = b.now + scanPauseSecondsPerMember*float64(len(b.members))
-		b.lastScanned = b.pickBest(r, false) // where most are full, the next requests may go there, too
+		b.lastScanned = b.pickBest(r, false) // while most hosts are full, the next requests try this one first
 		return b.lastScanned
 	}
-	if h := b.pickBest(r, b.pollsReports); h != nil || b.pollsReports && slices.ContainsFunc(b.members, b.hasFreshReport) {
+	h := b.pickBest(r, b.pollsReports)
+	if h != nil || b.pollsReports && slices.ContainsFunc(b.members, b.hasFreshReport) {
 		return h
 	}
 	return b.pickBest(r, false)
 }
 
-// draw returns the best of some draws from each set of members; what one set lacks is drawn from the next.
+// pickFromGroups returns the cheapest of a few members drawn at random, as in "the power of two choices" (M. Mitzenmacher, IEEE
+// Transactions on Parallel and Distributed Systems 12, 2001): three of the near group, one each of the far and the warming
+// one. What a group cannot supply is drawn from the next.
 func (b *Balancer) pickFromGroups(r *request) (best *host) {
-	least, want := math.Inf(1), 0
-	good := func(h *host) bool {
-		c := b.candidateCost(r, h)
-		if c < least {
-			best, least = h, c
+	lowestCost := math.Inf(1)
+	consider := func(h *host) (usable bool) {
+		cost := b.candidateCost(r, h)
+		if cost < lowestCost {
+			best = h
+			lowestCost = cost
 		}
-		return !math.IsInf(c, 1)
+		return !math.IsInf(cost, 1)
 	}
 	if b.lastScanned != nil && b.lastScanned.isMember {
-		good(b.lastScanned)
+		consider(b.lastScanned)
 	}
-	for set, more := range [...]int{groupNear: 3, groupFar: 1, groupWarming: 1} {
-		want += more
-		for tries := 3 * want; tries > 0 && want > 0 && more > 0; tries-- {
-			if h := b.groups.draw(b.rng, set); h == nil {
+	wanted := 0
+	for group, quota := range [...]int{groupNear: 3, groupFar: 1, groupWarming: 1} {
+		wanted += quota
+		for draws := 3 * wanted; draws > 0 && wanted > 0 && quota > 0; draws-- {
+			h := b.groups.draw(b.rng, memberGroup(group))
+			if h == nil {
 				break
-			} else if good(h) {
-				want--
+			}
+			if consider(h) {
+				wanted--
 			}
 		}
 	}
 	return best
 }
 
-// weigh returns what a request would cost at a host; infinity: it may not go there, or comes too late.
+// candidateCost returns the randomized cost of a request at a host; +Inf: it may not go there, or would be answered too late.
 func (b *Balancer) candidateCost(r *request, h *host) float64 {
 	if !b.mayAttempt(r, h) || !b.pollsReports && !b.isCandidate(h) || h.phi > phiUnavailable || !b.meetsTarget(h, r) {
 		return math.Inf(1)
@@ -113,32 +136,38 @@
 	return cost
 }
 
-func (b *Balancer) pickBest(r *request, fresh bool) *host {
-	var best, lowest *host
-	least := math.Inf(1)
+// pickBest returns the cheapest member, with onlyFresh among those with a fresh report. When all members that the request may
+// go to are unavailable, it is the least suspected one: some host has to get the traffic.
+func (b *Balancer) pickBest(r *request, onlyFresh bool) *host {
+	var best, leastSuspected *host
+	lowestCost := math.Inf(1)
 	for _, h := range b.members {
-		if (lowest == nil || h.phi < lowest.phi) && b.mayAttempt(r, h) {
-			lowest = h
+		if (leastSuspected == nil || h.phi < leastSuspected.phi) && b.mayAttempt(r, h) {
+			leastSuspected = h
 		}
-		if fresh && !b.hasFreshReport(h) {
+		if onlyFresh && !b.hasFreshReport(h) {
 			continue
 		}
-		if c := b.candidateCost(r, h); c < least {
-			best, least = h, c
+		if cost := b.candidateCost(r, h); cost < lowestCost {
+			best = h
+			lowestCost = cost
 		}
 	}
-	if best == nil && lowest != nil && lowest.phi > phiUnavailable && b.meetsTarget(lowest, r) {
-		return lowest // all are out: the least suspected gets the traffic
+	if best == nil && leastSuspected != nil && leastSuspected.phi > phiUnavailable && b.meetsTarget(leastSuspected, r) {
+		return leastSuspected
 	}
 	return best
 }
 
-// sort parts the members by what they are good for, where they are too many to look at each for a pick.
+// groupMembers puts the members into the groups from which pickFromGroups draws, where there are enough members for that.
 func (b *Balancer) groupMembers() {
 	b.groups.clear()
 	b.groups.updateMeanSize(b.members, b.settings.SizesComparable)
-	for i := 0; i < len(b.members) && len(b.members) > maxScannedMembers; i++ {
-		switch h := b.members[i]; {
+	if len(b.members) <= maxScannedMembers {
+		return
+	}
+	for _, h := range b.members {
+		switch {
 		case h.isWithdrawn || h.phi > phiUnavailable:
 			b.groups.add(h, groupExcluded)
 		case b.capacityFraction(h) < 1:
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -6,39 +6,61 @@
 )
 
 const (
-	probeIntervalSeconds = 1.0   // cadence of the probes that feed phi
-	probingProxies       = 4.0   // proxies that may all probe a host each second; two more cost a second
-	probeJitterFraction  = 0.1   // part of the cadence by which probes are spread
-	probeBudgetFraction  = 0.016 // what the probes of an own request may cost, in parts of its worth
-	maxProbeStretch      = 6.0   // the cadence is stretched so many times at most where own requests are few
-	outageCadences       = 2.5   // a silence of so many cadences may have been a restart
+	// probeIntervalSeconds is the shortest cadence of the probes that feed the failure detector.
+	probeIntervalSeconds = 1.0
+	// probingProxies is how many proxies may probe a host at the shortest cadence; each two more lengthen it by a second.
+	probingProxies = 4.0
+	// probeJitterFraction spreads the probes by up to this fraction of the cadence in both directions.
+	probeJitterFraction = 0.1
+	// probeBudgetFraction is what the probes for one own request may cost, as a fraction of the value of the request.
+	probeBudgetFraction = 0.016
+	// maxProbeStretch bounds by how much the cadence is lengthened for little own traffic.
+	maxProbeStretch = 6.0
+	// outageCadences is the gap, in cadences, from which on a host may have been restarted.
+	outageCadences = 2.5
+	// probeRTTGain and meanGapGain are the gains of the moving averages of probe delays and of gaps.
+	probeRTTGain = 0.05
+	meanGapGain  = 0.02
 )
 
-// enlist starts the watch over a member. A new window is seeded with the mean of the others'. Danger: all
-// proxies that probe or connect at once push a new host over, so the first probe comes at random.
+// addMember makes a host a member and starts its health checks. A new window of gaps is seeded with the mean gap of all members.
+//
+// Danger: proxies that all probe or connect at once overload a host that has just started, so the first probe comes at a
+// random time within the cadence.
 func (b *Balancer) addMember(h *host) {
 	for len(h.gaps) < seedGaps {
 		h.gaps = append(h.gaps, float32(b.meanGap))
 	}
 	h.updateGapStats()
-	h.isMember, h.hasAnswered, h.lastAnswerAt, h.nextCadence = true, false, b.now, b.probeCadence()
+	h.isMember = true
+	h.hasAnswered = false
+	h.lastAnswerAt = b.now
+	h.nextCadence = b.probeCadence()
 	h.currentCadence = h.nextCadence
 	h.concurrencyLimit = cmp.Or(h.concurrencyLimit, initialLimit/b.proxiesPerHost)
 	h.nextProbeAt = b.now + b.rng.Float64()*h.currentCadence
 	b.armWake(h.nextProbeAt)
 }
 
-// cadence is the time between two probes of a member. Danger: a crowd would probe more than it serves.
+// probeCadence returns the seconds between two cadence probes of a member. It grows with the number of proxies that probe the
+// same host, with the price of a probe, and with the number of members for each own request.
+//
+// Danger: at a fixed cadence many proxies with little traffic each would send more probes than requests. The growth for
+// little traffic is undone as queues build up, since probe delays then tell the load.
 func (b *Balancer) probeCadence() float64 {
-	most := maxProbeStretch - (maxProbeStretch-1)*min(4*b.usualQueueFraction, 1) // where probes wait, their news is needed
-	few, dear := float64(len(b.members))/max(b.ownSendRate(), 1e-9), max(b.settings.ProbePrice/probeBudgetFraction, 2)
-	return probeIntervalSeconds * max(min(max(0.5*few, 1), most), min((b.proxiesPerHost-probingProxies)/2, dear*few, maxProbeStretch))
+	maxStretch := maxProbeStretch - (maxProbeStretch-1)*min(4*b.usualQueueFraction, 1)
+	membersPerRequest := float64(len(b.members)) / max(b.ownSendRate(), 1e-9)
+	relativePrice := max(b.settings.ProbePrice/probeBudgetFraction, 2)
+	return probeIntervalSeconds * max(min(max(0.5*membersPerRequest, 1), maxStretch),
+		min((b.proxiesPerHost-probingProxies)/2, relativePrice*membersPerRequest, maxProbeStretch))
 }
 
-// sendProbes sends the cadence probes that are due.
+// sendProbes sends the cadence probes that are due and arms the wake-up for the next ones.
 func (b *Balancer) sendProbes() {
-	for i := 0; i < len(b.members) && b.settings.ProbesEnabled; i++ {
-		h := b.members[i]
+	if !b.settings.ProbesEnabled {
+		return
+	}
+	for _, h := range b.members {
 		if h.nextProbeAt <= b.now {
 			b.actions.Probe(h.ID)
 			h.probedAt = b.now
@@ -49,25 +71,26 @@
 	}
 }
 
-// ProbeDone takes the result of a probe.
+// ProbeDone handles the result of a probe that Actions.Probe asked for. The probe, one of the cadence or a poll, is
+// recognized by its send time, to a tick.
 func (b *Balancer) ProbeDone(now float64, r Result) {
 	b.now = now
 	h := b.hosts[r.Host]
 	if h == nil {
 		return
 	}
-	sent := now - r.LateSeconds - r.DelaySeconds
-	out := func(at float64) bool { return math.Abs(sent-at) <= b.settings.TickSeconds+1e-4 } // a tick's wait
-	cadence := out(h.probedAt)
-	if cadence {
+	sentAt := now - r.LateSeconds - r.DelaySeconds
+	matches := func(at float64) bool { return math.Abs(sentAt-at) <= b.settings.TickSeconds+1e-4 }
+	isCadenceProbe := matches(h.probedAt)
+	if isCadenceProbe {
 		h.probedAt = 0
 	}
-	if out(h.polledAt) {
+	if matches(h.polledAt) {
 		h.polledAt = 0
 	}
 	if r.Outcome == OK || r.Outcome == Rejected {
 		h.connFailures = 0
-		b.handleProbeAnswer(h, cadence, sent, r)
+		b.handleProbeAnswer(h, isCadenceProbe, sentAt, r)
 	}
 	b.learnQueueDelay(h, r.Outcome, r.DelaySeconds)
 	if b.pollsReports {
@@ -75,33 +98,39 @@
 	}
 }
 
-func (b *Balancer) handleProbeAnswer(h *host, cadence bool, sent float64, r Result) {
-	b.probeRTTSeconds += 0.05 * (min(r.DelaySeconds, 2*b.probeRTTSeconds) - b.probeRTTSeconds)
-	b.recordReport(h, sent, r.Report)
-	if !cadence {
+// handleProbeAnswer learns from an answered probe: its delay, its load report and, for a cadence probe, the gap since the last
+// answer.
+func (b *Balancer) handleProbeAnswer(h *host, isCadenceProbe bool, sentAt float64, r Result) {
+	b.probeRTTSeconds += probeRTTGain * (min(r.DelaySeconds, 2*b.probeRTTSeconds) - b.probeRTTSeconds)
+	b.recordReport(h, sentAt, r.Report)
+	if !isCadenceProbe {
 		return
 	}
-	// Danger: an outage's gap would inflate the mean and slow the next verdict, and the host may be cold. The
-	// gap is not learned; trust comes back as to a cold host.
-	at := b.now - r.LateSeconds
-	gap := (at - h.lastAnswerAt) / h.currentCadence
+	answeredAt := b.now - r.LateSeconds
+	gap := (answeredAt - h.lastAnswerAt) / h.currentCadence
 	switch {
 	case gap > outageCadences:
-		h.recoveryStartedAt, h.latencyRatio = b.now, 1
+		// Danger: the gap of an outage would inflate the mean and delay the next detection, so it is not learned. The host may
+		// have been restarted, so it warms up again.
+		h.recoveryStartedAt = b.now
+		h.latencyRatio = 1
 	case !h.hasAnswered:
-		h.hasAnswered = true
+		h.hasAnswered = true // the time from addMember to the first answer is no gap
 	case b.silencePhi(h) <= phiUnavailable:
-		if h.gaps = append(h.gaps, float32(gap)); len(h.gaps) > gapWindowSize {
+		h.gaps = append(h.gaps, float32(gap))
+		if len(h.gaps) > gapWindowSize {
 			h.gaps = h.gaps[1:]
 		}
 		h.updateGapStats()
-		b.meanGap += 0.02 * (gap - b.meanGap)
+		b.meanGap += meanGapGain * (gap - b.meanGap)
 	}
-	h.lastAnswerAt, h.currentCadence = at, h.nextCadence
+	h.lastAnswerAt = answeredAt
+	h.currentCadence = h.nextCadence
 }
 
-// Stalled tells that the host program itself stood still for so long until now. Danger: silence that nobody
-// listened to is no sign against a host; read as one, a pause of this program shuts out the whole fleet.
+// ObserveStall takes note that the host program itself did not run for the given seconds until now, and shortens all silences
+// by that time. Danger: answers that nobody read are no evidence against a host; without this a pause of the own process
+// would suspect all members at once.
 func (b *Balancer) ObserveStall(now, seconds float64) {
 	b.now = now
 	for _, h := range b.members {
--- a/policy/query.go
+++ b/policy/query.go
@@ -1,12 +1,11 @@
 package policy
 
-// Waiting returns how many requests no host could take so far.
+// QueueLength returns how many requests wait for a host.
 func (b *Balancer) QueueLength() int { return b.queue.len() }
 
-// Usable returns how many members may be sent something new and are not taken for dead, each for itself.
+// UsableHosts returns how many members take new requests and are available, each by its own suspicion level.
 func (b *Balancer) UsableHosts(now float64) (n int) {
-	view := *b // Danger: what is asked must not move the clock by which the next event is judged
-	view.now = now
+	view := b.viewAt(now)
 	for _, h := range b.members {
 		if !h.isWithdrawn && view.suspicion(h) <= phiUnavailable {
 			n++
@@ -15,13 +14,19 @@
 	return n
 }
 
-// Avoided returns a test of whether a host is a member that gets no traffic now, since its silence or its refusals say too much
-// against it.
+// Ejected returns a function that tells whether a host is a member without traffic at the given time, as it is withdrawn or
+// unavailable. The function is valid until the next event.
 func (b *Balancer) Ejected(now float64) func(id uint32) bool {
-	view := *b // Danger: what is asked must not move the clock by which the next event is judged
-	view.now = now
+	view := b.viewAt(now)
 	return func(id uint32) bool {
 		h := b.hosts[id]
 		return h != nil && h.isMember && (h.isWithdrawn || view.suspicion(h) > phiUnavailable)
 	}
 }
+
+// viewAt returns a shallow copy at another time. Danger: a query must not move the clock by which the next event is judged.
+func (b *Balancer) viewAt(now float64) *Balancer {
+	view := *b
+	view.now = now
+	return &view
+}
--- a/policy/queuedelay.go
+++ b/policy/queuedelay.go
@@ -1,31 +1,43 @@
 package policy
 
-// learnLine takes the delay of a probe for the line at a host: a deep probe waits and is served like a
-// request, so where reports are absent it tells the load; a shallow one tells no line and does no harm.
-func (b *Balancer) learnQueueDelay(h *host, how Outcome, delay float64) {
-	if b.pollsReports || how == Reset || how == ConnectFailed { // a connection's end tells no line
+const (
+	// idleProbeGain is the gain with which the probe delay of an idle host follows longer delays; shorter ones hold at once.
+	idleProbeGain = 0.002
+	// usualQueueGain is the gain of the moving average of queue delays.
+	usualQueueGain = 0.1
+	// lostProbeQueueFactor is the queue delay after a probe that failed, in units of the time for which it was waited.
+	lostProbeQueueFactor = 4
+)
+
+// learnQueueDelay estimates the queue at a host from the delay of a probe. A deep probe waits in the same queue as requests,
+// so it tells the load where reports are absent; a shallow one always shows an empty queue, which does no harm.
+func (b *Balancer) learnQueueDelay(h *host, outcome Outcome, delaySeconds float64) {
+	if b.pollsReports || outcome == Reset || outcome == ConnectFailed { // a lost connection tells nothing of the queue
 		return
 	}
-	ok := how == OK
-	if ok && (b.idleProbeSeconds == 0 || delay < b.idleProbeSeconds) {
-		b.idleProbeSeconds = delay
+	if outcome == OK && (b.idleProbeSeconds == 0 || delaySeconds < b.idleProbeSeconds) {
+		b.idleProbeSeconds = delaySeconds
 	}
-	b.idleProbeSeconds += 0.002 * min(delay-b.idleProbeSeconds, b.idleProbeSeconds)
-	if h.queueSeconds, h.queueMeasuredAt = max(delay-2*b.idleProbeSeconds, 0), b.now; !ok {
-		h.queueSeconds = 4 * delay // longer than the probe could wait
+	b.idleProbeSeconds += idleProbeGain * min(delaySeconds-b.idleProbeSeconds, b.idleProbeSeconds)
+	h.queueSeconds = max(delaySeconds-2*b.idleProbeSeconds, 0)
+	h.queueMeasuredAt = b.now
+	if outcome != OK {
+		h.queueSeconds = lostProbeQueueFactor * delaySeconds
 		b.cutLimit(h)
 	}
-	b.usualQueueFraction += 0.1 * (min(h.queueSeconds/b.tightestTargetSeconds, 1) - b.usualQueueFraction)
+	b.usualQueueFraction += usualQueueGain * (min(h.queueSeconds/b.tightestTargetSeconds, 1) - b.usualQueueFraction)
 }
 
-// line is the wait that is expected at a host before work begins, by what came last and the probe still out.
+// queueDelay returns the seconds that a new request is expected to wait at a host before its service begins: the last
+// measurement, which decays with its age, or more if the cadence probe in flight has waited for longer already. It is 0 where
+// load reports are polled.
 func (b *Balancer) queueDelay(h *host) float64 {
 	if b.pollsReports || b.idleProbeSeconds == 0 {
 		return 0
 	}
-	line := h.queueSeconds / max(1, 2*(b.now-h.queueMeasuredAt)/(probeIntervalSeconds+h.currentCadence))
+	delaySeconds := h.queueSeconds / max(1, 2*(b.now-h.queueMeasuredAt)/(probeIntervalSeconds+h.currentCadence))
 	if h.probedAt > 0 {
-		line = max(line, b.now-h.probedAt-2*b.idleProbeSeconds)
+		delaySeconds = max(delaySeconds, b.now-h.probedAt-2*b.idleProbeSeconds)
 	}
-	return line
+	return delaySeconds
 }
--- a/policy/report.go
+++ b/policy/report.go
@@ -1,55 +1,68 @@
 package policy
 
 const (
-	pollSampleSize  = 4   // candidates whose reports are refreshed for a pick
-	pollTimeoutRTTs = 4.0 // a poll waits for this many usual probe answers
+	// pollSampleSize is how many random candidates have their load reports refreshed for a pick. More make better picks and
+	// cost more probes.
+	pollSampleSize = 4
+	// pollTimeoutRTTs is how long a poll is waited for, in usual probe delays.
+	pollTimeoutRTTs = 4.0
+	// maxReportedLoad bounds the figures that are believed.
+	maxReportedLoad = 1e6
 )
 
-// takeReport keeps a host's load report if its figure makes sense.
-func (b *Balancer) recordReport(h *host, sent float64, r Report) {
-	if b.loadField >= 0 && b.loadField < r.N && sent >= h.reportSentAt {
-		if v := float64(r.Values[b.loadField]); v >= 0 && v < 1e6 {
-			h.reportedLoad, h.reportSentAt = v, sent
+// recordReport keeps a host's load report, unless it is older than the one that is known or its figure makes no sense. sentAt is
+// the send time of the probe that brought it.
+func (b *Balancer) recordReport(h *host, sentAt float64, report Report) {
+	if b.loadField >= 0 && b.loadField < report.N && sentAt >= h.reportSentAt {
+		load := float64(report.Values[b.loadField])
+		if load >= 0 && load < maxReportedLoad {
+			h.reportedLoad = load
+			h.reportSentAt = sentAt
 		}
 	}
 }
 
+// pollTimeout returns for how many seconds the answers to polls are waited for.
 func (b *Balancer) pollTimeout() float64 {
 	return max(pollTimeoutRTTs*b.probeRTTSeconds, 2*b.settings.TickSeconds)
 }
 
-// poll refreshes the reports of the candidates for a pick.
+// pollReports probes the candidates of a pick whose reports are old, and queues the request until they have answered.
 func (b *Balancer) pollReports(r *request) {
-	wait, left := b.pollTimeout(), pollSampleSize
-	b.queue.schedule(r, b.now+wait)
+	timeoutSeconds := b.pollTimeout()
+	b.queue.schedule(r, b.now+timeoutSeconds)
 	b.armWake(r.dispatchAt)
 	if h := r.suspectHost; h != nil && h.polledAt == 0 {
 		h.polledAt = b.now
 		b.actions.Probe(h.ID)
 	}
-	for i := 0; i < len(b.members) && left > 0; i++ { // a partial shuffle: its head is the draw
+	remaining := pollSampleSize
+	for i := 0; i < len(b.members) && remaining > 0; i++ { // a partial Fisher-Yates shuffle draws the sample
 		j := i + b.rng.IntN(len(b.members)-i)
 		b.members[i], b.members[j] = b.members[j], b.members[i]
 		h := b.members[i]
 		if !b.isCandidate(h) || !b.mayAttempt(r, h) {
 			continue
 		}
-		if h.reportSentAt < b.now-wait/2 && h.polledAt == 0 {
+		if h.reportSentAt < b.now-timeoutSeconds/2 && h.polledAt == 0 {
 			h.polledAt = b.now
 			b.actions.Probe(h.ID)
 		}
-		left--
+		remaining--
 	}
 }
 
+// hasFreshReport returns whether a host's report is new enough to be compared with others.
 func (b *Balancer) hasFreshReport(h *host) bool {
 	return h.reportSentAt > 0 && b.now-h.reportSentAt <= 2*b.pollTimeout()
 }
 
-// load is the number of requests that a host is believed to hold.
+// estimatedLoad returns how many requests a host is believed to hold: those of its last report and the own attempts sent since,
+// or all own attempts in flight if these are more.
 func (b *Balancer) estimatedLoad(h *host) float64 {
-	sent := len(h.inFlight) // since that report
-	for ; sent > 0 && h.inFlight[len(h.inFlight)-sent].sentAt < h.reportSentAt; sent-- {
+	sentSince := len(h.inFlight)
+	for sentSince > 0 && h.inFlight[len(h.inFlight)-sentSince].sentAt < h.reportSentAt {
+		sentSince--
 	}
-	return max(h.reportedLoad+float64(sent), float64(len(h.inFlight)))
+	return max(h.reportedLoad+float64(sentSince), float64(len(h.inFlight)))
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,46 +2,62 @@
 
 import "math"
 
-const (
-	slowStartBudgetFraction = 0.35 // of the work that pushes a cold host over
-)
+// slowStartBudgetFraction is the fraction of the work that would overload a warming host which all proxies together may send
+// it. A lower one is safer and warms hosts up with less traffic.
+const slowStartBudgetFraction = 0.35
 
-// strength is the part of its capacity that a host has: less than 1 while it warms up.
+// capacityFraction returns the fraction of its full capacity that a host has: it grows linearly from SlowStartFraction to 1 in
+// the SlowStartSeconds after its start or its recovery from an outage.
 func (b *Balancer) capacityFraction(h *host) float64 {
-	from := max(h.Started, h.recoveryStartedAt)
-	if from <= 0 || b.now >= from+b.settings.SlowStartSeconds || b.settings.SlowStartSeconds <= 0 {
+	startedAt := max(h.Started, h.recoveryStartedAt)
+	if startedAt <= 0 || b.now >= startedAt+b.settings.SlowStartSeconds || b.settings.SlowStartSeconds <= 0 {
 		return 1
 	}
-	return b.settings.SlowStartFraction + (1-b.settings.SlowStartFraction)*max(b.now-from, 0)/b.settings.SlowStartSeconds
+	return b.settings.SlowStartFraction + (1-b.settings.SlowStartFraction)*max(b.now-startedAt, 0)/b.settings.SlowStartSeconds
 }
 
-// coldRoom tells whether this proxy's part of a cold host's budget has room, measured by what it sends to a
-// warm host, less for a small one. Danger: a thousand proxies that may each send one request push a cold host
-// over. What is beyond whole requests is thinned by a draw, so that the parts add up. Where many are cold the
-// rate of all says too little: what is refused for want of room would keep the room small.
+// hasSlowStartBudget returns whether this proxy may send a warming host one more request in the present window. The budget is a
+// multiple of what the proxy sends a warm host, in proportion to capacity and size.
+//
+// Danger: a thousand proxies that may each send one request overload a warming host. The fraction of a request that a proxy's
+// budget has beyond complete ones is therefore granted by windowDraw, so that the budgets of all proxies add up. While many
+// hosts warm up, the send rate is too low a measure, since requests that are refused for want of budget would keep the budget
+// low; then the arrival rate counts.
 func (b *Balancer) hasSlowStartBudget(h *host) bool {
-	w := max(b.settings.SlowStartWindowSeconds, 1e-6)
-	if b.now >= h.windowStart+w { // what was sent in the window before counts as far as it is within one of now
-		if h.previousWindowSent = h.windowSent; b.now >= h.windowStart+2*w {
-			h.previousWindowSent = 0
-		}
-		h.windowSent, h.windowStart = 0, math.Floor(b.now/w)*w // all proxies' windows begin at the same instants
-		h.windowDraw = windowDraw(h.ID, h.windowStart, b.settings.Self, b.settings.Replicas)
-	}
-	strength, warm := b.capacityFraction(h), max(b.warmCapacity, 0.6*float64(len(b.members)), 1)
-	if strength >= 1 {
+	windowSeconds := max(b.settings.SlowStartWindowSeconds, 1e-6)
+	b.advanceWindow(h, windowSeconds)
+	capacity := b.capacityFraction(h)
+	if capacity >= 1 {
 		return true
 	}
-	usual := max(b.ownSendRate()*w/warm, b.warmMemberSent, 0.5*b.arrivalRate.valueAt(b.now, arrivalDecaySeconds)*w/float64(len(b.members)))
-	room := slowStartBudgetFraction * b.settings.SlowStartMultiple * strength * b.groups.relativeSize(h) * usual
-	return h.windowSent+h.previousWindowSent*(1-(b.now-h.windowStart)/w)+h.windowDraw < room
+	warmMembers := max(b.warmCapacity, 0.6*float64(len(b.members)), 1)
+	usualWork := max(b.ownSendRate()*windowSeconds/warmMembers, b.warmMemberSent,
+		0.5*b.arrivalRate.valueAt(b.now, arrivalDecaySeconds)*windowSeconds/float64(len(b.members)))
+	budget := slowStartBudgetFraction * b.settings.SlowStartMultiple * capacity * b.groups.relativeSize(h) * usualWork
+	// The window before counts by the part of it that a sliding window would still cover.
+	return h.windowSent+h.previousWindowSent*(1-(b.now-h.windowStart)/windowSeconds)+h.windowDraw < budget
+}
+
+// advanceWindow starts a new window of a host if the last one has ended. The windows of all proxies start at the same times.
+func (b *Balancer) advanceWindow(h *host, windowSeconds float64) {
+	if b.now < h.windowStart+windowSeconds {
+		return
+	}
+	h.previousWindowSent = h.windowSent
+	if b.now >= h.windowStart+2*windowSeconds {
+		h.previousWindowSent = 0
+	}
+	h.windowSent = 0
+	h.windowStart = math.Floor(b.now/windowSeconds) * windowSeconds
+	h.windowDraw = windowDraw(h.ID, h.windowStart, b.settings.Self, b.settings.Replicas)
 }
 
-// luck is a proxy's draw for a host's window, 0 to 1. Danger: draws that know nothing of each other add up on average only, and
-// now and then all proxies win. One number that host and window give to all is spread by each proxy's place.
-func windowDraw(host uint32, window float64, self, replicas int) float64 {
-	x := (uint64(host)<<32 ^ uint64(int64(1000*window))) * 0x9e3779b97f4a7c15
+// windowDraw returns a proxy's draw in [0, 1) for a window of a host. Danger: independent draws add up on average only, and now
+// and then all proxies would win. A hash of host and window is the same for all proxies, and each adds its own offset, so that
+// the draws of all proxies are spread evenly.
+func windowDraw(host uint32, windowStart float64, self, replicas int) float64 {
+	x := (uint64(host)<<32 ^ uint64(int64(1000*windowStart))) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
-	own := float64(spreadIndex(self, max(replicas, 1))) / float64(max(replicas, 1))
-	return math.Mod(float64((x^x>>32)>>11)/(1<<53)+own, 1)
+	offset := float64(spreadIndex(self, max(replicas, 1))) / float64(max(replicas, 1))
+	return math.Mod(float64((x^x>>32)>>11)/(1<<53)+offset, 1)
 }
--- a/policy/unserved.go
+++ b/policy/unserved.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// ended is a request that was not served, as far as its client's next try shares it.
+// maxUnserved bounds the unserved requests that are remembered. Danger: each marked retry searches them; with thousands of
+// refusals a second an unbounded search would take all of the processor.
+const maxUnserved = 1000
+
+// unservedRequest is a request that was answered without being served, kept for the client's next try.
 type unservedRequest struct {
-	class, tenant       int
-	key                 uint64
-	targetAt, expiresAt float64 // until when an answer had its worth, and the client's total wait
+	class, tenant int
+	key           uint64
+	targetAt      float64 // target of the first try
+	expiresAt     float64 // end of the client's total timeout
 }
 
-// mostUnserved bounds the requests whose clients' next tries are known. Danger: they are looked through at each repeat.
-// Refusals by the thousand a second would make that the work of the whole program.
-const maxUnserved = 1000
-
-// unserved are requests that were not served, the oldest first.
+// unservedRequests holds unserved requests, the oldest first.
 type unservedRequests []unservedRequest
 
-// find returns the place of the one that a request marked as a repeat belongs to, -1 if there is none.
+// indexOf returns the index of the request of which q is a marked retry, -1 if there is none.
 func (u unservedRequests) indexOf(now float64, q *Request) int {
 	if !q.Repeat {
 		return -1
@@ -26,7 +27,7 @@
 	})
 }
 
-// with returns them with one more, and without those whose time is over or for which there is no room.
+// appended returns u with one more request, without the oldest that have expired or exceed maxUnserved.
 func (u unservedRequests) appended(e unservedRequest, now float64) unservedRequests {
 	for len(u) > 0 && (u[0].expiresAt <= now || len(u) >= maxUnserved) {
 		u = u[1:]
--- a/policy/wakeup.go
+++ b/policy/wakeup.go
@@ -2,42 +2,59 @@
 
 import "slices"
 
-// due arms a wake-up for a time, unless an earlier one is armed.
+// armWake asks for a wake-up at a time, at least a tick away, unless an earlier one is armed. A wake-up that is more than a
+// second overdue counts as lost.
 func (b *Balancer) armWake(at float64) {
 	if b.isWakeArmed && b.wakeAt > b.now-1 && b.wakeAt <= at {
 		return
 	}
-	b.isWakeArmed, b.wakeAt = true, max(at, b.now+b.settings.TickSeconds)
+	b.isWakeArmed = true
+	b.wakeAt = max(at, b.now+b.settings.TickSeconds)
 	b.actions.WakeAfter(b.wakeAt - b.now)
 }
 
-// Wake does what is due.
+// Wake does what is due: list requests, probes, requests whose deadline has passed, and dispatches. The host program calls it
+// after each Actions.WakeAfter; a call that an earlier wake-up has replaced does nothing.
 func (b *Balancer) Wake(now float64) {
 	b.now = now
 	if now < b.wakeAt-b.settings.TickSeconds/2 {
-		return // a wake-up that an earlier one has replaced
+		return
 	}
 	b.isWakeArmed = false
-	if b.settings.ListOnDemand && !b.isWatching {
-		if now >= b.listRequestAt {
-			b.actions.Watch()
-			b.listRequestAt = now + max(0.5*b.settings.MaxListRequestGapSeconds, 1)
-		}
-		b.armWake(b.listRequestAt)
-	}
+	b.requestList()
 	b.resizeSubset()
 	b.sendProbes()
 	if r := b.queue.peek(); r != nil {
 		b.armWake(r.dispatchAt)
 	}
+	b.answerOverdue()
+	b.dispatchDue()
+}
+
+// requestList subscribes to the list when that is due. Unless the list comes, it is requested again well before
+// MaxListRequestGapSeconds have passed.
+func (b *Balancer) requestList() {
+	if !b.settings.ListOnDemand || b.isWatching {
+		return
+	}
+	if b.now >= b.listRequestAt {
+		b.actions.Watch()
+		b.listRequestAt = b.now + max(0.5*b.settings.MaxListRequestGapSeconds, 1)
+	}
+	b.armWake(b.listRequestAt)
+}
+
+// answerOverdue answers the requests whose deadline has passed with no attempt in flight; one in flight ends at the deadline by
+// itself.
+func (b *Balancer) answerOverdue() {
 	for i := 0; i < len(b.liveRequests); i++ {
 		r := b.liveRequests[i]
-		if now >= r.Deadline && !slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.isDone }) {
+		isInFlight := slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.isDone })
+		if b.now >= r.Deadline && !isInFlight {
 			b.answerUnserved(r)
-			i--
+			i-- // the last request has taken its index
 			continue
 		}
 		b.armWake(r.Deadline)
 	}
-	b.dispatchDue()
 }
