--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -26,8 +26,8 @@
 
 // Why a state is not taken.
 var (
-	ErrForeign = errors.New("not a hand-over of this form")
-	ErrTorn    = errors.New("the hand-over is not whole")
+	ErrUnknownFormat = errors.New("not a hand-over of this form")
+	ErrCorrupt       = errors.New("the hand-over is not whole")
 )
 
 // Encode returns a state's text.
@@ -46,13 +46,13 @@
 	var version, length int
 	var sum uint32
 	if n, _ := fmt.Sscanf(string(head[:min(len(head), 100)]), "%s %d %d %x", &word, &version, &length, &sum); n < 2 || word != magic || version != form {
-		return s, ErrForeign
+		return s, ErrUnknownFormat
 	}
 	if length != len(body) || sum != crc32.ChecksumIEEE(body) {
-		return s, ErrTorn
+		return s, ErrCorrupt
 	}
 	if err := json.Unmarshal(body, &s); err != nil {
-		return State{}, fmt.Errorf("%w: %w", ErrTorn, err)
+		return State{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return s, nil
 }
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -189,7 +189,7 @@
 		return State{}, err
 	}
 	if info.Size() > mostState {
-		return State{}, ErrForeign
+		return State{}, ErrUnknownFormat
 	}
 	raw, err := os.ReadFile(s.path("state"))
 	if err != nil {
