--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A state comes back as it was; whatever byte is changed or missing, it is not taken.
-func TestStateIsWholeOrNotAtAll(t *testing.T) {
+// A state is decoded as it was encoded; with any bit changed or byte missing it is rejected.
+func TestStateIsCompleteOrRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{UnixSeconds: rapid.Float64Range(0, 1e10).Draw(t, "at"), SettingsHash: rapid.StringMatching("[0-9a-f]{64}").Draw(t, "settings"),
 			EndpointList: []byte(`{"Index":7}`), PolicyCheckpoint: rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "module")}
@@ -29,7 +29,7 @@
 	})
 }
 
-// FuzzDecode has nothing that can be read make the program fail.
+// FuzzDecode checks that no input causes a panic, and that what is decoded can be encoded again.
 func FuzzDecode(f *testing.F) {
 	raw, _ := Encode(State{UnixSeconds: 1, EndpointList: []byte("{}")})
 	f.Add(raw)
@@ -42,8 +42,8 @@
 	})
 }
 
-// What operators say at one process is read at another, under any name, and outlives both.
-func TestStore(t *testing.T) {
+// What operators set at one process is read by another, with any server name, and outlives both.
+func TestOperatorStateIsSharedByProcesses(t *testing.T) {
 	dir := t.TempDir()
 	open := func() *Store {
 		s, err := Open(dir, func(err error) { t.Error(err) })
@@ -63,10 +63,10 @@
 	require.NoError(t, next.Uncordon("s-1"))
 	require.NoError(t, next.Uncordon("s-1"))
 	require.NoError(t, next.SetDrained(true))
-	bans, away, err := old.OperatorState()
+	cordoned, drained, err := old.OperatorState()
 	require.NoError(t, err)
-	assert.ElementsMatch(t, []string{"../../etc", "%away", "a b"}, bans)
-	assert.True(t, away)
+	assert.ElementsMatch(t, []string{"../../etc", "%away", "a b"}, cordoned)
+	assert.True(t, drained)
 
 	n, successor := old.OtherProcesses()
 	assert.Equal(t, 1, n)
@@ -76,7 +76,7 @@
 	assert.True(t, successor)
 	require.NoError(t, old.MarkServing())
 	_, successor = next.OtherProcesses()
-	assert.False(t, successor, "the older one is nobody's successor")
+	assert.False(t, successor, "an earlier process is no successor")
 	next.Close()
 	n, _ = old.OtherProcesses()
 	assert.Zero(t, n)
--- a/internal/hotrestart/open_test.go
+++ b/internal/hotrestart/open_test.go
@@ -8,17 +8,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process starts while its neighbours look, without a pause, who lives.
-func TestOpenWhileNeighboursLook(t *testing.T) {
+// A process can start while others check without a pause which processes live.
+func TestOpenWhileOthersProbe(t *testing.T) {
 	const opens = 300
 	dir := t.TempDir()
 	first, err := Open(dir, func(error) {})
 	require.NoError(t, err)
 	defer first.Close()
 	stop := make(chan struct{})
-	var looking sync.WaitGroup
+	var probing sync.WaitGroup
 	for range 2 {
-		looking.Go(func() {
+		probing.Go(func() {
 			for {
 				select {
 				case <-stop:
@@ -36,5 +36,5 @@
 		}
 	}
 	close(stop)
-	looking.Wait()
+	probing.Wait()
 }
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -1,5 +1,6 @@
-// Package hotrestart passes a process's state to the one that takes its place, through a folder that both have. What
-// operators have said lies in it file by file; the rest is one file that is read whole or not at all.
+// Package hotrestart passes the state of a sidecar on to the process that replaces it, through a folder that both use. What operators have
+// set is stored in a file each, so that it holds at all processes of the folder at once; the rest is one file that is read completely
+// or not at all.
 package hotrestart
 
 import (
@@ -10,45 +11,50 @@
 	"hash/crc32"
 )
 
-// form changes with every change of State that an older or newer program would misread.
-const form = 1
-
-// magic begins the file.
-const magic = "hazelwheel-handover"
+// The format of the state's file: a line with magic, version, length and CRC-32 of what follows, and the state as JSON. The version
+// changes with every change of State that another version of the program would misread.
+const (
+	magic   = "hazelwheel-handover"
+	version = 1
+	// maxHeaderBytes limits the first line.
+	maxHeaderBytes = 100
+)
 
-// State is what a successor begins with.
+// State is what the next process continues from.
 type State struct {
-	UnixSeconds      float64         `json:"At"`       // when it was taken, in seconds of Unix time
-	SettingsHash     string          `json:"Settings"` // a hash of the settings that it was learned under
-	EndpointList     json.RawMessage `json:"List"`     // the host group's
-	PolicyCheckpoint []byte          `json:"Module"`   // the decisions' checkpoint
+	UnixSeconds      float64         `json:"At"`       // when it was taken
+	SettingsHash     string          `json:"Settings"` // of the settings that it belongs to
+	EndpointList     json.RawMessage `json:"List"`     // of endpointset.Set.Export
+	PolicyCheckpoint []byte          `json:"Module"`
 }
 
-// Why a state is not taken.
 var (
+	// ErrUnknownFormat is wrapped by the errors of Decode for a file that is no state of this version.
 	ErrUnknownFormat = errors.New("not a hand-over of this form")
-	ErrCorrupt       = errors.New("the hand-over is not whole")
+	// ErrCorrupt is wrapped by the errors of Decode for a file that is incomplete or damaged.
+	ErrCorrupt = errors.New("the hand-over is not whole")
 )
 
-// Encode returns a state's text.
+// Encode returns the stored form of a state.
 func Encode(s State) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	return append(fmt.Appendf(nil, "%s %d %d %08x\n", magic, form, len(body), crc32.ChecksumIEEE(body)), body...), nil
+	return append(fmt.Appendf(nil, "%s %d %d %08x\n", magic, version, len(body), crc32.ChecksumIEEE(body)), body...), nil
 }
 
-// Decode reads what Encode has written; the error wraps ErrForeign or ErrTorn.
+// Decode reads what Encode has written. The error wraps ErrUnknownFormat or ErrCorrupt.
 func Decode(raw []byte) (s State, err error) {
-	head, body, _ := bytes.Cut(raw, []byte{'\n'})
+	header, body, _ := bytes.Cut(raw, []byte{'\n'})
 	var word string
-	var version, length int
-	var sum uint32
-	if n, _ := fmt.Sscanf(string(head[:min(len(head), 100)]), "%s %d %d %x", &word, &version, &length, &sum); n < 2 || word != magic || version != form {
+	var form, length int
+	var checksum uint32
+	n, _ := fmt.Sscanf(string(header[:min(len(header), maxHeaderBytes)]), "%s %d %d %x", &word, &form, &length, &checksum)
+	if n < 2 || word != magic || form != version {
 		return s, ErrUnknownFormat
 	}
-	if length != len(body) || sum != crc32.ChecksumIEEE(body) {
+	if length != len(body) || checksum != crc32.ChecksumIEEE(body) {
 		return s, ErrCorrupt
 	}
 	if err := json.Unmarshal(body, &s); err != nil {
--- a/internal/hotrestart/stored_form_test.go
+++ b/internal/hotrestart/stored_form_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process of a new version takes the place of an old one, and the other way round: the state has the bytes of the golden file,
-// and a folder as it was written is read.
+// A process of a new version replaces one of an old version and the other way round: the state has the bytes of the golden file, and a
+// folder of an earlier version is read.
 func TestStoredForm(t *testing.T) {
 	want := State{UnixSeconds: 1700000000.25, SettingsHash: "0123456789abcdef", EndpointList: json.RawMessage(`{"Index":7}`), PolicyCheckpoint: []byte{1, 2, 3}}
 	text, err := Encode(want)
@@ -29,13 +29,13 @@
 	got, err := s.Load()
 	require.NoError(t, err)
 	assert.Equal(t, want, got)
-	bans, away, err := s.OperatorState()
+	cordoned, drained, err := s.OperatorState()
 	require.NoError(t, err)
-	assert.Equal(t, []string{"../../etc", "a b", "s-1"}, bans)
-	assert.True(t, away)
+	assert.Equal(t, []string{"../../etc", "a b", "s-1"}, cordoned)
+	assert.True(t, drained)
 }
 
-// The names of the files are what another version looks for.
+// Other versions find the files by their names.
 func TestStoredNames(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Open(dir, func(err error) { t.Error(err) })
