--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -171,7 +171,7 @@
 		{"class":"write","methods":["write"],"id":"1","key":"2","patience_us":"3"}]}}`), &cfg)
 	require.NoError(t, err)
 	n := &loop{now: 1.7e9, answer: answer}
-	s, err := sidecar.New(cfg, on, []sidecar.Front{http1.New(cfg, on.Rewrites), thriftfront.New(cfg, on.Thrift)}, n, slog.New(slog.DiscardHandler))
+	s, err := sidecar.New(cfg, on, []sidecar.Frontend{http1.New(cfg, on.Rewrites), thriftfront.New(cfg, on.Thrift)}, n, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	n.host = s
 	s.Start()
--- a/internal/frontend/http1/call.go
+++ b/internal/frontend/http1/call.go
@@ -14,7 +14,7 @@
 
 // call is what a client has asked for over HTTP.
 type call struct {
-	front          *Front
+	front          *Frontend
 	method, target string
 	header         http1.Header // passed on; Request-Timeout is written anew
 	body           sidecar.Body
@@ -28,7 +28,7 @@
 
 // newCall takes over a parsed request of a class that has come from an address. Its header is rewritten here, once
 // for all attempts: each begins with the same.
-func newCall(f *Front, p *http1.RequestParser, class string, from net.Addr) *call {
+func newCall(f *Frontend, p *http1.RequestParser, class string, from net.Addr) *call {
 	c := &call{front: f, method: p.Method, target: p.Target, class: class,
 		body: sidecar.Body{Kept: p.Body, Length: p.Length(), Whole: p.Whole()}}
 	header := p.Header
--- a/internal/frontend/http1/fields.go
+++ b/internal/frontend/http1/fields.go
@@ -22,12 +22,12 @@
 )
 
 // report reads a load report.
-func (f *Front) report(text string) policy.Report {
+func (f *Frontend) report(text string) policy.Report {
 	return sidecar.ReadReport(f.settings.ReportFields, text)
 }
 
 // tenant returns the place in the settings of a tenant that a client names, or tells the place of.
-func (f *Front) tenant(text string) int {
+func (f *Frontend) tenant(text string) int {
 	tenants := f.settings.Policy.Tenants
 	for i := range tenants {
 		if tenants[i].Name == text {
--- a/internal/frontend/http1/front.go
+++ b/internal/frontend/http1/front.go
@@ -12,7 +12,7 @@
 var limits = http1.Limits{Head: sidecar.MostHead, Body: sidecar.MostBody, Total: sidecar.MostFlow}
 
 // Front speaks HTTP/1.1 as the settings say.
-type Front struct {
+type Frontend struct {
 	name     string // of this sidecar
 	listen   string
 	settings sidecarconfig.Settings
@@ -20,33 +20,33 @@
 	rewrites rewrite.Settings
 }
 
-var _ sidecar.Front = (*Front)(nil)
+var _ sidecar.Frontend = (*Frontend)(nil)
 
 // New returns a front for the classes of a configuration.
-func New(cfg sidecarconfig.Config, rewrites rewrite.Settings) *Front {
-	f := &Front{name: cfg.Name, listen: cfg.Listen, settings: cfg.Settings, classes: map[string]int{}, rewrites: rewrites}
+func New(cfg sidecarconfig.Config, rewrites rewrite.Settings) *Frontend {
+	f := &Frontend{name: cfg.Name, listen: cfg.Listen, settings: cfg.Settings, classes: map[string]int{}, rewrites: rewrites}
 	for i, c := range cfg.Settings.Policy.Classes {
 		f.classes[c.Name] = i
 	}
 	return f
 }
 
-// Listen returns where clients come.
-func (f *Front) Listen() string { return f.listen }
+// ListenAddress returns where clients come.
+func (f *Frontend) ListenAddress() string { return f.listen }
 
-// Address returns a server's address as it is listed.
-func (f *Front) Address(listed string) string { return listed }
+// BackendAddress returns a server's address as it is listed.
+func (f *Frontend) BackendAddress(listed string) string { return listed }
 
-// Client returns a link that has read nothing.
-func (f *Front) Client() sidecar.Client {
+// NewClient returns a link that has read nothing.
+func (f *Frontend) NewClient() sidecar.Client {
 	return &link{front: f, parser: http1.NewRequestParser(limits)}
 }
 
 // probe asks a server for a sign of life.
 type probe struct{ exchange }
 
-// Probe asks in the way that the settings name.
-func (f *Front) Probe() sidecar.Exchange {
+// NewProbe asks in the way that the settings name.
+func (f *Frontend) NewProbe() sidecar.Exchange {
 	path := "/health"
 	if f.settings.Policy.ReportsOnProbe {
 		path = "/status/load"
--- a/internal/frontend/http1/link.go
+++ b/internal/frontend/http1/link.go
@@ -14,7 +14,7 @@
 // link is a client connection that speaks HTTP/1.1.
 type link struct {
 	sidecar.ClientConn
-	front  *Front
+	front  *Frontend
 	parser http1.RequestParser
 	told   bool  // 100 Continue is sent
 	call   *call // whose body is still on its way in; nil: none
--- a/internal/frontend/thrift/call.go
+++ b/internal/frontend/thrift/call.go
@@ -12,12 +12,12 @@
 
 // call is what a client has asked for, in memory of its own: it outlives its link.
 type call struct {
-	front *Front
+	front *Frontend
 	m     thrift.Message
 }
 
 // newCall takes over a message that lies in a link's buffer.
-func newCall(f *Front, m thrift.Message) *call {
+func newCall(f *Frontend, m thrift.Message) *call {
 	c := &call{front: f}
 	raw := append([]byte(nil), m.Raw...)
 	c.m = m.Moved(raw)
@@ -81,7 +81,7 @@
 }
 
 // refusal tells what a TApplicationException means. Only a server's word that it has not begun proves that nothing has run.
-func (f *Front) refusal(text []byte) policy.Outcome {
+func (f *Frontend) refusal(text []byte) policy.Outcome {
 	if strings.HasPrefix(string(text), f.on.NotStarted) {
 		return policy.Rejected
 	}
@@ -129,8 +129,8 @@
 // probe calls the method that is to be called, and asks for nothing but a reply.
 type probe struct{ exchange }
 
-// Probe calls a method without arguments in the strict binary protocol, which every server knows.
-func (f *Front) Probe() sidecar.Exchange {
+// NewProbe calls a method without arguments in the strict binary protocol, which every server knows.
+func (f *Frontend) NewProbe() sidecar.Exchange {
 	if f.on.Probe == "" {
 		return nil
 	}
--- a/internal/frontend/thrift/front.go
+++ b/internal/frontend/thrift/front.go
@@ -18,7 +18,7 @@
 const mostFrame = sidecar.MostBody
 
 // Front speaks Thrift as the operators' file says.
-type Front struct {
+type Frontend struct {
 	name     string // of this sidecar
 	settings sidecarconfig.Settings
 	on       featureconfig.Thrift
@@ -35,11 +35,11 @@
 	paths  []thrift.Path // of id, key, patience and the mark of a retry
 }
 
-var _ sidecar.Front = (*Front)(nil)
+var _ sidecar.Frontend = (*Frontend)(nil)
 
 // New returns a front for the classes of a configuration.
-func New(cfg sidecarconfig.Config, on featureconfig.Thrift) *Front {
-	f := &Front{name: cfg.Name, settings: cfg.Settings, on: on, methods: map[string]*class{}}
+func New(cfg sidecarconfig.Config, on featureconfig.Thrift) *Frontend {
+	f := &Frontend{name: cfg.Name, settings: cfg.Settings, on: on, methods: map[string]*class{}}
 	for _, t := range on.Classes {
 		for i, c := range cfg.Settings.Policy.Classes {
 			if c.Name != t.Class {
@@ -54,11 +54,11 @@
 	return f
 }
 
-// Listen returns where clients come.
-func (f *Front) Listen() string { return f.on.Listen }
+// ListenAddress returns where clients come.
+func (f *Frontend) ListenAddress() string { return f.on.Listen }
 
-// Address returns where a listed server speaks Thrift.
-func (f *Front) Address(listed string) string {
+// BackendAddress returns where a listed server speaks Thrift.
+func (f *Frontend) BackendAddress(listed string) string {
 	if f.on.Port == 0 {
 		return listed
 	}
@@ -68,18 +68,18 @@
 	return listed
 }
 
-// Client returns a link that has read nothing.
-func (f *Front) Client() sidecar.Client { return &link{front: f} }
+// NewClient returns a link that has read nothing.
+func (f *Frontend) NewClient() sidecar.Client { return &link{front: f} }
 
 // id returns one of the sidecar's own for a call that brings none. It is for logs and captures alone.
-func (f *Front) id() string {
+func (f *Frontend) id() string {
 	f.made++
 	return fmt.Sprintf("%s-thrift-%d", f.name, f.made)
 }
 
 // number returns the next attempt's sequence number. Danger: a backend connection carries one call at a time, but what comes late
 // of an earlier one must not be taken for this one's.
-func (f *Front) number() int32 {
+func (f *Frontend) number() int32 {
 	f.sequence++
 	return f.sequence
 }
--- a/internal/frontend/thrift/link.go
+++ b/internal/frontend/thrift/link.go
@@ -15,7 +15,7 @@
 // their order, one at a time, as a server of the Apache libraries does.
 type link struct {
 	sidecar.ClientConn
-	front *Front
+	front *Frontend
 	m     thrift.Message // the one that was read last, or is out
 }
 
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -64,7 +64,7 @@
 	if on.Thrift.Only {
 		http.Settings.Policy.Classes = nil // what concerns the sidecar itself is all that is left
 	}
-	fronts, listen := []sidecar.Front{http1.New(http, on.Rewrites)}, []string{cfg.Listen}
+	fronts, listen := []sidecar.Frontend{http1.New(http, on.Rewrites)}, []string{cfg.Listen}
 	if on.Thrift.On() {
 		fronts, listen = append(fronts, thrift.New(cfg, on.Thrift)), append(listen, on.Thrift.Listen)
 	}
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -39,11 +39,11 @@
 	}
 }
 
-// Probe asks a server for a sign of life.
+// NewProbe asks a server for a sign of life.
 func (s *Sidecar) Probe(host uint32) {
 	s.capture.Decide(capture.Decision{Do: capture.Probe, Host: host})
 	s.counters.Probes++
-	s.begin(&attempt{host: host, sentAt: s.eventAt, until: s.eventAt + probeWaitS, exchange: s.prober.Probe(), front: s.prober})
+	s.begin(&attempt{host: host, sentAt: s.eventAt, until: s.eventAt + probeWaitS, exchange: s.prober.NewProbe(), front: s.prober})
 }
 
 // CloseIdle closes the idle links to a server.
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -82,7 +82,7 @@
 	sentAt   float64
 	until    float64 // when the wait is over
 	exchange Exchange
-	front    Front
+	front    Frontend
 	link     *backendConn
 	progress progress
 	timer    timer // when the wait is over
@@ -176,7 +176,7 @@
 	if e.request != nil || e.second || h == nil || err == nil || err.cause != broke || err.progress == notConnected {
 		return false
 	}
-	e.second, e.progress, e.exchange = true, notConnected, s.prober.Probe()
+	e.second, e.progress, e.exchange = true, notConnected, s.prober.NewProbe()
 	s.dial(h, e)
 	return true
 }
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -18,7 +18,7 @@
 // backendConn is a connection to a server. It carries one attempt at a time.
 type backendConn struct {
 	s        *Sidecar
-	front    Front
+	front    Frontend
 	host     uint32
 	address  string     // as it was listed
 	conn     netio.Conn // nil until it is up
@@ -59,7 +59,7 @@
 // likely to have been closed by the other side for its rest, and the others can grow old and be retired. Danger: what
 // a server sends behind its answer a moment later would answer the next request; one whose last answer has only just
 // come is taken only where no new link can be had.
-func (s *Sidecar) idleConn(h *endpointset.Host, front Front) *backendConn {
+func (s *Sidecar) idleConn(h *endpointset.Host, front Frontend) *backendConn {
 	for {
 		links := s.idle[h.ID]
 		var l *backendConn
@@ -124,7 +124,7 @@
 	s.counters.Dials++
 	began := s.now()
 	until := min(e.until, began+s.cfg.Settings.ConnectTimeoutS)
-	l.stopDial = s.connect(e.front.Address(h.Address), until, l, func(err error) {
+	l.stopDial = s.connect(e.front.BackendAddress(h.Address), until, l, func(err error) {
 		if e := l.attempt; e != nil {
 			l.attempt = nil
 			why := broke
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -49,7 +49,7 @@
 // protocol's part is its Client, which holds it.
 type ClientConn struct {
 	s         *Sidecar
-	front     Front
+	front     Frontend
 	client    Client
 	conn      netio.Conn
 	index     int // in Sidecar.clients
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -73,7 +73,7 @@
 func (s *Sidecar) accept(c netio.Conn) bool {
 	now := s.now()
 	front := s.frontOf(c)
-	client := front.Client()
+	client := front.NewClient()
 	l := client.Shared()
 	l.s, l.front, l.client, l.conn, l.openedAt, l.index = s, front, client, c, now, len(s.clients)
 	s.clients = append(s.clients, l)
@@ -121,11 +121,11 @@
 }
 
 // frontOf returns what is spoken at the listener that has accepted a connection.
-func (s *Sidecar) frontOf(c netio.Conn) Front {
+func (s *Sidecar) frontOf(c netio.Conn) Frontend {
 	if len(s.fronts) > 1 {
 		if tcp, ok := c.LocalAddr().(*net.TCPAddr); ok {
 			for _, f := range s.fronts[1:] {
-				if a, err := netip.ParseAddrPort(f.Listen()); err == nil && int(a.Port()) == tcp.Port {
+				if a, err := netip.ParseAddrPort(f.ListenAddress()); err == nil && int(a.Port()) == tcp.Port {
 					return f
 				}
 			}
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -5,19 +5,19 @@
 	"hazelwheel/policy"
 )
 
-// Front is one protocol that clients and servers speak. The core knows no more of it than this.
-type Front interface {
-	// Listen returns the address and port at which its clients come.
-	Listen() string
-	// Address returns where a server speaks it that is listed at an address. It is asked for each dial.
-	Address(listed string) string
-	// Client returns the protocol's part of a client connection that is about to come up.
-	Client() Client
-	// Probe returns its way to probe a server, nil where another front's is the deployment's.
-	Probe() Exchange
+// Frontend is one protocol that clients and servers speak. The core knows no more of it than this.
+type Frontend interface {
+	// ListenAddress returns the address and port at which its clients come.
+	ListenAddress() string
+	// BackendAddress returns where a server speaks it that is listed at an address. It is asked for each dial.
+	BackendAddress(listed string) string
+	// NewClient returns the protocol's part of a client connection that is about to come up.
+	NewClient() Client
+	// NewProbe returns its way to probe a server, nil where another front's is the deployment's.
+	NewProbe() Exchange
 }
 
-// Client is a protocol's part of a client connection; it holds a ClientConn, whose methods answer and hand on what it reads.
+// NewClient is a protocol's part of a client connection; it holds a ClientConn, whose methods answer and hand on what it reads.
 type Client interface {
 	Origin
 	// Shared returns the ClientConn that it holds.
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -20,7 +20,7 @@
 	body     *Body       // that was not whole when it was taken; nil: it was
 	flow     *flow       // of its answer, which has begun to be passed on
 	patience float64
-	front    Front
+	front    Frontend
 	s        *Sidecar
 	sent     int // attempts begun
 	out      []*attempt
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -56,8 +56,8 @@
 	requests  map[uint32]*request
 	named     map[string]*request // by their clients' ids
 	lastID    uint32
-	fronts    []Front
-	prober    Front
+	fronts    []Frontend
+	prober    Frontend
 	clients   []*ClientConn
 	room      *admission.Room
 	flushing  bool // answers are looked after that clients have not taken
@@ -106,14 +106,14 @@
 
 // New returns a sidecar that has not begun, for clients and servers that speak what the fronts do and for the loop that is
 // to call it. Of fronts that have a way to probe the last one's is used.
-func New(cfg sidecarconfig.Config, on featureconfig.Features, fronts []Front, loop netio.Net, log *slog.Logger) (*Sidecar, error) {
+func New(cfg sidecarconfig.Config, on featureconfig.Features, fronts []Frontend, loop netio.Net, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, lastID: 1,
 		requests: map[uint32]*request{}, named: map[string]*request{}, idle: map[uint32][]*backendConn{},
 		hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), slack: cfg.Settings.AnswerSlackS,
 		admission: on.Admission, notices: notices{}, drills: faultinjection.New(on.Drills), fronts: fronts, shelf: noShelf{}, parts: 1}
 	s.timers.tick = int64(s.now() / slotS)
 	for _, f := range fronts {
-		if f.Probe() != nil {
+		if f.NewProbe() != nil {
 			s.prober = f
 		}
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -66,9 +66,9 @@
 }
 
 // listedFront is a front whose backends are reached where they are listed.
-type listedFront struct{ Front }
+type listedFront struct{ Frontend }
 
-func (listedFront) Address(listed string) string { return listed }
+func (listedFront) BackendAddress(listed string) string { return listed }
 
 // An attempt that waits for a descriptor gets that of a dial which has failed.
 func TestFailedDialMakesRoom(t *testing.T) {
--- a/internal/sim/core.go
+++ b/internal/sim/core.go
@@ -22,7 +22,7 @@
 
 // Sidecar is the Core of the real sidecar, without the operators' features.
 func Sidecar(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
-	s, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, net, log)
+	s, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Frontend{http1.New(cfg, rewrite.Settings{})}, net, log)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := sidecar.New(cfg, on, []sidecar.Front{http1.New(cfg, on.Rewrites), thrift.New(cfg, on.Thrift)}, net, log)
+	s, err := sidecar.New(cfg, on, []sidecar.Frontend{http1.New(cfg, on.Rewrites), thrift.New(cfg, on.Thrift)}, net, log)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -111,7 +111,7 @@
 func (d *day) withFleet(s *instance) Core {
 	return func(cfg sidecarconfig.Config, loop netio.Net, log *slog.Logger) (Program, error) {
 		shared := multiplex.New(loop)
-		sc, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, shared.Core(), log)
+		sc, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Frontend{http1.New(cfg, rewrite.Settings{})}, shared.Core(), log)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -48,7 +48,7 @@
 	s.File, s.Tree, s.DefaultGroup = "of the day", tree, "cities"
 	s.Rules = []quotas.Rule{{Header: "Organisation"}}
 	return func(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
-		p, err := sidecar.New(cfg, featureconfig.Features{Quotas: s}, []sidecar.Front{http1.New(cfg, rewrite.Settings{})}, net, log)
+		p, err := sidecar.New(cfg, featureconfig.Features{Quotas: s}, []sidecar.Frontend{http1.New(cfg, rewrite.Settings{})}, net, log)
 		if err != nil {
 			return nil, err
 		}
