--- a/internal/frontend/http1/call.go
+++ b/internal/frontend/http1/call.go
@@ -74,7 +74,7 @@
 	if length == 0 && c.method == "GET" {
 		length = -1
 	}
-	return x.More(http1.AppendHeader(dst, nil, length), sidecar.PieceBytes)
+	return x.More(http1.AppendHeader(dst, nil, length), sidecar.ChunkBytes)
 }
 
 func (x *exchange) More(dst []byte, most int) []byte {
@@ -98,7 +98,7 @@
 // Large tells whether more of the answer is to come than is held.
 func (x *exchange) Large() bool {
 	p := &x.parser
-	return p.HeadRead() && !p.Whole() && max(p.Length(), p.Came()) > sidecar.MostBody
+	return p.HeadRead() && !p.Whole() && max(p.Length(), p.Came()) > sidecar.MaxBodyBytes
 }
 
 func (x *exchange) Read(buf *buffer.Buffer) (bool, error) { return x.parser.Next(buf) }
--- a/internal/frontend/http1/drills.go
+++ b/internal/frontend/http1/drills.go
@@ -16,7 +16,7 @@
 )
 
 // startDrill answers the operators' word to start a drill.
-func (l *link) startDrill(name string) {
+func (l *clientConn) startDrill(name string) {
 	if l.parser.Method != "POST" {
 		l.decline(405, "a drill is started by POST", http1.Field{Name: "Allow", Value: "POST"})
 		return
@@ -38,7 +38,7 @@
 }
 
 // drillName returns the drill that a path names, if drills can be started.
-func (l *link) drillName(path string) (string, bool) {
+func (l *clientConn) drillName(path string) (string, bool) {
 	name, ok := strings.CutPrefix(path, DrillPath)
 	return name, ok && l.Sidecar().DrillsArmed()
 }
--- a/internal/frontend/http1/fields.go
+++ b/internal/frontend/http1/fields.go
@@ -23,7 +23,7 @@
 
 // report reads a load report.
 func (f *Frontend) report(text string) policy.Report {
-	return sidecar.ReadReport(f.settings.ReportFields, text)
+	return sidecar.ParseLoadReport(f.settings.ReportFields, text)
 }
 
 // tenant returns the place in the settings of a tenant that a client names, or tells the place of.
--- a/internal/frontend/http1/front.go
+++ b/internal/frontend/http1/front.go
@@ -9,7 +9,7 @@
 	"hazelwheel/policy"
 )
 
-var limits = http1.Limits{Head: sidecar.MostHead, Body: sidecar.MostBody, Total: sidecar.MostFlow}
+var limits = http1.Limits{Head: sidecar.MaxHeadBytes, Body: sidecar.MaxBodyBytes, Total: sidecar.MaxStreamBytes}
 
 // Front speaks HTTP/1.1 as the settings say.
 type Frontend struct {
@@ -38,8 +38,8 @@
 func (f *Frontend) BackendAddress(listed string) string { return listed }
 
 // NewClient returns a link that has read nothing.
-func (f *Frontend) NewClient() sidecar.Client {
-	return &link{front: f, parser: http1.NewRequestParser(limits)}
+func (f *Frontend) NewClient() sidecar.ClientCodec {
+	return &clientConn{front: f, parser: http1.NewRequestParser(limits)}
 }
 
 // probe asks a server for a sign of life.
--- a/internal/frontend/http1/link.go
+++ b/internal/frontend/http1/link.go
@@ -11,8 +11,8 @@
 	"hazelwheel/policy"
 )
 
-// link is a client connection that speaks HTTP/1.1.
-type link struct {
+// clientConn is a client connection that speaks HTTP/1.1.
+type clientConn struct {
 	sidecar.ClientConn
 	front  *Frontend
 	parser http1.RequestParser
@@ -22,8 +22,8 @@
 	minor  int   // the version of HTTP/1 that the present request came in
 }
 
-// Read sends word to a client that waits for it before it sends the body.
-func (l *link) Read(buf *buffer.Buffer) (bool, error) {
+// ReadRequest sends word to a client that waits for it before it sends the body.
+func (l *clientConn) ReadRequest(buf *buffer.Buffer) (bool, error) {
 	if b := buf.Bytes(); !l.parser.Begun() && looksLikeThrift(b) {
 		return false, errThrift
 	}
@@ -32,31 +32,33 @@
 		l.told = true
 		l.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
-	ready := whole || err == nil && l.parser.HeadRead() && len(l.parser.Body) >= l.Spool()
+	ready := whole || err == nil && l.parser.HeadRead() && len(l.parser.Body) >= l.BodyBufferLimit()
 	return ready, err
 }
 
-// More reads on in a body that flows.
-func (l *link) More(buf *buffer.Buffer) error {
+// ReadBody reads on in a body that flows.
+func (l *clientConn) ReadBody(buf *buffer.Buffer) error {
 	whole, err := l.parser.Next(buf)
 	b := &l.call.body
 	b.Kept, b.Whole = append(b.Kept, l.parser.TakeBody()...), whole
 	if whole {
 		l.call = nil
-		l.Keep(l.parser.Keep())
+		l.SetKeepAlive(l.parser.Keep())
 		l.parser.Rest()
 	}
 	return err
 }
 
-// Partial counts the body, which is taken off the buffer as it comes.
-func (l *link) Partial() (held int, begun bool) { return len(l.parser.Body), l.parser.Begun() }
+// PartialRequest counts the body, which is taken off the buffer as it comes.
+func (l *clientConn) PartialRequest() (held int, begun bool) {
+	return len(l.parser.Body), l.parser.Begun()
+}
 
 // Take routes a request.
-func (l *link) Take() {
+func (l *clientConn) HandleRequest() {
 	l.told, l.minor = false, l.parser.Minor()
 	// Danger: what follows a message that is answered before it has come whole is its rest, and no request.
-	l.Keep(l.parser.Keep() && l.parser.Whole())
+	l.SetKeepAlive(l.parser.Keep() && l.parser.Whole())
 	l.route()
 	l.parser.Rest()
 }
@@ -75,15 +77,15 @@
 	return len(b) > 1 && (b[0] == 0x80 && b[1] == 1 || b[0] == 0x82 && b[1]&0x1f == 1)
 }
 
-// Decline names the status of what is wrong.
-func (l *link) Decline(err error) {
+// RejectMalformed names the status of what is wrong.
+func (l *clientConn) RejectMalformed(err error) {
 	if errors.Is(err, errThrift) {
-		l.Hangup(err.Error())
+		l.CloseUnanswered(err.Error())
 		return
 	}
 	var e *http1.Error
 	switch {
-	case errors.Is(err, sidecar.ErrUnarrived):
+	case errors.Is(err, sidecar.ErrRequestTimeout):
 		e = &http1.Error{Status: 408, Reason: err.Error()}
 	case !errors.As(err, &e):
 		e = &http1.Error{Status: 400, Reason: err.Error()}
@@ -92,21 +94,21 @@
 }
 
 // decline answers a message that is no request to decide on.
-func (l *link) decline(status int, why string, more ...http1.Field) {
-	l.Malformed()
+func (l *clientConn) decline(status int, why string, more ...http1.Field) {
+	l.CountMalformed()
 	l.respond(status, append(more, textPlain), []byte(why+"\n"))
 }
 
 // spoilt does so to a request of a class that is none to decide on.
-func (l *link) spoilt(class, status int, why string, more ...http1.Field) {
-	l.Spoilt(class)
+func (l *clientConn) spoilt(class, status int, why string, more ...http1.Field) {
+	l.CountInvalid(class)
 	l.decline(status, why, more...)
 }
 
 var textPlain = http1.Field{Name: "Content-Type", Value: "text/plain"}
 
 // route answers what concerns the sidecar itself, and hands on the rest.
-func (l *link) route() {
+func (l *clientConn) route() {
 	p := &l.parser
 	path, query, _ := strings.Cut(p.Target, "?")
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
@@ -133,7 +135,7 @@
 }
 
 // take checks a request of a class and hands it to the decisions.
-func (l *link) take(class int) {
+func (l *clientConn) take(class int) {
 	p, c := &l.parser, &l.front.settings.Policy.Classes[class]
 	method := "POST"
 	if c.Effect == policy.Safe {
@@ -151,7 +153,7 @@
 		l.spoilt(class, 400, fieldID+" is missing")
 	case p.Header.Twice(fieldID), p.Header.Twice(fieldKey):
 		l.spoilt(class, 400, fieldID+" or "+fieldKey+" comes twice: which one counts is a guess")
-	case l.Sidecar().IsOpen(id):
+	case l.Sidecar().IsRequestOpen(id):
 		l.spoilt(class, 409, fieldID+" is that of an open request")
 	case c.Effect == policy.Keyed && p.Header.Get(fieldKey) == "":
 		l.spoilt(class, 400, fieldKey+" is missing")
@@ -159,53 +161,53 @@
 		l.spoilt(class, 400, fieldPatience+" is not a number with m or u")
 	case l.Admit(class):
 		call := newCall(l.front, p, c.Name, l.RemoteAddr())
-		ask := sidecar.Ask{ID: id, Class: class, Tenant: l.front.tenant(p.Header.Get(fieldTenant)), Patience: patience, Repeat: p.Header.Get(fieldRetry) == "1", Size: len(p.Body), Call: call}
+		ask := sidecar.IncomingRequest{ID: id, Class: class, Tenant: l.front.tenant(p.Header.Get(fieldTenant)), TimeoutSeconds: patience, IsRetry: p.Header.Get(fieldRetry) == "1", HeldBytes: len(p.Body), Call: call}
 		if !p.Whole() {
 			l.call, ask.Body = call, &call.body
 			p.Body = nil // the call's from now on
 		}
-		l.HandOn(ask)
+		l.Submit(ask)
 	}
 }
 
 // Serve passes on a server's answer.
-func (l *link) Serve(x sidecar.Exchange) {
+func (l *clientConn) Serve(x sidecar.Exchange) {
 	h := x.(*exchange)
-	l.Served()
+	l.MarkServed()
 	l.respond(h.parser.Status, h.header(), h.parser.Body)
 }
 
-var _ sidecar.FlowOrigin = (*link)(nil)
+var _ sidecar.FlowOrigin = (*clientConn)(nil)
 
 // Begin passes on the begin of an answer whose end has not come.
-func (l *link) Begin(x sidecar.Exchange) {
+func (l *clientConn) Begin(x sidecar.Exchange) {
 	p, h := &x.(*exchange).parser, x.(*exchange).header()
-	l.Served()
+	l.MarkServed()
 	length := p.Length()
 	l.chunks = length < 0 && l.minor > 0
 	if l.chunks {
 		h = append(h[:len(h):len(h)], http1.Chunked)
 	}
-	dst, last, there := l.BeginFlow(length < 0 && !l.chunks)
+	dst, last, there := l.BeginStream(length < 0 && !l.chunks)
 	if !there {
 		return
 	}
 	if last {
 		h = append(h[:len(h):len(h)], http1.Field{Name: "Connection", Value: "close"})
 	}
-	l.Flow(l.appendPart(http1.AppendResponseHead(dst, p.Status, h, length), p.TakeBody()))
+	l.WriteStream(l.appendPart(http1.AppendResponseHead(dst, p.Status, h, length), p.TakeBody()))
 }
 
 // Pass passes on what has come since.
-func (l *link) Pass(x sidecar.Exchange, last bool) {
-	dst := l.appendPart(l.Scratch(), x.(*exchange).parser.TakeBody())
+func (l *clientConn) Pass(x sidecar.Exchange, last bool) {
+	dst := l.appendPart(l.ScratchBuffer(), x.(*exchange).parser.TakeBody())
 	if last && l.chunks {
 		dst = http1.AppendLastChunk(dst)
 	}
-	l.Flow(dst)
+	l.WriteStream(dst)
 }
 
-func (l *link) appendPart(dst, part []byte) []byte {
+func (l *clientConn) appendPart(dst, part []byte) []byte {
 	if l.chunks {
 		return http1.AppendChunk(dst, part)
 	}
@@ -213,7 +215,7 @@
 }
 
 // Throttle refuses.
-func (l *link) Throttle(retryAfterS float64) {
+func (l *clientConn) Throttle(retryAfterS float64) {
 	h := http1.Header{textPlain}
 	if l.front.settings.RetryAfter {
 		after := strconv.FormatFloat(max(retryAfterS, 0), 'f', 3, 64)
@@ -223,7 +225,7 @@
 }
 
 // Fail says that there is no answer.
-func (l *link) Fail(late bool) {
+func (l *clientConn) Fail(late bool) {
 	if late {
 		l.respond(504, http1.Header{textPlain}, []byte("no answer in time\n"))
 		return
@@ -232,13 +234,13 @@
 }
 
 // respond answers, and tells the client where the answer is the last.
-func (l *link) respond(status int, h http1.Header, body []byte) {
-	dst, last, there := l.BeginAnswer(true)
+func (l *clientConn) respond(status int, h http1.Header, body []byte) {
+	dst, last, there := l.BeginResponse(true)
 	if !there {
 		return
 	}
 	if last {
 		h = append(h[:len(h):len(h)], http1.Field{Name: "Connection", Value: "close"})
 	}
-	l.EndAnswer(http1.AppendResponse(dst, status, h, body))
+	l.EndResponse(http1.AppendResponse(dst, status, h, body))
 }
--- a/internal/frontend/http1/quotas.go
+++ b/internal/frontend/http1/quotas.go
@@ -12,21 +12,21 @@
 const QuotaPath = "/quota"
 
 var (
-	_ sidecar.Quoted = (*link)(nil)
+	_ sidecar.Quoted = (*clientConn)(nil)
 	_ sidecar.Told   = (*exchange)(nil)
 )
 
 // Field returns a field as the client has sent it, whatever is rewritten later.
-func (l *link) Field(name string) string { return l.parser.Header.Get(name) }
+func (l *clientConn) Field(name string) string { return l.parser.Header.Get(name) }
 
 // Bytes counts the request's first line, header and body.
-func (l *link) Bytes() int {
+func (l *clientConn) Bytes() int {
 	p := &l.parser
 	return len(p.Method) + len(p.Target) + headerBytes(p.Header) + max(p.Length(), len(p.Body))
 }
 
 // OverQuota refuses with a status of its own.
-func (l *link) OverQuota(group string, retryAfterS float64) {
+func (l *clientConn) OverQuota(group string, retryAfterS float64) {
 	h := http1.Header{textPlain}
 	if l.front.settings.RetryAfter {
 		h = append(h, http1.Field{Name: fieldRetryAfter, Value: strconv.FormatFloat(retryAfterS, 'f', 3, 64)})
@@ -35,7 +35,7 @@
 }
 
 // showQuotas answers operators who ask for the quotas.
-func (l *link) showQuotas(query string) {
+func (l *clientConn) showQuotas(query string) {
 	text, ok := l.Sidecar().Quotas(query)
 	if !ok {
 		l.decline(404, "there are no quotas, or no such group")
@@ -51,7 +51,7 @@
 func (x *exchange) Worked() (seconds float64, ok bool) {
 	for pair := range strings.SplitSeq(x.parser.Header.Get(fieldLoad), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		if ms, err := strconv.ParseFloat(value, 64); name == sidecar.ReportAlias["svc_ms"] && err == nil && ms >= 0 && ms < 3.6e6 {
+		if ms, err := strconv.ParseFloat(value, 64); name == sidecar.LoadReportNames["svc_ms"] && err == nil && ms >= 0 && ms < 3.6e6 {
 			return ms / 1000, true
 		}
 	}
--- a/internal/frontend/thrift/call.go
+++ b/internal/frontend/thrift/call.go
@@ -51,7 +51,7 @@
 	return x.call.m.AppendAs(dst, x.seq)
 }
 
-// Read takes a reply that is whole. What makes no sense, or answers another call, says that the server has come to this one.
+// ReadRequest takes a reply that is whole. What makes no sense, or answers another call, says that the server has come to this one.
 func (x *exchange) Read(buf *buffer.Buffer) (bool, error) {
 	x.begun = x.begun || buf.Len() > 0
 	payload, size, err := thrift.Frame(buf.Bytes(), mostFrame)
@@ -155,7 +155,7 @@
 			outcome = policy.OK
 		}
 	} else if f := x.call.front; f.settings.Policy.ReportsOnProbe && x.reply.Find(resultPaths, &found) == nil {
-		report = sidecar.ReadReport(f.settings.ReportFields, string(found[0].Bytes))
+		report = sidecar.ParseLoadReport(f.settings.ReportFields, string(found[0].Bytes))
 	}
 	return outcome, report, keep
 }
--- a/internal/frontend/thrift/front.go
+++ b/internal/frontend/thrift/front.go
@@ -15,7 +15,7 @@
 )
 
 // mostFrame bounds a message, as an HTTP one's body.
-const mostFrame = sidecar.MostBody
+const mostFrame = sidecar.MaxBodyBytes
 
 // Front speaks Thrift as the operators' file says.
 type Frontend struct {
@@ -69,7 +69,7 @@
 }
 
 // NewClient returns a link that has read nothing.
-func (f *Frontend) NewClient() sidecar.Client { return &link{front: f} }
+func (f *Frontend) NewClient() sidecar.ClientCodec { return &clientConn{front: f} }
 
 // id returns one of the sidecar's own for a call that brings none. It is for logs and captures alone.
 func (f *Frontend) id() string {
--- a/internal/frontend/thrift/link.go
+++ b/internal/frontend/thrift/link.go
@@ -11,16 +11,16 @@
 	"hazelwheel/policy"
 )
 
-// link is a client connection that speaks Thrift. Calls that come ahead wait in its buffer and in the socket: they are answered in
+// clientConn is a client connection that speaks Thrift. Calls that come ahead wait in its buffer and in the socket: they are answered in
 // their order, one at a time, as a server of the Apache libraries does.
-type link struct {
+type clientConn struct {
 	sidecar.ClientConn
 	front *Frontend
 	m     thrift.Message // the one that was read last, or is out
 }
 
-// Read takes one message off the buffer. It lies there until Take, which comes before any more bytes.
-func (l *link) Read(buf *buffer.Buffer) (bool, error) {
+// ReadRequest takes one message off the buffer. It lies there until Take, which comes before any more bytes.
+func (l *clientConn) ReadRequest(buf *buffer.Buffer) (bool, error) {
 	payload, size, err := thrift.Frame(buf.Bytes(), mostFrame)
 	if err != nil || size == 0 {
 		return false, err
@@ -32,25 +32,25 @@
 	return true, nil
 }
 
-// More is never called: a message is handed on whole.
-func (l *link) More(*buffer.Buffer) error { return nil }
+// ReadBody is never called: a message is handed on whole.
+func (l *clientConn) ReadBody(*buffer.Buffer) error { return nil }
 
 // Partial holds nothing: a message stays in the buffer until it is whole.
-func (l *link) Partial() (held int, begun bool) { return 0, false }
+func (l *clientConn) PartialRequest() (held int, begun bool) { return 0, false }
 
-// Decline closes a link without a word: what can't be read has no sequence number to answer to.
-func (l *link) Decline(err error) {
-	if errors.Is(err, sidecar.ErrUnarrived) {
-		l.Hangup("connections are closed whose calls do not arrive")
+// RejectMalformed closes a link without a word: what can't be read has no sequence number to answer to.
+func (l *clientConn) RejectMalformed(err error) {
+	if errors.Is(err, sidecar.ErrRequestTimeout) {
+		l.CloseUnanswered("connections are closed whose calls do not arrive")
 		return
 	}
-	l.Hangup("connections at the Thrift port are closed that speak no framed Thrift: " + err.Error())
+	l.CloseUnanswered("connections at the Thrift port are closed that speak no framed Thrift: " + err.Error())
 }
 
-// Take hands a call on, or answers it.
-func (l *link) Take() {
+// HandleRequest hands a call on, or answers it.
+func (l *clientConn) HandleRequest() {
 	m := &l.m
-	l.Keep(true)
+	l.SetKeepAlive(true)
 	if m.Kind != thrift.Call && m.Kind != thrift.Oneway {
 		l.spoilt(thrift.InvalidKind, "a message that is no call")
 		return
@@ -73,11 +73,11 @@
 }
 
 // ask hands a call of a class on, with what was found in it.
-func (l *link) ask(c *class, id, key, patience thrift.Value, again bool) {
-	a := sidecar.Ask{Class: c.number, Tenant: sidecar.UnknownTenant, Patience: c.TotalTimeoutSeconds, Size: len(l.m.Raw), Repeat: again, Detached: l.m.Kind == thrift.Oneway}
+func (l *clientConn) ask(c *class, id, key, patience thrift.Value, again bool) {
+	a := sidecar.IncomingRequest{Class: c.number, Tenant: sidecar.UnknownTenant, TimeoutSeconds: c.TotalTimeoutSeconds, HeldBytes: len(l.m.Raw), IsRetry: again, IsOneWay: l.m.Kind == thrift.Oneway}
 	if patience.Type != thrift.Stop {
 		var ok bool
-		if a.Patience, ok = seconds(patience, c.UnitS); !ok {
+		if a.TimeoutSeconds, ok = seconds(patience, c.UnitS); !ok {
 			l.decline(thrift.ProtocolError, "a patience that is no number from 0")
 			return
 		}
@@ -89,16 +89,16 @@
 	if a.ID = name(id); a.ID == "" {
 		a.ID = l.front.id()
 	}
-	if l.Sidecar().IsOpen(a.ID) {
+	if l.Sidecar().IsRequestOpen(a.ID) {
 		l.decline(thrift.InternalError, "its id is that of an open call")
 		return
 	}
 	// Without a key nothing drops a repeat, whatever the class says.
-	a.Once = c.Effect == policy.Keyed && len(key.Bytes) == 0 && key.Int == 0
+	a.AtMostOnce = c.Effect == policy.Keyed && len(key.Bytes) == 0 && key.Int == 0
 	if l.Admit(c.number) {
 		call := newCall(l.front, l.m)
 		l.m, a.Call = call.m, call
-		l.HandOn(a)
+		l.Submit(a)
 	}
 }
 
@@ -132,28 +132,28 @@
 }
 
 // decline answers a call that is none to decide on. Such a call has not run.
-func (l *link) decline(kind int32, why string) {
-	l.Malformed()
+func (l *clientConn) decline(kind int32, why string) {
+	l.CountMalformed()
 	l.exception(kind, why)
 }
 
 // spoilt ends a link with a message that makes no sense.
-func (l *link) spoilt(kind int32, why string) {
-	l.Keep(false)
+func (l *clientConn) spoilt(kind int32, why string) {
+	l.SetKeepAlive(false)
 	l.decline(kind, why)
 }
 
 // Serve passes on a server's answer.
-func (l *link) Serve(x sidecar.Exchange) {
-	l.Served()
-	dst, _, there := l.BeginAnswer(false)
+func (l *clientConn) Serve(x sidecar.Exchange) {
+	l.MarkServed()
+	dst, _, there := l.BeginResponse(false)
 	if !there {
 		return
 	}
 	if l.m.Kind != thrift.Oneway {
 		dst = x.(*exchange).reply.AppendAs(dst, l.m.Seq)
 	}
-	l.EndAnswer(dst)
+	l.EndResponse(dst)
 }
 
 // What a client is told of calls without an answer; programs tell them apart by the exception's type, and people by its text.
@@ -164,7 +164,7 @@
 )
 
 // Throttle refuses, and says when to come again in seconds.
-func (l *link) Throttle(retryAfterS float64) {
+func (l *clientConn) Throttle(retryAfterS float64) {
 	text := throttled
 	if l.front.settings.RetryAfter {
 		text += strconv.FormatFloat(max(retryAfterS, 0), 'f', 3, 64)
@@ -175,7 +175,7 @@
 }
 
 // Fail says that there is no answer.
-func (l *link) Fail(isLate bool) {
+func (l *clientConn) Fail(isLate bool) {
 	if isLate {
 		l.exception(thrift.TimedOutException, late)
 		return
@@ -184,13 +184,13 @@
 }
 
 // exception answers with a TApplicationException, or with nothing where nobody waits for an answer.
-func (l *link) exception(kind int32, text string) {
-	dst, _, there := l.BeginAnswer(false)
+func (l *clientConn) exception(kind int32, text string) {
+	dst, _, there := l.BeginResponse(false)
 	if !there {
 		return
 	}
 	if l.m.Kind != thrift.Oneway {
 		dst = thrift.AppendException(dst, l.m.Encoding, string(bare(l.m.Name)), l.m.Seq, kind, text)
 	}
-	l.EndAnswer(dst)
+	l.EndResponse(dst)
 }
--- a/internal/sidecar/arrival_test.go
+++ b/internal/sidecar/arrival_test.go
@@ -24,14 +24,14 @@
 
 // partialClient has brought a part of a request, of some bytes, and keeps with what it was declined.
 type partialClient struct {
-	Client
+	ClientCodec
 	came     int
 	declined error
 }
 
-func (c *partialClient) Read(*buffer.Buffer) (bool, error) { return false, nil }
-func (c *partialClient) Partial() (int, bool)              { return c.came, true }
-func (c *partialClient) Decline(err error)                 { c.declined = err }
+func (c *partialClient) ReadRequest(*buffer.Buffer) (bool, error) { return false, nil }
+func (c *partialClient) PartialRequest() (int, bool)              { return c.came, true }
+func (c *partialClient) RejectMalformed(err error)                { c.declined = err }
 
 // partialRequest returns a link on which a part of a request has come.
 func partialRequest(t *testing.T) (*clockNet, *partialClient, *Sidecar) {
@@ -73,7 +73,7 @@
 		n.turnUntil(s, arrivalS)
 		assert.NoError(t, client.declined)
 		n.turnUntil(s, arrivalS+again)
-		assert.ErrorIs(t, client.declined, ErrUnarrived)
+		assert.ErrorIs(t, client.declined, ErrRequestTimeout)
 	})
 	t.Run("the loop stood still", func(t *testing.T) {
 		n, client, s := partialRequest(t)
@@ -84,6 +84,6 @@
 		n.turnUntil(s, arrivalS+stood-0.01)
 		assert.NoError(t, client.declined)
 		n.turnUntil(s, arrivalS+stood+again)
-		assert.ErrorIs(t, client.declined, ErrUnarrived)
+		assert.ErrorIs(t, client.declined, ErrRequestTimeout)
 	})
 }
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -12,23 +12,23 @@
 
 // The bounds of messages; whatever the protocol, a link holds no more.
 const (
-	MostHead = 16 << 10
-	MostBody = 64 << 10
+	MaxHeadBytes = 16 << 10
+	MaxBodyBytes = 64 << 10
 )
 
 const (
-	// MostFlow is how long a message may be that flows; it is never held whole.
-	MostFlow = 1 << 30
-	// PieceBytes is how much of it is handled at once.
-	PieceBytes = 64 << 10
+	// MaxStreamBytes is how long a message may be that flows; it is never held whole.
+	MaxStreamBytes = 1 << 30
+	// ChunkBytes is how much of it is handled at once.
+	ChunkBytes = 64 << 10
 )
 
-// ErrUnarrived is the end of a message that has not come whole in time.
-var ErrUnarrived = errors.New("request did not arrive")
+// ErrRequestTimeout is the end of a message that has not come whole in time.
+var ErrRequestTimeout = errors.New("request did not arrive")
 
 const (
 	// mostAhead is what a client may send while its request is out; one that sends more is cut off.
-	mostAhead = MostHead + MostBody
+	mostAhead = MaxHeadBytes + MaxBodyBytes
 	// lingerS is how long a link that said its last is read on after the last bytes: closing it on bytes that
 	// nobody has read would reset it, and the client could lose the answer. lingerMostS bounds it in all.
 	lingerS     = 1.0
@@ -50,7 +50,7 @@
 type ClientConn struct {
 	s         *Sidecar
 	front     Frontend
-	client    Client
+	client    ClientCodec
 	conn      netio.Conn
 	index     int // in Sidecar.clients
 	place     *admission.Link
@@ -78,8 +78,8 @@
 	paused     bool    // what comes stays in the socket
 }
 
-// Shared is what a protocol's part has from the ClientConn that it holds.
-func (l *ClientConn) Shared() *ClientConn { return l }
+// Base is what a protocol's part has from the ClientConn that it holds.
+func (l *ClientConn) Base() *ClientConn { return l }
 
 // leaveClients takes the link from the sidecar's.
 func (l *ClientConn) leaveClients() {
@@ -122,7 +122,7 @@
 		if state, _ := l.place.State(); state == admission.Silent || state == admission.Resting {
 			l.s.room.Move(l.s.now(), l.place, admission.Partial)
 		}
-		held, _ := l.client.Partial()
+		held, _ := l.client.PartialRequest()
 		l.hold(l.buf.Len() + held)
 	}
 }
@@ -139,7 +139,7 @@
 // next takes up the requests that have come, until one is out.
 func (l *ClientConn) next() {
 	for l.conn != nil && l.request == nil && !l.last && l.untaken == 0 { // a link may have gone since this was queued
-		whole, err := l.client.Read(&l.buf)
+		whole, err := l.client.ReadRequest(&l.buf)
 		if err != nil {
 			l.decline(err)
 			return
@@ -151,14 +151,14 @@
 			return
 		}
 		l.endArrival()
-		l.client.Take()
+		l.client.HandleRequest()
 	}
 }
 
 // await has the rest of a request come.
 func (l *ClientConn) await() {
 	l.resume()
-	if _, begun := l.client.Partial(); l.arrival != nil || l.buf.Len() == 0 && !begun {
+	if _, begun := l.client.PartialRequest(); l.arrival != nil || l.buf.Len() == 0 && !begun {
 		return
 	}
 	by := l.s.now() + arrivalS
@@ -183,7 +183,7 @@
 	if r := l.request; r != nil {
 		came = r.body.From + len(r.body.Kept)
 	} else {
-		came, _ = l.client.Partial()
+		came, _ = l.client.PartialRequest()
 	}
 	if l.paused {
 		l.awaitUntil(now + arrivalS - float64(came)/leastRate)
@@ -194,10 +194,10 @@
 	}
 	l.s.room.Wasted(l.place)
 	if r := l.request; r != nil {
-		l.s.spoilUpload(r, ErrUnarrived)
+		l.s.spoilUpload(r, ErrRequestTimeout)
 		return
 	}
-	l.decline(ErrUnarrived)
+	l.decline(ErrRequestTimeout)
 }
 
 // endArrival notes that no request is on its way in.
@@ -210,28 +210,28 @@
 func (l *ClientConn) decline(err error) {
 	l.endArrival()
 	l.keep = false
-	l.client.Decline(err)
+	l.client.RejectMalformed(err)
 }
 
-// Keep says whether the client wants the link kept after the message that has been read.
-func (l *ClientConn) Keep(keep bool) { l.keep = keep }
+// SetKeepAlive says whether the client wants the link kept after the message that has been read.
+func (l *ClientConn) SetKeepAlive(keep bool) { l.keep = keep }
 
-// Hangup closes a link whose client speaks another protocol: no answer that it could read is to be had here.
-func (l *ClientConn) Hangup(why string) {
+// CloseUnanswered closes a link whose client speaks another protocol: no answer that it could read is to be had here.
+func (l *ClientConn) CloseUnanswered(why string) {
 	l.endArrival()
 	l.s.counters.Malformed++
 	l.s.notice(why)
 	l.s.closeConn(l.conn)
 }
 
-// Spoilt counts a request of a class that is answered and never handed on: nobody could decide on it.
-func (l *ClientConn) Spoilt(class int) {
+// CountInvalid counts a request of a class that is answered and never handed on: nobody could decide on it.
+func (l *ClientConn) CountInvalid(class int) {
 	l.s.counters.Requests++
 	l.s.counters.end(class, failed)
 }
 
-// Malformed counts a message that is answered and never handed on.
-func (l *ClientConn) Malformed() { l.s.counters.Malformed++ }
+// CountMalformed counts a message that is answered and never handed on.
+func (l *ClientConn) CountMalformed() { l.s.counters.Malformed++ }
 
 // Sidecar returns whose link it is.
 func (l *ClientConn) Sidecar() *Sidecar { return l.s }
@@ -256,39 +256,39 @@
 // UnknownTenant is the place of a tenant that the settings do not name.
 const UnknownTenant = -1
 
-// Ask is a request as a front hands it on.
-type Ask struct {
-	ID       string
-	Class    int     // its place in the settings
-	Tenant   int     // its place in the settings, or UnknownTenant
-	Patience float64 // seconds that the client waits from its sending
-	Repeat   bool    // the client marks it as a retry
-	Once     bool    // nothing tells its repeats apart: it must not run twice, whatever its class
-	Detached bool    // nobody waits for an answer: it goes on when its client goes
-	Size     int     // bytes that are held for it
-	Call     Call
-	Body     *Body // the call's, which is still on its way in; nil: it is whole
+// IncomingRequest is a request as a front hands it on.
+type IncomingRequest struct {
+	ID             string
+	Class          int     // its place in the settings
+	Tenant         int     // its place in the settings, or UnknownTenant
+	TimeoutSeconds float64 // seconds that the client waits from its sending
+	IsRetry        bool    // the client marks it as a retry
+	AtMostOnce     bool    // nothing tells its repeats apart: it must not run twice, whatever its class
+	IsOneWay       bool    // nobody waits for an answer: it goes on when its client goes
+	HeldBytes      int     // bytes that are held for it
+	Call           Call
+	Body           *Body // the call's, which is still on its way in; nil: it is whole
 }
 
-// HandOn hands a request that Admit has let in to the decisions, unless it is beyond its group's quota.
-func (l *ClientConn) HandOn(a Ask) {
+// Submit hands a request that Admit has let in to the decisions, unless it is beyond its group's quota.
+func (l *ClientConn) Submit(a IncomingRequest) {
 	ticket, within := l.withinQuota(&a)
 	if !within {
 		return
 	}
 	l.s.room.Move(l.s.now(), l.place, admission.Asking)
-	l.held = a.Size
+	l.held = a.HeldBytes
 	l.s.room.Hold(l.place, l.held+l.buf.Len())
 	waited := max(l.s.waited(l.conn), l.s.now()-l.ahead.of(l.buf.Len(), l.s.now()))
-	patience := min(a.Patience, longestS)
+	patience := min(a.TimeoutSeconds, longestS)
 	deadline := l.s.now() - waited + patience
 	cut := max(deadline-l.s.latestAnswer(), 0)
 	r := &request{name: a.ID, class: l.s.cfg.Settings.Policy.Classes[a.Class].Name, classNo: a.Class, deadline: deadline - cut,
-		call: a.Call, origin: l.client, client: l, body: a.Body, patience: patience, front: l.front, once: a.Once, detached: a.Detached,
+		call: a.Call, origin: l.client, client: l, body: a.Body, patience: patience, front: l.front, once: a.AtMostOnce, detached: a.IsOneWay,
 		quota: ticket}
 	l.request = r
 	// Danger: the decisions take a wait that is shorter than usual for a late retry's; what is cut off here is no sign of that.
-	q := policy.Request{Class: a.Class, Tenant: a.Tenant, HeldBackSeconds: waited + cut, Repeat: a.Repeat, Deadline: r.deadline}
+	q := policy.Request{Class: a.Class, Tenant: a.Tenant, HeldBackSeconds: waited + cut, Repeat: a.IsRetry, Deadline: r.deadline}
 	if r.uploading() { // its time counts from its last byte; the decisions go by what they are used to
 		r.deadline += longestUploadS
 		l.pause(netio.EndsShow)
@@ -309,12 +309,12 @@
 	l.client.Throttle(l.s.cfg.Settings.Policy.MaxRetryAfterSeconds)
 }
 
-// Served notes that the answer to come is a server's.
-func (l *ClientConn) Served() { l.s.room.Served(l.place) }
+// MarkServed notes that the answer to come is a server's.
+func (l *ClientConn) MarkServed() { l.s.room.Served(l.place) }
 
-// BeginAnswer frees the link of its request. It tells whether the client is still there, and whether the answer to come is
+// BeginResponse frees the link of its request. It tells whether the client is still there, and whether the answer to come is
 // the last on the link; what it is appended to is returned, for EndAnswer. says tells whether the answer can say so itself.
-func (l *ClientConn) BeginAnswer(says bool) (dst []byte, last, there bool) {
+func (l *ClientConn) BeginResponse(says bool) (dst []byte, last, there bool) {
 	// Danger: the rest of a request that is answered before it has come whole is waited for no longer; its time would end with a
 	// second answer.
 	l.endArrival()
@@ -333,8 +333,8 @@
 	return l.s.scratch[:0], l.last, true
 }
 
-// EndAnswer writes an answer and makes ready for the next request.
-func (l *ClientConn) EndAnswer(answer []byte) {
+// EndResponse writes an answer and makes ready for the next request.
+func (l *ClientConn) EndResponse(answer []byte) {
 	l.s.keepScratch(answer)
 	l.answered = true
 	if len(answer) > 0 {
@@ -350,25 +350,25 @@
 	l.afterAnswer()
 }
 
-// Spool returns how much of a request's body is held before the rest of it flows.
-func (l *ClientConn) Spool() int { return l.s.spool() }
+// BodyBufferLimit returns how much of a request's body is held before the rest of it flows.
+func (l *ClientConn) BodyBufferLimit() int { return l.s.spool() }
 
-// BeginFlow is BeginAnswer for an answer that comes in pieces, which end with the link where nothing else tells their end.
+// BeginStream is BeginAnswer for an answer that comes in pieces, which end with the link where nothing else tells their end.
 // What is appended goes to Flow.
-func (l *ClientConn) BeginFlow(endless bool) (dst []byte, last, there bool) {
+func (l *ClientConn) BeginStream(endless bool) (dst []byte, last, there bool) {
 	if l.conn == nil {
 		return nil, false, false
 	}
 	l.flowLast = !l.keep || endless || l.s.leaving() || l.s.crowded() && l.buf.Len() == 0
 	l.flowed = true
-	return l.Scratch(), l.flowLast, true
+	return l.ScratchBuffer(), l.flowLast, true
 }
 
-// Scratch returns empty memory for what Flow is to write.
-func (l *ClientConn) Scratch() []byte { return l.s.scratch[:0] }
+// ScratchBuffer returns empty memory for what Flow is to write.
+func (l *ClientConn) ScratchBuffer() []byte { return l.s.scratch[:0] }
 
-// Flow writes a part of an answer.
-func (l *ClientConn) Flow(b []byte) {
+// WriteStream writes a part of an answer.
+func (l *ClientConn) WriteStream(b []byte) {
 	l.s.keepScratch(b)
 	if l.conn != nil && len(b) > 0 {
 		l.Write(b)
@@ -380,7 +380,7 @@
 	l.endArrival()
 	if l.request = nil; l.conn != nil {
 		l.last = l.flowLast
-		l.EndAnswer(nil)
+		l.EndResponse(nil)
 	}
 }
 
@@ -436,7 +436,7 @@
 
 // idle tells whether nothing of a request has come and none is out.
 func (l *ClientConn) idle() bool {
-	_, begun := l.client.Partial()
+	_, begun := l.client.PartialRequest()
 	return l.request == nil && !l.last && l.untaken == 0 && l.buf.Len() == 0 && !begun
 }
 
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -74,7 +74,7 @@
 	now := s.now()
 	front := s.frontOf(c)
 	client := front.NewClient()
-	l := client.Shared()
+	l := client.Base()
 	l.s, l.front, l.client, l.conn, l.openedAt, l.index = s, front, client, c, now, len(s.clients)
 	s.clients = append(s.clients, l)
 	s.counters.Accepted++
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/flow.go
@@ -79,7 +79,7 @@
 		l.buf.Discard(l.buf.Len())
 		return
 	}
-	if err := l.client.More(&l.buf); err != nil {
+	if err := l.client.ReadBody(&l.buf); err != nil {
 		s.spoilUpload(r, err)
 		return
 	}
@@ -103,7 +103,7 @@
 	if l.request != r || l.conn == nil {
 		return
 	}
-	if l.held = len(r.body.Kept); r.uploading() && r.body.Left() >= PieceBytes {
+	if l.held = len(r.body.Kept); r.uploading() && r.body.Left() >= ChunkBytes {
 		l.pause(netio.EndsShow)
 	}
 	s.room.Hold(l.place, l.held+l.buf.Len())
@@ -118,7 +118,7 @@
 // pump writes on what has come of an attempt's request, as far as its server takes it.
 func (l *backendConn) pump(e *attempt) {
 	for !e.exchange.Written() && l.conn.OutboundBuffered() < l.s.flowRoom() {
-		piece := e.exchange.More(l.s.scratch[:0], PieceBytes)
+		piece := e.exchange.More(l.s.scratch[:0], ChunkBytes)
 		if l.s.keepScratch(piece); len(piece) == 0 {
 			break
 		}
@@ -141,7 +141,7 @@
 	if len(r.body.Kept) > l.s.spool() {
 		r.body.drop()
 	}
-	if c := r.client; r.uploading() && r.body.Left() < PieceBytes && c.request == r && c.conn != nil {
+	if c := r.client; r.uploading() && r.body.Left() < ChunkBytes && c.request == r && c.conn != nil {
 		c.resume()
 	}
 }
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -12,28 +12,28 @@
 	// BackendAddress returns where a server speaks it that is listed at an address. It is asked for each dial.
 	BackendAddress(listed string) string
 	// NewClient returns the protocol's part of a client connection that is about to come up.
-	NewClient() Client
+	NewClient() ClientCodec
 	// NewProbe returns its way to probe a server, nil where another front's is the deployment's.
 	NewProbe() Exchange
 }
 
 // NewClient is a protocol's part of a client connection; it holds a ClientConn, whose methods answer and hand on what it reads.
-type Client interface {
+type ClientCodec interface {
 	Origin
-	// Shared returns the ClientConn that it holds.
-	Shared() *ClientConn
-	// Read reads on from what the link has received and tells whether a message can be taken: it is whole, or as much of
+	// Base returns the ClientConn that it holds.
+	Base() *ClientConn
+	// ReadRequest reads on from what the link has received and tells whether a message can be taken: it is whole, or as much of
 	// it has come as is held, and the rest is to flow. After an error nothing more can be read.
-	Read(buf *buffer.Buffer) (ready bool, err error)
-	// Take answers the message that Read has told of, or hands it on by ClientConn.HandOn, and drops it if it is whole.
-	Take()
-	// More reads on in the body of a message that was handed on before it was whole.
-	More(buf *buffer.Buffer) error
-	// Decline answers a message that can't be read, with what Read has said or ErrUnarrived, as the last on its link.
-	Decline(err error)
-	// Partial returns how many bytes are held of a message that is not whole, beside those that are not read; begun tells
+	ReadRequest(buf *buffer.Buffer) (ready bool, err error)
+	// HandleRequest answers the message that Read has told of, or hands it on by ClientConn.HandOn, and drops it if it is whole.
+	HandleRequest()
+	// ReadBody reads on in the body of a message that was handed on before it was whole.
+	ReadBody(buf *buffer.Buffer) error
+	// RejectMalformed answers a message that can't be read, with what Read has said or ErrUnarrived, as the last on its link.
+	RejectMalformed(err error)
+	// PartialRequest returns how many bytes are held of a message that is not whole, beside those that are not read; begun tells
 	// whether there is one.
-	Partial() (held int, begun bool)
+	PartialRequest() (held int, begun bool)
 }
 
 // Origin is where a request's answer goes: a client connection, in whatever protocol it speaks. Each request gets
@@ -59,11 +59,11 @@
 	// Append appends the request's head, and of its body as much as is sent at once; the server is told until when anybody
 	// waits for its answer.
 	Append(dst []byte, now, until float64) []byte
-	// More appends what follows of the request, about so many bytes at most; nothing where no more has come.
+	// ReadBody appends what follows of the request, about so many bytes at most; nothing where no more has come.
 	More(dst []byte, most int) []byte
 	// Written tells whether all of the request has been appended.
 	Written() bool
-	// Read reads on from what the link has received and tells whether the answer is whole.
+	// ReadRequest reads on from what the link has received and tells whether the answer is whole.
 	Read(buf *buffer.Buffer) (bool, error)
 	// Begun tells whether any of the answer has come.
 	Begun() bool
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -28,7 +28,7 @@
 	Cordon(server string) error
 	Uncordon(server string) error
 	SetDrained(on bool) error
-	// Read returns what has been said, at this process or at its neighbours.
+	// ReadRequest returns what has been said, at this process or at its neighbours.
 	OperatorState() (bans []string, away bool, err error)
 	// Save takes a state over and returns at once.
 	Save(s hotrestart.State)
@@ -43,7 +43,7 @@
 func (noShelf) OperatorState() ([]string, bool, error) { return nil, false, nil }
 func (noShelf) Save(hotrestart.State)                  {}
 
-// Keep has the sidecar keep on a shelf what a successor needs, and obey what lies there. It comes before Start.
+// SetKeepAlive has the sidecar keep on a shelf what a successor needs, and obey what lies there. It comes before Start.
 func (s *Sidecar) Keep(shelf Shelf) {
 	s.shelf = shelf
 	s.reserved += hotrestart.Descriptors
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -154,7 +154,7 @@
 
 // withinQuota tells whether a request that has come may be taken up, and books it on its group. One that may not has been
 // refused, finally: nothing of it has gone anywhere.
-func (l *ClientConn) withinQuota(a *Ask) (quotaTicket, bool) {
+func (l *ClientConn) withinQuota(a *IncomingRequest) (quotaTicket, bool) {
 	s, d := l.s, l.s.quotas
 	if d == nil {
 		return quotaTicket{}, true
@@ -163,7 +163,7 @@
 		d.counts.Exempt++
 		return quotaTicket{}, true
 	}
-	now, bytes, header := s.now(), a.Size, quotas.FieldGetter(noFields{})
+	now, bytes, header := s.now(), a.HeldBytes, quotas.FieldGetter(noFields{})
 	q, knows := l.client.(Quoted)
 	if knows {
 		bytes, header = q.Bytes(), q
--- a/internal/sidecar/report.go
+++ b/internal/sidecar/report.go
@@ -8,9 +8,9 @@
 	"hazelwheel/policy"
 )
 
-// ReadReport reads a load report, `inflight=7,util=0.61`, for the fields that the settings name. A value that is absent or
+// ParseLoadReport reads a load report, `inflight=7,util=0.61`, for the fields that the settings name. A value that is absent or
 // odd is not a number, which the decisions pass over.
-func ReadReport(names []string, text string) policy.Report {
+func ParseLoadReport(names []string, text string) policy.Report {
 	var r policy.Report
 	if text == "" || len(names) == 0 {
 		return r
@@ -26,7 +26,7 @@
 			continue
 		}
 		for i := range r.N {
-			if names[i] == name || ReportAlias[names[i]] == name {
+			if names[i] == name || LoadReportNames[names[i]] == name {
 				r.Values[i] = float32(v)
 			}
 		}
@@ -34,6 +34,6 @@
 	return r
 }
 
-// ReportAlias are the names on the sockets of the values that the settings name.
-var ReportAlias = map[string]string{"busy_reqs": "inflight", "pending": "queue", "cpu_share": "util",
+// LoadReportNames are the names on the sockets of the values that the settings name.
+var LoadReportNames = map[string]string{"busy_reqs": "inflight", "pending": "queue", "cpu_share": "util",
 	"svc_ms": "latency_ms", "served_ps": "qps", "failed_ps": "eps"}
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// IsOpen tells whether a request with a client's id is open. Danger: two attempts with one id look like a second copy to a
+// IsRequestOpen tells whether a request with a client's id is open. Danger: two attempts with one id look like a second copy to a
 // server, which may drop the wrong one.
-func (s *Sidecar) IsOpen(id string) bool { return s.named[id] != nil }
+func (s *Sidecar) IsRequestOpen(id string) bool { return s.named[id] != nil }
 
 // answer gives a request its final answer by calling give, unless it has had one, and counts its end.
 func (s *Sidecar) answer(r *request, how ending, give func()) {
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -68,7 +68,7 @@
 		return
 	}
 	now := s.now()
-	w := &watcher{s: s, parser: http1.NewResponseParser(http1.Limits{Head: MostHead, Body: mostList})}
+	w := &watcher{s: s, parser: http1.NewResponseParser(http1.Limits{Head: MaxHeadBytes, Body: mostList})}
 	s.watcher = w
 	s.counters.Watches++
 	w.alive = s.timers.at(now+headWaitS, func() { w.fail(errSilent) })
