--- a/internal/frontend/http1/call.go
+++ b/internal/frontend/http1/call.go
@@ -21,8 +21,8 @@
 	class          string
 }
 
-func (c *call) Exchange() sidecar.Exchange {
-	c.body.Sent = 0
+func (c *call) NewExchange() sidecar.Exchange {
+	c.body.SentBytes = 0
 	return &exchange{call: c, parser: http1.NewResponseParser(limits)}
 }
 
@@ -30,7 +30,7 @@
 // for all attempts: each begins with the same.
 func newCall(f *Frontend, p *http1.RequestParser, class string, from net.Addr) *call {
 	c := &call{front: f, method: p.Method, target: p.Target, class: class,
-		body: sidecar.Body{Kept: p.Body, Length: p.Length(), Whole: p.Whole()}}
+		body: sidecar.Body{Buffered: p.Body, Length: p.Length(), IsComplete: p.Whole()}}
 	header := p.Header
 	if f.rewrites.On() {
 		var client netip.Addr
@@ -59,14 +59,14 @@
 	ended  bool // and its last one has been appended
 }
 
-func (x *exchange) Append(dst []byte, now, until float64) []byte {
+func (x *exchange) AppendRequest(dst []byte, now, until float64) []byte {
 	c := x.call
 	dst = http1.AppendFields(http1.AppendFirst(dst, c.method, c.target), c.header)
 	dst = append(appendPatience(append(dst, fieldPatience+": "...), until-now), "\r\n"...)
 	length := c.body.Length
 	switch {
-	case c.body.Whole:
-		length = len(c.body.Kept)
+	case c.body.IsComplete:
+		length = len(c.body.Buffered)
 	case length < 0:
 		x.chunks = true
 		dst = http1.AppendFields(dst, http1.Header{http1.Chunked})
@@ -74,37 +74,37 @@
 	if length == 0 && c.method == "GET" {
 		length = -1
 	}
-	return x.More(http1.AppendHeader(dst, nil, length), sidecar.ChunkBytes)
+	return x.AppendBody(http1.AppendHeader(dst, nil, length), sidecar.ChunkBytes)
 }
 
-func (x *exchange) More(dst []byte, most int) []byte {
-	part := x.call.body.Part(most)
+func (x *exchange) AppendBody(dst []byte, most int) []byte {
+	part := x.call.body.Next(most)
 	if !x.chunks {
 		return append(dst, part...)
 	}
 	dst = http1.AppendChunk(dst, part)
-	if b := &x.call.body; b.Whole && b.Left() == 0 && !x.ended {
+	if b := &x.call.body; b.IsComplete && b.UnsentBytes() == 0 && !x.ended {
 		x.ended = true
 		dst = http1.AppendLastChunk(dst)
 	}
 	return dst
 }
 
-func (x *exchange) Written() bool {
+func (x *exchange) IsRequestAppended() bool {
 	b := &x.call.body
-	return b.Whole && b.Left() == 0 && (!x.chunks || x.ended)
+	return b.IsComplete && b.UnsentBytes() == 0 && (!x.chunks || x.ended)
 }
 
-// Large tells whether more of the answer is to come than is held.
-func (x *exchange) Large() bool {
+// ExceedsBuffer tells whether more of the answer is to come than is held.
+func (x *exchange) ExceedsBuffer() bool {
 	p := &x.parser
 	return p.HeadRead() && !p.Whole() && max(p.Length(), p.Came()) > sidecar.MaxBodyBytes
 }
 
-func (x *exchange) Read(buf *buffer.Buffer) (bool, error) { return x.parser.Next(buf) }
-func (x *exchange) Begun() bool                           { return x.parser.Begun() }
-func (x *exchange) Silent() bool                          { return false }
-func (x *exchange) End() bool                             { return x.parser.End() }
+func (x *exchange) ReadResponse(buf *buffer.Buffer) (bool, error) { return x.parser.Next(buf) }
+func (x *exchange) HasResponseBegun() bool                        { return x.parser.Begun() }
+func (x *exchange) IsOneWay() bool                                { return false }
+func (x *exchange) HandleEOF() bool                               { return x.parser.End() }
 
 // header returns what the client is sent of an answer's header.
 func (x *exchange) header() http1.Header {
@@ -114,8 +114,8 @@
 	return x.parser.Header.EndToEnd()
 }
 
-// Verdict reads the status. Only a server's word that it has not started proves that nothing has run.
-func (x *exchange) Verdict() (policy.Outcome, policy.Report, bool) {
+// Result reads the status. Only a server's word that it has not started proves that nothing has run.
+func (x *exchange) Result() (policy.Outcome, policy.Report, bool) {
 	p := &x.parser
 	outcome := policy.HostError
 	switch {
--- a/internal/frontend/http1/front.go
+++ b/internal/frontend/http1/front.go
@@ -51,14 +51,14 @@
 	if f.settings.Policy.ReportsOnProbe {
 		path = "/status/load"
 	}
-	c := &call{front: f, method: "GET", target: path, header: http1.Header{{Name: "Host", Value: f.name}}, body: sidecar.Body{Whole: true}}
+	c := &call{front: f, method: "GET", target: path, header: http1.Header{{Name: "Host", Value: f.name}}, body: sidecar.Body{IsComplete: true}}
 	return &probe{exchange{call: c, parser: http1.NewResponseParser(limits)}}
 }
 
-// Verdict reads the report from the body, where it comes so. A probe runs nothing: a server that does not serve
+// Result reads the report from the body, where it comes so. A probe runs nothing: a server that does not serve
 // one has turned it away, and need not say so as it must of a request.
-func (x *probe) Verdict() (policy.Outcome, policy.Report, bool) {
-	outcome, report, keep := x.exchange.Verdict()
+func (x *probe) Result() (policy.Outcome, policy.Report, bool) {
+	outcome, report, keep := x.exchange.Result()
 	if x.parser.Status == 503 {
 		outcome = policy.Rejected
 	}
--- a/internal/frontend/http1/link.go
+++ b/internal/frontend/http1/link.go
@@ -40,7 +40,7 @@
 func (l *clientConn) ReadBody(buf *buffer.Buffer) error {
 	whole, err := l.parser.Next(buf)
 	b := &l.call.body
-	b.Kept, b.Whole = append(b.Kept, l.parser.TakeBody()...), whole
+	b.Buffered, b.IsComplete = append(b.Buffered, l.parser.TakeBody()...), whole
 	if whole {
 		l.call = nil
 		l.SetKeepAlive(l.parser.Keep())
@@ -170,17 +170,17 @@
 	}
 }
 
-// Serve passes on a server's answer.
-func (l *clientConn) Serve(x sidecar.Exchange) {
+// ForwardResponse passes on a server's answer.
+func (l *clientConn) ForwardResponse(x sidecar.Exchange) {
 	h := x.(*exchange)
 	l.MarkServed()
 	l.respond(h.parser.Status, h.header(), h.parser.Body)
 }
 
-var _ sidecar.FlowOrigin = (*clientConn)(nil)
+var _ sidecar.StreamResponder = (*clientConn)(nil)
 
-// Begin passes on the begin of an answer whose end has not come.
-func (l *clientConn) Begin(x sidecar.Exchange) {
+// ForwardHead passes on the begin of an answer whose end has not come.
+func (l *clientConn) ForwardHead(x sidecar.Exchange) {
 	p, h := &x.(*exchange).parser, x.(*exchange).header()
 	l.MarkServed()
 	length := p.Length()
@@ -198,8 +198,8 @@
 	l.WriteStream(l.appendPart(http1.AppendResponseHead(dst, p.Status, h, length), p.TakeBody()))
 }
 
-// Pass passes on what has come since.
-func (l *clientConn) Pass(x sidecar.Exchange, last bool) {
+// ForwardBody passes on what has come since.
+func (l *clientConn) ForwardBody(x sidecar.Exchange, last bool) {
 	dst := l.appendPart(l.ScratchBuffer(), x.(*exchange).parser.TakeBody())
 	if last && l.chunks {
 		dst = http1.AppendLastChunk(dst)
--- a/internal/frontend/http1/quotas.go
+++ b/internal/frontend/http1/quotas.go
@@ -12,21 +12,21 @@
 const QuotaPath = "/quota"
 
 var (
-	_ sidecar.Quoted = (*clientConn)(nil)
-	_ sidecar.Told   = (*exchange)(nil)
+	_ sidecar.QuotaClient  = (*clientConn)(nil)
+	_ sidecar.CostReporter = (*exchange)(nil)
 )
 
 // Field returns a field as the client has sent it, whatever is rewritten later.
 func (l *clientConn) Field(name string) string { return l.parser.Header.Get(name) }
 
-// Bytes counts the request's first line, header and body.
-func (l *clientConn) Bytes() int {
+// RequestBytes counts the request's first line, header and body.
+func (l *clientConn) RequestBytes() int {
 	p := &l.parser
 	return len(p.Method) + len(p.Target) + headerBytes(p.Header) + max(p.Length(), len(p.Body))
 }
 
-// OverQuota refuses with a status of its own.
-func (l *clientConn) OverQuota(group string, retryAfterS float64) {
+// RejectOverQuota refuses with a status of its own.
+func (l *clientConn) RejectOverQuota(group string, retryAfterS float64) {
 	h := http1.Header{textPlain}
 	if l.front.settings.RetryAfter {
 		h = append(h, http1.Field{Name: fieldRetryAfter, Value: strconv.FormatFloat(retryAfterS, 'f', 3, 64)})
@@ -44,11 +44,11 @@
 	l.respond(200, http1.Header{{Name: "Content-Type", Value: "application/json"}}, text)
 }
 
-// Bytes counts the answer's header and body.
-func (x *exchange) Bytes() int { return headerBytes(x.parser.Header) + x.parser.Came() }
+// RequestBytes counts the answer's header and body.
+func (x *exchange) ResponseBytes() int { return headerBytes(x.parser.Header) + x.parser.Came() }
 
-// Worked reads the answer's own time off its load report.
-func (x *exchange) Worked() (seconds float64, ok bool) {
+// ServiceSeconds reads the answer's own time off its load report.
+func (x *exchange) ServiceSeconds() (seconds float64, ok bool) {
 	for pair := range strings.SplitSeq(x.parser.Header.Get(fieldLoad), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if ms, err := strconv.ParseFloat(value, 64); name == sidecar.LoadReportNames["svc_ms"] && err == nil && ms >= 0 && ms < 3.6e6 {
--- a/internal/frontend/thrift/call.go
+++ b/internal/frontend/thrift/call.go
@@ -24,9 +24,9 @@
 	return c
 }
 
-var _ sidecar.Told = (*exchange)(nil)
+var _ sidecar.CostReporter = (*exchange)(nil)
 
-func (c *call) Exchange() sidecar.Exchange { return &exchange{call: c} }
+func (c *call) NewExchange() sidecar.Exchange { return &exchange{call: c} }
 
 // exchange is one attempt of a call.
 type exchange struct {
@@ -45,14 +45,14 @@
 	errEncoding thrift.Error = "another encoding than the call's"
 )
 
-// Append writes the call as it came, but for the sequence number: what it says of the client's patience goes on unchanged.
-func (x *exchange) Append(dst []byte, _, _ float64) []byte {
+// AppendRequest writes the call as it came, but for the sequence number: what it says of the client's patience goes on unchanged.
+func (x *exchange) AppendRequest(dst []byte, _, _ float64) []byte {
 	x.seq = x.call.front.number()
 	return x.call.m.AppendAs(dst, x.seq)
 }
 
 // ReadRequest takes a reply that is whole. What makes no sense, or answers another call, says that the server has come to this one.
-func (x *exchange) Read(buf *buffer.Buffer) (bool, error) {
+func (x *exchange) ReadResponse(buf *buffer.Buffer) (bool, error) {
 	x.begun = x.begun || buf.Len() > 0
 	payload, size, err := thrift.Frame(buf.Bytes(), mostFrame)
 	if err != nil || size == 0 {
@@ -108,21 +108,21 @@
 func bare(name []byte) []byte { return name[bytes.IndexByte(name, ':')+1:] }
 
 // A call is appended whole, and never handed on before it is.
-func (x *exchange) More(dst []byte, _ int) []byte { return dst }
-func (x *exchange) Written() bool                 { return true }
+func (x *exchange) AppendBody(dst []byte, _ int) []byte { return dst }
+func (x *exchange) IsRequestAppended() bool             { return true }
 
-func (x *exchange) Begun() bool  { return x.begun }
-func (x *exchange) End() bool    { return false }
-func (x *exchange) Silent() bool { return x.call.m.Kind == thrift.Oneway }
+func (x *exchange) HasResponseBegun() bool { return x.begun }
+func (x *exchange) HandleEOF() bool        { return false }
+func (x *exchange) IsOneWay() bool         { return x.call.m.Kind == thrift.Oneway }
 
-// Bytes counts the reply, as quotas do.
-func (x *exchange) Bytes() int { return len(x.reply.Raw) }
+// ResponseBytes counts the reply, as quotas do.
+func (x *exchange) ResponseBytes() int { return len(x.reply.Raw) }
 
-// Worked knows nothing: a reply has no place for it.
-func (x *exchange) Worked() (seconds float64, ok bool) { return 0, false }
+// ServiceSeconds knows nothing: a reply has no place for it.
+func (x *exchange) ServiceSeconds() (seconds float64, ok bool) { return 0, false }
 
-// Verdict says that a reply is the method's own answer, a declared exception as well.
-func (x *exchange) Verdict() (policy.Outcome, policy.Report, bool) {
+// Result says that a reply is the method's own answer, a declared exception as well.
+func (x *exchange) Result() (policy.Outcome, policy.Report, bool) {
 	return x.ended, policy.Report{}, true
 }
 
@@ -145,10 +145,10 @@
 
 var resultPaths = []thrift.Path{{0}}
 
-// Verdict reads the load report from the result, where the deployment has one there. A server that does not know the method
+// Result reads the load report from the result, where the deployment has one there. A server that does not know the method
 // lives all the same.
-func (x *probe) Verdict() (policy.Outcome, policy.Report, bool) {
-	outcome, report, keep := x.exchange.Verdict()
+func (x *probe) Result() (policy.Outcome, policy.Report, bool) {
+	outcome, report, keep := x.exchange.Result()
 	var found [thrift.MostPaths]thrift.Value
 	if x.reply.Kind == thrift.Exception {
 		if kind, _, err := x.reply.Exception(); err == nil && kind == thrift.UnknownMethod {
--- a/internal/frontend/thrift/link.go
+++ b/internal/frontend/thrift/link.go
@@ -143,8 +143,8 @@
 	l.decline(kind, why)
 }
 
-// Serve passes on a server's answer.
-func (l *clientConn) Serve(x sidecar.Exchange) {
+// ForwardResponse passes on a server's answer.
+func (l *clientConn) ForwardResponse(x sidecar.Exchange) {
 	l.MarkServed()
 	dst, _, there := l.BeginResponse(false)
 	if !there {
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -18,7 +18,7 @@
 		return
 	}
 	e := &attempt{request: r, number: r.sent, host: host, asked: s.eventAt, sentAt: s.eventAt,
-		until: r.deadline - s.answerRoom(), exchange: r.call.Exchange(), front: r.front}
+		until: r.deadline - s.answerRoom(), exchange: r.call.NewExchange(), front: r.front}
 	r.sent++
 	r.out = append(r.out, e)
 	s.counters.Executions++
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -105,7 +105,7 @@
 		result.Outcome = err.outcome()
 		s.log.Debug("attempt ended", "host", e.host, "probe", e.request == nil, "error", err)
 	} else {
-		result.Outcome, result.Report, _ = e.exchange.Verdict()
+		result.Outcome, result.Report, _ = e.exchange.Result()
 	}
 	if s.works != nil {
 		s.works.note(e, err, &result, s.now())
@@ -130,7 +130,7 @@
 		return
 	}
 	good := result.Outcome == policy.OK
-	if good && e.exchange.Silent() {
+	if good && e.exchange.IsOneWay() {
 		// Danger: that a request is written tells nothing of its server's time; taken for an answer it makes the server look
 		// quicker than any.
 		result.Outcome = policy.Cancelled
@@ -142,13 +142,13 @@
 	result.ID = r.id
 	if good && !r.answered {
 		s.chargeAnswer(e)
-		s.answer(r, served, func() { r.origin.Serve(e.exchange) })
+		s.answer(r, served, func() { r.origin.ForwardResponse(e.exchange) })
 	}
 	if r.once && !r.answered && !result.Outcome.NeverRan() {
 		// Danger: the decisions go by the class, whose requests may run again because something drops their repeats.
 		s.answer(r, failed, func() { r.origin.Fail(result.Outcome == policy.TimedOut) })
 	}
-	if r.body != nil && r.body.Gone() && !r.answered && result.Outcome != policy.OK {
+	if r.body != nil && r.body.HasDropped() && !r.answered && result.Outcome != policy.OK {
 		// What has been sent of its body is no longer there, so nobody else can get it.
 		if r.ranFrom == 0 {
 			s.answer(r, throttled, func() { r.origin.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -205,7 +205,7 @@
 func (l *backendConn) begin(e *attempt) {
 	l.attempt, e.link = e, l
 	e.progress = partlyWritten
-	l.s.scratch = e.exchange.Append(l.s.scratch[:0], l.s.now(), l.s.told(e))
+	l.s.scratch = e.exchange.AppendRequest(l.s.scratch[:0], l.s.now(), l.s.told(e))
 	l.writing = true
 	_, err := l.conn.Write(l.s.scratch) // gnet closes the link on an error, which ends the attempt
 	l.writing = false
@@ -231,7 +231,7 @@
 // silence ends an attempt that has no answer once its request is written whole.
 func (l *backendConn) silence(e *attempt) {
 	switch {
-	case l.attempt != e || !e.exchange.Silent():
+	case l.attempt != e || !e.exchange.IsOneWay():
 	case l.progress(e) == writtenWhole:
 		l.complete(e)
 	default:
@@ -241,7 +241,7 @@
 
 // progress tells how far the link's attempt has come by now.
 func (l *backendConn) progress(e *attempt) progress {
-	if e.progress == partlyWritten && !l.writing && e.exchange.Written() && l.conn.OutboundBuffered() == 0 {
+	if e.progress == partlyWritten && !l.writing && e.exchange.IsRequestAppended() && l.conn.OutboundBuffered() == 0 {
 		e.progress = writtenWhole
 		if r := e.request; r != nil {
 			l.s.counters.Written++
@@ -250,7 +250,7 @@
 			}
 		}
 	}
-	if e.progress == writtenWhole && e.exchange.Begun() {
+	if e.progress == writtenWhole && e.exchange.HasResponseBegun() {
 		e.progress = answering
 	}
 	return e.progress
@@ -266,7 +266,7 @@
 		l.close()
 		return
 	}
-	done, err := e.exchange.Read(&l.buf)
+	done, err := e.exchange.ReadResponse(&l.buf)
 	if e.flow != nil {
 		e.flow.traffic(len(data), done, err)
 		return
@@ -283,7 +283,7 @@
 		l.complete(e)
 		return
 	}
-	if x, ok := e.exchange.(Flowing); ok && e.request != nil && x.Large() {
+	if x, ok := e.exchange.(StreamingExchange); ok && e.request != nil && x.ExceedsBuffer() {
 		e.late = l.s.waited(l.conn)
 		l.s.beginFlow(l, e)
 	}
@@ -295,7 +295,7 @@
 	l.progress(e)
 	if l.reusable(e) {
 		from := l.s.now()
-		if e.exchange.Silent() {
+		if e.exchange.IsOneWay() {
 			from = e.until // Danger: the server has only just got the request; a call behind it waits, and its server seems slow
 		}
 		l.restFrom(from)
@@ -308,8 +308,8 @@
 
 // reusable tells whether a link can carry another attempt after a whole answer.
 func (l *backendConn) reusable(e *attempt) bool {
-	_, _, keep := e.exchange.Verdict()
-	return keep && e.exchange.Written() && l.buf.Len() == 0 && l.conn.OutboundBuffered() == 0 && l.s.mayServe(l.host)
+	_, _, keep := e.exchange.Result()
+	return keep && e.exchange.IsRequestAppended() && l.buf.Len() == 0 && l.conn.OutboundBuffered() == 0 && l.s.mayServe(l.host)
 }
 
 // ended takes the end of the connection, from whatever side.
@@ -325,7 +325,7 @@
 		e.flow.serverEnded(err == nil || errors.Is(err, io.EOF))
 		return
 	}
-	if (err == nil || errors.Is(err, io.EOF)) && e.exchange.End() {
+	if (err == nil || errors.Is(err, io.EOF)) && e.exchange.HandleEOF() {
 		l.s.finish(e, nil)
 		return
 	}
--- a/internal/sidecar/capture.go
+++ b/internal/sidecar/capture.go
@@ -72,7 +72,7 @@
 	return s.capture.Dump(s.now())
 }
 
-// End ends what is written beside the loop once the loop has gone.
+// HandleEOF ends what is written beside the loop once the loop has gone.
 func (s *Sidecar) End() {
 	s.endQuotas()
 	s.capture.Close()
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -181,7 +181,7 @@
 	l.arrival = nil
 	l.awaitUntil(l.arriving + l.s.fit.stood - l.stood)
 	if r := l.request; r != nil {
-		came = r.body.From + len(r.body.Kept)
+		came = r.body.DroppedBytes + len(r.body.Buffered)
 	} else {
 		came, _ = l.client.PartialRequest()
 	}
@@ -292,7 +292,7 @@
 	if r.uploading() { // its time counts from its last byte; the decisions go by what they are used to
 		r.deadline += longestUploadS
 		l.pause(netio.EndsShow)
-		l.awaitUntil(l.s.now() + arrivalS - float64(len(a.Body.Kept))/leastRate)
+		l.awaitUntil(l.s.now() + arrivalS - float64(len(a.Body.Buffered))/leastRate)
 		l.arrival = l.s.timers.at(l.s.now()+arrivalS, l.overdue)
 	}
 	l.s.take(r, q)
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/flow.go
@@ -70,7 +70,7 @@
 // --- requests ---
 
 // uploading tells whether a request's body is still on its way in.
-func (r *request) uploading() bool { return r.body != nil && !r.body.Whole }
+func (r *request) uploading() bool { return r.body != nil && !r.body.IsComplete }
 
 // upload takes more of a request's body, and passes it on.
 func (l *ClientConn) upload(r *request) {
@@ -83,7 +83,7 @@
 		s.spoilUpload(r, err)
 		return
 	}
-	if r.body.Whole {
+	if r.body.IsComplete {
 		l.endArrival()
 		r.deadline = min(s.now()+r.patience, s.latestAnswer())
 		s.timers.stop(&r.safety)
@@ -103,7 +103,7 @@
 	if l.request != r || l.conn == nil {
 		return
 	}
-	if l.held = len(r.body.Kept); r.uploading() && r.body.Left() >= ChunkBytes {
+	if l.held = len(r.body.Buffered); r.uploading() && r.body.UnsentBytes() >= ChunkBytes {
 		l.pause(netio.EndsShow)
 	}
 	s.room.Hold(l.place, l.held+l.buf.Len())
@@ -117,8 +117,8 @@
 
 // pump writes on what has come of an attempt's request, as far as its server takes it.
 func (l *backendConn) pump(e *attempt) {
-	for !e.exchange.Written() && l.conn.OutboundBuffered() < l.s.flowRoom() {
-		piece := e.exchange.More(l.s.scratch[:0], ChunkBytes)
+	for !e.exchange.IsRequestAppended() && l.conn.OutboundBuffered() < l.s.flowRoom() {
+		piece := e.exchange.AppendBody(l.s.scratch[:0], ChunkBytes)
 		if l.s.keepScratch(piece); len(piece) == 0 {
 			break
 		}
@@ -138,10 +138,10 @@
 	if r == nil || r.body == nil {
 		return
 	}
-	if len(r.body.Kept) > l.s.spool() {
+	if len(r.body.Buffered) > l.s.spool() {
 		r.body.drop()
 	}
-	if c := r.client; r.uploading() && r.body.Left() < ChunkBytes && c.request == r && c.conn != nil {
+	if c := r.client; r.uploading() && r.body.UnsentBytes() < ChunkBytes && c.request == r && c.conn != nil {
 		c.resume()
 	}
 }
@@ -154,7 +154,7 @@
 	e       *attempt
 	link    *backendConn
 	client  *ClientConn
-	origin  FlowOrigin
+	origin  StreamResponder
 	paused  bool    // the server's link is left unread
 	heardAt float64 // when the server last brought something, or could not
 	came    int     // bytes that it has brought since the flow began
@@ -170,8 +170,8 @@
 func (s *Sidecar) beginFlow(l *backendConn, e *attempt) {
 	r, now := e.request, s.now()
 	result := policy.Result{ID: r.id, Host: e.host, Attempt: e.number}
-	result.Outcome, result.Report, _ = e.exchange.Verdict()
-	origin, can := r.origin.(FlowOrigin)
+	result.Outcome, result.Report, _ = e.exchange.Result()
+	origin, can := r.origin.(StreamResponder)
 	if result.Outcome != policy.OK || r.answered || !can {
 		l.attempt = nil
 		l.close()
@@ -188,7 +188,7 @@
 	e.flow, r.flow, r.answered, result.Final = f, f, true, true
 	s.flows.answers = append(s.flows.answers, f)
 	s.queue = append(s.queue, event{ended: e, result: result})
-	origin.Begin(e.exchange)
+	origin.ForwardHead(e.exchange)
 	f.look()
 	s.tend()
 }
@@ -200,7 +200,7 @@
 		f.end(failed)
 		return
 	}
-	f.origin.Pass(f.e.exchange, done)
+	f.origin.ForwardBody(f.e.exchange, done)
 	switch {
 	case f.over: // its client has gone meanwhile
 	case done:
@@ -215,8 +215,8 @@
 	if f.over {
 		return
 	}
-	if orderly && f.e.exchange.End() {
-		f.origin.Pass(f.e.exchange, true)
+	if orderly && f.e.exchange.HandleEOF() {
+		f.origin.ForwardBody(f.e.exchange, true)
 		f.end(served)
 		return
 	}
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -19,7 +19,7 @@
 
 // NewClient is a protocol's part of a client connection; it holds a ClientConn, whose methods answer and hand on what it reads.
 type ClientCodec interface {
-	Origin
+	Responder
 	// Base returns the ClientConn that it holds.
 	Base() *ClientConn
 	// ReadRequest reads on from what the link has received and tells whether a message can be taken: it is whole, or as much of
@@ -36,11 +36,11 @@
 	PartialRequest() (held int, begun bool)
 }
 
-// Origin is where a request's answer goes: a client connection, in whatever protocol it speaks. Each request gets
+// Responder is where a request's answer goes: a client connection, in whatever protocol it speaks. Each request gets
 // one call, unless its client has gone.
-type Origin interface {
-	// Serve passes on a server's answer.
-	Serve(x Exchange)
+type Responder interface {
+	// ForwardResponse passes on a server's answer.
+	ForwardResponse(x Exchange)
 	// Throttle refuses: trying again is harmless, best after the given time.
 	Throttle(retryAfterS float64)
 	// Fail says that there is no answer and that the request may have run; late, that time ran out.
@@ -49,72 +49,72 @@
 
 // Call is what a request asks for, in its protocol.
 type Call interface {
-	// Exchange returns the call's side of one attempt.
-	Exchange() Exchange
+	// NewExchange returns the call's side of one attempt.
+	NewExchange() Exchange
 }
 
-// Exchange is one protocol's side of an attempt: it writes the request to a backend connection and reads the
+// NewExchange is one protocol's side of an attempt: it writes the request to a backend connection and reads the
 // answer off it. A request carries one for each attempt, in the protocol that it came in.
 type Exchange interface {
-	// Append appends the request's head, and of its body as much as is sent at once; the server is told until when anybody
+	// AppendRequest appends the request's head, and of its body as much as is sent at once; the server is told until when anybody
 	// waits for its answer.
-	Append(dst []byte, now, until float64) []byte
+	AppendRequest(dst []byte, now, until float64) []byte
 	// ReadBody appends what follows of the request, about so many bytes at most; nothing where no more has come.
-	More(dst []byte, most int) []byte
-	// Written tells whether all of the request has been appended.
-	Written() bool
+	AppendBody(dst []byte, most int) []byte
+	// IsRequestAppended tells whether all of the request has been appended.
+	IsRequestAppended() bool
 	// ReadRequest reads on from what the link has received and tells whether the answer is whole.
-	Read(buf *buffer.Buffer) (bool, error)
-	// Begun tells whether any of the answer has come.
-	Begun() bool
-	// Silent tells whether no answer ever comes: the attempt is over once its request is written whole.
-	Silent() bool
-	// End takes the end of the link and tells whether that makes the answer whole.
-	End() bool
-	// Verdict tells what a whole answer means, the load report it holds, and whether the link can be kept.
-	Verdict() (outcome policy.Outcome, report policy.Report, keep bool)
+	ReadResponse(buf *buffer.Buffer) (bool, error)
+	// HasResponseBegun tells whether any of the answer has come.
+	HasResponseBegun() bool
+	// IsOneWay tells whether no answer ever comes: the attempt is over once its request is written whole.
+	IsOneWay() bool
+	// HandleEOF takes the end of the link and tells whether that makes the answer whole.
+	HandleEOF() bool
+	// Result tells what a whole answer means, the load report it holds, and whether the link can be kept.
+	Result() (outcome policy.Outcome, report policy.Report, keep bool)
 }
 
-// Flowing is an Exchange whose answer can be passed on in pieces, as they come.
-type Flowing interface {
+// StreamingExchange is an Exchange whose answer can be passed on in pieces, as they come.
+type StreamingExchange interface {
 	Exchange
-	// Large tells whether what has come of the answer is the begin of one that is not held whole.
-	Large() bool
+	// ExceedsBuffer tells whether what has come of the answer is the begin of one that is not held whole.
+	ExceedsBuffer() bool
 }
 
-// FlowOrigin is an Origin that can pass on an answer in pieces: Begin and then Pass take the place of Serve.
-type FlowOrigin interface {
-	// Begin passes on an answer's head, and what has come of its body.
-	Begin(x Exchange)
-	// Pass passes on what has come since; last says that it is the end.
-	Pass(x Exchange, last bool)
+// StreamResponder is an Origin that can pass on an answer in pieces: Begin and then Pass take the place of Serve.
+type StreamResponder interface {
+	// ForwardHead passes on an answer's head, and what has come of its body.
+	ForwardHead(x Exchange)
+	// ForwardBody passes on what has come since; last says that it is the end.
+	ForwardBody(x Exchange, last bool)
 }
 
 // Body is a request's body, which may still be on its way in.
 type Body struct {
-	Kept   []byte // what is held of it, from the byte From on
-	From   int    // bytes that have been sent and dropped
-	Sent   int    // bytes that the present attempt has been given
-	Length int    // in all; -1: it is not told beforehand
-	Whole  bool   // its end has come
+	Buffered     []byte // what is held of it, from the byte From on
+	DroppedBytes int    // bytes that have been sent and dropped
+	SentBytes    int    // bytes that the present attempt has been given
+	Length       int    // in all; -1: it is not told beforehand
+	IsComplete   bool   // its end has come
 }
 
-// Part returns the next bytes for the present attempt, at most so many, and counts them as sent.
-func (b *Body) Part(most int) []byte {
-	part := b.Kept[b.Sent-b.From:]
+// Next returns the next bytes for the present attempt, at most so many, and counts them as sent.
+func (b *Body) Next(most int) []byte {
+	part := b.Buffered[b.SentBytes-b.DroppedBytes:]
 	part = part[:min(len(part), most)]
-	b.Sent += len(part)
+	b.SentBytes += len(part)
 	return part
 }
 
-// Left returns how many bytes that have come are still to be sent.
-func (b *Body) Left() int { return b.From + len(b.Kept) - b.Sent }
+// UnsentBytes returns how many bytes that have come are still to be sent.
+func (b *Body) UnsentBytes() int { return b.DroppedBytes + len(b.Buffered) - b.SentBytes }
 
-// Gone tells whether the begin of the body is no longer held: it can't be sent again.
-func (b *Body) Gone() bool { return b.From > 0 }
+// HasDropped tells whether the begin of the body is no longer held: it can't be sent again.
+func (b *Body) HasDropped() bool { return b.DroppedBytes > 0 }
 
 // drop lets go of what has been sent.
 func (b *Body) drop() {
-	n := copy(b.Kept, b.Kept[b.Sent-b.From:])
-	b.Kept, b.From = b.Kept[:n], b.Sent
+	n := copy(b.Buffered, b.Buffered[b.SentBytes-b.DroppedBytes:])
+	b.Buffered, b.DroppedBytes = b.Buffered[:n], b.SentBytes
 }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -128,23 +128,23 @@
 	}
 }
 
-// Quoted is a Client that knows what quotas go by. One that is not is known by its class and address alone, and what is
+// QuotaClient is a Client that knows what quotas go by. One that is not is known by its class and address alone, and what is
 // beyond its quota is throttled.
-type Quoted interface {
+type QuotaClient interface {
 	// Field returns a field of the message's header, "" if it is absent.
 	Field(name string) string
-	// Bytes returns about what the message took on the wire.
-	Bytes() int
-	// OverQuota refuses: nothing has run, and the group will have more after the given time.
-	OverQuota(group string, retryAfterS float64)
+	// RequestBytes returns about what the message took on the wire.
+	RequestBytes() int
+	// RejectOverQuota refuses: nothing has run, and the group will have more after the given time.
+	RejectOverQuota(group string, retryAfterS float64)
 }
 
-// Told is an Exchange whose whole answer tells what it cost.
-type Told interface {
-	// Bytes returns about what the answer took on the wire.
-	Bytes() int
-	// Worked returns for how long the server says it has worked; ok: it does.
-	Worked() (seconds float64, ok bool)
+// CostReporter is an Exchange whose whole answer tells what it cost.
+type CostReporter interface {
+	// RequestBytes returns about what the answer took on the wire.
+	ResponseBytes() int
+	// ServiceSeconds returns for how long the server says it has worked; ok: it does.
+	ServiceSeconds() (seconds float64, ok bool)
 }
 
 // noFields has no header.
@@ -164,9 +164,9 @@
 		return quotaTicket{}, true
 	}
 	now, bytes, header := s.now(), a.HeldBytes, quotas.FieldGetter(noFields{})
-	q, knows := l.client.(Quoted)
+	q, knows := l.client.(QuotaClient)
 	if knows {
-		bytes, header = q.Bytes(), q
+		bytes, header = q.RequestBytes(), q
 	}
 	g := d.directory.GroupOf(header, s.cfg.Settings.Policy.Classes[a.Class].Name, clientAddress(l.conn))
 	t := quotaTicket{ask: d.machine.NewRequest(g, float64(bytes), d.floor[a.Class]), taken: true, at: now}
@@ -180,7 +180,7 @@
 	s.counters.end(a.Class, throttled)
 	s.counters.OverQuota++
 	if knows {
-		q.OverQuota(d.machine.Tree().Path(g), v.RetryAfterSeconds)
+		q.RejectOverQuota(d.machine.Tree().Path(g), v.RetryAfterSeconds)
 	} else {
 		l.client.Throttle(v.RetryAfterSeconds)
 	}
@@ -194,9 +194,9 @@
 		return
 	}
 	ok := false
-	if x, told := e.exchange.(Told); told {
-		t.bytes = float64(x.Bytes())
-		t.worked, ok = x.Worked()
+	if x, told := e.exchange.(CostReporter); told {
+		t.bytes = float64(x.ResponseBytes())
+		t.worked, ok = x.ServiceSeconds()
 	}
 	if !ok {
 		t.worked = s.now() - e.sentAt
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -15,7 +15,7 @@
 	classNo  int // its place in the settings
 	deadline float64
 	call     Call
-	origin   Origin
+	origin   Responder
 	client   *ClientConn // which has brought it
 	body     *Body       // that was not whole when it was taken; nil: it was
 	flow     *flow       // of its answer, which has begun to be passed on
