--- a/internal/sidecar/feed.go
+++ b/internal/sidecar/feed.go
@@ -17,32 +17,32 @@
 	Sum       uint64 // equal at lists that say the same
 }
 
-// Lists is what a fleet that passes lists on asks of the sidecar, and tells it. All is for the loop.
+// ListReceiver is what a fleet that passes lists on asks of the sidecar, and tells it. All is for the loop.
 type Lists interface {
-	// Discovery returns the address of the discovery service that the sidecar goes by.
+	// DiscoveryAddress returns the address of the discovery service that the sidecar goes by.
 	Discovery() string
 	// ListVersion returns the version of the list that is held; false: it has none.
 	ListVersion() (ListVersion, bool)
-	// WholeList returns the list that is held, as discovery would write it.
+	// CompleteList returns the list that is held, as discovery would write it.
 	WholeList() []byte
 	// TakeList applies one object of discovery's. One whose index is lower than that of the list that is held is ErrOldList. After
 	// one that was applied Fed or Distrust follows: to the decisions it is a sign that a watch is up.
 	TakeList(raw []byte) error
-	// Fed tells that the list that is held was discovery's a moment ago: a watch is not needed, and ends unless WatchOwn holds it.
-	// Starved tells that it was not so for too long.
+	// ConfirmList tells that the list that is held was discovery's a moment ago: a watch is not needed, and ends unless WatchOwn holds it.
+	// ExpireList tells that it was not so for too long.
 	Fed()
 	Starved()
-	// WatchOwn has the sidecar hold a watch of its own whatever is passed on, or ends that.
+	// SetDirectWatch has the sidecar hold a watch of its own whatever is passed on, or ends that.
 	WatchOwn(on bool)
-	// Distrust has it ask for the whole list: what was passed on is not what discovery says.
+	// InvalidateList has it ask for the whole list: what was passed on is not what discovery says.
 	Distrust()
 }
 
-// Passer is told of what discovery says to the sidecar's own watch, on the loop.
+// ListObserver is told of what discovery says to the sidecar's own watch, on the loop.
 type Passer interface {
-	// Listed takes an object, after it was applied to the list of an index; false: to none. Raw is not kept; nil: all is as it was.
+	// ListRead takes an object, after it was applied to the list of an index; false: to none. Raw is not kept; nil: all is as it was.
 	Listed(before uint64, held bool, raw []byte)
-	// Unlisted takes the end of a watch that was up.
+	// WatchEnded takes the end of a watch that was up.
 	Unlisted()
 }
 
@@ -55,13 +55,13 @@
 	own bool   // a watch of its own is held beside
 }
 
-// PassLists has a fleet told of what discovery says. It comes before Start.
+// SetListObserver has a fleet told of what discovery says. It comes before Start.
 func (s *Sidecar) PassLists(to Passer) { s.passed.to = to }
 
-// ErrOldList is the fault of a list that is older than the one that is held.
+// ErrStaleList is the fault of a list that is older than the one that is held.
 var ErrOldList = errors.New("the list is older than the one that is held")
 
-// Discovery is for the loop.
+// DiscoveryAddress is for the loop.
 func (s *Sidecar) Discovery() string { return s.cfg.Discovery }
 
 // ListVersion is for the loop.
@@ -73,10 +73,10 @@
 	return v, true
 }
 
-// WholeList is for the loop.
+// CompleteList is for the loop.
 func (s *Sidecar) WholeList() []byte { return s.hosts.Whole() }
 
-// TakeList is for the loop.
+// ApplyList is for the loop.
 func (s *Sidecar) TakeList(raw []byte) (err error) {
 	index, _, err := endpointset.Heading(raw)
 	if err != nil {
@@ -92,7 +92,7 @@
 // watches tells whether the decisions have been told that a watch is up.
 func (s *Sidecar) watches() bool { return s.passed.on || s.watcher != nil && s.watcher.heard }
 
-// Fed is for the loop.
+// ConfirmList is for the loop.
 func (s *Sidecar) Fed() {
 	s.enter(func() {
 		was := s.watches()
@@ -106,7 +106,7 @@
 	})
 }
 
-// Starved is for the loop.
+// ExpireList is for the loop.
 func (s *Sidecar) Starved() {
 	s.enter(func() {
 		was := s.watches()
@@ -117,7 +117,7 @@
 	})
 }
 
-// WatchOwn is for the loop.
+// SetDirectWatch is for the loop.
 func (s *Sidecar) WatchOwn(on bool) {
 	s.enter(func() {
 		if s.passed.own = on; on && s.watcher == nil && !s.stopping {
@@ -126,7 +126,7 @@
 	})
 }
 
-// Distrust is for the loop. Danger: what all were told wrong all ask about; the decisions know how to do that in turn.
+// InvalidateList is for the loop. Danger: what all were told wrong all ask about; the decisions know how to do that in turn.
 func (s *Sidecar) Distrust() {
 	s.enter(func() {
 		if s.watcher != nil {
--- a/internal/sim/lists.go
+++ b/internal/sim/lists.go
@@ -17,7 +17,7 @@
 
 var statuses = map[string]int32{"SERVING": checker.Serving, "DRAINING": checker.Draining, "DELETED": checker.Deleted}
 
-// TakeList tells the judge of each entry before the sidecar knows it. Whether the list is as new as it should be is the judge's to
+// ApplyList tells the judge of each entry before the sidecar knows it. Whether the list is as new as it should be is the judge's to
 // say.
 func (l listener) TakeList(raw []byte) error {
 	var list struct {
