--- a/internal/sidecar/drills.go
+++ b/internal/sidecar/drills.go
@@ -6,10 +6,10 @@
 // its deadline can only fail it, and the rehearsal would show a failure of the balancer's own making.
 const delayPart = 0.8
 
-// DrillsArmed tells whether drills can be started.
+// IsFaultInjectionArmed tells whether drills can be started.
 func (s *Sidecar) DrillsArmed() bool { return s.drills.IsArmed() }
 
-// StartDrill starts a drill on the operators' word. Danger: the secret must not reach the log.
+// StartFault starts a drill on the operators' word. Danger: the secret must not reach the log.
 func (s *Sidecar) StartDrill(secret []byte, name string) (faultinjection.Fault, error) {
 	d, err := s.drills.Start(s.now(), secret, name)
 	if err != nil {
@@ -23,22 +23,22 @@
 	return d, nil
 }
 
-// Drills is what a fleet tells a sidecar that runs drills together with others.
+// FaultRunner is what a fleet tells a sidecar that runs drills together with others.
 type Drills interface {
-	// RunDrill has a drill run for what is left of it, which was started at another sidecar. The mark shows that the secret was
+	// RunRemoteFault has a drill run for what is left of it, which was started at another sidecar. The mark shows that the secret was
 	// looked at there.
 	RunDrill(name string, id uint64, mark []byte, leftS float64) error
 }
 
-// Driller is told of drills that operators have started here. Mark returns a drill's mark, by its id.
+// FaultObserver is told of drills that operators have started here. Mark returns a drill's mark, by its id.
 type Driller interface {
 	Drilled(name string, durationS float64, mark func(id uint64) []byte)
 }
 
-// DrillTogether has a fleet told of drills. It comes before Start.
+// SetFaultObserver has a fleet told of drills. It comes before Start.
 func (s *Sidecar) DrillTogether(to Driller) { s.together = to }
 
-// RunDrill is for the loop.
+// RunRemoteFault is for the loop.
 func (s *Sidecar) RunDrill(name string, id uint64, mark []byte, leftS float64) error {
 	d, err := s.drills.StartRemote(s.net.Now(), id, name, mark, leftS)
 	if err != nil {
