--- a/internal/coordination/maintenance_holder.go
+++ b/internal/coordination/maintenance_holder.go
@@ -56,7 +56,7 @@
 
 // startCoordinator starts the coordinator from the committed record, and executes the commands that came before that.
 func (r *maintenanceRole) startCoordinator(now float64, committed maintenance.Committed) {
-	r.coordinator = maintenance.New(maintenance.Settings{WarmUpSeconds: r.servers.ColdS(), Order: r.roles.node.options.MaintenanceOrder})
+	r.coordinator = maintenance.New(maintenance.Settings{WarmUpSeconds: r.servers.WarmUpSeconds(), Order: r.roles.node.options.MaintenanceOrder})
 	r.coordinator.Start(now, committed)
 	for _, t := range r.commands {
 		if !t.answered {
--- a/internal/coordination/maintenance_record.go
+++ b/internal/coordination/maintenance_record.go
@@ -68,7 +68,7 @@
 			delete(r.outSince, name)
 		}
 	}
-	r.servers.TakeOut(slices.Compact(names))
+	r.servers.SetUnderMaintenance(slices.Compact(names))
 	if persist {
 		r.roles.node.runAfterCall(r.persistRecord)
 	}
--- a/internal/coordination/maintenance_role.go
+++ b/internal/coordination/maintenance_role.go
@@ -30,7 +30,7 @@
 // operators and maintenance agents are forwarded over all links until they reach the holder, whose replies are flooded back.
 type maintenanceRole struct {
 	roles   *roleManager
-	servers sidecar.Boxes
+	servers sidecar.MaintainedServers
 
 	// The record that is applied here.
 	epoch, version uint64 // 0, 0: none
--- a/internal/coordination/maintenance_status.go
+++ b/internal/coordination/maintenance_status.go
@@ -41,10 +41,10 @@
 			}
 		}
 	}
-	for _, b := range r.servers.Boxes() {
+	for _, b := range r.servers.Servers() {
 		if _, out := r.outSince[b.Name]; out {
 			s.Cordoned = append(s.Cordoned, b.Name)
-			if b.Kept {
+			if b.IsKeptInUse {
 				s.Reinstated = append(s.Reinstated, b.Name)
 			}
 		}
--- a/internal/coordination/maintenance_survey.go
+++ b/internal/coordination/maintenance_survey.go
@@ -48,24 +48,24 @@
 	n := r.roles.node
 	spanSeconds := max(now-r.reportedAt, minSurveySpanSeconds)
 	r.reportedAt = now
-	completed, rejected := r.servers.Ended()
+	completed, rejected := r.servers.RequestTotals()
 	report := &maintenance.Report{CompletedPerSecond: float64(completed-r.completed) / spanSeconds, RejectedPerSecond: float64(rejected-r.rejected) / spanSeconds}
 	r.completed, r.rejected = completed, rejected
-	if r.servers.ListLate() {
+	if r.servers.IsListStale() {
 		report.StaleMembers = 1
 	}
 	report.Reporters = []maintenance.Reporter{{ID: n.state.ID, BootID: n.view.Self().Version.BootID, Version: r.version}}
 	quietSeconds := r.quietPeriods()
-	for _, b := range r.servers.Boxes() {
-		status := maintenance.ServerStatus{Server: b.Name, Site: b.Site, Type: b.Type, Capacity: b.Size, ListedBy: boolToInt(b.Listed), DrainingBy: boolToInt(b.Draining),
-			CordonedBy: boolToInt(b.Hand), WarmingUpBy: boolToInt(b.Cold), UnresponsiveBy: boolToInt(b.Silent), InFlight: b.Out, Busy: b.Busy}
+	for _, b := range r.servers.Servers() {
+		status := maintenance.ServerStatus{Server: b.Name, Site: b.Zone, Type: b.Type, Capacity: b.Weight, ListedBy: boolToInt(b.IsListed), DrainingBy: boolToInt(b.IsDraining),
+			CordonedBy: boolToInt(b.IsCordoned), WarmingUpBy: boolToInt(b.IsWarmingUp), UnresponsiveBy: boolToInt(b.IsUnavailable), InFlight: b.InFlight, Busy: b.IsBusy}
 		if before, known := r.serverCompleted[b.Name]; known {
-			status.CompletedPerSecond = float64(b.Ended-before) / spanSeconds
+			status.CompletedPerSecond = float64(b.AttemptsEnded-before) / spanSeconds
 		}
-		r.serverCompleted[b.Name] = b.Ended
+		r.serverCompleted[b.Name] = b.AttemptsEnded
 		report.Servers = append(report.Servers, status)
-		if quiet, out := quietSeconds[b.Name]; out && (b.Kept || b.Out > 0 || now-r.outSince[b.Name] < quiet) {
-			report.InUse = append(report.InUse, maintenance.InUse{Server: b.Name, Member: n.state.ID, Uncordoned: b.Kept, InFlight: b.Out})
+		if quiet, out := quietSeconds[b.Name]; out && (b.IsKeptInUse || b.InFlight > 0 || now-r.outSince[b.Name] < quiet) {
+			report.InUse = append(report.InUse, maintenance.InUse{Server: b.Name, Member: n.state.ID, Uncordoned: b.IsKeptInUse, InFlight: b.InFlight})
 		}
 	}
 	return report
--- a/internal/coordination/options.go
+++ b/internal/coordination/options.go
@@ -38,11 +38,11 @@
 	Replaceable      bool   // a hot restart may pass this process's identity and address on to another process
 	Host             sidecar.Asked
 	Placement        sidecar.Placed
-	Lists            sidecar.Lists     // needed for the role "list"
-	Faults           sidecar.Drills    // needed for the role "drill"
-	Servers          sidecar.Boxes     // needed for the role "works"
-	MaintenanceOrder maintenance.Order // in which servers are taken down; the zero value is the one in production
-	Rand             *rand.Rand        // the only source of randomness
+	Lists            sidecar.Lists             // needed for the role "list"
+	Faults           sidecar.Drills            // needed for the role "drill"
+	Servers          sidecar.MaintainedServers // needed for the role "works"
+	MaintenanceOrder maintenance.Order         // in which servers are taken down; the zero value is the one in production
+	Rand             *rand.Rand                // the only source of randomness
 	Net              netio.Net
 	Log              *slog.Logger
 }
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -46,7 +46,7 @@
 		p.DrillTogether(p.fleet)
 	}
 	if slices.Contains(on.Jobs, "works") {
-		p.WorkOnBoxes()
+		p.EnableMaintenance()
 		join := slices.DeleteFunc(slices.Clone(on.Join), func(a string) bool { return a == on.Advertise || a == on.Listen })
 		p.askFirst = func() { p.ask(on.Name, cfg.Name, join[:min(len(join), mostAsked)]) }
 	}
--- a/internal/sidecar/works.go
+++ b/internal/sidecar/works.go
@@ -10,36 +10,36 @@
 // A fleet can settle among its sidecars which boxes are out of use for work on them. To the decisions a box that is out drains, as
 // one that is out by hand does; what operators say by hand at a sidecar goes before.
 
-// Boxes is what a fleet that settles work on boxes asks of the sidecar, and tells it. All but TakeOut before Start is for the loop.
-type Boxes interface {
-	// TakeOut has boxes be out of use that the fleet has agreed on: exactly these, in place of those before. A box that is not among
+// MaintainedServers is what a fleet that settles work on boxes asks of the sidecar, and tells it. All but TakeOut before Start is for the loop.
+type MaintainedServers interface {
+	// SetUnderMaintenance has boxes be out of use that the fleet has agreed on: exactly these, in place of those before. A box that is not among
 	// them any more is let back in as one that was started now, unless the list knows better.
-	TakeOut(names []string)
-	// Boxes returns what is known of each box that is listed or out, by name.
-	Boxes() []Box
-	// Ended returns how many requests have ended since the start, and how many of these got no server's answer.
-	Ended() (all, refused uint64)
-	// ListLate tells whether nothing has come of discovery for too long.
-	ListLate() bool
-	// ColdS is how long a box takes to warm up, by the settings, in seconds; 0: they do not say.
-	ColdS() float64
+	SetUnderMaintenance(names []string)
+	// MaintainedServers returns what is known of each box that is listed or out, by name.
+	Servers() []ServerStatus
+	// RequestTotals returns how many requests have ended since the start, and how many of these got no server's answer.
+	RequestTotals() (all, refused uint64)
+	// IsListStale tells whether nothing has come of discovery for too long.
+	IsListStale() bool
+	// WarmUpSeconds is how long a box takes to warm up, by the settings, in seconds; 0: they do not say.
+	WarmUpSeconds() float64
 }
 
-var _ Boxes = (*Sidecar)(nil)
-
-// Box is one box as a sidecar knows it.
-type Box struct {
-	Name, Site, Type string
-	Size             float64
-	Listed           bool
-	Draining         bool // by the list
-	Hand             bool // it is out by hand
-	Kept             bool // it is out by what is agreed, and was given back here by hand: it is in use
-	Cold             bool
-	Silent           bool // it is not to be used by choice: silent, suspected, failing
-	Out              int  // attempts that may be under way there
-	Ended            uint64
-	Busy             bool // by its own last report, if that came within the last seconds
+var _ MaintainedServers = (*Sidecar)(nil)
+
+// ServerStatus is one box as a sidecar knows it.
+type ServerStatus struct {
+	Name, Zone, Type string
+	Weight           float64
+	IsListed         bool
+	IsDraining       bool // by the list
+	IsCordoned       bool // it is out by hand
+	IsKeptInUse      bool // it is out by what is agreed, and was given back here by hand: it is in use
+	IsWarmingUp      bool
+	IsUnavailable    bool // it is not to be used by choice: silent, suspected, failing
+	InFlight         int  // attempts that may be under way there
+	AttemptsEnded    uint64
+	IsBusy           bool // by its own last report, if that came within the last seconds
 }
 
 // boxWork is what a sidecar remembers for it.
@@ -71,8 +71,8 @@
 	failsAfter, failsS = 2, 30.0
 )
 
-// WorkOnBoxes has the sidecar remember what Boxes tells. It comes before Start.
-func (s *Sidecar) WorkOnBoxes() {
+// EnableMaintenance has the sidecar remember what Boxes tells. It comes before Start.
+func (s *Sidecar) EnableMaintenance() {
 	w := &boxWork{field: slices.Index(s.cfg.Settings.Policy.ReportFields, policy.FieldInflight), ended: map[uint32]uint64{}, report: map[uint32]boxReport{},
 		given: map[uint32][]float64{}, hungUp: map[uint32]hangUps{}}
 	for _, c := range s.cfg.Settings.Policy.Classes {
@@ -124,7 +124,7 @@
 }
 
 // TakeOut may be called before Start, with what was agreed in an earlier life.
-func (s *Sidecar) TakeOut(names []string) {
+func (s *Sidecar) SetUnderMaintenance(names []string) {
 	infos := s.hosts.Agree(names, s.net.Now())
 	if len(infos) == 0 {
 		return
@@ -137,8 +137,8 @@
 	s.enter(func() { s.retell(infos...) })
 }
 
-// Boxes is for the loop.
-func (s *Sidecar) Boxes() (all []Box) {
+// MaintainedServers is for the loop.
+func (s *Sidecar) Servers() (all []ServerStatus) {
 	if s.works == nil {
 		return nil
 	}
@@ -154,18 +154,18 @@
 		h := s.hosts.Host(id)
 		k := h.Known()
 		agreed, kept := s.hosts.Agreed(h.Name)
-		b := Box{Name: h.Name, Site: k.Zone, Type: k.Type, Size: k.Weight, Listed: k.Listed, Draining: k.Draining, Hand: s.hosts.ByHand(h.Name), Kept: kept,
-			Out: out[id] + w.open(id, now), Ended: w.ended[id]}
-		if !b.Listed && !agreed && !b.Hand && b.Out == 0 {
+		b := ServerStatus{Name: h.Name, Zone: k.Zone, Type: k.Type, Weight: k.Weight, IsListed: k.Listed, IsDraining: k.Draining, IsCordoned: s.hosts.ByHand(h.Name), IsKeptInUse: kept,
+			InFlight: out[id] + w.open(id, now), AttemptsEnded: w.ended[id]}
+		if !b.IsListed && !agreed && !b.IsCordoned && b.InFlight == 0 {
 			continue
 		}
-		b.Cold = p.SlowStartSeconds > 0 && k.Started > 0 && now-k.Started < p.SlowStartSeconds
-		b.Silent = h.State == policy.Ready && (avoided(id) || w.fails(id, now))
+		b.IsWarmingUp = p.SlowStartSeconds > 0 && k.Started > 0 && now-k.Started < p.SlowStartSeconds
+		b.IsUnavailable = h.State == policy.Ready && (avoided(id) || w.fails(id, now))
 		r, told := w.report[id]
-		b.Busy = told && now-r.at < reportS && r.inflight > 0
+		b.IsBusy = told && now-r.at < reportS && r.inflight > 0
 		all = append(all, b)
 	}
-	slices.SortFunc(all, func(a, b Box) int {
+	slices.SortFunc(all, func(a, b ServerStatus) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -174,14 +174,14 @@
 	return all
 }
 
-// Ended is for the loop.
-func (s *Sidecar) Ended() (all, refused uint64) {
+// RequestTotals is for the loop.
+func (s *Sidecar) RequestTotals() (all, refused uint64) {
 	c := &s.counters
 	return c.Served + c.Throttled + c.Failed + c.Abandoned, c.Throttled + c.Failed
 }
 
-// ListLate is for the loop.
-func (s *Sidecar) ListLate() bool { return !s.watches() && s.net.Now()-s.listAt > lateListS }
+// IsListStale is for the loop.
+func (s *Sidecar) IsListStale() bool { return !s.watches() && s.net.Now()-s.listAt > lateListS }
 
-// ColdS is for the loop.
-func (s *Sidecar) ColdS() float64 { return s.cfg.Settings.Policy.SlowStartSeconds }
+// WarmUpSeconds is for the loop.
+func (s *Sidecar) WarmUpSeconds() float64 { return s.cfg.Settings.Policy.SlowStartSeconds }
--- a/internal/sidecar/works_test.go
+++ b/internal/sidecar/works_test.go
@@ -12,7 +12,7 @@
 // left, or that a probe was answered, changes nothing.
 func TestHangUps(t *testing.T) {
 	s := newTestSidecar(t)
-	s.WorkOnBoxes()
+	s.EnableMaintenance()
 	w, now := s.works, testNow
 	ends := func(request *request, err *attemptError) {
 		w.note(&attempt{host: 7, request: request}, err, &policy.Result{}, now)
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -126,7 +126,7 @@
 		if d.owners && len(join) == 3 {
 			settings.Voters, settings.Roles = join, sidecarconfig.Jobs
 			sc.Measure()
-			sc.WorkOnBoxes()
+			sc.EnableMaintenance()
 		}
 		f, err := coordination.New(coordination.Options{MaxLinks: links, Settings: settings, Sidecar: s.spec.Name,
 			Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas, Host: sc, Placement: sc, Lists: listener{sc, s}, Faults: sc, Servers: sc, MaintenanceOrder: d.workOrder, Rand: rng, Net: shared.Companion(), Log: log})
