--- a/internal/coordination/report_role_test.go
+++ b/internal/coordination/report_role_test.go
@@ -16,11 +16,11 @@
 func TestResponsesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "members")
-		want := sidecar.NewTimes()
+		want := sidecar.NewLatencyHistogram()
 		served := uint64(0)
 		pending := make([]*reportResponse, n)
 		for i := range n {
-			h := sidecar.NewTimes()
+			h := sidecar.NewLatencyHistogram()
 			for range rapid.IntRange(0, 50).Draw(t, "requests") {
 				us := rapid.Int64Range(0, 60_000_000).Draw(t, "us")
 				require.NoError(t, h.RecordValue(us))
--- a/internal/coordination/report_wire.go
+++ b/internal/coordination/report_wire.go
@@ -58,7 +58,7 @@
 var errMalformedResponse = errors.New("malformed report response")
 
 // emptyHistogram is the shape of the histograms of sidecar.NewTimes. It is made on first use, since it is large.
-var emptyHistogram = sync.OnceValue(func() *hdrhistogram.Snapshot { return sidecar.NewTimes().Export() })
+var emptyHistogram = sync.OnceValue(func() *hdrhistogram.Snapshot { return sidecar.NewLatencyHistogram().Export() })
 
 // encodeCounts encodes the counts that are not 0 as pairs of the distance to the one before and the count.
 func encodeCounts(counts []int64) (b []byte) {
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -37,7 +37,7 @@
 	p.host = shared.Host(p.Sidecar, p.fleet, p.fleet.OwnsConn)
 	p.Reserve(peers.Descriptors(links))
 	if slices.Contains(on.Jobs, "report") {
-		p.Measure()
+		p.EnableRequestStats()
 	}
 	if slices.Contains(on.Jobs, "list") {
 		p.PassLists(p.fleet)
--- a/internal/sidecar/fit.go
+++ b/internal/sidecar/fit.go
@@ -22,8 +22,8 @@
 	silencesAt        uint64  // silences by then
 }
 
-// Fit tells whether the sidecar may work for others beside serving, or why not. It is for the loop, and looks anew with each call.
-func (s *Sidecar) Fit() (ok bool, why string) {
+// CanTakeRoles tells whether the sidecar may work for others beside serving, or why not. It is for the loop, and looks anew with each call.
+func (s *Sidecar) CanTakeRoles() (ok bool, why string) {
 	f, now := &s.fit, s.net.Now()
 	if now-f.from >= fitWindowS || f.stood-f.stoodBefore > stoodShare*fitWindowS {
 		if f.from > 0 && f.stood-f.stoodBefore > stoodShare*fitWindowS {
--- a/internal/sidecar/fit_test.go
+++ b/internal/sidecar/fit_test.go
@@ -23,7 +23,7 @@
 	look := func(forS float64, each func()) (why string) {
 		for end := now + forS; now < end; now++ {
 			each()
-			_, why = s.Fit()
+			_, why = s.CanTakeRoles()
 		}
 		return why
 	}
@@ -46,18 +46,18 @@
 // What is measured is told once, and filling it in costs no allocation.
 func TestMeasured(t *testing.T) {
 	s := newTestSidecar(t)
-	assert.Nil(t, s.Measured())
-	s.Measure()
+	assert.Nil(t, s.RequestStats())
+	s.EnableRequestStats()
 	r := &request{deadline: testNow + 1, patience: 2}
 	assert.Zero(t, testing.AllocsPerRun(100, func() { s.over(r, served) }))
 	s.over(r, failed)
-	m := s.Measured()
+	m := s.RequestStats()
 	assert.Equal(t, uint64(101), m[0].Served)
 	assert.Equal(t, uint64(1), m[0].Failed)
 	n := int64(0)
-	for _, c := range m[0].Times {
+	for _, c := range m[0].LatencyCounts {
 		n += c
 	}
 	assert.Equal(t, int64(101), n)
-	assert.Zero(t, s.Measured()[0].Served)
+	assert.Zero(t, s.RequestStats()[0].Served)
 }
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -125,7 +125,7 @@
 		settings := coordination.Settings{Name: fleetName, Listen: peersAddress(&s.spec), Join: join}
 		if d.owners && len(join) == 3 {
 			settings.Voters, settings.Roles = join, sidecarconfig.Jobs
-			sc.Measure()
+			sc.EnableRequestStats()
 			sc.EnableMaintenance()
 		}
 		f, err := coordination.New(coordination.Options{MaxLinks: links, Settings: settings, Sidecar: s.spec.Name,
