--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -133,7 +133,7 @@
 		<-ends
 		if p.store != nil {
 			if _, successor := p.store.OtherProcesses(); successor {
-				p.Do(p.Succeeded)
+				p.Do(p.MarkReplaced)
 			}
 		}
 		p.Do(p.Drain)
--- a/internal/process/succeed.go
+++ b/internal/process/succeed.go
@@ -35,17 +35,17 @@
 	case err != nil:
 		p.log.Warn("a plain start", "error", err)
 	default:
-		if err := p.Inherit(st); err != nil {
+		if err := p.RestoreState(st); err != nil {
 			p.log.Warn("a plain start", "error", err)
 		} else {
 			p.log.Info("going on from another process's state", "age_s", p.loop.Now()-st.UnixSeconds)
 		}
 	}
-	p.Keep(p.store)
+	p.SetStateStore(p.store)
 	n, _ := p.store.OtherProcesses()
 	p.neighbours = n
 	p.Do(func() {
-		p.Share(n)
+		p.ShareLimits(n)
 		if err := p.store.MarkServing(); err != nil {
 			p.log.Error("the process that is replaced can't be told", "error", err)
 		}
@@ -78,12 +78,12 @@
 		}
 		if now := p.store.OperatorStamp(); now != said {
 			said = now
-			p.Do(p.Reconcile)
+			p.Do(p.ReconcileOperatorState)
 		}
 		if i%10 == 0 {
 			if n, _ := p.store.OtherProcesses(); n != neighbours {
 				neighbours = n
-				p.Do(func() { p.Share(n) })
+				p.Do(func() { p.ShareLimits(n) })
 			}
 		}
 	}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -22,8 +22,8 @@
 	oldestS = 30
 )
 
-// Shelf is where what a successor needs is kept.
-type Shelf interface {
+// StateStore is where what a successor needs is kept.
+type StateStore interface {
 	// Ban, Lift and Away note what operators have said, before they are told yes.
 	Cordon(server string) error
 	Uncordon(server string) error
@@ -34,17 +34,17 @@
 	Save(s hotrestart.State)
 }
 
-// noShelf is that of a process that has no successor.
-type noShelf struct{}
+// noStateStore is that of a process that has no successor.
+type noStateStore struct{}
 
-func (noShelf) Cordon(string) error                    { return nil }
-func (noShelf) Uncordon(string) error                  { return nil }
-func (noShelf) SetDrained(bool) error                  { return nil }
-func (noShelf) OperatorState() ([]string, bool, error) { return nil, false, nil }
-func (noShelf) Save(hotrestart.State)                  {}
+func (noStateStore) Cordon(string) error                    { return nil }
+func (noStateStore) Uncordon(string) error                  { return nil }
+func (noStateStore) SetDrained(bool) error                  { return nil }
+func (noStateStore) OperatorState() ([]string, bool, error) { return nil, false, nil }
+func (noStateStore) Save(hotrestart.State)                  {}
 
 // SetKeepAlive has the sidecar keep on a shelf what a successor needs, and obey what lies there. It comes before Start.
-func (s *Sidecar) Keep(shelf Shelf) {
+func (s *Sidecar) SetStateStore(shelf StateStore) {
 	s.shelf = shelf
 	s.reserved += hotrestart.Descriptors
 }
@@ -68,8 +68,8 @@
 	return s.hash
 }
 
-// State returns what a successor begins with. It is for the loop, between events.
-func (s *Sidecar) State() (st hotrestart.State, ok bool) {
+// RestartState returns what a successor begins with. It is for the loop, between events.
+func (s *Sidecar) RestartState() (st hotrestart.State, ok bool) {
 	st = hotrestart.State{UnixSeconds: s.now(), SettingsHash: s.settingsHash(), EndpointList: s.hosts.Export()}
 	st.PolicyCheckpoint, ok = s.balancer.Checkpoint(nil, mostCheckpoint)
 	return st, ok
@@ -78,7 +78,7 @@
 // save keeps the state, again and again.
 func (s *Sidecar) save() {
 	began := s.net.Now()
-	if st, ok := s.State(); ok {
+	if st, ok := s.RestartState(); ok {
 		s.shelf.Save(st)
 	} else {
 		s.notice("the state for a successor is too large to be kept")
@@ -86,8 +86,8 @@
 	s.timers.at(s.now()+max(saveEveryS, savePart*(s.net.Now()-began)), s.save)
 }
 
-// Inherit goes on from another process's state, or leaves everything as it is. It comes before Start.
-func (s *Sidecar) Inherit(st hotrestart.State) error {
+// RestoreState goes on from another process's state, or leaves everything as it is. It comes before Start.
+func (s *Sidecar) RestoreState(st hotrestart.State) error {
 	now := s.now()
 	switch {
 	case st.SettingsHash != s.settingsHash():
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Reconcile obeys what lies on the shelf: operators may have spoken to a neighbour.
-func (s *Sidecar) Reconcile() {
+// ReconcileOperatorState obeys what lies on the shelf: operators may have spoken to a neighbour.
+func (s *Sidecar) ReconcileOperatorState() {
 	bans, away, err := s.shelf.OperatorState()
 	if err != nil {
 		s.log.Error("what operators have said can't be read", "error", err)
@@ -140,12 +140,12 @@
 	}
 }
 
-// Share has the sidecar live by a part of its descriptors and memory while it has neighbours.
-func (s *Sidecar) Share(neighbours int) {
+// ShareLimits has the sidecar live by a part of its descriptors and memory while it has neighbours.
+func (s *Sidecar) ShareLimits(neighbours int) {
 	s.parts = neighbours + 1
 	s.log.Info("living by the limits", "processes", s.parts)
 	s.obeyLimits()
 }
 
-// Succeeded tells that another process serves in this one's place: when this one ends, nobody depends on it to accept.
-func (s *Sidecar) Succeeded() { s.succeeded = true }
+// MarkReplaced tells that another process serves in this one's place: when this one ends, nobody depends on it to accept.
+func (s *Sidecar) MarkReplaced() { s.succeeded = true }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -86,7 +86,7 @@
 	draining  bool
 	away      bool // drained by the operators
 	succeeded bool // another process serves in this one's place
-	shelf     Shelf
+	shelf     StateStore
 	counted   Counted    // a fleet's figures; nil: there is none
 	fleet     func() any // what a fleet says of itself; nil: there is none
 	times     *times     // nil: nobody asks for them
@@ -110,7 +110,7 @@
 	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, lastID: 1,
 		requests: map[uint32]*request{}, named: map[string]*request{}, idle: map[uint32][]*backendConn{},
 		hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), slack: cfg.Settings.AnswerSlackS,
-		admission: on.Admission, notices: notices{}, drills: faultinjection.New(on.Drills), fronts: fronts, shelf: noShelf{}, parts: 1}
+		admission: on.Admission, notices: notices{}, drills: faultinjection.New(on.Drills), fronts: fronts, shelf: noStateStore{}, parts: 1}
 	s.timers.tick = int64(s.now() / slotS)
 	for _, f := range fronts {
 		if f.NewProbe() != nil {
@@ -172,8 +172,8 @@
 		if s.cfg.Ops != "" {
 			s.publish()
 		}
-		if _, none := s.shelf.(noShelf); !none {
-			s.Reconcile()
+		if _, none := s.shelf.(noStateStore); !none {
+			s.ReconcileOperatorState()
 			s.push(func(float64) { s.save() })
 		}
 		if !s.cfg.Settings.Policy.ListOnDemand {
