--- a/internal/coordination/lease_status.go
+++ b/internal/coordination/lease_status.go
@@ -146,8 +146,8 @@
 }
 
 // appendFigures appends the figures of leases and roles for the admin command DUMP.
-func (m *roleManager) appendFigures(all []sidecar.Figure) []sidecar.Figure {
-	add := func(name string, value uint64) { all = append(all, sidecar.Figure{Name: name, Value: value}) }
+func (m *roleManager) appendFigures(all []sidecar.Metric) []sidecar.Metric {
+	add := func(name string, value uint64) { all = append(all, sidecar.Metric{Name: name, Value: value}) }
 	table, local := m.leaseView()
 	add("owner_electors", uint64(len(table.Voters)))
 	add("owner_elector", uint64(boolToInt(local.IsVoter)))
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -70,7 +70,7 @@
 
 // Figures implements sidecar.Counted: the figures that the admin command DUMP adds for the fleet. Their names are read by operators'
 // tools.
-func (n *Node) Figures() []sidecar.Figure {
+func (n *Node) Metrics() []sidecar.Metric {
 	if n.view == nil {
 		return nil
 	}
@@ -80,7 +80,7 @@
 		byState[m.State]++
 	}
 	view, links := n.view.Stats(), n.peers.Stats()
-	figures := []sidecar.Figure{{Name: "peers_alive", Value: byState[swim.Alive]}, {Name: "peers_suspected", Value: byState[swim.Suspect]},
+	figures := []sidecar.Metric{{Name: "peers_alive", Value: byState[swim.Alive]}, {Name: "peers_suspected", Value: byState[swim.Suspect]},
 		{Name: "peers_dead", Value: byState[swim.Dead]}, {Name: "peers_left", Value: byState[swim.Left]}, {Name: "peers_links", Value: uint64(links.Links)},
 		{Name: "peers_rank", Value: uint64(rank)}, {Name: "peers_count", Value: uint64(count)}, {Name: "peers_deaths", Value: view.Deaths},
 		{Name: "peers_refutations", Value: view.Refutations}, {Name: "peers_sent_bytes", Value: links.SentBytes}}
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -138,7 +138,7 @@
 	n.peers = peers.New("yard", 1, n, net, n.log)
 	n.view = swim.New(net.now, swim.Record{ID: 1}, swim.Settings{}, membershipActions{n})
 	var names []string
-	for _, figure := range n.Figures() {
+	for _, figure := range n.Metrics() {
 		names = append(names, figure.Name)
 	}
 	assert.Equal(t, golden(t, "answers", "figures.txt"), strings.Join(names, "\n"))
--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -19,7 +19,7 @@
 
 const (
 	// mostCallers bounds those at the door. Who has been there longest without ending a line goes for a newcomer.
-	mostCallers = sidecar.DoorDescriptors - 2
+	mostCallers = sidecar.AdminDescriptors - 2
 	// mostLine bounds a call, in bytes, and MostWork one that is WORK, both with their end.
 	mostLine, MaxMaintenanceLine = 512, 32 << 10
 	// callS is how long a caller may take for its line.
@@ -36,7 +36,7 @@
 
 // Controller is what the door asks of the sidecar. All but Figures and Do is for the loop.
 type Controller interface {
-	Figures() *sidecar.Figures
+	StatusSnapshot() *sidecar.StatusSnapshot
 	Do(f func())
 	Offline(server string) error
 	Online(server string) error
@@ -285,13 +285,13 @@
 
 // health says whether this process can serve.
 func (d *Server) health(string) []byte {
-	switch f := d.desk.Figures(); {
+	switch f := d.desk.StatusSnapshot(); {
 	case f == nil:
 		return []byte("ERR not serving yet\n")
-	case f.Ending:
+	case f.IsShuttingDown:
 		return []byte("ERR this process has been told to end\n")
-	case d.now()-f.At > mostStillS:
-		return fmt.Appendf(nil, "ERR the event loop has stood still for %.1f s\n", d.now()-f.At)
+	case d.now()-f.TakenAt > mostStillS:
+		return fmt.Appendf(nil, "ERR the event loop has stood still for %.1f s\n", d.now()-f.TakenAt)
 	}
 	return []byte("OK serving\n")
 }
@@ -313,7 +313,7 @@
 
 // dump tells the figures.
 func (d *Server) dump(string) []byte {
-	f := d.desk.Figures()
+	f := d.desk.StatusSnapshot()
 	if f == nil {
 		return []byte("ERR no figures yet\n")
 	}
@@ -327,11 +327,11 @@
 		one("rejected"+label, c.Throttled)
 		one("failed"+label, c.Failed)
 	}
-	one("upstream_requests", f.Written)
-	one("pending", uint64(f.Open))
-	one("members", uint64(f.Members))
-	one("members_unavailable", uint64(f.Unavailable))
-	for _, g := range f.Fleet {
+	one("upstream_requests", f.RequestsWritten)
+	one("pending", uint64(f.OpenRequests))
+	one("members", uint64(f.Servers))
+	one("members_unavailable", uint64(f.UnavailableServers))
+	for _, g := range f.FleetMetrics {
 		one(g.Name, g.Value)
 	}
 	return append(b, "END\n"...)
--- a/internal/frontend/admin/wire_form_test.go
+++ b/internal/frontend/admin/wire_form_test.go
@@ -14,14 +14,14 @@
 // figuresDesk is a desk with figures.
 type figuresDesk struct {
 	desk
-	figures *sidecar.Figures
+	figures *sidecar.StatusSnapshot
 }
 
-func (d *figuresDesk) Figures() *sidecar.Figures { return d.figures }
+func (d *figuresDesk) StatusSnapshot() *sidecar.StatusSnapshot { return d.figures }
 
 // Operators' tools read HEALTH and DUMP: each answer stays as it is to the byte.
 func TestAnswersForm(t *testing.T) {
-	figures := &sidecar.Figures{At: 100, Written: 11, Open: 12, Members: 13, Unavailable: 14, Fleet: []sidecar.Figure{{Name: "peers_alive", Value: 15}}}
+	figures := &sidecar.StatusSnapshot{TakenAt: 100, RequestsWritten: 11, OpenRequests: 12, Servers: 13, UnavailableServers: 14, FleetMetrics: []sidecar.Metric{{Name: "peers_alive", Value: 15}}}
 	require.NoError(t, json.Unmarshal([]byte(`[{"class":"read","served":1,"throttled":2,"failed":3,"abandoned":4},{"class":"write","served":5}]`), &figures.Classes))
 	d := &figuresDesk{figures: figures}
 	now := 103.0
@@ -32,7 +32,7 @@
 	assert.Equal(t, "OK serving\n", string(door.call("HEALTH")))
 	now = 103.25
 	assert.Equal(t, "ERR the event loop has stood still for 3.2 s\n", string(door.call("health")))
-	figures.Ending = true
+	figures.IsShuttingDown = true
 	assert.Equal(t, "ERR this process has been told to end\n", string(door.call("HEALTH")))
 	d.figures = nil
 	assert.Equal(t, "ERR not serving yet\n", string(door.call("HEALTH")))
--- a/internal/sidecar/operate.go
+++ b/internal/sidecar/operate.go
@@ -7,49 +7,49 @@
 )
 
 const (
-	// DoorDescriptors are kept for the operators' door, with its listener.
-	DoorDescriptors = 18
+	// AdminDescriptors are kept for the operators' door, with its listener.
+	AdminDescriptors = 18
 	// publishEveryS is the time between two snapshots of the figures.
 	publishEveryS = 0.1
 )
 
-// Figures is what the event loop says of itself for the operators. It is not changed once it is published.
-type Figures struct {
-	At          float64 // when it was made
-	Ending      bool    // the process has been told to end
-	Classes     []classCounts
-	Written     uint64 // attempts whose request was written whole
-	Open        int    // requests taken and not ended
-	Members     int    // servers on the list
-	Unavailable int    // of these, that are not to be used, by hand or by choice
-	Fleet       []Figure
+// StatusSnapshot is what the event loop says of itself for the operators. It is not changed once it is published.
+type StatusSnapshot struct {
+	TakenAt            float64 // when it was made
+	IsShuttingDown     bool    // the process has been told to end
+	Classes            []classCounts
+	RequestsWritten    uint64 // attempts whose request was written whole
+	OpenRequests       int    // requests taken and not ended
+	Servers            int    // servers on the list
+	UnavailableServers int    // of these, that are not to be used, by hand or by choice
+	FleetMetrics       []Metric
 }
 
-// Figure is one number of a part that is not the core.
-type Figure struct {
+// Metric is one number of a part that is not the core.
+type Metric struct {
 	Name  string
 	Value uint64
 }
 
-// Counted is a part of a program that has figures of its own.
-type Counted interface{ Figures() []Figure }
+// MetricsSource is a part of a program that has figures of its own.
+type MetricsSource interface{ Metrics() []Metric }
 
-// Figures returns the latest snapshot, nil before the first. It may be called from anywhere, and waits for nobody.
-func (s *Sidecar) Figures() *Figures { return s.figures.Load() }
+// StatusSnapshot returns the latest snapshot, nil before the first. It may be called from anywhere, and waits for nobody.
+func (s *Sidecar) StatusSnapshot() *StatusSnapshot { return s.figures.Load() }
 
 // publish makes a snapshot of the figures, again and again.
 func (s *Sidecar) publish() {
 	now := s.now()
-	f := &Figures{At: now, Ending: s.draining, Classes: append([]classCounts(nil), s.counters.Classes...), Written: s.counters.Written,
-		Open: s.counters.Open}
+	f := &StatusSnapshot{TakenAt: now, IsShuttingDown: s.draining, Classes: append([]classCounts(nil), s.counters.Classes...), RequestsWritten: s.counters.Written,
+		OpenRequests: s.counters.Open}
 	avoided := s.balancer.Ejected(now)
 	for h := range s.hosts.Listed {
-		if f.Members++; h.State != policy.Ready || avoided(h.ID) {
-			f.Unavailable++
+		if f.Servers++; h.State != policy.Ready || avoided(h.ID) {
+			f.UnavailableServers++
 		}
 	}
 	if s.counted != nil {
-		f.Fleet = s.counted.Figures()
+		f.FleetMetrics = s.counted.Metrics()
 	}
 	s.figures.Store(f)
 	s.timers.at(now+publishEveryS, s.publish)
--- a/internal/sidecar/place.go
+++ b/internal/sidecar/place.go
@@ -33,4 +33,4 @@
 func (s *Sidecar) Reserve(descriptors int) { s.reserved += descriptors }
 
 // ShowFleet has the counters and the door's dump hold what a fleet says of itself; it is asked on the loop.
-func (s *Sidecar) ShowFleet(see func() any, counted Counted) { s.fleet, s.counted = see, counted }
+func (s *Sidecar) ShowFleet(see func() any, counted MetricsSource) { s.fleet, s.counted = see, counted }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -87,14 +87,14 @@
 	away      bool // drained by the operators
 	succeeded bool // another process serves in this one's place
 	shelf     StateStore
-	counted   Counted    // a fleet's figures; nil: there is none
-	fleet     func() any // what a fleet says of itself; nil: there is none
-	times     *times     // nil: nobody asks for them
+	counted   MetricsSource // a fleet's figures; nil: there is none
+	fleet     func() any    // what a fleet says of itself; nil: there is none
+	times     *times        // nil: nobody asks for them
 	fit       fitness
 	works     *boxWork // nil: no work on boxes is settled
 	hash      string   // of the settings, once it was asked for
 	parts     int      // processes that live by the limits together
-	figures   atomic.Pointer[Figures]
+	figures   atomic.Pointer[StatusSnapshot]
 	drainedAt float64
 	stopping  bool
 
@@ -122,7 +122,7 @@
 		s.reserved += health.Descriptors
 	}
 	if cfg.Ops != "" {
-		s.reserved += DoorDescriptors
+		s.reserved += AdminDescriptors
 	}
 	s.quotas = s.newQuotas(on.Quotas)
 	s.room = admission.NewRoom(admission.Settings{})
@@ -187,7 +187,7 @@
 	})
 }
 
-// Open takes a connection: one that was dialed brings its link, any other is a client's.
+// OpenRequests takes a connection: one that was dialed brings its link, any other is a client's.
 func (s *Sidecar) Open(c netio.Conn) bool {
 	s.conns++
 	keep := true
