--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -38,10 +38,10 @@
 type Controller interface {
 	StatusSnapshot() *sidecar.StatusSnapshot
 	Do(f func())
-	Offline(server string) error
-	Online(server string) error
-	Leave() error
-	Join() error
+	CordonServer(server string) error
+	UncordonServer(server string) error
+	DrainByOperator() error
+	UndrainByOperator() error
 }
 
 // Server is the operators' door.
@@ -205,16 +205,16 @@
 	{"HEALTH", false, (*Server).health},
 	{"DUMP", false, (*Server).dump},
 	{"OFFLINE", true, func(d *Server, server string) []byte {
-		return d.onLoop(server+" is left out", func() error { return d.desk.Offline(server) })
+		return d.onLoop(server+" is left out", func() error { return d.desk.CordonServer(server) })
 	}},
 	{"ONLINE", true, func(d *Server, server string) []byte {
-		return d.onLoop(server+" may serve", func() error { return d.desk.Online(server) })
+		return d.onLoop(server+" may serve", func() error { return d.desk.UncordonServer(server) })
 	}},
 	{"LEAVE", false, func(d *Server, _ string) []byte {
-		return d.onLoop("draining", func() error { return d.desk.Leave() })
+		return d.onLoop("draining", func() error { return d.desk.DrainByOperator() })
 	}},
 	{"JOIN", false, func(d *Server, _ string) []byte {
-		return d.onLoop("serving", func() error { return d.desk.Join() })
+		return d.onLoop("serving", func() error { return d.desk.UndrainByOperator() })
 	}},
 }
 
--- a/internal/frontend/admin/server_test.go
+++ b/internal/frontend/admin/server_test.go
@@ -16,10 +16,10 @@
 
 func (d *desk) StatusSnapshot() *sidecar.StatusSnapshot { return &sidecar.StatusSnapshot{} }
 func (d *desk) Do(f func())                             { f() }
-func (d *desk) Offline(server string) error             { d.said = append(d.said, "off "+server); return nil }
-func (d *desk) Online(server string) error              { d.said = append(d.said, "on "+server); return nil }
-func (d *desk) Leave() error                            { d.said = append(d.said, "leave"); return nil }
-func (d *desk) Join() error                             { d.said = append(d.said, "join"); return nil }
+func (d *desk) CordonServer(server string) error        { d.said = append(d.said, "off "+server); return nil }
+func (d *desk) UncordonServer(server string) error      { d.said = append(d.said, "on "+server); return nil }
+func (d *desk) DrainByOperator() error                  { d.said = append(d.said, "leave"); return nil }
+func (d *desk) UndrainByOperator() error                { d.said = append(d.said, "join"); return nil }
 
 // FuzzCall has whatever callers say answered by whole lines that begin as they should; nothing but a call does anything.
 func FuzzCall(f *testing.F) {
--- a/internal/frontend/http1/link.go
+++ b/internal/frontend/http1/link.go
@@ -117,7 +117,7 @@
 	switch {
 	case ok:
 		l.take(class)
-	case path == "/ready" && p.Method == "GET" && l.Sidecar().Away():
+	case path == "/ready" && p.Method == "GET" && l.Sidecar().IsDrainedByOperator():
 		l.respond(503, http1.Header{textPlain}, []byte("drained by the operators\n"))
 	case path == "/ready" && p.Method == "GET":
 		l.respond(200, http1.Header{textPlain}, []byte("ready\n"))
--- a/internal/sidecar/fit_test.go
+++ b/internal/sidecar/fit_test.go
@@ -37,9 +37,9 @@
 	assert.Equal(t, "cut off from boxes", look(8, func() { by.count(policy.ConnectFailed) }))
 	assert.Empty(t, look(2, answered))
 	assert.Empty(t, look(20, func() { answered(); by.count(policy.TimedOut) }), "some boxes do not answer")
-	assert.NoError(t, s.Leave())
+	assert.NoError(t, s.DrainByOperator())
 	assert.Equal(t, "drained", look(2, answered))
-	assert.NoError(t, s.Join())
+	assert.NoError(t, s.UndrainByOperator())
 	assert.Empty(t, look(2, answered))
 }
 
--- a/internal/sidecar/operate.go
+++ b/internal/sidecar/operate.go
@@ -55,8 +55,8 @@
 	s.timers.at(now+publishEveryS, s.publish)
 }
 
-// Offline takes a server out of use until Online. The ban holds once it returns.
-func (s *Sidecar) Offline(name string) error {
+// CordonServer takes a server out of use until Online. The ban holds once it returns.
+func (s *Sidecar) CordonServer(name string) error {
 	info, err := s.hosts.Ban(name, s.now())
 	if err != nil {
 		return err
@@ -66,8 +66,8 @@
 	return s.shelf.Cordon(name)
 }
 
-// Online ends a server's ban, however often it was called for.
-func (s *Sidecar) Online(name string) error {
+// UncordonServer ends a server's ban, however often it was called for.
+func (s *Sidecar) UncordonServer(name string) error {
 	info, err := s.hosts.Lift(name, s.now())
 	if err != nil {
 		return err
@@ -91,15 +91,15 @@
 // errEnding is the answer to who would join a process that has been told to end.
 var errEnding = errors.New("this process has been told to end")
 
-// Away tells whether the sidecar is drained by hand: it says that it is not ready.
-func (s *Sidecar) Away() bool { return s.away }
+// IsDrainedByOperator tells whether the sidecar is drained by hand: it says that it is not ready.
+func (s *Sidecar) IsDrainedByOperator() bool { return s.away }
 
 // leaving tells whether every answer is to be the last on its link.
 func (s *Sidecar) leaving() bool { return s.draining || s.away }
 
-// Leave drains by hand: newcomers are told to stay away, each answer is the last on its link, and links that have had
+// DrainByOperator drains by hand: newcomers are told to stay away, each answer is the last on its link, and links that have had
 // nothing to say for a while are ended. Who comes all the same is served.
-func (s *Sidecar) Leave() error {
+func (s *Sidecar) DrainByOperator() error {
 	if s.draining {
 		return nil
 	}
@@ -126,8 +126,8 @@
 	}
 }
 
-// Join ends a drain by hand.
-func (s *Sidecar) Join() error {
+// UndrainByOperator ends a drain by hand.
+func (s *Sidecar) UndrainByOperator() error {
 	if s.draining {
 		return errEnding
 	}
--- a/internal/sim/ground.go
+++ b/internal/sim/ground.go
@@ -237,9 +237,9 @@
 		return
 	}
 	s.program.Do(func() {
-		call := s.program.Online
+		call := s.program.UncordonServer
 		if on {
-			call = s.program.Offline
+			call = s.program.CordonServer
 		}
 		if call(box) == nil {
 			yes()
--- a/internal/sim/plain.go
+++ b/internal/sim/plain.go
@@ -114,8 +114,8 @@
 func (p *plain) Held() []Holding { return nil }
 
 // Offline and Online say no: there is no door.
-func (p *plain) Offline(string) error { return errors.ErrUnsupported }
-func (p *plain) Online(string) error  { return errors.ErrUnsupported }
+func (p *plain) CordonServer(string) error   { return errors.ErrUnsupported }
+func (p *plain) UncordonServer(string) error { return errors.ErrUnsupported }
 
 func (p *plain) Reload(c sidecarconfig.Config, err error) {
 	if err == nil && c.Discovery != p.cfg.Discovery {
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -29,8 +29,8 @@
 	// Reload gives it a new configuration, or the error that came of reading it.
 	Reload(cfg sidecarconfig.Config, err error)
 	// Offline and Online are the operators' calls to take a server out and to give it back.
-	Offline(server string) error
-	Online(server string) error
+	CordonServer(server string) error
+	UncordonServer(server string) error
 	// Held says what the program holds, by name; a program at rest holds nothing.
 	Held() []Holding
 }
