--- a/internal/frontend/http1/link.go
+++ b/internal/frontend/http1/link.go
@@ -122,7 +122,7 @@
 	case path == "/ready" && p.Method == "GET":
 		l.respond(200, http1.Header{textPlain}, []byte("ready\n"))
 	case path == "/clients" && p.Method == "GET":
-		l.respond(200, http1.Header{{Name: "Content-Type", Value: "application/json"}}, l.Sidecar().Clients())
+		l.respond(200, http1.Header{{Name: "Content-Type", Value: "application/json"}}, l.Sidecar().ClientStatus())
 	case path == "/counters" && p.Method == "GET":
 		l.respond(200, http1.Header{{Name: "Content-Type", Value: "application/json"}}, l.Sidecar().Counters())
 	case path == QuotaPath && p.Method == "GET":
--- a/internal/frontend/http1/quotas.go
+++ b/internal/frontend/http1/quotas.go
@@ -36,7 +36,7 @@
 
 // showQuotas answers operators who ask for the quotas.
 func (l *clientConn) showQuotas(query string) {
-	text, ok := l.Sidecar().Quotas(query)
+	text, ok := l.Sidecar().QuotaStatus(query)
 	if !ok {
 		l.decline(404, "there are no quotas, or no such group")
 		return
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -35,7 +35,7 @@
 		return err
 	}
 	p.host = shared.Host(p.Sidecar, p.fleet, p.fleet.OwnsConn)
-	p.Reserve(peers.Descriptors(links))
+	p.ReserveDescriptors(peers.Descriptors(links))
 	if slices.Contains(on.Jobs, "report") {
 		p.EnableRequestStats()
 	}
@@ -50,7 +50,7 @@
 		join := slices.DeleteFunc(slices.Clone(on.Join), func(a string) bool { return a == on.Advertise || a == on.Listen })
 		p.askFirst = func() { p.ask(on.Name, cfg.Name, join[:min(len(join), mostAsked)]) }
 	}
-	p.ShowFleet(func() any { return p.fleet.Status(mostCounted) }, p.fleet)
+	p.SetFleetStatus(func() any { return p.fleet.Status(mostCounted) }, p.fleet)
 	if p.door != nil {
 		p.door.Peers = func() []byte { return line(p.fleet.Status(mostAtDoor)) }
 	}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Limits = obey
+	s.OnLimitsChange = obey
 	p.Sidecar, p.host = s, s
 	if cfg.Ops != "" {
 		p.door = admin.New(cfg.Ops, s, loop.Now)
@@ -108,7 +108,7 @@
 		}
 		defer p.store.Close()
 	}
-	if err := p.ListenSide(); err != nil {
+	if err := p.ListenHealth(); err != nil {
 		if p.neighbours == 0 {
 			return err
 		}
@@ -153,10 +153,10 @@
 func (p *Process) heedHangups(hangups <-chan os.Signal, load func() (sidecarconfig.Config, error)) {
 	for range hangups {
 		cfg, err := load()
-		tree, fault := p.ReadQuotas()
+		tree, fault := p.ReadQuotaTree()
 		p.Do(func() {
 			p.Reload(cfg, err)
-			p.ReplaceQuotas(tree, fault)
+			p.ApplyQuotaTree(tree, fault)
 		})
 	}
 }
@@ -167,7 +167,7 @@
 	for range dumps {
 		p.dumping.Lock()
 		text := make(chan []byte, 1)
-		p.Do(func() { text <- p.Dump() })
+		p.Do(func() { text <- p.DumpCapture() })
 		select {
 		case dump := <-text:
 			if err := capture.Write(os.Stderr, dump); err != nil {
@@ -183,7 +183,7 @@
 // reads it.
 func (p *Process) end() {
 	close(p.over)
-	p.Sidecar.End()
+	p.Sidecar.Close()
 	idle := make(chan struct{})
 	go func() {
 		p.dumping.Lock()
--- a/internal/process/succeed.go
+++ b/internal/process/succeed.go
@@ -56,7 +56,7 @@
 
 // listenSideLater opens the side port once the process that is replaced has left it.
 func (p *Process) listenSideLater() {
-	for p.ListenSide() != nil {
+	for p.ListenHealth() != nil {
 		select {
 		case <-p.over:
 			return
--- a/internal/sidecar/capture.go
+++ b/internal/sidecar/capture.go
@@ -64,8 +64,8 @@
 	s.timers.at(s.now()+captureFlushS, s.flushCapture)
 }
 
-// Dump returns the capture's segments as text, empty where there is none. It is for the loop.
-func (s *Sidecar) Dump() []byte {
+// DumpCapture returns the capture's segments as text, empty where there is none. It is for the loop.
+func (s *Sidecar) DumpCapture() []byte {
 	if s.capture == nil {
 		return nil
 	}
@@ -73,7 +73,7 @@
 }
 
 // HandleEOF ends what is written beside the loop once the loop has gone.
-func (s *Sidecar) End() {
+func (s *Sidecar) Close() {
 	s.endQuotas()
 	s.capture.Close()
 }
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -270,8 +270,8 @@
 // mostShown bounds the addresses that are told of at a time.
 const mostShown = 200
 
-// Clients tells who holds what, as JSON.
-func (s *Sidecar) Clients() []byte {
+// ClientStatus tells who holds what, as JSON.
+func (s *Sidecar) ClientStatus() []byte {
 	var all struct {
 		Links     int                `json:"links"`
 		Most      int                `json:"most"`
--- a/internal/sidecar/health.go
+++ b/internal/sidecar/health.go
@@ -19,7 +19,7 @@
 }
 
 // ListenSide opens the side port on the host of the listen address, if there is one.
-func (s *Sidecar) ListenSide() error {
+func (s *Sidecar) ListenHealth() error {
 	if s.health == nil {
 		return nil
 	}
--- a/internal/sidecar/place.go
+++ b/internal/sidecar/place.go
@@ -29,8 +29,10 @@
 	})
 }
 
-// Reserve keeps descriptors for what is no link of the sidecar's. It comes before Start.
-func (s *Sidecar) Reserve(descriptors int) { s.reserved += descriptors }
+// ReserveDescriptors keeps descriptors for what is no link of the sidecar's. It comes before Start.
+func (s *Sidecar) ReserveDescriptors(descriptors int) { s.reserved += descriptors }
 
-// ShowFleet has the counters and the door's dump hold what a fleet says of itself; it is asked on the loop.
-func (s *Sidecar) ShowFleet(see func() any, counted MetricsSource) { s.fleet, s.counted = see, counted }
+// SetFleetStatus has the counters and the door's dump hold what a fleet says of itself; it is asked on the loop.
+func (s *Sidecar) SetFleetStatus(see func() any, counted MetricsSource) {
+	s.fleet, s.counted = see, counted
+}
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// ReadQuotas reads the file of groups again; nil: there are no quotas. It may be called beside the loop.
-func (s *Sidecar) ReadQuotas() (*quota.Tree, error) {
+// ReadQuotaTree reads the file of groups again; nil: there are no quotas. It may be called beside the loop.
+func (s *Sidecar) ReadQuotaTree() (*quota.Tree, error) {
 	if s.quotas == nil {
 		return nil, nil
 	}
@@ -112,8 +112,8 @@
 	return tree, err
 }
 
-// ReplaceQuotas takes another tree of groups into use, or keeps the old one where it is at fault.
-func (s *Sidecar) ReplaceQuotas(tree *quota.Tree, err error) {
+// ApplyQuotaTree takes another tree of groups into use, or keeps the old one where it is at fault.
+func (s *Sidecar) ApplyQuotaTree(tree *quota.Tree, err error) {
 	d := s.quotas
 	switch {
 	case d == nil:
@@ -225,8 +225,8 @@
 	return c
 }
 
-// Quotas tells of all groups as JSON, or of the one that a query names; ok: there is such a group, and there are quotas.
-func (s *Sidecar) Quotas(query string) (text []byte, ok bool) {
+// QuotaStatus tells of all groups as JSON, or of the one that a query names; ok: there is such a group, and there are quotas.
+func (s *Sidecar) QuotaStatus(query string) (text []byte, ok bool) {
 	if s.quotas == nil {
 		return nil, false
 	}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -42,10 +42,10 @@
 
 // obeyLimits passes on what the limits say.
 func (s *Sidecar) obeyLimits() {
-	if s.Limits != nil {
+	if s.OnLimitsChange != nil {
 		l := s.cfg.Limits
 		l.MemoryMB /= s.parts
-		s.Limits(l)
+		s.OnLimitsChange(l)
 	}
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -99,7 +99,7 @@
 	stopping  bool
 
 	// Limits, if it is set, is told of the limits at the start and at each change.
-	Limits func(sidecarconfig.Limits)
+	OnLimitsChange func(sidecarconfig.Limits)
 }
 
 var _ netio.Host = (*Sidecar)(nil)
--- a/internal/sim/core.go
+++ b/internal/sim/core.go
@@ -62,10 +62,10 @@
 
 // Held says what the sidecar holds beyond what one at rest does.
 func (c core) Held() []Holding {
-	h := c.Sidecar.Holdings()
-	links := max(restingLinks, linksPerBox*h.Hosts)
-	return []Holding{{"requests", h.Requests}, {"client links", h.ClientLinks}, {"bytes that are not read", h.Buffered},
-		{"events", h.Events}, {"links to boxes", beyond(h.ServerLinks, links)}, {"timers", beyond(h.Timers, 2*links+timersForRest)}}
+	h := c.Sidecar.ResourceUsage()
+	links := max(restingLinks, linksPerBox*h.Servers)
+	return []Holding{{"requests", h.Requests}, {"client links", h.ClientConns}, {"bytes that are not read", h.BufferedBytes},
+		{"events", h.Events}, {"links to boxes", beyond(h.BackendConns, links)}, {"timers", beyond(h.Timers, 2*links+timersForRest)}}
 }
 
 func beyond(n, most int) int {
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -140,7 +140,7 @@
 		if d.works != nil {
 			d.works.began(s, f)
 		}
-		sc.Reserve(peers.Descriptors(links))
+		sc.ReserveDescriptors(peers.Descriptors(links))
 		s.fleet = f
 		return known{core{sc}, shared.Host(sc, f, f.OwnsConn), f}, nil
 	}
