--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -68,7 +68,7 @@
 	return s
 }
 
-// Figures implements sidecar.Counted: the figures that the admin command DUMP adds for the fleet. Their names are read by operators'
+// Figures implements sidecar.MetricsSource: the figures that the admin command DUMP adds for the fleet. Their names are read by operators'
 // tools.
 func (n *Node) Metrics() []sidecar.Metric {
 	if n.view == nil {
