--- /dev/null
+++ b/policy/phi_test.go
@@ -0,0 +1,181 @@
+package policy
+
+import (
+	"math"
+	"testing"
+)
+
+func TestPhiKnownValues(t *testing.T) {
+	for _, c := range []struct{ silence, want float64 }{
+		{1, 0.30103}, {1.1, 0.79955}, {1.3, 2.86970}, {1.5612, 8.0}, {3, 88.5601},
+	} {
+		if got := Phi(c.silence, 1, 0.1); math.Abs(got-c.want) > 0.002*c.want+0.001 {
+			t.Errorf("phi after %v: %v, want %v", c.silence, got, c.want)
+		}
+	}
+	last := 0.0
+	for d := 1.0; d < 100; d += 0.05 {
+		phi := Phi(d, 1, 0.1)
+		if phi <= last || math.IsInf(phi, 0) {
+			t.Fatalf("phi after %v is %v, before it %v", d, phi, last)
+		}
+		last = phi
+	}
+}
+
+func TestGapOfAnOutageIsNotLearned(t *testing.T) {
+	s := plain()
+	s.ProbesEnabled = true
+	r := newRecorder(t, s)
+	r.b.sendRate.rate = 1e6 // so much traffic keeps the cadence at its shortest
+	r.list(ListFull, ready(1, 2, 3)...)
+	run := func(until float64, silent uint32) {
+		for r.now < until {
+			r.advance(r.now + 0.01)
+			out := r.probes
+			r.probes = nil
+			for _, p := range out {
+				if p.host != silent {
+					r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelaySeconds: r.now - p.at})
+				}
+			}
+		}
+	}
+	run(20, 0)
+	h := r.b.hosts[1]
+	r.b.now = r.now
+	if phi := r.b.silencePhi(h); phi > phiSuspect {
+		t.Fatalf("phi of a sound host is %v", phi)
+	}
+	run(28, 1)
+	r.b.now = r.now
+	if phi := r.b.silencePhi(h); phi < phiUnavailable {
+		t.Fatalf("phi after 8 s of silence is %v", phi)
+	}
+	for i := range uint32(20) {
+		q := r.request(Request{ID: 100 + i, Deadline: r.now + 0.2})
+		if len(q.sends) > 0 && q.sends[0].host == 1 {
+			t.Fatal("sent to a host that is out")
+		}
+		r.finish(q, 0, OK)
+	}
+	run(31, 0)
+	if r.b.capacityFraction(h) > 0.6 {
+		t.Errorf("trusted in full at once: strength %v", r.b.capacityFraction(h))
+	}
+	run(34, 1)
+	r.b.now = r.now
+	if phi := r.b.silencePhi(h); phi < phiUnavailable {
+		t.Errorf("the second outage is seen late: phi %v", phi)
+	}
+}
+
+// Silence that the host program did not listen to says nothing of the hosts; silence beyond it does.
+func TestStalled(t *testing.T) {
+	s := plain()
+	s.ProbesEnabled = true
+	r := newRecorder(t, s)
+	r.b.sendRate.rate = 1e6
+	r.list(ListFull, ready(1, 2, 3)...)
+	for r.now < 20 {
+		r.advance(r.now + 0.01)
+		r.answer(OK, nil)
+	}
+	for _, told := range []float64{10, 0} {
+		r.now += 10
+		if told > 0 {
+			r.b.ObserveStall(r.now, told)
+		}
+		for _, h := range r.b.members {
+			if r.b.now = r.now; (r.b.silencePhi(h) < phiSuspect) != (told > 0) {
+				t.Fatalf("phi %v after 10 s of which %v s were told as a stall", r.b.silencePhi(h), told)
+			}
+		}
+	}
+}
+
+func TestFirstAnswerIsNoGap(t *testing.T) {
+	s := plain()
+	s.ProbesEnabled = true
+	r := newRecorder(t, s)
+	r.list(ListFull, ready(1, 2, 3)...)
+	for r.now < 5 {
+		r.advance(r.now + 0.01)
+		r.answer(OK, nil)
+		for _, h := range r.b.members {
+			r.b.now = r.now
+			if phi := r.b.silencePhi(h); phi > phiSuspect {
+				t.Fatalf("%.2f: phi %v of a sound host", r.now, phi)
+			}
+		}
+	}
+}
+
+func TestSomeHostGetsTrafficWhenAllAreSilent(t *testing.T) {
+	s := plain()
+	s.ProbesEnabled = true
+	r := newRecorder(t, s)
+	r.list(ListFull, ready(1, 2, 3)...)
+	r.advance(20)
+	if q := r.request(Request{ID: 1, Deadline: 21}); len(q.sends) != 1 {
+		t.Errorf("no send though a host is listed: ended %q", q.ended)
+	}
+}
+
+func TestBothReadingsOfPhi(t *testing.T) {
+	b := New(plain(), 3, newRecorder(t, plain()))
+	for _, c := range []struct {
+		phi       float64
+		low, high int
+	}{{2.9, 1000, 1000}, {5, 420, 580}, {8.1, 0, 0}} {
+		n := 0
+		for range 1000 {
+			if b.isCandidate(&host{phi: c.phi}) {
+				n++
+			}
+		}
+		if n < c.low || n > c.high {
+			t.Errorf("phi %v: drawn %d times of 1000", c.phi, n)
+		}
+	}
+}
+
+func TestSigmaIsClamped(t *testing.T) {
+	for name, c := range map[string]struct {
+		gaps  [2]float32
+		sigma float64
+	}{"steady": {[2]float32{1, 1}, 0.1}, "wild": {[2]float32{0.2, 1.8}, 0.2}, "between": {[2]float32{0.85, 1.15}, 0.15}} {
+		b := New(plain(), 3, newRecorder(t, plain()))
+		b.now = 1.4
+		h := &host{gaps: c.gaps[:], currentCadence: 1}
+		h.updateGapStats()
+		if got, want := b.silencePhi(h), Phi(1.4, 1, c.sigma); math.Abs(got-want) > 1e-6 {
+			t.Errorf("%s gaps: phi %v, want %v", name, got, want)
+		}
+	}
+}
+
+// A change of the cadence is no silence: a sound host's phi stays low through it.
+func TestCadenceMayChange(t *testing.T) {
+	s := plain()
+	s.ProbesEnabled, s.Replicas = true, 1000
+	r := newRecorder(t, s)
+	r.list(ListFull, fleet(160)...)
+	id := uint32(0)
+	for r.now < 120 {
+		r.advance(r.now + 0.005)
+		r.answer(OK, nil)
+		if int(r.now/20)%2 == 1 && int(r.now*200)%2 == 0 {
+			id++
+			if q := r.request(Request{ID: id, Deadline: r.now + 0.6}); len(q.sends) > 0 {
+				r.finish(q, 0, OK)
+			}
+		}
+		for _, h := range r.b.members {
+			r.b.now = r.now
+			if phi := r.b.silencePhi(h); phi > phiUnavailable {
+				t.Fatalf("%.2f: phi %.1f of a sound host", r.now, phi)
+			}
+		}
+	}
+}
--- a/policy/reports_test.go
+++ b/policy/report_test.go
@@ -2,6 +2,24 @@
 
 import "testing"
 
+func TestLeastLoadedByFreshReports(t *testing.T) {
+	r := newRecorder(t, polled())
+	r.list(ListFull, ready(1, 2, 3)...)
+	for r.now < 2 {
+		r.advance(r.now + 0.001)
+		r.answer(OK, nil)
+	}
+	q := r.request(Request{ID: 1, Deadline: 3})
+	if len(q.sends) != 0 {
+		t.Fatal("sent before the reports came")
+	}
+	r.advance(r.now + 0.001)
+	r.answer(OK, func(h uint32) float32 { return map[uint32]float32{1: 3, 2: 0, 3: 1}[h] })
+	if len(q.sends) != 1 || q.sends[0].host != 2 {
+		t.Errorf("sends %+v", q.sends)
+	}
+}
+
 // play has a proxy serve 40 requests a second, each in 30 ms, at hosts that report so many requests held, and returns how many it
 // turned away and the probes that it sent for each request.
 func play(t *testing.T, s Settings, reported float32) (refused int, probes float64) {
--- a/policy/fleet_test.go
+++ b/policy/simulatedfleet_test.go
@@ -3,7 +3,6 @@
 import (
 	"container/heap"
 	"math/rand/v2"
-	"slices"
 	"testing"
 )
 
@@ -36,10 +35,14 @@
 
 type agenda []happening
 
-func (a agenda) Len() int           { return len(a) }
+func (a agenda) Len() int { return len(a) }
+
 func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(happening)) }
+
+func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+
+func (a *agenda) Push(x any) { *a = append(*a, x.(happening)) }
+
 func (a *agenda) Pop() any {
 	old := *a
 	x := old[len(old)-1]
@@ -120,8 +123,10 @@
 }
 
 func (c *citizen) WakeAfter(after float64) { c.at(c.town.now+after, func() { c.b.Wake(c.town.now) }) }
-func (c *citizen) Refuse(uint32, float64)  { c.refused++ }
-func (c *citizen) Fail(uint32)             { c.refused++ }
+
+func (c *citizen) Refuse(uint32, float64) { c.refused++ }
+
+func (c *citizen) Fail(uint32) { c.refused++ }
 
 // Many proxies see an answer of each host once in a second. What little is known must not shut sound hosts, and beyond what
 // all can do it must neither fill their lines nor refuse everything: an estimate that lets nothing through is never corrected.
@@ -192,58 +197,3 @@
 		t.Errorf("%.3f of the requests are served in time, %.3f by the slow half", served, part)
 	}
 }
-
-// All watches of a fleet break at once and no call gets through, whether proxies know their numbers from the settings or from each
-// other. Danger: what a failed call missed counts as told 6 s after discovery could be reached, so who waits longer sends to hosts
-// that drain; and calls that come together are what keeps discovery from answering any.
-func TestFailedCallsGoInTurns(t *testing.T) {
-	for _, proxies := range []int{1, 5, 60, 300} {
-		for _, placed := range []bool{false, true} {
-			var first []float64
-			for self := range proxies {
-				s := plain()
-				s.ListOnDemand = true
-				if !placed {
-					s.Self, s.Replicas = self, proxies
-				}
-				r := newRecorder(t, s)
-				r.list(ListFull, ready(1)...)
-				if placed { // and each was told by the settings that it is the only one
-					r.b.SetReplica(0, self, proxies)
-				}
-				for failed := range 6 {
-					r.list(ListFailed)
-					was, began := r.watches, r.now
-					if r.advance(r.now + maxListBackoffSeconds + s.TickSeconds); r.watches == was {
-						t.Fatalf("%d proxies: number %d has not called within %v s after %d calls that failed", proxies, self, maxListBackoffSeconds, failed)
-					}
-					if failed == 0 {
-						first = append(first, r.askedAt-began)
-					}
-				}
-			}
-			slices.Sort(first)
-			for i := range len(first) - 1 {
-				if gap := first[i+1] - first[i]; gap > 3*initialListBackoffSeconds/float64(proxies) {
-					t.Errorf("%d proxies: no call for %.2f s between the first ones", proxies, gap)
-				}
-			}
-		}
-	}
-}
-
-// Danger: a process whose first call failed before it knew the others waits by a number that the settings made up.
-func TestPlaceEndsALongWait(t *testing.T) {
-	s := plain()
-	s.ListOnDemand, s.Replicas = true, 300
-	r := newRecorder(t, s)
-	r.list(ListCached, ready(1)...)
-	for range 3 {
-		r.list(ListFailed)
-	}
-	r.b.SetReplica(r.now, 299, 300)
-	was := r.watches
-	if r.advance(r.now + maxListBackoffSeconds + s.TickSeconds); r.watches == was {
-		t.Errorf("no call within %v s", maxListBackoffSeconds)
-	}
-}
