--- a/policy/attempt_test.go
+++ b/policy/attempt_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-func TestAgainOnlyAsTheClassAllows(t *testing.T) {
+func TestRetryOnlyAsTheClassAllows(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class int
-		how   Outcome
-		after float64
-		sends int
-		ended string
+		name    string
+		class   int
+		outcome Outcome
+		after   float64
+		sends   int
+		ended   string
 	}{
 		{"safe, error", 0, HostError, 0.02, 2, ""},
 		{"safe, rejected", 0, Rejected, 0.02, 2, ""},
@@ -23,58 +23,58 @@
 		{"unsafe, rejected too late to be of use", 2, Rejected, 0.9, 1, "refused"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := plain()
+			s := baseSettings()
 			s.HedgingAllowed = false
 			r := newRecorder(t, s)
-			r.list(ListFull, ready(1, 2, 11, 12)...)
+			r.updateHosts(ListFull, readyHosts(1, 2, 11, 12)...)
 			q := r.request(Request{ID: 1, Class: c.class, Deadline: 1})
 			r.advance(c.after)
-			r.finish(q, 0, c.how)
+			r.finish(q, 0, c.outcome)
 			r.advance(c.after + 0.002)
-			if len(q.sends) != c.sends || q.ended != c.ended {
-				t.Errorf("%d sends, %q; want %d, %q", len(q.sends), q.ended, c.sends, c.ended)
+			if len(q.attempts) != c.sends || q.answer != c.ended {
+				t.Errorf("%d sends, %q; want %d, %q", len(q.attempts), q.answer, c.sends, c.ended)
 			}
 		})
 	}
 }
 
-func TestTimeOutAtTheDeadlineIsAnswered(t *testing.T) {
-	r := newRecorder(t, plain())
-	r.list(ListFull, ready(1)...)
+func TestTimeoutAtTheDeadlineIsAnswered(t *testing.T) {
+	r := newRecorder(t, baseSettings())
+	r.updateHosts(ListFull, readyHosts(1)...)
 	q := r.request(Request{ID: 1, Class: 2, Deadline: 0.6})
 	r.advance(0.6)
 	r.finish(q, 0, TimedOut)
-	if q.ended != "failed" {
-		t.Errorf("ended %q", q.ended)
+	if q.answer != "failed" {
+		t.Errorf("ended %q", q.answer)
 	}
 }
 
-func TestLateOutcomesOfAnEndedRequest(t *testing.T) {
-	r := newRecorder(t, plain())
-	r.list(ListFull, ready(1, 2, 3)...)
+func TestOutcomeAfterTheFinalAnswer(t *testing.T) {
+	r := newRecorder(t, baseSettings())
+	r.updateHosts(ListFull, readyHosts(1, 2, 3)...)
 	q := r.request(Request{ID: 1, Class: 0, Deadline: 1})
 	r.advance(0.29)
-	if len(q.sends) != 1 {
-		t.Fatalf("copies of a request that is only slow: %+v", q.sends)
+	if len(q.attempts) != 1 {
+		t.Fatalf("copies of a request that is only slow: %+v", q.attempts)
 	}
-	r.b.Abandoned(r.now, q.ID)
-	q.ended = "abandoned"
-	if !q.sends[0].cancel {
+	r.balancer.Abandoned(r.now, q.ID)
+	q.answer = "abandoned"
+	if !q.attempts[0].isCancelled {
 		t.Error("the attempt of a departed client was not cancelled")
 	}
 	r.advance(0.4)
 	r.finish(q, 0, OK)
-	r.b.Abandoned(r.now, q.ID)
+	r.balancer.Abandoned(r.now, q.ID)
 }
 
-// A request that brings its host down is not sent again, nor are its client's marked repeats.
-func TestWhatCrashesHostsIsNotResent(t *testing.T) {
+// A request that crashes its host is not retried, nor are marked retries of its client.
+func TestRequestThatCrashesHostsIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		how    Outcome
-		after  float64 // how long the attempt was out
-		second Request // the next try
-		sent   bool
+		name    string
+		outcome Outcome
+		after   float64 // how long the attempt was in flight
+		second  Request // the next try
+		sent    bool
 	}{
 		{"crash, its repeat", Reset, 0.1, Request{Tenant: 1, Repeat: true}, false},
 		{"hang, its repeat", TimedOut, 0.5, Request{Tenant: 1, Repeat: true}, false},
@@ -82,38 +82,38 @@
 		{"crash, a new request", Reset, 0.1, Request{Tenant: 1}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := plain()
+			s := baseSettings()
 			s.Tenants = []Tenant{{Name: "a", Share: 0.5}, {Name: "b", Share: 0.5}}
 			r := newRecorder(t, s)
-			r.list(ListFull, fleet(4)...)
+			r.updateHosts(ListFull, manyHosts(4)...)
 			q := r.request(Request{ID: 1, Tenant: 1, Deadline: 0.5})
 			r.advance(c.after)
-			r.finish(q, 0, c.how)
-			if len(q.sends) != 1 || q.ended != "refused" {
-				t.Fatalf("%d sends, %q", len(q.sends), q.ended)
+			r.finish(q, 0, c.outcome)
+			if len(q.attempts) != 1 || q.answer != "refused" {
+				t.Fatalf("%d sends, %q", len(q.attempts), q.answer)
 			}
 			c.second.ID, c.second.Deadline = 2, r.now+0.5
-			if k := r.request(c.second); len(k.sends) > 0 != c.sent {
-				t.Errorf("next try: %d sends, %q", len(k.sends), k.ended)
+			if k := r.request(c.second); len(k.attempts) > 0 != c.sent {
+				t.Errorf("next try: %d sends, %q", len(k.attempts), k.answer)
 			}
 		})
 	}
 }
 
-// A quick reset on an idle connection is tried again only where its host proves to be alive.
-func TestQuickResetAsksTheHostFirst(t *testing.T) {
+// A fast reset on an idle connection is retried only after the host has answered a probe.
+func TestFastResetPollsHostBeforeRetry(t *testing.T) {
 	for _, alive := range []bool{true, false} {
-		s := polled()
+		s := polledSettings()
 		s.ConnIdleTimeoutSeconds = 15
 		r := newRecorder(t, s)
-		r.list(ListFull, fleet(4)...)
+		r.updateHosts(ListFull, manyHosts(4)...)
 		ask := func(id uint32, dead uint32) {
 			for until := r.now + 0.02; r.now < until; {
 				out := r.probes
 				r.probes = nil
 				for _, p := range out {
 					if p.host != dead {
-						r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelaySeconds: r.now - p.at, Report: Report{N: 1}})
+						r.balancer.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelaySeconds: r.now - p.sentAt, Report: Report{N: 1}})
 					}
 				}
 				r.advance(r.now + 0.001)
@@ -122,26 +122,26 @@
 		for id := range uint32(20) {
 			q := r.request(Request{ID: 1 + id, Deadline: r.now + 0.6})
 			ask(id, 0)
-			if len(q.sends) > 0 {
+			if len(q.attempts) > 0 {
 				r.finish(q, 0, OK)
 			}
 			r.advance(r.now + 0.3)
 		}
 		q := r.request(Request{ID: 99, Deadline: r.now + 0.6})
 		ask(99, 0)
-		if len(q.sends) != 1 {
+		if len(q.attempts) != 1 {
 			t.Fatal("not sent")
 		}
-		q.sends[0].at = r.now
-		dead := q.sends[0].host
-		q.sends[0].done, q.sends[0].outcome = true, Reset
-		r.b.AttemptDone(r.now, Result{ID: 99, Host: dead, Outcome: Reset, DelaySeconds: 0.001})
+		q.attempts[0].sentAt = r.now
+		dead := q.attempts[0].host
+		q.attempts[0].isDone, q.attempts[0].outcome = true, Reset
+		r.balancer.AttemptDone(r.now, Result{ID: 99, Host: dead, Outcome: Reset, DelaySeconds: 0.001})
 		if alive {
 			dead = 0
 		}
 		ask(99, dead)
-		if again := len(q.sends) == 2; again != alive {
-			t.Errorf("host alive: %v, sent again: %v, %q", alive, again, q.ended)
+		if again := len(q.attempts) == 2; again != alive {
+			t.Errorf("host alive: %v, sent again: %v, %q", alive, again, q.answer)
 		}
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -6,33 +6,33 @@
 	"testing"
 )
 
-func TestOddInput(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	empty := newRecorder(t, Settings{})
 	empty.request(Request{ID: 1, Deadline: 1})
-	if empty.requests[1].ended != "refused" {
+	if empty.requests[1].answer != "refused" {
 		t.Error("a request of an unknown class is not refused")
 	}
-	r := newRecorder(t, polled())
-	r.list(ListCached)
+	r := newRecorder(t, polledSettings())
+	r.updateHosts(ListCached)
 	q := r.request(Request{ID: 1, Deadline: 0.5, Tenant: 9, WorkSeconds: math.NaN(), HasWork: true})
-	r.b.AttemptDone(r.now, Result{ID: 77, Host: 5, Attempt: 3})
-	r.b.ProbeDone(r.now, Result{Host: 5})
-	r.b.Abandoned(r.now, 9)
-	r.b.StreamStarted(r.now, 9)
+	r.balancer.AttemptDone(r.now, Result{ID: 77, Host: 5, Attempt: 3})
+	r.balancer.ProbeDone(r.now, Result{Host: 5})
+	r.balancer.Abandoned(r.now, 9)
+	r.balancer.StreamStarted(r.now, 9)
 	r.advance(2)
-	if q.ended != "refused" {
-		t.Errorf("without hosts: %q", q.ended)
+	if q.answer != "refused" {
+		t.Errorf("without hosts: %q", q.answer)
 	}
-	r = newRecorder(t, polled())
-	r.list(ListFull, ready(1, 2)...)
+	r = newRecorder(t, polledSettings())
+	r.updateHosts(ListFull, readyHosts(1, 2)...)
 	for i, v := range []float32{-1, float32(math.NaN()), float32(math.Inf(1)), 1e30, 0} {
 		r.advance(r.now + 1)
 		q := r.request(Request{ID: uint32(10 + i), Deadline: r.now + 0.6})
 		r.advance(r.now + 0.001)
-		r.answer(OK, func(uint32) float32 { return v })
+		r.answerProbes(OK, func(uint32) float32 { return v })
 		r.advance(r.now + 0.1)
-		if len(q.sends) == 0 {
-			t.Errorf("report %v: no send, ended %q", v, q.ended)
+		if len(q.attempts) == 0 {
+			t.Errorf("report %v: no send, ended %q", v, q.answer)
 			continue
 		}
 		r.finish(q, 0, OK)
@@ -40,33 +40,33 @@
 	r.advance(1e6)
 	r.request(Request{ID: 99, Deadline: r.now + 0.5})
 	r.advance(r.now + 0.4)
-	r.b.Abandoned(r.now, 99)
+	r.balancer.Abandoned(r.now, 99)
 }
 
-// TestRandomEvents drives the module through seeded random events; the recorder checks the rules.
+// TestRandomEvents gives seeded random events to a Balancer; the recorder checks the rules.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(24) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		s := plain()
+		s := baseSettings()
 		if seed%2 == 0 {
-			s = polled()
+			s = polledSettings()
 		}
 		s.HedgingAllowed, s.CanCancel = seed%3 != 0, seed%5 != 0
 		s.GoneHostsUsable, s.MaxAttempts = seed%7 == 0, 1+int(seed%4)
 		s.Classes[1].DedupWindowSeconds = 5 * rng.Float64()
-		randomRun(newRecorder(t, s), rng)
+		runRandomRuleCheck(newRecorder(t, s), rng)
 	}
 }
 
-func randomRun(r *recorder, rng *rand.Rand) {
+func runRandomRuleCheck(r *recorder, rng *rand.Rand) {
 	outcomes := []Outcome{OK, OK, OK, HostError, Rejected, ConnectFailed, Reset, Cancelled}
-	r.list(ListCached, ready(1, 2, 3, 11, 12, 13)...)
+	r.updateHosts(ListCached, readyHosts(1, 2, 3, 11, 12, 13)...)
 	for range 1500 {
 		r.advance(r.now + 0.004*rng.Float64())
-		for _, id := range r.ids { // the deadline ends what is still out
+		for _, id := range r.ids { // the deadline ends what is in flight
 			q := r.requests[id]
-			for n := range q.sends {
-				if !q.sends[n].done && r.now >= q.Deadline-0.003 {
+			for n := range q.attempts {
+				if !q.attempts[n].isDone && r.now >= q.Deadline-0.003 {
 					r.advance(max(r.now, q.Deadline))
 					r.finish(q, n, TimedOut)
 				}
@@ -78,11 +78,11 @@
 			r.request(Request{ID: id, Class: rng.IntN(3), Deadline: r.now + 0.2 + 0.4*rng.Float64(),
 				HasWork: rng.IntN(2) == 0, WorkSeconds: 0.1 * rng.Float64()})
 		case k < 12:
-			finishOne(r, rng, outcomes[rng.IntN(len(outcomes))])
+			finishRandomAttempt(r, rng, outcomes[rng.IntN(len(outcomes))])
 		case k < 17:
-			r.answer(OK, func(uint32) float32 { return float32(rng.IntN(6)) })
+			r.answerProbes(OK, func(uint32) float32 { return float32(rng.IntN(6)) })
 		case k == 17:
-			r.answer(TimedOut, nil)
+			r.answerProbes(TimedOut, nil)
 		default:
 			id := []uint32{1, 2, 3, 11, 12, 13, 21}[rng.IntN(7)]
 			h := HostInfo{ID: id, Cell: int(id) / 10, State: HostState(rng.IntN(3))}
@@ -92,77 +92,77 @@
 			if rng.IntN(4) == 0 {
 				h.Started = r.now
 			}
-			r.list([]ListKind{ListDelta, ListDelta, ListDelta, ListFull}[rng.IntN(4)], h)
+			r.updateHosts([]ListKind{ListDelta, ListDelta, ListDelta, ListFull}[rng.IntN(4)], h)
 		}
 	}
 }
 
-// finishOne ends one attempt that is out.
-func finishOne(r *recorder, rng *rand.Rand, how Outcome) {
+// finishRandomAttempt ends one attempt in flight.
+func finishRandomAttempt(r *recorder, rng *rand.Rand, outcome Outcome) {
 	from := rng.IntN(len(r.ids) + 1)
 	for i := range r.ids {
 		q := r.requests[r.ids[(from+i)%len(r.ids)]]
-		for n := range q.sends {
-			if !q.sends[n].done {
-				r.finish(q, n, how)
+		for n := range q.attempts {
+			if !q.attempts[n].isDone {
+				r.finish(q, n, outcome)
 				return
 			}
 		}
 	}
 }
 
-// A killed instance starts with nothing: outcomes of its earlier life are not its own.
-func TestRestartedInstanceIgnoresItsEarlierLife(t *testing.T) {
-	r := newRecorder(t, plain())
-	r.list(ListFull, ready(1, 2)...)
+// A killed process starts without state: results of its previous incarnation are not its own.
+func TestRestartedBalancerIgnoresOldResults(t *testing.T) {
+	r := newRecorder(t, baseSettings())
+	r.updateHosts(ListFull, readyHosts(1, 2)...)
 	q := r.request(Request{ID: 1, Deadline: 1})
-	again := newRecorder(t, plain())
-	again.list(ListCached, ready(1, 2)...)
-	again.b.AttemptDone(0.1, Result{ID: q.ID, Host: q.sends[0].host, Outcome: OK, DelaySeconds: 0.1, Final: true})
-	again.b.Abandoned(0.1, q.ID)
+	again := newRecorder(t, baseSettings())
+	again.updateHosts(ListCached, readyHosts(1, 2)...)
+	again.balancer.AttemptDone(0.1, Result{ID: q.ID, Host: q.attempts[0].host, Outcome: OK, DelaySeconds: 0.1, Final: true})
+	again.balancer.Abandoned(0.1, q.ID)
 	again.now = 0.1
-	if k := again.request(Request{ID: 2, Deadline: 1}); len(k.sends) != 1 {
-		t.Error("the new life does not send")
+	if k := again.request(Request{ID: 2, Deadline: 1}); len(k.attempts) != 1 {
+		t.Error("the new incarnation does not send")
 	}
 }
 
-// Odd fleets: whatever the list and the counts say, each request gets its answer and the rules are kept.
-func TestOddFleets(t *testing.T) {
-	twice := append(fleet(5), fleet(5)...)
+// Whatever the list and the replica counts say, each request gets its answer and the rules are kept.
+func TestDegenerateFleets(t *testing.T) {
+	twice := append(manyHosts(5), manyHosts(5)...)
 	for name, c := range map[string]struct {
 		first, then    []HostInfo
 		self, replicas int
 		answers        bool
 		served         bool
 	}{
-		"nobody answers":               {fleet(20), fleet(20), 3, 100, false, true},
+		"nobody answers":               {manyHosts(20), manyHosts(20), 3, 100, false, true},
 		"empty at the start":           {nil, nil, 0, 1, true, false},
-		"empty, then right":            {nil, fleet(6), 0, 1, true, true},
-		"all gone while they answer":   {fleet(12), nil, 0, 1, true, true},
+		"empty, then right":            {nil, manyHosts(6), 0, 1, true, true},
+		"all gone while they answer":   {manyHosts(12), nil, 0, 1, true, true},
 		"every host listed twice":      {twice, twice, 0, 4, true, true},
-		"no proxies, by the settings":  {fleet(9), fleet(9), -5, 0, true, true},
-		"a number beyond the replicas": {fleet(9), fleet(9), 400, 3, true, true},
-		"thousands of hosts":           {fleet(5000), fleet(5000), 7, 900, true, true},
+		"no proxies, by the settings":  {manyHosts(9), manyHosts(9), -5, 0, true, true},
+		"a number beyond the replicas": {manyHosts(9), manyHosts(9), 400, 3, true, true},
+		"thousands of hosts":           {manyHosts(5000), manyHosts(5000), 7, 900, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := plain()
+			s := baseSettings()
 			s.ProbesEnabled, s.GoneHostsUsable, s.Self, s.Replicas = true, true, c.self, c.replicas
 			s.Tenants = []Tenant{{Name: "a", Share: 1}}
 			r := newRecorder(t, s)
-			r.list(ListCached, c.first...)
+			r.updateHosts(ListCached, c.first...)
 			served := 0
 			for id := range uint32(400) {
 				r.advance(r.now + 0.05)
 				if id == 200 {
-					r.list(ListFull, c.then...)
+					r.updateHosts(ListFull, c.then...)
 				}
 				if c.answers {
-					r.answer(OK, nil)
+					r.answerProbes(OK, nil)
 				}
 				r.probes = nil
 				q := r.request(Request{ID: 1 + id, Class: int(id % 3), Tenant: int(id%5) - 1, Deadline: r.now + 0.6})
-				r.advance(r.now + 0.1) // longer than anything is held
-				if len(q.sends) > 0 && q.ended == "" {
+				r.advance(r.now + 0.1) // longer than any request is held
+				if len(q.attempts) > 0 && q.answer == "" {
 					r.finish(q, 0, OK)
 					served++
 				}
--- a/policy/checkpoint_test.go
+++ b/policy/checkpoint_test.go
@@ -11,55 +11,58 @@
 	"unsafe"
 )
 
-// tape writes down the actions of a Balancer.
-type tape struct {
-	said  []string
-	sends [][2]uint32
-	probe []uint32
-	wakes []float64
+// actionLog records the actions of a Balancer as lines.
+type actionLog struct {
+	lines  []string
+	sends  [][2]uint32
+	probes []uint32
+	wakes  []float64
 }
 
-func (t *tape) note(form string, args ...any) { t.said = append(t.said, fmt.Sprintf(form, args...)) }
+func (t *actionLog) record(form string, args ...any) {
+	t.lines = append(t.lines, fmt.Sprintf(form, args...))
+}
 
-func (t *tape) Send(id, host uint32) {
-	t.note("send %d %d", id, host)
+func (t *actionLog) Send(id, host uint32) {
+	t.record("send %d %d", id, host)
 	t.sends = append(t.sends, [2]uint32{id, host})
 }
-func (t *tape) Cancel(id uint32, n int) { t.note("cancel %d %d", id, n) }
-func (t *tape) Probe(host uint32) {
-	t.note("probe %d", host)
-	t.probe = append(t.probe, host)
+func (t *actionLog) Cancel(id uint32, n int) { t.record("cancel %d %d", id, n) }
+func (t *actionLog) Probe(host uint32) {
+	t.record("probe %d", host)
+	t.probes = append(t.probes, host)
 }
-func (t *tape) CloseIdle(host uint32)           { t.note("close %d", host) }
-func (t *tape) Refuse(id uint32, after float64) { t.note("refuse %d %v", id, after) }
-func (t *tape) Fail(id uint32)                  { t.note("fail %d", id) }
-func (t *tape) WakeAfter(s float64)             { t.note("wake %v", s); t.wakes = append(t.wakes, s) }
-func (t *tape) Watch()                          { t.note("watch") }
-func (t *tape) Log(text string)                 { t.note("log %s", text) }
-func (t *tape) take() string                    { s := strings.Join(t.said, "\n"); t.said = nil; return s }
+func (t *actionLog) CloseIdle(host uint32)           { t.record("close %d", host) }
+func (t *actionLog) Refuse(id uint32, after float64) { t.record("refuse %d %v", id, after) }
+func (t *actionLog) Fail(id uint32)                  { t.record("fail %d", id) }
+func (t *actionLog) WakeAfter(s float64)             { t.record("wake %v", s); t.wakes = append(t.wakes, s) }
+func (t *actionLog) Watch()                          { t.record("watch") }
+func (t *actionLog) Log(text string)                 { t.record("log %s", text) }
+func (t *actionLog) drain() string                   { s := strings.Join(t.lines, "\n"); t.lines = nil; return s }
 
-// variety are settings that reach all of the module between them.
-func variety() []Settings {
-	tenants := polled()
+// settingsVariety returns settings that together reach all mechanisms.
+func settingsVariety() []Settings {
+	tenants := polledSettings()
 	tenants.Tenants = []Tenant{{"a", 0.7, 9}, {"b", 0.3, 4}}
 	tenants.CrossZonePrice, tenants.SizesComparable, tenants.ListOnDemand = 0.05, true, true
-	lines := plain()
+	lines := baseSettings()
 	lines.ProbesEnabled, lines.GoneHostsUsable, lines.HedgingAllowed, lines.ConnIdleTimeoutSeconds, lines.ListOnDemand = true, true, false, 5, true
-	answers := plain()
+	answers := baseSettings()
 	answers.ReportFields, answers.Replicas, answers.Self = []ReportField{FieldQueue, FieldInflight}, 3, 2
 	for i := range answers.Classes { // requests that outlive the hosts that they went to
 		answers.Classes[i].LatencyTargetSeconds, answers.Classes[i].TotalTimeoutSeconds = 800, 1000
 	}
-	return []Settings{plain(), polled(), tenants, lines, answers}
+	return []Settings{baseSettings(), polledSettings(), tenants, lines, answers}
 }
 
-// anyRun feeds a Balancer with random events and calls step after each, with the event, to be given to another.
-func anyRun(s Settings, seed uint64, steps int, acts *tape, step func(i int, b *Balancer, event func(*Balancer))) *Balancer {
-	return anyRunAmong(30, s, seed, steps, acts, step)
+// runRandomEvents gives seeded random events among 30 hosts to a Balancer and calls step after each, with the event, which can
+// be given to another Balancer.
+func runRandomEvents(s Settings, seed uint64, steps int, acts *actionLog, step func(i int, b *Balancer, event func(*Balancer))) *Balancer {
+	return runRandomEventsAmong(30, s, seed, steps, acts, step)
 }
 
-// anyRunAmong is anyRun with a number of hosts.
-func anyRunAmong(hosts int, s Settings, seed uint64, steps int, acts *tape, step func(i int, b *Balancer, event func(*Balancer))) *Balancer {
+// runRandomEventsAmong is runRandomEvents with a number of hosts.
+func runRandomEventsAmong(hosts int, s Settings, seed uint64, steps int, acts *actionLog, step func(i int, b *Balancer, event func(*Balancer))) *Balancer {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	now, nextID := 1.7e9, uint32(1)
 	b := New(s, seed, acts)
@@ -116,9 +119,9 @@
 			}
 			at := now
 			event = func(b *Balancer) { b.AttemptDone(at, res) }
-		case x < 80 && len(acts.probe) > 0:
-			host := acts.probe[0]
-			acts.probe = acts.probe[1:]
+		case x < 80 && len(acts.probes) > 0:
+			host := acts.probes[0]
+			acts.probes = acts.probes[1:]
 			res := Result{Host: host, Outcome: Outcome(rng.IntN(6)), DelaySeconds: rng.Float64() * 0.05, Report: report}
 			if rng.IntN(3) > 0 {
 				res.Outcome = OK
@@ -146,21 +149,21 @@
 	return b
 }
 
-// A Balancer that was restored at any moment goes on as the original does, event by event.
-func TestRestoredActsAlike(t *testing.T) {
+// A Balancer that is restored from a checkpoint at any time acts as the original does, event by event.
+func TestRestoredBalancerActsAlike(t *testing.T) {
 	const steps, every = 6000, 150
-	for n, s := range variety() {
+	for n, s := range settingsVariety() {
 		var restored *Balancer
-		acts, copied := &tape{}, &tape{}
+		acts, copied := &actionLog{}, &actionLog{}
 		did := map[string]int{}
-		anyRun(s, uint64(n+1), steps, acts, func(i int, b *Balancer, event func(*Balancer)) {
-			want := acts.take()
+		runRandomEvents(s, uint64(n+1), steps, acts, func(i int, b *Balancer, event func(*Balancer)) {
+			want := acts.drain()
 			for line := range strings.Lines(want) {
 				did[strings.Fields(line)[0]]++
 			}
 			if restored != nil {
 				event(restored)
-				if got := copied.take(); want != got {
+				if got := copied.drain(); want != got {
 					t.Fatalf("settings %d, event %d: the original did\n%s\nthe copy\n%s", n, i, want, got)
 				}
 			}
@@ -183,9 +186,9 @@
 	}
 }
 
-// fill gives every number, truth and string below v a value of its own that is not the zero one. What links and
-// indices rest on is left as the run has made it.
-func fill(v reflect.Value, next *float64, seen map[unsafe.Pointer]bool) {
+// fillFields gives every number, bool and string below v a value of its own that is not zero. Fields that links and indices
+// depend on keep the values of the run.
+func fillFields(v reflect.Value, next *float64, seen map[unsafe.Pointer]bool) {
 	*next++
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -193,7 +196,7 @@
 			return
 		}
 		seen[v.UnsafePointer()] = true
-		fill(v.Elem(), next, seen)
+		fillFields(v.Elem(), next, seen)
 	case reflect.Struct:
 		for i := range v.NumField() {
 			f := v.Field(i)
@@ -201,15 +204,15 @@
 			case "settings", "actions", "pcg", "rng", "ID", "requestID", "liveIndex", "queue", "queueIndex", "groups":
 			case "class", "Class":
 				if f.Kind() == reflect.Int {
-					set(f).SetInt(int64(*next)%2 + 1) // the others follow it
+					settable(f).SetInt(int64(*next)%2 + 1) // the others follow it
 				}
 			default:
-				fill(set(f), next, seen)
+				fillFields(settable(f), next, seen)
 			}
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			fill(v.Index(i), next, seen)
+			fillFields(v.Index(i), next, seen)
 		}
 	case reflect.Float32, reflect.Float64:
 		if v.SetFloat(*next + 0.25); int(*next)%10 == 0 {
@@ -229,13 +232,13 @@
 	}
 }
 
-// set returns a field that may be set though it is not exported.
-func set(f reflect.Value) reflect.Value {
+// settable returns a field that may be set though it is not exported.
+func settable(f reflect.Value) reflect.Value {
 	return reflect.NewAt(f.Type(), unsafe.Pointer(f.UnsafeAddr())).Elem()
 }
 
-// differ reports what is not alike below two values, pointer by pointer, and slices that hold nothing to compare.
-func differ(t *testing.T, at string, a, b reflect.Value, seen map[unsafe.Pointer]unsafe.Pointer, held map[string]bool) {
+// compareFields reports what differs below two values, pointer by pointer. filled notes by path which slices have elements.
+func compareFields(t *testing.T, at string, a, b reflect.Value, seen map[unsafe.Pointer]unsafe.Pointer, filled map[string]bool) {
 	t.Helper()
 	switch a.Kind() {
 	case reflect.Pointer:
@@ -253,21 +256,21 @@
 			return
 		}
 		seen[a.UnsafePointer()] = b.UnsafePointer()
-		differ(t, at, a.Elem(), b.Elem(), seen, held)
+		compareFields(t, at, a.Elem(), b.Elem(), seen, filled)
 	case reflect.Struct:
 		for i := range a.NumField() {
 			if f := a.Type().Field(i).Name; !slices.Contains([]string{"settings", "actions", "rng", "queue", "queueIndex", "gapMean", "gapSigma", "wasMember", "groups"}, f) {
-				differ(t, a.Type().Name()+"."+f, a.Field(i), b.Field(i), seen, held)
+				compareFields(t, a.Type().Name()+"."+f, a.Field(i), b.Field(i), seen, filled)
 			}
 		}
 	case reflect.Slice:
-		held[at] = held[at] || a.Len() > 0
+		filled[at] = filled[at] || a.Len() > 0
 		if a.Len() != b.Len() {
 			t.Errorf("%s: %d and %d", at, a.Len(), b.Len())
 			return
 		}
 		for i := range a.Len() {
-			differ(t, at, a.Index(i), b.Index(i), seen, held)
+			compareFields(t, at, a.Index(i), b.Index(i), seen, filled)
 		}
 	case reflect.Map:
 		if a.Len() != b.Len() {
@@ -279,7 +282,7 @@
 				t.Errorf("%s: %v is missing", at, k)
 				continue
 			}
-			differ(t, at, a.MapIndex(k), b.MapIndex(k), seen, held)
+			compareFields(t, at, a.MapIndex(k), b.MapIndex(k), seen, filled)
 		}
 	default:
 		if !a.Equal(b) {
@@ -288,13 +291,13 @@
 	}
 }
 
-// Every field that a Balancer remembers is in its checkpoint: all are filled, and one that is not kept comes back as
-// zero. A host that the list has dropped and named again is two.
+// Every field of a Balancer is in its checkpoint: all are filled, and one that is not written comes back as zero. A host that
+// the list dropped and named again is two hosts.
 func TestCheckpointKeepsEveryField(t *testing.T) {
-	s := variety()[2]
+	s := settingsVariety()[2]
 	var b *Balancer
 	for seed := uint64(1); b == nil; seed++ { // until a run ends with an instance of everything
-		x := anyRun(s, seed, 300, &tape{}, func(int, *Balancer, func(*Balancer)) {})
+		x := runRandomEvents(s, seed, 300, &actionLog{}, func(int, *Balancer, func(*Balancer)) {})
 		sent := slices.IndexFunc(x.liveRequests, func(r *request) bool { return len(r.attempts) > 0 })
 		if sent >= 0 && len(x.liveRequests) > 1 && len(x.unserved) > 0 && slices.ContainsFunc(x.sortedHosts, func(h *host) bool { return len(h.inFlight) > 0 }) {
 			b = x
@@ -306,7 +309,7 @@
 		}
 	}
 	next := 0.0
-	fill(reflect.ValueOf(b), &next, map[unsafe.Pointer]bool{})
+	fillFields(reflect.ValueOf(b), &next, map[unsafe.Pointer]bool{})
 	for _, r := range b.liveRequests {
 		r.class = &b.settings.Classes[r.Request.Class]
 	}
@@ -314,7 +317,7 @@
 	if !ok {
 		t.Fatal("no checkpoint")
 	}
-	restored, err := Restore(s, state, &tape{})
+	restored, err := Restore(s, state, &actionLog{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -323,22 +326,22 @@
 			t.Error("a request that waits is not in the queue, or one that does not is")
 		}
 	}
-	held := map[string]bool{}
-	differ(t, "", reflect.ValueOf(b), reflect.ValueOf(restored), map[unsafe.Pointer]unsafe.Pointer{}, held)
-	for at, some := range held {
+	filled := map[string]bool{}
+	compareFields(t, "", reflect.ValueOf(b), reflect.ValueOf(restored), map[unsafe.Pointer]unsafe.Pointer{}, filled)
+	for at, some := range filled {
 		if !some {
 			t.Errorf("%s: the run left nothing in it to be kept", at)
 		}
 	}
 }
 
-// What is not a whole checkpoint restores nothing, and none is written beyond its bound.
-func TestBrokenCheckpoints(t *testing.T) {
-	s := variety()[2]
-	b := anyRun(s, 3, 500, &tape{}, func(int, *Balancer, func(*Balancer)) {})
+// What is no complete checkpoint restores nothing, and none is written beyond its bound.
+func TestBrokenCheckpointIsRejected(t *testing.T) {
+	s := settingsVariety()[2]
+	b := runRandomEvents(s, 3, 500, &actionLog{}, func(int, *Balancer, func(*Balancer)) {})
 	state, _ := b.Checkpoint(nil, 1<<20)
 	for n := range state {
-		if _, err := Restore(s, state[:n], &tape{}); err == nil {
+		if _, err := Restore(s, state[:n], &actionLog{}); err == nil {
 			t.Fatalf("%d of %d bytes were taken", n, len(state))
 		}
 		room := make([]byte, 0, n)
@@ -353,16 +356,16 @@
 	for range 20000 { // noise may restore something odd, but must not panic
 		broken := slices.Clone(state)
 		broken[1+rng.IntN(len(state)-1)] ^= byte(1 + rng.IntN(255))
-		_, _ = Restore(s, broken, &tape{})
+		_, _ = Restore(s, broken, &actionLog{})
 	}
-	if _, err := Restore(s, append(state, 0), &tape{}); err == nil {
+	if _, err := Restore(s, append(state, 0), &actionLog{}); err == nil {
 		t.Error("more than a checkpoint was taken")
 	}
 }
 
-// A checkpoint holds the event loop; so it must not cost much.
+// A checkpoint blocks the event loop, so it must be fast.
 func BenchmarkCheckpoint(b *testing.B) {
-	live := anyRun(variety()[2], 3, 5000, &tape{}, func(int, *Balancer, func(*Balancer)) {})
+	live := runRandomEvents(settingsVariety()[2], 3, 5000, &actionLog{}, func(int, *Balancer, func(*Balancer)) {})
 	room := make([]byte, 0, 1<<16)
 	for b.Loop() {
 		if _, ok := live.Checkpoint(room, cap(room)); !ok {
--- a/policy/largefleet_test.go
+++ b/policy/largefleet_test.go
@@ -6,86 +6,88 @@
 	"testing"
 )
 
-// crowd drives a Balancer among many hosts, of which some can be bad.
-type crowd struct {
+// largeFleet drives a Balancer with many hosts, some of which can hang.
+type largeFleet struct {
 	*silentActions
-	b     *Balancer
-	now   float64
-	hosts []HostInfo
-	hang  map[uint32]bool // they answer nothing
-	asked []sentProbe
-	id    uint32
+	balancer       *Balancer
+	now            float64
+	hosts          []HostInfo
+	hangs          map[uint32]bool // they answer nothing
+	probesInFlight []probeInFlight
+	lastID         uint32
 }
 
-func newCrowd(s Settings, n int) *crowd {
-	c := &crowd{hosts: fleet(n), hang: map[uint32]bool{}}
-	c.silentActions = newSilent(&c.now)
+func newLargeFleet(s Settings, n int) *largeFleet {
+	c := &largeFleet{hosts: manyHosts(n), hangs: map[uint32]bool{}}
+	c.silentActions = newSilentActions(&c.now)
 	s.ProbesEnabled = true
-	c.b = New(s, 7, c)
-	c.b.UpdateHosts(0, ListFull, c.hosts)
+	c.balancer = New(s, 7, c)
+	c.balancer.UpdateHosts(0, ListFull, c.hosts)
 	return c
 }
 
-func (c *crowd) Probe(host uint32) { c.asked = append(c.asked, sentProbe{host, c.now}) }
+func (c *largeFleet) Probe(host uint32) {
+	c.probesInFlight = append(c.probesInFlight, probeInFlight{host, c.now})
+}
 
-// pass lets time pass, with probes answered by hosts that do not hang.
-func (c *crowd) pass(seconds float64) {
+// advance lets time pass, with probes answered by hosts that don't hang.
+func (c *largeFleet) advance(seconds float64) {
 	for end := c.now + seconds; c.now < end; {
 		c.now += 0.01
-		asked := c.asked
-		c.asked = nil
+		asked := c.probesInFlight
+		c.probesInFlight = nil
 		for _, p := range asked {
-			if !c.hang[p.host] {
-				c.b.ProbeDone(c.now, Result{Host: p.host, Outcome: OK, DelaySeconds: c.now - p.at})
-			} else if c.now < p.at+0.4 {
-				c.asked = append(c.asked, p)
+			if !c.hangs[p.host] {
+				c.balancer.ProbeDone(c.now, Result{Host: p.host, Outcome: OK, DelaySeconds: c.now - p.sentAt})
+			} else if c.now < p.sentAt+0.4 {
+				c.probesInFlight = append(c.probesInFlight, p)
 			} else {
-				c.b.ProbeDone(c.now, Result{Host: p.host, Outcome: TimedOut, DelaySeconds: c.now - p.at})
+				c.balancer.ProbeDone(c.now, Result{Host: p.host, Outcome: TimedOut, DelaySeconds: c.now - p.sentAt})
 			}
 		}
-		c.b.Wake(c.now)
+		c.balancer.Wake(c.now)
 	}
 }
 
-// ask has a request come, and answered at once by a host that does not hang. It returns the host, 0 if there was none.
-func (c *crowd) ask() uint32 {
-	c.id++
-	c.last = 0
-	c.b.StartRequest(c.now, Request{ID: c.id, Deadline: c.now + 0.6})
-	host := c.last
+// request starts a request that a host which doesn't hang answers at once. It returns the host, 0 if there was none.
+func (c *largeFleet) request() uint32 {
+	c.lastID++
+	c.lastHost = 0
+	c.balancer.StartRequest(c.now, Request{ID: c.lastID, Deadline: c.now + 0.6})
+	host := c.lastHost
 	switch {
 	case host == 0:
-		c.b.Abandoned(c.now, c.id)
-	case c.hang[host]:
-		c.b.AttemptDone(c.now, Result{ID: c.id, Host: host, Outcome: Cancelled, DelaySeconds: 0.6, Final: true})
+		c.balancer.Abandoned(c.now, c.lastID)
+	case c.hangs[host]:
+		c.balancer.AttemptDone(c.now, Result{ID: c.lastID, Host: host, Outcome: Cancelled, DelaySeconds: 0.6, Final: true})
 	default:
-		c.b.AttemptDone(c.now, Result{ID: c.id, Host: host, Outcome: OK, DelaySeconds: 0.02, Final: true})
+		c.balancer.AttemptDone(c.now, Result{ID: c.lastID, Host: host, Outcome: OK, DelaySeconds: 0.02, Final: true})
 	}
 	return host
 }
 
-// Whatever is wrong with a third, nine tenths or all but one of a thousand hosts: requests find a good one.
+// With a third, nine tenths or all but one of a thousand hosts unusable for any reason, requests find a usable one.
 func TestFewGoodHostsAmongMany(t *testing.T) {
 	const n, asked = 1000, 2000
-	kinds := map[string]func(c *crowd, i int){
-		"hang":  func(c *crowd, i int) { c.hang[c.hosts[i].ID] = true },
-		"drain": func(c *crowd, i int) { c.hosts[i].State = Draining },
-		"cold":  func(c *crowd, i int) { c.hosts[i].Started = c.now },
-		"full": func(c *crowd, i int) {
-			h := c.b.hosts[c.hosts[i].ID]
-			h.backoffUntil[0] = c.now + 1e6 // has turned requests away again and again
+	kinds := map[string]func(c *largeFleet, i int){
+		"hang":  func(c *largeFleet, i int) { c.hangs[c.hosts[i].ID] = true },
+		"drain": func(c *largeFleet, i int) { c.hosts[i].State = Draining },
+		"cold":  func(c *largeFleet, i int) { c.hosts[i].Started = c.now },
+		"full": func(c *largeFleet, i int) {
+			h := c.balancer.hosts[c.hosts[i].ID]
+			h.backoffUntil[0] = c.now + 1e6 // has rejected requests again and again
 		},
 	}
 	for _, name := range []string{"hang", "drain", "cold", "full", "mixed"} {
 		for _, bad := range []int{n / 3, n * 9 / 10, n - 1} {
-			s := plain()
+			s := baseSettings()
 			s.Zone, s.CrossZonePrice = 1, 0.06
-			c := newCrowd(s, n)
+			c := newLargeFleet(s, n)
 			for i := range c.hosts {
 				c.hosts[i].Zone = i % 4
 			}
-			c.b.UpdateHosts(c.now, ListFull, c.hosts)
-			c.pass(5)
+			c.balancer.UpdateHosts(c.now, ListFull, c.hosts)
+			c.advance(5)
 			good := map[uint32]bool{}
 			for i, place := range rand.New(rand.NewPCG(3, 3)).Perm(n) {
 				if i >= bad {
@@ -96,20 +98,20 @@
 					kinds[name](c, place)
 				}
 			}
-			c.b.UpdateHosts(c.now, ListDelta, c.hosts)
-			c.pass(10)
+			c.balancer.UpdateHosts(c.now, ListDelta, c.hosts)
+			c.advance(10)
 			found, wasted := 0, 0
 			for i := range asked {
-				switch host := c.ask(); {
+				switch host := c.request(); {
 				case good[host]:
 					found++
-				case host != 0 && c.hang[host]:
+				case host != 0 && c.hangs[host]:
 					wasted++
-				case host != 0: // a cold one, within its budget
+				case host != 0: // a warming one, within its budget
 					found++
 				}
 				if i%20 == 19 {
-					c.pass(0.01)
+					c.advance(0.01)
 				}
 			}
 			t.Logf("%s, %d of %d: %.1f %% found a host", name, bad, n, 100*float64(found)/asked)
@@ -120,64 +122,64 @@
 	}
 }
 
-// A keyed request that may have run goes to the one host that its zone has left, however many others there are.
+// A keyed request that may have run is retried at the one other host of its zone, however many other hosts there are.
 func TestOneHostOfAZoneAmongMany(t *testing.T) {
-	s := plain()
+	s := baseSettings()
 	s.Classes = []Class{{Name: "k", Effect: Keyed, Group: GroupZone, DedupWindowSeconds: 10, LatencyTargetSeconds: 2, TotalTimeoutSeconds: 5}}
 	s.MaxAttempts = 3
-	c := newCrowd(s, 1000)
+	c := newLargeFleet(s, 1000)
 	for i := range c.hosts {
 		c.hosts[i].Zone = 1
 	}
 	c.hosts[400].Zone, c.hosts[700].Zone = 2, 2
-	c.b.UpdateHosts(c.now, ListFull, c.hosts)
-	c.pass(3)
+	c.balancer.UpdateHosts(c.now, ListFull, c.hosts)
+	c.advance(3)
 	for tries := 0; ; tries++ { // until one of the two is drawn
-		if c.id++; tries > 20_000 {
+		if c.lastID++; tries > 20_000 {
 			t.Fatal("neither host of the zone is ever drawn")
 		}
-		c.b.StartRequest(c.now, Request{ID: c.id, Deadline: c.now + 2})
-		if first := c.last; first != c.hosts[400].ID && first != c.hosts[700].ID {
-			c.b.AttemptDone(c.now, Result{ID: c.id, Host: first, Outcome: OK, DelaySeconds: 0.01, Final: true})
+		c.balancer.StartRequest(c.now, Request{ID: c.lastID, Deadline: c.now + 2})
+		if first := c.lastHost; first != c.hosts[400].ID && first != c.hosts[700].ID {
+			c.balancer.AttemptDone(c.now, Result{ID: c.lastID, Host: first, Outcome: OK, DelaySeconds: 0.01, Final: true})
 			continue
 		}
-		first := c.last
-		c.b.AttemptDone(c.now, Result{ID: c.id, Host: first, Outcome: HostError, DelaySeconds: 0.01})
-		if c.last == first || c.b.hosts[c.last].Zone != 2 {
-			t.Fatalf("the repeat went to host %d", c.last)
+		first := c.lastHost
+		c.balancer.AttemptDone(c.now, Result{ID: c.lastID, Host: first, Outcome: HostError, DelaySeconds: 0.01})
+		if c.lastHost == first || c.balancer.hosts[c.lastHost].Zone != 2 {
+			t.Fatalf("the repeat went to host %d", c.lastHost)
 		}
 		return
 	}
 }
 
-// A thousand hosts are replaced within ten seconds: requests go on, and nothing of the old ones is kept.
+// A thousand hosts are replaced within ten seconds: requests are served throughout, and nothing of the old hosts is kept.
 func TestAllHostsReplaced(t *testing.T) {
-	c := newCrowd(plain(), 1000)
-	c.pass(3)
+	c := newLargeFleet(baseSettings(), 1000)
+	c.advance(3)
 	for step := range 100 {
 		for i := range 10 {
 			place := step*10 + i
 			c.hosts[place].State = Gone
-			c.b.UpdateHosts(c.now, ListDelta, []HostInfo{c.hosts[place], {ID: uint32(5000 + place), State: Ready, Started: c.now}})
+			c.balancer.UpdateHosts(c.now, ListDelta, []HostInfo{c.hosts[place], {ID: uint32(5000 + place), State: Ready, Started: c.now}})
 		}
-		c.pass(0.1)
+		c.advance(0.1)
 		for range 5 {
-			if c.ask() == 0 {
+			if c.request() == 0 {
 				t.Fatalf("no host in step %d", step)
 			}
 		}
 	}
-	c.pass(forgetHostSeconds + 10)
-	c.b.UpdateHosts(c.now, ListDelta, nil)
-	if len(c.b.hosts) != 1000 || len(c.b.sortedHosts) != 1000 {
-		t.Errorf("%d hosts are remembered", len(c.b.hosts))
+	c.advance(forgetHostSeconds + 10)
+	c.balancer.UpdateHosts(c.now, ListDelta, nil)
+	if len(c.balancer.hosts) != 1000 || len(c.balancer.sortedHosts) != 1000 {
+		t.Errorf("%d hosts are remembered", len(c.balancer.hosts))
 	}
 }
 
-// Hosts of unlike speed by up to 2.5 times: the slow ones get less, and none starves.
-func TestUnlikeSpeedsAmongMany(t *testing.T) {
-	c := newCrowd(plain(), 200)
-	c.pass(3)
+// Among hosts whose speeds differ by up to 2.5 times the slow ones get less, and none starves.
+func TestDifferentSpeedsAmongMany(t *testing.T) {
+	c := newLargeFleet(baseSettings(), 200)
+	c.advance(3)
 	type job struct {
 		id, host uint32
 		began    float64
@@ -185,17 +187,17 @@
 	var out []job
 	for range 6000 { // 60 s of 1,000 a second, two thirds of what all can do one by one
 		for range 10 {
-			c.id++
-			c.last = 0
-			if c.b.StartRequest(c.now, Request{ID: c.id, Deadline: c.now + 2}); c.last != 0 {
-				out = append(out, job{c.id, c.last, c.now})
+			c.lastID++
+			c.lastHost = 0
+			if c.balancer.StartRequest(c.now, Request{ID: c.lastID, Deadline: c.now + 2}); c.lastHost != 0 {
+				out = append(out, job{c.lastID, c.lastHost, c.now})
 			}
 		}
-		c.pass(0.01)
+		c.advance(0.01)
 		kept := out[:0]
 		for _, j := range out {
 			if took := 0.08 * (1 + 1.5*float64(j.host%10)/9); c.now >= j.began+took {
-				c.b.AttemptDone(c.now, Result{ID: j.id, Host: j.host, Outcome: OK, DelaySeconds: c.now - j.began, Final: true})
+				c.balancer.AttemptDone(c.now, Result{ID: j.id, Host: j.host, Outcome: OK, DelaySeconds: c.now - j.began, Final: true})
 			} else {
 				kept = append(kept, j)
 			}
@@ -214,7 +216,8 @@
 	}
 }
 
-// One heavy proxy among light ones, and all with the same index by mistake: the greatest load over the mean of hosts.
+// With one busy proxy among quiet ones, or with all at the same replica index by mistake, the highest load of a host stays
+// within a multiple of the mean.
 func TestSpreadOfManyProxies(t *testing.T) {
 	const hosts = 200
 	for _, c := range []struct {
@@ -230,14 +233,14 @@
 		var all []*Balancer
 		var acts []*silentActions
 		for i := range c.proxies {
-			s := plain()
+			s := baseSettings()
 			s.Replicas, s.Self = c.proxies, i
 			if c.same {
 				s.Self = 0
 			}
-			a := newSilent(&now)
+			a := newSilentActions(&now)
 			b := New(s, uint64(i), a)
-			b.UpdateHosts(0, ListFull, fleet(hosts))
+			b.UpdateHosts(0, ListFull, manyHosts(hosts))
 			all, acts = append(all, b), append(acts, a)
 		}
 		var id uint32
@@ -253,9 +256,9 @@
 				i = 0
 			}
 			id++
-			acts[i].last = 0
+			acts[i].lastHost = 0
 			all[i].StartRequest(now, Request{ID: id, Deadline: now + 0.6})
-			if host := acts[i].last; host != 0 {
+			if host := acts[i].lastHost; host != 0 {
 				load[host]++
 				all[i].AttemptDone(now, Result{ID: id, Host: host, Outcome: OK, DelaySeconds: 0.02, Final: true})
 			}
@@ -272,15 +275,15 @@
 	}
 }
 
-// What a request with its outcome, a change of the list and a wake-up cost by the number of members.
+// BenchmarkSize measures a request with its outcome, a list change, a wake-up and a checkpoint by the number of members.
 func BenchmarkSize(b *testing.B) {
 	for _, n := range []int{13, 200, 1000, 10_000} {
-		c := newCrowd(plain(), n)
-		c.pass(3)
+		c := newLargeFleet(baseSettings(), n)
+		c.advance(3)
 		b.Run(fmt.Sprintf("request/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if c.now += 0.00005; c.ask() == 0 {
+				if c.now += 0.00005; c.request() == 0 {
 					b.Fatal("no host")
 				}
 			}
@@ -288,18 +291,18 @@
 		b.Run(fmt.Sprintf("list/%d", n), func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
 				c.now += 0.01
-				c.b.UpdateHosts(c.now, ListDelta, c.hosts[i%n:i%n+1])
+				c.balancer.UpdateHosts(c.now, ListDelta, c.hosts[i%n:i%n+1])
 			}
 		})
 		b.Run(fmt.Sprintf("wake/%d", n), func(b *testing.B) {
 			for b.Loop() {
-				c.pass(0.01)
+				c.advance(0.01)
 			}
 		})
 		b.Run(fmt.Sprintf("checkpoint/%d", n), func(b *testing.B) {
 			size := 0
 			for b.Loop() {
-				raw, _ := c.b.Checkpoint(nil, 1<<30)
+				raw, _ := c.balancer.Checkpoint(nil, 1<<30)
 				size = len(raw)
 			}
 			b.ReportMetric(float64(size), "bytes")
--- a/policy/phi_test.go
+++ b/policy/phi_test.go
@@ -24,11 +24,11 @@
 }
 
 func TestGapOfAnOutageIsNotLearned(t *testing.T) {
-	s := plain()
+	s := baseSettings()
 	s.ProbesEnabled = true
 	r := newRecorder(t, s)
-	r.b.sendRate.rate = 1e6 // so much traffic keeps the cadence at its shortest
-	r.list(ListFull, ready(1, 2, 3)...)
+	r.balancer.sendRate.rate = 1e6 // so high a rate keeps the cadence at its shortest
+	r.updateHosts(ListFull, readyHosts(1, 2, 3)...)
 	run := func(until float64, silent uint32) {
 		for r.now < until {
 			r.advance(r.now + 0.01)
@@ -36,94 +36,94 @@
 			r.probes = nil
 			for _, p := range out {
 				if p.host != silent {
-					r.b.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelaySeconds: r.now - p.at})
+					r.balancer.ProbeDone(r.now, Result{Host: p.host, Outcome: OK, DelaySeconds: r.now - p.sentAt})
 				}
 			}
 		}
 	}
 	run(20, 0)
-	h := r.b.hosts[1]
-	r.b.now = r.now
-	if phi := r.b.silencePhi(h); phi > phiSuspect {
-		t.Fatalf("phi of a sound host is %v", phi)
+	h := r.balancer.hosts[1]
+	r.balancer.now = r.now
+	if phi := r.balancer.silencePhi(h); phi > phiSuspect {
+		t.Fatalf("phi of a healthy host is %v", phi)
 	}
 	run(28, 1)
-	r.b.now = r.now
-	if phi := r.b.silencePhi(h); phi < phiUnavailable {
+	r.balancer.now = r.now
+	if phi := r.balancer.silencePhi(h); phi < phiUnavailable {
 		t.Fatalf("phi after 8 s of silence is %v", phi)
 	}
 	for i := range uint32(20) {
 		q := r.request(Request{ID: 100 + i, Deadline: r.now + 0.2})
-		if len(q.sends) > 0 && q.sends[0].host == 1 {
-			t.Fatal("sent to a host that is out")
+		if len(q.attempts) > 0 && q.attempts[0].host == 1 {
+			t.Fatal("sent to an unavailable host")
 		}
 		r.finish(q, 0, OK)
 	}
 	run(31, 0)
-	if r.b.capacityFraction(h) > 0.6 {
-		t.Errorf("trusted in full at once: strength %v", r.b.capacityFraction(h))
+	if r.balancer.capacityFraction(h) > 0.6 {
+		t.Errorf("at full capacity at once: fraction %v", r.balancer.capacityFraction(h))
 	}
 	run(34, 1)
-	r.b.now = r.now
-	if phi := r.b.silencePhi(h); phi < phiUnavailable {
-		t.Errorf("the second outage is seen late: phi %v", phi)
+	r.balancer.now = r.now
+	if phi := r.balancer.silencePhi(h); phi < phiUnavailable {
+		t.Errorf("the second outage is detected late: phi %v", phi)
 	}
 }
 
-// Silence that the host program did not listen to says nothing of the hosts; silence beyond it does.
-func TestStalled(t *testing.T) {
-	s := plain()
+// Silence while the host program did not run says nothing of the hosts; silence beyond that does.
+func TestStallIsNoSilence(t *testing.T) {
+	s := baseSettings()
 	s.ProbesEnabled = true
 	r := newRecorder(t, s)
-	r.b.sendRate.rate = 1e6
-	r.list(ListFull, ready(1, 2, 3)...)
+	r.balancer.sendRate.rate = 1e6
+	r.updateHosts(ListFull, readyHosts(1, 2, 3)...)
 	for r.now < 20 {
 		r.advance(r.now + 0.01)
-		r.answer(OK, nil)
+		r.answerProbes(OK, nil)
 	}
-	for _, told := range []float64{10, 0} {
+	for _, stallSeconds := range []float64{10, 0} {
 		r.now += 10
-		if told > 0 {
-			r.b.ObserveStall(r.now, told)
+		if stallSeconds > 0 {
+			r.balancer.ObserveStall(r.now, stallSeconds)
 		}
-		for _, h := range r.b.members {
-			if r.b.now = r.now; (r.b.silencePhi(h) < phiSuspect) != (told > 0) {
-				t.Fatalf("phi %v after 10 s of which %v s were told as a stall", r.b.silencePhi(h), told)
+		for _, h := range r.balancer.members {
+			if r.balancer.now = r.now; (r.balancer.silencePhi(h) < phiSuspect) != (stallSeconds > 0) {
+				t.Fatalf("phi %v after 10 s of which %v s were a stall", r.balancer.silencePhi(h), stallSeconds)
 			}
 		}
 	}
 }
 
 func TestFirstAnswerIsNoGap(t *testing.T) {
-	s := plain()
+	s := baseSettings()
 	s.ProbesEnabled = true
 	r := newRecorder(t, s)
-	r.list(ListFull, ready(1, 2, 3)...)
+	r.updateHosts(ListFull, readyHosts(1, 2, 3)...)
 	for r.now < 5 {
 		r.advance(r.now + 0.01)
-		r.answer(OK, nil)
-		for _, h := range r.b.members {
-			r.b.now = r.now
-			if phi := r.b.silencePhi(h); phi > phiSuspect {
-				t.Fatalf("%.2f: phi %v of a sound host", r.now, phi)
+		r.answerProbes(OK, nil)
+		for _, h := range r.balancer.members {
+			r.balancer.now = r.now
+			if phi := r.balancer.silencePhi(h); phi > phiSuspect {
+				t.Fatalf("%.2f: phi %v of a healthy host", r.now, phi)
 			}
 		}
 	}
 }
 
-func TestSomeHostGetsTrafficWhenAllAreSilent(t *testing.T) {
-	s := plain()
+func TestLeastSuspectedHostGetsTrafficWhenAllAreSilent(t *testing.T) {
+	s := baseSettings()
 	s.ProbesEnabled = true
 	r := newRecorder(t, s)
-	r.list(ListFull, ready(1, 2, 3)...)
+	r.updateHosts(ListFull, readyHosts(1, 2, 3)...)
 	r.advance(20)
-	if q := r.request(Request{ID: 1, Deadline: 21}); len(q.sends) != 1 {
-		t.Errorf("no send though a host is listed: ended %q", q.ended)
+	if q := r.request(Request{ID: 1, Deadline: 21}); len(q.attempts) != 1 {
+		t.Errorf("no send though a host is listed: ended %q", q.answer)
 	}
 }
 
-func TestBothReadingsOfPhi(t *testing.T) {
-	b := New(plain(), 3, newRecorder(t, plain()))
+func TestSuspectAndUnavailableLevels(t *testing.T) {
+	b := New(baseSettings(), 3, newRecorder(t, baseSettings()))
 	for _, c := range []struct {
 		phi       float64
 		low, high int
@@ -145,7 +145,7 @@
 		gaps  [2]float32
 		sigma float64
 	}{"steady": {[2]float32{1, 1}, 0.1}, "wild": {[2]float32{0.2, 1.8}, 0.2}, "between": {[2]float32{0.85, 1.15}, 0.15}} {
-		b := New(plain(), 3, newRecorder(t, plain()))
+		b := New(baseSettings(), 3, newRecorder(t, baseSettings()))
 		b.now = 1.4
 		h := &host{gaps: c.gaps[:], currentCadence: 1}
 		h.updateGapStats()
@@ -155,26 +155,26 @@
 	}
 }
 
-// A change of the cadence is no silence: a sound host's phi stays low through it.
-func TestCadenceMayChange(t *testing.T) {
-	s := plain()
+// A change of the probe cadence is no silence: phi of a healthy host stays low through it.
+func TestCadenceChangeRaisesNoSuspicion(t *testing.T) {
+	s := baseSettings()
 	s.ProbesEnabled, s.Replicas = true, 1000
 	r := newRecorder(t, s)
-	r.list(ListFull, fleet(160)...)
+	r.updateHosts(ListFull, manyHosts(160)...)
 	id := uint32(0)
 	for r.now < 120 {
 		r.advance(r.now + 0.005)
-		r.answer(OK, nil)
+		r.answerProbes(OK, nil)
 		if int(r.now/20)%2 == 1 && int(r.now*200)%2 == 0 {
 			id++
-			if q := r.request(Request{ID: id, Deadline: r.now + 0.6}); len(q.sends) > 0 {
+			if q := r.request(Request{ID: id, Deadline: r.now + 0.6}); len(q.attempts) > 0 {
 				r.finish(q, 0, OK)
 			}
 		}
-		for _, h := range r.b.members {
-			r.b.now = r.now
-			if phi := r.b.silencePhi(h); phi > phiUnavailable {
-				t.Fatalf("%.2f: phi %.1f of a sound host", r.now, phi)
+		for _, h := range r.balancer.members {
+			r.balancer.now = r.now
+			if phi := r.balancer.silencePhi(h); phi > phiUnavailable {
+				t.Fatalf("%.2f: phi %.1f of a healthy host", r.now, phi)
 			}
 		}
 	}
--- a/policy/probe_test.go
+++ b/policy/probe_test.go
@@ -2,27 +2,27 @@
 
 import "testing"
 
-// Probes and members follow from hosts, proxies and own traffic.
-func TestProbesFollowOwnTraffic(t *testing.T) {
+// The probe rate and the subset follow from hosts, proxies and own traffic.
+func TestProbeRateFollowsOwnTraffic(t *testing.T) {
 	for _, c := range []struct {
 		hosts, proxies int
 		rate           float64 // requests a second
 		low, high      float64 // probes a second
 	}{{160, 1000, 1, 0.8, 4}, {160, 1000, 0, 0, 2}, {12, 4, 25, 10, 14}, {160, 1000, 100, 40, 90}} {
-		s := plain()
+		s := baseSettings()
 		s.ProbesEnabled, s.Replicas = true, c.proxies
 		r := newRecorder(t, s)
-		r.list(ListFull, fleet(c.hosts)...)
+		r.updateHosts(ListFull, manyHosts(c.hosts)...)
 		probes, id := 0, uint32(0)
 		for r.now < 60 {
 			r.advance(r.now + 0.01)
 			if r.now > 30 {
 				probes += len(r.probes)
 			}
-			r.answer(OK, nil)
+			r.answerProbes(OK, nil)
 			for float64(id) < r.now*c.rate {
 				id++
-				if q := r.request(Request{ID: id, Deadline: r.now + 0.6}); len(q.sends) > 0 {
+				if q := r.request(Request{ID: id, Deadline: r.now + 0.6}); len(q.attempts) > 0 {
 					r.finish(q, 0, OK)
 				}
 			}
--- a/policy/recorded_steps_test.go
+++ b/policy/recorded_steps_test.go
@@ -44,10 +44,10 @@
 	const steps, checkpointInterval = 6000, 150
 	run := func(hosts int, s Settings, seed uint64) string {
 		sum := sha256.New()
-		acts := &tape{}
+		acts := &actionLog{}
 		bytes := 0
-		anyRunAmong(hosts, s, seed, steps, acts, func(i int, b *Balancer, _ func(*Balancer)) {
-			fmt.Fprintln(sum, acts.take())
+		runRandomEventsAmong(hosts, s, seed, steps, acts, func(i int, b *Balancer, _ func(*Balancer)) {
+			fmt.Fprintln(sum, acts.drain())
 			if i%checkpointInterval == checkpointInterval-1 {
 				state, ok := b.Checkpoint(nil, 1<<20)
 				if !ok {
@@ -60,7 +60,7 @@
 		return fmt.Sprintf("%d bytes of checkpoints, sha256 %s", bytes, hex.EncodeToString(sum.Sum(nil)))
 	}
 	var got strings.Builder
-	for n, s := range variety() {
+	for n, s := range settingsVariety() {
 		for _, seed := range []uint64{11, 12} {
 			for _, hosts := range []int{30, 90} { // fewer and more than a pick compares one by one
 				digest := run(hosts, s, seed)
--- a/policy/recorder_test.go
+++ b/policy/recorder_test.go
@@ -5,50 +5,50 @@
 	"testing"
 )
 
-// recorder carries out actions by keeping account of them, and checks the rules at each one.
+// recorder carries out actions by recording them, and checks the rules at each one.
 type recorder struct {
-	t        *testing.T
-	s        Settings
-	b        *Balancer
-	now      float64
-	hosts    map[uint32]HostInfo
-	told     map[uint32]float64 // when a host was told to be draining or gone
-	requests map[uint32]*tracked
-	ids      []uint32
-	probes   []sentProbe
-	wakes    []float64
-	watches  int
-	askedAt  float64 // when the last of them began
-	logs     []string
-	closed   []uint32
-}
-
-type tracked struct {
+	t           *testing.T
+	settings    Settings
+	balancer    *Balancer
+	now         float64
+	hosts       map[uint32]HostInfo
+	withdrawnAt map[uint32]float64 // when a host was listed as draining or gone
+	requests    map[uint32]*trackedRequest
+	ids         []uint32
+	probes      []probeInFlight
+	wakes       []float64
+	watches     int
+	lastWatchAt float64 // when the last of them began
+	logs        []string
+	idleClosed  []uint32
+}
+
+type trackedRequest struct {
 	Request
-	ended string // the final answer
-	sends []tried
+	answer   string // the final answer
+	attempts []trackedAttempt
 }
 
-type tried struct {
-	host    uint32
-	at      float64
-	done    bool
-	outcome Outcome
-	cancel  bool
+type trackedAttempt struct {
+	host        uint32
+	sentAt      float64
+	isDone      bool
+	outcome     Outcome
+	isCancelled bool
 }
 
-type sentProbe struct {
-	host uint32
-	at   float64
+type probeInFlight struct {
+	host   uint32
+	sentAt float64
 }
 
 func newRecorder(t *testing.T, s Settings) *recorder {
-	r := &recorder{t: t, s: s, hosts: map[uint32]HostInfo{}, told: map[uint32]float64{}, requests: map[uint32]*tracked{}}
-	r.b = New(s, 7, r)
+	r := &recorder{t: t, settings: s, hosts: map[uint32]HostInfo{}, withdrawnAt: map[uint32]float64{}, requests: map[uint32]*trackedRequest{}}
+	r.balancer = New(s, 7, r)
 	return r
 }
 
-func (a tried) mayHaveRun() bool { return !a.done || !a.outcome.NeverRan() }
+func (a trackedAttempt) mayHaveRun() bool { return !a.isDone || !a.outcome.NeverRan() }
 
 func (r *recorder) Send(id, host uint32) {
 	r.t.Helper()
@@ -56,39 +56,39 @@
 	switch {
 	case q == nil:
 		r.t.Fatalf("%.3f: send of unknown request %d", r.now, id)
-	case q.ended != "":
-		r.t.Fatalf("%.3f: send of request %d after it was %s", r.now, id, q.ended)
+	case q.answer != "":
+		r.t.Fatalf("%.3f: send of request %d after it was %s", r.now, id, q.answer)
 	case r.now > q.Deadline:
 		r.t.Fatalf("%.3f: send of request %d after its deadline", r.now, id)
-	case len(q.sends) >= max(r.s.MaxAttempts, 1):
-		r.t.Fatalf("%.3f: attempt %d of request %d", r.now, len(q.sends), id)
+	case len(q.attempts) >= max(r.settings.MaxAttempts, 1):
+		r.t.Fatalf("%.3f: attempt %d of request %d", r.now, len(q.attempts), id)
 	}
 	h, named := r.hosts[host]
 	if !named {
 		r.t.Fatalf("%.3f: send to host %d, never named", r.now, host)
 	}
-	if at, told := r.told[host]; told && r.now > at+r.s.DrainGraceSeconds {
-		r.t.Fatalf("%.3f: send to host %d, told to stop at %.3f", r.now, host, at)
+	if at, ok := r.withdrawnAt[host]; ok && r.now > at+r.settings.DrainGraceSeconds {
+		r.t.Fatalf("%.3f: send to host %d, withdrawn at %.3f", r.now, host, at)
 	}
-	for _, a := range q.sends {
+	for _, a := range q.attempts {
 		if a.mayHaveRun() {
 			r.checkRepeat(q, a, h)
 		}
 	}
-	q.sends = append(q.sends, tried{host: host, at: r.now})
+	q.attempts = append(q.attempts, trackedAttempt{host: host, sentAt: r.now})
 }
 
-func (r *recorder) checkRepeat(q *tracked, a tried, h HostInfo) {
+func (r *recorder) checkRepeat(q *trackedRequest, a trackedAttempt, h HostInfo) {
 	r.t.Helper()
-	c, first := r.s.Classes[q.Class], r.hosts[a.host]
-	if !a.done && !r.s.HedgingAllowed {
+	c, first := r.settings.Classes[q.Class], r.hosts[a.host]
+	if !a.isDone && !r.settings.HedgingAllowed {
 		r.t.Fatalf("%.3f: second copy of request %d", r.now, q.ID)
 	}
 	switch c.Effect {
 	case Unsafe:
 		r.t.Fatalf("%.3f: unsafe request %d sent again", r.now, q.ID)
 	case Keyed:
-		if r.now > a.at+c.DedupWindowSeconds || c.Group == GroupCell && first.Cell != h.Cell ||
+		if r.now > a.sentAt+c.DedupWindowSeconds || c.Group == GroupCell && first.Cell != h.Cell ||
 			c.Group == GroupZone && first.Zone != h.Zone {
 			r.t.Fatalf("%.3f: keyed request %d sent again outside its window or group", r.now, q.ID)
 		}
@@ -97,46 +97,46 @@
 
 func (r *recorder) Cancel(id uint32, n int) {
 	q := r.requests[id]
-	if q == nil || n >= len(q.sends) || !r.s.CanCancel {
+	if q == nil || n >= len(q.attempts) || !r.settings.CanCancel {
 		r.t.Fatalf("%.3f: cancel of attempt %d of request %d", r.now, n, id)
 	}
-	q.sends[n].cancel = true
+	q.attempts[n].isCancelled = true
 }
 
 func (r *recorder) Probe(host uint32) {
-	if _, named := r.hosts[host]; !named || !r.s.ProbesEnabled {
+	if _, named := r.hosts[host]; !named || !r.settings.ProbesEnabled {
 		r.t.Fatalf("%.3f: probe of host %d", r.now, host)
 	}
-	r.probes = append(r.probes, sentProbe{host, r.now})
+	r.probes = append(r.probes, probeInFlight{host, r.now})
 }
 
-func (r *recorder) CloseIdle(host uint32) { r.closed = append(r.closed, host) }
+func (r *recorder) CloseIdle(host uint32) { r.idleClosed = append(r.idleClosed, host) }
 
 func (r *recorder) Refuse(id uint32, after float64) {
 	r.t.Helper()
-	if after < 0 || after > r.s.MaxRetryAfterSeconds {
+	if after < 0 || after > r.settings.MaxRetryAfterSeconds {
 		r.t.Fatalf("%.3f: advice of %v", r.now, after)
 	}
-	if q := r.requests[id]; q != nil && q.Class < len(r.s.Classes) && q.Class >= 0 {
-		c := r.s.Classes[q.Class]
-		for _, a := range q.sends {
+	if q := r.requests[id]; q != nil && q.Class < len(r.settings.Classes) && q.Class >= 0 {
+		c := r.settings.Classes[q.Class]
+		for _, a := range q.attempts {
 			if a.mayHaveRun() && c.Effect != Safe && !(c.Effect == Keyed && c.Group == GroupAll) {
 				r.t.Fatalf("%.3f: request %d refused though it may have run", r.now, id)
 			}
 		}
 	}
-	r.end(id, "refused")
+	r.recordAnswer(id, "refused")
 }
 
-func (r *recorder) Fail(id uint32) { r.t.Helper(); r.end(id, "failed") }
+func (r *recorder) Fail(id uint32) { r.t.Helper(); r.recordAnswer(id, "failed") }
 
-func (r *recorder) end(id uint32, how string) {
+func (r *recorder) recordAnswer(id uint32, answer string) {
 	r.t.Helper()
 	q := r.requests[id]
-	if q == nil || q.ended != "" {
-		r.t.Fatalf("%.3f: request %d %s: unknown or ended before", r.now, id, how)
+	if q == nil || q.answer != "" {
+		r.t.Fatalf("%.3f: request %d %s: unknown or answered before", r.now, id, answer)
 	}
-	q.ended = how
+	q.answer = answer
 }
 
 func (r *recorder) WakeAfter(s float64) {
@@ -146,7 +146,7 @@
 	r.wakes = append(r.wakes, r.now+s)
 }
 
-func (r *recorder) Watch()          { r.watches, r.askedAt = r.watches+1, r.now }
+func (r *recorder) Watch()          { r.watches, r.lastWatchAt = r.watches+1, r.now }
 func (r *recorder) Log(text string) { r.logs = append(r.logs, text) }
 
 // advance moves the clock to a time and delivers the wake-ups on the way.
@@ -164,79 +164,79 @@
 		}
 		r.now = max(r.now, r.wakes[next])
 		r.wakes = append(r.wakes[:next], r.wakes[next+1:]...)
-		r.b.Wake(r.now)
-		r.overdue()
+		r.balancer.Wake(r.now)
+		r.checkDeadlines()
 	}
 	r.now = to
-	r.overdue()
+	r.checkDeadlines()
 }
 
-// overdue checks that nothing without an attempt out is past its deadline.
-func (r *recorder) overdue() {
+// checkDeadlines checks that no request is past its deadline without a final answer.
+func (r *recorder) checkDeadlines() {
 	r.t.Helper()
 	for _, id := range r.ids {
 		q := r.requests[id]
-		if q.ended == "" && r.now > q.Deadline+0.005 {
+		if q.answer == "" && r.now > q.Deadline+0.005 {
 			r.t.Fatalf("%.3f: request %d has no final answer; its deadline was %.3f", r.now, id, q.Deadline)
 		}
 	}
 }
 
-func (r *recorder) list(kind ListKind, hosts ...HostInfo) {
+func (r *recorder) updateHosts(kind ListKind, hosts ...HostInfo) {
 	r.t.Helper()
 	if kind == ListFull {
 		for id := range r.hosts {
-			r.tell(id, Gone)
+			r.recordState(id, Gone)
 		}
 	}
 	for _, h := range hosts {
 		r.hosts[h.ID] = h
-		r.tell(h.ID, h.State)
+		r.recordState(h.ID, h.State)
 	}
-	r.b.UpdateHosts(r.now, kind, hosts)
+	r.balancer.UpdateHosts(r.now, kind, hosts)
 }
 
-func (r *recorder) tell(id uint32, state HostState) {
-	_, before := r.told[id]
+func (r *recorder) recordState(id uint32, state HostState) {
+	_, before := r.withdrawnAt[id]
 	switch {
 	case state == Ready:
-		delete(r.told, id)
-	case !before && (state == Draining || !r.s.GoneHostsUsable):
-		r.told[id] = r.now
+		delete(r.withdrawnAt, id)
+	case !before && (state == Draining || !r.settings.GoneHostsUsable):
+		r.withdrawnAt[id] = r.now
 	}
 }
 
-func (r *recorder) request(q Request) *tracked {
+func (r *recorder) request(q Request) *trackedRequest {
 	r.t.Helper()
-	k := &tracked{Request: q}
+	k := &trackedRequest{Request: q}
 	r.requests[q.ID] = k
 	r.ids = append(r.ids, q.ID)
-	r.b.StartRequest(r.now, q)
+	r.balancer.StartRequest(r.now, q)
 	return k
 }
 
 // finish ends attempt n of a request.
-func (r *recorder) finish(q *tracked, n int, how Outcome) {
+func (r *recorder) finish(q *trackedRequest, n int, outcome Outcome) {
 	r.t.Helper()
-	a := &q.sends[n]
-	a.done, a.outcome = true, how
-	if how == OK && q.ended == "" {
-		q.ended = "served"
+	a := &q.attempts[n]
+	a.isDone, a.outcome = true, outcome
+	if outcome == OK && q.answer == "" {
+		q.answer = "served"
 	}
-	r.b.AttemptDone(r.now, Result{ID: q.ID, Attempt: n, Host: a.host, Outcome: how, DelaySeconds: r.now - a.at,
-		Final: q.ended != ""})
+	r.balancer.AttemptDone(r.now, Result{ID: q.ID, Attempt: n, Host: a.host, Outcome: outcome, DelaySeconds: r.now - a.sentAt,
+		Final: q.answer != ""})
 }
 
-// answer answers all probes that are out.
-func (r *recorder) answer(how Outcome, held func(host uint32) float32) {
+// answerProbes answers all probes in flight, with the load that load returns.
+func (r *recorder) answerProbes(outcome Outcome, load func(host uint32) float32) {
 	r.t.Helper()
 	out := r.probes
 	r.probes = nil
 	for _, p := range out {
-		res := Result{Host: p.host, Outcome: how, DelaySeconds: r.now - p.at}
-		if held != nil {
-			res.Report = Report{N: 1, Values: [4]float32{held(p.host)}}
+		res := Result{Host: p.host, Outcome: outcome, DelaySeconds: r.now - p.sentAt}
+		if load != nil {
+			res.Report = Report{N: 1, Values: [4]float32{load(p.host)}}
 		}
-		r.b.ProbeDone(r.now, res)
+		r.balancer.ProbeDone(r.now, res)
 	}
 }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -1,7 +1,7 @@
 package policy
 
-// plain are settings with one class of each effect, no probes and no reports.
-func plain() Settings {
+// baseSettings returns settings with one class of each effect, without probes and load reports.
+func baseSettings() Settings {
 	return Settings{
 		Classes: []Class{
 			{Name: "safe", Effect: Safe, LatencyTargetSeconds: 0.3, TotalTimeoutSeconds: 1, PriorityWeight: 1},
@@ -13,14 +13,15 @@
 	}
 }
 
-// polled are settings where load reports come with probe answers alone.
-func polled() Settings {
-	s := plain()
+// polledSettings returns settings where load reports come with probe answers only.
+func polledSettings() Settings {
+	s := baseSettings()
 	s.ProbesEnabled, s.ReportsOnProbe, s.ReportFields = true, true, []ReportField{FieldInflight}
 	return s
 }
 
-func ready(ids ...uint32) []HostInfo {
+// readyHosts returns ready hosts with the given IDs; ten in a row share a cell.
+func readyHosts(ids ...uint32) []HostInfo {
 	var list []HostInfo
 	for _, id := range ids {
 		list = append(list, HostInfo{ID: id, Cell: int(id) / 10, State: Ready})
@@ -28,8 +29,8 @@
 	return list
 }
 
-// fleet hosts: ids from 1.
-func fleet(n int) []HostInfo {
+// manyHosts returns n ready hosts with IDs from 1; four in a row share a cell.
+func manyHosts(n int) []HostInfo {
 	list := make([]HostInfo, n)
 	for i := range list {
 		list[i] = HostInfo{ID: uint32(i + 1), Cell: i / 4, State: Ready}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -5,53 +5,53 @@
 	"testing"
 )
 
-func TestColdHostIsRampedUp(t *testing.T) {
-	r := newRecorder(t, plain())
-	r.list(ListFull, ready(1, 2, 3, 4)...)
+func TestWarmingHostGetsSlowStart(t *testing.T) {
+	r := newRecorder(t, baseSettings())
+	r.updateHosts(ListFull, readyHosts(1, 2, 3, 4)...)
 	id, cold := uint32(0), map[int]int{}
 	for step := range 3000 { // 100 requests a second, each served in 80 ms
 		at := float64(step) * 0.01
 		r.advance(at)
 		if step == 1000 {
-			r.list(ListDelta, HostInfo{ID: 1, State: Ready, Started: at})
+			r.updateHosts(ListDelta, HostInfo{ID: 1, State: Ready, Started: at})
 		}
 		id++
 		q := r.request(Request{ID: id, Deadline: at + 1})
-		if len(q.sends) == 1 && q.sends[0].host == 1 && step >= 1000 {
+		if len(q.attempts) == 1 && q.attempts[0].host == 1 && step >= 1000 {
 			cold[(step-1000)/200]++
 		}
-		if old := r.requests[id-8]; old != nil && old.ended == "" {
+		if old := r.requests[id-8]; old != nil && old.answer == "" {
 			r.finish(old, 0, OK)
 		}
 	}
-	// A warm host takes about 50 in 2 s; the cold one may get part of it, later all of it.
+	// A warm host takes about 50 in 2 s; the warming one may get a part of them, later all.
 	if cold[0] < 1 || cold[0] > 30 || cold[8] < 30 {
-		t.Errorf("sends to the cold host in each 2 s: %v", cold)
+		t.Errorf("sends to the warming host in each 2 s: %v", cold)
 	}
 }
 
-// A thousand proxies, each with little traffic, must not push a cold host over by one request each.
-func TestThousandProxiesKeepTheColdBudget(t *testing.T) {
+// A thousand proxies with little traffic each must not overload a warming host by one request each.
+func TestThousandProxiesKeepSlowStartBudget(t *testing.T) {
 	const proxies, hosts, capacity = 1000, 150, 14.0 // requests a second that a warm host can do
-	s := plain()
+	s := baseSettings()
 	s.Replicas = proxies
 	rng := rand.New(rand.NewPCG(5, 5))
 	now := 0.0
 	balancers, acts := make([]*Balancer, proxies), make([]*silentActions, proxies)
 	for i := range balancers {
 		s.Self = i
-		acts[i] = newSilent(&now)
+		acts[i] = newSilentActions(&now)
 		balancers[i] = New(s, uint64(i), acts[i])
-		balancers[i].UpdateHosts(0, ListFull, fleet(hosts))
+		balancers[i].UpdateHosts(0, ListFull, manyHosts(hosts))
 	}
-	cold := fleet(hosts)
+	cold := manyHosts(hosts)
 	for i := range cold {
 		cold[i].Started = 20
 	}
 	var at []float64 // of sends to one of the cold hosts
 	id, step := uint32(0), 0.0007
 	for now = 0.001; now < 26; now += step { // about 1,430 requests a second, two thirds of what the fleet can do
-		if now >= 20 && step == 0.0007 { // all hosts restart and clients storm them
+		if now >= 20 && step == 0.0007 { // all hosts restart and traffic doubles
 			step = 0.0003
 			for _, b := range balancers {
 				b.UpdateHosts(now, ListFull, cold)
@@ -61,7 +61,7 @@
 		id++
 		before := acts[i].sent[72]
 		balancers[i].StartRequest(now, Request{ID: id, Deadline: now + 0.6})
-		if host := acts[i].last; host > 0 {
+		if host := acts[i].lastHost; host > 0 {
 			balancers[i].AttemptDone(now+0.0005, Result{ID: id, Host: host, Outcome: OK, DelaySeconds: 0.05, Final: true})
 		}
 		if acts[i].sent[72] > before && now >= 20 {
@@ -69,7 +69,7 @@
 		}
 	}
 	if len(at) < 5 {
-		t.Errorf("a cold host gets %d requests in 6 s", len(at))
+		t.Errorf("a warming host gets %d requests in 6 s", len(at))
 	}
 	for i, from := range at {
 		n := 0
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// A subset that is mostly cold could not carry its load, so it goes on until enough of it is warm.
+// A subset of mostly warming hosts lacks capacity, so it is extended until enough of it is warm.
 func TestSubsetHoldsEnoughWarmHosts(t *testing.T) {
-	s := plain()
+	s := baseSettings()
 	s.Replicas = 20
 	r := newRecorder(t, s)
 	r.advance(100)
@@ -38,14 +38,14 @@
 		}
 		hosts = append(hosts, h)
 	}
-	r.list(ListFull, hosts...)
+	r.updateHosts(ListFull, hosts...)
 	warm := 0
-	for _, h := range r.b.members {
+	for _, h := range r.balancer.members {
 		if h.Started == 0 {
 			warm++
 		}
 	}
 	if warm < 18 {
-		t.Errorf("%d of %d members are warm", warm, len(r.b.members))
+		t.Errorf("%d of %d members are warm", warm, len(r.balancer.members))
 	}
 }
