--- a/internal/coordination/list_relay.go
+++ b/internal/coordination/list_relay.go
@@ -23,7 +23,7 @@
 // all; the others apply them in place of a watch. It is the part of all of these roles that a sidecar has once.
 type listRelay struct {
 	roles   *roleManager
-	lists   sidecar.Lists
+	lists   sidecar.ListReceiver
 	sources [len(listRoleNames)]*listRole
 
 	relayed         bool    // updates of others replace this sidecar's watch
@@ -59,7 +59,7 @@
 	ForeignUpdates     uint64  `json:"foreign,omitempty"` // of another discovery service
 }
 
-var _ sidecar.Passer = (*Node)(nil)
+var _ sidecar.ListObserver = (*Node)(nil)
 
 func newListRelay(m *roleManager) *listRelay {
 	l := &listRelay{roles: m, lists: m.node.options.Lists}
@@ -69,8 +69,8 @@
 	return l
 }
 
-// Listed implements sidecar.Passer: it relays an object of discovery.
-func (n *Node) Listed(before uint64, held bool, raw []byte) {
+// Listed implements sidecar.ListObserver: it relays an object of discovery.
+func (n *Node) ListRead(before uint64, held bool, raw []byte) {
 	n.run(func() {
 		if n.roles != nil && n.roles.listRelay != nil {
 			n.roles.listRelay.handleDiscoveryUpdate(before, held, raw)
@@ -78,8 +78,8 @@
 	})
 }
 
-// Unlisted implements sidecar.Passer: it relays the end of the watch.
-func (n *Node) Unlisted() {
+// Unlisted implements sidecar.ListObserver: it relays the end of the watch.
+func (n *Node) WatchEnded() {
 	n.run(func() {
 		if n.roles != nil && n.roles.listRelay != nil {
 			n.roles.listRelay.handleWatchEnd()
@@ -102,14 +102,14 @@
 // releaseOwnWatch ends the watch unless this sidecar is a holder.
 func (l *listRelay) releaseOwnWatch() {
 	if l.activeSource() == nil {
-		l.lists.WatchOwn(false)
+		l.lists.SetDirectWatch(false)
 	}
 }
 
 // --- holder ---
 
 // handleDiscoveryUpdate sends what this sidecar's watch has brought to all, if it is a holder. The arguments are those of
-// sidecar.Passer.Listed.
+// sidecar.ListObserver.ListRead.
 func (l *listRelay) handleDiscoveryUpdate(before uint64, held bool, raw []byte) {
 	defer l.serveWaiters()
 	l.ownWatchHeardAt = l.now()
@@ -118,7 +118,7 @@
 	if r == nil || !ok {
 		return
 	}
-	u := listUpdate{Discovery: v.Discovery, Index: v.Index, Checksum: v.Sum}
+	u := listUpdate{Discovery: v.DiscoveryAddress, Index: v.Index, Checksum: v.Checksum}
 	if raw != nil && held && v.Index > l.announcedIndex { // otherwise all have the delta, or will request the list
 		if delta := compress(raw); len(delta) <= maxDeltaBytes {
 			u.BaseIndex, u.Delta = before, delta
@@ -130,7 +130,7 @@
 // handleWatchEnd tells all that no updates will come from here for now.
 func (l *listRelay) handleWatchEnd() {
 	if r := l.activeSource(); r != nil {
-		l.publish(r, listUpdate{Discovery: l.lists.Discovery(), WatchEnded: true})
+		l.publish(r, listUpdate{Discovery: l.lists.DiscoveryAddress(), WatchEnded: true})
 	}
 }
 
@@ -170,7 +170,7 @@
 	if token != r.sourceToken {
 		r.sourceToken, r.clockOffset, r.clockOffsetAt = token, now-u.AtSeconds, now
 	}
-	if u.Discovery != l.lists.Discovery() {
+	if u.Discovery != l.lists.DiscoveryAddress() {
 		l.stats.ForeignUpdates++
 		return nil
 	}
@@ -203,7 +203,7 @@
 		l.requestList(from, r, token, u, now, now-age)
 		return nil
 	}
-	if v, held = l.lists.ListVersion(); !held || v.Sum != u.Checksum {
+	if v, held = l.lists.ListVersion(); !held || v.Checksum != u.Checksum {
 		l.handleMismatch(now, u.Index)
 		return nil
 	}
@@ -214,7 +214,7 @@
 
 // applyList applies an object of discovery that must lead to a version.
 func (l *listRelay) applyList(raw []byte, index uint64) error {
-	if err := l.lists.TakeList(raw); err != nil {
+	if err := l.lists.ApplyList(raw); err != nil {
 		return err
 	}
 	l.stats.Applied++
@@ -231,7 +231,7 @@
 	l.relayed, l.ownWatchAt = true, 0
 	l.triesOwnWatch = false
 	l.releaseOwnWatch()
-	l.lists.Fed()
+	l.lists.ConfirmList()
 }
 
 // handleMismatch handles an update that contradicts the list here: the sidecar requests the whole list from discovery and ignores
@@ -241,7 +241,7 @@
 	l.roles.logInfo("relayed list mismatch: watching discovery", "index", index)
 	l.stopRelaying()
 	l.distrustUntil = now + distrustSeconds
-	l.lists.Distrust()
+	l.lists.InvalidateList()
 }
 
 // stopRelaying forgets all confirmations, so that the sidecar goes by its own watch.
@@ -272,7 +272,7 @@
 	case newest == 0 || now >= newest+staleSeconds:
 		l.stats.Stale++
 		l.stopRelaying()
-		l.lists.Starved()
+		l.lists.ExpireList()
 		return now + staleSeconds
 	case now < newest+ownWatchDelaySeconds:
 		l.stepDownIfCutOff(now)
@@ -282,7 +282,7 @@
 	}
 	if !l.triesOwnWatch && now >= l.ownWatchAt && l.activeSource() == nil {
 		l.triesOwnWatch = true
-		l.lists.WatchOwn(true)
+		l.lists.SetDirectWatch(true)
 	}
 	if l.triesOwnWatch || l.activeSource() != nil {
 		return newest + staleSeconds
--- a/internal/coordination/list_relay_test.go
+++ b/internal/coordination/list_relay_test.go
@@ -21,25 +21,25 @@
 	starved, distrusts int
 }
 
-func (f *fakeLists) Discovery() string { return f.discovery }
+func (f *fakeLists) DiscoveryAddress() string { return f.discovery }
 
 func (f *fakeLists) ListVersion() (v sidecar.ListVersion, ok bool) {
 	v.Index, ok = f.set.Index()
-	v.Discovery, v.Sum = f.discovery, f.set.Sum()
+	v.DiscoveryAddress, v.Checksum = f.discovery, f.set.Sum()
 	return v, ok
 }
 
-func (f *fakeLists) WholeList() []byte { return f.set.Whole() }
+func (f *fakeLists) CompleteList() []byte { return f.set.Whole() }
 
-func (f *fakeLists) TakeList(raw []byte) error {
+func (f *fakeLists) ApplyList(raw []byte) error {
 	_, _, err := f.set.Apply(raw, 1)
 	return err
 }
 
-func (f *fakeLists) Fed()             { f.fed = true }
-func (f *fakeLists) Starved()         { f.fed = false; f.starved++ }
-func (f *fakeLists) WatchOwn(on bool) { f.own = on }
-func (f *fakeLists) Distrust()        { f.fed = false; f.distrusts++; f.set.Unversion() }
+func (f *fakeLists) ConfirmList()           { f.fed = true }
+func (f *fakeLists) ExpireList()            { f.fed = false; f.starved++ }
+func (f *fakeLists) SetDirectWatch(on bool) { f.own = on }
+func (f *fakeLists) InvalidateList()        { f.fed = false; f.distrusts++; f.set.Unversion() }
 
 // newListNode returns a node that follows updates, and its list.
 func newListNode() (*Node, *clockNet, *fakeLists) {
@@ -72,7 +72,7 @@
 			_, _, err = truth.Apply(raw, 1)
 			require.NoError(t, err)
 			if i == 0 {
-				require.NoError(t, lists.TakeList(raw))
+				require.NoError(t, lists.ApplyList(raw))
 			}
 			sums = append(sums, truth.Sum())
 			updates = append(updates, listUpdate{Discovery: "d:1", Index: uint64(i), Checksum: truth.Sum(), BaseIndex: uint64(max(i-1, 0)), Delta: compress(raw)})
@@ -100,7 +100,7 @@
 			v, ok := lists.ListVersion()
 			require.True(t, ok)
 			require.GreaterOrEqual(t, v.Index, index, "no version is replaced by an earlier one")
-			require.Equal(t, sums[v.Index], v.Sum)
+			require.Equal(t, sums[v.Index], v.Checksum)
 			if index = v.Index; l.newestFreshAt() > freshAt {
 				freshAt = l.newestFreshAt()
 			}
@@ -123,10 +123,10 @@
 func TestDelayedUpdatesAreOld(t *testing.T) {
 	n, net, lists := newListNode()
 	l := n.roles.listRelay
-	require.NoError(t, lists.TakeList([]byte(`{"index":7,"snapshot":true,"endpoints":[]}`)))
+	require.NoError(t, lists.ApplyList([]byte(`{"index":7,"snapshot":true,"endpoints":[]}`)))
 	v, _ := lists.ListVersion()
 	send := func(at float64) {
-		sendUpdate(l.sources[1], net, listUpdate{Discovery: "d:1", Index: 7, Checksum: v.Sum}, at)
+		sendUpdate(l.sources[1], net, listUpdate{Discovery: "d:1", Index: 7, Checksum: v.Checksum}, at)
 		l.checkFreshness(net.now)
 	}
 	send(0)
--- a/internal/coordination/list_role.go
+++ b/internal/coordination/list_role.go
@@ -64,7 +64,7 @@
 func (r *listRole) Start(token uint64) {
 	r.heldToken, r.lapsedToken, r.startedAt = token, 0, r.relay.now()
 	r.relay.triesOwnWatch = false
-	r.relay.lists.WatchOwn(true)
+	r.relay.lists.SetDirectWatch(true)
 }
 
 // Stop implements singletonRole. The watch stays until the updates of others replace it.
@@ -77,7 +77,7 @@
 // be sent until there is a new one. An update of discovery is valid whoever sends it.
 func (r *listRole) HandleLapse(token uint64) {
 	r.lapsedToken, r.lapseDeadline = token, r.relay.now()+lapseGraceSeconds
-	r.relay.lists.WatchOwn(true)
+	r.relay.lists.SetDirectWatch(true)
 }
 
 // continuesAfterLapse reports whether this sidecar goes on under a lease that was not renewed: for a limited time, unless a later
@@ -107,7 +107,7 @@
 		l.serveWaiters() // removes those that have waited too long
 		if frames.Unmarshal(m.Body, &request) != nil {
 			l.roles.countMalformed(r.name)
-		} else if request.Discovery == l.lists.Discovery() && len(l.waiters) < maxWaiters {
+		} else if request.Discovery == l.lists.DiscoveryAddress() && len(l.waiters) < maxWaiters {
 			l.waiters = append(l.waiters, listWaiter{from.Number, m.Token, r, request.Index, l.now() + listRequestRetrySeconds})
 			l.serveWaiters()
 		}
--- a/internal/coordination/list_transfer.go
+++ b/internal/coordination/list_transfer.go
@@ -50,12 +50,12 @@
 			waiting = append(waiting, w)
 		default:
 			if body == nil {
-				body = compress(l.lists.WholeList())
+				body = compress(l.lists.CompleteList())
 			}
 			l.stats.SnapshotsServed++
 			chunks := (len(body) + chunkBytes - 1) / chunkBytes
 			for i := range chunks {
-				chunk := listChunk{v.Discovery, v.Index, v.Sum, i, chunks, body[i*chunkBytes : min((i+1)*chunkBytes, len(body))]}
+				chunk := listChunk{v.DiscoveryAddress, v.Index, v.Checksum, i, chunks, body[i*chunkBytes : min((i+1)*chunkBytes, len(body))]}
 				l.roles.sendReply(link, w.source.name, w.token, kindListChunk, mustMarshal(chunk))
 			}
 		}
@@ -67,7 +67,7 @@
 // are ignored; an error says that the chunk is malformed.
 func (l *listRelay) handleChunk(from *peers.Link, c *listChunk) error {
 	now := l.now()
-	if l.requestedAt == 0 || from.Number != l.requestLink || now < l.distrustUntil || c.Discovery != l.lists.Discovery() || c.Index < l.request.Index {
+	if l.requestedAt == 0 || from.Number != l.requestLink || now < l.distrustUntil || c.Discovery != l.lists.DiscoveryAddress() || c.Index < l.request.Index {
 		return nil
 	}
 	if c.Chunk != len(l.chunks) || c.Chunks < 1 || c.Chunks > maxListBytes/chunkBytes {
@@ -87,7 +87,7 @@
 	if err := l.applyList(raw, c.Index); err != nil {
 		return err
 	}
-	if v, _ := l.lists.ListVersion(); v.Sum != c.Checksum {
+	if v, _ := l.lists.ListVersion(); v.Checksum != c.Checksum {
 		l.handleMismatch(now, c.Index)
 		return nil
 	}
--- a/internal/coordination/options.go
+++ b/internal/coordination/options.go
@@ -38,7 +38,7 @@
 	Replaceable      bool   // a hot restart may pass this process's identity and address on to another process
 	Host             sidecar.RoleHost
 	Placement        sidecar.RankReceiver
-	Lists            sidecar.Lists             // needed for the role "list"
+	Lists            sidecar.ListReceiver      // needed for the role "list"
 	Faults           sidecar.Drills            // needed for the role "drill"
 	Servers          sidecar.MaintainedServers // needed for the role "works"
 	MaintenanceOrder maintenance.Order         // in which servers are taken down; the zero value is the one in production
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -40,7 +40,7 @@
 		p.EnableRequestStats()
 	}
 	if slices.Contains(on.Jobs, "list") {
-		p.PassLists(p.fleet)
+		p.SetListObserver(p.fleet)
 	}
 	if slices.Contains(on.Jobs, "drill") {
 		p.DrillTogether(p.fleet)
--- a/internal/sidecar/feed.go
+++ b/internal/sidecar/feed.go
@@ -12,78 +12,78 @@
 
 // ListVersion names a list. Discovery services count each their own.
 type ListVersion struct {
-	Discovery string // its address
-	Index     uint64
-	Sum       uint64 // equal at lists that say the same
+	DiscoveryAddress string // its address
+	Index            uint64
+	Checksum         uint64 // equal at lists that say the same
 }
 
 // ListReceiver is what a fleet that passes lists on asks of the sidecar, and tells it. All is for the loop.
-type Lists interface {
+type ListReceiver interface {
 	// DiscoveryAddress returns the address of the discovery service that the sidecar goes by.
-	Discovery() string
+	DiscoveryAddress() string
 	// ListVersion returns the version of the list that is held; false: it has none.
 	ListVersion() (ListVersion, bool)
 	// CompleteList returns the list that is held, as discovery would write it.
-	WholeList() []byte
+	CompleteList() []byte
 	// TakeList applies one object of discovery's. One whose index is lower than that of the list that is held is ErrOldList. After
 	// one that was applied Fed or Distrust follows: to the decisions it is a sign that a watch is up.
-	TakeList(raw []byte) error
+	ApplyList(raw []byte) error
 	// ConfirmList tells that the list that is held was discovery's a moment ago: a watch is not needed, and ends unless WatchOwn holds it.
 	// ExpireList tells that it was not so for too long.
-	Fed()
-	Starved()
+	ConfirmList()
+	ExpireList()
 	// SetDirectWatch has the sidecar hold a watch of its own whatever is passed on, or ends that.
-	WatchOwn(on bool)
+	SetDirectWatch(on bool)
 	// InvalidateList has it ask for the whole list: what was passed on is not what discovery says.
-	Distrust()
+	InvalidateList()
 }
 
 // ListObserver is told of what discovery says to the sidecar's own watch, on the loop.
-type Passer interface {
+type ListObserver interface {
 	// ListRead takes an object, after it was applied to the list of an index; false: to none. Raw is not kept; nil: all is as it was.
-	Listed(before uint64, held bool, raw []byte)
+	ListRead(before uint64, held bool, raw []byte)
 	// WatchEnded takes the end of a watch that was up.
-	Unlisted()
+	WatchEnded()
 }
 
-var _ Lists = (*Sidecar)(nil)
+var _ ListReceiver = (*Sidecar)(nil)
 
 // passed is what a sidecar knows of what is passed on to it.
 type passed struct {
-	to  Passer // nil: nobody passes anything on
-	on  bool   // what others pass on takes the place of a watch
-	own bool   // a watch of its own is held beside
+	to  ListObserver // nil: nobody passes anything on
+	on  bool         // what others pass on takes the place of a watch
+	own bool         // a watch of its own is held beside
 }
 
 // SetListObserver has a fleet told of what discovery says. It comes before Start.
-func (s *Sidecar) PassLists(to Passer) { s.passed.to = to }
+func (s *Sidecar) SetListObserver(to ListObserver) { s.passed.to = to }
 
 // ErrStaleList is the fault of a list that is older than the one that is held.
-var ErrOldList = errors.New("the list is older than the one that is held")
+var ErrStaleList = errors.New("the list is older than the one that is held")
 
 // DiscoveryAddress is for the loop.
-func (s *Sidecar) Discovery() string { return s.cfg.Discovery }
+func (s *Sidecar) DiscoveryAddress() string { return s.cfg.Discovery }
 
 // ListVersion is for the loop.
 func (s *Sidecar) ListVersion() (v ListVersion, ok bool) {
 	if v.Index, ok = s.hosts.Index(); !ok {
 		return v, false
 	}
-	v.Discovery, v.Sum = s.cfg.Discovery, s.hosts.Sum()
+	v.DiscoveryAddress, v.Checksum = s.cfg.Discovery, s.hosts.Sum()
 	return v, true
 }
 
 // CompleteList is for the loop.
-func (s *Sidecar) WholeList() []byte { return s.hosts.Whole() }
+func (s *Sidecar) CompleteList() []byte { return s.hosts.Whole() }
 
 // ApplyList is for the loop.
-func (s *Sidecar) TakeList(raw []byte) (err error) {
+func (s *Sidecar) ApplyList(raw []byte) (err error) {
 	index, _, err := endpointset.Heading(raw)
 	if err != nil {
 		return err
 	}
 	if held, ok := s.hosts.Index(); ok && index < held {
-		return ErrOldList
+		return ErrStaleList
 	}
 	s.enter(func() { err = s.list(raw) })
 	return err
@@ -93,7 +93,7 @@
 func (s *Sidecar) watches() bool { return s.passed.on || s.watcher != nil && s.watcher.heard }
 
 // ConfirmList is for the loop.
-func (s *Sidecar) Fed() {
+func (s *Sidecar) ConfirmList() {
 	s.enter(func() {
 		was := s.watches()
 		s.passed.on = true
@@ -107,7 +107,7 @@
 }
 
 // ExpireList is for the loop.
-func (s *Sidecar) Starved() {
+func (s *Sidecar) ExpireList() {
 	s.enter(func() {
 		was := s.watches()
 		if s.passed.on = false; was && !s.watches() {
@@ -118,7 +118,7 @@
 }
 
 // SetDirectWatch is for the loop.
-func (s *Sidecar) WatchOwn(on bool) {
+func (s *Sidecar) SetDirectWatch(on bool) {
 	s.enter(func() {
 		if s.passed.own = on; on && s.watcher == nil && !s.stopping {
 			s.beginWatch()
@@ -127,7 +127,7 @@
 }
 
 // InvalidateList is for the loop. Danger: what all were told wrong all ask about; the decisions know how to do that in turn.
-func (s *Sidecar) Distrust() {
+func (s *Sidecar) InvalidateList() {
 	s.enter(func() {
 		if s.watcher != nil {
 			s.watcher.stop()
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -151,7 +151,7 @@
 
 // noticeMalformedList logs that discovery has sent something that is no list, once for each fault in a row.
 func (s *Sidecar) noticeMalformedList(err error) {
-	if errors.Is(err, ErrOldList) || err.Error() == s.listFault {
+	if errors.Is(err, ErrStaleList) || err.Error() == s.listFault {
 		return
 	}
 	s.listFault = err.Error()
@@ -166,7 +166,7 @@
 	}
 	if w.s.passed.to != nil {
 		index, held := w.s.hosts.Index()
-		w.s.passed.to.Listed(index, held, nil)
+		w.s.passed.to.ListRead(index, held, nil)
 	}
 }
 
@@ -193,7 +193,7 @@
 		case !snapshot:
 			line = nil
 		case w.since != before:
-			return ErrOldList // it is asked anew, by the list that is held
+			return ErrStaleList // it is asked anew, by the list that is held
 		}
 	}
 	if w.heard = true; line == nil {
@@ -203,7 +203,7 @@
 	if err := s.list(line); err != nil {
 		return err
 	}
-	s.passed.to.Listed(before, held, line)
+	s.passed.to.ListRead(before, held, line)
 	return nil
 }
 
@@ -280,7 +280,7 @@
 	s.log.Debug("watch failed", "error", err)
 	if s.passed.to != nil {
 		if w.heard {
-			s.passed.to.Unlisted()
+			s.passed.to.WatchEnded()
 		}
 		if s.passed.own {
 			s.timers.at(s.now()+rewatchS, s.again)
--- a/internal/sim/lists.go
+++ b/internal/sim/lists.go
@@ -11,7 +11,7 @@
 
 // listener stands between a sidecar and its fleet, and has the judge see what others pass on to it.
 type listener struct {
-	sidecar.Lists
+	sidecar.ListReceiver
 	s *instance
 }
 
@@ -19,7 +19,7 @@
 
 // ApplyList tells the judge of each entry before the sidecar knows it. Whether the list is as new as it should be is the judge's to
 // say.
-func (l listener) TakeList(raw []byte) error {
+func (l listener) ApplyList(raw []byte) error {
 	var list struct {
 		Index     uint64
 		Snapshot  bool
@@ -29,7 +29,7 @@
 		}
 	}
 	if err := json.Unmarshal(raw, &list); err != nil {
-		return l.Lists.TakeList(raw)
+		return l.ListReceiver.ApplyList(raw)
 	}
 	d := l.s.d
 	named := map[string]int{} // entries, by box; looked up, never walked
@@ -48,7 +48,7 @@
 			d.watch.See(e)
 		}
 	}
-	return l.Lists.TakeList(raw)
+	return l.ListReceiver.ApplyList(raw)
 }
 
 // Releases are the troubles of a quiet day: one box after the other drains, ends and begins again.
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -134,7 +134,7 @@
 			return nil, err
 		}
 		if len(settings.Roles) > 0 {
-			sc.PassLists(f)
+			sc.SetListObserver(f)
 		}
 		f.UseStore(disk{s, loop, 0.02 * rng.Float64()}, s.saved)
 		if d.works != nil {
