--- a/cmd/hazelwheel/drill.go
+++ b/cmd/hazelwheel/drill.go
@@ -34,12 +34,12 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(startWithinS*time.Second))
 	defer cancel()
-	address := "http://" + cfg.Listen + http1.DrillPath + url.PathEscape(c.String("name"))
+	address := "http://" + cfg.Listen + http1.FaultPath + url.PathEscape(c.String("name"))
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, address, nil)
 	if err != nil {
 		return err
 	}
-	r.Header.Set(http1.DrillSecret, base64.StdEncoding.EncodeToString(trimLineBreak(secret)))
+	r.Header.Set(http1.FaultSecretField, base64.StdEncoding.EncodeToString(trimLineBreak(secret)))
 	// Danger: a proxy that the environment names would be told the secret.
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
 	if err != nil {
--- a/internal/coordination/fault_role.go
+++ b/internal/coordination/fault_role.go
@@ -68,9 +68,9 @@
 // Stop implements singletonRole.
 func (r *faultRole) Stop() { r.heldToken = 0 }
 
-// Drilled implements sidecar.Driller: it announces a fault that an operator has started at this sidecar to the fleet. sign returns
+// Drilled implements sidecar.FaultObserver: it announces a fault that an operator has started at this sidecar to the fleet. sign returns
 // the signature for the ID that is drawn here.
-func (n *Node) Drilled(name string, durationSeconds float64, sign func(id uint64) []byte) {
+func (n *Node) FaultStarted(name string, durationSeconds float64, sign func(id uint64) []byte) {
 	n.run(func() {
 		if n.roles == nil || n.roles.faults == nil {
 			return
@@ -89,7 +89,7 @@
 	run := &faultRun{faultOrder: *order, endsAt: now + order.RemainingSeconds, forwardedAt: math.Inf(-1)}
 	run.forgetAt = run.endsAt + retentionSeconds + retentionFraction*order.RemainingSeconds
 	if !runsHere {
-		if err := r.roles.node.options.Faults.RunDrill(order.Name, order.ID, order.Signature, order.RemainingSeconds); err != nil {
+		if err := r.roles.node.options.Faults.RunRemoteFault(order.Name, order.ID, order.Signature, order.RemainingSeconds); err != nil {
 			run.rejection = err.Error()
 			r.roles.logInfo("fault of the fleet not started", "fault", order.Name, "error", err)
 		}
--- a/internal/coordination/fault_role_test.go
+++ b/internal/coordination/fault_role_test.go
@@ -12,7 +12,7 @@
 // countingFaults counts the starts of faults by ID.
 type countingFaults map[uint64]int
 
-func (c countingFaults) RunDrill(_ string, id uint64, _ []byte, _ float64) error {
+func (c countingFaults) RunRemoteFault(_ string, id uint64, _ []byte, _ float64) error {
 	c[id]++
 	return nil
 }
--- a/internal/coordination/options.go
+++ b/internal/coordination/options.go
@@ -39,7 +39,7 @@
 	Host             sidecar.RoleHost
 	Placement        sidecar.RankReceiver
 	Lists            sidecar.ListReceiver      // needed for the role "list"
-	Faults           sidecar.Drills            // needed for the role "drill"
+	Faults           sidecar.FaultRunner       // needed for the role "drill"
 	Servers          sidecar.MaintainedServers // needed for the role "works"
 	MaintenanceOrder maintenance.Order         // in which servers are taken down; the zero value is the one in production
 	Rand             *rand.Rand                // the only source of randomness
--- a/internal/frontend/http1/drills.go
+++ b/internal/frontend/http1/drills.go
@@ -11,8 +11,8 @@
 
 // A drill is started by a POST to its path. The secret comes in a header field, in base64: it may hold any bytes.
 const (
-	DrillPath   = "/drills/"
-	DrillSecret = "Drill-Secret"
+	FaultPath        = "/drills/"
+	FaultSecretField = "Drill-Secret"
 )
 
 // startDrill answers the operators' word to start a drill.
@@ -21,11 +21,11 @@
 		l.decline(405, "a drill is started by POST", http1.Field{Name: "Allow", Value: "POST"})
 		return
 	}
-	secret, err := base64.StdEncoding.DecodeString(l.parser.Header.Get(DrillSecret))
+	secret, err := base64.StdEncoding.DecodeString(l.parser.Header.Get(FaultSecretField))
 	if err != nil {
 		secret = nil // which is nobody's
 	}
-	d, err := l.Sidecar().StartDrill(secret, name)
+	d, err := l.Sidecar().StartFault(secret, name)
 	if err != nil {
 		status := 404
 		if errors.Is(err, faultinjection.ErrSecret) {
@@ -39,6 +39,6 @@
 
 // drillName returns the drill that a path names, if drills can be started.
 func (l *clientConn) drillName(path string) (string, bool) {
-	name, ok := strings.CutPrefix(path, DrillPath)
-	return name, ok && l.Sidecar().DrillsArmed()
+	name, ok := strings.CutPrefix(path, FaultPath)
+	return name, ok && l.Sidecar().IsFaultInjectionArmed()
 }
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -43,7 +43,7 @@
 		p.SetListObserver(p.fleet)
 	}
 	if slices.Contains(on.Jobs, "drill") {
-		p.DrillTogether(p.fleet)
+		p.SetFaultObserver(p.fleet)
 	}
 	if slices.Contains(on.Jobs, "works") {
 		p.EnableMaintenance()
--- a/internal/sidecar/drills.go
+++ b/internal/sidecar/drills.go
@@ -7,10 +7,10 @@
 const delayPart = 0.8
 
 // IsFaultInjectionArmed tells whether drills can be started.
-func (s *Sidecar) DrillsArmed() bool { return s.drills.IsArmed() }
+func (s *Sidecar) IsFaultInjectionArmed() bool { return s.drills.IsArmed() }
 
 // StartFault starts a drill on the operators' word. Danger: the secret must not reach the log.
-func (s *Sidecar) StartDrill(secret []byte, name string) (faultinjection.Fault, error) {
+func (s *Sidecar) StartFault(secret []byte, name string) (faultinjection.Fault, error) {
 	d, err := s.drills.Start(s.now(), secret, name)
 	if err != nil {
 		s.log.Warn("drill refused", "error", err)
@@ -18,28 +18,28 @@
 	}
 	s.log.Info("drill started", "drill", d.Name, "class", d.Class, "duration_s", d.DurationSeconds)
 	if s.together != nil {
-		s.together.Drilled(d.Name, d.DurationSeconds, func(id uint64) []byte { return s.drills.Sign(id, d.Name) })
+		s.together.FaultStarted(d.Name, d.DurationSeconds, func(id uint64) []byte { return s.drills.Sign(id, d.Name) })
 	}
 	return d, nil
 }
 
 // FaultRunner is what a fleet tells a sidecar that runs drills together with others.
-type Drills interface {
+type FaultRunner interface {
 	// RunRemoteFault has a drill run for what is left of it, which was started at another sidecar. The mark shows that the secret was
 	// looked at there.
-	RunDrill(name string, id uint64, mark []byte, leftS float64) error
+	RunRemoteFault(name string, id uint64, mark []byte, leftS float64) error
 }
 
 // FaultObserver is told of drills that operators have started here. Mark returns a drill's mark, by its id.
-type Driller interface {
-	Drilled(name string, durationS float64, mark func(id uint64) []byte)
+type FaultObserver interface {
+	FaultStarted(name string, durationS float64, mark func(id uint64) []byte)
 }
 
 // SetFaultObserver has a fleet told of drills. It comes before Start.
-func (s *Sidecar) DrillTogether(to Driller) { s.together = to }
+func (s *Sidecar) SetFaultObserver(to FaultObserver) { s.together = to }
 
 // RunRemoteFault is for the loop.
-func (s *Sidecar) RunDrill(name string, id uint64, mark []byte, leftS float64) error {
+func (s *Sidecar) RunRemoteFault(name string, id uint64, mark []byte, leftS float64) error {
 	d, err := s.drills.StartRemote(s.net.Now(), id, name, mark, leftS)
 	if err != nil {
 		return err
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -69,7 +69,7 @@
 	passed    passed
 	admission featureconfig.Admission
 	drills    *faultinjection.Injector
-	together  Driller        // is told of drills that are started here; nil: nobody is
+	together  FaultObserver  // is told of drills that are started here; nil: nobody is
 	health    *health.Server // nil: there is no side port
 	listAt    float64        // when anything was last read from discovery
 	listed    bool           // a list has been read from discovery
