--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -30,16 +30,16 @@
 
 var (
 	// ErrUnknownFormat is wrapped by the errors of Decode for a file that is no state of this version.
-	ErrUnknownFormat = errors.New("not a hand-over of this form")
+	ErrUnknownFormat = errors.New("not a hot restart state of this version")
 	// ErrCorrupt is wrapped by the errors of Decode for a file that is incomplete or damaged.
-	ErrCorrupt = errors.New("the hand-over is not whole")
+	ErrCorrupt = errors.New("hot restart state is incomplete or damaged")
 )
 
 // Encode returns the stored form of a state.
 func Encode(s State) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("hotrestart: %w", err)
 	}
 	return append(fmt.Appendf(nil, "%s %d %d %08x\n", magic, version, len(body), crc32.ChecksumIEEE(body)), body...), nil
 }
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -52,7 +52,7 @@
 	s := &Store{dir: dir, name: fmt.Sprintf("%020d-%s", time.Now().UnixNano(), rand.Text()[:8]), saves: make(chan State, 1), saveError: saveError}
 	for _, sub := range []string{cordonFolder, processDir} {
 		if err := os.MkdirAll(filepath.Join(dir, sub), 0o700); err != nil {
-			return nil, fmt.Errorf("handover: %w", err)
+			return nil, fmt.Errorf("hotrestart: %w", err)
 		}
 	}
 	f, err := os.OpenFile(s.path(processDir, s.name), os.O_CREATE|os.O_RDWR, 0o600)
@@ -60,7 +60,7 @@
 		err = lockWithRetry(f)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("hotrestart: %w", err)
 	}
 	s.process = f
 	go s.writeSaves()
@@ -153,7 +153,7 @@
 		err = nil
 	}
 	if err != nil {
-		return fmt.Errorf("handover: %w", err)
+		return fmt.Errorf("hotrestart: %w", err)
 	}
 	return nil
 }
@@ -162,7 +162,7 @@
 func (s *Store) OperatorState() (cordoned []string, drained bool, err error) {
 	entries, err := os.ReadDir(s.path(cordonFolder))
 	if err != nil {
-		return nil, false, fmt.Errorf("handover: %w", err)
+		return nil, false, fmt.Errorf("hotrestart: %w", err)
 	}
 	for _, e := range entries {
 		if e.Name() == drainedName {
