--- a/internal/frontend/admin/commands.go
+++ b/internal/frontend/admin/commands.go
@@ -8,78 +8,52 @@
 	"time"
 )
 
-// LeaseCommands are what the calls OWNERS, ELECTORS, STEPDOWN JOB, REPORT, WORKS and WORK COMMAND have done on the loop.
+const (
+	// loopTimeout limits how long a command waits for the event loop. Clients wait for one second.
+	loopTimeout = 700 * time.Millisecond
+	// maxFiguresAgeSeconds is how old the published figures may be before HEALTH reports that the loop stands still.
+	maxFiguresAgeSeconds = 3.0
+)
+
+// LeaseCommands are what the commands about leases, roles and maintenance do. Each is called on the event loop and returns the answer's
+// text with its line feed, or an error for the operator.
 type LeaseCommands struct {
-	Status, Voters, Report func() ([]byte, error)
-	StepDown               func(job string) error
-	Maintenance            func() ([]byte, error)
-	SubmitMaintenance      func(command []byte) ([]byte, error)
+	Status            func() ([]byte, error)               // OWNERS
+	Voters            func() ([]byte, error)               // ELECTORS
+	Report            func() ([]byte, error)               // REPORT
+	StepDown          func(role string) error              // STEPDOWN role
+	Maintenance       func() ([]byte, error)               // WORKS
+	SubmitMaintenance func(command []byte) ([]byte, error) // WORK command, which is JSON
 }
 
-// command is one word that operators say.
+// command is a command of the sidecar itself.
 type command struct {
-	word     string
-	argument bool                                // it wants a server's id
-	do       func(d *Server, last string) []byte // last is the last word of the call
+	word        string
+	needsServer bool                                    // it has the name of a server as its argument
+	run         func(s *Server, argument string) []byte // argument is the word itself if there is none
 }
 
-// commands are all calls that there are.
+// commands are the commands that every sidecar has.
 var commands = []command{
 	{"HEALTH", false, (*Server).health},
 	{"DUMP", false, (*Server).dump},
-	{"OFFLINE", true, func(d *Server, server string) []byte {
-		return d.onLoop(server+" is left out", func() error { return d.desk.CordonServer(server) })
+	{"OFFLINE", true, func(s *Server, server string) []byte {
+		return s.runOnLoop(server+" is left out", func() error { return s.controller.CordonServer(server) })
 	}},
-	{"ONLINE", true, func(d *Server, server string) []byte {
-		return d.onLoop(server+" may serve", func() error { return d.desk.UncordonServer(server) })
+	{"ONLINE", true, func(s *Server, server string) []byte {
+		return s.runOnLoop(server+" may serve", func() error { return s.controller.UncordonServer(server) })
 	}},
-	{"LEAVE", false, func(d *Server, _ string) []byte {
-		return d.onLoop("draining", func() error { return d.desk.DrainByOperator() })
+	{"LEAVE", false, func(s *Server, _ string) []byte {
+		return s.runOnLoop("draining", func() error { return s.controller.DrainByOperator() })
 	}},
-	{"JOIN", false, func(d *Server, _ string) []byte {
-		return d.onLoop("serving", func() error { return d.desk.UndrainByOperator() })
+	{"JOIN", false, func(s *Server, _ string) []byte {
+		return s.runOnLoop("serving", func() error { return s.controller.UndrainByOperator() })
 	}},
 }
 
-// tell returns what is told on the loop.
-func (d *Server) tell(what func() ([]byte, error)) []byte {
-	told := make(chan []byte, 1)
-	answer := d.onLoop("", func() error {
-		text, err := what()
-		told <- text
-		return err
-	})
-	if bytes.HasPrefix(answer, []byte("OK")) {
-		return <-told
-	}
-	return answer
-}
-
-// ofFleet answers what a sidecar is asked that knows others; false: it is no such call.
-func (d *Server) ofFleet(words []string, line string) (answer []byte, ok bool) {
-	switch call := strings.ToUpper(words[0]); {
-	case d.Peers != nil && len(words) == 1 && call == "PEERS":
-		return d.tell(func() ([]byte, error) { return d.Peers(), nil }), true
-	case d.Leases == nil:
-	case len(words) == 1 && call == "OWNERS":
-		return d.tell(d.Leases.Status), true
-	case len(words) == 1 && call == "ELECTORS":
-		return d.tell(d.Leases.Voters), true
-	case len(words) == 1 && call == "REPORT":
-		return d.tell(d.Leases.Report), true
-	case len(words) == 1 && call == "WORKS":
-		return d.tell(d.Leases.Maintenance), true
-	case len(words) > 1 && call == "WORK":
-		command := strings.TrimSpace(line)[len("WORK"):]
-		return d.tell(func() ([]byte, error) { return d.Leases.SubmitMaintenance([]byte(command)) }), true
-	case len(words) == 2 && call == "STEPDOWN":
-		return d.onLoop("the job "+words[1]+" is to go to another owner", func() error { return d.Leases.StepDown(words[1]) }), true
-	}
-	return nil, false
-}
-
-// call answers one line.
-func (d *Server) call(line string) []byte {
+// execute executes the command of a line and returns its answer, with the line feed. Words are separated by spaces; the case of the first
+// one does not matter.
+func (s *Server) execute(line string) []byte {
 	words := strings.Fields(line)
 	if len(words) == 0 {
 		return []byte("ERR an empty line\n")
@@ -89,7 +63,7 @@
 			continue
 		}
 		wanted := 1
-		if c.argument {
+		if c.needsServer {
 			wanted = 2
 		}
 		switch {
@@ -98,64 +72,101 @@
 		case len(words) > wanted:
 			return fmt.Appendf(nil, "ERR %s takes nothing after %q\n", c.word, words[wanted-1])
 		}
-		return c.do(d, words[wanted-1])
+		return c.run(s, words[wanted-1])
 	}
-	if answer, ok := d.ofFleet(words, line); ok {
+	if answer, known := s.executeFleetCommand(words, line); known {
 		return answer
 	}
 	return fmt.Appendf(nil, "ERR unknown call %.40q\n", words[0])
 }
 
-// health says whether this process can serve.
-func (d *Server) health(string) []byte {
-	switch f := d.desk.StatusSnapshot(); {
-	case f == nil:
-		return []byte("ERR not serving yet\n")
-	case f.IsShuttingDown:
-		return []byte("ERR this process has been told to end\n")
-	case d.now()-f.TakenAt > mostStillS:
-		return fmt.Appendf(nil, "ERR the event loop has stood still for %.1f s\n", d.now()-f.TakenAt)
+// executeFleetCommand executes a command of a sidecar that is a member of a fleet; known is false if it is none.
+func (s *Server) executeFleetCommand(words []string, line string) (answer []byte, known bool) {
+	switch word := strings.ToUpper(words[0]); {
+	case s.Peers != nil && len(words) == 1 && word == "PEERS":
+		return s.queryLoop(func() ([]byte, error) { return s.Peers(), nil }), true
+	case s.Leases == nil:
+	case len(words) == 1 && word == "OWNERS":
+		return s.queryLoop(s.Leases.Status), true
+	case len(words) == 1 && word == "ELECTORS":
+		return s.queryLoop(s.Leases.Voters), true
+	case len(words) == 1 && word == "REPORT":
+		return s.queryLoop(s.Leases.Report), true
+	case len(words) == 1 && word == "WORKS":
+		return s.queryLoop(s.Leases.Maintenance), true
+	case len(words) > 1 && word == "WORK":
+		command := strings.TrimSpace(line)[len("WORK"):]
+		return s.queryLoop(func() ([]byte, error) { return s.Leases.SubmitMaintenance([]byte(command)) }), true
+	case len(words) == 2 && word == "STEPDOWN":
+		return s.runOnLoop("the job "+words[1]+" is to go to another owner", func() error { return s.Leases.StepDown(words[1]) }), true
 	}
-	return []byte("OK serving\n")
+	return nil, false
+}
+
+// queryLoop returns what a function returns that is called on the event loop.
+func (s *Server) queryLoop(query func() ([]byte, error)) []byte {
+	result := make(chan []byte, 1)
+	answer := s.runOnLoop("", func() error {
+		text, err := query()
+		result <- text
+		return err
+	})
+	if bytes.HasPrefix(answer, []byte("OK")) {
+		return <-result
+	}
+	return answer
 }
 
-// onLoop has the loop do something, and says yes once it is done.
-func (d *Server) onLoop(yes string, do func() error) []byte {
+// runOnLoop has the event loop call a function and answers with a message once it has returned. A late loop calls it after the answer.
+func (s *Server) runOnLoop(message string, f func() error) []byte {
 	done := make(chan error, 1)
-	d.desk.Do(func() { done <- do() })
+	s.controller.Do(func() { done <- f() })
 	select {
 	case err := <-done:
 		if err != nil {
 			return fmt.Appendf(nil, "ERR %v\n", err)
 		}
-		return fmt.Appendf(nil, "OK %s\n", yes)
-	case <-time.After(time.Duration(doneS * float64(time.Second))):
+		return fmt.Appendf(nil, "OK %s\n", message)
+	case <-time.After(loopTimeout):
 		return []byte("ERR the event loop is late: it will be done, ask again for a yes\n")
 	}
 }
 
-// dump tells the figures.
-func (d *Server) dump(string) []byte {
-	f := d.desk.StatusSnapshot()
+// health answers HEALTH: whether this process can serve.
+func (s *Server) health(string) []byte {
+	switch f := s.controller.StatusSnapshot(); {
+	case f == nil:
+		return []byte("ERR not serving yet\n")
+	case f.IsShuttingDown:
+		return []byte("ERR this process has been told to end\n")
+	case s.now()-f.TakenAt > maxFiguresAgeSeconds:
+		return fmt.Appendf(nil, "ERR the event loop has stood still for %.1f s\n", s.now()-f.TakenAt)
+	}
+	return []byte("OK serving\n")
+}
+
+// dump answers DUMP: the published figures, one a line. Their names are read by operators' tools.
+func (s *Server) dump(string) []byte {
+	f := s.controller.StatusSnapshot()
 	if f == nil {
 		return []byte("ERR no figures yet\n")
 	}
 	var b []byte
-	one := func(name string, v uint64) {
-		b = append(strconv.AppendUint(append(append(b, "gw_"+name...), ' '), v, 10), '\n')
+	add := func(name string, value uint64) {
+		b = append(strconv.AppendUint(append(append(b, "gw_"+name...), ' '), value, 10), '\n')
 	}
 	for _, c := range f.Classes {
 		label := `{lane="` + c.Class + `"}`
-		one("completed"+label, c.Served)
-		one("rejected"+label, c.Throttled)
-		one("failed"+label, c.Failed)
+		add("completed"+label, c.Served)
+		add("rejected"+label, c.Throttled)
+		add("failed"+label, c.Failed)
 	}
-	one("upstream_requests", f.RequestsWritten)
-	one("pending", uint64(f.OpenRequests))
-	one("members", uint64(f.Servers))
-	one("members_unavailable", uint64(f.UnavailableServers))
+	add("upstream_requests", f.RequestsWritten)
+	add("pending", uint64(f.OpenRequests))
+	add("members", uint64(f.Servers))
+	add("members_unavailable", uint64(f.UnavailableServers))
 	for _, g := range f.FleetMetrics {
-		one(g.Name, g.Value)
+		add(g.Name, g.Value)
 	}
 	return append(b, "END\n"...)
 }
--- a/internal/frontend/admin/line.go
+++ b/internal/frontend/admin/line.go
@@ -7,31 +7,39 @@
 	"io"
 )
 
-// workCall begins the one call that may be long: a plan names boxes.
-const workCall = "WORK "
+// MaxMaintenanceLine limits the line of the command WORK, which has a maintenance plan in it, and maxLine all others; in bytes, with the
+// line feed.
+const (
+	MaxMaintenanceLine = 32 << 10
+	maxLine            = 512
+)
+
+// maintenancePrefix starts a line that may be longer than maxLine.
+const maintenancePrefix = "WORK "
 
 var (
-	errLong = errors.New("the line is longer than")
-	errHalf = errors.New("the line has no end")
+	errLineTooLong    = errors.New("the line is longer than")
+	errLineIncomplete = errors.New("the line has no end")
 )
 
-// readLine reads up to the first line feed; what comes behind it is not read.
+// readLine reads up to the first line feed; what follows it is not used. The error wraps errLineTooLong or errLineIncomplete, or is the
+// reader's.
 func readLine(r io.Reader) (string, error) {
-	b := make([]byte, mostLine)
+	b := make([]byte, maxLine)
 	for n := 0; n < len(b); {
 		k, err := r.Read(b[n:])
 		if end := bytes.IndexByte(b[n:n+k], '\n'); end >= 0 {
 			return string(bytes.TrimSuffix(b[:n+end], []byte{'\r'})), nil
 		}
-		if n += k; n == mostLine && len(b) == mostLine && bytes.EqualFold(b[:len(workCall)], []byte(workCall)) {
-			b = append(b, make([]byte, MaxMaintenanceLine-mostLine)...)
+		if n += k; n == maxLine && len(b) == maxLine && bytes.EqualFold(b[:len(maintenancePrefix)], []byte(maintenancePrefix)) {
+			b = append(b, make([]byte, MaxMaintenanceLine-maxLine)...)
 		}
 		switch {
 		case errors.Is(err, io.EOF) && n > 0:
-			return "", errHalf
+			return "", errLineIncomplete
 		case err != nil:
 			return "", err
 		}
 	}
-	return "", fmt.Errorf("%w %d bytes", errLong, len(b))
+	return "", fmt.Errorf("%w %d bytes", errLineTooLong, len(b))
 }
--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -1,6 +1,8 @@
-// Package admin is the operators' door: an address of its own at which one line is one call. It runs beside the event loop:
-// what it tells is what the loop has last published, and what it does is posted to the loop, so neither a late loop nor a
-// silent caller holds anybody up.
+// Package admin is the admin endpoint of a sidecar: an address of its own at which operators' tools send one command a connection, as a
+// line of text, and get one answer. docs/operators describes the commands.
+//
+// It runs on goroutines beside the event loop. What it reports is what the loop has last published, and what it changes is posted to the
+// loop, so that neither a late loop nor a silent client holds up the other.
 package admin
 
 import (
@@ -8,6 +10,7 @@
 	"fmt"
 	"io"
 	"net"
+	"slices"
 	"sync"
 	"time"
 
@@ -15,140 +18,138 @@
 )
 
 const (
-	// mostCallers bounds those at the door. Who has been there longest without ending a line goes for a newcomer.
-	mostCallers = sidecar.AdminDescriptors - 2
-	// mostLine bounds a call, in bytes, and MostWork one that is WORK, both with their end.
-	mostLine, MaxMaintenanceLine = 512, 32 << 10
-	// callS is how long a caller may take for its line.
-	callS = 10
-	// doneS is how long the loop may take for what a caller wants; callers wait for a second.
-	doneS = 0.7
-	// lingerS is how long a caller may take to read its answer and go. Danger: closing on bytes that nobody has read would
-	// reset the connection, and the caller could lose the answer.
-	lingerS    = 1
-	mostLinger = 64 << 10
-	// mostStillS is how old the loop's word may be before the process no longer says that it can serve.
-	mostStillS = 3.0
+	// maxConnections limits the connections at a time. Above it the one that has waited longest for its line is closed for a new one.
+	maxConnections = sidecar.AdminDescriptors - 2
+	// commandTimeout limits how long a client may take for its line.
+	commandTimeout = 10 * time.Second
+	// lingerTimeout limits how long a client may take to read the answer and close, and maxLingerBytes what it may send meanwhile. Danger:
+	// closing with unread bytes would reset the connection, and the client could lose the answer.
+	lingerTimeout  = time.Second
+	maxLingerBytes = 64 << 10
+	// acceptRetryInterval is the pause after an accept that failed, for instance for want of a descriptor.
+	acceptRetryInterval = 5 * time.Millisecond
 )
 
-// Controller is what the door asks of the sidecar. All but Figures and Do is for the loop.
+// Controller is the sidecar as the admin endpoint uses it. StatusSnapshot and Do may be called from any goroutine, all others on the event loop
+// alone. The errors are shown to the operator.
 type Controller interface {
+	// StatusSnapshot returns the snapshot that the loop has published last, nil before the first.
 	StatusSnapshot() *sidecar.StatusSnapshot
+	// Do has the loop call f.
 	Do(f func())
+	// CordonServer takes a server out of use, UncordonServer undoes it.
 	CordonServer(server string) error
 	UncordonServer(server string) error
+	// DrainByOperator drains the sidecar, UndrainByOperator undoes it.
 	DrainByOperator() error
 	UndrainByOperator() error
 }
 
-// Server is the operators' door.
+// Server is the admin endpoint. Peers and Leases must be set before Listen.
 type Server struct {
-	address string
-	desk    Controller
-	now     func() float64 // on the clock of the figures
-	listen  net.Listener
-
-	// Peers, if it is set, tells on the loop who is there, for the call PEERS. Without it there is no such call.
+	// Peers returns the answer of the command PEERS; it is called on the loop. nil: there is no such command.
 	Peers func() []byte
-
-	// Owners, if it is set, is asked on the loop who does what on behalf of all.
+	// Leases are the commands about leases, roles and maintenance; nil: there are none.
 	Leases *LeaseCommands
 
-	mu      sync.Mutex
-	waiting []net.Conn // whose line has not come whole, the oldest first
-	n       int        // callers
-}
+	address    string
+	controller Controller
+	now        func() float64 // seconds, by the clock of sidecar.StatusSnapshot.TakenAt
+	listener   net.Listener
 
-// New returns a door that is not open yet.
-func New(address string, desk Controller, now func() float64) *Server {
-	return &Server{address: address, desk: desk, now: now}
+	mu          sync.Mutex // guards what follows
+	waiting     []net.Conn // whose line is not complete, the oldest first
+	connections int
 }
 
-// ErrListen is the fault of an address that the door can't be opened at.
+// ErrListen is wrapped by the errors of Listen. Its text is the key of the address in the settings.
 var ErrListen = errors.New("ops")
 
-// Listen opens the door. An error names the key at fault.
-func (d *Server) Listen() (err error) {
-	if d.listen, err = net.Listen("tcp", d.address); err != nil {
+// New returns a server that does not listen yet. now is the clock of the controller's figures.
+func New(address string, controller Controller, now func() float64) *Server {
+	return &Server{address: address, controller: controller, now: now}
+}
+
+// Listen starts to accept connections. The error wraps ErrListen.
+func (s *Server) Listen() (err error) {
+	if s.listener, err = net.Listen("tcp", s.address); err != nil {
 		return fmt.Errorf("%w: %w", ErrListen, err)
 	}
-	go d.accept()
+	go s.accept()
 	return nil
 }
 
-// Close shuts the door; calls that have begun go on.
-func (d *Server) Close() { d.listen.Close() }
+// Close stops accepting connections. Commands that have been accepted are still answered.
+func (s *Server) Close() { s.listener.Close() }
 
-func (d *Server) accept() {
+// accept runs until Close.
+func (s *Server) accept() {
 	for {
-		c, err := d.listen.Accept()
+		c, err := s.listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // no descriptor is to be had at the moment
-			time.Sleep(5 * time.Millisecond)
-		case d.enter(c):
-			go d.serve(c)
+		case err != nil:
+			time.Sleep(acceptRetryInterval)
+		case s.admit(c):
+			go s.serve(c)
 		default:
 			c.Close()
 		}
 	}
 }
 
-// enter finds room for a caller.
-func (d *Server) enter(c net.Conn) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.n >= mostCallers {
-		if len(d.waiting) == 0 {
+// admit counts a connection as waiting for its line. It reports false if there are too many and none of them waits.
+func (s *Server) admit(c net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.connections >= maxConnections {
+		if len(s.waiting) == 0 {
 			return false
 		}
-		d.waiting[0].Close()
-		d.waiting = d.waiting[1:]
+		s.waiting[0].Close()
+		s.waiting = s.waiting[1:]
 	}
-	d.n++
-	d.waiting = append(d.waiting, c)
+	s.connections++
+	s.waiting = append(s.waiting, c)
 	return true
 }
 
-// spoken notes that a caller has said all that it will.
-func (d *Server) spoken(c net.Conn) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for i, w := range d.waiting {
-		if w == c {
-			d.waiting = append(d.waiting[:i:i], d.waiting[i+1:]...)
-			return
-		}
+// endWaiting records that a connection's line is complete, or that none will come.
+func (s *Server) endWaiting(c net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if i := slices.Index(s.waiting, c); i >= 0 {
+		s.waiting = slices.Delete(s.waiting, i, i+1)
 	}
 }
 
-// serve answers one call.
-func (d *Server) serve(c net.Conn) {
+// serve answers the command of a connection and closes it.
+func (s *Server) serve(c net.Conn) {
 	defer func() {
-		d.mu.Lock()
-		d.n--
-		d.mu.Unlock()
+		s.mu.Lock()
+		s.connections--
+		s.mu.Unlock()
 		c.Close()
 	}()
-	_ = c.SetDeadline(time.Now().Add(callS * time.Second)) // fails only on a closed connection
+	_ = c.SetDeadline(time.Now().Add(commandTimeout)) // fails only on a closed connection, as below
 	line, err := readLine(c)
-	d.spoken(c)
+	s.endWaiting(c)
 	var answer []byte
 	switch {
-	case errors.Is(err, errLong), errors.Is(err, errHalf):
+	case errors.Is(err, errLineTooLong), errors.Is(err, errLineIncomplete):
 		answer = fmt.Appendf(nil, "ERR %v\n", err)
 	case err != nil:
 		return
 	default:
-		answer = d.call(line)
+		answer = s.execute(line)
 	}
-	_ = c.SetDeadline(time.Now().Add(lingerS * time.Second))
+	_ = c.SetDeadline(time.Now().Add(lingerTimeout))
 	if _, err := c.Write(answer); err != nil {
 		return
 	}
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite() // fails only if the caller has gone
+		_ = tcp.CloseWrite() // fails only if the client has gone
 	}
-	_, _ = io.CopyN(io.Discard, c, mostLinger) // ends with the caller or with the deadline
+	_, _ = io.CopyN(io.Discard, c, maxLingerBytes) // ends with the client or at the deadline
 }
--- a/internal/frontend/admin/server_test.go
+++ b/internal/frontend/admin/server_test.go
@@ -11,34 +11,40 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// desk does at once what it is asked.
-type desk struct{ said []string }
+// fakeController records the changes that it is asked for, and makes them at once.
+type fakeController struct{ changes []string }
 
-func (d *desk) StatusSnapshot() *sidecar.StatusSnapshot { return &sidecar.StatusSnapshot{} }
-func (d *desk) Do(f func())                             { f() }
-func (d *desk) CordonServer(server string) error        { d.said = append(d.said, "off "+server); return nil }
-func (d *desk) UncordonServer(server string) error      { d.said = append(d.said, "on "+server); return nil }
-func (d *desk) DrainByOperator() error                  { d.said = append(d.said, "leave"); return nil }
-func (d *desk) UndrainByOperator() error                { d.said = append(d.said, "join"); return nil }
+func (c *fakeController) StatusSnapshot() *sidecar.StatusSnapshot { return &sidecar.StatusSnapshot{} }
+func (c *fakeController) Do(f func())                             { f() }
+func (c *fakeController) CordonServer(server string) error {
+	c.changes = append(c.changes, "off "+server)
+	return nil
+}
+func (c *fakeController) UncordonServer(server string) error {
+	c.changes = append(c.changes, "on "+server)
+	return nil
+}
+func (c *fakeController) DrainByOperator() error   { c.changes = append(c.changes, "leave"); return nil }
+func (c *fakeController) UndrainByOperator() error { c.changes = append(c.changes, "join"); return nil }
 
-// FuzzCall has whatever callers say answered by whole lines that begin as they should; nothing but a call does anything.
-func FuzzCall(f *testing.F) {
+// FuzzCommand checks that any line is answered by complete lines that begin as they should, and that only commands change anything.
+func FuzzCommand(f *testing.F) {
 	for _, line := range []string{"HEALTH\n", "DUMP\r\n", "OFFLINE s-1\n", "ONLINE\n", "LEAVE now\n", "JOIN", "\x00\n"} {
 		f.Add([]byte(line))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		line, err := readLine(iotest.OneByteReader(bytes.NewReader(raw)))
-		if end := bytes.IndexByte(raw, '\n'); end < 0 || end >= mostLine {
+		if end := bytes.IndexByte(raw, '\n'); end < 0 || end >= maxLine {
 			assert.Error(t, err)
 			return
 		}
 		assert.NoError(t, err)
-		desk := &desk{}
-		answer := string((&Server{desk: desk, now: func() float64 { return 0 }}).call(line))
+		controller := &fakeController{}
+		answer := string((&Server{controller: controller, now: func() float64 { return 0 }}).execute(line))
 		assert.True(t, strings.HasSuffix(answer, "\n"))
 		assert.True(t, strings.HasPrefix(answer, "OK ") || strings.HasPrefix(answer, "ERR ") || strings.HasSuffix(answer, "END\n"), answer)
 		words := strings.Fields(line)
-		if len(desk.said) > 0 {
+		if len(controller.changes) > 0 {
 			assert.Contains(t, []string{"OFFLINE", "ONLINE", "LEAVE", "JOIN"}, strings.ToUpper(words[0]))
 			assert.True(t, strings.HasPrefix(answer, "OK "))
 		}
--- a/internal/frontend/admin/wire_form_test.go
+++ b/internal/frontend/admin/wire_form_test.go
@@ -11,33 +11,33 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// figuresDesk is a desk with figures.
-type figuresDesk struct {
-	desk
+// figuresController is a fakeController with figures.
+type figuresController struct {
+	fakeController
 	figures *sidecar.StatusSnapshot
 }
 
-func (d *figuresDesk) StatusSnapshot() *sidecar.StatusSnapshot { return d.figures }
+func (c *figuresController) StatusSnapshot() *sidecar.StatusSnapshot { return c.figures }
 
 // Operators' tools read HEALTH and DUMP: each answer stays as it is to the byte.
-func TestAnswersForm(t *testing.T) {
+func TestAnswerForm(t *testing.T) {
 	figures := &sidecar.StatusSnapshot{TakenAt: 100, RequestsWritten: 11, OpenRequests: 12, Servers: 13, UnavailableServers: 14, FleetMetrics: []sidecar.Metric{{Name: "peers_alive", Value: 15}}}
 	require.NoError(t, json.Unmarshal([]byte(`[{"class":"read","served":1,"throttled":2,"failed":3,"abandoned":4},{"class":"write","served":5}]`), &figures.Classes))
-	d := &figuresDesk{figures: figures}
+	controller := &figuresController{figures: figures}
 	now := 103.0
-	door := &Server{desk: d, now: func() float64 { return now }}
+	server := &Server{controller: controller, now: func() float64 { return now }}
 	raw, err := os.ReadFile("testdata/answers/dump")
 	require.NoError(t, err)
-	assert.Equal(t, string(raw), string(door.call("DUMP")))
-	assert.Equal(t, "OK serving\n", string(door.call("HEALTH")))
+	assert.Equal(t, string(raw), string(server.execute("DUMP")))
+	assert.Equal(t, "OK serving\n", string(server.execute("HEALTH")))
 	now = 103.25
-	assert.Equal(t, "ERR the event loop has stood still for 3.2 s\n", string(door.call("health")))
+	assert.Equal(t, "ERR the event loop has stood still for 3.2 s\n", string(server.execute("health")))
 	figures.IsShuttingDown = true
-	assert.Equal(t, "ERR this process has been told to end\n", string(door.call("HEALTH")))
-	d.figures = nil
-	assert.Equal(t, "ERR not serving yet\n", string(door.call("HEALTH")))
-	assert.Equal(t, "ERR no figures yet\n", string(door.call("DUMP")))
-	for call, answer := range map[string]string{
+	assert.Equal(t, "ERR this process has been told to end\n", string(server.execute("HEALTH")))
+	controller.figures = nil
+	assert.Equal(t, "ERR not serving yet\n", string(server.execute("HEALTH")))
+	assert.Equal(t, "ERR no figures yet\n", string(server.execute("DUMP")))
+	for command, answer := range map[string]string{
 		"":            "ERR an empty line\n",
 		"OFFLINE":     "ERR OFFLINE needs a server's id\n",
 		"OFFLINE s-1": "OK s-1 is left out\n",
@@ -47,6 +47,6 @@
 		"JOIN now":    "ERR JOIN takes nothing after \"JOIN\"\n",
 		"PEERS":       "ERR unknown call \"PEERS\"\n",
 	} {
-		assert.Equal(t, answer, string(door.call(call)), call)
+		assert.Equal(t, answer, string(server.execute(command)), command)
 	}
 }
