--- a/internal/faultinjection/injector.go
+++ b/internal/faultinjection/injector.go
@@ -1,5 +1,6 @@
-// Package faultinjection rehearses slow and failed requests: it says which requests of a class are delayed or aborted while a
-// drill runs. It knows no sockets and no clock; whoever starts a drill must know its secret.
+// Package faultinjection delays or aborts a part of the requests of a class, so that operators can rehearse slow and failed requests (the
+// drills of their pages). It decides which requests a running fault affects; the sidecar carries that out. A fault is started by a secret, of
+// which the settings hold the hash, or by a signature of another sidecar with the same hash.
 package faultinjection
 
 import (
@@ -11,114 +12,125 @@
 	"math/rand/v2"
 )
 
-// Fault is one rehearsal, as the operators have written it.
+// Fault is a fault that can be started.
 type Fault struct {
 	Name            string
-	Class           string
-	Percent         float64 // percent of the class's requests
+	Class           string  // of the requests that it affects
+	Percent         float64 // of the class's requests
 	DelayMS         float64
-	Abort           string // "503", or "none"
+	Abort           string // "503": requests are aborted; "none": they are not
 	DurationSeconds float64
 }
 
-// Settings are the drills that can be started, and the SHA-256 of the secret that starts them; without one none can.
+// Settings are the faults that can be started and the SHA-256 hash of the secret that starts them. Without a hash none can be started.
 type Settings struct {
 	Faults     []Fault
 	SecretHash []byte
 }
 
-// What a start can fail for.
 var (
-	ErrSecret    = errors.New("wrong secret")
-	ErrUnknown   = errors.New("no such drill")
+	// ErrSecret is returned for a wrong secret, and for any secret without a hash.
+	ErrSecret = errors.New("wrong secret")
+	// ErrUnknown is returned for the name of no fault.
+	ErrUnknown = errors.New("no such drill")
+	// ErrSignature is returned for a signature that was not made with the hash in the settings.
 	ErrSignature = errors.New("it was not started by the secret that is known here")
 )
 
-// HitCount counts the requests that a drill has touched.
+// HitCount counts the requests that a fault has affected. JSON keys are read by operators' tools.
 type HitCount struct {
 	Fault string `json:"drill"`
 	Class string `json:"class"`
 	Count uint64 `json:"hits"`
 }
 
-// Injector holds the drills and which of them run.
+// Injector holds which faults run. Its methods must not be called concurrently. Times are in seconds, of any clock.
 type Injector struct {
 	Settings
-	until []float64 // when each ends
-	hits  []HitCount
-	draw  func() float64
+	until  []float64 // when each fault ends
+	counts []HitCount
+	draw   func() float64 // uniform in [0, 1)
 }
 
-// New returns drills of which none runs.
-func New(s Settings) *Injector {
-	d := &Injector{Settings: s, until: make([]float64, len(s.Faults)), hits: make([]HitCount, len(s.Faults)), draw: rand.Float64}
-	for i, e := range s.Faults {
-		d.hits[i] = HitCount{Fault: e.Name, Class: e.Class}
+// New returns an Injector without a running fault.
+func New(settings Settings) *Injector {
+	i := &Injector{Settings: settings, until: make([]float64, len(settings.Faults)), counts: make([]HitCount, len(settings.Faults)), draw: rand.Float64}
+	for n, f := range settings.Faults {
+		i.counts[n] = HitCount{Fault: f.Name, Class: f.Class}
 	}
-	return d
+	return i
 }
 
-// IsArmed tells whether drills can be started at all.
-func (s *Injector) IsArmed() bool { return len(s.SecretHash) > 0 }
+// IsArmed reports whether faults can be started at all.
+func (i *Injector) IsArmed() bool { return len(i.SecretHash) > 0 }
 
-// Start starts a drill, or begins its time anew. The secret is looked at first: without it nobody learns which
-// drills there are.
-func (s *Injector) Start(now float64, secret []byte, name string) (Fault, error) {
-	sum := sha256.Sum256(secret)
-	if !s.IsArmed() || subtle.ConstantTimeCompare(sum[:], s.SecretHash) != 1 {
+// Start starts a fault, or starts its duration anew. The error is ErrSecret or ErrUnknown; the secret is checked first, so that nobody
+// learns the faults' names without it.
+func (i *Injector) Start(now float64, secret []byte, name string) (Fault, error) {
+	hash := sha256.Sum256(secret)
+	if !i.IsArmed() || subtle.ConstantTimeCompare(hash[:], i.SecretHash) != 1 {
 		return Fault{}, ErrSecret
 	}
-	for i, d := range s.Faults {
-		if d.Name == name {
-			s.until[i] = now + d.DurationSeconds
-			return d, nil
-		}
+	n, ok := i.index(name)
+	if !ok {
+		return Fault{}, ErrUnknown
 	}
-	return Fault{}, ErrUnknown
+	i.until[n] = now + i.Faults[n].DurationSeconds
+	return i.Faults[n], nil
 }
 
-// Sign returns what shows who has the same hash that the secret of a drill was looked at, by its id.
-func (s *Injector) Sign(id uint64, name string) []byte {
-	mac := hmac.New(sha256.New, s.SecretHash)
+// Sign returns the signature by which other sidecars with the same hash start a fault, with StartRemote. id identifies this start of it.
+func (i *Injector) Sign(id uint64, name string) []byte {
+	mac := hmac.New(sha256.New, i.SecretHash)
 	mac.Write(binary.BigEndian.AppendUint64(nil, id)) // never fails, as below
 	mac.Write([]byte(name))
 	return mac.Sum(nil)
 }
 
-// StartRemote has a drill run for what is left of it, which another has started. It never runs longer than it is written here.
-func (s *Injector) StartRemote(now float64, id uint64, name string, mark []byte, leftS float64) (Fault, error) {
-	if !s.IsArmed() || !hmac.Equal(mark, s.Sign(id, name)) {
+// StartRemote has a fault that another sidecar has started run for the time that is left, at most for the fault's duration. The error is
+// ErrSignature or ErrUnknown.
+func (i *Injector) StartRemote(now float64, id uint64, name string, signature []byte, remainingSeconds float64) (Fault, error) {
+	if !i.IsArmed() || !hmac.Equal(signature, i.Sign(id, name)) {
 		return Fault{}, ErrSignature
 	}
-	for i, d := range s.Faults {
-		if d.Name == name {
-			s.until[i] = max(s.until[i], now+min(leftS, d.DurationSeconds))
-			return d, nil
+	n, ok := i.index(name)
+	if !ok {
+		return Fault{}, ErrUnknown
+	}
+	i.until[n] = max(i.until[n], now+min(remainingSeconds, i.Faults[n].DurationSeconds))
+	return i.Faults[n], nil
+}
+
+// index returns the first fault of a name.
+func (i *Injector) index(name string) (n int, ok bool) {
+	for n := range i.Faults {
+		if i.Faults[n].Name == name {
+			return n, true
 		}
 	}
-	return Fault{}, ErrUnknown
+	return 0, false
 }
 
-// Match returns the drill that touches a request of a class, nil for most. One draw decides for all that run: each
-// gets its own share as long as they are 100 together, and no request meets two.
-func (s *Injector) Match(now float64, class string) *Fault {
-	from, x := 0.0, -1.0
-	for i := range s.Faults {
-		d := &s.Faults[i]
-		if d.Class != class || now >= s.until[i] {
+// Match returns the fault that affects a request of a class and counts it, nil for most requests. There is one draw for all running
+// faults of the class: as long as their percentages add up to 100 at most each gets its own, and no request is affected by two.
+func (i *Injector) Match(now float64, class string) *Fault {
+	from, drawn := 0.0, -1.0
+	for n := range i.Faults {
+		f := &i.Faults[n]
+		if f.Class != class || now >= i.until[n] {
 			continue
 		}
-		if x < 0 {
-			x = 100 * s.draw()
+		if drawn < 0 {
+			drawn = 100 * i.draw()
 		}
-		if x >= from && x < from+d.Percent {
-			s.hits[i].Count++
-			return d
+		if drawn >= from && drawn < from+f.Percent {
+			i.counts[n].Count++
+			return f
 		}
-		from += d.Percent
+		from += f.Percent
 	}
 	return nil
 }
 
-// HitCounts returns the count of each drill, in the file's order.
-func (s *Injector) HitCounts() []HitCount { return s.hits }
+// HitCounts returns the count of each fault, in the order of the settings. The caller must not change it.
+func (i *Injector) HitCounts() []HitCount { return i.counts }
--- a/internal/faultinjection/injector_test.go
+++ b/internal/faultinjection/injector_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Shares are exact for an even draw, drills of one class stand side by side, and each has its own time.
-func TestShares(t *testing.T) {
+// Percentages are exact for evenly spaced draws, faults of one class run side by side, and each for its own duration.
+func TestPercentagesAreExact(t *testing.T) {
 	sum := sha256.Sum256([]byte("s3"))
 	s := New(Settings{SecretHash: sum[:], Faults: []Fault{{Name: "a", Class: "c", Percent: 10, DurationSeconds: 60},
 		{Name: "b", Class: "c", Percent: 25, DurationSeconds: 30}, {Name: "none", Class: "c", DurationSeconds: 99}, {Name: "x", Class: "d", Percent: 100, DurationSeconds: 99}}})
@@ -57,21 +57,22 @@
 	assert.ErrorIs(t, err, ErrSecret, "without a hash no secret is right")
 }
 
-// What another sidecar has started runs here for what is left, by a mark of who has the same hash, and never longer than written.
-func TestRun(t *testing.T) {
+// A fault that another sidecar has started runs here for the time that is left, by a signature with the same hash, and never longer than
+// its duration.
+func TestRemoteStartNeedsASignature(t *testing.T) {
 	sum := sha256.Sum256([]byte("s3"))
 	s := New(Settings{SecretHash: sum[:], Faults: []Fault{{Name: "a", Class: "c", Percent: 100, DurationSeconds: 60}}})
-	mark := s.Sign(7, "a")
+	signature := s.Sign(7, "a")
 	for _, wrong := range [][]byte{nil, s.Sign(8, "a"), s.Sign(7, "b")} {
 		_, err := s.StartRemote(0, 7, "a", wrong, 5)
 		assert.ErrorIs(t, err, ErrSignature)
 	}
 	_, err := New(Settings{Faults: s.Faults}).StartRemote(0, 7, "a", New(Settings{}).Sign(7, "a"), 5)
-	assert.ErrorIs(t, err, ErrSignature, "without a hash no mark is right")
+	assert.ErrorIs(t, err, ErrSignature, "without a hash no signature is right")
 	_, err = s.StartRemote(0, 7, "b", s.Sign(7, "b"), 5)
 	assert.ErrorIs(t, err, ErrUnknown)
 	assert.Nil(t, s.Match(0, "c"))
-	_, err = s.StartRemote(0, 7, "a", mark, 5)
+	_, err = s.StartRemote(0, 7, "a", signature, 5)
 	assert.NoError(t, err)
 	assert.NotNil(t, s.Match(4.9, "c"))
 	assert.Nil(t, s.Match(5, "c"))
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,6 +1,7 @@
-// Package health answers the operators' questions after an instance on a port beside the one that it serves at, with
-// reasons. It must answer while the event loop stalls: it runs on goroutines of its own and reads what the loop has
-// last said.
+// Package health serves the platform's health checks of a sidecar over HTTP, on a port beside the one that requests are served at, with
+// the reasons of a negative answer. The paths are /alive, /ready and /started.
+//
+// It must answer while the event loop stalls. So it runs on goroutines of its own and reads the snapshot that the loop has published last.
 package health
 
 import (
@@ -17,139 +18,139 @@
 	"golang.org/x/net/netutil"
 )
 
-// Settings are the port and the thresholds; without a port there is no health beside the platform's own.
+// Settings are the port and the thresholds of readiness. Below a threshold that starts with Min, or above one that starts with Max, the
+// sidecar is not ready.
 type Settings struct {
-	Port         int
+	Port         int // 0: health checks are off
 	MaxListAgeMS float64
-	MinUsable    int
-	MaxInflight  int
+	MinUsable    int // servers
+	MaxInflight  int // requests
 }
 
-// IsEnabled tells whether there is a side port.
+// IsEnabled reports whether there is a port for health checks.
 func (s *Settings) IsEnabled() bool { return s.Port != 0 }
 
 const (
-	// mostConnections bounds those at the side port; further ones wait until one of them has its answer.
-	mostConnections = 8
-	// Descriptors is what the side port may hold, with its listener.
-	Descriptors = mostConnections + 1
-	// connectionS bounds how long a connection may take for its question and its answer.
-	connectionS = 2
-	// mostStallMS is how long the loop may be silent.
-	mostStallMS = 1000
+	// maxConnections limits the connections at a time; further ones wait.
+	maxConnections = 8
+	// Descriptors is how many descriptors must be reserved for a Server.
+	Descriptors = maxConnections + 1
+	// connectionTimeout limits how long a client may take to send its request, and to read the answer.
+	connectionTimeout = 2 * time.Second
+	// maxStallMS is how old the last snapshot of a live sidecar may be.
+	maxStallMS = 1000
 )
 
-// Snapshot is what the event loop says of itself at one of its beats.
+// Snapshot is the state of the sidecar as its event loop publishes it. Times are seconds by the clock that New is given.
 type Snapshot struct {
-	TakenAt       float64 // the time of the beat
-	ListReadAt    float64 // when anything was last read from discovery; before that, the program's start
-	Started       bool    // a list has been loaded
+	TakenAt       float64
+	ListReadAt    float64 // when something was last read from discovery; the start of the process before that
+	Started       bool    // a list has been read
 	Draining      bool
-	UsableServers int // servers
+	UsableServers int
 	Inflight      int // requests
 }
 
-// Server answers at the side port.
+// Server answers health checks.
 type Server struct {
 	settings Settings
-	now      func() float64 // on the clock of the snapshots
-	last     atomic.Pointer[Snapshot]
+	now      func() float64
+	snapshot atomic.Pointer[Snapshot]
 	http     http.Server
 }
 
-// New returns a server that does not listen yet. The loop counts as beating from now on.
-func New(s Settings, now func() float64, log *slog.Logger) *Server {
-	h := &Server{settings: s, now: now}
-	h.Publish(Snapshot{TakenAt: now(), ListReadAt: now()})
+// New returns a server that does not listen yet. Until the first Publish the snapshot is as of now. now is called from any goroutine.
+func New(settings Settings, now func() float64, log *slog.Logger) *Server {
+	s := &Server{settings: settings, now: now}
+	s.Publish(Snapshot{TakenAt: now(), ListReadAt: now()})
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /alive", h.alive)
-	mux.HandleFunc("GET /ready", h.ready)
-	mux.HandleFunc("GET /started", h.started)
-	h.http = http.Server{Handler: mux, ReadTimeout: connectionS * time.Second, WriteTimeout: connectionS * time.Second,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
-	h.http.SetKeepAlivesEnabled(false) // who asks rarely must not hold one of the few connections
-	return h
+	mux.HandleFunc("GET /alive", s.serveAlive)
+	mux.HandleFunc("GET /ready", s.serveReady)
+	mux.HandleFunc("GET /started", s.serveStarted)
+	s.http = http.Server{Handler: mux, ReadTimeout: connectionTimeout, WriteTimeout: connectionTimeout, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
+	s.http.SetKeepAlivesEnabled(false) // an idle client must not hold one of the few connections
+	return s
 }
 
-// Publish takes a new snapshot. It does not wait for readers.
-func (h *Server) Publish(s Snapshot) { h.last.Store(&s) }
+// Publish replaces the snapshot. It never blocks, and may be called from any goroutine.
+func (s *Server) Publish(snapshot Snapshot) { s.snapshot.Store(&snapshot) }
 
-// Listen begins to answer at the side port of a host.
-func (h *Server) Listen(host string) error {
-	l, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(h.settings.Port)))
+// Listen starts to answer on the port of a host, until the process ends. The error names the setting at fault.
+func (s *Server) Listen(host string) error {
+	l, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(s.settings.Port)))
 	if err != nil {
 		return fmt.Errorf("health.port: %w", err)
 	}
-	go h.http.Serve(netutil.LimitListener(l, mostConnections)) // ends with the process
+	go func() { _ = s.http.Serve(netutil.LimitListener(l, maxConnections)) }() // returns only if accepting fails for good
 	return nil
 }
 
-// reasons collects what speaks against a claim.
-type reasons []string
-
-func (r *reasons) above(name string, v, most float64) {
-	if v > most {
-		*r = append(*r, fmt.Sprintf("%s %v > %v", name, v, most))
-	}
-}
-
-func (r *reasons) below(name string, v, least float64) {
-	if v < least {
-		*r = append(*r, fmt.Sprintf("%s %v < %v", name, v, least))
-	}
-}
-
-// ageMS is how long ago something was, in whole milliseconds.
-func (h *Server) ageMS(at float64) float64 { return max(math.Round((h.now()-at)*1000), 0) }
+// ageMS returns how long ago a time was, in whole milliseconds.
+func (s *Server) ageMS(at float64) float64 { return max(math.Round((s.now()-at)*1000), 0) }
 
-func (h *Server) alive(w http.ResponseWriter, _ *http.Request) {
-	stall, why := h.ageMS(h.last.Load().TakenAt), reasons{}
-	why.above("loop_stall_ms", stall, mostStallMS)
-	answer(w, len(why) == 0, struct {
+func (s *Server) serveAlive(w http.ResponseWriter, _ *http.Request) {
+	stall, why := s.ageMS(s.snapshot.Load().TakenAt), reasons{}
+	why.addIfAbove("loop_stall_ms", stall, maxStallMS)
+	writeAnswer(w, len(why) == 0, struct {
 		Alive   bool    `json:"alive"`
 		Reasons reasons `json:"reasons"`
-		Stall   float64 `json:"loop_stall_ms"`
+		StallMS float64 `json:"loop_stall_ms"`
 	}{len(why) == 0, why, stall})
 }
 
-func (h *Server) ready(w http.ResponseWriter, _ *http.Request) {
-	s, why := h.last.Load(), reasons{}
-	age := h.ageMS(s.ListReadAt)
-	why.above("list_age_ms", age, h.settings.MaxListAgeMS)
-	why.below("servers_usable", float64(s.UsableServers), float64(h.settings.MinUsable))
-	why.above("inflight", float64(s.Inflight), float64(h.settings.MaxInflight))
-	why.above("loop_stall_ms", h.ageMS(s.TakenAt), mostStallMS)
-	if s.Draining {
+func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
+	snapshot, why := s.snapshot.Load(), reasons{}
+	listAge := s.ageMS(snapshot.ListReadAt)
+	why.addIfAbove("list_age_ms", listAge, s.settings.MaxListAgeMS)
+	why.addIfBelow("servers_usable", float64(snapshot.UsableServers), float64(s.settings.MinUsable))
+	why.addIfAbove("inflight", float64(snapshot.Inflight), float64(s.settings.MaxInflight))
+	why.addIfAbove("loop_stall_ms", s.ageMS(snapshot.TakenAt), maxStallMS)
+	if snapshot.Draining {
 		why = append(why, "draining")
 	}
-	answer(w, len(why) == 0, struct {
-		Ready    bool    `json:"ready"`
-		Reasons  reasons `json:"reasons"`
-		ListAge  float64 `json:"list_age_ms"`
-		Usable   int     `json:"servers_usable"`
-		Inflight int     `json:"inflight"`
-	}{len(why) == 0, why, age, s.UsableServers, s.Inflight})
+	writeAnswer(w, len(why) == 0, struct {
+		Ready         bool    `json:"ready"`
+		Reasons       reasons `json:"reasons"`
+		ListAgeMS     float64 `json:"list_age_ms"`
+		UsableServers int     `json:"servers_usable"`
+		Inflight      int     `json:"inflight"`
+	}{len(why) == 0, why, listAge, snapshot.UsableServers, snapshot.Inflight})
 }
 
-func (h *Server) started(w http.ResponseWriter, _ *http.Request) {
-	s, why := h.last.Load(), reasons{}
-	if !s.Started {
+func (s *Server) serveStarted(w http.ResponseWriter, _ *http.Request) {
+	snapshot, why := s.snapshot.Load(), reasons{}
+	if !snapshot.Started {
 		why = append(why, "no list loaded")
 	}
-	answer(w, s.Started, struct {
+	writeAnswer(w, snapshot.Started, struct {
 		Started bool    `json:"started"`
 		Reasons reasons `json:"reasons"`
-	}{s.Started, why})
+	}{snapshot.Started, why})
+}
+
+// reasons are why an answer is negative.
+type reasons []string
+
+func (r *reasons) addIfAbove(name string, value, limit float64) {
+	if value > limit {
+		*r = append(*r, fmt.Sprintf("%s %v > %v", name, value, limit))
+	}
+}
+
+func (r *reasons) addIfBelow(name string, value, limit float64) {
+	if value < limit {
+		*r = append(*r, fmt.Sprintf("%s %v < %v", name, value, limit))
+	}
 }
 
-// answer writes a body with the status that it stands for.
-func answer(w http.ResponseWriter, good bool, body any) {
+// writeAnswer writes a body as JSON, with status 200 or 503.
+func writeAnswer(w http.ResponseWriter, healthy bool, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", "no-store")
-	if !good {
+	if !healthy {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	e := json.NewEncoder(w)
-	e.SetEscapeHTML(false) // the reasons are read by people
-	_ = e.Encode(body)     // fails only if nobody is there to read it
+	e.SetEscapeHTML(false) // people read the reasons
+	_ = e.Encode(body)     // fails only if the client has gone
 }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each threshold has its own reason, and the ages grow though the loop says nothing more.
-func TestReasons(t *testing.T) {
+// Each threshold has its own reason, and the ages grow while the loop publishes nothing.
+func TestEachThresholdHasAReason(t *testing.T) {
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	port := probe.Addr().(*net.TCPAddr).Port
@@ -49,8 +49,8 @@
 	expect("/alive", 200, "")
 	expect("/other", 404, "")
 
-	// Connections that say nothing hold up nobody for long.
-	for range 2 * mostConnections {
+	// Idle connections do not block others for long.
+	for range 2 * maxConnections {
 		c, err := net.Dial("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		require.NoError(t, err)
 		defer c.Close()
