--- a/internal/endpointset/endpointset.go
+++ b/internal/endpointset/endpointset.go
@@ -39,10 +39,10 @@
 
 // list is one object of discovery.
 type list struct {
-	Index     uint64
-	Snapshot  bool
-	Endpoints endpoints
-	Lifted    map[string]float64 `json:",omitempty"` // in an export alone: Host.liftAt by name
+	Index     uint64             `json:"Index"`
+	Snapshot  bool               `json:"Snapshot"`
+	Endpoints endpoints          `json:"Endpoints"`
+	Lifted    map[string]float64 `json:"Lifted,omitempty"` // in an export alone: Host.liftAt by name
 }
 
 // endpoints are the entries of a list; nil: the list has no such field.
@@ -62,10 +62,14 @@
 
 // endpoint is one server as discovery lists it.
 type endpoint struct {
-	Name, Address, Zone, Type, Status string
-	Group                             int
-	Weight                            float64
-	SinceMS                           float64 `json:"since_ms"`
+	Name    string  `json:"Name"`
+	Address string  `json:"Address"`
+	Zone    string  `json:"Zone"`
+	Type    string  `json:"Type"`
+	Status  string  `json:"Status"`
+	Group   int     `json:"Group"`
+	Weight  float64 `json:"Weight"`
+	SinceMS float64 `json:"since_ms"`
 }
 
 // Set is the list of servers.
@@ -397,8 +401,8 @@
 // Heading returns the index of an object of discovery, and whether it is a whole list, without taking it.
 func Heading(raw []byte) (index uint64, snapshot bool, err error) {
 	var l struct {
-		Index    uint64
-		Snapshot bool
+		Index    uint64 `json:"Index"`
+		Snapshot bool   `json:"Snapshot"`
 	}
 	if err := json.Unmarshal(raw, &l); err != nil {
 		return 0, false, fmt.Errorf("endpoint set: %w", err)
