--- a/internal/coordination/list_relay_test.go
+++ b/internal/coordination/list_relay_test.go
@@ -25,11 +25,11 @@
 
 func (f *fakeLists) ListVersion() (v sidecar.ListVersion, ok bool) {
 	v.Index, ok = f.set.Index()
-	v.DiscoveryAddress, v.Checksum = f.discovery, f.set.Sum()
+	v.DiscoveryAddress, v.Checksum = f.discovery, f.set.Checksum()
 	return v, ok
 }
 
-func (f *fakeLists) CompleteList() []byte { return f.set.Whole() }
+func (f *fakeLists) CompleteList() []byte { return f.set.Snapshot() }
 
 func (f *fakeLists) ApplyList(raw []byte) error {
 	_, _, err := f.set.Apply(raw, 1)
@@ -39,7 +39,7 @@
 func (f *fakeLists) ConfirmList()           { f.fed = true }
 func (f *fakeLists) ExpireList()            { f.fed = false; f.starved++ }
 func (f *fakeLists) SetDirectWatch(on bool) { f.own = on }
-func (f *fakeLists) InvalidateList()        { f.fed = false; f.distrusts++; f.set.Unversion() }
+func (f *fakeLists) InvalidateList()        { f.fed = false; f.distrusts++; f.set.ForgetIndex() }
 
 // newListNode returns a node that follows updates, and its list.
 func newListNode() (*Node, *clockNet, *fakeLists) {
@@ -74,8 +74,8 @@
 			if i == 0 {
 				require.NoError(t, lists.ApplyList(raw))
 			}
-			sums = append(sums, truth.Sum())
-			updates = append(updates, listUpdate{Discovery: "d:1", Index: uint64(i), Checksum: truth.Sum(), BaseIndex: uint64(max(i-1, 0)), Delta: compress(raw)})
+			sums = append(sums, truth.Checksum())
+			updates = append(updates, listUpdate{Discovery: "d:1", Index: uint64(i), Checksum: truth.Checksum(), BaseIndex: uint64(max(i-1, 0)), Delta: compress(raw)})
 		}
 		index, freshAt := uint64(0), 0.0
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
--- a/internal/endpointset/endpointset.go
+++ b/internal/endpointset/endpointset.go
@@ -116,7 +116,7 @@
 func (g *Set) Index() (index uint64, ok bool) { return g.index, g.held }
 
 // Unversion keeps the list and drops its version: another discovery service counts its own.
-func (g *Set) Unversion() { g.held = false }
+func (g *Set) ForgetIndex() { g.held = false }
 
 // Len returns how many servers are known.
 func (g *Set) Len() int { return len(g.byID) }
@@ -147,7 +147,7 @@
 }
 
 // ApplyKnown takes the list that was held last, which may be empty in any form.
-func (g *Set) ApplyKnown(raw []byte, now float64) ([]policy.HostInfo, error) {
+func (g *Set) ApplyCached(raw []byte, now float64) ([]policy.HostInfo, error) {
 	l, err := parseList(raw)
 	if err != nil {
 		return nil, err
@@ -241,19 +241,19 @@
 
 // Ban takes a server out of use until Lift, whatever the list says of it meanwhile. What the decisions are to be told
 // is returned. A ban that is there already stays.
-func (g *Set) Ban(name string, now float64) (policy.HostInfo, error) {
+func (g *Set) Cordon(name string, now float64) (policy.HostInfo, error) {
 	h := g.byName[name]
 	if h == nil {
 		return policy.HostInfo{}, ErrUnlisted
 	}
-	g.Hold(name, now)
+	g.CordonName(name, now)
 	return g.told(h), nil
 }
 
 // Lift ends a ban, if there is one. Danger: servers are restarted while they are banned, and the list tells of it seconds
 // late; a cold one that is taken for warm is pushed over. So one that the list has not called newer since the ban
 // began counts as started now.
-func (g *Set) Lift(name string, now float64) (policy.HostInfo, error) {
+func (g *Set) Uncordon(name string, now float64) (policy.HostInfo, error) {
 	h := g.byName[name]
 	if h == nil {
 		return policy.HostInfo{}, ErrUnlisted
@@ -280,7 +280,7 @@
 
 // Agree has servers be out that all sidecars have agreed on: exactly these, in place of those before, whether a list has named them
 // or not. What the decisions are to be told is returned, by name.
-func (g *Set) Agree(names []string, now float64) (infos []policy.HostInfo) {
+func (g *Set) SetUnderMaintenance(names []string, now float64) (infos []policy.HostInfo) {
 	var changed []string
 	for name, at := range g.agreed {
 		if !slices.Contains(names, name) {
@@ -309,25 +309,25 @@
 }
 
 // Agreed tells whether a server is out by agreement, and whether it was given back here by hand all the same.
-func (g *Set) Agreed(name string) (out, kept bool) { return g.agreed[name] > 0, g.kept[name] }
+func (g *Set) MaintenanceState(name string) (out, kept bool) { return g.agreed[name] > 0, g.kept[name] }
 
 // ByHand tells whether a server is out by hand.
-func (g *Set) ByHand(name string) bool { return g.bans[name] > 0 }
+func (g *Set) IsCordoned(name string) bool { return g.bans[name] > 0 }
 
 // Known is what the list says of a server.
-type Known struct {
-	Zone, Type       string
-	Weight, Started  float64 // of Started the later of the list's word and of when it was given back
-	Listed, Draining bool
+type Listing struct {
+	Zone, Type           string
+	Weight, StartedAt    float64 // of Started the later of the list's word and of when it was given back
+	IsListed, IsDraining bool
 }
 
 // Known returns what the list says, whatever bans there are.
-func (h *Host) Known() Known {
-	return Known{h.entry.Zone, h.entry.Type, max(h.entry.Weight, 0), max(h.info.Started, h.liftAt), h.listed != policy.Gone, h.listed == policy.Draining}
+func (h *Host) Listing() Listing {
+	return Listing{h.entry.Zone, h.entry.Type, max(h.entry.Weight, 0), max(h.info.Started, h.liftAt), h.listed != policy.Gone, h.listed == policy.Draining}
 }
 
 // Hold bans a server that no list need have named yet. A ban that is there already stays.
-func (g *Set) Hold(name string, now float64) {
+func (g *Set) CordonName(name string, now float64) {
 	delete(g.kept, name) // what was said last by hand holds
 	if g.bans[name] == 0 {
 		g.bans[name] = now
@@ -335,7 +335,7 @@
 }
 
 // Bans returns the names of all that are banned, sorted.
-func (g *Set) Bans() []string { return slices.Sorted(maps.Keys(g.bans)) }
+func (g *Set) Cordoned() []string { return slices.Sorted(maps.Keys(g.bans)) }
 
 // Export returns what is known of all servers, for Import. Bans are not in it.
 func (g *Set) Export() json.RawMessage {
@@ -356,7 +356,7 @@
 }
 
 // Whole returns the list that is held as discovery would write it: what has gone is left out, and bans are not in it.
-func (g *Set) Whole() json.RawMessage {
+func (g *Set) Snapshot() json.RawMessage {
 	l := list{Index: g.index, Snapshot: true, Endpoints: []endpoint{}}
 	for id := range g.Names {
 		if h := g.byID[id]; h.listed != policy.Gone {
@@ -373,7 +373,7 @@
 }
 
 // Sum returns the same number for lists that say the same, whoever told them and in whatever pieces.
-func (g *Set) Sum() uint64 {
+func (g *Set) Checksum() uint64 {
 	if g.summed {
 		return g.sum
 	}
@@ -399,7 +399,7 @@
 }
 
 // Heading returns the index of an object of discovery, and whether it is a whole list, without taking it.
-func Heading(raw []byte) (index uint64, snapshot bool, err error) {
+func ParseHeader(raw []byte) (index uint64, snapshot bool, err error) {
 	var l struct {
 		Index    uint64 `json:"Index"`
 		Snapshot bool   `json:"Snapshot"`
--- a/internal/endpointset/endpointset_test.go
+++ b/internal/endpointset/endpointset_test.go
@@ -56,9 +56,9 @@
 	const now = 1.8e9
 	g := New(nil, nil)
 	apply(t, g, now, `{"index":1,"snapshot":true,"endpoints":[{"name":"box","status":"SERVING","since_ms":1799999000000}]}`)
-	_, err := g.Ban("other", now)
+	_, err := g.Cordon("other", now)
 	assert.ErrorIs(t, err, ErrUnlisted)
-	info, err := g.Ban("box", now+1)
+	info, err := g.Cordon("box", now+1)
 	require.NoError(t, err)
 	assert.Equal(t, policy.Draining, info.State)
 	again, infos := apply(t, g, now+2, `{"index":2,"snapshot":true,"endpoints":[]}`)
@@ -68,7 +68,7 @@
 	apply(t, g, now+3+forgetAfterS, `{"index":2}`)
 	_, infos = apply(t, g, now+4, `{"index":3,"endpoints":[{"name":"box","status":"SERVING","since_ms":1799999000000}]}`)
 	assert.Equal(t, policy.Draining, infos[0].State, "it is not forgotten while it is banned")
-	info, err = g.Lift("box", now+9)
+	info, err = g.Uncordon("box", now+9)
 	require.NoError(t, err)
 	assert.Equal(t, policy.HostInfo{ID: ID("box"), State: policy.Ready, Started: now + 9}, info)
 	into := New(nil, nil)
@@ -108,17 +108,17 @@
 			require.NoError(r, err)
 		}
 		if rapid.Bool().Draw(r, "banned") {
-			g.Hold("x", 1)
+			g.CordonName("x", 1)
 		}
 		to := New([]string{"a"}, nil)
-		snapshot, _, err := to.Apply(g.Whole(), 2)
+		snapshot, _, err := to.Apply(g.Snapshot(), 2)
 		require.NoError(r, err)
 		assert.True(r, snapshot)
-		assert.Equal(r, g.Sum(), to.Sum())
+		assert.Equal(r, g.Checksum(), to.Checksum())
 		assert.Equal(r, g.index, to.index)
-		assert.JSONEq(r, string(g.Whole()), string(to.Whole()))
+		assert.JSONEq(r, string(g.Snapshot()), string(to.Snapshot()))
 		_, _, err = to.Apply([]byte(`{"index":99,"endpoints":[{"name":"new","status":"SERVING"}]}`), 3)
 		require.NoError(r, err)
-		assert.NotEqual(r, g.Sum(), to.Sum())
+		assert.NotEqual(r, g.Checksum(), to.Checksum())
 	})
 }
--- a/internal/endpointset/stored_form_test.go
+++ b/internal/endpointset/stored_form_test.go
@@ -19,15 +19,15 @@
 		{"name":"s-5be2a07c","address":"10.1.0.18:3000","zone":"b","type":"m2","group":3,"status":"SERVING","weight":1.5,"since_ms":1799999000000},
 		{"name":"s-00000001","address":"10.1.0.19:3000","zone":"a","type":"m1","group":4,"status":"DRAINING","weight":0.25,"since_ms":1799999999500},
 		{"name":"s-00000002","address":"10.1.0.20:3000","zone":"c","type":"m1","group":5,"status":"SERVING","weight":2,"since_ms":0}]}`)
-	_, err := g.Ban("s-5be2a07c", now+1)
+	_, err := g.Cordon("s-5be2a07c", now+1)
 	require.NoError(t, err)
-	_, err = g.Lift("s-5be2a07c", now+9)
+	_, err = g.Uncordon("s-5be2a07c", now+9)
 	require.NoError(t, err)
 	apply(t, g, now+10, `{"index":42,"endpoints":[{"name":"s-00000002","address":"10.1.0.20:3000","zone":"c","type":"m1","group":5,"status":"DELETED","weight":2}]}`)
 	for name, got := range map[string]string{
 		"export.json":  string(g.Export()),
-		"list.json":    string(g.Whole()),
-		"checksum.txt": fmt.Sprintf("%016x", g.Sum()),
+		"list.json":    string(g.Snapshot()),
+		"checksum.txt": fmt.Sprintf("%016x", g.Checksum()),
 	} {
 		want, err := os.ReadFile(filepath.Join("testdata", name))
 		require.NoError(t, err)
@@ -38,8 +38,8 @@
 	require.NoError(t, err)
 	_, infos := apply(t, into, now+20, string(export))
 	require.Len(t, infos, 3)
-	assert.Equal(t, now+9.0, into.Host(0x5be2a07c).Known().Started)
-	assert.Equal(t, g.Sum(), into.Sum())
-	assert.Equal(t, string(g.Whole()), string(into.Whole()))
+	assert.Equal(t, now+9.0, into.Host(0x5be2a07c).Listing().StartedAt)
+	assert.Equal(t, g.Checksum(), into.Checksum())
+	assert.Equal(t, string(g.Snapshot()), string(into.Snapshot()))
 	assert.Nil(t, into.Host(2), "a server that had gone is not kept by the successor")
 }
--- a/internal/sidecar/feed.go
+++ b/internal/sidecar/feed.go
@@ -69,16 +69,16 @@
 	if v.Index, ok = s.hosts.Index(); !ok {
 		return v, false
 	}
-	v.DiscoveryAddress, v.Checksum = s.cfg.Discovery, s.hosts.Sum()
+	v.DiscoveryAddress, v.Checksum = s.cfg.Discovery, s.hosts.Checksum()
 	return v, true
 }
 
 // CompleteList is for the loop.
-func (s *Sidecar) CompleteList() []byte { return s.hosts.Whole() }
+func (s *Sidecar) CompleteList() []byte { return s.hosts.Snapshot() }
 
 // ApplyList is for the loop.
 func (s *Sidecar) ApplyList(raw []byte) (err error) {
-	index, _, err := endpointset.Heading(raw)
+	index, _, err := endpointset.ParseHeader(raw)
 	if err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 			s.watcher.stop()
 		}
 		s.passed.on = false
-		s.hosts.Unversion()
+		s.hosts.ForgetIndex()
 		switch {
 		case s.stopping:
 		case s.passed.own:
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -119,15 +119,15 @@
 	}
 	var infos []policy.HostInfo
 	for _, name := range bans {
-		if info, err := s.hosts.Ban(name, s.now()); err == nil {
+		if info, err := s.hosts.Cordon(name, s.now()); err == nil {
 			infos = append(infos, info)
 		} else {
-			s.hosts.Hold(name, s.now()) // it counts once the list names it
+			s.hosts.CordonName(name, s.now()) // it counts once the list names it
 		}
 	}
-	for _, name := range s.hosts.Bans() {
+	for _, name := range s.hosts.Cordoned() {
 		if !slices.Contains(bans, name) {
-			if info, err := s.hosts.Lift(name, s.now()); err == nil {
+			if info, err := s.hosts.Uncordon(name, s.now()); err == nil {
 				infos = append(infos, info)
 			}
 		}
--- a/internal/sidecar/operate.go
+++ b/internal/sidecar/operate.go
@@ -57,7 +57,7 @@
 
 // CordonServer takes a server out of use until Online. The ban holds once it returns.
 func (s *Sidecar) CordonServer(name string) error {
-	info, err := s.hosts.Ban(name, s.now())
+	info, err := s.hosts.Cordon(name, s.now())
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 
 // UncordonServer ends a server's ban, however often it was called for.
 func (s *Sidecar) UncordonServer(name string) error {
-	info, err := s.hosts.Lift(name, s.now())
+	info, err := s.hosts.Uncordon(name, s.now())
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -57,6 +57,6 @@
 		s.watcher.stop()
 	}
 	s.passed.on = false // what was passed on was the old service's
-	s.hosts.Unversion()
+	s.hosts.ForgetIndex()
 	s.watch()
 }
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -184,7 +184,7 @@
 func (w *watcher) pass(line []byte) error {
 	s := w.s
 	before, held := s.hosts.Index()
-	index, snapshot, err := endpointset.Heading(line)
+	index, snapshot, err := endpointset.ParseHeader(line)
 	if err != nil {
 		return err
 	}
@@ -209,7 +209,7 @@
 
 // listKnown applies the list that was held last and tells the decisions.
 func (s *Sidecar) listKnown(raw []byte) error {
-	infos, err := s.hosts.ApplyKnown(raw, s.now())
+	infos, err := s.hosts.ApplyCached(raw, s.now())
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/works.go
+++ b/internal/sidecar/works.go
@@ -125,7 +125,7 @@
 
 // TakeOut may be called before Start, with what was agreed in an earlier life.
 func (s *Sidecar) SetUnderMaintenance(names []string) {
-	infos := s.hosts.Agree(names, s.net.Now())
+	infos := s.hosts.SetUnderMaintenance(names, s.net.Now())
 	if len(infos) == 0 {
 		return
 	}
@@ -152,14 +152,14 @@
 	avoided, w, p := s.balancer.Ejected(now), s.works, &s.cfg.Settings.Policy
 	for id := range s.hosts.Names {
 		h := s.hosts.Host(id)
-		k := h.Known()
-		agreed, kept := s.hosts.Agreed(h.Name)
-		b := ServerStatus{Name: h.Name, Zone: k.Zone, Type: k.Type, Weight: k.Weight, IsListed: k.Listed, IsDraining: k.Draining, IsCordoned: s.hosts.ByHand(h.Name), IsKeptInUse: kept,
+		k := h.Listing()
+		agreed, kept := s.hosts.MaintenanceState(h.Name)
+		b := ServerStatus{Name: h.Name, Zone: k.Zone, Type: k.Type, Weight: k.Weight, IsListed: k.IsListed, IsDraining: k.IsDraining, IsCordoned: s.hosts.IsCordoned(h.Name), IsKeptInUse: kept,
 			InFlight: out[id] + w.open(id, now), AttemptsEnded: w.ended[id]}
 		if !b.IsListed && !agreed && !b.IsCordoned && b.InFlight == 0 {
 			continue
 		}
-		b.IsWarmingUp = p.SlowStartSeconds > 0 && k.Started > 0 && now-k.Started < p.SlowStartSeconds
+		b.IsWarmingUp = p.SlowStartSeconds > 0 && k.StartedAt > 0 && now-k.StartedAt < p.SlowStartSeconds
 		b.IsUnavailable = h.State == policy.Ready && (avoided(id) || w.fails(id, now))
 		r, told := w.report[id]
 		b.IsBusy = told && now-r.at < reportS && r.inflight > 0
--- a/internal/sim/plain.go
+++ b/internal/sim/plain.go
@@ -120,7 +120,7 @@
 func (p *plain) Reload(c sidecarconfig.Config, err error) {
 	if err == nil && c.Discovery != p.cfg.Discovery {
 		p.cfg.Discovery = c.Discovery
-		p.hosts.Unversion()
+		p.hosts.ForgetIndex()
 		p.rewatch = p.net.Now()
 	}
 }
