--- a/internal/coordination/fault_role.go
+++ b/internal/coordination/fault_role.go
@@ -68,7 +68,7 @@
 // Stop implements singletonRole.
 func (r *faultRole) Stop() { r.heldToken = 0 }
 
-// Drilled implements sidecar.FaultObserver: it announces a fault that an operator has started at this sidecar to the fleet. sign returns
+// FaultStarted implements sidecar.FaultObserver: it announces a fault that an operator has started at this sidecar to the fleet. sign returns
 // the signature for the ID that is drawn here.
 func (n *Node) FaultStarted(name string, durationSeconds float64, sign func(id uint64) []byte) {
 	n.run(func() {
--- a/internal/coordination/lease_actions.go
+++ b/internal/coordination/lease_actions.go
@@ -14,12 +14,14 @@
 
 var _ lease.Actions = leaseActions{}
 
+// Send implements lease.Actions.
 func (a leaseActions) Send(to swim.ID, m *lease.Message) {
 	if link := a.roles.node.linkByMember[to]; link != nil {
 		link.Send(frames.TopicLease, mustMarshal(m))
 	}
 }
 
+// Broadcast implements lease.Actions.
 func (a leaseActions) Broadcast(m *lease.Message, except swim.ID) {
 	body := mustMarshal(m)
 	for _, link := range slices.Clone(a.roles.node.upLinks) { // sending may end a link
@@ -29,15 +31,17 @@
 	}
 }
 
+// RequestLinks implements lease.Actions.
 func (a leaseActions) RequestLinks(members []swim.ID) {
 	n := a.roles.node
 	n.runAfterCall(func() {
-		if n.view != nil && !n.silenced {
+		if n.view != nil && !n.isReplaced {
 			n.view.RequestLinks(n.net.Now(), members)
 		}
 	})
 }
 
+// Persist implements lease.Actions.
 func (a leaseActions) Persist(state []byte) {
 	m, n := a.roles, a.roles.node
 	n.runAfterCall(func() {
@@ -54,6 +58,7 @@
 	})
 }
 
+// LeaseStarted implements lease.Actions: it starts the role unless a message of a later holder has come.
 func (a leaseActions) LeaseStarted(name string, token uint64) {
 	m, node := a.roles, a.roles.lease
 	m.node.runAfterCall(func() {
@@ -74,6 +79,7 @@
 	})
 }
 
+// RecordCommitted implements lease.Actions. The maintenance role is the only one with a record.
 func (a leaseActions) RecordCommitted(record lease.Record) {
 	m, node := a.roles, a.roles.lease
 	m.node.runAfterCall(func() {
@@ -83,6 +89,7 @@
 	})
 }
 
+// LeaseEnded implements lease.Actions: it stops the role.
 func (a leaseActions) LeaseEnded(name string, token uint64, reason lease.EndReason) {
 	m := a.roles
 	m.node.runAfterCall(func() {
@@ -97,6 +104,7 @@
 	})
 }
 
+// ReplaceIdentity implements lease.Actions: the membership ends for the old identity and starts for a new one.
 func (a leaseActions) ReplaceIdentity(reason string) {
 	n := a.roles.node
 	n.runAfterCall(func() {
@@ -105,4 +113,5 @@
 	})
 }
 
+// Log implements lease.Actions, within the limit on log lines.
 func (a leaseActions) Log(text string, args ...any) { a.roles.logInfo(text, args...) }
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -24,7 +24,7 @@
 		n.answerQuery(link)
 		return false
 	}
-	if err := frames.Unmarshal(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || n.leaving || n.view.HasLostIdentity() {
+	if err := frames.Unmarshal(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || n.isLeaving || n.view.HasLostIdentity() {
 		if link.Address != "" { // Danger: the membership never dials an address again whose last dial has no result
 			n.view.DialFailed(n.net.Now(), link.Address)
 		}
--- a/internal/coordination/list_relay.go
+++ b/internal/coordination/list_relay.go
@@ -26,12 +26,12 @@
 	lists   sidecar.ListReceiver
 	sources [len(listRoleNames)]*listRole
 
-	relayed         bool    // updates of others replace this sidecar's watch
-	triesOwnWatch   bool    // a watch was started since updates are missing
-	ownWatchAt      float64 // when to start it; 0: not drawn
-	ownWatchHeardAt float64 // when this sidecar's watch brought something last
-	distrustUntil   float64 // updates are ignored until then
-	announcedIndex  uint64  // greatest version whose delta was sent to all, by this sidecar or another
+	relayed           bool    // updates of others replace this sidecar's watch
+	triesOwnWatch     bool    // a watch was started since updates are missing
+	ownWatchAt        float64 // when to start it; 0: not drawn
+	ownWatchUpdatedAt float64 // when this sidecar's watch brought something last
+	distrustUntil     float64 // updates are ignored until then
+	announcedIndex    uint64  // greatest version whose delta was sent to all, by this sidecar or another
 
 	// The transfer of a list that was requested, see list_transfer.go.
 	request          listRequest
@@ -69,7 +69,7 @@
 	return l
 }
 
-// Listed implements sidecar.ListObserver: it relays an object of discovery.
+// ListRead implements sidecar.ListObserver: it relays an object of discovery.
 func (n *Node) ListRead(before uint64, held bool, raw []byte) {
 	n.run(func() {
 		if n.roles != nil && n.roles.listRelay != nil {
@@ -78,7 +78,7 @@
 	})
 }
 
-// Unlisted implements sidecar.ListObserver: it relays the end of the watch.
+// WatchEnded implements sidecar.ListObserver: it relays the end of the watch.
 func (n *Node) WatchEnded() {
 	n.run(func() {
 		if n.roles != nil && n.roles.listRelay != nil {
@@ -112,7 +112,7 @@
 // sidecar.ListObserver.ListRead.
 func (l *listRelay) handleDiscoveryUpdate(before uint64, held bool, raw []byte) {
 	defer l.serveWaiters()
-	l.ownWatchHeardAt = l.now()
+	l.ownWatchUpdatedAt = l.now()
 	r := l.activeSource()
 	v, ok := l.lists.ListVersion()
 	if r == nil || !ok {
@@ -149,10 +149,10 @@
 	}
 }
 
-// stepDownIfCutOff asks the voters to move roles whose holder here hears nothing of discovery while other holders do.
-func (l *listRelay) stepDownIfCutOff(now float64) {
+// stepDownIfPartitioned asks the voters to move roles whose holder here hears nothing of discovery while other holders do.
+func (l *listRelay) stepDownIfPartitioned(now float64) {
 	for _, r := range l.sources {
-		if r.heldToken != 0 && now > max(r.startedAt, l.ownWatchHeardAt, r.stepDownAt)+discoverySilenceSeconds {
+		if r.heldToken != 0 && now > max(r.startedAt, l.ownWatchUpdatedAt, r.stepDownAt)+discoverySilenceSeconds {
 			r.stepDownAt = now
 			l.roles.logInfo("discovery unreachable: stepping down", "role", r.name)
 			l.roles.lease.RequestStepDown(now, r.name)
@@ -275,7 +275,7 @@
 		l.lists.ExpireList()
 		return now + staleSeconds
 	case now < newest+ownWatchDelaySeconds:
-		l.stepDownIfCutOff(now)
+		l.stepDownIfPartitioned(now)
 		return newest + ownWatchDelaySeconds
 	case l.ownWatchAt == 0:
 		l.ownWatchAt = now + ownWatchJitterSeconds*l.roles.node.options.Rand.Float64()
--- a/internal/coordination/loop.go
+++ b/internal/coordination/loop.go
@@ -57,7 +57,7 @@
 
 // Open implements netio.Host.
 func (n *Node) Open(c netio.Conn) (keep bool) {
-	n.run(func() { keep = n.view != nil && !n.silenced && n.peers.Open(c) })
+	n.run(func() { keep = n.view != nil && !n.isReplaced && n.peers.Open(c) })
 	return keep
 }
 
--- a/internal/coordination/membership_actions.go
+++ b/internal/coordination/membership_actions.go
@@ -10,16 +10,19 @@
 
 var _ swim.Actions = membershipActions{}
 
+// Dial implements swim.Actions.
 func (a membershipActions) Dial(address string) {
 	a.node.runAfterCall(func() { a.node.peers.Dial(address) })
 }
 
+// Send implements swim.Actions.
 func (a membershipActions) Send(number int, m *swim.Message) {
 	if link := a.node.links[number]; link != nil {
 		link.Send(frames.TopicMembership, mustMarshal(m))
 	}
 }
 
+// Close implements swim.Actions: the link counts as closed at once.
 func (a membershipActions) Close(number int) {
 	if link := a.node.links[number]; link != nil {
 		a.node.removeLink(link)
@@ -27,8 +30,10 @@
 	}
 }
 
+// MemberChanged implements swim.Actions.
 func (a membershipActions) MemberChanged(r swim.Record, was swim.State, known bool) {
 	a.node.memberLogs.logMemberChange(a.node.net.Now(), a.node.log, r, was, known)
 }
 
+// ReplaceIdentity implements swim.Actions.
 func (a membershipActions) ReplaceIdentity(reason string) { a.node.replaceIdentity(reason) }
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -40,8 +40,8 @@
 	state          persistentState
 	identityStored bool // the identity in state is on disk
 
-	silenced   bool // another process has this identity: nothing is sent any more
-	leaving    bool // the membership has been told that this sidecar leaves
+	isReplaced bool // another process has this identity: nothing is sent any more
+	isLeaving  bool // the membership has been told that this sidecar leaves
 	memberLogs logLimiter
 	panics     uint64 // recovered
 }
@@ -106,7 +106,7 @@
 
 // startMembership starts the protocols. The identity is persisted by then, or known not to be.
 func (n *Node) startMembership(version swim.Version) {
-	if n.silenced {
+	if n.isReplaced {
 		return
 	}
 	if n.roles != nil {
@@ -153,13 +153,13 @@
 // tick does what is due by time and schedules the next call.
 func (n *Node) tick() {
 	now := n.net.Now()
-	if n.listenRetryAt > 0 && now >= n.listenRetryAt && !n.silenced {
+	if n.listenRetryAt > 0 && now >= n.listenRetryAt && !n.isReplaced {
 		n.listen()
 	}
 	n.checkShutdown()
-	if n.view.IsReplaced() && !n.silenced {
+	if n.view.IsReplaced() && !n.isReplaced {
 		n.log.Info("identity taken over by another process")
-		n.silence()
+		n.handleReplacement()
 		n.closeListener()
 	}
 	n.peers.Tick()
@@ -177,7 +177,7 @@
 // updateRank tells the sidecar its rank among the live members once a new one is stable.
 func (n *Node) updateRank(now float64) {
 	rank, count := n.view.Rank(swim.DeadHoldSeconds)
-	if n.silenced || n.leaving {
+	if n.isReplaced || n.isLeaving {
 		rank, count = 0, 1
 	}
 	if !n.rank.Update(now, rank, count) {
@@ -217,21 +217,21 @@
 
 func (n *Node) checkShutdown() {
 	switch ending, succeeded := n.options.Host.ShutdownState(); {
-	case !ending || n.silenced || n.leaving || n.view == nil:
+	case !ending || n.isReplaced || n.isLeaving || n.view == nil:
 	case succeeded: // by a process that continues this identity
-		n.silence()
+		n.handleReplacement()
 		n.view.Silence(n.net.Now())
 		n.closeListener()
 	case n.roles != nil && n.roles.releaseLeases(n.net.Now()): // the members learn of it once the roles have other holders
 	default:
-		n.leaving = true
+		n.isLeaving = true
 		n.view.Leave(n.net.Now())
 	}
 }
 
-// silence ends all roles, since another process continues this identity. Nothing is sent under it from here any more.
-func (n *Node) silence() {
-	if n.silenced = true; n.roles != nil {
+// handleReplacement ends all roles, since another process has this identity. Nothing is sent under it from here any more.
+func (n *Node) handleReplacement() {
+	if n.isReplaced = true; n.roles != nil {
 		n.roles.stop("another process has taken this one's place")
 	}
 }
--- a/internal/coordination/statefile/store.go
+++ b/internal/coordination/statefile/store.go
@@ -46,8 +46,8 @@
 	saves chan save
 
 	// Used by Load and Quarantine, and after that by the writing goroutine alone.
-	known fileMark // of the file that this process has read or written last
-	lock  *os.File // the locked folder, from Load to the first write; nil: it is not locked
+	knownMark fileMark // of the file that this process has read or written last
+	lock      *os.File // the locked folder, from Load to the first write; nil: it is not locked
 }
 
 type save struct {
@@ -99,8 +99,8 @@
 	} else if err != nil {
 		return state, err
 	}
-	defer file.Close()
-	if s.known, err = markOf(file); err != nil {
+	defer func() { _ = file.Close() }() // opened for reading
+	if s.knownMark, err = markOf(file); err != nil {
 		return state, err
 	}
 	raw, err := io.ReadAll(io.LimitReader(file, maxStateBytes))
@@ -112,7 +112,7 @@
 	if n, _ := fmt.Sscanf(string(line)+"\n", header, &written.inode, &written.birth); n != 2 {
 		return coordination.SavedState{Data: raw}, nil // of an earlier version without a header, or corrupt
 	}
-	return coordination.SavedState{Data: data, IsCopy: written != s.known}, nil
+	return coordination.SavedState{Data: data, IsCopy: written != s.knownMark}, nil
 }
 
 // markOf returns the mark of an open file.
@@ -140,7 +140,7 @@
 			return dir, nil
 		}
 		if !errors.Is(err, unix.EWOULDBLOCK) || time.Now().After(deadline) {
-			dir.Close()
+			_ = dir.Close() // opened for reading
 			return nil, fmt.Errorf("flock: %w", err)
 		}
 	}
@@ -149,7 +149,7 @@
 // Quarantine renames a state that can't be used, so that the next write does not overwrite it. It must be called between Load and the
 // first Save.
 func (s *Store) Quarantine() error {
-	s.known = fileMark{}
+	s.knownMark = fileMark{}
 	return os.Rename(filepath.Join(s.dir, fileName), filepath.Join(s.dir, quarantineName))
 }
 
@@ -173,7 +173,7 @@
 			return err
 		}
 	}
-	defer lock.Close()
+	defer func() { _ = lock.Close() }() // ends the lock; opened for reading
 	path := filepath.Join(s.dir, fileName)
 	if err := s.checkUnchanged(path); err != nil {
 		return err
@@ -182,7 +182,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(temporary.Name())
+	defer func() { _ = os.Remove(temporary.Name()) }() // fails once it has been renamed
 	mark, err := markOf(temporary)
 	if err == nil {
 		_, err = temporary.Write(append(fmt.Appendf(nil, header, mark.inode, mark.birth), data...))
@@ -193,7 +193,7 @@
 	if err := os.Rename(temporary.Name(), path); err != nil {
 		return err
 	}
-	s.known = mark
+	s.knownMark = mark
 	return lock.Sync() // the folder, so that the rename is durable
 }
 
@@ -207,11 +207,11 @@
 	case err != nil:
 		return err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // opened for reading
 	switch mark, err := markOf(file); {
 	case err != nil:
 		return err
-	case mark != s.known:
+	case mark != s.knownMark:
 		return ErrConflict
 	}
 	return nil
--- a/internal/coordination/statefile/store_test.go
+++ b/internal/coordination/statefile/store_test.go
@@ -1,6 +1,7 @@
 package statefile
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"testing"
@@ -44,8 +45,8 @@
 
 	for name, put := range map[string]func() error{
 		"over it":  func() error { return os.WriteFile(path, first, 0o600) },
-		"anew":     func() error { os.Remove(path); return os.WriteFile(path, first, 0o600) },
-		"renamed":  func() error { os.WriteFile(path+"x", first, 0o600); return os.Rename(path+"x", path) },
+		"anew":     func() error { return errors.Join(os.Remove(path), os.WriteFile(path, first, 0o600)) },
+		"renamed":  func() error { return errors.Join(os.WriteFile(path+"x", first, 0o600), os.Rename(path+"x", path)) },
 		"kept old": func() error { return os.WriteFile(path, []byte("hazelwheel-peer 1 5 0\nfirst"), 0o600) },
 	} {
 		require.NoError(t, put())
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -14,7 +14,7 @@
 	Fleet          string         `json:"fleet"`
 	ID             string         `json:"id"`
 	IdentityStored bool           `json:"stored"`          // the identity survives a restart
-	Silenced       bool           `json:"quiet,omitempty"` // another process has this identity
+	IsReplaced     bool           `json:"quiet,omitempty"` // another process has this identity
 	Rank           int            `json:"rank"`            // in force, see swim.StableRank
 	Count          int            `json:"count"`
 	Live           int            `json:"live"`   // members
@@ -48,7 +48,7 @@
 	}
 	rank, count := n.rank.Current()
 	self := n.view.Self()
-	s = Status{Fleet: n.options.Name, ID: self.ID.String(), IdentityStored: n.identityStored, Silenced: n.view.HasLostIdentity() || n.silenced, Rank: rank, Count: count,
+	s = Status{Fleet: n.options.Name, ID: self.ID.String(), IdentityStored: n.identityStored, IsReplaced: n.view.HasLostIdentity() || n.isReplaced, Rank: rank, Count: count,
 		Live: n.view.LiveCount(), HealthScore: n.view.HealthScore(), Checksum: swim.ID(n.view.Digest()).String(), View: n.view.Stats(), Links: n.peers.Stats(), Panics: n.panics}
 	if n.roles != nil {
 		s.Leases = n.roles.status()
@@ -68,7 +68,7 @@
 	return s
 }
 
-// Figures implements sidecar.MetricsSource: the figures that the admin command DUMP adds for the fleet. Their names are read by operators'
+// Metrics implements sidecar.MetricsSource: the figures that the admin command DUMP adds for the fleet. Their names are read by operators'
 // tools.
 func (n *Node) Metrics() []sidecar.Metric {
 	if n.view == nil {
--- a/internal/frontend/admin/commands.go
+++ b/internal/frontend/admin/commands.go
@@ -11,8 +11,8 @@
 const (
 	// loopTimeout limits how long a command waits for the event loop. Clients wait for one second.
 	loopTimeout = 700 * time.Millisecond
-	// maxFiguresAgeSeconds is how old the published figures may be before HEALTH reports that the loop stands still.
-	maxFiguresAgeSeconds = 3.0
+	// maxSnapshotAgeSeconds is how old the published figures may be before HEALTH reports that the loop stands still.
+	maxSnapshotAgeSeconds = 3.0
 )
 
 // LeaseCommands are what the commands about leases, roles and maintenance do. Each is called on the event loop and returns the answer's
@@ -139,7 +139,7 @@
 		return []byte("ERR not serving yet\n")
 	case f.IsShuttingDown:
 		return []byte("ERR this process has been told to end\n")
-	case s.now()-f.TakenAt > maxFiguresAgeSeconds:
+	case s.now()-f.TakenAt > maxSnapshotAgeSeconds:
 		return fmt.Appendf(nil, "ERR the event loop has stood still for %.1f s\n", s.now()-f.TakenAt)
 	}
 	return []byte("OK serving\n")
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -116,7 +116,7 @@
 	if err != nil {
 		return false, false
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // ends the lock; nothing was written
 	if tryLock(f) != nil {
 		var mark [len(servingMark)]byte
 		n, _ := f.ReadAt(mark[:], 0)
@@ -225,5 +225,5 @@
 // Close removes this process from the folder.
 func (s *Store) Close() {
 	_ = os.Remove(s.process.Name()) // best effort: other processes remove it, too
-	s.process.Close()
+	_ = s.process.Close()           // ends the lock
 }
