--- a/internal/quotas/classifier.go
+++ b/internal/quotas/classifier.go
@@ -26,13 +26,13 @@
 
 // NewClassifier returns the classifier for a tree that the settings were validated with.
 func NewClassifier(s *Settings, t *quota.Tree) *Classifier {
-	d := &Classifier{tree: t, rules: s.Rules}
+	c := &Classifier{tree: t, rules: s.Rules}
 	for _, r := range s.Rules {
 		g, _ := t.Find(r.Group) // 0 for rules with Header
-		d.ruleGroups = append(d.ruleGroups, g)
+		c.ruleGroups = append(c.ruleGroups, g)
 	}
-	d.defaultGroup, _ = t.Find(s.DefaultGroup)
-	return d
+	c.defaultGroup, _ = t.Find(s.DefaultGroup)
+	return c
 }
 
 // FieldGetter gives access to a request's header.
@@ -42,21 +42,21 @@
 }
 
 // GroupOf returns the group of a request, by the first rule that matches.
-func (d *Classifier) GroupOf(header FieldGetter, class string, from netip.Addr) int32 {
-	for i := range d.rules {
-		r := &d.rules[i]
+func (c *Classifier) GroupOf(header FieldGetter, class string, from netip.Addr) int32 {
+	for i := range c.rules {
+		r := &c.rules[i]
 		switch {
 		case r.Header != "":
-			if g, ok := d.tree.Find(header.Field(r.Header)); ok && d.tree.AcceptsRequests(g) {
+			if g, ok := c.tree.Find(header.Field(r.Header)); ok && c.tree.AcceptsRequests(g) {
 				return g
 			}
 		case r.Class != "":
 			if r.Class == class {
-				return d.ruleGroups[i]
+				return c.ruleGroups[i]
 			}
 		case r.Addresses.Contains(from):
-			return d.ruleGroups[i]
+			return c.ruleGroups[i]
 		}
 	}
-	return d.defaultGroup
+	return c.defaultGroup
 }
--- a/internal/quotas/snapshot.go
+++ b/internal/quotas/snapshot.go
@@ -37,72 +37,72 @@
 
 // NewSnapshotWriter starts a writer to a folder, which is created with the first snapshot. Close ends it.
 func NewSnapshotWriter(dir string, log *slog.Logger) *SnapshotWriter {
-	d := &SnapshotWriter{dir: dir, log: log, queue: make(chan *quota.State, 1), finished: make(chan struct{})}
-	go d.run()
-	return d
+	w := &SnapshotWriter{dir: dir, log: log, queue: make(chan *quota.State, 1), finished: make(chan struct{})}
+	go w.run()
+	return w
 }
 
 // IsReady reports whether a snapshot would be written now, and counts it as skipped if not. The caller asks before it makes one,
 // which takes time.
-func (d *SnapshotWriter) IsReady() bool {
-	if len(d.queue) == cap(d.queue) {
-		d.Skipped++
+func (w *SnapshotWriter) IsReady() bool {
+	if len(w.queue) == cap(w.queue) {
+		w.Skipped++
 		return false
 	}
 	return true
 }
 
 // Write queues a snapshot. It never blocks; if one is queued already, the new one is skipped.
-func (d *SnapshotWriter) Write(s *quota.State) {
+func (w *SnapshotWriter) Write(s *quota.State) {
 	select {
-	case d.queue <- s:
+	case w.queue <- s:
 	default:
-		d.Skipped++
+		w.Skipped++
 	}
 }
 
 // Close queues a last snapshot and waits until it is written, for closeTimeout at most.
-func (d *SnapshotWriter) Close(last *quota.State) {
+func (w *SnapshotWriter) Close(last *quota.State) {
 	until := time.After(closeTimeout)
 	select {
-	case d.queue <- last:
+	case w.queue <- last:
 	case <-until:
 	}
-	close(d.queue)
+	close(w.queue)
 	select {
-	case <-d.finished:
+	case <-w.finished:
 	case <-until:
-		d.log.Warn("quotas: last snapshot not written in time")
+		w.log.Warn("quotas: last snapshot not written in time")
 	}
 }
 
 // run writes queued snapshots. Of several failures in a row only the first is logged.
-func (d *SnapshotWriter) run() {
-	defer close(d.finished)
-	for s := range d.queue {
-		err := d.write(s)
+func (w *SnapshotWriter) run() {
+	defer close(w.finished)
+	for s := range w.queue {
+		err := w.write(s)
 		if err != nil {
-			if d.Errors.Add(1); !d.lastFailed {
-				d.log.Error("quotas: a snapshot can't be written", "error", err)
+			if w.Errors.Add(1); !w.lastFailed {
+				w.log.Error("quotas: a snapshot can't be written", "error", err)
 			}
 		} else {
-			d.Written.Add(1)
+			w.Written.Add(1)
 		}
-		d.lastFailed = err != nil
+		w.lastFailed = err != nil
 	}
 }
 
 // write replaces the snapshot file. Danger: a file that is overwritten in place is corrupt if the machine goes down meanwhile, so
 // a new file is synced and then renamed.
-func (d *SnapshotWriter) write(s *quota.State) error {
+func (w *SnapshotWriter) write(s *quota.State) error {
 	raw, err := s.Encode()
 	if err != nil {
 		return err
 	}
-	if err := os.MkdirAll(d.dir, 0o755); err != nil {
+	if err := os.MkdirAll(w.dir, 0o755); err != nil {
 		return err
 	}
-	path := filepath.Join(d.dir, snapshotFileName)
+	path := filepath.Join(w.dir, snapshotFileName)
 	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
