--- a/internal/coordination/identity.go
+++ b/internal/coordination/identity.go
@@ -58,7 +58,7 @@
 
 // replaceIdentity ends all roles and continues under a new identity once that is persisted.
 func (n *Node) replaceIdentity(reason string) {
-	n.log.Warn("this sidecar goes on under another identity", "why", reason, "was", n.view.Self().ID)
+	n.log.Warn("this sidecar goes on under another identity", "reason", reason, "was", n.view.Self().ID)
 	n.runAfterCall(func() {
 		if n.roles != nil {
 			n.roles.stop("the identity is given up")
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -57,7 +57,7 @@
 
 // New returns a Node that does nothing before Start. An error names the setting at fault.
 func New(o Options) (*Node, error) {
-	n := &Node{options: o, net: o.Net, log: o.Log.With("part", "fleet"), links: map[int]*peers.Link{}, linkByMember: map[swim.ID]*peers.Link{},
+	n := &Node{options: o, net: o.Net, log: o.Log.With("component", "coordination"), links: map[int]*peers.Link{}, linkByMember: map[swim.ID]*peers.Link{},
 		rank: swim.NewStableRank(o.Self, o.Replicas)}
 	if n.options.Advertise == "" {
 		n.options.Advertise = o.Listen
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -131,7 +131,7 @@
 	if s.heldToken == 0 {
 		return
 	}
-	m.logInfo("no longer the owner of a job", "job", s.name, "token", s.heldToken, "why", reason)
+	m.logInfo("no longer the owner of a job", "job", s.name, "token", s.heldToken, "reason", reason)
 	if s.heldToken = 0; s.role != nil {
 		s.role.Stop()
 	}
