--- a/internal/endpointset/endpointset_test.go
+++ b/internal/endpointset/endpointset_test.go
@@ -11,7 +11,7 @@
 	"hazelwheel/policy"
 )
 
-func apply(t *testing.T, g *Set, now float64, text string) (bool, []policy.HostInfo) {
+func mustApply(t *testing.T, g *Set, now float64, text string) (bool, []policy.HostInfo) {
 	snapshot, infos, err := g.Apply([]byte(text), now)
 	require.NoError(t, err)
 	return snapshot, infos
@@ -22,7 +22,7 @@
 	g := New([]string{"a", "b"}, []string{"m1", "m2"})
 	_, held := g.Index()
 	assert.False(t, held)
-	snapshot, infos := apply(t, g, now, `{"index":41,"snapshot":true,"endpoints":[
+	snapshot, infos := mustApply(t, g, now, `{"index":41,"snapshot":true,"endpoints":[
 		{"name":"s-5be2a07c","address":"10.1.0.18:3000","zone":"b","type":"m2","group":3,"status":"SERVING","weight":1.5,"since_ms":0},
 		{"name":"box","address":"10.1.0.19:3000","zone":"c","type":"m9","status":"DRAINING","weight":1,"since_ms":1799999999500},
 		{"address":"10.1.0.20:3000"},
@@ -30,7 +30,7 @@
 	assert.True(t, snapshot)
 	assert.Equal(t, []policy.HostInfo{
 		{ID: 0x5be2a07c, Zone: 1, Kind: 1, Cell: 3, State: policy.Ready, Size: 1.5},
-		// A server that began before this program must not look as if it had begun long ago: it is cold.
+		// A server that started shortly before this process must not look as if it had started long ago: it warms up.
 		{ID: ID("box"), Zone: 2, Kind: 2, State: policy.Draining, Size: 1, Started: now - 0.5},
 		{ID: 7, Zone: 3, Kind: 0, State: policy.Draining},
 	}, infos)
@@ -38,58 +38,58 @@
 	assert.True(t, held)
 	assert.EqualValues(t, 41, index)
 
-	_, infos = apply(t, g, now+1, `{"index":42,"snapshot":false,"endpoints":[{"name":"box","status":"DELETED"}]}`)
+	_, infos = mustApply(t, g, now+1, `{"index":42,"snapshot":false,"endpoints":[{"name":"box","status":"DELETED"}]}`)
 	assert.Equal(t, policy.Gone, infos[0].State)
 	assert.Equal(t, policy.Gone, g.Host(ID("box")).State)
 	assert.Equal(t, "10.1.0.19:3000", g.Host(ID("box")).Address)
-	apply(t, g, now+2, `{"index":43,"snapshot":true,"endpoints":[{"name":"s-00000007","status":"SERVING"}]}`)
-	assert.Equal(t, policy.Gone, g.Host(0x5be2a07c).State, "a whole list that leaves a server out says that it is gone")
+	mustApply(t, g, now+2, `{"index":43,"snapshot":true,"endpoints":[{"name":"s-00000007","status":"SERVING"}]}`)
+	assert.Equal(t, policy.Gone, g.Host(0x5be2a07c).State, "a snapshot that leaves a server out says that it is gone")
 	assert.Equal(t, policy.Ready, g.Host(7).State)
-	apply(t, g, now+2+forgetAfterS+1, `{"index":44}`)
+	mustApply(t, g, now+2+forgetSeconds+1, `{"index":44}`)
 	assert.Nil(t, g.Host(0x5be2a07c))
 	_, _, err := g.Apply([]byte(`{"index":`), now)
 	assert.Error(t, err)
 }
 
-// A server that comes back from a ban counts as started then, until the list says when it was.
-func TestLift(t *testing.T) {
+// A server that returns from a cordon counts as started then, until the list has a later start.
+func TestUncordonedServerCountsAsStarted(t *testing.T) {
 	const now = 1.8e9
 	g := New(nil, nil)
-	apply(t, g, now, `{"index":1,"snapshot":true,"endpoints":[{"name":"box","status":"SERVING","since_ms":1799999000000}]}`)
+	mustApply(t, g, now, `{"index":1,"snapshot":true,"endpoints":[{"name":"box","status":"SERVING","since_ms":1799999000000}]}`)
 	_, err := g.Cordon("other", now)
 	assert.ErrorIs(t, err, ErrUnlisted)
 	info, err := g.Cordon("box", now+1)
 	require.NoError(t, err)
 	assert.Equal(t, policy.Draining, info.State)
-	again, infos := apply(t, g, now+2, `{"index":2,"snapshot":true,"endpoints":[]}`)
+	again, infos := mustApply(t, g, now+2, `{"index":2,"snapshot":true,"endpoints":[]}`)
 	assert.True(t, again)
-	require.Len(t, infos, 1, "it is told as draining, not left out")
+	require.Len(t, infos, 1, "it is draining, not left out")
 	assert.Equal(t, policy.Draining, infos[0].State)
-	apply(t, g, now+3+forgetAfterS, `{"index":2}`)
-	_, infos = apply(t, g, now+4, `{"index":3,"endpoints":[{"name":"box","status":"SERVING","since_ms":1799999000000}]}`)
-	assert.Equal(t, policy.Draining, infos[0].State, "it is not forgotten while it is banned")
+	mustApply(t, g, now+3+forgetSeconds, `{"index":2}`)
+	_, infos = mustApply(t, g, now+4, `{"index":3,"endpoints":[{"name":"box","status":"SERVING","since_ms":1799999000000}]}`)
+	assert.Equal(t, policy.Draining, infos[0].State, "it is not forgotten while it is cordoned")
 	info, err = g.Uncordon("box", now+9)
 	require.NoError(t, err)
 	assert.Equal(t, policy.HostInfo{ID: ID("box"), State: policy.Ready, Started: now + 9}, info)
 	into := New(nil, nil)
-	_, infos = apply(t, into, now+10, string(g.Export()))
-	assert.Equal(t, now+9.0, infos[0].Started, "a successor knows it too")
-	_, infos = apply(t, g, now+11, `{"index":4,"endpoints":[{"name":"box","status":"SERVING","since_ms":1800000005000}]}`)
+	_, infos = mustApply(t, into, now+10, string(g.Export()))
+	assert.Equal(t, now+9.0, infos[0].Started, "a successor has it, too")
+	_, infos = mustApply(t, g, now+11, `{"index":4,"endpoints":[{"name":"box","status":"SERVING","since_ms":1800000005000}]}`)
 	assert.Equal(t, now+5.0, infos[0].Started)
 }
 
-// All sidecars order the servers alike, whatever they heard of first.
-func TestIDs(t *testing.T) {
+// All sidecars order the servers alike, in whatever order they come to know them.
+func TestIDsAreEqualInAllSidecars(t *testing.T) {
 	assert.EqualValues(t, 0x5be2a07c, ID("s-5be2a07c"))
 	assert.Equal(t, ID("readings-1.example"), ID("readings-1.example"))
 	assert.NotEqual(t, ID("readings-1.example"), ID("readings-2.example"))
 	g := New(nil, nil)
-	_, infos := apply(t, g, 1, `{"endpoints":[{"name":"a-00000001"},{"name":"b-00000001"},{"name":"a-00000001"}]}`)
+	_, infos := mustApply(t, g, 1, `{"endpoints":[{"name":"a-00000001"},{"name":"b-00000001"},{"name":"a-00000001"}]}`)
 	assert.EqualValues(t, []uint32{1, 2, 1}, []uint32{infos[0].ID, infos[1].ID, infos[2].ID}, "names that clash stay apart")
 }
 
-// Who is given the whole list by another holds the same as who was told it change by change, and its sum says so.
-func TestWholeAndSum(t *testing.T) {
+// A set that gets the snapshot of another holds the same as one that got change by change, and their checksums are equal.
+func TestSnapshotAndChecksum(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		g := New([]string{"a"}, nil)
 		index := 0
@@ -102,12 +102,12 @@
 					"status": rapid.SampledFrom([]string{"SERVING", "DRAINING", "DELETED", "NEW"}).Draw(r, "status"),
 					"weight": rapid.Float64Range(0, 3).Draw(r, "weight"), "since_ms": rapid.Float64Range(0, 1e12).Draw(r, "since")})
 			}
-			raw, err := json.Marshal(map[string]any{"index": index, "snapshot": rapid.Bool().Draw(r, "whole"), "endpoints": list})
+			raw, err := json.Marshal(map[string]any{"index": index, "snapshot": rapid.Bool().Draw(r, "snapshot"), "endpoints": list})
 			require.NoError(r, err)
 			_, _, err = g.Apply(raw, 1)
 			require.NoError(r, err)
 		}
-		if rapid.Bool().Draw(r, "banned") {
+		if rapid.Bool().Draw(r, "cordoned") {
 			g.CordonName("x", 1)
 		}
 		to := New([]string{"a"}, nil)
--- a/internal/endpointset/host.go
+++ b/internal/endpointset/host.go
@@ -8,35 +8,44 @@
 	"hazelwheel/policy"
 )
 
-// Host is one server.
+// Host is a server that is known. Its fields are read-only outside this package.
 type Host struct {
 	ID      uint32
 	Name    string
 	Address string
-	State   policy.HostState // as it is to be used: a banned one drains, whatever the list says
-	info    policy.HostInfo  // as it was listed last
-	entry   endpoint
-	listed  policy.HostState
-	goneAt  float64
-	banAt   float64 // when its last ban began, while liftAt stands for its start
-	liftAt  float64 // when its last ban ended: unless the list knows better it has been started by then
+	State   policy.HostState // in effect: draining while it is cordoned or under maintenance, whatever is listed
+
+	listing      policy.HostInfo  // the last list entry, without State
+	entry        endpoint         // the last list entry as it was written
+	listedState  policy.HostState // by the list
+	goneAt       float64          // when it was listed as gone, or returned to use after that
+	cordonedAt   float64          // start of the last time out of use, as long as uncordonedAt holds
+	uncordonedAt float64          // end of the last time out of use: taken for its start time unless the list has a later one; 0: none
 }
 
-// Known is what the list says of a server.
+// Listing is what discovery lists of a server.
 type Listing struct {
 	Zone, Type           string
-	Weight, StartedAt    float64 // of Started the later of the list's word and of when it was given back
+	Weight               float64
+	StartedAt            float64 // the later of the listed start and of the end of its last time out of use
 	IsListed, IsDraining bool
 }
 
-// Known returns what the list says, whatever bans there are.
+// Listing returns what the list says of the server, whether it is cordoned or not.
 func (h *Host) Listing() Listing {
-	return Listing{h.entry.Zone, h.entry.Type, max(h.entry.Weight, 0), max(h.info.Started, h.liftAt), h.listed != policy.Gone, h.listed == policy.Draining}
+	return Listing{
+		Zone:       h.entry.Zone,
+		Type:       h.entry.Type,
+		Weight:     max(h.entry.Weight, 0),
+		StartedAt:  max(h.listing.Started, h.uncordonedAt),
+		IsListed:   h.listedState != policy.Gone,
+		IsDraining: h.listedState == policy.Draining,
+	}
 }
 
-// ID derives a server's id from its name alone, so that all sidecars, also after a restart, order the
-// servers alike: the even subsets rest on that. A name that ends in eight hexadecimal digits brings an id
-// that no other such name has; any other is hashed.
+// ID derives a server's ID from its name alone, so that all sidecars, also after a restart, order the servers alike: deterministic
+// subsetting depends on that. A name that ends in a dash and eight hexadecimal digits has these as its ID; any other is
+// hashed.
 func ID(name string) uint32 {
 	if i := strings.LastIndexByte(name, '-'); len(name)-i-1 == 8 {
 		if id, err := strconv.ParseUint(name[i+1:], 16, 32); err == nil {
--- a/internal/endpointset/list.go
+++ b/internal/endpointset/list.go
@@ -11,33 +11,45 @@
 	"hazelwheel/policy"
 )
 
-// ErrNoEndpoints is the fault of a whole list that does not say which servers there are.
+// ErrNoEndpoints is returned for a snapshot without endpoints.
 var ErrNoEndpoints = errors.New("endpoint set: endpoints: missing in a whole list")
 
-// list is one object of discovery.
+// The statuses of discovery's entries.
+const (
+	statusServing  = "SERVING"
+	statusDraining = "DRAINING"
+	statusDeleted  = "DELETED"
+)
+
+// statuses are the statuses that are written, by state.
+var statuses = [...]string{policy.Gone: statusDeleted, policy.Ready: statusServing, policy.Draining: statusDraining}
+
+// list is an object of discovery: a snapshot, or the changes since another version. It is also the form of Snapshot and Export. Names
+// are read in any case, as encoding/json does.
 type list struct {
-	Index     uint64             `json:"Index"`
-	Snapshot  bool               `json:"Snapshot"`
-	Endpoints endpoints          `json:"Endpoints"`
-	Lifted    map[string]float64 `json:"Lifted,omitempty"` // in an export alone: Host.liftAt by name
+	Index        uint64             `json:"Index"`
+	Snapshot     bool               `json:"Snapshot"`
+	Endpoints    endpoints          `json:"Endpoints"`
+	UncordonedAt map[string]float64 `json:"Lifted,omitempty"` // in an export only: Host.uncordonedAt by name
 }
 
 // endpoints are the entries of a list; nil: the list has no such field.
 type endpoints []endpoint
 
-// UnmarshalJSON takes null for no entries, which a service may write.
+// UnmarshalJSON reads null as an empty list.
 func (e *endpoints) UnmarshalJSON(raw []byte) error {
 	all := []endpoint{}
 	if err := json.Unmarshal(raw, &all); err != nil {
 		return err
 	}
-	if *e = all; all == nil {
-		*e = endpoints{}
+	if all == nil {
+		all = []endpoint{}
 	}
+	*e = all
 	return nil
 }
 
-// endpoint is one server as discovery lists it.
+// endpoint is a server as discovery lists it.
 type endpoint struct {
 	Name    string  `json:"Name"`
 	Address string  `json:"Address"`
@@ -46,7 +58,7 @@
 	Status  string  `json:"Status"`
 	Group   int     `json:"Group"`
 	Weight  float64 `json:"Weight"`
-	SinceMS float64 `json:"since_ms"`
+	SinceMS float64 `json:"since_ms"` // time of the last start, milliseconds of Unix time
 }
 
 func parseList(raw []byte) (*list, error) {
@@ -57,7 +69,7 @@
 	return &l, nil
 }
 
-// Heading returns the index of an object of discovery, and whether it is a whole list, without taking it.
+// ParseHeader returns the version of an object of discovery, and whether it is a snapshot, without applying it.
 func ParseHeader(raw []byte) (index uint64, snapshot bool, err error) {
 	var l struct {
 		Index    uint64 `json:"Index"`
@@ -69,63 +81,72 @@
 	return l.Index, l.Snapshot, nil
 }
 
-// Export returns what is known of all servers, for Import. Bans are not in it.
+// Export returns what is known of all servers, for ApplyCached by a successor. Cordons and maintenance are not in it.
 func (g *Set) Export() json.RawMessage {
-	l := list{Index: g.index, Snapshot: true, Lifted: map[string]float64{}}
+	l := list{Index: g.index, Snapshot: true, UncordonedAt: map[string]float64{}}
 	for id := range g.Names {
 		h := g.byID[id]
 		e := h.entry
-		e.Name, e.Address, e.Status = h.Name, h.Address, [...]string{"DELETED", "SERVING", "DRAINING"}[h.listed]
-		if l.Endpoints = append(l.Endpoints, e); h.liftAt > 0 {
-			l.Lifted[h.Name] = h.liftAt
+		e.Name = h.Name
+		e.Address = h.Address
+		e.Status = statuses[h.listedState]
+		l.Endpoints = append(l.Endpoints, e)
+		if h.uncordonedAt > 0 {
+			l.UncordonedAt[h.Name] = h.uncordonedAt
 		}
 	}
-	raw, err := json.Marshal(l)
-	if err != nil { // numbers and names always marshal
-		panic(err)
-	}
-	return raw
+	return l.marshal()
 }
 
-// Whole returns the list that is held as discovery would write it: what has gone is left out, and bans are not in it.
+// Snapshot returns the list as discovery would write it: servers that are gone are left out, and cordons are not in it.
 func (g *Set) Snapshot() json.RawMessage {
 	l := list{Index: g.index, Snapshot: true, Endpoints: []endpoint{}}
 	for id := range g.Names {
-		if h := g.byID[id]; h.listed != policy.Gone {
-			e := h.entry
-			e.Address, e.Status = h.Address, [...]string{policy.Ready: "SERVING", policy.Draining: "DRAINING"}[h.listed]
-			l.Endpoints = append(l.Endpoints, e)
+		h := g.byID[id]
+		if h.listedState == policy.Gone {
+			continue
 		}
+		e := h.entry
+		e.Address = h.Address
+		e.Status = statuses[h.listedState]
+		l.Endpoints = append(l.Endpoints, e)
 	}
+	return l.marshal()
+}
+
+func (l *list) marshal() json.RawMessage {
 	raw, err := json.Marshal(l)
-	if err != nil { // numbers and names always marshal
-		panic(err)
+	if err != nil {
+		panic(err) // finite numbers and strings always marshal, and a list that was read has no others
 	}
 	return raw
 }
 
-// Sum returns the same number for lists that say the same, whoever told them and in whatever pieces.
+// Checksum returns the same number for lists with the same content, by whichever snapshots and deltas they came. Sidecars of
+// different versions compare it, so its input must not change.
 func (g *Set) Checksum() uint64 {
-	if g.summed {
-		return g.sum
+	if g.hasChecksum {
+		return g.checksum
 	}
-	sum := fnv.New64a()
-	var b []byte
+	hash := fnv.New64a()
+	var buf []byte
 	for id := range g.Names {
 		h := g.byID[id]
-		if h.listed == policy.Gone {
+		if h.listedState == policy.Gone {
 			continue
 		}
 		e := &h.entry
-		b = append(b[:0], byte(h.listed))
-		for _, s := range [...]string{h.Name, h.Address, e.Zone, e.Type} {
-			b = append(binary.AppendUvarint(b, uint64(len(s))), s...)
+		buf = append(buf[:0], byte(h.listedState))
+		for _, text := range [...]string{h.Name, h.Address, e.Zone, e.Type} {
+			buf = binary.AppendUvarint(buf, uint64(len(text)))
+			buf = append(buf, text...)
 		}
-		b = binary.AppendVarint(b, int64(e.Group))
-		b = binary.BigEndian.AppendUint64(b, math.Float64bits(e.Weight))
-		b = binary.BigEndian.AppendUint64(b, math.Float64bits(e.SinceMS))
-		sum.Write(b) // never fails
+		buf = binary.AppendVarint(buf, int64(e.Group))
+		buf = binary.BigEndian.AppendUint64(buf, math.Float64bits(e.Weight))
+		buf = binary.BigEndian.AppendUint64(buf, math.Float64bits(e.SinceMS))
+		hash.Write(buf) // never fails
 	}
-	g.sum, g.summed = sum.Sum64(), true
-	return g.sum
+	g.checksum = hash.Sum64()
+	g.hasChecksum = true
+	return g.checksum
 }
--- a/internal/endpointset/set.go
+++ b/internal/endpointset/set.go
@@ -7,28 +7,32 @@
 	"hazelwheel/policy"
 )
 
-// forgetAfterS is how long a server that has gone is remembered. The decisions forget it sooner.
-const forgetAfterS = 600
+// forgetSeconds is how long a server that is gone is remembered. It is longer than package policy remembers it.
+const forgetSeconds = 600
 
-// Set is the list of servers.
+// Set is the set of known servers.
 type Set struct {
 	byName map[string]*Host
 	byID   map[uint32]*Host
-	zones  numbers
-	types  numbers
-	index  uint64
-	held   bool
-	bans   map[string]float64 // since when, by name; also of servers that no list has named yet
-	agreed map[string]float64 // the same of those that are out by agreement of all sidecars
-	kept   map[string]bool    // of these, such as were given back here by hand
-	sum    uint64             // of the list, once it was asked for
-	summed bool
+	zones  numbering
+	types  numbering
+
+	index    uint64 // version of the list
+	hasIndex bool
+
+	// By server name, also of servers that no list has named yet.
+	cordonedAt       map[string]float64 // servers that an operator of this sidecar has cordoned, since when
+	maintenanceSince map[string]float64 // servers under maintenance by agreement of all sidecars, since when
+	keptInUse        map[string]bool    // of these, servers that an operator of this sidecar has uncordoned
+
+	checksum    uint64 // valid if hasChecksum
+	hasChecksum bool
 }
 
-// numbers gives names their numbers; a name that the settings do not list gets the next one.
-type numbers map[string]int
+// numbering assigns numbers to names in order of their first use.
+type numbering map[string]int
 
-func (n numbers) of(name string) int {
+func (n numbering) number(name string) int {
 	i, ok := n[name]
 	if !ok {
 		i = len(n)
@@ -37,32 +41,41 @@
 	return i
 }
 
-// New returns an empty set; zones and types are the settings' names.
+// New returns an empty set. zones and types are the names in the settings, which have the first numbers in policy.HostInfo; names
+// that only the list has get the next ones.
 func New(zones, types []string) *Set {
-	g := &Set{byName: map[string]*Host{}, byID: map[uint32]*Host{}, zones: numbers{}, types: numbers{},
-		bans: map[string]float64{}, agreed: map[string]float64{}, kept: map[string]bool{}}
-	for _, z := range zones {
-		g.zones.of(z)
+	g := &Set{
+		byName:           map[string]*Host{},
+		byID:             map[uint32]*Host{},
+		zones:            numbering{},
+		types:            numbering{},
+		cordonedAt:       map[string]float64{},
+		maintenanceSince: map[string]float64{},
+		keptInUse:        map[string]bool{},
 	}
-	for _, t := range types {
-		g.types.of(t)
+	for _, zone := range zones {
+		g.zones.number(zone)
+	}
+	for _, hostType := range types {
+		g.types.number(hostType)
 	}
 	return g
 }
 
-// Index returns the version of the list that is held; ok is false while there is none.
-func (g *Set) Index() (index uint64, ok bool) { return g.index, g.held }
+// Index returns the version of the list; ok is false if there is none.
+func (g *Set) Index() (index uint64, ok bool) { return g.index, g.hasIndex }
 
-// Unversion keeps the list and drops its version: another discovery service counts its own.
-func (g *Set) ForgetIndex() { g.held = false }
+// ForgetIndex drops the version and keeps the list. It is called when the discovery service changes, as each counts its own
+// versions.
+func (g *Set) ForgetIndex() { g.hasIndex = false }
 
 // Len returns how many servers are known.
 func (g *Set) Len() int { return len(g.byID) }
 
-// Host returns the server with an id, nil if it is unknown.
+// Host returns the server with an ID, nil if it is unknown.
 func (g *Set) Host(id uint32) *Host { return g.byID[id] }
 
-// Names calls yield with the id and the name of each server that is known, by id.
+// Names calls yield with the ID and the name of each known server, in order of IDs.
 func (g *Set) Names(yield func(id uint32, name string) bool) {
 	for _, id := range slices.Sorted(maps.Keys(g.byID)) {
 		if !yield(id, g.byID[id].Name) {
@@ -71,29 +84,30 @@
 	}
 }
 
-// Listed calls yield with each server that is on the list, in no order: it is for counting.
+// Listed calls yield with each server that is on the list, in no order.
 func (g *Set) Listed(yield func(*Host) bool) {
 	for _, h := range g.byID {
-		if h.listed != policy.Gone && !yield(h) {
+		if h.listedState != policy.Gone && !yield(h) {
 			return
 		}
 	}
 }
 
-// Apply takes one object of discovery. The times of the result are in seconds of Unix time, as now is.
+// Apply applies an object of the watch stream, a snapshot or a delta. It returns the entries for policy.Balancer.UpdateHosts. After
+// an error, for a snapshot without endpoints ErrNoEndpoints, the set is unchanged.
 func (g *Set) Apply(raw []byte, now float64) (snapshot bool, infos []policy.HostInfo, err error) {
 	l, err := parseList(raw)
 	if err != nil {
 		return false, nil, err
 	}
-	// Danger: taken for an empty one, a whole list that was cut short or spelt otherwise would make all servers gone.
+	// Danger: taken for an empty list, a snapshot that was cut short or spelled otherwise would declare all servers gone.
 	if l.Snapshot && l.Endpoints == nil {
 		return false, nil, ErrNoEndpoints
 	}
 	return l.Snapshot, g.apply(l, now), nil
 }
 
-// ApplyKnown takes the list that was held last, which may be empty in any form.
+// ApplyCached applies a list that this or another sidecar has written, which may be empty.
 func (g *Set) ApplyCached(raw []byte, now float64) ([]policy.HostInfo, error) {
 	l, err := parseList(raw)
 	if err != nil {
@@ -103,75 +117,102 @@
 }
 
 func (g *Set) apply(l *list, now float64) (infos []policy.HostInfo) {
-	missing := map[string]*Host{} // of the banned ones: who is not in a whole list would count as gone
+	// Servers out of use that a snapshot leaves out: without an entry they would count as gone instead of draining.
+	missing := map[string]*Host{}
 	if l.Snapshot {
 		for _, h := range g.byName {
-			if g.leave(h, now); g.banned(h) {
+			g.markGone(h, now)
+			if g.isOutOfUse(h) {
 				missing[h.Name] = h
 			}
 		}
 	}
 	for _, e := range l.Endpoints {
 		if e.Name == "" {
-			continue // nothing can be said of a server without a name
-		}
-		h := g.byName[e.Name]
-		if h == nil {
-			h = &Host{ID: g.freeID(e.Name), Name: e.Name}
-			g.byName[h.Name], g.byID[h.ID] = h, h
+			continue // an entry without a name refers to no server
 		}
-		switch e.Status {
-		case "SERVING":
-			h.listed = policy.Ready
-		case "DELETED":
-			g.leave(h, now)
-		default: // DRAINING, or a status of later days: nothing new goes there
-			h.listed = policy.Draining
-		}
-		if e.Address != "" {
-			h.Address = e.Address
-		}
-		h.entry, h.liftAt = e, max(h.liftAt, l.Lifted[e.Name])
-		if e.SinceMS/1000 > h.banAt && h.banAt > 0 && !g.banned(h) {
-			h.liftAt, h.banAt = 0, 0 // the list knows by now when it was restarted
-		}
-		h.info = policy.HostInfo{ID: h.ID, Zone: g.zones.of(e.Zone), Kind: g.types.of(e.Type), Cell: e.Group,
-			Size: max(e.Weight, 0), Started: max(e.SinceMS, 0) / 1000}
-		infos = append(infos, g.told(h))
+		h := g.updateHost(e, l.UncordonedAt[e.Name], now)
+		infos = append(infos, g.effectiveInfo(h))
 		delete(missing, h.Name)
 	}
 	for _, name := range slices.Sorted(maps.Keys(missing)) {
-		infos = append(infos, g.told(missing[name]))
+		infos = append(infos, g.effectiveInfo(missing[name]))
 	}
+	g.forgetGone(now)
+	g.index = l.Index
+	g.hasIndex = true
+	g.hasChecksum = false
+	return infos
+}
+
+// updateHost applies an entry of a list. uncordonedAt is that of an export, else 0.
+func (g *Set) updateHost(e endpoint, uncordonedAt, now float64) *Host {
+	h := g.byName[e.Name]
+	if h == nil {
+		h = &Host{ID: g.freeID(e.Name), Name: e.Name}
+		g.byName[h.Name] = h
+		g.byID[h.ID] = h
+	}
+	switch e.Status {
+	case statusServing:
+		h.listedState = policy.Ready
+	case statusDeleted:
+		g.markGone(h, now)
+	default: // draining, or a status of a later version: no new requests
+		h.listedState = policy.Draining
+	}
+	if e.Address != "" {
+		h.Address = e.Address
+	}
+	h.entry = e
+	h.uncordonedAt = max(h.uncordonedAt, uncordonedAt)
+	if e.SinceMS/1000 > h.cordonedAt && h.cordonedAt > 0 && !g.isOutOfUse(h) {
+		h.uncordonedAt, h.cordonedAt = 0, 0 // the list has a restart since then
+	}
+	h.listing = policy.HostInfo{
+		ID:      h.ID,
+		Zone:    g.zones.number(e.Zone),
+		Kind:    g.types.number(e.Type),
+		Cell:    e.Group,
+		Size:    max(e.Weight, 0),
+		Started: max(e.SinceMS, 0) / 1000,
+	}
+	return h
+}
+
+// forgetGone forgets servers that have been gone for forgetSeconds, unless they are out of use: the cordon must hold when the list
+// names them again.
+func (g *Set) forgetGone(now float64) {
 	for name, h := range g.byName {
-		if h.listed == policy.Gone && !g.banned(h) && now-h.goneAt > forgetAfterS {
+		if h.listedState == policy.Gone && !g.isOutOfUse(h) && now-h.goneAt > forgetSeconds {
 			delete(g.byName, name)
 			delete(g.byID, h.ID)
 		}
 	}
-	g.index, g.held, g.summed = l.Index, true, false
-	return infos
 }
 
-func (g *Set) leave(h *Host, now float64) {
-	if h.listed != policy.Gone {
-		h.listed, h.goneAt = policy.Gone, now
+// markGone marks a server as gone by the list.
+func (g *Set) markGone(h *Host, now float64) {
+	if h.listedState != policy.Gone {
+		h.listedState = policy.Gone
+		h.goneAt = now
 	}
-	g.told(h)
+	g.effectiveInfo(h)
 }
 
-// told returns what the decisions are told of a server: what the list says, under the ban if there is one.
-func (g *Set) told(h *Host) policy.HostInfo {
-	if h.State = h.listed; g.banned(h) {
+// effectiveInfo updates a server's State and returns its entry for package policy: the listed one, draining while it is out of use.
+func (g *Set) effectiveInfo(h *Host) policy.HostInfo {
+	h.State = h.listedState
+	if g.isOutOfUse(h) {
 		h.State = policy.Draining
 	}
-	info := h.info
-	info.State, info.Started = h.State, max(info.Started, h.liftAt)
+	info := h.listing
+	info.State = h.State
+	info.Started = max(info.Started, h.uncordonedAt)
 	return info
 }
 
-// freeID returns the id of a name. Should another name hold it, the next free one is taken: then alone the
-// order of arrival matters.
+// freeID returns the ID of a name, or the next free one if another name has that; only then the order of arrival matters.
 func (g *Set) freeID(name string) uint32 {
 	id := ID(name)
 	for g.byID[id] != nil {
--- a/internal/endpointset/stored_form_test.go
+++ b/internal/endpointset/stored_form_test.go
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The export passes to a successor of another version, the complete list to other sidecars and to disk, and checksums are compared
+// The export passes to a successor of another version, the snapshot to other sidecars and to disk, and checksums are compared
 // between sidecars of different versions: none of their bytes may change.
 func TestWrittenFormsAreKept(t *testing.T) {
 	const now = 1.8e9
 	g := New([]string{"a", "b"}, []string{"m1"})
-	apply(t, g, now, `{"index":41,"snapshot":true,"endpoints":[
+	mustApply(t, g, now, `{"index":41,"snapshot":true,"endpoints":[
 		{"name":"s-5be2a07c","address":"10.1.0.18:3000","zone":"b","type":"m2","group":3,"status":"SERVING","weight":1.5,"since_ms":1799999000000},
 		{"name":"s-00000001","address":"10.1.0.19:3000","zone":"a","type":"m1","group":4,"status":"DRAINING","weight":0.25,"since_ms":1799999999500},
 		{"name":"s-00000002","address":"10.1.0.20:3000","zone":"c","type":"m1","group":5,"status":"SERVING","weight":2,"since_ms":0}]}`)
@@ -23,7 +23,7 @@
 	require.NoError(t, err)
 	_, err = g.Uncordon("s-5be2a07c", now+9)
 	require.NoError(t, err)
-	apply(t, g, now+10, `{"index":42,"endpoints":[{"name":"s-00000002","address":"10.1.0.20:3000","zone":"c","type":"m1","group":5,"status":"DELETED","weight":2}]}`)
+	mustApply(t, g, now+10, `{"index":42,"endpoints":[{"name":"s-00000002","address":"10.1.0.20:3000","zone":"c","type":"m1","group":5,"status":"DELETED","weight":2}]}`)
 	for name, got := range map[string]string{
 		"export.json":  string(g.Export()),
 		"list.json":    string(g.Snapshot()),
@@ -36,7 +36,7 @@
 	into := New([]string{"a", "b"}, []string{"m1"})
 	export, err := os.ReadFile(filepath.Join("testdata", "export.json"))
 	require.NoError(t, err)
-	_, infos := apply(t, into, now+20, string(export))
+	_, infos := mustApply(t, into, now+20, string(export))
 	require.Len(t, infos, 3)
 	assert.Equal(t, now+9.0, into.Host(0x5be2a07c).Listing().StartedAt)
 	assert.Equal(t, g.Checksum(), into.Checksum())
--- a/internal/endpointset/stream.go
+++ b/internal/endpointset/stream.go
@@ -5,41 +5,41 @@
 	"fmt"
 )
 
-// ErrNotObject is the fault of a stream that holds something else than JSON objects and white space.
+// ErrNotObject is returned for a stream with anything else than JSON objects and white space.
 var ErrNotObject = errors.New("not a JSON object")
 
 // maxQuotedBytes bounds what an error quotes of the stream.
 const maxQuotedBytes = 32
 
-// StreamScanner splits a watch's stream into its JSON objects, which may span any number of lines, and the empty lines between
-// them, which are heartbeats. It remembers how far it has looked, so that a long object that arrives in many pieces is read once.
-// The zero value is ready to use.
+// StreamScanner splits the stream of a watch into its JSON objects, which may span any number of lines, and the empty lines
+// between them, which are heartbeats. It remembers how far it has scanned, so that a long object that arrives in many pieces is
+// scanned once. The zero value is ready for use.
 type StreamScanner struct {
-	scanned  int // bytes of the buffer that have been looked at
+	scanned  int // bytes of the buffer that have been scanned
 	depth    int // of open braces and brackets
 	inString bool
 	escaped  bool
 	afterEnd bool // an object has ended on the present line
 }
 
-// Token is what a StreamScanner finds.
+// Token is what a StreamScanner finds next.
 type Token uint8
 
 // The tokens of a stream.
 const (
-	NeedMore  Token = iota // the stream has to bring more first
+	NeedMore  Token = iota // more bytes are needed first
 	Heartbeat              // an empty line
-	Object                 // a JSON object, whole
+	Object                 // a complete JSON object
 )
 
-// Next returns the next token of buf, and what of buf follows it. For an Object, text is the object. After NeedMore the next call
-// takes the same buffer with more bytes at its end.
+// Next returns the next token of buf and what follows it. For an Object, text is the object. After NeedMore, the next call must
+// get rest with more bytes appended. After an error, which wraps ErrNotObject, the stream can't be scanned any further.
 func (s *StreamScanner) Next(buf []byte) (token Token, text, rest []byte, err error) {
 	for ; s.scanned < len(buf); s.scanned++ {
 		b := buf[s.scanned]
 		switch {
 		case s.depth > 0:
-			if s.within(b) {
+			if s.scanObjectByte(b) {
 				end := s.scanned + 1
 				s.scanned, s.afterEnd = 0, true
 				return Object, buf[:end], buf[end:], nil
@@ -56,15 +56,15 @@
 			return NeedMore, nil, buf, fmt.Errorf("%w: %.*q", ErrNotObject, maxQuotedBytes, buf[s.scanned:])
 		}
 	}
-	if s.depth == 0 { // nothing but white space, which is not kept
+	if s.depth == 0 { // only white space, which is dropped
 		s.scanned = 0
 		return NeedMore, nil, buf[len(buf):], nil
 	}
 	return NeedMore, nil, buf, nil
 }
 
-// within takes a byte of an object and tells whether it is the object's last.
-func (s *StreamScanner) within(b byte) bool {
+// scanObjectByte takes a byte of an object and returns whether it is the object's last.
+func (s *StreamScanner) scanObjectByte(b byte) bool {
 	switch {
 	case s.escaped:
 		s.escaped = false
--- a/internal/endpointset/stream_test.go
+++ b/internal/endpointset/stream_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// scan feeds a stream in pieces and returns its tokens, objects by their text and heartbeats as empty strings.
+// scan feeds a stream in pieces and returns its tokens: objects by their text, heartbeats as empty strings.
 func scan(pieces ...string) (tokens []string, err error) {
 	var s StreamScanner
 	var buf []byte
@@ -51,7 +51,7 @@
 	}
 }
 
-// A stream has the same tokens however it is cut.
+// A stream has the same tokens in whatever pieces it arrives.
 func TestStreamScannerIsIndependentOfPieces(t *testing.T) {
 	const stream = "\n{\n  \"index\": 3,\n\n  \"endpoints\": [ {\"name\": \"a}\\\"{\"} ]\n}\r\n\n{\"index\":4}\n\n"
 	want, err := scan(stream)
