--- a/internal/checker/event.go
+++ b/internal/checker/event.go
@@ -152,33 +152,37 @@
 
 // Event is one thing that crossed the wire. Times are in seconds of one clock that all share.
 type Event struct {
-	Kind    Kind
-	Sidecar int32
-	Box     int32
-	Class   int32
-	Status  int32
-	Zone    int32
-	Cell    int32
-	N       int32
+	Kind    Kind  `json:"Kind"`
+	Sidecar int32 `json:"Sidecar"`
+	Box     int32 `json:"Box"`
+	Class   int32 `json:"Class"`
+	Status  int32 `json:"Status"`
+	Zone    int32 `json:"Zone"`
+	Cell    int32 `json:"Cell"`
+	N       int32 `json:"N"`
 
-	Reused, Read, NotStarted, Spoilt, ByBox bool
-	Uncounted                               bool // of an Asked one: the service is not measured by it
+	Reused     bool `json:"Reused"`
+	Read       bool `json:"Read"`
+	NotStarted bool `json:"NotStarted"`
+	Spoilt     bool `json:"Spoilt"`
+	ByBox      bool `json:"ByBox"`
+	Uncounted  bool `json:"Uncounted"` // of an Asked one: the service is not measured by it
 
-	At        float64
-	FirstSent float64 // when the peer sent the first byte, where the network can tell; else when it came
-	Sent      float64 // when the peer sent the last byte, or ended the connection; likewise
-	Until     float64
-	Since     float64
-	Work      float64
+	At        float64 `json:"At"`
+	FirstSent float64 `json:"FirstSent"` // when the peer sent the first byte, where the network can tell; else when it came
+	Sent      float64 `json:"Sent"`      // when the peer sent the last byte, or ended the connection; likewise
+	Until     float64 `json:"Until"`
+	Since     float64 `json:"Since"`
+	Work      float64 `json:"Work"`
 
-	Request uint64
-	First   uint64
-	Link    uint64
-	Digest  uint64
-	Index   uint64
+	Request uint64 `json:"Request"`
+	First   uint64 `json:"First"`
+	Link    uint64 `json:"Link"`
+	Digest  uint64 `json:"Digest"`
+	Index   uint64 `json:"Index"`
 
-	Address string
-	Text    string
+	Address string `json:"Address"`
+	Text    string `json:"Text"`
 }
 
 // Witness is told events in the order of their time. The actors of a world hold one.
--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -97,11 +97,11 @@
 
 // Finding is one break of a rule.
 type Finding struct {
-	Rule    Rule
-	At      float64
-	Sidecar int32
-	Box     int32 // -1: none
-	Request uint64
-	Why     string
-	Events  []Event // those that show it, oldest first
+	Rule    Rule    `json:"Rule"`
+	At      float64 `json:"At"`
+	Sidecar int32   `json:"Sidecar"`
+	Box     int32   `json:"Box"` // -1: none
+	Request uint64  `json:"Request"`
+	Why     string  `json:"Why"`
+	Events  []Event `json:"Events"` // those that show it, oldest first
 }
