--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -257,7 +257,7 @@
 		return wrong(err)
 	}
 	for _, f := range got.Findings {
-		fmt.Fprintf(out, "%7.2f s  %-12s n%-5d %s\n", got.Since(f.At), f.Rule, f.Sidecar, f.Why)
+		fmt.Fprintf(out, "%7.2f s  %-12s n%-5d %s\n", got.Since(f.At), f.Rule, f.Sidecar, f.Reason)
 	}
 	fmt.Fprintf(out, "%d troubles; %.3f of the worth served in time\n", len(script.Troubles), got.Report.Service)
 	fmt.Fprintf(out, "fleet: %d sidecars, %d rules broken\n", s.Sidecars, len(got.Findings))
--- a/cmd/hazellab/sim.go
+++ b/cmd/hazellab/sim.go
@@ -189,7 +189,7 @@
 }
 
 // See counts an event.
-func (b *bySecond) See(e checker.Event) {
+func (b *bySecond) Observe(e checker.Event) {
 	at := int(e.At)
 	if n := len(b.all); n == 0 || b.all[n-1].at < at {
 		b.all = append(b.all, struct{ at, probes, calls, links, executions int }{at: at})
@@ -235,7 +235,7 @@
 			fmt.Fprintf(w, "and %d more\n", len(r.Findings)-i)
 			break
 		}
-		fmt.Fprintf(w, "BROKEN %s at %.6f: %s; replay with: hazellab sim %s --trace\n", f.Rule, r.Since(f.At), f.Why, name)
+		fmt.Fprintf(w, "BROKEN %s at %.6f: %s; replay with: hazellab sim %s --trace\n", f.Rule, r.Since(f.At), f.Reason, name)
 	}
 }
 
@@ -271,7 +271,7 @@
 		if len(d.Result.Findings) > 0 && !c.Bool("json") {
 			_ = bar.Clear()
 			f := d.Result.Findings[0]
-			fmt.Fprintf(out, "BROKEN %s: %s; replay with: hazellab sim --seed %d%s --trace\n", f.Rule, f.Why, d.Seed, spoken(o))
+			fmt.Fprintf(out, "BROKEN %s: %s; replay with: hazellab sim --seed %d%s --trace\n", f.Rule, f.Reason, d.Seed, spoken(o))
 		}
 		return !c.Bool("first") || len(d.Result.Findings) == 0
 	})
--- a/internal/checker/box.go
+++ b/internal/checker/box.go
@@ -3,7 +3,7 @@
 import "math"
 
 // seeBox takes what boxes tell.
-func (j *Judge) seeBox(e *Event) {
+func (j *Checker) seeBox(e *Event) {
 	s := j.station(e.Box)
 	switch e.Kind {
 	case BoxStarted:
@@ -40,14 +40,14 @@
 }
 
 // execution checks a request that has come whole to a box.
-func (j *Judge) execution(s *station, e *Event) {
+func (j *Checker) execution(s *station, e *Event) {
 	r, p := j.tries[e.Request], j.party(e.Sidecar)
 	j.prices.Executions++
 	if int(e.Sidecar) < len(j.rules.Sites) && e.Sidecar >= 0 && j.rules.Sites[e.Sidecar] != s.zone {
 		j.prices.CrossZone++
 	}
 	if r == nil || p == nil {
-		j.find(NoInvention, e.Sidecar, e.Box, e.Request, nil, "an execution of a request that no client has sent")
+		j.addViolation(NoInvention, e.Sidecar, e.Box, e.Request, nil, "an execution of a request that no client has sent")
 		return
 	}
 	if e.Sent <= p.killedAt || e.FirstSent < p.startedAt {
@@ -71,7 +71,7 @@
 		}
 	}
 	if j.rules.MostAttempts > 0 && n > j.rules.MostAttempts {
-		j.find(NoRepeat, e.Sidecar, e.Box, e.Request, nil, "execution %d of at most %d", n, j.rules.MostAttempts)
+		j.addViolation(NoRepeat, e.Sidecar, e.Box, e.Request, nil, "execution %d of at most %d", n, j.rules.MostAttempts)
 	}
 	for i := range r.attempts[:len(r.attempts)-1] {
 		if r.attempts[i].life != p.life {
@@ -87,20 +87,20 @@
 }
 
 // checkOpen checks that an execution was sent while its request was open.
-func (j *Judge) checkOpen(r *record, e *Event) {
+func (j *Checker) checkOpen(r *record, e *Event) {
 	c := j.class(r.class)
 	switch r.fate {
 	case served, failed:
 		if e.FirstSent > r.endedAt {
-			j.find(OneAnswer, e.Sidecar, e.Box, e.Request, nil, "sent on %.6f s after its final answer", e.FirstSent-r.endedAt)
+			j.addViolation(OneAnswer, e.Sidecar, e.Box, e.Request, nil, "sent on %.6f s after its final answer", e.FirstSent-r.endedAt)
 		}
 	case refused:
 		if c != nil && c.Effect != Safe && (c.Effect != Keyed || c.Group != GroupAll) || e.FirstSent > r.endedAt {
-			j.find(NoRepeat, e.Sidecar, e.Box, e.Request, nil, "an execution of a request that was refused")
+			j.addViolation(NoRepeat, e.Sidecar, e.Box, e.Request, nil, "an execution of a request that was refused")
 		}
 	case unsent:
 		if e.FirstSent <= r.endedAt {
-			j.find(OneAnswer, e.Sidecar, e.Box, e.Request, nil, "its connection was closed without an answer, though it had been sent on")
+			j.addViolation(OneAnswer, e.Sidecar, e.Box, e.Request, nil, "its connection was closed without an answer, though it had been sent on")
 			return
 		}
 		fallthrough
@@ -113,35 +113,35 @@
 		switch late := e.FirstSent - gone; {
 		case late <= j.rules.SocketSlackS:
 		case r.fate == left:
-			j.find(GoneClient, e.Sidecar, e.Box, e.Request, nil, "attempt %d was sent %.6f s after its client had gone", len(r.attempts)+1, late)
+			j.addViolation(GoneClient, e.Sidecar, e.Box, e.Request, nil, "attempt %d was sent %.6f s after its client had gone", len(r.attempts)+1, late)
 		default:
-			j.find(OneAnswer, e.Sidecar, e.Box, e.Request, nil, "sent on %.6f s after its connection was closed", late)
+			j.addViolation(OneAnswer, e.Sidecar, e.Box, e.Request, nil, "sent on %.6f s after its connection was closed", late)
 		}
 	}
 }
 
 // checkRepeat checks that the second of two attempts was the sidecar's right after the first.
-func (j *Judge) checkRepeat(r *record, first, second int) {
+func (j *Checker) checkRepeat(r *record, first, second int) {
 	c := j.class(r.class)
 	a, b := &r.attempts[first], &r.attempts[second]
 	if c == nil || c.Effect == Safe || a.provenUnrun(b.sent) {
 		return
 	}
 	if c.Effect == Unsafe {
-		j.find(NoRepeat, r.sidecar, b.box, r.id, nil, "sent again at %.6f, though the execution sent at %.6f may have run", b.sent, a.sent)
+		j.addViolation(NoRepeat, r.sidecar, b.box, r.id, nil, "sent again at %.6f, though the execution sent at %.6f may have run", b.sent, a.sent)
 		return
 	}
 	x, y := j.station(a.box), j.station(b.box)
 	if c.Group == GroupZone && x.zone != y.zone || c.Group == GroupCell && x.cell != y.cell {
-		j.find(NoRepeat, r.sidecar, b.box, r.id, nil, "sent again to a box outside the group of box %d, where it may have run", a.box)
+		j.addViolation(NoRepeat, r.sidecar, b.box, r.id, nil, "sent again to a box outside the group of box %d, where it may have run", a.box)
 	}
 	if span := b.sent - a.sent; span > c.WindowS+j.rules.SocketSlackS {
-		j.find(NoRepeat, r.sidecar, b.box, r.id, nil, "sent again %.3f s after the first that may have run; its window is %.3f s", span, c.WindowS)
+		j.addViolation(NoRepeat, r.sidecar, b.box, r.id, nil, "sent again %.3f s after the first that may have run; its window is %.3f s", span, c.WindowS)
 	}
 }
 
 // checkCopies checks that the first of two attempts was over when the second was sent, or leaves it for later.
-func (j *Judge) checkCopies(r *record, first, second int) {
+func (j *Checker) checkCopies(r *record, first, second int) {
 	if j.rules.SecondCopies || j.over(&r.attempts[first], r.attempts[second].sent) {
 		return
 	}
@@ -149,7 +149,7 @@
 }
 
 // over tells whether an attempt is known to have been over at a time.
-func (j *Judge) over(a *attempt, at float64) bool {
+func (j *Checker) over(a *attempt, at float64) bool {
 	slack := exactS
 	if a.closedAt > 0 && !a.exact {
 		slack = j.rules.SocketSlackS // when it came stands for when it was done
@@ -158,18 +158,18 @@
 }
 
 // decideCopies decides the first pair that waits.
-func (j *Judge) decideCopies() {
+func (j *Checker) decideCopies() {
 	c := j.copies[0]
 	j.copies = j.copies[1:]
 	a, b := &c.try.attempts[c.first], &c.try.attempts[c.second]
 	if j.over(a, b.sent) || j.troubled(c.try.sidecar, a.box, a.sent, j.now) {
 		return
 	}
-	j.find(OneCopy, c.try.sidecar, b.box, c.try.id, nil, "sent at %.6f while the execution sent at %.6f was still out at box %d", b.sent, a.sent, a.box)
+	j.addViolation(OneCopy, c.try.sidecar, b.box, c.try.id, nil, "sent at %.6f while the execution sent at %.6f was still out at box %d", b.sent, a.sent, a.box)
 }
 
 // burden notes work that reaches a cold box.
-func (j *Judge) burden(s *station, e *Event) {
+func (j *Checker) burden(s *station, e *Event) {
 	if s.since == 0 {
 		return
 	}
@@ -183,7 +183,7 @@
 }
 
 // knowsStart tells whether a sidecar has been told of a box's present start, or counts as told.
-func (j *Judge) knowsStart(p *party, s *station, box int32, at float64) bool {
+func (j *Checker) knowsStart(p *party, s *station, box int32, at float64) bool {
 	if k := p.knows(box); k.status != 0 && k.since >= s.since-exactS {
 		return true
 	}
@@ -196,7 +196,7 @@
 }
 
 // fell checks who has pushed a cold box over.
-func (j *Judge) fell(s *station, e *Event) {
+func (j *Checker) fell(s *station, e *Event) {
 	all, knew := 0.0, 0.0
 	for _, w := range s.work {
 		if w.at >= e.At-j.rules.FallS {
@@ -206,7 +206,7 @@
 		}
 	}
 	if all > 0 && knew >= j.rules.ColdShare*all {
-		j.find(ColdBox, -1, e.Box, 0, nil, "%.3f s of work in %g s brought it down, %.0f %% of it from sidecars that knew of its start",
+		j.addViolation(ColdBox, -1, e.Box, 0, nil, "%.3f s of work in %g s brought it down, %.0f %% of it from sidecars that knew of its start",
 			all, j.rules.FallS, 100*knew/all)
 	}
 }
--- a/internal/checker/client.go
+++ b/internal/checker/client.go
@@ -5,7 +5,7 @@
 const unansweredS = 1.0
 
 // seeClient takes what clients tell.
-func (j *Judge) seeClient(e *Event) {
+func (j *Checker) seeClient(e *Event) {
 	switch e.Kind {
 	case Hostile:
 		j.prices.Hostile++
@@ -18,7 +18,7 @@
 		j.seeHostile(e)
 		return
 	case Stray:
-		j.find(OneAnswer, e.Sidecar, -1, 0, nil, "bytes on a connection on which nothing was asked")
+		j.addViolation(OneAnswer, e.Sidecar, -1, 0, nil, "bytes on a connection on which nothing was asked")
 		return
 	case Asked:
 		j.asked(e)
@@ -48,7 +48,7 @@
 		enough := e.At-r.askedAt >= j.rules.AnswerSlackS+j.rules.SocketSlackS && !j.troubled(r.sidecar, ToClients, r.askedAt, e.At)
 		over := e.At >= r.until && j.rules.Unanswered || e.At >= r.until+unansweredS
 		if r.taken && !r.halved && r.fate == unended && over && enough {
-			j.find(OneAnswer, e.Sidecar, -1, e.Request, nil, "no answer when its time was over")
+			j.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "no answer when its time was over")
 		}
 		j.end(r, left, e.At)
 	case Unreached:
@@ -57,7 +57,7 @@
 }
 
 // asked takes up a try.
-func (j *Judge) asked(e *Event) {
+func (j *Checker) asked(e *Event) {
 	r := &record{id: e.Request, sidecar: e.Sidecar, class: e.Class, askedAt: e.At, until: e.Until, place: -1}
 	r.attempts = r.room[:0]
 	if first := j.tries[e.First]; first != nil {
@@ -73,7 +73,7 @@
 }
 
 // end notes how a try ended.
-func (j *Judge) end(r *record, f fate, at float64) {
+func (j *Checker) end(r *record, f fate, at float64) {
 	if r.fate != unended {
 		return
 	}
@@ -98,15 +98,15 @@
 }
 
 // answered takes a whole answer.
-func (j *Judge) answered(r *record, e *Event) {
+func (j *Checker) answered(r *record, e *Event) {
 	if r.fate == served || r.fate == refused || r.fate == failed {
-		j.find(OneAnswer, e.Sidecar, -1, e.Request, nil, "a second answer, of status %d", e.Status)
+		j.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "a second answer, of status %d", e.Status)
 		return
 	}
 	switch e.Status {
 	case 200:
 		if !j.rules.ClientsAlone && !r.made(e.Digest) {
-			j.find(NoInvention, e.Sidecar, -1, e.Request, nil, "an answer that no box has made for it")
+			j.addViolation(NoInvention, e.Sidecar, -1, e.Request, nil, "an answer that no box has made for it")
 		}
 		j.end(r, served, e.At)
 		j.serve(r, e.At)
@@ -135,7 +135,7 @@
 }
 
 // serve counts a request that has been served, once.
-func (j *Judge) serve(r *record, at float64) {
+func (j *Checker) serve(r *record, at float64) {
 	w := r.want
 	c := j.class(w.class)
 	if w.served || !w.counted || c == nil {
@@ -153,14 +153,14 @@
 }
 
 // checkRefusal checks that trying again is as harmless as a refusal says.
-func (j *Judge) checkRefusal(r *record, e *Event) {
+func (j *Checker) checkRefusal(r *record, e *Event) {
 	if c := j.class(r.class); c == nil || c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
 		return
 	}
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.life == j.parties[r.sidecar].life && !a.provenUnrun(e.At) {
-			j.find(NoRepeat, r.sidecar, a.box, r.id, nil, "refused, though the execution sent at %.6f may have run", a.sent)
+			j.addViolation(NoRepeat, r.sidecar, a.box, r.id, nil, "refused, though the execution sent at %.6f may have run", a.sent)
 			return
 		}
 	}
@@ -168,7 +168,7 @@
 
 // checkAtOnce checks that a try was given its answer when nothing more could be done for it: the sidecar had no right
 // to another execution, and none was out.
-func (j *Judge) checkAtOnce(r *record, e *Event) {
+func (j *Checker) checkAtOnce(r *record, e *Event) {
 	c := j.class(r.class)
 	if c == nil || len(r.attempts) == 0 || j.troubled(r.sidecar, ToClients, r.askedAt, e.At) {
 		return
@@ -188,18 +188,18 @@
 		spent = spent || c.Effect == Unsafe && !a.notStarted
 	}
 	if held := e.At - last; spent && held > j.rules.AtOnceS {
-		j.find(AtOnce, r.sidecar, -1, r.id, nil, "its answer was held back for %.3f s after all was over", held)
+		j.addViolation(AtOnce, r.sidecar, -1, r.id, nil, "its answer was held back for %.3f s after all was over", held)
 	}
 }
 
 // brokenOff takes the end of part of an answer. Whole ones that a box has made must reach the client whole.
-func (j *Judge) brokenOff(r *record, e *Event) {
+func (j *Checker) brokenOff(r *record, e *Event) {
 	if r.fate == unended && !r.halved {
 		for i := range r.attempts {
 			a := &r.attempts[i]
 			if a.repliedAt > 0 && a.status == 200 && !a.spoilt && a.life == j.parties[r.sidecar].life && j.parties[r.sidecar].termedAt == 0 &&
 				!j.troubled(r.sidecar, ToClients, a.sent, e.At) {
-				j.find(OneAnswer, r.sidecar, a.box, r.id, nil, "part of an answer, though a box had given it whole")
+				j.addViolation(OneAnswer, r.sidecar, a.box, r.id, nil, "part of an answer, though a box had given it whole")
 				break
 			}
 		}
@@ -208,7 +208,7 @@
 }
 
 // dropped takes the end of a connection by the sidecar's side while a try was out on it.
-func (j *Judge) dropped(r *record, e *Event) {
+func (j *Checker) dropped(r *record, e *Event) {
 	if r.fate != unended || !r.taken {
 		return
 	}
@@ -222,7 +222,7 @@
 	}
 	switch {
 	case e.Read:
-		j.find(OneAnswer, e.Sidecar, -1, e.Request, nil, "it was read, and its connection closed without an answer")
+		j.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "it was read, and its connection closed without an answer")
 		j.end(r, lost, e.At)
 	case !sent && e.Reused && !r.dropped:
 		r.dropped, r.taken = true, false // the close has crossed the request: its client sends it once more
@@ -230,13 +230,13 @@
 	case !sent && !e.Reused && !r.dropped && !j.rules.Calm:
 		j.end(r, unsent, e.At)
 	default:
-		j.find(OneAnswer, e.Sidecar, -1, e.Request, nil, "its connection was closed without an answer")
+		j.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "its connection was closed without an answer")
 		j.end(r, lost, e.At)
 	}
 }
 
 // seeHostile takes how a client fared that may not be served.
-func (j *Judge) seeHostile(e *Event) {
+func (j *Checker) seeHostile(e *Event) {
 	h := j.hostile[e.Link]
 	if h == nil || h.settled {
 		return
@@ -246,6 +246,6 @@
 		j.prices.HostileOwed++
 	}
 	if e.Kind == HostileAnswered && e.Status >= 200 && e.Status < 300 && (h.try == nil || !h.try.mayBeOver()) {
-		j.find(OneAnswer, e.Sidecar, -1, 0, nil, "a client that may not be served was answered with %d", e.Status)
+		j.addViolation(OneAnswer, e.Sidecar, -1, 0, nil, "a client that may not be served was answered with %d", e.Status)
 	}
 }
--- a/internal/checker/event.go
+++ b/internal/checker/event.go
@@ -186,7 +186,7 @@
 }
 
 // Witness is told events in the order of their time. The actors of a world hold one.
-type Witness interface{ See(e Event) }
+type Observer interface{ Observe(e Event) }
 
 // Digest returns a body's digest, by which an answer is known again. It is FNV-1a.
 func Digest(body []byte) uint64 {
--- a/internal/checker/judge.go
+++ b/internal/checker/judge.go
@@ -7,12 +7,12 @@
 )
 
 // Judge checks the rules event by event. It is not safe for concurrent use.
-type Judge struct {
-	rules    Rules
-	findings []Finding
-	broken   int // rules broken, also beyond the findings that are kept
-	recent   []Event
-	seen     int
+type Checker struct {
+	rules          Rules
+	violations     []Violation
+	violationCount int // rules broken, also beyond the findings that are kept
+	recent         []Event
+	seen           int
 
 	tries    map[uint64]*record
 	links    map[uint64]*linkState
@@ -62,9 +62,9 @@
 }
 
 const (
-	mostFindings = 100
-	mostRecent   = 1 << 14
-	mostShown    = 30
+	maxViolations      = 100
+	maxRecentEvents    = 1 << 14
+	maxViolationEvents = 30
 	// catchUpS is how long a process that stood still may take to come to what has come meanwhile.
 	catchUpS = 0.25
 	// copyWaitS is how long the end of a first attempt may be under way.
@@ -73,12 +73,12 @@
 	exactS = 1e-4
 )
 
-var _ Witness = (*Judge)(nil)
+var _ Observer = (*Checker)(nil)
 
 // New returns a judge that has seen nothing.
-func New(rules Rules) *Judge {
-	j := &Judge{rules: rules, tries: map[uint64]*record{}, links: map[uint64]*linkState{}, hostile: map[uint64]*hostile{},
-		recent: make([]Event, 0, mostRecent), parties: make([]party, rules.Sidecars)}
+func New(rules Rules) *Checker {
+	j := &Checker{rules: rules, tries: map[uint64]*record{}, links: map[uint64]*linkState{}, hostile: map[uint64]*hostile{},
+		recent: make([]Event, 0, maxRecentEvents), parties: make([]party, rules.Sidecars)}
 	for _, c := range rules.Classes {
 		j.classes = append(j.classes, ClassService{Name: c.Name})
 	}
@@ -86,18 +86,18 @@
 }
 
 // Findings returns the first breaks found, oldest first.
-func (j *Judge) Findings() []Finding { return j.findings }
+func (j *Checker) Violations() []Violation { return j.violations }
 
 // Broken returns how many breaks there were, also those beyond Findings.
-func (j *Judge) Broken() int { return j.broken }
+func (j *Checker) ViolationCount() int { return j.violationCount }
 
 // See takes one event. Events come in the order of At.
-func (j *Judge) See(e Event) {
+func (j *Checker) Observe(e Event) {
 	j.now = e.At
-	if len(j.recent) < mostRecent {
+	if len(j.recent) < maxRecentEvents {
 		j.recent = append(j.recent, e)
 	} else {
-		j.recent[j.seen%mostRecent] = e
+		j.recent[j.seen%maxRecentEvents] = e
 	}
 	j.seen++
 	for len(j.copies) > 0 && j.copies[0].until <= e.At {
@@ -114,7 +114,7 @@
 }
 
 // End tells that the day is over: what waits for more time is decided.
-func (j *Judge) End(now float64) {
+func (j *Checker) Finish(now float64) {
 	j.now = now
 	for len(j.copies) > 0 {
 		j.decideCopies()
@@ -130,28 +130,28 @@
 }
 
 // find notes a break of a rule, with the events that show it.
-func (j *Judge) find(rule Rule, sidecar, box int32, request uint64, more []Event, why string, args ...any) {
-	if j.broken++; len(j.findings) >= mostFindings {
+func (j *Checker) addViolation(rule Rule, sidecar, box int32, request uint64, more []Event, why string, args ...any) {
+	if j.violationCount++; len(j.violations) >= maxViolations {
 		return
 	}
-	f := Finding{Rule: rule, At: j.now, Sidecar: sidecar, Box: box, Request: request, Why: fmt.Sprintf(why, args...)}
+	f := Violation{Rule: rule, At: j.now, Sidecar: sidecar, Server: box, Request: request, Reason: fmt.Sprintf(why, args...)}
 	f.Events = append(f.Events, more...)
 	first := max(0, j.seen-len(j.recent))
 	for i := first; i < j.seen; i++ {
-		e := &j.recent[i%mostRecent]
+		e := &j.recent[i%maxRecentEvents]
 		if request != 0 && e.Request == request || request == 0 && box >= 0 && e.Box == box && e.At >= j.now-j.rules.FallS ||
 			request == 0 && box < 0 && e.Sidecar == sidecar && i >= j.seen-4 {
 			f.Events = append(f.Events, *e)
 		}
 	}
-	if n := len(f.Events); n > mostShown {
-		f.Events = f.Events[n-mostShown:]
+	if n := len(f.Events); n > maxViolationEvents {
+		f.Events = f.Events[n-maxViolationEvents:]
 	}
-	j.findings = append(j.findings, f)
+	j.violations = append(j.violations, f)
 }
 
 // party returns what is known of a sidecar; nil: there is none such.
-func (j *Judge) party(sidecar int32) *party {
+func (j *Checker) party(sidecar int32) *party {
 	if sidecar < 0 || int(sidecar) >= len(j.parties) {
 		return nil
 	}
@@ -159,7 +159,7 @@
 }
 
 // station returns what is known of a box.
-func (j *Judge) station(box int32) *station {
+func (j *Checker) station(box int32) *station {
 	for int(box) >= len(j.stations) {
 		j.stations = append(j.stations, station{})
 	}
@@ -175,7 +175,7 @@
 }
 
 // class returns a request's class; nil: there is none such.
-func (j *Judge) class(n int32) *Class {
+func (j *Checker) class(n int32) *Class {
 	if n < 0 || int(n) >= len(j.rules.Classes) {
 		return nil
 	}
@@ -184,7 +184,7 @@
 
 // troubled tells whether a way was in trouble between two times, or shortly before: what the trouble has held back comes
 // later.
-func (j *Judge) troubled(sidecar, box int32, from, until float64) bool {
+func (j *Checker) troubled(sidecar, box int32, from, until float64) bool {
 	const after = 11 // seconds until lost bytes are sent again
 	for i := range j.cuts {
 		c := &j.cuts[i]
@@ -197,7 +197,7 @@
 }
 
 // seeRest takes what discovery, the network and the processes tell.
-func (j *Judge) seeRest(e *Event) {
+func (j *Checker) seeRest(e *Event) {
 	p := j.party(e.Sidecar)
 	switch e.Kind {
 	case Listed:
@@ -274,12 +274,12 @@
 		p.termedAt = e.At
 	case SidecarEnded:
 		if p.termedAt == 0 {
-			j.find(NoCrash, e.Sidecar, -1, 0, nil, "the process ended unasked with status %d", e.Status)
+			j.addViolation(NoCrash, e.Sidecar, -1, 0, nil, "the process ended unasked with status %d", e.Status)
 		} else if e.Status != 0 {
-			j.find(NoCrash, e.Sidecar, -1, 0, nil, "the process ended with status %d", e.Status)
+			j.addViolation(NoCrash, e.Sidecar, -1, 0, nil, "the process ended with status %d", e.Status)
 		}
 	case SidecarPanicked:
-		j.find(NoCrash, e.Sidecar, -1, 0, nil, "panic: %s", e.Text)
+		j.addViolation(NoCrash, e.Sidecar, -1, 0, nil, "panic: %s", e.Text)
 	case SidecarFrozen:
 		p.frozenAt, p.thawedAt = e.At, math.Inf(1)
 	case SidecarThawed:
@@ -290,7 +290,7 @@
 			}
 		}
 	case FleetWrong:
-		j.find([...]Rule{ViewWrong: FleetView, DeathWrong: FalseDeath, RankWrong: FleetRank, RisenWrong: FleetRisen, QueueWrong: FleetQueue, TokenWrong: OldOwner,
+		j.addViolation([...]Rule{ViewWrong: FleetView, DeathWrong: FalseDeath, RankWrong: FleetRank, RisenWrong: FleetRisen, QueueWrong: FleetQueue, TokenWrong: OldOwner,
 			OccupiedWrong: WorkOccupied, ManyWrong: WorkMany, TwiceWrong: WorkTwice, ForgottenWrong: WorkForgotten}[e.Status], e.Sidecar, -1, 0, nil, "%s", e.Text)
 	case Reloaded:
 		p.reloadedAt = e.At
@@ -305,11 +305,11 @@
 		delete(p.out, e.Box)
 	case Descriptors:
 		if int(e.N) > j.rules.Sockets {
-			j.find(InLimits, e.Sidecar, -1, 0, nil, "%d descriptors of %d", e.N, j.rules.Sockets)
+			j.addViolation(InLimits, e.Sidecar, -1, 0, nil, "%d descriptors of %d", e.N, j.rules.Sockets)
 		}
 	case Leftover:
 		if e.N > 0 {
-			j.find(AtRest, e.Sidecar, -1, 0, nil, "%d %s left when the day was over", e.N, e.Text)
+			j.addViolation(AtRest, e.Sidecar, -1, 0, nil, "%d %s left when the day was over", e.N, e.Text)
 		}
 	}
 }
@@ -322,12 +322,12 @@
 }
 
 // killed excuses what a killed sidecar had open, unless it had been told to end and took more.
-func (j *Judge) killed(p *party, e *Event) {
+func (j *Checker) killed(p *party, e *Event) {
 	p.killedAt = e.At
 	for len(p.open) > 0 {
 		r := p.open[0]
 		if late := p.termedAt > 0 && r.takenAt > p.termedAt+j.rules.TermGraceS+j.rules.SocketSlackS && e.At < r.until; late {
-			j.find(OneAnswer, r.sidecar, -1, r.id, nil, "taken %.3f s after the order to end and not answered when killed", r.takenAt-p.termedAt)
+			j.addViolation(OneAnswer, r.sidecar, -1, r.id, nil, "taken %.3f s after the order to end and not answered when killed", r.takenAt-p.termedAt)
 		}
 		j.end(r, excused, e.At)
 	}
--- a/internal/checker/judge_test.go
+++ b/internal/checker/judge_test.go
@@ -273,12 +273,12 @@
 func broken(s *tale) []Rule {
 	j := New(rules())
 	for _, e := range s.events {
-		j.See(e)
+		j.Observe(e)
 	}
-	j.End(1000)
+	j.Finish(1000)
 	var names []Rule
 	seen := map[Rule]bool{}
-	for _, f := range j.Findings() {
+	for _, f := range j.Violations() {
 		if !seen[f.Rule] {
 			names = append(names, f.Rule)
 		}
@@ -291,9 +291,9 @@
 func TestFindingShowsItsEvents(t *testing.T) {
 	j := New(rules())
 	for _, e := range newTale().ask(1, 8, safe).ask(1, 9, safe).answer(1.2, 9, 200).events {
-		j.See(e)
+		j.Observe(e)
 	}
-	f := j.Findings()[0]
+	f := j.Violations()[0]
 	assert.Equal(t, uint64(9), f.Request)
 	assert.Equal(t, 1.2, f.At)
 	var kinds []Kind
@@ -315,7 +315,7 @@
 		Event{Kind: Taken, At: 2, Request: 4, Link: 104, Until: 4})
 	s.run(2.1, 4, 2, 2).reply(2.2, 4, 2, 2, 200).answer(2.3, 4, 200)
 	for _, e := range s.events {
-		j.See(e)
+		j.Observe(e)
 	}
 	r := j.Report()
 	assert.Equal(t, 1.0/16, r.Service)
@@ -323,7 +323,7 @@
 	assert.Equal(t, []int{0, 1, 0}, []int{r.Classes[safe].Late, r.Classes[keyed].Late, r.Classes[unsafe].Late})
 	assert.Equal(t, 1, r.Classes[unsafe].Unserved)
 	assert.Equal(t, Prices{Executions: 2, CrossZone: 1, SlowRefusal: 0.3 * 5}, r.Prices)
-	assert.Empty(t, j.Findings())
+	assert.Empty(t, j.Violations())
 }
 
 // On days that are held to be calm what runs out of time is lost, too, and so is a first request that is hung up on.
@@ -341,10 +341,10 @@
 	}{{out, rules(), 0}, {out, strict, 1}, {late, rules(), 1}, {early, strict, 0}, {hungUp, rules(), 0}, {hungUp, strict, 1}} {
 		j := New(c.rules)
 		for _, e := range c.tale.events {
-			j.See(e)
+			j.Observe(e)
 		}
-		assert.Len(t, j.Findings(), c.want)
-		assert.Equal(t, c.want, j.Broken())
+		assert.Len(t, j.Violations(), c.want)
+		assert.Equal(t, c.want, j.ViolationCount())
 	}
 }
 
@@ -361,10 +361,10 @@
 	}{{once, rules(), []Rule{NoInvention}}, {once, alone, nil}, {twice, alone, []Rule{OneAnswer}}} {
 		j := New(c.rules)
 		for _, e := range c.tale.events {
-			j.See(e)
+			j.Observe(e)
 		}
 		var found []Rule
-		for _, f := range j.Findings() {
+		for _, f := range j.Violations() {
 			found = append(found, f.Rule)
 		}
 		assert.Equal(t, c.want, found)
--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -96,12 +96,12 @@
 )
 
 // Finding is one break of a rule.
-type Finding struct {
+type Violation struct {
 	Rule    Rule    `json:"Rule"`
 	At      float64 `json:"At"`
 	Sidecar int32   `json:"Sidecar"`
-	Box     int32   `json:"Box"` // -1: none
+	Server  int32   `json:"Box"` // -1: none
 	Request uint64  `json:"Request"`
-	Why     string  `json:"Why"`
+	Reason  string  `json:"Why"`
 	Events  []Event `json:"Events"` // those that show it, oldest first
 }
--- a/internal/checker/service.go
+++ b/internal/checker/service.go
@@ -33,7 +33,7 @@
 }
 
 // Report returns the service and its prices so far.
-func (j *Judge) Report() Report {
+func (j *Checker) Report() Report {
 	r := Report{Prices: j.prices}
 	inAim, asked := 0.0, 0.0
 	for i, c := range j.classes {
--- a/internal/checker/told.go
+++ b/internal/checker/told.go
@@ -8,7 +8,7 @@
 
 // countsAsTold returns when a sidecar counts as told of a change of the list, as far as can be said at a time; +Inf: not
 // yet.
-func (j *Judge) countsAsTold(p *party, listed *Event, at float64) float64 {
+func (j *Checker) countsAsTold(p *party, listed *Event, at float64) float64 {
 	made := max(listed.At, p.startedAt)
 	told := j.hears(p, listed, j.there(made, j.rules.ToldWithinS))
 	if p.watched() {
@@ -42,7 +42,7 @@
 
 // hears returns when a sidecar counts as told of a change that would count from a time on, had it not been given a new
 // configuration and not stood still.
-func (j *Judge) hears(p *party, listed *Event, told float64) float64 {
+func (j *Checker) hears(p *party, listed *Event, told float64) float64 {
 	if p.reloadedAt > 0 && p.reloadedAt < told {
 		told = max(told, p.reloadedAt+j.rules.ReloadToldS)
 	}
@@ -53,7 +53,7 @@
 }
 
 // there returns when discovery has been up for so long on end since a time; +Inf: not yet. What it can't tell does not count.
-func (j *Judge) there(from, forS float64) float64 {
+func (j *Checker) there(from, forS float64) float64 {
 	for i := range j.outages {
 		if o := &j.outages[i]; o.until > from && o.from < from+forS {
 			from = o.until
@@ -65,7 +65,7 @@
 // reachable returns when discovery has been up for so long on end since a time, and would have answered a call; +Inf: not yet. Time in
 // which calls stood in line there does not count, since another one could have waited in vain. Danger: a fleet whose calls never end
 // would never count as told, so no more of that is taken off than a call of each sidecar needs.
-func (j *Judge) reachable(from, forS float64) float64 {
+func (j *Checker) reachable(from, forS float64) float64 {
 	for {
 		until := j.beyondLines(from, forS)
 		next := slices.IndexFunc(j.outages, func(o span) bool { return o.until > from && o.from < until })
@@ -79,7 +79,7 @@
 }
 
 // beyondLines returns when so much time without a line has passed since a time.
-func (j *Judge) beyondLines(from, forS float64) float64 {
+func (j *Checker) beyondLines(from, forS float64) float64 {
 	until, excused := from+forS, 0.0
 	first := sort.Search(len(j.lines), func(i int) bool { return j.lines[i].until > from })
 	for i := first; i < len(j.lines) && j.lines[i].from < until; i++ {
@@ -92,7 +92,7 @@
 }
 
 // notServingSince returns since when a sidecar knew at a time that a box drains or is gone, +Inf: it did not.
-func (j *Judge) notServingSince(p *party, box int32, at float64) float64 {
+func (j *Checker) notServingSince(p *party, box int32, at float64) float64 {
 	k, s := p.knows(box), j.station(box)
 	since := math.Inf(1)
 	if k.status != 0 && k.status != Serving {
@@ -112,10 +112,10 @@
 //
 // Danger: another box may have come up at the address of one that is gone. What counts is what the sidecar was told of
 // the address that it used.
-func (j *Judge) checkDrain(s *station, p *party, e *Event) {
+func (j *Checker) checkDrain(s *station, p *party, e *Event) {
 	grace := j.rules.DrainGraceS + j.rules.SocketSlackS
 	if at := p.out[e.Box]; at > 0 && e.FirstSent > at+grace {
-		j.find(SafeDrain, e.Sidecar, e.Box, e.Request, nil, "sent %.3f s after operators had taken box %d out", e.FirstSent-at, e.Box)
+		j.addViolation(SafeDrain, e.Sidecar, e.Box, e.Request, nil, "sent %.3f s after operators had taken box %d out", e.FirstSent-at, e.Box)
 		return
 	}
 	if k := p.knows(e.Box); k.status == Serving && e.FirstSent <= j.notServingSince(p, e.Box, e.FirstSent)+grace {
@@ -132,16 +132,16 @@
 	}
 	switch {
 	case named < 0:
-		j.find(SafeDrain, e.Sidecar, e.Box, e.Request, nil, "sent to an address that the sidecar was never told of")
+		j.addViolation(SafeDrain, e.Sidecar, e.Box, e.Request, nil, "sent to an address that the sidecar was never told of")
 	case e.FirstSent > latest+grace:
-		j.find(SafeDrain, e.Sidecar, e.Box, e.Request, []Event{p.told[named].said},
+		j.addViolation(SafeDrain, e.Sidecar, e.Box, e.Request, []Event{p.told[named].said},
 			"sent %.3f s after the sidecar was told, or counted as told, that box %d drains or is gone", e.FirstSent-latest, named)
 	}
 }
 
 // checkAsked checks that a sidecar which goes on without a watch has asked for one. Danger: one that never asks again goes by its
 // list for ever, and seldom meets a box within a day that shows it.
-func (j *Judge) checkAsked(sidecar int32, now float64) {
+func (j *Checker) checkAsked(sidecar int32, now float64) {
 	p := &j.parties[sidecar]
 	if p.watched() || p.life == 0 || p.termedAt > 0 || p.killedAt > p.startedAt || now < p.thawedAt || j.downAt > 0 {
 		return
@@ -153,7 +153,7 @@
 	}
 	if p.silentAt > 0 && p.askedAt < p.silentAt {
 		if noticed := j.reachable(max(p.silentAt, p.reloadedAt, p.thawedAt), j.rules.ToldWithinS) + j.rules.SocketSlackS; now > noticed {
-			j.find(ListAsked, sidecar, -1, 0, nil, "on a watch that has said nothing for %.1f s, and has not asked for another", now-p.silentAt)
+			j.addViolation(ListAsked, sidecar, -1, 0, nil, "on a watch that has said nothing for %.1f s, and has not asked for another", now-p.silentAt)
 		}
 		return
 	}
@@ -163,6 +163,6 @@
 	}
 	within = max(within, j.rules.MostAskS) + j.rules.SocketSlackS
 	if asked := max(p.askedAt, p.startedAt, p.reloadedAt, p.thawedAt, j.upAt); now > asked+within {
-		j.find(ListAsked, sidecar, -1, 0, nil, "without a watch, and has not asked for its list for %.1f s", now-asked)
+		j.addViolation(ListAsked, sidecar, -1, 0, nil, "without a watch, and has not asked for its list for %.1f s", now-asked)
 	}
 }
--- a/internal/environment/actors_test.go
+++ b/internal/environment/actors_test.go
@@ -23,7 +23,7 @@
 // notes keeps what a world tells.
 type notes struct{ events []checker.Event }
 
-func (n *notes) See(e checker.Event) { n.events = append(n.events, e) }
+func (n *notes) Observe(e checker.Event) { n.events = append(n.events, e) }
 
 func (n *notes) count(kind checker.Kind) int {
 	count := 0
--- a/internal/environment/app.go
+++ b/internal/environment/app.go
@@ -16,7 +16,7 @@
 	number  int32
 	day     *Day
 	spec    *ClientSpec
-	witness checker.Witness
+	witness checker.Observer
 	rng     *rand.Rand // arrivals
 	ids     *rand.Rand
 	chance  *rand.Rand // what a request does
@@ -94,7 +94,7 @@
 const readyEveryS = 0.05
 
 // NewApplication returns the application beside a sidecar.
-func NewApplication(d *Day, sidecar int, w checker.Witness) *Application {
+func NewApplication(d *Day, sidecar int, w checker.Observer) *Application {
 	return &Application{number: int32(sidecar), day: d, spec: &d.Clients, witness: w, rng: stream(d.Seed, "arrivals", sidecar),
 		ids: stream(d.Seed, "ids", sidecar), chance: stream(d.Seed, "clients", sidecar), early: stream(d.Seed, "early", sidecar), armed: math.Inf(1), leaveAt: math.Inf(1),
 		body: []byte(bodyText)}
@@ -102,7 +102,7 @@
 
 // NewBatch returns the batch beside a sidecar: it sends requests of one class in the name of an organisation, whatever
 // becomes of the applications. It tries again as they do. The service is not measured by it.
-func NewBatch(d *Day, sidecar int, w checker.Witness) *Application {
+func NewBatch(d *Day, sidecar int, w checker.Observer) *Application {
 	a := NewApplication(d, sidecar, w)
 	a.batch, a.linkNumber = d.Batch, batchLinks
 	a.rng, a.ids, a.chance = stream(d.Seed, "batch arrivals", sidecar), stream(d.Seed, "batch ids", sidecar), stream(d.Seed, "batch", sidecar)
@@ -141,7 +141,7 @@
 }
 
 func (a *Application) tell(kind checker.Kind, k *ask, link *appLink) {
-	a.witness.See(a.see(kind, k, link))
+	a.witness.Observe(a.see(kind, k, link))
 }
 
 // Alarm does what is due.
@@ -515,7 +515,7 @@
 	a.taken(link)
 	e := a.see(checker.Answered, k, link)
 	e.Status, e.Digest = int32(link.parser.Status), checker.Digest(link.parser.Body)
-	a.witness.See(e)
+	a.witness.Observe(e)
 	link.ask = nil
 	status, after := link.parser.Status, 0.0
 	if text := link.parser.after; text != "" {
@@ -627,7 +627,7 @@
 func (a *Application) dropped(c netio.Conn, k *ask, link *appLink) {
 	e := a.see(checker.Dropped, k, link)
 	e.Read = readByPeer(c)
-	a.witness.See(e)
+	a.witness.Observe(e)
 }
 
 // openID returns the id of a request that is out; false: there is none that is known of. Danger: one that is still on
--- a/internal/environment/box.go
+++ b/internal/environment/box.go
@@ -16,7 +16,7 @@
 	Address string // where the present life listens, or the last one did
 
 	day     *Day
-	witness checker.Witness
+	witness checker.Observer
 	who     neighbours
 	classes map[string]int // looked up, never walked
 	keys    *keyMemory     // of its site
@@ -44,7 +44,7 @@
 }
 
 // NewBox returns a box of a day that has never run.
-func NewBox(d *Day, number int, list *Registry, keys *keyMemory, w checker.Witness) *Box {
+func NewBox(d *Day, number int, list *Registry, keys *keyMemory, w checker.Observer) *Box {
 	b := &Box{Spec: d.Boxes[number], day: d, witness: w, who: newNeighbours(d), classes: map[string]int{}, keys: keys,
 		list: list}
 	b.rng = stream(d.Seed, "box "+b.Spec.Name, 0)
@@ -153,7 +153,7 @@
 		l.since = now
 	}
 	l.reports.begin(&l.Spec, now)
-	l.witness.See(checker.Event{Kind: checker.BoxStarted, At: now, Sidecar: -1, Box: int32(l.Spec.Number), Zone: int32(l.Spec.Site),
+	l.witness.Observe(checker.Event{Kind: checker.BoxStarted, At: now, Sidecar: -1, Box: int32(l.Spec.Number), Zone: int32(l.Spec.Site),
 		Cell: int32(l.Spec.Cell), Since: l.since, Address: l.Address})
 	if cold {
 		l.list.Up(l.Spec.Number, l.Address, l.since, now)
@@ -166,7 +166,7 @@
 	if b.life != nil {
 		b.life.over = true
 		b.life = nil
-		b.witness.See(checker.Event{Kind: checker.BoxEnded, At: now, Sidecar: -1, Box: int32(b.Spec.Number)})
+		b.witness.Observe(checker.Event{Kind: checker.BoxEnded, At: now, Sidecar: -1, Box: int32(b.Spec.Number)})
 	}
 }
 
@@ -205,7 +205,7 @@
 	l.engine.Connected(l.open)
 	e := l.event(checker.LinkOpened, k)
 	e.Work = l.Spec.HandshakeS / l.Spec.Speed
-	l.witness.See(e)
+	l.witness.Observe(e)
 	l.bear(e.Work)
 	k.over = l.open > l.Spec.ConnCap
 	l.rest(k)
@@ -234,7 +234,7 @@
 	if e.ByBox = err == nil; !e.ByBox {
 		e.Sent = endedAt(c, e.At)
 	}
-	l.witness.See(e)
+	l.witness.Observe(e)
 }
 
 // rest notes that a link has nothing to do, unrest that it does.
@@ -347,7 +347,7 @@
 	e := l.event(checker.Execution, k)
 	e.Request, e.Class, e.Work, e.FirstSent, e.Sent = j.id, int32(class), min(work, mostCounted*c.WorkS/l.Spec.Speed), k.firstAt, sentAt(k.conn, now)
 	e.FirstSent = min(e.FirstSent, e.Sent)
-	l.witness.See(e)
+	l.witness.Observe(e)
 	if j.id == 0 {
 		l.say(k, 400, nil)
 		return
@@ -369,7 +369,7 @@
 // bear counts work against a cold box.
 func (l *life) bear(seconds float64) {
 	if now := l.net.Now(); l.engine.Bear(now, seconds) {
-		l.witness.See(checker.Event{Kind: checker.BoxFell, At: now, Sidecar: -1, Box: int32(l.Spec.Number)})
+		l.witness.Observe(checker.Event{Kind: checker.BoxFell, At: now, Sidecar: -1, Box: int32(l.Spec.Number)})
 	}
 }
 
@@ -395,7 +395,7 @@
 	j.Probe, j.Seconds = true, l.Spec.ProbeS/l.Spec.Speed
 	e := l.event(checker.Probed, k)
 	e.Work = j.Seconds
-	l.witness.See(e)
+	l.witness.Observe(e)
 	l.bear(j.Seconds)
 	if now >= l.probesAt+1 {
 		l.probesAt, l.probes = now, 0
@@ -512,7 +512,7 @@
 	e := l.event(checker.Replied, k)
 	e.Request, e.Status, e.NotStarted, e.Spoilt = k.job.id, int32(status), notStarted, spoilt
 	e.Class, e.Digest = int32(k.job.class), checker.Digest(body)
-	l.witness.See(e)
+	l.witness.Observe(e)
 }
 
 func (l *life) Alarm() {
--- a/internal/environment/mischief.go
+++ b/internal/environment/mischief.go
@@ -17,7 +17,7 @@
 	number  int32
 	day     *Day
 	app     *Application
-	witness checker.Witness
+	witness checker.Observer
 	rng     *rand.Rand
 	net     netio.Net
 	due     agenda[mischiefTask]
@@ -91,7 +91,7 @@
 }
 
 // NewMischief returns the clients beside a sidecar that may not be served. None comes before Come is called.
-func NewMischief(d *Day, sidecar int, app *Application, w checker.Witness) *Mischief {
+func NewMischief(d *Day, sidecar int, app *Application, w checker.Observer) *Mischief {
 	return &Mischief{number: int32(sidecar), day: d, app: app, witness: w, rng: stream(d.Seed, "mischief", sidecar),
 		armed: math.Inf(1)}
 }
@@ -194,7 +194,7 @@
 		if e.Until = now + owedS; v.kind == sendsHugeBody {
 			e.Until = now + owedHugeS
 		}
-		m.witness.See(e)
+		m.witness.Observe(e)
 		v.told = true
 	}
 	m.begin(v, now)
@@ -300,14 +300,14 @@
 	v.parser = http1.NewResponseParser(messageLimits)
 	e := m.see(checker.Asked, v)
 	e.First, e.Class, e.Until, e.Uncounted = v.id, int32(class), now+againPatient, true
-	m.witness.See(e)
+	m.witness.Observe(e)
 	out := append(append(append(m.out[:0], "GET /"...), m.day.Classes[class].Name...), " HTTP/1.1\r\nHost: h\r\nRequest-Id: "...)
 	out = append(appendID(out, v.id), "\r\nRequest-Timeout: 1000m\r\n\r\n"...)
 	m.out = out
 	conn := v.conn
 	if _, err := conn.Write(out); err == nil && v.conn == conn && conn.OutboundBuffered() == 0 {
 		e.Kind, e.Reused = checker.Taken, v.tries > 1
-		m.witness.See(e)
+		m.witness.Observe(e)
 	}
 }
 
@@ -325,7 +325,7 @@
 		v.ids = append(v.ids, v.id)
 		e := m.see(checker.Asked, v)
 		e.First, e.Class, e.Until, e.Uncounted = v.id, int32(number), now+againPatient, true
-		m.witness.See(e)
+		m.witness.Observe(e)
 		asked = append(asked, e)
 		out = append(append(append(out, "GET /"...), class...), " HTTP/1.1\r\nHost: h\r\nRequest-Id: "...)
 		out = append(appendID(out, v.id), "\r\nRequest-Timeout: 1000m\r\n\r\n"...)
@@ -336,7 +336,7 @@
 	}
 	for i, e := range asked {
 		e.Kind, e.Reused = checker.Taken, i > 0
-		m.witness.See(e)
+		m.witness.Observe(e)
 	}
 }
 
@@ -357,7 +357,7 @@
 			v.tries++
 			e := m.see(checker.Answered, v)
 			e.Status, e.Digest = int32(v.parser.Status), checker.Digest(v.parser.Body)
-			m.witness.See(e)
+			m.witness.Observe(e)
 			if len(v.ids) == 0 || !v.parser.Keep() {
 				m.net.Close(v.conn)
 			}
@@ -372,7 +372,7 @@
 		v.id = id
 		e := m.see(kind, v)
 		e.Reused = i > 0
-		m.witness.See(e)
+		m.witness.Observe(e)
 	}
 	v.ids = nil
 }
@@ -392,8 +392,8 @@
 		v.id = id
 		e := m.see(checker.Dropped, v)
 		e.Reused, e.Read = v.tries > 0 || i > 0, readByPeer(c)
-		m.witness.See(e)
-		m.witness.See(m.see(checker.Left, v)) // it does not come again
+		m.witness.Observe(e)
+		m.witness.Observe(m.see(checker.Left, v)) // it does not come again
 	}
 	v.ids = nil
 }
@@ -439,7 +439,7 @@
 	done, err := v.parser.Next(&v.buf)
 	if v.kind == asksAgain {
 		if err != nil {
-			m.witness.See(m.see(checker.Broken, v))
+			m.witness.Observe(m.see(checker.Broken, v))
 			v.id = 0
 			m.net.Close(c)
 		} else if done {
@@ -451,7 +451,7 @@
 	if err != nil || done {
 		e := m.see(checker.HostileAnswered, v)
 		e.Status = int32(v.parser.Status)
-		m.witness.See(e)
+		m.witness.Observe(e)
 		v.heard = true
 		m.net.Close(c)
 	}
@@ -461,7 +461,7 @@
 func (m *Mischief) answeredAgain(v *visit) {
 	e := m.see(checker.Answered, v)
 	e.Status, e.Digest = int32(v.parser.Status), checker.Digest(v.parser.Body)
-	m.witness.See(e)
+	m.witness.Observe(e)
 	v.id = 0
 	refused := v.parser.Status == 429 || v.parser.Status == 503
 	if !refused || v.tries >= mostAgain || !v.parser.Keep() {
@@ -479,15 +479,15 @@
 	case v.kind == asksAhead:
 		m.endedAhead(c, v, err)
 	case v.kind == asksAgain && v.id != 0 && err == nil:
-		m.witness.See(m.see(checker.Left, v))
+		m.witness.Observe(m.see(checker.Left, v))
 	case v.kind == asksAgain && v.id != 0 && v.parser.Begun():
-		m.witness.See(m.see(checker.Broken, v))
+		m.witness.Observe(m.see(checker.Broken, v))
 	case v.kind == asksAgain && v.id != 0:
 		e := m.see(checker.Dropped, v)
 		e.Reused, e.Read = v.tries > 1, readByPeer(c)
-		m.witness.See(e)
+		m.witness.Observe(e)
 	case v.kind != asksAgain && v.kind != asksHalf && err != nil && v.told:
-		m.witness.See(m.see(checker.HostileEnded, v))
+		m.witness.Observe(m.see(checker.HostileEnded, v))
 	}
 	m.arm()
 }
--- a/internal/environment/player.go
+++ b/internal/environment/player.go
@@ -13,7 +13,7 @@
 type Player struct {
 	w       *World
 	ground  Ground
-	witness checker.Witness
+	witness checker.Observer
 	steps   agenda[func(now float64)]
 	taken   []bool // by box: it is to be brought in
 	late    []int  // by box: troubles that have connections to it come up late
@@ -38,7 +38,7 @@
 }
 
 // NewPlayer returns a player that has played nothing. A script that names what the day has not is an error.
-func NewPlayer(w *World, s *Script, g Ground, witness checker.Witness) (*Player, error) {
+func NewPlayer(w *World, s *Script, g Ground, witness checker.Observer) (*Player, error) {
 	p := &Player{w: w, ground: g, witness: witness, hung: make([]int, len(w.Boxes)), slow: make([]int, len(w.Apps)),
 		gone: make([]bool, len(w.Apps)), taken: make([]bool, len(w.Boxes)), late: make([]int, len(w.Boxes)),
 		frozen: make([]bool, len(w.Apps)), ending: make([]bool, len(w.Apps)), full: make([]int, len(w.Apps)), clocks: make([]int, len(w.Apps)),
@@ -549,7 +549,7 @@
 	if on {
 		kind = checker.PathCut
 	}
-	p.witness.See(checker.Event{Kind: kind, At: now, Sidecar: sidecar, Box: box})
+	p.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: sidecar, Box: box})
 }
 
 func (p *Player) oneWay(boxes []*Box, t *Trouble, now float64) {
@@ -600,7 +600,7 @@
 }
 
 func (p *Player) sidecar(kind checker.Kind, sidecar int, now float64) {
-	p.witness.See(checker.Event{Kind: kind, At: now, Sidecar: int32(sidecar), Box: -1})
+	p.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: int32(sidecar), Box: -1})
 }
 
 // killSidecar ends a sidecar's process and begins the next one after a while.
@@ -646,7 +646,7 @@
 	for i := range p.w.Apps {
 		for _, b := range boxes {
 			p.ground.TakeOut(i, b.Spec.Name, on, func() {
-				p.witness.See(checker.Event{Kind: kind, At: p.ground.Now(), Sidecar: int32(i), Box: int32(b.Spec.Number)})
+				p.witness.Observe(checker.Event{Kind: kind, At: p.ground.Now(), Sidecar: int32(i), Box: int32(b.Spec.Number)})
 			})
 		}
 	}
--- a/internal/environment/registry.go
+++ b/internal/environment/registry.go
@@ -15,7 +15,7 @@
 
 	day      *Day
 	spec     *RegistrySpec
-	witness  checker.Witness
+	witness  checker.Observer
 	who      neighbours
 	rng      *rand.Rand
 	entries  []entry   // by box
@@ -61,7 +61,7 @@
 }
 
 // NewRegistry returns a discovery service that lists the boxes that stand at the day's start.
-func NewRegistry(d *Day, w checker.Witness) *Registry {
+func NewRegistry(d *Day, w checker.Observer) *Registry {
 	r := &Registry{day: d, spec: &d.Registry, witness: w, who: newNeighbours(d), rng: stream(d.Seed, "discovery", 0),
 		entries: make([]entry, len(d.Boxes)), known: make([]learned, len(d.Boxes)), index: 40, publish: d.Start}
 	for i := range d.Boxes[:d.Standing] {
@@ -112,7 +112,7 @@
 }
 
 func (r *Registry) see(kind checker.Kind, sidecar int32, box int, e entry, index uint64, now float64) {
-	r.witness.See(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Box: int32(box), Status: e.status,
+	r.witness.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Box: int32(box), Status: e.status,
 		Since: e.since, Address: e.address, Index: index})
 }
 
@@ -191,7 +191,7 @@
 	if r.line = waiting; waiting {
 		kind = checker.LineFormed
 	}
-	r.witness.See(checker.Event{Kind: kind, At: now, Sidecar: -1, Box: -1})
+	r.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Box: -1})
 }
 
 // Hush has all watches that are open say nothing more. Those that begin from then on speak.
@@ -225,7 +225,7 @@
 			f.net.Post(f.closeAll)
 		}
 	}
-	r.witness.See(checker.Event{Kind: kind, At: now, Sidecar: -1, Box: -1})
+	r.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Box: -1})
 	r.arm()
 }
 
--- a/internal/environment/registryfront.go
+++ b/internal/environment/registryfront.go
@@ -94,7 +94,7 @@
 
 func (f *registryFront) see(kind checker.Kind, k *registryLink) {
 	now := f.net.Now()
-	f.r.witness.See(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: k.sidecar, Box: checker.ToDiscovery, Link: k.number})
+	f.r.witness.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: k.sidecar, Box: checker.ToDiscovery, Link: k.number})
 }
 
 func (f *registryFront) Traffic(c netio.Conn, data []byte) {
--- a/internal/environment/world.go
+++ b/internal/environment/world.go
@@ -17,12 +17,12 @@
 	Batches  []*Application // likewise; none where the day has no batch
 	Mischief []*Mischief    // likewise: the clients that may not be served
 
-	witness checker.Witness
+	witness checker.Observer
 	tenants map[string]*Box // by IP, whose process begins there next; looked up, never walked
 }
 
 // New returns the actors of a day. They tell a witness all that crosses the wire.
-func New(d *Day, witness checker.Witness) *World {
+func New(d *Day, witness checker.Observer) *World {
 	w := &World{Day: d, witness: witness, tenants: map[string]*Box{}}
 	memories := make([]keyMemory, len(d.Sites))
 	w.Registry = NewRegistry(d, witness)
--- a/internal/lab/load/witness.go
+++ b/internal/lab/load/witness.go
@@ -182,11 +182,11 @@
 	})
 	j := checker.New(rules)
 	for _, e := range r.seen.events {
-		j.See(e)
+		j.Observe(e)
 	}
-	r.Breaks = int64(j.Broken())
-	for _, f := range j.Findings() {
-		r.Findings = append(r.Findings, Finding{Rule: string(f.Rule), AtS: f.At, Sidecar: int(f.Sidecar), Request: f.Request, Why: f.Why})
+	r.Breaks = int64(j.ViolationCount())
+	for _, f := range j.Violations() {
+		r.Findings = append(r.Findings, Finding{Rule: string(f.Rule), AtS: f.At, Sidecar: int(f.Sidecar), Request: f.Request, Why: f.Reason})
 	}
 }
 
--- a/internal/lab/processcluster/troupe.go
+++ b/internal/lab/processcluster/troupe.go
@@ -226,7 +226,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Sidecars: len(t.mates), Seed: s.Seed, ForS: s.For.Seconds(), Troubles: script.Troubles, Broken: p.Judge.Broken() + t.broken, Findings: t.wrong,
+	r := &Report{Sidecars: len(t.mates), Seed: s.Seed, ForS: s.For.Seconds(), Troubles: script.Troubles, Broken: p.Judge.ViolationCount() + t.broken, Findings: t.wrong,
 		Service: p.Judge.Report().Service, LateS: p.Late(), AgreedS: t.agreedS, KnownS: t.known, Views: t.views, Rounds: t.rounds, Trials: t.trials}
 	if t.jobs != nil {
 		r.Owned = t.jobs.owned()
@@ -242,8 +242,8 @@
 		}
 	}
 	r.PeerBytes = float64(t.board.Passed()) / time.Since(t.began).Seconds() / float64(len(t.mates))
-	for _, f := range p.Judge.Findings() {
-		r.Findings = append(r.Findings, Finding{Rule: string(f.Rule), AtS: f.At - p.Day.Start, Sidecar: day.Sidecars[max(f.Sidecar, 0)].Name, Why: f.Why})
+	for _, f := range p.Judge.Violations() {
+		r.Findings = append(r.Findings, Finding{Rule: string(f.Rule), AtS: f.At - p.Day.Start, Sidecar: day.Sidecars[max(f.Sidecar, 0)].Name, Why: f.Reason})
 	}
 	return r, nil
 }
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -111,7 +111,7 @@
 }
 
 // See takes an event.
-func (p *workPlay) See(e checker.Event) {
+func (p *workPlay) Observe(e checker.Event) {
 	link := [2]uint64{uint64(uint32(e.Box)), e.Link}
 	name := func() string { return p.day.Boxes[e.Box].Name }
 	end := func() {
--- a/internal/lab/realtime/board.go
+++ b/internal/lab/realtime/board.go
@@ -59,7 +59,7 @@
 }
 
 // See takes an event.
-func (b *Board) See(e checker.Event) {
+func (b *Board) Observe(e checker.Event) {
 	switch e.Kind {
 	case checker.Asked:
 		b.first[e.Request] = e.First
--- a/internal/lab/realtime/demo.go
+++ b/internal/lab/realtime/demo.go
@@ -103,7 +103,7 @@
 		return false, ctx.Err()
 	}
 	d.report(p, board)
-	return p.Judge.Broken() == 0, nil
+	return p.Judge.ViolationCount() == 0, nil
 }
 
 // report says what came of it.
@@ -123,14 +123,14 @@
 	if p.Late() > BusyS {
 		fmt.Fprintf(d.Out, "the machine was too busy for real time: the world was up to %.0f ms late\n", 1000*p.Late())
 	}
-	if n := p.Judge.Broken(); n > 0 {
+	if n := p.Judge.ViolationCount(); n > 0 {
 		fmt.Fprintf(d.Out, "rules broken: %d\n", n)
-		for _, f := range p.Judge.Findings() {
-			fmt.Fprintf(d.Out, "  %.3f s %s: %s\n", f.At-p.Day.Start, f.Rule, f.Why)
+		for _, f := range p.Judge.Violations() {
+			fmt.Fprintf(d.Out, "  %.3f s %s: %s\n", f.At-p.Day.Start, f.Rule, f.Reason)
 		}
 		return
 	}
 	fmt.Fprintln(d.Out, "all standing rules were kept")
 }
 
-var _ checker.Witness = (*Board)(nil)
+var _ checker.Observer = (*Board)(nil)
--- a/internal/lab/realtime/live.go
+++ b/internal/lab/realtime/live.go
@@ -25,12 +25,12 @@
 type Settings struct {
 	Day     environment.Day // as drawn; its clock and its addresses are moved to this machine
 	Script  environment.Script
-	Binary  string          // hazelwheel's file; empty: no sidecar and no application is begun, only what they depend on
-	Dir     string          // for configurations and logs
-	Log     io.Writer       // what the sidecars say; nil: dropped
-	Watch   checker.Witness // told of all that the judge is told; may be nil. It is called by the loop
-	Started func(*Play)     // called by the loop when all has begun; may be nil
-	Crew    Crew            // nil: sidecars know nothing of each other
+	Binary  string           // hazelwheel's file; empty: no sidecar and no application is begun, only what they depend on
+	Dir     string           // for configurations and logs
+	Log     io.Writer        // what the sidecars say; nil: dropped
+	Watch   checker.Observer // told of all that the judge is told; may be nil. It is called by the loop
+	Started func(*Play)      // called by the loop when all has begun; may be nil
+	Crew    Crew             // nil: sidecars know nothing of each other
 	// BinaryOf returns the file of one sidecar where not all have the same; nil: they do.
 	BinaryOf func(sidecar int) string
 	MostAskS float64 // as judge.Rules has it, where it is more than what the number of sidecars makes it
@@ -56,7 +56,7 @@
 type Play struct {
 	Day      *environment.Day
 	World    *environment.World
-	Judge    *checker.Judge
+	Judge    *checker.Checker
 	settings *Settings
 	ground   *loopback.Ground
 	players  []*environment.Player
@@ -89,7 +89,7 @@
 		rules.MostAskS = max(rules.MostAskS, 0.75*float64(len(s.Day.Sidecars)))
 	}
 	p.Judge = checker.New(rules)
-	var witness checker.Witness = p.Judge
+	var witness checker.Observer = p.Judge
 	if s.Watch != nil {
 		witness = both{p.Judge, s.Watch}
 	}
@@ -118,7 +118,7 @@
 	if s.Over != nil {
 		s.Over()
 	}
-	p.Judge.End(p.ground.Now())
+	p.Judge.Finish(p.ground.Now())
 	return p, nil
 }
 
@@ -171,7 +171,7 @@
 
 // Trouble has a script's troubles happen, at their times since the day's start.
 func (p *Play) Trouble(s *environment.Script) error {
-	var witness checker.Witness = p.Judge
+	var witness checker.Observer = p.Judge
 	if p.settings.Watch != nil {
 		witness = both{p.Judge, p.settings.Watch}
 	}
@@ -225,11 +225,11 @@
 }
 
 // both is two witnesses.
-type both [2]checker.Witness
+type both [2]checker.Observer
 
-func (b both) See(e checker.Event) {
-	b[0].See(e)
-	b[1].See(e)
+func (b both) Observe(e checker.Event) {
+	b[0].Observe(e)
+	b[1].Observe(e)
 }
 
 // move puts the day on this machine's clock and on its loopback addresses. Worlds that are played side by side get
--- a/internal/lab/realtime/live_test.go
+++ b/internal/lab/realtime/live_test.go
@@ -41,7 +41,7 @@
 	t.sum++
 }
 
-func (t *tally) See(e checker.Event) {
+func (t *tally) Observe(e checker.Event) {
 	if e.Kind == checker.Execution {
 		t.add(int(e.Sidecar), int(e.Box))
 	}
@@ -103,8 +103,8 @@
 			}
 			continue
 		}
-		for _, f := range p.Judge.Findings() {
-			t.Errorf("%s: %s (sidecar %d, box %d, request %016x, at %.3f s)", f.Rule, f.Why, f.Sidecar, f.Box, f.Request, f.At-p.Day.Start)
+		for _, f := range p.Judge.Violations() {
+			t.Errorf("%s: %s (sidecar %d, box %d, request %016x, at %.3f s)", f.Rule, f.Reason, f.Sidecar, f.Server, f.Request, f.At-p.Day.Start)
 		}
 		// Danger: clients ask from when their sidecar is ready. In real time that is never the same, and from the first
 		// arrival that falls out otherwise all are drawn anew: counts differ as those of two days do.
--- a/internal/lab/realtime/sidecar.go
+++ b/internal/lab/realtime/sidecar.go
@@ -88,9 +88,9 @@
 
 func (s *sidecar) see(e checker.Event) {
 	e.At, e.Sidecar, e.Box = s.p.Now(), int32(s.number), -1
-	s.p.Judge.See(e)
+	s.p.Judge.Observe(e)
 	if s.p.settings.Watch != nil {
-		s.p.settings.Watch.See(e)
+		s.p.settings.Watch.Observe(e)
 	}
 }
 
--- a/internal/sim/hard_test.go
+++ b/internal/sim/hard_test.go
@@ -80,7 +80,7 @@
 
 type deaf struct{}
 
-func (deaf) See(checker.Event) {}
+func (deaf) Observe(checker.Event) {}
 
 // begin puts a sidecar and n boxes on the stage, with a discovery that tells nothing beyond the configuration.
 func begin(t require.TestingT, seed uint64, n int, o virtual.ProcessOptions) *stage {
--- a/internal/sim/lists.go
+++ b/internal/sim/lists.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		if d.seeAs(e); d.watch != nil {
-			d.watch.See(e)
+			d.watch.Observe(e)
 		}
 	}
 	return l.ListReceiver.ApplyList(raw)
@@ -99,7 +99,7 @@
 }
 
 // See takes an event.
-func (w *ListWitness) See(e checker.Event) {
+func (w *ListWitness) Observe(e checker.Event) {
 	if w.began == 0 {
 		w.began, w.since = e.At, e.At
 	}
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -63,7 +63,7 @@
 	Drawn  *environment.Ranges // that days are drawn from in place of all that is said here of sizes; nil: none
 	Told   int                 // how many sidecars the configurations say there are; 0: as many as the day has
 	// Watch is told of all that the judge is told; nil: nobody is.
-	Watch checker.Witness
+	Watch checker.Observer
 	// Together says on which days sidecars know each other. Those of other cores, speeches and quotas never do.
 	Together Together
 	// Weigh has a day of TogetherWorks be about one plan or script, in place of drawn ones; nil: they are drawn.
@@ -103,15 +103,15 @@
 
 // Result is what came of a day.
 type Result struct {
-	Seed       uint64            `json:"Seed"`
-	Hash       uint64            `json:"Hash"`  // of the history
-	Steps      uint64            `json:"Steps"` // events
-	Start      float64           `json:"Start"` // of the day, in Unix time
-	SimulatedS float64           `json:"SimulatedS"`
-	Findings   []checker.Finding `json:"Findings"`
-	Report     checker.Report    `json:"Report"`
-	Granted    uint64            `json:"Granted"` // the greatest token under which a sidecar was heard; 0: none was
-	Worked     int               `json:"Worked"`  // boxes on which work has ended
+	Seed       uint64              `json:"Seed"`
+	Hash       uint64              `json:"Hash"`  // of the history
+	Steps      uint64              `json:"Steps"` // events
+	Start      float64             `json:"Start"` // of the day, in Unix time
+	SimulatedS float64             `json:"SimulatedS"`
+	Findings   []checker.Violation `json:"Findings"`
+	Report     checker.Report      `json:"Report"`
+	Granted    uint64              `json:"Granted"` // the greatest token under which a sidecar was heard; 0: none was
+	Worked     int                 `json:"Worked"`  // boxes on which work has ended
 }
 
 // Since returns how long after the day's start a time is.
@@ -163,7 +163,7 @@
 		worked = d.works.worked()
 	}
 	return &Result{Worked: worked, Seed: s.Seed, Hash: d.net.Hash(), Steps: d.net.Steps(), Start: d.spec.Start, SimulatedS: d.net.Now() - d.spec.Start,
-		Findings: d.judge.Findings(), Report: d.judge.Report(), Granted: d.granted}, nil
+		Findings: d.judge.Violations(), Report: d.judge.Report(), Granted: d.granted}, nil
 }
 
 // day is a day that is being played.
@@ -172,7 +172,7 @@
 	spec       environment.Day
 	weather    weather
 	net        *virtual.World
-	judge      *checker.Judge
+	judge      *checker.Checker
 	world      *environment.World
 	player     *environment.Player
 	core       Core
@@ -191,8 +191,8 @@
 	owners     bool               // one does the jobs of all
 	works      *plans             // boxes are worked on; nil: they are not
 	workOrder  dworks.Order
-	granted    uint64          // the greatest token that any has seen
-	watch      checker.Witness // is told what the judge is; nil: nobody is
+	granted    uint64           // the greatest token that any has seen
+	watch      checker.Observer // is told what the judge is; nil: nobody is
 }
 
 func newDay(s environment.Script, o Options) (*day, error) {
@@ -233,7 +233,7 @@
 		rules.MostAskS = 0.75 * float64(cmp.Or(o.Told, len(d.spec.Sidecars)))
 	}
 	d.judge = checker.New(rules)
-	var witness checker.Witness = d.judge
+	var witness checker.Observer = d.judge
 	if d.trace != nil {
 		witness = &teller{d}
 		d.traceNetwork()
@@ -261,11 +261,11 @@
 }
 
 // witnesses are two that are told the same.
-type witnesses [2]checker.Witness
+type witnesses [2]checker.Observer
 
-func (w witnesses) See(e checker.Event) {
-	w[0].See(e)
-	w[1].See(e)
+func (w witnesses) Observe(e checker.Event) {
+	w[0].Observe(e)
+	w[1].Observe(e)
 }
 
 // run plays the day out.
@@ -291,7 +291,7 @@
 	if until == "" {
 		d.leftovers()
 	}
-	d.judge.End(d.net.Now())
+	d.judge.Finish(d.net.Now())
 }
 
 // longerS returns how much longer than on a usual day a request that came last may take.
@@ -322,7 +322,7 @@
 	if rule == "" {
 		return false
 	}
-	for _, f := range d.judge.Findings() {
+	for _, f := range d.judge.Violations() {
 		if rule == Any || f.Rule == rule {
 			return true
 		}
@@ -381,8 +381,8 @@
 // seeAs tells it of something as it is.
 func (d *day) seeAs(e checker.Event) {
 	if d.trace != nil {
-		(&teller{d}).See(e)
+		(&teller{d}).Observe(e)
 	} else {
-		d.judge.See(e)
+		d.judge.Observe(e)
 	}
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -23,7 +23,7 @@
 		require.NoError(t, o.Err)
 		all[o.Seed] = o.Result.Hash
 		for _, f := range o.Result.Findings {
-			t.Errorf("seed %d breaks %s at %.6f: %s", o.Seed, f.Rule, o.Result.Since(f.At), f.Why)
+			t.Errorf("seed %d breaks %s at %.6f: %s", o.Seed, f.Rule, o.Result.Since(f.At), f.Reason)
 		}
 		return true
 	})
@@ -58,7 +58,7 @@
 			r, err := Play(*s, Options{})
 			require.NoError(t, err)
 			for _, f := range r.Findings {
-				t.Errorf("%s at %.6f: %s; replay with: hazellab sim --script internal/sim/%s --trace", f.Rule, r.Since(f.At), f.Why, file)
+				t.Errorf("%s at %.6f: %s; replay with: hazellab sim --script internal/sim/%s --trace", f.Rule, r.Since(f.At), f.Reason, file)
 			}
 		})
 	}
--- a/internal/sim/speech_test.go
+++ b/internal/sim/speech_test.go
@@ -20,7 +20,7 @@
 		require.NoError(t, err)
 		for _, f := range r.Findings {
 			t.Errorf("%s, seed %d: %s at %.6f: %s; replay with: hazellab sim --seed %d --speech %s --trace", speech, seed, f.Rule,
-				r.Since(f.At), f.Why, seed, speech)
+				r.Since(f.At), f.Reason, seed, speech)
 		}
 		assert.Positive(t, r.Report.Service)
 		return r
--- a/internal/sim/stored_form_test.go
+++ b/internal/sim/stored_form_test.go
@@ -71,7 +71,7 @@
 		Spoilt: true, ByBox: true, Uncounted: true, At: 1.5, FirstSent: 2.5, Sent: 3.5, Until: 4.5, Since: 5.5, Work: 6.5, Request: 7, First: 8, Link: 9, Digest: 10,
 		Index: 11, Address: "address", Text: "text"}
 	r := Result{Seed: 1, Hash: 2, Steps: 3, Start: 4.5, SimulatedS: 5.5, Granted: 6, Worked: 7,
-		Findings: []checker.Finding{{Rule: checker.SafeDrain, At: 1.5, Sidecar: 1, Box: 2, Request: 3, Why: "why", Events: []checker.Event{event}}},
+		Findings: []checker.Violation{{Rule: checker.SafeDrain, At: 1.5, Sidecar: 1, Server: 2, Request: 3, Reason: "why", Events: []checker.Event{event}}},
 		Report:   checker.Report{Service: 0.5, Classes: []checker.ClassService{{}}}}
 	raw, err := json.MarshalIndent(&r, "", " ")
 	require.NoError(t, err)
--- a/internal/sim/trace.go
+++ b/internal/sim/trace.go
@@ -43,14 +43,14 @@
 type teller struct{ d *day }
 
 // See passes an event on.
-func (t *teller) See(e checker.Event) {
+func (t *teller) Observe(e checker.Event) {
 	d := t.d
 	at := d.net.Now() - d.spec.Start
 	d.trace(at, "  judge: "+describe(&e))
-	before := len(d.judge.Findings())
-	d.judge.See(e)
-	for _, f := range d.judge.Findings()[before:] {
-		d.trace(at, fmt.Sprintf("  BROKEN %s: %s", f.Rule, f.Why))
+	before := len(d.judge.Violations())
+	d.judge.Observe(e)
+	for _, f := range d.judge.Violations()[before:] {
+		d.trace(at, fmt.Sprintf("  BROKEN %s: %s", f.Rule, f.Reason))
 	}
 }
 
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/troubles_test.go
@@ -57,7 +57,7 @@
 				d, err := newDay(s, Options{Together: TogetherAll})
 				require.NoError(t, err)
 				d.run("")
-				assert.Empty(t, d.judge.Findings())
+				assert.Empty(t, d.judge.Violations())
 				assert.Equal(t, on, c.does(d))
 			}
 		})
@@ -83,7 +83,7 @@
 	notInTime int // connections that were not up in time
 }
 
-func (c *tally) See(e checker.Event) {
+func (c *tally) Observe(e checker.Event) {
 	c.kinds[e.Kind]++
 	switch {
 	case e.Kind == checker.Left && e.At < e.Until:
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -121,7 +121,7 @@
 }
 
 // See takes an event.
-func (m *meter) See(e checker.Event) {
+func (m *meter) Observe(e checker.Event) {
 	switch e.Kind {
 	case checker.Asked:
 		a := m.first[e.First]
@@ -214,7 +214,7 @@
 		return nil, err
 	}
 	played.run("")
-	w := &Weighed{TotalS: math.NaN(), Rules: len(played.judge.Findings()), m: m, Worst: 1}
+	w := &Weighed{TotalS: math.NaN(), Rules: len(played.judge.Violations()), m: m, Worst: 1}
 	end := int(lengthS)
 	if at := played.works.endedAt; at > 0 {
 		w.TotalS = at - d.Start - weighAtS
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -271,7 +271,7 @@
 }
 
 // See takes what boxes get.
-func (w *plans) See(e checker.Event) {
+func (w *plans) Observe(e checker.Event) {
 	switch e.Kind {
 	case checker.Execution:
 		b := &w.boxes[e.Box]
