--- a/cmd/hazellab/sim.go
+++ b/cmd/hazellab/sim.go
@@ -196,17 +196,17 @@
 	}
 	now := &b.all[len(b.all)-1]
 	switch e.Kind {
-	case checker.Probed:
+	case checker.HealthCheckReceived:
 		if b.boxes == nil {
 			b.boxes = map[int32]bool{}
 		}
-		b.boxes[e.Box] = true
+		b.boxes[e.Server] = true
 		now.probes++
-	case checker.Called:
+	case checker.DiscoveryCalled:
 		now.calls++
-	case checker.LinkOpened:
+	case checker.ConnectionOpened:
 		now.links++
-	case checker.Execution:
+	case checker.AttemptReceived:
 		now.executions++
 	}
 }
--- a/internal/checker/box.go
+++ b/internal/checker/box.go
@@ -4,37 +4,37 @@
 
 // seeBox takes what boxes tell.
 func (j *Checker) seeBox(e *Event) {
-	s := j.station(e.Box)
+	s := j.station(e.Server)
 	switch e.Kind {
-	case BoxStarted:
+	case ServerStarted:
 		s.life++
 		s.ends = append(s.ends, math.Inf(1))
-		s.zone, s.cell, s.address, s.since, s.work = e.Zone, e.Cell, e.Address, e.Since, s.work[:0]
-	case BoxEnded:
+		s.zone, s.cell, s.address, s.since, s.work = e.Zone, e.Cell, e.Address, e.ServingSince, s.work[:0]
+	case ServerStopped:
 		if len(s.ends) > 0 {
 			s.ends[len(s.ends)-1] = e.At
 		}
-	case BoxFell:
+	case ServerOverloaded:
 		j.fell(s, e)
-	case LinkOpened:
+	case ConnectionOpened:
 		j.prices.Connections++
 		j.burden(s, e)
-	case LinkClosed:
-		if l := j.links[e.Link]; l != nil {
+	case ConnectionClosed:
+		if l := j.links[e.Connection]; l != nil {
 			a := &l.try.attempts[l.index]
 			a.closedAt, a.exact = e.Sent, e.Sent < e.At
-			delete(j.links, e.Link)
+			delete(j.links, e.Connection)
 		}
-	case Probed:
+	case HealthCheckReceived:
 		j.prices.Probes++
 		j.burden(s, e)
-	case Execution:
+	case AttemptReceived:
 		j.burden(s, e)
 		j.execution(s, e)
-	case Replied:
-		if l := j.links[e.Link]; l != nil && l.try.id == e.Request {
+	case ResponseSent:
+		if l := j.links[e.Connection]; l != nil && l.try.id == e.Request {
 			a := &l.try.attempts[l.index]
-			a.repliedAt, a.status, a.digest, a.notStarted, a.spoilt = e.At, e.Status, e.Digest, e.NotStarted, e.Spoilt
+			a.repliedAt, a.status, a.digest, a.notStarted, a.spoilt = e.At, e.Status, e.Digest, e.NotStarted, e.Malformed
 		}
 	}
 }
@@ -47,7 +47,7 @@
 		j.prices.CrossZone++
 	}
 	if r == nil || p == nil {
-		j.addViolation(NoInvention, e.Sidecar, e.Box, e.Request, nil, "an execution of a request that no client has sent")
+		j.addViolation(NoInvention, e.Sidecar, e.Server, e.Request, nil, "an execution of a request that no client has sent")
 		return
 	}
 	if e.Sent <= p.killedAt || e.FirstSent < p.startedAt {
@@ -58,9 +58,9 @@
 	if !another {
 		j.checkOpen(r, e)
 	}
-	a := attempt{box: e.Box, boxLife: s.life, life: p.life, link: e.Link, firstSent: e.FirstSent, sent: e.Sent}
+	a := attempt{box: e.Server, boxLife: s.life, life: p.life, link: e.Connection, firstSent: e.FirstSent, sent: e.Sent}
 	r.attempts = append(r.attempts, a)
-	j.links[e.Link] = &linkState{r, len(r.attempts) - 1}
+	j.links[e.Connection] = &linkState{r, len(r.attempts) - 1}
 	if another {
 		return
 	}
@@ -71,7 +71,7 @@
 		}
 	}
 	if j.rules.MostAttempts > 0 && n > j.rules.MostAttempts {
-		j.addViolation(NoRepeat, e.Sidecar, e.Box, e.Request, nil, "execution %d of at most %d", n, j.rules.MostAttempts)
+		j.addViolation(NoRepeat, e.Sidecar, e.Server, e.Request, nil, "execution %d of at most %d", n, j.rules.MostAttempts)
 	}
 	for i := range r.attempts[:len(r.attempts)-1] {
 		if r.attempts[i].life != p.life {
@@ -92,15 +92,15 @@
 	switch r.fate {
 	case served, failed:
 		if e.FirstSent > r.endedAt {
-			j.addViolation(OneAnswer, e.Sidecar, e.Box, e.Request, nil, "sent on %.6f s after its final answer", e.FirstSent-r.endedAt)
+			j.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "sent on %.6f s after its final answer", e.FirstSent-r.endedAt)
 		}
 	case refused:
 		if c != nil && c.Effect != Safe && (c.Effect != Keyed || c.Group != GroupAll) || e.FirstSent > r.endedAt {
-			j.addViolation(NoRepeat, e.Sidecar, e.Box, e.Request, nil, "an execution of a request that was refused")
+			j.addViolation(NoRepeat, e.Sidecar, e.Server, e.Request, nil, "an execution of a request that was refused")
 		}
 	case unsent:
 		if e.FirstSent <= r.endedAt {
-			j.addViolation(OneAnswer, e.Sidecar, e.Box, e.Request, nil, "its connection was closed without an answer, though it had been sent on")
+			j.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "its connection was closed without an answer, though it had been sent on")
 			return
 		}
 		fallthrough
@@ -113,9 +113,9 @@
 		switch late := e.FirstSent - gone; {
 		case late <= j.rules.SocketSlackS:
 		case r.fate == left:
-			j.addViolation(GoneClient, e.Sidecar, e.Box, e.Request, nil, "attempt %d was sent %.6f s after its client had gone", len(r.attempts)+1, late)
+			j.addViolation(GoneClient, e.Sidecar, e.Server, e.Request, nil, "attempt %d was sent %.6f s after its client had gone", len(r.attempts)+1, late)
 		default:
-			j.addViolation(OneAnswer, e.Sidecar, e.Box, e.Request, nil, "sent on %.6f s after its connection was closed", late)
+			j.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "sent on %.6f s after its connection was closed", late)
 		}
 	}
 }
@@ -179,7 +179,7 @@
 	}
 	s.work = append(s.work[:0], s.work[old:]...)
 	p := j.party(e.Sidecar)
-	s.work = append(s.work, work{e.At, e.Work, p != nil && j.knowsStart(p, s, e.Box, e.At)})
+	s.work = append(s.work, work{e.At, e.Work, p != nil && j.knowsStart(p, s, e.Server, e.At)})
 }
 
 // knowsStart tells whether a sidecar has been told of a box's present start, or counts as told.
@@ -188,7 +188,7 @@
 		return true
 	}
 	for i := len(s.listed) - 1; i >= 0; i-- {
-		if l := &s.listed[i]; l.Status == Serving && l.Since >= s.since-exactS {
+		if l := &s.listed[i]; l.Status == Serving && l.ServingSince >= s.since-exactS {
 			return j.countsAsTold(p, l, at) <= at
 		}
 	}
@@ -206,7 +206,7 @@
 		}
 	}
 	if all > 0 && knew >= j.rules.ColdShare*all {
-		j.addViolation(ColdBox, -1, e.Box, 0, nil, "%.3f s of work in %g s brought it down, %.0f %% of it from sidecars that knew of its start",
+		j.addViolation(ColdBox, -1, e.Server, 0, nil, "%.3f s of work in %g s brought it down, %.0f %% of it from sidecars that knew of its start",
 			all, j.rules.FallS, 100*knew/all)
 	}
 }
--- a/internal/checker/client.go
+++ b/internal/checker/client.go
@@ -7,20 +7,20 @@
 // seeClient takes what clients tell.
 func (j *Checker) seeClient(e *Event) {
 	switch e.Kind {
-	case Hostile:
+	case HostileConnected:
 		j.prices.Hostile++
-		j.hostile[e.Link] = &hostile{until: e.Until, try: j.tries[e.Request]}
+		j.hostile[e.Connection] = &hostile{until: e.Deadline, try: j.tries[e.Request]}
 		if r := j.tries[e.Request]; r != nil {
 			r.claimed = true
 		}
 		return
-	case HostileAnswered, HostileEnded:
+	case HostileAnswered, HostileClosed:
 		j.seeHostile(e)
 		return
-	case Stray:
+	case UnsolicitedBytes:
 		j.addViolation(OneAnswer, e.Sidecar, -1, 0, nil, "bytes on a connection on which nothing was asked")
 		return
-	case Asked:
+	case RequestStarted:
 		j.asked(e)
 		return
 	}
@@ -29,38 +29,38 @@
 		return
 	}
 	switch e.Kind {
-	case Taken:
+	case RequestSent:
 		if r.fate != unended {
 			return
 		}
-		r.taken, r.takenAt, r.until = true, e.At, e.Until
+		r.taken, r.takenAt, r.until = true, e.At, e.Deadline
 		p.take(r)
-	case Answered:
+	case ResponseReceived:
 		j.answered(r, e)
-	case Broken:
+	case ResponseTruncated:
 		j.brokenOff(r, e)
-	case Dropped:
+	case ConnectionDropped:
 		j.dropped(r, e)
-	case HalfClosed:
+	case RequestHalfClosed:
 		r.halved = true
-	case Left:
+	case RequestAbandoned:
 		// Danger: a client may give so little time that nobody could answer in it, or read too slowly.
-		enough := e.At-r.askedAt >= j.rules.AnswerSlackS+j.rules.SocketSlackS && !j.troubled(r.sidecar, ToClients, r.askedAt, e.At)
+		enough := e.At-r.askedAt >= j.rules.AnswerSlackS+j.rules.SocketSlackS && !j.troubled(r.sidecar, PathToClients, r.askedAt, e.At)
 		over := e.At >= r.until && j.rules.Unanswered || e.At >= r.until+unansweredS
 		if r.taken && !r.halved && r.fate == unended && over && enough {
 			j.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "no answer when its time was over")
 		}
 		j.end(r, left, e.At)
-	case Unreached:
+	case ConnectFailed:
 		j.end(r, notTaken, e.At)
 	}
 }
 
 // asked takes up a try.
 func (j *Checker) asked(e *Event) {
-	r := &record{id: e.Request, sidecar: e.Sidecar, class: e.Class, askedAt: e.At, until: e.Until, place: -1}
+	r := &record{id: e.Request, sidecar: e.Sidecar, class: e.Class, askedAt: e.At, until: e.Deadline, place: -1}
 	r.attempts = r.room[:0]
-	if first := j.tries[e.First]; first != nil {
+	if first := j.tries[e.FirstRequest]; first != nil {
 		r.want = first.want
 	} else {
 		r.want = &want{askedAt: e.At, class: e.Class, counted: !e.Uncounted}
@@ -170,7 +170,7 @@
 // to another execution, and none was out.
 func (j *Checker) checkAtOnce(r *record, e *Event) {
 	c := j.class(r.class)
-	if c == nil || len(r.attempts) == 0 || j.troubled(r.sidecar, ToClients, r.askedAt, e.At) {
+	if c == nil || len(r.attempts) == 0 || j.troubled(r.sidecar, PathToClients, r.askedAt, e.At) {
 		return
 	}
 	spent := j.rules.MostAttempts > 0 && len(r.attempts) >= j.rules.MostAttempts
@@ -198,7 +198,7 @@
 		for i := range r.attempts {
 			a := &r.attempts[i]
 			if a.repliedAt > 0 && a.status == 200 && !a.spoilt && a.life == j.parties[r.sidecar].life && j.parties[r.sidecar].termedAt == 0 &&
-				!j.troubled(r.sidecar, ToClients, a.sent, e.At) {
+				!j.troubled(r.sidecar, PathToClients, a.sent, e.At) {
 				j.addViolation(OneAnswer, r.sidecar, a.box, r.id, nil, "part of an answer, though a box had given it whole")
 				break
 			}
@@ -221,7 +221,7 @@
 		sent = sent || r.attempts[i].life == j.parties[r.sidecar].life
 	}
 	switch {
-	case e.Read:
+	case e.WasRead:
 		j.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "it was read, and its connection closed without an answer")
 		j.end(r, lost, e.At)
 	case !sent && e.Reused && !r.dropped:
@@ -237,7 +237,7 @@
 
 // seeHostile takes how a client fared that may not be served.
 func (j *Checker) seeHostile(e *Event) {
-	h := j.hostile[e.Link]
+	h := j.hostile[e.Connection]
 	if h == nil || h.settled {
 		return
 	}
--- a/internal/checker/judge.go
+++ b/internal/checker/judge.go
@@ -104,9 +104,9 @@
 		j.decideCopies()
 	}
 	switch {
-	case e.Kind < BoxStarted:
+	case e.Kind < ServerStarted:
 		j.seeClient(&e)
-	case e.Kind < Listed:
+	case e.Kind < ListChanged:
 		j.seeBox(&e)
 	default:
 		j.seeRest(&e)
@@ -139,7 +139,7 @@
 	first := max(0, j.seen-len(j.recent))
 	for i := first; i < j.seen; i++ {
 		e := &j.recent[i%maxRecentEvents]
-		if request != 0 && e.Request == request || request == 0 && box >= 0 && e.Box == box && e.At >= j.now-j.rules.FallS ||
+		if request != 0 && e.Request == request || request == 0 && box >= 0 && e.Server == box && e.At >= j.now-j.rules.FallS ||
 			request == 0 && box < 0 && e.Sidecar == sidecar && i >= j.seen-4 {
 			f.Events = append(f.Events, *e)
 		}
@@ -200,8 +200,8 @@
 func (j *Checker) seeRest(e *Event) {
 	p := j.party(e.Sidecar)
 	switch e.Kind {
-	case Listed:
-		s := j.station(e.Box)
+	case ListChanged:
+		s := j.station(e.Server)
 		s.listed = append(s.listed, *e)
 	case DiscoveryDown:
 		j.downAt = e.At
@@ -212,16 +212,16 @@
 	case DiscoveryUp:
 		j.downAt, j.upAt = 0, e.At
 		endSpan(j.outages, e.At)
-	case LineFormed:
+	case DiscoveryQueueFormed:
 		j.lines = append(j.lines, span{e.At, math.Inf(1)})
-	case LineGone:
+	case DiscoveryQueueDrained:
 		endSpan(j.lines, e.At)
-	case PathCut:
-		j.cuts = append(j.cuts, cut{e.Sidecar, e.Box, e.At, math.Inf(1)})
-	case PathMended:
+	case PathFaultStarted:
+		j.cuts = append(j.cuts, cut{e.Sidecar, e.Server, e.At, math.Inf(1)})
+	case PathFaultEnded:
 		for i := range j.cuts {
 			c := &j.cuts[i]
-			if c.sidecar == e.Sidecar && c.box == e.Box && math.IsInf(c.until, 1) {
+			if c.sidecar == e.Sidecar && c.box == e.Server && math.IsInf(c.until, 1) {
 				c.until = e.At
 				break
 			}
@@ -231,36 +231,36 @@
 		return
 	}
 	switch e.Kind {
-	case Told, Fed:
+	case EntryDelivered, EntryRelayed:
 		// Danger: an old list that was passed on would excuse a sidecar that goes by it.
-		k := p.knows(e.Box)
-		if e.Kind == Fed && (e.Index < p.index || e.Status == Deleted && k.status == 0) {
+		k := p.knows(e.Server)
+		if e.Kind == EntryRelayed && (e.ListIndex < p.index || e.Status == Deleted && k.status == 0) {
 			return
 		}
-		p.index = max(p.index, e.Index)
-		if e.Kind == Fed { // others take the place of a watch that fell silent; what they pass on comes later than a watch would bring it
+		p.index = max(p.index, e.ListIndex)
+		if e.Kind == EntryRelayed { // others take the place of a watch that fell silent; what they pass on comes later than a watch would bring it
 			p.silentAt = 0
 		}
 		if e.Status == Serving {
-			*k = knowledge{status: Serving, at: e.At, since: e.Since, said: *e}
+			*k = knowledge{status: Serving, at: e.At, since: e.ServingSince, said: *e}
 		} else if k.status == Serving || k.status == 0 { // from the first word on it counts
 			*k = knowledge{status: e.Status, at: e.At, since: k.since, said: *e}
 		} else {
 			k.status = e.Status
 		}
-	case Called:
+	case DiscoveryCalled:
 		p.askedAt, p.called = e.At, true
-	case CallFailed:
+	case DiscoveryCallFailed:
 		p.askFailed = true
-	case WatchUp:
+	case WatchOpened:
 		p.watches++
 		p.askFailed, p.silentAt = false, 0
-	case WatchSilent:
-		p.silent = append(p.silent, e.Link)
+	case WatchStalled:
+		p.silent = append(p.silent, e.Connection)
 		p.fellSilent(e.At)
-	case WatchEnded:
+	case WatchClosed:
 		p.watches--
-		p.silent = slices.DeleteFunc(p.silent, func(link uint64) bool { return link == e.Link })
+		p.silent = slices.DeleteFunc(p.silent, func(link uint64) bool { return link == e.Connection })
 		if j.downAt == 0 {
 			p.fellSilent(e.At)
 		}
@@ -270,9 +270,9 @@
 			askFailed: j.downAt > 0} // its first call is refused, which nobody sees
 	case SidecarKilled:
 		j.killed(p, e)
-	case SidecarTermed:
+	case SidecarTerminating:
 		p.termedAt = e.At
-	case SidecarEnded:
+	case SidecarExited:
 		if p.termedAt == 0 {
 			j.addViolation(NoCrash, e.Sidecar, -1, 0, nil, "the process ended unasked with status %d", e.Status)
 		} else if e.Status != 0 {
@@ -280,36 +280,36 @@
 		}
 	case SidecarPanicked:
 		j.addViolation(NoCrash, e.Sidecar, -1, 0, nil, "panic: %s", e.Text)
-	case SidecarFrozen:
+	case SidecarSuspended:
 		p.frozenAt, p.thawedAt = e.At, math.Inf(1)
-	case SidecarThawed:
+	case SidecarResumed:
 		p.thawedAt, p.askedAt = e.At, max(p.askedAt, e.At)
 		for i := range p.told { // what was said to it meanwhile it hears now
 			if k := &p.told[i]; k.at >= p.frozenAt {
 				k.at = e.At
 			}
 		}
-	case FleetWrong:
-		j.addViolation([...]Rule{ViewWrong: FleetView, DeathWrong: FalseDeath, RankWrong: FleetRank, RisenWrong: FleetRisen, QueueWrong: FleetQueue, TokenWrong: OldOwner,
-			OccupiedWrong: WorkOccupied, ManyWrong: WorkMany, TwiceWrong: WorkTwice, ForgottenWrong: WorkForgotten}[e.Status], e.Sidecar, -1, 0, nil, "%s", e.Text)
-	case Reloaded:
+	case FleetInvariantBroken:
+		j.addViolation([...]Rule{ViewInvariant: FleetView, DeathInvariant: FalseDeath, RankInvariant: FleetRank, IncarnationInvariant: FleetRisen, QueueInvariant: FleetQueue, TokenInvariant: OldOwner,
+			OccupiedInvariant: WorkOccupied, BudgetInvariant: WorkMany, RepeatInvariant: WorkTwice, RecordInvariant: WorkForgotten}[e.Status], e.Sidecar, -1, 0, nil, "%s", e.Text)
+	case SidecarReloaded:
 		p.reloadedAt = e.At
-	case TakenOut:
+	case ServerCordoned:
 		if p.out == nil {
 			p.out = map[int32]float64{}
 		}
-		if p.out[e.Box] == 0 {
-			p.out[e.Box] = e.At
+		if p.out[e.Server] == 0 {
+			p.out[e.Server] = e.At
 		}
-	case GivenBack:
-		delete(p.out, e.Box)
-	case Descriptors:
-		if int(e.N) > j.rules.Sockets {
-			j.addViolation(InLimits, e.Sidecar, -1, 0, nil, "%d descriptors of %d", e.N, j.rules.Sockets)
+	case ServerUncordoned:
+		delete(p.out, e.Server)
+	case DescriptorsCounted:
+		if int(e.Count) > j.rules.Sockets {
+			j.addViolation(InLimits, e.Sidecar, -1, 0, nil, "%d descriptors of %d", e.Count, j.rules.Sockets)
 		}
-	case Leftover:
-		if e.N > 0 {
-			j.addViolation(AtRest, e.Sidecar, -1, 0, nil, "%d %s left when the day was over", e.N, e.Text)
+	case LeftoversCounted:
+		if e.Count > 0 {
+			j.addViolation(AtRest, e.Sidecar, -1, 0, nil, "%d %s left when the day was over", e.Count, e.Text)
 		}
 	}
 }
--- a/internal/checker/judge_test.go
+++ b/internal/checker/judge_test.go
@@ -29,12 +29,12 @@
 
 func newTale() *tale {
 	s := &tale{}
-	s.add(Event{Kind: SidecarStarted}, Event{Kind: WatchUp}, Event{Kind: SidecarStarted, Sidecar: 1}, Event{Kind: WatchUp, Sidecar: 1})
+	s.add(Event{Kind: SidecarStarted}, Event{Kind: WatchOpened}, Event{Kind: SidecarStarted, Sidecar: 1}, Event{Kind: WatchOpened, Sidecar: 1})
 	for box := range int32(3) {
 		address := string('a' + box)
-		s.add(Event{Kind: BoxStarted, Sidecar: -1, Box: box, Zone: box / 2, Address: address},
-			Event{Kind: Listed, Sidecar: -1, Box: box, Status: Serving, Address: address},
-			Event{Kind: Told, Box: box, Status: Serving, Address: address})
+		s.add(Event{Kind: ServerStarted, Sidecar: -1, Server: box, Zone: box / 2, Address: address},
+			Event{Kind: ListChanged, Sidecar: -1, Server: box, Status: Serving, Address: address},
+			Event{Kind: EntryDelivered, Server: box, Status: Serving, Address: address})
 	}
 	return s
 }
@@ -43,57 +43,59 @@
 
 // ask has a client ask at a time, with 3 s of patience.
 func (s *tale) ask(at float64, id uint64, class int32) *tale {
-	return s.add(Event{Kind: Asked, At: at, Request: id, First: id, Class: class, Until: at + 3, Box: -1},
-		Event{Kind: Taken, At: at, Request: id, Link: 100 + id, Until: at + 3, Box: -1})
+	return s.add(Event{Kind: RequestStarted, At: at, Request: id, FirstRequest: id, Class: class, Deadline: at + 3, Server: -1},
+		Event{Kind: RequestSent, At: at, Request: id, Connection: 100 + id, Deadline: at + 3, Server: -1})
 }
 
 // run has a request come to a box at a time, over a link.
 func (s *tale) run(at float64, id uint64, box int32, link uint64) *tale {
-	return s.add(Event{Kind: Execution, At: at, FirstSent: at, Sent: at, Request: id, Box: box, Link: link})
+	return s.add(Event{Kind: AttemptReceived, At: at, FirstSent: at, Sent: at, Request: id, Server: box, Connection: link})
 }
 
 func (s *tale) reply(at float64, id uint64, box int32, link uint64, status int32) *tale {
-	return s.add(Event{Kind: Replied, At: at, Request: id, Box: box, Link: link, Status: status, Digest: id, NotStarted: status == 503})
+	return s.add(Event{Kind: ResponseSent, At: at, Request: id, Server: box, Connection: link, Status: status, Digest: id, NotStarted: status == 503})
 }
 
 // hangUp has a link closed by the sidecar at a time; the box sees it 1 ms later.
 func (s *tale) hangUp(at float64, box int32, link uint64) *tale {
-	return s.add(Event{Kind: LinkClosed, At: at + 0.001, Sent: at, Box: box, Link: link})
+	return s.add(Event{Kind: ConnectionClosed, At: at + 0.001, Sent: at, Server: box, Connection: link})
 }
 
 func (s *tale) answer(at float64, id uint64, status int32) *tale {
-	return s.add(Event{Kind: Answered, At: at, Request: id, Link: 100 + id, Status: status, Digest: id, Box: -1})
+	return s.add(Event{Kind: ResponseReceived, At: at, Request: id, Connection: 100 + id, Status: status, Digest: id, Server: -1})
 }
 
 func (s *tale) tell(at float64, box, status int32) *tale {
 	address := string('a' + box)
-	return s.add(Event{Kind: Listed, At: at, Sidecar: -1, Box: box, Status: status, Address: address},
-		Event{Kind: Told, At: at, Box: box, Status: status, Address: address})
+	return s.add(Event{Kind: ListChanged, At: at, Sidecar: -1, Server: box, Status: status, Address: address},
+		Event{Kind: EntryDelivered, At: at, Server: box, Status: status, Address: address})
 }
 
 // passed is what others pass on to sidecar 0 of box 0.
 func passed(at float64, status int32, index uint64) Event {
-	return Event{Kind: Fed, At: at, Status: status, Address: "a", Index: index}
+	return Event{Kind: EntryRelayed, At: at, Status: status, Address: "a", ListIndex: index}
 }
 
 func (s *tale) drop(at float64, id uint64, reused bool) *tale {
-	return s.add(Event{Kind: Dropped, At: at, Request: id, Link: 100 + id, Reused: reused, Box: -1})
+	return s.add(Event{Kind: ConnectionDropped, At: at, Request: id, Connection: 100 + id, Reused: reused, Server: -1})
 }
 
 // cold has box 3 start cold at 1 s, known to both sidecars where told says so, and sidecar 0 and 1 bring it work.
 func (s *tale) cold(told bool, first, second float64) *tale {
-	s.add(Event{Kind: BoxStarted, At: 1, Sidecar: -1, Box: 3, Since: 1, Address: "d"},
-		Event{Kind: Listed, At: 1.5, Sidecar: -1, Box: 3, Status: Serving, Since: 1, Address: "d"})
+	s.add(Event{Kind: ServerStarted, At: 1, Sidecar: -1, Server: 3, ServingSince: 1, Address: "d"},
+		Event{Kind: ListChanged, At: 1.5, Sidecar: -1, Server: 3, Status: Serving, ServingSince: 1, Address: "d"})
 	if told {
-		s.add(Event{Kind: Told, At: 1.5, Box: 3, Status: Serving, Since: 1, Address: "d"})
+		s.add(Event{Kind: EntryDelivered, At: 1.5, Server: 3, Status: Serving, ServingSince: 1, Address: "d"})
 	}
-	return s.add(Event{Kind: Probed, At: 2, Box: 3, Work: first}, Event{Kind: Probed, At: 2, Sidecar: 1, Box: 3, Work: second},
-		Event{Kind: BoxFell, At: 2, Sidecar: -1, Box: 3})
+	return s.add(Event{Kind: HealthCheckReceived, At: 2, Server: 3, Work: first}, Event{Kind: HealthCheckReceived, At: 2, Sidecar: 1, Server: 3, Work: second},
+		Event{Kind: ServerOverloaded, At: 2, Sidecar: -1, Server: 3})
 }
 
 // Each rule has tales that break it, and beside each the nearest one that does not.
 func TestRules(t *testing.T) {
-	alive := func(kind Kind, at float64, n int32) Event { return Event{Kind: kind, At: at, Box: -1, N: n, Status: n} }
+	alive := func(kind Kind, at float64, n int32) Event {
+		return Event{Kind: kind, At: at, Server: -1, Count: n, Status: n}
+	}
 	for _, c := range []struct {
 		name   string
 		rule   Rule
@@ -104,54 +106,54 @@
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 200).answer(1.3, 9, 200).answer(1.4, 9, 200),
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 200).answer(1.3, 9, 200)},
 		{"bytes that nobody asked for", OneAnswer,
-			newTale().add(alive(Stray, 1, 0)), newTale()},
+			newTale().add(alive(UnsolicitedBytes, 1, 0)), newTale()},
 		{"closed without an answer, though sent on", OneAnswer,
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).drop(1.2, 9, true),
 			newTale().ask(1, 9, safe).drop(1.2, 9, true)},
 		{"read, and closed without an answer", OneAnswer,
-			newTale().ask(1, 9, safe).add(Event{Kind: Dropped, At: 1.2, Request: 9, Reused: true, Read: true}),
-			newTale().ask(1, 9, safe).add(Event{Kind: Dropped, At: 1.2, Request: 9, Reused: true})},
+			newTale().ask(1, 9, safe).add(Event{Kind: ConnectionDropped, At: 1.2, Request: 9, Reused: true, WasRead: true}),
+			newTale().ask(1, 9, safe).add(Event{Kind: ConnectionDropped, At: 1.2, Request: 9, Reused: true})},
 		{"closed twice", OneAnswer,
-			newTale().ask(1, 9, safe).drop(1.2, 9, true).add(Event{Kind: Taken, At: 1.3, Request: 9, Until: 4}).drop(1.4, 9, false),
-			newTale().ask(1, 9, safe).drop(1.2, 9, true).add(Event{Kind: Taken, At: 1.3, Request: 9, Until: 4}).answer(1.4, 9, 500)},
+			newTale().ask(1, 9, safe).drop(1.2, 9, true).add(Event{Kind: RequestSent, At: 1.3, Request: 9, Deadline: 4}).drop(1.4, 9, false),
+			newTale().ask(1, 9, safe).drop(1.2, 9, true).add(Event{Kind: RequestSent, At: 1.3, Request: 9, Deadline: 4}).answer(1.4, 9, 500)},
 		{"closed, and sent on before", OneAnswer,
-			newTale().ask(1, 9, safe).drop(1.2, 9, false).add(Event{Kind: Execution, At: 1.3, FirstSent: 1.1, Sent: 1.1, Request: 9}),
+			newTale().ask(1, 9, safe).drop(1.2, 9, false).add(Event{Kind: AttemptReceived, At: 1.3, FirstSent: 1.1, Sent: 1.1, Request: 9}),
 			newTale().ask(1, 9, safe).drop(1.2, 9, false)},
 		{"closed while it runs; a kill is excused", OneAnswer,
 			newTale().ask(1, 9, unsafe).run(1.1, 9, 0, 1).drop(1.2, 9, false),
 			newTale().ask(1, 9, unsafe).run(1.1, 9, 0, 1).add(alive(SidecarKilled, 1.15, 0)).drop(1.2, 9, false)},
 		{"taken late after an order to end", OneAnswer,
-			newTale().add(alive(SidecarTermed, 1, 0)).ask(2, 9, safe).add(alive(SidecarKilled, 4.8, 0)),
-			newTale().add(alive(SidecarTermed, 1, 0)).ask(1.6, 9, safe).add(alive(SidecarKilled, 4.5, 0))},
+			newTale().add(alive(SidecarTerminating, 1, 0)).ask(2, 9, safe).add(alive(SidecarKilled, 4.8, 0)),
+			newTale().add(alive(SidecarTerminating, 1, 0)).ask(1.6, 9, safe).add(alive(SidecarKilled, 4.5, 0))},
 		{"sent on after its answer", OneAnswer,
 			newTale().ask(1, 9, safe).answer(1.2, 9, 500).run(1.3, 9, 0, 1),
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).hangUp(1.15, 0, 1).answer(1.2, 9, 500)},
 		{"sent on after its client went", GoneClient,
-			newTale().ask(1, 9, safe).add(Event{Kind: Left, At: 1.5, Request: 9}).run(1.6, 9, 0, 1),
-			newTale().ask(1, 9, safe).add(Event{Kind: Left, At: 1.5, Request: 9}).run(1.54, 9, 0, 1)},
+			newTale().ask(1, 9, safe).add(Event{Kind: RequestAbandoned, At: 1.5, Request: 9}).run(1.6, 9, 0, 1),
+			newTale().ask(1, 9, safe).add(Event{Kind: RequestAbandoned, At: 1.5, Request: 9}).run(1.54, 9, 0, 1)},
 		{"sent on after its connection was closed", OneAnswer,
 			newTale().ask(1, 9, safe).drop(1.5, 9, false).run(1.6, 9, 0, 1),
 			newTale().ask(1, 9, safe).drop(1.5, 9, false).run(1.54, 9, 0, 1)},
 		{"sent on again for a client that has gone", GoneClient,
-			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: Left, At: 1.5, Request: 9}).hangUp(1.55, 0, 1).run(1.56, 9, 1, 2),
-			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: Left, At: 1.5, Request: 9}).hangUp(1.52, 0, 1).run(1.53, 9, 1, 2)},
+			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: RequestAbandoned, At: 1.5, Request: 9}).hangUp(1.55, 0, 1).run(1.56, 9, 1, 2),
+			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: RequestAbandoned, At: 1.5, Request: 9}).hangUp(1.52, 0, 1).run(1.53, 9, 1, 2)},
 		{"half a close is none; the whole one counts", GoneClient,
-			newTale().ask(1, 9, safe).add(Event{Kind: HalfClosed, At: 1.5, Request: 9}, Event{Kind: Left, At: 2, Request: 9}).run(2.2, 9, 0, 1),
-			newTale().ask(1, 9, safe).add(Event{Kind: HalfClosed, At: 1.5, Request: 9}).run(2.2, 9, 0, 1)},
+			newTale().ask(1, 9, safe).add(Event{Kind: RequestHalfClosed, At: 1.5, Request: 9}, Event{Kind: RequestAbandoned, At: 2, Request: 9}).run(2.2, 9, 0, 1),
+			newTale().ask(1, 9, safe).add(Event{Kind: RequestHalfClosed, At: 1.5, Request: 9}).run(2.2, 9, 0, 1)},
 		{"half a close owes no answer; two are too many", OneAnswer,
-			newTale().ask(1, 9, unsafe).add(Event{Kind: HalfClosed, At: 1.1, Request: 9}).answer(1.2, 9, 500).answer(1.3, 9, 500),
-			newTale().ask(1, 9, unsafe).run(1.05, 9, 0, 1).add(Event{Kind: HalfClosed, At: 1.1, Request: 9}).hangUp(1.1, 0, 1).drop(1.2, 9, false)},
+			newTale().ask(1, 9, unsafe).add(Event{Kind: RequestHalfClosed, At: 1.1, Request: 9}).answer(1.2, 9, 500).answer(1.3, 9, 500),
+			newTale().ask(1, 9, unsafe).run(1.05, 9, 0, 1).add(Event{Kind: RequestHalfClosed, At: 1.1, Request: 9}).hangUp(1.1, 0, 1).drop(1.2, 9, false)},
 		{"part of an answer that was whole", OneAnswer,
-			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 200).add(Event{Kind: Broken, At: 1.3, Request: 9}),
-			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: Replied, At: 1.2, Request: 9, Link: 1, Spoilt: true}, Event{Kind: Broken, At: 1.3, Request: 9})},
+			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 200).add(Event{Kind: ResponseTruncated, At: 1.3, Request: 9}),
+			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: ResponseSent, At: 1.2, Request: 9, Connection: 1, Malformed: true}, Event{Kind: ResponseTruncated, At: 1.3, Request: 9})},
 		{"a hostile client served", OneAnswer,
-			newTale().add(Event{Kind: Hostile, At: 1, Link: 5, Until: 4}, Event{Kind: HostileAnswered, At: 1.1, Link: 5, Status: 200}),
-			newTale().add(Event{Kind: Hostile, At: 1, Link: 5, Until: 4}, Event{Kind: HostileAnswered, At: 1.1, Link: 5, Status: 400})},
+			newTale().add(Event{Kind: HostileConnected, At: 1, Connection: 5, Deadline: 4}, Event{Kind: HostileAnswered, At: 1.1, Connection: 5, Status: 200}),
+			newTale().add(Event{Kind: HostileConnected, At: 1, Connection: 5, Deadline: 4}, Event{Kind: HostileAnswered, At: 1.1, Connection: 5, Status: 400})},
 		{"an answer that no box made", NoInvention,
 			newTale().ask(1, 9, safe).answer(1.2, 9, 200),
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.15, 9, 0, 1, 200).answer(1.2, 9, 200)},
 		{"the answer of another request", NoInvention,
-			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: Replied, At: 1.15, Request: 9, Link: 1, Status: 200, Digest: 8}).answer(1.2, 9, 200),
+			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: ResponseSent, At: 1.15, Request: 9, Connection: 1, Status: 200, Digest: 8}).answer(1.2, 9, 200),
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.15, 9, 0, 1, 200).answer(1.2, 9, 200)},
 		{"an answer that was an error", NoInvention,
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.15, 9, 0, 1, 500).answer(1.2, 9, 200),
@@ -185,52 +187,52 @@
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).run(1.3, 9, 1, 2).hangUp(1.3, 0, 1)},
 		{"two copies for ever; a lost end is excused", OneCopy,
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).run(1.3, 9, 1, 2),
-			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: PathCut, At: 1.2}).run(1.3, 9, 1, 2)},
+			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: PathFaultStarted, At: 1.2}).run(1.3, 9, 1, 2)},
 		{"sent to a box that drains", SafeDrain,
 			newTale().tell(1, 0, Draining).ask(1.5, 9, safe).run(1.82, 9, 0, 1),
 			newTale().tell(1, 0, Draining).ask(1.5, 9, safe).run(1.79, 9, 0, 1)},
 		{"sent to a box whose end counts as told", SafeDrain,
-			newTale().add(Event{Kind: Listed, At: 1, Status: Deleted, Address: "a"}).ask(7.5, 9, safe).run(7.82, 9, 0, 1),
-			newTale().add(Event{Kind: Listed, At: 1, Status: Deleted, Address: "a"}).ask(7.5, 9, safe).run(7.78, 9, 0, 1)},
+			newTale().add(Event{Kind: ListChanged, At: 1, Status: Deleted, Address: "a"}).ask(7.5, 9, safe).run(7.82, 9, 0, 1),
+			newTale().add(Event{Kind: ListChanged, At: 1, Status: Deleted, Address: "a"}).ask(7.5, 9, safe).run(7.78, 9, 0, 1)},
 		{"told after a reload; while discovery is down nothing counts", SafeDrain,
-			newTale().add(Event{Kind: Listed, At: 1, Status: Deleted, Address: "a"}, alive(Reloaded, 6, 0)).ask(10, 9, safe).run(10.82, 9, 0, 1),
-			newTale().add(Event{Kind: Listed, At: 1, Status: Deleted, Address: "a"}, alive(DiscoveryDown, 2, 0)).ask(10, 9, safe).run(10.82, 9, 0, 1)},
+			newTale().add(Event{Kind: ListChanged, At: 1, Status: Deleted, Address: "a"}, alive(SidecarReloaded, 6, 0)).ask(10, 9, safe).run(10.82, 9, 0, 1),
+			newTale().add(Event{Kind: ListChanged, At: 1, Status: Deleted, Address: "a"}, alive(DiscoveryDown, 2, 0)).ask(10, 9, safe).run(10.82, 9, 0, 1)},
 		{"who neither watches nor asks counts as told", SafeDrain,
-			newTale().add(Event{Kind: WatchEnded, At: 0.5}, Event{Kind: Listed, At: 1, Status: Deleted, Address: "a"}, alive(DiscoveryDown, 2, 0)).
+			newTale().add(Event{Kind: WatchClosed, At: 0.5}, Event{Kind: ListChanged, At: 1, Status: Deleted, Address: "a"}, alive(DiscoveryDown, 2, 0)).
 				ask(11.5, 9, safe).run(11.82, 9, 0, 1),
-			newTale().add(Event{Kind: WatchEnded, At: 0.5}, Event{Kind: Called, At: 0.6}, Event{Kind: CallFailed, At: 0.7}, Event{Kind: Listed, At: 1, Status: Deleted, Address: "a"}, alive(DiscoveryDown, 2, 0)).
+			newTale().add(Event{Kind: WatchClosed, At: 0.5}, Event{Kind: DiscoveryCalled, At: 0.6}, Event{Kind: DiscoveryCallFailed, At: 0.7}, Event{Kind: ListChanged, At: 1, Status: Deleted, Address: "a"}, alive(DiscoveryDown, 2, 0)).
 				ask(11.5, 9, safe).run(11.82, 9, 0, 1)},
 		{"who has called in vain counts as told once discovery could be reached", SafeDrain,
-			newTale().add(Event{Kind: WatchEnded, At: 0.5}, Event{Kind: Called, At: 0.6}, Event{Kind: CallFailed, At: 0.7}, Event{Kind: Listed, At: 1, Status: Deleted, Address: "a"}).
-				ask(7.5, 9, safe).run(7.82, 9, 0, 1).add(alive(WatchUp, 20, 0)),
-			newTale().add(Event{Kind: WatchEnded, At: 0.5}, Event{Kind: Called, At: 0.6}, Event{Kind: CallFailed, At: 0.7}, Event{Kind: Listed, At: 1, Status: Deleted, Address: "a"}).
-				ask(7.5, 9, safe).run(7.78, 9, 0, 1).add(alive(WatchUp, 20, 0))},
+			newTale().add(Event{Kind: WatchClosed, At: 0.5}, Event{Kind: DiscoveryCalled, At: 0.6}, Event{Kind: DiscoveryCallFailed, At: 0.7}, Event{Kind: ListChanged, At: 1, Status: Deleted, Address: "a"}).
+				ask(7.5, 9, safe).run(7.82, 9, 0, 1).add(alive(WatchOpened, 20, 0)),
+			newTale().add(Event{Kind: WatchClosed, At: 0.5}, Event{Kind: DiscoveryCalled, At: 0.6}, Event{Kind: DiscoveryCallFailed, At: 0.7}, Event{Kind: ListChanged, At: 1, Status: Deleted, Address: "a"}).
+				ask(7.5, 9, safe).run(7.78, 9, 0, 1).add(alive(WatchOpened, 20, 0))},
 		{"not before discovery is back, whatever was asked meanwhile", SafeDrain,
-			newTale().add(Event{Kind: Listed, At: 1, Status: Deleted, Address: "a"}, alive(DiscoveryDown, 1.1, 0), Event{Kind: WatchEnded, At: 1.1},
-				Event{Kind: Called, At: 5}, Event{Kind: CallFailed, At: 5}, alive(DiscoveryUp, 9, 0), Event{Kind: Called, At: 15}).ask(15, 9, safe).run(15.82, 9, 0, 1).add(alive(WatchUp, 20, 0)),
-			newTale().add(Event{Kind: Listed, At: 1, Status: Deleted, Address: "a"}, alive(DiscoveryDown, 1.1, 0), Event{Kind: WatchEnded, At: 1.1},
-				Event{Kind: Called, At: 5}, Event{Kind: CallFailed, At: 5}, alive(DiscoveryUp, 9, 0), Event{Kind: Called, At: 15}).ask(15, 9, safe).run(15.78, 9, 0, 1).add(alive(WatchUp, 20, 0))},
+			newTale().add(Event{Kind: ListChanged, At: 1, Status: Deleted, Address: "a"}, alive(DiscoveryDown, 1.1, 0), Event{Kind: WatchClosed, At: 1.1},
+				Event{Kind: DiscoveryCalled, At: 5}, Event{Kind: DiscoveryCallFailed, At: 5}, alive(DiscoveryUp, 9, 0), Event{Kind: DiscoveryCalled, At: 15}).ask(15, 9, safe).run(15.82, 9, 0, 1).add(alive(WatchOpened, 20, 0)),
+			newTale().add(Event{Kind: ListChanged, At: 1, Status: Deleted, Address: "a"}, alive(DiscoveryDown, 1.1, 0), Event{Kind: WatchClosed, At: 1.1},
+				Event{Kind: DiscoveryCalled, At: 5}, Event{Kind: DiscoveryCallFailed, At: 5}, alive(DiscoveryUp, 9, 0), Event{Kind: DiscoveryCalled, At: 15}).ask(15, 9, safe).run(15.78, 9, 0, 1).add(alive(WatchOpened, 20, 0))},
 		{"a line at discovery excuses as long as a call of each sidecar takes", SafeDrain,
-			newTale().add(Event{Kind: WatchEnded, At: 0.5}, Event{Kind: Called, At: 0.6}, Event{Kind: CallFailed, At: 0.7}, Event{Kind: Listed, At: 1, Status: Deleted, Address: "a"},
-				alive(LineFormed, 2, 0), alive(LineGone, 5, 0)).ask(8.5, 9, safe).run(9.82, 9, 0, 1).add(alive(WatchUp, 20, 0)),
-			newTale().add(Event{Kind: WatchEnded, At: 0.5}, Event{Kind: Called, At: 0.6}, Event{Kind: CallFailed, At: 0.7}, Event{Kind: Listed, At: 1, Status: Deleted, Address: "a"},
-				alive(LineFormed, 2, 0), alive(LineGone, 5, 0)).ask(8.5, 9, safe).run(9.78, 9, 0, 1).add(alive(WatchUp, 20, 0))},
+			newTale().add(Event{Kind: WatchClosed, At: 0.5}, Event{Kind: DiscoveryCalled, At: 0.6}, Event{Kind: DiscoveryCallFailed, At: 0.7}, Event{Kind: ListChanged, At: 1, Status: Deleted, Address: "a"},
+				alive(DiscoveryQueueFormed, 2, 0), alive(DiscoveryQueueDrained, 5, 0)).ask(8.5, 9, safe).run(9.82, 9, 0, 1).add(alive(WatchOpened, 20, 0)),
+			newTale().add(Event{Kind: WatchClosed, At: 0.5}, Event{Kind: DiscoveryCalled, At: 0.6}, Event{Kind: DiscoveryCallFailed, At: 0.7}, Event{Kind: ListChanged, At: 1, Status: Deleted, Address: "a"},
+				alive(DiscoveryQueueFormed, 2, 0), alive(DiscoveryQueueDrained, 5, 0)).ask(8.5, 9, safe).run(9.78, 9, 0, 1).add(alive(WatchOpened, 20, 0))},
 		{"what a silent watch misses counts as told 6 s after it fell silent", SafeDrain,
-			newTale().add(Event{Kind: WatchSilent, At: 1}, Event{Kind: Listed, At: 3, Status: Deleted, Address: "a"}).ask(7.5, 9, safe).run(7.82, 9, 0, 1).add(alive(WatchUp, 20, 0)),
-			newTale().add(Event{Kind: WatchSilent, At: 1}, Event{Kind: Listed, At: 3, Status: Deleted, Address: "a"}).ask(7.5, 9, safe).run(7.78, 9, 0, 1).add(alive(WatchUp, 20, 0))},
+			newTale().add(Event{Kind: WatchStalled, At: 1}, Event{Kind: ListChanged, At: 3, Status: Deleted, Address: "a"}).ask(7.5, 9, safe).run(7.82, 9, 0, 1).add(alive(WatchOpened, 20, 0)),
+			newTale().add(Event{Kind: WatchStalled, At: 1}, Event{Kind: ListChanged, At: 3, Status: Deleted, Address: "a"}).ask(7.5, 9, safe).run(7.78, 9, 0, 1).add(alive(WatchOpened, 20, 0))},
 		{"and at once what is made later than that, also when its sidecar has ended it", SafeDrain,
-			newTale().add(Event{Kind: WatchSilent, At: 1}, Event{Kind: WatchEnded, At: 8}, Event{Kind: Listed, At: 9, Status: Deleted, Address: "a"}).ask(9, 9, safe).run(9.82, 9, 0, 1).add(alive(WatchUp, 20, 0)),
-			newTale().add(Event{Kind: WatchSilent, At: 1}, Event{Kind: WatchEnded, At: 4}, Event{Kind: WatchUp, At: 5, Link: 2}, Event{Kind: Listed, At: 9, Status: Deleted, Address: "a"}).
-				ask(9, 9, safe).run(9.82, 9, 0, 1).add(alive(WatchUp, 20, 0))},
+			newTale().add(Event{Kind: WatchStalled, At: 1}, Event{Kind: WatchClosed, At: 8}, Event{Kind: ListChanged, At: 9, Status: Deleted, Address: "a"}).ask(9, 9, safe).run(9.82, 9, 0, 1).add(alive(WatchOpened, 20, 0)),
+			newTale().add(Event{Kind: WatchStalled, At: 1}, Event{Kind: WatchClosed, At: 4}, Event{Kind: WatchOpened, At: 5, Connection: 2}, Event{Kind: ListChanged, At: 9, Status: Deleted, Address: "a"}).
+				ask(9, 9, safe).run(9.82, 9, 0, 1).add(alive(WatchOpened, 20, 0))},
 		{"what others pass on takes the place of a silent watch", SafeDrain,
-			newTale().add(Event{Kind: WatchSilent, At: 1}, Event{Kind: WatchEnded, At: 4}, Event{Kind: Listed, At: 9, Status: Deleted, Address: "a"}).
-				ask(9, 9, safe).run(10, 9, 0, 1).add(alive(WatchUp, 20, 0)),
-			newTale().add(Event{Kind: WatchSilent, At: 1}, Event{Kind: WatchEnded, At: 4}, passed(5, Serving, 7), Event{Kind: Listed, At: 9, Status: Deleted, Address: "a"}).
-				ask(9, 9, safe).run(10, 9, 0, 1).add(alive(WatchUp, 20, 0))},
+			newTale().add(Event{Kind: WatchStalled, At: 1}, Event{Kind: WatchClosed, At: 4}, Event{Kind: ListChanged, At: 9, Status: Deleted, Address: "a"}).
+				ask(9, 9, safe).run(10, 9, 0, 1).add(alive(WatchOpened, 20, 0)),
+			newTale().add(Event{Kind: WatchStalled, At: 1}, Event{Kind: WatchClosed, At: 4}, passed(5, Serving, 7), Event{Kind: ListChanged, At: 9, Status: Deleted, Address: "a"}).
+				ask(9, 9, safe).run(10, 9, 0, 1).add(alive(WatchOpened, 20, 0))},
 		{"the old address of a box that is gone; a new box there is told", SafeDrain,
-			newTale().tell(1, 0, Deleted).add(Event{Kind: BoxStarted, At: 2, Sidecar: -1, Box: 5, Address: "a", Since: 2}).ask(3, 9, safe).run(3.1, 9, 5, 1),
-			newTale().tell(1, 0, Deleted).add(Event{Kind: BoxStarted, At: 2, Sidecar: -1, Box: 5, Address: "a", Since: 2},
-				Event{Kind: Told, At: 2.5, Box: 5, Status: Serving, Address: "a", Since: 2}).ask(3, 9, safe).run(3.1, 9, 5, 1)},
+			newTale().tell(1, 0, Deleted).add(Event{Kind: ServerStarted, At: 2, Sidecar: -1, Server: 5, Address: "a", ServingSince: 2}).ask(3, 9, safe).run(3.1, 9, 5, 1),
+			newTale().tell(1, 0, Deleted).add(Event{Kind: ServerStarted, At: 2, Sidecar: -1, Server: 5, Address: "a", ServingSince: 2},
+				Event{Kind: EntryDelivered, At: 2.5, Server: 5, Status: Serving, Address: "a", ServingSince: 2}).ask(3, 9, safe).run(3.1, 9, 5, 1)},
 		{"what others pass on tells", SafeDrain,
 			newTale().add(passed(1, Draining, 7)).ask(1.5, 9, safe).run(1.82, 9, 0, 1),
 			newTale().add(passed(1, Draining, 7)).ask(1.5, 9, safe).run(1.79, 9, 0, 1)},
@@ -239,7 +241,7 @@
 			newTale().add(passed(1, Draining, 7), passed(1.1, Serving, 8)).ask(1.5, 9, safe).run(1.82, 9, 0, 1)},
 		{"a cold box pushed over by who knew", ColdBox, newTale().cold(true, 2, 1), newTale().cold(true, 1.9, 1)},
 		{"a cold box pushed over by who counts as told", ColdBox,
-			newTale().cold(false, 3, 0).add(Event{Kind: Probed, At: 7.6, Box: 3, Work: 3}, Event{Kind: BoxFell, At: 7.6, Sidecar: -1, Box: 3}),
+			newTale().cold(false, 3, 0).add(Event{Kind: HealthCheckReceived, At: 7.6, Server: 3, Work: 3}, Event{Kind: ServerOverloaded, At: 7.6, Sidecar: -1, Server: 3}),
 			newTale().cold(false, 3, 0)},
 		{"an unsafe failure held back", AtOnce,
 			newTale().ask(1, 9, unsafe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 500).answer(1.5, 9, 500),
@@ -248,18 +250,18 @@
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 503).run(1.3, 9, 1, 2).reply(1.4, 9, 1, 2, 503).
 				run(1.5, 9, 0, 1).reply(1.6, 9, 0, 1, 503).answer(2, 9, 503),
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 503).run(1.3, 9, 1, 2).reply(1.4, 9, 1, 2, 503).answer(2, 9, 503)},
-		{"descriptors", InLimits, newTale().add(alive(Descriptors, 1, 257)), newTale().add(alive(Descriptors, 1, 256))},
-		{"left over", AtRest, newTale().add(Event{Kind: Leftover, At: 9, N: 1, Text: "timers"}), newTale().add(Event{Kind: Leftover, At: 9, Text: "timers"})},
+		{"descriptors", InLimits, newTale().add(alive(DescriptorsCounted, 1, 257)), newTale().add(alive(DescriptorsCounted, 1, 256))},
+		{"left over", AtRest, newTale().add(Event{Kind: LeftoversCounted, At: 9, Count: 1, Text: "timers"}), newTale().add(Event{Kind: LeftoversCounted, At: 9, Text: "timers"})},
 		{"a list that is asked for no more", ListAsked,
-			newTale().add(alive(WatchEnded, 985, 0)),
-			newTale().add(alive(WatchEnded, 985, 0), alive(Called, 992, 0))},
+			newTale().add(alive(WatchClosed, 985, 0)),
+			newTale().add(alive(WatchClosed, 985, 0), alive(DiscoveryCalled, 992, 0))},
 		{"a silent watch that is kept", ListAsked,
-			newTale().add(Event{Kind: WatchSilent, At: 990}),
-			newTale().add(Event{Kind: WatchSilent, At: 990}, Event{Kind: WatchUp, At: 995, Link: 2})},
+			newTale().add(Event{Kind: WatchStalled, At: 990}),
+			newTale().add(Event{Kind: WatchStalled, At: 990}, Event{Kind: WatchOpened, At: 995, Connection: 2})},
 		{"after a call that failed there is four times as long", ListAsked,
-			newTale().add(alive(WatchEnded, 900, 0), alive(Called, 920, 0), alive(CallFailed, 921, 0)),
-			newTale().add(alive(WatchEnded, 900, 0), alive(Called, 965, 0), alive(CallFailed, 966, 0))},
-		{"an exit unasked", NoCrash, newTale().add(alive(SidecarEnded, 2, 0)), newTale().add(alive(SidecarTermed, 1, 0), alive(SidecarEnded, 2, 0))},
+			newTale().add(alive(WatchClosed, 900, 0), alive(DiscoveryCalled, 920, 0), alive(DiscoveryCallFailed, 921, 0)),
+			newTale().add(alive(WatchClosed, 900, 0), alive(DiscoveryCalled, 965, 0), alive(DiscoveryCallFailed, 966, 0))},
+		{"an exit unasked", NoCrash, newTale().add(alive(SidecarExited, 2, 0)), newTale().add(alive(SidecarTerminating, 1, 0), alive(SidecarExited, 2, 0))},
 		{"a panic", NoCrash, newTale().add(Event{Kind: SidecarPanicked, At: 1, Text: "index out of range"}), newTale()},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -301,7 +303,7 @@
 		assert.Equal(t, uint64(9), e.Request)
 		kinds = append(kinds, e.Kind)
 	}
-	assert.Equal(t, []Kind{Asked, Taken, Answered}, kinds)
+	assert.Equal(t, []Kind{RequestStarted, RequestSent, ResponseReceived}, kinds)
 }
 
 // Service is worth answered within the aim over worth asked; a client's later tries belong to its first.
@@ -311,8 +313,8 @@
 	s.ask(1, 1, safe).run(1.1, 1, 0, 1).reply(1.2, 1, 0, 1, 200).answer(1.3, 1, 200) // in time
 	s.ask(1, 2, unsafe).answer(3.1, 2, 503)                                          // refused late, and no box was given it
 	s.ask(1, 3, keyed).answer(1.1, 3, 503)                                           // refused, and served at its next try, late
-	s.add(Event{Kind: Asked, At: 2, Request: 4, First: 3, Class: keyed, Until: 4},
-		Event{Kind: Taken, At: 2, Request: 4, Link: 104, Until: 4})
+	s.add(Event{Kind: RequestStarted, At: 2, Request: 4, FirstRequest: 3, Class: keyed, Deadline: 4},
+		Event{Kind: RequestSent, At: 2, Request: 4, Connection: 104, Deadline: 4})
 	s.run(2.1, 4, 2, 2).reply(2.2, 4, 2, 2, 200).answer(2.3, 4, 200)
 	for _, e := range s.events {
 		j.Observe(e)
@@ -328,9 +330,9 @@
 
 // On days that are held to be calm what runs out of time is lost, too, and so is a first request that is hung up on.
 func TestCalmDays(t *testing.T) {
-	out := newTale().ask(1, 9, safe).add(Event{Kind: Left, At: 4, Request: 9})
-	late := newTale().ask(1, 9, safe).add(Event{Kind: Left, At: 5.1, Request: 9})
-	early := newTale().ask(1, 9, safe).add(Event{Kind: Left, At: 3.9, Request: 9})
+	out := newTale().ask(1, 9, safe).add(Event{Kind: RequestAbandoned, At: 4, Request: 9})
+	late := newTale().ask(1, 9, safe).add(Event{Kind: RequestAbandoned, At: 5.1, Request: 9})
+	early := newTale().ask(1, 9, safe).add(Event{Kind: RequestAbandoned, At: 3.9, Request: 9})
 	hungUp := newTale().ask(1, 9, safe).drop(1.2, 9, false)
 	strict := rules()
 	strict.Unanswered, strict.Calm = true, true
--- a/internal/checker/told.go
+++ b/internal/checker/told.go
@@ -114,11 +114,11 @@
 // the address that it used.
 func (j *Checker) checkDrain(s *station, p *party, e *Event) {
 	grace := j.rules.DrainGraceS + j.rules.SocketSlackS
-	if at := p.out[e.Box]; at > 0 && e.FirstSent > at+grace {
-		j.addViolation(SafeDrain, e.Sidecar, e.Box, e.Request, nil, "sent %.3f s after operators had taken box %d out", e.FirstSent-at, e.Box)
+	if at := p.out[e.Server]; at > 0 && e.FirstSent > at+grace {
+		j.addViolation(SafeDrain, e.Sidecar, e.Server, e.Request, nil, "sent %.3f s after operators had taken box %d out", e.FirstSent-at, e.Server)
 		return
 	}
-	if k := p.knows(e.Box); k.status == Serving && e.FirstSent <= j.notServingSince(p, e.Box, e.FirstSent)+grace {
+	if k := p.knows(e.Server); k.status == Serving && e.FirstSent <= j.notServingSince(p, e.Server, e.FirstSent)+grace {
 		return
 	}
 	latest, named := math.Inf(-1), int32(-1)
@@ -132,9 +132,9 @@
 	}
 	switch {
 	case named < 0:
-		j.addViolation(SafeDrain, e.Sidecar, e.Box, e.Request, nil, "sent to an address that the sidecar was never told of")
+		j.addViolation(SafeDrain, e.Sidecar, e.Server, e.Request, nil, "sent to an address that the sidecar was never told of")
 	case e.FirstSent > latest+grace:
-		j.addViolation(SafeDrain, e.Sidecar, e.Box, e.Request, []Event{p.told[named].said},
+		j.addViolation(SafeDrain, e.Sidecar, e.Server, e.Request, []Event{p.told[named].said},
 			"sent %.3f s after the sidecar was told, or counted as told, that box %d drains or is gone", e.FirstSent-latest, named)
 	}
 }
--- a/internal/environment/actors_test.go
+++ b/internal/environment/actors_test.go
@@ -133,7 +133,7 @@
 			s.until(requests + 30)
 			made := map[uint64]bool{}
 			for _, e := range s.notes.events {
-				if e.Kind == checker.Replied && !e.Spoilt {
+				if e.Kind == checker.ResponseSent && !e.Malformed {
 					made[e.Digest] = true
 				}
 			}
@@ -257,8 +257,8 @@
 		want := map[string]string{}
 		told := map[int]checker.Event{}
 		for _, e := range s.notes.events {
-			if e.Kind == checker.Told && e.Sidecar == 0 {
-				told[int(e.Box)] = e
+			if e.Kind == checker.EntryDelivered && e.Sidecar == 0 {
+				told[int(e.Server)] = e
 			}
 		}
 		for i, e := range r.entries {
@@ -342,8 +342,8 @@
 			s.until(40)
 			tries, times := map[uint64]int{}, 0
 			for _, e := range s.notes.events {
-				if e.Kind == checker.Asked {
-					tries[e.First]++
+				if e.Kind == checker.RequestStarted {
+					tries[e.FirstRequest]++
 				}
 			}
 			for _, k := range came {
@@ -356,7 +356,7 @@
 			require.Greater(t, len(tries), 3)
 			assert.Equal(t, c.tries, most, "tries")
 			assert.Equal(t, c.times, times, "times that one id came")
-			assert.Zero(t, s.notes.count(checker.Stray))
+			assert.Zero(t, s.notes.count(checker.UnsolicitedBytes))
 		})
 	}
 }
@@ -379,6 +379,6 @@
 			require.NoError(t, json.Unmarshal(cfg.Known, &known))
 			assert.Len(t, known.Endpoints, s.day.Standing)
 		}
-		assert.Equal(t, len(s.day.Sidecars)*s.day.Standing, s.notes.count(checker.Told), "the witness knows what they were told")
+		assert.Equal(t, len(s.day.Sidecars)*s.day.Standing, s.notes.count(checker.EntryDelivered), "the witness knows what they were told")
 	}
 }
--- a/internal/environment/app.go
+++ b/internal/environment/app.go
@@ -130,12 +130,12 @@
 // see tells the witness of a try.
 func (a *Application) see(kind checker.Kind, k *ask, link *appLink) checker.Event {
 	now := a.net.Now()
-	e := checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: a.number, Box: -1, Class: -1}
+	e := checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: a.number, Server: -1, Class: -1}
 	if k != nil {
-		e.Request, e.First, e.Class, e.Until, e.Uncounted = k.id, k.first, int32(k.class), k.until, a.batch != nil
+		e.Request, e.FirstRequest, e.Class, e.Deadline, e.Uncounted = k.id, k.first, int32(k.class), k.until, a.batch != nil
 	}
 	if link != nil {
-		e.Link, e.Reused = link.number, link.used > 1
+		e.Connection, e.Reused = link.number, link.used > 1
 	}
 	return e
 }
@@ -292,7 +292,7 @@
 	if a.chance.Float64() < a.spec.Impatient {
 		k.until = now + a.chance.Float64()*(k.until-now) // it goes away early
 	}
-	a.tell(checker.Asked, k, nil)
+	a.tell(checker.RequestStarted, k, nil)
 	// An answer that comes a little late still counts.
 	a.due.put(k.until+answerSlackS+socketSlackS, appTask{kind: taskOver, ask: k, id: k.id})
 	if at, leaves := a.leavesEarly(k, now); leaves {
@@ -334,7 +334,7 @@
 	link := k.link
 	if out := link != nil && link.conn != nil && link.ask == k && link.taken; out && a.early.IntN(4) == 0 {
 		link.halved = true
-		a.tell(checker.HalfClosed, k, link)
+		a.tell(checker.RequestHalfClosed, k, link)
 		a.net.CloseWrite(link.conn)
 		return
 	}
@@ -369,7 +369,7 @@
 		k := link.ask
 		if link.ask = nil; k != nil && !k.over && k.link == link {
 			k.link = nil
-			a.tell(checker.Unreached, k, nil)
+			a.tell(checker.ConnectFailed, k, nil)
 			a.failed(k, a.net.Now(), true)
 		}
 		a.serveWaiting()
@@ -469,7 +469,7 @@
 func (a *Application) taken(link *appLink) {
 	if !link.taken && link.conn.OutboundBuffered() == 0 {
 		link.taken = true
-		a.tell(checker.Taken, link.ask, link)
+		a.tell(checker.RequestSent, link.ask, link)
 	}
 }
 
@@ -477,7 +477,7 @@
 func (a *Application) Traffic(c netio.Conn, data []byte) {
 	link := c.Context().(*appLink)
 	if link.ask == nil && !link.asking {
-		a.tell(checker.Stray, nil, link)
+		a.tell(checker.UnsolicitedBytes, nil, link)
 		a.net.Close(c)
 		return
 	}
@@ -490,7 +490,7 @@
 		}
 	case err != nil:
 		k := link.ask
-		a.tell(checker.Broken, k, link)
+		a.tell(checker.ResponseTruncated, k, link)
 		link.ask = nil
 		a.net.Close(c)
 		a.failed(k, a.net.Now(), false)
@@ -513,7 +513,7 @@
 func (a *Application) answered(link *appLink) {
 	k, now := link.ask, a.net.Now()
 	a.taken(link)
-	e := a.see(checker.Answered, k, link)
+	e := a.see(checker.ResponseReceived, k, link)
 	e.Status, e.Digest = int32(link.parser.Status), checker.Digest(link.parser.Body)
 	a.witness.Observe(e)
 	link.ask = nil
@@ -523,7 +523,7 @@
 	}
 	switch {
 	case link.buf.Len() > 0:
-		a.tell(checker.Stray, nil, link)
+		a.tell(checker.UnsolicitedBytes, nil, link)
 		a.net.Close(link.conn)
 	case !link.parser.Keep() || link.halved:
 		a.net.Close(link.conn)
@@ -578,7 +578,7 @@
 
 // giveUp ends the wait for a try.
 func (a *Application) giveUp(k *ask, now float64) {
-	a.tell(checker.Left, k, k.link)
+	a.tell(checker.RequestAbandoned, k, k.link)
 	if link := k.link; link != nil {
 		link.ask = nil // a connection that still comes up serves another
 		if link.conn != nil {
@@ -609,7 +609,7 @@
 	k.link = nil
 	switch {
 	case link.parser.Begun():
-		a.tell(checker.Broken, k, link)
+		a.tell(checker.ResponseTruncated, k, link)
 		a.failed(k, now, false)
 	case link.used > 1 && !k.resent && now < k.until && !link.halved:
 		a.dropped(c, k, link)
@@ -625,8 +625,8 @@
 
 // dropped tells the witness of a request whose connection the sidecar's side has ended.
 func (a *Application) dropped(c netio.Conn, k *ask, link *appLink) {
-	e := a.see(checker.Dropped, k, link)
-	e.Read = readByPeer(c)
+	e := a.see(checker.ConnectionDropped, k, link)
+	e.WasRead = readByPeer(c)
 	a.witness.Observe(e)
 }
 
--- a/internal/environment/box.go
+++ b/internal/environment/box.go
@@ -153,8 +153,8 @@
 		l.since = now
 	}
 	l.reports.begin(&l.Spec, now)
-	l.witness.Observe(checker.Event{Kind: checker.BoxStarted, At: now, Sidecar: -1, Box: int32(l.Spec.Number), Zone: int32(l.Spec.Site),
-		Cell: int32(l.Spec.Cell), Since: l.since, Address: l.Address})
+	l.witness.Observe(checker.Event{Kind: checker.ServerStarted, At: now, Sidecar: -1, Server: int32(l.Spec.Number), Zone: int32(l.Spec.Site),
+		Cell: int32(l.Spec.Cell), ServingSince: l.since, Address: l.Address})
 	if cold {
 		l.list.Up(l.Spec.Number, l.Address, l.since, now)
 	}
@@ -166,7 +166,7 @@
 	if b.life != nil {
 		b.life.over = true
 		b.life = nil
-		b.witness.Observe(checker.Event{Kind: checker.BoxEnded, At: now, Sidecar: -1, Box: int32(b.Spec.Number)})
+		b.witness.Observe(checker.Event{Kind: checker.ServerStopped, At: now, Sidecar: -1, Server: int32(b.Spec.Number)})
 	}
 }
 
@@ -193,7 +193,7 @@
 
 func (l *life) event(kind checker.Kind, k *boxLink) checker.Event {
 	now := l.net.Now()
-	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: k.sidecar, Box: int32(l.Spec.Number), Link: k.number}
+	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: k.sidecar, Server: int32(l.Spec.Number), Connection: k.number}
 }
 
 func (l *life) Open(c netio.Conn) bool {
@@ -203,7 +203,7 @@
 	c.SetContext(k)
 	l.open++
 	l.engine.Connected(l.open)
-	e := l.event(checker.LinkOpened, k)
+	e := l.event(checker.ConnectionOpened, k)
 	e.Work = l.Spec.HandshakeS / l.Spec.Speed
 	l.witness.Observe(e)
 	l.bear(e.Work)
@@ -230,8 +230,8 @@
 	if l.over {
 		return // the machine is gone: nobody sees this
 	}
-	e := l.event(checker.LinkClosed, k)
-	if e.ByBox = err == nil; !e.ByBox {
+	e := l.event(checker.ConnectionClosed, k)
+	if e.ByServer = err == nil; !e.ByServer {
 		e.Sent = endedAt(c, e.At)
 	}
 	l.witness.Observe(e)
@@ -344,7 +344,7 @@
 	}
 	k.used = true
 	j.failing = l.rng.Float64() < l.Spec.Errors
-	e := l.event(checker.Execution, k)
+	e := l.event(checker.AttemptReceived, k)
 	e.Request, e.Class, e.Work, e.FirstSent, e.Sent = j.id, int32(class), min(work, mostCounted*c.WorkS/l.Spec.Speed), k.firstAt, sentAt(k.conn, now)
 	e.FirstSent = min(e.FirstSent, e.Sent)
 	l.witness.Observe(e)
@@ -369,7 +369,7 @@
 // bear counts work against a cold box.
 func (l *life) bear(seconds float64) {
 	if now := l.net.Now(); l.engine.Bear(now, seconds) {
-		l.witness.Observe(checker.Event{Kind: checker.BoxFell, At: now, Sidecar: -1, Box: int32(l.Spec.Number)})
+		l.witness.Observe(checker.Event{Kind: checker.ServerOverloaded, At: now, Sidecar: -1, Server: int32(l.Spec.Number)})
 	}
 }
 
@@ -393,7 +393,7 @@
 	now := l.net.Now()
 	j := &boxJob{link: k, health: health, class: -1}
 	j.Probe, j.Seconds = true, l.Spec.ProbeS/l.Spec.Speed
-	e := l.event(checker.Probed, k)
+	e := l.event(checker.HealthCheckReceived, k)
 	e.Work = j.Seconds
 	l.witness.Observe(e)
 	l.bear(j.Seconds)
@@ -509,8 +509,8 @@
 }
 
 func (l *life) replied(k *boxLink, status int, notStarted, spoilt bool, body []byte) {
-	e := l.event(checker.Replied, k)
-	e.Request, e.Status, e.NotStarted, e.Spoilt = k.job.id, int32(status), notStarted, spoilt
+	e := l.event(checker.ResponseSent, k)
+	e.Request, e.Status, e.NotStarted, e.Malformed = k.job.id, int32(status), notStarted, spoilt
 	e.Class, e.Digest = int32(k.job.class), checker.Digest(body)
 	l.witness.Observe(e)
 }
--- a/internal/environment/configuration.go
+++ b/internal/environment/configuration.go
@@ -15,7 +15,7 @@
 func (w *World) StartConfiguration(sidecar int, now float64) []byte {
 	age := stream(w.Day.Seed, "known", sidecar).Float64() * mostKnownAgeS
 	index, list := w.Registry.asOf(max(now-age, w.Day.Start))
-	w.witness.Observe(checker.Event{Kind: checker.SidecarStarted, At: now, Sidecar: int32(sidecar), Box: -1})
+	w.witness.Observe(checker.Event{Kind: checker.SidecarStarted, At: now, Sidecar: int32(sidecar), Server: -1})
 	w.Registry.tell(int32(sidecar), index, list, 0, true, now)
 	return w.configuration(sidecar, w.Registry.list(index, list, 0, true))
 }
--- a/internal/environment/mischief.go
+++ b/internal/environment/mischief.go
@@ -190,9 +190,9 @@
 		}
 	}
 	if !v.served() && v.kind != asksHalf {
-		e := m.see(checker.Hostile, v)
-		if e.Until = now + owedS; v.kind == sendsHugeBody {
-			e.Until = now + owedHugeS
+		e := m.see(checker.HostileConnected, v)
+		if e.Deadline = now + owedS; v.kind == sendsHugeBody {
+			e.Deadline = now + owedHugeS
 		}
 		m.witness.Observe(e)
 		v.told = true
@@ -204,7 +204,7 @@
 
 func (m *Mischief) see(kind checker.Kind, v *visit) checker.Event {
 	now := m.net.Now()
-	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: m.number, Box: -1, Class: -1, Link: v.number, Request: v.id}
+	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: m.number, Server: -1, Class: -1, Connection: v.number, Request: v.id}
 }
 
 func (m *Mischief) begin(v *visit, now float64) {
@@ -298,15 +298,15 @@
 	v.id = m.rng.Uint64() | 1
 	// Danger: a parser that has read an answer takes the next one for the same answer's body.
 	v.parser = http1.NewResponseParser(messageLimits)
-	e := m.see(checker.Asked, v)
-	e.First, e.Class, e.Until, e.Uncounted = v.id, int32(class), now+againPatient, true
+	e := m.see(checker.RequestStarted, v)
+	e.FirstRequest, e.Class, e.Deadline, e.Uncounted = v.id, int32(class), now+againPatient, true
 	m.witness.Observe(e)
 	out := append(append(append(m.out[:0], "GET /"...), m.day.Classes[class].Name...), " HTTP/1.1\r\nHost: h\r\nRequest-Id: "...)
 	out = append(appendID(out, v.id), "\r\nRequest-Timeout: 1000m\r\n\r\n"...)
 	m.out = out
 	conn := v.conn
 	if _, err := conn.Write(out); err == nil && v.conn == conn && conn.OutboundBuffered() == 0 {
-		e.Kind, e.Reused = checker.Taken, v.tries > 1
+		e.Kind, e.Reused = checker.RequestSent, v.tries > 1
 		m.witness.Observe(e)
 	}
 }
@@ -323,8 +323,8 @@
 	for range 2 + m.rng.IntN(mostAhead-1) {
 		v.id = m.rng.Uint64() | 1
 		v.ids = append(v.ids, v.id)
-		e := m.see(checker.Asked, v)
-		e.First, e.Class, e.Until, e.Uncounted = v.id, int32(number), now+againPatient, true
+		e := m.see(checker.RequestStarted, v)
+		e.FirstRequest, e.Class, e.Deadline, e.Uncounted = v.id, int32(number), now+againPatient, true
 		m.witness.Observe(e)
 		asked = append(asked, e)
 		out = append(append(append(out, "GET /"...), class...), " HTTP/1.1\r\nHost: h\r\nRequest-Id: "...)
@@ -335,7 +335,7 @@
 		return
 	}
 	for i, e := range asked {
-		e.Kind, e.Reused = checker.Taken, i > 0
+		e.Kind, e.Reused = checker.RequestSent, i > 0
 		m.witness.Observe(e)
 	}
 }
@@ -347,7 +347,7 @@
 		done, err := v.parser.Next(&v.buf)
 		switch {
 		case err != nil:
-			m.each(v, checker.Broken)
+			m.each(v, checker.ResponseTruncated)
 			m.net.Close(v.conn)
 		case !done:
 			return
@@ -355,7 +355,7 @@
 			v.id = v.ids[0]
 			v.ids = v.ids[1:]
 			v.tries++
-			e := m.see(checker.Answered, v)
+			e := m.see(checker.ResponseReceived, v)
 			e.Status, e.Digest = int32(v.parser.Status), checker.Digest(v.parser.Body)
 			m.witness.Observe(e)
 			if len(v.ids) == 0 || !v.parser.Keep() {
@@ -380,20 +380,20 @@
 // endedAhead takes the end of the connection of requests that were sent at once.
 func (m *Mischief) endedAhead(c netio.Conn, v *visit, err error) {
 	if err == nil {
-		m.each(v, checker.Left)
+		m.each(v, checker.RequestAbandoned)
 		return
 	}
 	rest := v.ids
 	if len(rest) > 0 && v.parser.Begun() {
 		v.ids, rest = rest[:1], rest[1:]
-		m.each(v, checker.Broken)
+		m.each(v, checker.ResponseTruncated)
 	}
 	for i, id := range rest {
 		v.id = id
-		e := m.see(checker.Dropped, v)
-		e.Reused, e.Read = v.tries > 0 || i > 0, readByPeer(c)
+		e := m.see(checker.ConnectionDropped, v)
+		e.Reused, e.WasRead = v.tries > 0 || i > 0, readByPeer(c)
 		m.witness.Observe(e)
-		m.witness.Observe(m.see(checker.Left, v)) // it does not come again
+		m.witness.Observe(m.see(checker.RequestAbandoned, v)) // it does not come again
 	}
 	v.ids = nil
 }
@@ -439,7 +439,7 @@
 	done, err := v.parser.Next(&v.buf)
 	if v.kind == asksAgain {
 		if err != nil {
-			m.witness.Observe(m.see(checker.Broken, v))
+			m.witness.Observe(m.see(checker.ResponseTruncated, v))
 			v.id = 0
 			m.net.Close(c)
 		} else if done {
@@ -459,7 +459,7 @@
 }
 
 func (m *Mischief) answeredAgain(v *visit) {
-	e := m.see(checker.Answered, v)
+	e := m.see(checker.ResponseReceived, v)
 	e.Status, e.Digest = int32(v.parser.Status), checker.Digest(v.parser.Body)
 	m.witness.Observe(e)
 	v.id = 0
@@ -479,15 +479,15 @@
 	case v.kind == asksAhead:
 		m.endedAhead(c, v, err)
 	case v.kind == asksAgain && v.id != 0 && err == nil:
-		m.witness.Observe(m.see(checker.Left, v))
+		m.witness.Observe(m.see(checker.RequestAbandoned, v))
 	case v.kind == asksAgain && v.id != 0 && v.parser.Begun():
-		m.witness.Observe(m.see(checker.Broken, v))
+		m.witness.Observe(m.see(checker.ResponseTruncated, v))
 	case v.kind == asksAgain && v.id != 0:
-		e := m.see(checker.Dropped, v)
-		e.Reused, e.Read = v.tries > 1, readByPeer(c)
+		e := m.see(checker.ConnectionDropped, v)
+		e.Reused, e.WasRead = v.tries > 1, readByPeer(c)
 		m.witness.Observe(e)
 	case v.kind != asksAgain && v.kind != asksHalf && err != nil && v.told:
-		m.witness.Observe(m.see(checker.HostileEnded, v))
+		m.witness.Observe(m.see(checker.HostileClosed, v))
 	}
 	m.arm()
 }
--- a/internal/environment/mischief_test.go
+++ b/internal/environment/mischief_test.go
@@ -30,12 +30,12 @@
 				player.Play(s.day.Start)
 				s.until(c.machineAfter)
 
-				require.Zero(t, s.notes.count(checker.Hostile))
+				require.Zero(t, s.notes.count(checker.HostileConnected))
 				s.begin(t, s.day.Sidecars[0].IP)
 				s.until(lasts)
 				came := s.world.Mischief[0].visits
 				require.Equal(t, c.come, came > 0)
-				require.Equal(t, c.come, s.notes.count(checker.Hostile) > 0)
+				require.Equal(t, c.come, s.notes.count(checker.HostileConnected) > 0)
 				s.until(lasts + 2)
 				require.Equal(t, came, s.world.Mischief[0].visits, "none comes once the trouble is over")
 			})
--- a/internal/environment/player.go
+++ b/internal/environment/player.go
@@ -248,7 +248,7 @@
 
 // terminate tells a sidecar's process to end, and its clients so.
 func (p *Player) terminate(sidecar int, now float64) {
-	p.sidecar(checker.SidecarTermed, sidecar, now)
+	p.sidecar(checker.SidecarTerminating, sidecar, now)
 	p.w.leave(sidecar, now)
 	p.ground.Terminate(sidecar)
 }
@@ -382,16 +382,16 @@
 			continue
 		}
 		p.frozen[i] = true
-		p.sidecar(checker.SidecarFrozen, i, now)
-		p.cut(int32(i), checker.ToClients, true, now)
+		p.sidecar(checker.SidecarSuspended, i, now)
+		p.cut(int32(i), checker.PathToClients, true, now)
 		p.ground.Freeze(i, true)
 		p.atEnd(t, now, func(now float64) {
 			if p.frozen[i] {
 				p.frozen[i] = false
 				p.ground.Freeze(i, false)
-				p.sidecar(checker.SidecarThawed, i, now)
+				p.sidecar(checker.SidecarResumed, i, now)
 			}
-			p.cut(int32(i), checker.ToClients, false, now)
+			p.cut(int32(i), checker.PathToClients, false, now)
 		})
 	}
 }
@@ -545,11 +545,11 @@
 
 // cut tells the witness of a way that is cut, or mended.
 func (p *Player) cut(sidecar, box int32, on bool, now float64) {
-	kind := checker.PathMended
+	kind := checker.PathFaultEnded
 	if on {
-		kind = checker.PathCut
+		kind = checker.PathFaultStarted
 	}
-	p.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: sidecar, Box: box})
+	p.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: sidecar, Server: box})
 }
 
 func (p *Player) oneWay(boxes []*Box, t *Trouble, now float64) {
@@ -589,18 +589,18 @@
 	for _, i := range t.Sidecars {
 		p.slow[i]++
 		p.ground.Stall(i, t.Share)
-		p.cut(int32(i), checker.ToClients, true, now)
+		p.cut(int32(i), checker.PathToClients, true, now)
 		p.atEnd(t, now, func(now float64) {
 			if p.slow[i]--; p.slow[i] == 0 {
 				p.ground.Stall(i, 1)
 			}
-			p.cut(int32(i), checker.ToClients, false, now)
+			p.cut(int32(i), checker.PathToClients, false, now)
 		})
 	}
 }
 
 func (p *Player) sidecar(kind checker.Kind, sidecar int, now float64) {
-	p.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: int32(sidecar), Box: -1})
+	p.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: int32(sidecar), Server: -1})
 }
 
 // killSidecar ends a sidecar's process and begins the next one after a while.
@@ -632,21 +632,21 @@
 	p.ground.Return(ip)
 	p.w.Registry.Move()
 	for i := range p.w.Apps {
-		p.sidecar(checker.Reloaded, i, now)
+		p.sidecar(checker.SidecarReloaded, i, now)
 		p.ground.Hangup(i, p.w.ReloadConfiguration(i))
 	}
 }
 
 // takeOut has the operators of all sidecars take boxes out, or give them back.
 func (p *Player) takeOut(boxes []*Box, on bool) {
-	kind := checker.GivenBack
+	kind := checker.ServerUncordoned
 	if on {
-		kind = checker.TakenOut
+		kind = checker.ServerCordoned
 	}
 	for i := range p.w.Apps {
 		for _, b := range boxes {
 			p.ground.TakeOut(i, b.Spec.Name, on, func() {
-				p.witness.Observe(checker.Event{Kind: kind, At: p.ground.Now(), Sidecar: int32(i), Box: int32(b.Spec.Number)})
+				p.witness.Observe(checker.Event{Kind: kind, At: p.ground.Now(), Sidecar: int32(i), Server: int32(b.Spec.Number)})
 			})
 		}
 	}
--- a/internal/environment/registry.go
+++ b/internal/environment/registry.go
@@ -108,12 +108,12 @@
 	c.entry.index = r.index
 	r.entries[c.box] = c.entry
 	r.changes = append(r.changes, c)
-	r.see(checker.Listed, -1, c.box, c.entry, r.index, c.at)
+	r.see(checker.ListChanged, -1, c.box, c.entry, r.index, c.at)
 }
 
 func (r *Registry) see(kind checker.Kind, sidecar int32, box int, e entry, index uint64, now float64) {
-	r.witness.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Box: int32(box), Status: e.status,
-		Since: e.since, Address: e.address, Index: index})
+	r.witness.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Server: int32(box), Status: e.status,
+		ServingSince: e.since, Address: e.address, ListIndex: index})
 }
 
 // due returns when the registry has something to do.
@@ -187,11 +187,11 @@
 	if waiting == r.line {
 		return
 	}
-	kind := checker.LineGone
+	kind := checker.DiscoveryQueueDrained
 	if r.line = waiting; waiting {
-		kind = checker.LineFormed
+		kind = checker.DiscoveryQueueFormed
 	}
-	r.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Box: -1})
+	r.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Server: -1})
 }
 
 // Hush has all watches that are open say nothing more. Those that begin from then on speak.
@@ -225,7 +225,7 @@
 			f.net.Post(f.closeAll)
 		}
 	}
-	r.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Box: -1})
+	r.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Server: -1})
 	r.arm()
 }
 
@@ -323,7 +323,7 @@
 			e.status = checker.Deleted
 		}
 		if leftOut || r.tells(&e, since, snapshot) {
-			r.see(checker.Told, sidecar, i, e, index, now)
+			r.see(checker.EntryDelivered, sidecar, i, e, index, now)
 		}
 	}
 }
--- a/internal/environment/registryfront.go
+++ b/internal/environment/registryfront.go
@@ -65,8 +65,8 @@
 	c.SetContext(k)
 	f.links = append(f.links, k)
 	if f.r.down && f.r.refusing { // nobody dials it but for the list
-		f.see(checker.Called, k)
-		f.see(checker.CallFailed, k)
+		f.see(checker.DiscoveryCalled, k)
+		f.see(checker.DiscoveryCallFailed, k)
 		return false
 	}
 	return true
@@ -83,18 +83,18 @@
 	}
 	if k.watching {
 		k.watching = false
-		f.see(checker.WatchEnded, k)
+		f.see(checker.WatchClosed, k)
 	}
 	if k.calling {
 		k.calling = false
-		f.see(checker.CallFailed, k)
+		f.see(checker.DiscoveryCallFailed, k)
 		f.r.lookAtLine(f.net.Now())
 	}
 }
 
 func (f *registryFront) see(kind checker.Kind, k *registryLink) {
 	now := f.net.Now()
-	f.r.witness.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: k.sidecar, Box: checker.ToDiscovery, Link: k.number})
+	f.r.witness.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: k.sidecar, Server: checker.PathToDiscovery, Connection: k.number})
 }
 
 func (f *registryFront) Traffic(c netio.Conn, data []byte) {
@@ -140,7 +140,7 @@
 		}
 	}
 	k.calling, k.calledAt = true, f.net.Now()
-	f.see(checker.Called, k)
+	f.see(checker.DiscoveryCalled, k)
 	if f.r.down {
 		f.turnAway(k)
 		return
@@ -152,7 +152,7 @@
 
 func (f *registryFront) turnAway(k *registryLink) {
 	k.calling = false
-	f.see(checker.CallFailed, k)
+	f.see(checker.DiscoveryCallFailed, k)
 	f.write(k, http1.AppendResponse(f.out[:0], 503, nil, nil))
 }
 
@@ -171,7 +171,7 @@
 	}
 	out = append(out, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"...)
 	k.watching = true
-	f.see(checker.WatchUp, k)
+	f.see(checker.WatchOpened, k)
 	f.line(k, out, snapshot)
 	f.due.put(now+r.spec.PulseS, registryTask{link: k, pulse: true})
 }
@@ -209,7 +209,7 @@
 	for _, k := range f.links {
 		if k.watching && !k.silent {
 			k.silent = true
-			f.see(checker.WatchSilent, k)
+			f.see(checker.WatchStalled, k)
 		}
 	}
 }
--- a/internal/lab/load/witness.go
+++ b/internal/lab/load/witness.go
@@ -49,25 +49,25 @@
 		}
 		t.tales++
 		j.tale = uint64(w.index)<<32 | t.tales
-		asked := checker.Event{Kind: checker.Asked, Box: -1, Class: int32(j.class), At: at(j.sent), Until: until, Request: j.tale, First: j.tale}
+		asked := checker.Event{Kind: checker.RequestStarted, Server: -1, Class: int32(j.class), At: at(j.sent), Deadline: until, Request: j.tale, FirstRequest: j.tale}
 		if j.again {
-			asked.At, asked.Until = at(j.askedAt), at(j.askedAt+w.plan.Patience)
+			asked.At, asked.Deadline = at(j.askedAt), at(j.askedAt+w.plan.Patience)
 			taken := asked
-			taken.Kind, taken.Link = checker.Taken, j.tale
+			taken.Kind, taken.Connection = checker.RequestSent, j.tale
 			t.events = append(t.events, asked, taken)
-			w.tell(j, checker.Dropped, j.droppedAt, 0, true)
+			w.tell(j, checker.ConnectionDropped, j.droppedAt, 0, true)
 		} else {
 			t.events = append(t.events, asked)
 		}
 	}
-	t.events = append(t.events, checker.Event{Kind: checker.Taken, Box: -1, At: at(j.sent), Until: until, Request: j.tale, Link: j.tale})
+	t.events = append(t.events, checker.Event{Kind: checker.RequestSent, Server: -1, At: at(j.sent), Deadline: until, Request: j.tale, Connection: j.tale})
 	return true
 }
 
 // tell adds an event of a try that was begun.
 func (w *worker) tell(j *job, kind checker.Kind, d time.Duration, status int, reused bool) {
-	w.result.seen.events = append(w.result.seen.events, checker.Event{Kind: kind, Box: -1, At: at(d), Status: int32(status),
-		Request: j.tale, Link: j.tale, Reused: reused})
+	w.result.seen.events = append(w.result.seen.events, checker.Event{Kind: kind, Server: -1, At: at(d), Status: int32(status),
+		Request: j.tale, Connection: j.tale, Reused: reused})
 }
 
 // droppedOn tells that the other side has ended a link with a request out and no byte of its answer.
@@ -81,7 +81,7 @@
 	case len(l.pending) > 0: // Danger: what was not written whole was not taken
 	case w.gap >= ownStall || !j.again && (rested || !w.plan.Calm):
 	case w.introduce(j):
-		w.tell(j, checker.Dropped, now, 0, false)
+		w.tell(j, checker.ConnectionDropped, now, 0, false)
 	}
 }
 
@@ -94,12 +94,12 @@
 		if w.introduce(&j) {
 			second := reply{}
 			second.readHead(append(slices.Clone(data[:12]), '\n'))
-			w.tell(&j, checker.Answered, l.answeredAt, l.reply.status, false)
-			w.tell(&j, checker.Answered, now, second.status, false)
+			w.tell(&j, checker.ResponseReceived, l.answeredAt, l.reply.status, false)
+			w.tell(&j, checker.ResponseReceived, now, second.status, false)
 		}
 	} else if t := &w.result.seen; w.plan.Slack > 0 && t.tales < mostTales {
 		t.tales++
-		t.events = append(t.events, checker.Event{Kind: checker.Stray, Box: -1, At: at(now)})
+		t.events = append(t.events, checker.Event{Kind: checker.UnsolicitedBytes, Server: -1, At: at(now)})
 	} else if w.plan.Slack > 0 {
 		t.beyond++
 	}
@@ -126,7 +126,7 @@
 // silent ends the listening on a link on which nothing has come until its slack was over.
 func (w *worker) silent(l *link, now time.Duration) {
 	if w.introduce(&l.job) {
-		w.tell(&l.job, checker.Left, now, 0, false)
+		w.tell(&l.job, checker.RequestAbandoned, now, 0, false)
 	}
 	w.heard(l)
 }
@@ -150,7 +150,7 @@
 		e.Sidecar = int32(sidecar)
 		if e.Request != 0 {
 			e.Request |= uint64(sidecar) << 48
-			e.First, e.Link = e.Request, e.Request
+			e.FirstRequest, e.Connection = e.Request, e.Request
 		}
 	}
 }
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -112,8 +112,8 @@
 
 // See takes an event.
 func (p *workPlay) Observe(e checker.Event) {
-	link := [2]uint64{uint64(uint32(e.Box)), e.Link}
-	name := func() string { return p.day.Boxes[e.Box].Name }
+	link := [2]uint64{uint64(uint32(e.Server)), e.Connection}
+	name := func() string { return p.day.Boxes[e.Server].Name }
 	end := func() {
 		if i, ok := p.open[link]; ok {
 			p.came[name()][i].to = e.At
@@ -121,27 +121,27 @@
 		}
 	}
 	switch e.Kind {
-	case checker.Execution:
+	case checker.AttemptReceived:
 		end()
 		p.open[link] = len(p.came[name()])
 		p.came[name()] = append(p.came[name()], execution{from: e.At, sidecar: int(e.Sidecar)})
-	case checker.Replied, checker.LinkClosed:
+	case checker.ResponseSent, checker.ConnectionClosed:
 		end()
-	case checker.BoxEnded:
+	case checker.ServerStopped:
 		for k, i := range p.open {
 			if k[0] == link[0] {
 				p.came[name()][i].to = e.At
 				delete(p.open, k)
 			}
 		}
-	case checker.Asked:
-		p.first[e.Request] = e.First
+	case checker.RequestStarted:
+		p.first[e.Request] = e.FirstRequest
 		p.tries = append(p.tries, e.At)
-		if p.asked[e.First] == nil && int(e.Class) < len(p.day.Classes) && e.Class >= 0 && !e.Uncounted {
+		if p.asked[e.FirstRequest] == nil && int(e.Class) < len(p.day.Classes) && e.Class >= 0 && !e.Uncounted {
 			c := &p.day.Classes[e.Class]
-			p.asked[e.First] = &want{at: e.At, worth: c.Worth, aimS: c.AimS}
+			p.asked[e.FirstRequest] = &want{at: e.At, worth: c.Worth, aimS: c.AimS}
 		}
-	case checker.Answered:
+	case checker.ResponseReceived:
 		w := p.asked[p.first[e.Request]]
 		if e.Status == 200 && w != nil && e.At-w.at <= w.aimS {
 			w.served = true
--- a/internal/lab/processcluster/works_test.go
+++ b/internal/lab/processcluster/works_test.go
@@ -58,9 +58,9 @@
 		play := &Troupe{mates: []*mate{{name: "n0"}}, aways: k.away}
 		p := newWorkPlay(play, Work{Spec: maintenance.Spec{Servers: []string{"a", "b"}, MaxConcurrent: 1, MaxPerSite: 2, WarmUpSeconds: 5, DeadMemberSeconds: 100}}, day)
 		for i, v := range k.visits {
-			p.Observe(checker.Event{Kind: checker.Execution, At: v.from, Link: uint64(i)})
+			p.Observe(checker.Event{Kind: checker.AttemptReceived, At: v.from, Connection: uint64(i)})
 			if v.to > 0 {
-				p.Observe(checker.Event{Kind: checker.Replied, At: v.to, Link: uint64(i)})
+				p.Observe(checker.Event{Kind: checker.ResponseSent, At: v.to, Connection: uint64(i)})
 			}
 		}
 		p.given, p.over, p.byHand = 960, 1049, k.records
@@ -84,14 +84,14 @@
 	p := newWorkPlay(&Troupe{}, Work{Spec: maintenance.Spec{MaxConcurrent: 1}, Hand: true}, day)
 	for i := range 100 {
 		at, id := 1000+float64(i), uint64(i+1)
-		p.Observe(checker.Event{Kind: checker.Asked, At: at, Request: id, First: id})
+		p.Observe(checker.Event{Kind: checker.RequestStarted, At: at, Request: id, FirstRequest: id})
 		switch {
 		case i >= 40 && i < 44:
-			p.Observe(checker.Event{Kind: checker.Answered, At: at + 0.1, Request: id, Status: 503})
+			p.Observe(checker.Event{Kind: checker.ResponseReceived, At: at + 0.1, Request: id, Status: 503})
 		case i >= 60 && i < 65:
-			p.Observe(checker.Event{Kind: checker.Answered, At: at + 1.5, Request: id, Status: 200})
+			p.Observe(checker.Event{Kind: checker.ResponseReceived, At: at + 1.5, Request: id, Status: 200})
 		default:
-			p.Observe(checker.Event{Kind: checker.Answered, At: at + 0.5, Request: id, Status: 200})
+			p.Observe(checker.Event{Kind: checker.ResponseReceived, At: at + 0.5, Request: id, Status: 200})
 		}
 	}
 	p.given, p.over = 1000, 1100
--- a/internal/lab/realtime/board.go
+++ b/internal/lab/realtime/board.go
@@ -61,24 +61,24 @@
 // See takes an event.
 func (b *Board) Observe(e checker.Event) {
 	switch e.Kind {
-	case checker.Asked:
-		b.first[e.Request] = e.First
-		if _, known := b.asked[e.First]; !known {
-			b.asked[e.First] = request{at: e.At, class: e.Class}
+	case checker.RequestStarted:
+		b.first[e.Request] = e.FirstRequest
+		if _, known := b.asked[e.FirstRequest]; !known {
+			b.asked[e.FirstRequest] = request{at: e.At, class: e.Class}
 			b.count(request{at: e.At, class: e.Class}, func(c *load.Counts) { c.Offered++ })
 		}
-	case checker.Answered:
+	case checker.ResponseReceived:
 		b.answered(e)
-	case checker.Left, checker.Unreached, checker.Dropped, checker.Broken:
+	case checker.RequestAbandoned, checker.ConnectFailed, checker.ConnectionDropped, checker.ResponseTruncated:
 		delete(b.first, e.Request)
-	case checker.BoxStarted:
-		b.boxes[e.Box].up = true
-	case checker.BoxEnded:
-		b.boxes[e.Box].up = false
-	case checker.Execution:
-		*grow(&b.boxes[e.Box].work, b.step(e.At))++
-	case checker.Replied:
-		*grow(&b.boxes[e.Box].answers, b.step(e.At))++
+	case checker.ServerStarted:
+		b.boxes[e.Server].up = true
+	case checker.ServerStopped:
+		b.boxes[e.Server].up = false
+	case checker.AttemptReceived:
+		*grow(&b.boxes[e.Server].work, b.step(e.At))++
+	case checker.ResponseSent:
+		*grow(&b.boxes[e.Server].answers, b.step(e.At))++
 	}
 }
 
--- a/internal/lab/realtime/live_test.go
+++ b/internal/lab/realtime/live_test.go
@@ -42,8 +42,8 @@
 }
 
 func (t *tally) Observe(e checker.Event) {
-	if e.Kind == checker.Execution {
-		t.add(int(e.Sidecar), int(e.Box))
+	if e.Kind == checker.AttemptReceived {
+		t.add(int(e.Sidecar), int(e.Server))
 	}
 }
 
--- a/internal/lab/realtime/sidecar.go
+++ b/internal/lab/realtime/sidecar.go
@@ -83,11 +83,11 @@
 	if child.Err() != nil {
 		status = 1
 	}
-	s.see(checker.Event{Kind: checker.SidecarEnded, Status: status})
+	s.see(checker.Event{Kind: checker.SidecarExited, Status: status})
 }
 
 func (s *sidecar) see(e checker.Event) {
-	e.At, e.Sidecar, e.Box = s.p.Now(), int32(s.number), -1
+	e.At, e.Sidecar, e.Server = s.p.Now(), int32(s.number), -1
 	s.p.Judge.Observe(e)
 	if s.p.settings.Watch != nil {
 		s.p.settings.Watch.Observe(e)
--- a/internal/sim/ground.go
+++ b/internal/sim/ground.go
@@ -166,7 +166,7 @@
 
 // exited takes the end of a process that has ended by itself.
 func (s *instance) exited() {
-	s.d.see(checker.Event{Kind: checker.SidecarEnded, Sidecar: int32(s.number)})
+	s.d.see(checker.Event{Kind: checker.SidecarExited, Sidecar: int32(s.number)})
 }
 
 // Kill ends the process of a machine: that of a sidecar, where there is one, and else all that is there.
--- a/internal/sim/lists.go
+++ b/internal/sim/lists.go
@@ -37,10 +37,10 @@
 		named[e.Name] = i + 1
 	}
 	for box := range d.spec.Boxes {
-		e := checker.Event{Kind: checker.Fed, At: d.net.Now(), Sidecar: int32(l.s.number), Box: int32(box), Index: list.Index, Status: checker.Deleted}
+		e := checker.Event{Kind: checker.EntryRelayed, At: d.net.Now(), Sidecar: int32(l.s.number), Server: int32(box), ListIndex: list.Index, Status: checker.Deleted}
 		if i := named[d.spec.Boxes[box].Name]; i > 0 {
 			said := &list.Endpoints[i-1]
-			e.Status, e.Since, e.Address = statuses[said.Status], said.SinceMS/1000, said.Address
+			e.Status, e.ServingSince, e.Address = statuses[said.Status], said.SinceMS/1000, said.Address
 		} else if !list.Snapshot {
 			continue
 		}
@@ -109,21 +109,21 @@
 	}
 	w.since = max(w.since, e.At)
 	switch e.Kind {
-	case checker.Called:
+	case checker.DiscoveryCalled:
 		w.Calls++
-	case checker.WatchUp:
+	case checker.WatchOpened:
 		w.watching++
-	case checker.WatchEnded:
+	case checker.WatchClosed:
 		w.watching--
-	case checker.Listed:
+	case checker.ListChanged:
 		w.listed(&e)
-	case checker.Told, checker.Fed:
+	case checker.EntryDelivered, checker.EntryRelayed:
 		w.told(&e)
 	case checker.SidecarStarted:
 		p := w.party(e.Sidecar)
 		*p = listParty{up: true}
-	case checker.SidecarKilled, checker.SidecarTermed, checker.SidecarEnded, checker.SidecarFrozen:
-		w.party(e.Sidecar).up = e.Kind == checker.SidecarFrozen
+	case checker.SidecarKilled, checker.SidecarTerminating, checker.SidecarExited, checker.SidecarSuspended:
+		w.party(e.Sidecar).up = e.Kind == checker.SidecarSuspended
 		for i := range w.open {
 			w.close(i, e.Sidecar)
 		}
@@ -138,7 +138,7 @@
 }
 
 func (w *ListWitness) listed(e *checker.Event) {
-	o := openList{index: e.Index, at: e.At}
+	o := openList{index: e.ListIndex, at: e.At}
 	for _, p := range w.parties {
 		o.waits = append(o.waits, p.up)
 		if p.up {
@@ -165,12 +165,12 @@
 
 func (w *ListWitness) told(e *checker.Event) {
 	p := w.party(e.Sidecar)
-	if e.Index <= p.index {
+	if e.ListIndex <= p.index {
 		return
 	}
-	p.index = e.Index
+	p.index = e.ListIndex
 	for i := range w.open {
-		if o := &w.open[i]; o.index <= e.Index && int(e.Sidecar) < len(o.waits) && o.waits[e.Sidecar] {
+		if o := &w.open[i]; o.index <= e.ListIndex && int(e.Sidecar) < len(o.waits) && o.waits[e.Sidecar] {
 			o.slowest = max(o.slowest, e.At-o.at)
 			w.Ages = append(w.Ages, e.At-o.at)
 			w.close(i, e.Sidecar)
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -273,7 +273,7 @@
 		for _, c := range s.proc.Conns() {
 			if _, peer := c.Context().(*peers.Link); peer && c.OutboundBuffered() > mostQueued && !d.long {
 				d.long = true
-				d.see(checker.Event{Kind: checker.FleetWrong, Sidecar: int32(s.number), Status: checker.QueueWrong,
+				d.see(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: checker.QueueInvariant,
 					Text: fmt.Sprintf("%d bytes wait for a peer that does not read", c.OutboundBuffered())})
 			}
 		}
@@ -368,7 +368,7 @@
 		}
 		wrong := func(what int32, format string, args ...any) {
 			d.wrong = true
-			d.see(checker.Event{Kind: checker.FleetWrong, Sidecar: int32(s.number), Status: what, Text: fmt.Sprintf(format, args...)})
+			d.see(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: what, Text: fmt.Sprintf(format, args...)})
 		}
 		live := 0
 		for _, m := range seen[i].Members {
@@ -376,13 +376,13 @@
 			case m.State == "alive" && o != nil:
 				live++
 			case m.State == "alive" || m.State == "suspected" && o == nil:
-				wrong(checker.ViewWrong, "%s holds %s (%s) for %s, %.1f s after the last trouble, and it is not there", s.spec.Name, m.Name, m.ID, m.State, calm)
+				wrong(checker.ViewInvariant, "%s holds %s (%s) for %s, %.1f s after the last trouble, and it is not there", s.spec.Name, m.Name, m.ID, m.State, calm)
 			case o != nil && now-o.upAt > livesS:
-				wrong(checker.DeathWrong, "%s holds %s for %s, %.1f s after the last trouble, and it lives", s.spec.Name, m.Name, m.State, calm)
+				wrong(checker.DeathInvariant, "%s holds %s for %s, %.1f s after the last trouble, and it lives", s.spec.Name, m.Name, m.State, calm)
 			}
 		}
 		if live != up || seen[i].Live != up {
-			wrong(checker.ViewWrong, "%s knows %d that live and counts %d, of %d, %.1f s after the last trouble", s.spec.Name, live, seen[i].Live, up, calm)
+			wrong(checker.ViewInvariant, "%s knows %d that live and counts %d, of %d, %.1f s after the last trouble", s.spec.Name, live, seen[i].Live, up, calm)
 		}
 		if calm > agreeS+placedS {
 			count := up
@@ -392,7 +392,7 @@
 				}
 			}
 			if other, twice := ranks[seen[i].Rank]; twice || seen[i].Rank >= seen[i].Count || seen[i].Count != count {
-				wrong(checker.RankWrong, "%s has rank %d of %d, of %d that live; sidecar %d has that rank, too: %v", s.spec.Name, seen[i].Rank, seen[i].Count, up, other, twice)
+				wrong(checker.RankInvariant, "%s has rank %d of %d, of %d that live; sidecar %d has that rank, too: %v", s.spec.Name, seen[i].Rank, seen[i].Count, up, other, twice)
 			}
 			ranks[seen[i].Rank] = s.number
 		}
@@ -409,7 +409,7 @@
 			s.gone[m.ID] = m.Incarnation
 		} else if was, ok := s.gone[m.ID]; ok && m.Incarnation <= was && !d.wrong {
 			d.wrong = true
-			d.see(checker.Event{Kind: checker.FleetWrong, Sidecar: int32(s.number), Status: checker.RisenWrong,
+			d.see(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: checker.IncarnationInvariant,
 				Text: fmt.Sprintf("%s holds %s for %s by the incarnation %d by which it was gone", s.spec.Name, m.Name, m.State, m.Incarnation)})
 		}
 	}
@@ -423,7 +423,7 @@
 	for _, j := range seen.Leases.Roles {
 		if !slices.IsSorted(j.AcceptedTokens) {
 			d.wrong = true
-			d.see(checker.Event{Kind: checker.FleetWrong, Sidecar: int32(s.number), Status: checker.TokenWrong,
+			d.see(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: checker.TokenInvariant,
 				Text: fmt.Sprintf("%s has taken effects of %s under the tokens %v", s.spec.Name, j.Role, j.AcceptedTokens)})
 		}
 		d.granted = max(d.granted, j.MaxToken)
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -345,7 +345,7 @@
 		}
 		if most != s.told {
 			s.told = most
-			d.see(checker.Event{Kind: checker.Descriptors, Sidecar: int32(s.number), N: int32(max(held, most))})
+			d.see(checker.Event{Kind: checker.DescriptorsCounted, Sidecar: int32(s.number), Count: int32(max(held, most))})
 		}
 	}
 }
@@ -366,7 +366,7 @@
 		held = append(held, Holding{"dials", beyond(s.proc.Dialing(), restingLinks)}, Holding{"bytes that are not sent", unsent})
 		for _, h := range held {
 			if h.N != 0 {
-				d.see(checker.Event{Kind: checker.Leftover, Sidecar: int32(s.number), N: int32(h.N), Text: h.Name})
+				d.see(checker.Event{Kind: checker.LeftoversCounted, Sidecar: int32(s.number), Count: int32(h.N), Text: h.Name})
 			}
 		}
 	}
@@ -374,7 +374,7 @@
 
 // see tells the judge of something that happens now.
 func (d *day) see(e checker.Event) {
-	e.At, e.Box = d.net.Now(), -1
+	e.At, e.Server = d.net.Now(), -1
 	d.seeAs(e)
 }
 
--- a/internal/sim/stored_form_test.go
+++ b/internal/sim/stored_form_test.go
@@ -39,9 +39,9 @@
 func TestTraceFormIsKept(t *testing.T) {
 	var text bytes.Buffer
 	for _, kind := range slices.Sorted(maps.Keys(kindNames)) {
-		e := checker.Event{Kind: kind, Sidecar: 1, Box: 2, Status: 503, N: 4, NotStarted: true, Spoilt: true, Request: 0xabc, First: 0xdef, Text: "text"}
+		e := checker.Event{Kind: kind, Sidecar: 1, Server: 2, Status: 503, Count: 4, NotStarted: true, Malformed: true, Request: 0xabc, FirstRequest: 0xdef, Text: "text"}
 		fmt.Fprintln(&text, describe(&e))
-		fmt.Fprintln(&text, describe(&checker.Event{Kind: kind, Sidecar: -1, Box: -1}))
+		fmt.Fprintln(&text, describe(&checker.Event{Kind: kind, Sidecar: -1, Server: -1}))
 	}
 	golden(t, "trace-events.txt", text.Bytes())
 
@@ -67,9 +67,9 @@
 
 // TestResultFormIsKept writes the results that commands print as JSON, all fields set, and reads them back.
 func TestResultFormIsKept(t *testing.T) {
-	event := checker.Event{Kind: checker.Replied, Sidecar: 1, Box: 2, Class: 3, Status: 200, Zone: 4, Cell: 5, N: 6, Reused: true, Read: true, NotStarted: true,
-		Spoilt: true, ByBox: true, Uncounted: true, At: 1.5, FirstSent: 2.5, Sent: 3.5, Until: 4.5, Since: 5.5, Work: 6.5, Request: 7, First: 8, Link: 9, Digest: 10,
-		Index: 11, Address: "address", Text: "text"}
+	event := checker.Event{Kind: checker.ResponseSent, Sidecar: 1, Server: 2, Class: 3, Status: 200, Zone: 4, Cell: 5, Count: 6, Reused: true, WasRead: true, NotStarted: true,
+		Malformed: true, ByServer: true, Uncounted: true, At: 1.5, FirstSent: 2.5, Sent: 3.5, Deadline: 4.5, ServingSince: 5.5, Work: 6.5, Request: 7, FirstRequest: 8, Connection: 9, Digest: 10,
+		ListIndex: 11, Address: "address", Text: "text"}
 	r := Result{Seed: 1, Hash: 2, Steps: 3, Start: 4.5, SimulatedS: 5.5, Granted: 6, Worked: 7,
 		Findings: []checker.Violation{{Rule: checker.SafeDrain, At: 1.5, Sidecar: 1, Server: 2, Request: 3, Reason: "why", Events: []checker.Event{event}}},
 		Report:   checker.Report{Service: 0.5, Classes: []checker.ClassService{{}}}}
--- a/internal/sim/trace.go
+++ b/internal/sim/trace.go
@@ -60,25 +60,25 @@
 	if e.Sidecar >= 0 {
 		s += fmt.Sprintf(" sidecar %d", e.Sidecar)
 	}
-	if e.Box >= 0 {
-		s += fmt.Sprintf(" box %d", e.Box)
+	if e.Server >= 0 {
+		s += fmt.Sprintf(" box %d", e.Server)
 	}
 	if e.Request != 0 {
 		s += fmt.Sprintf(" request %016x", e.Request)
 	}
-	if e.First != 0 && e.First != e.Request {
-		s += fmt.Sprintf(" first %016x", e.First)
+	if e.FirstRequest != 0 && e.FirstRequest != e.Request {
+		s += fmt.Sprintf(" first %016x", e.FirstRequest)
 	}
 	if e.Status != 0 {
 		s += fmt.Sprintf(" status %d", e.Status)
 	}
-	if e.N != 0 {
-		s += fmt.Sprintf(" n %d", e.N)
+	if e.Count != 0 {
+		s += fmt.Sprintf(" n %d", e.Count)
 	}
 	if e.NotStarted {
 		s += " not started"
 	}
-	if e.Spoilt {
+	if e.Malformed {
 		s += " spoilt"
 	}
 	if e.Text != "" {
@@ -88,16 +88,16 @@
 }
 
 var kindNames = map[checker.Kind]string{
-	checker.Asked: "asked", checker.Taken: "taken", checker.Answered: "answered", checker.Broken: "broken", checker.Dropped: "dropped",
-	checker.Left: "left", checker.Unreached: "unreached", checker.Stray: "stray", checker.Hostile: "hostile", checker.HalfClosed: "half closed",
-	checker.SidecarFrozen: "stands still", checker.SidecarThawed: "goes on", checker.FleetWrong: "fleet wrong",
-	checker.HostileAnswered: "hostile answered", checker.HostileEnded: "hostile ended",
-	checker.BoxStarted: "box started", checker.BoxEnded: "box ended", checker.BoxFell: "box fell", checker.Execution: "execution",
-	checker.Replied: "replied", checker.LinkOpened: "link opened", checker.LinkClosed: "link closed", checker.Probed: "probed",
-	checker.Listed: "listed", checker.Told: "told", checker.Fed: "fed", checker.Called: "called", checker.CallFailed: "call failed", checker.WatchUp: "watch up",
-	checker.WatchEnded: "watch ended", checker.WatchSilent: "watch silent", checker.LineFormed: "line formed", checker.LineGone: "line gone", checker.DiscoveryDown: "discovery down", checker.DiscoveryUp: "discovery up",
-	checker.SidecarStarted: "sidecar started", checker.SidecarKilled: "sidecar killed", checker.SidecarTermed: "sidecar termed",
-	checker.SidecarEnded: "sidecar ended", checker.SidecarPanicked: "sidecar panicked", checker.Reloaded: "reloaded",
-	checker.TakenOut: "taken out", checker.GivenBack: "given back",
-	checker.Descriptors: "descriptors", checker.Leftover: "leftover", checker.PathCut: "path cut", checker.PathMended: "path mended",
+	checker.RequestStarted: "asked", checker.RequestSent: "taken", checker.ResponseReceived: "answered", checker.ResponseTruncated: "broken", checker.ConnectionDropped: "dropped",
+	checker.RequestAbandoned: "left", checker.ConnectFailed: "unreached", checker.UnsolicitedBytes: "stray", checker.HostileConnected: "hostile", checker.RequestHalfClosed: "half closed",
+	checker.SidecarSuspended: "stands still", checker.SidecarResumed: "goes on", checker.FleetInvariantBroken: "fleet wrong",
+	checker.HostileAnswered: "hostile answered", checker.HostileClosed: "hostile ended",
+	checker.ServerStarted: "box started", checker.ServerStopped: "box ended", checker.ServerOverloaded: "box fell", checker.AttemptReceived: "execution",
+	checker.ResponseSent: "replied", checker.ConnectionOpened: "link opened", checker.ConnectionClosed: "link closed", checker.HealthCheckReceived: "probed",
+	checker.ListChanged: "listed", checker.EntryDelivered: "told", checker.EntryRelayed: "fed", checker.DiscoveryCalled: "called", checker.DiscoveryCallFailed: "call failed", checker.WatchOpened: "watch up",
+	checker.WatchClosed: "watch ended", checker.WatchStalled: "watch silent", checker.DiscoveryQueueFormed: "line formed", checker.DiscoveryQueueDrained: "line gone", checker.DiscoveryDown: "discovery down", checker.DiscoveryUp: "discovery up",
+	checker.SidecarStarted: "sidecar started", checker.SidecarKilled: "sidecar killed", checker.SidecarTerminating: "sidecar termed",
+	checker.SidecarExited: "sidecar ended", checker.SidecarPanicked: "sidecar panicked", checker.SidecarReloaded: "reloaded",
+	checker.ServerCordoned: "taken out", checker.ServerUncordoned: "given back",
+	checker.DescriptorsCounted: "descriptors", checker.LeftoversCounted: "leftover", checker.PathFaultStarted: "path cut", checker.PathFaultEnded: "path mended",
 }
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/troubles_test.go
@@ -86,13 +86,13 @@
 func (c *tally) Observe(e checker.Event) {
 	c.kinds[e.Kind]++
 	switch {
-	case e.Kind == checker.Left && e.At < e.Until:
+	case e.Kind == checker.RequestAbandoned && e.At < e.Deadline:
 		c.early++
-	case e.Kind == checker.LinkClosed && e.ByBox:
+	case e.Kind == checker.ConnectionClosed && e.ByServer:
 		c.byBoxes++
-	case e.Kind == checker.Listed:
-		c.drains[e.Box] = e.Status == checker.Draining
-	case e.Kind == checker.Told && e.Status == checker.Deleted && c.drains[e.Box]:
+	case e.Kind == checker.ListChanged:
+		c.drains[e.Server] = e.Status == checker.Draining
+	case e.Kind == checker.EntryDelivered && e.Status == checker.Deleted && c.drains[e.Server]:
 		c.leftOut++
 	}
 }
@@ -113,17 +113,17 @@
 		does   func(c *tally) bool
 	}{
 		{"silent-watch", environment.Trouble{Kind: environment.SilentWatch, AtS: at}, nil, func(c *tally) bool {
-			return c.kinds[checker.WatchSilent] == len(d.Sidecars) && c.kinds[checker.WatchUp] == 2*len(d.Sidecars)
+			return c.kinds[checker.WatchStalled] == len(d.Sidecars) && c.kinds[checker.WatchOpened] == 2*len(d.Sidecars)
 		}},
 		{"watch-reset", environment.Trouble{Kind: environment.WatchReset, AtS: at}, nil, func(c *tally) bool {
-			return c.kinds[checker.WatchEnded] == len(d.Sidecars) && c.kinds[checker.WatchUp] == 2*len(d.Sidecars)
+			return c.kinds[checker.WatchClosed] == len(d.Sidecars) && c.kinds[checker.WatchOpened] == 2*len(d.Sidecars)
 		}},
 		{"whole-list", environment.Trouble{Kind: environment.WholeList, AtS: at, ForS: 10},
 			[]environment.Trouble{{Kind: environment.Shrink, AtS: at, DrainS: 14, Boxes: boxes[:2]}, {Kind: environment.WatchReset, AtS: at + 4}}, func(c *tally) bool {
 				return c.leftOut == 2*len(d.Sidecars)
 			}},
 		{"clients-leave", environment.Trouble{Kind: environment.ClientsLeave, AtS: at, ForS: 10, Sidecars: []int{0, 1}, Share: 0.5}, nil, func(c *tally) bool {
-			return c.early > 10 && c.kinds[checker.HalfClosed] > 5
+			return c.early > 10 && c.kinds[checker.RequestHalfClosed] > 5
 		}},
 		{"late-connect", environment.Trouble{Kind: environment.LateConnect, AtS: at, ForS: 10, Boxes: boxes, Share: 0.5, LagS: 1.5},
 			[]environment.Trouble{{Kind: environment.EarlyClose, AtS: at, ForS: 10, Boxes: boxes, Share: 0.2}}, func(c *tally) bool { return c.notInTime > 10 }},
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -123,14 +123,14 @@
 // See takes an event.
 func (m *meter) Observe(e checker.Event) {
 	switch e.Kind {
-	case checker.Asked:
-		a := m.first[e.First]
+	case checker.RequestStarted:
+		a := m.first[e.FirstRequest]
 		if a == nil {
 			a = &asked{at: e.At, class: e.Class}
 			*m.second(&m.worth, e.At) += m.classes[e.Class].Worth
 		}
-		m.first[e.First], m.first[e.Request] = a, a
-	case checker.Answered:
+		m.first[e.FirstRequest], m.first[e.Request] = a, a
+	case checker.ResponseReceived:
 		a := m.first[e.Request]
 		switch {
 		case a == nil || a.served:
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -211,7 +211,7 @@
 	w := m.w
 	i := slices.IndexFunc(w.boxes, func(b boxSeen) bool { return b.name == r.Server })
 	if i < 0 {
-		w.wrong(checker.TwiceWrong, "%s is handed over, which there is not", r.Server)
+		w.wrong(checker.RepeatInvariant, "%s is handed over, which there is not", r.Server)
 		return
 	}
 	m.greatest = r.Token
@@ -263,7 +263,7 @@
 
 // wrong tells the judge of a break. Danger: what names no sidecar it does not take.
 func (w *plans) wrong(what int32, format string, args ...any) {
-	w.d.see(checker.Event{Kind: checker.FleetWrong, Sidecar: 0, Status: what, Text: fmt.Sprintf(format, args...)})
+	w.d.see(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: 0, Status: what, Text: fmt.Sprintf(format, args...)})
 }
 
 func (w *plans) box(name string) *boxSeen {
@@ -273,27 +273,27 @@
 // See takes what boxes get.
 func (w *plans) Observe(e checker.Event) {
 	switch e.Kind {
-	case checker.Execution:
-		b := &w.boxes[e.Box]
+	case checker.AttemptReceived:
+		b := &w.boxes[e.Server]
 		b.at, b.by = e.At, e.Sidecar
 		if e.Request != 0 {
-			w.links[e.Link] = sentTo{e.Box, e.Sidecar}
-			b.out[e.Link] = true
+			w.links[e.Connection] = sentTo{e.Server, e.Sidecar}
+			b.out[e.Connection] = true
 		}
 		if b.worker != nil && !w.excused(b, e.Sidecar) {
-			w.wrong(checker.OccupiedWrong, "%s gets a request from sidecar %d while %s works on it", b.name, e.Sidecar, b.worker.mechanic)
+			w.wrong(checker.OccupiedInvariant, "%s gets a request from sidecar %d while %s works on it", b.name, e.Sidecar, b.worker.mechanic)
 		}
-	case checker.Replied, checker.LinkClosed:
-		if to, out := w.links[e.Link]; out {
-			delete(w.boxes[to.box].out, e.Link)
-			delete(w.links, e.Link)
+	case checker.ResponseSent, checker.ConnectionClosed:
+		if to, out := w.links[e.Connection]; out {
+			delete(w.boxes[to.box].out, e.Connection)
+			delete(w.links, e.Connection)
 		}
-	case checker.BoxEnded:
-		clear(w.boxes[e.Box].out)
-	case checker.GivenBack:
-		w.boxes[e.Box].hand[e.Sidecar] = true
-	case checker.TakenOut:
-		w.boxes[e.Box].hand[e.Sidecar] = false
+	case checker.ServerStopped:
+		clear(w.boxes[e.Server].out)
+	case checker.ServerUncordoned:
+		w.boxes[e.Server].hand[e.Sidecar] = true
+	case checker.ServerCordoned:
+		w.boxes[e.Server].hand[e.Sidecar] = false
 	}
 }
 
@@ -313,15 +313,15 @@
 	w.tell("%s works on %s under %d", k.mechanic, b.name, k.token)
 	for link := range b.out { // only counted
 		if to := w.links[link]; !w.excused(b, to.sidecar) {
-			w.wrong(checker.OccupiedWrong, "%s is worked on with an execution out there", b.name)
+			w.wrong(checker.OccupiedInvariant, "%s is worked on with an execution out there", b.name)
 			break
 		}
 	}
 	if settle := w.spec.QuietSeconds; b.at > 0 && now-b.at < settle-workLateS && !w.excused(b, b.by) {
-		w.wrong(checker.OccupiedWrong, "%s got a request %.3f s before it is worked on, %.3f must be", b.name, now-b.at, settle)
+		w.wrong(checker.OccupiedInvariant, "%s got a request %.3f s before it is worked on, %.3f must be", b.name, now-b.at, settle)
 	}
 	if k.token <= w.token {
-		w.wrong(checker.TwiceWrong, "%s is handed over under %d after one under %d", b.name, k.token, w.token)
+		w.wrong(checker.RepeatInvariant, "%s is handed over under %d after one under %d", b.name, k.token, w.token)
 	}
 	w.token = max(w.token, k.token)
 	at, site := 1, 1
@@ -330,7 +330,7 @@
 			continue
 		}
 		if o.box == k.box {
-			w.wrong(checker.TwiceWrong, "%s is worked on twice for plan %d", b.name, k.plan)
+			w.wrong(checker.RepeatInvariant, "%s is worked on twice for plan %d", b.name, k.plan)
 		}
 		if !o.ended {
 			if at++; w.boxes[o.box].site == b.site {
@@ -339,7 +339,7 @@
 		}
 	}
 	if p := w.plan(k.plan); p != nil && (at > p.Spec.MaxConcurrent || site > max(p.Spec.MaxPerSite, 1)) {
-		w.wrong(checker.ManyWrong, "%d boxes of plan %d are worked on, %d of site %s", at, k.plan, site, b.site)
+		w.wrong(checker.BudgetInvariant, "%d boxes of plan %d are worked on, %d of site %s", at, k.plan, site, b.site)
 	}
 	w.record = append(w.record, k)
 	b.worker = k
@@ -413,7 +413,7 @@
 				w.epoch, w.version, w.latest = k.Epoch, k.Version, state
 				w.counts()
 			} else {
-				w.wrong(checker.ForgottenWrong, "version %d: %v", k.Version, err)
+				w.wrong(checker.RecordInvariant, "version %d: %v", k.Version, err)
 			}
 		}
 	}
@@ -446,12 +446,12 @@
 				at++
 				sites[b.Site]++
 				if sites[b.Site] > max(p.Spec.MaxPerSite, 1) {
-					w.wrong(checker.ManyWrong, "%d of site %s are out for plan %d", sites[b.Site], b.Site, p.Number)
+					w.wrong(checker.BudgetInvariant, "%d of site %s are out for plan %d", sites[b.Site], b.Site, p.Number)
 				}
 			}
 		}
 		if at > p.Spec.MaxConcurrent {
-			w.wrong(checker.ManyWrong, "%d boxes are out for plan %d", at, p.Number)
+			w.wrong(checker.BudgetInvariant, "%d boxes are out for plan %d", at, p.Number)
 		}
 		line += fmt.Sprintf(" %d:%s", p.Number, stages)
 	}
@@ -467,7 +467,7 @@
 			had := slices.ContainsFunc(w.record, func(k *boxWork) bool { return k.plan == p.Number && w.boxes[k.box].name == b.Name })
 			switch {
 			case b.Stage == maintenance.Done && !done, b.Stage < maintenance.InMaintenance && had, (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Reason == "":
-				w.wrong(checker.ForgottenWrong, "%s of plan %d is at stage %d for %q; worked on: %t, to the end: %t", b.Name, p.Number, b.Stage, b.Reason, had, done)
+				w.wrong(checker.RecordInvariant, "%s of plan %d is at stage %d for %q; worked on: %t, to the end: %t", b.Name, p.Number, b.Stage, b.Reason, had, done)
 			}
 		}
 	}
