--- a/cmd/hazellab/sim.go
+++ b/cmd/hazellab/sim.go
@@ -301,8 +301,8 @@
 		fmt.Fprintf(w, "  %-16s %.3f  asked %d, in aim %d, late %d, refused %d, failed %d\n", k.Name, k.Service, k.Asked, k.InAim, k.Late, k.Refused, k.Failed)
 	}
 	p := &t.Prices
-	fmt.Fprintf(w, "executions %d (%d in another site), probes %d, connections %d; hostile clients %d, owed %d\n", p.Executions, p.CrossZone, p.Probes,
-		p.Connections, p.Hostile, p.HostileOwed)
+	fmt.Fprintf(w, "executions %d (%d in another site), probes %d, connections %d; hostile clients %d, owed %d\n", p.Attempts, p.CrossZoneAttempts, p.HealthChecks,
+		p.Connections, p.HostileClients, p.HostileUnclosed)
 	for _, b := range t.Broken {
 		seeds := make([]string, len(b.Seeds))
 		for i, s := range b.Seeds {
--- a/internal/checker/box.go
+++ b/internal/checker/box.go
@@ -26,7 +26,7 @@
 			delete(j.links, e.Connection)
 		}
 	case HealthCheckReceived:
-		j.prices.Probes++
+		j.prices.HealthChecks++
 		j.burden(s, e)
 	case AttemptReceived:
 		j.burden(s, e)
@@ -42,9 +42,9 @@
 // execution checks a request that has come whole to a box.
 func (j *Checker) execution(s *station, e *Event) {
 	r, p := j.tries[e.Request], j.party(e.Sidecar)
-	j.prices.Executions++
-	if int(e.Sidecar) < len(j.rules.Sites) && e.Sidecar >= 0 && j.rules.Sites[e.Sidecar] != s.zone {
-		j.prices.CrossZone++
+	j.prices.Attempts++
+	if int(e.Sidecar) < len(j.rules.SidecarZones) && e.Sidecar >= 0 && j.rules.SidecarZones[e.Sidecar] != s.zone {
+		j.prices.CrossZoneAttempts++
 	}
 	if r == nil || p == nil {
 		j.addViolation(NoInvention, e.Sidecar, e.Server, e.Request, nil, "an execution of a request that no client has sent")
@@ -70,8 +70,8 @@
 			n++
 		}
 	}
-	if j.rules.MostAttempts > 0 && n > j.rules.MostAttempts {
-		j.addViolation(NoRepeat, e.Sidecar, e.Server, e.Request, nil, "execution %d of at most %d", n, j.rules.MostAttempts)
+	if j.rules.MaxAttempts > 0 && n > j.rules.MaxAttempts {
+		j.addViolation(NoRepeat, e.Sidecar, e.Server, e.Request, nil, "execution %d of at most %d", n, j.rules.MaxAttempts)
 	}
 	for i := range r.attempts[:len(r.attempts)-1] {
 		if r.attempts[i].life != p.life {
@@ -111,9 +111,9 @@
 		}
 		// The contract allows 0.1 s beyond the slack; what has been read by then is dropped at once, so that the slack alone is enough.
 		switch late := e.FirstSent - gone; {
-		case late <= j.rules.SocketSlackS:
+		case late <= j.rules.SocketSlackSeconds:
 		case r.fate == left:
-			j.addViolation(GoneClient, e.Sidecar, e.Server, e.Request, nil, "attempt %d was sent %.6f s after its client had gone", len(r.attempts)+1, late)
+			j.addViolation(ClientGone, e.Sidecar, e.Server, e.Request, nil, "attempt %d was sent %.6f s after its client had gone", len(r.attempts)+1, late)
 		default:
 			j.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "sent on %.6f s after its connection was closed", late)
 		}
@@ -135,14 +135,14 @@
 	if c.Group == GroupZone && x.zone != y.zone || c.Group == GroupCell && x.cell != y.cell {
 		j.addViolation(NoRepeat, r.sidecar, b.box, r.id, nil, "sent again to a box outside the group of box %d, where it may have run", a.box)
 	}
-	if span := b.sent - a.sent; span > c.WindowS+j.rules.SocketSlackS {
-		j.addViolation(NoRepeat, r.sidecar, b.box, r.id, nil, "sent again %.3f s after the first that may have run; its window is %.3f s", span, c.WindowS)
+	if span := b.sent - a.sent; span > c.DedupWindowSeconds+j.rules.SocketSlackSeconds {
+		j.addViolation(NoRepeat, r.sidecar, b.box, r.id, nil, "sent again %.3f s after the first that may have run; its window is %.3f s", span, c.DedupWindowSeconds)
 	}
 }
 
 // checkCopies checks that the first of two attempts was over when the second was sent, or leaves it for later.
 func (j *Checker) checkCopies(r *record, first, second int) {
-	if j.rules.SecondCopies || j.over(&r.attempts[first], r.attempts[second].sent) {
+	if j.rules.AllowsHedging || j.over(&r.attempts[first], r.attempts[second].sent) {
 		return
 	}
 	j.copies = append(j.copies, copies{r, first, second, j.now + copyWaitS})
@@ -152,7 +152,7 @@
 func (j *Checker) over(a *attempt, at float64) bool {
 	slack := exactS
 	if a.closedAt > 0 && !a.exact {
-		slack = j.rules.SocketSlackS // when it came stands for when it was done
+		slack = j.rules.SocketSlackSeconds // when it came stands for when it was done
 	}
 	return a.endedBy(j.station(a.box).endOf(a.boxLife)) <= at+slack
 }
@@ -165,7 +165,7 @@
 	if j.over(a, b.sent) || j.troubled(c.try.sidecar, a.box, a.sent, j.now) {
 		return
 	}
-	j.addViolation(OneCopy, c.try.sidecar, b.box, c.try.id, nil, "sent at %.6f while the execution sent at %.6f was still out at box %d", b.sent, a.sent, a.box)
+	j.addViolation(NoConcurrentAttempts, c.try.sidecar, b.box, c.try.id, nil, "sent at %.6f while the execution sent at %.6f was still out at box %d", b.sent, a.sent, a.box)
 }
 
 // burden notes work that reaches a cold box.
@@ -174,7 +174,7 @@
 		return
 	}
 	old := 0
-	for old < len(s.work) && s.work[old].at < e.At-j.rules.FallS {
+	for old < len(s.work) && s.work[old].at < e.At-j.rules.OverloadWindowSeconds {
 		old++
 	}
 	s.work = append(s.work[:0], s.work[old:]...)
@@ -199,14 +199,14 @@
 func (j *Checker) fell(s *station, e *Event) {
 	all, knew := 0.0, 0.0
 	for _, w := range s.work {
-		if w.at >= e.At-j.rules.FallS {
+		if w.at >= e.At-j.rules.OverloadWindowSeconds {
 			if all += w.seconds; w.knew {
 				knew += w.seconds
 			}
 		}
 	}
-	if all > 0 && knew >= j.rules.ColdShare*all {
-		j.addViolation(ColdBox, -1, e.Server, 0, nil, "%.3f s of work in %g s brought it down, %.0f %% of it from sidecars that knew of its start",
-			all, j.rules.FallS, 100*knew/all)
+	if all > 0 && knew >= j.rules.ColdLoadShare*all {
+		j.addViolation(ColdServer, -1, e.Server, 0, nil, "%.3f s of work in %g s brought it down, %.0f %% of it from sidecars that knew of its start",
+			all, j.rules.OverloadWindowSeconds, 100*knew/all)
 	}
 }
--- a/internal/checker/client.go
+++ b/internal/checker/client.go
@@ -8,7 +8,7 @@
 func (j *Checker) seeClient(e *Event) {
 	switch e.Kind {
 	case HostileConnected:
-		j.prices.Hostile++
+		j.prices.HostileClients++
 		j.hostile[e.Connection] = &hostile{until: e.Deadline, try: j.tries[e.Request]}
 		if r := j.tries[e.Request]; r != nil {
 			r.claimed = true
@@ -45,8 +45,8 @@
 		r.halved = true
 	case RequestAbandoned:
 		// Danger: a client may give so little time that nobody could answer in it, or read too slowly.
-		enough := e.At-r.askedAt >= j.rules.AnswerSlackS+j.rules.SocketSlackS && !j.troubled(r.sidecar, PathToClients, r.askedAt, e.At)
-		over := e.At >= r.until && j.rules.Unanswered || e.At >= r.until+unansweredS
+		enough := e.At-r.askedAt >= j.rules.AnswerSlackSeconds+j.rules.SocketSlackSeconds && !j.troubled(r.sidecar, PathToClients, r.askedAt, e.At)
+		over := e.At >= r.until && j.rules.RequiresAnswerInTime || e.At >= r.until+unansweredS
 		if r.taken && !r.halved && r.fate == unended && over && enough {
 			j.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "no answer when its time was over")
 		}
@@ -65,8 +65,8 @@
 	} else {
 		r.want = &want{askedAt: e.At, class: e.Class, counted: !e.Uncounted}
 		if c := j.class(e.Class); c != nil && r.want.counted {
-			j.classes[e.Class].Asked++
-			j.classes[e.Class].Worth += c.Worth
+			j.classes[e.Class].Requests++
+			j.classes[e.Class].Weight += c.PriorityWeight
 		}
 	}
 	j.tries[e.Request] = r
@@ -86,14 +86,14 @@
 	s := &j.classes[r.class]
 	switch f {
 	case refused:
-		s.Refused++
+		s.Rejected++
 	case served, excused, notTaken:
 	default:
 		s.Failed++
 	}
 	late := at-r.askedAt > (r.until-r.askedAt)/2
 	if len(r.attempts) == 0 && r.taken && (f == left || late && (f == refused || f == failed)) {
-		j.prices.SlowRefusal += 0.3 * c.Worth
+		j.prices.SlowRejectionWeight += 0.3 * c.PriorityWeight
 	}
 }
 
@@ -105,7 +105,7 @@
 	}
 	switch e.Status {
 	case 200:
-		if !j.rules.ClientsAlone && !r.made(e.Digest) {
+		if !j.rules.ObservesClientsOnly && !r.made(e.Digest) {
 			j.addViolation(NoInvention, e.Sidecar, -1, e.Request, nil, "an answer that no box has made for it")
 		}
 		j.end(r, served, e.At)
@@ -143,13 +143,13 @@
 	}
 	w.served = true
 	s := &j.classes[w.class]
-	if at-w.askedAt <= c.AimS {
-		s.InAim++
-		s.Earned += c.Worth
+	if at-w.askedAt <= c.LatencyTargetSeconds {
+		s.InTarget++
+		s.EarnedWeight += c.PriorityWeight
 		return
 	}
 	s.Late++
-	s.Earned += c.Worth * c.LateWorth
+	s.EarnedWeight += c.PriorityWeight * c.LateFraction
 }
 
 // checkRefusal checks that trying again is as harmless as a refusal says.
@@ -173,7 +173,7 @@
 	if c == nil || len(r.attempts) == 0 || j.troubled(r.sidecar, PathToClients, r.askedAt, e.At) {
 		return
 	}
-	spent := j.rules.MostAttempts > 0 && len(r.attempts) >= j.rules.MostAttempts
+	spent := j.rules.MaxAttempts > 0 && len(r.attempts) >= j.rules.MaxAttempts
 	last := 0.0
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -187,8 +187,8 @@
 		last = max(last, end)
 		spent = spent || c.Effect == Unsafe && !a.notStarted
 	}
-	if held := e.At - last; spent && held > j.rules.AtOnceS {
-		j.addViolation(AtOnce, r.sidecar, -1, r.id, nil, "its answer was held back for %.3f s after all was over", held)
+	if held := e.At - last; spent && held > j.rules.FailFastSeconds {
+		j.addViolation(FailFast, r.sidecar, -1, r.id, nil, "its answer was held back for %.3f s after all was over", held)
 	}
 }
 
@@ -227,7 +227,7 @@
 	case !sent && e.Reused && !r.dropped:
 		r.dropped, r.taken = true, false // the close has crossed the request: its client sends it once more
 		j.parties[r.sidecar].drop(r)
-	case !sent && !e.Reused && !r.dropped && !j.rules.Calm:
+	case !sent && !e.Reused && !r.dropped && !j.rules.IsFaultFree:
 		j.end(r, unsent, e.At)
 	default:
 		j.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "its connection was closed without an answer")
@@ -242,8 +242,8 @@
 		return
 	}
 	h.settled = true
-	if e.At > h.until+j.rules.SocketSlackS {
-		j.prices.HostileOwed++
+	if e.At > h.until+j.rules.SocketSlackSeconds {
+		j.prices.HostileUnclosed++
 	}
 	if e.Kind == HostileAnswered && e.Status >= 200 && e.Status < 300 && (h.try == nil || !h.try.mayBeOver()) {
 		j.addViolation(OneAnswer, e.Sidecar, -1, 0, nil, "a client that may not be served was answered with %d", e.Status)
--- a/internal/checker/judge.go
+++ b/internal/checker/judge.go
@@ -27,7 +27,7 @@
 	lines    []span // times in which calls waited there, oldest first
 
 	classes []ClassService
-	prices  Prices
+	prices  Costs
 	now     float64
 }
 
@@ -121,7 +121,7 @@
 	}
 	for i := range j.parties {
 		for _, r := range slices.Clone(j.parties[i].open) {
-			if now > r.until+j.rules.AnswerSlackS+j.rules.SocketSlackS {
+			if now > r.until+j.rules.AnswerSlackSeconds+j.rules.SocketSlackSeconds {
 				j.end(r, left, now)
 			}
 		}
@@ -139,7 +139,7 @@
 	first := max(0, j.seen-len(j.recent))
 	for i := first; i < j.seen; i++ {
 		e := &j.recent[i%maxRecentEvents]
-		if request != 0 && e.Request == request || request == 0 && box >= 0 && e.Server == box && e.At >= j.now-j.rules.FallS ||
+		if request != 0 && e.Request == request || request == 0 && box >= 0 && e.Server == box && e.At >= j.now-j.rules.OverloadWindowSeconds ||
 			request == 0 && box < 0 && e.Sidecar == sidecar && i >= j.seen-4 {
 			f.Events = append(f.Events, *e)
 		}
@@ -290,8 +290,8 @@
 			}
 		}
 	case FleetInvariantBroken:
-		j.addViolation([...]Rule{ViewInvariant: FleetView, DeathInvariant: FalseDeath, RankInvariant: FleetRank, IncarnationInvariant: FleetRisen, QueueInvariant: FleetQueue, TokenInvariant: OldOwner,
-			OccupiedInvariant: WorkOccupied, BudgetInvariant: WorkMany, RepeatInvariant: WorkTwice, RecordInvariant: WorkForgotten}[e.Status], e.Sidecar, -1, 0, nil, "%s", e.Text)
+		j.addViolation([...]Rule{ViewInvariant: FleetView, DeathInvariant: FalseDeath, RankInvariant: FleetRank, IncarnationInvariant: FleetIncarnation, QueueInvariant: FleetQueue, TokenInvariant: StaleOwner,
+			OccupiedInvariant: MaintenanceOccupied, BudgetInvariant: MaintenanceBudget, RepeatInvariant: MaintenanceRepeated, RecordInvariant: MaintenanceRecorded}[e.Status], e.Sidecar, -1, 0, nil, "%s", e.Text)
 	case SidecarReloaded:
 		p.reloadedAt = e.At
 	case ServerCordoned:
@@ -304,12 +304,12 @@
 	case ServerUncordoned:
 		delete(p.out, e.Server)
 	case DescriptorsCounted:
-		if int(e.Count) > j.rules.Sockets {
-			j.addViolation(InLimits, e.Sidecar, -1, 0, nil, "%d descriptors of %d", e.Count, j.rules.Sockets)
+		if int(e.Count) > j.rules.MaxDescriptors {
+			j.addViolation(DescriptorLimit, e.Sidecar, -1, 0, nil, "%d descriptors of %d", e.Count, j.rules.MaxDescriptors)
 		}
 	case LeftoversCounted:
 		if e.Count > 0 {
-			j.addViolation(AtRest, e.Sidecar, -1, 0, nil, "%d %s left when the day was over", e.Count, e.Text)
+			j.addViolation(NoLeftovers, e.Sidecar, -1, 0, nil, "%d %s left when the day was over", e.Count, e.Text)
 		}
 	}
 }
@@ -326,7 +326,7 @@
 	p.killedAt = e.At
 	for len(p.open) > 0 {
 		r := p.open[0]
-		if late := p.termedAt > 0 && r.takenAt > p.termedAt+j.rules.TermGraceS+j.rules.SocketSlackS && e.At < r.until; late {
+		if late := p.termedAt > 0 && r.takenAt > p.termedAt+j.rules.TermGraceSeconds+j.rules.SocketSlackSeconds && e.At < r.until; late {
 			j.addViolation(OneAnswer, r.sidecar, -1, r.id, nil, "taken %.3f s after the order to end and not answered when killed", r.takenAt-p.termedAt)
 		}
 		j.end(r, excused, e.At)
--- a/internal/checker/judge_test.go
+++ b/internal/checker/judge_test.go
@@ -15,11 +15,11 @@
 
 func rules() Rules {
 	return Rules{
-		Classes: []Class{{Name: "safe", AimS: 1, Worth: 1, LateWorth: 0.2},
-			{Name: "keyed", Effect: Keyed, Group: GroupZone, WindowS: 12, AimS: 1, Worth: 10},
-			{Name: "unsafe", Effect: Unsafe, AimS: 1, Worth: 5}},
-		Sidecars: 2, Sites: []int32{0, 1}, Sockets: 256, AnswerSlackS: 0.02, SocketSlackS: 0.05, TermGraceS: 0.7, DrainGraceS: 0.75,
-		AskWithinS: 10, ToldWithinS: 6, FleetCallsS: 2, ReloadToldS: 4, FallS: 1, ColdShare: 2.0 / 3, AtOnceS: 0.25, MostAttempts: 3,
+		Classes: []Class{{Name: "safe", LatencyTargetSeconds: 1, PriorityWeight: 1, LateFraction: 0.2},
+			{Name: "keyed", Effect: Keyed, Group: GroupZone, DedupWindowSeconds: 12, LatencyTargetSeconds: 1, PriorityWeight: 10},
+			{Name: "unsafe", Effect: Unsafe, LatencyTargetSeconds: 1, PriorityWeight: 5}},
+		Sidecars: 2, SidecarZones: []int32{0, 1}, MaxDescriptors: 256, AnswerSlackSeconds: 0.02, SocketSlackSeconds: 0.05, TermGraceSeconds: 0.7, DrainGraceSeconds: 0.75,
+		PollTimeoutSeconds: 10, UpdateTimeoutSeconds: 6, FleetCallsSeconds: 2, ReloadGraceSeconds: 4, OverloadWindowSeconds: 1, ColdLoadShare: 2.0 / 3, FailFastSeconds: 0.25, MaxAttempts: 3,
 	}
 }
 
@@ -128,16 +128,16 @@
 		{"sent on after its answer", OneAnswer,
 			newTale().ask(1, 9, safe).answer(1.2, 9, 500).run(1.3, 9, 0, 1),
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).hangUp(1.15, 0, 1).answer(1.2, 9, 500)},
-		{"sent on after its client went", GoneClient,
+		{"sent on after its client went", ClientGone,
 			newTale().ask(1, 9, safe).add(Event{Kind: RequestAbandoned, At: 1.5, Request: 9}).run(1.6, 9, 0, 1),
 			newTale().ask(1, 9, safe).add(Event{Kind: RequestAbandoned, At: 1.5, Request: 9}).run(1.54, 9, 0, 1)},
 		{"sent on after its connection was closed", OneAnswer,
 			newTale().ask(1, 9, safe).drop(1.5, 9, false).run(1.6, 9, 0, 1),
 			newTale().ask(1, 9, safe).drop(1.5, 9, false).run(1.54, 9, 0, 1)},
-		{"sent on again for a client that has gone", GoneClient,
+		{"sent on again for a client that has gone", ClientGone,
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: RequestAbandoned, At: 1.5, Request: 9}).hangUp(1.55, 0, 1).run(1.56, 9, 1, 2),
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: RequestAbandoned, At: 1.5, Request: 9}).hangUp(1.52, 0, 1).run(1.53, 9, 1, 2)},
-		{"half a close is none; the whole one counts", GoneClient,
+		{"half a close is none; the whole one counts", ClientGone,
 			newTale().ask(1, 9, safe).add(Event{Kind: RequestHalfClosed, At: 1.5, Request: 9}, Event{Kind: RequestAbandoned, At: 2, Request: 9}).run(2.2, 9, 0, 1),
 			newTale().ask(1, 9, safe).add(Event{Kind: RequestHalfClosed, At: 1.5, Request: 9}).run(2.2, 9, 0, 1)},
 		{"half a close owes no answer; two are too many", OneAnswer,
@@ -182,10 +182,10 @@
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 503).run(1.3, 9, 1, 2).reply(1.4, 9, 1, 2, 503).
 				run(1.5, 9, 0, 1).reply(1.6, 9, 0, 1, 503).run(1.7, 9, 1, 2),
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 503).run(1.3, 9, 1, 2).reply(1.4, 9, 1, 2, 503).run(1.5, 9, 0, 1)},
-		{"two copies", OneCopy,
+		{"two copies", NoConcurrentAttempts,
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).run(1.3, 9, 1, 2).hangUp(1.4, 0, 1),
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).run(1.3, 9, 1, 2).hangUp(1.3, 0, 1)},
-		{"two copies for ever; a lost end is excused", OneCopy,
+		{"two copies for ever; a lost end is excused", NoConcurrentAttempts,
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).run(1.3, 9, 1, 2),
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).add(Event{Kind: PathFaultStarted, At: 1.2}).run(1.3, 9, 1, 2)},
 		{"sent to a box that drains", SafeDrain,
@@ -239,26 +239,26 @@
 		{"an old list that is passed on excuses nobody", SafeDrain,
 			newTale().add(passed(1, Draining, 7), passed(1.1, Serving, 6)).ask(1.5, 9, safe).run(1.82, 9, 0, 1),
 			newTale().add(passed(1, Draining, 7), passed(1.1, Serving, 8)).ask(1.5, 9, safe).run(1.82, 9, 0, 1)},
-		{"a cold box pushed over by who knew", ColdBox, newTale().cold(true, 2, 1), newTale().cold(true, 1.9, 1)},
-		{"a cold box pushed over by who counts as told", ColdBox,
+		{"a cold box pushed over by who knew", ColdServer, newTale().cold(true, 2, 1), newTale().cold(true, 1.9, 1)},
+		{"a cold box pushed over by who counts as told", ColdServer,
 			newTale().cold(false, 3, 0).add(Event{Kind: HealthCheckReceived, At: 7.6, Server: 3, Work: 3}, Event{Kind: ServerOverloaded, At: 7.6, Sidecar: -1, Server: 3}),
 			newTale().cold(false, 3, 0)},
-		{"an unsafe failure held back", AtOnce,
+		{"an unsafe failure held back", FailFast,
 			newTale().ask(1, 9, unsafe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 500).answer(1.5, 9, 500),
 			newTale().ask(1, 9, unsafe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 500).answer(1.4, 9, 500)},
-		{"a last try held back; one with a try left may wait", AtOnce,
+		{"a last try held back; one with a try left may wait", FailFast,
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 503).run(1.3, 9, 1, 2).reply(1.4, 9, 1, 2, 503).
 				run(1.5, 9, 0, 1).reply(1.6, 9, 0, 1, 503).answer(2, 9, 503),
 			newTale().ask(1, 9, safe).run(1.1, 9, 0, 1).reply(1.2, 9, 0, 1, 503).run(1.3, 9, 1, 2).reply(1.4, 9, 1, 2, 503).answer(2, 9, 503)},
-		{"descriptors", InLimits, newTale().add(alive(DescriptorsCounted, 1, 257)), newTale().add(alive(DescriptorsCounted, 1, 256))},
-		{"left over", AtRest, newTale().add(Event{Kind: LeftoversCounted, At: 9, Count: 1, Text: "timers"}), newTale().add(Event{Kind: LeftoversCounted, At: 9, Text: "timers"})},
-		{"a list that is asked for no more", ListAsked,
+		{"descriptors", DescriptorLimit, newTale().add(alive(DescriptorsCounted, 1, 257)), newTale().add(alive(DescriptorsCounted, 1, 256))},
+		{"left over", NoLeftovers, newTale().add(Event{Kind: LeftoversCounted, At: 9, Count: 1, Text: "timers"}), newTale().add(Event{Kind: LeftoversCounted, At: 9, Text: "timers"})},
+		{"a list that is asked for no more", ListPolled,
 			newTale().add(alive(WatchClosed, 985, 0)),
 			newTale().add(alive(WatchClosed, 985, 0), alive(DiscoveryCalled, 992, 0))},
-		{"a silent watch that is kept", ListAsked,
+		{"a silent watch that is kept", ListPolled,
 			newTale().add(Event{Kind: WatchStalled, At: 990}),
 			newTale().add(Event{Kind: WatchStalled, At: 990}, Event{Kind: WatchOpened, At: 995, Connection: 2})},
-		{"after a call that failed there is four times as long", ListAsked,
+		{"after a call that failed there is four times as long", ListPolled,
 			newTale().add(alive(WatchClosed, 900, 0), alive(DiscoveryCalled, 920, 0), alive(DiscoveryCallFailed, 921, 0)),
 			newTale().add(alive(WatchClosed, 900, 0), alive(DiscoveryCalled, 965, 0), alive(DiscoveryCallFailed, 966, 0))},
 		{"an exit unasked", NoCrash, newTale().add(alive(SidecarExited, 2, 0)), newTale().add(alive(SidecarTerminating, 1, 0), alive(SidecarExited, 2, 0))},
@@ -321,10 +321,10 @@
 	}
 	r := j.Report()
 	assert.Equal(t, 1.0/16, r.Service)
-	assert.Equal(t, []int{1, 0, 0}, []int{r.Classes[safe].InAim, r.Classes[keyed].InAim, r.Classes[unsafe].InAim})
+	assert.Equal(t, []int{1, 0, 0}, []int{r.Classes[safe].InTarget, r.Classes[keyed].InTarget, r.Classes[unsafe].InTarget})
 	assert.Equal(t, []int{0, 1, 0}, []int{r.Classes[safe].Late, r.Classes[keyed].Late, r.Classes[unsafe].Late})
 	assert.Equal(t, 1, r.Classes[unsafe].Unserved)
-	assert.Equal(t, Prices{Executions: 2, CrossZone: 1, SlowRefusal: 0.3 * 5}, r.Prices)
+	assert.Equal(t, Costs{Attempts: 2, CrossZoneAttempts: 1, SlowRejectionWeight: 0.3 * 5}, r.Costs)
 	assert.Empty(t, j.Violations())
 }
 
@@ -335,7 +335,7 @@
 	early := newTale().ask(1, 9, safe).add(Event{Kind: RequestAbandoned, At: 3.9, Request: 9})
 	hungUp := newTale().ask(1, 9, safe).drop(1.2, 9, false)
 	strict := rules()
-	strict.Unanswered, strict.Calm = true, true
+	strict.RequiresAnswerInTime, strict.IsFaultFree = true, true
 	for _, c := range []struct {
 		tale  *tale
 		rules Rules
@@ -355,7 +355,7 @@
 	once := newTale().ask(1, 9, safe).answer(1.1, 9, 200)
 	twice := newTale().ask(1, 9, safe).answer(1.1, 9, 200).answer(1.2, 9, 200)
 	alone := rules()
-	alone.ClientsAlone = true
+	alone.ObservesClientsOnly = true
 	for _, c := range []struct {
 		tale  *tale
 		rules Rules
--- a/internal/checker/told.go
+++ b/internal/checker/told.go
@@ -10,18 +10,18 @@
 // yet.
 func (j *Checker) countsAsTold(p *party, listed *Event, at float64) float64 {
 	made := max(listed.At, p.startedAt)
-	told := j.hears(p, listed, j.there(made, j.rules.ToldWithinS))
+	told := j.hears(p, listed, j.there(made, j.rules.UpdateTimeoutSeconds))
 	if p.watched() {
 		return told
 	}
 	missed := math.Inf(1)
 	if p.silentAt > 0 { // what is made once the silence should have been noticed is missed as it is made
-		missed = max(made, j.hears(p, listed, j.reachable(p.silentAt, j.rules.ToldWithinS)))
+		missed = max(made, j.hears(p, listed, j.reachable(p.silentAt, j.rules.UpdateTimeoutSeconds)))
 	}
 	if p.watches > 0 {
 		return missed
 	}
-	within := j.rules.AskWithinS
+	within := j.rules.PollTimeoutSeconds
 	if !p.called {
 		if p.askFailed {
 			within *= 4
@@ -35,7 +35,7 @@
 	// back; but after a call that failed a change counts once discovery had it and could be reached for a while. Danger: discovery
 	// that works through three calls a second has sixty wait; what it could not have answered in time blames nobody.
 	if p.askFailed {
-		return min(j.hears(p, listed, j.reachable(made, j.rules.ToldWithinS)), missed)
+		return min(j.hears(p, listed, j.reachable(made, j.rules.UpdateTimeoutSeconds)), missed)
 	}
 	return min(max(listed.At, p.askedAt, j.upAt)+within, missed)
 }
@@ -44,10 +44,10 @@
 // configuration and not stood still.
 func (j *Checker) hears(p *party, listed *Event, told float64) float64 {
 	if p.reloadedAt > 0 && p.reloadedAt < told {
-		told = max(told, p.reloadedAt+j.rules.ReloadToldS)
+		told = max(told, p.reloadedAt+j.rules.ReloadGraceSeconds)
 	}
 	if p.frozenAt > 0 && told >= p.frozenAt && listed.At <= p.thawedAt {
-		told = max(told, p.thawedAt+j.rules.ToldWithinS)
+		told = max(told, p.thawedAt+j.rules.UpdateTimeoutSeconds)
 	}
 	return told
 }
@@ -84,7 +84,7 @@
 	first := sort.Search(len(j.lines), func(i int) bool { return j.lines[i].until > from })
 	for i := first; i < len(j.lines) && j.lines[i].from < until; i++ {
 		l := &j.lines[i]
-		waited := min(l.until-max(l.from, from), j.rules.FleetCallsS-excused)
+		waited := min(l.until-max(l.from, from), j.rules.FleetCallsSeconds-excused)
 		excused += waited
 		until += waited
 	}
@@ -113,7 +113,7 @@
 // Danger: another box may have come up at the address of one that is gone. What counts is what the sidecar was told of
 // the address that it used.
 func (j *Checker) checkDrain(s *station, p *party, e *Event) {
-	grace := j.rules.DrainGraceS + j.rules.SocketSlackS
+	grace := j.rules.DrainGraceSeconds + j.rules.SocketSlackSeconds
 	if at := p.out[e.Server]; at > 0 && e.FirstSent > at+grace {
 		j.addViolation(SafeDrain, e.Sidecar, e.Server, e.Request, nil, "sent %.3f s after operators had taken box %d out", e.FirstSent-at, e.Server)
 		return
@@ -147,22 +147,22 @@
 		return
 	}
 	for i := range j.cuts { // its calls may have been lost, which nobody sees
-		if c := &j.cuts[i]; (c.sidecar == sidecar || c.sidecar < 0) && c.until+4*j.rules.AskWithinS >= now {
+		if c := &j.cuts[i]; (c.sidecar == sidecar || c.sidecar < 0) && c.until+4*j.rules.PollTimeoutSeconds >= now {
 			return
 		}
 	}
 	if p.silentAt > 0 && p.askedAt < p.silentAt {
-		if noticed := j.reachable(max(p.silentAt, p.reloadedAt, p.thawedAt), j.rules.ToldWithinS) + j.rules.SocketSlackS; now > noticed {
-			j.addViolation(ListAsked, sidecar, -1, 0, nil, "on a watch that has said nothing for %.1f s, and has not asked for another", now-p.silentAt)
+		if noticed := j.reachable(max(p.silentAt, p.reloadedAt, p.thawedAt), j.rules.UpdateTimeoutSeconds) + j.rules.SocketSlackSeconds; now > noticed {
+			j.addViolation(ListPolled, sidecar, -1, 0, nil, "on a watch that has said nothing for %.1f s, and has not asked for another", now-p.silentAt)
 		}
 		return
 	}
-	within := j.rules.AskWithinS
+	within := j.rules.PollTimeoutSeconds
 	if p.askFailed {
 		within *= 4
 	}
-	within = max(within, j.rules.MostAskS) + j.rules.SocketSlackS
+	within = max(within, j.rules.MaxPollIntervalSeconds) + j.rules.SocketSlackSeconds
 	if asked := max(p.askedAt, p.startedAt, p.reloadedAt, p.thawedAt, j.upAt); now > asked+within {
-		j.addViolation(ListAsked, sidecar, -1, 0, nil, "without a watch, and has not asked for its list for %.1f s", now-asked)
+		j.addViolation(ListPolled, sidecar, -1, 0, nil, "without a watch, and has not asked for its list for %.1f s", now-asked)
 	}
 }
--- a/internal/environment/day.go
+++ b/internal/environment/day.go
@@ -334,17 +334,17 @@
 // Rules returns what the judge of this day checks by.
 func (d *Day) Rules() checker.Rules {
 	r := checker.Rules{
-		Sidecars: len(d.Sidecars), Sockets: d.Sockets, AnswerSlackS: answerSlackS, SocketSlackS: socketSlackS,
-		TermGraceS: termGraceS, DrainGraceS: drainGraceS, AskWithinS: askWithinS, ToldWithinS: toldWithinS, ReloadToldS: reloadToldS,
-		FallS: cmp.Or(d.FallS, fallS), ColdShare: 2.0 / 3, AtOnceS: 0.25, MostAttempts: mostAttempts,
+		Sidecars: len(d.Sidecars), MaxDescriptors: d.Sockets, AnswerSlackSeconds: answerSlackS, SocketSlackSeconds: socketSlackS,
+		TermGraceSeconds: termGraceS, DrainGraceSeconds: drainGraceS, PollTimeoutSeconds: askWithinS, UpdateTimeoutSeconds: toldWithinS, ReloadGraceSeconds: reloadToldS,
+		OverloadWindowSeconds: cmp.Or(d.FallS, fallS), ColdLoadShare: 2.0 / 3, FailFastSeconds: 0.25, MaxAttempts: mostAttempts,
 	}
-	r.FleetCallsS = float64(len(d.Sidecars)) * d.Registry.callS(len(d.Boxes))
+	r.FleetCallsSeconds = float64(len(d.Sidecars)) * d.Registry.callS(len(d.Boxes))
 	for _, c := range d.Classes {
-		r.Classes = append(r.Classes, checker.Class{Name: c.Name, Effect: c.Effect, Group: c.Group, WindowS: c.WindowS,
-			AimS: c.AimS, Worth: c.Worth, LateWorth: c.LateWorth})
+		r.Classes = append(r.Classes, checker.Class{Name: c.Name, Effect: c.Effect, Group: c.Group, DedupWindowSeconds: c.WindowS,
+			LatencyTargetSeconds: c.AimS, PriorityWeight: c.Worth, LateFraction: c.LateWorth})
 	}
 	for _, s := range d.Sidecars {
-		r.Sites = append(r.Sites, int32(s.Site))
+		r.SidecarZones = append(r.SidecarZones, int32(s.Site))
 	}
 	return r
 }
--- a/internal/lab/load/witness.go
+++ b/internal/lab/load/witness.go
@@ -166,7 +166,7 @@
 	if r.Judged = p.Slack > 0; !r.Judged || len(r.seen.events) == 0 {
 		return
 	}
-	rules := checker.Rules{Sidecars: sidecars, AnswerSlackS: p.Slack.Seconds(), Unanswered: true, Calm: p.Calm, ClientsAlone: true}
+	rules := checker.Rules{Sidecars: sidecars, AnswerSlackSeconds: p.Slack.Seconds(), RequiresAnswerInTime: true, IsFaultFree: p.Calm, ObservesClientsOnly: true}
 	for _, c := range p.Classes {
 		rules.Classes = append(rules.Classes, checker.Class{Name: c.Name})
 	}
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -424,7 +424,7 @@
 			case p.t.wasGone(x.sidecar, x.from, cmp.Or(p.work.Spec.DeadMemberSeconds, 300)):
 				w.GoneSent++
 			default:
-				w.find(checker.WorkOccupied, "%s is worked on by %s at %.3f s; a request of %s came %.3f s after the work began", r.Box, r.Mechanic, from-p.day.Start,
+				w.find(checker.MaintenanceOccupied, "%s is worked on by %s at %.3f s; a request of %s came %.3f s after the work began", r.Box, r.Mechanic, from-p.day.Start,
 					p.t.mates[x.sidecar].name, x.from-from)
 			}
 		}
@@ -464,11 +464,11 @@
 			bySite[sites[box]]++
 		}
 		if len(out) > p.work.Spec.MaxConcurrent {
-			w.find(checker.WorkMany, "%d boxes are worked on or cold at %.3f s, of %d that may be", len(out), from-p.day.Start, p.work.Spec.MaxConcurrent)
+			w.find(checker.MaintenanceBudget, "%d boxes are worked on or cold at %.3f s, of %d that may be", len(out), from-p.day.Start, p.work.Spec.MaxConcurrent)
 		}
 		for site, n := range bySite {
 			if n > cmp.Or(p.work.Spec.MaxPerSite, 1) {
-				w.find(checker.WorkMany, "%d boxes of %s are worked on or cold at %.3f s", n, site, from-p.day.Start)
+				w.find(checker.MaintenanceBudget, "%d boxes of %s are worked on or cold at %.3f s", n, site, from-p.day.Start)
 			}
 		}
 	}
@@ -489,21 +489,21 @@
 	}
 	for box, of := range tokens {
 		if len(of) > 1 {
-			w.find(checker.WorkTwice, "%s is worked on under %v", box, of)
+			w.find(checker.MaintenanceRepeated, "%s is worked on under %v", box, of)
 		}
 	}
 	if p.last == nil || len(p.last.Plans) == 0 {
-		w.find(checker.WorkForgotten, "no door tells of the plan")
+		w.find(checker.MaintenanceRecorded, "no door tells of the plan")
 		return
 	}
 	for _, b := range p.last.Plans[len(p.last.Plans)-1].Servers {
 		switch n := len(tokens[b.Name]); {
 		case (b.Stage == maintenance.WarmingUp || b.Stage == maintenance.Done) && !done[b.Name]:
-			w.find(checker.WorkForgotten, "%s is said to be done, and nobody has worked on it to the end", b.Name)
+			w.find(checker.MaintenanceRecorded, "%s is said to be done, and nobody has worked on it to the end", b.Name)
 		case b.Stage < maintenance.InMaintenance && n > 0:
-			w.find(checker.WorkForgotten, "%s was worked on, and is said to wait", b.Name)
+			w.find(checker.MaintenanceRecorded, "%s was worked on, and is said to wait", b.Name)
 		case (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Reason == "":
-			w.find(checker.WorkForgotten, "%s was skipped or lost for no cause", b.Name)
+			w.find(checker.MaintenanceRecorded, "%s was skipped or lost for no cause", b.Name)
 		}
 	}
 }
--- a/internal/lab/realtime/demo.go
+++ b/internal/lab/realtime/demo.go
@@ -111,10 +111,10 @@
 	r := p.Judge.Report()
 	fmt.Fprintf(d.Out, "\n%-16s %7s %7s %6s %9s %8s\n", "class", "asked", "in time", "late", "unserved", "refused")
 	for _, c := range r.Classes {
-		fmt.Fprintf(d.Out, "%-16s %7d %7d %6d %9d %8d\n", c.Name, c.Asked, c.InAim, c.Late, c.Unserved, c.Refused)
+		fmt.Fprintf(d.Out, "%-16s %7d %7d %6d %9d %8d\n", c.Name, c.Requests, c.InTarget, c.Late, c.Unserved, c.Rejected)
 	}
 	fmt.Fprintf(d.Out, "%.2f %% of the worth that was asked for was served in time; %d executions, %d probes, %d connections to boxes\n",
-		100*r.Service, r.Prices.Executions, r.Prices.Probes, r.Prices.Connections)
+		100*r.Service, r.Costs.Attempts, r.Costs.HealthChecks, r.Costs.Connections)
 	for i := range p.settings.Script.Troubles {
 		t := &p.settings.Script.Troubles[i]
 		begins, _ := tells(t)
--- a/internal/lab/realtime/live.go
+++ b/internal/lab/realtime/live.go
@@ -85,8 +85,8 @@
 	}
 	defer func() { _ = p.reservation.Close() }() // the play is over
 	rules := s.Day.Rules()
-	if rules.MostAskS = s.MostAskS; s.Crew == nil { // waits go by how many there are
-		rules.MostAskS = max(rules.MostAskS, 0.75*float64(len(s.Day.Sidecars)))
+	if rules.MaxPollIntervalSeconds = s.MostAskS; s.Crew == nil { // waits go by how many there are
+		rules.MaxPollIntervalSeconds = max(rules.MaxPollIntervalSeconds, 0.75*float64(len(s.Day.Sidecars)))
 	}
 	p.Judge = checker.New(rules)
 	var witness checker.Observer = p.Judge
--- a/internal/lab/realtime/live_test.go
+++ b/internal/lab/realtime/live_test.go
@@ -113,7 +113,7 @@
 			continue // a machine that is busy at the wrong moment; what is wrong with the day itself stays wrong
 		}
 		for i, c := range played.Report.Classes {
-			assert.InDelta(t, c.Asked, real.Classes[i].Asked, chance(float64(c.Asked)), c.Name)
+			assert.InDelta(t, c.Requests, real.Classes[i].Requests, chance(float64(c.Requests)), c.Name)
 		}
 		assert.InDelta(t, played.Report.Service, real.Service, 0.05)
 		assert.InDelta(t, b.sum, a.sum, chance(b.sum))
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -51,15 +51,15 @@
 
 // Tally adds up what came of many days.
 type Tally struct {
-	Days       int            `json:"days"`
-	History    string         `json:"history"` // a hash of all days' histories, whatever their order
-	SimulatedS float64        `json:"simulated_s"`
-	Steps      uint64         `json:"steps"`
-	Broken     []BrokenRule   `json:"broken,omitempty"`
-	Service    float64        `json:"service"`          // the mean of the days'
-	Worked     int            `json:"worked,omitempty"` // boxes on which work has ended
-	Classes    []ClassTally   `json:"classes,omitempty"`
-	Prices     checker.Prices `json:"prices"`
+	Days       int           `json:"days"`
+	History    string        `json:"history"` // a hash of all days' histories, whatever their order
+	SimulatedS float64       `json:"simulated_s"`
+	Steps      uint64        `json:"steps"`
+	Broken     []BrokenRule  `json:"broken,omitempty"`
+	Service    float64       `json:"service"`          // the mean of the days'
+	Worked     int           `json:"worked,omitempty"` // boxes on which work has ended
+	Classes    []ClassTally  `json:"classes,omitempty"`
+	Prices     checker.Costs `json:"prices"`
 	byRule     map[checker.Rule]*BrokenRule
 	service    float64
 	history    uint64
@@ -119,15 +119,15 @@
 			t.Classes = append(t.Classes, ClassTally{Name: c.Name})
 		}
 		k := &t.Classes[i]
-		k.Asked, k.InAim, k.Late, k.Refused, k.Failed = k.Asked+c.Asked, k.InAim+c.InAim, k.Late+c.Late, k.Refused+c.Refused, k.Failed+c.Failed
-		k.worth, k.earned = k.worth+c.Worth, k.earned+c.Earned
+		k.Asked, k.InAim, k.Late, k.Refused, k.Failed = k.Asked+c.Requests, k.InAim+c.InTarget, k.Late+c.Late, k.Refused+c.Rejected, k.Failed+c.Failed
+		k.worth, k.earned = k.worth+c.Weight, k.earned+c.EarnedWeight
 		if k.worth > 0 {
 			k.Service = k.earned / k.worth
 		}
 	}
-	p, q := &t.Prices, &r.Report.Prices
-	p.Executions, p.CrossZone, p.Probes, p.Connections = p.Executions+q.Executions, p.CrossZone+q.CrossZone, p.Probes+q.Probes, p.Connections+q.Connections
-	p.SlowRefusal, p.Hostile, p.HostileOwed = p.SlowRefusal+q.SlowRefusal, p.Hostile+q.Hostile, p.HostileOwed+q.HostileOwed
+	p, q := &t.Prices, &r.Report.Costs
+	p.Attempts, p.CrossZoneAttempts, p.HealthChecks, p.Connections = p.Attempts+q.Attempts, p.CrossZoneAttempts+q.CrossZoneAttempts, p.HealthChecks+q.HealthChecks, p.Connections+q.Connections
+	p.SlowRejectionWeight, p.HostileClients, p.HostileUnclosed = p.SlowRejectionWeight+q.SlowRejectionWeight, p.HostileClients+q.HostileClients, p.HostileUnclosed+q.HostileUnclosed
 }
 
 // Close sorts what has been added up; it is called last.
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -13,7 +13,7 @@
 func Shrink(s environment.Script, rule checker.Rule, o Options, budget int, progress func(s *environment.Script, played int)) environment.Script {
 	h := &shrinker{best: s, rule: rule, o: o, budget: budget, progress: progress}
 	h.o.Until = rule
-	if rule == checker.AtRest { // it is seen at the day's end alone
+	if rule == checker.NoLeftovers { // it is seen at the day's end alone
 		h.o.Until = ""
 	}
 	if at, ok := h.breaks(&s); ok {
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -224,13 +224,13 @@
 	d.net.CutShare = d.weather.cutShare
 	rules := d.spec.Rules()
 	// A loop that stands still may miss a deadline, and one whose clock runs slow finds it over late.
-	rules.Unanswered = d.weather.everyS == 0 &&
+	rules.RequiresAnswerInTime = d.weather.everyS == 0 &&
 		!slices.ContainsFunc(s.Troubles, func(t environment.Trouble) bool { return t.Kind == environment.Freeze || t.Kind == environment.Clock })
 	switch {
 	case d.owners:
-		rules.MostAskS = math.Inf(1)
+		rules.MaxPollIntervalSeconds = math.Inf(1)
 	case !d.together: // waits go by how many the settings say there are
-		rules.MostAskS = 0.75 * float64(cmp.Or(o.Told, len(d.spec.Sidecars)))
+		rules.MaxPollIntervalSeconds = 0.75 * float64(cmp.Or(o.Told, len(d.spec.Sidecars)))
 	}
 	d.judge = checker.New(rules)
 	var witness checker.Observer = d.judge
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -127,7 +127,7 @@
 		a := m.first[e.FirstRequest]
 		if a == nil {
 			a = &asked{at: e.At, class: e.Class}
-			*m.second(&m.worth, e.At) += m.classes[e.Class].Worth
+			*m.second(&m.worth, e.At) += m.classes[e.Class].PriorityWeight
 		}
 		m.first[e.FirstRequest], m.first[e.Request] = a, a
 	case checker.ResponseReceived:
@@ -135,8 +135,8 @@
 		switch {
 		case a == nil || a.served:
 		case e.Status == 200:
-			if a.served = true; e.At-a.at <= m.classes[a.class].AimS {
-				*m.second(&m.earned, a.at) += m.classes[a.class].Worth
+			if a.served = true; e.At-a.at <= m.classes[a.class].LatencyTargetSeconds {
+				*m.second(&m.earned, a.at) += m.classes[a.class].PriorityWeight
 			}
 		case e.Status == 429 || e.Status == 503:
 			i := int(e.At - m.start)
