--- a/cmd/hazelwheel/main.go
+++ b/cmd/hazelwheel/main.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	if !on.Capture.On {
+	if !on.Capture.Enabled {
 		signal.Stop(dumps)
 	}
 	level := slog.LevelInfo
@@ -146,8 +146,8 @@
 	switch {
 	case err != nil:
 		return fault(fmt.Errorf("%s: %w", c.String("in"), err))
-	case tally.Differ > 0:
-		return fmt.Errorf("%d decisions differ", tally.Differ)
+	case tally.Different > 0:
+		return fmt.Errorf("%d decisions differ", tally.Different)
 	}
 	return nil
 }
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -71,36 +71,36 @@
 
 func (r *rig) decide(id uint32, d Decision) {
 	d.Request, d.ID, d.Class = id, r.open[id].ID, r.open[id].Class
-	r.Decide(d)
+	r.RecordDecision(d)
 }
 func (r *rig) Send(id, host uint32) {
-	r.decide(id, Decision{Do: Send, Host: host})
+	r.decide(id, Decision{Action: ActionSend, Host: host})
 	r.sent = append(r.sent, [2]uint32{id, host})
 	r.tries[id]++
 }
-func (r *rig) Cancel(id uint32, n int) { r.decide(id, Decision{Do: Cancel, Attempt: n}) }
+func (r *rig) Cancel(id uint32, n int) { r.decide(id, Decision{Action: ActionCancel, Attempt: n}) }
 func (r *rig) Refuse(id uint32, after float64) {
-	r.decide(id, Decision{Do: Refuse, After: after})
+	r.decide(id, Decision{Action: ActionRefuse, AfterSeconds: after})
 	r.ended = append(r.ended, id)
 }
 func (r *rig) Fail(id uint32) {
-	r.decide(id, Decision{Do: Fail})
+	r.decide(id, Decision{Action: ActionFail})
 	r.ended = append(r.ended, id)
 }
-func (r *rig) CloseIdle(host uint32) { r.Decide(Decision{Do: CloseIdle, Host: host}) }
-func (r *rig) Watch()                { r.Decide(Decision{Do: Watch}) }
-func (r *rig) Log(text string)       { r.Decide(Decision{Do: Log, Text: text}) }
+func (r *rig) CloseIdle(host uint32) { r.RecordDecision(Decision{Action: ActionCloseIdle, Host: host}) }
+func (r *rig) Watch()                { r.RecordDecision(Decision{Action: ActionWatch}) }
+func (r *rig) Log(text string)       { r.RecordDecision(Decision{Action: ActionLog, Text: text}) }
 func (r *rig) Probe(host uint32) {
-	r.Decide(Decision{Do: Probe, Host: host})
+	r.RecordDecision(Decision{Action: ActionProbe, Host: host})
 	r.probe = append(r.probe, host)
 }
 func (r *rig) WakeAfter(s float64) {
-	r.Decide(Decision{Do: Wake, After: s})
+	r.RecordDecision(Decision{Action: ActionWake, AfterSeconds: s})
 	r.wakes = append(r.wakes, r.now+s)
 }
 
 func (r *rig) list(kind policy.ListKind) {
-	r.Recorder.Hosts(r.now, kind, r.hosts)
+	r.Recorder.RecordHosts(r.now, kind, r.hosts)
 	r.Balancer.UpdateHosts(r.now, kind, r.hosts)
 }
 
@@ -122,7 +122,7 @@
 			r.last++
 			r.open[r.last] = Label{fmt.Sprintf("id \"%d\" \\ \xff{\"t\":", r.last), "read"}
 			q := policy.Request{ID: r.last, Class: r.rng.IntN(2), Deadline: r.now + 1, Repeat: x%2 == 0, HeldBackSeconds: float64(x%3) / 10}
-			r.Recorder.Request(r.now, q, r.open[q.ID])
+			r.Recorder.RecordRequest(r.now, q, r.open[q.ID])
 			r.Balancer.StartRequest(r.now, q)
 		case x < 60 && len(r.sent) > 0:
 			o := r.sent[0]
@@ -131,7 +131,7 @@
 			if x%3 > 0 {
 				res.Outcome, res.Final = policy.OK, true
 			}
-			r.Recorder.Outcome(r.now, res, r.open[o[0]])
+			r.Recorder.RecordOutcome(r.now, res, r.open[o[0]])
 			r.Balancer.AttemptDone(r.now, res)
 			if res.Final {
 				r.ended = append(r.ended, o[0])
@@ -140,17 +140,17 @@
 			res := policy.Result{Host: r.probe[0], DelaySeconds: r.rng.Float64() / 50}
 			r.probe = r.probe[1:]
 			res.Report = policy.Report{N: 2, Values: [4]float32{float32(r.rng.IntN(5)) / 3, float32(math.NaN())}}
-			r.Recorder.Probe(r.now, res)
+			r.Recorder.RecordProbe(r.now, res)
 			r.Balancer.ProbeDone(r.now, res)
 		case x < 82 && r.last > 0:
 			id := r.last - uint32(r.rng.IntN(3))
-			r.Recorder.Gone(r.now, id, r.open[id])
+			r.Recorder.RecordAbandoned(r.now, id, r.open[id])
 			r.Balancer.Abandoned(r.now, id)
 			r.ended = append(r.ended, id)
 		case len(r.wakes) > 0:
 			r.now = max(r.now, min(r.wakes[0], r.now+0.05))
 			r.wakes = r.wakes[1:]
-			r.Recorder.Wake(r.now)
+			r.Recorder.RecordWake(r.now)
 			r.Balancer.Wake(r.now)
 		}
 	}
@@ -158,9 +158,9 @@
 }
 
 // settings of a ring that a short run wraps.
-var small = Settings{On: true, MaxBytes: 128 << 10, Files: 4}
+var small = Settings{Enabled: true, MaxBytes: 128 << 10, Segments: 4}
 
-func replayed(t *testing.T, text string) (Tally, string) {
+func replayed(t *testing.T, text string) (Summary, string) {
 	var out strings.Builder
 	tally, err := Replay(strings.NewReader(text), &out)
 	require.NoError(t, err, "%v", tally)
@@ -173,7 +173,7 @@
 	r := newRig(t, small, 9).run(50)
 	early := string(r.Dump(r.now))
 	tally, out := replayed(t, early)
-	assert.Zero(t, tally.Differ, out)
+	assert.Zero(t, tally.Different, out)
 	assert.Equal(t, 1, tally.Segments, "the start")
 	r.run(20000)
 	late := string(r.Dump(r.now))
@@ -181,12 +181,12 @@
 	assert.LessOrEqual(t, len(late), small.MaxBytes+2*lostRoom)
 	assert.Greater(t, len(late), small.MaxBytes/2)
 	tally, out = replayed(t, late)
-	assert.Zero(t, tally.Differ, out)
+	assert.Zero(t, tally.Different, out)
 	assert.Zero(t, tally.Skipped+tally.Truncated)
 	assert.Equal(t, 4, tally.Segments)
 	assert.Greater(t, tally.Compared, 200)
 	assert.Greater(t, r.Stats().Segments, 30)
-	assert.Zero(t, r.Stats().Lost+r.Stats().NoState)
+	assert.Zero(t, r.Stats().LinesLost+r.Stats().SegmentsWithoutState)
 
 	const log = "time=2026-12-01T10:00:00.000Z level=INFO msg=\"a \\\"k\\\": b\" x={}\n"
 	var both strings.Builder
@@ -196,7 +196,7 @@
 		}
 	}
 	all, out := replayed(t, both.String()+"[20.01] {\"requests\":5}\n")
-	assert.Zero(t, all.Differ+all.Truncated+all.Skipped, out)
+	assert.Zero(t, all.Different+all.Truncated+all.Skipped, out)
 	assert.Equal(t, 5, all.Segments)
 	assert.Greater(t, all.Compared, tally.Compared)
 }
@@ -225,7 +225,7 @@
 	} {
 		changed := append(append(append([]string{}, lines[:at]...), change(lines[at])), lines[at+1:]...)
 		tally, out := replayed(t, strings.Join(changed, ""))
-		assert.Equal(t, 1, tally.Differ, "%s: %s", name, out)
+		assert.Equal(t, 1, tally.Different, "%s: %s", name, out)
 		assert.Equal(t, 2, strings.Count(out, "\n"), "%s: %s", name, out)
 		place := map[string]int{"missing": event + 1, "too much": at + 2}[name]
 		assert.Contains(t, out, fmt.Sprintf("line %d: ", cmp.Or(place, at+1)), name)
@@ -236,7 +236,7 @@
 		last--
 	}
 	tally, _ := replayed(t, strings.Join(append(lines[:last:last], lines[last+1:]...), ""))
-	assert.Equal(t, 1, tally.Differ, "the last decision of a whole dump counts, too")
+	assert.Equal(t, 1, tally.Different, "the last decision of a whole dump counts, too")
 }
 
 // A line that was cut, at whatever end, leads to no false difference. Where it may have been an input nothing is
@@ -259,7 +259,7 @@
 		}
 		changed := strings.Join(lines[:at], "") + piece + strings.Join(lines[at+1:], "")
 		tally, out := replayed(t, changed)
-		require.Zero(t, tally.Differ, "%q: %s", piece, out)
+		require.Zero(t, tally.Different, "%q: %s", piece, out)
 		require.Equal(t, 1, tally.Truncated, "%q", piece)
 		if torn++; tally.Skipped > 0 {
 			skipped++
@@ -270,27 +270,27 @@
 	assert.Greater(t, torn-skipped, 20, "after a cut decision all is compared on")
 
 	_, err := Replay(strings.NewReader("time=x level=INFO msg=y\n"+lines[len(lines)-1]), io.Discard)
-	assert.ErrorIs(t, err, ErrNothing, "without a state there is nothing to replay")
+	assert.ErrorIs(t, err, ErrNothingToReplay, "without a state there is nothing to replay")
 	_, err = Replay(strings.NewReader(""), io.Discard)
-	assert.ErrorIs(t, err, ErrNothing)
+	assert.ErrorIs(t, err, ErrNothingToReplay)
 }
 
 // Lines cost no memory, and a checkpoint holds the decisions for little time and none either but for its names.
 func TestLinesTakeNoMemory(t *testing.T) {
-	r := newRig(t, Settings{On: true, MaxBytes: 16 << 20, Files: 4}, 9).run(500)
+	r := newRig(t, Settings{Enabled: true, MaxBytes: 16 << 20, Segments: 4}, 9).run(500)
 	q, id := policy.Request{ID: 5, Deadline: 1.7e9}, Label{"9b1f03aa5c7e2d41", "raise-alert"}
 	res := policy.Result{ID: 5, Host: 3, DelaySeconds: 0.1, Report: policy.Report{N: 4}}
 	host := "s-5be2a07c"
 	r.Recorder.source = named{r, host}
 	assert.Zero(t, testing.AllocsPerRun(1000, func() {
-		r.Recorder.Request(r.now, q, id)
-		r.Recorder.Outcome(r.now, res, id)
-		r.Recorder.Probe(r.now, res)
-		r.Recorder.Wake(r.now)
-		r.Recorder.Gone(r.now, 5, id)
-		r.Recorder.Hosts(r.now, policy.ListDelta, r.hosts)
-		r.Decide(Decision{Do: Send, Request: 5, Host: 3, ID: id.ID, Class: id.Class})
-		r.Decide(Decision{Do: Refuse, Request: 5, After: 0.7, ID: id.ID, Class: id.Class})
+		r.Recorder.RecordRequest(r.now, q, id)
+		r.Recorder.RecordOutcome(r.now, res, id)
+		r.Recorder.RecordProbe(r.now, res)
+		r.Recorder.RecordWake(r.now)
+		r.Recorder.RecordAbandoned(r.now, 5, id)
+		r.Recorder.RecordHosts(r.now, policy.ListDelta, r.hosts)
+		r.RecordDecision(Decision{Action: ActionSend, Request: 5, Host: 3, ID: id.ID, Class: id.Class})
+		r.RecordDecision(Decision{Action: ActionRefuse, Request: 5, AfterSeconds: 0.7, ID: id.ID, Class: id.Class})
 	}))
 }
 
@@ -304,7 +304,7 @@
 
 // The lines hold what the operators' example names.
 func TestDecisionLine(t *testing.T) {
-	d := Decision{ID: "9b1f03aa5c7e2d41", Class: "raise-alert", To: "s-5be2a07c", Do: Send, Request: 17, Host: 1541578876}
+	d := Decision{ID: "9b1f03aa5c7e2d41", Class: "raise-alert", HostName: "s-5be2a07c", Action: ActionSend, Request: 17, Host: 1541578876}
 	assert.Equal(t, `{"t":1718000000123,"k":"dec","id":"9b1f03aa5c7e2d41","class":"raise-alert","to":"s-5be2a07c","do":"send","req":17,"host":1541578876}`+"\n",
 		string(d.append(nil, 1718000000.1235)))
 }
@@ -312,7 +312,7 @@
 // A checkpoint that would fill half of its segment is left out, which the segment says; the ring goes on, and so does a
 // replay as long as nothing before is dropped. An event with no room ends its segment.
 func TestNoRoom(t *testing.T) {
-	r := newRig(t, Settings{On: true, MaxBytes: 64 << 10, Files: 4}, 40)
+	r := newRig(t, Settings{Enabled: true, MaxBytes: 64 << 10, Segments: 4}, 40)
 	for r.Stats().Segments < 3 {
 		r.run(10)
 	}
@@ -320,14 +320,14 @@
 	assert.Contains(t, dump, `"k":"nostate"`)
 	assert.NotContains(t, dump, `"state":"`)
 	tally, out := replayed(t, dump)
-	assert.Zero(t, tally.Differ+tally.Skipped, out)
+	assert.Zero(t, tally.Different+tally.Skipped, out)
 	for r.Stats().Segments < 9 {
 		r.run(10)
 	}
 	_, err := Replay(bytes.NewReader(r.Dump(0)), io.Discard)
-	assert.ErrorIs(t, err, ErrNothing)
+	assert.ErrorIs(t, err, ErrNothingToReplay)
 
-	r = newRig(t, Settings{On: true, MaxBytes: 64 << 10, Files: 4}, 12).run(50)
+	r = newRig(t, Settings{Enabled: true, MaxBytes: 64 << 10, Segments: 4}, 12).run(50)
 	few := r.hosts
 	for i := range 500 {
 		r.hosts = append(r.hosts, policy.HostInfo{ID: uint32(1000 + i), State: policy.Gone})
@@ -338,8 +338,8 @@
 	dump = string(r.Dump(0))
 	assert.Contains(t, dump, `"k":"lost"`)
 	tally, out = replayed(t, dump)
-	assert.Zero(t, tally.Differ, out)
-	assert.NotZero(t, r.Stats().Lost)
+	assert.Zero(t, tally.Different, out)
+	assert.NotZero(t, r.Stats().LinesLost)
 }
 
 func files(t *testing.T, dir string) (names []string, size int64) {
@@ -371,25 +371,25 @@
 			time.Sleep(50 * time.Microsecond)
 		}
 		names, size := files(t, s.Dir)
-		require.LessOrEqual(t, len(names), s.Files+1, i)
+		require.LessOrEqual(t, len(names), s.Segments+1, i)
 		require.LessOrEqual(t, size, int64(s.MaxBytes), i)
 	}
 	r.Recorder.Close()
 	names, _ := files(t, s.Dir)
 	assert.Contains(t, names, filepath.Join(s.Dir, "notes.txt"), "what is not ours stays")
-	require.Len(t, names, s.Files+1)
+	require.Len(t, names, s.Segments+1)
 	all := ""
-	for _, name := range names[:s.Files] {
+	for _, name := range names[:s.Segments] {
 		text, err := os.ReadFile(name)
 		require.NoError(t, err)
 		tally, out := replayed(t, string(text))
-		assert.Zero(t, tally.Differ+tally.Skipped+tally.Truncated, out)
+		assert.Zero(t, tally.Different+tally.Skipped+tally.Truncated, out)
 		all += string(text)
 	}
 	tally, out := replayed(t, all)
-	assert.Zero(t, tally.Differ+tally.Skipped+tally.Truncated, out)
-	assert.Equal(t, s.Files, tally.Segments)
-	assert.Zero(t, r.Stats().DiskErrors+r.Stats().DiskLost)
+	assert.Zero(t, tally.Different+tally.Skipped+tally.Truncated, out)
+	assert.Equal(t, s.Segments, tally.Segments)
+	assert.Zero(t, r.Stats().DiskErrors+r.Stats().DiskLostBytes)
 }
 
 // warnings counts what is logged.
@@ -416,7 +416,7 @@
 	assert.NotZero(t, r.Stats().DiskErrors)
 	assert.NotZero(t, w.n.Load())
 	tally, out := replayed(t, string(r.Dump(0)))
-	assert.Zero(t, tally.Differ, out)
+	assert.Zero(t, tally.Different, out)
 
 	d := &disk{log: slog.New(slog.NewTextHandler(w, nil)), queue: make(chan chunk, mostChunks), free: make(chan []byte, mostChunks)}
 	for range mostChunks { // and nobody who writes
--- a/internal/capture/disk.go
+++ b/internal/capture/disk.go
@@ -17,7 +17,7 @@
 	// closeWithinS is how long the last bytes may take at the end.
 	closeWithinS = 2
 	// DiskDescriptors is what the writer may hold.
-	DiskDescriptors = 2
+	WriterDescriptors = 2
 )
 
 // chunk is a piece of a segment.
@@ -49,7 +49,7 @@
 }
 
 func newDisk(s Settings, now float64, log *slog.Logger) *disk {
-	d := &disk{dir: s.Dir, began: int64(now * 1000), files: s.Files, maxBytes: int64(s.MaxBytes), log: log,
+	d := &disk{dir: s.Dir, began: int64(now * 1000), files: s.Segments, maxBytes: int64(s.MaxBytes), log: log,
 		queue: make(chan chunk, mostChunks), free: make(chan []byte, mostChunks), done: make(chan struct{})}
 	for range mostChunks {
 		d.free <- make([]byte, 0, chunkBytes)
--- a/internal/capture/dump.go
+++ b/internal/capture/dump.go
@@ -18,7 +18,7 @@
 // Write writes a dump in pieces of whole lines, so that lines of a log can come between them. Danger: whoever writes to
 // the same file waits for the piece that is being written, and what fills a pipe that nobody reads stops the next line
 // of the log, and with it the event loop. Half of a pipe or socket is left to others.
-func Write(f *os.File, dump []byte) error {
+func WriteDump(f *os.File, dump []byte) error {
 	for len(dump) > 0 {
 		n := min(len(dump), writeAtOnce)
 		if i := bytes.LastIndexByte(dump[:n], '\n'); i >= 0 {
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -14,14 +14,14 @@
 
 // Settings say how much is kept, and where.
 type Settings struct {
-	On       bool
+	Enabled  bool
 	MaxBytes int
-	Files    int    // segments
+	Segments int    // segments
 	Dir      string // where they are written; empty: nowhere
 }
 
 // LeastSegment is the least that a segment may hold.
-const LeastSegment = 8 << 10
+const MinSegmentBytes = 8 << 10
 
 // Label is how a request is called outside.
 type Label struct{ ID, Class string }
@@ -39,14 +39,14 @@
 
 // Stats tell what a recorder has done.
 type Stats struct {
-	Lines      uint64 `json:"lines"`
-	Lost       uint64 `json:"lost"`          // lines without room
-	Segments   int    `json:"segments"`      // begun
-	NoState    uint64 `json:"no_checkpoint"` // segments whose checkpoint would have filled half of them
-	HeldUS     int64  `json:"checkpoint_max_us"`
-	Dumps      uint64 `json:"dumps"`
-	DiskErrors uint64 `json:"disk_errors"`
-	DiskLost   uint64 `json:"disk_lost_bytes"`
+	Lines                     uint64 `json:"lines"`
+	LinesLost                 uint64 `json:"lost"`          // lines without room
+	Segments                  int    `json:"segments"`      // begun
+	SegmentsWithoutState      uint64 `json:"no_checkpoint"` // segments whose checkpoint would have filled half of them
+	MaxCheckpointMicroseconds int64  `json:"checkpoint_max_us"`
+	Dumps                     uint64 `json:"dumps"`
+	DiskErrors                uint64 `json:"disk_errors"`
+	DiskLostBytes             uint64 `json:"disk_lost_bytes"`
 }
 
 // Recorder keeps the lines in a ring of segments. Its memory is taken at the start, and lines are appended without more.
@@ -76,11 +76,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("capture: settings: %w", err)
 	}
-	c := &Recorder{source: source, settings: raw, size: s.MaxBytes / s.Files, now: now}
+	c := &Recorder{source: source, settings: raw, size: s.MaxBytes / s.Segments, now: now}
 	if s.Dir != "" {
 		c.disk = newDisk(s, now, log)
 	}
-	for range s.Files {
+	for range s.Segments {
 		c.ring = append(c.ring, make([]byte, 0, c.size))
 	}
 	c.room, c.head = make([]byte, 0, c.size/2), make([]byte, 0, c.size/2)
@@ -105,7 +105,7 @@
 func (c *Recorder) headed(text []byte, whole bool) {
 	if !whole || len(text) > c.size/2 {
 		text = append(c.heading(kindNoState), "}\n"...)
-		c.stats.NoState++
+		c.stats.SegmentsWithoutState++
 	}
 	c.ring[c.at] = append(c.ring[c.at], text...)
 	c.stats.Lines++
@@ -121,7 +121,7 @@
 	text := append(append(c.begin(kindState), `,"settings":`...), c.settings...)
 	text = base64.StdEncoding.AppendEncode(append(c.appendNames(text), `,"state":"`...), state)
 	c.headed(append(text, "\"}\n"...), whole)
-	c.stats.HeldUS = max(c.stats.HeldUS, time.Since(began).Microseconds())
+	c.stats.MaxCheckpointMicroseconds = max(c.stats.MaxCheckpointMicroseconds, time.Since(began).Microseconds())
 }
 
 // Resume notes that the decisions go on from a state of another process: what was recorded so far does not lead there.
@@ -176,11 +176,11 @@
 	seg := c.ring[c.at]
 	switch {
 	case c.cut:
-		c.stats.Lost++
+		c.stats.LinesLost++
 	case len(seg)+len(text)+lostRoom > c.size:
 		c.ring[c.at] = append(appendHead(seg, c.now, kindLost), "}\n"...)
 		c.cut = true
-		c.stats.Lost++
+		c.stats.LinesLost++
 	default:
 		c.ring[c.at] = append(seg, text...)
 		c.stats.Lines++
@@ -194,7 +194,7 @@
 }
 
 // Hosts notes a list of hosts.
-func (c *Recorder) Hosts(now float64, kind policy.ListKind, list []policy.HostInfo) {
+func (c *Recorder) RecordHosts(now float64, kind policy.ListKind, list []policy.HostInfo) {
 	if c == nil {
 		return
 	}
@@ -209,7 +209,7 @@
 }
 
 // Request notes a request from a client.
-func (c *Recorder) Request(now float64, q policy.Request, l Label) {
+func (c *Recorder) RecordRequest(now float64, q policy.Request, l Label) {
 	if c == nil {
 		return
 	}
@@ -233,7 +233,7 @@
 }
 
 // Outcome notes the end of an attempt.
-func (c *Recorder) Outcome(now float64, r policy.Result, l Label) {
+func (c *Recorder) RecordOutcome(now float64, r policy.Result, l Label) {
 	if c == nil {
 		return
 	}
@@ -243,49 +243,49 @@
 }
 
 // Probe notes the end of a probe.
-func (c *Recorder) Probe(now float64, r policy.Result) {
+func (c *Recorder) RecordProbe(now float64, r policy.Result) {
 	if c != nil {
 		c.input(c.appendResult(c.begun(now, kindProbe), r))
 	}
 }
 
 // Wake notes a wake-up.
-func (c *Recorder) Wake(now float64) {
+func (c *Recorder) RecordWake(now float64) {
 	if c != nil {
 		c.input(c.begun(now, kindWake))
 	}
 }
 
 // Stalled notes that the sidecar stood still.
-func (c *Recorder) Stalled(now, seconds float64) {
+func (c *Recorder) RecordStall(now, seconds float64) {
 	if c != nil {
 		c.input(appendFloat(append(c.begun(now, kindStalled), `,"late":`...), seconds))
 	}
 }
 
 // Place notes the sidecar's place in its fleet.
-func (c *Recorder) Place(now float64, rank, count int) {
+func (c *Recorder) RecordReplica(now float64, rank, count int) {
 	if c != nil {
 		c.input(appendInt(append(appendInt(append(c.begun(now, kindPlace), `,"rank":`...), int64(rank)), `,"count":`...), int64(count)))
 	}
 }
 
 // Gone notes the departure of a request's client.
-func (c *Recorder) Gone(now float64, request uint32, l Label) {
+func (c *Recorder) RecordAbandoned(now float64, request uint32, l Label) {
 	if c != nil {
 		c.input(appendInt(append(appendLabel(c.begun(now, kindGone), l), `,"req":`...), int64(request)))
 	}
 }
 
 // Decide notes an action of the decisions. It belongs to the event that was noted last.
-func (c *Recorder) Decide(d Decision) {
+func (c *Recorder) RecordDecision(d Decision) {
 	if c == nil {
 		return
 	}
 	if d.Host != 0 {
-		d.To = c.source.HostName(d.Host)
+		d.HostName = c.source.HostName(d.Host)
 	}
-	d.ID, d.Class, d.To, d.Text = label(d.ID), label(d.Class), label(d.To), label(d.Text)
+	d.ID, d.Class, d.HostName, d.Text = label(d.ID), label(d.Class), label(d.HostName), label(d.Text)
 	c.put(d.append(c.room[:0], c.now))
 }
 
@@ -331,12 +331,12 @@
 }
 
 // ToDisk tells whether segments are written to files.
-func (c *Recorder) ToDisk() bool { return c != nil && c.disk != nil }
+func (c *Recorder) WritesFiles() bool { return c != nil && c.disk != nil }
 
 // Flush hands what is new to the disk's writer, if there is one. It is called between events: a file then ends with a
 // whole one.
 func (c *Recorder) Flush() {
-	if !c.ToDisk() {
+	if !c.WritesFiles() {
 		return
 	}
 	seg := c.ring[c.at]
@@ -346,7 +346,7 @@
 
 // Close hands on the rest and waits until it is written, or for as long as a disk may take.
 func (c *Recorder) Close() {
-	if c.ToDisk() {
+	if c.WritesFiles() {
 		c.Flush()
 		c.disk.close()
 	}
@@ -359,7 +359,7 @@
 	}
 	s := c.stats
 	if c.disk != nil {
-		s.DiskErrors, s.DiskLost = c.disk.errors.Load(), c.disk.lost
+		s.DiskErrors, s.DiskLostBytes = c.disk.errors.Load(), c.disk.lost
 	}
 	return &s
 }
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -13,27 +13,27 @@
 )
 
 // ErrNothing is the fault of a file of which nothing can be replayed.
-var ErrNothing = errors.New("capture: nothing to replay")
+var ErrNothingToReplay = errors.New("capture: nothing to replay")
 
 // Tally counts what a replay has met.
-type Tally struct {
+type Summary struct {
 	Lines     int // whole ones
 	Segments  int
 	Events    int // replayed
 	Compared  int // decisions
-	Differ    int
+	Different int
 	Truncated int // lines that were cut, or that nobody knows
 	Skipped   int // lines that were not compared, since the state before them is not known
 }
 
-func (t Tally) String() string {
+func (t Summary) String() string {
 	return fmt.Sprintf("%d lines in %d segments: %d events replayed, %d decisions compared, %d differ; "+
-		"%d lines truncated, %d lines not compared", t.Lines, t.Segments, t.Events, t.Compared, t.Differ, t.Truncated, t.Skipped)
+		"%d lines truncated, %d lines not compared", t.Lines, t.Segments, t.Events, t.Compared, t.Different, t.Truncated, t.Skipped)
 }
 
 // Replay feeds the inputs in a record through the decisions, and prints each decision that differs from what was
 // recorded. What is no line of a record is passed over: dumps stand among the lines of a log.
-func Replay(in io.Reader, out io.Writer) (Tally, error) {
+func Replay(in io.Reader, out io.Writer) (Summary, error) {
 	r := &replayer{out: out}
 	lines := bufio.NewReader(in)
 	for {
@@ -50,7 +50,7 @@
 	}
 	r.finish(false)
 	if r.tally.Events == 0 {
-		return r.tally, ErrNothing
+		return r.tally, ErrNothingToReplay
 	}
 	return r.tally, nil
 }
@@ -65,7 +65,7 @@
 
 type replayer struct {
 	out     io.Writer
-	tally   Tally
+	tally   Summary
 	number  int              // of the line
 	b       *policy.Balancer // nil while the state is not known
 	segment int
@@ -150,7 +150,7 @@
 			break
 		}
 		d := l.Decision
-		d.After = float64(l.After)
+		d.AfterSeconds = float64(l.After)
 		r.said = append(r.said, recorded{Decision: d, number: r.number, text: text})
 	case kindHosts, kindRequest, kindOutcome, kindProbe, kindWake, kindGone, kindStalled, kindPlace:
 		r.finish(true)
@@ -272,7 +272,7 @@
 // differ prints a difference.
 func (r *replayer) differ(number int, said string, did *Decision) {
 	r.tally.Compared++
-	r.tally.Differ++
+	r.tally.Different++
 	if said == "" {
 		said = "nothing"
 	}
@@ -285,7 +285,7 @@
 
 // alike tells whether two decisions are the same; a name that one of them does not know counts for nothing.
 func alike(a, b Decision) bool {
-	for _, names := range [...][2]*string{{&a.ID, &b.ID}, {&a.Class, &b.Class}, {&a.To, &b.To}} {
+	for _, names := range [...][2]*string{{&a.ID, &b.ID}, {&a.Class, &b.Class}, {&a.HostName, &b.HostName}} {
 		if *names[0] == "" || *names[1] == "" {
 			*names[0], *names[1] = "", ""
 		}
@@ -301,24 +301,26 @@
 		d.ID, d.Class = l.ID, l.Class
 	}
 	if d.Host != 0 {
-		d.To = r.hosts[d.Host]
+		d.HostName = r.hosts[d.Host]
 	}
 	d.Text = label(d.Text)
 	r.did = append(r.did, d)
 }
 
 func (r *replayer) Send(request, host uint32) {
-	r.note(Decision{Do: Send, Request: request, Host: host})
+	r.note(Decision{Action: ActionSend, Request: request, Host: host})
 }
 func (r *replayer) Cancel(request uint32, attempt int) {
-	r.note(Decision{Do: Cancel, Request: request, Attempt: attempt})
+	r.note(Decision{Action: ActionCancel, Request: request, Attempt: attempt})
 }
-func (r *replayer) Probe(host uint32)     { r.note(Decision{Do: Probe, Host: host}) }
-func (r *replayer) CloseIdle(host uint32) { r.note(Decision{Do: CloseIdle, Host: host}) }
+func (r *replayer) Probe(host uint32)     { r.note(Decision{Action: ActionProbe, Host: host}) }
+func (r *replayer) CloseIdle(host uint32) { r.note(Decision{Action: ActionCloseIdle, Host: host}) }
 func (r *replayer) Refuse(request uint32, after float64) {
-	r.note(Decision{Do: Refuse, Request: request, After: after})
+	r.note(Decision{Action: ActionRefuse, Request: request, AfterSeconds: after})
 }
-func (r *replayer) Fail(request uint32)       { r.note(Decision{Do: Fail, Request: request}) }
-func (r *replayer) WakeAfter(seconds float64) { r.note(Decision{Do: Wake, After: seconds}) }
-func (r *replayer) Watch()                    { r.note(Decision{Do: Watch}) }
-func (r *replayer) Log(text string)           { r.note(Decision{Do: Log, Text: text}) }
+func (r *replayer) Fail(request uint32) { r.note(Decision{Action: ActionFail, Request: request}) }
+func (r *replayer) WakeAfter(seconds float64) {
+	r.note(Decision{Action: ActionWake, AfterSeconds: seconds})
+}
+func (r *replayer) Watch()          { r.note(Decision{Action: ActionWatch}) }
+func (r *replayer) Log(text string) { r.note(Decision{Action: ActionLog, Text: text}) }
--- a/internal/capture/stored_form_test.go
+++ b/internal/capture/stored_form_test.go
@@ -36,12 +36,12 @@
 // TestRecordFormIsKept records the same events as released versions do, to the byte, and replays what one has recorded: the start with
 // the settings, every kind of input and decision, and segments that begin with a checkpoint.
 func TestRecordFormIsKept(t *testing.T) {
-	r := newRig(t, Settings{On: true, MaxBytes: 128 << 10, Files: 2}, 5)
+	r := newRig(t, Settings{Enabled: true, MaxBytes: 128 << 10, Segments: 2}, 5)
 	r.Recorder.source = ordered{r}
 	r.run(60)
-	r.Recorder.Stalled(r.now, 0.75)
+	r.Recorder.RecordStall(r.now, 0.75)
 	r.Balancer.ObserveStall(r.now, 0.75)
-	r.Recorder.Place(r.now, 1, 3)
+	r.Recorder.RecordReplica(r.now, 1, 3)
 	r.Balancer.SetReplica(r.now, 1, 3)
 	r.run(40)
 	r.Recorder.Resume()
@@ -59,7 +59,7 @@
 		assert.True(t, bytes.Contains(want, []byte(`"k":"`+kind+`"`)), kind)
 	}
 	tally, out := replayed(t, string(want))
-	assert.Zero(t, tally.Differ+tally.Skipped+tally.Truncated, out)
+	assert.Zero(t, tally.Different+tally.Skipped+tally.Truncated, out)
 	assert.Equal(t, 2, tally.Segments)
 	assert.Greater(t, tally.Compared, 50)
 }
@@ -83,17 +83,17 @@
 
 func writeEachKind(r *rig, l Label) {
 	c := r.Recorder
-	c.Hosts(r.now, policy.ListCached, []policy.HostInfo{{ID: 1, Zone: 2, Kind: 3, Cell: 4, State: policy.Draining, Size: 0.5, Started: 1.6e9}})
-	c.Request(r.now, policy.Request{ID: 5, Class: 1, Tenant: 2, Key: 1 << 63, Deadline: r.now + 1, WorkSeconds: 0.25, HasWork: true, Repeat: true, HeldBackSeconds: 0.125}, l)
+	c.RecordHosts(r.now, policy.ListCached, []policy.HostInfo{{ID: 1, Zone: 2, Kind: 3, Cell: 4, State: policy.Draining, Size: 0.5, Started: 1.6e9}})
+	c.RecordRequest(r.now, policy.Request{ID: 5, Class: 1, Tenant: 2, Key: 1 << 63, Deadline: r.now + 1, WorkSeconds: 0.25, HasWork: true, Repeat: true, HeldBackSeconds: 0.125}, l)
 	result := policy.Result{ID: 5, Attempt: 1, Host: 1, Outcome: policy.Outcome(3), DelaySeconds: 0.0625, LateSeconds: 0.5, Final: true,
 		Report: policy.Report{N: 3, Values: [4]float32{0.5, float32(math.NaN()), float32(math.Inf(1))}}}
-	c.Outcome(r.now, result, l)
-	c.Probe(r.now, result)
-	c.Wake(r.now)
-	c.Stalled(r.now, 0.75)
-	c.Place(r.now, 1, 3)
-	c.Gone(r.now, 5, l)
-	for _, do := range []string{Send, Cancel, Probe, CloseIdle, Refuse, Fail, Wake, Watch, Log} {
-		c.Decide(Decision{ID: l.ID, Class: l.Class, To: "s-00000001", Do: do, Request: 5, Host: 1, Attempt: 1, After: 1e-7, Text: "text \"\\\n\xff"})
+	c.RecordOutcome(r.now, result, l)
+	c.RecordProbe(r.now, result)
+	c.RecordWake(r.now)
+	c.RecordStall(r.now, 0.75)
+	c.RecordReplica(r.now, 1, 3)
+	c.RecordAbandoned(r.now, 5, l)
+	for _, do := range []string{ActionSend, ActionCancel, ActionProbe, ActionCloseIdle, ActionRefuse, ActionFail, ActionWake, ActionWatch, ActionLog} {
+		c.RecordDecision(Decision{ID: l.ID, Class: l.Class, HostName: "s-00000001", Action: do, Request: 5, Host: 1, Attempt: 1, AfterSeconds: 1e-7, Text: "text \"\\\n\xff"})
 	}
 }
--- a/internal/featureconfig/features.go
+++ b/internal/featureconfig/features.go
@@ -58,8 +58,8 @@
 	if f.Health.IsEnabled() {
 		on = append(on, fmt.Sprintf("health (port %d)", f.Health.Port))
 	}
-	if f.Capture.On {
-		on = append(on, fmt.Sprintf("capture (%d bytes in %d segments)", f.Capture.MaxBytes, f.Capture.Files))
+	if f.Capture.Enabled {
+		on = append(on, fmt.Sprintf("capture (%d bytes in %d segments)", f.Capture.MaxBytes, f.Capture.Segments))
 	}
 	if f.Admission.On() {
 		on = append(on, fmt.Sprintf("admission (reserve %d, %d caps, %d known)", f.Admission.Reserve, len(f.Admission.Caps), len(f.Admission.Known)))
@@ -188,18 +188,18 @@
 // readCapture takes any word of capture for a switch; an empty object is one with nothing but defaults.
 func (f *Features) readCapture(o *object, cfg *sidecarconfig.Config) {
 	c := &f.Capture
-	c.MaxBytes, c.Files = 512<<10, 4
+	c.MaxBytes, c.Segments = 512<<10, 4
 	for name := range o.fields {
-		c.On = c.On || name == "capture" || strings.HasPrefix(name, "capture.")
+		c.Enabled = c.Enabled || name == "capture" || strings.HasPrefix(name, "capture.")
 	}
 	o.unfold("capture", "max_bytes", "files", "dir")
-	field(o, "capture.files", &c.Files, "1 to 64", func(v int) bool { return v >= 1 && v <= 64 })
+	field(o, "capture.files", &c.Segments, "1 to 64", func(v int) bool { return v >= 1 && v <= 64 })
 	field(o, "capture.max_bytes", &c.MaxBytes, "a whole number up to 67108864", func(v int) bool { return v <= 64<<20 })
-	if c.Files > 0 && c.MaxBytes/c.Files < capture.LeastSegment {
-		o.fail("capture.max_bytes", fmt.Sprintf("want at least %d for each of capture.files", capture.LeastSegment))
+	if c.Segments > 0 && c.MaxBytes/c.Segments < capture.MinSegmentBytes {
+		o.fail("capture.max_bytes", fmt.Sprintf("want at least %d for each of capture.files", capture.MinSegmentBytes))
 	}
 	// Danger: the ring is there from the start, and a dump copies it; the sidecar is killed beyond its memory.
-	if most := cfg.Limits.MemoryMB << 20 / 4; c.On && c.MaxBytes > most {
+	if most := cfg.Limits.MemoryMB << 20 / 4; c.Enabled && c.MaxBytes > most {
 		o.fail("capture.max_bytes", fmt.Sprintf("want at most %d, a quarter of limits.memory_mb", most))
 	}
 	field(o, "capture.dir", &c.Dir, "the path of a folder", func(s string) bool { return s != "" })
--- a/internal/featureconfig/features_test.go
+++ b/internal/featureconfig/features_test.go
@@ -51,9 +51,9 @@
 	}
 
 	for text, want := range map[string]capture.Settings{
-		`{"capture":{}}`:      {On: true, MaxBytes: 524288, Files: 4},
-		`{"capture.files":2}`: {On: true, MaxBytes: 524288, Files: 2},
-		`{"capture":{"dir":"/tmp/x","max_bytes":65536},"capture.files":8}`: {On: true, MaxBytes: 65536, Files: 8, Dir: "/tmp/x"},
+		`{"capture":{}}`:      {Enabled: true, MaxBytes: 524288, Segments: 4},
+		`{"capture.files":2}`: {Enabled: true, MaxBytes: 524288, Segments: 2},
+		`{"capture":{"dir":"/tmp/x","max_bytes":65536},"capture.files":8}`: {Enabled: true, MaxBytes: 65536, Segments: 8, Dir: "/tmp/x"},
 	} {
 		f, err = read(text)
 		require.NoError(t, err)
@@ -79,7 +79,7 @@
 
 	f, err = read(`{}`)
 	require.NoError(t, err)
-	assert.False(t, f.Drills.Faults != nil || f.Drills.SecretHash != nil || f.Rewrites.On() || f.Health.IsEnabled() || f.Capture.On || f.Admission.On() || f.Thrift.On(), "what is not named is off")
+	assert.False(t, f.Drills.Faults != nil || f.Drills.SecretHash != nil || f.Rewrites.On() || f.Health.IsEnabled() || f.Capture.Enabled || f.Admission.On() || f.Thrift.On(), "what is not named is off")
 	_, err = Load(filepath.Join(t.TempDir(), "none.json"), &sidecarconfig.Config{})
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -170,7 +170,7 @@
 		p.Do(func() { text <- p.DumpCapture() })
 		select {
 		case dump := <-text:
-			if err := capture.Write(os.Stderr, dump); err != nil {
+			if err := capture.WriteDump(os.Stderr, dump); err != nil {
 				p.log.Error("capture can't be written", "error", err)
 			}
 		case <-p.over: // the event loop has gone
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -11,7 +11,7 @@
 
 // Send starts the next attempt of a request.
 func (s *Sidecar) Send(id, host uint32) {
-	s.noteFor(id, capture.Decision{Do: capture.Send, Host: host})
+	s.noteFor(id, capture.Decision{Action: capture.ActionSend, Host: host})
 	r := s.requests[id]
 	if r == nil {
 		s.log.Error("send for an unknown request", "request", id)
@@ -31,7 +31,7 @@
 
 // Cancel ends the wait for one attempt.
 func (s *Sidecar) Cancel(id uint32, attempt int) {
-	s.noteFor(id, capture.Decision{Do: capture.Cancel, Attempt: attempt})
+	s.noteFor(id, capture.Decision{Action: capture.ActionCancel, Attempt: attempt})
 	if r := s.requests[id]; r != nil {
 		if e := r.attempt(attempt); e != nil {
 			s.abandon(e, cancelled)
@@ -41,14 +41,14 @@
 
 // NewProbe asks a server for a sign of life.
 func (s *Sidecar) Probe(host uint32) {
-	s.capture.Decide(capture.Decision{Do: capture.Probe, Host: host})
+	s.capture.RecordDecision(capture.Decision{Action: capture.ActionProbe, Host: host})
 	s.counters.Probes++
 	s.begin(&attempt{host: host, sentAt: s.eventAt, until: s.eventAt + probeWaitS, exchange: s.prober.NewProbe(), front: s.prober})
 }
 
 // CloseIdle closes the idle links to a server.
 func (s *Sidecar) CloseIdle(host uint32) {
-	s.capture.Decide(capture.Decision{Do: capture.CloseIdle, Host: host})
+	s.capture.RecordDecision(capture.Decision{Action: capture.ActionCloseIdle, Host: host})
 	s.closeIdle(host)
 }
 
@@ -61,7 +61,7 @@
 
 // Refuse is a final answer: trying again is harmless.
 func (s *Sidecar) Refuse(id uint32, retryAfterS float64) {
-	s.noteFor(id, capture.Decision{Do: capture.Refuse, After: retryAfterS})
+	s.noteFor(id, capture.Decision{Action: capture.ActionRefuse, AfterSeconds: retryAfterS})
 	if r := s.requests[id]; r != nil && !r.answered {
 		s.answer(r, throttled, func() { r.origin.Throttle(retryAfterS) })
 	}
@@ -69,7 +69,7 @@
 
 // Fail is a final answer that promises nothing.
 func (s *Sidecar) Fail(id uint32) {
-	s.noteFor(id, capture.Decision{Do: capture.Fail})
+	s.noteFor(id, capture.Decision{Action: capture.ActionFail})
 	if r := s.requests[id]; r != nil && !r.answered {
 		s.answer(r, failed, func() { r.origin.Fail(s.now() >= r.deadline-2*s.answerRoom()) })
 	}
@@ -78,7 +78,7 @@
 // WakeAfter asks for a call of Wake, in place of the one that was asked for before: the decisions wait for one at a time.
 // Danger: the replaced ones kept, each request leaves one behind for as long as the next probe is away, 16 s in a large fleet.
 func (s *Sidecar) WakeAfter(seconds float64) {
-	s.capture.Decide(capture.Decision{Do: capture.Wake, After: seconds})
+	s.capture.RecordDecision(capture.Decision{Action: capture.ActionWake, AfterSeconds: seconds})
 	s.timers.stop(&s.wake)
 	s.timers.set(&s.wake, s.eventAt+seconds, (*wakeUp)(s))
 }
@@ -89,19 +89,19 @@
 func (w *wakeUp) expire() {
 	s := (*Sidecar)(w)
 	s.push(func(now float64) {
-		s.capture.Wake(now)
+		s.capture.RecordWake(now)
 		s.balancer.Wake(now)
 	})
 }
 
 // Watch subscribes to changes of the list.
 func (s *Sidecar) Watch() {
-	s.capture.Decide(capture.Decision{Do: capture.Watch})
+	s.capture.RecordDecision(capture.Decision{Action: capture.ActionWatch})
 	s.watch()
 }
 
 // Log records a change of state for the operators.
 func (s *Sidecar) Log(text string) {
-	s.capture.Decide(capture.Decision{Do: capture.Log, Text: text})
+	s.capture.RecordDecision(capture.Decision{Action: capture.ActionLog, Text: text})
 	s.log.Info(text)
 }
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -124,7 +124,7 @@
 		s.counters.probes.count(result.Outcome)
 		s.push(func(now float64) {
 			result.DelaySeconds, result.LateSeconds = e.took(now)
-			s.capture.Probe(now, result)
+			s.capture.RecordProbe(now, result)
 			s.balancer.ProbeDone(now, result)
 		})
 		return
--- a/internal/sidecar/capture.go
+++ b/internal/sidecar/capture.go
@@ -55,7 +55,7 @@
 		d.ID, d.Class = r.name, r.class
 	}
 	d.Request = id
-	s.capture.Decide(d)
+	s.capture.RecordDecision(d)
 }
 
 // flushCapture hands what is new to the capture's files, again and again.
--- a/internal/sidecar/events.go
+++ b/internal/sidecar/events.go
@@ -34,11 +34,11 @@
 		r := e.ended.request
 		e.result.DelaySeconds, e.result.LateSeconds = e.ended.took(now)
 		e.result.Final = e.result.Final || r.answered
-		s.capture.Outcome(now, e.result, r.label())
+		s.capture.RecordOutcome(now, e.result, r.label())
 		s.balancer.AttemptDone(now, e.result)
 		s.forget(r)
 	case !e.request.answered: // its client may have gone since
-		s.capture.Request(now, e.told, e.request.label())
+		s.capture.RecordRequest(now, e.told, e.request.label())
 		s.balancer.StartRequest(now, e.told)
 	}
 }
--- a/internal/sidecar/lateness.go
+++ b/internal/sidecar/lateness.go
@@ -54,7 +54,7 @@
 	s.fit.stood += seconds
 	s.log.Debug("the loop stood still", "seconds", seconds)
 	s.push(func(now float64) {
-		s.capture.Stalled(now, seconds)
+		s.capture.RecordStall(now, seconds)
 		s.balancer.ObserveStall(now, seconds)
 	})
 }
--- a/internal/sidecar/place.go
+++ b/internal/sidecar/place.go
@@ -23,7 +23,7 @@
 func (s *Sidecar) SetRank(number, count int) {
 	s.enter(func() {
 		s.push(func(now float64) {
-			s.capture.Place(now, number, count)
+			s.capture.RecordReplica(now, number, count)
 			s.balancer.SetReplica(now, number, count)
 		})
 	})
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -164,7 +164,7 @@
 // tellAbandoned tells the decisions that nothing is owed to a request any more.
 func (s *Sidecar) tellAbandoned(r *request) {
 	s.push(func(now float64) {
-		s.capture.Gone(now, r.id, r.label())
+		s.capture.RecordAbandoned(now, r.id, r.label())
 		s.balancer.Abandoned(now, r.id)
 	})
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -135,13 +135,13 @@
 	}
 	s.arrivals.queue = admission.NewQueue[arrival](classes)
 	s.balancer = policy.New(cfg.Settings.Policy, cfg.Seed, s)
-	if on.Capture.On {
+	if on.Capture.Enabled {
 		var err error
 		if s.capture, err = capture.New(on.Capture, cfg.Settings.Policy, cfg.Seed, s.now(), witness{s}, log); err != nil {
 			return nil, err
 		}
 		if on.Capture.Dir != "" {
-			s.reserved += capture.DiskDescriptors
+			s.reserved += capture.WriterDescriptors
 		}
 	}
 	if len(cfg.Known) > 0 {
@@ -180,7 +180,7 @@
 			s.watch()
 		}
 		s.beginQuotas()
-		if s.capture.ToDisk() {
+		if s.capture.WritesFiles() {
 			s.flushCapture()
 		}
 		s.log.Info("serving", "name", s.cfg.Name, "listen", s.cfg.Listen)
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -248,7 +248,7 @@
 // tellHosts tells the decisions of a list.
 func (s *Sidecar) tellHosts(kind policy.ListKind, infos []policy.HostInfo) {
 	s.push(func(now float64) {
-		s.capture.Hosts(now, kind, infos)
+		s.capture.RecordHosts(now, kind, infos)
 		s.balancer.UpdateHosts(now, kind, infos)
 	})
 }
