--- a/internal/coordination/helpers_test.go
+++ b/internal/coordination/helpers_test.go
@@ -10,7 +10,7 @@
 
 // clockNet is a network on which nothing happens but that time passes. A dial stays under way for ever.
 type clockNet struct {
-	netio.Net
+	netio.EventLoop
 	now  float64
 	link *peers.Link // that was dialed last
 }
--- a/internal/coordination/loop.go
+++ b/internal/coordination/loop.go
@@ -8,7 +8,7 @@
 	"hazelwheel/internal/peers"
 )
 
-var _ netio.Host = (*Node)(nil)
+var _ netio.Handler = (*Node)(nil)
 
 // run is the boundary of each call from the loop. It recovers panics, runs what was postponed during the call, and reschedules the
 // tick, since the call may have brought forward what is due.
@@ -55,13 +55,13 @@
 	return false
 }
 
-// Open implements netio.Host.
+// Open implements netio.Handler.
 func (n *Node) Open(c netio.Conn) (keep bool) {
 	n.run(func() { keep = n.view != nil && !n.isReplaced && n.peers.Open(c) })
 	return keep
 }
 
-// Traffic implements netio.Host. A connection whose data causes a panic is closed.
+// Traffic implements netio.Handler. A connection whose data causes a panic is closed.
 func (n *Node) Traffic(c netio.Conn, data []byte) {
 	n.run(func() {
 		if n.runRecovered(func() { n.peers.Traffic(c, data) }) {
@@ -70,10 +70,10 @@
 	})
 }
 
-// Closed implements netio.Host.
+// Closed implements netio.Handler.
 func (n *Node) Closed(c netio.Conn, err error) { n.run(func() { n.peers.Closed(c, err) }) }
 
-// Alarm implements netio.Host.
+// Alarm implements netio.Handler.
 func (n *Node) Alarm() {
 	n.run(func() {
 		if n.view != nil {
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -13,10 +13,10 @@
 	"hazelwheel/policy"
 )
 
-// Node is one sidecar's part in its fleet. It belongs to the event loop; see the package doc. Times are seconds of netio.Net.Now.
+// Node is one sidecar's part in its fleet. It belongs to the event loop; see the package doc. Times are seconds of netio.EventLoop.Now.
 type Node struct {
 	options Options
-	net     netio.Net
+	net     netio.EventLoop
 	log     *slog.Logger
 	port    int // of Settings.Listen
 
@@ -77,7 +77,7 @@
 	return n, nil
 }
 
-// Start implements netio.Host: it continues the identity that UseStore was given, or draws a new one, persists it and then joins the
+// Start implements netio.Handler: it continues the identity that UseStore was given, or draws a new one, persists it and then joins the
 // fleet. Danger: votes given under an identity must not be forgotten under it, so an identity that can't be written again is not
 // used.
 func (n *Node) Start() {
@@ -208,7 +208,7 @@
 	if n.roles != nil {
 		next = min(next, max(n.roles.nextTick(now), now+minTickSeconds))
 	}
-	n.net.Alarm(next)
+	n.net.SetAlarm(next)
 }
 
 // CheckShutdown starts leaving the fleet if the sidecar has been told to shut down. It is called when that may have changed; tick
--- a/internal/environment/app.go
+++ b/internal/environment/app.go
@@ -20,7 +20,7 @@
 	rng     *rand.Rand // arrivals
 	ids     *rand.Rand
 	chance  *rand.Rand // what a request does
-	net     netio.Net
+	net     netio.EventLoop
 	due     agenda[appTask]
 	armed   float64
 	ready   bool
@@ -116,7 +116,7 @@
 const batchLinks = 1 << 47
 
 // Boot begins the application.
-func (a *Application) Boot(net netio.Net) netio.Host {
+func (a *Application) Boot(net netio.EventLoop) netio.Handler {
 	a.net = net
 	return a
 }
@@ -183,7 +183,7 @@
 func (a *Application) arm() {
 	if at := a.due.next(); at != a.armed && at < math.Inf(1) {
 		a.armed = at
-		a.net.Alarm(at)
+		a.net.SetAlarm(at)
 	}
 }
 
--- a/internal/environment/box.go
+++ b/internal/environment/box.go
@@ -86,7 +86,7 @@
 // life is one life of a box's process: its front and its engine.
 type life struct {
 	*Box
-	net      netio.Net
+	net      netio.EventLoop
 	engine   *Engine
 	since    float64
 	draining bool
@@ -137,7 +137,7 @@
 }
 
 // Boot begins a life at an address. The first life of a box that stands at the day's start has been warm for long.
-func (b *Box) Boot(address string, net netio.Net) netio.Host {
+func (b *Box) Boot(address string, net netio.EventLoop) netio.Handler {
 	b.Address = address
 	b.lives++
 	l := &life{Box: b, net: net, armed: math.Inf(1)}
@@ -545,6 +545,6 @@
 	}
 	if at != l.armed {
 		l.armed = at
-		l.net.Alarm(at)
+		l.net.SetAlarm(at)
 	}
 }
--- a/internal/environment/day.go
+++ b/internal/environment/day.go
@@ -1,6 +1,6 @@
 // Package environment is the model of what sidecars serve and depend on: boxes, discovery, the applications beside them, the
 // sites and the times between these, and the script of troubles. Each actor is a pure state machine that is told the
-// time, with a thin HTTP/1.1 front that is a netio.Host: it uses its netio.Net and nothing else, so the same actors run
+// time, with a thin HTTP/1.1 front that is a netio.Handler: it uses its netio.EventLoop and nothing else, so the same actors run
 // in simulated time and on real sockets. Nothing here starts a goroutine, reads a clock or depends on a map's order;
 // chance comes from streams that a seed gives.
 package environment
--- a/internal/environment/ground.go
+++ b/internal/environment/ground.go
@@ -59,7 +59,7 @@
 	Listen string // address and port; empty: it dials only
 	Site   int
 	// Boot returns a new life of its program. One that is up already must have been ended.
-	Boot func(net netio.Net) netio.Host
+	Boot func(net netio.EventLoop) netio.Handler
 	// Late machines begin when the Ground is told to Return them.
 	Late bool
 }
--- a/internal/environment/mischief.go
+++ b/internal/environment/mischief.go
@@ -19,7 +19,7 @@
 	app     *Application
 	witness checker.Observer
 	rng     *rand.Rand
-	net     netio.Net
+	net     netio.EventLoop
 	due     agenda[mischiefTask]
 	early   []*wave // told before the machine's program had begun
 	armed   float64
@@ -97,7 +97,7 @@
 }
 
 // Boot begins the machine's program.
-func (m *Mischief) Boot(net netio.Net) netio.Host {
+func (m *Mischief) Boot(net netio.EventLoop) netio.Handler {
 	m.net = net
 	return m
 }
@@ -155,7 +155,7 @@
 func (m *Mischief) arm() {
 	if at := m.due.next(); at != m.armed && at < math.Inf(1) {
 		m.armed = at
-		m.net.Alarm(at)
+		m.net.SetAlarm(at)
 	}
 }
 
--- a/internal/environment/registryfront.go
+++ b/internal/environment/registryfront.go
@@ -15,7 +15,7 @@
 type registryFront struct {
 	r      *Registry
 	number int
-	net    netio.Net
+	net    netio.EventLoop
 	links  []*registryLink
 	due    agenda[registryTask]
 	armed  float64
@@ -48,8 +48,8 @@
 }
 
 // Boot returns what serves one of discovery's addresses.
-func (r *Registry) Boot(number int) func(netio.Net) netio.Host {
-	return func(net netio.Net) netio.Host {
+func (r *Registry) Boot(number int) func(netio.EventLoop) netio.Handler {
+	return func(net netio.EventLoop) netio.Handler {
 		f := &registryFront{r: r, number: number, net: net, armed: math.Inf(1)}
 		r.fronts = append(r.fronts, f)
 		return f
@@ -261,6 +261,6 @@
 	at := min(f.r.due(), f.due.next())
 	if at != f.armed && at < math.Inf(1) {
 		f.armed = at
-		f.net.Alarm(at)
+		f.net.SetAlarm(at)
 	}
 }
--- a/internal/environment/world.go
+++ b/internal/environment/world.go
@@ -60,7 +60,7 @@
 	for _, b := range w.Boxes {
 		for i, ip := range []string{b.Spec.IP, otherIP(&b.Spec)} {
 			all = append(all, Machine{Name: b.Spec.Name, IP: ip, Listen: ip + boxPort, Site: b.Spec.Site,
-				Boot: func(net netio.Net) netio.Host { return w.tenants[ip].Boot(ip+boxPort, net) },
+				Boot: func(net netio.EventLoop) netio.Handler { return w.tenants[ip].Boot(ip+boxPort, net) },
 				Late: i > 0 || b.Spec.Number >= w.Day.Standing})
 		}
 	}
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -27,7 +27,7 @@
 
 // loop is a network without sockets: what is written is there at once, and a box answers everything.
 type loop struct {
-	host   netio.Host
+	host   netio.Handler
 	now    float64
 	alarm  float64 // 0: none
 	todo   []func()
@@ -36,18 +36,18 @@
 	sent   int      // what the box has been sent
 }
 
-func (n *loop) Now() float64                  { return n.now }
-func (n *loop) Alarm(at float64)              { n.alarm = at }
-func (n *loop) Post(f func())                 { n.todo = append(n.todo, f) }
-func (n *loop) Yield(f func())                { n.todo = append(n.todo, f) }
-func (n *loop) CloseWrite(c netio.Conn)       { c.(*conn).ended = true }
-func (n *loop) Quiet(netio.Conn) bool         { return true }
-func (n *loop) Delivered(netio.Conn) bool     { return true }
-func (n *loop) Waited(netio.Conn) float64     { return 0 }
-func (n *loop) ResumeReading(netio.Conn)      {}
-func (n *loop) Listen(string) (func(), error) { return nil, errors.ErrUnsupported }
-func (n *loop) StopListening(done func())     { done() }
-func (n *loop) PauseReading(netio.Conn, netio.PausedEnds) bool {
+func (n *loop) Now() float64                           { return n.now }
+func (n *loop) SetAlarm(at float64)                    { n.alarm = at }
+func (n *loop) Post(f func())                          { n.todo = append(n.todo, f) }
+func (n *loop) Yield(f func())                         { n.todo = append(n.todo, f) }
+func (n *loop) CloseWrite(c netio.Conn)                { c.(*conn).ended = true }
+func (n *loop) NothingToRead(netio.Conn) bool          { return true }
+func (n *loop) AllAcknowledged(netio.Conn) bool        { return true }
+func (n *loop) ReceiveDelaySeconds(netio.Conn) float64 { return 0 }
+func (n *loop) ResumeReading(netio.Conn)               {}
+func (n *loop) Listen(string) (func(), error)          { return nil, errors.ErrUnsupported }
+func (n *loop) StopListening(done func())              { done() }
+func (n *loop) PauseReading(netio.Conn, netio.ClosePolicy) bool {
 	return false
 }
 func (n *loop) Stop() {}
--- a/internal/lab/loopback/ground.go
+++ b/internal/lab/loopback/ground.go
@@ -1,5 +1,5 @@
 // Package loopback has simulated programs live on real sockets: any number of machines on loopback addresses, each with a
-// netio.Host, all called by one loop. Machines can be killed, vanish and return, and the ways between them be cut, reset
+// netio.Handler, all called by one loop. Machines can be killed, vanish and return, and the ways between them be cut, reset
 // or slow, as a network does it. It is for tens of machines and some thousand requests a second: each connection has
 // goroutines of its own.
 //
@@ -23,7 +23,7 @@
 	Name   string
 	IP     string // a loopback address
 	Listen string // address and port; empty: it dials only
-	Boot   func(netio.Net) netio.Host
+	Boot   func(netio.EventLoop) netio.Handler
 	Late   bool // it begins when it is told to Return
 }
 
--- a/internal/lab/loopback/ground_test.go
+++ b/internal/lab/loopback/ground_test.go
@@ -20,7 +20,7 @@
 
 // echo answers what it hears, and ends a connection that says "bye" behind its answer.
 type echo struct {
-	net    netio.Net
+	net    netio.EventLoop
 	heard  atomic.Int64
 	alarms atomic.Int64
 	closed chan error
@@ -60,7 +60,7 @@
 	s := &stage{T: t, Ground: New(), address: l.Addr().String(), echo: &echo{closed: make(chan error, 10)}}
 	l.Close()
 	s.Delay = func(string, string) time.Duration { return delay }
-	require.NoError(t, s.Add(Machine{Name: "box", IP: machineIP, Listen: s.address, Boot: func(n netio.Net) netio.Host {
+	require.NoError(t, s.Add(Machine{Name: "box", IP: machineIP, Listen: s.address, Boot: func(n netio.EventLoop) netio.Handler {
 		s.lives.Add(1)
 		s.echo.net = n
 		return s.echo
@@ -139,7 +139,7 @@
 	c := s.dial()
 	io.WriteString(c, "a")
 	s.hears(c, "a")
-	s.do(func() { s.echo.net.Alarm(s.Now() + 0.05); s.Kill(machineIP) })
+	s.do(func() { s.echo.net.SetAlarm(s.Now() + 0.05); s.Kill(machineIP) })
 	_, err := c.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
 	_, err = net.Dial("tcp", s.address)
@@ -226,9 +226,9 @@
 func TestAlarm(t *testing.T) {
 	s := newStage(t, 0)
 	s.do(func() {
-		s.echo.net.Alarm(s.Now() + 0.001)
-		s.echo.net.Alarm(s.Now() + 3600)
-		s.echo.net.Alarm(s.Now() + 0.05)
+		s.echo.net.SetAlarm(s.Now() + 0.001)
+		s.echo.net.SetAlarm(s.Now() + 3600)
+		s.echo.net.SetAlarm(s.Now() + 0.05)
 	})
 	time.Sleep(20 * time.Millisecond)
 	assert.Zero(t, s.echo.alarms.Load())
@@ -252,7 +252,7 @@
 	s := newStage(t, 0)
 	got := make(chan string, 1)
 	client := &dialer{got: got}
-	require.NoError(t, s.Add(Machine{Name: "app", IP: "127.9.0.2", Late: true, Boot: func(n netio.Net) netio.Host {
+	require.NoError(t, s.Add(Machine{Name: "app", IP: "127.9.0.2", Late: true, Boot: func(n netio.EventLoop) netio.Handler {
 		client.net = n
 		return client
 	}}))
@@ -271,7 +271,7 @@
 
 // dialer says its context on each connection, and tells what comes back.
 type dialer struct {
-	net netio.Net
+	net netio.EventLoop
 	got chan string
 }
 
--- a/internal/lab/loopback/machine.go
+++ b/internal/lab/loopback/machine.go
@@ -28,12 +28,12 @@
 // life is one process.
 type life struct {
 	m     *machine
-	host  netio.Host
+	host  netio.Handler
 	alarm *time.Timer
 	asked int // for alarms: the last one counts
 }
 
-var _ netio.Net = (*life)(nil)
+var _ netio.EventLoop = (*life)(nil)
 
 // begin begins a process, unless there is one.
 func (m *machine) begin() error {
@@ -142,11 +142,11 @@
 	c.run()
 }
 
-// Now, Alarm, Post, Dial, Close, CloseWrite, Quiet, StopListening and Stop are the process's netio.Net.
+// Now, SetAlarm, Post, Dial, Close, CloseWrite, NothingToRead, StopListening and Stop are the process's netio.EventLoop.
 
 func (l *life) Now() float64 { return l.m.g.Now() }
 
-func (l *life) Alarm(at float64) {
+func (l *life) SetAlarm(at float64) {
 	l.asked++
 	asked := l.asked
 	if l.alarm != nil {
@@ -164,12 +164,12 @@
 // Yield, Waited, PauseReading and ResumeReading are for programs under load; those here have a machine to themselves, and
 // nothing they do hangs on them.
 
-func (l *life) Yield(f func())            { l.Post(f) }
-func (l *life) Waited(netio.Conn) float64 { return 0 }
-func (l *life) ResumeReading(netio.Conn)  {}
+func (l *life) Yield(f func())                         { l.Post(f) }
+func (l *life) ReceiveDelaySeconds(netio.Conn) float64 { return 0 }
+func (l *life) ResumeReading(netio.Conn)               {}
 
 // PauseReading can't be done here.
-func (l *life) PauseReading(netio.Conn, netio.PausedEnds) bool { return false }
+func (l *life) PauseReading(netio.Conn, netio.ClosePolicy) bool { return false }
 
 // Post drops what is for a process that has ended.
 func (l *life) Post(f func()) {
@@ -219,10 +219,10 @@
 }
 
 // Delivered knows of what has left the program alone.
-func (l *life) Delivered(nc netio.Conn) bool { return nc.OutboundBuffered() == 0 }
+func (l *life) AllAcknowledged(nc netio.Conn) bool { return nc.OutboundBuffered() == 0 }
 
 // Quiet looks at the socket, and at what is on its way to the program.
-func (l *life) Quiet(nc netio.Conn) bool {
+func (l *life) NothingToRead(nc netio.Conn) bool {
 	c := nc.(*conn)
 	if c.in.size() > 0 {
 		return false
--- a/internal/netio/multiplex/beside.go
+++ b/internal/netio/multiplex/beside.go
@@ -8,10 +8,10 @@
 	"hazelwheel/internal/netio"
 )
 
-// Loop is a loop that two hosts share.
-type Loop struct {
-	net   netio.Net
-	hosts [2]netio.Host
+// SharedLoop is a loop that two hosts share.
+type SharedLoop struct {
+	net   netio.EventLoop
+	hosts [2]netio.Handler
 	owns  func(netio.Conn) bool
 	at    [2]float64 // the alarms that were asked for; +Inf: none is
 	armed float64
@@ -24,45 +24,45 @@
 
 // side is the loop as one of the two sees it.
 type side struct {
-	netio.Net
-	l    *Loop
+	netio.EventLoop
+	l    *SharedLoop
 	side int
 }
 
 // New shares a loop.
-func New(net netio.Net) *Loop {
-	return &Loop{net: net, at: [2]float64{math.Inf(1), math.Inf(1)}, armed: math.Inf(1)}
+func New(net netio.EventLoop) *SharedLoop {
+	return &SharedLoop{net: net, at: [2]float64{math.Inf(1), math.Inf(1)}, armed: math.Inf(1)}
 }
 
 // Core returns the loop as the core sees it.
-func (l *Loop) Core() netio.Net { return side{l.net, l, core} }
+func (l *SharedLoop) Core() netio.EventLoop { return side{l.net, l, core} }
 
 // Companion returns the loop as the program beside the core sees it.
-func (l *Loop) Companion() netio.Net { return side{l.net, l, companion} }
+func (l *SharedLoop) Companion() netio.EventLoop { return side{l.net, l, companion} }
 
-// Host returns both as one; owns tells which connections are the companion's.
-func (l *Loop) Host(c, beside netio.Host, owns func(netio.Conn) bool) netio.Host {
-	l.hosts, l.owns = [2]netio.Host{c, beside}, owns
+// Handler returns both as one; owns tells which connections are the companion's.
+func (l *SharedLoop) Handler(c, beside netio.Handler, owns func(netio.Conn) bool) netio.Handler {
+	l.hosts, l.owns = [2]netio.Handler{c, beside}, owns
 	return (*both)(l)
 }
 
-// Alarm sets the loop's one alarm for the earlier of the two.
-func (s side) Alarm(at float64) {
+// SetAlarm sets the loop's one alarm for the earlier of the two.
+func (s side) SetAlarm(at float64) {
 	s.l.at[s.side] = at
 	s.l.arm()
 }
 
-func (l *Loop) arm() {
+func (l *SharedLoop) arm() {
 	if first := min(l.at[core], l.at[companion]); first != l.armed && !math.IsInf(first, 1) {
 		l.armed = first
-		l.net.Alarm(first)
+		l.net.SetAlarm(first)
 	}
 }
 
-// both is a Loop as a netio.Host.
-type both Loop
+// both is a Loop as a netio.Handler.
+type both SharedLoop
 
-func (b *both) of(c netio.Conn) netio.Host {
+func (b *both) of(c netio.Conn) netio.Handler {
 	if b.owns(c) {
 		return b.hosts[companion]
 	}
@@ -88,5 +88,5 @@
 			b.hosts[i].Alarm()
 		}
 	}
-	(*Loop)(b).arm()
+	(*SharedLoop)(b).arm()
 }
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -1,97 +1,98 @@
-// Package netio is the seam between programs and the network they live in. A program is a Host: one event loop calls
-// it, one call at a time, and it keeps all its state to itself. The loop, its connections and its clock are a Net.
-// Package sockets has them real, package virtual simulates them; nothing above the seam can tell which.
+// Package netio defines the interfaces between a program and the network: a program is a Handler, called by one EventLoop, one call at a
+// time, so that its state needs no locks. Package sockets implements the event loop on real sockets, package virtual on a simulated
+// network; package multiplex shares one loop between two handlers. Code above these interfaces can't tell the implementations apart.
 //
-// Above the seam there is no goroutine, no reading of the system's clock and no dialing of one's own, and nothing
-// depends on the order of a map: the same calls give the same calls back.
+// A Handler must be deterministic: it starts no goroutine, reads no clock but EventLoop.Now, dials only by EventLoop.Dial and depends on
+// the iteration order of no map. The same sequence of calls then causes the same sequence of calls back, which is what lets a simulated
+// run be repeated from its seed.
 package netio
 
 import "net"
 
-// Conn is what links use of a connection, a part of gnet's: a real one is handed out as it is, with nothing between.
-// It belongs to the loop and must not be used after Closed.
+// Conn is a connection as a Handler uses it: the subset of gnet's Conn, so that gnet's own connections are used without a wrapper. It
+// may be used on the event loop alone, and no more after Handler.Closed.
 type Conn interface {
-	// Write sends p, and keeps what the socket does not take until it does. It never blocks. An error means that the
-	// connection has broken; Closed has been called by then or is about to be.
+	// Write sends p and buffers what the socket does not accept. It never blocks. An error means that the connection has broken;
+	// Handler.Closed has been called by then or is about to be.
 	Write(p []byte) (n int, err error)
-	// OutboundBuffered returns how many bytes of all that was written the socket has not taken yet.
+	// OutboundBuffered returns how many of the bytes written the socket has not accepted yet.
 	OutboundBuffered() int
 	// RemoteAddr returns the peer's address, a *net.TCPAddr.
 	RemoteAddr() net.Addr
-	// LocalAddr returns this end's address, a *net.TCPAddr; of a connection that was accepted its port is the listener's.
+	// LocalAddr returns the local address, a *net.TCPAddr; for an accepted connection its port is the listener's.
 	LocalAddr() net.Addr
-	// Context returns what SetContext was given last; before that what Dial was given, or nil for a connection that
-	// was accepted.
+	// Context returns the value of the last SetContext; before that the context given to Dial, or nil for an accepted connection.
 	Context() any
 	SetContext(context any)
 }
 
-// PausedEnds says what becomes of the orderly end of a connection that is not read.
-type PausedEnds uint8
+// ClosePolicy determines when the orderly end (FIN) of a connection whose reading is paused is reported.
+type ClosePolicy uint8
 
-// What PauseReading can be told of ends.
+// The policies of PauseReading.
 const (
-	EndsWait PausedEnds = iota // it waits behind the unread bytes
-	EndsShow                   // it ends the connection at once
+	DeferClose  ClosePolicy = iota // reported after the unread bytes, once reading has been resumed
+	ReportClose                    // closes the connection at once
 )
 
-// Host is a program on a loop.
-type Host interface {
+// Handler is a program on an event loop, which makes all these calls one after another.
+type Handler interface {
 	// Start is the first call.
 	Start()
-	// Open takes a connection that is up, accepted or dialed. False has it closed at once, with nothing of it read;
-	// Closed follows as for any other.
+	// Open is called for a connection that is established, accepted or dialed. False closes it at once with nothing of it read;
+	// Closed is called for it as for any other.
 	Open(c Conn) bool
-	// Traffic brings bytes that have been received. They are valid until it returns.
+	// Traffic is called with received bytes, which are valid until it returns.
 	Traffic(c Conn, data []byte)
-	// Closed takes the end of a connection: err is nil where Close ended it, wraps io.EOF where the peer has said its
-	// last, and is what the network says otherwise. Nothing more is called for c.
+	// Closed is called when a connection has ended, and is the last call for it. err is nil after EventLoop.Close, wraps io.EOF
+	// after the peer's FIN, and is the network's error otherwise.
 	Closed(c Conn, err error)
-	// Alarm is the call that Net.Alarm has asked for.
+	// Alarm is called at the time given to EventLoop.SetAlarm.
 	Alarm()
 }
 
-// Net is the loop that calls a Host, with its clock and connections. All but Post is for the loop alone.
-type Net interface {
+// EventLoop calls a Handler, and gives it a clock and connections. Post may be called from any goroutine; all other methods are for the
+// loop's own.
+type EventLoop interface {
 	// Now returns the time in seconds of Unix time. It never goes back.
 	Now() float64
-	// Alarm asks for one call of Host.Alarm at a time, or as soon after as the loop can. It takes the place of what
-	// was asked for before.
-	Alarm(at float64)
-	// Post has the loop call f after the present call, in the order of the posts. It may be called from anywhere.
+	// SetAlarm requests one call of Handler.Alarm at a time, or as soon afterwards as the loop can. It replaces any earlier request.
+	SetAlarm(at float64)
+	// Post has the loop call f after the present call, in the order of the posts. It may be called from any goroutine.
 	Post(f func())
-	// Yield has the loop call f once it has looked at all that had come for it when it was asked. What is late is done
-	// after that: whatever it waited for may be there, unread.
+	// Yield has the loop call f once all events that were pending at the time of the call have been handled. An operation that is
+	// past its deadline is failed only after a Yield: what it waited for may have arrived and be unread.
 	Yield(f func())
-	// Dial opens a connection to an address and port. When it comes up Host.Open is called with context as the
-	// connection's; done is called after that with nil, or alone with an error where the connection does not come up
-	// until the given time. What it returns gives the dial up: done is still called, once.
+	// Dial opens a connection to an address and port. Once it is established, Handler.Open is called with context as the connection's,
+	// and done is called after that with nil; if it isn't established by the given time, done is called with an error and Open is not.
+	// cancel gives up the dial: done is still called, once.
 	Dial(address string, until float64, context any, done func(error)) (cancel func())
-	// Close ends a connection at once: both ways, and what has not been sent is tried once and then dropped. Closed
-	// is called before it returns. One that has gone already is left alone.
+	// Close closes a connection in both directions at once; buffered bytes are offered to the socket once and then dropped.
+	// Handler.Closed is called before it returns. It has no effect on a connection that has ended already.
 	Close(c Conn)
-	// CloseWrite tells the peer that nothing more will come. It is for a connection with nothing left to send.
+	// CloseWrite sends a FIN. It may be called only when nothing is buffered for the connection.
 	CloseWrite(c Conn)
-	// Quiet tells whether nothing waits in a connection's socket: no bytes and no end. The loop learns of sockets in
-	// turns; what has come since its last look shows here alone.
-	Quiet(c Conn) bool
-	// Delivered tells whether the peer's machine has confirmed all that was written to a connection, as far as the machine can
-	// tell; true where it can't. Danger: what it has not is dropped if the peer writes to a connection whose process has ended.
-	Delivered(c Conn) bool
-	// Waited returns for how many seconds the bytes that Traffic brings, or has just brought, have lain in the socket,
-	// as far as the machine can tell: to some milliseconds, and 0 where it can't.
-	Waited(c Conn) float64
-	// PauseReading leaves what comes from now on in the socket, so that the peer is held up, until ResumeReading. False
-	// says that it can't be done here; the bytes go on coming. With EndsShow the connection is closed as soon as the peer has
-	// said its last, with what lies unread before that; with EndsWait the end shows once reading is resumed. A reset shows in
-	// either case, and never as an orderly end.
-	PauseReading(c Conn, ends PausedEnds) bool
+	// NothingToRead reports whether a connection's socket holds neither unread bytes nor an end. Sockets are polled in turns; what has
+	// arrived since this one's last turn can be seen here alone.
+	NothingToRead(c Conn) bool
+	// AllAcknowledged reports whether the peer's machine has acknowledged all that was written to a connection, as far as the system
+	// can tell, and true where it can't. Danger: unacknowledged bytes are dropped if the peer writes to a connection whose process has
+	// ended.
+	AllAcknowledged(c Conn) bool
+	// ReceiveDelaySeconds returns how long the bytes of the present or last Traffic call had been in the socket, to some milliseconds;
+	// 0 where the system can't tell.
+	ReceiveDelaySeconds(c Conn) float64
+	// PauseReading leaves received bytes in the socket until ResumeReading, so that the peer's sending is held up by flow control. It
+	// returns false, and reading continues, where the implementation can't do this. closing determines when the peer's FIN is
+	// reported; with ReportClose the unread bytes before it are lost. A reset is reported under either policy, and never as an
+	// orderly end.
+	PauseReading(c Conn, closing ClosePolicy) bool
 	ResumeReading(c Conn)
-	// Listen opens a further listener, whose connections come to Host.Open as others do, with its port as that of LocalAddr.
-	// What it returns closes that listener alone; StopListening leaves it. It is for a loop that turns.
+	// Listen opens a further listener, whose connections are passed to Handler.Open with its port as that of LocalAddr. stop closes
+	// that listener alone; StopListening leaves it open. The loop must be running.
 	Listen(address string) (stop func(), err error)
-	// StopListening closes the listening sockets: who dials from now on is refused at once, unless another process listens
-	// there too. done is called once all who have been accepted here are open.
+	// StopListening closes the listening sockets: further clients are refused at once, unless another process listens there too. done
+	// is called once Handler.Open has been called for all connections accepted before.
 	StopListening(done func())
 	// Stop ends the loop after the present call. Connections that are still open are closed.
 	Stop()
--- a/internal/netio/sockets/epoll.go
+++ b/internal/netio/sockets/epoll.go
@@ -56,19 +56,19 @@
 // PauseReading has epoll tell of a connection no more, but that it can be written to again while it can't. Danger: gnet
 // itself asks for reading again once all that it holds for the connection has been sent; who pauses a connection that
 // is owed an answer finds it resumed when its peer has taken that.
-func (n *Net) PauseReading(c netio.Conn, ends netio.PausedEnds) bool {
+func (n *EventLoop) PauseReading(c netio.Conn, ends netio.ClosePolicy) bool {
 	events := uint32(0)
 	if c.OutboundBuffered() > 0 {
 		events |= unix.EPOLLOUT
 	}
-	if ends == netio.EndsShow {
+	if ends == netio.ReportClose {
 		events |= unix.EPOLLRDHUP
 	}
 	return n.listenFor(c, events)
 }
 
 // ResumeReading has epoll tell of what can be read.
-func (n *Net) ResumeReading(c netio.Conn) {
+func (n *EventLoop) ResumeReading(c netio.Conn) {
 	events := uint32(unix.EPOLLIN | unix.EPOLLPRI)
 	if c.OutboundBuffered() > 0 {
 		events |= unix.EPOLLOUT
@@ -76,7 +76,7 @@
 	n.listenFor(c, events)
 }
 
-func (n *Net) listenFor(c netio.Conn, events uint32) bool {
+func (n *EventLoop) listenFor(c netio.Conn, events uint32) bool {
 	fd := c.(gnet.Conn).Fd()
 	return n.epoll >= 0 && unix.EpollCtl(n.epoll, unix.EPOLL_CTL_MOD, fd, &unix.EpollEvent{Fd: int32(fd), Events: events}) == nil
 }
@@ -84,7 +84,7 @@
 // StopListening closes the listener for newcomers once all that the kernel has accepted by then is taken. Danger: what
 // it has accepted and nobody takes is reset, with requests on it that its clients know to be taken. So the listener
 // first drops whatever comes (by a filter that passes nothing), gnet empties it, and it is closed last.
-func (n *Net) StopListening(done func()) {
+func (n *EventLoop) StopListening(done func()) {
 	if n.passed != nil {
 		n.passed.stop(n, done)
 		return
@@ -112,7 +112,7 @@
 
 // closeListener closes a listener once it is empty, and calls closed. It is for gnet's tasks: they come when all events of a round have been
 // handled, and none of the listener's can wait. Danger: an accept that fails ends the engine.
-func (n *Net) closeListener(fd int, closed func()) {
+func (n *EventLoop) closeListener(fd int, closed func()) {
 	wait := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 	if ready, err := unix.Poll(wait, 0); ready > 0 || err == unix.EINTR {
 		n.Yield(func() { n.execute(func() { n.closeListener(fd, closed) }) })
@@ -127,7 +127,7 @@
 }
 
 // listeners returns the descriptors at which the loop listens.
-func (n *Net) listeners() (all []int) {
+func (n *EventLoop) listeners() (all []int) {
 	if n.epoll < 0 {
 		n.log.Error("the listener stays open: the system does not tell of it")
 		return nil
--- a/internal/netio/sockets/handler.go
+++ b/internal/netio/sockets/handler.go
@@ -16,7 +16,7 @@
 // handler takes gnet's callbacks. All come on the one event loop, but for OnBoot and the first OnTick.
 type handler struct {
 	gnet.BuiltinEventEngine
-	n      *Net
+	n      *EventLoop
 	engine gnet.Engine
 	waker  *waker
 }
--- a/internal/netio/sockets/listen.go
+++ b/internal/netio/sockets/listen.go
@@ -8,7 +8,7 @@
 )
 
 // Listen accepts beside the loop: gnet has its listeners from the start alone.
-func (n *Net) Listen(address string) (stop func(), err error) {
+func (n *EventLoop) Listen(address string) (stop func(), err error) {
 	l, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
@@ -22,7 +22,7 @@
 
 // accept hands connections to the loop until the listener is closed, one at a time, so that each can be turned away before the
 // next takes a descriptor. before is called ahead of each.
-func (n *Net) accept(l net.Listener, before func()) {
+func (n *EventLoop) accept(l net.Listener, before func()) {
 	for {
 		before()
 		c, err := l.Accept()
--- a/internal/netio/sockets/passed.go
+++ b/internal/netio/sockets/passed.go
@@ -26,7 +26,7 @@
 }
 
 // Inherit has the loop accept at a passed descriptor in place of its first address. The descriptor is taken over.
-func (n *Net) Inherit(fd int) error {
+func (n *EventLoop) Inherit(fd int) error {
 	listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	if err != nil || listening != 1 {
 		return fmt.Errorf("descriptor %d: %w", fd, ErrPassed)
@@ -46,7 +46,7 @@
 }
 
 // runPassed runs a loop that listens nowhere itself: gnet can't be given a socket, so connections are accepted beside it.
-func (n *Net) runPassed() error {
+func (n *EventLoop) runPassed() error {
 	// ReusePort is for the process that is succeeded, which listens at the other addresses still.
 	config := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) (err error) {
 		_ = c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }) // it is open
@@ -80,7 +80,7 @@
 }
 
 // end lets runPassed go on to its end.
-func (n *Net) end() { n.ending.Do(func() { close(n.ended) }) }
+func (n *EventLoop) end() { n.ending.Do(func() { close(n.ended) }) }
 
 func (p *passed) close() {
 	for _, l := range p.listeners {
@@ -89,14 +89,14 @@
 }
 
 // begin accepts at all listeners.
-func (p *passed) begin(n *Net) {
+func (p *passed) begin(n *EventLoop) {
 	for _, l := range p.listeners {
 		p.accepting.Go(func() { p.accept(n, l) })
 	}
 }
 
 // stop has done called once all who were accepted are open.
-func (p *passed) stop(n *Net, done func()) {
+func (p *passed) stop(n *EventLoop, done func()) {
 	p.close()
 	go func() {
 		idle := make(chan struct{})
@@ -117,7 +117,7 @@
 const stopWithin = 500 * time.Millisecond
 
 // accept hands connections to the loop.
-func (p *passed) accept(n *Net, l net.Listener) {
+func (p *passed) accept(n *EventLoop, l net.Listener) {
 	raw, err := l.(syscall.Conn).SyscallConn()
 	if err != nil {
 		n.log.Error("nobody can be accepted", "error", err)
--- a/internal/netio/sockets/quiet_test.go
+++ b/internal/netio/sockets/quiet_test.go
@@ -25,11 +25,11 @@
 
 // What the event loop has not read yet shows: bytes, or the end.
 func TestQuiet(t *testing.T) {
-	n, still, noisy, ended := &Net{}, newFDConn(t), newFDConn(t), newFDConn(t)
+	n, still, noisy, ended := &EventLoop{}, newFDConn(t), newFDConn(t), newFDConn(t)
 	_, err := unix.Write(noisy.far, []byte("HTTP/1.1 200 OK\r\n"))
 	require.NoError(t, err)
 	require.NoError(t, unix.Close(ended.far))
-	assert.True(t, n.Quiet(still))
-	assert.False(t, n.Quiet(noisy))
-	assert.False(t, n.Quiet(ended))
+	assert.True(t, n.NothingToRead(still))
+	assert.False(t, n.NothingToRead(noisy))
+	assert.False(t, n.NothingToRead(ended))
 }
--- a/internal/netio/sockets/sockets.go
+++ b/internal/netio/sockets/sockets.go
@@ -18,15 +18,15 @@
 	"hazelwheel/internal/netio"
 )
 
-// Net is an event loop that has not begun to turn, or turns. What netio.Net says of the loop's own goroutine holds.
-type Net struct {
+// EventLoop is an event loop that has not begun to turn, or turns. What netio.EventLoop says of the loop's own goroutine holds.
+type EventLoop struct {
 	listen []string
 	passed *passed       // the listener that was inherited for the first address; nil: none was
 	ended  chan struct{} // closed once the loop ends that listens nowhere itself
 	ending sync.Once
 	log    *slog.Logger
 	clock  clock
-	host   netio.Host
+	host   netio.Handler
 	loop   gnet.EventLoop
 
 	alarm    *time.Timer
@@ -42,15 +42,15 @@
 	over    bool     // the loop has gone
 }
 
-var _ netio.Net = (*Net)(nil)
+var _ netio.EventLoop = (*EventLoop)(nil)
 
 // New returns a loop that is to listen at addresses and ports.
-func New(log *slog.Logger, listen ...string) *Net {
-	return &Net{listen: listen, log: log, clock: newClock(), ended: make(chan struct{})}
+func New(log *slog.Logger, listen ...string) *EventLoop {
+	return &EventLoop{listen: listen, log: log, clock: newClock(), ended: make(chan struct{})}
 }
 
 // Run listens and calls host until Stop is called.
-func (n *Net) Run(host netio.Host) error {
+func (n *EventLoop) Run(host netio.Handler) error {
 	n.host = host
 	defer func() {
 		n.mu.Lock()
@@ -77,7 +77,7 @@
 }
 
 // Now is on the machine's monotonic clock.
-func (n *Net) Now() float64 { return n.clock.now() }
+func (n *EventLoop) Now() float64 { return n.clock.now() }
 
 // errShutdown, returned by a task, ends gnet's event loop.
 var errShutdown = gneterrors.ErrEngineShutdown
@@ -86,7 +86,7 @@
 var errOver = errors.New("the event loop has gone")
 
 // Post may be called before Run, too; what is posted then is called right after Host.Start.
-func (n *Net) Post(f func()) {
+func (n *EventLoop) Post(f func()) {
 	n.mu.Lock()
 	if !n.started && !n.over {
 		n.posted = append(n.posted, f)
@@ -98,7 +98,7 @@
 }
 
 // execute has the loop, which is there, call f.
-func (n *Net) execute(f func()) {
+func (n *EventLoop) execute(f func()) {
 	run := gnet.RunnableFunc(func(context.Context) error {
 		f()
 		if n.stopping {
@@ -114,7 +114,7 @@
 }
 
 // start takes the loop of a first connection into use.
-func (n *Net) start(c gnet.Conn) {
+func (n *EventLoop) start(c gnet.Conn) {
 	n.loop = c.EventLoop()
 	n.epoll = findEpoll(c.Fd())
 	n.host.Start()
@@ -133,7 +133,7 @@
 // Yield goes through the wake-up socket. Danger: a task of gnet's runs at the end of the present round, or within the
 // same, and sockets beyond the round's size have not been looked at by then. epoll tells of sockets in the order in
 // which they became ready, so all that were ready before come first.
-func (n *Net) Yield(f func()) {
+func (n *EventLoop) Yield(f func()) {
 	n.yielded = append(n.yielded, f)
 	if len(n.yielded) == 1 && n.wake.ring() != nil { // it has gone with the engine
 		n.execute(n.yields)
@@ -141,7 +141,7 @@
 }
 
 // yields calls what Yield was given.
-func (n *Net) yields() {
+func (n *EventLoop) yields() {
 	todo := n.yielded
 	n.yielded = nil
 	for _, f := range todo {
@@ -149,8 +149,8 @@
 	}
 }
 
-// Alarm sets the one runtime timer.
-func (n *Net) Alarm(at float64) {
+// SetAlarm sets the one runtime timer.
+func (n *EventLoop) SetAlarm(at float64) {
 	wait := max(time.Until(n.clock.time(at)), 0)
 	if n.alarm == nil {
 		n.alarm = time.AfterFunc(wait, func() { n.execute(n.host.Alarm) })
@@ -160,7 +160,7 @@
 }
 
 // Dial connects beside the event loop: gnet's own dialing would block it, or go on without an end.
-func (n *Net) Dial(address string, until float64, hostContext any, done func(error)) func() {
+func (n *EventLoop) Dial(address string, until float64, hostContext any, done func(error)) func() {
 	ctx, cancel := context.WithDeadline(context.Background(), n.clock.time(until))
 	settled := func(err error) {
 		n.execute(func() {
@@ -187,26 +187,26 @@
 }
 
 // Close gives back the descriptor at once.
-func (n *Net) Close(c netio.Conn) {
+func (n *EventLoop) Close(c netio.Conn) {
 	if c != nil {
 		_ = n.loop.Close(c.(gnet.Conn)) // an error concerns a connection that is gone already
 	}
 }
 
 // CloseWrite sends the end behind the last byte.
-func (n *Net) CloseWrite(c netio.Conn) {
+func (n *EventLoop) CloseWrite(c netio.Conn) {
 	_ = unix.Shutdown(c.(gnet.Conn).Fd(), unix.SHUT_WR) // fails only if the peer has closed
 }
 
-// Quiet costs a system call.
-func (n *Net) Quiet(c netio.Conn) bool {
+// NothingToRead costs a system call.
+func (n *EventLoop) NothingToRead(c netio.Conn) bool {
 	var b [1]byte
 	_, _, err := unix.Recvfrom(c.(gnet.Conn).Fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// Delivered asks the kernel how much it holds that is not confirmed.
-func (n *Net) Delivered(c netio.Conn) bool {
+// AllAcknowledged asks the kernel how much it holds that is not confirmed.
+func (n *EventLoop) AllAcknowledged(c netio.Conn) bool {
 	if c.OutboundBuffered() > 0 {
 		return false
 	}
@@ -214,8 +214,8 @@
 	return err != nil || held == 0
 }
 
-// Waited asks the kernel, which counts in its own ticks of some milliseconds.
-func (n *Net) Waited(c netio.Conn) float64 {
+// ReceiveDelaySeconds asks the kernel, which counts in its own ticks of some milliseconds.
+func (n *EventLoop) ReceiveDelaySeconds(c netio.Conn) float64 {
 	info, err := unix.GetsockoptTCPInfo(c.(gnet.Conn).Fd(), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return 0
@@ -224,7 +224,7 @@
 }
 
 // Stop ends Run.
-func (n *Net) Stop() {
+func (n *EventLoop) Stop() {
 	n.stopping = true
 	n.end()
 	n.execute(func() {})
--- a/internal/netio/virtual/dial.go
+++ b/internal/netio/virtual/dial.go
@@ -16,7 +16,7 @@
 	place   int // among the process's dials
 }
 
-// Dial opens a connection. See netio.Net.
+// Dial opens a connection. See netio.EventLoop.
 func (p *Process) Dial(address string, until float64, context any, done func(error)) (cancel func()) {
 	d := &dial{p: p, until: p.clock.when(until), context: context, done: done, waitS: firstSynS}
 	p.w.trace(Event{At: p.real(), Kind: Dialed, Process: p.opt.Name, Peer: address})
--- a/internal/netio/virtual/process.go
+++ b/internal/netio/virtual/process.go
@@ -41,13 +41,13 @@
 	}
 }
 
-// Process is a program on a machine: the netio.Net of its host, with one event loop.
+// Process is a program on a machine: the netio.EventLoop of its host, with one event loop.
 type Process struct {
 	w       *World
 	machine *Machine
 	opt     ProcessOptions
 	number  int
-	host    netio.Host
+	host    netio.Handler
 
 	listeners []*listener
 	conns     []*Conn // that hold a descriptor, in no order that matters
@@ -79,14 +79,14 @@
 	listen *listener
 }
 
-var _ netio.Net = (*Process)(nil)
+var _ netio.EventLoop = (*Process)(nil)
 
 // errInUse is the error of Run where another process listens at an address.
 var errInUse = errors.New("address already in use")
 
 // Run starts a program. Its first call comes with the first turn of the loop; who dials until then waits. An address
 // that can't be listened at is an error, and nothing is started.
-func (p *Process) Run(host netio.Host) error {
+func (p *Process) Run(host netio.Handler) error {
 	for _, text := range p.opt.Listen {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -262,7 +262,7 @@
 	now := p.w.now
 	p.clock = clock{since: now, ahead: p.clock.read(now) - now, gains: rate - 1}
 	if !math.IsNaN(p.alarmAt) {
-		p.Alarm(p.alarmBy)
+		p.SetAlarm(p.alarmBy)
 	}
 }
 
@@ -298,13 +298,15 @@
 	}
 }
 
-// Waited returns how long ago the socket was given bytes last.
-func (p *Process) Waited(conn netio.Conn) float64 { return p.real() - conn.(*Conn).receivedAt }
+// ReceiveDelaySeconds returns how long ago the socket was given bytes last.
+func (p *Process) ReceiveDelaySeconds(conn netio.Conn) float64 {
+	return p.real() - conn.(*Conn).receivedAt
+}
 
 // PauseReading leaves what comes in the socket.
-func (p *Process) PauseReading(conn netio.Conn, ends netio.PausedEnds) bool {
+func (p *Process) PauseReading(conn netio.Conn, ends netio.ClosePolicy) bool {
 	c := conn.(*Conn)
-	c.paused, c.endsShow = true, ends == netio.EndsShow
+	c.paused, c.endsShow = true, ends == netio.ReportClose
 	if c.fd && c.endsShow && c.finIn {
 		c.notify()
 	}
@@ -320,8 +322,8 @@
 	}
 }
 
-// Alarm asks for one call at a time, in place of what was asked for before.
-func (p *Process) Alarm(at float64) {
+// SetAlarm asks for one call at a time, in place of what was asked for before.
+func (p *Process) SetAlarm(at float64) {
 	p.alarmBy = at
 	p.alarmFor(p.clock.when(at))
 }
@@ -576,14 +578,14 @@
 	}
 }
 
-// Delivered tells whether the peer's machine has confirmed all that was written to a connection.
-func (p *Process) Delivered(conn netio.Conn) bool {
+// AllAcknowledged tells whether the peer's machine has confirmed all that was written to a connection.
+func (p *Process) AllAcknowledged(conn netio.Conn) bool {
 	c := conn.(*Conn)
 	return !c.fd || len(c.out) == c.head
 }
 
-// Quiet tells whether nothing waits in a connection's socket.
-func (p *Process) Quiet(conn netio.Conn) bool {
+// NothingToRead tells whether nothing waits in a connection's socket.
+func (p *Process) NothingToRead(conn netio.Conn) bool {
 	c := conn.(*Conn)
 	return c.fd && c.unread() == 0 && !c.finIn && !c.resetIn
 }
--- a/internal/netio/virtual/virtual_test.go
+++ b/internal/netio/virtual/virtual_test.go
@@ -318,7 +318,7 @@
 	assert.Equal(t, 9_000, a.conns[0].OutboundBuffered())
 	w.Until(w.Now() + 10)
 	assert.Equal(t, 8_500, a.conns[0].OutboundBuffered())
-	assert.False(t, b.net.Quiet(b.conns[0]))
+	assert.False(t, b.net.NothingToRead(b.conns[0]))
 	b.net.ReadRate(b.conns[0], 1000)
 	start := w.Now()
 	for a.conns[0].OutboundBuffered() > 0 {
@@ -327,7 +327,7 @@
 	assert.InDelta(t, 8.5, w.Now()-start, 0.2)
 	w.Until(w.Now() + 3)
 	assert.Len(t, b.text(0), 10_000)
-	assert.True(t, b.net.Quiet(b.conns[0]))
+	assert.True(t, b.net.NothingToRead(b.conns[0]))
 	// At the end it still shows what was never sent.
 	b.net.ReadRate(b.conns[0], -1)
 	_, err = a.conns[0].Write(make([]byte, 10_000))
@@ -364,7 +364,7 @@
 	a, b, _ := pair(t, w, ProcessOptions{}, ProcessOptions{})
 	b.calls = nil
 	b.net.Stall(w.Now() + 1)
-	b.net.Alarm(w.Now() + 0.1)
+	b.net.SetAlarm(w.Now() + 0.1)
 	b.net.Post(func() { b.calls = append(b.calls, "post") })
 	_, _ = a.conns[0].Write([]byte("one"))
 	w.Until(w.Now() + 0.5)
@@ -412,13 +412,13 @@
 	// The latest alarm counts, and it rings once.
 	b.calls = nil
 	start := w.Now()
-	b.net.Alarm(start + 1)
-	b.net.Alarm(start + 3)
-	b.net.Alarm(start + 2)
+	b.net.SetAlarm(start + 1)
+	b.net.SetAlarm(start + 3)
+	b.net.SetAlarm(start + 2)
 	b.onAlarm = func() { assert.InDelta(t, start+2, w.Now(), 1e-6) }
 	w.Until(start + 5)
 	assert.Equal(t, []string{"alarm"}, b.calls)
-	b.net.Alarm(math.NaN())
+	b.net.SetAlarm(math.NaN())
 	// A connection that is turned away is closed with nothing of it read.
 	b.refuse, b.calls = true, nil
 	a.net.Dial(far, w.Now()+1, nil, func(error) {})
@@ -433,7 +433,7 @@
 	a.net.Kill()
 	w.Until(w.Now() + 0.5)
 	last := b.conns[len(b.conns)-1]
-	assert.False(t, b.net.Quiet(last))
+	assert.False(t, b.net.NothingToRead(last))
 	_, err := last.Write([]byte("x"))
 	assert.True(t, errors.Is(err, syscall.EPIPE))
 	assert.Equal(t, []string{"closed"}, b.calls)
--- a/internal/netio/virtual/world.go
+++ b/internal/netio/virtual/world.go
@@ -1,4 +1,4 @@
-// Package virtual is a netio.Net whose clock and network are simulated: any number of processes on any number of
+// Package virtual is a netio.EventLoop whose clock and network are simulated: any number of processes on any number of
 // machines, in one goroutine, as a discrete-event world. A seed and the same calls give the same history, to the byte.
 //
 // Its connections are as hostile as Linux's are on a bad day: bytes come cut at any place, sockets take less than is
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -62,12 +62,12 @@
 	RejectedLinks  uint64 `json:"too_many"`  // above the limit
 }
 
-// Transport holds the links of a sidecar. It passes the calls of a netio.Host for their connections on to it: Open, Traffic, Closed.
+// Transport holds the links of a sidecar. It passes the calls of a netio.Handler for their connections on to it: Open, Traffic, Closed.
 type Transport struct {
 	fleet      string
 	maxLinks   int
 	handler    Handler
-	net        netio.Net
+	net        netio.EventLoop
 	log        *slog.Logger
 	links      []*Link
 	lastNumber int                // of a link
@@ -78,7 +78,7 @@
 }
 
 // New returns a Transport without links, for a sidecar of a fleet.
-func New(fleet string, maxLinks int, handler Handler, net netio.Net, log *slog.Logger) *Transport {
+func New(fleet string, maxLinks int, handler Handler, net netio.EventLoop, log *slog.Logger) *Transport {
 	return &Transport{fleet: fleet, maxLinks: maxLinks, handler: handler, net: net, log: log, logged: map[string]bool{}, sendBudget: tokenbucket.New(sendBurstBytes, net.Now())}
 }
 
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -25,7 +25,7 @@
 )
 
 // join has the sidecar know the others of its fleet.
-func (p *Process) join(cfg sidecarconfig.Config, on featureconfig.Fleet, shared *multiplex.Loop) (err error) {
+func (p *Process) join(cfg sidecarconfig.Config, on featureconfig.Fleet, shared *multiplex.SharedLoop) (err error) {
 	links := peers.MaxLinks(cfg.Limits.Sockets)
 	p.fleet, err = coordination.New(coordination.Options{MaxLinks: links,
 		Settings: coordination.Settings{Name: on.Name, Listen: on.Listen, Advertise: on.Advertise, Join: on.Join, Dir: on.Dir, Voters: on.Electors, Roles: on.Jobs}, Sidecar: cfg.Name, Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas,
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	p.host = shared.Host(p.Sidecar, p.fleet, p.fleet.OwnsConn)
+	p.host = shared.Handler(p.Sidecar, p.fleet, p.fleet.OwnsConn)
 	p.ReserveDescriptors(peers.Descriptors(links))
 	if slices.Contains(on.Jobs, "report") {
 		p.EnableRequestStats()
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -42,8 +42,8 @@
 // Process is a sidecar with the loop that calls it.
 type Process struct {
 	*sidecar.Sidecar
-	loop   *sockets.Net
-	host   netio.Host         // what the loop calls: the sidecar, or the sidecar and its fleet
+	loop   *sockets.EventLoop
+	host   netio.Handler      // what the loop calls: the sidecar, or the sidecar and its fleet
 	fleet  *coordination.Node // nil: it knows no other sidecar
 	folder *statefile.Store   // of the fleet; nil: nothing is kept
 	door   *admin.Server      // nil: there is none
@@ -70,8 +70,8 @@
 	}
 	loop := sockets.New(log, listen...)
 	p := &Process{loop: loop, log: log, passed: cfg.Passed, over: make(chan struct{})}
-	var own netio.Net = loop
-	var shared *multiplex.Loop
+	var own netio.EventLoop = loop
+	var shared *multiplex.SharedLoop
 	if on.Fleet.On() {
 		shared = multiplex.New(loop)
 		own = shared.Core()
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -77,7 +77,7 @@
 		}
 		// Danger: a request written to a link that its server has closed is lost; one written behind unread bytes
 		// would be answered with them.
-		if l.address == h.Address && s.net.Quiet(l.conn) {
+		if l.address == h.Address && s.net.NothingToRead(l.conn) {
 			l.unidle()
 			return l
 		}
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -129,11 +129,11 @@
 
 // endsWhilePaused returns whether the client's end counts while what it sends is left unread: as long as it is owed an answer of
 // which nothing has been written.
-func (l *ClientConn) endsWhilePaused() netio.PausedEnds {
+func (l *ClientConn) endsWhilePaused() netio.ClosePolicy {
 	if l.request == nil || l.request.answered {
-		return netio.EndsWait
+		return netio.DeferClose
 	}
-	return netio.EndsShow
+	return netio.ReportClose
 }
 
 // next takes up the requests that have come, until one is out.
@@ -291,7 +291,7 @@
 	q := policy.Request{Class: a.Class, Tenant: a.Tenant, HeldBackSeconds: waited + cut, Repeat: a.IsRetry, Deadline: r.deadline}
 	if r.uploading() { // its time counts from its last byte; the decisions go by what they are used to
 		r.deadline += longestUploadS
-		l.pause(netio.EndsShow)
+		l.pause(netio.ReportClose)
 		l.awaitUntil(l.s.now() + arrivalS - float64(len(a.Body.Buffered))/leastRate)
 		l.arrival = l.s.timers.at(l.s.now()+arrivalS, l.overdue)
 	}
@@ -328,7 +328,7 @@
 	if says {
 		l.last = !l.keep || l.s.leaving() || l.s.crowded() && !ahead
 	} else {
-		l.last = !l.keep || l.s.leaving() && !ahead && l.s.net.Quiet(l.conn)
+		l.last = !l.keep || l.s.leaving() && !ahead && l.s.net.NothingToRead(l.conn)
 	}
 	return l.s.scratch[:0], l.last, true
 }
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -145,7 +145,7 @@
 // mayBeAsking tells whether the next request of a link that seems to have none waits in its socket.
 func (l *ClientConn) mayBeAsking() bool {
 	state, _ := l.place.State()
-	return (state == admission.Silent || state == admission.Resting) && !l.s.net.Quiet(l.conn)
+	return (state == admission.Silent || state == admission.Resting) && !l.s.net.NothingToRead(l.conn)
 }
 
 // giveUp closes a link that goes for another.
@@ -213,7 +213,7 @@
 	s, now := l.s, l.s.now()
 	l.unreadFrom, l.tookAt, l.untaken = now, now, l.conn.OutboundBuffered()
 	s.room.Move(now, l.place, admission.Unread)
-	l.pause(netio.EndsWait) // a client that has said its last may still read
+	l.pause(netio.DeferClose) // a client that has said its last may still read
 	l.hold(l.untaken + l.buf.Len())
 	if !s.flushing {
 		s.flushing = true
@@ -223,7 +223,7 @@
 
 // pause leaves what the client sends in the socket. Danger: while a request waits its client may go, behind bytes that nobody reads;
 // sent on all the same, the request would run for nobody.
-func (l *ClientConn) pause(ends netio.PausedEnds) {
+func (l *ClientConn) pause(ends netio.ClosePolicy) {
 	l.s.net.PauseReading(l.conn, ends)
 	l.paused = true
 }
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -48,7 +48,7 @@
 			l.last = true
 			l.finish()
 		}
-		busy = busy || !l.shut || !s.net.Delivered(l.conn)
+		busy = busy || !l.shut || !s.net.AllAcknowledged(l.conn)
 	}
 	return busy
 }
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/flow.go
@@ -104,7 +104,7 @@
 		return
 	}
 	if l.held = len(r.body.Buffered); r.uploading() && r.body.UnsentBytes() >= ChunkBytes {
-		l.pause(netio.EndsShow)
+		l.pause(netio.ReportClose)
 	}
 	s.room.Hold(l.place, l.held+l.buf.Len())
 }
@@ -235,7 +235,7 @@
 	f.untaken = left
 	switch {
 	case !f.paused && left >= f.s.flowRoom():
-		f.paused, f.held = f.s.net.PauseReading(f.link.conn, netio.EndsWait), now
+		f.paused, f.held = f.s.net.PauseReading(f.link.conn, netio.DeferClose), now
 	case f.paused && left < f.s.flowRoom()/2:
 		f.paused, f.heardAt = false, now
 		f.from += now - f.held
--- a/internal/sidecar/lateness.go
+++ b/internal/sidecar/lateness.go
@@ -32,7 +32,7 @@
 	if l.waited < lateS && now-l.sampledAt < sampleEveryS && now-l.stalledAt > afterStallS {
 		return 0
 	}
-	l.sampledAt, l.waited = now, s.net.Waited(c)
+	l.sampledAt, l.waited = now, s.net.ReceiveDelaySeconds(c)
 	l.most = max(l.most, l.waited)
 	if l.waited < lateS {
 		return 0
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -37,7 +37,7 @@
 type Sidecar struct {
 	cfg      sidecarconfig.Config
 	log      *slog.Logger
-	net      netio.Net
+	net      netio.EventLoop
 	timers   timers
 	wake     timer // of the decisions
 	counters counters
@@ -102,11 +102,11 @@
 	OnLimitsChange func(sidecarconfig.Limits)
 }
 
-var _ netio.Host = (*Sidecar)(nil)
+var _ netio.Handler = (*Sidecar)(nil)
 
 // New returns a sidecar that has not begun, for clients and servers that speak what the fronts do and for the loop that is
 // to call it. Of fronts that have a way to probe the last one's is used.
-func New(cfg sidecarconfig.Config, on featureconfig.Features, fronts []Frontend, loop netio.Net, log *slog.Logger) (*Sidecar, error) {
+func New(cfg sidecarconfig.Config, on featureconfig.Features, fronts []Frontend, loop netio.EventLoop, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, lastID: 1,
 		requests: map[uint32]*request{}, named: map[string]*request{}, idle: map[uint32][]*backendConn{},
 		hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), slack: cfg.Settings.AnswerSlackS,
@@ -162,7 +162,7 @@
 
 // Start begins work.
 func (s *Sidecar) Start() {
-	s.timers.alarm = s.net.Alarm
+	s.timers.alarm = s.net.SetAlarm
 	s.enter(func() {
 		s.obeyLimits()
 		s.sweep()
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -38,7 +38,7 @@
 }
 
 // testNet is a loop that never turns, with a clock that stands still and connections that are no more than a flag.
-type testNet struct{ netio.Net }
+type testNet struct{ netio.EventLoop }
 
 const testNow = 1.7e9
 
--- a/internal/sidecar/starved.go
+++ b/internal/sidecar/starved.go
@@ -25,7 +25,7 @@
 // feed gives a link that has become idle to the first attempt that waits for its server, and tells whether there was one.
 func (s *Sidecar) feed(l *backendConn) bool {
 	for _, e := range s.starved {
-		if e.host == l.host && e.front == l.front && s.mayBegin(e) && s.net.Quiet(l.conn) {
+		if e.host == l.host && e.front == l.front && s.mayBegin(e) && s.net.NothingToRead(l.conn) {
 			s.unstarve(e)
 			l.begin(e)
 			return true
--- a/internal/sim/core.go
+++ b/internal/sim/core.go
@@ -21,7 +21,7 @@
 type core struct{ *sidecar.Sidecar }
 
 // Sidecar is the Core of the real sidecar, without the operators' features.
-func Sidecar(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
+func Sidecar(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error) {
 	s, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Frontend{http1.New(cfg, rewrite.Settings{})}, net, log)
 	if err != nil {
 		return nil, err
@@ -30,7 +30,7 @@
 }
 
 // OverThrift is the Core of the real sidecar with a Thrift port, as the world's applications and boxes speak it.
-func OverThrift(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
+func OverThrift(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error) {
 	var classes []map[string]any
 	for _, c := range cfg.Settings.Policy.Classes {
 		classes = append(classes, map[string]any{"class": c.Name, "methods": []string{c.Name}, "id": environment.ThriftID,
--- a/internal/sim/hard_test.go
+++ b/internal/sim/hard_test.go
@@ -211,7 +211,7 @@
 			var dead *actor
 			for _, b := range s.boxes {
 				for _, k := range b.net.Conns() {
-					if !b.net.Quiet(k) {
+					if !b.net.NothingToRead(k) {
 						dead = b
 					}
 				}
@@ -294,7 +294,7 @@
 				s.tell(0, 1)
 				s.play(0.01)
 				for _, b := range s.boxes { // both die: wherever the request is, it fails, and the other is told to drain
-					if len(b.net.Conns()) > 0 && !b.net.Quiet(b.net.Conns()[0]) {
+					if len(b.net.Conns()) > 0 && !b.net.NothingToRead(b.net.Conns()[0]) {
 						b.net.Kill()
 					} else {
 						b.net.SlowDown(0)
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -48,7 +48,7 @@
 // known is a sidecar with its fleet, as a Program.
 type known struct {
 	core
-	host netio.Host
+	host netio.Handler
 	f    *coordination.Node
 }
 
@@ -79,7 +79,7 @@
 // killed by then has written nothing.
 type disk struct {
 	s     *instance
-	proc  netio.Net
+	proc  netio.EventLoop
 	write float64 // how long a write takes
 }
 
@@ -109,7 +109,7 @@
 
 // withFleet returns the Core of a sidecar that knows the others of its day.
 func (d *day) withFleet(s *instance) Core {
-	return func(cfg sidecarconfig.Config, loop netio.Net, log *slog.Logger) (Program, error) {
+	return func(cfg sidecarconfig.Config, loop netio.EventLoop, log *slog.Logger) (Program, error) {
 		shared := multiplex.New(loop)
 		sc, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Frontend{http1.New(cfg, rewrite.Settings{})}, shared.Core(), log)
 		if err != nil {
@@ -142,7 +142,7 @@
 		}
 		sc.ReserveDescriptors(peers.Descriptors(links))
 		s.fleet = f
-		return known{core{sc}, shared.Host(sc, f, f.OwnsConn), f}, nil
+		return known{core{sc}, shared.Handler(sc, f, f.OwnsConn), f}, nil
 	}
 }
 
@@ -204,7 +204,7 @@
 
 // deafPeer is a program that says hello to a sidecar as a peer does, asks what it knows again and again, and reads nothing.
 type deafPeer struct {
-	net   netio.Net
+	net   netio.EventLoop
 	to    string
 	perS  float64
 	until float64
@@ -232,7 +232,7 @@
 		h.net.Stop()
 		return
 	}
-	h.net.Alarm(now + 1/h.perS)
+	h.net.SetAlarm(now + 1/h.perS)
 	if h.conn == nil {
 		if !h.again {
 			h.again = true
--- a/internal/sim/plain.go
+++ b/internal/sim/plain.go
@@ -41,7 +41,7 @@
 // Plain returns the Core of a balancer that does no more than choose: one attempt, no probes, no limits. The service of
 // the decisions is measured against it.
 func Plain(choose Choose) Core {
-	return func(cfg sidecarconfig.Config, net netio.Net, _ *slog.Logger) (Program, error) {
+	return func(cfg sidecarconfig.Config, net netio.EventLoop, _ *slog.Logger) (Program, error) {
 		p := &plain{cfg: cfg, net: net, choose: choose, rng: rand.New(rand.NewPCG(cfg.Seed, 0x706c61696e)),
 			hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), out: map[uint32]int{}, idle: map[uint32][]*plainLink{}}
 		if len(cfg.Known) > 0 {
@@ -56,7 +56,7 @@
 // plain is a plain balancer.
 type plain struct {
 	cfg      sidecarconfig.Config
-	net      netio.Net
+	net      netio.EventLoop
 	choose   Choose
 	rng      *rand.Rand
 	hosts    *endpointset.Set
@@ -104,7 +104,7 @@
 
 func (p *plain) Start() {
 	p.watch()
-	p.net.Alarm(p.net.Now() + plainTickS)
+	p.net.SetAlarm(p.net.Now() + plainTickS)
 }
 
 // plainTickS is the time between two looks for requests whose time is over.
@@ -144,7 +144,7 @@
 		p.net.Stop()
 		return
 	}
-	p.net.Alarm(now + plainTickS)
+	p.net.SetAlarm(now + plainTickS)
 }
 
 func (p *plain) watch() {
@@ -263,7 +263,7 @@
 	for idle := p.idle[host]; len(idle) > 0; idle = p.idle[host] {
 		s := idle[len(idle)-1]
 		p.idle[host] = idle[:len(idle)-1]
-		if p.net.Quiet(s.conn) {
+		if p.net.NothingToRead(s.conn) {
 			s.ask, a.server = a, s
 			s.answer = http1.NewResponseParser(plainLimits)
 			_, _ = s.conn.Write(a.text)
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -47,7 +47,7 @@
 	s := quotas.Defaults()
 	s.File, s.Tree, s.DefaultGroup = "of the day", tree, "cities"
 	s.Rules = []quotas.Rule{{Header: "Organisation"}}
-	return func(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error) {
+	return func(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error) {
 		p, err := sidecar.New(cfg, featureconfig.Features{Quotas: s}, []sidecar.Frontend{http1.New(cfg, rewrite.Settings{})}, net, log)
 		if err != nil {
 			return nil, err
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -21,7 +21,7 @@
 
 // Program is a sidecar as a day needs it.
 type Program interface {
-	netio.Host
+	netio.Handler
 	// Do calls f on the program's loop, with what follows from it.
 	Do(f func())
 	// Drain has the program end once all that it has taken is answered.
@@ -42,7 +42,7 @@
 }
 
 // Core returns a program that has not begun, on its network.
-type Core func(cfg sidecarconfig.Config, net netio.Net, log *slog.Logger) (Program, error)
+type Core func(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error)
 
 // Options are how a day is played.
 type Options struct {
