--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -209,6 +209,7 @@
 		data := testConfig(2, 700_000)
 		Expect(s.put(0, 1, data)).To(Equal(http.StatusOK))
 		c := s.machines[0].control
+		Eventually(func() int { return s.storedVersion(0) }, waitTimeout).Should(Equal(2)) // 200 needs a majority, which may be the others
 		value := c.replica.state().Value
 		Expect(c.replica.configBytes(value.ConfigDigest)).To(HaveLen(len(data)))
 		Eventually(func() int { return s.storedVersion(1) }, waitTimeout).Should(Equal(2))
