--- a/internal/environment/actors_test.go
+++ b/internal/environment/actors_test.go
@@ -67,7 +67,7 @@
 	day   Day
 	notes notes
 	world *World
-	net   *virtual.World
+	net   *virtual.Network
 	host  *script
 }
 
@@ -99,7 +99,7 @@
 	}
 }
 
-func (s *stage) until(seconds float64) { s.net.Until(s.day.Start + seconds) }
+func (s *stage) until(seconds float64) { s.net.RunUntil(s.day.Start + seconds) }
 
 // request writes a request to a connection, with an id.
 func request(c netio.Conn, class string, id uint64) {
@@ -128,7 +128,7 @@
 				got[c.Context().(int)] = append(got[c.Context().(int)], data...)
 			}
 			for i := range requests {
-				s.net.At(s.day.Start+float64(i), func() { s.host.net.Dial(b.Spec.Address, math.Inf(1), i, func(error) {}) })
+				s.net.Schedule(s.day.Start+float64(i), func() { s.host.net.Dial(b.Spec.Address, math.Inf(1), i, func(error) {}) })
 			}
 			s.until(requests + 30)
 			made := map[uint64]bool{}
@@ -205,16 +205,16 @@
 		}
 		s.host.closed = func(netio.Conn, error) {
 			have, forget = have && !forget, false
-			s.net.At(s.net.Now()+0.3, watch)
+			s.net.Schedule(s.net.Now()+0.3, watch)
 		}
 		watch = func() {
 			s.host.net.Dial(r.Address(), s.net.Now()+1, nil, func(err error) {
 				if err != nil {
-					s.net.At(s.net.Now()+0.3, watch)
+					s.net.Schedule(s.net.Now()+0.3, watch)
 				}
 			})
 		}
-		s.net.At(s.day.Start, watch)
+		s.net.Schedule(s.day.Start, watch)
 		last := map[int]entry{} // what the boxes have done last
 		for i, b := range s.day.Boxes[:s.day.Standing] {
 			last[i] = entry{status: checker.Serving, address: b.Address}
--- a/internal/lab/loopback/machine.go
+++ b/internal/lab/loopback/machine.go
@@ -218,10 +218,10 @@
 	c.out.put(parcel{half: true, due: time.Now().Add(c.delay)})
 }
 
-// Delivered knows of what has left the program alone.
+// AllAcknowledged knows of what has left the program alone.
 func (l *life) AllAcknowledged(nc netio.Conn) bool { return nc.OutboundBuffered() == 0 }
 
-// Quiet looks at the socket, and at what is on its way to the program.
+// NothingToRead looks at the socket, and at what is on its way to the program.
 func (l *life) NothingToRead(nc netio.Conn) bool {
 	c := nc.(*conn)
 	if c.in.size() > 0 {
--- a/internal/netio/virtual/conn.go
+++ b/internal/netio/virtual/conn.go
@@ -48,7 +48,7 @@
 // What its process has written and its peer has not confirmed is in out, from head on: first the bytes that have
 // arrived, then those under way, then those that wait in the socket, then those that the socket has not taken.
 type Conn struct {
-	w       *World
+	w       *Network
 	p       *Process // whose end it is
 	machine *Machine
 	peer    *Conn
@@ -202,14 +202,14 @@
 	if room := c.peer.window - c.peer.unread() - c.flight; n > room {
 		n, c.peer.starved = max(room, 0), true
 	}
-	if perS := c.w.paths[c.machine.number][c.peer.machine.number].PerS; perS > 0 && n > 0 {
+	if perS := c.w.paths[c.machine.number][c.peer.machine.number].BytesPerSecond; perS > 0 && n > 0 {
 		n = c.pace(n, perS)
 	}
 	for n > 0 {
 		k := n
-		if c.w.EveryByte {
+		if c.w.SplitEveryByte {
 			k = 1
-		} else if k > 1 && c.w.CutShare > 0 && c.w.rand.Float64() < c.w.CutShare {
+		} else if k > 1 && c.w.SplitProbability > 0 && c.w.rand.Float64() < c.w.SplitProbability {
 			k = 1 + c.w.rand.IntN(k-1)
 		}
 		n -= k
@@ -415,7 +415,7 @@
 }
 
 // Reset has both ends of a connection told that it is no more, as a machine between them would.
-func (w *World) Reset(c *Conn) {
+func (w *Network) Reset(c *Conn) {
 	for _, end := range [...]*Conn{c, c.peer} {
 		if end != nil && end.state != dead {
 			w.schedule(w.now, event{kind: doReset, conn: end, n: 1})
@@ -424,7 +424,7 @@
 }
 
 // Silence has nothing pass on a connection any more, in either direction, with both ends open.
-func (w *World) Silence(c *Conn) {
+func (w *Network) Blackhole(c *Conn) {
 	c.silent = true
 	if c.peer != nil {
 		c.peer.silent = true
@@ -584,8 +584,8 @@
 		c.endedAt, c.readThen = p.real(), c.read
 	}
 	if c.told { // as gnet does, before the socket is closed
-		p.w.mix(p.real(), Ended, p, c.id, nil)
-		p.w.trace(Event{At: p.real(), Kind: Ended, Process: p.opt.Name, Peer: c.peerName(), Conn: c.id, Err: err})
+		p.w.mix(p.real(), Closed, p, c.id, nil)
+		p.w.trace(Event{At: p.real(), Kind: Closed, Process: p.opt.Name, Peer: c.peerName(), Conn: c.id, Err: err})
 		p.host.Closed(c, err)
 		p.called()
 	}
--- a/internal/netio/virtual/dial.go
+++ b/internal/netio/virtual/dial.go
@@ -166,7 +166,7 @@
 
 func (d *dial) tell(err error) {
 	if err != nil {
-		d.p.w.trace(Event{At: d.p.real(), Kind: NotUp, Process: d.p.opt.Name, Peer: d.to.String(), Err: err})
+		d.p.w.trace(Event{At: d.p.real(), Kind: DialFailed, Process: d.p.opt.Name, Peer: d.to.String(), Err: err})
 	}
 	d.done(err)
 }
--- a/internal/netio/virtual/machine.go
+++ b/internal/netio/virtual/machine.go
@@ -11,15 +11,15 @@
 
 // Path is how packets travel from one machine to another.
 type Path struct {
-	LatencyS float64
-	JitterS  float64 // up to so much more, drawn for each packet; order within a connection is kept all the same
-	Loss     float64 // how many are lost, from 0 to 1
-	PerS     float64 // bytes a second of each connection; 0: as fast as they come
+	LatencySeconds  float64
+	JitterSeconds   float64 // up to so much more, drawn for each packet; order within a connection is kept all the same
+	LossProbability float64 // how many are lost, from 0 to 1
+	BytesPerSecond  float64 // bytes a second of each connection; 0: as fast as they come
 }
 
 // Machine has an address, processes and sockets.
 type Machine struct {
-	w         *World
+	w         *Network
 	ip        netip.Addr
 	text      string
 	number    int
@@ -32,7 +32,7 @@
 }
 
 // Machine returns the machine of an address, a new one where there is none.
-func (w *World) Machine(ip string) *Machine {
+func (w *Network) Machine(ip string) *Machine {
 	if m := w.byIP[ip]; m != nil {
 		return m
 	}
@@ -54,11 +54,11 @@
 func (m *Machine) IP() string { return m.text }
 
 // Down tells whether the machine has vanished.
-func (m *Machine) Down() bool { return m.down }
+func (m *Machine) IsDown() bool { return m.down }
 
 // LateConnects has a share of the connections that are dialed to the machine come up late, by up to so many seconds; a share of 0 ends
 // that.
-func (m *Machine) LateConnects(share, mostS float64) { m.lateShare, m.lateS = share, mostS }
+func (m *Machine) SetHandshakeDelay(share, mostS float64) { m.lateShare, m.lateS = share, mostS }
 
 // late returns by how much a connection that is dialed now comes up late.
 func (m *Machine) late() float64 {
@@ -69,54 +69,56 @@
 }
 
 // SetPath says how packets travel from one machine to another. The way back is another path.
-func (w *World) SetPath(from, to *Machine, p Path) { w.paths[from.number][to.number] = p }
+func (w *Network) SetPath(from, to *Machine, p Path) { w.paths[from.number][to.number] = p }
 
 // PathOf returns how packets travel from one machine to another.
-func (w *World) PathOf(from, to *Machine) Path { return w.paths[from.number][to.number] }
+func (w *Network) PathOf(from, to *Machine) Path { return w.paths[from.number][to.number] }
 
 // Cut loses all packets from one machine to another from now on, or no longer. What TCP has not got across by then
 // it sends again, with longer and longer waits.
-func (w *World) Cut(from, to *Machine, cut bool) {
+func (w *Network) SetPartitioned(from, to *Machine, cut bool) {
 	p := &w.paths[from.number][to.number]
-	if p.Loss = 0; cut {
-		p.Loss = 1
+	if p.LossProbability = 0; cut {
+		p.LossProbability = 1
 	}
 }
 
 // Pace has each connection from one machine to another take so many bytes a second; 0: as many as are sent.
-func (w *World) Pace(from, to *Machine, perS float64) { w.paths[from.number][to.number].PerS = perS }
+func (w *Network) SetRate(from, to *Machine, perS float64) {
+	w.paths[from.number][to.number].BytesPerSecond = perS
+}
 
 // travel returns when a packet that leaves now, or at a later time, arrives.
-func (w *World) travel(from, to *Machine, at float64) float64 {
+func (w *Network) travel(from, to *Machine, at float64) float64 {
 	p := &w.paths[from.number][to.number]
-	return max(at, w.now) + p.LatencyS + p.JitterS*w.rand.Float64()
+	return max(at, w.now) + p.LatencySeconds + p.JitterSeconds*w.rand.Float64()
 }
 
 // passes tells whether a packet that would arrive now does.
-func (w *World) passes(from, to *Machine) bool {
+func (w *Network) passes(from, to *Machine) bool {
 	if to.down {
 		return false
 	}
-	loss := w.paths[from.number][to.number].Loss
+	loss := w.paths[from.number][to.number].LossProbability
 	return loss == 0 || loss < 1 && w.rand.Float64() >= loss
 }
 
 // Vanish takes the machine away without a word, as when its power fails: its processes are gone, and who is connected
 // to it is not told. Danger: this is no Kill; peers keep connections that are open on their side alone.
-func (m *Machine) Vanish() {
+func (m *Machine) PowerOff() {
 	m.down = true
 	for _, p := range m.processes {
 		p.die(false)
 	}
 	m.processes = nil
-	m.w.trace(Event{Kind: Changed, Process: m.text, Peer: "vanished"})
+	m.w.trace(Event{Kind: StateChanged, Process: m.text, Peer: "vanished"})
 }
 
 // Return brings a machine back that has vanished, with no process. What is still sent to its former connections is
 // answered by a reset.
-func (m *Machine) Return() {
+func (m *Machine) PowerOn() {
 	m.down = false
-	m.w.trace(Event{Kind: Changed, Process: m.text, Peer: "returned"})
+	m.w.trace(Event{Kind: StateChanged, Process: m.text, Peer: "returned"})
 }
 
 // Process returns a process that has not begun.
@@ -151,7 +153,7 @@
 }
 
 // parse reads an address and port, which may be those of no machine.
-func (w *World) parse(address string) (*Machine, netip.AddrPort, error) {
+func (w *Network) parse(address string) (*Machine, netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, a, fmt.Errorf("dial %s: %w", address, err)
@@ -161,7 +163,7 @@
 
 func tcpAddr(a netip.AddrPort) net.Addr { return net.TCPAddrFromAddrPort(a) }
 
-func (w *World) trace(e Event) {
+func (w *Network) trace(e Event) {
 	if w.Trace != nil {
 		if e.At == 0 {
 			e.At = w.now
--- a/internal/netio/virtual/process.go
+++ b/internal/netio/virtual/process.go
@@ -12,23 +12,23 @@
 
 // ProcessOptions is what a process is started with.
 type ProcessOptions struct {
-	Name          string
-	Listen        []string // addresses and ports of its machine
-	Descriptors   int      // the most it may hold; 0: as many as it likes
-	Held          int      // descriptors that are no connection, listener or dial
-	Backlog       int      // of each listener; 0: 128
-	SendBuffer    int      // of each connection, in bytes; 0: 64 KiB
-	ReceiveBuffer int      // likewise
-	WakeS         float64  // the loop turns up to so much after something has come
-	CallS         float64  // how long each call of the host takes
-	Shuffle       bool     // what has come for one turn is handed over in any order
-	ReadRate      float64  // of each connection, in bytes a second; 0: as fast as they come; below 0: nothing is read
-	Exited        func()   // called once the process has ended by itself
+	Name                string
+	Listen              []string // addresses and ports of its machine
+	MaxDescriptors      int      // the most it may hold; 0: as many as it likes
+	ReservedDescriptors int      // descriptors that are no connection, listener or dial
+	Backlog             int      // of each listener; 0: 128
+	SendBuffer          int      // of each connection, in bytes; 0: 64 KiB
+	ReceiveBuffer       int      // likewise
+	MaxWakeDelaySeconds float64  // the loop turns up to so much after something has come
+	CallSeconds         float64  // how long each call of the host takes
+	Shuffle             bool     // what has come for one turn is handed over in any order
+	ReadRate            float64  // of each connection, in bytes a second; 0: as fast as they come; below 0: nothing is read
+	OnExit              func()   // called once the process has ended by itself
 }
 
 func (o *ProcessOptions) fill() {
-	if o.Descriptors == 0 {
-		o.Descriptors = math.MaxInt32
+	if o.MaxDescriptors == 0 {
+		o.MaxDescriptors = math.MaxInt32
 	}
 	if o.Backlog == 0 {
 		o.Backlog = 128
@@ -43,7 +43,7 @@
 
 // Process is a program on a machine: the netio.EventLoop of its host, with one event loop.
 type Process struct {
-	w       *World
+	w       *Network
 	machine *Machine
 	opt     ProcessOptions
 	number  int
@@ -102,10 +102,10 @@
 		p.listenAt(a.Port(), false)
 	}
 	p.host, p.alarmAt, p.rungAt = host, math.NaN(), math.Inf(1)
-	p.used = p.opt.Held + len(p.listeners)
+	p.used = p.opt.ReservedDescriptors + len(p.listeners)
 	p.peak = p.used
 	p.machine.processes = append(p.machine.processes, p)
-	p.w.trace(Event{Kind: Changed, Process: p.opt.Name, Peer: "started"})
+	p.w.trace(Event{Kind: StateChanged, Process: p.opt.Name, Peer: "started"})
 	p.wake()
 	return nil
 }
@@ -146,13 +146,13 @@
 func (p *Process) Machine() *Machine { return p.machine }
 
 // Alive tells whether the process has been started and has not ended.
-func (p *Process) Alive() bool { return p.host != nil && !p.dead }
+func (p *Process) IsRunning() bool { return p.host != nil && !p.dead }
 
 // Descriptors returns how many the process holds, and the most that it has held.
 func (p *Process) Descriptors() (now, most int) { return p.used, p.peak }
 
 // Denied returns how many times the process has found no descriptor.
-func (p *Process) Denied() int { return p.denied }
+func (p *Process) DescriptorFailures() int { return p.denied }
 
 // Conns returns the connections that the process holds; valid until the next event.
 func (p *Process) Conns() []*Conn { return p.conns }
@@ -167,7 +167,7 @@
 	}
 	p.die(true)
 	p.leaveMachine()
-	p.w.trace(Event{Kind: Changed, Process: p.opt.Name, Peer: "killed"})
+	p.w.trace(Event{Kind: StateChanged, Process: p.opt.Name, Peer: "killed"})
 }
 
 func (p *Process) leaveMachine() {
@@ -207,7 +207,7 @@
 }
 
 // Thaw ends a Stall at once.
-func (p *Process) Thaw() {
+func (p *Process) EndStall() {
 	p.stalled = 0
 	if !p.dead && p.host != nil && !p.inTurn { // a turn that waits for the stall's end would come too late
 		p.turnSet = true
@@ -217,7 +217,7 @@
 
 // ReadRate says how fast the process reads from a connection, in bytes a second; 0: as fast as they come; below 0:
 // not at all.
-func (p *Process) ReadRate(conn netio.Conn, rate float64) {
+func (p *Process) SetConnReadRate(conn netio.Conn, rate float64) {
 	if c := conn.(*Conn); c.p == p {
 		if c.readRate = rate; rate >= 0 {
 			c.notify()
@@ -226,7 +226,7 @@
 }
 
 // SlowDown says how fast the process reads from each connection of which ReadRate has said nothing, as ReadRate does.
-func (p *Process) SlowDown(rate float64) {
+func (p *Process) SetReadRate(rate float64) {
 	p.opt.ReadRate = rate
 	for _, c := range p.conns {
 		if c.unread() > 0 || c.finIn {
@@ -258,7 +258,7 @@
 const roundS = 4e-6
 
 // ClockRate has the process's clock run at a rate from now on; 1 is that of the world. What it is ahead or behind by then stays.
-func (p *Process) ClockRate(rate float64) {
+func (p *Process) SetClockRate(rate float64) {
 	now := p.w.now
 	p.clock = clock{since: now, ahead: p.clock.read(now) - now, gains: rate - 1}
 	if !math.IsNaN(p.alarmAt) {
@@ -357,15 +357,15 @@
 		return
 	}
 	at := p.w.now
-	if p.opt.WakeS > 0 {
-		at += p.opt.WakeS * p.w.rand.Float64()
+	if p.opt.MaxWakeDelaySeconds > 0 {
+		at += p.opt.MaxWakeDelaySeconds * p.w.rand.Float64()
 	}
 	p.turnSet = true
 	p.w.schedule(max(at, p.busyUntil, p.stalled), event{kind: doTurn, proc: p})
 }
 
 // called notes that a call of the host is over.
-func (p *Process) called() { p.spent += p.opt.CallS }
+func (p *Process) called() { p.spent += p.opt.CallSeconds }
 
 // turn is one turn of the loop: connections, then posts, then the alarm.
 func (p *Process) turn() {
@@ -380,7 +380,7 @@
 	p.inTurn = true
 	if !p.started {
 		p.started = true
-		p.w.mix(p.real(), Changed, p, 0, nil)
+		p.w.mix(p.real(), StateChanged, p, 0, nil)
 		p.host.Start()
 		p.called()
 		p.runPosts()
@@ -402,7 +402,7 @@
 		p.ringing = false
 		if p.alarmAt <= p.real() {
 			p.alarmAt = math.NaN()
-			p.w.mix(p.real(), Alarmed, p, 0, nil)
+			p.w.mix(p.real(), AlarmFired, p, 0, nil)
 			p.host.Alarm()
 			p.called()
 			p.runPosts()
@@ -458,9 +458,9 @@
 
 // take takes a descriptor; false: there is none.
 func (p *Process) take() bool {
-	if p.used >= p.opt.Descriptors {
+	if p.used >= p.opt.MaxDescriptors {
 		p.denied++
-		p.w.trace(Event{At: p.real(), Kind: Exhausted, Process: p.opt.Name})
+		p.w.trace(Event{At: p.real(), Kind: DescriptorsExhausted, Process: p.opt.Name})
 		return false
 	}
 	p.used++
@@ -558,9 +558,9 @@
 	}
 	p.dead = true
 	p.leaveMachine()
-	p.w.trace(Event{At: p.real(), Kind: Changed, Process: p.opt.Name, Peer: "ended"})
-	if p.opt.Exited != nil {
-		p.w.schedule(p.real(), event{kind: doCall, f: p.opt.Exited})
+	p.w.trace(Event{At: p.real(), Kind: StateChanged, Process: p.opt.Name, Peer: "ended"})
+	if p.opt.OnExit != nil {
+		p.w.schedule(p.real(), event{kind: doCall, f: p.opt.OnExit})
 	}
 }
 
--- a/internal/netio/virtual/virtual_test.go
+++ b/internal/netio/virtual/virtual_test.go
@@ -78,7 +78,7 @@
 func (p *program) text(i int) string { return p.got[p.conns[i].id].String() }
 
 // begin starts a program on a machine.
-func begin(t assert.TestingT, w *World, ip string, o ProcessOptions) *program {
+func begin(t assert.TestingT, w *Network, ip string, o ProcessOptions) *program {
 	p := &program{t: t, got: map[uint64]*bytes.Buffer{}, ended: map[uint64]error{}}
 	o.Name = ip
 	p.net = w.Machine(ip).Process(o)
@@ -89,12 +89,12 @@
 const far = "10.0.0.2:80"
 
 // pair starts two programs, of which the first has dialed the second; it returns what became of the dial.
-func pair(t assert.TestingT, w *World, o, server ProcessOptions) (a, b *program, up *[]error) {
+func pair(t assert.TestingT, w *Network, o, server ProcessOptions) (a, b *program, up *[]error) {
 	server.Listen = []string{far}
 	a, b = begin(t, w, "10.0.0.1", o), begin(t, w, "10.0.0.2", server)
 	up = &[]error{}
 	a.net.Dial(far, w.Now()+3, "mine", func(err error) { *up = append(*up, err) })
-	w.Until(w.Now() + 0.1)
+	w.RunUntil(w.Now() + 0.1)
 	return a, b, up
 }
 
@@ -103,15 +103,15 @@
 func TestBytesKeepTheirOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := New(rapid.Uint64().Draw(t, "seed"), day)
-		w.CutShare = rapid.Float64Range(0, 1).Draw(t, "cuts")
-		w.Path.Loss = rapid.SampledFrom([]float64{0, 0, 0.1}).Draw(t, "loss")
+		w.SplitProbability = rapid.Float64Range(0, 1).Draw(t, "cuts")
+		w.Path.LossProbability = rapid.SampledFrom([]float64{0, 0, 0.1}).Draw(t, "loss")
 		options := func() ProcessOptions {
 			return ProcessOptions{SendBuffer: rapid.IntRange(1, 500).Draw(t, "send"), ReceiveBuffer: rapid.IntRange(1, 500).Draw(t, "receive"),
-				WakeS: rapid.Float64Range(0, 0.001).Draw(t, "wake"), CallS: rapid.Float64Range(0, 0.0001).Draw(t, "call"), Shuffle: true,
+				MaxWakeDelaySeconds: rapid.Float64Range(0, 0.001).Draw(t, "wake"), CallSeconds: rapid.Float64Range(0, 0.0001).Draw(t, "call"), Shuffle: true,
 				ReadRate: rapid.SampledFrom([]float64{0, 5000}).Draw(t, "rate")}
 		}
 		a, b, up := pair(t, w, options(), options())
-		w.Until(w.Now() + 5)
+		w.RunUntil(w.Now() + 5)
 		if len(b.conns) == 0 {
 			require.Len(t, *up, 1)
 			return // the dial was lost on the way
@@ -125,7 +125,7 @@
 			case 0:
 				ends[side].p.Stall(w.Now() + rapid.Float64Range(0, 0.1).Draw(t, "stall"))
 			case 1:
-				w.Cut(machines[side], machines[1-side], rapid.Bool().Draw(t, "cut"))
+				w.SetPartitioned(machines[side], machines[1-side], rapid.Bool().Draw(t, "cut"))
 			default:
 				data := rapid.SliceOfN(rapid.Byte(), 1, 300).Draw(t, "data")
 				n, err := ends[side].Write(data)
@@ -133,11 +133,11 @@
 				require.Equal(t, len(data), n)
 				sent[side].Write(data)
 			}
-			w.Until(w.Now() + rapid.Float64Range(0, 0.01).Draw(t, "time"))
+			w.RunUntil(w.Now() + rapid.Float64Range(0, 0.01).Draw(t, "time"))
 		}
-		w.Cut(machines[0], machines[1], false)
-		w.Cut(machines[1], machines[0], false)
-		w.Until(w.Now() + 40)
+		w.SetPartitioned(machines[0], machines[1], false)
+		w.SetPartitioned(machines[1], machines[0], false)
+		w.RunUntil(w.Now() + 40)
 		assert.Equal(t, sent[0].Bytes(), b.got[ends[0].id].Bytes())
 		assert.Equal(t, sent[1].Bytes(), a.got[ends[0].id].Bytes())
 		assert.Zero(t, ends[0].OutboundBuffered()+ends[1].OutboundBuffered())
@@ -145,7 +145,7 @@
 		_, err := ends[0].Write(last)
 		require.NoError(t, err)
 		ends[0].p.Close(ends[0]) // behind what the socket has taken
-		w.Until(w.Now() + 40)
+		w.RunUntil(w.Now() + 40)
 		assert.Equal(t, append(sent[0].Bytes(), last...), b.got[ends[0].id].Bytes())
 		assert.Equal(t, map[uint64]error{ends[0].id: nil}, a.ended)
 		assert.ErrorIs(t, b.ended[ends[0].id], io.EOF)
@@ -158,72 +158,72 @@
 func TestEnds(t *testing.T) {
 	say := func(p *program, text string) { _, _ = p.conns[0].Write([]byte(text)) }
 	for name, c := range map[string]struct {
-		play     func(w *World, a, b *program)
+		play     func(w *Network, a, b *program)
 		heard    string // by the dialing side
 		a, b     error  // what the sides are told
 		aUntold  bool
 		bUntold  bool
 		bReceive string
 	}{
-		"FIN behind an answer": {play: func(w *World, a, b *program) {
+		"FIN behind an answer": {play: func(w *Network, a, b *program) {
 			say(a, "ask")
-			w.Until(w.Now() + 0.1)
+			w.RunUntil(w.Now() + 0.1)
 			say(b, "answer")
 			b.net.Close(b.conns[0])
 		}, heard: "answer", a: io.EOF, bReceive: "ask"},
-		"half a close ends it, too": {play: func(w *World, a, b *program) { b.net.CloseWrite(b.conns[0]) }, a: io.EOF, b: io.EOF},
-		"closing with unread bytes resets": {play: func(w *World, a, b *program) {
+		"half a close ends it, too": {play: func(w *Network, a, b *program) { b.net.CloseWrite(b.conns[0]) }, a: io.EOF, b: io.EOF},
+		"closing with unread bytes resets": {play: func(w *Network, a, b *program) {
 			b.net.Stall(w.Now() + 0.2)
 			say(a, "ask")
-			w.Until(w.Now() + 0.1)
+			w.RunUntil(w.Now() + 0.1)
 			b.net.Close(b.conns[0])
 		}, a: syscall.ECONNRESET},
-		"a reset destroys what the socket still holds": {play: func(w *World, a, b *program) {
-			w.Cut(b.net.machine, a.net.machine, true)
+		"a reset destroys what the socket still holds": {play: func(w *Network, a, b *program) {
+			w.SetPartitioned(b.net.machine, a.net.machine, true)
 			say(b, "answer")
-			w.Until(w.Now() + 0.05)
-			w.Cut(b.net.machine, a.net.machine, false)
+			w.RunUntil(w.Now() + 0.05)
+			w.SetPartitioned(b.net.machine, a.net.machine, false)
 			say(a, "more")
 			b.net.Stall(w.Now() + 0.05)
-			w.Until(w.Now() + 0.01)
+			w.RunUntil(w.Now() + 0.01)
 			b.net.Close(b.conns[0])
 		}, a: syscall.ECONNRESET},
-		"bytes before a reset are read": {play: func(w *World, a, b *program) {
+		"bytes before a reset are read": {play: func(w *Network, a, b *program) {
 			a.net.Stall(w.Now() + 0.2)
 			say(b, "answer")
 			b.net.Kill()
 		}, heard: "answer", a: syscall.ECONNRESET, bUntold: true},
-		"bytes for what is closed are answered with a reset": {play: func(w *World, a, b *program) {
+		"bytes for what is closed are answered with a reset": {play: func(w *Network, a, b *program) {
 			a.net.Stall(w.Now() + 0.2)
 			b.net.Close(b.conns[0])
-			w.Until(w.Now() + 0.1)
+			w.RunUntil(w.Now() + 0.1)
 			say(a, "late")
 		}, a: syscall.ECONNRESET},
-		"a machine that vanishes says nothing": {play: func(w *World, a, b *program) {
-			b.net.machine.Vanish()
-			w.Until(w.Now() + 20)
+		"a machine that vanishes says nothing": {play: func(w *Network, a, b *program) {
+			b.net.machine.PowerOff()
+			w.RunUntil(w.Now() + 20)
 			say(a, "anybody?")
 		}, aUntold: true, bUntold: true},
-		"one that is back resets what is written": {play: func(w *World, a, b *program) {
-			b.net.machine.Vanish()
-			w.Until(w.Now() + 20)
-			b.net.machine.Return()
-			w.Until(w.Now() + 20)
+		"one that is back resets what is written": {play: func(w *Network, a, b *program) {
+			b.net.machine.PowerOff()
+			w.RunUntil(w.Now() + 20)
+			b.net.machine.PowerOn()
+			w.RunUntil(w.Now() + 20)
 			assert.Empty(t, a.ended)
 			say(a, "anybody?")
 		}, a: syscall.ECONNRESET, bUntold: true},
-		"also what was written meanwhile": {play: func(w *World, a, b *program) {
-			b.net.machine.Vanish()
+		"also what was written meanwhile": {play: func(w *Network, a, b *program) {
+			b.net.machine.PowerOff()
 			say(a, "anybody?")
-			w.Until(w.Now() + 20)
-			b.net.machine.Return()
+			w.RunUntil(w.Now() + 20)
+			b.net.machine.PowerOn()
 		}, a: syscall.ECONNRESET, bUntold: true},
-		"a link that is silent stays open": {play: func(w *World, a, b *program) {
-			w.Silence(a.conns[0])
+		"a link that is silent stays open": {play: func(w *Network, a, b *program) {
+			w.Blackhole(a.conns[0])
 			say(a, "anybody?")
 		}, aUntold: true, bUntold: true},
-		"a reset from between": {play: func(w *World, a, b *program) { w.Reset(a.conns[0]) }, a: syscall.ECONNRESET, b: syscall.ECONNRESET},
-		"a loop that ends":     {play: func(w *World, a, b *program) { b.net.Stop() }, a: io.EOF},
+		"a reset from between": {play: func(w *Network, a, b *program) { w.Reset(a.conns[0]) }, a: syscall.ECONNRESET, b: syscall.ECONNRESET},
+		"a loop that ends":     {play: func(w *Network, a, b *program) { b.net.Stop() }, a: io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := New(1, day)
@@ -232,7 +232,7 @@
 			assert.Equal(t, "mine", a.conns[0].Context())
 			assert.Equal(t, far, a.conns[0].RemoteAddr().String())
 			c.play(w, a, b)
-			w.Until(w.Now() + 30)
+			w.RunUntil(w.Now() + 30)
 			for side, p := range []*program{a, b} {
 				err, told := p.ended[a.conns[0].id]
 				assert.NotEqual(t, []bool{c.aUntold, c.bUntold}[side], told)
@@ -247,7 +247,7 @@
 }
 
 func TestDials(t *testing.T) {
-	var w *World
+	var w *Network
 	var a, b *program
 	for name, c := range map[string]struct {
 		prepare func()
@@ -256,25 +256,25 @@
 	}{
 		"refused":              {func() { b.net.StopListening(func() {}) }, syscall.ECONNREFUSED, 0.001},
 		"refused by the dead":  {func() { b.net.Kill() }, syscall.ECONNREFUSED, 0.001},
-		"never up":             {func() { b.net.machine.Vanish() }, syscall.ETIMEDOUT, 2.5},
-		"no way back":          {func() { w.Cut(b.net.machine, a.net.machine, true) }, syscall.ETIMEDOUT, 2.5},
-		"back without program": {func() { b.net.machine.Vanish(); w.At(w.Now()+0.5, b.net.machine.Return) }, syscall.ECONNREFUSED, 1.001},
+		"never up":             {func() { b.net.machine.PowerOff() }, syscall.ETIMEDOUT, 2.5},
+		"no way back":          {func() { w.SetPartitioned(b.net.machine, a.net.machine, true) }, syscall.ETIMEDOUT, 2.5},
+		"back without program": {func() { b.net.machine.PowerOff(); w.Schedule(w.Now()+0.5, b.net.machine.PowerOn) }, syscall.ECONNREFUSED, 1.001},
 		"up once the way is": {func() {
-			w.Cut(a.net.machine, b.net.machine, true)
-			w.At(w.Now()+0.5, func() { w.Cut(a.net.machine, b.net.machine, false) })
+			w.SetPartitioned(a.net.machine, b.net.machine, true)
+			w.Schedule(w.Now()+0.5, func() { w.SetPartitioned(a.net.machine, b.net.machine, false) })
 		}, nil, 1.001},
 		"stalled, yet up": {func() { b.net.Stall(w.Now() + 20) }, nil, 0.001},
 		"reused address": {func() {
 			b.net.Kill()
 			begin(t, w, "10.0.0.2", ProcessOptions{Listen: []string{far}})
 		}, nil, 0.001},
-		"out of descriptors": {func() { a.net.opt.Descriptors = 1 }, syscall.EMFILE, 0},
+		"out of descriptors": {func() { a.net.opt.MaxDescriptors = 1 }, syscall.EMFILE, 0},
 		"backlog full": {func() {
-			b.net.opt.Descriptors = 2
+			b.net.opt.MaxDescriptors = 2
 			b.net.listeners[0].backlog = 3
 			for range 4 {
 				a.net.Dial(far, w.Now()+20, nil, func(error) {})
-				w.Until(w.Now() + 0.01)
+				w.RunUntil(w.Now() + 0.01)
 			}
 			assert.Len(t, b.net.listeners[0].queue, 3)
 		}, syscall.ETIMEDOUT, 2.5},
@@ -290,7 +290,7 @@
 				assert.ErrorIs(t, err, c.want)
 				assert.InDelta(t, c.at, w.Now()-start, 0.002)
 			})
-			w.Until(start + 10)
+			w.RunUntil(start + 10)
 			assert.Equal(t, 1, calls)
 		})
 	}
@@ -302,7 +302,7 @@
 	cancel()
 	cancel()
 	assert.Empty(t, ends)
-	w.Until(w.Now() + 5)
+	w.RunUntil(w.Now() + 5)
 	assert.Equal(t, []error{errGivenUp}, ends)
 	assert.Len(t, b.conns, 1)
 	assert.Equal(t, 1, a.net.used)
@@ -312,31 +312,31 @@
 func TestBackpressure(t *testing.T) {
 	w := New(4, day)
 	a, b, _ := pair(t, w, ProcessOptions{SendBuffer: 1000}, ProcessOptions{ReceiveBuffer: 500})
-	b.net.ReadRate(b.conns[0], -1)
+	b.net.SetConnReadRate(b.conns[0], -1)
 	_, err := a.conns[0].Write(make([]byte, 10_000))
 	require.NoError(t, err)
 	assert.Equal(t, 9_000, a.conns[0].OutboundBuffered())
-	w.Until(w.Now() + 10)
+	w.RunUntil(w.Now() + 10)
 	assert.Equal(t, 8_500, a.conns[0].OutboundBuffered())
 	assert.False(t, b.net.NothingToRead(b.conns[0]))
-	b.net.ReadRate(b.conns[0], 1000)
+	b.net.SetConnReadRate(b.conns[0], 1000)
 	start := w.Now()
 	for a.conns[0].OutboundBuffered() > 0 {
 		require.True(t, w.Step())
 	}
 	assert.InDelta(t, 8.5, w.Now()-start, 0.2)
-	w.Until(w.Now() + 3)
+	w.RunUntil(w.Now() + 3)
 	assert.Len(t, b.text(0), 10_000)
 	assert.True(t, b.net.NothingToRead(b.conns[0]))
 	// At the end it still shows what was never sent.
-	b.net.ReadRate(b.conns[0], -1)
+	b.net.SetConnReadRate(b.conns[0], -1)
 	_, err = a.conns[0].Write(make([]byte, 10_000))
 	require.NoError(t, err)
 	left := 0
 	a.onClosed = func(c netio.Conn) { left = c.OutboundBuffered() }
-	w.Until(w.Now() + 1)
+	w.RunUntil(w.Now() + 1)
 	b.net.Kill()
-	w.Until(w.Now() + 1)
+	w.RunUntil(w.Now() + 1)
 	assert.Equal(t, 8_500, left)
 	assert.ErrorIs(t, a.ended[a.conns[0].id], syscall.EPIPE)
 }
@@ -344,14 +344,14 @@
 // Connections beyond the limit wait in the backlog until a descriptor is free.
 func TestDescriptorLimit(t *testing.T) {
 	w := New(5, day)
-	a, b, _ := pair(t, w, ProcessOptions{}, ProcessOptions{Descriptors: 3, Held: 1})
+	a, b, _ := pair(t, w, ProcessOptions{}, ProcessOptions{MaxDescriptors: 3, ReservedDescriptors: 1})
 	a.net.Dial(far, w.Now()+1, nil, func(err error) { assert.NoError(t, err) })
-	w.Until(w.Now() + 1)
+	w.RunUntil(w.Now() + 1)
 	assert.Len(t, b.conns, 1)
-	assert.Equal(t, 1, b.net.Denied())
+	assert.Equal(t, 1, b.net.DescriptorFailures())
 	_, _ = a.conns[1].Write([]byte("early"))
 	b.net.Close(b.conns[0])
-	w.Until(w.Now() + 1)
+	w.RunUntil(w.Now() + 1)
 	require.Len(t, b.conns, 2)
 	assert.Equal(t, "early", b.text(1))
 	now, most := b.net.Descriptors()
@@ -367,12 +367,12 @@
 	b.net.SetAlarm(w.Now() + 0.1)
 	b.net.Post(func() { b.calls = append(b.calls, "post") })
 	_, _ = a.conns[0].Write([]byte("one"))
-	w.Until(w.Now() + 0.5)
+	w.RunUntil(w.Now() + 0.5)
 	_, _ = a.conns[0].Write([]byte("two"))
 	a.net.Close(a.conns[0])
-	w.Until(w.Now() + 0.4)
+	w.RunUntil(w.Now() + 0.4)
 	assert.Empty(t, b.calls)
-	w.Until(w.Now() + 1)
+	w.RunUntil(w.Now() + 1)
 	assert.Equal(t, []string{"traffic", "closed", "post", "alarm"}, b.calls)
 	assert.InDelta(t, day+0.6, b.conns[0].PeerWrote(), 1e-3) // the time of "two"
 	assert.Equal(t, b.conns[0].PeerWrote(), b.conns[0].PeerEnded())
@@ -394,21 +394,21 @@
 	}
 	_, _ = a.conns[0].Write([]byte("go"))
 	b.calls = nil
-	w.Until(w.Now() + 1)
+	w.RunUntil(w.Now() + 1)
 	assert.Equal(t, []string{"traffic", "closed", "end of call", "first", "second", "third"}, b.calls)
 	// What yields comes once all that had come has been looked at, also what came while posts took their time.
 	a.net.Dial(far, w.Now()+1, nil, func(error) {})
-	w.Until(w.Now() + 1)
+	w.RunUntil(w.Now() + 1)
 	b.calls, b.onData = nil, nil
-	b.net.opt.CallS = 0.01
+	b.net.opt.CallSeconds = 0.01
 	b.net.Post(func() {
 		b.calls = append(b.calls, "post")
 		b.net.Yield(func() { b.calls = append(b.calls, "yield") })
 	})
 	_, _ = a.conns[1].Write([]byte("came meanwhile"))
-	w.Until(w.Now() + 1)
+	w.RunUntil(w.Now() + 1)
 	assert.Equal(t, []string{"post", "traffic", "yield"}, b.calls)
-	b.net.opt.CallS = 0
+	b.net.opt.CallSeconds = 0
 	// The latest alarm counts, and it rings once.
 	b.calls = nil
 	start := w.Now()
@@ -416,22 +416,22 @@
 	b.net.SetAlarm(start + 3)
 	b.net.SetAlarm(start + 2)
 	b.onAlarm = func() { assert.InDelta(t, start+2, w.Now(), 1e-6) }
-	w.Until(start + 5)
+	w.RunUntil(start + 5)
 	assert.Equal(t, []string{"alarm"}, b.calls)
 	b.net.SetAlarm(math.NaN())
 	// A connection that is turned away is closed with nothing of it read.
 	b.refuse, b.calls = true, nil
 	a.net.Dial(far, w.Now()+1, nil, func(error) {})
-	w.Until(w.Now() + 1)
+	w.RunUntil(w.Now() + 1)
 	assert.Equal(t, []string{"open", "closed"}, b.calls)
 	// Write tells the end at once where the connection has broken and the loop has not been told.
 	b.refuse = false
 	a.net.Dial(far, w.Now()+1, nil, func(error) {})
-	w.Until(w.Now() + 1)
+	w.RunUntil(w.Now() + 1)
 	b.calls = nil
 	b.net.Stall(w.Now() + 1)
 	a.net.Kill()
-	w.Until(w.Now() + 0.5)
+	w.RunUntil(w.Now() + 0.5)
 	last := b.conns[len(b.conns)-1]
 	assert.False(t, b.net.NothingToRead(last))
 	_, err := last.Write([]byte("x"))
@@ -442,11 +442,11 @@
 // chatter has programs talk for a while, through a cut and a kill, and returns the hash of it.
 func chatter(seed uint64) uint64 {
 	w := New(seed, day)
-	w.CutShare = 0.5
-	server := begin(nothing{}, w, "10.0.0.2", ProcessOptions{Listen: []string{far}, Shuffle: true, WakeS: 1e-4})
+	w.SplitProbability = 0.5
+	server := begin(nothing{}, w, "10.0.0.2", ProcessOptions{Listen: []string{far}, Shuffle: true, MaxWakeDelaySeconds: 1e-4})
 	server.onData = func(c netio.Conn, data []byte) { _, _ = c.Write(data) }
 	for _, ip := range []string{"10.0.0.3", "10.0.0.4", "10.0.0.5"} {
-		p := begin(nothing{}, w, ip, ProcessOptions{Shuffle: true, WakeS: 1e-4})
+		p := begin(nothing{}, w, ip, ProcessOptions{Shuffle: true, MaxWakeDelaySeconds: 1e-4})
 		p.onData = server.onData
 		for range 5 {
 			p.net.Dial(far, day+5, nil, func(err error) {
@@ -456,12 +456,12 @@
 			})
 		}
 	}
-	w.Until(day + 0.5)
-	w.Cut(w.Machine("10.0.0.3"), w.Machine("10.0.0.2"), true)
-	w.Until(day + 0.8)
-	w.Cut(w.Machine("10.0.0.3"), w.Machine("10.0.0.2"), false)
+	w.RunUntil(day + 0.5)
+	w.SetPartitioned(w.Machine("10.0.0.3"), w.Machine("10.0.0.2"), true)
+	w.RunUntil(day + 0.8)
+	w.SetPartitioned(w.Machine("10.0.0.3"), w.Machine("10.0.0.2"), false)
 	w.Machine("10.0.0.4").processes[0].Kill()
-	w.Until(day + 2)
+	w.RunUntil(day + 2)
 	return w.Hash()
 }
 
--- a/internal/netio/virtual/world.go
+++ b/internal/netio/virtual/world.go
@@ -15,13 +15,13 @@
 )
 
 // World is a clock and a network. It belongs to one goroutine.
-type World struct {
+type Network struct {
 	// Path is how packets travel between two machines of which SetPath has said nothing; Loopback, within one.
 	Path, Loopback Path
 	// CutShare is how many of the segments are cut once more, at a place drawn from the seed, from 0 to 1.
-	CutShare float64
+	SplitProbability float64
 	// EveryByte has each byte travel alone.
-	EveryByte bool
+	SplitEveryByte bool
 	// Trace, where it is set, is told of all that happens.
 	Trace func(Event)
 
@@ -44,29 +44,29 @@
 
 // New returns a world at a time in seconds of Unix time. Danger: programs take a start of 0 for "long ago"; the time
 // should be that of a real day.
-func New(seed uint64, start float64) *World {
-	return &World{
-		Path: Path{LatencyS: 0.0003, JitterS: 0.0002}, Loopback: Path{LatencyS: 0.00002, JitterS: 0.00001},
-		CutShare: 0.1, now: start, rand: rand.New(rand.NewPCG(seed, 0x6e6574)), digest: xxhash.NewWithSeed(seed),
+func New(seed uint64, start float64) *Network {
+	return &Network{
+		Path: Path{LatencySeconds: 0.0003, JitterSeconds: 0.0002}, Loopback: Path{LatencySeconds: 0.00002, JitterSeconds: 0.00001},
+		SplitProbability: 0.1, now: start, rand: rand.New(rand.NewPCG(seed, 0x6e6574)), digest: xxhash.NewWithSeed(seed),
 		byIP: map[string]*Machine{},
 	}
 }
 
 // Now returns the time in seconds of Unix time.
-func (w *World) Now() float64 { return w.now }
+func (w *Network) Now() float64 { return w.now }
 
 // Steps returns how many events have happened.
-func (w *World) Steps() uint64 { return w.steps }
+func (w *Network) Steps() uint64 { return w.steps }
 
 // Hash returns a hash of all calls that programs have had, with their times and bytes: two histories that differ
 // anywhere differ in it.
-func (w *World) Hash() uint64 { return w.digest.Sum64() }
+func (w *Network) Hash() uint64 { return w.digest.Sum64() }
 
 // At has f called at a time. It is for whoever drives the world; programs have their own alarms.
-func (w *World) At(at float64, f func()) { w.schedule(at, event{kind: doCall, f: f}) }
+func (w *Network) Schedule(at float64, f func()) { w.schedule(at, event{kind: doCall, f: f}) }
 
 // Step has the next event happen; false: there is none.
-func (w *World) Step() bool {
+func (w *Network) Step() bool {
 	if len(w.queue) == 0 {
 		return false
 	}
@@ -81,7 +81,7 @@
 }
 
 // Until has all events happen up to a time, which is then the present.
-func (w *World) Until(t float64) {
+func (w *Network) RunUntil(t float64) {
 	for len(w.queue) > 0 && w.queue[0].at <= t {
 		w.Step()
 	}
@@ -119,7 +119,7 @@
 	f     func()
 }
 
-func (w *World) handle(e *event) {
+func (w *Network) handle(e *event) {
 	switch e.kind {
 	case doCall:
 		e.f()
@@ -161,7 +161,7 @@
 
 func (a *slot) before(b *slot) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-func (w *World) schedule(at float64, e event) {
+func (w *Network) schedule(at float64, e event) {
 	if !(at > w.now) { // also what is no number
 		at = w.now
 	}
@@ -186,7 +186,7 @@
 	w.queue[i] = s
 }
 
-func (w *World) pop() slot {
+func (w *Network) pop() slot {
 	q := w.queue
 	first, last := q[0], q[len(q)-1]
 	q = q[:len(q)-1]
@@ -215,31 +215,31 @@
 }
 
 // Kind is what an Event tells of.
-type Kind uint8
+type EventKind uint8
 
 // The kinds of events.
 const (
-	Opened    Kind = iota // a process has been given a connection
-	Received              // a process has been given N bytes
-	Sent                  // a process has written N bytes
-	Ended                 // a process has been told of a connection's end
-	Dialed                // a process has begun to dial
-	NotUp                 // a dial has failed
-	Alarmed               // a process has had its alarm
-	Lost                  // a segment of N bytes was lost on the way
-	ResetSent             // a reset was sent
-	Exhausted             // a process has found no descriptor
-	Changed               // a process or machine was started, stopped, killed, lost
+	Opened               EventKind = iota // a process has been given a connection
+	Received                              // a process has been given N bytes
+	Sent                                  // a process has written N bytes
+	Closed                                // a process has been told of a connection's end
+	Dialed                                // a process has begun to dial
+	DialFailed                            // a dial has failed
+	AlarmFired                            // a process has had its alarm
+	Lost                                  // a segment of N bytes was lost on the way
+	ResetSent                             // a reset was sent
+	DescriptorsExhausted                  // a process has found no descriptor
+	StateChanged                          // a process or machine was started, stopped, killed, lost
 )
 
 var kindNames = [...]string{"opened", "received", "sent", "ended", "dialed", "not up", "alarm", "lost", "reset", "no descriptor", "changed"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k EventKind) String() string { return kindNames[k] }
 
 // Event is what Trace is told.
 type Event struct {
 	At      float64
-	Kind    Kind
+	Kind    EventKind
 	Process string
 	Peer    string // the other side's process or address, where there is one
 	Conn    uint64 // both ends of a connection have one number; 0: it is about none
@@ -267,7 +267,7 @@
 }
 
 // mix adds a call to the hash of the history.
-func (w *World) mix(at float64, kind Kind, p *Process, conn uint64, data []byte) {
+func (w *Network) mix(at float64, kind EventKind, p *Process, conn uint64, data []byte) {
 	b := w.mixed[:]
 	binary.LittleEndian.PutUint64(b, bits(at))
 	b[8] = byte(kind)
--- a/internal/sim/ground.go
+++ b/internal/sim/ground.go
@@ -76,7 +76,7 @@
 			if a != b {
 				way = d.spec.PathBetween(sites[a], sites[b])
 			}
-			d.net.SetPath(a, b, virtual.Path{LatencyS: way, JitterS: way * d.spec.Jitter})
+			d.net.SetPath(a, b, virtual.Path{LatencySeconds: way, JitterSeconds: way * d.spec.Jitter})
 		}
 	}
 }
@@ -129,9 +129,9 @@
 	if d.spec.Speech.Thrift() {
 		listen = append(listen, environment.ThriftAddress(s.spec.Address))
 	}
-	s.proc = s.vm.Process(virtual.ProcessOptions{Name: s.spec.Name, Listen: listen, Descriptors: d.spec.Sockets,
-		Held: 8, Backlog: w.backlog, SendBuffer: w.send, ReceiveBuffer: w.receive, WakeS: w.wakeS, CallS: w.callS, Shuffle: w.shuffle,
-		Exited: s.exited})
+	s.proc = s.vm.Process(virtual.ProcessOptions{Name: s.spec.Name, Listen: listen, MaxDescriptors: d.spec.Sockets,
+		ReservedDescriptors: 8, Backlog: w.backlog, SendBuffer: w.send, ReceiveBuffer: w.receive, MaxWakeDelaySeconds: w.wakeS, CallSeconds: w.callS, Shuffle: w.shuffle,
+		OnExit: s.exited})
 	s.termed, s.told, s.denied = false, 0, 0
 	core := d.core
 	if d.together {
@@ -145,7 +145,7 @@
 		return err
 	}
 	if s.rate != 0 {
-		s.proc.ClockRate(s.rate)
+		s.proc.SetClockRate(s.rate)
 	}
 	if w.everyS > 0 {
 		s.stall(s.proc)
@@ -156,8 +156,8 @@
 // stall has the loop of a life stand still now and then.
 func (s *instance) stall(life *virtual.Process) {
 	w := &s.d.weather
-	s.d.net.At(s.d.net.Now()+w.everyS*s.stalls.ExpFloat64(), func() {
-		if s.proc == life && life.Alive() {
+	s.d.net.Schedule(s.d.net.Now()+w.everyS*s.stalls.ExpFloat64(), func() {
+		if s.proc == life && life.IsRunning() {
 			life.Stall(s.d.net.Now() + w.stallS*s.stalls.Float64())
 			s.stall(life)
 		}
@@ -185,20 +185,20 @@
 }
 
 // Vanish takes a machine away without a word, with all that runs there.
-func (d *day) Vanish(ip string) { d.net.Machine(ip).Vanish() }
+func (d *day) Vanish(ip string) { d.net.Machine(ip).PowerOff() }
 
 // Return begins what does not run on a machine.
 func (d *day) Return(ip string) {
-	if vm := d.net.Machine(ip); vm.Down() {
-		vm.Return()
+	if vm := d.net.Machine(ip); vm.IsDown() {
+		vm.PowerOn()
 	}
 	var err error
 	for _, m := range d.machines {
-		if m.IP == ip && (m.proc == nil || !m.proc.Alive()) && err == nil {
+		if m.IP == ip && (m.proc == nil || !m.proc.IsRunning()) && err == nil {
 			err = m.begin(d)
 		}
 	}
-	if s := d.sidecarAt(ip); s != nil && (s.proc == nil || !s.proc.Alive()) && err == nil {
+	if s := d.sidecarAt(ip); s != nil && (s.proc == nil || !s.proc.IsRunning()) && err == nil {
 		err = s.begin()
 	}
 	if err != nil {
@@ -210,7 +210,7 @@
 // Terminate tells a sidecar's process to end in its own time.
 func (d *day) Terminate(sidecar int) {
 	s := d.sidecars[sidecar]
-	if s.proc == nil || !s.proc.Alive() || s.termed {
+	if s.proc == nil || !s.proc.IsRunning() || s.termed {
 		return
 	}
 	s.termed = true
@@ -220,7 +220,7 @@
 // Hangup has a sidecar's process read its configuration again.
 func (d *day) Hangup(sidecar int, configuration []byte) {
 	s := d.sidecars[sidecar]
-	if s.proc == nil || !s.proc.Alive() {
+	if s.proc == nil || !s.proc.IsRunning() {
 		return
 	}
 	cfg, err := sidecarconfig.Parse(configuration)
@@ -233,7 +233,7 @@
 // TakeOut calls at a sidecar's door.
 func (d *day) TakeOut(sidecar int, box string, on bool, yes func()) {
 	s := d.sidecars[sidecar]
-	if s.proc == nil || !s.proc.Alive() {
+	if s.proc == nil || !s.proc.IsRunning() {
 		return
 	}
 	s.program.Do(func() {
@@ -250,20 +250,20 @@
 // Cut loses what is sent from one machine to another, until as many Mends as there were Cuts.
 func (d *day) Cut(from, to string) {
 	d.cuts[[2]string{from, to}]++
-	d.net.Cut(d.net.Machine(from), d.net.Machine(to), true)
+	d.net.SetPartitioned(d.net.Machine(from), d.net.Machine(to), true)
 }
 
 // Mend ends that.
 func (d *day) Mend(from, to string) {
 	way := [2]string{from, to}
 	if d.cuts[way]--; d.cuts[way] == 0 {
-		d.net.Cut(d.net.Machine(from), d.net.Machine(to), false)
+		d.net.SetPartitioned(d.net.Machine(from), d.net.Machine(to), false)
 	}
 }
 
 // LateConnects has connections to a machine come up late.
 func (d *day) LateConnects(ip string, share, mostS float64) {
-	d.net.Machine(ip).LateConnects(share, mostS)
+	d.net.Machine(ip).SetHandshakeDelay(share, mostS)
 }
 
 // Reset breaks all connections between two machines.
@@ -287,9 +287,9 @@
 	for _, m := range d.machines {
 		if m.vm == d.sidecars[sidecar].vm && m.proc != nil {
 			if share >= 1 {
-				m.proc.SlowDown(0)
+				m.proc.SetReadRate(0)
 			} else {
-				m.proc.SlowDown(max(share, 0.001) * slowestRate)
+				m.proc.SetReadRate(max(share, 0.001) * slowestRate)
 			}
 		}
 	}
--- a/internal/sim/hard_test.go
+++ b/internal/sim/hard_test.go
@@ -22,7 +22,7 @@
 // stage is one sidecar among actors that do what a test says, at the instant that it says.
 type stage struct {
 	t       require.TestingT
-	net     *virtual.World
+	net     *virtual.Network
 	proc    *virtual.Process
 	sidecar Program
 	client  *actor
@@ -116,7 +116,7 @@
 	return s
 }
 
-func (s *stage) play(seconds float64) { s.net.Until(s.net.Now() + seconds) }
+func (s *stage) play(seconds float64) { s.net.RunUntil(s.net.Now() + seconds) }
 
 // ask has the client send a request that must not run twice.
 func (s *stage) ask(patienceMS int) {
@@ -171,12 +171,12 @@
 		offset := func(name string) float64 {
 			return rapid.SampledFrom([]float64{0, 0, -0.001, 0.001, 0.005, 0.01}).Draw(t, name) + rapid.Float64Range(-2e-4, 2e-4).Draw(t, name+" jitter")
 		}
-		s.net.At(end-4e-4+offset("answer"), func() { _, _ = link.Write([]byte(answer)) })
+		s.net.Schedule(end-4e-4+offset("answer"), func() { _, _ = link.Write([]byte(answer)) })
 		if rapid.Bool().Draw(t, "leaves") {
-			s.net.At(end-4e-4+offset("departure"), func() { s.client.net.Close(s.client.conns[0]) })
+			s.net.Schedule(end-4e-4+offset("departure"), func() { s.client.net.Close(s.client.conns[0]) })
 		}
 		if rapid.Bool().Draw(t, "stalls") {
-			s.net.At(end-0.002, func() { s.proc.Stall(end + offset("stall")) })
+			s.net.Schedule(end-0.002, func() { s.proc.Stall(end + offset("stall")) })
 		}
 		s.play(8)
 		said := s.client.got.String()
@@ -204,7 +204,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := begin(t, 1, 3, virtual.ProcessOptions{SendBuffer: c.send})
 			for _, b := range s.boxes {
-				b.net.SlowDown(-1) // the request stays in the sockets, as far as they go
+				b.net.SetReadRate(-1) // the request stays in the sockets, as far as they go
 			}
 			s.ask(2500)
 			s.play(0.02)
@@ -219,7 +219,7 @@
 			require.NotNil(t, dead)
 			for _, b := range s.boxes {
 				if b.answers = true; b != dead {
-					b.net.SlowDown(0)
+					b.net.SetReadRate(0)
 				}
 			}
 			dead.net.Kill()
@@ -269,7 +269,7 @@
 			for _, c := range b.net.Conns() {
 				b.net.Close(c)
 			}
-			s.net.SetPath(b.net.Machine(), s.proc.Machine(), virtual.Path{LatencyS: 0.1})
+			s.net.SetPath(b.net.Machine(), s.proc.Machine(), virtual.Path{LatencySeconds: 0.1})
 		}
 		s.play(0.2)
 		dials := s.proc.Dialing()
@@ -286,7 +286,7 @@
 			for seed := range uint64(20) {
 				s := begin(t, seed, 2, virtual.ProcessOptions{Shuffle: shuffle, SendBuffer: 20})
 				for _, b := range s.boxes {
-					b.net.SlowDown(-1)
+					b.net.SetReadRate(-1)
 				}
 				s.ask(900)
 				s.play(0.02)
@@ -297,7 +297,7 @@
 					if len(b.net.Conns()) > 0 && !b.net.NothingToRead(b.net.Conns()[0]) {
 						b.net.Kill()
 					} else {
-						b.net.SlowDown(0)
+						b.net.SetReadRate(0)
 					}
 				}
 				s.play(2)
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -86,8 +86,8 @@
 func (d disk) Save(data []byte, done func(error)) {
 	s, life := d.s, d.s.proc
 	kept := append([]byte(nil), data...)
-	s.d.net.At(s.d.net.Now()+d.write, func() {
-		if s.proc == life && life.Alive() {
+	s.d.net.Schedule(s.d.net.Now()+d.write, func() {
+		if s.proc == life && life.IsRunning() {
 			var err error
 			if s.full {
 				err = errFull
@@ -175,7 +175,7 @@
 		d.peerCuts--
 	}
 	d.slow[way] = perS
-	d.net.Pace(d.net.Machine(d.ip(from)), d.net.Machine(d.ip(to)), perS)
+	d.net.SetRate(d.net.Machine(d.ip(from)), d.net.Machine(d.ip(to)), perS)
 	d.troubledAt = d.net.Now()
 }
 
@@ -191,8 +191,8 @@
 // Clock has a sidecar's clock run at a rate, over all lives of its process.
 func (d *day) Clock(sidecar int, rate float64) {
 	s := d.sidecars[sidecar]
-	if s.rate = rate; s.proc != nil && s.proc.Alive() {
-		s.proc.ClockRate(rate)
+	if s.rate = rate; s.proc != nil && s.proc.IsRunning() {
+		s.proc.SetClockRate(rate)
 	}
 }
 
@@ -250,7 +250,7 @@
 	d.deaf++
 	d.peerCuts++ // a trouble that goes on
 	vm := d.net.Machine(fmt.Sprintf("10.9.0.%d", d.deaf))
-	p := vm.Process(virtual.ProcessOptions{Name: "deaf", ReadRate: -1, Exited: func() {
+	p := vm.Process(virtual.ProcessOptions{Name: "deaf", ReadRate: -1, OnExit: func() {
 		d.peerCuts--
 		d.troubledAt = d.net.Now()
 	}})
@@ -267,7 +267,7 @@
 // lookAtQueues tells the judge of what waits for peers.
 func (d *day) lookAtQueues() {
 	for _, s := range d.sidecars {
-		if s.proc == nil || !s.proc.Alive() {
+		if s.proc == nil || !s.proc.IsRunning() {
 			continue
 		}
 		for _, c := range s.proc.Conns() {
@@ -290,13 +290,13 @@
 func (d *day) Freeze(sidecar int, on bool) {
 	s := d.sidecars[sidecar]
 	d.troubledAt = d.net.Now()
-	if s.proc == nil || !s.proc.Alive() {
+	if s.proc == nil || !s.proc.IsRunning() {
 		return
 	}
 	if s.frozen = on; on {
 		s.proc.Stall(endless)
 	} else {
-		s.proc.Thaw()
+		s.proc.EndStall()
 	}
 }
 
@@ -343,7 +343,7 @@
 	byID := map[string]*instance{} // looked up, never walked
 	seen := make([]coordination.Status, len(d.sidecars))
 	for i, s := range d.sidecars {
-		if s.proc == nil || !s.proc.Alive() || s.termed || s.frozen {
+		if s.proc == nil || !s.proc.IsRunning() || s.termed || s.frozen {
 			if s.downAt == 0 {
 				s.downAt, d.troubledAt, calm = now, now, 0
 			}
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -171,7 +171,7 @@
 	script     environment.Script
 	spec       environment.Day
 	weather    weather
-	net        *virtual.World
+	net        *virtual.Network
 	judge      *checker.Checker
 	world      *environment.World
 	player     *environment.Player
@@ -221,7 +221,7 @@
 		d.weather.callS *= usualBoxes / float64(o.Boxes)
 	}
 	d.net = virtual.New(s.Seed^s.Luck*0x9e3779b97f4a7c15, d.spec.Start)
-	d.net.CutShare = d.weather.cutShare
+	d.net.SplitProbability = d.weather.cutShare
 	rules := d.spec.Rules()
 	// A loop that stands still may miss a deadline, and one whose clock runs slow finds it over late.
 	rules.RequiresAnswerInTime = d.weather.everyS == 0 &&
@@ -274,10 +274,10 @@
 	for now := d.spec.Start; now < end && !d.broken(until); {
 		next := min(now+lookEveryS, end)
 		for at, ok := d.player.Next(); ok && at <= next; at, ok = d.player.Next() {
-			d.net.Until(at)
+			d.net.RunUntil(at)
 			d.player.Play(at)
 		}
-		d.net.Until(next)
+		d.net.RunUntil(next)
 		now = next
 		d.look()
 		d.lookAtFleet()
@@ -336,11 +336,11 @@
 // look tells the judge how many descriptors the sidecars hold, and of accepts and dials that found none.
 func (d *day) look() {
 	for _, s := range d.sidecars {
-		if s.proc == nil || !s.proc.Alive() {
+		if s.proc == nil || !s.proc.IsRunning() {
 			continue
 		}
 		held, most := s.proc.Descriptors()
-		if denied := s.proc.Denied(); denied > s.denied {
+		if denied := s.proc.DescriptorFailures(); denied > s.denied {
 			most, s.denied = d.spec.Sockets+denied-s.denied, denied
 		}
 		if most != s.told {
@@ -353,7 +353,7 @@
 // leftovers tells the judge what sidecars still hold when the day is over.
 func (d *day) leftovers() {
 	for _, s := range d.sidecars {
-		if s.proc == nil || !s.proc.Alive() {
+		if s.proc == nil || !s.proc.IsRunning() {
 			continue
 		}
 		held := s.program.Held()
--- a/internal/sim/trace.go
+++ b/internal/sim/trace.go
@@ -12,7 +12,7 @@
 // traceNetwork has what happens in the network told, one line a step.
 func (d *day) traceNetwork() {
 	d.net.Trace = func(e virtual.Event) {
-		if e.Kind == virtual.Alarmed {
+		if e.Kind == virtual.AlarmFired {
 			return
 		}
 		line := e.String()
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/troubles_test.go
@@ -44,7 +44,7 @@
 			return last(d).upAt >= d.spec.Start+at && seen(d) == "alive"
 		}},
 		{"shrink", []environment.Trouble{{Kind: environment.Shrink, AtS: at, By: 1}}, nil, func(d *day) bool {
-			return !last(d).proc.Alive() && seen(d) == "left"
+			return !last(d).proc.IsRunning() && seen(d) == "left"
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -101,7 +101,7 @@
 	}
 }
 
-func (w *plans) after(s float64, do func()) { w.d.net.At(w.d.net.Now()+s, do) }
+func (w *plans) after(s float64, do func()) { w.d.net.Schedule(w.d.net.Now()+s, do) }
 
 // --- the door ---
 
@@ -118,10 +118,10 @@
 			over = true
 			then(maintenance.Reply{}, false)
 			return
-		case left <= 0 || door.proc == nil || !door.proc.Alive():
+		case left <= 0 || door.proc == nil || !door.proc.IsRunning():
 			door, left = w.d.sidecars[w.rng.IntN(len(w.d.sidecars))], workDoorS
 		}
-		if f := door.fleet; door.proc != nil && door.proc.Alive() && f != nil {
+		if f := door.fleet; door.proc != nil && door.proc.IsRunning() && f != nil {
 			door.proc.Post(func() {
 				if r, answered, err := f.SubmitMaintenance(cmd); err == nil && answered && !over {
 					over = true
@@ -368,7 +368,7 @@
 	var latest *coordination.MaintenanceRecord
 	asked := false
 	for i, o := range w.d.sidecars {
-		if i >= 3 || o == s || o.proc == nil || !o.proc.Alive() || o.frozen || o.fleet == nil || w.cut(s, o) {
+		if i >= 3 || o == s || o.proc == nil || !o.proc.IsRunning() || o.frozen || o.fleet == nil || w.cut(s, o) {
 			continue
 		}
 		k := o.fleet.MaintenanceRecord()
@@ -395,11 +395,11 @@
 	for _, s := range w.d.sidecars {
 		heard := 0
 		for _, o := range w.d.sidecars {
-			if o != s && o.proc != nil && o.proc.Alive() && !o.frozen && !w.cut(s, o) {
+			if o != s && o.proc != nil && o.proc.IsRunning() && !o.frozen && !w.cut(s, o) {
 				heard++
 			}
 		}
-		up := s.proc != nil && s.proc.Alive() && !s.frozen
+		up := s.proc != nil && s.proc.IsRunning() && !s.frozen
 		if up && 2*heard >= len(w.d.sidecars)-1 {
 			s.unheardAt = 0
 		} else if s.unheardAt == 0 {
@@ -423,7 +423,7 @@
 func (w *plans) counts() {
 	if w.weighed == nil && w.rng.IntN(25) == 0 { // whoever settles the order ends at one of its steps
 		for i, s := range w.d.sidecars {
-			if s.proc == nil || !s.proc.Alive() || s.fleet == nil {
+			if s.proc == nil || !s.proc.IsRunning() || s.fleet == nil {
 				continue
 			}
 			if seen, err := s.fleet.MaintenanceStatus(); err == nil && seen.Holder == s.spec.Name {
