--- a/internal/coordination/fault_role.go
+++ b/internal/coordination/fault_role.go
@@ -76,7 +76,7 @@
 			return
 		}
 		id := n.randomNonZero()
-		n.roles.faults.addRun(n.net.Now(), &faultOrder{ID: id, Name: name, RemainingSeconds: durationSeconds, Signature: sign(id)}, true)
+		n.roles.faults.addRun(n.loop.Now(), &faultOrder{ID: id, Name: name, RemainingSeconds: durationSeconds, Signature: sign(id)}, true)
 		n.roles.requestTick(faultRoleName)
 	})
 }
@@ -121,7 +121,7 @@
 
 // HandleMessage implements singletonRole.
 func (r *faultRole) HandleMessage(from *peers.Link, m *frames.RoleMessage) {
-	now := r.roles.node.net.Now()
+	now := r.roles.node.loop.Now()
 	switch m.Kind {
 	case kindFaultOrder:
 		var order faultOrder
@@ -229,7 +229,7 @@
 }
 
 func (r *faultRole) status() (all []FaultStatus) {
-	now := r.roles.node.net.Now()
+	now := r.roles.node.loop.Now()
 	for _, run := range r.runs {
 		all = append(all, FaultStatus{run.ID, run.Name, roundTenths(max(run.endsAt-now, 0)), run.announced, run.rejection})
 	}
--- a/internal/coordination/helpers_test.go
+++ b/internal/coordination/helpers_test.go
@@ -26,7 +26,7 @@
 func newTestNode(o Options) (*Node, *clockNet) {
 	net := &clockNet{now: 100}
 	o.Rand = rand.New(rand.NewPCG(1, 2))
-	n := &Node{net: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, options: o}
+	n := &Node{loop: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, options: o}
 	n.roles = newRoleManager(n)
 	peers.New("yard", 1, n, net, n.log).Dial("x:1")
 	return n, net
--- a/internal/coordination/identity.go
+++ b/internal/coordination/identity.go
@@ -65,7 +65,7 @@
 		}
 		n.newIdentity(func() {
 			version := swim.Version{Incarnation: firstIncarnation, BootID: n.randomNonZero()}
-			n.view.AdoptIdentity(n.net.Now(), n.state.ID, version, n.identityStored && n.roles != nil)
+			n.view.AdoptIdentity(n.loop.Now(), n.state.ID, version, n.identityStored && n.roles != nil)
 			if n.roles == nil {
 				return
 			}
--- a/internal/coordination/lease_actions.go
+++ b/internal/coordination/lease_actions.go
@@ -36,7 +36,7 @@
 	n := a.roles.node
 	n.runAfterCall(func() {
 		if n.view != nil && !n.isReplaced {
-			n.view.RequestLinks(n.net.Now(), members)
+			n.view.RequestLinks(n.loop.Now(), members)
 		}
 	})
 }
@@ -52,7 +52,7 @@
 		n.state.LeaseState = state
 		n.persist(func(err error) {
 			if m.lease == node {
-				node.HandlePersisted(n.net.Now(), err)
+				node.HandlePersisted(n.loop.Now(), err)
 			}
 		})
 	})
@@ -108,7 +108,7 @@
 func (a leaseActions) ReplaceIdentity(reason string) {
 	n := a.roles.node
 	n.runAfterCall(func() {
-		n.view.RenounceIdentity(n.net.Now())
+		n.view.RenounceIdentity(n.loop.Now())
 		n.replaceIdentity(reason)
 	})
 }
--- a/internal/coordination/lease_status.go
+++ b/internal/coordination/lease_status.go
@@ -68,7 +68,7 @@
 		}
 		for _, g := range n.roles.lease.Table().Grants {
 			if g.Role == role && g.Holder != 0 {
-				n.roles.lease.RequestStepDown(n.net.Now(), role)
+				n.roles.lease.RequestStepDown(n.loop.Now(), role)
 				return
 			}
 		}
@@ -130,7 +130,7 @@
 		}
 	}
 	if r, ok := s.role.(*reportRole); ok && r.lastReport != nil {
-		status.ReportAgeSeconds = roundTenths(m.node.net.Now() - r.lastReportAt)
+		status.ReportAgeSeconds = roundTenths(m.node.loop.Now() - r.lastReportAt)
 	}
 	return status
 }
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -26,19 +26,19 @@
 	}
 	if err := frames.Unmarshal(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || n.isLeaving || n.view.HasLostIdentity() {
 		if link.Address != "" { // Danger: the membership never dials an address again whose last dial has no result
-			n.view.DialFailed(n.net.Now(), link.Address)
+			n.view.DialFailed(n.loop.Now(), link.Address)
 		}
 		return false
 	}
 	n.links[link.Number] = link
-	n.view.LinkUp(n.net.Now(), link.Number, link.Address, hello)
+	n.view.LinkUp(n.loop.Now(), link.Number, link.Address, hello)
 	if n.links[link.Number] != link {
 		return true // the membership has asked to close it, which happens at the end of this call
 	}
 	n.linkByMember[hello.Self.ID] = link
 	n.upLinks = append(n.upLinks, link)
 	if n.roles != nil && n.roles.lease != nil {
-		n.roles.lease.HandleLinkUp(n.net.Now(), hello.Self.ID)
+		n.roles.lease.HandleLinkUp(n.loop.Now(), hello.Self.ID)
 	}
 	if n.roles != nil && n.roles.maintenance != nil {
 		n.roles.maintenance.handleLinkUp(link)
@@ -49,7 +49,7 @@
 // LinkDown implements peers.Handler.
 func (n *Node) LinkDown(link *peers.Link, _ error) {
 	n.removeLink(link)
-	n.view.LinkDown(n.net.Now(), link.Number)
+	n.view.LinkDown(n.loop.Now(), link.Number)
 }
 
 // removeLink removes a link from all indexes.
@@ -66,7 +66,7 @@
 // DialFailed implements peers.Handler.
 func (n *Node) DialFailed(address string, err error) {
 	n.log.Debug("peer unreachable", "address", address, "error", err)
-	n.run(func() { n.view.DialFailed(n.net.Now(), address) })
+	n.run(func() { n.view.DialFailed(n.loop.Now(), address) })
 }
 
 // HandleFrame implements peers.Handler. Unknown topics belong to later versions and are skipped.
@@ -77,14 +77,14 @@
 		if err := frames.Unmarshal(body, &m); err != nil {
 			return err
 		}
-		n.view.HandleMessage(n.net.Now(), link.Number, &m)
+		n.view.HandleMessage(n.loop.Now(), link.Number, &m)
 	case frames.TopicLease:
 		if n.roles != nil && n.roles.lease != nil && n.links[link.Number] == link {
 			var m lease.Message
 			if err := frames.Unmarshal(body, &m); err != nil {
 				return err
 			}
-			n.roles.lease.HandleMessage(n.net.Now(), swim.ID(link.Hello.ID), &m)
+			n.roles.lease.HandleMessage(n.loop.Now(), swim.ID(link.Hello.ID), &m)
 		}
 	case frames.TopicRole:
 		if n.roles != nil && n.links[link.Number] == link {
--- a/internal/coordination/list_relay.go
+++ b/internal/coordination/list_relay.go
@@ -87,7 +87,7 @@
 	})
 }
 
-func (l *listRelay) now() float64 { return l.roles.node.net.Now() }
+func (l *listRelay) now() float64 { return l.roles.node.loop.Now() }
 
 // activeSource returns a role as whose holder this sidecar sends updates, nil if there is none.
 func (l *listRelay) activeSource() *listRole {
--- a/internal/coordination/loop.go
+++ b/internal/coordination/loop.go
@@ -65,7 +65,7 @@
 func (n *Node) Traffic(c netio.Conn, data []byte) {
 	n.run(func() {
 		if n.runRecovered(func() { n.peers.Traffic(c, data) }) {
-			n.net.Close(c)
+			n.loop.Close(c)
 		}
 	})
 }
--- a/internal/coordination/maintenance_holder.go
+++ b/internal/coordination/maintenance_holder.go
@@ -23,7 +23,7 @@
 	if r.heldToken == 0 {
 		return
 	}
-	now, epoch := r.roles.node.net.Now(), epochOf(r.heldToken)
+	now, epoch := r.roles.node.loop.Now(), epochOf(r.heldToken)
 	state, err := maintenance.Decode(record.Body)
 	if err != nil {
 		r.roles.logInfo("committed maintenance record unreadable", "version", record.Version, "error", err)
@@ -165,7 +165,7 @@
 	m := r.roles
 	m.node.runAfterCall(func() {
 		if m.lease != nil {
-			m.lease.WriteRecord(m.node.net.Now(), maintenanceRoleName, version, body)
+			m.lease.WriteRecord(m.node.loop.Now(), maintenanceRoleName, version, body)
 		}
 	})
 }
--- a/internal/coordination/maintenance_record.go
+++ b/internal/coordination/maintenance_record.go
@@ -55,7 +55,7 @@
 		return
 	}
 	r.epoch, r.version, r.body, r.state = epoch, version, body, state
-	now := r.roles.node.net.Now()
+	now := r.roles.node.loop.Now()
 	var names []string
 	for name := range state.Cordoned {
 		if names = append(names, name); r.outSince[name] == 0 {
--- a/internal/coordination/maintenance_role.go
+++ b/internal/coordination/maintenance_role.go
@@ -76,7 +76,7 @@
 var _ singletonRole = (*maintenanceRole)(nil)
 
 func newMaintenanceRole(m *roleManager) *maintenanceRole {
-	now := m.node.net.Now()
+	now := m.node.loop.Now()
 	return &maintenanceRole{roles: m, servers: m.node.options.Servers, outSince: map[string]float64{}, announcedAt: math.Inf(-1), budget: newResponseBudget(now),
 		reportedAt: now, serverCompleted: map[string]uint64{}}
 }
@@ -100,7 +100,7 @@
 
 // HandleMessage implements singletonRole. Messages that can't be decoded are ignored.
 func (r *maintenanceRole) HandleMessage(from *peers.Link, m *frames.RoleMessage) {
-	now := r.roles.node.net.Now()
+	now := r.roles.node.loop.Now()
 	switch m.Kind {
 	case kindRecord:
 		var record recordMessage
--- a/internal/coordination/maintenance_status.go
+++ b/internal/coordination/maintenance_status.go
@@ -28,7 +28,7 @@
 	if n.roles == nil || n.roles.maintenance == nil {
 		return nil, ErrNoMaintenance
 	}
-	r, now := n.roles.maintenance, n.net.Now()
+	r, now := n.roles.maintenance, n.loop.Now()
 	s := &MaintenanceStatus{Version: r.version, Holder: r.holderName, Plans: append([]maintenance.Plan{}, r.state.Plans...), Blockers: append([]maintenance.Blocker{}, r.blockers...),
 		Cordoned: []string{}, Reinstated: []string{}}
 	if !math.IsInf(r.announcedAt, -1) {
@@ -65,7 +65,7 @@
 			err = errNoNonce
 		default:
 			if err = c.Validate(); err == nil {
-				reply, answered = n.roles.maintenance.submit(n.net.Now(), &c)
+				reply, answered = n.roles.maintenance.submit(n.loop.Now(), &c)
 			}
 		}
 	})
--- a/internal/coordination/membership_actions.go
+++ b/internal/coordination/membership_actions.go
@@ -32,7 +32,7 @@
 
 // MemberChanged implements swim.Actions.
 func (a membershipActions) MemberChanged(r swim.Record, was swim.State, known bool) {
-	a.node.memberLogs.logMemberChange(a.node.net.Now(), a.node.log, r, was, known)
+	a.node.memberLogs.logMemberChange(a.node.loop.Now(), a.node.log, r, was, known)
 }
 
 // ReplaceIdentity implements swim.Actions.
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -16,7 +16,7 @@
 // Node is one sidecar's part in its fleet. It belongs to the event loop; see the package doc. Times are seconds of netio.EventLoop.Now.
 type Node struct {
 	options Options
-	net     netio.EventLoop
+	loop    netio.EventLoop
 	log     *slog.Logger
 	port    int // of Settings.Listen
 
@@ -57,7 +57,7 @@
 
 // New returns a Node that does nothing before Start. An error names the setting at fault.
 func New(o Options) (*Node, error) {
-	n := &Node{options: o, net: o.Net, log: o.Log.With("component", "coordination"), links: map[int]*peers.Link{}, linkByMember: map[swim.ID]*peers.Link{},
+	n := &Node{options: o, loop: o.EventLoop, log: o.Log.With("component", "coordination"), links: map[int]*peers.Link{}, linkByMember: map[swim.ID]*peers.Link{},
 		rank: swim.NewStableRank(o.Self, o.Replicas)}
 	if n.options.Advertise == "" {
 		n.options.Advertise = o.Listen
@@ -70,7 +70,7 @@
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
 	n.options.Log, n.options.Roles = n.log, expandListRoles(o.Roles)
-	n.peers = peers.New(o.Name, o.MaxLinks, n, o.Net, n.log)
+	n.peers = peers.New(o.Name, o.MaxLinks, n, o.EventLoop, n.log)
 	if len(o.Voters) > 0 {
 		n.roles = newRoleManager(n)
 	}
@@ -117,7 +117,7 @@
 		}
 	}
 	self := swim.Record{ID: n.state.ID, Version: version, Name: n.options.Sidecar, Address: n.options.Advertise, Durable: n.identityStored && n.roles != nil}
-	n.view = swim.New(n.net.Now(), self, swim.Settings{Join: n.options.Join, HotRestart: n.options.Replaceable, Seed: n.options.Rand.Uint64()}, membershipActions{n})
+	n.view = swim.New(n.loop.Now(), self, swim.Settings{Join: n.options.Join, HotRestart: n.options.Replaceable, Seed: n.options.Rand.Uint64()}, membershipActions{n})
 	n.log.Info("membership started", "fleet", n.options.Name, "listen", n.options.Listen, "advertise", n.options.Advertise, "id", self.ID, "incarnation", version.Incarnation)
 	n.listen()
 	n.tick()
@@ -126,9 +126,9 @@
 // listen opens the listener, or schedules another attempt: during a hot restart the port may still belong to the old process. Nothing
 // else waits for it.
 func (n *Node) listen() {
-	stop, err := n.net.Listen(n.options.Listen)
+	stop, err := n.loop.Listen(n.options.Listen)
 	if err != nil {
-		if n.listenRetryAt = n.net.Now() + listenRetrySeconds; !n.listenFailed {
+		if n.listenRetryAt = n.loop.Now() + listenRetrySeconds; !n.listenFailed {
 			n.listenFailed = true
 			n.log.Warn("peers can't come yet: trying again", "error", err)
 		}
@@ -152,7 +152,7 @@
 
 // tick does what is due by time and schedules the next call.
 func (n *Node) tick() {
-	now := n.net.Now()
+	now := n.loop.Now()
 	if n.listenRetryAt > 0 && now >= n.listenRetryAt && !n.isReplaced {
 		n.listen()
 	}
@@ -200,7 +200,7 @@
 
 // scheduleTick asks the loop for the next call of Alarm.
 func (n *Node) scheduleTick() {
-	now := n.net.Now()
+	now := n.loop.Now()
 	next := n.view.NextTick()
 	if next <= now {
 		next = now + overdueTickSeconds
@@ -208,7 +208,7 @@
 	if n.roles != nil {
 		next = min(next, max(n.roles.nextTick(now), now+minTickSeconds))
 	}
-	n.net.SetAlarm(next)
+	n.loop.SetAlarm(next)
 }
 
 // CheckShutdown starts leaving the fleet if the sidecar has been told to shut down. It is called when that may have changed; tick
@@ -220,12 +220,12 @@
 	case !ending || n.isReplaced || n.isLeaving || n.view == nil:
 	case succeeded: // by a process that continues this identity
 		n.handleReplacement()
-		n.view.Silence(n.net.Now())
+		n.view.Silence(n.loop.Now())
 		n.closeListener()
-	case n.roles != nil && n.roles.releaseLeases(n.net.Now()): // the members learn of it once the roles have other holders
+	case n.roles != nil && n.roles.releaseLeases(n.loop.Now()): // the members learn of it once the roles have other holders
 	default:
 		n.isLeaving = true
-		n.view.Leave(n.net.Now())
+		n.view.Leave(n.loop.Now())
 	}
 }
 
--- a/internal/coordination/options.go
+++ b/internal/coordination/options.go
@@ -43,6 +43,6 @@
 	Servers          sidecar.MaintainedServers // needed for the role "works"
 	MaintenanceOrder maintenance.Order         // in which servers are taken down; the zero value is the one in production
 	Rand             *rand.Rand                // the only source of randomness
-	Net              netio.EventLoop
+	EventLoop        netio.EventLoop
 	Log              *slog.Logger
 }
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -50,7 +50,7 @@
 	}
 	if r, ok := n.roles.state(reportRoleName).role.(*reportRole); ok && r.lastReport != nil {
 		report = *r.lastReport
-		report.AgeSeconds = roundTenths(n.net.Now() - r.lastReportAt)
+		report.AgeSeconds = roundTenths(n.loop.Now() - r.lastReportAt)
 		return report, nil
 	}
 	switch s := status.Roles[i]; {
--- a/internal/coordination/report_role.go
+++ b/internal/coordination/report_role.go
@@ -52,7 +52,7 @@
 var _ singletonRole = (*reportRole)(nil)
 
 func newReportRole(m *roleManager) *reportRole {
-	now := m.node.net.Now()
+	now := m.node.loop.Now()
 	return &reportRole{roles: m, budget: newResponseBudget(now), measuredAt: now}
 }
 
@@ -69,7 +69,7 @@
 
 // HandleMessage implements singletonRole. A response that can't be merged is left out, and its members count as missing.
 func (r *reportRole) HandleMessage(from *peers.Link, m *frames.RoleMessage) {
-	now := r.roles.node.net.Now()
+	now := r.roles.node.loop.Now()
 	switch m.Kind {
 	case kindReportRequest:
 		var request reportRequest
@@ -103,7 +103,7 @@
 
 // localResponse returns this sidecar's statistics since the last call.
 func (r *reportRole) localResponse() *reportResponse {
-	now := r.roles.node.net.Now()
+	now := r.roles.node.loop.Now()
 	spanSeconds := max(now-r.measuredAt, minReportSpanSeconds)
 	r.measuredAt = now
 	response := &reportResponse{Round: r.round}
--- a/internal/coordination/role_messages.go
+++ b/internal/coordination/role_messages.go
@@ -49,7 +49,7 @@
 	if m.lease == nil || s.heldToken == 0 {
 		return 0
 	}
-	if token, ok := m.lease.Holds(m.node.net.Now(), s.name); !ok || token != s.heldToken {
+	if token, ok := m.lease.Holds(m.node.loop.Now(), s.name); !ok || token != s.heldToken {
 		return 0
 	}
 	return s.heldToken
@@ -160,7 +160,7 @@
 // reject drops a message whose token is too low, and answers with the greatest token and the table of leases.
 func (m *roleManager) reject(link *peers.Link, s *roleState, msg *frames.RoleMessage, greatest uint64) {
 	s.rejected++
-	if m.rejectionLogs.allow(m.node.net.Now()) {
+	if m.rejectionLogs.allow(m.node.loop.Now()) {
 		m.node.log.Warn("an old owner's effect is refused", "job", msg.Role, "token", msg.Token, "greatest", greatest, "origin", swim.ID(msg.Origin),
 			"from", link.Hello.Name, "kind", msg.Kind)
 	}
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -110,7 +110,7 @@
 func (m *roleManager) start(id swim.ID, saved []byte) (err error) {
 	o := &m.node.options
 	settings := lease.Settings{InitialVoters: o.Voters, Address: o.Advertise, Roles: o.Roles, RecordedRoles: []string{maintenanceRoleName}, Seed: o.Rand.Uint64()}
-	m.lease, err = lease.New(m.node.net.Now(), id, settings, saved, leaseActions{m})
+	m.lease, err = lease.New(m.node.loop.Now(), id, settings, saved, leaseActions{m})
 	m.membershipChanges, m.fitnessAt = 0, 0
 	for _, s := range m.states {
 		s.unfit = false
@@ -139,7 +139,7 @@
 
 // logInfo writes a line to the log unless there are too many.
 func (m *roleManager) logInfo(message string, args ...any) {
-	if m.logs.allow(m.node.net.Now()) {
+	if m.logs.allow(m.node.loop.Now()) {
 		m.node.log.Info(message, args...)
 	}
 }
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -43,19 +43,19 @@
 	}
 	frame, err := frames.Append(t.scratch[:0], topic, body)
 	t.scratch = frame[:0]
-	if err != nil || !t.sendBudget.TryTake(t.net.Now(), float64(len(frame)), sendBytesPerSecond, sendBurstBytes) {
+	if err != nil || !t.sendBudget.TryTake(t.loop.Now(), float64(len(frame)), sendBytesPerSecond, sendBurstBytes) {
 		t.stats.DroppedFrames++
 		return
 	}
 	// Danger: what a peer does not read would grow without limit, and with it this process.
 	if l.conn.OutboundBuffered() > maxQueuedBytes {
 		t.stats.SlowPeers++
-		t.net.Post(func() { t.closeLink(l, errSlowPeer) })
+		t.loop.Post(func() { t.closeLink(l, errSlowPeer) })
 		return
 	}
 	t.stats.SentBytes += uint64(len(frame))
 	if _, err := l.conn.Write(frame); err != nil {
-		t.net.Post(func() { t.closeLink(l, err) })
+		t.loop.Post(func() { t.closeLink(l, err) })
 	}
 }
 
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -62,12 +62,12 @@
 	RejectedLinks  uint64 `json:"too_many"`  // above the limit
 }
 
-// Transport holds the links of a sidecar. It passes the calls of a netio.Handler for their connections on to it: Open, Traffic, Closed.
+// Transport holds the links of a sidecar. The netio.Handler of its event loop must call Open, Traffic and Closed for the links' connections.
 type Transport struct {
 	fleet      string
 	maxLinks   int
 	handler    Handler
-	net        netio.EventLoop
+	loop       netio.EventLoop
 	log        *slog.Logger
 	links      []*Link
 	lastNumber int                // of a link
@@ -79,7 +79,7 @@
 
 // New returns a Transport without links, for a sidecar of a fleet.
 func New(fleet string, maxLinks int, handler Handler, net netio.EventLoop, log *slog.Logger) *Transport {
-	return &Transport{fleet: fleet, maxLinks: maxLinks, handler: handler, net: net, log: log, logged: map[string]bool{}, sendBudget: tokenbucket.New(sendBurstBytes, net.Now())}
+	return &Transport{fleet: fleet, maxLinks: maxLinks, handler: handler, loop: net, log: log, logged: map[string]bool{}, sendBudget: tokenbucket.New(sendBurstBytes, net.Now())}
 }
 
 // Stats returns the statistics so far.
@@ -92,12 +92,12 @@
 func (t *Transport) Dial(address string) {
 	if len(t.links) >= t.maxLinks {
 		t.stats.RejectedLinks++
-		t.net.Post(func() { t.handler.DialFailed(address, errTooManyLinks) })
+		t.loop.Post(func() { t.handler.DialFailed(address, errTooManyLinks) })
 		return
 	}
 	t.stats.Dials++
 	l := t.addLink(address)
-	t.net.Dial(address, t.net.Now()+helloTimeoutSeconds, l, func(err error) {
+	t.loop.Dial(address, t.loop.Now()+helloTimeoutSeconds, l, func(err error) {
 		if err != nil && !l.isClosed {
 			t.closeLink(l, err)
 		}
@@ -106,7 +106,7 @@
 
 func (t *Transport) addLink(address string) *Link {
 	t.lastNumber++
-	now := t.net.Now()
+	now := t.loop.Now()
 	l := &Link{Number: t.lastNumber, Address: address, transport: t, helloDeadline: now + helloTimeoutSeconds, receiveBudget: tokenbucket.New(receiveBurstBytes, now)}
 	t.links = append(t.links, l)
 	return l
@@ -139,7 +139,7 @@
 		return
 	}
 	t.stats.ReceivedBytes += uint64(len(data))
-	if !l.receiveBudget.TryTake(t.net.Now(), float64(len(data)), receiveBytesPerSecond, receiveBurstBytes) {
+	if !l.receiveBudget.TryTake(t.loop.Now(), float64(len(data)), receiveBytesPerSecond, receiveBurstBytes) {
 		t.closeForProtocolError(l, errFlood)
 		return
 	}
@@ -202,7 +202,7 @@
 	}
 	if c := l.conn; c != nil {
 		l.conn = nil
-		t.net.Close(c)
+		t.loop.Close(c)
 	}
 	switch {
 	case l.isUp:
@@ -214,7 +214,7 @@
 
 // Tick closes links whose peer has not sent its hello in time. It is to be called from time to time.
 func (t *Transport) Tick() {
-	now := t.net.Now()
+	now := t.loop.Now()
 	for i := len(t.links) - 1; i >= 0; i-- {
 		if i < len(t.links) && !t.links[i].isUp && now > t.links[i].helloDeadline { // closing a link may close others
 			t.closeLink(t.links[i], errNoHello)
