--- a/internal/coordination/helpers_test.go
+++ b/internal/coordination/helpers_test.go
@@ -8,23 +8,23 @@
 	"hazelwheel/internal/peers"
 )
 
-// clockNet is a network on which nothing happens but that time passes. A dial stays under way for ever.
-type clockNet struct {
+// clockLoop is an event loop on which nothing happens but that time passes. A dial stays under way for ever.
+type clockLoop struct {
 	netio.EventLoop
 	now  float64
 	link *peers.Link // that was dialed last
 }
 
-func (n *clockNet) Now() float64 { return n.now }
+func (l *clockLoop) Now() float64 { return l.now }
 
-func (n *clockNet) Dial(_ string, _ float64, context any, _ func(error)) (stop func()) {
-	n.link = context.(*peers.Link)
+func (l *clockLoop) Dial(_ string, _ float64, context any, _ func(error)) (stop func()) {
+	l.link = context.(*peers.Link)
 	return func() {}
 }
 
-// newTestNode returns a node with roles, without membership and lease, on a network with one link over which nothing is sent.
-func newTestNode(o Options) (*Node, *clockNet) {
-	net := &clockNet{now: 100}
+// newTestNode returns a node with roles, without membership and lease, with one link over which nothing is sent.
+func newTestNode(o Options) (*Node, *clockLoop) {
+	net := &clockLoop{now: 100}
 	o.Rand = rand.New(rand.NewPCG(1, 2))
 	n := &Node{loop: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, options: o}
 	n.roles = newRoleManager(n)
--- a/internal/coordination/list_relay_test.go
+++ b/internal/coordination/list_relay_test.go
@@ -42,14 +42,14 @@
 func (f *fakeLists) InvalidateList()        { f.fed = false; f.distrusts++; f.set.ForgetIndex() }
 
 // newListNode returns a node that follows updates, and its list.
-func newListNode() (*Node, *clockNet, *fakeLists) {
+func newListNode() (*Node, *clockLoop, *fakeLists) {
 	lists := &fakeLists{set: endpointset.New(nil, nil), discovery: "d:1"}
 	n, net := newTestNode(Options{Settings: Settings{Roles: expandListRoles([]string{"list"})}, Lists: lists})
 	return n, net, lists
 }
 
 // sendUpdate has a role handle an update that was sent at a time since its grant.
-func sendUpdate(r *listRole, net *clockNet, u listUpdate, atSeconds float64) {
+func sendUpdate(r *listRole, net *clockLoop, u listUpdate, atSeconds float64) {
 	u.AtSeconds = atSeconds
 	r.HandleMessage(net.link, &frames.RoleMessage{Role: r.name, Token: 1, Kind: kindListUpdate, Body: mustMarshal(u)})
 }
