--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -70,9 +70,10 @@
 	fence  lease.Fence  // greatest token seen of each role
 	states []*roleState // sorted by name
 
-	listRelay   *listRelay       // nil: this sidecar has no part in it, as for those below
-	faults      *faultRole       //
-	maintenance *maintenanceRole //
+	// The parts of this sidecar in the roles that it can hold; nil: it can't hold it.
+	listRelay   *listRelay
+	faults      *faultRole
+	maintenance *maintenanceRole
 
 	membershipChanges uint64 // swim.View.Changes as of the last SetMembers
 	fitnessAt         float64
