--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -188,7 +188,7 @@
 	if !n.rank.IsConfigured() {
 		rank = subsetStart(rank, count)
 	}
-	n.options.Placement.SetRank(rank, count)
+	n.options.RankReceiver.SetRank(rank, count)
 }
 
 // subsetStart returns the number by which the policy starts its subset of the servers at the arc of a rank. Danger: given the rank
@@ -216,7 +216,7 @@
 func (n *Node) CheckShutdown() { n.run(n.checkShutdown) }
 
 func (n *Node) checkShutdown() {
-	switch ending, succeeded := n.options.Host.ShutdownState(); {
+	switch ending, succeeded := n.options.RoleHost.ShutdownState(); {
 	case !ending || n.isReplaced || n.isLeaving || n.view == nil:
 	case succeeded: // by a process that continues this identity
 		n.handleReplacement()
--- a/internal/coordination/options.go
+++ b/internal/coordination/options.go
@@ -36,8 +36,8 @@
 	Self, Replicas   int    // rank and count by the configuration, until the membership is known
 	MaxLinks         int    // links to peers at a time
 	Replaceable      bool   // a hot restart may pass this process's identity and address on to another process
-	Host             sidecar.RoleHost
-	Placement        sidecar.RankReceiver
+	RoleHost         sidecar.RoleHost
+	RankReceiver     sidecar.RankReceiver
 	Lists            sidecar.ListReceiver      // needed for the role "list"
 	Faults           sidecar.FaultRunner       // needed for the role "drill"
 	Servers          sidecar.MaintainedServers // needed for the role "works"
--- a/internal/coordination/report_role.go
+++ b/internal/coordination/report_role.go
@@ -108,7 +108,7 @@
 	r.measuredAt = now
 	response := &reportResponse{Round: r.round}
 	local := &reportResponse{Members: []swim.ID{r.roles.node.state.ID}}
-	for _, m := range r.roles.node.options.Host.RequestStats() {
+	for _, m := range r.roles.node.options.RoleHost.RequestStats() {
 		ended := m.Served + m.Throttled + m.Failed + m.Abandoned
 		local.Classes = append(local.Classes, classCounts{Class: m.Class, Served: m.Served, Throttled: m.Throttled, Failed: m.Failed, Abandoned: m.Abandoned,
 			RatePerSecond: float64(ended) / spanSeconds, Latencies: encodeCounts(m.LatencyCounts)})
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -198,7 +198,7 @@
 // updateFitness tells the lease protocol whether this sidecar is fit to hold roles.
 func (m *roleManager) updateFitness(now float64) {
 	m.fitnessAt = now + fitnessIntervalSeconds
-	fit, reason := m.node.options.Host.CanTakeRoles()
+	fit, reason := m.node.options.RoleHost.CanTakeRoles()
 	if reason != m.ineligibleReason {
 		m.logInfo("eligibility for roles changed", "eligible", fit, "reason", reason)
 	}
--- a/internal/process/join.go
+++ b/internal/process/join.go
@@ -29,7 +29,7 @@
 	links := peers.MaxLinks(cfg.Limits.Sockets)
 	p.fleet, err = coordination.New(coordination.Options{MaxLinks: links,
 		Settings: coordination.Settings{Name: on.Name, Listen: on.Listen, Advertise: on.Advertise, Join: on.Join, Dir: on.Dir, Voters: on.Electors, Roles: on.Jobs}, Sidecar: cfg.Name, Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas,
-		Replaceable: cfg.Passed > 0, Host: p.Sidecar, Placement: p.Sidecar, Lists: p.Sidecar, Faults: p.Sidecar, Servers: p.Sidecar, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Replaceable: cfg.Passed > 0, RoleHost: p.Sidecar, RankReceiver: p.Sidecar, Lists: p.Sidecar, Faults: p.Sidecar, Servers: p.Sidecar, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		EventLoop: shared.Companion(), Log: p.log})
 	if err != nil {
 		return err
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -129,7 +129,7 @@
 			sc.EnableMaintenance()
 		}
 		f, err := coordination.New(coordination.Options{MaxLinks: links, Settings: settings, Sidecar: s.spec.Name,
-			Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas, Host: sc, Placement: sc, Lists: listener{sc, s}, Faults: sc, Servers: sc, MaintenanceOrder: d.workOrder, Rand: rng, EventLoop: shared.Companion(), Log: log})
+			Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas, RoleHost: sc, RankReceiver: sc, Lists: listener{sc, s}, Faults: sc, Servers: sc, MaintenanceOrder: d.workOrder, Rand: rng, EventLoop: shared.Companion(), Log: log})
 		if err != nil {
 			return nil, err
 		}
