--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -55,14 +55,6 @@
 	return r.tally, nil
 }
 
-// recorded is a decision as the record has it. One that is torn stands for any.
-type recorded struct {
-	Decision
-	number int
-	text   string
-	torn   bool
-}
-
 type replayer struct {
 	out     io.Writer
 	tally   Summary
@@ -103,17 +95,6 @@
 	r.torn(text)
 }
 
-// torn tells whether a text that does not begin like a line is a piece of one, and not of the log round it: no line
-// with a level, and no whole object, whatever a collector of logs has put before it.
-func torn(text string) bool {
-	if text != "" && strings.HasPrefix(lineStart, text) {
-		return true
-	}
-	i := strings.IndexByte(text, '{')
-	whole := i >= 0 && json.Valid([]byte(text[i:]))
-	return strings.Contains(text, `":`) && !strings.Contains(text, "level=") && !whole
-}
-
 // torn passes over a piece of a line. Danger: one that may have been an input leaves the state behind it unknown; the
 // decisions from there on would differ for that alone.
 func (r *replayer) torn(text string) {
@@ -235,92 +216,13 @@
 	}
 }
 
-// finish compares what the decisions did at the last event with what was recorded; whole tells that the record holds
-// all of it.
-func (r *replayer) finish(whole bool) {
-	did, said := r.did, r.said
-	r.did, r.said = r.did[:0], r.said[:0]
-	for len(did) > 0 || len(said) > 0 {
-		switch {
-		case len(said) > 0 && said[0].torn:
-			said, did = said[1:], did[min(1, len(did)):]
-		case len(said) == 0:
-			if !whole {
-				return
-			}
-			r.differ(r.event, "", &did[0])
-			did = did[1:]
-		case len(did) == 0:
-			r.differ(said[0].number, said[0].text, nil)
-			said = said[1:]
-		case alike(said[0].Decision, did[0]):
-			r.tally.Compared++
-			said, did = said[1:], did[1:]
-		case len(did) > 1 && alike(said[0].Decision, did[1]): // one is missing
-			r.differ(r.event, "", &did[0])
-			did = did[1:]
-		case len(said) > 1 && !said[1].torn && alike(said[1].Decision, did[0]): // one is too many
-			r.differ(said[0].number, said[0].text, nil)
-			said = said[1:]
-		default:
-			r.differ(said[0].number, said[0].text, &did[0])
-			said, did = said[1:], did[1:]
-		}
-	}
-}
-
-// differ prints a difference.
-func (r *replayer) differ(number int, said string, did *Decision) {
-	r.tally.Compared++
-	r.tally.Different++
-	if said == "" {
-		said = "nothing"
-	}
-	text := "nothing"
-	if did != nil {
-		text = strings.TrimSpace(string(did.append(nil, r.now)))
-	}
-	fmt.Fprintf(r.out, "line %d: recorded %s\nline %d: replayed %s\n", number, said, number, text)
-}
-
-// alike tells whether two decisions are the same; a name that one of them does not know counts for nothing.
-func alike(a, b Decision) bool {
-	for _, names := range [...][2]*string{{&a.ID, &b.ID}, {&a.Class, &b.Class}, {&a.HostName, &b.HostName}} {
-		if *names[0] == "" || *names[1] == "" {
-			*names[0], *names[1] = "", ""
-		}
-	}
-	return a == b
-}
-
-// The replayer takes the actions of the decisions.
-var _ policy.Actions = (*replayer)(nil)
-
-func (r *replayer) note(d Decision) {
-	if l, ok := r.open[d.Request]; ok && d.Request != 0 {
-		d.ID, d.Class = l.ID, l.Class
-	}
-	if d.Host != 0 {
-		d.HostName = r.hosts[d.Host]
+// torn tells whether a text that does not begin like a line is a piece of one, and not of the log round it: no line
+// with a level, and no whole object, whatever a collector of logs has put before it.
+func torn(text string) bool {
+	if text != "" && strings.HasPrefix(lineStart, text) {
+		return true
 	}
-	d.Text = label(d.Text)
-	r.did = append(r.did, d)
-}
-
-func (r *replayer) Send(request, host uint32) {
-	r.note(Decision{Action: ActionSend, Request: request, Host: host})
-}
-func (r *replayer) Cancel(request uint32, attempt int) {
-	r.note(Decision{Action: ActionCancel, Request: request, Attempt: attempt})
-}
-func (r *replayer) Probe(host uint32)     { r.note(Decision{Action: ActionProbe, Host: host}) }
-func (r *replayer) CloseIdle(host uint32) { r.note(Decision{Action: ActionCloseIdle, Host: host}) }
-func (r *replayer) Refuse(request uint32, after float64) {
-	r.note(Decision{Action: ActionRefuse, Request: request, AfterSeconds: after})
-}
-func (r *replayer) Fail(request uint32) { r.note(Decision{Action: ActionFail, Request: request}) }
-func (r *replayer) WakeAfter(seconds float64) {
-	r.note(Decision{Action: ActionWake, AfterSeconds: seconds})
+	i := strings.IndexByte(text, '{')
+	whole := i >= 0 && json.Valid([]byte(text[i:]))
+	return strings.Contains(text, `":`) && !strings.Contains(text, "level=") && !whole
 }
-func (r *replayer) Watch()          { r.note(Decision{Action: ActionWatch}) }
-func (r *replayer) Log(text string) { r.note(Decision{Action: ActionLog, Text: text}) }
