--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -24,25 +24,25 @@
 	"hazelwheel/policy"
 )
 
-// rig is decisions whose events and actions are recorded as the sidecar records them.
-type rig struct {
+// recordedBalancer is a Balancer whose inputs and actions are recorded as the sidecar records them.
+type recordedBalancer struct {
 	*policy.Balancer
 	*Recorder
-	t     *testing.T
-	now   float64
-	rng   *rand.Rand
-	hosts []policy.HostInfo
-	open  map[uint32]Label
-	sent  [][2]uint32
-	last  uint32
-	ended []uint32 // requests that nobody speaks of after this event
-	tries map[uint32]int
-	probe []uint32
-	wakes []float64
+	t                *testing.T
+	now              float64
+	rng              *rand.Rand
+	hosts            []policy.HostInfo
+	openRequests     map[uint32]Label
+	attemptsInFlight [][2]uint32
+	lastRequest      uint32
+	finishedRequests []uint32 // requests that have ended with this event
+	attempts         map[uint32]int
+	probesInFlight   []uint32
+	wakes            []float64
 }
 
-func newRig(t *testing.T, s Settings, hosts int) *rig {
-	r := &rig{t: t, now: 1.7e9, rng: rand.New(rand.NewPCG(5, 5)), open: map[uint32]Label{}, tries: map[uint32]int{}}
+func newRecordedBalancer(t *testing.T, s Settings, hosts int) *recordedBalancer {
+	r := &recordedBalancer{t: t, now: 1.7e9, rng: rand.New(rand.NewPCG(5, 5)), openRequests: map[uint32]Label{}, attempts: map[uint32]int{}}
 	under := policy.Settings{Classes: []policy.Class{{Name: "read", LatencyTargetSeconds: 0.3, TotalTimeoutSeconds: 1}, {Name: "write", Effect: policy.Unsafe, LatencyTargetSeconds: 1, TotalTimeoutSeconds: 2}},
 		Replicas: 1, TickSeconds: 0.001, MaxAttempts: 3, CanCancel: true, MaxRetryAfterSeconds: 2, SlowStartFraction: 0.3, SlowStartSeconds: 8, SlowStartMultiple: 3, SlowStartWindowSeconds: 2,
 		ProbesEnabled: true, ReportsOnProbe: true, ReportFields: []policy.ReportField{policy.FieldInflight}, ListOnDemand: true, MaxListRequestGapSeconds: 10}
@@ -53,12 +53,12 @@
 	for i := range hosts {
 		r.hosts = append(r.hosts, policy.HostInfo{ID: uint32(i + 1), State: policy.Ready, Size: 1})
 	}
-	r.list(policy.ListFull)
+	r.updateHosts(policy.ListFull)
 	return r
 }
 
-func (r *rig) HostName(id uint32) string { return fmt.Sprintf("s-%08x", id) }
-func (r *rig) HostNames() iter.Seq2[uint32, string] {
+func (r *recordedBalancer) HostName(id uint32) string { return fmt.Sprintf("s-%08x", id) }
+func (r *recordedBalancer) HostNames() iter.Seq2[uint32, string] {
 	return func(yield func(uint32, string) bool) {
 		for _, h := range r.hosts {
 			if !yield(h.ID, r.HostName(h.ID)) {
@@ -67,86 +67,92 @@
 		}
 	}
 }
-func (r *rig) RequestLabels() iter.Seq2[uint32, Label] { return maps.All(r.open) }
+func (r *recordedBalancer) RequestLabels() iter.Seq2[uint32, Label] { return maps.All(r.openRequests) }
 
-func (r *rig) decide(id uint32, d Decision) {
-	d.Request, d.ID, d.Class = id, r.open[id].ID, r.open[id].Class
+func (r *recordedBalancer) recordFor(id uint32, d Decision) {
+	d.Request, d.ID, d.Class = id, r.openRequests[id].ID, r.openRequests[id].Class
 	r.RecordDecision(d)
 }
-func (r *rig) Send(id, host uint32) {
-	r.decide(id, Decision{Action: ActionSend, Host: host})
-	r.sent = append(r.sent, [2]uint32{id, host})
-	r.tries[id]++
+func (r *recordedBalancer) Send(id, host uint32) {
+	r.recordFor(id, Decision{Action: ActionSend, Host: host})
+	r.attemptsInFlight = append(r.attemptsInFlight, [2]uint32{id, host})
+	r.attempts[id]++
 }
-func (r *rig) Cancel(id uint32, n int) { r.decide(id, Decision{Action: ActionCancel, Attempt: n}) }
-func (r *rig) Refuse(id uint32, after float64) {
-	r.decide(id, Decision{Action: ActionRefuse, AfterSeconds: after})
-	r.ended = append(r.ended, id)
+func (r *recordedBalancer) Cancel(id uint32, n int) {
+	r.recordFor(id, Decision{Action: ActionCancel, Attempt: n})
 }
-func (r *rig) Fail(id uint32) {
-	r.decide(id, Decision{Action: ActionFail})
-	r.ended = append(r.ended, id)
+func (r *recordedBalancer) Refuse(id uint32, after float64) {
+	r.recordFor(id, Decision{Action: ActionRefuse, AfterSeconds: after})
+	r.finishedRequests = append(r.finishedRequests, id)
 }
-func (r *rig) CloseIdle(host uint32) { r.RecordDecision(Decision{Action: ActionCloseIdle, Host: host}) }
-func (r *rig) Watch()                { r.RecordDecision(Decision{Action: ActionWatch}) }
-func (r *rig) Log(text string)       { r.RecordDecision(Decision{Action: ActionLog, Text: text}) }
-func (r *rig) Probe(host uint32) {
+func (r *recordedBalancer) Fail(id uint32) {
+	r.recordFor(id, Decision{Action: ActionFail})
+	r.finishedRequests = append(r.finishedRequests, id)
+}
+func (r *recordedBalancer) CloseIdle(host uint32) {
+	r.RecordDecision(Decision{Action: ActionCloseIdle, Host: host})
+}
+func (r *recordedBalancer) Watch() { r.RecordDecision(Decision{Action: ActionWatch}) }
+func (r *recordedBalancer) Log(text string) {
+	r.RecordDecision(Decision{Action: ActionLog, Text: text})
+}
+func (r *recordedBalancer) Probe(host uint32) {
 	r.RecordDecision(Decision{Action: ActionProbe, Host: host})
-	r.probe = append(r.probe, host)
+	r.probesInFlight = append(r.probesInFlight, host)
 }
-func (r *rig) WakeAfter(s float64) {
+func (r *recordedBalancer) WakeAfter(s float64) {
 	r.RecordDecision(Decision{Action: ActionWake, AfterSeconds: s})
 	r.wakes = append(r.wakes, r.now+s)
 }
 
-func (r *rig) list(kind policy.ListKind) {
+func (r *recordedBalancer) updateHosts(kind policy.ListKind) {
 	r.Recorder.RecordHosts(r.now, kind, r.hosts)
 	r.Balancer.UpdateHosts(r.now, kind, r.hosts)
 }
 
-// run plays some random events.
-func (r *rig) run(events int) *rig {
+// run gives it some random events.
+func (r *recordedBalancer) run(events int) *recordedBalancer {
 	for range events {
 		r.now += 0.01 * r.rng.ExpFloat64()
-		for _, id := range r.ended {
-			delete(r.open, id)
+		for _, id := range r.finishedRequests {
+			delete(r.openRequests, id)
 		}
-		r.ended = nil
+		r.finishedRequests = nil
 		x := r.rng.IntN(100)
 		switch {
 		case x == 0:
 			i := r.rng.IntN(len(r.hosts))
 			r.hosts[i].State, r.hosts[i].Started = policy.HostState(1+r.rng.IntN(2)), r.now
-			r.list(policy.ListKind(r.rng.IntN(3)))
+			r.updateHosts(policy.ListKind(r.rng.IntN(3)))
 		case x < 35:
-			r.last++
-			r.open[r.last] = Label{fmt.Sprintf("id \"%d\" \\ \xff{\"t\":", r.last), "read"}
-			q := policy.Request{ID: r.last, Class: r.rng.IntN(2), Deadline: r.now + 1, Repeat: x%2 == 0, HeldBackSeconds: float64(x%3) / 10}
-			r.Recorder.RecordRequest(r.now, q, r.open[q.ID])
+			r.lastRequest++
+			r.openRequests[r.lastRequest] = Label{fmt.Sprintf("id \"%d\" \\ \xff{\"t\":", r.lastRequest), "read"}
+			q := policy.Request{ID: r.lastRequest, Class: r.rng.IntN(2), Deadline: r.now + 1, Repeat: x%2 == 0, HeldBackSeconds: float64(x%3) / 10}
+			r.Recorder.RecordRequest(r.now, q, r.openRequests[q.ID])
 			r.Balancer.StartRequest(r.now, q)
-		case x < 60 && len(r.sent) > 0:
-			o := r.sent[0]
-			r.sent = r.sent[1:]
-			res := policy.Result{ID: o[0], Attempt: r.tries[o[0]] - 1, Host: o[1], Outcome: policy.Outcome(r.rng.IntN(8)), DelaySeconds: r.rng.Float64() / 10}
+		case x < 60 && len(r.attemptsInFlight) > 0:
+			o := r.attemptsInFlight[0]
+			r.attemptsInFlight = r.attemptsInFlight[1:]
+			res := policy.Result{ID: o[0], Attempt: r.attempts[o[0]] - 1, Host: o[1], Outcome: policy.Outcome(r.rng.IntN(8)), DelaySeconds: r.rng.Float64() / 10}
 			if x%3 > 0 {
 				res.Outcome, res.Final = policy.OK, true
 			}
-			r.Recorder.RecordOutcome(r.now, res, r.open[o[0]])
+			r.Recorder.RecordOutcome(r.now, res, r.openRequests[o[0]])
 			r.Balancer.AttemptDone(r.now, res)
 			if res.Final {
-				r.ended = append(r.ended, o[0])
+				r.finishedRequests = append(r.finishedRequests, o[0])
 			}
-		case x < 80 && len(r.probe) > 0:
-			res := policy.Result{Host: r.probe[0], DelaySeconds: r.rng.Float64() / 50}
-			r.probe = r.probe[1:]
+		case x < 80 && len(r.probesInFlight) > 0:
+			res := policy.Result{Host: r.probesInFlight[0], DelaySeconds: r.rng.Float64() / 50}
+			r.probesInFlight = r.probesInFlight[1:]
 			res.Report = policy.Report{N: 2, Values: [4]float32{float32(r.rng.IntN(5)) / 3, float32(math.NaN())}}
 			r.Recorder.RecordProbe(r.now, res)
 			r.Balancer.ProbeDone(r.now, res)
-		case x < 82 && r.last > 0:
-			id := r.last - uint32(r.rng.IntN(3))
-			r.Recorder.RecordAbandoned(r.now, id, r.open[id])
+		case x < 82 && r.lastRequest > 0:
+			id := r.lastRequest - uint32(r.rng.IntN(3))
+			r.Recorder.RecordAbandoned(r.now, id, r.openRequests[id])
 			r.Balancer.Abandoned(r.now, id)
-			r.ended = append(r.ended, id)
+			r.finishedRequests = append(r.finishedRequests, id)
 		case len(r.wakes) > 0:
 			r.now = max(r.now, min(r.wakes[0], r.now+0.05))
 			r.wakes = r.wakes[1:]
@@ -157,30 +163,30 @@
 	return r
 }
 
-// settings of a ring that a short run wraps.
-var small = Settings{Enabled: true, MaxBytes: 128 << 10, Segments: 4}
+// smallSettings are those of a ring that a short run fills several times.
+var smallSettings = Settings{Enabled: true, MaxBytes: 128 << 10, Segments: 4}
 
-func replayed(t *testing.T, text string) (Summary, string) {
+func mustReplay(t *testing.T, text string) (Summary, string) {
 	var out strings.Builder
 	tally, err := Replay(strings.NewReader(text), &out)
 	require.NoError(t, err, "%v", tally)
 	return tally, out.String()
 }
 
-// A ring that has dropped its start replays without a difference: each segment begins with the state of the decisions.
-// Dumps stand among the lines of a log, in pieces that other lines may come between.
+// A ring that has dropped its start replays without a difference, since each segment starts with a checkpoint. Dumps stand
+// among the lines of a log, which may come between theirs.
 func TestWrappedRingReplays(t *testing.T) {
-	r := newRig(t, small, 9).run(50)
+	r := newRecordedBalancer(t, smallSettings, 9).run(50)
 	early := string(r.Dump(r.now))
-	tally, out := replayed(t, early)
+	tally, out := mustReplay(t, early)
 	assert.Zero(t, tally.Different, out)
 	assert.Equal(t, 1, tally.Segments, "the start")
 	r.run(20000)
 	late := string(r.Dump(r.now))
 	assert.NotContains(t, late, `"k":"start"`)
-	assert.LessOrEqual(t, len(late), small.MaxBytes+2*lostRoom)
-	assert.Greater(t, len(late), small.MaxBytes/2)
-	tally, out = replayed(t, late)
+	assert.LessOrEqual(t, len(late), smallSettings.MaxBytes+2*lostLineBytes)
+	assert.Greater(t, len(late), smallSettings.MaxBytes/2)
+	tally, out = mustReplay(t, late)
 	assert.Zero(t, tally.Different, out)
 	assert.Zero(t, tally.Skipped+tally.Truncated)
 	assert.Equal(t, 4, tally.Segments)
@@ -195,15 +201,15 @@
 			both.WriteString(log + "[13.84] " + line)
 		}
 	}
-	all, out := replayed(t, both.String()+"[20.01] {\"requests\":5}\n")
+	all, out := mustReplay(t, both.String()+"[20.01] {\"requests\":5}\n")
 	assert.Zero(t, all.Different+all.Truncated+all.Skipped, out)
 	assert.Equal(t, 5, all.Segments)
 	assert.Greater(t, all.Compared, tally.Compared)
 }
 
-// A decision that differs is printed, and so is one that is missing or too much; the rest still fits.
-func TestDifferencesAreFound(t *testing.T) {
-	dump := string(newRig(t, small, 9).run(5000).Dump(0))
+// A decision that differs, is missing or is too much is printed, and the others still match.
+func TestReplayFindsDifferences(t *testing.T) {
+	dump := string(newRecordedBalancer(t, smallSettings, 9).run(5000).Dump(0))
 	lines := strings.SplitAfter(dump, "\n")
 	send := func(text string) bool { return strings.Contains(text, `"do":"send"`) }
 	at := len(lines) / 3
@@ -224,7 +230,7 @@
 		"too much":       func(s string) string { return s + strings.Replace(s, `"send"`, `"probe"`, 1) },
 	} {
 		changed := append(append(append([]string{}, lines[:at]...), change(lines[at])), lines[at+1:]...)
-		tally, out := replayed(t, strings.Join(changed, ""))
+		tally, out := mustReplay(t, strings.Join(changed, ""))
 		assert.Equal(t, 1, tally.Different, "%s: %s", name, out)
 		assert.Equal(t, 2, strings.Count(out, "\n"), "%s: %s", name, out)
 		place := map[string]int{"missing": event + 1, "too much": at + 2}[name]
@@ -235,14 +241,14 @@
 	for !strings.Contains(lines[last], `"dec"`) {
 		last--
 	}
-	tally, _ := replayed(t, strings.Join(append(lines[:last:last], lines[last+1:]...), ""))
-	assert.Equal(t, 1, tally.Different, "the last decision of a whole dump counts, too")
+	tally, _ := mustReplay(t, strings.Join(append(lines[:last:last], lines[last+1:]...), ""))
+	assert.Equal(t, 1, tally.Different, "the last decision of a complete dump counts, too")
 }
 
-// A line that was cut, at whatever end, leads to no false difference. Where it may have been an input nothing is
-// compared until the next checkpoint.
-func TestTruncatedLines(t *testing.T) {
-	lines := strings.SplitAfter(string(newRig(t, small, 9).run(5000).Dump(0)), "\n")
+// A line that was cut at either end causes no false difference. If it may have been an input, nothing is compared until the
+// next checkpoint.
+func TestTornLinesCauseNoDifference(t *testing.T) {
+	lines := strings.SplitAfter(string(newRecordedBalancer(t, smallSettings, 9).run(5000).Dump(0)), "\n")
 	lines = lines[1 : len(lines)-2] // what frames the dump may be cut without a loss
 	rng := rand.New(rand.NewPCG(9, 9))
 	skipped, torn := 0, 0
@@ -254,11 +260,11 @@
 		if rng.IntN(4) == 0 {
 			piece = whole[min(cut, len(whole)-20):] + "\n"
 		}
-		if !strings.Contains(piece, `":`) && !strings.HasPrefix(lineStart, strings.TrimSpace(piece)) {
-			continue // too little is left to be told from a log
+		if !strings.Contains(piece, `":`) && !strings.HasPrefix(linePrefix, strings.TrimSpace(piece)) {
+			continue // too little is left to tell it from a log
 		}
 		changed := strings.Join(lines[:at], "") + piece + strings.Join(lines[at+1:], "")
-		tally, out := replayed(t, changed)
+		tally, out := mustReplay(t, changed)
 		require.Zero(t, tally.Different, "%q: %s", piece, out)
 		require.Equal(t, 1, tally.Truncated, "%q", piece)
 		if torn++; tally.Skipped > 0 {
@@ -267,7 +273,7 @@
 	}
 	assert.Greater(t, torn, 80)
 	assert.Greater(t, skipped, 20)
-	assert.Greater(t, torn-skipped, 20, "after a cut decision all is compared on")
+	assert.Greater(t, torn-skipped, 20, "after a torn decision the rest is compared")
 
 	_, err := Replay(strings.NewReader("time=x level=INFO msg=y\n"+lines[len(lines)-1]), io.Discard)
 	assert.ErrorIs(t, err, ErrNothingToReplay, "without a state there is nothing to replay")
@@ -275,13 +281,13 @@
 	assert.ErrorIs(t, err, ErrNothingToReplay)
 }
 
-// Lines cost no memory, and a checkpoint holds the decisions for little time and none either but for its names.
-func TestLinesTakeNoMemory(t *testing.T) {
-	r := newRig(t, Settings{Enabled: true, MaxBytes: 16 << 20, Segments: 4}, 9).run(500)
+// Recording a line allocates nothing.
+func TestRecordingAllocatesNothing(t *testing.T) {
+	r := newRecordedBalancer(t, Settings{Enabled: true, MaxBytes: 16 << 20, Segments: 4}, 9).run(500)
 	q, id := policy.Request{ID: 5, Deadline: 1.7e9}, Label{"9b1f03aa5c7e2d41", "raise-alert"}
 	res := policy.Result{ID: 5, Host: 3, DelaySeconds: 0.1, Report: policy.Report{N: 4}}
 	host := "s-5be2a07c"
-	r.Recorder.source = named{r, host}
+	r.Recorder.source = fixedHostName{r, host}
 	assert.Zero(t, testing.AllocsPerRun(1000, func() {
 		r.Recorder.RecordRequest(r.now, q, id)
 		r.Recorder.RecordOutcome(r.now, res, id)
@@ -294,32 +300,32 @@
 	}))
 }
 
-// named gives all hosts one name, made beforehand.
-type named struct {
-	*rig
+// fixedHostName gives all hosts one name, allocated beforehand.
+type fixedHostName struct {
+	*recordedBalancer
 	name string
 }
 
-func (n named) HostName(uint32) string { return n.name }
+func (n fixedHostName) HostName(uint32) string { return n.name }
 
-// The lines hold what the operators' example names.
+// A decision's line has the form of the example in the operators' page.
 func TestDecisionLine(t *testing.T) {
 	d := Decision{ID: "9b1f03aa5c7e2d41", Class: "raise-alert", HostName: "s-5be2a07c", Action: ActionSend, Request: 17, Host: 1541578876}
 	assert.Equal(t, `{"t":1718000000123,"k":"dec","id":"9b1f03aa5c7e2d41","class":"raise-alert","to":"s-5be2a07c","do":"send","req":17,"host":1541578876}`+"\n",
 		string(d.append(nil, 1718000000.1235)))
 }
 
-// A checkpoint that would fill half of its segment is left out, which the segment says; the ring goes on, and so does a
-// replay as long as nothing before is dropped. An event with no room ends its segment.
-func TestNoRoom(t *testing.T) {
-	r := newRig(t, Settings{Enabled: true, MaxBytes: 64 << 10, Segments: 4}, 40)
+// A checkpoint that would fill half of its segment is left out, which the segment tells; recording goes on, and a replay too as
+// long as nothing before is dropped. An input without room ends its segment.
+func TestLinesWithoutRoom(t *testing.T) {
+	r := newRecordedBalancer(t, Settings{Enabled: true, MaxBytes: 64 << 10, Segments: 4}, 40)
 	for r.Stats().Segments < 3 {
 		r.run(10)
 	}
 	dump := string(r.Dump(0))
 	assert.Contains(t, dump, `"k":"nostate"`)
 	assert.NotContains(t, dump, `"state":"`)
-	tally, out := replayed(t, dump)
+	tally, out := mustReplay(t, dump)
 	assert.Zero(t, tally.Different+tally.Skipped, out)
 	for r.Stats().Segments < 9 {
 		r.run(10)
@@ -327,22 +333,22 @@
 	_, err := Replay(bytes.NewReader(r.Dump(0)), io.Discard)
 	assert.ErrorIs(t, err, ErrNothingToReplay)
 
-	r = newRig(t, Settings{Enabled: true, MaxBytes: 64 << 10, Segments: 4}, 12).run(50)
+	r = newRecordedBalancer(t, Settings{Enabled: true, MaxBytes: 64 << 10, Segments: 4}, 12).run(50)
 	few := r.hosts
 	for i := range 500 {
 		r.hosts = append(r.hosts, policy.HostInfo{ID: uint32(1000 + i), State: policy.Gone})
 	}
-	r.list(policy.ListDelta)
+	r.updateHosts(policy.ListDelta)
 	r.hosts = few
 	r.run(5)
 	dump = string(r.Dump(0))
 	assert.Contains(t, dump, `"k":"lost"`)
-	tally, out = replayed(t, dump)
+	tally, out = mustReplay(t, dump)
 	assert.Zero(t, tally.Different, out)
 	assert.NotZero(t, r.Stats().LinesLost)
 }
 
-func files(t *testing.T, dir string) (names []string, size int64) {
+func listFiles(t *testing.T, dir string) (names []string, size int64) {
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	for _, e := range entries {
@@ -353,9 +359,9 @@
 	return names, size
 }
 
-// Files hold the segments, under one cap with those of earlier runs; each replays by itself.
-func TestFiles(t *testing.T) {
-	s := small
+// Files hold the segments, within the bounds together with those of earlier runs, and each can be replayed alone.
+func TestSegmentFiles(t *testing.T) {
+	s := smallSettings
 	s.Dir = filepath.Join(t.TempDir(), "deep", "capture")
 	require.NoError(t, os.MkdirAll(s.Dir, 0o755))
 	for i := range 9 {
@@ -363,51 +369,51 @@
 		require.NoError(t, os.WriteFile(filepath.Join(s.Dir, name), make([]byte, 20<<10), 0o600))
 	}
 	require.NoError(t, os.WriteFile(filepath.Join(s.Dir, "notes.txt"), nil, 0o600))
-	r := newRig(t, s, 9)
+	r := newRecordedBalancer(t, s, 9)
 	for i := range 400 {
 		r.run(10)
 		r.Flush()
-		for len(r.disk.free) < mostChunks { // until the writer has all
+		for len(r.files.freeChunks) < maxChunks { // until the writer has written all
 			time.Sleep(50 * time.Microsecond)
 		}
-		names, size := files(t, s.Dir)
+		names, size := listFiles(t, s.Dir)
 		require.LessOrEqual(t, len(names), s.Segments+1, i)
 		require.LessOrEqual(t, size, int64(s.MaxBytes), i)
 	}
 	r.Recorder.Close()
-	names, _ := files(t, s.Dir)
-	assert.Contains(t, names, filepath.Join(s.Dir, "notes.txt"), "what is not ours stays")
+	names, _ := listFiles(t, s.Dir)
+	assert.Contains(t, names, filepath.Join(s.Dir, "notes.txt"), "other files stay")
 	require.Len(t, names, s.Segments+1)
 	all := ""
 	for _, name := range names[:s.Segments] {
 		text, err := os.ReadFile(name)
 		require.NoError(t, err)
-		tally, out := replayed(t, string(text))
+		tally, out := mustReplay(t, string(text))
 		assert.Zero(t, tally.Different+tally.Skipped+tally.Truncated, out)
 		all += string(text)
 	}
-	tally, out := replayed(t, all)
+	tally, out := mustReplay(t, all)
 	assert.Zero(t, tally.Different+tally.Skipped+tally.Truncated, out)
 	assert.Equal(t, s.Segments, tally.Segments)
 	assert.Zero(t, r.Stats().DiskErrors+r.Stats().DiskLostBytes)
 }
 
-// warnings counts what is logged.
-type warnings struct {
+// countingWriter counts what is logged.
+type countingWriter struct {
 	slog.Handler
 	n *atomic.Int64
 }
 
-func (w warnings) Write(p []byte) (int, error) { w.n.Add(1); return len(p), nil }
+func (w countingWriter) Write(p []byte) (int, error) { w.n.Add(1); return len(p), nil }
 
-// A disk that can't be written to is logged, and one that takes nothing is waited for by nobody.
-func TestBadDisk(t *testing.T) {
-	s := small
+// A disk that can't be written to is logged, and one that takes nothing blocks nobody.
+func TestFailingDisk(t *testing.T) {
+	s := smallSettings
 	s.Dir = filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(s.Dir, nil, 0o600))
-	r := newRig(t, s, 9)
-	w := warnings{n: &atomic.Int64{}}
-	r.disk.log = slog.New(slog.NewTextHandler(w, nil))
+	r := newRecordedBalancer(t, s, 9)
+	w := countingWriter{n: &atomic.Int64{}}
+	r.files.log = slog.New(slog.NewTextHandler(w, nil))
 	for range 300 {
 		r.run(10)
 		r.Flush()
@@ -415,16 +421,16 @@
 	r.Recorder.Close()
 	assert.NotZero(t, r.Stats().DiskErrors)
 	assert.NotZero(t, w.n.Load())
-	tally, out := replayed(t, string(r.Dump(0)))
+	tally, out := mustReplay(t, string(r.Dump(0)))
 	assert.Zero(t, tally.Different, out)
 
-	d := &disk{log: slog.New(slog.NewTextHandler(w, nil)), queue: make(chan chunk, mostChunks), free: make(chan []byte, mostChunks)}
-	for range mostChunks { // and nobody who writes
-		d.free <- make([]byte, 0, chunkBytes)
+	d := &fileWriter{log: slog.New(slog.NewTextHandler(w, nil)), queue: make(chan chunk, maxChunks), freeChunks: make(chan []byte, maxChunks)}
+	for range maxChunks { // and no goroutine that writes
+		d.freeChunks <- make([]byte, 0, chunkBytes)
 	}
 	for range 100 {
 		d.write(1, make([]byte, chunkBytes+1))
 	}
-	assert.EqualValues(t, 96*(chunkBytes+1), d.lost)
-	assert.Len(t, d.queue, mostChunks)
+	assert.EqualValues(t, 96*(chunkBytes+1), d.lostBytes)
+	assert.Len(t, d.queue, maxChunks)
 }
--- a/internal/capture/compare.go
+++ b/internal/capture/compare.go
@@ -1,68 +1,66 @@
 package capture
 
-import (
-	"fmt"
-	"strings"
-)
+import "strings"
 
-// recorded is a decision as the record has it. One that is torn stands for any.
-type recorded struct {
+// recordedDecision is a decision of the record. A fragment of one matches any decision.
+type recordedDecision struct {
 	Decision
-	number int
-	text   string
-	torn   bool
+	lineNumber int
+	text       string
+	isFragment bool
 }
 
-// finish compares what the decisions did at the last event with what was recorded; whole tells that the record holds
-// all of it.
-func (r *replayer) finish(whole bool) {
-	did, said := r.did, r.said
-	r.did, r.said = r.did[:0], r.said[:0]
-	for len(did) > 0 || len(said) > 0 {
+// compareEvent compares the decisions that were replayed for the last input with the recorded ones, in order. With isComplete the
+// record has all decisions of the input; else the last ones may be missing.
+func (r *replayer) compareEvent(isComplete bool) {
+	replayed, recorded := r.replayed, r.recorded
+	r.replayed, r.recorded = r.replayed[:0], r.recorded[:0]
+	for len(replayed) > 0 || len(recorded) > 0 {
 		switch {
-		case len(said) > 0 && said[0].torn:
-			said, did = said[1:], did[min(1, len(did)):]
-		case len(said) == 0:
-			if !whole {
+		case len(recorded) > 0 && recorded[0].isFragment:
+			recorded = recorded[1:]
+			replayed = replayed[min(1, len(replayed)):]
+		case len(recorded) == 0:
+			if !isComplete {
 				return
 			}
-			r.differ(r.event, "", &did[0])
-			did = did[1:]
-		case len(did) == 0:
-			r.differ(said[0].number, said[0].text, nil)
-			said = said[1:]
-		case alike(said[0].Decision, did[0]):
-			r.tally.Compared++
-			said, did = said[1:], did[1:]
-		case len(did) > 1 && alike(said[0].Decision, did[1]): // one is missing
-			r.differ(r.event, "", &did[0])
-			did = did[1:]
-		case len(said) > 1 && !said[1].torn && alike(said[1].Decision, did[0]): // one is too many
-			r.differ(said[0].number, said[0].text, nil)
-			said = said[1:]
+			r.reportDifference(r.eventLine, "", &replayed[0])
+			replayed = replayed[1:]
+		case len(replayed) == 0:
+			r.reportDifference(recorded[0].lineNumber, recorded[0].text, nil)
+			recorded = recorded[1:]
+		case equalDecisions(recorded[0].Decision, replayed[0]):
+			r.summary.Compared++
+			recorded, replayed = recorded[1:], replayed[1:]
+		case len(replayed) > 1 && equalDecisions(recorded[0].Decision, replayed[1]): // one is missing in the record
+			r.reportDifference(r.eventLine, "", &replayed[0])
+			replayed = replayed[1:]
+		case len(recorded) > 1 && !recorded[1].isFragment && equalDecisions(recorded[1].Decision, replayed[0]): // one is missing in the replay
+			r.reportDifference(recorded[0].lineNumber, recorded[0].text, nil)
+			recorded = recorded[1:]
 		default:
-			r.differ(said[0].number, said[0].text, &did[0])
-			said, did = said[1:], did[1:]
+			r.reportDifference(recorded[0].lineNumber, recorded[0].text, &replayed[0])
+			recorded, replayed = recorded[1:], replayed[1:]
 		}
 	}
 }
 
-// differ prints a difference.
-func (r *replayer) differ(number int, said string, did *Decision) {
-	r.tally.Compared++
-	r.tally.Different++
-	if said == "" {
-		said = "nothing"
+// reportDifference counts and prints a difference. An empty recorded or a nil replayed decision means that there is none.
+func (r *replayer) reportDifference(lineNumber int, recorded string, replayed *Decision) {
+	r.summary.Compared++
+	r.summary.Different++
+	if recorded == "" {
+		recorded = "nothing"
 	}
-	text := "nothing"
-	if did != nil {
-		text = strings.TrimSpace(string(did.append(nil, r.now)))
+	replayedText := "nothing"
+	if replayed != nil {
+		replayedText = strings.TrimSpace(string(replayed.append(nil, r.now)))
 	}
-	fmt.Fprintf(r.out, "line %d: recorded %s\nline %d: replayed %s\n", number, said, number, text)
+	r.printf("line %d: recorded %s\nline %d: replayed %s\n", lineNumber, recorded, lineNumber, replayedText)
 }
 
-// alike tells whether two decisions are the same; a name that one of them does not know counts for nothing.
-func alike(a, b Decision) bool {
+// equalDecisions returns whether two decisions are equal. A name that one of them does not have is not compared.
+func equalDecisions(a, b Decision) bool {
 	for _, names := range [...][2]*string{{&a.ID, &b.ID}, {&a.Class, &b.Class}, {&a.HostName, &b.HostName}} {
 		if *names[0] == "" || *names[1] == "" {
 			*names[0], *names[1] = "", ""
--- a/internal/capture/decision.go
+++ b/internal/capture/decision.go
@@ -1,33 +1,36 @@
 package capture
 
-// What the decisions can do.
+// Action is what a decision asked for, in the words of the record.
+type Action string
+
+// The actions, one for each method of policy.Actions.
 const (
-	ActionSend      = "send"
-	ActionCancel    = "cancel"
-	ActionProbe     = "probe"
-	ActionCloseIdle = "close_idle"
-	ActionRefuse    = "refuse"
-	ActionFail      = "fail"
-	ActionWake      = "wake"
-	ActionWatch     = "watch"
-	ActionLog       = "log"
+	ActionSend      Action = "send"
+	ActionCancel    Action = "cancel"
+	ActionProbe     Action = "probe"
+	ActionCloseIdle Action = "close_idle"
+	ActionRefuse    Action = "refuse"
+	ActionFail      Action = "fail"
+	ActionWake      Action = "wake"
+	ActionWatch     Action = "watch"
+	ActionLog       Action = "log"
 )
 
-// Decision is one action that the decisions asked for. Two that are alike are equal. ID, Class and To are for people:
-// the Request-Id, the class's and the server's name.
+// Decision is an action that policy asked for. ID, Class and HostName are for people: the client's Request-Id, the class's name
+// and the server's name.
 type Decision struct {
 	ID           string  `json:"id"`
 	Class        string  `json:"class"`
 	HostName     string  `json:"to"`
-	Action       string  `json:"do"`
+	Action       Action  `json:"do"`
 	Request      uint32  `json:"req"`
 	Host         uint32  `json:"host"`
 	Attempt      int     `json:"attempt"`
-	AfterSeconds float64 `json:"after"` // of a wake-up, or of a client's next try
-	Text         string  `json:"text"`
+	AfterSeconds float64 `json:"after"` // until a wake-up, or until a client's retry
+	Text         string  `json:"text"`  // of a log line
 }
 
-// append writes the decision's line.
+// append appends the decision's line. Only the fields that its action has are written.
 func (d *Decision) append(dst []byte, now float64) []byte {
 	dst = appendHead(dst, now, kindDecision)
 	if d.ID != "" {
@@ -39,7 +42,7 @@
 	if d.HostName != "" {
 		dst = appendString(append(dst, `,"to":`...), d.HostName)
 	}
-	dst = appendString(append(dst, `,"do":`...), d.Action)
+	dst = appendString(append(dst, `,"do":`...), string(d.Action))
 	switch d.Action {
 	case ActionSend, ActionCancel, ActionRefuse, ActionFail:
 		dst = appendInt(append(dst, `,"req":`...), int64(d.Request))
--- a/internal/capture/dump.go
+++ b/internal/capture/dump.go
@@ -9,25 +9,27 @@
 )
 
 const (
-	// writeAtOnce bounds one write of a dump, but for a line that is longer.
-	writeAtOnce = 4 << 10
-	// lookEvery is the time between two looks whether a reader has made room.
-	lookEvery = 2 * time.Millisecond
+	// maxWriteBytes bounds a single write of a dump, unless a line is longer.
+	maxWriteBytes = 4 << 10
+	// pollInterval is the interval at which a full pipe or socket is polled for room.
+	pollInterval = 2 * time.Millisecond
 )
 
-// Write writes a dump in pieces of whole lines, so that lines of a log can come between them. Danger: whoever writes to
-// the same file waits for the piece that is being written, and what fills a pipe that nobody reads stops the next line
-// of the log, and with it the event loop. Half of a pipe or socket is left to others.
+// WriteDump writes a dump in parts of complete lines, between which other writers to the same file can write lines of a log. It
+// blocks until all is written and must not be called by the event loop.
+//
+// Danger: other writers wait for a write in progress, and a full pipe that nobody reads would block the next log line and with it the
+// event loop. WriteDump therefore leaves half of a pipe or socket buffer free.
 func WriteDump(f *os.File, dump []byte) error {
 	for len(dump) > 0 {
-		n := min(len(dump), writeAtOnce)
+		n := min(len(dump), maxWriteBytes)
 		if i := bytes.LastIndexByte(dump[:n], '\n'); i >= 0 {
 			n = i + 1
 		} else if i := bytes.IndexByte(dump[n:], '\n'); i >= 0 {
 			n += i + 1
 		}
-		for !room(f, n) {
-			time.Sleep(lookEvery)
+		for !leavesRoom(f, n) {
+			time.Sleep(pollInterval)
 		}
 		if _, err := f.Write(dump[:n]); err != nil {
 			return err
@@ -37,18 +39,19 @@
 	return nil
 }
 
-// room tells whether n bytes leave half of a pipe or socket to others; what is neither has room. A line that is longer
-// than that waits until all is read.
-func room(f *os.File, n int) bool {
+// leavesRoom returns whether half of the buffer of a pipe or socket stays free after n more bytes. A line that is longer than half
+// of the buffer waits until it is empty. Other files always have room.
+func leavesRoom(f *os.File, n int) bool {
 	fd := f.Fd()
-	ask := uint(unix.TIOCINQ)
+	unreadRequest := uint(unix.TIOCINQ)
 	size, err := unix.FcntlInt(fd, unix.F_GETPIPE_SZ, 0)
 	if err != nil {
-		ask = unix.TIOCOUTQ
-		if size, err = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_SNDBUF); err != nil {
+		unreadRequest = unix.TIOCOUTQ
+		size, err = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_SNDBUF)
+		if err != nil {
 			return true
 		}
 	}
-	unread, err := unix.IoctlGetInt(int(fd), ask)
+	unread, err := unix.IoctlGetInt(int(fd), unreadRequest)
 	return err != nil || unread == 0 || unread+n <= size/2
 }
--- a/internal/capture/encode.go
+++ b/internal/capture/encode.go
@@ -10,23 +10,26 @@
 	"hazelwheel/policy"
 )
 
-// mostLabel bounds what is kept of a name that comes from outside.
-const mostLabel = 128
+// maxLabelBytes bounds what is kept of a name that comes from outside.
+const maxLabelBytes = 128
 
-// appendHead begins a line with its time in milliseconds.
-func appendHead(dst []byte, now float64, kind string) []byte {
-	dst = appendInt(append(dst, lineStart...), int64(now*1000))
-	return append(append(append(dst, `,"k":"`...), kind...), '"')
+// appendHead appends the beginning of a line, with the time in milliseconds for people.
+func appendHead(dst []byte, now float64, kind lineKind) []byte {
+	dst = append(dst, linePrefix...)
+	dst = appendInt(dst, int64(now*1000))
+	dst = append(dst, `,"k":"`...)
+	dst = append(dst, kind...)
+	return append(dst, '"')
 }
 
-// appendInput begins the line of an input, with the exact time that the decisions are told.
-func appendInput(dst []byte, now float64, kind string) []byte {
+// appendInput appends the beginning of an input's line, with the exact time that policy is given.
+func appendInput(dst []byte, now float64, kind lineKind) []byte {
 	return appendFloat(append(appendHead(dst, now, kind), `,"at":`...), now)
 }
 
 func appendInt(dst []byte, v int64) []byte { return strconv.AppendInt(dst, v, 10) }
 
-// appendFloat writes a number so that reading it gives the same bits. What JSON has no number for is a string.
+// appendFloat appends a number so that reading it gives the same bits. Numbers that JSON does not have are strings.
 func appendFloat(dst []byte, v float64) []byte {
 	switch {
 	case math.IsNaN(v):
@@ -39,26 +42,29 @@
 	return strconv.AppendFloat(dst, v, 'f', -1, 64)
 }
 
+// appendBool appends a field if it is true.
 func appendBool(dst []byte, name string, v bool) []byte {
-	if v {
-		dst = append(append(append(dst, `,"`...), name...), `":true`...)
+	if !v {
+		return dst
 	}
-	return dst
+	dst = append(dst, `,"`...)
+	dst = append(dst, name...)
+	return append(dst, `":true`...)
 }
 
-// label cuts what is kept of a name, at the end of a rune.
-func label(s string) string {
-	if len(s) <= mostLabel {
+// truncateLabel cuts a name to maxLabelBytes, between runes.
+func truncateLabel(s string) string {
+	if len(s) <= maxLabelBytes {
 		return s
 	}
-	n := mostLabel
+	n := maxLabelBytes
 	for n > 0 && !utf8.RuneStart(s[n]) {
 		n--
 	}
 	return s[:n]
 }
 
-// appendString writes a string as JSON; bytes that are no text become U+FFFD.
+// appendString appends a string as JSON. Invalid UTF-8 becomes U+FFFD.
 func appendString(dst []byte, s string) []byte {
 	dst = append(dst, '"')
 	for _, r := range s {
@@ -75,9 +81,10 @@
 	return append(dst, '"')
 }
 
+// appendHost appends an entry of an endpoint list, which hostEntry reads.
 func appendHost(dst []byte, h policy.HostInfo, name string) []byte {
 	dst = appendInt(append(dst, `{"id":`...), int64(h.ID))
-	dst = appendString(append(dst, `,"name":`...), label(name))
+	dst = appendString(append(dst, `,"name":`...), truncateLabel(name))
 	dst = appendInt(append(dst, `,"zone":`...), int64(h.Zone))
 	dst = appendInt(append(dst, `,"kind":`...), int64(h.Kind))
 	dst = appendInt(append(dst, `,"cell":`...), int64(h.Cell))
@@ -86,9 +93,16 @@
 	return append(appendFloat(append(dst, `,"since":`...), h.Started), '}')
 }
 
+// appendLabel appends the names of a request.
+func appendLabel(dst []byte, l Label) []byte {
+	dst = appendString(append(dst, `,"id":`...), truncateLabel(l.ID))
+	return appendString(append(dst, `,"class":`...), truncateLabel(l.Class))
+}
+
 // number is a float as appendFloat writes it.
 type number float64
 
+// UnmarshalJSON reads a number or a string that holds one.
 func (n *number) UnmarshalJSON(raw []byte) error {
 	text := string(raw)
 	if text[0] == '"' {
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -6,30 +6,32 @@
 	"hazelwheel/policy"
 )
 
-// Label is how a request is called outside.
+// Label is the names of a request: the client's Request-Id and the class.
 type Label struct{ ID, Class string }
 
-// Hosts notes a list of hosts.
+// RecordHosts records an endpoint list. Like the methods for other inputs, it is called before policy gets the input, with the same
+// values, and not from within an action.
 func (c *Recorder) RecordHosts(now float64, kind policy.ListKind, list []policy.HostInfo) {
 	if c == nil {
 		return
 	}
-	text := append(appendInt(append(c.begun(now, kindHosts), `,"list":`...), int64(kind)), `,"hosts":[`...)
+	text := appendInt(append(c.inputLine(now, kindHosts), `,"list":`...), int64(kind))
+	text = append(text, `,"hosts":[`...)
 	for i, h := range list {
 		if i > 0 {
 			text = append(text, ',')
 		}
 		text = appendHost(text, h, c.source.HostName(h.ID))
 	}
-	c.input(append(text, ']'))
+	c.writeInput(append(text, ']'))
 }
 
-// Request notes a request from a client.
+// RecordRequest records a request from a client.
 func (c *Recorder) RecordRequest(now float64, q policy.Request, l Label) {
 	if c == nil {
 		return
 	}
-	text := appendLabel(c.begun(now, kindRequest), l)
+	text := appendLabel(c.inputLine(now, kindRequest), l)
 	text = appendInt(append(text, `,"req":`...), int64(q.ID))
 	text = appendInt(append(text, `,"class_no":`...), int64(q.Class))
 	text = appendFloat(append(text, `,"deadline":`...), q.Deadline)
@@ -45,55 +47,60 @@
 	if q.HeldBackSeconds != 0 {
 		text = appendFloat(append(text, `,"held":`...), q.HeldBackSeconds)
 	}
-	c.input(appendBool(text, "repeat", q.Repeat))
+	c.writeInput(appendBool(text, "repeat", q.Repeat))
 }
 
-// Outcome notes the end of an attempt.
+// RecordOutcome records the end of an attempt.
 func (c *Recorder) RecordOutcome(now float64, r policy.Result, l Label) {
 	if c == nil {
 		return
 	}
-	text := appendInt(append(appendLabel(c.begun(now, kindOutcome), l), `,"req":`...), int64(r.ID))
+	text := appendLabel(c.inputLine(now, kindOutcome), l)
+	text = appendInt(append(text, `,"req":`...), int64(r.ID))
 	text = appendInt(append(text, `,"attempt":`...), int64(r.Attempt))
-	c.input(appendBool(c.appendResult(text, r), "final", r.Final))
+	c.writeInput(appendBool(c.appendResult(text, r), "final", r.Final))
 }
 
-// Probe notes the end of a probe.
+// RecordProbe records the end of a probe.
 func (c *Recorder) RecordProbe(now float64, r policy.Result) {
 	if c != nil {
-		c.input(c.appendResult(c.begun(now, kindProbe), r))
+		c.writeInput(c.appendResult(c.inputLine(now, kindProbe), r))
 	}
 }
 
-// Wake notes a wake-up.
+// RecordWake records a wake-up.
 func (c *Recorder) RecordWake(now float64) {
 	if c != nil {
-		c.input(c.begun(now, kindWake))
+		c.writeInput(c.inputLine(now, kindWake))
 	}
 }
 
-// Stalled notes that the sidecar stood still.
+// RecordStall records that the process did not run for some seconds.
 func (c *Recorder) RecordStall(now, seconds float64) {
 	if c != nil {
-		c.input(appendFloat(append(c.begun(now, kindStalled), `,"late":`...), seconds))
+		c.writeInput(appendFloat(append(c.inputLine(now, kindStall), `,"late":`...), seconds))
 	}
 }
 
-// Place notes the sidecar's place in its fleet.
-func (c *Recorder) RecordReplica(now float64, rank, count int) {
-	if c != nil {
-		c.input(appendInt(append(appendInt(append(c.begun(now, kindPlace), `,"rank":`...), int64(rank)), `,"count":`...), int64(count)))
+// RecordReplica records the sidecar's index among the replicas.
+func (c *Recorder) RecordReplica(now float64, index, replicas int) {
+	if c == nil {
+		return
 	}
+	text := appendInt(append(c.inputLine(now, kindReplica), `,"rank":`...), int64(index))
+	c.writeInput(appendInt(append(text, `,"count":`...), int64(replicas)))
 }
 
-// Gone notes the departure of a request's client.
+// RecordAbandoned records that a request's client has gone.
 func (c *Recorder) RecordAbandoned(now float64, request uint32, l Label) {
-	if c != nil {
-		c.input(appendInt(append(appendLabel(c.begun(now, kindGone), l), `,"req":`...), int64(request)))
+	if c == nil {
+		return
 	}
+	text := appendLabel(c.inputLine(now, kindAbandoned), l)
+	c.writeInput(appendInt(append(text, `,"req":`...), int64(request)))
 }
 
-// Decide notes an action of the decisions. It belongs to the event that was noted last.
+// RecordDecision records an action that policy asked for. It belongs to the input that was recorded last.
 func (c *Recorder) RecordDecision(d Decision) {
 	if c == nil {
 		return
@@ -101,18 +108,16 @@
 	if d.Host != 0 {
 		d.HostName = c.source.HostName(d.Host)
 	}
-	d.ID, d.Class, d.HostName, d.Text = label(d.ID), label(d.Class), label(d.HostName), label(d.Text)
-	c.put(d.append(c.room[:0], c.now))
-}
-
-func appendLabel(dst []byte, l Label) []byte {
-	dst = appendString(append(dst, `,"id":`...), label(l.ID))
-	return appendString(append(dst, `,"class":`...), label(l.Class))
+	d.ID = truncateLabel(d.ID)
+	d.Class = truncateLabel(d.Class)
+	d.HostName = truncateLabel(d.HostName)
+	d.Text = truncateLabel(d.Text)
+	c.writeLine(d.append(c.lineBuffer[:0], c.now))
 }
 
-// appendResult writes what executions and probes have in common.
+// appendResult appends what outcomes and probes have in common.
 func (c *Recorder) appendResult(dst []byte, r policy.Result) []byte {
-	dst = appendString(append(dst, `,"to":`...), label(c.source.HostName(r.Host)))
+	dst = appendString(append(dst, `,"to":`...), truncateLabel(c.source.HostName(r.Host)))
 	dst = appendInt(append(dst, `,"host":`...), int64(r.Host))
 	dst = appendInt(append(dst, `,"outcome":`...), int64(r.Outcome))
 	dst = appendFloat(append(dst, `,"delay":`...), r.DelaySeconds)
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -12,228 +12,245 @@
 	"hazelwheel/policy"
 )
 
-// Settings say how much is kept, and where.
+// Settings say how much is recorded, and where.
 type Settings struct {
 	Enabled  bool
-	MaxBytes int
-	Segments int    // segments
-	Dir      string // where they are written; empty: nowhere
+	MaxBytes int    // of all segments
+	Segments int    // number of segments, at least 1; MaxBytes / Segments is at least MinSegmentBytes
+	Dir      string // folder for the files; empty: no files
 }
 
-// LeastSegment is the least that a segment may hold.
+// MinSegmentBytes is the smallest size of a segment.
 const MinSegmentBytes = 8 << 10
 
-// Source is the program whose decisions are recorded.
+// lostLineBytes is reserved in each segment for the line that ends it prematurely.
+const lostLineBytes = 64
+
+// Source is the host program, as the Recorder needs it.
 type Source interface {
-	// Checkpoint appends the state of the decisions, as policy.Balancer does.
-	Checkpoint(dst []byte, most int) ([]byte, bool)
-	// HostName names a host, "" if it is not known.
+	// Checkpoint appends the state of policy, as policy.Balancer.Checkpoint does.
+	Checkpoint(dst []byte, maxBytes int) (state []byte, ok bool)
+	// HostName returns the name of a host, "" if it is not known.
 	HostName(id uint32) string
-	// HostNames and RequestLabels name all that the decisions may speak of.
+	// HostNames and RequestLabels return the names of all hosts and requests that the state may refer to.
 	HostNames() iter.Seq2[uint32, string]
 	RequestLabels() iter.Seq2[uint32, Label]
 }
 
-// Stats tell what a recorder has done.
+// Stats are counters of a recorder.
 type Stats struct {
 	Lines                     uint64 `json:"lines"`
-	LinesLost                 uint64 `json:"lost"`          // lines without room
-	Segments                  int    `json:"segments"`      // begun
-	SegmentsWithoutState      uint64 `json:"no_checkpoint"` // segments whose checkpoint would have filled half of them
+	LinesLost                 uint64 `json:"lost"`          // without room in their segment
+	Segments                  int    `json:"segments"`      // started
+	SegmentsWithoutState      uint64 `json:"no_checkpoint"` // whose head would have filled more than half of them
 	MaxCheckpointMicroseconds int64  `json:"checkpoint_max_us"`
 	Dumps                     uint64 `json:"dumps"`
 	DiskErrors                uint64 `json:"disk_errors"`
 	DiskLostBytes             uint64 `json:"disk_lost_bytes"`
 }
 
-// Recorder keeps the lines in a ring of segments. Its memory is taken at the start, and lines are appended without more.
-// It belongs to the event loop. A nil Recorder records nothing.
+// Recorder keeps the record in a ring of segments. All memory is allocated at the start; recording a line allocates none. It is used
+// by the goroutine of the event loop only. All methods that record, and WritesFiles, Flush, Close, Resume and Stats, do
+// nothing on a nil Recorder.
 type Recorder struct {
-	source   Source
-	settings []byte // of the decisions, as JSON
-	ring     [][]byte
-	size     int // of a segment
-	at       int // the present one
-	now      float64
-	room     []byte // the memory of a line
-	head     []byte // of a segment's head
-	state    []byte // of a checkpoint
-	cut      bool   // a line was lost; nothing more goes into this segment
-	stats    Stats
-	disk     *disk
-	flushed  int // bytes of the present segment that the disk's writer has been given
-}
-
-// lostRoom is kept in each segment for the line that ends it early.
-const lostRoom = 64
-
-// New returns a recorder of decisions that have not been told anything yet.
-func New(s Settings, under policy.Settings, seed uint64, now float64, source Source, log *slog.Logger) (*Recorder, error) {
-	raw, err := json.Marshal(under)
+	source       Source
+	settingsJSON []byte // of policy
+
+	segments     [][]byte // the ring
+	segmentBytes int      // capacity of a segment
+	current      int      // index of the segment that is written
+	isCut        bool     // the current segment has lost a line and takes no more
+
+	now              float64 // time of the last input
+	lineBuffer       []byte
+	headBuffer       []byte
+	checkpointBuffer []byte
+
+	stats        Stats
+	files        *fileWriter // nil without files
+	flushedBytes int         // of the current segment, given to files
+}
+
+// New returns a recorder for a policy.Balancer that policy.New has returned for the settings and the seed.
+func New(s Settings, policySettings policy.Settings, seed uint64, now float64, source Source, log *slog.Logger) (*Recorder, error) {
+	settingsJSON, err := json.Marshal(policySettings)
 	if err != nil {
 		return nil, fmt.Errorf("capture: settings: %w", err)
 	}
-	c := &Recorder{source: source, settings: raw, size: s.MaxBytes / s.Segments, now: now}
+	segmentBytes := s.MaxBytes / s.Segments
+	c := &Recorder{
+		source:           source,
+		settingsJSON:     settingsJSON,
+		segmentBytes:     segmentBytes,
+		now:              now,
+		lineBuffer:       make([]byte, 0, segmentBytes/2),
+		headBuffer:       make([]byte, 0, segmentBytes/2),
+		checkpointBuffer: make([]byte, 0, base64.StdEncoding.DecodedLen(segmentBytes/2)),
+	}
 	if s.Dir != "" {
-		c.disk = newDisk(s, now, log)
+		c.files = newFileWriter(s, now, log)
 	}
 	for range s.Segments {
-		c.ring = append(c.ring, make([]byte, 0, c.size))
+		c.segments = append(c.segments, make([]byte, 0, segmentBytes))
 	}
-	c.room, c.head = make([]byte, 0, c.size/2), make([]byte, 0, c.size/2)
-	c.state = make([]byte, 0, base64.StdEncoding.DecodedLen(c.size/2))
-	text := append(strconv.AppendUint(append(c.begin(kindStart), `,"seed":"`...), seed, 16), `","settings":`...)
-	c.headed(append(append(text, raw...), "}\n"...), true)
+	text := strconv.AppendUint(append(c.startSegment(kindStart), `,"seed":"`...), seed, 16)
+	text = append(append(text, `","settings":`...), settingsJSON...)
+	c.writeSegmentHead(append(text, "}\n"...), true)
 	return c, nil
 }
 
-// begin clears the present segment and returns the begin of its head.
-func (c *Recorder) begin(kind string) []byte {
+// startSegment clears the current segment and returns the beginning of its head.
+func (c *Recorder) startSegment(kind lineKind) []byte {
 	c.stats.Segments++
-	c.ring[c.at], c.cut, c.flushed = c.ring[c.at][:0], false, 0
-	return c.heading(kind)
+	c.segments[c.current] = c.segments[c.current][:0]
+	c.isCut = false
+	c.flushedBytes = 0
+	return c.segmentHead(kind)
 }
 
-func (c *Recorder) heading(kind string) []byte {
-	return appendInt(append(appendInput(c.head[:0], c.now, kind), `,"segment":`...), int64(c.stats.Segments))
+// segmentHead returns the beginning of the current segment's head.
+func (c *Recorder) segmentHead(kind lineKind) []byte {
+	return appendInt(append(appendInput(c.headBuffer[:0], c.now, kind), `,"segment":`...), int64(c.stats.Segments))
 }
 
-// headed writes the head of the present segment. One that is not whole, or would fill half of it, is left out.
-func (c *Recorder) headed(text []byte, whole bool) {
-	if !whole || len(text) > c.size/2 {
-		text = append(c.heading(kindNoState), "}\n"...)
+// writeSegmentHead writes the head of the current segment. One that is not complete, or fills more than half of the segment, is
+// replaced by one without state.
+func (c *Recorder) writeSegmentHead(text []byte, isComplete bool) {
+	if !isComplete || len(text) > c.segmentBytes/2 {
+		text = append(c.segmentHead(kindNoState), "}\n"...)
 		c.stats.SegmentsWithoutState++
 	}
-	c.ring[c.at] = append(c.ring[c.at], text...)
+	c.segments[c.current] = append(c.segments[c.current], text...)
 	c.stats.Lines++
 }
 
-// roll drops the oldest segment and begins a new one in its place, with the state of the decisions as they are before
-// the event at hand. Danger: without it nothing that follows could be replayed once the start is dropped.
-func (c *Recorder) roll() {
-	began := time.Now()
+// rotate replaces the oldest segment by a new one, which starts with a checkpoint of the state before the next input. Danger:
+// without the checkpoint no later line could be replayed once the segment with the start is dropped.
+func (c *Recorder) rotate() {
+	startedAt := time.Now()
 	c.Flush()
-	c.at = (c.at + 1) % len(c.ring)
-	state, whole := c.source.Checkpoint(c.state[:0], cap(c.state))
-	text := append(append(c.begin(kindState), `,"settings":`...), c.settings...)
-	text = base64.StdEncoding.AppendEncode(append(c.appendNames(text), `,"state":"`...), state)
-	c.headed(append(text, "\"}\n"...), whole)
-	c.stats.MaxCheckpointMicroseconds = max(c.stats.MaxCheckpointMicroseconds, time.Since(began).Microseconds())
+	c.current = (c.current + 1) % len(c.segments)
+	state, isComplete := c.source.Checkpoint(c.checkpointBuffer[:0], cap(c.checkpointBuffer))
+	text := append(append(c.startSegment(kindState), `,"settings":`...), c.settingsJSON...)
+	text = append(c.appendNames(text), `,"state":"`...)
+	text = base64.StdEncoding.AppendEncode(text, state)
+	c.writeSegmentHead(append(text, "\"}\n"...), isComplete)
+	c.stats.MaxCheckpointMicroseconds = max(c.stats.MaxCheckpointMicroseconds, time.Since(startedAt).Microseconds())
 }
 
-// Resume notes that the decisions go on from a state of another process: what was recorded so far does not lead there.
+// Resume starts a new segment since policy goes on from the state of another process, to which the record so far does not lead.
 func (c *Recorder) Resume() {
 	if c != nil {
-		c.roll()
+		c.rotate()
 	}
 }
 
-// appendNames writes what the decisions' numbers are called outside.
+// appendNames appends the names of the hosts and requests that the state refers to.
 func (c *Recorder) appendNames(dst []byte) []byte {
 	dst = append(dst, `,"names":[`...)
-	comma := false
-	next := func() {
-		if comma {
+	isFirst := true
+	separate := func() {
+		if !isFirst {
 			dst = append(dst, ',')
 		}
-		comma = true
+		isFirst = false
 	}
 	for id, name := range c.source.HostNames() {
-		next()
+		separate()
 		dst = appendInt(append(dst, `{"host":`...), int64(id))
-		dst = append(appendString(append(dst, `,"to":`...), label(name)), '}')
+		dst = append(appendString(append(dst, `,"to":`...), truncateLabel(name)), '}')
 	}
 	dst = append(dst, `],"open":[`...)
-	comma = false
+	isFirst = true
 	for id, l := range c.source.RequestLabels() {
-		next()
+		separate()
 		dst = appendInt(append(dst, `{"req":`...), int64(id))
-		dst = appendString(append(dst, `,"id":`...), label(l.ID))
-		dst = append(appendString(append(dst, `,"class":`...), label(l.Class)), '}')
+		dst = append(appendLabel(dst, l), '}')
 	}
 	return append(dst, ']')
 }
 
-// input takes the line of an event that the decisions are told next. A segment must have room for what follows from
-// it; where it may not, a new one begins first.
-func (c *Recorder) input(text []byte) {
+// inputLine returns the beginning of an input's line, in lineBuffer.
+func (c *Recorder) inputLine(now float64, kind lineKind) []byte {
+	c.now = now
+	return appendInput(c.lineBuffer[:0], now, kind)
+}
+
+// writeInput completes and writes the line of an input. An eighth of the segment is kept free for the decisions that follow; where
+// it is not, a new segment starts first.
+func (c *Recorder) writeInput(text []byte) {
 	text = append(text, "}\n"...)
-	if c.disk != nil && len(c.ring[c.at])-c.flushed >= chunkBytes {
+	if c.files != nil && len(c.segments[c.current])-c.flushedBytes >= chunkBytes {
 		c.Flush()
 	}
-	if c.cut || len(c.ring[c.at])+len(text)+c.size/8 > c.size {
-		c.roll()
+	if c.isCut || len(c.segments[c.current])+len(text)+c.segmentBytes/8 > c.segmentBytes {
+		c.rotate()
 	}
-	c.put(text)
+	c.writeLine(text)
 }
 
-// put appends a line, or marks the segment as cut off here. The decisions go on from a state that only the next
-// checkpoint tells.
-func (c *Recorder) put(text []byte) {
-	seg := c.ring[c.at]
+// writeLine appends a line to the current segment, or cuts the segment off here if there is no room: what follows can't be replayed
+// before the next checkpoint.
+func (c *Recorder) writeLine(text []byte) {
+	segment := c.segments[c.current]
 	switch {
-	case c.cut:
+	case c.isCut:
 		c.stats.LinesLost++
-	case len(seg)+len(text)+lostRoom > c.size:
-		c.ring[c.at] = append(appendHead(seg, c.now, kindLost), "}\n"...)
-		c.cut = true
+	case len(segment)+len(text)+lostLineBytes > c.segmentBytes:
+		c.segments[c.current] = append(appendHead(segment, c.now, kindLost), "}\n"...)
+		c.isCut = true
 		c.stats.LinesLost++
 	default:
-		c.ring[c.at] = append(seg, text...)
+		c.segments[c.current] = append(segment, text...)
 		c.stats.Lines++
 	}
 }
 
-// begun begins the line of an input at the exact time that the decisions are told.
-func (c *Recorder) begun(now float64, kind string) []byte {
-	c.now = now
-	return appendInput(c.room[:0], now, kind)
-}
-
-// Dump returns a copy of all segments, the oldest first.
+// Dump returns a copy of all segments, the oldest first. The recorder must not be nil.
 func (c *Recorder) Dump(now float64) []byte {
 	c.stats.Dumps++
-	all := 2 * lostRoom
-	for _, seg := range c.ring {
-		all += len(seg)
+	size := 2 * lostLineBytes
+	for _, segment := range c.segments {
+		size += len(segment)
 	}
-	dst := append(appendHead(make([]byte, 0, all), now, kindDump), "}\n"...)
-	for i := range c.ring {
-		dst = append(dst, c.ring[(c.at+1+i)%len(c.ring)]...)
+	dst := append(appendHead(make([]byte, 0, size), now, kindDump), "}\n"...)
+	for i := range c.segments {
+		dst = append(dst, c.segments[(c.current+1+i)%len(c.segments)]...)
 	}
 	return append(appendHead(dst, now, kindEnd), "}\n"...)
 }
 
-// ToDisk tells whether segments are written to files.
-func (c *Recorder) WritesFiles() bool { return c != nil && c.disk != nil }
+// WritesFiles returns whether segments are written to files.
+func (c *Recorder) WritesFiles() bool { return c != nil && c.files != nil }
 
-// Flush hands what is new to the disk's writer, if there is one. It is called between events: a file then ends with a
-// whole one.
+// Flush gives new lines to the writer of files, if there is one. It is called between events, so that a file ends with a complete
+// one, and returns at once.
 func (c *Recorder) Flush() {
 	if !c.WritesFiles() {
 		return
 	}
-	seg := c.ring[c.at]
-	c.disk.write(c.stats.Segments, seg[c.flushed:])
-	c.flushed = len(seg)
+	segment := c.segments[c.current]
+	c.files.write(c.stats.Segments, segment[c.flushedBytes:])
+	c.flushedBytes = len(segment)
 }
 
-// Close hands on the rest and waits until it is written, or for as long as a disk may take.
+// Close flushes and waits until the files are written, for closeTimeout at most. Nothing may be recorded after it.
 func (c *Recorder) Close() {
 	if c.WritesFiles() {
 		c.Flush()
-		c.disk.close()
+		c.files.close()
 	}
 }
 
-// Stats returns what has been done so far; nil where nothing is recorded.
+// Stats returns a copy of the counters, nil for a nil Recorder.
 func (c *Recorder) Stats() *Stats {
 	if c == nil {
 		return nil
 	}
 	s := c.stats
-	if c.disk != nil {
-		s.DiskErrors, s.DiskLostBytes = c.disk.errors.Load(), c.disk.lost
+	if c.files != nil {
+		s.DiskErrors = c.files.errors.Load()
+		s.DiskLostBytes = c.files.lostBytes
 	}
 	return &s
 }
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -12,217 +12,239 @@
 	"hazelwheel/policy"
 )
 
-// ErrNothing is the fault of a file of which nothing can be replayed.
+// ErrNothingToReplay is returned for a text without an event that can be replayed.
 var ErrNothingToReplay = errors.New("capture: nothing to replay")
 
-// Tally counts what a replay has met.
+// Summary counts what a replay has found.
 type Summary struct {
-	Lines     int // whole ones
+	Lines     int // complete lines
 	Segments  int
-	Events    int // replayed
+	Events    int // inputs that were replayed
 	Compared  int // decisions
-	Different int
-	Truncated int // lines that were cut, or that nobody knows
-	Skipped   int // lines that were not compared, since the state before them is not known
+	Different int // decisions that differ
+	Truncated int // lines that were torn or of an unknown kind
+	Skipped   int // lines that were not compared as the state before them is not known
 }
 
-func (t Summary) String() string {
+// String returns the summary as the command prints it.
+func (s Summary) String() string {
 	return fmt.Sprintf("%d lines in %d segments: %d events replayed, %d decisions compared, %d differ; "+
-		"%d lines truncated, %d lines not compared", t.Lines, t.Segments, t.Events, t.Compared, t.Different, t.Truncated, t.Skipped)
+		"%d lines truncated, %d lines not compared", s.Lines, s.Segments, s.Events, s.Compared, s.Different, s.Truncated, s.Skipped)
 }
 
-// Replay feeds the inputs in a record through the decisions, and prints each decision that differs from what was
-// recorded. What is no line of a record is passed over: dumps stand among the lines of a log.
+// Replay replays the inputs of a record and prints each decision that differs from the recorded one to out. Text that is no line of
+// a record is ignored: a dump may be part of a log. An error is that of reading, or ErrNothingToReplay.
 func Replay(in io.Reader, out io.Writer) (Summary, error) {
 	r := &replayer{out: out}
 	lines := bufio.NewReader(in)
 	for {
 		text, err := lines.ReadString('\n')
-		if r.number++; text != "" {
-			r.read(strings.TrimSpace(text))
+		r.lineNumber++
+		if text != "" {
+			r.readText(strings.TrimSpace(text))
 		}
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			return r.tally, err
+			return r.summary, err
 		}
 	}
-	r.finish(false)
-	if r.tally.Events == 0 {
-		return r.tally, ErrNothingToReplay
+	r.compareEvent(false)
+	if r.summary.Events == 0 {
+		return r.summary, ErrNothingToReplay
 	}
-	return r.tally, nil
+	return r.summary, nil
 }
 
+// replayer replays a record. It carries out the actions of its Balancer by collecting them.
 type replayer struct {
-	out     io.Writer
-	tally   Summary
-	number  int              // of the line
-	b       *policy.Balancer // nil while the state is not known
-	segment int
-	now     float64
-	event   int // the number of the last input's line
-	did     []Decision
-	said    []recorded
-	hosts   map[uint32]string
-	open    map[uint32]Label
+	out          io.Writer
+	summary      Summary
+	lineNumber   int
+	balancer     *policy.Balancer // nil while the state is not known
+	segment      int              // number of the last segment
+	now          float64          // time of the last input
+	eventLine    int              // line number of the last input
+	replayed     []Decision       // what followed from it
+	recorded     []recordedDecision
+	hostNames    map[uint32]string
+	openRequests map[uint32]Label
 }
 
-// read takes a line of the file, which may hold more than one of the record, or a piece.
-func (r *replayer) read(text string) {
-	start := strings.Index(text, lineStart)
+// readText reads a line of the text, which may hold more than one line of the record, or a fragment.
+func (r *replayer) readText(text string) {
+	start := strings.Index(text, linePrefix)
 	if start < 0 {
-		if torn(text) {
-			r.torn(text)
+		if isFragment(text) {
+			r.skipFragment(text)
 		}
 		return
 	}
-	if torn(text[:start]) {
-		r.torn(text[:start])
+	if isFragment(text[:start]) {
+		r.skipFragment(text[:start])
 	}
 	text = text[start:]
 	var l line
-	if json.Unmarshal([]byte(text), &l) == nil && r.take(&l, text) {
-		r.tally.Lines++
+	if json.Unmarshal([]byte(text), &l) == nil && r.handleLine(&l, text) {
+		r.summary.Lines++
 		return
 	}
-	if next := strings.Index(text[1:], lineStart); next >= 0 {
-		r.torn(text[:1+next])
-		r.read(text[1+next:])
+	if next := strings.Index(text[1:], linePrefix); next >= 0 {
+		r.skipFragment(text[:1+next])
+		r.readText(text[1+next:])
 		return
 	}
-	r.torn(text)
+	r.skipFragment(text)
 }
 
-// torn passes over a piece of a line. Danger: one that may have been an input leaves the state behind it unknown; the
-// decisions from there on would differ for that alone.
-func (r *replayer) torn(text string) {
-	r.tally.Truncated++
-	if strings.Contains(text, `"k":"`+kindDecision+`"`) || strings.Contains(text, `"do":"`) {
-		if r.b != nil {
-			r.said = append(r.said, recorded{torn: true})
+// isFragment returns whether a text that does not begin like a line is a fragment of one and not of the log around it: it is no log
+// line with a level, and ends with no complete JSON object, whatever a log collector has put before that.
+func isFragment(text string) bool {
+	if text != "" && strings.HasPrefix(linePrefix, text) {
+		return true
+	}
+	i := strings.IndexByte(text, '{')
+	hasObject := i >= 0 && json.Valid([]byte(text[i:]))
+	return strings.Contains(text, `":`) && !strings.Contains(text, "level=") && !hasObject
+}
+
+// skipFragment skips a fragment of a line. Danger: if it may be one of an input, the state after it is unknown, and later decisions
+// would differ for that reason alone; so nothing is compared until the next checkpoint.
+func (r *replayer) skipFragment(text string) {
+	r.summary.Truncated++
+	isDecision := strings.Contains(text, `"k":"`+string(kindDecision)+`"`) || strings.Contains(text, `"do":"`)
+	if isDecision {
+		if r.balancer != nil {
+			r.recorded = append(r.recorded, recordedDecision{isFragment: true})
 		}
 		return
 	}
-	r.finish(false)
-	r.b = nil
+	r.compareEvent(false)
+	r.balancer = nil
 }
 
-// take takes a whole line; it returns false for one of a kind that nobody knows.
-func (r *replayer) take(l *line, text string) bool {
+// handleLine handles a complete line. It returns false for an unknown kind.
+func (r *replayer) handleLine(l *line, text string) bool {
 	switch l.Kind {
-	case kindDump: // what stands before it may have been cut
-		r.finish(false)
-		r.b, r.segment = nil, 0
+	case kindDump: // the text before it may have been cut
+		r.compareEvent(false)
+		r.balancer = nil
+		r.segment = 0
 	case kindEnd:
-		r.finish(true)
-		r.b = nil
+		r.compareEvent(true)
+		r.balancer = nil
 	case kindStart, kindState, kindNoState:
-		r.finish(true)
-		r.tally.Segments++
-		r.head(l)
+		r.compareEvent(true)
+		r.summary.Segments++
+		r.startSegment(l)
 	case kindLost:
-		r.finish(false)
-		r.b = nil
+		r.compareEvent(false)
+		r.balancer = nil
 	case kindDecision:
-		if r.b == nil {
-			r.tally.Skipped++
+		r.addRecorded(l, text)
+	case kindHosts, kindRequest, kindOutcome, kindProbe, kindWake, kindAbandoned, kindStall, kindReplica:
+		r.compareEvent(true)
+		if r.balancer == nil {
+			r.summary.Skipped++
 			break
 		}
-		d := l.Decision
-		d.AfterSeconds = float64(l.After)
-		r.said = append(r.said, recorded{Decision: d, number: r.number, text: text})
-	case kindHosts, kindRequest, kindOutcome, kindProbe, kindWake, kindGone, kindStalled, kindPlace:
-		r.finish(true)
-		if r.b == nil {
-			r.tally.Skipped++
-			break
-		}
-		r.tally.Events++
-		r.event, r.now = r.number, float64(l.At)
-		r.feed(l)
+		r.summary.Events++
+		r.eventLine = r.lineNumber
+		r.now = float64(l.At)
+		r.replayInput(l)
 	default:
 		return false
 	}
 	return true
 }
 
-// head takes the state that a segment begins with. One that has none goes on from the segment before it.
-func (r *replayer) head(l *line) {
+// addRecorded adds a recorded decision to those of the last input.
+func (r *replayer) addRecorded(l *line, text string) {
+	if r.balancer == nil {
+		r.summary.Skipped++
+		return
+	}
+	d := l.Decision
+	d.AfterSeconds = float64(l.AfterSeconds)
+	r.recorded = append(r.recorded, recordedDecision{Decision: d, lineNumber: r.lineNumber, text: text})
+}
+
+// startSegment takes the state from the head of a segment. A segment without state goes on from the one before it, if that is known.
+func (r *replayer) startSegment(l *line) {
 	follows := l.Segment == r.segment+1
 	r.segment = l.Segment
 	if l.Kind == kindNoState {
 		if !follows {
-			r.b = nil
+			r.balancer = nil
 		}
 		return
 	}
-	r.b, r.hosts, r.open = nil, map[uint32]string{}, map[uint32]Label{}
-	for _, h := range l.Hosts {
-		r.hosts[h.Host] = h.Name
+	r.hostNames = map[uint32]string{}
+	r.openRequests = map[uint32]Label{}
+	for _, h := range l.HostNames {
+		r.hostNames[h.Host] = h.Name
 	}
-	for _, q := range l.Requests {
-		r.open[q.Request] = Label{q.ID, q.Class}
+	for _, q := range l.OpenRequests {
+		r.openRequests[q.Request] = Label{q.ID, q.Class}
 	}
 	var err error
-	switch {
-	case l.Settings == nil:
-		err = errors.New("no settings")
-	case l.Kind == kindStart:
-		var seed uint64
-		if seed, err = strconv.ParseUint(l.Seed, 16, 64); err == nil {
-			r.b = policy.New(*l.Settings, seed, r)
-		}
-	default:
-		r.b, err = policy.Restore(*l.Settings, l.State, r)
+	r.balancer, err = r.newBalancer(l)
+	if err != nil {
+		r.balancer = nil
+		r.printf("line %d: the segment can't be replayed: %v\n", r.lineNumber, err)
+	}
+}
+
+// newBalancer returns a Balancer with the state of a segment's head.
+func (r *replayer) newBalancer(l *line) (*policy.Balancer, error) {
+	if l.Settings == nil {
+		return nil, errors.New("no settings")
+	}
+	if l.Kind == kindState {
+		return policy.Restore(*l.Settings, l.State, r)
 	}
+	seed, err := strconv.ParseUint(l.Seed, 16, 64)
 	if err != nil {
-		r.b = nil
-		fmt.Fprintf(r.out, "line %d: the segment can't be replayed: %v\n", r.number, err)
+		return nil, err
 	}
+	return policy.New(*l.Settings, seed, r), nil
 }
 
-// feed hands an input to the decisions. A panic there ended the event for the sidecar, too.
-func (r *replayer) feed(l *line) {
+// replayInput gives an input to policy. A panic is reported and ends the event, as it does in the sidecar.
+func (r *replayer) replayInput(l *line) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			fmt.Fprintf(r.out, "line %d: the decisions panic: %v\n", r.number, cause)
+			r.printf("line %d: the decisions panic: %v\n", r.lineNumber, cause)
 		}
 	}()
 	switch l.Kind {
 	case kindHosts:
 		var list []policy.HostInfo
-		for i := range l.Members {
-			list = append(list, l.Members[i].info())
-			r.hosts[l.Members[i].ID] = l.Members[i].Name
+		for i := range l.Hosts {
+			list = append(list, l.Hosts[i].info())
+			r.hostNames[l.Hosts[i].ID] = l.Hosts[i].Name
 		}
-		r.b.UpdateHosts(r.now, policy.ListKind(l.List), list)
+		r.balancer.UpdateHosts(r.now, policy.ListKind(l.ListKind), list)
 	case kindRequest:
-		r.open[l.Request] = Label{l.ID, l.Class}
-		r.b.StartRequest(r.now, l.request())
+		r.openRequests[l.Request] = Label{l.ID, l.Class}
+		r.balancer.StartRequest(r.now, l.request())
 	case kindOutcome:
-		r.b.AttemptDone(r.now, l.result())
+		r.balancer.AttemptDone(r.now, l.result())
 	case kindProbe:
-		r.b.ProbeDone(r.now, l.result())
+		r.balancer.ProbeDone(r.now, l.result())
 	case kindWake:
-		r.b.Wake(r.now)
-	case kindGone:
-		r.b.Abandoned(r.now, l.Request)
-	case kindPlace:
-		r.b.SetReplica(r.now, l.Rank, l.Count)
-	case kindStalled:
-		r.b.ObserveStall(r.now, float64(l.Late))
+		r.balancer.Wake(r.now)
+	case kindAbandoned:
+		r.balancer.Abandoned(r.now, l.Request)
+	case kindReplica:
+		r.balancer.SetReplica(r.now, l.ReplicaIndex, l.Replicas)
+	case kindStall:
+		r.balancer.ObserveStall(r.now, float64(l.LateSeconds))
 	}
 }
 
-// torn tells whether a text that does not begin like a line is a piece of one, and not of the log round it: no line
-// with a level, and no whole object, whatever a collector of logs has put before it.
-func torn(text string) bool {
-	if text != "" && strings.HasPrefix(lineStart, text) {
-		return true
-	}
-	i := strings.IndexByte(text, '{')
-	whole := i >= 0 && json.Valid([]byte(text[i:]))
-	return strings.Contains(text, `":`) && !strings.Contains(text, "level=") && !whole
+// printf prints to out.
+func (r *replayer) printf(format string, args ...any) {
+	_, _ = fmt.Fprintf(r.out, format, args...) // the terminal or a buffer; the summary has the result without it
 }
--- a/internal/capture/replayactions.go
+++ b/internal/capture/replayactions.go
@@ -5,39 +5,44 @@
 // The replayer takes the actions of the decisions.
 var _ policy.Actions = (*replayer)(nil)
 
-func (r *replayer) note(d Decision) {
-	if l, ok := r.open[d.Request]; ok && d.Request != 0 {
+// addReplayed adds an action to those of the input that is being replayed, with the names that the recorder would have written.
+func (r *replayer) addReplayed(d Decision) {
+	if l, ok := r.openRequests[d.Request]; ok && d.Request != 0 {
 		d.ID, d.Class = l.ID, l.Class
 	}
 	if d.Host != 0 {
-		d.HostName = r.hosts[d.Host]
+		d.HostName = r.hostNames[d.Host]
 	}
-	d.Text = label(d.Text)
-	r.did = append(r.did, d)
+	d.Text = truncateLabel(d.Text)
+	r.replayed = append(r.replayed, d)
 }
 
 func (r *replayer) Send(request, host uint32) {
-	r.note(Decision{Action: ActionSend, Request: request, Host: host})
+	r.addReplayed(Decision{Action: ActionSend, Request: request, Host: host})
 }
 
 func (r *replayer) Cancel(request uint32, attempt int) {
-	r.note(Decision{Action: ActionCancel, Request: request, Attempt: attempt})
+	r.addReplayed(Decision{Action: ActionCancel, Request: request, Attempt: attempt})
 }
 
-func (r *replayer) Probe(host uint32) { r.note(Decision{Action: ActionProbe, Host: host}) }
+func (r *replayer) Probe(host uint32) { r.addReplayed(Decision{Action: ActionProbe, Host: host}) }
 
-func (r *replayer) CloseIdle(host uint32) { r.note(Decision{Action: ActionCloseIdle, Host: host}) }
+func (r *replayer) CloseIdle(host uint32) {
+	r.addReplayed(Decision{Action: ActionCloseIdle, Host: host})
+}
 
 func (r *replayer) Refuse(request uint32, after float64) {
-	r.note(Decision{Action: ActionRefuse, Request: request, AfterSeconds: after})
+	r.addReplayed(Decision{Action: ActionRefuse, Request: request, AfterSeconds: after})
 }
 
-func (r *replayer) Fail(request uint32) { r.note(Decision{Action: ActionFail, Request: request}) }
+func (r *replayer) Fail(request uint32) {
+	r.addReplayed(Decision{Action: ActionFail, Request: request})
+}
 
 func (r *replayer) WakeAfter(seconds float64) {
-	r.note(Decision{Action: ActionWake, AfterSeconds: seconds})
+	r.addReplayed(Decision{Action: ActionWake, AfterSeconds: seconds})
 }
 
-func (r *replayer) Watch() { r.note(Decision{Action: ActionWatch}) }
+func (r *replayer) Watch() { r.addReplayed(Decision{Action: ActionWatch}) }
 
-func (r *replayer) Log(text string) { r.note(Decision{Action: ActionLog, Text: text}) }
+func (r *replayer) Log(text string) { r.addReplayed(Decision{Action: ActionLog, Text: text}) }
--- a/internal/capture/stored_form_test.go
+++ b/internal/capture/stored_form_test.go
@@ -20,24 +20,24 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// ordered names open requests in the order of their numbers, so that a checkpoint's line is the same each time.
-type ordered struct{ *rig }
+// orderedLabels returns open requests in order of their IDs, so that the line of a checkpoint is the same each time.
+type orderedLabels struct{ *recordedBalancer }
 
-func (o ordered) RequestLabels() iter.Seq2[uint32, Label] {
+func (o orderedLabels) RequestLabels() iter.Seq2[uint32, Label] {
 	return func(yield func(uint32, Label) bool) {
-		for _, id := range slices.Sorted(maps.Keys(o.open)) {
-			if !yield(id, o.open[id]) {
+		for _, id := range slices.Sorted(maps.Keys(o.openRequests)) {
+			if !yield(id, o.openRequests[id]) {
 				return
 			}
 		}
 	}
 }
 
-// TestRecordFormIsKept records the same events as released versions do, to the byte, and replays what one has recorded: the start with
-// the settings, every kind of input and decision, and segments that begin with a checkpoint.
+// TestRecordFormIsKept records the same events as released versions do, to the byte, and replays what one has recorded: the
+// start with the settings, every kind of input and decision, and segments that start with a checkpoint.
 func TestRecordFormIsKept(t *testing.T) {
-	r := newRig(t, Settings{Enabled: true, MaxBytes: 128 << 10, Segments: 2}, 5)
-	r.Recorder.source = ordered{r}
+	r := newRecordedBalancer(t, Settings{Enabled: true, MaxBytes: 128 << 10, Segments: 2}, 5)
+	r.Recorder.source = orderedLabels{r}
 	r.run(60)
 	r.Recorder.RecordStall(r.now, 0.75)
 	r.Balancer.ObserveStall(r.now, 0.75)
@@ -55,23 +55,23 @@
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
 	require.True(t, bytes.Equal(want, got), "the same events are recorded by other lines")
-	for _, kind := range []string{kindDump, kindEnd, kindStart, kindState, kindHosts, kindRequest, kindOutcome, kindProbe, kindWake, kindStalled, kindPlace, kindDecision} {
-		assert.True(t, bytes.Contains(want, []byte(`"k":"`+kind+`"`)), kind)
+	for _, kind := range []lineKind{kindDump, kindEnd, kindStart, kindState, kindHosts, kindRequest, kindOutcome, kindProbe, kindWake, kindStall, kindReplica, kindDecision} {
+		assert.True(t, bytes.Contains(want, []byte(`"k":"`+string(kind)+`"`)), kind)
 	}
-	tally, out := replayed(t, string(want))
+	tally, out := mustReplay(t, string(want))
 	assert.Zero(t, tally.Different+tally.Skipped+tally.Truncated, out)
 	assert.Equal(t, 2, tally.Segments)
 	assert.Greater(t, tally.Compared, 50)
 }
 
-// TestLineFormIsKept writes one line of each input and decision, all fields set.
+// TestLineFormIsKept writes one line of each input and decision with all fields set.
 func TestLineFormIsKept(t *testing.T) {
-	r := newRig(t, small, 2)
+	r := newRecordedBalancer(t, smallSettings, 2)
 	r.now += 0.0625
 	l := Label{"9b1f03aa5c7e2d41", "raise-alert"}
-	from := len(r.ring[r.at])
+	from := len(r.segments[r.current])
 	writeEachKind(r, l)
-	got := string(r.ring[r.at][from:])
+	got := string(r.segments[r.current][from:])
 	path := filepath.Join("testdata", "lines.jsonl")
 	if *update {
 		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
@@ -81,7 +81,7 @@
 	assert.Equal(t, strings.Split(string(want), "\n"), strings.Split(got, "\n"))
 }
 
-func writeEachKind(r *rig, l Label) {
+func writeEachKind(r *recordedBalancer, l Label) {
 	c := r.Recorder
 	c.RecordHosts(r.now, policy.ListCached, []policy.HostInfo{{ID: 1, Zone: 2, Kind: 3, Cell: 4, State: policy.Draining, Size: 0.5, Started: 1.6e9}})
 	c.RecordRequest(r.now, policy.Request{ID: 5, Class: 1, Tenant: 2, Key: 1 << 63, Deadline: r.now + 1, WorkSeconds: 0.25, HasWork: true, Repeat: true, HeldBackSeconds: 0.125}, l)
@@ -93,7 +93,7 @@
 	c.RecordStall(r.now, 0.75)
 	c.RecordReplica(r.now, 1, 3)
 	c.RecordAbandoned(r.now, 5, l)
-	for _, do := range []string{ActionSend, ActionCancel, ActionProbe, ActionCloseIdle, ActionRefuse, ActionFail, ActionWake, ActionWatch, ActionLog} {
+	for _, do := range []Action{ActionSend, ActionCancel, ActionProbe, ActionCloseIdle, ActionRefuse, ActionFail, ActionWake, ActionWatch, ActionLog} {
 		c.RecordDecision(Decision{ID: l.ID, Class: l.Class, HostName: "s-00000001", Action: do, Request: 5, Host: 1, Attempt: 1, AfterSeconds: 1e-7, Text: "text \"\\\n\xff"})
 	}
 }
