--- a/internal/checker/box.go
+++ b/internal/checker/box.go
@@ -3,210 +3,210 @@
 import "math"
 
 // seeBox takes what boxes tell.
-func (j *Checker) seeBox(e *Event) {
-	s := j.station(e.Server)
+func (c *Checker) observeServer(e *Event) {
+	server := c.server(e.Server)
 	switch e.Kind {
 	case ServerStarted:
-		s.life++
-		s.ends = append(s.ends, math.Inf(1))
-		s.zone, s.cell, s.address, s.since, s.work = e.Zone, e.Cell, e.Address, e.ServingSince, s.work[:0]
+		server.incarnation++
+		server.incarnationEnds = append(server.incarnationEnds, math.Inf(1))
+		server.zone, server.cell, server.address, server.servingSince, server.recentWork = e.Zone, e.Cell, e.Address, e.ServingSince, server.recentWork[:0]
 	case ServerStopped:
-		if len(s.ends) > 0 {
-			s.ends[len(s.ends)-1] = e.At
+		if len(server.incarnationEnds) > 0 {
+			server.incarnationEnds[len(server.incarnationEnds)-1] = e.At
 		}
 	case ServerOverloaded:
-		j.fell(s, e)
+		c.checkColdOverload(server, e)
 	case ConnectionOpened:
-		j.prices.Connections++
-		j.burden(s, e)
+		c.costs.Connections++
+		c.recordColdWork(server, e)
 	case ConnectionClosed:
-		if l := j.links[e.Connection]; l != nil {
-			a := &l.try.attempts[l.index]
-			a.closedAt, a.exact = e.Sent, e.Sent < e.At
-			delete(j.links, e.Connection)
+		if connection := c.connections[e.Connection]; connection != nil {
+			attempt := &connection.request.attempts[connection.attemptIndex]
+			attempt.closedAt, attempt.isClosedAtExact = e.Sent, e.Sent < e.At
+			delete(c.connections, e.Connection)
 		}
 	case HealthCheckReceived:
-		j.prices.HealthChecks++
-		j.burden(s, e)
+		c.costs.HealthChecks++
+		c.recordColdWork(server, e)
 	case AttemptReceived:
-		j.burden(s, e)
-		j.execution(s, e)
+		c.recordColdWork(server, e)
+		c.attemptReceived(server, e)
 	case ResponseSent:
-		if l := j.links[e.Connection]; l != nil && l.try.id == e.Request {
-			a := &l.try.attempts[l.index]
-			a.repliedAt, a.status, a.digest, a.notStarted, a.spoilt = e.At, e.Status, e.Digest, e.NotStarted, e.Malformed
+		if connection := c.connections[e.Connection]; connection != nil && connection.request.id == e.Request {
+			attempt := &connection.request.attempts[connection.attemptIndex]
+			attempt.repliedAt, attempt.status, attempt.digest, attempt.notStarted, attempt.malformed = e.At, e.Status, e.Digest, e.NotStarted, e.Malformed
 		}
 	}
 }
 
 // execution checks a request that has come whole to a box.
-func (j *Checker) execution(s *station, e *Event) {
-	r, p := j.tries[e.Request], j.party(e.Sidecar)
-	j.prices.Attempts++
-	if int(e.Sidecar) < len(j.rules.SidecarZones) && e.Sidecar >= 0 && j.rules.SidecarZones[e.Sidecar] != s.zone {
-		j.prices.CrossZoneAttempts++
-	}
-	if r == nil || p == nil {
-		j.addViolation(NoInvention, e.Sidecar, e.Server, e.Request, nil, "an execution of a request that no client has sent")
+func (c *Checker) attemptReceived(server *serverState, e *Event) {
+	request, sidecar := c.requests[e.Request], c.sidecar(e.Sidecar)
+	c.costs.Attempts++
+	if int(e.Sidecar) < len(c.rules.SidecarZones) && e.Sidecar >= 0 && c.rules.SidecarZones[e.Sidecar] != server.zone {
+		c.costs.CrossZoneAttempts++
+	}
+	if request == nil || sidecar == nil {
+		c.addViolation(NoInvention, e.Sidecar, e.Server, e.Request, nil, "an execution of a request that no client has sent")
 		return
 	}
-	if e.Sent <= p.killedAt || e.FirstSent < p.startedAt {
+	if e.Sent <= sidecar.killedAt || e.FirstSent < sidecar.startedAt {
 		return // the last words of a process that has been killed
 	}
-	j.checkDrain(s, p, e)
-	another := r.claimed && r.mayBeOver() // a hostile client has used its id since
-	if !another {
-		j.checkOpen(r, e)
+	c.checkDrain(server, sidecar, e)
+	isOtherRequest := request.isIDReused && request.mayBeAnswered() // a hostile client has used its id since
+	if !isOtherRequest {
+		c.checkRequestOpen(request, e)
 	}
-	a := attempt{box: e.Server, boxLife: s.life, life: p.life, link: e.Connection, firstSent: e.FirstSent, sent: e.Sent}
-	r.attempts = append(r.attempts, a)
-	j.links[e.Connection] = &linkState{r, len(r.attempts) - 1}
-	if another {
+	a := attempt{server: e.Server, serverIncarnation: server.incarnation, sidecarIncarnation: sidecar.incarnation, connection: e.Connection, firstByteSentAt: e.FirstSent, sentAt: e.Sent}
+	request.attempts = append(request.attempts, a)
+	c.connections[e.Connection] = &connectionState{request, len(request.attempts) - 1}
+	if isOtherRequest {
 		return
 	}
-	n := 0
-	for i := range r.attempts {
-		if r.attempts[i].life == p.life {
-			n++
+	count := 0
+	for i := range request.attempts {
+		if request.attempts[i].sidecarIncarnation == sidecar.incarnation {
+			count++
 		}
 	}
-	if j.rules.MaxAttempts > 0 && n > j.rules.MaxAttempts {
-		j.addViolation(NoRepeat, e.Sidecar, e.Server, e.Request, nil, "execution %d of at most %d", n, j.rules.MaxAttempts)
+	if c.rules.MaxAttempts > 0 && count > c.rules.MaxAttempts {
+		c.addViolation(NoRepeat, e.Sidecar, e.Server, e.Request, nil, "execution %d of at most %d", count, c.rules.MaxAttempts)
 	}
-	for i := range r.attempts[:len(r.attempts)-1] {
-		if r.attempts[i].life != p.life {
+	for i := range request.attempts[:len(request.attempts)-1] {
+		if request.attempts[i].sidecarIncarnation != sidecar.incarnation {
 			continue
 		}
-		first, second := i, len(r.attempts)-1
-		if r.attempts[first].sent > e.Sent {
+		first, second := i, len(request.attempts)-1
+		if request.attempts[first].sentAt > e.Sent {
 			first, second = second, first
 		}
-		j.checkRepeat(r, first, second)
-		j.checkCopies(r, first, second)
+		c.checkRepeat(request, first, second)
+		c.checkOverlap(request, first, second)
 	}
 }
 
 // checkOpen checks that an execution was sent while its request was open.
-func (j *Checker) checkOpen(r *record, e *Event) {
-	c := j.class(r.class)
-	switch r.fate {
+func (c *Checker) checkRequestOpen(request *request, e *Event) {
+	class := c.class(request.class)
+	switch request.outcome {
 	case served, failed:
-		if e.FirstSent > r.endedAt {
-			j.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "sent on %.6f s after its final answer", e.FirstSent-r.endedAt)
+		if e.FirstSent > request.endedAt {
+			c.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "sent on %.6f s after its final answer", e.FirstSent-request.endedAt)
 		}
-	case refused:
-		if c != nil && c.Effect != Safe && (c.Effect != Keyed || c.Group != GroupAll) || e.FirstSent > r.endedAt {
-			j.addViolation(NoRepeat, e.Sidecar, e.Server, e.Request, nil, "an execution of a request that was refused")
+	case rejected:
+		if class != nil && class.Effect != Safe && (class.Effect != Keyed || class.Group != GroupAll) || e.FirstSent > request.endedAt {
+			c.addViolation(NoRepeat, e.Sidecar, e.Server, e.Request, nil, "an execution of a request that was refused")
 		}
-	case unsent:
-		if e.FirstSent <= r.endedAt {
-			j.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "its connection was closed without an answer, though it had been sent on")
+	case closedUnsent:
+		if e.FirstSent <= request.endedAt {
+			c.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "its connection was closed without an answer, though it had been sent on")
 			return
 		}
 		fallthrough
-	case left, lost:
-		gone := r.endedAt
-		if p := j.party(r.sidecar); p.frozenAt > 0 && gone >= p.frozenAt && gone <= p.thawedAt {
-			gone = p.thawedAt + catchUpS // its end lies unread behind all that has come meanwhile
+	case abandoned, lost:
+		gone := request.endedAt
+		if sidecar := c.sidecar(request.sidecar); sidecar.suspendedAt > 0 && gone >= sidecar.suspendedAt && gone <= sidecar.resumedAt {
+			gone = sidecar.resumedAt + catchUpSeconds // its end lies unread behind all that has come meanwhile
 		}
 		// The contract allows 0.1 s beyond the slack; what has been read by then is dropped at once, so that the slack alone is enough.
 		switch late := e.FirstSent - gone; {
-		case late <= j.rules.SocketSlackSeconds:
-		case r.fate == left:
-			j.addViolation(ClientGone, e.Sidecar, e.Server, e.Request, nil, "attempt %d was sent %.6f s after its client had gone", len(r.attempts)+1, late)
+		case late <= c.rules.SocketSlackSeconds:
+		case request.outcome == abandoned:
+			c.addViolation(ClientGone, e.Sidecar, e.Server, e.Request, nil, "attempt %d was sent %.6f s after its client had gone", len(request.attempts)+1, late)
 		default:
-			j.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "sent on %.6f s after its connection was closed", late)
+			c.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "sent on %.6f s after its connection was closed", late)
 		}
 	}
 }
 
 // checkRepeat checks that the second of two attempts was the sidecar's right after the first.
-func (j *Checker) checkRepeat(r *record, first, second int) {
-	c := j.class(r.class)
-	a, b := &r.attempts[first], &r.attempts[second]
-	if c == nil || c.Effect == Safe || a.provenUnrun(b.sent) {
+func (c *Checker) checkRepeat(request *request, first, second int) {
+	class := c.class(request.class)
+	a, b := &request.attempts[first], &request.attempts[second]
+	if class == nil || class.Effect == Safe || a.isProvenNotRun(b.sentAt) {
 		return
 	}
-	if c.Effect == Unsafe {
-		j.addViolation(NoRepeat, r.sidecar, b.box, r.id, nil, "sent again at %.6f, though the execution sent at %.6f may have run", b.sent, a.sent)
+	if class.Effect == Unsafe {
+		c.addViolation(NoRepeat, request.sidecar, b.server, request.id, nil, "sent again at %.6f, though the execution sent at %.6f may have run", b.sentAt, a.sentAt)
 		return
 	}
-	x, y := j.station(a.box), j.station(b.box)
-	if c.Group == GroupZone && x.zone != y.zone || c.Group == GroupCell && x.cell != y.cell {
-		j.addViolation(NoRepeat, r.sidecar, b.box, r.id, nil, "sent again to a box outside the group of box %d, where it may have run", a.box)
+	x, y := c.server(a.server), c.server(b.server)
+	if class.Group == GroupZone && x.zone != y.zone || class.Group == GroupCell && x.cell != y.cell {
+		c.addViolation(NoRepeat, request.sidecar, b.server, request.id, nil, "sent again to a box outside the group of box %d, where it may have run", a.server)
 	}
-	if span := b.sent - a.sent; span > c.DedupWindowSeconds+j.rules.SocketSlackSeconds {
-		j.addViolation(NoRepeat, r.sidecar, b.box, r.id, nil, "sent again %.3f s after the first that may have run; its window is %.3f s", span, c.DedupWindowSeconds)
+	if span := b.sentAt - a.sentAt; span > class.DedupWindowSeconds+c.rules.SocketSlackSeconds {
+		c.addViolation(NoRepeat, request.sidecar, b.server, request.id, nil, "sent again %.3f s after the first that may have run; its window is %.3f s", span, class.DedupWindowSeconds)
 	}
 }
 
 // checkCopies checks that the first of two attempts was over when the second was sent, or leaves it for later.
-func (j *Checker) checkCopies(r *record, first, second int) {
-	if j.rules.AllowsHedging || j.over(&r.attempts[first], r.attempts[second].sent) {
+func (c *Checker) checkOverlap(request *request, first, second int) {
+	if c.rules.AllowsHedging || c.wasOver(&request.attempts[first], request.attempts[second].sentAt) {
 		return
 	}
-	j.copies = append(j.copies, copies{r, first, second, j.now + copyWaitS})
+	c.overlaps = append(c.overlaps, attemptOverlap{request, first, second, c.now + overlapWaitSeconds})
 }
 
 // over tells whether an attempt is known to have been over at a time.
-func (j *Checker) over(a *attempt, at float64) bool {
-	slack := exactS
-	if a.closedAt > 0 && !a.exact {
-		slack = j.rules.SocketSlackSeconds // when it came stands for when it was done
+func (c *Checker) wasOver(attempt *attempt, at float64) bool {
+	slack := timeToleranceSeconds
+	if attempt.closedAt > 0 && !attempt.isClosedAtExact {
+		slack = c.rules.SocketSlackSeconds // when it came stands for when it was done
 	}
-	return a.endedBy(j.station(a.box).endOf(a.boxLife)) <= at+slack
+	return attempt.endKnownAt(c.server(attempt.server).incarnationEnd(attempt.serverIncarnation)) <= at+slack
 }
 
 // decideCopies decides the first pair that waits.
-func (j *Checker) decideCopies() {
-	c := j.copies[0]
-	j.copies = j.copies[1:]
-	a, b := &c.try.attempts[c.first], &c.try.attempts[c.second]
-	if j.over(a, b.sent) || j.troubled(c.try.sidecar, a.box, a.sent, j.now) {
+func (c *Checker) decideOverlap() {
+	overlap := c.overlaps[0]
+	c.overlaps = c.overlaps[1:]
+	a, b := &overlap.request.attempts[overlap.first], &overlap.request.attempts[overlap.second]
+	if c.wasOver(a, b.sentAt) || c.hadPathFault(overlap.request.sidecar, a.server, a.sentAt, c.now) {
 		return
 	}
-	j.addViolation(NoConcurrentAttempts, c.try.sidecar, b.box, c.try.id, nil, "sent at %.6f while the execution sent at %.6f was still out at box %d", b.sent, a.sent, a.box)
+	c.addViolation(NoConcurrentAttempts, overlap.request.sidecar, b.server, overlap.request.id, nil, "sent at %.6f while the execution sent at %.6f was still out at box %d", b.sentAt, a.sentAt, a.server)
 }
 
 // burden notes work that reaches a cold box.
-func (j *Checker) burden(s *station, e *Event) {
-	if s.since == 0 {
+func (c *Checker) recordColdWork(server *serverState, e *Event) {
+	if server.servingSince == 0 {
 		return
 	}
-	old := 0
-	for old < len(s.work) && s.work[old].at < e.At-j.rules.OverloadWindowSeconds {
-		old++
+	expired := 0
+	for expired < len(server.recentWork) && server.recentWork[expired].at < e.At-c.rules.OverloadWindowSeconds {
+		expired++
 	}
-	s.work = append(s.work[:0], s.work[old:]...)
-	p := j.party(e.Sidecar)
-	s.work = append(s.work, work{e.At, e.Work, p != nil && j.knowsStart(p, s, e.Server, e.At)})
+	server.recentWork = append(server.recentWork[:0], server.recentWork[expired:]...)
+	sidecar := c.sidecar(e.Sidecar)
+	server.recentWork = append(server.recentWork, coldWork{e.At, e.Work, sidecar != nil && c.knewOfStart(sidecar, server, e.Server, e.At)})
 }
 
 // knowsStart tells whether a sidecar has been told of a box's present start, or counts as told.
-func (j *Checker) knowsStart(p *party, s *station, box int32, at float64) bool {
-	if k := p.knows(box); k.status != 0 && k.since >= s.since-exactS {
+func (c *Checker) knewOfStart(sidecar *sidecarState, server *serverState, serverID int32, at float64) bool {
+	if entry := sidecar.entry(serverID); entry.status != 0 && entry.servingSince >= server.servingSince-timeToleranceSeconds {
 		return true
 	}
-	for i := len(s.listed) - 1; i >= 0; i-- {
-		if l := &s.listed[i]; l.Status == Serving && l.ServingSince >= s.since-exactS {
-			return j.countsAsTold(p, l, at) <= at
+	for i := len(server.listChanges) - 1; i >= 0; i-- {
+		if change := &server.listChanges[i]; change.Status == Serving && change.ServingSince >= server.servingSince-timeToleranceSeconds {
+			return c.notifiedAt(sidecar, change, at) <= at
 		}
 	}
 	return false
 }
 
 // fell checks who has pushed a cold box over.
-func (j *Checker) fell(s *station, e *Event) {
-	all, knew := 0.0, 0.0
-	for _, w := range s.work {
-		if w.at >= e.At-j.rules.OverloadWindowSeconds {
-			if all += w.seconds; w.knew {
-				knew += w.seconds
+func (c *Checker) checkColdOverload(server *serverState, e *Event) {
+	total, notified := 0.0, 0.0
+	for _, work := range server.recentWork {
+		if work.at >= e.At-c.rules.OverloadWindowSeconds {
+			if total += work.seconds; work.isFromNotified {
+				notified += work.seconds
 			}
 		}
 	}
-	if all > 0 && knew >= j.rules.ColdLoadShare*all {
-		j.addViolation(ColdServer, -1, e.Server, 0, nil, "%.3f s of work in %g s brought it down, %.0f %% of it from sidecars that knew of its start",
-			all, j.rules.OverloadWindowSeconds, 100*knew/all)
+	if total > 0 && notified >= c.rules.ColdLoadShare*total {
+		c.addViolation(ColdServer, -1, e.Server, 0, nil, "%.3f s of work in %g s brought it down, %.0f %% of it from sidecars that knew of its start",
+			total, c.rules.OverloadWindowSeconds, 100*notified/total)
 	}
 }
--- a/internal/checker/client.go
+++ b/internal/checker/client.go
@@ -2,132 +2,132 @@
 
 // unansweredS is how long after its time a request is lost that has no answer, on any day: no loop that stands still and no clock that
 // runs slow explains more.
-const unansweredS = 1.0
+const lostAfterSeconds = 1.0
 
 // seeClient takes what clients tell.
-func (j *Checker) seeClient(e *Event) {
+func (c *Checker) observeClient(e *Event) {
 	switch e.Kind {
 	case HostileConnected:
-		j.prices.HostileClients++
-		j.hostile[e.Connection] = &hostile{until: e.Deadline, try: j.tries[e.Request]}
-		if r := j.tries[e.Request]; r != nil {
-			r.claimed = true
+		c.costs.HostileClients++
+		c.hostileClients[e.Connection] = &hostileClient{deadline: e.Deadline, claimedRequest: c.requests[e.Request]}
+		if request := c.requests[e.Request]; request != nil {
+			request.isIDReused = true
 		}
 		return
 	case HostileAnswered, HostileClosed:
-		j.seeHostile(e)
+		c.hostileEnded(e)
 		return
 	case UnsolicitedBytes:
-		j.addViolation(OneAnswer, e.Sidecar, -1, 0, nil, "bytes on a connection on which nothing was asked")
+		c.addViolation(OneAnswer, e.Sidecar, -1, 0, nil, "bytes on a connection on which nothing was asked")
 		return
 	case RequestStarted:
-		j.asked(e)
+		c.requestStarted(e)
 		return
 	}
-	r, p := j.tries[e.Request], j.party(e.Sidecar)
-	if r == nil || p == nil {
+	request, sidecar := c.requests[e.Request], c.sidecar(e.Sidecar)
+	if request == nil || sidecar == nil {
 		return
 	}
 	switch e.Kind {
 	case RequestSent:
-		if r.fate != unended {
+		if request.outcome != pending {
 			return
 		}
-		r.taken, r.takenAt, r.until = true, e.At, e.Deadline
-		p.take(r)
+		request.isSent, request.sentAt, request.deadline = true, e.At, e.Deadline
+		sidecar.addPending(request)
 	case ResponseReceived:
-		j.answered(r, e)
+		c.responseReceived(request, e)
 	case ResponseTruncated:
-		j.brokenOff(r, e)
+		c.responseTruncated(request, e)
 	case ConnectionDropped:
-		j.dropped(r, e)
+		c.connectionDropped(request, e)
 	case RequestHalfClosed:
-		r.halved = true
+		request.isHalfClosed = true
 	case RequestAbandoned:
 		// Danger: a client may give so little time that nobody could answer in it, or read too slowly.
-		enough := e.At-r.askedAt >= j.rules.AnswerSlackSeconds+j.rules.SocketSlackSeconds && !j.troubled(r.sidecar, PathToClients, r.askedAt, e.At)
-		over := e.At >= r.until && j.rules.RequiresAnswerInTime || e.At >= r.until+unansweredS
-		if r.taken && !r.halved && r.fate == unended && over && enough {
-			j.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "no answer when its time was over")
+		hadEnoughTime := e.At-request.startedAt >= c.rules.AnswerSlackSeconds+c.rules.SocketSlackSeconds && !c.hadPathFault(request.sidecar, PathToClients, request.startedAt, e.At)
+		isOver := e.At >= request.deadline && c.rules.RequiresAnswerInTime || e.At >= request.deadline+lostAfterSeconds
+		if request.isSent && !request.isHalfClosed && request.outcome == pending && isOver && hadEnoughTime {
+			c.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "no answer when its time was over")
 		}
-		j.end(r, left, e.At)
+		c.endRequest(request, abandoned, e.At)
 	case ConnectFailed:
-		j.end(r, notTaken, e.At)
+		c.endRequest(request, notSent, e.At)
 	}
 }
 
 // asked takes up a try.
-func (j *Checker) asked(e *Event) {
-	r := &record{id: e.Request, sidecar: e.Sidecar, class: e.Class, askedAt: e.At, until: e.Deadline, place: -1}
-	r.attempts = r.room[:0]
-	if first := j.tries[e.FirstRequest]; first != nil {
-		r.want = first.want
+func (c *Checker) requestStarted(e *Event) {
+	request := &request{id: e.Request, sidecar: e.Sidecar, class: e.Class, startedAt: e.At, deadline: e.Deadline, pendingIndex: -1}
+	request.attempts = request.attemptStorage[:0]
+	if first := c.requests[e.FirstRequest]; first != nil {
+		request.operation = first.operation
 	} else {
-		r.want = &want{askedAt: e.At, class: e.Class, counted: !e.Uncounted}
-		if c := j.class(e.Class); c != nil && r.want.counted {
-			j.classes[e.Class].Requests++
-			j.classes[e.Class].Weight += c.PriorityWeight
+		request.operation = &operation{startedAt: e.At, class: e.Class, isCounted: !e.Uncounted}
+		if class := c.class(e.Class); class != nil && request.operation.isCounted {
+			c.services[e.Class].Requests++
+			c.services[e.Class].Weight += class.PriorityWeight
 		}
 	}
-	j.tries[e.Request] = r
+	c.requests[e.Request] = request
 }
 
 // end notes how a try ended.
-func (j *Checker) end(r *record, f fate, at float64) {
-	if r.fate != unended {
+func (c *Checker) endRequest(request *request, outcome outcome, at float64) {
+	if request.outcome != pending {
 		return
 	}
-	r.fate, r.endedAt = f, at
-	j.parties[r.sidecar].drop(r)
-	c := j.class(r.class)
-	if c == nil || !r.want.counted {
+	request.outcome, request.endedAt = outcome, at
+	c.sidecars[request.sidecar].removePending(request)
+	class := c.class(request.class)
+	if class == nil || !request.operation.isCounted {
 		return
 	}
-	s := &j.classes[r.class]
-	switch f {
-	case refused:
-		s.Rejected++
-	case served, excused, notTaken:
+	service := &c.services[request.class]
+	switch outcome {
+	case rejected:
+		service.Rejected++
+	case served, excused, notSent:
 	default:
-		s.Failed++
+		service.Failed++
 	}
-	late := at-r.askedAt > (r.until-r.askedAt)/2
-	if len(r.attempts) == 0 && r.taken && (f == left || late && (f == refused || f == failed)) {
-		j.prices.SlowRejectionWeight += 0.3 * c.PriorityWeight
+	isLate := at-request.startedAt > (request.deadline-request.startedAt)/2
+	if len(request.attempts) == 0 && request.isSent && (outcome == abandoned || isLate && (outcome == rejected || outcome == failed)) {
+		c.costs.SlowRejectionWeight += 0.3 * class.PriorityWeight
 	}
 }
 
 // answered takes a whole answer.
-func (j *Checker) answered(r *record, e *Event) {
-	if r.fate == served || r.fate == refused || r.fate == failed {
-		j.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "a second answer, of status %d", e.Status)
+func (c *Checker) responseReceived(request *request, e *Event) {
+	if request.outcome == served || request.outcome == rejected || request.outcome == failed {
+		c.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "a second answer, of status %d", e.Status)
 		return
 	}
 	switch e.Status {
 	case 200:
-		if !j.rules.ObservesClientsOnly && !r.made(e.Digest) {
-			j.addViolation(NoInvention, e.Sidecar, -1, e.Request, nil, "an answer that no box has made for it")
+		if !c.rules.ObservesClientsOnly && !request.hasResponse(e.Digest) {
+			c.addViolation(NoInvention, e.Sidecar, -1, e.Request, nil, "an answer that no box has made for it")
 		}
-		j.end(r, served, e.At)
-		j.serve(r, e.At)
+		c.endRequest(request, served, e.At)
+		c.countServed(request, e.At)
 	case 429, 503:
-		if !r.claimed {
-			j.checkRefusal(r, e)
-			j.checkAtOnce(r, e)
+		if !request.isIDReused {
+			c.checkRejection(request, e)
+			c.checkFailFast(request, e)
 		}
-		j.end(r, refused, e.At)
+		c.endRequest(request, rejected, e.At)
 	default:
-		if !r.claimed {
-			j.checkAtOnce(r, e)
+		if !request.isIDReused {
+			c.checkFailFast(request, e)
 		}
-		j.end(r, failed, e.At)
+		c.endRequest(request, failed, e.At)
 	}
 }
 
 // made tells whether a box has made this answer for the try.
-func (r *record) made(digest uint64) bool {
+func (r *request) hasResponse(digest uint64) bool {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; a.repliedAt > 0 && a.status == 200 && !a.spoilt && a.digest == digest {
+		if a := &r.attempts[i]; a.repliedAt > 0 && a.status == 200 && !a.malformed && a.digest == digest {
 			return true
 		}
 	}
@@ -135,32 +135,32 @@
 }
 
 // serve counts a request that has been served, once.
-func (j *Checker) serve(r *record, at float64) {
-	w := r.want
-	c := j.class(w.class)
-	if w.served || !w.counted || c == nil {
+func (c *Checker) countServed(request *request, at float64) {
+	operation := request.operation
+	class := c.class(operation.class)
+	if operation.isServed || !operation.isCounted || class == nil {
 		return
 	}
-	w.served = true
-	s := &j.classes[w.class]
-	if at-w.askedAt <= c.LatencyTargetSeconds {
-		s.InTarget++
-		s.EarnedWeight += c.PriorityWeight
+	operation.isServed = true
+	service := &c.services[operation.class]
+	if at-operation.startedAt <= class.LatencyTargetSeconds {
+		service.InTarget++
+		service.EarnedWeight += class.PriorityWeight
 		return
 	}
-	s.Late++
-	s.EarnedWeight += c.PriorityWeight * c.LateFraction
+	service.Late++
+	service.EarnedWeight += class.PriorityWeight * class.LateFraction
 }
 
 // checkRefusal checks that trying again is as harmless as a refusal says.
-func (j *Checker) checkRefusal(r *record, e *Event) {
-	if c := j.class(r.class); c == nil || c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
+func (c *Checker) checkRejection(request *request, e *Event) {
+	if class := c.class(request.class); class == nil || class.Effect == Safe || class.Effect == Keyed && class.Group == GroupAll {
 		return
 	}
-	for i := range r.attempts {
-		a := &r.attempts[i]
-		if a.life == j.parties[r.sidecar].life && !a.provenUnrun(e.At) {
-			j.addViolation(NoRepeat, r.sidecar, a.box, r.id, nil, "refused, though the execution sent at %.6f may have run", a.sent)
+	for i := range request.attempts {
+		attempt := &request.attempts[i]
+		if attempt.sidecarIncarnation == c.sidecars[request.sidecar].incarnation && !attempt.isProvenNotRun(e.At) {
+			c.addViolation(NoRepeat, request.sidecar, attempt.server, request.id, nil, "refused, though the execution sent at %.6f may have run", attempt.sentAt)
 			return
 		}
 	}
@@ -168,84 +168,84 @@
 
 // checkAtOnce checks that a try was given its answer when nothing more could be done for it: the sidecar had no right
 // to another execution, and none was out.
-func (j *Checker) checkAtOnce(r *record, e *Event) {
-	c := j.class(r.class)
-	if c == nil || len(r.attempts) == 0 || j.troubled(r.sidecar, PathToClients, r.askedAt, e.At) {
+func (c *Checker) checkFailFast(request *request, e *Event) {
+	class := c.class(request.class)
+	if class == nil || len(request.attempts) == 0 || c.hadPathFault(request.sidecar, PathToClients, request.startedAt, e.At) {
 		return
 	}
-	spent := j.rules.MaxAttempts > 0 && len(r.attempts) >= j.rules.MaxAttempts
-	last := 0.0
-	for i := range r.attempts {
-		a := &r.attempts[i]
-		end := a.endedBy(j.station(a.box).endOf(a.boxLife))
-		if a.life != j.parties[r.sidecar].life { // an earlier process has sent it, and this one knows nothing of it
+	isExhausted := c.rules.MaxAttempts > 0 && len(request.attempts) >= c.rules.MaxAttempts
+	lastEnd := 0.0
+	for i := range request.attempts {
+		attempt := &request.attempts[i]
+		end := attempt.endKnownAt(c.server(attempt.server).incarnationEnd(attempt.serverIncarnation))
+		if attempt.sidecarIncarnation != c.sidecars[request.sidecar].incarnation { // an earlier process has sent it, and this one knows nothing of it
 			return
 		}
-		if end > e.At || j.troubled(r.sidecar, a.box, a.sent, e.At) {
+		if end > e.At || c.hadPathFault(request.sidecar, attempt.server, attempt.sentAt, e.At) {
 			return
 		}
-		last = max(last, end)
-		spent = spent || c.Effect == Unsafe && !a.notStarted
+		lastEnd = max(lastEnd, end)
+		isExhausted = isExhausted || class.Effect == Unsafe && !attempt.notStarted
 	}
-	if held := e.At - last; spent && held > j.rules.FailFastSeconds {
-		j.addViolation(FailFast, r.sidecar, -1, r.id, nil, "its answer was held back for %.3f s after all was over", held)
+	if delay := e.At - lastEnd; isExhausted && delay > c.rules.FailFastSeconds {
+		c.addViolation(FailFast, request.sidecar, -1, request.id, nil, "its answer was held back for %.3f s after all was over", delay)
 	}
 }
 
 // brokenOff takes the end of part of an answer. Whole ones that a box has made must reach the client whole.
-func (j *Checker) brokenOff(r *record, e *Event) {
-	if r.fate == unended && !r.halved {
-		for i := range r.attempts {
-			a := &r.attempts[i]
-			if a.repliedAt > 0 && a.status == 200 && !a.spoilt && a.life == j.parties[r.sidecar].life && j.parties[r.sidecar].termedAt == 0 &&
-				!j.troubled(r.sidecar, PathToClients, a.sent, e.At) {
-				j.addViolation(OneAnswer, r.sidecar, a.box, r.id, nil, "part of an answer, though a box had given it whole")
+func (c *Checker) responseTruncated(request *request, e *Event) {
+	if request.outcome == pending && !request.isHalfClosed {
+		for i := range request.attempts {
+			attempt := &request.attempts[i]
+			if attempt.repliedAt > 0 && attempt.status == 200 && !attempt.malformed && attempt.sidecarIncarnation == c.sidecars[request.sidecar].incarnation && c.sidecars[request.sidecar].terminatingAt == 0 &&
+				!c.hadPathFault(request.sidecar, PathToClients, attempt.sentAt, e.At) {
+				c.addViolation(OneAnswer, request.sidecar, attempt.server, request.id, nil, "part of an answer, though a box had given it whole")
 				break
 			}
 		}
 	}
-	j.end(r, failed, e.At)
+	c.endRequest(request, failed, e.At)
 }
 
 // dropped takes the end of a connection by the sidecar's side while a try was out on it.
-func (j *Checker) dropped(r *record, e *Event) {
-	if r.fate != unended || !r.taken {
+func (c *Checker) connectionDropped(request *request, e *Event) {
+	if request.outcome != pending || !request.isSent {
 		return
 	}
-	if r.halved { // the sidecar takes it for one that has gone
-		j.end(r, left, e.At)
+	if request.isHalfClosed { // the sidecar takes it for one that has gone
+		c.endRequest(request, abandoned, e.At)
 		return
 	}
-	sent := false
-	for i := range r.attempts {
-		sent = sent || r.attempts[i].life == j.parties[r.sidecar].life
+	isForwarded := false
+	for i := range request.attempts {
+		isForwarded = isForwarded || request.attempts[i].sidecarIncarnation == c.sidecars[request.sidecar].incarnation
 	}
 	switch {
 	case e.WasRead:
-		j.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "it was read, and its connection closed without an answer")
-		j.end(r, lost, e.At)
-	case !sent && e.Reused && !r.dropped:
-		r.dropped, r.taken = true, false // the close has crossed the request: its client sends it once more
-		j.parties[r.sidecar].drop(r)
-	case !sent && !e.Reused && !r.dropped && !j.rules.IsFaultFree:
-		j.end(r, unsent, e.At)
+		c.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "it was read, and its connection closed without an answer")
+		c.endRequest(request, lost, e.At)
+	case !isForwarded && e.Reused && !request.wasDropped:
+		request.wasDropped, request.isSent = true, false // the close has crossed the request: its client sends it once more
+		c.sidecars[request.sidecar].removePending(request)
+	case !isForwarded && !e.Reused && !request.wasDropped && !c.rules.IsFaultFree:
+		c.endRequest(request, closedUnsent, e.At)
 	default:
-		j.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "its connection was closed without an answer")
-		j.end(r, lost, e.At)
+		c.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "its connection was closed without an answer")
+		c.endRequest(request, lost, e.At)
 	}
 }
 
 // seeHostile takes how a client fared that may not be served.
-func (j *Checker) seeHostile(e *Event) {
-	h := j.hostile[e.Connection]
-	if h == nil || h.settled {
+func (c *Checker) hostileEnded(e *Event) {
+	client := c.hostileClients[e.Connection]
+	if client == nil || client.isSettled {
 		return
 	}
-	h.settled = true
-	if e.At > h.until+j.rules.SocketSlackSeconds {
-		j.prices.HostileUnclosed++
+	client.isSettled = true
+	if e.At > client.deadline+c.rules.SocketSlackSeconds {
+		c.costs.HostileUnclosed++
 	}
-	if e.Kind == HostileAnswered && e.Status >= 200 && e.Status < 300 && (h.try == nil || !h.try.mayBeOver()) {
-		j.addViolation(OneAnswer, e.Sidecar, -1, 0, nil, "a client that may not be served was answered with %d", e.Status)
+	if e.Kind == HostileAnswered && e.Status >= 200 && e.Status < 300 && (client.claimedRequest == nil || !client.claimedRequest.mayBeAnswered()) {
+		c.addViolation(OneAnswer, e.Sidecar, -1, 0, nil, "a client that may not be served was answered with %d", e.Status)
 	}
 }
--- a/internal/checker/judge.go
+++ b/internal/checker/judge.go
@@ -11,54 +11,54 @@
 	rules          Rules
 	violations     []Violation
 	violationCount int // rules broken, also beyond the findings that are kept
-	recent         []Event
-	seen           int
+	recentEvents   []Event
+	eventCount     int
 
-	tries    map[uint64]*record
-	links    map[uint64]*linkState
-	hostile  map[uint64]*hostile
-	stations []station
-	parties  []party
-	copies   []copies
-	cuts     []cut
-	downAt   float64 // since when discovery is down; 0: it is up
-	upAt     float64
-	outages  []span // of discovery, oldest first
-	lines    []span // times in which calls waited there, oldest first
+	requests         map[uint64]*request
+	connections      map[uint64]*connectionState
+	hostileClients   map[uint64]*hostileClient
+	servers          []serverState
+	sidecars         []sidecarState
+	overlaps         []attemptOverlap
+	pathFaults       []pathFault
+	discoveryDownAt  float64 // since when discovery is down; 0: it is up
+	discoveryUpAt    float64
+	discoveryOutages []interval // of discovery, oldest first
+	discoveryQueues  []interval // times in which calls waited there, oldest first
 
-	classes []ClassService
-	prices  Costs
-	now     float64
+	services []ClassService
+	costs    Costs
+	now      float64
 }
 
 // linkState is a connection at a box with the attempt that came over it last.
-type linkState struct {
-	try   *record
-	index int
+type connectionState struct {
+	request      *request
+	attemptIndex int
 }
 
 // hostile is a client that may not be served.
-type hostile struct {
-	until   float64
-	settled bool
-	try     *record // whose id it uses
+type hostileClient struct {
+	deadline       float64
+	isSettled      bool
+	claimedRequest *request // whose id it uses
 }
 
 // copies are two attempts of a try of which the first had no end when the second came. Whether it had one when the
 // second was sent shows when its connection's end arrives.
-type copies struct {
-	try           *record
+type attemptOverlap struct {
+	request       *request
 	first, second int
-	until         float64
+	decideAt      float64
 }
 
 // span is a time between two.
-type span struct{ from, until float64 } // +Inf: it goes on
+type interval struct{ from, until float64 } // +Inf: it goes on
 
 // cut is a way that is in trouble.
-type cut struct {
-	sidecar, box int32
-	from, until  float64 // +Inf: it still is
+type pathFault struct {
+	sidecar, server int32
+	from, until     float64 // +Inf: it still is
 }
 
 const (
@@ -66,130 +66,130 @@
 	maxRecentEvents    = 1 << 14
 	maxViolationEvents = 30
 	// catchUpS is how long a process that stood still may take to come to what has come meanwhile.
-	catchUpS = 0.25
+	catchUpSeconds = 0.25
 	// copyWaitS is how long the end of a first attempt may be under way.
-	copyWaitS = 1.0
+	overlapWaitSeconds = 1.0
 	// exactS is what rounding takes of times that are known exactly.
-	exactS = 1e-4
+	timeToleranceSeconds = 1e-4
 )
 
 var _ Observer = (*Checker)(nil)
 
 // New returns a judge that has seen nothing.
 func New(rules Rules) *Checker {
-	j := &Checker{rules: rules, tries: map[uint64]*record{}, links: map[uint64]*linkState{}, hostile: map[uint64]*hostile{},
-		recent: make([]Event, 0, maxRecentEvents), parties: make([]party, rules.Sidecars)}
-	for _, c := range rules.Classes {
-		j.classes = append(j.classes, ClassService{Name: c.Name})
+	c := &Checker{rules: rules, requests: map[uint64]*request{}, connections: map[uint64]*connectionState{}, hostileClients: map[uint64]*hostileClient{},
+		recentEvents: make([]Event, 0, maxRecentEvents), sidecars: make([]sidecarState, rules.Sidecars)}
+	for _, class := range rules.Classes {
+		c.services = append(c.services, ClassService{Name: class.Name})
 	}
-	return j
+	return c
 }
 
 // Findings returns the first breaks found, oldest first.
-func (j *Checker) Violations() []Violation { return j.violations }
+func (c *Checker) Violations() []Violation { return c.violations }
 
 // Broken returns how many breaks there were, also those beyond Findings.
-func (j *Checker) ViolationCount() int { return j.violationCount }
+func (c *Checker) ViolationCount() int { return c.violationCount }
 
 // See takes one event. Events come in the order of At.
-func (j *Checker) Observe(e Event) {
-	j.now = e.At
-	if len(j.recent) < maxRecentEvents {
-		j.recent = append(j.recent, e)
+func (c *Checker) Observe(e Event) {
+	c.now = e.At
+	if len(c.recentEvents) < maxRecentEvents {
+		c.recentEvents = append(c.recentEvents, e)
 	} else {
-		j.recent[j.seen%maxRecentEvents] = e
+		c.recentEvents[c.eventCount%maxRecentEvents] = e
 	}
-	j.seen++
-	for len(j.copies) > 0 && j.copies[0].until <= e.At {
-		j.decideCopies()
+	c.eventCount++
+	for len(c.overlaps) > 0 && c.overlaps[0].decideAt <= e.At {
+		c.decideOverlap()
 	}
 	switch {
 	case e.Kind < ServerStarted:
-		j.seeClient(&e)
+		c.observeClient(&e)
 	case e.Kind < ListChanged:
-		j.seeBox(&e)
+		c.observeServer(&e)
 	default:
-		j.seeRest(&e)
+		c.observeSidecar(&e)
 	}
 }
 
 // End tells that the day is over: what waits for more time is decided.
-func (j *Checker) Finish(now float64) {
-	j.now = now
-	for len(j.copies) > 0 {
-		j.decideCopies()
+func (c *Checker) Finish(now float64) {
+	c.now = now
+	for len(c.overlaps) > 0 {
+		c.decideOverlap()
 	}
-	for i := range j.parties {
-		for _, r := range slices.Clone(j.parties[i].open) {
-			if now > r.until+j.rules.AnswerSlackSeconds+j.rules.SocketSlackSeconds {
-				j.end(r, left, now)
+	for i := range c.sidecars {
+		for _, request := range slices.Clone(c.sidecars[i].pendingRequests) {
+			if now > request.deadline+c.rules.AnswerSlackSeconds+c.rules.SocketSlackSeconds {
+				c.endRequest(request, abandoned, now)
 			}
 		}
-		j.checkAsked(int32(i), now)
+		c.checkPolling(int32(i), now)
 	}
 }
 
 // find notes a break of a rule, with the events that show it.
-func (j *Checker) addViolation(rule Rule, sidecar, box int32, request uint64, more []Event, why string, args ...any) {
-	if j.violationCount++; len(j.violations) >= maxViolations {
+func (c *Checker) addViolation(rule Rule, sidecar, server int32, request uint64, shownEvents []Event, format string, args ...any) {
+	if c.violationCount++; len(c.violations) >= maxViolations {
 		return
 	}
-	f := Violation{Rule: rule, At: j.now, Sidecar: sidecar, Server: box, Request: request, Reason: fmt.Sprintf(why, args...)}
-	f.Events = append(f.Events, more...)
-	first := max(0, j.seen-len(j.recent))
-	for i := first; i < j.seen; i++ {
-		e := &j.recent[i%maxRecentEvents]
-		if request != 0 && e.Request == request || request == 0 && box >= 0 && e.Server == box && e.At >= j.now-j.rules.OverloadWindowSeconds ||
-			request == 0 && box < 0 && e.Sidecar == sidecar && i >= j.seen-4 {
-			f.Events = append(f.Events, *e)
+	violation := Violation{Rule: rule, At: c.now, Sidecar: sidecar, Server: server, Request: request, Reason: fmt.Sprintf(format, args...)}
+	violation.Events = append(violation.Events, shownEvents...)
+	first := max(0, c.eventCount-len(c.recentEvents))
+	for i := first; i < c.eventCount; i++ {
+		e := &c.recentEvents[i%maxRecentEvents]
+		if request != 0 && e.Request == request || request == 0 && server >= 0 && e.Server == server && e.At >= c.now-c.rules.OverloadWindowSeconds ||
+			request == 0 && server < 0 && e.Sidecar == sidecar && i >= c.eventCount-4 {
+			violation.Events = append(violation.Events, *e)
 		}
 	}
-	if n := len(f.Events); n > maxViolationEvents {
-		f.Events = f.Events[n-maxViolationEvents:]
+	if count := len(violation.Events); count > maxViolationEvents {
+		violation.Events = violation.Events[count-maxViolationEvents:]
 	}
-	j.violations = append(j.violations, f)
+	c.violations = append(c.violations, violation)
 }
 
 // party returns what is known of a sidecar; nil: there is none such.
-func (j *Checker) party(sidecar int32) *party {
-	if sidecar < 0 || int(sidecar) >= len(j.parties) {
+func (c *Checker) sidecar(sidecar int32) *sidecarState {
+	if sidecar < 0 || int(sidecar) >= len(c.sidecars) {
 		return nil
 	}
-	return &j.parties[sidecar]
+	return &c.sidecars[sidecar]
 }
 
 // station returns what is known of a box.
-func (j *Checker) station(box int32) *station {
-	for int(box) >= len(j.stations) {
-		j.stations = append(j.stations, station{})
+func (c *Checker) server(server int32) *serverState {
+	for int(server) >= len(c.servers) {
+		c.servers = append(c.servers, serverState{})
 	}
-	return &j.stations[box]
+	return &c.servers[server]
 }
 
 // knows returns what a sidecar was told of a box.
-func (p *party) knows(box int32) *knowledge {
-	for int(box) >= len(p.told) {
-		p.told = append(p.told, knowledge{})
+func (p *sidecarState) entry(server int32) *notifiedEntry {
+	for int(server) >= len(p.entries) {
+		p.entries = append(p.entries, notifiedEntry{})
 	}
-	return &p.told[box]
+	return &p.entries[server]
 }
 
 // class returns a request's class; nil: there is none such.
-func (j *Checker) class(n int32) *Class {
-	if n < 0 || int(n) >= len(j.rules.Classes) {
+func (c *Checker) class(n int32) *Class {
+	if n < 0 || int(n) >= len(c.rules.Classes) {
 		return nil
 	}
-	return &j.rules.Classes[n]
+	return &c.rules.Classes[n]
 }
 
 // troubled tells whether a way was in trouble between two times, or shortly before: what the trouble has held back comes
 // later.
-func (j *Checker) troubled(sidecar, box int32, from, until float64) bool {
+func (c *Checker) hadPathFault(sidecar, server int32, from, until float64) bool {
 	const after = 11 // seconds until lost bytes are sent again
-	for i := range j.cuts {
-		c := &j.cuts[i]
-		on := (c.sidecar == sidecar || c.sidecar < 0) && c.box == box
-		if on && c.from <= until && c.until+after >= from {
+	for i := range c.pathFaults {
+		fault := &c.pathFaults[i]
+		isSamePath := (fault.sidecar == sidecar || fault.sidecar < 0) && fault.server == server
+		if isSamePath && fault.from <= until && fault.until+after >= from {
 			return true
 		}
 	}
@@ -197,139 +197,139 @@
 }
 
 // seeRest takes what discovery, the network and the processes tell.
-func (j *Checker) seeRest(e *Event) {
-	p := j.party(e.Sidecar)
+func (c *Checker) observeSidecar(e *Event) {
+	sidecar := c.sidecar(e.Sidecar)
 	switch e.Kind {
 	case ListChanged:
-		s := j.station(e.Server)
-		s.listed = append(s.listed, *e)
+		server := c.server(e.Server)
+		server.listChanges = append(server.listChanges, *e)
 	case DiscoveryDown:
-		j.downAt = e.At
-		j.outages = append(j.outages, span{e.At, math.Inf(1)})
-		for i := range j.parties { // all watches end, which their sidecars are told
-			j.parties[i].silentAt = 0
+		c.discoveryDownAt = e.At
+		c.discoveryOutages = append(c.discoveryOutages, interval{e.At, math.Inf(1)})
+		for i := range c.sidecars { // all watches end, which their sidecars are told
+			c.sidecars[i].stalledAt = 0
 		}
 	case DiscoveryUp:
-		j.downAt, j.upAt = 0, e.At
-		endSpan(j.outages, e.At)
+		c.discoveryDownAt, c.discoveryUpAt = 0, e.At
+		closeLastInterval(c.discoveryOutages, e.At)
 	case DiscoveryQueueFormed:
-		j.lines = append(j.lines, span{e.At, math.Inf(1)})
+		c.discoveryQueues = append(c.discoveryQueues, interval{e.At, math.Inf(1)})
 	case DiscoveryQueueDrained:
-		endSpan(j.lines, e.At)
+		closeLastInterval(c.discoveryQueues, e.At)
 	case PathFaultStarted:
-		j.cuts = append(j.cuts, cut{e.Sidecar, e.Server, e.At, math.Inf(1)})
+		c.pathFaults = append(c.pathFaults, pathFault{e.Sidecar, e.Server, e.At, math.Inf(1)})
 	case PathFaultEnded:
-		for i := range j.cuts {
-			c := &j.cuts[i]
-			if c.sidecar == e.Sidecar && c.box == e.Server && math.IsInf(c.until, 1) {
-				c.until = e.At
+		for i := range c.pathFaults {
+			fault := &c.pathFaults[i]
+			if fault.sidecar == e.Sidecar && fault.server == e.Server && math.IsInf(fault.until, 1) {
+				fault.until = e.At
 				break
 			}
 		}
 	}
-	if p == nil {
+	if sidecar == nil {
 		return
 	}
 	switch e.Kind {
 	case EntryDelivered, EntryRelayed:
 		// Danger: an old list that was passed on would excuse a sidecar that goes by it.
-		k := p.knows(e.Server)
-		if e.Kind == EntryRelayed && (e.ListIndex < p.index || e.Status == Deleted && k.status == 0) {
+		entry := sidecar.entry(e.Server)
+		if e.Kind == EntryRelayed && (e.ListIndex < sidecar.listIndex || e.Status == Deleted && entry.status == 0) {
 			return
 		}
-		p.index = max(p.index, e.ListIndex)
+		sidecar.listIndex = max(sidecar.listIndex, e.ListIndex)
 		if e.Kind == EntryRelayed { // others take the place of a watch that fell silent; what they pass on comes later than a watch would bring it
-			p.silentAt = 0
+			sidecar.stalledAt = 0
 		}
 		if e.Status == Serving {
-			*k = knowledge{status: Serving, at: e.At, since: e.ServingSince, said: *e}
-		} else if k.status == Serving || k.status == 0 { // from the first word on it counts
-			*k = knowledge{status: e.Status, at: e.At, since: k.since, said: *e}
+			*entry = notifiedEntry{status: Serving, changedAt: e.At, servingSince: e.ServingSince, event: *e}
+		} else if entry.status == Serving || entry.status == 0 { // from the first word on it counts
+			*entry = notifiedEntry{status: e.Status, changedAt: e.At, servingSince: entry.servingSince, event: *e}
 		} else {
-			k.status = e.Status
+			entry.status = e.Status
 		}
 	case DiscoveryCalled:
-		p.askedAt, p.called = e.At, true
+		sidecar.polledAt, sidecar.isPolledSinceWatch = e.At, true
 	case DiscoveryCallFailed:
-		p.askFailed = true
+		sidecar.pollFailed = true
 	case WatchOpened:
-		p.watches++
-		p.askFailed, p.silentAt = false, 0
+		sidecar.openWatches++
+		sidecar.pollFailed, sidecar.stalledAt = false, 0
 	case WatchStalled:
-		p.silent = append(p.silent, e.Connection)
-		p.fellSilent(e.At)
+		sidecar.stalledWatches = append(sidecar.stalledWatches, e.Connection)
+		sidecar.noteStalledWatches(e.At)
 	case WatchClosed:
-		p.watches--
-		p.silent = slices.DeleteFunc(p.silent, func(link uint64) bool { return link == e.Connection })
-		if j.downAt == 0 {
-			p.fellSilent(e.At)
+		sidecar.openWatches--
+		sidecar.stalledWatches = slices.DeleteFunc(sidecar.stalledWatches, func(link uint64) bool { return link == e.Connection })
+		if c.discoveryDownAt == 0 {
+			sidecar.noteStalledWatches(e.At)
 		}
-		p.askedAt, p.called = e.At, false
+		sidecar.polledAt, sidecar.isPolledSinceWatch = e.At, false
 	case SidecarStarted:
-		*p = party{life: p.life + 1, startedAt: e.At, askedAt: e.At, watches: p.watches, silent: p.silent, killedAt: p.killedAt, open: p.open, told: p.told[:0],
-			askFailed: j.downAt > 0} // its first call is refused, which nobody sees
+		*sidecar = sidecarState{incarnation: sidecar.incarnation + 1, startedAt: e.At, polledAt: e.At, openWatches: sidecar.openWatches, stalledWatches: sidecar.stalledWatches, killedAt: sidecar.killedAt, pendingRequests: sidecar.pendingRequests, entries: sidecar.entries[:0],
+			pollFailed: c.discoveryDownAt > 0} // its first call is refused, which nobody sees
 	case SidecarKilled:
-		j.killed(p, e)
+		c.sidecarKilled(sidecar, e)
 	case SidecarTerminating:
-		p.termedAt = e.At
+		sidecar.terminatingAt = e.At
 	case SidecarExited:
-		if p.termedAt == 0 {
-			j.addViolation(NoCrash, e.Sidecar, -1, 0, nil, "the process ended unasked with status %d", e.Status)
+		if sidecar.terminatingAt == 0 {
+			c.addViolation(NoCrash, e.Sidecar, -1, 0, nil, "the process ended unasked with status %d", e.Status)
 		} else if e.Status != 0 {
-			j.addViolation(NoCrash, e.Sidecar, -1, 0, nil, "the process ended with status %d", e.Status)
+			c.addViolation(NoCrash, e.Sidecar, -1, 0, nil, "the process ended with status %d", e.Status)
 		}
 	case SidecarPanicked:
-		j.addViolation(NoCrash, e.Sidecar, -1, 0, nil, "panic: %s", e.Text)
+		c.addViolation(NoCrash, e.Sidecar, -1, 0, nil, "panic: %s", e.Text)
 	case SidecarSuspended:
-		p.frozenAt, p.thawedAt = e.At, math.Inf(1)
+		sidecar.suspendedAt, sidecar.resumedAt = e.At, math.Inf(1)
 	case SidecarResumed:
-		p.thawedAt, p.askedAt = e.At, max(p.askedAt, e.At)
-		for i := range p.told { // what was said to it meanwhile it hears now
-			if k := &p.told[i]; k.at >= p.frozenAt {
-				k.at = e.At
+		sidecar.resumedAt, sidecar.polledAt = e.At, max(sidecar.polledAt, e.At)
+		for i := range sidecar.entries { // what was said to it meanwhile it hears now
+			if entry := &sidecar.entries[i]; entry.changedAt >= sidecar.suspendedAt {
+				entry.changedAt = e.At
 			}
 		}
 	case FleetInvariantBroken:
-		j.addViolation([...]Rule{ViewInvariant: FleetView, DeathInvariant: FalseDeath, RankInvariant: FleetRank, IncarnationInvariant: FleetIncarnation, QueueInvariant: FleetQueue, TokenInvariant: StaleOwner,
+		c.addViolation([...]Rule{ViewInvariant: FleetView, DeathInvariant: FalseDeath, RankInvariant: FleetRank, IncarnationInvariant: FleetIncarnation, QueueInvariant: FleetQueue, TokenInvariant: StaleOwner,
 			OccupiedInvariant: MaintenanceOccupied, BudgetInvariant: MaintenanceBudget, RepeatInvariant: MaintenanceRepeated, RecordInvariant: MaintenanceRecorded}[e.Status], e.Sidecar, -1, 0, nil, "%s", e.Text)
 	case SidecarReloaded:
-		p.reloadedAt = e.At
+		sidecar.reloadedAt = e.At
 	case ServerCordoned:
-		if p.out == nil {
-			p.out = map[int32]float64{}
+		if sidecar.cordons == nil {
+			sidecar.cordons = map[int32]float64{}
 		}
-		if p.out[e.Server] == 0 {
-			p.out[e.Server] = e.At
+		if sidecar.cordons[e.Server] == 0 {
+			sidecar.cordons[e.Server] = e.At
 		}
 	case ServerUncordoned:
-		delete(p.out, e.Server)
+		delete(sidecar.cordons, e.Server)
 	case DescriptorsCounted:
-		if int(e.Count) > j.rules.MaxDescriptors {
-			j.addViolation(DescriptorLimit, e.Sidecar, -1, 0, nil, "%d descriptors of %d", e.Count, j.rules.MaxDescriptors)
+		if int(e.Count) > c.rules.MaxDescriptors {
+			c.addViolation(DescriptorLimit, e.Sidecar, -1, 0, nil, "%d descriptors of %d", e.Count, c.rules.MaxDescriptors)
 		}
 	case LeftoversCounted:
 		if e.Count > 0 {
-			j.addViolation(NoLeftovers, e.Sidecar, -1, 0, nil, "%d %s left when the day was over", e.Count, e.Text)
+			c.addViolation(NoLeftovers, e.Sidecar, -1, 0, nil, "%d %s left when the day was over", e.Count, e.Text)
 		}
 	}
 }
 
 // endSpan ends the last of some times, if it goes on.
-func endSpan(all []span, at float64) {
+func closeLastInterval(all []interval, at float64) {
 	if n := len(all); n > 0 && math.IsInf(all[n-1].until, 1) {
 		all[n-1].until = at
 	}
 }
 
 // killed excuses what a killed sidecar had open, unless it had been told to end and took more.
-func (j *Checker) killed(p *party, e *Event) {
-	p.killedAt = e.At
-	for len(p.open) > 0 {
-		r := p.open[0]
-		if late := p.termedAt > 0 && r.takenAt > p.termedAt+j.rules.TermGraceSeconds+j.rules.SocketSlackSeconds && e.At < r.until; late {
-			j.addViolation(OneAnswer, r.sidecar, -1, r.id, nil, "taken %.3f s after the order to end and not answered when killed", r.takenAt-p.termedAt)
+func (c *Checker) sidecarKilled(sidecar *sidecarState, e *Event) {
+	sidecar.killedAt = e.At
+	for len(sidecar.pendingRequests) > 0 {
+		request := sidecar.pendingRequests[0]
+		if isUnanswered := sidecar.terminatingAt > 0 && request.sentAt > sidecar.terminatingAt+c.rules.TermGraceSeconds+c.rules.SocketSlackSeconds && e.At < request.deadline; isUnanswered {
+			c.addViolation(OneAnswer, request.sidecar, -1, request.id, nil, "taken %.3f s after the order to end and not answered when killed", request.sentAt-sidecar.terminatingAt)
 		}
-		j.end(r, excused, e.At)
+		c.endRequest(request, excused, e.At)
 	}
-	p.life++
+	sidecar.incarnation++
 }
--- a/internal/checker/service.go
+++ b/internal/checker/service.go
@@ -33,25 +33,25 @@
 }
 
 // Report returns the service and its prices so far.
-func (j *Checker) Report() Report {
-	r := Report{Costs: j.prices}
+func (c *Checker) Report() Report {
+	report := Report{Costs: c.costs}
 	inAim, asked := 0.0, 0.0
-	for i, c := range j.classes {
-		c.Unserved = c.Requests - c.InTarget - c.Late
-		if c.Requests > 0 {
-			c.Service = float64(c.InTarget) / float64(c.Requests)
+	for i, service := range c.services {
+		service.Unserved = service.Requests - service.InTarget - service.Late
+		if service.Requests > 0 {
+			service.Service = float64(service.InTarget) / float64(service.Requests)
 		}
-		inAim += float64(c.InTarget) * j.rules.Classes[i].PriorityWeight
-		asked += c.Weight
-		r.Classes = append(r.Classes, c)
+		inAim += float64(service.InTarget) * c.rules.Classes[i].PriorityWeight
+		asked += service.Weight
+		report.Classes = append(report.Classes, service)
 	}
 	if asked > 0 {
-		r.Service = inAim / asked
+		report.Service = inAim / asked
 	}
-	for _, h := range j.hostile { // a count: the order does not matter
-		if !h.settled && h.until < j.now {
-			r.Costs.HostileUnclosed++
+	for _, client := range c.hostileClients { // a count: the order does not matter
+		if !client.isSettled && client.deadline < c.now {
+			report.Costs.HostileUnclosed++
 		}
 	}
-	return r
+	return report
 }
--- a/internal/checker/told.go
+++ b/internal/checker/told.go
@@ -8,83 +8,83 @@
 
 // countsAsTold returns when a sidecar counts as told of a change of the list, as far as can be said at a time; +Inf: not
 // yet.
-func (j *Checker) countsAsTold(p *party, listed *Event, at float64) float64 {
-	made := max(listed.At, p.startedAt)
-	told := j.hears(p, listed, j.there(made, j.rules.UpdateTimeoutSeconds))
-	if p.watched() {
-		return told
+func (c *Checker) notifiedAt(sidecar *sidecarState, change *Event, at float64) float64 {
+	madeAt := max(change.At, sidecar.startedAt)
+	notified := c.deferForInterruptions(sidecar, change, c.discoveryUpFor(madeAt, c.rules.UpdateTimeoutSeconds))
+	if sidecar.hasLiveWatch() {
+		return notified
 	}
 	missed := math.Inf(1)
-	if p.silentAt > 0 { // what is made once the silence should have been noticed is missed as it is made
-		missed = max(made, j.hears(p, listed, j.reachable(p.silentAt, j.rules.UpdateTimeoutSeconds)))
+	if sidecar.stalledAt > 0 { // what is made once the silence should have been noticed is missed as it is made
+		missed = max(madeAt, c.deferForInterruptions(sidecar, change, c.discoveryReachableFor(sidecar.stalledAt, c.rules.UpdateTimeoutSeconds)))
 	}
-	if p.watches > 0 {
+	if sidecar.openWatches > 0 {
 		return missed
 	}
-	within := j.rules.PollTimeoutSeconds
-	if !p.called {
-		if p.askFailed {
-			within *= 4
+	timeout := c.rules.PollTimeoutSeconds
+	if !sidecar.isPolledSinceWatch {
+		if sidecar.pollFailed {
+			timeout *= 4
 		}
-		if unasked := max(listed.At, p.askedAt) + within; unasked <= at {
-			told = min(told, unasked)
+		if unpolledAt := max(change.At, sidecar.polledAt) + timeout; unpolledAt <= at {
+			notified = min(notified, unpolledAt)
 		}
-		return min(told, missed)
+		return min(notified, missed)
 	}
 	// Who has called since its watch ended is held to its list for as long as the settings give, counted anew when discovery is
 	// back; but after a call that failed a change counts once discovery had it and could be reached for a while. Danger: discovery
 	// that works through three calls a second has sixty wait; what it could not have answered in time blames nobody.
-	if p.askFailed {
-		return min(j.hears(p, listed, j.reachable(made, j.rules.UpdateTimeoutSeconds)), missed)
+	if sidecar.pollFailed {
+		return min(c.deferForInterruptions(sidecar, change, c.discoveryReachableFor(madeAt, c.rules.UpdateTimeoutSeconds)), missed)
 	}
-	return min(max(listed.At, p.askedAt, j.upAt)+within, missed)
+	return min(max(change.At, sidecar.polledAt, c.discoveryUpAt)+timeout, missed)
 }
 
 // hears returns when a sidecar counts as told of a change that would count from a time on, had it not been given a new
 // configuration and not stood still.
-func (j *Checker) hears(p *party, listed *Event, told float64) float64 {
-	if p.reloadedAt > 0 && p.reloadedAt < told {
-		told = max(told, p.reloadedAt+j.rules.ReloadGraceSeconds)
+func (c *Checker) deferForInterruptions(sidecar *sidecarState, change *Event, notified float64) float64 {
+	if sidecar.reloadedAt > 0 && sidecar.reloadedAt < notified {
+		notified = max(notified, sidecar.reloadedAt+c.rules.ReloadGraceSeconds)
 	}
-	if p.frozenAt > 0 && told >= p.frozenAt && listed.At <= p.thawedAt {
-		told = max(told, p.thawedAt+j.rules.UpdateTimeoutSeconds)
+	if sidecar.suspendedAt > 0 && notified >= sidecar.suspendedAt && change.At <= sidecar.resumedAt {
+		notified = max(notified, sidecar.resumedAt+c.rules.UpdateTimeoutSeconds)
 	}
-	return told
+	return notified
 }
 
 // there returns when discovery has been up for so long on end since a time; +Inf: not yet. What it can't tell does not count.
-func (j *Checker) there(from, forS float64) float64 {
-	for i := range j.outages {
-		if o := &j.outages[i]; o.until > from && o.from < from+forS {
-			from = o.until
+func (c *Checker) discoveryUpFor(from, forSeconds float64) float64 {
+	for i := range c.discoveryOutages {
+		if outage := &c.discoveryOutages[i]; outage.until > from && outage.from < from+forSeconds {
+			from = outage.until
 		}
 	}
-	return from + forS
+	return from + forSeconds
 }
 
 // reachable returns when discovery has been up for so long on end since a time, and would have answered a call; +Inf: not yet. Time in
 // which calls stood in line there does not count, since another one could have waited in vain. Danger: a fleet whose calls never end
 // would never count as told, so no more of that is taken off than a call of each sidecar needs.
-func (j *Checker) reachable(from, forS float64) float64 {
+func (c *Checker) discoveryReachableFor(from, forSeconds float64) float64 {
 	for {
-		until := j.beyondLines(from, forS)
-		next := slices.IndexFunc(j.outages, func(o span) bool { return o.until > from && o.from < until })
+		until := c.skipQueues(from, forSeconds)
+		next := slices.IndexFunc(c.discoveryOutages, func(outage interval) bool { return outage.until > from && outage.from < until })
 		if next < 0 {
 			return until
 		}
-		if from = j.outages[next].until; math.IsInf(from, 1) {
+		if from = c.discoveryOutages[next].until; math.IsInf(from, 1) {
 			return from
 		}
 	}
 }
 
 // beyondLines returns when so much time without a line has passed since a time.
-func (j *Checker) beyondLines(from, forS float64) float64 {
-	until, excused := from+forS, 0.0
-	first := sort.Search(len(j.lines), func(i int) bool { return j.lines[i].until > from })
-	for i := first; i < len(j.lines) && j.lines[i].from < until; i++ {
-		l := &j.lines[i]
-		waited := min(l.until-max(l.from, from), j.rules.FleetCallsSeconds-excused)
+func (c *Checker) skipQueues(from, forSeconds float64) float64 {
+	until, excused := from+forSeconds, 0.0
+	first := sort.Search(len(c.discoveryQueues), func(i int) bool { return c.discoveryQueues[i].until > from })
+	for i := first; i < len(c.discoveryQueues) && c.discoveryQueues[i].from < until; i++ {
+		queue := &c.discoveryQueues[i]
+		waited := min(queue.until-max(queue.from, from), c.rules.FleetCallsSeconds-excused)
 		excused += waited
 		until += waited
 	}
@@ -92,18 +92,18 @@
 }
 
 // notServingSince returns since when a sidecar knew at a time that a box drains or is gone, +Inf: it did not.
-func (j *Checker) notServingSince(p *party, box int32, at float64) float64 {
-	k, s := p.knows(box), j.station(box)
+func (c *Checker) notServingSince(sidecar *sidecarState, serverID int32, at float64) float64 {
+	entry, server := sidecar.entry(serverID), c.server(serverID)
 	since := math.Inf(1)
-	if k.status != 0 && k.status != Serving {
-		since = k.at
+	if entry.status != 0 && entry.status != Serving {
+		since = entry.changedAt
 	}
-	run := -1 // the first of the last changes that say so
-	for i := len(s.listed) - 1; i >= 0 && s.listed[i].Status != Serving; i-- {
-		run = i
+	first := -1 // the first of the last changes that say so
+	for i := len(server.listChanges) - 1; i >= 0 && server.listChanges[i].Status != Serving; i-- {
+		first = i
 	}
-	if run >= 0 {
-		since = min(since, j.countsAsTold(p, &s.listed[run], at))
+	if first >= 0 {
+		since = min(since, c.notifiedAt(sidecar, &server.listChanges[first], at))
 	}
 	return since
 }
@@ -112,57 +112,57 @@
 //
 // Danger: another box may have come up at the address of one that is gone. What counts is what the sidecar was told of
 // the address that it used.
-func (j *Checker) checkDrain(s *station, p *party, e *Event) {
-	grace := j.rules.DrainGraceSeconds + j.rules.SocketSlackSeconds
-	if at := p.out[e.Server]; at > 0 && e.FirstSent > at+grace {
-		j.addViolation(SafeDrain, e.Sidecar, e.Server, e.Request, nil, "sent %.3f s after operators had taken box %d out", e.FirstSent-at, e.Server)
+func (c *Checker) checkDrain(server *serverState, sidecar *sidecarState, e *Event) {
+	grace := c.rules.DrainGraceSeconds + c.rules.SocketSlackSeconds
+	if at := sidecar.cordons[e.Server]; at > 0 && e.FirstSent > at+grace {
+		c.addViolation(SafeDrain, e.Sidecar, e.Server, e.Request, nil, "sent %.3f s after operators had taken box %d out", e.FirstSent-at, e.Server)
 		return
 	}
-	if k := p.knows(e.Server); k.status == Serving && e.FirstSent <= j.notServingSince(p, e.Server, e.FirstSent)+grace {
+	if entry := sidecar.entry(e.Server); entry.status == Serving && e.FirstSent <= c.notServingSince(sidecar, e.Server, e.FirstSent)+grace {
 		return
 	}
-	latest, named := math.Inf(-1), int32(-1)
-	for box := range p.told {
-		k := &p.told[box]
-		if k.status != 0 && k.said.Address == s.address {
-			if since := j.notServingSince(p, int32(box), e.FirstSent); since > latest {
-				latest, named = since, int32(box)
+	latest, latestServer := math.Inf(-1), int32(-1)
+	for serverID := range sidecar.entries {
+		entry := &sidecar.entries[serverID]
+		if entry.status != 0 && entry.event.Address == server.address {
+			if since := c.notServingSince(sidecar, int32(serverID), e.FirstSent); since > latest {
+				latest, latestServer = since, int32(serverID)
 			}
 		}
 	}
 	switch {
-	case named < 0:
-		j.addViolation(SafeDrain, e.Sidecar, e.Server, e.Request, nil, "sent to an address that the sidecar was never told of")
+	case latestServer < 0:
+		c.addViolation(SafeDrain, e.Sidecar, e.Server, e.Request, nil, "sent to an address that the sidecar was never told of")
 	case e.FirstSent > latest+grace:
-		j.addViolation(SafeDrain, e.Sidecar, e.Server, e.Request, []Event{p.told[named].said},
-			"sent %.3f s after the sidecar was told, or counted as told, that box %d drains or is gone", e.FirstSent-latest, named)
+		c.addViolation(SafeDrain, e.Sidecar, e.Server, e.Request, []Event{sidecar.entries[latestServer].event},
+			"sent %.3f s after the sidecar was told, or counted as told, that box %d drains or is gone", e.FirstSent-latest, latestServer)
 	}
 }
 
 // checkAsked checks that a sidecar which goes on without a watch has asked for one. Danger: one that never asks again goes by its
 // list for ever, and seldom meets a box within a day that shows it.
-func (j *Checker) checkAsked(sidecar int32, now float64) {
-	p := &j.parties[sidecar]
-	if p.watched() || p.life == 0 || p.termedAt > 0 || p.killedAt > p.startedAt || now < p.thawedAt || j.downAt > 0 {
+func (c *Checker) checkPolling(sidecar int32, now float64) {
+	state := &c.sidecars[sidecar]
+	if state.hasLiveWatch() || state.incarnation == 0 || state.terminatingAt > 0 || state.killedAt > state.startedAt || now < state.resumedAt || c.discoveryDownAt > 0 {
 		return
 	}
-	for i := range j.cuts { // its calls may have been lost, which nobody sees
-		if c := &j.cuts[i]; (c.sidecar == sidecar || c.sidecar < 0) && c.until+4*j.rules.PollTimeoutSeconds >= now {
+	for i := range c.pathFaults { // its calls may have been lost, which nobody sees
+		if fault := &c.pathFaults[i]; (fault.sidecar == sidecar || fault.sidecar < 0) && fault.until+4*c.rules.PollTimeoutSeconds >= now {
 			return
 		}
 	}
-	if p.silentAt > 0 && p.askedAt < p.silentAt {
-		if noticed := j.reachable(max(p.silentAt, p.reloadedAt, p.thawedAt), j.rules.UpdateTimeoutSeconds) + j.rules.SocketSlackSeconds; now > noticed {
-			j.addViolation(ListPolled, sidecar, -1, 0, nil, "on a watch that has said nothing for %.1f s, and has not asked for another", now-p.silentAt)
+	if state.stalledAt > 0 && state.polledAt < state.stalledAt {
+		if noticedBy := c.discoveryReachableFor(max(state.stalledAt, state.reloadedAt, state.resumedAt), c.rules.UpdateTimeoutSeconds) + c.rules.SocketSlackSeconds; now > noticedBy {
+			c.addViolation(ListPolled, sidecar, -1, 0, nil, "on a watch that has said nothing for %.1f s, and has not asked for another", now-state.stalledAt)
 		}
 		return
 	}
-	within := j.rules.PollTimeoutSeconds
-	if p.askFailed {
-		within *= 4
+	timeout := c.rules.PollTimeoutSeconds
+	if state.pollFailed {
+		timeout *= 4
 	}
-	within = max(within, j.rules.MaxPollIntervalSeconds) + j.rules.SocketSlackSeconds
-	if asked := max(p.askedAt, p.startedAt, p.reloadedAt, p.thawedAt, j.upAt); now > asked+within {
-		j.addViolation(ListPolled, sidecar, -1, 0, nil, "without a watch, and has not asked for its list for %.1f s", now-asked)
+	timeout = max(timeout, c.rules.MaxPollIntervalSeconds) + c.rules.SocketSlackSeconds
+	if polledAt := max(state.polledAt, state.startedAt, state.reloadedAt, state.resumedAt, c.discoveryUpAt); now > polledAt+timeout {
+		c.addViolation(ListPolled, sidecar, -1, 0, nil, "without a watch, and has not asked for its list for %.1f s", now-polledAt)
 	}
 }
