--- /dev/null
+++ b/internal/checker/attempt.go
@@ -0,0 +1,114 @@
+package checker
+
+// execution checks a request that has come whole to a box.
+func (c *Checker) attemptReceived(server *serverState, e *Event) {
+	request, sidecar := c.requests[e.Request], c.sidecar(e.Sidecar)
+	c.costs.Attempts++
+	if int(e.Sidecar) < len(c.rules.SidecarZones) && e.Sidecar >= 0 && c.rules.SidecarZones[e.Sidecar] != server.zone {
+		c.costs.CrossZoneAttempts++
+	}
+	if request == nil || sidecar == nil {
+		c.addViolation(NoInvention, e.Sidecar, e.Server, e.Request, nil, "an execution of a request that no client has sent")
+		return
+	}
+	if e.Sent <= sidecar.killedAt || e.FirstSent < sidecar.startedAt {
+		return // the last words of a process that has been killed
+	}
+	c.checkDrain(server, sidecar, e)
+	isOtherRequest := request.isIDReused && request.mayBeAnswered() // a hostile client has used its id since
+	if !isOtherRequest {
+		c.checkRequestOpen(request, e)
+	}
+	a := attempt{server: e.Server, serverIncarnation: server.incarnation, sidecarIncarnation: sidecar.incarnation, connection: e.Connection, firstByteSentAt: e.FirstSent, sentAt: e.Sent}
+	request.attempts = append(request.attempts, a)
+	c.connections[e.Connection] = &connectionState{request, len(request.attempts) - 1}
+	if isOtherRequest {
+		return
+	}
+	count := 0
+	for i := range request.attempts {
+		if request.attempts[i].sidecarIncarnation == sidecar.incarnation {
+			count++
+		}
+	}
+	if c.rules.MaxAttempts > 0 && count > c.rules.MaxAttempts {
+		c.addViolation(NoRepeat, e.Sidecar, e.Server, e.Request, nil, "execution %d of at most %d", count, c.rules.MaxAttempts)
+	}
+	for i := range request.attempts[:len(request.attempts)-1] {
+		if request.attempts[i].sidecarIncarnation != sidecar.incarnation {
+			continue
+		}
+		first, second := i, len(request.attempts)-1
+		if request.attempts[first].sentAt > e.Sent {
+			first, second = second, first
+		}
+		c.checkRepeat(request, first, second)
+		c.checkOverlap(request, first, second)
+	}
+}
+
+// checkOpen checks that an execution was sent while its request was open.
+func (c *Checker) checkRequestOpen(request *request, e *Event) {
+	class := c.class(request.class)
+	switch request.outcome {
+	case served, failed:
+		if e.FirstSent > request.endedAt {
+			c.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "sent on %.6f s after its final answer", e.FirstSent-request.endedAt)
+		}
+	case rejected:
+		if class != nil && class.Effect != Safe && (class.Effect != Keyed || class.Group != GroupAll) || e.FirstSent > request.endedAt {
+			c.addViolation(NoRepeat, e.Sidecar, e.Server, e.Request, nil, "an execution of a request that was refused")
+		}
+	case closedUnsent:
+		if e.FirstSent <= request.endedAt {
+			c.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "its connection was closed without an answer, though it had been sent on")
+			return
+		}
+		fallthrough
+	case abandoned, lost:
+		gone := request.endedAt
+		if sidecar := c.sidecar(request.sidecar); sidecar.suspendedAt > 0 && gone >= sidecar.suspendedAt && gone <= sidecar.resumedAt {
+			gone = sidecar.resumedAt + catchUpSeconds // its end lies unread behind all that has come meanwhile
+		}
+		// The contract allows 0.1 s beyond the slack; what has been read by then is dropped at once, so that the slack alone is enough.
+		switch late := e.FirstSent - gone; {
+		case late <= c.rules.SocketSlackSeconds:
+		case request.outcome == abandoned:
+			c.addViolation(ClientGone, e.Sidecar, e.Server, e.Request, nil, "attempt %d was sent %.6f s after its client had gone", len(request.attempts)+1, late)
+		default:
+			c.addViolation(OneAnswer, e.Sidecar, e.Server, e.Request, nil, "sent on %.6f s after its connection was closed", late)
+		}
+	}
+}
+
+// attempt is an execution that came whole to a box.
+type attempt struct {
+	server, serverIncarnation int32
+	sidecarIncarnation        int // of the sidecar
+	connection                uint64
+	firstByteSentAt           float64
+	sentAt                    float64
+	repliedAt                 float64 // 0: it has not been
+	closedAt                  float64 // when the sidecar or the box ended its connection; 0: neither has
+	isClosedAtExact           bool    // closedAt is the sidecar's own time
+	status                    int32
+	digest                    uint64
+	notStarted                bool
+	malformed                 bool
+}
+
+// endedBy returns when the sidecar could know that the attempt was over, +Inf: not yet. boxEnded is when the box's life
+// ended, +Inf: it goes on. A spoilt answer is none; the sidecar ends such an attempt itself.
+func (a *attempt) endKnownAt(serverEndedAt float64) float64 {
+	at := serverEndedAt
+	if a.closedAt > 0 {
+		at = min(at, a.closedAt)
+	}
+	if a.repliedAt > 0 && !a.malformed {
+		at = min(at, a.repliedAt)
+	}
+	return at
+}
+
+// provenUnrun tells whether the sidecar knew at a time that the attempt never ran.
+func (a *attempt) isProvenNotRun(at float64) bool { return a.notStarted && a.repliedAt <= at }
--- a/internal/checker/event.go
+++ b/internal/checker/event.go
@@ -185,9 +185,6 @@
 	Text    string `json:"Text"`
 }
 
-// Witness is told events in the order of their time. The actors of a world hold one.
-type Observer interface{ Observe(e Event) }
-
 // Digest returns a body's digest, by which an answer is known again. It is FNV-1a.
 func Digest(body []byte) uint64 {
 	h := uint64(14695981039346656037)
@@ -196,3 +193,6 @@
 	}
 	return h
 }
+
+// Witness is told events in the order of their time. The actors of a world hold one.
+type Observer interface{ Observe(e Event) }
--- a/internal/checker/service.go
+++ b/internal/checker/report.go
@@ -1,5 +1,23 @@
 package checker
 
+// serve counts a request that has been served, once.
+func (c *Checker) countServed(request *request, at float64) {
+	operation := request.operation
+	class := c.class(operation.class)
+	if operation.isServed || !operation.isCounted || class == nil {
+		return
+	}
+	operation.isServed = true
+	service := &c.services[operation.class]
+	if at-operation.startedAt <= class.LatencyTargetSeconds {
+		service.InTarget++
+		service.EarnedWeight += class.PriorityWeight
+		return
+	}
+	service.Late++
+	service.EarnedWeight += class.PriorityWeight * class.LateFraction
+}
+
 // ClassService is what the clients had of a class.
 type ClassService struct {
 	Name         string  `json:"Name"`
--- a/internal/checker/judge.go
+++ b/internal/checker/sidecar.go
@@ -1,155 +1,10 @@
 package checker
 
 import (
-	"fmt"
 	"math"
 	"slices"
 )
 
-// Judge checks the rules event by event. It is not safe for concurrent use.
-type Checker struct {
-	rules          Rules
-	violations     []Violation
-	violationCount int // rules broken, also beyond the findings that are kept
-	recentEvents   []Event
-	eventCount     int
-
-	requests         map[uint64]*request
-	connections      map[uint64]*connectionState
-	hostileClients   map[uint64]*hostileClient
-	servers          []serverState
-	sidecars         []sidecarState
-	overlaps         []attemptOverlap
-	pathFaults       []pathFault
-	discoveryDownAt  float64 // since when discovery is down; 0: it is up
-	discoveryUpAt    float64
-	discoveryOutages []interval // of discovery, oldest first
-	discoveryQueues  []interval // times in which calls waited there, oldest first
-
-	services []ClassService
-	costs    Costs
-	now      float64
-}
-
-// linkState is a connection at a box with the attempt that came over it last.
-type connectionState struct {
-	request      *request
-	attemptIndex int
-}
-
-// hostile is a client that may not be served.
-type hostileClient struct {
-	deadline       float64
-	isSettled      bool
-	claimedRequest *request // whose id it uses
-}
-
-// copies are two attempts of a try of which the first had no end when the second came. Whether it had one when the
-// second was sent shows when its connection's end arrives.
-type attemptOverlap struct {
-	request       *request
-	first, second int
-	decideAt      float64
-}
-
-// span is a time between two.
-type interval struct{ from, until float64 } // +Inf: it goes on
-
-// cut is a way that is in trouble.
-type pathFault struct {
-	sidecar, server int32
-	from, until     float64 // +Inf: it still is
-}
-
-const (
-	maxViolations      = 100
-	maxRecentEvents    = 1 << 14
-	maxViolationEvents = 30
-	// catchUpS is how long a process that stood still may take to come to what has come meanwhile.
-	catchUpSeconds = 0.25
-	// copyWaitS is how long the end of a first attempt may be under way.
-	overlapWaitSeconds = 1.0
-	// exactS is what rounding takes of times that are known exactly.
-	timeToleranceSeconds = 1e-4
-)
-
-var _ Observer = (*Checker)(nil)
-
-// New returns a judge that has seen nothing.
-func New(rules Rules) *Checker {
-	c := &Checker{rules: rules, requests: map[uint64]*request{}, connections: map[uint64]*connectionState{}, hostileClients: map[uint64]*hostileClient{},
-		recentEvents: make([]Event, 0, maxRecentEvents), sidecars: make([]sidecarState, rules.Sidecars)}
-	for _, class := range rules.Classes {
-		c.services = append(c.services, ClassService{Name: class.Name})
-	}
-	return c
-}
-
-// Findings returns the first breaks found, oldest first.
-func (c *Checker) Violations() []Violation { return c.violations }
-
-// Broken returns how many breaks there were, also those beyond Findings.
-func (c *Checker) ViolationCount() int { return c.violationCount }
-
-// See takes one event. Events come in the order of At.
-func (c *Checker) Observe(e Event) {
-	c.now = e.At
-	if len(c.recentEvents) < maxRecentEvents {
-		c.recentEvents = append(c.recentEvents, e)
-	} else {
-		c.recentEvents[c.eventCount%maxRecentEvents] = e
-	}
-	c.eventCount++
-	for len(c.overlaps) > 0 && c.overlaps[0].decideAt <= e.At {
-		c.decideOverlap()
-	}
-	switch {
-	case e.Kind < ServerStarted:
-		c.observeClient(&e)
-	case e.Kind < ListChanged:
-		c.observeServer(&e)
-	default:
-		c.observeSidecar(&e)
-	}
-}
-
-// End tells that the day is over: what waits for more time is decided.
-func (c *Checker) Finish(now float64) {
-	c.now = now
-	for len(c.overlaps) > 0 {
-		c.decideOverlap()
-	}
-	for i := range c.sidecars {
-		for _, request := range slices.Clone(c.sidecars[i].pendingRequests) {
-			if now > request.deadline+c.rules.AnswerSlackSeconds+c.rules.SocketSlackSeconds {
-				c.endRequest(request, abandoned, now)
-			}
-		}
-		c.checkPolling(int32(i), now)
-	}
-}
-
-// find notes a break of a rule, with the events that show it.
-func (c *Checker) addViolation(rule Rule, sidecar, server int32, request uint64, shownEvents []Event, format string, args ...any) {
-	if c.violationCount++; len(c.violations) >= maxViolations {
-		return
-	}
-	violation := Violation{Rule: rule, At: c.now, Sidecar: sidecar, Server: server, Request: request, Reason: fmt.Sprintf(format, args...)}
-	violation.Events = append(violation.Events, shownEvents...)
-	first := max(0, c.eventCount-len(c.recentEvents))
-	for i := first; i < c.eventCount; i++ {
-		e := &c.recentEvents[i%maxRecentEvents]
-		if request != 0 && e.Request == request || request == 0 && server >= 0 && e.Server == server && e.At >= c.now-c.rules.OverloadWindowSeconds ||
-			request == 0 && server < 0 && e.Sidecar == sidecar && i >= c.eventCount-4 {
-			violation.Events = append(violation.Events, *e)
-		}
-	}
-	if count := len(violation.Events); count > maxViolationEvents {
-		violation.Events = violation.Events[count-maxViolationEvents:]
-	}
-	c.violations = append(c.violations, violation)
-}
-
 // party returns what is known of a sidecar; nil: there is none such.
 func (c *Checker) sidecar(sidecar int32) *sidecarState {
 	if sidecar < 0 || int(sidecar) >= len(c.sidecars) {
@@ -158,14 +13,6 @@
 	return &c.sidecars[sidecar]
 }
 
-// station returns what is known of a box.
-func (c *Checker) server(server int32) *serverState {
-	for int(server) >= len(c.servers) {
-		c.servers = append(c.servers, serverState{})
-	}
-	return &c.servers[server]
-}
-
 // knows returns what a sidecar was told of a box.
 func (p *sidecarState) entry(server int32) *notifiedEntry {
 	for int(server) >= len(p.entries) {
@@ -174,28 +21,6 @@
 	return &p.entries[server]
 }
 
-// class returns a request's class; nil: there is none such.
-func (c *Checker) class(n int32) *Class {
-	if n < 0 || int(n) >= len(c.rules.Classes) {
-		return nil
-	}
-	return &c.rules.Classes[n]
-}
-
-// troubled tells whether a way was in trouble between two times, or shortly before: what the trouble has held back comes
-// later.
-func (c *Checker) hadPathFault(sidecar, server int32, from, until float64) bool {
-	const after = 11 // seconds until lost bytes are sent again
-	for i := range c.pathFaults {
-		fault := &c.pathFaults[i]
-		isSamePath := (fault.sidecar == sidecar || fault.sidecar < 0) && fault.server == server
-		if isSamePath && fault.from <= until && fault.until+after >= from {
-			return true
-		}
-	}
-	return false
-}
-
 // seeRest takes what discovery, the network and the processes tell.
 func (c *Checker) observeSidecar(e *Event) {
 	sidecar := c.sidecar(e.Sidecar)
@@ -314,13 +139,6 @@
 	}
 }
 
-// endSpan ends the last of some times, if it goes on.
-func closeLastInterval(all []interval, at float64) {
-	if n := len(all); n > 0 && math.IsInf(all[n-1].until, 1) {
-		all[n-1].until = at
-	}
-}
-
 // killed excuses what a killed sidecar had open, unless it had been told to end and took more.
 func (c *Checker) sidecarKilled(sidecar *sidecarState, e *Event) {
 	sidecar.killedAt = e.At
@@ -333,3 +151,60 @@
 	}
 	sidecar.incarnation++
 }
+
+// knowledge is what a sidecar's present process has been told of a box.
+type notifiedEntry struct {
+	status       int32 // 0: nothing
+	changedAt    float64
+	servingSince float64 // of the entry that told it to serve, the last one
+	event        Event
+}
+
+// party is a sidecar.
+type sidecarState struct {
+	cordons            map[int32]float64 // boxes that operators have taken out, since when
+	incarnation        int
+	startedAt          float64
+	killedAt           float64
+	terminatingAt      float64 // 0: it was not told to end
+	reloadedAt         float64
+	suspendedAt        float64 // when it stood still last, until thawedAt
+	resumedAt          float64
+	openWatches        int
+	stalledWatches     []uint64 // links of those to which nothing is written any more
+	stalledAt          float64  // since when it has had no watch that speaks, the last of which fell silent then; 0: it has one, or lost it otherwise
+	polledAt           float64  // when it called discovery last
+	pollFailed         bool
+	isPolledSinceWatch bool // since its last watch ended
+	pendingRequests    []*request
+	entries            []notifiedEntry // by box
+	listIndex          uint64          // of the latest list that it was told of
+}
+
+// fellSilent notes that all watches that are open are silent, if they are.
+func (p *sidecarState) noteStalledWatches(at float64) {
+	if p.openWatches > 0 && p.openWatches <= len(p.stalledWatches) && p.stalledAt == 0 {
+		p.stalledAt = at
+	}
+}
+
+// watched tells whether a watch is open that speaks.
+func (p *sidecarState) hasLiveWatch() bool { return p.openWatches > len(p.stalledWatches) }
+
+// take and drop keep the list of a sidecar's open tries. Its order is that of what happened, never that of a map.
+func (p *sidecarState) addPending(request *request) {
+	if request.pendingIndex < 0 {
+		request.pendingIndex = len(p.pendingRequests)
+		p.pendingRequests = append(p.pendingRequests, request)
+	}
+}
+
+func (p *sidecarState) removePending(request *request) {
+	if request.pendingIndex < 0 {
+		return
+	}
+	last := p.pendingRequests[len(p.pendingRequests)-1]
+	p.pendingRequests[request.pendingIndex], last.pendingIndex = last, request.pendingIndex
+	p.pendingRequests = p.pendingRequests[:len(p.pendingRequests)-1]
+	request.pendingIndex = -1
+}
