--- a/internal/checker/answer.go
+++ b/internal/checker/answer.go
@@ -1,6 +1,6 @@
 package checker
 
-// answered takes a whole answer.
+// responseReceived handles a complete answer: it must be the only one and, if successful, one that a server made.
 func (c *Checker) responseReceived(request *request, e *Event) {
 	if request.outcome == served || request.outcome == rejected || request.outcome == failed {
 		c.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "a second answer, of status %d", e.Status)
@@ -27,8 +27,8 @@
 	}
 }
 
-// checkAtOnce checks that a try was given its answer when nothing more could be done for it: the sidecar had no right
-// to another execution, and none was out.
+// checkFailFast checks that a request got its error as soon as the sidecar had no further attempt in flight and none left
+// that the class or the limit allows.
 func (c *Checker) checkFailFast(request *request, e *Event) {
 	class := c.class(request.class)
 	if class == nil || len(request.attempts) == 0 || c.hadPathFault(request.sidecar, PathToClients, request.startedAt, e.At) {
@@ -39,8 +39,8 @@
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
 		end := attempt.endKnownAt(c.server(attempt.server).incarnationEnd(attempt.serverIncarnation))
-		if attempt.sidecarIncarnation != c.sidecars[request.sidecar].incarnation { // an earlier process has sent it, and this one knows nothing of it
-			return
+		if attempt.sidecarIncarnation != c.sidecars[request.sidecar].incarnation {
+			return // an earlier process has sent it, and this one knows nothing of it
 		}
 		if end > e.At || c.hadPathFault(request.sidecar, attempt.server, attempt.sentAt, e.At) {
 			return
@@ -53,27 +53,40 @@
 	}
 }
 
-// brokenOff takes the end of part of an answer. Whole ones that a box has made must reach the client whole.
+// responseTruncated handles an incomplete answer. A complete one of a server must reach the client complete.
 func (c *Checker) responseTruncated(request *request, e *Event) {
 	if request.outcome == pending && !request.isHalfClosed {
-		for i := range request.attempts {
-			attempt := &request.attempts[i]
-			if attempt.repliedAt > 0 && attempt.status == 200 && !attempt.malformed && attempt.sidecarIncarnation == c.sidecars[request.sidecar].incarnation && c.sidecars[request.sidecar].terminatingAt == 0 &&
-				!c.hadPathFault(request.sidecar, PathToClients, attempt.sentAt, e.At) {
-				c.addViolation(OneAnswer, request.sidecar, attempt.server, request.id, nil, "part of an answer, though a box had given it whole")
-				break
-			}
-		}
+		c.checkTruncation(request, e)
 	}
 	c.endRequest(request, failed, e.At)
 }
 
-// dropped takes the end of a connection by the sidecar's side while a try was out on it.
+// checkTruncation checks that no attempt of the sidecar's present process had a complete answer. A process that shuts down
+// may truncate.
+func (c *Checker) checkTruncation(request *request, e *Event) {
+	sidecar := &c.sidecars[request.sidecar]
+	if sidecar.terminatingAt != 0 {
+		return
+	}
+	for i := range request.attempts {
+		attempt := &request.attempts[i]
+		if !attempt.isServed() || attempt.sidecarIncarnation != sidecar.incarnation {
+			continue
+		}
+		if c.hadPathFault(request.sidecar, PathToClients, attempt.sentAt, e.At) {
+			continue
+		}
+		c.addViolation(OneAnswer, request.sidecar, attempt.server, request.id, nil, "part of an answer, though a box had given it whole")
+		return
+	}
+}
+
+// connectionDropped handles the sidecar's close of the connection of a pending request.
 func (c *Checker) connectionDropped(request *request, e *Event) {
 	if request.outcome != pending || !request.isSent {
 		return
 	}
-	if request.isHalfClosed { // the sidecar takes it for one that has gone
+	if request.isHalfClosed { // the sidecar may consider its client gone
 		c.endRequest(request, abandoned, e.At)
 		return
 	}
@@ -86,7 +99,8 @@
 		c.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "it was read, and its connection closed without an answer")
 		c.endRequest(request, lost, e.At)
 	case !isForwarded && e.Reused && !request.wasDropped:
-		request.wasDropped, request.isSent = true, false // the close has crossed the request: its client sends it once more
+		// The close of an idle connection has crossed the request: its client sends it once more.
+		request.wasDropped, request.isSent = true, false
 		c.sidecars[request.sidecar].removePending(request)
 	case !isForwarded && !e.Reused && !request.wasDropped && !c.rules.IsFaultFree:
 		c.endRequest(request, closedUnsent, e.At)
--- a/internal/checker/attempt.go
+++ b/internal/checker/attempt.go
@@ -1,6 +1,43 @@
 package checker
 
-// execution checks a request that has come whole to a box.
+// catchUpSeconds is how long a resumed process may take to read what has arrived while it was suspended.
+const catchUpSeconds = 0.25
+
+// attempt is a request that a server has read completely.
+type attempt struct {
+	server, serverIncarnation int32
+	sidecarIncarnation        int
+	sentAt                    float64 // its last byte
+	repliedAt                 float64 // 0: there is no answer
+	closedAt                  float64 // when the sidecar or the server closed its connection; 0: neither has
+	isClosedAtExact           bool    // closedAt is the time at which the sidecar closed it, not the time of its arrival
+	status                    int32
+	digest                    uint64
+	notStarted                bool
+	malformed                 bool
+}
+
+// endKnownAt returns when the sidecar could know that the attempt was over; +Inf: not yet. serverEndedAt is when the
+// server's incarnation ended, +Inf: it has not. A malformed answer is none; the sidecar closes such an attempt itself.
+func (a *attempt) endKnownAt(serverEndedAt float64) float64 {
+	at := serverEndedAt
+	if a.closedAt > 0 {
+		at = min(at, a.closedAt)
+	}
+	if a.repliedAt > 0 && !a.malformed {
+		at = min(at, a.repliedAt)
+	}
+	return at
+}
+
+// isServed tells whether the server has written a complete, successful answer.
+func (a *attempt) isServed() bool { return a.repliedAt > 0 && a.status == 200 && !a.malformed }
+
+// isProvenNotRun tells whether the sidecar knew at a time that the attempt was never executed.
+func (a *attempt) isProvenNotRun(at float64) bool { return a.notStarted && a.repliedAt <= at }
+
+// attemptReceived records an attempt whose request a server has read completely, and checks that the sidecar was allowed
+// to make it.
 func (c *Checker) attemptReceived(server *serverState, e *Event) {
 	request, sidecar := c.requests[e.Request], c.sidecar(e.Sidecar)
 	c.costs.Attempts++
@@ -12,19 +49,27 @@
 		return
 	}
 	if e.Sent <= sidecar.killedAt || e.FirstSent < sidecar.startedAt {
-		return // the last words of a process that has been killed
+		return // sent by a process that has been killed since
 	}
 	c.checkDrain(server, sidecar, e)
-	isOtherRequest := request.isIDReused && request.mayBeAnswered() // a hostile client has used its id since
+	isOtherRequest := request.isIDReused && request.mayBeAnswered() // it may be a hostile client's with the same id
 	if !isOtherRequest {
 		c.checkRequestOpen(request, e)
 	}
-	a := attempt{server: e.Server, serverIncarnation: server.incarnation, sidecarIncarnation: sidecar.incarnation, connection: e.Connection, firstByteSentAt: e.FirstSent, sentAt: e.Sent}
-	request.attempts = append(request.attempts, a)
+	request.attempts = append(request.attempts, attempt{
+		server:             e.Server,
+		serverIncarnation:  server.incarnation,
+		sidecarIncarnation: sidecar.incarnation,
+		sentAt:             e.Sent,
+	})
 	c.connections[e.Connection] = &connectionState{request, len(request.attempts) - 1}
-	if isOtherRequest {
-		return
+	if !isOtherRequest {
+		c.checkAttempts(request, sidecar, e)
 	}
+}
+
+// checkAttempts checks the last attempt of a request against the earlier ones of the same process.
+func (c *Checker) checkAttempts(request *request, sidecar *sidecarState, e *Event) {
 	count := 0
 	for i := range request.attempts {
 		if request.attempts[i].sidecarIncarnation == sidecar.incarnation {
@@ -47,7 +92,7 @@
 	}
 }
 
-// checkOpen checks that an execution was sent while its request was open.
+// checkRequestOpen checks that an attempt was sent while its request was pending.
 func (c *Checker) checkRequestOpen(request *request, e *Event) {
 	class := c.class(request.class)
 	switch request.outcome {
@@ -68,9 +113,10 @@
 	case abandoned, lost:
 		gone := request.endedAt
 		if sidecar := c.sidecar(request.sidecar); sidecar.suspendedAt > 0 && gone >= sidecar.suspendedAt && gone <= sidecar.resumedAt {
-			gone = sidecar.resumedAt + catchUpSeconds // its end lies unread behind all that has come meanwhile
+			gone = sidecar.resumedAt + catchUpSeconds // its close is unread behind all that has arrived meanwhile
 		}
-		// The contract allows 0.1 s beyond the slack; what has been read by then is dropped at once, so that the slack alone is enough.
+		// The contract allows 0.1 s beyond the slack; what has been read by then is dropped at once, so that the slack alone
+		// is enough.
 		switch late := e.FirstSent - gone; {
 		case late <= c.rules.SocketSlackSeconds:
 		case request.outcome == abandoned:
@@ -80,35 +126,3 @@
 		}
 	}
 }
-
-// attempt is an execution that came whole to a box.
-type attempt struct {
-	server, serverIncarnation int32
-	sidecarIncarnation        int // of the sidecar
-	connection                uint64
-	firstByteSentAt           float64
-	sentAt                    float64
-	repliedAt                 float64 // 0: it has not been
-	closedAt                  float64 // when the sidecar or the box ended its connection; 0: neither has
-	isClosedAtExact           bool    // closedAt is the sidecar's own time
-	status                    int32
-	digest                    uint64
-	notStarted                bool
-	malformed                 bool
-}
-
-// endedBy returns when the sidecar could know that the attempt was over, +Inf: not yet. boxEnded is when the box's life
-// ended, +Inf: it goes on. A spoilt answer is none; the sidecar ends such an attempt itself.
-func (a *attempt) endKnownAt(serverEndedAt float64) float64 {
-	at := serverEndedAt
-	if a.closedAt > 0 {
-		at = min(at, a.closedAt)
-	}
-	if a.repliedAt > 0 && !a.malformed {
-		at = min(at, a.repliedAt)
-	}
-	return at
-}
-
-// provenUnrun tells whether the sidecar knew at a time that the attempt never ran.
-func (a *attempt) isProvenNotRun(at float64) bool { return a.notStarted && a.repliedAt <= at }
--- a/internal/checker/client.go
+++ b/internal/checker/client.go
@@ -1,33 +1,30 @@
 package checker
 
-// unansweredS is how long after its time a request is lost that has no answer, on any day: no loop that stands still and no clock that
-// runs slow explains more.
+// lostAfterSeconds is how long after its deadline a request without an answer is lost on any day: no event loop that is
+// suspended and no slow clock explains more.
 const lostAfterSeconds = 1.0
 
-// seeClient takes what clients tell.
+// observeClient handles what clients report.
 func (c *Checker) observeClient(e *Event) {
 	switch e.Kind {
 	case HostileConnected:
-		c.costs.HostileClients++
-		c.hostileClients[e.Connection] = &hostileClient{deadline: e.Deadline, claimedRequest: c.requests[e.Request]}
-		if request := c.requests[e.Request]; request != nil {
-			request.isIDReused = true
-		}
-		return
+		c.hostileConnected(e)
 	case HostileAnswered, HostileClosed:
 		c.hostileEnded(e)
-		return
 	case UnsolicitedBytes:
 		c.addViolation(OneAnswer, e.Sidecar, -1, 0, nil, "bytes on a connection on which nothing was asked")
-		return
 	case RequestStarted:
 		c.requestStarted(e)
-		return
-	}
-	request, sidecar := c.requests[e.Request], c.sidecar(e.Sidecar)
-	if request == nil || sidecar == nil {
-		return
+	default:
+		request, sidecar := c.requests[e.Request], c.sidecar(e.Sidecar)
+		if request != nil && sidecar != nil {
+			c.observeRequest(request, sidecar, e)
+		}
 	}
+}
+
+// observeRequest handles what a client reports of a request that it has started.
+func (c *Checker) observeRequest(request *request, sidecar *sidecarState, e *Event) {
 	switch e.Kind {
 	case RequestSent:
 		if request.outcome != pending {
@@ -44,19 +41,14 @@
 	case RequestHalfClosed:
 		request.isHalfClosed = true
 	case RequestAbandoned:
-		// Danger: a client may give so little time that nobody could answer in it, or read too slowly.
-		hadEnoughTime := e.At-request.startedAt >= c.rules.AnswerSlackSeconds+c.rules.SocketSlackSeconds && !c.hadPathFault(request.sidecar, PathToClients, request.startedAt, e.At)
-		isOver := e.At >= request.deadline && c.rules.RequiresAnswerInTime || e.At >= request.deadline+lostAfterSeconds
-		if request.isSent && !request.isHalfClosed && request.outcome == pending && isOver && hadEnoughTime {
-			c.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "no answer when its time was over")
-		}
+		c.checkUnanswered(request, e)
 		c.endRequest(request, abandoned, e.At)
 	case ConnectFailed:
 		c.endRequest(request, notSent, e.At)
 	}
 }
 
-// asked takes up a try.
+// requestStarted records a client's request. One whose first request is known is a retry of the same operation.
 func (c *Checker) requestStarted(e *Event) {
 	request := &request{id: e.Request, sidecar: e.Sidecar, class: e.Class, startedAt: e.At, deadline: e.Deadline, pendingIndex: -1}
 	request.attempts = request.attemptStorage[:0]
@@ -64,35 +56,31 @@
 		request.operation = first.operation
 	} else {
 		request.operation = &operation{startedAt: e.At, class: e.Class, isCounted: !e.Uncounted}
-		if class := c.class(e.Class); class != nil && request.operation.isCounted {
-			c.services[e.Class].Requests++
-			c.services[e.Class].Weight += class.PriorityWeight
-		}
+		c.countRequest(request.operation)
 	}
 	c.requests[e.Request] = request
 }
 
-// end notes how a try ended.
+// checkUnanswered checks that a request which its client abandons at the deadline was answered.
+//
+// Danger: a client may give so little time that no answer could arrive in it, or read too slowly.
+func (c *Checker) checkUnanswered(request *request, e *Event) {
+	if !request.isSent || request.isHalfClosed || request.outcome != pending {
+		return
+	}
+	isOver := e.At >= request.deadline && c.rules.RequiresAnswerInTime || e.At >= request.deadline+lostAfterSeconds
+	hadEnoughTime := e.At-request.startedAt >= c.rules.AnswerSlackSeconds+c.rules.SocketSlackSeconds
+	if isOver && hadEnoughTime && !c.hadPathFault(request.sidecar, PathToClients, request.startedAt, e.At) {
+		c.addViolation(OneAnswer, e.Sidecar, -1, e.Request, nil, "no answer when its time was over")
+	}
+}
+
+// endRequest records the outcome of a pending request. A request that has ended stays as it is.
 func (c *Checker) endRequest(request *request, outcome outcome, at float64) {
 	if request.outcome != pending {
 		return
 	}
 	request.outcome, request.endedAt = outcome, at
 	c.sidecars[request.sidecar].removePending(request)
-	class := c.class(request.class)
-	if class == nil || !request.operation.isCounted {
-		return
-	}
-	service := &c.services[request.class]
-	switch outcome {
-	case rejected:
-		service.Rejected++
-	case served, excused, notSent:
-	default:
-		service.Failed++
-	}
-	isLate := at-request.startedAt > (request.deadline-request.startedAt)/2
-	if len(request.attempts) == 0 && request.isSent && (outcome == abandoned || isLate && (outcome == rejected || outcome == failed)) {
-		c.costs.SlowRejectionWeight += 0.3 * class.PriorityWeight
-	}
+	c.countEnded(request)
 }
--- a/internal/checker/coldstart.go
+++ b/internal/checker/coldstart.go
@@ -1,6 +1,6 @@
 package checker
 
-// burden notes work that reaches a cold box.
+// recordColdWork records work that reaches a cold server, and forgets what is older than the overload window.
 func (c *Checker) recordColdWork(server *serverState, e *Event) {
 	if server.servingSince == 0 {
 		return
@@ -14,7 +14,7 @@
 	server.recentWork = append(server.recentWork, coldWork{e.At, e.Work, sidecar != nil && c.knewOfStart(sidecar, server, e.Server, e.At)})
 }
 
-// knowsStart tells whether a sidecar has been told of a box's present start, or counts as told.
+// knewOfStart tells whether a sidecar was notified of a server's present start, or counts as notified.
 func (c *Checker) knewOfStart(sidecar *sidecarState, server *serverState, serverID int32, at float64) bool {
 	if entry := sidecar.entry(serverID); entry.status != 0 && entry.servingSince >= server.servingSince-timeToleranceSeconds {
 		return true
@@ -27,7 +27,7 @@
 	return false
 }
 
-// fell checks who has pushed a cold box over.
+// checkColdOverload checks whether sidecars that knew of its start have overloaded a cold server.
 func (c *Checker) checkColdOverload(server *serverState, e *Event) {
 	total, notified := 0.0, 0.0
 	for _, work := range server.recentWork {
--- a/internal/checker/drain.go
+++ b/internal/checker/drain.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// checkDrain checks that nothing new goes to a box that drains or is gone.
+// checkDrain checks that the sidecar sent an attempt to no server that it knew to be cordoned, draining or gone.
 //
-// Danger: another box may have come up at the address of one that is gone. What counts is what the sidecar was told of
-// the address that it used.
+// Danger: another server may have started at the address of one that is gone. What counts is what the sidecar knew of the
+// address that it used.
 func (c *Checker) checkDrain(server *serverState, sidecar *sidecarState, e *Event) {
 	grace := c.rules.DrainGraceSeconds + c.rules.SocketSlackSeconds
 	if at := sidecar.cordons[e.Server]; at > 0 && e.FirstSent > at+grace {
--- a/internal/checker/event.go
+++ b/internal/checker/event.go
@@ -1,160 +1,162 @@
-// Package checker checks the standing rules of the deployment from what crossed the wire, and never from what a sidecar
-// says of itself. The actors of a world (clients, boxes, discovery, the network) tell it events in the order of their
-// time; it keeps findings, the service that the clients had, and its price. It is pure: no clock, no I/O, no goroutine,
-// and the same events give the same findings.
 package checker
 
-// Kind says what an Event tells, and which of its fields count; At counts in all.
+// Kind says what an Event reports and which of its fields are set beside At. The numbers are part of printed results.
 type Kind uint8
 
-// What clients tell. All name Sidecar, the one beside them.
+// Events that clients report. All set Sidecar, the one beside the client.
 const (
-	// Asked: a client begins a try. Request; First, the id of the first try of the same request (its own for a first
-	// one); Class; Until, when this try's wait is over.
+	// RequestStarted: a client starts a request. Request; FirstRequest, the id of the operation's first request (its own
+	// for a first one); Class; Deadline, when the client stops waiting; Uncounted.
 	RequestStarted Kind = iota + 1
-	// Taken: the try's last byte is written to a connection that the sidecar's machine has accepted. Request; Link;
-	// Until; Reused, where the connection has carried a request before.
+	// RequestSent: the request's last byte is written to a connection that the sidecar's machine has accepted. Request;
+	// Connection; Deadline; Reused, where the connection has carried a request before.
 	RequestSent
-	// Answered: the last byte of an answer has come. Request, Link, Status; Digest, that of its body.
+	// ResponseReceived: the last byte of an answer has arrived. Request, Connection, Status; Digest, that of its body.
 	ResponseReceived
-	// Broken: part of an answer has come and no more will, or it can't be read; the client can tell. Request, Link.
+	// ResponseTruncated: part of an answer has arrived and no more will, or it can't be parsed; the client can tell.
+	// Request, Connection.
 	ResponseTruncated
-	// Dropped: the sidecar's side ended the connection of a taken request with nothing of an answer on it. Request,
-	// Link, Reused; Read, where its process is known to have read the request before that.
+	// ConnectionDropped: the sidecar's side closed the connection of a sent request before any byte of an answer.
+	// Request, Connection, Reused; WasRead, where its process is known to have read the request before that.
 	ConnectionDropped
-	// Left: the client's wait is over, or it has gone away; no answer is owed any more. Request.
+	// RequestAbandoned: the client's deadline has passed, or the client has gone away; no answer is expected any more.
+	// Request.
 	RequestAbandoned
-	// Unreached: no connection to the sidecar came up, so nothing was taken. Request.
+	// ConnectFailed: no connection to the sidecar was established, so nothing was sent. Request.
 	ConnectFailed
-	// Stray: bytes have come on a connection on which nothing was asked. Link.
+	// UnsolicitedBytes: bytes have arrived on a connection without an outstanding request. Connection.
 	UnsolicitedBytes
-	// Hostile: a client that may not be served has connected. Link; Until, when it is owed an error or an end; Request,
-	// if it uses the id of another client's open request.
+	// HostileConnected: a client that must not be served has connected. Connection; Deadline, when it must have received
+	// an error or a close; Request, if it uses the id of another client's pending request.
 	HostileConnected
-	// HostileAnswered: it has got an answer. Link, Status.
+	// HostileAnswered: a hostile client has received an answer. Connection, Status.
 	HostileAnswered
-	// HostileEnded: its connection has ended. Link.
+	// HostileClosed: a hostile client's connection has ended. Connection.
 	HostileClosed
-	// HalfClosed: the client has ended its direction of the connection and still reads. Whether it waits for its answer nobody at the
-	// other end can tell, so none is owed and none is forbidden. Request, Link.
+	// RequestHalfClosed: the client has closed its direction of the connection and still reads. The other end can't tell
+	// whether it waits for its answer, so none is required and none is forbidden. Request, Connection.
 	RequestHalfClosed
 )
 
-// What boxes tell. All name Box.
+// Events that servers report. All set Server.
 const (
-	// BoxStarted: a process has begun, cold unless Since is 0. Zone, Cell, Address; Since, as discovery will have it.
+	// ServerStarted: a process has started, cold unless ServingSince is 0. Zone, Cell, Address; ServingSince, as
+	// discovery will list it.
 	ServerStarted Kind = iota + 32
-	// BoxEnded: the process has died, or its machine has gone silent.
+	// ServerStopped: the process has died, or its machine has become unreachable.
 	ServerStopped
-	// BoxFell: it was cold and has got more work than it bears.
+	// ServerOverloaded: it was cold and has received more work than it can take.
 	ServerOverloaded
-	// Execution: a request's last byte has come. Sidecar, whose connection it is; Request; Link; Class, -1 where the
-	// box knows none such; FirstSent and Sent, when the first and the last byte were sent; Work that counts
-	// against a cold box, in seconds of its own time when warm.
+	// AttemptReceived: a request's last byte has arrived. Sidecar, whose connection it is; Request; Connection; Class, -1
+	// where the server knows none such; FirstSent and Sent, when the first and the last byte were sent; Work that counts
+	// against a cold server, in seconds of its own time when warm.
 	AttemptReceived
-	// Replied: the box has written its answer. Request, Link, Status, Digest; NotStarted, where the answer says so;
-	// Spoilt, where nobody can take it for a whole answer.
+	// ResponseSent: the server has written its answer. Request, Connection, Status, Digest; NotStarted, where the answer
+	// says so; Malformed, where no client can parse it completely.
 	ResponseSent
-	// LinkOpened: a connection has come up. Sidecar, Link; Work that it costs.
+	// ConnectionOpened: a connection is established. Sidecar, Connection; Work that it costs.
 	ConnectionOpened
-	// LinkClosed: a connection has ended, by the sidecar at Sent or by the box (ByBox). Sidecar, Link.
+	// ConnectionClosed: a connection has ended, by the sidecar at Sent or by the server (ByServer). Sidecar, Connection.
 	ConnectionClosed
-	// Probed: a probe has come. Sidecar, Work.
+	// HealthCheckReceived: a health check has arrived. Sidecar, Work.
 	HealthCheckReceived
 )
 
-// What discovery tells.
+// Events that discovery reports.
 const (
-	// Listed: the list has taken a change. Box, Status (one of the list's), Since, Address.
+	// ListChanged: the endpoint list has a change. Server, Status (one of the list's), ServingSince, Address.
 	ListChanged Kind = iota + 64
-	// Told: discovery has written an entry to a sidecar, or the sidecar's configuration held it at its start. Sidecar,
-	// Box, Status, Since, Address; Index of the list that it was written from, 0: not known.
+	// EntryDelivered: discovery has written an entry to a sidecar, or the sidecar's configuration had it at its start.
+	// Sidecar, Server, Status, ServingSince, Address; ListIndex of the list that it was written from, 0: not known.
 	EntryDelivered
-	// Called: a sidecar has asked discovery for its list, or for a watch. Sidecar.
+	// DiscoveryCalled: a sidecar has requested the list, or a watch, from discovery. Sidecar.
 	DiscoveryCalled
-	// CallFailed: such a call ended without the list. Sidecar.
+	// DiscoveryCallFailed: such a call ended without the list. Sidecar.
 	DiscoveryCallFailed
-	// WatchUp and WatchEnded bound a watch. Sidecar, Link.
+	// WatchOpened and WatchClosed bound a watch. Sidecar, Connection.
 	WatchOpened
 	WatchClosed
-	// WatchSilent: nothing is written to an open watch any more. Sidecar, Link.
+	// WatchStalled: nothing is written to an open watch any more. Sidecar, Connection.
 	WatchStalled
-	// LineFormed and LineGone bound the time in which calls wait behind the one that discovery works on. One that comes then may be
-	// turned away for having waited.
+	// DiscoveryQueueFormed and DiscoveryQueueDrained bound the time in which calls queue behind the one that discovery
+	// works on. A call that arrives then may be rejected for having waited.
 	DiscoveryQueueFormed
 	DiscoveryQueueDrained
-	// DiscoveryDown and DiscoveryUp bound the time in which discovery tells nothing.
+	// DiscoveryDown and DiscoveryUp bound the time in which discovery answers nothing.
 	DiscoveryDown
 	DiscoveryUp
-	// Fed: others have passed an entry on to a sidecar that discovery wrote to one of them. As Told, with the Index always. What
-	// is from an older list than it was told of tells it nothing.
+	// EntryRelayed: peers have relayed an entry to a sidecar that discovery wrote to one of them. Fields as for
+	// EntryDelivered, always with the ListIndex. An entry of an older list than the sidecar already has is without effect.
 	EntryRelayed
 )
 
-// What the network and the processes tell. All but PathCut and PathMended name Sidecar.
+// Events that the network and the processes report. All but PathFaultStarted and PathFaultEnded set Sidecar.
 const (
-	// SidecarStarted: a process has begun; what it holds is what its configuration told it.
+	// SidecarStarted: a process has started; what it knows is what its configuration has.
 	SidecarStarted Kind = iota + 96
-	// SidecarKilled: it was killed, or its machine has gone silent; what it had is excused.
+	// SidecarKilled: it was killed, or its machine has become unreachable; what it had pending is excused.
 	SidecarKilled
-	// SidecarTermed: it was told to end in its own time.
+	// SidecarTerminating: it was told to shut down gracefully.
 	SidecarTerminating
-	// SidecarEnded: it has ended by itself. Status, its exit code.
+	// SidecarExited: the process has exited by itself. Status, its exit code.
 	SidecarExited
 	// SidecarPanicked: Text.
 	SidecarPanicked
-	// Reloaded: it was told to read its configuration again.
+	// SidecarReloaded: it was told to read its configuration again.
 	SidecarReloaded
-	// Descriptors: it holds N descriptors.
+	// DescriptorsCounted: it holds Count descriptors.
 	DescriptorsCounted
-	// Leftover: at the end of the day it still holds N of what Text names.
+	// LeftoversCounted: at the end of the day it still holds Count of what Text names.
 	LeftoversCounted
-	// PathCut and PathMended bound a trouble on the way between Sidecar and Box; -1 stands for all, ToClients for the
-	// clients beside it. What is on such a way may be late or lost, and nobody at its end can tell.
+	// PathFaultStarted and PathFaultEnded bound a fault on the path between Sidecar and Server; -1 stands for all,
+	// PathToClients for the clients beside the sidecar. What is on such a path may be late or lost, and neither end can
+	// tell.
 	PathFaultStarted
 	PathFaultEnded
-	// TakenOut: the sidecar has said yes to its operators, who take Box out of use; GivenBack: they end that.
+	// ServerCordoned: the sidecar has confirmed to its operators that Server is out of use; ServerUncordoned ends that.
 	ServerCordoned
 	ServerUncordoned
-	// SidecarFrozen and SidecarThawed bound the time in which a process stands still. It learns of nothing meanwhile.
+	// SidecarSuspended and SidecarResumed bound the time in which a process doesn't run. It learns of nothing meanwhile.
 	SidecarSuspended
 	SidecarResumed
-	// FleetWrong: a sidecar holds something of its fleet that is not so, for longer than it may. Status, which rule; Text.
+	// FleetInvariantBroken: a sidecar has had a wrong state of its fleet for longer than it may. Status, which of the
+	// fleet's invariants; Text.
 	FleetInvariantBroken
 )
 
-// What a FleetWrong is about.
+// The invariants of a FleetInvariantBroken event, in its Status.
 const (
-	ViewInvariant        int32 = iota + 1 // who lives, when there has been time to know
-	DeathInvariant                        // one that lives and can be reached by most is called dead
-	RankInvariant                         // two have one rank, or a rank is beyond the count
-	IncarnationInvariant                  // one that was held for gone lives again by the same incarnation
-	QueueInvariant                        // more waits for a peer than may
-	TokenInvariant                        // an old owner's effect was taken
-	OccupiedInvariant                     // a box is worked on that has something out, or has got something just before
-	BudgetInvariant                       // more boxes are out than a plan allows
-	RepeatInvariant                       // a box is worked on twice for a plan, or under a token that has not grown
-	RecordInvariant                       // what was done to a box is not what is agreed of it
+	ViewInvariant        int32 = iota + 1 // which members are alive, once there was time to learn of it
+	DeathInvariant                        // a member is considered dead that is alive and reachable by most
+	RankInvariant                         // two members have one rank, or a rank is beyond the count
+	IncarnationInvariant                  // a member considered dead is alive again under the same incarnation
+	QueueInvariant                        // more is queued for a peer than may be
+	TokenInvariant                        // an effect of a former lease holder was accepted
+	OccupiedInvariant                     // a server under maintenance has requests in flight, or has received one just before
+	BudgetInvariant                       // more servers are down than the maintenance plan allows
+	RepeatInvariant                       // a server is maintained twice for a plan, or under a token that has not grown
+	RecordInvariant                       // what was done to a server differs from what is committed for it
 )
 
-// What stands in Box for who is no box.
+// Values of an Event's Server that stand for an end of a path that is no server.
 const (
 	PathToDiscovery = -2
 	PathToClients   = -3
 )
 
-// The statuses of a Listed or Told entry.
+// The statuses of a ListChanged, EntryDelivered or EntryRelayed event.
 const (
 	Serving int32 = iota + 1
 	Draining
 	Deleted
 )
 
-// Event is one thing that crossed the wire. Times are in seconds of one clock that all share.
+// Event is one thing that crossed the wire. Times are in seconds of one clock that all actors share. The JSON form is part
+// of printed results and keeps its keys.
 type Event struct {
 	Kind    Kind  `json:"Kind"`
-	Sidecar int32 `json:"Sidecar"`
-	Server  int32 `json:"Box"`
+	Sidecar int32 `json:"Sidecar"` // -1: none
+	Server  int32 `json:"Box"`     // -1: none
 	Class   int32 `json:"Class"`
 	Status  int32 `json:"Status"`
 	Zone    int32 `json:"Zone"`
@@ -166,11 +168,11 @@
 	NotStarted bool `json:"NotStarted"`
 	Malformed  bool `json:"Spoilt"`
 	ByServer   bool `json:"ByBox"`
-	Uncounted  bool `json:"Uncounted"` // of an Asked one: the service is not measured by it
+	Uncounted  bool `json:"Uncounted"` // of a RequestStarted: the service is not measured by it
 
 	At           float64 `json:"At"`
-	FirstSent    float64 `json:"FirstSent"` // when the peer sent the first byte, where the network can tell; else when it came
-	Sent         float64 `json:"Sent"`      // when the peer sent the last byte, or ended the connection; likewise
+	FirstSent    float64 `json:"FirstSent"` // when the peer sent the first byte, where the network can tell; else when it arrived
+	Sent         float64 `json:"Sent"`      // when the peer sent the last byte, or closed the connection; likewise
 	Deadline     float64 `json:"Until"`
 	ServingSince float64 `json:"Since"`
 	Work         float64 `json:"Work"`
@@ -185,7 +187,10 @@
 	Text    string `json:"Text"`
 }
 
-// Digest returns a body's digest, by which an answer is known again. It is FNV-1a.
+// Observer receives events in the order of their time, from one goroutine. The actors of an environment report to one.
+type Observer interface{ Observe(e Event) }
+
+// Digest returns the FNV-1a digest of a body, by which an answer is recognized.
 func Digest(body []byte) uint64 {
 	h := uint64(14695981039346656037)
 	for _, c := range body {
@@ -193,6 +198,3 @@
 	}
 	return h
 }
-
-// Witness is told events in the order of their time. The actors of a world hold one.
-type Observer interface{ Observe(e Event) }
--- a/internal/checker/hostile.go
+++ b/internal/checker/hostile.go
@@ -1,13 +1,23 @@
 package checker
 
-// hostile is a client that may not be served.
+// hostileClient is a connected client that must not be served.
 type hostileClient struct {
 	deadline       float64
-	isSettled      bool
-	claimedRequest *request // whose id it uses
+	isSettled      bool     // it has received an answer or its connection has ended
+	claimedRequest *request // whose id it uses; nil: none
 }
 
-// seeHostile takes how a client fared that may not be served.
+// hostileConnected records a hostile client. A request whose id it uses can no longer be told from its own.
+func (c *Checker) hostileConnected(e *Event) {
+	c.costs.HostileClients++
+	request := c.requests[e.Request]
+	c.hostileClients[e.Connection] = &hostileClient{deadline: e.Deadline, claimedRequest: request}
+	if request != nil {
+		request.isIDReused = true
+	}
+}
+
+// hostileEnded handles the first answer to a hostile client, or the end of its connection.
 func (c *Checker) hostileEnded(e *Event) {
 	client := c.hostileClients[e.Connection]
 	if client == nil || client.isSettled {
--- a/internal/checker/notification.go
+++ b/internal/checker/notification.go
@@ -6,7 +6,7 @@
 	"sort"
 )
 
-// countsAsTold returns when a sidecar counts as told of a change of the list, as far as can be said at a time; +Inf: not
+// notifiedAt returns when a sidecar counts as notified of a change of the list, as far as can be said at a time; +Inf: not
 // yet.
 func (c *Checker) notifiedAt(sidecar *sidecarState, change *Event, at float64) float64 {
 	madeAt := max(change.At, sidecar.startedAt)
@@ -15,7 +15,7 @@
 		return notified
 	}
 	missed := math.Inf(1)
-	if sidecar.stalledAt > 0 { // what is made once the silence should have been noticed is missed as it is made
+	if sidecar.stalledAt > 0 { // changes after the stall should have been noticed count as missed when they are made
 		missed = max(madeAt, c.deferForInterruptions(sidecar, change, c.discoveryReachableFor(sidecar.stalledAt, c.rules.UpdateTimeoutSeconds)))
 	}
 	if sidecar.openWatches > 0 {
@@ -24,24 +24,26 @@
 	timeout := c.rules.PollTimeoutSeconds
 	if !sidecar.isPolledSinceWatch {
 		if sidecar.pollFailed {
-			timeout *= 4
+			timeout *= failedPollFactor
 		}
 		if unpolledAt := max(change.At, sidecar.polledAt) + timeout; unpolledAt <= at {
 			notified = min(notified, unpolledAt)
 		}
 		return min(notified, missed)
 	}
-	// Who has called since its watch ended is held to its list for as long as the settings give, counted anew when discovery is
-	// back; but after a call that failed a change counts once discovery had it and could be reached for a while. Danger: discovery
-	// that works through three calls a second has sixty wait; what it could not have answered in time blames nobody.
+	// A sidecar that has called since its watch closed may use its list for as long as its settings allow, counted anew when
+	// discovery is back; after a failed call a change counts once discovery had it and was reachable for a while.
+	//
+	// Danger: discovery that serves three calls a second lets sixty wait; a change that it could not have sent in time is no
+	// violation.
 	if sidecar.pollFailed {
 		return min(c.deferForInterruptions(sidecar, change, c.discoveryReachableFor(madeAt, c.rules.UpdateTimeoutSeconds)), missed)
 	}
 	return min(max(change.At, sidecar.polledAt, c.discoveryUpAt)+timeout, missed)
 }
 
-// hears returns when a sidecar counts as told of a change that would count from a time on, had it not been given a new
-// configuration and not stood still.
+// deferForInterruptions returns when a sidecar counts as notified of a change that would count from a time on without the
+// sidecar's last reload and suspension.
 func (c *Checker) deferForInterruptions(sidecar *sidecarState, change *Event, notified float64) float64 {
 	if sidecar.reloadedAt > 0 && sidecar.reloadedAt < notified {
 		notified = max(notified, sidecar.reloadedAt+c.rules.ReloadGraceSeconds)
@@ -52,7 +54,7 @@
 	return notified
 }
 
-// there returns when discovery has been up for so long on end since a time; +Inf: not yet. What it can't tell does not count.
+// discoveryUpFor returns when discovery has been up for so long without an outage since a time; +Inf: not yet.
 func (c *Checker) discoveryUpFor(from, forSeconds float64) float64 {
 	for i := range c.discoveryOutages {
 		if outage := &c.discoveryOutages[i]; outage.until > from && outage.from < from+forSeconds {
@@ -62,9 +64,11 @@
 	return from + forSeconds
 }
 
-// reachable returns when discovery has been up for so long on end since a time, and would have answered a call; +Inf: not yet. Time in
-// which calls stood in line there does not count, since another one could have waited in vain. Danger: a fleet whose calls never end
-// would never count as told, so no more of that is taken off than a call of each sidecar needs.
+// discoveryReachableFor returns when discovery has been up for so long without an outage since a time, and would have
+// answered a call; +Inf: not yet. Time in which calls were queued does not count, since another one could have timed out.
+//
+// Danger: a fleet whose calls never end would never count as notified, so no more of that time is left out than a call of
+// each sidecar needs.
 func (c *Checker) discoveryReachableFor(from, forSeconds float64) float64 {
 	for {
 		until := c.skipQueues(from, forSeconds)
@@ -78,7 +82,8 @@
 	}
 }
 
-// beyondLines returns when so much time without a line has passed since a time.
+// skipQueues returns when so much time without queued calls has passed since a time. It leaves out at most
+// FleetCallsSeconds of queueing.
 func (c *Checker) skipQueues(from, forSeconds float64) float64 {
 	until, excused := from+forSeconds, 0.0
 	first := sort.Search(len(c.discoveryQueues), func(i int) bool { return c.discoveryQueues[i].until > from })
@@ -91,14 +96,14 @@
 	return until
 }
 
-// notServingSince returns since when a sidecar knew at a time that a box drains or is gone, +Inf: it did not.
+// notServingSince returns since when a sidecar knew, as of a time, that a server drains or is gone; +Inf: it did not.
 func (c *Checker) notServingSince(sidecar *sidecarState, serverID int32, at float64) float64 {
 	entry, server := sidecar.entry(serverID), c.server(serverID)
 	since := math.Inf(1)
 	if entry.status != 0 && entry.status != Serving {
 		since = entry.changedAt
 	}
-	first := -1 // the first of the last changes that say so
+	first := -1 // the first of the trailing changes that say so
 	for i := len(server.listChanges) - 1; i >= 0 && server.listChanges[i].Status != Serving; i-- {
 		first = i
 	}
--- a/internal/checker/pathfault.go
+++ b/internal/checker/pathfault.go
@@ -1,19 +1,39 @@
 package checker
 
-// cut is a way that is in trouble.
+import "math"
+
+// pathFault is a fault on the path between a sidecar and a server, as in PathFaultStarted.
 type pathFault struct {
 	sidecar, server int32
 	from, until     float64 // +Inf: it still is
 }
 
-// troubled tells whether a way was in trouble between two times, or shortly before: what the trouble has held back comes
-// later.
+// observePath handles what the network reports.
+func (c *Checker) observePath(e *Event) {
+	switch e.Kind {
+	case PathFaultStarted:
+		c.pathFaults = append(c.pathFaults, pathFault{e.Sidecar, e.Server, e.At, math.Inf(1)})
+	case PathFaultEnded:
+		for i := range c.pathFaults {
+			fault := &c.pathFaults[i]
+			if fault.sidecar == e.Sidecar && fault.server == e.Server && math.IsInf(fault.until, 1) {
+				fault.until = e.At
+				return
+			}
+		}
+	}
+}
+
+// retransmissionSeconds is how long after a fault lost bytes may still be sent again.
+const retransmissionSeconds = 11
+
+// hadPathFault tells whether a path had a fault between two times, or so shortly before that what the fault held back
+// arrives in between.
 func (c *Checker) hadPathFault(sidecar, server int32, from, until float64) bool {
-	const after = 11 // seconds until lost bytes are sent again
 	for i := range c.pathFaults {
 		fault := &c.pathFaults[i]
 		isSamePath := (fault.sidecar == sidecar || fault.sidecar < 0) && fault.server == server
-		if isSamePath && fault.from <= until && fault.until+after >= from {
+		if isSamePath && fault.from <= until && fault.until+retransmissionSeconds >= from {
 			return true
 		}
 	}
--- a/internal/checker/repeat.go
+++ b/internal/checker/repeat.go
@@ -1,6 +1,17 @@
 package checker
 
-// checkRepeat checks that the second of two attempts was the sidecar's right after the first.
+// overlapWaitSeconds is how long the report of a first attempt's end may be under way.
+const overlapWaitSeconds = 1.0
+
+// attemptOverlap is a pair of attempts, by index, of which the first had no known end when the second arrived. Whether it
+// had ended when the second was sent is known once the close of its connection arrives.
+type attemptOverlap struct {
+	request       *request
+	first, second int
+	decideAt      float64
+}
+
+// checkRepeat checks that the class of a request allowed the second of two attempts after the first.
 func (c *Checker) checkRepeat(request *request, first, second int) {
 	class := c.class(request.class)
 	a, b := &request.attempts[first], &request.attempts[second]
@@ -20,7 +31,8 @@
 	}
 }
 
-// checkCopies checks that the first of two attempts was over when the second was sent, or leaves it for later.
+// checkOverlap checks that the first of two attempts was over when the second was sent. What can't be told yet is decided
+// after overlapWaitSeconds.
 func (c *Checker) checkOverlap(request *request, first, second int) {
 	if c.rules.AllowsHedging || c.wasOver(&request.attempts[first], request.attempts[second].sentAt) {
 		return
@@ -28,16 +40,16 @@
 	c.overlaps = append(c.overlaps, attemptOverlap{request, first, second, c.now + overlapWaitSeconds})
 }
 
-// over tells whether an attempt is known to have been over at a time.
+// wasOver tells whether an attempt is known to have been over at a time.
 func (c *Checker) wasOver(attempt *attempt, at float64) bool {
 	slack := timeToleranceSeconds
 	if attempt.closedAt > 0 && !attempt.isClosedAtExact {
-		slack = c.rules.SocketSlackSeconds // when it came stands for when it was done
+		slack = c.rules.SocketSlackSeconds // the close is known by its arrival alone
 	}
 	return attempt.endKnownAt(c.server(attempt.server).incarnationEnd(attempt.serverIncarnation)) <= at+slack
 }
 
-// decideCopies decides the first pair that waits.
+// decideOverlap decides the oldest overlap.
 func (c *Checker) decideOverlap() {
 	overlap := c.overlaps[0]
 	c.overlaps = c.overlaps[1:]
@@ -48,15 +60,8 @@
 	c.addViolation(NoConcurrentAttempts, overlap.request.sidecar, b.server, overlap.request.id, nil, "sent at %.6f while the execution sent at %.6f was still out at box %d", b.sentAt, a.sentAt, a.server)
 }
 
-// copies are two attempts of a try of which the first had no end when the second came. Whether it had one when the
-// second was sent shows when its connection's end arrives.
-type attemptOverlap struct {
-	request       *request
-	first, second int
-	decideAt      float64
-}
-
-// checkRefusal checks that trying again is as harmless as a refusal says.
+// checkRejection checks that the request may be retried, as a rejection says: no attempt of the present process may have
+// been executed, unless the class allows a repeat anywhere.
 func (c *Checker) checkRejection(request *request, e *Event) {
 	if class := c.class(request.class); class == nil || class.Effect == Safe || class.Effect == Keyed && class.Group == GroupAll {
 		return
--- a/internal/checker/request.go
+++ b/internal/checker/request.go
@@ -1,16 +1,6 @@
 package checker
 
-// made tells whether a box has made this answer for the try.
-func (r *request) hasResponse(digest uint64) bool {
-	for i := range r.attempts {
-		if a := &r.attempts[i]; a.repliedAt > 0 && a.status == 200 && !a.malformed && a.digest == digest {
-			return true
-		}
-	}
-	return false
-}
-
-// fate is how a try ended.
+// outcome is how a request ended, as its client observed it.
 type outcome uint8
 
 const (
@@ -18,14 +8,14 @@
 	served               // by an answer of status 200
 	rejected             // by 429 or 503
 	failed               // by any other answer, or by part of one
-	abandoned            // the client has gone
-	closedUnsent         // its connection was closed, and nothing had been sent on for it
-	lost                 // and something had
+	abandoned            // the client has stopped waiting or has gone
+	closedUnsent         // its connection was closed before it was forwarded
+	lost                 // its connection was closed without an answer, though it was read or forwarded
 	excused              // the sidecar was killed
-	notSent              // no connection came up
+	notSent              // no connection was established
 )
 
-// record is a try of a client, as far as it has been seen.
+// request is what is known of one request of a client.
 type request struct {
 	id             uint64
 	operation      *operation
@@ -37,23 +27,23 @@
 	sentAt         float64
 	endedAt        float64
 	isSent         bool
-	wasDropped     bool // its connection was closed once, and it was sent again
-	isHalfClosed   bool // its client has ended its direction of the connection
+	wasDropped     bool // its connection was closed once, and the client has sent it again
+	isHalfClosed   bool // its client has closed its direction of the connection
 	isIDReused     bool // a hostile client has used its id
-	pendingIndex   int  // among the sidecar's open ones; -1: it is none
+	pendingIndex   int  // index in the sidecar's pendingRequests; -1: it is not there
 	attempts       []attempt
-	attemptStorage [2]attempt
+	attemptStorage [2]attempt // backs attempts of most requests
 }
 
-// want is a request over all tries of its client.
+// operation is what a client wants over all its requests for it: the first one and its retries.
 type operation struct {
 	startedAt float64
 	class     int32
-	isCounted bool
+	isCounted bool // the service is measured by it
 	isServed  bool
 }
 
-// mayBeOver tells whether the sidecar may have answered the try: its client may not have read the answer yet.
+// mayBeAnswered tells whether the sidecar may have answered the request: the client may not have read the answer yet.
 func (r *request) mayBeAnswered() bool {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.repliedAt > 0 || a.closedAt > 0 {
@@ -62,3 +52,13 @@
 	}
 	return r.outcome != pending
 }
+
+// hasResponse tells whether a server has made a complete, successful answer with this digest for the request.
+func (r *request) hasResponse(digest uint64) bool {
+	for i := range r.attempts {
+		if a := &r.attempts[i]; a.isServed() && a.digest == digest {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -1,65 +1,83 @@
 package checker
 
-// Effect tells what running a request of a class twice does.
+// Effect tells what a second execution of a request does.
 type Effect uint8
 
-// The effects.
+// The effects of a request class.
 const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // the boxes of one group drop a repeat within the window
-	Unsafe               // must never run twice
+	Safe   Effect = iota // idempotent: may be executed any number of times
+	Keyed                // carries an idempotency key: the servers of one group drop a repeat within the window
+	Unsafe               // must never be executed twice
 )
 
-// Group tells which boxes drop the repeats of a keyed request.
+// Group tells which servers share the idempotency keys that they have seen.
 type Group uint8
 
-// The groups.
+// The groups of servers that drop each other's repeats.
 const (
 	GroupAll Group = iota
 	GroupZone
 	GroupCell
 )
 
-// Class is a class of requests as the deployment promises it.
+// Class is a class of requests with what the deployment promises for it.
 type Class struct {
 	Name                 string
 	Effect               Effect
 	Group                Group
 	DedupWindowSeconds   float64 // for a keyed class: how long a repeat is dropped
-	LatencyTargetSeconds float64 // an answer by then has its whole worth
-	PriorityWeight       float64
-	LateFraction         float64 // part of the worth of an answer after the aim
+	LatencyTargetSeconds float64 // an answer within this time has its full value
+	PriorityWeight       float64 // value of an answer
+	LateFraction         float64 // fraction of the value that an answer after the target has
 }
 
-// Rules are the figures that the rules are checked by.
+// Rules are the settings of a Checker.
 type Rules struct {
 	Classes        []Class
 	Sidecars       int
-	SidecarZones   []int32 // of each sidecar
-	MaxDescriptors int     // descriptors that a sidecar may hold
+	SidecarZones   []int32 // by sidecar
+	MaxDescriptors int     // that a sidecar may hold
 
-	AnswerSlackSeconds    float64 // after its time is over a request may still be answered
-	SocketSlackSeconds    float64 // added to each limit on real or simulated sockets
-	TermGraceSeconds      float64 // what is taken so long after an order to end must be answered even if the process is killed
-	DrainGraceSeconds     float64 // after it was told a sidecar sends nothing new to a box that drains or is gone
-	PollTimeoutSeconds    float64 // without a watch and a call for so long a sidecar counts as told; four times after a failure
-	UpdateTimeoutSeconds  float64 // what the list has taken counts as told then
-	FleetCallsSeconds     float64 // in which discovery can work through a call of each sidecar; a line lasts no longer, as far as it excuses
-	ReloadGraceSeconds    float64 // and not before this long after a reload
-	OverloadWindowSeconds float64 // the window in which work brings a cold box down
-	ColdLoadShare         float64 // the share of that work by sidecars that knew, from which the rule is broken
-	FailFastSeconds       float64 // what can't be tried again is answered within this
-	MaxAttempts           int     // for one request; 0: any number
-	AllowsHedging         bool    // two executions of a request may be out at once
-	// MostAskS is the longest time between two calls for the list that is none too long at the end of a day, if it is more than what
-	// AskWithinS gives; +Inf: not all ask, since they pass lists on.
+	// AnswerSlackSeconds is how long after its deadline a request may still be answered.
+	AnswerSlackSeconds float64
+	// SocketSlackSeconds is added to each limit, for the delays of real or simulated sockets.
+	SocketSlackSeconds float64
+	// TermGraceSeconds is how long after SidecarTerminating a request that is sent must be answered even if the process is
+	// killed.
+	TermGraceSeconds float64
+	// DrainGraceSeconds is how long after its notification a sidecar may still send to a server that drains or is gone.
+	DrainGraceSeconds float64
+	// PollTimeoutSeconds is the time without a watch and a call after which a sidecar counts as notified; four times as
+	// long after a failed call.
+	PollTimeoutSeconds float64
+	// UpdateTimeoutSeconds is the time after which a change of the list counts as known to the sidecars that can reach
+	// discovery.
+	UpdateTimeoutSeconds float64
+	// FleetCallsSeconds is the time in which discovery can serve a call of each sidecar. Queues at discovery excuse at most
+	// as much.
+	FleetCallsSeconds float64
+	// ReloadGraceSeconds is the time after a reload before which no change counts as known.
+	ReloadGraceSeconds float64
+	// OverloadWindowSeconds is the window of work that overloads a cold server.
+	OverloadWindowSeconds float64
+	// ColdLoadShare is the share of that work by notified sidecars from which on ColdServer is violated.
+	ColdLoadShare float64
+	// FailFastSeconds is the time within which a request is answered that may not be retried.
+	FailFastSeconds float64
+	// MaxAttempts limits the attempts of a request; 0: no limit.
+	MaxAttempts int
+	// AllowsHedging: two attempts of a request may be in flight at once.
+	AllowsHedging bool
+	// MaxPollIntervalSeconds is the longest time between two calls to discovery that is accepted at the end of a day, if it
+	// exceeds what PollTimeoutSeconds gives; +Inf: not all sidecars call, since they relay lists to each other.
 	MaxPollIntervalSeconds float64
 
-	// Unanswered makes a request lost that has no answer when its time and slack are over. Troubled days count it as
-	// failed instead.
+	// RequiresAnswerInTime makes a request without an answer at its deadline and slack a violation. Days with faults count
+	// it as failed instead.
 	RequiresAnswerInTime bool
-	// Calm makes the first request on a connection lost, too, where the sidecar closes without having sent anything on.
+	// IsFaultFree makes a connection that the sidecar closes before it has forwarded anything a violation even for the
+	// first request on it.
 	IsFaultFree bool
-	// ClientsAlone says that no box tells what it did. What needs its word is not judged then.
+	// ObservesClientsOnly: no server reports events. What needs them is not checked.
 	ObservesClientsOnly bool
 }
--- a/internal/checker/violation.go
+++ b/internal/checker/violation.go
@@ -2,19 +2,63 @@
 
 import "fmt"
 
+// Rule names an invariant. The words are part of reports and scripts' results.
+type Rule string
+
+// The invariants of requests and connections.
+const (
+	OneAnswer            Rule = "one-answer"   // each request sent gets exactly one final answer
+	NoInvention          Rule = "no-invention" // no answer that no server made for the request
+	NoRepeat             Rule = "no-repeat"    // no repeated execution and no rejection that the class forbids
+	NoConcurrentAttempts Rule = "one-copy"     // never two attempts of a request in flight at once
+	SafeDrain            Rule = "safe-drain"   // nothing new to a server known to drain or to be gone
+	ColdServer           Rule = "cold-box"     // no cold server overloaded by notified sidecars
+	FailFast             Rule = "at-once"      // a request that may not be retried is answered without delay
+	DescriptorLimit      Rule = "in-limits"    // a sidecar keeps within its file descriptors
+	NoLeftovers          Rule = "at-rest"      // no resources are left when the day is over
+	ListPolled           Rule = "list-asked"   // a sidecar without a watch at the end of the day has polled discovery within its settings
+	NoCrash              Rule = "no-crash"     // no panic and no unrequested exit
+	ClientGone           Rule = "gone-client"  // no attempt starts for a client that has closed its connection
+)
+
+// The invariants of the fleet that the sidecars form.
+const (
+	FleetView        Rule = "fleet-view"  // some time after the last fault all members know which members are alive
+	FalseDeath       Rule = "false-death" // no member is considered dead that is alive and reachable by most
+	FleetIncarnation Rule = "fleet-risen" // a dead member returns only under a greater incarnation
+	FleetQueue       Rule = "fleet-queue" // what is queued for a peer that does not read is bounded
+	FleetRank        Rule = "fleet-rank"  // ranks are dense and unique
+	StaleOwner       Rule = "old-owner"   // no effect is accepted under a lower fencing token than one accepted before
+)
+
+// The invariants of maintenance.
+const (
+	MaintenanceOccupied Rule = "work-occupied"  // a server under maintenance has nothing in flight, and has received nothing for a while
+	MaintenanceBudget   Rule = "work-many"      // no more servers are down than the plan allows
+	MaintenanceRepeated Rule = "work-twice"     // each server is maintained once for a plan, under a token that has grown
+	MaintenanceRecorded Rule = "work-forgotten" // what maintenance agents did is what is committed
+)
+
+// Violation is one observed break of an invariant. The JSON form is part of printed results and keeps its keys.
+type Violation struct {
+	Rule    Rule    `json:"Rule"`
+	At      float64 `json:"At"`
+	Sidecar int32   `json:"Sidecar"`
+	Server  int32   `json:"Box"` // -1: none
+	Request uint64  `json:"Request"`
+	Reason  string  `json:"Why"`
+	Events  []Event `json:"Events"` // those that show it, oldest first, at most maxViolationEvents
+}
+
+// Limits of what is kept of violations.
 const (
-	maxViolations      = 100
-	maxRecentEvents    = 1 << 14
-	maxViolationEvents = 30
-	// catchUpS is how long a process that stood still may take to come to what has come meanwhile.
-	catchUpSeconds = 0.25
-	// copyWaitS is how long the end of a first attempt may be under way.
-	overlapWaitSeconds = 1.0
-	// exactS is what rounding takes of times that are known exactly.
-	timeToleranceSeconds = 1e-4
+	maxViolations      = 100     // kept; further ones are only counted
+	maxRecentEvents    = 1 << 14 // kept to show what led to a violation
+	maxViolationEvents = 30      // shown with one violation
 )
 
-// find notes a break of a rule, with the events that show it.
+// addViolation records a violation with the events that show it: shownEvents, and the recent ones of the request, of the
+// server within the overload window, or of the sidecar, by which of them is given.
 func (c *Checker) addViolation(rule Rule, sidecar, server int32, request uint64, shownEvents []Event, format string, args ...any) {
 	if c.violationCount++; len(c.violations) >= maxViolations {
 		return
@@ -34,45 +78,3 @@
 	}
 	c.violations = append(c.violations, violation)
 }
-
-// Rule names a rule.
-type Rule string
-
-// The rules.
-const (
-	OneAnswer            Rule = "one-answer"   // each request taken gets one final answer
-	NoInvention          Rule = "no-invention" // none that no box made for it
-	NoRepeat             Rule = "no-repeat"    // no resend and no refusal beyond the class's right
-	NoConcurrentAttempts Rule = "one-copy"     // never two executions of a request out at once
-	SafeDrain            Rule = "safe-drain"   // nothing new to a box known to drain or to be gone
-	ColdServer           Rule = "cold-box"     // no cold box pushed over by sidecars that knew
-	FailFast             Rule = "at-once"      // what is given up is answered at once
-	DescriptorLimit      Rule = "in-limits"    // descriptors
-	NoLeftovers          Rule = "at-rest"      // nothing is left when the day is over
-	ListPolled           Rule = "list-asked"   // who has no watch at the end of the day has asked for the list within the time of the settings
-	NoCrash              Rule = "no-crash"     // no panic and no exit unasked
-	ClientGone           Rule = "gone-client"  // no attempt begins for a client that has closed its connection
-
-	FleetView        Rule = "fleet-view"  // some time after the last trouble all know who is there
-	FalseDeath       Rule = "false-death" // nobody is called dead that lives and that most can reach
-	FleetIncarnation Rule = "fleet-risen" // who is gone comes back by a greater incarnation alone
-	FleetQueue       Rule = "fleet-queue" // what waits for a peer that does not read is bounded
-	FleetRank        Rule = "fleet-rank"  // ranks are dense, and each is one's alone
-	StaleOwner       Rule = "old-owner"   // no effect is taken under a token lower than one that was taken before
-
-	MaintenanceOccupied Rule = "work-occupied"  // a box that is worked on has nothing out, and has got nothing for a while
-	MaintenanceBudget   Rule = "work-many"      // no more boxes are out than a plan allows
-	MaintenanceRepeated Rule = "work-twice"     // each box is worked on once for a plan, under a token that has grown
-	MaintenanceRecorded Rule = "work-forgotten" // what mechanics did is what is agreed
-)
-
-// Finding is one break of a rule.
-type Violation struct {
-	Rule    Rule    `json:"Rule"`
-	At      float64 `json:"At"`
-	Sidecar int32   `json:"Sidecar"`
-	Server  int32   `json:"Box"` // -1: none
-	Request uint64  `json:"Request"`
-	Reason  string  `json:"Why"`
-	Events  []Event `json:"Events"` // those that show it, oldest first
-}
