--- a/internal/coordination/fault_role_test.go
+++ b/internal/coordination/fault_role_test.go
@@ -21,21 +21,21 @@
 func TestFaultsStartOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		starts := countingFaults{}
-		n, net := newTestNode(Options{Settings: Settings{Roles: []string{faultRoleName}}, Faults: starts})
+		n, loop := newTestNode(Options{Settings: Settings{Roles: []string{faultRoleName}}, Faults: starts})
 		r := n.roles.faults
 		ends, malformed := map[uint64]float64{}, uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "messages") {
-			net.now += rapid.Float64Range(0, 40).Draw(t, "pause")
+			loop.now += rapid.Float64Range(0, 40).Draw(t, "pause")
 			order := faultOrder{ID: rapid.Uint64Range(0, 4).Draw(t, "id"), Name: "lag", RemainingSeconds: rapid.Float64Range(-1, 60).Draw(t, "remaining")}
 			m := frames.RoleMessage{Role: faultRoleName, Token: 1, Kind: kindFaultOrder, Body: mustMarshal(order)}
 			if rapid.Bool().Draw(t, "by the holder") {
 				m.Kind, m.Body = kindFaultList, mustMarshal(faultList{[]faultOrder{order}})
 			}
-			if r.HandleMessage(net.link, &m); !order.isValid() {
+			if r.HandleMessage(loop.link, &m); !order.isValid() {
 				malformed++
 			}
 			require.Equal(t, malformed, n.roles.state(faultRoleName).malformed)
-			r.Tick(net.now)
+			r.Tick(loop.now)
 			for _, run := range r.runs {
 				require.Equal(t, 1, starts[run.ID])
 				if end, known := ends[run.ID]; known {
--- a/internal/coordination/helpers_test.go
+++ b/internal/coordination/helpers_test.go
@@ -24,10 +24,10 @@
 
 // newTestNode returns a node with roles, without membership and lease, with one link over which nothing is sent.
 func newTestNode(o Options) (*Node, *clockLoop) {
-	net := &clockLoop{now: 100}
+	loop := &clockLoop{now: 100}
 	o.Rand = rand.New(rand.NewPCG(1, 2))
-	n := &Node{loop: net, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, options: o}
+	n := &Node{loop: loop, log: slog.New(slog.DiscardHandler), links: map[int]*peers.Link{}, options: o}
 	n.roles = newRoleManager(n)
-	peers.New("yard", 1, n, net, n.log).Dial("x:1")
-	return n, net
+	peers.New("yard", 1, n, loop, n.log).Dial("x:1")
+	return n, loop
 }
--- a/internal/coordination/list_relay.go
+++ b/internal/coordination/list_relay.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// ownWatchDelaySeconds after the last confirmation of the list a sidecar starts a watch of its own, at a random time within
-	// ownWatchJitterSeconds: discovery sends something every 2 s. staleSeconds after it the list counts as stale, as if the
-	// sidecar's own watch had broken.
-	ownWatchDelaySeconds, ownWatchJitterSeconds, staleSeconds = 3.0, 1.0, 5.0
+	// directWatchDelaySeconds after the last confirmation of the list a sidecar starts a direct watch, at a random time within
+	// directWatchJitterSeconds: discovery sends something every 2 s. staleSeconds after it the list counts as stale, as if
+	// a direct watch had broken.
+	directWatchDelaySeconds, directWatchJitterSeconds, staleSeconds = 3.0, 1.0, 5.0
 	// distrustSeconds is how long a sidecar ignores updates after one that contradicted its list.
 	distrustSeconds = 30.0
 	// discoverySilenceSeconds is how long a holder's watch may be silent while other holders send updates, before it gives up the role.
@@ -26,12 +26,12 @@
 	lists   sidecar.ListReceiver
 	sources [len(listRoleNames)]*listRole
 
-	relayed           bool    // updates of others replace this sidecar's watch
-	triesOwnWatch     bool    // a watch was started since updates are missing
-	ownWatchAt        float64 // when to start it; 0: not drawn
-	ownWatchUpdatedAt float64 // when this sidecar's watch brought something last
-	distrustUntil     float64 // updates are ignored until then
-	announcedIndex    uint64  // greatest version whose delta was sent to all, by this sidecar or another
+	relayed              bool    // updates of others replace this sidecar's watch
+	startedDirectWatch   bool    // a watch was started since updates are missing
+	directWatchAt        float64 // when to start it; 0: not drawn
+	directWatchUpdatedAt float64 // when this sidecar's watch brought something last
+	distrustUntil        float64 // updates are ignored until then
+	announcedIndex       uint64  // greatest version whose delta was sent to all, by this sidecar or another
 
 	// The transfer of a list that was requested, see list_transfer.go.
 	request          listRequest
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// releaseOwnWatch ends the watch unless this sidecar is a holder.
-func (l *listRelay) releaseOwnWatch() {
+// releaseDirectWatch ends the watch unless this sidecar is a holder.
+func (l *listRelay) releaseDirectWatch() {
 	if l.activeSource() == nil {
 		l.lists.SetDirectWatch(false)
 	}
@@ -112,7 +112,7 @@
 // sidecar.ListObserver.ListRead.
 func (l *listRelay) handleDiscoveryUpdate(before uint64, held bool, raw []byte) {
 	defer l.serveWaiters()
-	l.ownWatchUpdatedAt = l.now()
+	l.directWatchUpdatedAt = l.now()
 	r := l.activeSource()
 	v, ok := l.lists.ListVersion()
 	if r == nil || !ok {
@@ -152,7 +152,7 @@
 // stepDownIfPartitioned asks the voters to move roles whose holder here hears nothing of discovery while other holders do.
 func (l *listRelay) stepDownIfPartitioned(now float64) {
 	for _, r := range l.sources {
-		if r.heldToken != 0 && now > max(r.startedAt, l.ownWatchUpdatedAt, r.stepDownAt)+discoverySilenceSeconds {
+		if r.heldToken != 0 && now > max(r.startedAt, l.directWatchUpdatedAt, r.stepDownAt)+discoverySilenceSeconds {
 			r.stepDownAt = now
 			l.roles.logInfo("discovery unreachable: stepping down", "role", r.name)
 			l.roles.lease.RequestStepDown(now, r.name)
@@ -228,9 +228,9 @@
 
 // confirmRelayed records that the list here is current by an update, so that no watch is needed.
 func (l *listRelay) confirmRelayed() {
-	l.relayed, l.ownWatchAt = true, 0
-	l.triesOwnWatch = false
-	l.releaseOwnWatch()
+	l.relayed, l.directWatchAt = true, 0
+	l.startedDirectWatch = false
+	l.releaseDirectWatch()
 	l.lists.ConfirmList()
 }
 
@@ -244,14 +244,14 @@
 	l.lists.InvalidateList()
 }
 
-// stopRelaying forgets all confirmations, so that the sidecar goes by its own watch.
+// stopRelaying forgets all confirmations, so that the sidecar goes by a direct watch.
 func (l *listRelay) stopRelaying() {
-	l.relayed, l.ownWatchAt, l.requestedAt, l.chunks = false, 0, 0, nil
+	l.relayed, l.directWatchAt, l.requestedAt, l.chunks = false, 0, 0, nil
 	for _, r := range l.sources {
 		r.freshAt = 0
 	}
-	l.triesOwnWatch = false
-	l.releaseOwnWatch()
+	l.startedDirectWatch = false
+	l.releaseDirectWatch()
 }
 
 // newestFreshAt returns when the list here was last confirmed, 0 if it was not.
@@ -274,20 +274,20 @@
 		l.stopRelaying()
 		l.lists.ExpireList()
 		return now + staleSeconds
-	case now < newest+ownWatchDelaySeconds:
+	case now < newest+directWatchDelaySeconds:
 		l.stepDownIfPartitioned(now)
-		return newest + ownWatchDelaySeconds
-	case l.ownWatchAt == 0:
-		l.ownWatchAt = now + ownWatchJitterSeconds*l.roles.node.options.Rand.Float64()
+		return newest + directWatchDelaySeconds
+	case l.directWatchAt == 0:
+		l.directWatchAt = now + directWatchJitterSeconds*l.roles.node.options.Rand.Float64()
 	}
-	if !l.triesOwnWatch && now >= l.ownWatchAt && l.activeSource() == nil {
-		l.triesOwnWatch = true
+	if !l.startedDirectWatch && now >= l.directWatchAt && l.activeSource() == nil {
+		l.startedDirectWatch = true
 		l.lists.SetDirectWatch(true)
 	}
-	if l.triesOwnWatch || l.activeSource() != nil {
+	if l.startedDirectWatch || l.activeSource() != nil {
 		return newest + staleSeconds
 	}
-	return min(l.ownWatchAt, newest+staleSeconds)
+	return min(l.directWatchAt, newest+staleSeconds)
 }
 
 func (l *listRelay) snapshotStats() *ListStats {
--- a/internal/coordination/list_relay_test.go
+++ b/internal/coordination/list_relay_test.go
@@ -15,10 +15,10 @@
 
 // fakeLists is the list of a sidecar that follows updates.
 type fakeLists struct {
-	set                *endpointset.Set
-	discovery          string
-	fed, own           bool
-	starved, distrusts int
+	set                        *endpointset.Set
+	discovery                  string
+	isConfirmed                bool
+	expirations, invalidations int
 }
 
 func (f *fakeLists) DiscoveryAddress() string { return f.discovery }
@@ -36,29 +36,29 @@
 	return err
 }
 
-func (f *fakeLists) ConfirmList()           { f.fed = true }
-func (f *fakeLists) ExpireList()            { f.fed = false; f.starved++ }
-func (f *fakeLists) SetDirectWatch(on bool) { f.own = on }
-func (f *fakeLists) InvalidateList()        { f.fed = false; f.distrusts++; f.set.ForgetIndex() }
+func (f *fakeLists) ConfirmList()        { f.isConfirmed = true }
+func (f *fakeLists) ExpireList()         { f.isConfirmed = false; f.expirations++ }
+func (f *fakeLists) SetDirectWatch(bool) {}
+func (f *fakeLists) InvalidateList()     { f.isConfirmed = false; f.invalidations++; f.set.ForgetIndex() }
 
 // newListNode returns a node that follows updates, and its list.
 func newListNode() (*Node, *clockLoop, *fakeLists) {
 	lists := &fakeLists{set: endpointset.New(nil, nil), discovery: "d:1"}
-	n, net := newTestNode(Options{Settings: Settings{Roles: expandListRoles([]string{"list"})}, Lists: lists})
-	return n, net, lists
+	n, loop := newTestNode(Options{Settings: Settings{Roles: expandListRoles([]string{"list"})}, Lists: lists})
+	return n, loop, lists
 }
 
 // sendUpdate has a role handle an update that was sent at a time since its grant.
-func sendUpdate(r *listRole, net *clockLoop, u listUpdate, atSeconds float64) {
+func sendUpdate(r *listRole, loop *clockLoop, u listUpdate, atSeconds float64) {
 	u.AtSeconds = atSeconds
-	r.HandleMessage(net.link, &frames.RoleMessage{Role: r.name, Token: 1, Kind: kindListUpdate, Body: mustMarshal(u)})
+	r.HandleMessage(loop.link, &frames.RoleMessage{Role: r.name, Token: 1, Kind: kindListUpdate, Body: mustMarshal(u)})
 }
 
 // Updates of three holders come late, twice and not at all. The list never goes back, is the one of its version whenever it counts as
 // current, and does so no longer than staleSeconds.
 func TestListUpdatesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, net, lists := newListNode()
+		n, loop, lists := newListNode()
 		l := n.roles.listRelay
 		// What discovery has: version i is the first i changes.
 		truth := endpointset.New(nil, nil)
@@ -79,7 +79,7 @@
 		}
 		index, freshAt := uint64(0), 0.0
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			net.now += rapid.Float64Range(0, 2).Draw(t, "pause")
+			loop.now += rapid.Float64Range(0, 2).Draw(t, "pause")
 			if rapid.IntRange(0, 4).Draw(t, "silent") > 0 {
 				u := updates[rapid.IntRange(0, versions).Draw(t, "update")]
 				if rapid.Bool().Draw(t, "without delta") {
@@ -90,13 +90,13 @@
 				}
 				if r := l.sources[rapid.IntRange(0, 2).Draw(t, "role")]; rapid.IntRange(0, 9).Draw(t, "malformed") == 0 {
 					before := n.roles.state(r.name).malformed
-					r.HandleMessage(net.link, &frames.RoleMessage{Role: r.name, Token: 1, Kind: kindListUpdate, Body: []byte{0xc1}})
+					r.HandleMessage(loop.link, &frames.RoleMessage{Role: r.name, Token: 1, Kind: kindListUpdate, Body: []byte{0xc1}})
 					require.Equal(t, before+1, n.roles.state(r.name).malformed, "malformed messages are counted")
 				} else {
-					sendUpdate(r, net, u, net.now-100)
+					sendUpdate(r, loop, u, loop.now-100)
 				}
 			}
-			l.checkFreshness(net.now)
+			l.checkFreshness(loop.now)
 			v, ok := lists.ListVersion()
 			require.True(t, ok)
 			require.GreaterOrEqual(t, v.Index, index, "no version is replaced by an earlier one")
@@ -104,16 +104,16 @@
 			if index = v.Index; l.newestFreshAt() > freshAt {
 				freshAt = l.newestFreshAt()
 			}
-			if lists.fed {
-				require.Less(t, net.now, freshAt+staleSeconds)
+			if lists.isConfirmed {
+				require.Less(t, loop.now, freshAt+staleSeconds)
 			}
 		}
 		// An update that contradicts the list.
 		u := updates[index]
 		u.Checksum++
-		sendUpdate(l.sources[0], net, u, net.now-100)
-		assert.Equal(t, 1, lists.distrusts)
-		assert.False(t, lists.fed)
+		sendUpdate(l.sources[0], loop, u, loop.now-100)
+		assert.Equal(t, 1, lists.invalidations)
+		assert.False(t, lists.isConfirmed)
 		_, ok := lists.ListVersion()
 		assert.False(t, ok, "the whole list is requested of discovery")
 	})
@@ -121,20 +121,20 @@
 
 // An update that was delayed in a queue confirms the list as of when it was sent.
 func TestDelayedUpdatesAreOld(t *testing.T) {
-	n, net, lists := newListNode()
+	n, loop, lists := newListNode()
 	l := n.roles.listRelay
 	require.NoError(t, lists.ApplyList([]byte(`{"index":7,"snapshot":true,"endpoints":[]}`)))
 	v, _ := lists.ListVersion()
 	send := func(at float64) {
-		sendUpdate(l.sources[1], net, listUpdate{Discovery: "d:1", Index: 7, Checksum: v.Checksum}, at)
-		l.checkFreshness(net.now)
+		sendUpdate(l.sources[1], loop, listUpdate{Discovery: "d:1", Index: 7, Checksum: v.Checksum}, at)
+		l.checkFreshness(loop.now)
 	}
 	send(0)
-	assert.True(t, lists.fed)
+	assert.True(t, lists.isConfirmed)
 	for i := 1; i <= 20; i++ { // each is delayed half a second longer than the one before
-		net.now = 100 + 2.5*float64(i)
+		loop.now = 100 + 2.5*float64(i)
 		send(2 * float64(i))
 	}
-	assert.False(t, lists.fed, "ten seconds behind")
-	assert.NotZero(t, lists.starved)
+	assert.False(t, lists.isConfirmed, "ten seconds behind")
+	assert.NotZero(t, lists.expirations)
 }
--- a/internal/coordination/list_role.go
+++ b/internal/coordination/list_role.go
@@ -63,14 +63,14 @@
 // Start implements singletonRole: the holder watches discovery.
 func (r *listRole) Start(token uint64) {
 	r.heldToken, r.lapsedToken, r.startedAt = token, 0, r.relay.now()
-	r.relay.triesOwnWatch = false
+	r.relay.startedDirectWatch = false
 	r.relay.lists.SetDirectWatch(true)
 }
 
 // Stop implements singletonRole. The watch stays until the updates of others replace it.
 func (r *listRole) Stop() {
 	r.heldToken = 0
-	r.relay.releaseOwnWatch()
+	r.relay.releaseDirectWatch()
 }
 
 // HandleLapse implements lapseHandler. When the leader of the voters is lost all leases end at once, and without this no updates would
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -134,9 +134,9 @@
 
 // Operators' tools read the figures by their names.
 func TestFigureNames(t *testing.T) {
-	n, net := newTestNode(Options{Settings: Settings{Roles: expandListRoles([]string{listRoleName, reportRoleName, faultRoleName, maintenanceRoleName})}})
-	n.peers = peers.New("yard", 1, n, net, n.log)
-	n.view = swim.New(net.now, swim.Record{ID: 1}, swim.Settings{}, membershipActions{n})
+	n, loop := newTestNode(Options{Settings: Settings{Roles: expandListRoles([]string{listRoleName, reportRoleName, faultRoleName, maintenanceRoleName})}})
+	n.peers = peers.New("yard", 1, n, loop, n.log)
+	n.view = swim.New(loop.now, swim.Record{ID: 1}, swim.Settings{}, membershipActions{n})
 	var names []string
 	for _, figure := range n.Metrics() {
 		names = append(names, figure.Name)
