--- a/cmd/hazelwheel/clients.go
+++ b/cmd/hazelwheel/clients.go
@@ -43,7 +43,7 @@
 	fmt.Fprintln(t, "ADDRESS\tKNOWN\tLINKS\tBYTES\tSTATES")
 	for _, client := range all.Clients {
 		known := "no"
-		if client.Known {
+		if client.IsKnown {
 			known = "yes"
 		}
 		var states []string
@@ -51,7 +51,7 @@
 			states = append(states, fmt.Sprintf("%s %d", name, n))
 		}
 		slices.Sort(states)
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\n", client.Address, known, client.Links, client.Bytes, strings.Join(states, ", "))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\n", client.Address, known, client.Conns, client.BufferedBytes, strings.Join(states, ", "))
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -1,10 +1,10 @@
 package admission
 
 // Waiting is a request that has come and that the decisions have not been given yet.
-type Waiting[T any] struct {
-	Of      T
-	Class   int
-	Arrived float64 // when its last byte reached the machine
+type QueuedRequest[T any] struct {
+	Request   T
+	Class     int
+	ArrivedAt float64 // when its last byte reached the machine
 }
 
 // Queue holds the requests that have come faster than the loop takes them up: the worthiest class first, and in each
@@ -26,8 +26,8 @@
 
 // Class is what the queue knows of a class of requests.
 type Class struct {
-	Worth float64
-	AimS  float64
+	PriorityWeight       float64
+	LatencyTargetSeconds float64
 }
 
 // NewQueue returns an empty queue for requests of the given classes, by their place.
@@ -35,10 +35,10 @@
 	q := &Queue[T]{lines: make([]line[T], len(classes))}
 	for i, c := range classes {
 		q.order = append(q.order, i)
-		q.most = append(q.most, shedPart*c.AimS)
+		q.most = append(q.most, shedPart*c.LatencyTargetSeconds)
 	}
 	for i := range q.order { // an insertion sort: equals stay as the settings have them
-		for j := i; j > 0 && classes[q.order[j]].Worth > classes[q.order[j-1]].Worth; j-- {
+		for j := i; j > 0 && classes[q.order[j]].PriorityWeight > classes[q.order[j-1]].PriorityWeight; j-- {
 			q.order[j], q.order[j-1] = q.order[j-1], q.order[j]
 		}
 	}
@@ -49,14 +49,14 @@
 func (q *Queue[T]) Len() int { return q.n }
 
 // Put has a request wait. Requests of a class come in the order of their arrival, or nearly so.
-func (q *Queue[T]) Put(w Waiting[T]) {
+func (q *Queue[T]) Enqueue(w QueuedRequest[T]) {
 	q.lines[w.Class].put(w)
 	q.n++
 }
 
 // Next takes out the request whose turn it is; shed tells that it has waited too long and is to be turned away at once.
 // ok is false once none waits.
-func (q *Queue[T]) Next(now float64) (w Waiting[T], shed, ok bool) {
+func (q *Queue[T]) Dequeue(now float64) (w QueuedRequest[T], shed, ok bool) {
 	if q.n == 0 {
 		return w, false, false
 	}
@@ -64,7 +64,7 @@
 	// What is shed goes first: it is owed its answer at once, and nothing is gained by keeping it.
 	for i := len(q.order) - 1; i >= 0; i-- {
 		class := q.order[i]
-		if l := &q.lines[class]; l.len() > 0 && now-l.first().Arrived > q.most[class] {
+		if l := &q.lines[class]; l.len() > 0 && now-l.first().ArrivedAt > q.most[class] {
 			return l.take(), true, true
 		}
 	}
@@ -78,14 +78,14 @@
 
 // line is a queue in a slice that is compacted in place.
 type line[T any] struct {
-	all  []Waiting[T]
+	all  []QueuedRequest[T]
 	head int
 }
 
-func (l *line[T]) len() int           { return len(l.all) - l.head }
-func (l *line[T]) first() *Waiting[T] { return &l.all[l.head] }
+func (l *line[T]) len() int                 { return len(l.all) - l.head }
+func (l *line[T]) first() *QueuedRequest[T] { return &l.all[l.head] }
 
-func (l *line[T]) put(w Waiting[T]) {
+func (l *line[T]) put(w QueuedRequest[T]) {
 	if l.head > 0 && len(l.all) == cap(l.all) {
 		n := copy(l.all, l.all[l.head:])
 		clear(l.all[n:])
@@ -94,9 +94,9 @@
 	l.all = append(l.all, w)
 }
 
-func (l *line[T]) take() Waiting[T] {
+func (l *line[T]) take() QueuedRequest[T] {
 	w := l.all[l.head]
-	l.all[l.head] = Waiting[T]{}
+	l.all[l.head] = QueuedRequest[T]{}
 	if l.head++; l.head == len(l.all) {
 		l.all, l.head = l.all[:0], 0
 	}
--- a/internal/decide/admission/room.go
+++ b/internal/decide/admission/room.go
@@ -14,12 +14,12 @@
 
 // The states. Asking links are owed an answer and are never given up.
 const (
-	Silent  State = iota // nothing has come on it
-	Partial              // a part of a request has come
-	Asking               // a request is out
-	Unread               // an answer is written, and the socket does not take it
-	Resting              // it has carried a request, and nothing is under way
-	Ending               // its last answer is written; it is read until the client closes
+	StateNew     State = iota // nothing has come on it
+	StateReading              // a part of a request has come
+	StateActive               // a request is out
+	StateWriting              // an answer is written, and the socket does not take it
+	StateIdle                 // it has carried a request, and nothing is under way
+	StateClosing              // its last answer is written; it is read until the client closes
 	states
 )
 
@@ -60,19 +60,19 @@
 )
 
 // Cap bounds the links of all addresses in a prefix together.
-type Cap struct {
-	Prefix netip.Prefix
-	Links  int
+type PrefixLimit struct {
+	Prefix   netip.Prefix
+	MaxConns int
 }
 
 // Settings are the bounds of a Room. The zero value has none but Most.
 type Settings struct {
-	Most       int // links in all
-	Reserve    int // of these, for known clients alone
-	PerAddress int // links of one address; 0: any number
-	Caps       []Cap
-	Known      []netip.Prefix // clients that are known from the start
-	Bytes      int            // that links may hold together and the socket can't; 0: any number
+	MaxConns         int // links in all
+	ReservedForKnown int // of these, for known clients alone
+	MaxPerAddress    int // links of one address; 0: any number
+	PrefixLimits     []PrefixLimit
+	KnownPrefixes    []netip.Prefix // clients that are known from the start
+	MaxBufferedBytes int            // that links may hold together and the socket can't; 0: any number
 }
 
 // groupBits are how many bits of an address a group of neighbours shares: a site's network has many addresses of IPv4,
@@ -83,7 +83,7 @@
 )
 
 // Room holds the links of clients. All its decisions cost O(log n).
-type Room struct {
+type ConnTable struct {
 	s       Settings
 	clients map[netip.Addr]*address
 	groups  [2]map[netip.Prefix]*group // of strangers and of the known
@@ -101,7 +101,7 @@
 }
 
 // Link is a client link in a Room.
-type Link struct {
+type Conn struct {
 	Owner any // whose it is; the Room passes it on
 
 	client *address
@@ -139,67 +139,67 @@
 }
 
 // NewRoom returns an empty room.
-func NewRoom(s Settings) *Room {
+func NewConnTable(s Settings) *ConnTable {
 	scores, err := lru.New2Q[netip.Addr, float64](mostKnown)
 	if err != nil {
 		panic(err) // the size is a constant above 0
 	}
-	return &Room{s: s, clients: map[netip.Addr]*address{}, scores: scores, caps: make([]int, len(s.Caps)),
+	return &ConnTable{s: s, clients: map[netip.Addr]*address{}, scores: scores, caps: make([]int, len(s.PrefixLimits)),
 		groups: [2]map[netip.Prefix]*group{{}, {}}}
 }
 
 // Resize changes how many links there may be, and of these for known clients alone. Who is there stays.
-func (r *Room) Resize(most, reserve int) { r.s.Most, r.s.Reserve = most, reserve }
+func (r *ConnTable) SetLimits(most, reserve int) { r.s.MaxConns, r.s.ReservedForKnown = most, reserve }
 
 // Len returns how many links there are.
-func (r *Room) Len() int { return r.links }
+func (r *ConnTable) Len() int { return r.links }
 
 // Verdict says what a newcomer finds.
 type Verdict uint8
 
 // The verdicts. What is not Admitted can be once Victim has named a link that goes for it.
 const (
-	Admitted Verdict = iota
-	Crowded          // there are too many links
-	OverCap          // its address or prefix has its cap
+	Admitted  Verdict = iota
+	TableFull         // there are too many links
+	OverLimit         // its address or prefix has its cap
 )
 
 // Open takes a link of an address that has just come up. Whatever the verdict it is in the room, until Close.
-func (r *Room) Open(now float64, addr netip.Addr, owner any) (*Link, Verdict) {
+func (r *ConnTable) Add(now float64, addr netip.Addr, owner any) (*Conn, Verdict) {
 	a := r.address(addr.Unmap())
 	v := Admitted
 	// The last places are for the known; and the last of these, as those of the strangers, not for one who holds half of
 	// them already.
-	room, held := r.s.Most, r.links
-	if strangers := r.s.Most - r.s.Reserve; !a.known && room-held > strangers-r.strange {
+	room, held := r.s.MaxConns, r.links
+	if strangers := r.s.MaxConns - r.s.ReservedForKnown; !a.known && room-held > strangers-r.strange {
 		room, held = strangers, r.strange
 	}
 	if held >= room || held >= room-room/lastPart && 2*a.links >= room {
-		v = Crowded
+		v = TableFull
 	}
-	if r.s.PerAddress > 0 && a.links >= r.s.PerAddress {
-		v = OverCap
+	if r.s.MaxPerAddress > 0 && a.links >= r.s.MaxPerAddress {
+		v = OverLimit
 	}
 	for _, i := range a.caps {
-		if r.caps[i] >= r.s.Caps[i].Links {
-			v = OverCap
+		if r.caps[i] >= r.s.PrefixLimits[i].MaxConns {
+			v = OverLimit
 		}
 		r.caps[i]++
 	}
-	l := &Link{Owner: owner, client: a, since: now}
+	l := &Conn{Owner: owner, client: a, since: now}
 	a.links++
 	r.links++
 	if !a.known {
 		r.strange++
 	}
-	r.enter(l, Silent, now)
+	r.enter(l, StateNew, now)
 	return l, v
 }
 
 // Victim returns the link that goes for a newcomer, nil if none does: each is worth as much, owed something, or about to
 // ask. One that has its cap may only put its own links in place of each other.
-func (r *Room) Victim(now float64, newcomer *Link, v Verdict) *Link {
-	if v == OverCap {
+func (r *ConnTable) VictimFor(now float64, newcomer *Conn, v Verdict) *Conn {
+	if v == OverLimit {
 		return r.sparable(now, newcomer.client, newcomer.client, true, newcomer)
 	}
 	return r.victim(now, newcomer.client, newcomer)
@@ -207,7 +207,7 @@
 
 // Beyond has a newcomer stay that found no room, for a word to its client. It takes no place; how many there may be is the
 // caller's matter.
-func (r *Room) Beyond(l *Link) {
+func (r *ConnTable) AdmitOverflow(l *Conn) {
 	l.beyond = true
 	r.links--
 	if !l.client.known {
@@ -217,19 +217,19 @@
 }
 
 // BeyondLen returns how many links are beyond.
-func (r *Room) BeyondLen() int { return r.beyond }
+func (r *ConnTable) OverflowLen() int { return r.beyond }
 
 // Spare returns the link that is missed least, nil if each is owed something or about to ask.
-func (r *Room) Spare(now float64) *Link { return r.victim(now, nil, nil) }
+func (r *ConnTable) LeastNeeded(now float64) *Conn { return r.victim(now, nil, nil) }
 
 // Renew has a link count as one that has just come into its state: its next request waits in its socket.
-func (r *Room) Renew(now float64, l *Link) {
+func (r *ConnTable) Touch(now float64, l *Conn) {
 	r.leave(l)
 	r.enter(l, l.state, now)
 }
 
 // Move notes what a link does from now on.
-func (r *Room) Move(now float64, l *Link, s State) {
+func (r *ConnTable) SetState(now float64, l *Conn, s State) {
 	if l.state != s {
 		r.leave(l)
 		r.enter(l, s, now)
@@ -237,7 +237,7 @@
 }
 
 // Hold notes how many bytes a link holds that have come and are no request yet, or are written and not sent.
-func (r *Room) Hold(l *Link, bytes int) {
+func (r *ConnTable) SetBufferedBytes(l *Conn, bytes int) {
 	r.bytes += bytes - l.bytes
 	l.client.held += bytes - l.bytes
 	if l.owedNothing() {
@@ -247,10 +247,10 @@
 }
 
 // owedNothing tells whether what a link holds is no request that is out.
-func (l *Link) owedNothing() bool { return l.state == Partial || l.state == Unread }
+func (l *Conn) owedNothing() bool { return l.state == StateReading || l.state == StateWriting }
 
 // fatten notes a change of what an address's links hold that are owed nothing.
-func (r *Room) fatten(a *address, bytes int) {
+func (r *ConnTable) fatten(a *address, bytes int) {
 	if a.fat += bytes; a.fat > 0 {
 		r.fat.put(fatness{a})
 	} else {
@@ -260,12 +260,12 @@
 
 // Heavy returns the link to be closed since all together hold too much: of the address whose links that are owed nothing
 // hold most, the one that has been longest in its state, or holds more. Nil: they do not, or none is owed nothing.
-func (r *Room) Heavy() *Link {
-	if r.s.Bytes == 0 || r.bytes <= r.s.Bytes || r.fat.len() == 0 {
+func (r *ConnTable) BufferVictim() *Conn {
+	if r.s.MaxBufferedBytes == 0 || r.bytes <= r.s.MaxBufferedBytes || r.fat.len() == 0 {
 		return nil
 	}
 	a := r.fat.first()
-	part, unread := a.own[Partial].first, a.own[Unread].first
+	part, unread := a.own[StateReading].first, a.own[StateWriting].first
 	if part == nil || unread != nil && unread.bytes > part.bytes {
 		return unread
 	}
@@ -274,18 +274,18 @@
 
 // Full tells whether links hold so much that no new request of a link should be taken up: its client holds a good part of
 // all, or all hold far too much.
-func (r *Room) Full(l *Link) bool {
-	return r.s.Bytes > 0 && r.bytes > r.s.Bytes && (fullPart*l.client.held >= r.bytes || r.bytes > 2*r.s.Bytes)
+func (r *ConnTable) IsOverBufferBudget(l *Conn) bool {
+	return r.s.MaxBufferedBytes > 0 && r.bytes > r.s.MaxBufferedBytes && (fullPart*l.client.held >= r.bytes || r.bytes > 2*r.s.MaxBufferedBytes)
 }
 
 // Served notes that a request of a link has run whole.
-func (r *Room) Served(l *Link) {
+func (r *ConnTable) RecordServed(l *Conn) {
 	score, _ := r.scores.Get(l.client.addr)
 	r.score(l.client, min(score+1, mostScore))
 }
 
 // Wasted notes that a link had to go without a request having come whole, or an answer having been read.
-func (r *Room) Wasted(l *Link) {
+func (r *ConnTable) RecordWasted(l *Conn) {
 	if score, ok := r.scores.Peek(l.client.addr); ok {
 		r.score(l.client, max(score-wasteCost, 0))
 	}
@@ -293,26 +293,26 @@
 
 // Client is what one address holds.
 type Client struct {
-	Address string         `json:"address"`
-	Known   bool           `json:"known"`
-	Links   int            `json:"links"`
-	States  map[string]int `json:"states"`
-	Bytes   int            `json:"bytes"`
+	Address       string         `json:"address"`
+	IsKnown       bool           `json:"known"`
+	Conns         int            `json:"links"`
+	States        map[string]int `json:"states"`
+	BufferedBytes int            `json:"bytes"`
 }
 
 // Clients tells who holds what, those with most links first: at most so many addresses, and how many there are.
-func (r *Room) Clients(most int) (shown []Client, all int) {
+func (r *ConnTable) Clients(most int) (shown []Client, all int) {
 	list := slices.SortedFunc(maps.Values(r.clients), func(x, y *address) int {
 		return cmp.Or(cmp.Compare(y.links, x.links), x.addr.Compare(y.addr))
 	})
 	for _, a := range list[:min(most, len(list))] {
-		c := Client{Address: a.addr.String(), Known: a.known, Links: a.links, States: map[string]int{}}
+		c := Client{Address: a.addr.String(), IsKnown: a.known, Conns: a.links, States: map[string]int{}}
 		for s := range states {
 			if a.own[s].n > 0 {
 				c.States[s.String()] = a.own[s].n
 			}
 			for l := a.own[s].first; l != nil; l = l.hooks[ofAddress].after {
-				c.Bytes += l.bytes
+				c.BufferedBytes += l.bytes
 			}
 		}
 		shown = append(shown, c)
@@ -321,15 +321,15 @@
 }
 
 // Known tells whether a link's client is known.
-func (l *Link) Known() bool { return l.client.known }
+func (l *Conn) IsKnown() bool { return l.client.known }
 
 // State returns what a link does, and since when.
-func (l *Link) State() (State, float64) { return l.state, l.since }
+func (l *Conn) State() (State, float64) { return l.state, l.since }
 
 // Greedy tells whether the client of a link has clearly more requests out than its fair part of all. It says who goes
 // first when there is not enough for all.
-func (r *Room) Greedy(l *Link) bool {
-	a, own := l.client, l.client.own[Asking].n
+func (r *ConnTable) ExceedsFairShare(l *Conn) bool {
+	a, own := l.client, l.client.own[StateActive].n
 	others := r.askers
 	if own > 0 {
 		others--
@@ -345,9 +345,9 @@
 }
 
 // Close takes a link out.
-func (r *Room) Close(l *Link) {
+func (r *ConnTable) Remove(l *Conn) {
 	a := l.client
-	r.Hold(l, 0)
+	r.SetBufferedBytes(l, 0)
 	r.leave(l)
 	a.links--
 	if l.beyond {
@@ -365,7 +365,7 @@
 }
 
 // Each calls f with the links in a state, the longest in it first. f may close the link that it is given.
-func (r *Room) Each(s State, f func(*Link)) {
+func (r *ConnTable) Each(s State, f func(*Conn)) {
 	for i := range r.all {
 		for l := r.all[i][s].first; l != nil; {
 			next := l.hooks[ofRoom].after
@@ -376,7 +376,7 @@
 }
 
 // Oldest returns the link that has been longest in a state, nil if none is in it.
-func (r *Room) Oldest(s State) *Link {
+func (r *ConnTable) Oldest(s State) *Conn {
 	x, y := r.all[0][s].first, r.all[1][s].first
 	if x == nil || y != nil && y.since < x.since {
 		return y
@@ -385,7 +385,7 @@
 }
 
 // address returns what is known of an address.
-func (r *Room) address(addr netip.Addr) *address {
+func (r *ConnTable) address(addr netip.Addr) *address {
 	if a := r.clients[addr]; a != nil {
 		return a
 	}
@@ -393,12 +393,12 @@
 	for i := range a.own {
 		a.own[i].hook = ofAddress
 	}
-	for _, p := range r.s.Known {
+	for _, p := range r.s.KnownPrefixes {
 		a.settings = a.settings || p.Contains(addr)
 	}
 	score, _ := r.scores.Peek(addr)
 	a.known = a.settings || score >= knownAfter
-	for i, c := range r.s.Caps {
+	for i, c := range r.s.PrefixLimits {
 		if c.Prefix.Contains(addr) {
 			a.caps = append(a.caps, i)
 		}
@@ -409,7 +409,7 @@
 }
 
 // score remembers how an address has done, and has it known or not accordingly.
-func (r *Room) score(a *address, score float64) {
+func (r *ConnTable) score(a *address, score float64) {
 	r.scores.Add(a.addr, score)
 	known := a.settings || score >= knownAfter
 	if known == a.known {
@@ -435,13 +435,13 @@
 }
 
 // enter puts a link into a state.
-func (r *Room) enter(l *Link, s State, now float64) {
+func (r *ConnTable) enter(l *Conn, s State, now float64) {
 	a := l.client
 	l.state, l.since = s, now
 	r.all[tree(a.known)][s].put(l)
-	if a.own[s].put(l); s != Asking {
+	if a.own[s].put(l); s != StateActive {
 		a.free++
-	} else if r.asking++; a.own[Asking].n == 1 {
+	} else if r.asking++; a.own[StateActive].n == 1 {
 		r.askers++
 	}
 	if l.owedNothing() {
@@ -451,12 +451,12 @@
 }
 
 // leave takes a link out of its state.
-func (r *Room) leave(l *Link) {
+func (r *ConnTable) leave(l *Conn) {
 	a := l.client
 	r.all[tree(a.known)][l.state].drop(l)
-	if a.own[l.state].drop(l); l.state != Asking {
+	if a.own[l.state].drop(l); l.state != StateActive {
 		a.free--
-	} else if r.asking--; a.own[Asking].n == 0 {
+	} else if r.asking--; a.own[StateActive].n == 0 {
 		r.askers--
 	}
 	if l.owedNothing() {
--- a/internal/decide/admission/room_test.go
+++ b/internal/decide/admission/room_test.go
@@ -14,39 +14,39 @@
 
 // crowd is a room that is used as a sidecar does: what goes for another is closed.
 type crowd struct {
-	*Room
+	*ConnTable
 	now  float64
-	gone []*Link
+	gone []*Conn
 }
 
-func newCrowd(s Settings) *crowd { return &crowd{Room: NewRoom(s), now: 1000} }
+func newCrowd(s Settings) *crowd { return &crowd{ConnTable: NewConnTable(s), now: 1000} }
 
 // come has a link of an address come, after a while; nil: it was refused.
-func (c *crowd) come(addr string, after float64) *Link {
+func (c *crowd) come(addr string, after float64) *Conn {
 	c.now += after
-	l, v := c.Open(c.now, ip(addr), nil)
+	l, v := c.Add(c.now, ip(addr), nil)
 	if v != Admitted {
-		victim := c.Victim(c.now, l, v)
+		victim := c.VictimFor(c.now, l, v)
 		if victim == nil {
-			c.Close(l)
+			c.Remove(l)
 			return nil
 		}
 		c.gone = append(c.gone, victim)
-		c.Close(victim)
+		c.Remove(victim)
 	}
 	return l
 }
 
 // serve has a link's request run whole.
-func (c *crowd) serve(l *Link) *Link {
-	c.Move(c.now, l, Asking)
-	c.Served(l)
-	c.Move(c.now, l, Resting)
+func (c *crowd) serve(l *Conn) *Conn {
+	c.SetState(c.now, l, StateActive)
+	c.RecordServed(l)
+	c.SetState(c.now, l, StateIdle)
 	return l
 }
 
 // known has an address earn its standing on one link.
-func (c *crowd) known(addr string) *Link {
+func (c *crowd) known(addr string) *Conn {
 	l := c.come(addr, 0)
 	for range knownAfter {
 		c.serve(l)
@@ -63,26 +63,26 @@
 		"of IPv6, one network":  func(i int) string { return fmt.Sprintf("2001:db8::%x", i+1) },
 		"of IPv6, many of them": func(i int) string { return fmt.Sprintf("2001:db8:0:%x::1", i%500) },
 	} {
-		for _, s := range []State{Silent, Partial, Unread, Ending, Resting} {
+		for _, s := range []State{StateNew, StateReading, StateWriting, StateClosing, StateIdle} {
 			for _, every := range []float64{0.0001, 0.02} { // quicker than any grace, and slower than some
-				c := newCrowd(Settings{Most: 100, Reserve: 10})
+				c := newCrowd(Settings{MaxConns: 100, ReservedForKnown: 10})
 				kept := c.known("10.0.0.3")
 				asking := c.come("10.0.0.4", 0)
 				require.NotNil(t, asking)
-				c.Move(c.now, asking, Asking)
+				c.SetState(c.now, asking, StateActive)
 				for i := range 1000 {
 					if l := c.come(from(i), every); l != nil {
-						c.Move(c.now, l, s)
+						c.SetState(c.now, l, s)
 					}
 					if i%20 == 19 {
 						fresh := c.come("10.0.0.3", 0)
 						require.NotNil(t, fresh, "%s, %s, every %g s: a known client is shut out", name, s, every)
-						c.Close(c.serve(fresh))
+						c.Remove(c.serve(fresh))
 					}
 					if i > 200 && i%20 == 9 {
 						third := c.come("10.9.0.1", 0)
 						require.NotNil(t, third, "%s, %s, every %g s: a stranger is shut out", name, s, every)
-						c.Close(third)
+						c.Remove(third)
 					}
 				}
 				assert.NotContains(t, c.gone, kept)
@@ -95,13 +95,13 @@
 
 // Strangers who ask fill their part, and no more: the reserve is there for who is known, also once some of it is used.
 func TestReserve(t *testing.T) {
-	c := newCrowd(Settings{Most: 20, Reserve: 5})
+	c := newCrowd(Settings{MaxConns: 20, ReservedForKnown: 5})
 	l := c.known("10.0.0.3")
-	c.Move(c.now, l, Asking)
+	c.SetState(c.now, l, StateActive)
 	taken := 0
 	for i := range 40 {
 		if s := c.come(fmt.Sprintf("10.2.0.%d", i+1), 0.001); s != nil {
-			c.Move(c.now, s, Asking)
+			c.SetState(c.now, s, StateActive)
 			taken++
 		}
 	}
@@ -115,93 +115,93 @@
 
 // An address that was known and now floods is no better off than a stranger that does.
 func TestKnownThatFloods(t *testing.T) {
-	c := newCrowd(Settings{Most: 100})
+	c := newCrowd(Settings{MaxConns: 100})
 	c.known("10.0.0.2")
 	for range 500 {
 		if l := c.come("10.0.0.2", 0.0001); l != nil {
-			c.Move(c.now, l, Partial)
+			c.SetState(c.now, l, StateReading)
 		}
 	}
 	for range 20 {
 		l := c.come("10.9.0.1", 0.001)
 		require.NotNil(t, l)
-		c.Close(l)
+		c.Remove(l)
 	}
 	for _, l := range c.gone {
 		assert.Equal(t, ip("10.0.0.2"), l.client.addr)
 	}
 	for range knownAfter { // and loses its standing for what never arrives
-		c.Wasted(c.Oldest(Partial))
+		c.RecordWasted(c.Oldest(StateReading))
 	}
-	assert.False(t, c.Oldest(Partial).Known())
+	assert.False(t, c.Oldest(StateReading).IsKnown())
 }
 
 func TestCaps(t *testing.T) {
-	c := newCrowd(Settings{Most: 100, PerAddress: 3, Caps: []Cap{{netip.MustParsePrefix("10.1.0.0/16"), 4}}})
+	c := newCrowd(Settings{MaxConns: 100, MaxPerAddress: 3, PrefixLimits: []PrefixLimit{{netip.MustParsePrefix("10.1.0.0/16"), 4}}})
 	for i, want := range []bool{true, true, true, false} {
 		l := c.come("10.0.0.2", 0)
 		assert.Equal(t, want, l != nil, i)
 		if l != nil {
-			c.Move(c.now, l, Asking)
+			c.SetState(c.now, l, StateActive)
 		}
 	}
 	for i, want := range []bool{true, true, true, true, false} {
 		l := c.come(fmt.Sprintf("10.1.0.%d", i+1), 0)
 		assert.Equal(t, want, l != nil, i)
 		if l != nil {
-			c.Move(c.now, l, Asking)
+			c.SetState(c.now, l, StateActive)
 		}
 	}
-	mapped, v := c.Open(c.now, ip("::ffff:10.0.0.2"), nil)
-	assert.Equal(t, OverCap, v, "an address of IPv4 in IPv6's form is the same")
-	c.Close(mapped)
-	c.Move(c.now, c.Oldest(Asking), Resting)
+	mapped, v := c.Add(c.now, ip("::ffff:10.0.0.2"), nil)
+	assert.Equal(t, OverLimit, v, "an address of IPv4 in IPv6's form is the same")
+	c.Remove(mapped)
+	c.SetState(c.now, c.Oldest(StateActive), StateIdle)
 	assert.NotNil(t, c.come("10.0.0.2", 1), "one of its own that rests goes for it")
 	assert.Len(t, c.gone, 1)
 }
 
 // What links hold together is bounded; who holds most and is owed nothing goes first.
 func TestBytes(t *testing.T) {
-	c := newCrowd(Settings{Most: 10, Bytes: 90_000})
-	var all []*Link
+	c := newCrowd(Settings{MaxConns: 10, MaxBufferedBytes: 90_000})
+	var all []*Conn
 	for i := range 3 {
 		l := c.come("10.0.0.2", 0)
-		c.Move(c.now, l, []State{Partial, Asking, Unread}[i])
-		c.Hold(l, 30_000+10_000*(i%2))
+		c.SetState(c.now, l, []State{StateReading, StateActive, StateWriting}[i])
+		c.SetBufferedBytes(l, 30_000+10_000*(i%2))
 		all = append(all, l)
 	}
-	assert.Same(t, all[0], c.Heavy(), "as heavy as the last, and asking is owed its answer")
-	assert.False(t, func() bool { c.Close(all[0]); return c.Full(all[1]) }())
-	assert.Nil(t, c.Heavy())
-	c.Hold(all[1], 200_000)
-	assert.True(t, c.Full(all[1]))
+	assert.Same(t, all[0], c.BufferVictim(), "as heavy as the last, and asking is owed its answer")
+	assert.False(t, func() bool { c.Remove(all[0]); return c.IsOverBufferBudget(all[1]) }())
+	assert.Nil(t, c.BufferVictim())
+	c.SetBufferedBytes(all[1], 200_000)
+	assert.True(t, c.IsOverBufferBudget(all[1]))
 	modest := c.come("10.0.0.3", 0)
-	assert.True(t, c.Full(modest), "far too much")
-	c.Hold(all[1], 100_000)
-	assert.False(t, c.Full(modest))
-	assert.True(t, c.Full(all[1]))
-	assert.Same(t, all[2], c.Heavy())
+	assert.True(t, c.IsOverBufferBudget(modest), "far too much")
+	c.SetBufferedBytes(all[1], 100_000)
+	assert.False(t, c.IsOverBufferBudget(modest))
+	assert.True(t, c.IsOverBufferBudget(all[1]))
+	assert.Same(t, all[2], c.BufferVictim())
 }
 
 func TestGreedy(t *testing.T) {
-	c := newCrowd(Settings{Most: 1000})
-	ask := func(addr string, n int) (l *Link) {
+	c := newCrowd(Settings{MaxConns: 1000})
+	ask := func(addr string, n int) (l *Conn) {
 		for range n {
 			l = c.come(addr, 0)
-			c.Move(c.now, l, Asking)
+			c.SetState(c.now, l, StateActive)
 		}
 		return l
 	}
 	alone := ask("10.0.0.2", 100)
-	assert.False(t, c.Greedy(alone), "nobody else asks")
+	assert.False(t, c.ExceedsFairShare(alone), "nobody else asks")
 	modest := ask("10.0.0.3", 3)
-	assert.True(t, c.Greedy(alone))
-	assert.False(t, c.Greedy(modest))
+	assert.True(t, c.ExceedsFairShare(alone))
+	assert.False(t, c.ExceedsFairShare(modest))
 	for range knownAfter {
-		c.Served(modest)
+		c.RecordServed(modest)
 	}
-	assert.True(t, modest.Known())
-	assert.False(t, c.Greedy(ask("10.0.0.3", 10)), "the known may have more")
+	assert.True(t, modest.IsKnown())
+	assert.False(t, c.ExceedsFairShare(ask("10.0.0.3", 10)), "the known may have more")
 }
 
 // Whatever comes and goes: counts add up, the memory is bounded by who is there, none that asks is given up, a known
@@ -213,18 +213,18 @@
 
 func roomProperties(t *rapid.T) {
 	{
-		s := Settings{Most: rapid.IntRange(4, 30).Draw(t, "most"), Bytes: 50_000}
-		s.Reserve = rapid.IntRange(0, s.Most/2).Draw(t, "reserve")
+		s := Settings{MaxConns: rapid.IntRange(4, 30).Draw(t, "most"), MaxBufferedBytes: 50_000}
+		s.ReservedForKnown = rapid.IntRange(0, s.MaxConns/2).Draw(t, "reserve")
 		c := newCrowd(s)
 		addresses := []string{"10.0.0.1", "10.0.0.2", "10.0.1.1", "10.7.0.1", "2001:db8::1", "2001:db8::2"}
-		var here []*Link
-		pick := func() *Link {
+		var here []*Conn
+		pick := func() *Conn {
 			if len(here) == 0 {
 				return nil
 			}
 			return here[rapid.IntRange(0, len(here)-1).Draw(t, "link")]
 		}
-		remove := func(l *Link) {
+		remove := func(l *Conn) {
 			for i := range here {
 				if here[i] == l {
 					here = append(here[:i], here[i+1:]...)
@@ -237,37 +237,37 @@
 			c.now += rapid.Float64Range(0, 0.2).Draw(t, "dt")
 			switch rapid.IntRange(0, 5).Draw(t, "do") {
 			case 0, 1:
-				l, v := c.Open(c.now, ip(rapid.SampledFrom(addresses).Draw(t, "from")), nil)
+				l, v := c.Add(c.now, ip(rapid.SampledFrom(addresses).Draw(t, "from")), nil)
 				if v != Admitted {
-					gone := c.Victim(c.now, l, v)
+					gone := c.VictimFor(c.now, l, v)
 					if gone == nil {
-						if l.Known() {
+						if l.IsKnown() {
 							for _, x := range here {
 								state, since := x.State()
-								if !x.Known() && state != Asking && since < c.now-1 {
+								if !x.IsKnown() && state != StateActive && since < c.now-1 {
 									t.Fatalf("a known client is refused, and a stranger has been %s for a second", state)
 								}
 							}
 						}
-						c.Close(l)
+						c.Remove(l)
 						continue
 					}
-					if gone == l || gone.state == Asking {
+					if gone == l || gone.state == StateActive {
 						t.Fatal("a link goes that is owed an answer, or the newcomer itself")
 					}
 					remove(gone)
-					c.Close(gone)
+					c.Remove(gone)
 				}
 				here = append(here, l)
 			case 2:
 				if l := pick(); l != nil {
-					c.Move(c.now, l, State(rapid.IntRange(0, int(states)-1).Draw(t, "state")))
+					c.SetState(c.now, l, State(rapid.IntRange(0, int(states)-1).Draw(t, "state")))
 				}
 			case 3:
 				if l := pick(); l != nil {
-					c.Hold(l, rapid.IntRange(0, 30_000).Draw(t, "bytes"))
+					c.SetBufferedBytes(l, rapid.IntRange(0, 30_000).Draw(t, "bytes"))
 				}
-				for gone := c.Heavy(); gone != nil; gone = c.Heavy() {
+				for gone := c.BufferVictim(); gone != nil; gone = c.BufferVictim() {
 					holds := map[netip.Addr]int{}
 					for _, x := range here {
 						if x.owedNothing() {
@@ -280,29 +280,29 @@
 						}
 					}
 					remove(gone)
-					c.Close(gone)
+					c.Remove(gone)
 				}
 			case 4:
 				if l := pick(); l != nil {
 					if rapid.Bool().Draw(t, "good") {
-						c.Served(l)
+						c.RecordServed(l)
 					} else {
-						c.Wasted(l)
+						c.RecordWasted(l)
 					}
 				}
 			case 5:
 				if l := pick(); l != nil {
 					remove(l)
-					c.Close(l)
+					c.Remove(l)
 				}
 			}
-			check(t, c.Room, here)
+			check(t, c.ConnTable, here)
 		}
 	}
 }
 
 // check compares what a room counts with who is there.
-func check(t *rapid.T, r *Room, here []*Link) {
+func check(t *rapid.T, r *ConnTable, here []*Conn) {
 	n, strange, asking, bytes, clients := 0, 0, 0, 0, map[netip.Addr]float64{}
 	for _, l := range here {
 		n++
@@ -310,16 +310,16 @@
 		if !l.client.known {
 			strange++
 		}
-		if l.state == Asking {
+		if l.state == StateActive {
 			asking++
 		} else {
 			clients[l.client.addr]++
 		}
 		clients[l.client.addr] += 0
 	}
-	if n != r.links || n > r.s.Most || strange != r.strange || asking != r.asking || bytes != r.bytes || len(clients) != len(r.clients) {
+	if n != r.links || n > r.s.MaxConns || strange != r.strange || asking != r.asking || bytes != r.bytes || len(clients) != len(r.clients) {
 		t.Fatalf("%d links of at most %d, %d strange, %d asking, %d bytes, %d clients; counted %d, %d, %d, %d, %d",
-			n, r.s.Most, strange, asking, bytes, len(clients), r.links, r.strange, r.asking, r.bytes, len(r.clients))
+			n, r.s.MaxConns, strange, asking, bytes, len(clients), r.links, r.strange, r.asking, r.bytes, len(r.clients))
 	}
 	for addr, free := range clients {
 		a := r.clients[addr]
@@ -333,18 +333,18 @@
 func BenchmarkRoom(b *testing.B) {
 	for _, n := range []int{40, 400, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := newCrowd(Settings{Most: n})
+			c := newCrowd(Settings{MaxConns: n})
 			from := make([]string, 1000)
 			for i := range from {
 				from[i] = fmt.Sprintf("10.%d.%d.1", i/250, i%250)
 			}
 			for i := range n {
-				c.Move(c.now, c.come(from[i%len(from)], 0), State(i%2)) // silent, or a part of a request
+				c.SetState(c.now, c.come(from[i%len(from)], 0), State(i%2)) // silent, or a part of a request
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if l := c.come(from[i%len(from)], 0.0001); l != nil {
-					c.Move(c.now, l, Partial)
+					c.SetState(c.now, l, StateReading)
 				}
 				c.gone = c.gone[:0]
 			}
--- a/internal/decide/admission/spool.go
+++ b/internal/decide/admission/spool.go
@@ -15,7 +15,7 @@
 // Spool returns how many bytes of a body may be held before the rest of it is passed on as it comes, where all links hold so
 // many of a budget already; a budget of 0 has no bound. What is held whole can be sent again. Danger: a part that is fixed is
 // either too small for one body or too large for a hundred.
-func Spool(held, budget int) int {
+func BodyBufferBytes(held, budget int) int {
 	if budget <= 0 {
 		return mostSpool
 	}
@@ -23,7 +23,7 @@
 }
 
 // FlowRoom returns how many bytes may wait for a peer that lags, where so many flow at once.
-func FlowRoom(flows, budget int) int {
+func FlowBufferBytes(flows, budget int) int {
 	if budget <= 0 || flows == 0 {
 		return mostFlow
 	}
@@ -31,4 +31,4 @@
 }
 
 // Bytes returns how many bytes all links hold together.
-func (r *Room) Bytes() int { return r.bytes }
+func (r *ConnTable) BufferedBytes() int { return r.bytes }
--- a/internal/decide/admission/structure.go
+++ b/internal/decide/admission/structure.go
@@ -11,16 +11,16 @@
 )
 
 // hook is a link's place in a list.
-type hook struct{ before, after *Link }
+type hook struct{ before, after *Conn }
 
 // list holds links in the order in which they came.
 type list struct {
-	first, last *Link
+	first, last *Conn
 	n           int
 	hook        int // which of a link's hooks is this list's
 }
 
-func (t *list) put(l *Link) {
+func (t *list) put(l *Conn) {
 	l.hooks[t.hook] = hook{before: t.last}
 	if t.last != nil {
 		t.last.hooks[t.hook].after = l
@@ -32,7 +32,7 @@
 }
 
 // putBySince puts a link in by the time since which it is in its state. It is for the few that come from another list.
-func (t *list) putBySince(l *Link) {
+func (t *list) putBySince(l *Conn) {
 	after := t.last
 	for after != nil && after.since > l.since {
 		after = after.hooks[t.hook].before
@@ -53,7 +53,7 @@
 	t.n++
 }
 
-func (t *list) drop(l *Link) {
+func (t *list) drop(l *Conn) {
 	h := l.hooks[t.hook]
 	if h.before != nil {
 		h.before.hooks[t.hook].after = h.after
--- a/internal/decide/admission/victim.go
+++ b/internal/decide/admission/victim.go
@@ -5,10 +5,10 @@
 // victim returns the link that goes for a newcomer, nil if none does: what is only read until its client closes; then
 // links of the address that has most that are owed nothing, in the prefix that has most; a known address counts for a
 // quarter. Danger: whatever a flood makes its links look like, it must lose its own before anybody else's.
-func (r *Room) victim(now float64, a *address, not *Link) *Link {
-	strangers := a != nil && !a.known && r.strange >= r.s.Most-r.s.Reserve // room is made only where a stranger goes
+func (r *ConnTable) victim(now float64, a *address, not *Conn) *Conn {
+	strangers := a != nil && !a.known && r.strange >= r.s.MaxConns-r.s.ReservedForKnown // room is made only where a stranger goes
 	for i := range r.all {
-		if l := r.all[i][Ending].first; l != nil && l.since < now-silentGrace && (i == 0 || !strangers) {
+		if l := r.all[i][StateClosing].first; l != nil && l.since < now-silentGrace && (i == 0 || !strangers) {
 			return l
 		}
 	}
@@ -24,9 +24,9 @@
 	// Those that are heaviest may all be about to ask, and others have long had nothing to say. A stranger does not take
 	// the kept links of the known.
 	for i := range r.all {
-		for _, s := range [...]State{Silent, Partial, Unread, Resting} {
+		for _, s := range [...]State{StateNew, StateReading, StateWriting, StateIdle} {
 			l := r.all[i][s].first
-			allowed := i == 0 || !strangers && (s != Resting || a == nil || a.known)
+			allowed := i == 0 || !strangers && (s != StateIdle || a == nil || a.known)
 			if l != nil && l != not && l.since < now-l.grace(a) && allowed {
 				return l
 			}
@@ -34,7 +34,7 @@
 	}
 	// Danger: a flood from thousands of networks that is quicker than any grace would shut every newcomer out. Who came
 	// first of the strangers that are owed nothing goes.
-	for _, s := range [...]State{Ending, Silent, Partial, Resting, Unread} {
+	for _, s := range [...]State{StateClosing, StateNew, StateReading, StateIdle, StateWriting} {
 		if l := r.all[0][s].first; a != nil && l != nil && l != not && l.since < now && l.client.links >= a.links {
 			return l
 		}
@@ -43,7 +43,7 @@
 }
 
 // heaviest returns the address that has most links that are owed nothing, nil if none has any.
-func (r *Room) heaviest(strangersOnly bool) (most *address) {
+func (r *ConnTable) heaviest(strangersOnly bool) (most *address) {
 	for known, h := range r.heavy {
 		if h.len() == 0 || strangersOnly && known == 1 {
 			continue
@@ -57,8 +57,8 @@
 
 // sparable returns the link of an address that is missed least: one that has been long enough in its state, or, where the
 // address is greedy, any that is owed nothing.
-func (r *Room) sparable(now float64, a, newcomer *address, greedy bool, not *Link) *Link {
-	order := [...]State{Ending, Silent, Partial, Unread, Resting}
+func (r *ConnTable) sparable(now float64, a, newcomer *address, greedy bool, not *Conn) *Conn {
+	order := [...]State{StateClosing, StateNew, StateReading, StateWriting, StateIdle}
 	for _, s := range order {
 		if l := a.own[s].first; l != nil && l != not && l.since < now-l.grace(newcomer) {
 			return l
@@ -74,12 +74,12 @@
 
 // grace is how long a link may be in its state before it can be given up for a newcomer. One that holds less than the
 // newcomer's client, or is known, has longer. Danger: its client may be slow, or on a slow machine, and means well.
-func (l *Link) grace(newcomer *address) float64 {
+func (l *Conn) grace(newcomer *address) float64 {
 	g := silentGrace
 	switch l.state {
-	case Partial, Unread:
+	case StateReading, StateWriting:
 		g = partGrace
-	case Resting:
+	case StateIdle:
 		return restGrace
 	}
 	if l.client.known || newcomer != nil && newcomer != l.client && newcomer.burden() > l.client.burden() {
@@ -119,7 +119,7 @@
 }
 
 // group puts an address among its neighbours.
-func (r *Room) group(a *address) {
+func (r *ConnTable) group(a *address) {
 	of := r.groups[tree(a.known)]
 	p := groupOf(a.addr)
 	g := of[p]
@@ -132,7 +132,7 @@
 }
 
 // ungroup takes an address from its neighbours.
-func (r *Room) ungroup(a *address) {
+func (r *ConnTable) ungroup(a *address) {
 	g := a.in
 	g.clients.drop(a)
 	g.weight -= a.counted
@@ -145,7 +145,7 @@
 }
 
 // reweigh follows a change of an address's links.
-func (r *Room) reweigh(a *address) {
+func (r *ConnTable) reweigh(a *address) {
 	w := a.weight()
 	a.in.weight += w - a.counted // quarters of whole numbers, which add up exactly
 	a.counted = w
--- a/internal/featureconfig/features.go
+++ b/internal/featureconfig/features.go
@@ -43,7 +43,7 @@
 
 // On tells whether the file says anything of it.
 func (a *Admission) On() bool {
-	return a.Reserve > 0 || a.PerAddress > 0 || a.Bytes > 0 || len(a.Caps) > 0 || len(a.Known) > 0
+	return a.ReservedForKnown > 0 || a.MaxPerAddress > 0 || a.MaxBufferedBytes > 0 || len(a.PrefixLimits) > 0 || len(a.KnownPrefixes) > 0
 }
 
 // String says in a few words what is on.
@@ -62,7 +62,7 @@
 		on = append(on, fmt.Sprintf("capture (%d bytes in %d segments)", f.Capture.MaxBytes, f.Capture.Segments))
 	}
 	if f.Admission.On() {
-		on = append(on, fmt.Sprintf("admission (reserve %d, %d caps, %d known)", f.Admission.Reserve, len(f.Admission.Caps), len(f.Admission.Known)))
+		on = append(on, fmt.Sprintf("admission (reserve %d, %d caps, %d known)", f.Admission.ReservedForKnown, len(f.Admission.PrefixLimits), len(f.Admission.KnownPrefixes)))
 	}
 	if f.Thrift.On() {
 		methods := 0
@@ -210,10 +210,10 @@
 	a := &f.Admission
 	o.unfold("admission", "reserve", "per_address", "waiting_bytes", "caps", "known")
 	most := cfg.Limits.Sockets / 4
-	field(o, "admission.reserve", &a.Reserve, fmt.Sprintf("a whole number from 1 to %d, a quarter of limits.sockets", most),
+	field(o, "admission.reserve", &a.ReservedForKnown, fmt.Sprintf("a whole number from 1 to %d, a quarter of limits.sockets", most),
 		func(v int) bool { return v >= 1 && v <= most })
-	field(o, "admission.per_address", &a.PerAddress, "a whole number from 1", func(v int) bool { return v >= 1 })
-	field(o, "admission.waiting_bytes", &a.Bytes, "a whole number from 65536", func(v int) bool { return v >= 64<<10 })
+	field(o, "admission.per_address", &a.MaxPerAddress, "a whole number from 1", func(v int) bool { return v >= 1 })
+	field(o, "admission.waiting_bytes", &a.MaxBufferedBytes, "a whole number from 65536", func(v int) bool { return v >= 64<<10 })
 	var known []string
 	field(o, "admission.known", &known, "a list of addresses or prefixes", func([]string) bool { return true })
 	for i, text := range known {
@@ -221,24 +221,24 @@
 		if err != nil {
 			o.fail(fmt.Sprintf("admission.known[%d]", i), fmt.Sprintf("%q is neither an address nor a prefix", text))
 		}
-		a.Known = append(a.Known, p)
+		a.KnownPrefixes = append(a.KnownPrefixes, p)
 	}
 	for _, e := range o.list("admission.caps") {
 		var text string
-		var c admission.Cap
+		var c admission.PrefixLimit
 		var err error
 		field(e, "prefix", &text, "an address or a prefix like 10.1.0.0/16", func(s string) bool {
 			c.Prefix, err = parsePrefix(s)
 			return err == nil
 		})
-		field(e, "links", &c.Links, "a whole number from 1", func(v int) bool { return v >= 1 })
+		field(e, "links", &c.MaxConns, "a whole number from 1", func(v int) bool { return v >= 1 })
 		e.need("prefix", "links")
-		for j, other := range a.Caps {
-			if c.Prefix.IsValid() && other.Prefix.Overlaps(c.Prefix) && other.Links != c.Links {
+		for j, other := range a.PrefixLimits {
+			if c.Prefix.IsValid() && other.Prefix.Overlaps(c.Prefix) && other.MaxConns != c.MaxConns {
 				e.fail("prefix", fmt.Sprintf("%s overlaps with admission.caps[%d], %s, which has another cap", c.Prefix, j, other.Prefix))
 			}
 		}
-		a.Caps = append(a.Caps, c)
+		a.PrefixLimits = append(a.PrefixLimits, c)
 	}
 }
 
--- a/internal/featureconfig/features_test.go
+++ b/internal/featureconfig/features_test.go
@@ -63,9 +63,9 @@
 	f, err = read(`{"admission":{"reserve":64,"known":["10.1.2.3","2001:db8::/32"],"caps":[{"prefix":"10.1.7.9/16","links":5}]},
 		"admission.per_address":200}`)
 	require.NoError(t, err)
-	assert.Equal(t, admission.Settings{Reserve: 64, PerAddress: 200,
-		Known: []netip.Prefix{netip.MustParsePrefix("10.1.2.3/32"), netip.MustParsePrefix("2001:db8::/32")},
-		Caps:  []admission.Cap{{Prefix: netip.MustParsePrefix("10.1.0.0/16"), Links: 5}}}, f.Admission.Settings)
+	assert.Equal(t, admission.Settings{ReservedForKnown: 64, MaxPerAddress: 200,
+		KnownPrefixes: []netip.Prefix{netip.MustParsePrefix("10.1.2.3/32"), netip.MustParsePrefix("2001:db8::/32")},
+		PrefixLimits:  []admission.PrefixLimit{{Prefix: netip.MustParsePrefix("10.1.0.0/16"), MaxConns: 5}}}, f.Admission.Settings)
 
 	f, err = read(`{"thrift":{"listen":"127.0.0.1:9090","port":9091,"probe":"ping","classes":[
 		{"class":"latest-reading","methods":["latestReading","Readings:latestReading"],"id":"1.1","key":"-2","patience_us":"1.3","retry":"4"},
--- a/internal/sidecar/arrival_test.go
+++ b/internal/sidecar/arrival_test.go
@@ -43,7 +43,7 @@
 	s.timers.alarm = n.Alarm
 	s.enter(func() {
 		l := &ClientConn{s: s, client: client, conn: &testConn{}, openedAt: testNow}
-		l.place, _ = s.room.Open(testNow, netip.MustParseAddr("127.0.0.1"), l)
+		l.place, _ = s.room.Add(testNow, netip.MustParseAddr("127.0.0.1"), l)
 		l.await()
 	})
 	return n, client, s
--- a/internal/sidecar/arrivals.go
+++ b/internal/sidecar/arrivals.go
@@ -48,7 +48,7 @@
 	if q.HeldBackSeconds >= staleS { // its wait is not shed load: it waits for this one look
 		from = now
 	}
-	a.queue.Put(admission.Waiting[arrival]{Of: arrival{r, q, now}, Class: q.Class, Arrived: from})
+	a.queue.Enqueue(admission.QueuedRequest[arrival]{Request: arrival{r, q, now}, Class: q.Class, ArrivedAt: from})
 	s.takeUpLater()
 }
 
@@ -66,11 +66,11 @@
 	a, now := &s.arrivals, s.now()
 	a.waiting, a.since, a.taken = false, now, 0
 	for a.taken < takenAtOnce {
-		w, shed, ok := a.queue.Next(now)
+		w, shed, ok := a.queue.Dequeue(now)
 		if !ok {
 			return
 		}
-		r, q := w.Of.request, w.Of.Request
+		r, q := w.Request.request, w.Request.Request
 		switch {
 		case r.answered: // its client has gone since
 			continue
@@ -78,7 +78,7 @@
 			s.counters.Shed++
 			s.answer(r, throttled, func() { r.origin.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		default:
-			q.HeldBackSeconds += now - w.Of.at
+			q.HeldBackSeconds += now - w.Request.at
 			s.decide(r, q)
 		}
 		a.taken++
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -53,7 +53,7 @@
 	client    ClientCodec
 	conn      netio.Conn
 	index     int // in Sidecar.clients
-	place     *admission.Link
+	place     *admission.Conn
 	buf       buffer.Buffer
 	ahead     arrivalTimes // of what is in buf and waits for the answer to what came before it
 	request   *request     // the one that is out
@@ -88,7 +88,7 @@
 	all[l.index], last.index = last, l.index
 	all[len(all)-1] = nil
 	l.s.clients = all[:len(all)-1]
-	l.s.room.Close(l.place)
+	l.s.room.Remove(l.place)
 }
 
 func (l *ClientConn) opened(netio.Conn) {}
@@ -119,8 +119,8 @@
 		return
 	}
 	if l.next(); l.conn != nil && l.request == nil && !l.last {
-		if state, _ := l.place.State(); state == admission.Silent || state == admission.Resting {
-			l.s.room.Move(l.s.now(), l.place, admission.Partial)
+		if state, _ := l.place.State(); state == admission.StateNew || state == admission.StateIdle {
+			l.s.room.SetState(l.s.now(), l.place, admission.StateReading)
 		}
 		held, _ := l.client.PartialRequest()
 		l.hold(l.buf.Len() + held)
@@ -192,7 +192,7 @@
 		l.arrival = l.s.timers.at(max(by, now+0.1), l.overdue)
 		return
 	}
-	l.s.room.Wasted(l.place)
+	l.s.room.RecordWasted(l.place)
 	if r := l.request; r != nil {
 		l.s.spoilUpload(r, ErrRequestTimeout)
 		return
@@ -242,11 +242,11 @@
 // Admit tells whether there is room for a request of a class; otherwise it has been throttled.
 func (l *ClientConn) Admit(class int) bool {
 	switch {
-	case l.overLimit && !l.s.hasRoom(serverRoom), l.s.room.Full(l.place):
+	case l.overLimit && !l.s.hasRoom(serverRoom), l.s.room.IsOverBufferBudget(l.place):
 		l.turnAway(class, "there is no room for them")
 		return false
-	case l.s.short() && l.s.room.Greedy(l.place):
-		l.s.room.Wasted(l.place)
+	case l.s.short() && l.s.room.ExceedsFairShare(l.place):
+		l.s.room.RecordWasted(l.place)
 		l.turnAway(class, "their client has more out than its part, and there is not enough for all")
 		return false
 	}
@@ -276,9 +276,9 @@
 	if !within {
 		return
 	}
-	l.s.room.Move(l.s.now(), l.place, admission.Asking)
+	l.s.room.SetState(l.s.now(), l.place, admission.StateActive)
 	l.held = a.HeldBytes
-	l.s.room.Hold(l.place, l.held+l.buf.Len())
+	l.s.room.SetBufferedBytes(l.place, l.held+l.buf.Len())
 	waited := max(l.s.waited(l.conn), l.s.now()-l.ahead.of(l.buf.Len(), l.s.now()))
 	patience := min(a.TimeoutSeconds, longestS)
 	deadline := l.s.now() - waited + patience
@@ -310,7 +310,7 @@
 }
 
 // MarkServed notes that the answer to come is a server's.
-func (l *ClientConn) MarkServed() { l.s.room.Served(l.place) }
+func (l *ClientConn) MarkServed() { l.s.room.RecordServed(l.place) }
 
 // BeginResponse frees the link of its request. It tells whether the client is still there, and whether the answer to come is
 // the last on the link; what it is appended to is returned, for EndAnswer. says tells whether the answer can say so itself.
@@ -392,7 +392,7 @@
 		l.finish()
 		return
 	}
-	l.s.room.Move(l.s.now(), l.place, admission.Resting)
+	l.s.room.SetState(l.s.now(), l.place, admission.StateIdle)
 	l.buf.Rest()
 	l.hold(l.buf.Len())
 	// The next request may be in the buffer already; it is taken up as an event of its own.
@@ -419,8 +419,8 @@
 	}
 	now := l.s.now()
 	l.shut = true
-	l.s.room.Move(now, l.place, admission.Ending)
-	l.s.room.Hold(l.place, 0)
+	l.s.room.SetState(now, l.place, admission.StateClosing)
+	l.s.room.SetBufferedBytes(l.place, 0)
 	l.linger = l.s.timers.at(now+lingerS, func() { l.leave(now + lingerMostS) })
 	l.s.net.CloseWrite(l.conn)
 }
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -48,21 +48,21 @@
 // links that are not in the room yet.
 func (s *Sidecar) admissionSettings(newcomers int) admission.Settings {
 	a := s.admission.Settings
-	a.Reserve = s.reserve()
+	a.ReservedForKnown = s.reserve()
 	// What servers hold is not there for clients.
-	a.Most = max(min(s.mostClients(), s.mostLinks()-s.serverSide()+newcomers), a.Reserve)
-	if a.Bytes == 0 {
-		a.Bytes = s.cfg.Limits.MemoryMB << 20 / s.parts / 4
+	a.MaxConns = max(min(s.mostClients(), s.mostLinks()-s.serverSide()+newcomers), a.ReservedForKnown)
+	if a.MaxBufferedBytes == 0 {
+		a.MaxBufferedBytes = s.cfg.Limits.MemoryMB << 20 / s.parts / 4
 	}
 	return a
 }
 
 // serverSide is how many descriptors backend connections and to discovery hold, or may come to hold.
-func (s *Sidecar) serverSide() int { return s.conns - s.room.Len() - s.room.BeyondLen() + s.dialing }
+func (s *Sidecar) serverSide() int { return s.conns - s.room.Len() - s.room.OverflowLen() + s.dialing }
 
 // reserve is how many links are kept for known clients.
 func (s *Sidecar) reserve() int {
-	if n := s.admission.Reserve; n > 0 {
+	if n := s.admission.ReservedForKnown; n > 0 {
 		return n
 	}
 	return s.mostClients() / reservePart
@@ -81,10 +81,10 @@
 	c.SetContext(link(l))
 	var verdict admission.Verdict
 	bounds := s.admissionSettings(1)
-	s.room.Resize(bounds.Most, bounds.Reserve)
-	l.place, verdict = s.room.Open(now, clientAddress(c), l)
+	s.room.SetLimits(bounds.MaxConns, bounds.ReservedForKnown)
+	l.place, verdict = s.room.Add(now, clientAddress(c), l)
 	for looked := 0; verdict != admission.Admitted; {
-		gone := s.room.Victim(now, l.place, verdict)
+		gone := s.room.VictimFor(now, l.place, verdict)
 		if gone == nil {
 			break
 		}
@@ -93,22 +93,22 @@
 			if looked++; looked > lookedAt {
 				break
 			}
-			s.room.Renew(now, gone)
+			s.room.Touch(now, gone)
 			continue
 		}
 		old.giveUp()
 		verdict = admission.Admitted
 	}
 	switch {
-	case verdict == admission.OverCap:
+	case verdict == admission.OverLimit:
 		s.counters.OverCap++
 		s.notice("connections beyond the cap of an address or prefix are refused")
 		return false
-	case verdict == admission.Crowded && (s.room.BeyondLen() >= s.beyondRoom() || !s.hasRoom(s.reserve())):
+	case verdict == admission.TableFull && (s.room.OverflowLen() >= s.beyondRoom() || !s.hasRoom(s.reserve())):
 	case s.hasRoom(0) || s.makeRoom(0):
-		if verdict == admission.Crowded {
+		if verdict == admission.TableFull {
 			l.overLimit = true
-			s.room.Beyond(l.place)
+			s.room.AdmitOverflow(l.place)
 		}
 		return true
 	}
@@ -116,7 +116,7 @@
 	// been read from this link.
 	s.counters.NoRoom++
 	s.notice("connections are refused: there is no room for them")
-	s.log.Debug("client connection refused", "client", c.RemoteAddr(), "crowded", verdict == admission.Crowded, "links", s.room.Len())
+	s.log.Debug("client connection refused", "client", c.RemoteAddr(), "crowded", verdict == admission.TableFull, "links", s.room.Len())
 	return false
 }
 
@@ -145,16 +145,16 @@
 // mayBeAsking tells whether the next request of a link that seems to have none waits in its socket.
 func (l *ClientConn) mayBeAsking() bool {
 	state, _ := l.place.State()
-	return (state == admission.Silent || state == admission.Resting) && !l.s.net.NothingToRead(l.conn)
+	return (state == admission.StateNew || state == admission.StateIdle) && !l.s.net.NothingToRead(l.conn)
 }
 
 // giveUp closes a link that goes for another.
 func (l *ClientConn) giveUp() {
 	s := l.s
 	switch state, _ := l.place.State(); state {
-	case admission.Partial, admission.Unread:
+	case admission.StateReading, admission.StateWriting:
 		s.counters.GivenUp++
-	case admission.Silent, admission.Resting:
+	case admission.StateNew, admission.StateIdle:
 		s.counters.Retired++
 	}
 	s.notice("connections that have no request out are closed to make room")
@@ -170,11 +170,11 @@
 // retire closes a link that is of no more use, unless a request waits in its socket.
 func (l *ClientConn) retire() {
 	if l.mayBeAsking() {
-		l.s.room.Renew(l.s.now(), l.place)
+		l.s.room.Touch(l.s.now(), l.place)
 		return
 	}
-	if state, _ := l.place.State(); state == admission.Silent {
-		l.s.room.Wasted(l.place)
+	if state, _ := l.place.State(); state == admission.StateNew {
+		l.s.room.RecordWasted(l.place)
 	}
 	l.s.counters.Retired++
 	l.s.closeConn(l.conn)
@@ -183,8 +183,8 @@
 // hold notes how much of a request or of an answer the link holds. Where all hold too much, who holds most goes.
 func (l *ClientConn) hold(bytes int) {
 	s := l.s
-	s.room.Hold(l.place, bytes)
-	for gone := s.room.Heavy(); gone != nil; gone = s.room.Heavy() {
+	s.room.SetBufferedBytes(l.place, bytes)
+	for gone := s.room.BufferVictim(); gone != nil; gone = s.room.BufferVictim() {
 		s.notice("connections that hold much are closed: there is no memory for more")
 		gone.Owner.(*ClientConn).giveUp()
 	}
@@ -201,8 +201,8 @@
 			l.Owner.(*ClientConn).retire()
 		}
 	}
-	if old(admission.Silent, now-silentS); s.crowded() {
-		old(admission.Resting, now-restS)
+	if old(admission.StateNew, now-silentS); s.crowded() {
+		old(admission.StateIdle, now-restS)
 	}
 	s.timers.at(now+sweepEveryS, s.sweep)
 }
@@ -212,7 +212,7 @@
 func (l *ClientConn) unread() {
 	s, now := l.s, l.s.now()
 	l.unreadFrom, l.tookAt, l.untaken = now, now, l.conn.OutboundBuffered()
-	s.room.Move(now, l.place, admission.Unread)
+	s.room.SetState(now, l.place, admission.StateWriting)
 	l.pause(netio.DeferClose) // a client that has said its last may still read
 	l.hold(l.untaken + l.buf.Len())
 	if !s.flushing {
@@ -240,12 +240,12 @@
 // closed.
 func (s *Sidecar) flush() {
 	now := s.now()
-	s.room.Each(admission.Unread, func(place *admission.Link) {
+	s.room.Each(admission.StateWriting, func(place *admission.Conn) {
 		l := place.Owner.(*ClientConn)
 		left := l.conn.OutboundBuffered()
 		if left < l.untaken {
 			l.untaken, l.tookAt = left, now
-			s.room.Hold(place, left+l.buf.Len())
+			s.room.SetBufferedBytes(place, left+l.buf.Len())
 		}
 		switch {
 		case left == 0:
@@ -253,11 +253,11 @@
 		case now > l.tookAt+unreadS && !l.flowed || now > l.unreadFrom+longestReadS && !l.flowed || now > l.tookAt+lagS:
 			s.counters.Unread++
 			s.notice("connections are closed whose clients do not read their answers")
-			s.room.Wasted(place)
+			s.room.RecordWasted(place)
 			s.closeConn(l.conn)
 		}
 	})
-	if s.flushing = s.room.Oldest(admission.Unread) != nil; s.flushing {
+	if s.flushing = s.room.Oldest(admission.StateWriting) != nil; s.flushing {
 		s.timers.at(now+flushEveryS, s.flush)
 	}
 }
@@ -280,7 +280,7 @@
 		Clients   []admission.Client `json:"clients"`
 	}
 	settings := s.admissionSettings(0)
-	all.Links, all.Most, all.Reserve = s.room.Len(), settings.Most, settings.Reserve
+	all.Links, all.Most, all.Reserve = s.room.Len(), settings.MaxConns, settings.ReservedForKnown
 	all.Clients, all.Addresses = s.room.Clients(mostShown)
 	raw, err := json.Marshal(all)
 	if err != nil { // numbers and names always marshal
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/flow.go
@@ -28,11 +28,13 @@
 }
 
 // spool returns how much of a body is held before the rest of it flows.
-func (s *Sidecar) spool() int { return admission.Spool(s.room.Bytes(), s.admissionSettings(0).Bytes) }
+func (s *Sidecar) spool() int {
+	return admission.BodyBufferBytes(s.room.BufferedBytes(), s.admissionSettings(0).MaxBufferedBytes)
+}
 
 // flowRoom returns how much may wait for a peer that is slow to take it; then the other end is left unread.
 func (s *Sidecar) flowRoom() int {
-	return admission.FlowRoom(len(s.flows.answers)+len(s.flows.lagging), s.admissionSettings(0).Bytes)
+	return admission.FlowBufferBytes(len(s.flows.answers)+len(s.flows.lagging), s.admissionSettings(0).MaxBufferedBytes)
 }
 
 // flows are what is looked at again and again while it flows: answers, and requests whose server lags.
@@ -106,7 +108,7 @@
 	if l.held = len(r.body.Buffered); r.uploading() && r.body.UnsentBytes() >= ChunkBytes {
 		l.pause(netio.ReportClose)
 	}
-	s.room.Hold(l.place, l.held+l.buf.Len())
+	s.room.SetBufferedBytes(l.place, l.held+l.buf.Len())
 }
 
 // spoilUpload ends a request whose body can't be read to its end.
@@ -247,7 +249,7 @@
 	switch {
 	case now > f.tookAt+lagS:
 		f.s.counters.Unread++
-		f.s.room.Wasted(f.client.place)
+		f.s.room.RecordWasted(f.client.place)
 		f.end(failed)
 	case now > f.heardAt+lagS, f.drips(now):
 		f.end(failed)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -59,7 +59,7 @@
 	fronts    []Frontend
 	prober    Frontend
 	clients   []*ClientConn
-	room      *admission.Room
+	room      *admission.ConnTable
 	flushing  bool // answers are looked after that clients have not taken
 	notices   notices
 	idle      map[uint32][]*backendConn
@@ -125,13 +125,13 @@
 		s.reserved += AdminDescriptors
 	}
 	s.quotas = s.newQuotas(on.Quotas)
-	s.room = admission.NewRoom(admission.Settings{})
-	s.room = admission.NewRoom(s.admissionSettings(0))
+	s.room = admission.NewConnTable(admission.Settings{})
+	s.room = admission.NewConnTable(s.admissionSettings(0))
 	var classes []admission.Class
 	for i, c := range cfg.Settings.Policy.Classes {
 		s.classes[c.Name] = i
 		s.counters.Classes = append(s.counters.Classes, classCounts{Class: c.Name})
-		classes = append(classes, admission.Class{Worth: c.PriorityWeight, AimS: c.LatencyTargetSeconds})
+		classes = append(classes, admission.Class{PriorityWeight: c.PriorityWeight, LatencyTargetSeconds: c.LatencyTargetSeconds})
 	}
 	s.arrivals.queue = admission.NewQueue[arrival](classes)
 	s.balancer = policy.New(cfg.Settings.Policy, cfg.Seed, s)
