--- a/internal/netio/virtual/dial.go
+++ b/internal/netio/virtual/dial.go
@@ -4,169 +4,169 @@
 
 // dial is a connection on its way up.
 type dial struct {
-	p       *Process
-	to      netip.AddrPort
-	target  *Machine // nil: there is none
-	until   float64
-	context any
-	done    func(error)
-	conn    *Conn // this end
-	waitS   float64
-	over    bool
-	place   int // among the process's dials
+	process           *Process
+	address           netip.AddrPort
+	target            *Machine // nil: there is none
+	deadline          float64
+	context           any
+	done              func(error)
+	conn              *Conn // this end
+	synTimeoutSeconds float64
+	finished          bool
+	index             int // among the process's dials
 }
 
 // Dial opens a connection. See netio.EventLoop.
 func (p *Process) Dial(address string, until float64, context any, done func(error)) (cancel func()) {
-	d := &dial{p: p, until: p.clock.when(until), context: context, done: done, waitS: firstSynS}
-	p.w.trace(Event{At: p.real(), Kind: Dialed, Process: p.opt.Name, Peer: address})
+	d := &dial{process: p, deadline: p.clock.networkTime(until), context: context, done: done, synTimeoutSeconds: initialSynTimeoutSeconds}
+	p.network.trace(Event{At: p.networkTime(), Kind: Dialed, Process: p.options.Name, Peer: address})
 	var err error
-	if d.target, d.to, err = p.w.parse(address); err == nil && !p.take() {
-		err = errFiles
+	if d.target, d.address, err = p.network.parseAddress(address); err == nil && !p.acquireDescriptor() {
+		err = errTooManyFiles
 	}
 	if err != nil {
-		d.over = true
-		p.Post(func() { d.tell(err) })
+		d.finished = true
+		p.Post(func() { d.reportResult(err) })
 		return func() {}
 	}
-	d.place = len(p.dials)
+	d.index = len(p.dials)
 	p.dials = append(p.dials, d)
-	p.w.conns++
-	d.conn = &Conn{w: p.w, p: p, machine: p.machine, id: p.w.conns, dialed: true, context: context, remote: d.to,
-		local: netip.AddrPortFrom(p.machine.ip, p.machine.nextPort()), window: p.opt.ReceiveBuffer}
+	p.network.connCount++
+	d.conn = &Conn{network: p.network, process: p, machine: p.machine, id: p.network.connCount, dialed: true, context: context, remote: d.address,
+		local: netip.AddrPortFrom(p.machine.ip, p.machine.nextPort()), receiveWindow: p.options.ReceiveBuffer}
 	d.sendSyn()
-	p.w.schedule(d.until, event{kind: doGiveUp, dial: d})
+	p.network.schedule(d.deadline, scheduledEvent{kind: dialTimeoutEvent, dial: d})
 	return d.cancel
 }
 
 // sendSyn asks for the connection, and again after a while.
 func (d *dial) sendSyn() {
-	if d.over {
+	if d.finished {
 		return
 	}
-	w := d.p.w
+	w := d.process.network
 	if d.target == nil {
-		d.target = w.byIP[d.to.Addr().String()] // it may have come up since
+		d.target = w.byIP[d.address.Addr().String()] // it may have come up since
 	}
 	if d.target != nil {
-		w.schedule(w.travel(d.p.machine, d.target, w.now+d.p.spent), event{kind: doSyn, dial: d})
+		w.schedule(w.arrivalTime(d.process.machine, d.target, w.now+d.process.turnSeconds), scheduledEvent{kind: synEvent, dial: d})
 	}
-	if again := w.now + d.waitS; again < d.until {
-		w.schedule(again, event{kind: doSynAgain, dial: d})
-		d.waitS *= 2
+	if again := w.now + d.synTimeoutSeconds; again < d.deadline {
+		w.schedule(again, scheduledEvent{kind: synRetryEvent, dial: d})
+		d.synTimeoutSeconds *= 2
 	}
 }
 
 // synArrives takes the question at the other machine.
-func (d *dial) synArrives() {
-	w, m, c := d.p.w, d.target, d.conn
-	if !w.passes(d.p.machine, m) || d.p.machine.down {
+func (d *dial) receiveSyn() {
+	w, m, c := d.process.network, d.target, d.conn
+	if !w.delivers(d.process.machine, m) || d.process.machine.down {
 		return
 	}
 	if c.peer != nil { // the answer was lost, or is under way
-		if c.peer.state != dead && c.state == embryonic {
-			w.schedule(w.travel(m, d.p.machine, 0), event{kind: doSynAck, dial: d, conn: c.peer})
+		if c.peer.state != discarded && c.state == handshaking {
+			w.schedule(w.arrivalTime(m, d.process.machine, 0), scheduledEvent{kind: synAckEvent, dial: d, conn: c.peer})
 		}
 		return
 	}
-	l := m.listeners[d.to.Port()]
+	l := m.listeners[d.address.Port()]
 	if l == nil {
-		w.schedule(w.travel(m, d.p.machine, 0), event{kind: doRefuse, dial: d})
+		w.schedule(w.arrivalTime(m, d.process.machine, 0), scheduledEvent{kind: refusalEvent, dial: d})
 		return
 	}
 	if len(l.queue) >= l.backlog {
 		return
 	}
-	s := &Conn{w: w, p: l.owner, machine: m, peer: c, id: c.id, local: d.to, remote: c.local, listen: l,
-		window: l.owner.opt.ReceiveBuffer, lastAt: w.now}
+	s := &Conn{network: w, process: l.owner, machine: m, peer: c, id: c.id, local: d.address, remote: c.local, listener: l,
+		receiveWindow: l.owner.options.ReceiveBuffer, lastArrivalAt: w.now}
 	c.peer = s
-	w.schedule(w.travel(m, d.p.machine, 0)+m.late(), event{kind: doSynAck, dial: d, conn: s})
+	w.schedule(w.arrivalTime(m, d.process.machine, 0)+m.handshakeDelay(), scheduledEvent{kind: synAckEvent, dial: d, conn: s})
 }
 
 // synAckArrives takes the answer: the connection is up.
-func (d *dial) synAckArrives(s *Conn) {
+func (d *dial) receiveSynAck(s *Conn) {
 	c := d.conn
-	if !d.p.w.passes(s.machine, c.machine) || c.state != embryonic && c.state != dead {
+	if !d.process.network.delivers(s.machine, c.machine) || c.state != handshaking && c.state != discarded {
 		return
 	}
-	if d.over || c.state == dead {
+	if d.finished || c.state == discarded {
 		c.sendReset()
-		c.state = dead
+		c.state = discarded
 		return
 	}
-	d.finish()
-	c.state, c.ackDue, c.lastAt = up, true, c.p.w.now
+	d.remove()
+	c.state, c.handshakeAckInFlight, c.lastArrivalAt = established, true, c.process.network.now
 	c.sendSegment(0, false)
-	p := d.p
-	p.hold(c)
+	p := d.process
+	p.addConn(c)
 	// The loop takes it up as a post: what has come on it until then waits behind.
 	p.posts = append(p.posts, func() {
-		if c.fd {
-			c.open(d.tell)
+		if c.hasDescriptor {
+			c.reportOpen(d.reportResult)
 		}
 	})
-	p.wake()
+	p.scheduleTurn()
 }
 
 // establish ends the handshake at the end that was dialed.
 func (c *Conn) establish() {
-	c.state = up
-	l := c.listen
+	c.state = established
+	l := c.listener
 	if l == nil {
 		return
 	}
 	if l.closed {
 		c.sendReset()
-		c.state = dead
+		c.state = discarded
 		return
 	}
 	l.queue = append(l.queue, c)
-	if !l.starved {
-		l.owner.ready = append(l.owner.ready, item{listen: l})
-		l.owner.wake()
+	if !l.descriptorWanted {
+		l.owner.ready = append(l.owner.ready, readyItem{listener: l})
+		l.owner.scheduleTurn()
 	}
 }
 
 // refusalArrives takes the word that nobody listens there.
-func (d *dial) refusalArrives() {
-	if !d.over && d.p.w.passes(d.target, d.p.machine) {
+func (d *dial) receiveRefusal() {
+	if !d.finished && d.process.network.delivers(d.target, d.process.machine) {
 		d.fail(errRefused)
 	}
 }
 
 // fail ends the dial without a connection. The host is told in the loop's next turn.
 func (d *dial) fail(err error) {
-	if d.over {
+	if d.finished {
 		return
 	}
-	d.finish()
-	d.conn.state = dead
-	d.p.release()
-	d.p.Post(func() { d.tell(err) })
+	d.remove()
+	d.conn.state = discarded
+	d.process.releaseDescriptor()
+	d.process.Post(func() { d.reportResult(err) })
 }
 
-func (d *dial) cancel() { d.fail(errGivenUp) }
+func (d *dial) cancel() { d.fail(errDialCancelled) }
 
 // abort ends the dial of a process that ends.
 func (d *dial) abort() {
-	d.finish()
-	d.conn.state = dead
+	d.remove()
+	d.conn.state = discarded
 }
 
 // finish takes the dial from those under way.
-func (d *dial) finish() {
-	p := d.p
-	d.over = true
+func (d *dial) remove() {
+	p := d.process
+	d.finished = true
 	last := len(p.dials) - 1
-	p.dials[d.place] = p.dials[last]
-	p.dials[d.place].place = d.place
+	p.dials[d.index] = p.dials[last]
+	p.dials[d.index].index = d.index
 	p.dials[last] = nil
 	p.dials = p.dials[:last]
 }
 
-func (d *dial) tell(err error) {
+func (d *dial) reportResult(err error) {
 	if err != nil {
-		d.p.w.trace(Event{At: d.p.real(), Kind: DialFailed, Process: d.p.opt.Name, Peer: d.to.String(), Err: err})
+		d.process.network.trace(Event{At: d.process.networkTime(), Kind: DialFailed, Process: d.process.options.Name, Peer: d.address.String(), Err: err})
 	}
 	d.done(err)
 }
--- a/internal/netio/virtual/machine.go
+++ b/internal/netio/virtual/machine.go
@@ -19,88 +19,90 @@
 
 // Machine has an address, processes and sockets.
 type Machine struct {
-	w         *Network
-	ip        netip.Addr
-	text      string
-	number    int
-	down      bool
-	listeners map[uint16]*listener // looked up, never walked
-	processes []*Process
-	port      uint16  // that was given to a dial last
-	lateShare float64 // of the connections that come up late
-	lateS     float64 // by so much at most
+	network                  *Network
+	ip                       netip.Addr
+	ipText                   string
+	number                   int
+	down                     bool
+	listeners                map[uint16]*listener // looked up, never walked
+	processes                []*Process
+	lastDialPort             uint16  // that was given to a dial last
+	delayedShare             float64 // of the connections that come up late
+	maxHandshakeDelaySeconds float64 // by so much at most
 }
 
 // Machine returns the machine of an address, a new one where there is none.
-func (w *Network) Machine(ip string) *Machine {
-	if m := w.byIP[ip]; m != nil {
+func (n *Network) Machine(ip string) *Machine {
+	if m := n.byIP[ip]; m != nil {
 		return m
 	}
-	m := &Machine{w: w, ip: netip.MustParseAddr(ip), text: ip, number: len(w.machines), listeners: map[uint16]*listener{}, port: 32767}
-	w.machines, w.byIP[ip] = append(w.machines, m), m
-	for i := range w.paths {
-		w.paths[i] = append(w.paths[i], w.Path)
+	m := &Machine{network: n, ip: netip.MustParseAddr(ip), ipText: ip, number: len(n.machines), listeners: map[uint16]*listener{}, lastDialPort: 32767}
+	n.machines, n.byIP[ip] = append(n.machines, m), m
+	for i := range n.paths {
+		n.paths[i] = append(n.paths[i], n.Path)
 	}
-	row := make([]Path, len(w.machines))
+	row := make([]Path, len(n.machines))
 	for i := range row {
-		row[i] = w.Path
+		row[i] = n.Path
 	}
-	row[m.number] = w.Loopback
-	w.paths = append(w.paths, row)
+	row[m.number] = n.Loopback
+	n.paths = append(n.paths, row)
 	return m
 }
 
 // IP returns the machine's address.
-func (m *Machine) IP() string { return m.text }
+func (m *Machine) IP() string { return m.ipText }
 
 // Down tells whether the machine has vanished.
 func (m *Machine) IsDown() bool { return m.down }
 
 // LateConnects has a share of the connections that are dialed to the machine come up late, by up to so many seconds; a share of 0 ends
 // that.
-func (m *Machine) SetHandshakeDelay(share, mostS float64) { m.lateShare, m.lateS = share, mostS }
+func (m *Machine) SetHandshakeDelay(share, mostS float64) {
+	m.delayedShare, m.maxHandshakeDelaySeconds = share, mostS
+}
 
 // late returns by how much a connection that is dialed now comes up late.
-func (m *Machine) late() float64 {
-	if m.lateShare == 0 || m.w.rand.Float64() >= m.lateShare {
+func (m *Machine) handshakeDelay() float64 {
+	if m.delayedShare == 0 || m.network.rand.Float64() >= m.delayedShare {
 		return 0
 	}
-	return m.lateS * m.w.rand.Float64()
+	return m.maxHandshakeDelaySeconds * m.network.rand.Float64()
 }
 
 // SetPath says how packets travel from one machine to another. The way back is another path.
-func (w *Network) SetPath(from, to *Machine, p Path) { w.paths[from.number][to.number] = p }
+func (n *Network) SetPath(from, to *Machine, p Path) { n.paths[from.number][to.number] = p }
 
 // PathOf returns how packets travel from one machine to another.
-func (w *Network) PathOf(from, to *Machine) Path { return w.paths[from.number][to.number] }
+func (n *Network) PathOf(from, to *Machine) Path { return n.paths[from.number][to.number] }
 
 // Cut loses all packets from one machine to another from now on, or no longer. What TCP has not got across by then
 // it sends again, with longer and longer waits.
-func (w *Network) SetPartitioned(from, to *Machine, cut bool) {
-	p := &w.paths[from.number][to.number]
+func (n *Network) SetPartitioned(from, to *Machine, cut bool) {
+	p := &n.paths[from.number][to.number]
 	if p.LossProbability = 0; cut {
 		p.LossProbability = 1
 	}
 }
 
 // Pace has each connection from one machine to another take so many bytes a second; 0: as many as are sent.
-func (w *Network) SetRate(from, to *Machine, perS float64) {
-	w.paths[from.number][to.number].BytesPerSecond = perS
+func (n *Network) SetRate(from, to *Machine, perS float64) {
+	n.paths[from.number][to.number].BytesPerSecond = perS
 }
 
 // travel returns when a packet that leaves now, or at a later time, arrives.
-func (w *Network) travel(from, to *Machine, at float64) float64 {
-	p := &w.paths[from.number][to.number]
-	return max(at, w.now) + p.LatencySeconds + p.JitterSeconds*w.rand.Float64()
+func (n *Network) arrivalTime(from, to *Machine, at float64) float64 {
+	p := &n.paths[from.number][to.number]
+	return max(at, n.now) + p.LatencySeconds + p.JitterSeconds*n.rand.Float64()
 }
 
 // passes tells whether a packet that would arrive now does.
-func (w *Network) passes(from, to *Machine) bool {
+func (n *Network) delivers(from, to *Machine) bool {
 	if to.down {
 		return false
 	}
-	loss := w.paths[from.number][to.number].LossProbability
-	return loss == 0 || loss < 1 && w.rand.Float64() >= loss
+	loss := n.paths[from.number][to.number].LossProbability
+	return loss == 0 || loss < 1 && n.rand.Float64() >= loss
 }
 
 // Vanish takes the machine away without a word, as when its power fails: its processes are gone, and who is connected
@@ -108,66 +110,66 @@
 func (m *Machine) PowerOff() {
 	m.down = true
 	for _, p := range m.processes {
-		p.die(false)
+		p.terminate(false)
 	}
 	m.processes = nil
-	m.w.trace(Event{Kind: StateChanged, Process: m.text, Peer: "vanished"})
+	m.network.trace(Event{Kind: StateChanged, Process: m.ipText, Peer: "vanished"})
 }
 
 // Return brings a machine back that has vanished, with no process. What is still sent to its former connections is
 // answered by a reset.
 func (m *Machine) PowerOn() {
 	m.down = false
-	m.w.trace(Event{Kind: StateChanged, Process: m.text, Peer: "returned"})
+	m.network.trace(Event{Kind: StateChanged, Process: m.ipText, Peer: "returned"})
 }
 
 // Process returns a process that has not begun.
 func (m *Machine) Process(o ProcessOptions) *Process {
-	o.fill()
-	m.w.processes++
-	return &Process{w: m.w, machine: m, opt: o, number: m.w.processes}
+	o.setDefaults()
+	m.network.processCount++
+	return &Process{network: m.network, machine: m, options: o, number: m.network.processCount}
 }
 
 // listener is a listening socket.
 type listener struct {
-	owner   *Process
-	backlog int
-	queue   []*Conn // connections that are up and not accepted
-	starved bool    // the last accept found no descriptor
-	closed  bool
-	port    uint16
-	late    bool // it was opened by Listen
+	owner            *Process
+	backlog          int
+	queue            []*Conn // connections that are up and not accepted
+	descriptorWanted bool    // the last accept found no descriptor
+	closed           bool
+	port             uint16
+	addedLater       bool // it was opened by Listen
 }
 
 // nextPort returns a port for a dial.
 func (m *Machine) nextPort() uint16 {
 	for {
-		m.port++
-		if m.port < 32768 {
-			m.port = 32768
+		m.lastDialPort++
+		if m.lastDialPort < 32768 {
+			m.lastDialPort = 32768
 		}
-		if m.listeners[m.port] == nil {
-			return m.port
+		if m.listeners[m.lastDialPort] == nil {
+			return m.lastDialPort
 		}
 	}
 }
 
 // parse reads an address and port, which may be those of no machine.
-func (w *Network) parse(address string) (*Machine, netip.AddrPort, error) {
+func (n *Network) parseAddress(address string) (*Machine, netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, a, fmt.Errorf("dial %s: %w", address, err)
 	}
-	return w.byIP[a.Addr().String()], a, nil
+	return n.byIP[a.Addr().String()], a, nil
 }
 
 func tcpAddr(a netip.AddrPort) net.Addr { return net.TCPAddrFromAddrPort(a) }
 
-func (w *Network) trace(e Event) {
-	if w.Trace != nil {
+func (n *Network) trace(e Event) {
+	if n.Trace != nil {
 		if e.At == 0 {
-			e.At = w.now
+			e.At = n.now
 		}
-		w.Trace(e)
+		n.Trace(e)
 	}
 }
--- a/internal/netio/virtual/virtual_test.go
+++ b/internal/netio/virtual/virtual_test.go
@@ -123,7 +123,7 @@
 			side := rapid.IntRange(0, 1).Draw(t, "side")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				ends[side].p.Stall(w.Now() + rapid.Float64Range(0, 0.1).Draw(t, "stall"))
+				ends[side].process.Stall(w.Now() + rapid.Float64Range(0, 0.1).Draw(t, "stall"))
 			case 1:
 				w.SetPartitioned(machines[side], machines[1-side], rapid.Bool().Draw(t, "cut"))
 			default:
@@ -141,16 +141,16 @@
 		assert.Equal(t, sent[0].Bytes(), b.got[ends[0].id].Bytes())
 		assert.Equal(t, sent[1].Bytes(), a.got[ends[0].id].Bytes())
 		assert.Zero(t, ends[0].OutboundBuffered()+ends[1].OutboundBuffered())
-		last := rapid.SliceOfN(rapid.Byte(), 1, ends[0].p.opt.SendBuffer).Draw(t, "last")
+		last := rapid.SliceOfN(rapid.Byte(), 1, ends[0].process.options.SendBuffer).Draw(t, "last")
 		_, err := ends[0].Write(last)
 		require.NoError(t, err)
-		ends[0].p.Close(ends[0]) // behind what the socket has taken
+		ends[0].process.Close(ends[0]) // behind what the socket has taken
 		w.RunUntil(w.Now() + 40)
 		assert.Equal(t, append(sent[0].Bytes(), last...), b.got[ends[0].id].Bytes())
 		assert.Equal(t, map[uint64]error{ends[0].id: nil}, a.ended)
 		assert.ErrorIs(t, b.ended[ends[0].id], io.EOF)
-		assert.Zero(t, a.net.used)
-		assert.Equal(t, 1, b.net.used)
+		assert.Zero(t, a.net.descriptors)
+		assert.Equal(t, 1, b.net.descriptors)
 	})
 }
 
@@ -268,9 +268,9 @@
 			b.net.Kill()
 			begin(t, w, "10.0.0.2", ProcessOptions{Listen: []string{far}})
 		}, nil, 0.001},
-		"out of descriptors": {func() { a.net.opt.MaxDescriptors = 1 }, syscall.EMFILE, 0},
+		"out of descriptors": {func() { a.net.options.MaxDescriptors = 1 }, syscall.EMFILE, 0},
 		"backlog full": {func() {
-			b.net.opt.MaxDescriptors = 2
+			b.net.options.MaxDescriptors = 2
 			b.net.listeners[0].backlog = 3
 			for range 4 {
 				a.net.Dial(far, w.Now()+20, nil, func(error) {})
@@ -303,9 +303,9 @@
 	cancel()
 	assert.Empty(t, ends)
 	w.RunUntil(w.Now() + 5)
-	assert.Equal(t, []error{errGivenUp}, ends)
+	assert.Equal(t, []error{errDialCancelled}, ends)
 	assert.Len(t, b.conns, 1)
-	assert.Equal(t, 1, a.net.used)
+	assert.Equal(t, 1, a.net.descriptors)
 }
 
 // A peer that does not read fills its window, then the socket, then what the loop keeps; it goes on where it stopped.
@@ -400,7 +400,7 @@
 	a.net.Dial(far, w.Now()+1, nil, func(error) {})
 	w.RunUntil(w.Now() + 1)
 	b.calls, b.onData = nil, nil
-	b.net.opt.CallSeconds = 0.01
+	b.net.options.CallSeconds = 0.01
 	b.net.Post(func() {
 		b.calls = append(b.calls, "post")
 		b.net.Yield(func() { b.calls = append(b.calls, "yield") })
@@ -408,7 +408,7 @@
 	_, _ = a.conns[1].Write([]byte("came meanwhile"))
 	w.RunUntil(w.Now() + 1)
 	assert.Equal(t, []string{"post", "traffic", "yield"}, b.calls)
-	b.net.opt.CallSeconds = 0
+	b.net.options.CallSeconds = 0
 	// The latest alarm counts, and it rings once.
 	b.calls = nil
 	start := w.Now()
--- a/internal/netio/virtual/world.go
+++ b/internal/netio/virtual/world.go
@@ -25,17 +25,17 @@
 	// Trace, where it is set, is told of all that happens.
 	Trace func(Event)
 
-	now       float64
-	seq       uint64
-	queue     []slot
-	events    []event
-	free      []int32
-	rand      *rand.Rand
-	digest    *xxhash.Digest
-	mixed     [40]byte
-	steps     uint64
-	conns     uint64
-	processes int
+	now          float64
+	seq          uint64
+	queue        []queueEntry
+	events       []scheduledEvent
+	free         []int32
+	rand         *rand.Rand
+	digest       *xxhash.Digest
+	hashBuffer   [40]byte
+	steps        uint64
+	connCount    uint64
+	processCount int
 
 	machines []*Machine
 	byIP     map[string]*Machine // looked up, never walked
@@ -53,144 +53,146 @@
 }
 
 // Now returns the time in seconds of Unix time.
-func (w *Network) Now() float64 { return w.now }
+func (n *Network) Now() float64 { return n.now }
 
 // Steps returns how many events have happened.
-func (w *Network) Steps() uint64 { return w.steps }
+func (n *Network) Steps() uint64 { return n.steps }
 
 // Hash returns a hash of all calls that programs have had, with their times and bytes: two histories that differ
 // anywhere differ in it.
-func (w *Network) Hash() uint64 { return w.digest.Sum64() }
+func (n *Network) Hash() uint64 { return n.digest.Sum64() }
 
 // At has f called at a time. It is for whoever drives the world; programs have their own alarms.
-func (w *Network) Schedule(at float64, f func()) { w.schedule(at, event{kind: doCall, f: f}) }
+func (n *Network) Schedule(at float64, f func()) {
+	n.schedule(at, scheduledEvent{kind: callEvent, call: f})
+}
 
 // Step has the next event happen; false: there is none.
-func (w *Network) Step() bool {
-	if len(w.queue) == 0 {
+func (n *Network) Step() bool {
+	if len(n.queue) == 0 {
 		return false
 	}
-	first := w.pop()
-	w.now = first.at
-	e := w.events[first.event]
-	w.events[first.event] = event{}
-	w.free = append(w.free, first.event)
-	w.steps++
-	w.handle(&e)
+	first := n.pop()
+	n.now = first.at
+	e := n.events[first.event]
+	n.events[first.event] = scheduledEvent{}
+	n.free = append(n.free, first.event)
+	n.steps++
+	n.dispatch(&e)
 	return true
 }
 
 // Until has all events happen up to a time, which is then the present.
-func (w *Network) RunUntil(t float64) {
-	for len(w.queue) > 0 && w.queue[0].at <= t {
-		w.Step()
+func (n *Network) RunUntil(t float64) {
+	for len(n.queue) > 0 && n.queue[0].at <= t {
+		n.Step()
 	}
-	w.now = max(w.now, t)
+	n.now = max(n.now, t)
 }
 
-type action uint8
+type eventKind uint8
 
 const (
-	doCall action = iota
-	doTurn
-	doAlarm
-	doSegment
-	doReset
-	doResend
-	doPush
-	doRead
-	doPace
-	doSyn
-	doSynAck
-	doRefuse
-	doSynAgain
-	doGiveUp
+	callEvent eventKind = iota
+	turnEvent
+	alarmEvent
+	segmentEvent
+	resetEvent
+	retransmitEvent
+	windowUpdateEvent
+	readEvent
+	rateEvent
+	synEvent
+	synAckEvent
+	refusalEvent
+	synRetryEvent
+	dialTimeoutEvent
 )
 
 // event is what happens at a time. Its fields are those of its action.
-type event struct {
-	kind  action
-	fin   bool
-	n     int32
-	epoch uint32
-	conn  *Conn
-	proc  *Process
-	dial  *dial
-	f     func()
+type scheduledEvent struct {
+	kind    eventKind
+	fin     bool
+	n       int32
+	epoch   uint32
+	conn    *Conn
+	process *Process
+	dial    *dial
+	call    func()
 }
 
-func (w *Network) handle(e *event) {
+func (n *Network) dispatch(e *scheduledEvent) {
 	switch e.kind {
-	case doCall:
-		e.f()
-	case doTurn:
-		e.proc.turn()
-	case doAlarm:
-		e.proc.alarm()
-	case doSegment:
-		e.conn.arrive(int(e.n), e.fin, e.epoch)
-	case doReset:
-		e.conn.resetBy(e.n)
-	case doResend:
-		e.conn.resend()
-	case doPush:
-		e.conn.opensWindow()
-	case doRead:
-		e.conn.readAgain()
-	case doPace:
-		e.conn.goOn()
-	case doSyn:
-		e.dial.synArrives()
-	case doSynAck:
-		e.dial.synAckArrives(e.conn)
-	case doRefuse:
-		e.dial.refusalArrives()
-	case doSynAgain:
+	case callEvent:
+		e.call()
+	case turnEvent:
+		e.process.runTurn()
+	case alarmEvent:
+		e.process.handleAlarmEvent()
+	case segmentEvent:
+		e.conn.deliverSegment(int(e.n), e.fin, e.epoch)
+	case resetEvent:
+		e.conn.receiveReset(e.n)
+	case retransmitEvent:
+		e.conn.retransmit()
+	case windowUpdateEvent:
+		e.conn.receiveWindowUpdate()
+	case readEvent:
+		e.conn.resumeRead()
+	case rateEvent:
+		e.conn.resumeTransmit()
+	case synEvent:
+		e.dial.receiveSyn()
+	case synAckEvent:
+		e.dial.receiveSynAck(e.conn)
+	case refusalEvent:
+		e.dial.receiveRefusal()
+	case synRetryEvent:
 		e.dial.sendSyn()
-	case doGiveUp:
+	case dialTimeoutEvent:
 		e.dial.fail(errTimeout)
 	}
 }
 
 // slot is an event's place in the queue, a heap of four children: by time, and at one time in the order of asking.
-type slot struct {
+type queueEntry struct {
 	at    float64
 	seq   uint64
 	event int32
 }
 
-func (a *slot) before(b *slot) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+func (a *queueEntry) before(b *queueEntry) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-func (w *Network) schedule(at float64, e event) {
-	if !(at > w.now) { // also what is no number
-		at = w.now
+func (n *Network) schedule(at float64, e scheduledEvent) {
+	if !(at > n.now) { // also what is no number
+		at = n.now
 	}
-	var place int32
-	if n := len(w.free); n > 0 {
-		place, w.free = w.free[n-1], w.free[:n-1]
-		w.events[place] = e
+	var index int32
+	if freeCount := len(n.free); freeCount > 0 {
+		index, n.free = n.free[freeCount-1], n.free[:freeCount-1]
+		n.events[index] = e
 	} else {
-		place, w.events = int32(len(w.events)), append(w.events, e)
+		index, n.events = int32(len(n.events)), append(n.events, e)
 	}
-	w.seq++
-	s := slot{at, w.seq, place}
-	i := len(w.queue)
-	w.queue = append(w.queue, s)
+	n.seq++
+	s := queueEntry{at, n.seq, index}
+	i := len(n.queue)
+	n.queue = append(n.queue, s)
 	for i > 0 {
-		up := (i - 1) / 4
-		if !s.before(&w.queue[up]) {
+		parent := (i - 1) / 4
+		if !s.before(&n.queue[parent]) {
 			break
 		}
-		w.queue[i], i = w.queue[up], up
+		n.queue[i], i = n.queue[parent], parent
 	}
-	w.queue[i] = s
+	n.queue[i] = s
 }
 
-func (w *Network) pop() slot {
-	q := w.queue
+func (n *Network) pop() queueEntry {
+	q := n.queue
 	first, last := q[0], q[len(q)-1]
 	q = q[:len(q)-1]
-	w.queue = q
+	n.queue = q
 	if len(q) == 0 {
 		return first
 	}
@@ -267,15 +269,15 @@
 }
 
 // mix adds a call to the hash of the history.
-func (w *Network) mix(at float64, kind EventKind, p *Process, conn uint64, data []byte) {
-	b := w.mixed[:]
+func (n *Network) hashCall(at float64, kind EventKind, p *Process, conn uint64, data []byte) {
+	b := n.hashBuffer[:]
 	binary.LittleEndian.PutUint64(b, bits(at))
 	b[8] = byte(kind)
 	binary.LittleEndian.PutUint32(b[12:], uint32(p.number))
 	binary.LittleEndian.PutUint64(b[16:], conn)
 	binary.LittleEndian.PutUint64(b[24:], uint64(len(data)))
-	_, _ = w.digest.Write(b)
+	_, _ = n.digest.Write(b)
 	if len(data) > 0 {
-		_, _ = w.digest.Write(data)
+		_, _ = n.digest.Write(data)
 	}
 }
