--- /dev/null
+++ b/internal/netio/virtual/listener.go
@@ -0,0 +1,105 @@
+package virtual
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+)
+
+// listener is a listening socket.
+type listener struct {
+	owner            *Process
+	backlog          int
+	queue            []*Conn // connections that are up and not accepted
+	descriptorWanted bool    // the last accept found no descriptor
+	closed           bool
+	port             uint16
+	addedLater       bool // it was opened by Listen
+}
+
+func (p *Process) listenAt(port uint16, addedLater bool) *listener {
+	l := &listener{owner: p, backlog: p.options.Backlog, port: port, addedLater: addedLater}
+	p.machine.listeners[port] = l
+	p.listeners = append(p.listeners, l)
+	return l
+}
+
+// Listen opens a further listener.
+func (p *Process) Listen(address string) (stop func(), err error) {
+	a, err := netip.ParseAddrPort(address)
+	switch {
+	case err != nil:
+		return nil, fmt.Errorf("listen %s: %w", address, err)
+	case a.Addr() != p.machine.ip:
+		return nil, fmt.Errorf("listen %s: not the address of machine %s", address, p.machine.ipText)
+	case p.machine.listeners[a.Port()] != nil:
+		return nil, fmt.Errorf("listen %s: %w", address, errAddressInUse)
+	case !p.acquireDescriptor():
+		return nil, fmt.Errorf("listen %s: %w", address, errTooManyFiles)
+	}
+	l := p.listenAt(a.Port(), true)
+	return func() {
+		if !l.closed {
+			p.descriptors--
+			p.closeListenersIf(true, func(o *listener) bool { return o == l })
+		}
+	}, nil
+}
+
+// accept takes one connection that a listener has.
+func (p *Process) accept(l *listener) {
+	if len(l.queue) == 0 || l.closed {
+		return
+	}
+	if !p.acquireDescriptor() {
+		// As with EMFILE: the connection stays where it is.
+		l.descriptorWanted = true
+		return
+	}
+	c := l.queue[0]
+	copy(l.queue, l.queue[1:])
+	l.queue[len(l.queue)-1] = nil
+	l.queue = l.queue[:len(l.queue)-1]
+	c.listener = nil
+	p.addConn(c)
+	c.reportOpen(nil)
+}
+
+// StopListening closes the listeners that the options name; what they have not accepted is reset.
+func (p *Process) StopListening(done func()) {
+	for _, l := range p.listeners {
+		if !l.addedLater {
+			p.descriptors--
+		}
+	}
+	p.closeListenersIf(true, func(l *listener) bool { return !l.addedLater })
+	done()
+}
+
+func (p *Process) closeListeners() {
+	p.descriptors -= len(p.listeners)
+	p.closeListenersIf(true, anyListener)
+}
+
+func anyListener(*listener) bool { return true }
+
+// closeListenersAs closes those that which picks.
+func (p *Process) closeListenersIf(sendResets bool, matches func(*listener) bool) {
+	p.listeners = slices.DeleteFunc(p.listeners, func(l *listener) bool {
+		if !matches(l) {
+			return false
+		}
+		l.closed = true
+		for _, c := range l.queue {
+			if sendResets {
+				c.sendReset()
+			}
+			c.state = discarded
+		}
+		l.queue = nil
+		if p.machine.listeners[l.port] == l {
+			delete(p.machine.listeners, l.port)
+		}
+		return true
+	})
+}
--- /dev/null
+++ b/internal/netio/virtual/queue.go
@@ -0,0 +1,127 @@
+package virtual
+
+type eventKind uint8
+
+const (
+	callEvent eventKind = iota
+	turnEvent
+	alarmEvent
+	segmentEvent
+	resetEvent
+	retransmitEvent
+	windowUpdateEvent
+	readEvent
+	rateEvent
+	synEvent
+	synAckEvent
+	refusalEvent
+	synRetryEvent
+	dialTimeoutEvent
+)
+
+// event is what happens at a time. Its fields are those of its action.
+type scheduledEvent struct {
+	kind    eventKind
+	fin     bool
+	n       int32
+	epoch   uint32
+	conn    *Conn
+	process *Process
+	dial    *dial
+	call    func()
+}
+
+func (n *Network) dispatch(e *scheduledEvent) {
+	switch e.kind {
+	case callEvent:
+		e.call()
+	case turnEvent:
+		e.process.runTurn()
+	case alarmEvent:
+		e.process.handleAlarmEvent()
+	case segmentEvent:
+		e.conn.deliverSegment(int(e.n), e.fin, e.epoch)
+	case resetEvent:
+		e.conn.receiveReset(e.n)
+	case retransmitEvent:
+		e.conn.retransmit()
+	case windowUpdateEvent:
+		e.conn.receiveWindowUpdate()
+	case readEvent:
+		e.conn.resumeRead()
+	case rateEvent:
+		e.conn.resumeTransmit()
+	case synEvent:
+		e.dial.receiveSyn()
+	case synAckEvent:
+		e.dial.receiveSynAck(e.conn)
+	case refusalEvent:
+		e.dial.receiveRefusal()
+	case synRetryEvent:
+		e.dial.sendSyn()
+	case dialTimeoutEvent:
+		e.dial.fail(errTimeout)
+	}
+}
+
+// slot is an event's place in the queue, a heap of four children: by time, and at one time in the order of asking.
+type queueEntry struct {
+	at    float64
+	seq   uint64
+	event int32
+}
+
+func (a *queueEntry) before(b *queueEntry) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+
+func (n *Network) schedule(at float64, e scheduledEvent) {
+	if !(at > n.now) { // also what is no number
+		at = n.now
+	}
+	var index int32
+	if freeCount := len(n.free); freeCount > 0 {
+		index, n.free = n.free[freeCount-1], n.free[:freeCount-1]
+		n.events[index] = e
+	} else {
+		index, n.events = int32(len(n.events)), append(n.events, e)
+	}
+	n.seq++
+	s := queueEntry{at, n.seq, index}
+	i := len(n.queue)
+	n.queue = append(n.queue, s)
+	for i > 0 {
+		parent := (i - 1) / 4
+		if !s.before(&n.queue[parent]) {
+			break
+		}
+		n.queue[i], i = n.queue[parent], parent
+	}
+	n.queue[i] = s
+}
+
+func (n *Network) pop() queueEntry {
+	q := n.queue
+	first, last := q[0], q[len(q)-1]
+	q = q[:len(q)-1]
+	n.queue = q
+	if len(q) == 0 {
+		return first
+	}
+	i := 0
+	for {
+		least := 4*i + 1
+		if least >= len(q) {
+			break
+		}
+		for c := least + 1; c < min(4*i+5, len(q)); c++ {
+			if q[c].before(&q[least]) {
+				least = c
+			}
+		}
+		if !q[least].before(&last) {
+			break
+		}
+		q[i], i = q[least], least
+	}
+	q[i] = last
+	return first
+}
