--- a/internal/netio/virtual/conn.go
+++ b/internal/netio/virtual/conn.go
@@ -5,88 +5,90 @@
 	"net/netip"
 )
 
+// connState is the state of one end of a connection.
 type connState uint8
 
 const (
-	handshaking connState = iota // a SYN has come, or gone
+	handshaking connState = iota // a SYN has been sent or received
 	established                  // the handshake is over
-	orphaned                     // the process has closed it; what it has written is still sent
-	discarded                    // nothing is known of it any more
+	orphaned                     // closed by its process; what it has written is still sent
+	discarded                    // the machine has no record of it; segments for it are answered with a reset
 )
 
-// Conn is one end of a connection: what the process sees of it, and the socket behind.
+// Conn is one end of a connection: the netio.Conn that the process uses, and the socket behind it.
 //
-// What its process has written and its peer has not confirmed is in out, from head on: first the bytes that have
-// arrived, then those under way, then those that wait in the socket, then those that the socket has not taken.
+// Bytes that the process has written and the peer has not acknowledged are in outbound from outboundStart on, in this order:
+// arrived bytes at the peer without an acknowledgement, inFlight bytes in segments under way, the rest of inSocket not sent
+// yet, and last those that the socket has not accepted.
 type Conn struct {
 	network       *Network
-	process       *Process // whose end it is
+	process       *Process // that this end belongs to
 	machine       *Machine
-	peer          *Conn
+	peer          *Conn // the other end; nil until the SYN has arrived there
 	id            uint64
 	dialed        bool
 	local         netip.AddrPort
 	remote        netip.AddrPort
-	remoteAddr    net.Addr // remote, once somebody has asked
+	remoteAddr    net.Addr // remote as a net.Addr, built at the first use
 	context       any
 	state         connState
-	listener      *listener // that has not accepted it yet
-	hasDescriptor bool      // the process holds it
-	index         int       // among the process's connections
-	opened        bool      // the host has been given it
-	isReady       bool      // for the next turn
+	listener      *listener // whose accept queue it is in; nil once accepted, and for a dialed connection
+	hasDescriptor bool      // the process has it open
+	index         int       // in Process.conns
+	opened        bool      // Handler.Open has been called
+	isReady       bool      // in Process.ready
 
 	outbound             []byte
 	outboundStart        int
 	arrived              int
 	inFlight             int
-	inSocket             int // arrived, under way or waiting in the socket
-	lastArrivalAt        float64
-	epoch                uint32 // of segments: what was lost on the way is not to arrive with those sent again
-	segmentLost          bool
-	retransmitSeconds    float64
+	inSocket             int     // accepted by the socket and not acknowledged: arrived, in flight or not sent yet
+	lastArrivalAt        float64 // of the last segment or reset sent: later ones arrive no earlier
+	epoch                uint32  // of the segments sent: those of an earlier epoch are lost and are ignored when they arrive
+	segmentLost          bool    // nothing is sent until the retransmission
+	retransmitSeconds    float64 // the last retransmission time-out
 	retransmitScheduled  bool
-	handshakeAckInFlight bool // the handshake's last packet is under way
-	writeClosed          bool // no more will be written
+	handshakeAckInFlight bool // the last packet of the handshake is under way
+	writeClosed          bool // the process writes no more: a FIN is due or sent
 	finSent              bool
 	finDelivered         bool // the peer has it
-	writable             bool // the socket has room again
+	writable             bool // the socket has space again and the process has not been notified
 
-	inbound         []byte
+	inbound         []byte // received, from inboundStart on not read yet
 	inboundStart    int
 	finReceived     bool
 	resetReceived   bool
 	receiveWindow   int
-	readRate        float64
-	nextReadAt      float64 // of a slow reader: when it reads on
-	readScheduled   bool    // an event for that waits
-	paused          bool    // the process does not read on
-	reportsClose    bool    // and is told of the peer's end all the same
-	windowUpdateDue bool    // the peer has more than this end's window takes
-	blackholed      bool    // nothing passes any more
-	nextSendAt      float64 // when the path takes more
-	sendScheduled   bool    // an event for that waits
-
-	bytesWritten     uint64      // bytes that the process has written so far
-	bytesRead        uint64      // that it has been given
-	writeMarks       []writeMark // of what was written and the peer's process has not been given yet
-	peerWroteAt      float64
-	closedAt         float64
-	bytesReadAtClose uint64 // how much it had been given when it ended its direction
-
-	receivedAt float64 // when bytes last came into the socket
+	readRate        float64 // bytes a second; 0: the process's rate; below 0: nothing is read
+	nextReadAt      float64 // with a read rate: not before this time
+	readScheduled   bool    // a readEvent is in the queue
+	paused          bool    // by Process.PauseReading
+	reportsClose    bool    // paused with netio.ReportClose
+	windowUpdateDue bool    // the peer waits for space in this end's receive window
+	blackholed      bool    // all packets of the connection are lost
+	nextSendAt      float64 // with a limited rate: not before this time
+	sendScheduled   bool    // a rateEvent is in the queue
+
+	bytesWritten     uint64      // by the process so far
+	bytesRead        uint64      // by the process so far
+	writeMarks       []writeMark // of the bytes that the peer's process has not read yet
+	peerWroteAt      float64     // when the last byte read was written
+	closedAt         float64     // when the process closed the connection or its direction of it; 0: it has not
+	bytesReadAtClose uint64      // bytesRead at closedAt
+
+	receivedAt float64 // when bytes last arrived in the socket
 }
 
-// ID returns the connection's number, which is that of both ends.
+// ID returns the connection's number, the same at both ends.
 func (c *Conn) ID() uint64 { return c.id }
 
-// Peer returns the other end; nil before it is there.
+// Peer returns the other end; nil until the SYN has arrived there.
 func (c *Conn) Peer() *Conn { return c.peer }
 
-// PeerWrote returns when the last byte that has been given to this end's process was written; 0: there was none.
+// PeerWrote returns when the peer wrote the last byte that this end's process has read; 0 before the first.
 func (c *Conn) PeerWrote() float64 { return c.peerWroteAt }
 
-// PeerEnded returns when the other side has ended the connection or its own direction of it; 0: it has not.
+// PeerEnded returns when the peer closed the connection or its direction of it; 0 if it has not.
 func (c *Conn) PeerEnded() float64 {
 	if c.peer == nil {
 		return 0
@@ -94,31 +96,34 @@
 	return c.peer.closedAt
 }
 
-// PeerRead tells whether the other side's process had been given all that this one has written when it ended the connection or its own
-// direction of it.
+// PeerRead reports whether the peer had read all that this end has written when it closed the connection or its direction of
+// it.
 func (c *Conn) PeerRead() bool {
 	return c.peer != nil && c.peer.closedAt > 0 && c.peer.bytesReadAtClose >= c.bytesWritten
 }
 
-// Process returns whose end it is.
+// Process returns the process that this end belongs to.
 func (c *Conn) Process() *Process { return c.process }
 
-// Dialed tells whether this end has dialed the other.
+// Dialed reports whether this end dialed the other.
 func (c *Conn) Dialed() bool { return c.dialed }
 
-// LocalAddr returns this end's address and port.
+// LocalAddr implements netio.Conn.
 func (c *Conn) LocalAddr() net.Addr { return tcpAddr(c.local) }
 
+// unreadBytes returns how many received bytes the process has not read.
 func (c *Conn) unreadBytes() int { return len(c.inbound) - c.inboundStart }
 
+// unacceptedBytes returns how many written bytes the socket has not accepted.
 func (c *Conn) unacceptedBytes() int { return len(c.outbound) - c.outboundStart - c.inSocket }
 
+// unsentBytes returns how many bytes in the socket have not been sent.
 func (c *Conn) unsentBytes() int { return c.inSocket - c.arrived - c.inFlight }
 
-// OutboundBuffered returns how many bytes the socket has not taken.
+// OutboundBuffered implements netio.Conn.
 func (c *Conn) OutboundBuffered() int { return c.unacceptedBytes() }
 
-// RemoteAddr returns the peer's address.
+// RemoteAddr implements netio.Conn.
 func (c *Conn) RemoteAddr() net.Addr {
 	if c.remoteAddr == nil {
 		c.remoteAddr = tcpAddr(c.remote)
@@ -126,12 +131,13 @@
 	return c.remoteAddr
 }
 
-// Context returns what the host has attached.
+// Context implements netio.Conn.
 func (c *Conn) Context() any { return c.context }
 
-// SetContext attaches something for the host.
+// SetContext implements netio.Conn.
 func (c *Conn) SetContext(context any) { c.context = context }
 
+// peerName returns the peer's name for the trace; it is empty, and costs nothing, without one.
 func (c *Conn) peerName() string {
 	if c.network.Trace == nil {
 		return ""
--- a/internal/netio/virtual/descriptors.go
+++ b/internal/netio/virtual/descriptors.go
@@ -1,12 +1,12 @@
 package virtual
 
-// Descriptors returns how many the process holds, and the most that it has held.
-func (p *Process) Descriptors() (now, most int) { return p.descriptors, p.peakDescriptors }
+// Descriptors returns how many descriptors the process has in use, and the most it has had.
+func (p *Process) Descriptors() (current, peak int) { return p.descriptors, p.peakDescriptors }
 
-// Denied returns how many times the process has found no descriptor.
+// DescriptorFailures returns how often no descriptor was free.
 func (p *Process) DescriptorFailures() int { return p.descriptorFailures }
 
-// take takes a descriptor; false: there is none.
+// acquireDescriptor takes one of the process's descriptors; false if none is free.
 func (p *Process) acquireDescriptor() bool {
 	if p.descriptors >= p.options.MaxDescriptors {
 		p.descriptorFailures++
@@ -18,7 +18,7 @@
 	return true
 }
 
-// release gives a descriptor back, for which a connection may wait.
+// releaseDescriptor returns a descriptor, and has a listener that waited for one accept again.
 func (p *Process) releaseDescriptor() {
 	p.descriptors--
 	for _, l := range p.listeners {
@@ -32,13 +32,13 @@
 	}
 }
 
-// hold notes a connection's descriptor, which has been taken.
+// addConn adds a connection whose descriptor has been acquired.
 func (p *Process) addConn(c *Conn) {
 	c.hasDescriptor, c.index = true, len(p.conns)
 	p.conns = append(p.conns, c)
 }
 
-// drop gives a connection's descriptor back.
+// removeConn removes a connection and releases its descriptor; it has no effect on one that is closed.
 func (p *Process) removeConn(c *Conn) {
 	if !c.hasDescriptor {
 		return
--- a/internal/netio/virtual/dial.go
+++ b/internal/netio/virtual/dial.go
@@ -2,21 +2,21 @@
 
 import "net/netip"
 
-// dial is a connection on its way up.
+// dial is an outgoing connection that isn't established yet.
 type dial struct {
 	process           *Process
-	address           netip.AddrPort
-	target            *Machine // nil: there is none
+	address           netip.AddrPort // that was dialed
+	target            *Machine       // with that address; nil: there is none
 	deadline          float64
 	context           any
 	done              func(error)
-	conn              *Conn // this end
-	synTimeoutSeconds float64
+	conn              *Conn   // the dialing end
+	synTimeoutSeconds float64 // until the next SYN
 	finished          bool
-	index             int // among the process's dials
+	index             int // in Process.dials
 }
 
-// Dial opens a connection. See netio.EventLoop.
+// Dial implements netio.EventLoop.
 func (p *Process) Dial(address string, until float64, context any, done func(error)) (cancel func()) {
 	d := &dial{process: p, deadline: p.clock.networkTime(until), context: context, done: done, synTimeoutSeconds: initialSynTimeoutSeconds}
 	p.network.trace(Event{At: p.networkTime(), Kind: Dialed, Process: p.options.Name, Peer: address})
@@ -35,58 +35,58 @@
 	d.conn = &Conn{network: p.network, process: p, machine: p.machine, id: p.network.connCount, dialed: true, context: context, remote: d.address,
 		local: netip.AddrPortFrom(p.machine.ip, p.machine.nextPort()), receiveWindow: p.options.ReceiveBuffer}
 	d.sendSyn()
-	p.network.schedule(d.deadline, scheduledEvent{kind: dialTimeoutEvent, dial: d})
+	p.network.enqueueEvent(d.deadline, scheduledEvent{kind: dialTimeoutEvent, dial: d})
 	return d.cancel
 }
 
-// sendSyn asks for the connection, and again after a while.
+// sendSyn sends a SYN and schedules the next, with exponential backoff.
 func (d *dial) sendSyn() {
 	if d.finished {
 		return
 	}
-	w := d.process.network
+	n := d.process.network
 	if d.target == nil {
-		d.target = w.byIP[d.address.Addr().String()] // it may have come up since
+		d.target = n.byIP[d.address.Addr().String()] // it may have been created since
 	}
 	if d.target != nil {
-		w.schedule(w.arrivalTime(d.process.machine, d.target, w.now+d.process.turnSeconds), scheduledEvent{kind: synEvent, dial: d})
+		n.enqueueEvent(n.arrivalTime(d.process.machine, d.target, n.now+d.process.turnSeconds), scheduledEvent{kind: synEvent, dial: d})
 	}
-	if again := w.now + d.synTimeoutSeconds; again < d.deadline {
-		w.schedule(again, scheduledEvent{kind: synRetryEvent, dial: d})
+	if again := n.now + d.synTimeoutSeconds; again < d.deadline {
+		n.enqueueEvent(again, scheduledEvent{kind: synRetryEvent, dial: d})
 		d.synTimeoutSeconds *= 2
 	}
 }
 
-// synArrives takes the question at the other machine.
+// receiveSyn handles a synEvent at the dialed machine. A SYN for a full accept queue is dropped, as on Linux.
 func (d *dial) receiveSyn() {
-	w, m, c := d.process.network, d.target, d.conn
-	if !w.delivers(d.process.machine, m) || d.process.machine.down {
+	n, machine, c := d.process.network, d.target, d.conn
+	if !n.delivers(d.process.machine, machine) || d.process.machine.down {
 		return
 	}
-	if c.peer != nil { // the answer was lost, or is under way
+	if c.peer != nil { // the SYN-ACK was lost, or is under way
 		if c.peer.state != discarded && c.state == handshaking {
-			w.schedule(w.arrivalTime(m, d.process.machine, 0), scheduledEvent{kind: synAckEvent, dial: d, conn: c.peer})
+			n.enqueueEvent(n.arrivalTime(machine, d.process.machine, 0), scheduledEvent{kind: synAckEvent, dial: d, conn: c.peer})
 		}
 		return
 	}
-	l := m.listeners[d.address.Port()]
+	l := machine.listeners[d.address.Port()]
 	if l == nil {
-		w.schedule(w.arrivalTime(m, d.process.machine, 0), scheduledEvent{kind: refusalEvent, dial: d})
+		n.enqueueEvent(n.arrivalTime(machine, d.process.machine, 0), scheduledEvent{kind: refusalEvent, dial: d})
 		return
 	}
 	if len(l.queue) >= l.backlog {
 		return
 	}
-	s := &Conn{network: w, process: l.owner, machine: m, peer: c, id: c.id, local: d.address, remote: c.local, listener: l,
-		receiveWindow: l.owner.options.ReceiveBuffer, lastArrivalAt: w.now}
-	c.peer = s
-	w.schedule(w.arrivalTime(m, d.process.machine, 0)+m.handshakeDelay(), scheduledEvent{kind: synAckEvent, dial: d, conn: s})
+	accepted := &Conn{network: n, process: l.owner, machine: machine, peer: c, id: c.id, local: d.address, remote: c.local, listener: l,
+		receiveWindow: l.owner.options.ReceiveBuffer, lastArrivalAt: n.now}
+	c.peer = accepted
+	n.enqueueEvent(n.arrivalTime(machine, d.process.machine, 0)+machine.handshakeDelay(), scheduledEvent{kind: synAckEvent, dial: d, conn: accepted})
 }
 
-// synAckArrives takes the answer: the connection is up.
-func (d *dial) receiveSynAck(s *Conn) {
+// receiveSynAck handles a synAckEvent at the dialing machine: the connection is established.
+func (d *dial) receiveSynAck(accepted *Conn) {
 	c := d.conn
-	if !d.process.network.delivers(s.machine, c.machine) || c.state != handshaking && c.state != discarded {
+	if !d.process.network.delivers(accepted.machine, c.machine) || c.state != handshaking && c.state != discarded {
 		return
 	}
 	if d.finished || c.state == discarded {
@@ -99,7 +99,7 @@
 	c.sendSegment(0, false)
 	p := d.process
 	p.addConn(c)
-	// The loop takes it up as a post: what has come on it until then waits behind.
+	// Open is called from a post: bytes that arrive before it are handled after it.
 	p.posts = append(p.posts, func() {
 		if c.hasDescriptor {
 			c.reportOpen(d.reportResult)
@@ -108,7 +108,7 @@
 	p.scheduleTurn()
 }
 
-// establish ends the handshake at the end that was dialed.
+// establish ends the handshake at the dialed end and puts the connection into the listener's accept queue.
 func (c *Conn) establish() {
 	c.state = established
 	l := c.listener
@@ -127,14 +127,14 @@
 	}
 }
 
-// refusalArrives takes the word that nobody listens there.
+// receiveRefusal handles a refusalEvent: no process listens at the address.
 func (d *dial) receiveRefusal() {
 	if !d.finished && d.process.network.delivers(d.target, d.process.machine) {
 		d.fail(errRefused)
 	}
 }
 
-// fail ends the dial without a connection. The host is told in the loop's next turn.
+// fail ends the dial without a connection. The handler is notified by a post.
 func (d *dial) fail(err error) {
 	if d.finished {
 		return
@@ -145,15 +145,16 @@
 	d.process.Post(func() { d.reportResult(err) })
 }
 
+// cancel gives the dial up.
 func (d *dial) cancel() { d.fail(errDialCancelled) }
 
-// abort ends the dial of a process that ends.
+// abort ends the dial of a process that exits, without notice.
 func (d *dial) abort() {
 	d.remove()
 	d.conn.state = discarded
 }
 
-// finish takes the dial from those under way.
+// remove takes the dial off the process's list.
 func (d *dial) remove() {
 	p := d.process
 	d.finished = true
@@ -164,6 +165,7 @@
 	p.dials = p.dials[:last]
 }
 
+// reportResult calls the function given to Dial.
 func (d *dial) reportResult(err error) {
 	if err != nil {
 		d.process.network.trace(Event{At: d.process.networkTime(), Kind: DialFailed, Process: d.process.options.Name, Peer: d.address.String(), Err: err})
--- a/internal/netio/virtual/errors.go
+++ b/internal/netio/virtual/errors.go
@@ -8,7 +8,8 @@
 	"syscall"
 )
 
-// What connections end with.
+// The errors of Handler.Closed, Write and dials. Those of the network are the system calls' own, so that a program can tell them apart by
+// errors.Is as with real sockets.
 var (
 	errReset         = os.NewSyscallError("read", syscall.ECONNRESET)
 	errBrokenPipe    = os.NewSyscallError("write", syscall.EPIPE)
@@ -19,5 +20,5 @@
 	errEOF           = fmt.Errorf("read: %w", io.EOF)
 )
 
-// errInUse is the error of Run where another process listens at an address.
+// errAddressInUse is returned by Run and Listen if another process listens at the address.
 var errAddressInUse = errors.New("address already in use")
--- a/internal/netio/virtual/listener.go
+++ b/internal/netio/virtual/listener.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// listener is a listening socket.
+// listener is a listening socket of a process.
 type listener struct {
 	owner            *Process
 	backlog          int
-	queue            []*Conn // connections that are up and not accepted
-	descriptorWanted bool    // the last accept found no descriptor
+	queue            []*Conn // the accept queue: established connections, not accepted yet
+	descriptorWanted bool    // the last accept found no free descriptor
 	closed           bool
 	port             uint16
-	addedLater       bool // it was opened by Listen
+	addedLater       bool // opened by Process.Listen
 }
 
+// listenAt opens a listener without a check of the port.
 func (p *Process) listenAt(port uint16, addedLater bool) *listener {
 	l := &listener{owner: p, backlog: p.options.Backlog, port: port, addedLater: addedLater}
 	p.machine.listeners[port] = l
@@ -24,7 +25,7 @@
 	return l
 }
 
-// Listen opens a further listener.
+// Listen implements netio.EventLoop.
 func (p *Process) Listen(address string) (stop func(), err error) {
 	a, err := netip.ParseAddrPort(address)
 	switch {
@@ -46,7 +47,7 @@
 	}, nil
 }
 
-// accept takes one connection that a listener has.
+// accept accepts one connection of a listener. Without a free descriptor (EMFILE) it stays in the accept queue.
 func (p *Process) accept(l *listener) {
 	if len(l.queue) == 0 || l.closed {
 		return
@@ -65,7 +66,7 @@
 	c.reportOpen(nil)
 }
 
-// StopListening closes the listeners that the options name; what they have not accepted is reset.
+// StopListening closes the listeners of ProcessOptions.Listen and resets the connections in their accept queues.
 func (p *Process) StopListening(done func()) {
 	for _, l := range p.listeners {
 		if !l.addedLater {
@@ -76,6 +77,7 @@
 	done()
 }
 
+// closeListeners closes all listeners and resets the connections in their accept queues.
 func (p *Process) closeListeners() {
 	p.descriptors -= len(p.listeners)
 	p.closeListenersIf(true, anyListener)
@@ -83,7 +85,8 @@
 
 func anyListener(*listener) bool { return true }
 
-// closeListenersAs closes those that which picks.
+// closeListenersIf closes the listeners that match. Connections in their accept queues are reset, with or without notice to the
+// peers.
 func (p *Process) closeListenersIf(sendResets bool, matches func(*listener) bool) {
 	p.listeners = slices.DeleteFunc(p.listeners, func(l *listener) bool {
 		if !matches(l) {
--- a/internal/netio/virtual/machine.go
+++ b/internal/netio/virtual/machine.go
@@ -6,21 +6,21 @@
 	"net/netip"
 )
 
-// Machine has an address, processes and sockets.
+// Machine is a host of the network: an address with processes and sockets.
 type Machine struct {
 	network                  *Network
 	ip                       netip.Addr
 	ipText                   string
 	number                   int
 	down                     bool
-	listeners                map[uint16]*listener // looked up, never walked
+	listeners                map[uint16]*listener // by port, for lookups; never iterated
 	processes                []*Process
-	lastDialPort             uint16  // that was given to a dial last
-	delayedShare             float64 // of the connections that come up late
-	maxHandshakeDelaySeconds float64 // by so much at most
+	lastDialPort             uint16  // the local port given to the last dial
+	delayedShare             float64 // of the handshakes that take longer
+	maxHandshakeDelaySeconds float64 // by at most so much
 }
 
-// Machine returns the machine of an address, a new one where there is none.
+// Machine returns the machine with an address; it is created if there is none.
 func (n *Network) Machine(ip string) *Machine {
 	if m := n.byIP[ip]; m != nil {
 		return m
@@ -42,16 +42,16 @@
 // IP returns the machine's address.
 func (m *Machine) IP() string { return m.ipText }
 
-// Down tells whether the machine has vanished.
+// IsDown reports whether the machine is powered off.
 func (m *Machine) IsDown() bool { return m.down }
 
-// LateConnects has a share of the connections that are dialed to the machine come up late, by up to so many seconds; a share of 0 ends
-// that.
-func (m *Machine) SetHandshakeDelay(share, mostS float64) {
-	m.delayedShare, m.maxHandshakeDelaySeconds = share, mostS
+// SetHandshakeDelay delays a share of the handshakes of connections dialed to the machine by up to maxSeconds; a share of 0
+// ends this.
+func (m *Machine) SetHandshakeDelay(share, maxSeconds float64) {
+	m.delayedShare, m.maxHandshakeDelaySeconds = share, maxSeconds
 }
 
-// late returns by how much a connection that is dialed now comes up late.
+// handshakeDelay returns the delay of one handshake. It draws from the seed only while a share is set.
 func (m *Machine) handshakeDelay() float64 {
 	if m.delayedShare == 0 || m.network.rand.Float64() >= m.delayedShare {
 		return 0
@@ -59,8 +59,8 @@
 	return m.maxHandshakeDelaySeconds * m.network.rand.Float64()
 }
 
-// Vanish takes the machine away without a word, as when its power fails: its processes are gone, and who is connected
-// to it is not told. Danger: this is no Kill; peers keep connections that are open on their side alone.
+// PowerOff stops the machine without notice to its peers, as a power failure does: its processes are gone, and connections to
+// it stay open at the other end. Danger: Process.Kill is different, it resets them.
 func (m *Machine) PowerOff() {
 	m.down = true
 	for _, p := range m.processes {
@@ -70,21 +70,21 @@
 	m.network.trace(Event{Kind: StateChanged, Process: m.ipText, Peer: "vanished"})
 }
 
-// Return brings a machine back that has vanished, with no process. What is still sent to its former connections is
-// answered by a reset.
+// PowerOn starts a machine again that was powered off, with no process. Segments for its former connections are answered with a
+// reset.
 func (m *Machine) PowerOn() {
 	m.down = false
 	m.network.trace(Event{Kind: StateChanged, Process: m.ipText, Peer: "returned"})
 }
 
-// Process returns a process that has not begun.
-func (m *Machine) Process(o ProcessOptions) *Process {
-	o.setDefaults()
+// Process returns a process that has not been started.
+func (m *Machine) Process(options ProcessOptions) *Process {
+	options.setDefaults()
 	m.network.processCount++
-	return &Process{network: m.network, machine: m, options: o, number: m.network.processCount}
+	return &Process{network: m.network, machine: m, options: options, number: m.network.processCount}
 }
 
-// nextPort returns a port for a dial.
+// nextPort returns an ephemeral port for a dial.
 func (m *Machine) nextPort() uint16 {
 	for {
 		m.lastDialPort++
@@ -97,7 +97,7 @@
 	}
 }
 
-// parse reads an address and port, which may be those of no machine.
+// parseAddress parses an address and port. The machine is nil if none has the address.
 func (n *Network) parseAddress(address string) (*Machine, netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/netio/virtual/network.go
+++ b/internal/netio/virtual/network.go
@@ -1,9 +1,9 @@
-// Package virtual is a netio.EventLoop whose clock and network are simulated: any number of processes on any number of
-// machines, in one goroutine, as a discrete-event world. A seed and the same calls give the same history, to the byte.
+// Package virtual implements netio.EventLoop on a simulated clock and network: a discrete-event simulation, in one goroutine, of any
+// number of processes on any number of machines. Equal seeds and calls give equal histories, to the byte.
 //
-// Its connections are as hostile as Linux's are on a bad day: bytes come cut at any place, sockets take less than is
-// written, a peer reads slowly or not at all, resets destroy what is under way, machines fall silent with their
-// connections open. Order is kept within one direction of one connection alone.
+// Connections show the faults of TCP on Linux: reads return any number of bytes, sockets accept less than is written, a peer reads slowly
+// or not at all, resets destroy what is in flight, machines disappear with their connections open. Order is guaranteed within one
+// direction of one connection only.
 package virtual
 
 import (
@@ -12,36 +12,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// World is a clock and a network. It belongs to one goroutine.
+// Network is a simulated clock and network, in one goroutine: its methods and those of its processes and connections are called
+// from there alone.
 type Network struct {
-	// Path is how packets travel between two machines of which SetPath has said nothing; Loopback, within one.
+	// Path is the default between two machines, Loopback that within one; SetPath changes one pair of machines. Machines created before
+	// a change of either keep the old one.
 	Path, Loopback Path
-	// CutShare is how many of the segments are cut once more, at a place drawn from the seed, from 0 to 1.
+	// SplitProbability is how likely a segment is split once more, at a random offset.
 	SplitProbability float64
-	// EveryByte has each byte travel alone.
+	// SplitEveryByte sends each byte in a segment of its own.
 	SplitEveryByte bool
-	// Trace, where it is set, is told of all that happens.
+	// Trace, if set, is called with every event.
 	Trace func(Event)
 
 	now          float64
-	seq          uint64
+	seq          uint64 // of the events scheduled: those of one time happen in this order
 	queue        []queueEntry
-	events       []scheduledEvent
-	free         []int32
+	events       []scheduledEvent // that queue refers to by index
+	free         []int32          // indices of events that are not in use
 	rand         *rand.Rand
-	digest       *xxhash.Digest
+	digest       *xxhash.Digest // of all calls of handlers
 	hashBuffer   [40]byte
 	steps        uint64
 	connCount    uint64
 	processCount int
 
 	machines []*Machine
-	byIP     map[string]*Machine // looked up, never walked
-	paths    [][]Path            // by the numbers of two machines
+	byIP     map[string]*Machine // for lookups; never iterated
+	paths    [][]Path            // by the numbers of the sending and the receiving machine
 }
 
-// New returns a world at a time in seconds of Unix time. Danger: programs take a start of 0 for "long ago"; the time
-// should be that of a real day.
+// New returns a network at a start in seconds of Unix time. Danger: programs treat a time of 0 as "long ago"; start should be a
+// present date.
 func New(seed uint64, start float64) *Network {
 	return &Network{
 		Path: Path{LatencySeconds: 0.0003, JitterSeconds: 0.0002}, Loopback: Path{LatencySeconds: 0.00002, JitterSeconds: 0.00001},
@@ -50,27 +52,26 @@
 	}
 }
 
-// Now returns the time in seconds of Unix time.
+// Now returns the network's time in seconds of Unix time.
 func (n *Network) Now() float64 { return n.now }
 
 // Steps returns how many events have happened.
 func (n *Network) Steps() uint64 { return n.steps }
 
-// Hash returns a hash of all calls that programs have had, with their times and bytes: two histories that differ
-// anywhere differ in it.
+// Hash returns a hash of all calls of handlers so far, with their times and bytes: equal hashes mean equal histories.
 func (n *Network) Hash() uint64 { return n.digest.Sum64() }
 
-// At has f called at a time. It is for whoever drives the world; programs have their own alarms.
+// Schedule has f called at a time. It is for the simulation's driver; programs use EventLoop.SetAlarm.
 func (n *Network) Schedule(at float64, f func()) {
-	n.schedule(at, scheduledEvent{kind: callEvent, call: f})
+	n.enqueueEvent(at, scheduledEvent{kind: callEvent, call: f})
 }
 
-// Step has the next event happen; false: there is none.
+// Step makes the next event happen; false if there is none.
 func (n *Network) Step() bool {
 	if len(n.queue) == 0 {
 		return false
 	}
-	first := n.pop()
+	first := n.dequeueEvent()
 	n.now = first.at
 	e := n.events[first.event]
 	n.events[first.event] = scheduledEvent{}
@@ -80,7 +81,7 @@
 	return true
 }
 
-// Until has all events happen up to a time, which is then the present.
+// RunUntil makes all events up to a time happen, and sets the clock to it.
 func (n *Network) RunUntil(t float64) {
 	for len(n.queue) > 0 && n.queue[0].at <= t {
 		n.Step()
--- a/internal/netio/virtual/options.go
+++ b/internal/netio/virtual/options.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// ProcessOptions is what a process is started with.
+// ProcessOptions are the settings of a process and its sockets.
 type ProcessOptions struct {
 	Name                string
-	Listen              []string // addresses and ports of its machine
-	MaxDescriptors      int      // the most it may hold; 0: as many as it likes
-	ReservedDescriptors int      // descriptors that are no connection, listener or dial
-	Backlog             int      // of each listener; 0: 128
+	Listen              []string // addresses and ports, which must be those of its machine
+	MaxDescriptors      int      // limit of open descriptors; 0: none
+	ReservedDescriptors int      // in use from the start for other things than connections, listeners and dials
+	Backlog             int      // length of each listener's accept queue; 0: 128
 	SendBuffer          int      // of each connection, in bytes; 0: 64 KiB
-	ReceiveBuffer       int      // likewise
-	MaxWakeDelaySeconds float64  // the loop turns up to so much after something has come
-	CallSeconds         float64  // how long each call of the host takes
-	Shuffle             bool     // what has come for one turn is handed over in any order
-	ReadRate            float64  // of each connection, in bytes a second; 0: as fast as they come; below 0: nothing is read
-	OnExit              func()   // called once the process has ended by itself
+	ReceiveBuffer       int      // of each connection, in bytes; 0: 64 KiB
+	MaxWakeDelaySeconds float64  // the event loop turns up to so much after something has arrived
+	CallSeconds         float64  // duration of each call of the handler
+	Shuffle             bool     // connections ready in one turn are handled in random order
+	ReadRate            float64  // of each connection, in bytes a second; 0: unlimited; below 0: nothing is read
+	OnExit              func()   // called once the process has exited by itself
 }
 
 func (o *ProcessOptions) setDefaults() {
--- a/internal/netio/virtual/path.go
+++ b/internal/netio/virtual/path.go
@@ -1,40 +1,39 @@
 package virtual
 
-// Path is how packets travel from one machine to another.
+// Path describes how packets travel from one machine to another.
 type Path struct {
 	LatencySeconds  float64
-	JitterSeconds   float64 // up to so much more, drawn for each packet; order within a connection is kept all the same
-	LossProbability float64 // how many are lost, from 0 to 1
-	BytesPerSecond  float64 // bytes a second of each connection; 0: as fast as they come
+	JitterSeconds   float64 // upper bound of the random delay added to each packet; a connection's packets stay in order
+	LossProbability float64 // from 0 to 1
+	BytesPerSecond  float64 // of each connection; 0: unlimited
 }
 
-// SetPath says how packets travel from one machine to another. The way back is another path.
+// SetPath sets how packets travel from one machine to another. The opposite direction has a path of its own.
 func (n *Network) SetPath(from, to *Machine, p Path) { n.paths[from.number][to.number] = p }
 
 // PathOf returns how packets travel from one machine to another.
 func (n *Network) PathOf(from, to *Machine) Path { return n.paths[from.number][to.number] }
 
-// Cut loses all packets from one machine to another from now on, or no longer. What TCP has not got across by then
-// it sends again, with longer and longer waits.
-func (n *Network) SetPartitioned(from, to *Machine, cut bool) {
+// SetPartitioned loses all packets from one machine to another, or none any longer. TCP retransmits with backoff what was lost.
+func (n *Network) SetPartitioned(from, to *Machine, partitioned bool) {
 	p := &n.paths[from.number][to.number]
-	if p.LossProbability = 0; cut {
+	if p.LossProbability = 0; partitioned {
 		p.LossProbability = 1
 	}
 }
 
-// Pace has each connection from one machine to another take so many bytes a second; 0: as many as are sent.
-func (n *Network) SetRate(from, to *Machine, perS float64) {
-	n.paths[from.number][to.number].BytesPerSecond = perS
+// SetRate limits each connection from one machine to another to so many bytes a second; 0: unlimited.
+func (n *Network) SetRate(from, to *Machine, bytesPerSecond float64) {
+	n.paths[from.number][to.number].BytesPerSecond = bytesPerSecond
 }
 
-// travel returns when a packet that leaves now, or at a later time, arrives.
+// arrivalTime returns when a packet that leaves now, or at a later time, arrives. It draws the jitter from the seed.
 func (n *Network) arrivalTime(from, to *Machine, at float64) float64 {
 	p := &n.paths[from.number][to.number]
 	return max(at, n.now) + p.LatencySeconds + p.JitterSeconds*n.rand.Float64()
 }
 
-// passes tells whether a packet that would arrive now does.
+// delivers reports whether a packet that would arrive now gets through. It draws from the seed on a lossy path.
 func (n *Network) delivers(from, to *Machine) bool {
 	if to.down {
 		return false
--- a/internal/netio/virtual/process.go
+++ b/internal/netio/virtual/process.go
@@ -8,7 +8,7 @@
 	"hazelwheel/internal/netio"
 )
 
-// Process is a program on a machine: the netio.EventLoop of its host, with one event loop.
+// Process is a program on a machine, and the netio.EventLoop of its handler.
 type Process struct {
 	network *Network
 	machine *Machine
@@ -17,20 +17,20 @@
 	handler netio.Handler
 
 	listeners     []*listener
-	conns         []*Conn // that hold a descriptor, in no order that matters
+	conns         []*Conn // that have a descriptor; their order has no meaning
 	dials         []*dial
-	ready         []readyItem
-	batch         []readyItem
+	ready         []readyItem // for the next turn
+	batch         []readyItem // of the present turn
 	posts         []func()
 	yields        []func()
-	alarmAt       float64 // by the world's time; NaN: none is asked for
-	localAlarmAt  float64 // the same, by the process's clock
-	alarmEventAt  float64 // the first time at which an alarm event waits; +Inf: none does
+	alarmAt       float64 // by the network's time; NaN: none is set
+	localAlarmAt  float64 // the same by the process's clock
+	alarmEventAt  float64 // the first time with an alarmEvent in the queue; +Inf: there is none
 	clock         clock
 	alarmDue      bool
-	turnSeconds   float64 // by the calls of this turn
+	turnSeconds   float64 // that the calls of this turn have taken so far
 	busyUntil     float64
-	stalledUntil  float64 // the loop does not turn before
+	stalledUntil  float64 // the event loop does not turn before this time
 	turnScheduled bool
 	inTurn        bool
 	started       bool
@@ -42,9 +42,9 @@
 
 var _ netio.EventLoop = (*Process)(nil)
 
-// Run starts a program. Its first call comes with the first turn of the loop; who dials until then waits. An address
-// that can't be listened at is an error, and nothing is started.
-func (p *Process) Run(host netio.Handler) error {
+// Run starts a program. Its first call comes with the first turn of the event loop. If an address can't be listened at, Run
+// returns an error and starts nothing.
+func (p *Process) Run(handler netio.Handler) error {
 	for _, text := range p.options.Listen {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -59,7 +59,7 @@
 		}
 		p.listenAt(a.Port(), false)
 	}
-	p.handler, p.alarmAt, p.alarmEventAt = host, math.NaN(), math.Inf(1)
+	p.handler, p.alarmAt, p.alarmEventAt = handler, math.NaN(), math.Inf(1)
 	p.descriptors = p.options.ReservedDescriptors + len(p.listeners)
 	p.peakDescriptors = p.descriptors
 	p.machine.processes = append(p.machine.processes, p)
@@ -68,22 +68,22 @@
 	return nil
 }
 
-// Name returns what the options call the process.
+// Name returns ProcessOptions.Name.
 func (p *Process) Name() string { return p.options.Name }
 
-// Machine returns where the process runs.
+// Machine returns the machine that the process runs on.
 func (p *Process) Machine() *Machine { return p.machine }
 
-// Alive tells whether the process has been started and has not ended.
+// IsRunning reports whether the process has been started and has not ended.
 func (p *Process) IsRunning() bool { return p.handler != nil && !p.ended }
 
-// Conns returns the connections that the process holds; valid until the next event.
+// Conns returns the connections that are open; the slice is valid until the next event.
 func (p *Process) Conns() []*Conn { return p.conns }
 
-// Dialing returns how many dials are under way.
+// Dialing returns the number of dials in progress.
 func (p *Process) Dialing() int { return len(p.dials) }
 
-// Kill ends the process at once, as SIGKILL does: its connections are reset, and who dials it is refused.
+// Kill ends the process at once, as SIGKILL does: its connections are reset and its address refuses dials.
 func (p *Process) Kill() {
 	if p.ended || p.handler == nil {
 		return
@@ -93,16 +93,17 @@
 	p.network.trace(Event{Kind: StateChanged, Process: p.options.Name, Peer: "killed"})
 }
 
+// leaveMachine removes the process from its machine's list.
 func (p *Process) leaveMachine() {
-	for i, q := range p.machine.processes {
-		if q == p {
+	for i, other := range p.machine.processes {
+		if other == p {
 			p.machine.processes = append(p.machine.processes[:i], p.machine.processes[i+1:]...)
 			return
 		}
 	}
 }
 
-// die ends the process without a call. Where it may speak its peers are told.
+// terminate ends the process without a call of its handler. Its connections are reset, with or without notice to the peers.
 func (p *Process) terminate(sendResets bool) {
 	if p.ended {
 		return
@@ -124,8 +125,8 @@
 	p.conns, p.dials, p.ready, p.posts = nil, nil, nil, nil
 }
 
-// ReadRate says how fast the process reads from a connection, in bytes a second; 0: as fast as they come; below 0:
-// not at all.
+// SetConnReadRate sets how fast the process reads from one connection, in bytes a second; 0: the process's rate; below 0: not
+// at all.
 func (p *Process) SetConnReadRate(conn netio.Conn, rate float64) {
 	if c := conn.(*Conn); c.process == p {
 		if c.readRate = rate; rate >= 0 {
@@ -134,7 +135,8 @@
 	}
 }
 
-// SlowDown says how fast the process reads from each connection of which ReadRate has said nothing, as ReadRate does.
+// SetReadRate sets how fast the process reads from each connection without a rate of its own, in bytes a second; 0: unlimited;
+// below 0: not at all.
 func (p *Process) SetReadRate(rate float64) {
 	p.options.ReadRate = rate
 	for _, c := range p.conns {
@@ -144,22 +146,22 @@
 	}
 }
 
-// ReceiveDelaySeconds returns how long ago the socket was given bytes last.
+// ReceiveDelaySeconds implements netio.EventLoop.
 func (p *Process) ReceiveDelaySeconds(conn netio.Conn) float64 {
 	return p.networkTime() - conn.(*Conn).receivedAt
 }
 
-// PauseReading leaves what comes in the socket.
-func (p *Process) PauseReading(conn netio.Conn, ends netio.ClosePolicy) bool {
+// PauseReading implements netio.EventLoop.
+func (p *Process) PauseReading(conn netio.Conn, closing netio.ClosePolicy) bool {
 	c := conn.(*Conn)
-	c.paused, c.reportsClose = true, ends == netio.ReportClose
+	c.paused, c.reportsClose = true, closing == netio.ReportClose
 	if c.hasDescriptor && c.reportsClose && c.finReceived {
 		c.markReady()
 	}
 	return true
 }
 
-// ResumeReading reads on.
+// ResumeReading implements netio.EventLoop.
 func (p *Process) ResumeReading(conn netio.Conn) {
 	if c := conn.(*Conn); c.paused {
 		if c.paused = false; c.hasDescriptor && (c.unreadBytes() > 0 || c.finReceived || c.resetReceived) {
@@ -168,13 +170,13 @@
 	}
 }
 
-// Stop ends the loop after the present call.
+// Stop implements netio.EventLoop.
 func (p *Process) Stop() {
 	p.stopping = true
 	p.scheduleTurn()
 }
 
-// exit ends the process in order: each connection that is still open is closed, and the host told.
+// exit ends the process in order: each open connection is closed and the handler notified.
 func (p *Process) exit() {
 	p.closeListeners()
 	for len(p.conns) > 0 {
@@ -187,31 +189,31 @@
 	p.leaveMachine()
 	p.network.trace(Event{At: p.networkTime(), Kind: StateChanged, Process: p.options.Name, Peer: "ended"})
 	if p.options.OnExit != nil {
-		p.network.schedule(p.networkTime(), scheduledEvent{kind: callEvent, call: p.options.OnExit})
+		p.network.enqueueEvent(p.networkTime(), scheduledEvent{kind: callEvent, call: p.options.OnExit})
 	}
 }
 
-// Close ends a connection at once.
+// Close implements netio.EventLoop.
 func (p *Process) Close(conn netio.Conn) {
 	if c := conn.(*Conn); c.process == p && c.hasDescriptor {
 		c.close(nil)
 	}
 }
 
-// CloseWrite tells the peer that nothing more will come.
+// CloseWrite implements netio.EventLoop.
 func (p *Process) CloseWrite(conn netio.Conn) {
 	if c := conn.(*Conn); c.process == p && c.hasDescriptor {
 		c.closeWrite()
 	}
 }
 
-// AllAcknowledged tells whether the peer's machine has confirmed all that was written to a connection.
+// AllAcknowledged implements netio.EventLoop.
 func (p *Process) AllAcknowledged(conn netio.Conn) bool {
 	c := conn.(*Conn)
 	return !c.hasDescriptor || len(c.outbound) == c.outboundStart
 }
 
-// NothingToRead tells whether nothing waits in a connection's socket.
+// NothingToRead implements netio.EventLoop.
 func (p *Process) NothingToRead(conn netio.Conn) bool {
 	c := conn.(*Conn)
 	return c.hasDescriptor && c.unreadBytes() == 0 && !c.finReceived && !c.resetReceived
--- a/internal/netio/virtual/queue.go
+++ b/internal/netio/virtual/queue.go
@@ -1,5 +1,6 @@
 package virtual
 
+// eventKind determines what a scheduledEvent does.
 type eventKind uint8
 
 const (
@@ -19,11 +20,11 @@
 	dialTimeoutEvent
 )
 
-// event is what happens at a time. Its fields are those of its action.
+// scheduledEvent is an event in the queue; which fields are set depends on its kind.
 type scheduledEvent struct {
 	kind    eventKind
 	fin     bool
-	n       int32
+	n       int32 // bytes of a segment; 1 for a reset injected by the network
 	epoch   uint32
 	conn    *Conn
 	process *Process
@@ -31,6 +32,7 @@
 	call    func()
 }
 
+// dispatch makes an event happen.
 func (n *Network) dispatch(e *scheduledEvent) {
 	switch e.kind {
 	case callEvent:
@@ -64,17 +66,19 @@
 	}
 }
 
-// slot is an event's place in the queue, a heap of four children: by time, and at one time in the order of asking.
+// queueEntry is an event in the queue, a heap with four children a node, ordered by time and then by the order of scheduling.
 type queueEntry struct {
 	at    float64
 	seq   uint64
 	event int32
 }
 
+// before reports whether the event of a happens before that of b.
 func (a *queueEntry) before(b *queueEntry) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-func (n *Network) schedule(at float64, e scheduledEvent) {
-	if !(at > n.now) { // also what is no number
+// enqueueEvent schedules an event; a time that is past or not a number means now.
+func (n *Network) enqueueEvent(at float64, e scheduledEvent) {
+	if !(at > n.now) { // negated so that NaN counts
 		at = n.now
 	}
 	var index int32
@@ -85,20 +89,21 @@
 		index, n.events = int32(len(n.events)), append(n.events, e)
 	}
 	n.seq++
-	s := queueEntry{at, n.seq, index}
+	entry := queueEntry{at, n.seq, index}
 	i := len(n.queue)
-	n.queue = append(n.queue, s)
+	n.queue = append(n.queue, entry)
 	for i > 0 {
 		parent := (i - 1) / 4
-		if !s.before(&n.queue[parent]) {
+		if !entry.before(&n.queue[parent]) {
 			break
 		}
 		n.queue[i], i = n.queue[parent], parent
 	}
-	n.queue[i] = s
+	n.queue[i] = entry
 }
 
-func (n *Network) pop() queueEntry {
+// dequeueEvent removes the next event; the queue must not be empty.
+func (n *Network) dequeueEvent() queueEntry {
 	q := n.queue
 	first, last := q[0], q[len(q)-1]
 	q = q[:len(q)-1]
--- a/internal/netio/virtual/receive.go
+++ b/internal/netio/virtual/receive.go
@@ -1,12 +1,12 @@
 package virtual
 
-// readChunk is the most that one call of Traffic brings.
+// maxReadSize is the number of bytes that one call of Handler.Traffic gets at most.
 const maxReadSize = 64 << 10
 
-// slowReadS is the time between two reads of a slow reader.
+// slowReadIntervalSeconds is the least time between two reads of a connection with a read rate.
 const slowReadIntervalSeconds = 0.02
 
-// receive takes bytes into the socket.
+// bufferInbound appends received bytes to the socket's receive buffer.
 func (c *Conn) bufferInbound(data []byte) {
 	if c.inboundStart > 0 && c.inboundStart == len(c.inbound) {
 		c.inbound, c.inboundStart = c.inbound[:0], 0
@@ -16,7 +16,7 @@
 	c.markReady()
 }
 
-// notify has the process look at the connection in its next turn.
+// markReady has the process's event loop handle the connection in its next turn.
 func (c *Conn) markReady() {
 	if c.isReady || c.listener != nil || !c.hasDescriptor || c.process.ended {
 		return
@@ -26,7 +26,7 @@
 	c.process.scheduleTurn()
 }
 
-// open gives the connection to the host. done is called after that.
+// reportOpen calls Handler.Open, then done, which is nil for an accepted connection.
 func (c *Conn) reportOpen(done func(error)) {
 	p := c.process
 	c.opened = true
@@ -46,67 +46,30 @@
 	}
 }
 
-// serve hands over what has come.
+// handleReady handles what has happened to the connection since the last turn: space in the socket, received bytes, then its
+// end.
 func (c *Conn) handleReady() {
 	c.isReady = false
 	if !c.hasDescriptor || !c.opened {
 		return
 	}
-	p := c.process
 	if c.resetReceived && c.unacceptedBytes() > 0 {
-		c.close(errBrokenPipe) // writing goes first, and finds the end
+		c.close(errBrokenPipe) // gnet writes before it reads, and the write fails
 		return
 	}
-	if c.writable && !c.resetReceived {
-		c.writable = false
-		if c.writeClosed {
-			c.close(errBrokenPipe)
-			return
-		}
-		c.fillSocket()
-		c.transmit()
-	}
-	rate := c.readRate
-	if rate == 0 {
-		rate = p.options.ReadRate
+	if c.writable && !c.resetReceived && !c.resumeWriting() {
+		return
 	}
 	if c.paused && c.reportsClose && c.finReceived && !c.resetReceived {
-		c.close(errReset) // what lies unread is lost
+		c.close(errReset) // the unread bytes are lost
 		return
 	}
+	rate := c.effectiveReadRate()
 	if (rate < 0 || c.paused) && !c.resetReceived {
 		return
 	}
-	if n := c.unreadBytes(); n > 0 {
-		n = min(n, maxReadSize)
-		if rate > 0 && !c.resetReceived {
-			if c.nextReadAt > p.network.now {
-				c.scheduleRead()
-				return
-			}
-			n = min(n, max(int(rate*slowReadIntervalSeconds), 1))
-			c.nextReadAt = p.network.now + max(slowReadIntervalSeconds, float64(n)/rate)
-		}
-		data := c.inbound[c.inboundStart : c.inboundStart+n : c.inboundStart+n]
-		c.inboundStart += n
-		c.bytesRead += uint64(n)
-		c.peerWroteAt = c.peer.takeWriteTime(c.bytesRead)
-		p.network.hashCall(p.networkTime(), Received, p, c.id, data)
-		p.network.trace(Event{At: p.networkTime(), Kind: Received, Process: p.options.Name, Peer: c.peerName(), Conn: c.id, N: n, Data: data})
-		c.sendWindowUpdate()
-		p.handler.Traffic(c, data)
-		p.addCallTime()
-		if !c.hasDescriptor {
-			return
-		}
-		if c.unreadBytes() > 0 {
-			if rate > 0 {
-				c.scheduleRead()
-			} else {
-				c.markReady()
-			}
-			return
-		}
+	if c.unreadBytes() > 0 && !c.read(rate) {
+		return
 	}
 	switch {
 	case c.resetReceived:
@@ -116,23 +79,80 @@
 	}
 }
 
-// readLater has a slow reader come back.
+// resumeWriting refills the socket, which has space again. It returns false if that has closed the connection: bytes behind a FIN can't
+// be sent.
+func (c *Conn) resumeWriting() bool {
+	c.writable = false
+	if c.writeClosed {
+		c.close(errBrokenPipe)
+		return false
+	}
+	c.fillSocket()
+	c.transmit()
+	return true
+}
+
+// effectiveReadRate returns the connection's read rate, or the process's if it has none.
+func (c *Conn) effectiveReadRate() float64 {
+	if c.readRate == 0 {
+		return c.process.options.ReadRate
+	}
+	return c.readRate
+}
+
+// read passes unread bytes to the handler, as many as one call and the rate allow. It returns true if the connection is still open and
+// nothing is left unread, and schedules the next read if something is.
+func (c *Conn) read(rate float64) bool {
+	p := c.process
+	n := min(c.unreadBytes(), maxReadSize)
+	if rate > 0 && !c.resetReceived {
+		if c.nextReadAt > p.network.now {
+			c.scheduleRead()
+			return false
+		}
+		n = min(n, max(int(rate*slowReadIntervalSeconds), 1))
+		c.nextReadAt = p.network.now + max(slowReadIntervalSeconds, float64(n)/rate)
+	}
+	data := c.inbound[c.inboundStart : c.inboundStart+n : c.inboundStart+n]
+	c.inboundStart += n
+	c.bytesRead += uint64(n)
+	c.peerWroteAt = c.peer.takeWriteTime(c.bytesRead)
+	p.network.hashCall(p.networkTime(), Received, p, c.id, data)
+	p.network.trace(Event{At: p.networkTime(), Kind: Received, Process: p.options.Name, Peer: c.peerName(), Conn: c.id, N: n, Data: data})
+	c.sendWindowUpdate()
+	p.handler.Traffic(c, data)
+	p.addCallTime()
+	switch {
+	case !c.hasDescriptor:
+		return false
+	case c.unreadBytes() == 0:
+		return true
+	case rate > 0:
+		c.scheduleRead()
+	default:
+		c.markReady()
+	}
+	return false
+}
+
+// scheduleRead schedules the next read of a connection with a read rate.
 func (c *Conn) scheduleRead() {
 	if !c.readScheduled {
 		c.readScheduled = true
-		c.network.schedule(c.nextReadAt, scheduledEvent{kind: readEvent, conn: c})
+		c.network.enqueueEvent(c.nextReadAt, scheduledEvent{kind: readEvent, conn: c})
 	}
 }
 
+// resumeRead handles a readEvent.
 func (c *Conn) resumeRead() {
 	c.readScheduled = false
 	c.markReady()
 }
 
-// tellWindow has a peer that waited for room go on.
+// sendWindowUpdate notifies a peer that waits for space in the receive window.
 func (c *Conn) sendWindowUpdate() {
 	if c.windowUpdateDue {
 		c.windowUpdateDue = false
-		c.network.schedule(c.network.arrivalTime(c.machine, c.peer.machine, c.network.now+c.process.turnSeconds), scheduledEvent{kind: windowUpdateEvent, conn: c.peer})
+		c.network.enqueueEvent(c.network.arrivalTime(c.machine, c.peer.machine, c.network.now+c.process.turnSeconds), scheduledEvent{kind: windowUpdateEvent, conn: c.peer})
 	}
 }
--- a/internal/netio/virtual/send.go
+++ b/internal/netio/virtual/send.go
@@ -2,20 +2,21 @@
 
 import "net"
 
-// The waits of TCP before what is lost is sent again, in seconds; each next one is twice as long.
+// TCP's time-outs before a retransmission; each is twice the one before.
 const (
 	initialRetransmitSeconds = 0.2
 	maxRetransmitSeconds     = 10.0
 	initialSynTimeoutSeconds = 1.0
 )
 
-// mark says when the bytes up to a place were written.
+// writeMark records when the bytes before an offset of the stream were written.
 type writeMark struct {
 	end uint64
 	at  float64
 }
 
-// Write sends p, and keeps what the socket does not take.
+// Write implements netio.Conn. As with gnet, a connection found broken is closed, and its handler notified, before Write
+// returns.
 func (c *Conn) Write(p []byte) (int, error) {
 	if !c.hasDescriptor {
 		return 0, net.ErrClosed
@@ -38,64 +39,66 @@
 	return len(p), nil
 }
 
-// fillSocket gives the socket what it has room for.
+// fillSocket moves written bytes into the socket's send buffer, as far as it has space.
 func (c *Conn) fillSocket() {
 	c.inSocket += max(min(c.unacceptedBytes(), c.process.options.SendBuffer-c.inSocket), 0)
 }
 
-// push sends what waits in the socket, as far as the peer's window goes.
+// transmit sends the unsent bytes of the socket as far as the peer's receive window and the path's rate allow, in segments that
+// are split at random, and the FIN after the last byte.
 func (c *Conn) transmit() {
 	if c.state == discarded || c.resetReceived || c.segmentLost || c.peer == nil || c.state == handshaking {
 		return
 	}
-	n := c.unsentBytes()
-	if room := c.peer.receiveWindow - c.peer.unreadBytes() - c.inFlight; n > room {
-		n, c.peer.windowUpdateDue = max(room, 0), true
+	size := c.unsentBytes()
+	if room := c.peer.receiveWindow - c.peer.unreadBytes() - c.inFlight; size > room {
+		size, c.peer.windowUpdateDue = max(room, 0), true
 	}
-	if perS := c.network.paths[c.machine.number][c.peer.machine.number].BytesPerSecond; perS > 0 && n > 0 {
-		n = c.limitToRate(n, perS)
+	if bytesPerSecond := c.network.paths[c.machine.number][c.peer.machine.number].BytesPerSecond; bytesPerSecond > 0 && size > 0 {
+		size = c.limitToRate(size, bytesPerSecond)
 	}
-	for n > 0 {
-		k := n
+	for size > 0 {
+		segmentSize := size
 		if c.network.SplitEveryByte {
-			k = 1
-		} else if k > 1 && c.network.SplitProbability > 0 && c.network.rand.Float64() < c.network.SplitProbability {
-			k = 1 + c.network.rand.IntN(k-1)
+			segmentSize = 1
+		} else if segmentSize > 1 && c.network.SplitProbability > 0 && c.network.rand.Float64() < c.network.SplitProbability {
+			segmentSize = 1 + c.network.rand.IntN(segmentSize-1)
 		}
-		n -= k
-		c.inFlight += k
-		c.sendSegment(k, c.claimFin())
+		size -= segmentSize
+		c.inFlight += segmentSize
+		c.sendSegment(segmentSize, c.claimFin())
 	}
 	if c.claimFin() {
 		c.sendSegment(0, true)
 	}
 }
 
-// paceS is the time for which a paced connection sends at once.
+// rateBurstSeconds is for how long a connection may exceed its rate: so many seconds' bytes are sent at once.
 const rateBurstSeconds = 0.05
 
-// pace returns how many of so many bytes a path that takes so many a second takes now; the rest goes on later.
-func (c *Conn) limitToRate(n int, perS float64) int {
+// limitToRate returns how many of size bytes may be sent now on a path of so many bytes a second, and schedules the rest.
+func (c *Conn) limitToRate(n int, bytesPerSecond float64) int {
 	if c.nextSendAt > c.network.now {
 		n = 0
 	} else {
-		n = min(n, max(int(perS*rateBurstSeconds), 1))
-		c.nextSendAt = c.network.now + float64(n)/perS
+		n = min(n, max(int(bytesPerSecond*rateBurstSeconds), 1))
+		c.nextSendAt = c.network.now + float64(n)/bytesPerSecond
 	}
 	if !c.sendScheduled && c.unsentBytes() > n {
 		c.sendScheduled = true
-		c.network.schedule(c.nextSendAt, scheduledEvent{kind: rateEvent, conn: c})
+		c.network.enqueueEvent(c.nextSendAt, scheduledEvent{kind: rateEvent, conn: c})
 	}
 	return n
 }
 
-// goOn sends what a pace has held back.
+// resumeTransmit handles a rateEvent: it sends what limitToRate has held back.
 func (c *Conn) resumeTransmit() {
 	c.sendScheduled = false
 	c.transmit()
 }
 
-// finNow tells whether the FIN can go now, and notes that it does. A FIN rides on the last bytes or goes alone.
+// claimFin reports whether the FIN can be sent now, and records that it is. It goes with the last bytes or in a segment of its
+// own.
 func (c *Conn) claimFin() bool {
 	if !c.writeClosed || c.finSent || c.unsentBytes() > 0 || c.unacceptedBytes() > 0 {
 		return false
@@ -104,17 +107,20 @@
 	return true
 }
 
+// sendSegment schedules the arrival of a segment of n bytes, no earlier than those sent before.
 func (c *Conn) sendSegment(n int, fin bool) {
 	c.lastArrivalAt = max(c.lastArrivalAt, c.network.arrivalTime(c.machine, c.peer.machine, c.network.now+c.process.turnSeconds))
-	c.network.schedule(c.lastArrivalAt, scheduledEvent{kind: segmentEvent, conn: c, n: int32(n), fin: fin, epoch: c.epoch})
+	c.network.enqueueEvent(c.lastArrivalAt, scheduledEvent{kind: segmentEvent, conn: c, n: int32(n), fin: fin, epoch: c.epoch})
 }
 
-// passes tells whether a packet of this connection that would arrive at its end now does.
+// delivers reports whether a packet of this connection arriving now at the other end gets there. It draws from the seed on a
+// lossy path.
 func (c *Conn) delivers(to *Conn) bool {
 	return !c.blackholed && c.network.delivers(c.machine, to.machine)
 }
 
-// arrive takes a segment of this end at the other.
+// deliverSegment handles a segmentEvent: a segment sent by c arrives at the peer. The acknowledgement returns at once unless
+// the way back loses it.
 func (c *Conn) deliverSegment(n int, fin bool, epoch uint32) {
 	if epoch != c.epoch || c.resetReceived {
 		return
@@ -153,7 +159,7 @@
 	}
 }
 
-// confirm takes the peer's word for all that has arrived.
+// acknowledge removes the bytes that have arrived at the peer from the socket.
 func (c *Conn) acknowledge() {
 	if c.arrived == 0 {
 		return
@@ -172,23 +178,24 @@
 	}
 }
 
-// lose notes that what is under way will not arrive; it is sent again later.
+// loseInFlight marks all segments in flight as lost and schedules their retransmission.
 func (c *Conn) loseInFlight() {
 	c.epoch++
 	c.segmentLost = true
 	c.scheduleRetransmit()
 }
 
+// scheduleRetransmit schedules a retransmission with exponential backoff, unless one is scheduled.
 func (c *Conn) scheduleRetransmit() {
 	if c.retransmitScheduled || c.state == discarded {
 		return
 	}
 	c.retransmitScheduled = true
 	c.retransmitSeconds = min(max(2*c.retransmitSeconds, initialRetransmitSeconds), maxRetransmitSeconds)
-	c.network.schedule(c.network.now+c.retransmitSeconds, scheduledEvent{kind: retransmitEvent, conn: c})
+	c.network.enqueueEvent(c.network.now+c.retransmitSeconds, scheduledEvent{kind: retransmitEvent, conn: c})
 }
 
-// resend sends again what the peer has not confirmed.
+// retransmit handles a retransmitEvent: it sends what was lost again, or has a lost acknowledgement repeated.
 func (c *Conn) retransmit() {
 	c.retransmitScheduled = false
 	if c.state == discarded || c.resetReceived {
@@ -201,7 +208,7 @@
 		}
 	} else if c.arrived > 0 {
 		if c.delivers(c.peer) && c.peer.delivers(c) {
-			if c.peer.state == discarded { // it knows nothing of the connection any more
+			if c.peer.state == discarded { // it has no record of the connection any more
 				c.peer.sendReset()
 			}
 			c.acknowledge()
@@ -212,7 +219,7 @@
 	c.transmit()
 }
 
-// writtenAt returns when the byte before a place was written, and forgets those before it.
+// takeWriteTime returns when the byte before offset was written, and drops the marks before it.
 func (c *Conn) takeWriteTime(offset uint64) float64 {
 	i := 0
 	for c.writeMarks[i].end < offset {
@@ -226,7 +233,7 @@
 	return at
 }
 
-// opensWindow takes the peer's word that it has room again.
+// receiveWindowUpdate handles a windowUpdateEvent: the peer's receive window has space again.
 func (c *Conn) receiveWindowUpdate() {
 	if c.peer.delivers(c) {
 		c.transmit()
--- a/internal/netio/virtual/trace.go
+++ b/internal/netio/virtual/trace.go
@@ -6,6 +6,7 @@
 	"math"
 )
 
+// trace passes an event to Trace; an event without a time happens now.
 func (n *Network) trace(e Event) {
 	if n.Trace != nil {
 		if e.At == 0 {
@@ -15,41 +16,42 @@
 	}
 }
 
-// Kind is what an Event tells of.
+// EventKind is what an Event reports.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	Opened               EventKind = iota // a process has been given a connection
-	Received                              // a process has been given N bytes
-	Sent                                  // a process has written N bytes
-	Closed                                // a process has been told of a connection's end
-	Dialed                                // a process has begun to dial
-	DialFailed                            // a dial has failed
-	AlarmFired                            // a process has had its alarm
-	Lost                                  // a segment of N bytes was lost on the way
+	Opened               EventKind = iota // Handler.Open was called
+	Received                              // Handler.Traffic was called with N bytes
+	Sent                                  // a process wrote N bytes
+	Closed                                // Handler.Closed was called
+	Dialed                                // a process started to dial
+	DialFailed                            // a dial failed
+	AlarmFired                            // Handler.Alarm was called
+	Lost                                  // a segment of N bytes was lost
 	ResetSent                             // a reset was sent
-	DescriptorsExhausted                  // a process has found no descriptor
-	StateChanged                          // a process or machine was started, stopped, killed, lost
+	DescriptorsExhausted                  // a process found no free descriptor
+	StateChanged                          // a process or machine was started, stopped, killed or lost
 )
 
 var kindNames = [...]string{"opened", "received", "sent", "ended", "dialed", "not up", "alarm", "lost", "reset", "no descriptor", "changed"}
 
+// String returns the kind as traces show it.
 func (k EventKind) String() string { return kindNames[k] }
 
-// Event is what Trace is told.
+// Event is an entry of the network's trace.
 type Event struct {
 	At      float64
 	Kind    EventKind
 	Process string
-	Peer    string // the other side's process or address, where there is one
-	Conn    uint64 // both ends of a connection have one number; 0: it is about none
+	Peer    string // the peer's process or address, if there is one
+	Conn    uint64 // Conn.ID; 0 if the event concerns no connection
 	N       int
 	Err     error
 	Data    []byte // of Received and Sent; valid until Trace returns
 }
 
-// String returns the event as one line, less its time.
+// String returns the event as one line, without its time.
 func (e Event) String() string {
 	s := fmt.Sprintf("%-12s %s", e.Process, e.Kind)
 	if e.Peer != "" {
@@ -67,7 +69,7 @@
 	return s
 }
 
-// mix adds a call to the hash of the history.
+// hashCall adds a call of a handler to the hash of the history.
 func (n *Network) hashCall(at float64, kind EventKind, p *Process, conn uint64, data []byte) {
 	b := n.hashBuffer[:]
 	binary.LittleEndian.PutUint64(b, math.Float64bits(at))
--- a/internal/netio/virtual/turn.go
+++ b/internal/netio/virtual/turn.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// item is something that has come for a process: on a connection, or a connection to accept.
+// readyItem is work for a turn of the event loop: a connection to handle, or a listener with a connection to accept.
 type readyItem struct {
 	conn     *Conn
 	listener *listener
 }
 
-// Stall keeps the loop from turning before a time. What comes waits, and is then handed over as one batch.
+// Stall stops the event loop until a time. What arrives meanwhile is handled in one turn after it.
 func (p *Process) Stall(until float64) {
 	p.stalledUntil = max(p.stalledUntil, until)
 }
 
-// Thaw ends a Stall at once.
+// EndStall ends a Stall at once.
 func (p *Process) EndStall() {
 	p.stalledUntil = 0
-	if !p.ended && p.handler != nil && !p.inTurn { // a turn that waits for the stall's end would come too late
+	if !p.ended && p.handler != nil && !p.inTurn { // the turn scheduled for the stall's end comes too late
 		p.turnScheduled = true
-		p.network.schedule(max(p.network.now, p.busyUntil), scheduledEvent{kind: turnEvent, process: p})
+		p.network.enqueueEvent(max(p.network.now, p.busyUntil), scheduledEvent{kind: turnEvent, process: p})
 	}
 }
 
-// Post has f called after the present call, and after what else has come for this turn of the loop.
+// Post implements netio.EventLoop: f is called at the end of this turn, or in the next.
 func (p *Process) Post(f func()) {
 	if p.ended {
 		return
@@ -31,8 +31,8 @@
 	p.scheduleTurn()
 }
 
-// Yield has f called once a turn has handed over all that had come: this turn where its connections are still being gone
-// through, else the next. Danger: run with the posts it would come before bytes that had come while these took their time.
+// Yield implements netio.EventLoop: f is called after the connections that are ready in this turn, or in the next if these have
+// been handled. Danger: called with the posts, it would come before bytes that arrived while these took their time.
 func (p *Process) Yield(f func()) {
 	if p.ended {
 		return
@@ -41,7 +41,7 @@
 	p.scheduleTurn()
 }
 
-// runYields calls what was asked for before now.
+// runYields calls the functions given to Yield before now.
 func (p *Process) runYields() {
 	due := p.yields
 	p.yields = nil
@@ -54,23 +54,25 @@
 	}
 }
 
-// SetAlarm asks for one call at a time, in place of what was asked for before.
+// SetAlarm implements netio.EventLoop.
 func (p *Process) SetAlarm(at float64) {
 	p.localAlarmAt = at
 	p.scheduleAlarm(p.clock.networkTime(at))
 }
 
+// scheduleAlarm sets the alarm to a time of the network, and schedules an event for it unless an earlier one is in the queue.
 func (p *Process) scheduleAlarm(at float64) {
 	if p.alarmAt = at; at < p.alarmEventAt && !p.ended {
 		p.alarmEventAt = max(at, p.network.now)
-		p.network.schedule(at, scheduledEvent{kind: alarmEvent, process: p})
+		p.network.enqueueEvent(at, scheduledEvent{kind: alarmEvent, process: p})
 	}
 }
 
-// alarm takes an alarm's time.
+// handleAlarmEvent handles an alarmEvent: the handler is called in the next turn, or the event is put off if the alarm was
+// moved.
 func (p *Process) handleAlarmEvent() {
 	if p.ended || p.network.now < p.alarmEventAt {
-		return // one that was asked for earlier has come in between
+		return // an event scheduled later for an earlier time has replaced this one
 	}
 	p.alarmEventAt = math.Inf(1)
 	switch {
@@ -83,7 +85,7 @@
 	}
 }
 
-// wake has the loop turn, as soon as it can.
+// scheduleTurn schedules a turn of the event loop, as soon as the wake-up delay, a stall and the present turn's calls allow.
 func (p *Process) scheduleTurn() {
 	if p.turnScheduled || p.inTurn || p.ended || p.handler == nil {
 		return
@@ -93,13 +95,13 @@
 		at += p.options.MaxWakeDelaySeconds * p.network.rand.Float64()
 	}
 	p.turnScheduled = true
-	p.network.schedule(max(at, p.busyUntil, p.stalledUntil), scheduledEvent{kind: turnEvent, process: p})
+	p.network.enqueueEvent(max(at, p.busyUntil, p.stalledUntil), scheduledEvent{kind: turnEvent, process: p})
 }
 
-// called notes that a call of the host is over.
+// addCallTime adds the time of one call of the handler to the turn.
 func (p *Process) addCallTime() { p.turnSeconds += p.options.CallSeconds }
 
-// turn is one turn of the loop: connections, then posts, then the alarm.
+// runTurn is one turn of the event loop: the ready connections, the yields, the posts, then the alarm.
 func (p *Process) runTurn() {
 	p.turnScheduled = false
 	if p.ended {
@@ -151,9 +153,10 @@
 	}
 }
 
-// mostPosts bounds the posts of one turn: a post that posts itself must not keep the world from going on.
+// maxPostsPerTurn bounds the posts of one turn: a post that posts itself must not stop the simulation.
 const maxPostsPerTurn = 4096
 
+// runPosts calls the posted functions, also those posted by them.
 func (p *Process) runPosts() {
 	done := 0
 	for ; done < len(p.posts) && done < maxPostsPerTurn && !p.ended && !p.stopping; done++ {
