--- a/internal/checker/mutants_test.go
+++ b/internal/checker/mutants_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMutantsFit checks that each fault made on purpose still has its place in the program. `hazellab mutants` takes minutes and
+// TestMutantPatchesFitTheCode checks that each mutant still has its place in the program: `hazellab mutants` takes minutes and
 // would be the first to notice that the program has moved on.
-func TestMutantsFit(t *testing.T) {
+func TestMutantPatchesFitTheCode(t *testing.T) {
 	patches, err := filepath.Glob("testdata/mutants/*.patch")
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(patches), 16)
@@ -25,13 +25,13 @@
 			hunks, _, _ = strings.Cut(hunks, "\ndiff --git ")
 			source, err := os.ReadFile(filepath.Join("../..", name))
 			require.NoError(t, err, p)
-			fits(t, p, name, string(source), hunks)
+			requireFits(t, p, name, string(source), hunks)
 		}
 	}
 }
 
-// fits looks whether each hunk of a patch changes one place of a file.
-func fits(t *testing.T, p, name, source, hunks string) {
+// requireFits fails unless each hunk of a patch changes exactly one place of a file.
+func requireFits(t *testing.T, p, name, source, hunks string) {
 	for i, hunk := range strings.Split("\n"+hunks, "\n@@")[1:] {
 		var before, after strings.Builder
 		for _, line := range strings.Split(hunk, "\n")[1:] {
