--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -11,14 +11,14 @@
 
 // Send starts the next attempt of a request.
 func (s *Sidecar) Send(id, host uint32) {
-	s.noteFor(id, capture.Decision{Action: capture.ActionSend, Host: host})
+	s.recordDecision(id, capture.Decision{Action: capture.ActionSend, Host: host})
 	r := s.requests[id]
 	if r == nil {
 		s.log.Error("send for an unknown request", "request", id)
 		return
 	}
 	e := &attempt{request: r, number: r.sent, host: host, asked: s.eventAt, sentAt: s.eventAt,
-		until: r.deadline - s.answerRoom(), exchange: r.call.NewExchange(), front: r.front}
+		until: r.deadline - s.responseMargin(), exchange: r.call.NewExchange(), front: r.front}
 	r.sent++
 	r.out = append(r.out, e)
 	s.counters.Executions++
@@ -31,7 +31,7 @@
 
 // Cancel ends the wait for one attempt.
 func (s *Sidecar) Cancel(id uint32, attempt int) {
-	s.noteFor(id, capture.Decision{Action: capture.ActionCancel, Attempt: attempt})
+	s.recordDecision(id, capture.Decision{Action: capture.ActionCancel, Attempt: attempt})
 	if r := s.requests[id]; r != nil {
 		if e := r.attempt(attempt); e != nil {
 			s.abandon(e, cancelled)
@@ -43,7 +43,7 @@
 func (s *Sidecar) Probe(host uint32) {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionProbe, Host: host})
 	s.counters.Probes++
-	s.begin(&attempt{host: host, sentAt: s.eventAt, until: s.eventAt + probeWaitS, exchange: s.prober.NewProbe(), front: s.prober})
+	s.begin(&attempt{host: host, sentAt: s.eventAt, until: s.eventAt + probeTimeoutSeconds, exchange: s.prober.NewProbe(), front: s.prober})
 }
 
 // CloseIdle closes the idle links to a server.
@@ -61,7 +61,7 @@
 
 // Refuse is a final answer: trying again is harmless.
 func (s *Sidecar) Refuse(id uint32, retryAfterS float64) {
-	s.noteFor(id, capture.Decision{Action: capture.ActionRefuse, AfterSeconds: retryAfterS})
+	s.recordDecision(id, capture.Decision{Action: capture.ActionRefuse, AfterSeconds: retryAfterS})
 	if r := s.requests[id]; r != nil && !r.answered {
 		s.answer(r, throttled, func() { r.origin.Throttle(retryAfterS) })
 	}
@@ -69,9 +69,9 @@
 
 // Fail is a final answer that promises nothing.
 func (s *Sidecar) Fail(id uint32) {
-	s.noteFor(id, capture.Decision{Action: capture.ActionFail})
+	s.recordDecision(id, capture.Decision{Action: capture.ActionFail})
 	if r := s.requests[id]; r != nil && !r.answered {
-		s.answer(r, failed, func() { r.origin.Fail(s.now() >= r.deadline-2*s.answerRoom()) })
+		s.answer(r, failed, func() { r.origin.Fail(s.now() >= r.deadline-2*s.responseMargin()) })
 	}
 }
 
@@ -79,16 +79,16 @@
 // Danger: the replaced ones kept, each request leaves one behind for as long as the next probe is away, 16 s in a large fleet.
 func (s *Sidecar) WakeAfter(seconds float64) {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionWake, AfterSeconds: seconds})
-	s.timers.stop(&s.wake)
-	s.timers.set(&s.wake, s.eventAt+seconds, (*wakeUp)(s))
+	s.timers.stop(&s.wakeTimer)
+	s.timers.start(&s.wakeTimer, s.eventAt+seconds, (*wakeTarget)(s))
 }
 
 // wakeUp is a sidecar as what its decisions' timer calls.
-type wakeUp Sidecar
+type wakeTarget Sidecar
 
-func (w *wakeUp) expire() {
+func (w *wakeTarget) expire() {
 	s := (*Sidecar)(w)
-	s.push(func(now float64) {
+	s.pushEvent(func(now float64) {
 		s.capture.RecordWake(now)
 		s.balancer.Wake(now)
 	})
--- a/internal/sidecar/arrival_test.go
+++ b/internal/sidecar/arrival_test.go
@@ -40,8 +40,8 @@
 	n, client := &clockNet{now: testNow}, &partialClient{came: 1}
 	s, err := New(cfg, featureconfig.Features{}, nil, n, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	s.timers.alarm = n.Alarm
-	s.enter(func() {
+	s.timers.setAlarm = n.Alarm
+	s.runCallback(func() {
 		l := &ClientConn{s: s, client: client, conn: &testConn{}, openedAt: testNow}
 		l.place, _ = s.room.Add(testNow, netip.MustParseAddr("127.0.0.1"), l)
 		l.await()
@@ -79,7 +79,7 @@
 		n, client, s := partialRequest(t)
 		n.turnUntil(s, 1)
 		n.standUntil(s, 4)
-		stood := s.fit.stood
+		stood := s.fitness.stalledSeconds
 		assert.GreaterOrEqual(t, stood, 4-arrivalS, "the request was due by then, if nothing else was")
 		n.turnUntil(s, arrivalS+stood-0.01)
 		assert.NoError(t, client.declined)
--- a/internal/sidecar/arrivals.go
+++ b/internal/sidecar/arrivals.go
@@ -56,7 +56,7 @@
 func (s *Sidecar) takeUpLater() {
 	if a := &s.arrivals; !a.waiting {
 		a.waiting = true
-		s.net.Yield(func() { s.enter(s.takeUp) })
+		s.net.Yield(func() { s.runCallback(s.takeUp) })
 	}
 }
 
@@ -90,5 +90,5 @@
 
 // decide hands a request to the decisions.
 func (s *Sidecar) decide(r *request, q policy.Request) {
-	s.queue = append(s.queue, event{request: r, told: q})
+	s.events = append(s.events, event{request: r, input: q})
 }
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -114,7 +114,7 @@
 		// A server turns a probe away at once, or after it has waited in line for as long as probes may.
 		// Danger: the first shows that it lives, and the second that its line is long; taken for one another,
 		// or for an error, they shut out servers that are merely full.
-		if result.Outcome == policy.Rejected && s.now()-e.sentAt > probeWaitS/2 {
+		if result.Outcome == policy.Rejected && s.now()-e.sentAt > probeTimeoutSeconds/2 {
 			result.Outcome = policy.TimedOut
 		}
 		// What nobody can read tells nothing of the load, but its server is there and has come to the probe.
@@ -122,7 +122,7 @@
 			result.Outcome = policy.OK
 		}
 		s.counters.probes.count(result.Outcome)
-		s.push(func(now float64) {
+		s.pushEvent(func(now float64) {
 			result.DelaySeconds, result.LateSeconds = e.took(now)
 			s.capture.RecordProbe(now, result)
 			s.balancer.ProbeDone(now, result)
@@ -157,7 +157,7 @@
 		}
 	}
 	result.Final = r.answered
-	s.queue = append(s.queue, event{ended: e, result: result})
+	s.events = append(s.events, event{endedAttempt: e, result: result})
 }
 
 // expire ends the wait.
@@ -200,7 +200,7 @@
 		return
 	}
 	e.s = s
-	s.timers.set(&e.timer, e.until, e)
+	s.timers.start(&e.timer, e.until, e)
 	if l := s.idleConn(h, e.front); l != nil {
 		l.begin(e)
 		return
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -72,7 +72,7 @@
 		if l == nil {
 			return nil
 		}
-		if l.restedAt > rested && s.hasRoom(dialDescriptors+s.reserve()) {
+		if l.restedAt > rested && s.hasDescriptors(dialDescriptors+s.reserve()) {
 			return nil
 		}
 		// Danger: a request written to a link that its server has closed is lost; one written behind unread bytes
@@ -108,7 +108,7 @@
 	}
 	l.s.idle[l.host] = append(l.s.idle[l.host], l)
 	if limit := l.s.cfg.Settings.Policy.ConnIdleTimeoutSeconds; limit > 0 {
-		l.retire = l.s.timers.at(l.s.now()+min(0.8*limit, max(limit-0.5, 0.5*limit)), l.close)
+		l.retire = l.s.timers.schedule(l.s.now()+min(0.8*limit, max(limit-0.5, 0.5*limit)), l.close)
 	}
 }
 
@@ -128,7 +128,7 @@
 		if e := l.attempt; e != nil {
 			l.attempt = nil
 			why := broke
-			if s.late.stalledAt > began { // the time was up while this program stood still
+			if s.loopDelay.lastStallEndedAt > began { // the time was up while this program stood still
 				why = overtaken
 			}
 			s.finish(e, &attemptError{notConnected, why, err})
@@ -139,7 +139,7 @@
 // makeRoom closes the idle backend connections that have rested longest until there is room for n descriptors, and tells
 // whether there is.
 func (s *Sidecar) makeRoom(n int) bool {
-	for !s.hasRoom(n) {
+	for !s.hasDescriptors(n) {
 		var oldest *backendConn
 		for _, links := range s.idle {
 			if len(links) > 0 && (oldest == nil || links[0].older(oldest)) {
@@ -163,22 +163,22 @@
 const dialDescriptors = 2
 
 // connect opens a connection. It comes up as a call of l.opened, or else failed is called.
-func (s *Sidecar) connect(address string, until float64, l link, failed func(error)) func() {
-	s.dialing += dialDescriptors
+func (s *Sidecar) connect(address string, until float64, l connHandler, failed func(error)) func() {
+	s.dialDescriptorsHeld += dialDescriptors
 	return s.net.Dial(address, until, l, func(err error) {
-		s.enter(func() {
-			if s.dialing -= dialDescriptors; err != nil {
+		s.runCallback(func() {
+			if s.dialDescriptorsHeld -= dialDescriptors; err != nil {
 				failed(err)
 			}
 			if len(s.starved) > 0 {
-				s.push(func(float64) { s.feedDials() })
+				s.pushEvent(func(float64) { s.feedDials() })
 			}
 		})
 	})
 }
 
 // opened takes the link into use.
-func (l *backendConn) opened(c netio.Conn) {
+func (l *backendConn) onOpen(c netio.Conn) {
 	l.conn = c
 	e := l.attempt
 	if e != nil && l.s.mayBegin(e) {
@@ -220,7 +220,7 @@
 // client's.
 func (s *Sidecar) told(e *attempt) float64 {
 	if r := e.request; r != nil && r.uploading() {
-		return min(e.until, s.now()+r.patience-s.answerRoom())
+		return min(e.until, s.now()+r.patience-s.responseMargin())
 	}
 	return e.until
 }
@@ -235,7 +235,7 @@
 	case l.progress(e) == writtenWhole:
 		l.complete(e)
 	default:
-		l.s.timers.at(l.s.now()+writtenEveryS, func() { l.silence(e) })
+		l.s.timers.schedule(l.s.now()+writtenEveryS, func() { l.silence(e) })
 	}
 }
 
@@ -257,7 +257,7 @@
 }
 
 // traffic reads what the server says.
-func (l *backendConn) traffic(data []byte) {
+func (l *backendConn) onData(data []byte) {
 	l.buf.Write(data)
 	e := l.attempt
 	if e == nil {
@@ -279,12 +279,12 @@
 		return
 	}
 	if done {
-		e.late = l.s.waited(l.conn)
+		e.late = l.s.socketWait(l.conn)
 		l.complete(e)
 		return
 	}
 	if x, ok := e.exchange.(StreamingExchange); ok && e.request != nil && x.ExceedsBuffer() {
-		e.late = l.s.waited(l.conn)
+		e.late = l.s.socketWait(l.conn)
 		l.s.beginFlow(l, e)
 	}
 }
@@ -313,7 +313,7 @@
 }
 
 // ended takes the end of the connection, from whatever side.
-func (l *backendConn) ended(err error) {
+func (l *backendConn) onClose(err error) {
 	l.closed = true
 	l.unidle()
 	e := l.attempt
--- a/internal/sidecar/capture.go
+++ b/internal/sidecar/capture.go
@@ -47,7 +47,7 @@
 func (r *request) label() capture.Label { return capture.Label{ID: r.name, Class: r.class} }
 
 // noteFor notes a decision about a request.
-func (s *Sidecar) noteFor(id uint32, d capture.Decision) {
+func (s *Sidecar) recordDecision(id uint32, d capture.Decision) {
 	if s.capture == nil {
 		return
 	}
@@ -61,7 +61,7 @@
 // flushCapture hands what is new to the capture's files, again and again.
 func (s *Sidecar) flushCapture() {
 	s.capture.Flush()
-	s.timers.at(s.now()+captureFlushS, s.flushCapture)
+	s.timers.schedule(s.now()+captureFlushS, s.flushCapture)
 }
 
 // DumpCapture returns the capture's segments as text, empty where there is none. It is for the loop.
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -91,10 +91,10 @@
 	l.s.room.Remove(l.place)
 }
 
-func (l *ClientConn) opened(netio.Conn) {}
+func (l *ClientConn) onOpen(netio.Conn) {}
 
 // traffic reads what the client says.
-func (l *ClientConn) traffic(data []byte) {
+func (l *ClientConn) onData(data []byte) {
 	if l.last {
 		l.heardAt = l.s.now()
 		return
@@ -166,12 +166,12 @@
 		by = min(by, l.openedAt+firstS)
 	}
 	l.awaitUntil(by)
-	l.arrival = l.s.timers.at(by, l.overdue)
+	l.arrival = l.s.timers.schedule(by, l.overdue)
 }
 
 // awaitUntil has a request come by a time, plus what a longer body needs.
 func (l *ClientConn) awaitUntil(by float64) {
-	l.arriving, l.stood = by, l.s.fit.stood
+	l.arriving, l.stood = by, l.s.fitness.stalledSeconds
 }
 
 // overdue ends a request that has not come whole in time. A longer body has as much more as it needs at the least rate, and the time in
@@ -179,7 +179,7 @@
 func (l *ClientConn) overdue() {
 	now, came := l.s.now(), 0
 	l.arrival = nil
-	l.awaitUntil(l.arriving + l.s.fit.stood - l.stood)
+	l.awaitUntil(l.arriving + l.s.fitness.stalledSeconds - l.stood)
 	if r := l.request; r != nil {
 		came = r.body.DroppedBytes + len(r.body.Buffered)
 	} else {
@@ -189,7 +189,7 @@
 		l.awaitUntil(now + arrivalS - float64(came)/leastRate)
 	}
 	if by := l.arriving + float64(came)/leastRate; by > now {
-		l.arrival = l.s.timers.at(max(by, now+0.1), l.overdue)
+		l.arrival = l.s.timers.schedule(max(by, now+0.1), l.overdue)
 		return
 	}
 	l.s.room.RecordWasted(l.place)
@@ -220,7 +220,7 @@
 func (l *ClientConn) CloseUnanswered(why string) {
 	l.endArrival()
 	l.s.counters.Malformed++
-	l.s.notice(why)
+	l.s.warnLimited(why)
 	l.s.closeConn(l.conn)
 }
 
@@ -242,7 +242,7 @@
 // Admit tells whether there is room for a request of a class; otherwise it has been throttled.
 func (l *ClientConn) Admit(class int) bool {
 	switch {
-	case l.overLimit && !l.s.hasRoom(serverRoom), l.s.room.IsOverBufferBudget(l.place):
+	case l.overLimit && !l.s.hasDescriptors(serverRoom), l.s.room.IsOverBufferBudget(l.place):
 		l.turnAway(class, "there is no room for them")
 		return false
 	case l.s.short() && l.s.room.ExceedsFairShare(l.place):
@@ -279,7 +279,7 @@
 	l.s.room.SetState(l.s.now(), l.place, admission.StateActive)
 	l.held = a.HeldBytes
 	l.s.room.SetBufferedBytes(l.place, l.held+l.buf.Len())
-	waited := max(l.s.waited(l.conn), l.s.now()-l.ahead.of(l.buf.Len(), l.s.now()))
+	waited := max(l.s.socketWait(l.conn), l.s.now()-l.ahead.of(l.buf.Len(), l.s.now()))
 	patience := min(a.TimeoutSeconds, longestS)
 	deadline := l.s.now() - waited + patience
 	cut := max(deadline-l.s.latestAnswer(), 0)
@@ -293,7 +293,7 @@
 		r.deadline += longestUploadS
 		l.pause(netio.ReportClose)
 		l.awaitUntil(l.s.now() + arrivalS - float64(len(a.Body.Buffered))/leastRate)
-		l.arrival = l.s.timers.at(l.s.now()+arrivalS, l.overdue)
+		l.arrival = l.s.timers.schedule(l.s.now()+arrivalS, l.overdue)
 	}
 	l.s.take(r, q)
 }
@@ -303,7 +303,7 @@
 	l.s.counters.Requests++
 	l.s.counters.end(class, throttled)
 	l.s.counters.TurnedAway++
-	l.s.notice("requests are turned away: " + why)
+	l.s.warnLimited("requests are turned away: " + why)
 	l.s.log.Debug("request turned away", "client", l.conn.RemoteAddr(), "why", why)
 	l.keep = false
 	l.client.Throttle(l.s.cfg.Settings.Policy.MaxRetryAfterSeconds)
@@ -400,7 +400,7 @@
 		return
 	}
 	if l.buf.Len() > 0 {
-		l.s.push(func(float64) { l.next() })
+		l.s.pushEvent(func(float64) { l.next() })
 	} else {
 		l.resume()
 	}
@@ -421,14 +421,14 @@
 	l.shut = true
 	l.s.room.SetState(now, l.place, admission.StateClosing)
 	l.s.room.SetBufferedBytes(l.place, 0)
-	l.linger = l.s.timers.at(now+lingerS, func() { l.leave(now + lingerMostS) })
+	l.linger = l.s.timers.schedule(now+lingerS, func() { l.leave(now + lingerMostS) })
 	l.s.net.CloseWrite(l.conn)
 }
 
 // leave closes a link that lingers once its client has been silent for a while, at the latest at the given time.
 func (l *ClientConn) leave(latest float64) {
 	if at := min(l.heardAt+lingerS, latest); at > l.s.now() {
-		l.linger = l.s.timers.at(at, func() { l.leave(latest) })
+		l.linger = l.s.timers.schedule(at, func() { l.leave(latest) })
 		return
 	}
 	l.s.closeConn(l.conn)
@@ -441,7 +441,7 @@
 }
 
 // ended takes the client's departure.
-func (l *ClientConn) ended(error) {
+func (l *ClientConn) onClose(error) {
 	l.conn = nil
 	l.s.timers.stop(l.linger)
 	l.endArrival()
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -33,16 +33,16 @@
 const serverRoom = 16
 
 // mostClients is how many client connections leave enough descriptors for the servers.
-func (s *Sidecar) mostClients() int { return s.mostLinks() * 3 / 4 }
+func (s *Sidecar) mostClients() int { return s.maxConns() * 3 / 4 }
 
 // beyondRoom is how many links beyond mostClients are taken for a word to their clients. Danger: each takes a descriptor
 // that an attempt may need.
-func (s *Sidecar) beyondRoom() int { return s.mostLinks() / 16 }
+func (s *Sidecar) beyondRoom() int { return s.maxConns() / 16 }
 
 // crowded tells whether client connections are so many that none is kept for its own sake. Danger: clients that ask once and
 // stay come to hold all the connections that the application may have, long before the descriptors here run out; its
 // other requests then find none. So from there on an answer is the last on its link.
-func (s *Sidecar) crowded() bool { return len(s.clients) > s.cfg.Limits.Sockets/s.parts/5 }
+func (s *Sidecar) crowded() bool { return len(s.clients) > s.cfg.Limits.Sockets/s.processes/5 }
 
 // admissionSettings are the operators' bounds, within the descriptors and the memory that there are; newcomers are client
 // links that are not in the room yet.
@@ -50,15 +50,17 @@
 	a := s.admission.Settings
 	a.ReservedForKnown = s.reserve()
 	// What servers hold is not there for clients.
-	a.MaxConns = max(min(s.mostClients(), s.mostLinks()-s.serverSide()+newcomers), a.ReservedForKnown)
+	a.MaxConns = max(min(s.mostClients(), s.maxConns()-s.serverSide()+newcomers), a.ReservedForKnown)
 	if a.MaxBufferedBytes == 0 {
-		a.MaxBufferedBytes = s.cfg.Limits.MemoryMB << 20 / s.parts / 4
+		a.MaxBufferedBytes = s.cfg.Limits.MemoryMB << 20 / s.processes / 4
 	}
 	return a
 }
 
 // serverSide is how many descriptors backend connections and to discovery hold, or may come to hold.
-func (s *Sidecar) serverSide() int { return s.conns - s.room.Len() - s.room.OverflowLen() + s.dialing }
+func (s *Sidecar) serverSide() int {
+	return s.openConns - s.room.Len() - s.room.OverflowLen() + s.dialDescriptorsHeld
+}
 
 // reserve is how many links are kept for known clients.
 func (s *Sidecar) reserve() int {
@@ -78,7 +80,7 @@
 	l.s, l.front, l.client, l.conn, l.openedAt, l.index = s, front, client, c, now, len(s.clients)
 	s.clients = append(s.clients, l)
 	s.counters.Accepted++
-	c.SetContext(link(l))
+	c.SetContext(connHandler(l))
 	var verdict admission.Verdict
 	bounds := s.admissionSettings(1)
 	s.room.SetLimits(bounds.MaxConns, bounds.ReservedForKnown)
@@ -102,10 +104,10 @@
 	switch {
 	case verdict == admission.OverLimit:
 		s.counters.OverCap++
-		s.notice("connections beyond the cap of an address or prefix are refused")
+		s.warnLimited("connections beyond the cap of an address or prefix are refused")
 		return false
-	case verdict == admission.TableFull && (s.room.OverflowLen() >= s.beyondRoom() || !s.hasRoom(s.reserve())):
-	case s.hasRoom(0) || s.makeRoom(0):
+	case verdict == admission.TableFull && (s.room.OverflowLen() >= s.beyondRoom() || !s.hasDescriptors(s.reserve())):
+	case s.hasDescriptors(0) || s.makeRoom(0):
 		if verdict == admission.TableFull {
 			l.overLimit = true
 			s.room.AdmitOverflow(l.place)
@@ -115,7 +117,7 @@
 	// Danger: the next accept would fail for want of a descriptor, and the loop would end. Not a byte of a request has
 	// been read from this link.
 	s.counters.NoRoom++
-	s.notice("connections are refused: there is no room for them")
+	s.warnLimited("connections are refused: there is no room for them")
 	s.log.Debug("client connection refused", "client", c.RemoteAddr(), "crowded", verdict == admission.TableFull, "links", s.room.Len())
 	return false
 }
@@ -157,7 +159,7 @@
 	case admission.StateNew, admission.StateIdle:
 		s.counters.Retired++
 	}
-	s.notice("connections that have no request out are closed to make room")
+	s.warnLimited("connections that have no request out are closed to make room")
 	s.log.Debug("client connection given up", "client", l.conn.RemoteAddr(), "state", l.stateName())
 	s.closeConn(l.conn)
 }
@@ -185,7 +187,7 @@
 	s := l.s
 	s.room.SetBufferedBytes(l.place, bytes)
 	for gone := s.room.BufferVictim(); gone != nil; gone = s.room.BufferVictim() {
-		s.notice("connections that hold much are closed: there is no memory for more")
+		s.warnLimited("connections that hold much are closed: there is no memory for more")
 		gone.Owner.(*ClientConn).giveUp()
 	}
 }
@@ -204,7 +206,7 @@
 	if old(admission.StateNew, now-silentS); s.crowded() {
 		old(admission.StateIdle, now-restS)
 	}
-	s.timers.at(now+sweepEveryS, s.sweep)
+	s.timers.schedule(now+sweepEveryS, s.sweep)
 }
 
 // unread has a link wait until its client has taken what is written. Danger: requests that are taken up while answers
@@ -217,7 +219,7 @@
 	l.hold(l.untaken + l.buf.Len())
 	if !s.flushing {
 		s.flushing = true
-		s.timers.at(now+flushEveryS, s.flush)
+		s.timers.schedule(now+flushEveryS, s.flush)
 	}
 }
 
@@ -252,13 +254,13 @@
 			l.afterAnswer()
 		case now > l.tookAt+unreadS && !l.flowed || now > l.unreadFrom+longestReadS && !l.flowed || now > l.tookAt+lagS:
 			s.counters.Unread++
-			s.notice("connections are closed whose clients do not read their answers")
+			s.warnLimited("connections are closed whose clients do not read their answers")
 			s.room.RecordWasted(place)
 			s.closeConn(l.conn)
 		}
 	})
 	if s.flushing = s.room.Oldest(admission.StateWriting) != nil; s.flushing {
-		s.timers.at(now+flushEveryS, s.flush)
+		s.timers.schedule(now+flushEveryS, s.flush)
 	}
 }
 
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -29,7 +29,7 @@
 		s.net.StopListening(s.gone)
 		return
 	}
-	s.timers.at(s.drainedAt+stragglersS, func() {
+	s.timers.schedule(s.drainedAt+stragglersS, func() {
 		// Danger: clients that are told to close come back on new connections for as long as these are accepted, and
 		// the end never comes.
 		s.net.StopListening(s.gone)
@@ -37,7 +37,7 @@
 }
 
 // gone is leave as a call of the loop's own.
-func (s *Sidecar) gone() { s.enter(s.leave) }
+func (s *Sidecar) gone() { s.runCallback(s.leave) }
 
 // endIdle ends the links that have had nothing to say for a while, and tells whether there are others.
 func (s *Sidecar) endIdle() (busy bool) {
@@ -58,7 +58,7 @@
 	now := s.now()
 	busy := s.endIdle() || s.counters.Open > 0
 	if busy && now < s.drainedAt+s.longestWait()+graceS {
-		s.timers.at(now+drainEveryS, s.leave)
+		s.timers.schedule(now+drainEveryS, s.leave)
 		return
 	}
 	if busy {
--- a/internal/sidecar/drills.go
+++ b/internal/sidecar/drills.go
@@ -65,7 +65,7 @@
 		return false
 	}
 	s.log.Info("drill hit", "drill", d.Name, "request_id", r.name)
-	r.delay = s.timers.at(now+heldFor(d, r.deadline-now), func() {
+	r.delay = s.timers.schedule(now+heldFor(d, r.deadline-now), func() {
 		switch {
 		case r.answered:
 		case d.Abort == "503": // nothing has run, which is what a throttle says
--- a/internal/sidecar/feed.go
+++ b/internal/sidecar/feed.go
@@ -85,7 +85,7 @@
 	if held, ok := s.hosts.Index(); ok && index < held {
 		return ErrStaleList
 	}
-	s.enter(func() { err = s.list(raw) })
+	s.runCallback(func() { err = s.list(raw) })
 	return err
 }
 
@@ -94,7 +94,7 @@
 
 // ConfirmList is for the loop.
 func (s *Sidecar) ConfirmList() {
-	s.enter(func() {
+	s.runCallback(func() {
 		was := s.watches()
 		s.passed.on = true
 		if s.listAt, s.listed = s.now(), true; s.watcher != nil && !s.passed.own {
@@ -108,7 +108,7 @@
 
 // ExpireList is for the loop.
 func (s *Sidecar) ExpireList() {
-	s.enter(func() {
+	s.runCallback(func() {
 		was := s.watches()
 		if s.passed.on = false; was && !s.watches() {
 			s.counters.ListFailed++
@@ -119,7 +119,7 @@
 
 // SetDirectWatch is for the loop.
 func (s *Sidecar) SetDirectWatch(on bool) {
-	s.enter(func() {
+	s.runCallback(func() {
 		if s.passed.own = on; on && s.watcher == nil && !s.stopping {
 			s.beginWatch()
 		}
@@ -128,7 +128,7 @@
 
 // InvalidateList is for the loop. Danger: what all were told wrong all ask about; the decisions know how to do that in turn.
 func (s *Sidecar) InvalidateList() {
-	s.enter(func() {
+	s.runCallback(func() {
 		if s.watcher != nil {
 			s.watcher.stop()
 		}
--- a/internal/sidecar/fit_test.go
+++ b/internal/sidecar/fit_test.go
@@ -30,8 +30,8 @@
 	by := &s.counters.attempts
 	answered := func() { by.count(policy.OK) }
 	assert.Empty(t, look(20, answered))
-	assert.Empty(t, look(20, func() { answered(); s.fit.stood += 0.2 }), "now and then is no harm")
-	assert.Equal(t, "starved of its core", look(6, func() { answered(); s.fit.stood += 0.5 }))
+	assert.Empty(t, look(20, func() { answered(); s.fitness.stalledSeconds += 0.2 }), "now and then is no harm")
+	assert.Equal(t, "starved of its core", look(6, func() { answered(); s.fitness.stalledSeconds += 0.5 }))
 	assert.Empty(t, look(20, answered))
 	assert.Empty(t, look(20, func() {}), "nothing to do")
 	assert.Equal(t, "cut off from boxes", look(8, func() { by.count(policy.ConnectFailed) }))
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/flow.go
@@ -48,7 +48,7 @@
 func (s *Sidecar) tend() {
 	if !s.flows.ticking {
 		s.flows.ticking = true
-		s.timers.at(s.now()+flowEveryS, s.lookAtFlows)
+		s.timers.schedule(s.now()+flowEveryS, s.lookAtFlows)
 	}
 }
 
@@ -65,7 +65,7 @@
 		}
 	}
 	if f.ticking = len(f.answers)+len(f.lagging) > 0; f.ticking {
-		s.timers.at(s.now()+flowEveryS, s.lookAtFlows)
+		s.timers.schedule(s.now()+flowEveryS, s.lookAtFlows)
 	}
 }
 
@@ -89,11 +89,11 @@
 		l.endArrival()
 		r.deadline = min(s.now()+r.patience, s.latestAnswer())
 		s.timers.stop(&r.safety)
-		s.timers.set(&r.safety, r.deadline+s.slack/2, r)
+		s.timers.start(&r.safety, r.deadline+s.responseSlackSeconds/2, r)
 		for _, e := range r.out {
-			e.until = r.deadline - s.answerRoom()
+			e.until = r.deadline - s.responseMargin()
 			s.timers.stop(&e.timer)
-			s.timers.set(&e.timer, e.until, e)
+			s.timers.start(&e.timer, e.until, e)
 		}
 	}
 	for _, e := range r.out {
@@ -189,7 +189,7 @@
 	f := &flow{s: s, e: e, link: l, client: r.client, origin: origin, heardAt: now, tookAt: now, from: now}
 	e.flow, r.flow, r.answered, result.Final = f, f, true, true
 	s.flows.answers = append(s.flows.answers, f)
-	s.queue = append(s.queue, event{ended: e, result: result})
+	s.events = append(s.events, event{endedAttempt: e, result: result})
 	origin.ForwardHead(e.exchange)
 	f.look()
 	s.tend()
@@ -283,7 +283,7 @@
 			l.close()
 		}
 	}
-	s.push(func(float64) { s.forget(r) })
+	s.pushEvent(func(float64) { s.forget(r) })
 	switch {
 	case how == served:
 		f.client.endFlow()
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -46,7 +46,7 @@
 // SetKeepAlive has the sidecar keep on a shelf what a successor needs, and obey what lies there. It comes before Start.
 func (s *Sidecar) SetStateStore(shelf StateStore) {
 	s.shelf = shelf
-	s.reserved += hotrestart.Descriptors
+	s.reservedDescriptors += hotrestart.Descriptors
 }
 
 // errSettings is why a state is not taken that was learned under others.
@@ -81,9 +81,9 @@
 	if st, ok := s.RestartState(); ok {
 		s.shelf.Save(st)
 	} else {
-		s.notice("the state for a successor is too large to be kept")
+		s.warnLimited("the state for a successor is too large to be kept")
 	}
-	s.timers.at(s.now()+max(saveEveryS, savePart*(s.net.Now()-began)), s.save)
+	s.timers.schedule(s.now()+max(saveEveryS, savePart*(s.net.Now()-began)), s.save)
 }
 
 // RestoreState goes on from another process's state, or leaves everything as it is. It comes before Start.
@@ -99,10 +99,10 @@
 	if err != nil {
 		return err
 	}
-	before := s.queue // the list that was last known, which is older
-	s.queue = nil
+	before := s.events // the list that was last known, which is older
+	s.events = nil
 	if err := s.listKnown(st.EndpointList); err != nil {
-		s.queue = before
+		s.events = before
 		return err
 	}
 	s.balancer = b
@@ -142,9 +142,9 @@
 
 // ShareLimits has the sidecar live by a part of its descriptors and memory while it has neighbours.
 func (s *Sidecar) ShareLimits(neighbours int) {
-	s.parts = neighbours + 1
-	s.log.Info("living by the limits", "processes", s.parts)
-	s.obeyLimits()
+	s.processes = neighbours + 1
+	s.log.Info("living by the limits", "processes", s.processes)
+	s.applyLimits()
 }
 
 // MarkReplaced tells that another process serves in this one's place: when this one ends, nobody depends on it to accept.
--- a/internal/sidecar/health.go
+++ b/internal/sidecar/health.go
@@ -7,7 +7,7 @@
 )
 
 // heartbeatEveryS is the time between two heartbeats of the event loop.
-const heartbeatEveryS = 0.1
+const heartbeatIntervalSeconds = 0.1
 
 // publishHealth tells the side port how the loop is, again and again. Danger: the port must answer while the loop stalls, so it
 // never asks the loop.
@@ -15,7 +15,7 @@
 	now := s.now()
 	s.health.Publish(health.Snapshot{TakenAt: now, ListReadAt: s.listAt, Started: s.listed, Draining: s.leaving(),
 		UsableServers: s.balancer.UsableHosts(now), Inflight: s.counters.Open})
-	s.timers.at(now+heartbeatEveryS, s.publishHealth)
+	s.timers.schedule(now+heartbeatIntervalSeconds, s.publishHealth)
 }
 
 // ListenSide opens the side port on the host of the listen address, if there is one.
--- a/internal/sidecar/operate.go
+++ b/internal/sidecar/operate.go
@@ -52,7 +52,7 @@
 		f.FleetMetrics = s.counted.Metrics()
 	}
 	s.figures.Store(f)
-	s.timers.at(now+publishEveryS, s.publish)
+	s.timers.schedule(now+publishEveryS, s.publish)
 }
 
 // CordonServer takes a server out of use until Online. The ban holds once it returns.
@@ -114,7 +114,7 @@
 	s.away = on
 	s.log.Info("drain by hand", "on", on, "links", len(s.clients))
 	if on {
-		s.timers.at(s.now()+stragglersS, s.thin)
+		s.timers.schedule(s.now()+stragglersS, s.thin)
 	}
 }
 
@@ -122,7 +122,7 @@
 func (s *Sidecar) thin() {
 	if s.away && !s.draining {
 		s.endIdle()
-		s.timers.at(s.now()+drainEveryS, s.thin)
+		s.timers.schedule(s.now()+drainEveryS, s.thin)
 	}
 }
 
--- a/internal/sidecar/place.go
+++ b/internal/sidecar/place.go
@@ -21,8 +21,8 @@
 
 // SetRank is for the loop. The decisions go by the new place from the next event on.
 func (s *Sidecar) SetRank(number, count int) {
-	s.enter(func() {
-		s.push(func(now float64) {
+	s.runCallback(func() {
+		s.pushEvent(func(now float64) {
 			s.capture.RecordReplica(now, number, count)
 			s.balancer.SetReplica(now, number, count)
 		})
@@ -30,7 +30,7 @@
 }
 
 // ReserveDescriptors keeps descriptors for what is no link of the sidecar's. It comes before Start.
-func (s *Sidecar) ReserveDescriptors(descriptors int) { s.reserved += descriptors }
+func (s *Sidecar) ReserveDescriptors(descriptors int) { s.reservedDescriptors += descriptors }
 
 // SetFleetStatus has the counters and the door's dump hold what a fleet says of itself; it is asked on the loop.
 func (s *Sidecar) SetFleetStatus(see func() any, counted MetricsSource) {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -67,7 +67,7 @@
 	}
 	d.exempt, d.floor = named(on.ExemptClasses), named(on.FloorClasses)
 	if on.SnapshotDir != "" {
-		s.reserved += quotas.WriterDescriptors
+		s.reservedDescriptors += quotas.WriterDescriptors
 	}
 	return d
 }
@@ -82,7 +82,7 @@
 		d.machine = quota.Restore(d.settings.Tree, d.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas), state, s.now())
 	}
 	d.disk = quotas.NewSnapshotWriter(d.settings.SnapshotDir, s.log)
-	s.timers.at(s.now()+d.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
+	s.timers.schedule(s.now()+d.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
 }
 
 // snapshotQuotas hands a copy of the quotas' state to the disk, again and again.
@@ -90,7 +90,7 @@
 	if s.quotas.disk.IsReady() {
 		s.quotas.disk.Write(s.quotas.machine.State())
 	}
-	s.timers.at(s.now()+s.quotas.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
+	s.timers.schedule(s.now()+s.quotas.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
 }
 
 // endQuotas writes the last snapshot, once the loop has gone.
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -31,7 +31,7 @@
 	}
 	if cfg.Limits != old.Limits {
 		old.Limits = cfg.Limits
-		s.obeyLimits()
+		s.applyLimits()
 	}
 	s.log.Info("configuration read", "discovery", cfg.Discovery, "before", old.Discovery)
 	if cfg.Discovery != old.Discovery {
@@ -41,10 +41,10 @@
 }
 
 // obeyLimits passes on what the limits say.
-func (s *Sidecar) obeyLimits() {
+func (s *Sidecar) applyLimits() {
 	if s.OnLimitsChange != nil {
 		l := s.cfg.Limits
-		l.MemoryMB /= s.parts
+		l.MemoryMB /= s.processes
 		s.OnLimitsChange(l)
 	}
 }
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -46,7 +46,7 @@
 	s.counters.Open++
 	q.ID = r.id
 	// Whatever the decisions do, the client gets its one answer in time.
-	s.timers.set(&r.safety, r.deadline+s.slack/2, r)
+	s.timers.start(&r.safety, r.deadline+s.responseSlackSeconds/2, r)
 	held := func(seconds float64) {
 		q.HeldBackSeconds += seconds
 		s.arrive(r, q)
@@ -75,7 +75,7 @@
 	give()
 	s.settleQuota(r)
 	if len(r.out) == 0 {
-		s.push(func(float64) { s.forget(r) })
+		s.pushEvent(func(float64) { s.forget(r) })
 	}
 }
 
@@ -163,7 +163,7 @@
 
 // tellAbandoned tells the decisions that nothing is owed to a request any more.
 func (s *Sidecar) tellAbandoned(r *request) {
-	s.push(func(now float64) {
+	s.pushEvent(func(now float64) {
 		s.capture.RecordAbandoned(now, r.id, r.label())
 		s.balancer.Abandoned(now, r.id)
 	})
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -26,77 +26,77 @@
 const (
 	// probeWaitS is how long a probe is waited for. A probe queues at its server like a request; one that
 	// takes longer tells the decisions of a line that no request would get through in time.
-	probeWaitS = 0.4
+	probeTimeoutSeconds = 0.4
 	// mostAnswerRoomS is kept of a deadline for writing the answer, so that it is in time.
-	mostAnswerRoomS = 0.005
+	maxResponseMarginSeconds = 0.005
 	// spareDescriptors are left for what is no link: standard streams, the listener, the pollers.
-	spareDescriptors = 24
+	baseDescriptors = 24
 )
 
 // Sidecar is the program's state. It belongs to the event loop.
 type Sidecar struct {
-	cfg      sidecarconfig.Config
-	log      *slog.Logger
-	net      netio.EventLoop
-	timers   timers
-	wake     timer // of the decisions
-	counters counters
-	late     lateness
-	firing   bool // the timers that are due are fired soon
+	cfg             sidecarconfig.Config
+	log             *slog.Logger
+	net             netio.EventLoop
+	timers          timers
+	wakeTimer       timer // of the decisions
+	counters        counters
+	loopDelay       loopDelay
+	timersScheduled bool // the timers that are due are fired soon
 
-	balancer *policy.Balancer
-	hosts    *endpointset.Set
-	classes  map[string]int
-	eventAt  float64 // the time of the event that the decisions handle
-	queue    []event
-	depth    int     // of callbacks within each other
-	at       float64 // the time of the outermost
+	balancer      *policy.Balancer
+	hosts         *endpointset.Set
+	classes       map[string]int
+	eventAt       float64 // the time of the event that the decisions handle
+	events        []event
+	callbackDepth int     // of callbacks within each other
+	callbackAt    float64 // the time of the outermost
 
-	arrivals  arrivals
-	requests  map[uint32]*request
-	named     map[string]*request // by their clients' ids
-	lastID    uint32
-	fronts    []Frontend
-	prober    Frontend
-	clients   []*ClientConn
-	room      *admission.ConnTable
-	flushing  bool // answers are looked after that clients have not taken
-	notices   notices
-	idle      map[uint32][]*backendConn
-	settling  settling
-	starved   []*attempt // that wait for a link or a descriptor
-	watcher   *watcher
-	passed    passed
-	admission featureconfig.Admission
-	drills    *faultinjection.Injector
-	together  FaultObserver  // is told of drills that are started here; nil: nobody is
-	health    *health.Server // nil: there is no side port
-	listAt    float64        // when anything was last read from discovery
-	listed    bool           // a list has been read from discovery
-	listFault string         // of discovery's last object, which made no sense; empty: it did
-	capture   *capture.Recorder
-	quotas    *quotaDesk // nil: there are none
-	reserved  int        // descriptors that are kept for features
-	slack     float64
+	arrivals             arrivals
+	requests             map[uint32]*request
+	named                map[string]*request // by their clients' ids
+	lastID               uint32
+	fronts               []Frontend
+	prober               Frontend
+	clients              []*ClientConn
+	room                 *admission.ConnTable
+	flushing             bool // answers are looked after that clients have not taken
+	logLimiter           logLimiter
+	idle                 map[uint32][]*backendConn
+	settling             settling
+	starved              []*attempt // that wait for a link or a descriptor
+	watcher              *watcher
+	passed               passed
+	admission            featureconfig.Admission
+	drills               *faultinjection.Injector
+	together             FaultObserver  // is told of drills that are started here; nil: nobody is
+	health               *health.Server // nil: there is no side port
+	listAt               float64        // when anything was last read from discovery
+	listed               bool           // a list has been read from discovery
+	listFault            string         // of discovery's last object, which made no sense; empty: it did
+	capture              *capture.Recorder
+	quotas               *quotaDesk // nil: there are none
+	reservedDescriptors  int        // descriptors that are kept for features
+	responseSlackSeconds float64
 
-	conns     int // connections that gnet holds
-	dialing   int // descriptors that dials may hold
-	scratch   []byte
-	flows     flows
-	draining  bool
-	away      bool // drained by the operators
-	succeeded bool // another process serves in this one's place
-	shelf     StateStore
-	counted   MetricsSource // a fleet's figures; nil: there is none
-	fleet     func() any    // what a fleet says of itself; nil: there is none
-	times     *times        // nil: nobody asks for them
-	fit       fitness
-	works     *boxWork // nil: no work on boxes is settled
-	hash      string   // of the settings, once it was asked for
-	parts     int      // processes that live by the limits together
-	figures   atomic.Pointer[StatusSnapshot]
-	drainedAt float64
-	stopping  bool
+	openConns           int // connections that gnet holds
+	dialDescriptorsHeld int // descriptors that dials may hold
+	scratch             []byte
+	flows               flows
+	draining            bool
+	away                bool // drained by the operators
+	succeeded           bool // another process serves in this one's place
+	shelf               StateStore
+	counted             MetricsSource // a fleet's figures; nil: there is none
+	fleet               func() any    // what a fleet says of itself; nil: there is none
+	times               *times        // nil: nobody asks for them
+	fitness             fitness
+	works               *boxWork // nil: no work on boxes is settled
+	hash                string   // of the settings, once it was asked for
+	processes           int      // processes that live by the limits together
+	figures             atomic.Pointer[StatusSnapshot]
+	drainedAt           float64
+	stopping            bool
 
 	// Limits, if it is set, is told of the limits at the start and at each change.
 	OnLimitsChange func(sidecarconfig.Limits)
@@ -109,9 +109,9 @@
 func New(cfg sidecarconfig.Config, on featureconfig.Features, fronts []Frontend, loop netio.EventLoop, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, lastID: 1,
 		requests: map[uint32]*request{}, named: map[string]*request{}, idle: map[uint32][]*backendConn{},
-		hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), slack: cfg.Settings.AnswerSlackS,
-		admission: on.Admission, notices: notices{}, drills: faultinjection.New(on.Drills), fronts: fronts, shelf: noStateStore{}, parts: 1}
-	s.timers.tick = int64(s.now() / slotS)
+		hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), responseSlackSeconds: cfg.Settings.AnswerSlackS,
+		admission: on.Admission, logLimiter: logLimiter{}, drills: faultinjection.New(on.Drills), fronts: fronts, shelf: noStateStore{}, processes: 1}
+	s.timers.currentSlot = int64(s.now() / slotSeconds)
 	for _, f := range fronts {
 		if f.NewProbe() != nil {
 			s.prober = f
@@ -119,10 +119,10 @@
 	}
 	if s.listAt = s.now(); on.Health.IsEnabled() {
 		s.health = health.New(on.Health, loop.Now, log)
-		s.reserved += health.Descriptors
+		s.reservedDescriptors += health.Descriptors
 	}
 	if cfg.Ops != "" {
-		s.reserved += AdminDescriptors
+		s.reservedDescriptors += AdminDescriptors
 	}
 	s.quotas = s.newQuotas(on.Quotas)
 	s.room = admission.NewConnTable(admission.Settings{})
@@ -141,7 +141,7 @@
 			return nil, err
 		}
 		if on.Capture.Dir != "" {
-			s.reserved += capture.WriterDescriptors
+			s.reservedDescriptors += capture.WriterDescriptors
 		}
 	}
 	if len(cfg.Known) > 0 {
@@ -158,13 +158,15 @@
 }
 
 // answerRoom is how long before its deadline a request's wait ends.
-func (s *Sidecar) answerRoom() float64 { return min(mostAnswerRoomS, s.slack) }
+func (s *Sidecar) responseMargin() float64 {
+	return min(maxResponseMarginSeconds, s.responseSlackSeconds)
+}
 
 // Start begins work.
 func (s *Sidecar) Start() {
-	s.timers.alarm = s.net.SetAlarm
-	s.enter(func() {
-		s.obeyLimits()
+	s.timers.setAlarm = s.net.SetAlarm
+	s.runCallback(func() {
+		s.applyLimits()
 		s.sweep()
 		if s.health != nil {
 			s.publishHealth()
@@ -174,7 +176,7 @@
 		}
 		if _, none := s.shelf.(noStateStore); !none {
 			s.ReconcileOperatorState()
-			s.push(func(float64) { s.save() })
+			s.pushEvent(func(float64) { s.save() })
 		}
 		if !s.cfg.Settings.Policy.ListOnDemand {
 			s.watch()
@@ -189,11 +191,11 @@
 
 // OpenRequests takes a connection: one that was dialed brings its link, any other is a client's.
 func (s *Sidecar) Open(c netio.Conn) bool {
-	s.conns++
+	s.openConns++
 	keep := true
-	s.within(c, func() {
-		if l, dialed := c.Context().(link); dialed {
-			l.opened(c)
+	s.runConnCallback(c, func() {
+		if l, dialed := c.Context().(connHandler); dialed {
+			l.onOpen(c)
 		} else {
 			keep = s.accept(c)
 		}
@@ -203,18 +205,18 @@
 
 // Traffic hands what has been received to the connection's link.
 func (s *Sidecar) Traffic(c netio.Conn, data []byte) {
-	if l, ok := c.Context().(link); ok {
-		s.within(c, func() { l.traffic(data) })
+	if l, ok := c.Context().(connHandler); ok {
+		s.runConnCallback(c, func() { l.onData(data) })
 	}
 }
 
 // Closed tells the connection's link.
 func (s *Sidecar) Closed(c netio.Conn, err error) {
-	s.conns--
-	if l, ok := c.Context().(link); ok {
-		s.enter(func() {
-			if l.ended(err); len(s.starved) > 0 {
-				s.push(func(float64) { s.feedDials() })
+	s.openConns--
+	if l, ok := c.Context().(connHandler); ok {
+		s.runCallback(func() {
+			if l.onClose(err); len(s.starved) > 0 {
+				s.pushEvent(func(float64) { s.feedDials() })
 			}
 		})
 	}
@@ -222,75 +224,75 @@
 
 // Alarm comes when timers are due.
 func (s *Sidecar) Alarm() {
-	s.enter(func() { s.timers.armed = 0 })
+	s.runCallback(func() { s.timers.alarmAt = 0 })
 }
 
 // link is what a connection belongs to.
-type link interface {
-	opened(c netio.Conn)
-	traffic(data []byte)
-	ended(err error)
+type connHandler interface {
+	onOpen(c netio.Conn)
+	onData(data []byte)
+	onClose(err error)
 }
 
 // within runs a callback of a connection; a panic in it costs the connection and nothing more.
-func (s *Sidecar) within(c netio.Conn, f func()) {
-	s.enter(func() {
-		if s.guard(f) {
+func (s *Sidecar) runConnCallback(c netio.Conn, f func()) {
+	s.runCallback(func() {
+		if s.recoverPanic(f) {
 			s.closeConn(c)
 		}
 	})
 }
 
 // Do calls f on the loop, with what follows from it; it may be called from anywhere.
-func (s *Sidecar) Do(f func()) { s.net.Post(func() { s.enter(f) }) }
+func (s *Sidecar) Do(f func()) { s.net.Post(func() { s.runCallback(f) }) }
 
 // enter wraps every callback on the loop: a panic stops here, and the outermost drains the queue and has the timers
 // fired that are due. Until it ends the time is that of its beginning.
-func (s *Sidecar) enter(f func()) {
-	if s.depth++; s.depth > 1 {
-		s.guard(f)
-		s.depth--
+func (s *Sidecar) runCallback(f func()) {
+	if s.callbackDepth++; s.callbackDepth > 1 {
+		s.recoverPanic(f)
+		s.callbackDepth--
 		return
 	}
-	s.at = s.net.Now()
-	s.noteStall(s.at)
-	s.guard(f)
-	s.settle()
-	s.depth--
-	s.late.turnedAt = s.at
-	if s.timers.due(s.at) && !s.firing {
-		s.firing = true
-		s.net.Yield(s.fire)
+	s.callbackAt = s.net.Now()
+	s.detectStall(s.callbackAt)
+	s.recoverPanic(f)
+	s.handleEvents()
+	s.callbackDepth--
+	s.loopDelay.lastCallbackAt = s.callbackAt
+	if s.timers.isDue(s.callbackAt) && !s.timersScheduled {
+		s.timersScheduled = true
+		s.net.Yield(s.fireTimers)
 	}
 	s.timers.arm()
 }
 
 // now returns the time: of the present callback, or of the timer that fires.
 func (s *Sidecar) now() float64 {
-	if s.depth == 0 {
+	if s.callbackDepth == 0 {
 		return s.net.Now()
 	}
-	return s.at
+	return s.callbackAt
 }
 
 // fire fires the timers that are due, in their order. Danger: the answer that an attempt waits for may be there
 // already, unread while the loop was busy or stood still; given up for late it accuses a host that was in time. So the
 // loop looks at its connections first.
-func (s *Sidecar) fire() {
-	s.enter(func() {
-		s.firing = false
-		for s.timers.due(s.at) {
+func (s *Sidecar) fireTimers() {
+	s.runCallback(func() {
+		s.timersScheduled = false
+		for s.timers.isDue(s.callbackAt) {
 			t := s.timers.pop()
-			s.counters.LateMS = max(s.counters.LateMS, (s.at-t.at)*1000)
-			s.guard(t.who.expire)
-			s.settle()
-			s.at = s.net.Now()
+			s.counters.LateMS = max(s.counters.LateMS, (s.callbackAt-t.dueAt)*1000)
+			s.recoverPanic(t.target.expire)
+			s.handleEvents()
+			s.callbackAt = s.net.Now()
 		}
 	})
 }
 
 // guard calls f; a panic is logged and counted, and true is returned.
-func (s *Sidecar) guard(f func()) (failed bool) {
+func (s *Sidecar) recoverPanic(f func()) (failed bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			failed = true
@@ -303,13 +305,13 @@
 }
 
 // hasRoom tells whether n more descriptors can be held.
-func (s *Sidecar) hasRoom(n int) bool {
-	return s.conns+s.dialing+n <= s.mostLinks()
+func (s *Sidecar) hasDescriptors(n int) bool {
+	return s.openConns+s.dialDescriptorsHeld+n <= s.maxConns()
 }
 
 // mostLinks is how many descriptors links may hold.
-func (s *Sidecar) mostLinks() int {
-	return s.cfg.Limits.Sockets/s.parts - spareDescriptors - s.reserved
+func (s *Sidecar) maxConns() int {
+	return s.cfg.Limits.Sockets/s.processes - baseDescriptors - s.reservedDescriptors
 }
 
 // closeConn closes a connection at once; nil is none.
@@ -321,7 +323,7 @@
 
 // Counters returns the counters as JSON. Once the loop has ended it may be called from outside.
 func (s *Sidecar) Counters() []byte {
-	s.counters.Descriptors = s.conns + s.dialing
+	s.counters.Descriptors = s.openConns + s.dialDescriptorsHeld
 	s.counters.DrillHits, s.counters.Capture = s.drills.HitCounts(), s.capture.Stats()
 	s.counters.Quotas = s.quotaCounters()
 	if s.fleet != nil {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -80,7 +80,7 @@
 	require.NoError(t, err)
 	require.NoError(t, s.list([]byte(`{"index":1,"snapshot":true,"endpoints":[{"name":"s-00000007","address":"a","status":"SERVING"}]}`)))
 	s.admission.ReservedForKnown = 1
-	s.cfg.Limits.Sockets = spareDescriptors + s.reserved + s.reserve() + dialDescriptors // room for one dial
+	s.cfg.Limits.Sockets = baseDescriptors + s.reservedDescriptors + s.reserve() + dialDescriptors // room for one dial
 	for range 2 {
 		s.dial(s.hosts.Host(7), &attempt{s: s, host: 7, until: testNow + 10, front: listedFront{}, second: true})
 	}
@@ -103,19 +103,19 @@
 func TestEnter(t *testing.T) {
 	s := newTestSidecar(t)
 	var order []int
-	s.enter(func() {
-		s.push(func(float64) {
+	s.runCallback(func() {
+		s.pushEvent(func(float64) {
 			order = append(order, 1)
-			s.push(func(float64) { order = append(order, 2) })
+			s.pushEvent(func(float64) { order = append(order, 2) })
 			panic("in an event")
 		})
-		s.enter(func() { s.push(func(float64) { order = append(order, 3) }) })
+		s.runCallback(func() { s.pushEvent(func(float64) { order = append(order, 3) }) })
 		order = append(order, 0)
 		now := s.now()
-		s.timers.at(now-1, func() { order = append(order, 5) })
-		s.timers.at(now-2, func() { order = append(order, 4) })
-		s.timers.stop(s.timers.at(now-3, func() { order = append(order, 9) }))
-		s.timers.at(now+1000, func() { order = append(order, 9) })
+		s.timers.schedule(now-1, func() { order = append(order, 5) })
+		s.timers.schedule(now-2, func() { order = append(order, 4) })
+		s.timers.stop(s.timers.schedule(now-3, func() { order = append(order, 9) }))
+		s.timers.schedule(now+1000, func() { order = append(order, 9) })
 		panic("in a callback")
 	})
 	assert.Equal(t, []int{0, 1, 3, 2, 4, 5}, order)
--- a/internal/sidecar/starved.go
+++ b/internal/sidecar/starved.go
@@ -9,7 +9,7 @@
 // starve has an attempt wait.
 func (s *Sidecar) starve(e *attempt) {
 	s.counters.Starved++
-	s.notice("attempts wait for a descriptor")
+	s.warnLimited("attempts wait for a descriptor")
 	s.starved = append(s.starved, e)
 }
 
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -71,14 +71,14 @@
 	w := &watcher{s: s, parser: http1.NewResponseParser(http1.Limits{Head: MaxHeadBytes, Body: mostList})}
 	s.watcher = w
 	s.counters.Watches++
-	w.alive = s.timers.at(now+headWaitS, func() { w.fail(errSilent) })
+	w.alive = s.timers.schedule(now+headWaitS, func() { w.fail(errSilent) })
 	// Danger: a first object that comes byte by byte would keep the watch from being up, and from being opened anew, for ever.
-	w.first = s.timers.at(now+headWaitS+silenceS, func() { w.fail(errSilent) })
+	w.first = s.timers.schedule(now+headWaitS+silenceS, func() { w.fail(errSilent) })
 	w.stopDial = s.connect(s.cfg.Discovery, now+s.cfg.Settings.ConnectTimeoutS, w, w.fail)
 }
 
 // opened asks for the changes since the list that is held.
-func (w *watcher) opened(c netio.Conn) {
+func (w *watcher) onOpen(c netio.Conn) {
 	w.conn = c
 	if w.over {
 		w.s.closeConn(c)
@@ -94,7 +94,7 @@
 }
 
 // traffic takes the lines that have come.
-func (w *watcher) traffic(data []byte) {
+func (w *watcher) onData(data []byte) {
 	if w.over {
 		return
 	}
@@ -123,7 +123,7 @@
 	}
 	if w.parser.HeadRead() {
 		w.s.timers.stop(w.alive)
-		w.alive = w.s.timers.at(w.s.now()+silenceS, func() { w.fail(errSilent) })
+		w.alive = w.s.timers.schedule(w.s.now()+silenceS, func() { w.fail(errSilent) })
 	}
 }
 
@@ -247,7 +247,7 @@
 
 // tellHosts tells the decisions of a list.
 func (s *Sidecar) tellHosts(kind policy.ListKind, infos []policy.HostInfo) {
-	s.push(func(now float64) {
+	s.pushEvent(func(now float64) {
 		s.capture.RecordHosts(now, kind, infos)
 		s.balancer.UpdateHosts(now, kind, infos)
 	})
@@ -283,7 +283,7 @@
 			s.passed.to.WatchEnded()
 		}
 		if s.passed.own {
-			s.timers.at(s.now()+rewatchS, s.again)
+			s.timers.schedule(s.now()+rewatchS, s.again)
 		}
 		if s.passed.on { // what others pass on takes its place
 			return
@@ -298,7 +298,7 @@
 		s.tellHosts(policy.ListFailed, nil)
 		return
 	}
-	s.timers.at(s.now()+s.rewatchWait(), s.watch)
+	s.timers.schedule(s.now()+s.rewatchWait(), s.watch)
 }
 
 // rewatchWait returns how long a watch that the decisions never ask for stays away after it has failed.
@@ -310,7 +310,7 @@
 }
 
 // ended takes the end of the connection.
-func (w *watcher) ended(err error) {
+func (w *watcher) onClose(err error) {
 	w.conn = nil
 	if err == nil {
 		err = errEnded
--- a/internal/sidecar/works.go
+++ b/internal/sidecar/works.go
@@ -130,11 +130,11 @@
 		return
 	}
 	s.log.Info("servers that are out by agreement", "servers", names)
-	if s.timers.alarm == nil { // it has not begun: the decisions are told with the first event
+	if s.timers.setAlarm == nil { // it has not begun: the decisions are told with the first event
 		s.tellHosts(policy.ListCached, infos)
 		return
 	}
-	s.enter(func() { s.retell(infos...) })
+	s.runCallback(func() { s.retell(infos...) })
 }
 
 // MaintainedServers is for the loop.
