--- a/internal/sidecar/arrival_test.go
+++ b/internal/sidecar/arrival_test.go
@@ -42,9 +42,9 @@
 	require.NoError(t, err)
 	s.timers.setAlarm = n.Alarm
 	s.runCallback(func() {
-		l := &ClientConn{s: s, client: client, conn: &testConn{}, openedAt: testNow}
-		l.place, _ = s.room.Add(testNow, netip.MustParseAddr("127.0.0.1"), l)
-		l.await()
+		l := &ClientConn{sidecar: s, codec: client, conn: &testConn{}, openedAt: testNow}
+		l.slot, _ = s.connAdmission.Add(testNow, netip.MustParseAddr("127.0.0.1"), l)
+		l.awaitArrival()
 	})
 	return n, client, s
 }
@@ -70,9 +70,9 @@
 	const again = 0.11 // after which an overdue request is looked at again, in seconds
 	t.Run("the client is late", func(t *testing.T) {
 		n, client, s := partialRequest(t)
-		n.turnUntil(s, arrivalS)
+		n.turnUntil(s, arrivalTimeoutSeconds)
 		assert.NoError(t, client.declined)
-		n.turnUntil(s, arrivalS+again)
+		n.turnUntil(s, arrivalTimeoutSeconds+again)
 		assert.ErrorIs(t, client.declined, ErrRequestTimeout)
 	})
 	t.Run("the loop stood still", func(t *testing.T) {
@@ -80,10 +80,10 @@
 		n.turnUntil(s, 1)
 		n.standUntil(s, 4)
 		stood := s.fitness.stalledSeconds
-		assert.GreaterOrEqual(t, stood, 4-arrivalS, "the request was due by then, if nothing else was")
-		n.turnUntil(s, arrivalS+stood-0.01)
+		assert.GreaterOrEqual(t, stood, 4-arrivalTimeoutSeconds, "the request was due by then, if nothing else was")
+		n.turnUntil(s, arrivalTimeoutSeconds+stood-0.01)
 		assert.NoError(t, client.declined)
-		n.turnUntil(s, arrivalS+stood+again)
+		n.turnUntil(s, arrivalTimeoutSeconds+stood+again)
 		assert.ErrorIs(t, client.declined, ErrRequestTimeout)
 	})
 }
--- a/internal/sidecar/arrivaltimes.go
+++ b/internal/sidecar/arrivaltimes.go
@@ -1,13 +1,13 @@
 package sidecar
 
 // sameArrivalS is the time within which bytes count as having come together.
-const sameArrivalS = 0.001
+const mergeArrivalsSeconds = 0.001
 
 // arrivalTimes tells when the bytes of a connection came that are still buffered. A request's time counts from its last byte; one
 // that was sent behind another may lie in the buffer for as long as that takes.
 type arrivalTimes struct {
-	came  uint64 // bytes in all
-	marks []arrivalMark
+	totalBytes uint64 // bytes in all
+	marks      []arrivalMark
 }
 
 // arrivalMark says when the bytes up to a place came.
@@ -18,21 +18,21 @@
 
 // add notes that bytes have come.
 func (t *arrivalTimes) add(n int, now float64) {
-	t.came += uint64(n)
-	if last := len(t.marks) - 1; last >= 0 && now-t.marks[last].at < sameArrivalS {
-		t.marks[last].end = t.came
+	t.totalBytes += uint64(n)
+	if last := len(t.marks) - 1; last >= 0 && now-t.marks[last].at < mergeArrivalsSeconds {
+		t.marks[last].end = t.totalBytes
 		return
 	}
-	t.marks = append(t.marks, arrivalMark{t.came, now})
+	t.marks = append(t.marks, arrivalMark{t.totalBytes, now})
 }
 
 // restart forgets when earlier bytes came: none of them waits for an answer to what came before it.
-func (t *arrivalTimes) restart() { t.marks = t.marks[:0] }
+func (t *arrivalTimes) reset() { t.marks = t.marks[:0] }
 
 // of returns when the last byte came that has been taken from the buffer, of which so many are left, and forgets those before it; now
 // where that is not known.
-func (t *arrivalTimes) of(left int, now float64) float64 {
-	taken := t.came - uint64(left)
+func (t *arrivalTimes) arrivedAt(left int, now float64) float64 {
+	taken := t.totalBytes - uint64(left)
 	passed := 0
 	for passed < len(t.marks)-1 && t.marks[passed].end < taken {
 		passed++
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -72,7 +72,7 @@
 		if l == nil {
 			return nil
 		}
-		if l.restedAt > rested && s.hasDescriptors(dialDescriptors+s.reserve()) {
+		if l.restedAt > rested && s.hasDescriptors(dialDescriptors+s.reservedClientSlots()) {
 			return nil
 		}
 		// Danger: a request written to a link that its server has closed is lost; one written behind unread bytes
@@ -115,7 +115,7 @@
 // dial opens a link for an attempt.
 func (s *Sidecar) dial(h *endpointset.Host, e *attempt) {
 	// Danger: attempts that take the last descriptors shut out who comes next, whoever that is.
-	if !s.makeRoom(dialDescriptors + s.reserve()) {
+	if !s.makeRoom(dialDescriptors + s.reservedClientSlots()) {
 		s.starve(e)
 		return
 	}
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -28,108 +28,108 @@
 
 const (
 	// mostAhead is what a client may send while its request is out; one that sends more is cut off.
-	mostAhead = MaxHeadBytes + MaxBodyBytes
+	maxInputBytes = MaxHeadBytes + MaxBodyBytes
 	// lingerS is how long a link that said its last is read on after the last bytes: closing it on bytes that
 	// nobody has read would reset it, and the client could lose the answer. lingerMostS bounds it in all.
-	lingerS     = 1.0
-	lingerMostS = 4.0
+	lingerSeconds    = 1.0
+	maxLingerSeconds = 4.0
 	// arrivalS is how long a request may take to arrive once it has begun; a client that never ends one
 	// would hold a descriptor for ever. The first on a link has arrived firstS after the link was opened.
-	arrivalS = 2.5
+	arrivalTimeoutSeconds = 2.5
 	// leastRate bytes a second on the whole are what a longer body has to bring beyond that.
-	leastRate = 32 << 10
+	minBytesPerSecond = 32 << 10
 	// longestUploadS bounds it in all.
-	longestUploadS = 120.0
-	firstS         = 2.8
+	maxUploadSeconds           = 120.0
+	firstRequestTimeoutSeconds = 2.8
 	// longestS bounds what a client may ask us to wait.
-	longestS = 3600.0
+	maxRequestTimeoutSeconds = 3600.0
 )
 
 // ClientConn is a connection from the application, one request at a time, in what is the same in all protocols. The
 // protocol's part is its Client, which holds it.
 type ClientConn struct {
-	s         *Sidecar
-	front     Frontend
-	client    ClientCodec
-	conn      netio.Conn
-	index     int // in Sidecar.clients
-	place     *admission.Conn
-	buf       buffer.Buffer
-	ahead     arrivalTimes // of what is in buf and waits for the answer to what came before it
-	request   *request     // the one that is out
-	keep      bool         // the client wants the link kept after it
-	last      bool         // the last answer is written
-	shut      bool         // and no byte is left to send
-	overLimit bool         // the link is beyond the limit on descriptors
-	linger    *timer
-	arrival   *timer  // of the request that is on its way in
-	arriving  float64 // when the time for it began to count
-	stood     float64 // how long the loop had stood still in all by then, in seconds
-	openedAt  float64
-	answered  bool    // it has brought a request
-	heardAt   float64 // when bytes last came after it was shut
-
-	unreadFrom float64 // since when an answer waits for the client
-	tookAt     float64 // when the client last took a byte of it
-	untaken    int     // what it has not taken
-	held       int     // bytes of the request that is out
-	flowed     bool    // the answer that waits came in pieces
-	flowLast   bool    // and is the last on the link
-	paused     bool    // what comes stays in the socket
+	sidecar         *Sidecar
+	frontend        Frontend
+	codec           ClientCodec
+	conn            netio.Conn
+	index           int // in Sidecar.clients
+	slot            *admission.Conn
+	input           buffer.Buffer
+	arrivals        arrivalTimes // of what is in buf and waits for the answer to what came before it
+	request         *request     // the one that is out
+	keepAlive       bool         // the client wants the link kept after it
+	isLastWritten   bool         // the last answer is written
+	isWriteClosed   bool         // and no byte is left to send
+	isOverLimit     bool         // the link is beyond the limit on descriptors
+	lingerTimer     *timer
+	arrivalTimer    *timer  // of the request that is on its way in
+	arrivalDeadline float64 // when the time for it began to count
+	stalledBefore   float64 // how long the loop had stood still in all by then, in seconds
+	openedAt        float64
+	hasAnswered     bool    // it has brought a request
+	lastDataAt      float64 // when bytes last came after it was shut
+
+	unreadSince  float64 // since when an answer waits for the client
+	lastReadAt   float64 // when the client last took a byte of it
+	unreadBytes  int     // what it has not taken
+	requestBytes int     // bytes of the request that is out
+	isStreamed   bool    // the answer that waits came in pieces
+	isStreamLast bool    // and is the last on the link
+	isPaused     bool    // what comes stays in the socket
 }
 
 // Base is what a protocol's part has from the ClientConn that it holds.
 func (l *ClientConn) Base() *ClientConn { return l }
 
 // leaveClients takes the link from the sidecar's.
-func (l *ClientConn) leaveClients() {
-	all := l.s.clients
+func (l *ClientConn) removeFromClients() {
+	all := l.sidecar.clients
 	last := all[len(all)-1]
 	all[l.index], last.index = last, l.index
 	all[len(all)-1] = nil
-	l.s.clients = all[:len(all)-1]
-	l.s.room.Remove(l.place)
+	l.sidecar.clients = all[:len(all)-1]
+	l.sidecar.connAdmission.Remove(l.slot)
 }
 
 func (l *ClientConn) onOpen(netio.Conn) {}
 
 // traffic reads what the client says.
 func (l *ClientConn) onData(data []byte) {
-	if l.last {
-		l.heardAt = l.s.now()
+	if l.isLastWritten {
+		l.lastDataAt = l.sidecar.now()
 		return
 	}
-	l.buf.Write(data)
-	if r := l.request; r == nil && l.untaken == 0 || r != nil && r.uploading() {
-		l.ahead.restart()
+	l.input.Write(data)
+	if r := l.request; r == nil && l.unreadBytes == 0 || r != nil && r.uploading() {
+		l.arrivals.reset()
 	}
-	l.ahead.add(len(data), l.s.now())
+	l.arrivals.add(len(data), l.sidecar.now())
 	if r := l.request; r != nil && r.uploading() {
-		l.upload(r)
+		l.forwardUpload(r)
 		return
 	}
-	if l.request != nil || l.untaken > 0 {
+	if l.request != nil || l.unreadBytes > 0 {
 		switch {
-		case l.buf.Len() > mostAhead: // reading can't be paused here
-			l.s.closeConn(l.conn)
-		case l.buf.Len() > aheadBytes:
-			l.pause(l.endsWhilePaused())
-			l.hold(l.buf.Len() + l.held + l.untaken)
+		case l.input.Len() > maxInputBytes: // reading can't be paused here
+			l.sidecar.closeConn(l.conn)
+		case l.input.Len() > maxPipelinedBytes:
+			l.pauseReading(l.pausedEnds())
+			l.accountHeldBytes(l.input.Len() + l.requestBytes + l.unreadBytes)
 		}
 		return
 	}
-	if l.next(); l.conn != nil && l.request == nil && !l.last {
-		if state, _ := l.place.State(); state == admission.StateNew || state == admission.StateIdle {
-			l.s.room.SetState(l.s.now(), l.place, admission.StateReading)
+	if l.readRequests(); l.conn != nil && l.request == nil && !l.isLastWritten {
+		if state, _ := l.slot.State(); state == admission.StateNew || state == admission.StateIdle {
+			l.sidecar.connAdmission.SetState(l.sidecar.now(), l.slot, admission.StateReading)
 		}
-		held, _ := l.client.PartialRequest()
-		l.hold(l.buf.Len() + held)
+		held, _ := l.codec.PartialRequest()
+		l.accountHeldBytes(l.input.Len() + held)
 	}
 }
 
 // endsWhilePaused returns whether the client's end counts while what it sends is left unread: as long as it is owed an answer of
 // which nothing has been written.
-func (l *ClientConn) endsWhilePaused() netio.ClosePolicy {
+func (l *ClientConn) pausedEnds() netio.ClosePolicy {
 	if l.request == nil || l.request.answered {
 		return netio.DeferClose
 	}
@@ -137,104 +137,104 @@
 }
 
 // next takes up the requests that have come, until one is out.
-func (l *ClientConn) next() {
-	for l.conn != nil && l.request == nil && !l.last && l.untaken == 0 { // a link may have gone since this was queued
-		whole, err := l.client.ReadRequest(&l.buf)
+func (l *ClientConn) readRequests() {
+	for l.conn != nil && l.request == nil && !l.isLastWritten && l.unreadBytes == 0 { // a link may have gone since this was queued
+		whole, err := l.codec.ReadRequest(&l.input)
 		if err != nil {
-			l.decline(err)
+			l.rejectMalformed(err)
 			return
 		}
 		if !whole {
 			if l.conn != nil {
-				l.await()
+				l.awaitArrival()
 			}
 			return
 		}
-		l.endArrival()
-		l.client.HandleRequest()
+		l.stopArrivalTimer()
+		l.codec.HandleRequest()
 	}
 }
 
 // await has the rest of a request come.
-func (l *ClientConn) await() {
-	l.resume()
-	if _, begun := l.client.PartialRequest(); l.arrival != nil || l.buf.Len() == 0 && !begun {
+func (l *ClientConn) awaitArrival() {
+	l.resumeReading()
+	if _, begun := l.codec.PartialRequest(); l.arrivalTimer != nil || l.input.Len() == 0 && !begun {
 		return
 	}
-	by := l.s.now() + arrivalS
-	if !l.answered {
-		by = min(by, l.openedAt+firstS)
+	by := l.sidecar.now() + arrivalTimeoutSeconds
+	if !l.hasAnswered {
+		by = min(by, l.openedAt+firstRequestTimeoutSeconds)
 	}
-	l.awaitUntil(by)
-	l.arrival = l.s.timers.schedule(by, l.overdue)
+	l.setArrivalDeadline(by)
+	l.arrivalTimer = l.sidecar.timers.schedule(by, l.checkArrival)
 }
 
 // awaitUntil has a request come by a time, plus what a longer body needs.
-func (l *ClientConn) awaitUntil(by float64) {
-	l.arriving, l.stood = by, l.s.fitness.stalledSeconds
+func (l *ClientConn) setArrivalDeadline(by float64) {
+	l.arrivalDeadline, l.stalledBefore = by, l.sidecar.fitness.stalledSeconds
 }
 
 // overdue ends a request that has not come whole in time. A longer body has as much more as it needs at the least rate, and the time in
 // which it was left unread does not count, nor that in which the loop stood still: what came then lay in the socket.
-func (l *ClientConn) overdue() {
-	now, came := l.s.now(), 0
-	l.arrival = nil
-	l.awaitUntil(l.arriving + l.s.fitness.stalledSeconds - l.stood)
+func (l *ClientConn) checkArrival() {
+	now, came := l.sidecar.now(), 0
+	l.arrivalTimer = nil
+	l.setArrivalDeadline(l.arrivalDeadline + l.sidecar.fitness.stalledSeconds - l.stalledBefore)
 	if r := l.request; r != nil {
 		came = r.body.DroppedBytes + len(r.body.Buffered)
 	} else {
-		came, _ = l.client.PartialRequest()
+		came, _ = l.codec.PartialRequest()
 	}
-	if l.paused {
-		l.awaitUntil(now + arrivalS - float64(came)/leastRate)
+	if l.isPaused {
+		l.setArrivalDeadline(now + arrivalTimeoutSeconds - float64(came)/minBytesPerSecond)
 	}
-	if by := l.arriving + float64(came)/leastRate; by > now {
-		l.arrival = l.s.timers.schedule(max(by, now+0.1), l.overdue)
+	if by := l.arrivalDeadline + float64(came)/minBytesPerSecond; by > now {
+		l.arrivalTimer = l.sidecar.timers.schedule(max(by, now+0.1), l.checkArrival)
 		return
 	}
-	l.s.room.RecordWasted(l.place)
+	l.sidecar.connAdmission.RecordWasted(l.slot)
 	if r := l.request; r != nil {
-		l.s.spoilUpload(r, ErrRequestTimeout)
+		l.sidecar.spoilUpload(r, ErrRequestTimeout)
 		return
 	}
-	l.decline(ErrRequestTimeout)
+	l.rejectMalformed(ErrRequestTimeout)
 }
 
 // endArrival notes that no request is on its way in.
-func (l *ClientConn) endArrival() {
-	l.s.timers.stop(l.arrival)
-	l.arrival = nil
+func (l *ClientConn) stopArrivalTimer() {
+	l.sidecar.timers.stop(l.arrivalTimer)
+	l.arrivalTimer = nil
 }
 
 // decline ends a link that brings no message.
-func (l *ClientConn) decline(err error) {
-	l.endArrival()
-	l.keep = false
-	l.client.RejectMalformed(err)
+func (l *ClientConn) rejectMalformed(err error) {
+	l.stopArrivalTimer()
+	l.keepAlive = false
+	l.codec.RejectMalformed(err)
 }
 
 // SetKeepAlive says whether the client wants the link kept after the message that has been read.
-func (l *ClientConn) SetKeepAlive(keep bool) { l.keep = keep }
+func (l *ClientConn) SetKeepAlive(keep bool) { l.keepAlive = keep }
 
 // CloseUnanswered closes a link whose client speaks another protocol: no answer that it could read is to be had here.
 func (l *ClientConn) CloseUnanswered(why string) {
-	l.endArrival()
-	l.s.counters.Malformed++
-	l.s.warnLimited(why)
-	l.s.closeConn(l.conn)
+	l.stopArrivalTimer()
+	l.sidecar.counters.Malformed++
+	l.sidecar.warnLimited(why)
+	l.sidecar.closeConn(l.conn)
 }
 
 // CountInvalid counts a request of a class that is answered and never handed on: nobody could decide on it.
 func (l *ClientConn) CountInvalid(class int) {
-	l.s.counters.Requests++
-	l.s.counters.end(class, failed)
+	l.sidecar.counters.Requests++
+	l.sidecar.counters.end(class, failed)
 }
 
 // CountMalformed counts a message that is answered and never handed on.
-func (l *ClientConn) CountMalformed() { l.s.counters.Malformed++ }
+func (l *ClientConn) CountMalformed() { l.sidecar.counters.Malformed++ }
 
 // Sidecar returns whose link it is.
-func (l *ClientConn) Sidecar() *Sidecar { return l.s }
+func (l *ClientConn) Sidecar() *Sidecar { return l.sidecar }
 
 // RemoteAddr returns the client's address.
 func (l *ClientConn) RemoteAddr() net.Addr { return l.conn.RemoteAddr() }
@@ -242,12 +242,12 @@
 // Admit tells whether there is room for a request of a class; otherwise it has been throttled.
 func (l *ClientConn) Admit(class int) bool {
 	switch {
-	case l.overLimit && !l.s.hasDescriptors(serverRoom), l.s.room.IsOverBufferBudget(l.place):
-		l.turnAway(class, "there is no room for them")
+	case l.isOverLimit && !l.sidecar.hasDescriptors(backendHeadroom), l.sidecar.connAdmission.IsOverBufferBudget(l.slot):
+		l.rejectRequest(class, "there is no room for them")
 		return false
-	case l.s.short() && l.s.room.ExceedsFairShare(l.place):
-		l.s.room.RecordWasted(l.place)
-		l.turnAway(class, "their client has more out than its part, and there is not enough for all")
+	case l.sidecar.isOverloaded() && l.sidecar.connAdmission.ExceedsFairShare(l.slot):
+		l.sidecar.connAdmission.RecordWasted(l.slot)
+		l.rejectRequest(class, "their client has more out than its part, and there is not enough for all")
 		return false
 	}
 	return true
@@ -272,71 +272,71 @@
 
 // Submit hands a request that Admit has let in to the decisions, unless it is beyond its group's quota.
 func (l *ClientConn) Submit(a IncomingRequest) {
-	ticket, within := l.withinQuota(&a)
+	ticket, within := l.admitByQuota(&a)
 	if !within {
 		return
 	}
-	l.s.room.SetState(l.s.now(), l.place, admission.StateActive)
-	l.held = a.HeldBytes
-	l.s.room.SetBufferedBytes(l.place, l.held+l.buf.Len())
-	waited := max(l.s.socketWait(l.conn), l.s.now()-l.ahead.of(l.buf.Len(), l.s.now()))
-	patience := min(a.TimeoutSeconds, longestS)
-	deadline := l.s.now() - waited + patience
-	cut := max(deadline-l.s.latestAnswer(), 0)
-	r := &request{name: a.ID, class: l.s.cfg.Settings.Policy.Classes[a.Class].Name, classNo: a.Class, deadline: deadline - cut,
-		call: a.Call, origin: l.client, client: l, body: a.Body, patience: patience, front: l.front, once: a.AtMostOnce, detached: a.IsOneWay,
+	l.sidecar.connAdmission.SetState(l.sidecar.now(), l.slot, admission.StateActive)
+	l.requestBytes = a.HeldBytes
+	l.sidecar.connAdmission.SetBufferedBytes(l.slot, l.requestBytes+l.input.Len())
+	waited := max(l.sidecar.socketWait(l.conn), l.sidecar.now()-l.arrivals.arrivedAt(l.input.Len(), l.sidecar.now()))
+	patience := min(a.TimeoutSeconds, maxRequestTimeoutSeconds)
+	deadline := l.sidecar.now() - waited + patience
+	cut := max(deadline-l.sidecar.latestAnswer(), 0)
+	r := &request{name: a.ID, class: l.sidecar.cfg.Settings.Policy.Classes[a.Class].Name, classNo: a.Class, deadline: deadline - cut,
+		call: a.Call, origin: l.codec, client: l, body: a.Body, patience: patience, front: l.frontend, once: a.AtMostOnce, detached: a.IsOneWay,
 		quota: ticket}
 	l.request = r
 	// Danger: the decisions take a wait that is shorter than usual for a late retry's; what is cut off here is no sign of that.
 	q := policy.Request{Class: a.Class, Tenant: a.Tenant, HeldBackSeconds: waited + cut, Repeat: a.IsRetry, Deadline: r.deadline}
 	if r.uploading() { // its time counts from its last byte; the decisions go by what they are used to
-		r.deadline += longestUploadS
-		l.pause(netio.ReportClose)
-		l.awaitUntil(l.s.now() + arrivalS - float64(len(a.Body.Buffered))/leastRate)
-		l.arrival = l.s.timers.schedule(l.s.now()+arrivalS, l.overdue)
+		r.deadline += maxUploadSeconds
+		l.pauseReading(netio.ReportClose)
+		l.setArrivalDeadline(l.sidecar.now() + arrivalTimeoutSeconds - float64(len(a.Body.Buffered))/minBytesPerSecond)
+		l.arrivalTimer = l.sidecar.timers.schedule(l.sidecar.now()+arrivalTimeoutSeconds, l.checkArrival)
 	}
-	l.s.take(r, q)
+	l.sidecar.take(r, q)
 }
 
 // turnAway throttles a request that is not taken up: there is no room for it, or its client has more out than its part.
-func (l *ClientConn) turnAway(class int, why string) {
-	l.s.counters.Requests++
-	l.s.counters.end(class, throttled)
-	l.s.counters.TurnedAway++
-	l.s.warnLimited("requests are turned away: " + why)
-	l.s.log.Debug("request turned away", "client", l.conn.RemoteAddr(), "why", why)
-	l.keep = false
-	l.client.Throttle(l.s.cfg.Settings.Policy.MaxRetryAfterSeconds)
+func (l *ClientConn) rejectRequest(class int, why string) {
+	l.sidecar.counters.Requests++
+	l.sidecar.counters.end(class, throttled)
+	l.sidecar.counters.TurnedAway++
+	l.sidecar.warnLimited("requests are turned away: " + why)
+	l.sidecar.log.Debug("request turned away", "client", l.conn.RemoteAddr(), "why", why)
+	l.keepAlive = false
+	l.codec.Throttle(l.sidecar.cfg.Settings.Policy.MaxRetryAfterSeconds)
 }
 
 // MarkServed notes that the answer to come is a server's.
-func (l *ClientConn) MarkServed() { l.s.room.RecordServed(l.place) }
+func (l *ClientConn) MarkServed() { l.sidecar.connAdmission.RecordServed(l.slot) }
 
 // BeginResponse frees the link of its request. It tells whether the client is still there, and whether the answer to come is
 // the last on the link; what it is appended to is returned, for EndAnswer. says tells whether the answer can say so itself.
 func (l *ClientConn) BeginResponse(says bool) (dst []byte, last, there bool) {
 	// Danger: the rest of a request that is answered before it has come whole is waited for no longer; its time would end with a
 	// second answer.
-	l.endArrival()
+	l.stopArrivalTimer()
 	if l.request = nil; l.conn == nil {
 		return nil, false, false
 	}
 	// Danger: what has come behind the request is taken, and is owed its answer here. A client that is told of the end sends
 	// it again. One that is not may be sending its next request by now; where there are too many links it would find no
 	// other, so its own ends by its rest alone.
-	ahead := l.buf.Len() > 0
+	ahead := l.input.Len() > 0
 	if says {
-		l.last = !l.keep || l.s.leaving() || l.s.crowded() && !ahead
+		l.isLastWritten = !l.keepAlive || l.sidecar.leaving() || l.sidecar.hasManyClients() && !ahead
 	} else {
-		l.last = !l.keep || l.s.leaving() && !ahead && l.s.net.NothingToRead(l.conn)
+		l.isLastWritten = !l.keepAlive || l.sidecar.leaving() && !ahead && l.sidecar.net.NothingToRead(l.conn)
 	}
-	return l.s.scratch[:0], l.last, true
+	return l.sidecar.scratch[:0], l.isLastWritten, true
 }
 
 // EndResponse writes an answer and makes ready for the next request.
 func (l *ClientConn) EndResponse(answer []byte) {
-	l.s.keepScratch(answer)
-	l.answered = true
+	l.sidecar.keepScratch(answer)
+	l.hasAnswered = true
 	if len(answer) > 0 {
 		l.Write(answer)
 	}
@@ -344,14 +344,14 @@
 		return
 	}
 	if l.conn.OutboundBuffered() > 0 {
-		l.unread()
+		l.waitForClientRead()
 		return
 	}
-	l.afterAnswer()
+	l.finishResponse()
 }
 
 // BodyBufferLimit returns how much of a request's body is held before the rest of it flows.
-func (l *ClientConn) BodyBufferLimit() int { return l.s.spool() }
+func (l *ClientConn) BodyBufferLimit() int { return l.sidecar.spool() }
 
 // BeginStream is BeginAnswer for an answer that comes in pieces, which end with the link where nothing else tells their end.
 // What is appended goes to Flow.
@@ -359,50 +359,50 @@
 	if l.conn == nil {
 		return nil, false, false
 	}
-	l.flowLast = !l.keep || endless || l.s.leaving() || l.s.crowded() && l.buf.Len() == 0
-	l.flowed = true
-	return l.ScratchBuffer(), l.flowLast, true
+	l.isStreamLast = !l.keepAlive || endless || l.sidecar.leaving() || l.sidecar.hasManyClients() && l.input.Len() == 0
+	l.isStreamed = true
+	return l.ScratchBuffer(), l.isStreamLast, true
 }
 
 // ScratchBuffer returns empty memory for what Flow is to write.
-func (l *ClientConn) ScratchBuffer() []byte { return l.s.scratch[:0] }
+func (l *ClientConn) ScratchBuffer() []byte { return l.sidecar.scratch[:0] }
 
 // WriteStream writes a part of an answer.
 func (l *ClientConn) WriteStream(b []byte) {
-	l.s.keepScratch(b)
+	l.sidecar.keepScratch(b)
 	if l.conn != nil && len(b) > 0 {
 		l.Write(b)
 	}
 }
 
 // endFlow makes ready for the next request once an answer has flowed to its end.
-func (l *ClientConn) endFlow() {
-	l.endArrival()
+func (l *ClientConn) finishStream() {
+	l.stopArrivalTimer()
 	if l.request = nil; l.conn != nil {
-		l.last = l.flowLast
+		l.isLastWritten = l.isStreamLast
 		l.EndResponse(nil)
 	}
 }
 
 // afterAnswer goes on once the client's socket has taken an answer.
-func (l *ClientConn) afterAnswer() {
-	l.untaken, l.held, l.flowed = 0, 0, false
-	if l.last {
-		l.resume()
-		l.finish()
+func (l *ClientConn) finishResponse() {
+	l.unreadBytes, l.requestBytes, l.isStreamed = 0, 0, false
+	if l.isLastWritten {
+		l.resumeReading()
+		l.startLinger()
 		return
 	}
-	l.s.room.SetState(l.s.now(), l.place, admission.StateIdle)
-	l.buf.Rest()
-	l.hold(l.buf.Len())
+	l.sidecar.connAdmission.SetState(l.sidecar.now(), l.slot, admission.StateIdle)
+	l.input.Rest()
+	l.accountHeldBytes(l.input.Len())
 	// The next request may be in the buffer already; it is taken up as an event of its own.
 	if l.conn == nil {
 		return
 	}
-	if l.buf.Len() > 0 {
-		l.s.pushEvent(func(float64) { l.next() })
+	if l.input.Len() > 0 {
+		l.sidecar.pushEvent(func(float64) { l.readRequests() })
 	} else {
-		l.resume()
+		l.resumeReading()
 	}
 }
 
@@ -413,46 +413,46 @@
 
 // finish ends the link after its last answer, which the socket has taken: no more is sent, and what comes is read and
 // dropped until the client has closed or the time is over.
-func (l *ClientConn) finish() {
-	if l.conn == nil || l.shut {
+func (l *ClientConn) startLinger() {
+	if l.conn == nil || l.isWriteClosed {
 		return
 	}
-	now := l.s.now()
-	l.shut = true
-	l.s.room.SetState(now, l.place, admission.StateClosing)
-	l.s.room.SetBufferedBytes(l.place, 0)
-	l.linger = l.s.timers.schedule(now+lingerS, func() { l.leave(now + lingerMostS) })
-	l.s.net.CloseWrite(l.conn)
+	now := l.sidecar.now()
+	l.isWriteClosed = true
+	l.sidecar.connAdmission.SetState(now, l.slot, admission.StateClosing)
+	l.sidecar.connAdmission.SetBufferedBytes(l.slot, 0)
+	l.lingerTimer = l.sidecar.timers.schedule(now+lingerSeconds, func() { l.closeAfterLinger(now + maxLingerSeconds) })
+	l.sidecar.net.CloseWrite(l.conn)
 }
 
 // leave closes a link that lingers once its client has been silent for a while, at the latest at the given time.
-func (l *ClientConn) leave(latest float64) {
-	if at := min(l.heardAt+lingerS, latest); at > l.s.now() {
-		l.linger = l.s.timers.schedule(at, func() { l.leave(latest) })
+func (l *ClientConn) closeAfterLinger(latest float64) {
+	if at := min(l.lastDataAt+lingerSeconds, latest); at > l.sidecar.now() {
+		l.lingerTimer = l.sidecar.timers.schedule(at, func() { l.closeAfterLinger(latest) })
 		return
 	}
-	l.s.closeConn(l.conn)
+	l.sidecar.closeConn(l.conn)
 }
 
 // idle tells whether nothing of a request has come and none is out.
-func (l *ClientConn) idle() bool {
-	_, begun := l.client.PartialRequest()
-	return l.request == nil && !l.last && l.untaken == 0 && l.buf.Len() == 0 && !begun
+func (l *ClientConn) isIdle() bool {
+	_, begun := l.codec.PartialRequest()
+	return l.request == nil && !l.isLastWritten && l.unreadBytes == 0 && l.input.Len() == 0 && !begun
 }
 
 // ended takes the client's departure.
 func (l *ClientConn) onClose(error) {
 	l.conn = nil
-	l.s.timers.stop(l.linger)
-	l.endArrival()
-	l.leaveClients()
+	l.sidecar.timers.stop(l.lingerTimer)
+	l.stopArrivalTimer()
+	l.removeFromClients()
 	if r := l.request; r != nil {
 		l.request = nil
 		switch {
 		case r.flow != nil:
 			r.flow.end(abandoned)
 		case !r.detached:
-			l.s.abandoned(r)
+			l.sidecar.abandoned(r)
 		}
 	}
 }
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -44,11 +44,11 @@
 	now := s.now()
 	for i := len(s.clients) - 1; i >= 0; i-- { // Danger: a link that goes leaves its place to the last one
 		l := s.clients[i]
-		if _, since := l.place.State(); l.idle() && since < now-quietS && !l.mayBeAsking() {
-			l.last = true
-			l.finish()
+		if _, since := l.slot.State(); l.isIdle() && since < now-quietS && !l.mayHaveUnreadRequest() {
+			l.isLastWritten = true
+			l.startLinger()
 		}
-		busy = busy || !l.shut || !s.net.AllAcknowledged(l.conn)
+		busy = busy || !l.isWriteClosed || !s.net.AllAcknowledged(l.conn)
 	}
 	return busy
 }
@@ -64,7 +64,7 @@
 	if busy {
 		left := map[string]int{}
 		for _, l := range s.clients {
-			state, _ := l.place.State()
+			state, _ := l.slot.State()
 			left[state.String()]++
 		}
 		s.log.Warn("ended with work left", "requests", s.counters.Open, "links", left)
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/flow.go
@@ -29,7 +29,7 @@
 
 // spool returns how much of a body is held before the rest of it flows.
 func (s *Sidecar) spool() int {
-	return admission.BodyBufferBytes(s.room.BufferedBytes(), s.admissionSettings(0).MaxBufferedBytes)
+	return admission.BodyBufferBytes(s.connAdmission.BufferedBytes(), s.admissionSettings(0).MaxBufferedBytes)
 }
 
 // flowRoom returns how much may wait for a peer that is slow to take it; then the other end is left unread.
@@ -75,18 +75,18 @@
 func (r *request) uploading() bool { return r.body != nil && !r.body.IsComplete }
 
 // upload takes more of a request's body, and passes it on.
-func (l *ClientConn) upload(r *request) {
-	s := l.s
+func (l *ClientConn) forwardUpload(r *request) {
+	s := l.sidecar
 	if r.answered { // whoever it was for has it or never will
-		l.buf.Discard(l.buf.Len())
+		l.input.Discard(l.input.Len())
 		return
 	}
-	if err := l.client.ReadBody(&l.buf); err != nil {
+	if err := l.codec.ReadBody(&l.input); err != nil {
 		s.spoilUpload(r, err)
 		return
 	}
 	if r.body.IsComplete {
-		l.endArrival()
+		l.stopArrivalTimer()
 		r.deadline = min(s.now()+r.patience, s.latestAnswer())
 		s.timers.stop(&r.safety)
 		s.timers.start(&r.safety, r.deadline+s.responseSlackSeconds/2, r)
@@ -105,15 +105,15 @@
 	if l.request != r || l.conn == nil {
 		return
 	}
-	if l.held = len(r.body.Buffered); r.uploading() && r.body.UnsentBytes() >= ChunkBytes {
-		l.pause(netio.ReportClose)
+	if l.requestBytes = len(r.body.Buffered); r.uploading() && r.body.UnsentBytes() >= ChunkBytes {
+		l.pauseReading(netio.ReportClose)
 	}
-	s.room.SetBufferedBytes(l.place, l.held+l.buf.Len())
+	s.connAdmission.SetBufferedBytes(l.slot, l.requestBytes+l.input.Len())
 }
 
 // spoilUpload ends a request whose body can't be read to its end.
 func (s *Sidecar) spoilUpload(r *request, err error) {
-	s.answer(r, failed, func() { r.client.decline(err) })
+	s.answer(r, failed, func() { r.client.rejectMalformed(err) })
 	s.tellAbandoned(r)
 }
 
@@ -144,7 +144,7 @@
 		r.body.drop()
 	}
 	if c := r.client; r.uploading() && r.body.UnsentBytes() < ChunkBytes && c.request == r && c.conn != nil {
-		c.resume()
+		c.resumeReading()
 	}
 }
 
@@ -249,7 +249,7 @@
 	switch {
 	case now > f.tookAt+lagS:
 		f.s.counters.Unread++
-		f.s.room.RecordWasted(f.client.place)
+		f.s.connAdmission.RecordWasted(f.client.slot)
 		f.end(failed)
 	case now > f.heardAt+lagS, f.drips(now):
 		f.end(failed)
@@ -258,7 +258,7 @@
 
 // drips tells whether the deadline is over and the server brings too little for the answer to come to its end.
 func (f *flow) drips(now float64) bool {
-	return !f.paused && now > f.e.request.deadline+lateFlowS && float64(f.came) < leastRate*(now-f.from)
+	return !f.paused && now > f.e.request.deadline+lateFlowS && float64(f.came) < minBytesPerSecond*(now-f.from)
 }
 
 // end ends a flow: with its last byte, or with its client's link, which tells the client that it is not whole.
@@ -286,7 +286,7 @@
 	s.pushEvent(func(float64) { s.forget(r) })
 	switch {
 	case how == served:
-		f.client.endFlow()
+		f.client.finishStream()
 	case f.client.conn != nil:
 		f.client.request = nil
 		s.closeConn(f.client.conn)
--- a/internal/sidecar/holdings.go
+++ b/internal/sidecar/holdings.go
@@ -21,7 +21,7 @@
 		h.BufferedBytes += w.buf.Len()
 	}
 	for _, l := range s.clients {
-		h.BufferedBytes += l.buf.Len()
+		h.BufferedBytes += l.input.Len()
 	}
 	return h
 }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -154,8 +154,8 @@
 
 // withinQuota tells whether a request that has come may be taken up, and books it on its group. One that may not has been
 // refused, finally: nothing of it has gone anywhere.
-func (l *ClientConn) withinQuota(a *IncomingRequest) (quotaTicket, bool) {
-	s, d := l.s, l.s.quotas
+func (l *ClientConn) admitByQuota(a *IncomingRequest) (quotaTicket, bool) {
+	s, d := l.sidecar, l.sidecar.quotas
 	if d == nil {
 		return quotaTicket{}, true
 	}
@@ -164,7 +164,7 @@
 		return quotaTicket{}, true
 	}
 	now, bytes, header := s.now(), a.HeldBytes, quotas.FieldGetter(noFields{})
-	q, knows := l.client.(QuotaClient)
+	q, knows := l.codec.(QuotaClient)
 	if knows {
 		bytes, header = q.RequestBytes(), q
 	}
@@ -182,7 +182,7 @@
 	if knows {
 		q.RejectOverQuota(d.machine.Tree().Path(g), v.RetryAfterSeconds)
 	} else {
-		l.client.Throttle(v.RetryAfterSeconds)
+		l.codec.Throttle(v.RetryAfterSeconds)
 	}
 	return t, false
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -56,18 +56,18 @@
 	requests             map[uint32]*request
 	named                map[string]*request // by their clients' ids
 	lastID               uint32
-	fronts               []Frontend
+	frontends            []Frontend
 	prober               Frontend
 	clients              []*ClientConn
-	room                 *admission.ConnTable
-	flushing             bool // answers are looked after that clients have not taken
+	connAdmission        *admission.ConnTable
+	isCheckingUnread     bool // answers are looked after that clients have not taken
 	logLimiter           logLimiter
 	idle                 map[uint32][]*backendConn
 	settling             settling
 	starved              []*attempt // that wait for a link or a descriptor
 	watcher              *watcher
 	passed               passed
-	admission            featureconfig.Admission
+	admissionConfig      featureconfig.Admission
 	drills               *faultinjection.Injector
 	together             FaultObserver  // is told of drills that are started here; nil: nobody is
 	health               *health.Server // nil: there is no side port
@@ -110,7 +110,7 @@
 	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, lastID: 1,
 		requests: map[uint32]*request{}, named: map[string]*request{}, idle: map[uint32][]*backendConn{},
 		hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), responseSlackSeconds: cfg.Settings.AnswerSlackS,
-		admission: on.Admission, logLimiter: logLimiter{}, drills: faultinjection.New(on.Drills), fronts: fronts, shelf: noStateStore{}, processes: 1}
+		admissionConfig: on.Admission, logLimiter: logLimiter{}, drills: faultinjection.New(on.Drills), frontends: fronts, shelf: noStateStore{}, processes: 1}
 	s.timers.currentSlot = int64(s.now() / slotSeconds)
 	for _, f := range fronts {
 		if f.NewProbe() != nil {
@@ -125,8 +125,8 @@
 		s.reservedDescriptors += AdminDescriptors
 	}
 	s.quotas = s.newQuotas(on.Quotas)
-	s.room = admission.NewConnTable(admission.Settings{})
-	s.room = admission.NewConnTable(s.admissionSettings(0))
+	s.connAdmission = admission.NewConnTable(admission.Settings{})
+	s.connAdmission = admission.NewConnTable(s.admissionSettings(0))
 	var classes []admission.Class
 	for i, c := range cfg.Settings.Policy.Classes {
 		s.classes[c.Name] = i
@@ -167,7 +167,7 @@
 	s.timers.setAlarm = s.net.SetAlarm
 	s.runCallback(func() {
 		s.applyLimits()
-		s.sweep()
+		s.closeStaleClients()
 		if s.health != nil {
 			s.publishHealth()
 		}
@@ -197,7 +197,7 @@
 		if l, dialed := c.Context().(connHandler); dialed {
 			l.onOpen(c)
 		} else {
-			keep = s.accept(c)
+			keep = s.acceptClient(c)
 		}
 	})
 	return keep
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -79,8 +79,8 @@
 	s, err := New(cfg, featureconfig.Features{}, nil, n, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	require.NoError(t, s.list([]byte(`{"index":1,"snapshot":true,"endpoints":[{"name":"s-00000007","address":"a","status":"SERVING"}]}`)))
-	s.admission.ReservedForKnown = 1
-	s.cfg.Limits.Sockets = baseDescriptors + s.reservedDescriptors + s.reserve() + dialDescriptors // room for one dial
+	s.admissionConfig.ReservedForKnown = 1
+	s.cfg.Limits.Sockets = baseDescriptors + s.reservedDescriptors + s.reservedClientSlots() + dialDescriptors // room for one dial
 	for range 2 {
 		s.dial(s.hosts.Host(7), &attempt{s: s, host: 7, until: testNow + 10, front: listedFront{}, second: true})
 	}
--- a/internal/sidecar/starved.go
+++ b/internal/sidecar/starved.go
@@ -36,7 +36,7 @@
 
 // feedDials dials for those that wait while there are descriptors.
 func (s *Sidecar) feedDials() {
-	for len(s.starved) > 0 && !s.stopping && s.makeRoom(dialDescriptors+s.reserve()) {
+	for len(s.starved) > 0 && !s.stopping && s.makeRoom(dialDescriptors+s.reservedClientSlots()) {
 		e := s.starved[0]
 		s.unstarve(e)
 		if h := s.hosts.Host(e.host); h != nil && s.mayBegin(e) {
