--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -17,16 +17,16 @@
 		s.log.Error("send for an unknown request", "request", id)
 		return
 	}
-	e := &attempt{request: r, number: r.sent, host: host, asked: s.eventAt, sentAt: s.eventAt,
-		until: r.deadline - s.responseMargin(), exchange: r.call.NewExchange(), front: r.front}
+	e := &attempt{request: r, number: r.sent, serverID: host, requestedAt: s.eventAt, sentAt: s.eventAt,
+		deadline: r.deadline - s.responseMargin(), exchange: r.call.NewExchange(), frontend: r.front}
 	r.sent++
 	r.out = append(r.out, e)
 	s.counters.Executions++
 	if r.answered || len(r.out) > 1 && (r.once || !s.cfg.Settings.Policy.HedgingAllowed) {
-		s.finish(e, &attemptError{notConnected, overtaken, nil})
+		s.finishAttempt(e, &attemptError{notConnected, superseded, nil})
 		return
 	}
-	s.begin(e)
+	s.startAttempt(e)
 }
 
 // Cancel ends the wait for one attempt.
@@ -34,7 +34,7 @@
 	s.recordDecision(id, capture.Decision{Action: capture.ActionCancel, Attempt: attempt})
 	if r := s.requests[id]; r != nil {
 		if e := r.attempt(attempt); e != nil {
-			s.abandon(e, cancelled)
+			s.abandonAttempt(e, cancelled)
 		}
 	}
 }
@@ -43,19 +43,19 @@
 func (s *Sidecar) Probe(host uint32) {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionProbe, Host: host})
 	s.counters.Probes++
-	s.begin(&attempt{host: host, sentAt: s.eventAt, until: s.eventAt + probeTimeoutSeconds, exchange: s.prober.NewProbe(), front: s.prober})
+	s.startAttempt(&attempt{serverID: host, sentAt: s.eventAt, deadline: s.eventAt + probeTimeoutSeconds, exchange: s.prober.NewProbe(), frontend: s.prober})
 }
 
 // CloseIdle closes the idle links to a server.
 func (s *Sidecar) CloseIdle(host uint32) {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionCloseIdle, Host: host})
-	s.closeIdle(host)
+	s.closeIdleConns(host)
 }
 
 // closeIdle closes them, on whoever's word. Danger: each close takes its link off the list.
-func (s *Sidecar) closeIdle(host uint32) {
-	for len(s.idle[host]) > 0 {
-		s.idle[host][0].close()
+func (s *Sidecar) closeIdleConns(host uint32) {
+	for len(s.idleConns[host]) > 0 {
+		s.idleConns[host][0].close()
 	}
 }
 
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -8,8 +8,8 @@
 const (
 	notConnected progress = iota
 	partlyWritten
-	writtenWhole
-	answering
+	fullyWritten
+	responding
 )
 
 func (p progress) String() string {
@@ -20,11 +20,11 @@
 type cause uint8
 
 const (
-	broke     cause = iota // the link did not come up, or broke
-	timedOut               // the wait was over
-	cancelled              // the decisions called it off
-	overtaken              // its request or its server was no longer to be served when the link was up
-	spoilt                 // the server brought no sense
+	connBroken cause = iota // the link did not come up, or broke
+	timedOut                // the wait was over
+	cancelled               // the decisions called it off
+	superseded              // its request or its server was no longer to be served when the link was up
+	malformed               // the server brought no sense
 )
 
 func (c cause) String() string {
@@ -52,14 +52,14 @@
 // can have run) makes a request run twice. A server begins a request with its last byte, so only what broke
 // before that byte was written is known never to have run.
 func (e *attemptError) outcome() policy.Outcome {
-	if e.cause == spoilt || e.cause == broke && e.progress == answering {
+	if e.cause == malformed || e.cause == connBroken && e.progress == responding {
 		// The server is there, it has come to the request and has said something: it erred, whatever it said.
 		// Danger: taken for a server that died, two such answers in a row would shut a sound one out.
 		return policy.HostError
 	}
 	unwritten := e.progress == notConnected || e.progress == partlyWritten
 	switch {
-	case e.cause == overtaken && unwritten, e.cause == cancelled && e.progress == notConnected:
+	case e.cause == superseded && unwritten, e.cause == cancelled && e.progress == notConnected:
 		return policy.NotSent
 	case e.cause == cancelled:
 		return policy.Cancelled
@@ -75,35 +75,35 @@
 // attempt is one attempt of a request at a server, or a probe of it, which has no request. It ends with
 // exactly one outcome.
 type attempt struct {
-	request  *request // nil for a probe
-	number   int
-	host     uint32
-	asked    float64 // when the decisions asked for it
-	sentAt   float64
-	until    float64 // when the wait is over
-	exchange Exchange
-	front    Frontend
-	link     *backendConn
-	progress progress
-	timer    timer // when the wait is over
-	s        *Sidecar
-	over     bool
-	second   bool    // a probe that has been begun again
-	flow     *flow   // of its answer, which is passed on as it comes
-	late     float64 // how long its answer lay in the socket
+	request       *request // nil for a probe
+	number        int
+	serverID      uint32
+	requestedAt   float64 // when the decisions asked for it
+	sentAt        float64
+	deadline      float64 // when the wait is over
+	exchange      Exchange
+	frontend      Frontend
+	backend       *backendConn
+	progress      progress
+	timer         timer // when the wait is over
+	sidecar       *Sidecar
+	isOver        bool
+	isProbeRetry  bool    // a probe that has been begun again
+	stream        *flow   // of its answer, which is passed on as it comes
+	unreadSeconds float64 // how long its answer lay in the socket
 }
 
 // finish ends an attempt. err is nil where a whole answer has come.
-func (s *Sidecar) finish(e *attempt, err *attemptError) {
-	if e.over || s.probeAgain(e, err) {
+func (s *Sidecar) finishAttempt(e *attempt, err *attemptError) {
+	if e.isOver || s.retryProbe(e, err) {
 		return
 	}
-	e.over = true
+	e.isOver = true
 	s.timers.stop(&e.timer)
-	result := policy.Result{Host: e.host, Attempt: e.number}
+	result := policy.Result{Host: e.serverID, Attempt: e.number}
 	if err != nil {
 		result.Outcome = err.outcome()
-		s.log.Debug("attempt ended", "host", e.host, "probe", e.request == nil, "error", err)
+		s.log.Debug("attempt ended", "host", e.serverID, "probe", e.request == nil, "error", err)
 	} else {
 		result.Outcome, result.Report, _ = e.exchange.Result()
 	}
@@ -118,12 +118,12 @@
 			result.Outcome = policy.TimedOut
 		}
 		// What nobody can read tells nothing of the load, but its server is there and has come to the probe.
-		if err != nil && err.cause == spoilt {
+		if err != nil && err.cause == malformed {
 			result.Outcome = policy.OK
 		}
 		s.counters.probes.count(result.Outcome)
 		s.pushEvent(func(now float64) {
-			result.DelaySeconds, result.LateSeconds = e.took(now)
+			result.DelaySeconds, result.LateSeconds = e.durations(now)
 			s.capture.RecordProbe(now, result)
 			s.balancer.ProbeDone(now, result)
 		})
@@ -161,22 +161,22 @@
 }
 
 // expire ends the wait.
-func (e *attempt) expire() { e.s.abandon(e, timedOut) }
+func (e *attempt) expire() { e.sidecar.abandonAttempt(e, timedOut) }
 
 // took returns how long an attempt that ends now took to its answer's arrival, and how long that lay unread.
-func (e *attempt) took(now float64) (delay, late float64) {
-	late = min(e.late, now-e.sentAt)
+func (e *attempt) durations(now float64) (delay, late float64) {
+	late = min(e.unreadSeconds, now-e.sentAt)
 	return now - e.sentAt - late, late
 }
 
 // probeAgain begins a probe once more, on a new link, where its link broke. Danger: a probe asks after the server;
 // a link's end says nothing of it, and a sound server that seems silent is shut out and then taken for cold.
-func (s *Sidecar) probeAgain(e *attempt, err *attemptError) bool {
-	h := s.hosts.Host(e.host)
-	if e.request != nil || e.second || h == nil || err == nil || err.cause != broke || err.progress == notConnected {
+func (s *Sidecar) retryProbe(e *attempt, err *attemptError) bool {
+	h := s.hosts.Host(e.serverID)
+	if e.request != nil || e.isProbeRetry || h == nil || err == nil || err.cause != connBroken || err.progress == notConnected {
 		return false
 	}
-	e.second, e.progress, e.exchange = true, notConnected, s.prober.NewProbe()
+	e.isProbeRetry, e.progress, e.exchange = true, notConnected, s.prober.NewProbe()
 	s.dial(h, e)
 	return true
 }
@@ -184,25 +184,25 @@
 // mayBegin tells whether an attempt may be written to its server now. Danger: while it waited for a connection or a descriptor its
 // time may have run out, its client may have gone, its server may have been told to drain, and the servers that would drop it as a
 // repeat may have forgotten the attempt before.
-func (s *Sidecar) mayBegin(e *attempt) bool {
+func (s *Sidecar) mayStart(e *attempt) bool {
 	now, r := s.now(), e.request
-	if e.until <= now {
+	if e.deadline <= now {
 		return false
 	}
-	return r == nil || !r.answered && s.mayServe(e.host) && now < r.repeatsUntil(e)
+	return r == nil || !r.answered && s.acceptsAttempts(e.serverID) && now < r.repeatsUntil(e)
 }
 
 // begin starts an attempt on an idle backend connection, or on a new one.
-func (s *Sidecar) begin(e *attempt) {
-	h := s.hosts.Host(e.host)
-	if h == nil || !s.mayBegin(e) {
-		s.finish(e, &attemptError{notConnected, overtaken, nil})
+func (s *Sidecar) startAttempt(e *attempt) {
+	h := s.hosts.Host(e.serverID)
+	if h == nil || !s.mayStart(e) {
+		s.finishAttempt(e, &attemptError{notConnected, superseded, nil})
 		return
 	}
-	e.s = s
-	s.timers.start(&e.timer, e.until, e)
-	if l := s.idleConn(h, e.front); l != nil {
-		l.begin(e)
+	e.sidecar = s
+	s.timers.start(&e.timer, e.deadline, e)
+	if l := s.takeIdleConn(h, e.frontend); l != nil {
+		l.send(e)
 		return
 	}
 	s.dial(h, e)
@@ -210,21 +210,21 @@
 
 // abandon gives an attempt up. Its link is closed before the outcome is told: nothing may be sent again
 // while a copy is still out on an open link, and no late answer may meet another request.
-func (s *Sidecar) abandon(e *attempt, why cause) {
-	if e.over {
+func (s *Sidecar) abandonAttempt(e *attempt, why cause) {
+	if e.isOver {
 		return
 	}
-	if s.unstarve(e) { // it has never had a link, which is no fault of its server
-		s.finish(e, &attemptError{notConnected, overtaken, nil})
+	if s.stopWaiting(e) { // it has never had a link, which is no fault of its server
+		s.finishAttempt(e, &attemptError{notConnected, superseded, nil})
 		return
 	}
-	l, err := e.link, &attemptError{e.progress, why, nil}
+	l, err := e.backend, &attemptError{e.progress, why, nil}
 	l.attempt = nil
 	if l.conn == nil {
-		l.stopDial()
+		l.cancelDial()
 	} else {
-		err.progress = l.progress(e)
+		err.progress = l.updateProgress(e)
 		l.close()
 	}
-	s.finish(e, err)
+	s.finishAttempt(e, err)
 }
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -107,7 +107,7 @@
 		s.warnLimited("connections beyond the cap of an address or prefix are refused")
 		return false
 	case verdict == admission.TableFull && (s.connAdmission.OverflowLen() >= s.maxOverLimitClients() || !s.hasDescriptors(s.reservedClientSlots())):
-	case s.hasDescriptors(0) || s.makeRoom(0):
+	case s.hasDescriptors(0) || s.freeDescriptors(0):
 		if verdict == admission.TableFull {
 			l.isOverLimit = true
 			s.connAdmission.AdmitOverflow(l.slot)
--- a/internal/sidecar/events.go
+++ b/internal/sidecar/events.go
@@ -32,7 +32,7 @@
 		e.run(now)
 	case e.endedAttempt != nil:
 		r := e.endedAttempt.request
-		e.result.DelaySeconds, e.result.LateSeconds = e.endedAttempt.took(now)
+		e.result.DelaySeconds, e.result.LateSeconds = e.endedAttempt.durations(now)
 		e.result.Final = e.result.Final || r.answered
 		s.capture.RecordOutcome(now, e.result, r.label())
 		s.balancer.AttemptDone(now, e.result)
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/flow.go
@@ -60,7 +60,7 @@
 	lagging := f.lagging
 	f.lagging = nil
 	for _, l := range lagging {
-		if e := l.attempt; e != nil && l.conn != nil && !l.closed {
+		if e := l.attempt; e != nil && l.conn != nil && !l.isClosed {
 			l.pump(e)
 		}
 	}
@@ -91,14 +91,14 @@
 		s.timers.stop(&r.safety)
 		s.timers.start(&r.safety, r.deadline+s.responseSlackSeconds/2, r)
 		for _, e := range r.out {
-			e.until = r.deadline - s.responseMargin()
+			e.deadline = r.deadline - s.responseMargin()
 			s.timers.stop(&e.timer)
-			s.timers.start(&e.timer, e.until, e)
+			s.timers.start(&e.timer, e.deadline, e)
 		}
 	}
 	for _, e := range r.out {
-		if e.link != nil && e.link.conn != nil && e.link.attempt == e {
-			e.link.pump(e)
+		if e.backend != nil && e.backend.conn != nil && e.backend.attempt == e {
+			e.backend.pump(e)
 			break
 		}
 	}
@@ -119,28 +119,28 @@
 
 // pump writes on what has come of an attempt's request, as far as its server takes it.
 func (l *backendConn) pump(e *attempt) {
-	for !e.exchange.IsRequestAppended() && l.conn.OutboundBuffered() < l.s.flowRoom() {
-		piece := e.exchange.AppendBody(l.s.scratch[:0], ChunkBytes)
-		if l.s.keepScratch(piece); len(piece) == 0 {
+	for !e.exchange.IsRequestAppended() && l.conn.OutboundBuffered() < l.sidecar.flowRoom() {
+		piece := e.exchange.AppendBody(l.sidecar.scratch[:0], ChunkBytes)
+		if l.sidecar.keepScratch(piece); len(piece) == 0 {
 			break
 		}
-		l.writing = true
+		l.isWriting = true
 		_, err := l.conn.Write(piece)
-		l.writing = false
+		l.isWriting = false
 		if err != nil || l.attempt != e {
 			return
 		}
 	}
-	e.progress = l.progress(e)
+	e.progress = l.updateProgress(e)
 	if e.progress == partlyWritten && l.conn.OutboundBuffered() > 0 {
-		l.s.flows.lagging = append(l.s.flows.lagging, l)
-		l.s.tend()
+		l.sidecar.flows.lagging = append(l.sidecar.flows.lagging, l)
+		l.sidecar.tend()
 	}
 	r := e.request
 	if r == nil || r.body == nil {
 		return
 	}
-	if len(r.body.Buffered) > l.s.spool() {
+	if len(r.body.Buffered) > l.sidecar.spool() {
 		r.body.drop()
 	}
 	if c := r.client; r.uploading() && r.body.UnsentBytes() < ChunkBytes && c.request == r && c.conn != nil {
@@ -171,23 +171,23 @@
 // read to its end.
 func (s *Sidecar) beginFlow(l *backendConn, e *attempt) {
 	r, now := e.request, s.now()
-	result := policy.Result{ID: r.id, Host: e.host, Attempt: e.number}
+	result := policy.Result{ID: r.id, Host: e.serverID, Attempt: e.number}
 	result.Outcome, result.Report, _ = e.exchange.Result()
 	origin, can := r.origin.(StreamResponder)
 	if result.Outcome != policy.OK || r.answered || !can {
 		l.attempt = nil
 		l.close()
-		s.finish(e, nil)
+		s.finishAttempt(e, nil)
 		return
 	}
-	e.over = true
+	e.isOver = true
 	s.timers.stop(&e.timer)
 	s.timers.stop(&r.safety)
 	s.timers.stop(r.delay)
 	s.counters.attempts.count(result.Outcome)
 	r.drop(e)
 	f := &flow{s: s, e: e, link: l, client: r.client, origin: origin, heardAt: now, tookAt: now, from: now}
-	e.flow, r.flow, r.answered, result.Final = f, f, true, true
+	e.stream, r.flow, r.answered, result.Final = f, f, true, true
 	s.flows.answers = append(s.flows.answers, f)
 	s.events = append(s.events, event{endedAttempt: e, result: result})
 	origin.ForwardHead(e.exchange)
@@ -276,9 +276,9 @@
 	s.chargeAnswer(f.e)
 	s.settleQuota(r)
 	s.unname(r)
-	if !l.closed {
-		if l.attempt = nil; how == served && l.reusable(f.e) {
-			l.rest()
+	if !l.isClosed {
+		if l.attempt = nil; how == served && l.isReusable(f.e) {
+			l.makeIdle()
 		} else {
 			l.close()
 		}
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -96,8 +96,8 @@
 
 // noteRun notes the end of an attempt that may have run.
 func (r *request) noteRun(e *attempt, outcome policy.Outcome) {
-	if !outcome.NeverRan() && (r.ranFrom == 0 || e.asked < r.ranFrom) {
-		r.ranFrom = e.asked
+	if !outcome.NeverRan() && (r.ranFrom == 0 || e.requestedAt < r.ranFrom) {
+		r.ranFrom = e.requestedAt
 	}
 }
 
@@ -110,8 +110,8 @@
 	}
 	from := r.ranFrom
 	for _, other := range r.out {
-		if other != e && (from == 0 || other.asked < from) {
-			from = other.asked
+		if other != e && (from == 0 || other.requestedAt < from) {
+			from = other.requestedAt
 		}
 	}
 	if from == 0 {
--- a/internal/sidecar/settling_test.go
+++ b/internal/sidecar/settling_test.go
@@ -8,11 +8,11 @@
 
 // Once a server has sent more behind an answer, connections rest for longer, for a while.
 func TestSettling(t *testing.T) {
-	var s settling
-	assert.Equal(t, settleS, s.at(100))
-	s.noteStray(100)
-	assert.Equal(t, straySettleS, s.at(100))
-	s.noteStray(120)
-	assert.Equal(t, straySettleS, s.at(179))
-	assert.Equal(t, settleS, s.at(120+strayMemoryS))
+	var s reuseDelay
+	assert.Equal(t, reuseDelaySeconds, s.seconds(100))
+	s.extend(100)
+	assert.Equal(t, extendedReuseDelaySeconds, s.seconds(100))
+	s.extend(120)
+	assert.Equal(t, extendedReuseDelaySeconds, s.seconds(179))
+	assert.Equal(t, reuseDelaySeconds, s.seconds(120+reuseExtensionSeconds))
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -62,9 +62,9 @@
 	connAdmission        *admission.ConnTable
 	isCheckingUnread     bool // answers are looked after that clients have not taken
 	logLimiter           logLimiter
-	idle                 map[uint32][]*backendConn
-	settling             settling
-	starved              []*attempt // that wait for a link or a descriptor
+	idleConns            map[uint32][]*backendConn
+	reuseDelay           reuseDelay
+	waitingAttempts      []*attempt // that wait for a link or a descriptor
 	watcher              *watcher
 	passed               passed
 	admissionConfig      featureconfig.Admission
@@ -108,7 +108,7 @@
 // to call it. Of fronts that have a way to probe the last one's is used.
 func New(cfg sidecarconfig.Config, on featureconfig.Features, fronts []Frontend, loop netio.EventLoop, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, lastID: 1,
-		requests: map[uint32]*request{}, named: map[string]*request{}, idle: map[uint32][]*backendConn{},
+		requests: map[uint32]*request{}, named: map[string]*request{}, idleConns: map[uint32][]*backendConn{},
 		hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), responseSlackSeconds: cfg.Settings.AnswerSlackS,
 		admissionConfig: on.Admission, logLimiter: logLimiter{}, drills: faultinjection.New(on.Drills), frontends: fronts, shelf: noStateStore{}, processes: 1}
 	s.timers.currentSlot = int64(s.now() / slotSeconds)
@@ -215,8 +215,8 @@
 	s.openConns--
 	if l, ok := c.Context().(connHandler); ok {
 		s.runCallback(func() {
-			if l.onClose(err); len(s.starved) > 0 {
-				s.pushEvent(func(float64) { s.feedDials() })
+			if l.onClose(err); len(s.waitingAttempts) > 0 {
+				s.pushEvent(func(float64) { s.dialForWaiters() })
 			}
 		})
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -21,20 +21,20 @@
 func TestOutcomes(t *testing.T) {
 	o := func(p progress, c cause) policy.Outcome { return (&attemptError{p, c, nil}).outcome() }
 	table := map[cause][4]policy.Outcome{
-		broke:     {policy.ConnectFailed, policy.ConnectFailed, policy.Reset, policy.HostError},
-		timedOut:  {policy.ConnectFailed, policy.TimedOut, policy.TimedOut, policy.TimedOut},
-		cancelled: {policy.NotSent, policy.Cancelled, policy.Cancelled, policy.Cancelled},
-		overtaken: {policy.NotSent, policy.NotSent, policy.Reset, policy.Reset},
-		spoilt:    {policy.HostError, policy.HostError, policy.HostError, policy.HostError},
+		connBroken: {policy.ConnectFailed, policy.ConnectFailed, policy.Reset, policy.HostError},
+		timedOut:   {policy.ConnectFailed, policy.TimedOut, policy.TimedOut, policy.TimedOut},
+		cancelled:  {policy.NotSent, policy.Cancelled, policy.Cancelled, policy.Cancelled},
+		superseded: {policy.NotSent, policy.NotSent, policy.Reset, policy.Reset},
+		malformed:  {policy.HostError, policy.HostError, policy.HostError, policy.HostError},
 	}
 	for c, row := range table {
 		for p, want := range row {
 			assert.Equal(t, want, o(progress(p), c), "%v, %v", c, progress(p))
 		}
 	}
-	err := &attemptError{answering, broke, errStray}
+	err := &attemptError{responding, connBroken, errUnsolicited}
 	assert.Equal(t, "broke, answering: unasked bytes", err.Error())
-	assert.True(t, errors.Is(err, errStray))
+	assert.True(t, errors.Is(err, errUnsolicited))
 }
 
 // testNet is a loop that never turns, with a clock that stands still and connections that are no more than a flag.
@@ -82,13 +82,13 @@
 	s.admissionConfig.ReservedForKnown = 1
 	s.cfg.Limits.Sockets = baseDescriptors + s.reservedDescriptors + s.reservedClientSlots() + dialDescriptors // room for one dial
 	for range 2 {
-		s.dial(s.hosts.Host(7), &attempt{s: s, host: 7, until: testNow + 10, front: listedFront{}, second: true})
+		s.dial(s.hosts.Host(7), &attempt{sidecar: s, serverID: 7, deadline: testNow + 10, frontend: listedFront{}, isProbeRetry: true})
 	}
 	require.Len(t, n.done, 1)
-	require.Len(t, s.starved, 1)
+	require.Len(t, s.waitingAttempts, 1)
 	n.done[0](errors.New("refused"))
 	assert.Len(t, n.done, 2)
-	assert.Empty(t, s.starved)
+	assert.Empty(t, s.waitingAttempts)
 }
 
 func newTestSidecar(t *testing.T) *Sidecar {
@@ -141,9 +141,9 @@
 // restingConn returns a link that has rested for a while.
 func restingConn(s *Sidecar, h *endpointset.Host) (*backendConn, *testConn) {
 	c := &testConn{quiet: true}
-	l := &backendConn{s: s, host: h.ID, address: h.Address, conn: c}
-	l.rest()
-	l.restedAt -= 2 * settleS
+	l := &backendConn{sidecar: s, serverID: h.ID, address: h.Address, conn: c}
+	l.makeIdle()
+	l.idleSince -= 2 * reuseDelaySeconds
 	return l, c
 }
 
@@ -156,16 +156,16 @@
 		l, _ := restingConn(s, h)
 		links = append(links, l)
 	}
-	assert.Same(t, links[3], s.idleConn(h, nil))
+	assert.Same(t, links[3], s.takeIdleConn(h, nil))
 	s.CloseIdle(h.ID)
-	assert.Empty(t, s.idle[h.ID])
+	assert.Empty(t, s.idleConns[h.ID])
 	for i, l := range links {
-		assert.Equal(t, i < 3, l.closed, i)
+		assert.Equal(t, i < 3, l.isClosed, i)
 	}
-	links[3].rest()
+	links[3].makeIdle()
 	h.Address = "b"
-	assert.Nil(t, s.idleConn(h, nil), "a link to where the server was is of no use")
-	assert.True(t, links[3].closed)
+	assert.Nil(t, s.takeIdleConn(h, nil), "a link to where the server was is of no use")
+	assert.True(t, links[3].isClosed)
 }
 
 // What the event loop has not read yet decides, too: bytes that would answer the next request, or the link's end.
@@ -176,14 +176,14 @@
 	noisy, c := restingConn(s, h)
 	c.quiet = false
 	fresh, _ := restingConn(s, h)
-	fresh.restedAt = s.now() + 1
-	assert.Same(t, sound, s.idleConn(h, nil))
-	assert.True(t, noisy.closed)
+	fresh.idleSince = s.now() + 1
+	assert.Same(t, sound, s.takeIdleConn(h, nil))
+	assert.True(t, noisy.isClosed)
 	s.cfg.Limits.Sockets = 1000
-	assert.Nil(t, s.idleConn(h, nil), "more of its answer may be on the way")
+	assert.Nil(t, s.takeIdleConn(h, nil), "more of its answer may be on the way")
 	s.cfg.Limits.Sockets = 0
-	assert.Same(t, fresh, s.idleConn(h, nil), "better than none")
-	assert.Nil(t, s.idleConn(h, nil))
+	assert.Same(t, fresh, s.takeIdleConn(h, nil), "better than none")
+	assert.Nil(t, s.takeIdleConn(h, nil))
 }
 
 // A drill holds a request for as long as it says, and leaves a fifth of the request's time for the send.
--- a/internal/sidecar/starved.go
+++ b/internal/sidecar/starved.go
@@ -7,27 +7,27 @@
 // to their servers become free all the time.
 
 // starve has an attempt wait.
-func (s *Sidecar) starve(e *attempt) {
+func (s *Sidecar) waitForConn(e *attempt) {
 	s.counters.Starved++
 	s.warnLimited("attempts wait for a descriptor")
-	s.starved = append(s.starved, e)
+	s.waitingAttempts = append(s.waitingAttempts, e)
 }
 
 // unstarve takes an attempt from those that wait, and tells whether it was one.
-func (s *Sidecar) unstarve(e *attempt) bool {
-	i := slices.Index(s.starved, e)
+func (s *Sidecar) stopWaiting(e *attempt) bool {
+	i := slices.Index(s.waitingAttempts, e)
 	if i >= 0 {
-		s.starved = slices.Delete(s.starved, i, i+1)
+		s.waitingAttempts = slices.Delete(s.waitingAttempts, i, i+1)
 	}
 	return i >= 0
 }
 
 // feed gives a link that has become idle to the first attempt that waits for its server, and tells whether there was one.
-func (s *Sidecar) feed(l *backendConn) bool {
-	for _, e := range s.starved {
-		if e.host == l.host && e.front == l.front && s.mayBegin(e) && s.net.NothingToRead(l.conn) {
-			s.unstarve(e)
-			l.begin(e)
+func (s *Sidecar) assignToWaiter(l *backendConn) bool {
+	for _, e := range s.waitingAttempts {
+		if e.serverID == l.serverID && e.frontend == l.frontend && s.mayStart(e) && s.net.NothingToRead(l.conn) {
+			s.stopWaiting(e)
+			l.send(e)
 			return true
 		}
 	}
@@ -35,14 +35,14 @@
 }
 
 // feedDials dials for those that wait while there are descriptors.
-func (s *Sidecar) feedDials() {
-	for len(s.starved) > 0 && !s.stopping && s.makeRoom(dialDescriptors+s.reservedClientSlots()) {
-		e := s.starved[0]
-		s.unstarve(e)
-		if h := s.hosts.Host(e.host); h != nil && s.mayBegin(e) {
+func (s *Sidecar) dialForWaiters() {
+	for len(s.waitingAttempts) > 0 && !s.stopping && s.freeDescriptors(dialDescriptors+s.reservedClientSlots()) {
+		e := s.waitingAttempts[0]
+		s.stopWaiting(e)
+		if h := s.hosts.Host(e.serverID); h != nil && s.mayStart(e) {
 			s.dial(h, e)
 		} else {
-			s.finish(e, &attemptError{notConnected, overtaken, nil})
+			s.finishAttempt(e, &attemptError{notConnected, superseded, nil})
 		}
 	}
 }
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -237,10 +237,10 @@
 
 // dropIdle closes the idle backend connections that nothing new goes to.
 func (s *Sidecar) dropIdle() {
-	for _, id := range slices.Sorted(maps.Keys(s.idle)) {
-		if !s.mayServe(id) {
-			s.closeIdle(id)
-			delete(s.idle, id)
+	for _, id := range slices.Sorted(maps.Keys(s.idleConns)) {
+		if !s.acceptsAttempts(id) {
+			s.closeIdleConns(id)
+			delete(s.idleConns, id)
 		}
 	}
 }
--- a/internal/sidecar/works.go
+++ b/internal/sidecar/works.go
@@ -85,20 +85,20 @@
 // request that still runs.
 func (w *boxWork) note(e *attempt, err *attemptError, result *policy.Result, now float64) {
 	if e.request != nil {
-		w.ended[e.host]++
+		w.ended[e.serverID]++
 		switch {
 		case err == nil:
-			delete(w.hungUp, e.host)
-		case err.cause == broke:
-			w.hungUp[e.host] = hangUps{w.hungUp[e.host].n + 1, now}
+			delete(w.hungUp, e.serverID)
+		case err.cause == connBroken:
+			w.hungUp[e.serverID] = hangUps{w.hungUp[e.serverID].n + 1, now}
 		}
 	}
 	if r := &result.Report; err == nil && w.field >= 0 && w.field < r.N && !math.IsNaN(float64(r.Values[w.field])) {
-		w.report[e.host] = boxReport{now, float64(r.Values[w.field])}
+		w.report[e.serverID] = boxReport{now, float64(r.Values[w.field])}
 	}
-	if e.request != nil && err != nil && !result.Outcome.NeverRan() && err.cause != spoilt {
-		given := append(w.given[e.host], now)
-		w.given[e.host] = given[max(len(given)-mostGiven, 0):]
+	if e.request != nil && err != nil && !result.Outcome.NeverRan() && err.cause != malformed {
+		given := append(w.given[e.serverID], now)
+		w.given[e.serverID] = given[max(len(given)-mostGiven, 0):]
 	}
 }
 
@@ -146,7 +146,7 @@
 	out := map[uint32]int{}
 	for _, r := range s.requests {
 		for _, e := range r.out {
-			out[e.host]++
+			out[e.serverID]++
 		}
 	}
 	avoided, w, p := s.balancer.Ejected(now), s.works, &s.cfg.Settings.Policy
--- a/internal/sidecar/works_test.go
+++ b/internal/sidecar/works_test.go
@@ -15,10 +15,10 @@
 	s.EnableMaintenance()
 	w, now := s.works, testNow
 	ends := func(request *request, err *attemptError) {
-		w.note(&attempt{host: 7, request: request}, err, &policy.Result{}, now)
+		w.note(&attempt{serverID: 7, request: request}, err, &policy.Result{}, now)
 	}
 	r := &request{}
-	hangsUp, left := &attemptError{writtenWhole, broke, errStray}, &attemptError{writtenWhole, cancelled, nil}
+	hangsUp, left := &attemptError{fullyWritten, connBroken, errUnsolicited}, &attemptError{fullyWritten, cancelled, nil}
 	ends(r, hangsUp)
 	assert.False(t, w.fails(7, now), "one link may have died while idle")
 	ends(r, left)
