--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -17,12 +17,12 @@
 		s.log.Error("send for an unknown request", "request", id)
 		return
 	}
-	e := &attempt{request: r, number: r.sent, serverID: host, requestedAt: s.eventAt, sentAt: s.eventAt,
-		deadline: r.deadline - s.responseMargin(), exchange: r.call.NewExchange(), frontend: r.front}
-	r.sent++
-	r.out = append(r.out, e)
-	s.counters.Executions++
-	if r.answered || len(r.out) > 1 && (r.once || !s.cfg.Settings.Policy.HedgingAllowed) {
+	e := &attempt{request: r, number: r.attemptsSent, serverID: host, requestedAt: s.eventAt, sentAt: s.eventAt,
+		deadline: r.deadline - s.responseMargin(), exchange: r.call.NewExchange(), frontend: r.frontend}
+	r.attemptsSent++
+	r.attempts = append(r.attempts, e)
+	s.counters.Attempts++
+	if r.isAnswered || len(r.attempts) > 1 && (r.isAtMostOnce || !s.cfg.Settings.Policy.HedgingAllowed) {
 		s.finishAttempt(e, &attemptError{notConnected, superseded, nil})
 		return
 	}
@@ -33,7 +33,7 @@
 func (s *Sidecar) Cancel(id uint32, attempt int) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionCancel, Attempt: attempt})
 	if r := s.requests[id]; r != nil {
-		if e := r.attempt(attempt); e != nil {
+		if e := r.attemptByNumber(attempt); e != nil {
 			s.abandonAttempt(e, cancelled)
 		}
 	}
@@ -62,16 +62,16 @@
 // Refuse is a final answer: trying again is harmless.
 func (s *Sidecar) Refuse(id uint32, retryAfterS float64) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionRefuse, AfterSeconds: retryAfterS})
-	if r := s.requests[id]; r != nil && !r.answered {
-		s.answer(r, throttled, func() { r.origin.Throttle(retryAfterS) })
+	if r := s.requests[id]; r != nil && !r.isAnswered {
+		s.answerRequest(r, throttled, func() { r.responder.Throttle(retryAfterS) })
 	}
 }
 
 // Fail is a final answer that promises nothing.
 func (s *Sidecar) Fail(id uint32) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionFail})
-	if r := s.requests[id]; r != nil && !r.answered {
-		s.answer(r, failed, func() { r.origin.Fail(s.now() >= r.deadline-2*s.responseMargin()) })
+	if r := s.requests[id]; r != nil && !r.isAnswered {
+		s.answerRequest(r, failed, func() { r.responder.Fail(s.now() >= r.deadline-2*s.responseMargin()) })
 	}
 }
 
--- a/internal/sidecar/arrivals.go
+++ b/internal/sidecar/arrivals.go
@@ -8,87 +8,87 @@
 const (
 	// takenAtOnce requests are handed to the decisions before the loop looks at its connections again; then all answers
 	// that have come are known to them. It is about a millisecond's work.
-	takenAtOnce = 32
+	maxBurst = 32
 	// takenWithinS is from when on requests no longer count as one burst.
-	takenWithinS = 0.001
+	burstWindowSeconds = 0.001
 	// staleS in the socket, and a request is taken up only once the loop has looked at its connections. Danger: the end of its
 	// client may lie right behind it, unread, and a process that stood still would send on what nobody waits for.
-	staleS = 0.05
+	staleSeconds = 0.05
 )
 
 // arrivals are the requests that the decisions have not been given yet, and how many they have been given in this burst.
-type arrivals struct {
-	queue   *admission.Queue[arrival]
-	taken   int
-	since   float64
-	waiting bool // for the loop to have looked at its connections
+type pendingRequests struct {
+	queue          *admission.Queue[pendingRequest]
+	burst          int
+	burstStartedAt float64
+	isScheduled    bool // for the loop to have looked at its connections
 }
 
 // arrival is a request with what the decisions are told of it.
-type arrival struct {
+type pendingRequest struct {
 	*request
 	policy.Request
-	at float64 // when it came
+	enqueuedAt float64 // when it came
 }
 
 // arrive hands a request to the decisions, or has it wait its turn.
-func (s *Sidecar) arrive(r *request, q policy.Request) {
-	a, now := &s.arrivals, s.now()
-	if a.queue.Len() == 0 && !a.waiting && q.HeldBackSeconds < staleS {
-		if now-a.since > takenWithinS {
-			a.taken, a.since = 0, now
+func (s *Sidecar) enqueueRequest(r *request, q policy.Request) {
+	a, now := &s.pending, s.now()
+	if a.queue.Len() == 0 && !a.isScheduled && q.HeldBackSeconds < staleSeconds {
+		if now-a.burstStartedAt > burstWindowSeconds {
+			a.burst, a.burstStartedAt = 0, now
 		}
-		if a.taken < takenAtOnce {
-			a.taken++
-			s.decide(r, q)
+		if a.burst < maxBurst {
+			a.burst++
+			s.pushRequest(r, q)
 			return
 		}
 	}
 	from := now - q.HeldBackSeconds
-	if q.HeldBackSeconds >= staleS { // its wait is not shed load: it waits for this one look
+	if q.HeldBackSeconds >= staleSeconds { // its wait is not shed load: it waits for this one look
 		from = now
 	}
-	a.queue.Enqueue(admission.QueuedRequest[arrival]{Request: arrival{r, q, now}, Class: q.Class, ArrivedAt: from})
-	s.takeUpLater()
+	a.queue.Enqueue(admission.QueuedRequest[pendingRequest]{Request: pendingRequest{r, q, now}, Class: q.Class, ArrivedAt: from})
+	s.schedulePending()
 }
 
 // takeUpLater has the next requests taken up once the loop has looked at its connections.
-func (s *Sidecar) takeUpLater() {
-	if a := &s.arrivals; !a.waiting {
-		a.waiting = true
-		s.net.Yield(func() { s.runCallback(s.takeUp) })
+func (s *Sidecar) schedulePending() {
+	if a := &s.pending; !a.isScheduled {
+		a.isScheduled = true
+		s.net.Yield(func() { s.runCallback(s.submitPending) })
 	}
 }
 
 // takeUp hands the next requests to the decisions. What has waited too long is answered at once, and so is what has no
 // time left.
-func (s *Sidecar) takeUp() {
-	a, now := &s.arrivals, s.now()
-	a.waiting, a.since, a.taken = false, now, 0
-	for a.taken < takenAtOnce {
+func (s *Sidecar) submitPending() {
+	a, now := &s.pending, s.now()
+	a.isScheduled, a.burstStartedAt, a.burst = false, now, 0
+	for a.burst < maxBurst {
 		w, shed, ok := a.queue.Dequeue(now)
 		if !ok {
 			return
 		}
 		r, q := w.Request.request, w.Request.Request
 		switch {
-		case r.answered: // its client has gone since
+		case r.isAnswered: // its client has gone since
 			continue
 		case shed:
 			s.counters.Shed++
-			s.answer(r, throttled, func() { r.origin.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
+			s.answerRequest(r, throttled, func() { r.responder.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		default:
-			q.HeldBackSeconds += now - w.Request.at
-			s.decide(r, q)
+			q.HeldBackSeconds += now - w.Request.enqueuedAt
+			s.pushRequest(r, q)
 		}
-		a.taken++
+		a.burst++
 	}
 	if a.queue.Len() > 0 {
-		s.takeUpLater()
+		s.schedulePending()
 	}
 }
 
 // decide hands a request to the decisions.
-func (s *Sidecar) decide(r *request, q policy.Request) {
+func (s *Sidecar) pushRequest(r *request, q policy.Request) {
 	s.events = append(s.events, event{request: r, input: q})
 }
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -89,7 +89,7 @@
 	sidecar       *Sidecar
 	isOver        bool
 	isProbeRetry  bool    // a probe that has been begun again
-	stream        *flow   // of its answer, which is passed on as it comes
+	stream        *stream // of its answer, which is passed on as it comes
 	unreadSeconds float64 // how long its answer lay in the socket
 }
 
@@ -121,7 +121,7 @@
 		if err != nil && err.cause == malformed {
 			result.Outcome = policy.OK
 		}
-		s.counters.probes.count(result.Outcome)
+		s.counters.probeOutcomes.count(result.Outcome)
 		s.pushEvent(func(now float64) {
 			result.DelaySeconds, result.LateSeconds = e.durations(now)
 			s.capture.RecordProbe(now, result)
@@ -135,28 +135,28 @@
 		// quicker than any.
 		result.Outcome = policy.Cancelled
 	}
-	s.counters.attempts.count(result.Outcome)
+	s.counters.attemptOutcomes.count(result.Outcome)
 	r := e.request
-	r.drop(e)
-	r.noteRun(e, result.Outcome)
+	r.removeAttempt(e)
+	r.recordRun(e, result.Outcome)
 	result.ID = r.id
-	if good && !r.answered {
-		s.chargeAnswer(e)
-		s.answer(r, served, func() { r.origin.ForwardResponse(e.exchange) })
+	if good && !r.isAnswered {
+		s.recordResponseCost(e)
+		s.answerRequest(r, served, func() { r.responder.ForwardResponse(e.exchange) })
 	}
-	if r.once && !r.answered && !result.Outcome.NeverRan() {
+	if r.isAtMostOnce && !r.isAnswered && !result.Outcome.NeverRan() {
 		// Danger: the decisions go by the class, whose requests may run again because something drops their repeats.
-		s.answer(r, failed, func() { r.origin.Fail(result.Outcome == policy.TimedOut) })
+		s.answerRequest(r, failed, func() { r.responder.Fail(result.Outcome == policy.TimedOut) })
 	}
-	if r.body != nil && r.body.HasDropped() && !r.answered && result.Outcome != policy.OK {
+	if r.body != nil && r.body.HasDropped() && !r.isAnswered && result.Outcome != policy.OK {
 		// What has been sent of its body is no longer there, so nobody else can get it.
-		if r.ranFrom == 0 {
-			s.answer(r, throttled, func() { r.origin.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
+		if r.firstRunAt == 0 {
+			s.answerRequest(r, throttled, func() { r.responder.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		} else {
-			s.answer(r, failed, func() { r.origin.Fail(result.Outcome == policy.TimedOut) })
+			s.answerRequest(r, failed, func() { r.responder.Fail(result.Outcome == policy.TimedOut) })
 		}
 	}
-	result.Final = r.answered
+	result.Final = r.isAnswered
 	s.events = append(s.events, event{endedAttempt: e, result: result})
 }
 
@@ -189,7 +189,7 @@
 	if e.deadline <= now {
 		return false
 	}
-	return r == nil || !r.answered && s.acceptsAttempts(e.serverID) && now < r.repeatsUntil(e)
+	return r == nil || !r.isAnswered && s.acceptsAttempts(e.serverID) && now < r.repeatWindowEnd(e)
 }
 
 // begin starts an attempt on an idle backend connection, or on a new one.
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -205,13 +205,13 @@
 func (l *backendConn) send(e *attempt) {
 	l.attempt, e.backend = e, l
 	e.progress = partlyWritten
-	l.sidecar.scratch = e.exchange.AppendRequest(l.sidecar.scratch[:0], l.sidecar.now(), l.sidecar.advertisedDeadline(e))
+	l.sidecar.writeBuffer = e.exchange.AppendRequest(l.sidecar.writeBuffer[:0], l.sidecar.now(), l.sidecar.advertisedDeadline(e))
 	l.isWriting = true
-	_, err := l.conn.Write(l.sidecar.scratch) // gnet closes the link on an error, which ends the attempt
+	_, err := l.conn.Write(l.sidecar.writeBuffer) // gnet closes the link on an error, which ends the attempt
 	l.isWriting = false
-	l.sidecar.keepScratch(l.sidecar.scratch)
+	l.sidecar.recycleWriteBuffer(l.sidecar.writeBuffer)
 	if err == nil && l.attempt == e {
-		l.pump(e)
+		l.forwardBody(e)
 		l.completeOneWay(e)
 	}
 }
@@ -219,8 +219,8 @@
 // told returns until when an attempt tells its server that anybody waits. The time for a body that is still on its way in is not the
 // client's.
 func (s *Sidecar) advertisedDeadline(e *attempt) float64 {
-	if r := e.request; r != nil && r.uploading() {
-		return min(e.deadline, s.now()+r.patience-s.responseMargin())
+	if r := e.request; r != nil && r.isUploading() {
+		return min(e.deadline, s.now()+r.timeoutSeconds-s.responseMargin())
 	}
 	return e.deadline
 }
@@ -244,7 +244,7 @@
 	if e.progress == partlyWritten && !l.isWriting && e.exchange.IsRequestAppended() && l.conn.OutboundBuffered() == 0 {
 		e.progress = fullyWritten
 		if r := e.request; r != nil {
-			l.sidecar.counters.Written++
+			l.sidecar.counters.RequestsWritten++
 			if r.body != nil { // the server begins with the last byte, whenever the client has sent that
 				e.sentAt = l.sidecar.now()
 			}
@@ -268,7 +268,7 @@
 	}
 	done, err := e.exchange.ReadResponse(&l.input)
 	if e.stream != nil {
-		e.stream.traffic(len(data), done, err)
+		e.stream.onData(len(data), done, err)
 		return
 	}
 	if err != nil {
@@ -285,7 +285,7 @@
 	}
 	if x, ok := e.exchange.(StreamingExchange); ok && e.request != nil && x.ExceedsBuffer() {
 		e.unreadSeconds = l.sidecar.socketWait(l.conn)
-		l.sidecar.beginFlow(l, e)
+		l.sidecar.startStream(l, e)
 	}
 }
 
@@ -322,7 +322,7 @@
 	}
 	l.attempt = nil
 	if e.stream != nil {
-		e.stream.serverEnded(err == nil || errors.Is(err, io.EOF))
+		e.stream.onBackendClose(err == nil || errors.Is(err, io.EOF))
 		return
 	}
 	if (err == nil || errors.Is(err, io.EOF)) && e.exchange.HandleEOF() {
--- a/internal/sidecar/capture.go
+++ b/internal/sidecar/capture.go
@@ -44,7 +44,7 @@
 }
 
 // label is how a request is called outside.
-func (r *request) label() capture.Label { return capture.Label{ID: r.name, Class: r.class} }
+func (r *request) label() capture.Label { return capture.Label{ID: r.clientID, Class: r.className} }
 
 // noteFor notes a decision about a request.
 func (s *Sidecar) recordDecision(id uint32, d capture.Decision) {
@@ -52,7 +52,7 @@
 		return
 	}
 	if r := s.requests[id]; r != nil {
-		d.ID, d.Class = r.name, r.class
+		d.ID, d.Class = r.clientID, r.className
 	}
 	d.Request = id
 	s.capture.RecordDecision(d)
@@ -74,6 +74,6 @@
 
 // HandleEOF ends what is written beside the loop once the loop has gone.
 func (s *Sidecar) Close() {
-	s.endQuotas()
+	s.closeQuotas()
 	s.capture.Close()
 }
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -100,11 +100,11 @@
 		return
 	}
 	l.input.Write(data)
-	if r := l.request; r == nil && l.unreadBytes == 0 || r != nil && r.uploading() {
+	if r := l.request; r == nil && l.unreadBytes == 0 || r != nil && r.isUploading() {
 		l.arrivals.reset()
 	}
 	l.arrivals.add(len(data), l.sidecar.now())
-	if r := l.request; r != nil && r.uploading() {
+	if r := l.request; r != nil && r.isUploading() {
 		l.forwardUpload(r)
 		return
 	}
@@ -130,7 +130,7 @@
 // endsWhilePaused returns whether the client's end counts while what it sends is left unread: as long as it is owed an answer of
 // which nothing has been written.
 func (l *ClientConn) pausedEnds() netio.ClosePolicy {
-	if l.request == nil || l.request.answered {
+	if l.request == nil || l.request.isAnswered {
 		return netio.DeferClose
 	}
 	return netio.ReportClose
@@ -194,7 +194,7 @@
 	}
 	l.sidecar.connAdmission.RecordWasted(l.slot)
 	if r := l.request; r != nil {
-		l.sidecar.spoilUpload(r, ErrRequestTimeout)
+		l.sidecar.failUpload(r, ErrRequestTimeout)
 		return
 	}
 	l.rejectMalformed(ErrRequestTimeout)
@@ -227,7 +227,7 @@
 // CountInvalid counts a request of a class that is answered and never handed on: nobody could decide on it.
 func (l *ClientConn) CountInvalid(class int) {
 	l.sidecar.counters.Requests++
-	l.sidecar.counters.end(class, failed)
+	l.sidecar.counters.countRequestEnd(class, failed)
 }
 
 // CountMalformed counts a message that is answered and never handed on.
@@ -283,26 +283,26 @@
 	patience := min(a.TimeoutSeconds, maxRequestTimeoutSeconds)
 	deadline := l.sidecar.now() - waited + patience
 	cut := max(deadline-l.sidecar.latestAnswer(), 0)
-	r := &request{name: a.ID, class: l.sidecar.cfg.Settings.Policy.Classes[a.Class].Name, classNo: a.Class, deadline: deadline - cut,
-		call: a.Call, origin: l.codec, client: l, body: a.Body, patience: patience, front: l.frontend, once: a.AtMostOnce, detached: a.IsOneWay,
+	r := &request{clientID: a.ID, className: l.sidecar.cfg.Settings.Policy.Classes[a.Class].Name, classIndex: a.Class, deadline: deadline - cut,
+		call: a.Call, responder: l.codec, client: l, body: a.Body, timeoutSeconds: patience, frontend: l.frontend, isAtMostOnce: a.AtMostOnce, isOneWay: a.IsOneWay,
 		quota: ticket}
 	l.request = r
 	// Danger: the decisions take a wait that is shorter than usual for a late retry's; what is cut off here is no sign of that.
 	q := policy.Request{Class: a.Class, Tenant: a.Tenant, HeldBackSeconds: waited + cut, Repeat: a.IsRetry, Deadline: r.deadline}
-	if r.uploading() { // its time counts from its last byte; the decisions go by what they are used to
+	if r.isUploading() { // its time counts from its last byte; the decisions go by what they are used to
 		r.deadline += maxUploadSeconds
 		l.pauseReading(netio.ReportClose)
 		l.setArrivalDeadline(l.sidecar.now() + arrivalTimeoutSeconds - float64(len(a.Body.Buffered))/minBytesPerSecond)
 		l.arrivalTimer = l.sidecar.timers.schedule(l.sidecar.now()+arrivalTimeoutSeconds, l.checkArrival)
 	}
-	l.sidecar.take(r, q)
+	l.sidecar.registerRequest(r, q)
 }
 
 // turnAway throttles a request that is not taken up: there is no room for it, or its client has more out than its part.
 func (l *ClientConn) rejectRequest(class int, why string) {
 	l.sidecar.counters.Requests++
-	l.sidecar.counters.end(class, throttled)
-	l.sidecar.counters.TurnedAway++
+	l.sidecar.counters.countRequestEnd(class, throttled)
+	l.sidecar.counters.Rejected++
 	l.sidecar.warnLimited("requests are turned away: " + why)
 	l.sidecar.log.Debug("request turned away", "client", l.conn.RemoteAddr(), "why", why)
 	l.keepAlive = false
@@ -330,12 +330,12 @@
 	} else {
 		l.isLastWritten = !l.keepAlive || l.sidecar.leaving() && !ahead && l.sidecar.net.NothingToRead(l.conn)
 	}
-	return l.sidecar.scratch[:0], l.isLastWritten, true
+	return l.sidecar.writeBuffer[:0], l.isLastWritten, true
 }
 
 // EndResponse writes an answer and makes ready for the next request.
 func (l *ClientConn) EndResponse(answer []byte) {
-	l.sidecar.keepScratch(answer)
+	l.sidecar.recycleWriteBuffer(answer)
 	l.hasAnswered = true
 	if len(answer) > 0 {
 		l.Write(answer)
@@ -351,7 +351,7 @@
 }
 
 // BodyBufferLimit returns how much of a request's body is held before the rest of it flows.
-func (l *ClientConn) BodyBufferLimit() int { return l.sidecar.spool() }
+func (l *ClientConn) BodyBufferLimit() int { return l.sidecar.bodyBufferLimit() }
 
 // BeginStream is BeginAnswer for an answer that comes in pieces, which end with the link where nothing else tells their end.
 // What is appended goes to Flow.
@@ -365,11 +365,11 @@
 }
 
 // ScratchBuffer returns empty memory for what Flow is to write.
-func (l *ClientConn) ScratchBuffer() []byte { return l.sidecar.scratch[:0] }
+func (l *ClientConn) ScratchBuffer() []byte { return l.sidecar.writeBuffer[:0] }
 
 // WriteStream writes a part of an answer.
 func (l *ClientConn) WriteStream(b []byte) {
-	l.sidecar.keepScratch(b)
+	l.sidecar.recycleWriteBuffer(b)
 	if l.conn != nil && len(b) > 0 {
 		l.Write(b)
 	}
@@ -449,10 +449,10 @@
 	if r := l.request; r != nil {
 		l.request = nil
 		switch {
-		case r.flow != nil:
-			r.flow.end(abandoned)
-		case !r.detached:
-			l.sidecar.abandoned(r)
+		case r.stream != nil:
+			r.stream.finish(abandoned)
+		case !r.isOneWay:
+			l.sidecar.abandonRequest(r)
 		}
 	}
 }
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -79,7 +79,7 @@
 	l := client.Base()
 	l.sidecar, l.frontend, l.codec, l.conn, l.openedAt, l.index = s, front, client, c, now, len(s.clients)
 	s.clients = append(s.clients, l)
-	s.counters.Accepted++
+	s.counters.AcceptedConns++
 	c.SetContext(connHandler(l))
 	var verdict admission.Verdict
 	bounds := s.admissionSettings(1)
@@ -103,7 +103,7 @@
 	}
 	switch {
 	case verdict == admission.OverLimit:
-		s.counters.OverCap++
+		s.counters.ConnsOverCap++
 		s.warnLimited("connections beyond the cap of an address or prefix are refused")
 		return false
 	case verdict == admission.TableFull && (s.connAdmission.OverflowLen() >= s.maxOverLimitClients() || !s.hasDescriptors(s.reservedClientSlots())):
@@ -116,7 +116,7 @@
 	}
 	// Danger: the next accept would fail for want of a descriptor, and the loop would end. Not a byte of a request has
 	// been read from this link.
-	s.counters.NoRoom++
+	s.counters.ConnsWithoutDescriptor++
 	s.warnLimited("connections are refused: there is no room for them")
 	s.log.Debug("client connection refused", "client", c.RemoteAddr(), "crowded", verdict == admission.TableFull, "links", s.connAdmission.Len())
 	return false
@@ -155,9 +155,9 @@
 	s := l.sidecar
 	switch state, _ := l.slot.State(); state {
 	case admission.StateReading, admission.StateWriting:
-		s.counters.GivenUp++
+		s.counters.ConnsEvicted++
 	case admission.StateNew, admission.StateIdle:
-		s.counters.Retired++
+		s.counters.IdleConnsClosed++
 	}
 	s.warnLimited("connections that have no request out are closed to make room")
 	s.log.Debug("client connection given up", "client", l.conn.RemoteAddr(), "state", l.stateName())
@@ -178,7 +178,7 @@
 	if state, _ := l.slot.State(); state == admission.StateNew {
 		l.sidecar.connAdmission.RecordWasted(l.slot)
 	}
-	l.sidecar.counters.Retired++
+	l.sidecar.counters.IdleConnsClosed++
 	l.sidecar.closeConn(l.conn)
 }
 
@@ -252,8 +252,8 @@
 		switch {
 		case left == 0:
 			l.finishResponse()
-		case now > l.lastReadAt+unreadTimeoutSeconds && !l.isStreamed || now > l.unreadSince+maxUnreadSeconds && !l.isStreamed || now > l.lastReadAt+lagS:
-			s.counters.Unread++
+		case now > l.lastReadAt+unreadTimeoutSeconds && !l.isStreamed || now > l.unreadSince+maxUnreadSeconds && !l.isStreamed || now > l.lastReadAt+peerLagTimeoutSeconds:
+			s.counters.UnreadConnsClosed++
 			s.warnLimited("connections are closed whose clients do not read their answers")
 			s.connAdmission.RecordWasted(place)
 			s.closeConn(l.conn)
@@ -266,7 +266,7 @@
 
 // short tells whether there is not enough for all: requests wait for a server, or for the sidecar itself.
 func (s *Sidecar) isOverloaded() bool {
-	return s.arrivals.queue.Len() > 0 || s.balancer.QueueLength() > 0
+	return s.pending.queue.Len() > 0 || s.balancer.QueueLength() > 0
 }
 
 // mostShown bounds the addresses that are told of at a time.
--- a/internal/sidecar/counters_form_test.go
+++ b/internal/sidecar/counters_form_test.go
@@ -13,8 +13,8 @@
 func TestCountersForm(t *testing.T) {
 	c := counters{}
 	set(reflect.ValueOf(&c).Elem())
-	for i := range c.attempts {
-		c.attempts[i], c.probes[i] = uint64(i+1), uint64(i+1)
+	for i := range c.attemptOutcomes {
+		c.attemptOutcomes[i], c.probeOutcomes[i] = uint64(i+1), uint64(i+1)
 	}
 	raw, err := os.ReadFile("testdata/counters.json")
 	require.NoError(t, err)
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -24,7 +24,7 @@
 		return
 	}
 	s.draining, s.drainedAt = true, s.now()
-	s.log.Info("ending", "open", s.counters.Open)
+	s.log.Info("ending", "open", s.counters.OpenRequests)
 	if s.succeeded { // newcomers are the other's
 		s.net.StopListening(s.gone)
 		return
@@ -56,7 +56,7 @@
 // leave closes the links that are idle, and ends the loop once there is no other, or once no time is left.
 func (s *Sidecar) leave() {
 	now := s.now()
-	busy := s.endIdle() || s.counters.Open > 0
+	busy := s.endIdle() || s.counters.OpenRequests > 0
 	if busy && now < s.drainedAt+s.longestWait()+graceS {
 		s.timers.schedule(now+drainEveryS, s.leave)
 		return
@@ -67,7 +67,7 @@
 			state, _ := l.slot.State()
 			left[state.String()]++
 		}
-		s.log.Warn("ended with work left", "requests", s.counters.Open, "links", left)
+		s.log.Warn("ended with work left", "requests", s.counters.OpenRequests, "links", left)
 	}
 	s.stopping = true
 	s.net.Stop()
--- a/internal/sidecar/drills.go
+++ b/internal/sidecar/drills.go
@@ -4,21 +4,21 @@
 
 // delayPart is the part of a request's time that a drill may take. Danger: decisions that get a request just before
 // its deadline can only fail it, and the rehearsal would show a failure of the balancer's own making.
-const delayPart = 0.8
+const maxDelayFraction = 0.8
 
 // IsFaultInjectionArmed tells whether drills can be started.
-func (s *Sidecar) IsFaultInjectionArmed() bool { return s.drills.IsArmed() }
+func (s *Sidecar) IsFaultInjectionArmed() bool { return s.faults.IsArmed() }
 
 // StartFault starts a drill on the operators' word. Danger: the secret must not reach the log.
 func (s *Sidecar) StartFault(secret []byte, name string) (faultinjection.Fault, error) {
-	d, err := s.drills.Start(s.now(), secret, name)
+	d, err := s.faults.Start(s.now(), secret, name)
 	if err != nil {
 		s.log.Warn("drill refused", "error", err)
 		return d, err
 	}
 	s.log.Info("drill started", "drill", d.Name, "class", d.Class, "duration_s", d.DurationSeconds)
-	if s.together != nil {
-		s.together.FaultStarted(d.Name, d.DurationSeconds, func(id uint64) []byte { return s.drills.Sign(id, d.Name) })
+	if s.faultObserver != nil {
+		s.faultObserver.FaultStarted(d.Name, d.DurationSeconds, func(id uint64) []byte { return s.faults.Sign(id, d.Name) })
 	}
 	return d, nil
 }
@@ -36,11 +36,11 @@
 }
 
 // SetFaultObserver has a fleet told of drills. It comes before Start.
-func (s *Sidecar) SetFaultObserver(to FaultObserver) { s.together = to }
+func (s *Sidecar) SetFaultObserver(to FaultObserver) { s.faultObserver = to }
 
 // RunRemoteFault is for the loop.
 func (s *Sidecar) RunRemoteFault(name string, id uint64, mark []byte, leftS float64) error {
-	d, err := s.drills.StartRemote(s.net.Now(), id, name, mark, leftS)
+	d, err := s.faults.StartRemote(s.net.Now(), id, name, mark, leftS)
 	if err != nil {
 		return err
 	}
@@ -50,26 +50,26 @@
 
 // heldFor returns for how many seconds a drill holds a request that has so many left: as long as the drill says, but never so long that
 // less than a fifth of them is left for its send.
-func heldFor(d *faultinjection.Fault, leftS float64) float64 {
-	return min(d.DelayMS/1000, delayPart*leftS)
+func faultDelaySeconds(d *faultinjection.Fault, leftS float64) float64 {
+	return min(d.DelayMS/1000, maxDelayFraction*leftS)
 }
 
 // drilled tells whether a drill has taken a request up; then it calls decide when the delay is over, or aborts the
 // request. Until then the request is open like any other: its client may go, and its deadline holds. Danger: what is left
 // of its time looks like that of a client's later try, and one whose aim has passed since its first is refused; so the
 // decisions are told how long it was held.
-func (s *Sidecar) drilled(r *request, class int, decide func(held float64)) bool {
+func (s *Sidecar) applyFault(r *request, class int, decide func(held float64)) bool {
 	now := s.now()
-	d := s.drills.Match(now, s.cfg.Settings.Policy.Classes[class].Name)
+	d := s.faults.Match(now, s.cfg.Settings.Policy.Classes[class].Name)
 	if d == nil {
 		return false
 	}
-	s.log.Info("drill hit", "drill", d.Name, "request_id", r.name)
-	r.delay = s.timers.schedule(now+heldFor(d, r.deadline-now), func() {
+	s.log.Info("drill hit", "drill", d.Name, "request_id", r.clientID)
+	r.faultTimer = s.timers.schedule(now+faultDelaySeconds(d, r.deadline-now), func() {
 		switch {
-		case r.answered:
+		case r.isAnswered:
 		case d.Abort == "503": // nothing has run, which is what a throttle says
-			s.answer(r, throttled, func() { r.origin.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
+			s.answerRequest(r, throttled, func() { r.responder.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		default:
 			decide(s.now() - now)
 		}
--- a/internal/sidecar/events.go
+++ b/internal/sidecar/events.go
@@ -33,11 +33,11 @@
 	case e.endedAttempt != nil:
 		r := e.endedAttempt.request
 		e.result.DelaySeconds, e.result.LateSeconds = e.endedAttempt.durations(now)
-		e.result.Final = e.result.Final || r.answered
+		e.result.Final = e.result.Final || r.isAnswered
 		s.capture.RecordOutcome(now, e.result, r.label())
 		s.balancer.AttemptDone(now, e.result)
-		s.forget(r)
-	case !e.request.answered: // its client may have gone since
+		s.forgetRequest(r)
+	case !e.request.isAnswered: // its client may have gone since
 		s.capture.RecordRequest(now, e.input, e.request.label())
 		s.balancer.StartRequest(now, e.input)
 	}
--- a/internal/sidecar/feed.go
+++ b/internal/sidecar/feed.go
@@ -111,7 +111,7 @@
 	s.runCallback(func() {
 		was := s.watches()
 		if s.passed.on = false; was && !s.watches() {
-			s.counters.ListFailed++
+			s.counters.WatchesFailed++
 			s.askAgain()
 		}
 	})
@@ -139,7 +139,7 @@
 		case s.passed.own:
 			s.beginWatch()
 		default:
-			s.counters.ListFailed++
+			s.counters.WatchesFailed++
 			s.askAgain()
 		}
 	})
--- a/internal/sidecar/fit.go
+++ b/internal/sidecar/fit.go
@@ -31,7 +31,7 @@
 		}
 		f.windowStart, f.stalledAtWindowStart = now, f.stalledSeconds
 	}
-	by := &s.counters.attempts
+	by := &s.counters.attemptOutcomes
 	answers := by[policy.OK] + by[policy.HostError] + by[policy.Rejected]
 	silences := by[policy.TimedOut] + by[policy.ConnectFailed] + by[policy.Reset]
 	if answers != f.responses || f.lastResponseAt == 0 {
--- a/internal/sidecar/fit_test.go
+++ b/internal/sidecar/fit_test.go
@@ -27,7 +27,7 @@
 		}
 		return why
 	}
-	by := &s.counters.attempts
+	by := &s.counters.attemptOutcomes
 	answered := func() { by.count(policy.OK) }
 	assert.Empty(t, look(20, answered))
 	assert.Empty(t, look(20, func() { answered(); s.fitness.stalledSeconds += 0.2 }), "now and then is no harm")
@@ -48,9 +48,9 @@
 	s := newTestSidecar(t)
 	assert.Nil(t, s.RequestStats())
 	s.EnableRequestStats()
-	r := &request{deadline: testNow + 1, patience: 2}
-	assert.Zero(t, testing.AllocsPerRun(100, func() { s.over(r, served) }))
-	s.over(r, failed)
+	r := &request{deadline: testNow + 1, timeoutSeconds: 2}
+	assert.Zero(t, testing.AllocsPerRun(100, func() { s.countRequestEnd(r, served) }))
+	s.countRequestEnd(r, failed)
 	m := s.RequestStats()
 	assert.Equal(t, uint64(101), m[0].Served)
 	assert.Equal(t, uint64(1), m[0].Failed)
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/flow.go
@@ -10,118 +10,118 @@
 
 const (
 	// lagS without a byte ends what flows: nobody takes it, or nobody brings it.
-	lagS = 10.0
+	peerLagTimeoutSeconds = 10.0
 	// lateFlowS after its request's deadline an answer has to have come at leastRate on the whole, or it ends: its client waits for the
 	// last byte, and one that a server never ends would hold it for ever.
-	lateFlowS = 0.3
+	lateStreamGraceSeconds = 0.3
 	// flowEveryS is the time between two looks at those who lag: the loop does not tell when a peer has taken what it was sent.
-	flowEveryS = 0.005
+	streamCheckIntervalSeconds = 0.005
 	// mostScratch is the memory that is kept for what is written next.
-	mostScratch = 256 << 10
+	maxWriteBufferBytes = 256 << 10
 )
 
 // keepScratch takes back memory that has grown, unless it is too much to be kept.
-func (s *Sidecar) keepScratch(b []byte) {
-	if s.scratch = b; cap(b) > mostScratch {
-		s.scratch = nil
+func (s *Sidecar) recycleWriteBuffer(b []byte) {
+	if s.writeBuffer = b; cap(b) > maxWriteBufferBytes {
+		s.writeBuffer = nil
 	}
 }
 
 // spool returns how much of a body is held before the rest of it flows.
-func (s *Sidecar) spool() int {
+func (s *Sidecar) bodyBufferLimit() int {
 	return admission.BodyBufferBytes(s.connAdmission.BufferedBytes(), s.admissionSettings(0).MaxBufferedBytes)
 }
 
 // flowRoom returns how much may wait for a peer that is slow to take it; then the other end is left unread.
-func (s *Sidecar) flowRoom() int {
-	return admission.FlowBufferBytes(len(s.flows.answers)+len(s.flows.lagging), s.admissionSettings(0).MaxBufferedBytes)
+func (s *Sidecar) streamWindow() int {
+	return admission.FlowBufferBytes(len(s.streams.responses)+len(s.streams.laggingConns), s.admissionSettings(0).MaxBufferedBytes)
 }
 
 // flows are what is looked at again and again while it flows: answers, and requests whose server lags.
-type flows struct {
-	answers []*flow
-	lagging []*backendConn
-	ticking bool
+type streams struct {
+	responses    []*stream
+	laggingConns []*backendConn
+	isScheduled  bool
 }
 
 // tend has flows looked at from now on.
-func (s *Sidecar) tend() {
-	if !s.flows.ticking {
-		s.flows.ticking = true
-		s.timers.schedule(s.now()+flowEveryS, s.lookAtFlows)
+func (s *Sidecar) scheduleStreamCheck() {
+	if !s.streams.isScheduled {
+		s.streams.isScheduled = true
+		s.timers.schedule(s.now()+streamCheckIntervalSeconds, s.checkStreams)
 	}
 }
 
-func (s *Sidecar) lookAtFlows() {
-	f := &s.flows
-	for _, a := range slices.Clone(f.answers) {
-		a.look()
+func (s *Sidecar) checkStreams() {
+	f := &s.streams
+	for _, a := range slices.Clone(f.responses) {
+		a.check()
 	}
-	lagging := f.lagging
-	f.lagging = nil
+	lagging := f.laggingConns
+	f.laggingConns = nil
 	for _, l := range lagging {
 		if e := l.attempt; e != nil && l.conn != nil && !l.isClosed {
-			l.pump(e)
+			l.forwardBody(e)
 		}
 	}
-	if f.ticking = len(f.answers)+len(f.lagging) > 0; f.ticking {
-		s.timers.schedule(s.now()+flowEveryS, s.lookAtFlows)
+	if f.isScheduled = len(f.responses)+len(f.laggingConns) > 0; f.isScheduled {
+		s.timers.schedule(s.now()+streamCheckIntervalSeconds, s.checkStreams)
 	}
 }
 
 // --- requests ---
 
 // uploading tells whether a request's body is still on its way in.
-func (r *request) uploading() bool { return r.body != nil && !r.body.IsComplete }
+func (r *request) isUploading() bool { return r.body != nil && !r.body.IsComplete }
 
 // upload takes more of a request's body, and passes it on.
 func (l *ClientConn) forwardUpload(r *request) {
 	s := l.sidecar
-	if r.answered { // whoever it was for has it or never will
+	if r.isAnswered { // whoever it was for has it or never will
 		l.input.Discard(l.input.Len())
 		return
 	}
 	if err := l.codec.ReadBody(&l.input); err != nil {
-		s.spoilUpload(r, err)
+		s.failUpload(r, err)
 		return
 	}
 	if r.body.IsComplete {
 		l.stopArrivalTimer()
-		r.deadline = min(s.now()+r.patience, s.latestAnswer())
-		s.timers.stop(&r.safety)
-		s.timers.start(&r.safety, r.deadline+s.responseSlackSeconds/2, r)
-		for _, e := range r.out {
+		r.deadline = min(s.now()+r.timeoutSeconds, s.latestAnswer())
+		s.timers.stop(&r.deadlineTimer)
+		s.timers.start(&r.deadlineTimer, r.deadline+s.responseSlackSeconds/2, r)
+		for _, e := range r.attempts {
 			e.deadline = r.deadline - s.responseMargin()
 			s.timers.stop(&e.timer)
 			s.timers.start(&e.timer, e.deadline, e)
 		}
 	}
-	for _, e := range r.out {
+	for _, e := range r.attempts {
 		if e.backend != nil && e.backend.conn != nil && e.backend.attempt == e {
-			e.backend.pump(e)
+			e.backend.forwardBody(e)
 			break
 		}
 	}
 	if l.request != r || l.conn == nil {
 		return
 	}
-	if l.requestBytes = len(r.body.Buffered); r.uploading() && r.body.UnsentBytes() >= ChunkBytes {
+	if l.requestBytes = len(r.body.Buffered); r.isUploading() && r.body.UnsentBytes() >= ChunkBytes {
 		l.pauseReading(netio.ReportClose)
 	}
 	s.connAdmission.SetBufferedBytes(l.slot, l.requestBytes+l.input.Len())
 }
 
 // spoilUpload ends a request whose body can't be read to its end.
-func (s *Sidecar) spoilUpload(r *request, err error) {
-	s.answer(r, failed, func() { r.client.rejectMalformed(err) })
-	s.tellAbandoned(r)
+func (s *Sidecar) failUpload(r *request, err error) {
+	s.answerRequest(r, failed, func() { r.client.rejectMalformed(err) })
+	s.pushAbandoned(r)
 }
 
 // pump writes on what has come of an attempt's request, as far as its server takes it.
-func (l *backendConn) pump(e *attempt) {
-	for !e.exchange.IsRequestAppended() && l.conn.OutboundBuffered() < l.sidecar.flowRoom() {
-		piece := e.exchange.AppendBody(l.sidecar.scratch[:0], ChunkBytes)
-		if l.sidecar.keepScratch(piece); len(piece) == 0 {
+func (l *backendConn) forwardBody(e *attempt) {
+	for !e.exchange.IsRequestAppended() && l.conn.OutboundBuffered() < l.sidecar.streamWindow() {
+		piece := e.exchange.AppendBody(l.sidecar.writeBuffer[:0], ChunkBytes)
+		if l.sidecar.recycleWriteBuffer(piece); len(piece) == 0 {
 			break
 		}
 		l.isWriting = true
@@ -133,17 +133,17 @@
 	}
 	e.progress = l.updateProgress(e)
 	if e.progress == partlyWritten && l.conn.OutboundBuffered() > 0 {
-		l.sidecar.flows.lagging = append(l.sidecar.flows.lagging, l)
-		l.sidecar.tend()
+		l.sidecar.streams.laggingConns = append(l.sidecar.streams.laggingConns, l)
+		l.sidecar.scheduleStreamCheck()
 	}
 	r := e.request
 	if r == nil || r.body == nil {
 		return
 	}
-	if len(r.body.Buffered) > l.sidecar.spool() {
-		r.body.drop()
+	if len(r.body.Buffered) > l.sidecar.bodyBufferLimit() {
+		r.body.dropSent()
 	}
-	if c := r.client; r.uploading() && r.body.UnsentBytes() < ChunkBytes && c.request == r && c.conn != nil {
+	if c := r.client; r.isUploading() && r.body.UnsentBytes() < ChunkBytes && c.request == r && c.conn != nil {
 		c.resumeReading()
 	}
 }
@@ -151,30 +151,30 @@
 // --- answers ---
 
 // flow is an answer that is passed on as it comes. Its request has its answer with the first of it, and is over with the last.
-type flow struct {
-	s       *Sidecar
-	e       *attempt
-	link    *backendConn
-	client  *ClientConn
-	origin  StreamResponder
-	paused  bool    // the server's link is left unread
-	heardAt float64 // when the server last brought something, or could not
-	came    int     // bytes that it has brought since the flow began
-	from    float64 // when it began, plus the time for which the server was not read
-	held    float64 // since when it is not read
-	untaken int     // what the client has not taken
-	tookAt  float64 // when it last took something
-	over    bool
+type stream struct {
+	sidecar       *Sidecar
+	attempt       *attempt
+	backend       *backendConn
+	client        *ClientConn
+	responder     StreamResponder
+	isPaused      bool    // the server's link is left unread
+	lastDataAt    float64 // when the server last brought something, or could not
+	receivedBytes int     // bytes that it has brought since the flow began
+	startedAt     float64 // when it began, plus the time for which the server was not read
+	pausedAt      float64 // since when it is not read
+	unreadBytes   int     // what the client has not taken
+	lastReadAt    float64 // when it last took something
+	isOver        bool
 }
 
 // beginFlow passes on what has come of a large answer. One that nobody waits for, or that says that the attempt failed, is not
 // read to its end.
-func (s *Sidecar) beginFlow(l *backendConn, e *attempt) {
+func (s *Sidecar) startStream(l *backendConn, e *attempt) {
 	r, now := e.request, s.now()
 	result := policy.Result{ID: r.id, Host: e.serverID, Attempt: e.number}
 	result.Outcome, result.Report, _ = e.exchange.Result()
-	origin, can := r.origin.(StreamResponder)
-	if result.Outcome != policy.OK || r.answered || !can {
+	origin, can := r.responder.(StreamResponder)
+	if result.Outcome != policy.OK || r.isAnswered || !can {
 		l.attempt = nil
 		l.close()
 		s.finishAttempt(e, nil)
@@ -182,108 +182,108 @@
 	}
 	e.isOver = true
 	s.timers.stop(&e.timer)
-	s.timers.stop(&r.safety)
-	s.timers.stop(r.delay)
-	s.counters.attempts.count(result.Outcome)
-	r.drop(e)
-	f := &flow{s: s, e: e, link: l, client: r.client, origin: origin, heardAt: now, tookAt: now, from: now}
-	e.stream, r.flow, r.answered, result.Final = f, f, true, true
-	s.flows.answers = append(s.flows.answers, f)
+	s.timers.stop(&r.deadlineTimer)
+	s.timers.stop(r.faultTimer)
+	s.counters.attemptOutcomes.count(result.Outcome)
+	r.removeAttempt(e)
+	f := &stream{sidecar: s, attempt: e, backend: l, client: r.client, responder: origin, lastDataAt: now, lastReadAt: now, startedAt: now}
+	e.stream, r.stream, r.isAnswered, result.Final = f, f, true, true
+	s.streams.responses = append(s.streams.responses, f)
 	s.events = append(s.events, event{endedAttempt: e, result: result})
 	origin.ForwardHead(e.exchange)
-	f.look()
-	s.tend()
+	f.check()
+	s.scheduleStreamCheck()
 }
 
 // traffic passes on what has come, so many bytes.
-func (f *flow) traffic(n int, done bool, err error) {
-	f.came += n
-	if f.heardAt = f.s.now(); err != nil {
-		f.end(failed)
+func (f *stream) onData(n int, done bool, err error) {
+	f.receivedBytes += n
+	if f.lastDataAt = f.sidecar.now(); err != nil {
+		f.finish(failed)
 		return
 	}
-	f.origin.ForwardBody(f.e.exchange, done)
+	f.responder.ForwardBody(f.attempt.exchange, done)
 	switch {
-	case f.over: // its client has gone meanwhile
+	case f.isOver: // its client has gone meanwhile
 	case done:
-		f.end(served)
+		f.finish(served)
 	default:
-		f.look()
+		f.check()
 	}
 }
 
 // serverEnded takes the end of the server's link, which may make the answer whole.
-func (f *flow) serverEnded(orderly bool) {
-	if f.over {
+func (f *stream) onBackendClose(orderly bool) {
+	if f.isOver {
 		return
 	}
-	if orderly && f.e.exchange.HandleEOF() {
-		f.origin.ForwardBody(f.e.exchange, true)
-		f.end(served)
+	if orderly && f.attempt.exchange.HandleEOF() {
+		f.responder.ForwardBody(f.attempt.exchange, true)
+		f.finish(served)
 		return
 	}
-	f.end(failed)
+	f.finish(failed)
 }
 
 // look holds the server up while the client lags, and ends a flow that stands still.
-func (f *flow) look() {
-	if f.over || f.client.conn == nil {
+func (f *stream) check() {
+	if f.isOver || f.client.conn == nil {
 		return
 	}
-	now, left := f.s.now(), f.client.conn.OutboundBuffered()
-	if left < f.untaken || left == 0 {
-		f.tookAt = now
+	now, left := f.sidecar.now(), f.client.conn.OutboundBuffered()
+	if left < f.unreadBytes || left == 0 {
+		f.lastReadAt = now
 	}
-	f.untaken = left
+	f.unreadBytes = left
 	switch {
-	case !f.paused && left >= f.s.flowRoom():
-		f.paused, f.held = f.s.net.PauseReading(f.link.conn, netio.DeferClose), now
-	case f.paused && left < f.s.flowRoom()/2:
-		f.paused, f.heardAt = false, now
-		f.from += now - f.held
-		f.s.net.ResumeReading(f.link.conn)
+	case !f.isPaused && left >= f.sidecar.streamWindow():
+		f.isPaused, f.pausedAt = f.sidecar.net.PauseReading(f.backend.conn, netio.DeferClose), now
+	case f.isPaused && left < f.sidecar.streamWindow()/2:
+		f.isPaused, f.lastDataAt = false, now
+		f.startedAt += now - f.pausedAt
+		f.sidecar.net.ResumeReading(f.backend.conn)
 	}
-	if f.paused {
-		f.heardAt = now
+	if f.isPaused {
+		f.lastDataAt = now
 	}
 	switch {
-	case now > f.tookAt+lagS:
-		f.s.counters.Unread++
-		f.s.connAdmission.RecordWasted(f.client.slot)
-		f.end(failed)
-	case now > f.heardAt+lagS, f.drips(now):
-		f.end(failed)
+	case now > f.lastReadAt+peerLagTimeoutSeconds:
+		f.sidecar.counters.UnreadConnsClosed++
+		f.sidecar.connAdmission.RecordWasted(f.client.slot)
+		f.finish(failed)
+	case now > f.lastDataAt+peerLagTimeoutSeconds, f.isTooSlow(now):
+		f.finish(failed)
 	}
 }
 
 // drips tells whether the deadline is over and the server brings too little for the answer to come to its end.
-func (f *flow) drips(now float64) bool {
-	return !f.paused && now > f.e.request.deadline+lateFlowS && float64(f.came) < minBytesPerSecond*(now-f.from)
+func (f *stream) isTooSlow(now float64) bool {
+	return !f.isPaused && now > f.attempt.request.deadline+lateStreamGraceSeconds && float64(f.receivedBytes) < minBytesPerSecond*(now-f.startedAt)
 }
 
 // end ends a flow: with its last byte, or with its client's link, which tells the client that it is not whole.
-func (f *flow) end(how ending) {
-	if f.over {
+func (f *stream) finish(how requestEnd) {
+	if f.isOver {
 		return
 	}
-	f.over = true
-	s, r, l := f.s, f.e.request, f.link
-	if i := slices.Index(s.flows.answers, f); i >= 0 {
-		s.flows.answers = slices.Delete(s.flows.answers, i, i+1)
+	f.isOver = true
+	s, r, l := f.sidecar, f.attempt.request, f.backend
+	if i := slices.Index(s.streams.responses, f); i >= 0 {
+		s.streams.responses = slices.Delete(s.streams.responses, i, i+1)
 	}
-	r.flow = nil
-	s.over(r, how)
-	s.chargeAnswer(f.e)
-	s.settleQuota(r)
-	s.unname(r)
+	r.stream = nil
+	s.countRequestEnd(r, how)
+	s.recordResponseCost(f.attempt)
+	s.completeQuota(r)
+	s.releaseClientID(r)
 	if !l.isClosed {
-		if l.attempt = nil; how == served && l.isReusable(f.e) {
+		if l.attempt = nil; how == served && l.isReusable(f.attempt) {
 			l.makeIdle()
 		} else {
 			l.close()
 		}
 	}
-	s.pushEvent(func(float64) { s.forget(r) })
+	s.pushEvent(func(float64) { s.forgetRequest(r) })
 	switch {
 	case how == served:
 		f.client.finishStream()
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -114,7 +114,7 @@
 func (b *Body) HasDropped() bool { return b.DroppedBytes > 0 }
 
 // drop lets go of what has been sent.
-func (b *Body) drop() {
+func (b *Body) dropSent() {
 	n := copy(b.Buffered, b.Buffered[b.SentBytes-b.DroppedBytes:])
 	b.Buffered, b.DroppedBytes = b.Buffered[:n], b.SentBytes
 }
--- a/internal/sidecar/health.go
+++ b/internal/sidecar/health.go
@@ -14,7 +14,7 @@
 func (s *Sidecar) publishHealth() {
 	now := s.now()
 	s.health.Publish(health.Snapshot{TakenAt: now, ListReadAt: s.listAt, Started: s.listed, Draining: s.leaving(),
-		UsableServers: s.balancer.UsableHosts(now), Inflight: s.counters.Open})
+		UsableServers: s.balancer.UsableHosts(now), Inflight: s.counters.OpenRequests})
 	s.timers.schedule(now+heartbeatIntervalSeconds, s.publishHealth)
 }
 
--- a/internal/sidecar/holdings.go
+++ b/internal/sidecar/holdings.go
@@ -14,7 +14,7 @@
 
 // ResourceUsage returns what is held now. It is for the loop, between its calls.
 func (s *Sidecar) ResourceUsage() ResourceUsage {
-	h := ResourceUsage{Requests: max(len(s.requests), len(s.named)), ClientConns: len(s.clients), BackendConns: s.openConns - len(s.clients),
+	h := ResourceUsage{Requests: max(len(s.requests), len(s.requestsByClientID)), ClientConns: len(s.clients), BackendConns: s.openConns - len(s.clients),
 		Timers: s.timers.count, Events: len(s.events), Servers: s.hosts.Len()}
 	if w := s.watcher; w != nil && w.conn != nil {
 		h.BackendConns--
--- a/internal/sidecar/measured.go
+++ b/internal/sidecar/measured.go
@@ -37,8 +37,8 @@
 
 // note takes the end of a request that was served.
 func (t *times) note(r *request, now float64) {
-	us := int64(1e6 * (now - (r.deadline - r.patience)))
-	_ = t.by[r.classNo].RecordValue(min(max(us, 0), mostTimeUS)) // fails only on what is out of these bounds
+	us := int64(1e6 * (now - (r.deadline - r.timeoutSeconds)))
+	_ = t.by[r.classIndex].RecordValue(min(max(us, 0), mostTimeUS)) // fails only on what is out of these bounds
 }
 
 // RequestStats returns how requests have fared since it was called last, by class. It is for the loop.
--- a/internal/sidecar/operate.go
+++ b/internal/sidecar/operate.go
@@ -40,8 +40,8 @@
 // publish makes a snapshot of the figures, again and again.
 func (s *Sidecar) publish() {
 	now := s.now()
-	f := &StatusSnapshot{TakenAt: now, IsShuttingDown: s.draining, Classes: append([]classCounts(nil), s.counters.Classes...), RequestsWritten: s.counters.Written,
-		OpenRequests: s.counters.Open}
+	f := &StatusSnapshot{TakenAt: now, IsShuttingDown: s.draining, Classes: append([]classCounts(nil), s.counters.Classes...), RequestsWritten: s.counters.RequestsWritten,
+		OpenRequests: s.counters.OpenRequests}
 	avoided := s.balancer.Ejected(now)
 	for h := range s.hosts.Listed {
 		if f.Servers++; h.State != policy.Ready || avoided(h.ID) {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -10,51 +10,51 @@
 
 // shownGroups bounds the groups that are told of at a time, countedGroups those in the counters.
 const (
-	shownGroups   = 500
-	countedGroups = 20
+	maxShownGroups   = 500
+	maxCountedGroups = 20
 )
 
 // quotaDesk is the quotas' place in the sidecar; nil where there are none.
-type quotaDesk struct {
-	settings  quotas.Settings
-	machine   *quota.Limiter
-	directory *quotas.Classifier
-	exempt    []bool // by class
-	floor     []bool
-	disk      *quotas.SnapshotWriter // nil: no snapshots are made
-	counts    QuotaCounters
+type quotaEnforcer struct {
+	settings   quotas.Settings
+	limiter    *quota.Limiter
+	classifier *quotas.Classifier
+	exempt     []bool // by class
+	floor      []bool
+	snapshots  *quotas.SnapshotWriter // nil: no snapshots are made
+	counters   QuotaCounters
 }
 
 // QuotaCounters are the quotas' part of the counters.
 type QuotaCounters struct {
-	Groups       int                 `json:"groups"`
-	Served       uint64              `json:"served"`
-	Refused      uint64              `json:"refused"`
-	Exempt       uint64              `json:"exempt"` // requests of exempt classes
-	Snapshots    uint64              `json:"snapshots"`
-	SnapshotLate uint64              `json:"snapshots_late"` // left out since the disk was slow
-	SnapshotErrs uint64              `json:"snapshot_errors"`
-	Reloads      uint64              `json:"reloads"` // files of groups taken into use while running
-	ReloadFailed uint64              `json:"reload_failed"`
-	MostRefused  []quota.GroupCounts `json:"most_refused"` // the groups with most refusals
+	Groups           int                 `json:"groups"`
+	Served           uint64              `json:"served"`
+	Refused          uint64              `json:"refused"`
+	Exempt           uint64              `json:"exempt"` // requests of exempt classes
+	Snapshots        uint64              `json:"snapshots"`
+	SnapshotsSkipped uint64              `json:"snapshots_late"` // left out since the disk was slow
+	SnapshotErrors   uint64              `json:"snapshot_errors"`
+	Reloads          uint64              `json:"reloads"` // files of groups taken into use while running
+	ReloadFailed     uint64              `json:"reload_failed"`
+	MostRefused      []quota.GroupCounts `json:"most_refused"` // the groups with most refusals
 }
 
 // quotaTicket is what a request has of its group's quota.
-type quotaTicket struct {
-	ask    quota.Request
-	taken  bool
-	at     float64
-	bytes  float64 // of the answer
-	worked float64 // seconds of a box
+type quotaCharge struct {
+	request        quota.Request
+	isCharged      bool
+	admittedAt     float64
+	responseBytes  float64 // of the answer
+	serviceSeconds float64 // seconds of a box
 }
 
 // newQuotas returns the desk of the settings, nil where there are no quotas.
-func (s *Sidecar) newQuotas(on quotas.Settings) *quotaDesk {
+func (s *Sidecar) newQuotaEnforcer(on quotas.Settings) *quotaEnforcer {
 	if !on.IsEnabled() {
 		return nil
 	}
-	d := &quotaDesk{settings: on, machine: quota.New(on.Tree, on.LimiterSettings(s.cfg.Settings.Policy.Replicas), s.now()),
-		directory: quotas.NewClassifier(&on, on.Tree)}
+	d := &quotaEnforcer{settings: on, limiter: quota.New(on.Tree, on.LimiterSettings(s.cfg.Settings.Policy.Replicas), s.now()),
+		classifier: quotas.NewClassifier(&on, on.Tree)}
 	named := func(names []string) (flags []bool) {
 		for _, c := range s.cfg.Settings.Policy.Classes {
 			is := false
@@ -73,30 +73,30 @@
 }
 
 // beginQuotas goes on from the last snapshot and has the next ones made.
-func (s *Sidecar) beginQuotas() {
+func (s *Sidecar) startQuotas() {
 	d := s.quotas
 	if d == nil || d.settings.SnapshotDir == "" {
 		return
 	}
 	if state := quotas.LoadSnapshot(d.settings.SnapshotDir, s.log); state != nil {
-		d.machine = quota.Restore(d.settings.Tree, d.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas), state, s.now())
+		d.limiter = quota.Restore(d.settings.Tree, d.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas), state, s.now())
 	}
-	d.disk = quotas.NewSnapshotWriter(d.settings.SnapshotDir, s.log)
+	d.snapshots = quotas.NewSnapshotWriter(d.settings.SnapshotDir, s.log)
 	s.timers.schedule(s.now()+d.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
 }
 
 // snapshotQuotas hands a copy of the quotas' state to the disk, again and again.
 func (s *Sidecar) snapshotQuotas() {
-	if s.quotas.disk.IsReady() {
-		s.quotas.disk.Write(s.quotas.machine.State())
+	if s.quotas.snapshots.IsReady() {
+		s.quotas.snapshots.Write(s.quotas.limiter.State())
 	}
 	s.timers.schedule(s.now()+s.quotas.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
 }
 
 // endQuotas writes the last snapshot, once the loop has gone.
-func (s *Sidecar) endQuotas() {
-	if s.quotas != nil && s.quotas.disk != nil {
-		s.quotas.disk.Close(s.quotas.machine.State())
+func (s *Sidecar) closeQuotas() {
+	if s.quotas != nil && s.quotas.snapshots != nil {
+		s.quotas.snapshots.Close(s.quotas.limiter.State())
 	}
 }
 
@@ -118,12 +118,12 @@
 	switch {
 	case d == nil:
 	case err != nil:
-		d.counts.ReloadFailed++
+		d.counters.ReloadFailed++
 		s.log.Error("the quotas stay as they were", "error", err)
 	case tree != nil:
-		d.counts.Reloads++
-		d.machine = d.machine.WithTree(s.now(), tree, d.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas))
-		d.directory = quotas.NewClassifier(&d.settings, tree)
+		d.counters.Reloads++
+		d.limiter = d.limiter.WithTree(s.now(), tree, d.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas))
+		d.classifier = quotas.NewClassifier(&d.settings, tree)
 		s.log.Info("quotas read", "groups", tree.Len()-1)
 	}
 }
@@ -148,39 +148,39 @@
 }
 
 // noFields has no header.
-type noFields struct{}
+type emptyFields struct{}
 
-func (noFields) Field(string) string { return "" }
+func (emptyFields) Field(string) string { return "" }
 
 // withinQuota tells whether a request that has come may be taken up, and books it on its group. One that may not has been
 // refused, finally: nothing of it has gone anywhere.
-func (l *ClientConn) admitByQuota(a *IncomingRequest) (quotaTicket, bool) {
+func (l *ClientConn) admitByQuota(a *IncomingRequest) (quotaCharge, bool) {
 	s, d := l.sidecar, l.sidecar.quotas
 	if d == nil {
-		return quotaTicket{}, true
+		return quotaCharge{}, true
 	}
 	if d.exempt[a.Class] {
-		d.counts.Exempt++
-		return quotaTicket{}, true
+		d.counters.Exempt++
+		return quotaCharge{}, true
 	}
-	now, bytes, header := s.now(), a.HeldBytes, quotas.FieldGetter(noFields{})
+	now, bytes, header := s.now(), a.HeldBytes, quotas.FieldGetter(emptyFields{})
 	q, knows := l.codec.(QuotaClient)
 	if knows {
 		bytes, header = q.RequestBytes(), q
 	}
-	g := d.directory.GroupOf(header, s.cfg.Settings.Policy.Classes[a.Class].Name, clientAddress(l.conn))
-	t := quotaTicket{ask: d.machine.NewRequest(g, float64(bytes), d.floor[a.Class]), taken: true, at: now}
-	v := d.machine.Admit(now, t.ask)
+	g := d.classifier.GroupOf(header, s.cfg.Settings.Policy.Classes[a.Class].Name, clientAddress(l.conn))
+	t := quotaCharge{request: d.limiter.NewRequest(g, float64(bytes), d.floor[a.Class]), isCharged: true, admittedAt: now}
+	v := d.limiter.Admit(now, t.request)
 	if v.Allowed {
-		d.counts.Served++
+		d.counters.Served++
 		return t, true
 	}
-	d.counts.Refused++
+	d.counters.Refused++
 	s.counters.Requests++
-	s.counters.end(a.Class, throttled)
+	s.counters.countRequestEnd(a.Class, throttled)
 	s.counters.OverQuota++
 	if knows {
-		q.RejectOverQuota(d.machine.Tree().Path(g), v.RetryAfterSeconds)
+		q.RejectOverQuota(d.limiter.Tree().Path(g), v.RetryAfterSeconds)
 	} else {
 		l.codec.Throttle(v.RetryAfterSeconds)
 	}
@@ -188,26 +188,26 @@
 }
 
 // chargeAnswer notes what the answer that an attempt has brought costs its request's group.
-func (s *Sidecar) chargeAnswer(e *attempt) {
+func (s *Sidecar) recordResponseCost(e *attempt) {
 	t := &e.request.quota
-	if !t.taken {
+	if !t.isCharged {
 		return
 	}
 	ok := false
 	if x, told := e.exchange.(CostReporter); told {
-		t.bytes = float64(x.ResponseBytes())
-		t.worked, ok = x.ServiceSeconds()
+		t.responseBytes = float64(x.ResponseBytes())
+		t.serviceSeconds, ok = x.ServiceSeconds()
 	}
 	if !ok {
-		t.worked = s.now() - e.sentAt
+		t.serviceSeconds = s.now() - e.sentAt
 	}
 }
 
 // settleQuota books what a request has cost now that it has its answer.
-func (s *Sidecar) settleQuota(r *request) {
-	if t := &r.quota; t.taken {
+func (s *Sidecar) completeQuota(r *request) {
+	if t := &r.quota; t.isCharged {
 		now := s.now()
-		s.quotas.machine.Complete(now, t.ask, now-t.at, t.bytes, t.worked)
+		s.quotas.limiter.Complete(now, t.request, now-t.admittedAt, t.responseBytes, t.serviceSeconds)
 	}
 }
 
@@ -217,10 +217,10 @@
 	if d == nil {
 		return nil
 	}
-	c := &d.counts
-	c.Groups, c.MostRefused = d.machine.Tree().Len()-1, d.machine.TopRejected(countedGroups)
-	if d.disk != nil {
-		c.Snapshots, c.SnapshotLate, c.SnapshotErrs = d.disk.Written.Load(), d.disk.Skipped, d.disk.Errors.Load()
+	c := &d.counters
+	c.Groups, c.MostRefused = d.limiter.Tree().Len()-1, d.limiter.TopRejected(maxCountedGroups)
+	if d.snapshots != nil {
+		c.Snapshots, c.SnapshotsSkipped, c.SnapshotErrors = d.snapshots.Written.Load(), d.snapshots.Skipped, d.snapshots.Errors.Load()
 	}
 	return c
 }
@@ -230,7 +230,7 @@
 	if s.quotas == nil {
 		return nil, false
 	}
-	m, now := s.quotas.machine, s.now()
+	m, now := s.quotas.limiter, s.now()
 	var told any
 	if asked, _ := url.ParseQuery(query); asked.Has("group") {
 		g, ok := m.Tree().Find(asked.Get("group"))
@@ -239,7 +239,7 @@
 		}
 		told = m.Explain(now, g)
 	} else {
-		told = m.View(now, shownGroups)
+		told = m.View(now, maxShownGroups)
 	}
 	raw, err := json.Marshal(told)
 	if err != nil { // numbers and names always marshal
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -9,11 +9,11 @@
 // Reload takes a new configuration into use, or keeps the old one where it is at fault.
 func (s *Sidecar) Reload(cfg sidecarconfig.Config, err error) {
 	if err != nil {
-		s.counters.ReloadFailed++
+		s.counters.ConfigReloadsFailed++
 		s.log.Error("the configuration stays as it was", "error", err)
 		return
 	}
-	s.counters.Reloads++
+	s.counters.ConfigReloads++
 	old := &s.cfg
 	for _, fixed := range []struct {
 		field   string
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -52,10 +52,10 @@
 	callbackDepth int     // of callbacks within each other
 	callbackAt    float64 // the time of the outermost
 
-	arrivals             arrivals
+	pending              pendingRequests
 	requests             map[uint32]*request
-	named                map[string]*request // by their clients' ids
-	lastID               uint32
+	requestsByClientID   map[string]*request // by their clients' ids
+	nextID               uint32
 	frontends            []Frontend
 	prober               Frontend
 	clients              []*ClientConn
@@ -68,21 +68,21 @@
 	watcher              *watcher
 	passed               passed
 	admissionConfig      featureconfig.Admission
-	drills               *faultinjection.Injector
-	together             FaultObserver  // is told of drills that are started here; nil: nobody is
+	faults               *faultinjection.Injector
+	faultObserver        FaultObserver  // is told of drills that are started here; nil: nobody is
 	health               *health.Server // nil: there is no side port
 	listAt               float64        // when anything was last read from discovery
 	listed               bool           // a list has been read from discovery
 	listFault            string         // of discovery's last object, which made no sense; empty: it did
 	capture              *capture.Recorder
-	quotas               *quotaDesk // nil: there are none
-	reservedDescriptors  int        // descriptors that are kept for features
+	quotas               *quotaEnforcer // nil: there are none
+	reservedDescriptors  int            // descriptors that are kept for features
 	responseSlackSeconds float64
 
 	openConns           int // connections that gnet holds
 	dialDescriptorsHeld int // descriptors that dials may hold
-	scratch             []byte
-	flows               flows
+	writeBuffer         []byte
+	streams             streams
 	draining            bool
 	away                bool // drained by the operators
 	succeeded           bool // another process serves in this one's place
@@ -107,10 +107,10 @@
 // New returns a sidecar that has not begun, for clients and servers that speak what the fronts do and for the loop that is
 // to call it. Of fronts that have a way to probe the last one's is used.
 func New(cfg sidecarconfig.Config, on featureconfig.Features, fronts []Frontend, loop netio.EventLoop, log *slog.Logger) (*Sidecar, error) {
-	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, lastID: 1,
-		requests: map[uint32]*request{}, named: map[string]*request{}, idleConns: map[uint32][]*backendConn{},
+	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, nextID: 1,
+		requests: map[uint32]*request{}, requestsByClientID: map[string]*request{}, idleConns: map[uint32][]*backendConn{},
 		hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), responseSlackSeconds: cfg.Settings.AnswerSlackS,
-		admissionConfig: on.Admission, logLimiter: logLimiter{}, drills: faultinjection.New(on.Drills), frontends: fronts, shelf: noStateStore{}, processes: 1}
+		admissionConfig: on.Admission, logLimiter: logLimiter{}, faults: faultinjection.New(on.Drills), frontends: fronts, shelf: noStateStore{}, processes: 1}
 	s.timers.currentSlot = int64(s.now() / slotSeconds)
 	for _, f := range fronts {
 		if f.NewProbe() != nil {
@@ -124,7 +124,7 @@
 	if cfg.Ops != "" {
 		s.reservedDescriptors += AdminDescriptors
 	}
-	s.quotas = s.newQuotas(on.Quotas)
+	s.quotas = s.newQuotaEnforcer(on.Quotas)
 	s.connAdmission = admission.NewConnTable(admission.Settings{})
 	s.connAdmission = admission.NewConnTable(s.admissionSettings(0))
 	var classes []admission.Class
@@ -133,7 +133,7 @@
 		s.counters.Classes = append(s.counters.Classes, classCounts{Class: c.Name})
 		classes = append(classes, admission.Class{PriorityWeight: c.PriorityWeight, LatencyTargetSeconds: c.LatencyTargetSeconds})
 	}
-	s.arrivals.queue = admission.NewQueue[arrival](classes)
+	s.pending.queue = admission.NewQueue[pendingRequest](classes)
 	s.balancer = policy.New(cfg.Settings.Policy, cfg.Seed, s)
 	if on.Capture.Enabled {
 		var err error
@@ -181,7 +181,7 @@
 		if !s.cfg.Settings.Policy.ListOnDemand {
 			s.watch()
 		}
-		s.beginQuotas()
+		s.startQuotas()
 		if s.capture.WritesFiles() {
 			s.flushCapture()
 		}
@@ -283,7 +283,7 @@
 		s.timersScheduled = false
 		for s.timers.isDue(s.callbackAt) {
 			t := s.timers.pop()
-			s.counters.LateMS = max(s.counters.LateMS, (s.callbackAt-t.dueAt)*1000)
+			s.counters.MaxTimerDelayMS = max(s.counters.MaxTimerDelayMS, (s.callbackAt-t.dueAt)*1000)
 			s.recoverPanic(t.target.expire)
 			s.handleEvents()
 			s.callbackAt = s.net.Now()
@@ -324,7 +324,7 @@
 // Counters returns the counters as JSON. Once the loop has ended it may be called from outside.
 func (s *Sidecar) Counters() []byte {
 	s.counters.Descriptors = s.openConns + s.dialDescriptorsHeld
-	s.counters.DrillHits, s.counters.Capture = s.drills.HitCounts(), s.capture.Stats()
+	s.counters.FaultHits, s.counters.Capture = s.faults.HitCounts(), s.capture.Stats()
 	s.counters.Quotas = s.quotaCounters()
 	if s.fleet != nil {
 		s.counters.Fleet = s.fleet()
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -124,17 +124,17 @@
 
 func TestRequestIDsComeRound(t *testing.T) {
 	s := newTestSidecar(t)
-	s.lastID = math.MaxUint32
+	s.nextID = math.MaxUint32
 	var ids []uint32
 	for range 3 {
 		r := &request{deadline: s.now() + 100}
-		s.take(r, policy.Request{})
+		s.registerRequest(r, policy.Request{})
 		ids = append(ids, r.id)
 	}
 	assert.Equal(t, []uint32{math.MaxUint32, 1, 2}, ids)
-	s.lastID = 1
+	s.nextID = 1
 	r := &request{deadline: s.now() + 100}
-	s.take(r, policy.Request{})
+	s.registerRequest(r, policy.Request{})
 	assert.EqualValues(t, 3, r.id, "an id that is in use is passed over")
 }
 
@@ -189,6 +189,6 @@
 // A drill holds a request for as long as it says, and leaves a fifth of the request's time for the send.
 func TestDrillLeavesTimeForTheSend(t *testing.T) {
 	for _, row := range []struct{ delayMS, leftS, want float64 }{{600, 10, 0.6}, {60_000, 15, 12}, {60_000, 1.5, 1.2}, {0, 3, 0}, {4000, 5, 4}} {
-		assert.InDelta(t, row.want, heldFor(&faultinjection.Fault{DelayMS: row.delayMS}, row.leftS), 1e-9, "%v ms of %v s", row.delayMS, row.leftS)
+		assert.InDelta(t, row.want, faultDelaySeconds(&faultinjection.Fault{DelayMS: row.delayMS}, row.leftS), 1e-9, "%v ms of %v s", row.delayMS, row.leftS)
 	}
 }
--- a/internal/sidecar/starved.go
+++ b/internal/sidecar/starved.go
@@ -8,7 +8,7 @@
 
 // starve has an attempt wait.
 func (s *Sidecar) waitForConn(e *attempt) {
-	s.counters.Starved++
+	s.counters.AttemptsWaited++
 	s.warnLimited("attempts wait for a descriptor")
 	s.waitingAttempts = append(s.waitingAttempts, e)
 }
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -224,7 +224,7 @@
 	if err != nil {
 		return err
 	}
-	s.counters.Lists++
+	s.counters.ListsApplied++
 	s.listFault = ""
 	kind := policy.ListDelta
 	if snapshot {
@@ -276,7 +276,7 @@
 	if s.stopping {
 		return
 	}
-	s.counters.ListFailed++
+	s.counters.WatchesFailed++
 	s.log.Debug("watch failed", "error", err)
 	if s.passed.to != nil {
 		if w.heard {
--- a/internal/sidecar/works.go
+++ b/internal/sidecar/works.go
@@ -145,7 +145,7 @@
 	now := s.net.Now()
 	out := map[uint32]int{}
 	for _, r := range s.requests {
-		for _, e := range r.out {
+		for _, e := range r.attempts {
 			out[e.serverID]++
 		}
 	}
