--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -97,7 +97,7 @@
 // Watch subscribes to changes of the list.
 func (s *Sidecar) Watch() {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionWatch})
-	s.watch()
+	s.ensureWatch()
 }
 
 // Log records a change of state for the operators.
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -107,8 +107,8 @@
 	} else {
 		result.Outcome, result.Report, _ = e.exchange.Result()
 	}
-	if s.works != nil {
-		s.works.note(e, err, &result, s.now())
+	if s.maintenance != nil {
+		s.maintenance.recordAttempt(e, err, &result, s.now())
 	}
 	if e.request == nil {
 		// A server turns a probe away at once, or after it has waited in line for as long as probes may.
@@ -172,7 +172,7 @@
 // probeAgain begins a probe once more, on a new link, where its link broke. Danger: a probe asks after the server;
 // a link's end says nothing of it, and a sound server that seems silent is shut out and then taken for cold.
 func (s *Sidecar) retryProbe(e *attempt, err *attemptError) bool {
-	h := s.hosts.Host(e.serverID)
+	h := s.endpoints.Host(e.serverID)
 	if e.request != nil || e.isProbeRetry || h == nil || err == nil || err.cause != connBroken || err.progress == notConnected {
 		return false
 	}
@@ -194,7 +194,7 @@
 
 // begin starts an attempt on an idle backend connection, or on a new one.
 func (s *Sidecar) startAttempt(e *attempt) {
-	h := s.hosts.Host(e.serverID)
+	h := s.endpoints.Host(e.serverID)
 	if h == nil || !s.mayStart(e) {
 		s.finishAttempt(e, &attemptError{notConnected, superseded, nil})
 		return
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -197,7 +197,7 @@
 
 // mayServe tells whether a server may still be sent something new.
 func (s *Sidecar) acceptsAttempts(host uint32) bool {
-	h := s.hosts.Host(host)
+	h := s.endpoints.Host(host)
 	return h != nil && (h.State == policy.Ready || h.State == policy.Gone && s.cfg.Settings.Policy.GoneHostsUsable)
 }
 
--- a/internal/sidecar/capture.go
+++ b/internal/sidecar/capture.go
@@ -9,31 +9,31 @@
 )
 
 // captureFlushS is the time between two looks at what the capture's files have not been given yet.
-const captureFlushS = 0.2
+const captureFlushIntervalSeconds = 0.2
 
 // witness is what the capture asks of the sidecar.
-type witness struct{ *Sidecar }
+type captureSource struct{ *Sidecar }
 
-var _ capture.Source = witness{}
+var _ capture.Source = captureSource{}
 
 // Checkpoint asks the decisions for their state.
-func (w witness) Checkpoint(dst []byte, most int) ([]byte, bool) {
+func (w captureSource) Checkpoint(dst []byte, most int) ([]byte, bool) {
 	return w.balancer.Checkpoint(dst, most)
 }
 
 // HostName names a server.
-func (w witness) HostName(id uint32) string {
-	if h := w.hosts.Host(id); h != nil {
+func (w captureSource) HostName(id uint32) string {
+	if h := w.endpoints.Host(id); h != nil {
 		return h.Name
 	}
 	return ""
 }
 
 // HostNames names all servers that are known.
-func (w witness) HostNames() iter.Seq2[uint32, string] { return w.hosts.Names }
+func (w captureSource) HostNames() iter.Seq2[uint32, string] { return w.endpoints.Names }
 
 // RequestLabels names the requests that the decisions may still speak of.
-func (w witness) RequestLabels() iter.Seq2[uint32, capture.Label] {
+func (w captureSource) RequestLabels() iter.Seq2[uint32, capture.Label] {
 	return func(yield func(uint32, capture.Label) bool) {
 		for _, id := range slices.Sorted(maps.Keys(w.requests)) {
 			if !yield(id, w.requests[id].label()) {
@@ -61,7 +61,7 @@
 // flushCapture hands what is new to the capture's files, again and again.
 func (s *Sidecar) flushCapture() {
 	s.capture.Flush()
-	s.timers.schedule(s.now()+captureFlushS, s.flushCapture)
+	s.timers.schedule(s.now()+captureFlushIntervalSeconds, s.flushCapture)
 }
 
 // DumpCapture returns the capture's segments as text, empty where there is none. It is for the loop.
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -282,7 +282,7 @@
 	waited := max(l.sidecar.socketWait(l.conn), l.sidecar.now()-l.arrivals.arrivedAt(l.input.Len(), l.sidecar.now()))
 	patience := min(a.TimeoutSeconds, maxRequestTimeoutSeconds)
 	deadline := l.sidecar.now() - waited + patience
-	cut := max(deadline-l.sidecar.latestAnswer(), 0)
+	cut := max(deadline-l.sidecar.latestResponseAt(), 0)
 	r := &request{clientID: a.ID, className: l.sidecar.cfg.Settings.Policy.Classes[a.Class].Name, classIndex: a.Class, deadline: deadline - cut,
 		call: a.Call, responder: l.codec, client: l, body: a.Body, timeoutSeconds: patience, frontend: l.frontend, isAtMostOnce: a.AtMostOnce, isOneWay: a.IsOneWay,
 		quota: ticket}
@@ -326,9 +326,9 @@
 	// other, so its own ends by its rest alone.
 	ahead := l.input.Len() > 0
 	if says {
-		l.isLastWritten = !l.keepAlive || l.sidecar.leaving() || l.sidecar.hasManyClients() && !ahead
+		l.isLastWritten = !l.keepAlive || l.sidecar.closesAfterResponse() || l.sidecar.hasManyClients() && !ahead
 	} else {
-		l.isLastWritten = !l.keepAlive || l.sidecar.leaving() && !ahead && l.sidecar.net.NothingToRead(l.conn)
+		l.isLastWritten = !l.keepAlive || l.sidecar.closesAfterResponse() && !ahead && l.sidecar.net.NothingToRead(l.conn)
 	}
 	return l.sidecar.writeBuffer[:0], l.isLastWritten, true
 }
@@ -359,7 +359,7 @@
 	if l.conn == nil {
 		return nil, false, false
 	}
-	l.isStreamLast = !l.keepAlive || endless || l.sidecar.leaving() || l.sidecar.hasManyClients() && l.input.Len() == 0
+	l.isStreamLast = !l.keepAlive || endless || l.sidecar.closesAfterResponse() || l.sidecar.hasManyClients() && l.input.Len() == 0
 	l.isStreamed = true
 	return l.ScratchBuffer(), l.isStreamLast, true
 }
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -6,45 +6,45 @@
 // stragglersS are served; then nobody is accepted any more, links that have had nothing to say for quietS are closed, and
 // the program ends with the last answer.
 const (
-	stragglersS = 0.7
-	quietS      = 0.2
-	drainEveryS = 0.01
+	newcomerPeriodSeconds     = 0.7
+	drainIdleSeconds          = 0.2
+	drainCheckIntervalSeconds = 0.01
 	// graceS is how long after the longest deadline the program ends whatever is left, and answeredS until when all that has come
 	// after the word to end is answered. The platform kills the process no sooner than killGraceS after the longest deadline, of
 	// which it counts no more than longestCountedS.
-	killGraceS      = 0.7
-	longestCountedS = 3.0
-	graceS          = killGraceS - 0.05
-	answeredS       = killGraceS - 0.1
+	killGraceSeconds         = 0.7
+	maxCountedRequestSeconds = 3.0
+	shutdownGraceSeconds     = killGraceSeconds - 0.05
+	responseGraceSeconds     = killGraceSeconds - 0.1
 )
 
 // Drain begins the end: every answer from now on is the last on its link.
 func (s *Sidecar) Drain() {
-	if s.draining {
+	if s.isShuttingDown {
 		return
 	}
-	s.draining, s.drainedAt = true, s.now()
+	s.isShuttingDown, s.shutdownStartedAt = true, s.now()
 	s.log.Info("ending", "open", s.counters.OpenRequests)
-	if s.succeeded { // newcomers are the other's
-		s.net.StopListening(s.gone)
+	if s.isReplaced { // newcomers are the other's
+		s.net.StopListening(s.onListenStopped)
 		return
 	}
-	s.timers.schedule(s.drainedAt+stragglersS, func() {
+	s.timers.schedule(s.shutdownStartedAt+newcomerPeriodSeconds, func() {
 		// Danger: clients that are told to close come back on new connections for as long as these are accepted, and
 		// the end never comes.
-		s.net.StopListening(s.gone)
+		s.net.StopListening(s.onListenStopped)
 	})
 }
 
 // gone is leave as a call of the loop's own.
-func (s *Sidecar) gone() { s.runCallback(s.leave) }
+func (s *Sidecar) onListenStopped() { s.runCallback(s.finishShutdown) }
 
 // endIdle ends the links that have had nothing to say for a while, and tells whether there are others.
-func (s *Sidecar) endIdle() (busy bool) {
+func (s *Sidecar) closeIdleClients() (busy bool) {
 	now := s.now()
 	for i := len(s.clients) - 1; i >= 0; i-- { // Danger: a link that goes leaves its place to the last one
 		l := s.clients[i]
-		if _, since := l.slot.State(); l.isIdle() && since < now-quietS && !l.mayHaveUnreadRequest() {
+		if _, since := l.slot.State(); l.isIdle() && since < now-drainIdleSeconds && !l.mayHaveUnreadRequest() {
 			l.isLastWritten = true
 			l.startLinger()
 		}
@@ -54,11 +54,11 @@
 }
 
 // leave closes the links that are idle, and ends the loop once there is no other, or once no time is left.
-func (s *Sidecar) leave() {
+func (s *Sidecar) finishShutdown() {
 	now := s.now()
-	busy := s.endIdle() || s.counters.OpenRequests > 0
-	if busy && now < s.drainedAt+s.longestWait()+graceS {
-		s.timers.schedule(now+drainEveryS, s.leave)
+	busy := s.closeIdleClients() || s.counters.OpenRequests > 0
+	if busy && now < s.shutdownStartedAt+s.maxRequestSeconds()+shutdownGraceSeconds {
+		s.timers.schedule(now+drainCheckIntervalSeconds, s.finishShutdown)
 		return
 	}
 	if busy {
@@ -69,25 +69,25 @@
 		}
 		s.log.Warn("ended with work left", "requests", s.counters.OpenRequests, "links", left)
 	}
-	s.stopping = true
+	s.isStopping = true
 	s.net.Stop()
 }
 
 // latestAnswer returns when a request that comes now has its answer at the latest: before this process ends or, for one that comes
 // after the stragglers, before the platform may kill it.
-func (s *Sidecar) latestAnswer() float64 {
-	if !s.draining {
+func (s *Sidecar) latestResponseAt() float64 {
+	if !s.isShuttingDown {
 		return math.Inf(1)
 	}
-	longest := s.longestWait()
-	if s.now() > s.drainedAt+stragglersS {
-		longest = min(longest, longestCountedS)
+	longest := s.maxRequestSeconds()
+	if s.now() > s.shutdownStartedAt+newcomerPeriodSeconds {
+		longest = min(longest, maxCountedRequestSeconds)
 	}
-	return s.drainedAt + longest + answeredS
+	return s.shutdownStartedAt + longest + responseGraceSeconds
 }
 
 // longestWait is how long a client waits at most by the settings.
-func (s *Sidecar) longestWait() (longest float64) {
+func (s *Sidecar) maxRequestSeconds() (longest float64) {
 	for _, c := range s.cfg.Settings.Policy.Classes {
 		longest = max(longest, c.TotalTimeoutSeconds)
 	}
--- a/internal/sidecar/feed.go
+++ b/internal/sidecar/feed.go
@@ -49,14 +49,14 @@
 var _ ListReceiver = (*Sidecar)(nil)
 
 // passed is what a sidecar knows of what is passed on to it.
-type passed struct {
-	to  ListObserver // nil: nobody passes anything on
-	on  bool         // what others pass on takes the place of a watch
-	own bool         // a watch of its own is held beside
+type listRelay struct {
+	observer       ListObserver // nil: nobody passes anything on
+	isActive       bool         // what others pass on takes the place of a watch
+	hasDirectWatch bool         // a watch of its own is held beside
 }
 
 // SetListObserver has a fleet told of what discovery says. It comes before Start.
-func (s *Sidecar) SetListObserver(to ListObserver) { s.passed.to = to }
+func (s *Sidecar) SetListObserver(to ListObserver) { s.listRelay.observer = to }
 
 // ErrStaleList is the fault of a list that is older than the one that is held.
 var ErrStaleList = errors.New("the list is older than the one that is held")
@@ -66,15 +66,15 @@
 
 // ListVersion is for the loop.
 func (s *Sidecar) ListVersion() (v ListVersion, ok bool) {
-	if v.Index, ok = s.hosts.Index(); !ok {
+	if v.Index, ok = s.endpoints.Index(); !ok {
 		return v, false
 	}
-	v.DiscoveryAddress, v.Checksum = s.cfg.Discovery, s.hosts.Checksum()
+	v.DiscoveryAddress, v.Checksum = s.cfg.Discovery, s.endpoints.Checksum()
 	return v, true
 }
 
 // CompleteList is for the loop.
-func (s *Sidecar) CompleteList() []byte { return s.hosts.Snapshot() }
+func (s *Sidecar) CompleteList() []byte { return s.endpoints.Snapshot() }
 
 // ApplyList is for the loop.
 func (s *Sidecar) ApplyList(raw []byte) (err error) {
@@ -82,26 +82,26 @@
 	if err != nil {
 		return err
 	}
-	if held, ok := s.hosts.Index(); ok && index < held {
+	if held, ok := s.endpoints.Index(); ok && index < held {
 		return ErrStaleList
 	}
-	s.runCallback(func() { err = s.list(raw) })
+	s.runCallback(func() { err = s.applyListObject(raw) })
 	return err
 }
 
 // watches tells whether the decisions have been told that a watch is up.
-func (s *Sidecar) watches() bool { return s.passed.on || s.watcher != nil && s.watcher.heard }
+func (s *Sidecar) isWatchUp() bool { return s.listRelay.isActive || s.watcher != nil && s.watcher.isUp }
 
 // ConfirmList is for the loop.
 func (s *Sidecar) ConfirmList() {
 	s.runCallback(func() {
-		was := s.watches()
-		s.passed.on = true
-		if s.listAt, s.listed = s.now(), true; s.watcher != nil && !s.passed.own {
+		was := s.isWatchUp()
+		s.listRelay.isActive = true
+		if s.listReadAt, s.isListRead = s.now(), true; s.watcher != nil && !s.listRelay.hasDirectWatch {
 			s.watcher.stop()
 		}
 		if !was {
-			s.tellHosts(policy.ListDelta, nil)
+			s.pushEndpoints(policy.ListDelta, nil)
 		}
 	})
 }
@@ -109,10 +109,10 @@
 // ExpireList is for the loop.
 func (s *Sidecar) ExpireList() {
 	s.runCallback(func() {
-		was := s.watches()
-		if s.passed.on = false; was && !s.watches() {
+		was := s.isWatchUp()
+		if s.listRelay.isActive = false; was && !s.isWatchUp() {
 			s.counters.WatchesFailed++
-			s.askAgain()
+			s.requestWatch()
 		}
 	})
 }
@@ -120,8 +120,8 @@
 // SetDirectWatch is for the loop.
 func (s *Sidecar) SetDirectWatch(on bool) {
 	s.runCallback(func() {
-		if s.passed.own = on; on && s.watcher == nil && !s.stopping {
-			s.beginWatch()
+		if s.listRelay.hasDirectWatch = on; on && s.watcher == nil && !s.isStopping {
+			s.startWatch()
 		}
 	})
 }
@@ -132,22 +132,22 @@
 		if s.watcher != nil {
 			s.watcher.stop()
 		}
-		s.passed.on = false
-		s.hosts.ForgetIndex()
+		s.listRelay.isActive = false
+		s.endpoints.ForgetIndex()
 		switch {
-		case s.stopping:
-		case s.passed.own:
-			s.beginWatch()
+		case s.isStopping:
+		case s.listRelay.hasDirectWatch:
+			s.startWatch()
 		default:
 			s.counters.WatchesFailed++
-			s.askAgain()
+			s.requestWatch()
 		}
 	})
 }
 
 // again begins a watch of one's own once more that has failed.
-func (s *Sidecar) again() {
-	if s.passed.own && s.watcher == nil && !s.stopping {
-		s.beginWatch()
+func (s *Sidecar) restartDirectWatch() {
+	if s.listRelay.hasDirectWatch && s.watcher == nil && !s.isStopping {
+		s.startWatch()
 	}
 }
--- a/internal/sidecar/fit.go
+++ b/internal/sidecar/fit.go
@@ -38,7 +38,7 @@
 		f.responses, f.lastResponseAt, f.failuresAtResponse = answers, now, silences
 	}
 	switch {
-	case s.draining || s.away:
+	case s.isShuttingDown || s.isDrained:
 		return false, "drained"
 	case now < f.unfitUntil:
 		return false, "starved of its core"
@@ -51,7 +51,7 @@
 // noneUsable tells whether there are boxes and none is to be used.
 func (s *Sidecar) hasNoUsableServer(now float64) bool {
 	avoided, any := s.balancer.Ejected(now), false
-	for h := range s.hosts.Listed {
+	for h := range s.endpoints.Listed {
 		if any = true; h.State == policy.Ready && !avoided(h.ID) {
 			return false
 		}
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/flow.go
@@ -87,7 +87,7 @@
 	}
 	if r.body.IsComplete {
 		l.stopArrivalTimer()
-		r.deadline = min(s.now()+r.timeoutSeconds, s.latestAnswer())
+		r.deadline = min(s.now()+r.timeoutSeconds, s.latestResponseAt())
 		s.timers.stop(&r.deadlineTimer)
 		s.timers.start(&r.deadlineTimer, r.deadline+s.responseSlackSeconds/2, r)
 		for _, e := range r.attempts {
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -14,12 +14,12 @@
 const (
 	// saveEveryS is the time between two states that are kept for a successor. One that takes long to make is made more
 	// seldom, so that it never takes more than a part of the loop's time.
-	saveEveryS = 0.5
-	savePart   = 200
+	saveIntervalSeconds = 0.5
+	saveIntervalFactor  = 200
 	// mostCheckpoint bounds the decisions' part of a state, in bytes.
-	mostCheckpoint = 8 << 20
+	maxCheckpointBytes = 8 << 20
 	// oldestS is how old a state may be that a successor takes.
-	oldestS = 30
+	maxStateAgeSeconds = 30
 )
 
 // StateStore is where what a successor needs is kept.
@@ -45,45 +45,45 @@
 
 // SetKeepAlive has the sidecar keep on a shelf what a successor needs, and obey what lies there. It comes before Start.
 func (s *Sidecar) SetStateStore(shelf StateStore) {
-	s.shelf = shelf
+	s.stateStore = shelf
 	s.reservedDescriptors += hotrestart.Descriptors
 }
 
 // errSettings is why a state is not taken that was learned under others.
-var errSettings = errors.New("the hand-over was made under other settings")
+var errSettingsChanged = errors.New("the hand-over was made under other settings")
 
 // errOld is why a state is not taken that was made long ago.
-var errOld = errors.New("the hand-over is old")
+var errStateExpired = errors.New("the hand-over is old")
 
 // settingsHash tells settings apart. They stay as they were at the start.
 func (s *Sidecar) settingsHash() string {
-	if s.hash == "" {
+	if s.cachedSettingsHash == "" {
 		raw, err := json.Marshal(s.cfg.Settings)
 		if err != nil { // numbers and names always marshal
 			panic(err)
 		}
 		sum := sha256.Sum256(raw)
-		s.hash = hex.EncodeToString(sum[:])
+		s.cachedSettingsHash = hex.EncodeToString(sum[:])
 	}
-	return s.hash
+	return s.cachedSettingsHash
 }
 
 // RestartState returns what a successor begins with. It is for the loop, between events.
 func (s *Sidecar) RestartState() (st hotrestart.State, ok bool) {
-	st = hotrestart.State{UnixSeconds: s.now(), SettingsHash: s.settingsHash(), EndpointList: s.hosts.Export()}
-	st.PolicyCheckpoint, ok = s.balancer.Checkpoint(nil, mostCheckpoint)
+	st = hotrestart.State{UnixSeconds: s.now(), SettingsHash: s.settingsHash(), EndpointList: s.endpoints.Export()}
+	st.PolicyCheckpoint, ok = s.balancer.Checkpoint(nil, maxCheckpointBytes)
 	return st, ok
 }
 
 // save keeps the state, again and again.
-func (s *Sidecar) save() {
+func (s *Sidecar) saveRestartState() {
 	began := s.net.Now()
 	if st, ok := s.RestartState(); ok {
-		s.shelf.Save(st)
+		s.stateStore.Save(st)
 	} else {
 		s.warnLimited("the state for a successor is too large to be kept")
 	}
-	s.timers.schedule(s.now()+max(saveEveryS, savePart*(s.net.Now()-began)), s.save)
+	s.timers.schedule(s.now()+max(saveIntervalSeconds, saveIntervalFactor*(s.net.Now()-began)), s.saveRestartState)
 }
 
 // RestoreState goes on from another process's state, or leaves everything as it is. It comes before Start.
@@ -91,9 +91,9 @@
 	now := s.now()
 	switch {
 	case st.SettingsHash != s.settingsHash():
-		return errSettings
-	case now-st.UnixSeconds > oldestS:
-		return errOld
+		return errSettingsChanged
+	case now-st.UnixSeconds > maxStateAgeSeconds:
+		return errStateExpired
 	}
 	b, err := policy.RestoreSuccessor(s.cfg.Settings.Policy, st.PolicyCheckpoint, now, s)
 	if err != nil {
@@ -101,7 +101,7 @@
 	}
 	before := s.events // the list that was last known, which is older
 	s.events = nil
-	if err := s.listKnown(st.EndpointList); err != nil {
+	if err := s.applyKnownList(st.EndpointList); err != nil {
 		s.events = before
 		return err
 	}
@@ -112,31 +112,31 @@
 
 // ReconcileOperatorState obeys what lies on the shelf: operators may have spoken to a neighbour.
 func (s *Sidecar) ReconcileOperatorState() {
-	bans, away, err := s.shelf.OperatorState()
+	bans, away, err := s.stateStore.OperatorState()
 	if err != nil {
 		s.log.Error("what operators have said can't be read", "error", err)
 		return
 	}
 	var infos []policy.HostInfo
 	for _, name := range bans {
-		if info, err := s.hosts.Cordon(name, s.now()); err == nil {
+		if info, err := s.endpoints.Cordon(name, s.now()); err == nil {
 			infos = append(infos, info)
 		} else {
-			s.hosts.CordonName(name, s.now()) // it counts once the list names it
+			s.endpoints.CordonName(name, s.now()) // it counts once the list names it
 		}
 	}
-	for _, name := range s.hosts.Cordoned() {
+	for _, name := range s.endpoints.Cordoned() {
 		if !slices.Contains(bans, name) {
-			if info, err := s.hosts.Uncordon(name, s.now()); err == nil {
+			if info, err := s.endpoints.Uncordon(name, s.now()); err == nil {
 				infos = append(infos, info)
 			}
 		}
 	}
 	if len(infos) > 0 {
-		s.retell(infos...)
+		s.pushServerChange(infos...)
 	}
-	if s.away != away && !s.draining {
-		s.setAway(away)
+	if s.isDrained != away && !s.isShuttingDown {
+		s.setDrained(away)
 	}
 }
 
@@ -148,4 +148,4 @@
 }
 
 // MarkReplaced tells that another process serves in this one's place: when this one ends, nobody depends on it to accept.
-func (s *Sidecar) MarkReplaced() { s.succeeded = true }
+func (s *Sidecar) MarkReplaced() { s.isReplaced = true }
--- a/internal/sidecar/health.go
+++ b/internal/sidecar/health.go
@@ -13,19 +13,19 @@
 // never asks the loop.
 func (s *Sidecar) publishHealth() {
 	now := s.now()
-	s.health.Publish(health.Snapshot{TakenAt: now, ListReadAt: s.listAt, Started: s.listed, Draining: s.leaving(),
+	s.healthServer.Publish(health.Snapshot{TakenAt: now, ListReadAt: s.listReadAt, Started: s.isListRead, Draining: s.closesAfterResponse(),
 		UsableServers: s.balancer.UsableHosts(now), Inflight: s.counters.OpenRequests})
 	s.timers.schedule(now+heartbeatIntervalSeconds, s.publishHealth)
 }
 
 // ListenSide opens the side port on the host of the listen address, if there is one.
 func (s *Sidecar) ListenHealth() error {
-	if s.health == nil {
+	if s.healthServer == nil {
 		return nil
 	}
 	a, err := netip.ParseAddrPort(s.cfg.Listen)
 	if err != nil {
 		return err
 	}
-	return s.health.Listen(a.Addr().String())
+	return s.healthServer.Listen(a.Addr().String())
 }
--- a/internal/sidecar/holdings.go
+++ b/internal/sidecar/holdings.go
@@ -15,10 +15,10 @@
 // ResourceUsage returns what is held now. It is for the loop, between its calls.
 func (s *Sidecar) ResourceUsage() ResourceUsage {
 	h := ResourceUsage{Requests: max(len(s.requests), len(s.requestsByClientID)), ClientConns: len(s.clients), BackendConns: s.openConns - len(s.clients),
-		Timers: s.timers.count, Events: len(s.events), Servers: s.hosts.Len()}
+		Timers: s.timers.count, Events: len(s.events), Servers: s.endpoints.Len()}
 	if w := s.watcher; w != nil && w.conn != nil {
 		h.BackendConns--
-		h.BufferedBytes += w.buf.Len()
+		h.BufferedBytes += w.input.Len()
 	}
 	for _, l := range s.clients {
 		h.BufferedBytes += l.input.Len()
--- a/internal/sidecar/measured.go
+++ b/internal/sidecar/measured.go
@@ -12,42 +12,42 @@
 }
 
 const (
-	leastTimeUS, mostTimeUS = 100, 60_000_000
-	timeDigits              = 2
+	minLatencyMicros, maxLatencyMicros = 100, 60_000_000
+	latencyDigits                      = 2
 )
 
 // NewLatencyHistogram returns an empty histogram of times to answer, in microseconds. All that sidecars merge are of its shape.
 func NewLatencyHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(leastTimeUS, mostTimeUS, timeDigits)
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 }
 
 // times are the histograms of a sidecar that tells its fleet how requests fare.
-type times struct {
-	by   []*hdrhistogram.Histogram // by class
-	told []classCounts             // when it was asked last
+type requestStats struct {
+	byClass  []*hdrhistogram.Histogram // by class
+	reported []classCounts             // when it was asked last
 }
 
 // EnableRequestStats has the sidecar keep how long its requests take. It comes before Start.
 func (s *Sidecar) EnableRequestStats() {
-	s.times = &times{told: append([]classCounts(nil), s.counters.Classes...)}
+	s.requestStats = &requestStats{reported: append([]classCounts(nil), s.counters.Classes...)}
 	for range s.counters.Classes {
-		s.times.by = append(s.times.by, NewLatencyHistogram())
+		s.requestStats.byClass = append(s.requestStats.byClass, NewLatencyHistogram())
 	}
 }
 
 // note takes the end of a request that was served.
-func (t *times) note(r *request, now float64) {
+func (t *requestStats) record(r *request, now float64) {
 	us := int64(1e6 * (now - (r.deadline - r.timeoutSeconds)))
-	_ = t.by[r.classIndex].RecordValue(min(max(us, 0), mostTimeUS)) // fails only on what is out of these bounds
+	_ = t.byClass[r.classIndex].RecordValue(min(max(us, 0), maxLatencyMicros)) // fails only on what is out of these bounds
 }
 
 // RequestStats returns how requests have fared since it was called last, by class. It is for the loop.
 func (s *Sidecar) RequestStats() (all []ClassStats) {
-	if s.times == nil {
+	if s.requestStats == nil {
 		return nil
 	}
 	for i, c := range s.counters.Classes {
-		was, h := &s.times.told[i], s.times.by[i]
+		was, h := &s.requestStats.reported[i], s.requestStats.byClass[i]
 		all = append(all, ClassStats{Class: c.Class, Served: c.Served - was.Served, Throttled: c.Throttled - was.Throttled, Failed: c.Failed - was.Failed,
 			Abandoned: c.Abandoned - was.Abandoned, LatencyCounts: h.Export().Counts})
 		*was = c
--- a/internal/sidecar/operate.go
+++ b/internal/sidecar/operate.go
@@ -10,7 +10,7 @@
 	// AdminDescriptors are kept for the operators' door, with its listener.
 	AdminDescriptors = 18
 	// publishEveryS is the time between two snapshots of the figures.
-	publishEveryS = 0.1
+	snapshotIntervalSeconds = 0.1
 )
 
 // StatusSnapshot is what the event loop says of itself for the operators. It is not changed once it is published.
@@ -35,102 +35,102 @@
 type MetricsSource interface{ Metrics() []Metric }
 
 // StatusSnapshot returns the latest snapshot, nil before the first. It may be called from anywhere, and waits for nobody.
-func (s *Sidecar) StatusSnapshot() *StatusSnapshot { return s.figures.Load() }
+func (s *Sidecar) StatusSnapshot() *StatusSnapshot { return s.snapshot.Load() }
 
 // publish makes a snapshot of the figures, again and again.
-func (s *Sidecar) publish() {
+func (s *Sidecar) publishSnapshot() {
 	now := s.now()
-	f := &StatusSnapshot{TakenAt: now, IsShuttingDown: s.draining, Classes: append([]classCounts(nil), s.counters.Classes...), RequestsWritten: s.counters.RequestsWritten,
+	f := &StatusSnapshot{TakenAt: now, IsShuttingDown: s.isShuttingDown, Classes: append([]classCounts(nil), s.counters.Classes...), RequestsWritten: s.counters.RequestsWritten,
 		OpenRequests: s.counters.OpenRequests}
 	avoided := s.balancer.Ejected(now)
-	for h := range s.hosts.Listed {
+	for h := range s.endpoints.Listed {
 		if f.Servers++; h.State != policy.Ready || avoided(h.ID) {
 			f.UnavailableServers++
 		}
 	}
-	if s.counted != nil {
-		f.FleetMetrics = s.counted.Metrics()
+	if s.fleetMetrics != nil {
+		f.FleetMetrics = s.fleetMetrics.Metrics()
 	}
-	s.figures.Store(f)
-	s.timers.schedule(now+publishEveryS, s.publish)
+	s.snapshot.Store(f)
+	s.timers.schedule(now+snapshotIntervalSeconds, s.publishSnapshot)
 }
 
 // CordonServer takes a server out of use until Online. The ban holds once it returns.
 func (s *Sidecar) CordonServer(name string) error {
-	info, err := s.hosts.Cordon(name, s.now())
+	info, err := s.endpoints.Cordon(name, s.now())
 	if err != nil {
 		return err
 	}
 	s.log.Info("server taken out by hand", "server", name)
-	s.retell(info)
-	return s.shelf.Cordon(name)
+	s.pushServerChange(info)
+	return s.stateStore.Cordon(name)
 }
 
 // UncordonServer ends a server's ban, however often it was called for.
 func (s *Sidecar) UncordonServer(name string) error {
-	info, err := s.hosts.Uncordon(name, s.now())
+	info, err := s.endpoints.Uncordon(name, s.now())
 	if err != nil {
 		return err
 	}
 	s.log.Info("server given back by hand", "server", name)
-	s.retell(info)
-	return s.shelf.Uncordon(name)
+	s.pushServerChange(info)
+	return s.stateStore.Uncordon(name)
 }
 
 // retell tells the decisions of a server that is to be used in another way from now on.
 // Danger: changes count as a sign that the watch is up. Where it is not, the decisions would never ask for one again.
-func (s *Sidecar) retell(infos ...policy.HostInfo) {
+func (s *Sidecar) pushServerChange(infos ...policy.HostInfo) {
 	kind := policy.ListCached
-	if s.watches() {
+	if s.isWatchUp() {
 		kind = policy.ListDelta
 	}
-	s.tellHosts(kind, infos)
-	s.dropIdle()
+	s.pushEndpoints(kind, infos)
+	s.closeUnusableIdleConns()
 }
 
 // errEnding is the answer to who would join a process that has been told to end.
-var errEnding = errors.New("this process has been told to end")
+var errShuttingDown = errors.New("this process has been told to end")
 
 // IsDrainedByOperator tells whether the sidecar is drained by hand: it says that it is not ready.
-func (s *Sidecar) IsDrainedByOperator() bool { return s.away }
+func (s *Sidecar) IsDrainedByOperator() bool { return s.isDrained }
 
 // leaving tells whether every answer is to be the last on its link.
-func (s *Sidecar) leaving() bool { return s.draining || s.away }
+func (s *Sidecar) closesAfterResponse() bool { return s.isShuttingDown || s.isDrained }
 
 // DrainByOperator drains by hand: newcomers are told to stay away, each answer is the last on its link, and links that have had
 // nothing to say for a while are ended. Who comes all the same is served.
 func (s *Sidecar) DrainByOperator() error {
-	if s.draining {
+	if s.isShuttingDown {
 		return nil
 	}
-	s.setAway(true)
-	return s.shelf.SetDrained(true)
+	s.setDrained(true)
+	return s.stateStore.SetDrained(true)
 }
 
-func (s *Sidecar) setAway(on bool) {
-	if s.away == on {
+func (s *Sidecar) setDrained(on bool) {
+	if s.isDrained == on {
 		return
 	}
-	s.away = on
+	s.isDrained = on
 	s.log.Info("drain by hand", "on", on, "links", len(s.clients))
 	if on {
-		s.timers.schedule(s.now()+stragglersS, s.thin)
+		s.timers.schedule(s.now()+newcomerPeriodSeconds, s.closeIdleWhileDrained)
 	}
 }
 
 // thin ends idle links until the drain is over.
-func (s *Sidecar) thin() {
-	if s.away && !s.draining {
-		s.endIdle()
-		s.timers.schedule(s.now()+drainEveryS, s.thin)
+func (s *Sidecar) closeIdleWhileDrained() {
+	if s.isDrained && !s.isShuttingDown {
+		s.closeIdleClients()
+		s.timers.schedule(s.now()+drainCheckIntervalSeconds, s.closeIdleWhileDrained)
 	}
 }
 
 // UndrainByOperator ends a drain by hand.
 func (s *Sidecar) UndrainByOperator() error {
-	if s.draining {
-		return errEnding
+	if s.isShuttingDown {
+		return errShuttingDown
 	}
-	s.setAway(false)
-	return s.shelf.SetDrained(false)
+	s.setDrained(false)
+	return s.stateStore.SetDrained(false)
 }
--- a/internal/sidecar/place.go
+++ b/internal/sidecar/place.go
@@ -17,7 +17,7 @@
 }
 
 // ShutdownState is for the loop.
-func (s *Sidecar) ShutdownState() (ending, succeeded bool) { return s.draining, s.succeeded }
+func (s *Sidecar) ShutdownState() (ending, succeeded bool) { return s.isShuttingDown, s.isReplaced }
 
 // SetRank is for the loop. The decisions go by the new place from the next event on.
 func (s *Sidecar) SetRank(number, count int) {
@@ -34,5 +34,5 @@
 
 // SetFleetStatus has the counters and the door's dump hold what a fleet says of itself; it is asked on the loop.
 func (s *Sidecar) SetFleetStatus(see func() any, counted MetricsSource) {
-	s.fleet, s.counted = see, counted
+	s.fleetStatus, s.fleetMetrics = see, counted
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -36,7 +36,7 @@
 	s.log.Info("configuration read", "discovery", cfg.Discovery, "before", old.Discovery)
 	if cfg.Discovery != old.Discovery {
 		old.Discovery = cfg.Discovery
-		s.rewatch()
+		s.replaceWatch()
 	}
 }
 
@@ -52,11 +52,11 @@
 // rewatch begins a watch at another discovery service at once, whatever the present one is about. The list is
 // kept until the new service has told its own. Danger: its versions need not be those of the old service, and
 // changes since a version that it counts otherwise would leave entries out; the whole list is asked for.
-func (s *Sidecar) rewatch() {
+func (s *Sidecar) replaceWatch() {
 	if s.watcher != nil {
 		s.watcher.stop()
 	}
-	s.passed.on = false // what was passed on was the old service's
-	s.hosts.ForgetIndex()
-	s.watch()
+	s.listRelay.isActive = false // what was passed on was the old service's
+	s.endpoints.ForgetIndex()
+	s.ensureWatch()
 }
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -83,8 +83,8 @@
 func (s *Sidecar) countRequestEnd(r *request, how requestEnd) {
 	s.counters.OpenRequests--
 	s.counters.countRequestEnd(r.classIndex, how)
-	if s.times != nil && how == served {
-		s.times.note(r, s.now())
+	if s.requestStats != nil && how == served {
+		s.requestStats.record(r, s.now())
 	}
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -45,7 +45,7 @@
 	timersScheduled bool // the timers that are due are fired soon
 
 	balancer      *policy.Balancer
-	hosts         *endpointset.Set
+	endpoints     *endpointset.Set
 	classes       map[string]int
 	eventAt       float64 // the time of the event that the decisions handle
 	events        []event
@@ -66,14 +66,14 @@
 	reuseDelay           reuseDelay
 	waitingAttempts      []*attempt // that wait for a link or a descriptor
 	watcher              *watcher
-	passed               passed
+	listRelay            listRelay
 	admissionConfig      featureconfig.Admission
 	faults               *faultinjection.Injector
 	faultObserver        FaultObserver  // is told of drills that are started here; nil: nobody is
-	health               *health.Server // nil: there is no side port
-	listAt               float64        // when anything was last read from discovery
-	listed               bool           // a list has been read from discovery
-	listFault            string         // of discovery's last object, which made no sense; empty: it did
+	healthServer         *health.Server // nil: there is no side port
+	listReadAt           float64        // when anything was last read from discovery
+	isListRead           bool           // a list has been read from discovery
+	lastListError        string         // of discovery's last object, which made no sense; empty: it did
 	capture              *capture.Recorder
 	quotas               *quotaEnforcer // nil: there are none
 	reservedDescriptors  int            // descriptors that are kept for features
@@ -83,20 +83,20 @@
 	dialDescriptorsHeld int // descriptors that dials may hold
 	writeBuffer         []byte
 	streams             streams
-	draining            bool
-	away                bool // drained by the operators
-	succeeded           bool // another process serves in this one's place
-	shelf               StateStore
-	counted             MetricsSource // a fleet's figures; nil: there is none
-	fleet               func() any    // what a fleet says of itself; nil: there is none
-	times               *times        // nil: nobody asks for them
+	isShuttingDown      bool
+	isDrained           bool // drained by the operators
+	isReplaced          bool // another process serves in this one's place
+	stateStore          StateStore
+	fleetMetrics        MetricsSource // a fleet's figures; nil: there is none
+	fleetStatus         func() any    // what a fleet says of itself; nil: there is none
+	requestStats        *requestStats // nil: nobody asks for them
 	fitness             fitness
-	works               *boxWork // nil: no work on boxes is settled
-	hash                string   // of the settings, once it was asked for
-	processes           int      // processes that live by the limits together
-	figures             atomic.Pointer[StatusSnapshot]
-	drainedAt           float64
-	stopping            bool
+	maintenance         *maintenanceTracker // nil: no work on boxes is settled
+	cachedSettingsHash  string              // of the settings, once it was asked for
+	processes           int                 // processes that live by the limits together
+	snapshot            atomic.Pointer[StatusSnapshot]
+	shutdownStartedAt   float64
+	isStopping          bool
 
 	// Limits, if it is set, is told of the limits at the start and at each change.
 	OnLimitsChange func(sidecarconfig.Limits)
@@ -109,16 +109,16 @@
 func New(cfg sidecarconfig.Config, on featureconfig.Features, fronts []Frontend, loop netio.EventLoop, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, nextID: 1,
 		requests: map[uint32]*request{}, requestsByClientID: map[string]*request{}, idleConns: map[uint32][]*backendConn{},
-		hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), responseSlackSeconds: cfg.Settings.AnswerSlackS,
-		admissionConfig: on.Admission, logLimiter: logLimiter{}, faults: faultinjection.New(on.Drills), frontends: fronts, shelf: noStateStore{}, processes: 1}
+		endpoints: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), responseSlackSeconds: cfg.Settings.AnswerSlackS,
+		admissionConfig: on.Admission, logLimiter: logLimiter{}, faults: faultinjection.New(on.Drills), frontends: fronts, stateStore: noStateStore{}, processes: 1}
 	s.timers.currentSlot = int64(s.now() / slotSeconds)
 	for _, f := range fronts {
 		if f.NewProbe() != nil {
 			s.prober = f
 		}
 	}
-	if s.listAt = s.now(); on.Health.IsEnabled() {
-		s.health = health.New(on.Health, loop.Now, log)
+	if s.listReadAt = s.now(); on.Health.IsEnabled() {
+		s.healthServer = health.New(on.Health, loop.Now, log)
 		s.reservedDescriptors += health.Descriptors
 	}
 	if cfg.Ops != "" {
@@ -137,7 +137,7 @@
 	s.balancer = policy.New(cfg.Settings.Policy, cfg.Seed, s)
 	if on.Capture.Enabled {
 		var err error
-		if s.capture, err = capture.New(on.Capture, cfg.Settings.Policy, cfg.Seed, s.now(), witness{s}, log); err != nil {
+		if s.capture, err = capture.New(on.Capture, cfg.Settings.Policy, cfg.Seed, s.now(), captureSource{s}, log); err != nil {
 			return nil, err
 		}
 		if on.Capture.Dir != "" {
@@ -145,13 +145,13 @@
 		}
 	}
 	if len(cfg.Known) > 0 {
-		if err := s.listKnown(cfg.Known); err != nil {
+		if err := s.applyKnownList(cfg.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	} else { // Danger: the decisions ask for a list only once they have heard of one
-		s.tellHosts(policy.ListCached, nil)
+		s.pushEndpoints(policy.ListCached, nil)
 	}
-	if s.hosts.Len() == 0 {
+	if s.endpoints.Len() == 0 {
 		log.Warn("beginning without a list of servers: discovery is asked at once")
 	}
 	return s, nil
@@ -168,18 +168,18 @@
 	s.runCallback(func() {
 		s.applyLimits()
 		s.closeStaleClients()
-		if s.health != nil {
+		if s.healthServer != nil {
 			s.publishHealth()
 		}
 		if s.cfg.Ops != "" {
-			s.publish()
+			s.publishSnapshot()
 		}
-		if _, none := s.shelf.(noStateStore); !none {
+		if _, none := s.stateStore.(noStateStore); !none {
 			s.ReconcileOperatorState()
-			s.pushEvent(func(float64) { s.save() })
+			s.pushEvent(func(float64) { s.saveRestartState() })
 		}
 		if !s.cfg.Settings.Policy.ListOnDemand {
-			s.watch()
+			s.ensureWatch()
 		}
 		s.startQuotas()
 		if s.capture.WritesFiles() {
@@ -326,8 +326,8 @@
 	s.counters.Descriptors = s.openConns + s.dialDescriptorsHeld
 	s.counters.FaultHits, s.counters.Capture = s.faults.HitCounts(), s.capture.Stats()
 	s.counters.Quotas = s.quotaCounters()
-	if s.fleet != nil {
-		s.counters.Fleet = s.fleet()
+	if s.fleetStatus != nil {
+		s.counters.Fleet = s.fleetStatus()
 	}
 	return s.counters.text()
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -78,11 +78,11 @@
 	n := &dialingNet{}
 	s, err := New(cfg, featureconfig.Features{}, nil, n, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	require.NoError(t, s.list([]byte(`{"index":1,"snapshot":true,"endpoints":[{"name":"s-00000007","address":"a","status":"SERVING"}]}`)))
+	require.NoError(t, s.applyListObject([]byte(`{"index":1,"snapshot":true,"endpoints":[{"name":"s-00000007","address":"a","status":"SERVING"}]}`)))
 	s.admissionConfig.ReservedForKnown = 1
 	s.cfg.Limits.Sockets = baseDescriptors + s.reservedDescriptors + s.reservedClientSlots() + dialDescriptors // room for one dial
 	for range 2 {
-		s.dial(s.hosts.Host(7), &attempt{sidecar: s, serverID: 7, deadline: testNow + 10, frontend: listedFront{}, isProbeRetry: true})
+		s.dial(s.endpoints.Host(7), &attempt{sidecar: s, serverID: 7, deadline: testNow + 10, frontend: listedFront{}, isProbeRetry: true})
 	}
 	require.Len(t, n.done, 1)
 	require.Len(t, s.waitingAttempts, 1)
--- a/internal/sidecar/starved.go
+++ b/internal/sidecar/starved.go
@@ -36,10 +36,10 @@
 
 // feedDials dials for those that wait while there are descriptors.
 func (s *Sidecar) dialForWaiters() {
-	for len(s.waitingAttempts) > 0 && !s.stopping && s.freeDescriptors(dialDescriptors+s.reservedClientSlots()) {
+	for len(s.waitingAttempts) > 0 && !s.isStopping && s.freeDescriptors(dialDescriptors+s.reservedClientSlots()) {
 		e := s.waitingAttempts[0]
 		s.stopWaiting(e)
-		if h := s.hosts.Host(e.serverID); h != nil && s.mayStart(e) {
+		if h := s.endpoints.Host(e.serverID); h != nil && s.mayStart(e) {
 			s.dial(h, e)
 		} else {
 			s.finishAttempt(e, &attemptError{notConnected, superseded, nil})
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -15,115 +15,115 @@
 const (
 	// headWaitS is how long discovery may take to begin its answer; it works through calls in turn and
 	// gives those up that wait too long.
-	headWaitS = 3.0
+	watchHeadTimeoutSeconds = 3.0
 	// silenceS without a byte ends a watch: discovery sends an empty line every 2 s while nothing changes. Danger: what a silent
 	// watch misses counts as told 6 s after it fell silent, and within that time another call has to be answered.
-	silenceS = 3.0
+	watchTimeoutSeconds = 3.0
 	// mostList bounds one object of discovery.
-	mostList = 8 << 20
+	maxListBytes = 8 << 20
 	// rewatchS is the longest wait before a watch that the decisions never ask for is begun again.
-	rewatchS = 1.0
+	maxRewatchSeconds = 1.0
 	// rewatchPart of the time for which a draining server may still be sent requests is waited at most: where lists are pushed, a
 	// change counts as told at once, whether or not a watch is open.
-	rewatchPart = 0.25
+	rewatchGraceFraction = 0.25
 )
 
 var (
-	errSilent  = errors.New("silence")
-	errRefused = errors.New("refused")
-	errEnded   = errors.New("ended")
+	errWatchTimeout = errors.New("silence")
+	errWatchRefused = errors.New("refused")
+	errWatchEnded   = errors.New("ended")
 )
 
 // watcher is a watch on discovery's list.
 type watcher struct {
-	s        *Sidecar
-	conn     netio.Conn
-	stopDial func()
-	buf      http1.Buffer
-	parser   http1.ResponseParser
-	scanner  endpointset.StreamScanner // of the answer's body
-	alive    *timer
-	first    *timer // until the first object or heartbeat has come
-	over     bool
-	heard    bool   // an object or an empty line has come
-	since    uint64 // the version that was asked from
+	sidecar          *Sidecar
+	conn             netio.Conn
+	cancelDial       func()
+	input            http1.Buffer
+	parser           http1.ResponseParser
+	scanner          endpointset.StreamScanner // of the answer's body
+	dataTimer        *timer
+	firstObjectTimer *timer // until the first object or heartbeat has come
+	isOver           bool
+	isUp             bool   // an object or an empty line has come
+	sinceIndex       uint64 // the version that was asked from
 }
 
 // watch begins a watch. One that is up already answers for it.
-func (s *Sidecar) watch() {
-	if s.passed.on {
-		s.tellHosts(policy.ListDelta, nil)
+func (s *Sidecar) ensureWatch() {
+	if s.listRelay.isActive {
+		s.pushEndpoints(policy.ListDelta, nil)
 		return
 	}
-	s.beginWatch()
+	s.startWatch()
 }
 
-func (s *Sidecar) beginWatch() {
+func (s *Sidecar) startWatch() {
 	if w := s.watcher; w != nil {
-		if w.heard {
-			s.tellHosts(policy.ListDelta, nil)
+		if w.isUp {
+			s.pushEndpoints(policy.ListDelta, nil)
 			return
 		}
 		// Danger: discovery works through calls in turn. One that is ended and begun anew goes to the end of the line.
 		return
 	}
 	now := s.now()
-	w := &watcher{s: s, parser: http1.NewResponseParser(http1.Limits{Head: MaxHeadBytes, Body: mostList})}
+	w := &watcher{sidecar: s, parser: http1.NewResponseParser(http1.Limits{Head: MaxHeadBytes, Body: maxListBytes})}
 	s.watcher = w
 	s.counters.Watches++
-	w.alive = s.timers.schedule(now+headWaitS, func() { w.fail(errSilent) })
+	w.dataTimer = s.timers.schedule(now+watchHeadTimeoutSeconds, func() { w.fail(errWatchTimeout) })
 	// Danger: a first object that comes byte by byte would keep the watch from being up, and from being opened anew, for ever.
-	w.first = s.timers.schedule(now+headWaitS+silenceS, func() { w.fail(errSilent) })
-	w.stopDial = s.connect(s.cfg.Discovery, now+s.cfg.Settings.ConnectTimeoutS, w, w.fail)
+	w.firstObjectTimer = s.timers.schedule(now+watchHeadTimeoutSeconds+watchTimeoutSeconds, func() { w.fail(errWatchTimeout) })
+	w.cancelDial = s.connect(s.cfg.Discovery, now+s.cfg.Settings.ConnectTimeoutS, w, w.fail)
 }
 
 // opened asks for the changes since the list that is held.
 func (w *watcher) onOpen(c netio.Conn) {
 	w.conn = c
-	if w.over {
-		w.s.closeConn(c)
+	if w.isOver {
+		w.sidecar.closeConn(c)
 		return
 	}
 	target := "/v1/endpoints?follow=1"
-	if index, ok := w.s.hosts.Index(); ok {
-		w.since = index
+	if index, ok := w.sidecar.endpoints.Index(); ok {
+		w.sinceIndex = index
 		target += "&since=" + strconv.FormatUint(index, 10)
 	}
-	h := http1.Header{{Name: "Host", Value: w.s.cfg.Discovery}}
+	h := http1.Header{{Name: "Host", Value: w.sidecar.cfg.Discovery}}
 	c.Write(http1.AppendRequest(nil, "GET", target, h, nil))
 }
 
 // traffic takes the lines that have come.
 func (w *watcher) onData(data []byte) {
-	if w.over {
+	if w.isOver {
 		return
 	}
-	w.buf.Write(data)
-	done, err := w.parser.Next(&w.buf)
+	w.input.Write(data)
+	done, err := w.parser.Next(&w.input)
 	if err == nil && w.parser.HeadRead() && w.parser.Status != 200 {
-		err = errRefused
+		err = errWatchRefused
 	}
 	if err == nil {
 		err = w.handleBody()
 	}
-	if w.heard {
-		w.s.timers.stop(w.first)
+	if w.isUp {
+		w.sidecar.timers.stop(w.firstObjectTimer)
 	}
 	if err == nil && w.parser.HeadRead() { // an empty line, too, says that the list is as it was
-		w.s.listAt = w.s.now()
-		_, held := w.s.hosts.Index()
-		w.s.listed = w.s.listed || held && w.heard
+		w.sidecar.listReadAt = w.sidecar.now()
+		_, held := w.sidecar.endpoints.Index()
+		w.sidecar.isListRead = w.sidecar.isListRead || held && w.isUp
 	}
 	if err == nil && done {
-		err = errEnded
+		err = errWatchEnded
 	}
 	if err != nil {
 		w.fail(err)
 		return
 	}
 	if w.parser.HeadRead() {
-		w.s.timers.stop(w.alive)
-		w.alive = w.s.timers.schedule(w.s.now()+silenceS, func() { w.fail(errSilent) })
+		w.sidecar.timers.stop(w.dataTimer)
+		w.dataTimer = w.sidecar.timers.schedule(w.sidecar.now()+watchTimeoutSeconds, func() { w.fail(errWatchTimeout) })
 	}
 }
 
@@ -143,7 +143,7 @@
 			return nil
 		}
 		if err != nil {
-			w.s.noticeMalformedList(err)
+			w.sidecar.noticeMalformedList(err)
 			return err
 		}
 	}
@@ -151,39 +151,39 @@
 
 // noticeMalformedList logs that discovery has sent something that is no list, once for each fault in a row.
 func (s *Sidecar) noticeMalformedList(err error) {
-	if errors.Is(err, ErrStaleList) || err.Error() == s.listFault {
+	if errors.Is(err, ErrStaleList) || err.Error() == s.lastListError {
 		return
 	}
-	s.listFault = err.Error()
+	s.lastListError = err.Error()
 	s.log.Warn("discovery has sent a malformed list, the present one stays in use", "discovery", s.cfg.Discovery, "error", err)
 }
 
 // handleHeartbeat handles an empty line. The first one tells the decisions that the watch is up.
 func (w *watcher) handleHeartbeat() {
-	if !w.heard {
-		w.heard = true
-		w.s.tellHosts(policy.ListDelta, nil)
+	if !w.isUp {
+		w.isUp = true
+		w.sidecar.pushEndpoints(policy.ListDelta, nil)
 	}
-	if w.s.passed.to != nil {
-		index, held := w.s.hosts.Index()
-		w.s.passed.to.ListRead(index, held, nil)
+	if w.sidecar.listRelay.observer != nil {
+		index, held := w.sidecar.endpoints.Index()
+		w.sidecar.listRelay.observer.ListRead(index, held, nil)
 	}
 }
 
 // handleObject handles an object with a list or with changes. The first one tells the decisions that the watch is up.
 func (w *watcher) handleObject(object []byte) error {
-	if w.s.passed.to != nil {
-		return w.pass(object)
+	if w.sidecar.listRelay.observer != nil {
+		return w.handleRelayedObject(object)
 	}
-	w.heard = true
-	return w.s.list(object)
+	w.isUp = true
+	return w.sidecar.applyListObject(object)
 }
 
 // pass takes an object that is passed on. Danger: others may have passed on a later one meanwhile. Changes are in that already; a
 // whole list of a lower index is of a service that counts anew, unless the list was not held yet when it was asked for.
-func (w *watcher) pass(line []byte) error {
-	s := w.s
-	before, held := s.hosts.Index()
+func (w *watcher) handleRelayedObject(line []byte) error {
+	s := w.sidecar
+	before, held := s.endpoints.Index()
 	index, snapshot, err := endpointset.ParseHeader(line)
 	if err != nil {
 		return err
@@ -192,51 +192,51 @@
 		switch {
 		case !snapshot:
 			line = nil
-		case w.since != before:
+		case w.sinceIndex != before:
 			return ErrStaleList // it is asked anew, by the list that is held
 		}
 	}
-	if w.heard = true; line == nil {
-		s.tellHosts(policy.ListDelta, nil)
+	if w.isUp = true; line == nil {
+		s.pushEndpoints(policy.ListDelta, nil)
 		return nil
 	}
-	if err := s.list(line); err != nil {
+	if err := s.applyListObject(line); err != nil {
 		return err
 	}
-	s.passed.to.ListRead(before, held, line)
+	s.listRelay.observer.ListRead(before, held, line)
 	return nil
 }
 
 // listKnown applies the list that was held last and tells the decisions.
-func (s *Sidecar) listKnown(raw []byte) error {
-	infos, err := s.hosts.ApplyCached(raw, s.now())
+func (s *Sidecar) applyKnownList(raw []byte) error {
+	infos, err := s.endpoints.ApplyCached(raw, s.now())
 	if err != nil {
 		return err
 	}
-	s.tellHosts(policy.ListCached, infos)
-	s.dropIdle()
+	s.pushEndpoints(policy.ListCached, infos)
+	s.closeUnusableIdleConns()
 	return nil
 }
 
 // list applies one object of discovery and tells the decisions.
-func (s *Sidecar) list(raw []byte) error {
-	snapshot, infos, err := s.hosts.Apply(raw, s.now())
+func (s *Sidecar) applyListObject(raw []byte) error {
+	snapshot, infos, err := s.endpoints.Apply(raw, s.now())
 	if err != nil {
 		return err
 	}
 	s.counters.ListsApplied++
-	s.listFault = ""
+	s.lastListError = ""
 	kind := policy.ListDelta
 	if snapshot {
 		kind = policy.ListFull
 	}
-	s.tellHosts(kind, infos)
-	s.dropIdle()
+	s.pushEndpoints(kind, infos)
+	s.closeUnusableIdleConns()
 	return nil
 }
 
 // dropIdle closes the idle backend connections that nothing new goes to.
-func (s *Sidecar) dropIdle() {
+func (s *Sidecar) closeUnusableIdleConns() {
 	for _, id := range slices.Sorted(maps.Keys(s.idleConns)) {
 		if !s.acceptsAttempts(id) {
 			s.closeIdleConns(id)
@@ -246,7 +246,7 @@
 }
 
 // tellHosts tells the decisions of a list.
-func (s *Sidecar) tellHosts(kind policy.ListKind, infos []policy.HostInfo) {
+func (s *Sidecar) pushEndpoints(kind policy.ListKind, infos []policy.HostInfo) {
 	s.pushEvent(func(now float64) {
 		s.capture.RecordHosts(now, kind, infos)
 		s.balancer.UpdateHosts(now, kind, infos)
@@ -255,65 +255,65 @@
 
 // stop ends a watch without a word.
 func (w *watcher) stop() {
-	w.over = true
-	w.s.timers.stop(w.alive)
-	w.s.timers.stop(w.first)
-	w.stopDial()
-	w.s.closeConn(w.conn)
-	if w.s.watcher == w {
-		w.s.watcher = nil
+	w.isOver = true
+	w.sidecar.timers.stop(w.dataTimer)
+	w.sidecar.timers.stop(w.firstObjectTimer)
+	w.cancelDial()
+	w.sidecar.closeConn(w.conn)
+	if w.sidecar.watcher == w {
+		w.sidecar.watcher = nil
 	}
 }
 
 // fail ends a watch that brings nothing more. The decisions ask again; where they never ask, since the
 // list comes unasked, the sidecar does.
 func (w *watcher) fail(err error) {
-	if w.over {
+	if w.isOver {
 		return
 	}
-	s := w.s
+	s := w.sidecar
 	w.stop()
-	if s.stopping {
+	if s.isStopping {
 		return
 	}
 	s.counters.WatchesFailed++
 	s.log.Debug("watch failed", "error", err)
-	if s.passed.to != nil {
-		if w.heard {
-			s.passed.to.WatchEnded()
+	if s.listRelay.observer != nil {
+		if w.isUp {
+			s.listRelay.observer.WatchEnded()
 		}
-		if s.passed.own {
-			s.timers.schedule(s.now()+rewatchS, s.again)
+		if s.listRelay.hasDirectWatch {
+			s.timers.schedule(s.now()+maxRewatchSeconds, s.restartDirectWatch)
 		}
-		if s.passed.on { // what others pass on takes its place
+		if s.listRelay.isActive { // what others pass on takes its place
 			return
 		}
 	}
-	s.askAgain()
+	s.requestWatch()
 }
 
 // askAgain has another watch begun in place of one that is over.
-func (s *Sidecar) askAgain() {
+func (s *Sidecar) requestWatch() {
 	if s.cfg.Settings.Policy.ListOnDemand {
-		s.tellHosts(policy.ListFailed, nil)
+		s.pushEndpoints(policy.ListFailed, nil)
 		return
 	}
-	s.timers.schedule(s.now()+s.rewatchWait(), s.watch)
+	s.timers.schedule(s.now()+s.rewatchDelay(), s.ensureWatch)
 }
 
 // rewatchWait returns how long a watch that the decisions never ask for stays away after it has failed.
-func (s *Sidecar) rewatchWait() float64 {
+func (s *Sidecar) rewatchDelay() float64 {
 	if grace := s.cfg.Settings.Policy.DrainGraceSeconds; grace > 0 {
-		return min(rewatchS, rewatchPart*grace)
+		return min(maxRewatchSeconds, rewatchGraceFraction*grace)
 	}
-	return rewatchS
+	return maxRewatchSeconds
 }
 
 // ended takes the end of the connection.
 func (w *watcher) onClose(err error) {
 	w.conn = nil
 	if err == nil {
-		err = errEnded
+		err = errWatchEnded
 	}
 	w.fail(err)
 }
--- a/internal/sidecar/works.go
+++ b/internal/sidecar/works.go
@@ -43,103 +43,103 @@
 }
 
 // boxWork is what a sidecar remembers for it.
-type boxWork struct {
-	field  int               // of reports; below 0: they do not tell what is under way
-	mostS  float64           // for which an attempt that was given up may go on
-	ended  map[uint32]uint64 // attempts, by box
-	report map[uint32]boxReport
-	given  map[uint32][]float64 // when attempts were given up that may go on, by box, the last ones
-	hungUp map[uint32]hangUps
+type maintenanceTracker struct {
+	inflightField     int               // of reports; below 0: they do not tell what is under way
+	maxAttemptSeconds float64           // for which an attempt that was given up may go on
+	attemptsEnded     map[uint32]uint64 // attempts, by box
+	reports           map[uint32]inflightReport
+	abandonedAt       map[uint32][]float64 // when attempts were given up that may go on, by box, the last ones
+	brokenConns       map[uint32]brokenConnCount
 }
 
-type boxReport struct{ at, inflight float64 }
+type inflightReport struct{ at, inflight float64 }
 
 // hangUps counts the attempts in a row whose link broke before an answer came, with when the last one did.
-type hangUps struct {
-	n  int
-	at float64
+type brokenConnCount struct {
+	count  int
+	lastAt float64
 }
 
 const (
 	// reportS is for how long a box's own report says anything.
-	reportS = 3.0
+	reportValidSeconds = 3.0
 	// mostGiven bounds the attempts of a box that were given up and are remembered.
-	mostGiven = 64
+	maxAbandonedAttempts = 64
 	// lateListS is for how long nothing may come of discovery, which says something every 2 s.
-	lateListS = 8.0
+	staleListSeconds = 8.0
 	// A box that hung up so often in a row is failing until it answers, or nothing was sent to it for so long.
-	failsAfter, failsS = 2, 30.0
+	failingAfter, failingSeconds = 2, 30.0
 )
 
 // EnableMaintenance has the sidecar remember what Boxes tells. It comes before Start.
 func (s *Sidecar) EnableMaintenance() {
-	w := &boxWork{field: slices.Index(s.cfg.Settings.Policy.ReportFields, policy.FieldInflight), ended: map[uint32]uint64{}, report: map[uint32]boxReport{},
-		given: map[uint32][]float64{}, hungUp: map[uint32]hangUps{}}
+	w := &maintenanceTracker{inflightField: slices.Index(s.cfg.Settings.Policy.ReportFields, policy.FieldInflight), attemptsEnded: map[uint32]uint64{}, reports: map[uint32]inflightReport{},
+		abandonedAt: map[uint32][]float64{}, brokenConns: map[uint32]brokenConnCount{}}
 	for _, c := range s.cfg.Settings.Policy.Classes {
-		w.mostS = max(w.mostS, c.TotalTimeoutSeconds)
+		w.maxAttemptSeconds = max(w.maxAttemptSeconds, c.TotalTimeoutSeconds)
 	}
-	s.works = w
+	s.maintenance = w
 }
 
 // note takes the end of an attempt. Danger: who gave up on one does not know that its box did; work on it would begin under a
 // request that still runs.
-func (w *boxWork) note(e *attempt, err *attemptError, result *policy.Result, now float64) {
+func (w *maintenanceTracker) recordAttempt(e *attempt, err *attemptError, result *policy.Result, now float64) {
 	if e.request != nil {
-		w.ended[e.serverID]++
+		w.attemptsEnded[e.serverID]++
 		switch {
 		case err == nil:
-			delete(w.hungUp, e.serverID)
+			delete(w.brokenConns, e.serverID)
 		case err.cause == connBroken:
-			w.hungUp[e.serverID] = hangUps{w.hungUp[e.serverID].n + 1, now}
+			w.brokenConns[e.serverID] = brokenConnCount{w.brokenConns[e.serverID].count + 1, now}
 		}
 	}
-	if r := &result.Report; err == nil && w.field >= 0 && w.field < r.N && !math.IsNaN(float64(r.Values[w.field])) {
-		w.report[e.serverID] = boxReport{now, float64(r.Values[w.field])}
+	if r := &result.Report; err == nil && w.inflightField >= 0 && w.inflightField < r.N && !math.IsNaN(float64(r.Values[w.inflightField])) {
+		w.reports[e.serverID] = inflightReport{now, float64(r.Values[w.inflightField])}
 	}
 	if e.request != nil && err != nil && !result.Outcome.NeverRan() && err.cause != malformed {
-		given := append(w.given[e.serverID], now)
-		w.given[e.serverID] = given[max(len(given)-mostGiven, 0):]
+		given := append(w.abandonedAt[e.serverID], now)
+		w.abandonedAt[e.serverID] = given[max(len(given)-maxAbandonedAttempts, 0):]
 	}
 }
 
 // fails tells whether a box hangs up on what it is sent. Danger: the decisions take a link that ends at once for one that died while idle,
 // which says nothing against its box; they send less there, and a site that hangs up on everything would not count as lost.
-func (w *boxWork) fails(host uint32, now float64) bool {
-	h := w.hungUp[host]
-	return h.n >= failsAfter && now-h.at < failsS
+func (w *maintenanceTracker) isFailing(host uint32, now float64) bool {
+	h := w.brokenConns[host]
+	return h.count >= failingAfter && now-h.lastAt < failingSeconds
 }
 
 // open counts the attempts that were given up and may go on. A report that came after tells of all.
-func (w *boxWork) open(host uint32, now float64) (n int) {
-	given := w.given[host]
+func (w *maintenanceTracker) openAttempts(host uint32, now float64) (n int) {
+	given := w.abandonedAt[host]
 	if len(given) == 0 {
 		return 0
 	}
-	r, told := w.report[host]
-	given = slices.DeleteFunc(given, func(at float64) bool { return now-at > w.mostS || told && r.inflight <= 0 && r.at > at })
-	if w.given[host] = given; len(given) == 0 {
-		delete(w.given, host)
+	r, told := w.reports[host]
+	given = slices.DeleteFunc(given, func(at float64) bool { return now-at > w.maxAttemptSeconds || told && r.inflight <= 0 && r.at > at })
+	if w.abandonedAt[host] = given; len(given) == 0 {
+		delete(w.abandonedAt, host)
 	}
 	return len(given)
 }
 
 // TakeOut may be called before Start, with what was agreed in an earlier life.
 func (s *Sidecar) SetUnderMaintenance(names []string) {
-	infos := s.hosts.SetUnderMaintenance(names, s.net.Now())
+	infos := s.endpoints.SetUnderMaintenance(names, s.net.Now())
 	if len(infos) == 0 {
 		return
 	}
 	s.log.Info("servers that are out by agreement", "servers", names)
 	if s.timers.setAlarm == nil { // it has not begun: the decisions are told with the first event
-		s.tellHosts(policy.ListCached, infos)
+		s.pushEndpoints(policy.ListCached, infos)
 		return
 	}
-	s.runCallback(func() { s.retell(infos...) })
+	s.runCallback(func() { s.pushServerChange(infos...) })
 }
 
 // MaintainedServers is for the loop.
 func (s *Sidecar) Servers() (all []ServerStatus) {
-	if s.works == nil {
+	if s.maintenance == nil {
 		return nil
 	}
 	now := s.net.Now()
@@ -149,20 +149,20 @@
 			out[e.serverID]++
 		}
 	}
-	avoided, w, p := s.balancer.Ejected(now), s.works, &s.cfg.Settings.Policy
-	for id := range s.hosts.Names {
-		h := s.hosts.Host(id)
+	avoided, w, p := s.balancer.Ejected(now), s.maintenance, &s.cfg.Settings.Policy
+	for id := range s.endpoints.Names {
+		h := s.endpoints.Host(id)
 		k := h.Listing()
-		agreed, kept := s.hosts.MaintenanceState(h.Name)
-		b := ServerStatus{Name: h.Name, Zone: k.Zone, Type: k.Type, Weight: k.Weight, IsListed: k.IsListed, IsDraining: k.IsDraining, IsCordoned: s.hosts.IsCordoned(h.Name), IsKeptInUse: kept,
-			InFlight: out[id] + w.open(id, now), AttemptsEnded: w.ended[id]}
+		agreed, kept := s.endpoints.MaintenanceState(h.Name)
+		b := ServerStatus{Name: h.Name, Zone: k.Zone, Type: k.Type, Weight: k.Weight, IsListed: k.IsListed, IsDraining: k.IsDraining, IsCordoned: s.endpoints.IsCordoned(h.Name), IsKeptInUse: kept,
+			InFlight: out[id] + w.openAttempts(id, now), AttemptsEnded: w.attemptsEnded[id]}
 		if !b.IsListed && !agreed && !b.IsCordoned && b.InFlight == 0 {
 			continue
 		}
 		b.IsWarmingUp = p.SlowStartSeconds > 0 && k.StartedAt > 0 && now-k.StartedAt < p.SlowStartSeconds
-		b.IsUnavailable = h.State == policy.Ready && (avoided(id) || w.fails(id, now))
-		r, told := w.report[id]
-		b.IsBusy = told && now-r.at < reportS && r.inflight > 0
+		b.IsUnavailable = h.State == policy.Ready && (avoided(id) || w.isFailing(id, now))
+		r, told := w.reports[id]
+		b.IsBusy = told && now-r.at < reportValidSeconds && r.inflight > 0
 		all = append(all, b)
 	}
 	slices.SortFunc(all, func(a, b ServerStatus) int {
@@ -181,7 +181,9 @@
 }
 
 // IsListStale is for the loop.
-func (s *Sidecar) IsListStale() bool { return !s.watches() && s.net.Now()-s.listAt > lateListS }
+func (s *Sidecar) IsListStale() bool {
+	return !s.isWatchUp() && s.net.Now()-s.listReadAt > staleListSeconds
+}
 
 // WarmUpSeconds is for the loop.
 func (s *Sidecar) WarmUpSeconds() float64 { return s.cfg.Settings.Policy.SlowStartSeconds }
--- a/internal/sidecar/works_test.go
+++ b/internal/sidecar/works_test.go
@@ -13,22 +13,22 @@
 func TestHangUps(t *testing.T) {
 	s := newTestSidecar(t)
 	s.EnableMaintenance()
-	w, now := s.works, testNow
+	w, now := s.maintenance, testNow
 	ends := func(request *request, err *attemptError) {
-		w.note(&attempt{serverID: 7, request: request}, err, &policy.Result{}, now)
+		w.recordAttempt(&attempt{serverID: 7, request: request}, err, &policy.Result{}, now)
 	}
 	r := &request{}
 	hangsUp, left := &attemptError{fullyWritten, connBroken, errUnsolicited}, &attemptError{fullyWritten, cancelled, nil}
 	ends(r, hangsUp)
-	assert.False(t, w.fails(7, now), "one link may have died while idle")
+	assert.False(t, w.isFailing(7, now), "one link may have died while idle")
 	ends(r, left)
 	ends(nil, nil)
 	ends(r, hangsUp)
-	assert.True(t, w.fails(7, now))
-	assert.False(t, w.fails(8, now))
-	assert.False(t, w.fails(7, now+failsS), "nothing was sent there for long")
+	assert.True(t, w.isFailing(7, now))
+	assert.False(t, w.isFailing(8, now))
+	assert.False(t, w.isFailing(7, now+failingSeconds), "nothing was sent there for long")
 	ends(r, nil)
-	assert.False(t, w.fails(7, now))
+	assert.False(t, w.isFailing(7, now))
 	ends(r, hangsUp)
-	assert.False(t, w.fails(7, now))
+	assert.False(t, w.isFailing(7, now))
 }
