--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -17,24 +17,24 @@
 		s.log.Error("send for an unknown request", "request", id)
 		return
 	}
-	e := &attempt{request: r, number: r.attemptsSent, serverID: host, requestedAt: s.eventAt, sentAt: s.eventAt,
+	a := &attempt{request: r, number: r.attemptsSent, serverID: host, requestedAt: s.eventAt, sentAt: s.eventAt,
 		deadline: r.deadline - s.responseMargin(), exchange: r.call.NewExchange(), frontend: r.frontend}
 	r.attemptsSent++
-	r.attempts = append(r.attempts, e)
+	r.attempts = append(r.attempts, a)
 	s.counters.Attempts++
 	if r.isAnswered || len(r.attempts) > 1 && (r.isAtMostOnce || !s.cfg.Settings.Policy.HedgingAllowed) {
-		s.finishAttempt(e, &attemptError{notConnected, superseded, nil})
+		s.finishAttempt(a, &attemptError{notConnected, superseded, nil})
 		return
 	}
-	s.startAttempt(e)
+	s.startAttempt(a)
 }
 
 // Cancel ends the wait for one attempt.
 func (s *Sidecar) Cancel(id uint32, attempt int) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionCancel, Attempt: attempt})
 	if r := s.requests[id]; r != nil {
-		if e := r.attemptByNumber(attempt); e != nil {
-			s.abandonAttempt(e, cancelled)
+		if a := r.attemptByNumber(attempt); a != nil {
+			s.abandonAttempt(a, cancelled)
 		}
 	}
 }
@@ -53,9 +53,9 @@
 }
 
 // closeIdle closes them, on whoever's word. Danger: each close takes its link off the list.
-func (s *Sidecar) closeIdleConns(host uint32) {
-	for len(s.idleConns[host]) > 0 {
-		s.idleConns[host][0].close()
+func (s *Sidecar) closeIdleConns(serverID uint32) {
+	for len(s.idleConns[serverID]) > 0 {
+		s.idleConns[serverID][0].close()
 	}
 }
 
--- a/internal/sidecar/arrivals.go
+++ b/internal/sidecar/arrivals.go
@@ -66,11 +66,11 @@
 	a, now := &s.pending, s.now()
 	a.isScheduled, a.burstStartedAt, a.burst = false, now, 0
 	for a.burst < maxBurst {
-		w, shed, ok := a.queue.Dequeue(now)
+		waiting, shed, ok := a.queue.Dequeue(now)
 		if !ok {
 			return
 		}
-		r, q := w.Request.request, w.Request.Request
+		r, q := waiting.Request.request, waiting.Request.Request
 		switch {
 		case r.isAnswered: // its client has gone since
 			continue
@@ -78,7 +78,7 @@
 			s.counters.Shed++
 			s.answerRequest(r, throttled, func() { r.responder.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		default:
-			q.HeldBackSeconds += now - w.Request.enqueuedAt
+			q.HeldBackSeconds += now - waiting.Request.enqueuedAt
 			s.pushRequest(r, q)
 		}
 		a.burst++
--- a/internal/sidecar/arrivaltimes.go
+++ b/internal/sidecar/arrivaltimes.go
@@ -31,13 +31,13 @@
 
 // of returns when the last byte came that has been taken from the buffer, of which so many are left, and forgets those before it; now
 // where that is not known.
-func (t *arrivalTimes) arrivedAt(left int, now float64) float64 {
-	taken := t.totalBytes - uint64(left)
-	passed := 0
-	for passed < len(t.marks)-1 && t.marks[passed].end < taken {
-		passed++
+func (t *arrivalTimes) arrivedAt(unreadBytes int, now float64) float64 {
+	consumed := t.totalBytes - uint64(unreadBytes)
+	expired := 0
+	for expired < len(t.marks)-1 && t.marks[expired].end < consumed {
+		expired++
 	}
-	t.marks = append(t.marks[:0], t.marks[passed:]...)
+	t.marks = append(t.marks[:0], t.marks[expired:]...)
 	if len(t.marks) == 0 {
 		return now
 	}
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -94,27 +94,27 @@
 }
 
 // finish ends an attempt. err is nil where a whole answer has come.
-func (s *Sidecar) finishAttempt(e *attempt, err *attemptError) {
-	if e.isOver || s.retryProbe(e, err) {
+func (s *Sidecar) finishAttempt(a *attempt, err *attemptError) {
+	if a.isOver || s.retryProbe(a, err) {
 		return
 	}
-	e.isOver = true
-	s.timers.stop(&e.timer)
-	result := policy.Result{Host: e.serverID, Attempt: e.number}
+	a.isOver = true
+	s.timers.stop(&a.timer)
+	result := policy.Result{Host: a.serverID, Attempt: a.number}
 	if err != nil {
 		result.Outcome = err.outcome()
-		s.log.Debug("attempt ended", "host", e.serverID, "probe", e.request == nil, "error", err)
+		s.log.Debug("attempt ended", "host", a.serverID, "probe", a.request == nil, "error", err)
 	} else {
-		result.Outcome, result.Report, _ = e.exchange.Result()
+		result.Outcome, result.Report, _ = a.exchange.Result()
 	}
 	if s.maintenance != nil {
-		s.maintenance.recordAttempt(e, err, &result, s.now())
+		s.maintenance.recordAttempt(a, err, &result, s.now())
 	}
-	if e.request == nil {
+	if a.request == nil {
 		// A server turns a probe away at once, or after it has waited in line for as long as probes may.
 		// Danger: the first shows that it lives, and the second that its line is long; taken for one another,
 		// or for an error, they shut out servers that are merely full.
-		if result.Outcome == policy.Rejected && s.now()-e.sentAt > probeTimeoutSeconds/2 {
+		if result.Outcome == policy.Rejected && s.now()-a.sentAt > probeTimeoutSeconds/2 {
 			result.Outcome = policy.TimedOut
 		}
 		// What nobody can read tells nothing of the load, but its server is there and has come to the probe.
@@ -123,26 +123,26 @@
 		}
 		s.counters.probeOutcomes.count(result.Outcome)
 		s.pushEvent(func(now float64) {
-			result.DelaySeconds, result.LateSeconds = e.durations(now)
+			result.DelaySeconds, result.LateSeconds = a.durations(now)
 			s.capture.RecordProbe(now, result)
 			s.balancer.ProbeDone(now, result)
 		})
 		return
 	}
-	good := result.Outcome == policy.OK
-	if good && e.exchange.IsOneWay() {
+	succeeded := result.Outcome == policy.OK
+	if succeeded && a.exchange.IsOneWay() {
 		// Danger: that a request is written tells nothing of its server's time; taken for an answer it makes the server look
 		// quicker than any.
 		result.Outcome = policy.Cancelled
 	}
 	s.counters.attemptOutcomes.count(result.Outcome)
-	r := e.request
-	r.removeAttempt(e)
-	r.recordRun(e, result.Outcome)
+	r := a.request
+	r.removeAttempt(a)
+	r.recordRun(a, result.Outcome)
 	result.ID = r.id
-	if good && !r.isAnswered {
-		s.recordResponseCost(e)
-		s.answerRequest(r, served, func() { r.responder.ForwardResponse(e.exchange) })
+	if succeeded && !r.isAnswered {
+		s.recordResponseCost(a)
+		s.answerRequest(r, served, func() { r.responder.ForwardResponse(a.exchange) })
 	}
 	if r.isAtMostOnce && !r.isAnswered && !result.Outcome.NeverRan() {
 		// Danger: the decisions go by the class, whose requests may run again because something drops their repeats.
@@ -157,11 +157,11 @@
 		}
 	}
 	result.Final = r.isAnswered
-	s.events = append(s.events, event{endedAttempt: e, result: result})
+	s.events = append(s.events, event{endedAttempt: a, result: result})
 }
 
 // expire ends the wait.
-func (e *attempt) expire() { e.sidecar.abandonAttempt(e, timedOut) }
+func (a *attempt) expire() { a.sidecar.abandonAttempt(a, timedOut) }
 
 // took returns how long an attempt that ends now took to its answer's arrival, and how long that lay unread.
 func (e *attempt) durations(now float64) (delay, late float64) {
@@ -171,60 +171,60 @@
 
 // probeAgain begins a probe once more, on a new link, where its link broke. Danger: a probe asks after the server;
 // a link's end says nothing of it, and a sound server that seems silent is shut out and then taken for cold.
-func (s *Sidecar) retryProbe(e *attempt, err *attemptError) bool {
-	h := s.endpoints.Host(e.serverID)
-	if e.request != nil || e.isProbeRetry || h == nil || err == nil || err.cause != connBroken || err.progress == notConnected {
+func (s *Sidecar) retryProbe(a *attempt, err *attemptError) bool {
+	endpoint := s.endpoints.Host(a.serverID)
+	if a.request != nil || a.isProbeRetry || endpoint == nil || err == nil || err.cause != connBroken || err.progress == notConnected {
 		return false
 	}
-	e.isProbeRetry, e.progress, e.exchange = true, notConnected, s.prober.NewProbe()
-	s.dial(h, e)
+	a.isProbeRetry, a.progress, a.exchange = true, notConnected, s.prober.NewProbe()
+	s.dial(endpoint, a)
 	return true
 }
 
 // mayBegin tells whether an attempt may be written to its server now. Danger: while it waited for a connection or a descriptor its
 // time may have run out, its client may have gone, its server may have been told to drain, and the servers that would drop it as a
 // repeat may have forgotten the attempt before.
-func (s *Sidecar) mayStart(e *attempt) bool {
-	now, r := s.now(), e.request
-	if e.deadline <= now {
+func (s *Sidecar) mayStart(a *attempt) bool {
+	now, r := s.now(), a.request
+	if a.deadline <= now {
 		return false
 	}
-	return r == nil || !r.isAnswered && s.acceptsAttempts(e.serverID) && now < r.repeatWindowEnd(e)
+	return r == nil || !r.isAnswered && s.acceptsAttempts(a.serverID) && now < r.repeatWindowEnd(a)
 }
 
 // begin starts an attempt on an idle backend connection, or on a new one.
-func (s *Sidecar) startAttempt(e *attempt) {
-	h := s.endpoints.Host(e.serverID)
-	if h == nil || !s.mayStart(e) {
-		s.finishAttempt(e, &attemptError{notConnected, superseded, nil})
+func (s *Sidecar) startAttempt(a *attempt) {
+	endpoint := s.endpoints.Host(a.serverID)
+	if endpoint == nil || !s.mayStart(a) {
+		s.finishAttempt(a, &attemptError{notConnected, superseded, nil})
 		return
 	}
-	e.sidecar = s
-	s.timers.start(&e.timer, e.deadline, e)
-	if l := s.takeIdleConn(h, e.frontend); l != nil {
-		l.send(e)
+	a.sidecar = s
+	s.timers.start(&a.timer, a.deadline, a)
+	if b := s.takeIdleConn(endpoint, a.frontend); b != nil {
+		b.send(a)
 		return
 	}
-	s.dial(h, e)
+	s.dial(endpoint, a)
 }
 
 // abandon gives an attempt up. Its link is closed before the outcome is told: nothing may be sent again
 // while a copy is still out on an open link, and no late answer may meet another request.
-func (s *Sidecar) abandonAttempt(e *attempt, why cause) {
-	if e.isOver {
+func (s *Sidecar) abandonAttempt(a *attempt, endCause cause) {
+	if a.isOver {
 		return
 	}
-	if s.stopWaiting(e) { // it has never had a link, which is no fault of its server
-		s.finishAttempt(e, &attemptError{notConnected, superseded, nil})
+	if s.stopWaiting(a) { // it has never had a link, which is no fault of its server
+		s.finishAttempt(a, &attemptError{notConnected, superseded, nil})
 		return
 	}
-	l, err := e.backend, &attemptError{e.progress, why, nil}
-	l.attempt = nil
-	if l.conn == nil {
-		l.cancelDial()
+	b, err := a.backend, &attemptError{a.progress, endCause, nil}
+	b.attempt = nil
+	if b.conn == nil {
+		b.cancelDial()
 	} else {
-		err.progress = l.updateProgress(e)
-		l.close()
+		err.progress = b.updateProgress(a)
+		b.close()
 	}
-	s.finishAttempt(e, err)
+	s.finishAttempt(a, err)
 }
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -59,44 +59,44 @@
 // likely to have been closed by the other side for its rest, and the others can grow old and be retired. Danger: what
 // a server sends behind its answer a moment later would answer the next request; one whose last answer has only just
 // come is taken only where no new link can be had.
-func (s *Sidecar) takeIdleConn(h *endpointset.Host, front Frontend) *backendConn {
+func (s *Sidecar) takeIdleConn(endpoint *endpointset.Host, front Frontend) *backendConn {
 	for {
-		links := s.idleConns[h.ID]
-		var l *backendConn
-		rested := s.now() - s.reuseDelay.seconds(s.now())
-		for i := len(links) - 1; i >= 0 && (l == nil || l.idleSince > rested); i-- {
-			if links[i].frontend == front {
-				l = links[i]
+		idle := s.idleConns[endpoint.ID]
+		var b *backendConn
+		idleBefore := s.now() - s.reuseDelay.seconds(s.now())
+		for i := len(idle) - 1; i >= 0 && (b == nil || b.idleSince > idleBefore); i-- {
+			if idle[i].frontend == front {
+				b = idle[i]
 			}
 		}
-		if l == nil {
+		if b == nil {
 			return nil
 		}
-		if l.idleSince > rested && s.hasDescriptors(dialDescriptors+s.reservedClientSlots()) {
+		if b.idleSince > idleBefore && s.hasDescriptors(dialDescriptors+s.reservedClientSlots()) {
 			return nil
 		}
 		// Danger: a request written to a link that its server has closed is lost; one written behind unread bytes
 		// would be answered with them.
-		if l.address == h.Address && s.net.NothingToRead(l.conn) {
-			l.removeFromIdle()
-			return l
+		if b.address == endpoint.Address && s.net.NothingToRead(b.conn) {
+			b.removeFromIdle()
+			return b
 		}
-		l.close() // the server has moved, or the link is of no more use
+		b.close() // the server has moved, or the link is of no more use
 	}
 }
 
 // unidle takes a link from the idle ones.
-func (l *backendConn) removeFromIdle() {
-	links := l.sidecar.idleConns[l.serverID]
-	if i := slices.Index(links, l); i >= 0 {
-		l.sidecar.idleConns[l.serverID] = slices.Delete(links, i, i+1)
+func (b *backendConn) removeFromIdle() {
+	idle := b.sidecar.idleConns[b.serverID]
+	if i := slices.Index(idle, b); i >= 0 {
+		b.sidecar.idleConns[b.serverID] = slices.Delete(idle, i, i+1)
 	}
-	l.sidecar.timers.stop(l.idleTimer)
+	b.sidecar.timers.stop(b.idleTimer)
 }
 
 // rest puts a link among the idle ones. Danger: a request that is written to a link after the server's side
 // has closed it is lost, and one that must not run twice with it. Links are retired well before that.
-func (l *backendConn) makeIdle() { l.makeIdleFrom(l.sidecar.now()) }
+func (b *backendConn) makeIdle() { b.makeIdleFrom(b.sidecar.now()) }
 
 // restFrom is rest for a link that its server may be at work on until a time: it is used before that only where no other can
 // be had.
@@ -113,25 +113,25 @@
 }
 
 // dial opens a link for an attempt.
-func (s *Sidecar) dial(h *endpointset.Host, e *attempt) {
+func (s *Sidecar) dial(endpoint *endpointset.Host, a *attempt) {
 	// Danger: attempts that take the last descriptors shut out who comes next, whoever that is.
 	if !s.freeDescriptors(dialDescriptors + s.reservedClientSlots()) {
-		s.waitForConn(e)
+		s.waitForConn(a)
 		return
 	}
-	l := &backendConn{sidecar: s, frontend: e.frontend, serverID: h.ID, address: h.Address, attempt: e}
-	e.backend = l
+	b := &backendConn{sidecar: s, frontend: a.frontend, serverID: endpoint.ID, address: endpoint.Address, attempt: a}
+	a.backend = b
 	s.counters.Dials++
-	began := s.now()
-	until := min(e.deadline, began+s.cfg.Settings.ConnectTimeoutS)
-	l.cancelDial = s.connect(e.frontend.BackendAddress(h.Address), until, l, func(err error) {
-		if e := l.attempt; e != nil {
-			l.attempt = nil
-			why := connBroken
-			if s.loopDelay.lastStallEndedAt > began { // the time was up while this program stood still
-				why = superseded
+	startedAt := s.now()
+	deadline := min(a.deadline, startedAt+s.cfg.Settings.ConnectTimeoutS)
+	b.cancelDial = s.connect(a.frontend.BackendAddress(endpoint.Address), deadline, b, func(err error) {
+		if a := b.attempt; a != nil {
+			b.attempt = nil
+			endCause := connBroken
+			if s.loopDelay.lastStallEndedAt > startedAt { // the time was up while this program stood still
+				endCause = superseded
 			}
-			s.finishAttempt(e, &attemptError{notConnected, why, err})
+			s.finishAttempt(a, &attemptError{notConnected, endCause, err})
 		}
 	})
 }
@@ -141,9 +141,9 @@
 func (s *Sidecar) freeDescriptors(n int) bool {
 	for !s.hasDescriptors(n) {
 		var oldest *backendConn
-		for _, links := range s.idleConns {
-			if len(links) > 0 && (oldest == nil || links[0].isIdleLongerThan(oldest)) {
-				oldest = links[0]
+		for _, idle := range s.idleConns {
+			if len(idle) > 0 && (oldest == nil || idle[0].isIdleLongerThan(oldest)) {
+				oldest = idle[0]
 			}
 		}
 		if oldest == nil {
@@ -155,17 +155,17 @@
 }
 
 // older tells whether a link has rested longer than another.
-func (l *backendConn) isIdleLongerThan(other *backendConn) bool {
-	return cmp.Or(cmp.Compare(l.idleSince, other.idleSince), cmp.Compare(l.serverID, other.serverID)) < 0
+func (b *backendConn) isIdleLongerThan(other *backendConn) bool {
+	return cmp.Or(cmp.Compare(b.idleSince, other.idleSince), cmp.Compare(b.serverID, other.serverID)) < 0
 }
 
 // dialDescriptors is what a dial may hold: the loop duplicates the descriptor before the dialed one is closed.
 const dialDescriptors = 2
 
 // connect opens a connection. It comes up as a call of l.opened, or else failed is called.
-func (s *Sidecar) connect(address string, until float64, l connHandler, failed func(error)) func() {
+func (s *Sidecar) connect(address string, deadline float64, handler connHandler, failed func(error)) func() {
 	s.dialDescriptorsHeld += dialDescriptors
-	return s.net.Dial(address, until, l, func(err error) {
+	return s.net.Dial(address, deadline, handler, func(err error) {
 		s.runCallback(func() {
 			if s.dialDescriptorsHeld -= dialDescriptors; err != nil {
 				failed(err)
@@ -178,165 +178,165 @@
 }
 
 // opened takes the link into use.
-func (l *backendConn) onOpen(c netio.Conn) {
-	l.conn = c
-	e := l.attempt
-	if e != nil && l.sidecar.mayStart(e) {
-		l.send(e)
+func (b *backendConn) onOpen(c netio.Conn) {
+	b.conn = c
+	a := b.attempt
+	if a != nil && b.sidecar.mayStart(a) {
+		b.send(a)
 		return
 	}
-	if l.attempt = nil; l.sidecar.acceptsAttempts(l.serverID) {
-		l.makeIdle()
+	if b.attempt = nil; b.sidecar.acceptsAttempts(b.serverID) {
+		b.makeIdle()
 	} else {
-		l.close()
+		b.close()
 	}
-	if e != nil {
-		l.sidecar.finishAttempt(e, &attemptError{notConnected, superseded, nil})
+	if a != nil {
+		b.sidecar.finishAttempt(a, &attemptError{notConnected, superseded, nil})
 	}
 }
 
 // mayServe tells whether a server may still be sent something new.
-func (s *Sidecar) acceptsAttempts(host uint32) bool {
-	h := s.endpoints.Host(host)
-	return h != nil && (h.State == policy.Ready || h.State == policy.Gone && s.cfg.Settings.Policy.GoneHostsUsable)
+func (s *Sidecar) acceptsAttempts(serverID uint32) bool {
+	endpoint := s.endpoints.Host(serverID)
+	return endpoint != nil && (endpoint.State == policy.Ready || endpoint.State == policy.Gone && s.cfg.Settings.Policy.GoneHostsUsable)
 }
 
 // begin writes an attempt's request.
-func (l *backendConn) send(e *attempt) {
-	l.attempt, e.backend = e, l
-	e.progress = partlyWritten
-	l.sidecar.writeBuffer = e.exchange.AppendRequest(l.sidecar.writeBuffer[:0], l.sidecar.now(), l.sidecar.advertisedDeadline(e))
-	l.isWriting = true
-	_, err := l.conn.Write(l.sidecar.writeBuffer) // gnet closes the link on an error, which ends the attempt
-	l.isWriting = false
-	l.sidecar.recycleWriteBuffer(l.sidecar.writeBuffer)
-	if err == nil && l.attempt == e {
-		l.forwardBody(e)
-		l.completeOneWay(e)
+func (b *backendConn) send(a *attempt) {
+	b.attempt, a.backend = a, b
+	a.progress = partlyWritten
+	b.sidecar.writeBuffer = a.exchange.AppendRequest(b.sidecar.writeBuffer[:0], b.sidecar.now(), b.sidecar.advertisedDeadline(a))
+	b.isWriting = true
+	_, err := b.conn.Write(b.sidecar.writeBuffer) // gnet closes the link on an error, which ends the attempt
+	b.isWriting = false
+	b.sidecar.recycleWriteBuffer(b.sidecar.writeBuffer)
+	if err == nil && b.attempt == a {
+		b.forwardBody(a)
+		b.completeOneWay(a)
 	}
 }
 
 // told returns until when an attempt tells its server that anybody waits. The time for a body that is still on its way in is not the
 // client's.
-func (s *Sidecar) advertisedDeadline(e *attempt) float64 {
-	if r := e.request; r != nil && r.isUploading() {
-		return min(e.deadline, s.now()+r.timeoutSeconds-s.responseMargin())
+func (s *Sidecar) advertisedDeadline(a *attempt) float64 {
+	if r := a.request; r != nil && r.isUploading() {
+		return min(a.deadline, s.now()+r.timeoutSeconds-s.responseMargin())
 	}
-	return e.deadline
+	return a.deadline
 }
 
 // writtenEveryS is the time between two looks whether a request that has no answer is written whole: the loop does not tell.
 const writeCheckIntervalSeconds = 0.005
 
 // silence ends an attempt that has no answer once its request is written whole.
-func (l *backendConn) completeOneWay(e *attempt) {
+func (b *backendConn) completeOneWay(a *attempt) {
 	switch {
-	case l.attempt != e || !e.exchange.IsOneWay():
-	case l.updateProgress(e) == fullyWritten:
-		l.completeAttempt(e)
+	case b.attempt != a || !a.exchange.IsOneWay():
+	case b.updateProgress(a) == fullyWritten:
+		b.completeAttempt(a)
 	default:
-		l.sidecar.timers.schedule(l.sidecar.now()+writeCheckIntervalSeconds, func() { l.completeOneWay(e) })
+		b.sidecar.timers.schedule(b.sidecar.now()+writeCheckIntervalSeconds, func() { b.completeOneWay(a) })
 	}
 }
 
 // progress tells how far the link's attempt has come by now.
-func (l *backendConn) updateProgress(e *attempt) progress {
-	if e.progress == partlyWritten && !l.isWriting && e.exchange.IsRequestAppended() && l.conn.OutboundBuffered() == 0 {
-		e.progress = fullyWritten
-		if r := e.request; r != nil {
-			l.sidecar.counters.RequestsWritten++
+func (b *backendConn) updateProgress(a *attempt) progress {
+	if a.progress == partlyWritten && !b.isWriting && a.exchange.IsRequestAppended() && b.conn.OutboundBuffered() == 0 {
+		a.progress = fullyWritten
+		if r := a.request; r != nil {
+			b.sidecar.counters.RequestsWritten++
 			if r.body != nil { // the server begins with the last byte, whenever the client has sent that
-				e.sentAt = l.sidecar.now()
+				a.sentAt = b.sidecar.now()
 			}
 		}
 	}
-	if e.progress == fullyWritten && e.exchange.HasResponseBegun() {
-		e.progress = responding
+	if a.progress == fullyWritten && a.exchange.HasResponseBegun() {
+		a.progress = responding
 	}
-	return e.progress
+	return a.progress
 }
 
 // traffic reads what the server says.
-func (l *backendConn) onData(data []byte) {
-	l.input.Write(data)
-	e := l.attempt
-	if e == nil {
-		l.sidecar.reuseDelay.extend(l.sidecar.now())
-		l.sidecar.log.Debug("backend connection closed", "host", l.serverID, "error", errUnsolicited)
-		l.close()
+func (b *backendConn) onData(data []byte) {
+	b.input.Write(data)
+	a := b.attempt
+	if a == nil {
+		b.sidecar.reuseDelay.extend(b.sidecar.now())
+		b.sidecar.log.Debug("backend connection closed", "host", b.serverID, "error", errUnsolicited)
+		b.close()
 		return
 	}
-	done, err := e.exchange.ReadResponse(&l.input)
-	if e.stream != nil {
-		e.stream.onData(len(data), done, err)
+	done, err := a.exchange.ReadResponse(&b.input)
+	if a.stream != nil {
+		a.stream.onData(len(data), done, err)
 		return
 	}
 	if err != nil {
-		l.attempt = nil
-		far := l.updateProgress(e)
-		l.close()
-		l.sidecar.finishAttempt(e, &attemptError{far, malformed, err})
+		b.attempt = nil
+		far := b.updateProgress(a)
+		b.close()
+		b.sidecar.finishAttempt(a, &attemptError{far, malformed, err})
 		return
 	}
 	if done {
-		e.unreadSeconds = l.sidecar.socketWait(l.conn)
-		l.completeAttempt(e)
+		a.unreadSeconds = b.sidecar.socketWait(b.conn)
+		b.completeAttempt(a)
 		return
 	}
-	if x, ok := e.exchange.(StreamingExchange); ok && e.request != nil && x.ExceedsBuffer() {
-		e.unreadSeconds = l.sidecar.socketWait(l.conn)
-		l.sidecar.startStream(l, e)
+	if x, ok := a.exchange.(StreamingExchange); ok && a.request != nil && x.ExceedsBuffer() {
+		a.unreadSeconds = b.sidecar.socketWait(b.conn)
+		b.sidecar.startStream(b, a)
 	}
 }
 
 // complete ends an attempt whose answer is whole. The link is kept only if nothing is left on it, neither
 // of the answer nor of the request.
-func (l *backendConn) completeAttempt(e *attempt) {
-	l.updateProgress(e)
-	if l.isReusable(e) {
-		from := l.sidecar.now()
-		if e.exchange.IsOneWay() {
-			from = e.deadline // Danger: the server has only just got the request; a call behind it waits, and its server seems slow
+func (b *backendConn) completeAttempt(a *attempt) {
+	b.updateProgress(a)
+	if b.isReusable(a) {
+		from := b.sidecar.now()
+		if a.exchange.IsOneWay() {
+			from = a.deadline // Danger: the server has only just got the request; a call behind it waits, and its server seems slow
 		}
-		l.makeIdleFrom(from)
+		b.makeIdleFrom(from)
 	} else {
-		l.attempt = nil
-		l.close()
+		b.attempt = nil
+		b.close()
 	}
-	l.sidecar.finishAttempt(e, nil)
+	b.sidecar.finishAttempt(a, nil)
 }
 
 // reusable tells whether a link can carry another attempt after a whole answer.
-func (l *backendConn) isReusable(e *attempt) bool {
-	_, _, keep := e.exchange.Result()
-	return keep && e.exchange.IsRequestAppended() && l.input.Len() == 0 && l.conn.OutboundBuffered() == 0 && l.sidecar.acceptsAttempts(l.serverID)
+func (b *backendConn) isReusable(a *attempt) bool {
+	_, _, keep := a.exchange.Result()
+	return keep && a.exchange.IsRequestAppended() && b.input.Len() == 0 && b.conn.OutboundBuffered() == 0 && b.sidecar.acceptsAttempts(b.serverID)
 }
 
 // ended takes the end of the connection, from whatever side.
-func (l *backendConn) onClose(err error) {
-	l.isClosed = true
-	l.removeFromIdle()
-	e := l.attempt
-	if e == nil {
+func (b *backendConn) onClose(err error) {
+	b.isClosed = true
+	b.removeFromIdle()
+	a := b.attempt
+	if a == nil {
 		return
 	}
-	l.attempt = nil
-	if e.stream != nil {
-		e.stream.onBackendClose(err == nil || errors.Is(err, io.EOF))
+	b.attempt = nil
+	if a.stream != nil {
+		a.stream.onBackendClose(err == nil || errors.Is(err, io.EOF))
 		return
 	}
-	if (err == nil || errors.Is(err, io.EOF)) && e.exchange.HandleEOF() {
-		l.sidecar.finishAttempt(e, nil)
+	if (err == nil || errors.Is(err, io.EOF)) && a.exchange.HandleEOF() {
+		b.sidecar.finishAttempt(a, nil)
 		return
 	}
-	l.sidecar.finishAttempt(e, &attemptError{l.updateProgress(e), connBroken, err})
+	b.sidecar.finishAttempt(a, &attemptError{b.updateProgress(a), connBroken, err})
 }
 
 // close ends the connection at once.
-func (l *backendConn) close() {
-	if !l.isClosed {
-		l.isClosed = true
-		l.removeFromIdle()
-		l.sidecar.closeConn(l.conn)
+func (b *backendConn) close() {
+	if !b.isClosed {
+		b.isClosed = true
+		b.removeFromIdle()
+		b.sidecar.closeConn(b.conn)
 	}
 }
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -79,7 +79,7 @@
 }
 
 // Base is what a protocol's part has from the ClientConn that it holds.
-func (l *ClientConn) Base() *ClientConn { return l }
+func (c *ClientConn) Base() *ClientConn { return c }
 
 // leaveClients takes the link from the sidecar's.
 func (l *ClientConn) removeFromClients() {
@@ -91,7 +91,7 @@
 	l.sidecar.connAdmission.Remove(l.slot)
 }
 
-func (l *ClientConn) onOpen(netio.Conn) {}
+func (c *ClientConn) onOpen(netio.Conn) {}
 
 // traffic reads what the client says.
 func (l *ClientConn) onData(data []byte) {
@@ -129,109 +129,109 @@
 
 // endsWhilePaused returns whether the client's end counts while what it sends is left unread: as long as it is owed an answer of
 // which nothing has been written.
-func (l *ClientConn) pausedEnds() netio.ClosePolicy {
-	if l.request == nil || l.request.isAnswered {
+func (c *ClientConn) pausedEnds() netio.ClosePolicy {
+	if c.request == nil || c.request.isAnswered {
 		return netio.DeferClose
 	}
 	return netio.ReportClose
 }
 
 // next takes up the requests that have come, until one is out.
-func (l *ClientConn) readRequests() {
-	for l.conn != nil && l.request == nil && !l.isLastWritten && l.unreadBytes == 0 { // a link may have gone since this was queued
-		whole, err := l.codec.ReadRequest(&l.input)
+func (c *ClientConn) readRequests() {
+	for c.conn != nil && c.request == nil && !c.isLastWritten && c.unreadBytes == 0 { // a link may have gone since this was queued
+		ready, err := c.codec.ReadRequest(&c.input)
 		if err != nil {
-			l.rejectMalformed(err)
+			c.rejectMalformed(err)
 			return
 		}
-		if !whole {
-			if l.conn != nil {
-				l.awaitArrival()
+		if !ready {
+			if c.conn != nil {
+				c.awaitArrival()
 			}
 			return
 		}
-		l.stopArrivalTimer()
-		l.codec.HandleRequest()
+		c.stopArrivalTimer()
+		c.codec.HandleRequest()
 	}
 }
 
 // await has the rest of a request come.
-func (l *ClientConn) awaitArrival() {
-	l.resumeReading()
-	if _, begun := l.codec.PartialRequest(); l.arrivalTimer != nil || l.input.Len() == 0 && !begun {
+func (c *ClientConn) awaitArrival() {
+	c.resumeReading()
+	if _, begun := c.codec.PartialRequest(); c.arrivalTimer != nil || c.input.Len() == 0 && !begun {
 		return
 	}
-	by := l.sidecar.now() + arrivalTimeoutSeconds
-	if !l.hasAnswered {
-		by = min(by, l.openedAt+firstRequestTimeoutSeconds)
+	deadline := c.sidecar.now() + arrivalTimeoutSeconds
+	if !c.hasAnswered {
+		deadline = min(deadline, c.openedAt+firstRequestTimeoutSeconds)
 	}
-	l.setArrivalDeadline(by)
-	l.arrivalTimer = l.sidecar.timers.schedule(by, l.checkArrival)
+	c.setArrivalDeadline(deadline)
+	c.arrivalTimer = c.sidecar.timers.schedule(deadline, c.checkArrival)
 }
 
 // awaitUntil has a request come by a time, plus what a longer body needs.
-func (l *ClientConn) setArrivalDeadline(by float64) {
-	l.arrivalDeadline, l.stalledBefore = by, l.sidecar.fitness.stalledSeconds
+func (c *ClientConn) setArrivalDeadline(deadline float64) {
+	c.arrivalDeadline, c.stalledBefore = deadline, c.sidecar.fitness.stalledSeconds
 }
 
 // overdue ends a request that has not come whole in time. A longer body has as much more as it needs at the least rate, and the time in
 // which it was left unread does not count, nor that in which the loop stood still: what came then lay in the socket.
-func (l *ClientConn) checkArrival() {
-	now, came := l.sidecar.now(), 0
-	l.arrivalTimer = nil
-	l.setArrivalDeadline(l.arrivalDeadline + l.sidecar.fitness.stalledSeconds - l.stalledBefore)
-	if r := l.request; r != nil {
-		came = r.body.DroppedBytes + len(r.body.Buffered)
+func (c *ClientConn) checkArrival() {
+	now, arrivedBytes := c.sidecar.now(), 0
+	c.arrivalTimer = nil
+	c.setArrivalDeadline(c.arrivalDeadline + c.sidecar.fitness.stalledSeconds - c.stalledBefore)
+	if r := c.request; r != nil {
+		arrivedBytes = r.body.DroppedBytes + len(r.body.Buffered)
 	} else {
-		came, _ = l.codec.PartialRequest()
+		arrivedBytes, _ = c.codec.PartialRequest()
 	}
-	if l.isPaused {
-		l.setArrivalDeadline(now + arrivalTimeoutSeconds - float64(came)/minBytesPerSecond)
+	if c.isPaused {
+		c.setArrivalDeadline(now + arrivalTimeoutSeconds - float64(arrivedBytes)/minBytesPerSecond)
 	}
-	if by := l.arrivalDeadline + float64(came)/minBytesPerSecond; by > now {
-		l.arrivalTimer = l.sidecar.timers.schedule(max(by, now+0.1), l.checkArrival)
+	if deadline := c.arrivalDeadline + float64(arrivedBytes)/minBytesPerSecond; deadline > now {
+		c.arrivalTimer = c.sidecar.timers.schedule(max(deadline, now+0.1), c.checkArrival)
 		return
 	}
-	l.sidecar.connAdmission.RecordWasted(l.slot)
-	if r := l.request; r != nil {
-		l.sidecar.failUpload(r, ErrRequestTimeout)
+	c.sidecar.connAdmission.RecordWasted(c.slot)
+	if r := c.request; r != nil {
+		c.sidecar.failUpload(r, ErrRequestTimeout)
 		return
 	}
-	l.rejectMalformed(ErrRequestTimeout)
+	c.rejectMalformed(ErrRequestTimeout)
 }
 
 // endArrival notes that no request is on its way in.
-func (l *ClientConn) stopArrivalTimer() {
-	l.sidecar.timers.stop(l.arrivalTimer)
-	l.arrivalTimer = nil
+func (c *ClientConn) stopArrivalTimer() {
+	c.sidecar.timers.stop(c.arrivalTimer)
+	c.arrivalTimer = nil
 }
 
 // decline ends a link that brings no message.
-func (l *ClientConn) rejectMalformed(err error) {
-	l.stopArrivalTimer()
-	l.keepAlive = false
-	l.codec.RejectMalformed(err)
+func (c *ClientConn) rejectMalformed(err error) {
+	c.stopArrivalTimer()
+	c.keepAlive = false
+	c.codec.RejectMalformed(err)
 }
 
 // SetKeepAlive says whether the client wants the link kept after the message that has been read.
-func (l *ClientConn) SetKeepAlive(keep bool) { l.keepAlive = keep }
+func (c *ClientConn) SetKeepAlive(keep bool) { c.keepAlive = keep }
 
 // CloseUnanswered closes a link whose client speaks another protocol: no answer that it could read is to be had here.
-func (l *ClientConn) CloseUnanswered(why string) {
+func (l *ClientConn) CloseUnanswered(reason string) {
 	l.stopArrivalTimer()
 	l.sidecar.counters.Malformed++
-	l.sidecar.warnLimited(why)
+	l.sidecar.warnLimited(reason)
 	l.sidecar.closeConn(l.conn)
 }
 
 // CountInvalid counts a request of a class that is answered and never handed on: nobody could decide on it.
-func (l *ClientConn) CountInvalid(class int) {
-	l.sidecar.counters.Requests++
-	l.sidecar.counters.countRequestEnd(class, failed)
+func (c *ClientConn) CountInvalid(class int) {
+	c.sidecar.counters.Requests++
+	c.sidecar.counters.countRequestEnd(class, failed)
 }
 
 // CountMalformed counts a message that is answered and never handed on.
-func (l *ClientConn) CountMalformed() { l.sidecar.counters.Malformed++ }
+func (c *ClientConn) CountMalformed() { c.sidecar.counters.Malformed++ }
 
 // Sidecar returns whose link it is.
 func (l *ClientConn) Sidecar() *Sidecar { return l.sidecar }
@@ -271,50 +271,50 @@
 }
 
 // Submit hands a request that Admit has let in to the decisions, unless it is beyond its group's quota.
-func (l *ClientConn) Submit(a IncomingRequest) {
-	ticket, within := l.admitByQuota(&a)
-	if !within {
+func (c *ClientConn) Submit(in IncomingRequest) {
+	charge, admitted := c.admitByQuota(&in)
+	if !admitted {
 		return
 	}
-	l.sidecar.connAdmission.SetState(l.sidecar.now(), l.slot, admission.StateActive)
-	l.requestBytes = a.HeldBytes
-	l.sidecar.connAdmission.SetBufferedBytes(l.slot, l.requestBytes+l.input.Len())
-	waited := max(l.sidecar.socketWait(l.conn), l.sidecar.now()-l.arrivals.arrivedAt(l.input.Len(), l.sidecar.now()))
-	patience := min(a.TimeoutSeconds, maxRequestTimeoutSeconds)
-	deadline := l.sidecar.now() - waited + patience
-	cut := max(deadline-l.sidecar.latestResponseAt(), 0)
-	r := &request{clientID: a.ID, className: l.sidecar.cfg.Settings.Policy.Classes[a.Class].Name, classIndex: a.Class, deadline: deadline - cut,
-		call: a.Call, responder: l.codec, client: l, body: a.Body, timeoutSeconds: patience, frontend: l.frontend, isAtMostOnce: a.AtMostOnce, isOneWay: a.IsOneWay,
-		quota: ticket}
-	l.request = r
+	c.sidecar.connAdmission.SetState(c.sidecar.now(), c.slot, admission.StateActive)
+	c.requestBytes = in.HeldBytes
+	c.sidecar.connAdmission.SetBufferedBytes(c.slot, c.requestBytes+c.input.Len())
+	waitedSeconds := max(c.sidecar.socketWait(c.conn), c.sidecar.now()-c.arrivals.arrivedAt(c.input.Len(), c.sidecar.now()))
+	timeoutSeconds := min(in.TimeoutSeconds, maxRequestTimeoutSeconds)
+	deadline := c.sidecar.now() - waitedSeconds + timeoutSeconds
+	cutSeconds := max(deadline-c.sidecar.latestResponseAt(), 0)
+	r := &request{clientID: in.ID, className: c.sidecar.cfg.Settings.Policy.Classes[in.Class].Name, classIndex: in.Class, deadline: deadline - cutSeconds,
+		call: in.Call, responder: c.codec, client: c, body: in.Body, timeoutSeconds: timeoutSeconds, frontend: c.frontend, isAtMostOnce: in.AtMostOnce, isOneWay: in.IsOneWay,
+		quota: charge}
+	c.request = r
 	// Danger: the decisions take a wait that is shorter than usual for a late retry's; what is cut off here is no sign of that.
-	q := policy.Request{Class: a.Class, Tenant: a.Tenant, HeldBackSeconds: waited + cut, Repeat: a.IsRetry, Deadline: r.deadline}
+	q := policy.Request{Class: in.Class, Tenant: in.Tenant, HeldBackSeconds: waitedSeconds + cutSeconds, Repeat: in.IsRetry, Deadline: r.deadline}
 	if r.isUploading() { // its time counts from its last byte; the decisions go by what they are used to
 		r.deadline += maxUploadSeconds
-		l.pauseReading(netio.ReportClose)
-		l.setArrivalDeadline(l.sidecar.now() + arrivalTimeoutSeconds - float64(len(a.Body.Buffered))/minBytesPerSecond)
-		l.arrivalTimer = l.sidecar.timers.schedule(l.sidecar.now()+arrivalTimeoutSeconds, l.checkArrival)
+		c.pauseReading(netio.ReportClose)
+		c.setArrivalDeadline(c.sidecar.now() + arrivalTimeoutSeconds - float64(len(in.Body.Buffered))/minBytesPerSecond)
+		c.arrivalTimer = c.sidecar.timers.schedule(c.sidecar.now()+arrivalTimeoutSeconds, c.checkArrival)
 	}
-	l.sidecar.registerRequest(r, q)
+	c.sidecar.registerRequest(r, q)
 }
 
 // turnAway throttles a request that is not taken up: there is no room for it, or its client has more out than its part.
-func (l *ClientConn) rejectRequest(class int, why string) {
-	l.sidecar.counters.Requests++
-	l.sidecar.counters.countRequestEnd(class, throttled)
-	l.sidecar.counters.Rejected++
-	l.sidecar.warnLimited("requests are turned away: " + why)
-	l.sidecar.log.Debug("request turned away", "client", l.conn.RemoteAddr(), "why", why)
-	l.keepAlive = false
-	l.codec.Throttle(l.sidecar.cfg.Settings.Policy.MaxRetryAfterSeconds)
+func (c *ClientConn) rejectRequest(class int, reason string) {
+	c.sidecar.counters.Requests++
+	c.sidecar.counters.countRequestEnd(class, throttled)
+	c.sidecar.counters.Rejected++
+	c.sidecar.warnLimited("requests are turned away: " + reason)
+	c.sidecar.log.Debug("request turned away", "client", c.conn.RemoteAddr(), "why", reason)
+	c.keepAlive = false
+	c.codec.Throttle(c.sidecar.cfg.Settings.Policy.MaxRetryAfterSeconds)
 }
 
 // MarkServed notes that the answer to come is a server's.
-func (l *ClientConn) MarkServed() { l.sidecar.connAdmission.RecordServed(l.slot) }
+func (c *ClientConn) MarkServed() { c.sidecar.connAdmission.RecordServed(c.slot) }
 
 // BeginResponse frees the link of its request. It tells whether the client is still there, and whether the answer to come is
 // the last on the link; what it is appended to is returned, for EndAnswer. says tells whether the answer can say so itself.
-func (l *ClientConn) BeginResponse(says bool) (dst []byte, last, there bool) {
+func (l *ClientConn) BeginResponse(canAnnounceClose bool) (dst []byte, last, connected bool) {
 	// Danger: the rest of a request that is answered before it has come whole is waited for no longer; its time would end with a
 	// second answer.
 	l.stopArrivalTimer()
@@ -324,48 +324,48 @@
 	// Danger: what has come behind the request is taken, and is owed its answer here. A client that is told of the end sends
 	// it again. One that is not may be sending its next request by now; where there are too many links it would find no
 	// other, so its own ends by its rest alone.
-	ahead := l.input.Len() > 0
-	if says {
-		l.isLastWritten = !l.keepAlive || l.sidecar.closesAfterResponse() || l.sidecar.hasManyClients() && !ahead
+	hasPipelined := l.input.Len() > 0
+	if canAnnounceClose {
+		l.isLastWritten = !l.keepAlive || l.sidecar.closesAfterResponse() || l.sidecar.hasManyClients() && !hasPipelined
 	} else {
-		l.isLastWritten = !l.keepAlive || l.sidecar.closesAfterResponse() && !ahead && l.sidecar.net.NothingToRead(l.conn)
+		l.isLastWritten = !l.keepAlive || l.sidecar.closesAfterResponse() && !hasPipelined && l.sidecar.net.NothingToRead(l.conn)
 	}
 	return l.sidecar.writeBuffer[:0], l.isLastWritten, true
 }
 
 // EndResponse writes an answer and makes ready for the next request.
-func (l *ClientConn) EndResponse(answer []byte) {
-	l.sidecar.recycleWriteBuffer(answer)
-	l.hasAnswered = true
+func (c *ClientConn) EndResponse(answer []byte) {
+	c.sidecar.recycleWriteBuffer(answer)
+	c.hasAnswered = true
 	if len(answer) > 0 {
-		l.Write(answer)
+		c.Write(answer)
 	}
-	if l.conn == nil {
+	if c.conn == nil {
 		return
 	}
-	if l.conn.OutboundBuffered() > 0 {
-		l.waitForClientRead()
+	if c.conn.OutboundBuffered() > 0 {
+		c.waitForClientRead()
 		return
 	}
-	l.finishResponse()
+	c.finishResponse()
 }
 
 // BodyBufferLimit returns how much of a request's body is held before the rest of it flows.
-func (l *ClientConn) BodyBufferLimit() int { return l.sidecar.bodyBufferLimit() }
+func (c *ClientConn) BodyBufferLimit() int { return c.sidecar.bodyBufferLimit() }
 
 // BeginStream is BeginAnswer for an answer that comes in pieces, which end with the link where nothing else tells their end.
 // What is appended goes to Flow.
-func (l *ClientConn) BeginStream(endless bool) (dst []byte, last, there bool) {
+func (l *ClientConn) BeginStream(endsWithConn bool) (dst []byte, last, connected bool) {
 	if l.conn == nil {
 		return nil, false, false
 	}
-	l.isStreamLast = !l.keepAlive || endless || l.sidecar.closesAfterResponse() || l.sidecar.hasManyClients() && l.input.Len() == 0
+	l.isStreamLast = !l.keepAlive || endsWithConn || l.sidecar.closesAfterResponse() || l.sidecar.hasManyClients() && l.input.Len() == 0
 	l.isStreamed = true
 	return l.ScratchBuffer(), l.isStreamLast, true
 }
 
 // ScratchBuffer returns empty memory for what Flow is to write.
-func (l *ClientConn) ScratchBuffer() []byte { return l.sidecar.writeBuffer[:0] }
+func (c *ClientConn) ScratchBuffer() []byte { return c.sidecar.writeBuffer[:0] }
 
 // WriteStream writes a part of an answer.
 func (l *ClientConn) WriteStream(b []byte) {
@@ -376,83 +376,83 @@
 }
 
 // endFlow makes ready for the next request once an answer has flowed to its end.
-func (l *ClientConn) finishStream() {
-	l.stopArrivalTimer()
-	if l.request = nil; l.conn != nil {
-		l.isLastWritten = l.isStreamLast
-		l.EndResponse(nil)
+func (c *ClientConn) finishStream() {
+	c.stopArrivalTimer()
+	if c.request = nil; c.conn != nil {
+		c.isLastWritten = c.isStreamLast
+		c.EndResponse(nil)
 	}
 }
 
 // afterAnswer goes on once the client's socket has taken an answer.
-func (l *ClientConn) finishResponse() {
-	l.unreadBytes, l.requestBytes, l.isStreamed = 0, 0, false
-	if l.isLastWritten {
-		l.resumeReading()
-		l.startLinger()
+func (c *ClientConn) finishResponse() {
+	c.unreadBytes, c.requestBytes, c.isStreamed = 0, 0, false
+	if c.isLastWritten {
+		c.resumeReading()
+		c.startLinger()
 		return
 	}
-	l.sidecar.connAdmission.SetState(l.sidecar.now(), l.slot, admission.StateIdle)
-	l.input.Rest()
-	l.accountHeldBytes(l.input.Len())
+	c.sidecar.connAdmission.SetState(c.sidecar.now(), c.slot, admission.StateIdle)
+	c.input.Rest()
+	c.accountHeldBytes(c.input.Len())
 	// The next request may be in the buffer already; it is taken up as an event of its own.
-	if l.conn == nil {
+	if c.conn == nil {
 		return
 	}
-	if l.input.Len() > 0 {
-		l.sidecar.pushEvent(func(float64) { l.readRequests() })
+	if c.input.Len() > 0 {
+		c.sidecar.pushEvent(func(float64) { c.readRequests() })
 	} else {
-		l.resumeReading()
+		c.resumeReading()
 	}
 }
 
 // Write sends what is no answer, or a part of one.
-func (l *ClientConn) Write(b []byte) {
-	l.conn.Write(b) // gnet keeps what the socket does not take, and closes the link on an error
+func (c *ClientConn) Write(b []byte) {
+	c.conn.Write(b) // gnet keeps what the socket does not take, and closes the link on an error
 }
 
 // finish ends the link after its last answer, which the socket has taken: no more is sent, and what comes is read and
 // dropped until the client has closed or the time is over.
-func (l *ClientConn) startLinger() {
-	if l.conn == nil || l.isWriteClosed {
+func (c *ClientConn) startLinger() {
+	if c.conn == nil || c.isWriteClosed {
 		return
 	}
-	now := l.sidecar.now()
-	l.isWriteClosed = true
-	l.sidecar.connAdmission.SetState(now, l.slot, admission.StateClosing)
-	l.sidecar.connAdmission.SetBufferedBytes(l.slot, 0)
-	l.lingerTimer = l.sidecar.timers.schedule(now+lingerSeconds, func() { l.closeAfterLinger(now + maxLingerSeconds) })
-	l.sidecar.net.CloseWrite(l.conn)
+	now := c.sidecar.now()
+	c.isWriteClosed = true
+	c.sidecar.connAdmission.SetState(now, c.slot, admission.StateClosing)
+	c.sidecar.connAdmission.SetBufferedBytes(c.slot, 0)
+	c.lingerTimer = c.sidecar.timers.schedule(now+lingerSeconds, func() { c.closeAfterLinger(now + maxLingerSeconds) })
+	c.sidecar.net.CloseWrite(c.conn)
 }
 
 // leave closes a link that lingers once its client has been silent for a while, at the latest at the given time.
-func (l *ClientConn) closeAfterLinger(latest float64) {
-	if at := min(l.lastDataAt+lingerSeconds, latest); at > l.sidecar.now() {
-		l.lingerTimer = l.sidecar.timers.schedule(at, func() { l.closeAfterLinger(latest) })
+func (c *ClientConn) closeAfterLinger(latest float64) {
+	if at := min(c.lastDataAt+lingerSeconds, latest); at > c.sidecar.now() {
+		c.lingerTimer = c.sidecar.timers.schedule(at, func() { c.closeAfterLinger(latest) })
 		return
 	}
-	l.sidecar.closeConn(l.conn)
+	c.sidecar.closeConn(c.conn)
 }
 
 // idle tells whether nothing of a request has come and none is out.
-func (l *ClientConn) isIdle() bool {
-	_, begun := l.codec.PartialRequest()
-	return l.request == nil && !l.isLastWritten && l.unreadBytes == 0 && l.input.Len() == 0 && !begun
+func (c *ClientConn) isIdle() bool {
+	_, begun := c.codec.PartialRequest()
+	return c.request == nil && !c.isLastWritten && c.unreadBytes == 0 && c.input.Len() == 0 && !begun
 }
 
 // ended takes the client's departure.
-func (l *ClientConn) onClose(error) {
-	l.conn = nil
-	l.sidecar.timers.stop(l.lingerTimer)
-	l.stopArrivalTimer()
-	l.removeFromClients()
-	if r := l.request; r != nil {
-		l.request = nil
+func (c *ClientConn) onClose(error) {
+	c.conn = nil
+	c.sidecar.timers.stop(c.lingerTimer)
+	c.stopArrivalTimer()
+	c.removeFromClients()
+	if r := c.request; r != nil {
+		c.request = nil
 		switch {
 		case r.stream != nil:
 			r.stream.finish(abandoned)
 		case !r.isOneWay:
-			l.sidecar.abandonRequest(r)
+			c.sidecar.abandonRequest(r)
 		}
 	}
 }
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -72,33 +72,33 @@
 
 // accept takes a connection of a client, and tells whether it may stay. Where there is no room a link is closed for it;
 // where none can be spared, its request is throttled unless enough descriptors are left.
-func (s *Sidecar) acceptClient(c netio.Conn) bool {
+func (s *Sidecar) acceptClient(conn netio.Conn) bool {
 	now := s.now()
-	front := s.frontendOf(c)
-	client := front.NewClient()
-	l := client.Base()
-	l.sidecar, l.frontend, l.codec, l.conn, l.openedAt, l.index = s, front, client, c, now, len(s.clients)
-	s.clients = append(s.clients, l)
+	front := s.frontendOf(conn)
+	codec := front.NewClient()
+	c := codec.Base()
+	c.sidecar, c.frontend, c.codec, c.conn, c.openedAt, c.index = s, front, codec, conn, now, len(s.clients)
+	s.clients = append(s.clients, c)
 	s.counters.AcceptedConns++
-	c.SetContext(connHandler(l))
+	conn.SetContext(connHandler(c))
 	var verdict admission.Verdict
 	bounds := s.admissionSettings(1)
 	s.connAdmission.SetLimits(bounds.MaxConns, bounds.ReservedForKnown)
-	l.slot, verdict = s.connAdmission.Add(now, clientAddress(c), l)
-	for looked := 0; verdict != admission.Admitted; {
-		gone := s.connAdmission.VictimFor(now, l.slot, verdict)
-		if gone == nil {
+	c.slot, verdict = s.connAdmission.Add(now, clientAddress(conn), c)
+	for checked := 0; verdict != admission.Admitted; {
+		victim := s.connAdmission.VictimFor(now, c.slot, verdict)
+		if victim == nil {
 			break
 		}
-		old := gone.Owner.(*ClientConn)
-		if old.mayHaveUnreadRequest() {
-			if looked++; looked > maxVictimChecks {
+		evicted := victim.Owner.(*ClientConn)
+		if evicted.mayHaveUnreadRequest() {
+			if checked++; checked > maxVictimChecks {
 				break
 			}
-			s.connAdmission.Touch(now, gone)
+			s.connAdmission.Touch(now, victim)
 			continue
 		}
-		old.evict()
+		evicted.evict()
 		verdict = admission.Admitted
 	}
 	switch {
@@ -109,8 +109,8 @@
 	case verdict == admission.TableFull && (s.connAdmission.OverflowLen() >= s.maxOverLimitClients() || !s.hasDescriptors(s.reservedClientSlots())):
 	case s.hasDescriptors(0) || s.freeDescriptors(0):
 		if verdict == admission.TableFull {
-			l.isOverLimit = true
-			s.connAdmission.AdmitOverflow(l.slot)
+			c.isOverLimit = true
+			s.connAdmission.AdmitOverflow(c.slot)
 		}
 		return true
 	}
@@ -118,7 +118,7 @@
 	// been read from this link.
 	s.counters.ConnsWithoutDescriptor++
 	s.warnLimited("connections are refused: there is no room for them")
-	s.log.Debug("client connection refused", "client", c.RemoteAddr(), "crowded", verdict == admission.TableFull, "links", s.connAdmission.Len())
+	s.log.Debug("client connection refused", "client", conn.RemoteAddr(), "crowded", verdict == admission.TableFull, "links", s.connAdmission.Len())
 	return false
 }
 
@@ -145,50 +145,50 @@
 }
 
 // mayBeAsking tells whether the next request of a link that seems to have none waits in its socket.
-func (l *ClientConn) mayHaveUnreadRequest() bool {
-	state, _ := l.slot.State()
-	return (state == admission.StateNew || state == admission.StateIdle) && !l.sidecar.net.NothingToRead(l.conn)
+func (c *ClientConn) mayHaveUnreadRequest() bool {
+	state, _ := c.slot.State()
+	return (state == admission.StateNew || state == admission.StateIdle) && !c.sidecar.net.NothingToRead(c.conn)
 }
 
 // giveUp closes a link that goes for another.
-func (l *ClientConn) evict() {
-	s := l.sidecar
-	switch state, _ := l.slot.State(); state {
+func (c *ClientConn) evict() {
+	s := c.sidecar
+	switch state, _ := c.slot.State(); state {
 	case admission.StateReading, admission.StateWriting:
 		s.counters.ConnsEvicted++
 	case admission.StateNew, admission.StateIdle:
 		s.counters.IdleConnsClosed++
 	}
 	s.warnLimited("connections that have no request out are closed to make room")
-	s.log.Debug("client connection given up", "client", l.conn.RemoteAddr(), "state", l.stateName())
-	s.closeConn(l.conn)
+	s.log.Debug("client connection given up", "client", c.conn.RemoteAddr(), "state", c.stateName())
+	s.closeConn(c.conn)
 }
 
-func (l *ClientConn) stateName() string {
-	state, _ := l.slot.State()
+func (c *ClientConn) stateName() string {
+	state, _ := c.slot.State()
 	return state.String()
 }
 
 // retire closes a link that is of no more use, unless a request waits in its socket.
-func (l *ClientConn) closeStale() {
-	if l.mayHaveUnreadRequest() {
-		l.sidecar.connAdmission.Touch(l.sidecar.now(), l.slot)
+func (c *ClientConn) closeStale() {
+	if c.mayHaveUnreadRequest() {
+		c.sidecar.connAdmission.Touch(c.sidecar.now(), c.slot)
 		return
 	}
-	if state, _ := l.slot.State(); state == admission.StateNew {
-		l.sidecar.connAdmission.RecordWasted(l.slot)
+	if state, _ := c.slot.State(); state == admission.StateNew {
+		c.sidecar.connAdmission.RecordWasted(c.slot)
 	}
-	l.sidecar.counters.IdleConnsClosed++
-	l.sidecar.closeConn(l.conn)
+	c.sidecar.counters.IdleConnsClosed++
+	c.sidecar.closeConn(c.conn)
 }
 
 // hold notes how much of a request or of an answer the link holds. Where all hold too much, who holds most goes.
-func (l *ClientConn) accountHeldBytes(bytes int) {
-	s := l.sidecar
-	s.connAdmission.SetBufferedBytes(l.slot, bytes)
-	for gone := s.connAdmission.BufferVictim(); gone != nil; gone = s.connAdmission.BufferVictim() {
+func (c *ClientConn) accountHeldBytes(bytes int) {
+	s := c.sidecar
+	s.connAdmission.SetBufferedBytes(c.slot, bytes)
+	for victim := s.connAdmission.BufferVictim(); victim != nil; victim = s.connAdmission.BufferVictim() {
 		s.warnLimited("connections that hold much are closed: there is no memory for more")
-		gone.Owner.(*ClientConn).evict()
+		victim.Owner.(*ClientConn).evict()
 	}
 }
 
@@ -196,11 +196,11 @@
 func (s *Sidecar) closeStaleClients() {
 	now := s.now()
 	old := func(state admission.State, since float64) {
-		for l := s.connAdmission.Oldest(state); l != nil; l = s.connAdmission.Oldest(state) {
-			if _, at := l.State(); at >= since {
+		for slot := s.connAdmission.Oldest(state); slot != nil; slot = s.connAdmission.Oldest(state) {
+			if _, at := slot.State(); at >= since {
 				return
 			}
-			l.Owner.(*ClientConn).closeStale()
+			slot.Owner.(*ClientConn).closeStale()
 		}
 	}
 	if old(admission.StateNew, now-firstByteTimeoutSeconds); s.hasManyClients() {
@@ -211,12 +211,12 @@
 
 // unread has a link wait until its client has taken what is written. Danger: requests that are taken up while answers
 // wait grow what waits without a bound, and with it the process, which is killed with all that it has taken.
-func (l *ClientConn) waitForClientRead() {
-	s, now := l.sidecar, l.sidecar.now()
-	l.unreadSince, l.lastReadAt, l.unreadBytes = now, now, l.conn.OutboundBuffered()
-	s.connAdmission.SetState(now, l.slot, admission.StateWriting)
-	l.pauseReading(netio.DeferClose) // a client that has said its last may still read
-	l.accountHeldBytes(l.unreadBytes + l.input.Len())
+func (c *ClientConn) waitForClientRead() {
+	s, now := c.sidecar, c.sidecar.now()
+	c.unreadSince, c.lastReadAt, c.unreadBytes = now, now, c.conn.OutboundBuffered()
+	s.connAdmission.SetState(now, c.slot, admission.StateWriting)
+	c.pauseReading(netio.DeferClose) // a client that has said its last may still read
+	c.accountHeldBytes(c.unreadBytes + c.input.Len())
 	if !s.isCheckingUnread {
 		s.isCheckingUnread = true
 		s.timers.schedule(now+unreadCheckIntervalSeconds, s.checkUnreadResponses)
@@ -225,16 +225,16 @@
 
 // pause leaves what the client sends in the socket. Danger: while a request waits its client may go, behind bytes that nobody reads;
 // sent on all the same, the request would run for nobody.
-func (l *ClientConn) pauseReading(ends netio.ClosePolicy) {
-	l.sidecar.net.PauseReading(l.conn, ends)
-	l.isPaused = true
+func (c *ClientConn) pauseReading(ends netio.ClosePolicy) {
+	c.sidecar.net.PauseReading(c.conn, ends)
+	c.isPaused = true
 }
 
 // resume reads on.
-func (l *ClientConn) resumeReading() {
-	if l.isPaused {
-		l.isPaused = false
-		l.sidecar.net.ResumeReading(l.conn)
+func (c *ClientConn) resumeReading() {
+	if c.isPaused {
+		c.isPaused = false
+		c.sidecar.net.ResumeReading(c.conn)
 	}
 }
 
@@ -242,21 +242,21 @@
 // closed.
 func (s *Sidecar) checkUnreadResponses() {
 	now := s.now()
-	s.connAdmission.Each(admission.StateWriting, func(place *admission.Conn) {
-		l := place.Owner.(*ClientConn)
-		left := l.conn.OutboundBuffered()
-		if left < l.unreadBytes {
-			l.unreadBytes, l.lastReadAt = left, now
-			s.connAdmission.SetBufferedBytes(place, left+l.input.Len())
+	s.connAdmission.Each(admission.StateWriting, func(slot *admission.Conn) {
+		c := slot.Owner.(*ClientConn)
+		unread := c.conn.OutboundBuffered()
+		if unread < c.unreadBytes {
+			c.unreadBytes, c.lastReadAt = unread, now
+			s.connAdmission.SetBufferedBytes(slot, unread+c.input.Len())
 		}
 		switch {
-		case left == 0:
-			l.finishResponse()
-		case now > l.lastReadAt+unreadTimeoutSeconds && !l.isStreamed || now > l.unreadSince+maxUnreadSeconds && !l.isStreamed || now > l.lastReadAt+peerLagTimeoutSeconds:
+		case unread == 0:
+			c.finishResponse()
+		case now > c.lastReadAt+unreadTimeoutSeconds && !c.isStreamed || now > c.unreadSince+maxUnreadSeconds && !c.isStreamed || now > c.lastReadAt+peerLagTimeoutSeconds:
 			s.counters.UnreadConnsClosed++
 			s.warnLimited("connections are closed whose clients do not read their answers")
-			s.connAdmission.RecordWasted(place)
-			s.closeConn(l.conn)
+			s.connAdmission.RecordWasted(slot)
+			s.closeConn(c.conn)
 		}
 	})
 	if s.isCheckingUnread = s.connAdmission.Oldest(admission.StateWriting) != nil; s.isCheckingUnread {
--- a/internal/sidecar/counters.go
+++ b/internal/sidecar/counters.go
@@ -95,24 +95,24 @@
 }
 
 // end counts a request's end. It is the one place that does.
-func (c *counters) countRequestEnd(class int, how requestEnd) {
-	k := &c.Classes[class]
-	switch how {
+func (c *counters) countRequestEnd(class int, end requestEnd) {
+	byClass := &c.Classes[class]
+	switch end {
 	case served:
 		c.Served++
-		k.Served++
+		byClass.Served++
 	case throttled:
 		c.Throttled++
-		k.Throttled++
+		byClass.Throttled++
 	case failed:
 		c.Failed++
-		k.Failed++
+		byClass.Failed++
 	case overdue:
 		c.DecisionsLate++
-		k.Failed++
+		byClass.Failed++
 	case abandoned:
 		c.Abandoned++
-		k.Abandoned++
+		byClass.Abandoned++
 	}
 }
 
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -43,12 +43,12 @@
 func (s *Sidecar) closeIdleClients() (busy bool) {
 	now := s.now()
 	for i := len(s.clients) - 1; i >= 0; i-- { // Danger: a link that goes leaves its place to the last one
-		l := s.clients[i]
-		if _, since := l.slot.State(); l.isIdle() && since < now-drainIdleSeconds && !l.mayHaveUnreadRequest() {
-			l.isLastWritten = true
-			l.startLinger()
+		c := s.clients[i]
+		if _, since := c.slot.State(); c.isIdle() && since < now-drainIdleSeconds && !c.mayHaveUnreadRequest() {
+			c.isLastWritten = true
+			c.startLinger()
 		}
-		busy = busy || !l.isWriteClosed || !s.net.AllAcknowledged(l.conn)
+		busy = busy || !c.isWriteClosed || !s.net.AllAcknowledged(c.conn)
 	}
 	return busy
 }
@@ -62,12 +62,12 @@
 		return
 	}
 	if busy {
-		left := map[string]int{}
-		for _, l := range s.clients {
-			state, _ := l.slot.State()
-			left[state.String()]++
+		remaining := map[string]int{}
+		for _, c := range s.clients {
+			state, _ := c.slot.State()
+			remaining[state.String()]++
 		}
-		s.log.Warn("ended with work left", "requests", s.counters.OpenRequests, "links", left)
+		s.log.Warn("ended with work left", "requests", s.counters.OpenRequests, "links", remaining)
 	}
 	s.isStopping = true
 	s.net.Stop()
--- a/internal/sidecar/drills.go
+++ b/internal/sidecar/drills.go
@@ -11,16 +11,16 @@
 
 // StartFault starts a drill on the operators' word. Danger: the secret must not reach the log.
 func (s *Sidecar) StartFault(secret []byte, name string) (faultinjection.Fault, error) {
-	d, err := s.faults.Start(s.now(), secret, name)
+	fault, err := s.faults.Start(s.now(), secret, name)
 	if err != nil {
 		s.log.Warn("drill refused", "error", err)
-		return d, err
+		return fault, err
 	}
-	s.log.Info("drill started", "drill", d.Name, "class", d.Class, "duration_s", d.DurationSeconds)
+	s.log.Info("drill started", "drill", fault.Name, "class", fault.Class, "duration_s", fault.DurationSeconds)
 	if s.faultObserver != nil {
-		s.faultObserver.FaultStarted(d.Name, d.DurationSeconds, func(id uint64) []byte { return s.faults.Sign(id, d.Name) })
+		s.faultObserver.FaultStarted(fault.Name, fault.DurationSeconds, func(id uint64) []byte { return s.faults.Sign(id, fault.Name) })
 	}
-	return d, nil
+	return fault, nil
 }
 
 // FaultRunner is what a fleet tells a sidecar that runs drills together with others.
@@ -39,36 +39,36 @@
 func (s *Sidecar) SetFaultObserver(to FaultObserver) { s.faultObserver = to }
 
 // RunRemoteFault is for the loop.
-func (s *Sidecar) RunRemoteFault(name string, id uint64, mark []byte, leftS float64) error {
-	d, err := s.faults.StartRemote(s.net.Now(), id, name, mark, leftS)
+func (s *Sidecar) RunRemoteFault(name string, id uint64, signature []byte, remainingSeconds float64) error {
+	fault, err := s.faults.StartRemote(s.net.Now(), id, name, signature, remainingSeconds)
 	if err != nil {
 		return err
 	}
-	s.log.Info("drill of the fleet started", "drill", d.Name, "class", d.Class, "left_s", min(leftS, d.DurationSeconds))
+	s.log.Info("drill of the fleet started", "drill", fault.Name, "class", fault.Class, "left_s", min(remainingSeconds, fault.DurationSeconds))
 	return nil
 }
 
 // heldFor returns for how many seconds a drill holds a request that has so many left: as long as the drill says, but never so long that
 // less than a fifth of them is left for its send.
-func faultDelaySeconds(d *faultinjection.Fault, leftS float64) float64 {
-	return min(d.DelayMS/1000, maxDelayFraction*leftS)
+func faultDelaySeconds(fault *faultinjection.Fault, remainingSeconds float64) float64 {
+	return min(fault.DelayMS/1000, maxDelayFraction*remainingSeconds)
 }
 
 // drilled tells whether a drill has taken a request up; then it calls decide when the delay is over, or aborts the
 // request. Until then the request is open like any other: its client may go, and its deadline holds. Danger: what is left
 // of its time looks like that of a client's later try, and one whose aim has passed since its first is refused; so the
 // decisions are told how long it was held.
-func (s *Sidecar) applyFault(r *request, class int, decide func(held float64)) bool {
+func (s *Sidecar) applyFault(r *request, class int, decide func(heldSeconds float64)) bool {
 	now := s.now()
-	d := s.faults.Match(now, s.cfg.Settings.Policy.Classes[class].Name)
-	if d == nil {
+	fault := s.faults.Match(now, s.cfg.Settings.Policy.Classes[class].Name)
+	if fault == nil {
 		return false
 	}
-	s.log.Info("drill hit", "drill", d.Name, "request_id", r.clientID)
-	r.faultTimer = s.timers.schedule(now+faultDelaySeconds(d, r.deadline-now), func() {
+	s.log.Info("drill hit", "drill", fault.Name, "request_id", r.clientID)
+	r.faultTimer = s.timers.schedule(now+faultDelaySeconds(fault, r.deadline-now), func() {
 		switch {
 		case r.isAnswered:
-		case d.Abort == "503": // nothing has run, which is what a throttle says
+		case fault.Abort == "503": // nothing has run, which is what a throttle says
 			s.answerRequest(r, throttled, func() { r.responder.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		default:
 			decide(s.now() - now)
--- a/internal/sidecar/feed.go
+++ b/internal/sidecar/feed.go
@@ -95,12 +95,12 @@
 // ConfirmList is for the loop.
 func (s *Sidecar) ConfirmList() {
 	s.runCallback(func() {
-		was := s.isWatchUp()
+		wasUp := s.isWatchUp()
 		s.listRelay.isActive = true
 		if s.listReadAt, s.isListRead = s.now(), true; s.watcher != nil && !s.listRelay.hasDirectWatch {
 			s.watcher.stop()
 		}
-		if !was {
+		if !wasUp {
 			s.pushEndpoints(policy.ListDelta, nil)
 		}
 	})
@@ -109,8 +109,8 @@
 // ExpireList is for the loop.
 func (s *Sidecar) ExpireList() {
 	s.runCallback(func() {
-		was := s.isWatchUp()
-		if s.listRelay.isActive = false; was && !s.isWatchUp() {
+		wasUp := s.isWatchUp()
+		if s.listRelay.isActive = false; wasUp && !s.isWatchUp() {
 			s.counters.WatchesFailed++
 			s.requestWatch()
 		}
--- a/internal/sidecar/fit.go
+++ b/internal/sidecar/fit.go
@@ -23,7 +23,7 @@
 }
 
 // CanTakeRoles tells whether the sidecar may work for others beside serving, or why not. It is for the loop, and looks anew with each call.
-func (s *Sidecar) CanTakeRoles() (ok bool, why string) {
+func (s *Sidecar) CanTakeRoles() (ok bool, reason string) {
 	f, now := &s.fitness, s.net.Now()
 	if now-f.windowStart >= fitnessWindowSeconds || f.stalledSeconds-f.stalledAtWindowStart > maxStalledFraction*fitnessWindowSeconds {
 		if f.windowStart > 0 && f.stalledSeconds-f.stalledAtWindowStart > maxStalledFraction*fitnessWindowSeconds {
@@ -31,18 +31,18 @@
 		}
 		f.windowStart, f.stalledAtWindowStart = now, f.stalledSeconds
 	}
-	by := &s.counters.attemptOutcomes
-	answers := by[policy.OK] + by[policy.HostError] + by[policy.Rejected]
-	silences := by[policy.TimedOut] + by[policy.ConnectFailed] + by[policy.Reset]
-	if answers != f.responses || f.lastResponseAt == 0 {
-		f.responses, f.lastResponseAt, f.failuresAtResponse = answers, now, silences
+	outcomes := &s.counters.attemptOutcomes
+	responses := outcomes[policy.OK] + outcomes[policy.HostError] + outcomes[policy.Rejected]
+	failures := outcomes[policy.TimedOut] + outcomes[policy.ConnectFailed] + outcomes[policy.Reset]
+	if responses != f.responses || f.lastResponseAt == 0 {
+		f.responses, f.lastResponseAt, f.failuresAtResponse = responses, now, failures
 	}
 	switch {
 	case s.isShuttingDown || s.isDrained:
 		return false, "drained"
 	case now < f.unfitUntil:
 		return false, "starved of its core"
-	case silences-f.failuresAtResponse >= minUnansweredAttempts && now-f.lastResponseAt >= unresponsiveSeconds, s.hasNoUsableServer(now):
+	case failures-f.failuresAtResponse >= minUnansweredAttempts && now-f.lastResponseAt >= unresponsiveSeconds, s.hasNoUsableServer(now):
 		return false, "cut off from boxes"
 	}
 	return true, ""
@@ -50,11 +50,11 @@
 
 // noneUsable tells whether there are boxes and none is to be used.
 func (s *Sidecar) hasNoUsableServer(now float64) bool {
-	avoided, any := s.balancer.Ejected(now), false
+	avoided, isAnyListed := s.balancer.Ejected(now), false
 	for h := range s.endpoints.Listed {
-		if any = true; h.State == policy.Ready && !avoided(h.ID) {
+		if isAnyListed = true; h.State == policy.Ready && !avoided(h.ID) {
 			return false
 		}
 	}
-	return any
+	return isAnyListed
 }
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/flow.go
@@ -54,14 +54,14 @@
 
 func (s *Sidecar) checkStreams() {
 	f := &s.streams
-	for _, a := range slices.Clone(f.responses) {
-		a.check()
+	for _, st := range slices.Clone(f.responses) {
+		st.check()
 	}
 	lagging := f.laggingConns
 	f.laggingConns = nil
-	for _, l := range lagging {
-		if e := l.attempt; e != nil && l.conn != nil && !l.isClosed {
-			l.forwardBody(e)
+	for _, b := range lagging {
+		if a := b.attempt; a != nil && b.conn != nil && !b.isClosed {
+			b.forwardBody(a)
 		}
 	}
 	if f.isScheduled = len(f.responses)+len(f.laggingConns) > 0; f.isScheduled {
@@ -118,29 +118,29 @@
 }
 
 // pump writes on what has come of an attempt's request, as far as its server takes it.
-func (l *backendConn) forwardBody(e *attempt) {
-	for !e.exchange.IsRequestAppended() && l.conn.OutboundBuffered() < l.sidecar.streamWindow() {
-		piece := e.exchange.AppendBody(l.sidecar.writeBuffer[:0], ChunkBytes)
-		if l.sidecar.recycleWriteBuffer(piece); len(piece) == 0 {
+func (b *backendConn) forwardBody(a *attempt) {
+	for !a.exchange.IsRequestAppended() && b.conn.OutboundBuffered() < b.sidecar.streamWindow() {
+		piece := a.exchange.AppendBody(b.sidecar.writeBuffer[:0], ChunkBytes)
+		if b.sidecar.recycleWriteBuffer(piece); len(piece) == 0 {
 			break
 		}
-		l.isWriting = true
-		_, err := l.conn.Write(piece)
-		l.isWriting = false
-		if err != nil || l.attempt != e {
+		b.isWriting = true
+		_, err := b.conn.Write(piece)
+		b.isWriting = false
+		if err != nil || b.attempt != a {
 			return
 		}
 	}
-	e.progress = l.updateProgress(e)
-	if e.progress == partlyWritten && l.conn.OutboundBuffered() > 0 {
-		l.sidecar.streams.laggingConns = append(l.sidecar.streams.laggingConns, l)
-		l.sidecar.scheduleStreamCheck()
+	a.progress = b.updateProgress(a)
+	if a.progress == partlyWritten && b.conn.OutboundBuffered() > 0 {
+		b.sidecar.streams.laggingConns = append(b.sidecar.streams.laggingConns, b)
+		b.sidecar.scheduleStreamCheck()
 	}
-	r := e.request
+	r := a.request
 	if r == nil || r.body == nil {
 		return
 	}
-	if len(r.body.Buffered) > l.sidecar.bodyBufferLimit() {
+	if len(r.body.Buffered) > b.sidecar.bodyBufferLimit() {
 		r.body.dropSent()
 	}
 	if c := r.client; r.isUploading() && r.body.UnsentBytes() < ChunkBytes && c.request == r && c.conn != nil {
@@ -169,28 +169,28 @@
 
 // beginFlow passes on what has come of a large answer. One that nobody waits for, or that says that the attempt failed, is not
 // read to its end.
-func (s *Sidecar) startStream(l *backendConn, e *attempt) {
-	r, now := e.request, s.now()
-	result := policy.Result{ID: r.id, Host: e.serverID, Attempt: e.number}
-	result.Outcome, result.Report, _ = e.exchange.Result()
+func (s *Sidecar) startStream(b *backendConn, a *attempt) {
+	r, now := a.request, s.now()
+	result := policy.Result{ID: r.id, Host: a.serverID, Attempt: a.number}
+	result.Outcome, result.Report, _ = a.exchange.Result()
 	origin, can := r.responder.(StreamResponder)
 	if result.Outcome != policy.OK || r.isAnswered || !can {
-		l.attempt = nil
-		l.close()
-		s.finishAttempt(e, nil)
+		b.attempt = nil
+		b.close()
+		s.finishAttempt(a, nil)
 		return
 	}
-	e.isOver = true
-	s.timers.stop(&e.timer)
+	a.isOver = true
+	s.timers.stop(&a.timer)
 	s.timers.stop(&r.deadlineTimer)
 	s.timers.stop(r.faultTimer)
 	s.counters.attemptOutcomes.count(result.Outcome)
-	r.removeAttempt(e)
-	f := &stream{sidecar: s, attempt: e, backend: l, client: r.client, responder: origin, lastDataAt: now, lastReadAt: now, startedAt: now}
-	e.stream, r.stream, r.isAnswered, result.Final = f, f, true, true
+	r.removeAttempt(a)
+	f := &stream{sidecar: s, attempt: a, backend: b, client: r.client, responder: origin, lastDataAt: now, lastReadAt: now, startedAt: now}
+	a.stream, r.stream, r.isAnswered, result.Final = f, f, true, true
 	s.streams.responses = append(s.streams.responses, f)
-	s.events = append(s.events, event{endedAttempt: e, result: result})
-	origin.ForwardHead(e.exchange)
+	s.events = append(s.events, event{endedAttempt: a, result: result})
+	origin.ForwardHead(a.exchange)
 	f.check()
 	s.scheduleStreamCheck()
 }
@@ -213,11 +213,11 @@
 }
 
 // serverEnded takes the end of the server's link, which may make the answer whole.
-func (f *stream) onBackendClose(orderly bool) {
+func (f *stream) onBackendClose(isOrderly bool) {
 	if f.isOver {
 		return
 	}
-	if orderly && f.attempt.exchange.HandleEOF() {
+	if isOrderly && f.attempt.exchange.HandleEOF() {
 		f.responder.ForwardBody(f.attempt.exchange, true)
 		f.finish(served)
 		return
@@ -230,15 +230,15 @@
 	if f.isOver || f.client.conn == nil {
 		return
 	}
-	now, left := f.sidecar.now(), f.client.conn.OutboundBuffered()
-	if left < f.unreadBytes || left == 0 {
+	now, unread := f.sidecar.now(), f.client.conn.OutboundBuffered()
+	if unread < f.unreadBytes || unread == 0 {
 		f.lastReadAt = now
 	}
-	f.unreadBytes = left
+	f.unreadBytes = unread
 	switch {
-	case !f.isPaused && left >= f.sidecar.streamWindow():
+	case !f.isPaused && unread >= f.sidecar.streamWindow():
 		f.isPaused, f.pausedAt = f.sidecar.net.PauseReading(f.backend.conn, netio.DeferClose), now
-	case f.isPaused && left < f.sidecar.streamWindow()/2:
+	case f.isPaused && unread < f.sidecar.streamWindow()/2:
 		f.isPaused, f.lastDataAt = false, now
 		f.startedAt += now - f.pausedAt
 		f.sidecar.net.ResumeReading(f.backend.conn)
@@ -262,30 +262,30 @@
 }
 
 // end ends a flow: with its last byte, or with its client's link, which tells the client that it is not whole.
-func (f *stream) finish(how requestEnd) {
+func (f *stream) finish(end requestEnd) {
 	if f.isOver {
 		return
 	}
 	f.isOver = true
-	s, r, l := f.sidecar, f.attempt.request, f.backend
+	s, r, b := f.sidecar, f.attempt.request, f.backend
 	if i := slices.Index(s.streams.responses, f); i >= 0 {
 		s.streams.responses = slices.Delete(s.streams.responses, i, i+1)
 	}
 	r.stream = nil
-	s.countRequestEnd(r, how)
+	s.countRequestEnd(r, end)
 	s.recordResponseCost(f.attempt)
 	s.completeQuota(r)
 	s.releaseClientID(r)
-	if !l.isClosed {
-		if l.attempt = nil; how == served && l.isReusable(f.attempt) {
-			l.makeIdle()
+	if !b.isClosed {
+		if b.attempt = nil; end == served && b.isReusable(f.attempt) {
+			b.makeIdle()
 		} else {
-			l.close()
+			b.close()
 		}
 	}
 	s.pushEvent(func(float64) { s.forgetRequest(r) })
 	switch {
-	case how == served:
+	case end == served:
 		f.client.finishStream()
 	case f.client.conn != nil:
 		f.client.request = nil
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -69,56 +69,56 @@
 }
 
 // RestartState returns what a successor begins with. It is for the loop, between events.
-func (s *Sidecar) RestartState() (st hotrestart.State, ok bool) {
-	st = hotrestart.State{UnixSeconds: s.now(), SettingsHash: s.settingsHash(), EndpointList: s.endpoints.Export()}
-	st.PolicyCheckpoint, ok = s.balancer.Checkpoint(nil, maxCheckpointBytes)
-	return st, ok
+func (s *Sidecar) RestartState() (state hotrestart.State, ok bool) {
+	state = hotrestart.State{UnixSeconds: s.now(), SettingsHash: s.settingsHash(), EndpointList: s.endpoints.Export()}
+	state.PolicyCheckpoint, ok = s.balancer.Checkpoint(nil, maxCheckpointBytes)
+	return state, ok
 }
 
 // save keeps the state, again and again.
 func (s *Sidecar) saveRestartState() {
-	began := s.net.Now()
-	if st, ok := s.RestartState(); ok {
-		s.stateStore.Save(st)
+	startedAt := s.net.Now()
+	if state, ok := s.RestartState(); ok {
+		s.stateStore.Save(state)
 	} else {
 		s.warnLimited("the state for a successor is too large to be kept")
 	}
-	s.timers.schedule(s.now()+max(saveIntervalSeconds, saveIntervalFactor*(s.net.Now()-began)), s.saveRestartState)
+	s.timers.schedule(s.now()+max(saveIntervalSeconds, saveIntervalFactor*(s.net.Now()-startedAt)), s.saveRestartState)
 }
 
 // RestoreState goes on from another process's state, or leaves everything as it is. It comes before Start.
-func (s *Sidecar) RestoreState(st hotrestart.State) error {
+func (s *Sidecar) RestoreState(state hotrestart.State) error {
 	now := s.now()
 	switch {
-	case st.SettingsHash != s.settingsHash():
+	case state.SettingsHash != s.settingsHash():
 		return errSettingsChanged
-	case now-st.UnixSeconds > maxStateAgeSeconds:
+	case now-state.UnixSeconds > maxStateAgeSeconds:
 		return errStateExpired
 	}
-	b, err := policy.RestoreSuccessor(s.cfg.Settings.Policy, st.PolicyCheckpoint, now, s)
+	balancer, err := policy.RestoreSuccessor(s.cfg.Settings.Policy, state.PolicyCheckpoint, now, s)
 	if err != nil {
 		return err
 	}
-	before := s.events // the list that was last known, which is older
+	previousEvents := s.events // the list that was last known, which is older
 	s.events = nil
-	if err := s.applyKnownList(st.EndpointList); err != nil {
-		s.events = before
+	if err := s.applyKnownList(state.EndpointList); err != nil {
+		s.events = previousEvents
 		return err
 	}
-	s.balancer = b
+	s.balancer = balancer
 	s.capture.Resume()
 	return nil
 }
 
 // ReconcileOperatorState obeys what lies on the shelf: operators may have spoken to a neighbour.
 func (s *Sidecar) ReconcileOperatorState() {
-	bans, away, err := s.stateStore.OperatorState()
+	cordoned, drained, err := s.stateStore.OperatorState()
 	if err != nil {
 		s.log.Error("what operators have said can't be read", "error", err)
 		return
 	}
 	var infos []policy.HostInfo
-	for _, name := range bans {
+	for _, name := range cordoned {
 		if info, err := s.endpoints.Cordon(name, s.now()); err == nil {
 			infos = append(infos, info)
 		} else {
@@ -126,7 +126,7 @@
 		}
 	}
 	for _, name := range s.endpoints.Cordoned() {
-		if !slices.Contains(bans, name) {
+		if !slices.Contains(cordoned, name) {
 			if info, err := s.endpoints.Uncordon(name, s.now()); err == nil {
 				infos = append(infos, info)
 			}
@@ -135,8 +135,8 @@
 	if len(infos) > 0 {
 		s.pushServerChange(infos...)
 	}
-	if s.isDrained != away && !s.isShuttingDown {
-		s.setDrained(away)
+	if s.isDrained != drained && !s.isShuttingDown {
+		s.setDrained(drained)
 	}
 }
 
--- a/internal/sidecar/holdings.go
+++ b/internal/sidecar/holdings.go
@@ -20,8 +20,8 @@
 		h.BackendConns--
 		h.BufferedBytes += w.input.Len()
 	}
-	for _, l := range s.clients {
-		h.BufferedBytes += l.input.Len()
+	for _, c := range s.clients {
+		h.BufferedBytes += c.input.Len()
 	}
 	return h
 }
--- a/internal/sidecar/lateness.go
+++ b/internal/sidecar/lateness.go
@@ -26,30 +26,30 @@
 
 // waited returns for how long what a connection brings has lain in its socket, 0 while the loop is in time.
 func (s *Sidecar) socketWait(c netio.Conn) float64 {
-	l, now := &s.loopDelay, s.now()
+	d, now := &s.loopDelay, s.now()
 	// Danger: after a stall some have just come and others have waited for all of it; one sample is no word on the next. Taken for
 	// new, a request would be sent on whose client has long gone.
-	if l.lastWaitSeconds < lateThresholdSeconds && now-l.sampledAt < sampleIntervalSeconds && now-l.lastStallEndedAt > postStallSeconds {
+	if d.lastWaitSeconds < lateThresholdSeconds && now-d.sampledAt < sampleIntervalSeconds && now-d.lastStallEndedAt > postStallSeconds {
 		return 0
 	}
-	l.sampledAt, l.lastWaitSeconds = now, s.net.ReceiveDelaySeconds(c)
-	l.maxWaitSeconds = max(l.maxWaitSeconds, l.lastWaitSeconds)
-	if l.lastWaitSeconds < lateThresholdSeconds {
+	d.sampledAt, d.lastWaitSeconds = now, s.net.ReceiveDelaySeconds(c)
+	d.maxWaitSeconds = max(d.maxWaitSeconds, d.lastWaitSeconds)
+	if d.lastWaitSeconds < lateThresholdSeconds {
 		return 0
 	}
-	return l.lastWaitSeconds
+	return d.lastWaitSeconds
 }
 
 // noteStall tells the decisions if the loop has not turned for a while: since the last callback began, or since the time for
 // which the alarm was set if that is later.
 func (s *Sidecar) detectStall(now float64) {
-	l := &s.loopDelay
-	due := max(l.lastCallbackAt, s.timers.alarmAt)
+	d := &s.loopDelay
+	due := max(d.lastCallbackAt, s.timers.alarmAt)
 	seconds := now - due
-	if l.lastCallbackAt == 0 || seconds <= stallThresholdSeconds {
+	if d.lastCallbackAt == 0 || seconds <= stallThresholdSeconds {
 		return
 	}
-	l.lastStallEndedAt = now
+	d.lastStallEndedAt = now
 	s.counters.Stalls++
 	s.fitness.stalledSeconds += seconds
 	s.log.Debug("the loop stood still", "seconds", seconds)
--- a/internal/sidecar/measured.go
+++ b/internal/sidecar/measured.go
@@ -37,8 +37,8 @@
 
 // note takes the end of a request that was served.
 func (t *requestStats) record(r *request, now float64) {
-	us := int64(1e6 * (now - (r.deadline - r.timeoutSeconds)))
-	_ = t.byClass[r.classIndex].RecordValue(min(max(us, 0), maxLatencyMicros)) // fails only on what is out of these bounds
+	micros := int64(1e6 * (now - (r.deadline - r.timeoutSeconds)))
+	_ = t.byClass[r.classIndex].RecordValue(min(max(micros, 0), maxLatencyMicros)) // fails only on what is out of these bounds
 }
 
 // RequestStats returns how requests have fared since it was called last, by class. It is for the loop.
@@ -47,10 +47,10 @@
 		return nil
 	}
 	for i, c := range s.counters.Classes {
-		was, h := &s.requestStats.reported[i], s.requestStats.byClass[i]
-		all = append(all, ClassStats{Class: c.Class, Served: c.Served - was.Served, Throttled: c.Throttled - was.Throttled, Failed: c.Failed - was.Failed,
-			Abandoned: c.Abandoned - was.Abandoned, LatencyCounts: h.Export().Counts})
-		*was = c
+		reported, h := &s.requestStats.reported[i], s.requestStats.byClass[i]
+		all = append(all, ClassStats{Class: c.Class, Served: c.Served - reported.Served, Throttled: c.Throttled - reported.Throttled, Failed: c.Failed - reported.Failed,
+			Abandoned: c.Abandoned - reported.Abandoned, LatencyCounts: h.Export().Counts})
+		*reported = c
 		h.Reset()
 	}
 	return all
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -49,40 +49,40 @@
 }
 
 // newQuotas returns the desk of the settings, nil where there are no quotas.
-func (s *Sidecar) newQuotaEnforcer(on quotas.Settings) *quotaEnforcer {
-	if !on.IsEnabled() {
+func (s *Sidecar) newQuotaEnforcer(settings quotas.Settings) *quotaEnforcer {
+	if !settings.IsEnabled() {
 		return nil
 	}
-	d := &quotaEnforcer{settings: on, limiter: quota.New(on.Tree, on.LimiterSettings(s.cfg.Settings.Policy.Replicas), s.now()),
-		classifier: quotas.NewClassifier(&on, on.Tree)}
-	named := func(names []string) (flags []bool) {
+	enforcer := &quotaEnforcer{settings: settings, limiter: quota.New(settings.Tree, settings.LimiterSettings(s.cfg.Settings.Policy.Replicas), s.now()),
+		classifier: quotas.NewClassifier(&settings, settings.Tree)}
+	classFlags := func(names []string) (flags []bool) {
 		for _, c := range s.cfg.Settings.Policy.Classes {
-			is := false
+			isNamed := false
 			for _, name := range names {
-				is = is || name == c.Name
+				isNamed = isNamed || name == c.Name
 			}
-			flags = append(flags, is)
+			flags = append(flags, isNamed)
 		}
 		return flags
 	}
-	d.exempt, d.floor = named(on.ExemptClasses), named(on.FloorClasses)
-	if on.SnapshotDir != "" {
+	enforcer.exempt, enforcer.floor = classFlags(settings.ExemptClasses), classFlags(settings.FloorClasses)
+	if settings.SnapshotDir != "" {
 		s.reservedDescriptors += quotas.WriterDescriptors
 	}
-	return d
+	return enforcer
 }
 
 // beginQuotas goes on from the last snapshot and has the next ones made.
 func (s *Sidecar) startQuotas() {
-	d := s.quotas
-	if d == nil || d.settings.SnapshotDir == "" {
+	enforcer := s.quotas
+	if enforcer == nil || enforcer.settings.SnapshotDir == "" {
 		return
 	}
-	if state := quotas.LoadSnapshot(d.settings.SnapshotDir, s.log); state != nil {
-		d.limiter = quota.Restore(d.settings.Tree, d.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas), state, s.now())
+	if state := quotas.LoadSnapshot(enforcer.settings.SnapshotDir, s.log); state != nil {
+		enforcer.limiter = quota.Restore(enforcer.settings.Tree, enforcer.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas), state, s.now())
 	}
-	d.snapshots = quotas.NewSnapshotWriter(d.settings.SnapshotDir, s.log)
-	s.timers.schedule(s.now()+d.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
+	enforcer.snapshots = quotas.NewSnapshotWriter(enforcer.settings.SnapshotDir, s.log)
+	s.timers.schedule(s.now()+enforcer.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
 }
 
 // snapshotQuotas hands a copy of the quotas' state to the disk, again and again.
@@ -114,16 +114,16 @@
 
 // ApplyQuotaTree takes another tree of groups into use, or keeps the old one where it is at fault.
 func (s *Sidecar) ApplyQuotaTree(tree *quota.Tree, err error) {
-	d := s.quotas
+	enforcer := s.quotas
 	switch {
-	case d == nil:
+	case enforcer == nil:
 	case err != nil:
-		d.counters.ReloadFailed++
+		enforcer.counters.ReloadFailed++
 		s.log.Error("the quotas stay as they were", "error", err)
 	case tree != nil:
-		d.counters.Reloads++
-		d.limiter = d.limiter.WithTree(s.now(), tree, d.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas))
-		d.classifier = quotas.NewClassifier(&d.settings, tree)
+		enforcer.counters.Reloads++
+		enforcer.limiter = enforcer.limiter.WithTree(s.now(), tree, enforcer.settings.LimiterSettings(s.cfg.Settings.Policy.Replicas))
+		enforcer.classifier = quotas.NewClassifier(&enforcer.settings, tree)
 		s.log.Info("quotas read", "groups", tree.Len()-1)
 	}
 }
@@ -154,75 +154,75 @@
 
 // withinQuota tells whether a request that has come may be taken up, and books it on its group. One that may not has been
 // refused, finally: nothing of it has gone anywhere.
-func (l *ClientConn) admitByQuota(a *IncomingRequest) (quotaCharge, bool) {
-	s, d := l.sidecar, l.sidecar.quotas
-	if d == nil {
+func (c *ClientConn) admitByQuota(in *IncomingRequest) (quotaCharge, bool) {
+	s, enforcer := c.sidecar, c.sidecar.quotas
+	if enforcer == nil {
 		return quotaCharge{}, true
 	}
-	if d.exempt[a.Class] {
-		d.counters.Exempt++
+	if enforcer.exempt[in.Class] {
+		enforcer.counters.Exempt++
 		return quotaCharge{}, true
 	}
-	now, bytes, header := s.now(), a.HeldBytes, quotas.FieldGetter(emptyFields{})
-	q, knows := l.codec.(QuotaClient)
-	if knows {
-		bytes, header = q.RequestBytes(), q
+	now, bytes, header := s.now(), in.HeldBytes, quotas.FieldGetter(emptyFields{})
+	codec, isQuotaClient := c.codec.(QuotaClient)
+	if isQuotaClient {
+		bytes, header = codec.RequestBytes(), codec
 	}
-	g := d.classifier.GroupOf(header, s.cfg.Settings.Policy.Classes[a.Class].Name, clientAddress(l.conn))
-	t := quotaCharge{request: d.limiter.NewRequest(g, float64(bytes), d.floor[a.Class]), isCharged: true, admittedAt: now}
-	v := d.limiter.Admit(now, t.request)
-	if v.Allowed {
-		d.counters.Served++
-		return t, true
+	group := enforcer.classifier.GroupOf(header, s.cfg.Settings.Policy.Classes[in.Class].Name, clientAddress(c.conn))
+	charge := quotaCharge{request: enforcer.limiter.NewRequest(group, float64(bytes), enforcer.floor[in.Class]), isCharged: true, admittedAt: now}
+	decision := enforcer.limiter.Admit(now, charge.request)
+	if decision.Allowed {
+		enforcer.counters.Served++
+		return charge, true
 	}
-	d.counters.Refused++
+	enforcer.counters.Refused++
 	s.counters.Requests++
-	s.counters.countRequestEnd(a.Class, throttled)
+	s.counters.countRequestEnd(in.Class, throttled)
 	s.counters.OverQuota++
-	if knows {
-		q.RejectOverQuota(d.limiter.Tree().Path(g), v.RetryAfterSeconds)
+	if isQuotaClient {
+		codec.RejectOverQuota(enforcer.limiter.Tree().Path(group), decision.RetryAfterSeconds)
 	} else {
-		l.codec.Throttle(v.RetryAfterSeconds)
+		c.codec.Throttle(decision.RetryAfterSeconds)
 	}
-	return t, false
+	return charge, false
 }
 
 // chargeAnswer notes what the answer that an attempt has brought costs its request's group.
-func (s *Sidecar) recordResponseCost(e *attempt) {
-	t := &e.request.quota
-	if !t.isCharged {
+func (s *Sidecar) recordResponseCost(a *attempt) {
+	charge := &a.request.quota
+	if !charge.isCharged {
 		return
 	}
 	ok := false
-	if x, told := e.exchange.(CostReporter); told {
-		t.responseBytes = float64(x.ResponseBytes())
-		t.serviceSeconds, ok = x.ServiceSeconds()
+	if x, isCostReporter := a.exchange.(CostReporter); isCostReporter {
+		charge.responseBytes = float64(x.ResponseBytes())
+		charge.serviceSeconds, ok = x.ServiceSeconds()
 	}
 	if !ok {
-		t.serviceSeconds = s.now() - e.sentAt
+		charge.serviceSeconds = s.now() - a.sentAt
 	}
 }
 
 // settleQuota books what a request has cost now that it has its answer.
 func (s *Sidecar) completeQuota(r *request) {
-	if t := &r.quota; t.isCharged {
+	if charge := &r.quota; charge.isCharged {
 		now := s.now()
-		s.quotas.limiter.Complete(now, t.request, now-t.admittedAt, t.responseBytes, t.serviceSeconds)
+		s.quotas.limiter.Complete(now, charge.request, now-charge.admittedAt, charge.responseBytes, charge.serviceSeconds)
 	}
 }
 
 // quotaCounters returns the quotas' part of the counters, nil where there are none.
 func (s *Sidecar) quotaCounters() *QuotaCounters {
-	d := s.quotas
-	if d == nil {
+	enforcer := s.quotas
+	if enforcer == nil {
 		return nil
 	}
-	c := &d.counters
-	c.Groups, c.MostRefused = d.limiter.Tree().Len()-1, d.limiter.TopRejected(maxCountedGroups)
-	if d.snapshots != nil {
-		c.Snapshots, c.SnapshotsSkipped, c.SnapshotErrors = d.snapshots.Written.Load(), d.snapshots.Skipped, d.snapshots.Errors.Load()
+	counters := &enforcer.counters
+	counters.Groups, counters.MostRefused = enforcer.limiter.Tree().Len()-1, enforcer.limiter.TopRejected(maxCountedGroups)
+	if enforcer.snapshots != nil {
+		counters.Snapshots, counters.SnapshotsSkipped, counters.SnapshotErrors = enforcer.snapshots.Written.Load(), enforcer.snapshots.Skipped, enforcer.snapshots.Errors.Load()
 	}
-	return c
+	return counters
 }
 
 // QuotaStatus tells of all groups as JSON, or of the one that a query names; ok: there is such a group, and there are quotas.
@@ -230,18 +230,18 @@
 	if s.quotas == nil {
 		return nil, false
 	}
-	m, now := s.quotas.limiter, s.now()
-	var told any
-	if asked, _ := url.ParseQuery(query); asked.Has("group") {
-		g, ok := m.Tree().Find(asked.Get("group"))
+	limiter, now := s.quotas.limiter, s.now()
+	var status any
+	if parameters, _ := url.ParseQuery(query); parameters.Has("group") {
+		group, ok := limiter.Tree().Find(parameters.Get("group"))
 		if !ok {
 			return nil, false
 		}
-		told = m.Explain(now, g)
+		status = limiter.Explain(now, group)
 	} else {
-		told = m.View(now, maxShownGroups)
+		status = limiter.View(now, maxShownGroups)
 	}
-	raw, err := json.Marshal(told)
+	raw, err := json.Marshal(status)
 	if err != nil { // numbers and names always marshal
 		panic(err)
 	}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -15,7 +15,7 @@
 	}
 	s.counters.ConfigReloads++
 	old := &s.cfg
-	for _, fixed := range []struct {
+	for _, setting := range []struct {
 		field   string
 		changed bool
 	}{
@@ -25,8 +25,8 @@
 		// The decisions have learned under these settings; none of them is taken without the others.
 		{"settings", !reflect.DeepEqual(cfg.Settings, old.Settings)},
 	} {
-		if fixed.changed {
-			s.log.Warn("this change waits for a restart", "field", fixed.field)
+		if setting.changed {
+			s.log.Warn("this change waits for a restart", "field", setting.field)
 		}
 	}
 	if cfg.Limits != old.Limits {
@@ -43,9 +43,9 @@
 // obeyLimits passes on what the limits say.
 func (s *Sidecar) applyLimits() {
 	if s.OnLimitsChange != nil {
-		l := s.cfg.Limits
-		l.MemoryMB /= s.processes
-		s.OnLimitsChange(l)
+		limits := s.cfg.Limits
+		limits.MemoryMB /= s.processes
+		s.OnLimitsChange(limits)
 	}
 }
 
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -47,11 +47,11 @@
 	q.ID = r.id
 	// Whatever the decisions do, the client gets its one answer in time.
 	s.timers.start(&r.deadlineTimer, r.deadline+s.responseSlackSeconds/2, r)
-	held := func(seconds float64) {
+	enqueue := func(seconds float64) {
 		q.HeldBackSeconds += seconds
 		s.enqueueRequest(r, q)
 	}
-	if !s.applyFault(r, q.Class, held) {
+	if !s.applyFault(r, q.Class, enqueue) {
 		s.enqueueRequest(r, q)
 	}
 }
@@ -61,18 +61,18 @@
 func (s *Sidecar) IsRequestOpen(id string) bool { return s.requestsByClientID[id] != nil }
 
 // answer gives a request its final answer by calling give, unless it has had one, and counts its end.
-func (s *Sidecar) answerRequest(r *request, how requestEnd, give func()) {
+func (s *Sidecar) answerRequest(r *request, end requestEnd, respond func()) {
 	if r.isAnswered {
 		return
 	}
 	r.isAnswered = true
-	s.countRequestEnd(r, how)
+	s.countRequestEnd(r, end)
 	s.timers.stop(&r.deadlineTimer)
 	s.timers.stop(r.faultTimer)
 	if len(r.attempts) == 0 {
 		s.releaseClientID(r)
 	}
-	give()
+	respond()
 	s.completeQuota(r)
 	if len(r.attempts) == 0 {
 		s.pushEvent(func(float64) { s.forgetRequest(r) })
@@ -80,10 +80,10 @@
 }
 
 // over counts a request's end.
-func (s *Sidecar) countRequestEnd(r *request, how requestEnd) {
+func (s *Sidecar) countRequestEnd(r *request, end requestEnd) {
 	s.counters.OpenRequests--
-	s.counters.countRequestEnd(r.classIndex, how)
-	if s.requestStats != nil && how == served {
+	s.counters.countRequestEnd(r.classIndex, end)
+	if s.requestStats != nil && end == served {
 		s.requestStats.record(r, s.now())
 	}
 }
@@ -95,44 +95,44 @@
 }
 
 // noteRun notes the end of an attempt that may have run.
-func (r *request) recordRun(e *attempt, outcome policy.Outcome) {
-	if !outcome.NeverRan() && (r.firstRunAt == 0 || e.requestedAt < r.firstRunAt) {
-		r.firstRunAt = e.requestedAt
+func (r *request) recordRun(a *attempt, outcome policy.Outcome) {
+	if !outcome.NeverRan() && (r.firstRunAt == 0 || a.requestedAt < r.firstRunAt) {
+		r.firstRunAt = a.requestedAt
 	}
 }
 
 // repeatsUntil returns until when a further attempt is dropped as a repeat by servers that have seen one before; +Inf where none may
 // have, or where the class does not go by that.
-func (r *request) repeatWindowEnd(e *attempt) float64 {
+func (r *request) repeatWindowEnd(a *attempt) float64 {
 	class := &r.sidecar.cfg.Settings.Policy.Classes[r.classIndex]
 	if class.Effect != policy.Keyed {
 		return math.Inf(1)
 	}
-	from := r.firstRunAt
+	firstRunAt := r.firstRunAt
 	for _, other := range r.attempts {
-		if other != e && (from == 0 || other.requestedAt < from) {
-			from = other.requestedAt
+		if other != a && (firstRunAt == 0 || other.requestedAt < firstRunAt) {
+			firstRunAt = other.requestedAt
 		}
 	}
-	if from == 0 {
+	if firstRunAt == 0 {
 		return math.Inf(1)
 	}
-	return from + class.DedupWindowSeconds
+	return firstRunAt + class.DedupWindowSeconds
 }
 
 // attempt returns the one of a number that is out, nil if it is not.
 func (r *request) attemptByNumber(number int) *attempt {
-	for _, e := range r.attempts {
-		if e.number == number {
-			return e
+	for _, a := range r.attempts {
+		if a.number == number {
+			return a
 		}
 	}
 	return nil
 }
 
 // drop takes an attempt from those that are out.
-func (r *request) removeAttempt(e *attempt) {
-	if i := slices.Index(r.attempts, e); i >= 0 {
+func (r *request) removeAttempt(a *attempt) {
+	if i := slices.Index(r.attempts, a); i >= 0 {
 		r.attempts = slices.Delete(r.attempts, i, i+1)
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -192,30 +192,30 @@
 // OpenRequests takes a connection: one that was dialed brings its link, any other is a client's.
 func (s *Sidecar) Open(c netio.Conn) bool {
 	s.openConns++
-	keep := true
+	accepted := true
 	s.runConnCallback(c, func() {
-		if l, dialed := c.Context().(connHandler); dialed {
-			l.onOpen(c)
+		if handler, dialed := c.Context().(connHandler); dialed {
+			handler.onOpen(c)
 		} else {
-			keep = s.acceptClient(c)
+			accepted = s.acceptClient(c)
 		}
 	})
-	return keep
+	return accepted
 }
 
 // Traffic hands what has been received to the connection's link.
 func (s *Sidecar) Traffic(c netio.Conn, data []byte) {
-	if l, ok := c.Context().(connHandler); ok {
-		s.runConnCallback(c, func() { l.onData(data) })
+	if handler, ok := c.Context().(connHandler); ok {
+		s.runConnCallback(c, func() { handler.onData(data) })
 	}
 }
 
 // Closed tells the connection's link.
 func (s *Sidecar) Closed(c netio.Conn, err error) {
 	s.openConns--
-	if l, ok := c.Context().(connHandler); ok {
+	if handler, ok := c.Context().(connHandler); ok {
 		s.runCallback(func() {
-			if l.onClose(err); len(s.waitingAttempts) > 0 {
+			if handler.onClose(err); len(s.waitingAttempts) > 0 {
 				s.pushEvent(func(float64) { s.dialForWaiters() })
 			}
 		})
--- a/internal/sidecar/starved.go
+++ b/internal/sidecar/starved.go
@@ -7,15 +7,15 @@
 // to their servers become free all the time.
 
 // starve has an attempt wait.
-func (s *Sidecar) waitForConn(e *attempt) {
+func (s *Sidecar) waitForConn(a *attempt) {
 	s.counters.AttemptsWaited++
 	s.warnLimited("attempts wait for a descriptor")
-	s.waitingAttempts = append(s.waitingAttempts, e)
+	s.waitingAttempts = append(s.waitingAttempts, a)
 }
 
 // unstarve takes an attempt from those that wait, and tells whether it was one.
-func (s *Sidecar) stopWaiting(e *attempt) bool {
-	i := slices.Index(s.waitingAttempts, e)
+func (s *Sidecar) stopWaiting(a *attempt) bool {
+	i := slices.Index(s.waitingAttempts, a)
 	if i >= 0 {
 		s.waitingAttempts = slices.Delete(s.waitingAttempts, i, i+1)
 	}
@@ -23,11 +23,11 @@
 }
 
 // feed gives a link that has become idle to the first attempt that waits for its server, and tells whether there was one.
-func (s *Sidecar) assignToWaiter(l *backendConn) bool {
-	for _, e := range s.waitingAttempts {
-		if e.serverID == l.serverID && e.frontend == l.frontend && s.mayStart(e) && s.net.NothingToRead(l.conn) {
-			s.stopWaiting(e)
-			l.send(e)
+func (s *Sidecar) assignToWaiter(b *backendConn) bool {
+	for _, a := range s.waitingAttempts {
+		if a.serverID == b.serverID && a.frontend == b.frontend && s.mayStart(a) && s.net.NothingToRead(b.conn) {
+			s.stopWaiting(a)
+			b.send(a)
 			return true
 		}
 	}
@@ -37,12 +37,12 @@
 // feedDials dials for those that wait while there are descriptors.
 func (s *Sidecar) dialForWaiters() {
 	for len(s.waitingAttempts) > 0 && !s.isStopping && s.freeDescriptors(dialDescriptors+s.reservedClientSlots()) {
-		e := s.waitingAttempts[0]
-		s.stopWaiting(e)
-		if h := s.endpoints.Host(e.serverID); h != nil && s.mayStart(e) {
-			s.dial(h, e)
+		a := s.waitingAttempts[0]
+		s.stopWaiting(a)
+		if endpoint := s.endpoints.Host(a.serverID); endpoint != nil && s.mayStart(a) {
+			s.dial(endpoint, a)
 		} else {
-			s.finishAttempt(e, &attemptError{notConnected, superseded, nil})
+			s.finishAttempt(a, &attemptError{notConnected, superseded, nil})
 		}
 	}
 }
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -181,29 +181,29 @@
 
 // pass takes an object that is passed on. Danger: others may have passed on a later one meanwhile. Changes are in that already; a
 // whole list of a lower index is of a service that counts anew, unless the list was not held yet when it was asked for.
-func (w *watcher) handleRelayedObject(line []byte) error {
+func (w *watcher) handleRelayedObject(object []byte) error {
 	s := w.sidecar
 	before, held := s.endpoints.Index()
-	index, snapshot, err := endpointset.ParseHeader(line)
+	index, snapshot, err := endpointset.ParseHeader(object)
 	if err != nil {
 		return err
 	}
 	if held && index < before {
 		switch {
 		case !snapshot:
-			line = nil
+			object = nil
 		case w.sinceIndex != before:
 			return ErrStaleList // it is asked anew, by the list that is held
 		}
 	}
-	if w.isUp = true; line == nil {
+	if w.isUp = true; object == nil {
 		s.pushEndpoints(policy.ListDelta, nil)
 		return nil
 	}
-	if err := s.applyListObject(line); err != nil {
+	if err := s.applyListObject(object); err != nil {
 		return err
 	}
-	s.listRelay.observer.ListRead(before, held, line)
+	s.listRelay.observer.ListRead(before, held, object)
 	return nil
 }
 
--- a/internal/sidecar/works.go
+++ b/internal/sidecar/works.go
@@ -83,58 +83,60 @@
 
 // note takes the end of an attempt. Danger: who gave up on one does not know that its box did; work on it would begin under a
 // request that still runs.
-func (w *maintenanceTracker) recordAttempt(e *attempt, err *attemptError, result *policy.Result, now float64) {
-	if e.request != nil {
-		w.attemptsEnded[e.serverID]++
+func (t *maintenanceTracker) recordAttempt(a *attempt, err *attemptError, result *policy.Result, now float64) {
+	if a.request != nil {
+		t.attemptsEnded[a.serverID]++
 		switch {
 		case err == nil:
-			delete(w.brokenConns, e.serverID)
+			delete(t.brokenConns, a.serverID)
 		case err.cause == connBroken:
-			w.brokenConns[e.serverID] = brokenConnCount{w.brokenConns[e.serverID].count + 1, now}
+			t.brokenConns[a.serverID] = brokenConnCount{t.brokenConns[a.serverID].count + 1, now}
 		}
 	}
-	if r := &result.Report; err == nil && w.inflightField >= 0 && w.inflightField < r.N && !math.IsNaN(float64(r.Values[w.inflightField])) {
-		w.reports[e.serverID] = inflightReport{now, float64(r.Values[w.inflightField])}
+	if r := &result.Report; err == nil && t.inflightField >= 0 && t.inflightField < r.N && !math.IsNaN(float64(r.Values[t.inflightField])) {
+		t.reports[a.serverID] = inflightReport{now, float64(r.Values[t.inflightField])}
 	}
-	if e.request != nil && err != nil && !result.Outcome.NeverRan() && err.cause != malformed {
-		given := append(w.abandonedAt[e.serverID], now)
-		w.abandonedAt[e.serverID] = given[max(len(given)-maxAbandonedAttempts, 0):]
+	if a.request != nil && err != nil && !result.Outcome.NeverRan() && err.cause != malformed {
+		abandoned := append(t.abandonedAt[a.serverID], now)
+		t.abandonedAt[a.serverID] = abandoned[max(len(abandoned)-maxAbandonedAttempts, 0):]
 	}
 }
 
 // fails tells whether a box hangs up on what it is sent. Danger: the decisions take a link that ends at once for one that died while idle,
 // which says nothing against its box; they send less there, and a site that hangs up on everything would not count as lost.
-func (w *maintenanceTracker) isFailing(host uint32, now float64) bool {
-	h := w.brokenConns[host]
+func (t *maintenanceTracker) isFailing(host uint32, now float64) bool {
+	h := t.brokenConns[host]
 	return h.count >= failingAfter && now-h.lastAt < failingSeconds
 }
 
 // open counts the attempts that were given up and may go on. A report that came after tells of all.
-func (w *maintenanceTracker) openAttempts(host uint32, now float64) (n int) {
-	given := w.abandonedAt[host]
-	if len(given) == 0 {
+func (t *maintenanceTracker) openAttempts(host uint32, now float64) (n int) {
+	abandoned := t.abandonedAt[host]
+	if len(abandoned) == 0 {
 		return 0
 	}
-	r, told := w.reports[host]
-	given = slices.DeleteFunc(given, func(at float64) bool { return now-at > w.maxAttemptSeconds || told && r.inflight <= 0 && r.at > at })
-	if w.abandonedAt[host] = given; len(given) == 0 {
-		delete(w.abandonedAt, host)
+	r, isReported := t.reports[host]
+	abandoned = slices.DeleteFunc(abandoned, func(at float64) bool {
+		return now-at > t.maxAttemptSeconds || isReported && r.inflight <= 0 && r.at > at
+	})
+	if t.abandonedAt[host] = abandoned; len(abandoned) == 0 {
+		delete(t.abandonedAt, host)
 	}
-	return len(given)
+	return len(abandoned)
 }
 
 // TakeOut may be called before Start, with what was agreed in an earlier life.
 func (s *Sidecar) SetUnderMaintenance(names []string) {
-	infos := s.endpoints.SetUnderMaintenance(names, s.net.Now())
-	if len(infos) == 0 {
+	changed := s.endpoints.SetUnderMaintenance(names, s.net.Now())
+	if len(changed) == 0 {
 		return
 	}
 	s.log.Info("servers that are out by agreement", "servers", names)
 	if s.timers.setAlarm == nil { // it has not begun: the decisions are told with the first event
-		s.pushEndpoints(policy.ListCached, infos)
+		s.pushEndpoints(policy.ListCached, changed)
 		return
 	}
-	s.runCallback(func() { s.pushServerChange(infos...) })
+	s.runCallback(func() { s.pushServerChange(changed...) })
 }
 
 // MaintainedServers is for the loop.
@@ -143,30 +145,30 @@
 		return nil
 	}
 	now := s.net.Now()
-	out := map[uint32]int{}
+	inFlight := map[uint32]int{}
 	for _, r := range s.requests {
-		for _, e := range r.attempts {
-			out[e.serverID]++
+		for _, a := range r.attempts {
+			inFlight[a.serverID]++
 		}
 	}
-	avoided, w, p := s.balancer.Ejected(now), s.maintenance, &s.cfg.Settings.Policy
+	avoided, tracker, settings := s.balancer.Ejected(now), s.maintenance, &s.cfg.Settings.Policy
 	for id := range s.endpoints.Names {
-		h := s.endpoints.Host(id)
-		k := h.Listing()
-		agreed, kept := s.endpoints.MaintenanceState(h.Name)
-		b := ServerStatus{Name: h.Name, Zone: k.Zone, Type: k.Type, Weight: k.Weight, IsListed: k.IsListed, IsDraining: k.IsDraining, IsCordoned: s.endpoints.IsCordoned(h.Name), IsKeptInUse: kept,
-			InFlight: out[id] + w.openAttempts(id, now), AttemptsEnded: w.attemptsEnded[id]}
-		if !b.IsListed && !agreed && !b.IsCordoned && b.InFlight == 0 {
+		endpoint := s.endpoints.Host(id)
+		known := endpoint.Listing()
+		isOut, isKeptInUse := s.endpoints.MaintenanceState(endpoint.Name)
+		status := ServerStatus{Name: endpoint.Name, Zone: known.Zone, Type: known.Type, Weight: known.Weight, IsListed: known.IsListed, IsDraining: known.IsDraining, IsCordoned: s.endpoints.IsCordoned(endpoint.Name), IsKeptInUse: isKeptInUse,
+			InFlight: inFlight[id] + tracker.openAttempts(id, now), AttemptsEnded: tracker.attemptsEnded[id]}
+		if !status.IsListed && !isOut && !status.IsCordoned && status.InFlight == 0 {
 			continue
 		}
-		b.IsWarmingUp = p.SlowStartSeconds > 0 && k.StartedAt > 0 && now-k.StartedAt < p.SlowStartSeconds
-		b.IsUnavailable = h.State == policy.Ready && (avoided(id) || w.isFailing(id, now))
-		r, told := w.reports[id]
-		b.IsBusy = told && now-r.at < reportValidSeconds && r.inflight > 0
-		all = append(all, b)
+		status.IsWarmingUp = settings.SlowStartSeconds > 0 && known.StartedAt > 0 && now-known.StartedAt < settings.SlowStartSeconds
+		status.IsUnavailable = endpoint.State == policy.Ready && (avoided(id) || tracker.isFailing(id, now))
+		r, isReported := tracker.reports[id]
+		status.IsBusy = isReported && now-r.at < reportValidSeconds && r.inflight > 0
+		all = append(all, status)
 	}
-	slices.SortFunc(all, func(a, b ServerStatus) int {
-		if a.Name < b.Name {
+	slices.SortFunc(all, func(a, status ServerStatus) int {
+		if a.Name < status.Name {
 			return -1
 		}
 		return 1
