--- a/internal/frontend/http1/call.go
+++ b/internal/frontend/http1/call.go
@@ -28,20 +28,20 @@
 
 // newCall takes over a parsed request of a class that has come from an address. Its header is rewritten here, once
 // for all attempts: each begins with the same.
-func newCall(f *Frontend, p *http1.RequestParser, class string, from net.Addr) *call {
+func newCall(f *Frontend, p *http1.RequestParser, class string, remote net.Addr) *call {
 	c := &call{front: f, method: p.Method, target: p.Target, class: class,
 		body: sidecar.Body{Buffered: p.Body, Length: p.Length(), IsComplete: p.Whole()}}
 	header := p.Header
 	if f.rewrites.On() {
 		var client netip.Addr
-		if tcp, ok := from.(*net.TCPAddr); ok {
+		if tcp, ok := remote.(*net.TCPAddr); ok {
 			client = tcp.AddrPort().Addr()
 		}
 		header = f.rewrites.Request(header, class, c.path(), client)
 	} else {
 		header = header.EndToEnd()
 	}
-	c.header = slices.DeleteFunc(header, func(f http1.Field) bool { return strings.EqualFold(f.Name, fieldPatience) })
+	c.header = slices.DeleteFunc(header, func(f http1.Field) bool { return strings.EqualFold(f.Name, fieldTimeout) })
 	return c
 }
 
@@ -53,22 +53,22 @@
 
 // exchange is one attempt of a call.
 type exchange struct {
-	call   *call
-	parser http1.ResponseParser
-	chunks bool // the request's body goes in chunks
-	ended  bool // and its last one has been appended
+	call                *call
+	parser              http1.ResponseParser
+	isChunked           bool // the request's body goes in chunks
+	isLastChunkAppended bool // and its last one has been appended
 }
 
-func (x *exchange) AppendRequest(dst []byte, now, until float64) []byte {
+func (x *exchange) AppendRequest(dst []byte, now, deadline float64) []byte {
 	c := x.call
 	dst = http1.AppendFields(http1.AppendFirst(dst, c.method, c.target), c.header)
-	dst = append(appendPatience(append(dst, fieldPatience+": "...), until-now), "\r\n"...)
+	dst = append(appendTimeout(append(dst, fieldTimeout+": "...), deadline-now), "\r\n"...)
 	length := c.body.Length
 	switch {
 	case c.body.IsComplete:
 		length = len(c.body.Buffered)
 	case length < 0:
-		x.chunks = true
+		x.isChunked = true
 		dst = http1.AppendFields(dst, http1.Header{http1.Chunked})
 	}
 	if length == 0 && c.method == "GET" {
@@ -77,14 +77,14 @@
 	return x.AppendBody(http1.AppendHeader(dst, nil, length), sidecar.ChunkBytes)
 }
 
-func (x *exchange) AppendBody(dst []byte, most int) []byte {
-	part := x.call.body.Next(most)
-	if !x.chunks {
-		return append(dst, part...)
+func (x *exchange) AppendBody(dst []byte, maxBytes int) []byte {
+	body := x.call.body.Next(maxBytes)
+	if !x.isChunked {
+		return append(dst, body...)
 	}
-	dst = http1.AppendChunk(dst, part)
-	if b := &x.call.body; b.IsComplete && b.UnsentBytes() == 0 && !x.ended {
-		x.ended = true
+	dst = http1.AppendChunk(dst, body)
+	if b := &x.call.body; b.IsComplete && b.UnsentBytes() == 0 && !x.isLastChunkAppended {
+		x.isLastChunkAppended = true
 		dst = http1.AppendLastChunk(dst)
 	}
 	return dst
@@ -92,7 +92,7 @@
 
 func (x *exchange) IsRequestAppended() bool {
 	b := &x.call.body
-	return b.IsComplete && b.UnsentBytes() == 0 && (!x.chunks || x.ended)
+	return b.IsComplete && b.UnsentBytes() == 0 && (!x.isChunked || x.isLastChunkAppended)
 }
 
 // ExceedsBuffer tells whether more of the answer is to come than is held.
@@ -124,5 +124,5 @@
 	case (p.Status == 503 || p.Status == 504) && p.Header.Get(fieldNotStarted) == "1":
 		outcome = policy.Rejected
 	}
-	return outcome, x.call.front.report(p.Header.Get(fieldLoad)), p.Keep()
+	return outcome, x.call.front.parseReport(p.Header.Get(fieldLoad)), p.Keep()
 }
--- a/internal/frontend/http1/drills.go
+++ b/internal/frontend/http1/drills.go
@@ -16,29 +16,29 @@
 )
 
 // startDrill answers the operators' word to start a drill.
-func (l *clientConn) startDrill(name string) {
-	if l.parser.Method != "POST" {
-		l.decline(405, "a drill is started by POST", http1.Field{Name: "Allow", Value: "POST"})
+func (c *clientConn) startFault(name string) {
+	if c.parser.Method != "POST" {
+		c.reject(405, "a drill is started by POST", http1.Field{Name: "Allow", Value: "POST"})
 		return
 	}
-	secret, err := base64.StdEncoding.DecodeString(l.parser.Header.Get(FaultSecretField))
+	secret, err := base64.StdEncoding.DecodeString(c.parser.Header.Get(FaultSecretField))
 	if err != nil {
 		secret = nil // which is nobody's
 	}
-	d, err := l.Sidecar().StartFault(secret, name)
+	fault, err := c.Sidecar().StartFault(secret, name)
 	if err != nil {
 		status := 404
 		if errors.Is(err, faultinjection.ErrSecret) {
 			status = 403
 		}
-		l.decline(status, err.Error())
+		c.reject(status, err.Error())
 		return
 	}
-	l.respond(200, http1.Header{textPlain}, []byte("drill "+d.Name+" started\n"))
+	c.respond(200, http1.Header{textPlain}, []byte("drill "+fault.Name+" started\n"))
 }
 
 // drillName returns the drill that a path names, if drills can be started.
-func (l *clientConn) drillName(path string) (string, bool) {
+func (c *clientConn) faultName(path string) (string, bool) {
 	name, ok := strings.CutPrefix(path, FaultPath)
-	return name, ok && l.Sidecar().IsFaultInjectionArmed()
+	return name, ok && c.Sidecar().IsFaultInjectionArmed()
 }
--- a/internal/frontend/http1/fields.go
+++ b/internal/frontend/http1/fields.go
@@ -12,7 +12,7 @@
 // Header fields of the deployment.
 const (
 	fieldID         = "Request-Id"
-	fieldPatience   = "Request-Timeout"
+	fieldTimeout    = "Request-Timeout"
 	fieldKey        = "Idempotency-Key"
 	fieldRetry      = "Client-Retry"
 	fieldNotStarted = "Not-Started"
@@ -22,12 +22,12 @@
 )
 
 // report reads a load report.
-func (f *Frontend) report(text string) policy.Report {
+func (f *Frontend) parseReport(text string) policy.Report {
 	return sidecar.ParseLoadReport(f.settings.ReportFields, text)
 }
 
 // tenant returns the place in the settings of a tenant that a client names, or tells the place of.
-func (f *Frontend) tenant(text string) int {
+func (f *Frontend) tenantIndex(text string) int {
 	tenants := f.settings.Policy.Tenants
 	for i := range tenants {
 		if tenants[i].Name == text {
@@ -41,12 +41,12 @@
 }
 
 // appendPatience appends a span as the deployment writes it.
-func appendPatience(dst []byte, s float64) []byte {
+func appendTimeout(dst []byte, s float64) []byte {
 	return append(strconv.AppendInt(dst, max(int64(s*1e6), 0), 10), 'u')
 }
 
 // parsePatience reads a number and a unit, m or u, as seconds.
-func parsePatience(text string) (float64, bool) {
+func parseTimeout(text string) (float64, bool) {
 	if len(text) < 2 {
 		return 0, false
 	}
--- a/internal/frontend/http1/front.go
+++ b/internal/frontend/http1/front.go
@@ -13,18 +13,18 @@
 
 // Front speaks HTTP/1.1 as the settings say.
 type Frontend struct {
-	name     string // of this sidecar
-	listen   string
-	settings sidecarconfig.Settings
-	classes  map[string]int
-	rewrites rewrite.Settings
+	sidecarName string // of this sidecar
+	listen      string
+	settings    sidecarconfig.Settings
+	classes     map[string]int
+	rewrites    rewrite.Settings
 }
 
 var _ sidecar.Frontend = (*Frontend)(nil)
 
 // New returns a front for the classes of a configuration.
 func New(cfg sidecarconfig.Config, rewrites rewrite.Settings) *Frontend {
-	f := &Frontend{name: cfg.Name, listen: cfg.Listen, settings: cfg.Settings, classes: map[string]int{}, rewrites: rewrites}
+	f := &Frontend{sidecarName: cfg.Name, listen: cfg.Listen, settings: cfg.Settings, classes: map[string]int{}, rewrites: rewrites}
 	for i, c := range cfg.Settings.Policy.Classes {
 		f.classes[c.Name] = i
 	}
@@ -51,7 +51,7 @@
 	if f.settings.Policy.ReportsOnProbe {
 		path = "/status/load"
 	}
-	c := &call{front: f, method: "GET", target: path, header: http1.Header{{Name: "Host", Value: f.name}}, body: sidecar.Body{IsComplete: true}}
+	c := &call{front: f, method: "GET", target: path, header: http1.Header{{Name: "Host", Value: f.sidecarName}}, body: sidecar.Body{IsComplete: true}}
 	return &probe{exchange{call: c, parser: http1.NewResponseParser(limits)}}
 }
 
@@ -63,7 +63,7 @@
 		outcome = policy.Rejected
 	}
 	if x.call.front.settings.Policy.ReportsOnProbe && x.parser.Status == 200 {
-		report = x.call.front.report(string(x.parser.Body))
+		report = x.call.front.parseReport(string(x.parser.Body))
 	}
 	return outcome, report, keep
 }
--- a/internal/frontend/http1/quotas.go
+++ b/internal/frontend/http1/quotas.go
@@ -17,31 +17,31 @@
 )
 
 // Field returns a field as the client has sent it, whatever is rewritten later.
-func (l *clientConn) Field(name string) string { return l.parser.Header.Get(name) }
+func (c *clientConn) Field(name string) string { return c.parser.Header.Get(name) }
 
 // RequestBytes counts the request's first line, header and body.
-func (l *clientConn) RequestBytes() int {
-	p := &l.parser
+func (c *clientConn) RequestBytes() int {
+	p := &c.parser
 	return len(p.Method) + len(p.Target) + headerBytes(p.Header) + max(p.Length(), len(p.Body))
 }
 
 // RejectOverQuota refuses with a status of its own.
-func (l *clientConn) RejectOverQuota(group string, retryAfterS float64) {
+func (c *clientConn) RejectOverQuota(group string, retryAfterS float64) {
 	h := http1.Header{textPlain}
-	if l.front.settings.RetryAfter {
+	if c.front.settings.RetryAfter {
 		h = append(h, http1.Field{Name: fieldRetryAfter, Value: strconv.FormatFloat(retryAfterS, 'f', 3, 64)})
 	}
-	l.respond(429, h, []byte("over the quota of "+group+"\n"))
+	c.respond(429, h, []byte("over the quota of "+group+"\n"))
 }
 
 // showQuotas answers operators who ask for the quotas.
-func (l *clientConn) showQuotas(query string) {
-	text, ok := l.Sidecar().QuotaStatus(query)
+func (c *clientConn) respondQuotaStatus(query string) {
+	text, ok := c.Sidecar().QuotaStatus(query)
 	if !ok {
-		l.decline(404, "there are no quotas, or no such group")
+		c.reject(404, "there are no quotas, or no such group")
 		return
 	}
-	l.respond(200, http1.Header{{Name: "Content-Type", Value: "application/json"}}, text)
+	c.respond(200, http1.Header{{Name: "Content-Type", Value: "application/json"}}, text)
 }
 
 // RequestBytes counts the answer's header and body.
--- a/internal/frontend/thrift/call.go
+++ b/internal/frontend/thrift/call.go
@@ -12,15 +12,15 @@
 
 // call is what a client has asked for, in memory of its own: it outlives its link.
 type call struct {
-	front *Frontend
-	m     thrift.Message
+	front   *Frontend
+	message thrift.Message
 }
 
 // newCall takes over a message that lies in a link's buffer.
 func newCall(f *Frontend, m thrift.Message) *call {
 	c := &call{front: f}
 	raw := append([]byte(nil), m.Raw...)
-	c.m = m.Moved(raw)
+	c.message = m.Moved(raw)
 	return c
 }
 
@@ -30,11 +30,11 @@
 
 // exchange is one attempt of a call.
 type exchange struct {
-	call  *call
-	seq   int32
-	begun bool
-	reply thrift.Message // lies in the backend connection's buffer until the next bytes come
-	ended policy.Outcome
+	call     *call
+	sequence int32
+	hasBegun bool
+	reply    thrift.Message // lies in the backend connection's buffer until the next bytes come
+	outcome  policy.Outcome
 }
 
 // What is wrong with a reply that can be read.
@@ -47,14 +47,14 @@
 
 // AppendRequest writes the call as it came, but for the sequence number: what it says of the client's patience goes on unchanged.
 func (x *exchange) AppendRequest(dst []byte, _, _ float64) []byte {
-	x.seq = x.call.front.number()
-	return x.call.m.AppendAs(dst, x.seq)
+	x.sequence = x.call.front.nextSequence()
+	return x.call.message.AppendAs(dst, x.sequence)
 }
 
 // ReadRequest takes a reply that is whole. What makes no sense, or answers another call, says that the server has come to this one.
 func (x *exchange) ReadResponse(buf *buffer.Buffer) (bool, error) {
-	x.begun = x.begun || buf.Len() > 0
-	payload, size, err := thrift.Frame(buf.Bytes(), mostFrame)
+	x.hasBegun = x.hasBegun || buf.Len() > 0
+	payload, size, err := thrift.Frame(buf.Bytes(), maxFrameBytes)
 	if err != nil || size == 0 {
 		return false, err
 	}
@@ -62,16 +62,16 @@
 	if err != nil {
 		return false, err
 	}
-	if err := x.fits(&m); err != nil {
+	if err := x.checkReply(&m); err != nil {
 		return false, err
 	}
-	x.ended = policy.OK
+	x.outcome = policy.OK
 	if m.Kind == thrift.Exception {
 		_, text, err := m.Exception()
 		if err != nil {
 			return false, err
 		}
-		x.ended = x.call.front.refusal(text)
+		x.outcome = x.call.front.exceptionOutcome(text)
 	} else if err := m.Check(); err != nil {
 		return false, err
 	}
@@ -81,22 +81,22 @@
 }
 
 // refusal tells what a TApplicationException means. Only a server's word that it has not begun proves that nothing has run.
-func (f *Frontend) refusal(text []byte) policy.Outcome {
-	if strings.HasPrefix(string(text), f.on.NotStarted) {
+func (f *Frontend) exceptionOutcome(text []byte) policy.Outcome {
+	if strings.HasPrefix(string(text), f.config.NotStarted) {
 		return policy.Rejected
 	}
 	return policy.HostError
 }
 
 // fits tells what keeps a message from being the call's reply. A reply names the method, mostly without the service.
-func (x *exchange) fits(m *thrift.Message) error {
-	own := &x.call.m
+func (x *exchange) checkReply(m *thrift.Message) error {
+	own := &x.call.message
 	switch {
 	case m.Kind != thrift.Reply && m.Kind != thrift.Exception:
 		return errNoReply
-	case m.Seq != x.seq:
+	case m.Seq != x.sequence:
 		return errSequence
-	case !bytes.Equal(m.Name, own.Name) && !bytes.Equal(m.Name, bare(own.Name)):
+	case !bytes.Equal(m.Name, own.Name) && !bytes.Equal(m.Name, methodName(own.Name)):
 		return errName
 	case (m.Encoding == thrift.Compact) != (own.Encoding == thrift.Compact):
 		return errEncoding
@@ -105,15 +105,15 @@
 }
 
 // bare returns a method's name without its service's.
-func bare(name []byte) []byte { return name[bytes.IndexByte(name, ':')+1:] }
+func methodName(name []byte) []byte { return name[bytes.IndexByte(name, ':')+1:] }
 
 // A call is appended whole, and never handed on before it is.
 func (x *exchange) AppendBody(dst []byte, _ int) []byte { return dst }
 func (x *exchange) IsRequestAppended() bool             { return true }
 
-func (x *exchange) HasResponseBegun() bool { return x.begun }
+func (x *exchange) HasResponseBegun() bool { return x.hasBegun }
 func (x *exchange) HandleEOF() bool        { return false }
-func (x *exchange) IsOneWay() bool         { return x.call.m.Kind == thrift.Oneway }
+func (x *exchange) IsOneWay() bool         { return x.call.message.Kind == thrift.Oneway }
 
 // ResponseBytes counts the reply, as quotas do.
 func (x *exchange) ResponseBytes() int { return len(x.reply.Raw) }
@@ -123,7 +123,7 @@
 
 // Result says that a reply is the method's own answer, a declared exception as well.
 func (x *exchange) Result() (policy.Outcome, policy.Report, bool) {
-	return x.ended, policy.Report{}, true
+	return x.outcome, policy.Report{}, true
 }
 
 // probe calls the method that is to be called, and asks for nothing but a reply.
@@ -131,16 +131,16 @@
 
 // NewProbe calls a method without arguments in the strict binary protocol, which every server knows.
 func (f *Frontend) NewProbe() sidecar.Exchange {
-	if f.on.Probe == "" {
+	if f.config.Probe == "" {
 		return nil
 	}
 	var w thrift.Writer
-	w.Begin(nil, thrift.Binary, thrift.Call, f.on.Probe, 0)
+	w.Begin(nil, thrift.Binary, thrift.Call, f.config.Probe, 0)
 	m, err := thrift.Read(w.End()[4:])
 	if err != nil {
 		panic(err) // it is ours
 	}
-	return &probe{exchange{call: &call{front: f, m: m}}}
+	return &probe{exchange{call: &call{front: f, message: m}}}
 }
 
 var resultPaths = []thrift.Path{{0}}
--- a/internal/frontend/thrift/front.go
+++ b/internal/frontend/thrift/front.go
@@ -15,39 +15,39 @@
 )
 
 // mostFrame bounds a message, as an HTTP one's body.
-const mostFrame = sidecar.MaxBodyBytes
+const maxFrameBytes = sidecar.MaxBodyBytes
 
 // Front speaks Thrift as the operators' file says.
 type Frontend struct {
-	name     string // of this sidecar
-	settings sidecarconfig.Settings
-	on       featureconfig.Thrift
-	methods  map[string]*class
-	sequence int32  // of the last attempt
-	made     uint64 // ids for calls that bring none
+	sidecarName  string // of this sidecar
+	settings     sidecarconfig.Settings
+	config       featureconfig.Thrift
+	methods      map[string]*class
+	lastSequence int32  // of the last attempt
+	generatedIDs uint64 // ids for calls that bring none
 }
 
 // class is what the calls of one class have in common.
 type class struct {
 	featureconfig.ThriftClass
 	policy.Class
-	number int
-	paths  []thrift.Path // of id, key, patience and the mark of a retry
+	index int
+	paths []thrift.Path // of id, key, patience and the mark of a retry
 }
 
 var _ sidecar.Frontend = (*Frontend)(nil)
 
 // New returns a front for the classes of a configuration.
-func New(cfg sidecarconfig.Config, on featureconfig.Thrift) *Frontend {
-	f := &Frontend{name: cfg.Name, settings: cfg.Settings, on: on, methods: map[string]*class{}}
-	for _, t := range on.Classes {
+func New(cfg sidecarconfig.Config, config featureconfig.Thrift) *Frontend {
+	f := &Frontend{sidecarName: cfg.Name, settings: cfg.Settings, config: config, methods: map[string]*class{}}
+	for _, t := range config.Classes {
 		for i, c := range cfg.Settings.Policy.Classes {
 			if c.Name != t.Class {
 				continue
 			}
-			k := &class{ThriftClass: t, Class: c, number: i, paths: []thrift.Path{t.ID, t.Key, t.Patience, t.Retry}}
+			served := &class{ThriftClass: t, Class: c, index: i, paths: []thrift.Path{t.ID, t.Key, t.Patience, t.Retry}}
 			for _, name := range t.Methods {
-				f.methods[name] = k
+				f.methods[name] = served
 			}
 		}
 	}
@@ -55,15 +55,15 @@
 }
 
 // ListenAddress returns where clients come.
-func (f *Frontend) ListenAddress() string { return f.on.Listen }
+func (f *Frontend) ListenAddress() string { return f.config.Listen }
 
 // BackendAddress returns where a listed server speaks Thrift.
 func (f *Frontend) BackendAddress(listed string) string {
-	if f.on.Port == 0 {
+	if f.config.Port == 0 {
 		return listed
 	}
 	if host, _, err := net.SplitHostPort(listed); err == nil {
-		return net.JoinHostPort(host, strconv.Itoa(f.on.Port))
+		return net.JoinHostPort(host, strconv.Itoa(f.config.Port))
 	}
 	return listed
 }
@@ -72,14 +72,14 @@
 func (f *Frontend) NewClient() sidecar.ClientCodec { return &clientConn{front: f} }
 
 // id returns one of the sidecar's own for a call that brings none. It is for logs and captures alone.
-func (f *Frontend) id() string {
-	f.made++
-	return fmt.Sprintf("%s-thrift-%d", f.name, f.made)
+func (f *Frontend) generateID() string {
+	f.generatedIDs++
+	return fmt.Sprintf("%s-thrift-%d", f.sidecarName, f.generatedIDs)
 }
 
 // number returns the next attempt's sequence number. Danger: a backend connection carries one call at a time, but what comes late
 // of an earlier one must not be taken for this one's.
-func (f *Frontend) number() int32 {
-	f.sequence++
-	return f.sequence
+func (f *Frontend) nextSequence() int32 {
+	f.lastSequence++
+	return f.lastSequence
 }
--- a/internal/frontend/thrift/link.go
+++ b/internal/frontend/thrift/link.go
@@ -15,17 +15,17 @@
 // their order, one at a time, as a server of the Apache libraries does.
 type clientConn struct {
 	sidecar.ClientConn
-	front *Frontend
-	m     thrift.Message // the one that was read last, or is out
+	front   *Frontend
+	message thrift.Message // the one that was read last, or is out
 }
 
 // ReadRequest takes one message off the buffer. It lies there until Take, which comes before any more bytes.
-func (l *clientConn) ReadRequest(buf *buffer.Buffer) (bool, error) {
-	payload, size, err := thrift.Frame(buf.Bytes(), mostFrame)
+func (c *clientConn) ReadRequest(buf *buffer.Buffer) (bool, error) {
+	payload, size, err := thrift.Frame(buf.Bytes(), maxFrameBytes)
 	if err != nil || size == 0 {
 		return false, err
 	}
-	if l.m, err = thrift.Read(payload); err != nil {
+	if c.message, err = thrift.Read(payload); err != nil {
 		return false, err
 	}
 	buf.Discard(size)
@@ -33,80 +33,80 @@
 }
 
 // ReadBody is never called: a message is handed on whole.
-func (l *clientConn) ReadBody(*buffer.Buffer) error { return nil }
+func (c *clientConn) ReadBody(*buffer.Buffer) error { return nil }
 
 // Partial holds nothing: a message stays in the buffer until it is whole.
-func (l *clientConn) PartialRequest() (held int, begun bool) { return 0, false }
+func (c *clientConn) PartialRequest() (held int, begun bool) { return 0, false }
 
 // RejectMalformed closes a link without a word: what can't be read has no sequence number to answer to.
-func (l *clientConn) RejectMalformed(err error) {
+func (c *clientConn) RejectMalformed(err error) {
 	if errors.Is(err, sidecar.ErrRequestTimeout) {
-		l.CloseUnanswered("connections are closed whose calls do not arrive")
+		c.CloseUnanswered("connections are closed whose calls do not arrive")
 		return
 	}
-	l.CloseUnanswered("connections at the Thrift port are closed that speak no framed Thrift: " + err.Error())
+	c.CloseUnanswered("connections at the Thrift port are closed that speak no framed Thrift: " + err.Error())
 }
 
 // HandleRequest hands a call on, or answers it.
-func (l *clientConn) HandleRequest() {
-	m := &l.m
-	l.SetKeepAlive(true)
+func (c *clientConn) HandleRequest() {
+	m := &c.message
+	c.SetKeepAlive(true)
 	if m.Kind != thrift.Call && m.Kind != thrift.Oneway {
-		l.spoilt(thrift.InvalidKind, "a message that is no call")
+		c.rejectAndClose(thrift.InvalidKind, "a message that is no call")
 		return
 	}
-	class := l.front.methods[string(m.Name)]
+	class := c.front.methods[string(m.Name)]
 	var paths []thrift.Path
 	if class != nil {
 		paths = class.paths
 	}
 	var found [thrift.MostPaths]thrift.Value
 	if err := m.Find(paths, &found); err != nil {
-		l.spoilt(thrift.ProtocolError, err.Error())
+		c.rejectAndClose(thrift.ProtocolError, err.Error())
 		return
 	}
 	if class == nil {
-		l.decline(thrift.UnknownMethod, "no method that is known here")
+		c.reject(thrift.UnknownMethod, "no method that is known here")
 		return
 	}
-	l.ask(class, found[0], found[1], found[2], found[3].Int != 0)
+	c.submit(class, found[0], found[1], found[2], found[3].Int != 0)
 }
 
 // ask hands a call of a class on, with what was found in it.
-func (l *clientConn) ask(c *class, id, key, patience thrift.Value, again bool) {
-	a := sidecar.IncomingRequest{Class: c.number, Tenant: sidecar.UnknownTenant, TimeoutSeconds: c.TotalTimeoutSeconds, HeldBytes: len(l.m.Raw), IsRetry: again, IsOneWay: l.m.Kind == thrift.Oneway}
-	if patience.Type != thrift.Stop {
+func (c *clientConn) submit(class *class, id, key, timeout thrift.Value, isRetry bool) {
+	in := sidecar.IncomingRequest{Class: class.index, Tenant: sidecar.UnknownTenant, TimeoutSeconds: class.TotalTimeoutSeconds, HeldBytes: len(c.message.Raw), IsRetry: isRetry, IsOneWay: c.message.Kind == thrift.Oneway}
+	if timeout.Type != thrift.Stop {
 		var ok bool
-		if a.TimeoutSeconds, ok = seconds(patience, c.UnitS); !ok {
-			l.decline(thrift.ProtocolError, "a patience that is no number from 0")
+		if in.TimeoutSeconds, ok = parseSeconds(timeout, class.UnitS); !ok {
+			c.reject(thrift.ProtocolError, "a patience that is no number from 0")
 			return
 		}
 	}
-	if len(id.Bytes) > mostID {
-		l.decline(thrift.ProtocolError, "an id of more than 256 bytes")
+	if len(id.Bytes) > maxIDBytes {
+		c.reject(thrift.ProtocolError, "an id of more than 256 bytes")
 		return
 	}
-	if a.ID = name(id); a.ID == "" {
-		a.ID = l.front.id()
+	if in.ID = idText(id); in.ID == "" {
+		in.ID = c.front.generateID()
 	}
-	if l.Sidecar().IsRequestOpen(a.ID) {
-		l.decline(thrift.InternalError, "its id is that of an open call")
+	if c.Sidecar().IsRequestOpen(in.ID) {
+		c.reject(thrift.InternalError, "its id is that of an open call")
 		return
 	}
 	// Without a key nothing drops a repeat, whatever the class says.
-	a.AtMostOnce = c.Effect == policy.Keyed && len(key.Bytes) == 0 && key.Int == 0
-	if l.Admit(c.number) {
-		call := newCall(l.front, l.m)
-		l.m, a.Call = call.m, call
-		l.Submit(a)
+	in.AtMostOnce = class.Effect == policy.Keyed && len(key.Bytes) == 0 && key.Int == 0
+	if c.Admit(class.index) {
+		call := newCall(c.front, c.message)
+		c.message, in.Call = call.message, call
+		c.Submit(in)
 	}
 }
 
 // mostID bounds an id. Danger: the capture and the log hold it many times over.
-const mostID = 256
+const maxIDBytes = 256
 
 // name returns an id as text that a line of a log can hold; "": there is none.
-func name(id thrift.Value) string {
+func idText(id thrift.Value) string {
 	for _, b := range id.Bytes {
 		if b <= ' ' || b >= 0x7f {
 			return hex.EncodeToString(id.Bytes)
@@ -119,7 +119,7 @@
 }
 
 // seconds reads a span of time in a unit.
-func seconds(v thrift.Value, unitS float64) (float64, bool) {
+func parseSeconds(v thrift.Value, unitS float64) (float64, bool) {
 	n := float64(v.Int)
 	switch v.Type {
 	case thrift.Double:
@@ -132,65 +132,65 @@
 }
 
 // decline answers a call that is none to decide on. Such a call has not run.
-func (l *clientConn) decline(kind int32, why string) {
-	l.CountMalformed()
-	l.exception(kind, why)
+func (c *clientConn) reject(kind int32, reason string) {
+	c.CountMalformed()
+	c.respondException(kind, reason)
 }
 
 // spoilt ends a link with a message that makes no sense.
-func (l *clientConn) spoilt(kind int32, why string) {
-	l.SetKeepAlive(false)
-	l.decline(kind, why)
+func (c *clientConn) rejectAndClose(kind int32, reason string) {
+	c.SetKeepAlive(false)
+	c.reject(kind, reason)
 }
 
 // ForwardResponse passes on a server's answer.
-func (l *clientConn) ForwardResponse(x sidecar.Exchange) {
-	l.MarkServed()
-	dst, _, there := l.BeginResponse(false)
-	if !there {
+func (c *clientConn) ForwardResponse(x sidecar.Exchange) {
+	c.MarkServed()
+	dst, _, connected := c.BeginResponse(false)
+	if !connected {
 		return
 	}
-	if l.m.Kind != thrift.Oneway {
-		dst = x.(*exchange).reply.AppendAs(dst, l.m.Seq)
+	if c.message.Kind != thrift.Oneway {
+		dst = x.(*exchange).reply.AppendAs(dst, c.message.Seq)
 	}
-	l.EndResponse(dst)
+	c.EndResponse(dst)
 }
 
 // What a client is told of calls without an answer; programs tell them apart by the exception's type, and people by its text.
 const (
-	throttled = "throttled; retry-after="
-	failed    = "failed; it may have run"
-	late      = "no answer in time; it may have run"
+	throttledText = "throttled; retry-after="
+	failedText    = "failed; it may have run"
+	lateText      = "no answer in time; it may have run"
 )
 
 // Throttle refuses, and says when to come again in seconds.
-func (l *clientConn) Throttle(retryAfterS float64) {
-	text := throttled
-	if l.front.settings.RetryAfter {
+func (c *clientConn) Throttle(retryAfterS float64) {
+	text := throttledText
+	if c.front.settings.RetryAfter {
 		text += strconv.FormatFloat(max(retryAfterS, 0), 'f', 3, 64)
 	} else {
 		text = text[:len("throttled")]
 	}
-	l.exception(thrift.LoadShedding, text)
+	c.respondException(thrift.LoadShedding, text)
 }
 
 // Fail says that there is no answer.
-func (l *clientConn) Fail(isLate bool) {
+func (c *clientConn) Fail(isLate bool) {
 	if isLate {
-		l.exception(thrift.TimedOutException, late)
+		c.respondException(thrift.TimedOutException, lateText)
 		return
 	}
-	l.exception(thrift.InternalError, failed)
+	c.respondException(thrift.InternalError, failedText)
 }
 
 // exception answers with a TApplicationException, or with nothing where nobody waits for an answer.
-func (l *clientConn) exception(kind int32, text string) {
-	dst, _, there := l.BeginResponse(false)
-	if !there {
+func (c *clientConn) respondException(kind int32, text string) {
+	dst, _, connected := c.BeginResponse(false)
+	if !connected {
 		return
 	}
-	if l.m.Kind != thrift.Oneway {
-		dst = thrift.AppendException(dst, l.m.Encoding, string(bare(l.m.Name)), l.m.Seq, kind, text)
+	if c.message.Kind != thrift.Oneway {
+		dst = thrift.AppendException(dst, c.message.Encoding, string(methodName(c.message.Name)), c.message.Seq, kind, text)
 	}
-	l.EndResponse(dst)
+	c.EndResponse(dst)
 }
