--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -31,108 +31,108 @@
 const (
 	// memoryShare is the part of the memory limit that the garbage collector aims to stay under; the rest
 	// is for what it does not count.
-	memoryShare = 0.75
+	memoryFraction = 0.75
 	// garbagePercent is how much garbage there may be beside what lives, in percent of that. Danger: a sidecar's own state
 	// is a few MB, and at the usual 100 the one core collects thirty times a second. The memory limit goes before it.
-	garbagePercent = 400
+	gcPercent = 400
 	// dumpWithin is how long a dump may go on once the event loop has gone.
-	dumpWithin = 2 * time.Second
+	dumpTimeout = 2 * time.Second
 )
 
 // Process is a sidecar with the loop that calls it.
 type Process struct {
 	*sidecar.Sidecar
-	loop   *sockets.EventLoop
-	host   netio.Handler      // what the loop calls: the sidecar, or the sidecar and its fleet
-	fleet  *coordination.Node // nil: it knows no other sidecar
-	folder *statefile.Store   // of the fleet; nil: nothing is kept
-	door   *admin.Server      // nil: there is none
+	loop       *sockets.EventLoop
+	handler    netio.Handler      // what the loop calls: the sidecar, or the sidecar and its fleet
+	fleet      *coordination.Node // nil: it knows no other sidecar
+	stateFiles *statefile.Store   // of the fleet; nil: nothing is kept
+	admin      *admin.Server      // nil: there is none
 
-	askFirst func() // comes before there are clients; nil: nothing is asked
-	passed   int
-	store    *hotrestart.Store // nil: there is no successor to think of
+	queryFleet   func() // comes before there are clients; nil: nothing is asked
+	passedSocket int
+	restartStore *hotrestart.Store // nil: there is no successor to think of
 
-	neighbours int // processes that lived here at the start
-	log        *slog.Logger
-	dumping    sync.Mutex    // held while a dump of the capture is written
-	over       chan struct{} // closed once the event loop has gone
+	otherProcesses int // processes that lived here at the start
+	log            *slog.Logger
+	dumpLock       sync.Mutex    // held while a dump of the capture is written
+	stopped        chan struct{} // closed once the event loop has gone
 }
 
 // New returns a process that does not serve yet.
-func New(cfg sidecarconfig.Config, on featureconfig.Features, log *slog.Logger) (*Process, error) {
-	http := cfg
-	if on.Thrift.Only {
-		http.Settings.Policy.Classes = nil // what concerns the sidecar itself is all that is left
+func New(cfg sidecarconfig.Config, features featureconfig.Features, log *slog.Logger) (*Process, error) {
+	httpConfig := cfg
+	if features.Thrift.Only {
+		httpConfig.Settings.Policy.Classes = nil // what concerns the sidecar itself is all that is left
 	}
-	fronts, listen := []sidecar.Frontend{http1.New(http, on.Rewrites)}, []string{cfg.Listen}
-	if on.Thrift.On() {
-		fronts, listen = append(fronts, thrift.New(cfg, on.Thrift)), append(listen, on.Thrift.Listen)
+	fronts, listen := []sidecar.Frontend{http1.New(httpConfig, features.Rewrites)}, []string{cfg.Listen}
+	if features.Thrift.On() {
+		fronts, listen = append(fronts, thrift.New(cfg, features.Thrift)), append(listen, features.Thrift.Listen)
 	}
 	loop := sockets.New(log, listen...)
-	p := &Process{loop: loop, log: log, passed: cfg.Passed, over: make(chan struct{})}
-	var own netio.EventLoop = loop
+	p := &Process{loop: loop, log: log, passedSocket: cfg.Passed, stopped: make(chan struct{})}
+	var coreNet netio.EventLoop = loop
 	var shared *multiplex.SharedLoop
-	if on.Fleet.On() {
+	if features.Fleet.On() {
 		shared = multiplex.New(loop)
-		own = shared.Core()
+		coreNet = shared.Core()
 	}
-	s, err := sidecar.New(cfg, on, fronts, own, log)
+	s, err := sidecar.New(cfg, features, fronts, coreNet, log)
 	if err != nil {
 		return nil, err
 	}
-	s.OnLimitsChange = obey
-	p.Sidecar, p.host = s, s
+	s.OnLimitsChange = applyLimits
+	p.Sidecar, p.handler = s, s
 	if cfg.Ops != "" {
-		p.door = admin.New(cfg.Ops, s, loop.Now)
+		p.admin = admin.New(cfg.Ops, s, loop.Now)
 	}
 	if shared != nil {
-		return p, p.join(cfg, on.Fleet, shared)
+		return p, p.seeds(cfg, features.Fleet, shared)
 	}
 	return p, nil
 }
 
 // obey gives the runtime what the limits say.
-func obey(l sidecarconfig.Limits) {
+func applyLimits(l sidecarconfig.Limits) {
 	runtime.GOMAXPROCS(int(math.Ceil(l.Cores)))
-	debug.SetMemoryLimit(int64(memoryShare * float64(l.MemoryMB) * (1 << 20)))
-	debug.SetGCPercent(garbagePercent)
+	debug.SetMemoryLimit(int64(memoryFraction * float64(l.MemoryMB) * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
 }
 
 // Run serves until the process is told to end and all that was taken is answered. Each hangup has load called,
 // beside the event loop, for a new configuration; each signal in dumps has the capture written to standard error.
-func (p *Process) Run(hangups, dumps <-chan os.Signal, load func() (sidecarconfig.Config, error)) error {
-	defer p.end()
-	if p.passed > 0 {
-		if err := p.succeed(); err != nil {
+func (p *Process) Run(reloads, dumps <-chan os.Signal, load func() (sidecarconfig.Config, error)) error {
+	defer p.closeAfterLoop()
+	if p.passedSocket > 0 {
+		if err := p.startFromPredecessor(); err != nil {
 			return err
 		}
-		defer p.store.Close()
+		defer p.restartStore.Close()
 	}
 	if err := p.ListenHealth(); err != nil {
-		if p.neighbours == 0 {
+		if p.otherProcesses == 0 {
 			return err
 		}
-		go p.listenSideLater()
+		go p.retryListenHealth()
 	}
-	if p.door != nil {
-		if err := p.door.Listen(); err != nil {
+	if p.admin != nil {
+		if err := p.admin.Listen(); err != nil {
 			return err
 		}
-		defer p.door.Close()
+		defer p.admin.Close()
 	}
-	if p.folder != nil {
-		defer p.folder.Close()
-		p.remember()
+	if p.stateFiles != nil {
+		defer p.stateFiles.Close()
+		p.loadFleetState()
 	}
-	if p.askFirst != nil {
-		p.askFirst()
+	if p.queryFleet != nil {
+		p.queryFleet()
 	}
-	ends := make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
+	shutdowns := make(chan os.Signal, 1)
+	signal.Notify(shutdowns, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
-		<-ends
-		if p.store != nil {
-			if _, successor := p.store.OtherProcesses(); successor {
+		<-shutdowns
+		if p.restartStore != nil {
+			if _, isReplaced := p.restartStore.OtherProcesses(); isReplaced {
 				p.Do(p.MarkReplaced)
 			}
 		}
@@ -140,32 +140,32 @@
 		if p.fleet != nil {
 			p.Do(p.fleet.CheckShutdown)
 		}
-		<-ends // a second one does not wait
+		<-shutdowns // a second one does not wait
 		os.Exit(1)
 	}()
-	go p.heedHangups(hangups, load)
-	go p.heedDumps(dumps)
-	return p.loop.Run(p.host)
+	go p.reloadOnSignal(reloads, load)
+	go p.dumpOnSignal(dumps)
+	return p.loop.Run(p.handler)
 }
 
 // heedHangups reads the configuration again at each SIGHUP. Those that come while it is being read count as one
 // more: the file is read again after the last of them.
-func (p *Process) heedHangups(hangups <-chan os.Signal, load func() (sidecarconfig.Config, error)) {
-	for range hangups {
+func (p *Process) reloadOnSignal(reloads <-chan os.Signal, load func() (sidecarconfig.Config, error)) {
+	for range reloads {
 		cfg, err := load()
-		tree, fault := p.ReadQuotaTree()
+		tree, quotaErr := p.ReadQuotaTree()
 		p.Do(func() {
 			p.Reload(cfg, err)
-			p.ApplyQuotaTree(tree, fault)
+			p.ApplyQuotaTree(tree, quotaErr)
 		})
 	}
 }
 
 // heedDumps writes the capture to standard error at each signal, one dump at a time. Danger: whoever reads that may be
 // slow; so the loop makes a copy and goes on.
-func (p *Process) heedDumps(dumps <-chan os.Signal) {
+func (p *Process) dumpOnSignal(dumps <-chan os.Signal) {
 	for range dumps {
-		p.dumping.Lock()
+		p.dumpLock.Lock()
 		text := make(chan []byte, 1)
 		p.Do(func() { text <- p.DumpCapture() })
 		select {
@@ -173,24 +173,24 @@
 			if err := capture.WriteDump(os.Stderr, dump); err != nil {
 				p.log.Error("capture can't be written", "error", err)
 			}
-		case <-p.over: // the event loop has gone
+		case <-p.stopped: // the event loop has gone
 		}
-		p.dumping.Unlock()
+		p.dumpLock.Unlock()
 	}
 }
 
 // end ends the capture once the event loop has gone: what is being written is written to its end, unless nobody
 // reads it.
-func (p *Process) end() {
-	close(p.over)
+func (p *Process) closeAfterLoop() {
+	close(p.stopped)
 	p.Sidecar.Close()
 	idle := make(chan struct{})
 	go func() {
-		p.dumping.Lock()
+		p.dumpLock.Lock()
 		close(idle)
 	}()
 	select {
 	case <-idle:
-	case <-time.After(dumpWithin):
+	case <-time.After(dumpTimeout):
 	}
 }
--- a/internal/process/succeed.go
+++ b/internal/process/succeed.go
@@ -14,75 +14,75 @@
 
 const (
 	// stateFolder is where a process leaves what its successor needs, in the folder for temporary files.
-	stateFolder = "hazelwheel"
+	stateDirName = "hazelwheel"
 	// lookEvery is the time between two looks at what operators have said to a neighbour; at each tenth, at who lives.
-	lookEvery = 50 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 )
 
 // succeed takes the passed socket and what an earlier process has left. What can't be taken means a plain start.
-func (p *Process) succeed() (err error) {
-	if err := p.loop.Inherit(p.passed); err != nil {
+func (p *Process) startFromPredecessor() (err error) {
+	if err := p.loop.Inherit(p.passedSocket); err != nil {
 		return fmt.Errorf("%s: %w", sidecarconfig.EnvPassed, err)
 	}
-	p.store, err = hotrestart.Open(filepath.Join(os.TempDir(), stateFolder), func(err error) {
+	p.restartStore, err = hotrestart.Open(filepath.Join(os.TempDir(), stateDirName), func(err error) {
 		p.log.Error("nothing is kept for a successor", "error", err)
 	})
 	if err != nil {
 		return err
 	}
-	switch st, err := p.store.Load(); {
+	switch state, err := p.restartStore.Load(); {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
 		p.log.Warn("a plain start", "error", err)
 	default:
-		if err := p.RestoreState(st); err != nil {
+		if err := p.RestoreState(state); err != nil {
 			p.log.Warn("a plain start", "error", err)
 		} else {
-			p.log.Info("going on from another process's state", "age_s", p.loop.Now()-st.UnixSeconds)
+			p.log.Info("going on from another process's state", "age_s", p.loop.Now()-state.UnixSeconds)
 		}
 	}
-	p.SetStateStore(p.store)
-	n, _ := p.store.OtherProcesses()
-	p.neighbours = n
+	p.SetStateStore(p.restartStore)
+	others, _ := p.restartStore.OtherProcesses()
+	p.otherProcesses = others
 	p.Do(func() {
-		p.ShareLimits(n)
-		if err := p.store.MarkServing(); err != nil {
+		p.ShareLimits(others)
+		if err := p.restartStore.MarkServing(); err != nil {
 			p.log.Error("the process that is replaced can't be told", "error", err)
 		}
 	})
-	go p.lookAround(n)
+	go p.watchOtherProcesses(others)
 	return nil
 }
 
 // listenSideLater opens the side port once the process that is replaced has left it.
-func (p *Process) listenSideLater() {
+func (p *Process) retryListenHealth() {
 	for p.ListenHealth() != nil {
 		select {
-		case <-p.over:
+		case <-p.stopped:
 			return
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
 // lookAround tells the loop of its neighbours, and of what operators have said to them.
-func (p *Process) lookAround(neighbours int) {
-	said := p.store.OperatorStamp()
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+func (p *Process) watchOtherProcesses(others int) {
+	stamp := p.restartStore.OperatorStamp()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for i := 0; ; i++ {
 		select {
-		case <-p.over:
+		case <-p.stopped:
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
-		if now := p.store.OperatorStamp(); now != said {
-			said = now
+		if now := p.restartStore.OperatorStamp(); now != stamp {
+			stamp = now
 			p.Do(p.ReconcileOperatorState)
 		}
 		if i%10 == 0 {
-			if n, _ := p.store.OtherProcesses(); n != neighbours {
-				neighbours = n
+			if n, _ := p.restartStore.OtherProcesses(); n != others {
+				others = n
 				p.Do(func() { p.ShareLimits(n) })
 			}
 		}
