--- a/internal/frontend/http1/link.go
+++ b/internal/frontend/http1/clientconn.go
@@ -2,13 +2,11 @@
 
 import (
 	"errors"
-	"strconv"
 	"strings"
 
 	"hazelwheel/internal/buffer"
 	"hazelwheel/internal/http1"
 	"hazelwheel/internal/sidecar"
-	"hazelwheel/policy"
 )
 
 // clientConn is a client connection that speaks HTTP/1.1.
@@ -134,113 +132,4 @@
 	}
 }
 
-// take checks a request of a class and hands it to the decisions.
-func (c *clientConn) submit(class int) {
-	p, settings := &c.parser, &c.front.settings.Policy.Classes[class]
-	method := "POST"
-	if settings.Effect == policy.Safe {
-		method = "GET"
-	}
-	id := p.Header.Get(fieldID)
-	timeoutSeconds, ok := settings.TotalTimeoutSeconds, true
-	if text := p.Header.Get(fieldTimeout); text != "" {
-		timeoutSeconds, ok = parseTimeout(text)
-	}
-	switch {
-	case p.Method != method:
-		c.rejectInvalid(class, 405, "class "+settings.Name+" takes "+method, http1.Field{Name: "Allow", Value: method})
-	case id == "":
-		c.rejectInvalid(class, 400, fieldID+" is missing")
-	case p.Header.Twice(fieldID), p.Header.Twice(fieldKey):
-		c.rejectInvalid(class, 400, fieldID+" or "+fieldKey+" comes twice: which one counts is a guess")
-	case c.Sidecar().IsRequestOpen(id):
-		c.rejectInvalid(class, 409, fieldID+" is that of an open request")
-	case settings.Effect == policy.Keyed && p.Header.Get(fieldKey) == "":
-		c.rejectInvalid(class, 400, fieldKey+" is missing")
-	case !ok:
-		c.rejectInvalid(class, 400, fieldTimeout+" is not a number with m or u")
-	case c.Admit(class):
-		call := newCall(c.front, p, settings.Name, c.RemoteAddr())
-		in := sidecar.IncomingRequest{ID: id, Class: class, Tenant: c.front.tenantIndex(p.Header.Get(fieldTenant)), TimeoutSeconds: timeoutSeconds, IsRetry: p.Header.Get(fieldRetry) == "1", HeldBytes: len(p.Body), Call: call}
-		if !p.Whole() {
-			c.uploading, in.Body = call, &call.body
-			p.Body = nil // the call's from now on
-		}
-		c.Submit(in)
-	}
-}
-
-// ForwardResponse passes on a server's answer.
-func (c *clientConn) ForwardResponse(x sidecar.Exchange) {
-	h := x.(*exchange)
-	c.MarkServed()
-	c.respond(h.parser.Status, h.header(), h.parser.Body)
-}
-
 var _ sidecar.StreamResponder = (*clientConn)(nil)
-
-// ForwardHead passes on the begin of an answer whose end has not come.
-func (c *clientConn) ForwardHead(x sidecar.Exchange) {
-	p, h := &x.(*exchange).parser, x.(*exchange).header()
-	c.MarkServed()
-	length := p.Length()
-	c.isChunked = length < 0 && c.minorVersion > 0
-	if c.isChunked {
-		h = append(h[:len(h):len(h)], http1.Chunked)
-	}
-	dst, last, connected := c.BeginStream(length < 0 && !c.isChunked)
-	if !connected {
-		return
-	}
-	if last {
-		h = append(h[:len(h):len(h)], http1.Field{Name: "Connection", Value: "close"})
-	}
-	c.WriteStream(c.appendBody(http1.AppendResponseHead(dst, p.Status, h, length), p.TakeBody()))
-}
-
-// ForwardBody passes on what has come since.
-func (c *clientConn) ForwardBody(x sidecar.Exchange, last bool) {
-	dst := c.appendBody(c.ScratchBuffer(), x.(*exchange).parser.TakeBody())
-	if last && c.isChunked {
-		dst = http1.AppendLastChunk(dst)
-	}
-	c.WriteStream(dst)
-}
-
-func (c *clientConn) appendBody(dst, body []byte) []byte {
-	if c.isChunked {
-		return http1.AppendChunk(dst, body)
-	}
-	return append(dst, body...)
-}
-
-// Throttle refuses.
-func (c *clientConn) Throttle(retryAfterS float64) {
-	h := http1.Header{textPlain}
-	if c.front.settings.RetryAfter {
-		after := strconv.FormatFloat(max(retryAfterS, 0), 'f', 3, 64)
-		h = append(h, http1.Field{Name: fieldRetryAfter, Value: after})
-	}
-	c.respond(503, h, []byte("throttled\n"))
-}
-
-// Fail says that there is no answer.
-func (c *clientConn) Fail(late bool) {
-	if late {
-		c.respond(504, http1.Header{textPlain}, []byte("no answer in time\n"))
-		return
-	}
-	c.respond(502, http1.Header{textPlain}, []byte("no answer\n"))
-}
-
-// respond answers, and tells the client where the answer is the last.
-func (c *clientConn) respond(status int, h http1.Header, body []byte) {
-	dst, last, connected := c.BeginResponse(true)
-	if !connected {
-		return
-	}
-	if last {
-		h = append(h[:len(h):len(h)], http1.Field{Name: "Connection", Value: "close"})
-	}
-	c.EndResponse(http1.AppendResponse(dst, status, h, body))
-}
--- /dev/null
+++ b/internal/frontend/thrift/probe.go
@@ -0,0 +1,41 @@
+package thrift
+
+import (
+	"hazelwheel/internal/sidecar"
+	"hazelwheel/internal/thrift"
+	"hazelwheel/policy"
+)
+
+// probe calls the method that is to be called, and asks for nothing but a reply.
+type probe struct{ exchange }
+
+// NewProbe calls a method without arguments in the strict binary protocol, which every server knows.
+func (f *Frontend) NewProbe() sidecar.Exchange {
+	if f.config.Probe == "" {
+		return nil
+	}
+	var w thrift.Writer
+	w.Begin(nil, thrift.Binary, thrift.Call, f.config.Probe, 0)
+	m, err := thrift.Read(w.End()[4:])
+	if err != nil {
+		panic(err) // it is ours
+	}
+	return &probe{exchange{call: &call{front: f, message: m}}}
+}
+
+var resultPaths = []thrift.Path{{0}}
+
+// Result reads the load report from the result, where the deployment has one there. A server that does not know the method
+// lives all the same.
+func (x *probe) Result() (policy.Outcome, policy.Report, bool) {
+	outcome, report, keep := x.exchange.Result()
+	var found [thrift.MostPaths]thrift.Value
+	if x.reply.Kind == thrift.Exception {
+		if kind, _, err := x.reply.Exception(); err == nil && kind == thrift.UnknownMethod {
+			outcome = policy.OK
+		}
+	} else if f := x.call.front; f.settings.Policy.ReportsOnProbe && x.reply.Find(resultPaths, &found) == nil {
+		report = sidecar.ParseLoadReport(f.settings.ReportFields, string(found[0].Bytes))
+	}
+	return outcome, report, keep
+}
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -52,13 +52,6 @@
 	s.closeIdleConns(host)
 }
 
-// closeIdle closes them, on whoever's word. Danger: each close takes its link off the list.
-func (s *Sidecar) closeIdleConns(serverID uint32) {
-	for len(s.idleConns[serverID]) > 0 {
-		s.idleConns[serverID][0].close()
-	}
-}
-
 // Refuse is a final answer: trying again is harmless.
 func (s *Sidecar) Refuse(id uint32, retryAfterS float64) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionRefuse, AfterSeconds: retryAfterS})
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -1,10 +1,8 @@
 package sidecar
 
 import (
-	"cmp"
 	"errors"
 	"io"
-	"slices"
 
 	"hazelwheel/internal/buffer"
 	"hazelwheel/internal/endpointset"
@@ -31,87 +29,6 @@
 	isClosed   bool
 }
 
-const (
-	// settleS is how long after an answer more of it, or the link's end, may well be on the way.
-	reuseDelaySeconds = 0.002
-	// straySettleS is that where servers have been seen to send more behind their answers, and strayMemoryS for how long it is
-	// remembered.
-	extendedReuseDelaySeconds = 0.05
-	reuseExtensionSeconds     = 60.0
-)
-
-// settling is how long a connection rests before it is used again while others can be had.
-type reuseDelay struct{ extendedUntil float64 }
-
-// at returns the time that holds at present.
-func (s *reuseDelay) seconds(now float64) float64 {
-	if now < s.extendedUntil {
-		return extendedReuseDelaySeconds
-	}
-	return reuseDelaySeconds
-}
-
-// noteStray notes that a server has sent bytes behind its answer. Danger: a second copy of an answer that comes on a connection which
-// is in use again would be taken for the answer to its next request.
-func (s *reuseDelay) extend(now float64) { s.extendedUntil = now + reuseExtensionSeconds }
-
-// idleConn takes the link to a server that was used last, nil if there is none. The newest is the least
-// likely to have been closed by the other side for its rest, and the others can grow old and be retired. Danger: what
-// a server sends behind its answer a moment later would answer the next request; one whose last answer has only just
-// come is taken only where no new link can be had.
-func (s *Sidecar) takeIdleConn(endpoint *endpointset.Host, front Frontend) *backendConn {
-	for {
-		idle := s.idleConns[endpoint.ID]
-		var b *backendConn
-		idleBefore := s.now() - s.reuseDelay.seconds(s.now())
-		for i := len(idle) - 1; i >= 0 && (b == nil || b.idleSince > idleBefore); i-- {
-			if idle[i].frontend == front {
-				b = idle[i]
-			}
-		}
-		if b == nil {
-			return nil
-		}
-		if b.idleSince > idleBefore && s.hasDescriptors(dialDescriptors+s.reservedClientSlots()) {
-			return nil
-		}
-		// Danger: a request written to a link that its server has closed is lost; one written behind unread bytes
-		// would be answered with them.
-		if b.address == endpoint.Address && s.net.NothingToRead(b.conn) {
-			b.removeFromIdle()
-			return b
-		}
-		b.close() // the server has moved, or the link is of no more use
-	}
-}
-
-// unidle takes a link from the idle ones.
-func (b *backendConn) removeFromIdle() {
-	idle := b.sidecar.idleConns[b.serverID]
-	if i := slices.Index(idle, b); i >= 0 {
-		b.sidecar.idleConns[b.serverID] = slices.Delete(idle, i, i+1)
-	}
-	b.sidecar.timers.stop(b.idleTimer)
-}
-
-// rest puts a link among the idle ones. Danger: a request that is written to a link after the server's side
-// has closed it is lost, and one that must not run twice with it. Links are retired well before that.
-func (b *backendConn) makeIdle() { b.makeIdleFrom(b.sidecar.now()) }
-
-// restFrom is rest for a link that its server may be at work on until a time: it is used before that only where no other can
-// be had.
-func (l *backendConn) makeIdleFrom(at float64) {
-	l.attempt, l.idleSince = nil, at
-	l.input.Rest()
-	if l.sidecar.assignToWaiter(l) {
-		return
-	}
-	l.sidecar.idleConns[l.serverID] = append(l.sidecar.idleConns[l.serverID], l)
-	if limit := l.sidecar.cfg.Settings.Policy.ConnIdleTimeoutSeconds; limit > 0 {
-		l.idleTimer = l.sidecar.timers.schedule(l.sidecar.now()+min(0.8*limit, max(limit-0.5, 0.5*limit)), l.close)
-	}
-}
-
 // dial opens a link for an attempt.
 func (s *Sidecar) dial(endpoint *endpointset.Host, a *attempt) {
 	// Danger: attempts that take the last descriptors shut out who comes next, whoever that is.
@@ -136,47 +53,6 @@
 	})
 }
 
-// makeRoom closes the idle backend connections that have rested longest until there is room for n descriptors, and tells
-// whether there is.
-func (s *Sidecar) freeDescriptors(n int) bool {
-	for !s.hasDescriptors(n) {
-		var oldest *backendConn
-		for _, idle := range s.idleConns {
-			if len(idle) > 0 && (oldest == nil || idle[0].isIdleLongerThan(oldest)) {
-				oldest = idle[0]
-			}
-		}
-		if oldest == nil {
-			return false
-		}
-		oldest.close()
-	}
-	return true
-}
-
-// older tells whether a link has rested longer than another.
-func (b *backendConn) isIdleLongerThan(other *backendConn) bool {
-	return cmp.Or(cmp.Compare(b.idleSince, other.idleSince), cmp.Compare(b.serverID, other.serverID)) < 0
-}
-
-// dialDescriptors is what a dial may hold: the loop duplicates the descriptor before the dialed one is closed.
-const dialDescriptors = 2
-
-// connect opens a connection. It comes up as a call of l.opened, or else failed is called.
-func (s *Sidecar) connect(address string, deadline float64, handler connHandler, failed func(error)) func() {
-	s.dialDescriptorsHeld += dialDescriptors
-	return s.net.Dial(address, deadline, handler, func(err error) {
-		s.runCallback(func() {
-			if s.dialDescriptorsHeld -= dialDescriptors; err != nil {
-				failed(err)
-			}
-			if len(s.waitingAttempts) > 0 {
-				s.pushEvent(func(float64) { s.dialForWaiters() })
-			}
-		})
-	})
-}
-
 // opened takes the link into use.
 func (b *backendConn) onOpen(c netio.Conn) {
 	b.conn = c
--- /dev/null
+++ b/internal/sidecar/clientstatus.go
@@ -0,0 +1,29 @@
+package sidecar
+
+import (
+	"encoding/json"
+
+	"hazelwheel/internal/decide/admission"
+)
+
+// mostShown bounds the addresses that are told of at a time.
+const maxShownAddresses = 200
+
+// ClientStatus tells who holds what, as JSON.
+func (s *Sidecar) ClientStatus() []byte {
+	var all struct {
+		Links     int                `json:"links"`
+		Most      int                `json:"most"`
+		Reserve   int                `json:"reserve"`
+		Addresses int                `json:"addresses"`
+		Clients   []admission.Client `json:"clients"`
+	}
+	settings := s.admissionSettings(0)
+	all.Links, all.Most, all.Reserve = s.connAdmission.Len(), settings.MaxConns, settings.ReservedForKnown
+	all.Clients, all.Addresses = s.connAdmission.Clients(maxShownAddresses)
+	raw, err := json.Marshal(all)
+	if err != nil { // numbers and names always marshal
+		panic(err)
+	}
+	return append(raw, '\n')
+}
--- /dev/null
+++ b/internal/sidecar/endpoints.go
@@ -0,0 +1,64 @@
+package sidecar
+
+import (
+	"errors"
+	"maps"
+	"slices"
+
+	"hazelwheel/policy"
+)
+
+// noticeMalformedList logs that discovery has sent something that is no list, once for each fault in a row.
+func (s *Sidecar) noticeMalformedList(err error) {
+	if errors.Is(err, ErrStaleList) || err.Error() == s.lastListError {
+		return
+	}
+	s.lastListError = err.Error()
+	s.log.Warn("discovery has sent a malformed list, the present one stays in use", "discovery", s.cfg.Discovery, "error", err)
+}
+
+// listKnown applies the list that was held last and tells the decisions.
+func (s *Sidecar) applyKnownList(raw []byte) error {
+	infos, err := s.endpoints.ApplyCached(raw, s.now())
+	if err != nil {
+		return err
+	}
+	s.pushEndpoints(policy.ListCached, infos)
+	s.closeUnusableIdleConns()
+	return nil
+}
+
+// list applies one object of discovery and tells the decisions.
+func (s *Sidecar) applyListObject(raw []byte) error {
+	snapshot, infos, err := s.endpoints.Apply(raw, s.now())
+	if err != nil {
+		return err
+	}
+	s.counters.ListsApplied++
+	s.lastListError = ""
+	kind := policy.ListDelta
+	if snapshot {
+		kind = policy.ListFull
+	}
+	s.pushEndpoints(kind, infos)
+	s.closeUnusableIdleConns()
+	return nil
+}
+
+// dropIdle closes the idle backend connections that nothing new goes to.
+func (s *Sidecar) closeUnusableIdleConns() {
+	for _, id := range slices.Sorted(maps.Keys(s.idleConns)) {
+		if !s.acceptsAttempts(id) {
+			s.closeIdleConns(id)
+			delete(s.idleConns, id)
+		}
+	}
+}
+
+// tellHosts tells the decisions of a list.
+func (s *Sidecar) pushEndpoints(kind policy.ListKind, infos []policy.HostInfo) {
+	s.pushEvent(func(now float64) {
+		s.capture.RecordHosts(now, kind, infos)
+		s.balancer.UpdateHosts(now, kind, infos)
+	})
+}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/hotrestart.go
@@ -37,11 +37,15 @@
 // noStateStore is that of a process that has no successor.
 type noStateStore struct{}
 
-func (noStateStore) Cordon(string) error                    { return nil }
-func (noStateStore) Uncordon(string) error                  { return nil }
-func (noStateStore) SetDrained(bool) error                  { return nil }
+func (noStateStore) Cordon(string) error { return nil }
+
+func (noStateStore) Uncordon(string) error { return nil }
+
+func (noStateStore) SetDrained(bool) error { return nil }
+
 func (noStateStore) OperatorState() ([]string, bool, error) { return nil, false, nil }
-func (noStateStore) Save(hotrestart.State)                  {}
+
+func (noStateStore) Save(hotrestart.State) {}
 
 // SetKeepAlive has the sidecar keep on a shelf what a successor needs, and obey what lies there. It comes before Start.
 func (s *Sidecar) SetStateStore(shelf StateStore) {
@@ -140,12 +144,5 @@
 	}
 }
 
-// ShareLimits has the sidecar live by a part of its descriptors and memory while it has neighbours.
-func (s *Sidecar) ShareLimits(neighbours int) {
-	s.processes = neighbours + 1
-	s.log.Info("living by the limits", "processes", s.processes)
-	s.applyLimits()
-}
-
 // MarkReplaced tells that another process serves in this one's place: when this one ends, nobody depends on it to accept.
 func (s *Sidecar) MarkReplaced() { s.isReplaced = true }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -40,15 +40,6 @@
 	}
 }
 
-// obeyLimits passes on what the limits say.
-func (s *Sidecar) applyLimits() {
-	if s.OnLimitsChange != nil {
-		limits := s.cfg.Limits
-		limits.MemoryMB /= s.processes
-		s.OnLimitsChange(limits)
-	}
-}
-
 // rewatch begins a watch at another discovery service at once, whatever the present one is about. The list is
 // kept until the new service has told its own. Danger: its versions need not be those of the old service, and
 // changes since a version that it counts otherwise would leave entries out; the whole list is asked for.
--- a/internal/sidecar/place.go
+++ b/internal/sidecar/rolehost.go
@@ -28,11 +28,3 @@
 		})
 	})
 }
-
-// ReserveDescriptors keeps descriptors for what is no link of the sidecar's. It comes before Start.
-func (s *Sidecar) ReserveDescriptors(descriptors int) { s.reservedDescriptors += descriptors }
-
-// SetFleetStatus has the counters and the door's dump hold what a fleet says of itself; it is asked on the loop.
-func (s *Sidecar) SetFleetStatus(see func() any, counted MetricsSource) {
-	s.fleetStatus, s.fleetMetrics = see, counted
-}
--- /dev/null
+++ b/internal/sidecar/submit.go
@@ -0,0 +1,86 @@
+package sidecar
+
+import (
+	"hazelwheel/internal/decide/admission"
+	"hazelwheel/internal/netio"
+	"hazelwheel/policy"
+)
+
+// CountInvalid counts a request of a class that is answered and never handed on: nobody could decide on it.
+func (c *ClientConn) CountInvalid(class int) {
+	c.sidecar.counters.Requests++
+	c.sidecar.counters.countRequestEnd(class, failed)
+}
+
+// CountMalformed counts a message that is answered and never handed on.
+func (c *ClientConn) CountMalformed() { c.sidecar.counters.Malformed++ }
+
+// Admit tells whether there is room for a request of a class; otherwise it has been throttled.
+func (l *ClientConn) Admit(class int) bool {
+	switch {
+	case l.isOverLimit && !l.sidecar.hasDescriptors(backendHeadroom), l.sidecar.connAdmission.IsOverBufferBudget(l.slot):
+		l.rejectRequest(class, "there is no room for them")
+		return false
+	case l.sidecar.isOverloaded() && l.sidecar.connAdmission.ExceedsFairShare(l.slot):
+		l.sidecar.connAdmission.RecordWasted(l.slot)
+		l.rejectRequest(class, "their client has more out than its part, and there is not enough for all")
+		return false
+	}
+	return true
+}
+
+// UnknownTenant is the place of a tenant that the settings do not name.
+const UnknownTenant = -1
+
+// IncomingRequest is a request as a front hands it on.
+type IncomingRequest struct {
+	ID             string
+	Class          int     // its place in the settings
+	Tenant         int     // its place in the settings, or UnknownTenant
+	TimeoutSeconds float64 // seconds that the client waits from its sending
+	IsRetry        bool    // the client marks it as a retry
+	AtMostOnce     bool    // nothing tells its repeats apart: it must not run twice, whatever its class
+	IsOneWay       bool    // nobody waits for an answer: it goes on when its client goes
+	HeldBytes      int     // bytes that are held for it
+	Call           Call
+	Body           *Body // the call's, which is still on its way in; nil: it is whole
+}
+
+// Submit hands a request that Admit has let in to the decisions, unless it is beyond its group's quota.
+func (c *ClientConn) Submit(in IncomingRequest) {
+	charge, admitted := c.admitByQuota(&in)
+	if !admitted {
+		return
+	}
+	c.sidecar.connAdmission.SetState(c.sidecar.now(), c.slot, admission.StateActive)
+	c.requestBytes = in.HeldBytes
+	c.sidecar.connAdmission.SetBufferedBytes(c.slot, c.requestBytes+c.input.Len())
+	waitedSeconds := max(c.sidecar.socketWait(c.conn), c.sidecar.now()-c.arrivals.arrivedAt(c.input.Len(), c.sidecar.now()))
+	timeoutSeconds := min(in.TimeoutSeconds, maxRequestTimeoutSeconds)
+	deadline := c.sidecar.now() - waitedSeconds + timeoutSeconds
+	cutSeconds := max(deadline-c.sidecar.latestResponseAt(), 0)
+	r := &request{clientID: in.ID, className: c.sidecar.cfg.Settings.Policy.Classes[in.Class].Name, classIndex: in.Class, deadline: deadline - cutSeconds,
+		call: in.Call, responder: c.codec, client: c, body: in.Body, timeoutSeconds: timeoutSeconds, frontend: c.frontend, isAtMostOnce: in.AtMostOnce, isOneWay: in.IsOneWay,
+		quota: charge}
+	c.request = r
+	// Danger: the decisions take a wait that is shorter than usual for a late retry's; what is cut off here is no sign of that.
+	q := policy.Request{Class: in.Class, Tenant: in.Tenant, HeldBackSeconds: waitedSeconds + cutSeconds, Repeat: in.IsRetry, Deadline: r.deadline}
+	if r.isUploading() { // its time counts from its last byte; the decisions go by what they are used to
+		r.deadline += maxUploadSeconds
+		c.pauseReading(netio.ReportClose)
+		c.setArrivalDeadline(c.sidecar.now() + arrivalTimeoutSeconds - float64(len(in.Body.Buffered))/minBytesPerSecond)
+		c.arrivalTimer = c.sidecar.timers.schedule(c.sidecar.now()+arrivalTimeoutSeconds, c.checkArrival)
+	}
+	c.sidecar.registerRequest(r, q)
+}
+
+// turnAway throttles a request that is not taken up: there is no room for it, or its client has more out than its part.
+func (c *ClientConn) rejectRequest(class int, reason string) {
+	c.sidecar.counters.Requests++
+	c.sidecar.counters.countRequestEnd(class, throttled)
+	c.sidecar.counters.Rejected++
+	c.sidecar.warnLimited("requests are turned away: " + reason)
+	c.sidecar.log.Debug("request turned away", "client", c.conn.RemoteAddr(), "why", reason)
+	c.keepAlive = false
+	c.codec.Throttle(c.sidecar.cfg.Settings.Policy.MaxRetryAfterSeconds)
+}
--- /dev/null
+++ b/internal/sidecar/upload.go
@@ -0,0 +1,82 @@
+package sidecar
+
+import "hazelwheel/internal/netio"
+
+// --- requests ---
+
+// uploading tells whether a request's body is still on its way in.
+func (r *request) isUploading() bool { return r.body != nil && !r.body.IsComplete }
+
+// upload takes more of a request's body, and passes it on.
+func (l *ClientConn) forwardUpload(r *request) {
+	s := l.sidecar
+	if r.isAnswered { // whoever it was for has it or never will
+		l.input.Discard(l.input.Len())
+		return
+	}
+	if err := l.codec.ReadBody(&l.input); err != nil {
+		s.failUpload(r, err)
+		return
+	}
+	if r.body.IsComplete {
+		l.stopArrivalTimer()
+		r.deadline = min(s.now()+r.timeoutSeconds, s.latestResponseAt())
+		s.timers.stop(&r.deadlineTimer)
+		s.timers.start(&r.deadlineTimer, r.deadline+s.responseSlackSeconds/2, r)
+		for _, e := range r.attempts {
+			e.deadline = r.deadline - s.responseMargin()
+			s.timers.stop(&e.timer)
+			s.timers.start(&e.timer, e.deadline, e)
+		}
+	}
+	for _, e := range r.attempts {
+		if e.backend != nil && e.backend.conn != nil && e.backend.attempt == e {
+			e.backend.forwardBody(e)
+			break
+		}
+	}
+	if l.request != r || l.conn == nil {
+		return
+	}
+	if l.requestBytes = len(r.body.Buffered); r.isUploading() && r.body.UnsentBytes() >= ChunkBytes {
+		l.pauseReading(netio.ReportClose)
+	}
+	s.connAdmission.SetBufferedBytes(l.slot, l.requestBytes+l.input.Len())
+}
+
+// spoilUpload ends a request whose body can't be read to its end.
+func (s *Sidecar) failUpload(r *request, err error) {
+	s.answerRequest(r, failed, func() { r.client.rejectMalformed(err) })
+	s.pushAbandoned(r)
+}
+
+// pump writes on what has come of an attempt's request, as far as its server takes it.
+func (b *backendConn) forwardBody(a *attempt) {
+	for !a.exchange.IsRequestAppended() && b.conn.OutboundBuffered() < b.sidecar.streamWindow() {
+		piece := a.exchange.AppendBody(b.sidecar.writeBuffer[:0], ChunkBytes)
+		if b.sidecar.recycleWriteBuffer(piece); len(piece) == 0 {
+			break
+		}
+		b.isWriting = true
+		_, err := b.conn.Write(piece)
+		b.isWriting = false
+		if err != nil || b.attempt != a {
+			return
+		}
+	}
+	a.progress = b.updateProgress(a)
+	if a.progress == partlyWritten && b.conn.OutboundBuffered() > 0 {
+		b.sidecar.streams.laggingConns = append(b.sidecar.streams.laggingConns, b)
+		b.sidecar.scheduleStreamCheck()
+	}
+	r := a.request
+	if r == nil || r.body == nil {
+		return
+	}
+	if len(r.body.Buffered) > b.sidecar.bodyBufferLimit() {
+		r.body.dropSent()
+	}
+	if c := r.client; r.isUploading() && r.body.UnsentBytes() < ChunkBytes && c.request == r && c.conn != nil {
+		c.resumeReading()
+	}
+}
