--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -164,9 +164,9 @@
 func (a *attempt) expire() { a.sidecar.abandonAttempt(a, timedOut) }
 
 // took returns how long an attempt that ends now took to its answer's arrival, and how long that lay unread.
-func (e *attempt) durations(now float64) (delay, late float64) {
-	late = min(e.unreadSeconds, now-e.sentAt)
-	return now - e.sentAt - late, late
+func (a *attempt) durations(now float64) (delay, late float64) {
+	late = min(a.unreadSeconds, now-a.sentAt)
+	return now - a.sentAt - late, late
 }
 
 // probeAgain begins a probe once more, on a new link, where its link broke. Danger: a probe asks after the server;
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -81,13 +81,13 @@
 func (c *ClientConn) Base() *ClientConn { return c }
 
 // leaveClients takes the link from the sidecar's.
-func (l *ClientConn) removeFromClients() {
-	all := l.sidecar.clients
+func (c *ClientConn) removeFromClients() {
+	all := c.sidecar.clients
 	last := all[len(all)-1]
-	all[l.index], last.index = last, l.index
+	all[c.index], last.index = last, c.index
 	all[len(all)-1] = nil
-	l.sidecar.clients = all[:len(all)-1]
-	l.sidecar.connAdmission.Remove(l.slot)
+	c.sidecar.clients = all[:len(all)-1]
+	c.sidecar.connAdmission.Remove(c.slot)
 }
 
 func (c *ClientConn) onOpen(netio.Conn) {}
@@ -96,18 +96,18 @@
 func (c *ClientConn) SetKeepAlive(keep bool) { c.keepAlive = keep }
 
 // CloseUnanswered closes a link whose client speaks another protocol: no answer that it could read is to be had here.
-func (l *ClientConn) CloseUnanswered(reason string) {
-	l.stopArrivalTimer()
-	l.sidecar.counters.Malformed++
-	l.sidecar.warnLimited(reason)
-	l.sidecar.closeConn(l.conn)
+func (c *ClientConn) CloseUnanswered(reason string) {
+	c.stopArrivalTimer()
+	c.sidecar.counters.Malformed++
+	c.sidecar.warnLimited(reason)
+	c.sidecar.closeConn(c.conn)
 }
 
 // Sidecar returns whose link it is.
-func (l *ClientConn) Sidecar() *Sidecar { return l.sidecar }
+func (c *ClientConn) Sidecar() *Sidecar { return c.sidecar }
 
 // RemoteAddr returns the client's address.
-func (l *ClientConn) RemoteAddr() net.Addr { return l.conn.RemoteAddr() }
+func (c *ClientConn) RemoteAddr() net.Addr { return c.conn.RemoteAddr() }
 
 // finish ends the link after its last answer, which the socket has taken: no more is sent, and what comes is read and
 // dropped until the client has closed or the time is over.
--- a/internal/sidecar/clientinput.go
+++ b/internal/sidecar/clientinput.go
@@ -6,36 +6,36 @@
 )
 
 // traffic reads what the client says.
-func (l *ClientConn) onData(data []byte) {
-	if l.isLastWritten {
-		l.lastDataAt = l.sidecar.now()
+func (c *ClientConn) onData(data []byte) {
+	if c.isLastWritten {
+		c.lastDataAt = c.sidecar.now()
 		return
 	}
-	l.input.Write(data)
-	if r := l.request; r == nil && l.unreadBytes == 0 || r != nil && r.isUploading() {
-		l.arrivals.reset()
+	c.input.Write(data)
+	if r := c.request; r == nil && c.unreadBytes == 0 || r != nil && r.isUploading() {
+		c.arrivals.reset()
 	}
-	l.arrivals.add(len(data), l.sidecar.now())
-	if r := l.request; r != nil && r.isUploading() {
-		l.forwardUpload(r)
+	c.arrivals.add(len(data), c.sidecar.now())
+	if r := c.request; r != nil && r.isUploading() {
+		c.forwardUpload(r)
 		return
 	}
-	if l.request != nil || l.unreadBytes > 0 {
+	if c.request != nil || c.unreadBytes > 0 {
 		switch {
-		case l.input.Len() > maxInputBytes: // reading can't be paused here
-			l.sidecar.closeConn(l.conn)
-		case l.input.Len() > maxPipelinedBytes:
-			l.pauseReading(l.pausedEnds())
-			l.accountHeldBytes(l.input.Len() + l.requestBytes + l.unreadBytes)
+		case c.input.Len() > maxInputBytes: // reading can't be paused here
+			c.sidecar.closeConn(c.conn)
+		case c.input.Len() > maxPipelinedBytes:
+			c.pauseReading(c.pausedEnds())
+			c.accountHeldBytes(c.input.Len() + c.requestBytes + c.unreadBytes)
 		}
 		return
 	}
-	if l.readRequests(); l.conn != nil && l.request == nil && !l.isLastWritten {
-		if state, _ := l.slot.State(); state == admission.StateNew || state == admission.StateIdle {
-			l.sidecar.connAdmission.SetState(l.sidecar.now(), l.slot, admission.StateReading)
+	if c.readRequests(); c.conn != nil && c.request == nil && !c.isLastWritten {
+		if state, _ := c.slot.State(); state == admission.StateNew || state == admission.StateIdle {
+			c.sidecar.connAdmission.SetState(c.sidecar.now(), c.slot, admission.StateReading)
 		}
-		held, _ := l.codec.PartialRequest()
-		l.accountHeldBytes(l.input.Len() + held)
+		held, _ := c.codec.PartialRequest()
+		c.accountHeldBytes(c.input.Len() + held)
 	}
 }
 
--- a/internal/sidecar/clientresponse.go
+++ b/internal/sidecar/clientresponse.go
@@ -10,23 +10,23 @@
 
 // BeginResponse frees the link of its request. It tells whether the client is still there, and whether the answer to come is
 // the last on the link; what it is appended to is returned, for EndAnswer. says tells whether the answer can say so itself.
-func (l *ClientConn) BeginResponse(canAnnounceClose bool) (dst []byte, last, connected bool) {
+func (c *ClientConn) BeginResponse(canAnnounceClose bool) (dst []byte, last, connected bool) {
 	// Danger: the rest of a request that is answered before it has come whole is waited for no longer; its time would end with a
 	// second answer.
-	l.stopArrivalTimer()
-	if l.request = nil; l.conn == nil {
+	c.stopArrivalTimer()
+	if c.request = nil; c.conn == nil {
 		return nil, false, false
 	}
 	// Danger: what has come behind the request is taken, and is owed its answer here. A client that is told of the end sends
 	// it again. One that is not may be sending its next request by now; where there are too many links it would find no
 	// other, so its own ends by its rest alone.
-	hasPipelined := l.input.Len() > 0
+	hasPipelined := c.input.Len() > 0
 	if canAnnounceClose {
-		l.isLastWritten = !l.keepAlive || l.sidecar.closesAfterResponse() || l.sidecar.hasManyClients() && !hasPipelined
+		c.isLastWritten = !c.keepAlive || c.sidecar.closesAfterResponse() || c.sidecar.hasManyClients() && !hasPipelined
 	} else {
-		l.isLastWritten = !l.keepAlive || l.sidecar.closesAfterResponse() && !hasPipelined && l.sidecar.net.NothingToRead(l.conn)
+		c.isLastWritten = !c.keepAlive || c.sidecar.closesAfterResponse() && !hasPipelined && c.sidecar.net.NothingToRead(c.conn)
 	}
-	return l.sidecar.writeBuffer[:0], l.isLastWritten, true
+	return c.sidecar.writeBuffer[:0], c.isLastWritten, true
 }
 
 // EndResponse writes an answer and makes ready for the next request.
@@ -51,23 +51,23 @@
 
 // BeginStream is BeginAnswer for an answer that comes in pieces, which end with the link where nothing else tells their end.
 // What is appended goes to Flow.
-func (l *ClientConn) BeginStream(endsWithConn bool) (dst []byte, last, connected bool) {
-	if l.conn == nil {
+func (c *ClientConn) BeginStream(endsWithConn bool) (dst []byte, last, connected bool) {
+	if c.conn == nil {
 		return nil, false, false
 	}
-	l.isStreamLast = !l.keepAlive || endsWithConn || l.sidecar.closesAfterResponse() || l.sidecar.hasManyClients() && l.input.Len() == 0
-	l.isStreamed = true
-	return l.ScratchBuffer(), l.isStreamLast, true
+	c.isStreamLast = !c.keepAlive || endsWithConn || c.sidecar.closesAfterResponse() || c.sidecar.hasManyClients() && c.input.Len() == 0
+	c.isStreamed = true
+	return c.ScratchBuffer(), c.isStreamLast, true
 }
 
 // ScratchBuffer returns empty memory for what Flow is to write.
 func (c *ClientConn) ScratchBuffer() []byte { return c.sidecar.writeBuffer[:0] }
 
 // WriteStream writes a part of an answer.
-func (l *ClientConn) WriteStream(b []byte) {
-	l.sidecar.recycleWriteBuffer(b)
-	if l.conn != nil && len(b) > 0 {
-		l.Write(b)
+func (c *ClientConn) WriteStream(b []byte) {
+	c.sidecar.recycleWriteBuffer(b)
+	if c.conn != nil && len(b) > 0 {
+		c.Write(b)
 	}
 }
 
--- a/internal/sidecar/idleconns.go
+++ b/internal/sidecar/idleconns.go
@@ -83,15 +83,15 @@
 
 // restFrom is rest for a link that its server may be at work on until a time: it is used before that only where no other can
 // be had.
-func (l *backendConn) makeIdleFrom(at float64) {
-	l.attempt, l.idleSince = nil, at
-	l.input.Rest()
-	if l.sidecar.assignToWaiter(l) {
+func (b *backendConn) makeIdleFrom(at float64) {
+	b.attempt, b.idleSince = nil, at
+	b.input.Rest()
+	if b.sidecar.assignToWaiter(b) {
 		return
 	}
-	l.sidecar.idleConns[l.serverID] = append(l.sidecar.idleConns[l.serverID], l)
-	if limit := l.sidecar.cfg.Settings.Policy.ConnIdleTimeoutSeconds; limit > 0 {
-		l.idleTimer = l.sidecar.timers.schedule(l.sidecar.now()+min(0.8*limit, max(limit-0.5, 0.5*limit)), l.close)
+	b.sidecar.idleConns[b.serverID] = append(b.sidecar.idleConns[b.serverID], b)
+	if limit := b.sidecar.cfg.Settings.Policy.ConnIdleTimeoutSeconds; limit > 0 {
+		b.idleTimer = b.sidecar.timers.schedule(b.sidecar.now()+min(0.8*limit, max(limit-0.5, 0.5*limit)), b.close)
 	}
 }
 
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -16,14 +16,14 @@
 func (c *ClientConn) CountMalformed() { c.sidecar.counters.Malformed++ }
 
 // Admit tells whether there is room for a request of a class; otherwise it has been throttled.
-func (l *ClientConn) Admit(class int) bool {
+func (c *ClientConn) Admit(class int) bool {
 	switch {
-	case l.isOverLimit && !l.sidecar.hasDescriptors(backendHeadroom), l.sidecar.connAdmission.IsOverBufferBudget(l.slot):
-		l.rejectRequest(class, "there is no room for them")
+	case c.isOverLimit && !c.sidecar.hasDescriptors(backendHeadroom), c.sidecar.connAdmission.IsOverBufferBudget(c.slot):
+		c.rejectRequest(class, "there is no room for them")
 		return false
-	case l.sidecar.isOverloaded() && l.sidecar.connAdmission.ExceedsFairShare(l.slot):
-		l.sidecar.connAdmission.RecordWasted(l.slot)
-		l.rejectRequest(class, "their client has more out than its part, and there is not enough for all")
+	case c.sidecar.isOverloaded() && c.sidecar.connAdmission.ExceedsFairShare(c.slot):
+		c.sidecar.connAdmission.RecordWasted(c.slot)
+		c.rejectRequest(class, "their client has more out than its part, and there is not enough for all")
 		return false
 	}
 	return true
--- a/internal/sidecar/upload.go
+++ b/internal/sidecar/upload.go
@@ -8,40 +8,40 @@
 func (r *request) isUploading() bool { return r.body != nil && !r.body.IsComplete }
 
 // upload takes more of a request's body, and passes it on.
-func (l *ClientConn) forwardUpload(r *request) {
-	s := l.sidecar
+func (c *ClientConn) forwardUpload(r *request) {
+	s := c.sidecar
 	if r.isAnswered { // whoever it was for has it or never will
-		l.input.Discard(l.input.Len())
+		c.input.Discard(c.input.Len())
 		return
 	}
-	if err := l.codec.ReadBody(&l.input); err != nil {
+	if err := c.codec.ReadBody(&c.input); err != nil {
 		s.failUpload(r, err)
 		return
 	}
 	if r.body.IsComplete {
-		l.stopArrivalTimer()
+		c.stopArrivalTimer()
 		r.deadline = min(s.now()+r.timeoutSeconds, s.latestResponseAt())
 		s.timers.stop(&r.deadlineTimer)
 		s.timers.start(&r.deadlineTimer, r.deadline+s.responseSlackSeconds/2, r)
-		for _, e := range r.attempts {
-			e.deadline = r.deadline - s.responseMargin()
-			s.timers.stop(&e.timer)
-			s.timers.start(&e.timer, e.deadline, e)
+		for _, a := range r.attempts {
+			a.deadline = r.deadline - s.responseMargin()
+			s.timers.stop(&a.timer)
+			s.timers.start(&a.timer, a.deadline, a)
 		}
 	}
-	for _, e := range r.attempts {
-		if e.backend != nil && e.backend.conn != nil && e.backend.attempt == e {
-			e.backend.forwardBody(e)
+	for _, a := range r.attempts {
+		if a.backend != nil && a.backend.conn != nil && a.backend.attempt == a {
+			a.backend.forwardBody(a)
 			break
 		}
 	}
-	if l.request != r || l.conn == nil {
+	if c.request != r || c.conn == nil {
 		return
 	}
-	if l.requestBytes = len(r.body.Buffered); r.isUploading() && r.body.UnsentBytes() >= ChunkBytes {
-		l.pauseReading(netio.ReportClose)
+	if c.requestBytes = len(r.body.Buffered); r.isUploading() && r.body.UnsentBytes() >= ChunkBytes {
+		c.pauseReading(netio.ReportClose)
 	}
-	s.connAdmission.SetBufferedBytes(l.slot, l.requestBytes+l.input.Len())
+	s.connAdmission.SetBufferedBytes(c.slot, c.requestBytes+c.input.Len())
 }
 
 // spoilUpload ends a request whose body can't be read to its end.
