--- a/internal/sidecar/arrival_test.go
+++ b/internal/sidecar/arrival_test.go
@@ -40,7 +40,7 @@
 	n, client := &clockNet{now: testNow}, &partialClient{came: 1}
 	s, err := New(cfg, featureconfig.Features{}, nil, n, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	s.timers.setAlarm = n.Alarm
+	s.timers.setAlarm = n.SetAlarm
 	s.runCallback(func() {
 		l := &ClientConn{sidecar: s, codec: client, conn: &testConn{}, openedAt: testNow}
 		l.slot, _ = s.connAdmission.Add(testNow, netip.MustParseAddr("127.0.0.1"), l)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -42,12 +42,12 @@
 
 const testNow = 1.7e9
 
-func (testNet) Now() float64            { return testNow }
-func (testNet) Close(netio.Conn)        {}
-func (testNet) Quiet(c netio.Conn) bool { return c.(*testConn).quiet }
-func (testNet) Post(func())             {}
-func (testNet) Yield(f func())          { f() }
-func (testNet) Alarm(float64)           {}
+func (testNet) Now() float64                    { return testNow }
+func (testNet) Close(netio.Conn)                {}
+func (testNet) NothingToRead(c netio.Conn) bool { return c.(*testConn).quiet }
+func (testNet) Post(func())                     {}
+func (testNet) Yield(f func())                  { f() }
+func (testNet) SetAlarm(float64)                {}
 
 type testConn struct {
 	netio.Conn
