--- a/cmd/hazelwheel/main.go
+++ b/cmd/hazelwheel/main.go
@@ -109,7 +109,7 @@
 		advice.look(c.String("config"), c.String("features"))
 		return cfg.Reload(c.String("config"), os.Getenv)
 	})
-	if errors.Is(err, sockets.ErrPassed) || errors.Is(err, admin.ErrListen) {
+	if errors.Is(err, sockets.ErrNotListeningSocket) || errors.Is(err, admin.ErrListen) {
 		return fault(err)
 	}
 	fmt.Fprintf(c.Root().Writer, "%s", s.Counters())
--- a/internal/netio/multiplex/beside.go
+++ b/internal/netio/multiplex/beside.go
@@ -10,83 +10,83 @@
 
 // SharedLoop is a loop that two hosts share.
 type SharedLoop struct {
-	net   netio.EventLoop
-	hosts [2]netio.Handler
-	owns  func(netio.Conn) bool
-	at    [2]float64 // the alarms that were asked for; +Inf: none is
-	armed float64
+	loop         netio.EventLoop
+	handlers     [2]netio.Handler
+	isCompanions func(netio.Conn) bool
+	alarmAt      [2]float64 // the alarms that were asked for; +Inf: none is
+	armedAt      float64
 }
 
 const (
-	core = iota
-	companion
+	coreMember = iota
+	companionMember
 )
 
 // side is the loop as one of the two sees it.
-type side struct {
+type view struct {
 	netio.EventLoop
-	l    *SharedLoop
-	side int
+	shared *SharedLoop
+	member int
 }
 
 // New shares a loop.
-func New(net netio.EventLoop) *SharedLoop {
-	return &SharedLoop{net: net, at: [2]float64{math.Inf(1), math.Inf(1)}, armed: math.Inf(1)}
+func New(loop netio.EventLoop) *SharedLoop {
+	return &SharedLoop{loop: loop, alarmAt: [2]float64{math.Inf(1), math.Inf(1)}, armedAt: math.Inf(1)}
 }
 
 // Core returns the loop as the core sees it.
-func (l *SharedLoop) Core() netio.EventLoop { return side{l.net, l, core} }
+func (l *SharedLoop) Core() netio.EventLoop { return view{l.loop, l, coreMember} }
 
 // Companion returns the loop as the program beside the core sees it.
-func (l *SharedLoop) Companion() netio.EventLoop { return side{l.net, l, companion} }
+func (l *SharedLoop) Companion() netio.EventLoop { return view{l.loop, l, companionMember} }
 
 // Handler returns both as one; owns tells which connections are the companion's.
-func (l *SharedLoop) Handler(c, beside netio.Handler, owns func(netio.Conn) bool) netio.Handler {
-	l.hosts, l.owns = [2]netio.Handler{c, beside}, owns
-	return (*both)(l)
+func (l *SharedLoop) Handler(core, companion netio.Handler, isCompanions func(netio.Conn) bool) netio.Handler {
+	l.handlers, l.isCompanions = [2]netio.Handler{core, companion}, isCompanions
+	return (*dispatcher)(l)
 }
 
 // SetAlarm sets the loop's one alarm for the earlier of the two.
-func (s side) SetAlarm(at float64) {
-	s.l.at[s.side] = at
-	s.l.arm()
+func (s view) SetAlarm(at float64) {
+	s.shared.alarmAt[s.member] = at
+	s.shared.setEarliestAlarm()
 }
 
-func (l *SharedLoop) arm() {
-	if first := min(l.at[core], l.at[companion]); first != l.armed && !math.IsInf(first, 1) {
-		l.armed = first
-		l.net.SetAlarm(first)
+func (l *SharedLoop) setEarliestAlarm() {
+	if first := min(l.alarmAt[coreMember], l.alarmAt[companionMember]); first != l.armedAt && !math.IsInf(first, 1) {
+		l.armedAt = first
+		l.loop.SetAlarm(first)
 	}
 }
 
 // both is a Loop as a netio.Handler.
-type both SharedLoop
+type dispatcher SharedLoop
 
-func (b *both) of(c netio.Conn) netio.Handler {
-	if b.owns(c) {
-		return b.hosts[companion]
+func (b *dispatcher) handlerOf(c netio.Conn) netio.Handler {
+	if b.isCompanions(c) {
+		return b.handlers[companionMember]
 	}
-	return b.hosts[core]
+	return b.handlers[coreMember]
 }
 
-func (b *both) Start() {
-	b.hosts[core].Start()
-	b.hosts[companion].Start()
+func (b *dispatcher) Start() {
+	b.handlers[coreMember].Start()
+	b.handlers[companionMember].Start()
 }
 
-func (b *both) Open(c netio.Conn) bool            { return b.of(c).Open(c) }
-func (b *both) Traffic(c netio.Conn, data []byte) { b.of(c).Traffic(c, data) }
-func (b *both) Closed(c netio.Conn, err error)    { b.of(c).Closed(c, err) }
+func (b *dispatcher) Open(c netio.Conn) bool            { return b.handlerOf(c).Open(c) }
+func (b *dispatcher) Traffic(c netio.Conn, data []byte) { b.handlerOf(c).Traffic(c, data) }
+func (b *dispatcher) Closed(c netio.Conn, err error)    { b.handlerOf(c).Closed(c, err) }
 
 // Alarm calls whose time has come.
-func (b *both) Alarm() {
-	now := b.net.Now()
-	b.armed = math.Inf(1)
-	for i, at := range b.at {
+func (b *dispatcher) Alarm() {
+	now := b.loop.Now()
+	b.armedAt = math.Inf(1)
+	for i, at := range b.alarmAt {
 		if at <= now {
-			b.at[i] = math.Inf(1)
-			b.hosts[i].Alarm()
+			b.alarmAt[i] = math.Inf(1)
+			b.handlers[i].Alarm()
 		}
 	}
-	(*SharedLoop)(b).arm()
+	(*SharedLoop)(b).setEarliestAlarm()
 }
--- a/internal/netio/sockets/clock.go
+++ b/internal/netio/sockets/clock.go
@@ -6,8 +6,8 @@
 // the machine's clock moves nothing. Danger: on a clock that began at 0, whatever started before this program
 // would have a start of 0 or less, which the decisions read as long ago, and a cold server as warm.
 type clock struct {
-	start time.Time
-	base  float64
+	startedAt    time.Time
+	startSeconds float64
 }
 
 func newClock() clock {
@@ -15,9 +15,9 @@
 	return clock{now, float64(now.UnixMicro()) / 1e6}
 }
 
-func (c clock) now() float64 { return c.base + time.Since(c.start).Seconds() }
+func (c clock) now() float64 { return c.startSeconds + time.Since(c.startedAt).Seconds() }
 
 // time returns the point of time that at stands for.
 func (c clock) time(at float64) time.Time {
-	return c.start.Add(time.Duration((at - c.base) * float64(time.Second)))
+	return c.startedAt.Add(time.Duration((at - c.startSeconds) * float64(time.Second)))
 }
--- a/internal/netio/sockets/handler.go
+++ b/internal/netio/sockets/handler.go
@@ -14,15 +14,15 @@
 )
 
 // handler takes gnet's callbacks. All come on the one event loop, but for OnBoot and the first OnTick.
-type handler struct {
+type gnetHandler struct {
 	gnet.BuiltinEventEngine
-	n      *EventLoop
+	loop   *EventLoop
 	engine gnet.Engine
 	waker  *waker
 }
 
 // OnTick is called first when the event loop is there, on a goroutine of its own; it sends for the loop.
-func (h *handler) OnTick() (time.Duration, gnet.Action) {
+func (h *gnetHandler) OnTick() (time.Duration, gnet.Action) {
 	if h.waker == nil {
 		h.waker = &waker{}
 		enroll := func(c net.Conn, w *waker) error {
@@ -32,8 +32,8 @@
 			}
 			return (<-result).Err
 		}
-		if err := h.waker.register(enroll); err != nil {
-			h.n.failed = fmt.Errorf("the event loop can't be had: %w", err)
+		if err := h.waker.connect(enroll); err != nil {
+			h.loop.startErr = fmt.Errorf("the event loop can't be had: %w", err)
 			return 0, gnet.Shutdown
 		}
 	}
@@ -41,54 +41,54 @@
 }
 
 // OnBoot is told of the engine.
-func (h *handler) OnBoot(e gnet.Engine) gnet.Action {
+func (h *gnetHandler) OnBoot(e gnet.Engine) gnet.Action {
 	h.engine = e
 	return gnet.None
 }
 
 // OnOpen takes a connection: one that was dialed brings its context, any other was accepted.
-func (h *handler) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
+func (h *gnetHandler) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	// Danger: a client can be quicker than the wake-up socket, and its request would be sent without a loop.
-	if h.n.loop == nil {
-		h.n.start(c)
+	if h.loop.loop == nil {
+		h.loop.attach(c)
 	}
 	if w, own := c.Context().(*waker); own {
-		h.n.wake = w
+		h.loop.waker = w
 		return nil, gnet.None
 	}
-	if !h.n.host.Open(c) {
+	if !h.loop.handler.Open(c) {
 		return nil, gnet.Close
 	}
 	return nil, gnet.None
 }
 
 // OnTraffic hands on what has been received.
-func (h *handler) OnTraffic(c gnet.Conn) gnet.Action {
+func (h *gnetHandler) OnTraffic(c gnet.Conn) gnet.Action {
 	data, err := c.Next(-1)
 	if _, own := c.Context().(*waker); own {
-		h.n.yields()
+		h.loop.runYields()
 	} else if err == nil {
-		h.n.host.Traffic(c, data)
+		h.loop.handler.Traffic(c, data)
 	}
-	if h.n.stopping {
+	if h.loop.stopping {
 		return gnet.Shutdown
 	}
 	return gnet.None
 }
 
 // errUnread is the end of a connection that was not being read. Whether it was reset or closed, what lay unread is lost.
-var errUnread = os.NewSyscallError("read", unix.ECONNRESET)
+var errUnreadReset = os.NewSyscallError("read", unix.ECONNRESET)
 
 // OnClose tells of a connection's end. Danger: gnet calls any end of a connection that it is not asked to read io.EOF, also a
 // reset, and an answer without a length that was cut would pass for whole. An end that was read comes as an error of the read.
-func (h *handler) OnClose(c gnet.Conn, err error) gnet.Action {
+func (h *gnetHandler) OnClose(c gnet.Conn, err error) gnet.Action {
 	if err == io.EOF { //nolint:errorlint // the bare value alone is meant
-		err = errUnread
+		err = errUnreadReset
 	}
 	if _, own := c.Context().(*waker); !own {
-		h.n.host.Closed(c, err)
+		h.loop.handler.Closed(c, err)
 	} else {
-		h.n.end()
+		h.loop.signalDone()
 	}
 	return gnet.None
 }
@@ -96,41 +96,41 @@
 // waker is a connection of the process with itself whose one end gnet holds. gnet tells its event loop only to connections, and
 // the program needs the loop before it has any. Danger: a pair of Unix sockets would be simpler, but there are platforms where
 // nothing but TCP and UDP over IPv4 is to be had, and the program would end before it has begun.
-type waker struct{ far net.Conn }
+type waker struct{ peer net.Conn }
 
 // ring has gnet bring a byte of the near end.
 func (w *waker) ring() error {
 	if w == nil {
-		return errOver
+		return errStopped
 	}
-	_, err := w.far.Write([]byte{0})
+	_, err := w.peer.Write([]byte{0})
 	return err
 }
 
 // register gives the near end to gnet.
-func (w *waker) register(enroll func(net.Conn, *waker) error) error {
+func (w *waker) connect(enroll func(net.Conn, *waker) error) error {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	near, err := net.Dial("tcp4", l.Addr().String())
+	own, err := net.Dial("tcp4", l.Addr().String())
 	if err != nil {
 		return err
 	}
-	for w.far == nil {
+	for w.peer == nil {
 		c, err := l.Accept()
 		if err != nil {
-			near.Close()
+			own.Close()
 			return err
 		}
-		if c.RemoteAddr().String() != near.LocalAddr().String() {
+		if c.RemoteAddr().String() != own.LocalAddr().String() {
 			c.Close() // Danger: anybody on the machine may have dialed meanwhile
 			continue
 		}
-		w.far = c
+		w.peer = c
 	}
-	return enroll(near, w)
+	return enroll(own, w)
 }
 
 // gnetLogger passes gnet's log on. Its warnings tell of events for connections that a callback of the same
--- a/internal/netio/sockets/listen.go
+++ b/internal/netio/sockets/listen.go
@@ -13,24 +13,24 @@
 	if err != nil {
 		return nil, err
 	}
-	go n.accept(l, func() {})
+	go n.acceptLoop(l, func() {})
 	return func() { l.Close() }, nil
 }
 
 // pause is waited when no descriptor is to be had for a connection.
-const pause = 5 * time.Millisecond
+const acceptRetryInterval = 5 * time.Millisecond
 
 // accept hands connections to the loop until the listener is closed, one at a time, so that each can be turned away before the
 // next takes a descriptor. before is called ahead of each.
-func (n *EventLoop) accept(l net.Listener, before func()) {
+func (n *EventLoop) acceptLoop(l net.Listener, beforeAccept func()) {
 	for {
-		before()
+		beforeAccept()
 		c, err := l.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			time.Sleep(pause)
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
 		result, err := n.loop.Enroll(context.Background(), c)
--- a/internal/netio/sockets/passed.go
+++ b/internal/netio/sockets/passed.go
@@ -16,11 +16,11 @@
 )
 
 // ErrPassed is the fault of a passed descriptor that nobody can be accepted at.
-var ErrPassed = errors.New("not a listening TCP socket")
+var ErrNotListeningSocket = errors.New("not a listening TCP socket")
 
 // passed are listening sockets beside the loop: the first is inherited. Danger: that is one open file in several processes.
 // It is closed and nothing else: shut down, or with a filter on it, it would be deaf in all of them.
-type passed struct {
+type listenerSet struct {
 	listeners []net.Listener
 	accepting sync.WaitGroup // at each, until its last connection is open
 }
@@ -29,38 +29,38 @@
 func (n *EventLoop) Inherit(fd int) error {
 	listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	if err != nil || listening != 1 {
-		return fmt.Errorf("descriptor %d: %w", fd, ErrPassed)
+		return fmt.Errorf("descriptor %d: %w", fd, ErrNotListeningSocket)
 	}
 	f := os.NewFile(uintptr(fd), "passed")
 	defer func() { _ = f.Close() }() // read only
 	l, err := net.FileListener(f)
 	if err != nil {
-		return fmt.Errorf("descriptor %d: %w: %w", fd, ErrPassed, err)
+		return fmt.Errorf("descriptor %d: %w: %w", fd, ErrNotListeningSocket, err)
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		l.Close()
-		return fmt.Errorf("descriptor %d: %w", fd, ErrPassed)
+		return fmt.Errorf("descriptor %d: %w", fd, ErrNotListeningSocket)
 	}
-	n.passed = &passed{listeners: []net.Listener{l}}
+	n.inherited = &listenerSet{listeners: []net.Listener{l}}
 	return nil
 }
 
 // runPassed runs a loop that listens nowhere itself: gnet can't be given a socket, so connections are accepted beside it.
-func (n *EventLoop) runPassed() error {
+func (n *EventLoop) runInherited() error {
 	// ReusePort is for the process that is succeeded, which listens at the other addresses still.
 	config := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) (err error) {
 		_ = c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }) // it is open
 		return err
 	}}
-	defer n.passed.close()
-	for _, address := range n.listen[1:] {
+	defer n.inherited.closeAll()
+	for _, address := range n.listenAddresses[1:] {
 		l, err := config.Listen(context.Background(), "tcp", address)
 		if err != nil {
 			return fmt.Errorf("listen %s: %w", address, err)
 		}
-		n.passed.listeners = append(n.passed.listeners, l)
+		n.inherited.listeners = append(n.inherited.listeners, l)
 	}
-	client, err := gnet.NewClient(&handler{n: n}, gnet.WithNumEventLoop(1), gnet.WithLogger(gnetLogger{n.log}))
+	client, err := gnet.NewClient(&gnetHandler{loop: n}, gnet.WithNumEventLoop(1), gnet.WithLogger(gnetLogger{n.log}))
 	if err != nil {
 		return err
 	}
@@ -68,36 +68,36 @@
 		return err
 	}
 	wakeUp := &waker{}
-	if err := wakeUp.register(func(c net.Conn, w *waker) error {
+	if err := wakeUp.connect(func(c net.Conn, w *waker) error {
 		_, err := client.EnrollContext(c, w)
 		return err
 	}); err != nil {
-		n.failed = fmt.Errorf("the event loop can't be had: %w", err)
-		n.end()
+		n.startErr = fmt.Errorf("the event loop can't be had: %w", err)
+		n.signalDone()
 	}
-	<-n.ended
-	return cmp.Or(client.Stop(), n.failed)
+	<-n.done
+	return cmp.Or(client.Stop(), n.startErr)
 }
 
 // end lets runPassed go on to its end.
-func (n *EventLoop) end() { n.ending.Do(func() { close(n.ended) }) }
+func (n *EventLoop) signalDone() { n.doneOnce.Do(func() { close(n.done) }) }
 
-func (p *passed) close() {
+func (p *listenerSet) closeAll() {
 	for _, l := range p.listeners {
 		l.Close()
 	}
 }
 
 // begin accepts at all listeners.
-func (p *passed) begin(n *EventLoop) {
+func (p *listenerSet) start(n *EventLoop) {
 	for _, l := range p.listeners {
 		p.accepting.Go(func() { p.accept(n, l) })
 	}
 }
 
 // stop has done called once all who were accepted are open.
-func (p *passed) stop(n *EventLoop, done func()) {
-	p.close()
+func (p *listenerSet) stop(n *EventLoop, done func()) {
+	p.closeAll()
 	go func() {
 		idle := make(chan struct{})
 		go func() {
@@ -106,7 +106,7 @@
 		}()
 		select {
 		case <-idle:
-		case <-time.After(stopWithin):
+		case <-time.After(acceptStopTimeout):
 			n.log.Warn("an accept goes on: another process has made the passed socket block")
 		}
 		n.execute(done)
@@ -114,10 +114,10 @@
 }
 
 // stopWithin bounds the wait for an accept that has begun.
-const stopWithin = 500 * time.Millisecond
+const acceptStopTimeout = 500 * time.Millisecond
 
 // accept hands connections to the loop.
-func (p *passed) accept(n *EventLoop, l net.Listener) {
+func (p *listenerSet) accept(n *EventLoop, l net.Listener) {
 	raw, err := l.(syscall.Conn).SyscallConn()
 	if err != nil {
 		n.log.Error("nobody can be accepted", "error", err)
@@ -125,7 +125,7 @@
 	}
 	// Danger: whoever else holds the socket may make it block, for all of them. An accept that blocks outlives the listener's
 	// end, and the process with it.
-	n.accept(l, func() {
+	n.acceptLoop(l, func() {
 		_ = raw.Control(func(fd uintptr) { _ = unix.SetNonblock(int(fd), true) }) // a closed listener shows in Accept
 	})
 }
--- a/internal/netio/sockets/sockets.go
+++ b/internal/netio/sockets/sockets.go
@@ -20,75 +20,75 @@
 
 // EventLoop is an event loop that has not begun to turn, or turns. What netio.EventLoop says of the loop's own goroutine holds.
 type EventLoop struct {
-	listen []string
-	passed *passed       // the listener that was inherited for the first address; nil: none was
-	ended  chan struct{} // closed once the loop ends that listens nowhere itself
-	ending sync.Once
-	log    *slog.Logger
-	clock  clock
-	host   netio.Handler
-	loop   gnet.EventLoop
-
-	alarm    *time.Timer
-	wake     *waker
+	listenAddresses []string
+	inherited       *listenerSet  // the listener that was inherited for the first address; nil: none was
+	done            chan struct{} // closed once the loop ends that listens nowhere itself
+	doneOnce        sync.Once
+	log             *slog.Logger
+	clock           clock
+	handler         netio.Handler
+	loop            gnet.EventLoop
+
+	timer    *time.Timer
+	waker    *waker
 	yielded  []func()
-	epoll    int // gnet's own descriptor; below 0: it can't be had
+	epollFD  int // gnet's own descriptor; below 0: it can't be had
 	stopping bool
-	failed   error // why there never was a loop
+	startErr error // why there never was a loop
 
 	mu      sync.Mutex
 	posted  []func() // before there was a loop
 	started bool     // the loop takes posts itself
-	over    bool     // the loop has gone
+	stopped bool     // the loop has gone
 }
 
 var _ netio.EventLoop = (*EventLoop)(nil)
 
 // New returns a loop that is to listen at addresses and ports.
 func New(log *slog.Logger, listen ...string) *EventLoop {
-	return &EventLoop{listen: listen, log: log, clock: newClock(), ended: make(chan struct{})}
+	return &EventLoop{listenAddresses: listen, log: log, clock: newClock(), done: make(chan struct{})}
 }
 
 // Run listens and calls host until Stop is called.
-func (n *EventLoop) Run(host netio.Handler) error {
-	n.host = host
+func (n *EventLoop) Run(handler netio.Handler) error {
+	n.handler = handler
 	defer func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.over = true
+		n.stopped = true
 	}()
-	var all []string
-	if n.passed != nil {
-		return n.runPassed()
+	var urls []string
+	if n.inherited != nil {
+		return n.runInherited()
 	}
-	for _, address := range n.listen {
-		if err := claim(address); err != nil {
+	for _, address := range n.listenAddresses {
+		if err := checkAddressFree(address); err != nil {
 			return fmt.Errorf("listen %s: %w", address, err)
 		}
-		all = append(all, "tcp://"+address)
+		urls = append(urls, "tcp://"+address)
 	}
 	// With ReusePort the loop accepts by itself, one connection at a time, and each can be turned away
 	// before the next takes a descriptor. Danger: gnet ends the engine when an accept fails.
 	// ReuseAddr is for the next start: without it the connections that this one closed stand in the way of
 	// claim for a minute.
-	err := gnet.Rotate(&handler{n: n}, all, gnet.WithNumEventLoop(1), gnet.WithReusePort(true),
+	err := gnet.Rotate(&gnetHandler{loop: n}, urls, gnet.WithNumEventLoop(1), gnet.WithReusePort(true),
 		gnet.WithReuseAddr(true), gnet.WithTicker(true), gnet.WithLogger(gnetLogger{n.log}))
-	return cmp.Or(err, n.failed)
+	return cmp.Or(err, n.startErr)
 }
 
 // Now is on the machine's monotonic clock.
 func (n *EventLoop) Now() float64 { return n.clock.now() }
 
 // errShutdown, returned by a task, ends gnet's event loop.
-var errShutdown = gneterrors.ErrEngineShutdown
+var errEngineShutdown = gneterrors.ErrEngineShutdown
 
 // errOver is the end of what is asked for after the loop has gone.
-var errOver = errors.New("the event loop has gone")
+var errStopped = errors.New("the event loop has gone")
 
 // Post may be called before Run, too; what is posted then is called right after Host.Start.
 func (n *EventLoop) Post(f func()) {
 	n.mu.Lock()
-	if !n.started && !n.over {
+	if !n.started && !n.stopped {
 		n.posted = append(n.posted, f)
 		n.mu.Unlock()
 		return
@@ -102,22 +102,22 @@
 	run := gnet.RunnableFunc(func(context.Context) error {
 		f()
 		if n.stopping {
-			return errShutdown
+			return errEngineShutdown
 		}
 		return nil
 	})
 	if n.loop == nil {
-		n.log.Error("not posted", "error", errOver)
+		n.log.Error("not posted", "error", errStopped)
 	} else if err := n.loop.Execute(context.Background(), run); err != nil {
 		n.log.Error("not posted", "error", err)
 	}
 }
 
 // start takes the loop of a first connection into use.
-func (n *EventLoop) start(c gnet.Conn) {
+func (n *EventLoop) attach(c gnet.Conn) {
 	n.loop = c.EventLoop()
-	n.epoll = findEpoll(c.Fd())
-	n.host.Start()
+	n.epollFD = findEpollFD(c.Fd())
+	n.handler.Start()
 	n.mu.Lock()
 	posted := n.posted
 	n.posted, n.started = nil, true
@@ -125,8 +125,8 @@
 	for _, f := range posted {
 		n.execute(f)
 	}
-	if n.passed != nil {
-		n.passed.begin(n)
+	if n.inherited != nil {
+		n.inherited.start(n)
 	}
 }
 
@@ -135,13 +135,13 @@
 // which they became ready, so all that were ready before come first.
 func (n *EventLoop) Yield(f func()) {
 	n.yielded = append(n.yielded, f)
-	if len(n.yielded) == 1 && n.wake.ring() != nil { // it has gone with the engine
-		n.execute(n.yields)
+	if len(n.yielded) == 1 && n.waker.ring() != nil { // it has gone with the engine
+		n.execute(n.runYields)
 	}
 }
 
 // yields calls what Yield was given.
-func (n *EventLoop) yields() {
+func (n *EventLoop) runYields() {
 	todo := n.yielded
 	n.yielded = nil
 	for _, f := range todo {
@@ -152,17 +152,17 @@
 // SetAlarm sets the one runtime timer.
 func (n *EventLoop) SetAlarm(at float64) {
 	wait := max(time.Until(n.clock.time(at)), 0)
-	if n.alarm == nil {
-		n.alarm = time.AfterFunc(wait, func() { n.execute(n.host.Alarm) })
+	if n.timer == nil {
+		n.timer = time.AfterFunc(wait, func() { n.execute(n.handler.Alarm) })
 		return
 	}
-	n.alarm.Reset(wait)
+	n.timer.Reset(wait)
 }
 
 // Dial connects beside the event loop: gnet's own dialing would block it, or go on without an end.
-func (n *EventLoop) Dial(address string, until float64, hostContext any, done func(error)) func() {
+func (n *EventLoop) Dial(address string, until float64, connContext any, done func(error)) func() {
 	ctx, cancel := context.WithDeadline(context.Background(), n.clock.time(until))
-	settled := func(err error) {
+	report := func(err error) {
 		n.execute(func() {
 			cancel()
 			done(err)
@@ -172,16 +172,16 @@
 		dialer := net.Dialer{KeepAlive: -1}
 		conn, err := dialer.DialContext(ctx, "tcp", address)
 		if err != nil {
-			settled(err)
+			report(err)
 			return
 		}
-		result, err := n.loop.Enroll(gnet.NewContext(context.Background(), hostContext), conn)
+		result, err := n.loop.Enroll(gnet.NewContext(context.Background(), connContext), conn)
 		if err != nil {
 			conn.Close()
-			settled(err)
+			report(err)
 			return
 		}
-		settled((<-result).Err)
+		report((<-result).Err)
 	}()
 	return cancel
 }
@@ -210,8 +210,8 @@
 	if c.OutboundBuffered() > 0 {
 		return false
 	}
-	held, err := unix.IoctlGetInt(c.(gnet.Conn).Fd(), unix.TIOCOUTQ)
-	return err != nil || held == 0
+	unacknowledged, err := unix.IoctlGetInt(c.(gnet.Conn).Fd(), unix.TIOCOUTQ)
+	return err != nil || unacknowledged == 0
 }
 
 // ReceiveDelaySeconds asks the kernel, which counts in its own ticks of some milliseconds.
@@ -226,13 +226,13 @@
 // Stop ends Run.
 func (n *EventLoop) Stop() {
 	n.stopping = true
-	n.end()
+	n.signalDone()
 	n.execute(func() {})
 }
 
 // claim finds out whether an address can be listened at. Danger: ReusePort lets a second process share the
 // port, and each would get a part of the clients.
-func claim(address string) error {
+func checkAddressFree(address string) error {
 	a, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
 		return err
