--- a/internal/decide/admission/victim.go
+++ b/internal/decide/admission/eviction.go
@@ -1,6 +1,25 @@
 package admission
 
-import "net/netip"
+// How long a link may be in a state before it can be given up for a newcomer, in seconds. Danger: the first request of a
+// link that has just come up is on its way, and so is the rest of one that has begun to come.
+const (
+	silentGrace = 0.01
+	partGrace   = 0.1
+	restGrace   = 0.1
+	modestGrace = 1.0
+)
+
+// Victim returns the link that goes for a newcomer, nil if none does: each is worth as much, owed something, or about to
+// ask. One that has its cap may only put its own links in place of each other.
+func (r *ConnTable) VictimFor(now float64, newcomer *Conn, v Verdict) *Conn {
+	if v == OverLimit {
+		return r.sparable(now, newcomer.client, newcomer.client, true, newcomer)
+	}
+	return r.victim(now, newcomer.client, newcomer)
+}
+
+// Spare returns the link that is missed least, nil if each is owed something or about to ask.
+func (r *ConnTable) LeastNeeded(now float64) *Conn { return r.victim(now, nil, nil) }
 
 // victim returns the link that goes for a newcomer, nil if none does: what is only read until its client closes; then
 // links of the address that has most that are owed nothing, in the prefix that has most; a known address counts for a
@@ -87,76 +106,3 @@
 	}
 	return g
 }
-
-// burden is how many links of an address there are in all; those of a known one count less.
-func (a *address) burden() float64 {
-	if a.known {
-		return float64(a.links) * knownDiscount
-	}
-	return float64(a.links)
-}
-
-// weight is how many links of an address are owed nothing; those of a known one count less.
-func (a *address) weight() float64 {
-	w := float64(a.free)
-	if a.known {
-		w *= knownDiscount
-	}
-	return w
-}
-
-// groupOf returns the prefix of an address's neighbours.
-func groupOf(addr netip.Addr) netip.Prefix {
-	bits := groupBits4
-	if addr.Is6() {
-		bits = groupBits6
-	}
-	p, err := addr.Prefix(bits)
-	if err != nil {
-		return netip.Prefix{} // an address that is none is its own group
-	}
-	return p
-}
-
-// group puts an address among its neighbours.
-func (r *ConnTable) group(a *address) {
-	of := r.groups[tree(a.known)]
-	p := groupOf(a.addr)
-	g := of[p]
-	if g == nil {
-		g = &group{prefix: p, known: a.known}
-		of[p] = g
-	}
-	a.in, a.counted = g, 0
-	r.reweigh(a)
-}
-
-// ungroup takes an address from its neighbours.
-func (r *ConnTable) ungroup(a *address) {
-	g := a.in
-	g.clients.drop(a)
-	g.weight -= a.counted
-	if g.clients.len() > 0 {
-		r.heavy[tree(g.known)].put(g)
-		return
-	}
-	r.heavy[tree(g.known)].drop(g)
-	delete(r.groups[tree(g.known)], g.prefix)
-}
-
-// reweigh follows a change of an address's links.
-func (r *ConnTable) reweigh(a *address) {
-	w := a.weight()
-	a.in.weight += w - a.counted // quarters of whole numbers, which add up exactly
-	a.counted = w
-	a.in.clients.put(a)
-	r.heavy[tree(a.in.known)].put(a.in)
-}
-
-// tree is the place of the known or of strangers in pairs of both.
-func tree(known bool) int {
-	if known {
-		return 1
-	}
-	return 0
-}
--- a/internal/decide/admission/structure.go
+++ b/internal/decide/admission/heap.go
@@ -2,73 +2,6 @@
 
 import "slices"
 
-// Lists and heaps that their elements know their places in, so that any can be taken out at once.
-
-// The lists that a link is in.
-const (
-	ofRoom = iota
-	ofAddress
-)
-
-// hook is a link's place in a list.
-type hook struct{ before, after *Conn }
-
-// list holds links in the order in which they came.
-type list struct {
-	first, last *Conn
-	n           int
-	hook        int // which of a link's hooks is this list's
-}
-
-func (t *list) put(l *Conn) {
-	l.hooks[t.hook] = hook{before: t.last}
-	if t.last != nil {
-		t.last.hooks[t.hook].after = l
-	} else {
-		t.first = l
-	}
-	t.last = l
-	t.n++
-}
-
-// putBySince puts a link in by the time since which it is in its state. It is for the few that come from another list.
-func (t *list) putBySince(l *Conn) {
-	after := t.last
-	for after != nil && after.since > l.since {
-		after = after.hooks[t.hook].before
-	}
-	if after == t.last {
-		t.put(l)
-		return
-	}
-	h := hook{before: after}
-	if after == nil {
-		h.after, t.first = t.first, l
-	} else {
-		h.after = after.hooks[t.hook].after
-		after.hooks[t.hook].after = l
-	}
-	h.after.hooks[t.hook].before = l
-	l.hooks[t.hook] = h
-	t.n++
-}
-
-func (t *list) drop(l *Conn) {
-	h := l.hooks[t.hook]
-	if h.before != nil {
-		h.before.hooks[t.hook].after = h.after
-	} else {
-		t.first = h.after
-	}
-	if h.after != nil {
-		h.after.hooks[t.hook].before = h.before
-	} else {
-		t.last = h.before
-	}
-	l.hooks[t.hook] = hook{}
-	t.n--
-}
-
 // placed is an element of a heap: it compares itself, and keeps its place, from 1; 0 is none.
 type placed[T any] interface {
 	comparable
@@ -80,6 +13,7 @@
 type heap[T placed[T]] struct{ all []T }
 
 func (h *heap[T]) len() int { return len(h.all) }
+
 func (h *heap[T]) first() T { return h.all[0] }
 
 // put puts an element in, or follows a change of one that is in it.
@@ -135,10 +69,13 @@
 type fatness struct{ *address }
 
 func (f fatness) above(other fatness) bool { return f.fat > other.fat }
-func (f fatness) at() *int                 { return &f.fatPlace }
+
+func (f fatness) at() *int { return &f.fatPlace }
 
 func (a *address) above(other *address) bool { return a.counted > other.counted }
-func (a *address) at() *int                  { return &a.place }
+
+func (a *address) at() *int { return &a.place }
 
 func (g *group) above(other *group) bool { return g.weight > other.weight }
-func (g *group) at() *int                { return &g.place }
+
+func (g *group) at() *int { return &g.place }
