--- a/internal/decide/admission/client.go
+++ b/internal/decide/admission/client.go
@@ -7,24 +7,44 @@
 	"slices"
 )
 
-// address is what is known of a client's address.
-type address struct {
-	addr     netip.Addr
-	known    bool
-	settings bool // known by the settings
-	in       *group
-	counted  float64 // its weight in the group's
-	place    int     // in group.clients, from 1
-	links    int
-	free     int // of these, that are owed nothing
-	own      [states]list
-	caps     []int // places in Room.caps
-	held     int   // bytes of its links
-	fat      int   // of these, of links that are owed nothing
-	fatPlace int   // in Room.fat, from 1
+const (
+	// knownClientWeight is what a connection of a known client weighs; that of an unknown one weighs 1.
+	knownClientWeight = 0.25
+	// knownScore is the score from which on a client is known. A served request adds 1.
+	knownScore = 2
+	// wastePenalty is what a connection that was wasted takes from the score.
+	wastePenalty = 2
+	// maxScore bounds the score, and so the connections that a client can waste before it is unknown again.
+	maxScore = 64
+	// maxRememberedClients is how many scores are remembered. The 2Q cache evicts addresses that were seen once before those that come
+	// back, so a flood of addresses with one request each does not evict regular clients.
+	maxRememberedClients = 4096
+	// fairShareMultiple and fairShareAllowance define a fair share: so many times the mean number of active connections of the other
+	// clients, and so many more.
+	fairShareMultiple  = 2.0
+	fairShareAllowance = 4.0
+)
+
+// client is the state of an address that has connections.
+type client struct {
+	addr              netip.Addr
+	isKnown           bool
+	isKnownBySettings bool
+	conns             int
+	reclaimableConns  int // of these, without a request in flight
+	byState           [stateCount]list
+	limits            []int // indices in Settings.PrefixLimits
+
+	group         *group
+	countedWeight float64 // its part of group.weight
+	heapIndex     int     // in group.clients, from 1; 0: none
+
+	bufferedBytes    int
+	reclaimableBytes int // of these, of connections with a reclaimable buffer
+	bytesHeapIndex   int // in ConnTable.clientsByReclaimable, from 1; 0: none
 }
 
-// Client is what one address holds.
+// Client is what the connections of an address hold, for operators.
 type Client struct {
 	Address       string         `json:"address"`
 	IsKnown       bool           `json:"known"`
@@ -33,120 +53,121 @@
 	BufferedBytes int            `json:"bytes"`
 }
 
-// Clients tells who holds what, those with most links first: at most so many addresses, and how many there are.
-func (r *ConnTable) Clients(most int) (shown []Client, all int) {
-	list := slices.SortedFunc(maps.Values(r.clients), func(x, y *address) int {
-		return cmp.Or(cmp.Compare(y.links, x.links), x.addr.Compare(y.addr))
+// Clients returns at most maxShown clients, those with the most connections first, and the number of all.
+func (t *ConnTable) Clients(maxShown int) (shown []Client, all int) {
+	list := slices.SortedFunc(maps.Values(t.clients), func(x, y *client) int {
+		return cmp.Or(cmp.Compare(y.conns, x.conns), x.addr.Compare(y.addr))
 	})
-	for _, a := range list[:min(most, len(list))] {
-		c := Client{Address: a.addr.String(), IsKnown: a.known, Conns: a.links, States: map[string]int{}}
-		for s := range states {
-			if a.own[s].n > 0 {
-				c.States[s.String()] = a.own[s].n
+	for _, c := range list[:min(maxShown, len(list))] {
+		view := Client{Address: c.addr.String(), IsKnown: c.isKnown, Conns: c.conns, States: map[string]int{}}
+		for s := range stateCount {
+			if n := c.byState[s].length; n > 0 {
+				view.States[s.String()] = n
 			}
-			for l := a.own[s].first; l != nil; l = l.hooks[ofAddress].after {
-				c.BufferedBytes += l.bytes
+			for conn := c.byState[s].first; conn != nil; conn = conn.links[clientList].next {
+				view.BufferedBytes += conn.bufferedBytes
 			}
 		}
-		shown = append(shown, c)
+		shown = append(shown, view)
 	}
 	return shown, len(list)
 }
 
-// Served notes that a request of a link has run whole.
-func (r *ConnTable) RecordServed(l *Conn) {
-	score, _ := r.scores.Get(l.client.addr)
-	r.score(l.client, min(score+1, mostScore))
+// RecordServed notes that a request of a connection was served completely, which makes its client known after some.
+func (t *ConnTable) RecordServed(conn *Conn) {
+	score, _ := t.scores.Get(conn.client.addr)
+	t.setScore(conn.client, min(score+1, maxScore))
 }
 
-// Wasted notes that a link had to go without a request having come whole, or an answer having been read.
-func (r *ConnTable) RecordWasted(l *Conn) {
-	if score, ok := r.scores.Peek(l.client.addr); ok {
-		r.score(l.client, max(score-wasteCost, 0))
+// RecordWasted notes that a connection was closed before a request was received completely or an answer was read.
+func (t *ConnTable) RecordWasted(conn *Conn) {
+	if score, ok := t.scores.Peek(conn.client.addr); ok {
+		t.setScore(conn.client, max(score-wastePenalty, 0))
 	}
 }
 
-// Greedy tells whether the client of a link has clearly more requests out than its fair part of all. It says who goes
-// first when there is not enough for all.
-func (r *ConnTable) ExceedsFairShare(l *Conn) bool {
-	a, own := l.client, l.client.own[StateActive].n
-	others := r.askers
+// ExceedsFairShare returns whether a connection's client has clearly more active connections than the others have on average. When
+// requests must be rejected, those of such clients are rejected first. A known client may have more.
+func (t *ConnTable) ExceedsFairShare(conn *Conn) bool {
+	own := conn.client.byState[StateActive].length
+	others := t.activeClients
 	if own > 0 {
 		others--
 	}
 	if others == 0 {
 		return false
 	}
-	fair := freeRequests + greedyTimes*float64(r.asking-own)/float64(others)
-	if a.known {
-		fair /= knownDiscount
+	fair := fairShareAllowance + fairShareMultiple*float64(t.activeConns-own)/float64(others)
+	if conn.client.isKnown {
+		fair /= knownClientWeight
 	}
 	return float64(own) >= fair
 }
 
-// address returns what is known of an address.
-func (r *ConnTable) address(addr netip.Addr) *address {
-	if a := r.clients[addr]; a != nil {
-		return a
+// clientOf returns the client of an address, a new one if it has no connections.
+func (t *ConnTable) clientOf(addr netip.Addr) *client {
+	if c := t.clients[addr]; c != nil {
+		return c
 	}
-	a := &address{addr: addr}
-	for i := range a.own {
-		a.own[i].hook = ofAddress
+	c := &client{addr: addr}
+	for i := range c.byState {
+		c.byState[i].linksIndex = clientList
 	}
-	for _, p := range r.s.KnownPrefixes {
-		a.settings = a.settings || p.Contains(addr)
+	for _, prefix := range t.settings.KnownPrefixes {
+		c.isKnownBySettings = c.isKnownBySettings || prefix.Contains(addr)
 	}
-	score, _ := r.scores.Peek(addr)
-	a.known = a.settings || score >= knownAfter
-	for i, c := range r.s.PrefixLimits {
-		if c.Prefix.Contains(addr) {
-			a.caps = append(a.caps, i)
+	score, _ := t.scores.Peek(addr)
+	c.isKnown = c.isKnownBySettings || score >= knownScore
+	for i, limit := range t.settings.PrefixLimits {
+		if limit.Prefix.Contains(addr) {
+			c.limits = append(c.limits, i)
 		}
 	}
-	r.clients[addr] = a
-	r.group(a)
-	return a
+	t.clients[addr] = c
+	t.joinGroup(c)
+	return c
 }
 
-// score remembers how an address has done, and has it known or not accordingly.
-func (r *ConnTable) score(a *address, score float64) {
-	r.scores.Add(a.addr, score)
-	known := a.settings || score >= knownAfter
-	if known == a.known {
+// setScore remembers the score of a client's address and moves the client between the known and the unknown ones accordingly.
+func (t *ConnTable) setScore(c *client, score float64) {
+	t.scores.Add(c.addr, score)
+	isKnown := c.isKnownBySettings || score >= knownScore
+	if isKnown == c.isKnown {
 		return
 	}
-	r.ungroup(a)
-	beyond := 0
-	for s := range states {
-		for l := a.own[s].first; l != nil; l = l.hooks[ofAddress].after {
-			r.all[tree(a.known)][s].drop(l)
-			r.all[tree(known)][s].putBySince(l)
-			if l.beyond {
-				beyond++
+	t.leaveGroup(c)
+	overflow := 0
+	for s := range stateCount {
+		for conn := c.byState[s].first; conn != nil; conn = conn.links[clientList].next {
+			t.byState[knownIndex(c.isKnown)][s].remove(conn)
+			t.byState[knownIndex(isKnown)][s].insertBySince(conn)
+			if conn.isOverflow {
+				overflow++
 			}
 		}
 	}
-	if a.known = known; known {
-		r.strange -= a.links - beyond
+	c.isKnown = isKnown
+	if isKnown {
+		t.unknownConns -= c.conns - overflow
 	} else {
-		r.strange += a.links - beyond
+		t.unknownConns += c.conns - overflow
 	}
-	r.group(a)
+	t.joinGroup(c)
 }
 
-// burden is how many links of an address there are in all; those of a known one count less.
-func (a *address) burden() float64 {
-	if a.known {
-		return float64(a.links) * knownDiscount
+// connWeight returns the weight of all connections of a client.
+func (c *client) connWeight() float64 {
+	if c.isKnown {
+		return float64(c.conns) * knownClientWeight
 	}
-	return float64(a.links)
+	return float64(c.conns)
 }
 
-// weight is how many links of an address are owed nothing; those of a known one count less.
-func (a *address) weight() float64 {
-	w := float64(a.free)
-	if a.known {
-		w *= knownDiscount
+// reclaimableWeight returns the weight of a client's connections without a request in flight.
+func (c *client) reclaimableWeight() float64 {
+	weight := float64(c.reclaimableConns)
+	if c.isKnown {
+		weight *= knownClientWeight
 	}
-	return w
+	return weight
 }
--- a/internal/decide/admission/conn.go
+++ b/internal/decide/admission/conn.go
@@ -1,38 +1,38 @@
 package admission
 
-// State is what a client link is doing.
+// State is what a client connection is doing.
 type State uint8
 
-// The states. Asking links are owed an answer and are never given up.
+// The states. A StateActive connection is never closed for another one: its client waits for an answer.
 const (
-	StateNew     State = iota // nothing has come on it
-	StateReading              // a part of a request has come
-	StateActive               // a request is out
-	StateWriting              // an answer is written, and the socket does not take it
-	StateIdle                 // it has carried a request, and nothing is under way
-	StateClosing              // its last answer is written; it is read until the client closes
-	states
+	StateNew     State = iota // nothing was received
+	StateReading              // a part of a request was received
+	StateActive               // a request is in flight
+	StateWriting              // an answer waits for the client to read it
+	StateIdle                 // keep-alive between requests
+	StateClosing              // the last answer was sent; it is read until the client closes
+	stateCount
 )
 
-// String names a state.
+// String returns the state as it is spelled in answers to operators.
 func (s State) String() string {
 	return [...]string{"silent", "partial", "asking", "unread", "resting", "ending"}[s]
 }
 
-// Link is a client link in a Room.
+// Conn is a client connection in a ConnTable.
 type Conn struct {
-	Owner any // whose it is; the Room passes it on
+	Owner any // passed to ConnTable.Add; not used here
 
-	client *address
-	state  State
-	since  float64
-	bytes  int
-	beyond bool    // it takes no place
-	hooks  [2]hook // in the lists of the Room and of its address
+	client        *client
+	state         State
+	since         float64 // when it entered the state
+	bufferedBytes int
+	isOverflow    bool
+	links         [2]links // of tableList and clientList
 }
 
-// Known tells whether a link's client is known.
-func (l *Conn) IsKnown() bool { return l.client.known }
+// IsKnown returns whether the connection's client is known (see ConnTable.RecordServed).
+func (c *Conn) IsKnown() bool { return c.client.isKnown }
 
-// State returns what a link does, and since when.
-func (l *Conn) State() (State, float64) { return l.state, l.since }
+// State returns the connection's state, and since when it is in it.
+func (c *Conn) State() (State, float64) { return c.state, c.since }
--- a/internal/decide/admission/conntable.go
+++ b/internal/decide/admission/conntable.go
@@ -6,215 +6,231 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-const (
-	// knownDiscount is what a link of a known address weighs beside a stranger's.
-	knownDiscount = 0.25
-	// knownAfter requests that ran whole make an address known; each of its links that wasted room takes back wasteCost,
-	// and no more than mostScore are remembered.
-	knownAfter = 2
-	wasteCost  = 2
-	mostScore  = 64
-	// mostKnown addresses are remembered. The memory keeps those that come again before those that came once, so a flood
-	// of addresses that each ask once does not push out who asks all day.
-	mostKnown = 4096
-	// A client is greedy that has greedyTimes as many requests out as the others on average, and freeRequests more.
-	greedyTimes  = 2.0
-	freeRequests = 4.0
-	// lastPart is the part of all places, or of those for strangers, that no address gets which holds half of them.
-	lastPart = 8
-	// fullPart of all that is held is a good part, the other way round.
-	fullPart = 4
-	// manyFree links that are owed nothing in one prefix are enough to take any of them for a newcomer.
-	manyFree = 4.0
-)
+// lastConnsDivisor reserves the last connections, one in so many of all or of those for unknown clients: an address that has half of
+// them already gets none of these.
+const lastConnsDivisor = 8
 
-// Cap bounds the links of all addresses in a prefix together.
+// PrefixLimit limits the connections of all addresses in a prefix together.
 type PrefixLimit struct {
 	Prefix   netip.Prefix
 	MaxConns int
 }
 
-// Settings are the bounds of a Room. The zero value has none but Most.
+// Settings are the limits of a ConnTable. The zero value has no limit but MaxConns, which is 0.
 type Settings struct {
-	MaxConns         int // links in all
-	ReservedForKnown int // of these, for known clients alone
-	MaxPerAddress    int // links of one address; 0: any number
+	MaxConns         int // overflow connections not included
+	ReservedForKnown int // of MaxConns, for known clients only
+	MaxPerAddress    int // connections of an address; 0: no limit
 	PrefixLimits     []PrefixLimit
-	KnownPrefixes    []netip.Prefix // clients that are known from the start
-	MaxBufferedBytes int            // that links may hold together and the socket can't; 0: any number
+	KnownPrefixes    []netip.Prefix // clients that are always known
+	MaxBufferedBytes int            // of all connections together; 0: no limit
 }
 
-// Room holds the links of clients. All its decisions cost O(log n).
+// ConnTable holds the client connections of a sidecar and decides which are closed under overload. Each decision takes O(log n).
+//
+// Clients are told apart by address, as known ones, which were served before, and unknown ones. Danger: under a flood no property
+// of a single connection tells a client from an attacker. Connections are therefore taken from the address, in the network
+// prefix, that has the most which can be closed, and known clients weigh less and have a reserve.
 type ConnTable struct {
-	s       Settings
-	clients map[netip.Addr]*address
-	groups  [2]map[netip.Prefix]*group // of strangers and of the known
-	heavy   [2]heap[*group]
-	all     [2][states]list // the links of strangers and of the known by state, the longest in it first
-	fat     heap[fatness]   // addresses whose links hold something and are owed nothing
-	scores  *lru.TwoQueueCache[netip.Addr, float64]
-	caps    []int // links within each of Settings.Caps
-	links   int
-	strange int // of these, of strangers
-	beyond  int // links that take no place
-	asking  int
-	askers  int // addresses with requests out
-	bytes   int
+	settings Settings
+	clients  map[netip.Addr]*client // with at least one connection
+	scores   *lru.TwoQueueCache[netip.Addr, float64]
+
+	// By knownIndex: unknown clients and known ones.
+	groups         [2]map[netip.Prefix]*group
+	groupsByWeight [2]heap[*group]
+	byState        [2][stateCount]list // connections, the longest in the state first
+
+	clientsByReclaimable heap[byReclaimable] // clients with reclaimable bytes
+
+	limitCounts   []int // connections by index in Settings.PrefixLimits
+	conns         int   // without overflow connections
+	unknownConns  int   // of these, of unknown clients
+	overflowConns int
+	activeConns   int
+	activeClients int // clients with active connections
+	bufferedBytes int
 }
 
-// NewRoom returns an empty room.
+// NewConnTable returns an empty table.
 func NewConnTable(s Settings) *ConnTable {
-	scores, err := lru.New2Q[netip.Addr, float64](mostKnown)
+	scores, err := lru.New2Q[netip.Addr, float64](maxRememberedClients)
 	if err != nil {
 		panic(err) // the size is a constant above 0
 	}
-	return &ConnTable{s: s, clients: map[netip.Addr]*address{}, scores: scores, caps: make([]int, len(s.PrefixLimits)),
-		groups: [2]map[netip.Prefix]*group{{}, {}}}
+	return &ConnTable{
+		settings:    s,
+		clients:     map[netip.Addr]*client{},
+		scores:      scores,
+		groups:      [2]map[netip.Prefix]*group{{}, {}},
+		limitCounts: make([]int, len(s.PrefixLimits)),
+	}
 }
 
-// Resize changes how many links there may be, and of these for known clients alone. Who is there stays.
-func (r *ConnTable) SetLimits(most, reserve int) { r.s.MaxConns, r.s.ReservedForKnown = most, reserve }
+// SetLimits sets MaxConns and ReservedForKnown. Present connections stay.
+func (t *ConnTable) SetLimits(maxConns, reservedForKnown int) {
+	t.settings.MaxConns = maxConns
+	t.settings.ReservedForKnown = reservedForKnown
+}
 
-// Len returns how many links there are.
-func (r *ConnTable) Len() int { return r.links }
+// Len returns the number of connections without overflow connections.
+func (t *ConnTable) Len() int { return t.conns }
 
-// Verdict says what a newcomer finds.
+// Verdict is whether a new connection is admitted.
 type Verdict uint8
 
-// The verdicts. What is not Admitted can be once Victim has named a link that goes for it.
+// The verdicts. A connection that is not Admitted may take the place of the one that VictimFor returns.
 const (
 	Admitted  Verdict = iota
-	TableFull         // there are too many links
-	OverLimit         // its address or prefix has its cap
+	TableFull         // there are too many connections
+	OverLimit         // its address or prefix is at its limit
 )
 
-// Open takes a link of an address that has just come up. Whatever the verdict it is in the room, until Close.
-func (r *ConnTable) Add(now float64, addr netip.Addr, owner any) (*Conn, Verdict) {
-	a := r.address(addr.Unmap())
-	v := Admitted
-	// The last places are for the known; and the last of these, as those of the strangers, not for one who holds half of
-	// them already.
-	room, held := r.s.MaxConns, r.links
-	if strangers := r.s.MaxConns - r.s.ReservedForKnown; !a.known && room-held > strangers-r.strange {
-		room, held = strangers, r.strange
-	}
-	if held >= room || held >= room-room/lastPart && 2*a.links >= room {
-		v = TableFull
-	}
-	if r.s.MaxPerAddress > 0 && a.links >= r.s.MaxPerAddress {
-		v = OverLimit
-	}
-	for _, i := range a.caps {
-		if r.caps[i] >= r.s.PrefixLimits[i].MaxConns {
-			v = OverLimit
+// Add adds a new connection of an address. Whatever the verdict, the connection is in the table until Remove.
+func (t *ConnTable) Add(now float64, addr netip.Addr, owner any) (*Conn, Verdict) {
+	c := t.clientOf(addr.Unmap())
+	verdict := Admitted
+	if t.isFullFor(c) {
+		verdict = TableFull
+	}
+	if t.settings.MaxPerAddress > 0 && c.conns >= t.settings.MaxPerAddress {
+		verdict = OverLimit
+	}
+	for _, i := range c.limits {
+		if t.limitCounts[i] >= t.settings.PrefixLimits[i].MaxConns {
+			verdict = OverLimit
 		}
-		r.caps[i]++
+		t.limitCounts[i]++
 	}
-	l := &Conn{Owner: owner, client: a, since: now}
-	a.links++
-	r.links++
-	if !a.known {
-		r.strange++
+	conn := &Conn{Owner: owner, client: c, since: now}
+	c.conns++
+	t.conns++
+	if !c.isKnown {
+		t.unknownConns++
 	}
-	r.enter(l, StateNew, now)
-	return l, v
+	t.enterState(conn, StateNew, now)
+	return conn, verdict
 }
 
-// Beyond has a newcomer stay that found no room, for a word to its client. It takes no place; how many there may be is the
-// caller's matter.
-func (r *ConnTable) AdmitOverflow(l *Conn) {
-	l.beyond = true
-	r.links--
-	if !l.client.known {
-		r.strange--
+// isFullFor returns whether there is no room for one more connection of a client: of all, or for an unknown client of those that are
+// not reserved, whichever has less room.
+func (t *ConnTable) isFullFor(c *client) bool {
+	limit, used := t.settings.MaxConns, t.conns
+	unreserved := t.settings.MaxConns - t.settings.ReservedForKnown
+	if !c.isKnown && limit-used > unreserved-t.unknownConns {
+		limit, used = unreserved, t.unknownConns
 	}
-	r.beyond++
+	return used >= limit || used >= limit-limit/lastConnsDivisor && 2*c.conns >= limit
 }
 
-// BeyondLen returns how many links are beyond.
-func (r *ConnTable) OverflowLen() int { return r.beyond }
+// AdmitOverflow keeps a new connection that was not admitted, for an error answer to its client. It no longer counts against
+// MaxConns; the caller bounds the number of such connections by OverflowLen.
+func (t *ConnTable) AdmitOverflow(conn *Conn) {
+	conn.isOverflow = true
+	t.conns--
+	if !conn.client.isKnown {
+		t.unknownConns--
+	}
+	t.overflowConns++
+}
+
+// OverflowLen returns the number of overflow connections.
+func (t *ConnTable) OverflowLen() int { return t.overflowConns }
 
-// Renew has a link count as one that has just come into its state: its next request waits in its socket.
-func (r *ConnTable) Touch(now float64, l *Conn) {
-	r.leave(l)
-	r.enter(l, l.state, now)
+// Touch makes a connection count as one that has just entered its state, as its next request waits in its socket.
+func (t *ConnTable) Touch(now float64, conn *Conn) {
+	t.leaveState(conn)
+	t.enterState(conn, conn.state, now)
 }
 
-// Move notes what a link does from now on.
-func (r *ConnTable) SetState(now float64, l *Conn, s State) {
-	if l.state != s {
-		r.leave(l)
-		r.enter(l, s, now)
+// SetState notes what a connection does from now on.
+func (t *ConnTable) SetState(now float64, conn *Conn, s State) {
+	if conn.state != s {
+		t.leaveState(conn)
+		t.enterState(conn, s, now)
 	}
 }
 
-// Close takes a link out.
-func (r *ConnTable) Remove(l *Conn) {
-	a := l.client
-	r.SetBufferedBytes(l, 0)
-	r.leave(l)
-	a.links--
-	if l.beyond {
-		r.beyond--
-	} else if r.links--; !a.known {
-		r.strange--
+// Remove removes a connection.
+func (t *ConnTable) Remove(conn *Conn) {
+	c := conn.client
+	t.SetBufferedBytes(conn, 0)
+	t.leaveState(conn)
+	c.conns--
+	if conn.isOverflow {
+		t.overflowConns--
+	} else {
+		t.conns--
+		if !c.isKnown {
+			t.unknownConns--
+		}
 	}
-	for _, i := range a.caps {
-		r.caps[i]--
+	for _, i := range c.limits {
+		t.limitCounts[i]--
 	}
-	if a.links == 0 {
-		delete(r.clients, a.addr)
-		r.ungroup(a)
+	if c.conns == 0 {
+		delete(t.clients, c.addr)
+		t.leaveGroup(c)
 	}
 }
 
-// Each calls f with the links in a state, the longest in it first. f may close the link that it is given.
-func (r *ConnTable) Each(s State, f func(*Conn)) {
-	for i := range r.all {
-		for l := r.all[i][s].first; l != nil; {
-			next := l.hooks[ofRoom].after
-			f(l)
-			l = next
+// Each calls f with the connections in a state, the longest in it first among those of unknown and of known clients. f may remove the
+// connection that it is given.
+func (t *ConnTable) Each(s State, f func(*Conn)) {
+	for i := range t.byState {
+		for conn := t.byState[i][s].first; conn != nil; {
+			next := conn.links[tableList].next
+			f(conn)
+			conn = next
 		}
 	}
 }
 
-// Oldest returns the link that has been longest in a state, nil if none is in it.
-func (r *ConnTable) Oldest(s State) *Conn {
-	x, y := r.all[0][s].first, r.all[1][s].first
-	if x == nil || y != nil && y.since < x.since {
-		return y
+// Oldest returns the connection that has been in a state longest, nil if none is in it.
+func (t *ConnTable) Oldest(s State) *Conn {
+	unknown, known := t.byState[0][s].first, t.byState[1][s].first
+	if unknown == nil || known != nil && known.since < unknown.since {
+		return known
 	}
-	return x
+	return unknown
 }
 
-// enter puts a link into a state.
-func (r *ConnTable) enter(l *Conn, s State, now float64) {
-	a := l.client
-	l.state, l.since = s, now
-	r.all[tree(a.known)][s].put(l)
-	if a.own[s].put(l); s != StateActive {
-		a.free++
-	} else if r.asking++; a.own[StateActive].n == 1 {
-		r.askers++
+// enterState puts a connection, which is in no state, into one.
+func (t *ConnTable) enterState(conn *Conn, s State, now float64) {
+	c := conn.client
+	conn.state = s
+	conn.since = now
+	t.byState[knownIndex(c.isKnown)][s].append(conn)
+	c.byState[s].append(conn)
+	if s == StateActive {
+		t.activeConns++
+		if c.byState[StateActive].length == 1 {
+			t.activeClients++
+		}
+	} else {
+		c.reclaimableConns++
 	}
-	if l.owedNothing() {
-		r.fatten(a, l.bytes)
+	if conn.isBufferReclaimable() {
+		t.addReclaimable(c, conn.bufferedBytes)
 	}
-	r.reweigh(a)
+	t.updateWeight(c)
 }
 
-// leave takes a link out of its state.
-func (r *ConnTable) leave(l *Conn) {
-	a := l.client
-	r.all[tree(a.known)][l.state].drop(l)
-	if a.own[l.state].drop(l); l.state != StateActive {
-		a.free--
-	} else if r.asking--; a.own[StateActive].n == 0 {
-		r.askers--
+// leaveState takes a connection out of its state.
+func (t *ConnTable) leaveState(conn *Conn) {
+	c := conn.client
+	t.byState[knownIndex(c.isKnown)][conn.state].remove(conn)
+	c.byState[conn.state].remove(conn)
+	if conn.state == StateActive {
+		t.activeConns--
+		if c.byState[StateActive].length == 0 {
+			t.activeClients--
+		}
+	} else {
+		c.reclaimableConns--
 	}
-	if l.owedNothing() {
-		r.fatten(a, -l.bytes)
+	if conn.isBufferReclaimable() {
+		t.addReclaimable(c, -conn.bufferedBytes)
 	}
-	r.reweigh(a)
+	t.updateWeight(c)
 }
--- a/internal/decide/admission/eviction.go
+++ b/internal/decide/admission/eviction.go
@@ -1,108 +1,162 @@
 package admission
 
-// How long a link may be in a state before it can be given up for a newcomer, in seconds. Danger: the first request of a
-// link that has just come up is on its way, and so is the rest of one that has begun to come.
+// Grace periods: how long a connection is in a state before it can be closed for a new one. Danger: the first request of a new
+// connection is on its way, and so is the rest of one that has begun to arrive.
 const (
-	silentGrace = 0.01
-	partGrace   = 0.1
-	restGrace   = 0.1
-	modestGrace = 1.0
+	newGraceSeconds      = 0.01
+	transferGraceSeconds = 0.1 // reading and writing
+	idleGraceSeconds     = 0.1
+	// lightClientGraceSeconds is the least grace period of known clients and of clients with less connections than the new one's.
+	lightClientGraceSeconds = 1.0
 )
 
-// Victim returns the link that goes for a newcomer, nil if none does: each is worth as much, owed something, or about to
-// ask. One that has its cap may only put its own links in place of each other.
-func (r *ConnTable) VictimFor(now float64, newcomer *Conn, v Verdict) *Conn {
+// minCrowdedGroupWeight is the weight from which on any connection without a request in flight of a group can be closed for a client
+// of a lighter group.
+const minCrowdedGroupWeight = 4.0
+
+// VictimFor returns the connection to be closed for a new one that was not admitted, or nil: then the new one is refused, as all
+// others have requests in flight, are within their grace period or weigh no more. At OverLimit only a connection of the same
+// client can be closed.
+func (t *ConnTable) VictimFor(now float64, newcomer *Conn, v Verdict) *Conn {
 	if v == OverLimit {
-		return r.sparable(now, newcomer.client, newcomer.client, true, newcomer)
+		return t.victimOf(now, newcomer.client, newcomer.client, true, newcomer)
 	}
-	return r.victim(now, newcomer.client, newcomer)
+	return t.victimFor(now, newcomer.client, newcomer)
 }
 
-// Spare returns the link that is missed least, nil if each is owed something or about to ask.
-func (r *ConnTable) LeastNeeded(now float64) *Conn { return r.victim(now, nil, nil) }
+// LeastNeeded returns the connection that is closed first when there are too many, nil if all have requests in flight or are within
+// their grace period.
+func (t *ConnTable) LeastNeeded(now float64) *Conn { return t.victimFor(now, nil, nil) }
 
-// victim returns the link that goes for a newcomer, nil if none does: what is only read until its client closes; then
-// links of the address that has most that are owed nothing, in the prefix that has most; a known address counts for a
-// quarter. Danger: whatever a flood makes its links look like, it must lose its own before anybody else's.
-func (r *ConnTable) victim(now float64, a *address, not *Conn) *Conn {
-	strangers := a != nil && !a.known && r.strange >= r.s.MaxConns-r.s.ReservedForKnown // room is made only where a stranger goes
-	for i := range r.all {
-		if l := r.all[i][StateClosing].first; l != nil && l.since < now-silentGrace && (i == 0 || !strangers) {
-			return l
-		}
+// victimFor returns the connection to be closed for one of a client, which may be nil, other than except. It is, in this order:
+// one that is closing already; one of the client with the most reclaimable connections, in the heaviest group; one beyond its
+// grace period; and for a new connection any of an unknown client.
+//
+// Danger: whatever a flood makes its connections look like, it must lose its own before anyone else's.
+func (t *ConnTable) victimFor(now float64, newClient *client, except *Conn) *Conn {
+	// Where the unreserved connections are used up, only the end of another unknown client's connection makes room for an unknown client.
+	onlyUnknown := newClient != nil && !newClient.isKnown && t.unknownConns >= t.settings.MaxConns-t.settings.ReservedForKnown
+	if conn := t.closingVictim(now, onlyUnknown); conn != nil {
+		return conn
 	}
-	heaviest := r.heaviest(strangers)
+	heaviest := t.heaviestClient(onlyUnknown)
 	if heaviest == nil {
 		return nil
 	}
-	self := heaviest == a
-	greedy := a != nil && !(self && a.known) && (self || heaviest.burden() > a.burden() || heaviest.in.weight >= manyFree && a.in.weight < heaviest.in.weight)
-	if l := r.sparable(now, heaviest, a, greedy, not); l != nil {
-		return l
+	if conn := t.victimOf(now, heaviest, newClient, ignoresGrace(heaviest, newClient), except); conn != nil {
+		return conn
+	}
+	if conn := t.graceVictim(now, newClient, onlyUnknown, except); conn != nil {
+		return conn
 	}
-	// Those that are heaviest may all be about to ask, and others have long had nothing to say. A stranger does not take
-	// the kept links of the known.
-	for i := range r.all {
+	if newClient == nil {
+		return nil
+	}
+	return t.unknownVictim(now, newClient, except)
+}
+
+// closingVictim returns a connection that only waits for its client to close.
+func (t *ConnTable) closingVictim(now float64, onlyUnknown bool) *Conn {
+	for i := range t.byState {
+		conn := t.byState[i][StateClosing].first
+		if conn != nil && conn.since < now-newGraceSeconds && (i == 0 || !onlyUnknown) {
+			return conn
+		}
+	}
+	return nil
+}
+
+// ignoresGrace returns whether connections of the heaviest client can be closed within their grace period for a new client: its own,
+// unless it is known, and those of a client or a group that is heavier.
+func ignoresGrace(heaviest, newClient *client) bool {
+	if newClient == nil {
+		return false
+	}
+	if heaviest == newClient {
+		return !newClient.isKnown
+	}
+	return heaviest.connWeight() > newClient.connWeight() ||
+		heaviest.group.weight >= minCrowdedGroupWeight && newClient.group.weight < heaviest.group.weight
+}
+
+// graceVictim returns a connection of any client that is beyond its grace period: those of the heaviest client may all be within it
+// while others have long been unused. Idle connections of known clients are not closed for an unknown one.
+func (t *ConnTable) graceVictim(now float64, newClient *client, onlyUnknown bool, except *Conn) *Conn {
+	for i := range t.byState {
 		for _, s := range [...]State{StateNew, StateReading, StateWriting, StateIdle} {
-			l := r.all[i][s].first
-			allowed := i == 0 || !strangers && (s != StateIdle || a == nil || a.known)
-			if l != nil && l != not && l.since < now-l.grace(a) && allowed {
-				return l
+			conn := t.byState[i][s].first
+			allowed := i == 0 || !onlyUnknown && (s != StateIdle || newClient == nil || newClient.isKnown)
+			if conn != nil && conn != except && conn.since < now-conn.grace(newClient) && allowed {
+				return conn
 			}
 		}
 	}
-	// Danger: a flood from thousands of networks that is quicker than any grace would shut every newcomer out. Who came
-	// first of the strangers that are owed nothing goes.
+	return nil
+}
+
+// unknownVictim returns the oldest connection without a request in flight of an unknown client with at least as many connections as
+// the new one's. Danger: a flood from thousands of networks, faster than any grace period, would otherwise shut out every new
+// client.
+func (t *ConnTable) unknownVictim(now float64, newClient *client, except *Conn) *Conn {
 	for _, s := range [...]State{StateClosing, StateNew, StateReading, StateIdle, StateWriting} {
-		if l := r.all[0][s].first; a != nil && l != nil && l != not && l.since < now && l.client.links >= a.links {
-			return l
+		conn := t.byState[0][s].first
+		if conn != nil && conn != except && conn.since < now && conn.client.conns >= newClient.conns {
+			return conn
 		}
 	}
 	return nil
 }
 
-// heaviest returns the address that has most links that are owed nothing, nil if none has any.
-func (r *ConnTable) heaviest(strangersOnly bool) (most *address) {
-	for known, h := range r.heavy {
-		if h.len() == 0 || strangersOnly && known == 1 {
+// heaviestClient returns the client with the most reclaimable connections in the heaviest group, nil if there are none.
+func (t *ConnTable) heaviestClient(onlyUnknown bool) (heaviest *client) {
+	for known, groups := range t.groupsByWeight {
+		if groups.len() == 0 || onlyUnknown && known == 1 {
 			continue
 		}
-		if a := h.first().clients.first(); a.weight() > 0 && (most == nil || h.first().weight > most.in.weight) {
-			most = a
+		g := groups.first()
+		c := g.clients.first()
+		if c.reclaimableWeight() > 0 && (heaviest == nil || g.weight > heaviest.group.weight) {
+			heaviest = c
 		}
 	}
-	return most
+	return heaviest
 }
 
-// sparable returns the link of an address that is missed least: one that has been long enough in its state, or, where the
-// address is greedy, any that is owed nothing.
-func (r *ConnTable) sparable(now float64, a, newcomer *address, greedy bool, not *Conn) *Conn {
+// victimOf returns the connection of a client, other than except, to be closed for one of newClient: one beyond its grace period or,
+// with ignoreGrace, any without a request in flight.
+func (t *ConnTable) victimOf(now float64, c, newClient *client, ignoreGrace bool, except *Conn) *Conn {
 	order := [...]State{StateClosing, StateNew, StateReading, StateWriting, StateIdle}
 	for _, s := range order {
-		if l := a.own[s].first; l != nil && l != not && l.since < now-l.grace(newcomer) {
-			return l
+		conn := c.byState[s].first
+		if conn != nil && conn != except && conn.since < now-conn.grace(newClient) {
+			return conn
 		}
 	}
+	if !ignoreGrace {
+		return nil
+	}
 	for _, s := range order {
-		if l := a.own[s].first; greedy && l != nil && l != not {
-			return l
+		conn := c.byState[s].first
+		if conn != nil && conn != except {
+			return conn
 		}
 	}
 	return nil
 }
 
-// grace is how long a link may be in its state before it can be given up for a newcomer. One that holds less than the
-// newcomer's client, or is known, has longer. Danger: its client may be slow, or on a slow machine, and means well.
-func (l *Conn) grace(newcomer *address) float64 {
-	g := silentGrace
-	switch l.state {
+// grace returns the connection's grace period in seconds before it can be closed for one of newClient, which may be nil. Known
+// clients, and clients with less connections than newClient, have more: they may be slow, or on a slow network.
+func (c *Conn) grace(newClient *client) float64 {
+	graceSeconds := newGraceSeconds
+	switch c.state {
 	case StateReading, StateWriting:
-		g = partGrace
+		graceSeconds = transferGraceSeconds
 	case StateIdle:
-		return restGrace
+		return idleGraceSeconds
 	}
-	if l.client.known || newcomer != nil && newcomer != l.client && newcomer.burden() > l.client.burden() {
-		g = max(g, modestGrace)
+	isLighter := newClient != nil && newClient != c.client && newClient.connWeight() > c.client.connWeight()
+	if c.client.isKnown || isLighter {
+		graceSeconds = max(graceSeconds, lightClientGraceSeconds)
 	}
-	return g
+	return graceSeconds
 }
--- a/internal/decide/admission/group.go
+++ b/internal/decide/admission/group.go
@@ -2,73 +2,75 @@
 
 import "net/netip"
 
-// groupBits are how many bits of an address a group of neighbours shares: a site's network has many addresses of IPv4,
-// and a single host of IPv6 has all of its own.
+// groupBitsIPv4 and groupBitsIPv6 are the lengths of the prefixes by which clients are grouped: the network of a site has many
+// addresses of IPv4, and a single host has all addresses of a prefix of IPv6.
 const (
-	groupBits4 = 24
-	groupBits6 = 64
+	groupBitsIPv4 = 24
+	groupBitsIPv6 = 64
 )
 
-// group is a prefix with its addresses that are known, or those that are not.
+// group is the known or the unknown clients of a prefix.
 type group struct {
-	prefix  netip.Prefix
-	known   bool
-	clients heap[*address]
-	weight  float64
-	place   int // in Room.heavy, from 1
+	prefix    netip.Prefix
+	isKnown   bool
+	clients   heap[*client]
+	weight    float64 // sum of the clients' reclaimableWeight
+	heapIndex int     // in ConnTable.groupsByWeight, from 1; 0: none
 }
 
-// groupOf returns the prefix of an address's neighbours.
-func groupOf(addr netip.Addr) netip.Prefix {
-	bits := groupBits4
+// groupPrefix returns the prefix by which an address is grouped.
+func groupPrefix(addr netip.Addr) netip.Prefix {
+	bits := groupBitsIPv4
 	if addr.Is6() {
-		bits = groupBits6
+		bits = groupBitsIPv6
 	}
-	p, err := addr.Prefix(bits)
+	prefix, err := addr.Prefix(bits)
 	if err != nil {
-		return netip.Prefix{} // an address that is none is its own group
+		return netip.Prefix{} // invalid addresses form a group
 	}
-	return p
+	return prefix
 }
 
-// group puts an address among its neighbours.
-func (r *ConnTable) group(a *address) {
-	of := r.groups[tree(a.known)]
-	p := groupOf(a.addr)
-	g := of[p]
+// joinGroup puts a client into its group.
+func (t *ConnTable) joinGroup(c *client) {
+	groups := t.groups[knownIndex(c.isKnown)]
+	prefix := groupPrefix(c.addr)
+	g := groups[prefix]
 	if g == nil {
-		g = &group{prefix: p, known: a.known}
-		of[p] = g
+		g = &group{prefix: prefix, isKnown: c.isKnown}
+		groups[prefix] = g
 	}
-	a.in, a.counted = g, 0
-	r.reweigh(a)
+	c.group = g
+	c.countedWeight = 0
+	t.updateWeight(c)
 }
 
-// ungroup takes an address from its neighbours.
-func (r *ConnTable) ungroup(a *address) {
-	g := a.in
-	g.clients.drop(a)
-	g.weight -= a.counted
+// leaveGroup takes a client out of its group.
+func (t *ConnTable) leaveGroup(c *client) {
+	g := c.group
+	known := knownIndex(g.isKnown)
+	g.clients.remove(c)
+	g.weight -= c.countedWeight
 	if g.clients.len() > 0 {
-		r.heavy[tree(g.known)].put(g)
+		t.groupsByWeight[known].push(g)
 		return
 	}
-	r.heavy[tree(g.known)].drop(g)
-	delete(r.groups[tree(g.known)], g.prefix)
+	t.groupsByWeight[known].remove(g)
+	delete(t.groups[known], g.prefix)
 }
 
-// reweigh follows a change of an address's links.
-func (r *ConnTable) reweigh(a *address) {
-	w := a.weight()
-	a.in.weight += w - a.counted // quarters of whole numbers, which add up exactly
-	a.counted = w
-	a.in.clients.put(a)
-	r.heavy[tree(a.in.known)].put(a.in)
+// updateWeight updates the weight of a client in its group after a change of its connections.
+func (t *ConnTable) updateWeight(c *client) {
+	weight := c.reclaimableWeight()
+	c.group.weight += weight - c.countedWeight // multiples of a quarter, which add up without rounding
+	c.countedWeight = weight
+	c.group.clients.push(c)
+	t.groupsByWeight[knownIndex(c.group.isKnown)].push(c.group)
 }
 
-// tree is the place of the known or of strangers in pairs of both.
-func tree(known bool) int {
-	if known {
+// knownIndex returns the index of known or unknown clients in arrays of both.
+func knownIndex(isKnown bool) int {
+	if isKnown {
 		return 1
 	}
 	return 0
--- a/internal/decide/admission/heap.go
+++ b/internal/decide/admission/heap.go
@@ -2,58 +2,62 @@
 
 import "slices"
 
-// placed is an element of a heap: it compares itself, and keeps its place, from 1; 0 is none.
-type placed[T any] interface {
+// heapElement is an element of a heap. It stores its own index, from 1 (0: not in the heap), so that any element can be removed or
+// moved in O(log n).
+type heapElement[T any] interface {
 	comparable
-	above(T) bool
-	at() *int
+	isAbove(T) bool
+	heapPosition() *int
 }
 
-// heap has the element first that is above all others.
-type heap[T placed[T]] struct{ all []T }
+// heap is a binary heap. Its first element is one that no other is above.
+type heap[T heapElement[T]] struct{ elements []T }
 
-func (h *heap[T]) len() int { return len(h.all) }
+func (h *heap[T]) len() int { return len(h.elements) }
 
-func (h *heap[T]) first() T { return h.all[0] }
+// first returns the first element. The heap must not be empty.
+func (h *heap[T]) first() T { return h.elements[0] }
 
-// put puts an element in, or follows a change of one that is in it.
-func (h *heap[T]) put(x T) {
-	if *x.at() == 0 {
-		h.all = append(h.all, x)
-		*x.at() = len(h.all)
+// push adds an element, or restores the order after a change of one that is in the heap.
+func (h *heap[T]) push(x T) {
+	if *x.heapPosition() == 0 {
+		h.elements = append(h.elements, x)
+		*x.heapPosition() = len(h.elements)
 	}
-	h.settle(*x.at() - 1)
+	h.fix(*x.heapPosition() - 1)
 }
 
-// drop takes an element out, if it is in it.
-func (h *heap[T]) drop(x T) {
-	i := *x.at() - 1
+// remove removes an element if it is in the heap.
+func (h *heap[T]) remove(x T) {
+	i := *x.heapPosition() - 1
 	if i < 0 {
 		return
 	}
-	last := len(h.all) - 1
+	last := len(h.elements) - 1
 	h.swap(i, last)
-	h.all = slices.Delete(h.all, last, last+1)
-	if *x.at() = 0; i < last {
-		h.settle(i)
+	h.elements = slices.Delete(h.elements, last, last+1)
+	*x.heapPosition() = 0
+	if i < last {
+		h.fix(i)
 	}
 }
 
 func (h *heap[T]) swap(i, j int) {
-	h.all[i], h.all[j] = h.all[j], h.all[i]
-	*h.all[i].at(), *h.all[j].at() = i+1, j+1
+	h.elements[i], h.elements[j] = h.elements[j], h.elements[i]
+	*h.elements[i].heapPosition() = i + 1
+	*h.elements[j].heapPosition() = j + 1
 }
 
-// settle moves the element at a place up or down to where it belongs.
-func (h *heap[T]) settle(i int) {
-	for i > 0 && h.all[i].above(h.all[(i-1)/2]) {
+// fix moves the element at an index up or down to where it belongs.
+func (h *heap[T]) fix(i int) {
+	for i > 0 && h.elements[i].isAbove(h.elements[(i-1)/2]) {
 		h.swap(i, (i-1)/2)
 		i = (i - 1) / 2
 	}
 	for {
 		top := i
-		for child := 2*i + 1; child <= 2*i+2 && child < len(h.all); child++ {
-			if h.all[child].above(h.all[top]) {
+		for child := 2*i + 1; child <= 2*i+2 && child < len(h.elements); child++ {
+			if h.elements[child].isAbove(h.elements[top]) {
 				top = child
 			}
 		}
@@ -65,17 +69,18 @@
 	}
 }
 
-// fatness is an address by what its links hold.
-type fatness struct{ *address }
+// byReclaimable orders clients by their reclaimable bytes.
+type byReclaimable struct{ *client }
 
-func (f fatness) above(other fatness) bool { return f.fat > other.fat }
-
-func (f fatness) at() *int { return &f.fatPlace }
-
-func (a *address) above(other *address) bool { return a.counted > other.counted }
-
-func (a *address) at() *int { return &a.place }
+func (c byReclaimable) isAbove(other byReclaimable) bool {
+	return c.reclaimableBytes > other.reclaimableBytes
+}
+func (c byReclaimable) heapPosition() *int { return &c.bytesHeapIndex }
 
-func (g *group) above(other *group) bool { return g.weight > other.weight }
+// In the heap of their group, clients are ordered by weight.
+func (c *client) isAbove(other *client) bool { return c.countedWeight > other.countedWeight }
+func (c *client) heapPosition() *int         { return &c.heapIndex }
 
-func (g *group) at() *int { return &g.place }
+// Groups are ordered by weight.
+func (g *group) isAbove(other *group) bool { return g.weight > other.weight }
+func (g *group) heapPosition() *int        { return &g.heapIndex }
--- a/internal/decide/admission/list.go
+++ b/internal/decide/admission/list.go
@@ -1,66 +1,70 @@
 package admission
 
-// The lists that a link is in.
+// The lists that a connection is in; indices of Conn.links.
 const (
-	ofRoom = iota
-	ofAddress
+	tableList  = iota // of ConnTable.byState
+	clientList        // of client.byState
 )
 
-// hook is a link's place in a list.
-type hook struct{ before, after *Conn }
+// links are a connection's neighbours in a list.
+type links struct{ previous, next *Conn }
 
-// list holds links in the order in which they came.
+// list is a doubly linked list of connections, from which any can be removed in constant time.
 type list struct {
 	first, last *Conn
-	n           int
-	hook        int // which of a link's hooks is this list's
+	length      int
+	linksIndex  int // tableList or clientList
 }
 
-func (t *list) put(l *Conn) {
-	l.hooks[t.hook] = hook{before: t.last}
+// append adds a connection at the end.
+func (t *list) append(conn *Conn) {
+	conn.links[t.linksIndex] = links{previous: t.last}
 	if t.last != nil {
-		t.last.hooks[t.hook].after = l
+		t.last.links[t.linksIndex].next = conn
 	} else {
-		t.first = l
+		t.first = conn
 	}
-	t.last = l
-	t.n++
+	t.last = conn
+	t.length++
 }
 
-// putBySince puts a link in by the time since which it is in its state. It is for the few that come from another list.
-func (t *list) putBySince(l *Conn) {
-	after := t.last
-	for after != nil && after.since > l.since {
-		after = after.hooks[t.hook].before
+// insertBySince inserts a connection in order of Conn.since. It takes linear time, for the few connections of a client that changes
+// between known and unknown.
+func (t *list) insertBySince(conn *Conn) {
+	previous := t.last
+	for previous != nil && previous.since > conn.since {
+		previous = previous.links[t.linksIndex].previous
 	}
-	if after == t.last {
-		t.put(l)
+	if previous == t.last {
+		t.append(conn)
 		return
 	}
-	h := hook{before: after}
-	if after == nil {
-		h.after, t.first = t.first, l
+	neighbours := links{previous: previous}
+	if previous == nil {
+		neighbours.next = t.first
+		t.first = conn
 	} else {
-		h.after = after.hooks[t.hook].after
-		after.hooks[t.hook].after = l
+		neighbours.next = previous.links[t.linksIndex].next
+		previous.links[t.linksIndex].next = conn
 	}
-	h.after.hooks[t.hook].before = l
-	l.hooks[t.hook] = h
-	t.n++
+	neighbours.next.links[t.linksIndex].previous = conn
+	conn.links[t.linksIndex] = neighbours
+	t.length++
 }
 
-func (t *list) drop(l *Conn) {
-	h := l.hooks[t.hook]
-	if h.before != nil {
-		h.before.hooks[t.hook].after = h.after
+// remove removes a connection, which must be in the list.
+func (t *list) remove(conn *Conn) {
+	neighbours := conn.links[t.linksIndex]
+	if neighbours.previous != nil {
+		neighbours.previous.links[t.linksIndex].next = neighbours.next
 	} else {
-		t.first = h.after
+		t.first = neighbours.next
 	}
-	if h.after != nil {
-		h.after.hooks[t.hook].before = h.before
+	if neighbours.next != nil {
+		neighbours.next.links[t.linksIndex].previous = neighbours.previous
 	} else {
-		t.last = h.before
+		t.last = neighbours.previous
 	}
-	l.hooks[t.hook] = hook{}
-	t.n--
+	conn.links[t.linksIndex] = links{}
+	t.length--
 }
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -1,104 +1,109 @@
 package admission
 
-// Waiting is a request that has come and that the decisions have not been given yet.
+import (
+	"cmp"
+	"slices"
+)
+
+// maxWaitFraction is the fraction of its latency target that a request may wait here; the rest is for its backend.
+const maxWaitFraction = 0.5
+
+// QueuedRequest is a request that was received and not yet given to package policy.
 type QueuedRequest[T any] struct {
 	Request   T
-	Class     int
-	ArrivedAt float64 // when its last byte reached the machine
+	Class     int     // index of the class
+	ArrivedAt float64 // when its last byte was received
 }
 
-// Queue holds the requests that have come faster than the loop takes them up: the worthiest class first, and in each
-// class the oldest. A request that has waited for shedPart of its class's aim is shed; under a load that lasts the least
-// worthy wait longest, so they are the ones to be shed.
-//
-// It is what stands between a sidecar that is short of its own core and decisions that know of boxes alone. Danger: given
-// all at once, requests by the hundred are out before the first answer is read; to the decisions that looks like boxes
-// that are full, and they turn away what idle boxes would have served.
-type Queue[T any] struct {
-	order []int // classes, the worthiest first
-	most  []float64
-	lines []line[T]
-	n     int
-}
-
-// shedPart is the part of its aim that a request may wait here; the rest is for its box.
-const shedPart = 0.5
-
-// Class is what the queue knows of a class of requests.
+// Class is the settings of a class of requests.
 type Class struct {
 	PriorityWeight       float64
 	LatencyTargetSeconds float64
 }
 
-// NewQueue returns an empty queue for requests of the given classes, by their place.
+// Queue holds the requests that arrive faster than the event loop handles them, in order of their class's weight and in a class in
+// order of arrival. A request that has waited for maxWaitFraction of its target is shed. In a lasting overload these are the
+// requests of least weight, as they wait longest.
+//
+// Danger: without the queue a sidecar that lacks processor time would give all requests to policy at once, hundreds would be in
+// flight before the first answer is read, and policy would take the backends for full and refuse what idle ones could serve.
+type Queue[T any] struct {
+	order          []int     // classes by weight, the highest first
+	maxWaitSeconds []float64 // by class
+	fifos          []fifo[T] // by class
+	length         int
+}
+
+// NewQueue returns an empty queue for requests of the given classes.
 func NewQueue[T any](classes []Class) *Queue[T] {
-	q := &Queue[T]{lines: make([]line[T], len(classes))}
+	q := &Queue[T]{fifos: make([]fifo[T], len(classes))}
 	for i, c := range classes {
 		q.order = append(q.order, i)
-		q.most = append(q.most, shedPart*c.LatencyTargetSeconds)
-	}
-	for i := range q.order { // an insertion sort: equals stay as the settings have them
-		for j := i; j > 0 && classes[q.order[j]].PriorityWeight > classes[q.order[j-1]].PriorityWeight; j-- {
-			q.order[j], q.order[j-1] = q.order[j-1], q.order[j]
-		}
+		q.maxWaitSeconds = append(q.maxWaitSeconds, maxWaitFraction*c.LatencyTargetSeconds)
 	}
+	slices.SortStableFunc(q.order, func(x, y int) int {
+		return cmp.Compare(classes[y].PriorityWeight, classes[x].PriorityWeight)
+	})
 	return q
 }
 
-// Len returns how many wait.
-func (q *Queue[T]) Len() int { return q.n }
+// Len returns how many requests are queued.
+func (q *Queue[T]) Len() int { return q.length }
 
-// Put has a request wait. Requests of a class come in the order of their arrival, or nearly so.
-func (q *Queue[T]) Enqueue(w QueuedRequest[T]) {
-	q.lines[w.Class].put(w)
-	q.n++
+// Enqueue adds a request. Requests of a class are added in order of their arrival, or nearly so.
+func (q *Queue[T]) Enqueue(r QueuedRequest[T]) {
+	q.fifos[r.Class].push(r)
+	q.length++
 }
 
-// Next takes out the request whose turn it is; shed tells that it has waited too long and is to be turned away at once.
-// ok is false once none waits.
-func (q *Queue[T]) Dequeue(now float64) (w QueuedRequest[T], shed, ok bool) {
-	if q.n == 0 {
-		return w, false, false
+// Dequeue removes and returns the next request. With shed it has waited too long and is to be rejected at once. ok is false if the
+// queue is empty.
+func (q *Queue[T]) Dequeue(now float64) (r QueuedRequest[T], shed, ok bool) {
+	if q.length == 0 {
+		return r, false, false
 	}
-	q.n--
-	// What is shed goes first: it is owed its answer at once, and nothing is gained by keeping it.
+	q.length--
+	// Requests to be shed go first: their answer is due at once, and keeping them gains nothing.
 	for i := len(q.order) - 1; i >= 0; i-- {
 		class := q.order[i]
-		if l := &q.lines[class]; l.len() > 0 && now-l.first().ArrivedAt > q.most[class] {
-			return l.take(), true, true
+		if f := &q.fifos[class]; f.len() > 0 && now-f.first().ArrivedAt > q.maxWaitSeconds[class] {
+			return f.pop(), true, true
 		}
 	}
 	for _, class := range q.order {
-		if l := &q.lines[class]; l.len() > 0 {
-			return l.take(), false, true
+		if f := &q.fifos[class]; f.len() > 0 {
+			return f.pop(), false, true
 		}
 	}
 	panic("admission: a queue that counts more than it holds")
 }
 
-// line is a queue in a slice that is compacted in place.
-type line[T any] struct {
-	all  []QueuedRequest[T]
-	head int
+// fifo is a queue in a slice that is compacted in place.
+type fifo[T any] struct {
+	items []QueuedRequest[T]
+	head  int // index of the first item
 }
 
-func (l *line[T]) len() int                 { return len(l.all) - l.head }
-func (l *line[T]) first() *QueuedRequest[T] { return &l.all[l.head] }
+func (f *fifo[T]) len() int                 { return len(f.items) - f.head }
+func (f *fifo[T]) first() *QueuedRequest[T] { return &f.items[f.head] }
 
-func (l *line[T]) put(w QueuedRequest[T]) {
-	if l.head > 0 && len(l.all) == cap(l.all) {
-		n := copy(l.all, l.all[l.head:])
-		clear(l.all[n:])
-		l.all, l.head = l.all[:n], 0
+func (f *fifo[T]) push(r QueuedRequest[T]) {
+	if f.head > 0 && len(f.items) == cap(f.items) {
+		n := copy(f.items, f.items[f.head:])
+		clear(f.items[n:])
+		f.items = f.items[:n]
+		f.head = 0
 	}
-	l.all = append(l.all, w)
+	f.items = append(f.items, r)
 }
 
-func (l *line[T]) take() QueuedRequest[T] {
-	w := l.all[l.head]
-	l.all[l.head] = QueuedRequest[T]{}
-	if l.head++; l.head == len(l.all) {
-		l.all, l.head = l.all[:0], 0
+func (f *fifo[T]) pop() QueuedRequest[T] {
+	r := f.items[f.head]
+	f.items[f.head] = QueuedRequest[T]{}
+	f.head++
+	if f.head == len(f.items) {
+		f.items = f.items[:0]
+		f.head = 0
 	}
-	return w
+	return r
 }
--- a/internal/decide/admission/queue_test.go
+++ b/internal/decide/admission/queue_test.go
@@ -9,9 +9,9 @@
 
 var threeClasses = []Class{{PriorityWeight: 1, LatencyTargetSeconds: 0.6}, {PriorityWeight: 10, LatencyTargetSeconds: 1}, {PriorityWeight: 5, LatencyTargetSeconds: 1}}
 
-// The worthiest is taken up first and the least worthy waits until it is shed; each goes once, in the order in which its
-// class came, and none is shed in time or kept too long.
-func TestQueue(t *testing.T) {
+// The class with the highest weight is dequeued first and the lowest waits until it is shed; each request goes once, in order
+// of arrival in its class, and none is shed early or kept too long.
+func TestQueueOrderAndShedding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue[int](threeClasses)
 		now, put, out := 0.0, 0, map[int]bool{}
@@ -34,12 +34,12 @@
 			out[w.Request] = true
 			assert.Equal(t, waiting[w.Class][0], w)
 			waiting[w.Class] = waiting[w.Class][1:]
-			late := now-w.ArrivedAt > shedPart*threeClasses[w.Class].LatencyTargetSeconds
+			late := now-w.ArrivedAt > maxWaitFraction*threeClasses[w.Class].LatencyTargetSeconds
 			assert.Equal(t, late, shed)
 			for c, line := range waiting {
 				for _, x := range line {
-					assert.False(t, !shed && now-x.ArrivedAt > shedPart*threeClasses[c].LatencyTargetSeconds, "what is to be shed goes first")
-					assert.False(t, !shed && threeClasses[c].PriorityWeight > threeClasses[w.Class].PriorityWeight, "a worthier one waits")
+					assert.False(t, !shed && now-x.ArrivedAt > maxWaitFraction*threeClasses[c].LatencyTargetSeconds, "requests to be shed go first")
+					assert.False(t, !shed && threeClasses[c].PriorityWeight > threeClasses[w.Class].PriorityWeight, "one of a class with a higher weight waits")
 				}
 			}
 		}
