--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -12,12 +12,12 @@
 // Send starts the next attempt of a request.
 func (s *Sidecar) Send(id, host uint32) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionSend, Host: host})
-	r := s.requests[id]
+	r := s.requests.byID[id]
 	if r == nil {
 		s.log.Error("send for an unknown request", "request", id)
 		return
 	}
-	a := &attempt{request: r, number: r.attemptsSent, serverID: host, requestedAt: s.eventAt, sentAt: s.eventAt,
+	a := &attempt{request: r, number: r.attemptsSent, serverID: host, requestedAt: s.turn.eventAt, sentAt: s.turn.eventAt,
 		deadline: r.deadline - s.responseMargin(), exchange: r.call.NewExchange(), frontend: r.frontend}
 	r.attemptsSent++
 	r.attempts = append(r.attempts, a)
@@ -32,7 +32,7 @@
 // Cancel ends the wait for one attempt.
 func (s *Sidecar) Cancel(id uint32, attempt int) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionCancel, Attempt: attempt})
-	if r := s.requests[id]; r != nil {
+	if r := s.requests.byID[id]; r != nil {
 		if a := r.attemptByNumber(attempt); a != nil {
 			s.abandonAttempt(a, cancelled)
 		}
@@ -43,7 +43,7 @@
 func (s *Sidecar) Probe(host uint32) {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionProbe, Host: host})
 	s.counters.Probes++
-	s.startAttempt(&attempt{serverID: host, sentAt: s.eventAt, deadline: s.eventAt + probeTimeoutSeconds, exchange: s.prober.NewProbe(), frontend: s.prober})
+	s.startAttempt(&attempt{serverID: host, sentAt: s.turn.eventAt, deadline: s.turn.eventAt + probeTimeoutSeconds, exchange: s.prober.NewProbe(), frontend: s.prober})
 }
 
 // CloseIdle closes the idle links to a server.
@@ -55,7 +55,7 @@
 // Refuse is a final answer: trying again is harmless.
 func (s *Sidecar) Refuse(id uint32, retryAfterS float64) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionRefuse, AfterSeconds: retryAfterS})
-	if r := s.requests[id]; r != nil && !r.isAnswered {
+	if r := s.requests.byID[id]; r != nil && !r.isAnswered {
 		s.answerRequest(r, throttled, func() { r.responder.Throttle(retryAfterS) })
 	}
 }
@@ -63,7 +63,7 @@
 // Fail is a final answer that promises nothing.
 func (s *Sidecar) Fail(id uint32) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionFail})
-	if r := s.requests[id]; r != nil && !r.isAnswered {
+	if r := s.requests.byID[id]; r != nil && !r.isAnswered {
 		s.answerRequest(r, failed, func() { r.responder.Fail(s.now() >= r.deadline-2*s.responseMargin()) })
 	}
 }
@@ -73,7 +73,7 @@
 func (s *Sidecar) WakeAfter(seconds float64) {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionWake, AfterSeconds: seconds})
 	s.timers.stop(&s.wakeTimer)
-	s.timers.start(&s.wakeTimer, s.eventAt+seconds, (*wakeTarget)(s))
+	s.timers.start(&s.wakeTimer, s.turn.eventAt+seconds, (*wakeTarget)(s))
 }
 
 // wakeUp is a sidecar as what its decisions' timer calls.
--- a/internal/sidecar/arrival_test.go
+++ b/internal/sidecar/arrival_test.go
@@ -43,7 +43,7 @@
 	s.timers.setAlarm = n.SetAlarm
 	s.runCallback(func() {
 		l := &ClientConn{sidecar: s, codec: client, conn: &testConn{}, openedAt: testNow}
-		l.slot, _ = s.connAdmission.Add(testNow, netip.MustParseAddr("127.0.0.1"), l)
+		l.slot, _ = s.clients.admission.Add(testNow, netip.MustParseAddr("127.0.0.1"), l)
 		l.awaitArrival()
 	})
 	return n, client, s
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -157,7 +157,7 @@
 		}
 	}
 	result.Final = r.isAnswered
-	s.events = append(s.events, event{endedAttempt: a, result: result})
+	s.turn.events = append(s.turn.events, event{endedAttempt: a, result: result})
 }
 
 // expire ends the wait.
@@ -214,7 +214,7 @@
 	if a.isOver {
 		return
 	}
-	if s.stopWaiting(a) { // it has never had a link, which is no fault of its server
+	if s.backends.removeWaiting(a) { // it has never had a link, which is no fault of its server
 		s.finishAttempt(a, &attemptError{notConnected, superseded, nil})
 		return
 	}
--- a/internal/sidecar/capture.go
+++ b/internal/sidecar/capture.go
@@ -35,8 +35,8 @@
 // RequestLabels names the requests that the decisions may still speak of.
 func (w captureSource) RequestLabels() iter.Seq2[uint32, capture.Label] {
 	return func(yield func(uint32, capture.Label) bool) {
-		for _, id := range slices.Sorted(maps.Keys(w.requests)) {
-			if !yield(id, w.requests[id].label()) {
+		for _, id := range slices.Sorted(maps.Keys(w.requests.byID)) {
+			if !yield(id, w.requests.byID[id].label()) {
 				return
 			}
 		}
@@ -51,7 +51,7 @@
 	if s.capture == nil {
 		return
 	}
-	if r := s.requests[id]; r != nil {
+	if r := s.requests.byID[id]; r != nil {
 		d.ID, d.Class = r.clientID, r.className
 	}
 	d.Request = id
--- a/internal/sidecar/clientadmission.go
+++ b/internal/sidecar/clientadmission.go
@@ -21,12 +21,14 @@
 // crowded tells whether client connections are so many that none is kept for its own sake. Danger: clients that ask once and
 // stay come to hold all the connections that the application may have, long before the descriptors here run out; its
 // other requests then find none. So from there on an answer is the last on its link.
-func (s *Sidecar) hasManyClients() bool { return len(s.clients) > s.cfg.Limits.Sockets/s.processes/5 }
+func (s *Sidecar) hasManyClients() bool {
+	return len(s.clients.conns) > s.cfg.Limits.Sockets/s.processes/5
+}
 
 // admissionSettings are the operators' bounds, within the descriptors and the memory that there are; newcomers are client
 // links that are not in the room yet.
 func (s *Sidecar) admissionSettings(newcomers int) admission.Settings {
-	a := s.admissionConfig.Settings
+	a := s.clients.config.Settings
 	a.ReservedForKnown = s.reservedClientSlots()
 	// What servers hold is not there for clients.
 	a.MaxConns = max(min(s.maxClients(), s.maxConns()-s.backendDescriptors()+newcomers), a.ReservedForKnown)
@@ -38,12 +40,12 @@
 
 // serverSide is how many descriptors backend connections and to discovery hold, or may come to hold.
 func (s *Sidecar) backendDescriptors() int {
-	return s.openConns - s.connAdmission.Len() - s.connAdmission.OverflowLen() + s.dialDescriptorsHeld
+	return s.descriptors.open - s.clients.admission.Len() - s.clients.admission.OverflowLen() + s.descriptors.dialing
 }
 
 // reserve is how many links are kept for known clients.
 func (s *Sidecar) reservedClientSlots() int {
-	if n := s.admissionConfig.ReservedForKnown; n > 0 {
+	if n := s.clients.config.ReservedForKnown; n > 0 {
 		return n
 	}
 	return s.maxClients() / reservedClientDivisor
@@ -56,16 +58,16 @@
 	front := s.frontendOf(conn)
 	codec := front.NewClient()
 	c := codec.Base()
-	c.sidecar, c.frontend, c.codec, c.conn, c.openedAt, c.index = s, front, codec, conn, now, len(s.clients)
-	s.clients = append(s.clients, c)
+	c.sidecar, c.frontend, c.codec, c.conn, c.openedAt = s, front, codec, conn, now
+	s.clients.add(c)
 	s.counters.AcceptedConns++
 	conn.SetContext(connHandler(c))
 	var verdict admission.Verdict
 	bounds := s.admissionSettings(1)
-	s.connAdmission.SetLimits(bounds.MaxConns, bounds.ReservedForKnown)
-	c.slot, verdict = s.connAdmission.Add(now, clientAddress(conn), c)
+	s.clients.admission.SetLimits(bounds.MaxConns, bounds.ReservedForKnown)
+	c.slot, verdict = s.clients.admission.Add(now, clientAddress(conn), c)
 	for checked := 0; verdict != admission.Admitted; {
-		victim := s.connAdmission.VictimFor(now, c.slot, verdict)
+		victim := s.clients.admission.VictimFor(now, c.slot, verdict)
 		if victim == nil {
 			break
 		}
@@ -74,7 +76,7 @@
 			if checked++; checked > maxVictimChecks {
 				break
 			}
-			s.connAdmission.Touch(now, victim)
+			s.clients.admission.Touch(now, victim)
 			continue
 		}
 		evicted.evict()
@@ -85,11 +87,11 @@
 		s.counters.ConnsOverCap++
 		s.warnLimited("connections beyond the cap of an address or prefix are refused")
 		return false
-	case verdict == admission.TableFull && (s.connAdmission.OverflowLen() >= s.maxOverLimitClients() || !s.hasDescriptors(s.reservedClientSlots())):
+	case verdict == admission.TableFull && (s.clients.admission.OverflowLen() >= s.maxOverLimitClients() || !s.hasDescriptors(s.reservedClientSlots())):
 	case s.hasDescriptors(0) || s.freeDescriptors(0):
 		if verdict == admission.TableFull {
 			c.isOverLimit = true
-			s.connAdmission.AdmitOverflow(c.slot)
+			s.clients.admission.AdmitOverflow(c.slot)
 		}
 		return true
 	}
@@ -97,7 +99,7 @@
 	// been read from this link.
 	s.counters.ConnsWithoutDescriptor++
 	s.warnLimited("connections are refused: there is no room for them")
-	s.log.Debug("client connection refused", "client", conn.RemoteAddr(), "crowded", verdict == admission.TableFull, "links", s.connAdmission.Len())
+	s.log.Debug("client connection refused", "client", conn.RemoteAddr(), "crowded", verdict == admission.TableFull, "links", s.clients.admission.Len())
 	return false
 }
 
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -51,7 +51,7 @@
 	frontend        Frontend
 	codec           ClientCodec
 	conn            netio.Conn
-	index           int // in Sidecar.clients
+	index           int // in Sidecar.clients.conns
 	slot            *admission.Conn
 	input           buffer.Buffer
 	arrivals        arrivalTimes // of what is in buf and waits for the answer to what came before it
@@ -80,16 +80,6 @@
 // Base is what a protocol's part has from the ClientConn that it holds.
 func (c *ClientConn) Base() *ClientConn { return c }
 
-// leaveClients takes the link from the sidecar's.
-func (c *ClientConn) removeFromClients() {
-	all := c.sidecar.clients
-	last := all[len(all)-1]
-	all[c.index], last.index = last, c.index
-	all[len(all)-1] = nil
-	c.sidecar.clients = all[:len(all)-1]
-	c.sidecar.connAdmission.Remove(c.slot)
-}
-
 func (c *ClientConn) onOpen(netio.Conn) {}
 
 // SetKeepAlive says whether the client wants the link kept after the message that has been read.
@@ -117,8 +107,8 @@
 	}
 	now := c.sidecar.now()
 	c.isWriteClosed = true
-	c.sidecar.connAdmission.SetState(now, c.slot, admission.StateClosing)
-	c.sidecar.connAdmission.SetBufferedBytes(c.slot, 0)
+	c.sidecar.clients.admission.SetState(now, c.slot, admission.StateClosing)
+	c.sidecar.clients.admission.SetBufferedBytes(c.slot, 0)
 	c.lingerTimer = c.sidecar.timers.schedule(now+lingerSeconds, func() { c.closeAfterLinger(now + maxLingerSeconds) })
 	c.sidecar.net.CloseWrite(c.conn)
 }
@@ -143,7 +133,7 @@
 	c.conn = nil
 	c.sidecar.timers.stop(c.lingerTimer)
 	c.stopArrivalTimer()
-	c.removeFromClients()
+	c.sidecar.clients.remove(c)
 	if r := c.request; r != nil {
 		c.request = nil
 		switch {
--- a/internal/sidecar/clientinput.go
+++ b/internal/sidecar/clientinput.go
@@ -32,7 +32,7 @@
 	}
 	if c.readRequests(); c.conn != nil && c.request == nil && !c.isLastWritten {
 		if state, _ := c.slot.State(); state == admission.StateNew || state == admission.StateIdle {
-			c.sidecar.connAdmission.SetState(c.sidecar.now(), c.slot, admission.StateReading)
+			c.sidecar.clients.admission.SetState(c.sidecar.now(), c.slot, admission.StateReading)
 		}
 		held, _ := c.codec.PartialRequest()
 		c.accountHeldBytes(c.input.Len() + held)
@@ -104,7 +104,7 @@
 		c.arrivalTimer = c.sidecar.timers.schedule(max(deadline, now+0.1), c.checkArrival)
 		return
 	}
-	c.sidecar.connAdmission.RecordWasted(c.slot)
+	c.sidecar.clients.admission.RecordWasted(c.slot)
 	if r := c.request; r != nil {
 		c.sidecar.failUpload(r, ErrRequestTimeout)
 		return
@@ -128,8 +128,8 @@
 // hold notes how much of a request or of an answer the link holds. Where all hold too much, who holds most goes.
 func (c *ClientConn) accountHeldBytes(bytes int) {
 	s := c.sidecar
-	s.connAdmission.SetBufferedBytes(c.slot, bytes)
-	for victim := s.connAdmission.BufferVictim(); victim != nil; victim = s.connAdmission.BufferVictim() {
+	s.clients.admission.SetBufferedBytes(c.slot, bytes)
+	for victim := s.clients.admission.BufferVictim(); victim != nil; victim = s.clients.admission.BufferVictim() {
 		s.warnLimited("connections that hold much are closed: there is no memory for more")
 		victim.Owner.(*ClientConn).evict()
 	}
--- a/internal/sidecar/clientresponse.go
+++ b/internal/sidecar/clientresponse.go
@@ -6,7 +6,7 @@
 )
 
 // MarkServed notes that the answer to come is a server's.
-func (c *ClientConn) MarkServed() { c.sidecar.connAdmission.RecordServed(c.slot) }
+func (c *ClientConn) MarkServed() { c.sidecar.clients.admission.RecordServed(c.slot) }
 
 // BeginResponse frees the link of its request. It tells whether the client is still there, and whether the answer to come is
 // the last on the link; what it is appended to is returned, for EndAnswer. says tells whether the answer can say so itself.
@@ -22,9 +22,9 @@
 	// other, so its own ends by its rest alone.
 	hasPipelined := c.input.Len() > 0
 	if canAnnounceClose {
-		c.isLastWritten = !c.keepAlive || c.sidecar.closesAfterResponse() || c.sidecar.hasManyClients() && !hasPipelined
+		c.isLastWritten = !c.keepAlive || c.sidecar.lifecycle.closesAfterResponse() || c.sidecar.hasManyClients() && !hasPipelined
 	} else {
-		c.isLastWritten = !c.keepAlive || c.sidecar.closesAfterResponse() && !hasPipelined && c.sidecar.net.NothingToRead(c.conn)
+		c.isLastWritten = !c.keepAlive || c.sidecar.lifecycle.closesAfterResponse() && !hasPipelined && c.sidecar.net.NothingToRead(c.conn)
 	}
 	return c.sidecar.writeBuffer[:0], c.isLastWritten, true
 }
@@ -55,7 +55,7 @@
 	if c.conn == nil {
 		return nil, false, false
 	}
-	c.isStreamLast = !c.keepAlive || endsWithConn || c.sidecar.closesAfterResponse() || c.sidecar.hasManyClients() && c.input.Len() == 0
+	c.isStreamLast = !c.keepAlive || endsWithConn || c.sidecar.lifecycle.closesAfterResponse() || c.sidecar.hasManyClients() && c.input.Len() == 0
 	c.isStreamed = true
 	return c.ScratchBuffer(), c.isStreamLast, true
 }
@@ -88,7 +88,7 @@
 		c.startLinger()
 		return
 	}
-	c.sidecar.connAdmission.SetState(c.sidecar.now(), c.slot, admission.StateIdle)
+	c.sidecar.clients.admission.SetState(c.sidecar.now(), c.slot, admission.StateIdle)
 	c.input.Rest()
 	c.accountHeldBytes(c.input.Len())
 	// The next request may be in the buffer already; it is taken up as an event of its own.
@@ -112,11 +112,11 @@
 func (c *ClientConn) waitForClientRead() {
 	s, now := c.sidecar, c.sidecar.now()
 	c.unreadSince, c.lastReadAt, c.unreadBytes = now, now, c.conn.OutboundBuffered()
-	s.connAdmission.SetState(now, c.slot, admission.StateWriting)
+	s.clients.admission.SetState(now, c.slot, admission.StateWriting)
 	c.pauseReading(netio.DeferClose) // a client that has said its last may still read
 	c.accountHeldBytes(c.unreadBytes + c.input.Len())
-	if !s.isCheckingUnread {
-		s.isCheckingUnread = true
+	if !s.clients.isCheckingUnread {
+		s.clients.isCheckingUnread = true
 		s.timers.schedule(now+unreadCheckIntervalSeconds, s.checkUnreadResponses)
 	}
 }
@@ -125,12 +125,12 @@
 // closed.
 func (s *Sidecar) checkUnreadResponses() {
 	now := s.now()
-	s.connAdmission.Each(admission.StateWriting, func(slot *admission.Conn) {
+	s.clients.admission.Each(admission.StateWriting, func(slot *admission.Conn) {
 		c := slot.Owner.(*ClientConn)
 		unread := c.conn.OutboundBuffered()
 		if unread < c.unreadBytes {
 			c.unreadBytes, c.lastReadAt = unread, now
-			s.connAdmission.SetBufferedBytes(slot, unread+c.input.Len())
+			s.clients.admission.SetBufferedBytes(slot, unread+c.input.Len())
 		}
 		switch {
 		case unread == 0:
@@ -138,11 +138,11 @@
 		case now > c.lastReadAt+unreadTimeoutSeconds && !c.isStreamed || now > c.unreadSince+maxUnreadSeconds && !c.isStreamed || now > c.lastReadAt+peerLagTimeoutSeconds:
 			s.counters.UnreadConnsClosed++
 			s.warnLimited("connections are closed whose clients do not read their answers")
-			s.connAdmission.RecordWasted(slot)
+			s.clients.admission.RecordWasted(slot)
 			s.closeConn(c.conn)
 		}
 	})
-	if s.isCheckingUnread = s.connAdmission.Oldest(admission.StateWriting) != nil; s.isCheckingUnread {
+	if s.clients.isCheckingUnread = s.clients.admission.Oldest(admission.StateWriting) != nil; s.clients.isCheckingUnread {
 		s.timers.schedule(now+unreadCheckIntervalSeconds, s.checkUnreadResponses)
 	}
 }
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -1,6 +1,32 @@
 package sidecar
 
-import "hazelwheel/internal/decide/admission"
+import (
+	"hazelwheel/internal/decide/admission"
+	"hazelwheel/internal/featureconfig"
+)
+
+// clientPool holds the client connections, and decides together with package admission which of them may stay.
+type clientPool struct {
+	conns            []*ClientConn // each knows its index
+	admission        *admission.ConnTable
+	config           featureconfig.Admission
+	isCheckingUnread bool // a timer of checkUnreadResponses is set
+}
+
+// add keeps a connection.
+func (p *clientPool) add(c *ClientConn) {
+	c.index = len(p.conns)
+	p.conns = append(p.conns, c)
+}
+
+// remove drops a connection; the last one takes its index.
+func (p *clientPool) remove(c *ClientConn) {
+	last := p.conns[len(p.conns)-1]
+	p.conns[c.index], last.index = last, c.index
+	p.conns[len(p.conns)-1] = nil
+	p.conns = p.conns[:len(p.conns)-1]
+	p.admission.Remove(c.slot)
+}
 
 const (
 	// silentS after it was opened a link that has said nothing is closed.
@@ -25,11 +51,11 @@
 // retire closes a link that is of no more use, unless a request waits in its socket.
 func (c *ClientConn) closeStale() {
 	if c.mayHaveUnreadRequest() {
-		c.sidecar.connAdmission.Touch(c.sidecar.now(), c.slot)
+		c.sidecar.clients.admission.Touch(c.sidecar.now(), c.slot)
 		return
 	}
 	if state, _ := c.slot.State(); state == admission.StateNew {
-		c.sidecar.connAdmission.RecordWasted(c.slot)
+		c.sidecar.clients.admission.RecordWasted(c.slot)
 	}
 	c.sidecar.counters.IdleConnsClosed++
 	c.sidecar.closeConn(c.conn)
@@ -39,7 +65,7 @@
 func (s *Sidecar) closeStaleClients() {
 	now := s.now()
 	old := func(state admission.State, since float64) {
-		for slot := s.connAdmission.Oldest(state); slot != nil; slot = s.connAdmission.Oldest(state) {
+		for slot := s.clients.admission.Oldest(state); slot != nil; slot = s.clients.admission.Oldest(state) {
 			if _, at := slot.State(); at >= since {
 				return
 			}
--- a/internal/sidecar/clientstatus.go
+++ b/internal/sidecar/clientstatus.go
@@ -19,8 +19,8 @@
 		Clients   []admission.Client `json:"clients"`
 	}
 	settings := s.admissionSettings(0)
-	all.Links, all.Most, all.Reserve = s.connAdmission.Len(), settings.MaxConns, settings.ReservedForKnown
-	all.Clients, all.Addresses = s.connAdmission.Clients(maxShownAddresses)
+	all.Links, all.Most, all.Reserve = s.clients.admission.Len(), settings.MaxConns, settings.ReservedForKnown
+	all.Clients, all.Addresses = s.clients.admission.Clients(maxShownAddresses)
 	raw, err := json.Marshal(all)
 	if err != nil { // numbers and names always marshal
 		panic(err)
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -10,10 +10,10 @@
 
 // noticeMalformedList logs that discovery has sent something that is no list, once for each fault in a row.
 func (s *Sidecar) noticeMalformedList(err error) {
-	if errors.Is(err, ErrStaleList) || err.Error() == s.lastListError {
+	if errors.Is(err, ErrStaleList) || err.Error() == s.discovery.lastListError {
 		return
 	}
-	s.lastListError = err.Error()
+	s.discovery.lastListError = err.Error()
 	s.log.Warn("discovery has sent a malformed list, the present one stays in use", "discovery", s.cfg.Discovery, "error", err)
 }
 
@@ -35,7 +35,7 @@
 		return err
 	}
 	s.counters.ListsApplied++
-	s.lastListError = ""
+	s.discovery.lastListError = ""
 	kind := policy.ListDelta
 	if snapshot {
 		kind = policy.ListFull
@@ -47,10 +47,10 @@
 
 // dropIdle closes the idle backend connections that nothing new goes to.
 func (s *Sidecar) closeUnusableIdleConns() {
-	for _, id := range slices.Sorted(maps.Keys(s.idleConns)) {
+	for _, id := range slices.Sorted(maps.Keys(s.backends.idle)) {
 		if !s.acceptsAttempts(id) {
 			s.closeIdleConns(id)
-			delete(s.idleConns, id)
+			delete(s.backends.idle, id)
 		}
 	}
 }
--- a/internal/sidecar/faults.go
+++ b/internal/sidecar/faults.go
@@ -17,8 +17,8 @@
 		return fault, err
 	}
 	s.log.Info("drill started", "drill", fault.Name, "class", fault.Class, "duration_s", fault.DurationSeconds)
-	if s.faultObserver != nil {
-		s.faultObserver.FaultStarted(fault.Name, fault.DurationSeconds, func(id uint64) []byte { return s.faults.Sign(id, fault.Name) })
+	if s.fleet.faultObserver != nil {
+		s.fleet.faultObserver.FaultStarted(fault.Name, fault.DurationSeconds, func(id uint64) []byte { return s.faults.Sign(id, fault.Name) })
 	}
 	return fault, nil
 }
@@ -36,7 +36,7 @@
 }
 
 // SetFaultObserver has a fleet told of drills. It comes before Start.
-func (s *Sidecar) SetFaultObserver(to FaultObserver) { s.faultObserver = to }
+func (s *Sidecar) SetFaultObserver(to FaultObserver) { s.fleet.faultObserver = to }
 
 // RunRemoteFault is for the loop.
 func (s *Sidecar) RunRemoteFault(name string, id uint64, signature []byte, remainingSeconds float64) error {
--- a/internal/sidecar/fitness.go
+++ b/internal/sidecar/fitness.go
@@ -38,7 +38,7 @@
 		f.responses, f.lastResponseAt, f.failuresAtResponse = responses, now, failures
 	}
 	switch {
-	case s.isShuttingDown || s.isDrained:
+	case s.lifecycle.isShuttingDown || s.lifecycle.isDrained:
 		return false, "drained"
 	case now < f.unfitUntil:
 		return false, "starved of its core"
--- a/internal/sidecar/health.go
+++ b/internal/sidecar/health.go
@@ -13,7 +13,7 @@
 // never asks the loop.
 func (s *Sidecar) publishHealth() {
 	now := s.now()
-	s.healthServer.Publish(health.Snapshot{TakenAt: now, ListReadAt: s.listReadAt, Started: s.isListRead, Draining: s.closesAfterResponse(),
+	s.healthServer.Publish(health.Snapshot{TakenAt: now, ListReadAt: s.discovery.listReadAt, Started: s.discovery.isListRead, Draining: s.lifecycle.closesAfterResponse(),
 		UsableServers: s.balancer.UsableHosts(now), Inflight: s.counters.OpenRequests})
 	s.timers.schedule(now+heartbeatIntervalSeconds, s.publishHealth)
 }
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -22,6 +22,12 @@
 	maxStateAgeSeconds = 30
 )
 
+// restartState is what hot restarts need beside the state that they hand on.
+type restartState struct {
+	store        StateStore
+	settingsHash string // empty until it was asked for
+}
+
 // StateStore is where what a successor needs is kept.
 type StateStore interface {
 	// Ban, Lift and Away note what operators have said, before they are told yes.
@@ -49,8 +55,8 @@
 
 // SetKeepAlive has the sidecar keep on a shelf what a successor needs, and obey what lies there. It comes before Start.
 func (s *Sidecar) SetStateStore(shelf StateStore) {
-	s.stateStore = shelf
-	s.reservedDescriptors += hotrestart.Descriptors
+	s.restart.store = shelf
+	s.descriptors.reserved += hotrestart.Descriptors
 }
 
 // errSettings is why a state is not taken that was learned under others.
@@ -61,15 +67,15 @@
 
 // settingsHash tells settings apart. They stay as they were at the start.
 func (s *Sidecar) settingsHash() string {
-	if s.cachedSettingsHash == "" {
+	if s.restart.settingsHash == "" {
 		raw, err := json.Marshal(s.cfg.Settings)
 		if err != nil { // numbers and names always marshal
 			panic(err)
 		}
 		sum := sha256.Sum256(raw)
-		s.cachedSettingsHash = hex.EncodeToString(sum[:])
+		s.restart.settingsHash = hex.EncodeToString(sum[:])
 	}
-	return s.cachedSettingsHash
+	return s.restart.settingsHash
 }
 
 // RestartState returns what a successor begins with. It is for the loop, between events.
@@ -83,7 +89,7 @@
 func (s *Sidecar) saveRestartState() {
 	startedAt := s.net.Now()
 	if state, ok := s.RestartState(); ok {
-		s.stateStore.Save(state)
+		s.restart.store.Save(state)
 	} else {
 		s.warnLimited("the state for a successor is too large to be kept")
 	}
@@ -103,10 +109,10 @@
 	if err != nil {
 		return err
 	}
-	previousEvents := s.events // the list that was last known, which is older
-	s.events = nil
+	previousEvents := s.turn.events // the list that was last known, which is older
+	s.turn.events = nil
 	if err := s.applyKnownList(state.EndpointList); err != nil {
-		s.events = previousEvents
+		s.turn.events = previousEvents
 		return err
 	}
 	s.balancer = balancer
@@ -116,7 +122,7 @@
 
 // ReconcileOperatorState obeys what lies on the shelf: operators may have spoken to a neighbour.
 func (s *Sidecar) ReconcileOperatorState() {
-	cordoned, drained, err := s.stateStore.OperatorState()
+	cordoned, drained, err := s.restart.store.OperatorState()
 	if err != nil {
 		s.log.Error("what operators have said can't be read", "error", err)
 		return
@@ -139,10 +145,10 @@
 	if len(infos) > 0 {
 		s.pushServerChange(infos...)
 	}
-	if s.isDrained != drained && !s.isShuttingDown {
+	if s.lifecycle.isDrained != drained && !s.lifecycle.isShuttingDown {
 		s.setDrained(drained)
 	}
 }
 
 // MarkReplaced tells that another process serves in this one's place: when this one ends, nobody depends on it to accept.
-func (s *Sidecar) MarkReplaced() { s.isReplaced = true }
+func (s *Sidecar) MarkReplaced() { s.lifecycle.isReplaced = true }
--- a/internal/sidecar/idleconns.go
+++ b/internal/sidecar/idleconns.go
@@ -9,8 +9,8 @@
 
 // closeIdle closes them, on whoever's word. Danger: each close takes its link off the list.
 func (s *Sidecar) closeIdleConns(serverID uint32) {
-	for len(s.idleConns[serverID]) > 0 {
-		s.idleConns[serverID][0].close()
+	for len(s.backends.idle[serverID]) > 0 {
+		s.backends.idle[serverID][0].close()
 	}
 }
 
@@ -44,9 +44,9 @@
 // come is taken only where no new link can be had.
 func (s *Sidecar) takeIdleConn(endpoint *endpointset.Host, front Frontend) *backendConn {
 	for {
-		idle := s.idleConns[endpoint.ID]
+		idle := s.backends.idle[endpoint.ID]
 		var b *backendConn
-		idleBefore := s.now() - s.reuseDelay.seconds(s.now())
+		idleBefore := s.now() - s.backends.reuseDelay.seconds(s.now())
 		for i := len(idle) - 1; i >= 0 && (b == nil || b.idleSince > idleBefore); i-- {
 			if idle[i].frontend == front {
 				b = idle[i]
@@ -70,9 +70,9 @@
 
 // unidle takes a link from the idle ones.
 func (b *backendConn) removeFromIdle() {
-	idle := b.sidecar.idleConns[b.serverID]
+	idle := b.sidecar.backends.idle[b.serverID]
 	if i := slices.Index(idle, b); i >= 0 {
-		b.sidecar.idleConns[b.serverID] = slices.Delete(idle, i, i+1)
+		b.sidecar.backends.idle[b.serverID] = slices.Delete(idle, i, i+1)
 	}
 	b.sidecar.timers.stop(b.idleTimer)
 }
@@ -89,7 +89,7 @@
 	if b.sidecar.assignToWaiter(b) {
 		return
 	}
-	b.sidecar.idleConns[b.serverID] = append(b.sidecar.idleConns[b.serverID], b)
+	b.sidecar.backends.idle[b.serverID] = append(b.sidecar.backends.idle[b.serverID], b)
 	if limit := b.sidecar.cfg.Settings.Policy.ConnIdleTimeoutSeconds; limit > 0 {
 		b.idleTimer = b.sidecar.timers.schedule(b.sidecar.now()+min(0.8*limit, max(limit-0.5, 0.5*limit)), b.close)
 	}
--- a/internal/sidecar/listrelay.go
+++ b/internal/sidecar/listrelay.go
@@ -56,7 +56,7 @@
 }
 
 // SetListObserver has a fleet told of what discovery says. It comes before Start.
-func (s *Sidecar) SetListObserver(to ListObserver) { s.listRelay.observer = to }
+func (s *Sidecar) SetListObserver(to ListObserver) { s.discovery.relay.observer = to }
 
 // ErrStaleList is the fault of a list that is older than the one that is held.
 var ErrStaleList = errors.New("the list is older than the one that is held")
@@ -89,16 +89,13 @@
 	return err
 }
 
-// watches tells whether the decisions have been told that a watch is up.
-func (s *Sidecar) isWatchUp() bool { return s.listRelay.isActive || s.watcher != nil && s.watcher.isUp }
-
 // ConfirmList is for the loop.
 func (s *Sidecar) ConfirmList() {
 	s.runCallback(func() {
-		wasUp := s.isWatchUp()
-		s.listRelay.isActive = true
-		if s.listReadAt, s.isListRead = s.now(), true; s.watcher != nil && !s.listRelay.hasDirectWatch {
-			s.watcher.stop()
+		wasUp := s.discovery.isWatchUp()
+		s.discovery.relay.isActive = true
+		if s.discovery.listReadAt, s.discovery.isListRead = s.now(), true; s.discovery.watcher != nil && !s.discovery.relay.hasDirectWatch {
+			s.discovery.watcher.stop()
 		}
 		if !wasUp {
 			s.pushEndpoints(policy.ListDelta, nil)
@@ -109,8 +106,8 @@
 // ExpireList is for the loop.
 func (s *Sidecar) ExpireList() {
 	s.runCallback(func() {
-		wasUp := s.isWatchUp()
-		if s.listRelay.isActive = false; wasUp && !s.isWatchUp() {
+		wasUp := s.discovery.isWatchUp()
+		if s.discovery.relay.isActive = false; wasUp && !s.discovery.isWatchUp() {
 			s.counters.WatchesFailed++
 			s.requestWatch()
 		}
@@ -120,7 +117,7 @@
 // SetDirectWatch is for the loop.
 func (s *Sidecar) SetDirectWatch(on bool) {
 	s.runCallback(func() {
-		if s.listRelay.hasDirectWatch = on; on && s.watcher == nil && !s.isStopping {
+		if s.discovery.relay.hasDirectWatch = on; on && s.discovery.watcher == nil && !s.lifecycle.isStopping {
 			s.startWatch()
 		}
 	})
@@ -129,14 +126,14 @@
 // InvalidateList is for the loop. Danger: what all were told wrong all ask about; the decisions know how to do that in turn.
 func (s *Sidecar) InvalidateList() {
 	s.runCallback(func() {
-		if s.watcher != nil {
-			s.watcher.stop()
+		if s.discovery.watcher != nil {
+			s.discovery.watcher.stop()
 		}
-		s.listRelay.isActive = false
+		s.discovery.relay.isActive = false
 		s.endpoints.ForgetIndex()
 		switch {
-		case s.isStopping:
-		case s.listRelay.hasDirectWatch:
+		case s.lifecycle.isStopping:
+		case s.discovery.relay.hasDirectWatch:
 			s.startWatch()
 		default:
 			s.counters.WatchesFailed++
@@ -147,7 +144,7 @@
 
 // again begins a watch of one's own once more that has failed.
 func (s *Sidecar) restartDirectWatch() {
-	if s.listRelay.hasDirectWatch && s.watcher == nil && !s.isStopping {
+	if s.discovery.relay.hasDirectWatch && s.discovery.watcher == nil && !s.lifecycle.isStopping {
 		s.startWatch()
 	}
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -7,6 +7,15 @@
 	"hazelwheel/policy"
 )
 
+// loopTurn is where the event loop stands: in which callback, at what time, with which events still to be handled.
+type loopTurn struct {
+	depth           int     // of callbacks within each other
+	at              float64 // the time of the outermost callback, or of the timer that is fired
+	eventAt         float64 // the time of the event that is handled
+	events          []event // for the decisions, in order
+	timersScheduled bool    // fireTimers is about to be called
+}
+
 // event is something that the decisions are told, in the order in which it happened. The two that come with each request
 // are kept as they are: a closure for each would be garbage.
 type event struct {
@@ -18,21 +27,23 @@
 }
 
 // push queues an event for the decisions. It is handled before the present callback ends.
-func (s *Sidecar) pushEvent(do func(now float64)) { s.events = append(s.events, event{run: do}) }
+func (s *Sidecar) pushEvent(do func(now float64)) {
+	s.turn.events = append(s.turn.events, event{run: do})
+}
 
 // settle hands the queued events to the decisions, with what follows from them.
 func (s *Sidecar) handleEvents() {
-	for i := 0; i < len(s.events); i++ {
-		e := s.events[i]
-		s.events[i] = event{}
-		s.eventAt = s.callbackAt
+	for i := 0; i < len(s.turn.events); i++ {
+		e := s.turn.events[i]
+		s.turn.events[i] = event{}
+		s.turn.eventAt = s.turn.at
 		s.recoverPanic(func() { s.handleEvent(&e) })
 	}
-	s.events = s.events[:0]
+	s.turn.events = s.turn.events[:0]
 }
 
 func (s *Sidecar) handleEvent(e *event) {
-	switch now := s.eventAt; {
+	switch now := s.turn.eventAt; {
 	case e.run != nil:
 		e.run(now)
 	case e.endedAttempt != nil:
@@ -50,7 +61,7 @@
 
 // OpenRequests takes a connection: one that was dialed brings its link, any other is a client's.
 func (s *Sidecar) Open(c netio.Conn) bool {
-	s.openConns++
+	s.descriptors.open++
 	accepted := true
 	s.runConnCallback(c, func() {
 		if handler, dialed := c.Context().(connHandler); dialed {
@@ -71,10 +82,10 @@
 
 // Closed tells the connection's link.
 func (s *Sidecar) Closed(c netio.Conn, err error) {
-	s.openConns--
+	s.descriptors.open--
 	if handler, ok := c.Context().(connHandler); ok {
 		s.runCallback(func() {
-			if handler.onClose(err); len(s.waitingAttempts) > 0 {
+			if handler.onClose(err); len(s.backends.waiting) > 0 {
 				s.pushEvent(func(float64) { s.dialForWaiters() })
 			}
 		})
@@ -108,19 +119,19 @@
 // enter wraps every callback on the loop: a panic stops here, and the outermost drains the queue and has the timers
 // fired that are due. Until it ends the time is that of its beginning.
 func (s *Sidecar) runCallback(f func()) {
-	if s.callbackDepth++; s.callbackDepth > 1 {
+	if s.turn.depth++; s.turn.depth > 1 {
 		s.recoverPanic(f)
-		s.callbackDepth--
+		s.turn.depth--
 		return
 	}
-	s.callbackAt = s.net.Now()
-	s.detectStall(s.callbackAt)
+	s.turn.at = s.net.Now()
+	s.detectStall(s.turn.at)
 	s.recoverPanic(f)
 	s.handleEvents()
-	s.callbackDepth--
-	s.loopDelay.lastCallbackAt = s.callbackAt
-	if s.timers.isDue(s.callbackAt) && !s.timersScheduled {
-		s.timersScheduled = true
+	s.turn.depth--
+	s.loopDelay.lastCallbackAt = s.turn.at
+	if s.timers.isDue(s.turn.at) && !s.turn.timersScheduled {
+		s.turn.timersScheduled = true
 		s.net.Yield(s.fireTimers)
 	}
 	s.timers.arm()
@@ -128,10 +139,10 @@
 
 // now returns the time: of the present callback, or of the timer that fires.
 func (s *Sidecar) now() float64 {
-	if s.callbackDepth == 0 {
+	if s.turn.depth == 0 {
 		return s.net.Now()
 	}
-	return s.callbackAt
+	return s.turn.at
 }
 
 // fire fires the timers that are due, in their order. Danger: the answer that an attempt waits for may be there
@@ -139,13 +150,13 @@
 // loop looks at its connections first.
 func (s *Sidecar) fireTimers() {
 	s.runCallback(func() {
-		s.timersScheduled = false
-		for s.timers.isDue(s.callbackAt) {
+		s.turn.timersScheduled = false
+		for s.timers.isDue(s.turn.at) {
 			t := s.timers.pop()
-			s.counters.MaxTimerDelayMS = max(s.counters.MaxTimerDelayMS, (s.callbackAt-t.dueAt)*1000)
+			s.counters.MaxTimerDelayMS = max(s.counters.MaxTimerDelayMS, (s.turn.at-t.dueAt)*1000)
 			s.recoverPanic(t.target.expire)
 			s.handleEvents()
-			s.callbackAt = s.net.Now()
+			s.turn.at = s.net.Now()
 		}
 	})
 }
--- a/internal/sidecar/maintenance.go
+++ b/internal/sidecar/maintenance.go
@@ -146,7 +146,7 @@
 	}
 	now := s.net.Now()
 	inFlight := map[uint32]int{}
-	for _, r := range s.requests {
+	for _, r := range s.requests.byID {
 		for _, a := range r.attempts {
 			inFlight[a.serverID]++
 		}
@@ -184,7 +184,7 @@
 
 // IsListStale is for the loop.
 func (s *Sidecar) IsListStale() bool {
-	return !s.isWatchUp() && s.net.Now()-s.listReadAt > staleListSeconds
+	return !s.discovery.isWatchUp() && s.net.Now()-s.discovery.listReadAt > staleListSeconds
 }
 
 // WarmUpSeconds is for the loop.
--- a/internal/sidecar/operators.go
+++ b/internal/sidecar/operators.go
@@ -21,7 +21,7 @@
 	}
 	s.log.Info("server taken out by hand", "server", name)
 	s.pushServerChange(info)
-	return s.stateStore.Cordon(name)
+	return s.restart.store.Cordon(name)
 }
 
 // UncordonServer ends a server's ban, however often it was called for.
@@ -32,14 +32,14 @@
 	}
 	s.log.Info("server given back by hand", "server", name)
 	s.pushServerChange(info)
-	return s.stateStore.Uncordon(name)
+	return s.restart.store.Uncordon(name)
 }
 
 // retell tells the decisions of a server that is to be used in another way from now on.
 // Danger: changes count as a sign that the watch is up. Where it is not, the decisions would never ask for one again.
 func (s *Sidecar) pushServerChange(infos ...policy.HostInfo) {
 	kind := policy.ListCached
-	if s.isWatchUp() {
+	if s.discovery.isWatchUp() {
 		kind = policy.ListDelta
 	}
 	s.pushEndpoints(kind, infos)
@@ -50,27 +50,24 @@
 var errShuttingDown = errors.New("this process has been told to end")
 
 // IsDrainedByOperator tells whether the sidecar is drained by hand: it says that it is not ready.
-func (s *Sidecar) IsDrainedByOperator() bool { return s.isDrained }
-
-// leaving tells whether every answer is to be the last on its link.
-func (s *Sidecar) closesAfterResponse() bool { return s.isShuttingDown || s.isDrained }
+func (s *Sidecar) IsDrainedByOperator() bool { return s.lifecycle.isDrained }
 
 // DrainByOperator drains by hand: newcomers are told to stay away, each answer is the last on its link, and links that have had
 // nothing to say for a while are ended. Who comes all the same is served.
 func (s *Sidecar) DrainByOperator() error {
-	if s.isShuttingDown {
+	if s.lifecycle.isShuttingDown {
 		return nil
 	}
 	s.setDrained(true)
-	return s.stateStore.SetDrained(true)
+	return s.restart.store.SetDrained(true)
 }
 
 func (s *Sidecar) setDrained(on bool) {
-	if s.isDrained == on {
+	if s.lifecycle.isDrained == on {
 		return
 	}
-	s.isDrained = on
-	s.log.Info("drain by hand", "on", on, "links", len(s.clients))
+	s.lifecycle.isDrained = on
+	s.log.Info("drain by hand", "on", on, "links", len(s.clients.conns))
 	if on {
 		s.timers.schedule(s.now()+newcomerPeriodSeconds, s.closeIdleWhileDrained)
 	}
@@ -78,7 +75,7 @@
 
 // thin ends idle links until the drain is over.
 func (s *Sidecar) closeIdleWhileDrained() {
-	if s.isDrained && !s.isShuttingDown {
+	if s.lifecycle.isDrained && !s.lifecycle.isShuttingDown {
 		s.closeIdleClients()
 		s.timers.schedule(s.now()+drainCheckIntervalSeconds, s.closeIdleWhileDrained)
 	}
@@ -86,9 +83,9 @@
 
 // UndrainByOperator ends a drain by hand.
 func (s *Sidecar) UndrainByOperator() error {
-	if s.isShuttingDown {
+	if s.lifecycle.isShuttingDown {
 		return errShuttingDown
 	}
 	s.setDrained(false)
-	return s.stateStore.SetDrained(false)
+	return s.restart.store.SetDrained(false)
 }
--- a/internal/sidecar/pending.go
+++ b/internal/sidecar/pending.go
@@ -90,5 +90,5 @@
 
 // decide hands a request to the decisions.
 func (s *Sidecar) pushRequest(r *request, q policy.Request) {
-	s.events = append(s.events, event{request: r, input: q})
+	s.turn.events = append(s.turn.events, event{request: r, input: q})
 }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -67,7 +67,7 @@
 	}
 	enforcer.exempt, enforcer.floor = classFlags(settings.ExemptClasses), classFlags(settings.FloorClasses)
 	if settings.SnapshotDir != "" {
-		s.reservedDescriptors += quotas.WriterDescriptors
+		s.descriptors.reserved += quotas.WriterDescriptors
 	}
 	return enforcer
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -44,10 +44,10 @@
 // kept until the new service has told its own. Danger: its versions need not be those of the old service, and
 // changes since a version that it counts otherwise would leave entries out; the whole list is asked for.
 func (s *Sidecar) replaceWatch() {
-	if s.watcher != nil {
-		s.watcher.stop()
+	if s.discovery.watcher != nil {
+		s.discovery.watcher.stop()
 	}
-	s.listRelay.isActive = false // what was passed on was the old service's
+	s.discovery.relay.isActive = false // what was passed on was the old service's
 	s.endpoints.ForgetIndex()
 	s.ensureWatch()
 }
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -36,12 +36,8 @@
 
 // take hands a request to the decisions.
 func (s *Sidecar) registerRequest(r *request, q policy.Request) {
-	for s.requests[s.nextID] != nil || s.nextID == 0 {
-		s.nextID++ // the counter has come round: an id may only be used again when it is free
-	}
-	r.sidecar, r.id, r.attempts = s, s.nextID, r.attemptBuffer[:0]
-	s.nextID++
-	s.requests[r.id], s.requestsByClientID[r.clientID] = r, r
+	r.sidecar, r.attempts = s, r.attemptBuffer[:0]
+	s.requests.add(r)
 	s.counters.Requests++
 	s.counters.OpenRequests++
 	q.ID = r.id
@@ -58,7 +54,7 @@
 
 // IsRequestOpen tells whether a request with a client's id is open. Danger: two attempts with one id look like a second copy to a
 // server, which may drop the wrong one.
-func (s *Sidecar) IsRequestOpen(id string) bool { return s.requestsByClientID[id] != nil }
+func (s *Sidecar) IsRequestOpen(id string) bool { return s.requests.isOpen(id) }
 
 // answer gives a request its final answer by calling give, unless it has had one, and counts its end.
 func (s *Sidecar) answerRequest(r *request, end requestEnd, respond func()) {
@@ -70,7 +66,7 @@
 	s.timers.stop(&r.deadlineTimer)
 	s.timers.stop(r.faultTimer)
 	if len(r.attempts) == 0 {
-		s.releaseClientID(r)
+		s.requests.releaseClientID(r)
 	}
 	respond()
 	s.completeQuota(r)
@@ -139,16 +135,8 @@
 
 // forget drops a request that is answered and has nothing out.
 func (s *Sidecar) forgetRequest(r *request) {
-	if r.isAnswered && r.stream == nil && len(r.attempts) == 0 && s.requests[r.id] == r {
-		delete(s.requests, r.id)
-		s.releaseClientID(r)
-	}
-}
-
-// unname frees a request's name. Danger: by then another may have it.
-func (s *Sidecar) releaseClientID(r *request) {
-	if s.requestsByClientID[r.clientID] == r {
-		delete(s.requestsByClientID, r.clientID)
+	if r.isAnswered && r.stream == nil && len(r.attempts) == 0 {
+		s.requests.remove(r)
 	}
 }
 
--- a/internal/sidecar/rolehost.go
+++ b/internal/sidecar/rolehost.go
@@ -17,7 +17,9 @@
 }
 
 // ShutdownState is for the loop.
-func (s *Sidecar) ShutdownState() (ending, succeeded bool) { return s.isShuttingDown, s.isReplaced }
+func (s *Sidecar) ShutdownState() (ending, succeeded bool) {
+	return s.lifecycle.isShuttingDown, s.lifecycle.isReplaced
+}
 
 // SetRank is for the loop. The decisions go by the new place from the next event on.
 func (s *Sidecar) SetRank(number, count int) {
@@ -28,3 +30,10 @@
 		})
 	})
 }
+
+// fleetHooks are what a fleet has asked to be called, and is asked itself. Each is nil where there is no fleet, or none that wants it.
+type fleetHooks struct {
+	faultObserver FaultObserver
+	metrics       MetricsSource
+	status        func() any // marshalled into the counters
+}
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -20,16 +20,15 @@
 
 // Drain begins the end: every answer from now on is the last on its link.
 func (s *Sidecar) Drain() {
-	if s.isShuttingDown {
+	if !s.lifecycle.startShutdown(s.now()) {
 		return
 	}
-	s.isShuttingDown, s.shutdownStartedAt = true, s.now()
 	s.log.Info("ending", "open", s.counters.OpenRequests)
-	if s.isReplaced { // newcomers are the other's
+	if s.lifecycle.isReplaced { // newcomers are the other's
 		s.net.StopListening(s.onListenStopped)
 		return
 	}
-	s.timers.schedule(s.shutdownStartedAt+newcomerPeriodSeconds, func() {
+	s.timers.schedule(s.lifecycle.shutdownStartedAt+newcomerPeriodSeconds, func() {
 		// Danger: clients that are told to close come back on new connections for as long as these are accepted, and
 		// the end never comes.
 		s.net.StopListening(s.onListenStopped)
@@ -42,8 +41,8 @@
 // endIdle ends the links that have had nothing to say for a while, and tells whether there are others.
 func (s *Sidecar) closeIdleClients() (busy bool) {
 	now := s.now()
-	for i := len(s.clients) - 1; i >= 0; i-- { // Danger: a link that goes leaves its place to the last one
-		c := s.clients[i]
+	for i := len(s.clients.conns) - 1; i >= 0; i-- { // Danger: a link that goes leaves its place to the last one
+		c := s.clients.conns[i]
 		if _, since := c.slot.State(); c.isIdle() && since < now-drainIdleSeconds && !c.mayHaveUnreadRequest() {
 			c.isLastWritten = true
 			c.startLinger()
@@ -57,33 +56,33 @@
 func (s *Sidecar) finishShutdown() {
 	now := s.now()
 	busy := s.closeIdleClients() || s.counters.OpenRequests > 0
-	if busy && now < s.shutdownStartedAt+s.maxRequestSeconds()+shutdownGraceSeconds {
+	if busy && now < s.lifecycle.shutdownStartedAt+s.maxRequestSeconds()+shutdownGraceSeconds {
 		s.timers.schedule(now+drainCheckIntervalSeconds, s.finishShutdown)
 		return
 	}
 	if busy {
 		remaining := map[string]int{}
-		for _, c := range s.clients {
+		for _, c := range s.clients.conns {
 			state, _ := c.slot.State()
 			remaining[state.String()]++
 		}
 		s.log.Warn("ended with work left", "requests", s.counters.OpenRequests, "links", remaining)
 	}
-	s.isStopping = true
+	s.lifecycle.isStopping = true
 	s.net.Stop()
 }
 
 // latestAnswer returns when a request that comes now has its answer at the latest: before this process ends or, for one that comes
 // after the stragglers, before the platform may kill it.
 func (s *Sidecar) latestResponseAt() float64 {
-	if !s.isShuttingDown {
+	if !s.lifecycle.isShuttingDown {
 		return math.Inf(1)
 	}
 	longest := s.maxRequestSeconds()
-	if s.now() > s.shutdownStartedAt+newcomerPeriodSeconds {
+	if s.now() > s.lifecycle.shutdownStartedAt+newcomerPeriodSeconds {
 		longest = min(longest, maxCountedRequestSeconds)
 	}
-	return s.shutdownStartedAt + longest + responseGraceSeconds
+	return s.lifecycle.shutdownStartedAt + longest + responseGraceSeconds
 }
 
 // longestWait is how long a client waits at most by the settings.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -32,73 +32,58 @@
 	baseDescriptors = 24
 )
 
-// Sidecar is the program's state. It belongs to the event loop.
+// Sidecar is the state of one process. It belongs to the event loop: only its callbacks, and what Do runs, may touch it.
 type Sidecar struct {
-	cfg             sidecarconfig.Config
-	log             *slog.Logger
-	net             netio.EventLoop
-	timers          timers
-	wakeTimer       timer // of the decisions
-	counters        counters
-	loopDelay       loopDelay
-	timersScheduled bool // the timers that are due are fired soon
-
-	balancer      *policy.Balancer
-	endpoints     *endpointset.Set
-	classes       map[string]int
-	eventAt       float64 // the time of the event that the decisions handle
-	events        []event
-	callbackDepth int     // of callbacks within each other
-	callbackAt    float64 // the time of the outermost
-
-	pending              pendingRequests
-	requests             map[uint32]*request
-	requestsByClientID   map[string]*request // by their clients' ids
-	nextID               uint32
+	cfg sidecarconfig.Config
+	log *slog.Logger
+	net netio.EventLoop
+
+	// The event loop.
+	timers     timers
+	wakeTimer  timer // of the decisions
+	turn       loopTurn
+	loopDelay  loopDelay
+	fitness    fitness
+	logLimiter logLimiter
+
+	// The decisions, and what they are given.
+	balancer  *policy.Balancer
+	endpoints *endpointset.Set
+	classes   map[string]int // index in the settings, by name
+	pending   pendingRequests
+
+	// Requests and the connections that carry them.
+	requests             requestTable
 	frontends            []Frontend
-	prober               Frontend
-	clients              []*ClientConn
-	connAdmission        *admission.ConnTable
-	isCheckingUnread     bool // answers are looked after that clients have not taken
-	logLimiter           logLimiter
-	idleConns            map[uint32][]*backendConn
-	reuseDelay           reuseDelay
-	waitingAttempts      []*attempt // that wait for a link or a descriptor
-	watcher              *watcher
-	listRelay            listRelay
-	admissionConfig      featureconfig.Admission
-	faults               *faultinjection.Injector
-	faultObserver        FaultObserver  // is told of drills that are started here; nil: nobody is
-	healthServer         *health.Server // nil: there is no side port
-	listReadAt           float64        // when anything was last read from discovery
-	isListRead           bool           // a list has been read from discovery
-	lastListError        string         // of discovery's last object, which made no sense; empty: it did
-	capture              *capture.Recorder
-	quotas               *quotaEnforcer // nil: there are none
-	reservedDescriptors  int            // descriptors that are kept for features
+	prober               Frontend // whose probes are used
+	clients              clientPool
+	backends             backendPool
+	streams              streams
+	writeBuffer          []byte // memory for the next write, see recycleWriteBuffer
 	responseSlackSeconds float64
 
-	openConns           int // connections that gnet holds
-	dialDescriptorsHeld int // descriptors that dials may hold
-	writeBuffer         []byte
-	streams             streams
-	isShuttingDown      bool
-	isDrained           bool // drained by the operators
-	isReplaced          bool // another process serves in this one's place
-	stateStore          StateStore
-	fleetMetrics        MetricsSource // a fleet's figures; nil: there is none
-	fleetStatus         func() any    // what a fleet says of itself; nil: there is none
-	requestStats        *requestStats // nil: nobody asks for them
-	fitness             fitness
-	maintenance         *maintenanceTracker // nil: no work on boxes is settled
-	cachedSettingsHash  string              // of the settings, once it was asked for
-	processes           int                 // processes that live by the limits together
-	snapshot            atomic.Pointer[StatusSnapshot]
-	shutdownStartedAt   float64
-	isStopping          bool
-
-	// Limits, if it is set, is told of the limits at the start and at each change.
+	// Limits.
+	descriptors descriptorBudget
+	processes   int // that share the limits: this one, and others of its kind during a hot restart
+	// OnLimitsChange, if it is set, is called with the limits at the start and at each change.
 	OnLimitsChange func(sidecarconfig.Limits)
+
+	// Where the endpoint list comes from, and how far the process is on its way to its end.
+	discovery discovery
+	lifecycle lifecycle
+	restart   restartState
+
+	// Features; a nil pointer is a feature that is off.
+	faults       *faultinjection.Injector
+	healthServer *health.Server
+	capture      *capture.Recorder
+	quotas       *quotaEnforcer
+	maintenance  *maintenanceTracker
+	requestStats *requestStats
+	fleet        fleetHooks
+
+	counters counters
+	snapshot atomic.Pointer[StatusSnapshot]
 }
 
 var _ netio.Handler = (*Sidecar)(nil)
@@ -106,26 +91,29 @@
 // New returns a sidecar that has not begun, for clients and servers that speak what the fronts do and for the loop that is
 // to call it. Of fronts that have a way to probe the last one's is used.
 func New(cfg sidecarconfig.Config, on featureconfig.Features, fronts []Frontend, loop netio.EventLoop, log *slog.Logger) (*Sidecar, error) {
-	s := &Sidecar{cfg: cfg, log: log, net: loop, classes: map[string]int{}, nextID: 1,
-		requests: map[uint32]*request{}, requestsByClientID: map[string]*request{}, idleConns: map[uint32][]*backendConn{},
-		endpoints: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), responseSlackSeconds: cfg.Settings.AnswerSlackS,
-		admissionConfig: on.Admission, logLimiter: logLimiter{}, faults: faultinjection.New(on.Drills), frontends: fronts, stateStore: noStateStore{}, processes: 1}
+	s := &Sidecar{cfg: cfg, log: log, net: loop, logLimiter: logLimiter{}, processes: 1,
+		endpoints: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), classes: map[string]int{},
+		requests: newRequestTable(), frontends: fronts, responseSlackSeconds: cfg.Settings.AnswerSlackS,
+		faults: faultinjection.New(on.Drills)}
+	s.clients.config = on.Admission
+	s.backends.idle = map[uint32][]*backendConn{}
+	s.restart.store = noStateStore{}
 	s.timers.currentSlot = int64(s.now() / slotSeconds)
 	for _, f := range fronts {
 		if f.NewProbe() != nil {
 			s.prober = f
 		}
 	}
-	if s.listReadAt = s.now(); on.Health.IsEnabled() {
+	if s.discovery.listReadAt = s.now(); on.Health.IsEnabled() {
 		s.healthServer = health.New(on.Health, loop.Now, log)
-		s.reservedDescriptors += health.Descriptors
+		s.descriptors.reserved += health.Descriptors
 	}
 	if cfg.Ops != "" {
-		s.reservedDescriptors += AdminDescriptors
+		s.descriptors.reserved += AdminDescriptors
 	}
 	s.quotas = s.newQuotaEnforcer(on.Quotas)
-	s.connAdmission = admission.NewConnTable(admission.Settings{})
-	s.connAdmission = admission.NewConnTable(s.admissionSettings(0))
+	s.clients.admission = admission.NewConnTable(admission.Settings{})
+	s.clients.admission = admission.NewConnTable(s.admissionSettings(0))
 	var classes []admission.Class
 	for i, c := range cfg.Settings.Policy.Classes {
 		s.classes[c.Name] = i
@@ -140,7 +128,7 @@
 			return nil, err
 		}
 		if on.Capture.Dir != "" {
-			s.reservedDescriptors += capture.WriterDescriptors
+			s.descriptors.reserved += capture.WriterDescriptors
 		}
 	}
 	if len(cfg.Known) > 0 {
@@ -173,7 +161,7 @@
 		if s.cfg.Ops != "" {
 			s.publishSnapshot()
 		}
-		if _, none := s.stateStore.(noStateStore); !none {
+		if _, none := s.restart.store.(noStateStore); !none {
 			s.ReconcileOperatorState()
 			s.pushEvent(func(float64) { s.saveRestartState() })
 		}
@@ -190,11 +178,11 @@
 
 // Counters returns the counters as JSON. Once the loop has ended it may be called from outside.
 func (s *Sidecar) Counters() []byte {
-	s.counters.Descriptors = s.openConns + s.dialDescriptorsHeld
+	s.counters.Descriptors = s.descriptors.inUse()
 	s.counters.FaultHits, s.counters.Capture = s.faults.HitCounts(), s.capture.Stats()
 	s.counters.Quotas = s.quotaCounters()
-	if s.fleetStatus != nil {
-		s.counters.Fleet = s.fleetStatus()
+	if s.fleet.status != nil {
+		s.counters.Fleet = s.fleet.status()
 	}
 	return s.counters.text()
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -79,16 +79,16 @@
 	s, err := New(cfg, featureconfig.Features{}, nil, n, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	require.NoError(t, s.applyListObject([]byte(`{"index":1,"snapshot":true,"endpoints":[{"name":"s-00000007","address":"a","status":"SERVING"}]}`)))
-	s.admissionConfig.ReservedForKnown = 1
-	s.cfg.Limits.Sockets = baseDescriptors + s.reservedDescriptors + s.reservedClientSlots() + dialDescriptors // room for one dial
+	s.clients.config.ReservedForKnown = 1
+	s.cfg.Limits.Sockets = baseDescriptors + s.descriptors.reserved + s.reservedClientSlots() + dialDescriptors // room for one dial
 	for range 2 {
 		s.dial(s.endpoints.Host(7), &attempt{sidecar: s, serverID: 7, deadline: testNow + 10, frontend: listedFront{}, isProbeRetry: true})
 	}
 	require.Len(t, n.done, 1)
-	require.Len(t, s.waitingAttempts, 1)
+	require.Len(t, s.backends.waiting, 1)
 	n.done[0](errors.New("refused"))
 	assert.Len(t, n.done, 2)
-	assert.Empty(t, s.waitingAttempts)
+	assert.Empty(t, s.backends.waiting)
 }
 
 func newTestSidecar(t *testing.T) *Sidecar {
@@ -124,7 +124,7 @@
 
 func TestRequestIDsComeRound(t *testing.T) {
 	s := newTestSidecar(t)
-	s.nextID = math.MaxUint32
+	s.requests.nextID = math.MaxUint32
 	var ids []uint32
 	for range 3 {
 		r := &request{deadline: s.now() + 100}
@@ -132,7 +132,7 @@
 		ids = append(ids, r.id)
 	}
 	assert.Equal(t, []uint32{math.MaxUint32, 1, 2}, ids)
-	s.nextID = 1
+	s.requests.nextID = 1
 	r := &request{deadline: s.now() + 100}
 	s.registerRequest(r, policy.Request{})
 	assert.EqualValues(t, 3, r.id, "an id that is in use is passed over")
@@ -158,7 +158,7 @@
 	}
 	assert.Same(t, links[3], s.takeIdleConn(h, nil))
 	s.CloseIdle(h.ID)
-	assert.Empty(t, s.idleConns[h.ID])
+	assert.Empty(t, s.backends.idle[h.ID])
 	for i, l := range links {
 		assert.Equal(t, i < 3, l.isClosed, i)
 	}
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -29,7 +29,7 @@
 // publish makes a snapshot of the figures, again and again.
 func (s *Sidecar) publishSnapshot() {
 	now := s.now()
-	f := &StatusSnapshot{TakenAt: now, IsShuttingDown: s.isShuttingDown, Classes: append([]classCounts(nil), s.counters.Classes...), RequestsWritten: s.counters.RequestsWritten,
+	f := &StatusSnapshot{TakenAt: now, IsShuttingDown: s.lifecycle.isShuttingDown, Classes: append([]classCounts(nil), s.counters.Classes...), RequestsWritten: s.counters.RequestsWritten,
 		OpenRequests: s.counters.OpenRequests}
 	avoided := s.balancer.Ejected(now)
 	for h := range s.endpoints.Listed {
@@ -37,8 +37,8 @@
 			f.UnavailableServers++
 		}
 	}
-	if s.fleetMetrics != nil {
-		f.FleetMetrics = s.fleetMetrics.Metrics()
+	if s.fleet.metrics != nil {
+		f.FleetMetrics = s.fleet.metrics.Metrics()
 	}
 	s.snapshot.Store(f)
 	s.timers.schedule(now+snapshotIntervalSeconds, s.publishSnapshot)
@@ -46,5 +46,5 @@
 
 // SetFleetStatus has the counters and the door's dump hold what a fleet says of itself; it is asked on the loop.
 func (s *Sidecar) SetFleetStatus(see func() any, counted MetricsSource) {
-	s.fleetStatus, s.fleetMetrics = see, counted
+	s.fleet.status, s.fleet.metrics = see, counted
 }
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -29,7 +29,7 @@
 
 // spool returns how much of a body is held before the rest of it flows.
 func (s *Sidecar) bodyBufferLimit() int {
-	return admission.BodyBufferBytes(s.connAdmission.BufferedBytes(), s.admissionSettings(0).MaxBufferedBytes)
+	return admission.BodyBufferBytes(s.clients.admission.BufferedBytes(), s.admissionSettings(0).MaxBufferedBytes)
 }
 
 // flowRoom returns how much may wait for a peer that is slow to take it; then the other end is left unread.
@@ -110,7 +110,7 @@
 	f := &stream{sidecar: s, attempt: a, backend: b, client: r.client, responder: origin, lastDataAt: now, lastReadAt: now, startedAt: now}
 	a.stream, r.stream, r.isAnswered, result.Final = f, f, true, true
 	s.streams.responses = append(s.streams.responses, f)
-	s.events = append(s.events, event{endedAttempt: a, result: result})
+	s.turn.events = append(s.turn.events, event{endedAttempt: a, result: result})
 	origin.ForwardHead(a.exchange)
 	f.check()
 	s.scheduleStreamCheck()
@@ -170,7 +170,7 @@
 	switch {
 	case now > f.lastReadAt+peerLagTimeoutSeconds:
 		f.sidecar.counters.UnreadConnsClosed++
-		f.sidecar.connAdmission.RecordWasted(f.client.slot)
+		f.sidecar.clients.admission.RecordWasted(f.client.slot)
 		f.finish(failed)
 	case now > f.lastDataAt+peerLagTimeoutSeconds, f.isTooSlow(now):
 		f.finish(failed)
@@ -196,7 +196,7 @@
 	s.countRequestEnd(r, end)
 	s.recordResponseCost(f.attempt)
 	s.completeQuota(r)
-	s.releaseClientID(r)
+	s.requests.releaseClientID(r)
 	if !b.isClosed {
 		if b.attempt = nil; end == served && b.isReusable(f.attempt) {
 			b.makeIdle()
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -18,11 +18,11 @@
 // Admit tells whether there is room for a request of a class; otherwise it has been throttled.
 func (c *ClientConn) Admit(class int) bool {
 	switch {
-	case c.isOverLimit && !c.sidecar.hasDescriptors(backendHeadroom), c.sidecar.connAdmission.IsOverBufferBudget(c.slot):
+	case c.isOverLimit && !c.sidecar.hasDescriptors(backendHeadroom), c.sidecar.clients.admission.IsOverBufferBudget(c.slot):
 		c.rejectRequest(class, "there is no room for them")
 		return false
-	case c.sidecar.isOverloaded() && c.sidecar.connAdmission.ExceedsFairShare(c.slot):
-		c.sidecar.connAdmission.RecordWasted(c.slot)
+	case c.sidecar.isOverloaded() && c.sidecar.clients.admission.ExceedsFairShare(c.slot):
+		c.sidecar.clients.admission.RecordWasted(c.slot)
 		c.rejectRequest(class, "their client has more out than its part, and there is not enough for all")
 		return false
 	}
@@ -52,9 +52,9 @@
 	if !admitted {
 		return
 	}
-	c.sidecar.connAdmission.SetState(c.sidecar.now(), c.slot, admission.StateActive)
+	c.sidecar.clients.admission.SetState(c.sidecar.now(), c.slot, admission.StateActive)
 	c.requestBytes = in.HeldBytes
-	c.sidecar.connAdmission.SetBufferedBytes(c.slot, c.requestBytes+c.input.Len())
+	c.sidecar.clients.admission.SetBufferedBytes(c.slot, c.requestBytes+c.input.Len())
 	waitedSeconds := max(c.sidecar.socketWait(c.conn), c.sidecar.now()-c.arrivals.arrivedAt(c.input.Len(), c.sidecar.now()))
 	timeoutSeconds := min(in.TimeoutSeconds, maxRequestTimeoutSeconds)
 	deadline := c.sidecar.now() - waitedSeconds + timeoutSeconds
--- a/internal/sidecar/upload.go
+++ b/internal/sidecar/upload.go
@@ -41,7 +41,7 @@
 	if c.requestBytes = len(r.body.Buffered); r.isUploading() && r.body.UnsentBytes() >= ChunkBytes {
 		c.pauseReading(netio.ReportClose)
 	}
-	s.connAdmission.SetBufferedBytes(c.slot, c.requestBytes+c.input.Len())
+	s.clients.admission.SetBufferedBytes(c.slot, c.requestBytes+c.input.Len())
 }
 
 // spoilUpload ends a request whose body can't be read to its end.
--- a/internal/sidecar/usage.go
+++ b/internal/sidecar/usage.go
@@ -14,13 +14,13 @@
 
 // ResourceUsage returns what is held now. It is for the loop, between its calls.
 func (s *Sidecar) ResourceUsage() ResourceUsage {
-	h := ResourceUsage{Requests: max(len(s.requests), len(s.requestsByClientID)), ClientConns: len(s.clients), BackendConns: s.openConns - len(s.clients),
-		Timers: s.timers.count, Events: len(s.events), Servers: s.endpoints.Len()}
-	if w := s.watcher; w != nil && w.conn != nil {
+	h := ResourceUsage{Requests: s.requests.len(), ClientConns: len(s.clients.conns), BackendConns: s.descriptors.open - len(s.clients.conns),
+		Timers: s.timers.count, Events: len(s.turn.events), Servers: s.endpoints.Len()}
+	if w := s.discovery.watcher; w != nil && w.conn != nil {
 		h.BackendConns--
 		h.BufferedBytes += w.input.Len()
 	}
-	for _, c := range s.clients {
+	for _, c := range s.clients.conns {
 		h.BufferedBytes += c.input.Len()
 	}
 	return h
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -49,7 +49,7 @@
 
 // watch begins a watch. One that is up already answers for it.
 func (s *Sidecar) ensureWatch() {
-	if s.listRelay.isActive {
+	if s.discovery.relay.isActive {
 		s.pushEndpoints(policy.ListDelta, nil)
 		return
 	}
@@ -57,7 +57,7 @@
 }
 
 func (s *Sidecar) startWatch() {
-	if w := s.watcher; w != nil {
+	if w := s.discovery.watcher; w != nil {
 		if w.isUp {
 			s.pushEndpoints(policy.ListDelta, nil)
 			return
@@ -67,7 +67,7 @@
 	}
 	now := s.now()
 	w := &watcher{sidecar: s, parser: http1.NewResponseParser(http1.Limits{Head: MaxHeadBytes, Body: maxListBytes})}
-	s.watcher = w
+	s.discovery.watcher = w
 	s.counters.Watches++
 	w.dataTimer = s.timers.schedule(now+watchHeadTimeoutSeconds, func() { w.fail(errWatchTimeout) })
 	// Danger: a first object that comes byte by byte would keep the watch from being up, and from being opened anew, for ever.
@@ -108,9 +108,9 @@
 		w.sidecar.timers.stop(w.firstObjectTimer)
 	}
 	if err == nil && w.parser.HeadRead() { // an empty line, too, says that the list is as it was
-		w.sidecar.listReadAt = w.sidecar.now()
+		w.sidecar.discovery.listReadAt = w.sidecar.now()
 		_, held := w.sidecar.endpoints.Index()
-		w.sidecar.isListRead = w.sidecar.isListRead || held && w.isUp
+		w.sidecar.discovery.isListRead = w.sidecar.discovery.isListRead || held && w.isUp
 	}
 	if err == nil && done {
 		err = errWatchEnded
@@ -153,15 +153,15 @@
 		w.isUp = true
 		w.sidecar.pushEndpoints(policy.ListDelta, nil)
 	}
-	if w.sidecar.listRelay.observer != nil {
+	if w.sidecar.discovery.relay.observer != nil {
 		index, held := w.sidecar.endpoints.Index()
-		w.sidecar.listRelay.observer.ListRead(index, held, nil)
+		w.sidecar.discovery.relay.observer.ListRead(index, held, nil)
 	}
 }
 
 // handleObject handles an object with a list or with changes. The first one tells the decisions that the watch is up.
 func (w *watcher) handleObject(object []byte) error {
-	if w.sidecar.listRelay.observer != nil {
+	if w.sidecar.discovery.relay.observer != nil {
 		return w.handleRelayedObject(object)
 	}
 	w.isUp = true
@@ -192,7 +192,7 @@
 	if err := s.applyListObject(object); err != nil {
 		return err
 	}
-	s.listRelay.observer.ListRead(before, held, object)
+	s.discovery.relay.observer.ListRead(before, held, object)
 	return nil
 }
 
@@ -203,8 +203,8 @@
 	w.sidecar.timers.stop(w.firstObjectTimer)
 	w.cancelDial()
 	w.sidecar.closeConn(w.conn)
-	if w.sidecar.watcher == w {
-		w.sidecar.watcher = nil
+	if w.sidecar.discovery.watcher == w {
+		w.sidecar.discovery.watcher = nil
 	}
 }
 
@@ -216,19 +216,19 @@
 	}
 	s := w.sidecar
 	w.stop()
-	if s.isStopping {
+	if s.lifecycle.isStopping {
 		return
 	}
 	s.counters.WatchesFailed++
 	s.log.Debug("watch failed", "error", err)
-	if s.listRelay.observer != nil {
+	if s.discovery.relay.observer != nil {
 		if w.isUp {
-			s.listRelay.observer.WatchEnded()
+			s.discovery.relay.observer.WatchEnded()
 		}
-		if s.listRelay.hasDirectWatch {
+		if s.discovery.relay.hasDirectWatch {
 			s.timers.schedule(s.now()+maxRewatchSeconds, s.restartDirectWatch)
 		}
-		if s.listRelay.isActive { // what others pass on takes its place
+		if s.discovery.relay.isActive { // what others pass on takes its place
 			return
 		}
 	}
