--- a/internal/environment/script.go
+++ b/internal/environment/script.go
@@ -58,26 +58,26 @@
 
 // Trouble is one thing that goes wrong. A kind needs the fields that its line in kinds names, and has no others.
 type Trouble struct {
-	Kind  string   `toml:"kind"`
-	AtS   float64  `toml:"at_s"`            // since the day's start
-	ForS  float64  `toml:"for_s,omitempty"` // until it is over, or until what went returns
-	Boxes []string `toml:"boxes,omitempty"` // names
-	Site  string   `toml:"site,omitempty"`
+	Kind  string   `toml:"kind" json:"Kind"`
+	AtS   float64  `toml:"at_s" json:"AtS"`              // since the day's start
+	ForS  float64  `toml:"for_s,omitempty" json:"ForS"`  // until it is over, or until what went returns
+	Boxes []string `toml:"boxes,omitempty" json:"Boxes"` // names
+	Site  string   `toml:"site,omitempty" json:"Site"`
 	// Sidecars are numbers, from 0.
-	Sidecars     []int   `toml:"sidecars,omitempty"`
-	WithSidecars bool    `toml:"with_sidecars,omitempty"` // a site's sidecars go with it
-	Silent       bool    `toml:"silent,omitempty"`        // machines vanish; else processes die
-	Share        float64 `toml:"share,omitempty"`         // of the answers, or of the bytes' time
-	PerS         float64 `toml:"per_s,omitempty"`         // clients, connections, resets or bytes a second
-	DrainS       float64 `toml:"drain_s,omitempty"`       // time between the notice and the end
-	LagS         float64 `toml:"lag_s,omitempty"`         // further delay of what discovery learns
-	ToBox        bool    `toml:"to_box,omitempty"`        // the direction that is lost; else to the sidecar
-	From         []int   `toml:"from,omitempty"`          // sidecars on one side
-	To           []int   `toml:"to,omitempty"`            // and on the other; the rest where it is empty
-	OneWay       bool    `toml:"one_way,omitempty"`       // from the first to the second alone
-	State        string  `toml:"state,omitempty"`         // of a process that comes back: kept, lost, torn or old
-	By           int     `toml:"by,omitempty"`            // how many sidecars come, or leave for good
-	Rate         float64 `toml:"rate,omitempty"`          // of a clock; 1 is right
+	Sidecars     []int   `toml:"sidecars,omitempty" json:"Sidecars"`
+	WithSidecars bool    `toml:"with_sidecars,omitempty" json:"WithSidecars"` // a site's sidecars go with it
+	Silent       bool    `toml:"silent,omitempty" json:"Silent"`              // machines vanish; else processes die
+	Share        float64 `toml:"share,omitempty" json:"Share"`                // of the answers, or of the bytes' time
+	PerS         float64 `toml:"per_s,omitempty" json:"PerS"`                 // clients, connections, resets or bytes a second
+	DrainS       float64 `toml:"drain_s,omitempty" json:"DrainS"`             // time between the notice and the end
+	LagS         float64 `toml:"lag_s,omitempty" json:"LagS"`                 // further delay of what discovery learns
+	ToBox        bool    `toml:"to_box,omitempty" json:"ToBox"`               // the direction that is lost; else to the sidecar
+	From         []int   `toml:"from,omitempty" json:"From"`                  // sidecars on one side
+	To           []int   `toml:"to,omitempty" json:"To"`                      // and on the other; the rest where it is empty
+	OneWay       bool    `toml:"one_way,omitempty" json:"OneWay"`             // from the first to the second alone
+	State        string  `toml:"state,omitempty" json:"State"`                // of a process that comes back: kept, lost, torn or old
+	By           int     `toml:"by,omitempty" json:"By"`                      // how many sidecars come, or leave for good
+	Rate         float64 `toml:"rate,omitempty" json:"Rate"`                  // of a clock; 1 is right
 }
 
 // What becomes of a process's state until it comes back.
