--- a/cmd/hazellab/serve.go
+++ b/cmd/hazellab/serve.go
@@ -40,13 +40,13 @@
 			if err != nil {
 				return fault(err)
 			}
-			script, err := environment.ReadRealScript(path, text, environment.Usual())
+			script, err := environment.ReadRealScript(path, text, environment.StandardRanges())
 			if err != nil {
 				return fault(err)
 			}
 			ctx, stop := untilSignal(ctx)
 			defer stop()
-			s := realtime.Server{Day: script.Day(environment.Usual()), Script: *script, Listen: c.String("listen"), Config: c.String("config"),
+			s := realtime.Server{Day: script.Day(environment.StandardRanges()), Script: *script, Listen: c.String("listen"), Config: c.String("config"),
 				Control: c.String("control"), Out: c.Root().Writer}
 			return s.Run(ctx)
 		},
--- a/cmd/hazellab/sim.go
+++ b/cmd/hazellab/sim.go
@@ -82,17 +82,17 @@
 	if !ok {
 		return o, fault(fmt.Errorf("core: %q is none of sidecar, random, least", c.String("core")))
 	}
-	o.Core, o.Speech = core, environment.Speech(c.String("speech"))
+	o.Core, o.Speech = core, environment.Protocol(c.String("speech"))
 	switch {
-	case !slices.Contains(environment.Speeches, o.Speech):
+	case !slices.Contains(environment.Protocols, o.Speech):
 		return o, fault(fmt.Errorf("speech: %q is none of http, binary, compact", o.Speech))
-	case o.Speech.Thrift() && c.String("core") != "sidecar":
+	case o.Speech.IsThrift() && c.String("core") != "sidecar":
 		return o, fault(errors.New("speech: only the sidecar speaks Thrift"))
-	case o.Speech.Thrift():
+	case o.Speech.IsThrift():
 		o.Core = sim.OverThrift
 	}
 	o.Batch, o.Quotas = c.Float("batch"), c.Bool("quotas")
-	if o.Speech.Thrift() && (o.Batch > 0 || o.Quotas) {
+	if o.Speech.IsThrift() && (o.Batch > 0 || o.Quotas) {
 		return o, fault(errors.New("speech: batches and quotas are played over HTTP"))
 	}
 	if o.Batch < 0 || o.Batch > 100 {
@@ -103,7 +103,7 @@
 
 // spoken returns the flag of a day's speech, "" for HTTP's, which needs none.
 func spoken(o sim.Options) string {
-	if o.Speech.Thrift() {
+	if o.Speech.IsThrift() {
 		return " --speech " + string(o.Speech)
 	}
 	return ""
--- a/internal/environment/actors_test.go
+++ b/internal/environment/actors_test.go
@@ -66,13 +66,13 @@
 type stage struct {
 	day   Day
 	notes notes
-	world *World
+	world *Environment
 	net   *virtual.Network
 	host  *script
 }
 
 func newStage(t require.TestingT, seed uint64, change func(*Day)) *stage {
-	s := &stage{day: Draw(seed, Usual())}
+	s := &stage{day: Draw(seed, StandardRanges())}
 	if change != nil {
 		change(&s.day)
 	}
@@ -112,14 +112,14 @@
 func TestBoxManners(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		manners Manners
+		manners Misbehavior
 		read    bool
-	}{{"sound", Manners{}, true}, {"spoilt", Manners{Spoilt: 1}, false}, {"behind", Manners{Behind: 1}, true}, {"interim", Manners{Interim: 1}, true}} {
+	}{{"sound", Misbehavior{}, true}, {"spoilt", Misbehavior{Malformed: 1}, false}, {"behind", Misbehavior{TrailingBytes: 1}, true}, {"interim", Misbehavior{InterimResponses: 1}, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newStage(t, 3, func(d *Day) { d.Inline = true })
-			b := s.world.Boxes[0]
+			b := s.world.Servers[0]
 			b.Spec.Errors = 0
-			b.Manners = c.manners
+			b.Misbehavior = c.manners
 			s.begin(t, b.Spec.IP)
 			const requests = 60
 			got := make([][]byte, requests)
@@ -144,7 +144,7 @@
 				whole, err := p.Next(&buf)
 				require.Equal(t, c.read, whole && err == nil, "%.200q", text)
 				require.Equal(t, c.read, made[checker.Digest(p.Body)])
-				require.Equal(t, c.manners.Behind > 0, c.read && buf.Len() > 0)
+				require.Equal(t, c.manners.TrailingBytes > 0, c.read && buf.Len() > 0)
 			}
 		})
 	}
@@ -155,7 +155,7 @@
 func TestDiscoveryTellsAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStage(t, rapid.Uint64Range(0, 1000).Draw(t, "seed"), nil)
-		r := s.world.Registry
+		r := s.world.Discovery
 		s.begin(t, r.spec.IPs[0])
 		held := map[string]string{}
 		index, have, forget := uint64(0), false, false
@@ -216,33 +216,33 @@
 		}
 		s.net.Schedule(s.day.Start, watch)
 		last := map[int]entry{} // what the boxes have done last
-		for i, b := range s.day.Boxes[:s.day.Standing] {
+		for i, b := range s.day.Servers[:s.day.InitialServers] {
 			last[i] = entry{status: checker.Serving, address: b.Address}
 		}
 		at := 1.0
 		for range rapid.IntRange(0, 12).Draw(t, "events") {
 			at += rapid.Float64Range(0, 4).Draw(t, "wait")
 			s.until(at)
-			box, now := rapid.IntRange(0, len(s.day.Boxes)-1).Draw(t, "box"), s.net.Now()
+			box, now := rapid.IntRange(0, len(s.day.Servers)-1).Draw(t, "box"), s.net.Now()
 			was := last[box]
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
 				last[box] = entry{status: checker.Serving, address: "10.9.9." + strconv.Itoa(int(at))}
-				r.Up(box, last[box].address, now, now)
+				r.ServerStarted(box, last[box].address, now, now)
 			case 1:
 				if was.status == checker.Serving {
 					last[box] = entry{status: checker.Draining, address: was.address}
-					r.Drained(box, now)
+					r.ServerDraining(box, now)
 				}
 			case 2:
 				if was.status != 0 && was.status != checker.Deleted {
 					last[box] = entry{status: checker.Deleted, address: was.address}
-					r.Lost(box, rapid.Bool().Draw(t, "silent"), now)
+					r.ServerStopped(box, rapid.Bool().Draw(t, "silent"), now)
 				}
 			case 3:
-				r.StaleS = rapid.Float64Range(0, 10).Draw(t, "stale")
+				r.DelaySeconds = rapid.Float64Range(0, 10).Draw(t, "stale")
 			case 4:
-				r.Down(!r.down, now)
+				r.SetDown(!r.down, now)
 			case 5:
 				if ip, ok := r.nextIP(); ok {
 					s.begin(t, ip)
@@ -252,7 +252,7 @@
 				forget = true // it begins anew when its watch ends
 			}
 		}
-		r.Down(false, s.net.Now())
+		r.SetDown(false, s.net.Now())
 		s.until(at + 40)
 		want := map[string]string{}
 		told := map[int]checker.Event{}
@@ -265,7 +265,7 @@
 			require.Equal(t, last[i].status, e.status)
 			require.Equal(t, last[i].address, e.address)
 			if e.status == checker.Serving || e.status == checker.Draining {
-				want[s.day.Boxes[i].Name] = e.address + statusText[e.status]
+				want[s.day.Servers[i].Name] = e.address + statusText[e.status]
 			}
 			if e.status != 0 {
 				require.Equal(t, e.status, told[i].Status, "box %d", i)
@@ -368,7 +368,7 @@
 		for i := range s.day.Sidecars {
 			cfg, err := sidecarconfig.Parse(s.world.StartConfiguration(i, s.day.Start))
 			require.NoError(t, err)
-			assert.Equal(t, []any{s.day.Sidecars[i].Address, s.world.Registry.Address(), s.day.Sockets, len(s.day.Sidecars), s.day.Sidecars[i].Site},
+			assert.Equal(t, []any{s.day.Sidecars[i].Address, s.world.Discovery.Address(), s.day.Sockets, len(s.day.Sidecars), s.day.Sidecars[i].Site},
 				[]any{cfg.Listen, cfg.Discovery, cfg.Limits.Sockets, cfg.Settings.Policy.Replicas, cfg.Settings.Policy.Zone})
 			for k, c := range cfg.Settings.Policy.Classes {
 				want := s.day.Classes[k]
@@ -377,8 +377,8 @@
 			}
 			var known struct{ Endpoints []struct{ Name string } }
 			require.NoError(t, json.Unmarshal(cfg.Known, &known))
-			assert.Len(t, known.Endpoints, s.day.Standing)
+			assert.Len(t, known.Endpoints, s.day.InitialServers)
 		}
-		assert.Equal(t, len(s.day.Sidecars)*s.day.Standing, s.notes.count(checker.EntryDelivered), "the witness knows what they were told")
+		assert.Equal(t, len(s.day.Sidecars)*s.day.InitialServers, s.notes.count(checker.EntryDelivered), "the witness knows what they were told")
 	}
 }
--- a/internal/environment/app.go
+++ b/internal/environment/app.go
@@ -256,10 +256,10 @@
 
 // Leave tells the application that its sidecar has been told to end: connections are opened for a short while yet, and
 // those that there are used for as long as they stay open.
-func (a *Application) Leave(now float64) { a.leaveAt = now + 0.2 + 0.2*a.chance.Float64() }
+func (a *Application) SidecarDraining(now float64) { a.leaveAt = now + 0.2 + 0.2*a.chance.Float64() }
 
 // Stay tells it that there is another sidecar.
-func (a *Application) Stay() { a.leaveAt = math.Inf(1) }
+func (a *Application) SidecarReplaced() { a.leaveAt = math.Inf(1) }
 
 // alone tells whether the application has no way to a sidecar any more.
 func (a *Application) alone(now float64) bool { return now >= a.leaveAt && len(a.idle) == 0 }
@@ -309,7 +309,7 @@
 
 // LeaveEarly has a share of the clients that begin a request until a time leave before its time is over, half of them together with
 // others. What they tell the sidecar to wait is not changed by it.
-func (a *Application) LeaveEarly(share, until float64) {
+func (a *Application) AbandonEarly(share, until float64) {
 	a.net.Post(func() {
 		a.earlyShare, a.earlyUntil, a.burstsAt = share, max(a.earlyUntil, until), a.net.Now()
 	})
@@ -358,7 +358,7 @@
 
 func (a *Application) dial(k *ask) {
 	a.linkNumber++
-	link := &appLink{app: a, number: uint64(a.number+1)<<48 | a.linkNumber, ask: k, parser: newAnswerReader(a.day.Speech)}
+	link := &appLink{app: a, number: uint64(a.number+1)<<48 | a.linkNumber, ask: k, parser: newAnswerReader(a.day.Protocol)}
 	k.link = link
 	a.links++
 	a.net.Dial(a.address(), k.until, link, func(err error) {
@@ -380,7 +380,7 @@
 // address returns where the sidecar takes requests.
 func (a *Application) address() string {
 	at := a.day.Sidecars[a.number].Address
-	if a.day.Speech.Thrift() {
+	if a.day.Protocol.IsThrift() {
 		return ThriftAddress(at)
 	}
 	return at
@@ -420,9 +420,9 @@
 func (a *Application) write(link *appLink, k *ask) {
 	link.ask, k.link, k.sentAt, a.recent = k, link, a.net.Now(), k
 	// Danger: a parser that has read an answer takes the next one for the same answer's body.
-	link.parser = newAnswerReader(a.day.Speech)
+	link.parser = newAnswerReader(a.day.Protocol)
 	link.used++
-	if a.day.Speech.Thrift() {
+	if a.day.Protocol.IsThrift() {
 		a.out = a.appendCall(a.out[:0], k)
 	} else {
 		a.out = a.appendRequest(a.out[:0], k)
--- a/internal/environment/box.go
+++ b/internal/environment/box.go
@@ -11,8 +11,8 @@
 )
 
 // Box is a server over all lives of its process. Troubles are done to it directly; Ground ends and begins lives.
-type Box struct {
-	Spec    BoxSpec
+type Server struct {
+	Spec    ServerSpec
 	Address string // where the present life listens, or the last one did
 
 	day     *Day
@@ -20,7 +20,7 @@
 	who     neighbours
 	classes map[string]int // looked up, never walked
 	keys    *keyMemory     // of its site
-	list    *Registry
+	list    *Discovery
 	rng     *rand.Rand
 	same    rand.PCG   // seeded by a request: what it costs is the same at every box
 	cost    *rand.Rand // on same
@@ -30,22 +30,22 @@
 	lives   int
 
 	// Manners are how the box speaks; they outlast a life.
-	Manners Manners
+	Misbehavior Misbehavior
 }
 
 // Manners are the shares of its answers in which a box says what it should not, from 0 to 1.
-type Manners struct {
-	Spoilt  float64 // nobody can read the answer to its end
-	Behind  float64 // bytes come behind it
-	Interim float64 // 1xx answers come in front
+type Misbehavior struct {
+	Malformed        float64 // nobody can read the answer to its end
+	TrailingBytes    float64 // bytes come behind it
+	InterimResponses float64 // 1xx answers come in front
 	// EarlyClose is the share of the times that a connection is at rest in which the box closes it soon, and of those that end with
 	// a request in which it closes it on that.
 	EarlyClose float64
 }
 
 // NewBox returns a box of a day that has never run.
-func NewBox(d *Day, number int, list *Registry, keys *keyMemory, w checker.Observer) *Box {
-	b := &Box{Spec: d.Boxes[number], day: d, witness: w, who: newNeighbours(d), classes: map[string]int{}, keys: keys,
+func NewServer(d *Day, number int, list *Discovery, keys *keyMemory, w checker.Observer) *Server {
+	b := &Server{Spec: d.Servers[number], day: d, witness: w, who: newNeighbours(d), classes: map[string]int{}, keys: keys,
 		list: list}
 	b.rng = stream(d.Seed, "box "+b.Spec.Name, 0)
 	b.cost = rand.New(&b.same)
@@ -85,7 +85,7 @@
 
 // life is one life of a box's process: its front and its engine.
 type life struct {
-	*Box
+	*Server
 	net      netio.EventLoop
 	engine   *Engine
 	since    float64
@@ -137,17 +137,17 @@
 }
 
 // Boot begins a life at an address. The first life of a box that stands at the day's start has been warm for long.
-func (b *Box) Boot(address string, net netio.EventLoop) netio.Handler {
+func (b *Server) Boot(address string, net netio.EventLoop) netio.Handler {
 	b.Address = address
 	b.lives++
-	l := &life{Box: b, net: net, armed: math.Inf(1)}
+	l := &life{Server: b, net: net, armed: math.Inf(1)}
 	b.life = l
 	return l
 }
 
 func (l *life) Start() {
 	now := l.net.Now()
-	cold := l.lives > 1 || l.Spec.Number >= l.day.Standing
+	cold := l.lives > 1 || l.Spec.Number >= l.day.InitialServers
 	l.engine = NewEngine(&l.Spec, l.rng, now, cold)
 	if cold {
 		l.since = now
@@ -156,13 +156,13 @@
 	l.witness.Observe(checker.Event{Kind: checker.ServerStarted, At: now, Sidecar: -1, Server: int32(l.Spec.Number), Zone: int32(l.Spec.Site),
 		Cell: int32(l.Spec.Cell), ServingSince: l.since, Address: l.Address})
 	if cold {
-		l.list.Up(l.Spec.Number, l.Address, l.since, now)
+		l.list.ServerStarted(l.Spec.Number, l.Address, l.since, now)
 	}
 	l.arm()
 }
 
 // Ended tells a box that its process has been ended, or its machine has vanished.
-func (b *Box) Ended(now float64) {
+func (b *Server) Stopped(now float64) {
 	if b.life != nil {
 		b.life.over = true
 		b.life = nil
@@ -171,25 +171,25 @@
 }
 
 // Hang has the box stand still with all that it holds, or go on.
-func (b *Box) Hang(on bool) {
+func (b *Server) SetHung(on bool) {
 	if l := b.life; l != nil {
 		l.net.Post(func() {
 			l.work()
-			l.engine.Hang(l.net.Now(), on)
+			l.engine.SetHung(l.net.Now(), on)
 			l.arm()
 		})
 	}
 }
 
 // Drain has the box turn away all that is new.
-func (b *Box) Drain() {
+func (b *Server) Drain() {
 	if b.life != nil {
 		b.life.draining = true
 	}
 }
 
 // Alive tells whether the box has a process now.
-func (b *Box) Alive() bool { return b.life != nil }
+func (b *Server) IsAlive() bool { return b.life != nil }
 
 func (l *life) event(kind checker.Kind, k *boxLink) checker.Event {
 	now := l.net.Now()
@@ -202,7 +202,7 @@
 		parser: http1.NewRequestParser(messageLimits)}
 	c.SetContext(k)
 	l.open++
-	l.engine.Connected(l.open)
+	l.engine.SetConnections(l.open)
 	e := l.event(checker.ConnectionOpened, k)
 	e.Work = l.Spec.HandshakeS / l.Spec.Speed
 	l.witness.Observe(e)
@@ -221,10 +221,10 @@
 	k.conn = nil
 	l.unrest(k)
 	l.open--
-	l.engine.Connected(l.open)
+	l.engine.SetConnections(l.open)
 	if k.job != nil {
 		k.job.link = nil
-		l.engine.Drop(&k.job.Job)
+		l.engine.Cancel(&k.job.Job)
 		k.job = nil
 	}
 	if l.over {
@@ -247,7 +247,7 @@
 		l.first = k
 	}
 	l.last = k
-	if m := &l.Manners; m.EarlyClose > 0 && k.used && l.rng.Float64() < m.EarlyClose {
+	if m := &l.Misbehavior; m.EarlyClose > 0 && k.used && l.rng.Float64() < m.EarlyClose {
 		l.early.put(k.idleAt+mostEarlyS*l.rng.Float64(), earlyClose{k, k.idleAt})
 	}
 }
@@ -278,7 +278,7 @@
 	if !ok || k.spent {
 		return
 	}
-	if m := &l.Manners; m.EarlyClose > 0 && k.idle && k.used && l.rng.Float64() < m.EarlyClose {
+	if m := &l.Misbehavior; m.EarlyClose > 0 && k.idle && k.used && l.rng.Float64() < m.EarlyClose {
 		l.net.Close(c) // as the request comes: it is not read
 		l.arm()
 		return
@@ -354,7 +354,7 @@
 	}
 	// Danger: who sends a request can't know that it is a heavy one; nobody is to be blamed for the weight of it.
 	l.bear(e.Work)
-	if l.draining || k.over || !l.engine.Take(now, &j.Job) {
+	if l.draining || k.over || !l.engine.Enqueue(now, &j.Job) {
 		k.job = j
 		l.turnAway(k)
 		return
@@ -368,7 +368,7 @@
 
 // bear counts work against a cold box.
 func (l *life) bear(seconds float64) {
-	if now := l.net.Now(); l.engine.Bear(now, seconds) {
+	if now := l.net.Now(); l.engine.CountWork(now, seconds) {
 		l.witness.Observe(checker.Event{Kind: checker.ServerOverloaded, At: now, Sidecar: -1, Server: int32(l.Spec.Number)})
 	}
 }
@@ -392,7 +392,7 @@
 func (l *life) probe(k *boxLink, health bool) {
 	now := l.net.Now()
 	j := &boxJob{link: k, health: health, class: -1}
-	j.Probe, j.Seconds = true, l.Spec.ProbeS/l.Spec.Speed
+	j.IsHealthCheck, j.Seconds = true, l.Spec.ProbeS/l.Spec.Speed
 	e := l.event(checker.HealthCheckReceived, k)
 	e.Work = j.Seconds
 	l.witness.Observe(e)
@@ -400,7 +400,7 @@
 	if now >= l.probesAt+1 {
 		l.probesAt, l.probes = now, 0
 	}
-	if l.probes++; float64(l.probes) > l.Spec.ProbePS || health && l.draining || !l.engine.Take(now, &j.Job) {
+	if l.probes++; float64(l.probes) > l.Spec.ProbePS || health && l.draining || !l.engine.Enqueue(now, &j.Job) {
 		l.say(k, 503, nil)
 		return
 	}
@@ -417,20 +417,20 @@
 	for _, done := range l.engine.Advance(now) {
 		j := done.Owner.(*boxJob)
 		k := j.link
-		if !j.Probe {
+		if !j.IsHealthCheck {
 			l.reports.note(j.failing)
 		}
 		if k == nil || k.conn == nil {
 			continue
 		}
 		switch {
-		case j.Probe && done.Since < now-probeWaitS:
+		case j.IsHealthCheck && done.EnqueuedAt < now-probeWaitS:
 			k.job = nil
 			l.say(k, 503, nil)
-		case j.Probe && j.health:
+		case j.IsHealthCheck && j.health:
 			k.job = nil
 			l.say(k, 200, []byte("ok\n"))
-		case j.Probe:
+		case j.IsHealthCheck:
 			k.job = nil
 			l.say(k, 200, l.reports.shown)
 		default:
@@ -450,7 +450,7 @@
 	body = append(append(body, l.Spec.Name...), `","request":"`...)
 	body = append(appendID(body, j.id), `","n":`...)
 	body = append(strconv.AppendInt(body, int64(l.answers), 10), "}\n"...)
-	if m := &l.Manners; m.Spoilt > 0 && l.rng.Float64() < m.Spoilt {
+	if m := &l.Misbehavior; m.Malformed > 0 && l.rng.Float64() < m.Malformed {
 		l.spoil(k, body)
 		return
 	}
@@ -461,12 +461,12 @@
 	l.replied(k, status, false, false, body)
 	k.job = nil
 	out := l.out[:0]
-	if m := &l.Manners; m.Interim > 0 && !k.heard.thrift && l.rng.Float64() < m.Interim {
+	if m := &l.Misbehavior; m.InterimResponses > 0 && !k.heard.thrift && l.rng.Float64() < m.InterimResponses {
 		for range 1 + l.rng.IntN(3) {
 			out = append(out, "HTTP/1.1 103 Early Hints\r\nLink: </style>; rel=preload\r\n\r\n"...)
 		}
 	}
-	misbehaves := l.Manners.Behind > 0 && l.rng.Float64() < l.Manners.Behind
+	misbehaves := l.Misbehavior.TrailingBytes > 0 && l.rng.Float64() < l.Misbehavior.TrailingBytes
 	out = k.appendAnswer(out, status, l.loadField(misbehaves), body)
 	if misbehaves {
 		whole := len(out)
@@ -539,7 +539,7 @@
 
 // arm asks for the next alarm.
 func (l *life) arm() {
-	at := min(l.engine.Due(), l.reports.next, l.early.next())
+	at := min(l.engine.NextAt(), l.reports.next, l.early.next())
 	if l.first != nil {
 		at = min(at, l.first.idleAt+l.Spec.IdleS)
 	}
--- a/internal/environment/configuration.go
+++ b/internal/environment/configuration.go
@@ -12,25 +12,25 @@
 
 // StartConfiguration returns the configuration that a sidecar's new process begins with. The list in it may be old. The
 // witness is told of the start and of the list.
-func (w *World) StartConfiguration(sidecar int, now float64) []byte {
+func (w *Environment) StartConfiguration(sidecar int, now float64) []byte {
 	age := stream(w.Day.Seed, "known", sidecar).Float64() * mostKnownAgeS
-	index, list := w.Registry.asOf(max(now-age, w.Day.Start))
-	w.witness.Observe(checker.Event{Kind: checker.SidecarStarted, At: now, Sidecar: int32(sidecar), Server: -1})
-	w.Registry.tell(int32(sidecar), index, list, 0, true, now)
-	return w.configuration(sidecar, w.Registry.list(index, list, 0, true))
+	index, list := w.Discovery.asOf(max(now-age, w.Day.Start))
+	w.observer.Observe(checker.Event{Kind: checker.SidecarStarted, At: now, Sidecar: int32(sidecar), Server: -1})
+	w.Discovery.tell(int32(sidecar), index, list, 0, true, now)
+	return w.configuration(sidecar, w.Discovery.list(index, list, 0, true))
 }
 
 // ReloadConfiguration returns what a sidecar's configuration says now to a process that is told to read it again.
-func (w *World) ReloadConfiguration(sidecar int) []byte {
-	index, list := w.Registry.asOf(w.Day.Start)
-	return w.configuration(sidecar, w.Registry.list(index, list, 0, true))
+func (w *Environment) ReloadConfiguration(sidecar int) []byte {
+	index, list := w.Discovery.asOf(w.Day.Start)
+	return w.configuration(sidecar, w.Discovery.list(index, list, 0, true))
 }
 
 type object = map[string]any
 
-func (w *World) configuration(sidecar int, known []byte) []byte {
+func (w *Environment) configuration(sidecar int, known []byte) []byte {
 	d, s := w.Day, &w.Day.Sidecars[sidecar]
-	raw, err := json.Marshal(object{"name": s.Name, "listen": s.Address, "discovery": w.Registry.Address(),
+	raw, err := json.Marshal(object{"name": s.Name, "listen": s.Address, "discovery": w.Discovery.Address(),
 		"seed":   fmt.Sprintf("%016x", s.Seed),
 		"limits": object{"cores": 1, "memory_mb": d.MemoryMB, "sockets": d.Sockets},
 		"known":  json.RawMessage(known), "settings": d.settings(sidecar)})
--- a/internal/environment/day.go
+++ b/internal/environment/day.go
@@ -17,20 +17,20 @@
 
 // Day is one draw of a world, all that is true of it at its start.
 type Day struct {
-	Seed    uint64
-	Speech  Speech  // empty: HTTP
-	Start   float64 // Unix time in seconds at which it begins
-	LengthS float64 // arrivals end then
+	Seed     uint64
+	Protocol Protocol // empty: HTTP
+	Start    float64  // Unix time in seconds at which it begins
+	LengthS  float64  // arrivals end then
 
-	Sites    []string
-	Sidecars []SidecarSpec
-	Boxes    []BoxSpec // those that stand at the start, and behind them the spare ones that troubles bring in
-	Standing int       // how many stand at the start
-	Registry RegistrySpec
-	Classes  []ClassSpec
-	Kinds    []string
-	Clients  ClientSpec
-	Batch    *BatchSpec // nil: there is none
+	Sites          []string
+	Sidecars       []SidecarSpec
+	Servers        []ServerSpec // those that stand at the start, and behind them the spare ones that troubles bring in
+	InitialServers int          // how many stand at the start
+	Discovery      DiscoverySpec
+	Classes        []ClassSpec
+	Kinds          []string
+	Clients        ClientSpec
+	Batch          *BatchSpec // nil: there is none
 
 	WorkS    float64     // mean work of a request, in seconds of a standard core
 	PathS    [][]float64 // one way between two sites
@@ -86,7 +86,7 @@
 }
 
 // BoxSpec is a box as drawn.
-type BoxSpec struct {
+type ServerSpec struct {
 	Number   int
 	Name     string // ends in eight hexadecimal digits that tell nothing
 	IP       string
@@ -119,7 +119,7 @@
 type FallSpec struct{ Multiple, WindowS, SlackS float64 }
 
 // RegistrySpec is discovery as drawn.
-type RegistrySpec struct {
+type DiscoverySpec struct {
 	IPs                                   []string // it moves from the first on; each has Port
 	Addresses                             []string
 	NoticeS, SilentNoticeS, AddS          float64
@@ -130,7 +130,7 @@
 }
 
 // callS returns how long discovery works on a call where there are so many boxes.
-func (r *RegistrySpec) callS(boxes int) float64 { return (1 + float64(boxes)/r.CallLines) / r.CallsPS }
+func (r *DiscoverySpec) callS(boxes int) float64 { return (1 + float64(boxes)/r.CallLines) / r.CallsPS }
 
 // Figures of the deployment that are not drawn.
 const (
@@ -160,7 +160,7 @@
 // Draw returns the day of a seed.
 func Draw(seed uint64, r Ranges) Day {
 	rng := stream(seed, "day", 0)
-	d := Day{Seed: seed, Start: startOfDays, LengthS: math.Round(r.LengthS.draw(rng)), Standing: r.Boxes.count(rng)}
+	d := Day{Seed: seed, Start: startOfDays, LengthS: math.Round(r.LengthS.draw(rng)), InitialServers: r.Boxes.count(rng)}
 	for i := range r.Sites.count(rng) {
 		d.Sites = append(d.Sites, "site-"+string(rune('a'+i)))
 	}
@@ -184,15 +184,15 @@
 		d.Clients.RatePS /= longer
 	}
 	d.pace(load, longer)
-	d.Registry = RegistrySpec{
+	d.Discovery = DiscoverySpec{
 		NoticeS: r.NoticeS.draw(rng), SilentNoticeS: r.SilentNoticeS.draw(rng), AddS: r.AddS.draw(rng),
 		PublishS: r.PublishMS.draw(rng) / 1e3, SpreadS: r.SpreadMS.draw(rng) / 1e3, CallsPS: r.CallsPS.draw(rng),
 		CallLines: r.CallLines.draw(rng), CallTimeoutS: 1, PulseS: 2, OldClosesS: 1.5,
 	}
 	for i := range discoveryMoves {
 		ip := fmt.Sprintf("10.2.0.%d", i+1)
-		d.Registry.IPs = append(d.Registry.IPs, ip)
-		d.Registry.Addresses = append(d.Registry.Addresses, ip+":2300")
+		d.Discovery.IPs = append(d.Discovery.IPs, ip)
+		d.Discovery.Addresses = append(d.Discovery.Addresses, ip+":2300")
 	}
 	d.Clients.MarksRetry, d.Inline = rng.IntN(3) == 0, rng.IntN(3) == 0
 	return d
@@ -243,7 +243,7 @@
 		cv[i] = k.SpeedCV.draw(rng)
 	}
 	taken := map[uint32]bool{}
-	for n := range d.Standing + spareBoxes {
+	for n := range d.InitialServers + spareBoxes {
 		kind, at := 0, rng.Float64()*sum
 		for kind < len(shares)-1 && at >= shares[kind] {
 			at -= shares[kind]
@@ -260,13 +260,13 @@
 		b.Number, b.Name, b.IP, b.Address = n, fmt.Sprintf("s-%08x", id), ip, ip+":3000"
 		b.Site, b.Kind, b.Cell = site, kind, n/cellSize
 		b.IdleS = d.ConnIdle
-		d.Boxes = append(d.Boxes, b)
+		d.Servers = append(d.Servers, b)
 	}
 }
 
-func drawBox(rng *rand.Rand, r Ranges, k KindRanges, speedCV float64) BoxSpec {
+func drawBox(rng *rand.Rand, r Ranges, k KindRanges, speedCV float64) ServerSpec {
 	slots := k.Slots.count(rng)
-	b := BoxSpec{
+	b := ServerSpec{
 		Speed: k.Speed.draw(rng) * spread(rng, speedCV), Slots: slots,
 		Waiting: int(k.Waiting.draw(rng)) * slots, Thrash: k.Thrash.draw(rng), ThrashAt: k.ThrashAt.draw(rng),
 		ColdFrom: k.ColdFrom.draw(rng), ColdS: k.ColdS.draw(rng), WarmWork: r.WarmWork.draw(rng),
@@ -307,7 +307,7 @@
 func (d *Day) pace(load, longer float64) {
 	d.FallS = fallS * longer // or one request of usual size would be more than a box bears
 	capacity, mean := 0.0, 0.0
-	for _, b := range d.Boxes[:d.Standing] {
+	for _, b := range d.Servers[:d.InitialServers] {
 		capacity += b.Speed * float64(b.Slots)
 	}
 	for _, c := range d.Classes {
@@ -322,12 +322,12 @@
 		c.AimS = math.Round(c.ClassRanges.AimS*pace*1e3) / 1e3
 		c.GiveUpS = math.Round(c.ClassRanges.GiveUpS*pace*1e3) / 1e3
 	}
-	for i := range d.Boxes {
+	for i := range d.Servers {
 		// What chance brings beyond the budget of a window is not held against anybody: a few requests' work. Danger:
 		// a slow box that begins at a sixth of its capacity bears two mean requests a window, and one heavy one brings
 		// it down whoever has sent it.
-		d.Boxes[i].Fall.WindowS = d.FallS
-		d.Boxes[i].Fall.SlackS = chanceRequests * d.WorkS / d.Boxes[i].Speed
+		d.Servers[i].Fall.WindowS = d.FallS
+		d.Servers[i].Fall.SlackS = chanceRequests * d.WorkS / d.Servers[i].Speed
 	}
 }
 
@@ -338,7 +338,7 @@
 		TermGraceSeconds: termGraceS, DrainGraceSeconds: drainGraceS, PollTimeoutSeconds: askWithinS, UpdateTimeoutSeconds: toldWithinS, ReloadGraceSeconds: reloadToldS,
 		OverloadWindowSeconds: cmp.Or(d.FallS, fallS), ColdLoadShare: 2.0 / 3, FailFastSeconds: 0.25, MaxAttempts: mostAttempts,
 	}
-	r.FleetCallsSeconds = float64(len(d.Sidecars)) * d.Registry.callS(len(d.Boxes))
+	r.FleetCallsSeconds = float64(len(d.Sidecars)) * d.Discovery.callS(len(d.Servers))
 	for _, c := range d.Classes {
 		r.Classes = append(r.Classes, checker.Class{Name: c.Name, Effect: c.Effect, Group: c.Group, DedupWindowSeconds: c.WindowS,
 			LatencyTargetSeconds: c.AimS, PriorityWeight: c.Worth, LateFraction: c.LateWorth})
@@ -358,12 +358,12 @@
 	if sidecars > 0 && sidecars < len(d.Sidecars) {
 		d.Sidecars = d.Sidecars[:sidecars]
 	}
-	if boxes > 0 && boxes < d.Standing {
-		d.Boxes = append(d.Boxes[:boxes:boxes], d.Boxes[d.Standing:]...)
-		for i := range d.Boxes {
-			d.Boxes[i].Number = i
+	if boxes > 0 && boxes < d.InitialServers {
+		d.Servers = append(d.Servers[:boxes:boxes], d.Servers[d.InitialServers:]...)
+		for i := range d.Servers {
+			d.Servers[i].Number = i
 		}
-		d.Standing = boxes
+		d.InitialServers = boxes
 	}
 	if lengthS > 0 {
 		d.LengthS = min(d.LengthS, lengthS)
--- a/internal/environment/draw.go
+++ b/internal/environment/draw.go
@@ -7,13 +7,13 @@
 )
 
 // Range is what a figure is drawn from, evenly.
-type Range struct{ Least, Most float64 }
+type Range struct{ Min, Max float64 }
 
-func (r Range) draw(rng *rand.Rand) float64 { return r.Least + (r.Most-r.Least)*rng.Float64() }
+func (r Range) draw(rng *rand.Rand) float64 { return r.Min + (r.Max-r.Min)*rng.Float64() }
 
 // count draws a whole number, both ends included.
 func (r Range) count(rng *rand.Rand) int {
-	return int(r.Least) + rng.IntN(int(r.Most)-int(r.Least)+1)
+	return int(r.Min) + rng.IntN(int(r.Max)-int(r.Min)+1)
 }
 
 // stream returns a source of chance that a seed and a purpose have to themselves. Danger: were one source shared, an
--- a/internal/environment/engine.go
+++ b/internal/environment/engine.go
@@ -8,10 +8,10 @@
 
 // Job is what a box works on: a request or a probe.
 type Job struct {
-	Seconds float64 // of the box's own time when it is warm and not crowded
-	Probe   bool
-	Since   float64 // when it came
-	Owner   any     // for whoever has given it
+	Seconds       float64 // of the box's own time when it is warm and not crowded
+	IsHealthCheck bool
+	EnqueuedAt    float64 // when it came
+	Owner         any     // for whoever has given it
 
 	finish float64 // of one in work, where the box does not stand still; else the time that it still needs
 }
@@ -19,7 +19,7 @@
 // Engine is a life of a box without its sockets: slots, a waiting room, and a start that may be cold. All methods are
 // told the time, which never goes back; Advance must be called before others once the time that Due names has come.
 type Engine struct {
-	spec    *BoxSpec
+	spec    *ServerSpec
 	rng     *rand.Rand
 	started float64
 	cold    bool // at the start
@@ -40,7 +40,7 @@
 type arrival struct{ at, seconds float64 }
 
 // NewEngine returns the engine of a box that starts now, cold or long warm.
-func NewEngine(spec *BoxSpec, rng *rand.Rand, now float64, cold bool) *Engine {
+func NewEngine(spec *ServerSpec, rng *rand.Rand, now float64, cold bool) *Engine {
 	e := &Engine{spec: spec, rng: rng, started: now, cold: cold, pauseAt: math.Inf(1)}
 	if spec.PauseS > 0 && spec.PauseLen > 0 {
 		e.pauseAt = now + spec.PauseS*rng.ExpFloat64()
@@ -66,7 +66,7 @@
 }
 
 // Bear counts work that reaches the box, also such as it turns away, and tells whether that has just brought it down.
-func (e *Engine) Bear(now, seconds float64) (fell bool) {
+func (e *Engine) CountWork(now, seconds float64) (fell bool) {
 	warmth := e.Warmth(now)
 	if warmth >= 1 || e.fallen {
 		e.arrivals, e.sum = e.arrivals[:0], 0
@@ -89,27 +89,27 @@
 }
 
 // Fallen tells whether the box is out of service for the rest of its life.
-func (e *Engine) Fallen() bool { return e.fallen }
+func (e *Engine) IsOverloaded() bool { return e.fallen }
 
 // Held returns how many jobs the box has.
-func (e *Engine) Held() int { return len(e.inWork) + len(e.waiting) }
+func (e *Engine) InFlight() int { return len(e.inWork) + len(e.waiting) }
 
 // Waiting returns how many of them have not begun.
-func (e *Engine) Waiting() int { return len(e.waiting) }
+func (e *Engine) Queued() int { return len(e.waiting) }
 
 // Take gives the box a job; false: it is full.
-func (e *Engine) Take(now float64, j *Job) bool {
+func (e *Engine) Enqueue(now float64, j *Job) bool {
 	if len(e.waiting) >= e.spec.Waiting && (e.still() || len(e.inWork) >= e.spec.Slots) {
 		return false
 	}
-	j.Since = now
+	j.EnqueuedAt = now
 	e.waiting = append(e.waiting, j)
 	e.fill(now)
 	return true
 }
 
 // Drop takes a job out that has not begun, where the box can; false: its work goes on.
-func (e *Engine) Drop(j *Job) bool {
+func (e *Engine) Cancel(j *Job) bool {
 	i := slices.Index(e.waiting, j)
 	if i < 0 || !e.spec.CancelStops {
 		return false
@@ -121,7 +121,7 @@
 // speed returns how fast the box works now, beside warm and alone.
 func (e *Engine) speed(now float64) float64 {
 	s := e.spec
-	crowd := max(0, float64(e.Held())-s.ThrashAt*float64(s.Slots))
+	crowd := max(0, float64(e.InFlight())-s.ThrashAt*float64(s.Slots))
 	tax := s.FullTax * min(1, float64(e.connected)/float64(max(s.ConnCap, 1)))
 	return e.Warmth(now) * (1 - tax) / (1 + s.Thrash*crowd)
 }
@@ -140,7 +140,7 @@
 }
 
 // Due returns when Advance is next to be called, +Inf: not before something else happens.
-func (e *Engine) Due() float64 {
+func (e *Engine) NextAt() float64 {
 	if e.fallen || e.stuck {
 		return math.Inf(1)
 	}
@@ -156,7 +156,7 @@
 // Advance does what is due by now and returns the jobs that are done, in their order; valid until the next call.
 func (e *Engine) Advance(now float64) []*Job {
 	e.done = e.done[:0]
-	for at := e.Due(); at <= now; at = e.Due() {
+	for at := e.NextAt(); at <= now; at = e.NextAt() {
 		if e.pauseAt <= at {
 			e.turnPause(at)
 			continue
@@ -190,7 +190,7 @@
 }
 
 // Hang has the box stand still, or go on.
-func (e *Engine) Hang(now float64, on bool) {
+func (e *Engine) SetHung(now float64, on bool) {
 	switch {
 	case on && !e.stuck:
 		e.freeze(now)
@@ -228,4 +228,4 @@
 }
 
 // Connected notes how many connections the box holds.
-func (e *Engine) Connected(n int) { e.connected = n }
+func (e *Engine) SetConnections(n int) { e.connected = n }
--- a/internal/environment/engine_test.go
+++ b/internal/environment/engine_test.go
@@ -10,9 +10,9 @@
 )
 
 // drawnBox draws a box of any kind.
-func drawnBox(t *rapid.T) *BoxSpec {
+func drawnBox(t *rapid.T) *ServerSpec {
 	between := func(name string, least, most float64) float64 { return rapid.Float64Range(least, most).Draw(t, name) }
-	return &BoxSpec{Slots: rapid.IntRange(1, 3).Draw(t, "slots"), Waiting: rapid.IntRange(0, 6).Draw(t, "waiting"),
+	return &ServerSpec{Slots: rapid.IntRange(1, 3).Draw(t, "slots"), Waiting: rapid.IntRange(0, 6).Draw(t, "waiting"),
 		Thrash: between("thrash", 0, 0.2), ThrashAt: between("thrashAt", 0, 4), ColdFrom: between("coldFrom", 0.1, 0.9),
 		ColdS: between("coldS", 0.5, 20), WarmWork: between("warmWork", 0.5, 5), PauseS: float64(rapid.IntRange(0, 20).Draw(t, "pauseS")) / 10,
 		PauseLen: between("pauseLen", 0, 0.5), Fall: FallSpec{Multiple: 2.5, WindowS: 1, SlackS: between("slack", 0, 1)},
@@ -47,8 +47,8 @@
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			until := now + rapid.Float64Range(0, 0.6).Draw(t, "wait")
-			for e.Due() <= until {
-				now = max(now, e.Due())
+			for e.NextAt() <= until {
+				now = max(now, e.NextAt())
 				for _, j := range e.Advance(now) {
 					leave(j)
 				}
@@ -65,7 +65,7 @@
 						sum += a.seconds
 					}
 				}
-				fell := e.Bear(now, j.Seconds)
+				fell := e.CountWork(now, j.Seconds)
 				over := sum - 2.5*before*float64(spec.Slots) - spec.Fall.SlackS
 				if math.Abs(over) > 1e-9 {
 					require.Equal(t, before < 1 && !fallen && over > 0, fell)
@@ -73,44 +73,44 @@
 				if fallen = fallen || fell; before >= 1 {
 					borne = nil
 				}
-				room := e.Waiting() < spec.Waiting || !e.still() && len(e.inWork) < spec.Slots
-				taken := e.Take(now, j)
+				room := e.Queued() < spec.Waiting || !e.still() && len(e.inWork) < spec.Slots
+				taken := e.Enqueue(now, j)
 				require.Equal(t, room, taken)
 				if taken {
 					take(j)
 				}
 			case 3:
-				e.Hang(now, rapid.Bool().Draw(t, "hang"))
+				e.SetHung(now, rapid.Bool().Draw(t, "hang"))
 			case 4:
 				if len(held) > 0 {
 					j := held[rapid.IntRange(0, len(held)-1).Draw(t, "which")]
-					if e.Drop(j) {
+					if e.Cancel(j) {
 						require.True(t, spec.CancelStops)
 						leave(j)
 					}
 				}
 			case 5:
-				e.Connected(rapid.IntRange(0, 200).Draw(t, "connections"))
+				e.SetConnections(rapid.IntRange(0, 200).Draw(t, "connections"))
 			}
-			require.Len(t, held, e.Held())
+			require.Len(t, held, e.InFlight())
 			require.LessOrEqual(t, len(e.inWork), spec.Slots)
-			require.LessOrEqual(t, e.Waiting(), spec.Waiting)
+			require.LessOrEqual(t, e.Queued(), spec.Waiting)
 			if !e.still() && len(e.inWork) < spec.Slots {
-				require.Zero(t, e.Waiting(), "a slot stands empty")
+				require.Zero(t, e.Queued(), "a slot stands empty")
 			}
 			require.GreaterOrEqual(t, e.Warmth(now), warmth)
 			require.LessOrEqual(t, e.Warmth(now), 1.0)
-			require.Equal(t, fallen, e.Fallen())
+			require.Equal(t, fallen, e.IsOverloaded())
 			warmth = e.Warmth(now)
 			if cold && now-100 >= spec.ColdS {
 				require.Equal(t, 1.0, warmth)
 			}
 		}
 		// Left alone a box that has not fallen ends all that it has.
-		e.Hang(now, false)
+		e.SetHung(now, false)
 		for until := now + 1000; !fallen && len(held) > 0; {
-			require.LessOrEqual(t, e.Due(), until)
-			for _, j := range e.Advance(e.Due()) {
+			require.LessOrEqual(t, e.NextAt(), until)
+			for _, j := range e.Advance(e.NextAt()) {
 				leave(j)
 			}
 		}
@@ -119,12 +119,12 @@
 
 // Time that a box stands still is added to what it has in work, to the microsecond, however hang and pauses overlap.
 func TestStandingStillAddsUp(t *testing.T) {
-	spec := &BoxSpec{Slots: 1, Waiting: 5, PauseS: 0.2, PauseLen: 0.1}
+	spec := &ServerSpec{Slots: 1, Waiting: 5, PauseS: 0.2, PauseLen: 0.1}
 	e := NewEngine(spec, stream(1, "test", 0), 0, false)
-	require.True(t, e.Take(0, &Job{Seconds: 5}))
+	require.True(t, e.Enqueue(0, &Job{Seconds: 5}))
 	paused, since := 0.0, math.NaN()
 	for i := 0; ; i++ {
-		at := e.Due()
+		at := e.NextAt()
 		pausing := e.pausing
 		done := e.Advance(at)
 		if !pausing && e.pausing {
@@ -137,13 +137,13 @@
 			return
 		}
 		if i == 10 && !e.pausing { // a hang of one second
-			e.Hang(at, true)
-			require.Equal(t, math.Inf(1), e.Due())
-			e.Hang(at+1, false)
+			e.SetHung(at, true)
+			require.Equal(t, math.Inf(1), e.NextAt())
+			e.SetHung(at+1, false)
 		} else if i == 10 {
 			since++ // the pause ends with the hang, and counts once
-			e.Hang(at, true)
-			e.Hang(at+1, false)
+			e.SetHung(at, true)
+			e.SetHung(at+1, false)
 			paused += at - (since - 1)
 		}
 		require.Less(t, i, 1000)
--- a/internal/environment/ground.go
+++ b/internal/environment/ground.go
@@ -61,5 +61,5 @@
 	// Boot returns a new life of its program. One that is up already must have been ended.
 	Boot func(net netio.EventLoop) netio.Handler
 	// Late machines begin when the Ground is told to Return them.
-	Late bool
+	StartsLater bool
 }
--- a/internal/environment/mischief.go
+++ b/internal/environment/mischief.go
@@ -13,7 +13,7 @@
 
 // Mischief is the clients beside one sidecar that may not be served: they send what nobody can use, or say nothing.
 // They send at full speed and read what they are sent.
-type Mischief struct {
+type HostileClients struct {
 	number  int32
 	day     *Day
 	app     *Application
@@ -91,19 +91,19 @@
 }
 
 // NewMischief returns the clients beside a sidecar that may not be served. None comes before Come is called.
-func NewMischief(d *Day, sidecar int, app *Application, w checker.Observer) *Mischief {
-	return &Mischief{number: int32(sidecar), day: d, app: app, witness: w, rng: stream(d.Seed, "mischief", sidecar),
+func NewHostileClients(d *Day, sidecar int, app *Application, w checker.Observer) *HostileClients {
+	return &HostileClients{number: int32(sidecar), day: d, app: app, witness: w, rng: stream(d.Seed, "mischief", sidecar),
 		armed: math.Inf(1)}
 }
 
 // Boot begins the machine's program.
-func (m *Mischief) Boot(net netio.EventLoop) netio.Handler {
+func (m *HostileClients) Boot(net netio.EventLoop) netio.Handler {
 	m.net = net
 	return m
 }
 
 // Start begins the waves that Come was told of before.
-func (m *Mischief) Start() {
+func (m *HostileClients) Start() {
 	for _, w := range m.early {
 		m.beginWave(w)
 	}
@@ -112,7 +112,7 @@
 
 // Come has so many such clients a second come until a time; silent ones say nothing. Danger: in real time a trouble can begin
 // before the machine has, and there is no loop to post to yet; its clients come from Start on.
-func (m *Mischief) Come(perS, until float64, silent bool) {
+func (m *HostileClients) Connect(perS, until float64, silent bool) {
 	w := &wave{perS, until, silent}
 	if m.net == nil {
 		m.early = append(m.early, w)
@@ -122,13 +122,13 @@
 }
 
 // beginWave has the first client of a wave come at once.
-func (m *Mischief) beginWave(w *wave) {
+func (m *HostileClients) beginWave(w *wave) {
 	m.due.put(m.net.Now(), mischiefTask{wave: w})
 	m.arm()
 }
 
 // Alarm does what is due.
-func (m *Mischief) Alarm() {
+func (m *HostileClients) Alarm() {
 	m.armed = math.Inf(1)
 	now := m.net.Now()
 	for {
@@ -152,14 +152,14 @@
 	m.arm()
 }
 
-func (m *Mischief) arm() {
+func (m *HostileClients) arm() {
 	if at := m.due.next(); at != m.armed && at < math.Inf(1) {
 		m.armed = at
 		m.net.SetAlarm(at)
 	}
 }
 
-func (m *Mischief) visit(silent bool, now float64) {
+func (m *HostileClients) visit(silent bool, now float64) {
 	m.visits++
 	v := &visit{kind: malice(m.rng.IntN(int(malices))), number: uint64(m.number+1)<<48 | 1<<40 | m.visits, parser: http1.NewResponseParser(messageLimits)}
 	if silent {
@@ -169,16 +169,16 @@
 }
 
 // address returns where a client comes to. Where there is a Thrift port, those that may never be served come there by turns.
-func (m *Mischief) address(v *visit) string {
+func (m *HostileClients) address(v *visit) string {
 	at := m.day.Sidecars[m.number].Address
-	if m.day.Speech.Thrift() && !v.served() && v.kind != asksWithOthersID && v.number&1 == 0 {
+	if m.day.Protocol.IsThrift() && !v.served() && v.kind != asksWithOthersID && v.number&1 == 0 {
 		return ThriftAddress(at)
 	}
 	return at
 }
 
 // Open begins what a client has come for.
-func (m *Mischief) Open(c netio.Conn) bool {
+func (m *HostileClients) Open(c netio.Conn) bool {
 	v := c.Context().(*visit)
 	v.conn = c
 	now := m.net.Now()
@@ -202,12 +202,12 @@
 	return true
 }
 
-func (m *Mischief) see(kind checker.Kind, v *visit) checker.Event {
+func (m *HostileClients) see(kind checker.Kind, v *visit) checker.Event {
 	now := m.net.Now()
 	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: m.number, Server: -1, Class: -1, Connection: v.number, Request: v.id}
 }
 
-func (m *Mischief) begin(v *visit, now float64) {
+func (m *HostileClients) begin(v *visit, now float64) {
 	class, unsafe := m.classOf(checker.Safe), m.classOf(checker.Unsafe)
 	out := m.out[:0]
 	post := func() { out = append(append(append(out, "POST /"...), unsafe...), " HTTP/1.1\r\nHost: h\r\n"...) }
@@ -279,7 +279,7 @@
 	}
 }
 
-func (m *Mischief) classOf(effect checker.Effect) string {
+func (m *HostileClients) classOf(effect checker.Effect) string {
 	for _, c := range m.day.Classes {
 		if c.Effect == effect {
 			return c.Name
@@ -289,7 +289,7 @@
 }
 
 // ask asks for something that may be served.
-func (m *Mischief) ask(v *visit, now float64) {
+func (m *HostileClients) ask(v *visit, now float64) {
 	class := 0
 	for class < len(m.day.Classes)-1 && m.day.Classes[class].Effect != checker.Safe {
 		class++
@@ -315,7 +315,7 @@
 func (v *visit) served() bool { return v.kind == asksAgain || v.kind == asksAhead }
 
 // askAhead sends several requests that may be served at once, without waiting for the answers between.
-func (m *Mischief) askAhead(v *visit, now float64) {
+func (m *HostileClients) askAhead(v *visit, now float64) {
 	class := m.classOf(checker.Safe)
 	number := slices.IndexFunc(m.day.Classes, func(c ClassSpec) bool { return c.Name == class })
 	var out []byte
@@ -342,7 +342,7 @@
 
 // answeredAhead takes the answers of requests that were sent at once. One that says that the connection ends is the last: the client
 // goes, and is owed nothing for the others.
-func (m *Mischief) answeredAhead(v *visit) {
+func (m *HostileClients) answeredAhead(v *visit) {
 	for v.conn != nil && len(v.ids) > 0 {
 		done, err := v.parser.Next(&v.buf)
 		switch {
@@ -367,7 +367,7 @@
 }
 
 // each tells the witness of all requests of a client that are not answered yet.
-func (m *Mischief) each(v *visit, kind checker.Kind) {
+func (m *HostileClients) each(v *visit, kind checker.Kind) {
 	for i, id := range v.ids {
 		v.id = id
 		e := m.see(kind, v)
@@ -378,7 +378,7 @@
 }
 
 // endedAhead takes the end of the connection of requests that were sent at once.
-func (m *Mischief) endedAhead(c netio.Conn, v *visit, err error) {
+func (m *HostileClients) endedAhead(c netio.Conn, v *visit, err error) {
 	if err == nil {
 		m.each(v, checker.RequestAbandoned)
 		return
@@ -399,7 +399,7 @@
 }
 
 // goOn sends the next piece of what never ends.
-func (m *Mischief) goOn(v *visit, now float64) {
+func (m *HostileClients) goOn(v *visit, now float64) {
 	if v.pieces++; v.pieces > mostPieces {
 		return
 	}
@@ -425,7 +425,7 @@
 }
 
 // Traffic takes what such a client is sent.
-func (m *Mischief) Traffic(c netio.Conn, data []byte) {
+func (m *HostileClients) Traffic(c netio.Conn, data []byte) {
 	v := c.Context().(*visit)
 	if v.heard {
 		return
@@ -458,7 +458,7 @@
 	m.arm()
 }
 
-func (m *Mischief) answeredAgain(v *visit) {
+func (m *HostileClients) answeredAgain(v *visit) {
 	e := m.see(checker.ResponseReceived, v)
 	e.Status, e.Digest = int32(v.parser.Status), checker.Digest(v.parser.Body)
 	m.witness.Observe(e)
@@ -472,7 +472,7 @@
 }
 
 // Closed takes the end of a connection.
-func (m *Mischief) Closed(c netio.Conn, err error) {
+func (m *HostileClients) Closed(c netio.Conn, err error) {
 	v := c.Context().(*visit)
 	v.conn = nil
 	switch {
--- a/internal/environment/mischief_test.go
+++ b/internal/environment/mischief_test.go
@@ -25,19 +25,19 @@
 			t.Run(kind+" "+c.name, func(t *testing.T) {
 				s := newStage(t, 3, nil)
 				script := &Script{Troubles: []Trouble{{Kind: kind, AtS: begins, ForS: lasts, Sidecars: []int{0}, PerS: perS}}}
-				player, err := NewPlayer(s.world, script, nil, &s.notes)
+				player, err := NewFaultInjector(s.world, script, nil, &s.notes)
 				require.NoError(t, err)
-				player.Play(s.day.Start)
+				player.Advance(s.day.Start)
 				s.until(c.machineAfter)
 
 				require.Zero(t, s.notes.count(checker.HostileConnected))
 				s.begin(t, s.day.Sidecars[0].IP)
 				s.until(lasts)
-				came := s.world.Mischief[0].visits
+				came := s.world.HostileClients[0].visits
 				require.Equal(t, c.come, came > 0)
 				require.Equal(t, c.come, s.notes.count(checker.HostileConnected) > 0)
 				s.until(lasts + 2)
-				require.Equal(t, came, s.world.Mischief[0].visits, "none comes once the trouble is over")
+				require.Equal(t, came, s.world.HostileClients[0].visits, "none comes once the trouble is over")
 			})
 		}
 	}
--- a/internal/environment/player.go
+++ b/internal/environment/player.go
@@ -10,8 +10,8 @@
 
 // Player plays a script's troubles at their times. Those of boxes, discovery and clients it does itself, those of
 // machines, processes and paths it has the Ground do.
-type Player struct {
-	w       *World
+type FaultInjector struct {
+	w       *Environment
 	ground  Ground
 	witness checker.Observer
 	steps   agenda[func(now float64)]
@@ -38,16 +38,16 @@
 }
 
 // NewPlayer returns a player that has played nothing. A script that names what the day has not is an error.
-func NewPlayer(w *World, s *Script, g Ground, witness checker.Observer) (*Player, error) {
-	p := &Player{w: w, ground: g, witness: witness, hung: make([]int, len(w.Boxes)), slow: make([]int, len(w.Apps)),
-		gone: make([]bool, len(w.Apps)), taken: make([]bool, len(w.Boxes)), late: make([]int, len(w.Boxes)),
-		frozen: make([]bool, len(w.Apps)), ending: make([]bool, len(w.Apps)), full: make([]int, len(w.Apps)), clocks: make([]int, len(w.Apps)),
+func NewFaultInjector(w *Environment, s *Script, g Ground, witness checker.Observer) (*FaultInjector, error) {
+	p := &FaultInjector{w: w, ground: g, witness: witness, hung: make([]int, len(w.Servers)), slow: make([]int, len(w.Applications)),
+		gone: make([]bool, len(w.Applications)), taken: make([]bool, len(w.Servers)), late: make([]int, len(w.Servers)),
+		frozen: make([]bool, len(w.Applications)), ending: make([]bool, len(w.Applications)), full: make([]int, len(w.Applications)), clocks: make([]int, len(w.Applications)),
 		peers: map[peerWay]int{}, rates: map[peerWay][]float64{}}
 	if i, field, why := s.fault(w.Day); field != "" {
 		return nil, fmt.Errorf("trouble %d: %s: %s", i+1, field, why)
 	}
-	p.standBy = len(w.Apps) - s.StandBy()
-	for i := p.standBy; i < len(w.Apps); i++ {
+	p.standBy = len(w.Applications) - s.StandBy()
+	for i := p.standBy; i < len(w.Applications); i++ {
 		p.gone[i] = true
 	}
 	for i := range s.Troubles {
@@ -58,14 +58,14 @@
 }
 
 // Next returns when Play is next to be called; false: nothing is left.
-func (p *Player) Next() (at float64, ok bool) {
+func (p *FaultInjector) Next() (at float64, ok bool) {
 	at = p.steps.next()
 	return at, at < math.Inf(1)
 }
 
 // Play does what is due by now. Danger: where the ground is late a step that told the time at which it was due would tell of the
 // past: of a process that was killed before it sent what has come since.
-func (p *Player) Play(now float64) {
+func (p *FaultInjector) Advance(now float64) {
 	for {
 		step, _, ok := p.steps.take(now)
 		if !ok {
@@ -76,23 +76,25 @@
 }
 
 // later arranges a step after a time.
-func (p *Player) later(now, afterS float64, step func(now float64)) { p.steps.put(now+afterS, step) }
+func (p *FaultInjector) later(now, afterS float64, step func(now float64)) {
+	p.steps.put(now+afterS, step)
+}
 
 // endsAt returns when a trouble of boxes, discovery, paths or clients is over: as the script says, and at the latest with
 // the day's arrivals. Danger: one that outlasted the day would leave dials and links that nobody could call left over.
-func (p *Player) endsAt(t *Trouble, now float64) float64 {
+func (p *FaultInjector) endsAt(t *Trouble, now float64) float64 {
 	return max(now, min(now+t.ForS, p.w.Day.Start+p.w.Day.LengthS))
 }
 
 // atEnd arranges a step for the end of a trouble that begins now.
-func (p *Player) atEnd(t *Trouble, now float64, step func(now float64)) {
+func (p *FaultInjector) atEnd(t *Trouble, now float64, step func(now float64)) {
 	p.steps.put(p.endsAt(t, now), step)
 }
 
-func (p *Player) boxes(t *Trouble) []*Box {
-	var found []*Box
+func (p *FaultInjector) boxes(t *Trouble) []*Server {
+	var found []*Server
 	for _, name := range t.Boxes {
-		for _, b := range p.w.Boxes {
+		for _, b := range p.w.Servers {
 			if b.Spec.Name == name {
 				found = append(found, b)
 			}
@@ -102,7 +104,7 @@
 }
 
 // begin begins a trouble and arranges its end.
-func (p *Player) begin(t *Trouble, now float64) {
+func (p *FaultInjector) begin(t *Trouble, now float64) {
 	boxes := p.boxes(t)
 	switch t.Kind {
 	case Hang:
@@ -128,11 +130,11 @@
 			p.standBy++
 		}
 	case StaleList:
-		p.w.Registry.StaleS += t.LagS
-		p.atEnd(t, now, func(float64) { p.w.Registry.StaleS -= t.LagS })
+		p.w.Discovery.DelaySeconds += t.LagS
+		p.atEnd(t, now, func(float64) { p.w.Discovery.DelaySeconds -= t.LagS })
 	case DiscoveryDown:
-		p.w.Registry.Down(true, now)
-		p.atEnd(t, now, func(now float64) { p.w.Registry.Down(false, now) })
+		p.w.Discovery.SetDown(true, now)
+		p.atEnd(t, now, func(now float64) { p.w.Discovery.SetDown(false, now) })
 	case Resets:
 		p.resets(boxes, t, now, p.endsAt(t, now))
 	case OneWay:
@@ -143,7 +145,7 @@
 		p.connectLate(boxes, t, now)
 	case Spoilt, Behind, Interim, EarlyClose:
 		for _, b := range boxes {
-			share := b.Manners.share(t.Kind)
+			share := b.Misbehavior.share(t.Kind)
 			*share += t.Share
 			p.atEnd(t, now, func(float64) { *share = max(0, *share-t.Share) })
 		}
@@ -152,21 +154,21 @@
 			if i >= p.standBy {
 				continue // its machine has not begun
 			}
-			p.w.Mischief[i].Come(t.PerS, p.endsAt(t, now), t.Kind == SilentFlood)
+			p.w.HostileClients[i].Connect(t.PerS, p.endsAt(t, now), t.Kind == SilentFlood)
 		}
 	case SilentWatch:
-		p.w.Registry.Hush()
+		p.w.Discovery.StallWatches()
 	case WatchReset:
-		for i := range p.w.Apps {
-			p.ground.Reset(p.w.Day.Sidecars[i].IP, p.w.Registry.ip())
+		for i := range p.w.Applications {
+			p.ground.Reset(p.w.Day.Sidecars[i].IP, p.w.Discovery.ip())
 		}
 	case WholeList:
-		p.w.Registry.BeginWhole(true)
-		p.atEnd(t, now, func(float64) { p.w.Registry.BeginWhole(false) })
+		p.w.Discovery.SendFullLists(true)
+		p.atEnd(t, now, func(float64) { p.w.Discovery.SendFullLists(false) })
 	case ClientsLeave:
 		for _, i := range t.Sidecars {
 			if i < p.standBy { // else its machine has not begun
-				p.w.Apps[i].LeaveEarly(t.Share, p.endsAt(t, now))
+				p.w.Applications[i].AbandonEarly(t.Share, p.endsAt(t, now))
 			}
 		}
 	case SidecarKill:
@@ -175,7 +177,7 @@
 			p.spoil(i, t)
 		}
 	case RestartAll:
-		for i := range p.w.Apps {
+		for i := range p.w.Applications {
 			p.killSidecar(i, p.endsAt(t, now)-now, now)
 		}
 	case PeerCut:
@@ -233,7 +235,7 @@
 }
 
 // connectLate has connections to boxes come up late, at the machines where they are now.
-func (p *Player) connectLate(boxes []*Box, t *Trouble, now float64) {
+func (p *FaultInjector) connectLate(boxes []*Server, t *Trouble, now float64) {
 	for _, b := range boxes {
 		ip := b.machine()
 		p.counted(p.late, b.Spec.Number, t, now, func(_ int, on bool) {
@@ -247,9 +249,9 @@
 }
 
 // terminate tells a sidecar's process to end, and its clients so.
-func (p *Player) terminate(sidecar int, now float64) {
+func (p *FaultInjector) terminate(sidecar int, now float64) {
 	p.sidecar(checker.SidecarTerminating, sidecar, now)
-	p.w.leave(sidecar, now)
+	p.w.notifyDraining(sidecar, now)
 	p.ground.Terminate(sidecar)
 }
 
@@ -257,7 +259,7 @@
 const leaveS = 8.0
 
 // leaveForGood has so many of the sidecars that are there end for good, from the last one on; the first one stays.
-func (p *Player) leaveForGood(t *Trouble, now float64) {
+func (p *FaultInjector) leaveForGood(t *Trouble, now float64) {
 	within := t.DrainS
 	if within == 0 {
 		within = leaveS
@@ -278,7 +280,7 @@
 }
 
 // counted has something befall a sidecar or a box until the trouble is over. Of those that overlap the last one to end ends it.
-func (p *Player) counted(all []int, sidecar int, t *Trouble, now float64, befall func(sidecar int, on bool)) {
+func (p *FaultInjector) counted(all []int, sidecar int, t *Trouble, now float64, befall func(sidecar int, on bool)) {
 	all[sidecar]++
 	befall(sidecar, true)
 	p.atEnd(t, now, func(float64) {
@@ -289,17 +291,17 @@
 }
 
 // spoil does to the disk of a sidecar that has just been killed what a trouble says.
-func (p *Player) spoil(sidecar int, t *Trouble) {
+func (p *FaultInjector) spoil(sidecar int, t *Trouble) {
 	if t.State == Lost || t.State == Torn || t.State == Old {
 		p.ground.Spoil(sidecar, t.State)
 	}
 }
 
 // sides calls f with each two sidecars that a trouble stands between.
-func (p *Player) sides(t *Trouble, f func(a, b int)) {
+func (p *FaultInjector) sides(t *Trouble, f func(a, b int)) {
 	to := t.To
 	if len(to) == 0 {
-		for i := range p.w.Apps {
+		for i := range p.w.Applications {
 			if !slices.Contains(t.From, i) {
 				to = append(to, i)
 			}
@@ -315,7 +317,7 @@
 }
 
 // between has something befall the ways between sidecars until the trouble is over. Troubles that overlap are counted.
-func (p *Player) between(t *Trouble, now float64, befall func(from, to int, on bool)) {
+func (p *FaultInjector) between(t *Trouble, now float64, befall func(from, to int, on bool)) {
 	way := func(a, b int) {
 		key := peerWay{t.Kind, a, b}
 		if p.peers[key]++; p.peers[key] == 1 {
@@ -331,7 +333,7 @@
 }
 
 // ways calls f with each way between two sides, both ways unless the trouble is of one alone.
-func (p *Player) ways(t *Trouble, f func(from, to int)) {
+func (p *FaultInjector) ways(t *Trouble, f func(from, to int)) {
 	p.sides(t, func(a, b int) {
 		if f(a, b); !t.OneWay {
 			f(b, a)
@@ -340,7 +342,7 @@
 }
 
 // slowPeers has bytes between sidecars go at a rate until the trouble is over; of several rates the least counts.
-func (p *Player) slowPeers(t *Trouble, now float64) {
+func (p *FaultInjector) slowPeers(t *Trouble, now float64) {
 	p.ways(t, func(a, b int) {
 		key := peerWay{t.Kind, a, b}
 		tell := func() {
@@ -366,7 +368,7 @@
 	from, to int
 }
 
-func (p *Player) resetPeers(t *Trouble, now, until float64) {
+func (p *FaultInjector) resetPeers(t *Trouble, now, until float64) {
 	if now >= until {
 		return
 	}
@@ -376,7 +378,7 @@
 
 // freeze has processes stand still. What they owe meanwhile is excused as for one that was killed; a process that stood still
 // and one that is killed are the same to a client.
-func (p *Player) freeze(t *Trouble, now float64) {
+func (p *FaultInjector) freeze(t *Trouble, now float64) {
 	for _, i := range t.Sidecars {
 		if p.gone[i] || p.frozen[i] {
 			continue
@@ -397,60 +399,60 @@
 }
 
 // share returns the share of answers that a trouble is about.
-func (m *Manners) share(kind string) *float64 {
+func (m *Misbehavior) share(kind string) *float64 {
 	switch kind {
 	case Spoilt:
-		return &m.Spoilt
+		return &m.Malformed
 	case Behind:
-		return &m.Behind
+		return &m.TrailingBytes
 	case EarlyClose:
 		return &m.EarlyClose
 	default:
-		return &m.Interim
+		return &m.InterimResponses
 	}
 }
 
 // hang counts how many troubles hold a box, so that the end of one does not end the others.
-func (p *Player) hang(boxes []*Box, t *Trouble, now float64) {
+func (p *FaultInjector) hang(boxes []*Server, t *Trouble, now float64) {
 	for _, b := range boxes {
 		n := b.Spec.Number
 		p.hung[n]++
-		b.Hang(true)
+		b.SetHung(true)
 		p.atEnd(t, now, func(float64) {
 			if p.hung[n]--; p.hung[n] == 0 {
-				b.Hang(false)
+				b.SetHung(false)
 			}
 		})
 	}
 }
 
 // end ends a box's process, or has its machine vanish; false: it has none.
-func (p *Player) end(b *Box, silent bool, now float64) bool {
-	if !b.Alive() {
+func (p *FaultInjector) end(b *Server, silent bool, now float64) bool {
+	if !b.IsAlive() {
 		return false
 	}
 	if silent {
 		p.cut(-1, int32(b.Spec.Number), true, now)
 	}
-	b.Ended(now) // before its connections' ends come
+	b.Stopped(now) // before its connections' ends come
 	if silent {
 		p.ground.Vanish(b.machine())
 	} else {
 		p.ground.Kill(b.machine())
 	}
-	p.w.Registry.Lost(b.Spec.Number, silent, now)
+	p.w.Discovery.ServerStopped(b.Spec.Number, silent, now)
 	return true
 }
 
 // back begins a box's next life at an IP.
-func (p *Player) back(b *Box, ip string, silent bool, now float64) {
-	if tenant := p.w.tenants[ip]; b.Alive() || tenant.Alive() && tenant.machine() == ip {
+func (p *FaultInjector) back(b *Server, ip string, silent bool, now float64) {
+	if tenant := p.w.serverByIP[ip]; b.IsAlive() || tenant.IsAlive() && tenant.machine() == ip {
 		return // it is back already, or another has its place
 	}
 	if silent {
 		p.cut(-1, int32(b.Spec.Number), false, now)
 	}
-	p.w.tenants[ip] = b
+	p.w.serverByIP[ip] = b
 	for _, c := range p.cuts {
 		if n := int32(b.Spec.Number); c.ip == ip && !slices.Contains(c.boxes, n) {
 			c.boxes = append(c.boxes, n)
@@ -461,18 +463,20 @@
 }
 
 // Restart has a sidecar be killed and begin again after a while, with what is on its disk, unless it is gone already.
-func (p *Player) Restart(sidecar int, afterS, now float64) { p.killSidecar(sidecar, afterS, now) }
+func (p *FaultInjector) RestartSidecar(sidecar int, afterS, now float64) {
+	p.killSidecar(sidecar, afterS, now)
+}
 
 // Down ends a server's process, as the maintenance agent does.
-func (p *Player) Down(box int, now float64) { p.end(p.w.Boxes[box], false, now) }
+func (p *FaultInjector) StopServer(box int, now float64) { p.end(p.w.Servers[box], false, now) }
 
 // Up starts the next process of a server whose process Down has ended, unless a fault ended it as well.
-func (p *Player) Up(box int, now float64) {
-	b := p.w.Boxes[box]
+func (p *FaultInjector) StartServer(box int, now float64) {
+	b := p.w.Servers[box]
 	p.back(b, b.machine(), false, now)
 }
 
-func (p *Player) goAndReturn(boxes []*Box, t *Trouble, now float64, silent, moved bool) {
+func (p *FaultInjector) goAndReturn(boxes []*Server, t *Trouble, now float64, silent, moved bool) {
 	for _, b := range boxes {
 		if !p.end(b, silent, now) {
 			continue
@@ -489,13 +493,13 @@
 	}
 }
 
-func (p *Player) loseSite(t *Trouble, now float64) {
+func (p *FaultInjector) loseSite(t *Trouble, now float64) {
 	for i, site := range p.w.Day.Sites {
 		if site != t.Site {
 			continue
 		}
-		var boxes []*Box
-		for _, b := range p.w.Boxes {
+		var boxes []*Server
+		for _, b := range p.w.Servers {
 			if b.Spec.Site == i {
 				boxes = append(boxes, b)
 			}
@@ -510,13 +514,13 @@
 }
 
 // shrink has boxes drain, and ends them after their notice.
-func (p *Player) shrink(boxes []*Box, t *Trouble, now float64) {
+func (p *FaultInjector) shrink(boxes []*Server, t *Trouble, now float64) {
 	for _, b := range boxes {
-		if !b.Alive() {
+		if !b.IsAlive() {
 			continue
 		}
 		life := b.life
-		p.w.Registry.Drained(b.Spec.Number, now)
+		p.w.Discovery.ServerDraining(b.Spec.Number, now)
 		b.Drain()
 		p.later(now, t.DrainS, func(now float64) {
 			if b.life != life || !p.end(b, false, now) || t.ForS == 0 {
@@ -527,7 +531,7 @@
 	}
 }
 
-func (p *Player) resets(boxes []*Box, t *Trouble, now, until float64) {
+func (p *FaultInjector) resets(boxes []*Server, t *Trouble, now, until float64) {
 	n := 0
 	var step func(now float64)
 	step = func(now float64) {
@@ -544,7 +548,7 @@
 }
 
 // cut tells the witness of a way that is cut, or mended.
-func (p *Player) cut(sidecar, box int32, on bool, now float64) {
+func (p *FaultInjector) cut(sidecar, box int32, on bool, now float64) {
 	kind := checker.PathFaultEnded
 	if on {
 		kind = checker.PathFaultStarted
@@ -552,7 +556,7 @@
 	p.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: sidecar, Server: box})
 }
 
-func (p *Player) oneWay(boxes []*Box, t *Trouble, now float64) {
+func (p *FaultInjector) oneWay(boxes []*Server, t *Trouble, now float64) {
 	sidecars := t.Sidecars
 	if len(sidecars) == 0 {
 		for i := range p.w.Day.Sidecars {
@@ -566,7 +570,7 @@
 				from, to = to, from
 			}
 			c := &oneWayCut{sidecar: int32(i), ip: b.machine(), boxes: []int32{int32(b.Spec.Number)}}
-			if other := p.w.tenants[c.ip]; other != b && other.Alive() && other.machine() == c.ip {
+			if other := p.w.serverByIP[c.ip]; other != b && other.IsAlive() && other.machine() == c.ip {
 				c.boxes = append(c.boxes, int32(other.Spec.Number)) // it has taken the place of the one that is meant
 			}
 			p.cuts = append(p.cuts, c)
@@ -585,7 +589,7 @@
 	}
 }
 
-func (p *Player) slowReaders(t *Trouble, now float64) {
+func (p *FaultInjector) slowReaders(t *Trouble, now float64) {
 	for _, i := range t.Sidecars {
 		p.slow[i]++
 		p.ground.Stall(i, t.Share)
@@ -599,12 +603,12 @@
 	}
 }
 
-func (p *Player) sidecar(kind checker.Kind, sidecar int, now float64) {
+func (p *FaultInjector) sidecar(kind checker.Kind, sidecar int, now float64) {
 	p.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: int32(sidecar), Server: -1})
 }
 
 // killSidecar ends a sidecar's process and begins the next one after a while.
-func (p *Player) killSidecar(sidecar int, afterS, now float64) {
+func (p *FaultInjector) killSidecar(sidecar int, afterS, now float64) {
 	if p.gone[sidecar] {
 		return // another trouble has it
 	}
@@ -618,32 +622,32 @@
 	p.ground.Kill(ip)
 	p.later(now, afterS, func(float64) {
 		p.gone[sidecar] = false
-		p.w.stay(sidecar)
+		p.w.notifyReplaced(sidecar)
 		p.ground.Return(ip)
 	})
 }
 
 // moveDiscovery has discovery go on elsewhere and tells the sidecars so by a new configuration.
-func (p *Player) moveDiscovery(now float64) {
-	ip, ok := p.w.Registry.nextIP()
+func (p *FaultInjector) moveDiscovery(now float64) {
+	ip, ok := p.w.Discovery.nextIP()
 	if !ok {
 		return
 	}
 	p.ground.Return(ip)
-	p.w.Registry.Move()
-	for i := range p.w.Apps {
+	p.w.Discovery.Move()
+	for i := range p.w.Applications {
 		p.sidecar(checker.SidecarReloaded, i, now)
 		p.ground.Hangup(i, p.w.ReloadConfiguration(i))
 	}
 }
 
 // takeOut has the operators of all sidecars take boxes out, or give them back.
-func (p *Player) takeOut(boxes []*Box, on bool) {
+func (p *FaultInjector) takeOut(boxes []*Server, on bool) {
 	kind := checker.ServerUncordoned
 	if on {
 		kind = checker.ServerCordoned
 	}
-	for i := range p.w.Apps {
+	for i := range p.w.Applications {
 		for _, b := range boxes {
 			p.ground.TakeOut(i, b.Spec.Name, on, func() {
 				p.witness.Observe(checker.Event{Kind: kind, At: p.ground.Now(), Sidecar: int32(i), Server: int32(b.Spec.Number)})
@@ -654,14 +658,14 @@
 
 // replace ends a box and begins another one at its address after a while. Danger: a sidecar that has not been told yet
 // means the old one; a box of another site there would have it break the rules of groups unwittingly.
-func (p *Player) replace(b *Box, t *Trouble, now float64) {
-	next := slices.IndexFunc(p.w.Boxes, func(o *Box) bool {
-		return o.Spec.Number >= p.w.Day.Standing && o.lives == 0 && o.Spec.Site == b.Spec.Site && !p.taken[o.Spec.Number]
+func (p *FaultInjector) replace(b *Server, t *Trouble, now float64) {
+	next := slices.IndexFunc(p.w.Servers, func(o *Server) bool {
+		return o.Spec.Number >= p.w.Day.InitialServers && o.lives == 0 && o.Spec.Site == b.Spec.Site && !p.taken[o.Spec.Number]
 	})
 	if next < 0 || !p.end(b, false, now) {
 		return
 	}
 	p.taken[next] = true
 	ip := b.machine()
-	p.atEnd(t, now, func(now float64) { p.back(p.w.Boxes[next], ip, false, now) })
+	p.atEnd(t, now, func(now float64) { p.back(p.w.Servers[next], ip, false, now) })
 }
--- a/internal/environment/ranges.go
+++ b/internal/environment/ranges.go
@@ -90,19 +90,19 @@
 
 // Large returns the usual ranges for so many boxes, with as much more traffic. Sidecars are as many as usual, so that each
 // is a busy one, whose subset is the whole fleet.
-func Large(boxes int) Ranges {
-	r := Usual()
-	times := 2 * float64(boxes) / (r.Boxes.Least + r.Boxes.Most)
+func LargeRanges(boxes int) Ranges {
+	r := StandardRanges()
+	times := 2 * float64(boxes) / (r.Boxes.Min + r.Boxes.Max)
 	r.Boxes = Range{float64(boxes), float64(boxes)}
 	for _, rate := range []*Range{&r.RatePS, &r.CrowdedPS} {
-		rate.Least *= times
-		rate.Most *= times
+		rate.Min *= times
+		rate.Max *= times
 	}
 	return r
 }
 
 // Usual returns the ranges of the days that the project is judged by.
-func Usual() Ranges {
+func StandardRanges() Ranges {
 	kind := func(name string, share, speed, waiting Range) KindRanges {
 		return KindRanges{Name: name, Share: share, Speed: speed, SpeedCV: Range{0.05, 0.22}, Slots: Range{1, 2},
 			Waiting: waiting, Thrash: Range{0, 0.05}, ThrashAt: Range{6, 12}, ColdFrom: Range{0.15, 0.33},
--- a/internal/environment/registry.go
+++ b/internal/environment/registry.go
@@ -10,11 +10,11 @@
 
 // Registry is discovery: one service for all sidecars, at one of its addresses after another. It knows only what boxes'
 // processes do, and that late; it works through calls in turn.
-type Registry struct {
-	StaleS float64 // further delay of all that it learns from now on
+type Discovery struct {
+	DelaySeconds float64 // further delay of all that it learns from now on
 
 	day      *Day
-	spec     *RegistrySpec
+	spec     *DiscoverySpec
 	witness  checker.Observer
 	who      neighbours
 	rng      *rand.Rand
@@ -61,31 +61,31 @@
 }
 
 // NewRegistry returns a discovery service that lists the boxes that stand at the day's start.
-func NewRegistry(d *Day, w checker.Observer) *Registry {
-	r := &Registry{day: d, spec: &d.Registry, witness: w, who: newNeighbours(d), rng: stream(d.Seed, "discovery", 0),
-		entries: make([]entry, len(d.Boxes)), known: make([]learned, len(d.Boxes)), index: 40, publish: d.Start}
-	for i := range d.Boxes[:d.Standing] {
-		r.known[i].entry = entry{status: checker.Serving, address: d.Boxes[i].Address}
+func NewDiscovery(d *Day, w checker.Observer) *Discovery {
+	r := &Discovery{day: d, spec: &d.Discovery, witness: w, who: newNeighbours(d), rng: stream(d.Seed, "discovery", 0),
+		entries: make([]entry, len(d.Servers)), known: make([]learned, len(d.Servers)), index: 40, publish: d.Start}
+	for i := range d.Servers[:d.InitialServers] {
+		r.known[i].entry = entry{status: checker.Serving, address: d.Servers[i].Address}
 		r.take(change{box: i, entry: r.known[i].entry, at: d.Start})
 	}
 	return r
 }
 
 // Up tells the registry of a box's new life.
-func (r *Registry) Up(box int, address string, since, now float64) {
+func (r *Discovery) ServerStarted(box int, address string, since, now float64) {
 	r.known[box].life++
 	r.learn(box, entry{status: checker.Serving, address: address, since: since}, now+r.spec.AddS)
 }
 
 // Drained tells it that a box drains.
-func (r *Registry) Drained(box int, now float64) {
+func (r *Discovery) ServerDraining(box int, now float64) {
 	e := r.known[box].entry
 	e.status = checker.Draining
 	r.learn(box, e, now+r.spec.AddS/4)
 }
 
 // Lost tells it that a box's process has gone, or that its machine has gone silent.
-func (r *Registry) Lost(box int, silent bool, now float64) {
+func (r *Discovery) ServerStopped(box int, silent bool, now float64) {
 	e := r.known[box].entry
 	e.status = checker.Deleted
 	at := now + r.spec.NoticeS
@@ -95,15 +95,15 @@
 	r.learn(box, e, at)
 }
 
-func (r *Registry) learn(box int, e entry, at float64) {
+func (r *Discovery) learn(box int, e entry, at float64) {
 	k := &r.known[box]
-	k.dueAt, k.entry = max(k.dueAt, at+r.StaleS), e
+	k.dueAt, k.entry = max(k.dueAt, at+r.DelaySeconds), e
 	r.pending.put(k.dueAt, change{box: box, life: k.life, entry: e, at: k.dueAt})
 	r.arm()
 }
 
 // take puts a change into the list.
-func (r *Registry) take(c change) {
+func (r *Discovery) take(c change) {
 	r.index++
 	c.entry.index = r.index
 	r.entries[c.box] = c.entry
@@ -111,13 +111,13 @@
 	r.see(checker.ListChanged, -1, c.box, c.entry, r.index, c.at)
 }
 
-func (r *Registry) see(kind checker.Kind, sidecar int32, box int, e entry, index uint64, now float64) {
+func (r *Discovery) see(kind checker.Kind, sidecar int32, box int, e entry, index uint64, now float64) {
 	r.witness.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Server: int32(box), Status: e.status,
 		ServingSince: e.since, Address: e.address, ListIndex: index})
 }
 
 // due returns when the registry has something to do.
-func (r *Registry) due() float64 {
+func (r *Discovery) due() float64 {
 	at := math.Inf(1)
 	if !r.down && len(r.pending.heap) > 0 {
 		at = max(r.publish, r.pending.next())
@@ -129,7 +129,7 @@
 }
 
 // work does what is due by now: it takes up what it has learned and serves calls.
-func (r *Registry) work(now float64) {
+func (r *Discovery) work(now float64) {
 	if !r.down && now >= r.publish && r.pending.next() <= now {
 		before := r.index
 		for {
@@ -162,7 +162,7 @@
 }
 
 // next takes the next call in hand, and turns away those that have waited too long.
-func (r *Registry) next(now float64) {
+func (r *Discovery) next(now float64) {
 	for !r.serving && len(r.calls) > 0 {
 		k := r.calls[0]
 		switch {
@@ -173,13 +173,13 @@
 			k.front.turnAway(k)
 		default:
 			r.serving = true
-			r.servedAt = now + r.spec.callS(len(r.day.Boxes))
+			r.servedAt = now + r.spec.callS(len(r.day.Servers))
 		}
 	}
 }
 
 // lookAtLine tells the witness whether calls wait behind the one in hand.
-func (r *Registry) lookAtLine(now float64) {
+func (r *Discovery) lookAtLine(now float64) {
 	waiting := false
 	for i := 1; i < len(r.calls) && !waiting; i++ {
 		waiting = r.calls[i].conn != nil
@@ -195,14 +195,14 @@
 }
 
 // Hush has all watches that are open say nothing more. Those that begin from then on speak.
-func (r *Registry) Hush() {
+func (r *Discovery) StallWatches() {
 	for _, f := range r.fronts {
 		f.net.Post(f.hush)
 	}
 }
 
 // BeginWhole has each watch begin with the whole list, which leaves out servers that drain, or ends that.
-func (r *Registry) BeginWhole(on bool) {
+func (r *Discovery) SendFullLists(on bool) {
 	if on {
 		r.whole++
 	} else {
@@ -211,7 +211,7 @@
 }
 
 // Down ends discovery's service, or brings it back. While it is down it answers 503, or ends connections at once.
-func (r *Registry) Down(down bool, now float64) {
+func (r *Discovery) SetDown(down bool, now float64) {
 	if r.down == down {
 		return
 	}
@@ -231,7 +231,7 @@
 
 // Move has discovery go on at its next address, whose machine must have begun; false: there is none. The present one
 // takes no new connections and ends the open ones after a while.
-func (r *Registry) Move() bool {
+func (r *Discovery) Move() bool {
 	if r.present+1 >= len(r.spec.Addresses) {
 		return false
 	}
@@ -246,13 +246,13 @@
 }
 
 // Address returns where discovery is now.
-func (r *Registry) Address() string { return r.spec.Addresses[r.present] }
+func (r *Discovery) Address() string { return r.spec.Addresses[r.present] }
 
 // ip returns the IP of the present address.
-func (r *Registry) ip() string { return r.spec.IPs[r.present] }
+func (r *Discovery) ip() string { return r.spec.IPs[r.present] }
 
 // nextIP returns the IP of the address that it moves to next; false: there is none.
-func (r *Registry) nextIP() (string, bool) {
+func (r *Discovery) nextIP() (string, bool) {
 	if r.present+1 >= len(r.spec.IPs) {
 		return "", false
 	}
@@ -260,14 +260,14 @@
 }
 
 // arm has all fronts look again at what is due. It may be called from anywhere.
-func (r *Registry) arm() {
+func (r *Discovery) arm() {
 	for _, f := range r.fronts {
 		f.net.Post(f.arm)
 	}
 }
 
 // asOf returns the entries as they stood at a time.
-func (r *Registry) asOf(at float64) (index uint64, list []entry) {
+func (r *Discovery) asOf(at float64) (index uint64, list []entry) {
 	list = make([]entry, len(r.entries))
 	for _, c := range r.changes {
 		if c.at <= at {
@@ -280,13 +280,13 @@
 var statusText = map[int32]string{checker.Serving: "SERVING", checker.Draining: "DRAINING", checker.Deleted: "DELETED"}
 
 // list writes one object of discovery: the entries that changed after an index, or the whole list.
-func (r *Registry) list(index uint64, list []entry, since uint64, snapshot bool) []byte {
+func (r *Discovery) list(index uint64, list []entry, since uint64, snapshot bool) []byte {
 	dst := strconv.AppendUint([]byte(`{"index":`), index, 10)
 	dst = strconv.AppendBool(append(dst, `,"snapshot":`...), snapshot)
 	dst = append(dst, `,"endpoints":[`...)
 	first := true
 	for i := range list {
-		e, b := &list[i], &r.day.Boxes[i]
+		e, b := &list[i], &r.day.Servers[i]
 		if !r.tells(e, since, snapshot) {
 			continue
 		}
@@ -306,7 +306,7 @@
 }
 
 // tells whether an object holds an entry. A whole list leaves out what is gone, and at times what drains.
-func (r *Registry) tells(e *entry, since uint64, snapshot bool) bool {
+func (r *Discovery) tells(e *entry, since uint64, snapshot bool) bool {
 	if snapshot {
 		return e.status == checker.Serving || e.status == checker.Draining && r.whole == 0
 	}
@@ -315,7 +315,7 @@
 
 // tell notes that a sidecar has been written such an object. Danger: a whole list says of what it leaves out that it is
 // gone; a judge that forgot that would never blame a sidecar for using it.
-func (r *Registry) tell(sidecar int32, index uint64, list []entry, since uint64, snapshot bool, now float64) {
+func (r *Discovery) tell(sidecar int32, index uint64, list []entry, since uint64, snapshot bool, now float64) {
 	for i := range list {
 		e := list[i]
 		leftOut := snapshot && e.status != 0 && !r.tells(&e, since, snapshot)
--- a/internal/environment/registryfront.go
+++ b/internal/environment/registryfront.go
@@ -13,7 +13,7 @@
 
 // registryFront is discovery at one of its addresses.
 type registryFront struct {
-	r      *Registry
+	r      *Discovery
 	number int
 	net    netio.EventLoop
 	links  []*registryLink
@@ -48,7 +48,7 @@
 }
 
 // Boot returns what serves one of discovery's addresses.
-func (r *Registry) Boot(number int) func(netio.EventLoop) netio.Handler {
+func (r *Discovery) Boot(number int) func(netio.EventLoop) netio.Handler {
 	return func(net netio.EventLoop) netio.Handler {
 		f := &registryFront{r: r, number: number, net: net, armed: math.Inf(1)}
 		r.fronts = append(r.fronts, f)
--- a/internal/environment/report.go
+++ b/internal/environment/report.go
@@ -15,7 +15,7 @@
 	served, failed    int // since the last was made
 }
 
-func (r *loadReports) begin(s *BoxSpec, now float64) {
+func (r *loadReports) begin(s *ServerSpec, now float64) {
 	*r = loadReports{every: s.ReportEvery, lag: s.ReportLag, noise: s.ReportNoise, next: now + s.ReportEvery, madeAt: now}
 	r.shown = []byte("util=0.00,eps=0.00,queue=0.00\n")
 }
@@ -47,7 +47,7 @@
 	r.made = append(r.made[:0], "util="...)
 	r.made = strconv.AppendFloat(r.made, min(1, wrong(util)), 'f', 2, 64)
 	r.made = strconv.AppendFloat(append(r.made, ",eps="...), wrong(eps), 'f', 2, 64)
-	r.made = strconv.AppendFloat(append(r.made, ",queue="...), wrong(float64(e.Waiting())), 'f', 2, 64)
+	r.made = strconv.AppendFloat(append(r.made, ",queue="...), wrong(float64(e.Queued())), 'f', 2, 64)
 	r.made = append(r.made, '\n')
 	r.madeAt, r.served, r.failed = now, 0, 0
 	r.next = now + r.lag
--- a/internal/environment/script.go
+++ b/internal/environment/script.go
@@ -376,10 +376,10 @@
 
 // pick returns the names of a share of the boxes that stand, one at least.
 func (d *Day) pick(rng *rand.Rand, least, most float64) []string {
-	n := max(1, int(math.Round(between(rng, least, most)*float64(d.Standing))))
+	n := max(1, int(math.Round(between(rng, least, most)*float64(d.InitialServers))))
 	names := make([]string, 0, n)
-	for _, i := range rng.Perm(d.Standing)[:n] {
-		names = append(names, d.Boxes[i].Name)
+	for _, i := range rng.Perm(d.InitialServers)[:n] {
+		names = append(names, d.Servers[i].Name)
 	}
 	return names
 }
--- a/internal/environment/script_test.go
+++ b/internal/environment/script_test.go
@@ -14,7 +14,7 @@
 
 // What is drawn, printed and read back is the same, and is drawn alike a second time.
 func TestScriptIsReadBackAsPrinted(t *testing.T) {
-	r := Usual()
+	r := StandardRanges()
 	drawn := map[string]bool{}
 	for seed := range uint64(400) {
 		d := Draw(seed, r)
@@ -67,7 +67,7 @@
 		{"[[trouble]]\nkind = \"shrink\"\nat_s = 5.0\nby = -1\n", "x.toml:4:1: by: empty"},
 		{"[[trouble]]\nkind = \"shrink\"\nat_s = 5.0\nby = 1\nboxes = [\"s-1\"]\n", "x.toml:5:1: boxes: shrink has no such field"},
 	} {
-		_, err := ReadScript("x.toml", []byte(c.text), Usual())
+		_, err := ReadScript("x.toml", []byte(c.text), StandardRanges())
 		require.Error(t, err, c.text)
 		assert.True(t, strings.HasPrefix(err.Error(), c.want), "%q, want %q", err, c.want)
 		assert.NotContains(t, err.Error(), "\n")
@@ -76,28 +76,28 @@
 
 // What real processes can't play their reader refuses, and no other.
 func TestRealScripts(t *testing.T) {
-	d := Draw(1, Usual())
-	box := d.Boxes[0].Name
+	d := Draw(1, StandardRanges())
+	box := d.Servers[0].Name
 	text := "seed = 1\n\n[[trouble]]\nkind = \"shrink\"\nat_s = 5.0\nby = 1\n"
-	s, err := ReadRealScript("x.toml", []byte(text), Usual())
+	s, err := ReadRealScript("x.toml", []byte(text), StandardRanges())
 	require.NoError(t, err)
 	assert.Equal(t, Trouble{Kind: Shrink, AtS: 5, By: 1}, s.Troubles[0])
 	text += "\n[[trouble]]\nkind = \"clock\"\nat_s = 5.0\nfor_s = 9.0\nsidecars = [0]\nrate = 0.97\n"
-	_, err = ReadRealScript("x.toml", []byte(text), Usual())
+	_, err = ReadRealScript("x.toml", []byte(text), StandardRanges())
 	assert.EqualError(t, err, "x.toml:9:1: kind: clock is played in simulated time alone: real processes share the machine's clock")
-	_, err = ReadScript("x.toml", []byte(text), Usual())
+	_, err = ReadScript("x.toml", []byte(text), StandardRanges())
 	assert.NoError(t, err)
 	text = "seed = 1\n\n[[trouble]]\nkind = \"late-connect\"\nat_s = 5.0\nfor_s = 1.0\nboxes = [\"" + box + "\"]\nshare = 0.5\nlag_s = 1.0\n"
-	_, err = ReadScript("x.toml", []byte(text), Usual())
+	_, err = ReadScript("x.toml", []byte(text), StandardRanges())
 	require.NoError(t, err)
-	_, err = ReadRealScript("x.toml", []byte(text), Usual())
+	_, err = ReadRealScript("x.toml", []byte(text), StandardRanges())
 	assert.EqualError(t, err, "x.toml:4:1: kind: late-connect is played in simulated time alone: the machine's connections to itself come up at once")
 }
 
 // Whatever the text, reading it ends in a script that prints and reads alike, or in one line of error.
 func FuzzReadScript(f *testing.F) {
 	for seed := range uint64(4) {
-		d := Draw(seed, Usual())
+		d := Draw(seed, StandardRanges())
 		s := DrawScript(&d)
 		text, err := s.Format()
 		require.NoError(f, err)
@@ -106,7 +106,7 @@
 	f.Add([]byte("seed = 7\ntrouble = []\n"))
 	f.Add([]byte("trouble = [{kind = 'reload', at_s = 1.0}]\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s, err := ReadScript("f.toml", text, Usual())
+		s, err := ReadScript("f.toml", text, StandardRanges())
 		if err != nil {
 			var e *tomlfile.Error
 			require.True(t, errors.As(err, &e))
@@ -116,7 +116,7 @@
 		}
 		again, err := s.Format()
 		require.NoError(t, err)
-		back, err := ReadScript("f.toml", again, Usual())
+		back, err := ReadScript("f.toml", again, StandardRanges())
 		require.NoError(t, err, "%s", again)
 		require.Equal(t, s, back)
 	})
--- a/internal/environment/scriptfile.go
+++ b/internal/environment/scriptfile.go
@@ -120,12 +120,12 @@
 // misshapen returns the first field of a script that is out of range, with what is wrong.
 func (s *Script) misshapen(r Ranges) (field, why string) {
 	switch {
-	case s.Sidecars < 0 || s.Sidecars > int(r.Sidecars.Most):
-		return "sidecars", fmt.Sprintf("not between 0 and %d", int(r.Sidecars.Most))
-	case s.Boxes < 0 || s.Boxes > int(r.Boxes.Most):
-		return "boxes", fmt.Sprintf("not between 0 and %d", int(r.Boxes.Most))
-	case !(s.LengthS >= 0 && s.LengthS <= r.LengthS.Most):
-		return "length_s", fmt.Sprintf("not between 0 and %g", r.LengthS.Most)
+	case s.Sidecars < 0 || s.Sidecars > int(r.Sidecars.Max):
+		return "sidecars", fmt.Sprintf("not between 0 and %d", int(r.Sidecars.Max))
+	case s.Boxes < 0 || s.Boxes > int(r.Boxes.Max):
+		return "boxes", fmt.Sprintf("not between 0 and %d", int(r.Boxes.Max))
+	case !(s.LengthS >= 0 && s.LengthS <= r.LengthS.Max):
+		return "length_s", fmt.Sprintf("not between 0 and %g", r.LengthS.Max)
 	}
 	return "", ""
 }
@@ -192,7 +192,7 @@
 // fault returns the first field of a trouble that names what a day has not.
 func (t *Trouble) fault(d *Day) (field, why string) {
 	for _, name := range t.Boxes {
-		if !slices.ContainsFunc(d.Boxes, func(b BoxSpec) bool { return b.Name == name }) {
+		if !slices.ContainsFunc(d.Servers, func(b ServerSpec) bool { return b.Name == name }) {
 			return "boxes", fmt.Sprintf("the day has no box %q", name)
 		}
 	}
--- a/internal/environment/speech.go
+++ b/internal/environment/speech.go
@@ -11,22 +11,22 @@
 )
 
 // Speech is what applications, and through their sidecars boxes, speak.
-type Speech string
+type Protocol string
 
 // The speeches. What a day means does not depend on its speech.
 const (
-	HTTP          Speech = "http"
-	ThriftBinary  Speech = "binary"
-	ThriftCompact Speech = "compact"
+	HTTP          Protocol = "http"
+	ThriftBinary  Protocol = "binary"
+	ThriftCompact Protocol = "compact"
 )
 
 // Speeches are all there are.
-var Speeches = []Speech{HTTP, ThriftBinary, ThriftCompact}
+var Protocols = []Protocol{HTTP, ThriftBinary, ThriftCompact}
 
 // Thrift tells whether it is Thrift; a day that names no speech has HTTP.
-func (s Speech) Thrift() bool { return s == ThriftBinary || s == ThriftCompact }
+func (s Protocol) IsThrift() bool { return s == ThriftBinary || s == ThriftCompact }
 
-func (s Speech) encoding() thrift.Encoding {
+func (s Protocol) encoding() thrift.Encoding {
 	if s == ThriftCompact {
 		return thrift.Compact
 	}
@@ -63,7 +63,7 @@
 
 // answerReader reads a sidecar's answer.
 type answerReader struct {
-	speech Speech
+	speech Protocol
 	http   http1.ResponseParser
 	begun  bool
 	Status int // as over HTTP
@@ -71,13 +71,13 @@
 	after  string // when to come again, in seconds; "": there is no word of it
 }
 
-func newAnswerReader(s Speech) answerReader {
+func newAnswerReader(s Protocol) answerReader {
 	return answerReader{speech: s, http: http1.NewResponseParser(messageLimits)}
 }
 
 // Next reads on and tells whether the answer is whole.
 func (r *answerReader) Next(buf *http1.Buffer) (bool, error) {
-	if r.speech.Thrift() {
+	if r.speech.IsThrift() {
 		return r.nextThrift(buf)
 	}
 	whole, err := r.http.Next(buf)
@@ -90,7 +90,7 @@
 func (r *answerReader) Begun() bool { return r.begun }
 
 // Keep tells whether the answer lets its connection be used again.
-func (r *answerReader) Keep() bool { return r.speech.Thrift() || r.http.Keep() }
+func (r *answerReader) Keep() bool { return r.speech.IsThrift() || r.http.Keep() }
 
 var resultPath = []thrift.Path{{0}}
 
@@ -130,7 +130,7 @@
 // appendCall appends a request of the application as a call.
 func (a *Application) appendCall(dst []byte, k *ask) []byte {
 	var w thrift.Writer
-	w.Begin(dst, a.day.Speech.encoding(), thrift.Call, a.day.Classes[k.class].Name, int32(k.id))
+	w.Begin(dst, a.day.Protocol.encoding(), thrift.Call, a.day.Classes[k.class].Name, int32(k.id))
 	w.Field(thrift.String, argID)
 	w.String(string(appendID(nil, k.id)))
 	if k.key != 0 {
@@ -252,10 +252,10 @@
 
 // bad sends what no Thrift port may take for a call, and tells whether a client of this kind has such a thing; others send it
 // what belongs to HTTP. What is hidden or half must never run: it has ids that nobody has asked with.
-func (m *Mischief) bad(v *visit, now float64, class string) bool {
+func (m *HostileClients) bad(v *visit, now float64, class string) bool {
 	call := func(dst []byte, name string, patience int64) []byte {
 		var w thrift.Writer
-		w.Begin(dst, m.day.Speech.encoding(), thrift.Call, name, 1)
+		w.Begin(dst, m.day.Protocol.encoding(), thrift.Call, name, 1)
 		w.Field(thrift.String, argID)
 		w.String(string(appendID(nil, m.rng.Uint64()|1)))
 		w.Field(thrift.I64, argPatience)
--- a/internal/environment/stored_form_test.go
+++ b/internal/environment/stored_form_test.go
@@ -55,7 +55,7 @@
 
 // TestConfigurationFormIsKept writes the configuration that a sidecar starts with.
 func TestConfigurationFormIsKept(t *testing.T) {
-	d := Draw(7, Usual())
+	d := Draw(7, StandardRanges())
 	w := New(&d, &notes{})
 	requireGolden(t, "configuration.json", w.StartConfiguration(0, d.Start+30))
 }
--- a/internal/environment/world.go
+++ b/internal/environment/world.go
@@ -9,36 +9,36 @@
 )
 
 // World holds the actors of a day.
-type World struct {
-	Day      *Day
-	Boxes    []*Box         // by number
-	Registry *Registry      // discovery
-	Apps     []*Application // by sidecar
-	Batches  []*Application // likewise; none where the day has no batch
-	Mischief []*Mischief    // likewise: the clients that may not be served
+type Environment struct {
+	Day            *Day
+	Servers        []*Server         // by number
+	Discovery      *Discovery        // discovery
+	Applications   []*Application    // by sidecar
+	Batches        []*Application    // likewise; none where the day has no batch
+	HostileClients []*HostileClients // likewise: the clients that may not be served
 
-	witness checker.Observer
-	tenants map[string]*Box // by IP, whose process begins there next; looked up, never walked
+	observer   checker.Observer
+	serverByIP map[string]*Server // by IP, whose process begins there next; looked up, never walked
 }
 
 // New returns the actors of a day. They tell a witness all that crosses the wire.
-func New(d *Day, witness checker.Observer) *World {
-	w := &World{Day: d, witness: witness, tenants: map[string]*Box{}}
+func New(d *Day, witness checker.Observer) *Environment {
+	w := &Environment{Day: d, observer: witness, serverByIP: map[string]*Server{}}
 	memories := make([]keyMemory, len(d.Sites))
-	w.Registry = NewRegistry(d, witness)
-	for i := range d.Boxes {
-		b := NewBox(d, i, w.Registry, &memories[d.Boxes[i].Site], witness)
-		w.Boxes = append(w.Boxes, b)
-		w.tenants[b.Spec.IP] = b
-		w.tenants[otherIP(&b.Spec)] = b
+	w.Discovery = NewDiscovery(d, witness)
+	for i := range d.Servers {
+		b := NewServer(d, i, w.Discovery, &memories[d.Servers[i].Site], witness)
+		w.Servers = append(w.Servers, b)
+		w.serverByIP[b.Spec.IP] = b
+		w.serverByIP[otherIP(&b.Spec)] = b
 	}
 	for i := range d.Sidecars {
 		a := NewApplication(d, i, witness)
-		w.Apps = append(w.Apps, a)
+		w.Applications = append(w.Applications, a)
 		if d.Batch != nil {
 			w.Batches = append(w.Batches, NewBatch(d, i, witness))
 		}
-		w.Mischief = append(w.Mischief, NewMischief(d, i, a, witness))
+		w.HostileClients = append(w.HostileClients, NewHostileClients(d, i, a, witness))
 	}
 	return w
 }
@@ -47,7 +47,7 @@
 const boxPort = ":3000"
 
 // otherIP is the address at which a box returns that returns elsewhere.
-func otherIP(b *BoxSpec) string {
+func otherIP(b *ServerSpec) string {
 	a := netip.MustParseAddr(b.IP).As4()
 	a[1] += 2
 	return netip.AddrFrom4(a).String()
@@ -55,22 +55,22 @@
 
 // Machines returns what a Ground runs beside the sidecars, in the order in which they begin: boxes, discovery's
 // addresses, and for each sidecar its application and the hostile clients.
-func (w *World) Machines() []Machine {
+func (w *Environment) Machines() []Machine {
 	var all []Machine
-	for _, b := range w.Boxes {
+	for _, b := range w.Servers {
 		for i, ip := range []string{b.Spec.IP, otherIP(&b.Spec)} {
 			all = append(all, Machine{Name: b.Spec.Name, IP: ip, Listen: ip + boxPort, Site: b.Spec.Site,
-				Boot: func(net netio.EventLoop) netio.Handler { return w.tenants[ip].Boot(ip+boxPort, net) },
-				Late: i > 0 || b.Spec.Number >= w.Day.Standing})
+				Boot:        func(net netio.EventLoop) netio.Handler { return w.serverByIP[ip].Boot(ip+boxPort, net) },
+				StartsLater: i > 0 || b.Spec.Number >= w.Day.InitialServers})
 		}
 	}
-	for i, ip := range w.Day.Registry.IPs {
-		all = append(all, Machine{Name: "discovery", IP: ip, Listen: w.Day.Registry.Addresses[i], Boot: w.Registry.Boot(i), Late: i > 0})
+	for i, ip := range w.Day.Discovery.IPs {
+		all = append(all, Machine{Name: "discovery", IP: ip, Listen: w.Day.Discovery.Addresses[i], Boot: w.Discovery.Boot(i), StartsLater: i > 0})
 	}
 	for i, s := range w.Day.Sidecars {
 		all = append(all,
-			Machine{Name: "app-" + s.Name, IP: s.IP, Site: s.Site, Boot: w.Apps[i].Boot},
-			Machine{Name: "hostile-" + s.Name, IP: s.IP, Site: s.Site, Boot: w.Mischief[i].Boot})
+			Machine{Name: "app-" + s.Name, IP: s.IP, Site: s.Site, Boot: w.Applications[i].Boot},
+			Machine{Name: "hostile-" + s.Name, IP: s.IP, Site: s.Site, Boot: w.HostileClients[i].Boot})
 	}
 	for i, b := range w.Batches {
 		s := &w.Day.Sidecars[i]
@@ -80,23 +80,23 @@
 }
 
 // leave tells a sidecar's clients that it has been told to end.
-func (w *World) leave(sidecar int, now float64) {
-	w.Apps[sidecar].Leave(now)
+func (w *Environment) notifyDraining(sidecar int, now float64) {
+	w.Applications[sidecar].SidecarDraining(now)
 	if w.Batches != nil {
-		w.Batches[sidecar].Leave(now)
+		w.Batches[sidecar].SidecarDraining(now)
 	}
 }
 
 // stay tells them that there is another.
-func (w *World) stay(sidecar int) {
-	w.Apps[sidecar].Stay()
+func (w *Environment) notifyReplaced(sidecar int) {
+	w.Applications[sidecar].SidecarReplaced()
 	if w.Batches != nil {
-		w.Batches[sidecar].Stay()
+		w.Batches[sidecar].SidecarReplaced()
 	}
 }
 
 // machine returns the IP of the machine that a box's present life is on, or its last one was.
-func (b *Box) machine() string {
+func (b *Server) machine() string {
 	ip, _, _ := strings.Cut(b.Address, ":")
 	return ip
 }
--- a/internal/lab/processcluster/troupe.go
+++ b/internal/lab/processcluster/troupe.go
@@ -76,11 +76,11 @@
 
 // Ranges are what fleets are drawn from.
 func (s *Settings) Ranges() environment.Ranges {
-	one := func(x float64) environment.Range { return environment.Range{Least: x, Most: x} }
-	r := environment.Usual()
+	one := func(x float64) environment.Range { return environment.Range{Min: x, Max: x} }
+	r := environment.StandardRanges()
 	r.Sidecars, r.Boxes, r.LengthS = one(float64(s.Sidecars)), one(float64(s.Boxes)), one(s.For.Seconds())
 	r.Crowds = 0
-	r.RatePS, r.Load = one(200), environment.Range{Least: 0.3, Most: 0.6}
+	r.RatePS, r.Load = one(200), environment.Range{Min: 0.3, Max: 0.6}
 	if s.Load > 0 {
 		r.Load = one(s.Load)
 	}
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -113,7 +113,7 @@
 // See takes an event.
 func (p *workPlay) Observe(e checker.Event) {
 	link := [2]uint64{uint64(uint32(e.Server)), e.Connection}
-	name := func() string { return p.day.Boxes[e.Server].Name }
+	name := func() string { return p.day.Servers[e.Server].Name }
 	end := func() {
 		if i, ok := p.open[link]; ok {
 			p.came[name()][i].to = e.At
@@ -309,7 +309,7 @@
 // named returns the boxes that the plan names, of those that stand.
 func (p *workPlay) named() (all []string) {
 	s := &p.work.Spec
-	for _, b := range p.day.Boxes[:p.day.Standing] {
+	for _, b := range p.day.Servers[:p.day.InitialServers] {
 		group := len(s.Sites)+len(s.Types) > 0 && (len(s.Sites) == 0 || slices.Contains(s.Sites, p.day.Sites[b.Site])) &&
 			(len(s.Types) == 0 || slices.Contains(s.Types, p.day.Kinds[b.Kind]))
 		if group || slices.Contains(s.Servers, b.Name) {
@@ -447,7 +447,7 @@
 // the coordinator's wait for a cold box begins after the mechanic has spoken.
 func (p *workPlay) many(w *Worked) {
 	sites := map[string]string{}
-	for _, b := range p.day.Boxes {
+	for _, b := range p.day.Servers {
 		sites[b.Name] = p.day.Sites[b.Site]
 	}
 	cold := cmp.Or(p.work.Spec.WarmUpSeconds, handColdS)
--- a/internal/lab/processcluster/works_test.go
+++ b/internal/lab/processcluster/works_test.go
@@ -54,7 +54,7 @@
 		"skipped for no cause":             {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "", []checker.Rule{checker.MaintenanceRecorded}, 0},
 		"skipped":                          {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "by an operator", nil, 0},
 	} {
-		day := &environment.Day{Start: 950, LengthS: 100, Standing: 2, Sites: []string{"x"}, Boxes: []environment.BoxSpec{{Name: "a"}, {Name: "b"}}}
+		day := &environment.Day{Start: 950, LengthS: 100, InitialServers: 2, Sites: []string{"x"}, Servers: []environment.ServerSpec{{Name: "a"}, {Name: "b"}}}
 		play := &Troupe{mates: []*mate{{name: "n0"}}, aways: k.away}
 		p := newWorkPlay(play, Work{Spec: maintenance.Spec{Servers: []string{"a", "b"}, MaxConcurrent: 1, MaxPerSite: 2, WarmUpSeconds: 5, DeadMemberSeconds: 100}}, day)
 		for i, v := range k.visits {
--- a/internal/lab/realtime/board.go
+++ b/internal/lab/realtime/board.go
@@ -42,7 +42,7 @@
 
 // NewBoard returns a board that has seen nothing of a day.
 func NewBoard(d *environment.Day) *Board {
-	return &Board{day: d, asked: map[uint64]request{}, first: map[uint64]uint64{}, boxes: make([]boxState, len(d.Boxes)),
+	return &Board{day: d, asked: map[uint64]request{}, first: map[uint64]uint64{}, boxes: make([]boxState, len(d.Servers)),
 		classes: make([][]load.Counts, len(d.Classes))}
 }
 
@@ -113,8 +113,8 @@
 
 // Hangs notes that boxes hang, or no longer do.
 func (b *Board) Hangs(boxes []string, on bool) {
-	for i := range b.day.Boxes {
-		if slices.Contains(boxes, b.day.Boxes[i].Name) {
+	for i := range b.day.Servers {
+		if slices.Contains(boxes, b.day.Servers[i].Name) {
 			b.boxes[i].hangs = on
 		}
 	}
@@ -172,7 +172,7 @@
 		second(x.answers, from, to, func(n *int) { done += *n })
 		state := byte(rests)
 		switch {
-		case i >= b.day.Standing && !x.up:
+		case i >= b.day.InitialServers && !x.up:
 			state = unborn
 		case !x.up:
 			state = down
@@ -227,7 +227,7 @@
 		if state == unborn {
 			continue
 		}
-		fmt.Fprintf(&s, "%s  %s  %-8s %3d/s %s\n", b.day.Boxes[i].Name, b.day.Sites[b.day.Boxes[i].Site], words[state], v.rates[i],
+		fmt.Fprintf(&s, "%s  %s  %-8s %3d/s %s\n", b.day.Servers[i].Name, b.day.Sites[b.day.Servers[i].Site], words[state], v.rates[i],
 			strings.Repeat("=", min(v.rates[i], 60)))
 	}
 	s.WriteString("\n" + strings.Join(notes, "\n") + "\n")
--- a/internal/lab/realtime/demo.go
+++ b/internal/lab/realtime/demo.go
@@ -22,8 +22,8 @@
 
 // demoRanges are those of a calm and even world of four sites.
 func demoRanges() environment.Ranges {
-	one := func(x float64) environment.Range { return environment.Range{Least: x, Most: x} }
-	r := environment.Usual()
+	one := func(x float64) environment.Range { return environment.Range{Min: x, Max: x} }
+	r := environment.StandardRanges()
 	r.LengthS, r.Sidecars, r.Boxes, r.Sites = one(7), one(1), one(12), one(4)
 	r.RatePS, r.Load, r.Swing, r.Burst = one(200), one(0.3), one(0), one(1)
 	r.Impatient, r.Retries = one(0), one(1)
@@ -35,7 +35,7 @@
 func demoScript(d *environment.Day) environment.Script {
 	var hanging []string
 	home := d.Sidecars[0].Site
-	for _, b := range d.Boxes[:d.Standing] {
+	for _, b := range d.Servers[:d.InitialServers] {
 		if b.Site == home && len(hanging) < 2 {
 			hanging = append(hanging, b.Name)
 		}
--- a/internal/lab/realtime/live.go
+++ b/internal/lab/realtime/live.go
@@ -55,11 +55,11 @@
 // Play is a world that is being played. Its methods are for its loop, but for Post.
 type Play struct {
 	Day      *environment.Day
-	World    *environment.World
+	World    *environment.Environment
 	Judge    *checker.Checker
 	settings *Settings
 	ground   *loopback.Ground
-	players  []*environment.Player
+	players  []*environment.FaultInjector
 	sidecars []*sidecar
 	late     float64 // how long after the day's start the last sidecar was up
 	stop     context.CancelCauseFunc
@@ -99,7 +99,7 @@
 			continue // an application, or who else dials
 		}
 		// Whoever dials begins with the day, when the sidecars are up.
-		if err := p.ground.Add(loopback.Machine{Name: m.Name, IP: m.IP, Listen: m.Listen, Boot: m.Boot, Late: m.Late || m.Listen == ""}); err != nil {
+		if err := p.ground.Add(loopback.Machine{Name: m.Name, IP: m.IP, Listen: m.Listen, Boot: m.Boot, Late: m.StartsLater || m.Listen == ""}); err != nil {
 			return nil, err
 		}
 	}
@@ -175,7 +175,7 @@
 	if p.settings.Watch != nil {
 		witness = both{p.Judge, p.settings.Watch}
 	}
-	player, err := environment.NewPlayer(p.World, s, playedMachines{p}, witness)
+	player, err := environment.NewFaultInjector(p.World, s, playedMachines{p}, witness)
 	if err != nil {
 		return err
 	}
@@ -184,13 +184,13 @@
 }
 
 // schedule has a player play whenever something is due.
-func (p *Play) schedule(player *environment.Player) {
+func (p *Play) schedule(player *environment.FaultInjector) {
 	at, ok := player.Next()
 	if !ok {
 		return
 	}
 	p.ground.At(at, func() {
-		player.Play(p.Now())
+		player.Advance(p.Now())
 		p.schedule(player)
 	})
 }
@@ -204,7 +204,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := environment.ReadRealScript("trouble", text, environment.Usual()); err != nil {
+	if _, err := environment.ReadRealScript("trouble", text, environment.StandardRanges()); err != nil {
 		var fault *tomlfile.Error
 		if errors.As(err, &fault) {
 			return fmt.Errorf("%s: %s", fault.Field, fault.Why)
@@ -252,11 +252,11 @@
 		s.Address = "127.0.0.1:" + strconv.Itoa(port)
 		p.sidecars = append(p.sidecars, &sidecar{p: p, number: i, spec: s})
 	}
-	for i := range d.Boxes {
-		d.Boxes[i].IP, d.Boxes[i].Address = moved(d.Boxes[i].IP, shift), movedAddress(d.Boxes[i].Address, shift)
+	for i := range d.Servers {
+		d.Servers[i].IP, d.Servers[i].Address = moved(d.Servers[i].IP, shift), movedAddress(d.Servers[i].Address, shift)
 	}
-	for i := range d.Registry.IPs {
-		d.Registry.IPs[i], d.Registry.Addresses[i] = moved(d.Registry.IPs[i], shift), movedAddress(d.Registry.Addresses[i], shift)
+	for i := range d.Discovery.IPs {
+		d.Discovery.IPs[i], d.Discovery.Addresses[i] = moved(d.Discovery.IPs[i], shift), movedAddress(d.Discovery.Addresses[i], shift)
 	}
 	if p.settings.Binary == "" {
 		p.sidecars = nil
@@ -299,7 +299,7 @@
 }
 
 func reserve(d *environment.Day, shift byte) (net.Listener, error) {
-	discovery := movedAddress(d.Registry.Addresses[0], shift)
+	discovery := movedAddress(d.Discovery.Addresses[0], shift)
 	ip := netip.MustParseAddrPort(discovery).Addr()
 	reservation, err := net.Listen("tcp", netip.AddrPortFrom(ip, reservationPort).String())
 	if err != nil {
--- a/internal/lab/realtime/live_test.go
+++ b/internal/lab/realtime/live_test.go
@@ -83,14 +83,14 @@
 // got which request, as far as chance lets them: no more than two simulated days differ whose chance differs.
 func TestAgreesWithSimulatedTime(t *testing.T) {
 	s := environment.Script{Seed: 11, Sidecars: 3, Boxes: 9, LengthS: 8}
-	d := s.Day(environment.Usual())
-	s.Troubles = []environment.Trouble{{Kind: environment.Hang, AtS: 3, ForS: 3, Boxes: []string{d.Boxes[0].Name, d.Boxes[4].Name}}}
+	d := s.Day(environment.StandardRanges())
+	s.Troubles = []environment.Trouble{{Kind: environment.Hang, AtS: 3, ForS: 3, Boxes: []string{d.Servers[0].Name, d.Servers[4].Name}}}
 	binary := built(t)
 	played, b := simulated(t, s)
 	for try := 1; ; try++ {
 		var a tally
 		ctx, stop := context.WithTimeout(context.Background(), time.Minute)
-		p, err := Do(ctx, &Settings{Day: s.Day(environment.Usual()), Script: s, Binary: binary, Dir: t.TempDir(), Watch: &a})
+		p, err := Do(ctx, &Settings{Day: s.Day(environment.StandardRanges()), Script: s, Binary: binary, Dir: t.TempDir(), Watch: &a})
 		stop()
 		require.NoError(t, err)
 		real := p.Judge.Report()
@@ -126,7 +126,7 @@
 func TestBlockIsReservedOnce(t *testing.T) {
 	t.Parallel()
 	d := &environment.Day{}
-	d.Registry.Addresses = []string{"10.0.200.7:18753"}
+	d.Discovery.Addresses = []string{"10.0.200.7:18753"}
 	shift, reservation, err := reserveBlock(d)
 	require.NoError(t, err)
 	_, err = reserve(d, shift)
--- a/internal/lab/realtime/serve.go
+++ b/internal/lab/realtime/serve.go
@@ -58,8 +58,8 @@
 	if err := os.WriteFile(s.Config, p.World.StartConfiguration(0, p.Now()), 0o644); err != nil {
 		return err
 	}
-	fmt.Fprintf(s.Out, "discovery at %s; a sidecar's configuration is in %s, and has it listen at %s\n", p.World.Registry.Address(), s.Config, s.Listen)
-	for _, b := range p.Day.Boxes[:p.Day.Standing] {
+	fmt.Fprintf(s.Out, "discovery at %s; a sidecar's configuration is in %s, and has it listen at %s\n", p.World.Discovery.Address(), s.Config, s.Listen)
+	for _, b := range p.Day.Servers[:p.Day.InitialServers] {
 		fmt.Fprintf(s.Out, "%3d  %s  %s  %s  %s\n", b.Number, b.Name, b.Address, p.Day.Sites[b.Site], p.Day.Kinds[b.Kind])
 	}
 	return nil
@@ -77,8 +77,8 @@
 		done := make(chan error, 1)
 		p.Post(func() {
 			for i, name := range t.Boxes {
-				if n, err := strconv.Atoi(name); err == nil && n >= 0 && n < len(p.Day.Boxes) {
-					t.Boxes[i] = p.Day.Boxes[n].Name
+				if n, err := strconv.Atoi(name); err == nil && n >= 0 && n < len(p.Day.Servers) {
+					t.Boxes[i] = p.Day.Servers[n].Name
 				}
 			}
 			done <- p.TroubleNow(t)
--- a/internal/sim/ground.go
+++ b/internal/sim/ground.go
@@ -89,7 +89,7 @@
 		waits[s.spec.IP] = true
 	}
 	for _, m := range d.machines {
-		if !m.Late && !waits[m.IP] {
+		if !m.StartsLater && !waits[m.IP] {
 			if err := m.begin(d); err != nil {
 				return err
 			}
@@ -126,7 +126,7 @@
 	w := &d.weather
 	// A process holds descriptors beside its links: standard streams, pollers, files.
 	listen := []string{s.spec.Address}
-	if d.spec.Speech.Thrift() {
+	if d.spec.Protocol.IsThrift() {
 		listen = append(listen, environment.ThriftAddress(s.spec.Address))
 	}
 	s.proc = s.vm.Process(virtual.ProcessOptions{Name: s.spec.Name, Listen: listen, MaxDescriptors: d.spec.Sockets,
--- a/internal/sim/hard_test.go
+++ b/internal/sim/hard_test.go
@@ -85,7 +85,7 @@
 // begin puts a sidecar and n boxes on the stage, with a discovery that tells nothing beyond the configuration.
 func begin(t require.TestingT, seed uint64, n int, o virtual.ProcessOptions) *stage {
 	s := &stage{t: t}
-	d := environment.Draw(7, environment.Usual())
+	d := environment.Draw(7, environment.StandardRanges())
 	d.Shorten(1, n, 0)
 	w := environment.New(&d, deaf{})
 	s.net = virtual.New(seed, d.Start)
@@ -99,10 +99,10 @@
 		require.NoError(t, a.net.Run(a))
 		return a
 	}
-	for _, b := range d.Boxes[:n] {
+	for _, b := range d.Servers[:n] {
 		s.boxes = append(s.boxes, play(b.IP, b.Address, virtual.ProcessOptions{ReceiveBuffer: 120}))
 	}
-	s.listed = play(d.Registry.IPs[0], d.Registry.Addresses[0], virtual.ProcessOptions{})
+	s.listed = play(d.Discovery.IPs[0], d.Discovery.Addresses[0], virtual.ProcessOptions{})
 	cfg, err := sidecarconfig.Parse(w.StartConfiguration(0, d.Start))
 	require.NoError(t, err)
 	o.Name, o.Listen = "sidecar", []string{d.Sidecars[0].Address}
@@ -249,10 +249,10 @@
 
 // tell has discovery say that boxes drain.
 func (s *stage) tell(boxes ...int) {
-	d := environment.Draw(7, environment.Usual())
+	d := environment.Draw(7, environment.StandardRanges())
 	var entries []string
 	for _, i := range boxes {
-		b := d.Boxes[i]
+		b := d.Servers[i]
 		entries = append(entries, fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":%d,"status":"DRAINING","weight":1,"since_ms":0}`,
 			b.Name, b.Address, d.Sites[b.Site], d.Kinds[b.Kind], b.Cell))
 	}
--- a/internal/sim/lists.go
+++ b/internal/sim/lists.go
@@ -36,9 +36,9 @@
 	for i, e := range list.Endpoints {
 		named[e.Name] = i + 1
 	}
-	for box := range d.spec.Boxes {
+	for box := range d.spec.Servers {
 		e := checker.Event{Kind: checker.EntryRelayed, At: d.net.Now(), Sidecar: int32(l.s.number), Server: int32(box), ListIndex: list.Index, Status: checker.Deleted}
-		if i := named[d.spec.Boxes[box].Name]; i > 0 {
+		if i := named[d.spec.Servers[box].Name]; i > 0 {
 			said := &list.Endpoints[i-1]
 			e.Status, e.ServingSince, e.Address = statuses[said.Status], said.SinceMS/1000, said.Address
 		} else if !list.Snapshot {
@@ -54,7 +54,7 @@
 // Releases are the troubles of a quiet day: one box after the other drains, ends and begins again.
 func Releases(d environment.Day) (all []environment.Trouble) {
 	for i, at := 0, settledS+1; at < d.LengthS-10; i, at = i+1, at+2.5 {
-		all = append(all, environment.Trouble{Kind: environment.Shrink, AtS: at, ForS: 4, DrainS: 1.5, Boxes: []string{d.Boxes[i%d.Standing].Name}})
+		all = append(all, environment.Trouble{Kind: environment.Shrink, AtS: at, ForS: 4, DrainS: 1.5, Boxes: []string{d.Servers[i%d.InitialServers].Name}})
 	}
 	return all
 }
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -82,7 +82,7 @@
 		n += len(t.Boxes) + len(t.Sidecars)
 	}
 	d := h.best.Day(h.o.Ranges())
-	return n + len(d.Sidecars) + d.Standing + int(d.LengthS)
+	return n + len(d.Sidecars) + d.InitialServers + int(d.LengthS)
 }
 
 // round tries each kind of leaving out once.
@@ -99,7 +99,7 @@
 	h.shorten()
 	h.fewer(func(s *environment.Script) int { d := s.Day(h.o.Ranges()); return len(d.Sidecars) },
 		func(s *environment.Script, n int) { s.Sidecars = n })
-	h.fewer(func(s *environment.Script) int { d := s.Day(h.o.Ranges()); return d.Standing },
+	h.fewer(func(s *environment.Script) int { d := s.Day(h.o.Ranges()); return d.InitialServers },
 		func(s *environment.Script, n int) { s.Boxes = n })
 	for i := range h.best.Troubles {
 		for k := 0; k < len(h.best.Troubles[i].Boxes) && len(h.best.Troubles[i].Boxes) > 1; {
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -54,7 +54,7 @@
 	Quiet bool // leave the troubles of the script out
 	// Speech is what applications and boxes speak; empty: HTTP. It changes nothing else of a day, but that answers over Thrift
 	// hold no load reports: those come with probes.
-	Speech environment.Speech
+	Speech environment.Protocol
 	// Batch is at how many times its share a batch of reads comes beside the applications' requests; 0: there is none. With
 	// Quotas the sidecars hold groups to their shares.
 	Batch  float64
@@ -73,7 +73,7 @@
 
 // together tells whether the sidecars of a seed's day know each other.
 func (o Options) together(seed uint64) bool {
-	return o.Core == nil && !o.Speech.Thrift() && !o.Quotas && o.Together.on(seed)
+	return o.Core == nil && !o.Speech.IsThrift() && !o.Quotas && o.Together.on(seed)
 }
 
 // usualBoxes is how many boxes a day has that is not drawn with more.
@@ -84,16 +84,16 @@
 	if o.Drawn != nil {
 		return *o.Drawn
 	}
-	r := environment.Usual()
+	r := environment.StandardRanges()
 	if o.Together == TogetherWorks {
-		r.LengthS = environment.Range{Least: 80, Most: 120}
-		r.Longs, r.Long = 0.3, environment.Range{Least: 6, Most: 20}
+		r.LengthS = environment.Range{Min: 80, Max: 120}
+		r.Longs, r.Long = 0.3, environment.Range{Min: 6, Max: 20}
 	}
 	if o.Boxes > 0 {
-		r = environment.Large(o.Boxes)
+		r = environment.LargeRanges(o.Boxes)
 	}
 	if o.Sidecars > 0 {
-		r.Sidecars = environment.Range{Least: float64(o.Sidecars), Most: float64(o.Sidecars)}
+		r.Sidecars = environment.Range{Min: float64(o.Sidecars), Max: float64(o.Sidecars)}
 	}
 	return r
 }
@@ -173,8 +173,8 @@
 	weather    weather
 	net        *virtual.Network
 	judge      *checker.Checker
-	world      *environment.World
-	player     *environment.Player
+	world      *environment.Environment
+	player     *environment.FaultInjector
 	core       Core
 	trace      func(at float64, line string)
 	machines   []*machine
@@ -197,7 +197,7 @@
 
 func newDay(s environment.Script, o Options) (*day, error) {
 	d := &day{script: s, spec: s.Day(o.Ranges()), core: o.Core, trace: o.Trace, cuts: map[[2]string]int{}, slow: map[[2]int]float64{}}
-	if d.spec.Speech = o.Speech; o.Speech.Thrift() {
+	if d.spec.Protocol = o.Speech; o.Speech.IsThrift() {
 		d.spec.Inline = false
 	}
 	if o.Batch > 0 {
@@ -205,7 +205,7 @@
 	}
 	if d.core == nil {
 		d.core = Sidecar
-		if o.Speech.Thrift() {
+		if o.Speech.IsThrift() {
 			d.core = OverThrift
 		}
 	}
@@ -254,7 +254,7 @@
 	d.world = environment.New(&d.spec, witness)
 	d.lay()
 	var err error
-	if d.player, err = environment.NewPlayer(d.world, &s, d, witness); err != nil {
+	if d.player, err = environment.NewFaultInjector(d.world, &s, d, witness); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrScript, err)
 	}
 	return d, d.begin()
@@ -275,7 +275,7 @@
 		next := min(now+lookEveryS, end)
 		for at, ok := d.player.Next(); ok && at <= next; at, ok = d.player.Next() {
 			d.net.RunUntil(at)
-			d.player.Play(at)
+			d.player.Advance(at)
 		}
 		d.net.RunUntil(next)
 		now = next
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -53,7 +53,7 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			text, err := os.ReadFile(file)
 			require.NoError(t, err)
-			s, err := environment.ReadScript(file, text, environment.Usual())
+			s, err := environment.ReadScript(file, text, environment.StandardRanges())
 			require.NoError(t, err)
 			r, err := Play(*s, Options{})
 			require.NoError(t, err)
--- a/internal/sim/speech_test.go
+++ b/internal/sim/speech_test.go
@@ -12,7 +12,7 @@
 // Days with their troubles keep the rules over Thrift, and one seed is one history.
 func TestDaysOverThrift(t *testing.T) {
 	t.Parallel()
-	play := func(seed uint64, speech environment.Speech) *Result {
+	play := func(seed uint64, speech environment.Protocol) *Result {
 		s := Options{}.DrawScript(seed)
 		require.NotEmpty(t, s.Troubles)
 		s.LengthS = 20
@@ -27,7 +27,7 @@
 	}
 	seen := map[uint64]bool{}
 	for _, seed := range []uint64{2, 14, 21} {
-		for _, speech := range environment.Speeches {
+		for _, speech := range environment.Protocols {
 			seen[play(seed, speech).Hash] = true
 		}
 	}
--- a/internal/sim/stored_form_test.go
+++ b/internal/sim/stored_form_test.go
@@ -48,7 +48,7 @@
 	const file = "testdata/scripts/sweep-while-links-go.toml"
 	raw, err := os.ReadFile(file)
 	require.NoError(t, err)
-	s, err := environment.ReadScript(file, raw, environment.Usual())
+	s, err := environment.ReadScript(file, raw, environment.StandardRanges())
 	require.NoError(t, err)
 	s.LengthS, s.Troubles = 3, nil
 	text.Reset()
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/troubles_test.go
@@ -103,7 +103,7 @@
 	o := Options{Together: TogetherNever}
 	d := environment.Draw(seed, o.Ranges())
 	var boxes []string
-	for _, b := range d.Boxes[:d.Standing] {
+	for _, b := range d.Servers[:d.InitialServers] {
 		boxes = append(boxes, b.Name)
 	}
 	for _, c := range []struct {
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -72,7 +72,7 @@
 		w.after(weighAtS, func() {
 			s := w.spec
 			s.Name, s.MaxConcurrent, s.MaxPerSite = "all", way.AtOnce, way.BySite
-			for i := range w.d.spec.Standing {
+			for i := range w.d.spec.InitialServers {
 				s.Servers = append(s.Servers, w.boxes[i].name)
 			}
 			w.ask(maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &s}, 60, func(r maintenance.Reply, answered bool) { w.tell("%d %s, %t", r.Plan, r.Err, answered) })
@@ -82,7 +82,7 @@
 
 // byHand takes a box out at all sidecars, has it worked on, gives it back, and goes on with the next one.
 func (w *plans) byHand(i int) {
-	if i >= w.d.spec.Standing {
+	if i >= w.d.spec.InitialServers {
 		w.endedAt = w.d.net.Now()
 		return
 	}
@@ -93,9 +93,9 @@
 	}
 	call(true)
 	w.after(scriptEmptyS, func() {
-		w.d.player.Down(i, w.d.net.Now())
+		w.d.player.StopServer(i, w.d.net.Now())
 		w.after(weighTakesS, func() {
-			w.d.player.Up(i, w.d.net.Now())
+			w.d.player.StartServer(i, w.d.net.Now())
 			w.after(0.2, func() {
 				call(false)
 				w.after(w.coldS, func() { w.byHand(i + 1) })
@@ -183,12 +183,12 @@
 
 // WeighDay plays a day on which a number of boxes are worked on.
 func WeighDay(seed uint64, boxes int, load float64, hang bool, way *Weighing) (*Weighed, error) {
-	r := environment.Usual()
+	r := environment.StandardRanges()
 	if boxes > 19 {
-		r = environment.Large(boxes)
+		r = environment.LargeRanges(boxes)
 	}
-	r.Boxes = environment.Range{Least: float64(boxes), Most: float64(boxes)}
-	r.Sites, r.Sidecars, r.Crowds, r.Load = environment.Range{Least: 4, Most: 4}, environment.Range{Least: 5, Most: 5}, 0, environment.Range{Least: load, Most: load}
+	r.Boxes = environment.Range{Min: float64(boxes), Max: float64(boxes)}
+	r.Sites, r.Sidecars, r.Crowds, r.Load = environment.Range{Min: 4, Max: 4}, environment.Range{Min: 5, Max: 5}, 0, environment.Range{Min: load, Max: load}
 	lengthS := weighAtS + 20 + 42*float64(boxes)
 	if way.AtOnce > 1 { // a box takes that long, and there is time to wait until a trouble is over
 		lengthS = weighAtS + 150 + 36*math.Ceil(float64(boxes)/float64(way.AtOnce))
@@ -196,14 +196,14 @@
 	if load > edgeLoad { // the fleet refuses by itself: one box is out at a time, and what it refuses is measured between two
 		lengthS = weighAtS + 120 + 75*float64(boxes)
 	}
-	r.LengthS = environment.Range{Least: lengthS, Most: lengthS}
+	r.LengthS = environment.Range{Min: lengthS, Max: lengthS}
 	o := Options{Together: TogetherWorks, Drawn: &r, Weigh: way}
 	d := environment.Draw(seed, r)
 	s := environment.Script{Seed: seed}
 	if hang {
 		var names []string
 		for i := range boxes / 5 {
-			names = append(names, d.Boxes[i*5].Name)
+			names = append(names, d.Servers[i*5].Name)
 		}
 		s.Troubles = []environment.Trouble{{Kind: environment.Hang, AtS: weighAtS + 20, ForS: 40, Boxes: names}}
 	}
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -75,7 +75,7 @@
 // newPlans returns a day's work of which nothing is to be done yet.
 func newPlans(d *day) *plans {
 	w := &plans{d: d, rng: rand.New(rand.NewPCG(d.spec.Seed, 0x776f726b73)), links: map[uint64]sentTo{}}
-	for _, b := range d.spec.Boxes {
+	for _, b := range d.spec.Servers {
 		w.boxes = append(w.boxes, boxSeen{name: b.Name, site: d.spec.Sites[b.Site], out: map[uint64]bool{}, hand: map[int32]bool{}})
 	}
 	return w
@@ -142,7 +142,7 @@
 	if w.rng.IntN(3) == 0 {
 		s.Sites = []string{w.d.spec.Sites[w.rng.IntN(len(w.d.spec.Sites))]}
 	} else {
-		for _, i := range w.rng.Perm(w.d.spec.Standing)[:3+w.rng.IntN(8)] {
+		for _, i := range w.rng.Perm(w.d.spec.InitialServers)[:3+w.rng.IntN(8)] {
 			s.Servers = append(s.Servers, w.boxes[i].name)
 		}
 	}
@@ -225,14 +225,14 @@
 	}
 	now := w.d.net.Now()
 	if m.steady || w.rng.IntN(2) == 0 {
-		w.d.player.Down(i, now)
+		w.d.player.StopServer(i, now)
 	}
 	if !m.steady && w.rng.IntN(8) == 0 { // it dies, and asks again later
 		w.after(lasts/2, func() { w.after(1+5*w.rng.Float64(), m.poll) })
 		return
 	}
 	w.after(lasts, func() {
-		w.d.player.Up(i, w.d.net.Now())
+		w.d.player.StartServer(i, w.d.net.Now())
 		w.after(0.2, func() {
 			has.ended, has.failed = true, !m.steady && w.rng.IntN(20) == 0
 			w.boxes[i].worker = nil
@@ -352,7 +352,7 @@
 func (w *plans) restart(sidecar int) {
 	now := w.d.net.Now()
 	if now < w.d.spec.Start+0.9*w.d.spec.LengthS {
-		w.d.player.Restart(sidecar, 0.2+w.rng.Float64(), now)
+		w.d.player.RestartSidecar(sidecar, 0.2+w.rng.Float64(), now)
 	}
 }
 
