--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -259,7 +259,7 @@
 	for _, f := range got.Findings {
 		fmt.Fprintf(out, "%7.2f s  %-12s n%-5d %s\n", got.Since(f.At), f.Rule, f.Sidecar, f.Reason)
 	}
-	fmt.Fprintf(out, "%d troubles; %.3f of the worth served in time\n", len(script.Troubles), got.Report.Service)
+	fmt.Fprintf(out, "%d troubles; %.3f of the worth served in time\n", len(script.Faults), got.Report.Service)
 	fmt.Fprintf(out, "fleet: %d sidecars, %d rules broken\n", s.Sidecars, len(got.Findings))
 	if len(got.Findings) > 0 {
 		return errBroken
--- a/cmd/hazellab/lists.go
+++ b/cmd/hazellab/lists.go
@@ -31,7 +31,7 @@
 		o.Watch = &w
 		script := o.DrawScript(uint64(seed))
 		if c.Bool("quiet-days") {
-			script.Troubles = sim.Releases(script.Day(o.Ranges()))
+			script.Faults = sim.Releases(script.Day(o.Ranges()))
 		}
 		r, err := sim.Play(script, o)
 		if err != nil {
--- a/cmd/hazellab/serve.go
+++ b/cmd/hazellab/serve.go
@@ -75,10 +75,10 @@
 
 func askTrouble(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return fault(fmt.Errorf("trouble: a KIND is wanted: %s", strings.Join(environment.Kinds(), ", ")))
+		return fault(fmt.Errorf("trouble: a KIND is wanted: %s", strings.Join(environment.FaultKinds(), ", ")))
 	}
-	t := environment.Trouble{Kind: c.Args().First(), ForS: c.Duration("for").Seconds(), Boxes: c.StringSlice("box"), Site: c.String("site"),
-		Share: c.Float("share"), PerS: c.Float("per-second"), DrainS: c.Duration("drain").Seconds(), LagS: c.Duration("lag").Seconds(),
+	t := environment.Fault{Kind: c.Args().First(), DurationSeconds: c.Duration("for").Seconds(), Servers: c.StringSlice("box"), Site: c.String("site"),
+		Share: c.Float("share"), RatePerSecond: c.Float("per-second"), DrainSeconds: c.Duration("drain").Seconds(), DelaySeconds: c.Duration("lag").Seconds(),
 		Silent: c.Bool("silent")}
 	raw, err := json.Marshal(t)
 	if err != nil {
--- a/cmd/hazellab/sim.go
+++ b/cmd/hazellab/sim.go
@@ -144,7 +144,7 @@
 	out := bufio.NewWriter(c.Root().Writer)
 	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
 	if c.Bool("quiet-days") {
-		s.Troubles = nil
+		s.Faults = nil
 	}
 	if c.Bool("show-script") {
 		return writeScript(out, &s)
@@ -369,7 +369,7 @@
 		return fault(fmt.Errorf("rule: %s does not break %q", name, rule))
 	}
 	small := sim.Shrink(s, rule, o, c.Int("budget"), func(s *environment.Script, played int) {
-		fmt.Fprintf(os.Stderr, "%d days played: %d troubles, %d sidecars, %d boxes, %g s\n", played, len(s.Troubles), s.Sidecars, s.Boxes, s.LengthS)
+		fmt.Fprintf(os.Stderr, "%d days played: %d troubles, %d sidecars, %d boxes, %g s\n", played, len(s.Faults), s.Sidecars, s.Servers, s.LengthSeconds)
 	})
 	if err := writeScriptTo(c.String("out"), c.Root().Writer, &small); err != nil {
 		return err
--- a/internal/environment/mischief_test.go
+++ b/internal/environment/mischief_test.go
@@ -24,7 +24,7 @@
 		}{{"while it lasts", 2, true}, {"once it is over", lasts, false}} {
 			t.Run(kind+" "+c.name, func(t *testing.T) {
 				s := newStage(t, 3, nil)
-				script := &Script{Troubles: []Trouble{{Kind: kind, AtS: begins, ForS: lasts, Sidecars: []int{0}, PerS: perS}}}
+				script := &Script{Faults: []Fault{{Kind: kind, AtSeconds: begins, DurationSeconds: lasts, Sidecars: []int{0}, RatePerSecond: perS}}}
 				player, err := NewFaultInjector(s.world, script, nil, &s.notes)
 				require.NoError(t, err)
 				player.Advance(s.day.Start)
--- a/internal/environment/player.go
+++ b/internal/environment/player.go
@@ -46,13 +46,13 @@
 	if i, field, why := s.fault(w.Day); field != "" {
 		return nil, fmt.Errorf("trouble %d: %s: %s", i+1, field, why)
 	}
-	p.standBy = len(w.Applications) - s.StandBy()
+	p.standBy = len(w.Applications) - s.StandbySidecars()
 	for i := p.standBy; i < len(w.Applications); i++ {
 		p.gone[i] = true
 	}
-	for i := range s.Troubles {
-		t := &s.Troubles[i]
-		p.steps.put(w.Day.Start+t.AtS, func(now float64) { p.begin(t, now) })
+	for i := range s.Faults {
+		t := &s.Faults[i]
+		p.steps.put(w.Day.Start+t.AtSeconds, func(now float64) { p.begin(t, now) })
 	}
 	return p, nil
 }
@@ -82,18 +82,18 @@
 
 // endsAt returns when a trouble of boxes, discovery, paths or clients is over: as the script says, and at the latest with
 // the day's arrivals. Danger: one that outlasted the day would leave dials and links that nobody could call left over.
-func (p *FaultInjector) endsAt(t *Trouble, now float64) float64 {
-	return max(now, min(now+t.ForS, p.w.Day.Start+p.w.Day.LengthS))
+func (p *FaultInjector) endsAt(t *Fault, now float64) float64 {
+	return max(now, min(now+t.DurationSeconds, p.w.Day.Start+p.w.Day.LengthS))
 }
 
 // atEnd arranges a step for the end of a trouble that begins now.
-func (p *FaultInjector) atEnd(t *Trouble, now float64, step func(now float64)) {
+func (p *FaultInjector) atEnd(t *Fault, now float64, step func(now float64)) {
 	p.steps.put(p.endsAt(t, now), step)
 }
 
-func (p *FaultInjector) boxes(t *Trouble) []*Server {
+func (p *FaultInjector) boxes(t *Fault) []*Server {
 	var found []*Server
-	for _, name := range t.Boxes {
+	for _, name := range t.Servers {
 		for _, b := range p.w.Servers {
 			if b.Spec.Name == name {
 				found = append(found, b)
@@ -104,7 +104,7 @@
 }
 
 // begin begins a trouble and arranges its end.
-func (p *FaultInjector) begin(t *Trouble, now float64) {
+func (p *FaultInjector) begin(t *Fault, now float64) {
 	boxes := p.boxes(t)
 	switch t.Kind {
 	case Hang:
@@ -117,21 +117,21 @@
 		p.goAndReturn(boxes, t, now, true, false)
 	case SiteLoss:
 		p.loseSite(t, now)
-	case Shrink:
-		if t.By > 0 {
+	case ScaleIn:
+		if t.SidecarCount > 0 {
 			p.leaveForGood(t, now)
 		} else {
 			p.shrink(boxes, t, now)
 		}
-	case Grow:
-		for range t.By {
+	case ScaleOut:
+		for range t.SidecarCount {
 			p.gone[p.standBy] = false
 			p.ground.Begin(p.standBy)
 			p.standBy++
 		}
 	case StaleList:
-		p.w.Discovery.DelaySeconds += t.LagS
-		p.atEnd(t, now, func(float64) { p.w.Discovery.DelaySeconds -= t.LagS })
+		p.w.Discovery.DelaySeconds += t.DelaySeconds
+		p.atEnd(t, now, func(float64) { p.w.Discovery.DelaySeconds -= t.DelaySeconds })
 	case DiscoveryDown:
 		p.w.Discovery.SetDown(true, now)
 		p.atEnd(t, now, func(now float64) { p.w.Discovery.SetDown(false, now) })
@@ -143,7 +143,7 @@
 		p.slowReaders(t, now)
 	case LateConnect:
 		p.connectLate(boxes, t, now)
-	case Spoilt, Behind, Interim, EarlyClose:
+	case MalformedAnswers, TrailingBytes, InterimResponses, EarlyClose:
 		for _, b := range boxes {
 			share := b.Misbehavior.share(t.Kind)
 			*share += t.Share
@@ -154,7 +154,7 @@
 			if i >= p.standBy {
 				continue // its machine has not begun
 			}
-			p.w.HostileClients[i].Connect(t.PerS, p.endsAt(t, now), t.Kind == SilentFlood)
+			p.w.HostileClients[i].Connect(t.RatePerSecond, p.endsAt(t, now), t.Kind == SilentFlood)
 		}
 	case SilentWatch:
 		p.w.Discovery.StallWatches()
@@ -162,7 +162,7 @@
 		for i := range p.w.Applications {
 			p.ground.Reset(p.w.Day.Sidecars[i].IP, p.w.Discovery.ip())
 		}
-	case WholeList:
+	case FullList:
 		p.w.Discovery.SendFullLists(true)
 		p.atEnd(t, now, func(float64) { p.w.Discovery.SendFullLists(false) })
 	case ClientsLeave:
@@ -195,18 +195,18 @@
 			p.counted(p.clocks, i, t, now, func(i int, on bool) {
 				rate := 1.0
 				if on {
-					rate = t.Rate
+					rate = t.ClockRate
 				}
 				p.ground.Clock(i, rate)
 			})
 		}
 	case PeerReset:
 		p.resetPeers(t, now, p.endsAt(t, now))
-	case PeerDeaf:
+	case PeerNotReading:
 		for _, i := range t.Sidecars {
-			p.ground.PeersDeaf(i, t.PerS, p.endsAt(t, now))
+			p.ground.PeersDeaf(i, t.RatePerSecond, p.endsAt(t, now))
 		}
-	case Freeze:
+	case Suspend:
 		p.freeze(t, now)
 	case SidecarTerm:
 		for _, i := range t.Sidecars {
@@ -216,7 +216,7 @@
 			p.terminate(i, now)
 			p.ending[i] = true
 			// What has not ended by then is killed, as a platform does before it begins the next process.
-			p.later(now, t.ForS, func(now float64) {
+			p.later(now, t.DurationSeconds, func(now float64) {
 				p.ending[i] = false
 				p.killSidecar(i, 0, now)
 				p.spoil(i, t)
@@ -224,10 +224,10 @@
 		}
 	case Reload:
 		p.moveDiscovery(now)
-	case TakenOut:
+	case Cordon:
 		p.takeOut(boxes, true)
 		p.atEnd(t, now, func(float64) { p.takeOut(boxes, false) })
-	case Reuse:
+	case AddressReuse:
 		for _, b := range boxes {
 			p.replace(b, t, now)
 		}
@@ -235,12 +235,12 @@
 }
 
 // connectLate has connections to boxes come up late, at the machines where they are now.
-func (p *FaultInjector) connectLate(boxes []*Server, t *Trouble, now float64) {
+func (p *FaultInjector) connectLate(boxes []*Server, t *Fault, now float64) {
 	for _, b := range boxes {
 		ip := b.machine()
 		p.counted(p.late, b.Spec.Number, t, now, func(_ int, on bool) {
 			if on {
-				p.ground.LateConnects(ip, t.Share, t.LagS)
+				p.ground.LateConnects(ip, t.Share, t.DelaySeconds)
 			} else {
 				p.ground.LateConnects(ip, 0, 0)
 			}
@@ -259,12 +259,12 @@
 const leaveS = 8.0
 
 // leaveForGood has so many of the sidecars that are there end for good, from the last one on; the first one stays.
-func (p *FaultInjector) leaveForGood(t *Trouble, now float64) {
-	within := t.DrainS
+func (p *FaultInjector) leaveForGood(t *Fault, now float64) {
+	within := t.DrainSeconds
 	if within == 0 {
 		within = leaveS
 	}
-	left := t.By
+	left := t.SidecarCount
 	for i := len(p.gone) - 1; i > 0 && left > 0; i-- {
 		if p.gone[i] || p.ending[i] || p.frozen[i] {
 			continue
@@ -280,7 +280,7 @@
 }
 
 // counted has something befall a sidecar or a box until the trouble is over. Of those that overlap the last one to end ends it.
-func (p *FaultInjector) counted(all []int, sidecar int, t *Trouble, now float64, befall func(sidecar int, on bool)) {
+func (p *FaultInjector) counted(all []int, sidecar int, t *Fault, now float64, befall func(sidecar int, on bool)) {
 	all[sidecar]++
 	befall(sidecar, true)
 	p.atEnd(t, now, func(float64) {
@@ -291,14 +291,14 @@
 }
 
 // spoil does to the disk of a sidecar that has just been killed what a trouble says.
-func (p *FaultInjector) spoil(sidecar int, t *Trouble) {
-	if t.State == Lost || t.State == Torn || t.State == Old {
+func (p *FaultInjector) spoil(sidecar int, t *Fault) {
+	if t.State == StateLost || t.State == StateTorn || t.State == StateOld {
 		p.ground.Spoil(sidecar, t.State)
 	}
 }
 
 // sides calls f with each two sidecars that a trouble stands between.
-func (p *FaultInjector) sides(t *Trouble, f func(a, b int)) {
+func (p *FaultInjector) sides(t *Fault, f func(a, b int)) {
 	to := t.To
 	if len(to) == 0 {
 		for i := range p.w.Applications {
@@ -317,7 +317,7 @@
 }
 
 // between has something befall the ways between sidecars until the trouble is over. Troubles that overlap are counted.
-func (p *FaultInjector) between(t *Trouble, now float64, befall func(from, to int, on bool)) {
+func (p *FaultInjector) between(t *Fault, now float64, befall func(from, to int, on bool)) {
 	way := func(a, b int) {
 		key := peerWay{t.Kind, a, b}
 		if p.peers[key]++; p.peers[key] == 1 {
@@ -333,7 +333,7 @@
 }
 
 // ways calls f with each way between two sides, both ways unless the trouble is of one alone.
-func (p *FaultInjector) ways(t *Trouble, f func(from, to int)) {
+func (p *FaultInjector) ways(t *Fault, f func(from, to int)) {
 	p.sides(t, func(a, b int) {
 		if f(a, b); !t.OneWay {
 			f(b, a)
@@ -342,7 +342,7 @@
 }
 
 // slowPeers has bytes between sidecars go at a rate until the trouble is over; of several rates the least counts.
-func (p *FaultInjector) slowPeers(t *Trouble, now float64) {
+func (p *FaultInjector) slowPeers(t *Fault, now float64) {
 	p.ways(t, func(a, b int) {
 		key := peerWay{t.Kind, a, b}
 		tell := func() {
@@ -352,10 +352,10 @@
 				p.ground.PeersSlow(a, b, 0)
 			}
 		}
-		p.rates[key] = append(p.rates[key], t.PerS)
+		p.rates[key] = append(p.rates[key], t.RatePerSecond)
 		tell()
 		p.atEnd(t, now, func(float64) {
-			i := slices.Index(p.rates[key], t.PerS)
+			i := slices.Index(p.rates[key], t.RatePerSecond)
 			p.rates[key] = slices.Delete(p.rates[key], i, i+1)
 			tell()
 		})
@@ -368,17 +368,17 @@
 	from, to int
 }
 
-func (p *FaultInjector) resetPeers(t *Trouble, now, until float64) {
+func (p *FaultInjector) resetPeers(t *Fault, now, until float64) {
 	if now >= until {
 		return
 	}
 	p.sides(t, p.ground.PeersReset)
-	p.later(now, 1/t.PerS, func(now float64) { p.resetPeers(t, now, until) })
+	p.later(now, 1/t.RatePerSecond, func(now float64) { p.resetPeers(t, now, until) })
 }
 
 // freeze has processes stand still. What they owe meanwhile is excused as for one that was killed; a process that stood still
 // and one that is killed are the same to a client.
-func (p *FaultInjector) freeze(t *Trouble, now float64) {
+func (p *FaultInjector) freeze(t *Fault, now float64) {
 	for _, i := range t.Sidecars {
 		if p.gone[i] || p.frozen[i] {
 			continue
@@ -401,9 +401,9 @@
 // share returns the share of answers that a trouble is about.
 func (m *Misbehavior) share(kind string) *float64 {
 	switch kind {
-	case Spoilt:
+	case MalformedAnswers:
 		return &m.Malformed
-	case Behind:
+	case TrailingBytes:
 		return &m.TrailingBytes
 	case EarlyClose:
 		return &m.EarlyClose
@@ -413,7 +413,7 @@
 }
 
 // hang counts how many troubles hold a box, so that the end of one does not end the others.
-func (p *FaultInjector) hang(boxes []*Server, t *Trouble, now float64) {
+func (p *FaultInjector) hang(boxes []*Server, t *Fault, now float64) {
 	for _, b := range boxes {
 		n := b.Spec.Number
 		p.hung[n]++
@@ -476,7 +476,7 @@
 	p.back(b, b.machine(), false, now)
 }
 
-func (p *FaultInjector) goAndReturn(boxes []*Server, t *Trouble, now float64, silent, moved bool) {
+func (p *FaultInjector) goAndReturn(boxes []*Server, t *Fault, now float64, silent, moved bool) {
 	for _, b := range boxes {
 		if !p.end(b, silent, now) {
 			continue
@@ -493,7 +493,7 @@
 	}
 }
 
-func (p *FaultInjector) loseSite(t *Trouble, now float64) {
+func (p *FaultInjector) loseSite(t *Fault, now float64) {
 	for i, site := range p.w.Day.Sites {
 		if site != t.Site {
 			continue
@@ -514,7 +514,7 @@
 }
 
 // shrink has boxes drain, and ends them after their notice.
-func (p *FaultInjector) shrink(boxes []*Server, t *Trouble, now float64) {
+func (p *FaultInjector) shrink(boxes []*Server, t *Fault, now float64) {
 	for _, b := range boxes {
 		if !b.IsAlive() {
 			continue
@@ -522,8 +522,8 @@
 		life := b.life
 		p.w.Discovery.ServerDraining(b.Spec.Number, now)
 		b.Drain()
-		p.later(now, t.DrainS, func(now float64) {
-			if b.life != life || !p.end(b, false, now) || t.ForS == 0 {
+		p.later(now, t.DrainSeconds, func(now float64) {
+			if b.life != life || !p.end(b, false, now) || t.DurationSeconds == 0 {
 				return
 			}
 			p.atEnd(t, now, func(now float64) { p.back(b, b.machine(), false, now) })
@@ -531,7 +531,7 @@
 	}
 }
 
-func (p *FaultInjector) resets(boxes []*Server, t *Trouble, now, until float64) {
+func (p *FaultInjector) resets(boxes []*Server, t *Fault, now, until float64) {
 	n := 0
 	var step func(now float64)
 	step = func(now float64) {
@@ -542,7 +542,7 @@
 		s := p.w.Day.Sidecars[n/len(boxes)%len(p.w.Day.Sidecars)]
 		n++
 		p.ground.Reset(s.IP, b.machine())
-		p.later(now, 1/t.PerS, step)
+		p.later(now, 1/t.RatePerSecond, step)
 	}
 	step(now)
 }
@@ -556,7 +556,7 @@
 	p.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: sidecar, Server: box})
 }
 
-func (p *FaultInjector) oneWay(boxes []*Server, t *Trouble, now float64) {
+func (p *FaultInjector) oneWay(boxes []*Server, t *Fault, now float64) {
 	sidecars := t.Sidecars
 	if len(sidecars) == 0 {
 		for i := range p.w.Day.Sidecars {
@@ -566,7 +566,7 @@
 	for _, b := range boxes {
 		for _, i := range sidecars {
 			from, to := p.w.Day.Sidecars[i].IP, b.machine()
-			if !t.ToBox {
+			if !t.ToServer {
 				from, to = to, from
 			}
 			c := &oneWayCut{sidecar: int32(i), ip: b.machine(), boxes: []int32{int32(b.Spec.Number)}}
@@ -589,7 +589,7 @@
 	}
 }
 
-func (p *FaultInjector) slowReaders(t *Trouble, now float64) {
+func (p *FaultInjector) slowReaders(t *Fault, now float64) {
 	for _, i := range t.Sidecars {
 		p.slow[i]++
 		p.ground.Stall(i, t.Share)
@@ -658,7 +658,7 @@
 
 // replace ends a box and begins another one at its address after a while. Danger: a sidecar that has not been told yet
 // means the old one; a box of another site there would have it break the rules of groups unwittingly.
-func (p *FaultInjector) replace(b *Server, t *Trouble, now float64) {
+func (p *FaultInjector) replace(b *Server, t *Fault, now float64) {
 	next := slices.IndexFunc(p.w.Servers, func(o *Server) bool {
 		return o.Spec.Number >= p.w.Day.InitialServers && o.lives == 0 && o.Spec.Site == b.Spec.Site && !p.taken[o.Spec.Number]
 	})
--- a/internal/environment/script_test.go
+++ b/internal/environment/script_test.go
@@ -19,7 +19,7 @@
 	for seed := range uint64(400) {
 		d := Draw(seed, r)
 		s := DrawScript(&d)
-		DrawPeerTroubles(&d, &s)
+		DrawPeerFaults(&d, &s)
 		text, err := s.Format()
 		require.NoError(t, err)
 		back, err := ReadScript("drawn.toml", text, r)
@@ -28,13 +28,13 @@
 		again := Draw(seed, r)
 		require.Equal(t, d, again)
 		drawnAgain := DrawScript(&again)
-		DrawPeerTroubles(&again, &drawnAgain)
+		DrawPeerFaults(&again, &drawnAgain)
 		require.Equal(t, s, drawnAgain)
-		for _, trouble := range s.Troubles {
+		for _, trouble := range s.Faults {
 			drawn[trouble.Kind] = true
 		}
 	}
-	assert.Len(t, drawn, len(Kinds()), "some kind is never drawn")
+	assert.Len(t, drawn, len(FaultKinds()), "some kind is never drawn")
 }
 
 // A bad script is one line that names the file, the line, the column and the field.
@@ -81,7 +81,7 @@
 	text := "seed = 1\n\n[[trouble]]\nkind = \"shrink\"\nat_s = 5.0\nby = 1\n"
 	s, err := ReadRealScript("x.toml", []byte(text), StandardRanges())
 	require.NoError(t, err)
-	assert.Equal(t, Trouble{Kind: Shrink, AtS: 5, By: 1}, s.Troubles[0])
+	assert.Equal(t, Fault{Kind: ScaleIn, AtSeconds: 5, SidecarCount: 1}, s.Faults[0])
 	text += "\n[[trouble]]\nkind = \"clock\"\nat_s = 5.0\nfor_s = 9.0\nsidecars = [0]\nrate = 0.97\n"
 	_, err = ReadRealScript("x.toml", []byte(text), StandardRanges())
 	assert.EqualError(t, err, "x.toml:9:1: kind: clock is played in simulated time alone: real processes share the machine's clock")
--- a/internal/environment/scriptfile.go
+++ b/internal/environment/scriptfile.go
@@ -29,8 +29,8 @@
 		e.Field = field // its line tells the table
 		return e
 	}
-	for i := range s.Troubles {
-		if field, why := s.Troubles[i].misshapen(func(field string) bool {
+	for i := range s.Faults {
+		if field, why := s.Faults[i].misshapen(func(field string) bool {
 			return read.Has(trouble(i) + field)
 		}); field != "" {
 			return nil, fault(trouble(i), field, why)
@@ -47,7 +47,7 @@
 }
 
 // Simulated returns why a trouble is played in simulated time alone; empty: it is played with real processes, too.
-func (t *Trouble) Simulated() string {
+func (t *Fault) WhyOnlySimulated() string {
 	switch t.Kind {
 	case Clock:
 		return "real processes share the machine's clock"
@@ -63,8 +63,8 @@
 	if err != nil {
 		return nil, err
 	}
-	for i := range s.Troubles {
-		why := s.Troubles[i].Simulated()
+	for i := range s.Faults {
+		why := s.Faults[i].WhyOnlySimulated()
 		if why == "" {
 			continue
 		}
@@ -72,7 +72,7 @@
 		if err != nil {
 			return nil, err
 		}
-		e := read.Fault(trouble(i)+"kind", s.Troubles[i].Kind+" is played in simulated time alone: "+why)
+		e := read.Fault(trouble(i)+"kind", s.Faults[i].Kind+" is played in simulated time alone: "+why)
 		e.Field = "kind"
 		return nil, e
 	}
@@ -82,13 +82,13 @@
 // fault returns the first trouble and field of a script that names what a day has not.
 func (s *Script) fault(d *Day) (i int, field, why string) {
 	come := 0
-	for i := range s.Troubles {
-		t := &s.Troubles[i]
+	for i := range s.Faults {
+		t := &s.Faults[i]
 		if field, why := t.fault(d); field != "" {
 			return i, field, why
 		}
-		if t.Kind == Grow {
-			if come += t.By; come >= len(d.Sidecars) {
+		if t.Kind == ScaleOut {
+			if come += t.SidecarCount; come >= len(d.Sidecars) {
 				return i, "by", fmt.Sprintf("the day has %d sidecars, and one must stand at its start", len(d.Sidecars))
 			}
 		}
@@ -98,13 +98,13 @@
 
 // tidy makes lists that are there and hold nothing the same as none.
 func (s *Script) tidy() {
-	if len(s.Troubles) == 0 {
-		s.Troubles = nil
+	if len(s.Faults) == 0 {
+		s.Faults = nil
 	}
-	for i := range s.Troubles {
-		t := &s.Troubles[i]
-		if len(t.Boxes) == 0 {
-			t.Boxes = nil
+	for i := range s.Faults {
+		t := &s.Faults[i]
+		if len(t.Servers) == 0 {
+			t.Servers = nil
 		}
 		for _, list := range []*[]int{&t.Sidecars, &t.From, &t.To} {
 			if len(*list) == 0 {
@@ -122,9 +122,9 @@
 	switch {
 	case s.Sidecars < 0 || s.Sidecars > int(r.Sidecars.Max):
 		return "sidecars", fmt.Sprintf("not between 0 and %d", int(r.Sidecars.Max))
-	case s.Boxes < 0 || s.Boxes > int(r.Boxes.Max):
+	case s.Servers < 0 || s.Servers > int(r.Boxes.Max):
 		return "boxes", fmt.Sprintf("not between 0 and %d", int(r.Boxes.Max))
-	case !(s.LengthS >= 0 && s.LengthS <= r.LengthS.Max):
+	case !(s.LengthSeconds >= 0 && s.LengthSeconds <= r.LengthS.Max):
 		return "length_s", fmt.Sprintf("not between 0 and %g", r.LengthS.Max)
 	}
 	return "", ""
@@ -141,17 +141,17 @@
 
 // misshapen returns the first field of a trouble that is missing, odd or not its kind's, with what is wrong. has tells
 // whether the text gives a field.
-func (t *Trouble) misshapen(has func(field string) bool) (field, why string) {
+func (t *Fault) misshapen(has func(field string) bool) (field, why string) {
 	k := kindOf(t.Kind, has)
 	if k == nil {
-		return "kind", fmt.Sprintf("%q is none of %s", t.Kind, strings.Join(Kinds(), ", "))
+		return "kind", fmt.Sprintf("%q is none of %s", t.Kind, strings.Join(FaultKinds(), ", "))
 	}
 	for _, f := range append([]string{"at_s"}, k.fields...) {
 		if !has(f) {
 			return f, "missing; " + t.Kind + " needs it"
 		}
 	}
-	v := reflect.TypeFor[Trouble]()
+	v := reflect.TypeFor[Fault]()
 	for i := range v.NumField() {
 		name, _, _ := strings.Cut(v.Field(i).Tag.Get("toml"), ",")
 		known := name == "kind" || name == "at_s" || slices.Contains(k.fields, name) || slices.Contains(k.may, name)
@@ -163,7 +163,7 @@
 	if t.Kind == PeerSlow {
 		perS = mostBytesPS
 	}
-	if t.Kind == Clock && !(t.Rate >= leastRate && t.Rate <= mostRate) {
+	if t.Kind == Clock && !(t.ClockRate >= leastRate && t.ClockRate <= mostRate) {
 		return "rate", fmt.Sprintf("not between %g and %g", leastRate, mostRate)
 	}
 	for _, f := range []struct {
@@ -171,8 +171,8 @@
 		v           float64
 		least, most float64
 	}{
-		{"at_s", t.AtS, 0, mostTroubleS}, {"for_s", t.ForS, 0, mostTroubleS}, {"share", t.Share, 0, 1}, {"per_s", t.PerS, 0, perS},
-		{"drain_s", t.DrainS, 0, mostTroubleS}, {"lag_s", t.LagS, 0, mostTroubleS},
+		{"at_s", t.AtSeconds, 0, mostTroubleS}, {"for_s", t.DurationSeconds, 0, mostTroubleS}, {"share", t.Share, 0, 1}, {"per_s", t.RatePerSecond, 0, perS},
+		{"drain_s", t.DrainSeconds, 0, mostTroubleS}, {"lag_s", t.DelaySeconds, 0, mostTroubleS},
 	} {
 		if !(f.v >= f.least && f.v <= f.most) || math.IsInf(f.v, 0) {
 			return f.name, fmt.Sprintf("not between %g and %g", f.least, f.most)
@@ -181,7 +181,7 @@
 	for _, f := range []struct {
 		name string
 		ok   bool
-	}{{"per_s", t.PerS > 0}, {"by", t.By > 0}, {"boxes", len(t.Boxes) > 0}, {"sidecars", len(t.Sidecars) > 0}, {"site", t.Site != ""}, {"from", len(t.From) > 0}} {
+	}{{"per_s", t.RatePerSecond > 0}, {"by", t.SidecarCount > 0}, {"boxes", len(t.Servers) > 0}, {"sidecars", len(t.Sidecars) > 0}, {"site", t.Site != ""}, {"from", len(t.From) > 0}} {
 		if slices.Contains(k.fields, f.name) && !f.ok {
 			return f.name, "empty"
 		}
@@ -190,8 +190,8 @@
 }
 
 // fault returns the first field of a trouble that names what a day has not.
-func (t *Trouble) fault(d *Day) (field, why string) {
-	for _, name := range t.Boxes {
+func (t *Fault) fault(d *Day) (field, why string) {
+	for _, name := range t.Servers {
 		if !slices.ContainsFunc(d.Servers, func(b ServerSpec) bool { return b.Name == name }) {
 			return "boxes", fmt.Sprintf("the day has no box %q", name)
 		}
@@ -206,7 +206,7 @@
 			}
 		}
 	}
-	if t.State != "" && t.State != Kept && t.State != Lost && t.State != Torn && t.State != Old {
+	if t.State != "" && t.State != StateKept && t.State != StateLost && t.State != StateTorn && t.State != StateOld {
 		return "state", fmt.Sprintf("%q is none of kept, lost, torn, old", t.State)
 	}
 	if t.Site != "" && !slices.Contains(d.Sites, t.Site) {
--- a/internal/environment/stored_form_test.go
+++ b/internal/environment/stored_form_test.go
@@ -29,13 +29,13 @@
 // completeScript returns a script whose fields are all set.
 func completeScript(t *testing.T) *Script {
 	t.Helper()
-	fault := Trouble{Kind: OneWay, AtS: 1.5, ForS: 2.5, Boxes: []string{"s-00000001"}, Site: "site-a", Sidecars: []int{1}, WithSidecars: true,
-		Silent: true, Share: 0.25, PerS: 3.5, DrainS: 4.5, LagS: 5.5, ToBox: true, From: []int{2}, To: []int{3}, OneWay: true, State: Torn, By: 4,
-		Rate: 1.03}
+	fault := Fault{Kind: OneWay, AtSeconds: 1.5, DurationSeconds: 2.5, Servers: []string{"s-00000001"}, Site: "site-a", Sidecars: []int{1}, WithSidecars: true,
+		Silent: true, Share: 0.25, RatePerSecond: 3.5, DrainSeconds: 4.5, DelaySeconds: 5.5, ToServer: true, From: []int{2}, To: []int{3}, OneWay: true, State: StateTorn, SidecarCount: 4,
+		ClockRate: 1.03}
 	for v, i := reflect.ValueOf(fault), 0; i < v.NumField(); i++ {
 		require.False(t, v.Field(i).IsZero(), v.Type().Field(i).Name)
 	}
-	return &Script{Seed: 1, Luck: 2, Sidecars: 3, Boxes: 4, LengthS: 45.5, Troubles: []Trouble{fault}}
+	return &Script{Seed: 1, NetworkSeed: 2, Sidecars: 3, Servers: 4, LengthSeconds: 45.5, Faults: []Fault{fault}}
 }
 
 // TestScriptFormIsKept writes a script as files hold it, and its fault as commands send and store it, and reads the fault back.
@@ -45,12 +45,12 @@
 	require.NoError(t, err)
 	requireGolden(t, "script.toml", text)
 
-	raw, err := json.MarshalIndent(s.Troubles, "", " ")
+	raw, err := json.MarshalIndent(s.Faults, "", " ")
 	require.NoError(t, err)
 	requireGolden(t, "faults.json", raw)
-	var read []Trouble
+	var read []Fault
 	require.NoError(t, json.Unmarshal(raw, &read))
-	require.Equal(t, s.Troubles, read)
+	require.Equal(t, s.Faults, read)
 }
 
 // TestConfigurationFormIsKept writes the configuration that a sidecar starts with.
--- a/internal/lab/processcluster/picture.go
+++ b/internal/lab/processcluster/picture.go
@@ -31,7 +31,7 @@
 		if !between {
 			continue
 		}
-		area, err := plotter.NewPolygon(plotter.XYs{{X: t.AtS, Y: 0}, {X: t.AtS + t.ForS, Y: 0}, {X: t.AtS + t.ForS, Y: p.Y.Max}, {X: t.AtS, Y: p.Y.Max}})
+		area, err := plotter.NewPolygon(plotter.XYs{{X: t.AtSeconds, Y: 0}, {X: t.AtSeconds + t.DurationSeconds, Y: 0}, {X: t.AtSeconds + t.DurationSeconds, Y: p.Y.Max}, {X: t.AtSeconds, Y: p.Y.Max}})
 		if err != nil {
 			return err
 		}
--- a/internal/lab/processcluster/trials.go
+++ b/internal/lab/processcluster/trials.go
@@ -114,7 +114,7 @@
 		case <-ctx.Done():
 			return
 		}
-		over := began.Add(time.Duration((trouble.ForS + 0.2) * float64(time.Second)))
+		over := began.Add(time.Duration((trouble.DurationSeconds + 0.2) * float64(time.Second)))
 		hitOwner := slices.Contains(victims, before.owner)
 		after, ok := t.await(ctx, victims, over, func(w whole) bool { return !hitOwner || w.token > before.token })
 		if !ok { // too short to move anything, or whom it hit holds or leads again
@@ -125,7 +125,7 @@
 			t.lost(ctx, "trial %d, %s of the %s (%s): no next owner is known to all", len(t.trials)+1, trouble.Kind, who, t.mates[victims[0]].name)
 			return
 		}
-		t.trials = append(t.trials, Trial{What: trouble.Kind, Who: who, AtS: trouble.AtS, Moved: after.token > before.token, KnownS: known})
+		t.trials = append(t.trials, Trial{What: trouble.Kind, Who: who, AtS: trouble.AtSeconds, Moved: after.token > before.token, KnownS: known})
 		rest(ctx, time.Until(over))
 	}
 }
@@ -141,7 +141,7 @@
 }
 
 // drawTrial draws what is taken away, and how. Danger: where all leases outlive the trouble nothing is tried; most last for longer.
-func (t *Troupe) drawTrial(rng *rand.Rand, w whole) (trouble environment.Trouble, victims []int, who string) {
+func (t *Troupe) drawTrial(rng *rand.Rand, w whole) (trouble environment.Fault, victims []int, who string) {
 	switch x := rng.IntN(10); {
 	case w.owner == w.leader:
 		victims, who = []int{w.owner}, "owner that leads"
@@ -152,15 +152,15 @@
 	default:
 		victims, who = []int{w.owner, w.leader}, "owner and leader"
 	}
-	trouble.ForS = 2.5 + 3*rng.Float64()
+	trouble.DurationSeconds = 2.5 + 3*rng.Float64()
 	if rng.IntN(8) == 0 {
-		trouble.ForS = 0.2 + 2*rng.Float64()
+		trouble.DurationSeconds = 0.2 + 2*rng.Float64()
 	}
 	switch rng.IntN(6) {
 	case 0, 1:
-		trouble.Kind, trouble.Sidecars = environment.Freeze, victims
+		trouble.Kind, trouble.Sidecars = environment.Suspend, victims
 	case 2, 3:
-		trouble.Kind, trouble.Sidecars, trouble.State = environment.SidecarKill, victims, environment.Kept
+		trouble.Kind, trouble.Sidecars, trouble.State = environment.SidecarKill, victims, environment.StateKept
 	default:
 		trouble.Kind = []string{environment.PeerCut, environment.PeerHold}[rng.IntN(2)]
 		var rest []int
--- a/internal/lab/processcluster/troupe.go
+++ b/internal/lab/processcluster/troupe.go
@@ -48,22 +48,22 @@
 
 // Report is what came of it.
 type Report struct {
-	Sidecars  int                   `json:"sidecars"`
-	Seed      uint64                `json:"seed"`
-	ForS      float64               `json:"for_s"`
-	Troubles  []environment.Trouble `json:"troubles,omitempty"`
-	Broken    int                   `json:"broken"`
-	Findings  []Finding             `json:"findings,omitempty"`
-	Service   float64               `json:"service"`
-	LateS     float64               `json:"loop_late_s"`        // how late the laboratory's own loop was at most
-	PeerBytes float64               `json:"peer_bytes_per_s"`   // of a sidecar
-	AgreedS   []float64             `json:"agreed_s,omitempty"` // after each calm's begin, until all held what was so
-	KnownS    []float64             `json:"known_s,omitempty"`  // of each process that was killed or stood still, until all others knew
-	Rounds    []Round               `json:"rounds,omitempty"`
-	Owned     *Owned                `json:"owned,omitempty"`
-	Worked    *Worked               `json:"worked,omitempty"`
-	Trials    []Trial               `json:"trials,omitempty"`
-	Views     int                   `json:"views"` // that were asked for and came
+	Sidecars  int                 `json:"sidecars"`
+	Seed      uint64              `json:"seed"`
+	ForS      float64             `json:"for_s"`
+	Troubles  []environment.Fault `json:"troubles,omitempty"`
+	Broken    int                 `json:"broken"`
+	Findings  []Finding           `json:"findings,omitempty"`
+	Service   float64             `json:"service"`
+	LateS     float64             `json:"loop_late_s"`        // how late the laboratory's own loop was at most
+	PeerBytes float64             `json:"peer_bytes_per_s"`   // of a sidecar
+	AgreedS   []float64           `json:"agreed_s,omitempty"` // after each calm's begin, until all held what was so
+	KnownS    []float64           `json:"known_s,omitempty"`  // of each process that was killed or stood still, until all others knew
+	Rounds    []Round             `json:"rounds,omitempty"`
+	Owned     *Owned              `json:"owned,omitempty"`
+	Worked    *Worked             `json:"worked,omitempty"`
+	Trials    []Trial             `json:"trials,omitempty"`
+	Views     int                 `json:"views"` // that were asked for and came
 }
 
 // Finding is one break of a rule.
@@ -112,15 +112,15 @@
 		part := d
 		part.Seed, part.LengthS = s.Seed*1_000_003+uint64(from), min(lotS-20, d.LengthS)
 		lot := environment.DrawScript(&part)
-		environment.DrawPeerTroubles(&part, &lot)
-		for _, t := range lot.Troubles {
+		environment.DrawPeerFaults(&part, &lot)
+		for _, t := range lot.Faults {
 			// Discovery moves a few times a day at the most.
-			if t.AtS += from; t.Kind != environment.Reload && t.Simulated() == "" {
-				t.ForS = min(t.ForS, from+part.LengthS-t.AtS)
-				if len(s.Jobs) > 0 && t.State == environment.Torn && int(t.AtS*1000)%2 == 0 {
-					t.State = environment.Old
+			if t.AtSeconds += from; t.Kind != environment.Reload && t.WhyOnlySimulated() == "" {
+				t.DurationSeconds = min(t.DurationSeconds, from+part.LengthS-t.AtSeconds)
+				if len(s.Jobs) > 0 && t.State == environment.StateTorn && int(t.AtSeconds*1000)%2 == 0 {
+					t.State = environment.StateOld
 				}
-				all.AddPeer(t, &d)
+				all.AddPeerFault(t, &d)
 			}
 		}
 	}
@@ -226,7 +226,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Sidecars: len(t.mates), Seed: s.Seed, ForS: s.For.Seconds(), Troubles: script.Troubles, Broken: p.Judge.ViolationCount() + t.broken, Findings: t.wrong,
+	r := &Report{Sidecars: len(t.mates), Seed: s.Seed, ForS: s.For.Seconds(), Troubles: script.Faults, Broken: p.Judge.ViolationCount() + t.broken, Findings: t.wrong,
 		Service: p.Judge.Report().Service, LateS: p.Late(), AgreedS: t.agreedS, KnownS: t.known, Views: t.views, Rounds: t.rounds, Trials: t.trials}
 	if t.jobs != nil {
 		r.Owned = t.jobs.owned()
@@ -429,11 +429,11 @@
 		return // it has kept nothing yet
 	}
 	switch old := t.mates[sidecar].older; {
-	case state == environment.Lost:
+	case state == environment.StateLost:
 		_ = os.Remove(file) // the next process tells what it finds
-	case state == environment.Old && old != nil:
+	case state == environment.StateOld && old != nil:
 		_ = os.WriteFile(file, old, 0o600)
-	case state == environment.Torn:
+	case state == environment.StateTorn:
 		_ = os.WriteFile(file, raw[:len(raw)/2], 0o600)
 	}
 }
--- a/internal/lab/processcluster/workpicture.go
+++ b/internal/lab/processcluster/workpicture.go
@@ -51,10 +51,10 @@
 		return area, err
 	}
 	for _, t := range r.Troubles {
-		if t.Kind == environment.Reload || t.AtS > p.X.Max {
+		if t.Kind == environment.Reload || t.AtSeconds > p.X.Max {
 			continue
 		}
-		area, err := box(t.AtS, min(t.AtS+max(t.ForS, 0.3), p.X.Max), p.Y.Min, float64(len(boxes))-0.4, color.RGBA{255, 235, 238, 255})
+		area, err := box(t.AtSeconds, min(t.AtSeconds+max(t.DurationSeconds, 0.3), p.X.Max), p.Y.Min, float64(len(boxes))-0.4, color.RGBA{255, 235, 238, 255})
 		if err != nil {
 			return err
 		}
--- a/internal/lab/realtime/demo.go
+++ b/internal/lab/realtime/demo.go
@@ -40,16 +40,16 @@
 			hanging = append(hanging, b.Name)
 		}
 	}
-	return environment.Script{Seed: d.Seed, Troubles: []environment.Trouble{
-		{Kind: environment.Hang, AtS: 1.5, ForS: 2, Boxes: hanging},
-		{Kind: environment.SiteLoss, AtS: 4, ForS: 1.5, Site: d.Sites[home]},
+	return environment.Script{Seed: d.Seed, Faults: []environment.Fault{
+		{Kind: environment.Hang, AtSeconds: 1.5, DurationSeconds: 2, Servers: hanging},
+		{Kind: environment.SiteLoss, AtSeconds: 4, DurationSeconds: 1.5, Site: d.Sites[home]},
 	}}
 }
 
 // tells say what the demo's troubles are.
-func tells(t *environment.Trouble) (begins, ends string) {
+func tells(t *environment.Fault) (begins, ends string) {
 	if t.Kind == environment.Hang {
-		return fmt.Sprintf("%d boxes hang: they take work and answer nothing", len(t.Boxes)), "they answer again"
+		return fmt.Sprintf("%d boxes hang: they take work and answer nothing", len(t.Servers)), "they answer again"
 	}
 	return fmt.Sprintf("%s is lost, with all its boxes", t.Site), t.Site + " returns, its boxes cold"
 }
@@ -72,11 +72,11 @@
 		}
 	}
 	s.Started = func(p *Play) {
-		for i := range script.Troubles {
-			t := &script.Troubles[i]
+		for i := range script.Faults {
+			t := &script.Faults[i]
 			begins, ends := tells(t)
-			p.ground.At(p.Day.Start+t.AtS, func() { board.Hangs(t.Boxes, true); note(p, begins) })
-			p.ground.At(p.Day.Start+t.AtS+t.ForS, func() { board.Hangs(t.Boxes, false); note(p, ends) })
+			p.ground.At(p.Day.Start+t.AtSeconds, func() { board.Hangs(t.Servers, true); note(p, begins) })
+			p.ground.At(p.Day.Start+t.AtSeconds+t.DurationSeconds, func() { board.Hangs(t.Servers, false); note(p, ends) })
 		}
 		every := time.Second
 		if d.Screen {
@@ -115,10 +115,10 @@
 	}
 	fmt.Fprintf(d.Out, "%.2f %% of the worth that was asked for was served in time; %d executions, %d probes, %d connections to boxes\n",
 		100*r.Service, r.Costs.Attempts, r.Costs.HealthChecks, r.Costs.Connections)
-	for i := range p.settings.Script.Troubles {
-		t := &p.settings.Script.Troubles[i]
+	for i := range p.settings.Script.Faults {
+		t := &p.settings.Script.Faults[i]
 		begins, _ := tells(t)
-		fmt.Fprintf(d.Out, "%s (for %.1f s): service as before %.1f s after\n", begins, t.ForS, board.Back(p.Day.Start+t.AtS))
+		fmt.Fprintf(d.Out, "%s (for %.1f s): service as before %.1f s after\n", begins, t.DurationSeconds, board.Back(p.Day.Start+t.AtSeconds))
 	}
 	if p.Late() > BusyS {
 		fmt.Fprintf(d.Out, "the machine was too busy for real time: the world was up to %.0f ms late\n", 1000*p.Late())
--- a/internal/lab/realtime/live.go
+++ b/internal/lab/realtime/live.go
@@ -139,7 +139,7 @@
 
 // begin begins what stands at the day's start, and arranges the troubles and the end.
 func (p *Play) begin(ctx context.Context) {
-	standing := len(p.Day.Sidecars) - p.settings.Script.StandBy()
+	standing := len(p.Day.Sidecars) - p.settings.Script.StandbySidecars()
 	for i, s := range p.sidecars {
 		if i >= standing {
 			s.ctx, s.waits = ctx, true
@@ -196,10 +196,10 @@
 }
 
 // TroubleNow has a trouble begin at once. An error says what is wrong with it, and that it has not begun.
-func (p *Play) TroubleNow(t environment.Trouble) error {
+func (p *Play) TroubleNow(t environment.Fault) error {
 	// What a script's file may say is checked where files are read.
 	s := p.settings.Script
-	s.Troubles = []environment.Trouble{t}
+	s.Faults = []environment.Fault{t}
 	text, err := s.Format()
 	if err != nil {
 		return err
@@ -215,9 +215,9 @@
 }
 
 // Befall has a trouble begin at once that makes sense for this play.
-func (p *Play) Befall(t environment.Trouble) error {
-	t.AtS = p.Now() - p.Day.Start
-	if err := p.Trouble(&environment.Script{Seed: p.Day.Seed, Troubles: []environment.Trouble{t}}); err != nil {
+func (p *Play) Befall(t environment.Fault) error {
+	t.AtSeconds = p.Now() - p.Day.Start
+	if err := p.Trouble(&environment.Script{Seed: p.Day.Seed, Faults: []environment.Fault{t}}); err != nil {
 		return err
 	}
 	p.schedule(p.players[len(p.players)-1])
--- a/internal/lab/realtime/live_test.go
+++ b/internal/lab/realtime/live_test.go
@@ -82,9 +82,9 @@
 // A day in real time and the same day in simulated time agree on what was asked, on how much of it was served, and on who
 // got which request, as far as chance lets them: no more than two simulated days differ whose chance differs.
 func TestAgreesWithSimulatedTime(t *testing.T) {
-	s := environment.Script{Seed: 11, Sidecars: 3, Boxes: 9, LengthS: 8}
+	s := environment.Script{Seed: 11, Sidecars: 3, Servers: 9, LengthSeconds: 8}
 	d := s.Day(environment.StandardRanges())
-	s.Troubles = []environment.Trouble{{Kind: environment.Hang, AtS: 3, ForS: 3, Boxes: []string{d.Servers[0].Name, d.Servers[4].Name}}}
+	s.Faults = []environment.Fault{{Kind: environment.Hang, AtSeconds: 3, DurationSeconds: 3, Servers: []string{d.Servers[0].Name, d.Servers[4].Name}}}
 	binary := built(t)
 	played, b := simulated(t, s)
 	for try := 1; ; try++ {
--- a/internal/lab/realtime/serve.go
+++ b/internal/lab/realtime/serve.go
@@ -69,16 +69,16 @@
 func (p *Play) control() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /trouble", func(w http.ResponseWriter, r *http.Request) {
-		var t environment.Trouble
+		var t environment.Fault
 		if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		done := make(chan error, 1)
 		p.Post(func() {
-			for i, name := range t.Boxes {
+			for i, name := range t.Servers {
 				if n, err := strconv.Atoi(name); err == nil && n >= 0 && n < len(p.Day.Servers) {
-					t.Boxes[i] = p.Day.Servers[n].Name
+					t.Servers[i] = p.Day.Servers[n].Name
 				}
 			}
 			done <- p.TroubleNow(t)
--- a/internal/sim/ground.go
+++ b/internal/sim/ground.go
@@ -83,7 +83,7 @@
 
 // begin starts all that stands at the day's beginning.
 func (d *day) begin() error {
-	standing := len(d.sidecars) - d.script.StandBy()
+	standing := len(d.sidecars) - d.script.StandbySidecars()
 	waits := map[string]bool{} // looked up, never walked
 	for _, s := range d.sidecars[standing:] {
 		waits[s.spec.IP] = true
--- a/internal/sim/lists.go
+++ b/internal/sim/lists.go
@@ -52,9 +52,9 @@
 }
 
 // Releases are the troubles of a quiet day: one box after the other drains, ends and begins again.
-func Releases(d environment.Day) (all []environment.Trouble) {
+func Releases(d environment.Day) (all []environment.Fault) {
 	for i, at := 0, settledS+1; at < d.LengthS-10; i, at = i+1, at+2.5 {
-		all = append(all, environment.Trouble{Kind: environment.Shrink, AtS: at, ForS: 4, DrainS: 1.5, Boxes: []string{d.Servers[i%d.InitialServers].Name}})
+		all = append(all, environment.Fault{Kind: environment.ScaleIn, AtSeconds: at, DurationSeconds: 4, DrainSeconds: 1.5, Servers: []string{d.Servers[i%d.InitialServers].Name}})
 	}
 	return all
 }
--- a/internal/sim/owners_test.go
+++ b/internal/sim/owners_test.go
@@ -28,7 +28,7 @@
 	play := func(together Together) (w ListWitness) {
 		o := Options{Together: together, Sidecars: 12, Watch: &w}
 		s := o.DrawScript(1)
-		s.Troubles = Releases(s.Day(o.Ranges()))
+		s.Faults = Releases(s.Day(o.Ranges()))
 		r, err := Play(s, o)
 		require.NoError(t, err)
 		assert.Empty(t, r.Findings)
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -303,14 +303,14 @@
 // Spoil changes what a sidecar's disk holds.
 func (d *day) Spoil(sidecar int, state string) {
 	s := d.sidecars[sidecar]
-	s.spoilt = s.spoilt || state != environment.Kept
-	if d.owners && state == environment.Torn && s.lives%2 == 0 {
-		state = environment.Old
+	s.spoilt = s.spoilt || state != environment.StateKept
+	if d.owners && state == environment.StateTorn && s.lives%2 == 0 {
+		state = environment.StateOld
 	}
 	switch {
-	case state == environment.Lost:
+	case state == environment.StateLost:
 		s.saved = coordination.SavedState{}
-	case state == environment.Old:
+	case state == environment.StateOld:
 		if len(s.older) > 0 && s.older[0] != nil {
 			s.saved = coordination.SavedState{Data: s.older[0], IsCopy: true}
 		}
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -42,14 +42,14 @@
 
 // breaks plays a script, with one luck after another, and tells when it breaks the rule.
 func (h *shrinker) breaks(s *environment.Script) (at float64, ok bool) {
-	luck := s.Luck
+	luck := s.NetworkSeed
 	for i := range uint64(lucks) {
 		if h.budget <= 0 {
 			return 0, false
 		}
 		h.budget--
 		h.played++
-		s.Luck = luck + i
+		s.NetworkSeed = luck + i
 		r, err := Play(*s, h.o)
 		if err != nil {
 			return 0, false // what it names may have been left out
@@ -77,9 +77,9 @@
 
 // size tells how much a script holds; a round that leaves it as it was is the last.
 func (h *shrinker) size() int {
-	n := len(h.best.Troubles)
-	for _, t := range h.best.Troubles {
-		n += len(t.Boxes) + len(t.Sidecars)
+	n := len(h.best.Faults)
+	for _, t := range h.best.Faults {
+		n += len(t.Servers) + len(t.Sidecars)
 	}
 	d := h.best.Day(h.o.Ranges())
 	return n + len(d.Sidecars) + d.InitialServers + int(d.LengthS)
@@ -87,10 +87,10 @@
 
 // round tries each kind of leaving out once.
 func (h *shrinker) round() {
-	for step := max(len(h.best.Troubles)/2, 1); step > 0; step /= 2 {
-		for from := 0; from < len(h.best.Troubles); {
+	for step := max(len(h.best.Faults)/2, 1); step > 0; step /= 2 {
+		for from := 0; from < len(h.best.Faults); {
 			s := copyOf(h.best)
-			s.Troubles = slices.Delete(s.Troubles, from, min(from+step, len(s.Troubles)))
+			s.Faults = slices.Delete(s.Faults, from, min(from+step, len(s.Faults)))
 			if !h.try(s) {
 				from += step
 			}
@@ -100,11 +100,11 @@
 	h.fewer(func(s *environment.Script) int { d := s.Day(h.o.Ranges()); return len(d.Sidecars) },
 		func(s *environment.Script, n int) { s.Sidecars = n })
 	h.fewer(func(s *environment.Script) int { d := s.Day(h.o.Ranges()); return d.InitialServers },
-		func(s *environment.Script, n int) { s.Boxes = n })
-	for i := range h.best.Troubles {
-		for k := 0; k < len(h.best.Troubles[i].Boxes) && len(h.best.Troubles[i].Boxes) > 1; {
+		func(s *environment.Script, n int) { s.Servers = n })
+	for i := range h.best.Faults {
+		for k := 0; k < len(h.best.Faults[i].Servers) && len(h.best.Faults[i].Servers) > 1; {
 			s := copyOf(h.best)
-			s.Troubles[i].Boxes = slices.Delete(s.Troubles[i].Boxes, k, k+1)
+			s.Faults[i].Servers = slices.Delete(s.Faults[i].Servers, k, k+1)
 			if !h.try(s) {
 				k++
 			}
@@ -118,7 +118,7 @@
 	for _, more := range []float64{0.5, 2, 5} {
 		if length := float64(int(h.at + more + 1)); length < d.LengthS {
 			s := copyOf(h.best)
-			s.LengthS = length
+			s.LengthSeconds = length
 			if h.try(s) {
 				return
 			}
@@ -144,9 +144,9 @@
 }
 
 func copyOf(s environment.Script) environment.Script {
-	s.Troubles = slices.Clone(s.Troubles)
-	for i := range s.Troubles {
-		s.Troubles[i].Boxes = slices.Clone(s.Troubles[i].Boxes)
+	s.Faults = slices.Clone(s.Faults)
+	for i := range s.Faults {
+		s.Faults[i].Servers = slices.Clone(s.Faults[i].Servers)
 	}
 	return s
 }
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -132,12 +132,12 @@
 	d := environment.Draw(seed, o.Ranges())
 	s := environment.DrawScript(&d)
 	if o.together(seed) || o.Together == TogetherApart {
-		environment.DrawPeerTroubles(&d, &s)
+		environment.DrawPeerFaults(&d, &s)
 	}
 	if o.Together == TogetherWorks {
 		environment.DrawLags(&d, &s)
 		// What is left of the day is for plans to go on.
-		s.Troubles = slices.DeleteFunc(s.Troubles, func(t environment.Trouble) bool { return t.AtS > 0.7*d.LengthS })
+		s.Faults = slices.DeleteFunc(s.Faults, func(t environment.Fault) bool { return t.AtSeconds > 0.7*d.LengthS })
 	}
 	return s
 }
@@ -151,7 +151,7 @@
 // Play plays a script from its beginning to its end. An error means that the day could not be played.
 func Play(s environment.Script, o Options) (*Result, error) {
 	if o.Quiet {
-		s.Troubles = nil
+		s.Faults = nil
 	}
 	d, err := newDay(s, o)
 	if err != nil {
@@ -220,12 +220,12 @@
 	if o.Boxes > 0 { // Danger: with as much more to do, loops whose calls take as long as ever never catch up
 		d.weather.callS *= usualBoxes / float64(o.Boxes)
 	}
-	d.net = virtual.New(s.Seed^s.Luck*0x9e3779b97f4a7c15, d.spec.Start)
+	d.net = virtual.New(s.Seed^s.NetworkSeed*0x9e3779b97f4a7c15, d.spec.Start)
 	d.net.SplitProbability = d.weather.cutShare
 	rules := d.spec.Rules()
 	// A loop that stands still may miss a deadline, and one whose clock runs slow finds it over late.
 	rules.RequiresAnswerInTime = d.weather.everyS == 0 &&
-		!slices.ContainsFunc(s.Troubles, func(t environment.Trouble) bool { return t.Kind == environment.Freeze || t.Kind == environment.Clock })
+		!slices.ContainsFunc(s.Faults, func(t environment.Fault) bool { return t.Kind == environment.Suspend || t.Kind == environment.Clock })
 	switch {
 	case d.owners:
 		rules.MaxPollIntervalSeconds = math.Inf(1)
@@ -309,9 +309,9 @@
 // ceased.
 func (d *day) lastComingS() float64 {
 	last := d.spec.LengthS
-	for _, t := range d.script.Troubles {
+	for _, t := range d.script.Faults {
 		if t.Kind == environment.BadClients || t.Kind == environment.SilentFlood {
-			last = max(last, t.AtS+t.ForS)
+			last = max(last, t.AtSeconds+t.DurationSeconds)
 		}
 	}
 	return last
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -69,7 +69,7 @@
 	t.Parallel()
 	lines := 0
 	short := Options{}.DrawScript(3)
-	short.LengthS = 15
+	short.LengthSeconds = 15
 	traced, err := Play(short, Options{Trace: func(float64, string) { lines++ }})
 	require.NoError(t, err)
 	plain, err := Play(short, Options{})
@@ -85,7 +85,7 @@
 		var tally Tally
 		for seed := range uint64(3) {
 			s := Options{}.DrawScript(seed + 1)
-			s.LengthS = 15
+			s.LengthSeconds = 15
 			r, err := Play(s, Options{Core: c, Quiet: true})
 			require.NoError(t, err)
 			tally.Add(r)
@@ -103,8 +103,8 @@
 func TestShrink(t *testing.T) {
 	t.Parallel()
 	s := Options{}.DrawScript(5)
-	s.LengthS = 20
-	require.NotEmpty(t, s.Troubles)
+	s.LengthSeconds = 20
+	require.NotEmpty(t, s.Faults)
 	o := Options{Core: Plain(Random)} // it sends to whom it should not
 	r, err := Play(s, o)
 	require.NoError(t, err)
--- a/internal/sim/speech_test.go
+++ b/internal/sim/speech_test.go
@@ -14,8 +14,8 @@
 	t.Parallel()
 	play := func(seed uint64, speech environment.Protocol) *Result {
 		s := Options{}.DrawScript(seed)
-		require.NotEmpty(t, s.Troubles)
-		s.LengthS = 20
+		require.NotEmpty(t, s.Faults)
+		s.LengthSeconds = 20
 		r, err := Play(s, Options{Speech: speech})
 		require.NoError(t, err)
 		for _, f := range r.Findings {
--- a/internal/sim/stored_form_test.go
+++ b/internal/sim/stored_form_test.go
@@ -50,7 +50,7 @@
 	require.NoError(t, err)
 	s, err := environment.ReadScript(file, raw, environment.StandardRanges())
 	require.NoError(t, err)
-	s.LengthS, s.Troubles = 3, nil
+	s.LengthSeconds, s.Faults = 3, nil
 	text.Reset()
 	lines := 0
 	_, err = Play(*s, Options{Trace: func(at float64, line string) {
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/troubles_test.go
@@ -23,36 +23,36 @@
 		}
 		return of
 	}
-	kill := environment.Trouble{Kind: environment.SidecarKill, AtS: at + 1, ForS: 0.5, Sidecars: []int{0}}
+	kill := environment.Fault{Kind: environment.SidecarKill, AtSeconds: at + 1, DurationSeconds: 0.5, Sidecars: []int{0}}
 	for _, c := range []struct {
 		name   string
-		with   []environment.Trouble
-		beside []environment.Trouble
+		with   []environment.Fault
+		beside []environment.Fault
 		does   func(d *day) bool
 	}{
-		{"peer-slow", []environment.Trouble{{Kind: environment.PeerSlow, AtS: at, ForS: 4, From: []int{0}, PerS: 10}}, nil, func(d *day) bool {
+		{"peer-slow", []environment.Fault{{Kind: environment.PeerSlow, AtSeconds: at, DurationSeconds: 4, From: []int{0}, RatePerSecond: 10}}, nil, func(d *day) bool {
 			return d.sidecars[0].fleet.Status(0).View.Accusations > 0
 		}},
-		{"disk-full", []environment.Trouble{{Kind: environment.DiskFull, AtS: at, ForS: 5, Sidecars: []int{0}}}, []environment.Trouble{kill}, func(d *day) bool {
+		{"disk-full", []environment.Fault{{Kind: environment.DiskFull, AtSeconds: at, DurationSeconds: 5, Sidecars: []int{0}}}, []environment.Fault{kill}, func(d *day) bool {
 			return !d.sidecars[0].fleet.Status(0).IdentityStored
 		}},
-		{"clock", []environment.Trouble{{Kind: environment.Clock, AtS: at, ForS: 10, Sidecars: []int{0}, Rate: 1.05}}, nil, func(d *day) bool {
+		{"clock", []environment.Fault{{Kind: environment.Clock, AtSeconds: at, DurationSeconds: 10, Sidecars: []int{0}, ClockRate: 1.05}}, nil, func(d *day) bool {
 			ahead := d.sidecars[0].proc.Now() - d.net.Now()
 			return ahead > 0.49 && ahead < 0.51
 		}},
-		{"grow", []environment.Trouble{{Kind: environment.Grow, AtS: at, By: 1}}, nil, func(d *day) bool {
+		{"grow", []environment.Fault{{Kind: environment.ScaleOut, AtSeconds: at, SidecarCount: 1}}, nil, func(d *day) bool {
 			return last(d).upAt >= d.spec.Start+at && seen(d) == "alive"
 		}},
-		{"shrink", []environment.Trouble{{Kind: environment.Shrink, AtS: at, By: 1}}, nil, func(d *day) bool {
+		{"shrink", []environment.Fault{{Kind: environment.ScaleIn, AtSeconds: at, SidecarCount: 1}}, nil, func(d *day) bool {
 			return !last(d).proc.IsRunning() && seen(d) == "left"
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for _, on := range []bool{true, false} {
-				s := environment.Script{Seed: seed, LengthS: 20, Troubles: c.beside}
+				s := environment.Script{Seed: seed, LengthSeconds: 20, Faults: c.beside}
 				if on {
-					s.Troubles = append(c.with, c.beside...)
+					s.Faults = append(c.with, c.beside...)
 				}
 				d, err := newDay(s, Options{Together: TogetherAll})
 				require.NoError(t, err)
@@ -108,33 +108,33 @@
 	}
 	for _, c := range []struct {
 		name   string
-		with   environment.Trouble
-		beside []environment.Trouble
+		with   environment.Fault
+		beside []environment.Fault
 		does   func(c *tally) bool
 	}{
-		{"silent-watch", environment.Trouble{Kind: environment.SilentWatch, AtS: at}, nil, func(c *tally) bool {
+		{"silent-watch", environment.Fault{Kind: environment.SilentWatch, AtSeconds: at}, nil, func(c *tally) bool {
 			return c.kinds[checker.WatchStalled] == len(d.Sidecars) && c.kinds[checker.WatchOpened] == 2*len(d.Sidecars)
 		}},
-		{"watch-reset", environment.Trouble{Kind: environment.WatchReset, AtS: at}, nil, func(c *tally) bool {
+		{"watch-reset", environment.Fault{Kind: environment.WatchReset, AtSeconds: at}, nil, func(c *tally) bool {
 			return c.kinds[checker.WatchClosed] == len(d.Sidecars) && c.kinds[checker.WatchOpened] == 2*len(d.Sidecars)
 		}},
-		{"whole-list", environment.Trouble{Kind: environment.WholeList, AtS: at, ForS: 10},
-			[]environment.Trouble{{Kind: environment.Shrink, AtS: at, DrainS: 14, Boxes: boxes[:2]}, {Kind: environment.WatchReset, AtS: at + 4}}, func(c *tally) bool {
+		{"whole-list", environment.Fault{Kind: environment.FullList, AtSeconds: at, DurationSeconds: 10},
+			[]environment.Fault{{Kind: environment.ScaleIn, AtSeconds: at, DrainSeconds: 14, Servers: boxes[:2]}, {Kind: environment.WatchReset, AtSeconds: at + 4}}, func(c *tally) bool {
 				return c.leftOut == 2*len(d.Sidecars)
 			}},
-		{"clients-leave", environment.Trouble{Kind: environment.ClientsLeave, AtS: at, ForS: 10, Sidecars: []int{0, 1}, Share: 0.5}, nil, func(c *tally) bool {
+		{"clients-leave", environment.Fault{Kind: environment.ClientsLeave, AtSeconds: at, DurationSeconds: 10, Sidecars: []int{0, 1}, Share: 0.5}, nil, func(c *tally) bool {
 			return c.early > 10 && c.kinds[checker.RequestHalfClosed] > 5
 		}},
-		{"late-connect", environment.Trouble{Kind: environment.LateConnect, AtS: at, ForS: 10, Boxes: boxes, Share: 0.5, LagS: 1.5},
-			[]environment.Trouble{{Kind: environment.EarlyClose, AtS: at, ForS: 10, Boxes: boxes, Share: 0.2}}, func(c *tally) bool { return c.notInTime > 10 }},
-		{"early-close", environment.Trouble{Kind: environment.EarlyClose, AtS: at, ForS: 10, Boxes: boxes, Share: 0.2}, nil, func(c *tally) bool { return c.byBoxes > 100 }},
+		{"late-connect", environment.Fault{Kind: environment.LateConnect, AtSeconds: at, DurationSeconds: 10, Servers: boxes, Share: 0.5, DelaySeconds: 1.5},
+			[]environment.Fault{{Kind: environment.EarlyClose, AtSeconds: at, DurationSeconds: 10, Servers: boxes, Share: 0.2}}, func(c *tally) bool { return c.notInTime > 10 }},
+		{"early-close", environment.Fault{Kind: environment.EarlyClose, AtSeconds: at, DurationSeconds: 10, Servers: boxes, Share: 0.2}, nil, func(c *tally) bool { return c.byBoxes > 100 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for _, on := range []bool{true, false} {
-				s := environment.Script{Seed: seed, LengthS: 20, Troubles: c.beside}
+				s := environment.Script{Seed: seed, LengthSeconds: 20, Faults: c.beside}
 				if on {
-					s.Troubles = append([]environment.Trouble{c.with}, c.beside...)
+					s.Faults = append([]environment.Fault{c.with}, c.beside...)
 				}
 				seen := &tally{kinds: map[checker.Kind]int{}, drains: map[int32]bool{}}
 				o := o
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -205,7 +205,7 @@
 		for i := range boxes / 5 {
 			names = append(names, d.Servers[i*5].Name)
 		}
-		s.Troubles = []environment.Trouble{{Kind: environment.Hang, AtS: weighAtS + 20, ForS: 40, Boxes: names}}
+		s.Faults = []environment.Fault{{Kind: environment.Hang, AtSeconds: weighAtS + 20, DurationSeconds: 40, Servers: names}}
 	}
 	m := &meter{classes: d.Rules().Classes, first: map[uint64]*asked{}, start: d.Start}
 	o.Watch = m
