--- a/internal/environment/ground.go
+++ b/internal/environment/ground.go
@@ -5,7 +5,7 @@
 // Ground is what machines, processes and paths stand on, in simulated time a network of its own. Troubles that are
 // none of the actors' are done to it. A machine is named by its IP; a sidecar and its application share one, and what
 // is said of a sidecar's process leaves its application alone. All take effect at once.
-type Ground interface {
+type Hosts interface {
 	// Now returns the time.
 	Now() float64
 	// Kill ends a machine's process: its connections are reset, new ones are refused.
@@ -14,42 +14,42 @@
 	Vanish(ip string)
 	// Return begins a process on a machine that was killed or has vanished. What was open before is reset when it
 	// speaks next.
-	Return(ip string)
+	Start(ip string)
 	// Terminate tells a sidecar's process to end in its own time; Ended comes of it.
 	Terminate(sidecar int)
 	// Hangup tells a sidecar's process to read its configuration again.
-	Hangup(sidecar int, configuration []byte)
+	Reload(sidecar int, configuration []byte)
 	// TakeOut has a sidecar's operators take a box out of use, or give it back; yes is called once the sidecar has said so.
-	TakeOut(sidecar int, box string, on bool, yes func())
+	Cordon(sidecar int, box string, on bool, yes func())
 	// Cut loses what is sent from one machine to another, in this direction alone, until Mend. Connections stay.
-	Cut(from, to string)
-	Mend(from, to string)
+	DropTraffic(from, to string)
+	RestoreTraffic(from, to string)
 	// LateConnects has a share of the connections that are dialed to a machine come up late, by up to so many seconds; a share of 0
 	// ends that.
-	LateConnects(ip string, share, mostS float64)
+	DelayConnects(ip string, share, mostS float64)
 	// Reset breaks all connections between two machines.
-	Reset(a, b string)
+	ResetConnections(a, b string)
 	// PeersCut loses what one sidecar sends to another, in this direction alone, or ends that; PeersHold has it wait.
-	PeersCut(from, to int, on bool)
-	PeersHold(from, to int, on bool)
+	DropPeerTraffic(from, to int, on bool)
+	HoldPeerTraffic(from, to int, on bool)
 	// PeersSlow has what one sidecar sends to another go at so many bytes a second on each link; 0 ends that.
-	PeersSlow(from, to int, perS float64)
+	LimitPeerTraffic(from, to int, perS float64)
 	// PeersReset breaks the links between two sidecars.
-	PeersReset(a, b int)
+	ResetPeerConnections(a, b int)
 	// PeersDeaf has somebody ask a sidecar so many times a second what it knows, until a time, and read nothing.
-	PeersDeaf(sidecar int, perS, until float64)
+	QueryWithoutReading(sidecar int, perS, until float64)
 	// Freeze has a sidecar's process stand still, or go on.
-	Freeze(sidecar int, on bool)
+	Suspend(sidecar int, on bool)
 	// Begin begins a sidecar that has stood by, with what is beside it. One that is there already is left alone.
-	Begin(sidecar int)
+	StartStandby(sidecar int)
 	// DiskFull has nothing be written to a sidecar's disk, or ends that.
-	DiskFull(sidecar int, on bool)
+	FillDisk(sidecar int, on bool)
 	// Clock has a sidecar's clock run at a rate; 1 is that of the others. What it is ahead by then stays.
-	Clock(sidecar int, rate float64)
+	SetClockRate(sidecar int, rate float64)
 	// Spoil loses or tears what a sidecar's process, which does not run, has kept on its disk.
-	Spoil(sidecar int, state string)
+	DamageState(sidecar int, state string)
 	// Stall slows what a sidecar's application reads to a share of its time, 0 to 1, until it is called with 1.
-	Stall(sidecar int, share float64)
+	LimitReading(sidecar int, share float64)
 }
 
 // Machine is a host of the world for a Ground to run.
--- a/internal/environment/player.go
+++ b/internal/environment/player.go
@@ -12,7 +12,7 @@
 // machines, processes and paths it has the Ground do.
 type FaultInjector struct {
 	w       *Environment
-	ground  Ground
+	ground  Hosts
 	witness checker.Observer
 	steps   agenda[func(now float64)]
 	taken   []bool // by box: it is to be brought in
@@ -38,7 +38,7 @@
 }
 
 // NewPlayer returns a player that has played nothing. A script that names what the day has not is an error.
-func NewFaultInjector(w *Environment, s *Script, g Ground, witness checker.Observer) (*FaultInjector, error) {
+func NewFaultInjector(w *Environment, s *Script, g Hosts, witness checker.Observer) (*FaultInjector, error) {
 	p := &FaultInjector{w: w, ground: g, witness: witness, hung: make([]int, len(w.Servers)), slow: make([]int, len(w.Applications)),
 		gone: make([]bool, len(w.Applications)), taken: make([]bool, len(w.Servers)), late: make([]int, len(w.Servers)),
 		frozen: make([]bool, len(w.Applications)), ending: make([]bool, len(w.Applications)), full: make([]int, len(w.Applications)), clocks: make([]int, len(w.Applications)),
@@ -126,7 +126,7 @@
 	case ScaleOut:
 		for range t.SidecarCount {
 			p.gone[p.standBy] = false
-			p.ground.Begin(p.standBy)
+			p.ground.StartStandby(p.standBy)
 			p.standBy++
 		}
 	case StaleList:
@@ -160,7 +160,7 @@
 		p.w.Discovery.StallWatches()
 	case WatchReset:
 		for i := range p.w.Applications {
-			p.ground.Reset(p.w.Day.Sidecars[i].IP, p.w.Discovery.ip())
+			p.ground.ResetConnections(p.w.Day.Sidecars[i].IP, p.w.Discovery.ip())
 		}
 	case FullList:
 		p.w.Discovery.SendFullLists(true)
@@ -181,14 +181,14 @@
 			p.killSidecar(i, p.endsAt(t, now)-now, now)
 		}
 	case PeerCut:
-		p.between(t, now, p.ground.PeersCut)
+		p.between(t, now, p.ground.DropPeerTraffic)
 	case PeerHold:
-		p.between(t, now, p.ground.PeersHold)
+		p.between(t, now, p.ground.HoldPeerTraffic)
 	case PeerSlow:
 		p.slowPeers(t, now)
 	case DiskFull:
 		for _, i := range t.Sidecars {
-			p.counted(p.full, i, t, now, p.ground.DiskFull)
+			p.counted(p.full, i, t, now, p.ground.FillDisk)
 		}
 	case Clock:
 		for _, i := range t.Sidecars {
@@ -197,14 +197,14 @@
 				if on {
 					rate = t.ClockRate
 				}
-				p.ground.Clock(i, rate)
+				p.ground.SetClockRate(i, rate)
 			})
 		}
 	case PeerReset:
 		p.resetPeers(t, now, p.endsAt(t, now))
 	case PeerNotReading:
 		for _, i := range t.Sidecars {
-			p.ground.PeersDeaf(i, t.RatePerSecond, p.endsAt(t, now))
+			p.ground.QueryWithoutReading(i, t.RatePerSecond, p.endsAt(t, now))
 		}
 	case Suspend:
 		p.freeze(t, now)
@@ -240,9 +240,9 @@
 		ip := b.machine()
 		p.counted(p.late, b.Spec.Number, t, now, func(_ int, on bool) {
 			if on {
-				p.ground.LateConnects(ip, t.Share, t.DelaySeconds)
+				p.ground.DelayConnects(ip, t.Share, t.DelaySeconds)
 			} else {
-				p.ground.LateConnects(ip, 0, 0)
+				p.ground.DelayConnects(ip, 0, 0)
 			}
 		})
 	}
@@ -293,7 +293,7 @@
 // spoil does to the disk of a sidecar that has just been killed what a trouble says.
 func (p *FaultInjector) spoil(sidecar int, t *Fault) {
 	if t.State == StateLost || t.State == StateTorn || t.State == StateOld {
-		p.ground.Spoil(sidecar, t.State)
+		p.ground.DamageState(sidecar, t.State)
 	}
 }
 
@@ -347,9 +347,9 @@
 		key := peerWay{t.Kind, a, b}
 		tell := func() {
 			if all := p.rates[key]; len(all) > 0 {
-				p.ground.PeersSlow(a, b, slices.Min(all))
+				p.ground.LimitPeerTraffic(a, b, slices.Min(all))
 			} else {
-				p.ground.PeersSlow(a, b, 0)
+				p.ground.LimitPeerTraffic(a, b, 0)
 			}
 		}
 		p.rates[key] = append(p.rates[key], t.RatePerSecond)
@@ -372,7 +372,7 @@
 	if now >= until {
 		return
 	}
-	p.sides(t, p.ground.PeersReset)
+	p.sides(t, p.ground.ResetPeerConnections)
 	p.later(now, 1/t.RatePerSecond, func(now float64) { p.resetPeers(t, now, until) })
 }
 
@@ -386,11 +386,11 @@
 		p.frozen[i] = true
 		p.sidecar(checker.SidecarSuspended, i, now)
 		p.cut(int32(i), checker.PathToClients, true, now)
-		p.ground.Freeze(i, true)
+		p.ground.Suspend(i, true)
 		p.atEnd(t, now, func(now float64) {
 			if p.frozen[i] {
 				p.frozen[i] = false
-				p.ground.Freeze(i, false)
+				p.ground.Suspend(i, false)
 				p.sidecar(checker.SidecarResumed, i, now)
 			}
 			p.cut(int32(i), checker.PathToClients, false, now)
@@ -459,7 +459,7 @@
 			p.cut(c.sidecar, n, true, now)
 		}
 	}
-	p.ground.Return(ip)
+	p.ground.Start(ip)
 }
 
 // Restart has a sidecar be killed and begin again after a while, with what is on its disk, unless it is gone already.
@@ -541,7 +541,7 @@
 		b := boxes[n%len(boxes)]
 		s := p.w.Day.Sidecars[n/len(boxes)%len(p.w.Day.Sidecars)]
 		n++
-		p.ground.Reset(s.IP, b.machine())
+		p.ground.ResetConnections(s.IP, b.machine())
 		p.later(now, 1/t.RatePerSecond, step)
 	}
 	step(now)
@@ -577,9 +577,9 @@
 			for _, n := range c.boxes {
 				p.cut(c.sidecar, n, true, now)
 			}
-			p.ground.Cut(from, to)
+			p.ground.DropTraffic(from, to)
 			p.atEnd(t, now, func(now float64) {
-				p.ground.Mend(from, to)
+				p.ground.RestoreTraffic(from, to)
 				p.cuts = slices.DeleteFunc(p.cuts, func(other *oneWayCut) bool { return other == c })
 				for _, n := range c.boxes {
 					p.cut(c.sidecar, n, false, now)
@@ -592,11 +592,11 @@
 func (p *FaultInjector) slowReaders(t *Fault, now float64) {
 	for _, i := range t.Sidecars {
 		p.slow[i]++
-		p.ground.Stall(i, t.Share)
+		p.ground.LimitReading(i, t.Share)
 		p.cut(int32(i), checker.PathToClients, true, now)
 		p.atEnd(t, now, func(now float64) {
 			if p.slow[i]--; p.slow[i] == 0 {
-				p.ground.Stall(i, 1)
+				p.ground.LimitReading(i, 1)
 			}
 			p.cut(int32(i), checker.PathToClients, false, now)
 		})
@@ -615,7 +615,7 @@
 	p.gone[sidecar] = true
 	if p.frozen[sidecar] {
 		p.frozen[sidecar] = false
-		p.ground.Freeze(sidecar, false)
+		p.ground.Suspend(sidecar, false)
 	}
 	ip := p.w.Day.Sidecars[sidecar].IP
 	p.sidecar(checker.SidecarKilled, sidecar, now)
@@ -623,7 +623,7 @@
 	p.later(now, afterS, func(float64) {
 		p.gone[sidecar] = false
 		p.w.notifyReplaced(sidecar)
-		p.ground.Return(ip)
+		p.ground.Start(ip)
 	})
 }
 
@@ -633,11 +633,11 @@
 	if !ok {
 		return
 	}
-	p.ground.Return(ip)
+	p.ground.Start(ip)
 	p.w.Discovery.Move()
 	for i := range p.w.Applications {
 		p.sidecar(checker.SidecarReloaded, i, now)
-		p.ground.Hangup(i, p.w.ReloadConfiguration(i))
+		p.ground.Reload(i, p.w.ReloadConfiguration(i))
 	}
 }
 
@@ -649,7 +649,7 @@
 	}
 	for i := range p.w.Applications {
 		for _, b := range boxes {
-			p.ground.TakeOut(i, b.Spec.Name, on, func() {
+			p.ground.Cordon(i, b.Spec.Name, on, func() {
 				p.witness.Observe(checker.Event{Kind: kind, At: p.ground.Now(), Sidecar: int32(i), Server: int32(b.Spec.Number)})
 			})
 		}
--- a/internal/lab/realtime/sidecar.go
+++ b/internal/lab/realtime/sidecar.go
@@ -104,7 +104,7 @@
 // playedMachines is the world's Ground: machines are the ground's, sidecars are processes.
 type playedMachines struct{ p *Play }
 
-var _ environment.Ground = playedMachines{}
+var _ environment.Hosts = playedMachines{}
 
 func (l playedMachines) at(ip string) *sidecar {
 	for _, s := range l.p.sidecars {
@@ -134,7 +134,7 @@
 func (l playedMachines) Vanish(ip string) { l.p.ground.Vanish(ip) }
 
 // Return begins a sidecar's next process, or a machine's.
-func (l playedMachines) Return(ip string) {
+func (l playedMachines) Start(ip string) {
 	s := l.at(ip)
 	if s == nil {
 		l.p.ground.Return(ip)
@@ -157,53 +157,53 @@
 func (l playedMachines) Now() float64 { return l.p.Now() }
 
 // TakeOut does nothing: the sidecars of a world in real time have no door.
-func (l playedMachines) TakeOut(int, string, bool, func()) {}
+func (l playedMachines) Cordon(int, string, bool, func()) {}
 
 // What befalls peers, their disks and their states is the crew's.
-func (l playedMachines) PeersCut(from, to int, on bool) {
+func (l playedMachines) DropPeerTraffic(from, to int, on bool) {
 	if c := l.p.settings.Crew; c != nil {
 		c.PeersCut(from, to, on)
 	}
 }
 
-func (l playedMachines) PeersHold(from, to int, on bool) {
+func (l playedMachines) HoldPeerTraffic(from, to int, on bool) {
 	if c := l.p.settings.Crew; c != nil {
 		c.PeersHold(from, to, on)
 	}
 }
 
-func (l playedMachines) PeersReset(a, b int) {
+func (l playedMachines) ResetPeerConnections(a, b int) {
 	if c := l.p.settings.Crew; c != nil {
 		c.PeersReset(a, b)
 	}
 }
 
-func (l playedMachines) PeersSlow(from, to int, perS float64) {
+func (l playedMachines) LimitPeerTraffic(from, to int, perS float64) {
 	if c := l.p.settings.Crew; c != nil {
 		c.PeersSlow(from, to, perS)
 	}
 }
 
-func (l playedMachines) PeersDeaf(sidecar int, perS, until float64) {
+func (l playedMachines) QueryWithoutReading(sidecar int, perS, until float64) {
 	if c := l.p.settings.Crew; c != nil {
 		c.PeersDeaf(sidecar, perS, time.Now().Add(time.Duration((until-l.p.Now())*float64(time.Second))))
 	}
 }
 
-func (l playedMachines) DiskFull(sidecar int, on bool) {
+func (l playedMachines) FillDisk(sidecar int, on bool) {
 	if c := l.p.settings.Crew; c != nil {
 		c.DiskFull(sidecar, on)
 	}
 }
 
 // Clock does nothing: scripts for real processes are read without it.
-func (l playedMachines) Clock(int, float64) {}
+func (l playedMachines) SetClockRate(int, float64) {}
 
 // LateConnects does nothing: scripts for real processes are read without it.
-func (l playedMachines) LateConnects(string, float64, float64) {}
+func (l playedMachines) DelayConnects(string, float64, float64) {}
 
 // Begin begins a sidecar that has stood by; the application beside it follows once it listens.
-func (l playedMachines) Begin(sidecar int) {
+func (l playedMachines) StartStandby(sidecar int) {
 	if sidecar >= len(l.p.sidecars) || !l.p.sidecars[sidecar].waits {
 		return
 	}
@@ -214,7 +214,7 @@
 	}
 }
 
-func (l playedMachines) Spoil(sidecar int, state string) {
+func (l playedMachines) DamageState(sidecar int, state string) {
 	if c := l.p.settings.Crew; c != nil {
 		c.Spoil(sidecar, state)
 	}
@@ -228,7 +228,7 @@
 }
 
 // Freeze has a process stand still, or go on.
-func (l playedMachines) Freeze(sidecar int, on bool) {
+func (l playedMachines) Suspend(sidecar int, on bool) {
 	if on {
 		l.p.standing(sidecar, false)
 		l.signal(sidecar, syscall.SIGSTOP)
@@ -239,7 +239,7 @@
 }
 
 // Hangup tells it to read its configuration again.
-func (l playedMachines) Hangup(sidecar int, configuration []byte) {
+func (l playedMachines) Reload(sidecar int, configuration []byte) {
 	if sidecar >= len(l.p.sidecars) {
 		return
 	}
@@ -256,11 +256,11 @@
 	}
 }
 
-func (l playedMachines) Cut(from, to string)  { l.p.ground.Cut(from, to) }
-func (l playedMachines) Mend(from, to string) { l.p.ground.Mend(from, to) }
-func (l playedMachines) Reset(a, b string)    { l.p.ground.Reset(a, b) }
+func (l playedMachines) DropTraffic(from, to string)    { l.p.ground.Cut(from, to) }
+func (l playedMachines) RestoreTraffic(from, to string) { l.p.ground.Mend(from, to) }
+func (l playedMachines) ResetConnections(a, b string)   { l.p.ground.Reset(a, b) }
 
 // Stall slows what a sidecar's application reads.
-func (l playedMachines) Stall(sidecar int, share float64) {
+func (l playedMachines) LimitReading(sidecar int, share float64) {
 	l.p.ground.Stall("app-"+l.p.Day.Sidecars[sidecar].Name, share)
 }
--- a/internal/sim/ground.go
+++ b/internal/sim/ground.go
@@ -49,7 +49,7 @@
 	downAt    float64 // since when it is not; 0: it is there
 }
 
-var _ environment.Ground = (*day)(nil)
+var _ environment.Hosts = (*day)(nil)
 
 // lay puts the machines into the network, with the ways between them.
 func (d *day) lay() {
@@ -188,7 +188,7 @@
 func (d *day) Vanish(ip string) { d.net.Machine(ip).PowerOff() }
 
 // Return begins what does not run on a machine.
-func (d *day) Return(ip string) {
+func (d *day) Start(ip string) {
 	if vm := d.net.Machine(ip); vm.IsDown() {
 		vm.PowerOn()
 	}
@@ -218,7 +218,7 @@
 }
 
 // Hangup has a sidecar's process read its configuration again.
-func (d *day) Hangup(sidecar int, configuration []byte) {
+func (d *day) Reload(sidecar int, configuration []byte) {
 	s := d.sidecars[sidecar]
 	if s.proc == nil || !s.proc.IsRunning() {
 		return
@@ -231,7 +231,7 @@
 func (d *day) Now() float64 { return d.net.Now() }
 
 // TakeOut calls at a sidecar's door.
-func (d *day) TakeOut(sidecar int, box string, on bool, yes func()) {
+func (d *day) Cordon(sidecar int, box string, on bool, yes func()) {
 	s := d.sidecars[sidecar]
 	if s.proc == nil || !s.proc.IsRunning() {
 		return
@@ -248,13 +248,13 @@
 }
 
 // Cut loses what is sent from one machine to another, until as many Mends as there were Cuts.
-func (d *day) Cut(from, to string) {
+func (d *day) DropTraffic(from, to string) {
 	d.cuts[[2]string{from, to}]++
 	d.net.SetPartitioned(d.net.Machine(from), d.net.Machine(to), true)
 }
 
 // Mend ends that.
-func (d *day) Mend(from, to string) {
+func (d *day) RestoreTraffic(from, to string) {
 	way := [2]string{from, to}
 	if d.cuts[way]--; d.cuts[way] == 0 {
 		d.net.SetPartitioned(d.net.Machine(from), d.net.Machine(to), false)
@@ -262,12 +262,12 @@
 }
 
 // LateConnects has connections to a machine come up late.
-func (d *day) LateConnects(ip string, share, mostS float64) {
+func (d *day) DelayConnects(ip string, share, mostS float64) {
 	d.net.Machine(ip).SetHandshakeDelay(share, mostS)
 }
 
 // Reset breaks all connections between two machines.
-func (d *day) Reset(a, b string) {
+func (d *day) ResetConnections(a, b string) {
 	far := d.net.Machine(b)
 	for _, p := range d.processes(a) {
 		for _, c := range p.Conns() {
@@ -283,7 +283,7 @@
 const slowestRate = 4000.0
 
 // Stall slows what a sidecar's application reads.
-func (d *day) Stall(sidecar int, share float64) {
+func (d *day) LimitReading(sidecar int, share float64) {
 	for _, m := range d.machines {
 		if m.vm == d.sidecars[sidecar].vm && m.proc != nil {
 			if share >= 1 {
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -151,22 +151,22 @@
 func (d *day) ip(sidecar int) string { return d.sidecars[sidecar].spec.IP }
 
 // PeersCut loses what goes from one sidecar to another: all that they say is said to peers.
-func (d *day) PeersCut(from, to int, on bool) {
+func (d *day) DropPeerTraffic(from, to int, on bool) {
 	if on {
-		d.Cut(d.ip(from), d.ip(to))
+		d.DropTraffic(d.ip(from), d.ip(to))
 		d.peerCuts++
 	} else {
-		d.Mend(d.ip(from), d.ip(to))
+		d.RestoreTraffic(d.ip(from), d.ip(to))
 		d.peerCuts--
 	}
 	d.troubledAt = d.net.Now()
 }
 
 // PeersHold is the same here: what TCP has lost on the way it sends again.
-func (d *day) PeersHold(from, to int, on bool) { d.PeersCut(from, to, on) }
+func (d *day) HoldPeerTraffic(from, to int, on bool) { d.DropPeerTraffic(from, to, on) }
 
 // PeersSlow has what one sends to another go at a rate.
-func (d *day) PeersSlow(from, to int, perS float64) {
+func (d *day) LimitPeerTraffic(from, to int, perS float64) {
 	way := [2]int{from, to}
 	switch was := d.slow[way]; {
 	case was == 0 && perS > 0:
@@ -180,16 +180,16 @@
 }
 
 // Begin begins a sidecar that has stood by, with what is beside it.
-func (d *day) Begin(sidecar int) {
+func (d *day) StartStandby(sidecar int) {
 	d.troubledAt = d.net.Now()
-	d.Return(d.ip(sidecar))
+	d.Start(d.ip(sidecar))
 }
 
 // DiskFull has nothing be written to a sidecar's disk, or ends that.
-func (d *day) DiskFull(sidecar int, on bool) { d.sidecars[sidecar].full = on }
+func (d *day) FillDisk(sidecar int, on bool) { d.sidecars[sidecar].full = on }
 
 // Clock has a sidecar's clock run at a rate, over all lives of its process.
-func (d *day) Clock(sidecar int, rate float64) {
+func (d *day) SetClockRate(sidecar int, rate float64) {
 	s := d.sidecars[sidecar]
 	if s.rate = rate; s.proc != nil && s.proc.IsRunning() {
 		s.proc.SetClockRate(rate)
@@ -197,8 +197,8 @@
 }
 
 // PeersReset breaks the links between two.
-func (d *day) PeersReset(a, b int) {
-	d.Reset(d.ip(a), d.ip(b))
+func (d *day) ResetPeerConnections(a, b int) {
+	d.ResetConnections(d.ip(a), d.ip(b))
 	d.troubledAt = d.net.Now()
 }
 
@@ -246,7 +246,7 @@
 }
 
 // PeersDeaf begins such a program on a machine of its own.
-func (d *day) PeersDeaf(sidecar int, perS, until float64) {
+func (d *day) QueryWithoutReading(sidecar int, perS, until float64) {
 	d.deaf++
 	d.peerCuts++ // a trouble that goes on
 	vm := d.net.Machine(fmt.Sprintf("10.9.0.%d", d.deaf))
@@ -287,7 +287,7 @@
 const endless = 1e12
 
 // Freeze has a process stand still.
-func (d *day) Freeze(sidecar int, on bool) {
+func (d *day) Suspend(sidecar int, on bool) {
 	s := d.sidecars[sidecar]
 	d.troubledAt = d.net.Now()
 	if s.proc == nil || !s.proc.IsRunning() {
@@ -301,7 +301,7 @@
 }
 
 // Spoil changes what a sidecar's disk holds.
-func (d *day) Spoil(sidecar int, state string) {
+func (d *day) DamageState(sidecar int, state string) {
 	s := d.sidecars[sidecar]
 	s.spoilt = s.spoilt || state != environment.StateKept
 	if d.owners && state == environment.StateTorn && s.lives%2 == 0 {
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -88,7 +88,7 @@
 	}
 	call := func(out bool) {
 		for s := range w.d.sidecars {
-			w.d.TakeOut(s, w.boxes[i].name, out, func() {})
+			w.d.Cordon(s, w.boxes[i].name, out, func() {})
 		}
 	}
 	call(true)
