--- a/internal/capture/replayactions.go
+++ b/internal/capture/replayactions.go
@@ -2,7 +2,7 @@
 
 import "hazelwheel/policy"
 
-// The replayer takes the actions of the decisions.
+// A replayer carries out actions by collecting them.
 var _ policy.Actions = (*replayer)(nil)
 
 // addReplayed adds an action to those of the input that is being replayed, with the names that the recorder would have written.
@@ -17,32 +17,41 @@
 	r.replayed = append(r.replayed, d)
 }
 
+// Send implements policy.Actions.
 func (r *replayer) Send(request, host uint32) {
 	r.addReplayed(Decision{Action: ActionSend, Request: request, Host: host})
 }
 
+// Cancel implements policy.Actions.
 func (r *replayer) Cancel(request uint32, attempt int) {
 	r.addReplayed(Decision{Action: ActionCancel, Request: request, Attempt: attempt})
 }
 
+// Probe implements policy.Actions.
 func (r *replayer) Probe(host uint32) { r.addReplayed(Decision{Action: ActionProbe, Host: host}) }
 
+// CloseIdle implements policy.Actions.
 func (r *replayer) CloseIdle(host uint32) {
 	r.addReplayed(Decision{Action: ActionCloseIdle, Host: host})
 }
 
+// Refuse implements policy.Actions.
 func (r *replayer) Refuse(request uint32, after float64) {
 	r.addReplayed(Decision{Action: ActionRefuse, Request: request, AfterSeconds: after})
 }
 
+// Fail implements policy.Actions.
 func (r *replayer) Fail(request uint32) {
 	r.addReplayed(Decision{Action: ActionFail, Request: request})
 }
 
+// WakeAfter implements policy.Actions.
 func (r *replayer) WakeAfter(seconds float64) {
 	r.addReplayed(Decision{Action: ActionWake, AfterSeconds: seconds})
 }
 
+// Watch implements policy.Actions.
 func (r *replayer) Watch() { r.addReplayed(Decision{Action: ActionWatch}) }
 
+// Log implements policy.Actions.
 func (r *replayer) Log(text string) { r.addReplayed(Decision{Action: ActionLog, Text: text}) }
--- a/internal/decide/admission/queue_test.go
+++ b/internal/decide/admission/queue_test.go
@@ -36,8 +36,8 @@
 			waiting[w.Class] = waiting[w.Class][1:]
 			late := now-w.ArrivedAt > maxWaitFraction*threeClasses[w.Class].LatencyTargetSeconds
 			assert.Equal(t, late, shed)
-			for c, line := range waiting {
-				for _, x := range line {
+			for c, queued := range waiting {
+				for _, x := range queued {
 					assert.False(t, !shed && now-x.ArrivedAt > maxWaitFraction*threeClasses[c].LatencyTargetSeconds, "requests to be shed go first")
 					assert.False(t, !shed && threeClasses[c].PriorityWeight > threeClasses[w.Class].PriorityWeight, "one of a class with a higher weight waits")
 				}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -19,6 +19,8 @@
 	maxWorkSeconds = 1e6
 	// meanWorkGain is the gain of the moving average of work hints.
 	meanWorkGain = 0.02
+	// timeoutTolerance is by what fraction the timeouts of first tries of a class may differ.
+	timeoutTolerance = 0.02
 	// maxTimeoutVotes bounds how many longer tries it takes to replace the usual timeout of a class.
 	maxTimeoutVotes = 100
 )
@@ -93,11 +95,11 @@
 	timeout := &b.clientTimeouts[q.Class]
 	left := q.Deadline - b.now + q.HeldBackSeconds
 	switch {
-	case left < 0.98*timeout.usualSeconds && b.settings.RetriesMarked && !q.Repeat:
+	case left < (1-timeoutTolerance)*timeout.usualSeconds && b.settings.RetriesMarked && !q.Repeat:
 		return 0 // the first try of a client with a shorter timeout
-	case left < 0.98*timeout.usualSeconds:
+	case left < (1-timeoutTolerance)*timeout.usualSeconds:
 		return max(b.settings.Classes[q.Class].TotalTimeoutSeconds-left, 0)
-	case left < 1.02*timeout.usualSeconds:
+	case left < (1+timeoutTolerance)*timeout.usualSeconds:
 		timeout.votes = min(timeout.votes+1, maxTimeoutVotes)
 	default: // longer than usual: it replaces the usual one only after as many as voted for that
 		timeout.votes--
--- a/policy/checkpoint_test.go
+++ b/policy/checkpoint_test.go
@@ -45,14 +45,14 @@
 	tenants := polledSettings()
 	tenants.Tenants = []Tenant{{"a", 0.7, 9}, {"b", 0.3, 4}}
 	tenants.CrossZonePrice, tenants.SizesComparable, tenants.ListOnDemand = 0.05, true, true
-	lines := baseSettings()
-	lines.ProbesEnabled, lines.GoneHostsUsable, lines.HedgingAllowed, lines.ConnIdleTimeoutSeconds, lines.ListOnDemand = true, true, false, 5, true
+	deepProbes := baseSettings()
+	deepProbes.ProbesEnabled, deepProbes.GoneHostsUsable, deepProbes.HedgingAllowed, deepProbes.ConnIdleTimeoutSeconds, deepProbes.ListOnDemand = true, true, false, 5, true
 	answers := baseSettings()
 	answers.ReportFields, answers.Replicas, answers.Self = []ReportField{FieldQueue, FieldInflight}, 3, 2
 	for i := range answers.Classes { // requests that outlive the hosts that they went to
 		answers.Classes[i].LatencyTargetSeconds, answers.Classes[i].TotalTimeoutSeconds = 800, 1000
 	}
-	return []Settings{baseSettings(), polledSettings(), tenants, lines, answers}
+	return []Settings{baseSettings(), polledSettings(), tenants, deepProbes, answers}
 }
 
 // runRandomEvents gives seeded random events among 30 hosts to a Balancer and calls step after each, with the event, which can
--- a/policy/largefleet_test.go
+++ b/policy/largefleet_test.go
@@ -70,15 +70,15 @@
 func TestFewGoodHostsAmongMany(t *testing.T) {
 	const n, asked = 1000, 2000
 	kinds := map[string]func(c *largeFleet, i int){
-		"hang":  func(c *largeFleet, i int) { c.hangs[c.hosts[i].ID] = true },
-		"drain": func(c *largeFleet, i int) { c.hosts[i].State = Draining },
-		"cold":  func(c *largeFleet, i int) { c.hosts[i].Started = c.now },
+		"hang":    func(c *largeFleet, i int) { c.hangs[c.hosts[i].ID] = true },
+		"drain":   func(c *largeFleet, i int) { c.hosts[i].State = Draining },
+		"warming": func(c *largeFleet, i int) { c.hosts[i].Started = c.now },
 		"full": func(c *largeFleet, i int) {
 			h := c.balancer.hosts[c.hosts[i].ID]
 			h.backoffUntil[0] = c.now + 1e6 // has rejected requests again and again
 		},
 	}
-	for _, name := range []string{"hang", "drain", "cold", "full", "mixed"} {
+	for _, name := range []string{"hang", "drain", "warming", "full", "mixed"} {
 		for _, bad := range []int{n / 3, n * 9 / 10, n - 1} {
 			s := baseSettings()
 			s.Zone, s.CrossZonePrice = 1, 0.06
@@ -93,7 +93,7 @@
 				if i >= bad {
 					good[c.hosts[place].ID] = true
 				} else if name == "mixed" {
-					kinds[[]string{"hang", "drain", "cold", "full"}[i%4]](c, place)
+					kinds[[]string{"hang", "drain", "warming", "full"}[i%4]](c, place)
 				} else {
 					kinds[name](c, place)
 				}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -20,6 +20,18 @@
 	failedLatencyRatio = 6.0
 	// maxLatencyRatio bounds the latency ratio of an answer.
 	maxLatencyRatio = 10
+	// latencyRatioGain is the gain of the moving average of a host's latency ratios.
+	latencyRatioGain = 0.1
+	// errorGain is the gain of the moving fraction of attempts that end with HostError.
+	errorGain = 0.05
+	// serviceTimeGain is the gain of the moving averages of service times.
+	serviceTimeGain = 0.02
+	// slowAnswerFraction and fastAnswerLimitFraction, of the target of a class, are the delays above which an answer cuts the
+	// concurrency limit and below which it raises it.
+	slowAnswerFraction      = 0.3
+	fastAnswerLimitFraction = 0.2
+	// limitUseFraction is the use of the concurrency limit from which on it is raised.
+	limitUseFraction = 0.6
 	// latencyRatioDecaySeconds is the age at which half of a latency ratio's distance from 1 has decayed.
 	latencyRatioDecaySeconds = 5
 )
@@ -36,7 +48,7 @@
 		return true
 	}
 	r := b.requestsByID[res.ID]
-	b.errorFraction *= 0.95
+	b.errorFraction *= 1 - errorGain
 	ratio := failedLatencyRatio
 	switch res.Outcome {
 	case OK:
@@ -51,7 +63,7 @@
 		commonness := min(3*b.errorFraction, 1)
 		b.backOff(h, sent.class, 2-2*commonness)
 		ratio -= 5 * commonness
-		b.errorFraction += 0.05
+		b.errorFraction += errorGain
 		b.retryBudget += max(1-4*res.DelaySeconds/sent.expectedSeconds, 0)
 	case TimedOut:
 		b.cutLimit(h)
@@ -69,7 +81,7 @@
 	default:
 		return false
 	}
-	h.latencyRatio = 0.9*b.decayedLatencyRatio(h) + 0.1*ratio
+	h.latencyRatio = (1-latencyRatioGain)*b.decayedLatencyRatio(h) + latencyRatioGain*ratio
 	h.latencyRatioAt = b.now
 	return false
 }
@@ -94,7 +106,7 @@
 // learnLatency updates the usual service times by an answer and, where reports are absent, the host's concurrency limit. r is
 // nil when the request has had its final answer before.
 func (b *Balancer) learnLatency(h *host, r *request, delaySeconds float64, sent inFlightAttempt) {
-	b.serviceSeconds *= 1 + 0.02*(min(delaySeconds/sent.expectedSeconds, 3)-1)
+	b.serviceSeconds *= 1 + serviceTimeGain*(min(delaySeconds/sent.expectedSeconds, 3)-1)
 	if r == nil {
 		return
 	}
@@ -104,7 +116,7 @@
 		h.queueSeconds = max(delaySeconds-2.4**mean/b.capacityFraction(h), 0.5*b.queueDelay(h))
 		h.queueMeasuredAt = b.now
 	}
-	*mean += 0.02 * (min(max(delaySeconds-sent.expectedQueueSeconds, 0.3**mean), 4*r.class.LatencyTargetSeconds) - *mean)
+	*mean += serviceTimeGain * (min(max(delaySeconds-sent.expectedQueueSeconds, 0.3**mean), 4*r.class.LatencyTargetSeconds) - *mean)
 	b.adaptLimit(h, *mean, delaySeconds)
 }
 
@@ -117,9 +129,9 @@
 		targetSeconds = min(targetSeconds, b.settings.Classes[i].LatencyTargetSeconds*mean/otherMean)
 	}
 	switch {
-	case delaySeconds > 0.3*targetSeconds && b.now-h.limitCutAt > 0.3*targetSeconds:
+	case delaySeconds > slowAnswerFraction*targetSeconds && b.now-h.limitCutAt > slowAnswerFraction*targetSeconds:
 		b.cutLimit(h)
-	case delaySeconds < 0.2*targetSeconds && float64(len(h.inFlight))+1 >= 0.6*h.concurrencyLimit:
+	case delaySeconds < fastAnswerLimitFraction*targetSeconds && float64(len(h.inFlight))+1 >= limitUseFraction*h.concurrencyLimit:
 		h.concurrencyLimit += min(1/h.concurrencyLimit, 0.5*h.concurrencyLimit)
 	}
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -62,24 +62,29 @@
 // queueHeap implements heap.Interface. Requests with the same time are ordered by ID, so that the same events give the same order.
 type queueHeap []*request
 
+// Len implements heap.Interface.
 func (h queueHeap) Len() int { return len(h) }
 
+// Less implements heap.Interface.
 func (h queueHeap) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(h[i].dispatchAt, h[j].dispatchAt), cmp.Compare(h[i].ID, h[j].ID)) < 0
 }
 
+// Swap implements heap.Interface.
 func (h queueHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].queueIndex = i + 1
 	h[j].queueIndex = j + 1
 }
 
+// Push implements heap.Interface.
 func (h *queueHeap) Push(x any) {
 	r := x.(*request)
 	*h = append(*h, r)
 	r.queueIndex = len(*h)
 }
 
+// Pop implements heap.Interface.
 func (h *queueHeap) Pop() any {
 	old := *h
 	r := old[len(old)-1]
--- a/policy/simulatedfleet_test.go
+++ b/policy/simulatedfleet_test.go
@@ -10,7 +10,7 @@
 type simulatedFleet struct {
 	now                       float64
 	events                    eventHeap
-	idleAt                    []float64 // when each host, by id, has worked off its line
+	idleAt                    []float64 // when each host, by id, has worked off its queue
 	workSeconds               []float64 // seconds that a request takes at each
 	rng                       *rand.Rand
 	proxies                   []*simulatedProxy
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,9 +2,16 @@
 
 import "math"
 
-// slowStartBudgetFraction is the fraction of the work that would overload a warming host which all proxies together may send
-// it. A lower one is safer and warms hosts up with less traffic.
-const slowStartBudgetFraction = 0.35
+const (
+	// slowStartBudgetFraction is the fraction of the work that would overload a warming host which all proxies together may
+	// send it. A lower one is safer and warms hosts up with less traffic.
+	slowStartBudgetFraction = 0.35
+	// minWarmFraction is the fraction of the members that is taken to be warm at least, so that the budget stays small while most
+	// of them warm up.
+	minWarmFraction = 0.6
+	// arrivalBudgetFraction is the fraction of the arrival rate that counts as sent while more is refused.
+	arrivalBudgetFraction = 0.5
+)
 
 // capacityFraction returns the fraction of its full capacity that a host has: it grows linearly from SlowStartFraction to 1 in
 // the SlowStartSeconds after its start or its recovery from an outage.
@@ -30,9 +37,9 @@
 	if capacity >= 1 {
 		return true
 	}
-	warmMembers := max(b.warmCapacity, 0.6*float64(len(b.members)), 1)
+	warmMembers := max(b.warmCapacity, minWarmFraction*float64(len(b.members)), 1)
 	usualWork := max(b.ownSendRate()*windowSeconds/warmMembers, b.warmMemberSent,
-		0.5*b.arrivalRate.valueAt(b.now, arrivalDecaySeconds)*windowSeconds/float64(len(b.members)))
+		arrivalBudgetFraction*b.arrivalRate.valueAt(b.now, arrivalDecaySeconds)*windowSeconds/float64(len(b.members)))
 	budget := slowStartBudgetFraction * b.settings.SlowStartMultiple * capacity * b.groups.relativeSize(h) * usualWork
 	// The window before counts by the part of it that a sliding window would still cover.
 	return h.windowSent+h.previousWindowSent*(1-(b.now-h.windowStart)/windowSeconds)+h.windowDraw < budget
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -8,7 +8,7 @@
 func TestWarmingHostGetsSlowStart(t *testing.T) {
 	r := newRecorder(t, baseSettings())
 	r.updateHosts(ListFull, readyHosts(1, 2, 3, 4)...)
-	id, cold := uint32(0), map[int]int{}
+	id, warming := uint32(0), map[int]int{}
 	for step := range 3000 { // 100 requests a second, each served in 80 ms
 		at := float64(step) * 0.01
 		r.advance(at)
@@ -18,15 +18,15 @@
 		id++
 		q := r.request(Request{ID: id, Deadline: at + 1})
 		if len(q.attempts) == 1 && q.attempts[0].host == 1 && step >= 1000 {
-			cold[(step-1000)/200]++
+			warming[(step-1000)/200]++
 		}
 		if old := r.requests[id-8]; old != nil && old.answer == "" {
 			r.finish(old, 0, OK)
 		}
 	}
 	// A warm host takes about 50 in 2 s; the warming one may get a part of them, later all.
-	if cold[0] < 1 || cold[0] > 30 || cold[8] < 30 {
-		t.Errorf("sends to the warming host in each 2 s: %v", cold)
+	if warming[0] < 1 || warming[0] > 30 || warming[8] < 30 {
+		t.Errorf("sends to the warming host in each 2 s: %v", warming)
 	}
 }
 
@@ -44,17 +44,17 @@
 		balancers[i] = New(s, uint64(i), acts[i])
 		balancers[i].UpdateHosts(0, ListFull, manyHosts(hosts))
 	}
-	cold := manyHosts(hosts)
-	for i := range cold {
-		cold[i].Started = 20
+	warming := manyHosts(hosts)
+	for i := range warming {
+		warming[i].Started = 20
 	}
-	var at []float64 // of sends to one of the cold hosts
+	var at []float64 // of sends to one of the warming hosts
 	id, step := uint32(0), 0.0007
 	for now = 0.001; now < 26; now += step { // about 1,430 requests a second, two thirds of what the fleet can do
 		if now >= 20 && step == 0.0007 { // all hosts restart and traffic doubles
 			step = 0.0003
 			for _, b := range balancers {
-				b.UpdateHosts(now, ListFull, cold)
+				b.UpdateHosts(now, ListFull, warming)
 			}
 		}
 		i := rng.IntN(proxies)
