--- a/internal/lint/explain.go
+++ b/internal/lint/explain.go
@@ -45,7 +45,7 @@
 
 func (c *Check) explain() string {
 	return fmt.Sprintf("%s (%s): %s\n\nIt looks at: %s\nIt says:     %s\nWhy:         %s\nInstead:     %s\n",
-		c.Code, c.Severity, c.Title, c.Looks, sentence(c.Says), sentence(c.Why), sentence(c.Do))
+		c.Code, c.Severity, c.Title, c.Subject, sentence(c.Format), sentence(c.Reason), sentence(c.Remedy))
 }
 
 var verbs = regexp.MustCompile(`%(\[(\d)\])?[.0-9]*[a-z]`)
@@ -82,7 +82,7 @@
 	}
 	var looking []string
 	for _, c := range table {
-		if slices.Contains(strings.Split(c.Looks, ", "), f.Path) {
+		if slices.Contains(strings.Split(c.Subject, ", "), f.Path) {
 			looking = append(looking, c.Code)
 		}
 	}
@@ -98,11 +98,11 @@
 	b.WriteString("# Codes of the configuration's checks\n\nMade from the table of checks by `hazelwheel config explain --page`; see [configuration](config.md). A, B, C stand for what is\n" +
 		"filled in. An error keeps `config check` from ending with 0, a warning does with `--strict`, a note never.\n")
 	for _, c := range table {
-		fmt.Fprintf(&b, "\n## %s: %s\n\n%s. Looks at: %s.\n\n- Says: %s.\n", c.Code, c.Title, strings.ToUpper(c.Severity.String()[:1])+c.Severity.String()[1:], c.Looks, sentence(c.Says))
-		if c.Why != "" {
-			fmt.Fprintf(&b, "- Why: %s.\n", sentence(c.Why))
+		fmt.Fprintf(&b, "\n## %s: %s\n\n%s. Looks at: %s.\n\n- Says: %s.\n", c.Code, c.Title, strings.ToUpper(c.Severity.String()[:1])+c.Severity.String()[1:], c.Subject, sentence(c.Format))
+		if c.Reason != "" {
+			fmt.Fprintf(&b, "- Why: %s.\n", sentence(c.Reason))
 		}
-		fmt.Fprintf(&b, "- Instead: %s.\n", strings.TrimSuffix(sentence(c.Do), "."))
+		fmt.Fprintf(&b, "- Instead: %s.\n", strings.TrimSuffix(sentence(c.Remedy), "."))
 	}
 	return b.String()
 }
--- a/internal/lint/facts.go
+++ b/internal/lint/facts.go
@@ -17,207 +17,207 @@
 var reportValues = []string{"busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps"}
 
 var factChecks = []Check{
-	{Code: "HW110", Severity: Warning, Title: "reports that the decisions can't use", Looks: "report.how, report.fields",
-		Says: "none of %[1]s says how many requests a box holds",
-		Why:  "The sidecar asks for reports, which cost boxes work, and learns nothing from them",
-		Do:   "Have boxes report busy_reqs or pending, or write how = \"off\"",
-		site: func(u *unit, say say) {
+	{Code: "HW110", Severity: Warning, Title: "reports that the decisions can't use", Subject: "report.how, report.fields",
+		Format: "none of %[1]s says how many requests a box holds",
+		Reason: "The sidecar asks for reports, which cost boxes work, and learns nothing from them",
+		Remedy: "Have boxes report busy_reqs or pending, or write how = \"off\"",
+		site: func(u *unit, report reportFunc) {
 			r := &u.site.Report
 			if r.How != "off" && r.How != "" && len(r.Fields) > 0 && !slices.ContainsFunc(r.Fields, func(f string) bool {
 				return slices.Contains(usable, f) || !slices.Contains(reportValues, f) // which has a check of its own
 			}) {
-				say(u.atSite("report.fields").with(u.atSite("report.how")), strings.Join(r.Fields, ", "))
+				report(u.atSite("report.fields").with(u.atSite("report.how")), strings.Join(r.Fields, ", "))
 			}
 		}},
-	{Code: "HW111", Severity: Warning, Title: "unknown report value", Looks: "report.fields",
-		Says: "%[1]q is no value that boxes report",
-		Why:  "The sidecar skips it, and may miss the one that was meant",
-		Do:   "%[2]s",
-		site: func(u *unit, say say) {
+	{Code: "HW111", Severity: Warning, Title: "unknown report value", Subject: "report.fields",
+		Format: "%[1]q is no value that boxes report",
+		Reason: "The sidecar skips it, and may miss the one that was meant",
+		Remedy: "%[2]s",
+		site: func(u *unit, report reportFunc) {
 			for i, f := range u.site.Report.Fields {
 				if !slices.Contains(reportValues, f) {
 					do := "Write one of " + strings.Join(reportValues, ", ")
 					if near := appconfig.Nearest(f, reportValues); near != "" {
 						do = "Write " + near + " if that is meant"
 					}
-					say(u.atSite("report.fields[%d]", i), f, do)
+					report(u.atSite("report.fields[%d]", i), f, do)
 				}
 			}
 		}},
-	{Code: "HW112", Severity: Warning, Title: "reports without values, or values without reports", Looks: "report.how, report.fields",
-		Says: "report.how is %[1]q and %[2]d values are named",
-		Why:  "One of the two is not what is meant, and the sidecar goes without reports",
-		Do:   "Write both, or neither",
-		site: func(u *unit, say say) {
+	{Code: "HW112", Severity: Warning, Title: "reports without values, or values without reports", Subject: "report.how, report.fields",
+		Format: "report.how is %[1]q and %[2]d values are named",
+		Reason: "One of the two is not what is meant, and the sidecar goes without reports",
+		Remedy: "Write both, or neither",
+		site: func(u *unit, report reportFunc) {
 			r := &u.site.Report
 			if on := r.How != "off" && r.How != ""; on != (len(r.Fields) > 0) {
-				say(u.atSite("report.how").with(u.atSite("report.fields")), r.How, len(r.Fields))
+				report(u.atSite("report.how").with(u.atSite("report.fields")), r.How, len(r.Fields))
 			}
 		}},
-	{Code: "HW113", Severity: Warning, Title: "reports on probes that are not allowed", Looks: "report.how, probes.allowed",
-		Says: "reports come with probes alone, and boxes answer none",
-		Why:  "The sidecar never gets a report",
-		Do:   "Write probes.allowed = true, or how = \"inline\" or \"off\"",
-		site: func(u *unit, say say) {
+	{Code: "HW113", Severity: Warning, Title: "reports on probes that are not allowed", Subject: "report.how, probes.allowed",
+		Format: "reports come with probes alone, and boxes answer none",
+		Reason: "The sidecar never gets a report",
+		Remedy: "Write probes.allowed = true, or how = \"inline\" or \"off\"",
+		site: func(u *unit, report reportFunc) {
 			if u.site.Report.How == "on_probe" && !u.site.Probes.Allowed {
-				say(u.atSite("report.how").with(u.atSite("probes.allowed")))
+				report(u.atSite("report.how").with(u.atSite("probes.allowed")))
 			}
 		}},
-	{Code: "HW114", Severity: Warning, Title: "report value twice or too many", Looks: "report.fields",
-		Says: "the report names %[1]s",
-		Why:  "A report has at most four values, in this order; what follows a wrong one is read as another",
-		Do:   "Name each value once, four at most",
-		site: func(u *unit, say say) {
+	{Code: "HW114", Severity: Warning, Title: "report value twice or too many", Subject: "report.fields",
+		Format: "the report names %[1]s",
+		Reason: "A report has at most four values, in this order; what follows a wrong one is read as another",
+		Remedy: "Name each value once, four at most",
+		site: func(u *unit, report reportFunc) {
 			f := u.site.Report.Fields
 			if len(f) > 4 {
-				say(u.atSite("report.fields"), fmt.Sprintf("%d values", len(f)))
+				report(u.atSite("report.fields"), fmt.Sprintf("%d values", len(f)))
 			}
-			eachTwice(len(f), func(i int) string { return f[i] }, func(i, _ int) { say(u.atSite("report.fields[%d]", i), f[i]+" twice") })
+			eachTwice(len(f), func(i int) string { return f[i] }, func(i, _ int) { report(u.atSite("report.fields[%d]", i), f[i]+" twice") })
 		}},
-	{Code: "HW115", Severity: Warning, Title: "drain without grace", Looks: "rules.drain_grace",
-		Says: "a drain binds at once",
-		Why:  "A request that is on its way when the drain is told breaks the rule, whatever the sidecar does",
-		Do:   "Write the site's grace, like \"750ms\"",
-		site: func(u *unit, say say) {
+	{Code: "HW115", Severity: Warning, Title: "drain without grace", Subject: "rules.drain_grace",
+		Format: "a drain binds at once",
+		Reason: "A request that is on its way when the drain is told breaks the rule, whatever the sidecar does",
+		Remedy: "Write the site's grace, like \"750ms\"",
+		site: func(u *unit, report reportFunc) {
 			if u.site.Rules.DrainGrace == 0 {
-				say(u.atSite("rules.drain_grace"))
+				report(u.atSite("rules.drain_grace"))
 			}
 		}},
-	{Code: "HW116", Severity: Warning, Title: "cold boxes that nothing protects", Looks: "rules.cold_from, rules.cold_time, rules.cold_multiple, rules.cold_window",
-		Says: "%[1]s is not given, and others of the four figures of cold boxes are",
-		Why:  "The sidecar can't reckon what a box takes that has just started, and may push it over",
-		Do:   "Write all four: cold_from, cold_time, cold_multiple and cold_window",
-		site: func(u *unit, say say) {
+	{Code: "HW116", Severity: Warning, Title: "cold boxes that nothing protects", Subject: "rules.cold_from, rules.cold_time, rules.cold_multiple, rules.cold_window",
+		Format: "%[1]s is not given, and others of the four figures of cold boxes are",
+		Reason: "The sidecar can't reckon what a box takes that has just started, and may push it over",
+		Remedy: "Write all four: cold_from, cold_time, cold_multiple and cold_window",
+		site: func(u *unit, report reportFunc) {
 			r := &u.site.Rules
 			given := map[string]bool{"cold_from": r.ColdFrom > 0, "cold_time": r.ColdTime > 0, "cold_multiple": r.ColdTimes > 0, "cold_window": r.ColdWindow > 0}
 			for field, is := range given {
 				if !is && (r.ColdFrom > 0 || r.ColdTime > 0 || r.ColdTimes > 0 || r.ColdWindow > 0) {
-					say(u.atSite("rules.%s", field), field)
+					report(u.atSite("rules.%s", field), field)
 				}
 			}
 		}},
-	{Code: "HW117", Severity: Warning, Title: "cold boxes that may get less than they take", Looks: "rules.cold_multiple",
-		Says: "a cold box falls over at %[1]g times its capacity, which it could bear",
-		Why:  "The sidecar sends it less than it can do, and the warm ones get the rest",
-		Do:   "Write a multiple above 1",
-		site: func(u *unit, say say) {
+	{Code: "HW117", Severity: Warning, Title: "cold boxes that may get less than they take", Subject: "rules.cold_multiple",
+		Format: "a cold box falls over at %[1]g times its capacity, which it could bear",
+		Reason: "The sidecar sends it less than it can do, and the warm ones get the rest",
+		Remedy: "Write a multiple above 1",
+		site: func(u *unit, report reportFunc) {
 			if m := u.site.Rules.ColdTimes; m > 0 && m < 1 {
-				say(u.atSite("rules.cold_multiple"), m)
+				report(u.atSite("rules.cold_multiple"), m)
 			}
 		}},
-	{Code: "HW118", Severity: Warning, Title: "list that counts as told at once", Looks: "discovery.mode, discovery.ask_within",
-		Says: "the list is asked for, and ask_within is not given",
-		Why:  "Whoever has not asked counts as told of every change, so a drain binds before it is known",
-		Do:   "Write the site's ask_within, like \"10s\"",
-		site: func(u *unit, say say) {
+	{Code: "HW118", Severity: Warning, Title: "list that counts as told at once", Subject: "discovery.mode, discovery.ask_within",
+		Format: "the list is asked for, and ask_within is not given",
+		Reason: "Whoever has not asked counts as told of every change, so a drain binds before it is known",
+		Remedy: "Write the site's ask_within, like \"10s\"",
+		site: func(u *unit, report reportFunc) {
 			if u.site.List.Mode == "ask" && u.site.List.AskWithin == 0 {
-				say(u.atSite("discovery.ask_within").with(u.atSite("discovery.mode")))
+				report(u.atSite("discovery.ask_within").with(u.atSite("discovery.mode")))
 			}
 		}},
-	{Code: "HW119", Severity: Note, Title: "time to ask for a list that comes by itself", Looks: "discovery.mode, discovery.ask_within",
-		Says: "the list is pushed, so ask_within means nothing",
-		Why:  "A reader may count on it",
-		Do:   "Take it out, or write mode = \"ask\"",
-		site: func(u *unit, say say) {
-			if u.site.List.Mode == "push" && u.site.List.AskWithin > 0 && u.siteIn.Kind == appconfig.SiteFile {
-				say(u.atSite("discovery.ask_within").with(u.atSite("discovery.mode")))
+	{Code: "HW119", Severity: Note, Title: "time to ask for a list that comes by itself", Subject: "discovery.mode, discovery.ask_within",
+		Format: "the list is pushed, so ask_within means nothing",
+		Reason: "A reader may count on it",
+		Remedy: "Take it out, or write mode = \"ask\"",
+		site: func(u *unit, report reportFunc) {
+			if u.site.List.Mode == "push" && u.site.List.AskWithin > 0 && u.siteFile.Kind == appconfig.SiteFile {
+				report(u.atSite("discovery.ask_within").with(u.atSite("discovery.mode")))
 			}
 		}},
-	{Code: "HW120", Severity: Warning, Title: "connections that are idle too soon", Looks: "client.rate, connections.idle",
-		Says: "%[1]g requests a second are one in %[2]s, and boxes close a connection that is idle for %[3]s",
-		Why:  "Nearly each request opens a connection, which costs the box work and the request time",
-		Do:   "Write a longer connections.idle if the boxes allow it",
-		against: func(u *unit, say say) {
+	{Code: "HW120", Severity: Warning, Title: "connections that are idle too soon", Subject: "client.rate, connections.idle",
+		Format: "%[1]g requests a second are one in %[2]s, and boxes close a connection that is idle for %[3]s",
+		Reason: "Nearly each request opens a connection, which costs the box work and the request time",
+		Remedy: "Write a longer connections.idle if the boxes allow it",
+		against: func(u *unit, report reportFunc) {
 			if r, idle := u.app.Client.Rate, u.site.Conns.Idle; r > 0 && idle > 0 && 1/r > idle.S() {
-				say(u.at("client.rate").with(u.atSite("connections.idle")), r, appconfig.Seconds(math.Round(10/r)/10), idle)
+				report(u.at("client.rate").with(u.atSite("connections.idle")), r, appconfig.Seconds(math.Round(10/r)/10), idle)
 			}
 		}},
-	{Code: "HW121", Severity: Warning, Title: "advice to come again when nobody waits", Looks: "requests.max_retry_after, client.waits",
-		Says: "a refused client may be told to come again after %[1]s, and it waits %[2]s in all",
-		Why:  "By then it has given the request up, so a refusal is as bad as a failure",
-		Do:   "Write a max_retry_after well below what clients wait",
-		against: func(u *unit, say say) {
+	{Code: "HW121", Severity: Warning, Title: "advice to come again when nobody waits", Subject: "requests.max_retry_after, client.waits",
+		Format: "a refused client may be told to come again after %[1]s, and it waits %[2]s in all",
+		Reason: "By then it has given the request up, so a refusal is as bad as a failure",
+		Remedy: "Write a max_retry_after well below what clients wait",
+		against: func(u *unit, report reportFunc) {
 			if w, m := u.app.Client.Waits, u.site.Requests.MaxRetry; u.site.Requests.RetryAfter && w > 0 && m >= w {
-				say(u.at("client.waits").with(u.atSite("requests.max_retry_after")), m, w)
+				report(u.at("client.waits").with(u.atSite("requests.max_retry_after")), m, w)
 			}
 		}},
-	{Code: "HW122", Severity: Note, Title: "no second attempt", Looks: "requests.attempts, class.effect",
-		Says: "a request has one attempt, and %[1]s could be sent again",
-		Why:  "A box that dies takes the request with it",
-		Do:   "Write requests.attempts = 2 or more if the site allows it",
-		against: func(u *unit, say say) {
+	{Code: "HW122", Severity: Note, Title: "no second attempt", Subject: "requests.attempts, class.effect",
+		Format: "a request has one attempt, and %[1]s could be sent again",
+		Reason: "A box that dies takes the request with it",
+		Remedy: "Write requests.attempts = 2 or more if the site allows it",
+		against: func(u *unit, report reportFunc) {
 			if u.site.Requests.Attempts > 1 {
 				return
 			}
 			for i, c := range u.app.Classes {
 				if c.Effect == "safe" || c.Effect == "keyed" {
-					say(u.at("class[%d].effect", i).with(u.atSite("requests.attempts")), c.Name)
+					report(u.at("class[%d].effect", i).with(u.atSite("requests.attempts")), c.Name)
 					return
 				}
 			}
 		}},
-	{Code: "HW123", Severity: Warning, Title: "price that makes no place worth crossing to", Looks: "cross_cost",
-		Says: "a request that is served at another place costs %[1]g of its worth",
-		Why:  "From 1 on an answer from elsewhere is worth nothing, and requests fail that another place could serve",
-		Do:   "Write a part below 1",
-		site: func(u *unit, say say) {
+	{Code: "HW123", Severity: Warning, Title: "price that makes no place worth crossing to", Subject: "cross_cost",
+		Format: "a request that is served at another place costs %[1]g of its worth",
+		Reason: "From 1 on an answer from elsewhere is worth nothing, and requests fail that another place could serve",
+		Remedy: "Write a part below 1",
+		site: func(u *unit, report reportFunc) {
 			if u.site.CrossCost >= 1 {
-				say(u.atSite("cross_cost"), u.site.CrossCost)
+				report(u.atSite("cross_cost"), u.site.CrossCost)
 			}
 		}},
-	{Code: "HW124", Severity: Error, Title: "tenants' shares above the whole", Looks: "tenant.share",
-		Says: "the shares are %.0[1]f %% together",
-		Why:  "Somebody does not get what the file promises",
-		Do:   "Write shares that are at most 1 together",
-		site: func(u *unit, say say) {
+	{Code: "HW124", Severity: Error, Title: "tenants' shares above the whole", Subject: "tenant.share",
+		Format: "the shares are %.0[1]f %% together",
+		Reason: "Somebody does not get what the file promises",
+		Remedy: "Write shares that are at most 1 together",
+		site: func(u *unit, report reportFunc) {
 			sum := 0.0
 			for i, t := range u.site.Tenants {
 				if sum += t.Share; sum > 1+1e-9 {
-					say(u.atSite("tenant[%d].share", i), 100*sum)
+					report(u.atSite("tenant[%d].share", i), 100*sum)
 					return
 				}
 			}
 		}},
-	{Code: "HW125", Severity: Warning, Title: "slack of an unlikely size", Looks: "rules.answer_slack, class.deadline",
-		Says: "an answer counts %[1]s after the deadline",
-		Why:  "The sidecar would keep clients waiting that have gone",
-		Do:   "Write the site's slack, mostly some milliseconds",
-		site: func(u *unit, say say) {
+	{Code: "HW125", Severity: Warning, Title: "slack of an unlikely size", Subject: "rules.answer_slack, class.deadline",
+		Format: "an answer counts %[1]s after the deadline",
+		Reason: "The sidecar would keep clients waiting that have gone",
+		Remedy: "Write the site's slack, mostly some milliseconds",
+		site: func(u *unit, report reportFunc) {
 			if s := u.site.Rules.AnswerSlack; s > appconfig.Seconds(1) {
-				say(u.atSite("rules.answer_slack"), s)
+				report(u.atSite("rules.answer_slack"), s)
 			}
 		}},
-	{Code: "HW126", Severity: Error, Title: "figure that differs from the site's", Looks: "a platform's file and the site's",
-		Says: "the figure is %[1]v here, and %[2]v at the site",
-		Why:  "The sidecar keeps to a rule that is not the site's",
-		Do:   "Write the site's figure, or have the site's file put right",
-		against: func(u *unit, say say) {
+	{Code: "HW126", Severity: Error, Title: "figure that differs from the site's", Subject: "a platform's file and the site's",
+		Format: "the figure is %[1]v here, and %[2]v at the site",
+		Reason: "The sidecar keeps to a rule that is not the site's",
+		Remedy: "Write the site's figure, or have the site's file put right",
+		against: func(u *unit, report reportFunc) {
 			if u.file.Site == nil || u.file.Site == u.site {
 				return
 			}
 			differing(reflect.ValueOf(*u.file.Site), reflect.ValueOf(*u.site), "", func(path string, here, there any) {
-				if u.file.Has("site."+path) && u.siteIn.Has("site."+path) {
-					say(ref{file: u.file, path: "site." + path}.with(u.atSite("%s", path)), here, there)
+				if u.file.Has("site."+path) && u.siteFile.Has("site."+path) {
+					report(ref{file: u.file, path: "site." + path}.with(u.atSite("%s", path)), here, there)
 				}
 			})
 		}},
-	{Code: "HW128", Severity: Warning, Title: "list that nobody says how it comes", Looks: "discovery.mode, discovery.ask_within",
-		Says: "ask_within is given, and how the list comes is not",
-		Why:  "The sidecar takes it for pushed, and does not know what counts as told",
-		Do:   "Write mode = \"ask\" or \"push\"",
-		site: func(u *unit, say say) {
+	{Code: "HW128", Severity: Warning, Title: "list that nobody says how it comes", Subject: "discovery.mode, discovery.ask_within",
+		Format: "ask_within is given, and how the list comes is not",
+		Reason: "The sidecar takes it for pushed, and does not know what counts as told",
+		Remedy: "Write mode = \"ask\" or \"push\"",
+		site: func(u *unit, report reportFunc) {
 			if u.site.List.Mode == "" && u.site.List.AskWithin > 0 {
-				say(u.atSite("discovery.mode").with(u.atSite("discovery.ask_within")))
+				report(u.atSite("discovery.mode").with(u.atSite("discovery.ask_within")))
 			}
 		}},
-	{Code: "HW127", Severity: Warning, Title: "round longer than a site's shortest time", Looks: "round, connections.timeout, rules.drain_grace",
-		Says: "the decisions are asked every %[1]s at most, and %[2]s is %[3]s",
-		Why:  "What must be done by then is done a round late",
-		Do:   "Write a round of some milliseconds",
-		site: func(u *unit, say say) {
+	{Code: "HW127", Severity: Warning, Title: "round longer than a site's shortest time", Subject: "round, connections.timeout, rules.drain_grace",
+		Format: "the decisions are asked every %[1]s at most, and %[2]s is %[3]s",
+		Reason: "What must be done by then is done a round late",
+		Remedy: "Write a round of some milliseconds",
+		site: func(u *unit, report reportFunc) {
 			for field, d := range map[string]appconfig.Duration{"connections.timeout": u.site.Conns.Timeout, "rules.drain_grace": u.site.Rules.DrainGrace} {
 				if d > 0 && u.site.Round >= d {
-					say(u.atSite("round").with(u.atSite("%s", field)), u.site.Round, field, d)
+					report(u.atSite("round").with(u.atSite("%s", field)), u.site.Round, field, d)
 				}
 			}
 		}},
--- a/internal/lint/lint.go
+++ b/internal/lint/lint.go
@@ -1,5 +1,5 @@
-// Package lint says what is wrong with configuration files, all of it at once: what is misspelt, and what is well-formed and
-// can't be meant. Each thing that it can say is a check in one table, with a code that stays.
+// Package lint checks configuration files and reports all diagnostics at once: what can't be read, and what is well-formed but can't be
+// intended. Each check is a row of one table, with a code that never changes its meaning.
 package lint
 
 import (
@@ -11,7 +11,7 @@
 	"hazelwheel/internal/appconfig"
 )
 
-// Severity is how bad a finding is.
+// Severity is how severe a finding is.
 type Severity int
 
 // The severities. A note never makes a file fail; a warning does where it is asked for.
@@ -21,32 +21,34 @@
 	Error
 )
 
+// String returns the word that is printed.
 func (s Severity) String() string { return [...]string{"note", "warning", "error"}[s] }
 
-// MarshalText has JSON say the word.
+// MarshalText makes JSON hold the word.
 func (s Severity) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Check is one thing that can be wrong. Says and Do are formats of the finding's arguments.
+// Check is a row of the table. Format, Reason and Remedy are formats of the arguments that a finding is reported with. Exactly one of
+// the functions is set, or fault.
 type Check struct {
 	Code     string
 	Severity Severity
 	Title    string // in a few words
-	Looks    string // what it looks at
-	Says     string // what is wrong
-	Why      string // why it matters, and to whom
-	Do       string // what to write instead
-
-	fault   appconfig.FaultKind // found while a file is read
-	app     func(*unit, say)    // of an instance
-	class   func(*unit, *class, say)
-	extras  func(*unit, say)           // of a file that holds features
-	site    func(*unit, say)           // of a file that holds facts of a site
-	against func(*unit, say)           // of an instance and the site it is at
-	groups  func(*appconfig.File, say) // of a file of groups
-	all     func([]*unit, say)
+	Subject  string // the fields that it checks
+	Format   string // what is wrong
+	Reason   string // why it matters, and to whom
+	Remedy   string // what to write instead
+
+	fault    appconfig.FaultKind     // of a file that could not be read completely
+	app      func(*unit, reportFunc) // checks an instance
+	class    func(*unit, *class, reportFunc)
+	features func(*unit, reportFunc)           // checks a file that holds features
+	site     func(*unit, reportFunc)           // checks a file that holds facts of a site
+	against  func(*unit, reportFunc)           // checks an instance with the site that it is at
+	groups   func(*appconfig.File, reportFunc) // checks a file of quota groups
+	all      func([]*unit, reportFunc)
 }
 
-// Finding is something that a check has found.
+// Finding is a diagnostic: a check that did not hold, with its place.
 type Finding struct {
 	*Check
 	File    string
@@ -54,93 +56,95 @@
 	Message string
 }
 
+// String returns the finding as one line, as compilers print diagnostics.
 func (f *Finding) String() string {
 	return fmt.Sprintf("%s:%s: %s %s: %s", f.File, f.Place, f.Severity, f.Code, f.Message)
 }
 
-// Lost tells whether what the finding is about could not be read, so that nothing made of the file would hold it.
+// Lost reports whether the value at the place could not be read, so that output rendered from the file would lack it.
 func (f *Finding) Lost() bool { return f.fault != "" && f.Severity == Error }
 
-// ref is a field of a file that a finding is about, and further fields that it rests on.
+// ref is a field of a file that a finding is about, and further fields that it depends on.
 type ref struct {
 	file *appconfig.File
 	path string
 	also []ref
 }
 
+// with returns the reference with further fields that the finding depends on.
 func (r ref) with(also ...ref) ref {
 	r.also = append(slices.Clone(r.also), also...)
 	return r
 }
 
-// bad tells whether a field is at fault already; what is found there would only follow from that.
-func (r *ref) bad() bool {
-	return r.file.Bad(r.path) || slices.ContainsFunc(r.also, func(o ref) bool { return o.bad() })
+// isFaulty reports whether a field could not be read; any finding there would be a consequence of that.
+func (r *ref) isFaulty() bool {
+	return r.file.Bad(r.path) || slices.ContainsFunc(r.also, func(o ref) bool { return o.isFaulty() })
 }
 
-// say adds a finding.
-type say func(at ref, args ...any)
+// reportFunc adds a finding at a field; args fill the formats of the check.
+type reportFunc func(at ref, args ...any)
 
-// unit is an instance with all that is known of it, or a part of that: a file of features or of a site alone.
+// unit is what is checked together: an instance with its features, quota groups and site, as far as files describe them, or a file of
+// features or of a site alone.
 type unit struct {
-	file      *appconfig.File // that says who it is; nil where no file does
-	app       *appconfig.App  // with what the site's classes say filled in
-	extrasIn  *appconfig.File // the file of its features; nil where there is none
-	extras    *appconfig.App
-	groupsIn  *appconfig.File // the file of its quotas' groups; nil where it is not checked
-	siteIn    *appconfig.File // the file of its site; nil where there is none
-	site      *appconfig.Site
-	siteIsOwn bool // the site's facts stand in the file itself, as they do in a platform's file
-	listed    []*class
-	alone     bool // there is nothing but the file of the site, or of features
+	file         *appconfig.File // that names the instance; nil if there is none
+	app          *appconfig.App  // with the site's class settings as defaults
+	featuresFile *appconfig.File // nil if there is none
+	features     *appconfig.App
+	groupsFile   *appconfig.File // nil if it is not checked
+	siteFile     *appconfig.File // nil if there is none
+	site         *appconfig.Site
+	siteIsOwn    bool // the site's facts stand in the file itself, as they do in a platform's file
+	ownClasses   []*class
+	alone        bool // there is nothing but the file of the site, or of features
 }
 
 func (u *unit) at(format string, args ...any) ref {
 	return ref{file: u.file, path: "app." + fmt.Sprintf(format, args...)}
 }
 
-func (u *unit) atExtra(format string, args ...any) ref {
-	return ref{file: u.extrasIn, path: "app." + fmt.Sprintf(format, args...)}
+func (u *unit) atFeature(format string, args ...any) ref {
+	return ref{file: u.featuresFile, path: "app." + fmt.Sprintf(format, args...)}
 }
 
 func (u *unit) atSite(format string, args ...any) ref {
-	return ref{file: u.siteIn, path: "site." + fmt.Sprintf(format, args...)}
+	return ref{file: u.siteFile, path: "site." + fmt.Sprintf(format, args...)}
 }
 
-// class is one of an instance or of a site, with its place.
+// class is a request class of an instance or of a site, with its place.
 type class struct {
 	appconfig.Class
 	file *appconfig.File
 	path string
-	ours bool // of an instance
 }
 
 func (c *class) at(field string) ref { return ref{file: c.file, path: c.path + "." + field} }
 
 func (c *class) has(field string) bool { return c.file.Has(c.path + "." + field) }
 
-// classes are those of the unit's own files.
+// classes returns the classes of the unit's own files.
 func (u *unit) classes() []*class {
-	if u.listed != nil {
-		return u.listed
+	if u.ownClasses != nil {
+		return u.ownClasses
 	}
 	var all []*class
 	if u.app != nil {
 		for i, c := range u.app.Classes {
-			all = append(all, &class{c, u.file, fmt.Sprintf("app.class[%d]", i), true})
+			all = append(all, &class{c, u.file, fmt.Sprintf("app.class[%d]", i)})
 		}
 	}
 	if u.site != nil && (u.siteIsOwn || u.alone) {
 		all = append(all, u.siteClasses()...)
 	}
-	u.listed = all
+	u.ownClasses = all
 	return all
 }
 
 func (u *unit) siteClasses() []*class {
 	var all []*class
 	for i, c := range u.site.Classes {
-		all = append(all, &class{c, u.siteIn, fmt.Sprintf("site.class[%d]", i), false})
+		all = append(all, &class{c, u.siteFile, fmt.Sprintf("site.class[%d]", i)})
 	}
 	return all
 }
@@ -154,11 +158,11 @@
 	return nil
 }
 
-// mostOfOne bounds how often one check tells of one file. Nobody reads more, and a file of nothing but faults would take long.
-const mostOfOne = 500
+// maxFindingsPerCheck bounds the findings of one check in one file, and with it the time that a file full of faults takes.
+const maxFindingsPerCheck = 500
 
-// Run returns what is wrong with files that belong together, in their order. against is a site's file that all of them are
-// held against; nil: a site's file among them, if there is one.
+// Run checks files that belong together and returns the findings in the order of the files. against is the site's file that all of
+// them are checked with; if it is nil, a site's file among them is, if there is one.
 func Run(files []*appconfig.File, against *appconfig.File) []Finding {
 	var found []Finding
 	order := map[*appconfig.File]int{}
@@ -170,43 +174,43 @@
 		rank[f.Name] = i
 		for _, fault := range f.Faults {
 			if c := byFault[fault.Kind]; c != nil {
-				found = append(found, c.finding(f, fault.Place, instead(fault)))
+				found = append(found, c.finding(f, fault.Place, withSuggestion(fault)))
 			}
 		}
 	}
-	sayOf := func(c *Check) say {
-		told, shared := map[string]int{}, map[string]bool{}
+	newReport := func(c *Check) reportFunc {
+		reported, shared := map[string]int{}, map[string]bool{}
 		return func(at ref, args ...any) {
-			if _, asked := order[at.file]; !asked || at.bad() {
+			if _, asked := order[at.file]; !asked || at.isFaulty() {
 				return
 			}
-			if c.all != nil { // what three files share is said once for each, and not of each pair
+			if c.all != nil { // a value that three files share is reported once for each file, not for each pair
 				key := at.file.Name + "@" + at.path
 				if shared[key] {
 					return
 				}
 				shared[key] = true
 			}
-			if told[at.file.Name]++; told[at.file.Name] > mostOfOne {
+			if reported[at.file.Name]++; reported[at.file.Name] > maxFindingsPerCheck {
 				return
 			}
 			found = append(found, c.finding(at.file, at.file.At(at.path), args))
 		}
 	}
-	units := unitsOf(files, against)
+	units := groupUnits(files, against)
 	for i := range table {
 		c := &table[i]
-		say := sayOf(c)
+		report := newReport(c)
 		for _, u := range units {
-			c.look(u, say)
+			c.run(u, report)
 		}
 		for _, f := range files {
 			if c.groups != nil && f.Kind == appconfig.GroupsFile {
-				c.groups(f, say)
+				c.groups(f, report)
 			}
 		}
 		if c.all != nil {
-			c.all(units, say)
+			c.all(units, report)
 		}
 	}
 	slices.SortStableFunc(found, func(a, b Finding) int {
@@ -218,8 +222,8 @@
 	})
 }
 
-// instead makes the last argument of a fault with a name say what to do about it.
-func instead(f appconfig.Fault) []any {
+// withSuggestion returns the arguments of a fault; for an unknown name the last one becomes the remedy.
+func withSuggestion(f appconfig.Fault) []any {
 	args := slices.Clone(f.Args)
 	if f.Kind != appconfig.Unknown && f.Kind != appconfig.NotOneOf {
 		return args
@@ -236,31 +240,31 @@
 	return args
 }
 
-// look has a check look at a unit, if the unit has what it looks at.
-func (c *Check) look(u *unit, say say) {
+// run checks a unit, if the unit has what the check needs.
+func (c *Check) run(u *unit, report reportFunc) {
 	if c.app != nil && u.app != nil {
-		c.app(u, say)
+		c.app(u, report)
 	}
 	if c.class != nil {
 		for _, class := range u.classes() {
-			c.class(u, class, say)
+			c.class(u, class, report)
 		}
 	}
-	if c.extras != nil && u.extras != nil {
-		c.extras(u, say)
+	if c.features != nil && u.features != nil {
+		c.features(u, report)
 	}
 	if c.site != nil && u.site != nil && (u.siteIsOwn || u.alone) {
-		c.site(u, say)
+		c.site(u, report)
 	}
 	if c.against != nil && u.app != nil && u.site != nil {
-		c.against(u, say)
+		c.against(u, report)
 	}
 }
 
-// finding puts a check's sentences together.
+// finding makes a finding of the check's formats and the arguments.
 func (c *Check) finding(f *appconfig.File, at appconfig.Place, args []any) Finding {
-	parts := []string{filled(c.Says, args)}
-	for _, part := range []string{filled(c.Why, args), filled(c.Do, args)} {
+	parts := []string{formatted(c.Format, args)}
+	for _, part := range []string{formatted(c.Reason, args), formatted(c.Remedy, args)} {
 		if part != "" {
 			parts = append(parts, part)
 		}
@@ -275,24 +279,24 @@
 	return Finding{c, f.Name, at, message}
 }
 
-// filled fills arguments into a format, which may leave some out if it counts them: %[1].
-func filled(format string, args []any) string {
+// formatted fills arguments into a format, which may leave some out if it numbers them: %[1].
+func formatted(format string, args []any) string {
 	if !strings.Contains(strings.ReplaceAll(format, "%%", ""), "%") {
 		return strings.ReplaceAll(format, "%%", "%")
 	}
 	return fmt.Sprintf(format, args...)
 }
 
-// unitsOf puts files together that belong to one instance. A file of features belongs to the instance's file before it, or to the
+// groupUnits puts the files together that belong to one instance. A file of features belongs to the instance's file before it, or to the
 // first after it.
-func unitsOf(files []*appconfig.File, against *appconfig.File) []*unit {
+func groupUnits(files []*appconfig.File, against *appconfig.File) []*unit {
 	var units []*unit
 	for _, f := range files {
 		if f.Kind == appconfig.SiteFile && f.Site != nil {
 			if against == nil {
 				against = f
 			}
-			units = append(units, &unit{siteIn: f, site: f.Site, alone: true})
+			units = append(units, &unit{siteFile: f, site: f.Site, alone: true})
 		}
 	}
 	if against != nil && against.Site == nil {
@@ -305,14 +309,14 @@
 		case f.App == nil || f.Kind != appconfig.AppFile && f.Kind != appconfig.PlatformFile:
 			continue
 		case f.Kind == appconfig.AppFile:
-			u.extrasIn, u.extras = f, f.App
+			u.featuresFile, u.features = f, f.App
 		case against == nil:
-			u.siteIn, u.site, u.siteIsOwn = f, f.Site, true
+			u.siteFile, u.site, u.siteIsOwn = f, f.Site, true
 		}
 		if against != nil {
-			u.siteIn, u.site = against, against.Site
+			u.siteFile, u.site = against, against.Site
 			if f.Site != nil {
-				units = append(units, &unit{siteIn: f, site: f.Site, alone: true})
+				units = append(units, &unit{siteFile: f, site: f.Site, alone: true})
 			}
 		}
 		u.app = appconfig.Resolve(f.App, u.site)
@@ -323,10 +327,10 @@
 		switch {
 		case f.Kind == appconfig.FeaturesFile && f.App != nil:
 			at := max(last, 0)
-			if at < len(core) && core[at].extras == nil {
-				core[at].extrasIn, core[at].extras = f, f.App
+			if at < len(core) && core[at].features == nil {
+				core[at].featuresFile, core[at].features = f, f.App
 			} else {
-				units = append(units, &unit{extrasIn: f, extras: f.App, alone: true})
+				units = append(units, &unit{featuresFile: f, features: f.App, alone: true})
 			}
 		case f.App != nil && f.Kind != appconfig.FeaturesFile:
 			last++
@@ -335,7 +339,7 @@
 	units = append(units, core...)
 	if at := slices.IndexFunc(files, func(f *appconfig.File) bool { return f.Kind == appconfig.GroupsFile }); at >= 0 {
 		for _, u := range units {
-			u.groupsIn = files[at]
+			u.groupsFile = files[at]
 		}
 	}
 	return units
@@ -354,8 +358,8 @@
 }
 
 // table holds all checks. Codes are never given twice, nor given anew when a check goes.
-var table = slices.SortedFunc(slices.Values(slices.Concat(readingChecks, nameChecks, classChecks, siteClassChecks, instanceChecks, roomChecks,
-	factChecks, featureChecks, rewriteChecks, quotaChecks, manyChecks)), func(a, b Check) int { return strings.Compare(a.Code, b.Code) })
+var table = slices.SortedFunc(slices.Values(slices.Concat(readingChecks, nameChecks, classChecks, siteClassChecks, instanceChecks, capacityChecks,
+	factChecks, featureChecks, rewriteChecks, quotaChecks, togetherChecks)), func(a, b Check) int { return strings.Compare(a.Code, b.Code) })
 
 var byFault = func() map[appconfig.FaultKind]*Check {
 	m := map[appconfig.FaultKind]*Check{}
--- a/internal/lint/lint_test.go
+++ b/internal/lint/lint_test.go
@@ -134,9 +134,9 @@
 		assert.Regexp(t, `^HW\d{3}$`, c.Code)
 		assert.True(t, i == 0 || all[i-1].Code < c.Code, c.Code)
 		assert.NotEmpty(t, c.Title, c.Code)
-		assert.NotEmpty(t, c.Looks, c.Code)
-		assert.NotEmpty(t, c.Says, c.Code)
-		assert.NotEmpty(t, c.Do, c.Code)
+		assert.NotEmpty(t, c.Subject, c.Code)
+		assert.NotEmpty(t, c.Format, c.Code)
+		assert.NotEmpty(t, c.Remedy, c.Code)
 	}
 }
 
--- a/internal/lint/output.go
+++ b/internal/lint/output.go
@@ -103,7 +103,7 @@
 	run.Tool.Driver.Name, run.Tool.Driver.Rules = "hazelwheel", []sarifRule{}
 	for _, f := range all {
 		if !slices.ContainsFunc(run.Tool.Driver.Rules, func(r sarifRule) bool { return r.ID == f.Code }) {
-			run.Tool.Driver.Rules = append(run.Tool.Driver.Rules, sarifRule{f.Code, sarifMessage{f.Title}, sarifMessage{cmp.Or(f.Why, f.Title)}})
+			run.Tool.Driver.Rules = append(run.Tool.Driver.Rules, sarifRule{f.Code, sarifMessage{f.Title}, sarifMessage{cmp.Or(f.Reason, f.Title)}})
 		}
 		r := sarifResult{Rule: f.Code, Level: f.Severity, Message: sarifMessage{f.Message}}
 		p := &r.Locations[0].Physical
