--- a/internal/environment/actors_test.go
+++ b/internal/environment/actors_test.go
@@ -116,9 +116,9 @@
 		read    bool
 	}{{"sound", Misbehavior{}, true}, {"spoilt", Misbehavior{Malformed: 1}, false}, {"behind", Misbehavior{TrailingBytes: 1}, true}, {"interim", Misbehavior{InterimResponses: 1}, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newStage(t, 3, func(d *Day) { d.Inline = true })
+			s := newStage(t, 3, func(d *Day) { d.ReportsInline = true })
 			b := s.world.Servers[0]
-			b.Spec.Errors = 0
+			b.Spec.ErrorShare = 0
 			b.Misbehavior = c.manners
 			s.begin(t, b.Spec.IP)
 			const requests = 60
@@ -306,12 +306,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newStage(t, 5, func(d *Day) {
-				d.LengthS = 20
+				d.LengthSeconds = 20
 				d.Classes = slices.DeleteFunc(d.Classes, func(k ClassSpec) bool { return k.Effect != c.class })
-				d.Classes[0].Share, d.Classes[0].GiveUpS = 1, 3
-				d.Clients.Retries, d.Clients.TryShare, d.Clients.BackoffS, d.Clients.Impatient, d.Clients.Honour = most, 0.3, 0.02, 0, 0
-				d.Clients.RatePS, d.Clients.Burst, d.Sidecars[0].Share = 1, 1, 1
-				d.Clients.MostConnections = 100
+				d.Classes[0].Share, d.Classes[0].TotalTimeoutSeconds = 1, 3
+				d.Clients.Retries, d.Clients.AttemptTimeoutShare, d.Clients.BackoffSeconds, d.Clients.ImpatientShare, d.Clients.RetryAfterShare = most, 0.3, 0.02, 0, 0
+				d.Clients.RatePerSecond, d.Clients.BurstFactor, d.Sidecars[0].Share = 1, 1, 1
+				d.Clients.MaxConnections = 100
 			})
 			n, came := 0, map[string]int{}
 			type reader struct {
@@ -368,12 +368,12 @@
 		for i := range s.day.Sidecars {
 			cfg, err := sidecarconfig.Parse(s.world.StartConfiguration(i, s.day.Start))
 			require.NoError(t, err)
-			assert.Equal(t, []any{s.day.Sidecars[i].Address, s.world.Discovery.Address(), s.day.Sockets, len(s.day.Sidecars), s.day.Sidecars[i].Site},
+			assert.Equal(t, []any{s.day.Sidecars[i].Address, s.world.Discovery.Address(), s.day.MaxDescriptors, len(s.day.Sidecars), s.day.Sidecars[i].Site},
 				[]any{cfg.Listen, cfg.Discovery, cfg.Limits.Sockets, cfg.Settings.Policy.Replicas, cfg.Settings.Policy.Zone})
 			for k, c := range cfg.Settings.Policy.Classes {
 				want := s.day.Classes[k]
-				assert.Equal(t, policy.Class{Name: want.Name, Effect: policy.Effect(want.Effect), Group: policy.Group(want.Group), DedupWindowSeconds: want.WindowS,
-					LatencyTargetSeconds: want.AimS, TotalTimeoutSeconds: want.GiveUpS, PriorityWeight: want.Worth, LateFraction: want.LateWorth}, c)
+				assert.Equal(t, policy.Class{Name: want.Name, Effect: policy.Effect(want.Effect), Group: policy.Group(want.Group), DedupWindowSeconds: want.DedupWindowSeconds,
+					LatencyTargetSeconds: want.LatencyTargetSeconds, TotalTimeoutSeconds: want.TotalTimeoutSeconds, PriorityWeight: want.PriorityWeight, LateFraction: want.LateFraction}, c)
 			}
 			var known struct{ Endpoints []struct{ Name string } }
 			require.NoError(t, json.Unmarshal(cfg.Known, &known))
--- a/internal/environment/app.go
+++ b/internal/environment/app.go
@@ -107,7 +107,7 @@
 	a.batch, a.linkNumber = d.Batch, batchLinks
 	a.rng, a.ids, a.chance = stream(d.Seed, "batch arrivals", sidecar), stream(d.Seed, "batch ids", sidecar), stream(d.Seed, "batch", sidecar)
 	spec := d.Clients
-	spec.RatePS = d.Batch.RatePS
+	spec.RatePerSecond = d.Batch.RatePerSecond
 	a.spec = &spec
 	return a
 }
@@ -202,20 +202,20 @@
 // rate returns how many requests a second come at a time.
 func (a *Application) rate(at float64) float64 {
 	s := a.spec
-	r := s.RatePS * a.day.Sidecars[a.number].Share * (1 + s.Swing*math.Sin(2*math.Pi*(at-a.day.Start)/s.PeriodS))
+	r := s.RatePerSecond * a.day.Sidecars[a.number].Share * (1 + s.Swing*math.Sin(2*math.Pi*(at-a.day.Start)/s.SwingPeriodSeconds))
 	for at >= a.burstEnd {
-		a.burstAt = max(a.burstEnd, a.day.Start) + s.EveryS*a.rng.ExpFloat64()
-		a.burstEnd = a.burstAt + s.BurstS*(0.5+a.rng.Float64())
+		a.burstAt = max(a.burstEnd, a.day.Start) + s.BurstIntervalSeconds*a.rng.ExpFloat64()
+		a.burstEnd = a.burstAt + s.BurstSeconds*(0.5+a.rng.Float64())
 	}
 	if at >= a.burstAt {
-		r *= s.Burst
+		r *= s.BurstFactor
 	}
 	return r
 }
 
 // nextArrival returns when the next request comes after a time.
 func (a *Application) nextArrival(at float64) float64 {
-	most := a.spec.RatePS * a.day.Sidecars[a.number].Share * (1 + a.spec.Swing) * a.spec.Burst
+	most := a.spec.RatePerSecond * a.day.Sidecars[a.number].Share * (1 + a.spec.Swing) * a.spec.BurstFactor
 	for {
 		at += a.rng.ExpFloat64() / most
 		if a.rng.Float64()*most <= a.rate(at) {
@@ -227,7 +227,7 @@
 // arrive takes up a new request.
 func (a *Application) arrive(due, now float64) {
 	// Danger: the next one counted from now, a late loop would have fewer come.
-	if at := a.nextArrival(due); at < a.day.Start+a.day.LengthS {
+	if at := a.nextArrival(due); at < a.day.Start+a.day.LengthSeconds {
 		a.due.put(at, appTask{kind: taskArrival})
 	} else {
 		a.due.put(now+a.longest()+2, appTask{kind: taskEnd})
@@ -244,7 +244,7 @@
 		class++
 	}
 	c := &a.day.Classes[class]
-	k := &ask{class: class, endAt: now + c.GiveUpS}
+	k := &ask{class: class, endAt: now + c.TotalTimeoutSeconds}
 	if c.BodyBytes > 0 {
 		k.size = 1 + a.rng.IntN(2*c.BodyBytes)
 	}
@@ -268,7 +268,7 @@
 func (a *Application) longest() float64 {
 	most := 0.0
 	for _, c := range a.day.Classes {
-		most = max(most, c.GiveUpS)
+		most = max(most, c.TotalTimeoutSeconds)
 	}
 	return most
 }
@@ -287,9 +287,9 @@
 	}
 	k.until = k.endAt
 	if k.tries <= a.spec.Retries && a.repeats(k.class) {
-		k.until = min(k.endAt, now+a.spec.TryShare*a.day.Classes[k.class].GiveUpS)
+		k.until = min(k.endAt, now+a.spec.AttemptTimeoutShare*a.day.Classes[k.class].TotalTimeoutSeconds)
 	}
-	if a.chance.Float64() < a.spec.Impatient {
+	if a.chance.Float64() < a.spec.ImpatientShare {
 		k.until = now + a.chance.Float64()*(k.until-now) // it goes away early
 	}
 	a.tell(checker.RequestStarted, k, nil)
@@ -349,7 +349,7 @@
 		a.write(link, k)
 		return
 	}
-	if a.links >= a.spec.MostConnections || now >= a.leaveAt {
+	if a.links >= a.spec.MaxConnections || now >= a.leaveAt {
 		a.waiting = append(a.waiting, k)
 		return
 	}
@@ -389,7 +389,7 @@
 // serveWaiting gives room that has come free to who waits for it.
 func (a *Application) serveWaiting() {
 	// Danger: what can't be served yet goes back to the end of the line, so one round is enough.
-	for n := len(a.waiting); n > 0 && (len(a.idle) > 0 || a.links < a.spec.MostConnections && a.net.Now() < a.leaveAt); n-- {
+	for n := len(a.waiting); n > 0 && (len(a.idle) > 0 || a.links < a.spec.MaxConnections && a.net.Now() < a.leaveAt); n-- {
 		k := a.waiting[0]
 		a.waiting = a.waiting[1:]
 		if !k.over && k.id != 0 && k.link == nil && k.until > a.net.Now() {
@@ -449,7 +449,7 @@
 	} else {
 		out = append(strconv.AppendInt(out, max(1, int64(wait*1e3)), 10), "m\r\n"...)
 	}
-	if k.tries > 1 && a.spec.MarksRetry {
+	if k.tries > 1 && a.spec.MarksRetries {
 		out = append(out, fieldRetry+": 1\r\n"...)
 	}
 	if a.batch != nil {
@@ -547,8 +547,8 @@
 // refused takes a refusal: trying again is harmless.
 func (a *Application) refused(k *ask, now, after float64) {
 	pause := a.pause(k)
-	if after > 0 && a.chance.Float64() < a.spec.Honour {
-		pause = max(pause, min(after, a.spec.MaxRetryAfterS))
+	if after > 0 && a.chance.Float64() < a.spec.RetryAfterShare {
+		pause = max(pause, min(after, a.spec.MaxRetryAfterSeconds))
 	}
 	a.again(k, now+pause)
 }
@@ -563,7 +563,7 @@
 }
 
 func (a *Application) pause(k *ask) float64 {
-	return a.spec.BackoffS * math.Ldexp(0.5+a.chance.Float64(), min(k.tries-1, 8))
+	return a.spec.BackoffSeconds * math.Ldexp(0.5+a.chance.Float64(), min(k.tries-1, 8))
 }
 
 // again has a request tried once more, if it has tries and time left.
--- a/internal/environment/box.go
+++ b/internal/environment/box.go
@@ -204,13 +204,13 @@
 	l.open++
 	l.engine.SetConnections(l.open)
 	e := l.event(checker.ConnectionOpened, k)
-	e.Work = l.Spec.HandshakeS / l.Spec.Speed
+	e.Work = l.Spec.HandshakeSeconds / l.Spec.Speed
 	l.witness.Observe(e)
 	l.bear(e.Work)
-	k.over = l.open > l.Spec.ConnCap
+	k.over = l.open > l.Spec.MaxConnections
 	l.rest(k)
 	l.arm()
-	return l.open <= l.Spec.ConnCap+l.Spec.ConnCap/4
+	return l.open <= l.Spec.MaxConnections+l.Spec.MaxConnections/4
 }
 
 func (l *life) Closed(c netio.Conn, err error) {
@@ -335,17 +335,17 @@
 	j := &boxJob{link: k, id: parseID(k.heard.id), class: class}
 	c := &l.day.Classes[class]
 	l.same.Seed(l.day.Seed, j.id)
-	work := c.WorkS * spread(l.cost, c.WorkCV) * spread(l.rng, 0.3) / l.Spec.Speed
-	if key := k.heard.key; c.Effect == checker.Keyed && l.keys.repeat(key, now, c.WindowS) {
+	work := c.MeanWorkSeconds * spread(l.cost, c.WorkCV) * spread(l.rng, 0.3) / l.Spec.Speed
+	if key := k.heard.key; c.Effect == checker.Keyed && l.keys.repeat(key, now, c.DedupWindowSeconds) {
 		work *= 0.05 // the key is looked up, and nothing more
 	}
 	if j.Seconds = work; !k.used { // the connection's cost is paid by its first request
-		j.Seconds += l.Spec.HandshakeS / l.Spec.Speed
+		j.Seconds += l.Spec.HandshakeSeconds / l.Spec.Speed
 	}
 	k.used = true
-	j.failing = l.rng.Float64() < l.Spec.Errors
+	j.failing = l.rng.Float64() < l.Spec.ErrorShare
 	e := l.event(checker.AttemptReceived, k)
-	e.Request, e.Class, e.Work, e.FirstSent, e.Sent = j.id, int32(class), min(work, mostCounted*c.WorkS/l.Spec.Speed), k.firstAt, sentAt(k.conn, now)
+	e.Request, e.Class, e.Work, e.FirstSent, e.Sent = j.id, int32(class), min(work, mostCounted*c.MeanWorkSeconds/l.Spec.Speed), k.firstAt, sentAt(k.conn, now)
 	e.FirstSent = min(e.FirstSent, e.Sent)
 	l.witness.Observe(e)
 	if j.id == 0 {
@@ -392,7 +392,7 @@
 func (l *life) probe(k *boxLink, health bool) {
 	now := l.net.Now()
 	j := &boxJob{link: k, health: health, class: -1}
-	j.IsHealthCheck, j.Seconds = true, l.Spec.ProbeS/l.Spec.Speed
+	j.IsHealthCheck, j.Seconds = true, l.Spec.HealthCheckSeconds/l.Spec.Speed
 	e := l.event(checker.HealthCheckReceived, k)
 	e.Work = j.Seconds
 	l.witness.Observe(e)
@@ -400,7 +400,7 @@
 	if now >= l.probesAt+1 {
 		l.probesAt, l.probes = now, 0
 	}
-	if l.probes++; float64(l.probes) > l.Spec.ProbePS || health && l.draining || !l.engine.Enqueue(now, &j.Job) {
+	if l.probes++; float64(l.probes) > l.Spec.HealthChecksPerSecond || health && l.draining || !l.engine.Enqueue(now, &j.Job) {
 		l.say(k, 503, nil)
 		return
 	}
@@ -486,7 +486,7 @@
 // loadField returns the load report of an answer, where answers have one; a box that misbehaves may say what nobody can
 // read.
 func (l *life) loadField(misbehaves bool) http1.Header {
-	if !l.day.Inline {
+	if !l.day.ReportsInline {
 		return nil
 	}
 	text := string(l.reports.shown[:len(l.reports.shown)-1]) // without its line's end
@@ -520,7 +520,7 @@
 	now := l.net.Now()
 	l.work()
 	l.reports.refresh(l.engine, l.rng, now)
-	for l.first != nil && l.first.idleAt+l.Spec.IdleS <= now {
+	for l.first != nil && l.first.idleAt+l.Spec.IdleTimeoutSeconds <= now {
 		k := l.first
 		l.unrest(k)
 		l.net.Close(k.conn)
@@ -541,7 +541,7 @@
 func (l *life) arm() {
 	at := min(l.engine.NextAt(), l.reports.next, l.early.next())
 	if l.first != nil {
-		at = min(at, l.first.idleAt+l.Spec.IdleS)
+		at = min(at, l.first.idleAt+l.Spec.IdleTimeoutSeconds)
 	}
 	if at != l.armed {
 		l.armed = at
--- a/internal/environment/configuration.go
+++ b/internal/environment/configuration.go
@@ -32,7 +32,7 @@
 	d, s := w.Day, &w.Day.Sidecars[sidecar]
 	raw, err := json.Marshal(object{"name": s.Name, "listen": s.Address, "discovery": w.Discovery.Address(),
 		"seed":   fmt.Sprintf("%016x", s.Seed),
-		"limits": object{"cores": 1, "memory_mb": d.MemoryMB, "sockets": d.Sockets},
+		"limits": object{"cores": 1, "memory_mb": d.MemoryMB, "sockets": d.MaxDescriptors},
 		"known":  json.RawMessage(known), "settings": d.settings(sidecar)})
 	if err != nil {
 		panic(err) // all of it is ours, and can be marshalled
@@ -50,18 +50,18 @@
 	var classes []object
 	for _, c := range d.Classes {
 		classes = append(classes, object{"name": c.Name, "effect": effectText[c.Effect], "dedupScope": groupText[c.Group],
-			"giveUpS": c.GiveUpS, "objectiveS": c.AimS, "windowS": c.WindowS, "importance": c.Worth, "lateWorth": c.LateWorth,
+			"giveUpS": c.TotalTimeoutSeconds, "objectiveS": c.LatencyTargetSeconds, "windowS": c.DedupWindowSeconds, "importance": c.PriorityWeight, "lateWorth": c.LateFraction,
 			"stream": false})
 	}
 	how := "on_probe"
-	if d.Inline {
+	if d.ReportsInline {
 		how = "inline"
 	}
 	return object{
-		"classes": classes, "clients": object{"marksRetry": d.Clients.MarksRetry}, "dcs": d.Sites, "hostTypes": d.Kinds,
+		"classes": classes, "clients": object{"marksRetry": d.Clients.MarksRetries}, "dcs": d.Sites, "hostTypes": d.ServerKinds,
 		"deductions": object{"crossZone": 0.06, "probe": 0.0081, "waste": 0.02, "lateFail": 0.055},
 		"discovery":  "on_request", "locality": d.Sidecars[sidecar].Site,
-		"limits": object{"cancel": true, "connIdleS": d.ConnIdle, "connectTimeoutS": connectS, "maxRetryAfterS": maxRetryAfter,
+		"limits": object{"cancel": true, "connIdleS": d.ConnIdleSeconds, "connectTimeoutS": connectS, "maxRetryAfterS": maxRetryAfter,
 			"peers": false, "probes": true, "retryAfter": true, "secondCopies": false, "sendCap": mostAttempts, "streamsPerConn": 1},
 		"obligations": object{"answerSlackS": answerSlackS, "askWithinS": askWithinS, "coldFrom": coldFrom, "coldS": coldS,
 			"drainGraceS": drainGraceS, "fallMultiple": fallMultiple, "fallS": fallS},
--- a/internal/environment/day.go
+++ b/internal/environment/day.go
@@ -17,10 +17,10 @@
 
 // Day is one draw of a world, all that is true of it at its start.
 type Day struct {
-	Seed     uint64
-	Protocol Protocol // empty: HTTP
-	Start    float64  // Unix time in seconds at which it begins
-	LengthS  float64  // arrivals end then
+	Seed          uint64
+	Protocol      Protocol // empty: HTTP
+	Start         float64  // Unix time in seconds at which it begins
+	LengthSeconds float64  // arrivals end then
 
 	Sites          []string
 	Sidecars       []SidecarSpec
@@ -28,19 +28,19 @@
 	InitialServers int          // how many stand at the start
 	Discovery      DiscoverySpec
 	Classes        []ClassSpec
-	Kinds          []string
+	ServerKinds    []string
 	Clients        ClientSpec
 	Batch          *BatchSpec // nil: there is none
 
-	WorkS    float64     // mean work of a request, in seconds of a standard core
-	PathS    [][]float64 // one way between two sites
-	ClientS  float64     // one way between an application and its sidecar
-	Jitter   float64     // of a way's time, as a share of it
-	ConnIdle float64     // seconds
-	Inline   bool        // load reports come with answers; else with probes alone
-	Sockets  int         // descriptors that each sidecar may hold
-	MemoryMB int
-	FallS    float64 // the window in which work brings a cold box down; 0: the usual one
+	MeanWorkSeconds       float64     // mean work of a request, in seconds of a standard core
+	PathSeconds           [][]float64 // one way between two sites
+	ClientPathSeconds     float64     // one way between an application and its sidecar
+	Jitter                float64     // of a way's time, as a share of it
+	ConnIdleSeconds       float64     // seconds
+	ReportsInline         bool        // load reports come with answers; else with probes alone
+	MaxDescriptors        int         // descriptors that each sidecar may hold
+	MemoryMB              int
+	OverloadWindowSeconds float64 // the window in which work brings a cold box down; 0: the usual one
 }
 
 // SidecarSpec is a sidecar and the application beside it, which share a machine.
@@ -56,81 +56,83 @@
 // ClassSpec is a class of requests as drawn.
 type ClassSpec struct {
 	ClassRanges
-	Effect    checker.Effect
-	Group     checker.Group
-	Share     float64
-	WorkS     float64 // mean, in seconds of a standard core
-	WorkCV    float64
-	AimS      float64
-	GiveUpS   float64
-	BodyBytes int
+	Effect               checker.Effect
+	Group                checker.Group
+	Share                float64
+	MeanWorkSeconds      float64 // mean, in seconds of a standard core
+	WorkCV               float64
+	LatencyTargetSeconds float64
+	TotalTimeoutSeconds  float64
+	BodyBytes            int
 }
 
 // ClientSpec is how applications behave.
 type ClientSpec struct {
-	RatePS, Swing, PeriodS float64
-	Burst, BurstS, EveryS  float64
-	Retries                int
-	TryShare, BackoffS     float64
-	Honour, Impatient      float64
-	MostConnections        int  // of one application
-	MarksRetry             bool // later tries say that they are
-	MaxRetryAfterS         float64
+	RatePerSecond, Swing, SwingPeriodSeconds        float64
+	BurstFactor, BurstSeconds, BurstIntervalSeconds float64
+	Retries                                         int
+	AttemptTimeoutShare, BackoffSeconds             float64
+	RetryAfterShare, ImpatientShare                 float64
+	MaxConnections                                  int  // of one application
+	MarksRetries                                    bool // later tries say that they are
+	MaxRetryAfterSeconds                            float64
 }
 
 // BatchSpec is a batch that comes beside the applications' requests.
 type BatchSpec struct {
-	RatePS       float64 // of all sidecars together, shared out among them as the applications' requests are
-	Class        int     // of all its requests
-	Organisation string  // in whose name they come
+	RatePerSecond float64 // of all sidecars together, shared out among them as the applications' requests are
+	Class         int     // of all its requests
+	Organisation  string  // in whose name they come
 }
 
 // BoxSpec is a box as drawn.
 type ServerSpec struct {
-	Number   int
-	Name     string // ends in eight hexadecimal digits that tell nothing
-	IP       string
-	Address  string
-	Site     int
-	Cell     int
-	Kind     int
-	Speed    float64 // of one slot, in standard cores
-	Slots    int
-	Waiting  int // requests that may wait, beyond the slots
-	Thrash   float64
-	ThrashAt float64
-	ColdFrom float64
-	ColdS    float64
-	WarmWork float64 // seconds of work on each slot that make it warm
-	PauseS   float64 // mean time between two pauses; 0: none
-	PauseLen float64
-	Errors   float64
+	Number               int
+	Name                 string // ends in eight hexadecimal digits that tell nothing
+	IP                   string
+	Address              string
+	Site                 int
+	Cell                 int
+	Kind                 int
+	Speed                float64 // of one slot, in standard cores
+	Slots                int
+	QueueLimit           int // requests that may wait, beyond the slots
+	ThrashFactor         float64
+	ThrashThreshold      float64
+	ColdCapacity         float64
+	WarmupSeconds        float64
+	WarmupWorkSeconds    float64 // seconds of work on each slot that make it warm
+	PauseIntervalSeconds float64 // mean time between two pauses; 0: none
+	PauseSeconds         float64
+	ErrorShare           float64
 
-	Fall                                 FallSpec
-	ReportEvery, ReportLag, ReportNoise  float64
-	IdleS                                float64
-	ConnCap                              int
-	FullTax, HandshakeS, ProbeS, ProbePS float64
-	CancelStops                          bool // whether waiting work is dropped where its connection ends
-	Weight                               float64
+	Overload                                                                        OverloadSpec
+	ReportIntervalSeconds, ReportLagSeconds, ReportNoise                            float64
+	IdleTimeoutSeconds                                                              float64
+	MaxConnections                                                                  int
+	ConnectionOverhead, HandshakeSeconds, HealthCheckSeconds, HealthChecksPerSecond float64
+	DropsCancelled                                                                  bool // whether waiting work is dropped where its connection ends
+	Weight                                                                          float64
 }
 
 // FallSpec is when a cold box falls over: work beyond Multiple of its present capacity in any window of WindowS.
-type FallSpec struct{ Multiple, WindowS, SlackS float64 }
+type OverloadSpec struct{ Multiple, WindowSeconds, SlackSeconds float64 }
 
 // RegistrySpec is discovery as drawn.
 type DiscoverySpec struct {
-	IPs                                   []string // it moves from the first on; each has Port
-	Addresses                             []string
-	NoticeS, SilentNoticeS, AddS          float64
-	PublishS, SpreadS, CallsPS, CallLines float64
-	CallTimeoutS                          float64
-	PulseS                                float64 // an empty line comes so often
-	OldClosesS                            float64 // an address that was left closes what is open after this
+	IPs                                                                     []string // it moves from the first on; each has Port
+	Addresses                                                               []string
+	FailureNoticeSeconds, SilentNoticeSeconds, StartNoticeSeconds           float64
+	PublishIntervalSeconds, DeliverySeconds, CallsPerSecond, EntriesPerCall float64
+	CallTimeoutSeconds                                                      float64
+	KeepAliveSeconds                                                        float64 // an empty line comes so often
+	OldAddressSeconds                                                       float64 // an address that was left closes what is open after this
 }
 
 // callS returns how long discovery works on a call where there are so many boxes.
-func (r *DiscoverySpec) callS(boxes int) float64 { return (1 + float64(boxes)/r.CallLines) / r.CallsPS }
+func (r *DiscoverySpec) callSeconds(boxes int) float64 {
+	return (1 + float64(boxes)/r.EntriesPerCall) / r.CallsPerSecond
+}
 
 // Figures of the deployment that are not drawn.
 const (
@@ -160,7 +162,7 @@
 // Draw returns the day of a seed.
 func Draw(seed uint64, r Ranges) Day {
 	rng := stream(seed, "day", 0)
-	d := Day{Seed: seed, Start: startOfDays, LengthS: math.Round(r.LengthS.draw(rng)), InitialServers: r.Boxes.count(rng)}
+	d := Day{Seed: seed, Start: startOfDays, LengthSeconds: math.Round(r.LengthSeconds.draw(rng)), InitialServers: r.Servers.count(rng)}
 	for i := range r.Sites.count(rng) {
 		d.Sites = append(d.Sites, "site-"+string(rune('a'+i)))
 	}
@@ -169,51 +171,51 @@
 	d.drawBoxes(rng, r)
 	d.drawClasses(rng, r)
 	d.Clients = ClientSpec{
-		RatePS: r.RatePS.draw(rng), Swing: r.Swing.draw(rng), PeriodS: r.PeriodS.draw(rng), Burst: r.Burst.draw(rng),
-		BurstS: r.BurstS.draw(rng), EveryS: r.EveryS.draw(rng), Retries: r.Retries.count(rng),
-		TryShare: r.TryShare.draw(rng), BackoffS: r.BackoffMS.draw(rng) / 1e3, Honour: r.Honour.draw(rng),
-		Impatient: r.Impatient.draw(rng), MostConnections: d.Sockets / 3, MaxRetryAfterS: maxRetryAfter,
+		RatePerSecond: r.RatePerSecond.draw(rng), Swing: r.Swing.draw(rng), SwingPeriodSeconds: r.SwingPeriodSeconds.draw(rng), BurstFactor: r.BurstFactor.draw(rng),
+		BurstSeconds: r.BurstSeconds.draw(rng), BurstIntervalSeconds: r.BurstIntervalSeconds.draw(rng), Retries: r.Retries.count(rng),
+		AttemptTimeoutShare: r.AttemptTimeoutShare.draw(rng), BackoffSeconds: r.BackoffMillis.draw(rng) / 1e3, RetryAfterShare: r.RetryAfterShare.draw(rng),
+		ImpatientShare: r.ImpatientShare.draw(rng), MaxConnections: d.MaxDescriptors / 3, MaxRetryAfterSeconds: maxRetryAfter,
 	}
 	load := r.Load.draw(rng)
-	if crowd := stream(seed, "crowd", 0); crowd.Float64() < r.Crowds {
-		load, d.Clients.RatePS = r.Crowded.draw(crowd), r.CrowdedPS.draw(crowd)
+	if crowd := stream(seed, "crowd", 0); crowd.Float64() < r.OverloadedDayShare {
+		load, d.Clients.RatePerSecond = r.OverloadedLoad.draw(crowd), r.OverloadedRatePerSecond.draw(crowd)
 	}
 	longer := 1.0
-	if long := stream(seed, "long", 0); long.Float64() < r.Longs {
-		longer = r.Long.draw(long)
-		d.Clients.RatePS /= longer
+	if long := stream(seed, "long", 0); long.Float64() < r.LongRequestDayShare {
+		longer = r.LongRequestFactor.draw(long)
+		d.Clients.RatePerSecond /= longer
 	}
 	d.pace(load, longer)
 	d.Discovery = DiscoverySpec{
-		NoticeS: r.NoticeS.draw(rng), SilentNoticeS: r.SilentNoticeS.draw(rng), AddS: r.AddS.draw(rng),
-		PublishS: r.PublishMS.draw(rng) / 1e3, SpreadS: r.SpreadMS.draw(rng) / 1e3, CallsPS: r.CallsPS.draw(rng),
-		CallLines: r.CallLines.draw(rng), CallTimeoutS: 1, PulseS: 2, OldClosesS: 1.5,
+		FailureNoticeSeconds: r.FailureNoticeSeconds.draw(rng), SilentNoticeSeconds: r.SilentNoticeSeconds.draw(rng), StartNoticeSeconds: r.StartNoticeSeconds.draw(rng),
+		PublishIntervalSeconds: r.PublishIntervalMillis.draw(rng) / 1e3, DeliverySeconds: r.DeliveryMillis.draw(rng) / 1e3, CallsPerSecond: r.CallsPerSecond.draw(rng),
+		EntriesPerCall: r.EntriesPerCall.draw(rng), CallTimeoutSeconds: 1, KeepAliveSeconds: 2, OldAddressSeconds: 1.5,
 	}
 	for i := range discoveryMoves {
 		ip := fmt.Sprintf("10.2.0.%d", i+1)
 		d.Discovery.IPs = append(d.Discovery.IPs, ip)
 		d.Discovery.Addresses = append(d.Discovery.Addresses, ip+":2300")
 	}
-	d.Clients.MarksRetry, d.Inline = rng.IntN(3) == 0, rng.IntN(3) == 0
+	d.Clients.MarksRetries, d.ReportsInline = rng.IntN(3) == 0, rng.IntN(3) == 0
 	return d
 }
 
 func (d *Day) drawPaths(rng *rand.Rand, r Ranges) {
-	d.PathS = make([][]float64, len(d.Sites))
-	for i := range d.PathS {
-		d.PathS[i] = make([]float64, len(d.Sites))
-		d.PathS[i][i] = r.SameMS.draw(rng) / 1e3
+	d.PathSeconds = make([][]float64, len(d.Sites))
+	for i := range d.PathSeconds {
+		d.PathSeconds[i] = make([]float64, len(d.Sites))
+		d.PathSeconds[i][i] = r.SameSiteMillis.draw(rng) / 1e3
 		for j := range i {
-			d.PathS[i][j] = r.CrossMS.draw(rng) / 1e3
-			d.PathS[j][i] = d.PathS[i][j]
+			d.PathSeconds[i][j] = r.CrossSiteMillis.draw(rng) / 1e3
+			d.PathSeconds[j][i] = d.PathSeconds[i][j]
 		}
 	}
-	d.ClientS, d.Jitter, d.ConnIdle = r.ClientMS.draw(rng)/1e3, r.Jitter.draw(rng), r.ConnIdleS.draw(rng)
-	d.Sockets, d.MemoryMB = 256<<rng.IntN(3), 192
+	d.ClientPathSeconds, d.Jitter, d.ConnIdleSeconds = r.ClientMillis.draw(rng)/1e3, r.Jitter.draw(rng), r.ConnIdleSeconds.draw(rng)
+	d.MaxDescriptors, d.MemoryMB = 256<<rng.IntN(3), 192
 }
 
 func (d *Day) drawSidecars(rng *rand.Rand, r Ranges) {
-	skew, sum := r.Skew.draw(rng), 0.0
+	skew, sum := r.SidecarSkew.draw(rng), 0.0
 	for i := range r.Sidecars.count(rng) {
 		ip := fmt.Sprintf("10.0.%d.%d", (i+1)>>8, (i+1)&255)
 		s := SidecarSpec{Name: "n" + strconv.Itoa(i), IP: ip, Address: ip + ":8080", Site: i % len(d.Sites),
@@ -232,14 +234,14 @@
 func (d *Day) drawBoxes(rng *rand.Rand, r Ranges) {
 	var shares []float64
 	sum := 0.0
-	for _, k := range r.Kinds {
-		d.Kinds = append(d.Kinds, k.Name)
+	for _, k := range r.ServerKinds {
+		d.ServerKinds = append(d.ServerKinds, k.Name)
 		shares = append(shares, k.Share.draw(rng))
 		sum += shares[len(shares)-1]
 	}
 	cellSize := 6 + rng.IntN(5)
-	cv := make([]float64, len(r.Kinds))
-	for i, k := range r.Kinds {
+	cv := make([]float64, len(r.ServerKinds))
+	for i, k := range r.ServerKinds {
 		cv[i] = k.SpeedCV.draw(rng)
 	}
 	taken := map[uint32]bool{}
@@ -256,26 +258,26 @@
 		taken[id] = true
 		site := n % len(d.Sites)
 		ip := fmt.Sprintf("10.%d.%d.%d", 1+n/250, site, n%250+1)
-		b := drawBox(rng, r, r.Kinds[kind], cv[kind])
+		b := drawBox(rng, r, r.ServerKinds[kind], cv[kind])
 		b.Number, b.Name, b.IP, b.Address = n, fmt.Sprintf("s-%08x", id), ip, ip+":3000"
 		b.Site, b.Kind, b.Cell = site, kind, n/cellSize
-		b.IdleS = d.ConnIdle
+		b.IdleTimeoutSeconds = d.ConnIdleSeconds
 		d.Servers = append(d.Servers, b)
 	}
 }
 
-func drawBox(rng *rand.Rand, r Ranges, k KindRanges, speedCV float64) ServerSpec {
+func drawBox(rng *rand.Rand, r Ranges, k ServerKindRanges, speedCV float64) ServerSpec {
 	slots := k.Slots.count(rng)
 	b := ServerSpec{
 		Speed: k.Speed.draw(rng) * spread(rng, speedCV), Slots: slots,
-		Waiting: int(k.Waiting.draw(rng)) * slots, Thrash: k.Thrash.draw(rng), ThrashAt: k.ThrashAt.draw(rng),
-		ColdFrom: k.ColdFrom.draw(rng), ColdS: k.ColdS.draw(rng), WarmWork: r.WarmWork.draw(rng),
-		PauseS: k.PauseS.draw(rng), PauseLen: k.PauseMS.draw(rng) / 1e3, Errors: k.Errors.draw(rng),
-		Fall:        FallSpec{Multiple: fallMultiple, WindowS: fallS},
-		ReportEvery: r.ReportEveryMS.draw(rng) / 1e3, ReportLag: r.ReportLagMS.draw(rng) / 1e3,
-		ReportNoise: r.ReportNoise.draw(rng), ConnCap: int(r.ConnCap.draw(rng)) * slots, FullTax: r.FullTax.draw(rng),
-		HandshakeS: r.HandshakeMS.draw(rng) / 1e3, ProbeS: r.ProbeMS.draw(rng) / 1e3,
-		ProbePS: r.ProbesPS.draw(rng) * float64(slots), CancelStops: rng.Float64() < 0.2,
+		QueueLimit: int(k.QueuePerSlot.draw(rng)) * slots, ThrashFactor: k.ThrashFactor.draw(rng), ThrashThreshold: k.ThrashThreshold.draw(rng),
+		ColdCapacity: k.ColdCapacity.draw(rng), WarmupSeconds: k.WarmupSeconds.draw(rng), WarmupWorkSeconds: r.WarmupWorkSeconds.draw(rng),
+		PauseIntervalSeconds: k.PauseIntervalSeconds.draw(rng), PauseSeconds: k.PauseMillis.draw(rng) / 1e3, ErrorShare: k.ErrorShare.draw(rng),
+		Overload:              OverloadSpec{Multiple: fallMultiple, WindowSeconds: fallS},
+		ReportIntervalSeconds: r.ReportIntervalMillis.draw(rng) / 1e3, ReportLagSeconds: r.ReportLagMillis.draw(rng) / 1e3,
+		ReportNoise: r.ReportNoise.draw(rng), MaxConnections: int(r.ConnectionsPerSlot.draw(rng)) * slots, ConnectionOverhead: r.ConnectionOverhead.draw(rng),
+		HandshakeSeconds: r.HandshakeMillis.draw(rng) / 1e3, HealthCheckSeconds: r.HealthCheckMillis.draw(rng) / 1e3,
+		HealthChecksPerSecond: r.HealthChecksPerSlot.draw(rng) * float64(slots), DropsCancelled: rng.Float64() < 0.2,
 	}
 	b.Weight = math.Round(float64(slots)*k.Speed.draw(rng)*4) / 4 // as registered: roughly the size
 	return b
@@ -285,7 +287,7 @@
 	sum := 0.0
 	for _, c := range r.Classes {
 		s := ClassSpec{ClassRanges: c, Effect: effects[c.Effect], Group: groups[c.Group], Share: c.Share.draw(rng),
-			WorkS: c.Work.draw(rng), WorkCV: c.WorkCV.draw(rng), BodyBytes: int(c.BodyBytes.draw(rng))}
+			MeanWorkSeconds: c.RelativeWork.draw(rng), WorkCV: c.WorkCV.draw(rng), BodyBytes: int(c.BodyBytes.draw(rng))}
 		sum += s.Share
 		d.Classes = append(d.Classes, s)
 	}
@@ -305,43 +307,43 @@
 // pace sets the size of requests so that the boxes are loaded as given, and the classes' times with it; longer is how many times as
 // long as usual they may be.
 func (d *Day) pace(load, longer float64) {
-	d.FallS = fallS * longer // or one request of usual size would be more than a box bears
+	d.OverloadWindowSeconds = fallS * longer // or one request of usual size would be more than a box bears
 	capacity, mean := 0.0, 0.0
 	for _, b := range d.Servers[:d.InitialServers] {
 		capacity += b.Speed * float64(b.Slots)
 	}
 	for _, c := range d.Classes {
-		mean += c.Share * c.WorkS
+		mean += c.Share * c.MeanWorkSeconds
 	}
-	d.WorkS = load * capacity / d.Clients.RatePS
+	d.MeanWorkSeconds = load * capacity / d.Clients.RatePerSecond
 	for i := range d.Classes {
 		c := &d.Classes[i]
-		c.WorkS *= d.WorkS / mean
+		c.MeanWorkSeconds *= d.MeanWorkSeconds / mean
 		// Danger: times that shrink as far as the work would fall below what a tick and two ways take.
-		pace := min(max(d.WorkS/standardWorkS, 0.4), 1.5*longer)
-		c.AimS = math.Round(c.ClassRanges.AimS*pace*1e3) / 1e3
-		c.GiveUpS = math.Round(c.ClassRanges.GiveUpS*pace*1e3) / 1e3
+		pace := min(max(d.MeanWorkSeconds/standardWorkS, 0.4), 1.5*longer)
+		c.LatencyTargetSeconds = math.Round(c.ClassRanges.LatencyTargetSeconds*pace*1e3) / 1e3
+		c.TotalTimeoutSeconds = math.Round(c.ClassRanges.TotalTimeoutSeconds*pace*1e3) / 1e3
 	}
 	for i := range d.Servers {
 		// What chance brings beyond the budget of a window is not held against anybody: a few requests' work. Danger:
 		// a slow box that begins at a sixth of its capacity bears two mean requests a window, and one heavy one brings
 		// it down whoever has sent it.
-		d.Servers[i].Fall.WindowS = d.FallS
-		d.Servers[i].Fall.SlackS = chanceRequests * d.WorkS / d.Servers[i].Speed
+		d.Servers[i].Overload.WindowSeconds = d.OverloadWindowSeconds
+		d.Servers[i].Overload.SlackSeconds = chanceRequests * d.MeanWorkSeconds / d.Servers[i].Speed
 	}
 }
 
 // Rules returns what the judge of this day checks by.
 func (d *Day) Rules() checker.Rules {
 	r := checker.Rules{
-		Sidecars: len(d.Sidecars), MaxDescriptors: d.Sockets, AnswerSlackSeconds: answerSlackS, SocketSlackSeconds: socketSlackS,
+		Sidecars: len(d.Sidecars), MaxDescriptors: d.MaxDescriptors, AnswerSlackSeconds: answerSlackS, SocketSlackSeconds: socketSlackS,
 		TermGraceSeconds: termGraceS, DrainGraceSeconds: drainGraceS, PollTimeoutSeconds: askWithinS, UpdateTimeoutSeconds: toldWithinS, ReloadGraceSeconds: reloadToldS,
-		OverloadWindowSeconds: cmp.Or(d.FallS, fallS), ColdLoadShare: 2.0 / 3, FailFastSeconds: 0.25, MaxAttempts: mostAttempts,
+		OverloadWindowSeconds: cmp.Or(d.OverloadWindowSeconds, fallS), ColdLoadShare: 2.0 / 3, FailFastSeconds: 0.25, MaxAttempts: mostAttempts,
 	}
-	r.FleetCallsSeconds = float64(len(d.Sidecars)) * d.Discovery.callS(len(d.Servers))
+	r.FleetCallsSeconds = float64(len(d.Sidecars)) * d.Discovery.callSeconds(len(d.Servers))
 	for _, c := range d.Classes {
-		r.Classes = append(r.Classes, checker.Class{Name: c.Name, Effect: c.Effect, Group: c.Group, DedupWindowSeconds: c.WindowS,
-			LatencyTargetSeconds: c.AimS, PriorityWeight: c.Worth, LateFraction: c.LateWorth})
+		r.Classes = append(r.Classes, checker.Class{Name: c.Name, Effect: c.Effect, Group: c.Group, DedupWindowSeconds: c.DedupWindowSeconds,
+			LatencyTargetSeconds: c.LatencyTargetSeconds, PriorityWeight: c.PriorityWeight, LateFraction: c.LateFraction})
 	}
 	for _, s := range d.Sidecars {
 		r.SidecarZones = append(r.SidecarZones, int32(s.Site))
@@ -350,7 +352,7 @@
 }
 
 // PathBetween returns how long bytes take one way between two sites, in seconds, before jitter.
-func (d *Day) PathBetween(a, b int) float64 { return d.PathS[a][b] }
+func (d *Day) PathBetween(a, b int) float64 { return d.PathSeconds[a][b] }
 
 // Shorten leaves out sidecars, boxes and time, for whoever looks for the smallest day that still shows something; 0
 // keeps all. What stays is drawn as before.
@@ -366,6 +368,6 @@
 		d.InitialServers = boxes
 	}
 	if lengthS > 0 {
-		d.LengthS = min(d.LengthS, lengthS)
+		d.LengthSeconds = min(d.LengthSeconds, lengthS)
 	}
 }
--- a/internal/environment/engine.go
+++ b/internal/environment/engine.go
@@ -42,8 +42,8 @@
 // NewEngine returns the engine of a box that starts now, cold or long warm.
 func NewEngine(spec *ServerSpec, rng *rand.Rand, now float64, cold bool) *Engine {
 	e := &Engine{spec: spec, rng: rng, started: now, cold: cold, pauseAt: math.Inf(1)}
-	if spec.PauseS > 0 && spec.PauseLen > 0 {
-		e.pauseAt = now + spec.PauseS*rng.ExpFloat64()
+	if spec.PauseIntervalSeconds > 0 && spec.PauseSeconds > 0 {
+		e.pauseAt = now + spec.PauseIntervalSeconds*rng.ExpFloat64()
 	}
 	return e
 }
@@ -55,14 +55,14 @@
 		return 1
 	}
 	s := e.spec
-	way := max(e.worked/(s.WarmWork*float64(s.Slots)), (now-e.started)/s.ColdS)
-	return min(1, s.ColdFrom+(1-s.ColdFrom)*way)
+	way := max(e.worked/(s.WarmupWorkSeconds*float64(s.Slots)), (now-e.started)/s.WarmupSeconds)
+	return min(1, s.ColdCapacity+(1-s.ColdCapacity)*way)
 }
 
 // budget returns how much work a window may bring a box of some warmth.
 func (e *Engine) budget(warmth float64) float64 {
-	f := &e.spec.Fall
-	return f.Multiple*warmth*float64(e.spec.Slots)*f.WindowS + f.SlackS
+	f := &e.spec.Overload
+	return f.Multiple*warmth*float64(e.spec.Slots)*f.WindowSeconds + f.SlackSeconds
 }
 
 // Bear counts work that reaches the box, also such as it turns away, and tells whether that has just brought it down.
@@ -75,7 +75,7 @@
 	e.arrivals = append(e.arrivals, arrival{now, seconds})
 	e.sum += seconds
 	old := 0
-	for e.arrivals[old].at < now-e.spec.Fall.WindowS {
+	for e.arrivals[old].at < now-e.spec.Overload.WindowSeconds {
 		e.sum -= e.arrivals[old].seconds
 		old++
 	}
@@ -99,7 +99,7 @@
 
 // Take gives the box a job; false: it is full.
 func (e *Engine) Enqueue(now float64, j *Job) bool {
-	if len(e.waiting) >= e.spec.Waiting && (e.still() || len(e.inWork) >= e.spec.Slots) {
+	if len(e.waiting) >= e.spec.QueueLimit && (e.still() || len(e.inWork) >= e.spec.Slots) {
 		return false
 	}
 	j.EnqueuedAt = now
@@ -111,7 +111,7 @@
 // Drop takes a job out that has not begun, where the box can; false: its work goes on.
 func (e *Engine) Cancel(j *Job) bool {
 	i := slices.Index(e.waiting, j)
-	if i < 0 || !e.spec.CancelStops {
+	if i < 0 || !e.spec.DropsCancelled {
 		return false
 	}
 	e.waiting = slices.Delete(e.waiting, i, i+1)
@@ -121,9 +121,9 @@
 // speed returns how fast the box works now, beside warm and alone.
 func (e *Engine) speed(now float64) float64 {
 	s := e.spec
-	crowd := max(0, float64(e.InFlight())-s.ThrashAt*float64(s.Slots))
-	tax := s.FullTax * min(1, float64(e.connected)/float64(max(s.ConnCap, 1)))
-	return e.Warmth(now) * (1 - tax) / (1 + s.Thrash*crowd)
+	crowd := max(0, float64(e.InFlight())-s.ThrashThreshold*float64(s.Slots))
+	tax := s.ConnectionOverhead * min(1, float64(e.connected)/float64(max(s.MaxConnections, 1)))
+	return e.Warmth(now) * (1 - tax) / (1 + s.ThrashFactor*crowd)
 }
 
 func (e *Engine) still() bool { return e.stuck || e.pausing || e.fallen }
@@ -181,11 +181,11 @@
 	if !e.pausing {
 		e.freeze(at)
 		e.pausing = true
-		e.pauseAt = at + e.spec.PauseLen*(0.5+e.rng.Float64())
+		e.pauseAt = at + e.spec.PauseSeconds*(0.5+e.rng.Float64())
 		return
 	}
 	e.pausing = false
-	e.pauseAt = at + e.spec.PauseS*e.rng.ExpFloat64()
+	e.pauseAt = at + e.spec.PauseIntervalSeconds*e.rng.ExpFloat64()
 	e.thaw(at)
 }
 
@@ -199,7 +199,7 @@
 		e.stuck = false
 		if e.pausing { // what has been missed of pauses is over with it
 			e.pausing = false
-			e.pauseAt = now + e.spec.PauseS*e.rng.ExpFloat64()
+			e.pauseAt = now + e.spec.PauseIntervalSeconds*e.rng.ExpFloat64()
 		}
 		e.pauseAt = max(e.pauseAt, now)
 		e.thaw(now)
--- a/internal/environment/engine_test.go
+++ b/internal/environment/engine_test.go
@@ -12,11 +12,11 @@
 // drawnBox draws a box of any kind.
 func drawnBox(t *rapid.T) *ServerSpec {
 	between := func(name string, least, most float64) float64 { return rapid.Float64Range(least, most).Draw(t, name) }
-	return &ServerSpec{Slots: rapid.IntRange(1, 3).Draw(t, "slots"), Waiting: rapid.IntRange(0, 6).Draw(t, "waiting"),
-		Thrash: between("thrash", 0, 0.2), ThrashAt: between("thrashAt", 0, 4), ColdFrom: between("coldFrom", 0.1, 0.9),
-		ColdS: between("coldS", 0.5, 20), WarmWork: between("warmWork", 0.5, 5), PauseS: float64(rapid.IntRange(0, 20).Draw(t, "pauseS")) / 10,
-		PauseLen: between("pauseLen", 0, 0.5), Fall: FallSpec{Multiple: 2.5, WindowS: 1, SlackS: between("slack", 0, 1)},
-		ConnCap: 100, FullTax: between("tax", 0, 0.4), CancelStops: rapid.Bool().Draw(t, "cancelStops")}
+	return &ServerSpec{Slots: rapid.IntRange(1, 3).Draw(t, "slots"), QueueLimit: rapid.IntRange(0, 6).Draw(t, "waiting"),
+		ThrashFactor: between("thrash", 0, 0.2), ThrashThreshold: between("thrashAt", 0, 4), ColdCapacity: between("coldFrom", 0.1, 0.9),
+		WarmupSeconds: between("coldS", 0.5, 20), WarmupWorkSeconds: between("warmWork", 0.5, 5), PauseIntervalSeconds: float64(rapid.IntRange(0, 20).Draw(t, "pauseS")) / 10,
+		PauseSeconds: between("pauseLen", 0, 0.5), Overload: OverloadSpec{Multiple: 2.5, WindowSeconds: 1, SlackSeconds: between("slack", 0, 1)},
+		MaxConnections: 100, ConnectionOverhead: between("tax", 0, 0.4), DropsCancelled: rapid.Bool().Draw(t, "cancelStops")}
 }
 
 // Whatever a box goes through: each job that it takes is done once, dropped once or still there; no slot stands empty
@@ -61,19 +61,19 @@
 				borne = append(borne, arrival{now, j.Seconds})
 				sum := 0.0
 				for _, a := range borne {
-					if a.at >= now-spec.Fall.WindowS {
+					if a.at >= now-spec.Overload.WindowSeconds {
 						sum += a.seconds
 					}
 				}
 				fell := e.CountWork(now, j.Seconds)
-				over := sum - 2.5*before*float64(spec.Slots) - spec.Fall.SlackS
+				over := sum - 2.5*before*float64(spec.Slots) - spec.Overload.SlackSeconds
 				if math.Abs(over) > 1e-9 {
 					require.Equal(t, before < 1 && !fallen && over > 0, fell)
 				}
 				if fallen = fallen || fell; before >= 1 {
 					borne = nil
 				}
-				room := e.Queued() < spec.Waiting || !e.still() && len(e.inWork) < spec.Slots
+				room := e.Queued() < spec.QueueLimit || !e.still() && len(e.inWork) < spec.Slots
 				taken := e.Enqueue(now, j)
 				require.Equal(t, room, taken)
 				if taken {
@@ -85,7 +85,7 @@
 				if len(held) > 0 {
 					j := held[rapid.IntRange(0, len(held)-1).Draw(t, "which")]
 					if e.Cancel(j) {
-						require.True(t, spec.CancelStops)
+						require.True(t, spec.DropsCancelled)
 						leave(j)
 					}
 				}
@@ -94,7 +94,7 @@
 			}
 			require.Len(t, held, e.InFlight())
 			require.LessOrEqual(t, len(e.inWork), spec.Slots)
-			require.LessOrEqual(t, e.Queued(), spec.Waiting)
+			require.LessOrEqual(t, e.Queued(), spec.QueueLimit)
 			if !e.still() && len(e.inWork) < spec.Slots {
 				require.Zero(t, e.Queued(), "a slot stands empty")
 			}
@@ -102,7 +102,7 @@
 			require.LessOrEqual(t, e.Warmth(now), 1.0)
 			require.Equal(t, fallen, e.IsOverloaded())
 			warmth = e.Warmth(now)
-			if cold && now-100 >= spec.ColdS {
+			if cold && now-100 >= spec.WarmupSeconds {
 				require.Equal(t, 1.0, warmth)
 			}
 		}
@@ -119,7 +119,7 @@
 
 // Time that a box stands still is added to what it has in work, to the microsecond, however hang and pauses overlap.
 func TestStandingStillAddsUp(t *testing.T) {
-	spec := &ServerSpec{Slots: 1, Waiting: 5, PauseS: 0.2, PauseLen: 0.1}
+	spec := &ServerSpec{Slots: 1, QueueLimit: 5, PauseIntervalSeconds: 0.2, PauseSeconds: 0.1}
 	e := NewEngine(spec, stream(1, "test", 0), 0, false)
 	require.True(t, e.Enqueue(0, &Job{Seconds: 5}))
 	paused, since := 0.0, math.NaN()
--- a/internal/environment/player.go
+++ b/internal/environment/player.go
@@ -83,7 +83,7 @@
 // endsAt returns when a trouble of boxes, discovery, paths or clients is over: as the script says, and at the latest with
 // the day's arrivals. Danger: one that outlasted the day would leave dials and links that nobody could call left over.
 func (p *FaultInjector) endsAt(t *Fault, now float64) float64 {
-	return max(now, min(now+t.DurationSeconds, p.w.Day.Start+p.w.Day.LengthS))
+	return max(now, min(now+t.DurationSeconds, p.w.Day.Start+p.w.Day.LengthSeconds))
 }
 
 // atEnd arranges a step for the end of a trouble that begins now.
--- a/internal/environment/registry.go
+++ b/internal/environment/registry.go
@@ -74,23 +74,23 @@
 // Up tells the registry of a box's new life.
 func (r *Discovery) ServerStarted(box int, address string, since, now float64) {
 	r.known[box].life++
-	r.learn(box, entry{status: checker.Serving, address: address, since: since}, now+r.spec.AddS)
+	r.learn(box, entry{status: checker.Serving, address: address, since: since}, now+r.spec.StartNoticeSeconds)
 }
 
 // Drained tells it that a box drains.
 func (r *Discovery) ServerDraining(box int, now float64) {
 	e := r.known[box].entry
 	e.status = checker.Draining
-	r.learn(box, e, now+r.spec.AddS/4)
+	r.learn(box, e, now+r.spec.StartNoticeSeconds/4)
 }
 
 // Lost tells it that a box's process has gone, or that its machine has gone silent.
 func (r *Discovery) ServerStopped(box int, silent bool, now float64) {
 	e := r.known[box].entry
 	e.status = checker.Deleted
-	at := now + r.spec.NoticeS
+	at := now + r.spec.FailureNoticeSeconds
 	if silent {
-		at = now + r.spec.SilentNoticeS
+		at = now + r.spec.SilentNoticeSeconds
 	}
 	r.learn(box, e, at)
 }
@@ -141,7 +141,7 @@
 				r.take(c)
 			}
 		}
-		r.publish = now + r.spec.PublishS
+		r.publish = now + r.spec.PublishIntervalSeconds
 		if r.index > before {
 			for _, f := range r.fronts {
 				f.spread(now)
@@ -168,12 +168,12 @@
 		switch {
 		case k.conn == nil:
 			r.calls = r.calls[1:]
-		case now-k.calledAt > r.spec.CallTimeoutS:
+		case now-k.calledAt > r.spec.CallTimeoutSeconds:
 			r.calls = r.calls[1:]
 			k.front.turnAway(k)
 		default:
 			r.serving = true
-			r.servedAt = now + r.spec.callS(len(r.day.Servers))
+			r.servedAt = now + r.spec.callSeconds(len(r.day.Servers))
 		}
 	}
 }
@@ -296,7 +296,7 @@
 		first = false
 		dst = append(append(append(dst, `{"name":"`...), b.Name...), `","address":"`...)
 		dst = append(append(append(dst, e.address...), `","zone":"`...), r.day.Sites[b.Site]...)
-		dst = append(append(append(dst, `","type":"`...), r.day.Kinds[b.Kind]...), `","group":`...)
+		dst = append(append(append(dst, `","type":"`...), r.day.ServerKinds[b.Kind]...), `","group":`...)
 		dst = append(append(append(strconv.AppendInt(dst, int64(b.Cell), 10), `,"status":"`...), statusText[e.status]...), `","weight":`...)
 		dst = strconv.AppendFloat(dst, b.Weight, 'f', -1, 64)
 		dst = strconv.AppendInt(append(dst, `,"since_ms":`...), int64(math.Round(e.since*1e3)), 10)
--- a/internal/environment/registryfront.go
+++ b/internal/environment/registryfront.go
@@ -173,7 +173,7 @@
 	k.watching = true
 	f.see(checker.WatchOpened, k)
 	f.line(k, out, snapshot)
-	f.due.put(now+r.spec.PulseS, registryTask{link: k, pulse: true})
+	f.due.put(now+r.spec.KeepAliveSeconds, registryTask{link: k, pulse: true})
 }
 
 // line writes an object to a watcher, behind what out holds already.
@@ -199,7 +199,7 @@
 func (f *registryFront) spread(now float64) {
 	for _, k := range f.links {
 		if k.watching {
-			f.due.put(now+f.r.spec.SpreadS*(0.5+f.r.rng.Float64()), registryTask{link: k})
+			f.due.put(now+f.r.spec.DeliverySeconds*(0.5+f.r.rng.Float64()), registryTask{link: k})
 		}
 	}
 }
@@ -224,7 +224,7 @@
 // leave ends service at the address.
 func (f *registryFront) leave() {
 	f.net.StopListening(func() {})
-	f.due.put(f.net.Now()+f.r.spec.OldClosesS, registryTask{leave: true})
+	f.due.put(f.net.Now()+f.r.spec.OldAddressSeconds, registryTask{leave: true})
 	f.arm()
 }
 
@@ -246,10 +246,10 @@
 				f.line(t.link, f.out[:0], false)
 			}
 		default:
-			at := t.link.toldAt + f.r.spec.PulseS
+			at := t.link.toldAt + f.r.spec.KeepAliveSeconds
 			if at <= now {
 				f.write(t.link, append(f.out[:0], "1\r\n\n\r\n"...))
-				t.link.toldAt, at = now, now+f.r.spec.PulseS
+				t.link.toldAt, at = now, now+f.r.spec.KeepAliveSeconds
 			}
 			f.due.put(at, t)
 		}
--- a/internal/environment/report.go
+++ b/internal/environment/report.go
@@ -16,7 +16,7 @@
 }
 
 func (r *loadReports) begin(s *ServerSpec, now float64) {
-	*r = loadReports{every: s.ReportEvery, lag: s.ReportLag, noise: s.ReportNoise, next: now + s.ReportEvery, madeAt: now}
+	*r = loadReports{every: s.ReportIntervalSeconds, lag: s.ReportLagSeconds, noise: s.ReportNoise, next: now + s.ReportIntervalSeconds, madeAt: now}
 	r.shown = []byte("util=0.00,eps=0.00,queue=0.00\n")
 }
 
--- a/internal/environment/script.go
+++ b/internal/environment/script.go
@@ -299,7 +299,7 @@
 	rng := stream(d.Seed, "peers", 0)
 	for range rng.IntN(6) {
 		k := &peerKinds[rng.IntN(len(peerKinds))]
-		t := Fault{Kind: k.name, AtSeconds: between(rng, settleS, max(d.LengthS-quietS, settleS))}
+		t := Fault{Kind: k.name, AtSeconds: between(rng, settleS, max(d.LengthSeconds-quietS, settleS))}
 		k.draw(&t, d, rng)
 		s.AddPeerFault(t, d)
 		if t.Kind == DiskFull { // only a process that begins has something to keep
@@ -322,7 +322,7 @@
 		for i := range others {
 			others[i] = i
 		}
-		at, lasts := between(rng, settleS, max(d.LengthS-quietS, settleS)), between(rng, 8, 25)
+		at, lasts := between(rng, settleS, max(d.LengthSeconds-quietS, settleS)), between(rng, 8, 25)
 		s.Faults = append(s.Faults,
 			Fault{Kind: PeerSlow, AtSeconds: at, DurationSeconds: lasts, From: without(others, who), To: who, RatePerSecond: between(rng, 200, 2000), OneWay: true},
 			Fault{Kind: PeerReset, AtSeconds: at, DurationSeconds: lasts, From: who, RatePerSecond: between(rng, 0.2, 1)})
@@ -411,7 +411,7 @@
 	moves := 0
 	for range 1 + rng.IntN(7) {
 		k := on[rng.IntN(len(on))]
-		t := Fault{Kind: k.name, AtSeconds: between(rng, settleS, max(d.LengthS-quietS, settleS))}
+		t := Fault{Kind: k.name, AtSeconds: between(rng, settleS, max(d.LengthSeconds-quietS, settleS))}
 		if k.name == Reload {
 			if moves++; moves >= discoveryMoves {
 				continue
@@ -430,7 +430,7 @@
 	rng := stream(d.Seed, "connections", 0)
 	for range rng.IntN(3) {
 		k := &connectionKinds[rng.IntN(len(connectionKinds))]
-		t := Fault{Kind: k.name, AtSeconds: between(rng, settleS, max(d.LengthS-quietS, settleS))}
+		t := Fault{Kind: k.name, AtSeconds: between(rng, settleS, max(d.LengthSeconds-quietS, settleS))}
 		k.draw(&t, d, rng)
 		s.Faults = append(append(s.Faults, t), besideIt(&t, d, rng)...)
 	}
--- a/internal/environment/scriptfile.go
+++ b/internal/environment/scriptfile.go
@@ -122,10 +122,10 @@
 	switch {
 	case s.Sidecars < 0 || s.Sidecars > int(r.Sidecars.Max):
 		return "sidecars", fmt.Sprintf("not between 0 and %d", int(r.Sidecars.Max))
-	case s.Servers < 0 || s.Servers > int(r.Boxes.Max):
-		return "boxes", fmt.Sprintf("not between 0 and %d", int(r.Boxes.Max))
-	case !(s.LengthSeconds >= 0 && s.LengthSeconds <= r.LengthS.Max):
-		return "length_s", fmt.Sprintf("not between 0 and %g", r.LengthS.Max)
+	case s.Servers < 0 || s.Servers > int(r.Servers.Max):
+		return "boxes", fmt.Sprintf("not between 0 and %d", int(r.Servers.Max))
+	case !(s.LengthSeconds >= 0 && s.LengthSeconds <= r.LengthSeconds.Max):
+		return "length_s", fmt.Sprintf("not between 0 and %g", r.LengthSeconds.Max)
 	}
 	return "", ""
 }
--- a/internal/environment/speech.go
+++ b/internal/environment/speech.go
@@ -139,7 +139,7 @@
 	}
 	w.Field(thrift.I64, argPatience)
 	w.I64(max(1, int64((k.until-a.net.Now())*1e6)))
-	if k.tries > 1 && a.spec.MarksRetry {
+	if k.tries > 1 && a.spec.MarksRetries {
 		w.Field(thrift.Bool, argRetry)
 		w.Bool(true)
 	}
--- a/internal/lab/processcluster/troupe.go
+++ b/internal/lab/processcluster/troupe.go
@@ -78,14 +78,14 @@
 func (s *Settings) Ranges() environment.Ranges {
 	one := func(x float64) environment.Range { return environment.Range{Min: x, Max: x} }
 	r := environment.StandardRanges()
-	r.Sidecars, r.Boxes, r.LengthS = one(float64(s.Sidecars)), one(float64(s.Boxes)), one(s.For.Seconds())
-	r.Crowds = 0
-	r.RatePS, r.Load = one(200), environment.Range{Min: 0.3, Max: 0.6}
+	r.Sidecars, r.Servers, r.LengthSeconds = one(float64(s.Sidecars)), one(float64(s.Boxes)), one(s.For.Seconds())
+	r.OverloadedDayShare = 0
+	r.RatePerSecond, r.Load = one(200), environment.Range{Min: 0.3, Max: 0.6}
 	if s.Load > 0 {
 		r.Load = one(s.Load)
 	}
 	if s.Trials > 0 { // many such fleets are played beside each other
-		r.RatePS = one(20)
+		r.RatePerSecond = one(20)
 	}
 	return r
 }
@@ -108,15 +108,15 @@
 func (s *Settings) DrawScript() environment.Script {
 	d := environment.Draw(s.Seed, s.Ranges())
 	all := environment.Script{Seed: s.Seed}
-	for from := 0.0; from+lotS <= d.LengthS || from == 0; from += lotS {
+	for from := 0.0; from+lotS <= d.LengthSeconds || from == 0; from += lotS {
 		part := d
-		part.Seed, part.LengthS = s.Seed*1_000_003+uint64(from), min(lotS-20, d.LengthS)
+		part.Seed, part.LengthSeconds = s.Seed*1_000_003+uint64(from), min(lotS-20, d.LengthSeconds)
 		lot := environment.DrawScript(&part)
 		environment.DrawPeerFaults(&part, &lot)
 		for _, t := range lot.Faults {
 			// Discovery moves a few times a day at the most.
 			if t.AtSeconds += from; t.Kind != environment.Reload && t.WhyOnlySimulated() == "" {
-				t.DurationSeconds = min(t.DurationSeconds, from+part.LengthS-t.AtSeconds)
+				t.DurationSeconds = min(t.DurationSeconds, from+part.LengthSeconds-t.AtSeconds)
 				if len(s.Jobs) > 0 && t.State == environment.StateTorn && int(t.AtSeconds*1000)%2 == 0 {
 					t.State = environment.StateOld
 				}
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -139,7 +139,7 @@
 		p.tries = append(p.tries, e.At)
 		if p.asked[e.FirstRequest] == nil && int(e.Class) < len(p.day.Classes) && e.Class >= 0 && !e.Uncounted {
 			c := &p.day.Classes[e.Class]
-			p.asked[e.FirstRequest] = &want{at: e.At, worth: c.Worth, aimS: c.AimS}
+			p.asked[e.FirstRequest] = &want{at: e.At, worth: c.PriorityWeight, aimS: c.LatencyTargetSeconds}
 		}
 	case checker.ResponseReceived:
 		w := p.asked[p.first[e.Request]]
@@ -311,7 +311,7 @@
 	s := &p.work.Spec
 	for _, b := range p.day.Servers[:p.day.InitialServers] {
 		group := len(s.Sites)+len(s.Types) > 0 && (len(s.Sites) == 0 || slices.Contains(s.Sites, p.day.Sites[b.Site])) &&
-			(len(s.Types) == 0 || slices.Contains(s.Types, p.day.Kinds[b.Kind]))
+			(len(s.Types) == 0 || slices.Contains(s.Types, p.day.ServerKinds[b.Kind]))
 		if group || slices.Contains(s.Servers, b.Name) {
 			all = append(all, b.Name)
 		}
@@ -354,7 +354,7 @@
 	w.Ended = p.over > 0
 	if p.given > 0 {
 		w.BeganS, w.TotalS = p.given-p.day.Start, end-p.given
-		p.service(w, max(p.given, p.day.Start+firstS), min(end, p.day.Start+p.day.LengthS))
+		p.service(w, max(p.given, p.day.Start+firstS), min(end, p.day.Start+p.day.LengthSeconds))
 		p.occupied(w)
 		p.many(w)
 		p.accounts(w)
--- a/internal/lab/processcluster/works_test.go
+++ b/internal/lab/processcluster/works_test.go
@@ -54,7 +54,7 @@
 		"skipped for no cause":             {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "", []checker.Rule{checker.MaintenanceRecorded}, 0},
 		"skipped":                          {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "by an operator", nil, 0},
 	} {
-		day := &environment.Day{Start: 950, LengthS: 100, InitialServers: 2, Sites: []string{"x"}, Servers: []environment.ServerSpec{{Name: "a"}, {Name: "b"}}}
+		day := &environment.Day{Start: 950, LengthSeconds: 100, InitialServers: 2, Sites: []string{"x"}, Servers: []environment.ServerSpec{{Name: "a"}, {Name: "b"}}}
 		play := &Troupe{mates: []*mate{{name: "n0"}}, aways: k.away}
 		p := newWorkPlay(play, Work{Spec: maintenance.Spec{Servers: []string{"a", "b"}, MaxConcurrent: 1, MaxPerSite: 2, WarmUpSeconds: 5, DeadMemberSeconds: 100}}, day)
 		for i, v := range k.visits {
@@ -78,9 +78,9 @@
 
 // The worst ten seconds are found, of the worth that was answered within its class's aim.
 func TestWorkServiceIsMeasured(t *testing.T) {
-	class := environment.ClassSpec{AimS: 1}
-	class.Worth = 2
-	day := &environment.Day{Start: 1000, LengthS: 100, Classes: []environment.ClassSpec{class}}
+	class := environment.ClassSpec{LatencyTargetSeconds: 1}
+	class.PriorityWeight = 2
+	day := &environment.Day{Start: 1000, LengthSeconds: 100, Classes: []environment.ClassSpec{class}}
 	p := newWorkPlay(&Troupe{}, Work{Spec: maintenance.Spec{MaxConcurrent: 1}, Hand: true}, day)
 	for i := range 100 {
 		at, id := 1000+float64(i), uint64(i+1)
--- a/internal/lab/realtime/board.go
+++ b/internal/lab/realtime/board.go
@@ -122,7 +122,7 @@
 
 // Back returns how long after a time service was as it was before, in seconds.
 func (b *Board) Back(at float64) float64 {
-	return figures.Back(b.steps, stepS, b.day.LengthS, at-b.day.Start)
+	return figures.Back(b.steps, stepS, b.day.LengthSeconds, at-b.day.Start)
 }
 
 // second adds up the steps of a second from so many steps back.
@@ -217,7 +217,7 @@
 	var s strings.Builder
 	s.WriteString("\x1b[H\x1b[J") // home, and clear
 	fmt.Fprintf(&s, "hazelwheel, %.1f of %.0f s: %d requests a second, %d refused, to an answer p50 %.0f ms, p99 %.0f ms\n\n",
-		v.at, b.day.LengthS, v.all.Offered, v.all.Refused, percentile(v.times, 0.5), percentile(v.times, 0.99))
+		v.at, b.day.LengthSeconds, v.all.Offered, v.all.Refused, percentile(v.times, 0.5), percentile(v.times, 0.99))
 	for i, c := range v.classes {
 		fmt.Fprintf(&s, "%-16s %4d/s  served %s\n", b.day.Classes[i].Name, c.Offered, share(c.Served, c.Offered))
 	}
--- a/internal/lab/realtime/demo.go
+++ b/internal/lab/realtime/demo.go
@@ -24,10 +24,10 @@
 func demoRanges() environment.Ranges {
 	one := func(x float64) environment.Range { return environment.Range{Min: x, Max: x} }
 	r := environment.StandardRanges()
-	r.LengthS, r.Sidecars, r.Boxes, r.Sites = one(7), one(1), one(12), one(4)
-	r.RatePS, r.Load, r.Swing, r.Burst = one(200), one(0.3), one(0), one(1)
-	r.Impatient, r.Retries = one(0), one(1)
-	r.NoticeS, r.PublishMS, r.SpreadMS = one(0.9), one(150), one(40)
+	r.LengthSeconds, r.Sidecars, r.Servers, r.Sites = one(7), one(1), one(12), one(4)
+	r.RatePerSecond, r.Load, r.Swing, r.BurstFactor = one(200), one(0.3), one(0), one(1)
+	r.ImpatientShare, r.Retries = one(0), one(1)
+	r.FailureNoticeSeconds, r.PublishIntervalMillis, r.DeliveryMillis = one(0.9), one(150), one(40)
 	return r
 }
 
@@ -89,7 +89,7 @@
 			} else {
 				board.Line(d.Out, p.Now())
 			}
-			if p.Now() < p.Day.Start+p.Day.LengthS+settleS {
+			if p.Now() < p.Day.Start+p.Day.LengthSeconds+settleS {
 				p.ground.At(p.Now()+every.Seconds(), show)
 			}
 		}
--- a/internal/lab/realtime/live.go
+++ b/internal/lab/realtime/live.go
@@ -157,9 +157,9 @@
 	if p.settings.Binary != "" {
 		longest := 0.0
 		for _, c := range p.Day.Classes {
-			longest = max(longest, c.GiveUpS)
+			longest = max(longest, c.TotalTimeoutSeconds)
 		}
-		p.ground.At(p.Day.Start+p.Day.LengthS+longest+restS, func() { p.stop(errOver) })
+		p.ground.At(p.Day.Start+p.Day.LengthSeconds+longest+restS, func() { p.stop(errOver) })
 	}
 	for _, player := range p.players {
 		p.schedule(player)
@@ -321,7 +321,7 @@
 	for _, s := range p.Day.Sidecars {
 		sites[s.IP] = s.Site
 	}
-	paths := p.Day.PathS
+	paths := p.Day.PathSeconds
 	return func(machine, other string) time.Duration {
 		a, known := sites[machine]
 		b, also := sites[other]
--- a/internal/lab/realtime/serve.go
+++ b/internal/lab/realtime/serve.go
@@ -60,7 +60,7 @@
 	}
 	fmt.Fprintf(s.Out, "discovery at %s; a sidecar's configuration is in %s, and has it listen at %s\n", p.World.Discovery.Address(), s.Config, s.Listen)
 	for _, b := range p.Day.Servers[:p.Day.InitialServers] {
-		fmt.Fprintf(s.Out, "%3d  %s  %s  %s  %s\n", b.Number, b.Name, b.Address, p.Day.Sites[b.Site], p.Day.Kinds[b.Kind])
+		fmt.Fprintf(s.Out, "%3d  %s  %s  %s  %s\n", b.Number, b.Name, b.Address, p.Day.Sites[b.Site], p.Day.ServerKinds[b.Kind])
 	}
 	return nil
 }
--- a/internal/sim/ground.go
+++ b/internal/sim/ground.go
@@ -72,7 +72,7 @@
 	}
 	for _, a := range all {
 		for _, b := range all {
-			way := d.spec.ClientS
+			way := d.spec.ClientPathSeconds
 			if a != b {
 				way = d.spec.PathBetween(sites[a], sites[b])
 			}
@@ -129,7 +129,7 @@
 	if d.spec.Protocol.IsThrift() {
 		listen = append(listen, environment.ThriftAddress(s.spec.Address))
 	}
-	s.proc = s.vm.Process(virtual.ProcessOptions{Name: s.spec.Name, Listen: listen, MaxDescriptors: d.spec.Sockets,
+	s.proc = s.vm.Process(virtual.ProcessOptions{Name: s.spec.Name, Listen: listen, MaxDescriptors: d.spec.MaxDescriptors,
 		ReservedDescriptors: 8, Backlog: w.backlog, SendBuffer: w.send, ReceiveBuffer: w.receive, MaxWakeDelaySeconds: w.wakeS, CallSeconds: w.callS, Shuffle: w.shuffle,
 		OnExit: s.exited})
 	s.termed, s.told, s.denied = false, 0, 0
--- a/internal/sim/hard_test.go
+++ b/internal/sim/hard_test.go
@@ -254,7 +254,7 @@
 	for _, i := range boxes {
 		b := d.Servers[i]
 		entries = append(entries, fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":%d,"status":"DRAINING","weight":1,"since_ms":0}`,
-			b.Name, b.Address, d.Sites[b.Site], d.Kinds[b.Kind], b.Cell))
+			b.Name, b.Address, d.Sites[b.Site], d.ServerKinds[b.Kind], b.Cell))
 	}
 	line := `{"index":1000,"snapshot":false,"endpoints":[` + strings.Join(entries, ",") + "]}\n"
 	_, _ = s.listed.conns[0].Write([]byte(strconv.FormatInt(int64(len(line)), 16) + "\r\n" + line + "\r\n"))
--- a/internal/sim/lists.go
+++ b/internal/sim/lists.go
@@ -53,7 +53,7 @@
 
 // Releases are the troubles of a quiet day: one box after the other drains, ends and begins again.
 func Releases(d environment.Day) (all []environment.Fault) {
-	for i, at := 0, settledS+1; at < d.LengthS-10; i, at = i+1, at+2.5 {
+	for i, at := 0, settledS+1; at < d.LengthSeconds-10; i, at = i+1, at+2.5 {
 		all = append(all, environment.Fault{Kind: environment.ScaleIn, AtSeconds: at, DurationSeconds: 4, DrainSeconds: 1.5, Servers: []string{d.Servers[i%d.InitialServers].Name}})
 	}
 	return all
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -121,7 +121,7 @@
 		for i := range min(3, len(d.sidecars)) {
 			join = append(join, peersAddress(&d.sidecars[i].spec))
 		}
-		links := peers.MaxLinks(d.spec.Sockets)
+		links := peers.MaxLinks(d.spec.MaxDescriptors)
 		settings := coordination.Settings{Name: fleetName, Listen: peersAddress(&s.spec), Join: join}
 		if d.owners && len(join) == 3 {
 			settings.Voters, settings.Roles = join, sidecarconfig.Jobs
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -26,7 +26,7 @@
 
 // batch returns a batch at so many times the ministry's share.
 func batch(d *environment.Day, times float64) *environment.BatchSpec {
-	b := &environment.BatchSpec{RatePS: times * ministryTimes * d.Clients.RatePS, Organisation: "ministry"}
+	b := &environment.BatchSpec{RatePerSecond: times * ministryTimes * d.Clients.RatePerSecond, Organisation: "ministry"}
 	for i, c := range d.Classes {
 		if c.Effect == checker.Safe {
 			b.Class = i
@@ -39,7 +39,7 @@
 func withQuotas(d *environment.Day) (Core, error) {
 	const all = cityTimes + ministryTimes
 	share := 100 * ministryTimes / all
-	tree, err := quota.NewTree([]quota.Limit{{Measure: quota.Requests, WindowSeconds: quotaWindowS, Quota: all * d.Clients.RatePS * quotaWindowS}},
+	tree, err := quota.NewTree([]quota.Limit{{Measure: quota.Requests, WindowSeconds: quotaWindowS, Quota: all * d.Clients.RatePerSecond * quotaWindowS}},
 		[]quota.Group{{Name: "cities", Share: 100 - share, Weight: 1}, {Name: "ministry", Share: share, Weight: 1, Cap: ministryCap * share}})
 	if err != nil {
 		return nil, err
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -82,7 +82,7 @@
 		n += len(t.Servers) + len(t.Sidecars)
 	}
 	d := h.best.Day(h.o.Ranges())
-	return n + len(d.Sidecars) + d.InitialServers + int(d.LengthS)
+	return n + len(d.Sidecars) + d.InitialServers + int(d.LengthSeconds)
 }
 
 // round tries each kind of leaving out once.
@@ -116,7 +116,7 @@
 func (h *shrinker) shorten() {
 	d := h.best.Day(h.o.Ranges())
 	for _, more := range []float64{0.5, 2, 5} {
-		if length := float64(int(h.at + more + 1)); length < d.LengthS {
+		if length := float64(int(h.at + more + 1)); length < d.LengthSeconds {
 			s := copyOf(h.best)
 			s.LengthSeconds = length
 			if h.try(s) {
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -86,8 +86,8 @@
 	}
 	r := environment.StandardRanges()
 	if o.Together == TogetherWorks {
-		r.LengthS = environment.Range{Min: 80, Max: 120}
-		r.Longs, r.Long = 0.3, environment.Range{Min: 6, Max: 20}
+		r.LengthSeconds = environment.Range{Min: 80, Max: 120}
+		r.LongRequestDayShare, r.LongRequestFactor = 0.3, environment.Range{Min: 6, Max: 20}
 	}
 	if o.Boxes > 0 {
 		r = environment.LargeRanges(o.Boxes)
@@ -137,7 +137,7 @@
 	if o.Together == TogetherWorks {
 		environment.DrawLags(&d, &s)
 		// What is left of the day is for plans to go on.
-		s.Faults = slices.DeleteFunc(s.Faults, func(t environment.Fault) bool { return t.AtSeconds > 0.7*d.LengthS })
+		s.Faults = slices.DeleteFunc(s.Faults, func(t environment.Fault) bool { return t.AtSeconds > 0.7*d.LengthSeconds })
 	}
 	return s
 }
@@ -198,7 +198,7 @@
 func newDay(s environment.Script, o Options) (*day, error) {
 	d := &day{script: s, spec: s.Day(o.Ranges()), core: o.Core, trace: o.Trace, cuts: map[[2]string]int{}, slow: map[[2]int]float64{}}
 	if d.spec.Protocol = o.Speech; o.Speech.IsThrift() {
-		d.spec.Inline = false
+		d.spec.ReportsInline = false
 	}
 	if o.Batch > 0 {
 		d.spec.Batch = batch(&d.spec, o.Batch)
@@ -297,7 +297,7 @@
 // longerS returns how much longer than on a usual day a request that came last may take.
 func (d *day) longerS() (s float64) {
 	for _, c := range d.spec.Classes {
-		s = max(s, c.GiveUpS-usualGiveUpS)
+		s = max(s, c.TotalTimeoutSeconds-usualGiveUpS)
 	}
 	return s
 }
@@ -308,7 +308,7 @@
 // lastComingS returns when the last client comes, since the day's start: hostile ones may do so when the others have
 // ceased.
 func (d *day) lastComingS() float64 {
-	last := d.spec.LengthS
+	last := d.spec.LengthSeconds
 	for _, t := range d.script.Faults {
 		if t.Kind == environment.BadClients || t.Kind == environment.SilentFlood {
 			last = max(last, t.AtSeconds+t.DurationSeconds)
@@ -341,7 +341,7 @@
 		}
 		held, most := s.proc.Descriptors()
 		if denied := s.proc.DescriptorFailures(); denied > s.denied {
-			most, s.denied = d.spec.Sockets+denied-s.denied, denied
+			most, s.denied = d.spec.MaxDescriptors+denied-s.denied, denied
 		}
 		if most != s.told {
 			s.told = most
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -187,8 +187,8 @@
 	if boxes > 19 {
 		r = environment.LargeRanges(boxes)
 	}
-	r.Boxes = environment.Range{Min: float64(boxes), Max: float64(boxes)}
-	r.Sites, r.Sidecars, r.Crowds, r.Load = environment.Range{Min: 4, Max: 4}, environment.Range{Min: 5, Max: 5}, 0, environment.Range{Min: load, Max: load}
+	r.Servers = environment.Range{Min: float64(boxes), Max: float64(boxes)}
+	r.Sites, r.Sidecars, r.OverloadedDayShare, r.Load = environment.Range{Min: 4, Max: 4}, environment.Range{Min: 5, Max: 5}, 0, environment.Range{Min: load, Max: load}
 	lengthS := weighAtS + 20 + 42*float64(boxes)
 	if way.AtOnce > 1 { // a box takes that long, and there is time to wait until a trouble is over
 		lengthS = weighAtS + 150 + 36*math.Ceil(float64(boxes)/float64(way.AtOnce))
@@ -196,7 +196,7 @@
 	if load > edgeLoad { // the fleet refuses by itself: one box is out at a time, and what it refuses is measured between two
 		lengthS = weighAtS + 120 + 75*float64(boxes)
 	}
-	r.LengthS = environment.Range{Min: lengthS, Max: lengthS}
+	r.LengthSeconds = environment.Range{Min: lengthS, Max: lengthS}
 	o := Options{Together: TogetherWorks, Drawn: &r, Weigh: way}
 	d := environment.Draw(seed, r)
 	s := environment.Script{Seed: seed}
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -351,7 +351,7 @@
 // restart has a sidecar begin again while boxes are out, late enough for nothing else to be in the way of plans.
 func (w *plans) restart(sidecar int) {
 	now := w.d.net.Now()
-	if now < w.d.spec.Start+0.9*w.d.spec.LengthS {
+	if now < w.d.spec.Start+0.9*w.d.spec.LengthSeconds {
 		w.d.player.RestartSidecar(sidecar, 0.2+w.rng.Float64(), now)
 	}
 }
