--- a/internal/environment/actors_test.go
+++ b/internal/environment/actors_test.go
@@ -242,7 +242,7 @@
 			case 3:
 				r.DelaySeconds = rapid.Float64Range(0, 10).Draw(t, "stale")
 			case 4:
-				r.SetDown(!r.down, now)
+				r.SetDown(!r.isDown, now)
 			case 5:
 				if ip, ok := r.nextIP(); ok {
 					s.begin(t, ip)
--- a/internal/environment/agenda.go
+++ b/internal/environment/agenda.go
@@ -4,22 +4,24 @@
 
 // agenda holds what is due, by time and then in the order in which it was put in. What is no longer wanted stays until
 // its time; who takes it out checks.
-type agenda[T any] struct {
-	heap []due[T]
+type schedule[T any] struct {
+	heap []scheduled[T]
 	seq  uint64
 }
 
-type due[T any] struct {
-	at   float64
-	seq  uint64
-	what T
+type scheduled[T any] struct {
+	at    float64
+	seq   uint64
+	value T
 }
 
-func (d *due[T]) before(o *due[T]) bool { return d.at < o.at || d.at == o.at && d.seq < o.seq }
+func (d *scheduled[T]) before(o *scheduled[T]) bool {
+	return d.at < o.at || d.at == o.at && d.seq < o.seq
+}
 
-func (a *agenda[T]) put(at float64, what T) {
+func (a *schedule[T]) add(at float64, what T) {
 	a.seq++
-	a.heap = append(a.heap, due[T]{at, a.seq, what})
+	a.heap = append(a.heap, scheduled[T]{at, a.seq, what})
 	h := a.heap
 	for i := len(h) - 1; i > 0; {
 		parent := (i - 1) / 2
@@ -32,7 +34,7 @@
 }
 
 // next returns when something is due, +Inf where nothing is.
-func (a *agenda[T]) next() float64 {
+func (a *schedule[T]) nextAt() float64 {
 	if len(a.heap) == 0 {
 		return math.Inf(1)
 	}
@@ -40,7 +42,7 @@
 }
 
 // take returns the first that is due by now.
-func (a *agenda[T]) take(now float64) (what T, at float64, ok bool) {
+func (a *schedule[T]) pop(now float64) (what T, at float64, ok bool) {
 	h := a.heap
 	if len(h) == 0 || h[0].at > now {
 		return what, 0, false
@@ -48,7 +50,7 @@
 	first := h[0]
 	last := len(h) - 1
 	h[0] = h[last]
-	h[last] = due[T]{}
+	h[last] = scheduled[T]{}
 	h = h[:last]
 	a.heap = h
 	for i := 0; ; {
@@ -65,5 +67,5 @@
 		h[i], h[child] = h[child], h[i]
 		i = child
 	}
-	return first.what, first.at, true
+	return first.value, first.at, true
 }
--- a/internal/environment/configuration.go
+++ b/internal/environment/configuration.go
@@ -8,22 +8,22 @@
 )
 
 // mostKnownAgeS is how old the list in a new process's configuration may be.
-const mostKnownAgeS = 20.0
+const maxKnownAgeSeconds = 20.0
 
 // StartConfiguration returns the configuration that a sidecar's new process begins with. The list in it may be old. The
 // witness is told of the start and of the list.
 func (w *Environment) StartConfiguration(sidecar int, now float64) []byte {
-	age := stream(w.Day.Seed, "known", sidecar).Float64() * mostKnownAgeS
+	age := randomStream(w.Day.Seed, "known", sidecar).Float64() * maxKnownAgeSeconds
 	index, list := w.Discovery.asOf(max(now-age, w.Day.Start))
 	w.observer.Observe(checker.Event{Kind: checker.SidecarStarted, At: now, Sidecar: int32(sidecar), Server: -1})
-	w.Discovery.tell(int32(sidecar), index, list, 0, true, now)
-	return w.configuration(sidecar, w.Discovery.list(index, list, 0, true))
+	w.Discovery.observeDelivery(int32(sidecar), index, list, 0, true, now)
+	return w.configuration(sidecar, w.Discovery.formatList(index, list, 0, true))
 }
 
 // ReloadConfiguration returns what a sidecar's configuration says now to a process that is told to read it again.
 func (w *Environment) ReloadConfiguration(sidecar int) []byte {
 	index, list := w.Discovery.asOf(w.Day.Start)
-	return w.configuration(sidecar, w.Discovery.list(index, list, 0, true))
+	return w.configuration(sidecar, w.Discovery.formatList(index, list, 0, true))
 }
 
 type object = map[string]any
@@ -61,11 +61,11 @@
 		"classes": classes, "clients": object{"marksRetry": d.Clients.MarksRetries}, "dcs": d.Sites, "hostTypes": d.ServerKinds,
 		"deductions": object{"crossZone": 0.06, "probe": 0.0081, "waste": 0.02, "lateFail": 0.055},
 		"discovery":  "on_request", "locality": d.Sidecars[sidecar].Site,
-		"limits": object{"cancel": true, "connIdleS": d.ConnIdleSeconds, "connectTimeoutS": connectS, "maxRetryAfterS": maxRetryAfter,
-			"peers": false, "probes": true, "retryAfter": true, "secondCopies": false, "sendCap": mostAttempts, "streamsPerConn": 1},
-		"obligations": object{"answerSlackS": answerSlackS, "askWithinS": askWithinS, "coldFrom": coldFrom, "coldS": coldS,
-			"drainGraceS": drainGraceS, "fallMultiple": fallMultiple, "fallS": fallS},
-		"replicasOfMe": len(d.Sidecars), "selfIndex": sidecar, "roundS": tickS, "stage": 0, "tenants": []object{},
+		"limits": object{"cancel": true, "connIdleS": d.ConnIdleSeconds, "connectTimeoutS": connectTimeoutSeconds, "maxRetryAfterS": maxRetryAfterSeconds,
+			"peers": false, "probes": true, "retryAfter": true, "secondCopies": false, "sendCap": maxAttempts, "streamsPerConn": 1},
+		"obligations": object{"answerSlackS": answerSlackSeconds, "askWithinS": pollTimeoutSeconds, "coldFrom": minColdCapacity, "coldS": maxWarmupSeconds,
+			"drainGraceS": drainGraceSeconds, "fallMultiple": overloadMultiple, "fallS": overloadWindowSeconds},
+		"replicasOfMe": len(d.Sidecars), "selfIndex": sidecar, "roundS": tickSeconds, "stage": 0, "tenants": []object{},
 		"tiers": []string{"readings"}, "weights": "rough", "workload": "mesh", "valueBy": "request",
 		"report": object{"fields": []string{"cpu_share", "failed_ps", "pending"}, "how": how},
 	}
--- a/internal/environment/day.go
+++ b/internal/environment/day.go
@@ -136,62 +136,62 @@
 
 // Figures of the deployment that are not drawn.
 const (
-	fallMultiple = 2.5
-	fallS        = 1.0
-	drainGraceS  = 0.75
-	termGraceS   = 0.7
-	askWithinS   = 10.0
-	answerSlackS = 0.02
-	socketSlackS = 0.05
-	toldWithinS  = 6.0
-	reloadToldS  = 4.0
-	coldFrom     = 0.14 // what sidecars are told: every box begins with this share or more
-	coldS        = 24.0
-	mostAttempts = 3
+	overloadMultiple      = 2.5
+	overloadWindowSeconds = 1.0
+	drainGraceSeconds     = 0.75
+	termGraceSeconds      = 0.7
+	pollTimeoutSeconds    = 10.0
+	answerSlackSeconds    = 0.02
+	socketSlackSeconds    = 0.05
+	updateTimeoutSeconds  = 6.0
+	reloadGraceSeconds    = 4.0
+	minColdCapacity       = 0.14 // what sidecars are told: every box begins with this share or more
+	maxWarmupSeconds      = 24.0
+	maxAttempts           = 3
 	// chanceRequests is how many mean requests beyond its budget a cold box bears in a window.
-	chanceRequests = 2
-	connectS       = 0.25
-	maxRetryAfter  = 1.5
-	tickS          = 0.005
+	overloadSlackRequests = 2
+	connectTimeoutSeconds = 0.25
+	maxRetryAfterSeconds  = 1.5
+	tickSeconds           = 0.005
 	// discoveryMoves is how many addresses discovery can move through in a day.
-	discoveryMoves = 4
+	maxDiscoveryAddresses = 4
 	// startOfDays is 2027-01-15, so that a start of 0 means long ago.
-	startOfDays = 1.8e9
+	dayStart = 1.8e9
 )
 
 // Draw returns the day of a seed.
 func Draw(seed uint64, r Ranges) Day {
-	rng := stream(seed, "day", 0)
-	d := Day{Seed: seed, Start: startOfDays, LengthSeconds: math.Round(r.LengthSeconds.draw(rng)), InitialServers: r.Servers.count(rng)}
+	rng := randomStream(seed, "day", 0)
+	d := Day{Seed: seed, Start: dayStart, LengthSeconds: math.Round(r.LengthSeconds.draw(rng)), InitialServers: r.Servers.count(rng)}
 	for i := range r.Sites.count(rng) {
 		d.Sites = append(d.Sites, "site-"+string(rune('a'+i)))
 	}
 	d.drawPaths(rng, r)
 	d.drawSidecars(rng, r)
-	d.drawBoxes(rng, r)
+	d.drawServers(rng, r)
 	d.drawClasses(rng, r)
 	d.Clients = ClientSpec{
 		RatePerSecond: r.RatePerSecond.draw(rng), Swing: r.Swing.draw(rng), SwingPeriodSeconds: r.SwingPeriodSeconds.draw(rng), BurstFactor: r.BurstFactor.draw(rng),
 		BurstSeconds: r.BurstSeconds.draw(rng), BurstIntervalSeconds: r.BurstIntervalSeconds.draw(rng), Retries: r.Retries.count(rng),
 		AttemptTimeoutShare: r.AttemptTimeoutShare.draw(rng), BackoffSeconds: r.BackoffMillis.draw(rng) / 1e3, RetryAfterShare: r.RetryAfterShare.draw(rng),
-		ImpatientShare: r.ImpatientShare.draw(rng), MaxConnections: d.MaxDescriptors / 3, MaxRetryAfterSeconds: maxRetryAfter,
+		ImpatientShare: r.ImpatientShare.draw(rng), MaxConnections: d.MaxDescriptors / 3, MaxRetryAfterSeconds: maxRetryAfterSeconds,
 	}
 	load := r.Load.draw(rng)
-	if crowd := stream(seed, "crowd", 0); crowd.Float64() < r.OverloadedDayShare {
+	if crowd := randomStream(seed, "crowd", 0); crowd.Float64() < r.OverloadedDayShare {
 		load, d.Clients.RatePerSecond = r.OverloadedLoad.draw(crowd), r.OverloadedRatePerSecond.draw(crowd)
 	}
 	longer := 1.0
-	if long := stream(seed, "long", 0); long.Float64() < r.LongRequestDayShare {
+	if long := randomStream(seed, "long", 0); long.Float64() < r.LongRequestDayShare {
 		longer = r.LongRequestFactor.draw(long)
 		d.Clients.RatePerSecond /= longer
 	}
-	d.pace(load, longer)
+	d.setPace(load, longer)
 	d.Discovery = DiscoverySpec{
 		FailureNoticeSeconds: r.FailureNoticeSeconds.draw(rng), SilentNoticeSeconds: r.SilentNoticeSeconds.draw(rng), StartNoticeSeconds: r.StartNoticeSeconds.draw(rng),
 		PublishIntervalSeconds: r.PublishIntervalMillis.draw(rng) / 1e3, DeliverySeconds: r.DeliveryMillis.draw(rng) / 1e3, CallsPerSecond: r.CallsPerSecond.draw(rng),
 		EntriesPerCall: r.EntriesPerCall.draw(rng), CallTimeoutSeconds: 1, KeepAliveSeconds: 2, OldAddressSeconds: 1.5,
 	}
-	for i := range discoveryMoves {
+	for i := range maxDiscoveryAddresses {
 		ip := fmt.Sprintf("10.2.0.%d", i+1)
 		d.Discovery.IPs = append(d.Discovery.IPs, ip)
 		d.Discovery.Addresses = append(d.Discovery.Addresses, ip+":2300")
@@ -219,7 +219,7 @@
 	for i := range r.Sidecars.count(rng) {
 		ip := fmt.Sprintf("10.0.%d.%d", (i+1)>>8, (i+1)&255)
 		s := SidecarSpec{Name: "n" + strconv.Itoa(i), IP: ip, Address: ip + ":8080", Site: i % len(d.Sites),
-			Share: spread(rng, skew), Seed: rng.Uint64()}
+			Share: logNormalFactor(rng, skew), Seed: rng.Uint64()}
 		sum += s.Share
 		d.Sidecars = append(d.Sidecars, s)
 	}
@@ -229,9 +229,9 @@
 }
 
 // spareBoxes is how many boxes beyond those that stand at the start a day can bring in.
-const spareBoxes = 8
+const spareServers = 8
 
-func (d *Day) drawBoxes(rng *rand.Rand, r Ranges) {
+func (d *Day) drawServers(rng *rand.Rand, r Ranges) {
 	var shares []float64
 	sum := 0.0
 	for _, k := range r.ServerKinds {
@@ -245,7 +245,7 @@
 		cv[i] = k.SpeedCV.draw(rng)
 	}
 	taken := map[uint32]bool{}
-	for n := range d.InitialServers + spareBoxes {
+	for n := range d.InitialServers + spareServers {
 		kind, at := 0, rng.Float64()*sum
 		for kind < len(shares)-1 && at >= shares[kind] {
 			at -= shares[kind]
@@ -258,7 +258,7 @@
 		taken[id] = true
 		site := n % len(d.Sites)
 		ip := fmt.Sprintf("10.%d.%d.%d", 1+n/250, site, n%250+1)
-		b := drawBox(rng, r, r.ServerKinds[kind], cv[kind])
+		b := drawServer(rng, r, r.ServerKinds[kind], cv[kind])
 		b.Number, b.Name, b.IP, b.Address = n, fmt.Sprintf("s-%08x", id), ip, ip+":3000"
 		b.Site, b.Kind, b.Cell = site, kind, n/cellSize
 		b.IdleTimeoutSeconds = d.ConnIdleSeconds
@@ -266,14 +266,14 @@
 	}
 }
 
-func drawBox(rng *rand.Rand, r Ranges, k ServerKindRanges, speedCV float64) ServerSpec {
+func drawServer(rng *rand.Rand, r Ranges, k ServerKindRanges, speedCV float64) ServerSpec {
 	slots := k.Slots.count(rng)
 	b := ServerSpec{
-		Speed: k.Speed.draw(rng) * spread(rng, speedCV), Slots: slots,
+		Speed: k.Speed.draw(rng) * logNormalFactor(rng, speedCV), Slots: slots,
 		QueueLimit: int(k.QueuePerSlot.draw(rng)) * slots, ThrashFactor: k.ThrashFactor.draw(rng), ThrashThreshold: k.ThrashThreshold.draw(rng),
 		ColdCapacity: k.ColdCapacity.draw(rng), WarmupSeconds: k.WarmupSeconds.draw(rng), WarmupWorkSeconds: r.WarmupWorkSeconds.draw(rng),
 		PauseIntervalSeconds: k.PauseIntervalSeconds.draw(rng), PauseSeconds: k.PauseMillis.draw(rng) / 1e3, ErrorShare: k.ErrorShare.draw(rng),
-		Overload:              OverloadSpec{Multiple: fallMultiple, WindowSeconds: fallS},
+		Overload:              OverloadSpec{Multiple: overloadMultiple, WindowSeconds: overloadWindowSeconds},
 		ReportIntervalSeconds: r.ReportIntervalMillis.draw(rng) / 1e3, ReportLagSeconds: r.ReportLagMillis.draw(rng) / 1e3,
 		ReportNoise: r.ReportNoise.draw(rng), MaxConnections: int(r.ConnectionsPerSlot.draw(rng)) * slots, ConnectionOverhead: r.ConnectionOverhead.draw(rng),
 		HandshakeSeconds: r.HandshakeMillis.draw(rng) / 1e3, HealthCheckSeconds: r.HealthCheckMillis.draw(rng) / 1e3,
@@ -302,12 +302,12 @@
 )
 
 // standardWorkS is the mean work of a request at which the classes' times are as their ranges name them.
-const standardWorkS = 0.1
+const standardWorkSeconds = 0.1
 
 // pace sets the size of requests so that the boxes are loaded as given, and the classes' times with it; longer is how many times as
 // long as usual they may be.
-func (d *Day) pace(load, longer float64) {
-	d.OverloadWindowSeconds = fallS * longer // or one request of usual size would be more than a box bears
+func (d *Day) setPace(load, longer float64) {
+	d.OverloadWindowSeconds = overloadWindowSeconds * longer // or one request of usual size would be more than a box bears
 	capacity, mean := 0.0, 0.0
 	for _, b := range d.Servers[:d.InitialServers] {
 		capacity += b.Speed * float64(b.Slots)
@@ -320,7 +320,7 @@
 		c := &d.Classes[i]
 		c.MeanWorkSeconds *= d.MeanWorkSeconds / mean
 		// Danger: times that shrink as far as the work would fall below what a tick and two ways take.
-		pace := min(max(d.MeanWorkSeconds/standardWorkS, 0.4), 1.5*longer)
+		pace := min(max(d.MeanWorkSeconds/standardWorkSeconds, 0.4), 1.5*longer)
 		c.LatencyTargetSeconds = math.Round(c.ClassRanges.LatencyTargetSeconds*pace*1e3) / 1e3
 		c.TotalTimeoutSeconds = math.Round(c.ClassRanges.TotalTimeoutSeconds*pace*1e3) / 1e3
 	}
@@ -329,16 +329,16 @@
 		// a slow box that begins at a sixth of its capacity bears two mean requests a window, and one heavy one brings
 		// it down whoever has sent it.
 		d.Servers[i].Overload.WindowSeconds = d.OverloadWindowSeconds
-		d.Servers[i].Overload.SlackSeconds = chanceRequests * d.MeanWorkSeconds / d.Servers[i].Speed
+		d.Servers[i].Overload.SlackSeconds = overloadSlackRequests * d.MeanWorkSeconds / d.Servers[i].Speed
 	}
 }
 
 // Rules returns what the judge of this day checks by.
 func (d *Day) Rules() checker.Rules {
 	r := checker.Rules{
-		Sidecars: len(d.Sidecars), MaxDescriptors: d.MaxDescriptors, AnswerSlackSeconds: answerSlackS, SocketSlackSeconds: socketSlackS,
-		TermGraceSeconds: termGraceS, DrainGraceSeconds: drainGraceS, PollTimeoutSeconds: askWithinS, UpdateTimeoutSeconds: toldWithinS, ReloadGraceSeconds: reloadToldS,
-		OverloadWindowSeconds: cmp.Or(d.OverloadWindowSeconds, fallS), ColdLoadShare: 2.0 / 3, FailFastSeconds: 0.25, MaxAttempts: mostAttempts,
+		Sidecars: len(d.Sidecars), MaxDescriptors: d.MaxDescriptors, AnswerSlackSeconds: answerSlackSeconds, SocketSlackSeconds: socketSlackSeconds,
+		TermGraceSeconds: termGraceSeconds, DrainGraceSeconds: drainGraceSeconds, PollTimeoutSeconds: pollTimeoutSeconds, UpdateTimeoutSeconds: updateTimeoutSeconds, ReloadGraceSeconds: reloadGraceSeconds,
+		OverloadWindowSeconds: cmp.Or(d.OverloadWindowSeconds, overloadWindowSeconds), ColdLoadShare: 2.0 / 3, FailFastSeconds: 0.25, MaxAttempts: maxAttempts,
 	}
 	r.FleetCallsSeconds = float64(len(d.Sidecars)) * d.Discovery.callSeconds(len(d.Servers))
 	for _, c := range d.Classes {
--- a/internal/environment/draw.go
+++ b/internal/environment/draw.go
@@ -18,14 +18,14 @@
 
 // stream returns a source of chance that a seed and a purpose have to themselves. Danger: were one source shared, an
 // actor that draws once more would change the chance of all others, and a shortened script would tell another story.
-func stream(seed uint64, purpose string, number int) *rand.Rand {
+func randomStream(seed uint64, purpose string, number int) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose)) // never fails
 	return rand.New(rand.NewPCG(seed, h.Sum64()+uint64(number)*0x9e3779b97f4a7c15))
 }
 
 // spread draws a factor with mean 1 whose logarithm is normal; cv is its coefficient of variation.
-func spread(rng *rand.Rand, cv float64) float64 {
+func logNormalFactor(rng *rand.Rand, cv float64) float64 {
 	if cv <= 0 {
 		return 1
 	}
--- a/internal/environment/engine_test.go
+++ b/internal/environment/engine_test.go
@@ -26,7 +26,7 @@
 		spec := drawnBox(t)
 		cold := rapid.Bool().Draw(t, "cold")
 		now := 100.0
-		e := NewEngine(spec, stream(rapid.Uint64().Draw(t, "seed"), "test", 0), now, cold)
+		e := NewEngine(spec, randomStream(rapid.Uint64().Draw(t, "seed"), "test", 0), now, cold)
 		state := map[*Job]int{} // 1: in the box
 		var held []*Job
 		var borne []arrival
@@ -73,7 +73,7 @@
 				if fallen = fallen || fell; before >= 1 {
 					borne = nil
 				}
-				room := e.Queued() < spec.QueueLimit || !e.still() && len(e.inWork) < spec.Slots
+				room := e.Queued() < spec.QueueLimit || !e.isPaused() && len(e.running) < spec.Slots
 				taken := e.Enqueue(now, j)
 				require.Equal(t, room, taken)
 				if taken {
@@ -93,9 +93,9 @@
 				e.SetConnections(rapid.IntRange(0, 200).Draw(t, "connections"))
 			}
 			require.Len(t, held, e.InFlight())
-			require.LessOrEqual(t, len(e.inWork), spec.Slots)
+			require.LessOrEqual(t, len(e.running), spec.Slots)
 			require.LessOrEqual(t, e.Queued(), spec.QueueLimit)
-			if !e.still() && len(e.inWork) < spec.Slots {
+			if !e.isPaused() && len(e.running) < spec.Slots {
 				require.Zero(t, e.Queued(), "a slot stands empty")
 			}
 			require.GreaterOrEqual(t, e.Warmth(now), warmth)
@@ -120,23 +120,23 @@
 // Time that a box stands still is added to what it has in work, to the microsecond, however hang and pauses overlap.
 func TestStandingStillAddsUp(t *testing.T) {
 	spec := &ServerSpec{Slots: 1, QueueLimit: 5, PauseIntervalSeconds: 0.2, PauseSeconds: 0.1}
-	e := NewEngine(spec, stream(1, "test", 0), 0, false)
+	e := NewEngine(spec, randomStream(1, "test", 0), 0, false)
 	require.True(t, e.Enqueue(0, &Job{Seconds: 5}))
 	paused, since := 0.0, math.NaN()
 	for i := 0; ; i++ {
 		at := e.NextAt()
-		pausing := e.pausing
+		pausing := e.isPausing
 		done := e.Advance(at)
-		if !pausing && e.pausing {
+		if !pausing && e.isPausing {
 			since = at
-		} else if pausing && !e.pausing {
+		} else if pausing && !e.isPausing {
 			paused += at - since
 		}
 		if len(done) > 0 {
 			assert.InDelta(t, 5+paused+1, at, 1e-6)
 			return
 		}
-		if i == 10 && !e.pausing { // a hang of one second
+		if i == 10 && !e.isPausing { // a hang of one second
 			e.SetHung(at, true)
 			require.Equal(t, math.Inf(1), e.NextAt())
 			e.SetHung(at+1, false)
--- a/internal/environment/mischief_test.go
+++ b/internal/environment/mischief_test.go
@@ -33,11 +33,11 @@
 				require.Zero(t, s.notes.count(checker.HostileConnected))
 				s.begin(t, s.day.Sidecars[0].IP)
 				s.until(lasts)
-				came := s.world.HostileClients[0].visits
+				came := s.world.HostileClients[0].lastVisit
 				require.Equal(t, c.come, came > 0)
 				require.Equal(t, c.come, s.notes.count(checker.HostileConnected) > 0)
 				s.until(lasts + 2)
-				require.Equal(t, came, s.world.HostileClients[0].visits, "none comes once the trouble is over")
+				require.Equal(t, came, s.world.HostileClients[0].lastVisit, "none comes once the trouble is over")
 			})
 		}
 	}
--- a/internal/environment/registry.go
+++ b/internal/environment/registry.go
@@ -13,75 +13,75 @@
 type Discovery struct {
 	DelaySeconds float64 // further delay of all that it learns from now on
 
-	day      *Day
-	spec     *DiscoverySpec
-	witness  checker.Observer
-	who      neighbours
-	rng      *rand.Rand
-	entries  []entry   // by box
-	changes  []change  // all that the list has taken, oldest first
-	known    []learned // by box
-	pending  agenda[change]
-	index    uint64
-	publish  float64 // when what is due is taken up next
-	down     bool
-	refusing bool // while it is down calls are not even answered
-	present  int  // the address in use
-	fronts   []*registryFront
-	links    uint64
-
-	calls    []*registryLink // that wait, oldest first
-	serving  bool
-	servedAt float64 // when the one in hand is done
-	line     bool    // calls wait behind it
-	whole    int     // troubles by which a watch begins with the whole list
+	day                *Day
+	spec               *DiscoverySpec
+	observer           checker.Observer
+	sidecars           sidecarAddresses
+	rng                *rand.Rand
+	entries            []entry       // by box
+	changes            []change      // all that the list has taken, oldest first
+	known              []knownServer // by box
+	pending            schedule[change]
+	index              uint64
+	nextPublishAt      float64 // when what is due is taken up next
+	isDown             bool
+	refusesConnections bool // while it is down calls are not even answered
+	address            int  // the address in use
+	endpoints          []*discoveryEndpoint
+	lastConnNumber     uint64
+
+	queuedCalls    []*discoveryConn // that wait, oldest first
+	isServingCall  bool
+	callDoneAt     float64 // when the one in hand is done
+	hasQueue       bool    // calls wait behind it
+	fullListFaults int     // troubles by which a watch begins with the whole list
 }
 
 // entry is what the list says of a box; a status of 0: it was never on it.
 type entry struct {
-	status  int32
-	address string
-	since   float64
-	index   uint64 // of the change that made it so
+	status       int32
+	address      string
+	servingSince float64
+	index        uint64 // of the change that made it so
 }
 
 // change is a box's new entry, from a time on.
 type change struct {
-	box   int
-	life  int // of the box; one that ended a life that has been followed by another says nothing
-	entry entry
-	at    float64
+	server      int
+	incarnation int // of the box; one that ended a life that has been followed by another says nothing
+	entry       entry
+	at          float64
 }
 
 // learned is what the registry has been told of a box.
-type learned struct {
-	life  int
-	dueAt float64 // of the last change: a later one does not overtake it
-	entry entry   // what it says then. Danger: the list may not have it yet, and what follows must not undo it
+type knownServer struct {
+	incarnation int
+	dueAt       float64 // of the last change: a later one does not overtake it
+	entry       entry   // what it says then. Danger: the list may not have it yet, and what follows must not undo it
 }
 
 // NewRegistry returns a discovery service that lists the boxes that stand at the day's start.
 func NewDiscovery(d *Day, w checker.Observer) *Discovery {
-	r := &Discovery{day: d, spec: &d.Discovery, witness: w, who: newNeighbours(d), rng: stream(d.Seed, "discovery", 0),
-		entries: make([]entry, len(d.Servers)), known: make([]learned, len(d.Servers)), index: 40, publish: d.Start}
+	r := &Discovery{day: d, spec: &d.Discovery, observer: w, sidecars: newSidecarAddresses(d), rng: randomStream(d.Seed, "discovery", 0),
+		entries: make([]entry, len(d.Servers)), known: make([]knownServer, len(d.Servers)), index: 40, nextPublishAt: d.Start}
 	for i := range d.Servers[:d.InitialServers] {
 		r.known[i].entry = entry{status: checker.Serving, address: d.Servers[i].Address}
-		r.take(change{box: i, entry: r.known[i].entry, at: d.Start})
+		r.apply(change{server: i, entry: r.known[i].entry, at: d.Start})
 	}
 	return r
 }
 
 // Up tells the registry of a box's new life.
 func (r *Discovery) ServerStarted(box int, address string, since, now float64) {
-	r.known[box].life++
-	r.learn(box, entry{status: checker.Serving, address: address, since: since}, now+r.spec.StartNoticeSeconds)
+	r.known[box].incarnation++
+	r.scheduleChange(box, entry{status: checker.Serving, address: address, servingSince: since}, now+r.spec.StartNoticeSeconds)
 }
 
 // Drained tells it that a box drains.
 func (r *Discovery) ServerDraining(box int, now float64) {
 	e := r.known[box].entry
 	e.status = checker.Draining
-	r.learn(box, e, now+r.spec.StartNoticeSeconds/4)
+	r.scheduleChange(box, e, now+r.spec.StartNoticeSeconds/4)
 }
 
 // Lost tells it that a box's process has gone, or that its machine has gone silent.
@@ -92,177 +92,177 @@
 	if silent {
 		at = now + r.spec.SilentNoticeSeconds
 	}
-	r.learn(box, e, at)
+	r.scheduleChange(box, e, at)
 }
 
-func (r *Discovery) learn(box int, e entry, at float64) {
+func (r *Discovery) scheduleChange(box int, e entry, at float64) {
 	k := &r.known[box]
 	k.dueAt, k.entry = max(k.dueAt, at+r.DelaySeconds), e
-	r.pending.put(k.dueAt, change{box: box, life: k.life, entry: e, at: k.dueAt})
-	r.arm()
+	r.pending.add(k.dueAt, change{server: box, incarnation: k.incarnation, entry: e, at: k.dueAt})
+	r.updateAlarms()
 }
 
 // take puts a change into the list.
-func (r *Discovery) take(c change) {
+func (r *Discovery) apply(c change) {
 	r.index++
 	c.entry.index = r.index
-	r.entries[c.box] = c.entry
+	r.entries[c.server] = c.entry
 	r.changes = append(r.changes, c)
-	r.see(checker.ListChanged, -1, c.box, c.entry, r.index, c.at)
+	r.observeEntry(checker.ListChanged, -1, c.server, c.entry, r.index, c.at)
 }
 
-func (r *Discovery) see(kind checker.Kind, sidecar int32, box int, e entry, index uint64, now float64) {
-	r.witness.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Server: int32(box), Status: e.status,
-		ServingSince: e.since, Address: e.address, ListIndex: index})
+func (r *Discovery) observeEntry(kind checker.Kind, sidecar int32, box int, e entry, index uint64, now float64) {
+	r.observer.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Server: int32(box), Status: e.status,
+		ServingSince: e.servingSince, Address: e.address, ListIndex: index})
 }
 
 // due returns when the registry has something to do.
-func (r *Discovery) due() float64 {
+func (r *Discovery) nextAt() float64 {
 	at := math.Inf(1)
-	if !r.down && len(r.pending.heap) > 0 {
-		at = max(r.publish, r.pending.next())
+	if !r.isDown && len(r.pending.heap) > 0 {
+		at = max(r.nextPublishAt, r.pending.nextAt())
 	}
-	if r.serving {
-		at = min(at, r.servedAt)
+	if r.isServingCall {
+		at = min(at, r.callDoneAt)
 	}
 	return at
 }
 
 // work does what is due by now: it takes up what it has learned and serves calls.
-func (r *Discovery) work(now float64) {
-	if !r.down && now >= r.publish && r.pending.next() <= now {
+func (r *Discovery) advance(now float64) {
+	if !r.isDown && now >= r.nextPublishAt && r.pending.nextAt() <= now {
 		before := r.index
 		for {
-			c, _, ok := r.pending.take(now)
+			c, _, ok := r.pending.pop(now)
 			if !ok {
 				break
 			}
-			if c.at = now; c.life == r.known[c.box].life {
-				r.take(c)
+			if c.at = now; c.incarnation == r.known[c.server].incarnation {
+				r.apply(c)
 			}
 		}
-		r.publish = now + r.spec.PublishIntervalSeconds
+		r.nextPublishAt = now + r.spec.PublishIntervalSeconds
 		if r.index > before {
-			for _, f := range r.fronts {
-				f.spread(now)
+			for _, f := range r.endpoints {
+				f.scheduleUpdates(now)
 			}
 		}
 	}
-	for r.serving && r.servedAt <= now {
-		k := r.calls[0]
-		r.calls = r.calls[1:]
-		r.serving = false
-		at := r.servedAt
+	for r.isServingCall && r.callDoneAt <= now {
+		k := r.queuedCalls[0]
+		r.queuedCalls = r.queuedCalls[1:]
+		r.isServingCall = false
+		at := r.callDoneAt
 		if k.conn != nil {
-			k.front.serve(k)
+			k.endpoint.serve(k)
 		}
-		r.next(at)
+		r.startNextCall(at)
 	}
-	r.lookAtLine(now)
+	r.observeQueue(now)
 }
 
 // next takes the next call in hand, and turns away those that have waited too long.
-func (r *Discovery) next(now float64) {
-	for !r.serving && len(r.calls) > 0 {
-		k := r.calls[0]
+func (r *Discovery) startNextCall(now float64) {
+	for !r.isServingCall && len(r.queuedCalls) > 0 {
+		k := r.queuedCalls[0]
 		switch {
 		case k.conn == nil:
-			r.calls = r.calls[1:]
+			r.queuedCalls = r.queuedCalls[1:]
 		case now-k.calledAt > r.spec.CallTimeoutSeconds:
-			r.calls = r.calls[1:]
-			k.front.turnAway(k)
+			r.queuedCalls = r.queuedCalls[1:]
+			k.endpoint.reject(k)
 		default:
-			r.serving = true
-			r.servedAt = now + r.spec.callSeconds(len(r.day.Servers))
+			r.isServingCall = true
+			r.callDoneAt = now + r.spec.callSeconds(len(r.day.Servers))
 		}
 	}
 }
 
 // lookAtLine tells the witness whether calls wait behind the one in hand.
-func (r *Discovery) lookAtLine(now float64) {
+func (r *Discovery) observeQueue(now float64) {
 	waiting := false
-	for i := 1; i < len(r.calls) && !waiting; i++ {
-		waiting = r.calls[i].conn != nil
+	for i := 1; i < len(r.queuedCalls) && !waiting; i++ {
+		waiting = r.queuedCalls[i].conn != nil
 	}
-	if waiting == r.line {
+	if waiting == r.hasQueue {
 		return
 	}
 	kind := checker.DiscoveryQueueDrained
-	if r.line = waiting; waiting {
+	if r.hasQueue = waiting; waiting {
 		kind = checker.DiscoveryQueueFormed
 	}
-	r.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Server: -1})
+	r.observer.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Server: -1})
 }
 
 // Hush has all watches that are open say nothing more. Those that begin from then on speak.
 func (r *Discovery) StallWatches() {
-	for _, f := range r.fronts {
-		f.net.Post(f.hush)
+	for _, f := range r.endpoints {
+		f.net.Post(f.stallWatches)
 	}
 }
 
 // BeginWhole has each watch begin with the whole list, which leaves out servers that drain, or ends that.
 func (r *Discovery) SendFullLists(on bool) {
 	if on {
-		r.whole++
+		r.fullListFaults++
 	} else {
-		r.whole--
+		r.fullListFaults--
 	}
 }
 
 // Down ends discovery's service, or brings it back. While it is down it answers 503, or ends connections at once.
 func (r *Discovery) SetDown(down bool, now float64) {
-	if r.down == down {
+	if r.isDown == down {
 		return
 	}
-	r.down, r.refusing = down, r.rng.IntN(2) == 0
+	r.isDown, r.refusesConnections = down, r.rng.IntN(2) == 0
 	kind := checker.DiscoveryUp
 	if down {
 		kind = checker.DiscoveryDown
-		r.calls, r.serving = nil, false
-		r.lookAtLine(now)
-		for _, f := range r.fronts {
+		r.queuedCalls, r.isServingCall = nil, false
+		r.observeQueue(now)
+		for _, f := range r.endpoints {
 			f.net.Post(f.closeAll)
 		}
 	}
-	r.witness.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Server: -1})
-	r.arm()
+	r.observer.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Server: -1})
+	r.updateAlarms()
 }
 
 // Move has discovery go on at its next address, whose machine must have begun; false: there is none. The present one
 // takes no new connections and ends the open ones after a while.
 func (r *Discovery) Move() bool {
-	if r.present+1 >= len(r.spec.Addresses) {
+	if r.address+1 >= len(r.spec.Addresses) {
 		return false
 	}
-	old := r.present
-	r.present++
-	for _, f := range r.fronts {
+	old := r.address
+	r.address++
+	for _, f := range r.endpoints {
 		if f.number == old {
-			f.net.Post(f.leave)
+			f.net.Post(f.retire)
 		}
 	}
 	return true
 }
 
 // Address returns where discovery is now.
-func (r *Discovery) Address() string { return r.spec.Addresses[r.present] }
+func (r *Discovery) Address() string { return r.spec.Addresses[r.address] }
 
 // ip returns the IP of the present address.
-func (r *Discovery) ip() string { return r.spec.IPs[r.present] }
+func (r *Discovery) currentIP() string { return r.spec.IPs[r.address] }
 
 // nextIP returns the IP of the address that it moves to next; false: there is none.
 func (r *Discovery) nextIP() (string, bool) {
-	if r.present+1 >= len(r.spec.IPs) {
+	if r.address+1 >= len(r.spec.IPs) {
 		return "", false
 	}
-	return r.spec.IPs[r.present+1], true
+	return r.spec.IPs[r.address+1], true
 }
 
 // arm has all fronts look again at what is due. It may be called from anywhere.
-func (r *Discovery) arm() {
-	for _, f := range r.fronts {
-		f.net.Post(f.arm)
+func (r *Discovery) updateAlarms() {
+	for _, f := range r.endpoints {
+		f.net.Post(f.updateAlarm)
 	}
 }
 
@@ -271,7 +271,7 @@
 	list = make([]entry, len(r.entries))
 	for _, c := range r.changes {
 		if c.at <= at {
-			list[c.box], index = c.entry, c.entry.index
+			list[c.server], index = c.entry, c.entry.index
 		}
 	}
 	return index, list
@@ -280,14 +280,14 @@
 var statusText = map[int32]string{checker.Serving: "SERVING", checker.Draining: "DRAINING", checker.Deleted: "DELETED"}
 
 // list writes one object of discovery: the entries that changed after an index, or the whole list.
-func (r *Discovery) list(index uint64, list []entry, since uint64, snapshot bool) []byte {
+func (r *Discovery) formatList(index uint64, list []entry, since uint64, snapshot bool) []byte {
 	dst := strconv.AppendUint([]byte(`{"index":`), index, 10)
 	dst = strconv.AppendBool(append(dst, `,"snapshot":`...), snapshot)
 	dst = append(dst, `,"endpoints":[`...)
 	first := true
 	for i := range list {
 		e, b := &list[i], &r.day.Servers[i]
-		if !r.tells(e, since, snapshot) {
+		if !r.includes(e, since, snapshot) {
 			continue
 		}
 		if !first {
@@ -299,31 +299,31 @@
 		dst = append(append(append(dst, `","type":"`...), r.day.ServerKinds[b.Kind]...), `","group":`...)
 		dst = append(append(append(strconv.AppendInt(dst, int64(b.Cell), 10), `,"status":"`...), statusText[e.status]...), `","weight":`...)
 		dst = strconv.AppendFloat(dst, b.Weight, 'f', -1, 64)
-		dst = strconv.AppendInt(append(dst, `,"since_ms":`...), int64(math.Round(e.since*1e3)), 10)
+		dst = strconv.AppendInt(append(dst, `,"since_ms":`...), int64(math.Round(e.servingSince*1e3)), 10)
 		dst = append(dst, '}')
 	}
 	return append(dst, "]}"...)
 }
 
 // tells whether an object holds an entry. A whole list leaves out what is gone, and at times what drains.
-func (r *Discovery) tells(e *entry, since uint64, snapshot bool) bool {
+func (r *Discovery) includes(e *entry, since uint64, snapshot bool) bool {
 	if snapshot {
-		return e.status == checker.Serving || e.status == checker.Draining && r.whole == 0
+		return e.status == checker.Serving || e.status == checker.Draining && r.fullListFaults == 0
 	}
 	return e.status != 0 && e.index > since
 }
 
 // tell notes that a sidecar has been written such an object. Danger: a whole list says of what it leaves out that it is
 // gone; a judge that forgot that would never blame a sidecar for using it.
-func (r *Discovery) tell(sidecar int32, index uint64, list []entry, since uint64, snapshot bool, now float64) {
+func (r *Discovery) observeDelivery(sidecar int32, index uint64, list []entry, since uint64, snapshot bool, now float64) {
 	for i := range list {
 		e := list[i]
-		leftOut := snapshot && e.status != 0 && !r.tells(&e, since, snapshot)
+		leftOut := snapshot && e.status != 0 && !r.includes(&e, since, snapshot)
 		if leftOut {
 			e.status = checker.Deleted
 		}
-		if leftOut || r.tells(&e, since, snapshot) {
-			r.see(checker.EntryDelivered, sidecar, i, e, index, now)
+		if leftOut || r.includes(&e, since, snapshot) {
+			r.observeEntry(checker.EntryDelivered, sidecar, i, e, index, now)
 		}
 	}
 }
--- a/internal/environment/script.go
+++ b/internal/environment/script.go
@@ -109,35 +109,35 @@
 }
 
 // kind says which fields a kind of trouble has and how one is drawn.
-type kind struct {
-	name   string
-	fields []string // beside kind and at_s
-	may    []string // that it may leave out
-	draw   func(t *Fault, d *Day, rng *rand.Rand)
+type faultKind struct {
+	name     string
+	fields   []string // beside kind and at_s
+	optional []string // that it may leave out
+	draw     func(t *Fault, d *Day, rng *rand.Rand)
 }
 
 // kinds are all there are, in the order in which they are drawn.
-var kinds = []kind{
+var serverFaultKinds = []faultKind{
 	{Hang, []string{"for_s", "boxes"}, nil, someBoxes(0.05, 0.2, 5, 25)},
 	{Crash, []string{"for_s", "boxes"}, nil, someBoxes(0.05, 0.25, 1, 10)},
 	{CrashMoved, []string{"for_s", "boxes"}, nil, someBoxes(0.05, 0.25, 1, 10)},
 	{SiteLoss, []string{"for_s", "site"}, []string{"with_sidecars", "silent"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.Site = between(rng, 8, 25), d.Sites[rng.IntN(len(d.Sites))]
+		t.DurationSeconds, t.Site = uniform(rng, 8, 25), d.Sites[rng.IntN(len(d.Sites))]
 		t.WithSidecars, t.Silent = rng.IntN(2) == 0, rng.IntN(2) == 0
 	}},
 	{ScaleIn, []string{"drain_s", "boxes"}, []string{"for_s"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.Servers, t.DrainSeconds = d.pick(rng, 0.1, 0.45), between(rng, 2, 6)
+		t.Servers, t.DrainSeconds = d.drawServerNames(rng, 0.1, 0.45), uniform(rng, 2, 6)
 		if rng.IntN(2) == 0 {
-			t.DurationSeconds = between(rng, 8, 25)
+			t.DurationSeconds = uniform(rng, 8, 25)
 		}
 	}},
 	{StaleList, []string{"for_s", "lag_s"}, nil, func(t *Fault, _ *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.DelaySeconds = between(rng, 10, 30), between(rng, 2, 30)
+		t.DurationSeconds, t.DelaySeconds = uniform(rng, 10, 30), uniform(rng, 2, 30)
 	}},
-	{DiscoveryDown, []string{"for_s"}, nil, func(t *Fault, _ *Day, rng *rand.Rand) { t.DurationSeconds = between(rng, 2, 20) }},
+	{DiscoveryDown, []string{"for_s"}, nil, func(t *Fault, _ *Day, rng *rand.Rand) { t.DurationSeconds = uniform(rng, 2, 20) }},
 	{Resets, []string{"for_s", "boxes", "per_s"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
 		someBoxes(0.05, 0.4, 3, 15)(t, d, rng)
-		t.RatePerSecond = between(rng, 0.5, 5)
+		t.RatePerSecond = uniform(rng, 0.5, 5)
 	}},
 	{HalfOpen, []string{"for_s", "boxes"}, nil, someBoxes(0.05, 0.2, 5, 20)},
 	{OneWay, []string{"for_s", "boxes"}, []string{"sidecars", "to_box"}, func(t *Fault, d *Day, rng *rand.Rand) {
@@ -148,22 +148,22 @@
 		}
 	}},
 	{SlowReader, []string{"for_s", "sidecars", "share"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.Share, t.Sidecars = between(rng, 3, 15), between(rng, 0.2, 0.9), d.oneSidecar(rng)
+		t.DurationSeconds, t.Share, t.Sidecars = uniform(rng, 3, 15), uniform(rng, 0.2, 0.9), d.drawSidecar(rng)
 	}},
 	{MalformedAnswers, []string{"for_s", "boxes", "share"}, nil, spoils},
 	{TrailingBytes, []string{"for_s", "boxes", "share"}, nil, spoils},
 	{InterimResponses, []string{"for_s", "boxes", "share"}, nil, spoils},
 	{BadClients, []string{"for_s", "sidecars", "per_s"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.RatePerSecond, t.Sidecars = between(rng, 3, 20), between(rng, 2, 40), d.oneSidecar(rng)
+		t.DurationSeconds, t.RatePerSecond, t.Sidecars = uniform(rng, 3, 20), uniform(rng, 2, 40), d.drawSidecar(rng)
 	}},
 	{SilentFlood, []string{"for_s", "sidecars", "per_s"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.RatePerSecond, t.Sidecars = between(rng, 1, 8), between(rng, 20, 300), d.oneSidecar(rng)
+		t.DurationSeconds, t.RatePerSecond, t.Sidecars = uniform(rng, 1, 8), uniform(rng, 20, 300), d.drawSidecar(rng)
 	}},
 	{SidecarKill, []string{"for_s", "sidecars"}, []string{"state"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.Sidecars = between(rng, 0.2, 6), d.oneSidecar(rng)
+		t.DurationSeconds, t.Sidecars = uniform(rng, 0.2, 6), d.drawSidecar(rng)
 	}},
 	{SidecarTerm, []string{"for_s", "sidecars"}, []string{"state"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.Sidecars = between(rng, 3.7, 8), d.oneSidecar(rng)
+		t.DurationSeconds, t.Sidecars = uniform(rng, 3.7, 8), d.drawSidecar(rng)
 	}},
 	{Reload, nil, nil, func(*Fault, *Day, *rand.Rand) {}},
 	{AddressReuse, []string{"for_s", "boxes"}, nil, someBoxes(0.05, 0.15, 1, 8)},
@@ -171,31 +171,31 @@
 }
 
 // connectionKinds are drawn beside the others, from a stream of their own, so that what the others are on a seed does not depend on them.
-var connectionKinds = []kind{
+var connectionFaultKinds = []faultKind{
 	{ClientsLeave, []string{"for_s", "sidecars", "share"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.Share, t.Sidecars = between(rng, 3, 15), between(rng, 0.05, 0.5), d.someSidecars(rng)
+		t.DurationSeconds, t.Share, t.Sidecars = uniform(rng, 3, 15), uniform(rng, 0.05, 0.5), d.drawSidecarSubset(rng)
 	}},
 	{LateConnect, []string{"for_s", "boxes", "share", "lag_s"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
 		someBoxes(0.2, 1, 5, 20)(t, d, rng)
-		t.Share, t.DelaySeconds = between(rng, 0.02, 0.4), between(rng, 0.1, 1.5)
+		t.Share, t.DelaySeconds = uniform(rng, 0.02, 0.4), uniform(rng, 0.1, 1.5)
 	}},
 	{EarlyClose, []string{"for_s", "boxes", "share"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
 		someBoxes(0.1, 1, 5, 20)(t, d, rng)
-		t.Share = between(rng, 0.01, 0.2)
+		t.Share = uniform(rng, 0.01, 0.2)
 	}},
 	{SilentWatch, nil, nil, func(*Fault, *Day, *rand.Rand) {}},
 	{WatchReset, nil, nil, func(*Fault, *Day, *rand.Rand) {}},
-	{FullList, []string{"for_s"}, nil, func(t *Fault, _ *Day, rng *rand.Rand) { t.DurationSeconds = between(rng, 5, 25) }},
-	{DiscoveryDown, []string{"for_s"}, nil, func(t *Fault, _ *Day, rng *rand.Rand) { t.DurationSeconds = between(rng, 2, 8) }},
+	{FullList, []string{"for_s"}, nil, func(t *Fault, _ *Day, rng *rand.Rand) { t.DurationSeconds = uniform(rng, 5, 25) }},
+	{DiscoveryDown, []string{"for_s"}, nil, func(t *Fault, _ *Day, rng *rand.Rand) { t.DurationSeconds = uniform(rng, 2, 8) }},
 }
 
 // besideIt draws what a trouble of connections comes with on half of the days, since it shows little without.
-func besideIt(t *Fault, d *Day, rng *rand.Rand) []Fault {
+func companionFaults(t *Fault, d *Day, rng *rand.Rand) []Fault {
 	if rng.IntN(2) == 0 {
 		return nil
 	}
 	// Danger: a server that ends soon after its notice shows nobody who goes by an old list.
-	drains := Fault{Kind: ScaleIn, AtSeconds: t.AtSeconds + between(rng, 0, 5), DrainSeconds: between(rng, 12, 25), Servers: d.pick(rng, 0.05, 0.25)}
+	drains := Fault{Kind: ScaleIn, AtSeconds: t.AtSeconds + uniform(rng, 0, 5), DrainSeconds: uniform(rng, 12, 25), Servers: d.drawServerNames(rng, 0.05, 0.25)}
 	switch t.Kind {
 	case SilentWatch, WatchReset:
 		return []Fault{drains}
@@ -203,64 +203,64 @@
 		drains.AtSeconds += t.DurationSeconds
 		return []Fault{drains}
 	case FullList: // what drains is left out of what follows an end of the watches
-		return []Fault{drains, {Kind: WatchReset, AtSeconds: drains.AtSeconds + between(rng, 0, 6)}}
+		return []Fault{drains, {Kind: WatchReset, AtSeconds: drains.AtSeconds + uniform(rng, 0, 6)}}
 	case ClientsLeave: // attempts that get no answer are followed by others, and clients leave meanwhile
-		return []Fault{{Kind: Hang, AtSeconds: t.AtSeconds, DurationSeconds: t.DurationSeconds, Servers: d.pick(rng, 0.1, 0.4)}}
+		return []Fault{{Kind: Hang, AtSeconds: t.AtSeconds, DurationSeconds: t.DurationSeconds, Servers: d.drawServerNames(rng, 0.1, 0.4)}}
 	case LateConnect: // connections that are there last, so that few are dialed
-		return []Fault{{Kind: EarlyClose, AtSeconds: t.AtSeconds, DurationSeconds: t.DurationSeconds, Servers: t.Servers, Share: between(rng, 0.05, 0.3)}}
+		return []Fault{{Kind: EarlyClose, AtSeconds: t.AtSeconds, DurationSeconds: t.DurationSeconds, Servers: t.Servers, Share: uniform(rng, 0.05, 0.3)}}
 	}
 	return nil
 }
 
 // allKinds are the lists of all kinds.
-var allKinds = [][]kind{kinds, connectionKinds, peerKinds}
+var faultKindLists = [][]faultKind{serverFaultKinds, connectionFaultKinds, peerFaultKinds}
 
 // peerKinds are those of days on which sidecars know each other. Danger: among the others they would change what every seed is.
-var peerKinds = []kind{
+var peerFaultKinds = []faultKind{
 	{PeerCut, []string{"for_s", "from"}, []string{"to", "one_way"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.From, t.OneWay = between(rng, 0.5, 12), d.someSidecars(rng), rng.IntN(3) == 0
+		t.DurationSeconds, t.From, t.OneWay = uniform(rng, 0.5, 12), d.drawSidecarSubset(rng), rng.IntN(3) == 0
 		if rng.IntN(3) == 0 { // from one or two alone: they hear each other through the others
-			if t.To = without(d.someSidecars(rng), t.From); len(t.To) == 0 {
+			if t.To = without(d.drawSidecarSubset(rng), t.From); len(t.To) == 0 {
 				t.To = nil // the rest
 			}
 		}
 	}},
 	{PeerHold, []string{"for_s", "from"}, []string{"to", "one_way"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.From, t.OneWay = between(rng, 0.5, 12), d.someSidecars(rng), rng.IntN(3) == 0
+		t.DurationSeconds, t.From, t.OneWay = uniform(rng, 0.5, 12), d.drawSidecarSubset(rng), rng.IntN(3) == 0
 	}},
 	{PeerSlow, []string{"for_s", "from", "per_s"}, []string{"to", "one_way"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.From, t.RatePerSecond, t.OneWay = between(rng, 1, 12), d.someSidecars(rng), between(rng, 20, 2000), rng.IntN(3) == 0
+		t.DurationSeconds, t.From, t.RatePerSecond, t.OneWay = uniform(rng, 1, 12), d.drawSidecarSubset(rng), uniform(rng, 20, 2000), rng.IntN(3) == 0
 	}},
 	{PeerReset, []string{"for_s", "from", "per_s"}, []string{"to"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.From, t.RatePerSecond = between(rng, 1, 10), d.someSidecars(rng), between(rng, 0.5, 5)
+		t.DurationSeconds, t.From, t.RatePerSecond = uniform(rng, 1, 10), d.drawSidecarSubset(rng), uniform(rng, 0.5, 5)
 	}},
 	{PeerNotReading, []string{"for_s", "sidecars", "per_s"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.RatePerSecond, t.Sidecars = between(rng, 5, 15), between(rng, 100, 1000), d.oneSidecar(rng)
+		t.DurationSeconds, t.RatePerSecond, t.Sidecars = uniform(rng, 5, 15), uniform(rng, 100, 1000), d.drawSidecar(rng)
 	}},
 	{Suspend, []string{"for_s", "sidecars"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.Sidecars = between(rng, 0.3, 9), d.oneSidecar(rng)
+		t.DurationSeconds, t.Sidecars = uniform(rng, 0.3, 9), d.drawSidecar(rng)
 	}},
 	{SidecarKill, []string{"for_s", "sidecars"}, []string{"state"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.Sidecars, t.State = between(rng, 0.1, 8), d.someSidecars(rng), []string{StateKept, StateKept, StateLost, StateTorn}[rng.IntN(4)]
+		t.DurationSeconds, t.Sidecars, t.State = uniform(rng, 0.1, 8), d.drawSidecarSubset(rng), []string{StateKept, StateKept, StateLost, StateTorn}[rng.IntN(4)]
 	}},
 	{SidecarTerm, []string{"for_s", "sidecars"}, []string{"state"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.Sidecars, t.State = between(rng, 3.7, 8), d.oneSidecar(rng), []string{StateKept, StateKept, StateLost}[rng.IntN(3)]
+		t.DurationSeconds, t.Sidecars, t.State = uniform(rng, 3.7, 8), d.drawSidecar(rng), []string{StateKept, StateKept, StateLost}[rng.IntN(3)]
 	}},
-	{RestartAll, []string{"for_s"}, nil, func(t *Fault, _ *Day, rng *rand.Rand) { t.DurationSeconds = between(rng, 0.1, 1) }},
+	{RestartAll, []string{"for_s"}, nil, func(t *Fault, _ *Day, rng *rand.Rand) { t.DurationSeconds = uniform(rng, 0.1, 1) }},
 	{DiskFull, []string{"for_s", "sidecars"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.Sidecars = between(rng, 2, 12), d.someSidecars(rng)
+		t.DurationSeconds, t.Sidecars = uniform(rng, 2, 12), d.drawSidecarSubset(rng)
 	}},
 	{Clock, []string{"for_s", "sidecars", "rate"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.Sidecars, t.ClockRate = between(rng, 5, 60), d.someSidecars(rng), between(rng, leastRate, mostRate)
+		t.DurationSeconds, t.Sidecars, t.ClockRate = uniform(rng, 5, 60), d.drawSidecarSubset(rng), uniform(rng, minClockRate, maxClockRate)
 	}},
-	{ScaleOut, []string{"by"}, nil, byHowMany},
+	{ScaleOut, []string{"by"}, nil, drawSidecarCount},
 	{ScaleIn, []string{"by"}, []string{"drain_s"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		byHowMany(t, d, rng)
-		t.DrainSeconds = between(rng, 3.7, 8)
+		drawSidecarCount(t, d, rng)
+		t.DrainSeconds = uniform(rng, 3.7, 8)
 	}},
 }
 
-func byHowMany(t *Fault, d *Day, rng *rand.Rand) {
+func drawSidecarCount(t *Fault, d *Day, rng *rand.Rand) {
 	t.SidecarCount = 1 + rng.IntN(max(len(d.Sidecars)/2, 1))
 }
 
@@ -283,7 +283,7 @@
 }
 
 // someSidecars draws a part of the sidecars, one at least and not all where there are more.
-func (d *Day) someSidecars(rng *rand.Rand) []int {
+func (d *Day) drawSidecarSubset(rng *rand.Rand) []int {
 	n := 1 + rng.IntN(max(len(d.Sidecars)/2, 1))
 	some := rng.Perm(len(d.Sidecars))[:n]
 	slices.Sort(some)
@@ -296,10 +296,10 @@
 
 // DrawPeerTroubles adds troubles between sidecars to a day's others.
 func DrawPeerFaults(d *Day, s *Script) {
-	rng := stream(d.Seed, "peers", 0)
+	rng := randomStream(d.Seed, "peers", 0)
 	for range rng.IntN(6) {
-		k := &peerKinds[rng.IntN(len(peerKinds))]
-		t := Fault{Kind: k.name, AtSeconds: between(rng, settleS, max(d.LengthSeconds-quietS, settleS))}
+		k := &peerFaultKinds[rng.IntN(len(peerFaultKinds))]
+		t := Fault{Kind: k.name, AtSeconds: uniform(rng, settleSeconds, max(d.LengthSeconds-quietSeconds, settleSeconds))}
 		k.draw(&t, d, rng)
 		s.AddPeerFault(t, d)
 		if t.Kind == DiskFull { // only a process that begins has something to keep
@@ -312,20 +312,20 @@
 // DrawLags adds, on half of the days, times in which a sidecar hears late of what the others say, and is heard at once: its links break
 // again and again, and what comes to it goes at a rate, so that what it must ask for comes long after it could have heard of it.
 func DrawLags(d *Day, s *Script) {
-	rng := stream(d.Seed, "lags", 0)
+	rng := randomStream(d.Seed, "lags", 0)
 	if rng.IntN(2) == 0 || len(d.Sidecars) < 2 {
 		return
 	}
 	for range 1 + rng.IntN(2) {
-		who := d.oneSidecar(rng)
+		who := d.drawSidecar(rng)
 		others := make([]int, len(d.Sidecars))
 		for i := range others {
 			others[i] = i
 		}
-		at, lasts := between(rng, settleS, max(d.LengthSeconds-quietS, settleS)), between(rng, 8, 25)
+		at, lasts := uniform(rng, settleSeconds, max(d.LengthSeconds-quietSeconds, settleSeconds)), uniform(rng, 8, 25)
 		s.Faults = append(s.Faults,
-			Fault{Kind: PeerSlow, AtSeconds: at, DurationSeconds: lasts, From: without(others, who), To: who, RatePerSecond: between(rng, 200, 2000), OneWay: true},
-			Fault{Kind: PeerReset, AtSeconds: at, DurationSeconds: lasts, From: who, RatePerSecond: between(rng, 0.2, 1)})
+			Fault{Kind: PeerSlow, AtSeconds: at, DurationSeconds: lasts, From: without(others, who), To: who, RatePerSecond: uniform(rng, 200, 2000), OneWay: true},
+			Fault{Kind: PeerReset, AtSeconds: at, DurationSeconds: lasts, From: who, RatePerSecond: uniform(rng, 0.2, 1)})
 	}
 	slices.SortStableFunc(s.Faults, byTime)
 }
@@ -335,7 +335,7 @@
 // Kinds returns the names of all kinds of trouble.
 func FaultKinds() []string {
 	var names []string
-	for _, k := range slices.Concat(allKinds...) {
+	for _, k := range slices.Concat(faultKindLists...) {
 		if !slices.Contains(names, k.name) {
 			names = append(names, k.name)
 		}
@@ -344,8 +344,8 @@
 }
 
 // kindOf returns the kind of a name; of two that share it the one whose fields a trouble has. nil: there is none.
-func kindOf(name string, has func(field string) bool) (found *kind) {
-	for _, all := range allKinds {
+func kindOf(name string, has func(field string) bool) (found *faultKind) {
+	for _, all := range faultKindLists {
 		for i := range all {
 			if k := &all[i]; k.name == name && (found == nil || !found.given(has) && k.given(has)) {
 				found = k
@@ -356,29 +356,29 @@
 }
 
 // given tells whether all that a kind needs is there.
-func (k *kind) given(has func(field string) bool) bool {
+func (k *faultKind) given(has func(field string) bool) bool {
 	return !slices.ContainsFunc(k.fields, func(f string) bool { return !has(f) })
 }
 
 // between draws a figure and rounds it to milliseconds, so that a script can be read and edited.
-func between(rng *rand.Rand, least, most float64) float64 {
+func uniform(rng *rand.Rand, least, most float64) float64 {
 	return math.Round((least+(most-least)*rng.Float64())*1e3) / 1e3
 }
 
 func someBoxes(least, most, leastS, mostS float64) func(*Fault, *Day, *rand.Rand) {
 	return func(t *Fault, d *Day, rng *rand.Rand) {
-		t.Servers, t.DurationSeconds = d.pick(rng, least, most), between(rng, leastS, mostS)
+		t.Servers, t.DurationSeconds = d.drawServerNames(rng, least, most), uniform(rng, leastS, mostS)
 	}
 }
 
 func spoils(t *Fault, d *Day, rng *rand.Rand) {
 	someBoxes(0.1, 1, 3, 20)(t, d, rng)
-	t.Share = between(rng, 0.01, 0.3)
+	t.Share = uniform(rng, 0.01, 0.3)
 }
 
 // pick returns the names of a share of the boxes that stand, one at least.
-func (d *Day) pick(rng *rand.Rand, least, most float64) []string {
-	n := max(1, int(math.Round(between(rng, least, most)*float64(d.InitialServers))))
+func (d *Day) drawServerNames(rng *rand.Rand, least, most float64) []string {
+	n := max(1, int(math.Round(uniform(rng, least, most)*float64(d.InitialServers))))
 	names := make([]string, 0, n)
 	for _, i := range rng.Perm(d.InitialServers)[:n] {
 		names = append(names, d.Servers[i].Name)
@@ -386,23 +386,23 @@
 	return names
 }
 
-func (d *Day) oneSidecar(rng *rand.Rand) []int { return []int{rng.IntN(len(d.Sidecars))} }
+func (d *Day) drawSidecar(rng *rand.Rand) []int { return []int{rng.IntN(len(d.Sidecars))} }
 
 // settleS is how long a day runs before its first trouble, and quietS how long before its end the last one begins.
 const (
-	settleS = 3.0
-	quietS  = 5.0
+	settleSeconds = 3.0
+	quietSeconds  = 5.0
 )
 
 // DrawScript returns the troubles of a seed. Each day plays a mix of its own: every kind is turned off on about half
 // of the days. Danger: with all kinds on every day the loud ones hide the others.
 func DrawScript(d *Day) Script {
-	rng := stream(d.Seed, "script", 0)
+	rng := randomStream(d.Seed, "script", 0)
 	s := Script{Seed: d.Seed}
-	var on []*kind
-	for i := range kinds {
+	var on []*faultKind
+	for i := range serverFaultKinds {
 		if rng.IntN(2) == 0 {
-			on = append(on, &kinds[i])
+			on = append(on, &serverFaultKinds[i])
 		}
 	}
 	if len(on) == 0 || rng.IntN(10) == 0 {
@@ -411,9 +411,9 @@
 	moves := 0
 	for range 1 + rng.IntN(7) {
 		k := on[rng.IntN(len(on))]
-		t := Fault{Kind: k.name, AtSeconds: between(rng, settleS, max(d.LengthSeconds-quietS, settleS))}
+		t := Fault{Kind: k.name, AtSeconds: uniform(rng, settleSeconds, max(d.LengthSeconds-quietSeconds, settleSeconds))}
 		if k.name == Reload {
-			if moves++; moves >= discoveryMoves {
+			if moves++; moves >= maxDiscoveryAddresses {
 				continue
 			}
 		}
@@ -427,11 +427,11 @@
 
 // drawConnectionTroubles adds troubles of connections, watches and clients that leave, on about two thirds of the days that have any.
 func drawConnectionTroubles(d *Day, s *Script) {
-	rng := stream(d.Seed, "connections", 0)
+	rng := randomStream(d.Seed, "connections", 0)
 	for range rng.IntN(3) {
-		k := &connectionKinds[rng.IntN(len(connectionKinds))]
-		t := Fault{Kind: k.name, AtSeconds: between(rng, settleS, max(d.LengthSeconds-quietS, settleS))}
+		k := &connectionFaultKinds[rng.IntN(len(connectionFaultKinds))]
+		t := Fault{Kind: k.name, AtSeconds: uniform(rng, settleSeconds, max(d.LengthSeconds-quietSeconds, settleSeconds))}
 		k.draw(&t, d, rng)
-		s.Faults = append(append(s.Faults, t), besideIt(&t, d, rng)...)
+		s.Faults = append(append(s.Faults, t), companionFaults(&t, d, rng)...)
 	}
 }
--- a/internal/environment/script_test.go
+++ b/internal/environment/script_test.go
@@ -125,17 +125,17 @@
 // What is due comes out by time, and of one time in the order in which it went in.
 func TestAgenda(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var a agenda[int]
+		var a schedule[int]
 		times := rapid.SliceOf(rapid.IntRange(0, 5)).Draw(t, "times")
 		for i, at := range times {
-			a.put(float64(at), i)
+			a.add(float64(at), i)
 		}
 		lastAt, lastIndex := -1.0, -1
 		for range times {
-			next := a.next()
-			_, _, early := a.take(next - 0.5)
+			next := a.nextAt()
+			_, _, early := a.pop(next - 0.5)
 			require.False(t, early)
-			i, at, ok := a.take(next)
+			i, at, ok := a.pop(next)
 			require.True(t, ok)
 			require.Equal(t, float64(times[i]), at)
 			require.True(t, at > lastAt || at == lastAt && i > lastIndex)
--- a/internal/environment/scriptfile.go
+++ b/internal/environment/scriptfile.go
@@ -23,25 +23,25 @@
 	if err != nil {
 		return nil, err
 	}
-	s.tidy()
+	s.normalize()
 	fault := func(table, field, why string) error {
 		e := read.Fault(table+field, why)
 		e.Field = field // its line tells the table
 		return e
 	}
 	for i := range s.Faults {
-		if field, why := s.Faults[i].misshapen(func(field string) bool {
-			return read.Has(trouble(i) + field)
+		if field, why := s.Faults[i].invalidField(func(field string) bool {
+			return read.Has(faultPath(i) + field)
 		}); field != "" {
-			return nil, fault(trouble(i), field, why)
+			return nil, fault(faultPath(i), field, why)
 		}
 	}
-	if field, why := s.misshapen(r); field != "" {
+	if field, why := s.invalidField(r); field != "" {
 		return nil, fault("", field, why)
 	}
 	d := s.Day(r)
-	if i, field, why := s.fault(&d); field != "" {
-		return nil, fault(trouble(i), field, why)
+	if i, field, why := s.unknownReference(&d); field != "" {
+		return nil, fault(faultPath(i), field, why)
 	}
 	return s, nil
 }
@@ -72,7 +72,7 @@
 		if err != nil {
 			return nil, err
 		}
-		e := read.Fault(trouble(i)+"kind", s.Faults[i].Kind+" is played in simulated time alone: "+why)
+		e := read.Fault(faultPath(i)+"kind", s.Faults[i].Kind+" is played in simulated time alone: "+why)
 		e.Field = "kind"
 		return nil, e
 	}
@@ -80,11 +80,11 @@
 }
 
 // fault returns the first trouble and field of a script that names what a day has not.
-func (s *Script) fault(d *Day) (i int, field, why string) {
+func (s *Script) unknownReference(d *Day) (i int, field, why string) {
 	come := 0
 	for i := range s.Faults {
 		t := &s.Faults[i]
-		if field, why := t.fault(d); field != "" {
+		if field, why := t.unknownReference(d); field != "" {
 			return i, field, why
 		}
 		if t.Kind == ScaleOut {
@@ -97,7 +97,7 @@
 }
 
 // tidy makes lists that are there and hold nothing the same as none.
-func (s *Script) tidy() {
+func (s *Script) normalize() {
 	if len(s.Faults) == 0 {
 		s.Faults = nil
 	}
@@ -115,10 +115,10 @@
 }
 
 // trouble is how the paths of a trouble's fields begin.
-func trouble(i int) string { return fmt.Sprintf("trouble[%d].", i) }
+func faultPath(i int) string { return fmt.Sprintf("trouble[%d].", i) }
 
 // misshapen returns the first field of a script that is out of range, with what is wrong.
-func (s *Script) misshapen(r Ranges) (field, why string) {
+func (s *Script) invalidField(r Ranges) (field, why string) {
 	switch {
 	case s.Sidecars < 0 || s.Sidecars > int(r.Sidecars.Max):
 		return "sidecars", fmt.Sprintf("not between 0 and %d", int(r.Sidecars.Max))
@@ -132,16 +132,16 @@
 
 // Most of what a script may ask for.
 const (
-	mostTroubleS = 3600.0
-	mostPerS     = 1000.0
-	mostBytesPS  = 1e6 // between sidecars
-	leastRate    = 0.95
-	mostRate     = 1.05
+	maxFaultSeconds   = 3600.0
+	maxRatePerSecond  = 1000.0
+	maxBytesPerSecond = 1e6 // between sidecars
+	minClockRate      = 0.95
+	maxClockRate      = 1.05
 )
 
 // misshapen returns the first field of a trouble that is missing, odd or not its kind's, with what is wrong. has tells
 // whether the text gives a field.
-func (t *Fault) misshapen(has func(field string) bool) (field, why string) {
+func (t *Fault) invalidField(has func(field string) bool) (field, why string) {
 	k := kindOf(t.Kind, has)
 	if k == nil {
 		return "kind", fmt.Sprintf("%q is none of %s", t.Kind, strings.Join(FaultKinds(), ", "))
@@ -154,25 +154,25 @@
 	v := reflect.TypeFor[Fault]()
 	for i := range v.NumField() {
 		name, _, _ := strings.Cut(v.Field(i).Tag.Get("toml"), ",")
-		known := name == "kind" || name == "at_s" || slices.Contains(k.fields, name) || slices.Contains(k.may, name)
+		known := name == "kind" || name == "at_s" || slices.Contains(k.fields, name) || slices.Contains(k.optional, name)
 		if has(name) && !known {
 			return name, t.Kind + " has no such field"
 		}
 	}
-	perS := mostPerS
+	perS := maxRatePerSecond
 	if t.Kind == PeerSlow {
-		perS = mostBytesPS
+		perS = maxBytesPerSecond
 	}
-	if t.Kind == Clock && !(t.ClockRate >= leastRate && t.ClockRate <= mostRate) {
-		return "rate", fmt.Sprintf("not between %g and %g", leastRate, mostRate)
+	if t.Kind == Clock && !(t.ClockRate >= minClockRate && t.ClockRate <= maxClockRate) {
+		return "rate", fmt.Sprintf("not between %g and %g", minClockRate, maxClockRate)
 	}
 	for _, f := range []struct {
 		name        string
 		v           float64
 		least, most float64
 	}{
-		{"at_s", t.AtSeconds, 0, mostTroubleS}, {"for_s", t.DurationSeconds, 0, mostTroubleS}, {"share", t.Share, 0, 1}, {"per_s", t.RatePerSecond, 0, perS},
-		{"drain_s", t.DrainSeconds, 0, mostTroubleS}, {"lag_s", t.DelaySeconds, 0, mostTroubleS},
+		{"at_s", t.AtSeconds, 0, maxFaultSeconds}, {"for_s", t.DurationSeconds, 0, maxFaultSeconds}, {"share", t.Share, 0, 1}, {"per_s", t.RatePerSecond, 0, perS},
+		{"drain_s", t.DrainSeconds, 0, maxFaultSeconds}, {"lag_s", t.DelaySeconds, 0, maxFaultSeconds},
 	} {
 		if !(f.v >= f.least && f.v <= f.most) || math.IsInf(f.v, 0) {
 			return f.name, fmt.Sprintf("not between %g and %g", f.least, f.most)
@@ -190,7 +190,7 @@
 }
 
 // fault returns the first field of a trouble that names what a day has not.
-func (t *Fault) fault(d *Day) (field, why string) {
+func (t *Fault) unknownReference(d *Day) (field, why string) {
 	for _, name := range t.Servers {
 		if !slices.ContainsFunc(d.Servers, func(b ServerSpec) bool { return b.Name == name }) {
 			return "boxes", fmt.Sprintf("the day has no box %q", name)
--- a/internal/environment/speech.go
+++ b/internal/environment/speech.go
@@ -46,23 +46,23 @@
 
 // The fields of a call's arguments; the method's name is that of the class. A result has the answer's body in field 0.
 const (
-	argID       = 1
-	argKey      = 2
-	argPatience = 3 // microseconds
-	argRetry    = 4
-	argBody     = 5
+	argID      = 1
+	argKey     = 2
+	argTimeout = 3 // microseconds
+	argRetry   = 4
+	argBody    = 5
 )
 
 // The paths of the same.
 const (
-	ThriftID       = "1"
-	ThriftKey      = "2"
-	ThriftPatience = "3"
-	ThriftRetry    = "4"
+	ThriftID      = "1"
+	ThriftKey     = "2"
+	ThriftTimeout = "3"
+	ThriftRetry   = "4"
 )
 
 // answerReader reads a sidecar's answer.
-type answerReader struct {
+type responseReader struct {
 	speech Protocol
 	http   http1.ResponseParser
 	begun  bool
@@ -71,12 +71,12 @@
 	after  string // when to come again, in seconds; "": there is no word of it
 }
 
-func newAnswerReader(s Protocol) answerReader {
-	return answerReader{speech: s, http: http1.NewResponseParser(messageLimits)}
+func newResponseReader(s Protocol) responseReader {
+	return responseReader{speech: s, http: http1.NewResponseParser(messageLimits)}
 }
 
 // Next reads on and tells whether the answer is whole.
-func (r *answerReader) Next(buf *http1.Buffer) (bool, error) {
+func (r *responseReader) Next(buf *http1.Buffer) (bool, error) {
 	if r.speech.IsThrift() {
 		return r.nextThrift(buf)
 	}
@@ -87,14 +87,14 @@
 }
 
 // Begun tells whether anything of the answer has come.
-func (r *answerReader) Begun() bool { return r.begun }
+func (r *responseReader) Begun() bool { return r.begun }
 
 // Keep tells whether the answer lets its connection be used again.
-func (r *answerReader) Keep() bool { return r.speech.IsThrift() || r.http.Keep() }
+func (r *responseReader) Keep() bool { return r.speech.IsThrift() || r.http.Keep() }
 
 var resultPath = []thrift.Path{{0}}
 
-func (r *answerReader) nextThrift(buf *http1.Buffer) (bool, error) {
+func (r *responseReader) nextThrift(buf *http1.Buffer) (bool, error) {
 	r.begun = r.begun || buf.Len() > 0
 	payload, size, err := thrift.Frame(buf.Bytes(), messageLimits.Body)
 	if err != nil || size == 0 {
@@ -128,53 +128,53 @@
 }
 
 // appendCall appends a request of the application as a call.
-func (a *Application) appendCall(dst []byte, k *ask) []byte {
+func (a *Application) appendCall(dst []byte, k *operation) []byte {
 	var w thrift.Writer
-	w.Begin(dst, a.day.Protocol.encoding(), thrift.Call, a.day.Classes[k.class].Name, int32(k.id))
+	w.Begin(dst, a.day.Protocol.encoding(), thrift.Call, a.day.Classes[k.class].Name, int32(k.request))
 	w.Field(thrift.String, argID)
-	w.String(string(appendID(nil, k.id)))
-	if k.key != 0 {
+	w.String(string(appendID(nil, k.request)))
+	if k.idempotencyKey != 0 {
 		w.Field(thrift.String, argKey)
-		w.String(string(appendID(nil, k.key)))
+		w.String(string(appendID(nil, k.idempotencyKey)))
 	}
-	w.Field(thrift.I64, argPatience)
-	w.I64(max(1, int64((k.until-a.net.Now())*1e6)))
-	if k.tries > 1 && a.spec.MarksRetries {
+	w.Field(thrift.I64, argTimeout)
+	w.I64(max(1, int64((k.requestDeadline-a.net.Now())*1e6)))
+	if k.requests > 1 && a.spec.MarksRetries {
 		w.Field(thrift.Bool, argRetry)
 		w.Bool(true)
 	}
 	w.Field(thrift.String, argBody)
-	w.Bytes(a.body[:k.size])
+	w.Bytes(a.body[:k.bodySize])
 	return w.End()
 }
 
 // heard is what a box has read of a request.
-type heard struct {
-	class  string // or what stands in its place
-	path   string
-	id     string
-	key    string
-	thrift bool
-	m      thrift.Message // its head, of Thrift; its name lies in name
-	name   string
+type receivedRequest struct {
+	class    string // or what stands in its place
+	path     string
+	id       string
+	key      string
+	isThrift bool
+	message  thrift.Message // its head, of Thrift; its name lies in name
+	name     string
 }
 
 var callPaths = []thrift.Path{{argID}, {argKey}}
 
 // hear reads on from what a sidecar has sent and tells whether a request is whole.
-func (k *boxLink) hear() (bool, error) {
+func (k *serverConn) nextRequest() (bool, error) {
 	if b := k.buf.Bytes(); len(b) > 0 && b[0] == 0 && !k.parser.Begun() {
-		return k.hearThrift()
+		return k.nextThriftRequest()
 	}
 	whole, err := k.parser.Next(&k.buf)
 	if whole {
-		k.heard = heard{id: k.parser.Header.Get(fieldID), key: k.parser.Header.Get(fieldKey)}
-		k.heard.class, k.heard.path = path(k.parser.Target)
+		k.request = receivedRequest{id: k.parser.Header.Get(fieldID), key: k.parser.Header.Get(fieldKey)}
+		k.request.class, k.request.path = splitTarget(k.parser.Target)
 	}
 	return whole, err
 }
 
-func (k *boxLink) hearThrift() (bool, error) {
+func (k *serverConn) nextThriftRequest() (bool, error) {
 	payload, size, err := thrift.Frame(k.buf.Bytes(), messageLimits.Body)
 	if err != nil || size == 0 {
 		return false, err
@@ -187,61 +187,61 @@
 	if err := m.Find(callPaths, &found); err != nil {
 		return false, err
 	}
-	k.heard = heard{id: string(found[0].Bytes), key: string(found[1].Bytes), thrift: true, name: string(m.Name)}
-	k.heard.class, k.heard.path = k.heard.name, k.heard.name
-	if k.heard.name == ThriftProbe {
-		k.heard.path = "/status/load"
+	k.request = receivedRequest{id: string(found[0].Bytes), key: string(found[1].Bytes), isThrift: true, name: string(m.Name)}
+	k.request.class, k.request.path = k.request.name, k.request.name
+	if k.request.name == ThriftProbe {
+		k.request.path = "/status/load"
 	}
-	k.heard.m = thrift.Message{Encoding: m.Encoding, Seq: m.Seq}
+	k.request.message = thrift.Message{Encoding: m.Encoding, Seq: m.Seq}
 	k.buf.Discard(size)
 	return true, nil
 }
 
 // appendAnswer appends an answer to the request that was read last. Over Thrift its header fields have no place, but for the
 // word that it has not begun.
-func (k *boxLink) appendAnswer(dst []byte, status int, h http1.Header, body []byte) []byte {
-	if !k.heard.thrift {
+func (k *serverConn) appendResponse(dst []byte, status int, h http1.Header, body []byte) []byte {
+	if !k.request.isThrift {
 		return http1.AppendResponse(dst, status, h, body)
 	}
-	m := &k.heard.m
+	m := &k.request.message
 	switch status {
 	case http.StatusOK:
 		var w thrift.Writer
-		w.Begin(dst, m.Encoding, thrift.Reply, k.heard.name, m.Seq)
+		w.Begin(dst, m.Encoding, thrift.Reply, k.request.name, m.Seq)
 		w.Field(thrift.String, 0)
 		w.Bytes(body)
 		return w.End()
 	case http.StatusServiceUnavailable:
-		return thrift.AppendException(dst, m.Encoding, k.heard.name, m.Seq, thrift.LoadShedding, "not started")
+		return thrift.AppendException(dst, m.Encoding, k.request.name, m.Seq, thrift.LoadShedding, "not started")
 	default:
-		return thrift.AppendException(dst, m.Encoding, k.heard.name, m.Seq, thrift.InternalError, strconv.Itoa(status))
+		return thrift.AppendException(dst, m.Encoding, k.request.name, m.Seq, thrift.InternalError, strconv.Itoa(status))
 	}
 }
 
 // spoilThrift appends a reply that nobody can take for whole, and tells whether the connection is closed behind it.
-func (l *life) spoilThrift(k *boxLink, out, body []byte) (_ []byte, closes bool) {
-	sound := k.appendAnswer(nil, 200, nil, body)
-	m := &k.heard.m
-	switch l.rng.IntN(spoilings) {
-	case noise:
+func (l *serverProcess) appendMalformedReply(k *serverConn, out, body []byte) (_ []byte, closes bool) {
+	sound := k.appendResponse(nil, 200, nil, body)
+	m := &k.request.message
+	switch l.rng.IntN(malformedKinds) {
+	case malformedNoise:
 		return l.appendNoise(out, 20+l.rng.IntN(400)), false
-	case badHead:
+	case malformedHead:
 		return append(out, 0, 0, 0, 9, 0x80, 7, 0, 2, 0, 0, 0, 0, 0), false
-	case endlessHead: // a frame above the bound that goes on
+	case malformedEndlessHead: // a frame above the bound that goes on
 		out = append(out, 0, 1, 0, 1, 0x80)
 		return append(out, make([]byte, l.rng.IntN(40<<10))...), false
-	case tooLong: // the frame names more than comes
+	case malformedTooLong: // the frame names more than comes
 		out = append(out, sound...)
 		out[3]++
 		return out, l.rng.IntN(2) == 0
-	case negative:
+	case malformedNegativeLength:
 		return append(append(out, 0xff), sound[1:]...), false
-	case twoLengths: // the reply to another call
+	case malformedTwoLengths: // the reply to another call
 		m.Seq++
-		return k.appendAnswer(out, 200, nil, body), false
-	case hugeAndComing: // a string that names more than the frame has
+		return k.appendResponse(out, 200, nil, body), false
+	case malformedHuge: // a string that names more than the frame has
 		var w thrift.Writer
-		w.Begin(out, m.Encoding, thrift.Reply, k.heard.name, m.Seq)
+		w.Begin(out, m.Encoding, thrift.Reply, k.request.name, m.Seq)
 		w.Field(thrift.String, 0)
 		w.I32(1 << 30)
 		return w.End(), false
@@ -252,13 +252,13 @@
 
 // bad sends what no Thrift port may take for a call, and tells whether a client of this kind has such a thing; others send it
 // what belongs to HTTP. What is hidden or half must never run: it has ids that nobody has asked with.
-func (m *HostileClients) bad(v *visit, now float64, class string) bool {
+func (m *HostileClients) sendMalformedCall(v *hostileConn, now float64, class string) bool {
 	call := func(dst []byte, name string, patience int64) []byte {
 		var w thrift.Writer
 		w.Begin(dst, m.day.Protocol.encoding(), thrift.Call, name, 1)
 		w.Field(thrift.String, argID)
 		w.String(string(appendID(nil, m.rng.Uint64()|1)))
-		w.Field(thrift.I64, argPatience)
+		w.Field(thrift.I64, argTimeout)
 		w.I64(patience)
 		return w.End()
 	}
@@ -269,19 +269,19 @@
 		copy(out, out[len(out)-4:])
 	case sendsHugeBody:
 		out = append(out, hugeBody>>24, hugeBody>>16&0xff, hugeBody>>8&0xff, hugeBody&0xff, 0x82)
-		m.due.put(now, mischiefTask{visit: v})
+		m.tasks.add(now, hostileTask{conn: v})
 	case sendsEndlessHead: // a frame that goes on for as long as it may
 		out = append(out, 0, 0, 0xff, 0xff, 0x82, 0x21)
-		m.due.put(now, mischiefTask{visit: v})
-	case asksNoClass:
+		m.tasks.add(now, hostileTask{conn: v})
+	case requestsUnknownClass:
 		out = call(out, "no-such-method", 1e6)
-	case asksOddDeadline:
+	case requestsOddDeadline:
 		out = call(out, class, -1)
-	case asksHalf:
+	case requestsHalf:
 		out = call(out, class, 1e6)
 		out = out[:len(out)/2]
-		m.due.put(now+m.rng.Float64(), mischiefTask{visit: v, leave: true})
-	case hidesAnother: // in the same frame
+		m.tasks.add(now+m.rng.Float64(), hostileTask{conn: v, closes: true})
+	case smugglesRequest: // in the same frame
 		out = call(out, class, 1e6)
 		out = call(out, class, 1e6)
 		out[2], out[3] = byte((len(out)-4)>>8), byte(len(out)-4)
--- a/internal/environment/wire.go
+++ b/internal/environment/wire.go
@@ -12,7 +12,7 @@
 // Header fields of the deployment.
 const (
 	fieldID           = "Request-Id"
-	fieldPatience     = "Request-Timeout"
+	fieldTimeout      = "Request-Timeout"
 	fieldKey          = "Idempotency-Key"
 	fieldOrganisation = "Organisation"
 	fieldRetry        = "Client-Retry"
@@ -25,7 +25,7 @@
 
 // remembering is a connection of a network that knows more than what has come: when the other end did it. On others
 // the time at which something came stands for it.
-type remembering interface {
+type sendTimer interface {
 	// PeerWrote returns when the peer wrote last, in Unix time; PeerEnded, when it ended the connection. 0: not yet.
 	PeerWrote() float64
 	PeerEnded() float64
@@ -33,7 +33,7 @@
 
 // sentAt returns when what has come now was sent.
 func sentAt(c netio.Conn, now float64) float64 {
-	if r, ok := c.(remembering); ok {
+	if r, ok := c.(sendTimer); ok {
 		if at := r.PeerWrote(); at > 0 {
 			return min(at, now)
 		}
@@ -43,7 +43,7 @@
 
 // endedAt returns when the peer ended a connection whose end has come now.
 func endedAt(c netio.Conn, now float64) float64 {
-	if r, ok := c.(remembering); ok {
+	if r, ok := c.(sendTimer); ok {
 		if at := r.PeerEnded(); at > 0 {
 			return min(at, now)
 		}
@@ -52,22 +52,22 @@
 }
 
 // attentive is a connection of a network that knows what the other end's process has been given of it.
-type attentive interface {
+type readNotifier interface {
 	// PeerRead tells whether that was all, when the peer ended the connection or its own direction of it.
 	PeerRead() bool
 }
 
 // readByPeer tells whether a connection's peer is known to have read all that was written before it ended the connection.
 func readByPeer(c netio.Conn) bool {
-	a, ok := c.(attentive)
+	a, ok := c.(readNotifier)
 	return ok && a.PeerRead()
 }
 
 // neighbours finds sidecars by the address that they speak from.
-type neighbours []netip.Addr
+type sidecarAddresses []netip.Addr
 
-func newNeighbours(d *Day) neighbours {
-	var all neighbours
+func newSidecarAddresses(d *Day) sidecarAddresses {
+	var all sidecarAddresses
 	for _, s := range d.Sidecars {
 		all = append(all, netip.MustParseAddr(s.IP))
 	}
@@ -75,7 +75,7 @@
 }
 
 // number returns a sidecar's number, -1 for anybody else.
-func (n neighbours) number(from net.Addr) int32 {
+func (n sidecarAddresses) number(from net.Addr) int32 {
 	if tcp, ok := from.(*net.TCPAddr); ok {
 		ip := tcp.AddrPort().Addr().Unmap()
 		for i, known := range n {
@@ -114,7 +114,7 @@
 }
 
 // path returns a target's first part, and the target less its query.
-func path(target string) (first, whole string) {
+func splitTarget(target string) (first, whole string) {
 	whole, _, _ = strings.Cut(target, "?")
 	first, _, _ = strings.Cut(strings.TrimPrefix(whole, "/"), "/")
 	return first, whole
--- a/internal/environment/world.go
+++ b/internal/environment/world.go
@@ -30,7 +30,7 @@
 		b := NewServer(d, i, w.Discovery, &memories[d.Servers[i].Site], witness)
 		w.Servers = append(w.Servers, b)
 		w.serverByIP[b.Spec.IP] = b
-		w.serverByIP[otherIP(&b.Spec)] = b
+		w.serverByIP[alternateIP(&b.Spec)] = b
 	}
 	for i := range d.Sidecars {
 		a := NewApplication(d, i, witness)
@@ -44,10 +44,10 @@
 }
 
 // boxPort is where boxes listen.
-const boxPort = ":3000"
+const serverPort = ":3000"
 
 // otherIP is the address at which a box returns that returns elsewhere.
-func otherIP(b *ServerSpec) string {
+func alternateIP(b *ServerSpec) string {
 	a := netip.MustParseAddr(b.IP).As4()
 	a[1] += 2
 	return netip.AddrFrom4(a).String()
@@ -58,9 +58,9 @@
 func (w *Environment) Machines() []Machine {
 	var all []Machine
 	for _, b := range w.Servers {
-		for i, ip := range []string{b.Spec.IP, otherIP(&b.Spec)} {
-			all = append(all, Machine{Name: b.Spec.Name, IP: ip, Listen: ip + boxPort, Site: b.Spec.Site,
-				Boot:        func(net netio.EventLoop) netio.Handler { return w.serverByIP[ip].Boot(ip+boxPort, net) },
+		for i, ip := range []string{b.Spec.IP, alternateIP(&b.Spec)} {
+			all = append(all, Machine{Name: b.Spec.Name, IP: ip, Listen: ip + serverPort, Site: b.Spec.Site,
+				Boot:        func(net netio.EventLoop) netio.Handler { return w.serverByIP[ip].Boot(ip+serverPort, net) },
 				StartsLater: i > 0 || b.Spec.Number >= w.Day.InitialServers})
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // machine returns the IP of the machine that a box's present life is on, or its last one was.
-func (b *Server) machine() string {
+func (b *Server) currentIP() string {
 	ip, _, _ := strings.Cut(b.Address, ":")
 	return ip
 }
--- a/internal/sim/core.go
+++ b/internal/sim/core.go
@@ -34,7 +34,7 @@
 	var classes []map[string]any
 	for _, c := range cfg.Settings.Policy.Classes {
 		classes = append(classes, map[string]any{"class": c.Name, "methods": []string{c.Name}, "id": environment.ThriftID,
-			"key": environment.ThriftKey, "patience_us": environment.ThriftPatience, "retry": environment.ThriftRetry})
+			"key": environment.ThriftKey, "patience_us": environment.ThriftTimeout, "retry": environment.ThriftRetry})
 	}
 	raw, err := json.Marshal(map[string]any{"thrift": map[string]any{"listen": environment.ThriftAddress(cfg.Listen), "probe": environment.ThriftProbe,
 		"classes": classes}})
