--- a/internal/environment/actors_test.go
+++ b/internal/environment/actors_test.go
@@ -167,14 +167,14 @@
 			if have {
 				target += "&since=" + strconv.FormatUint(index, 10)
 			}
-			parser, buf = http1.NewResponseParser(http1.Limits{Head: 1 << 12, Body: 1 << 20}), http1.Buffer{}
+			parser, buf = http1.NewResponseParser(http1.Limits{HeadBytes: 1 << 12, BufferedBodyBytes: 1 << 20}), http1.Buffer{}
 			c.Write(http1.AppendRequest(nil, "GET", target, http1.Header{{Name: "Host", Value: "d"}}, nil))
 		}
 		s.host.traffic = func(c netio.Conn, data []byte) {
 			buf.Write(data)
 			done, err := parser.Next(&buf)
 			require.NoError(t, err)
-			if parser.HeadRead() && parser.Status != 200 || done {
+			if parser.IsHeadComplete() && parser.Status != 200 || done {
 				s.host.net.Close(c)
 				return
 			}
--- a/internal/environment/box.go
+++ b/internal/environment/box.go
@@ -304,7 +304,7 @@
 		}
 		l.markBusy(k)
 		l.handleRequest(k)
-		k.parser.Rest()
+		k.parser.Release()
 		if k.firstByteAt = 0; k.conn != nil && k.buf.Len() > 0 {
 			k.firstByteAt = sentAt(k.conn, l.net.Now())
 		}
--- a/internal/environment/mischief.go
+++ b/internal/environment/mischief.go
@@ -360,7 +360,7 @@
 			e := m.event(checker.ResponseReceived, v)
 			e.Status, e.Digest = int32(v.parser.Status), checker.Digest(v.parser.Body)
 			m.observer.Observe(e)
-			if len(v.pendingIDs) == 0 || !v.parser.Keep() {
+			if len(v.pendingIDs) == 0 || !v.parser.IsPersistent() {
 				m.net.Close(v.conn)
 			}
 			v.parser = http1.NewResponseParser(messageLimits)
@@ -386,7 +386,7 @@
 		return
 	}
 	rest := v.pendingIDs
-	if len(rest) > 0 && v.parser.Begun() {
+	if len(rest) > 0 && v.parser.HasBegun() {
 		v.pendingIDs, rest = rest[:1], rest[1:]
 		m.observePending(v, checker.ResponseTruncated)
 	}
@@ -466,7 +466,7 @@
 	m.observer.Observe(e)
 	v.id = 0
 	refused := v.parser.Status == 429 || v.parser.Status == 503
-	if !refused || v.requests >= maxImmediateRetries || !v.parser.Keep() {
+	if !refused || v.requests >= maxImmediateRetries || !v.parser.IsPersistent() {
 		m.net.Close(v.conn)
 		return
 	}
@@ -482,7 +482,7 @@
 		m.pipelineClosed(c, v, err)
 	case v.kind == retriesAtOnce && v.id != 0 && err == nil:
 		m.observer.Observe(m.event(checker.RequestAbandoned, v))
-	case v.kind == retriesAtOnce && v.id != 0 && v.parser.Begun():
+	case v.kind == retriesAtOnce && v.id != 0 && v.parser.HasBegun():
 		m.observer.Observe(m.event(checker.ResponseTruncated, v))
 	case v.kind == retriesAtOnce && v.id != 0:
 		e := m.event(checker.ConnectionDropped, v)
--- a/internal/environment/speech.go
+++ b/internal/environment/speech.go
@@ -81,7 +81,7 @@
 		return r.nextThrift(buf)
 	}
 	whole, err := r.http.Next(buf)
-	r.begun = r.http.Begun()
+	r.begun = r.http.HasBegun()
 	r.Status, r.Body, r.after = r.http.Status, r.http.Body, r.http.Header.Get(fieldRetryAfter)
 	return whole, err
 }
@@ -90,13 +90,13 @@
 func (r *responseReader) Begun() bool { return r.begun }
 
 // Keep tells whether the answer lets its connection be used again.
-func (r *responseReader) Keep() bool { return r.speech.IsThrift() || r.http.Keep() }
+func (r *responseReader) Keep() bool { return r.speech.IsThrift() || r.http.IsPersistent() }
 
 var resultPath = []thrift.Path{{0}}
 
 func (r *responseReader) nextThrift(buf *http1.Buffer) (bool, error) {
 	r.begun = r.begun || buf.Len() > 0
-	payload, size, err := thrift.Frame(buf.Bytes(), messageLimits.Body)
+	payload, size, err := thrift.Frame(buf.Bytes(), messageLimits.BufferedBodyBytes)
 	if err != nil || size == 0 {
 		return false, err
 	}
@@ -163,7 +163,7 @@
 
 // hear reads on from what a sidecar has sent and tells whether a request is whole.
 func (k *serverConn) nextRequest() (bool, error) {
-	if b := k.buf.Bytes(); len(b) > 0 && b[0] == 0 && !k.parser.Begun() {
+	if b := k.buf.Bytes(); len(b) > 0 && b[0] == 0 && !k.parser.HasBegun() {
 		return k.nextThriftRequest()
 	}
 	whole, err := k.parser.Next(&k.buf)
@@ -175,7 +175,7 @@
 }
 
 func (k *serverConn) nextThriftRequest() (bool, error) {
-	payload, size, err := thrift.Frame(k.buf.Bytes(), messageLimits.Body)
+	payload, size, err := thrift.Frame(k.buf.Bytes(), messageLimits.BufferedBodyBytes)
 	if err != nil || size == 0 {
 		return false, err
 	}
--- a/internal/environment/wire.go
+++ b/internal/environment/wire.go
@@ -21,7 +21,7 @@
 	fieldLoad         = "Server-Load"
 )
 
-var messageLimits = http1.Limits{Head: 16 << 10, Body: 64 << 10}
+var messageLimits = http1.Limits{HeadBytes: 16 << 10, BufferedBodyBytes: 64 << 10}
 
 // remembering is a connection of a network that knows more than what has come: when the other end did it. On others
 // the time at which something came stands for it.
--- a/internal/featureconfig/features.go
+++ b/internal/featureconfig/features.go
@@ -143,7 +143,7 @@
 
 func (f *Features) readRewrites(o *object, c *sidecarconfig.Config) {
 	field(o, "rewrites.forwarded", &f.Rewrites.Forwarded, "true or false", func(bool) bool { return true })
-	name := func(s string) bool { return http1.Token(s) && rewrite.Free(s) }
+	name := func(s string) bool { return http1.IsToken(s) && rewrite.Free(s) }
 	const wantName = "the name of a header field that is neither protected nor hop-by-hop"
 	for _, e := range o.list("rewrites") {
 		var r rewrite.Rule
--- a/internal/featureconfig/quotas.go
+++ b/internal/featureconfig/quotas.go
@@ -72,7 +72,7 @@
 			ways++
 		}
 	}
-	field(e, "header", &r.Header, "the name of a header field", http1.Token)
+	field(e, "header", &r.Header, "the name of a header field", http1.IsToken)
 	field(e, "class", &r.Class, "a class of the settings", func(s string) bool { return hasClass(cfg, s) })
 	var text string
 	field(e, "addresses", &text, "an address or a prefix like 10.1.0.0/16", func(s string) (ok bool) {
--- a/internal/frontend/http1/call.go
+++ b/internal/frontend/http1/call.go
@@ -28,7 +28,7 @@
 // for all attempts: each begins with the same.
 func newCall(f *Frontend, p *http1.RequestParser, class string, remote net.Addr) *call {
 	c := &call{front: f, method: p.Method, target: p.Target, class: class,
-		body: sidecar.Body{Buffered: p.Body, Length: p.Length(), IsComplete: p.Whole()}}
+		body: sidecar.Body{Buffered: p.Body, Length: p.BodyLength(), IsComplete: p.IsComplete()}}
 	header := p.Header
 	if f.rewrites.On() {
 		var client netip.Addr
--- a/internal/frontend/http1/clientconn.go
+++ b/internal/frontend/http1/clientconn.go
@@ -22,15 +22,15 @@
 
 // ReadRequest sends word to a client that waits for it before it sends the body.
 func (c *clientConn) ReadRequest(buf *buffer.Buffer) (bool, error) {
-	if b := buf.Bytes(); !c.parser.Begun() && looksLikeThrift(b) {
+	if b := buf.Bytes(); !c.parser.HasBegun() && looksLikeThrift(b) {
 		return false, errThrift
 	}
 	complete, err := c.parser.Next(buf)
-	if !complete && err == nil && !c.sentContinue && c.parser.WantsContinue() {
+	if !complete && err == nil && !c.sentContinue && c.parser.ExpectsContinue() {
 		c.sentContinue = true
 		c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
-	ready := complete || err == nil && c.parser.HeadRead() && len(c.parser.Body) >= c.BodyBufferLimit()
+	ready := complete || err == nil && c.parser.IsHeadComplete() && len(c.parser.Body) >= c.BodyBufferLimit()
 	return ready, err
 }
 
@@ -41,24 +41,24 @@
 	b.Buffered, b.IsComplete = append(b.Buffered, c.parser.TakeBody()...), complete
 	if complete {
 		c.uploading = nil
-		c.SetKeepAlive(c.parser.Keep())
-		c.parser.Rest()
+		c.SetKeepAlive(c.parser.IsPersistent())
+		c.parser.Release()
 	}
 	return err
 }
 
 // PartialRequest counts the body, which is taken off the buffer as it comes.
 func (c *clientConn) PartialRequest() (held int, begun bool) {
-	return len(c.parser.Body), c.parser.Begun()
+	return len(c.parser.Body), c.parser.HasBegun()
 }
 
 // Take routes a request.
 func (c *clientConn) HandleRequest() {
-	c.sentContinue, c.minorVersion = false, c.parser.Minor()
+	c.sentContinue, c.minorVersion = false, c.parser.MinorVersion()
 	// Danger: what follows a message that is answered before it has come whole is its rest, and no request.
-	c.SetKeepAlive(c.parser.Keep() && c.parser.Whole())
+	c.SetKeepAlive(c.parser.IsPersistent() && c.parser.IsComplete())
 	c.route()
-	c.parser.Rest()
+	c.parser.Release()
 }
 
 // errThrift is the end of a link whose client has come to the wrong port. Danger: nothing that it sends need ever end a line,
--- a/internal/frontend/http1/exchange.go
+++ b/internal/frontend/http1/exchange.go
@@ -17,7 +17,7 @@
 
 func (x *exchange) AppendRequest(dst []byte, now, deadline float64) []byte {
 	c := x.call
-	dst = http1.AppendFields(http1.AppendFirst(dst, c.method, c.target), c.header)
+	dst = http1.AppendFields(http1.AppendRequestLine(dst, c.method, c.target), c.header)
 	dst = append(appendTimeout(append(dst, fieldTimeout+": "...), deadline-now), "\r\n"...)
 	length := c.body.Length
 	switch {
@@ -25,7 +25,7 @@
 		length = len(c.body.Buffered)
 	case length < 0:
 		x.isChunked = true
-		dst = http1.AppendFields(dst, http1.Header{http1.Chunked})
+		dst = http1.AppendFields(dst, http1.Header{http1.ChunkedField})
 	}
 	if length == 0 && c.method == "GET" {
 		length = -1
@@ -54,16 +54,16 @@
 // ExceedsBuffer tells whether more of the answer is to come than is held.
 func (x *exchange) ExceedsBuffer() bool {
 	p := &x.parser
-	return p.HeadRead() && !p.Whole() && max(p.Length(), p.Came()) > sidecar.MaxBodyBytes
+	return p.IsHeadComplete() && !p.IsComplete() && max(p.BodyLength(), p.ReceivedBodyBytes()) > sidecar.MaxBodyBytes
 }
 
 func (x *exchange) ReadResponse(buf *buffer.Buffer) (bool, error) { return x.parser.Next(buf) }
 
-func (x *exchange) HasResponseBegun() bool { return x.parser.Begun() }
+func (x *exchange) HasResponseBegun() bool { return x.parser.HasBegun() }
 
 func (x *exchange) IsOneWay() bool { return false }
 
-func (x *exchange) HandleEOF() bool { return x.parser.End() }
+func (x *exchange) HandleEOF() bool { return x.parser.HandleEOF() }
 
 // header returns what the client is sent of an answer's header.
 func (x *exchange) header() http1.Header {
@@ -83,5 +83,5 @@
 	case (p.Status == 503 || p.Status == 504) && p.Header.Get(fieldNotStarted) == "1":
 		outcome = policy.Rejected
 	}
-	return outcome, x.call.front.parseReport(p.Header.Get(fieldLoad)), p.Keep()
+	return outcome, x.call.front.parseReport(p.Header.Get(fieldLoad)), p.IsPersistent()
 }
--- a/internal/frontend/http1/frontend.go
+++ b/internal/frontend/http1/frontend.go
@@ -8,7 +8,7 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-var limits = http1.Limits{Head: sidecar.MaxHeadBytes, Body: sidecar.MaxBodyBytes, Total: sidecar.MaxStreamBytes}
+var limits = http1.Limits{HeadBytes: sidecar.MaxHeadBytes, BufferedBodyBytes: sidecar.MaxBodyBytes, StreamedBodyBytes: sidecar.MaxStreamBytes}
 
 // Front speaks HTTP/1.1 as the settings say.
 type Frontend struct {
--- a/internal/frontend/http1/quotas.go
+++ b/internal/frontend/http1/quotas.go
@@ -22,7 +22,7 @@
 // RequestBytes counts the request's first line, header and body.
 func (c *clientConn) RequestBytes() int {
 	p := &c.parser
-	return len(p.Method) + len(p.Target) + headerBytes(p.Header) + max(p.Length(), len(p.Body))
+	return len(p.Method) + len(p.Target) + headerBytes(p.Header) + max(p.BodyLength(), len(p.Body))
 }
 
 // RejectOverQuota refuses with a status of its own.
@@ -45,7 +45,9 @@
 }
 
 // RequestBytes counts the answer's header and body.
-func (x *exchange) ResponseBytes() int { return headerBytes(x.parser.Header) + x.parser.Came() }
+func (x *exchange) ResponseBytes() int {
+	return headerBytes(x.parser.Header) + x.parser.ReceivedBodyBytes()
+}
 
 // ServiceSeconds reads the answer's own time off its load report.
 func (x *exchange) ServiceSeconds() (seconds float64, ok bool) {
--- a/internal/frontend/http1/response.go
+++ b/internal/frontend/http1/response.go
@@ -18,10 +18,10 @@
 func (c *clientConn) ForwardHead(x sidecar.Exchange) {
 	p, h := &x.(*exchange).parser, x.(*exchange).header()
 	c.MarkServed()
-	length := p.Length()
+	length := p.BodyLength()
 	c.isChunked = length < 0 && c.minorVersion > 0
 	if c.isChunked {
-		h = append(h[:len(h):len(h)], http1.Chunked)
+		h = append(h[:len(h):len(h)], http1.ChunkedField)
 	}
 	dst, last, connected := c.BeginStream(length < 0 && !c.isChunked)
 	if !connected {
--- a/internal/frontend/http1/submit.go
+++ b/internal/frontend/http1/submit.go
@@ -23,7 +23,7 @@
 		c.rejectInvalid(class, 405, "class "+settings.Name+" takes "+method, http1.Field{Name: "Allow", Value: method})
 	case id == "":
 		c.rejectInvalid(class, 400, fieldID+" is missing")
-	case p.Header.Twice(fieldID), p.Header.Twice(fieldKey):
+	case p.Header.IsRepeated(fieldID), p.Header.IsRepeated(fieldKey):
 		c.rejectInvalid(class, 400, fieldID+" or "+fieldKey+" comes twice: which one counts is a guess")
 	case c.Sidecar().IsRequestOpen(id):
 		c.rejectInvalid(class, 409, fieldID+" is that of an open request")
@@ -34,7 +34,7 @@
 	case c.Admit(class):
 		call := newCall(c.front, p, settings.Name, c.RemoteAddr())
 		in := sidecar.IncomingRequest{ID: id, Class: class, Tenant: c.front.tenantIndex(p.Header.Get(fieldTenant)), TimeoutSeconds: timeoutSeconds, IsRetry: p.Header.Get(fieldRetry) == "1", HeldBytes: len(p.Body), Call: call}
-		if !p.Whole() {
+		if !p.IsComplete() {
 			c.uploading, in.Body = call, &call.body
 			p.Body = nil // the call's from now on
 		}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var limits = Limits{Head: 200, Body: 20}
+var limits = Limits{HeadBytes: 200, BufferedBodyBytes: 20}
 
 // status of an error; 0 for none.
 func status(err error) int {
@@ -129,16 +129,16 @@
 				return
 			}
 			require.Equal(t, !c.end, whole, c.name)
-			require.True(t, p.End(), c.name)
+			require.True(t, p.HandleEOF(), c.name)
 			require.Equal(t, c.body, string(p.Body), c.name)
-			require.Equal(t, c.keep, p.Keep(), c.name)
+			require.Equal(t, c.keep, p.IsPersistent(), c.name)
 		})
 	}
 	p, buf := NewResponseParser(limits), Buffer{}
 	buf.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na"))
 	_, err := p.Next(&buf)
 	assert.NoError(t, err)
-	assert.False(t, p.End(), "a body that is cut off is not whole")
+	assert.False(t, p.HandleEOF(), "a body that is cut off is not whole")
 }
 
 // Noise is known by its first bytes, though no line of it ever ends.
@@ -160,7 +160,7 @@
 
 // rewrite writes a request as it is passed on and reads that again.
 func rewrite(t *testing.T, p *RequestParser) {
-	again, buf := NewRequestParser(Limits{Head: 1000, Body: 20}), Buffer{}
+	again, buf := NewRequestParser(Limits{HeadBytes: 1000, BufferedBodyBytes: 20}), Buffer{}
 	h := p.Header.EndToEnd()
 	if !slices.ContainsFunc(h, func(f Field) bool { return strings.EqualFold(f.Name, "Host") }) {
 		h = append(h, Field{"Host", "h"}) // a request of HTTP/1.0 needs none
@@ -194,7 +194,7 @@
 			if respErr == nil {
 				_, respErr = resp.Next(&b)
 			}
-			if len(req.Body) > limits.Body || len(resp.Body) > limits.Body {
+			if len(req.Body) > limits.BufferedBodyBytes || len(resp.Body) > limits.BufferedBodyBytes {
 				t.Fatal("more than the limit is held")
 			}
 		}
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -27,14 +27,14 @@
 
 // Limits bound what a message may take.
 type Limits struct {
-	Head int // bytes of the first line and the header fields; also of a chunked body's trailers
-	Body int // bytes of the body that are held
+	HeadBytes         int // bytes of the first line and the header fields; also of a chunked body's trailers
+	BufferedBodyBytes int // bytes of the body that are held
 	// Total is how long a body may be that the reader takes off by TakeBody as it comes; 0: no longer than Body.
-	Total int
+	StreamedBodyBytes int
 }
 
 // most is how long a body may be.
-func (l *Limits) most() int { return max(l.Body, l.Total) }
+func (l *Limits) maxBodyBytes() int { return max(l.BufferedBodyBytes, l.StreamedBodyBytes) }
 
 // Field is one header field.
 type Field struct{ Name, Value string }
@@ -53,7 +53,7 @@
 }
 
 // Twice tells whether a field comes more than once.
-func (h Header) Twice(name string) bool {
+func (h Header) IsRepeated(name string) bool {
 	n := 0
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
@@ -64,7 +64,7 @@
 }
 
 // has tells whether a comma-separated field holds a token.
-func (h Header) has(name, token string) bool {
+func (h Header) containsToken(name, token string) bool {
 	for _, f := range h {
 		if !strings.EqualFold(f.Name, name) {
 			continue
@@ -80,7 +80,7 @@
 
 // hopByHop are the fields that concern one connection alone, and those that framing writes anew, by the length of their
 // names.
-var hopByHop = func() (by [32][]string) {
+var hopByHopFields = func() (by [32][]string) {
 	for _, name := range []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 		"TE", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"} {
 		by[len(name)] = append(by[len(name)], name)
@@ -89,11 +89,11 @@
 }()
 
 // HopByHop tells whether a field is of one connection or its framing, whatever Connection says.
-func HopByHop(name string) bool {
-	if len(name) >= len(hopByHop) {
+func IsHopByHop(name string) bool {
+	if len(name) >= len(hopByHopFields) {
 		return false
 	}
-	for _, other := range hopByHop[len(name)] {
+	for _, other := range hopByHopFields[len(name)] {
 		if strings.EqualFold(name, other) {
 			return true
 		}
@@ -108,7 +108,7 @@
 	names := h.Get("Connection") != ""
 	for _, f := range h {
 		named := func(name string) bool { return strings.EqualFold(name, f.Name) }
-		if !HopByHop(f.Name) && (!names || !h.has("Connection", f.Name) || slices.ContainsFunc(spite, named)) {
+		if !IsHopByHop(f.Name) && (!names || !h.containsToken("Connection", f.Name) || slices.ContainsFunc(spite, named)) {
 			kept = append(kept, f)
 		}
 	}
@@ -155,13 +155,13 @@
 	end := bytes.IndexByte(raw[m.line:], '\n')
 	if end < 0 {
 		m.line = len(raw)
-		if m.taken+m.line > m.limits.Head {
+		if m.taken+m.line > m.limits.HeadBytes {
 			return nil, false, &Error{431, "head too large"}
 		}
 		return nil, false, nil
 	}
 	end += m.line
-	if m.taken += end + 1; m.taken > m.limits.Head {
+	if m.taken += end + 1; m.taken > m.limits.HeadBytes {
 		return nil, false, &Error{431, "head too large"}
 	}
 	// A bare line feed is an end to some readers and not to others: two that disagree see two messages.
@@ -214,7 +214,7 @@
 		return false, nil
 	}
 	end := bytes.Index(raw, headEnd)
-	if end <= 0 || end+len(headEnd) > m.limits.Head {
+	if end <= 0 || end+len(headEnd) > m.limits.HeadBytes {
 		return false, nil
 	}
 	text := string(raw[:end+len("\r\n")])
@@ -263,7 +263,7 @@
 
 func field(line string) (Field, error) {
 	name, value, ok := strings.Cut(line, ":")
-	if !ok || !token(name) {
+	if !ok || !isToken(name) {
 		return Field{}, malformed("bad header field")
 	}
 	value = strings.Trim(value, " \t")
@@ -276,10 +276,10 @@
 }
 
 // Token tells whether a name is one that a header field can have.
-func Token(name string) bool { return token(name) }
+func IsToken(name string) bool { return isToken(name) }
 
 // token tells whether b is a token as RFC 9110 has it.
-func token[T ~string | ~[]byte](b T) bool {
+func isToken[T ~string | ~[]byte](b T) bool {
 	for i := range len(b) {
 		c := b[i]
 		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
@@ -314,7 +314,7 @@
 		return malformed("length and chunks") // where readers choose differently a request can be smuggled
 	case m.chunks:
 		m.stage = inChunkSize
-	case length > m.limits.most():
+	case length > m.limits.maxBodyBytes():
 		return &Error{413, "body too large"}
 	case length >= 0:
 		m.stage, m.left = inBody, length
@@ -361,7 +361,7 @@
 				return err
 			}
 		case untilEnd:
-			if m.came+buf.Len() > m.limits.most() {
+			if m.came+buf.Len() > m.limits.maxBodyBytes() {
 				return &Error{413, "body too large"}
 			}
 			m.take(buf, buf.Len())
@@ -390,7 +390,7 @@
 	switch {
 	case err != nil:
 		return malformed("bad chunk size")
-	case m.came+int(size) > m.limits.most():
+	case m.came+int(size) > m.limits.maxBodyBytes():
 		return &Error{413, "body too large"}
 	case size == 0:
 		m.stage, m.taken = inTrailer, 0
@@ -401,16 +401,16 @@
 }
 
 // HeadRead tells whether the first line and the header fields are there.
-func (m *message) HeadRead() bool { return m.stage != inHead }
+func (m *message) IsHeadComplete() bool { return m.stage != inHead }
 
 // Whole tells whether the message has come to its end.
-func (m *message) Whole() bool { return m.stage == complete }
+func (m *message) IsComplete() bool { return m.stage == complete }
 
 // Length returns how long the body is in all; -1: that is not told beforehand.
-func (m *message) Length() int { return m.length }
+func (m *message) BodyLength() int { return m.length }
 
 // Came returns how many bytes of the body have come.
-func (m *message) Came() int { return m.came }
+func (m *message) ReceivedBodyBytes() int { return m.came }
 
 // TakeBody returns what has come of the body since it was called last. It is valid until the next call of Next.
 func (m *message) TakeBody() []byte {
@@ -420,8 +420,8 @@
 }
 
 // keep tells whether the connection stays open after the message.
-func (m *message) keep() bool {
-	return !m.Header.has("Connection", "close") && (m.minor > 0 || m.Header.has("Connection", "keep-alive"))
+func (m *message) isPersistent() bool {
+	return !m.Header.containsToken("Connection", "close") && (m.minor > 0 || m.Header.containsToken("Connection", "keep-alive"))
 }
 
 // version reads HTTP/1.x.
@@ -463,7 +463,7 @@
 func (p *RequestParser) start() error {
 	method, rest, _ := strings.Cut(p.first, " ")
 	target, version, ok := strings.Cut(rest, " ")
-	if !ok || !token(method) || target == "" {
+	if !ok || !isToken(method) || target == "" {
 		return malformed("bad request line")
 	}
 	for i := range len(target) {
@@ -520,7 +520,7 @@
 }
 
 // Rest drops the request that was read last, which may hold a large body.
-func (p *RequestParser) Rest() {
+func (p *RequestParser) Release() {
 	if p.stage == complete {
 		p.reset()
 		p.Method, p.Target = "", ""
@@ -528,20 +528,20 @@
 }
 
 // Begun tells whether part of a request has been read.
-func (p *RequestParser) Begun() bool {
+func (p *RequestParser) HasBegun() bool {
 	return p.stage != complete && (p.stage != inHead || p.first != "")
 }
 
 // WantsContinue tells whether the client waits for word before it sends the body.
-func (p *RequestParser) WantsContinue() bool {
-	return p.stage != inHead && p.stage != complete && len(p.Body) == 0 && p.Header.has("Expect", "100-continue")
+func (p *RequestParser) ExpectsContinue() bool {
+	return p.stage != inHead && p.stage != complete && len(p.Body) == 0 && p.Header.containsToken("Expect", "100-continue")
 }
 
 // Minor returns the minor version of HTTP/1 that the client speaks.
-func (p *RequestParser) Minor() int { return p.minor }
+func (p *RequestParser) MinorVersion() int { return p.minor }
 
 // Keep tells whether the client wants the connection kept and speaks a version that keeps it unasked.
-func (p *RequestParser) Keep() bool { return p.minor > 0 && p.keep() }
+func (p *RequestParser) IsPersistent() bool { return p.minor > 0 && p.isPersistent() }
 
 // ResponseParser reads the response to one request that was not HEAD.
 type ResponseParser struct {
@@ -613,7 +613,7 @@
 	if err := p.frame(untilEnd); err != nil {
 		return err
 	}
-	if p.stage == untilEnd && p.keep() {
+	if p.stage == untilEnd && p.isPersistent() {
 		// Danger: a body that ends with the connection looks whole wherever it is cut. It is taken only from a
 		// server that has said that it will end it so.
 		return malformed("neither a length nor an end")
@@ -622,10 +622,10 @@
 }
 
 // Begun tells whether anything of the response has come.
-func (p *ResponseParser) Begun() bool { return p.stage != inHead || p.first != "" }
+func (p *ResponseParser) HasBegun() bool { return p.stage != inHead || p.first != "" }
 
 // End tells the parser that the connection has ended, and returns whether that makes the response whole.
-func (p *ResponseParser) End() bool {
+func (p *ResponseParser) HandleEOF() bool {
 	if p.stage == untilEnd {
 		p.stage = complete
 	}
@@ -633,7 +633,7 @@
 }
 
 // Keep tells whether the connection can carry another request.
-func (p *ResponseParser) Keep() bool { return p.keep() }
+func (p *ResponseParser) IsPersistent() bool { return p.isPersistent() }
 
 // AppendFields appends header fields.
 func AppendFields(dst []byte, h Header) []byte {
@@ -659,16 +659,16 @@
 
 // AppendRequest appends a request. Without a body its length is not written.
 func AppendRequest(dst []byte, method, target string, h Header, body []byte) []byte {
-	return AppendRest(AppendFields(AppendFirst(dst, method, target), h), method, body)
+	return AppendRequestEnd(AppendFields(AppendRequestLine(dst, method, target), h), method, body)
 }
 
 // AppendFirst appends a request's first line; header fields follow.
-func AppendFirst(dst []byte, method, target string) []byte {
+func AppendRequestLine(dst []byte, method, target string) []byte {
 	return append(append(append(append(dst, method...), ' '), target...), " HTTP/1.1\r\n"...)
 }
 
 // AppendRest appends what follows the header fields of a request.
-func AppendRest(dst []byte, method string, body []byte) []byte {
+func AppendRequestEnd(dst []byte, method string, body []byte) []byte {
 	length := len(body)
 	if length == 0 && method == "GET" {
 		length = -1
@@ -689,7 +689,7 @@
 }
 
 // Chunked is the field that says that a body comes in chunks.
-var Chunked = Field{Name: "Transfer-Encoding", Value: "chunked"}
+var ChunkedField = Field{Name: "Transfer-Encoding", Value: "chunked"}
 
 // AppendChunk appends a part of a body as a chunk; an empty part is none.
 func AppendChunk(dst, part []byte) []byte {
--- a/internal/lint/quotas.go
+++ b/internal/lint/quotas.go
@@ -66,7 +66,7 @@
 		features: func(u *unit, report reportFunc) {
 			u.eachIdentity(func(i int, r *appconfig.Identity) {
 				switch {
-				case r.Header != "" && !http1.Token(r.Header):
+				case r.Header != "" && !http1.IsToken(r.Header):
 					report(u.atFeature("quotas.identify[%d].header", i), fmt.Sprintf("%q is no header field's name", r.Header))
 				case r.Header != "" && r.Group != "" && r.Class == "" && r.Addresses == "":
 					report(u.atFeature("quotas.identify[%d].group", i), "a rule by a header field has no group of its own")
--- a/internal/lint/rewrites.go
+++ b/internal/lint/rewrites.go
@@ -16,7 +16,7 @@
 		features: func(u *unit, report reportFunc) {
 			u.eachRule(func(i int, r *appconfig.Rewrite) {
 				for field, name := range map[string]string{"name": r.Name, "to": r.To} {
-					if name != "" && (!http1.Token(name) || !rewrite.Free(name)) {
+					if name != "" && (!http1.IsToken(name) || !rewrite.Free(name)) {
 						report(u.atFeature("rewrite[%d].%s", i, field), name)
 					}
 				}
--- a/internal/rewrite/rewrite.go
+++ b/internal/rewrite/rewrite.go
@@ -44,7 +44,7 @@
 
 // Free tells whether rules may touch a field: it is neither protected nor one that concerns a connection or framing.
 func Free(name string) bool {
-	return !http1.HopByHop(name) && !slices.ContainsFunc(protected, func(p string) bool { return strings.EqualFold(p, name) })
+	return !http1.IsHopByHop(name) && !slices.ContainsFunc(protected, func(p string) bool { return strings.EqualFold(p, name) })
 }
 
 // On tells whether there is anything to do.
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -66,7 +66,7 @@
 		return
 	}
 	now := s.now()
-	w := &watcher{sidecar: s, parser: http1.NewResponseParser(http1.Limits{Head: MaxHeadBytes, Body: maxListBytes})}
+	w := &watcher{sidecar: s, parser: http1.NewResponseParser(http1.Limits{HeadBytes: MaxHeadBytes, BufferedBodyBytes: maxListBytes})}
 	s.discovery.watcher = w
 	s.counters.Watches++
 	w.dataTimer = s.timers.schedule(now+watchHeadTimeoutSeconds, func() { w.fail(errWatchTimeout) })
@@ -98,7 +98,7 @@
 	}
 	w.input.Write(data)
 	done, err := w.parser.Next(&w.input)
-	if err == nil && w.parser.HeadRead() && w.parser.Status != 200 {
+	if err == nil && w.parser.IsHeadComplete() && w.parser.Status != 200 {
 		err = errWatchRefused
 	}
 	if err == nil {
@@ -107,7 +107,7 @@
 	if w.isUp {
 		w.sidecar.timers.stop(w.firstObjectTimer)
 	}
-	if err == nil && w.parser.HeadRead() { // an empty line, too, says that the list is as it was
+	if err == nil && w.parser.IsHeadComplete() { // an empty line, too, says that the list is as it was
 		w.sidecar.discovery.listReadAt = w.sidecar.now()
 		_, held := w.sidecar.endpoints.Index()
 		w.sidecar.discovery.isListRead = w.sidecar.discovery.isListRead || held && w.isUp
@@ -119,7 +119,7 @@
 		w.fail(err)
 		return
 	}
-	if w.parser.HeadRead() {
+	if w.parser.IsHeadComplete() {
 		w.sidecar.timers.stop(w.dataTimer)
 		w.dataTimer = w.sidecar.timers.schedule(w.sidecar.now()+watchTimeoutSeconds, func() { w.fail(errWatchTimeout) })
 	}
--- a/internal/sim/plain.go
+++ b/internal/sim/plain.go
@@ -71,7 +71,7 @@
 	leaveAt  float64
 }
 
-var plainLimits = http1.Limits{Head: 16 << 10, Body: 8 << 20}
+var plainLimits = http1.Limits{HeadBytes: 16 << 10, BufferedBodyBytes: 8 << 20}
 
 // plainLink is a connection of any kind.
 type plainLink struct {
@@ -226,7 +226,7 @@
 		if done, err := l.answer.Next(&l.buf); err != nil {
 			p.finish(a, 502, nil, false)
 		} else if done {
-			p.finish(a, l.answer.Status, l.answer.Body, l.answer.Keep() && l.buf.Len() == 0)
+			p.finish(a, l.answer.Status, l.answer.Body, l.answer.IsPersistent() && l.buf.Len() == 0)
 		}
 	}
 }
@@ -250,7 +250,7 @@
 		} else {
 			p.send(l, r)
 		}
-		r.Rest()
+		r.Release()
 	}
 }
 
