--- a/cmd/hazelwheel/thrift_test.go
+++ b/cmd/hazelwheel/thrift_test.go
@@ -91,21 +91,21 @@
 	cut[3]--
 	reply := frame(thrift.Binary, thrift.Reply, "read", 3, "", "", "x")
 	var twice thrift.Writer
-	twice.Begin(nil, thrift.Compact, thrift.Call, "read", 3)
-	twice.Field(thrift.Struct, 1)
-	twice.Open()
+	twice.BeginMessage(nil, thrift.Compact, thrift.Call, "read", 3)
+	twice.FieldHeader(thrift.Struct, 1)
+	twice.BeginStruct()
 	for _, id := range []string{"a", "b"} {
-		twice.Field(thrift.String, 1)
+		twice.FieldHeader(thrift.String, 1)
 		twice.String(id)
 	}
-	twice.Close()
+	twice.EndStruct()
 	var impatient thrift.Writer
-	impatient.Begin(nil, thrift.Binary, thrift.Call, "read", 3)
-	impatient.Field(thrift.Struct, 1)
-	impatient.Open()
-	impatient.Field(thrift.I32, 3)
+	impatient.BeginMessage(nil, thrift.Binary, thrift.Call, "read", 3)
+	impatient.FieldHeader(thrift.Struct, 1)
+	impatient.BeginStruct()
+	impatient.FieldHeader(thrift.I32, 3)
 	impatient.I32(-1)
-	impatient.Close()
+	impatient.EndStruct()
 	deep := append([]byte{0, 0, 0x27, 0x15, 0x82, 0x21, 3, 1, 'x'}, bytes.Repeat([]byte{0x1c}, 10_000)...)
 	for name, c := range map[string]struct {
 		text   string
@@ -118,11 +118,11 @@
 		"empty frame":             {"\x00\x00\x00\x00", "", true},
 		"unframed":                {"\x80\x01\x00\x01\x00\x00\x00\x04read", "", true},
 		"no message":              {"\x00\x00\x00\x04\x80\x07\x00\x01", "", true},
-		"cut short":               {string(cut), "3 read exception 7 " + thrift.ErrShort.Error(), true},
+		"cut short":               {string(cut), "3 read exception 7 " + thrift.ErrTruncated.Error(), true},
 		"a reply":                 {string(reply), "3 read exception 2 a message that is no call", true},
-		"two ids":                 {string(twice.End()), "3 read exception 7 " + thrift.ErrTwice.Error(), true},
-		"patience below 0":        {string(impatient.End()), "3 read exception 7 a patience that is no number from 0", false},
-		"too deep":                {string(deep), "3 x exception 7 " + thrift.ErrDepth.Error(), true},
+		"two ids":                 {string(twice.EndMessage()), "3 read exception 7 " + thrift.ErrDuplicateField.Error(), true},
+		"patience below 0":        {string(impatient.EndMessage()), "3 read exception 7 a patience that is no number from 0", false},
+		"too deep":                {string(deep), "3 x exception 7 " + thrift.ErrTooDeep.Error(), true},
 		"unknown method":          {string(frame(thrift.Compact, thrift.Call, "Readings:other", 3, "", "", "")), "3 other exception 1 no method that is known here", false},
 		"an endless id":           {string(frame(thrift.Compact, thrift.Call, "read", 3, strings.Repeat("i", 257), "", "")), "3 read exception 7 an id of more than 256 bytes", false},
 		"an id of odd bytes":      {string(frame(thrift.Compact, thrift.Call, "read", 3, "a\nb", "", "")), "3 read a\nb=", false},
@@ -192,7 +192,7 @@
 			_, _ = c.Write(call)
 			m, err := readFrame(c)
 			require.NoError(t, err)
-			kind, _, err := m.Exception()
+			kind, _, err := m.DecodeException()
 			require.NoError(t, err)
 			if kind != thrift.LoadShedding {
 				break
@@ -427,10 +427,10 @@
 					}
 					raw, err := hex.DecodeString(f[2])
 					require.NoError(t, err)
-					m, err := thrift.Read(raw)
+					m, err := thrift.ParseMessage(raw)
 					require.NoError(t, err)
 					body := m.Body()
-					asked, got := values(raw[len(raw)-body.Left():]), values(nil)
+					asked, got := values(raw[len(raw)-body.Remaining():]), values(nil)
 					_, err = client.Call(t.Context(), "read", &asked, &got)
 					require.NoError(t, err, f[0])
 					mem := apache.NewTMemoryBuffer() // some are not as the library writes them
--- a/cmd/hazelwheel/ways_test.go
+++ b/cmd/hazelwheel/ways_test.go
@@ -50,33 +50,33 @@
 
 // arguments writes what the tests' methods take; what is empty or below 0 is left out.
 func arguments(w *thrift.Writer, id, key, path, body string, patienceMS int) {
-	w.Field(thrift.Struct, 1)
-	w.Open()
+	w.FieldHeader(thrift.Struct, 1)
+	w.BeginStruct()
 	for i, text := range []string{id, key} {
 		if text != "" {
-			w.Field(thrift.String, int16(i+1))
+			w.FieldHeader(thrift.String, int16(i+1))
 			w.String(text)
 		}
 	}
 	if patienceMS >= 0 {
-		w.Field(thrift.I32, 3)
+		w.FieldHeader(thrift.I32, 3)
 		w.I32(int32(patienceMS))
 	}
-	w.Field(thrift.Bool, 90) // nobody here knows it
+	w.FieldHeader(thrift.Bool, 90) // nobody here knows it
 	w.Bool(true)
-	w.Field(thrift.String, 4)
+	w.FieldHeader(thrift.String, 4)
 	w.String(path)
-	w.Field(thrift.String, 5)
+	w.FieldHeader(thrift.String, 5)
 	w.String(body)
-	w.Close()
+	w.EndStruct()
 }
 
 // frame returns a call.
 func frame(enc thrift.Encoding, kind thrift.Kind, name string, seq int32, id, key, body string) []byte {
 	var w thrift.Writer
-	w.Begin(nil, enc, kind, name, seq)
+	w.BeginMessage(nil, enc, kind, name, seq)
 	arguments(&w, id, key, "", body, -1)
-	return w.End()
+	return w.EndMessage()
 }
 
 // values is a struct that the Apache library writes and reads value by value, as generated code has it do; it is kept in the
@@ -127,9 +127,9 @@
 		patienceMS = -1
 	}
 	var w thrift.Writer
-	w.Begin(nil, thrift.Compact, thrift.Call, "", 0)
+	w.BeginMessage(nil, thrift.Compact, thrift.Call, "", 0)
 	arguments(&w, r.Header.Get("Request-Id"), r.Header.Get("Idempotency-Key"), rest, string(body), patienceMS)
-	asked, result := values(w.End()[8:]), values(nil) // behind a head without a name
+	asked, result := values(w.EndMessage()[8:]), values(nil) // behind a head without a name
 
 	var c net.Conn
 	select {
@@ -154,11 +154,11 @@
 	if excepted {
 		return told(said), nil
 	}
-	m, err := thrift.Read(append([]byte{0x82, 0x41, 0, 0}, result...))
+	m, err := thrift.ParseMessage(append([]byte{0x82, 0x41, 0, 0}, result...))
 	if err != nil {
 		return nil, err
 	}
-	var found [thrift.MostPaths]thrift.Value
+	var found [thrift.MaxPaths]thrift.Value
 	err = m.Find([]thrift.Path{{0}}, &found)
 	return response(200, string(found[0].Bytes), http.Header{}), err
 }
@@ -276,7 +276,7 @@
 
 // call has a call answered and tells whether the connection goes on.
 func (s *server) call(ctx context.Context, c net.Conn, m thrift.Message) bool {
-	var found [thrift.MostPaths]thrift.Value
+	var found [thrift.MaxPaths]thrift.Value
 	if m.Find([]thrift.Path{{1, 1}, {1, 2}, {1, 3}, {1, 4}, {1, 5}}, &found) != nil {
 		return false
 	}
@@ -297,10 +297,10 @@
 	case m.Kind == thrift.Oneway:
 	case rec.Code == 200:
 		var w thrift.Writer
-		w.Begin(nil, m.Encoding, thrift.Reply, string(m.Name), m.Seq)
-		w.Field(thrift.String, 0)
+		w.BeginMessage(nil, m.Encoding, thrift.Reply, string(m.Name), m.Seq)
+		w.FieldHeader(thrift.String, 0)
 		w.Bytes(rec.Body.Bytes())
-		out = w.End()
+		out = w.EndMessage()
 	case (rec.Code == 503 || rec.Code == 504) && h.Get("Not-Started") == "1":
 		out = thrift.AppendException(nil, m.Encoding, string(m.Name), m.Seq, thrift.InternalError, "not started: full")
 	default:
@@ -332,9 +332,9 @@
 	if _, err := io.ReadFull(c, payload); err != nil {
 		return thrift.Message{}, err
 	}
-	m, err := thrift.Read(payload)
+	m, err := thrift.ParseMessage(payload)
 	if err == nil {
-		err = m.Check()
+		err = m.Validate()
 	}
 	return m, err
 }
@@ -345,11 +345,11 @@
 	m, err := readFrame(c)
 	require.NoError(t, err)
 	if m.Kind == thrift.Exception {
-		kind, text, err := m.Exception()
+		kind, text, err := m.DecodeException()
 		require.NoError(t, err)
 		return fmt.Sprintf("%d %s exception %d %s", m.Seq, m.Name, kind, text)
 	}
-	var found [thrift.MostPaths]thrift.Value
+	var found [thrift.MaxPaths]thrift.Value
 	require.NoError(t, m.Find([]thrift.Path{{0}}, &found))
 	return fmt.Sprintf("%d %s %s", m.Seq, m.Name, found[0].Bytes)
 }
--- a/example/thrift/main.go
+++ b/example/thrift/main.go
@@ -117,7 +117,7 @@
 	if _, err := io.ReadFull(c, payload); err != nil {
 		return thrift.Message{}, err
 	}
-	return thrift.Read(payload)
+	return thrift.ParseMessage(payload)
 }
 
 // serve is a box: it answers each call with its name and the sensor that it was asked for.
@@ -131,16 +131,16 @@
 			defer c.Close()
 			for {
 				m, err := receive(c)
-				var found [thrift.MostPaths]thrift.Value
+				var found [thrift.MaxPaths]thrift.Value
 				if err != nil || m.Find([]thrift.Path{{3}}, &found) != nil {
 					return
 				}
 				fmt.Printf("  box %s gets %s, %s, for sensor %d\n", name, m.Name, m.Encoding, found[0].Int)
 				var w thrift.Writer
-				w.Begin(nil, m.Encoding, thrift.Reply, "latestReading", m.Seq)
-				w.Field(thrift.String, 0)
+				w.BeginMessage(nil, m.Encoding, thrift.Reply, "latestReading", m.Seq)
+				w.FieldHeader(thrift.String, 0)
 				w.String(fmt.Sprintf("17.25 C at sensor %d, says %s", found[0].Int, name))
-				if _, err := c.Write(w.End()); err != nil {
+				if _, err := c.Write(w.EndMessage()); err != nil {
 					return
 				}
 			}
@@ -165,14 +165,14 @@
 	for i, enc := range []thrift.Encoding{thrift.Binary, thrift.Compact, thrift.Binary, thrift.Compact} {
 		method := []string{"latestReading", "Readings:latestReading", "latestReading", "no-such-method"}[i]
 		var w thrift.Writer
-		w.Begin(nil, enc, thrift.Call, method, int32(i))
-		w.Field(thrift.String, 1)
+		w.BeginMessage(nil, enc, thrift.Call, method, int32(i))
+		w.FieldHeader(thrift.String, 1)
 		w.String(fmt.Sprintf("call-%d", i))
-		w.Field(thrift.I32, 2)
+		w.FieldHeader(thrift.I32, 2)
 		w.I32(1000)
-		w.Field(thrift.I32, 3)
+		w.FieldHeader(thrift.I32, 3)
 		w.I32(int32(420 + i))
-		if _, err := c.Write(w.End()); err != nil {
+		if _, err := c.Write(w.EndMessage()); err != nil {
 			return err
 		}
 		m, err := receive(c)
@@ -180,14 +180,14 @@
 			return err
 		}
 		if m.Kind == thrift.Exception {
-			kind, text, err := m.Exception()
+			kind, text, err := m.DecodeException()
 			fmt.Printf("client: %s, %s: TApplicationException %d, %s\n", method, enc, kind, text)
 			if err != nil {
 				return err
 			}
 			continue
 		}
-		var found [thrift.MostPaths]thrift.Value
+		var found [thrift.MaxPaths]thrift.Value
 		if err := m.Find([]thrift.Path{{0}}, &found); err != nil {
 			return err
 		}
--- a/internal/environment/speech.go
+++ b/internal/environment/speech.go
@@ -96,16 +96,16 @@
 
 func (r *responseReader) nextThrift(buf *http1.Buffer) (bool, error) {
 	r.begun = r.begun || buf.Len() > 0
-	payload, size, err := thrift.Frame(buf.Bytes(), messageLimits.BufferedBodyBytes)
+	payload, size, err := thrift.CutFrame(buf.Bytes(), messageLimits.BufferedBodyBytes)
 	if err != nil || size == 0 {
 		return false, err
 	}
-	m, err := thrift.Read(payload)
+	m, err := thrift.ParseMessage(payload)
 	if err != nil {
 		return false, err
 	}
 	if m.Kind != thrift.Exception {
-		var found [thrift.MostPaths]thrift.Value
+		var found [thrift.MaxPaths]thrift.Value
 		if err := m.Find(resultPath, &found); err != nil {
 			return false, err
 		}
@@ -113,7 +113,7 @@
 		buf.Discard(size)
 		return true, nil
 	}
-	kind, text, err := m.Exception()
+	kind, text, err := m.DecodeException()
 	switch r.Status = 400; kind {
 	case thrift.LoadShedding:
 		r.Status = 503
@@ -130,22 +130,22 @@
 // appendCall appends a request of the application as a call.
 func (a *Application) appendCall(dst []byte, k *operation) []byte {
 	var w thrift.Writer
-	w.Begin(dst, a.day.Protocol.encoding(), thrift.Call, a.day.Classes[k.class].Name, int32(k.request))
-	w.Field(thrift.String, argID)
+	w.BeginMessage(dst, a.day.Protocol.encoding(), thrift.Call, a.day.Classes[k.class].Name, int32(k.request))
+	w.FieldHeader(thrift.String, argID)
 	w.String(string(appendID(nil, k.request)))
 	if k.idempotencyKey != 0 {
-		w.Field(thrift.String, argKey)
+		w.FieldHeader(thrift.String, argKey)
 		w.String(string(appendID(nil, k.idempotencyKey)))
 	}
-	w.Field(thrift.I64, argTimeout)
+	w.FieldHeader(thrift.I64, argTimeout)
 	w.I64(max(1, int64((k.requestDeadline-a.net.Now())*1e6)))
 	if k.requests > 1 && a.spec.MarksRetries {
-		w.Field(thrift.Bool, argRetry)
+		w.FieldHeader(thrift.Bool, argRetry)
 		w.Bool(true)
 	}
-	w.Field(thrift.String, argBody)
+	w.FieldHeader(thrift.String, argBody)
 	w.Bytes(a.body[:k.bodySize])
-	return w.End()
+	return w.EndMessage()
 }
 
 // heard is what a box has read of a request.
@@ -175,15 +175,15 @@
 }
 
 func (k *serverConn) nextThriftRequest() (bool, error) {
-	payload, size, err := thrift.Frame(k.buf.Bytes(), messageLimits.BufferedBodyBytes)
+	payload, size, err := thrift.CutFrame(k.buf.Bytes(), messageLimits.BufferedBodyBytes)
 	if err != nil || size == 0 {
 		return false, err
 	}
-	m, err := thrift.Read(payload)
+	m, err := thrift.ParseMessage(payload)
 	if err != nil {
 		return false, err
 	}
-	var found [thrift.MostPaths]thrift.Value
+	var found [thrift.MaxPaths]thrift.Value
 	if err := m.Find(callPaths, &found); err != nil {
 		return false, err
 	}
@@ -207,10 +207,10 @@
 	switch status {
 	case http.StatusOK:
 		var w thrift.Writer
-		w.Begin(dst, m.Encoding, thrift.Reply, k.request.name, m.Seq)
-		w.Field(thrift.String, 0)
+		w.BeginMessage(dst, m.Encoding, thrift.Reply, k.request.name, m.Seq)
+		w.FieldHeader(thrift.String, 0)
 		w.Bytes(body)
-		return w.End()
+		return w.EndMessage()
 	case http.StatusServiceUnavailable:
 		return thrift.AppendException(dst, m.Encoding, k.request.name, m.Seq, thrift.LoadShedding, "not started")
 	default:
@@ -241,10 +241,10 @@
 		return k.appendResponse(out, 200, nil, body), false
 	case malformedHuge: // a string that names more than the frame has
 		var w thrift.Writer
-		w.Begin(out, m.Encoding, thrift.Reply, k.request.name, m.Seq)
-		w.Field(thrift.String, 0)
+		w.BeginMessage(out, m.Encoding, thrift.Reply, k.request.name, m.Seq)
+		w.FieldHeader(thrift.String, 0)
 		w.I32(1 << 30)
-		return w.End(), false
+		return w.EndMessage(), false
 	default:
 		return append(out, sound[:l.rng.IntN(len(sound))]...), true
 	}
@@ -255,12 +255,12 @@
 func (m *HostileClients) sendMalformedCall(v *hostileConn, now float64, class string) bool {
 	call := func(dst []byte, name string, patience int64) []byte {
 		var w thrift.Writer
-		w.Begin(dst, m.day.Protocol.encoding(), thrift.Call, name, 1)
-		w.Field(thrift.String, argID)
+		w.BeginMessage(dst, m.day.Protocol.encoding(), thrift.Call, name, 1)
+		w.FieldHeader(thrift.String, argID)
 		w.String(string(appendID(nil, m.rng.Uint64()|1)))
-		w.Field(thrift.I64, argTimeout)
+		w.FieldHeader(thrift.I64, argTimeout)
 		w.I64(patience)
-		return w.End()
+		return w.EndMessage()
 	}
 	out := m.out[:0]
 	switch v.kind {
--- a/internal/featureconfig/thrift.go
+++ b/internal/featureconfig/thrift.go
@@ -109,5 +109,5 @@
 		}
 		p = append(p, int16(n))
 	}
-	return p, len(p) <= thrift.MostDepth/2
+	return p, len(p) <= thrift.MaxDepth/2
 }
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -222,20 +222,20 @@
 		all[enc.String()] = way{port: 2,
 			ask: func(class string, i int) []byte {
 				var w thrift.Writer
-				w.Begin(nil, enc, thrift.Call, class, int32(i))
-				w.Field(thrift.String, 1)
+				w.BeginMessage(nil, enc, thrift.Call, class, int32(i))
+				w.FieldHeader(thrift.String, 1)
 				w.String(fmt.Sprintf("%016x", i))
-				w.Field(thrift.String, 2)
+				w.FieldHeader(thrift.String, 2)
 				w.String("k")
-				w.Field(thrift.I64, 3)
+				w.FieldHeader(thrift.I64, 3)
 				w.I64(9_900_000)
-				w.Field(thrift.I32, 4)
+				w.FieldHeader(thrift.I32, 4)
 				w.I32(7)
-				return w.End()
+				return w.EndMessage()
 			},
 			answer: func(does string) func(dst, asked []byte) []byte {
 				return func(dst, asked []byte) []byte {
-					m, err := thrift.Read(asked[4:])
+					m, err := thrift.ParseMessage(asked[4:])
 					if err != nil {
 						panic(err)
 					}
@@ -246,18 +246,18 @@
 						return thrift.AppendException(dst, enc, string(m.Name), m.Seq, thrift.InternalError, "not started")
 					}
 					var w thrift.Writer
-					w.Begin(dst, enc, thrift.Reply, string(m.Name), m.Seq)
-					w.Field(thrift.String, 0)
+					w.BeginMessage(dst, enc, thrift.Reply, string(m.Name), m.Seq)
+					w.FieldHeader(thrift.String, 0)
 					w.String(reading)
-					return w.End()
+					return w.EndMessage()
 				}
 			},
 			status: func(said []byte) int {
-				m, err := thrift.Read(said[4:])
+				m, err := thrift.ParseMessage(said[4:])
 				if err != nil || m.Kind == thrift.Reply {
 					return 200
 				}
-				kind, _, _ := m.Exception()
+				kind, _, _ := m.DecodeException()
 				return map[int32]int{thrift.LoadShedding: 503, thrift.InternalError: 502, thrift.TimedOutException: 504}[kind]
 			}}
 	}
@@ -318,8 +318,8 @@
 	message := func(kind thrift.Kind, name string, add int32) func([]byte, *thrift.Message) []byte {
 		return func(_ []byte, m *thrift.Message) []byte {
 			var w thrift.Writer
-			w.Begin(nil, m.Encoding, kind, name, m.Seq+add)
-			return w.End()
+			w.BeginMessage(nil, m.Encoding, kind, name, m.Seq+add)
+			return w.EndMessage()
 		}
 	}
 	for name, reply := range map[string]func(sound []byte, m *thrift.Message) []byte{
@@ -344,7 +344,7 @@
 				if n.sent > 0 {
 					return sound
 				}
-				m, err := thrift.Read(asked[4:])
+				m, err := thrift.ParseMessage(asked[4:])
 				require.NoError(t, err)
 				odd := reply(sound, &m)
 				return bytes.Replace(odd, []byte("\x01m\x00"), append([]byte{byte(len(class))}, class+"\x00"...), 1)
--- a/internal/frontend/thrift/call.go
+++ b/internal/frontend/thrift/call.go
@@ -17,7 +17,7 @@
 func newCall(f *Frontend, m thrift.Message) *call {
 	c := &call{front: f}
 	raw := append([]byte(nil), m.Raw...)
-	c.message = m.Moved(raw)
+	c.message = m.WithRaw(raw)
 	return c
 }
 
--- a/internal/frontend/thrift/clientconn.go
+++ b/internal/frontend/thrift/clientconn.go
@@ -21,11 +21,11 @@
 
 // ReadRequest takes one message off the buffer. It lies there until Take, which comes before any more bytes.
 func (c *clientConn) ReadRequest(buf *buffer.Buffer) (bool, error) {
-	payload, size, err := thrift.Frame(buf.Bytes(), maxFrameBytes)
+	payload, size, err := thrift.CutFrame(buf.Bytes(), maxFrameBytes)
 	if err != nil || size == 0 {
 		return false, err
 	}
-	if c.message, err = thrift.Read(payload); err != nil {
+	if c.message, err = thrift.ParseMessage(payload); err != nil {
 		return false, err
 	}
 	buf.Discard(size)
@@ -60,7 +60,7 @@
 	if class != nil {
 		paths = class.paths
 	}
-	var found [thrift.MostPaths]thrift.Value
+	var found [thrift.MaxPaths]thrift.Value
 	if err := m.Find(paths, &found); err != nil {
 		c.rejectAndClose(thrift.ProtocolError, err.Error())
 		return
--- a/internal/frontend/thrift/exchange.go
+++ b/internal/frontend/thrift/exchange.go
@@ -29,17 +29,17 @@
 // AppendRequest writes the call as it came, but for the sequence number: what it says of the client's patience goes on unchanged.
 func (x *exchange) AppendRequest(dst []byte, _, _ float64) []byte {
 	x.sequence = x.call.front.nextSequence()
-	return x.call.message.AppendAs(dst, x.sequence)
+	return x.call.message.AppendWithSeq(dst, x.sequence)
 }
 
 // ReadRequest takes a reply that is whole. What makes no sense, or answers another call, says that the server has come to this one.
 func (x *exchange) ReadResponse(buf *buffer.Buffer) (bool, error) {
 	x.hasBegun = x.hasBegun || buf.Len() > 0
-	payload, size, err := thrift.Frame(buf.Bytes(), maxFrameBytes)
+	payload, size, err := thrift.CutFrame(buf.Bytes(), maxFrameBytes)
 	if err != nil || size == 0 {
 		return false, err
 	}
-	m, err := thrift.Read(payload)
+	m, err := thrift.ParseMessage(payload)
 	if err != nil {
 		return false, err
 	}
@@ -48,12 +48,12 @@
 	}
 	x.outcome = policy.OK
 	if m.Kind == thrift.Exception {
-		_, text, err := m.Exception()
+		_, text, err := m.DecodeException()
 		if err != nil {
 			return false, err
 		}
 		x.outcome = x.call.front.exceptionOutcome(text)
-	} else if err := m.Check(); err != nil {
+	} else if err := m.Validate(); err != nil {
 		return false, err
 	}
 	x.reply = m
--- a/internal/frontend/thrift/probe.go
+++ b/internal/frontend/thrift/probe.go
@@ -15,8 +15,8 @@
 		return nil
 	}
 	var w thrift.Writer
-	w.Begin(nil, thrift.Binary, thrift.Call, f.config.Probe, 0)
-	m, err := thrift.Read(w.End()[4:])
+	w.BeginMessage(nil, thrift.Binary, thrift.Call, f.config.Probe, 0)
+	m, err := thrift.ParseMessage(w.EndMessage()[4:])
 	if err != nil {
 		panic(err) // it is ours
 	}
@@ -29,9 +29,9 @@
 // lives all the same.
 func (x *probe) Result() (policy.Outcome, policy.Report, bool) {
 	outcome, report, keep := x.exchange.Result()
-	var found [thrift.MostPaths]thrift.Value
+	var found [thrift.MaxPaths]thrift.Value
 	if x.reply.Kind == thrift.Exception {
-		if kind, _, err := x.reply.Exception(); err == nil && kind == thrift.UnknownMethod {
+		if kind, _, err := x.reply.DecodeException(); err == nil && kind == thrift.UnknownMethod {
 			outcome = policy.OK
 		}
 	} else if f := x.call.front; f.settings.Policy.ReportsOnProbe && x.reply.Find(resultPaths, &found) == nil {
--- a/internal/frontend/thrift/response.go
+++ b/internal/frontend/thrift/response.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if c.message.Kind != thrift.Oneway {
-		dst = x.(*exchange).reply.AppendAs(dst, c.message.Seq)
+		dst = x.(*exchange).reply.AppendWithSeq(dst, c.message.Seq)
 	}
 	c.EndResponse(dst)
 }
--- a/internal/thrift/apache_test.go
+++ b/internal/thrift/apache_test.go
@@ -22,7 +22,7 @@
 // passOn reads a value and writes it again.
 func passOn(r *Reader, w *Writer, t Type, depth int) error {
 	if depth <= 0 {
-		return ErrDepth
+		return ErrTooDeep
 	}
 	n := 0
 	elements := func(t ...Type) (err error) {
@@ -67,42 +67,42 @@
 		}
 		return err
 	case Struct:
-		w.Open()
+		w.BeginStruct()
 		for id := int16(0); ; {
-			t, err := r.Field(&id)
+			t, err := r.FieldHeader(&id)
 			if err != nil || t == Stop {
-				w.Close()
+				w.EndStruct()
 				return err
 			}
-			w.Field(t, id)
+			w.FieldHeader(t, id)
 			if err := passOn(r, w, t, depth-1); err != nil {
 				return err
 			}
 		}
 	case Map:
-		k, v, size, err := r.MapHead()
+		k, v, size, err := r.MapHeader()
 		if n = size; err != nil {
 			return err
 		}
-		w.MapHead(k, v, n)
+		w.MapHeader(k, v, n)
 		return elements(k, v)
 	case List, Set:
-		e, size, err := r.ListHead()
+		e, size, err := r.ListHeader()
 		if n = size; err != nil {
 			return err
 		}
-		w.ListHead(e, n)
+		w.ListHeader(e, n)
 		return elements(e)
 	}
-	return ErrType
+	return ErrUnknownType
 }
 
 // both reads a payload with this package and with the Apache library, and returns what each makes of it, written again by
 // itself: "" where it does not take it for a message.
 func both(payload []byte, to Encoding) (own, other string) {
-	if m, err := Read(payload); err == nil {
+	if m, err := ParseMessage(payload); err == nil {
 		r, w := m.Body(), Writer{enc: to}
-		if err := passOn(&r, &w, Struct, MostDepth); err == nil && r.Left() == 0 {
+		if err := passOn(&r, &w, Struct, MaxDepth); err == nil && r.Remaining() == 0 {
 			own = fmt.Sprintf("%s %d %d %x", m.Name, m.Kind, m.Seq, w.b)
 		}
 	}
@@ -152,21 +152,21 @@
 			assert.Equal(t, other, own, names[i])
 			assert.Equal(t, sound[i], own != "", names[i])
 		}
-		m, err := Read(p)
-		assert.Equal(t, sound[i], err == nil && m.Check() == nil, "%s: %v", names[i], err)
+		m, err := ParseMessage(p)
+		assert.Equal(t, sound[i], err == nil && m.Validate() == nil, "%s: %v", names[i], err)
 		if !sound[i] {
 			continue
 		}
 		for _, seq := range []int32{0, 1, 300, -1, 1<<31 - 1} {
-			framed := m.AppendAs([]byte("x"), seq)[1:]
+			framed := m.AppendWithSeq([]byte("x"), seq)[1:]
 			for cut := range len(framed) {
-				_, size, err := Frame(framed[:cut], 1<<16)
+				_, size, err := CutFrame(framed[:cut], 1<<16)
 				assert.True(t, size == 0 && err == nil, "%s cut at %d", names[i], cut)
 			}
-			payload, size, err := Frame(append(framed, framed...), 1<<16)
+			payload, size, err := CutFrame(append(framed, framed...), 1<<16)
 			require.NoError(t, err)
 			assert.Equal(t, len(framed), size)
-			again, err := Read(payload)
+			again, err := ParseMessage(payload)
 			require.NoError(t, err)
 			assert.Equal(t, []any{seq, m.Name, m.Raw[m.body:]}, []any{again.Seq, again.Name, again.Raw[again.body:]})
 		}
@@ -242,19 +242,19 @@
 		f.Add(p, int16(1), int16(2))
 	}
 	f.Fuzz(func(t *testing.T, b []byte, one, two int16) {
-		m, err := Read(b)
+		m, err := ParseMessage(b)
 		if err != nil {
 			return
 		}
-		var found [MostPaths]Value
+		var found [MaxPaths]Value
 		err = m.Find([]Path{{one}, {one, two}, {two}, {two, one, one}}, &found)
-		if checked := m.Check(); err == nil && checked != nil || err != nil && !errors.Is(err, ErrTwice) && checked == nil {
+		if checked := m.Validate(); err == nil && checked != nil || err != nil && !errors.Is(err, ErrDuplicateField) && checked == nil {
 			t.Fatalf("found %v, checked %v", err, checked)
 		} else if checked != nil {
 			return
 		}
-		again, err := Read(m.AppendAs(nil, m.Seq^0x55)[4:])
-		if err != nil || again.Check() != nil || string(again.Name) != string(m.Name) || again.Seq != m.Seq^0x55 {
+		again, err := ParseMessage(m.AppendWithSeq(nil, m.Seq^0x55)[4:])
+		if err != nil || again.Validate() != nil || string(again.Name) != string(m.Name) || again.Seq != m.Seq^0x55 {
 			t.Fatalf("passed on as %x: %v", again.Raw, err)
 		}
 	})
--- a/internal/thrift/message.go
+++ b/internal/thrift/message.go
@@ -18,16 +18,16 @@
 // Frame takes the first frame off b, which holds what has come so far: its payload, and how many bytes it takes in b; 0: it
 // is not whole. A frame holds no more than most bytes. Danger: what is no frame need never be whole, and is found out here
 // by its first bytes.
-func Frame(b []byte, most int) (payload []byte, size int, err error) {
-	if len(b) > 0 && b[0] != 0 && most < 1<<24 {
-		return nil, 0, ErrFrame
+func CutFrame(b []byte, maxSize int) (payload []byte, size int, err error) {
+	if len(b) > 0 && b[0] != 0 && maxSize < 1<<24 {
+		return nil, 0, ErrFrameSize
 	}
 	if len(b) < 4 {
 		return nil, 0, nil
 	}
 	n := binary.BigEndian.Uint32(b)
-	if n == 0 || n > uint32(most) {
-		return nil, 0, ErrFrame
+	if n == 0 || n > uint32(maxSize) {
+		return nil, 0, ErrFrameSize
 	}
 	if len(b) > 4 && b[4] != 0x80 && b[4] != compactID && b[4] != 0 {
 		return nil, 0, ErrProtocol
@@ -46,12 +46,12 @@
 )
 
 // Read reads a message's head, and what follows it for no more than where it begins.
-func Read(payload []byte) (Message, error) {
+func ParseMessage(payload []byte) (Message, error) {
 	m := Message{Raw: payload}
 	var err error
 	switch r := (Reader{b: payload}); {
 	case len(payload) == 0:
-		return m, ErrShort
+		return m, ErrTruncated
 	case payload[0] == compactID:
 		r.enc = Compact
 		err = m.compact(&r)
@@ -62,7 +62,7 @@
 		err = m.strict(&r)
 	}
 	if err == nil && (m.Kind < Call || m.Kind > Oneway) {
-		err = ErrKind
+		err = ErrUnknownKind
 	}
 	return m, err
 }
@@ -131,7 +131,7 @@
 }
 
 // Moved returns a message whose bytes have been copied elsewhere.
-func (m *Message) Moved(raw []byte) Message {
+func (m *Message) WithRaw(raw []byte) Message {
 	to := *m
 	to.Raw = raw
 	to.Name = raw[m.nameAt : m.nameAt+len(m.Name)]
@@ -142,19 +142,19 @@
 func (m *Message) Body() Reader { return Reader{b: m.Raw, at: m.body, enc: m.Encoding} }
 
 // Check reads a message to its end and says what is wrong with it.
-func (m *Message) Check() error {
+func (m *Message) Validate() error {
 	r := m.Body()
 	if err := r.Skip(Struct); err != nil {
 		return err
 	}
-	if r.Left() > 0 {
-		return ErrLong
+	if r.Remaining() > 0 {
+		return ErrTrailingBytes
 	}
 	return nil
 }
 
 // AppendAs appends a message as a frame, with another sequence number.
-func (m *Message) AppendAs(dst []byte, seq int32) []byte {
+func (m *Message) AppendWithSeq(dst []byte, seq int32) []byte {
 	start := len(dst)
 	dst = append(append(dst, 0, 0, 0, 0), m.Raw[:m.seqAt]...)
 	if m.Encoding == Compact {
--- a/internal/thrift/reader.go
+++ b/internal/thrift/reader.go
@@ -14,12 +14,12 @@
 }
 
 // Left returns how many bytes have not been read.
-func (r *Reader) Left() int { return len(r.b) - r.at }
+func (r *Reader) Remaining() int { return len(r.b) - r.at }
 
 // fixed takes n bytes.
 func (r *Reader) fixed(n int) ([]byte, error) {
 	if n > len(r.b)-r.at {
-		return nil, ErrShort
+		return nil, ErrTruncated
 	}
 	r.at += n
 	return r.b[r.at-n : r.at], nil
@@ -34,7 +34,7 @@
 	var v uint64
 	for i := range mostVarint {
 		if r.at >= len(r.b) {
-			return 0, ErrShort
+			return 0, ErrTruncated
 		}
 		c := r.b[r.at]
 		r.at++
@@ -43,7 +43,7 @@
 			return v, nil
 		}
 	}
-	return 0, ErrVarint
+	return 0, ErrVarintSize
 }
 
 // zigzag reads a signed number of the compact protocol.
@@ -66,7 +66,7 @@
 // Byte reads a byte, which Thrift takes for signed.
 func (r *Reader) Byte() (int8, error) {
 	if r.at >= len(r.b) {
-		return 0, ErrShort
+		return 0, ErrTruncated
 	}
 	r.at++
 	return int8(r.b[r.at-1]), nil
@@ -152,7 +152,7 @@
 		n = int32(binary.BigEndian.Uint32(b))
 	}
 	if n < 0 {
-		return 0, ErrSize
+		return 0, ErrNegativeSize
 	}
 	return int(n), nil
 }
@@ -164,9 +164,9 @@
 
 // Field reads a field's head; Stop is the struct's end. last is the id of the field before it, 0 at first, and becomes this
 // one's.
-func (r *Reader) Field(last *int16) (Type, error) {
+func (r *Reader) FieldHeader(last *int16) (Type, error) {
 	if r.at >= len(r.b) {
-		return 0, ErrShort
+		return 0, ErrTruncated
 	}
 	c := r.b[r.at]
 	r.at++
@@ -191,7 +191,7 @@
 		}
 	}
 	if t == noType {
-		return 0, ErrType
+		return 0, ErrUnknownType
 	}
 	if t == Bool {
 		r.truth = c & 0xf
@@ -200,9 +200,9 @@
 }
 
 // ListHead reads the head of a list or set: the type of its elements, and how many there are.
-func (r *Reader) ListHead() (t Type, n int, err error) {
+func (r *Reader) ListHeader() (t Type, n int, err error) {
 	if r.at >= len(r.b) {
-		return 0, 0, ErrShort
+		return 0, 0, ErrTruncated
 	}
 	c := r.b[r.at]
 	r.at++
@@ -211,7 +211,7 @@
 		n, err = r.size()
 	} else {
 		if t = compactTypes[c&0xf]; t == noType {
-			return 0, 0, ErrType
+			return 0, 0, ErrUnknownType
 		}
 		if n = int(c >> 4); n == 15 {
 			n, err = r.size()
@@ -224,7 +224,7 @@
 }
 
 // MapHead reads the head of a map: the types of keys and values, and how many pairs there are.
-func (r *Reader) MapHead() (key, value Type, n int, err error) {
+func (r *Reader) MapHeader() (key, value Type, n int, err error) {
 	if r.enc != Compact {
 		types, err := r.fixed(2)
 		if err != nil {
@@ -246,7 +246,7 @@
 		key, value = compactTypes[types[0]>>4], compactTypes[types[0]&0xf]
 	}
 	if key.least(r.enc) == 0 || value.least(r.enc) == 0 {
-		return 0, 0, 0, ErrType
+		return 0, 0, 0, ErrUnknownType
 	}
 	return key, value, n, r.holds(n, key.least(r.enc)+value.least(r.enc))
 }
@@ -255,10 +255,10 @@
 // a message names is out of memory before the first is read.
 func (r *Reader) holds(n, least int) error {
 	if least == 0 {
-		return ErrType
+		return ErrUnknownType
 	}
-	if n > r.Left()/least {
-		return ErrShort
+	if n > r.Remaining()/least {
+		return ErrTruncated
 	}
 	return nil
 }
--- a/internal/thrift/skip.go
+++ b/internal/thrift/skip.go
@@ -3,12 +3,12 @@
 import "math/bits"
 
 // Skip passes over a value of a type.
-func (r *Reader) Skip(t Type) error { return r.skip(t, MostDepth) }
+func (r *Reader) Skip(t Type) error { return r.skip(t, MaxDepth) }
 
 // skip passes over a value within which others lie so deep at most.
 func (r *Reader) skip(t Type, depth int) error {
 	if depth <= 0 {
-		return ErrDepth
+		return ErrTooDeep
 	}
 	var err error
 	switch t {
@@ -29,7 +29,7 @@
 	case Struct:
 		var id int16
 		for {
-			t, err := r.Field(&id)
+			t, err := r.FieldHeader(&id)
 			if err != nil || t == Stop {
 				return err
 			}
@@ -38,7 +38,7 @@
 			}
 		}
 	case Map:
-		key, value, n, err := r.MapHead()
+		key, value, n, err := r.MapHeader()
 		if err != nil {
 			return err
 		}
@@ -51,7 +51,7 @@
 			}
 		}
 	case List, Set:
-		t, n, err := r.ListHead()
+		t, n, err := r.ListHeader()
 		if err != nil {
 			return err
 		}
@@ -61,7 +61,7 @@
 			}
 		}
 	default:
-		return ErrType
+		return ErrUnknownType
 	}
 	return err
 }
@@ -78,11 +78,11 @@
 }
 
 // MostPaths can be asked for at a time.
-const MostPaths = 8
+const MaxPaths = 8
 
 // Find reads a message to its end, as Check does, and notes the values at the paths on the way, each in the place of its
 // path; what is on none is passed over. A field that is asked for and comes twice is an error: which one counts is a guess.
-func (m *Message) Find(paths []Path, found *[MostPaths]Value) error {
+func (m *Message) Find(paths []Path, found *[MaxPaths]Value) error {
 	var on uint8
 	for i, p := range paths {
 		found[i] = Value{}
@@ -94,17 +94,17 @@
 	if err := r.find(paths, on, 0, found); err != nil {
 		return err
 	}
-	if r.Left() > 0 {
-		return ErrLong
+	if r.Remaining() > 0 {
+		return ErrTrailingBytes
 	}
 	return nil
 }
 
 // find reads a struct on the way to the paths whose bits are set; so many fields of each have led here.
-func (r *Reader) find(paths []Path, on uint8, depth int, found *[MostPaths]Value) error {
+func (r *Reader) find(paths []Path, on uint8, depth int, found *[MaxPaths]Value) error {
 	var id int16
 	for {
-		t, err := r.Field(&id)
+		t, err := r.FieldHeader(&id)
 		if err != nil || t == Stop {
 			return err
 		}
@@ -121,11 +121,11 @@
 		}
 		switch {
 		case here != 0:
-			err = r.note(t, here, MostDepth-depth-1, found)
+			err = r.note(t, here, MaxDepth-depth-1, found)
 		case further != 0 && t == Struct:
 			err = r.find(paths, further, depth+1, found)
 		default:
-			err = r.skip(t, MostDepth-depth-1)
+			err = r.skip(t, MaxDepth-depth-1)
 		}
 		if err != nil {
 			return err
@@ -134,7 +134,7 @@
 }
 
 // note reads a value and notes it for the paths whose bits are set.
-func (r *Reader) note(t Type, here uint8, depth int, found *[MostPaths]Value) (err error) {
+func (r *Reader) note(t Type, here uint8, depth int, found *[MaxPaths]Value) (err error) {
 	v := Value{Type: t}
 	switch t {
 	case Bool:
@@ -168,7 +168,7 @@
 	for ; here != 0 && err == nil; here &= here - 1 {
 		i := bits.TrailingZeros8(here)
 		if found[i].Type != Stop {
-			return ErrTwice
+			return ErrDuplicateField
 		}
 		found[i] = v
 	}
--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -62,7 +62,7 @@
 
 // MostDepth is how deep values may lie within each other, the message's struct counted. It is what the Apache libraries
 // skip to.
-const MostDepth = 64
+const MaxDepth = 64
 
 // Error says why bytes are no message.
 type Error string
@@ -71,16 +71,16 @@
 
 // The errors.
 const (
-	ErrFrame    Error = "a frame of no bytes, or of too many"
-	ErrProtocol Error = "neither the binary nor the compact protocol"
-	ErrKind     Error = "a message of no known kind"
-	ErrShort    Error = "a value that goes on behind the message's end"
-	ErrLong     Error = "bytes behind the message"
-	ErrSize     Error = "a negative size"
-	ErrVarint   Error = "a number of more than 10 bytes"
-	ErrType     Error = "a value of no known type"
-	ErrDepth    Error = "values too deep within each other"
-	ErrTwice    Error = "a field that is asked for comes twice"
+	ErrFrameSize      Error = "a frame of no bytes, or of too many"
+	ErrProtocol       Error = "neither the binary nor the compact protocol"
+	ErrUnknownKind    Error = "a message of no known kind"
+	ErrTruncated      Error = "a value that goes on behind the message's end"
+	ErrTrailingBytes  Error = "bytes behind the message"
+	ErrNegativeSize   Error = "a negative size"
+	ErrVarintSize     Error = "a number of more than 10 bytes"
+	ErrUnknownType    Error = "a value of no known type"
+	ErrTooDeep        Error = "values too deep within each other"
+	ErrDuplicateField Error = "a field that is asked for comes twice"
 )
 
 // The types of a TApplicationException. The Apache libraries name those to 10; the last two are what others use.
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -11,33 +11,33 @@
 // call returns a framed call with an id, a struct with a patience in it, and fields that nobody asks for.
 func call(enc Encoding) []byte {
 	var w Writer
-	w.Begin(nil, enc, Call, "Readings:latestReading", 41)
-	w.Field(Double, 4)
+	w.BeginMessage(nil, enc, Call, "Readings:latestReading", 41)
+	w.FieldHeader(Double, 4)
 	w.Double(3.25)
-	w.Field(String, 8)
+	w.FieldHeader(String, 8)
 	w.String("amman")
-	w.Field(UUID, 9)
+	w.FieldHeader(UUID, 9)
 	w.UUID([16]byte{15: 9})
-	w.Field(Struct, 20)
-	w.Open()
-	w.Field(Map, 1)
-	w.MapHead(String, I32, 1)
+	w.FieldHeader(Struct, 20)
+	w.BeginStruct()
+	w.FieldHeader(Map, 1)
+	w.MapHeader(String, I32, 1)
 	w.String("x")
 	w.I32(3)
-	w.Field(I32, 2)
+	w.FieldHeader(I32, 2)
 	w.I32(480)
-	w.Close()
-	w.Field(String, 31)
+	w.EndStruct()
+	w.FieldHeader(String, 31)
 	w.String("id-1")
-	return w.End()
+	return w.EndMessage()
 }
 
 func TestFrames(t *testing.T) {
 	for text, want := range map[string]error{
-		"\x00\x00\x00\x00":         ErrFrame,
-		"\xff\xff\xff\xff":         ErrFrame, // negative
-		"\x00\x01\x00\x01":         ErrFrame, // above the bound
-		"GET":                      ErrFrame,
+		"\x00\x00\x00\x00":         ErrFrameSize,
+		"\xff\xff\xff\xff":         ErrFrameSize, // negative
+		"\x00\x01\x00\x01":         ErrFrameSize, // above the bound
+		"GET":                      ErrFrameSize,
 		"\x00\x00\x00\x09{":        ErrProtocol,
 		"\x00\x00\x00\x09\x80":     nil,
 		"\x00\x00\x00\x09\x82\x21": nil,
@@ -46,7 +46,7 @@
 		"":                         nil,
 		"\x00\x00":                 nil,
 	} {
-		payload, size, err := Frame([]byte(text), 1<<16)
+		payload, size, err := CutFrame([]byte(text), 1<<16)
 		assert.Equal(t, want, err, "%q", text)
 		assert.True(t, payload == nil && size == 0)
 	}
@@ -56,13 +56,13 @@
 // comes twice is an error.
 func TestFind(t *testing.T) {
 	for _, enc := range []Encoding{Binary, OldBinary, Compact} {
-		payload, _, err := Frame(call(enc), 1<<16)
+		payload, _, err := CutFrame(call(enc), 1<<16)
 		require.NoError(t, err)
-		m, err := Read(payload)
+		m, err := ParseMessage(payload)
 		require.NoError(t, err)
 		assert.Equal(t, "Readings:latestReading", string(m.Name))
 		assert.Equal(t, int32(41), m.Seq)
-		var found [MostPaths]Value
+		var found [MaxPaths]Value
 		require.NoError(t, m.Find([]Path{{31}, {20, 2}, {20, 1}, {8, 1}, nil, {4}, {99}, {9}}, &found))
 		assert.Equal(t, "id-1", string(found[0].Bytes))
 		assert.Equal(t, int64(480), found[1].Int)
@@ -74,23 +74,23 @@
 		assert.Equal(t, byte(9), found[7].Bytes[15])
 
 		var w Writer
-		w.Begin(nil, enc, Call, "a", 1)
+		w.BeginMessage(nil, enc, Call, "a", 1)
 		for range 2 {
-			w.Field(I32, 1)
+			w.FieldHeader(I32, 1)
 			w.I32(1)
 		}
-		twice, err := Read(w.End()[4:])
+		twice, err := ParseMessage(w.EndMessage()[4:])
 		require.NoError(t, err)
-		assert.Equal(t, ErrTwice, twice.Find([]Path{{1}}, &found))
+		assert.Equal(t, ErrDuplicateField, twice.Find([]Path{{1}}, &found))
 		assert.NoError(t, twice.Find([]Path{{2}}, &found))
 	}
 }
 
 func TestExceptions(t *testing.T) {
 	for _, enc := range []Encoding{Binary, OldBinary, Compact} {
-		m, err := Read(AppendException(nil, enc, "m", -9, LoadShedding, "throttled")[4:])
+		m, err := ParseMessage(AppendException(nil, enc, "m", -9, LoadShedding, "throttled")[4:])
 		require.NoError(t, err)
-		kind, text, err := m.Exception()
+		kind, text, err := m.DecodeException()
 		require.NoError(t, err)
 		assert.Equal(t, []any{Exception, int32(-9), int32(LoadShedding), "throttled"}, []any{m.Kind, m.Seq, kind, string(text)})
 	}
@@ -102,21 +102,21 @@
 	for range 10_000 {
 		deep = append(deep, 0x1c)
 	}
-	m, err := Read(deep)
+	m, err := ParseMessage(deep)
 	require.NoError(t, err)
-	assert.Equal(t, ErrDepth, m.Check())
+	assert.Equal(t, ErrTooDeep, m.Validate())
 	lists := []byte{0x82, 0x21, 1, 1, 'a', 0x19}
 	for range 10_000 {
 		lists = append(lists, 0x19)
 	}
-	m, err = Read(lists)
+	m, err = ParseMessage(lists)
 	require.NoError(t, err)
-	assert.Equal(t, ErrDepth, m.Check())
+	assert.Equal(t, ErrTooDeep, m.Validate())
 	lie := append([]byte{0x80, 1, 0, 1, 0, 0, 0, 1, 'a', 0, 0, 0, 1, byte(List), 0, 1, byte(I64)}, 0x7f, 0xff, 0xff, 0xff)
-	m, err = Read(lie)
+	m, err = ParseMessage(lie)
 	require.NoError(t, err)
-	assert.Zero(t, testing.AllocsPerRun(100, func() { err = m.Check() }))
-	assert.Equal(t, ErrShort, err)
+	assert.Zero(t, testing.AllocsPerRun(100, func() { err = m.Validate() }))
+	assert.Equal(t, ErrTruncated, err)
 }
 
 // A message that is read, looked into and passed on allocates nothing.
@@ -125,13 +125,13 @@
 	for _, enc := range []Encoding{Binary, OldBinary, Compact} {
 		framed, out := call(enc), make([]byte, 0, 1<<10)
 		assert.Zero(t, testing.AllocsPerRun(100, func() {
-			payload, _, _ := Frame(framed, 1<<16)
-			m, _ := Read(payload)
-			var found [MostPaths]Value
+			payload, _, _ := CutFrame(framed, 1<<16)
+			m, _ := ParseMessage(payload)
+			var found [MaxPaths]Value
 			if m.Find(paths, &found) != nil || found[1].Int != 480 {
 				t.Fail()
 			}
-			out = m.AppendAs(out[:0], 1<<20)
+			out = m.AppendWithSeq(out[:0], 1<<20)
 		}), enc)
 		assert.Equal(t, len(out)-4, int(binary.BigEndian.Uint32(out)))
 	}
@@ -144,9 +144,9 @@
 			b.SetBytes(int64(len(framed)))
 			b.ReportAllocs()
 			for b.Loop() {
-				payload, _, _ := Frame(framed, 1<<16)
-				m, _ := Read(payload)
-				var found [MostPaths]Value
+				payload, _, _ := CutFrame(framed, 1<<16)
+				m, _ := ParseMessage(payload)
+				var found [MaxPaths]Value
 				_ = m.Find([]Path{{31}, {20, 2}}, &found)
 			}
 		})
--- a/internal/thrift/writer.go
+++ b/internal/thrift/writer.go
@@ -11,14 +11,14 @@
 	b     []byte
 	enc   Encoding
 	start int // of the frame
-	ids   [MostDepth + 1]int16
+	ids   [MaxDepth + 1]int16
 	depth int
 	field int16 // id of a compact bool field whose head waits for its value
 	waits bool
 }
 
 // Begin begins a frame behind dst, with a message whose struct's fields follow.
-func (w *Writer) Begin(dst []byte, enc Encoding, kind Kind, name string, seq int32) {
+func (w *Writer) BeginMessage(dst []byte, enc Encoding, kind Kind, name string, seq int32) {
 	*w = Writer{b: append(dst, 0, 0, 0, 0), enc: enc, start: len(dst)}
 	switch enc {
 	case Binary:
@@ -37,20 +37,20 @@
 }
 
 // End ends the message's struct and its frame, and returns all bytes.
-func (w *Writer) End() []byte {
+func (w *Writer) EndMessage() []byte {
 	w.b = append(w.b, byte(Stop))
 	binary.BigEndian.PutUint32(w.b[w.start:], uint32(len(w.b)-w.start-4))
 	return w.b
 }
 
 // Open begins a struct within, Close ends it.
-func (w *Writer) Open() {
+func (w *Writer) BeginStruct() {
 	w.depth++
 	w.ids[w.depth] = 0
 }
 
 // Close ends a struct.
-func (w *Writer) Close() {
+func (w *Writer) EndStruct() {
 	w.depth--
 	w.b = append(w.b, byte(Stop))
 }
@@ -66,7 +66,7 @@
 }
 
 // Field begins a field.
-func (w *Writer) Field(t Type, id int16) {
+func (w *Writer) FieldHeader(t Type, id int16) {
 	switch {
 	case w.enc != Compact:
 		w.b = binary.BigEndian.AppendUint16(append(w.b, byte(t)), uint16(id))
@@ -168,7 +168,7 @@
 func (w *Writer) UUID(v [16]byte) { w.b = append(w.b, v[:]...) }
 
 // ListHead begins a list or set of n elements.
-func (w *Writer) ListHead(t Type, n int) {
+func (w *Writer) ListHeader(t Type, n int) {
 	switch {
 	case w.enc != Compact:
 		w.b = append(w.b, byte(t))
@@ -182,7 +182,7 @@
 }
 
 // MapHead begins a map of n pairs.
-func (w *Writer) MapHead(key, value Type, n int) {
+func (w *Writer) MapHeader(key, value Type, n int) {
 	if w.enc != Compact {
 		w.b = append(w.b, byte(key), byte(value))
 		w.size(n)
@@ -196,19 +196,19 @@
 // AppendException appends a reply that is a TApplicationException.
 func AppendException(dst []byte, enc Encoding, name string, seq int32, kind int32, text string) []byte {
 	var w Writer
-	w.Begin(dst, enc, Exception, name, seq)
-	w.Field(String, 1)
+	w.BeginMessage(dst, enc, Exception, name, seq)
+	w.FieldHeader(String, 1)
 	w.String(text)
-	w.Field(I32, 2)
+	w.FieldHeader(I32, 2)
 	w.I32(kind)
-	return w.End()
+	return w.EndMessage()
 }
 
 var exceptionPaths = []Path{{1}, {2}}
 
 // Exception reads a TApplicationException. Its text lies where the message does.
-func (m *Message) Exception() (kind int32, text []byte, err error) {
-	var found [MostPaths]Value
+func (m *Message) DecodeException() (kind int32, text []byte, err error) {
+	var found [MaxPaths]Value
 	if err = m.Find(exceptionPaths, &found); err != nil {
 		return 0, nil, err
 	}
