--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -13,7 +13,7 @@
 var limits = Limits{HeadBytes: 200, BufferedBodyBytes: 20}
 
 // status of an error; 0 for none.
-func status(err error) int {
+func errorStatus(err error) int {
 	var e *Error
 	if errors.As(err, &e) {
 		return e.Status
@@ -22,7 +22,7 @@
 }
 
 // pieces feeds text in pieces of each size from 1, so that every bound falls everywhere.
-func pieces(text string, f func(feed func(next func(*Buffer) bool))) {
+func feedInPieces(text string, f func(feed func(next func(*Buffer) bool))) {
 	for size := 1; size <= len(text); size++ {
 		f(func(next func(*Buffer) bool) {
 			var buf Buffer
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestRequests(t *testing.T) {
+func TestRequestParser(t *testing.T) {
 	const host = "Host: h\r\n"
 	for _, c := range []struct {
 		name, text string
@@ -74,7 +74,7 @@
 		{"long line", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", 300), nil, 431},
 		{"many lines", "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 50), nil, 431},
 	} {
-		pieces(c.text, func(feed func(func(*Buffer) bool)) {
+		feedInPieces(c.text, func(feed func(func(*Buffer) bool)) {
 			p := NewRequestParser(limits)
 			var bodies []string
 			var err error
@@ -87,7 +87,7 @@
 					bodies = append(bodies, string(p.Body))
 				}
 			})
-			require.Equal(t, c.status, status(err), c.name)
+			require.Equal(t, c.status, errorStatus(err), c.name)
 			if c.status == 0 {
 				require.Equal(t, c.bodies, bodies, c.name)
 			}
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestResponses(t *testing.T) {
+func TestResponseParser(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		body       string
@@ -116,7 +116,7 @@
 		{"status", "HTTP/1.1 2x0 OK\r\n\r\n", "", false, false, true},
 		{"past the bound", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 21), "", false, false, true},
 	} {
-		pieces(c.text, func(feed func(func(*Buffer) bool)) {
+		feedInPieces(c.text, func(feed func(func(*Buffer) bool)) {
 			p := NewResponseParser(limits)
 			var whole bool
 			var err error
@@ -142,7 +142,7 @@
 }
 
 // Noise is known by its first bytes, though no line of it ever ends.
-func TestNoiseIsKnownEarly(t *testing.T) {
+func TestResponseParserRejectsNoiseEarly(t *testing.T) {
 	for text, bad := range map[string]bool{"": false, "HT": false, "\r\nHTTP/1.1 2": false, "HTTP/1.1 200 OK\r\nA": false,
 		"HTTQ": true, "\x00\xff": true, "HTTP/2.0 200 OK\r\n": true, "HTTP/1.1 2x0 OK\r\nA": true,
 		"HTTP/1.1 100 C\r\n\r\nx": true} {
@@ -153,13 +153,13 @@
 	}
 }
 
-func TestEndToEnd(t *testing.T) {
+func TestEndToEndDropsHopByHopFields(t *testing.T) {
 	h := Header{{"Connection", "x-one, close"}, {"X-One", "1"}, {"X-Two", "2"}, {"Transfer-Encoding", "chunked"}}
 	assert.Equal(t, Header{{"X-Two", "2"}}, h.EndToEnd())
 }
 
 // rewrite writes a request as it is passed on and reads that again.
-func rewrite(t *testing.T, p *RequestParser) {
+func checkRoundTrip(t *testing.T, p *RequestParser) {
 	again, buf := NewRequestParser(Limits{HeadBytes: 1000, BufferedBodyBytes: 20}), Buffer{}
 	h := p.Header.EndToEnd()
 	if !slices.ContainsFunc(h, func(f Field) bool { return strings.EqualFold(f.Name, "Host") }) {
@@ -168,7 +168,7 @@
 	buf.Write(AppendRequest(nil, p.Method, p.Target, h, p.Body))
 	whole, err := again.Next(&buf)
 	if !whole || err != nil || string(again.Body) != string(p.Body) || again.Target != p.Target {
-		t.Fatalf("%q was written as %q: %v", p.first, again.first, err)
+		t.Fatalf("%q was written as %q: %v", p.startLine, again.startLine, err)
 	}
 }
 
@@ -188,7 +188,7 @@
 			b.Write(piece)
 			for whole := true; whole && reqErr == nil; {
 				if whole, reqErr = req.Next(&a); whole {
-					rewrite(t, &req)
+					checkRoundTrip(t, &req)
 				}
 			}
 			if respErr == nil {
@@ -198,14 +198,14 @@
 				t.Fatal("more than the limit is held")
 			}
 		}
-		if reqErr != nil && status(reqErr) == 0 {
+		if reqErr != nil && errorStatus(reqErr) == 0 {
 			t.Fatalf("an error without a status: %v", reqErr)
 		}
 	})
 }
 
 // A target in absolute form is one in origin form, and its authority the host.
-func TestAbsoluteForm(t *testing.T) {
+func TestAbsoluteFormIsConverted(t *testing.T) {
 	for target, want := range map[string][2]string{
 		"http://service.internal/latest-reading/7?a=b": {"/latest-reading/7?a=b", "service.internal"},
 		"HTTP://h:80":           {"/", "h:80"},
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -103,12 +103,12 @@
 
 // EndToEnd returns the fields that a proxy passes on; of those that Connection names, only the ones in spite. The result
 // is the caller's.
-func (h Header) EndToEnd(spite ...string) Header {
+func (h Header) EndToEnd(except ...string) Header {
 	kept := make(Header, 0, len(h)+1)
-	names := h.Get("Connection") != ""
+	hasConnection := h.Get("Connection") != ""
 	for _, f := range h {
 		named := func(name string) bool { return strings.EqualFold(name, f.Name) }
-		if !IsHopByHop(f.Name) && (!names || !h.containsToken("Connection", f.Name) || slices.ContainsFunc(spite, named)) {
+		if !IsHopByHop(f.Name) && (!hasConnection || !h.containsToken("Connection", f.Name) || slices.ContainsFunc(except, named)) {
 			kept = append(kept, f)
 		}
 	}
@@ -134,52 +134,52 @@
 	Header Header
 	Body   []byte // for a stream the reader may take bytes off its front
 
-	limits Limits
-	stage  stage
-	line   int // bytes of the present line that hold no end
-	taken  int // bytes of lines, against the limit
-	first  string
-	left   int // bytes of the body or chunk to come
-	length int // of the body; -1: it is not told
-	came   int // bytes of the body that have come
-	chunks bool
-	minor  int
+	limits         Limits
+	stage          stage
+	scannedBytes   int // bytes of the present line that hold no end
+	lineBytes      int // bytes of lines, against the limit
+	startLine      string
+	remaining      int // bytes of the body or chunk to come
+	declaredLength int // of the body; -1: it is not told
+	receivedBody   int // bytes of the body that have come
+	isChunked      bool
+	minorVersion   int
 }
 
 // reset makes ready for the next message; the body's memory is not used again, somebody may hold it.
 func (m *message) reset() { *m = message{limits: m.limits} }
 
 // nextLine takes one line off buf, without its end.
-func (m *message) nextLine(buf *Buffer) (line []byte, ok bool, err error) {
+func (m *message) readLine(buf *Buffer) (line []byte, ok bool, err error) {
 	raw := buf.Bytes()
-	end := bytes.IndexByte(raw[m.line:], '\n')
+	end := bytes.IndexByte(raw[m.scannedBytes:], '\n')
 	if end < 0 {
-		m.line = len(raw)
-		if m.taken+m.line > m.limits.HeadBytes {
+		m.scannedBytes = len(raw)
+		if m.lineBytes+m.scannedBytes > m.limits.HeadBytes {
 			return nil, false, &Error{431, "head too large"}
 		}
 		return nil, false, nil
 	}
-	end += m.line
-	if m.taken += end + 1; m.taken > m.limits.HeadBytes {
+	end += m.scannedBytes
+	if m.lineBytes += end + 1; m.lineBytes > m.limits.HeadBytes {
 		return nil, false, &Error{431, "head too large"}
 	}
 	// A bare line feed is an end to some readers and not to others: two that disagree see two messages.
 	if end == 0 || raw[end-1] != '\r' {
 		return nil, false, malformed("line without carriage return")
 	}
-	m.line = 0
+	m.scannedBytes = 0
 	buf.Discard(end + 1)
 	return raw[:end-1], true, nil
 }
 
 // next reads on; start takes a whole head and finds the stage after it, or that another head follows.
-func (m *message) next(buf *Buffer, start func() error) (bool, error) {
+func (m *message) advance(buf *Buffer, parseHead func() error) (bool, error) {
 	for m.stage == inHead {
 		if done, err := m.readHead(buf); err != nil || !done {
 			return false, err
 		}
-		if err := start(); err != nil {
+		if err := parseHead(); err != nil {
 			return false, err
 		}
 	}
@@ -189,28 +189,28 @@
 
 // readHead takes lines until the head is whole.
 func (m *message) readHead(buf *Buffer) (done bool, err error) {
-	if done, err = m.readWholeHead(buf); done || err != nil {
+	if done, err = m.readCompleteHead(buf); done || err != nil {
 		return done, err
 	}
 	for {
-		line, ok, err := m.nextLine(buf)
+		line, ok, err := m.readLine(buf)
 		switch {
 		case err != nil || !ok:
 			return false, err
-		case m.first != "" && len(line) == 0:
-			m.taken = 0
+		case m.startLine != "" && len(line) == 0:
+			m.lineBytes = 0
 			return true, nil
 		}
-		if err := m.headLine(string(line)); err != nil {
+		if err := m.addHeadLine(string(line)); err != nil {
 			return false, err
 		}
 	}
 }
 
 // readWholeHead takes a head that is there whole, as most are, off the buffer at once: its lines are parts of one text.
-func (m *message) readWholeHead(buf *Buffer) (done bool, err error) {
+func (m *message) readCompleteHead(buf *Buffer) (done bool, err error) {
 	raw := buf.Bytes()
-	if m.first != "" || m.line > 0 || m.taken > 0 {
+	if m.startLine != "" || m.scannedBytes > 0 || m.lineBytes > 0 {
 		return false, nil
 	}
 	end := bytes.Index(raw, headEnd)
@@ -223,12 +223,12 @@
 		if i == 0 || rest[i-1] != '\r' {
 			return false, malformed("line without carriage return")
 		}
-		if err := m.headLine(rest[:i-1]); err != nil {
+		if err := m.addHeadLine(rest[:i-1]); err != nil {
 			return false, err
 		}
 		rest = rest[i+1:]
 	}
-	if m.first == "" { // empty lines alone
+	if m.startLine == "" { // empty lines alone
 		buf.Discard(len(text))
 		return false, nil
 	}
@@ -239,29 +239,29 @@
 var headEnd = []byte("\r\n\r\n")
 
 // usualFields is the room for header fields that most messages need.
-const usualFields = 8
+const typicalFieldCount = 8
 
 // headLine takes a line of the head, but for the one that ends it.
-func (m *message) headLine(line string) error {
+func (m *message) addHeadLine(line string) error {
 	switch {
-	case m.first == "" && line == "": // an empty line before a message means nothing
+	case m.startLine == "" && line == "": // an empty line before a message means nothing
 		return nil
-	case m.first == "":
-		m.first = line
+	case m.startLine == "":
+		m.startLine = line
 		return nil
 	}
-	f, err := field(line)
+	f, err := parseField(line)
 	if err != nil {
 		return err
 	}
 	if m.Header == nil {
-		m.Header = make(Header, 0, usualFields)
+		m.Header = make(Header, 0, typicalFieldCount)
 	}
 	m.Header = append(m.Header, f)
 	return nil
 }
 
-func field(line string) (Field, error) {
+func parseField(line string) (Field, error) {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) {
 		return Field{}, malformed("bad header field")
@@ -291,15 +291,15 @@
 }
 
 // frame finds how the body is delimited; none is the stage of a message that names no length.
-func (m *message) frame(none stage) error {
+func (m *message) determineFraming(withoutLength stage) error {
 	length := -1
 	for _, f := range m.Header {
 		switch {
 		case strings.EqualFold(f.Name, "Transfer-Encoding"):
-			if !strings.EqualFold(f.Value, "chunked") || m.chunks {
+			if !strings.EqualFold(f.Value, "chunked") || m.isChunked {
 				return &Error{501, "transfer coding not supported"}
 			}
-			m.chunks = true
+			m.isChunked = true
 		case strings.EqualFold(f.Name, "Content-Length"):
 			n, err := strconv.ParseUint(f.Value, 10, 62)
 			if err != nil || length >= 0 && length != int(n) {
@@ -308,18 +308,18 @@
 			length = int(n)
 		}
 	}
-	m.length = length
+	m.declaredLength = length
 	switch {
-	case m.chunks && (length >= 0 || m.minor == 0):
+	case m.isChunked && (length >= 0 || m.minorVersion == 0):
 		return malformed("length and chunks") // where readers choose differently a request can be smuggled
-	case m.chunks:
+	case m.isChunked:
 		m.stage = inChunkSize
 	case length > m.limits.maxBodyBytes():
 		return &Error{413, "body too large"}
 	case length >= 0:
-		m.stage, m.left = inBody, length
+		m.stage, m.remaining = inBody, length
 	default:
-		m.stage = none
+		m.stage = withoutLength
 	}
 	return nil
 }
@@ -329,7 +329,7 @@
 	for {
 		switch m.stage {
 		case inBody, inChunk:
-			if m.left -= m.take(buf, m.left); m.left > 0 {
+			if m.remaining -= m.appendBody(buf, m.remaining); m.remaining > 0 {
 				return nil
 			}
 			if m.stage == inBody {
@@ -338,33 +338,33 @@
 				m.stage = inChunkEnd
 			}
 		case inChunkSize:
-			if err := m.chunkSize(buf); err != nil || m.stage == inChunkSize {
+			if err := m.readChunkSize(buf); err != nil || m.stage == inChunkSize {
 				return err
 			}
 		case inChunkEnd:
-			line, ok, err := m.nextLine(buf)
+			line, ok, err := m.readLine(buf)
 			if err != nil || !ok {
 				return err
 			}
 			if len(line) > 0 {
 				return malformed("chunk longer than its size")
 			}
-			m.stage, m.taken = inChunkSize, 0
+			m.stage, m.lineBytes = inChunkSize, 0
 		case inTrailer:
-			line, ok, err := m.nextLine(buf)
+			line, ok, err := m.readLine(buf)
 			if err != nil || !ok {
 				return err
 			}
 			if len(line) == 0 {
 				m.stage = complete
-			} else if _, err := field(string(line)); err != nil {
+			} else if _, err := parseField(string(line)); err != nil {
 				return err
 			}
 		case untilEnd:
-			if m.came+buf.Len() > m.limits.maxBodyBytes() {
+			if m.receivedBody+buf.Len() > m.limits.maxBodyBytes() {
 				return &Error{413, "body too large"}
 			}
-			m.take(buf, buf.Len())
+			m.appendBody(buf, buf.Len())
 			return nil
 		default:
 			return nil
@@ -372,16 +372,16 @@
 	}
 }
 
-func (m *message) take(buf *Buffer, most int) int {
-	n := min(most, buf.Len())
+func (m *message) appendBody(buf *Buffer, limit int) int {
+	n := min(limit, buf.Len())
 	m.Body = append(m.Body, buf.Bytes()[:n]...)
-	m.came += n
+	m.receivedBody += n
 	buf.Discard(n)
 	return n
 }
 
-func (m *message) chunkSize(buf *Buffer) error {
-	line, ok, err := m.nextLine(buf)
+func (m *message) readChunkSize(buf *Buffer) error {
+	line, ok, err := m.readLine(buf)
 	if err != nil || !ok {
 		return err
 	}
@@ -390,12 +390,12 @@
 	switch {
 	case err != nil:
 		return malformed("bad chunk size")
-	case m.came+int(size) > m.limits.maxBodyBytes():
+	case m.receivedBody+int(size) > m.limits.maxBodyBytes():
 		return &Error{413, "body too large"}
 	case size == 0:
-		m.stage, m.taken = inTrailer, 0
+		m.stage, m.lineBytes = inTrailer, 0
 	default:
-		m.stage, m.left, m.taken = inChunk, int(size), 0
+		m.stage, m.remaining, m.lineBytes = inChunk, int(size), 0
 	}
 	return nil
 }
@@ -407,10 +407,10 @@
 func (m *message) IsComplete() bool { return m.stage == complete }
 
 // Length returns how long the body is in all; -1: that is not told beforehand.
-func (m *message) BodyLength() int { return m.length }
+func (m *message) BodyLength() int { return m.declaredLength }
 
 // Came returns how many bytes of the body have come.
-func (m *message) ReceivedBodyBytes() int { return m.came }
+func (m *message) ReceivedBodyBytes() int { return m.receivedBody }
 
 // TakeBody returns what has come of the body since it was called last. It is valid until the next call of Next.
 func (m *message) TakeBody() []byte {
@@ -421,14 +421,14 @@
 
 // keep tells whether the connection stays open after the message.
 func (m *message) isPersistent() bool {
-	return !m.Header.containsToken("Connection", "close") && (m.minor > 0 || m.Header.containsToken("Connection", "keep-alive"))
+	return !m.Header.containsToken("Connection", "close") && (m.minorVersion > 0 || m.Header.containsToken("Connection", "keep-alive"))
 }
 
 // version reads HTTP/1.x.
-func (m *message) version(text string) error {
+func (m *message) parseVersion(text string) error {
 	switch text {
 	case "HTTP/1.1":
-		m.minor = 1
+		m.minorVersion = 1
 	case "HTTP/1.0":
 	default:
 		if strings.HasPrefix(text, "HTTP/") {
@@ -457,11 +457,11 @@
 	if p.stage == complete {
 		p.reset()
 	}
-	return p.next(buf, p.start)
+	return p.advance(buf, p.parseHead)
 }
 
-func (p *RequestParser) start() error {
-	method, rest, _ := strings.Cut(p.first, " ")
+func (p *RequestParser) parseHead() error {
+	method, rest, _ := strings.Cut(p.startLine, " ")
 	target, version, ok := strings.Cut(rest, " ")
 	if !ok || !isToken(method) || target == "" {
 		return malformed("bad request line")
@@ -471,7 +471,7 @@
 			return malformed("bad target")
 		}
 	}
-	if err := p.version(version); err != nil {
+	if err := p.parseVersion(version); err != nil {
 		return err
 	}
 	hosts := 0
@@ -480,21 +480,21 @@
 			hosts++
 		}
 	}
-	if hosts > 1 || hosts == 0 && p.minor > 0 {
+	if hosts > 1 || hosts == 0 && p.minorVersion > 0 {
 		return malformed("one Host is needed")
 	}
 	p.Method, p.Target = method, target
 	if target[0] != '/' && target != "*" {
-		if err := p.relative(); err != nil {
+		if err := p.convertToOriginForm(); err != nil {
 			return err
 		}
 	}
-	return p.frame(complete)
+	return p.determineFraming(complete)
 }
 
 // relative turns a target in absolute form, which any server has to take (RFC 9112, 3.2.2), into one in origin form. Its
 // authority takes the place of what Host says. What is in no form that is known stays as it is: nobody serves it.
-func (p *RequestParser) relative() error {
+func (p *RequestParser) convertToOriginForm() error {
 	const scheme = "http://"
 	if len(p.Target) < len(scheme) || !strings.EqualFold(p.Target[:len(scheme)], scheme) {
 		return nil
@@ -529,7 +529,7 @@
 
 // Begun tells whether part of a request has been read.
 func (p *RequestParser) HasBegun() bool {
-	return p.stage != complete && (p.stage != inHead || p.first != "")
+	return p.stage != complete && (p.stage != inHead || p.startLine != "")
 }
 
 // WantsContinue tells whether the client waits for word before it sends the body.
@@ -538,20 +538,20 @@
 }
 
 // Minor returns the minor version of HTTP/1 that the client speaks.
-func (p *RequestParser) MinorVersion() int { return p.minor }
+func (p *RequestParser) MinorVersion() int { return p.minorVersion }
 
 // Keep tells whether the client wants the connection kept and speaks a version that keeps it unasked.
-func (p *RequestParser) IsPersistent() bool { return p.minor > 0 && p.isPersistent() }
+func (p *RequestParser) IsPersistent() bool { return p.minorVersion > 0 && p.isPersistent() }
 
 // ResponseParser reads the response to one request that was not HEAD.
 type ResponseParser struct {
 	message
-	Status  int
-	interim int // responses that came before the final one
+	Status           int
+	interimResponses int // responses that came before the final one
 }
 
 // mostInterim bounds the interim responses to one request.
-const mostInterim = 100
+const maxInterimResponses = 100
 
 // NewResponseParser returns a parser of responses within limits.
 func NewResponseParser(limits Limits) ResponseParser {
@@ -560,40 +560,40 @@
 
 // Next reads on from buf and tells whether the response is whole. Interim responses are skipped.
 func (p *ResponseParser) Next(buf *Buffer) (bool, error) {
-	done, err := p.next(buf, p.start)
+	done, err := p.advance(buf, p.parseHead)
 	if err == nil && p.stage == inHead {
-		err = p.early(buf)
+		err = p.checkPartialHead(buf)
 	}
 	return done, err
 }
 
 // early looks at a head that is not whole. Danger: noise may hold no line's end for as long as anybody waits.
-func (p *ResponseParser) early(buf *Buffer) error {
-	if p.first != "" {
-		_, err := p.status()
+func (p *ResponseParser) checkPartialHead(buf *Buffer) error {
+	if p.startLine != "" {
+		_, err := p.parseStatusLine()
 		return err
 	}
-	const begin = "HTTP/1."
-	came := bytes.TrimLeft(buf.Bytes(), "\r\n")
-	if n := min(len(came), len(begin)); string(came[:n]) != begin[:n] {
+	const prefix = "HTTP/1."
+	received := bytes.TrimLeft(buf.Bytes(), "\r\n")
+	if n := min(len(received), len(prefix)); string(received[:n]) != prefix[:n] {
 		return malformed("no HTTP")
 	}
 	return nil
 }
 
 // status reads the status line.
-func (p *ResponseParser) status() (int, error) {
-	version, rest, _ := strings.Cut(p.first, " ")
+func (p *ResponseParser) parseStatusLine() (int, error) {
+	version, rest, _ := strings.Cut(p.startLine, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.ParseUint(code, 10, 16)
 	if err != nil || len(code) != 3 || status < 100 {
 		return 0, malformed("bad status line")
 	}
-	return int(status), p.version(version)
+	return int(status), p.parseVersion(version)
 }
 
-func (p *ResponseParser) start() error {
-	status, err := p.status()
+func (p *ResponseParser) parseHead() error {
+	status, err := p.parseStatusLine()
 	if err != nil {
 		return err
 	}
@@ -601,7 +601,7 @@
 	case status == 101:
 		return malformed("protocol switched unasked")
 	case status < 200:
-		if p.interim++; p.interim > mostInterim {
+		if p.interimResponses++; p.interimResponses > maxInterimResponses {
 			return malformed("interim responses without end")
 		}
 		p.reset()
@@ -610,7 +610,7 @@
 		p.stage = complete
 		return nil
 	}
-	if err := p.frame(untilEnd); err != nil {
+	if err := p.determineFraming(untilEnd); err != nil {
 		return err
 	}
 	if p.stage == untilEnd && p.isPersistent() {
@@ -622,7 +622,7 @@
 }
 
 // Begun tells whether anything of the response has come.
-func (p *ResponseParser) HasBegun() bool { return p.stage != inHead || p.first != "" }
+func (p *ResponseParser) HasBegun() bool { return p.stage != inHead || p.startLine != "" }
 
 // End tells the parser that the connection has ended, and returns whether that makes the response whole.
 func (p *ResponseParser) HandleEOF() bool {
@@ -645,11 +645,11 @@
 
 // AppendHeader appends header fields and the empty line after them, with the length of a body.
 func AppendHeader(dst []byte, h Header, length int) []byte {
-	return appendEnd(AppendFields(dst, h), length)
+	return appendHeadEnd(AppendFields(dst, h), length)
 }
 
 // appendEnd appends the length of a body, if it is not negative, and the empty line.
-func appendEnd(dst []byte, length int) []byte {
+func appendHeadEnd(dst []byte, length int) []byte {
 	if length >= 0 {
 		dst = append(dst, "Content-Length: "...)
 		dst = append(strconv.AppendInt(dst, int64(length), 10), "\r\n"...)
@@ -673,7 +673,7 @@
 	if length == 0 && method == "GET" {
 		length = -1
 	}
-	return append(appendEnd(dst, length), body...)
+	return append(appendHeadEnd(dst, length), body...)
 }
 
 // AppendResponse appends a response; its reason phrase is left empty.
@@ -692,12 +692,12 @@
 var ChunkedField = Field{Name: "Transfer-Encoding", Value: "chunked"}
 
 // AppendChunk appends a part of a body as a chunk; an empty part is none.
-func AppendChunk(dst, part []byte) []byte {
-	if len(part) == 0 {
+func AppendChunk(dst, data []byte) []byte {
+	if len(data) == 0 {
 		return dst
 	}
-	dst = append(strconv.AppendInt(dst, int64(len(part)), 16), "\r\n"...)
-	return append(append(dst, part...), "\r\n"...)
+	dst = append(strconv.AppendInt(dst, int64(len(data)), 16), "\r\n"...)
+	return append(append(dst, data...), "\r\n"...)
 }
 
 // AppendLastChunk appends the end of a body in chunks.
