--- /dev/null
+++ b/internal/http1/head.go
@@ -0,0 +1,151 @@
+package http1
+
+import (
+	"bytes"
+	"strings"
+)
+
+// nextLine takes one line off buf, without its end.
+func (m *message) readLine(buf *Buffer) (line []byte, ok bool, err error) {
+	raw := buf.Bytes()
+	end := bytes.IndexByte(raw[m.scannedBytes:], '\n')
+	if end < 0 {
+		m.scannedBytes = len(raw)
+		if m.lineBytes+m.scannedBytes > m.limits.HeadBytes {
+			return nil, false, &Error{431, "head too large"}
+		}
+		return nil, false, nil
+	}
+	end += m.scannedBytes
+	if m.lineBytes += end + 1; m.lineBytes > m.limits.HeadBytes {
+		return nil, false, &Error{431, "head too large"}
+	}
+	// A bare line feed is an end to some readers and not to others: two that disagree see two messages.
+	if end == 0 || raw[end-1] != '\r' {
+		return nil, false, malformed("line without carriage return")
+	}
+	m.scannedBytes = 0
+	buf.Discard(end + 1)
+	return raw[:end-1], true, nil
+}
+
+// readHead takes lines until the head is whole.
+func (m *message) readHead(buf *Buffer) (done bool, err error) {
+	if done, err = m.readCompleteHead(buf); done || err != nil {
+		return done, err
+	}
+	for {
+		line, ok, err := m.readLine(buf)
+		switch {
+		case err != nil || !ok:
+			return false, err
+		case m.startLine != "" && len(line) == 0:
+			m.lineBytes = 0
+			return true, nil
+		}
+		if err := m.addHeadLine(string(line)); err != nil {
+			return false, err
+		}
+	}
+}
+
+// readWholeHead takes a head that is there whole, as most are, off the buffer at once: its lines are parts of one text.
+func (m *message) readCompleteHead(buf *Buffer) (done bool, err error) {
+	raw := buf.Bytes()
+	if m.startLine != "" || m.scannedBytes > 0 || m.lineBytes > 0 {
+		return false, nil
+	}
+	end := bytes.Index(raw, headEnd)
+	if end <= 0 || end+len(headEnd) > m.limits.HeadBytes {
+		return false, nil
+	}
+	text := string(raw[:end+len("\r\n")])
+	for rest := text; rest != ""; {
+		i := strings.IndexByte(rest, '\n')
+		if i == 0 || rest[i-1] != '\r' {
+			return false, malformed("line without carriage return")
+		}
+		if err := m.addHeadLine(rest[:i-1]); err != nil {
+			return false, err
+		}
+		rest = rest[i+1:]
+	}
+	if m.startLine == "" { // empty lines alone
+		buf.Discard(len(text))
+		return false, nil
+	}
+	buf.Discard(end + len(headEnd))
+	return true, nil
+}
+
+var headEnd = []byte("\r\n\r\n")
+
+// usualFields is the room for header fields that most messages need.
+const typicalFieldCount = 8
+
+// headLine takes a line of the head, but for the one that ends it.
+func (m *message) addHeadLine(line string) error {
+	switch {
+	case m.startLine == "" && line == "": // an empty line before a message means nothing
+		return nil
+	case m.startLine == "":
+		m.startLine = line
+		return nil
+	}
+	f, err := parseField(line)
+	if err != nil {
+		return err
+	}
+	if m.Header == nil {
+		m.Header = make(Header, 0, typicalFieldCount)
+	}
+	m.Header = append(m.Header, f)
+	return nil
+}
+
+func parseField(line string) (Field, error) {
+	name, value, ok := strings.Cut(line, ":")
+	if !ok || !isToken(name) {
+		return Field{}, malformed("bad header field")
+	}
+	value = strings.Trim(value, " \t")
+	for i := range len(value) {
+		if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
+			return Field{}, malformed("bad header value")
+		}
+	}
+	return Field{name, value}, nil
+}
+
+// Token tells whether a name is one that a header field can have.
+func IsToken(name string) bool { return isToken(name) }
+
+// token tells whether b is a token as RFC 9110 has it.
+func isToken[T ~string | ~[]byte](b T) bool {
+	for i := range len(b) {
+		c := b[i]
+		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+		if !letter && strings.IndexByte("!#$%&'*+-.^_`|~", c) < 0 {
+			return false
+		}
+	}
+	return len(b) > 0
+}
+
+// HeadRead tells whether the first line and the header fields are there.
+func (m *message) IsHeadComplete() bool { return m.stage != inHead }
+
+// version reads HTTP/1.x.
+func (m *message) parseVersion(text string) error {
+	switch text {
+	case "HTTP/1.1":
+		m.minorVersion = 1
+	case "HTTP/1.0":
+	default:
+		if strings.HasPrefix(text, "HTTP/") {
+			return &Error{505, "version not supported"}
+		}
+		return malformed("bad first line")
+	}
+	return nil
+}
