--- a/internal/http1/append.go
+++ b/internal/http1/append.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendFields appends header fields.
+// AppendFields appends field lines to dst.
 func AppendFields(dst []byte, h Header) []byte {
 	for _, f := range h {
 		dst = append(append(append(append(dst, f.Name...), ": "...), f.Value...), "\r\n"...)
@@ -10,12 +10,12 @@
 	return dst
 }
 
-// AppendHeader appends header fields and the empty line after them, with the length of a body.
+// AppendHeader appends field lines, Content-Length unless length is negative, and the empty line that ends the head.
 func AppendHeader(dst []byte, h Header, length int) []byte {
 	return appendHeadEnd(AppendFields(dst, h), length)
 }
 
-// appendEnd appends the length of a body, if it is not negative, and the empty line.
+// appendHeadEnd appends Content-Length, unless length is negative, and the empty line that ends the head.
 func appendHeadEnd(dst []byte, length int) []byte {
 	if length >= 0 {
 		dst = append(dst, "Content-Length: "...)
@@ -24,17 +24,17 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendRequest appends a request. Without a body its length is not written.
+// AppendRequest appends a request. A GET without a body has no Content-Length.
 func AppendRequest(dst []byte, method, target string, h Header, body []byte) []byte {
 	return AppendRequestEnd(AppendFields(AppendRequestLine(dst, method, target), h), method, body)
 }
 
-// AppendFirst appends a request's first line; header fields follow.
+// AppendRequestLine appends a request line; field lines may follow.
 func AppendRequestLine(dst []byte, method, target string) []byte {
 	return append(append(append(append(dst, method...), ' '), target...), " HTTP/1.1\r\n"...)
 }
 
-// AppendRest appends what follows the header fields of a request.
+// AppendRequestEnd appends what follows a request's field lines: Content-Length, the empty line and the body.
 func AppendRequestEnd(dst []byte, method string, body []byte) []byte {
 	length := len(body)
 	if length == 0 && method == "GET" {
@@ -43,22 +43,21 @@
 	return append(appendHeadEnd(dst, length), body...)
 }
 
-// AppendResponse appends a response; its reason phrase is left empty.
+// AppendResponse appends a response with an empty reason phrase.
 func AppendResponse(dst []byte, status int, h Header, body []byte) []byte {
 	return append(AppendResponseHead(dst, status, h, len(body)), body...)
 }
 
-// AppendResponseHead appends what comes before a response's body. Without a length, which is negative then, the header must
-// tell how the body ends.
+// AppendResponseHead appends a response's head. With a negative length the header must say how the body is delimited.
 func AppendResponseHead(dst []byte, status int, h Header, length int) []byte {
 	dst = strconv.AppendInt(append(dst, "HTTP/1.1 "...), int64(status), 10)
 	return AppendHeader(append(dst, " \r\n"...), h, length)
 }
 
-// Chunked is the field that says that a body comes in chunks.
+// ChunkedField is the field of a message whose body is chunked.
 var ChunkedField = Field{Name: "Transfer-Encoding", Value: "chunked"}
 
-// AppendChunk appends a part of a body as a chunk; an empty part is none.
+// AppendChunk appends data as one chunk. Empty data appends nothing: an empty chunk would end the body.
 func AppendChunk(dst, data []byte) []byte {
 	if len(data) == 0 {
 		return dst
@@ -67,5 +66,5 @@
 	return append(append(dst, data...), "\r\n"...)
 }
 
-// AppendLastChunk appends the end of a body in chunks.
+// AppendLastChunk appends the end of a chunked body, without trailers.
 func AppendLastChunk(dst []byte) []byte { return append(dst, "0\r\n\r\n"...) }
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -6,7 +6,9 @@
 	"strings"
 )
 
-// frame finds how the body is delimited; none is the stage of a message that names no length.
+// determineFraming finds how the body is delimited (RFC 9112, 6.3); withoutLength is the stage of a message without
+// Content-Length and Transfer-Encoding. Danger: a message with both, or with two lengths, can be read in two ways by two
+// recipients and smuggle a request; it is rejected.
 func (m *message) determineFraming(withoutLength stage) error {
 	length := -1
 	for _, f := range m.Header {
@@ -27,7 +29,7 @@
 	m.declaredLength = length
 	switch {
 	case m.isChunked && (length >= 0 || m.minorVersion == 0):
-		return malformed("length and chunks") // where readers choose differently a request can be smuggled
+		return malformed("length and chunks")
 	case m.isChunked:
 		m.stage = inChunkSize
 	case length > m.limits.maxBodyBytes():
@@ -40,7 +42,7 @@
 	return nil
 }
 
-// readBody takes what has come of the body.
+// readBody parses what has been received of the body.
 func (m *message) readBody(buf *Buffer) error {
 	for {
 		switch m.stage {
@@ -88,6 +90,7 @@
 	}
 }
 
+// appendBody moves up to limit bytes from buf to the body and returns their number.
 func (m *message) appendBody(buf *Buffer, limit int) int {
 	n := min(limit, buf.Len())
 	m.Body = append(m.Body, buf.Bytes()[:n]...)
@@ -96,6 +99,7 @@
 	return n
 }
 
+// readChunkSize parses a chunk's header (RFC 9112, 7.1); extensions are ignored.
 func (m *message) readChunkSize(buf *Buffer) error {
 	line, ok, err := m.readLine(buf)
 	if err != nil || !ok {
@@ -116,13 +120,13 @@
 	return nil
 }
 
-// Length returns how long the body is in all; -1: that is not told beforehand.
+// BodyLength returns the body's length from Content-Length; -1 without one.
 func (m *message) BodyLength() int { return m.declaredLength }
 
-// Came returns how many bytes of the body have come.
+// ReceivedBodyBytes returns how many bytes of the body have been received.
 func (m *message) ReceivedBodyBytes() int { return m.receivedBody }
 
-// TakeBody returns what has come of the body since it was called last. It is valid until the next call of Next.
+// TakeBody returns the part of the body received since the last call. It is valid until the next call of Next.
 func (m *message) TakeBody() []byte {
 	body := m.Body
 	m.Body = m.Body[:0]
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Error says why a message can't be read, with the status that tells a client so.
+// Error is the reason why a message was rejected, with the status that a client gets for it.
 type Error struct {
 	Status int
 	Reason string
@@ -10,4 +10,5 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("http: %s (%d)", e.Reason, e.Status) }
 
+// malformed returns the error of a message that breaks the syntax.
 func malformed(reason string) error { return &Error{400, reason} }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// nextLine takes one line off buf, without its end.
+// readLine removes a line from buf and returns it without its end; false if none is complete. Danger: a bare line feed ends a
+// line for some recipients and not for others (RFC 9112, 2.2), and two that disagree see different messages; it is rejected.
 func (m *message) readLine(buf *Buffer) (line []byte, ok bool, err error) {
 	raw := buf.Bytes()
 	end := bytes.IndexByte(raw[m.scannedBytes:], '\n')
@@ -20,7 +21,6 @@
 	if m.lineBytes += end + 1; m.lineBytes > m.limits.HeadBytes {
 		return nil, false, &Error{431, "head too large"}
 	}
-	// A bare line feed is an end to some readers and not to others: two that disagree see two messages.
 	if end == 0 || raw[end-1] != '\r' {
 		return nil, false, malformed("line without carriage return")
 	}
@@ -29,7 +29,7 @@
 	return raw[:end-1], true, nil
 }
 
-// readHead takes lines until the head is whole.
+// readHead reads lines until the head is complete, and reports whether it is.
 func (m *message) readHead(buf *Buffer) (done bool, err error) {
 	if done, err = m.readCompleteHead(buf); done || err != nil {
 		return done, err
@@ -49,7 +49,8 @@
 	}
 }
 
-// readWholeHead takes a head that is there whole, as most are, off the buffer at once: its lines are parts of one text.
+// readCompleteHead reads a head that has been received completely, as most are, at once: its lines are substrings of one
+// string.
 func (m *message) readCompleteHead(buf *Buffer) (done bool, err error) {
 	raw := buf.Bytes()
 	if m.startLine != "" || m.scannedBytes > 0 || m.lineBytes > 0 {
@@ -70,7 +71,7 @@
 		}
 		rest = rest[i+1:]
 	}
-	if m.startLine == "" { // empty lines alone
+	if m.startLine == "" { // there were empty lines only
 		buf.Discard(len(text))
 		return false, nil
 	}
@@ -78,12 +79,14 @@
 	return true, nil
 }
 
+// headEnd is the end of the last line of a head and the empty line after it.
 var headEnd = []byte("\r\n\r\n")
 
-// usualFields is the room for header fields that most messages need.
+// typicalFieldCount is the initial capacity of a Header.
 const typicalFieldCount = 8
 
-// headLine takes a line of the head, but for the one that ends it.
+// addHeadLine adds a line of the head other than the empty one that ends it. Empty lines before the start line are ignored (RFC
+// 9112, 2.2).
 func (m *message) addHeadLine(line string) error {
 	switch {
 	case m.startLine == "" && line == "": // an empty line before a message means nothing
@@ -103,6 +106,8 @@
 	return nil
 }
 
+// parseField parses a field line (RFC 9112, 5). Whitespace before the colon is rejected, and so are control characters in the
+// value.
 func parseField(line string) (Field, error) {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) {
@@ -117,10 +122,10 @@
 	return Field{name, value}, nil
 }
 
-// Token tells whether a name is one that a header field can have.
+// IsToken reports whether a name is a token, the syntax of field names and methods (RFC 9110, 5.6.2).
 func IsToken(name string) bool { return isToken(name) }
 
-// token tells whether b is a token as RFC 9110 has it.
+// isToken reports whether b is a token (RFC 9110, 5.6.2).
 func isToken[T ~string | ~[]byte](b T) bool {
 	for i := range len(b) {
 		c := b[i]
@@ -132,10 +137,10 @@
 	return len(b) > 0
 }
 
-// HeadRead tells whether the first line and the header fields are there.
+// IsHeadComplete reports whether the start line and the header section have been received.
 func (m *message) IsHeadComplete() bool { return m.stage != inHead }
 
-// version reads HTTP/1.x.
+// parseVersion parses the HTTP version of a start line; only 1.0 and 1.1 are supported.
 func (m *message) parseVersion(text string) error {
 	switch text {
 	case "HTTP/1.1":
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Field is one header field.
+// Field is a header field (RFC 9110, 5.1).
 type Field struct{ Name, Value string }
 
-// Header holds header fields in their order.
+// Header is a header section: the fields in their order.
 type Header []Field
 
-// Get returns the first value of a field, "" if it is absent.
+// Get returns the first value of a field, "" if there is none. Field names are case-insensitive.
 func (h Header) Get(name string) string {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
@@ -21,7 +21,7 @@
 	return ""
 }
 
-// Twice tells whether a field comes more than once.
+// IsRepeated reports whether a field occurs more than once.
 func (h Header) IsRepeated(name string) bool {
 	n := 0
 	for _, f := range h {
@@ -32,7 +32,8 @@
 	return n > 1
 }
 
-// has tells whether a comma-separated field holds a token.
+// containsToken reports whether a list-based field (RFC 9110, 5.6.1) contains a token, which is compared without regard to
+// case.
 func (h Header) containsToken(name, token string) bool {
 	for _, f := range h {
 		if !strings.EqualFold(f.Name, name) {
@@ -47,8 +48,8 @@
 	return false
 }
 
-// hopByHop are the fields that concern one connection alone, and those that framing writes anew, by the length of their
-// names.
+// hopByHopFields are the fields of a single connection (RFC 9110, 7.6.1) and those of framing, which is written anew for each;
+// by the length of their names.
 var hopByHopFields = func() (by [32][]string) {
 	for _, name := range []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 		"TE", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"} {
@@ -57,7 +58,7 @@
 	return by
 }()
 
-// HopByHop tells whether a field is of one connection or its framing, whatever Connection says.
+// IsHopByHop reports whether a field concerns one connection or its framing, whatever Connection says.
 func IsHopByHop(name string) bool {
 	if len(name) >= len(hopByHopFields) {
 		return false
@@ -70,8 +71,8 @@
 	return false
 }
 
-// EndToEnd returns the fields that a proxy passes on; of those that Connection names, only the ones in spite. The result
-// is the caller's.
+// EndToEnd returns the fields that a proxy forwards (RFC 9110, 7.6.1): those that are not hop-by-hop and not named by
+// Connection, and those of except even if Connection names them. The result is a copy.
 func (h Header) EndToEnd(except ...string) Header {
 	kept := make(Header, 0, len(h)+1)
 	hasConnection := h.Get("Connection") != ""
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -12,7 +12,7 @@
 
 var limits = Limits{HeadBytes: 200, BufferedBodyBytes: 20}
 
-// status of an error; 0 for none.
+// errorStatus returns the status of an *Error; 0 for any other.
 func errorStatus(err error) int {
 	var e *Error
 	if errors.As(err, &e) {
@@ -21,7 +21,7 @@
 	return 0
 }
 
-// pieces feeds text in pieces of each size from 1, so that every bound falls everywhere.
+// feedInPieces feeds text in pieces of each size from 1, so that each boundary falls everywhere.
 func feedInPieces(text string, f func(feed func(next func(*Buffer) bool))) {
 	for size := 1; size <= len(text); size++ {
 		f(func(next func(*Buffer) bool) {
@@ -141,7 +141,7 @@
 	assert.False(t, p.HandleEOF(), "a body that is cut off is not whole")
 }
 
-// Noise is known by its first bytes, though no line of it ever ends.
+// Bytes that aren't HTTP are rejected by the first of them, though no line end is received.
 func TestResponseParserRejectsNoiseEarly(t *testing.T) {
 	for text, bad := range map[string]bool{"": false, "HT": false, "\r\nHTTP/1.1 2": false, "HTTP/1.1 200 OK\r\nA": false,
 		"HTTQ": true, "\x00\xff": true, "HTTP/2.0 200 OK\r\n": true, "HTTP/1.1 2x0 OK\r\nA": true,
@@ -158,7 +158,7 @@
 	assert.Equal(t, Header{{"X-Two", "2"}}, h.EndToEnd())
 }
 
-// rewrite writes a request as it is passed on and reads that again.
+// checkRoundTrip writes a request as a proxy forwards it and parses that again.
 func checkRoundTrip(t *testing.T, p *RequestParser) {
 	again, buf := NewRequestParser(Limits{HeadBytes: 1000, BufferedBodyBytes: 20}), Buffer{}
 	h := p.Header.EndToEnd()
@@ -172,7 +172,7 @@
 	}
 }
 
-// Whatever comes, a parser ends or waits, holds no more than its limits, and reads its own writing.
+// Whatever is received, a parser finishes or waits for more, keeps to its limits, and accepts what AppendRequest writes.
 func FuzzParsers(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"), 3)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"), 5)
@@ -204,7 +204,7 @@
 	})
 }
 
-// A target in absolute form is one in origin form, and its authority the host.
+// A target in absolute form becomes one in origin form, and its authority the Host.
 func TestAbsoluteFormIsConverted(t *testing.T) {
 	for target, want := range map[string][2]string{
 		"http://service.internal/latest-reading/7?a=b": {"/latest-reading/7?a=b", "service.internal"},
--- a/internal/http1/limits.go
+++ b/internal/http1/limits.go
@@ -1,12 +1,12 @@
 package http1
 
-// Limits bound what a message may take.
+// Limits bound the memory that a message may take.
 type Limits struct {
-	HeadBytes         int // bytes of the first line and the header fields; also of a chunked body's trailers
-	BufferedBodyBytes int // bytes of the body that are held
-	// Total is how long a body may be that the reader takes off by TakeBody as it comes; 0: no longer than Body.
+	HeadBytes         int // of the start line and header section; also of a chunk's header and of the trailer section
+	BufferedBodyBytes int // of a body that the parser buffers
+	// StreamedBodyBytes bounds a body that the caller takes by TakeBody as it is received. A value below BufferedBodyBytes has no effect.
 	StreamedBodyBytes int
 }
 
-// most is how long a body may be.
+// maxBodyBytes returns the longest body that is accepted.
 func (l *Limits) maxBodyBytes() int { return max(l.BufferedBodyBytes, l.StreamedBodyBytes) }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,13 +1,14 @@
-// Package http1 reads and writes HTTP/1.1 messages. Its parsers take bytes as they come and know no
-// sockets.
+// Package http1 parses and writes HTTP/1.1 messages (RFC 9112, with the semantics of RFC 9110). Its parsers are fed from a buffer as bytes
+// are received and do no I/O. They are strict where two recipients could read a message differently: such a message is rejected with an
+// *Error.
 package http1
 
 import "hazelwheel/internal/buffer"
 
-// Buffer is what the parsers read from.
+// Buffer holds the received bytes that a parser reads from.
 type Buffer = buffer.Buffer
 
-// body stages of a message.
+// stage is where a parser is within a message.
 type stage uint8
 
 const (
@@ -15,33 +16,34 @@
 	inBody
 	inChunkSize
 	inChunk
-	inChunkEnd
+	inChunkEnd // at the line end after a chunk's data
 	inTrailer
 	untilEnd // the body ends with the connection
 	complete
 )
 
-// message is what requests and responses have in common.
+// message is the state that both parsers share. Its methods are for the goroutine of the connection.
 type message struct {
 	Header Header
-	Body   []byte // for a stream the reader may take bytes off its front
+	Body   []byte // buffered body; TakeBody takes from it
 
 	limits         Limits
 	stage          stage
-	scannedBytes   int // bytes of the present line that hold no end
-	lineBytes      int // bytes of lines, against the limit
+	scannedBytes   int // of the present line, without its end so far
+	lineBytes      int // of the head, chunk header or trailers so far; bounded by limits.HeadBytes
 	startLine      string
 	remaining      int // bytes of the body or chunk to come
-	declaredLength int // of the body; -1: it is not told
-	receivedBody   int // bytes of the body that have come
+	declaredLength int // Content-Length; -1 without one
+	receivedBody   int // bytes of the body so far, also those taken by TakeBody
 	isChunked      bool
 	minorVersion   int
 }
 
-// reset makes ready for the next message; the body's memory is not used again, somebody may hold it.
+// reset prepares for the next message. The body's memory isn't reused: a caller may hold it.
 func (m *message) reset() { *m = message{limits: m.limits} }
 
-// next reads on; start takes a whole head and finds the stage after it, or that another head follows.
+// advance parses what has been received. parseHead is called for a complete head and sets the stage after it, or leaves it at
+// inHead if another head follows.
 func (m *message) advance(buf *Buffer, parseHead func() error) (bool, error) {
 	for m.stage == inHead {
 		if done, err := m.readHead(buf); err != nil || !done {
@@ -55,10 +57,10 @@
 	return m.stage == complete, err
 }
 
-// Whole tells whether the message has come to its end.
+// IsComplete reports whether the message has been received to its end.
 func (m *message) IsComplete() bool { return m.stage == complete }
 
-// keep tells whether the connection stays open after the message.
+// isPersistent reports whether the connection persists after the message (RFC 9112, 9.3).
 func (m *message) isPersistent() bool {
 	return !m.Header.containsToken("Connection", "close") && (m.minorVersion > 0 || m.Header.containsToken("Connection", "keep-alive"))
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -2,20 +2,21 @@
 
 import "strings"
 
-// RequestParser reads requests from a client. After Next has returned true the fields hold one request,
-// until the next call.
+// RequestParser parses a client's requests, one after another. After Next has returned true its fields hold a request, until
+// the next call of Next or Release.
 type RequestParser struct {
 	message
 	Method string
 	Target string
 }
 
-// NewRequestParser returns a parser of requests within limits.
+// NewRequestParser returns a parser that rejects requests beyond the limits.
 func NewRequestParser(limits Limits) RequestParser {
 	return RequestParser{message: message{limits: limits}}
 }
 
-// Next reads on from buf and tells whether a request is whole. After an error nothing more can be read.
+// Next parses what buf has received and reports whether a request is complete. An error, which is an *Error, is final: the
+// parser can't go on.
 func (p *RequestParser) Next(buf *Buffer) (bool, error) {
 	if p.stage == complete {
 		p.reset()
@@ -23,6 +24,7 @@
 	return p.advance(buf, p.parseHead)
 }
 
+// parseHead parses the request line (RFC 9112, 3), checks Host (RFC 9112, 3.2) and determines the framing.
 func (p *RequestParser) parseHead() error {
 	method, rest, _ := strings.Cut(p.startLine, " ")
 	target, version, ok := strings.Cut(rest, " ")
@@ -55,8 +57,8 @@
 	return p.determineFraming(complete)
 }
 
-// relative turns a target in absolute form, which any server has to take (RFC 9112, 3.2.2), into one in origin form. Its
-// authority takes the place of what Host says. What is in no form that is known stays as it is: nobody serves it.
+// convertToOriginForm converts a target in absolute form, which every server must accept (RFC 9112, 3.2.2), into origin form.
+// Its authority replaces the value of Host. A target in another form stays as it is; no route matches it.
 func (p *RequestParser) convertToOriginForm() error {
 	const scheme = "http://"
 	if len(p.Target) < len(scheme) || !strings.EqualFold(p.Target[:len(scheme)], scheme) {
@@ -68,7 +70,7 @@
 		end = len(rest)
 	}
 	authority := rest[:end]
-	if authority == "" || strings.Contains(authority, "@") { // who the latter leads astray is anybody's guess
+	if authority == "" || strings.Contains(authority, "@") { // userinfo can disguise the host (RFC 9110, 4.2.4)
 		return malformed("bad target")
 	}
 	for i, f := range p.Header {
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// Rest drops the request that was read last, which may hold a large body.
+// Release drops a complete request, whose body may be large. It has no effect on one that is incomplete.
 func (p *RequestParser) Release() {
 	if p.stage == complete {
 		p.reset()
@@ -90,18 +92,19 @@
 	}
 }
 
-// Begun tells whether part of a request has been read.
+// HasBegun reports whether a part of a request has been received.
 func (p *RequestParser) HasBegun() bool {
 	return p.stage != complete && (p.stage != inHead || p.startLine != "")
 }
 
-// WantsContinue tells whether the client waits for word before it sends the body.
+// ExpectsContinue reports whether the client waits for a 100 (Continue) response before it sends the body (RFC 9110, 10.1.1).
 func (p *RequestParser) ExpectsContinue() bool {
 	return p.stage != inHead && p.stage != complete && len(p.Body) == 0 && p.Header.containsToken("Expect", "100-continue")
 }
 
-// Minor returns the minor version of HTTP/1 that the client speaks.
+// MinorVersion returns the minor version of the request's HTTP/1.
 func (p *RequestParser) MinorVersion() int { return p.minorVersion }
 
-// Keep tells whether the client wants the connection kept and speaks a version that keeps it unasked.
+// IsPersistent reports whether the connection persists after the response. For HTTP/1.0 it is false, also with "Connection:
+// keep-alive".
 func (p *RequestParser) IsPersistent() bool { return p.minorVersion > 0 && p.isPersistent() }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -6,22 +6,23 @@
 	"strings"
 )
 
-// ResponseParser reads the response to one request that was not HEAD.
+// ResponseParser parses the response to one request, whose method was not HEAD.
 type ResponseParser struct {
 	message
 	Status           int
 	interimResponses int // responses that came before the final one
 }
 
-// mostInterim bounds the interim responses to one request.
+// maxInterimResponses bounds the interim (1xx) responses to one request.
 const maxInterimResponses = 100
 
-// NewResponseParser returns a parser of responses within limits.
+// NewResponseParser returns a parser that rejects responses beyond the limits.
 func NewResponseParser(limits Limits) ResponseParser {
 	return ResponseParser{message: message{limits: limits}}
 }
 
-// Next reads on from buf and tells whether the response is whole. Interim responses are skipped.
+// Next parses what buf has received and reports whether the response is complete. Interim responses are skipped. An error,
+// which is an *Error, is final.
 func (p *ResponseParser) Next(buf *Buffer) (bool, error) {
 	done, err := p.advance(buf, p.parseHead)
 	if err == nil && p.stage == inHead {
@@ -30,7 +31,8 @@
 	return done, err
 }
 
-// early looks at a head that is not whole. Danger: noise may hold no line's end for as long as anybody waits.
+// checkPartialHead checks the part of a head that has been received. Danger: a backend that doesn't speak HTTP may never send a
+// line end, and the response would be waited for until its time-out.
 func (p *ResponseParser) checkPartialHead(buf *Buffer) error {
 	if p.startLine != "" {
 		_, err := p.parseStatusLine()
@@ -44,7 +46,7 @@
 	return nil
 }
 
-// status reads the status line.
+// parseStatusLine parses the status line (RFC 9112, 4).
 func (p *ResponseParser) parseStatusLine() (int, error) {
 	version, rest, _ := strings.Cut(p.startLine, " ")
 	code, _, _ := strings.Cut(rest, " ")
@@ -55,6 +57,7 @@
 	return int(status), p.parseVersion(version)
 }
 
+// parseHead parses the status line, skips an interim response, and determines the framing.
 func (p *ResponseParser) parseHead() error {
 	status, err := p.parseStatusLine()
 	if err != nil {
@@ -77,17 +80,18 @@
 		return err
 	}
 	if p.stage == untilEnd && p.isPersistent() {
-		// Danger: a body that ends with the connection looks whole wherever it is cut. It is taken only from a
-		// server that has said that it will end it so.
+		// Danger: a body delimited by the end of the connection looks complete wherever it is cut. It is accepted only with
+		// "Connection: close", by which the server announces that end.
 		return malformed("neither a length nor an end")
 	}
 	return nil
 }
 
-// Begun tells whether anything of the response has come.
+// HasBegun reports whether any of the response has been received.
 func (p *ResponseParser) HasBegun() bool { return p.stage != inHead || p.startLine != "" }
 
-// End tells the parser that the connection has ended, and returns whether that makes the response whole.
+// HandleEOF must be called when the backend has closed the connection. It reports whether the response is complete by that (RFC
+// 9112, 6.3 and 8).
 func (p *ResponseParser) HandleEOF() bool {
 	if p.stage == untilEnd {
 		p.stage = complete
@@ -95,5 +99,5 @@
 	return p.stage == complete
 }
 
-// Keep tells whether the connection can carry another request.
+// IsPersistent reports whether the connection can carry another request.
 func (p *ResponseParser) IsPersistent() bool { return p.isPersistent() }
