--- a/internal/coordination/fault_role.go
+++ b/internal/coordination/fault_role.go
@@ -132,7 +132,7 @@
 		r.handleOrder(now, &order, m.Token, from)
 	case kindFaultList:
 		var list faultList
-		if frames.Unmarshal(m.Body, &list) != nil || len(list.Orders) > maxFaultRuns || slices.ContainsFunc(list.Orders, func(o faultOrder) bool { return !o.isValid() }) {
+		if frames.Unmarshal(m.Body, &list) != nil || !list.isValid() {
 			r.roles.countMalformed(faultRoleName)
 			return
 		}
--- a/internal/coordination/fault_wire.go
+++ b/internal/coordination/fault_wire.go
@@ -1,5 +1,7 @@
 package coordination
 
+import "slices"
+
 // The messages of the role "drill". The numbers are the wire form.
 const (
 	kindFaultOrder = 1 // faultOrder, over one link after the other to the holder
@@ -26,6 +28,11 @@
 	Orders []faultOrder `msgpack:"r,omitempty"`
 }
 
+// isValid reports whether a received list is plausible.
+func (l *faultList) isValid() bool {
+	return len(l.Orders) <= maxFaultRuns && !slices.ContainsFunc(l.Orders, func(o faultOrder) bool { return !o.isValid() })
+}
+
 // isValid reports whether a received order is plausible.
 func (o *faultOrder) isValid() bool {
 	return o.ID != 0 && o.Name != "" && len(o.Name) <= maxFaultNameBytes && len(o.Signature) <= maxFaultSignatureBytes && o.RemainingSeconds >= 0 &&
--- a/internal/coordination/lease_status.go
+++ b/internal/coordination/lease_status.go
@@ -113,8 +113,8 @@
 }
 
 func (m *roleManager) roleStatus(s *roleState, table *lease.Table) RoleStatus {
-	status := RoleStatus{Role: s.name, HeldToken: m.activeToken(s), MaxToken: m.fenceToken(s.name), Accepted: s.accepted, Rejected: s.rejected, Malformed: s.malformed,
-		Capable: s.role != nil}
+	status := RoleStatus{Role: s.name, HeldToken: m.activeToken(s), MaxToken: m.fenceToken(s.name), Accepted: s.accepted, Rejected: s.rejected,
+		Malformed: s.malformed, Capable: s.role != nil}
 	for _, g := range table.Grants {
 		if g.Role != s.name {
 			continue
--- a/internal/coordination/maintenance_query.go
+++ b/internal/coordination/maintenance_query.go
@@ -118,5 +118,6 @@
 		return
 	}
 	r := n.roles.maintenance
-	n.roles.send(link, &frames.RoleMessage{Role: maintenanceRoleName, Token: r.maxToken(), Origin: uint64(n.state.ID), Kind: kindRecord, Body: mustMarshal(r.recordMessage())})
+	n.roles.send(link, &frames.RoleMessage{Role: maintenanceRoleName, Token: r.maxToken(), Origin: uint64(n.state.ID), Kind: kindRecord,
+		Body: mustMarshal(r.recordMessage())})
 }
--- a/internal/coordination/maintenance_status.go
+++ b/internal/coordination/maintenance_status.go
@@ -29,8 +29,8 @@
 		return nil, ErrNoMaintenance
 	}
 	r, now := n.roles.maintenance, n.loop.Now()
-	s := &MaintenanceStatus{Version: r.version, Holder: r.holderName, Plans: append([]maintenance.Plan{}, r.state.Plans...), Blockers: append([]maintenance.Blocker{}, r.blockers...),
-		Cordoned: []string{}, Reinstated: []string{}}
+	s := &MaintenanceStatus{Version: r.version, Holder: r.holderName, Plans: append([]maintenance.Plan{}, r.state.Plans...),
+		Blockers: append([]maintenance.Blocker{}, r.blockers...), Cordoned: []string{}, Reinstated: []string{}} // none is [] in JSON, not null
 	if !math.IsInf(r.announcedAt, -1) {
 		s.AgeSeconds = roundTenths(now - r.announcedAt)
 	}
@@ -41,11 +41,11 @@
 			}
 		}
 	}
-	for _, b := range r.servers.Servers() {
-		if _, out := r.outSince[b.Name]; out {
-			s.Cordoned = append(s.Cordoned, b.Name)
-			if b.IsKeptInUse {
-				s.Reinstated = append(s.Reinstated, b.Name)
+	for _, server := range r.servers.Servers() {
+		if _, out := r.outSince[server.Name]; out {
+			s.Cordoned = append(s.Cordoned, server.Name)
+			if server.IsKeptInUse {
+				s.Reinstated = append(s.Reinstated, server.Name)
 			}
 		}
 	}
--- a/internal/coordination/maintenance_survey.go
+++ b/internal/coordination/maintenance_survey.go
@@ -56,16 +56,17 @@
 	}
 	report.Reporters = []maintenance.Reporter{{ID: n.state.ID, BootID: n.view.Self().Version.BootID, Version: r.version}}
 	quietSeconds := r.quietPeriods()
-	for _, b := range r.servers.Servers() {
-		status := maintenance.ServerStatus{Server: b.Name, Site: b.Zone, Type: b.Type, Capacity: b.Weight, ListedBy: boolToInt(b.IsListed), DrainingBy: boolToInt(b.IsDraining),
-			CordonedBy: boolToInt(b.IsCordoned), WarmingUpBy: boolToInt(b.IsWarmingUp), UnresponsiveBy: boolToInt(b.IsUnavailable), InFlight: b.InFlight, Busy: b.IsBusy}
-		if before, known := r.serverCompleted[b.Name]; known {
-			status.CompletedPerSecond = float64(b.AttemptsEnded-before) / spanSeconds
+	for _, server := range r.servers.Servers() {
+		status := maintenance.ServerStatus{Server: server.Name, Site: server.Zone, Type: server.Type, Capacity: server.Weight,
+			ListedBy: boolToInt(server.IsListed), DrainingBy: boolToInt(server.IsDraining), CordonedBy: boolToInt(server.IsCordoned),
+			WarmingUpBy: boolToInt(server.IsWarmingUp), UnresponsiveBy: boolToInt(server.IsUnavailable), InFlight: server.InFlight, Busy: server.IsBusy}
+		if before, known := r.serverCompleted[server.Name]; known {
+			status.CompletedPerSecond = float64(server.AttemptsEnded-before) / spanSeconds
 		}
-		r.serverCompleted[b.Name] = b.AttemptsEnded
+		r.serverCompleted[server.Name] = server.AttemptsEnded
 		report.Servers = append(report.Servers, status)
-		if quiet, out := quietSeconds[b.Name]; out && (b.IsKeptInUse || b.InFlight > 0 || now-r.outSince[b.Name] < quiet) {
-			report.InUse = append(report.InUse, maintenance.InUse{Server: b.Name, Member: n.state.ID, Uncordoned: b.IsKeptInUse, InFlight: b.InFlight})
+		if quiet, out := quietSeconds[server.Name]; out && (server.IsKeptInUse || server.InFlight > 0 || now-r.outSince[server.Name] < quiet) {
+			report.InUse = append(report.InUse, maintenance.InUse{Server: server.Name, Member: n.state.ID, Uncordoned: server.IsKeptInUse, InFlight: server.InFlight})
 		}
 	}
 	return report
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -117,8 +117,10 @@
 		}
 	}
 	self := swim.Record{ID: n.state.ID, Version: version, Name: n.options.Sidecar, Address: n.options.Advertise, Durable: n.identityStored && n.roles != nil}
-	n.view = swim.New(n.loop.Now(), self, swim.Settings{Join: n.options.Join, HotRestart: n.options.Replaceable, Seed: n.options.Rand.Uint64()}, membershipActions{n})
-	n.log.Info("membership started", "fleet", n.options.Name, "listen", n.options.Listen, "advertise", n.options.Advertise, "id", self.ID, "incarnation", version.Incarnation)
+	settings := swim.Settings{Join: n.options.Join, HotRestart: n.options.Replaceable, Seed: n.options.Rand.Uint64()}
+	n.view = swim.New(n.loop.Now(), self, settings, membershipActions{n})
+	n.log.Info("membership started", "fleet", n.options.Name, "listen", n.options.Listen, "advertise", n.options.Advertise, "id", self.ID,
+		"incarnation", version.Incarnation)
 	n.listen()
 	n.tick()
 }
--- a/internal/coordination/report_role.go
+++ b/internal/coordination/report_role.go
@@ -226,6 +226,7 @@
 	snapshot.Counts = c.latencyCounts
 	h := hdrhistogram.Import(&snapshot)
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	return ClassReport{Class: c.Class, RatePerSecond: math.Round(10*c.RatePerSecond) / 10, Served: c.Served, Throttled: c.Throttled, Failed: c.Failed, Abandoned: c.Abandoned,
-		P50: ms(h.ValueAtPercentile(50)), P90: ms(h.ValueAtPercentile(90)), P99: ms(h.ValueAtPercentile(99)), P999: ms(h.ValueAtPercentile(99.9)), Max: ms(h.Max())}
+	return ClassReport{Class: c.Class, RatePerSecond: math.Round(10*c.RatePerSecond) / 10, Served: c.Served, Throttled: c.Throttled, Failed: c.Failed,
+		Abandoned: c.Abandoned, P50: ms(h.ValueAtPercentile(50)), P90: ms(h.ValueAtPercentile(90)),
+		P99: ms(h.ValueAtPercentile(99)), P999: ms(h.ValueAtPercentile(99.9)), Max: ms(h.Max())}
 }
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -48,8 +48,9 @@
 	}
 	rank, count := n.rank.Current()
 	self := n.view.Self()
-	s = Status{Fleet: n.options.Name, ID: self.ID.String(), IdentityStored: n.identityStored, IsReplaced: n.view.HasLostIdentity() || n.isReplaced, Rank: rank, Count: count,
-		Live: n.view.LiveCount(), HealthScore: n.view.HealthScore(), Checksum: swim.ID(n.view.Digest()).String(), View: n.view.Stats(), Links: n.peers.Stats(), Panics: n.panics}
+	s = Status{Fleet: n.options.Name, ID: self.ID.String(), IdentityStored: n.identityStored, IsReplaced: n.view.HasLostIdentity() || n.isReplaced,
+		Rank: rank, Count: count, Live: n.view.LiveCount(), HealthScore: n.view.HealthScore(), Checksum: swim.ID(n.view.Digest()).String(),
+		View: n.view.Stats(), Links: n.peers.Stats(), Panics: n.panics}
 	if n.roles != nil {
 		s.Leases = n.roles.status()
 	}
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -67,7 +67,8 @@
 	mux.HandleFunc("GET /alive", s.serveAlive)
 	mux.HandleFunc("GET /ready", s.serveReady)
 	mux.HandleFunc("GET /started", s.serveStarted)
-	s.http = http.Server{Handler: mux, ReadTimeout: connectionTimeout, WriteTimeout: connectionTimeout, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
+	s.http = http.Server{Handler: mux, ReadTimeout: connectionTimeout, WriteTimeout: connectionTimeout,
+		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	s.http.SetKeepAlivesEnabled(false) // an idle client must not hold one of the few connections
 	return s
 }
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -78,8 +78,9 @@
 }
 
 // New returns a Transport without links, for a sidecar of a fleet.
-func New(fleet string, maxLinks int, handler Handler, net netio.EventLoop, log *slog.Logger) *Transport {
-	return &Transport{fleet: fleet, maxLinks: maxLinks, handler: handler, loop: net, log: log, logged: map[string]bool{}, sendBudget: tokenbucket.New(sendBurstBytes, net.Now())}
+func New(fleet string, maxLinks int, handler Handler, loop netio.EventLoop, log *slog.Logger) *Transport {
+	return &Transport{fleet: fleet, maxLinks: maxLinks, handler: handler, loop: loop, log: log, logged: map[string]bool{},
+		sendBudget: tokenbucket.New(sendBurstBytes, loop.Now())}
 }
 
 // Stats returns the statistics so far.
@@ -107,7 +108,8 @@
 func (t *Transport) addLink(address string) *Link {
 	t.lastNumber++
 	now := t.loop.Now()
-	l := &Link{Number: t.lastNumber, Address: address, transport: t, helloDeadline: now + helloTimeoutSeconds, receiveBudget: tokenbucket.New(receiveBurstBytes, now)}
+	l := &Link{Number: t.lastNumber, Address: address, transport: t, helloDeadline: now + helloTimeoutSeconds,
+		receiveBudget: tokenbucket.New(receiveBurstBytes, now)}
 	t.links = append(t.links, l)
 	return l
 }
