--- a/internal/frontend/http1/call.go
+++ b/internal/frontend/http1/call.go
@@ -10,11 +10,11 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// call is what a client has asked for over HTTP.
+// call is a client's request, in memory of its own.
 type call struct {
 	front          *Frontend
 	method, target string
-	header         http1.Header // passed on; Request-Timeout is written anew
+	header         http1.Header // forwarded; Request-Timeout is written anew
 	body           sidecar.Body
 	class          string
 }
@@ -24,8 +24,7 @@
 	return &exchange{call: c, parser: http1.NewResponseParser(limits)}
 }
 
-// newCall takes over a parsed request of a class that has come from an address. Its header is rewritten here, once
-// for all attempts: each begins with the same.
+// newCall takes over a parsed request of a class from a remote address. Its header is rewritten here, once for all attempts.
 func newCall(f *Frontend, p *http1.RequestParser, class string, remote net.Addr) *call {
 	c := &call{front: f, method: p.Method, target: p.Target, class: class,
 		body: sidecar.Body{Buffered: p.Body, Length: p.BodyLength(), IsComplete: p.IsComplete()}}
@@ -43,7 +42,7 @@
 	return c
 }
 
-// path returns the target less its query.
+// path returns the target without its query.
 func (c *call) path() string {
 	path, _, _ := strings.Cut(c.target, "?")
 	return path
--- a/internal/frontend/http1/clientconn.go
+++ b/internal/frontend/http1/clientconn.go
@@ -14,13 +14,13 @@
 	sidecar.ClientConn
 	front        *Frontend
 	parser       http1.RequestParser
-	sentContinue bool  // 100 Continue is sent
-	uploading    *call // whose body is still on its way in; nil: none
-	isChunked    bool  // the answer that flows goes in chunks
-	minorVersion int   // the version of HTTP/1 that the present request came in
+	sentContinue bool  // 100 Continue was written
+	uploading    *call // its body is still arriving; nil: none is
+	isChunked    bool  // the response that is forwarded in parts is chunked
+	minorVersion int   // of HTTP/1, of the present request
 }
 
-// ReadRequest sends word to a client that waits for it before it sends the body.
+// ReadRequest implements sidecar.ClientCodec. It writes 100 Continue to a client that waits for it with the body.
 func (c *clientConn) ReadRequest(buf *buffer.Buffer) (bool, error) {
 	if b := buf.Bytes(); !c.parser.HasBegun() && looksLikeThrift(b) {
 		return false, errThrift
@@ -34,7 +34,7 @@
 	return ready, err
 }
 
-// ReadBody reads on in a body that flows.
+// ReadBody implements sidecar.ClientCodec.
 func (c *clientConn) ReadBody(buf *buffer.Buffer) error {
 	complete, err := c.parser.Next(buf)
 	b := &c.uploading.body
@@ -47,25 +47,25 @@
 	return err
 }
 
-// PartialRequest counts the body, which is taken off the buffer as it comes.
+// PartialRequest implements sidecar.ClientCodec. The body counts as held, since it is taken off the buffer as it arrives.
 func (c *clientConn) PartialRequest() (held int, begun bool) {
 	return len(c.parser.Body), c.parser.HasBegun()
 }
 
-// Take routes a request.
+// HandleRequest implements sidecar.ClientCodec: it routes the request.
 func (c *clientConn) HandleRequest() {
 	c.sentContinue, c.minorVersion = false, c.parser.MinorVersion()
-	// Danger: what follows a message that is answered before it has come whole is its rest, and no request.
+	// Danger: what follows a message that is answered before it has arrived completely is the rest of it, and no request.
 	c.SetKeepAlive(c.parser.IsPersistent() && c.parser.IsComplete())
 	c.route()
 	c.parser.Release()
 }
 
-// errThrift is the end of a link whose client has come to the wrong port. Danger: nothing that it sends need ever end a line,
-// and what it is answered it can't read.
+// errThrift ends a connection whose client has connected to the wrong port. Danger: what it sends need never end a line, and it can't read
+// a response.
 var errThrift = errors.New("connections at the HTTP port are closed that speak Thrift")
 
-// looksLikeThrift tells whether bytes begin as Thrift's do, framed or not, and as no request of HTTP can.
+// looksLikeThrift reports whether bytes start as those of Thrift, framed or not, and as no request of HTTP can.
 func looksLikeThrift(b []byte) bool {
 	if len(b) > 4 && b[0] == 0 {
 		if b = b[4:]; b[0] == 0 { // the old binary protocol
@@ -75,7 +75,7 @@
 	return len(b) > 1 && (b[0] == 0x80 && b[1] == 1 || b[0] == 0x82 && b[1]&0x1f == 1)
 }
 
-// RejectMalformed names the status of what is wrong.
+// RejectMalformed implements sidecar.ClientCodec: the response has the status of the error.
 func (c *clientConn) RejectMalformed(err error) {
 	if errors.Is(err, errThrift) {
 		c.CloseUnanswered(err.Error())
@@ -91,13 +91,13 @@
 	c.reject(e.Status, e.Reason)
 }
 
-// decline answers a message that is no request to decide on.
+// reject answers a message that is no request to a class.
 func (c *clientConn) reject(status int, reason string, fields ...http1.Field) {
 	c.CountMalformed()
 	c.respond(status, append(fields, textPlain), []byte(reason+"\n"))
 }
 
-// spoilt does so to a request of a class that is none to decide on.
+// rejectInvalid answers an invalid request to a class.
 func (c *clientConn) rejectInvalid(class, status int, reason string, fields ...http1.Field) {
 	c.CountInvalid(class)
 	c.reject(status, reason, fields...)
@@ -105,7 +105,7 @@
 
 var textPlain = http1.Field{Name: "Content-Type", Value: "text/plain"}
 
-// route answers what concerns the sidecar itself, and hands on the rest.
+// route answers what concerns the sidecar itself, and submits everything else.
 func (c *clientConn) route() {
 	p := &c.parser
 	path, query, _ := strings.Cut(p.Target, "?")
--- a/internal/frontend/http1/exchange.go
+++ b/internal/frontend/http1/exchange.go
@@ -11,8 +11,8 @@
 type exchange struct {
 	call                *call
 	parser              http1.ResponseParser
-	isChunked           bool // the request's body goes in chunks
-	isLastChunkAppended bool // and its last one has been appended
+	isChunked           bool // the request's body is sent in chunks
+	isLastChunkAppended bool // the last one was appended
 }
 
 func (x *exchange) AppendRequest(dst []byte, now, deadline float64) []byte {
@@ -51,7 +51,7 @@
 	return b.IsComplete && b.UnsentBytes() == 0 && (!x.isChunked || x.isLastChunkAppended)
 }
 
-// ExceedsBuffer tells whether more of the answer is to come than is held.
+// ExceedsBuffer implements sidecar.StreamingExchange.
 func (x *exchange) ExceedsBuffer() bool {
 	p := &x.parser
 	return p.IsHeadComplete() && !p.IsComplete() && max(p.BodyLength(), p.ReceivedBodyBytes()) > sidecar.MaxBodyBytes
@@ -65,7 +65,7 @@
 
 func (x *exchange) HandleEOF() bool { return x.parser.HandleEOF() }
 
-// header returns what the client is sent of an answer's header.
+// header returns the part of a response's header that the client is sent.
 func (x *exchange) header() http1.Header {
 	if r := &x.call.front.rewrites; r.On() {
 		return r.Answer(x.parser.Header, x.call.class, x.call.path())
@@ -73,7 +73,7 @@
 	return x.parser.Header.EndToEnd()
 }
 
-// Result reads the status. Only a server's word that it has not started proves that nothing has run.
+// Result implements sidecar.Exchange. Only a server's word that it has not started proves that nothing has run.
 func (x *exchange) Result() (policy.Outcome, policy.Report, bool) {
 	p := &x.parser
 	outcome := policy.HostError
--- a/internal/frontend/http1/faults.go
+++ b/internal/frontend/http1/faults.go
@@ -9,13 +9,13 @@
 	"hazelwheel/internal/http1"
 )
 
-// A drill is started by a POST to its path. The secret comes in a header field, in base64: it may hold any bytes.
+// A fault is started by a POST to FaultPath with its name. The secret is in a header field, in base64: it may hold any bytes.
 const (
 	FaultPath        = "/drills/"
 	FaultSecretField = "Drill-Secret"
 )
 
-// startDrill answers the operators' word to start a drill.
+// startFault answers an operator's request to start a fault.
 func (c *clientConn) startFault(name string) {
 	if c.parser.Method != "POST" {
 		c.reject(405, "a drill is started by POST", http1.Field{Name: "Allow", Value: "POST"})
@@ -23,7 +23,7 @@
 	}
 	secret, err := base64.StdEncoding.DecodeString(c.parser.Header.Get(FaultSecretField))
 	if err != nil {
-		secret = nil // which is nobody's
+		secret = nil // which matches none
 	}
 	fault, err := c.Sidecar().StartFault(secret, name)
 	if err != nil {
@@ -37,7 +37,7 @@
 	c.respond(200, http1.Header{textPlain}, []byte("drill "+fault.Name+" started\n"))
 }
 
-// drillName returns the drill that a path names, if drills can be started.
+// faultName returns the fault that a path names; false: it names none, or faults can't be started.
 func (c *clientConn) faultName(path string) (string, bool) {
 	name, ok := strings.CutPrefix(path, FaultPath)
 	return name, ok && c.Sidecar().IsFaultInjectionArmed()
--- a/internal/frontend/http1/fields.go
+++ b/internal/frontend/http1/fields.go
@@ -9,7 +9,7 @@
 	"hazelwheel/policy"
 )
 
-// Header fields of the deployment.
+// Names of header fields, as the deployment spells them.
 const (
 	fieldID         = "Request-Id"
 	fieldTimeout    = "Request-Timeout"
@@ -21,12 +21,12 @@
 	fieldTenant     = "Tenant"
 )
 
-// report reads a load report.
+// parseReport parses a load report.
 func (f *Frontend) parseReport(text string) policy.Report {
 	return sidecar.ParseLoadReport(f.settings.ReportFields, text)
 }
 
-// tenant returns the place in the settings of a tenant that a client names, or tells the place of.
+// tenantIndex returns the index in the settings of a tenant that a client gives by name or by index.
 func (f *Frontend) tenantIndex(text string) int {
 	tenants := f.settings.Policy.Tenants
 	for i := range tenants {
@@ -40,12 +40,12 @@
 	return sidecar.UnknownTenant
 }
 
-// appendPatience appends a span as the deployment writes it.
+// appendTimeout appends a number of seconds in the deployment's notation.
 func appendTimeout(dst []byte, s float64) []byte {
 	return append(strconv.AppendInt(dst, max(int64(s*1e6), 0), 10), 'u')
 }
 
-// parsePatience reads a number and a unit, m or u, as seconds.
+// parseTimeout parses a number with a unit, m for milliseconds or u for microseconds, and returns seconds.
 func parseTimeout(text string) (float64, bool) {
 	if len(text) < 2 {
 		return 0, false
--- a/internal/frontend/http1/fields_test.go
+++ b/internal/frontend/http1/fields_test.go
@@ -27,8 +27,8 @@
 	assert.Zero(t, f.parseReport("").N)
 }
 
-// A request without a tenant, or of one that the settings do not name, is nobody's. Danger: as the first tenant's all of them are
-// beyond its share, and go last.
+// A request without a tenant, or of one that the settings do not name, has none. Danger: counted as the first tenant's all of them would
+// exceed its share, and go last.
 func TestTenants(t *testing.T) {
 	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Tenants = []policy.Tenant{{Name: "north"}, {Name: "south"}}
--- a/internal/frontend/http1/frontend.go
+++ b/internal/frontend/http1/frontend.go
@@ -1,4 +1,4 @@
-// Package http1 is the front that speaks HTTP/1.1: its client connections, what it passes on to servers, and its probes.
+// Package http1 is the frontend for HTTP/1.1: its client connections, the requests that it forwards to servers, and its probes.
 package http1
 
 import (
@@ -10,9 +10,9 @@
 
 var limits = http1.Limits{HeadBytes: sidecar.MaxHeadBytes, BufferedBodyBytes: sidecar.MaxBodyBytes, StreamedBodyBytes: sidecar.MaxStreamBytes}
 
-// Front speaks HTTP/1.1 as the settings say.
+// Frontend speaks HTTP/1.1 with clients and servers.
 type Frontend struct {
-	sidecarName string // of this sidecar
+	sidecarName string // in the Host field of probes
 	listen      string
 	settings    sidecarconfig.Settings
 	classes     map[string]int
@@ -21,7 +21,7 @@
 
 var _ sidecar.Frontend = (*Frontend)(nil)
 
-// New returns a front for the classes of a configuration.
+// New returns a frontend for the classes of a configuration.
 func New(cfg sidecarconfig.Config, rewrites rewrite.Settings) *Frontend {
 	f := &Frontend{sidecarName: cfg.Name, listen: cfg.Listen, settings: cfg.Settings, classes: map[string]int{}, rewrites: rewrites}
 	for i, c := range cfg.Settings.Policy.Classes {
@@ -30,13 +30,13 @@
 	return f
 }
 
-// ListenAddress returns where clients come.
+// ListenAddress implements sidecar.Frontend.
 func (f *Frontend) ListenAddress() string { return f.listen }
 
-// BackendAddress returns a server's address as it is listed.
+// BackendAddress implements sidecar.Frontend: servers speak HTTP where they are listed.
 func (f *Frontend) BackendAddress(listed string) string { return listed }
 
-// NewClient returns a link that has read nothing.
+// NewClient implements sidecar.Frontend.
 func (f *Frontend) NewClient() sidecar.ClientCodec {
 	return &clientConn{front: f, parser: http1.NewRequestParser(limits)}
 }
--- a/internal/frontend/http1/probe.go
+++ b/internal/frontend/http1/probe.go
@@ -6,10 +6,10 @@
 	"hazelwheel/policy"
 )
 
-// probe asks a server for a sign of life.
+// probe is the exchange of a health check.
 type probe struct{ exchange }
 
-// NewProbe asks in the way that the settings name.
+// NewProbe implements sidecar.Frontend. The settings name the path.
 func (f *Frontend) NewProbe() sidecar.Exchange {
 	path := "/health"
 	if f.settings.Policy.ReportsOnProbe {
@@ -19,8 +19,8 @@
 	return &probe{exchange{call: c, parser: http1.NewResponseParser(limits)}}
 }
 
-// Result reads the report from the body, where it comes so. A probe runs nothing: a server that does not serve
-// one has turned it away, and need not say so as it must of a request.
+// Result implements sidecar.Exchange. The load report may be in the body. A probe runs nothing: a server that rejects one need not say so
+// in a field as it must for a request.
 func (x *probe) Result() (policy.Outcome, policy.Report, bool) {
 	outcome, report, keep := x.exchange.Result()
 	if x.parser.Status == 503 {
--- a/internal/frontend/http1/quotas.go
+++ b/internal/frontend/http1/quotas.go
@@ -8,7 +8,7 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// QuotaPath is where the sidecar tells of its quotas: of all groups, and of one with ?group=PATH.
+// QuotaPath shows the state of the quotas: of all groups, or of one with ?group=PATH.
 const QuotaPath = "/quota"
 
 var (
@@ -16,25 +16,25 @@
 	_ sidecar.CostReporter = (*exchange)(nil)
 )
 
-// Field returns a field as the client has sent it, whatever is rewritten later.
+// Field implements sidecar.QuotaClient: it returns the field as the client has sent it, whatever is rewritten later.
 func (c *clientConn) Field(name string) string { return c.parser.Header.Get(name) }
 
-// RequestBytes counts the request's first line, header and body.
+// RequestBytes implements sidecar.QuotaClient: it counts the first line, the header and the body.
 func (c *clientConn) RequestBytes() int {
 	p := &c.parser
 	return len(p.Method) + len(p.Target) + headerBytes(p.Header) + max(p.BodyLength(), len(p.Body))
 }
 
-// RejectOverQuota refuses with a status of its own.
-func (c *clientConn) RejectOverQuota(group string, retryAfterS float64) {
+// RejectOverQuota implements sidecar.QuotaClient, with status 429.
+func (c *clientConn) RejectOverQuota(group string, retryAfterSeconds float64) {
 	h := http1.Header{textPlain}
 	if c.front.settings.RetryAfter {
-		h = append(h, http1.Field{Name: fieldRetryAfter, Value: strconv.FormatFloat(retryAfterS, 'f', 3, 64)})
+		h = append(h, http1.Field{Name: fieldRetryAfter, Value: strconv.FormatFloat(retryAfterSeconds, 'f', 3, 64)})
 	}
 	c.respond(429, h, []byte("over the quota of "+group+"\n"))
 }
 
-// showQuotas answers operators who ask for the quotas.
+// respondQuotaStatus answers an operator's query of the quotas.
 func (c *clientConn) respondQuotaStatus(query string) {
 	text, ok := c.Sidecar().QuotaStatus(query)
 	if !ok {
@@ -44,12 +44,12 @@
 	c.respond(200, http1.Header{{Name: "Content-Type", Value: "application/json"}}, text)
 }
 
-// RequestBytes counts the answer's header and body.
+// ResponseBytes implements sidecar.CostReporter: it counts the header and the body.
 func (x *exchange) ResponseBytes() int {
 	return headerBytes(x.parser.Header) + x.parser.ReceivedBodyBytes()
 }
 
-// ServiceSeconds reads the answer's own time off its load report.
+// ServiceSeconds implements sidecar.CostReporter: it reads the time from the load report.
 func (x *exchange) ServiceSeconds() (seconds float64, ok bool) {
 	for pair := range strings.SplitSeq(x.parser.Header.Get(fieldLoad), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
@@ -60,7 +60,7 @@
 	return 0, false
 }
 
-// headerBytes is about what a header takes on the wire.
+// headerBytes returns the approximate size of a header on the wire.
 func headerBytes(h http1.Header) (n int) {
 	for _, f := range h {
 		n += len(f.Name) + len(f.Value) + len(": \r\n")
--- a/internal/frontend/http1/response.go
+++ b/internal/frontend/http1/response.go
@@ -7,14 +7,14 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// ForwardResponse passes on a server's answer.
+// ForwardResponse implements sidecar.Responder.
 func (c *clientConn) ForwardResponse(x sidecar.Exchange) {
 	h := x.(*exchange)
 	c.MarkServed()
 	c.respond(h.parser.Status, h.header(), h.parser.Body)
 }
 
-// ForwardHead passes on the begin of an answer whose end has not come.
+// ForwardHead implements sidecar.StreamResponder.
 func (c *clientConn) ForwardHead(x sidecar.Exchange) {
 	p, h := &x.(*exchange).parser, x.(*exchange).header()
 	c.MarkServed()
@@ -33,7 +33,7 @@
 	c.WriteStream(c.appendBody(http1.AppendResponseHead(dst, p.Status, h, length), p.TakeBody()))
 }
 
-// ForwardBody passes on what has come since.
+// ForwardBody implements sidecar.StreamResponder.
 func (c *clientConn) ForwardBody(x sidecar.Exchange, last bool) {
 	dst := c.appendBody(c.ScratchBuffer(), x.(*exchange).parser.TakeBody())
 	if last && c.isChunked {
@@ -49,17 +49,17 @@
 	return append(dst, body...)
 }
 
-// Throttle refuses.
-func (c *clientConn) Throttle(retryAfterS float64) {
+// Throttle implements sidecar.Responder, with status 503.
+func (c *clientConn) Throttle(retryAfterSeconds float64) {
 	h := http1.Header{textPlain}
 	if c.front.settings.RetryAfter {
-		after := strconv.FormatFloat(max(retryAfterS, 0), 'f', 3, 64)
+		after := strconv.FormatFloat(max(retryAfterSeconds, 0), 'f', 3, 64)
 		h = append(h, http1.Field{Name: fieldRetryAfter, Value: after})
 	}
 	c.respond(503, h, []byte("throttled\n"))
 }
 
-// Fail says that there is no answer.
+// Fail implements sidecar.Responder, with status 504 or 502.
 func (c *clientConn) Fail(late bool) {
 	if late {
 		c.respond(504, http1.Header{textPlain}, []byte("no answer in time\n"))
@@ -68,7 +68,7 @@
 	c.respond(502, http1.Header{textPlain}, []byte("no answer\n"))
 }
 
-// respond answers, and tells the client where the answer is the last.
+// respond writes a response, which announces the close if it is the last on the connection.
 func (c *clientConn) respond(status int, h http1.Header, body []byte) {
 	dst, last, connected := c.BeginResponse(true)
 	if !connected {
--- a/internal/frontend/http1/submit.go
+++ b/internal/frontend/http1/submit.go
@@ -6,7 +6,7 @@
 	"hazelwheel/policy"
 )
 
-// take checks a request of a class and hands it to the decisions.
+// submit validates a request to a class and submits it.
 func (c *clientConn) submit(class int) {
 	p, settings := &c.parser, &c.front.settings.Policy.Classes[class]
 	method := "POST"
@@ -36,7 +36,7 @@
 		in := sidecar.IncomingRequest{ID: id, Class: class, Tenant: c.front.tenantIndex(p.Header.Get(fieldTenant)), TimeoutSeconds: timeoutSeconds, IsRetry: p.Header.Get(fieldRetry) == "1", HeldBytes: len(p.Body), Call: call}
 		if !p.IsComplete() {
 			c.uploading, in.Body = call, &call.body
-			p.Body = nil // the call's from now on
+			p.Body = nil // owned by the call from now on
 		}
 		c.Submit(in)
 	}
--- a/internal/frontend/thrift/call.go
+++ b/internal/frontend/thrift/call.go
@@ -7,13 +7,13 @@
 	"hazelwheel/internal/thrift"
 )
 
-// call is what a client has asked for, in memory of its own: it outlives its link.
+// call is a client's call, in memory of its own: it outlives its connection.
 type call struct {
 	front   *Frontend
 	message thrift.Message
 }
 
-// newCall takes over a message that lies in a link's buffer.
+// newCall copies a message from a connection's buffer.
 func newCall(f *Frontend, m thrift.Message) *call {
 	c := &call{front: f}
 	raw := append([]byte(nil), m.Raw...)
@@ -25,5 +25,5 @@
 
 func (c *call) NewExchange() sidecar.Exchange { return &exchange{call: c} }
 
-// bare returns a method's name without its service's.
+// methodName returns a method's name without that of its service.
 func methodName(name []byte) []byte { return name[bytes.IndexByte(name, ':')+1:] }
--- a/internal/frontend/thrift/clientconn.go
+++ b/internal/frontend/thrift/clientconn.go
@@ -11,15 +11,15 @@
 	"hazelwheel/policy"
 )
 
-// clientConn is a client connection that speaks Thrift. Calls that come ahead wait in its buffer and in the socket: they are answered in
-// their order, one at a time, as a server of the Apache libraries does.
+// clientConn is a client connection that speaks Thrift. Pipelined calls wait in its buffer and in the socket: they are answered in order,
+// one at a time, like by a server of the Apache libraries.
 type clientConn struct {
 	sidecar.ClientConn
 	front   *Frontend
-	message thrift.Message // the one that was read last, or is out
+	message thrift.Message // the one that was read last, or is open
 }
 
-// ReadRequest takes one message off the buffer. It lies there until Take, which comes before any more bytes.
+// ReadRequest implements sidecar.ClientCodec. The message stays in the buffer until HandleRequest, which comes before any more bytes.
 func (c *clientConn) ReadRequest(buf *buffer.Buffer) (bool, error) {
 	payload, size, err := thrift.CutFrame(buf.Bytes(), maxFrameBytes)
 	if err != nil || size == 0 {
@@ -32,13 +32,14 @@
 	return true, nil
 }
 
-// ReadBody is never called: a message is handed on whole.
+// ReadBody implements sidecar.ClientCodec. It is never called: messages are submitted completely.
 func (c *clientConn) ReadBody(*buffer.Buffer) error { return nil }
 
-// Partial holds nothing: a message stays in the buffer until it is whole.
+// PartialRequest implements sidecar.ClientCodec. Nothing is held: a message stays in the buffer until it is complete.
 func (c *clientConn) PartialRequest() (held int, begun bool) { return 0, false }
 
-// RejectMalformed closes a link without a word: what can't be read has no sequence number to answer to.
+// RejectMalformed implements sidecar.ClientCodec. The connection is closed without a response: what can't be read has no sequence number to
+// answer.
 func (c *clientConn) RejectMalformed(err error) {
 	if errors.Is(err, sidecar.ErrRequestTimeout) {
 		c.CloseUnanswered("connections are closed whose calls do not arrive")
@@ -47,7 +48,7 @@
 	c.CloseUnanswered("connections at the Thrift port are closed that speak no framed Thrift: " + err.Error())
 }
 
-// HandleRequest hands a call on, or answers it.
+// HandleRequest implements sidecar.ClientCodec: it submits or answers a call.
 func (c *clientConn) HandleRequest() {
 	m := &c.message
 	c.SetKeepAlive(true)
@@ -72,7 +73,7 @@
 	c.submit(class, found[0], found[1], found[2], found[3].Int != 0)
 }
 
-// ask hands a call of a class on, with what was found in it.
+// submit submits a call to a class, with the values that were found in it.
 func (c *clientConn) submit(class *class, id, key, timeout thrift.Value, isRetry bool) {
 	in := sidecar.IncomingRequest{Class: class.index, Tenant: sidecar.UnknownTenant, TimeoutSeconds: class.TotalTimeoutSeconds, HeldBytes: len(c.message.Raw), IsRetry: isRetry, IsOneWay: c.message.Kind == thrift.Oneway}
 	if timeout.Type != thrift.Stop {
@@ -102,10 +103,10 @@
 	}
 }
 
-// mostID bounds an id. Danger: the capture and the log hold it many times over.
+// maxIDBytes bounds an ID. Danger: the capture and the log hold it many times over.
 const maxIDBytes = 256
 
-// name returns an id as text that a line of a log can hold; "": there is none.
+// idText returns an ID as text that fits into a log line; empty: there is none.
 func idText(id thrift.Value) string {
 	for _, b := range id.Bytes {
 		if b <= ' ' || b >= 0x7f {
@@ -118,8 +119,8 @@
 	return string(id.Bytes)
 }
 
-// seconds reads a span of time in a unit.
-func parseSeconds(v thrift.Value, unitS float64) (float64, bool) {
+// parseSeconds converts a number in a unit to seconds; false: it is no number, or out of bounds.
+func parseSeconds(v thrift.Value, unitSeconds float64) (float64, bool) {
 	n := float64(v.Int)
 	switch v.Type {
 	case thrift.Double:
@@ -128,16 +129,16 @@
 	default:
 		return 0, false
 	}
-	return n * unitS, n >= 0 && n < 1e15
+	return n * unitSeconds, n >= 0 && n < 1e15
 }
 
-// decline answers a call that is none to decide on. Such a call has not run.
+// reject answers a call without submitting it. Such a call has not run.
 func (c *clientConn) reject(kind int32, reason string) {
 	c.CountMalformed()
 	c.respondException(kind, reason)
 }
 
-// spoilt ends a link with a message that makes no sense.
+// rejectAndClose answers a malformed message as the last on its connection.
 func (c *clientConn) rejectAndClose(kind int32, reason string) {
 	c.SetKeepAlive(false)
 	c.reject(kind, reason)
--- a/internal/frontend/thrift/exchange.go
+++ b/internal/frontend/thrift/exchange.go
@@ -14,11 +14,11 @@
 	call     *call
 	sequence int32
 	hasBegun bool
-	reply    thrift.Message // lies in the backend connection's buffer until the next bytes come
+	reply    thrift.Message // in the backend connection's buffer until the next bytes arrive
 	outcome  policy.Outcome
 }
 
-// What is wrong with a reply that can be read.
+// Errors of a reply that can be read.
 const (
 	errNoReply  thrift.Error = "a message that is no reply"
 	errSequence thrift.Error = "another sequence number than the call's"
@@ -26,13 +26,14 @@
 	errEncoding thrift.Error = "another encoding than the call's"
 )
 
-// AppendRequest writes the call as it came, but for the sequence number: what it says of the client's patience goes on unchanged.
+// AppendRequest implements sidecar.Exchange. The call is written as it came but for the sequence number: the deadline in it is forwarded
+// unchanged.
 func (x *exchange) AppendRequest(dst []byte, _, _ float64) []byte {
 	x.sequence = x.call.front.nextSequence()
 	return x.call.message.AppendWithSeq(dst, x.sequence)
 }
 
-// ReadRequest takes a reply that is whole. What makes no sense, or answers another call, says that the server has come to this one.
+// ReadResponse implements sidecar.Exchange. A malformed reply, or one to another call, means that the server has processed this one.
 func (x *exchange) ReadResponse(buf *buffer.Buffer) (bool, error) {
 	x.hasBegun = x.hasBegun || buf.Len() > 0
 	payload, size, err := thrift.CutFrame(buf.Bytes(), maxFrameBytes)
@@ -61,7 +62,7 @@
 	return true, nil
 }
 
-// refusal tells what a TApplicationException means. Only a server's word that it has not begun proves that nothing has run.
+// exceptionOutcome returns what a TApplicationException means. Only a server's word that it has not started proves that nothing has run.
 func (f *Frontend) exceptionOutcome(text []byte) policy.Outcome {
 	if strings.HasPrefix(string(text), f.config.NotStarted) {
 		return policy.Rejected
@@ -69,7 +70,7 @@
 	return policy.HostError
 }
 
-// fits tells what keeps a message from being the call's reply. A reply names the method, mostly without the service.
+// checkReply returns why a message is not the call's reply, nil if it is. A reply names the method, mostly without the service.
 func (x *exchange) checkReply(m *thrift.Message) error {
 	own := &x.call.message
 	switch {
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// A call is appended whole, and never handed on before it is.
+// A call is appended completely, and submitted only when it is complete.
 func (x *exchange) AppendBody(dst []byte, _ int) []byte { return dst }
 
 func (x *exchange) IsRequestAppended() bool { return true }
@@ -96,13 +97,13 @@
 
 func (x *exchange) IsOneWay() bool { return x.call.message.Kind == thrift.Oneway }
 
-// ResponseBytes counts the reply, as quotas do.
+// ResponseBytes implements sidecar.CostReporter.
 func (x *exchange) ResponseBytes() int { return len(x.reply.Raw) }
 
-// ServiceSeconds knows nothing: a reply has no place for it.
+// ServiceSeconds implements sidecar.CostReporter. A reply has no field for it.
 func (x *exchange) ServiceSeconds() (seconds float64, ok bool) { return 0, false }
 
-// Result says that a reply is the method's own answer, a declared exception as well.
+// Result implements sidecar.Exchange. Every reply is the method's own result, a declared exception as well.
 func (x *exchange) Result() (policy.Outcome, policy.Report, bool) {
 	return x.outcome, policy.Report{}, true
 }
--- a/internal/frontend/thrift/frontend.go
+++ b/internal/frontend/thrift/frontend.go
@@ -1,5 +1,5 @@
-// Package thrift is the front that speaks framed Thrift, in the binary and the compact protocol: its client connections, the calls
-// that go on to servers, and its probes. A call goes on in the encoding in which it came.
+// Package thrift is the frontend for framed Thrift, in the binary and the compact protocol: its client connections, the calls that it
+// forwards to servers, and its probes. A call is forwarded in the encoding in which it came.
 package thrift
 
 import (
@@ -14,17 +14,17 @@
 	"hazelwheel/policy"
 )
 
-// mostFrame bounds a message, as an HTTP one's body.
+// maxFrameBytes bounds a message like the body of an HTTP one.
 const maxFrameBytes = sidecar.MaxBodyBytes
 
-// Front speaks Thrift as the operators' file says.
+// Frontend speaks Thrift with clients and servers.
 type Frontend struct {
-	sidecarName  string // of this sidecar
+	sidecarName  string // in the IDs that it generates
 	settings     sidecarconfig.Settings
 	config       featureconfig.Thrift
 	methods      map[string]*class
 	lastSequence int32  // of the last attempt
-	generatedIDs uint64 // ids for calls that bring none
+	generatedIDs uint64 // for calls without one
 }
 
 // class is what the calls of one class have in common.
@@ -32,12 +32,12 @@
 	featureconfig.ThriftClass
 	policy.Class
 	index int
-	paths []thrift.Path // of id, key, patience and the mark of a retry
+	paths []thrift.Path // of ID, key, time-out and the mark of a retry
 }
 
 var _ sidecar.Frontend = (*Frontend)(nil)
 
-// New returns a front for the classes of a configuration.
+// New returns a frontend for the classes of a configuration.
 func New(cfg sidecarconfig.Config, config featureconfig.Thrift) *Frontend {
 	f := &Frontend{sidecarName: cfg.Name, settings: cfg.Settings, config: config, methods: map[string]*class{}}
 	for _, t := range config.Classes {
@@ -54,10 +54,10 @@
 	return f
 }
 
-// ListenAddress returns where clients come.
+// ListenAddress implements sidecar.Frontend.
 func (f *Frontend) ListenAddress() string { return f.config.Listen }
 
-// BackendAddress returns where a listed server speaks Thrift.
+// BackendAddress implements sidecar.Frontend: servers speak Thrift at a port of their own if the configuration names one.
 func (f *Frontend) BackendAddress(listed string) string {
 	if f.config.Port == 0 {
 		return listed
@@ -68,17 +68,17 @@
 	return listed
 }
 
-// NewClient returns a link that has read nothing.
+// NewClient implements sidecar.Frontend.
 func (f *Frontend) NewClient() sidecar.ClientCodec { return &clientConn{front: f} }
 
-// id returns one of the sidecar's own for a call that brings none. It is for logs and captures alone.
+// generateID returns an ID for a call without one, for logs and captures alone.
 func (f *Frontend) generateID() string {
 	f.generatedIDs++
 	return fmt.Sprintf("%s-thrift-%d", f.sidecarName, f.generatedIDs)
 }
 
-// number returns the next attempt's sequence number. Danger: a backend connection carries one call at a time, but what comes late
-// of an earlier one must not be taken for this one's.
+// nextSequence returns the next attempt's sequence number. Danger: a backend connection carries one call at a time, but a late reply to an
+// earlier one must not be taken for this one's.
 func (f *Frontend) nextSequence() int32 {
 	f.lastSequence++
 	return f.lastSequence
--- a/internal/frontend/thrift/probe.go
+++ b/internal/frontend/thrift/probe.go
@@ -6,10 +6,10 @@
 	"hazelwheel/policy"
 )
 
-// probe calls the method that is to be called, and asks for nothing but a reply.
+// probe calls the configured method and expects any reply.
 type probe struct{ exchange }
 
-// NewProbe calls a method without arguments in the strict binary protocol, which every server knows.
+// NewProbe implements sidecar.Frontend: it calls a method without arguments in the strict binary protocol, which every server knows.
 func (f *Frontend) NewProbe() sidecar.Exchange {
 	if f.config.Probe == "" {
 		return nil
@@ -18,15 +18,14 @@
 	w.BeginMessage(nil, thrift.Binary, thrift.Call, f.config.Probe, 0)
 	m, err := thrift.ParseMessage(w.EndMessage()[4:])
 	if err != nil {
-		panic(err) // it is ours
+		panic(err) // it was written above
 	}
 	return &probe{exchange{call: &call{front: f, message: m}}}
 }
 
 var resultPaths = []thrift.Path{{0}}
 
-// Result reads the load report from the result, where the deployment has one there. A server that does not know the method
-// lives all the same.
+// Result implements sidecar.Exchange. The load report may be in the result. A server that does not know the method is alive all the same.
 func (x *probe) Result() (policy.Outcome, policy.Report, bool) {
 	outcome, report, keep := x.exchange.Result()
 	var found [thrift.MaxPaths]thrift.Value
--- a/internal/frontend/thrift/response.go
+++ b/internal/frontend/thrift/response.go
@@ -7,7 +7,7 @@
 	"hazelwheel/internal/thrift"
 )
 
-// ForwardResponse passes on a server's answer.
+// ForwardResponse implements sidecar.Responder.
 func (c *clientConn) ForwardResponse(x sidecar.Exchange) {
 	c.MarkServed()
 	dst, _, connected := c.BeginResponse(false)
@@ -20,25 +20,25 @@
 	c.EndResponse(dst)
 }
 
-// What a client is told of calls without an answer; programs tell them apart by the exception's type, and people by its text.
+// Texts for calls without a reply of the server; programs tell them apart by the exception's type, and people by the text.
 const (
 	throttledText = "throttled; retry-after="
 	failedText    = "failed; it may have run"
 	lateText      = "no answer in time; it may have run"
 )
 
-// Throttle refuses, and says when to come again in seconds.
-func (c *clientConn) Throttle(retryAfterS float64) {
+// Throttle implements sidecar.Responder; the text may hold the seconds until a retry.
+func (c *clientConn) Throttle(retryAfterSeconds float64) {
 	text := throttledText
 	if c.front.settings.RetryAfter {
-		text += strconv.FormatFloat(max(retryAfterS, 0), 'f', 3, 64)
+		text += strconv.FormatFloat(max(retryAfterSeconds, 0), 'f', 3, 64)
 	} else {
 		text = text[:len("throttled")]
 	}
 	c.respondException(thrift.LoadShedding, text)
 }
 
-// Fail says that there is no answer.
+// Fail implements sidecar.Responder.
 func (c *clientConn) Fail(isLate bool) {
 	if isLate {
 		c.respondException(thrift.TimedOutException, lateText)
@@ -47,7 +47,7 @@
 	c.respondException(thrift.InternalError, failedText)
 }
 
-// exception answers with a TApplicationException, or with nothing where nobody waits for an answer.
+// respondException writes a TApplicationException, or nothing for a one-way call.
 func (c *clientConn) respondException(kind int32, text string) {
 	dst, _, connected := c.BeginResponse(false)
 	if !connected {
--- a/internal/process/fleet.go
+++ b/internal/process/fleet.go
@@ -17,15 +17,15 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// What is told of a fleet's members, at most: at the door, where one asks for them, and among the counters.
+// Bounds of the members that a status lists: for the admin endpoint, where they are asked for, and in the counters.
 const (
 	maxAdminMembers   = 10000
 	maxCounterMembers = 100
-	maxQueriedMembers = 8 // that are asked at a start which boxes are out
+	maxQueriedMembers = 8 // that are queried for the maintenance record at a start
 )
 
-// join has the sidecar know the others of its fleet.
-func (p *Process) seeds(cfg sidecarconfig.Config, config featureconfig.Fleet, shared *multiplex.SharedLoop) (err error) {
+// joinFleet connects the sidecar to the other members of its fleet.
+func (p *Process) joinFleet(cfg sidecarconfig.Config, config featureconfig.Fleet, shared *multiplex.SharedLoop) (err error) {
 	maxLinks := peers.MaxLinks(cfg.Limits.Sockets)
 	p.fleet, err = coordination.New(coordination.Options{MaxLinks: maxLinks,
 		Settings: coordination.Settings{Name: config.Name, Listen: config.Listen, Advertise: config.Advertise, Join: config.Join, Dir: config.Dir, Voters: config.Electors, Roles: config.Jobs}, Sidecar: cfg.Name, Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas,
@@ -55,12 +55,12 @@
 		p.admin.Peers = func() []byte { return jsonLine(p.fleet.Status(maxAdminMembers)) }
 	}
 	if p.admin != nil && len(config.Electors) > 0 {
-		p.admin.Leases = p.leaseStatus()
+		p.admin.Leases = p.leaseCommands()
 	}
 	if config.Dir != "" {
 		p.stateFiles = statefile.Open(config.Dir, func(done func()) {
 			select {
-			case <-p.stopped: // nobody waits for it any more
+			case <-p.stopped: // nothing waits for it any more
 			default:
 				p.loop.Post(done)
 			}
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// remember reads what an earlier life of the sidecar has left.
+// loadFleetState loads the fleet's state that an earlier process has saved. A file that can't be used is put aside.
 func (p *Process) loadFleetState() {
 	saved := p.stateFiles.Load()
 	if saved.Err == nil && coordination.ValidateState(saved) != nil {
@@ -80,10 +80,10 @@
 	p.fleet.UseStore(p.stateFiles, saved)
 }
 
-// askWithin is how long a start may wait for others' word of what is agreed. It is no request that waits.
+// maintenanceQueryTimeout bounds the wait for the maintenance record at a start. No request waits for it.
 const maintenanceQueryTimeout = 500 * time.Millisecond
 
-// ask asks others of the fleet which boxes are out, before there are clients.
+// queryMaintenance asks other members of the fleet which servers are under maintenance, before there are clients.
 func (p *Process) queryMaintenance(fleetName, name string, seeds []string) {
 	startedAt := time.Now()
 	record := coordination.QueryMaintenance(fleetName, name, seeds, startedAt.Add(maintenanceQueryTimeout))
@@ -95,7 +95,7 @@
 	p.fleet.LearnMaintenance(record)
 }
 
-// line returns a value as a line of JSON.
+// jsonLine returns a value as a line of JSON.
 func jsonLine(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil { // numbers and names always marshal
@@ -104,8 +104,8 @@
 	return append(raw, '\n')
 }
 
-// owners are the door's calls about who owns what.
-func (p *Process) leaseStatus() *admin.LeaseCommands {
+// leaseCommands returns the admin endpoint's commands about leases and maintenance.
+func (p *Process) leaseCommands() *admin.LeaseCommands {
 	leaseStatus := func() ([]byte, error) {
 		status, err := p.fleet.LeaseStatus()
 		return jsonLine(status), err
--- a/internal/process/hotrestart.go
+++ b/internal/process/hotrestart.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// stateFolder is where a process leaves what its successor needs, in the folder for temporary files.
+	// stateDirName is the directory for hot restarts, in the one for temporary files.
 	stateDirName = "hazelwheel"
-	// lookEvery is the time between two looks at what operators have said to a neighbour; at each tenth, at who lives.
+	// pollInterval is the time between two checks for operators' commands at a neighbour; every tenth also checks which processes live.
 	pollInterval = 50 * time.Millisecond
 )
 
-// succeed takes the passed socket and what an earlier process has left. What can't be taken means a plain start.
+// startFromPredecessor takes over the passed listener and the state that an earlier process has saved. It returns an error if the listener
+// can't be used; without a usable state the process starts without one.
 func (p *Process) startFromPredecessor() (err error) {
 	if err := p.loop.Inherit(p.passedSocket); err != nil {
 		return fmt.Errorf("%s: %w", sidecarconfig.EnvPassed, err)
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// listenSideLater opens the side port once the process that is replaced has left it.
+// retryListenHealth opens the health port once the process that is replaced has closed it.
 func (p *Process) retryListenHealth() {
 	for p.ListenHealth() != nil {
 		select {
@@ -65,7 +66,7 @@
 	}
 }
 
-// lookAround tells the loop of its neighbours, and of what operators have said to them.
+// watchOtherProcesses reports to the event loop how many neighbours live, and that operators have given one of them commands.
 func (p *Process) watchOtherProcesses(others int) {
 	stamp := p.restartStore.OperatorStamp()
 	ticker := time.NewTicker(pollInterval)
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs a sidecar as a process of its own: on the machine's sockets, within the limits that it is told,
-// and by the signals that the platform and the operators send it.
+// Package process runs a sidecar as a process: on the host's sockets, within its limits, and controlled by the signals of the platform and
+// the operators.
 package process
 
 import (
@@ -29,40 +29,39 @@
 )
 
 const (
-	// memoryShare is the part of the memory limit that the garbage collector aims to stay under; the rest
-	// is for what it does not count.
+	// memoryFraction is the part of the memory limit that the garbage collector is given; the rest is for what it does not count.
 	memoryFraction = 0.75
-	// garbagePercent is how much garbage there may be beside what lives, in percent of that. Danger: a sidecar's own state
-	// is a few MB, and at the usual 100 the one core collects thirty times a second. The memory limit goes before it.
+	// gcPercent is the garbage collector's target percentage. Danger: a sidecar's live heap is a few MB, and at the default of 100 the one
+	// core would collect thirty times a second. The memory limit takes precedence.
 	gcPercent = 400
-	// dumpWithin is how long a dump may go on once the event loop has gone.
+	// dumpTimeout bounds a dump that is still being written when the event loop has ended.
 	dumpTimeout = 2 * time.Second
 )
 
-// Process is a sidecar with the loop that calls it.
+// Process is a sidecar with the event loop that calls it.
 type Process struct {
 	*sidecar.Sidecar
 	loop       *sockets.EventLoop
-	handler    netio.Handler      // what the loop calls: the sidecar, or the sidecar and its fleet
-	fleet      *coordination.Node // nil: it knows no other sidecar
-	stateFiles *statefile.Store   // of the fleet; nil: nothing is kept
+	handler    netio.Handler      // of the event loop: the sidecar, or the sidecar and its fleet
+	fleet      *coordination.Node // nil: it is not part of one
+	stateFiles *statefile.Store   // of the fleet; nil: nothing is stored
 	admin      *admin.Server      // nil: there is none
 
-	queryFleet   func() // comes before there are clients; nil: nothing is asked
+	queryFleet   func() // runs before there are clients; nil: nothing is queried
 	passedSocket int
-	restartStore *hotrestart.Store // nil: there is no successor to think of
+	restartStore *hotrestart.Store // nil: no hot restarts
 
-	otherProcesses int // processes that lived here at the start
+	otherProcesses int // neighbours at the start
 	log            *slog.Logger
 	dumpLock       sync.Mutex    // held while a dump of the capture is written
-	stopped        chan struct{} // closed once the event loop has gone
+	stopped        chan struct{} // closed when the event loop has ended
 }
 
-// New returns a process that does not serve yet.
+// New returns a process that is not started. The error is that of an invalid configuration.
 func New(cfg sidecarconfig.Config, features featureconfig.Features, log *slog.Logger) (*Process, error) {
 	httpConfig := cfg
 	if features.Thrift.Only {
-		httpConfig.Settings.Policy.Classes = nil // what concerns the sidecar itself is all that is left
+		httpConfig.Settings.Policy.Classes = nil // only the sidecar's own paths are left
 	}
 	fronts, listen := []sidecar.Frontend{http1.New(httpConfig, features.Rewrites)}, []string{cfg.Listen}
 	if features.Thrift.On() {
@@ -86,20 +85,20 @@
 		p.admin = admin.New(cfg.Ops, s, loop.Now)
 	}
 	if shared != nil {
-		return p, p.seeds(cfg, features.Fleet, shared)
+		return p, p.joinFleet(cfg, features.Fleet, shared)
 	}
 	return p, nil
 }
 
-// obey gives the runtime what the limits say.
+// applyLimits passes the limits to the Go runtime.
 func applyLimits(l sidecarconfig.Limits) {
 	runtime.GOMAXPROCS(int(math.Ceil(l.Cores)))
 	debug.SetMemoryLimit(int64(memoryFraction * float64(l.MemoryMB) * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
 }
 
-// Run serves until the process is told to end and all that was taken is answered. Each hangup has load called,
-// beside the event loop, for a new configuration; each signal in dumps has the capture written to standard error.
+// Run serves until the process is told to end and all its requests are answered. Each signal on reloads calls load, outside the event loop,
+// for a new configuration; each signal on dumps writes the capture to standard error.
 func (p *Process) Run(reloads, dumps <-chan os.Signal, load func() (sidecarconfig.Config, error)) error {
 	defer p.closeAfterLoop()
 	if p.passedSocket > 0 {
@@ -140,7 +139,7 @@
 		if p.fleet != nil {
 			p.Do(p.fleet.CheckShutdown)
 		}
-		<-shutdowns // a second one does not wait
+		<-shutdowns // a second signal ends the process at once
 		os.Exit(1)
 	}()
 	go p.reloadOnSignal(reloads, load)
@@ -148,8 +147,8 @@
 	return p.loop.Run(p.handler)
 }
 
-// heedHangups reads the configuration again at each SIGHUP. Those that come while it is being read count as one
-// more: the file is read again after the last of them.
+// reloadOnSignal reads the configuration again at each signal. Signals during a read count as one more: the file is read again after the
+// last of them.
 func (p *Process) reloadOnSignal(reloads <-chan os.Signal, load func() (sidecarconfig.Config, error)) {
 	for range reloads {
 		cfg, err := load()
@@ -161,8 +160,8 @@
 	}
 }
 
-// heedDumps writes the capture to standard error at each signal, one dump at a time. Danger: whoever reads that may be
-// slow; so the loop makes a copy and goes on.
+// dumpOnSignal writes the capture to standard error at each signal, one dump at a time. Danger: its reader may be slow; so the event loop
+// only makes a copy.
 func (p *Process) dumpOnSignal(dumps <-chan os.Signal) {
 	for range dumps {
 		p.dumpLock.Lock()
@@ -173,14 +172,14 @@
 			if err := capture.WriteDump(os.Stderr, dump); err != nil {
 				p.log.Error("capture can't be written", "error", err)
 			}
-		case <-p.stopped: // the event loop has gone
+		case <-p.stopped: // the event loop has ended
 		}
 		p.dumpLock.Unlock()
 	}
 }
 
-// end ends the capture once the event loop has gone: what is being written is written to its end, unless nobody
-// reads it.
+// closeAfterLoop closes the capture after the event loop has ended: a dump that is being written is written to its end, for at most
+// dumpTimeout.
 func (p *Process) closeAfterLoop() {
 	close(p.stopped)
 	p.Sidecar.Close()
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -5,11 +5,11 @@
 	"hazelwheel/policy"
 )
 
-// Sidecar carries out what the decisions ask for. The calls come while an event is being handled and never
-// call back: what follows from them at once waits in the queue.
+// Sidecar implements policy.Actions. The calls come while an event is being handled and never call the policy back: what follows from them
+// at once is queued as an event.
 var _ policy.Actions = (*Sidecar)(nil)
 
-// Send starts the next attempt of a request.
+// Send starts the next attempt of a request at a server.
 func (s *Sidecar) Send(id, host uint32) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionSend, Host: host})
 	r := s.requests.byID[id]
@@ -29,7 +29,7 @@
 	s.startAttempt(a)
 }
 
-// Cancel ends the wait for one attempt.
+// Cancel abandons an attempt of a request.
 func (s *Sidecar) Cancel(id uint32, attempt int) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionCancel, Attempt: attempt})
 	if r := s.requests.byID[id]; r != nil {
@@ -39,28 +39,28 @@
 	}
 }
 
-// NewProbe asks a server for a sign of life.
+// Probe starts a probe of a server.
 func (s *Sidecar) Probe(host uint32) {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionProbe, Host: host})
 	s.counters.Probes++
 	s.startAttempt(&attempt{serverID: host, sentAt: s.turn.eventAt, deadline: s.turn.eventAt + probeTimeoutSeconds, exchange: s.prober.NewProbe(), frontend: s.prober})
 }
 
-// CloseIdle closes the idle links to a server.
+// CloseIdle closes the idle connections to a server.
 func (s *Sidecar) CloseIdle(host uint32) {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionCloseIdle, Host: host})
 	s.closeIdleConns(host)
 }
 
-// Refuse is a final answer: trying again is harmless.
-func (s *Sidecar) Refuse(id uint32, retryAfterS float64) {
-	s.recordDecision(id, capture.Decision{Action: capture.ActionRefuse, AfterSeconds: retryAfterS})
+// Refuse ends a request with the response that a retry is harmless.
+func (s *Sidecar) Refuse(id uint32, retryAfterSeconds float64) {
+	s.recordDecision(id, capture.Decision{Action: capture.ActionRefuse, AfterSeconds: retryAfterSeconds})
 	if r := s.requests.byID[id]; r != nil && !r.isAnswered {
-		s.answerRequest(r, throttled, func() { r.responder.Throttle(retryAfterS) })
+		s.answerRequest(r, throttled, func() { r.responder.Throttle(retryAfterSeconds) })
 	}
 }
 
-// Fail is a final answer that promises nothing.
+// Fail ends a request with the response that it may have run.
 func (s *Sidecar) Fail(id uint32) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionFail})
 	if r := s.requests.byID[id]; r != nil && !r.isAnswered {
@@ -68,15 +68,15 @@
 	}
 }
 
-// WakeAfter asks for a call of Wake, in place of the one that was asked for before: the decisions wait for one at a time.
-// Danger: the replaced ones kept, each request leaves one behind for as long as the next probe is away, 16 s in a large fleet.
+// WakeAfter sets the time of the next wake-up in place of the present one: the policy waits for one at a time. Danger: if the replaced ones
+// were kept, each request would leave a timer behind until the next probe, which is 16 s away in a large fleet.
 func (s *Sidecar) WakeAfter(seconds float64) {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionWake, AfterSeconds: seconds})
 	s.timers.stop(&s.wakeTimer)
 	s.timers.start(&s.wakeTimer, s.turn.eventAt+seconds, (*wakeTarget)(s))
 }
 
-// wakeUp is a sidecar as what its decisions' timer calls.
+// wakeTarget is a Sidecar as the target of the policy's wake-up.
 type wakeTarget Sidecar
 
 func (w *wakeTarget) expire() {
@@ -87,13 +87,13 @@
 	})
 }
 
-// Watch subscribes to changes of the list.
+// Watch starts a watch of the endpoint list, unless one is up.
 func (s *Sidecar) Watch() {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionWatch})
 	s.ensureWatch()
 }
 
-// Log records a change of state for the operators.
+// Log logs a change of the policy's state.
 func (s *Sidecar) Log(text string) {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionLog, Text: text})
 	s.log.Info(text)
--- a/internal/sidecar/arrivaltimes.go
+++ b/internal/sidecar/arrivaltimes.go
@@ -1,22 +1,22 @@
 package sidecar
 
-// sameArrivalS is the time within which bytes count as having come together.
+// mergeArrivalsSeconds is the time within which bytes count as arrived together.
 const mergeArrivalsSeconds = 0.001
 
-// arrivalTimes tells when the bytes of a connection came that are still buffered. A request's time counts from its last byte; one
-// that was sent behind another may lie in the buffer for as long as that takes.
+// arrivalTimes tells when the buffered bytes of a connection arrived. A request's time counts from its last byte; one that was pipelined
+// behind another may stay in the buffer for as long as that takes.
 type arrivalTimes struct {
-	totalBytes uint64 // bytes in all
+	totalBytes uint64 // received in all
 	marks      []arrivalMark
 }
 
-// arrivalMark says when the bytes up to a place came.
+// arrivalMark is the time at which the bytes up to an offset had arrived.
 type arrivalMark struct {
 	end uint64
 	at  float64
 }
 
-// add notes that bytes have come.
+// add notes that bytes have arrived.
 func (t *arrivalTimes) add(n int, now float64) {
 	t.totalBytes += uint64(n)
 	if last := len(t.marks) - 1; last >= 0 && now-t.marks[last].at < mergeArrivalsSeconds {
@@ -26,11 +26,11 @@
 	t.marks = append(t.marks, arrivalMark{t.totalBytes, now})
 }
 
-// restart forgets when earlier bytes came: none of them waits for an answer to what came before it.
+// reset forgets all marks: nothing that is buffered waits for an earlier response.
 func (t *arrivalTimes) reset() { t.marks = t.marks[:0] }
 
-// of returns when the last byte came that has been taken from the buffer, of which so many are left, and forgets those before it; now
-// where that is not known.
+// arrivedAt returns when the last byte arrived that was consumed from the buffer, where unreadBytes are left, and forgets the marks before
+// it. It returns now if that is not known.
 func (t *arrivalTimes) arrivedAt(unreadBytes int, now float64) float64 {
 	consumed := t.totalBytes - uint64(unreadBytes)
 	expired := 0
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -16,26 +16,26 @@
 	return [...]string{"not connected", "partly written", "written whole", "answering"}[p]
 }
 
-// cause is what ended an attempt before its answer.
+// cause is what ended an attempt before its response.
 type cause uint8
 
 const (
-	connBroken cause = iota // the link did not come up, or broke
-	timedOut                // the wait was over
-	cancelled               // the decisions called it off
-	superseded              // its request or its server was no longer to be served when the link was up
-	malformed               // the server brought no sense
+	connBroken cause = iota // the dial failed, or the connection broke
+	timedOut                // the deadline passed
+	cancelled               // the policy cancelled it
+	superseded              // its request or its server was no longer to be served when it could have started
+	malformed               // the response was malformed
 )
 
 func (c cause) String() string {
 	return [...]string{"broke", "timed out", "cancelled", "overtaken", "spoilt"}[c]
 }
 
-// attemptError is the end of an attempt without an answer, and how far it had come.
+// attemptError is the end of an attempt without a response, with its cause and how far it had come.
 type attemptError struct {
 	progress progress
 	cause    cause
-	err      error // what the network said, if anything
+	err      error // of the network or the protocol; may be nil
 }
 
 func (e *attemptError) Error() string {
@@ -48,13 +48,13 @@
 
 func (e *attemptError) Unwrap() error { return e.err }
 
-// outcome tells the decisions how an attempt ended. Danger: an outcome that claims too much (that nothing
-// can have run) makes a request run twice. A server begins a request with its last byte, so only what broke
-// before that byte was written is known never to have run.
+// outcome returns the policy's outcome of an attempt. Danger: an outcome that claims too much, namely that nothing can have run, makes a
+// request run twice. A server starts a request with its last byte, so only what broke before that byte was written is known never to have
+// run.
 func (e *attemptError) outcome() policy.Outcome {
 	if e.cause == malformed || e.cause == connBroken && e.progress == responding {
-		// The server is there, it has come to the request and has said something: it erred, whatever it said.
-		// Danger: taken for a server that died, two such answers in a row would shut a sound one out.
+		// The server is reachable, has processed the request and has responded with something: that is an error of its own. Danger: counted
+		// as a broken server, two such responses in a row would eject a healthy one.
 		return policy.HostError
 	}
 	unwritten := e.progress == notConnected || e.progress == partlyWritten
@@ -72,28 +72,27 @@
 	}
 }
 
-// attempt is one attempt of a request at a server, or a probe of it, which has no request. It ends with
-// exactly one outcome.
+// attempt is one attempt of a request at a server, or a probe, which has no request. It ends with exactly one outcome.
 type attempt struct {
 	request       *request // nil for a probe
 	number        int
 	serverID      uint32
-	requestedAt   float64 // when the decisions asked for it
+	requestedAt   float64 // when the policy asked for it
 	sentAt        float64
-	deadline      float64 // when the wait is over
+	deadline      float64 // after which it times out
 	exchange      Exchange
 	frontend      Frontend
 	backend       *backendConn
 	progress      progress
-	timer         timer // when the wait is over
+	timer         timer // of the deadline
 	sidecar       *Sidecar
 	isOver        bool
-	isProbeRetry  bool    // a probe that has been begun again
-	stream        *stream // of its answer, which is passed on as it comes
-	unreadSeconds float64 // how long its answer lay in the socket
+	isProbeRetry  bool    // it is the second attempt of a probe
+	stream        *stream // of its response, while that is forwarded in parts
+	unreadSeconds float64 // for which its response lay in the socket
 }
 
-// finish ends an attempt. err is nil where a whole answer has come.
+// finishAttempt ends an attempt and reports its outcome to the policy. err is nil if there is a complete response.
 func (s *Sidecar) finishAttempt(a *attempt, err *attemptError) {
 	if a.isOver || s.retryProbe(a, err) {
 		return
@@ -111,13 +110,12 @@
 		s.maintenance.recordAttempt(a, err, &result, s.now())
 	}
 	if a.request == nil {
-		// A server turns a probe away at once, or after it has waited in line for as long as probes may.
-		// Danger: the first shows that it lives, and the second that its line is long; taken for one another,
-		// or for an error, they shut out servers that are merely full.
+		// A server rejects a probe at once, or after it has queued for as long as probes may. Danger: the first shows that it is alive, the
+		// second that its queue is long; mistaken for one another, or for an error, they eject servers that are merely full.
 		if result.Outcome == policy.Rejected && s.now()-a.sentAt > probeTimeoutSeconds/2 {
 			result.Outcome = policy.TimedOut
 		}
-		// What nobody can read tells nothing of the load, but its server is there and has come to the probe.
+		// A malformed response holds no load report, but its server is alive and has processed the probe.
 		if err != nil && err.cause == malformed {
 			result.Outcome = policy.OK
 		}
@@ -131,8 +129,8 @@
 	}
 	succeeded := result.Outcome == policy.OK
 	if succeeded && a.exchange.IsOneWay() {
-		// Danger: that a request is written tells nothing of its server's time; taken for an answer it makes the server look
-		// quicker than any.
+		// Danger: that a request is written says nothing about its server's latency; counted as a response it makes the server look faster
+		// than any.
 		result.Outcome = policy.Cancelled
 	}
 	s.counters.attemptOutcomes.count(result.Outcome)
@@ -145,11 +143,12 @@
 		s.answerRequest(r, served, func() { r.responder.ForwardResponse(a.exchange) })
 	}
 	if r.isAtMostOnce && !r.isAnswered && !result.Outcome.NeverRan() {
-		// Danger: the decisions go by the class, whose requests may run again because something drops their repeats.
+		// Danger: the policy goes by the class, whose requests may run again since repeats are dropped. This one has nothing that tells its
+		// repeats apart.
 		s.answerRequest(r, failed, func() { r.responder.Fail(result.Outcome == policy.TimedOut) })
 	}
 	if r.body != nil && r.body.HasDropped() && !r.isAnswered && result.Outcome != policy.OK {
-		// What has been sent of its body is no longer there, so nobody else can get it.
+		// The part of its body that was sent is no longer buffered, so no other server can get it.
 		if r.firstRunAt == 0 {
 			s.answerRequest(r, throttled, func() { r.responder.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		} else {
@@ -160,17 +159,17 @@
 	s.turn.events = append(s.turn.events, event{endedAttempt: a, result: result})
 }
 
-// expire ends the wait.
+// expire implements timerTarget: it times the attempt out.
 func (a *attempt) expire() { a.sidecar.abandonAttempt(a, timedOut) }
 
-// took returns how long an attempt that ends now took to its answer's arrival, and how long that lay unread.
+// durations returns how long an attempt that ends now took until its response arrived, and how long that lay unread, in seconds.
 func (a *attempt) durations(now float64) (delay, late float64) {
 	late = min(a.unreadSeconds, now-a.sentAt)
 	return now - a.sentAt - late, late
 }
 
-// probeAgain begins a probe once more, on a new link, where its link broke. Danger: a probe asks after the server;
-// a link's end says nothing of it, and a sound server that seems silent is shut out and then taken for cold.
+// retryProbe starts a probe once more on a new connection if its connection broke. Danger: a probe asks for the server's state, of which
+// the end of a connection says nothing; a healthy server that seems unresponsive is ejected and then treated as warming up.
 func (s *Sidecar) retryProbe(a *attempt, err *attemptError) bool {
 	endpoint := s.endpoints.Host(a.serverID)
 	if a.request != nil || a.isProbeRetry || endpoint == nil || err == nil || err.cause != connBroken || err.progress == notConnected {
@@ -181,8 +180,8 @@
 	return true
 }
 
-// mayBegin tells whether an attempt may be written to its server now. Danger: while it waited for a connection or a descriptor its
-// time may have run out, its client may have gone, its server may have been told to drain, and the servers that would drop it as a
+// mayStart reports whether an attempt may be written to its server now. Danger: while it waited for a connection or a descriptor its
+// deadline may have passed, its client may have closed, its server may have started to drain, and the servers that would drop it as a
 // repeat may have forgotten the attempt before.
 func (s *Sidecar) mayStart(a *attempt) bool {
 	now, r := s.now(), a.request
@@ -192,7 +191,7 @@
 	return r == nil || !r.isAnswered && s.acceptsAttempts(a.serverID) && now < r.repeatWindowEnd(a)
 }
 
-// begin starts an attempt on an idle backend connection, or on a new one.
+// startAttempt starts an attempt on an idle backend connection, or on a new one.
 func (s *Sidecar) startAttempt(a *attempt) {
 	endpoint := s.endpoints.Host(a.serverID)
 	if endpoint == nil || !s.mayStart(a) {
@@ -208,13 +207,13 @@
 	s.dial(endpoint, a)
 }
 
-// abandon gives an attempt up. Its link is closed before the outcome is told: nothing may be sent again
-// while a copy is still out on an open link, and no late answer may meet another request.
+// abandonAttempt ends an attempt from this side. Its connection is closed before the outcome is reported: nothing may be sent again while a
+// copy is on an open connection, and no late response may meet another request.
 func (s *Sidecar) abandonAttempt(a *attempt, endCause cause) {
 	if a.isOver {
 		return
 	}
-	if s.backends.removeWaiting(a) { // it has never had a link, which is no fault of its server
+	if s.backends.removeWaiting(a) { // it never had a connection, which says nothing about its server
 		s.finishAttempt(a, &attemptError{notConnected, superseded, nil})
 		return
 	}
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -10,7 +10,7 @@
 	"hazelwheel/policy"
 )
 
-// errStray is the end of a link that said something nobody had asked for.
+// errUnsolicited is the end of a connection whose server sent bytes that no request had asked for.
 var errUnsolicited = errors.New("unasked bytes")
 
 // backendConn is a connection to a server. It carries one attempt at a time.
@@ -18,8 +18,8 @@
 	sidecar    *Sidecar
 	frontend   Frontend
 	serverID   uint32
-	address    string     // as it was listed
-	conn       netio.Conn // nil until it is up
+	address    string     // as it is listed
+	conn       netio.Conn // nil until it is open
 	cancelDial func()
 	input      buffer.Buffer
 	attempt    *attempt // nil while idle
@@ -29,9 +29,9 @@
 	isClosed   bool
 }
 
-// dial opens a link for an attempt.
+// dial opens a connection for an attempt, or lets it wait if there are no descriptors.
 func (s *Sidecar) dial(endpoint *endpointset.Host, a *attempt) {
-	// Danger: attempts that take the last descriptors shut out who comes next, whoever that is.
+	// Danger: attempts that use the last descriptors leave none for the next client.
 	if !s.freeDescriptors(dialDescriptors + s.reservedClientSlots()) {
 		s.waitForConn(a)
 		return
@@ -45,7 +45,7 @@
 		if a := b.attempt; a != nil {
 			b.attempt = nil
 			endCause := connBroken
-			if s.loopDelay.lastStallEndedAt > startedAt { // the time was up while this program stood still
+			if s.loopDelay.lastStallEndedAt > startedAt { // the dial timed out while this process stalled
 				endCause = superseded
 			}
 			s.finishAttempt(a, &attemptError{notConnected, endCause, err})
@@ -53,7 +53,7 @@
 	})
 }
 
-// opened takes the link into use.
+// onOpen implements connHandler: it starts the attempt that the connection was dialed for, or keeps it idle.
 func (b *backendConn) onOpen(c netio.Conn) {
 	b.conn = c
 	a := b.attempt
@@ -71,19 +71,19 @@
 	}
 }
 
-// mayServe tells whether a server may still be sent something new.
+// acceptsAttempts reports whether new attempts may be sent to a server.
 func (s *Sidecar) acceptsAttempts(serverID uint32) bool {
 	endpoint := s.endpoints.Host(serverID)
 	return endpoint != nil && (endpoint.State == policy.Ready || endpoint.State == policy.Gone && s.cfg.Settings.Policy.GoneHostsUsable)
 }
 
-// begin writes an attempt's request.
+// send writes an attempt's request.
 func (b *backendConn) send(a *attempt) {
 	b.attempt, a.backend = a, b
 	a.progress = partlyWritten
 	b.sidecar.writeBuffer = a.exchange.AppendRequest(b.sidecar.writeBuffer[:0], b.sidecar.now(), b.sidecar.advertisedDeadline(a))
 	b.isWriting = true
-	_, err := b.conn.Write(b.sidecar.writeBuffer) // gnet closes the link on an error, which ends the attempt
+	_, err := b.conn.Write(b.sidecar.writeBuffer) // a connection that fails is closed, which ends the attempt
 	b.isWriting = false
 	b.sidecar.recycleWriteBuffer(b.sidecar.writeBuffer)
 	if err == nil && b.attempt == a {
@@ -92,8 +92,7 @@
 	}
 }
 
-// told returns until when an attempt tells its server that anybody waits. The time for a body that is still on its way in is not the
-// client's.
+// advertisedDeadline returns the deadline that an attempt tells its server. The time for a body that is still arriving is not the client's.
 func (s *Sidecar) advertisedDeadline(a *attempt) float64 {
 	if r := a.request; r != nil && r.isUploading() {
 		return min(a.deadline, s.now()+r.timeoutSeconds-s.responseMargin())
@@ -101,10 +100,10 @@
 	return a.deadline
 }
 
-// writtenEveryS is the time between two looks whether a request that has no answer is written whole: the loop does not tell.
+// writeCheckIntervalSeconds is the time between two checks whether a one-way request is written: the event loop does not report it.
 const writeCheckIntervalSeconds = 0.005
 
-// silence ends an attempt that has no answer once its request is written whole.
+// completeOneWay ends an attempt that has no response once its request is written.
 func (b *backendConn) completeOneWay(a *attempt) {
 	switch {
 	case b.attempt != a || !a.exchange.IsOneWay():
@@ -115,13 +114,13 @@
 	}
 }
 
-// progress tells how far the link's attempt has come by now.
+// updateProgress returns how far the connection's attempt has come by now.
 func (b *backendConn) updateProgress(a *attempt) progress {
 	if a.progress == partlyWritten && !b.isWriting && a.exchange.IsRequestAppended() && b.conn.OutboundBuffered() == 0 {
 		a.progress = fullyWritten
 		if r := a.request; r != nil {
 			b.sidecar.counters.RequestsWritten++
-			if r.body != nil { // the server begins with the last byte, whenever the client has sent that
+			if r.body != nil { // the server starts with the last byte, whenever the client has sent that
 				a.sentAt = b.sidecar.now()
 			}
 		}
@@ -132,7 +131,7 @@
 	return a.progress
 }
 
-// traffic reads what the server says.
+// onData implements connHandler: it reads a response.
 func (b *backendConn) onData(data []byte) {
 	b.input.Write(data)
 	a := b.attempt
@@ -165,14 +164,14 @@
 	}
 }
 
-// complete ends an attempt whose answer is whole. The link is kept only if nothing is left on it, neither
-// of the answer nor of the request.
+// completeAttempt ends an attempt whose response is complete. The connection is kept only if nothing is left on it, neither of the response
+// nor of the request.
 func (b *backendConn) completeAttempt(a *attempt) {
 	b.updateProgress(a)
 	if b.isReusable(a) {
 		from := b.sidecar.now()
 		if a.exchange.IsOneWay() {
-			from = a.deadline // Danger: the server has only just got the request; a call behind it waits, and its server seems slow
+			from = a.deadline // Danger: the server has only just received the request; a call behind it would wait, and its server would seem slow
 		}
 		b.makeIdleFrom(from)
 	} else {
@@ -182,13 +181,13 @@
 	b.sidecar.finishAttempt(a, nil)
 }
 
-// reusable tells whether a link can carry another attempt after a whole answer.
+// isReusable reports whether a connection can carry another attempt after a complete response.
 func (b *backendConn) isReusable(a *attempt) bool {
 	_, _, keep := a.exchange.Result()
 	return keep && a.exchange.IsRequestAppended() && b.input.Len() == 0 && b.conn.OutboundBuffered() == 0 && b.sidecar.acceptsAttempts(b.serverID)
 }
 
-// ended takes the end of the connection, from whatever side.
+// onClose implements connHandler: it ends the attempt, whichever side has closed.
 func (b *backendConn) onClose(err error) {
 	b.isClosed = true
 	b.removeFromIdle()
@@ -208,7 +207,7 @@
 	b.sidecar.finishAttempt(a, &attemptError{b.updateProgress(a), connBroken, err})
 }
 
-// close ends the connection at once.
+// close closes the connection at once.
 func (b *backendConn) close() {
 	if !b.isClosed {
 		b.isClosed = true
--- a/internal/sidecar/body.go
+++ b/internal/sidecar/body.go
@@ -1,12 +1,12 @@
 package sidecar
 
-// Body is a request's body, which may still be on its way in.
+// Body is a request's body, which may still be arriving.
 type Body struct {
-	Buffered     []byte // what is held of it, from the byte From on
-	DroppedBytes int    // bytes that have been sent and dropped
-	SentBytes    int    // bytes that the present attempt has been given
-	Length       int    // in all; -1: it is not told beforehand
-	IsComplete   bool   // its end has come
+	Buffered     []byte // from the byte DroppedBytes on
+	DroppedBytes int    // sent and no longer buffered
+	SentBytes    int    // given to the present attempt
+	Length       int    // in all; -1: not known beforehand
+	IsComplete   bool   // its end has arrived
 }
 
 // Next returns the next bytes for the present attempt, at most so many, and counts them as sent.
@@ -17,13 +17,13 @@
 	return part
 }
 
-// UnsentBytes returns how many bytes that have come are still to be sent.
+// UnsentBytes returns how many bytes that have arrived are still to be sent.
 func (b *Body) UnsentBytes() int { return b.DroppedBytes + len(b.Buffered) - b.SentBytes }
 
-// HasDropped tells whether the begin of the body is no longer held: it can't be sent again.
+// HasDropped reports whether the start of the body is no longer buffered: it can't be sent again.
 func (b *Body) HasDropped() bool { return b.DroppedBytes > 0 }
 
-// drop lets go of what has been sent.
+// dropSent drops what has been sent from the buffer.
 func (b *Body) dropSent() {
 	n := copy(b.Buffered, b.Buffered[b.SentBytes-b.DroppedBytes:])
 	b.Buffered, b.DroppedBytes = b.Buffered[:n], b.SentBytes
--- a/internal/sidecar/capture.go
+++ b/internal/sidecar/capture.go
@@ -8,20 +8,20 @@
 	"hazelwheel/internal/capture"
 )
 
-// captureFlushS is the time between two looks at what the capture's files have not been given yet.
+// captureFlushIntervalSeconds is the time between two flushes of the capture to its files.
 const captureFlushIntervalSeconds = 0.2
 
-// witness is what the capture asks of the sidecar.
+// captureSource implements capture.Source.
 type captureSource struct{ *Sidecar }
 
 var _ capture.Source = captureSource{}
 
-// Checkpoint asks the decisions for their state.
+// Checkpoint appends the policy's state, of at most so many bytes; false: it is larger.
 func (w captureSource) Checkpoint(dst []byte, most int) ([]byte, bool) {
 	return w.balancer.Checkpoint(dst, most)
 }
 
-// HostName names a server.
+// HostName returns a server's name, empty if it is unknown.
 func (w captureSource) HostName(id uint32) string {
 	if h := w.endpoints.Host(id); h != nil {
 		return h.Name
@@ -29,10 +29,10 @@
 	return ""
 }
 
-// HostNames names all servers that are known.
+// HostNames iterates over all servers that are known.
 func (w captureSource) HostNames() iter.Seq2[uint32, string] { return w.endpoints.Names }
 
-// RequestLabels names the requests that the decisions may still speak of.
+// RequestLabels iterates over the requests that the policy may still refer to, in order of their IDs.
 func (w captureSource) RequestLabels() iter.Seq2[uint32, capture.Label] {
 	return func(yield func(uint32, capture.Label) bool) {
 		for _, id := range slices.Sorted(maps.Keys(w.requests.byID)) {
@@ -43,10 +43,10 @@
 	}
 }
 
-// label is how a request is called outside.
+// label returns the names by which clients and operators know a request.
 func (r *request) label() capture.Label { return capture.Label{ID: r.clientID, Class: r.className} }
 
-// noteFor notes a decision about a request.
+// recordDecision records a decision about a request in the capture.
 func (s *Sidecar) recordDecision(id uint32, d capture.Decision) {
 	if s.capture == nil {
 		return
@@ -58,13 +58,13 @@
 	s.capture.RecordDecision(d)
 }
 
-// flushCapture hands what is new to the capture's files, again and again.
+// flushCapture writes what is new to the capture's files, periodically.
 func (s *Sidecar) flushCapture() {
 	s.capture.Flush()
 	s.timers.schedule(s.now()+captureFlushIntervalSeconds, s.flushCapture)
 }
 
-// DumpCapture returns the capture's segments as text, empty where there is none. It is for the loop.
+// DumpCapture returns the capture's segments as text, empty if there is no capture.
 func (s *Sidecar) DumpCapture() []byte {
 	if s.capture == nil {
 		return nil
@@ -72,7 +72,7 @@
 	return s.capture.Dump(s.now())
 }
 
-// HandleEOF ends what is written beside the loop once the loop has gone.
+// Close ends what is written in the background. It is called after the event loop has ended.
 func (s *Sidecar) Close() {
 	s.closeQuotas()
 	s.capture.Close()
--- a/internal/sidecar/clientadmission.go
+++ b/internal/sidecar/clientadmission.go
@@ -8,29 +8,29 @@
 	"hazelwheel/internal/netio"
 )
 
-// serverRoom descriptors are kept from clients when a request comes over a link that is beyond mostClients.
+// backendHeadroom descriptors must be left for backend connections when a request comes on a connection beyond maxClients.
 const backendHeadroom = 16
 
-// mostClients is how many client connections leave enough descriptors for the servers.
+// maxClients returns how many client connections leave enough descriptors for the servers.
 func (s *Sidecar) maxClients() int { return s.maxConns() * 3 / 4 }
 
-// beyondRoom is how many links beyond mostClients are taken for a word to their clients. Danger: each takes a descriptor
-// that an attempt may need.
+// maxOverLimitClients returns how many connections beyond maxClients are accepted to respond that there is no capacity. Danger: each uses a
+// descriptor that an attempt may need.
 func (s *Sidecar) maxOverLimitClients() int { return s.maxConns() / 16 }
 
-// crowded tells whether client connections are so many that none is kept for its own sake. Danger: clients that ask once and
-// stay come to hold all the connections that the application may have, long before the descriptors here run out; its
-// other requests then find none. So from there on an answer is the last on its link.
+// hasManyClients reports whether client connections are so many that idle ones are not kept. Danger: clients that keep a connection after
+// one request come to use all that the application may open, long before the descriptors here run out, and its other requests find none. So
+// from there on each response is the last on its connection.
 func (s *Sidecar) hasManyClients() bool {
 	return len(s.clients.conns) > s.cfg.Limits.Sockets/s.processes/5
 }
 
-// admissionSettings are the operators' bounds, within the descriptors and the memory that there are; newcomers are client
-// links that are not in the room yet.
+// admissionSettings returns the operators' limits, bounded by the available descriptors and memory. newcomers are client connections that
+// are not in the admission table yet.
 func (s *Sidecar) admissionSettings(newcomers int) admission.Settings {
 	a := s.clients.config.Settings
 	a.ReservedForKnown = s.reservedClientSlots()
-	// What servers hold is not there for clients.
+	// Descriptors that backend connections use are not available for clients.
 	a.MaxConns = max(min(s.maxClients(), s.maxConns()-s.backendDescriptors()+newcomers), a.ReservedForKnown)
 	if a.MaxBufferedBytes == 0 {
 		a.MaxBufferedBytes = s.cfg.Limits.MemoryMB << 20 / s.processes / 4
@@ -38,12 +38,12 @@
 	return a
 }
 
-// serverSide is how many descriptors backend connections and to discovery hold, or may come to hold.
+// backendDescriptors returns how many descriptors connections to servers and to discovery use, or may come to use.
 func (s *Sidecar) backendDescriptors() int {
 	return s.descriptors.open - s.clients.admission.Len() - s.clients.admission.OverflowLen() + s.descriptors.dialing
 }
 
-// reserve is how many links are kept for known clients.
+// reservedClientSlots returns how many connections are reserved for known clients.
 func (s *Sidecar) reservedClientSlots() int {
 	if n := s.clients.config.ReservedForKnown; n > 0 {
 		return n
@@ -51,8 +51,8 @@
 	return s.maxClients() / reservedClientDivisor
 }
 
-// accept takes a connection of a client, and tells whether it may stay. Where there is no room a link is closed for it;
-// where none can be spared, its request is throttled unless enough descriptors are left.
+// acceptClient accepts a connection of a client, and reports whether it is kept. If there is no capacity another is evicted; if none can
+// be, the request on this one is throttled as long as enough descriptors are left.
 func (s *Sidecar) acceptClient(conn netio.Conn) bool {
 	now := s.now()
 	front := s.frontendOf(conn)
@@ -95,15 +95,15 @@
 		}
 		return true
 	}
-	// Danger: the next accept would fail for want of a descriptor, and the loop would end. Not a byte of a request has
-	// been read from this link.
+	// Danger: the next accept would fail for want of a descriptor, and the event loop would end. Not a byte of a request has been read from
+	// this connection.
 	s.counters.ConnsWithoutDescriptor++
 	s.warnLimited("connections are refused: there is no room for them")
 	s.log.Debug("client connection refused", "client", conn.RemoteAddr(), "crowded", verdict == admission.TableFull, "links", s.clients.admission.Len())
 	return false
 }
 
-// frontOf returns what is spoken at the listener that has accepted a connection.
+// frontendOf returns the frontend whose listener has accepted a connection.
 func (s *Sidecar) frontendOf(c netio.Conn) Frontend {
 	if len(s.frontends) > 1 {
 		if tcp, ok := c.LocalAddr().(*net.TCPAddr); ok {
@@ -117,7 +117,7 @@
 	return s.frontends[0]
 }
 
-// clientAddress returns where a connection comes from.
+// clientAddress returns the remote address of a connection, the zero Addr if it has none.
 func clientAddress(c netio.Conn) netip.Addr {
 	if tcp, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 		return tcp.AddrPort().Addr().Unmap()
@@ -125,13 +125,13 @@
 	return netip.Addr{}
 }
 
-// mayBeAsking tells whether the next request of a link that seems to have none waits in its socket.
+// mayHaveUnreadRequest reports whether a connection that seems idle has unread data in its socket.
 func (c *ClientConn) mayHaveUnreadRequest() bool {
 	state, _ := c.slot.State()
 	return (state == admission.StateNew || state == admission.StateIdle) && !c.sidecar.net.NothingToRead(c.conn)
 }
 
-// giveUp closes a link that goes for another.
+// evict closes a connection to make room for another.
 func (c *ClientConn) evict() {
 	s := c.sidecar
 	switch state, _ := c.slot.State(); state {
@@ -150,7 +150,7 @@
 	return state.String()
 }
 
-// short tells whether there is not enough for all: requests wait for a server, or for the sidecar itself.
+// isOverloaded reports whether requests wait for a server, or for the sidecar itself.
 func (s *Sidecar) isOverloaded() bool {
 	return s.pending.queue.Len() > 0 || s.balancer.QueueLength() > 0
 }
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -9,83 +9,83 @@
 	"hazelwheel/internal/netio"
 )
 
-// The bounds of messages; whatever the protocol, a link holds no more.
+// Bounds of messages, in bytes. Whatever the protocol, a connection buffers no more.
 const (
 	MaxHeadBytes = 16 << 10
 	MaxBodyBytes = 64 << 10
 )
 
 const (
-	// MaxStreamBytes is how long a message may be that flows; it is never held whole.
+	// MaxStreamBytes bounds a message that is forwarded in parts; it is never buffered completely.
 	MaxStreamBytes = 1 << 30
-	// ChunkBytes is how much of it is handled at once.
+	// ChunkBytes is how much of it is handled at a time.
 	ChunkBytes = 64 << 10
 )
 
-// ErrRequestTimeout is the end of a message that has not come whole in time.
+// ErrRequestTimeout is the cause of RejectMalformed if a message has not arrived completely in time.
 var ErrRequestTimeout = errors.New("request did not arrive")
 
 const (
-	// mostAhead is what a client may send while its request is out; one that sends more is cut off.
+	// maxInputBytes is what a client may send while its request is open; one that sends more is closed.
 	maxInputBytes = MaxHeadBytes + MaxBodyBytes
-	// lingerS is how long a link that said its last is read on after the last bytes: closing it on bytes that
-	// nobody has read would reset it, and the client could lose the answer. lingerMostS bounds it in all.
+	// lingerSeconds is how long a connection is read after its last response and the last received bytes: closing it with unread bytes
+	// resets it, and the client could lose the response. maxLingerSeconds bounds it in all.
 	lingerSeconds    = 1.0
 	maxLingerSeconds = 4.0
-	// arrivalS is how long a request may take to arrive once it has begun; a client that never ends one
-	// would hold a descriptor for ever. The first on a link has arrived firstS after the link was opened.
+	// arrivalTimeoutSeconds is how long a request may take to arrive once its first byte has; a client that never ends one would use a
+	// descriptor for ever. The first on a connection has arrived firstRequestTimeoutSeconds after the connection was opened.
 	arrivalTimeoutSeconds = 2.5
-	// leastRate bytes a second on the whole are what a longer body has to bring beyond that.
+	// minBytesPerSecond is the average rate that extends these times for a longer body.
 	minBytesPerSecond = 32 << 10
-	// longestUploadS bounds it in all.
+	// maxUploadSeconds bounds them in all.
 	maxUploadSeconds           = 120.0
 	firstRequestTimeoutSeconds = 2.8
-	// longestS bounds what a client may ask us to wait.
+	// maxRequestTimeoutSeconds bounds a client's own deadline.
 	maxRequestTimeoutSeconds = 3600.0
 )
 
-// ClientConn is a connection from the application, one request at a time, in what is the same in all protocols. The
-// protocol's part is its Client, which holds it.
+// ClientConn is the part of a client connection that all protocols share. It has one request open at a time. The protocol's part is its
+// ClientCodec, which embeds it.
 type ClientConn struct {
 	sidecar         *Sidecar
 	frontend        Frontend
 	codec           ClientCodec
 	conn            netio.Conn
-	index           int // in Sidecar.clients.conns
+	index           int // in clientPool.conns
 	slot            *admission.Conn
 	input           buffer.Buffer
-	arrivals        arrivalTimes // of what is in buf and waits for the answer to what came before it
-	request         *request     // the one that is out
-	keepAlive       bool         // the client wants the link kept after it
-	isLastWritten   bool         // the last answer is written
-	isWriteClosed   bool         // and no byte is left to send
-	isOverLimit     bool         // the link is beyond the limit on descriptors
+	arrivals        arrivalTimes // of the bytes in input that wait for the response to what came before
+	request         *request     // that is open; nil: none
+	keepAlive       bool         // the client wants the connection kept after the response
+	isLastWritten   bool         // the last response is written
+	isWriteClosed   bool         // and sent; the connection is closed for writing
+	isOverLimit     bool         // it was accepted beyond maxClients
 	lingerTimer     *timer
-	arrivalTimer    *timer  // of the request that is on its way in
-	arrivalDeadline float64 // when the time for it began to count
-	stalledBefore   float64 // how long the loop had stood still in all by then, in seconds
+	arrivalTimer    *timer  // of the request that is arriving
+	arrivalDeadline float64 // of the request that is arriving, before what its body adds
+	stalledBefore   float64 // fitness.stalledSeconds when arrivalDeadline was set
 	openedAt        float64
-	hasAnswered     bool    // it has brought a request
-	lastDataAt      float64 // when bytes last came after it was shut
-
-	unreadSince  float64 // since when an answer waits for the client
-	lastReadAt   float64 // when the client last took a byte of it
-	unreadBytes  int     // what it has not taken
-	requestBytes int     // bytes of the request that is out
-	isStreamed   bool    // the answer that waits came in pieces
-	isStreamLast bool    // and is the last on the link
-	isPaused     bool    // what comes stays in the socket
+	hasAnswered     bool    // a response was written
+	lastDataAt      float64 // when data last arrived after the last response
+
+	unreadSince  float64 // since when a response waits for the client to read it
+	lastReadAt   float64 // when the client last read of it
+	unreadBytes  int     // of the response, not read by the client
+	requestBytes int     // that are buffered for the request that is open
+	isStreamed   bool    // the response that waits is forwarded in parts
+	isStreamLast bool    // and is the last on the connection
+	isPaused     bool    // received data is left in the socket
 }
 
-// Base is what a protocol's part has from the ClientConn that it holds.
+// Base implements ClientCodec for the protocol's part.
 func (c *ClientConn) Base() *ClientConn { return c }
 
 func (c *ClientConn) onOpen(netio.Conn) {}
 
-// SetKeepAlive says whether the client wants the link kept after the message that has been read.
+// SetKeepAlive sets whether the client wants the connection kept after the message that was read.
 func (c *ClientConn) SetKeepAlive(keep bool) { c.keepAlive = keep }
 
-// CloseUnanswered closes a link whose client speaks another protocol: no answer that it could read is to be had here.
+// CloseUnanswered closes a connection whose client speaks another protocol and could read no response.
 func (c *ClientConn) CloseUnanswered(reason string) {
 	c.stopArrivalTimer()
 	c.sidecar.counters.Malformed++
@@ -93,14 +93,14 @@
 	c.sidecar.closeConn(c.conn)
 }
 
-// Sidecar returns whose link it is.
+// Sidecar returns the sidecar that has accepted the connection.
 func (c *ClientConn) Sidecar() *Sidecar { return c.sidecar }
 
 // RemoteAddr returns the client's address.
 func (c *ClientConn) RemoteAddr() net.Addr { return c.conn.RemoteAddr() }
 
-// finish ends the link after its last answer, which the socket has taken: no more is sent, and what comes is read and
-// dropped until the client has closed or the time is over.
+// startLinger closes the connection for writing after its last response was sent. What arrives is read and dropped until the client closes
+// or the time is over.
 func (c *ClientConn) startLinger() {
 	if c.conn == nil || c.isWriteClosed {
 		return
@@ -113,7 +113,7 @@
 	c.sidecar.net.CloseWrite(c.conn)
 }
 
-// leave closes a link that lingers once its client has been silent for a while, at the latest at the given time.
+// closeAfterLinger closes a lingering connection once nothing has arrived for lingerSeconds, at the latest at the given time.
 func (c *ClientConn) closeAfterLinger(latest float64) {
 	if at := min(c.lastDataAt+lingerSeconds, latest); at > c.sidecar.now() {
 		c.lingerTimer = c.sidecar.timers.schedule(at, func() { c.closeAfterLinger(latest) })
@@ -122,13 +122,13 @@
 	c.sidecar.closeConn(c.conn)
 }
 
-// idle tells whether nothing of a request has come and none is out.
+// isIdle reports whether no request is open and no byte of one has arrived.
 func (c *ClientConn) isIdle() bool {
 	_, begun := c.codec.PartialRequest()
 	return c.request == nil && !c.isLastWritten && c.unreadBytes == 0 && c.input.Len() == 0 && !begun
 }
 
-// ended takes the client's departure.
+// onClose implements connHandler: it ends the request that is open, unless that is one-way.
 func (c *ClientConn) onClose(error) {
 	c.conn = nil
 	c.sidecar.timers.stop(c.lingerTimer)
--- a/internal/sidecar/clientinput.go
+++ b/internal/sidecar/clientinput.go
@@ -5,7 +5,7 @@
 	"hazelwheel/internal/netio"
 )
 
-// traffic reads what the client says.
+// onData implements connHandler: it reads requests, or the body of the one that is open.
 func (c *ClientConn) onData(data []byte) {
 	if c.isLastWritten {
 		c.lastDataAt = c.sidecar.now()
@@ -39,8 +39,8 @@
 	}
 }
 
-// endsWhilePaused returns whether the client's end counts while what it sends is left unread: as long as it is owed an answer of
-// which nothing has been written.
+// pausedEnds returns how a close by the client counts while reading is paused: at once for as long as the client waits for a response of
+// which nothing is written.
 func (c *ClientConn) pausedEnds() netio.ClosePolicy {
 	if c.request == nil || c.request.isAnswered {
 		return netio.DeferClose
@@ -48,9 +48,9 @@
 	return netio.ReportClose
 }
 
-// next takes up the requests that have come, until one is out.
+// readRequests handles the requests that have arrived, until one is open.
 func (c *ClientConn) readRequests() {
-	for c.conn != nil && c.request == nil && !c.isLastWritten && c.unreadBytes == 0 { // a link may have gone since this was queued
+	for c.conn != nil && c.request == nil && !c.isLastWritten && c.unreadBytes == 0 { // the connection may have been closed since this was queued
 		ready, err := c.codec.ReadRequest(&c.input)
 		if err != nil {
 			c.rejectMalformed(err)
@@ -67,7 +67,7 @@
 	}
 }
 
-// await has the rest of a request come.
+// awaitArrival starts the timer for the rest of a request.
 func (c *ClientConn) awaitArrival() {
 	c.resumeReading()
 	if _, begun := c.codec.PartialRequest(); c.arrivalTimer != nil || c.input.Len() == 0 && !begun {
@@ -81,13 +81,13 @@
 	c.arrivalTimer = c.sidecar.timers.schedule(deadline, c.checkArrival)
 }
 
-// awaitUntil has a request come by a time, plus what a longer body needs.
+// setArrivalDeadline sets when a request must have arrived, before what a longer body adds.
 func (c *ClientConn) setArrivalDeadline(deadline float64) {
 	c.arrivalDeadline, c.stalledBefore = deadline, c.sidecar.fitness.stalledSeconds
 }
 
-// overdue ends a request that has not come whole in time. A longer body has as much more as it needs at the least rate, and the time in
-// which it was left unread does not count, nor that in which the loop stood still: what came then lay in the socket.
+// checkArrival ends a request that has not arrived in time. A longer body has the time that it needs at minBytesPerSecond; time in which
+// reading was paused or the loop stalled does not count, since the data lay in the socket.
 func (c *ClientConn) checkArrival() {
 	now, arrivedBytes := c.sidecar.now(), 0
 	c.arrivalTimer = nil
@@ -112,20 +112,21 @@
 	c.rejectMalformed(ErrRequestTimeout)
 }
 
-// endArrival notes that no request is on its way in.
+// stopArrivalTimer notes that no request is arriving.
 func (c *ClientConn) stopArrivalTimer() {
 	c.sidecar.timers.stop(c.arrivalTimer)
 	c.arrivalTimer = nil
 }
 
-// decline ends a link that brings no message.
+// rejectMalformed ends a connection with the response to a message that can't be read.
 func (c *ClientConn) rejectMalformed(err error) {
 	c.stopArrivalTimer()
 	c.keepAlive = false
 	c.codec.RejectMalformed(err)
 }
 
-// hold notes how much of a request or of an answer the link holds. Where all hold too much, who holds most goes.
+// accountHeldBytes sets how many bytes of requests and responses the connection holds. While all connections together hold too much, the
+// one that holds most is closed.
 func (c *ClientConn) accountHeldBytes(bytes int) {
 	s := c.sidecar
 	s.clients.admission.SetBufferedBytes(c.slot, bytes)
@@ -135,14 +136,14 @@
 	}
 }
 
-// pause leaves what the client sends in the socket. Danger: while a request waits its client may go, behind bytes that nobody reads;
-// sent on all the same, the request would run for nobody.
+// pauseReading leaves received data in the socket. Danger: while a request is open its client may close, behind bytes that are not read;
+// forwarded all the same, the request would run for nobody.
 func (c *ClientConn) pauseReading(ends netio.ClosePolicy) {
 	c.sidecar.net.PauseReading(c.conn, ends)
 	c.isPaused = true
 }
 
-// resume reads on.
+// resumeReading ends pauseReading.
 func (c *ClientConn) resumeReading() {
 	if c.isPaused {
 		c.isPaused = false
--- a/internal/sidecar/clientresponse.go
+++ b/internal/sidecar/clientresponse.go
@@ -5,21 +5,21 @@
 	"hazelwheel/internal/netio"
 )
 
-// MarkServed notes that the answer to come is a server's.
+// MarkServed notes that the next response is a server's.
 func (c *ClientConn) MarkServed() { c.sidecar.clients.admission.RecordServed(c.slot) }
 
-// BeginResponse frees the link of its request. It tells whether the client is still there, and whether the answer to come is
-// the last on the link; what it is appended to is returned, for EndAnswer. says tells whether the answer can say so itself.
+// BeginResponse frees the connection from its request. It returns the buffer to append the response to, for EndResponse; whether the
+// response is the last on the connection; and whether the client is still connected. canAnnounceClose says that the response itself can
+// announce the close.
 func (c *ClientConn) BeginResponse(canAnnounceClose bool) (dst []byte, last, connected bool) {
-	// Danger: the rest of a request that is answered before it has come whole is waited for no longer; its time would end with a
-	// second answer.
+	// Danger: the rest of a request that was answered before it arrived completely is waited for no longer; its time-out would write a
+	// second response.
 	c.stopArrivalTimer()
 	if c.request = nil; c.conn == nil {
 		return nil, false, false
 	}
-	// Danger: what has come behind the request is taken, and is owed its answer here. A client that is told of the end sends
-	// it again. One that is not may be sending its next request by now; where there are too many links it would find no
-	// other, so its own ends by its rest alone.
+	// Danger: pipelined data was received, and is owed a response. A client that is told of the close sends it again. One that is not may
+	// be sending its next request by now; under a limit on connections it would find no other, so its connection is closed only when idle.
 	hasPipelined := c.input.Len() > 0
 	if canAnnounceClose {
 		c.isLastWritten = !c.keepAlive || c.sidecar.lifecycle.closesAfterResponse() || c.sidecar.hasManyClients() && !hasPipelined
@@ -29,7 +29,7 @@
 	return c.sidecar.writeBuffer[:0], c.isLastWritten, true
 }
 
-// EndResponse writes an answer and makes ready for the next request.
+// EndResponse writes a response and prepares the connection for the next request.
 func (c *ClientConn) EndResponse(answer []byte) {
 	c.sidecar.recycleWriteBuffer(answer)
 	c.hasAnswered = true
@@ -46,11 +46,11 @@
 	c.finishResponse()
 }
 
-// BodyBufferLimit returns how much of a request's body is held before the rest of it flows.
+// BodyBufferLimit returns how many bytes of a request's body are buffered before the rest is forwarded as it arrives.
 func (c *ClientConn) BodyBufferLimit() int { return c.sidecar.bodyBufferLimit() }
 
-// BeginStream is BeginAnswer for an answer that comes in pieces, which end with the link where nothing else tells their end.
-// What is appended goes to Flow.
+// BeginStream is BeginResponse for a response that is forwarded in parts. endsWithConn says that only the close marks its end. What is
+// appended goes to WriteStream.
 func (c *ClientConn) BeginStream(endsWithConn bool) (dst []byte, last, connected bool) {
 	if c.conn == nil {
 		return nil, false, false
@@ -60,10 +60,10 @@
 	return c.ScratchBuffer(), c.isStreamLast, true
 }
 
-// ScratchBuffer returns empty memory for what Flow is to write.
+// ScratchBuffer returns an empty buffer for WriteStream.
 func (c *ClientConn) ScratchBuffer() []byte { return c.sidecar.writeBuffer[:0] }
 
-// WriteStream writes a part of an answer.
+// WriteStream writes a part of a response.
 func (c *ClientConn) WriteStream(b []byte) {
 	c.sidecar.recycleWriteBuffer(b)
 	if c.conn != nil && len(b) > 0 {
@@ -71,7 +71,7 @@
 	}
 }
 
-// endFlow makes ready for the next request once an answer has flowed to its end.
+// finishStream prepares the connection for the next request after the last part of a response.
 func (c *ClientConn) finishStream() {
 	c.stopArrivalTimer()
 	if c.request = nil; c.conn != nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// afterAnswer goes on once the client's socket has taken an answer.
+// finishResponse continues after the socket has taken a response.
 func (c *ClientConn) finishResponse() {
 	c.unreadBytes, c.requestBytes, c.isStreamed = 0, 0, false
 	if c.isLastWritten {
@@ -91,7 +91,7 @@
 	c.sidecar.clients.admission.SetState(c.sidecar.now(), c.slot, admission.StateIdle)
 	c.input.Rest()
 	c.accountHeldBytes(c.input.Len())
-	// The next request may be in the buffer already; it is taken up as an event of its own.
+	// The next request may be in the buffer; it is handled as an event of its own.
 	if c.conn == nil {
 		return
 	}
@@ -102,18 +102,18 @@
 	}
 }
 
-// Write sends what is no answer, or a part of one.
+// Write writes what is no response, or a part of one.
 func (c *ClientConn) Write(b []byte) {
-	c.conn.Write(b) // gnet keeps what the socket does not take, and closes the link on an error
+	c.conn.Write(b) // the event loop buffers what the socket does not take, and closes the connection on an error
 }
 
-// unread has a link wait until its client has taken what is written. Danger: requests that are taken up while answers
-// wait grow what waits without a bound, and with it the process, which is killed with all that it has taken.
+// waitForClientRead pauses a connection until its client has read what is written. Danger: requests that are handled while responses wait
+// grow the memory for these without a bound, until the process is killed with all its open requests.
 func (c *ClientConn) waitForClientRead() {
 	s, now := c.sidecar, c.sidecar.now()
 	c.unreadSince, c.lastReadAt, c.unreadBytes = now, now, c.conn.OutboundBuffered()
 	s.clients.admission.SetState(now, c.slot, admission.StateWriting)
-	c.pauseReading(netio.DeferClose) // a client that has said its last may still read
+	c.pauseReading(netio.DeferClose) // a client that has closed for writing may still read
 	c.accountHeldBytes(c.unreadBytes + c.input.Len())
 	if !s.clients.isCheckingUnread {
 		s.clients.isCheckingUnread = true
@@ -121,8 +121,8 @@
 	}
 }
 
-// flush looks at the links whose answers wait: one whose client has taken all goes on, one whose client takes nothing is
-// closed.
+// checkUnreadResponses checks the connections whose responses wait: one whose client has read all continues, one whose client reads nothing
+// is closed.
 func (s *Sidecar) checkUnreadResponses() {
 	now := s.now()
 	s.clients.admission.Each(admission.StateWriting, func(slot *admission.Conn) {
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -5,21 +5,21 @@
 	"hazelwheel/internal/featureconfig"
 )
 
-// clientPool holds the client connections, and decides together with package admission which of them may stay.
+// clientPool holds the client connections. Package admission decides which of them may stay.
 type clientPool struct {
-	conns            []*ClientConn // each knows its index
+	conns            []*ClientConn // each holds its index here
 	admission        *admission.ConnTable
 	config           featureconfig.Admission
-	isCheckingUnread bool // a timer of checkUnreadResponses is set
+	isCheckingUnread bool // the timer of checkUnreadResponses is set
 }
 
-// add keeps a connection.
+// add adds a connection.
 func (p *clientPool) add(c *ClientConn) {
 	c.index = len(p.conns)
 	p.conns = append(p.conns, c)
 }
 
-// remove drops a connection; the last one takes its index.
+// remove removes a connection. The last one takes its index.
 func (p *clientPool) remove(c *ClientConn) {
 	last := p.conns[len(p.conns)-1]
 	p.conns[c.index], last.index = last, c.index
@@ -29,26 +29,26 @@
 }
 
 const (
-	// silentS after it was opened a link that has said nothing is closed.
+	// firstByteTimeoutSeconds after it was opened a connection without a byte is closed.
 	firstByteTimeoutSeconds = 2.2
-	// restS is how long links may rest while there are too many.
+	// crowdedIdleTimeoutSeconds is how long a connection may be idle while there are too many.
 	crowdedIdleTimeoutSeconds = 2.0
-	// sweepEveryS is the time between two looks for such links.
+	// sweepIntervalSeconds is the time between two checks for such connections.
 	sweepIntervalSeconds = 0.2
-	// unreadS without the client taking a byte of an answer ends its link, and so does longestReadS in all.
+	// unreadTimeoutSeconds without the client reading a byte of a response close its connection, and so do maxUnreadSeconds in all.
 	unreadTimeoutSeconds = 2.0
 	maxUnreadSeconds     = 10.0
-	// aheadBytes of further requests may come while one is out; what is beyond waits in the socket.
+	// maxPipelinedBytes of further requests are buffered while one is open; the rest is left in the socket.
 	maxPipelinedBytes = 4 << 10
-	// flushEveryS is the time between two looks whether answers have been taken: the loop does not tell.
+	// unreadCheckIntervalSeconds is the time between two checks whether responses were read: the event loop does not report it.
 	unreadCheckIntervalSeconds = 0.01
-	// reservePart is the part of the client connections that is kept for known clients where the operators set no number.
+	// reservedClientDivisor sets the part of the client connections that is reserved for known clients if the operators set no number.
 	reservedClientDivisor = 8
-	// lookedAt bounds the links whose sockets are looked into before one goes.
+	// maxVictimChecks bounds the candidates for eviction whose sockets are checked for unread data.
 	maxVictimChecks = 4
 )
 
-// retire closes a link that is of no more use, unless a request waits in its socket.
+// closeStale closes a connection that is of no more use, unless its socket holds an unread request.
 func (c *ClientConn) closeStale() {
 	if c.mayHaveUnreadRequest() {
 		c.sidecar.clients.admission.Touch(c.sidecar.now(), c.slot)
@@ -61,7 +61,7 @@
 	c.sidecar.closeConn(c.conn)
 }
 
-// sweep closes links that have never said anything, and where links are many also those that rest.
+// closeStaleClients closes connections that have never sent a byte and, while there are many, those that are idle.
 func (s *Sidecar) closeStaleClients() {
 	now := s.now()
 	old := func(state admission.State, since float64) {
--- a/internal/sidecar/clientstatus.go
+++ b/internal/sidecar/clientstatus.go
@@ -6,10 +6,10 @@
 	"hazelwheel/internal/decide/admission"
 )
 
-// mostShown bounds the addresses that are told of at a time.
+// maxShownAddresses bounds the addresses that are listed.
 const maxShownAddresses = 200
 
-// ClientStatus tells who holds what, as JSON.
+// ClientStatus returns what each client address holds, as a line of JSON.
 func (s *Sidecar) ClientStatus() []byte {
 	var all struct {
 		Links     int                `json:"links"`
--- a/internal/sidecar/connwaiters.go
+++ b/internal/sidecar/connwaiters.go
@@ -1,17 +1,16 @@
 package sidecar
 
-// Attempts that find neither an idle link nor the descriptors for a new one wait for either, in the order in which they
-// came. Danger: ended at once, they would come back as often as they may within a millisecond and be refused, while links
-// to their servers become free all the time.
+// Attempts that find neither an idle connection nor the descriptors for a new one wait for either, in order. Danger: rejected at once, they
+// would be retried as often as they may within a millisecond, while connections to their servers become idle all the time.
 
-// starve has an attempt wait.
+// waitForConn queues an attempt.
 func (s *Sidecar) waitForConn(a *attempt) {
 	s.counters.AttemptsWaited++
 	s.warnLimited("attempts wait for a descriptor")
 	s.backends.waiting = append(s.backends.waiting, a)
 }
 
-// feed gives a link that has become idle to the first attempt that waits for its server, and tells whether there was one.
+// assignToWaiter gives a connection that has become idle to the first attempt that waits for its server, and reports whether there was one.
 func (s *Sidecar) assignToWaiter(b *backendConn) bool {
 	for _, a := range s.backends.waiting {
 		if a.serverID == b.serverID && a.frontend == b.frontend && s.mayStart(a) && s.net.NothingToRead(b.conn) {
@@ -23,7 +22,7 @@
 	return false
 }
 
-// feedDials dials for those that wait while there are descriptors.
+// dialForWaiters dials for waiting attempts while descriptors are available.
 func (s *Sidecar) dialForWaiters() {
 	for len(s.backends.waiting) > 0 && !s.lifecycle.isStopping && s.freeDescriptors(dialDescriptors+s.reservedClientSlots()) {
 		a := s.backends.waiting[0]
--- a/internal/sidecar/counters.go
+++ b/internal/sidecar/counters.go
@@ -8,7 +8,7 @@
 	"hazelwheel/policy"
 )
 
-// outcomes counts attempts or probes by how they ended.
+// outcomes counts attempts or probes by outcome.
 type outcomes [policy.NotSent + 1]uint64
 
 var outcomeNames = [len(outcomes{})]string{"ok", "host_error", "rejected", "timed_out", "connect_failed", "reset",
@@ -24,68 +24,68 @@
 	return m
 }
 
-// counters count what the sidecar takes in, sends and answers.
+// counters are printed at /counters. Their JSON names are read by operators' tools and never change.
 type counters struct {
-	AcceptedConns   uint64 `json:"accepted"`  // client connections that have come up
-	Requests        uint64 `json:"requests"`  // taken whole from clients
-	OpenRequests    int    `json:"open"`      // of these, not answered yet
-	Served          uint64 `json:"served"`    // answered with what a server said
-	Throttled       uint64 `json:"throttled"` // refused
-	Shed            uint64 `json:"shed"`      // of these, since they had waited for the sidecar itself for too long
-	Failed          uint64 `json:"failed"`    // answered without a server's answer
-	Abandoned       uint64 `json:"abandoned"` // whose client went away
-	DecisionsLate   uint64 `json:"overdue"`   // failed because the decisions were late
-	Malformed       uint64 `json:"malformed"` // messages answered with 4xx or 501 and never handed on
-	IdleConnsClosed uint64 `json:"retired"`   // client connections closed since they said nothing, or rested
-
-	Rejected               uint64 `json:"turned_away"` // throttled without a word of the decisions: no room, or more than a fair part
-	ConnsEvicted           uint64 `json:"given_up"`    // client connections closed to make room that had brought no whole request, or not read
-	ConnsOverCap           uint64 `json:"over_cap"`    // client connections refused beyond the cap of an address or prefix
-	ConnsWithoutDescriptor uint64 `json:"no_room"`     // client connections refused since all descriptors were taken
-	OverQuota              uint64 `json:"over_quota"`  // throttled without a word of the decisions: beyond their group's quota
-	UnreadConnsClosed      uint64 `json:"unread"`      // client connections closed since their clients did not read
+	AcceptedConns   uint64 `json:"accepted"`  // client connections
+	Requests        uint64 `json:"requests"`  // received completely
+	OpenRequests    int    `json:"open"`      // of these, without a final response
+	Served          uint64 `json:"served"`    // with a server's response
+	Throttled       uint64 `json:"throttled"` // rejected; a retry is harmless
+	Shed            uint64 `json:"shed"`      // of these, after waiting for the sidecar itself for too long
+	Failed          uint64 `json:"failed"`    // without a server's response
+	Abandoned       uint64 `json:"abandoned"` // the client closed
+	DecisionsLate   uint64 `json:"overdue"`   // failed since the policy was late
+	Malformed       uint64 `json:"malformed"` // messages answered with 4xx or 501 and never forwarded
+	IdleConnsClosed uint64 `json:"retired"`   // client connections closed that were idle, or never sent a byte
+
+	Rejected               uint64 `json:"turned_away"` // throttled without the policy: no capacity, or beyond the client's share
+	ConnsEvicted           uint64 `json:"given_up"`    // client connections evicted
+	ConnsOverCap           uint64 `json:"over_cap"`    // client connections rejected beyond the cap of an address or prefix
+	ConnsWithoutDescriptor uint64 `json:"no_room"`     // client connections rejected for want of a descriptor
+	OverQuota              uint64 `json:"over_quota"`  // throttled without the policy: beyond the group's quota
+	UnreadConnsClosed      uint64 `json:"unread"`      // client connections closed whose clients did not read
 
 	Attempts       uint64 `json:"executions"`
 	AttemptsWaited uint64 `json:"starved"` // of these, that waited for a descriptor
 	Probes         uint64 `json:"probes"`
-	Dials          uint64 `json:"dials"` // backend connections opened
+	Dials          uint64 `json:"dials"` // of backend connections
 	Watches        uint64 `json:"watches"`
-	ListsApplied   uint64 `json:"lists"`       // objects taken from discovery
+	ListsApplied   uint64 `json:"lists"`       // objects of discovery that were applied
 	WatchesFailed  uint64 `json:"list_failed"` // watches that failed
-	ConfigReloads  uint64 `json:"reloads"`     // configurations taken into use while running
+	ConfigReloads  uint64 `json:"reloads"`     // configurations applied while running
 
-	ConfigReloadsFailed uint64 `json:"reload_failed"` // configurations that could not be read or were not valid
+	ConfigReloadsFailed uint64 `json:"reload_failed"` // configurations that could not be read or were invalid
 	Panics              uint64 `json:"panics"`
 
-	Stalls uint64 `json:"stalls"` // times that the loop stood still for 30 ms or longer though something was due
+	Stalls uint64 `json:"stalls"` // of the event loop, for 30 ms or longer
 
-	Descriptors     int     `json:"descriptors"` // held by links now
-	MaxTimerDelayMS float64 `json:"late_ms"`     // how late the latest of all timers was
+	Descriptors     int     `json:"descriptors"` // used by connections now
+	MaxTimerDelayMS float64 `json:"late_ms"`     // the longest of all timers
 
-	FaultHits []faultinjection.HitCount `json:"hazelwheel_drill_hits,omitempty"` // requests that each drill has touched
+	FaultHits []faultinjection.HitCount `json:"hazelwheel_drill_hits,omitempty"` // requests that each injected fault has touched
 
 	Capture *capture.Stats `json:"capture,omitempty"`
 	Quotas  *QuotaCounters `json:"quotas,omitempty"`
-	Fleet   any            `json:"fleet,omitempty"` // what it knows of its fleet
+	Fleet   any            `json:"fleet,omitempty"` // the fleet's status
 
-	RequestsWritten uint64        `json:"written"`           // attempts whose request was written whole
+	RequestsWritten uint64        `json:"written"`           // attempts whose request was written completely
 	Classes         []classCounts `json:"classes,omitempty"` // how requests ended, by class
 
 	attemptOutcomes, probeOutcomes outcomes
 }
 
-// ending is how a request ended.
+// requestEnd is how a request ended.
 type requestEnd uint8
 
 const (
-	served    requestEnd = iota // with what a server said
-	throttled                   // refused
-	failed                      // without a server's answer
-	overdue                     // failed because the decisions were late
-	abandoned                   // its client went away
+	served    requestEnd = iota // with a server's response
+	throttled                   // rejected
+	failed                      // without a server's response
+	overdue                     // failed since the policy was late
+	abandoned                   // the client closed
 )
 
-// classCounts count the requests of one class; those that the decisions were late for are among the failed.
+// classCounts counts the requests of one class; those that are overdue count as failed.
 type classCounts struct {
 	Class     string `json:"class"`
 	Served    uint64 `json:"served"`
@@ -94,7 +94,7 @@
 	Abandoned uint64 `json:"abandoned"`
 }
 
-// end counts a request's end. It is the one place that does.
+// countRequestEnd counts a request's end. Nothing else does.
 func (c *counters) countRequestEnd(class int, end requestEnd) {
 	byClass := &c.Classes[class]
 	switch end {
@@ -116,7 +116,7 @@
 	}
 }
 
-// text returns the counters as JSON.
+// text returns the counters as a line of JSON.
 func (c *counters) text() []byte {
 	type plain counters
 	raw, err := json.Marshal(struct {
--- a/internal/sidecar/descriptors.go
+++ b/internal/sidecar/descriptors.go
@@ -2,7 +2,7 @@
 
 import "hazelwheel/internal/netio"
 
-// descriptorBudget counts the descriptors that connections take, and those that are kept for what is no connection of the sidecar's.
+// descriptorBudget counts the descriptors that connections use, and those that are reserved for everything else.
 type descriptorBudget struct {
 	open     int // connections that the event loop holds
 	dialing  int // that dials may hold, dialDescriptors each
@@ -12,8 +12,8 @@
 // inUse returns how many descriptors connections hold, or may come to hold.
 func (d *descriptorBudget) inUse() int { return d.open + d.dialing }
 
-// makeRoom closes the idle backend connections that have rested longest until there is room for n descriptors, and tells
-// whether there is.
+// freeDescriptors closes the backend connections that have been idle for longest until n descriptors are available, and reports whether
+// they are.
 func (s *Sidecar) freeDescriptors(n int) bool {
 	for !s.hasDescriptors(n) {
 		oldest := s.backends.longestIdle()
@@ -25,10 +25,10 @@
 	return true
 }
 
-// dialDescriptors is what a dial may hold: the loop duplicates the descriptor before the dialed one is closed.
+// dialDescriptors is what a dial may use: the event loop duplicates the descriptor before the dialed one is closed.
 const dialDescriptors = 2
 
-// connect opens a connection. It comes up as a call of l.opened, or else failed is called.
+// connect dials an address. Either handler.onOpen is called, or failed. The returned function cancels the dial.
 func (s *Sidecar) connect(address string, deadline float64, handler connHandler, failed func(error)) func() {
 	s.descriptors.dialing += dialDescriptors
 	return s.net.Dial(address, deadline, handler, func(err error) {
@@ -43,14 +43,14 @@
 	})
 }
 
-// ShareLimits has the sidecar live by a part of its descriptors and memory while it has neighbours.
+// ShareLimits divides descriptors and memory among this process and its neighbours on the host.
 func (s *Sidecar) ShareLimits(neighbours int) {
 	s.processes = neighbours + 1
 	s.log.Info("living by the limits", "processes", s.processes)
 	s.applyLimits()
 }
 
-// obeyLimits passes on what the limits say.
+// applyLimits reports this process's part of the limits.
 func (s *Sidecar) applyLimits() {
 	if s.OnLimitsChange != nil {
 		limits := s.cfg.Limits
@@ -59,20 +59,20 @@
 	}
 }
 
-// ReserveDescriptors keeps descriptors for what is no link of the sidecar's. It comes before Start.
+// ReserveDescriptors keeps descriptors for what is no connection of the sidecar's. It comes before Start.
 func (s *Sidecar) ReserveDescriptors(descriptors int) { s.descriptors.reserved += descriptors }
 
-// hasRoom tells whether n more descriptors can be held.
+// hasDescriptors reports whether n more descriptors are available.
 func (s *Sidecar) hasDescriptors(n int) bool {
 	return s.descriptors.inUse()+n <= s.maxConns()
 }
 
-// mostLinks is how many descriptors links may hold.
+// maxConns returns how many descriptors connections may use.
 func (s *Sidecar) maxConns() int {
 	return s.cfg.Limits.Sockets/s.processes - baseDescriptors - s.descriptors.reserved
 }
 
-// closeConn closes a connection at once; nil is none.
+// closeConn closes a connection at once. Nil is ignored.
 func (s *Sidecar) closeConn(c netio.Conn) {
 	if c != nil {
 		s.net.Close(c)
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -8,7 +8,7 @@
 	"hazelwheel/policy"
 )
 
-// noticeMalformedList logs that discovery has sent something that is no list, once for each fault in a row.
+// noticeMalformedList logs that discovery has sent a malformed list, once for each error in a row.
 func (s *Sidecar) noticeMalformedList(err error) {
 	if errors.Is(err, ErrStaleList) || err.Error() == s.discovery.lastListError {
 		return
@@ -17,7 +17,7 @@
 	s.log.Warn("discovery has sent a malformed list, the present one stays in use", "discovery", s.cfg.Discovery, "error", err)
 }
 
-// listKnown applies the list that was held last and tells the decisions.
+// applyKnownList applies a list that is known from before, and reports it to the policy.
 func (s *Sidecar) applyKnownList(raw []byte) error {
 	infos, err := s.endpoints.ApplyCached(raw, s.now())
 	if err != nil {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// list applies one object of discovery and tells the decisions.
+// applyListObject applies one object of discovery, and reports it to the policy.
 func (s *Sidecar) applyListObject(raw []byte) error {
 	snapshot, infos, err := s.endpoints.Apply(raw, s.now())
 	if err != nil {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// dropIdle closes the idle backend connections that nothing new goes to.
+// closeUnusableIdleConns closes the idle connections to servers that accept no attempts.
 func (s *Sidecar) closeUnusableIdleConns() {
 	for _, id := range slices.Sorted(maps.Keys(s.backends.idle)) {
 		if !s.acceptsAttempts(id) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// tellHosts tells the decisions of a list.
+// pushEndpoints reports changes of the endpoint list to the policy.
 func (s *Sidecar) pushEndpoints(kind policy.ListKind, infos []policy.HostInfo) {
 	s.pushEvent(func(now float64) {
 		s.capture.RecordHosts(now, kind, infos)
--- a/internal/sidecar/faults.go
+++ b/internal/sidecar/faults.go
@@ -2,14 +2,14 @@
 
 import "hazelwheel/internal/faultinjection"
 
-// delayPart is the part of a request's time that a drill may take. Danger: decisions that get a request just before
-// its deadline can only fail it, and the rehearsal would show a failure of the balancer's own making.
+// maxDelayFraction bounds the part of a request's time that an injected fault may take. Danger: a policy that gets a request just before
+// its deadline can only fail it, and the exercise would show a failure of its own making.
 const maxDelayFraction = 0.8
 
-// IsFaultInjectionArmed tells whether drills can be started.
+// IsFaultInjectionArmed reports whether faults can be started.
 func (s *Sidecar) IsFaultInjectionArmed() bool { return s.faults.IsArmed() }
 
-// StartFault starts a drill on the operators' word. Danger: the secret must not reach the log.
+// StartFault starts a fault for an operator, with the error of faultinjection.Injector.Start. Danger: the secret must not reach the log.
 func (s *Sidecar) StartFault(secret []byte, name string) (faultinjection.Fault, error) {
 	fault, err := s.faults.Start(s.now(), secret, name)
 	if err != nil {
@@ -23,22 +23,21 @@
 	return fault, nil
 }
 
-// FaultRunner is what a fleet tells a sidecar that runs drills together with others.
+// FaultRunner runs faults that were started at another sidecar of the fleet.
 type FaultRunner interface {
-	// RunRemoteFault has a drill run for what is left of it, which was started at another sidecar. The mark shows that the secret was
-	// looked at there.
-	RunRemoteFault(name string, id uint64, mark []byte, leftS float64) error
+	// RunRemoteFault runs a fault for what is left of it. The signature proves that the secret was checked where it was started.
+	RunRemoteFault(name string, id uint64, signature []byte, remainingSeconds float64) error
 }
 
-// FaultObserver is told of drills that operators have started here. Mark returns a drill's mark, by its id.
+// FaultObserver is notified of faults that operators have started at this sidecar. sign returns a fault's signature for an ID.
 type FaultObserver interface {
-	FaultStarted(name string, durationS float64, mark func(id uint64) []byte)
+	FaultStarted(name string, durationSeconds float64, sign func(id uint64) []byte)
 }
 
-// SetFaultObserver has a fleet told of drills. It comes before Start.
-func (s *Sidecar) SetFaultObserver(to FaultObserver) { s.fleet.faultObserver = to }
+// SetFaultObserver sets the observer. It comes before Start.
+func (s *Sidecar) SetFaultObserver(observer FaultObserver) { s.fleet.faultObserver = observer }
 
-// RunRemoteFault is for the loop.
+// RunRemoteFault implements FaultRunner.
 func (s *Sidecar) RunRemoteFault(name string, id uint64, signature []byte, remainingSeconds float64) error {
 	fault, err := s.faults.StartRemote(s.net.Now(), id, name, signature, remainingSeconds)
 	if err != nil {
@@ -48,16 +47,16 @@
 	return nil
 }
 
-// heldFor returns for how many seconds a drill holds a request that has so many left: as long as the drill says, but never so long that
-// less than a fifth of them is left for its send.
+// faultDelaySeconds returns for how long a fault delays a request that has so many seconds left: the fault's delay, but at most
+// maxDelayFraction of them.
 func faultDelaySeconds(fault *faultinjection.Fault, remainingSeconds float64) float64 {
 	return min(fault.DelayMS/1000, maxDelayFraction*remainingSeconds)
 }
 
-// drilled tells whether a drill has taken a request up; then it calls decide when the delay is over, or aborts the
-// request. Until then the request is open like any other: its client may go, and its deadline holds. Danger: what is left
-// of its time looks like that of a client's later try, and one whose aim has passed since its first is refused; so the
-// decisions are told how long it was held.
+// applyFault reports whether a fault applies to a request; then decide is called when its delay is over, or the request is aborted. Until
+// then the request is open like any other: its client may close, and its deadline holds. Danger: what is left of its time looks like that
+// of a client's late retry, and one whose latency target has passed since its first attempt is rejected; so the policy is told how long it
+// was delayed.
 func (s *Sidecar) applyFault(r *request, class int, decide func(heldSeconds float64)) bool {
 	now := s.now()
 	fault := s.faults.Match(now, s.cfg.Settings.Policy.Classes[class].Name)
--- a/internal/sidecar/fitness.go
+++ b/internal/sidecar/fitness.go
@@ -2,27 +2,27 @@
 
 import "hazelwheel/policy"
 
-// A sidecar that is in trouble itself does nothing on behalf of others.
+// A sidecar that is impaired itself takes no roles of the fleet.
 const (
 	fitnessWindowSeconds = 5.0
-	// stoodShare of a window that the loop stood still is too much.
+	// maxStalledFraction is the fraction of a window for which the loop may have stalled.
 	maxStalledFraction = 0.3
-	// unansweredS is for how long no box has said anything, while at least so many attempts were tried, when it counts as cut off.
+	// unresponsiveSeconds without any server's response, with at least minUnansweredAttempts attempts, mean that the sidecar is cut off.
 	unresponsiveSeconds   = 3.0
 	minUnansweredAttempts = 5
 )
 
-// fitness is what a sidecar looks at to tell whether it is fit for more.
+// fitness is what CanTakeRoles goes by.
 type fitness struct {
-	stalledSeconds                    float64 // seconds that the loop has stood still, so far
-	windowStart, stalledAtWindowStart float64 // the window's begin, and stood by then
+	stalledSeconds                    float64 // sum of all stalls since the start
+	windowStart, stalledAtWindowStart float64 // start of the present window, and stalledSeconds then
 	unfitUntil                        float64
-	responses                         uint64  // attempts that a box has said anything to, by the last look
-	lastResponseAt                    float64 // when answers last grew
-	failuresAtResponse                uint64  // silences by then
+	responses                         uint64  // attempts with a server's response at the last call
+	lastResponseAt                    float64 // when responses last grew
+	failuresAtResponse                uint64  // attempts without a response then
 }
 
-// CanTakeRoles tells whether the sidecar may work for others beside serving, or why not. It is for the loop, and looks anew with each call.
+// CanTakeRoles implements RoleHost. The reason is for operators; each call evaluates anew.
 func (s *Sidecar) CanTakeRoles() (ok bool, reason string) {
 	f, now := &s.fitness, s.net.Now()
 	if now-f.windowStart >= fitnessWindowSeconds || f.stalledSeconds-f.stalledAtWindowStart > maxStalledFraction*fitnessWindowSeconds {
@@ -48,7 +48,7 @@
 	return true, ""
 }
 
-// noneUsable tells whether there are boxes and none is to be used.
+// hasNoUsableServer reports whether servers are listed and the policy avoids all of them.
 func (s *Sidecar) hasNoUsableServer(now float64) bool {
 	avoided, isAnyListed := s.balancer.Ejected(now), false
 	for h := range s.endpoints.Listed {
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -5,87 +5,85 @@
 	"hazelwheel/policy"
 )
 
-// Frontend is one protocol that clients and servers speak. The core knows no more of it than this.
+// Frontend is one protocol that clients and servers speak. The core knows nothing else of it.
 type Frontend interface {
-	// ListenAddress returns the address and port at which its clients come.
+	// ListenAddress returns the host and port that clients connect to.
 	ListenAddress() string
-	// BackendAddress returns where a server speaks it that is listed at an address. It is asked for each dial.
+	// BackendAddress returns the address at which a server speaks the protocol, from the one that is listed. It is called for each dial.
 	BackendAddress(listed string) string
-	// NewClient returns the protocol's part of a client connection that is about to come up.
+	// NewClient returns the protocol's part of a client connection that has been accepted.
 	NewClient() ClientCodec
-	// NewProbe returns its way to probe a server, nil where another front's is the deployment's.
+	// NewProbe returns a probe in this protocol, nil if another frontend's probes are used.
 	NewProbe() Exchange
 }
 
-// NewClient is a protocol's part of a client connection; it holds a ClientConn, whose methods answer and hand on what it reads.
+// ClientCodec is the protocol's part of a client connection. It embeds a ClientConn, whose methods submit and answer what it reads.
 type ClientCodec interface {
 	Responder
-	// Base returns the ClientConn that it holds.
+	// Base returns the embedded ClientConn.
 	Base() *ClientConn
-	// ReadRequest reads on from what the link has received and tells whether a message can be taken: it is whole, or as much of
-	// it has come as is held, and the rest is to flow. After an error nothing more can be read.
+	// ReadRequest reads received data and reports whether a message is ready to be handled: it is complete, or as much of it has arrived as
+	// is buffered and the rest is forwarded as it arrives. After an error nothing more can be read.
 	ReadRequest(buf *buffer.Buffer) (ready bool, err error)
-	// HandleRequest answers the message that Read has told of, or hands it on by ClientConn.HandOn, and drops it if it is whole.
+	// HandleRequest answers the message that ReadRequest has reported, or submits it by ClientConn.Submit, and drops it if it is complete.
 	HandleRequest()
-	// ReadBody reads on in the body of a message that was handed on before it was whole.
+	// ReadBody reads more of the body of a message that was submitted before it was complete.
 	ReadBody(buf *buffer.Buffer) error
-	// RejectMalformed answers a message that can't be read, with what Read has said or ErrUnarrived, as the last on its link.
+	// RejectMalformed answers a message that can't be read, with the error of ReadRequest or ErrRequestTimeout, as the last on its
+	// connection.
 	RejectMalformed(err error)
-	// PartialRequest returns how many bytes are held of a message that is not whole, beside those that are not read; begun tells
-	// whether there is one.
+	// PartialRequest returns how many bytes of an incomplete message are held beside the unread ones, and whether there is one.
 	PartialRequest() (held int, begun bool)
 }
 
-// Responder is where a request's answer goes: a client connection, in whatever protocol it speaks. Each request gets
-// one call, unless its client has gone.
+// Responder writes a request's response to its client, in the client's protocol. Each request gets one call, unless its client has closed.
 type Responder interface {
-	// ForwardResponse passes on a server's answer.
+	// ForwardResponse writes a server's response.
 	ForwardResponse(x Exchange)
-	// Throttle refuses: trying again is harmless, best after the given time.
-	Throttle(retryAfterS float64)
-	// Fail says that there is no answer and that the request may have run; late, that time ran out.
+	// Throttle rejects the request: nothing has run, and a retry is best made after the given time.
+	Throttle(retryAfterSeconds float64)
+	// Fail reports that there is no response and that the request may have run; late says that its deadline has passed.
 	Fail(late bool)
 }
 
 // Call is what a request asks for, in its protocol.
 type Call interface {
-	// NewExchange returns the call's side of one attempt.
+	// NewExchange returns the protocol's side of a new attempt.
 	NewExchange() Exchange
 }
 
-// NewExchange is one protocol's side of an attempt: it writes the request to a backend connection and reads the
-// answer off it. A request carries one for each attempt, in the protocol that it came in.
+// Exchange is the protocol's side of one attempt: it writes the request to a backend connection and reads the response.
 type Exchange interface {
-	// AppendRequest appends the request's head, and of its body as much as is sent at once; the server is told until when anybody
-	// waits for its answer.
-	AppendRequest(dst []byte, now, until float64) []byte
-	// ReadBody appends what follows of the request, about so many bytes at most; nothing where no more has come.
-	AppendBody(dst []byte, most int) []byte
-	// IsRequestAppended tells whether all of the request has been appended.
+	// AppendRequest appends the request's head, and as much of its body as is sent at once. The server is told the deadline.
+	AppendRequest(dst []byte, now, deadline float64) []byte
+	// AppendBody appends the next part of the body, about maxBytes at most; nothing if no more has arrived.
+	AppendBody(dst []byte, maxBytes int) []byte
+	// IsRequestAppended reports whether the request was appended completely.
 	IsRequestAppended() bool
-	// ReadRequest reads on from what the link has received and tells whether the answer is whole.
+	// ReadResponse reads received data and reports whether the response is complete. After an error nothing more can be read.
 	ReadResponse(buf *buffer.Buffer) (bool, error)
-	// HasResponseBegun tells whether any of the answer has come.
+	// HasResponseBegun reports whether any of the response has arrived.
 	HasResponseBegun() bool
-	// IsOneWay tells whether no answer ever comes: the attempt is over once its request is written whole.
+	// IsOneWay reports whether there is no response: the attempt ends when its request is written.
 	IsOneWay() bool
-	// HandleEOF takes the end of the link and tells whether that makes the answer whole.
+	// HandleEOF handles the end of the connection and reports whether that completes the response.
 	HandleEOF() bool
-	// Result tells what a whole answer means, the load report it holds, and whether the link can be kept.
+	// Result returns what a complete response means, its load report, and whether the connection can be kept.
 	Result() (outcome policy.Outcome, report policy.Report, keep bool)
 }
 
-// StreamingExchange is an Exchange whose answer can be passed on in pieces, as they come.
+// StreamingExchange is an Exchange whose response can be forwarded in parts, as it arrives.
 type StreamingExchange interface {
 	Exchange
-	// ExceedsBuffer tells whether what has come of the answer is the begin of one that is not held whole.
+	// ExceedsBuffer reports whether the response is too large to be buffered.
 	ExceedsBuffer() bool
 }
 
-// StreamResponder is an Origin that can pass on an answer in pieces: Begin and then Pass take the place of Serve.
+// StreamResponder is a Responder that can forward a response in parts: one ForwardHead and any number of ForwardBody take the place of
+// ForwardResponse.
 type StreamResponder interface {
-	// ForwardHead passes on an answer's head, and what has come of its body.
+	// ForwardHead writes a response's head, and what has arrived of its body.
 	ForwardHead(x Exchange)
-	// ForwardBody passes on what has come since; last says that it is the end.
+	// ForwardBody writes what has arrived since; last says that it is the end.
 	ForwardBody(x Exchange, last bool)
 }
--- a/internal/sidecar/health.go
+++ b/internal/sidecar/health.go
@@ -6,11 +6,11 @@
 	"hazelwheel/internal/health"
 )
 
-// heartbeatEveryS is the time between two heartbeats of the event loop.
+// heartbeatIntervalSeconds is the time between two heartbeats of the event loop.
 const heartbeatIntervalSeconds = 0.1
 
-// publishHealth tells the side port how the loop is, again and again. Danger: the port must answer while the loop stalls, so it
-// never asks the loop.
+// publishHealth publishes the loop's state to the health port, periodically. Danger: the port must respond while the loop stalls, so it
+// never calls the loop.
 func (s *Sidecar) publishHealth() {
 	now := s.now()
 	s.healthServer.Publish(health.Snapshot{TakenAt: now, ListReadAt: s.discovery.listReadAt, Started: s.discovery.isListRead, Draining: s.lifecycle.closesAfterResponse(),
@@ -18,7 +18,7 @@
 	s.timers.schedule(now+heartbeatIntervalSeconds, s.publishHealth)
 }
 
-// ListenSide opens the side port on the host of the listen address, if there is one.
+// ListenHealth opens the health port on the host of the listen address, if there is one.
 func (s *Sidecar) ListenHealth() error {
 	if s.healthServer == nil {
 		return nil
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// saveEveryS is the time between two states that are kept for a successor. One that takes long to make is made more
-	// seldom, so that it never takes more than a part of the loop's time.
+	// saveIntervalSeconds is the time between two saved states. A state that takes long to make is saved less often: the time to the next
+	// is at least saveIntervalFactor times the time that it took.
 	saveIntervalSeconds = 0.5
 	saveIntervalFactor  = 200
-	// mostCheckpoint bounds the decisions' part of a state, in bytes.
+	// maxCheckpointBytes bounds the policy's part of a state.
 	maxCheckpointBytes = 8 << 20
-	// oldestS is how old a state may be that a successor takes.
+	// maxStateAgeSeconds bounds the age of a state that is restored.
 	maxStateAgeSeconds = 30
 )
 
-// restartState is what hot restarts need beside the state that they hand on.
+// restartState is what a hot restart needs beside the state that it hands over.
 type restartState struct {
 	store        StateStore
 	settingsHash string // empty until it was asked for
 }
 
-// StateStore is where what a successor needs is kept.
+// StateStore keeps what the next process needs.
 type StateStore interface {
-	// Ban, Lift and Away note what operators have said, before they are told yes.
+	// Cordon, Uncordon and SetDrained store an operator's command before it is acknowledged.
 	Cordon(server string) error
 	Uncordon(server string) error
 	SetDrained(on bool) error
-	// ReadRequest returns what has been said, at this process or at its neighbours.
-	OperatorState() (bans []string, away bool, err error)
+	// OperatorState returns the commands in effect, of this process and of its neighbours.
+	OperatorState() (cordoned []string, drained bool, err error)
 	// Save takes a state over and returns at once.
 	Save(s hotrestart.State)
 }
 
-// noStateStore is that of a process that has no successor.
+// noStateStore is the store of a process that is never replaced.
 type noStateStore struct{}
 
 func (noStateStore) Cordon(string) error { return nil }
@@ -53,19 +53,19 @@
 
 func (noStateStore) Save(hotrestart.State) {}
 
-// SetKeepAlive has the sidecar keep on a shelf what a successor needs, and obey what lies there. It comes before Start.
-func (s *Sidecar) SetStateStore(shelf StateStore) {
-	s.restart.store = shelf
+// SetStateStore makes the sidecar save its state and operators' commands, and obey the stored commands. It comes before Start.
+func (s *Sidecar) SetStateStore(store StateStore) {
+	s.restart.store = store
 	s.descriptors.reserved += hotrestart.Descriptors
 }
 
-// errSettings is why a state is not taken that was learned under others.
+// errSettingsChanged rejects a state that was made under other settings.
 var errSettingsChanged = errors.New("the hand-over was made under other settings")
 
-// errOld is why a state is not taken that was made long ago.
+// errStateExpired rejects a state that is too old.
 var errStateExpired = errors.New("the hand-over is old")
 
-// settingsHash tells settings apart. They stay as they were at the start.
+// settingsHash identifies the settings, which never change while the process runs.
 func (s *Sidecar) settingsHash() string {
 	if s.restart.settingsHash == "" {
 		raw, err := json.Marshal(s.cfg.Settings)
@@ -78,14 +78,14 @@
 	return s.restart.settingsHash
 }
 
-// RestartState returns what a successor begins with. It is for the loop, between events.
+// RestartState returns what the next process starts with; false: it is too large. It is for the event loop, between events.
 func (s *Sidecar) RestartState() (state hotrestart.State, ok bool) {
 	state = hotrestart.State{UnixSeconds: s.now(), SettingsHash: s.settingsHash(), EndpointList: s.endpoints.Export()}
 	state.PolicyCheckpoint, ok = s.balancer.Checkpoint(nil, maxCheckpointBytes)
 	return state, ok
 }
 
-// save keeps the state, again and again.
+// saveRestartState saves the state, periodically.
 func (s *Sidecar) saveRestartState() {
 	startedAt := s.net.Now()
 	if state, ok := s.RestartState(); ok {
@@ -96,7 +96,7 @@
 	s.timers.schedule(s.now()+max(saveIntervalSeconds, saveIntervalFactor*(s.net.Now()-startedAt)), s.saveRestartState)
 }
 
-// RestoreState goes on from another process's state, or leaves everything as it is. It comes before Start.
+// RestoreState continues from another process's state, or leaves everything as it is and returns why. It comes before Start.
 func (s *Sidecar) RestoreState(state hotrestart.State) error {
 	now := s.now()
 	switch {
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	previousEvents := s.turn.events // the list that was last known, which is older
+	previousEvents := s.turn.events // of the list in the configuration, which is older
 	s.turn.events = nil
 	if err := s.applyKnownList(state.EndpointList); err != nil {
 		s.turn.events = previousEvents
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// ReconcileOperatorState obeys what lies on the shelf: operators may have spoken to a neighbour.
+// ReconcileOperatorState applies the stored commands of operators, which may have been given to a neighbour.
 func (s *Sidecar) ReconcileOperatorState() {
 	cordoned, drained, err := s.restart.store.OperatorState()
 	if err != nil {
@@ -132,7 +132,7 @@
 		if info, err := s.endpoints.Cordon(name, s.now()); err == nil {
 			infos = append(infos, info)
 		} else {
-			s.endpoints.CordonName(name, s.now()) // it counts once the list names it
+			s.endpoints.CordonName(name, s.now()) // it takes effect when the list names the server
 		}
 	}
 	for _, name := range s.endpoints.Cordoned() {
@@ -150,5 +150,5 @@
 	}
 }
 
-// MarkReplaced tells that another process serves in this one's place: when this one ends, nobody depends on it to accept.
+// MarkReplaced notes that another process accepts connections in this one's place: the shutdown need not wait for newcomers.
 func (s *Sidecar) MarkReplaced() { s.lifecycle.isReplaced = true }
--- a/internal/sidecar/idleconns.go
+++ b/internal/sidecar/idleconns.go
@@ -7,7 +7,7 @@
 	"hazelwheel/internal/endpointset"
 )
 
-// closeIdle closes them, on whoever's word. Danger: each close takes its link off the list.
+// closeIdleConns closes the idle connections to a server. Danger: each close shortens the list.
 func (s *Sidecar) closeIdleConns(serverID uint32) {
 	for len(s.backends.idle[serverID]) > 0 {
 		s.backends.idle[serverID][0].close()
@@ -15,18 +15,17 @@
 }
 
 const (
-	// settleS is how long after an answer more of it, or the link's end, may well be on the way.
+	// reuseDelaySeconds is how long after a response more bytes, or the end of the connection, are likely to follow.
 	reuseDelaySeconds = 0.002
-	// straySettleS is that where servers have been seen to send more behind their answers, and strayMemoryS for how long it is
-	// remembered.
+	// extendedReuseDelaySeconds replaces it for reuseExtensionSeconds after a server has sent bytes behind a response.
 	extendedReuseDelaySeconds = 0.05
 	reuseExtensionSeconds     = 60.0
 )
 
-// settling is how long a connection rests before it is used again while others can be had.
+// reuseDelay is how long a connection stays idle before it is used again while others can be had.
 type reuseDelay struct{ extendedUntil float64 }
 
-// at returns the time that holds at present.
+// seconds returns the delay that holds at a time.
 func (s *reuseDelay) seconds(now float64) float64 {
 	if now < s.extendedUntil {
 		return extendedReuseDelaySeconds
@@ -34,14 +33,14 @@
 	return reuseDelaySeconds
 }
 
-// noteStray notes that a server has sent bytes behind its answer. Danger: a second copy of an answer that comes on a connection which
-// is in use again would be taken for the answer to its next request.
+// extend notes that a server has sent bytes behind its response. Danger: a second copy of a response that arrives on a connection in use
+// would be taken for the response to its next request.
 func (s *reuseDelay) extend(now float64) { s.extendedUntil = now + reuseExtensionSeconds }
 
-// idleConn takes the link to a server that was used last, nil if there is none. The newest is the least
-// likely to have been closed by the other side for its rest, and the others can grow old and be retired. Danger: what
-// a server sends behind its answer a moment later would answer the next request; one whose last answer has only just
-// come is taken only where no new link can be had.
+// takeIdleConn returns the idle connection to a server that was used last and removes it from the pool, nil if there is none. The newest is
+// the least likely to have been closed by its server, and the others can grow old and be closed. Danger: bytes that a server sends a moment
+// after a response would be taken for the response to the next request; a connection within the reuse delay is taken only if no new one can
+// be opened.
 func (s *Sidecar) takeIdleConn(endpoint *endpointset.Host, front Frontend) *backendConn {
 	for {
 		idle := s.backends.idle[endpoint.ID]
@@ -58,17 +57,17 @@
 		if b.idleSince > idleBefore && s.hasDescriptors(dialDescriptors+s.reservedClientSlots()) {
 			return nil
 		}
-		// Danger: a request written to a link that its server has closed is lost; one written behind unread bytes
-		// would be answered with them.
+		// Danger: a request written to a connection that its server has closed is lost; one written behind unread bytes would be answered
+		// with them.
 		if b.address == endpoint.Address && s.net.NothingToRead(b.conn) {
 			b.removeFromIdle()
 			return b
 		}
-		b.close() // the server has moved, or the link is of no more use
+		b.close() // the server has another address now, or the connection is of no more use
 	}
 }
 
-// unidle takes a link from the idle ones.
+// removeFromIdle removes a connection from the pool.
 func (b *backendConn) removeFromIdle() {
 	idle := b.sidecar.backends.idle[b.serverID]
 	if i := slices.Index(idle, b); i >= 0 {
@@ -77,12 +76,11 @@
 	b.sidecar.timers.stop(b.idleTimer)
 }
 
-// rest puts a link among the idle ones. Danger: a request that is written to a link after the server's side
-// has closed it is lost, and one that must not run twice with it. Links are retired well before that.
+// makeIdle adds a connection to the pool. Danger: a request that is written after its server has closed is lost, and one that must not run
+// twice with it. Connections are closed well before the server's idle time-out.
 func (b *backendConn) makeIdle() { b.makeIdleFrom(b.sidecar.now()) }
 
-// restFrom is rest for a link that its server may be at work on until a time: it is used before that only where no other can
-// be had.
+// makeIdleFrom is makeIdle for a connection whose server may be at work until a time: it is used before that only if no other can be had.
 func (b *backendConn) makeIdleFrom(at float64) {
 	b.attempt, b.idleSince = nil, at
 	b.input.Rest()
@@ -95,7 +93,7 @@
 	}
 }
 
-// older tells whether a link has rested longer than another.
+// isIdleLongerThan reports whether a connection has been idle for longer than another.
 func (b *backendConn) isIdleLongerThan(other *backendConn) bool {
 	return cmp.Or(cmp.Compare(b.idleSince, other.idleSince), cmp.Compare(b.serverID, other.serverID)) < 0
 }
--- a/internal/sidecar/listrelay.go
+++ b/internal/sidecar/listrelay.go
@@ -7,64 +7,65 @@
 	"hazelwheel/policy"
 )
 
-// A fleet can pass on what discovery says, so that few sidecars watch it. What is passed on is applied as if it had come from
-// discovery; to the decisions a watch is up, and it has broken when nothing is passed on any more.
+// A fleet can relay what discovery sends, so that few sidecars watch it. Relayed objects are applied like discovery's; to the policy a
+// watch is up while the relay confirms the list, and has failed when it no longer does.
 
-// ListVersion names a list. Discovery services count each their own.
+// ListVersion identifies an endpoint list. Each discovery service has its own sequence of indices.
 type ListVersion struct {
-	DiscoveryAddress string // its address
+	DiscoveryAddress string // of the discovery service
 	Index            uint64
-	Checksum         uint64 // equal at lists that say the same
+	Checksum         uint64 // equal for equal lists
 }
 
-// ListReceiver is what a fleet that passes lists on asks of the sidecar, and tells it. All is for the loop.
+// ListReceiver is how a fleet that relays lists updates the sidecar. The methods are for the event loop.
 type ListReceiver interface {
-	// DiscoveryAddress returns the address of the discovery service that the sidecar goes by.
+	// DiscoveryAddress returns the address of the sidecar's discovery service.
 	DiscoveryAddress() string
-	// ListVersion returns the version of the list that is held; false: it has none.
+	// ListVersion returns the version of the present list; false: there is none.
 	ListVersion() (ListVersion, bool)
-	// CompleteList returns the list that is held, as discovery would write it.
+	// CompleteList returns the present list in discovery's format.
 	CompleteList() []byte
-	// TakeList applies one object of discovery's. One whose index is lower than that of the list that is held is ErrOldList. After
-	// one that was applied Fed or Distrust follows: to the decisions it is a sign that a watch is up.
+	// ApplyList applies one object of discovery. One with a lower index than the present list's is rejected with ErrStaleList. After one
+	// that was applied ConfirmList or InvalidateList follows: to the policy it is a sign that a watch is up.
 	ApplyList(raw []byte) error
-	// ConfirmList tells that the list that is held was discovery's a moment ago: a watch is not needed, and ends unless WatchOwn holds it.
-	// ExpireList tells that it was not so for too long.
+	// ConfirmList says that the present list was discovery's a moment ago: a watch is not needed, and is closed unless SetDirectWatch keeps
+	// it. ExpireList says that it has not been so for too long.
 	ConfirmList()
 	ExpireList()
-	// SetDirectWatch has the sidecar hold a watch of its own whatever is passed on, or ends that.
+	// SetDirectWatch sets whether the sidecar keeps a watch of its own whatever is relayed.
 	SetDirectWatch(on bool)
-	// InvalidateList has it ask for the whole list: what was passed on is not what discovery says.
+	// InvalidateList discards the list's version and starts a watch for the complete list: what was relayed is not what discovery sends.
 	InvalidateList()
 }
 
-// ListObserver is told of what discovery says to the sidecar's own watch, on the loop.
+// ListObserver is notified of what the sidecar's own watch receives, on the event loop.
 type ListObserver interface {
-	// ListRead takes an object, after it was applied to the list of an index; false: to none. Raw is not kept; nil: all is as it was.
+	// ListRead reports an object, after it was applied to the list of index before; held is false if there was no list. raw must not be
+	// kept; nil means that the list is unchanged.
 	ListRead(before uint64, held bool, raw []byte)
-	// WatchEnded takes the end of a watch that was up.
+	// WatchEnded reports the end of a watch that was up.
 	WatchEnded()
 }
 
 var _ ListReceiver = (*Sidecar)(nil)
 
-// passed is what a sidecar knows of what is passed on to it.
+// listRelay is the sidecar's side of a relay.
 type listRelay struct {
-	observer       ListObserver // nil: nobody passes anything on
-	isActive       bool         // what others pass on takes the place of a watch
-	hasDirectWatch bool         // a watch of its own is held beside
+	observer       ListObserver // nil: there is no relay
+	isActive       bool         // it confirms the list in place of a watch
+	hasDirectWatch bool         // a watch is kept beside it
 }
 
-// SetListObserver has a fleet told of what discovery says. It comes before Start.
-func (s *Sidecar) SetListObserver(to ListObserver) { s.discovery.relay.observer = to }
+// SetListObserver sets the observer. It comes before Start.
+func (s *Sidecar) SetListObserver(observer ListObserver) { s.discovery.relay.observer = observer }
 
-// ErrStaleList is the fault of a list that is older than the one that is held.
+// ErrStaleList rejects a list that is older than the present one.
 var ErrStaleList = errors.New("the list is older than the one that is held")
 
-// DiscoveryAddress is for the loop.
+// DiscoveryAddress implements ListReceiver.
 func (s *Sidecar) DiscoveryAddress() string { return s.cfg.Discovery }
 
-// ListVersion is for the loop.
+// ListVersion implements ListReceiver.
 func (s *Sidecar) ListVersion() (v ListVersion, ok bool) {
 	if v.Index, ok = s.endpoints.Index(); !ok {
 		return v, false
@@ -73,10 +74,10 @@
 	return v, true
 }
 
-// CompleteList is for the loop.
+// CompleteList implements ListReceiver.
 func (s *Sidecar) CompleteList() []byte { return s.endpoints.Snapshot() }
 
-// ApplyList is for the loop.
+// ApplyList implements ListReceiver.
 func (s *Sidecar) ApplyList(raw []byte) (err error) {
 	index, _, err := endpointset.ParseHeader(raw)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return err
 }
 
-// ConfirmList is for the loop.
+// ConfirmList implements ListReceiver.
 func (s *Sidecar) ConfirmList() {
 	s.runCallback(func() {
 		wasUp := s.discovery.isWatchUp()
@@ -103,7 +104,7 @@
 	})
 }
 
-// ExpireList is for the loop.
+// ExpireList implements ListReceiver.
 func (s *Sidecar) ExpireList() {
 	s.runCallback(func() {
 		wasUp := s.discovery.isWatchUp()
@@ -114,7 +115,7 @@
 	})
 }
 
-// SetDirectWatch is for the loop.
+// SetDirectWatch implements ListReceiver.
 func (s *Sidecar) SetDirectWatch(on bool) {
 	s.runCallback(func() {
 		if s.discovery.relay.hasDirectWatch = on; on && s.discovery.watcher == nil && !s.lifecycle.isStopping {
@@ -123,7 +124,7 @@
 	})
 }
 
-// InvalidateList is for the loop. Danger: what all were told wrong all ask about; the decisions know how to do that in turn.
+// InvalidateList implements ListReceiver. Danger: all sidecars ask for the list that all received wrongly; the policy asks in turn.
 func (s *Sidecar) InvalidateList() {
 	s.runCallback(func() {
 		if s.discovery.watcher != nil {
@@ -142,7 +143,7 @@
 	})
 }
 
-// again begins a watch of one's own once more that has failed.
+// restartDirectWatch starts a direct watch again after it has failed.
 func (s *Sidecar) restartDirectWatch() {
 	if s.discovery.relay.hasDirectWatch && s.discovery.watcher == nil && !s.lifecycle.isStopping {
 		s.startWatch()
--- a/internal/sidecar/loglimiter.go
+++ b/internal/sidecar/loglimiter.go
@@ -1,18 +1,18 @@
 package sidecar
 
-// noticeEveryS is the least time between two lines of one kind.
+// logIntervalSeconds is the least time between two log lines with the same message.
 const logIntervalSeconds = 1.0
 
-// notices bounds what is logged of what happens by the thousand.
+// logLimiter bounds log lines about what happens many times a second, by message.
 type logLimiter map[string]*limitedLine
 
 type limitedLine struct {
 	loggedAt   float64
-	suppressed int // how many have come since the last line
+	suppressed int // occurrences since the last line
 }
 
-// notice logs what has happened, at most once a second for each text, with how many times since the last line. Danger: a
-// flood must not become a flood of the log.
+// warnLimited logs a message as a warning, at most once in logIntervalSeconds, with the number of occurrences since its last line. Danger:
+// a flood of requests must not flood the log.
 func (s *Sidecar) warnLimited(text string) {
 	n, now := s.logLimiter[text], s.now()
 	if n == nil {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -7,31 +7,31 @@
 	"hazelwheel/policy"
 )
 
-// loopTurn is where the event loop stands: in which callback, at what time, with which events still to be handled.
+// loopTurn is the state of the event loop: the callback that runs, its time, and the events that are to be handled before it ends.
 type loopTurn struct {
-	depth           int     // of callbacks within each other
-	at              float64 // the time of the outermost callback, or of the timer that is fired
-	eventAt         float64 // the time of the event that is handled
-	events          []event // for the decisions, in order
-	timersScheduled bool    // fireTimers is about to be called
+	depth           int     // nesting of callbacks
+	at              float64 // time of the outermost callback, or of the timer that fires
+	eventAt         float64 // time of the event that is handled
+	events          []event // for the policy, in order
+	timersScheduled bool    // fireTimers was handed to the event loop and has not run
 }
 
-// event is something that the decisions are told, in the order in which it happened. The two that come with each request
-// are kept as they are: a closure for each would be garbage.
+// event is one input of the policy, in order of occurrence. The two kinds that come with each request are kept as values: a closure for
+// each would be garbage.
 type event struct {
-	run          func(now float64) // of all others
-	request      *request          // that has come, with what the decisions are told of it
+	run          func(now float64) // all other kinds
+	request      *request          // a request that was submitted, with the policy's input
 	input        policy.Request
-	endedAttempt *attempt // of a request
+	endedAttempt *attempt // an attempt of a request, with its result
 	result       policy.Result
 }
 
-// push queues an event for the decisions. It is handled before the present callback ends.
+// pushEvent queues an event for the policy. It is handled before the present callback ends.
 func (s *Sidecar) pushEvent(do func(now float64)) {
 	s.turn.events = append(s.turn.events, event{run: do})
 }
 
-// settle hands the queued events to the decisions, with what follows from them.
+// handleEvents hands the queued events to the policy, including those that are queued meanwhile.
 func (s *Sidecar) handleEvents() {
 	for i := 0; i < len(s.turn.events); i++ {
 		e := s.turn.events[i]
@@ -53,13 +53,14 @@
 		s.capture.RecordOutcome(now, e.result, r.label())
 		s.balancer.AttemptDone(now, e.result)
 		s.forgetRequest(r)
-	case !e.request.isAnswered: // its client may have gone since
+	case !e.request.isAnswered: // its client may have closed since
 		s.capture.RecordRequest(now, e.input, e.request.label())
 		s.balancer.StartRequest(now, e.input)
 	}
 }
 
-// OpenRequests takes a connection: one that was dialed brings its link, any other is a client's.
+// Open implements netio.Handler: a connection that was dialed is handed to its handler, any other is a client's. It reports whether the
+// connection is kept.
 func (s *Sidecar) Open(c netio.Conn) bool {
 	s.descriptors.open++
 	accepted := true
@@ -73,14 +74,14 @@
 	return accepted
 }
 
-// Traffic hands what has been received to the connection's link.
+// Traffic implements netio.Handler: it hands received bytes to the connection's handler.
 func (s *Sidecar) Traffic(c netio.Conn, data []byte) {
 	if handler, ok := c.Context().(connHandler); ok {
 		s.runConnCallback(c, func() { handler.onData(data) })
 	}
 }
 
-// Closed tells the connection's link.
+// Closed implements netio.Handler: it reports the end of a connection to its handler.
 func (s *Sidecar) Closed(c netio.Conn, err error) {
 	s.descriptors.open--
 	if handler, ok := c.Context().(connHandler); ok {
@@ -92,19 +93,19 @@
 	}
 }
 
-// Alarm comes when timers are due.
+// Alarm implements netio.Handler. The timers that are due fire after the callback.
 func (s *Sidecar) Alarm() {
 	s.runCallback(func() { s.timers.alarmAt = 0 })
 }
 
-// link is what a connection belongs to.
+// connHandler handles the events of one connection.
 type connHandler interface {
 	onOpen(c netio.Conn)
 	onData(data []byte)
 	onClose(err error)
 }
 
-// within runs a callback of a connection; a panic in it costs the connection and nothing more.
+// runConnCallback runs a callback of a connection. A panic in it closes the connection and is contained.
 func (s *Sidecar) runConnCallback(c netio.Conn, f func()) {
 	s.runCallback(func() {
 		if s.recoverPanic(f) {
@@ -113,11 +114,11 @@
 	})
 }
 
-// Do calls f on the loop, with what follows from it; it may be called from anywhere.
+// Do runs f on the event loop and handles the events that follow. It may be called from any goroutine, and returns at once.
 func (s *Sidecar) Do(f func()) { s.net.Post(func() { s.runCallback(f) }) }
 
-// enter wraps every callback on the loop: a panic stops here, and the outermost drains the queue and has the timers
-// fired that are due. Until it ends the time is that of its beginning.
+// runCallback wraps every callback of the event loop. A panic is contained; the outermost callback handles the queued events and schedules
+// the timers that are due. The time stands still until it ends.
 func (s *Sidecar) runCallback(f func()) {
 	if s.turn.depth++; s.turn.depth > 1 {
 		s.recoverPanic(f)
@@ -137,7 +138,7 @@
 	s.timers.arm()
 }
 
-// now returns the time: of the present callback, or of the timer that fires.
+// now returns the time of the present callback, or of the timer that fires.
 func (s *Sidecar) now() float64 {
 	if s.turn.depth == 0 {
 		return s.net.Now()
@@ -145,9 +146,9 @@
 	return s.turn.at
 }
 
-// fire fires the timers that are due, in their order. Danger: the answer that an attempt waits for may be there
-// already, unread while the loop was busy or stood still; given up for late it accuses a host that was in time. So the
-// loop looks at its connections first.
+// fireTimers fires the timers that are due, in order of time. Danger: the response that an attempt waits for may be in its socket, unread
+// while the loop was busy or stalled; timed out, the attempt would count against a server that was in time. So the loop reads its
+// connections before this is called.
 func (s *Sidecar) fireTimers() {
 	s.runCallback(func() {
 		s.turn.timersScheduled = false
@@ -161,7 +162,7 @@
 	})
 }
 
-// guard calls f; a panic is logged and counted, and true is returned.
+// recoverPanic runs f and reports whether it panicked. The panic is logged and counted.
 func (s *Sidecar) recoverPanic(f func()) (failed bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/sidecar/maintenance.go
+++ b/internal/sidecar/maintenance.go
@@ -7,71 +7,72 @@
 	"hazelwheel/policy"
 )
 
-// A fleet can settle among its sidecars which boxes are out of use for work on them. To the decisions a box that is out drains, as
-// one that is out by hand does; what operators say by hand at a sidecar goes before.
+// A fleet can agree among its sidecars which servers are out of use for maintenance. To the policy such a server drains, as a cordoned one
+// does; what operators cordon or uncordon at a sidecar takes precedence.
 
-// MaintainedServers is what a fleet that settles work on boxes asks of the sidecar, and tells it. All but TakeOut before Start is for the loop.
+// MaintainedServers is how a fleet that coordinates maintenance reads and changes the use of servers. The methods are for the event loop;
+// SetUnderMaintenance may also come before Start.
 type MaintainedServers interface {
-	// SetUnderMaintenance has boxes be out of use that the fleet has agreed on: exactly these, in place of those before. A box that is not among
-	// them any more is let back in as one that was started now, unless the list knows better.
+	// SetUnderMaintenance takes exactly these servers out of use, in place of those before. A server that is no longer among them is used
+	// again as one that has just started, unless the list says when it did.
 	SetUnderMaintenance(names []string)
-	// MaintainedServers returns what is known of each box that is listed or out, by name.
+	// Servers returns the status of each server that is listed or out, by name.
 	Servers() []ServerStatus
-	// RequestTotals returns how many requests have ended since the start, and how many of these got no server's answer.
-	RequestTotals() (all, refused uint64)
-	// IsListStale tells whether nothing has come of discovery for too long.
+	// RequestTotals returns how many requests have ended since the start, and how many of these without a server's response.
+	RequestTotals() (all, rejected uint64)
+	// IsListStale reports whether nothing has arrived from discovery for staleListSeconds.
 	IsListStale() bool
-	// WarmUpSeconds is how long a box takes to warm up, by the settings, in seconds; 0: they do not say.
+	// WarmUpSeconds returns how long a server warms up by the settings; 0: they do not say.
 	WarmUpSeconds() float64
 }
 
 var _ MaintainedServers = (*Sidecar)(nil)
 
-// ServerStatus is one box as a sidecar knows it.
+// ServerStatus is one server as a sidecar knows it.
 type ServerStatus struct {
 	Name, Zone, Type string
 	Weight           float64
 	IsListed         bool
 	IsDraining       bool // by the list
-	IsCordoned       bool // it is out by hand
-	IsKeptInUse      bool // it is out by what is agreed, and was given back here by hand: it is in use
+	IsCordoned       bool // by an operator of this sidecar
+	IsKeptInUse      bool // it is under maintenance, and was uncordoned here: it is in use
 	IsWarmingUp      bool
-	IsUnavailable    bool // it is not to be used by choice: silent, suspected, failing
-	InFlight         int  // attempts that may be under way there
+	IsUnavailable    bool // avoided by the policy, or its connections break
+	InFlight         int  // attempts that may be running there
 	AttemptsEnded    uint64
-	IsBusy           bool // by its own last report, if that came within the last seconds
+	IsBusy           bool // by its own last report, if that is recent
 }
 
-// boxWork is what a sidecar remembers for it.
+// maintenanceTracker records what ServerStatus needs.
 type maintenanceTracker struct {
-	inflightField     int               // of reports; below 0: they do not tell what is under way
-	maxAttemptSeconds float64           // for which an attempt that was given up may go on
-	attemptsEnded     map[uint32]uint64 // attempts, by box
+	inflightField     int               // index in load reports; negative: they do not hold it
+	maxAttemptSeconds float64           // for which an abandoned attempt may go on
+	attemptsEnded     map[uint32]uint64 // by server
 	reports           map[uint32]inflightReport
-	abandonedAt       map[uint32][]float64 // when attempts were given up that may go on, by box, the last ones
+	abandonedAt       map[uint32][]float64 // times of abandoned attempts that may go on, the last ones, by server
 	brokenConns       map[uint32]brokenConnCount
 }
 
 type inflightReport struct{ at, inflight float64 }
 
-// hangUps counts the attempts in a row whose link broke before an answer came, with when the last one did.
+// brokenConnCount counts the attempts in a row whose connection broke before a response, with the time of the last.
 type brokenConnCount struct {
 	count  int
 	lastAt float64
 }
 
 const (
-	// reportS is for how long a box's own report says anything.
+	// reportValidSeconds is how long a server's load report counts.
 	reportValidSeconds = 3.0
-	// mostGiven bounds the attempts of a box that were given up and are remembered.
+	// maxAbandonedAttempts bounds the abandoned attempts that are kept for a server.
 	maxAbandonedAttempts = 64
-	// lateListS is for how long nothing may come of discovery, which says something every 2 s.
+	// staleListSeconds is how long discovery, which sends a heartbeat every 2 s, may be silent.
 	staleListSeconds = 8.0
-	// A box that hung up so often in a row is failing until it answers, or nothing was sent to it for so long.
+	// A server on which failingAfter attempts in a row broke is failing until it responds, or nothing was sent to it for failingSeconds.
 	failingAfter, failingSeconds = 2, 30.0
 )
 
-// EnableMaintenance has the sidecar remember what Boxes tells. It comes before Start.
+// EnableMaintenance makes the sidecar record what MaintainedServers returns. It comes before Start.
 func (s *Sidecar) EnableMaintenance() {
 	w := &maintenanceTracker{inflightField: slices.Index(s.cfg.Settings.Policy.ReportFields, policy.FieldInflight), attemptsEnded: map[uint32]uint64{}, reports: map[uint32]inflightReport{},
 		abandonedAt: map[uint32][]float64{}, brokenConns: map[uint32]brokenConnCount{}}
@@ -81,8 +82,8 @@
 	s.maintenance = w
 }
 
-// note takes the end of an attempt. Danger: who gave up on one does not know that its box did; work on it would begin under a
-// request that still runs.
+// recordAttempt records the end of an attempt. Danger: a server does not know that an attempt was abandoned; maintenance would start under
+// a request that still runs.
 func (t *maintenanceTracker) recordAttempt(a *attempt, err *attemptError, result *policy.Result, now float64) {
 	if a.request != nil {
 		t.attemptsEnded[a.serverID]++
@@ -102,14 +103,15 @@
 	}
 }
 
-// fails tells whether a box hangs up on what it is sent. Danger: the decisions take a link that ends at once for one that died while idle,
-// which says nothing against its box; they send less there, and a site that hangs up on everything would not count as lost.
+// isFailing reports whether a server's connections break before it responds. Danger: the policy takes a connection that ends at once for
+// one that broke while idle, which says nothing about its server; it sends less there, and a site that breaks all connections would not
+// count as lost.
 func (t *maintenanceTracker) isFailing(host uint32, now float64) bool {
 	h := t.brokenConns[host]
 	return h.count >= failingAfter && now-h.lastAt < failingSeconds
 }
 
-// open counts the attempts that were given up and may go on. A report that came after tells of all.
+// openAttempts counts the abandoned attempts that may go on. A later load report without requests in flight ends all.
 func (t *maintenanceTracker) openAttempts(host uint32, now float64) (n int) {
 	abandoned := t.abandonedAt[host]
 	if len(abandoned) == 0 {
@@ -125,21 +127,21 @@
 	return len(abandoned)
 }
 
-// TakeOut may be called before Start, with what was agreed in an earlier life.
+// SetUnderMaintenance implements MaintainedServers. Before Start it restores what was stored.
 func (s *Sidecar) SetUnderMaintenance(names []string) {
 	changed := s.endpoints.SetUnderMaintenance(names, s.net.Now())
 	if len(changed) == 0 {
 		return
 	}
 	s.log.Info("servers that are out by agreement", "servers", names)
-	if s.timers.setAlarm == nil { // it has not begun: the decisions are told with the first event
+	if s.timers.setAlarm == nil { // before Start: the policy is given the change with the first event
 		s.pushEndpoints(policy.ListCached, changed)
 		return
 	}
 	s.runCallback(func() { s.pushServerChange(changed...) })
 }
 
-// MaintainedServers is for the loop.
+// Servers implements MaintainedServers.
 func (s *Sidecar) Servers() (all []ServerStatus) {
 	if s.maintenance == nil {
 		return nil
@@ -176,16 +178,16 @@
 	return all
 }
 
-// RequestTotals is for the loop.
-func (s *Sidecar) RequestTotals() (all, refused uint64) {
+// RequestTotals implements MaintainedServers.
+func (s *Sidecar) RequestTotals() (all, rejected uint64) {
 	c := &s.counters
 	return c.Served + c.Throttled + c.Failed + c.Abandoned, c.Throttled + c.Failed
 }
 
-// IsListStale is for the loop.
+// IsListStale implements MaintainedServers.
 func (s *Sidecar) IsListStale() bool {
 	return !s.discovery.isWatchUp() && s.net.Now()-s.discovery.listReadAt > staleListSeconds
 }
 
-// WarmUpSeconds is for the loop.
+// WarmUpSeconds implements MaintainedServers.
 func (s *Sidecar) WarmUpSeconds() float64 { return s.cfg.Settings.Policy.SlowStartSeconds }
--- a/internal/sidecar/operators.go
+++ b/internal/sidecar/operators.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// AdminDescriptors are kept for the operators' door, with its listener.
+	// AdminDescriptors are reserved for the admin endpoint, including its listener.
 	AdminDescriptors = 18
-	// publishEveryS is the time between two snapshots of the figures.
+	// snapshotIntervalSeconds is the time between two snapshots for the admin endpoint.
 	snapshotIntervalSeconds = 0.1
 )
 
-// CordonServer takes a server out of use until Online. The ban holds once it returns.
+// CordonServer takes a server out of use until UncordonServer. It returns after the cordon is in effect, with the error of an unknown
+// server or of the store.
 func (s *Sidecar) CordonServer(name string) error {
 	info, err := s.endpoints.Cordon(name, s.now())
 	if err != nil {
@@ -24,7 +25,7 @@
 	return s.restart.store.Cordon(name)
 }
 
-// UncordonServer ends a server's ban, however often it was called for.
+// UncordonServer ends a server's cordon, however often it was set.
 func (s *Sidecar) UncordonServer(name string) error {
 	info, err := s.endpoints.Uncordon(name, s.now())
 	if err != nil {
@@ -35,8 +36,8 @@
 	return s.restart.store.Uncordon(name)
 }
 
-// retell tells the decisions of a server that is to be used in another way from now on.
-// Danger: changes count as a sign that the watch is up. Where it is not, the decisions would never ask for one again.
+// pushServerChange reports servers to the policy whose use has changed. Danger: a delta counts as a sign that a watch is up. Where none is,
+// the policy would never ask for one again.
 func (s *Sidecar) pushServerChange(infos ...policy.HostInfo) {
 	kind := policy.ListCached
 	if s.discovery.isWatchUp() {
@@ -46,14 +47,14 @@
 	s.closeUnusableIdleConns()
 }
 
-// errEnding is the answer to who would join a process that has been told to end.
+// errShuttingDown rejects the end of a drain while the process shuts down.
 var errShuttingDown = errors.New("this process has been told to end")
 
-// IsDrainedByOperator tells whether the sidecar is drained by hand: it says that it is not ready.
+// IsDrainedByOperator reports whether operators have drained the sidecar: it is not ready.
 func (s *Sidecar) IsDrainedByOperator() bool { return s.lifecycle.isDrained }
 
-// DrainByOperator drains by hand: newcomers are told to stay away, each answer is the last on its link, and links that have had
-// nothing to say for a while are ended. Who comes all the same is served.
+// DrainByOperator drains the sidecar: it reports that it is not ready, each response is the last on its connection, and idle connections
+// are closed after a while. Requests that come all the same are served.
 func (s *Sidecar) DrainByOperator() error {
 	if s.lifecycle.isShuttingDown {
 		return nil
@@ -73,7 +74,7 @@
 	}
 }
 
-// thin ends idle links until the drain is over.
+// closeIdleWhileDrained closes idle client connections until the drain ends.
 func (s *Sidecar) closeIdleWhileDrained() {
 	if s.lifecycle.isDrained && !s.lifecycle.isShuttingDown {
 		s.closeIdleClients()
@@ -81,7 +82,7 @@
 	}
 }
 
-// UndrainByOperator ends a drain by hand.
+// UndrainByOperator ends a drain.
 func (s *Sidecar) UndrainByOperator() error {
 	if s.lifecycle.isShuttingDown {
 		return errShuttingDown
--- a/internal/sidecar/pending.go
+++ b/internal/sidecar/pending.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// takenAtOnce requests are handed to the decisions before the loop looks at its connections again; then all answers
-	// that have come are known to them. It is about a millisecond's work.
+	// maxBurst is how many requests are submitted to the policy before the loop reads its connections again, so that the policy knows all
+	// responses that have arrived. It is about a millisecond's work.
 	maxBurst = 32
-	// takenWithinS is from when on requests no longer count as one burst.
+	// burstWindowSeconds after the first request of a burst the next one begins.
 	burstWindowSeconds = 0.001
-	// staleS in the socket, and a request is taken up only once the loop has looked at its connections. Danger: the end of its
-	// client may lie right behind it, unread, and a process that stood still would send on what nobody waits for.
+	// staleSeconds in its socket, and a request is submitted only after the loop has read its connections. Danger: the close of its client
+	// may be unread right behind it, and a process that stalled would forward requests that nobody waits for.
 	staleSeconds = 0.05
 )
 
-// arrivals are the requests that the decisions have not been given yet, and how many they have been given in this burst.
+// pendingRequests are the requests that the policy has not been given yet, and how many of the present burst it has been given.
 type pendingRequests struct {
 	queue          *admission.Queue[pendingRequest]
 	burst          int
 	burstStartedAt float64
-	isScheduled    bool // for the loop to have looked at its connections
+	isScheduled    bool // submitPending runs after the loop has read its connections
 }
 
-// arrival is a request with what the decisions are told of it.
+// pendingRequest is a request with the policy's input.
 type pendingRequest struct {
 	*request
 	policy.Request
 	enqueuedAt float64 // when it came
 }
 
-// arrive hands a request to the decisions, or has it wait its turn.
+// enqueueRequest submits a request to the policy, or queues it behind those that wait.
 func (s *Sidecar) enqueueRequest(r *request, q policy.Request) {
 	a, now := &s.pending, s.now()
 	if a.queue.Len() == 0 && !a.isScheduled && q.HeldBackSeconds < staleSeconds {
@@ -45,14 +45,14 @@
 		}
 	}
 	from := now - q.HeldBackSeconds
-	if q.HeldBackSeconds >= staleSeconds { // its wait is not shed load: it waits for this one look
+	if q.HeldBackSeconds >= staleSeconds { // it waits for this one turn of the loop, which must not count for load shedding
 		from = now
 	}
 	a.queue.Enqueue(admission.QueuedRequest[pendingRequest]{Request: pendingRequest{r, q, now}, Class: q.Class, ArrivedAt: from})
 	s.schedulePending()
 }
 
-// takeUpLater has the next requests taken up once the loop has looked at its connections.
+// schedulePending submits the next requests after the loop has read its connections.
 func (s *Sidecar) schedulePending() {
 	if a := &s.pending; !a.isScheduled {
 		a.isScheduled = true
@@ -60,8 +60,7 @@
 	}
 }
 
-// takeUp hands the next requests to the decisions. What has waited too long is answered at once, and so is what has no
-// time left.
+// submitPending submits the next requests to the policy. Those that have waited for too long, or have no time left, are rejected.
 func (s *Sidecar) submitPending() {
 	a, now := &s.pending, s.now()
 	a.isScheduled, a.burstStartedAt, a.burst = false, now, 0
@@ -72,7 +71,7 @@
 		}
 		r, q := waiting.Request.request, waiting.Request.Request
 		switch {
-		case r.isAnswered: // its client has gone since
+		case r.isAnswered: // its client has closed since
 			continue
 		case shed:
 			s.counters.Shed++
@@ -88,7 +87,7 @@
 	}
 }
 
-// decide hands a request to the decisions.
+// pushRequest queues a request as an event for the policy.
 func (s *Sidecar) pushRequest(r *request, q policy.Request) {
 	s.turn.events = append(s.turn.events, event{request: r, input: q})
 }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -8,24 +8,24 @@
 	"hazelwheel/internal/quotas"
 )
 
-// shownGroups bounds the groups that are told of at a time, countedGroups those in the counters.
+// maxShownGroups bounds the groups in a status, maxCountedGroups those in the counters.
 const (
 	maxShownGroups   = 500
 	maxCountedGroups = 20
 )
 
-// quotaDesk is the quotas' place in the sidecar; nil where there are none.
+// quotaEnforcer applies the quotas of groups of clients. A nil one is off.
 type quotaEnforcer struct {
 	settings   quotas.Settings
 	limiter    *quota.Limiter
 	classifier *quotas.Classifier
-	exempt     []bool // by class
+	exempt     []bool // by index of the class
 	floor      []bool
-	snapshots  *quotas.SnapshotWriter // nil: no snapshots are made
+	snapshots  *quotas.SnapshotWriter // nil: none are written
 	counters   QuotaCounters
 }
 
-// QuotaCounters are the quotas' part of the counters.
+// QuotaCounters are the quotas' part of the counters. Their JSON names are read by operators' tools and never change.
 type QuotaCounters struct {
 	Groups           int                 `json:"groups"`
 	Served           uint64              `json:"served"`
@@ -34,21 +34,21 @@
 	Snapshots        uint64              `json:"snapshots"`
 	SnapshotsSkipped uint64              `json:"snapshots_late"` // left out since the disk was slow
 	SnapshotErrors   uint64              `json:"snapshot_errors"`
-	Reloads          uint64              `json:"reloads"` // files of groups taken into use while running
+	Reloads          uint64              `json:"reloads"` // files of groups applied while running
 	ReloadFailed     uint64              `json:"reload_failed"`
-	MostRefused      []quota.GroupCounts `json:"most_refused"` // the groups with most refusals
+	MostRefused      []quota.GroupCounts `json:"most_refused"` // groups with the most rejected requests
 }
 
-// quotaTicket is what a request has of its group's quota.
+// quotaCharge is what a request takes of its group's quota.
 type quotaCharge struct {
 	request        quota.Request
 	isCharged      bool
 	admittedAt     float64
-	responseBytes  float64 // of the answer
-	serviceSeconds float64 // seconds of a box
+	responseBytes  float64 // of the response
+	serviceSeconds float64 // of a server
 }
 
-// newQuotas returns the desk of the settings, nil where there are no quotas.
+// newQuotaEnforcer returns an enforcer for the settings, nil if there are no quotas.
 func (s *Sidecar) newQuotaEnforcer(settings quotas.Settings) *quotaEnforcer {
 	if !settings.IsEnabled() {
 		return nil
@@ -72,7 +72,7 @@
 	return enforcer
 }
 
-// beginQuotas goes on from the last snapshot and has the next ones made.
+// startQuotas restores the last snapshot and starts to write new ones.
 func (s *Sidecar) startQuotas() {
 	enforcer := s.quotas
 	if enforcer == nil || enforcer.settings.SnapshotDir == "" {
@@ -85,7 +85,7 @@
 	s.timers.schedule(s.now()+enforcer.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
 }
 
-// snapshotQuotas hands a copy of the quotas' state to the disk, again and again.
+// snapshotQuotas writes a snapshot of the quotas' state, periodically.
 func (s *Sidecar) snapshotQuotas() {
 	if s.quotas.snapshots.IsReady() {
 		s.quotas.snapshots.Write(s.quotas.limiter.State())
@@ -93,14 +93,14 @@
 	s.timers.schedule(s.now()+s.quotas.settings.SnapshotIntervalSeconds, s.snapshotQuotas)
 }
 
-// endQuotas writes the last snapshot, once the loop has gone.
+// closeQuotas writes the last snapshot, after the event loop has ended.
 func (s *Sidecar) closeQuotas() {
 	if s.quotas != nil && s.quotas.snapshots != nil {
 		s.quotas.snapshots.Close(s.quotas.limiter.State())
 	}
 }
 
-// ReadQuotaTree reads the file of groups again; nil: there are no quotas. It may be called beside the loop.
+// ReadQuotaTree reads the file of groups again; nil: there are no quotas. It may be called from any goroutine.
 func (s *Sidecar) ReadQuotaTree() (*quota.Tree, error) {
 	if s.quotas == nil {
 		return nil, nil
@@ -112,7 +112,7 @@
 	return tree, err
 }
 
-// ApplyQuotaTree takes another tree of groups into use, or keeps the old one where it is at fault.
+// ApplyQuotaTree applies another tree of groups, or keeps the present one if err is not nil.
 func (s *Sidecar) ApplyQuotaTree(tree *quota.Tree, err error) {
 	enforcer := s.quotas
 	switch {
@@ -128,32 +128,32 @@
 	}
 }
 
-// QuotaClient is a Client that knows what quotas go by. One that is not is known by its class and address alone, and what is
-// beyond its quota is throttled.
+// QuotaClient is a ClientCodec with the fields that quotas go by. A client without them is classified by class and address alone, and
+// throttled beyond its quota.
 type QuotaClient interface {
-	// Field returns a field of the message's header, "" if it is absent.
+	// Field returns a field of the message's header, empty if it is absent.
 	Field(name string) string
-	// RequestBytes returns about what the message took on the wire.
+	// RequestBytes returns the approximate size of the message on the wire.
 	RequestBytes() int
-	// RejectOverQuota refuses: nothing has run, and the group will have more after the given time.
-	RejectOverQuota(group string, retryAfterS float64)
+	// RejectOverQuota rejects the message: nothing has run, and the group has quota again after the given time.
+	RejectOverQuota(group string, retryAfterSeconds float64)
 }
 
-// CostReporter is an Exchange whose whole answer tells what it cost.
+// CostReporter is an Exchange whose complete response tells what it cost.
 type CostReporter interface {
-	// RequestBytes returns about what the answer took on the wire.
+	// ResponseBytes returns the approximate size of the response on the wire.
 	ResponseBytes() int
-	// ServiceSeconds returns for how long the server says it has worked; ok: it does.
+	// ServiceSeconds returns for how long the server reports that it has worked; false: it does not report it.
 	ServiceSeconds() (seconds float64, ok bool)
 }
 
-// noFields has no header.
+// emptyFields is a header without fields.
 type emptyFields struct{}
 
 func (emptyFields) Field(string) string { return "" }
 
-// withinQuota tells whether a request that has come may be taken up, and books it on its group. One that may not has been
-// refused, finally: nothing of it has gone anywhere.
+// admitByQuota reports whether a request is within its group's quota, and charges it. One that is not has been rejected, finally: nothing
+// of it was forwarded.
 func (c *ClientConn) admitByQuota(in *IncomingRequest) (quotaCharge, bool) {
 	s, enforcer := c.sidecar, c.sidecar.quotas
 	if enforcer == nil {
@@ -187,7 +187,7 @@
 	return charge, false
 }
 
-// chargeAnswer notes what the answer that an attempt has brought costs its request's group.
+// recordResponseCost records what an attempt's response costs its request's group.
 func (s *Sidecar) recordResponseCost(a *attempt) {
 	charge := &a.request.quota
 	if !charge.isCharged {
@@ -203,7 +203,7 @@
 	}
 }
 
-// settleQuota books what a request has cost now that it has its answer.
+// completeQuota charges what a request has cost after its response.
 func (s *Sidecar) completeQuota(r *request) {
 	if charge := &r.quota; charge.isCharged {
 		now := s.now()
@@ -211,7 +211,7 @@
 	}
 }
 
-// quotaCounters returns the quotas' part of the counters, nil where there are none.
+// quotaCounters returns the quotas' part of the counters, nil if there are none.
 func (s *Sidecar) quotaCounters() *QuotaCounters {
 	enforcer := s.quotas
 	if enforcer == nil {
@@ -225,7 +225,8 @@
 	return counters
 }
 
-// QuotaStatus tells of all groups as JSON, or of the one that a query names; ok: there is such a group, and there are quotas.
+// QuotaStatus returns the state of all groups as a line of JSON, or of the one that a query names; false: there is no such group, or there
+// are no quotas.
 func (s *Sidecar) QuotaStatus(query string) (text []byte, ok bool) {
 	if s.quotas == nil {
 		return nil, false
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -6,7 +6,8 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// Reload takes a new configuration into use, or keeps the old one where it is at fault.
+// Reload applies a new configuration, or keeps the present one if err is not nil. Discovery's address and the limits change at once; the
+// rest takes effect with a restart.
 func (s *Sidecar) Reload(cfg sidecarconfig.Config, err error) {
 	if err != nil {
 		s.counters.ConfigReloadsFailed++
@@ -22,7 +23,7 @@
 		{"name", cfg.Name != old.Name},
 		{"listen", cfg.Listen != old.Listen},
 		{"ops", cfg.Ops != old.Ops},
-		// The decisions have learned under these settings; none of them is taken without the others.
+		// The policy has learned under these settings; none of them changes without the others.
 		{"settings", !reflect.DeepEqual(cfg.Settings, old.Settings)},
 	} {
 		if setting.changed {
@@ -40,14 +41,14 @@
 	}
 }
 
-// rewatch begins a watch at another discovery service at once, whatever the present one is about. The list is
-// kept until the new service has told its own. Danger: its versions need not be those of the old service, and
-// changes since a version that it counts otherwise would leave entries out; the whole list is asked for.
+// replaceWatch starts a watch at another discovery service at once, whatever state the present one is in. The list is kept until the new
+// service has sent its own. Danger: its indices need not be those of the old service, and changes since an index with another meaning would
+// leave entries out; the complete list is requested.
 func (s *Sidecar) replaceWatch() {
 	if s.discovery.watcher != nil {
 		s.discovery.watcher.stop()
 	}
-	s.discovery.relay.isActive = false // what was passed on was the old service's
+	s.discovery.relay.isActive = false // the relay was about the old service
 	s.endpoints.ForgetIndex()
 	s.ensureWatch()
 }
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -7,41 +7,41 @@
 	"hazelwheel/policy"
 )
 
-// request is one that a client connection has brought whole and that has not been answered, or has attempts out.
+// request is a request that a client has sent and that has no response yet, or attempts under way.
 type request struct {
 	id             uint32
-	clientID       string // its client's id of it
+	clientID       string // the client's ID of it
 	className      string
-	classIndex     int // its place in the settings
+	classIndex     int // index in the settings
 	deadline       float64
 	call           Call
 	responder      Responder
-	client         *ClientConn // which has brought it
-	body           *Body       // that was not whole when it was taken; nil: it was
-	stream         *stream     // of its answer, which has begun to be passed on
+	client         *ClientConn // its connection
+	body           *Body       // not nil: it was incomplete when the request was submitted
+	stream         *stream     // of its response, once that is forwarded in parts
 	timeoutSeconds float64
 	frontend       Frontend
 	sidecar        *Sidecar
-	attemptsSent   int // attempts begun
+	attemptsSent   int // number of attempts started
 	attempts       []*attempt
-	attemptBuffer  [1]*attempt // for out: more than one at a time is rare
-	firstRunAt     float64     // when the first attempt began that may have run and is over; 0: none may have
+	attemptBuffer  [1]*attempt // backing array of attempts: two at a time are rare
+	firstRunAt     float64     // start of the first attempt that may have run and has ended; 0: there is none
 	isAtMostOnce   bool        // it is not sent again once it may have run
-	isOneWay       bool        // its client waits for no answer and may go
-	isAnswered     bool        // it has its final answer, or nobody waits for one
+	isOneWay       bool        // its client waits for no response and may close
+	isAnswered     bool        // its final response is written, or nobody waits for one
 	deadlineTimer  timer
-	faultTimer     *timer // of the drill that holds it back
+	faultTimer     *timer // of the injected fault that delays it
 	quota          quotaCharge
 }
 
-// take hands a request to the decisions.
+// registerRequest adds a request to the table and submits it to the policy, which an injected fault may delay.
 func (s *Sidecar) registerRequest(r *request, q policy.Request) {
 	r.sidecar, r.attempts = s, r.attemptBuffer[:0]
 	s.requests.add(r)
 	s.counters.Requests++
 	s.counters.OpenRequests++
 	q.ID = r.id
-	// Whatever the decisions do, the client gets its one answer in time.
+	// Whatever the policy does, the client gets its one response in time.
 	s.timers.start(&r.deadlineTimer, r.deadline+s.responseSlackSeconds/2, r)
 	enqueue := func(seconds float64) {
 		q.HeldBackSeconds += seconds
@@ -52,11 +52,11 @@
 	}
 }
 
-// IsRequestOpen tells whether a request with a client's id is open. Danger: two attempts with one id look like a second copy to a
+// IsRequestOpen reports whether a request with a client's ID is open. Danger: two requests with one ID look like a hedged request to a
 // server, which may drop the wrong one.
 func (s *Sidecar) IsRequestOpen(id string) bool { return s.requests.isOpen(id) }
 
-// answer gives a request its final answer by calling give, unless it has had one, and counts its end.
+// answerRequest ends a request with its final response, which respond writes, unless it has had one.
 func (s *Sidecar) answerRequest(r *request, end requestEnd, respond func()) {
 	if r.isAnswered {
 		return
@@ -75,7 +75,7 @@
 	}
 }
 
-// over counts a request's end.
+// countRequestEnd counts the end of a request, and its latency if it was served.
 func (s *Sidecar) countRequestEnd(r *request, end requestEnd) {
 	s.counters.OpenRequests--
 	s.counters.countRequestEnd(r.classIndex, end)
@@ -84,21 +84,21 @@
 	}
 }
 
-// expire ends a request that the decisions have let run out of time.
+// expire ends a request that the policy has let run out of time.
 func (r *request) expire() {
 	r.sidecar.answerRequest(r, overdue, func() { r.responder.Fail(true) })
 	r.sidecar.pushAbandoned(r)
 }
 
-// noteRun notes the end of an attempt that may have run.
+// recordRun notes the end of an attempt that may have run.
 func (r *request) recordRun(a *attempt, outcome policy.Outcome) {
 	if !outcome.NeverRan() && (r.firstRunAt == 0 || a.requestedAt < r.firstRunAt) {
 		r.firstRunAt = a.requestedAt
 	}
 }
 
-// repeatsUntil returns until when a further attempt is dropped as a repeat by servers that have seen one before; +Inf where none may
-// have, or where the class does not go by that.
+// repeatWindowEnd returns until when servers that have seen an earlier attempt drop a further one as a repeat; +Inf if none may have seen
+// one, or if the class has no such window.
 func (r *request) repeatWindowEnd(a *attempt) float64 {
 	class := &r.sidecar.cfg.Settings.Policy.Classes[r.classIndex]
 	if class.Effect != policy.Keyed {
@@ -116,7 +116,7 @@
 	return firstRunAt + class.DedupWindowSeconds
 }
 
-// attempt returns the one of a number that is out, nil if it is not.
+// attemptByNumber returns an attempt that is under way, nil if there is none with this number.
 func (r *request) attemptByNumber(number int) *attempt {
 	for _, a := range r.attempts {
 		if a.number == number {
@@ -126,21 +126,21 @@
 	return nil
 }
 
-// drop takes an attempt from those that are out.
+// removeAttempt removes an attempt from those that are under way.
 func (r *request) removeAttempt(a *attempt) {
 	if i := slices.Index(r.attempts, a); i >= 0 {
 		r.attempts = slices.Delete(r.attempts, i, i+1)
 	}
 }
 
-// forget drops a request that is answered and has nothing out.
+// forgetRequest removes a request that is answered and has no attempts under way.
 func (s *Sidecar) forgetRequest(r *request) {
 	if r.isAnswered && r.stream == nil && len(r.attempts) == 0 {
 		s.requests.remove(r)
 	}
 }
 
-// abandoned takes the departure of a request's client.
+// abandonRequest ends a request whose client has closed.
 func (s *Sidecar) abandonRequest(r *request) {
 	if r.isAnswered {
 		return
@@ -149,7 +149,7 @@
 	s.pushAbandoned(r)
 }
 
-// tellAbandoned tells the decisions that nothing is owed to a request any more.
+// pushAbandoned reports to the policy that a request needs no response any more.
 func (s *Sidecar) pushAbandoned(r *request) {
 	s.pushEvent(func(now float64) {
 		s.capture.RecordAbandoned(now, r.id, r.label())
--- a/internal/sidecar/requeststats.go
+++ b/internal/sidecar/requeststats.go
@@ -2,12 +2,12 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// RequestStats is how the requests of one class have fared.
+// ClassStats counts the requests of one class and how they ended, since the stats were last taken.
 type ClassStats struct {
 	Class                                string
 	Served, Throttled, Failed, Abandoned uint64
-	// LatencyCounts are from when a request's time began to when it was answered, of those that were served, in microseconds, as counts of
-	// a histogram that NewTimes returns.
+	// LatencyCounts is the histogram of the latencies of served requests in microseconds, from the start of a request's time to its
+	// response, as the counts of a histogram that NewLatencyHistogram returns.
 	LatencyCounts []int64
 }
 
@@ -16,18 +16,18 @@
 	latencyDigits                      = 2
 )
 
-// NewLatencyHistogram returns an empty histogram of times to answer, in microseconds. All that sidecars merge are of its shape.
+// NewLatencyHistogram returns an empty histogram of latencies in microseconds. All histograms that are merged have its shape.
 func NewLatencyHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 }
 
-// times are the histograms of a sidecar that tells its fleet how requests fare.
+// requestStats keeps the latencies of requests for the fleet's reports.
 type requestStats struct {
-	byClass  []*hdrhistogram.Histogram // by class
-	reported []classCounts             // when it was asked last
+	byClass  []*hdrhistogram.Histogram // by index of the class
+	reported []classCounts             // counts when the stats were last taken
 }
 
-// EnableRequestStats has the sidecar keep how long its requests take. It comes before Start.
+// EnableRequestStats makes the sidecar keep the stats that RequestStats returns. It comes before Start.
 func (s *Sidecar) EnableRequestStats() {
 	s.requestStats = &requestStats{reported: append([]classCounts(nil), s.counters.Classes...)}
 	for range s.counters.Classes {
@@ -35,13 +35,13 @@
 	}
 }
 
-// note takes the end of a request that was served.
+// record adds the latency of a request that was served.
 func (t *requestStats) record(r *request, now float64) {
 	micros := int64(1e6 * (now - (r.deadline - r.timeoutSeconds)))
-	_ = t.byClass[r.classIndex].RecordValue(min(max(micros, 0), maxLatencyMicros)) // fails only on what is out of these bounds
+	_ = t.byClass[r.classIndex].RecordValue(min(max(micros, 0), maxLatencyMicros)) // the only error is a value out of these bounds
 }
 
-// RequestStats returns how requests have fared since it was called last, by class. It is for the loop.
+// RequestStats implements RoleHost.
 func (s *Sidecar) RequestStats() (all []ClassStats) {
 	if s.requestStats == nil {
 		return nil
