--- a/internal/sidecar/rolehost.go
+++ b/internal/sidecar/rolehost.go
@@ -1,37 +1,37 @@
 package sidecar
 
-// RoleHost is what a fleet asks of the sidecar that it is a part of.
+// RoleHost is what a fleet queries of the sidecar that it is a part of. The methods are for the event loop.
 type RoleHost interface {
-	// ShutdownState tells whether the sidecar has been told to end, and whether another process serves in its place by then.
-	ShutdownState() (ending, succeeded bool)
-	// CanTakeRoles tells whether it may work for others beside serving, or why not.
-	CanTakeRoles() (ok bool, why string)
-	// RequestStats returns how requests have fared since it was called last, by class; nothing unless Measure was called.
+	// ShutdownState reports whether the sidecar is shutting down, and whether another process has replaced it.
+	ShutdownState() (shuttingDown, replaced bool)
+	// CanTakeRoles reports whether the sidecar may take roles for the fleet beside serving, and the reason if it may not.
+	CanTakeRoles() (ok bool, reason string)
+	// RequestStats returns how requests have ended since the last call, by class; nil unless EnableRequestStats was called.
 	RequestStats() []ClassStats
 }
 
-// RankReceiver is what a fleet tells it.
+// RankReceiver is given the sidecar's rank in its fleet.
 type RankReceiver interface {
-	// SetRank tells it that it is the one of this number among so many that live.
-	SetRank(number, count int)
+	// SetRank sets the sidecar's rank among the live members, from 0, and their number. It is for the event loop.
+	SetRank(rank, count int)
 }
 
-// ShutdownState is for the loop.
-func (s *Sidecar) ShutdownState() (ending, succeeded bool) {
+// ShutdownState implements RoleHost.
+func (s *Sidecar) ShutdownState() (shuttingDown, replaced bool) {
 	return s.lifecycle.isShuttingDown, s.lifecycle.isReplaced
 }
 
-// SetRank is for the loop. The decisions go by the new place from the next event on.
-func (s *Sidecar) SetRank(number, count int) {
+// SetRank implements RankReceiver. The policy uses the new rank from the next event on.
+func (s *Sidecar) SetRank(rank, count int) {
 	s.runCallback(func() {
 		s.pushEvent(func(now float64) {
-			s.capture.RecordReplica(now, number, count)
-			s.balancer.SetReplica(now, number, count)
+			s.capture.RecordReplica(now, rank, count)
+			s.balancer.SetReplica(now, rank, count)
 		})
 	})
 }
 
-// fleetHooks are what a fleet has asked to be called, and is asked itself. Each is nil where there is no fleet, or none that wants it.
+// fleetHooks are the calls between the sidecar and its fleet. Each is nil if there is no fleet, or none that uses it.
 type fleetHooks struct {
 	faultObserver FaultObserver
 	metrics       MetricsSource
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -2,46 +2,46 @@
 
 import "math"
 
-// After the word to end, clients go on coming for a while and use the links that they have. Those who come in
-// stragglersS are served; then nobody is accepted any more, links that have had nothing to say for quietS are closed, and
-// the program ends with the last answer.
+// After the signal to end clients go on opening connections for a while and use those that they have. Requests that come within
+// newcomerPeriodSeconds are served; then the sidecar stops to accept, closes connections that have been idle for drainIdleSeconds, and ends
+// with the last response.
 const (
 	newcomerPeriodSeconds     = 0.7
 	drainIdleSeconds          = 0.2
 	drainCheckIntervalSeconds = 0.01
-	// graceS is how long after the longest deadline the program ends whatever is left, and answeredS until when all that has come
-	// after the word to end is answered. The platform kills the process no sooner than killGraceS after the longest deadline, of
-	// which it counts no more than longestCountedS.
+	// shutdownGraceSeconds after the longest deadline the process ends with whatever is left; responseGraceSeconds after it all requests
+	// are answered that came after the signal. The platform kills the process no sooner than killGraceSeconds after the longest deadline,
+	// of which it counts at most maxCountedRequestSeconds.
 	killGraceSeconds         = 0.7
 	maxCountedRequestSeconds = 3.0
 	shutdownGraceSeconds     = killGraceSeconds - 0.05
 	responseGraceSeconds     = killGraceSeconds - 0.1
 )
 
-// Drain begins the end: every answer from now on is the last on its link.
+// Drain starts the graceful shutdown: every response from now on is the last on its connection. The event loop is stopped when all are
+// written.
 func (s *Sidecar) Drain() {
 	if !s.lifecycle.startShutdown(s.now()) {
 		return
 	}
 	s.log.Info("ending", "open", s.counters.OpenRequests)
-	if s.lifecycle.isReplaced { // newcomers are the other's
+	if s.lifecycle.isReplaced { // the other process accepts new connections
 		s.net.StopListening(s.onListenStopped)
 		return
 	}
 	s.timers.schedule(s.lifecycle.shutdownStartedAt+newcomerPeriodSeconds, func() {
-		// Danger: clients that are told to close come back on new connections for as long as these are accepted, and
-		// the end never comes.
+		// Danger: clients whose connections are closed open new ones for as long as these are accepted, and the shutdown never ends.
 		s.net.StopListening(s.onListenStopped)
 	})
 }
 
-// gone is leave as a call of the loop's own.
+// onListenStopped is called when no connection is accepted any more.
 func (s *Sidecar) onListenStopped() { s.runCallback(s.finishShutdown) }
 
-// endIdle ends the links that have had nothing to say for a while, and tells whether there are others.
+// closeIdleClients closes the client connections that have been idle for drainIdleSeconds, and reports whether there are others.
 func (s *Sidecar) closeIdleClients() (busy bool) {
 	now := s.now()
-	for i := len(s.clients.conns) - 1; i >= 0; i-- { // Danger: a link that goes leaves its place to the last one
+	for i := len(s.clients.conns) - 1; i >= 0; i-- { // Danger: a connection that is removed leaves its index to the last one
 		c := s.clients.conns[i]
 		if _, since := c.slot.State(); c.isIdle() && since < now-drainIdleSeconds && !c.mayHaveUnreadRequest() {
 			c.isLastWritten = true
@@ -52,7 +52,7 @@
 	return busy
 }
 
-// leave closes the links that are idle, and ends the loop once there is no other, or once no time is left.
+// finishShutdown closes idle connections, and stops the event loop once there is no other or no time is left.
 func (s *Sidecar) finishShutdown() {
 	now := s.now()
 	busy := s.closeIdleClients() || s.counters.OpenRequests > 0
@@ -72,8 +72,8 @@
 	s.net.Stop()
 }
 
-// latestAnswer returns when a request that comes now has its answer at the latest: before this process ends or, for one that comes
-// after the stragglers, before the platform may kill it.
+// latestResponseAt returns the time by which a request that comes now is answered at the latest: before this process ends or, for one that
+// comes after the newcomers' period, before the platform may kill it.
 func (s *Sidecar) latestResponseAt() float64 {
 	if !s.lifecycle.isShuttingDown {
 		return math.Inf(1)
@@ -85,7 +85,7 @@
 	return s.lifecycle.shutdownStartedAt + longest + responseGraceSeconds
 }
 
-// longestWait is how long a client waits at most by the settings.
+// maxRequestSeconds returns the longest deadline of the settings' classes.
 func (s *Sidecar) maxRequestSeconds() (longest float64) {
 	for _, c := range s.cfg.Settings.Policy.Classes {
 		longest = max(longest, c.TotalTimeoutSeconds)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,9 +1,11 @@
-// Package sidecar carries out the decisions of package policy on real sockets: it takes requests from the
-// application beside it, sends them to servers, and watches discovery's list.
+// Package sidecar is the core of the sidecar in service: it accepts requests from the application beside it, forwards them to servers as
+// package policy decides, and follows the endpoint list of discovery.
 //
-// One event loop owns all state, so nothing here is locked, and all that it knows of the network and of time comes
-// through package netio. The decisions are called from the queue of events alone, never from within one of their
-// own actions.
+// One event loop owns all state: nothing here is locked, and the network and the time are reached only through package netio. Exported
+// methods are for the event loop, or come before Start, unless they say otherwise; Do runs a function there.
+//
+// Package policy is called from the queue of events alone, in the order in which they happened, and never from within one of its own
+// actions. It asks for actions through policy.Actions, which Sidecar implements.
 package sidecar
 
 import (
@@ -23,12 +25,12 @@
 )
 
 const (
-	// probeWaitS is how long a probe is waited for. A probe queues at its server like a request; one that
-	// takes longer tells the decisions of a line that no request would get through in time.
+	// probeTimeoutSeconds is how long a probe's response is waited for. A probe queues at its server like a request: one that takes longer
+	// reports a queue that no request would pass in time.
 	probeTimeoutSeconds = 0.4
-	// mostAnswerRoomS is kept of a deadline for writing the answer, so that it is in time.
+	// maxResponseMarginSeconds bounds the part of a deadline that is kept for writing the response.
 	maxResponseMarginSeconds = 0.005
-	// spareDescriptors are left for what is no link: standard streams, the listener, the pollers.
+	// baseDescriptors are kept for what is no connection: standard streams, the listener, the pollers.
 	baseDescriptors = 24
 )
 
@@ -40,13 +42,13 @@
 
 	// The event loop.
 	timers     timers
-	wakeTimer  timer // of the decisions
+	wakeTimer  timer // the wake-up that the decisions asked for
 	turn       loopTurn
 	loopDelay  loopDelay
 	fitness    fitness
 	logLimiter logLimiter
 
-	// The decisions, and what they are given.
+	// The policy, and what it is given.
 	balancer  *policy.Balancer
 	endpoints *endpointset.Set
 	classes   map[string]int // index in the settings, by name
@@ -88,8 +90,9 @@
 
 var _ netio.Handler = (*Sidecar)(nil)
 
-// New returns a sidecar that has not begun, for clients and servers that speak what the fronts do and for the loop that is
-// to call it. Of fronts that have a way to probe the last one's is used.
+// New returns a sidecar that is not started, for the protocols of the given frontends and the event loop that will call it. Probes are
+// those of the last frontend that has any. The error is that of a malformed endpoint list in cfg.Known, or of a capture that can't be
+// recorded.
 func New(cfg sidecarconfig.Config, on featureconfig.Features, fronts []Frontend, loop netio.EventLoop, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{cfg: cfg, log: log, net: loop, logLimiter: logLimiter{}, processes: 1,
 		endpoints: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), classes: map[string]int{},
@@ -135,7 +138,7 @@
 		if err := s.applyKnownList(cfg.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-	} else { // Danger: the decisions ask for a list only once they have heard of one
+	} else { // Danger: the policy asks for a list only after it was given one
 		s.pushEndpoints(policy.ListCached, nil)
 	}
 	if s.endpoints.Len() == 0 {
@@ -144,12 +147,12 @@
 	return s, nil
 }
 
-// answerRoom is how long before its deadline a request's wait ends.
+// responseMargin returns how many seconds before its deadline a request's attempts end.
 func (s *Sidecar) responseMargin() float64 {
 	return min(maxResponseMarginSeconds, s.responseSlackSeconds)
 }
 
-// Start begins work.
+// Start starts timers, snapshots and the watch, and marks the sidecar as serving. The event loop calls it once, before any other callback.
 func (s *Sidecar) Start() {
 	s.timers.setAlarm = s.net.SetAlarm
 	s.runCallback(func() {
@@ -176,7 +179,7 @@
 	})
 }
 
-// Counters returns the counters as JSON. Once the loop has ended it may be called from outside.
+// Counters returns the counters as a line of JSON. After the event loop has ended it may be called from any goroutine.
 func (s *Sidecar) Counters() []byte {
 	s.counters.Descriptors = s.descriptors.inUse()
 	s.counters.FaultHits, s.counters.Capture = s.faults.HitCounts(), s.capture.Stats()
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -2,31 +2,31 @@
 
 import "hazelwheel/policy"
 
-// StatusSnapshot is what the event loop says of itself for the operators. It is not changed once it is published.
+// StatusSnapshot is the state that the admin endpoint reports. It is immutable once it is published.
 type StatusSnapshot struct {
-	TakenAt            float64 // when it was made
-	IsShuttingDown     bool    // the process has been told to end
+	TakenAt            float64 // on the event loop's clock
+	IsShuttingDown     bool    // graceful shutdown has started
 	Classes            []classCounts
-	RequestsWritten    uint64 // attempts whose request was written whole
-	OpenRequests       int    // requests taken and not ended
-	Servers            int    // servers on the list
-	UnavailableServers int    // of these, that are not to be used, by hand or by choice
+	RequestsWritten    uint64 // attempts whose request was written completely
+	OpenRequests       int    // requests without a final response
+	Servers            int    // on the endpoint list
+	UnavailableServers int    // of these: cordoned, draining, or avoided by the policy
 	FleetMetrics       []Metric
 }
 
-// Metric is one number of a part that is not the core.
+// Metric is a named number of a part outside the core.
 type Metric struct {
 	Name  string
 	Value uint64
 }
 
-// MetricsSource is a part of a program that has figures of its own.
+// MetricsSource returns the metrics of such a part. It is called on the event loop.
 type MetricsSource interface{ Metrics() []Metric }
 
-// StatusSnapshot returns the latest snapshot, nil before the first. It may be called from anywhere, and waits for nobody.
+// StatusSnapshot returns the latest snapshot, nil before the first. It may be called from any goroutine and never blocks.
 func (s *Sidecar) StatusSnapshot() *StatusSnapshot { return s.snapshot.Load() }
 
-// publish makes a snapshot of the figures, again and again.
+// publishSnapshot publishes a snapshot every snapshotIntervalSeconds.
 func (s *Sidecar) publishSnapshot() {
 	now := s.now()
 	f := &StatusSnapshot{TakenAt: now, IsShuttingDown: s.lifecycle.isShuttingDown, Classes: append([]classCounts(nil), s.counters.Classes...), RequestsWritten: s.counters.RequestsWritten,
@@ -44,7 +44,8 @@
 	s.timers.schedule(now+snapshotIntervalSeconds, s.publishSnapshot)
 }
 
-// SetFleetStatus has the counters and the door's dump hold what a fleet says of itself; it is asked on the loop.
-func (s *Sidecar) SetFleetStatus(see func() any, counted MetricsSource) {
-	s.fleet.status, s.fleet.metrics = see, counted
+// SetFleetStatus adds a fleet's status to the counters and its metrics to the snapshots. Both are called on the event loop. It comes before
+// Start.
+func (s *Sidecar) SetFleetStatus(status func() any, metrics MetricsSource) {
+	s.fleet.status, s.fleet.metrics = status, metrics
 }
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -9,42 +9,43 @@
 )
 
 const (
-	// lagS without a byte ends what flows: nobody takes it, or nobody brings it.
+	// peerLagTimeoutSeconds without a byte end a stream: the client does not read, or the server does not write.
 	peerLagTimeoutSeconds = 10.0
-	// lateFlowS after its request's deadline an answer has to have come at leastRate on the whole, or it ends: its client waits for the
-	// last byte, and one that a server never ends would hold it for ever.
+	// lateStreamGraceSeconds after its request's deadline a response must have arrived at minBytesPerSecond on average, or it ends: its
+	// client waits for the last byte, and one that a server never ends would hold it for ever.
 	lateStreamGraceSeconds = 0.3
-	// flowEveryS is the time between two looks at those who lag: the loop does not tell when a peer has taken what it was sent.
+	// streamCheckIntervalSeconds is the time between two checks of peers that lag: the event loop does not report when a peer has read what
+	// it was sent.
 	streamCheckIntervalSeconds = 0.005
-	// mostScratch is the memory that is kept for what is written next.
+	// maxWriteBufferBytes bounds the memory that is kept for the next write.
 	maxWriteBufferBytes = 256 << 10
 )
 
-// keepScratch takes back memory that has grown, unless it is too much to be kept.
+// recycleWriteBuffer keeps a buffer that has grown for the next write, unless it is too large.
 func (s *Sidecar) recycleWriteBuffer(b []byte) {
 	if s.writeBuffer = b; cap(b) > maxWriteBufferBytes {
 		s.writeBuffer = nil
 	}
 }
 
-// spool returns how much of a body is held before the rest of it flows.
+// bodyBufferLimit returns how many bytes of a body are buffered before the rest is forwarded as it arrives.
 func (s *Sidecar) bodyBufferLimit() int {
 	return admission.BodyBufferBytes(s.clients.admission.BufferedBytes(), s.admissionSettings(0).MaxBufferedBytes)
 }
 
-// flowRoom returns how much may wait for a peer that is slow to take it; then the other end is left unread.
+// streamWindow returns how many bytes may wait for a slow peer; beyond that the other side is not read.
 func (s *Sidecar) streamWindow() int {
 	return admission.FlowBufferBytes(len(s.streams.responses)+len(s.streams.laggingConns), s.admissionSettings(0).MaxBufferedBytes)
 }
 
-// flows are what is looked at again and again while it flows: answers, and requests whose server lags.
+// streams are checked periodically while they last: responses, and requests whose server reads slowly.
 type streams struct {
 	responses    []*stream
 	laggingConns []*backendConn
 	isScheduled  bool
 }
 
-// tend has flows looked at from now on.
+// scheduleStreamCheck starts the periodic check.
 func (s *Sidecar) scheduleStreamCheck() {
 	if !s.streams.isScheduled {
 		s.streams.isScheduled = true
@@ -69,27 +70,24 @@
 	}
 }
 
-// --- answers ---
-
-// flow is an answer that is passed on as it comes. Its request has its answer with the first of it, and is over with the last.
+// stream is a response that is forwarded as it arrives. Its request counts as answered with the first part, and ends with the last.
 type stream struct {
 	sidecar       *Sidecar
 	attempt       *attempt
 	backend       *backendConn
 	client        *ClientConn
 	responder     StreamResponder
-	isPaused      bool    // the server's link is left unread
-	lastDataAt    float64 // when the server last brought something, or could not
-	receivedBytes int     // bytes that it has brought since the flow began
-	startedAt     float64 // when it began, plus the time for which the server was not read
+	isPaused      bool    // the backend connection is not read
+	lastDataAt    float64 // when the server last sent something, or was not read
+	receivedBytes int     // from the server since the stream began
+	startedAt     float64 // start of the stream, plus the time for which the server was not read
 	pausedAt      float64 // since when it is not read
-	unreadBytes   int     // what the client has not taken
-	lastReadAt    float64 // when it last took something
+	unreadBytes   int     // written, and not read by the client
+	lastReadAt    float64 // when the client last read something
 	isOver        bool
 }
 
-// beginFlow passes on what has come of a large answer. One that nobody waits for, or that says that the attempt failed, is not
-// read to its end.
+// startStream forwards what has arrived of a large response. One that nobody waits for, or that reports a failure, is not read to its end.
 func (s *Sidecar) startStream(b *backendConn, a *attempt) {
 	r, now := a.request, s.now()
 	result := policy.Result{ID: r.id, Host: a.serverID, Attempt: a.number}
@@ -116,7 +114,7 @@
 	s.scheduleStreamCheck()
 }
 
-// traffic passes on what has come, so many bytes.
+// onData forwards data that has arrived.
 func (f *stream) onData(n int, done bool, err error) {
 	f.receivedBytes += n
 	if f.lastDataAt = f.sidecar.now(); err != nil {
@@ -125,7 +123,7 @@
 	}
 	f.responder.ForwardBody(f.attempt.exchange, done)
 	switch {
-	case f.isOver: // its client has gone meanwhile
+	case f.isOver: // its client has closed meanwhile
 	case done:
 		f.finish(served)
 	default:
@@ -133,7 +131,7 @@
 	}
 }
 
-// serverEnded takes the end of the server's link, which may make the answer whole.
+// onBackendClose handles the close of the backend connection, which may complete the response.
 func (f *stream) onBackendClose(isOrderly bool) {
 	if f.isOver {
 		return
@@ -146,7 +144,7 @@
 	f.finish(failed)
 }
 
-// look holds the server up while the client lags, and ends a flow that stands still.
+// check pauses the server while the client lags, and ends a stream that is stuck.
 func (f *stream) check() {
 	if f.isOver || f.client.conn == nil {
 		return
@@ -177,12 +175,12 @@
 	}
 }
 
-// drips tells whether the deadline is over and the server brings too little for the answer to come to its end.
+// isTooSlow reports whether the deadline has passed and the server sends too slowly for the response to end.
 func (f *stream) isTooSlow(now float64) bool {
 	return !f.isPaused && now > f.attempt.request.deadline+lateStreamGraceSeconds && float64(f.receivedBytes) < minBytesPerSecond*(now-f.startedAt)
 }
 
-// end ends a flow: with its last byte, or with its client's link, which tells the client that it is not whole.
+// finish ends a stream: with its last byte, or by closing the client's connection, which tells the client that the response is incomplete.
 func (f *stream) finish(end requestEnd) {
 	if f.isOver {
 		return
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -6,16 +6,16 @@
 	"hazelwheel/policy"
 )
 
-// CountInvalid counts a request of a class that is answered and never handed on: nobody could decide on it.
+// CountInvalid counts a request of a class that is answered without the policy, since it is invalid.
 func (c *ClientConn) CountInvalid(class int) {
 	c.sidecar.counters.Requests++
 	c.sidecar.counters.countRequestEnd(class, failed)
 }
 
-// CountMalformed counts a message that is answered and never handed on.
+// CountMalformed counts a message that is answered and never forwarded.
 func (c *ClientConn) CountMalformed() { c.sidecar.counters.Malformed++ }
 
-// Admit tells whether there is room for a request of a class; otherwise it has been throttled.
+// Admit reports whether there is capacity for a request of a class. If not, the client has been throttled.
 func (c *ClientConn) Admit(class int) bool {
 	switch {
 	case c.isOverLimit && !c.sidecar.hasDescriptors(backendHeadroom), c.sidecar.clients.admission.IsOverBufferBudget(c.slot):
@@ -29,24 +29,25 @@
 	return true
 }
 
-// UnknownTenant is the place of a tenant that the settings do not name.
+// UnknownTenant is the index of a tenant that the settings do not name.
 const UnknownTenant = -1
 
-// IncomingRequest is a request as a front hands it on.
+// IncomingRequest is a request as a frontend submits it.
 type IncomingRequest struct {
 	ID             string
-	Class          int     // its place in the settings
-	Tenant         int     // its place in the settings, or UnknownTenant
-	TimeoutSeconds float64 // seconds that the client waits from its sending
+	Class          int     // index in the settings
+	Tenant         int     // index in the settings, or UnknownTenant
+	TimeoutSeconds float64 // the client's deadline, counted from when it sent the request
 	IsRetry        bool    // the client marks it as a retry
 	AtMostOnce     bool    // nothing tells its repeats apart: it must not run twice, whatever its class
-	IsOneWay       bool    // nobody waits for an answer: it goes on when its client goes
-	HeldBytes      int     // bytes that are held for it
+	IsOneWay       bool    // nobody waits for a response: it continues when its client closes
+	HeldBytes      int     // buffered for it
 	Call           Call
-	Body           *Body // the call's, which is still on its way in; nil: it is whole
+	Body           *Body // of Call, if it is still arriving; nil: it is complete
 }
 
-// Submit hands a request that Admit has let in to the decisions, unless it is beyond its group's quota.
+// Submit submits a request that Admit has let in to the policy, unless it is beyond its group's quota. The response comes through the
+// codec's Responder methods, once.
 func (c *ClientConn) Submit(in IncomingRequest) {
 	charge, admitted := c.admitByQuota(&in)
 	if !admitted {
@@ -63,9 +64,9 @@
 		call: in.Call, responder: c.codec, client: c, body: in.Body, timeoutSeconds: timeoutSeconds, frontend: c.frontend, isAtMostOnce: in.AtMostOnce, isOneWay: in.IsOneWay,
 		quota: charge}
 	c.request = r
-	// Danger: the decisions take a wait that is shorter than usual for a late retry's; what is cut off here is no sign of that.
+	// Danger: the policy takes a deadline that is shorter than usual for a late retry's; what the shutdown cuts off is no sign of that.
 	q := policy.Request{Class: in.Class, Tenant: in.Tenant, HeldBackSeconds: waitedSeconds + cutSeconds, Repeat: in.IsRetry, Deadline: r.deadline}
-	if r.isUploading() { // its time counts from its last byte; the decisions go by what they are used to
+	if r.isUploading() { // its deadline counts from its last byte; the policy goes by the usual one
 		r.deadline += maxUploadSeconds
 		c.pauseReading(netio.ReportClose)
 		c.setArrivalDeadline(c.sidecar.now() + arrivalTimeoutSeconds - float64(len(in.Body.Buffered))/minBytesPerSecond)
@@ -74,7 +75,7 @@
 	c.sidecar.registerRequest(r, q)
 }
 
-// turnAway throttles a request that is not taken up: there is no room for it, or its client has more out than its part.
+// rejectRequest throttles a request that is not submitted: there is no capacity for it, or its client has more than its share open.
 func (c *ClientConn) rejectRequest(class int, reason string) {
 	c.sidecar.counters.Requests++
 	c.sidecar.counters.countRequestEnd(class, throttled)
--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/timers.go
@@ -5,62 +5,62 @@
 	"math/bits"
 )
 
-// timerTarget is what a timer calls once its time has come.
+// timerTarget is called by the timer that it was given to.
 type timerTarget interface{ expire() }
 
-// timerFunc is a function as a timer's target.
+// timerFunc is a function as a timerTarget.
 type timerFunc func()
 
 func (f timerFunc) expire() { f() }
 
-// timer is a call that is due at a time. Its zero value is not set.
+// timer is a call that is due at a time. The zero value is not set.
 type timer struct {
 	dueAt          float64
 	target         timerTarget
 	location       timerLocation
-	index          int    // in a heap, or the wheel's slot
-	previous, next *timer // in the slot
+	index          int    // in a heap, or of the wheel's slot
+	previous, next *timer // in the wheel's slot
 }
 
-// place is where a timer waits.
+// timerLocation is where a timer waits.
 type timerLocation uint8
 
 const (
-	unset timerLocation = iota // fired or stopped
+	unset timerLocation = iota // fired, stopped or never set
 	inNearHeap
 	inWheel
 	inFarHeap
 )
 
 const (
-	// slotS is the length of a slot of the wheel, and slots how many there are: two and four seconds, in which most
-	// timers are stopped again.
+	// slotSeconds is the length of a slot of the wheel and slotCount their number: 4 ms, and four seconds in all, in which most timers are
+	// stopped again.
 	slotSeconds = 1.0 / 256
 	slotCount   = 1024
 )
 
-// timers holds what is due on the event loop, and sets the loop's one alarm for the first of it. Danger: each request
-// sets two timers and stops them long before they are due; in one heap each of these costs by how many there are. So what
-// is not due soon waits in a wheel, where setting and stopping cost the same however many there are; what is due in the
-// present slot is in a heap, in order; and what is beyond the wheel in another.
+// timers holds the calls that are due on the event loop, and sets the loop's one alarm for the first of them. Danger: each request sets two
+// timers and stops them long before they are due; in one heap each of these costs the logarithm of the number of timers. So timers wait in
+// a wheel, where setting and stopping take constant time; those of the present slot wait in a heap, in order, and those beyond the wheel in
+// another.
 type timers struct {
 	near, far   timerHeap
 	wheel       [slotCount]*timer
-	occupied    [slotCount / 64]uint64 // which slots hold any
-	currentSlot int64                  // the slot up to which all is near
+	occupied    [slotCount / 64]uint64 // bitmap of the slots that hold any
+	currentSlot int64                  // all timers up to this slot are in near
 	count       int
-	alarmAt     float64          // when the alarm goes off, never later than the first call; 0: it is not set
-	setAlarm    func(at float64) // sets it
+	alarmAt     float64          // when the alarm is set, never later than the first call; 0: it is not set
+	setAlarm    func(at float64) // sets the alarm of the event loop; nil before Start
 }
 
-// at arranges a call of a function.
+// schedule calls a function at a time, and returns the timer.
 func (t *timers) schedule(at float64, call func()) *timer {
 	n := &timer{}
 	t.start(n, at, timerFunc(call))
 	return n
 }
 
-// set arranges a call by a timer that is not set.
+// start sets a timer that is not set.
 func (t *timers) start(n *timer, at float64, who timerTarget) {
 	n.dueAt, n.target = at, who
 	t.insert(n)
@@ -71,7 +71,7 @@
 	}
 }
 
-// put has a timer wait where it belongs.
+// insert puts a timer where its time belongs.
 func (t *timers) insert(n *timer) {
 	switch tick := int64(n.dueAt / slotSeconds); {
 	case tick <= t.currentSlot:
@@ -90,7 +90,7 @@
 	}
 }
 
-// stop takes back a call; a nil timer is none.
+// stop cancels a call. A nil timer and one that is not set are ignored.
 func (t *timers) stop(n *timer) {
 	if n == nil || n.location == unset {
 		return
@@ -114,7 +114,7 @@
 	n.location, n.target = unset, nil
 }
 
-// due tells whether the time of any call has come.
+// isDue reports whether the time of any call has come.
 func (t *timers) isDue(now float64) bool {
 	if t.alarmAt > now || t.count == 0 {
 		return false
@@ -123,7 +123,7 @@
 	return len(t.near) > 0 && t.near[0].dueAt <= now
 }
 
-// pop takes out the call whose time comes first; due has told that there is one.
+// pop removes the first timer and returns it. isDue has reported that there is one.
 func (t *timers) pop() *timer {
 	n := heap.Pop(&t.near).(*timer)
 	n.location = unset
@@ -131,7 +131,7 @@
 	return n
 }
 
-// advance brings near what is due up to a slot.
+// advance moves timers that are due up to a slot to the near heap, and far timers that the wheel now reaches into it.
 func (t *timers) advance(tick int64) {
 	for t.currentSlot < tick {
 		free := t.emptySlots(int((t.currentSlot + 1) % slotCount))
@@ -156,7 +156,7 @@
 	}
 }
 
-// empty returns how many slots from one on hold nothing, at most all.
+// emptySlots returns how many slots from one on hold nothing, at most slotCount.
 func (t *timers) emptySlots(from int) (n int) {
 	for n < slotCount {
 		i := (from + n) % slotCount
@@ -168,7 +168,7 @@
 	return slotCount
 }
 
-// arm sets the alarm to the first call, once it has gone off.
+// arm sets the alarm to the first call, after the alarm has fired.
 func (t *timers) arm() {
 	if t.alarmAt != 0 || t.count == 0 || t.setAlarm == nil {
 		return
@@ -177,7 +177,7 @@
 	t.setAlarm(t.alarmAt)
 }
 
-// first returns the time of the first call.
+// earliest returns the time of the first call.
 func (t *timers) earliest() (at float64) {
 	switch i := t.emptySlots(int((t.currentSlot + 1) % slotCount)); {
 	case len(t.near) > 0:
@@ -187,7 +187,7 @@
 		for at = n.dueAt; n != nil; n = n.next {
 			at = min(at, n.dueAt)
 		}
-		if len(t.far) > 0 { // one that came near the wheel since it last turned
+		if len(t.far) > 0 { // it came within reach after the wheel last advanced
 			at = min(at, t.far[0].dueAt)
 		}
 		return at
--- a/internal/sidecar/upload.go
+++ b/internal/sidecar/upload.go
@@ -2,15 +2,13 @@
 
 import "hazelwheel/internal/netio"
 
-// --- requests ---
-
-// uploading tells whether a request's body is still on its way in.
+// isUploading reports whether a request's body is still arriving.
 func (r *request) isUploading() bool { return r.body != nil && !r.body.IsComplete }
 
-// upload takes more of a request's body, and passes it on.
+// forwardUpload reads more of a request's body and forwards it.
 func (c *ClientConn) forwardUpload(r *request) {
 	s := c.sidecar
-	if r.isAnswered { // whoever it was for has it or never will
+	if r.isAnswered { // its response is written, or nobody waits for one
 		c.input.Discard(c.input.Len())
 		return
 	}
@@ -44,13 +42,13 @@
 	s.clients.admission.SetBufferedBytes(c.slot, c.requestBytes+c.input.Len())
 }
 
-// spoilUpload ends a request whose body can't be read to its end.
+// failUpload ends a request whose body can't be read to its end.
 func (s *Sidecar) failUpload(r *request, err error) {
 	s.answerRequest(r, failed, func() { r.client.rejectMalformed(err) })
 	s.pushAbandoned(r)
 }
 
-// pump writes on what has come of an attempt's request, as far as its server takes it.
+// forwardBody writes what has arrived of an attempt's request, as far as its server takes it.
 func (b *backendConn) forwardBody(a *attempt) {
 	for !a.exchange.IsRequestAppended() && b.conn.OutboundBuffered() < b.sidecar.streamWindow() {
 		piece := a.exchange.AppendBody(b.sidecar.writeBuffer[:0], ChunkBytes)
--- a/internal/sidecar/usage.go
+++ b/internal/sidecar/usage.go
@@ -1,18 +1,18 @@
 package sidecar
 
-// ResourceUsage is how much of what it takes up a sidecar holds. One that has had nothing to do for a while holds no more than
-// backend connections, its watch, and the timers of these.
+// ResourceUsage is what a sidecar holds. One that has been idle for a while holds no more than backend connections, its watch, and their
+// timers.
 type ResourceUsage struct {
-	Requests      int // that are not over, or named
+	Requests      int // open, or with a client's ID in use
 	ClientConns   int
-	BackendConns  int // also such as come up or carry a probe
-	BufferedBytes int // bytes that have come and have not been read
+	BackendConns  int // including those that are being dialed or carry a probe
+	BufferedBytes int // received and not parsed
 	Timers        int
-	Events        int // for the decisions
-	Servers       int // known, which may each have a link to probe them by
+	Events        int // queued for the policy
+	Servers       int // known, each of which may have a connection for probes
 }
 
-// ResourceUsage returns what is held now. It is for the loop, between its calls.
+// ResourceUsage returns what is held now. It is for the event loop, between callbacks.
 func (s *Sidecar) ResourceUsage() ResourceUsage {
 	h := ResourceUsage{Requests: s.requests.len(), ClientConns: len(s.clients.conns), BackendConns: s.descriptors.open - len(s.clients.conns),
 		Timers: s.timers.count, Events: len(s.turn.events), Servers: s.endpoints.Len()}
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// headWaitS is how long discovery may take to begin its answer; it works through calls in turn and
-	// gives those up that wait too long.
+	// watchHeadTimeoutSeconds is how long discovery may take to start its response; it handles calls in turn and drops those that wait too
+	// long.
 	watchHeadTimeoutSeconds = 3.0
-	// silenceS without a byte ends a watch: discovery sends an empty line every 2 s while nothing changes. Danger: what a silent
-	// watch misses counts as told 6 s after it fell silent, and within that time another call has to be answered.
+	// watchTimeoutSeconds without a byte end a watch: discovery sends an empty line every 2 s while nothing changes. Danger: what a silent
+	// watch misses counts as delivered 6 s after it fell silent, and within that time another call must be answered.
 	watchTimeoutSeconds = 3.0
-	// mostList bounds one object of discovery.
+	// maxListBytes bounds one object of discovery.
 	maxListBytes = 8 << 20
-	// rewatchS is the longest wait before a watch that the decisions never ask for is begun again.
+	// maxRewatchSeconds bounds the wait before a watch that the policy never asks for is started again.
 	maxRewatchSeconds = 1.0
-	// rewatchPart of the time for which a draining server may still be sent requests is waited at most: where lists are pushed, a
-	// change counts as told at once, whether or not a watch is open.
+	// rewatchGraceFraction of the time for which a draining server may still be sent requests bounds it too: where lists are pushed, a
+	// change counts as delivered at once, whether or not a watch is open.
 	rewatchGraceFraction = 0.25
 )
 
@@ -32,22 +32,22 @@
 	errWatchEnded   = errors.New("ended")
 )
 
-// watcher is a watch on discovery's list.
+// watcher is a watch of discovery's endpoint list.
 type watcher struct {
 	sidecar          *Sidecar
 	conn             netio.Conn
 	cancelDial       func()
 	input            http1.Buffer
 	parser           http1.ResponseParser
-	scanner          endpointset.StreamScanner // of the answer's body
+	scanner          endpointset.StreamScanner // of the response's body
 	dataTimer        *timer
-	firstObjectTimer *timer // until the first object or heartbeat has come
+	firstObjectTimer *timer // runs until the first object or heartbeat has arrived
 	isOver           bool
-	isUp             bool   // an object or an empty line has come
-	sinceIndex       uint64 // the version that was asked from
+	isUp             bool   // an object or a heartbeat has arrived
+	sinceIndex       uint64 // the list's index that was asked from
 }
 
-// watch begins a watch. One that is up already answers for it.
+// ensureWatch starts a watch. If one is up, the policy is told so at once.
 func (s *Sidecar) ensureWatch() {
 	if s.discovery.relay.isActive {
 		s.pushEndpoints(policy.ListDelta, nil)
@@ -62,7 +62,7 @@
 			s.pushEndpoints(policy.ListDelta, nil)
 			return
 		}
-		// Danger: discovery works through calls in turn. One that is ended and begun anew goes to the end of the line.
+		// Danger: discovery handles calls in turn. One that is closed and started again goes to the end of the queue.
 		return
 	}
 	now := s.now()
@@ -70,12 +70,12 @@
 	s.discovery.watcher = w
 	s.counters.Watches++
 	w.dataTimer = s.timers.schedule(now+watchHeadTimeoutSeconds, func() { w.fail(errWatchTimeout) })
-	// Danger: a first object that comes byte by byte would keep the watch from being up, and from being opened anew, for ever.
+	// Danger: a first object that arrives byte by byte would keep the watch from being up, and from being started again, for ever.
 	w.firstObjectTimer = s.timers.schedule(now+watchHeadTimeoutSeconds+watchTimeoutSeconds, func() { w.fail(errWatchTimeout) })
 	w.cancelDial = s.connect(s.cfg.Discovery, now+s.cfg.Settings.ConnectTimeoutS, w, w.fail)
 }
 
-// opened asks for the changes since the list that is held.
+// onOpen implements connHandler: it requests the changes since the present list.
 func (w *watcher) onOpen(c netio.Conn) {
 	w.conn = c
 	if w.isOver {
@@ -91,7 +91,7 @@
 	c.Write(http1.AppendRequest(nil, "GET", target, h, nil))
 }
 
-// traffic takes the lines that have come.
+// onData implements connHandler: it reads objects and heartbeats.
 func (w *watcher) onData(data []byte) {
 	if w.isOver {
 		return
@@ -125,8 +125,8 @@
 	}
 }
 
-// handleBody handles the objects and heartbeats that have come whole. An object that makes no sense ends the watch; the list that is
-// held stays in use.
+// handleBody handles the objects and heartbeats that have arrived completely. A malformed object ends the watch; the present list stays in
+// use.
 func (w *watcher) handleBody() error {
 	for {
 		token, text, rest, err := w.scanner.Next(w.parser.Body)
@@ -147,7 +147,7 @@
 	}
 }
 
-// handleHeartbeat handles an empty line. The first one tells the decisions that the watch is up.
+// handleHeartbeat handles an empty line. The first one tells the policy that the watch is up.
 func (w *watcher) handleHeartbeat() {
 	if !w.isUp {
 		w.isUp = true
@@ -159,7 +159,7 @@
 	}
 }
 
-// handleObject handles an object with a list or with changes. The first one tells the decisions that the watch is up.
+// handleObject handles an object with a list or with changes. The first one tells the policy that the watch is up.
 func (w *watcher) handleObject(object []byte) error {
 	if w.sidecar.discovery.relay.observer != nil {
 		return w.handleRelayedObject(object)
@@ -168,8 +168,8 @@
 	return w.sidecar.applyListObject(object)
 }
 
-// pass takes an object that is passed on. Danger: others may have passed on a later one meanwhile. Changes are in that already; a
-// whole list of a lower index is of a service that counts anew, unless the list was not held yet when it was asked for.
+// handleRelayedObject handles an object that is relayed to others. Danger: others may have relayed a later one meanwhile. Changes are in
+// that already; a complete list with a lower index is of a service that counts anew, unless there was no list yet when it was requested.
 func (w *watcher) handleRelayedObject(object []byte) error {
 	s := w.sidecar
 	before, held := s.endpoints.Index()
@@ -182,7 +182,7 @@
 		case !snapshot:
 			object = nil
 		case w.sinceIndex != before:
-			return ErrStaleList // it is asked anew, by the list that is held
+			return ErrStaleList // it is requested again, from the present index
 		}
 	}
 	if w.isUp = true; object == nil {
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// stop ends a watch without a word.
+// stop closes a watch without reporting it.
 func (w *watcher) stop() {
 	w.isOver = true
 	w.sidecar.timers.stop(w.dataTimer)
@@ -208,8 +208,8 @@
 	}
 }
 
-// fail ends a watch that brings nothing more. The decisions ask again; where they never ask, since the
-// list comes unasked, the sidecar does.
+// fail ends a watch that brings nothing more. The policy asks for another; if it never does, since lists are pushed, the sidecar starts
+// one.
 func (w *watcher) fail(err error) {
 	if w.isOver {
 		return
@@ -228,14 +228,14 @@
 		if s.discovery.relay.hasDirectWatch {
 			s.timers.schedule(s.now()+maxRewatchSeconds, s.restartDirectWatch)
 		}
-		if s.discovery.relay.isActive { // what others pass on takes its place
+		if s.discovery.relay.isActive { // the relay takes its place
 			return
 		}
 	}
 	s.requestWatch()
 }
 
-// askAgain has another watch begun in place of one that is over.
+// requestWatch makes another watch start in place of one that has ended.
 func (s *Sidecar) requestWatch() {
 	if s.cfg.Settings.Policy.ListOnDemand {
 		s.pushEndpoints(policy.ListFailed, nil)
@@ -244,7 +244,7 @@
 	s.timers.schedule(s.now()+s.rewatchDelay(), s.ensureWatch)
 }
 
-// rewatchWait returns how long a watch that the decisions never ask for stays away after it has failed.
+// rewatchDelay returns how long a watch that the policy never asks for stays closed after it has failed, in seconds.
 func (s *Sidecar) rewatchDelay() float64 {
 	if grace := s.cfg.Settings.Policy.DrainGraceSeconds; grace > 0 {
 		return min(maxRewatchSeconds, rewatchGraceFraction*grace)
@@ -252,7 +252,7 @@
 	return maxRewatchSeconds
 }
 
-// ended takes the end of the connection.
+// onClose implements connHandler.
 func (w *watcher) onClose(err error) {
 	w.conn = nil
 	if err == nil {
