--- a/internal/coordination/doc.go
+++ b/internal/coordination/doc.go
@@ -5,7 +5,7 @@
 // # Goroutines
 //
 // A Node is a netio.Handler on the sidecar's event loop, beside the sidecar itself. Unless a comment says otherwise all its methods are
-// for that loop. They never block: writes to disk are handed to a StateStore, which answers on the loop. The protocols' actions must
+// for that loop. They never block: writes to disk are handed to a StateSaver, which answers on the loop. The protocols' actions must
 // not call back into the protocol that asked for them; what would do so is postponed to the end of the call (runAfterCall). A panic
 // is recovered at the boundary of each call, logged and counted, so that a fault in this package does not end the sidecar.
 //
--- a/internal/coordination/identity.go
+++ b/internal/coordination/identity.go
@@ -13,7 +13,7 @@
 
 // UseStore sets where the state is persisted and what is stored there already. It must be called before Start, and before the
 // sidecar sends anything: servers that are cordoned for maintenance by the stored state are so from the first request on.
-func (n *Node) UseStore(store StateStore, saved SavedState) {
+func (n *Node) UseStore(store StateSaver, saved SavedState) {
 	n.store, n.saved = store, saved
 	if state, err := saved.decode(); err == nil {
 		n.adoptMaintenance(state.Maintenance)
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -35,7 +35,7 @@
 	depth     int      // of nested calls of run
 	afterCall []func() // to be run at the end of the outermost call
 
-	store          StateStore // nil: nothing is persisted
+	store          StateSaver // nil: nothing is persisted
 	saved          SavedState // as UseStore was given it
 	state          persistentState
 	identityStored bool // the identity in state is on disk
--- a/internal/coordination/options.go
+++ b/internal/coordination/options.go
@@ -23,9 +23,9 @@
 // IsEnabled reports whether the sidecar is a member of a fleet.
 func (s *Settings) IsEnabled() bool { return s.Name != "" }
 
-// StateStore persists the state of a Node. Save returns at once and calls done on the event loop, with nil once the data is synced
+// StateSaver persists the state of a Node. Save returns at once and calls done on the event loop, with nil once the data is synced
 // to disk. Calls of done are in the order of the calls of Save.
-type StateStore interface {
+type StateSaver interface {
 	Save(data []byte, done func(error))
 }
 
--- a/internal/coordination/state.go
+++ b/internal/coordination/state.go
@@ -10,10 +10,10 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// SavedState is what a StateStore holds of an earlier process. The zero value is an empty store.
+// SavedState is what a StateSaver holds of an earlier process. The zero value is an empty store.
 type SavedState struct {
-	Data   []byte // as given to StateStore.Save; nil: nothing is stored
-	IsCopy bool   // Data was not put there by StateStore.Save, so it may be out of date
+	Data   []byte // as given to StateSaver.Save; nil: nothing is stored
+	IsCopy bool   // Data was not put there by StateSaver.Save, so it may be out of date
 	Err    error  // reading failed
 }
 
--- a/internal/coordination/statefile/store.go
+++ b/internal/coordination/statefile/store.go
@@ -61,7 +61,7 @@
 	birth int64 // nanoseconds of Unix time; 0 where the file system does not store it
 }
 
-var _ coordination.StateStore = (*Store)(nil)
+var _ coordination.StateSaver = (*Store)(nil)
 
 // Open returns the store in a folder, which the first write makes if need be. post is called from another goroutine to run the done
 // function of Save on the event loop.
@@ -153,7 +153,7 @@
 	return os.Rename(filepath.Join(s.dir, fileName), filepath.Join(s.dir, quarantineName))
 }
 
-// Save implements coordination.StateStore. It is for one goroutine.
+// Save implements coordination.StateSaver. It is for one goroutine.
 func (s *Store) Save(data []byte, done func(error)) { s.saves <- save{data, done} }
 
 // write replaces the file, so that whatever happens either the old state or the new one is on disk. The error is ErrConflict or names
