--- a/internal/thrift/apache_test.go
+++ b/internal/thrift/apache_test.go
@@ -20,14 +20,14 @@
 var mutations = flag.Int("mutations", 40_000, "how many mutated messages both readers are given")
 
 // passOn reads a value and writes it again.
-func passOn(r *Reader, w *Writer, t Type, depth int) error {
+func copyValue(r *Reader, w *Writer, t Type, depth int) error {
 	if depth <= 0 {
 		return ErrTooDeep
 	}
 	n := 0
 	elements := func(t ...Type) (err error) {
 		for i := 0; err == nil && i < n*len(t); i++ {
-			err = passOn(r, w, t[i%len(t)], depth-1)
+			err = copyValue(r, w, t[i%len(t)], depth-1)
 		}
 		return err
 	}
@@ -75,7 +75,7 @@
 				return err
 			}
 			w.FieldHeader(t, id)
-			if err := passOn(r, w, t, depth-1); err != nil {
+			if err := copyValue(r, w, t, depth-1); err != nil {
 				return err
 			}
 		}
@@ -99,11 +99,11 @@
 
 // both reads a payload with this package and with the Apache library, and returns what each makes of it, written again by
 // itself: "" where it does not take it for a message.
-func both(payload []byte, to Encoding) (own, other string) {
+func decodeWithBoth(payload []byte, to Encoding) (ownResult, apacheResult string) {
 	if m, err := ParseMessage(payload); err == nil {
-		r, w := m.Body(), Writer{enc: to}
-		if err := passOn(&r, &w, Struct, MaxDepth); err == nil && r.Remaining() == 0 {
-			own = fmt.Sprintf("%s %d %d %x", m.Name, m.Kind, m.Seq, w.b)
+		r, w := m.Body(), Writer{encoding: to}
+		if err := copyValue(&r, &w, Struct, MaxDepth); err == nil && r.Remaining() == 0 {
+			ownResult = fmt.Sprintf("%s %d %d %x", m.Name, m.Kind, m.Seq, w.data)
 		}
 	}
 	ctx := context.Background()
@@ -115,20 +115,20 @@
 	}
 	in, out := apache.NewTMemoryBuffer(), apache.NewTMemoryBuffer()
 	in.Write(payload)
-	p := protocol(in, len(payload) > 0 && payload[0] == compactID)
+	p := protocol(in, len(payload) > 0 && payload[0] == compactProtocolID)
 	name, kind, seq, err := p.ReadMessageBegin(ctx)
 	if err != nil || kind < 1 || kind > 4 { // the library leaves the kind to whoever asked
-		return own, other
+		return ownResult, apacheResult
 	}
 	copied := &apache.TDuplicateToProtocol{Delegate: p, DuplicateTo: protocol(out, to == Compact)}
 	if apache.Skip(ctx, copied, apache.STRUCT, apache.DEFAULT_RECURSION_DEPTH) == nil && in.Len() == 0 {
-		other = fmt.Sprintf("%s %d %d %x", name, kind, seq, out.Bytes())
+		apacheResult = fmt.Sprintf("%s %d %d %x", name, kind, seq, out.Bytes())
 	}
-	return own, other
+	return ownResult, apacheResult
 }
 
 // corpus returns the kept messages. A line has a name, the Apache library's verdict, and the payload.
-func corpus(t testing.TB) (names []string, sound []bool, payloads [][]byte) {
+func loadCorpus(t testing.TB) (names []string, isValid []bool, payloads [][]byte) {
 	raw, err := os.ReadFile("testdata/messages.txt")
 	require.NoError(t, err)
 	for line := range strings.Lines(string(raw)) {
@@ -136,19 +136,19 @@
 		require.Len(t, f, 3)
 		b, err := hex.DecodeString(f[2])
 		require.NoError(t, err, f[0])
-		names, sound, payloads = append(names, f[0]), append(sound, f[1] == "sound"), append(payloads, b)
+		names, isValid, payloads = append(names, f[0]), append(isValid, f[1] == "sound"), append(payloads, b)
 	}
-	return names, sound, payloads
+	return names, isValid, payloads
 }
 
 // The kept messages are read and written as the Apache library does; the sound ones pass unchanged but for the sequence
 // number, and are read from a frame that comes byte by byte.
-func TestCorpus(t *testing.T) {
-	names, sound, payloads := corpus(t)
+func TestCorpusIsReadAsByApache(t *testing.T) {
+	names, sound, payloads := loadCorpus(t)
 	assert.GreaterOrEqual(t, len(names), 50)
 	for i, p := range payloads {
 		for _, to := range []Encoding{Binary, Compact} {
-			own, other := both(p, to)
+			own, other := decodeWithBoth(p, to)
 			assert.Equal(t, other, own, names[i])
 			assert.Equal(t, sound[i], own != "", names[i])
 		}
@@ -168,15 +168,15 @@
 			assert.Equal(t, len(framed), size)
 			again, err := ParseMessage(payload)
 			require.NoError(t, err)
-			assert.Equal(t, []any{seq, m.Name, m.Raw[m.body:]}, []any{again.Seq, again.Name, again.Raw[again.body:]})
+			assert.Equal(t, []any{seq, m.Name, m.Raw[m.bodyOffset:]}, []any{again.Seq, again.Name, again.Raw[again.bodyOffset:]})
 		}
 	}
 }
 
 // What one of the two readers takes for a message the other does, with the same values, over messages that are cut, spoilt,
 // spliced and grown.
-func TestReadsWhatApacheReads(t *testing.T) {
-	_, _, payloads := corpus(t)
+func TestMutatedMessagesAreReadAsByApache(t *testing.T) {
+	_, _, payloads := loadCorpus(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	taken := 0
 	for n := range *mutations {
@@ -184,7 +184,7 @@
 		for range 1 + rng.IntN(3) {
 			b = mutate(rng, b, payloads)
 		}
-		own, other := both(b, []Encoding{Binary, Compact}[n%2])
+		own, other := decodeWithBoth(b, []Encoding{Binary, Compact}[n%2])
 		if own != other {
 			t.Fatalf("mutation %d: %x\nours:   %q\napache: %q", n, b, own, other)
 		}
@@ -224,12 +224,12 @@
 
 // FuzzReader: whatever comes, both readers agree.
 func FuzzReader(f *testing.F) {
-	_, _, payloads := corpus(f)
+	_, _, payloads := loadCorpus(f)
 	for _, p := range payloads {
 		f.Add(p)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if own, other := both(b, Compact); own != other {
+		if own, other := decodeWithBoth(b, Compact); own != other {
 			t.Fatalf("ours: %q\napache: %q", own, other)
 		}
 	})
@@ -237,7 +237,7 @@
 
 // FuzzSkipper: Find passes over what Check does, and what is passed on is as sound.
 func FuzzSkipper(f *testing.F) {
-	_, _, payloads := corpus(f)
+	_, _, payloads := loadCorpus(f)
 	for _, p := range payloads {
 		f.Add(p, int16(1), int16(2))
 	}
--- a/internal/thrift/message.go
+++ b/internal/thrift/message.go
@@ -10,9 +10,9 @@
 	Name     []byte // the method's; "service:method" where services share a connection
 	Seq      int32
 
-	nameAt        int // where Name lies
-	seqAt, seqEnd int // where Seq is written
-	body          int // where the struct of arguments or results begins
+	nameOffset       int // where Name lies
+	seqStart, seqEnd int // where Seq is written
+	bodyOffset       int // where the struct of arguments or results begins
 }
 
 // Frame takes the first frame off b, which holds what has come so far: its payload, and how many bytes it takes in b; 0: it
@@ -29,7 +29,7 @@
 	if n == 0 || n > uint32(maxSize) {
 		return nil, 0, ErrFrameSize
 	}
-	if len(b) > 4 && b[4] != 0x80 && b[4] != compactID && b[4] != 0 {
+	if len(b) > 4 && b[4] != 0x80 && b[4] != compactProtocolID && b[4] != 0 {
 		return nil, 0, ErrProtocol
 	}
 	if len(b) < 4+int(n) {
@@ -39,27 +39,27 @@
 }
 
 const (
-	versionMask    = 0xffff0000
-	version1       = 0x80010000
-	compactID      = 0x82
-	compactVersion = 1
+	versionMask       = 0xffff0000
+	version1          = 0x80010000
+	compactProtocolID = 0x82
+	compactVersion    = 1
 )
 
 // Read reads a message's head, and what follows it for no more than where it begins.
 func ParseMessage(payload []byte) (Message, error) {
 	m := Message{Raw: payload}
 	var err error
-	switch r := (Reader{b: payload}); {
+	switch r := (Reader{data: payload}); {
 	case len(payload) == 0:
 		return m, ErrTruncated
-	case payload[0] == compactID:
-		r.enc = Compact
-		err = m.compact(&r)
+	case payload[0] == compactProtocolID:
+		r.encoding = Compact
+		err = m.parseCompact(&r)
 	case payload[0] < 0x80:
-		r.enc = OldBinary
-		err = m.old(&r)
+		r.encoding = OldBinary
+		err = m.parseOldBinary(&r)
 	default:
-		err = m.strict(&r)
+		err = m.parseStrictBinary(&r)
 	}
 	if err == nil && (m.Kind < Call || m.Kind > Oneway) {
 		err = ErrUnknownKind
@@ -67,8 +67,8 @@
 	return m, err
 }
 
-func (m *Message) strict(r *Reader) (err error) {
-	version, err := r.fixed(4)
+func (m *Message) parseStrictBinary(r *Reader) (err error) {
+	version, err := r.readBytes(4)
 	if err != nil {
 		return err
 	}
@@ -77,15 +77,15 @@
 		return ErrProtocol
 	}
 	m.Kind = Kind(word)
-	if m.Name, m.nameAt, err = r.name(); err != nil {
+	if m.Name, m.nameOffset, err = r.readName(); err != nil {
 		return err
 	}
-	return m.sequence(r)
+	return m.parseSequence(r)
 }
 
-func (m *Message) old(r *Reader) (err error) {
+func (m *Message) parseOldBinary(r *Reader) (err error) {
 	m.Encoding = OldBinary
-	if m.Name, m.nameAt, err = r.name(); err != nil {
+	if m.Name, m.nameOffset, err = r.readName(); err != nil {
 		return err
 	}
 	kind, err := r.Byte()
@@ -93,53 +93,55 @@
 		return err
 	}
 	m.Kind = Kind(kind)
-	return m.sequence(r)
+	return m.parseSequence(r)
 }
 
 // name reads a method's name, and where it lies.
-func (r *Reader) name() (name []byte, at int, err error) {
+func (r *Reader) readName() (name []byte, offset int, err error) {
 	name, err = r.Bytes()
-	return name, r.at - len(name), err
+	return name, r.offset - len(name), err
 }
 
 // sequence ends a binary head.
-func (m *Message) sequence(r *Reader) (err error) {
-	m.seqAt = r.at
+func (m *Message) parseSequence(r *Reader) (err error) {
+	m.seqStart = r.offset
 	m.Seq, err = r.I32()
-	m.seqEnd, m.body = r.at, r.at
+	m.seqEnd, m.bodyOffset = r.offset, r.offset
 	return err
 }
 
-func (m *Message) compact(r *Reader) error {
+func (m *Message) parseCompact(r *Reader) error {
 	m.Encoding = Compact
-	head, err := r.fixed(2)
+	head, err := r.readBytes(2)
 	if err != nil {
 		return err
 	}
 	if head[1]&0x1f != compactVersion {
 		return ErrProtocol
 	}
-	m.Kind, m.seqAt = Kind(head[1]>>5), r.at
-	seq, err := r.varint()
+	m.Kind, m.seqStart = Kind(head[1]>>5), r.offset
+	seq, err := r.readVarint()
 	if err != nil {
 		return err
 	}
-	m.Seq, m.seqEnd = int32(seq), r.at
-	m.Name, m.nameAt, err = r.name()
-	m.body = r.at
+	m.Seq, m.seqEnd = int32(seq), r.offset
+	m.Name, m.nameOffset, err = r.readName()
+	m.bodyOffset = r.offset
 	return err
 }
 
 // Moved returns a message whose bytes have been copied elsewhere.
 func (m *Message) WithRaw(raw []byte) Message {
-	to := *m
-	to.Raw = raw
-	to.Name = raw[m.nameAt : m.nameAt+len(m.Name)]
-	return to
+	moved := *m
+	moved.Raw = raw
+	moved.Name = raw[m.nameOffset : m.nameOffset+len(m.Name)]
+	return moved
 }
 
 // Body returns a reader of the struct of arguments or results.
-func (m *Message) Body() Reader { return Reader{b: m.Raw, at: m.body, enc: m.Encoding} }
+func (m *Message) Body() Reader {
+	return Reader{data: m.Raw, offset: m.bodyOffset, encoding: m.Encoding}
+}
 
 // Check reads a message to its end and says what is wrong with it.
 func (m *Message) Validate() error {
@@ -156,7 +158,7 @@
 // AppendAs appends a message as a frame, with another sequence number.
 func (m *Message) AppendWithSeq(dst []byte, seq int32) []byte {
 	start := len(dst)
-	dst = append(append(dst, 0, 0, 0, 0), m.Raw[:m.seqAt]...)
+	dst = append(append(dst, 0, 0, 0, 0), m.Raw[:m.seqStart]...)
 	if m.Encoding == Compact {
 		dst = binary.AppendUvarint(dst, uint64(uint32(seq)))
 	} else {
--- a/internal/thrift/reader.go
+++ b/internal/thrift/reader.go
@@ -7,37 +7,37 @@
 
 // Reader reads values, in either encoding, from bytes that are all there. After an error nothing more can be read.
 type Reader struct {
-	b     []byte
-	at    int
-	enc   Encoding
-	truth uint8 // of a compact bool field whose head has been read: 0 none, 1 true, 2 false
+	data        []byte
+	offset      int
+	encoding    Encoding
+	pendingBool uint8 // of a compact bool field whose head has been read: 0 none, 1 true, 2 false
 }
 
 // Left returns how many bytes have not been read.
-func (r *Reader) Remaining() int { return len(r.b) - r.at }
+func (r *Reader) Remaining() int { return len(r.data) - r.offset }
 
 // fixed takes n bytes.
-func (r *Reader) fixed(n int) ([]byte, error) {
-	if n > len(r.b)-r.at {
+func (r *Reader) readBytes(n int) ([]byte, error) {
+	if n > len(r.data)-r.offset {
 		return nil, ErrTruncated
 	}
-	r.at += n
-	return r.b[r.at-n : r.at], nil
+	r.offset += n
+	return r.data[r.offset-n : r.offset], nil
 }
 
 // mostVarint is how many bytes a number takes at most.
-const mostVarint = 10
+const maxVarintBytes = 10
 
 // varint reads a number of the compact protocol. Danger: one that never ends would be read to the frame's end, time and
 // again, by whoever looks for a field behind it.
-func (r *Reader) varint() (uint64, error) {
+func (r *Reader) readVarint() (uint64, error) {
 	var v uint64
-	for i := range mostVarint {
-		if r.at >= len(r.b) {
+	for i := range maxVarintBytes {
+		if r.offset >= len(r.data) {
 			return 0, ErrTruncated
 		}
-		c := r.b[r.at]
-		r.at++
+		c := r.data[r.offset]
+		r.offset++
 		v |= uint64(c&0x7f) << (7 * i)
 		if c < 0x80 {
 			return v, nil
@@ -47,16 +47,16 @@
 }
 
 // zigzag reads a signed number of the compact protocol.
-func (r *Reader) zigzag() (int64, error) {
-	v, err := r.varint()
+func (r *Reader) readZigzag() (int64, error) {
+	v, err := r.readVarint()
 	return int64(v>>1) ^ -int64(v&1), err
 }
 
 // Bool reads a bool: of a field in the compact protocol it lies in the field's head.
 func (r *Reader) Bool() (bool, error) {
-	if r.truth != 0 {
-		v := r.truth == 1
-		r.truth = 0
+	if r.pendingBool != 0 {
+		v := r.pendingBool == 1
+		r.pendingBool = 0
 		return v, nil
 	}
 	v, err := r.Byte()
@@ -65,20 +65,20 @@
 
 // Byte reads a byte, which Thrift takes for signed.
 func (r *Reader) Byte() (int8, error) {
-	if r.at >= len(r.b) {
+	if r.offset >= len(r.data) {
 		return 0, ErrTruncated
 	}
-	r.at++
-	return int8(r.b[r.at-1]), nil
+	r.offset++
+	return int8(r.data[r.offset-1]), nil
 }
 
 // I16 reads a number.
 func (r *Reader) I16() (int16, error) {
-	if r.enc == Compact {
+	if r.encoding == Compact {
 		v, err := r.I32()
 		return int16(v), err
 	}
-	b, err := r.fixed(2)
+	b, err := r.readBytes(2)
 	if err != nil {
 		return 0, err
 	}
@@ -87,12 +87,12 @@
 
 // I32 reads a number; of a compact one that is too large the upper bits are dropped, as the Apache libraries do.
 func (r *Reader) I32() (int32, error) {
-	if r.enc == Compact {
-		v, err := r.varint()
+	if r.encoding == Compact {
+		v, err := r.readVarint()
 		u := uint32(v)
 		return int32(u>>1) ^ -int32(u&1), err
 	}
-	b, err := r.fixed(4)
+	b, err := r.readBytes(4)
 	if err != nil {
 		return 0, err
 	}
@@ -101,10 +101,10 @@
 
 // I64 reads a number.
 func (r *Reader) I64() (int64, error) {
-	if r.enc == Compact {
-		return r.zigzag()
+	if r.encoding == Compact {
+		return r.readZigzag()
 	}
-	b, err := r.fixed(8)
+	b, err := r.readBytes(8)
 	if err != nil {
 		return 0, err
 	}
@@ -113,11 +113,11 @@
 
 // Double reads a number. The encodings differ in the order of its bytes.
 func (r *Reader) Double() (float64, error) {
-	b, err := r.fixed(8)
+	b, err := r.readBytes(8)
 	if err != nil {
 		return 0, err
 	}
-	if r.enc == Compact {
+	if r.encoding == Compact {
 		return math.Float64frombits(binary.LittleEndian.Uint64(b)), nil
 	}
 	return math.Float64frombits(binary.BigEndian.Uint64(b)), nil
@@ -125,27 +125,27 @@
 
 // Bytes reads a string or binary, which lies where the message does.
 func (r *Reader) Bytes() ([]byte, error) {
-	n, err := r.size()
+	n, err := r.readSize()
 	if err != nil {
 		return nil, err
 	}
-	return r.fixed(n)
+	return r.readBytes(n)
 }
 
 // UUID reads 16 bytes, which lie where the message does.
-func (r *Reader) UUID() ([]byte, error) { return r.fixed(16) }
+func (r *Reader) UUID() ([]byte, error) { return r.readBytes(16) }
 
 // size reads how long or how many something is.
-func (r *Reader) size() (int, error) {
+func (r *Reader) readSize() (int, error) {
 	var n int32
-	if r.enc == Compact {
-		v, err := r.varint()
+	if r.encoding == Compact {
+		v, err := r.readVarint()
 		if err != nil {
 			return 0, err
 		}
 		n = int32(v)
 	} else {
-		b, err := r.fixed(4)
+		b, err := r.readBytes(4)
 		if err != nil {
 			return 0, err
 		}
@@ -158,19 +158,19 @@
 }
 
 // compactTypes are the types by their numbers in the compact protocol; 1 and 2 are true and false.
-var compactTypes = [16]Type{0, Bool, Bool, Byte, I16, I32, I64, Double, String, List, Set, Map, Struct, UUID, noType, noType}
+var compactTypes = [16]Type{0, Bool, Bool, Byte, I16, I32, I64, Double, String, List, Set, Map, Struct, UUID, invalidType, invalidType}
 
-const noType Type = 0xff
+const invalidType Type = 0xff
 
 // Field reads a field's head; Stop is the struct's end. last is the id of the field before it, 0 at first, and becomes this
 // one's.
 func (r *Reader) FieldHeader(last *int16) (Type, error) {
-	if r.at >= len(r.b) {
+	if r.offset >= len(r.data) {
 		return 0, ErrTruncated
 	}
-	c := r.b[r.at]
-	r.at++
-	if r.enc != Compact {
+	c := r.data[r.offset]
+	r.offset++
+	if r.encoding != Compact {
 		if c == byte(Stop) {
 			return Stop, nil
 		}
@@ -190,74 +190,74 @@
 			return 0, err
 		}
 	}
-	if t == noType {
+	if t == invalidType {
 		return 0, ErrUnknownType
 	}
 	if t == Bool {
-		r.truth = c & 0xf
+		r.pendingBool = c & 0xf
 	}
 	return t, nil
 }
 
 // ListHead reads the head of a list or set: the type of its elements, and how many there are.
 func (r *Reader) ListHeader() (t Type, n int, err error) {
-	if r.at >= len(r.b) {
+	if r.offset >= len(r.data) {
 		return 0, 0, ErrTruncated
 	}
-	c := r.b[r.at]
-	r.at++
-	if r.enc != Compact {
+	c := r.data[r.offset]
+	r.offset++
+	if r.encoding != Compact {
 		t = Type(c)
-		n, err = r.size()
+		n, err = r.readSize()
 	} else {
-		if t = compactTypes[c&0xf]; t == noType {
+		if t = compactTypes[c&0xf]; t == invalidType {
 			return 0, 0, ErrUnknownType
 		}
 		if n = int(c >> 4); n == 15 {
-			n, err = r.size()
+			n, err = r.readSize()
 		}
 	}
 	if err != nil || n == 0 {
 		return t, n, err
 	}
-	return t, n, r.holds(n, t.least(r.enc))
+	return t, n, r.checkElementCount(n, t.minSize(r.encoding))
 }
 
 // MapHead reads the head of a map: the types of keys and values, and how many pairs there are.
 func (r *Reader) MapHeader() (key, value Type, n int, err error) {
-	if r.enc != Compact {
-		types, err := r.fixed(2)
+	if r.encoding != Compact {
+		types, err := r.readBytes(2)
 		if err != nil {
 			return 0, 0, 0, err
 		}
 		key, value = Type(types[0]), Type(types[1])
-		n, err = r.size()
+		n, err = r.readSize()
 		if err != nil || n == 0 {
 			return key, value, n, err
 		}
 	} else {
-		if n, err = r.size(); err != nil || n == 0 {
+		if n, err = r.readSize(); err != nil || n == 0 {
 			return 0, 0, n, err
 		}
-		types, err := r.fixed(1)
+		types, err := r.readBytes(1)
 		if err != nil {
 			return 0, 0, 0, err
 		}
 		key, value = compactTypes[types[0]>>4], compactTypes[types[0]&0xf]
 	}
-	if key.least(r.enc) == 0 || value.least(r.enc) == 0 {
+	if key.minSize(r.encoding) == 0 || value.minSize(r.encoding) == 0 {
 		return 0, 0, 0, ErrUnknownType
 	}
-	return key, value, n, r.holds(n, key.least(r.enc)+value.least(r.enc))
+	return key, value, n, r.checkElementCount(n, key.minSize(r.encoding)+value.minSize(r.encoding))
 }
 
 // holds tells whether what is left can hold n elements of at least so many bytes. Danger: whoever makes room for as many as
 // a message names is out of memory before the first is read.
-func (r *Reader) holds(n, least int) error {
-	if least == 0 {
+func (r *Reader) checkElementCount(n, minElementSize int) error {
+	if minElementSize == 0 {
 		return ErrUnknownType
 	}
-	if n > r.Remaining()/least {
+	if n > r.Remaining()/minElementSize {
 		return ErrTruncated
 	}
 	return nil
--- a/internal/thrift/skip.go
+++ b/internal/thrift/skip.go
@@ -17,13 +17,13 @@
 	case Byte:
 		_, err = r.Byte()
 	case I16, I32, I64:
-		if r.enc == Compact {
-			_, err = r.varint()
+		if r.encoding == Compact {
+			_, err = r.readVarint()
 			return err
 		}
-		_, err = r.fixed(t.least(r.enc))
+		_, err = r.readBytes(t.minSize(r.encoding))
 	case Double, UUID:
-		_, err = r.fixed(t.least(r.enc))
+		_, err = r.readBytes(t.minSize(r.encoding))
 	case String:
 		_, err = r.Bytes()
 	case Struct:
@@ -83,15 +83,15 @@
 // Find reads a message to its end, as Check does, and notes the values at the paths on the way, each in the place of its
 // path; what is on none is passed over. A field that is asked for and comes twice is an error: which one counts is a guess.
 func (m *Message) Find(paths []Path, found *[MaxPaths]Value) error {
-	var on uint8
+	var candidates uint8
 	for i, p := range paths {
 		found[i] = Value{}
 		if len(p) > 0 {
-			on |= 1 << i
+			candidates |= 1 << i
 		}
 	}
 	r := m.Body()
-	if err := r.find(paths, on, 0, found); err != nil {
+	if err := r.findFields(paths, candidates, 0, found); err != nil {
 		return err
 	}
 	if r.Remaining() > 0 {
@@ -101,29 +101,29 @@
 }
 
 // find reads a struct on the way to the paths whose bits are set; so many fields of each have led here.
-func (r *Reader) find(paths []Path, on uint8, depth int, found *[MaxPaths]Value) error {
+func (r *Reader) findFields(paths []Path, candidates uint8, depth int, found *[MaxPaths]Value) error {
 	var id int16
 	for {
 		t, err := r.FieldHeader(&id)
 		if err != nil || t == Stop {
 			return err
 		}
-		var here, further uint8
-		for left := on; left != 0; left &= left - 1 {
+		var matched, deeper uint8
+		for left := candidates; left != 0; left &= left - 1 {
 			i := bits.TrailingZeros8(left)
 			switch p := paths[i]; {
 			case p[depth] != id:
 			case len(p) == depth+1:
-				here |= 1 << i
+				matched |= 1 << i
 			default:
-				further |= 1 << i
+				deeper |= 1 << i
 			}
 		}
 		switch {
-		case here != 0:
-			err = r.note(t, here, MaxDepth-depth-1, found)
-		case further != 0 && t == Struct:
-			err = r.find(paths, further, depth+1, found)
+		case matched != 0:
+			err = r.recordValue(t, matched, MaxDepth-depth-1, found)
+		case deeper != 0 && t == Struct:
+			err = r.findFields(paths, deeper, depth+1, found)
 		default:
 			err = r.skip(t, MaxDepth-depth-1)
 		}
@@ -134,7 +134,7 @@
 }
 
 // note reads a value and notes it for the paths whose bits are set.
-func (r *Reader) note(t Type, here uint8, depth int, found *[MaxPaths]Value) (err error) {
+func (r *Reader) recordValue(t Type, matched uint8, depth int, found *[MaxPaths]Value) (err error) {
 	v := Value{Type: t}
 	switch t {
 	case Bool:
@@ -165,8 +165,8 @@
 	default: // no value that anybody can use
 		err = r.skip(t, depth)
 	}
-	for ; here != 0 && err == nil; here &= here - 1 {
-		i := bits.TrailingZeros8(here)
+	for ; matched != 0 && err == nil; matched &= matched - 1 {
+		i := bits.TrailingZeros8(matched)
 		if found[i].Type != Stop {
 			return ErrDuplicateField
 		}
--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -46,18 +46,18 @@
 )
 
 // least is how many bytes a value takes at least, by encoding, so that a container's size can't lie by much.
-var least = [...][17]int8{
+var minSizes = [...][17]int8{
 	Binary:    {Bool: 1, Byte: 1, Double: 8, I16: 2, I32: 4, I64: 8, String: 4, Struct: 1, Map: 6, Set: 5, List: 5, UUID: 16},
 	OldBinary: {Bool: 1, Byte: 1, Double: 8, I16: 2, I32: 4, I64: 8, String: 4, Struct: 1, Map: 6, Set: 5, List: 5, UUID: 16},
 	Compact:   {Bool: 1, Byte: 1, Double: 8, I16: 1, I32: 1, I64: 1, String: 1, Struct: 1, Map: 1, Set: 1, List: 1, UUID: 16},
 }
 
 // least returns how many bytes a value takes at least; 0: there is no such type.
-func (t Type) least(e Encoding) int {
-	if int(t) >= len(least[e]) {
+func (t Type) minSize(e Encoding) int {
+	if int(t) >= len(minSizes[e]) {
 		return 0
 	}
-	return int(least[e][t])
+	return int(minSizes[e][t])
 }
 
 // MostDepth is how deep values may lie within each other, the message's struct counted. It is what the Apache libraries
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -9,7 +9,7 @@
 )
 
 // call returns a framed call with an id, a struct with a patience in it, and fields that nobody asks for.
-func call(enc Encoding) []byte {
+func encodeCall(enc Encoding) []byte {
 	var w Writer
 	w.BeginMessage(nil, enc, Call, "Readings:latestReading", 41)
 	w.FieldHeader(Double, 4)
@@ -32,7 +32,7 @@
 	return w.EndMessage()
 }
 
-func TestFrames(t *testing.T) {
+func TestCutFrame(t *testing.T) {
 	for text, want := range map[string]error{
 		"\x00\x00\x00\x00":         ErrFrameSize,
 		"\xff\xff\xff\xff":         ErrFrameSize, // negative
@@ -54,9 +54,9 @@
 
 // Fields are found by their paths in all encodings; a field of another shape than the path wants is none, and one that
 // comes twice is an error.
-func TestFind(t *testing.T) {
+func TestFindByPath(t *testing.T) {
 	for _, enc := range []Encoding{Binary, OldBinary, Compact} {
-		payload, _, err := CutFrame(call(enc), 1<<16)
+		payload, _, err := CutFrame(encodeCall(enc), 1<<16)
 		require.NoError(t, err)
 		m, err := ParseMessage(payload)
 		require.NoError(t, err)
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestExceptions(t *testing.T) {
+func TestExceptionRoundTrip(t *testing.T) {
 	for _, enc := range []Encoding{Binary, OldBinary, Compact} {
 		m, err := ParseMessage(AppendException(nil, enc, "m", -9, LoadShedding, "throttled")[4:])
 		require.NoError(t, err)
@@ -97,7 +97,7 @@
 }
 
 // Depths far beyond the bound, and lists whose sizes lie, cost neither the stack nor memory.
-func TestBounds(t *testing.T) {
+func TestBoundsOfHostileMessages(t *testing.T) {
 	deep := []byte{0x82, 0x21, 1, 1, 'a'}
 	for range 10_000 {
 		deep = append(deep, 0x1c)
@@ -120,10 +120,10 @@
 }
 
 // A message that is read, looked into and passed on allocates nothing.
-func TestNoAllocation(t *testing.T) {
+func TestReadingAllocatesNothing(t *testing.T) {
 	paths := []Path{{31}, {20, 2}}
 	for _, enc := range []Encoding{Binary, OldBinary, Compact} {
-		framed, out := call(enc), make([]byte, 0, 1<<10)
+		framed, out := encodeCall(enc), make([]byte, 0, 1<<10)
 		assert.Zero(t, testing.AllocsPerRun(100, func() {
 			payload, _, _ := CutFrame(framed, 1<<16)
 			m, _ := ParseMessage(payload)
@@ -140,7 +140,7 @@
 func BenchmarkFind(b *testing.B) {
 	for _, enc := range []Encoding{Binary, Compact} {
 		b.Run(enc.String(), func(b *testing.B) {
-			framed := call(enc)
+			framed := encodeCall(enc)
 			b.SetBytes(int64(len(framed)))
 			b.ReportAllocs()
 			for b.Loop() {
