--- a/internal/thrift/apache_test.go
+++ b/internal/thrift/apache_test.go
@@ -19,7 +19,7 @@
 
 var mutations = flag.Int("mutations", 40_000, "how many mutated messages both readers are given")
 
-// passOn reads a value and writes it again.
+// copyValue reads a value and writes it again.
 func copyValue(r *Reader, w *Writer, t Type, depth int) error {
 	if depth <= 0 {
 		return ErrTooDeep
@@ -97,8 +97,8 @@
 	return ErrUnknownType
 }
 
-// both reads a payload with this package and with the Apache library, and returns what each makes of it, written again by
-// itself: "" where it does not take it for a message.
+// decodeWithBoth decodes a payload with this package and with the Apache library and returns what either encodes of it; "" if
+// it rejects the message.
 func decodeWithBoth(payload []byte, to Encoding) (ownResult, apacheResult string) {
 	if m, err := ParseMessage(payload); err == nil {
 		r, w := m.Body(), Writer{encoding: to}
@@ -117,7 +117,7 @@
 	in.Write(payload)
 	p := protocol(in, len(payload) > 0 && payload[0] == compactProtocolID)
 	name, kind, seq, err := p.ReadMessageBegin(ctx)
-	if err != nil || kind < 1 || kind > 4 { // the library leaves the kind to whoever asked
+	if err != nil || kind < 1 || kind > 4 { // the library leaves the check of the kind to its caller
 		return ownResult, apacheResult
 	}
 	copied := &apache.TDuplicateToProtocol{Delegate: p, DuplicateTo: protocol(out, to == Compact)}
@@ -127,7 +127,7 @@
 	return ownResult, apacheResult
 }
 
-// corpus returns the kept messages. A line has a name, the Apache library's verdict, and the payload.
+// loadCorpus returns the messages of testdata. A line has a name, the Apache library's verdict, and the payload.
 func loadCorpus(t testing.TB) (names []string, isValid []bool, payloads [][]byte) {
 	raw, err := os.ReadFile("testdata/messages.txt")
 	require.NoError(t, err)
@@ -141,8 +141,8 @@
 	return names, isValid, payloads
 }
 
-// The kept messages are read and written as the Apache library does; the sound ones pass unchanged but for the sequence
-// number, and are read from a frame that comes byte by byte.
+// The corpus is read and written as by the Apache library. Valid messages are forwarded unchanged but for the sequence number,
+// and are cut from a frame that is received byte by byte.
 func TestCorpusIsReadAsByApache(t *testing.T) {
 	names, sound, payloads := loadCorpus(t)
 	assert.GreaterOrEqual(t, len(names), 50)
@@ -173,8 +173,8 @@
 	}
 }
 
-// What one of the two readers takes for a message the other does, with the same values, over messages that are cut, spoilt,
-// spliced and grown.
+// Messages that are truncated, corrupted, spliced and extended are valid for both implementations or for neither, with the same
+// values.
 func TestMutatedMessagesAreReadAsByApache(t *testing.T) {
 	_, _, payloads := loadCorpus(t)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -222,7 +222,7 @@
 	return b
 }
 
-// FuzzReader: whatever comes, both readers agree.
+// FuzzReader checks that both implementations agree on any bytes.
 func FuzzReader(f *testing.F) {
 	_, _, payloads := loadCorpus(f)
 	for _, p := range payloads {
@@ -235,7 +235,7 @@
 	})
 }
 
-// FuzzSkipper: Find passes over what Check does, and what is passed on is as sound.
+// FuzzSkipper checks that Find accepts what Validate does, and that forwarded messages stay valid.
 func FuzzSkipper(f *testing.F) {
 	_, _, payloads := loadCorpus(f)
 	for _, p := range payloads {
--- a/internal/thrift/message.go
+++ b/internal/thrift/message.go
@@ -2,40 +2,17 @@
 
 import "encoding/binary"
 
-// Message is a message with its head read. It lies where the bytes do.
+// Message is a message whose header has been parsed. It refers to the bytes that were received.
 type Message struct {
-	Raw      []byte // the frame's payload
+	Raw      []byte // the payload of the frame
 	Encoding Encoding
 	Kind     Kind
-	Name     []byte // the method's; "service:method" where services share a connection
+	Name     []byte // of the method; "service:method" in a multiplexed protocol
 	Seq      int32
 
-	nameOffset       int // where Name lies
+	nameOffset       int // of Name in Raw
 	seqStart, seqEnd int // where Seq is written
-	bodyOffset       int // where the struct of arguments or results begins
-}
-
-// Frame takes the first frame off b, which holds what has come so far: its payload, and how many bytes it takes in b; 0: it
-// is not whole. A frame holds no more than most bytes. Danger: what is no frame need never be whole, and is found out here
-// by its first bytes.
-func CutFrame(b []byte, maxSize int) (payload []byte, size int, err error) {
-	if len(b) > 0 && b[0] != 0 && maxSize < 1<<24 {
-		return nil, 0, ErrFrameSize
-	}
-	if len(b) < 4 {
-		return nil, 0, nil
-	}
-	n := binary.BigEndian.Uint32(b)
-	if n == 0 || n > uint32(maxSize) {
-		return nil, 0, ErrFrameSize
-	}
-	if len(b) > 4 && b[4] != 0x80 && b[4] != compactProtocolID && b[4] != 0 {
-		return nil, 0, ErrProtocol
-	}
-	if len(b) < 4+int(n) {
-		return nil, 0, nil
-	}
-	return b[4 : 4+n], 4 + int(n), nil
+	bodyOffset       int // of the struct of arguments or results in Raw
 }
 
 const (
@@ -45,7 +22,7 @@
 	compactVersion    = 1
 )
 
-// Read reads a message's head, and what follows it for no more than where it begins.
+// ParseMessage parses a message's header. The body is not checked: Validate and Find do that.
 func ParseMessage(payload []byte) (Message, error) {
 	m := Message{Raw: payload}
 	var err error
@@ -67,6 +44,7 @@
 	return m, err
 }
 
+// parseStrictBinary parses a header of the binary protocol with a version.
 func (m *Message) parseStrictBinary(r *Reader) (err error) {
 	version, err := r.readBytes(4)
 	if err != nil {
@@ -83,6 +61,7 @@
 	return m.parseSequence(r)
 }
 
+// parseOldBinary parses a header of the binary protocol without a version.
 func (m *Message) parseOldBinary(r *Reader) (err error) {
 	m.Encoding = OldBinary
 	if m.Name, m.nameOffset, err = r.readName(); err != nil {
@@ -96,13 +75,13 @@
 	return m.parseSequence(r)
 }
 
-// name reads a method's name, and where it lies.
+// readName reads a method's name and returns its offset, too.
 func (r *Reader) readName() (name []byte, offset int, err error) {
 	name, err = r.Bytes()
 	return name, r.offset - len(name), err
 }
 
-// sequence ends a binary head.
+// parseSequence parses the sequence number that ends a header of the binary protocol.
 func (m *Message) parseSequence(r *Reader) (err error) {
 	m.seqStart = r.offset
 	m.Seq, err = r.I32()
@@ -110,6 +89,7 @@
 	return err
 }
 
+// parseCompact parses a header of the compact protocol.
 func (m *Message) parseCompact(r *Reader) error {
 	m.Encoding = Compact
 	head, err := r.readBytes(2)
@@ -130,7 +110,7 @@
 	return err
 }
 
-// Moved returns a message whose bytes have been copied elsewhere.
+// WithRaw returns the message with raw, a copy of its bytes, in place of Raw.
 func (m *Message) WithRaw(raw []byte) Message {
 	moved := *m
 	moved.Raw = raw
@@ -143,7 +123,7 @@
 	return Reader{data: m.Raw, offset: m.bodyOffset, encoding: m.Encoding}
 }
 
-// Check reads a message to its end and says what is wrong with it.
+// Validate reads the message to its end and returns the first fault.
 func (m *Message) Validate() error {
 	r := m.Body()
 	if err := r.Skip(Struct); err != nil {
@@ -155,7 +135,7 @@
 	return nil
 }
 
-// AppendAs appends a message as a frame, with another sequence number.
+// AppendWithSeq appends the message as a frame, with another sequence number; all else is copied unchanged.
 func (m *Message) AppendWithSeq(dst []byte, seq int32) []byte {
 	start := len(dst)
 	dst = append(append(dst, 0, 0, 0, 0), m.Raw[:m.seqStart]...)
--- a/internal/thrift/reader.go
+++ b/internal/thrift/reader.go
@@ -5,18 +5,18 @@
 	"math"
 )
 
-// Reader reads values, in either encoding, from bytes that are all there. After an error nothing more can be read.
+// Reader reads values in either protocol from a complete message. After an error it must not be used any more.
 type Reader struct {
 	data        []byte
 	offset      int
 	encoding    Encoding
-	pendingBool uint8 // of a compact bool field whose head has been read: 0 none, 1 true, 2 false
+	pendingBool uint8 // value of a compact bool field, whose header has it: 0 none, 1 true, 2 false
 }
 
-// Left returns how many bytes have not been read.
+// Remaining returns how many bytes have not been read.
 func (r *Reader) Remaining() int { return len(r.data) - r.offset }
 
-// fixed takes n bytes.
+// readBytes reads n bytes.
 func (r *Reader) readBytes(n int) ([]byte, error) {
 	if n > len(r.data)-r.offset {
 		return nil, ErrTruncated
@@ -25,11 +25,11 @@
 	return r.data[r.offset-n : r.offset], nil
 }
 
-// mostVarint is how many bytes a number takes at most.
+// maxVarintBytes bounds the length of a varint.
 const maxVarintBytes = 10
 
-// varint reads a number of the compact protocol. Danger: one that never ends would be read to the frame's end, time and
-// again, by whoever looks for a field behind it.
+// readVarint reads an unsigned number of the compact protocol. Danger: without a bound, one that never ends would be read to
+// the end of the frame again and again.
 func (r *Reader) readVarint() (uint64, error) {
 	var v uint64
 	for i := range maxVarintBytes {
@@ -46,13 +46,13 @@
 	return 0, ErrVarintSize
 }
 
-// zigzag reads a signed number of the compact protocol.
+// readZigzag reads a signed number of the compact protocol.
 func (r *Reader) readZigzag() (int64, error) {
 	v, err := r.readVarint()
 	return int64(v>>1) ^ -int64(v&1), err
 }
 
-// Bool reads a bool: of a field in the compact protocol it lies in the field's head.
+// Bool reads a bool. As a field of the compact protocol its value is in the field's header.
 func (r *Reader) Bool() (bool, error) {
 	if r.pendingBool != 0 {
 		v := r.pendingBool == 1
@@ -63,7 +63,7 @@
 	return v == 1, err
 }
 
-// Byte reads a byte, which Thrift takes for signed.
+// Byte reads a byte, which is signed in Thrift.
 func (r *Reader) Byte() (int8, error) {
 	if r.offset >= len(r.data) {
 		return 0, ErrTruncated
@@ -72,7 +72,7 @@
 	return int8(r.data[r.offset-1]), nil
 }
 
-// I16 reads a number.
+// I16 reads a 16-bit integer.
 func (r *Reader) I16() (int16, error) {
 	if r.encoding == Compact {
 		v, err := r.I32()
@@ -85,7 +85,7 @@
 	return int16(binary.BigEndian.Uint16(b)), nil
 }
 
-// I32 reads a number; of a compact one that is too large the upper bits are dropped, as the Apache libraries do.
+// I32 reads a 32-bit integer. The upper bits of a compact number that is too large are dropped, as in the Apache libraries.
 func (r *Reader) I32() (int32, error) {
 	if r.encoding == Compact {
 		v, err := r.readVarint()
@@ -99,7 +99,7 @@
 	return int32(binary.BigEndian.Uint32(b)), nil
 }
 
-// I64 reads a number.
+// I64 reads a 64-bit integer.
 func (r *Reader) I64() (int64, error) {
 	if r.encoding == Compact {
 		return r.readZigzag()
@@ -111,7 +111,7 @@
 	return int64(binary.BigEndian.Uint64(b)), nil
 }
 
-// Double reads a number. The encodings differ in the order of its bytes.
+// Double reads a floating-point number. The protocols differ in byte order.
 func (r *Reader) Double() (float64, error) {
 	b, err := r.readBytes(8)
 	if err != nil {
@@ -123,7 +123,7 @@
 	return math.Float64frombits(binary.BigEndian.Uint64(b)), nil
 }
 
-// Bytes reads a string or binary, which lies where the message does.
+// Bytes reads a string or binary. The result refers to the message's bytes.
 func (r *Reader) Bytes() ([]byte, error) {
 	n, err := r.readSize()
 	if err != nil {
@@ -132,10 +132,10 @@
 	return r.readBytes(n)
 }
 
-// UUID reads 16 bytes, which lie where the message does.
+// UUID reads a UUID of 16 bytes. The result refers to the message's bytes.
 func (r *Reader) UUID() ([]byte, error) { return r.readBytes(16) }
 
-// size reads how long or how many something is.
+// readSize reads the length of a string or the number of elements of a container.
 func (r *Reader) readSize() (int, error) {
 	var n int32
 	if r.encoding == Compact {
@@ -157,13 +157,8 @@
 	return int(n), nil
 }
 
-// compactTypes are the types by their numbers in the compact protocol; 1 and 2 are true and false.
-var compactTypes = [16]Type{0, Bool, Bool, Byte, I16, I32, I64, Double, String, List, Set, Map, Struct, UUID, invalidType, invalidType}
-
-const invalidType Type = 0xff
-
-// Field reads a field's head; Stop is the struct's end. last is the id of the field before it, 0 at first, and becomes this
-// one's.
+// FieldHeader reads a field's header and returns its type; Stop is the end of the struct. last is the id of the struct's
+// previous field, 0 before the first, and is set to this field's.
 func (r *Reader) FieldHeader(last *int16) (Type, error) {
 	if r.offset >= len(r.data) {
 		return 0, ErrTruncated
@@ -199,7 +194,7 @@
 	return t, nil
 }
 
-// ListHead reads the head of a list or set: the type of its elements, and how many there are.
+// ListHeader reads the header of a list or set: the type and number of its elements.
 func (r *Reader) ListHeader() (t Type, n int, err error) {
 	if r.offset >= len(r.data) {
 		return 0, 0, ErrTruncated
@@ -223,7 +218,7 @@
 	return t, n, r.checkElementCount(n, t.minSize(r.encoding))
 }
 
-// MapHead reads the head of a map: the types of keys and values, and how many pairs there are.
+// MapHeader reads the header of a map: the types of its keys and values and the number of pairs.
 func (r *Reader) MapHeader() (key, value Type, n int, err error) {
 	if r.encoding != Compact {
 		types, err := r.readBytes(2)
@@ -251,8 +246,8 @@
 	return key, value, n, r.checkElementCount(n, key.minSize(r.encoding)+value.minSize(r.encoding))
 }
 
-// holds tells whether what is left can hold n elements of at least so many bytes. Danger: whoever makes room for as many as
-// a message names is out of memory before the first is read.
+// checkElementCount returns an error if n elements of at least minElementSize bytes don't fit into the rest of the message.
+// Danger: memory allocated for as many elements as a message claims to have can be exhausted by a few bytes.
 func (r *Reader) checkElementCount(n, minElementSize int) error {
 	if minElementSize == 0 {
 		return ErrUnknownType
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// call returns a framed call with an id, a struct with a patience in it, and fields that nobody asks for.
+// encodeCall returns a framed call with an id, a time-out in a nested struct, and fields that the tests don't look for.
 func encodeCall(enc Encoding) []byte {
 	var w Writer
 	w.BeginMessage(nil, enc, Call, "Readings:latestReading", 41)
@@ -52,8 +52,8 @@
 	}
 }
 
-// Fields are found by their paths in all encodings; a field of another shape than the path wants is none, and one that
-// comes twice is an error.
+// Fields are found by their paths in all protocols; a field of another type than the path needs isn't, and one that occurs
+// twice is an error.
 func TestFindByPath(t *testing.T) {
 	for _, enc := range []Encoding{Binary, OldBinary, Compact} {
 		payload, _, err := CutFrame(encodeCall(enc), 1<<16)
@@ -96,7 +96,7 @@
 	}
 }
 
-// Depths far beyond the bound, and lists whose sizes lie, cost neither the stack nor memory.
+// Nesting far beyond the limit, and lists that claim more elements than they have, exhaust neither stack nor memory.
 func TestBoundsOfHostileMessages(t *testing.T) {
 	deep := []byte{0x82, 0x21, 1, 1, 'a'}
 	for range 10_000 {
@@ -119,7 +119,7 @@
 	assert.Equal(t, ErrTruncated, err)
 }
 
-// A message that is read, looked into and passed on allocates nothing.
+// Parsing, searching and forwarding a message allocate nothing.
 func TestReadingAllocatesNothing(t *testing.T) {
 	paths := []Path{{31}, {20, 2}}
 	for _, enc := range []Encoding{Binary, OldBinary, Compact} {
--- a/internal/thrift/writer.go
+++ b/internal/thrift/writer.go
@@ -5,19 +5,19 @@
 	"math"
 )
 
-// Writer appends messages to bytes. It writes what it is told: whoever uses it ends what it has begun, and writes as many
-// elements as a container's head names.
+// Writer appends messages to a byte slice. It checks nothing: the caller ends what it begins, and writes as many elements as a
+// container's header says.
 type Writer struct {
 	data           []byte
 	encoding       Encoding
-	frameStart     int // of the frame
-	lastFieldIDs   [MaxDepth + 1]int16
+	frameStart     int                 // of the frame's header in data
+	lastFieldIDs   [MaxDepth + 1]int16 // of the open structs, by depth
 	depth          int
-	pendingBoolID  int16 // id of a compact bool field whose head waits for its value
+	pendingBoolID  int16 // id of a compact bool field, whose header is written with its value
 	hasPendingBool bool
 }
 
-// Begin begins a frame behind dst, with a message whose struct's fields follow.
+// BeginMessage begins a frame after dst, with a message whose struct's fields are written next.
 func (w *Writer) BeginMessage(dst []byte, enc Encoding, kind Kind, name string, seq int32) {
 	*w = Writer{data: append(dst, 0, 0, 0, 0), encoding: enc, frameStart: len(dst)}
 	switch enc {
@@ -36,36 +36,26 @@
 	}
 }
 
-// End ends the message's struct and its frame, and returns all bytes.
+// EndMessage ends the message's struct and the frame, and returns dst with all that was appended.
 func (w *Writer) EndMessage() []byte {
 	w.data = append(w.data, byte(Stop))
 	binary.BigEndian.PutUint32(w.data[w.frameStart:], uint32(len(w.data)-w.frameStart-4))
 	return w.data
 }
 
-// Open begins a struct within, Close ends it.
+// BeginStruct begins a nested struct.
 func (w *Writer) BeginStruct() {
 	w.depth++
 	w.lastFieldIDs[w.depth] = 0
 }
 
-// Close ends a struct.
+// EndStruct ends a nested struct.
 func (w *Writer) EndStruct() {
 	w.depth--
 	w.data = append(w.data, byte(Stop))
 }
 
-// compactNumber returns a type's number in the compact protocol; of a bool that of true.
-func compactTypeNumber(t Type) byte {
-	for n := range byte(14) {
-		if compactTypes[n] == t {
-			return n
-		}
-	}
-	return 0
-}
-
-// Field begins a field.
+// FieldHeader begins a field; its value is written next.
 func (w *Writer) FieldHeader(t Type, id int16) {
 	switch {
 	case w.encoding != Compact:
@@ -77,6 +67,7 @@
 	}
 }
 
+// writeCompactFieldHeader writes a field's header with the difference to the previous id, if that is short, or the id.
 func (w *Writer) writeCompactFieldHeader(number byte, id int16) {
 	if delta := int(id) - int(w.lastFieldIDs[w.depth]); delta > 0 && delta <= 15 {
 		w.data = append(w.data, byte(delta)<<4|number)
@@ -107,7 +98,7 @@
 // Byte writes a byte.
 func (w *Writer) Byte(v int8) { w.data = append(w.data, byte(v)) }
 
-// I16 writes a number.
+// I16 writes a 16-bit integer.
 func (w *Writer) I16(v int16) {
 	if w.encoding == Compact {
 		w.I32(int32(v))
@@ -116,7 +107,7 @@
 	}
 }
 
-// I32 writes a number.
+// I32 writes a 32-bit integer.
 func (w *Writer) I32(v int32) {
 	if w.encoding == Compact {
 		w.data = binary.AppendUvarint(w.data, uint64(uint32(v<<1^v>>31)))
@@ -125,7 +116,7 @@
 	}
 }
 
-// I64 writes a number.
+// I64 writes a 64-bit integer.
 func (w *Writer) I64(v int64) {
 	if w.encoding == Compact {
 		w.data = binary.AppendUvarint(w.data, uint64(v<<1^v>>63))
@@ -134,7 +125,7 @@
 	}
 }
 
-// Double writes a number.
+// Double writes a floating-point number.
 func (w *Writer) Double(v float64) {
 	if w.encoding == Compact {
 		w.data = binary.LittleEndian.AppendUint64(w.data, math.Float64bits(v))
@@ -143,7 +134,7 @@
 	}
 }
 
-// size writes how long or how many something is.
+// writeSize writes the length of a string or the number of elements of a container.
 func (w *Writer) writeSize(n int) {
 	if w.encoding == Compact {
 		w.data = binary.AppendUvarint(w.data, uint64(uint32(n)))
@@ -164,10 +155,10 @@
 	w.data = append(w.data, v...)
 }
 
-// UUID writes 16 bytes.
+// UUID writes a UUID.
 func (w *Writer) UUID(v [16]byte) { w.data = append(w.data, v[:]...) }
 
-// ListHead begins a list or set of n elements.
+// ListHeader begins a list or set of n elements.
 func (w *Writer) ListHeader(t Type, n int) {
 	switch {
 	case w.encoding != Compact:
@@ -181,7 +172,7 @@
 	}
 }
 
-// MapHead begins a map of n pairs.
+// MapHeader begins a map of n pairs.
 func (w *Writer) MapHeader(key, value Type, n int) {
 	if w.encoding != Compact {
 		w.data = append(w.data, byte(key), byte(value))
@@ -192,25 +183,3 @@
 		w.data = append(w.data, compactTypeNumber(key)<<4|compactTypeNumber(value))
 	}
 }
-
-// AppendException appends a reply that is a TApplicationException.
-func AppendException(dst []byte, enc Encoding, name string, seq int32, exceptionType int32, text string) []byte {
-	var w Writer
-	w.BeginMessage(dst, enc, Exception, name, seq)
-	w.FieldHeader(String, 1)
-	w.String(text)
-	w.FieldHeader(I32, 2)
-	w.I32(exceptionType)
-	return w.EndMessage()
-}
-
-var exceptionPaths = []Path{{1}, {2}}
-
-// Exception reads a TApplicationException. Its text lies where the message does.
-func (m *Message) DecodeException() (exceptionType int32, text []byte, err error) {
-	var found [MaxPaths]Value
-	if err = m.Find(exceptionPaths, &found); err != nil {
-		return 0, nil, err
-	}
-	return int32(found[1].Int), found[0].Bytes, nil
-}
