--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -245,7 +245,7 @@
 // simulateFleet plays a fleet in simulated time: what both judges find is the sidecar's, what one finds alone may be the machine's.
 func simulateFleet(c *cli.Command, s *processcluster.Settings) error {
 	r := s.Ranges()
-	o := sim.Options{Drawn: &r, Together: sim.TogetherAll}
+	o := sim.Options{CustomRanges: &r, FleetMode: sim.FleetOn}
 	script := s.Troubles()
 	out := bufio.NewWriter(c.Root().Writer)
 	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
@@ -256,12 +256,12 @@
 	if err != nil {
 		return wrong(err)
 	}
-	for _, f := range got.Findings {
-		fmt.Fprintf(out, "%7.2f s  %-12s n%-5d %s\n", got.Since(f.At), f.Rule, f.Sidecar, f.Reason)
+	for _, f := range got.Violations {
+		fmt.Fprintf(out, "%7.2f s  %-12s n%-5d %s\n", got.SinceStart(f.At), f.Rule, f.Sidecar, f.Reason)
 	}
 	fmt.Fprintf(out, "%d troubles; %.3f of the worth served in time\n", len(script.Faults), got.Report.Service)
-	fmt.Fprintf(out, "fleet: %d sidecars, %d rules broken\n", s.Sidecars, len(got.Findings))
-	if len(got.Findings) > 0 {
+	fmt.Fprintf(out, "fleet: %d sidecars, %d rules broken\n", s.Sidecars, len(got.Violations))
+	if len(got.Violations) > 0 {
 		return errBroken
 	}
 	return nil
--- a/cmd/hazellab/lists.go
+++ b/cmd/hazellab/lists.go
@@ -27,18 +27,18 @@
 	calls, watches, mean, findings := 0, 0, 0.0, 0
 	n := c.Int("seeds")
 	for seed := 1; seed <= n; seed++ {
-		var w sim.ListWitness
-		o.Watch = &w
+		var w sim.ListObserver
+		o.Observer = &w
 		script := o.DrawScript(uint64(seed))
 		if c.Bool("quiet-days") {
-			script.Faults = sim.Releases(script.Day(o.Ranges()))
+			script.Faults = sim.RollingReleases(script.Day(o.Ranges()))
 		}
 		r, err := sim.Play(script, o)
 		if err != nil {
 			return wrong(err)
 		}
-		calls, watches, mean, findings = calls+w.Calls, max(watches, w.Watches), mean+w.MeanWatches(), findings+len(r.Findings)
-		ages, slowest = append(ages, w.Ages...), append(slowest, w.Slowest...)
+		calls, watches, mean, findings = calls+w.Calls, max(watches, w.MaxWatches), mean+w.MeanWatches(), findings+len(r.Violations)
+		ages, slowest = append(ages, w.Delays...), append(slowest, w.SlowestDelays...)
 	}
 	at := func(all []float64, part float64) float64 {
 		if len(all) == 0 {
--- a/cmd/hazellab/sim.go
+++ b/cmd/hazellab/sim.go
@@ -64,47 +64,47 @@
 
 // options returns how days are played.
 func options(c *cli.Command) (sim.Options, error) {
-	o := sim.Options{Boxes: c.Int("boxes"), Sidecars: c.Int("sidecars"), Together: sim.Together(c.String("fleet"))}
+	o := sim.Options{Servers: c.Int("boxes"), Sidecars: c.Int("sidecars"), FleetMode: sim.FleetMode(c.String("fleet"))}
 	if o.Sidecars != 0 && (o.Sidecars < 1 || o.Sidecars > 1000) {
 		return o, fault(fmt.Errorf("sidecars: %d is not 1 to 1000", o.Sidecars))
 	}
-	if o.Told = c.Int("told"); o.Told < 0 || o.Told > 10000 {
-		return o, fault(fmt.Errorf("told: %d is not 0 to 10000", o.Told))
+	if o.ConfiguredSidecars = c.Int("told"); o.ConfiguredSidecars < 0 || o.ConfiguredSidecars > 10000 {
+		return o, fault(fmt.Errorf("told: %d is not 0 to 10000", o.ConfiguredSidecars))
 	}
-	if o.Together != sim.TogetherSome && o.Together != sim.TogetherAll && o.Together != sim.TogetherNever && o.Together != sim.TogetherApart && o.Together != sim.TogetherOwners &&
-		o.Together != sim.TogetherWorks {
-		return o, fault(fmt.Errorf("fleet: %q is none of on, off, apart, owners, works", o.Together))
+	if o.FleetMode != sim.FleetBySeed && o.FleetMode != sim.FleetOn && o.FleetMode != sim.FleetOff && o.FleetMode != sim.FleetFaultsOnly && o.FleetMode != sim.FleetWithRoles &&
+		o.FleetMode != sim.FleetWithMaintenance {
+		return o, fault(fmt.Errorf("fleet: %q is none of on, off, apart, owners, works", o.FleetMode))
 	}
-	if o.Boxes != 0 && (o.Boxes < 12 || o.Boxes > 2000) {
-		return o, fault(fmt.Errorf("boxes: %d is not 12 to 2000", o.Boxes))
+	if o.Servers != 0 && (o.Servers < 12 || o.Servers > 2000) {
+		return o, fault(fmt.Errorf("boxes: %d is not 12 to 2000", o.Servers))
 	}
-	core, ok := sim.Cores[c.String("core")]
+	core, ok := sim.Factories[c.String("core")]
 	if !ok {
 		return o, fault(fmt.Errorf("core: %q is none of sidecar, random, least", c.String("core")))
 	}
-	o.Core, o.Speech = core, environment.Protocol(c.String("speech"))
+	o.Factory, o.Protocol = core, environment.Protocol(c.String("speech"))
 	switch {
-	case !slices.Contains(environment.Protocols, o.Speech):
-		return o, fault(fmt.Errorf("speech: %q is none of http, binary, compact", o.Speech))
-	case o.Speech.IsThrift() && c.String("core") != "sidecar":
+	case !slices.Contains(environment.Protocols, o.Protocol):
+		return o, fault(fmt.Errorf("speech: %q is none of http, binary, compact", o.Protocol))
+	case o.Protocol.IsThrift() && c.String("core") != "sidecar":
 		return o, fault(errors.New("speech: only the sidecar speaks Thrift"))
-	case o.Speech.IsThrift():
-		o.Core = sim.OverThrift
+	case o.Protocol.IsThrift():
+		o.Factory = sim.NewThriftSidecar
 	}
-	o.Batch, o.Quotas = c.Float("batch"), c.Bool("quotas")
-	if o.Speech.IsThrift() && (o.Batch > 0 || o.Quotas) {
+	o.BatchFactor, o.Quotas = c.Float("batch"), c.Bool("quotas")
+	if o.Protocol.IsThrift() && (o.BatchFactor > 0 || o.Quotas) {
 		return o, fault(errors.New("speech: batches and quotas are played over HTTP"))
 	}
-	if o.Batch < 0 || o.Batch > 100 {
-		return o, fault(fmt.Errorf("batch: want 0 to 100, not %g", o.Batch))
+	if o.BatchFactor < 0 || o.BatchFactor > 100 {
+		return o, fault(fmt.Errorf("batch: want 0 to 100, not %g", o.BatchFactor))
 	}
 	return o, nil
 }
 
 // spoken returns the flag of a day's speech, "" for HTTP's, which needs none.
 func spoken(o sim.Options) string {
-	if o.Speech.IsThrift() {
-		return " --speech " + string(o.Speech)
+	if o.Protocol.IsThrift() {
+		return " --speech " + string(o.Protocol)
 	}
 	return ""
 }
@@ -154,14 +154,14 @@
 	}
 	var seconds bySecond
 	if c.Bool("by-second") {
-		o.Watch = &seconds
+		o.Observer = &seconds
 	}
 	began := time.Now()
 	r, err := sim.Play(s, o)
 	if err != nil {
 		return wrong(err)
 	}
-	if o.Watch != nil {
+	if o.Observer != nil {
 		seconds.print(out, r.Start)
 	}
 	if c.Bool("json") {
@@ -171,12 +171,12 @@
 	} else {
 		var t sim.Tally
 		t.Add(r)
-		t.Close()
+		t.Finish()
 		t.History = fmt.Sprintf("%016x", r.Hash)
 		printFindings(out, r, name)
 		printTally(out, &t, time.Since(began).Seconds(), 1)
 	}
-	if len(r.Findings) > 0 {
+	if len(r.Violations) > 0 {
 		return errBroken
 	}
 	return nil
@@ -220,7 +220,7 @@
 
 // wrong makes the error of a bad script one that ends the program with 2.
 func wrong(err error) error {
-	if errors.Is(err, sim.ErrScript) {
+	if errors.Is(err, sim.ErrInvalidScript) {
 		return fault(err)
 	}
 	return err
@@ -230,12 +230,12 @@
 const mostFindings = 10
 
 func printFindings(w io.Writer, r *sim.Result, name string) {
-	for i, f := range r.Findings {
+	for i, f := range r.Violations {
 		if i == mostFindings {
-			fmt.Fprintf(w, "and %d more\n", len(r.Findings)-i)
+			fmt.Fprintf(w, "and %d more\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Fprintf(w, "BROKEN %s at %.6f: %s; replay with: hazellab sim %s --trace\n", f.Rule, r.Since(f.At), f.Reason, name)
+		fmt.Fprintf(w, "BROKEN %s at %.6f: %s; replay with: hazellab sim %s --trace\n", f.Rule, r.SinceStart(f.At), f.Reason, name)
 	}
 }
 
@@ -251,14 +251,14 @@
 	if err != nil {
 		return err
 	}
-	o.Quiet = c.Bool("quiet-days")
+	o.WithoutFaults = c.Bool("quiet-days")
 	debug.SetGCPercent(400) // days leave much behind, and little of it lives
 	out := c.Root().Writer
 	bar := progressBar(int64(last-first)+1, "days")
 	began := time.Now()
 	var t sim.Tally
 	var failed error
-	sim.Fleet(first, last, c.Int("jobs"), o, func(d sim.Outcome) bool {
+	sim.PlaySeeds(first, last, c.Int("jobs"), o, func(d sim.Outcome) bool {
 		_ = bar.Add(1) // a bar that can't be drawn harms nothing
 		if d.Err != nil {
 			failed = fmt.Errorf("seed %d: %w", d.Seed, d.Err)
@@ -268,18 +268,18 @@
 		if c.Bool("each") {
 			fmt.Fprintf(out, "seed %d history %016x, %d events, service %.4f\n", d.Seed, d.Result.Hash, d.Result.Steps, d.Result.Report.Service)
 		}
-		if len(d.Result.Findings) > 0 && !c.Bool("json") {
+		if len(d.Result.Violations) > 0 && !c.Bool("json") {
 			_ = bar.Clear()
-			f := d.Result.Findings[0]
+			f := d.Result.Violations[0]
 			fmt.Fprintf(out, "BROKEN %s: %s; replay with: hazellab sim --seed %d%s --trace\n", f.Rule, f.Reason, d.Seed, spoken(o))
 		}
-		return !c.Bool("first") || len(d.Result.Findings) == 0
+		return !c.Bool("first") || len(d.Result.Violations) == 0
 	})
 	_ = bar.Finish()
 	if failed != nil {
 		return failed
 	}
-	t.Close()
+	t.Finish()
 	if c.Bool("json") {
 		if err := json.NewEncoder(out).Encode(&t); err != nil {
 			return err
@@ -295,12 +295,12 @@
 
 func printTally(w io.Writer, t *sim.Tally, took float64, jobs int) {
 	fmt.Fprintf(w, "%d days, %.0f simulated s in %.1f s: %.0f simulated s a second on each of %d jobs, %d events\n",
-		t.Days, t.SimulatedS, took, t.SimulatedS/took/float64(max(jobs, 1)), jobs, t.Steps)
+		t.Days, t.SimulatedSeconds, took, t.SimulatedSeconds/took/float64(max(jobs, 1)), jobs, t.Steps)
 	fmt.Fprintf(w, "history %s\nservice %.3f\n", t.History, t.Service)
 	for _, k := range t.Classes {
-		fmt.Fprintf(w, "  %-16s %.3f  asked %d, in aim %d, late %d, refused %d, failed %d\n", k.Name, k.Service, k.Asked, k.InAim, k.Late, k.Refused, k.Failed)
+		fmt.Fprintf(w, "  %-16s %.3f  asked %d, in aim %d, late %d, refused %d, failed %d\n", k.Name, k.Service, k.Requests, k.InTarget, k.Late, k.Rejected, k.Failed)
 	}
-	p := &t.Prices
+	p := &t.Costs
 	fmt.Fprintf(w, "executions %d (%d in another site), probes %d, connections %d; hostile clients %d, owed %d\n", p.Attempts, p.CrossZoneAttempts, p.HealthChecks,
 		p.Connections, p.HostileClients, p.HostileUnclosed)
 	for _, b := range t.Broken {
@@ -310,8 +310,8 @@
 		}
 		fmt.Fprintf(w, "BROKEN %s on %d days, seeds %s\n", b.Rule, b.Days, strings.Join(seeds, " "))
 	}
-	if t.Worked > 0 {
-		fmt.Fprintf(w, "boxes worked on: %d\n", t.Worked)
+	if t.ServersMaintained > 0 {
+		fmt.Fprintf(w, "boxes worked on: %d\n", t.ServersMaintained)
 	}
 	if len(t.Broken) == 0 {
 		fmt.Fprintln(w, "all rules were kept")
@@ -362,10 +362,10 @@
 	if err != nil {
 		return wrong(err)
 	}
-	if rule == "" && len(r.Findings) > 0 {
-		rule = r.Findings[0].Rule
+	if rule == "" && len(r.Violations) > 0 {
+		rule = r.Violations[0].Rule
 	}
-	if !r.Breaks(rule) {
+	if !r.HasViolation(rule) {
 		return fault(fmt.Errorf("rule: %s does not break %q", name, rule))
 	}
 	small := sim.Shrink(s, rule, o, c.Int("budget"), func(s *environment.Script, played int) {
@@ -392,9 +392,9 @@
 
 func mutants(_ context.Context, c *cli.Command) error {
 	out := c.Root().Writer
-	var all []sim.Mutant
-	err := sim.Mutants(sim.MutantsOptions{Root: ".", Dir: c.String("dir"), Only: c.StringSlice("only"), Last: c.Uint64("last"), Jobs: c.Int("jobs")},
-		func(m sim.Mutant) {
+	var all []sim.MutantResult
+	err := sim.RunMutants(sim.MutantOptions{Root: ".", Dir: c.String("dir"), NameParts: c.StringSlice("only"), LastSeed: c.Uint64("last"), Jobs: c.Int("jobs")},
+		func(m sim.MutantResult) {
 			all = append(all, m)
 			if !c.Bool("json") {
 				fmt.Fprintln(out, m)
--- a/cmd/hazellab/works.go
+++ b/cmd/hazellab/works.go
@@ -41,7 +41,7 @@
 	}
 	if c.Bool("weigh") {
 		debug.SetGCPercent(400)
-		return sim.Weigh(c.Root().Writer, first, last, c.Int("boxes"), c.Int("jobs"), c.StringSlice("only"))
+		return sim.CompareMaintenance(c.Root().Writer, first, last, c.Int("boxes"), c.Int("jobs"), c.StringSlice("only"))
 	}
 	if c.Bool("trace") {
 		if !c.IsSet("seed") {
--- a/internal/sim/core.go
+++ b/internal/sim/core.go
@@ -15,13 +15,13 @@
 )
 
 // Cores are what a day can be played with, by name; nil is the sidecar, with or without a fleet as the seed says.
-var Cores = map[string]Core{"sidecar": nil, "random": Plain(Random), "least": Plain(LeastOutstanding)}
+var Factories = map[string]Factory{"sidecar": nil, "random": PlainBalancer(Random), "least": PlainBalancer(LeastOutstanding)}
 
 // core is the sidecar as a Program.
 type core struct{ *sidecar.Sidecar }
 
 // Sidecar is the Core of the real sidecar, without the operators' features.
-func Sidecar(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error) {
+func NewSidecar(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error) {
 	s, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Frontend{http1.New(cfg, rewrite.Settings{})}, net, log)
 	if err != nil {
 		return nil, err
@@ -30,7 +30,7 @@
 }
 
 // OverThrift is the Core of the real sidecar with a Thrift port, as the world's applications and boxes speak it.
-func OverThrift(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error) {
+func NewThriftSidecar(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error) {
 	var classes []map[string]any
 	for _, c := range cfg.Settings.Policy.Classes {
 		classes = append(classes, map[string]any{"class": c.Name, "methods": []string{c.Name}, "id": environment.ThriftID,
@@ -61,10 +61,10 @@
 )
 
 // Held says what the sidecar holds beyond what one at rest does.
-func (c core) Held() []Holding {
+func (c core) Leftovers() []Leftover {
 	h := c.Sidecar.ResourceUsage()
 	links := max(restingLinks, linksPerBox*h.Servers)
-	return []Holding{{"requests", h.Requests}, {"client links", h.ClientConns}, {"bytes that are not read", h.BufferedBytes},
+	return []Leftover{{"requests", h.Requests}, {"client links", h.ClientConns}, {"bytes that are not read", h.BufferedBytes},
 		{"events", h.Events}, {"links to boxes", beyond(h.BackendConns, links)}, {"timers", beyond(h.Timers, 2*links+timersForRest)}}
 }
 
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -20,7 +20,7 @@
 // Fleet plays the days of seeds from first to last, so many at a time, and calls each for each outcome, one at a time
 // but in the order in which they end. Where each returns false no more days are begun. Each day is a goroutine's own:
 // its history does not depend on how many are played beside it.
-func Fleet(first, last uint64, jobs int, o Options, each func(Outcome) bool) {
+func PlaySeeds(first, last uint64, jobs int, options Options, handle func(Outcome) bool) {
 	var next atomic.Uint64
 	next.Store(first)
 	var stopped atomic.Bool
@@ -33,7 +33,7 @@
 				if seed > last || seed < first {
 					return
 				}
-				r, err := Play(o.DrawScript(seed), o)
+				r, err := Play(options.DrawScript(seed), options)
 				outcomes <- Outcome{seed, r, err}
 			}
 		})
@@ -43,7 +43,7 @@
 		close(outcomes)
 	}()
 	for outcome := range outcomes {
-		if !stopped.Load() && !each(outcome) {
+		if !stopped.Load() && !handle(outcome) {
 			stopped.Store(true)
 		}
 	}
@@ -51,18 +51,18 @@
 
 // Tally adds up what came of many days.
 type Tally struct {
-	Days       int           `json:"days"`
-	History    string        `json:"history"` // a hash of all days' histories, whatever their order
-	SimulatedS float64       `json:"simulated_s"`
-	Steps      uint64        `json:"steps"`
-	Broken     []BrokenRule  `json:"broken,omitempty"`
-	Service    float64       `json:"service"`          // the mean of the days'
-	Worked     int           `json:"worked,omitempty"` // boxes on which work has ended
-	Classes    []ClassTally  `json:"classes,omitempty"`
-	Prices     checker.Costs `json:"prices"`
-	byRule     map[checker.Rule]*BrokenRule
-	service    float64
-	history    uint64
+	Days              int           `json:"days"`
+	History           string        `json:"history"` // a hash of all days' histories, whatever their order
+	SimulatedSeconds  float64       `json:"simulated_s"`
+	Steps             uint64        `json:"steps"`
+	Broken            []BrokenRule  `json:"broken,omitempty"`
+	Service           float64       `json:"service"`          // the mean of the days'
+	ServersMaintained int           `json:"worked,omitempty"` // boxes on which work has ended
+	Classes           []ClassTally  `json:"classes,omitempty"`
+	Costs             checker.Costs `json:"prices"`
+	byRule            map[checker.Rule]*BrokenRule
+	service           float64
+	history           uint64
 }
 
 // BrokenRule is a rule with the seeds that broke it.
@@ -74,15 +74,15 @@
 
 // ClassTally is the service of a class over many days.
 type ClassTally struct {
-	Name    string  `json:"name"`
-	Asked   int     `json:"asked"`
-	InAim   int     `json:"in_aim"`
-	Late    int     `json:"late"`
-	Refused int     `json:"refused"`
-	Failed  int     `json:"failed"`
-	Service float64 `json:"service"` // worth earned over worth asked for
-	worth   float64
-	earned  float64
+	Name     string  `json:"name"`
+	Requests int     `json:"asked"`
+	InTarget int     `json:"in_aim"`
+	Late     int     `json:"late"`
+	Rejected int     `json:"refused"`
+	Failed   int     `json:"failed"`
+	Service  float64 `json:"service"` // worth earned over worth asked for
+	worth    float64
+	earned   float64
 }
 
 // mostSeeds is how many seeds of a broken rule are listed.
@@ -91,9 +91,9 @@
 // Add adds a day.
 func (t *Tally) Add(r *Result) {
 	t.Days++
-	t.Worked += r.Worked
+	t.ServersMaintained += r.ServersMaintained
 	t.history += r.Hash * (2*r.Seed + 1)
-	t.SimulatedS += r.SimulatedS
+	t.SimulatedSeconds += r.SimulatedSeconds
 	t.Steps += r.Steps
 	t.service += r.Report.Service
 	t.Service = t.service / float64(t.Days)
@@ -101,7 +101,7 @@
 		t.byRule = map[checker.Rule]*BrokenRule{}
 	}
 	seen := map[checker.Rule]bool{}
-	for _, f := range r.Findings {
+	for _, f := range r.Violations {
 		if seen[f.Rule] {
 			continue
 		}
@@ -119,19 +119,19 @@
 			t.Classes = append(t.Classes, ClassTally{Name: c.Name})
 		}
 		k := &t.Classes[i]
-		k.Asked, k.InAim, k.Late, k.Refused, k.Failed = k.Asked+c.Requests, k.InAim+c.InTarget, k.Late+c.Late, k.Refused+c.Rejected, k.Failed+c.Failed
+		k.Requests, k.InTarget, k.Late, k.Rejected, k.Failed = k.Requests+c.Requests, k.InTarget+c.InTarget, k.Late+c.Late, k.Rejected+c.Rejected, k.Failed+c.Failed
 		k.worth, k.earned = k.worth+c.Weight, k.earned+c.EarnedWeight
 		if k.worth > 0 {
 			k.Service = k.earned / k.worth
 		}
 	}
-	p, q := &t.Prices, &r.Report.Costs
+	p, q := &t.Costs, &r.Report.Costs
 	p.Attempts, p.CrossZoneAttempts, p.HealthChecks, p.Connections = p.Attempts+q.Attempts, p.CrossZoneAttempts+q.CrossZoneAttempts, p.HealthChecks+q.HealthChecks, p.Connections+q.Connections
 	p.SlowRejectionWeight, p.HostileClients, p.HostileUnclosed = p.SlowRejectionWeight+q.SlowRejectionWeight, p.HostileClients+q.HostileClients, p.HostileUnclosed+q.HostileUnclosed
 }
 
 // Close sorts what has been added up; it is called last.
-func (t *Tally) Close() {
+func (t *Tally) Finish() {
 	t.History, t.Broken = fmt.Sprintf("%016x", t.history), nil
 	for _, b := range t.byRule {
 		slices.Sort(b.Seeds)
--- a/internal/sim/hard_test.go
+++ b/internal/sim/hard_test.go
@@ -107,7 +107,7 @@
 	require.NoError(t, err)
 	o.Name, o.Listen = "sidecar", []string{d.Sidecars[0].Address}
 	s.proc = s.net.Machine(d.Sidecars[0].IP).Process(o)
-	s.sidecar, err = Sidecar(cfg, s.proc, slog.New(slog.DiscardHandler))
+	s.sidecar, err = NewSidecar(cfg, s.proc, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	require.NoError(t, s.proc.Run(s.sidecar))
 	s.client = play("10.0.0.99", "", virtual.ProcessOptions{})
@@ -141,8 +141,8 @@
 
 // rest checks that nothing of the request is left in the sidecar.
 func (s *stage) rest() {
-	for _, h := range s.sidecar.Held() {
-		assert.Zero(s.t, h.N, h.Name)
+	for _, h := range s.sidecar.Leftovers() {
+		assert.Zero(s.t, h.Count, h.Name)
 	}
 	assert.NotContains(s.t, string(counters(s)), `"panics":1`)
 }
--- a/internal/sim/lists.go
+++ b/internal/sim/lists.go
@@ -52,7 +52,7 @@
 }
 
 // Releases are the troubles of a quiet day: one box after the other drains, ends and begins again.
-func Releases(d environment.Day) (all []environment.Fault) {
+func RollingReleases(d environment.Day) (all []environment.Fault) {
 	for i, at := 0, settledS+1; at < d.LengthSeconds-10; i, at = i+1, at+2.5 {
 		all = append(all, environment.Fault{Kind: environment.ScaleIn, AtSeconds: at, DurationSeconds: 4, DrainSeconds: 1.5, Servers: []string{d.Servers[i%d.InitialServers].Name}})
 	}
@@ -60,18 +60,18 @@
 }
 
 // ListWitness measures from outside what the list costs discovery, and how old it is at the sidecars. It is an Options.Watch.
-type ListWitness struct {
-	Calls    int
-	Watches  int // at once, at most, once the day has run for settledS
-	Sidecars int
+type ListObserver struct {
+	Calls      int
+	MaxWatches int // at once, at most, once the day has run for settledS
+	Sidecars   int
 	// Ages are, in seconds from when the list took a change to when a sidecar was told of it: each, and those of the slowest sidecar
 	// alone. Who was not there all along, or stood still, does not count.
-	Ages, Slowest []float64
-	watchS        float64 // of watches, summed
-	since, began  float64
-	watching      int
-	parties       []listParty
-	open          []openList
+	Delays, SlowestDelays []float64
+	watchS                float64 // of watches, summed
+	since, began          float64
+	watching              int
+	parties               []listParty
+	open                  []openList
 }
 
 type listParty struct {
@@ -91,7 +91,7 @@
 const settledS = 15.0
 
 // MeanWatches returns how many there were on the average, once the day had run for settledS.
-func (w *ListWitness) MeanWatches() float64 {
+func (w *ListObserver) MeanWatches() float64 {
 	if w.since <= w.began+settledS {
 		return 0
 	}
@@ -99,13 +99,13 @@
 }
 
 // See takes an event.
-func (w *ListWitness) Observe(e checker.Event) {
+func (w *ListObserver) Observe(e checker.Event) {
 	if w.began == 0 {
 		w.began, w.since = e.At, e.At
 	}
 	if from := max(w.since, w.began+settledS); e.At > from {
 		w.watchS += float64(w.watching) * (e.At - from)
-		w.Watches = max(w.Watches, w.watching)
+		w.MaxWatches = max(w.MaxWatches, w.watching)
 	}
 	w.since = max(w.since, e.At)
 	switch e.Kind {
@@ -130,14 +130,14 @@
 	}
 }
 
-func (w *ListWitness) party(sidecar int32) *listParty {
+func (w *ListObserver) party(sidecar int32) *listParty {
 	for int(sidecar) >= len(w.parties) {
 		w.parties = append(w.parties, listParty{})
 	}
 	return &w.parties[sidecar]
 }
 
-func (w *ListWitness) listed(e *checker.Event) {
+func (w *ListObserver) listed(e *checker.Event) {
 	o := openList{index: e.ListIndex, at: e.At}
 	for _, p := range w.parties {
 		o.waits = append(o.waits, p.up)
@@ -151,19 +151,19 @@
 }
 
 // close has a sidecar not waited for any more.
-func (w *ListWitness) close(i int, sidecar int32) bool {
+func (w *ListObserver) close(i int, sidecar int32) bool {
 	o := &w.open[i]
 	if int(sidecar) >= len(o.waits) || !o.waits[sidecar] {
 		return false
 	}
 	o.waits[sidecar] = false
 	if o.missing--; o.missing == 0 && o.slowest > 0 {
-		w.Slowest = append(w.Slowest, o.slowest)
+		w.SlowestDelays = append(w.SlowestDelays, o.slowest)
 	}
 	return true
 }
 
-func (w *ListWitness) told(e *checker.Event) {
+func (w *ListObserver) told(e *checker.Event) {
 	p := w.party(e.Sidecar)
 	if e.ListIndex <= p.index {
 		return
@@ -172,7 +172,7 @@
 	for i := range w.open {
 		if o := &w.open[i]; o.index <= e.ListIndex && int(e.Sidecar) < len(o.waits) && o.waits[e.Sidecar] {
 			o.slowest = max(o.slowest, e.At-o.at)
-			w.Ages = append(w.Ages, e.At-o.at)
+			w.Delays = append(w.Delays, e.At-o.at)
 			w.close(i, e.Sidecar)
 		}
 	}
--- a/internal/sim/mutants.go
+++ b/internal/sim/mutants.go
@@ -27,22 +27,22 @@
 )
 
 // MutantsOptions say which mutants are tried, and how.
-type MutantsOptions struct {
-	Root string   // of the tree
-	Dir  string   // of the patches
-	Only []string // parts of the names of those to try; none: all
-	Last uint64   // seeds from 1 to this are played, until one catches the mutant
-	Jobs int      // mutants at a time
+type MutantOptions struct {
+	Root      string   // of the tree
+	Dir       string   // of the patches
+	NameParts []string // parts of the names of those to try; none: all
+	LastSeed  uint64   // seeds from 1 to this are played, until one catches the mutant
+	Jobs      int      // mutants at a time
 }
 
 // Mutant is what came of one.
-type Mutant struct {
+type MutantResult struct {
 	Name  string         `json:"name"`
 	Seed  uint64         `json:"seed"`            // that caught it; 0: none has
 	Rules []checker.Rule `json:"rules,omitempty"` // that it broke
 }
 
-func (m Mutant) String() string {
+func (m MutantResult) String() string {
 	if m.Seed == 0 {
 		return fmt.Sprintf("%-32s NOT CAUGHT", m.Name)
 	}
@@ -55,20 +55,20 @@
 
 // Mutants builds each mutant in a copy of the tree, plays seeds with it, and tells what came of it in the order of the
 // names. A patch that does not apply, or does not build, is an error: it breaks nothing any more.
-func Mutants(o MutantsOptions, tell func(Mutant)) error {
+func RunMutants(o MutantOptions, tell func(MutantResult)) error {
 	patches, err := filepath.Glob(filepath.Join(o.Dir, "*.patch"))
 	if err != nil {
 		return err
 	}
 	patches = slices.DeleteFunc(patches, func(p string) bool {
-		return len(o.Only) > 0 && !slices.ContainsFunc(o.Only, func(part string) bool { return strings.Contains(filepath.Base(p), part) })
+		return len(o.NameParts) > 0 && !slices.ContainsFunc(o.NameParts, func(part string) bool { return strings.Contains(filepath.Base(p), part) })
 	})
 	if len(patches) == 0 {
 		return fmt.Errorf("%s holds no such patch", o.Dir)
 	}
 	slices.Sort(patches)
 	type end struct {
-		m   Mutant
+		m   MutantResult
 		err error
 	}
 	ends := make([]chan end, len(patches))
@@ -95,8 +95,8 @@
 	return errors.Join(errs...)
 }
 
-func tryMutant(o MutantsOptions, patch string) (Mutant, error) {
-	m := Mutant{Name: strings.TrimSuffix(filepath.Base(patch), ".patch")}
+func tryMutant(o MutantOptions, patch string) (MutantResult, error) {
+	m := MutantResult{Name: strings.TrimSuffix(filepath.Base(patch), ".patch")}
 	dir, err := os.MkdirTemp("", "mutant-")
 	if err != nil {
 		return m, err
@@ -126,11 +126,11 @@
 	case strings.HasPrefix(m.Name, ownersMutant):
 		world = []string{"owners"}
 	case strings.HasPrefix(m.Name, worksMutant):
-		world = []string{"sim", "--fleet", string(TogetherWorks)}
+		world = []string{"sim", "--fleet", string(FleetWithMaintenance)}
 	case strings.HasPrefix(m.Name, plansMutant):
 		world = []string{"works"}
 	}
-	play := exec.Command(filepath.Join(dir, "mutant"), append(world, "--seeds", fmt.Sprintf("1-%d", max(o.Last, 1)), "--first", "--json")...)
+	play := exec.Command(filepath.Join(dir, "mutant"), append(world, "--seeds", fmt.Sprintf("1-%d", max(o.LastSeed, 1)), "--first", "--json")...)
 	out, err := play.Output()
 	var exit *exec.ExitError
 	if err != nil && (!errors.As(err, &exit) || exit.ExitCode() != 1) {
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -25,24 +25,24 @@
 )
 
 // Together says on which days sidecars know each other.
-type Together string
+type FleetMode string
 
 // On a third of the seeds where nothing is said.
 const (
-	TogetherSome  Together = ""
-	TogetherNever Together = "off"
-	TogetherAll   Together = "on"
+	FleetBySeed FleetMode = ""
+	FleetOff    FleetMode = "off"
+	FleetOn     FleetMode = "on"
 	// TogetherOwners is TogetherAll with three electors and the job report, and disks on which old states are put back.
-	TogetherOwners Together = "owners"
+	FleetWithRoles FleetMode = "owners"
 	// TogetherWorks is TogetherOwners with longer days, on which boxes are worked on by plans.
-	TogetherWorks Together = "works"
+	FleetWithMaintenance FleetMode = "works"
 	// TogetherApart plays the days of TogetherAll, with the same troubles, for sidecars that know nothing of each other.
-	TogetherApart Together = "apart"
+	FleetFaultsOnly FleetMode = "apart"
 )
 
 // on tells whether the sidecars of a seed's day know each other.
-func (t Together) on(seed uint64) bool {
-	return t == TogetherAll || t == TogetherOwners || t == TogetherWorks || t == TogetherSome && seed%3 == 0
+func (t FleetMode) on(seed uint64) bool {
+	return t == FleetOn || t == FleetWithRoles || t == FleetWithMaintenance || t == FleetBySeed && seed%3 == 0
 }
 
 // known is a sidecar with its fleet, as a Program.
@@ -65,7 +65,7 @@
 }
 
 // Held leaves out the links to peers, which are none of the sidecar's.
-func (k known) Held() []Holding { return k.core.Held() }
+func (k known) Leftovers() []Leftover { return k.core.Leftovers() }
 
 const (
 	peersPort = "7946"
@@ -108,7 +108,7 @@
 const mostOlder = 8
 
 // withFleet returns the Core of a sidecar that knows the others of its day.
-func (d *day) withFleet(s *instance) Core {
+func (d *day) withFleet(s *instance) Factory {
 	return func(cfg sidecarconfig.Config, loop netio.EventLoop, log *slog.Logger) (Program, error) {
 		shared := multiplex.New(loop)
 		sc, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Frontend{http1.New(cfg, rewrite.Settings{})}, shared.Core(), log)
--- a/internal/sim/plain.go
+++ b/internal/sim/plain.go
@@ -15,7 +15,7 @@
 )
 
 // Choose picks one of the boxes that serve; out says how many requests this balancer has at each.
-type Choose func(rng *rand.Rand, boxes []uint32, out func(box uint32) int) uint32
+type Selector func(rng *rand.Rand, boxes []uint32, out func(box uint32) int) uint32
 
 // Random picks any.
 func Random(rng *rand.Rand, boxes []uint32, _ func(uint32) int) uint32 {
@@ -40,7 +40,7 @@
 
 // Plain returns the Core of a balancer that does no more than choose: one attempt, no probes, no limits. The service of
 // the decisions is measured against it.
-func Plain(choose Choose) Core {
+func PlainBalancer(choose Selector) Factory {
 	return func(cfg sidecarconfig.Config, net netio.EventLoop, _ *slog.Logger) (Program, error) {
 		p := &plain{cfg: cfg, net: net, choose: choose, rng: rand.New(rand.NewPCG(cfg.Seed, 0x706c61696e)),
 			hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), out: map[uint32]int{}, idle: map[uint32][]*plainLink{}}
@@ -57,7 +57,7 @@
 type plain struct {
 	cfg      sidecarconfig.Config
 	net      netio.EventLoop
-	choose   Choose
+	choose   Selector
 	rng      *rand.Rand
 	hosts    *endpointset.Set
 	serving  []uint32
@@ -110,8 +110,8 @@
 // plainTickS is the time between two looks for requests whose time is over.
 const plainTickS = 0.01
 
-func (p *plain) Do(f func())     { p.net.Post(f) }
-func (p *plain) Held() []Holding { return nil }
+func (p *plain) Do(f func())           { p.net.Post(f) }
+func (p *plain) Leftovers() []Leftover { return nil }
 
 // Offline and Online say no: there is no door.
 func (p *plain) CordonServer(string) error   { return errors.ErrUnsupported }
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -36,7 +36,7 @@
 }
 
 // withQuotas returns the Core of the sidecar with quotas that go by what a day's clients ask for.
-func withQuotas(d *environment.Day) (Core, error) {
+func withQuotas(d *environment.Day) (Factory, error) {
 	const all = cityTimes + ministryTimes
 	share := 100 * ministryTimes / all
 	tree, err := quota.NewTree([]quota.Limit{{Measure: quota.Requests, WindowSeconds: quotaWindowS, Quota: all * d.Clients.RatePerSecond * quotaWindowS}},
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -12,9 +12,9 @@
 // came out smaller. A script that does not break the rule is returned as it is.
 func Shrink(s environment.Script, rule checker.Rule, o Options, budget int, progress func(s *environment.Script, played int)) environment.Script {
 	h := &shrinker{best: s, rule: rule, o: o, budget: budget, progress: progress}
-	h.o.Until = rule
+	h.o.StopAtRule = rule
 	if rule == checker.NoLeftovers { // it is seen at the day's end alone
-		h.o.Until = ""
+		h.o.StopAtRule = ""
 	}
 	if at, ok := h.breaks(&s); ok {
 		h.at = at
@@ -54,9 +54,9 @@
 		if err != nil {
 			return 0, false // what it names may have been left out
 		}
-		for _, f := range r.Findings {
+		for _, f := range r.Violations {
 			if f.Rule == h.rule {
-				return r.Since(f.At), true
+				return r.SinceStart(f.At), true
 			}
 		}
 	}
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -32,48 +32,48 @@
 	CordonServer(server string) error
 	UncordonServer(server string) error
 	// Held says what the program holds, by name; a program at rest holds nothing.
-	Held() []Holding
+	Leftovers() []Leftover
 }
 
 // Holding is a number of things that a program holds.
-type Holding struct {
-	Name string
-	N    int
+type Leftover struct {
+	Name  string
+	Count int
 }
 
 // Core returns a program that has not begun, on its network.
-type Core func(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error)
+type Factory func(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error)
 
 // Options are how a day is played.
 type Options struct {
-	Core  Core                          // nil: the sidecar
-	Trace func(at float64, line string) // told of all that happens, in seconds since the day's start; nil: nobody is
+	Factory Factory                       // nil: the sidecar
+	Trace   func(at float64, line string) // told of all that happens, in seconds since the day's start; nil: nobody is
 	// Until stops the day at the first finding of this rule; "any" at the first of all. Danger: what the day has left
 	// at its end is then not looked at.
-	Until checker.Rule
-	Quiet bool // leave the troubles of the script out
+	StopAtRule    checker.Rule
+	WithoutFaults bool // leave the troubles of the script out
 	// Speech is what applications and boxes speak; empty: HTTP. It changes nothing else of a day, but that answers over Thrift
 	// hold no load reports: those come with probes.
-	Speech environment.Protocol
+	Protocol environment.Protocol
 	// Batch is at how many times its share a batch of reads comes beside the applications' requests; 0: there is none. With
 	// Quotas the sidecars hold groups to their shares.
-	Batch  float64
-	Quotas bool
-	Boxes  int                 // at the start of the day, with as much traffic; 0: as usual
-	Drawn  *environment.Ranges // that days are drawn from in place of all that is said here of sizes; nil: none
-	Told   int                 // how many sidecars the configurations say there are; 0: as many as the day has
+	BatchFactor        float64
+	Quotas             bool
+	Servers            int                 // at the start of the day, with as much traffic; 0: as usual
+	CustomRanges       *environment.Ranges // that days are drawn from in place of all that is said here of sizes; nil: none
+	ConfiguredSidecars int                 // how many sidecars the configurations say there are; 0: as many as the day has
 	// Watch is told of all that the judge is told; nil: nobody is.
-	Watch checker.Observer
+	Observer checker.Observer
 	// Together says on which days sidecars know each other. Those of other cores, speeches and quotas never do.
-	Together Together
+	FleetMode FleetMode
 	// Weigh has a day of TogetherWorks be about one plan or script, in place of drawn ones; nil: they are drawn.
-	Weigh    *Weighing
-	Sidecars int // that the day has, with as much traffic each has as usual together; 0: as usual
+	Maintenance *MaintenanceStrategy
+	Sidecars    int // that the day has, with as much traffic each has as usual together; 0: as usual
 }
 
 // together tells whether the sidecars of a seed's day know each other.
 func (o Options) together(seed uint64) bool {
-	return o.Core == nil && !o.Speech.IsThrift() && !o.Quotas && o.Together.on(seed)
+	return o.Factory == nil && !o.Protocol.IsThrift() && !o.Quotas && o.FleetMode.on(seed)
 }
 
 // usualBoxes is how many boxes a day has that is not drawn with more.
@@ -81,16 +81,16 @@
 
 // Ranges returns what days are drawn from.
 func (o Options) Ranges() environment.Ranges {
-	if o.Drawn != nil {
-		return *o.Drawn
+	if o.CustomRanges != nil {
+		return *o.CustomRanges
 	}
 	r := environment.StandardRanges()
-	if o.Together == TogetherWorks {
+	if o.FleetMode == FleetWithMaintenance {
 		r.LengthSeconds = environment.Range{Min: 80, Max: 120}
 		r.LongRequestDayShare, r.LongRequestFactor = 0.3, environment.Range{Min: 6, Max: 20}
 	}
-	if o.Boxes > 0 {
-		r = environment.LargeRanges(o.Boxes)
+	if o.Servers > 0 {
+		r = environment.LargeRanges(o.Servers)
 	}
 	if o.Sidecars > 0 {
 		r.Sidecars = environment.Range{Min: float64(o.Sidecars), Max: float64(o.Sidecars)}
@@ -99,27 +99,27 @@
 }
 
 // Any stands for all rules in Options.Until.
-const Any checker.Rule = "any"
+const AnyRule checker.Rule = "any"
 
 // Result is what came of a day.
 type Result struct {
-	Seed       uint64              `json:"Seed"`
-	Hash       uint64              `json:"Hash"`  // of the history
-	Steps      uint64              `json:"Steps"` // events
-	Start      float64             `json:"Start"` // of the day, in Unix time
-	SimulatedS float64             `json:"SimulatedS"`
-	Findings   []checker.Violation `json:"Findings"`
-	Report     checker.Report      `json:"Report"`
-	Granted    uint64              `json:"Granted"` // the greatest token under which a sidecar was heard; 0: none was
-	Worked     int                 `json:"Worked"`  // boxes on which work has ended
+	Seed              uint64              `json:"Seed"`
+	Hash              uint64              `json:"Hash"`  // of the history
+	Steps             uint64              `json:"Steps"` // events
+	Start             float64             `json:"Start"` // of the day, in Unix time
+	SimulatedSeconds  float64             `json:"SimulatedS"`
+	Violations        []checker.Violation `json:"Findings"`
+	Report            checker.Report      `json:"Report"`
+	MaxToken          uint64              `json:"Granted"` // the greatest token under which a sidecar was heard; 0: none was
+	ServersMaintained int                 `json:"Worked"`  // boxes on which work has ended
 }
 
 // Since returns how long after the day's start a time is.
-func (r *Result) Since(at float64) float64 { return at - r.Start }
+func (r *Result) SinceStart(at float64) float64 { return at - r.Start }
 
 // Breaks tells whether the day broke a rule.
-func (r *Result) Breaks(rule checker.Rule) bool {
-	for _, f := range r.Findings {
+func (r *Result) HasViolation(rule checker.Rule) bool {
+	for _, f := range r.Violations {
 		if f.Rule == rule {
 			return true
 		}
@@ -131,10 +131,10 @@
 func (o Options) DrawScript(seed uint64) environment.Script {
 	d := environment.Draw(seed, o.Ranges())
 	s := environment.DrawScript(&d)
-	if o.together(seed) || o.Together == TogetherApart {
+	if o.together(seed) || o.FleetMode == FleetFaultsOnly {
 		environment.DrawPeerFaults(&d, &s)
 	}
-	if o.Together == TogetherWorks {
+	if o.FleetMode == FleetWithMaintenance {
 		environment.DrawLags(&d, &s)
 		// What is left of the day is for plans to go on.
 		s.Faults = slices.DeleteFunc(s.Faults, func(t environment.Fault) bool { return t.AtSeconds > 0.7*d.LengthSeconds })
@@ -143,27 +143,27 @@
 }
 
 // ErrScript is wrapped by errors that a script is at fault for.
-var ErrScript = errors.New("script")
+var ErrInvalidScript = errors.New("script")
 
 // restS is how long after the last arrival a day goes on: requests end, links grow old and are closed.
 const restS = 14.0
 
 // Play plays a script from its beginning to its end. An error means that the day could not be played.
 func Play(s environment.Script, o Options) (*Result, error) {
-	if o.Quiet {
+	if o.WithoutFaults {
 		s.Faults = nil
 	}
 	d, err := newDay(s, o)
 	if err != nil {
 		return nil, err
 	}
-	d.run(o.Until)
+	d.run(o.StopAtRule)
 	worked := 0
 	if d.works != nil {
 		worked = d.works.worked()
 	}
-	return &Result{Worked: worked, Seed: s.Seed, Hash: d.net.Hash(), Steps: d.net.Steps(), Start: d.spec.Start, SimulatedS: d.net.Now() - d.spec.Start,
-		Findings: d.judge.Violations(), Report: d.judge.Report(), Granted: d.granted}, nil
+	return &Result{ServersMaintained: worked, Seed: s.Seed, Hash: d.net.Hash(), Steps: d.net.Steps(), Start: d.spec.Start, SimulatedSeconds: d.net.Now() - d.spec.Start,
+		Violations: d.judge.Violations(), Report: d.judge.Report(), MaxToken: d.granted}, nil
 }
 
 // day is a day that is being played.
@@ -175,7 +175,7 @@
 	judge      *checker.Checker
 	world      *environment.Environment
 	player     *environment.FaultInjector
-	core       Core
+	core       Factory
 	trace      func(at float64, line string)
 	machines   []*machine
 	sidecars   []*instance
@@ -196,17 +196,17 @@
 }
 
 func newDay(s environment.Script, o Options) (*day, error) {
-	d := &day{script: s, spec: s.Day(o.Ranges()), core: o.Core, trace: o.Trace, cuts: map[[2]string]int{}, slow: map[[2]int]float64{}}
-	if d.spec.Protocol = o.Speech; o.Speech.IsThrift() {
+	d := &day{script: s, spec: s.Day(o.Ranges()), core: o.Factory, trace: o.Trace, cuts: map[[2]string]int{}, slow: map[[2]int]float64{}}
+	if d.spec.Protocol = o.Protocol; o.Protocol.IsThrift() {
 		d.spec.ReportsInline = false
 	}
-	if o.Batch > 0 {
-		d.spec.Batch = batch(&d.spec, o.Batch)
+	if o.BatchFactor > 0 {
+		d.spec.Batch = batch(&d.spec, o.BatchFactor)
 	}
 	if d.core == nil {
-		d.core = Sidecar
-		if o.Speech.IsThrift() {
-			d.core = OverThrift
+		d.core = NewSidecar
+		if o.Protocol.IsThrift() {
+			d.core = NewThriftSidecar
 		}
 	}
 	if o.Quotas {
@@ -215,10 +215,10 @@
 			return nil, err
 		}
 	}
-	d.together, d.owners, d.troubledAt = o.together(s.Seed), o.Together == TogetherOwners || o.Together == TogetherWorks, d.spec.Start
+	d.together, d.owners, d.troubledAt = o.together(s.Seed), o.FleetMode == FleetWithRoles || o.FleetMode == FleetWithMaintenance, d.spec.Start
 	d.weather = drawWeather(s.Seed)
-	if o.Boxes > 0 { // Danger: with as much more to do, loops whose calls take as long as ever never catch up
-		d.weather.callS *= usualBoxes / float64(o.Boxes)
+	if o.Servers > 0 { // Danger: with as much more to do, loops whose calls take as long as ever never catch up
+		d.weather.callS *= usualBoxes / float64(o.Servers)
 	}
 	d.net = virtual.New(s.Seed^s.NetworkSeed*0x9e3779b97f4a7c15, d.spec.Start)
 	d.net.SplitProbability = d.weather.cutShare
@@ -230,7 +230,7 @@
 	case d.owners:
 		rules.MaxPollIntervalSeconds = math.Inf(1)
 	case !d.together: // waits go by how many the settings say there are
-		rules.MaxPollIntervalSeconds = 0.75 * float64(cmp.Or(o.Told, len(d.spec.Sidecars)))
+		rules.MaxPollIntervalSeconds = 0.75 * float64(cmp.Or(o.ConfiguredSidecars, len(d.spec.Sidecars)))
 	}
 	d.judge = checker.New(rules)
 	var witness checker.Observer = d.judge
@@ -238,14 +238,14 @@
 		witness = &teller{d}
 		d.traceNetwork()
 	}
-	if d.told = o.Told; o.Watch != nil {
-		witness = witnesses{witness, o.Watch}
-		d.watch = o.Watch
+	if d.told = o.ConfiguredSidecars; o.Observer != nil {
+		witness = witnesses{witness, o.Observer}
+		d.watch = o.Observer
 	}
-	if o.Together == TogetherWorks && d.together {
-		if d.works = newPlans(d); o.Weigh != nil {
-			d.workOrder = o.Weigh.Order
-			d.works.weigh(o.Weigh)
+	if o.FleetMode == FleetWithMaintenance && d.together {
+		if d.works = newPlans(d); o.Maintenance != nil {
+			d.workOrder = o.Maintenance.Order
+			d.works.weigh(o.Maintenance)
 		} else {
 			d.works.draw()
 		}
@@ -255,7 +255,7 @@
 	d.lay()
 	var err error
 	if d.player, err = environment.NewFaultInjector(d.world, &s, d, witness); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrScript, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidScript, err)
 	}
 	return d, d.begin()
 }
@@ -323,7 +323,7 @@
 		return false
 	}
 	for _, f := range d.judge.Violations() {
-		if rule == Any || f.Rule == rule {
+		if rule == AnyRule || f.Rule == rule {
 			return true
 		}
 	}
@@ -356,17 +356,17 @@
 		if s.proc == nil || !s.proc.IsRunning() {
 			continue
 		}
-		held := s.program.Held()
+		held := s.program.Leftovers()
 		unsent := 0
 		for _, c := range s.proc.Conns() {
 			if _, peer := c.Context().(*peers.Link); !peer { // they are never at rest; what waits on them is looked at all day long
 				unsent += c.OutboundBuffered()
 			}
 		}
-		held = append(held, Holding{"dials", beyond(s.proc.Dialing(), restingLinks)}, Holding{"bytes that are not sent", unsent})
+		held = append(held, Leftover{"dials", beyond(s.proc.Dialing(), restingLinks)}, Leftover{"bytes that are not sent", unsent})
 		for _, h := range held {
-			if h.N != 0 {
-				d.see(checker.Event{Kind: checker.LeftoversCounted, Sidecar: int32(s.number), Count: int32(h.N), Text: h.Name})
+			if h.Count != 0 {
+				d.see(checker.Event{Kind: checker.LeftoversCounted, Sidecar: int32(s.number), Count: int32(h.Count), Text: h.Name})
 			}
 		}
 	}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -19,11 +19,11 @@
 // hashes plays the tests' days and returns their histories' hashes, by seed.
 func hashes(t *testing.T, jobs int) map[uint64]uint64 {
 	all := map[uint64]uint64{}
-	Fleet(1, days, jobs, Options{}, func(o Outcome) bool {
+	PlaySeeds(1, days, jobs, Options{}, func(o Outcome) bool {
 		require.NoError(t, o.Err)
 		all[o.Seed] = o.Result.Hash
-		for _, f := range o.Result.Findings {
-			t.Errorf("seed %d breaks %s at %.6f: %s", o.Seed, f.Rule, o.Result.Since(f.At), f.Reason)
+		for _, f := range o.Result.Violations {
+			t.Errorf("seed %d breaks %s at %.6f: %s", o.Seed, f.Rule, o.Result.SinceStart(f.At), f.Reason)
 		}
 		return true
 	})
@@ -57,8 +57,8 @@
 			require.NoError(t, err)
 			r, err := Play(*s, Options{})
 			require.NoError(t, err)
-			for _, f := range r.Findings {
-				t.Errorf("%s at %.6f: %s; replay with: hazellab sim --script internal/sim/%s --trace", f.Rule, r.Since(f.At), f.Reason, file)
+			for _, f := range r.Violations {
+				t.Errorf("%s at %.6f: %s; replay with: hazellab sim --script internal/sim/%s --trace", f.Rule, r.SinceStart(f.At), f.Reason, file)
 			}
 		})
 	}
@@ -81,18 +81,18 @@
 // The plain balancers serve, and earn less than the decisions do.
 func TestPlainBalancers(t *testing.T) {
 	t.Parallel()
-	service := func(c Core) float64 {
+	service := func(c Factory) float64 {
 		var tally Tally
 		for seed := range uint64(3) {
 			s := Options{}.DrawScript(seed + 1)
 			s.LengthSeconds = 15
-			r, err := Play(s, Options{Core: c, Quiet: true})
+			r, err := Play(s, Options{Factory: c, WithoutFaults: true})
 			require.NoError(t, err)
 			tally.Add(r)
 		}
 		return tally.Service
 	}
-	decisions, random, least := service(Sidecar), service(Plain(Random)), service(Plain(LeastOutstanding))
+	decisions, random, least := service(NewSidecar), service(PlainBalancer(Random)), service(PlainBalancer(LeastOutstanding))
 	t.Logf("the decisions %.3f, random choice %.3f, least outstanding %.3f", decisions, random, least)
 	assert.Greater(t, random, 0.2)
 	assert.Greater(t, least, random)
@@ -105,14 +105,14 @@
 	s := Options{}.DrawScript(5)
 	s.LengthSeconds = 20
 	require.NotEmpty(t, s.Faults)
-	o := Options{Core: Plain(Random)} // it sends to whom it should not
+	o := Options{Factory: PlainBalancer(Random)} // it sends to whom it should not
 	r, err := Play(s, o)
 	require.NoError(t, err)
-	require.True(t, r.Breaks(checker.SafeDrain) || len(r.Findings) > 0)
-	rule := r.Findings[0].Rule
+	require.True(t, r.HasViolation(checker.SafeDrain) || len(r.Violations) > 0)
+	rule := r.Violations[0].Rule
 	small := Shrink(s, rule, o, 12, nil)
 	after, err := Play(small, o)
 	require.NoError(t, err)
-	assert.True(t, after.Breaks(rule))
-	assert.Less(t, after.SimulatedS, r.SimulatedS)
+	assert.True(t, after.HasViolation(rule))
+	assert.Less(t, after.SimulatedSeconds, r.SimulatedSeconds)
 }
--- a/internal/sim/speech_test.go
+++ b/internal/sim/speech_test.go
@@ -16,11 +16,11 @@
 		s := Options{}.DrawScript(seed)
 		require.NotEmpty(t, s.Faults)
 		s.LengthSeconds = 20
-		r, err := Play(s, Options{Speech: speech})
+		r, err := Play(s, Options{Protocol: speech})
 		require.NoError(t, err)
-		for _, f := range r.Findings {
+		for _, f := range r.Violations {
 			t.Errorf("%s, seed %d: %s at %.6f: %s; replay with: hazellab sim --seed %d --speech %s --trace", speech, seed, f.Rule,
-				r.Since(f.At), f.Reason, seed, speech)
+				r.SinceStart(f.At), f.Reason, seed, speech)
 		}
 		assert.Positive(t, r.Report.Service)
 		return r
--- a/internal/sim/stored_form_test.go
+++ b/internal/sim/stored_form_test.go
@@ -70,9 +70,9 @@
 	event := checker.Event{Kind: checker.ResponseSent, Sidecar: 1, Server: 2, Class: 3, Status: 200, Zone: 4, Cell: 5, Count: 6, Reused: true, WasRead: true, NotStarted: true,
 		Malformed: true, ByServer: true, Uncounted: true, At: 1.5, FirstSent: 2.5, Sent: 3.5, Deadline: 4.5, ServingSince: 5.5, Work: 6.5, Request: 7, FirstRequest: 8, Connection: 9, Digest: 10,
 		ListIndex: 11, Address: "address", Text: "text"}
-	r := Result{Seed: 1, Hash: 2, Steps: 3, Start: 4.5, SimulatedS: 5.5, Granted: 6, Worked: 7,
-		Findings: []checker.Violation{{Rule: checker.SafeDrain, At: 1.5, Sidecar: 1, Server: 2, Request: 3, Reason: "why", Events: []checker.Event{event}}},
-		Report:   checker.Report{Service: 0.5, Classes: []checker.ClassService{{}}}}
+	r := Result{Seed: 1, Hash: 2, Steps: 3, Start: 4.5, SimulatedSeconds: 5.5, MaxToken: 6, ServersMaintained: 7,
+		Violations: []checker.Violation{{Rule: checker.SafeDrain, At: 1.5, Sidecar: 1, Server: 2, Request: 3, Reason: "why", Events: []checker.Event{event}}},
+		Report:     checker.Report{Service: 0.5, Classes: []checker.ClassService{{}}}}
 	raw, err := json.MarshalIndent(&r, "", " ")
 	require.NoError(t, err)
 	golden(t, "result.json", raw)
@@ -80,13 +80,13 @@
 	require.NoError(t, json.Unmarshal(raw, &read))
 	require.Equal(t, r, read)
 
-	weighed := Weighed{TotalS: 1.5, Service: 0.5, Worst: 0.25, At: 2, Refused: 3, Rules: 4}
-	raw, err = json.MarshalIndent([]*Weighed{&weighed}, "", " ")
+	weighed := MaintenanceResult{TotalSeconds: 1.5, Service: 0.5, WorstService: 0.25, WorstAt: 2, Rejected: 3, Violations: 4}
+	raw, err = json.MarshalIndent([]*MaintenanceResult{&weighed}, "", " ")
 	require.NoError(t, err)
 	golden(t, "weighed.json", raw)
 
-	raw, err = json.MarshalIndent(&Tally{Days: 1, History: "h", SimulatedS: 2.5, Steps: 3, Broken: []BrokenRule{{checker.SafeDrain, 1, []uint64{2}}}, Service: 0.5,
-		Worked: 4, Classes: []ClassTally{{Name: "a", Asked: 1, InAim: 2, Late: 3, Refused: 4, Failed: 5, Service: 0.5}}}, "", " ")
+	raw, err = json.MarshalIndent(&Tally{Days: 1, History: "h", SimulatedSeconds: 2.5, Steps: 3, Broken: []BrokenRule{{checker.SafeDrain, 1, []uint64{2}}}, Service: 0.5,
+		ServersMaintained: 4, Classes: []ClassTally{{Name: "a", Requests: 1, InTarget: 2, Late: 3, Rejected: 4, Failed: 5, Service: 0.5}}}, "", " ")
 	require.NoError(t, err)
 	golden(t, "tally.json", raw)
 }
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/troubles_test.go
@@ -54,7 +54,7 @@
 				if on {
 					s.Faults = append(c.with, c.beside...)
 				}
-				d, err := newDay(s, Options{Together: TogetherAll})
+				d, err := newDay(s, Options{FleetMode: FleetOn})
 				require.NoError(t, err)
 				d.run("")
 				assert.Empty(t, d.judge.Violations())
@@ -67,10 +67,10 @@
 // Among 300 sidecars probes are far apart, and with them the decisions' wake-ups: none that was replaced is left behind.
 func TestLargeFleetComesToRest(t *testing.T) {
 	t.Parallel()
-	o := Options{Sidecars: 300, Together: TogetherNever}
+	o := Options{Sidecars: 300, FleetMode: FleetOff}
 	r, err := Play(o.DrawScript(3), o)
 	require.NoError(t, err)
-	assert.Empty(t, r.Findings)
+	assert.Empty(t, r.Violations)
 }
 
 // tally counts what a day's judge is told.
@@ -100,7 +100,7 @@
 // Each trouble of connections, watches and clients does what its word says, breaks no rule, and without it that does not come.
 func TestConnectionTroubles(t *testing.T) {
 	const seed, at = 3, 6.0
-	o := Options{Together: TogetherNever}
+	o := Options{FleetMode: FleetOff}
 	d := environment.Draw(seed, o.Ranges())
 	var boxes []string
 	for _, b := range d.Servers[:d.InitialServers] {
@@ -138,7 +138,7 @@
 				}
 				seen := &tally{kinds: map[checker.Kind]int{}, drains: map[int32]bool{}}
 				o := o
-				o.Watch = seen
+				o.Observer = seen
 				o.Trace = func(_ float64, line string) {
 					if strings.Contains(line, " not up ") {
 						seen.notInTime++
@@ -146,7 +146,7 @@
 				}
 				r, err := Play(s, o)
 				require.NoError(t, err)
-				assert.Empty(t, r.Findings)
+				assert.Empty(t, r.Violations)
 				assert.Equal(t, on, c.does(seen), "%+v", seen)
 			}
 		})
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -16,26 +16,26 @@
 )
 
 // Weighing is one way to have all boxes of a day worked on, beside others.
-type Weighing struct {
-	Name   string
-	Order  maintenance.Order
-	AtOnce int // 0: nobody works on anything
-	BySite int
-	Script bool // one box after the other is called out and in by hand at all sidecars, with fixed waits
+type MaintenanceStrategy struct {
+	Name          string
+	Order         maintenance.Order
+	MaxConcurrent int // 0: nobody works on anything
+	MaxPerSite    int
+	Manual        bool // one box after the other is called out and in by hand at all sidecars, with fixed waits
 }
 
 // Ways are the ways that are weighed.
-var Ways = []Weighing{
+var MaintenanceStrategies = []MaintenanceStrategy{
 	{Name: "nothing is worked on"},
-	{Name: "script, by hand", Script: true, AtOnce: 1},
-	{Name: "one at a time", Order: maintenance.LookAhead, AtOnce: 1, BySite: 1},
-	{Name: "fixed order, 3 at once", Order: maintenance.AsListed, AtOnce: 3, BySite: 3},
-	{Name: "by site, 3 at once", Order: maintenance.SitesInTurn, AtOnce: 3, BySite: 1},
-	{Name: "least loaded, 3 at once", Order: maintenance.LeastLoad, AtOnce: 3, BySite: 1},
-	{Name: "least hurt now, 3 at once", Order: maintenance.LeastImpact, AtOnce: 3, BySite: 1},
-	{Name: "looking ahead, 2 at once", Order: maintenance.LookAhead, AtOnce: 2, BySite: 1},
-	{Name: "looking ahead, 3 at once", Order: maintenance.LookAhead, AtOnce: 3, BySite: 1},
-	{Name: "looking ahead, 10 at once", Order: maintenance.LookAhead, AtOnce: 10, BySite: 3},
+	{Name: "script, by hand", Manual: true, MaxConcurrent: 1},
+	{Name: "one at a time", Order: maintenance.LookAhead, MaxConcurrent: 1, MaxPerSite: 1},
+	{Name: "fixed order, 3 at once", Order: maintenance.AsListed, MaxConcurrent: 3, MaxPerSite: 3},
+	{Name: "by site, 3 at once", Order: maintenance.SitesInTurn, MaxConcurrent: 3, MaxPerSite: 1},
+	{Name: "least loaded, 3 at once", Order: maintenance.LeastLoad, MaxConcurrent: 3, MaxPerSite: 1},
+	{Name: "least hurt now, 3 at once", Order: maintenance.LeastImpact, MaxConcurrent: 3, MaxPerSite: 1},
+	{Name: "looking ahead, 2 at once", Order: maintenance.LookAhead, MaxConcurrent: 2, MaxPerSite: 1},
+	{Name: "looking ahead, 3 at once", Order: maintenance.LookAhead, MaxConcurrent: 3, MaxPerSite: 1},
+	{Name: "looking ahead, 10 at once", Order: maintenance.LookAhead, MaxConcurrent: 10, MaxPerSite: 3},
 }
 
 // What a weighed plan is.
@@ -49,11 +49,11 @@
 )
 
 // weigh has all boxes be worked on in one way.
-func (w *plans) weigh(way *Weighing) {
+func (w *plans) weigh(way *MaintenanceStrategy) {
 	w.weighed = way
 	switch {
-	case way.AtOnce == 0:
-	case way.Script:
+	case way.MaxConcurrent == 0:
+	case way.Manual:
 		w.after(weighAtS, func() {
 			cfg, err := sidecarconfig.Parse(w.d.world.StartConfiguration(0, w.d.net.Now()))
 			if err != nil {
@@ -64,14 +64,14 @@
 		})
 	default:
 		w.spec = maintenance.Spec{WorkSeconds: weighTakesS, QuietSeconds: 1, DeadMemberSeconds: workGoneS, RejectionBudget: 0.1, MaxRejection: weighMost, MinCapacity: 0.6}
-		for i := range way.AtOnce {
+		for i := range way.MaxConcurrent {
 			m := &mechanic{w: w, name: fmt.Sprint("mechanic-", i), steady: true}
 			w.mechanics = append(w.mechanics, m)
 			w.after(weighAtS-1, m.poll)
 		}
 		w.after(weighAtS, func() {
 			s := w.spec
-			s.Name, s.MaxConcurrent, s.MaxPerSite = "all", way.AtOnce, way.BySite
+			s.Name, s.MaxConcurrent, s.MaxPerSite = "all", way.MaxConcurrent, way.MaxPerSite
 			for i := range w.d.spec.InitialServers {
 				s.Servers = append(s.Servers, w.boxes[i].name)
 			}
@@ -171,18 +171,18 @@
 }
 
 // Weighed is what came of a day in one way.
-type Weighed struct {
-	TotalS  float64 `json:"TotalS"`  // from when the plan was given to when the last box was done; NaN: it was not
-	Service float64 `json:"Service"` // meanwhile
-	Worst   float64 `json:"Worst"`   // of 10 s
-	At      int     `json:"At"`      // when these began
-	Refused int     `json:"Refused"` // tries, meanwhile
-	Rules   int     `json:"Rules"`   // that were broken
-	m       *meter
+type MaintenanceResult struct {
+	TotalSeconds float64 `json:"TotalS"`  // from when the plan was given to when the last box was done; NaN: it was not
+	Service      float64 `json:"Service"` // meanwhile
+	WorstService float64 `json:"Worst"`   // of 10 s
+	WorstAt      int     `json:"At"`      // when these began
+	Rejected     int     `json:"Refused"` // tries, meanwhile
+	Violations   int     `json:"Rules"`   // that were broken
+	m            *meter
 }
 
 // WeighDay plays a day on which a number of boxes are worked on.
-func WeighDay(seed uint64, boxes int, load float64, hang bool, way *Weighing) (*Weighed, error) {
+func PlayMaintenance(seed uint64, boxes int, load float64, hang bool, way *MaintenanceStrategy) (*MaintenanceResult, error) {
 	r := environment.StandardRanges()
 	if boxes > 19 {
 		r = environment.LargeRanges(boxes)
@@ -190,14 +190,14 @@
 	r.Servers = environment.Range{Min: float64(boxes), Max: float64(boxes)}
 	r.Sites, r.Sidecars, r.OverloadedDayShare, r.Load = environment.Range{Min: 4, Max: 4}, environment.Range{Min: 5, Max: 5}, 0, environment.Range{Min: load, Max: load}
 	lengthS := weighAtS + 20 + 42*float64(boxes)
-	if way.AtOnce > 1 { // a box takes that long, and there is time to wait until a trouble is over
-		lengthS = weighAtS + 150 + 36*math.Ceil(float64(boxes)/float64(way.AtOnce))
+	if way.MaxConcurrent > 1 { // a box takes that long, and there is time to wait until a trouble is over
+		lengthS = weighAtS + 150 + 36*math.Ceil(float64(boxes)/float64(way.MaxConcurrent))
 	}
 	if load > edgeLoad { // the fleet refuses by itself: one box is out at a time, and what it refuses is measured between two
 		lengthS = weighAtS + 120 + 75*float64(boxes)
 	}
 	r.LengthSeconds = environment.Range{Min: lengthS, Max: lengthS}
-	o := Options{Together: TogetherWorks, Drawn: &r, Weigh: way}
+	o := Options{FleetMode: FleetWithMaintenance, CustomRanges: &r, Maintenance: way}
 	d := environment.Draw(seed, r)
 	s := environment.Script{Seed: seed}
 	if hang {
@@ -208,37 +208,37 @@
 		s.Faults = []environment.Fault{{Kind: environment.Hang, AtSeconds: weighAtS + 20, DurationSeconds: 40, Servers: names}}
 	}
 	m := &meter{classes: d.Rules().Classes, first: map[uint64]*asked{}, start: d.Start}
-	o.Watch = m
+	o.Observer = m
 	played, err := newDay(s, o)
 	if err != nil {
 		return nil, err
 	}
 	played.run("")
-	w := &Weighed{TotalS: math.NaN(), Rules: len(played.judge.Violations()), m: m, Worst: 1}
+	w := &MaintenanceResult{TotalSeconds: math.NaN(), Violations: len(played.judge.Violations()), m: m, WorstService: 1}
 	end := int(lengthS)
 	if at := played.works.endedAt; at > 0 {
-		w.TotalS = at - d.Start - weighAtS
+		w.TotalSeconds = at - d.Start - weighAtS
 		end = int(at-d.Start) + 1
 	}
 	w.Service = m.service(int(weighAtS), end)
 	for i := int(weighAtS); i+10 <= end; i++ {
-		if s := m.service(i, i+10); s < w.Worst {
-			w.Worst, w.At = s, i
+		if s := m.service(i, i+10); s < w.WorstService {
+			w.WorstService, w.WorstAt = s, i
 		}
 	}
 	for i := int(weighAtS); i < min(end, len(m.refused)); i++ {
-		w.Refused += m.refused[i]
+		w.Rejected += m.refused[i]
 	}
 	return w, nil
 }
 
 // Weigh plays days in all ways whose names hold a part (none: all), and prints a table: total time against the worst 10 s of service.
-func Weigh(out io.Writer, first, last uint64, boxes, jobs int, parts []string) error {
-	ways, named := []Weighing{}, func(name string) bool {
+func CompareMaintenance(out io.Writer, first, last uint64, boxes, jobs int, parts []string) error {
+	ways, named := []MaintenanceStrategy{}, func(name string) bool {
 		return len(parts) == 0 || slices.ContainsFunc(parts, func(p string) bool { return strings.Contains(name, p) })
 	}
-	for i, w := range Ways {
-		if i == 0 || named(w.Name) && 2*w.AtOnce <= boxes {
+	for i, w := range MaintenanceStrategies {
+		if i == 0 || named(w.Name) && 2*w.MaxConcurrent <= boxes {
 			ways = append(ways, w)
 		}
 	}
@@ -252,7 +252,7 @@
 		hang bool
 	}{{"quiet", 0.5, false}, {"0.9 of capacity", 0.9, false}, {"a fifth hangs for 40 s", 0.5, true}}
 	var mu sync.Mutex
-	results := map[key]*Weighed{}
+	results := map[key]*MaintenanceResult{}
 	var failed error
 	slots := make(chan struct{}, max(jobs, 1))
 	var all sync.WaitGroup
@@ -262,7 +262,7 @@
 				all.Go(func() {
 					slots <- struct{}{}
 					defer func() { <-slots }()
-					r, err := WeighDay(seed, boxes, days[day].load, days[day].hang, &ways[way])
+					r, err := PlayMaintenance(seed, boxes, days[day].load, days[day].hang, &ways[way])
 					mu.Lock()
 					defer mu.Unlock()
 					results[key{way, day, seed}] = r
@@ -297,17 +297,17 @@
 			rules, ended := 0, 0
 			for seed := first; seed <= last; seed++ {
 				r, none := results[key{way, day, seed}], results[key{0, day, seed}]
-				if rules += r.Rules; !math.IsNaN(r.TotalS) {
+				if rules += r.Violations; !math.IsNaN(r.TotalSeconds) {
 					ended++
 				}
-				total, service, worst, refused = append(total, r.TotalS), append(service, r.Service), append(worst, r.Worst), append(refused, float64(r.Refused))
-				to := int(weighAtS + r.TotalS)
-				if math.IsNaN(r.TotalS) {
+				total, service, worst, refused = append(total, r.TotalSeconds), append(service, r.Service), append(worst, r.WorstService), append(refused, float64(r.Rejected))
+				to := int(weighAtS + r.TotalSeconds)
+				if math.IsNaN(r.TotalSeconds) {
 					to = len(none.m.worth)
 				}
 				to = min(to, len(none.m.worth), len(r.m.worth))
 				loss = append(loss, none.m.service(int(weighAtS), to)-r.m.service(int(weighAtS), to))
-				worse = append(worse, none.m.service(r.At, r.At+10)-r.Worst)
+				worse = append(worse, none.m.service(r.WorstAt, r.WorstAt+10)-r.WorstService)
 			}
 			fmt.Fprintf(out, "%-26s  %7.0f  %2d/%2d  %7.4f  %14.4f  %10.3f  %14.3f  %7.0f  %5d\n", ways[way].Name, median(total), ended, last-first+1,
 				median(service), median(loss), median(worst), median(worse), median(refused), rules)
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -25,7 +25,7 @@
 	epoch     uint64
 	version   uint64
 	given     int
-	weighed   *Weighing // nil: what is done is drawn
+	weighed   *MaintenanceStrategy // nil: what is done is drawn
 	coldS     float64
 	endedAt   float64 // when all that is weighed was done
 }
