--- /dev/null
+++ b/internal/environment/arrivals.go
@@ -0,0 +1,71 @@
+package environment
+
+import (
+	"math"
+
+	"hazelwheel/internal/checker"
+)
+
+// rate returns how many requests a second come at a time.
+func (a *Application) rateAt(at float64) float64 {
+	s := a.spec
+	r := s.RatePerSecond * a.day.Sidecars[a.number].Share * (1 + s.Swing*math.Sin(2*math.Pi*(at-a.day.Start)/s.SwingPeriodSeconds))
+	for at >= a.burstEnd {
+		a.burstAt = max(a.burstEnd, a.day.Start) + s.BurstIntervalSeconds*a.arrivals.ExpFloat64()
+		a.burstEnd = a.burstAt + s.BurstSeconds*(0.5+a.arrivals.Float64())
+	}
+	if at >= a.burstAt {
+		r *= s.BurstFactor
+	}
+	return r
+}
+
+// nextArrival returns when the next request comes after a time.
+func (a *Application) nextArrival(at float64) float64 {
+	most := a.spec.RatePerSecond * a.day.Sidecars[a.number].Share * (1 + a.spec.Swing) * a.spec.BurstFactor
+	for {
+		at += a.arrivals.ExpFloat64() / most
+		if a.arrivals.Float64()*most <= a.rateAt(at) {
+			return at
+		}
+	}
+}
+
+// arrive takes up a new request.
+func (a *Application) startOperation(due, now float64) {
+	// Danger: the next one counted from now, a late loop would have fewer come.
+	if at := a.nextArrival(due); at < a.day.Start+a.day.LengthSeconds {
+		a.tasks.add(at, clientTask{kind: taskArrival})
+	} else {
+		a.tasks.add(now+a.longestTimeout()+2, clientTask{kind: taskEnd})
+	}
+	if a.isDisconnected(now) {
+		return
+	}
+	class, at := 0, a.arrivals.Float64()
+	if a.batch != nil {
+		class, at = a.batch.Class, 0
+	}
+	for a.batch == nil && class < len(a.day.Classes)-1 && at >= a.day.Classes[class].Share {
+		at -= a.day.Classes[class].Share
+		class++
+	}
+	c := &a.day.Classes[class]
+	k := &operation{class: class, deadline: now + c.TotalTimeoutSeconds}
+	if c.BodyBytes > 0 {
+		k.bodySize = 1 + a.arrivals.IntN(2*c.BodyBytes)
+	}
+	if c.Effect == checker.Keyed {
+		k.idempotencyKey = a.ids.Uint64()
+	}
+	a.startRequest(k, now)
+}
+
+// longest returns the longest time that a request may have.
+func (a *Application) longestTimeout() float64 {
+	most := 0.0
+	for _, c := range a.day.Classes {
+		most = max(most, c.TotalTimeoutSeconds)
+	}
+	return most
+}
--- /dev/null
+++ b/internal/environment/daydraw.go
@@ -0,0 +1,184 @@
+package environment
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"strconv"
+
+	"hazelwheel/internal/checker"
+)
+
+// Draw returns the day of a seed.
+func Draw(seed uint64, r Ranges) Day {
+	rng := randomStream(seed, "day", 0)
+	d := Day{Seed: seed, Start: dayStart, LengthSeconds: math.Round(r.LengthSeconds.draw(rng)), InitialServers: r.Servers.count(rng)}
+	for i := range r.Sites.count(rng) {
+		d.Sites = append(d.Sites, "site-"+string(rune('a'+i)))
+	}
+	d.drawPaths(rng, r)
+	d.drawSidecars(rng, r)
+	d.drawServers(rng, r)
+	d.drawClasses(rng, r)
+	d.Clients = ClientSpec{
+		RatePerSecond: r.RatePerSecond.draw(rng), Swing: r.Swing.draw(rng), SwingPeriodSeconds: r.SwingPeriodSeconds.draw(rng), BurstFactor: r.BurstFactor.draw(rng),
+		BurstSeconds: r.BurstSeconds.draw(rng), BurstIntervalSeconds: r.BurstIntervalSeconds.draw(rng), Retries: r.Retries.count(rng),
+		AttemptTimeoutShare: r.AttemptTimeoutShare.draw(rng), BackoffSeconds: r.BackoffMillis.draw(rng) / 1e3, RetryAfterShare: r.RetryAfterShare.draw(rng),
+		ImpatientShare: r.ImpatientShare.draw(rng), MaxConnections: d.MaxDescriptors / 3, MaxRetryAfterSeconds: maxRetryAfterSeconds,
+	}
+	load := r.Load.draw(rng)
+	if crowd := randomStream(seed, "crowd", 0); crowd.Float64() < r.OverloadedDayShare {
+		load, d.Clients.RatePerSecond = r.OverloadedLoad.draw(crowd), r.OverloadedRatePerSecond.draw(crowd)
+	}
+	longer := 1.0
+	if long := randomStream(seed, "long", 0); long.Float64() < r.LongRequestDayShare {
+		longer = r.LongRequestFactor.draw(long)
+		d.Clients.RatePerSecond /= longer
+	}
+	d.setPace(load, longer)
+	d.Discovery = DiscoverySpec{
+		FailureNoticeSeconds: r.FailureNoticeSeconds.draw(rng), SilentNoticeSeconds: r.SilentNoticeSeconds.draw(rng), StartNoticeSeconds: r.StartNoticeSeconds.draw(rng),
+		PublishIntervalSeconds: r.PublishIntervalMillis.draw(rng) / 1e3, DeliverySeconds: r.DeliveryMillis.draw(rng) / 1e3, CallsPerSecond: r.CallsPerSecond.draw(rng),
+		EntriesPerCall: r.EntriesPerCall.draw(rng), CallTimeoutSeconds: 1, KeepAliveSeconds: 2, OldAddressSeconds: 1.5,
+	}
+	for i := range maxDiscoveryAddresses {
+		ip := fmt.Sprintf("10.2.0.%d", i+1)
+		d.Discovery.IPs = append(d.Discovery.IPs, ip)
+		d.Discovery.Addresses = append(d.Discovery.Addresses, ip+":2300")
+	}
+	d.Clients.MarksRetries, d.ReportsInline = rng.IntN(3) == 0, rng.IntN(3) == 0
+	return d
+}
+
+func (d *Day) drawPaths(rng *rand.Rand, r Ranges) {
+	d.PathSeconds = make([][]float64, len(d.Sites))
+	for i := range d.PathSeconds {
+		d.PathSeconds[i] = make([]float64, len(d.Sites))
+		d.PathSeconds[i][i] = r.SameSiteMillis.draw(rng) / 1e3
+		for j := range i {
+			d.PathSeconds[i][j] = r.CrossSiteMillis.draw(rng) / 1e3
+			d.PathSeconds[j][i] = d.PathSeconds[i][j]
+		}
+	}
+	d.ClientPathSeconds, d.Jitter, d.ConnIdleSeconds = r.ClientMillis.draw(rng)/1e3, r.Jitter.draw(rng), r.ConnIdleSeconds.draw(rng)
+	d.MaxDescriptors, d.MemoryMB = 256<<rng.IntN(3), 192
+}
+
+func (d *Day) drawSidecars(rng *rand.Rand, r Ranges) {
+	skew, sum := r.SidecarSkew.draw(rng), 0.0
+	for i := range r.Sidecars.count(rng) {
+		ip := fmt.Sprintf("10.0.%d.%d", (i+1)>>8, (i+1)&255)
+		s := SidecarSpec{Name: "n" + strconv.Itoa(i), IP: ip, Address: ip + ":8080", Site: i % len(d.Sites),
+			Share: logNormalFactor(rng, skew), Seed: rng.Uint64()}
+		sum += s.Share
+		d.Sidecars = append(d.Sidecars, s)
+	}
+	for i := range d.Sidecars {
+		d.Sidecars[i].Share /= sum
+	}
+}
+
+// spareBoxes is how many boxes beyond those that stand at the start a day can bring in.
+const spareServers = 8
+
+func (d *Day) drawServers(rng *rand.Rand, r Ranges) {
+	var shares []float64
+	sum := 0.0
+	for _, k := range r.ServerKinds {
+		d.ServerKinds = append(d.ServerKinds, k.Name)
+		shares = append(shares, k.Share.draw(rng))
+		sum += shares[len(shares)-1]
+	}
+	cellSize := 6 + rng.IntN(5)
+	cv := make([]float64, len(r.ServerKinds))
+	for i, k := range r.ServerKinds {
+		cv[i] = k.SpeedCV.draw(rng)
+	}
+	taken := map[uint32]bool{}
+	for n := range d.InitialServers + spareServers {
+		kind, at := 0, rng.Float64()*sum
+		for kind < len(shares)-1 && at >= shares[kind] {
+			at -= shares[kind]
+			kind++
+		}
+		id := rng.Uint32()
+		for taken[id] {
+			id++
+		}
+		taken[id] = true
+		site := n % len(d.Sites)
+		ip := fmt.Sprintf("10.%d.%d.%d", 1+n/250, site, n%250+1)
+		b := drawServer(rng, r, r.ServerKinds[kind], cv[kind])
+		b.Number, b.Name, b.IP, b.Address = n, fmt.Sprintf("s-%08x", id), ip, ip+":3000"
+		b.Site, b.Kind, b.Cell = site, kind, n/cellSize
+		b.IdleTimeoutSeconds = d.ConnIdleSeconds
+		d.Servers = append(d.Servers, b)
+	}
+}
+
+func drawServer(rng *rand.Rand, r Ranges, k ServerKindRanges, speedCV float64) ServerSpec {
+	slots := k.Slots.count(rng)
+	b := ServerSpec{
+		Speed: k.Speed.draw(rng) * logNormalFactor(rng, speedCV), Slots: slots,
+		QueueLimit: int(k.QueuePerSlot.draw(rng)) * slots, ThrashFactor: k.ThrashFactor.draw(rng), ThrashThreshold: k.ThrashThreshold.draw(rng),
+		ColdCapacity: k.ColdCapacity.draw(rng), WarmupSeconds: k.WarmupSeconds.draw(rng), WarmupWorkSeconds: r.WarmupWorkSeconds.draw(rng),
+		PauseIntervalSeconds: k.PauseIntervalSeconds.draw(rng), PauseSeconds: k.PauseMillis.draw(rng) / 1e3, ErrorShare: k.ErrorShare.draw(rng),
+		Overload:              OverloadSpec{Multiple: overloadMultiple, WindowSeconds: overloadWindowSeconds},
+		ReportIntervalSeconds: r.ReportIntervalMillis.draw(rng) / 1e3, ReportLagSeconds: r.ReportLagMillis.draw(rng) / 1e3,
+		ReportNoise: r.ReportNoise.draw(rng), MaxConnections: int(r.ConnectionsPerSlot.draw(rng)) * slots, ConnectionOverhead: r.ConnectionOverhead.draw(rng),
+		HandshakeSeconds: r.HandshakeMillis.draw(rng) / 1e3, HealthCheckSeconds: r.HealthCheckMillis.draw(rng) / 1e3,
+		HealthChecksPerSecond: r.HealthChecksPerSlot.draw(rng) * float64(slots), DropsCancelled: rng.Float64() < 0.2,
+	}
+	b.Weight = math.Round(float64(slots)*k.Speed.draw(rng)*4) / 4 // as registered: roughly the size
+	return b
+}
+
+func (d *Day) drawClasses(rng *rand.Rand, r Ranges) {
+	sum := 0.0
+	for _, c := range r.Classes {
+		s := ClassSpec{ClassRanges: c, Effect: effects[c.Effect], Group: groups[c.Group], Share: c.Share.draw(rng),
+			MeanWorkSeconds: c.RelativeWork.draw(rng), WorkCV: c.WorkCV.draw(rng), BodyBytes: int(c.BodyBytes.draw(rng))}
+		sum += s.Share
+		d.Classes = append(d.Classes, s)
+	}
+	for i := range d.Classes {
+		d.Classes[i].Share /= sum
+	}
+}
+
+var (
+	effects = map[string]checker.Effect{"safe": checker.Safe, "keyed": checker.Keyed, "unsafe": checker.Unsafe}
+	groups  = map[string]checker.Group{"": checker.GroupAll, "all": checker.GroupAll, "zone": checker.GroupZone, "cell": checker.GroupCell}
+)
+
+// standardWorkS is the mean work of a request at which the classes' times are as their ranges name them.
+const standardWorkSeconds = 0.1
+
+// pace sets the size of requests so that the boxes are loaded as given, and the classes' times with it; longer is how many times as
+// long as usual they may be.
+func (d *Day) setPace(load, longer float64) {
+	d.OverloadWindowSeconds = overloadWindowSeconds * longer // or one request of usual size would be more than a box bears
+	capacity, mean := 0.0, 0.0
+	for _, b := range d.Servers[:d.InitialServers] {
+		capacity += b.Speed * float64(b.Slots)
+	}
+	for _, c := range d.Classes {
+		mean += c.Share * c.MeanWorkSeconds
+	}
+	d.MeanWorkSeconds = load * capacity / d.Clients.RatePerSecond
+	for i := range d.Classes {
+		c := &d.Classes[i]
+		c.MeanWorkSeconds *= d.MeanWorkSeconds / mean
+		// Danger: times that shrink as far as the work would fall below what a tick and two ways take.
+		pace := min(max(d.MeanWorkSeconds/standardWorkSeconds, 0.4), 1.5*longer)
+		c.LatencyTargetSeconds = math.Round(c.ClassRanges.LatencyTargetSeconds*pace*1e3) / 1e3
+		c.TotalTimeoutSeconds = math.Round(c.ClassRanges.TotalTimeoutSeconds*pace*1e3) / 1e3
+	}
+	for i := range d.Servers {
+		// What chance brings beyond the budget of a window is not held against anybody: a few requests' work. Danger:
+		// a slow box that begins at a sixth of its capacity bears two mean requests a window, and one heavy one brings
+		// it down whoever has sent it.
+		d.Servers[i].Overload.WindowSeconds = d.OverloadWindowSeconds
+		d.Servers[i].Overload.SlackSeconds = overloadSlackRequests * d.MeanWorkSeconds / d.Servers[i].Speed
+	}
+}
--- a/internal/environment/draw.go
+++ b/internal/environment/random.go
@@ -32,3 +32,8 @@
 	sigma := math.Sqrt(math.Log1p(cv * cv))
 	return math.Exp(sigma*rng.NormFloat64() - sigma*sigma/2)
 }
+
+// between draws a figure and rounds it to milliseconds, so that a script can be read and edited.
+func uniform(rng *rand.Rand, least, most float64) float64 {
+	return math.Round((least+(most-least)*rng.Float64())*1e3) / 1e3
+}
--- /dev/null
+++ b/internal/environment/thriftclient.go
@@ -0,0 +1,138 @@
+package environment
+
+import (
+	"strings"
+
+	"hazelwheel/internal/http1"
+	"hazelwheel/internal/thrift"
+)
+
+// answerReader reads a sidecar's answer.
+type responseReader struct {
+	speech Protocol
+	http   http1.ResponseParser
+	begun  bool
+	Status int // as over HTTP
+	Body   []byte
+	after  string // when to come again, in seconds; "": there is no word of it
+}
+
+func newResponseReader(s Protocol) responseReader {
+	return responseReader{speech: s, http: http1.NewResponseParser(messageLimits)}
+}
+
+// Next reads on and tells whether the answer is whole.
+func (r *responseReader) Next(buf *http1.Buffer) (bool, error) {
+	if r.speech.IsThrift() {
+		return r.nextThrift(buf)
+	}
+	whole, err := r.http.Next(buf)
+	r.begun = r.http.HasBegun()
+	r.Status, r.Body, r.after = r.http.Status, r.http.Body, r.http.Header.Get(fieldRetryAfter)
+	return whole, err
+}
+
+// Begun tells whether anything of the answer has come.
+func (r *responseReader) Begun() bool { return r.begun }
+
+// Keep tells whether the answer lets its connection be used again.
+func (r *responseReader) Keep() bool { return r.speech.IsThrift() || r.http.IsPersistent() }
+
+var resultPath = []thrift.Path{{0}}
+
+func (r *responseReader) nextThrift(buf *http1.Buffer) (bool, error) {
+	r.begun = r.begun || buf.Len() > 0
+	payload, size, err := thrift.CutFrame(buf.Bytes(), messageLimits.BufferedBodyBytes)
+	if err != nil || size == 0 {
+		return false, err
+	}
+	m, err := thrift.ParseMessage(payload)
+	if err != nil {
+		return false, err
+	}
+	if m.Kind != thrift.Exception {
+		var found [thrift.MaxPaths]thrift.Value
+		if err := m.Find(resultPath, &found); err != nil {
+			return false, err
+		}
+		r.Status, r.Body = 200, append([]byte(nil), found[0].Bytes...)
+		buf.Discard(size)
+		return true, nil
+	}
+	kind, text, err := m.DecodeException()
+	switch r.Status = 400; kind {
+	case thrift.LoadShedding:
+		r.Status = 503
+	case thrift.TimedOutException:
+		r.Status = 504
+	case thrift.InternalError:
+		r.Status = 502
+	}
+	_, r.after, _ = strings.Cut(string(text), "retry-after=")
+	buf.Discard(size)
+	return true, err
+}
+
+// appendCall appends a request of the application as a call.
+func (a *Application) appendCall(dst []byte, k *operation) []byte {
+	var w thrift.Writer
+	w.BeginMessage(dst, a.day.Protocol.encoding(), thrift.Call, a.day.Classes[k.class].Name, int32(k.request))
+	w.FieldHeader(thrift.String, argID)
+	w.String(string(appendID(nil, k.request)))
+	if k.idempotencyKey != 0 {
+		w.FieldHeader(thrift.String, argKey)
+		w.String(string(appendID(nil, k.idempotencyKey)))
+	}
+	w.FieldHeader(thrift.I64, argTimeout)
+	w.I64(max(1, int64((k.requestDeadline-a.net.Now())*1e6)))
+	if k.requests > 1 && a.spec.MarksRetries {
+		w.FieldHeader(thrift.Bool, argRetry)
+		w.Bool(true)
+	}
+	w.FieldHeader(thrift.String, argBody)
+	w.Bytes(a.body[:k.bodySize])
+	return w.EndMessage()
+}
+
+// bad sends what no Thrift port may take for a call, and tells whether a client of this kind has such a thing; others send it
+// what belongs to HTTP. What is hidden or half must never run: it has ids that nobody has asked with.
+func (m *HostileClients) sendMalformedCall(v *hostileConn, now float64, class string) bool {
+	call := func(dst []byte, name string, patience int64) []byte {
+		var w thrift.Writer
+		w.BeginMessage(dst, m.day.Protocol.encoding(), thrift.Call, name, 1)
+		w.FieldHeader(thrift.String, argID)
+		w.String(string(appendID(nil, m.rng.Uint64()|1)))
+		w.FieldHeader(thrift.I64, argTimeout)
+		w.I64(patience)
+		return w.EndMessage()
+	}
+	out := m.out[:0]
+	switch v.kind {
+	case sendsNegativeLength:
+		out = append(call(out, class, 1e6), 0xff, 0xff, 0xff, 0xff)
+		copy(out, out[len(out)-4:])
+	case sendsHugeBody:
+		out = append(out, hugeBody>>24, hugeBody>>16&0xff, hugeBody>>8&0xff, hugeBody&0xff, 0x82)
+		m.tasks.add(now, hostileTask{conn: v})
+	case sendsEndlessHead: // a frame that goes on for as long as it may
+		out = append(out, 0, 0, 0xff, 0xff, 0x82, 0x21)
+		m.tasks.add(now, hostileTask{conn: v})
+	case requestsUnknownClass:
+		out = call(out, "no-such-method", 1e6)
+	case requestsOddDeadline:
+		out = call(out, class, -1)
+	case requestsHalf:
+		out = call(out, class, 1e6)
+		out = out[:len(out)/2]
+		m.tasks.add(now+m.rng.Float64(), hostileTask{conn: v, closes: true})
+	case smugglesRequest: // in the same frame
+		out = call(out, class, 1e6)
+		out = call(out, class, 1e6)
+		out[2], out[3] = byte((len(out)-4)>>8), byte(len(out)-4)
+	default:
+		return false
+	}
+	m.out = out
+	v.conn.Write(out) // a connection that breaks here is closed by the network
+	return true
+}
