--- a/internal/environment/abandon.go
+++ b/internal/environment/abandon.go
@@ -17,7 +17,7 @@
 }
 
 // leavesEarly draws whether the client of a try that begins now leaves early, and when.
-func (a *Application) drawEarlyAbandon(k *operation, now float64) (at float64, leaves bool) {
+func (a *Application) drawEarlyAbandon(op *operation, now float64) (at float64, leaves bool) {
 	if now >= a.earlyUntil || a.earlyAbandons.Float64() >= a.earlyShare {
 		return 0, false
 	}
@@ -25,19 +25,19 @@
 		a.nextAbandonBurst += minAbandonBurstSeconds + (maxAbandonBurstSeconds-minAbandonBurstSeconds)*a.earlyAbandons.Float64()
 	}
 	if at = a.nextAbandonBurst; a.earlyAbandons.IntN(2) == 0 {
-		at = now + a.earlyAbandons.Float64()*(k.requestDeadline-now)
+		at = now + a.earlyAbandons.Float64()*(op.requestDeadline-now)
 	}
-	return at, at < k.requestDeadline
+	return at, at < op.requestDeadline
 }
 
 // departEarly has a client leave before its time is over; one in four ends its direction of the connection alone and reads on.
-func (a *Application) abandonEarly(k *operation, now float64) {
-	link := k.conn
-	if out := link != nil && link.conn != nil && link.operation == k && link.isSent; out && a.earlyAbandons.IntN(4) == 0 {
-		link.isHalfClosed = true
-		a.observe(checker.RequestHalfClosed, k, link)
-		a.net.CloseWrite(link.conn)
+func (a *Application) abandonEarly(op *operation, now float64) {
+	conn := op.conn
+	if out := conn != nil && conn.conn != nil && conn.operation == op && conn.isSent; out && a.earlyAbandons.IntN(4) == 0 {
+		conn.isHalfClosed = true
+		a.observe(checker.RequestHalfClosed, op, conn)
+		a.net.CloseWrite(conn.conn)
 		return
 	}
-	a.abandon(k, now)
+	a.abandon(op, now)
 }
--- a/internal/environment/application.go
+++ b/internal/environment/application.go
@@ -78,20 +78,20 @@
 const readyIntervalSeconds = 0.05
 
 // NewApplication returns the application beside a sidecar.
-func NewApplication(d *Day, sidecar int, w checker.Observer) *Application {
-	return &Application{number: int32(sidecar), day: d, spec: &d.Clients, observer: w, arrivals: randomStream(d.Seed, "arrivals", sidecar),
-		ids: randomStream(d.Seed, "ids", sidecar), behavior: randomStream(d.Seed, "clients", sidecar), earlyAbandons: randomStream(d.Seed, "early", sidecar), armed: math.Inf(1), drainAt: math.Inf(1),
+func NewApplication(day *Day, sidecar int, observer checker.Observer) *Application {
+	return &Application{number: int32(sidecar), day: day, spec: &day.Clients, observer: observer, arrivals: randomStream(day.Seed, "arrivals", sidecar),
+		ids: randomStream(day.Seed, "ids", sidecar), behavior: randomStream(day.Seed, "clients", sidecar), earlyAbandons: randomStream(day.Seed, "early", sidecar), armed: math.Inf(1), drainAt: math.Inf(1),
 		body: []byte(bodyText)}
 }
 
 // NewBatch returns the batch beside a sidecar: it sends requests of one class in the name of an organisation, whatever
 // becomes of the applications. It tries again as they do. The service is not measured by it.
-func NewBatch(d *Day, sidecar int, w checker.Observer) *Application {
-	a := NewApplication(d, sidecar, w)
-	a.batch, a.lastConnNumber = d.Batch, firstBatchConn
-	a.arrivals, a.ids, a.behavior = randomStream(d.Seed, "batch arrivals", sidecar), randomStream(d.Seed, "batch ids", sidecar), randomStream(d.Seed, "batch", sidecar)
-	spec := d.Clients
-	spec.RatePerSecond = d.Batch.RatePerSecond
+func NewBatch(day *Day, sidecar int, observer checker.Observer) *Application {
+	a := NewApplication(day, sidecar, observer)
+	a.batch, a.lastConnNumber = day.Batch, firstBatchConn
+	a.arrivals, a.ids, a.behavior = randomStream(day.Seed, "batch arrivals", sidecar), randomStream(day.Seed, "batch ids", sidecar), randomStream(day.Seed, "batch", sidecar)
+	spec := day.Clients
+	spec.RatePerSecond = day.Batch.RatePerSecond
 	a.spec = &spec
 	return a
 }
@@ -112,20 +112,20 @@
 }
 
 // see tells the witness of a try.
-func (a *Application) event(kind checker.Kind, k *operation, link *clientConn) checker.Event {
+func (a *Application) event(kind checker.Kind, op *operation, conn *clientConn) checker.Event {
 	now := a.net.Now()
 	e := checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: a.number, Server: -1, Class: -1}
-	if k != nil {
-		e.Request, e.FirstRequest, e.Class, e.Deadline, e.Uncounted = k.request, k.firstRequest, int32(k.class), k.requestDeadline, a.batch != nil
+	if op != nil {
+		e.Request, e.FirstRequest, e.Class, e.Deadline, e.Uncounted = op.request, op.firstRequest, int32(op.class), op.requestDeadline, a.batch != nil
 	}
-	if link != nil {
-		e.Connection, e.Reused = link.number, link.uses > 1
+	if conn != nil {
+		e.Connection, e.Reused = conn.number, conn.uses > 1
 	}
 	return e
 }
 
-func (a *Application) observe(kind checker.Kind, k *operation, link *clientConn) {
-	a.observer.Observe(a.event(kind, k, link))
+func (a *Application) observe(kind checker.Kind, op *operation, conn *clientConn) {
+	a.observer.Observe(a.event(kind, op, conn))
 }
 
 // Alarm does what is due.
@@ -137,7 +137,7 @@
 		if !ok {
 			break
 		}
-		k := t.operation
+		op := t.operation
 		switch t.kind {
 		case taskProbeReady:
 			if !a.ready {
@@ -146,16 +146,16 @@
 		case taskArrival:
 			a.startOperation(due, now)
 		case taskRetry:
-			if !k.isFinished && !a.isDisconnected(now) {
-				a.startRequest(k, now)
+			if !op.isFinished && !a.isDisconnected(now) {
+				a.startRequest(op, now)
 			}
 		case taskTimeout:
-			if !k.isFinished && k.request == t.request {
-				a.abandon(k, now)
+			if !op.isFinished && op.request == t.request {
+				a.abandon(op, now)
 			}
 		case taskAbandon:
-			if !k.isFinished && k.request == t.request {
-				a.abandonEarly(k, now)
+			if !op.isFinished && op.request == t.request {
+				a.abandonEarly(op, now)
 			}
 		case taskEnd:
 			a.closeIdle()
@@ -173,9 +173,9 @@
 
 func (a *Application) probeReady(now float64) {
 	a.lastConnNumber++
-	link := &clientConn{app: a, number: uint64(a.number+1)<<48 | a.lastConnNumber, isReadinessProbe: true, response: newResponseReader(HTTP)}
+	conn := &clientConn{app: a, number: uint64(a.number+1)<<48 | a.lastConnNumber, isReadinessProbe: true, response: newResponseReader(HTTP)}
 	a.openConns++
-	a.net.Dial(a.day.Sidecars[a.number].Address, now+1, link, func(err error) {
+	a.net.Dial(a.day.Sidecars[a.number].Address, now+1, conn, func(err error) {
 		if err != nil {
 			a.openConns--
 		}
--- a/internal/environment/arrivals.go
+++ b/internal/environment/arrivals.go
@@ -22,10 +22,10 @@
 
 // nextArrival returns when the next request comes after a time.
 func (a *Application) nextArrival(at float64) float64 {
-	most := a.spec.RatePerSecond * a.day.Sidecars[a.number].Share * (1 + a.spec.Swing) * a.spec.BurstFactor
+	maximum := a.spec.RatePerSecond * a.day.Sidecars[a.number].Share * (1 + a.spec.Swing) * a.spec.BurstFactor
 	for {
-		at += a.arrivals.ExpFloat64() / most
-		if a.arrivals.Float64()*most <= a.rateAt(at) {
+		at += a.arrivals.ExpFloat64() / maximum
+		if a.arrivals.Float64()*maximum <= a.rateAt(at) {
 			return at
 		}
 	}
@@ -50,22 +50,22 @@
 		at -= a.day.Classes[class].Share
 		class++
 	}
-	c := &a.day.Classes[class]
-	k := &operation{class: class, deadline: now + c.TotalTimeoutSeconds}
-	if c.BodyBytes > 0 {
-		k.bodySize = 1 + a.arrivals.IntN(2*c.BodyBytes)
+	spec := &a.day.Classes[class]
+	op := &operation{class: class, deadline: now + spec.TotalTimeoutSeconds}
+	if spec.BodyBytes > 0 {
+		op.bodySize = 1 + a.arrivals.IntN(2*spec.BodyBytes)
 	}
-	if c.Effect == checker.Keyed {
-		k.idempotencyKey = a.ids.Uint64()
+	if spec.Effect == checker.Keyed {
+		op.idempotencyKey = a.ids.Uint64()
 	}
-	a.startRequest(k, now)
+	a.startRequest(op, now)
 }
 
 // longest returns the longest time that a request may have.
 func (a *Application) longestTimeout() float64 {
-	most := 0.0
-	for _, c := range a.day.Classes {
-		most = max(most, c.TotalTimeoutSeconds)
+	maximum := 0.0
+	for _, class := range a.day.Classes {
+		maximum = max(maximum, class.TotalTimeoutSeconds)
 	}
-	return most
+	return maximum
 }
--- a/internal/environment/configuration.go
+++ b/internal/environment/configuration.go
@@ -12,28 +12,28 @@
 
 // StartConfiguration returns the configuration that a sidecar's new process begins with. The list in it may be old. The
 // witness is told of the start and of the list.
-func (w *Environment) StartConfiguration(sidecar int, now float64) []byte {
-	age := randomStream(w.Day.Seed, "known", sidecar).Float64() * maxKnownAgeSeconds
-	index, list := w.Discovery.asOf(max(now-age, w.Day.Start))
-	w.observer.Observe(checker.Event{Kind: checker.SidecarStarted, At: now, Sidecar: int32(sidecar), Server: -1})
-	w.Discovery.observeDelivery(int32(sidecar), index, list, 0, true, now)
-	return w.configuration(sidecar, w.Discovery.formatList(index, list, 0, true))
+func (e *Environment) StartConfiguration(sidecar int, now float64) []byte {
+	age := randomStream(e.Day.Seed, "known", sidecar).Float64() * maxKnownAgeSeconds
+	index, list := e.Discovery.asOf(max(now-age, e.Day.Start))
+	e.observer.Observe(checker.Event{Kind: checker.SidecarStarted, At: now, Sidecar: int32(sidecar), Server: -1})
+	e.Discovery.observeDelivery(int32(sidecar), index, list, 0, true, now)
+	return e.configuration(sidecar, e.Discovery.formatList(index, list, 0, true))
 }
 
 // ReloadConfiguration returns what a sidecar's configuration says now to a process that is told to read it again.
-func (w *Environment) ReloadConfiguration(sidecar int) []byte {
-	index, list := w.Discovery.asOf(w.Day.Start)
-	return w.configuration(sidecar, w.Discovery.formatList(index, list, 0, true))
+func (e *Environment) ReloadConfiguration(sidecar int) []byte {
+	index, list := e.Discovery.asOf(e.Day.Start)
+	return e.configuration(sidecar, e.Discovery.formatList(index, list, 0, true))
 }
 
 type object = map[string]any
 
-func (w *Environment) configuration(sidecar int, known []byte) []byte {
-	d, s := w.Day, &w.Day.Sidecars[sidecar]
-	raw, err := json.Marshal(object{"name": s.Name, "listen": s.Address, "discovery": w.Discovery.Address(),
-		"seed":   fmt.Sprintf("%016x", s.Seed),
-		"limits": object{"cores": 1, "memory_mb": d.MemoryMB, "sockets": d.MaxDescriptors},
-		"known":  json.RawMessage(known), "settings": d.settings(sidecar)})
+func (e *Environment) configuration(sidecar int, known []byte) []byte {
+	day, spec := e.Day, &e.Day.Sidecars[sidecar]
+	raw, err := json.Marshal(object{"name": spec.Name, "listen": spec.Address, "discovery": e.Discovery.Address(),
+		"seed":   fmt.Sprintf("%016x", spec.Seed),
+		"limits": object{"cores": 1, "memory_mb": day.MemoryMB, "sockets": day.MaxDescriptors},
+		"known":  json.RawMessage(known), "settings": day.settings(sidecar)})
 	if err != nil {
 		panic(err) // all of it is ours, and can be marshalled
 	}
@@ -48,9 +48,9 @@
 // settings returns the settings object that a sidecar finds in its configuration.
 func (d *Day) settings(sidecar int) object {
 	var classes []object
-	for _, c := range d.Classes {
-		classes = append(classes, object{"name": c.Name, "effect": effectText[c.Effect], "dedupScope": groupText[c.Group],
-			"giveUpS": c.TotalTimeoutSeconds, "objectiveS": c.LatencyTargetSeconds, "windowS": c.DedupWindowSeconds, "importance": c.PriorityWeight, "lateWorth": c.LateFraction,
+	for _, class := range d.Classes {
+		classes = append(classes, object{"name": class.Name, "effect": effectText[class.Effect], "dedupScope": groupText[class.Group],
+			"giveUpS": class.TotalTimeoutSeconds, "objectiveS": class.LatencyTargetSeconds, "windowS": class.DedupWindowSeconds, "importance": class.PriorityWeight, "lateWorth": class.LateFraction,
 			"stream": false})
 	}
 	how := "on_probe"
--- a/internal/environment/day.go
+++ b/internal/environment/day.go
@@ -163,12 +163,12 @@
 		OverloadWindowSeconds: cmp.Or(d.OverloadWindowSeconds, overloadWindowSeconds), ColdLoadShare: 2.0 / 3, FailFastSeconds: 0.25, MaxAttempts: maxAttempts,
 	}
 	r.FleetCallsSeconds = float64(len(d.Sidecars)) * d.Discovery.callSeconds(len(d.Servers))
-	for _, c := range d.Classes {
-		r.Classes = append(r.Classes, checker.Class{Name: c.Name, Effect: c.Effect, Group: c.Group, DedupWindowSeconds: c.DedupWindowSeconds,
-			LatencyTargetSeconds: c.LatencyTargetSeconds, PriorityWeight: c.PriorityWeight, LateFraction: c.LateFraction})
+	for _, class := range d.Classes {
+		r.Classes = append(r.Classes, checker.Class{Name: class.Name, Effect: class.Effect, Group: class.Group, DedupWindowSeconds: class.DedupWindowSeconds,
+			LatencyTargetSeconds: class.LatencyTargetSeconds, PriorityWeight: class.PriorityWeight, LateFraction: class.LateFraction})
 	}
-	for _, s := range d.Sidecars {
-		r.SidecarZones = append(r.SidecarZones, int32(s.Site))
+	for _, sidecar := range d.Sidecars {
+		r.SidecarZones = append(r.SidecarZones, int32(sidecar.Site))
 	}
 	return r
 }
@@ -178,7 +178,7 @@
 
 // Shorten leaves out sidecars, boxes and time, for whoever looks for the smallest day that still shows something; 0
 // keeps all. What stays is drawn as before.
-func (d *Day) Shorten(sidecars, boxes int, lengthS float64) {
+func (d *Day) Shorten(sidecars, boxes int, lengthSeconds float64) {
 	if sidecars > 0 && sidecars < len(d.Sidecars) {
 		d.Sidecars = d.Sidecars[:sidecars]
 	}
@@ -189,7 +189,7 @@
 		}
 		d.InitialServers = boxes
 	}
-	if lengthS > 0 {
-		d.LengthSeconds = min(d.LengthSeconds, lengthS)
+	if lengthSeconds > 0 {
+		d.LengthSeconds = min(d.LengthSeconds, lengthSeconds)
 	}
 }
--- a/internal/environment/daydraw.go
+++ b/internal/environment/daydraw.go
@@ -68,10 +68,10 @@
 	skew, sum := r.SidecarSkew.draw(rng), 0.0
 	for i := range r.Sidecars.count(rng) {
 		ip := fmt.Sprintf("10.0.%d.%d", (i+1)>>8, (i+1)&255)
-		s := SidecarSpec{Name: "n" + strconv.Itoa(i), IP: ip, Address: ip + ":8080", Site: i % len(d.Sites),
+		sidecar := SidecarSpec{Name: "n" + strconv.Itoa(i), IP: ip, Address: ip + ":8080", Site: i % len(d.Sites),
 			Share: logNormalFactor(rng, skew), Seed: rng.Uint64()}
-		sum += s.Share
-		d.Sidecars = append(d.Sidecars, s)
+		sum += sidecar.Share
+		d.Sidecars = append(d.Sidecars, sidecar)
 	}
 	for i := range d.Sidecars {
 		d.Sidecars[i].Share /= sum
@@ -162,17 +162,17 @@
 	for _, b := range d.Servers[:d.InitialServers] {
 		capacity += b.Speed * float64(b.Slots)
 	}
-	for _, c := range d.Classes {
-		mean += c.Share * c.MeanWorkSeconds
+	for _, class := range d.Classes {
+		mean += class.Share * class.MeanWorkSeconds
 	}
 	d.MeanWorkSeconds = load * capacity / d.Clients.RatePerSecond
 	for i := range d.Classes {
-		c := &d.Classes[i]
-		c.MeanWorkSeconds *= d.MeanWorkSeconds / mean
+		class := &d.Classes[i]
+		class.MeanWorkSeconds *= d.MeanWorkSeconds / mean
 		// Danger: times that shrink as far as the work would fall below what a tick and two ways take.
 		pace := min(max(d.MeanWorkSeconds/standardWorkSeconds, 0.4), 1.5*longer)
-		c.LatencyTargetSeconds = math.Round(c.ClassRanges.LatencyTargetSeconds*pace*1e3) / 1e3
-		c.TotalTimeoutSeconds = math.Round(c.ClassRanges.TotalTimeoutSeconds*pace*1e3) / 1e3
+		class.LatencyTargetSeconds = math.Round(class.ClassRanges.LatencyTargetSeconds*pace*1e3) / 1e3
+		class.TotalTimeoutSeconds = math.Round(class.ClassRanges.TotalTimeoutSeconds*pace*1e3) / 1e3
 	}
 	for i := range d.Servers {
 		// What chance brings beyond the budget of a window is not held against anybody: a few requests' work. Danger:
--- a/internal/environment/discovery.go
+++ b/internal/environment/discovery.go
@@ -61,215 +61,215 @@
 }
 
 // NewRegistry returns a discovery service that lists the boxes that stand at the day's start.
-func NewDiscovery(d *Day, w checker.Observer) *Discovery {
-	r := &Discovery{day: d, spec: &d.Discovery, observer: w, sidecars: newSidecarAddresses(d), rng: randomStream(d.Seed, "discovery", 0),
-		entries: make([]entry, len(d.Servers)), known: make([]knownServer, len(d.Servers)), index: 40, nextPublishAt: d.Start}
-	for i := range d.Servers[:d.InitialServers] {
-		r.known[i].entry = entry{status: checker.Serving, address: d.Servers[i].Address}
-		r.apply(change{server: i, entry: r.known[i].entry, at: d.Start})
+func NewDiscovery(day *Day, observer checker.Observer) *Discovery {
+	discovery := &Discovery{day: day, spec: &day.Discovery, observer: observer, sidecars: newSidecarAddresses(day), rng: randomStream(day.Seed, "discovery", 0),
+		entries: make([]entry, len(day.Servers)), known: make([]knownServer, len(day.Servers)), index: 40, nextPublishAt: day.Start}
+	for i := range day.Servers[:day.InitialServers] {
+		discovery.known[i].entry = entry{status: checker.Serving, address: day.Servers[i].Address}
+		discovery.apply(change{server: i, entry: discovery.known[i].entry, at: day.Start})
 	}
-	return r
+	return discovery
 }
 
 // Up tells the registry of a box's new life.
-func (r *Discovery) ServerStarted(box int, address string, since, now float64) {
-	r.known[box].incarnation++
-	r.scheduleChange(box, entry{status: checker.Serving, address: address, servingSince: since}, now+r.spec.StartNoticeSeconds)
+func (d *Discovery) ServerStarted(server int, address string, since, now float64) {
+	d.known[server].incarnation++
+	d.scheduleChange(server, entry{status: checker.Serving, address: address, servingSince: since}, now+d.spec.StartNoticeSeconds)
 }
 
 // Drained tells it that a box drains.
-func (r *Discovery) ServerDraining(box int, now float64) {
-	e := r.known[box].entry
+func (d *Discovery) ServerDraining(server int, now float64) {
+	e := d.known[server].entry
 	e.status = checker.Draining
-	r.scheduleChange(box, e, now+r.spec.StartNoticeSeconds/4)
+	d.scheduleChange(server, e, now+d.spec.StartNoticeSeconds/4)
 }
 
 // Lost tells it that a box's process has gone, or that its machine has gone silent.
-func (r *Discovery) ServerStopped(box int, silent bool, now float64) {
-	e := r.known[box].entry
+func (d *Discovery) ServerStopped(server int, silent bool, now float64) {
+	e := d.known[server].entry
 	e.status = checker.Deleted
-	at := now + r.spec.FailureNoticeSeconds
+	at := now + d.spec.FailureNoticeSeconds
 	if silent {
-		at = now + r.spec.SilentNoticeSeconds
+		at = now + d.spec.SilentNoticeSeconds
 	}
-	r.scheduleChange(box, e, at)
+	d.scheduleChange(server, e, at)
 }
 
-func (r *Discovery) scheduleChange(box int, e entry, at float64) {
-	k := &r.known[box]
-	k.dueAt, k.entry = max(k.dueAt, at+r.DelaySeconds), e
-	r.pending.add(k.dueAt, change{server: box, incarnation: k.incarnation, entry: e, at: k.dueAt})
-	r.updateAlarms()
+func (d *Discovery) scheduleChange(server int, e entry, at float64) {
+	k := &d.known[server]
+	k.dueAt, k.entry = max(k.dueAt, at+d.DelaySeconds), e
+	d.pending.add(k.dueAt, change{server: server, incarnation: k.incarnation, entry: e, at: k.dueAt})
+	d.updateAlarms()
 }
 
 // take puts a change into the list.
-func (r *Discovery) apply(c change) {
-	r.index++
-	c.entry.index = r.index
-	r.entries[c.server] = c.entry
-	r.changes = append(r.changes, c)
-	r.observeEntry(checker.ListChanged, -1, c.server, c.entry, r.index, c.at)
+func (d *Discovery) apply(c change) {
+	d.index++
+	c.entry.index = d.index
+	d.entries[c.server] = c.entry
+	d.changes = append(d.changes, c)
+	d.observeEntry(checker.ListChanged, -1, c.server, c.entry, d.index, c.at)
 }
 
-func (r *Discovery) observeEntry(kind checker.Kind, sidecar int32, box int, e entry, index uint64, now float64) {
-	r.observer.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Server: int32(box), Status: e.status,
+func (d *Discovery) observeEntry(kind checker.Kind, sidecar int32, server int, e entry, index uint64, now float64) {
+	d.observer.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Server: int32(server), Status: e.status,
 		ServingSince: e.servingSince, Address: e.address, ListIndex: index})
 }
 
 // due returns when the registry has something to do.
-func (r *Discovery) nextAt() float64 {
+func (d *Discovery) nextAt() float64 {
 	at := math.Inf(1)
-	if !r.isDown && len(r.pending.heap) > 0 {
-		at = max(r.nextPublishAt, r.pending.nextAt())
+	if !d.isDown && len(d.pending.heap) > 0 {
+		at = max(d.nextPublishAt, d.pending.nextAt())
 	}
-	if r.isServingCall {
-		at = min(at, r.callDoneAt)
+	if d.isServingCall {
+		at = min(at, d.callDoneAt)
 	}
 	return at
 }
 
 // work does what is due by now: it takes up what it has learned and serves calls.
-func (r *Discovery) advance(now float64) {
-	if !r.isDown && now >= r.nextPublishAt && r.pending.nextAt() <= now {
-		before := r.index
+func (d *Discovery) advance(now float64) {
+	if !d.isDown && now >= d.nextPublishAt && d.pending.nextAt() <= now {
+		before := d.index
 		for {
-			c, _, ok := r.pending.pop(now)
+			c, _, ok := d.pending.pop(now)
 			if !ok {
 				break
 			}
-			if c.at = now; c.incarnation == r.known[c.server].incarnation {
-				r.apply(c)
+			if c.at = now; c.incarnation == d.known[c.server].incarnation {
+				d.apply(c)
 			}
 		}
-		r.nextPublishAt = now + r.spec.PublishIntervalSeconds
-		if r.index > before {
-			for _, f := range r.endpoints {
-				f.scheduleUpdates(now)
+		d.nextPublishAt = now + d.spec.PublishIntervalSeconds
+		if d.index > before {
+			for _, endpoint := range d.endpoints {
+				endpoint.scheduleUpdates(now)
 			}
 		}
 	}
-	for r.isServingCall && r.callDoneAt <= now {
-		k := r.queuedCalls[0]
-		r.queuedCalls = r.queuedCalls[1:]
-		r.isServingCall = false
-		at := r.callDoneAt
-		if k.conn != nil {
-			k.endpoint.serve(k)
+	for d.isServingCall && d.callDoneAt <= now {
+		conn := d.queuedCalls[0]
+		d.queuedCalls = d.queuedCalls[1:]
+		d.isServingCall = false
+		at := d.callDoneAt
+		if conn.conn != nil {
+			conn.endpoint.serve(conn)
 		}
-		r.startNextCall(at)
+		d.startNextCall(at)
 	}
-	r.observeQueue(now)
+	d.observeQueue(now)
 }
 
 // next takes the next call in hand, and turns away those that have waited too long.
-func (r *Discovery) startNextCall(now float64) {
-	for !r.isServingCall && len(r.queuedCalls) > 0 {
-		k := r.queuedCalls[0]
+func (d *Discovery) startNextCall(now float64) {
+	for !d.isServingCall && len(d.queuedCalls) > 0 {
+		conn := d.queuedCalls[0]
 		switch {
-		case k.conn == nil:
-			r.queuedCalls = r.queuedCalls[1:]
-		case now-k.calledAt > r.spec.CallTimeoutSeconds:
-			r.queuedCalls = r.queuedCalls[1:]
-			k.endpoint.reject(k)
+		case conn.conn == nil:
+			d.queuedCalls = d.queuedCalls[1:]
+		case now-conn.calledAt > d.spec.CallTimeoutSeconds:
+			d.queuedCalls = d.queuedCalls[1:]
+			conn.endpoint.reject(conn)
 		default:
-			r.isServingCall = true
-			r.callDoneAt = now + r.spec.callSeconds(len(r.day.Servers))
+			d.isServingCall = true
+			d.callDoneAt = now + d.spec.callSeconds(len(d.day.Servers))
 		}
 	}
 }
 
 // lookAtLine tells the witness whether calls wait behind the one in hand.
-func (r *Discovery) observeQueue(now float64) {
+func (d *Discovery) observeQueue(now float64) {
 	waiting := false
-	for i := 1; i < len(r.queuedCalls) && !waiting; i++ {
-		waiting = r.queuedCalls[i].conn != nil
+	for i := 1; i < len(d.queuedCalls) && !waiting; i++ {
+		waiting = d.queuedCalls[i].conn != nil
 	}
-	if waiting == r.hasQueue {
+	if waiting == d.hasQueue {
 		return
 	}
 	kind := checker.DiscoveryQueueDrained
-	if r.hasQueue = waiting; waiting {
+	if d.hasQueue = waiting; waiting {
 		kind = checker.DiscoveryQueueFormed
 	}
-	r.observer.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Server: -1})
+	d.observer.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Server: -1})
 }
 
 // Hush has all watches that are open say nothing more. Those that begin from then on speak.
-func (r *Discovery) StallWatches() {
-	for _, f := range r.endpoints {
-		f.net.Post(f.stallWatches)
+func (d *Discovery) StallWatches() {
+	for _, endpoint := range d.endpoints {
+		endpoint.net.Post(endpoint.stallWatches)
 	}
 }
 
 // BeginWhole has each watch begin with the whole list, which leaves out servers that drain, or ends that.
-func (r *Discovery) SendFullLists(on bool) {
-	if on {
-		r.fullListFaults++
+func (d *Discovery) SendFullLists(enabled bool) {
+	if enabled {
+		d.fullListFaults++
 	} else {
-		r.fullListFaults--
+		d.fullListFaults--
 	}
 }
 
 // Down ends discovery's service, or brings it back. While it is down it answers 503, or ends connections at once.
-func (r *Discovery) SetDown(down bool, now float64) {
-	if r.isDown == down {
+func (d *Discovery) SetDown(down bool, now float64) {
+	if d.isDown == down {
 		return
 	}
-	r.isDown, r.refusesConnections = down, r.rng.IntN(2) == 0
+	d.isDown, d.refusesConnections = down, d.rng.IntN(2) == 0
 	kind := checker.DiscoveryUp
 	if down {
 		kind = checker.DiscoveryDown
-		r.queuedCalls, r.isServingCall = nil, false
-		r.observeQueue(now)
-		for _, f := range r.endpoints {
-			f.net.Post(f.closeAll)
+		d.queuedCalls, d.isServingCall = nil, false
+		d.observeQueue(now)
+		for _, endpoint := range d.endpoints {
+			endpoint.net.Post(endpoint.closeAll)
 		}
 	}
-	r.observer.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Server: -1})
-	r.updateAlarms()
+	d.observer.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Server: -1})
+	d.updateAlarms()
 }
 
 // Move has discovery go on at its next address, whose machine must have begun; false: there is none. The present one
 // takes no new connections and ends the open ones after a while.
-func (r *Discovery) Move() bool {
-	if r.address+1 >= len(r.spec.Addresses) {
+func (d *Discovery) Move() bool {
+	if d.address+1 >= len(d.spec.Addresses) {
 		return false
 	}
-	old := r.address
-	r.address++
-	for _, f := range r.endpoints {
-		if f.number == old {
-			f.net.Post(f.retire)
+	old := d.address
+	d.address++
+	for _, endpoint := range d.endpoints {
+		if endpoint.number == old {
+			endpoint.net.Post(endpoint.retire)
 		}
 	}
 	return true
 }
 
 // Address returns where discovery is now.
-func (r *Discovery) Address() string { return r.spec.Addresses[r.address] }
+func (d *Discovery) Address() string { return d.spec.Addresses[d.address] }
 
 // ip returns the IP of the present address.
-func (r *Discovery) currentIP() string { return r.spec.IPs[r.address] }
+func (d *Discovery) currentIP() string { return d.spec.IPs[d.address] }
 
 // nextIP returns the IP of the address that it moves to next; false: there is none.
-func (r *Discovery) nextIP() (string, bool) {
-	if r.address+1 >= len(r.spec.IPs) {
+func (d *Discovery) nextIP() (string, bool) {
+	if d.address+1 >= len(d.spec.IPs) {
 		return "", false
 	}
-	return r.spec.IPs[r.address+1], true
+	return d.spec.IPs[d.address+1], true
 }
 
 // arm has all fronts look again at what is due. It may be called from anywhere.
-func (r *Discovery) updateAlarms() {
-	for _, f := range r.endpoints {
-		f.net.Post(f.updateAlarm)
+func (d *Discovery) updateAlarms() {
+	for _, endpoint := range d.endpoints {
+		endpoint.net.Post(endpoint.updateAlarm)
 	}
 }
 
 // asOf returns the entries as they stood at a time.
-func (r *Discovery) asOf(at float64) (index uint64, list []entry) {
-	list = make([]entry, len(r.entries))
-	for _, c := range r.changes {
+func (d *Discovery) asOf(at float64) (index uint64, list []entry) {
+	list = make([]entry, len(d.entries))
+	for _, c := range d.changes {
 		if c.at <= at {
 			list[c.server], index = c.entry, c.entry.index
 		}
@@ -280,14 +280,14 @@
 var statusText = map[int32]string{checker.Serving: "SERVING", checker.Draining: "DRAINING", checker.Deleted: "DELETED"}
 
 // list writes one object of discovery: the entries that changed after an index, or the whole list.
-func (r *Discovery) formatList(index uint64, list []entry, since uint64, snapshot bool) []byte {
+func (d *Discovery) formatList(index uint64, list []entry, since uint64, snapshot bool) []byte {
 	dst := strconv.AppendUint([]byte(`{"index":`), index, 10)
 	dst = strconv.AppendBool(append(dst, `,"snapshot":`...), snapshot)
 	dst = append(dst, `,"endpoints":[`...)
 	first := true
 	for i := range list {
-		e, b := &list[i], &r.day.Servers[i]
-		if !r.includes(e, since, snapshot) {
+		e, b := &list[i], &d.day.Servers[i]
+		if !d.includes(e, since, snapshot) {
 			continue
 		}
 		if !first {
@@ -295,8 +295,8 @@
 		}
 		first = false
 		dst = append(append(append(dst, `{"name":"`...), b.Name...), `","address":"`...)
-		dst = append(append(append(dst, e.address...), `","zone":"`...), r.day.Sites[b.Site]...)
-		dst = append(append(append(dst, `","type":"`...), r.day.ServerKinds[b.Kind]...), `","group":`...)
+		dst = append(append(append(dst, e.address...), `","zone":"`...), d.day.Sites[b.Site]...)
+		dst = append(append(append(dst, `","type":"`...), d.day.ServerKinds[b.Kind]...), `","group":`...)
 		dst = append(append(append(strconv.AppendInt(dst, int64(b.Cell), 10), `,"status":"`...), statusText[e.status]...), `","weight":`...)
 		dst = strconv.AppendFloat(dst, b.Weight, 'f', -1, 64)
 		dst = strconv.AppendInt(append(dst, `,"since_ms":`...), int64(math.Round(e.servingSince*1e3)), 10)
@@ -306,24 +306,24 @@
 }
 
 // tells whether an object holds an entry. A whole list leaves out what is gone, and at times what drains.
-func (r *Discovery) includes(e *entry, since uint64, snapshot bool) bool {
+func (d *Discovery) includes(e *entry, since uint64, snapshot bool) bool {
 	if snapshot {
-		return e.status == checker.Serving || e.status == checker.Draining && r.fullListFaults == 0
+		return e.status == checker.Serving || e.status == checker.Draining && d.fullListFaults == 0
 	}
 	return e.status != 0 && e.index > since
 }
 
 // tell notes that a sidecar has been written such an object. Danger: a whole list says of what it leaves out that it is
 // gone; a judge that forgot that would never blame a sidecar for using it.
-func (r *Discovery) observeDelivery(sidecar int32, index uint64, list []entry, since uint64, snapshot bool, now float64) {
+func (d *Discovery) observeDelivery(sidecar int32, index uint64, list []entry, since uint64, snapshot bool, now float64) {
 	for i := range list {
 		e := list[i]
-		leftOut := snapshot && e.status != 0 && !r.includes(&e, since, snapshot)
+		leftOut := snapshot && e.status != 0 && !d.includes(&e, since, snapshot)
 		if leftOut {
 			e.status = checker.Deleted
 		}
-		if leftOut || r.includes(&e, since, snapshot) {
-			r.observeEntry(checker.EntryDelivered, sidecar, i, e, index, now)
+		if leftOut || d.includes(&e, since, snapshot) {
+			d.observeEntry(checker.EntryDelivered, sidecar, i, e, index, now)
 		}
 	}
 }
--- a/internal/environment/discoveryendpoint.go
+++ b/internal/environment/discoveryendpoint.go
@@ -48,219 +48,219 @@
 }
 
 // Boot returns what serves one of discovery's addresses.
-func (r *Discovery) Boot(number int) func(netio.EventLoop) netio.Handler {
+func (d *Discovery) Boot(number int) func(netio.EventLoop) netio.Handler {
 	return func(net netio.EventLoop) netio.Handler {
-		f := &discoveryEndpoint{discovery: r, number: number, net: net, alarmAt: math.Inf(1)}
-		r.endpoints = append(r.endpoints, f)
-		return f
+		endpoint := &discoveryEndpoint{discovery: d, number: number, net: net, alarmAt: math.Inf(1)}
+		d.endpoints = append(d.endpoints, endpoint)
+		return endpoint
 	}
 }
 
-func (f *discoveryEndpoint) Start() { f.updateAlarm() }
+func (e *discoveryEndpoint) Start() { e.updateAlarm() }
 
-func (f *discoveryEndpoint) Open(c netio.Conn) bool {
-	f.discovery.lastConnNumber++
-	k := &discoveryConn{endpoint: f, conn: c, number: f.discovery.lastConnNumber, sidecar: f.discovery.sidecars.number(c.RemoteAddr()),
+func (e *discoveryEndpoint) Open(c netio.Conn) bool {
+	e.discovery.lastConnNumber++
+	conn := &discoveryConn{endpoint: e, conn: c, number: e.discovery.lastConnNumber, sidecar: e.discovery.sidecars.number(c.RemoteAddr()),
 		parser: http1.NewRequestParser(messageLimits)}
-	c.SetContext(k)
-	f.conns = append(f.conns, k)
-	if f.discovery.isDown && f.discovery.refusesConnections { // nobody dials it but for the list
-		f.observe(checker.DiscoveryCalled, k)
-		f.observe(checker.DiscoveryCallFailed, k)
+	c.SetContext(conn)
+	e.conns = append(e.conns, conn)
+	if e.discovery.isDown && e.discovery.refusesConnections { // nobody dials it but for the list
+		e.observe(checker.DiscoveryCalled, conn)
+		e.observe(checker.DiscoveryCallFailed, conn)
 		return false
 	}
 	return true
 }
 
-func (f *discoveryEndpoint) Closed(c netio.Conn, err error) {
-	k, ok := c.Context().(*discoveryConn)
+func (e *discoveryEndpoint) Closed(c netio.Conn, err error) {
+	conn, ok := c.Context().(*discoveryConn)
 	if !ok {
 		return
 	}
-	k.conn = nil
-	if i := slices.Index(f.conns, k); i >= 0 {
-		f.conns = slices.Delete(f.conns, i, i+1)
+	conn.conn = nil
+	if i := slices.Index(e.conns, conn); i >= 0 {
+		e.conns = slices.Delete(e.conns, i, i+1)
 	}
-	if k.isWatch {
-		k.isWatch = false
-		f.observe(checker.WatchClosed, k)
+	if conn.isWatch {
+		conn.isWatch = false
+		e.observe(checker.WatchClosed, conn)
 	}
-	if k.hasCall {
-		k.hasCall = false
-		f.observe(checker.DiscoveryCallFailed, k)
-		f.discovery.observeQueue(f.net.Now())
+	if conn.hasCall {
+		conn.hasCall = false
+		e.observe(checker.DiscoveryCallFailed, conn)
+		e.discovery.observeQueue(e.net.Now())
 	}
 }
 
-func (f *discoveryEndpoint) observe(kind checker.Kind, k *discoveryConn) {
-	now := f.net.Now()
-	f.discovery.observer.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: k.sidecar, Server: checker.PathToDiscovery, Connection: k.number})
+func (e *discoveryEndpoint) observe(kind checker.Kind, conn *discoveryConn) {
+	now := e.net.Now()
+	e.discovery.observer.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: conn.sidecar, Server: checker.PathToDiscovery, Connection: conn.number})
 }
 
-func (f *discoveryEndpoint) Traffic(c netio.Conn, data []byte) {
-	k, ok := c.Context().(*discoveryConn)
-	if !ok || k.isWatch {
+func (e *discoveryEndpoint) Traffic(c netio.Conn, data []byte) {
+	conn, ok := c.Context().(*discoveryConn)
+	if !ok || conn.isWatch {
 		return
 	}
-	k.buf.Write(data)
-	f.readCalls(k)
-	f.updateAlarm()
+	conn.buf.Write(data)
+	e.readCalls(conn)
+	e.updateAlarm()
 }
 
-func (f *discoveryEndpoint) readCalls(k *discoveryConn) {
-	for k.conn != nil && !k.hasCall && !k.isWatch && k.buf.Len() > 0 {
-		whole, err := k.parser.Next(&k.buf)
+func (e *discoveryEndpoint) readCalls(conn *discoveryConn) {
+	for conn.conn != nil && !conn.hasCall && !conn.isWatch && conn.buf.Len() > 0 {
+		isComplete, err := conn.parser.Next(&conn.buf)
 		if err != nil {
-			f.net.Close(k.conn)
+			e.net.Close(conn.conn)
 			return
 		}
-		if !whole {
+		if !isComplete {
 			return
 		}
-		f.handleCall(k)
+		e.handleCall(conn)
 	}
 }
 
 // call takes a call up.
-func (f *discoveryEndpoint) handleCall(k *discoveryConn) {
-	target, query, _ := strings.Cut(k.parser.Target, "?")
+func (e *discoveryEndpoint) handleCall(conn *discoveryConn) {
+	target, query, _ := strings.Cut(conn.parser.Target, "?")
 	if target != "/v1/endpoints" {
-		f.write(k, http1.AppendResponse(f.buffer[:0], 404, nil, nil))
+		e.write(conn, http1.AppendResponse(e.buffer[:0], 404, nil, nil))
 		return
 	}
-	k.wantsWatch, k.hasIndex, k.knownIndex = false, false, 0
+	conn.wantsWatch, conn.hasIndex, conn.knownIndex = false, false, 0
 	for pair := range strings.SplitSeq(query, "&") {
 		name, value, _ := strings.Cut(pair, "=")
 		switch name {
 		case "follow":
-			k.wantsWatch = value == "1"
+			conn.wantsWatch = value == "1"
 		case "since":
 			n, err := strconv.ParseUint(value, 10, 64)
-			k.knownIndex, k.hasIndex = n, err == nil
+			conn.knownIndex, conn.hasIndex = n, err == nil
 		}
 	}
-	k.hasCall, k.calledAt = true, f.net.Now()
-	f.observe(checker.DiscoveryCalled, k)
-	if f.discovery.isDown {
-		f.reject(k)
+	conn.hasCall, conn.calledAt = true, e.net.Now()
+	e.observe(checker.DiscoveryCalled, conn)
+	if e.discovery.isDown {
+		e.reject(conn)
 		return
 	}
-	f.discovery.queuedCalls = append(f.discovery.queuedCalls, k)
-	f.discovery.startNextCall(k.calledAt)
-	f.discovery.observeQueue(k.calledAt)
+	e.discovery.queuedCalls = append(e.discovery.queuedCalls, conn)
+	e.discovery.startNextCall(conn.calledAt)
+	e.discovery.observeQueue(conn.calledAt)
 }
 
-func (f *discoveryEndpoint) reject(k *discoveryConn) {
-	k.hasCall = false
-	f.observe(checker.DiscoveryCallFailed, k)
-	f.write(k, http1.AppendResponse(f.buffer[:0], 503, nil, nil))
+func (e *discoveryEndpoint) reject(conn *discoveryConn) {
+	conn.hasCall = false
+	e.observe(checker.DiscoveryCallFailed, conn)
+	e.write(conn, http1.AppendResponse(e.buffer[:0], 503, nil, nil))
 }
 
 // serve answers a call whose turn has come.
-func (f *discoveryEndpoint) serve(k *discoveryConn) {
-	r, now := f.discovery, f.net.Now()
-	k.hasCall = false
+func (e *discoveryEndpoint) serve(conn *discoveryConn) {
+	discovery, now := e.discovery, e.net.Now()
+	conn.hasCall = false
 	// A version that nobody has had from here is no version.
-	snapshot := !k.wantsWatch || !k.hasIndex || k.knownIndex > r.index || r.fullListFaults > 0
-	out := f.buffer[:0]
-	if !k.wantsWatch {
-		body := append(r.formatList(r.index, r.entries, 0, true), '\n')
-		f.write(k, http1.AppendResponse(out, 200, http1.Header{{Name: "Content-Type", Value: "application/json"}}, body))
-		r.observeDelivery(k.sidecar, r.index, r.entries, 0, true, now)
+	snapshot := !conn.wantsWatch || !conn.hasIndex || conn.knownIndex > discovery.index || discovery.fullListFaults > 0
+	out := e.buffer[:0]
+	if !conn.wantsWatch {
+		body := append(discovery.formatList(discovery.index, discovery.entries, 0, true), '\n')
+		e.write(conn, http1.AppendResponse(out, 200, http1.Header{{Name: "Content-Type", Value: "application/json"}}, body))
+		discovery.observeDelivery(conn.sidecar, discovery.index, discovery.entries, 0, true, now)
 		return
 	}
 	out = append(out, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"...)
-	k.isWatch = true
-	f.observe(checker.WatchOpened, k)
-	f.writeUpdate(k, out, snapshot)
-	f.tasks.add(now+r.spec.KeepAliveSeconds, discoveryTask{conn: k, isKeepAlive: true})
+	conn.isWatch = true
+	e.observe(checker.WatchOpened, conn)
+	e.writeUpdate(conn, out, snapshot)
+	e.tasks.add(now+discovery.spec.KeepAliveSeconds, discoveryTask{conn: conn, isKeepAlive: true})
 }
 
 // line writes an object to a watcher, behind what out holds already.
-func (f *discoveryEndpoint) writeUpdate(k *discoveryConn, out []byte, snapshot bool) {
-	r, now := f.discovery, f.net.Now()
-	body := append(r.formatList(r.index, r.entries, k.knownIndex, snapshot), '\n')
+func (e *discoveryEndpoint) writeUpdate(conn *discoveryConn, out []byte, snapshot bool) {
+	discovery, now := e.discovery, e.net.Now()
+	body := append(discovery.formatList(discovery.index, discovery.entries, conn.knownIndex, snapshot), '\n')
 	out = append(strconv.AppendInt(out, int64(len(body)), 16), "\r\n"...)
 	out = append(append(out, body...), "\r\n"...)
-	since := k.knownIndex
-	k.knownIndex, k.writtenAt = r.index, now
-	f.write(k, out)
-	r.observeDelivery(k.sidecar, r.index, r.entries, since, snapshot, now)
+	since := conn.knownIndex
+	conn.knownIndex, conn.writtenAt = discovery.index, now
+	e.write(conn, out)
+	discovery.observeDelivery(conn.sidecar, discovery.index, discovery.entries, since, snapshot, now)
 }
 
-func (f *discoveryEndpoint) write(k *discoveryConn, out []byte) {
-	f.buffer = out
-	if k.conn != nil {
-		k.conn.Write(out) // a connection that breaks here is closed by the network
+func (e *discoveryEndpoint) write(conn *discoveryConn, out []byte) {
+	e.buffer = out
+	if conn.conn != nil {
+		conn.conn.Write(out) // a connection that breaks here is closed by the network
 	}
 }
 
 // spread has all watchers told of a change, each a little later.
-func (f *discoveryEndpoint) scheduleUpdates(now float64) {
-	for _, k := range f.conns {
-		if k.isWatch {
-			f.tasks.add(now+f.discovery.spec.DeliverySeconds*(0.5+f.discovery.rng.Float64()), discoveryTask{conn: k})
+func (e *discoveryEndpoint) scheduleUpdates(now float64) {
+	for _, conn := range e.conns {
+		if conn.isWatch {
+			e.tasks.add(now+e.discovery.spec.DeliverySeconds*(0.5+e.discovery.rng.Float64()), discoveryTask{conn: conn})
 		}
 	}
 }
 
 // hush has nothing more be written to the watches that are open.
-func (f *discoveryEndpoint) stallWatches() {
-	for _, k := range f.conns {
-		if k.isWatch && !k.isStalled {
-			k.isStalled = true
-			f.observe(checker.WatchStalled, k)
+func (e *discoveryEndpoint) stallWatches() {
+	for _, conn := range e.conns {
+		if conn.isWatch && !conn.isStalled {
+			conn.isStalled = true
+			e.observe(checker.WatchStalled, conn)
 		}
 	}
 }
 
 // closeAll ends all connections.
-func (f *discoveryEndpoint) closeAll() {
-	for len(f.conns) > 0 {
-		f.net.Close(f.conns[len(f.conns)-1].conn)
+func (e *discoveryEndpoint) closeAll() {
+	for len(e.conns) > 0 {
+		e.net.Close(e.conns[len(e.conns)-1].conn)
 	}
 }
 
 // leave ends service at the address.
-func (f *discoveryEndpoint) retire() {
-	f.net.StopListening(func() {})
-	f.tasks.add(f.net.Now()+f.discovery.spec.OldAddressSeconds, discoveryTask{isRetirement: true})
-	f.updateAlarm()
+func (e *discoveryEndpoint) retire() {
+	e.net.StopListening(func() {})
+	e.tasks.add(e.net.Now()+e.discovery.spec.OldAddressSeconds, discoveryTask{isRetirement: true})
+	e.updateAlarm()
 }
 
-func (f *discoveryEndpoint) Alarm() {
-	f.alarmAt = math.Inf(1)
-	now := f.net.Now()
-	f.discovery.advance(now)
+func (e *discoveryEndpoint) Alarm() {
+	e.alarmAt = math.Inf(1)
+	now := e.net.Now()
+	e.discovery.advance(now)
 	for {
-		t, _, ok := f.tasks.pop(now)
+		t, _, ok := e.tasks.pop(now)
 		if !ok {
 			break
 		}
 		switch {
 		case t.isRetirement:
-			f.closeAll()
+			e.closeAll()
 		case t.conn.conn == nil || !t.conn.isWatch || t.conn.isStalled:
 		case !t.isKeepAlive:
-			if t.conn.knownIndex < f.discovery.index {
-				f.writeUpdate(t.conn, f.buffer[:0], false)
+			if t.conn.knownIndex < e.discovery.index {
+				e.writeUpdate(t.conn, e.buffer[:0], false)
 			}
 		default:
-			at := t.conn.writtenAt + f.discovery.spec.KeepAliveSeconds
+			at := t.conn.writtenAt + e.discovery.spec.KeepAliveSeconds
 			if at <= now {
-				f.write(t.conn, append(f.buffer[:0], "1\r\n\n\r\n"...))
-				t.conn.writtenAt, at = now, now+f.discovery.spec.KeepAliveSeconds
+				e.write(t.conn, append(e.buffer[:0], "1\r\n\n\r\n"...))
+				t.conn.writtenAt, at = now, now+e.discovery.spec.KeepAliveSeconds
 			}
-			f.tasks.add(at, t)
+			e.tasks.add(at, t)
 		}
 	}
-	f.discovery.updateAlarms() // what one front has taken up, another may have to tell
+	e.discovery.updateAlarms() // what one front has taken up, another may have to tell
 }
 
-func (f *discoveryEndpoint) updateAlarm() {
-	at := min(f.discovery.nextAt(), f.tasks.nextAt())
-	if at != f.alarmAt && at < math.Inf(1) {
-		f.alarmAt = at
-		f.net.SetAlarm(at)
+func (e *discoveryEndpoint) updateAlarm() {
+	at := min(e.discovery.nextAt(), e.tasks.nextAt())
+	if at != e.alarmAt && at < math.Inf(1) {
+		e.alarmAt = at
+		e.net.SetAlarm(at)
 	}
 }
--- a/internal/environment/engine.go
+++ b/internal/environment/engine.go
@@ -98,19 +98,19 @@
 func (e *Engine) Queued() int { return len(e.queued) }
 
 // Take gives the box a job; false: it is full.
-func (e *Engine) Enqueue(now float64, j *Job) bool {
+func (e *Engine) Enqueue(now float64, job *Job) bool {
 	if len(e.queued) >= e.spec.QueueLimit && (e.isPaused() || len(e.running) >= e.spec.Slots) {
 		return false
 	}
-	j.EnqueuedAt = now
-	e.queued = append(e.queued, j)
+	job.EnqueuedAt = now
+	e.queued = append(e.queued, job)
 	e.startQueued(now)
 	return true
 }
 
 // Drop takes a job out that has not begun, where the box can; false: its work goes on.
-func (e *Engine) Cancel(j *Job) bool {
-	i := slices.Index(e.queued, j)
+func (e *Engine) Cancel(job *Job) bool {
+	i := slices.Index(e.queued, job)
 	if i < 0 || !e.spec.DropsCancelled {
 		return false
 	}
@@ -131,11 +131,11 @@
 // fill begins what waits as long as a slot is free.
 func (e *Engine) startQueued(now float64) {
 	for !e.isPaused() && len(e.running) < e.spec.Slots && len(e.queued) > 0 {
-		j := e.queued[0]
+		job := e.queued[0]
 		speed := e.speed(now)
 		e.queued = slices.Delete(e.queued, 0, 1)
-		j.finish = now + j.Seconds/speed
-		e.running = append(e.running, j)
+		job.finish = now + job.Seconds/speed
+		e.running = append(e.running, job)
 	}
 }
 
@@ -146,8 +146,8 @@
 	}
 	at := e.pauseAt
 	if !e.isPausing {
-		for _, j := range e.running {
-			at = min(at, j.finish)
+		for _, job := range e.running {
+			at = min(at, job.finish)
 		}
 	}
 	return at
@@ -162,15 +162,15 @@
 			continue
 		}
 		i := 0
-		for k, j := range e.running {
-			if j.finish < e.running[i].finish {
+		for k, job := range e.running {
+			if job.finish < e.running[i].finish {
 				i = k
 			}
 		}
-		j := e.running[i]
+		job := e.running[i]
 		e.running = slices.Delete(e.running, i, i+1)
-		e.workedSeconds += j.Seconds
-		e.done = append(e.done, j)
+		e.workedSeconds += job.Seconds
+		e.done = append(e.done, job)
 		e.startQueued(at)
 	}
 	return e.done
@@ -190,12 +190,12 @@
 }
 
 // Hang has the box stand still, or go on.
-func (e *Engine) SetHung(now float64, on bool) {
+func (e *Engine) SetHung(now float64, enabled bool) {
 	switch {
-	case on && !e.isHung:
+	case enabled && !e.isHung:
 		e.suspend(now)
 		e.isHung = true
-	case !on && e.isHung:
+	case !enabled && e.isHung:
 		e.isHung = false
 		if e.isPausing { // what has been missed of pauses is over with it
 			e.isPausing = false
@@ -212,8 +212,8 @@
 	if e.isHung || e.isPausing {
 		return
 	}
-	for _, j := range e.running {
-		j.finish -= now
+	for _, job := range e.running {
+		job.finish -= now
 	}
 }
 
@@ -221,8 +221,8 @@
 	if e.isPaused() {
 		return
 	}
-	for _, j := range e.running {
-		j.finish += now
+	for _, job := range e.running {
+		job.finish += now
 	}
 	e.startQueued(now)
 }
--- a/internal/environment/environment.go
+++ b/internal/environment/environment.go
@@ -22,25 +22,25 @@
 }
 
 // New returns the actors of a day. They tell a witness all that crosses the wire.
-func New(d *Day, witness checker.Observer) *Environment {
-	w := &Environment{Day: d, observer: witness, serverByIP: map[string]*Server{}}
-	memories := make([]keyMemory, len(d.Sites))
-	w.Discovery = NewDiscovery(d, witness)
-	for i := range d.Servers {
-		b := NewServer(d, i, w.Discovery, &memories[d.Servers[i].Site], witness)
-		w.Servers = append(w.Servers, b)
-		w.serverByIP[b.Spec.IP] = b
-		w.serverByIP[alternateIP(&b.Spec)] = b
+func New(day *Day, observer checker.Observer) *Environment {
+	environment := &Environment{Day: day, observer: observer, serverByIP: map[string]*Server{}}
+	memories := make([]keyMemory, len(day.Sites))
+	environment.Discovery = NewDiscovery(day, observer)
+	for i := range day.Servers {
+		server := NewServer(day, i, environment.Discovery, &memories[day.Servers[i].Site], observer)
+		environment.Servers = append(environment.Servers, server)
+		environment.serverByIP[server.Spec.IP] = server
+		environment.serverByIP[alternateIP(&server.Spec)] = server
 	}
-	for i := range d.Sidecars {
-		a := NewApplication(d, i, witness)
-		w.Applications = append(w.Applications, a)
-		if d.Batch != nil {
-			w.Batches = append(w.Batches, NewBatch(d, i, witness))
+	for i := range day.Sidecars {
+		a := NewApplication(day, i, observer)
+		environment.Applications = append(environment.Applications, a)
+		if day.Batch != nil {
+			environment.Batches = append(environment.Batches, NewBatch(day, i, observer))
 		}
-		w.HostileClients = append(w.HostileClients, NewHostileClients(d, i, a, witness))
+		environment.HostileClients = append(environment.HostileClients, NewHostileClients(day, i, a, observer))
 	}
-	return w
+	return environment
 }
 
 // boxPort is where boxes listen.
@@ -55,48 +55,48 @@
 
 // Machines returns what a Ground runs beside the sidecars, in the order in which they begin: boxes, discovery's
 // addresses, and for each sidecar its application and the hostile clients.
-func (w *Environment) Machines() []Machine {
+func (e *Environment) Machines() []Machine {
 	var all []Machine
-	for _, b := range w.Servers {
+	for _, b := range e.Servers {
 		for i, ip := range []string{b.Spec.IP, alternateIP(&b.Spec)} {
 			all = append(all, Machine{Name: b.Spec.Name, IP: ip, Listen: ip + serverPort, Site: b.Spec.Site,
-				Boot:        func(net netio.EventLoop) netio.Handler { return w.serverByIP[ip].Boot(ip+serverPort, net) },
-				StartsLater: i > 0 || b.Spec.Number >= w.Day.InitialServers})
+				Boot:        func(net netio.EventLoop) netio.Handler { return e.serverByIP[ip].Boot(ip+serverPort, net) },
+				StartsLater: i > 0 || b.Spec.Number >= e.Day.InitialServers})
 		}
 	}
-	for i, ip := range w.Day.Discovery.IPs {
-		all = append(all, Machine{Name: "discovery", IP: ip, Listen: w.Day.Discovery.Addresses[i], Boot: w.Discovery.Boot(i), StartsLater: i > 0})
+	for i, ip := range e.Day.Discovery.IPs {
+		all = append(all, Machine{Name: "discovery", IP: ip, Listen: e.Day.Discovery.Addresses[i], Boot: e.Discovery.Boot(i), StartsLater: i > 0})
 	}
-	for i, s := range w.Day.Sidecars {
+	for i, sidecar := range e.Day.Sidecars {
 		all = append(all,
-			Machine{Name: "app-" + s.Name, IP: s.IP, Site: s.Site, Boot: w.Applications[i].Boot},
-			Machine{Name: "hostile-" + s.Name, IP: s.IP, Site: s.Site, Boot: w.HostileClients[i].Boot})
+			Machine{Name: "app-" + sidecar.Name, IP: sidecar.IP, Site: sidecar.Site, Boot: e.Applications[i].Boot},
+			Machine{Name: "hostile-" + sidecar.Name, IP: sidecar.IP, Site: sidecar.Site, Boot: e.HostileClients[i].Boot})
 	}
-	for i, b := range w.Batches {
-		s := &w.Day.Sidecars[i]
-		all = append(all, Machine{Name: "batch-" + s.Name, IP: s.IP, Site: s.Site, Boot: b.Boot})
+	for i, b := range e.Batches {
+		sidecar := &e.Day.Sidecars[i]
+		all = append(all, Machine{Name: "batch-" + sidecar.Name, IP: sidecar.IP, Site: sidecar.Site, Boot: b.Boot})
 	}
 	return all
 }
 
 // leave tells a sidecar's clients that it has been told to end.
-func (w *Environment) notifyDraining(sidecar int, now float64) {
-	w.Applications[sidecar].SidecarDraining(now)
-	if w.Batches != nil {
-		w.Batches[sidecar].SidecarDraining(now)
+func (e *Environment) notifyDraining(sidecar int, now float64) {
+	e.Applications[sidecar].SidecarDraining(now)
+	if e.Batches != nil {
+		e.Batches[sidecar].SidecarDraining(now)
 	}
 }
 
 // stay tells them that there is another.
-func (w *Environment) notifyReplaced(sidecar int) {
-	w.Applications[sidecar].SidecarReplaced()
-	if w.Batches != nil {
-		w.Batches[sidecar].SidecarReplaced()
+func (e *Environment) notifyReplaced(sidecar int) {
+	e.Applications[sidecar].SidecarReplaced()
+	if e.Batches != nil {
+		e.Batches[sidecar].SidecarReplaced()
 	}
 }
 
 // machine returns the IP of the machine that a box's present life is on, or its last one was.
-func (b *Server) currentIP() string {
-	ip, _, _ := strings.Cut(b.Address, ":")
+func (s *Server) currentIP() string {
+	ip, _, _ := strings.Cut(s.Address, ":")
 	return ip
 }
--- a/internal/environment/faultinjector.go
+++ b/internal/environment/faultinjector.go
@@ -30,36 +30,36 @@
 }
 
 // NewPlayer returns a player that has played nothing. A script that names what the day has not is an error.
-func NewFaultInjector(w *Environment, s *Script, g Hosts, witness checker.Observer) (*FaultInjector, error) {
-	p := &FaultInjector{environment: w, hosts: g, observer: witness, hangs: make([]int, len(w.Servers)), slowReads: make([]int, len(w.Applications)),
-		isGone: make([]bool, len(w.Applications)), replacementTaken: make([]bool, len(w.Servers)), lateConnects: make([]int, len(w.Servers)),
-		isSuspended: make([]bool, len(w.Applications)), isTerminating: make([]bool, len(w.Applications)), fullDisks: make([]int, len(w.Applications)), clockFaults: make([]int, len(w.Applications)),
+func NewFaultInjector(environment *Environment, s *Script, g Hosts, observer checker.Observer) (*FaultInjector, error) {
+	injector := &FaultInjector{environment: environment, hosts: g, observer: observer, hangs: make([]int, len(environment.Servers)), slowReads: make([]int, len(environment.Applications)),
+		isGone: make([]bool, len(environment.Applications)), replacementTaken: make([]bool, len(environment.Servers)), lateConnects: make([]int, len(environment.Servers)),
+		isSuspended: make([]bool, len(environment.Applications)), isTerminating: make([]bool, len(environment.Applications)), fullDisks: make([]int, len(environment.Applications)), clockFaults: make([]int, len(environment.Applications)),
 		peerFaults: map[peerPath]int{}, peerRates: map[peerPath][]float64{}}
-	if i, field, why := s.unknownReference(w.Day); field != "" {
+	if i, field, why := s.unknownReference(environment.Day); field != "" {
 		return nil, fmt.Errorf("trouble %d: %s: %s", i+1, field, why)
 	}
-	p.firstStandby = len(w.Applications) - s.StandbySidecars()
-	for i := p.firstStandby; i < len(w.Applications); i++ {
-		p.isGone[i] = true
+	injector.firstStandby = len(environment.Applications) - s.StandbySidecars()
+	for i := injector.firstStandby; i < len(environment.Applications); i++ {
+		injector.isGone[i] = true
 	}
 	for i := range s.Faults {
-		t := &s.Faults[i]
-		p.steps.add(w.Day.Start+t.AtSeconds, func(now float64) { p.startFault(t, now) })
+		fault := &s.Faults[i]
+		injector.steps.add(environment.Day.Start+fault.AtSeconds, func(now float64) { injector.startFault(fault, now) })
 	}
-	return p, nil
+	return injector, nil
 }
 
 // Next returns when Play is next to be called; false: nothing is left.
-func (p *FaultInjector) Next() (at float64, ok bool) {
-	at = p.steps.nextAt()
+func (f *FaultInjector) Next() (at float64, ok bool) {
+	at = f.steps.nextAt()
 	return at, at < math.Inf(1)
 }
 
 // Play does what is due by now. Danger: where the ground is late a step that told the time at which it was due would tell of the
 // past: of a process that was killed before it sent what has come since.
-func (p *FaultInjector) Advance(now float64) {
+func (f *FaultInjector) Advance(now float64) {
 	for {
-		step, _, ok := p.steps.pop(now)
+		step, _, ok := f.steps.pop(now)
 		if !ok {
 			return
 		}
@@ -68,27 +68,27 @@
 }
 
 // later arranges a step after a time.
-func (p *FaultInjector) after(now, afterS float64, step func(now float64)) {
-	p.steps.add(now+afterS, step)
+func (f *FaultInjector) after(now, afterSeconds float64, step func(now float64)) {
+	f.steps.add(now+afterSeconds, step)
 }
 
 // endsAt returns when a trouble of boxes, discovery, paths or clients is over: as the script says, and at the latest with
 // the day's arrivals. Danger: one that outlasted the day would leave dials and links that nobody could call left over.
-func (p *FaultInjector) endsAt(t *Fault, now float64) float64 {
-	return max(now, min(now+t.DurationSeconds, p.environment.Day.Start+p.environment.Day.LengthSeconds))
+func (f *FaultInjector) endsAt(fault *Fault, now float64) float64 {
+	return max(now, min(now+fault.DurationSeconds, f.environment.Day.Start+f.environment.Day.LengthSeconds))
 }
 
 // atEnd arranges a step for the end of a trouble that begins now.
-func (p *FaultInjector) atEnd(t *Fault, now float64, step func(now float64)) {
-	p.steps.add(p.endsAt(t, now), step)
+func (f *FaultInjector) atEnd(fault *Fault, now float64, step func(now float64)) {
+	f.steps.add(f.endsAt(fault, now), step)
 }
 
-func (p *FaultInjector) servers(t *Fault) []*Server {
+func (f *FaultInjector) servers(fault *Fault) []*Server {
 	var found []*Server
-	for _, name := range t.Servers {
-		for _, b := range p.environment.Servers {
-			if b.Spec.Name == name {
-				found = append(found, b)
+	for _, name := range fault.Servers {
+		for _, server := range f.environment.Servers {
+			if server.Spec.Name == name {
+				found = append(found, server)
 			}
 		}
 	}
@@ -96,141 +96,141 @@
 }
 
 // begin begins a trouble and arranges its end.
-func (p *FaultInjector) startFault(t *Fault, now float64) {
-	boxes := p.servers(t)
-	switch t.Kind {
+func (f *FaultInjector) startFault(fault *Fault, now float64) {
+	servers := f.servers(fault)
+	switch fault.Kind {
 	case Hang:
-		p.hangServers(boxes, t, now)
+		f.hangServers(servers, fault, now)
 	case Crash:
-		p.stopAndReturn(boxes, t, now, false, false)
+		f.stopAndReturn(servers, fault, now, false, false)
 	case CrashMoved:
-		p.stopAndReturn(boxes, t, now, false, true)
+		f.stopAndReturn(servers, fault, now, false, true)
 	case HalfOpen:
-		p.stopAndReturn(boxes, t, now, true, false)
+		f.stopAndReturn(servers, fault, now, true, false)
 	case SiteLoss:
-		p.loseSite(t, now)
+		f.loseSite(fault, now)
 	case ScaleIn:
-		if t.SidecarCount > 0 {
-			p.leaveForGood(t, now)
+		if fault.SidecarCount > 0 {
+			f.leaveForGood(fault, now)
 		} else {
-			p.drainServers(boxes, t, now)
+			f.drainServers(servers, fault, now)
 		}
 	case ScaleOut:
-		for range t.SidecarCount {
-			p.isGone[p.firstStandby] = false
-			p.hosts.StartStandby(p.firstStandby)
-			p.firstStandby++
+		for range fault.SidecarCount {
+			f.isGone[f.firstStandby] = false
+			f.hosts.StartStandby(f.firstStandby)
+			f.firstStandby++
 		}
 	case StaleList:
-		p.environment.Discovery.DelaySeconds += t.DelaySeconds
-		p.atEnd(t, now, func(float64) { p.environment.Discovery.DelaySeconds -= t.DelaySeconds })
+		f.environment.Discovery.DelaySeconds += fault.DelaySeconds
+		f.atEnd(fault, now, func(float64) { f.environment.Discovery.DelaySeconds -= fault.DelaySeconds })
 	case DiscoveryDown:
-		p.environment.Discovery.SetDown(true, now)
-		p.atEnd(t, now, func(now float64) { p.environment.Discovery.SetDown(false, now) })
+		f.environment.Discovery.SetDown(true, now)
+		f.atEnd(fault, now, func(now float64) { f.environment.Discovery.SetDown(false, now) })
 	case Resets:
-		p.resetRepeatedly(boxes, t, now, p.endsAt(t, now))
+		f.resetRepeatedly(servers, fault, now, f.endsAt(fault, now))
 	case OneWay:
-		p.dropOneWay(boxes, t, now)
+		f.dropOneWay(servers, fault, now)
 	case SlowReader:
-		p.limitReads(t, now)
+		f.limitReads(fault, now)
 	case LateConnect:
-		p.delayConnects(boxes, t, now)
+		f.delayConnects(servers, fault, now)
 	case MalformedAnswers, TrailingBytes, InterimResponses, EarlyClose:
-		for _, b := range boxes {
-			share := b.Misbehavior.shareOf(t.Kind)
-			*share += t.Share
-			p.atEnd(t, now, func(float64) { *share = max(0, *share-t.Share) })
+		for _, server := range servers {
+			share := server.Misbehavior.shareOf(fault.Kind)
+			*share += fault.Share
+			f.atEnd(fault, now, func(float64) { *share = max(0, *share-fault.Share) })
 		}
 	case BadClients, SilentFlood:
-		for _, i := range t.Sidecars {
-			if i >= p.firstStandby {
+		for _, i := range fault.Sidecars {
+			if i >= f.firstStandby {
 				continue // its machine has not begun
 			}
-			p.environment.HostileClients[i].Connect(t.RatePerSecond, p.endsAt(t, now), t.Kind == SilentFlood)
+			f.environment.HostileClients[i].Connect(fault.RatePerSecond, f.endsAt(fault, now), fault.Kind == SilentFlood)
 		}
 	case SilentWatch:
-		p.environment.Discovery.StallWatches()
+		f.environment.Discovery.StallWatches()
 	case WatchReset:
-		for i := range p.environment.Applications {
-			p.hosts.ResetConnections(p.environment.Day.Sidecars[i].IP, p.environment.Discovery.currentIP())
+		for i := range f.environment.Applications {
+			f.hosts.ResetConnections(f.environment.Day.Sidecars[i].IP, f.environment.Discovery.currentIP())
 		}
 	case FullList:
-		p.environment.Discovery.SendFullLists(true)
-		p.atEnd(t, now, func(float64) { p.environment.Discovery.SendFullLists(false) })
+		f.environment.Discovery.SendFullLists(true)
+		f.atEnd(fault, now, func(float64) { f.environment.Discovery.SendFullLists(false) })
 	case ClientsLeave:
-		for _, i := range t.Sidecars {
-			if i < p.firstStandby { // else its machine has not begun
-				p.environment.Applications[i].AbandonEarly(t.Share, p.endsAt(t, now))
+		for _, i := range fault.Sidecars {
+			if i < f.firstStandby { // else its machine has not begun
+				f.environment.Applications[i].AbandonEarly(fault.Share, f.endsAt(fault, now))
 			}
 		}
 	case SidecarKill:
-		for _, i := range t.Sidecars {
-			p.killSidecar(i, p.endsAt(t, now)-now, now)
-			p.damageState(i, t)
+		for _, i := range fault.Sidecars {
+			f.killSidecar(i, f.endsAt(fault, now)-now, now)
+			f.damageState(i, fault)
 		}
 	case RestartAll:
-		for i := range p.environment.Applications {
-			p.killSidecar(i, p.endsAt(t, now)-now, now)
+		for i := range f.environment.Applications {
+			f.killSidecar(i, f.endsAt(fault, now)-now, now)
 		}
 	case PeerCut:
-		p.overPeerPaths(t, now, p.hosts.DropPeerTraffic)
+		f.overPeerPaths(fault, now, f.hosts.DropPeerTraffic)
 	case PeerHold:
-		p.overPeerPaths(t, now, p.hosts.HoldPeerTraffic)
+		f.overPeerPaths(fault, now, f.hosts.HoldPeerTraffic)
 	case PeerSlow:
-		p.limitPeerTraffic(t, now)
+		f.limitPeerTraffic(fault, now)
 	case DiskFull:
-		for _, i := range t.Sidecars {
-			p.whileAny(p.fullDisks, i, t, now, p.hosts.FillDisk)
+		for _, i := range fault.Sidecars {
+			f.whileAny(f.fullDisks, i, fault, now, f.hosts.FillDisk)
 		}
 	case Clock:
-		for _, i := range t.Sidecars {
-			p.whileAny(p.clockFaults, i, t, now, func(i int, on bool) {
+		for _, i := range fault.Sidecars {
+			f.whileAny(f.clockFaults, i, fault, now, func(i int, enabled bool) {
 				rate := 1.0
-				if on {
-					rate = t.ClockRate
+				if enabled {
+					rate = fault.ClockRate
 				}
-				p.hosts.SetClockRate(i, rate)
+				f.hosts.SetClockRate(i, rate)
 			})
 		}
 	case PeerReset:
-		p.resetPeersRepeatedly(t, now, p.endsAt(t, now))
+		f.resetPeersRepeatedly(fault, now, f.endsAt(fault, now))
 	case PeerNotReading:
-		for _, i := range t.Sidecars {
-			p.hosts.QueryWithoutReading(i, t.RatePerSecond, p.endsAt(t, now))
+		for _, i := range fault.Sidecars {
+			f.hosts.QueryWithoutReading(i, fault.RatePerSecond, f.endsAt(fault, now))
 		}
 	case Suspend:
-		p.suspend(t, now)
+		f.suspend(fault, now)
 	case SidecarTerm:
-		for _, i := range t.Sidecars {
-			if p.isGone[i] {
+		for _, i := range fault.Sidecars {
+			if f.isGone[i] {
 				continue
 			}
-			p.terminate(i, now)
-			p.isTerminating[i] = true
+			f.terminate(i, now)
+			f.isTerminating[i] = true
 			// What has not ended by then is killed, as a platform does before it begins the next process.
-			p.after(now, t.DurationSeconds, func(now float64) {
-				p.isTerminating[i] = false
-				p.killSidecar(i, 0, now)
-				p.damageState(i, t)
+			f.after(now, fault.DurationSeconds, func(now float64) {
+				f.isTerminating[i] = false
+				f.killSidecar(i, 0, now)
+				f.damageState(i, fault)
 			})
 		}
 	case Reload:
-		p.moveDiscovery(now)
+		f.moveDiscovery(now)
 	case Cordon:
-		p.cordon(boxes, true)
-		p.atEnd(t, now, func(float64) { p.cordon(boxes, false) })
+		f.cordon(servers, true)
+		f.atEnd(fault, now, func(float64) { f.cordon(servers, false) })
 	case AddressReuse:
-		for _, b := range boxes {
-			p.replaceServer(b, t, now)
+		for _, server := range servers {
+			f.replaceServer(server, fault, now)
 		}
 	}
 }
 
 // counted has something befall a sidecar or a box until the trouble is over. Of those that overlap the last one to end ends it.
-func (p *FaultInjector) whileAny(all []int, sidecar int, t *Fault, now float64, befall func(sidecar int, on bool)) {
+func (f *FaultInjector) whileAny(all []int, sidecar int, fault *Fault, now float64, befall func(sidecar int, enabled bool)) {
 	all[sidecar]++
 	befall(sidecar, true)
-	p.atEnd(t, now, func(float64) {
+	f.atEnd(fault, now, func(float64) {
 		if all[sidecar]--; all[sidecar] == 0 {
 			befall(sidecar, false)
 		}
@@ -238,10 +238,10 @@
 }
 
 // cut tells the witness of a way that is cut, or mended.
-func (p *FaultInjector) observePath(sidecar, box int32, on bool, now float64) {
+func (f *FaultInjector) observePath(sidecar, server int32, enabled bool, now float64) {
 	kind := checker.PathFaultEnded
-	if on {
+	if enabled {
 		kind = checker.PathFaultStarted
 	}
-	p.observer.Observe(checker.Event{Kind: kind, At: now, Sidecar: sidecar, Server: box})
+	f.observer.Observe(checker.Event{Kind: kind, At: now, Sidecar: sidecar, Server: server})
 }
--- a/internal/environment/faultkinds.go
+++ b/internal/environment/faultkinds.go
@@ -136,24 +136,24 @@
 }
 
 // besideIt draws what a trouble of connections comes with on half of the days, since it shows little without.
-func companionFaults(t *Fault, d *Day, rng *rand.Rand) []Fault {
+func companionFaults(fault *Fault, day *Day, rng *rand.Rand) []Fault {
 	if rng.IntN(2) == 0 {
 		return nil
 	}
 	// Danger: a server that ends soon after its notice shows nobody who goes by an old list.
-	drains := Fault{Kind: ScaleIn, AtSeconds: t.AtSeconds + uniform(rng, 0, 5), DrainSeconds: uniform(rng, 12, 25), Servers: d.drawServerNames(rng, 0.05, 0.25)}
-	switch t.Kind {
+	drains := Fault{Kind: ScaleIn, AtSeconds: fault.AtSeconds + uniform(rng, 0, 5), DrainSeconds: uniform(rng, 12, 25), Servers: day.drawServerNames(rng, 0.05, 0.25)}
+	switch fault.Kind {
 	case SilentWatch, WatchReset:
 		return []Fault{drains}
 	case DiscoveryDown:
-		drains.AtSeconds += t.DurationSeconds
+		drains.AtSeconds += fault.DurationSeconds
 		return []Fault{drains}
 	case FullList: // what drains is left out of what follows an end of the watches
 		return []Fault{drains, {Kind: WatchReset, AtSeconds: drains.AtSeconds + uniform(rng, 0, 6)}}
 	case ClientsLeave: // attempts that get no answer are followed by others, and clients leave meanwhile
-		return []Fault{{Kind: Hang, AtSeconds: t.AtSeconds, DurationSeconds: t.DurationSeconds, Servers: d.drawServerNames(rng, 0.1, 0.4)}}
+		return []Fault{{Kind: Hang, AtSeconds: fault.AtSeconds, DurationSeconds: fault.DurationSeconds, Servers: day.drawServerNames(rng, 0.1, 0.4)}}
 	case LateConnect: // connections that are there last, so that few are dialed
-		return []Fault{{Kind: EarlyClose, AtSeconds: t.AtSeconds, DurationSeconds: t.DurationSeconds, Servers: t.Servers, Share: uniform(rng, 0.05, 0.3)}}
+		return []Fault{{Kind: EarlyClose, AtSeconds: fault.AtSeconds, DurationSeconds: fault.DurationSeconds, Servers: fault.Servers, Share: uniform(rng, 0.05, 0.3)}}
 	}
 	return nil
 }
@@ -206,8 +206,8 @@
 	}},
 }
 
-func drawSidecarCount(t *Fault, d *Day, rng *rand.Rand) {
-	t.SidecarCount = 1 + rng.IntN(max(len(d.Sidecars)/2, 1))
+func drawSidecarCount(fault *Fault, day *Day, rng *rand.Rand) {
+	fault.SidecarCount = 1 + rng.IntN(max(len(day.Sidecars)/2, 1))
 }
 
 // Kinds returns the names of all kinds of trouble.
@@ -225,8 +225,8 @@
 func kindOf(name string, has func(field string) bool) (found *faultKind) {
 	for _, all := range faultKindLists {
 		for i := range all {
-			if k := &all[i]; k.name == name && (found == nil || !found.given(has) && k.given(has)) {
-				found = k
+			if kind := &all[i]; kind.name == name && (found == nil || !found.given(has) && kind.given(has)) {
+				found = kind
 			}
 		}
 	}
--- a/internal/environment/hostileclients.go
+++ b/internal/environment/hostileclients.go
@@ -90,142 +90,142 @@
 }
 
 // NewMischief returns the clients beside a sidecar that may not be served. None comes before Come is called.
-func NewHostileClients(d *Day, sidecar int, app *Application, w checker.Observer) *HostileClients {
-	return &HostileClients{number: int32(sidecar), day: d, app: app, observer: w, rng: randomStream(d.Seed, "mischief", sidecar),
+func NewHostileClients(day *Day, sidecar int, app *Application, observer checker.Observer) *HostileClients {
+	return &HostileClients{number: int32(sidecar), day: day, app: app, observer: observer, rng: randomStream(day.Seed, "mischief", sidecar),
 		armed: math.Inf(1)}
 }
 
 // Boot begins the machine's program.
-func (m *HostileClients) Boot(net netio.EventLoop) netio.Handler {
-	m.net = net
-	return m
+func (h *HostileClients) Boot(net netio.EventLoop) netio.Handler {
+	h.net = net
+	return h
 }
 
 // Start begins the waves that Come was told of before.
-func (m *HostileClients) Start() {
-	for _, w := range m.earlyWaves {
-		m.startWave(w)
+func (h *HostileClients) Start() {
+	for _, w := range h.earlyWaves {
+		h.startWave(w)
 	}
-	m.earlyWaves = nil
+	h.earlyWaves = nil
 }
 
 // Come has so many such clients a second come until a time; silent ones say nothing. Danger: in real time a trouble can begin
 // before the machine has, and there is no loop to post to yet; its clients come from Start on.
-func (m *HostileClients) Connect(perS, until float64, silent bool) {
-	w := &wave{perS, until, silent}
-	if m.net == nil {
-		m.earlyWaves = append(m.earlyWaves, w)
+func (h *HostileClients) Connect(ratePerSecond, until float64, silent bool) {
+	w := &wave{ratePerSecond, until, silent}
+	if h.net == nil {
+		h.earlyWaves = append(h.earlyWaves, w)
 		return
 	}
-	m.net.Post(func() { m.startWave(w) })
+	h.net.Post(func() { h.startWave(w) })
 }
 
 // beginWave has the first client of a wave come at once.
-func (m *HostileClients) startWave(w *wave) {
-	m.tasks.add(m.net.Now(), hostileTask{wave: w})
-	m.arm()
+func (h *HostileClients) startWave(w *wave) {
+	h.tasks.add(h.net.Now(), hostileTask{wave: w})
+	h.arm()
 }
 
 // Alarm does what is due.
-func (m *HostileClients) Alarm() {
-	m.armed = math.Inf(1)
-	now := m.net.Now()
+func (h *HostileClients) Alarm() {
+	h.armed = math.Inf(1)
+	now := h.net.Now()
 	for {
-		t, _, ok := m.tasks.pop(now)
+		t, _, ok := h.tasks.pop(now)
 		if !ok {
 			break
 		}
 		switch {
 		case t.wave != nil:
 			if now < t.wave.until {
-				m.connect(t.wave.isSilent, now)
-				m.tasks.add(now+m.rng.ExpFloat64()/t.wave.ratePerSecond, t)
+				h.connect(t.wave.isSilent, now)
+				h.tasks.add(now+h.rng.ExpFloat64()/t.wave.ratePerSecond, t)
 			}
 		case t.conn.conn == nil:
 		case t.closes:
-			m.net.Close(t.conn.conn)
+			h.net.Close(t.conn.conn)
 		default:
-			m.sendPiece(t.conn, now)
+			h.sendPiece(t.conn, now)
 		}
 	}
-	m.arm()
+	h.arm()
 }
 
-func (m *HostileClients) arm() {
-	if at := m.tasks.nextAt(); at != m.armed && at < math.Inf(1) {
-		m.armed = at
-		m.net.SetAlarm(at)
+func (h *HostileClients) arm() {
+	if at := h.tasks.nextAt(); at != h.armed && at < math.Inf(1) {
+		h.armed = at
+		h.net.SetAlarm(at)
 	}
 }
 
-func (m *HostileClients) connect(silent bool, now float64) {
-	m.lastVisit++
-	v := &hostileConn{kind: hostileKind(m.rng.IntN(int(hostileKindCount))), number: uint64(m.number+1)<<48 | 1<<40 | m.lastVisit, parser: http1.NewResponseParser(messageLimits)}
+func (h *HostileClients) connect(silent bool, now float64) {
+	h.lastVisit++
+	conn := &hostileConn{kind: hostileKind(h.rng.IntN(int(hostileKindCount))), number: uint64(h.number+1)<<48 | 1<<40 | h.lastVisit, parser: http1.NewResponseParser(messageLimits)}
 	if silent {
-		v.kind = staysSilent
+		conn.kind = staysSilent
 	}
-	m.net.Dial(m.address(v), now+hostileDialSeconds, v, func(error) {})
+	h.net.Dial(h.address(conn), now+hostileDialSeconds, conn, func(error) {})
 }
 
 // address returns where a client comes to. Where there is a Thrift port, those that may never be served come there by turns.
-func (m *HostileClients) address(v *hostileConn) string {
-	at := m.day.Sidecars[m.number].Address
-	if m.day.Protocol.IsThrift() && !v.isServable() && v.kind != requestsWithOthersID && v.number&1 == 0 {
+func (h *HostileClients) address(conn *hostileConn) string {
+	at := h.day.Sidecars[h.number].Address
+	if h.day.Protocol.IsThrift() && !conn.isServable() && conn.kind != requestsWithOthersID && conn.number&1 == 0 {
 		return ThriftAddress(at)
 	}
 	return at
 }
 
 // Open begins what a client has come for.
-func (m *HostileClients) Open(c netio.Conn) bool {
-	v := c.Context().(*hostileConn)
-	v.conn = c
-	now := m.net.Now()
-	m.tasks.add(now+hostileConnSeconds, hostileTask{conn: v, closes: true})
-	if v.kind == requestsWithOthersID {
+func (h *HostileClients) Open(c netio.Conn) bool {
+	conn := c.Context().(*hostileConn)
+	conn.conn = c
+	now := h.net.Now()
+	h.tasks.add(now+hostileConnSeconds, hostileTask{conn: conn, closes: true})
+	if conn.kind == requestsWithOthersID {
 		var open bool
-		if v.id, open = m.app.pendingRequestID(); !open {
+		if conn.id, open = h.app.pendingRequestID(); !open {
 			return false // there is no id to use, so nothing to ask
 		}
 	}
-	if !v.isServable() && v.kind != requestsHalf {
-		e := m.event(checker.HostileConnected, v)
-		if e.Deadline = now + answerDueSeconds; v.kind == sendsHugeBody {
+	if !conn.isServable() && conn.kind != requestsHalf {
+		e := h.event(checker.HostileConnected, conn)
+		if e.Deadline = now + answerDueSeconds; conn.kind == sendsHugeBody {
 			e.Deadline = now + hugeAnswerDueSeconds
 		}
-		m.observer.Observe(e)
-		v.isObserved = true
+		h.observer.Observe(e)
+		conn.isObserved = true
 	}
-	m.sendFirst(v, now)
-	m.arm()
+	h.sendFirst(conn, now)
+	h.arm()
 	return true
 }
 
-func (m *HostileClients) event(kind checker.Kind, v *hostileConn) checker.Event {
-	now := m.net.Now()
-	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: m.number, Server: -1, Class: -1, Connection: v.number, Request: v.id}
+func (h *HostileClients) event(kind checker.Kind, conn *hostileConn) checker.Event {
+	now := h.net.Now()
+	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: h.number, Server: -1, Class: -1, Connection: conn.number, Request: conn.id}
 }
 
-func (m *HostileClients) sendFirst(v *hostileConn, now float64) {
-	class, unsafe := m.classOf(checker.Safe), m.classOf(checker.Unsafe)
-	out := m.out[:0]
+func (h *HostileClients) sendFirst(conn *hostileConn, now float64) {
+	class, unsafe := h.classOf(checker.Safe), h.classOf(checker.Unsafe)
+	out := h.out[:0]
 	post := func() { out = append(append(append(out, "POST /"...), unsafe...), " HTTP/1.1\r\nHost: h\r\n"...) }
 	get := func() { out = append(append(append(out, "GET /"...), class...), " HTTP/1.1\r\nHost: h\r\n"...) }
 	id := func() {
-		out = append(appendID(append(out, fieldID+": "...), m.rng.Uint64()|1), "\r\n"...)
+		out = append(appendID(append(out, fieldID+": "...), h.rng.Uint64()|1), "\r\n"...)
 	}
-	if m.address(v) != m.day.Sidecars[m.number].Address && m.sendMalformedCall(v, now, unsafe) {
+	if h.address(conn) != h.day.Sidecars[h.number].Address && h.sendMalformedCall(conn, now, unsafe) {
 		return
 	}
-	switch v.kind {
+	switch conn.kind {
 	case sendsNoise:
-		for range 20 + m.rng.IntN(300) {
-			out = append(out, byte(m.rng.Uint32()))
+		for range 20 + h.rng.IntN(300) {
+			out = append(out, byte(h.rng.Uint32()))
 		}
 		out = append(out, "\r\n\r\n"...)
 	case sendsEndlessHead:
 		get()
-		m.tasks.add(now, hostileTask{conn: v})
+		h.tasks.add(now, hostileTask{conn: conn})
 	case sendsOddLength:
 		post()
 		id()
@@ -238,7 +238,7 @@
 		post()
 		id()
 		out = append(strconv.AppendInt(append(out, "Content-Length: "...), hugeBody, 10), "\r\n\r\n"...)
-		m.tasks.add(now, hostileTask{conn: v})
+		h.tasks.add(now, hostileTask{conn: conn})
 	case requestsUnknownClass:
 		out = append(out, "GET /no-such-class HTTP/1.1\r\nHost: h\r\n"...)
 		id()
@@ -252,12 +252,12 @@
 		out = append(out, "\r\n"...)
 	case requestsWithOthersID:
 		get()
-		out = append(appendID(append(out, fieldID+": "...), v.id), "\r\n\r\n"...)
+		out = append(appendID(append(out, fieldID+": "...), conn.id), "\r\n\r\n"...)
 	case requestsHalf:
 		post()
 		id()
 		out = append(out, "Content-Length: 100\r\n\r\nhalf"...)
-		m.tasks.add(now+m.rng.Float64(), hostileTask{conn: v, closes: true})
+		h.tasks.add(now+h.rng.Float64(), hostileTask{conn: conn, closes: true})
 	case smugglesRequest:
 		post()
 		id()
@@ -266,40 +266,40 @@
 		id()
 		out = append(out, "Content-Length: 0\r\n\r\n"...)
 	case retriesAtOnce:
-		m.sendValid(v, now)
+		h.sendValid(conn, now)
 		return
 	case pipelinesRequests:
-		m.sendPipelined(v, now)
+		h.sendPipelined(conn, now)
 		return
 	}
-	m.out = out
+	h.out = out
 	if len(out) > 0 {
-		v.conn.Write(out) // a connection that breaks here is closed by the network
+		conn.conn.Write(out) // a connection that breaks here is closed by the network
 	}
 }
 
-func (m *HostileClients) classOf(effect checker.Effect) string {
-	for _, c := range m.day.Classes {
-		if c.Effect == effect {
-			return c.Name
+func (h *HostileClients) classOf(effect checker.Effect) string {
+	for _, class := range h.day.Classes {
+		if class.Effect == effect {
+			return class.Name
 		}
 	}
-	return m.day.Classes[0].Name
+	return h.day.Classes[0].Name
 }
 
 // served tells whether what such a client asks may be served.
-func (v *hostileConn) isServable() bool {
-	return v.kind == retriesAtOnce || v.kind == pipelinesRequests
+func (c *hostileConn) isServable() bool {
+	return c.kind == retriesAtOnce || c.kind == pipelinesRequests
 }
 
 // goOn sends the next piece of what never ends.
-func (m *HostileClients) sendPiece(v *hostileConn, now float64) {
-	if v.pieces++; v.pieces > maxPieces {
+func (h *HostileClients) sendPiece(conn *hostileConn, now float64) {
+	if conn.pieces++; conn.pieces > maxPieces {
 		return
 	}
-	if v.conn.OutboundBuffered() == 0 {
-		out := m.out[:0]
-		if v.kind == sendsEndlessHead {
+	if conn.conn.OutboundBuffered() == 0 {
+		out := h.out[:0]
+		if conn.kind == sendsEndlessHead {
 			out = append(append(out, "X-Fill-"...), bodyText[:500]...)
 			for i := range out {
 				if out[i] == '=' || out[i] == ';' {
@@ -312,63 +312,63 @@
 				out = append(out, bodyText...)
 			}
 		}
-		m.out = out
-		v.conn.Write(out)
+		h.out = out
+		conn.conn.Write(out)
 	}
-	m.tasks.add(now+pieceIntervalSeconds, hostileTask{conn: v})
+	h.tasks.add(now+pieceIntervalSeconds, hostileTask{conn: conn})
 }
 
 // Traffic takes what such a client is sent.
-func (m *HostileClients) Traffic(c netio.Conn, data []byte) {
-	v := c.Context().(*hostileConn)
-	if v.isAnswered {
+func (h *HostileClients) Traffic(c netio.Conn, data []byte) {
+	conn := c.Context().(*hostileConn)
+	if conn.isAnswered {
 		return
 	}
-	v.buf.Write(data)
-	if v.kind == pipelinesRequests {
-		m.readPipelined(v)
-		m.arm()
+	conn.buf.Write(data)
+	if conn.kind == pipelinesRequests {
+		h.readPipelined(conn)
+		h.arm()
 		return
 	}
-	done, err := v.parser.Next(&v.buf)
-	if v.kind == retriesAtOnce {
+	done, err := conn.parser.Next(&conn.buf)
+	if conn.kind == retriesAtOnce {
 		if err != nil {
-			m.observer.Observe(m.event(checker.ResponseTruncated, v))
-			v.id = 0
-			m.net.Close(c)
+			h.observer.Observe(h.event(checker.ResponseTruncated, conn))
+			conn.id = 0
+			h.net.Close(c)
 		} else if done {
-			m.retryRejected(v)
+			h.retryRejected(conn)
 		}
-		m.arm()
+		h.arm()
 		return
 	}
 	if err != nil || done {
-		e := m.event(checker.HostileAnswered, v)
-		e.Status = int32(v.parser.Status)
-		m.observer.Observe(e)
-		v.isAnswered = true
-		m.net.Close(c)
+		e := h.event(checker.HostileAnswered, conn)
+		e.Status = int32(conn.parser.Status)
+		h.observer.Observe(e)
+		conn.isAnswered = true
+		h.net.Close(c)
 	}
-	m.arm()
+	h.arm()
 }
 
 // Closed takes the end of a connection.
-func (m *HostileClients) Closed(c netio.Conn, err error) {
-	v := c.Context().(*hostileConn)
-	v.conn = nil
+func (h *HostileClients) Closed(c netio.Conn, err error) {
+	conn := c.Context().(*hostileConn)
+	conn.conn = nil
 	switch {
-	case v.kind == pipelinesRequests:
-		m.pipelineClosed(c, v, err)
-	case v.kind == retriesAtOnce && v.id != 0 && err == nil:
-		m.observer.Observe(m.event(checker.RequestAbandoned, v))
-	case v.kind == retriesAtOnce && v.id != 0 && v.parser.HasBegun():
-		m.observer.Observe(m.event(checker.ResponseTruncated, v))
-	case v.kind == retriesAtOnce && v.id != 0:
-		e := m.event(checker.ConnectionDropped, v)
-		e.Reused, e.WasRead = v.requests > 1, readByPeer(c)
-		m.observer.Observe(e)
-	case v.kind != retriesAtOnce && v.kind != requestsHalf && err != nil && v.isObserved:
-		m.observer.Observe(m.event(checker.HostileClosed, v))
+	case conn.kind == pipelinesRequests:
+		h.pipelineClosed(c, conn, err)
+	case conn.kind == retriesAtOnce && conn.id != 0 && err == nil:
+		h.observer.Observe(h.event(checker.RequestAbandoned, conn))
+	case conn.kind == retriesAtOnce && conn.id != 0 && conn.parser.HasBegun():
+		h.observer.Observe(h.event(checker.ResponseTruncated, conn))
+	case conn.kind == retriesAtOnce && conn.id != 0:
+		e := h.event(checker.ConnectionDropped, conn)
+		e.Reused, e.WasRead = conn.requests > 1, readByPeer(c)
+		h.observer.Observe(e)
+	case conn.kind != retriesAtOnce && conn.kind != requestsHalf && err != nil && conn.isObserved:
+		h.observer.Observe(h.event(checker.HostileClosed, conn))
 	}
-	m.arm()
+	h.arm()
 }
--- a/internal/environment/keymemory.go
+++ b/internal/environment/keymemory.go
@@ -12,8 +12,8 @@
 }
 
 // repeat tells whether a key was seen in the window before now, and notes it if not.
-func (m *keyMemory) isRepeat(key string, now, windowS float64) bool {
-	for len(m.order) > 0 && m.order[0].at < now-windowS {
+func (m *keyMemory) isRepeat(key string, now, windowSeconds float64) bool {
+	for len(m.order) > 0 && m.order[0].at < now-windowSeconds {
 		delete(m.seen, m.order[0].key)
 		m.order = m.order[1:]
 	}
--- a/internal/environment/malformed.go
+++ b/internal/environment/malformed.go
@@ -21,33 +21,33 @@
 
 // spoil writes an answer that nobody can take for whole, though its request has run. The connection stays open, mostly,
 // and is of no further use.
-func (l *serverProcess) writeMalformed(k *serverConn, body []byte) {
-	l.observeResponse(k, 0, false, true, nil)
-	k.job, k.isUnusable = nil, true
-	out := l.buffer[:0]
-	if k.request.isThrift {
+func (p *serverProcess) writeMalformed(conn *serverConn, body []byte) {
+	p.observeResponse(conn, 0, false, true, nil)
+	conn.job, conn.isUnusable = nil, true
+	out := p.buffer[:0]
+	if conn.request.isThrift {
 		var closes bool
-		if out, closes = l.appendMalformedReply(k, out, body); len(out) > 0 {
-			l.write(k, out)
+		if out, closes = p.appendMalformedReply(conn, out, body); len(out) > 0 {
+			p.write(conn, out)
 		}
-		if closes && k.conn != nil {
-			l.net.Close(k.conn)
+		if closes && conn.conn != nil {
+			p.net.Close(conn.conn)
 		}
 		return
 	}
-	how := l.rng.IntN(malformedKinds)
+	how := p.rng.IntN(malformedKinds)
 	switch how {
 	case malformedNoise:
-		out = l.appendNoise(out, 20+l.rng.IntN(400))
+		out = p.appendNoise(out, 20+p.rng.IntN(400))
 	case malformedHead:
 		out = append(out, "HTTP/1.1 200 OK\r\nno field at all\r\n\r\n"...)
 	case malformedEndlessHead:
 		out = append(out, "HTTP/1.1 200 OK\r\nX-Fill: "...)
-		for range 1 + l.rng.IntN(40<<10) {
+		for range 1 + p.rng.IntN(40<<10) {
 			out = append(out, 'a')
 		}
 	case malformedTooLong, malformedEndsEarly:
-		out = append(http1.AppendHeader(append(out, "HTTP/1.1 200 OK\r\n"...), nil, len(body)+1+l.rng.IntN(1000)), body...)
+		out = append(http1.AppendHeader(append(out, "HTTP/1.1 200 OK\r\n"...), nil, len(body)+1+p.rng.IntN(1000)), body...)
 	case malformedNegativeLength:
 		out = append(append(out, "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n"...), body...)
 	case malformedTwoLengths:
@@ -60,22 +60,22 @@
 			out = append(out, 'a')
 		}
 	}
-	if l.write(k, out); how == malformedEndsEarly && k.conn != nil {
-		l.net.Close(k.conn)
+	if p.write(conn, out); how == malformedEndsEarly && conn.conn != nil {
+		p.net.Close(conn.conn)
 	}
 }
 
 // behind appends what does not belong to an answer: a copy of it, or noise.
-func (l *serverProcess) appendTrailing(out []byte) (more []byte, copied bool) {
-	if l.rng.IntN(2) == 0 {
+func (p *serverProcess) appendTrailing(out []byte) (more []byte, copied bool) {
+	if p.rng.IntN(2) == 0 {
 		return append(out, out...), true
 	}
-	return l.appendNoise(out, 1+l.rng.IntN(60)), false
+	return p.appendNoise(out, 1+p.rng.IntN(60)), false
 }
 
-func (l *serverProcess) appendNoise(out []byte, n int) []byte {
+func (p *serverProcess) appendNoise(out []byte, n int) []byte {
 	for range n {
-		out = append(out, byte(l.rng.Uint32()))
+		out = append(out, byte(p.rng.Uint32()))
 	}
 	return out
 }
--- a/internal/environment/peerfaults.go
+++ b/internal/environment/peerfaults.go
@@ -3,65 +3,65 @@
 import "slices"
 
 // sides calls f with each two sidecars that a trouble stands between.
-func (p *FaultInjector) eachPeerPair(t *Fault, f func(a, b int)) {
-	to := t.To
+func (f *FaultInjector) eachPeerPair(fault *Fault, visit func(a, b int)) {
+	to := fault.To
 	if len(to) == 0 {
-		for i := range p.environment.Applications {
-			if !slices.Contains(t.From, i) {
+		for i := range f.environment.Applications {
+			if !slices.Contains(fault.From, i) {
 				to = append(to, i)
 			}
 		}
 	}
-	for _, a := range t.From {
+	for _, a := range fault.From {
 		for _, b := range to {
 			if a != b {
-				f(a, b)
+				visit(a, b)
 			}
 		}
 	}
 }
 
 // between has something befall the ways between sidecars until the trouble is over. Troubles that overlap are counted.
-func (p *FaultInjector) overPeerPaths(t *Fault, now float64, befall func(from, to int, on bool)) {
+func (f *FaultInjector) overPeerPaths(fault *Fault, now float64, befall func(from, to int, enabled bool)) {
 	way := func(a, b int) {
-		key := peerPath{t.Kind, a, b}
-		if p.peerFaults[key]++; p.peerFaults[key] == 1 {
+		key := peerPath{fault.Kind, a, b}
+		if f.peerFaults[key]++; f.peerFaults[key] == 1 {
 			befall(a, b, true)
 		}
-		p.atEnd(t, now, func(float64) {
-			if p.peerFaults[key]--; p.peerFaults[key] == 0 {
+		f.atEnd(fault, now, func(float64) {
+			if f.peerFaults[key]--; f.peerFaults[key] == 0 {
 				befall(a, b, false)
 			}
 		})
 	}
-	p.eachPeerPath(t, way)
+	f.eachPeerPath(fault, way)
 }
 
 // ways calls f with each way between two sides, both ways unless the trouble is of one alone.
-func (p *FaultInjector) eachPeerPath(t *Fault, f func(from, to int)) {
-	p.eachPeerPair(t, func(a, b int) {
-		if f(a, b); !t.OneWay {
-			f(b, a)
+func (f *FaultInjector) eachPeerPath(fault *Fault, visit func(from, to int)) {
+	f.eachPeerPair(fault, func(a, b int) {
+		if visit(a, b); !fault.OneWay {
+			visit(b, a)
 		}
 	})
 }
 
 // slowPeers has bytes between sidecars go at a rate until the trouble is over; of several rates the least counts.
-func (p *FaultInjector) limitPeerTraffic(t *Fault, now float64) {
-	p.eachPeerPath(t, func(a, b int) {
-		key := peerPath{t.Kind, a, b}
+func (f *FaultInjector) limitPeerTraffic(fault *Fault, now float64) {
+	f.eachPeerPath(fault, func(a, b int) {
+		key := peerPath{fault.Kind, a, b}
 		tell := func() {
-			if all := p.peerRates[key]; len(all) > 0 {
-				p.hosts.LimitPeerTraffic(a, b, slices.Min(all))
+			if all := f.peerRates[key]; len(all) > 0 {
+				f.hosts.LimitPeerTraffic(a, b, slices.Min(all))
 			} else {
-				p.hosts.LimitPeerTraffic(a, b, 0)
+				f.hosts.LimitPeerTraffic(a, b, 0)
 			}
 		}
-		p.peerRates[key] = append(p.peerRates[key], t.RatePerSecond)
+		f.peerRates[key] = append(f.peerRates[key], fault.RatePerSecond)
 		tell()
-		p.atEnd(t, now, func(float64) {
-			i := slices.Index(p.peerRates[key], t.RatePerSecond)
-			p.peerRates[key] = slices.Delete(p.peerRates[key], i, i+1)
+		f.atEnd(fault, now, func(float64) {
+			i := slices.Index(f.peerRates[key], fault.RatePerSecond)
+			f.peerRates[key] = slices.Delete(f.peerRates[key], i, i+1)
 			tell()
 		})
 	})
@@ -73,10 +73,10 @@
 	from, to int
 }
 
-func (p *FaultInjector) resetPeersRepeatedly(t *Fault, now, until float64) {
+func (f *FaultInjector) resetPeersRepeatedly(fault *Fault, now, until float64) {
 	if now >= until {
 		return
 	}
-	p.eachPeerPair(t, p.hosts.ResetPeerConnections)
-	p.after(now, 1/t.RatePerSecond, func(now float64) { p.resetPeersRepeatedly(t, now, until) })
+	f.eachPeerPair(fault, f.hosts.ResetPeerConnections)
+	f.after(now, 1/fault.RatePerSecond, func(now float64) { f.resetPeersRepeatedly(fault, now, until) })
 }
--- a/internal/environment/pipeline.go
+++ b/internal/environment/pipeline.go
@@ -9,85 +9,85 @@
 )
 
 // askAhead sends several requests that may be served at once, without waiting for the answers between.
-func (m *HostileClients) sendPipelined(v *hostileConn, now float64) {
-	class := m.classOf(checker.Safe)
-	number := slices.IndexFunc(m.day.Classes, func(c ClassSpec) bool { return c.Name == class })
+func (h *HostileClients) sendPipelined(conn *hostileConn, now float64) {
+	class := h.classOf(checker.Safe)
+	number := slices.IndexFunc(h.day.Classes, func(spec ClassSpec) bool { return spec.Name == class })
 	var out []byte
 	var asked []checker.Event
-	for range 2 + m.rng.IntN(maxPipelined-1) {
-		v.id = m.rng.Uint64() | 1
-		v.pendingIDs = append(v.pendingIDs, v.id)
-		e := m.event(checker.RequestStarted, v)
-		e.FirstRequest, e.Class, e.Deadline, e.Uncounted = v.id, int32(number), now+retryTimeoutSeconds, true
-		m.observer.Observe(e)
+	for range 2 + h.rng.IntN(maxPipelined-1) {
+		conn.id = h.rng.Uint64() | 1
+		conn.pendingIDs = append(conn.pendingIDs, conn.id)
+		e := h.event(checker.RequestStarted, conn)
+		e.FirstRequest, e.Class, e.Deadline, e.Uncounted = conn.id, int32(number), now+retryTimeoutSeconds, true
+		h.observer.Observe(e)
 		asked = append(asked, e)
 		out = append(append(append(out, "GET /"...), class...), " HTTP/1.1\r\nHost: h\r\nRequest-Id: "...)
-		out = append(appendID(out, v.id), "\r\nRequest-Timeout: 1000m\r\n\r\n"...)
+		out = append(appendID(out, conn.id), "\r\nRequest-Timeout: 1000m\r\n\r\n"...)
 	}
-	conn := v.conn
-	if _, err := conn.Write(out); err != nil || v.conn != conn || conn.OutboundBuffered() > 0 {
+	netConn := conn.conn
+	if _, err := netConn.Write(out); err != nil || conn.conn != netConn || netConn.OutboundBuffered() > 0 {
 		return
 	}
 	for i, e := range asked {
 		e.Kind, e.Reused = checker.RequestSent, i > 0
-		m.observer.Observe(e)
+		h.observer.Observe(e)
 	}
 }
 
 // answeredAhead takes the answers of requests that were sent at once. One that says that the connection ends is the last: the client
 // goes, and is owed nothing for the others.
-func (m *HostileClients) readPipelined(v *hostileConn) {
-	for v.conn != nil && len(v.pendingIDs) > 0 {
-		done, err := v.parser.Next(&v.buf)
+func (h *HostileClients) readPipelined(conn *hostileConn) {
+	for conn.conn != nil && len(conn.pendingIDs) > 0 {
+		done, err := conn.parser.Next(&conn.buf)
 		switch {
 		case err != nil:
-			m.observePending(v, checker.ResponseTruncated)
-			m.net.Close(v.conn)
+			h.observePending(conn, checker.ResponseTruncated)
+			h.net.Close(conn.conn)
 		case !done:
 			return
 		default:
-			v.id = v.pendingIDs[0]
-			v.pendingIDs = v.pendingIDs[1:]
-			v.requests++
-			e := m.event(checker.ResponseReceived, v)
-			e.Status, e.Digest = int32(v.parser.Status), checker.Digest(v.parser.Body)
-			m.observer.Observe(e)
-			if len(v.pendingIDs) == 0 || !v.parser.IsPersistent() {
-				m.net.Close(v.conn)
+			conn.id = conn.pendingIDs[0]
+			conn.pendingIDs = conn.pendingIDs[1:]
+			conn.requests++
+			e := h.event(checker.ResponseReceived, conn)
+			e.Status, e.Digest = int32(conn.parser.Status), checker.Digest(conn.parser.Body)
+			h.observer.Observe(e)
+			if len(conn.pendingIDs) == 0 || !conn.parser.IsPersistent() {
+				h.net.Close(conn.conn)
 			}
-			v.parser = http1.NewResponseParser(messageLimits)
+			conn.parser = http1.NewResponseParser(messageLimits)
 		}
 	}
 }
 
 // each tells the witness of all requests of a client that are not answered yet.
-func (m *HostileClients) observePending(v *hostileConn, kind checker.Kind) {
-	for i, id := range v.pendingIDs {
-		v.id = id
-		e := m.event(kind, v)
+func (h *HostileClients) observePending(conn *hostileConn, kind checker.Kind) {
+	for i, id := range conn.pendingIDs {
+		conn.id = id
+		e := h.event(kind, conn)
 		e.Reused = i > 0
-		m.observer.Observe(e)
+		h.observer.Observe(e)
 	}
-	v.pendingIDs = nil
+	conn.pendingIDs = nil
 }
 
 // endedAhead takes the end of the connection of requests that were sent at once.
-func (m *HostileClients) pipelineClosed(c netio.Conn, v *hostileConn, err error) {
+func (h *HostileClients) pipelineClosed(c netio.Conn, conn *hostileConn, err error) {
 	if err == nil {
-		m.observePending(v, checker.RequestAbandoned)
+		h.observePending(conn, checker.RequestAbandoned)
 		return
 	}
-	rest := v.pendingIDs
-	if len(rest) > 0 && v.parser.HasBegun() {
-		v.pendingIDs, rest = rest[:1], rest[1:]
-		m.observePending(v, checker.ResponseTruncated)
+	rest := conn.pendingIDs
+	if len(rest) > 0 && conn.parser.HasBegun() {
+		conn.pendingIDs, rest = rest[:1], rest[1:]
+		h.observePending(conn, checker.ResponseTruncated)
 	}
 	for i, id := range rest {
-		v.id = id
-		e := m.event(checker.ConnectionDropped, v)
-		e.Reused, e.WasRead = v.requests > 0 || i > 0, readByPeer(c)
-		m.observer.Observe(e)
-		m.observer.Observe(m.event(checker.RequestAbandoned, v)) // it does not come again
+		conn.id = id
+		e := h.event(checker.ConnectionDropped, conn)
+		e.Reused, e.WasRead = conn.requests > 0 || i > 0, readByPeer(c)
+		h.observer.Observe(e)
+		h.observer.Observe(h.event(checker.RequestAbandoned, conn)) // it does not come again
 	}
-	v.pendingIDs = nil
+	conn.pendingIDs = nil
 }
--- a/internal/environment/random.go
+++ b/internal/environment/random.go
@@ -34,6 +34,6 @@
 }
 
 // between draws a figure and rounds it to milliseconds, so that a script can be read and edited.
-func uniform(rng *rand.Rand, least, most float64) float64 {
-	return math.Round((least+(most-least)*rng.Float64())*1e3) / 1e3
+func uniform(rng *rand.Rand, minimum, maximum float64) float64 {
+	return math.Round((minimum+(maximum-minimum)*rng.Float64())*1e3) / 1e3
 }
--- a/internal/environment/script.go
+++ b/internal/environment/script.go
@@ -57,19 +57,19 @@
 // StandBy returns how many of the day's last sidecars stand by at its start: those that are to come.
 func (s *Script) StandbySidecars() (n int) {
 	for i := range s.Faults {
-		if t := &s.Faults[i]; t.Kind == ScaleOut {
-			n += t.SidecarCount
+		if fault := &s.Faults[i]; fault.Kind == ScaleOut {
+			n += fault.SidecarCount
 		}
 	}
 	return n
 }
 
 // AddPeer adds a trouble that was drawn. Of those that come no more than half of a day's sidecars stand by.
-func (s *Script) AddPeerFault(t Fault, d *Day) {
-	if t.Kind == ScaleOut && s.StandbySidecars()+t.SidecarCount > len(d.Sidecars)/2 {
+func (s *Script) AddPeerFault(fault Fault, day *Day) {
+	if fault.Kind == ScaleOut && s.StandbySidecars()+fault.SidecarCount > len(day.Sidecars)/2 {
 		return
 	}
-	s.Faults = append(s.Faults, t)
+	s.Faults = append(s.Faults, fault)
 }
 
 func byTime(a, b Fault) int { return cmp.Compare(a.AtSeconds, b.AtSeconds) }
--- a/internal/environment/scriptfile.go
+++ b/internal/environment/scriptfile.go
@@ -47,8 +47,8 @@
 }
 
 // Simulated returns why a trouble is played in simulated time alone; empty: it is played with real processes, too.
-func (t *Fault) WhyOnlySimulated() string {
-	switch t.Kind {
+func (f *Fault) WhyOnlySimulated() string {
+	switch f.Kind {
 	case Clock:
 		return "real processes share the machine's clock"
 	case LateConnect:
@@ -80,16 +80,16 @@
 }
 
 // fault returns the first trouble and field of a script that names what a day has not.
-func (s *Script) unknownReference(d *Day) (i int, field, why string) {
+func (s *Script) unknownReference(day *Day) (i int, field, why string) {
 	come := 0
 	for i := range s.Faults {
-		t := &s.Faults[i]
-		if field, why := t.unknownReference(d); field != "" {
+		fault := &s.Faults[i]
+		if field, why := fault.unknownReference(day); field != "" {
 			return i, field, why
 		}
-		if t.Kind == ScaleOut {
-			if come += t.SidecarCount; come >= len(d.Sidecars) {
-				return i, "by", fmt.Sprintf("the day has %d sidecars, and one must stand at its start", len(d.Sidecars))
+		if fault.Kind == ScaleOut {
+			if come += fault.SidecarCount; come >= len(day.Sidecars) {
+				return i, "by", fmt.Sprintf("the day has %d sidecars, and one must stand at its start", len(day.Sidecars))
 			}
 		}
 	}
@@ -102,11 +102,11 @@
 		s.Faults = nil
 	}
 	for i := range s.Faults {
-		t := &s.Faults[i]
-		if len(t.Servers) == 0 {
-			t.Servers = nil
+		fault := &s.Faults[i]
+		if len(fault.Servers) == 0 {
+			fault.Servers = nil
 		}
-		for _, list := range []*[]int{&t.Sidecars, &t.From, &t.To} {
+		for _, list := range []*[]int{&fault.Sidecars, &fault.From, &fault.To} {
 			if len(*list) == 0 {
 				*list = nil
 			}
@@ -141,76 +141,76 @@
 
 // misshapen returns the first field of a trouble that is missing, odd or not its kind's, with what is wrong. has tells
 // whether the text gives a field.
-func (t *Fault) invalidField(has func(field string) bool) (field, why string) {
-	k := kindOf(t.Kind, has)
-	if k == nil {
-		return "kind", fmt.Sprintf("%q is none of %s", t.Kind, strings.Join(FaultKinds(), ", "))
-	}
-	for _, f := range append([]string{"at_s"}, k.fields...) {
-		if !has(f) {
-			return f, "missing; " + t.Kind + " needs it"
+func (f *Fault) invalidField(has func(field string) bool) (field, why string) {
+	kind := kindOf(f.Kind, has)
+	if kind == nil {
+		return "kind", fmt.Sprintf("%q is none of %s", f.Kind, strings.Join(FaultKinds(), ", "))
+	}
+	for _, check := range append([]string{"at_s"}, kind.fields...) {
+		if !has(check) {
+			return check, "missing; " + f.Kind + " needs it"
 		}
 	}
 	v := reflect.TypeFor[Fault]()
 	for i := range v.NumField() {
 		name, _, _ := strings.Cut(v.Field(i).Tag.Get("toml"), ",")
-		known := name == "kind" || name == "at_s" || slices.Contains(k.fields, name) || slices.Contains(k.optional, name)
+		known := name == "kind" || name == "at_s" || slices.Contains(kind.fields, name) || slices.Contains(kind.optional, name)
 		if has(name) && !known {
-			return name, t.Kind + " has no such field"
+			return name, f.Kind + " has no such field"
 		}
 	}
-	perS := maxRatePerSecond
-	if t.Kind == PeerSlow {
-		perS = maxBytesPerSecond
+	ratePerSecond := maxRatePerSecond
+	if f.Kind == PeerSlow {
+		ratePerSecond = maxBytesPerSecond
 	}
-	if t.Kind == Clock && !(t.ClockRate >= minClockRate && t.ClockRate <= maxClockRate) {
+	if f.Kind == Clock && !(f.ClockRate >= minClockRate && f.ClockRate <= maxClockRate) {
 		return "rate", fmt.Sprintf("not between %g and %g", minClockRate, maxClockRate)
 	}
-	for _, f := range []struct {
+	for _, check := range []struct {
 		name        string
 		v           float64
 		least, most float64
 	}{
-		{"at_s", t.AtSeconds, 0, maxFaultSeconds}, {"for_s", t.DurationSeconds, 0, maxFaultSeconds}, {"share", t.Share, 0, 1}, {"per_s", t.RatePerSecond, 0, perS},
-		{"drain_s", t.DrainSeconds, 0, maxFaultSeconds}, {"lag_s", t.DelaySeconds, 0, maxFaultSeconds},
+		{"at_s", f.AtSeconds, 0, maxFaultSeconds}, {"for_s", f.DurationSeconds, 0, maxFaultSeconds}, {"share", f.Share, 0, 1}, {"per_s", f.RatePerSecond, 0, ratePerSecond},
+		{"drain_s", f.DrainSeconds, 0, maxFaultSeconds}, {"lag_s", f.DelaySeconds, 0, maxFaultSeconds},
 	} {
-		if !(f.v >= f.least && f.v <= f.most) || math.IsInf(f.v, 0) {
-			return f.name, fmt.Sprintf("not between %g and %g", f.least, f.most)
+		if !(check.v >= check.least && check.v <= check.most) || math.IsInf(check.v, 0) {
+			return check.name, fmt.Sprintf("not between %g and %g", check.least, check.most)
 		}
 	}
-	for _, f := range []struct {
+	for _, check := range []struct {
 		name string
 		ok   bool
-	}{{"per_s", t.RatePerSecond > 0}, {"by", t.SidecarCount > 0}, {"boxes", len(t.Servers) > 0}, {"sidecars", len(t.Sidecars) > 0}, {"site", t.Site != ""}, {"from", len(t.From) > 0}} {
-		if slices.Contains(k.fields, f.name) && !f.ok {
-			return f.name, "empty"
+	}{{"per_s", f.RatePerSecond > 0}, {"by", f.SidecarCount > 0}, {"boxes", len(f.Servers) > 0}, {"sidecars", len(f.Sidecars) > 0}, {"site", f.Site != ""}, {"from", len(f.From) > 0}} {
+		if slices.Contains(kind.fields, check.name) && !check.ok {
+			return check.name, "empty"
 		}
 	}
 	return "", ""
 }
 
 // fault returns the first field of a trouble that names what a day has not.
-func (t *Fault) unknownReference(d *Day) (field, why string) {
-	for _, name := range t.Servers {
-		if !slices.ContainsFunc(d.Servers, func(b ServerSpec) bool { return b.Name == name }) {
+func (f *Fault) unknownReference(day *Day) (field, why string) {
+	for _, name := range f.Servers {
+		if !slices.ContainsFunc(day.Servers, func(b ServerSpec) bool { return b.Name == name }) {
 			return "boxes", fmt.Sprintf("the day has no box %q", name)
 		}
 	}
 	for _, list := range []struct {
 		field string
 		all   []int
-	}{{"sidecars", t.Sidecars}, {"from", t.From}, {"to", t.To}} {
+	}{{"sidecars", f.Sidecars}, {"from", f.From}, {"to", f.To}} {
 		for _, n := range list.all {
-			if n < 0 || n >= len(d.Sidecars) {
-				return list.field, fmt.Sprintf("the day has sidecars 0 to %d", len(d.Sidecars)-1)
+			if n < 0 || n >= len(day.Sidecars) {
+				return list.field, fmt.Sprintf("the day has sidecars 0 to %d", len(day.Sidecars)-1)
 			}
 		}
 	}
-	if t.State != "" && t.State != StateKept && t.State != StateLost && t.State != StateTorn && t.State != StateOld {
-		return "state", fmt.Sprintf("%q is none of kept, lost, torn, old", t.State)
+	if f.State != "" && f.State != StateKept && f.State != StateLost && f.State != StateTorn && f.State != StateOld {
+		return "state", fmt.Sprintf("%q is none of kept, lost, torn, old", f.State)
 	}
-	if t.Site != "" && !slices.Contains(d.Sites, t.Site) {
-		return "site", fmt.Sprintf("the day's sites are %s", strings.Join(d.Sites, ", "))
+	if f.Site != "" && !slices.Contains(day.Sites, f.Site) {
+		return "site", fmt.Sprintf("the day's sites are %s", strings.Join(day.Sites, ", "))
 	}
 	return "", ""
 }
--- a/internal/environment/server.go
+++ b/internal/environment/server.go
@@ -42,52 +42,52 @@
 }
 
 // NewBox returns a box of a day that has never run.
-func NewServer(d *Day, number int, list *Discovery, keys *keyMemory, w checker.Observer) *Server {
-	b := &Server{Spec: d.Servers[number], day: d, observer: w, sidecars: newSidecarAddresses(d), classes: map[string]int{}, keyMemory: keys,
-		discovery: list}
-	b.rng = randomStream(d.Seed, "box "+b.Spec.Name, 0)
-	b.requestCost = rand.New(&b.requestSource)
-	for i, c := range d.Classes {
-		b.classes[c.Name] = i
+func NewServer(day *Day, number int, discovery *Discovery, keys *keyMemory, observer checker.Observer) *Server {
+	server := &Server{Spec: day.Servers[number], day: day, observer: observer, sidecars: newSidecarAddresses(day), classes: map[string]int{}, keyMemory: keys,
+		discovery: discovery}
+	server.rng = randomStream(day.Seed, "box "+server.Spec.Name, 0)
+	server.requestCost = rand.New(&server.requestSource)
+	for i, class := range day.Classes {
+		server.classes[class.Name] = i
 	}
-	return b
+	return server
 }
 
 // Boot begins a life at an address. The first life of a box that stands at the day's start has been warm for long.
-func (b *Server) Boot(address string, net netio.EventLoop) netio.Handler {
-	b.Address = address
-	b.incarnations++
-	l := &serverProcess{Server: b, net: net, alarmAt: math.Inf(1)}
-	b.process = l
-	return l
+func (s *Server) Boot(address string, net netio.EventLoop) netio.Handler {
+	s.Address = address
+	s.incarnations++
+	process := &serverProcess{Server: s, net: net, alarmAt: math.Inf(1)}
+	s.process = process
+	return process
 }
 
 // Ended tells a box that its process has been ended, or its machine has vanished.
-func (b *Server) Stopped(now float64) {
-	if b.process != nil {
-		b.process.isStopped = true
-		b.process = nil
-		b.observer.Observe(checker.Event{Kind: checker.ServerStopped, At: now, Sidecar: -1, Server: int32(b.Spec.Number)})
+func (s *Server) Stopped(now float64) {
+	if s.process != nil {
+		s.process.isStopped = true
+		s.process = nil
+		s.observer.Observe(checker.Event{Kind: checker.ServerStopped, At: now, Sidecar: -1, Server: int32(s.Spec.Number)})
 	}
 }
 
 // Hang has the box stand still with all that it holds, or go on.
-func (b *Server) SetHung(on bool) {
-	if l := b.process; l != nil {
-		l.net.Post(func() {
-			l.advance()
-			l.engine.SetHung(l.net.Now(), on)
-			l.updateAlarm()
+func (s *Server) SetHung(enabled bool) {
+	if process := s.process; process != nil {
+		process.net.Post(func() {
+			process.advance()
+			process.engine.SetHung(process.net.Now(), enabled)
+			process.updateAlarm()
 		})
 	}
 }
 
 // Drain has the box turn away all that is new.
-func (b *Server) Drain() {
-	if b.process != nil {
-		b.process.isDraining = true
+func (s *Server) Drain() {
+	if s.process != nil {
+		s.process.isDraining = true
 	}
 }
 
 // Alive tells whether the box has a process now.
-func (b *Server) IsAlive() bool { return b.process != nil }
+func (s *Server) IsAlive() bool { return s.process != nil }
--- a/internal/environment/serverconn.go
+++ b/internal/environment/serverconn.go
@@ -30,120 +30,120 @@
 	prev, next  *serverConn // among the idle ones
 }
 
-func (l *serverProcess) Open(c netio.Conn) bool {
-	l.lastConnNumber++
-	k := &serverConn{conn: c, number: uint64(l.Spec.Number+1)<<32 | l.lastConnNumber, sidecar: l.sidecars.number(c.RemoteAddr()),
+func (p *serverProcess) Open(c netio.Conn) bool {
+	p.lastConnNumber++
+	conn := &serverConn{conn: c, number: uint64(p.Spec.Number+1)<<32 | p.lastConnNumber, sidecar: p.sidecars.number(c.RemoteAddr()),
 		parser: http1.NewRequestParser(messageLimits)}
-	c.SetContext(k)
-	l.openConns++
-	l.engine.SetConnections(l.openConns)
-	e := l.event(checker.ConnectionOpened, k)
-	e.Work = l.Spec.HandshakeSeconds / l.Spec.Speed
-	l.observer.Observe(e)
-	l.countWork(e.Work)
-	k.isOverLimit = l.openConns > l.Spec.MaxConnections
-	l.markIdle(k)
-	l.updateAlarm()
-	return l.openConns <= l.Spec.MaxConnections+l.Spec.MaxConnections/4
+	c.SetContext(conn)
+	p.openConns++
+	p.engine.SetConnections(p.openConns)
+	e := p.event(checker.ConnectionOpened, conn)
+	e.Work = p.Spec.HandshakeSeconds / p.Spec.Speed
+	p.observer.Observe(e)
+	p.countWork(e.Work)
+	conn.isOverLimit = p.openConns > p.Spec.MaxConnections
+	p.markIdle(conn)
+	p.updateAlarm()
+	return p.openConns <= p.Spec.MaxConnections+p.Spec.MaxConnections/4
 }
 
-func (l *serverProcess) Closed(c netio.Conn, err error) {
-	k, ok := c.Context().(*serverConn)
+func (p *serverProcess) Closed(c netio.Conn, err error) {
+	conn, ok := c.Context().(*serverConn)
 	if !ok {
 		return
 	}
-	k.conn = nil
-	l.markBusy(k)
-	l.openConns--
-	l.engine.SetConnections(l.openConns)
-	if k.job != nil {
-		k.job.conn = nil
-		l.engine.Cancel(&k.job.Job)
-		k.job = nil
+	conn.conn = nil
+	p.markBusy(conn)
+	p.openConns--
+	p.engine.SetConnections(p.openConns)
+	if conn.job != nil {
+		conn.job.conn = nil
+		p.engine.Cancel(&conn.job.Job)
+		conn.job = nil
 	}
-	if l.isStopped {
+	if p.isStopped {
 		return // the machine is gone: nobody sees this
 	}
-	e := l.event(checker.ConnectionClosed, k)
+	e := p.event(checker.ConnectionClosed, conn)
 	if e.ByServer = err == nil; !e.ByServer {
 		e.Sent = endedAt(c, e.At)
 	}
-	l.observer.Observe(e)
+	p.observer.Observe(e)
 }
 
 // rest notes that a link has nothing to do, unrest that it does.
-func (l *serverProcess) markIdle(k *serverConn) {
-	k.isIdle, k.idleAt = true, l.net.Now()
-	k.prev, k.next = l.lastIdle, nil
-	if l.lastIdle != nil {
-		l.lastIdle.next = k
+func (p *serverProcess) markIdle(conn *serverConn) {
+	conn.isIdle, conn.idleAt = true, p.net.Now()
+	conn.prev, conn.next = p.lastIdle, nil
+	if p.lastIdle != nil {
+		p.lastIdle.next = conn
 	} else {
-		l.firstIdle = k
+		p.firstIdle = conn
 	}
-	l.lastIdle = k
-	if m := &l.Misbehavior; m.EarlyClose > 0 && k.isUsed && l.rng.Float64() < m.EarlyClose {
-		l.earlyCloses.add(k.idleAt+maxEarlyCloseSeconds*l.rng.Float64(), earlyClose{k, k.idleAt})
+	p.lastIdle = conn
+	if m := &p.Misbehavior; m.EarlyClose > 0 && conn.isUsed && p.rng.Float64() < m.EarlyClose {
+		p.earlyCloses.add(conn.idleAt+maxEarlyCloseSeconds*p.rng.Float64(), earlyClose{conn, conn.idleAt})
 	}
 }
 
 // mostEarlyS is how long a box that closes connections early lets them rest at most.
 const maxEarlyCloseSeconds = 1.0
 
-func (l *serverProcess) markBusy(k *serverConn) {
-	if !k.isIdle {
+func (p *serverProcess) markBusy(conn *serverConn) {
+	if !conn.isIdle {
 		return
 	}
-	k.isIdle = false
-	if k.prev != nil {
-		k.prev.next = k.next
+	conn.isIdle = false
+	if conn.prev != nil {
+		conn.prev.next = conn.next
 	} else {
-		l.firstIdle = k.next
+		p.firstIdle = conn.next
 	}
-	if k.next != nil {
-		k.next.prev = k.prev
+	if conn.next != nil {
+		conn.next.prev = conn.prev
 	} else {
-		l.lastIdle = k.prev
+		p.lastIdle = conn.prev
 	}
-	k.prev, k.next = nil, nil
+	conn.prev, conn.next = nil, nil
 }
 
-func (l *serverProcess) Traffic(c netio.Conn, data []byte) {
-	k, ok := c.Context().(*serverConn)
-	if !ok || k.isUnusable {
+func (p *serverProcess) Traffic(c netio.Conn, data []byte) {
+	conn, ok := c.Context().(*serverConn)
+	if !ok || conn.isUnusable {
 		return
 	}
-	if m := &l.Misbehavior; m.EarlyClose > 0 && k.isIdle && k.isUsed && l.rng.Float64() < m.EarlyClose {
-		l.net.Close(c) // as the request comes: it is not read
-		l.updateAlarm()
+	if m := &p.Misbehavior; m.EarlyClose > 0 && conn.isIdle && conn.isUsed && p.rng.Float64() < m.EarlyClose {
+		p.net.Close(c) // as the request comes: it is not read
+		p.updateAlarm()
 		return
 	}
-	if k.firstByteAt == 0 {
-		k.firstByteAt = sentAt(c, l.net.Now())
+	if conn.firstByteAt == 0 {
+		conn.firstByteAt = sentAt(c, p.net.Now())
 	}
-	k.buf.Write(data)
-	l.readRequests(k)
-	l.updateAlarm()
+	conn.buf.Write(data)
+	p.readRequests(conn)
+	p.updateAlarm()
 }
 
 // read takes up the next request of a link that has come whole.
-func (l *serverProcess) readRequests(k *serverConn) {
-	for k.conn != nil && k.job == nil && k.buf.Len() > 0 && !k.isUnusable {
-		whole, err := k.nextRequest()
+func (p *serverProcess) readRequests(conn *serverConn) {
+	for conn.conn != nil && conn.job == nil && conn.buf.Len() > 0 && !conn.isUnusable {
+		isComplete, err := conn.nextRequest()
 		if err != nil {
-			l.net.Close(k.conn) // what it cannot read is nothing to answer
+			p.net.Close(conn.conn) // what it cannot read is nothing to answer
 			return
 		}
-		if !whole {
+		if !isComplete {
 			return
 		}
-		l.markBusy(k)
-		l.handleRequest(k)
-		k.parser.Release()
-		if k.firstByteAt = 0; k.conn != nil && k.buf.Len() > 0 {
-			k.firstByteAt = sentAt(k.conn, l.net.Now())
+		p.markBusy(conn)
+		p.handleRequest(conn)
+		conn.parser.Release()
+		if conn.firstByteAt = 0; conn.conn != nil && conn.buf.Len() > 0 {
+			conn.firstByteAt = sentAt(conn.conn, p.net.Now())
 		}
-		if k.conn != nil && k.job == nil && !k.isUnusable {
-			l.markIdle(k)
+		if conn.conn != nil && conn.job == nil && !conn.isUnusable {
+			p.markIdle(conn)
 		}
 	}
 }
--- a/internal/environment/serverfaults.go
+++ b/internal/environment/serverfaults.go
@@ -14,14 +14,14 @@
 }
 
 // connectLate has connections to boxes come up late, at the machines where they are now.
-func (p *FaultInjector) delayConnects(boxes []*Server, t *Fault, now float64) {
-	for _, b := range boxes {
-		ip := b.currentIP()
-		p.whileAny(p.lateConnects, b.Spec.Number, t, now, func(_ int, on bool) {
-			if on {
-				p.hosts.DelayConnects(ip, t.Share, t.DelaySeconds)
+func (f *FaultInjector) delayConnects(servers []*Server, fault *Fault, now float64) {
+	for _, server := range servers {
+		ip := server.currentIP()
+		f.whileAny(f.lateConnects, server.Spec.Number, fault, now, func(_ int, enabled bool) {
+			if enabled {
+				f.hosts.DelayConnects(ip, fault.Share, fault.DelaySeconds)
 			} else {
-				p.hosts.DelayConnects(ip, 0, 0)
+				f.hosts.DelayConnects(ip, 0, 0)
 			}
 		})
 	}
@@ -42,164 +42,164 @@
 }
 
 // hang counts how many troubles hold a box, so that the end of one does not end the others.
-func (p *FaultInjector) hangServers(boxes []*Server, t *Fault, now float64) {
-	for _, b := range boxes {
-		n := b.Spec.Number
-		p.hangs[n]++
-		b.SetHung(true)
-		p.atEnd(t, now, func(float64) {
-			if p.hangs[n]--; p.hangs[n] == 0 {
-				b.SetHung(false)
+func (f *FaultInjector) hangServers(servers []*Server, fault *Fault, now float64) {
+	for _, server := range servers {
+		n := server.Spec.Number
+		f.hangs[n]++
+		server.SetHung(true)
+		f.atEnd(fault, now, func(float64) {
+			if f.hangs[n]--; f.hangs[n] == 0 {
+				server.SetHung(false)
 			}
 		})
 	}
 }
 
 // end ends a box's process, or has its machine vanish; false: it has none.
-func (p *FaultInjector) stopServer(b *Server, silent bool, now float64) bool {
-	if !b.IsAlive() {
+func (f *FaultInjector) stopServer(server *Server, silent bool, now float64) bool {
+	if !server.IsAlive() {
 		return false
 	}
 	if silent {
-		p.observePath(-1, int32(b.Spec.Number), true, now)
+		f.observePath(-1, int32(server.Spec.Number), true, now)
 	}
-	b.Stopped(now) // before its connections' ends come
+	server.Stopped(now) // before its connections' ends come
 	if silent {
-		p.hosts.Vanish(b.currentIP())
+		f.hosts.Vanish(server.currentIP())
 	} else {
-		p.hosts.Kill(b.currentIP())
+		f.hosts.Kill(server.currentIP())
 	}
-	p.environment.Discovery.ServerStopped(b.Spec.Number, silent, now)
+	f.environment.Discovery.ServerStopped(server.Spec.Number, silent, now)
 	return true
 }
 
 // back begins a box's next life at an IP.
-func (p *FaultInjector) startServer(b *Server, ip string, silent bool, now float64) {
-	if tenant := p.environment.serverByIP[ip]; b.IsAlive() || tenant.IsAlive() && tenant.currentIP() == ip {
+func (f *FaultInjector) startServer(server *Server, ip string, silent bool, now float64) {
+	if tenant := f.environment.serverByIP[ip]; server.IsAlive() || tenant.IsAlive() && tenant.currentIP() == ip {
 		return // it is back already, or another has its place
 	}
 	if silent {
-		p.observePath(-1, int32(b.Spec.Number), false, now)
+		f.observePath(-1, int32(server.Spec.Number), false, now)
 	}
-	p.environment.serverByIP[ip] = b
-	for _, c := range p.oneWayFaults {
-		if n := int32(b.Spec.Number); c.ip == ip && !slices.Contains(c.servers, n) {
+	f.environment.serverByIP[ip] = server
+	for _, c := range f.oneWayFaults {
+		if n := int32(server.Spec.Number); c.ip == ip && !slices.Contains(c.servers, n) {
 			c.servers = append(c.servers, n)
-			p.observePath(c.sidecar, n, true, now)
+			f.observePath(c.sidecar, n, true, now)
 		}
 	}
-	p.hosts.Start(ip)
+	f.hosts.Start(ip)
 }
 
 // Down ends a server's process, as the maintenance agent does.
-func (p *FaultInjector) StopServer(box int, now float64) {
-	p.stopServer(p.environment.Servers[box], false, now)
+func (f *FaultInjector) StopServer(number int, now float64) {
+	f.stopServer(f.environment.Servers[number], false, now)
 }
 
 // Up starts the next process of a server whose process Down has ended, unless a fault ended it as well.
-func (p *FaultInjector) StartServer(box int, now float64) {
-	b := p.environment.Servers[box]
-	p.startServer(b, b.currentIP(), false, now)
+func (f *FaultInjector) StartServer(number int, now float64) {
+	server := f.environment.Servers[number]
+	f.startServer(server, server.currentIP(), false, now)
 }
 
-func (p *FaultInjector) stopAndReturn(boxes []*Server, t *Fault, now float64, silent, moved bool) {
-	for _, b := range boxes {
-		if !p.stopServer(b, silent, now) {
+func (f *FaultInjector) stopAndReturn(servers []*Server, fault *Fault, now float64, silent, moved bool) {
+	for _, server := range servers {
+		if !f.stopServer(server, silent, now) {
 			continue
 		}
-		ip := b.currentIP()
+		ip := server.currentIP()
 		if moved {
-			if ip == b.Spec.IP {
-				ip = alternateIP(&b.Spec)
+			if ip == server.Spec.IP {
+				ip = alternateIP(&server.Spec)
 			} else {
-				ip = b.Spec.IP
+				ip = server.Spec.IP
 			}
 		}
-		p.atEnd(t, now, func(now float64) { p.startServer(b, ip, silent, now) })
+		f.atEnd(fault, now, func(now float64) { f.startServer(server, ip, silent, now) })
 	}
 }
 
-func (p *FaultInjector) loseSite(t *Fault, now float64) {
-	for i, site := range p.environment.Day.Sites {
-		if site != t.Site {
+func (f *FaultInjector) loseSite(fault *Fault, now float64) {
+	for i, site := range f.environment.Day.Sites {
+		if site != fault.Site {
 			continue
 		}
-		var boxes []*Server
-		for _, b := range p.environment.Servers {
-			if b.Spec.Site == i {
-				boxes = append(boxes, b)
+		var servers []*Server
+		for _, server := range f.environment.Servers {
+			if server.Spec.Site == i {
+				servers = append(servers, server)
 			}
 		}
-		p.stopAndReturn(boxes, t, now, t.Silent, false)
-		for k, s := range p.environment.Day.Sidecars {
-			if t.WithSidecars && s.Site == i {
-				p.killSidecar(k, p.endsAt(t, now)-now, now)
+		f.stopAndReturn(servers, fault, now, fault.Silent, false)
+		for k, sidecar := range f.environment.Day.Sidecars {
+			if fault.WithSidecars && sidecar.Site == i {
+				f.killSidecar(k, f.endsAt(fault, now)-now, now)
 			}
 		}
 	}
 }
 
 // shrink has boxes drain, and ends them after their notice.
-func (p *FaultInjector) drainServers(boxes []*Server, t *Fault, now float64) {
-	for _, b := range boxes {
-		if !b.IsAlive() {
+func (f *FaultInjector) drainServers(servers []*Server, fault *Fault, now float64) {
+	for _, server := range servers {
+		if !server.IsAlive() {
 			continue
 		}
-		life := b.process
-		p.environment.Discovery.ServerDraining(b.Spec.Number, now)
-		b.Drain()
-		p.after(now, t.DrainSeconds, func(now float64) {
-			if b.process != life || !p.stopServer(b, false, now) || t.DurationSeconds == 0 {
+		life := server.process
+		f.environment.Discovery.ServerDraining(server.Spec.Number, now)
+		server.Drain()
+		f.after(now, fault.DrainSeconds, func(now float64) {
+			if server.process != life || !f.stopServer(server, false, now) || fault.DurationSeconds == 0 {
 				return
 			}
-			p.atEnd(t, now, func(now float64) { p.startServer(b, b.currentIP(), false, now) })
+			f.atEnd(fault, now, func(now float64) { f.startServer(server, server.currentIP(), false, now) })
 		})
 	}
 }
 
-func (p *FaultInjector) resetRepeatedly(boxes []*Server, t *Fault, now, until float64) {
+func (f *FaultInjector) resetRepeatedly(servers []*Server, fault *Fault, now, until float64) {
 	n := 0
 	var step func(now float64)
 	step = func(now float64) {
-		if now >= until || len(boxes) == 0 {
+		if now >= until || len(servers) == 0 {
 			return
 		}
-		b := boxes[n%len(boxes)]
-		s := p.environment.Day.Sidecars[n/len(boxes)%len(p.environment.Day.Sidecars)]
+		server := servers[n%len(servers)]
+		sidecar := f.environment.Day.Sidecars[n/len(servers)%len(f.environment.Day.Sidecars)]
 		n++
-		p.hosts.ResetConnections(s.IP, b.currentIP())
-		p.after(now, 1/t.RatePerSecond, step)
+		f.hosts.ResetConnections(sidecar.IP, server.currentIP())
+		f.after(now, 1/fault.RatePerSecond, step)
 	}
 	step(now)
 }
 
-func (p *FaultInjector) dropOneWay(boxes []*Server, t *Fault, now float64) {
-	sidecars := t.Sidecars
+func (f *FaultInjector) dropOneWay(servers []*Server, fault *Fault, now float64) {
+	sidecars := fault.Sidecars
 	if len(sidecars) == 0 {
-		for i := range p.environment.Day.Sidecars {
+		for i := range f.environment.Day.Sidecars {
 			sidecars = append(sidecars, i)
 		}
 	}
-	for _, b := range boxes {
+	for _, server := range servers {
 		for _, i := range sidecars {
-			from, to := p.environment.Day.Sidecars[i].IP, b.currentIP()
-			if !t.ToServer {
+			from, to := f.environment.Day.Sidecars[i].IP, server.currentIP()
+			if !fault.ToServer {
 				from, to = to, from
 			}
-			c := &oneWayFault{sidecar: int32(i), ip: b.currentIP(), servers: []int32{int32(b.Spec.Number)}}
-			if other := p.environment.serverByIP[c.ip]; other != b && other.IsAlive() && other.currentIP() == c.ip {
+			c := &oneWayFault{sidecar: int32(i), ip: server.currentIP(), servers: []int32{int32(server.Spec.Number)}}
+			if other := f.environment.serverByIP[c.ip]; other != server && other.IsAlive() && other.currentIP() == c.ip {
 				c.servers = append(c.servers, int32(other.Spec.Number)) // it has taken the place of the one that is meant
 			}
-			p.oneWayFaults = append(p.oneWayFaults, c)
+			f.oneWayFaults = append(f.oneWayFaults, c)
 			for _, n := range c.servers {
-				p.observePath(c.sidecar, n, true, now)
+				f.observePath(c.sidecar, n, true, now)
 			}
-			p.hosts.DropTraffic(from, to)
-			p.atEnd(t, now, func(now float64) {
-				p.hosts.RestoreTraffic(from, to)
-				p.oneWayFaults = slices.DeleteFunc(p.oneWayFaults, func(other *oneWayFault) bool { return other == c })
+			f.hosts.DropTraffic(from, to)
+			f.atEnd(fault, now, func(now float64) {
+				f.hosts.RestoreTraffic(from, to)
+				f.oneWayFaults = slices.DeleteFunc(f.oneWayFaults, func(other *oneWayFault) bool { return other == c })
 				for _, n := range c.servers {
-					p.observePath(c.sidecar, n, false, now)
+					f.observePath(c.sidecar, n, false, now)
 				}
 			})
 		}
@@ -207,15 +207,15 @@
 }
 
 // takeOut has the operators of all sidecars take boxes out, or give them back.
-func (p *FaultInjector) cordon(boxes []*Server, on bool) {
+func (f *FaultInjector) cordon(servers []*Server, enabled bool) {
 	kind := checker.ServerUncordoned
-	if on {
+	if enabled {
 		kind = checker.ServerCordoned
 	}
-	for i := range p.environment.Applications {
-		for _, b := range boxes {
-			p.hosts.Cordon(i, b.Spec.Name, on, func() {
-				p.observer.Observe(checker.Event{Kind: kind, At: p.hosts.Now(), Sidecar: int32(i), Server: int32(b.Spec.Number)})
+	for i := range f.environment.Applications {
+		for _, server := range servers {
+			f.hosts.Cordon(i, server.Spec.Name, enabled, func() {
+				f.observer.Observe(checker.Event{Kind: kind, At: f.hosts.Now(), Sidecar: int32(i), Server: int32(server.Spec.Number)})
 			})
 		}
 	}
@@ -223,14 +223,14 @@
 
 // replace ends a box and begins another one at its address after a while. Danger: a sidecar that has not been told yet
 // means the old one; a box of another site there would have it break the rules of groups unwittingly.
-func (p *FaultInjector) replaceServer(b *Server, t *Fault, now float64) {
-	next := slices.IndexFunc(p.environment.Servers, func(o *Server) bool {
-		return o.Spec.Number >= p.environment.Day.InitialServers && o.incarnations == 0 && o.Spec.Site == b.Spec.Site && !p.replacementTaken[o.Spec.Number]
+func (f *FaultInjector) replaceServer(server *Server, fault *Fault, now float64) {
+	next := slices.IndexFunc(f.environment.Servers, func(o *Server) bool {
+		return o.Spec.Number >= f.environment.Day.InitialServers && o.incarnations == 0 && o.Spec.Site == server.Spec.Site && !f.replacementTaken[o.Spec.Number]
 	})
-	if next < 0 || !p.stopServer(b, false, now) {
+	if next < 0 || !f.stopServer(server, false, now) {
 		return
 	}
-	p.replacementTaken[next] = true
-	ip := b.currentIP()
-	p.atEnd(t, now, func(now float64) { p.startServer(p.environment.Servers[next], ip, false, now) })
+	f.replacementTaken[next] = true
+	ip := server.currentIP()
+	f.atEnd(fault, now, func(now float64) { f.startServer(f.environment.Servers[next], ip, false, now) })
 }
--- a/internal/environment/serverprocess.go
+++ b/internal/environment/serverprocess.go
@@ -26,57 +26,57 @@
 	alarmAt           float64
 }
 
-func (l *serverProcess) Start() {
-	now := l.net.Now()
-	cold := l.incarnations > 1 || l.Spec.Number >= l.day.InitialServers
-	l.engine = NewEngine(&l.Spec, l.rng, now, cold)
+func (p *serverProcess) Start() {
+	now := p.net.Now()
+	cold := p.incarnations > 1 || p.Spec.Number >= p.day.InitialServers
+	p.engine = NewEngine(&p.Spec, p.rng, now, cold)
 	if cold {
-		l.servingSince = now
+		p.servingSince = now
 	}
-	l.loadReports.start(&l.Spec, now)
-	l.observer.Observe(checker.Event{Kind: checker.ServerStarted, At: now, Sidecar: -1, Server: int32(l.Spec.Number), Zone: int32(l.Spec.Site),
-		Cell: int32(l.Spec.Cell), ServingSince: l.servingSince, Address: l.Address})
+	p.loadReports.start(&p.Spec, now)
+	p.observer.Observe(checker.Event{Kind: checker.ServerStarted, At: now, Sidecar: -1, Server: int32(p.Spec.Number), Zone: int32(p.Spec.Site),
+		Cell: int32(p.Spec.Cell), ServingSince: p.servingSince, Address: p.Address})
 	if cold {
-		l.discovery.ServerStarted(l.Spec.Number, l.Address, l.servingSince, now)
+		p.discovery.ServerStarted(p.Spec.Number, p.Address, p.servingSince, now)
 	}
-	l.updateAlarm()
+	p.updateAlarm()
 }
 
-func (l *serverProcess) event(kind checker.Kind, k *serverConn) checker.Event {
-	now := l.net.Now()
-	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: k.sidecar, Server: int32(l.Spec.Number), Connection: k.number}
+func (p *serverProcess) event(kind checker.Kind, conn *serverConn) checker.Event {
+	now := p.net.Now()
+	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: conn.sidecar, Server: int32(p.Spec.Number), Connection: conn.number}
 }
 
-func (l *serverProcess) Alarm() {
-	l.alarmAt = math.Inf(1)
-	now := l.net.Now()
-	l.advance()
-	l.loadReports.refresh(l.engine, l.rng, now)
-	for l.firstIdle != nil && l.firstIdle.idleAt+l.Spec.IdleTimeoutSeconds <= now {
-		k := l.firstIdle
-		l.markBusy(k)
-		l.net.Close(k.conn)
+func (p *serverProcess) Alarm() {
+	p.alarmAt = math.Inf(1)
+	now := p.net.Now()
+	p.advance()
+	p.loadReports.refresh(p.engine, p.rng, now)
+	for p.firstIdle != nil && p.firstIdle.idleAt+p.Spec.IdleTimeoutSeconds <= now {
+		conn := p.firstIdle
+		p.markBusy(conn)
+		p.net.Close(conn.conn)
 	}
 	for {
-		e, _, ok := l.earlyCloses.pop(now)
+		e, _, ok := p.earlyCloses.pop(now)
 		if !ok {
 			break
 		}
-		if k := e.conn; k.conn != nil && k.isIdle && k.idleAt == e.idleAt {
-			l.net.Close(k.conn)
+		if conn := e.conn; conn.conn != nil && conn.isIdle && conn.idleAt == e.idleAt {
+			p.net.Close(conn.conn)
 		}
 	}
-	l.updateAlarm()
+	p.updateAlarm()
 }
 
 // arm asks for the next alarm.
-func (l *serverProcess) updateAlarm() {
-	at := min(l.engine.NextAt(), l.loadReports.nextAt, l.earlyCloses.nextAt())
-	if l.firstIdle != nil {
-		at = min(at, l.firstIdle.idleAt+l.Spec.IdleTimeoutSeconds)
+func (p *serverProcess) updateAlarm() {
+	at := min(p.engine.NextAt(), p.loadReports.nextAt, p.earlyCloses.nextAt())
+	if p.firstIdle != nil {
+		at = min(at, p.firstIdle.idleAt+p.Spec.IdleTimeoutSeconds)
 	}
-	if at != l.alarmAt {
-		l.alarmAt = at
-		l.net.SetAlarm(at)
+	if at != p.alarmAt {
+		p.alarmAt = at
+		p.net.SetAlarm(at)
 	}
 }
--- a/internal/environment/thriftclient.go
+++ b/internal/environment/thriftclient.go
@@ -26,10 +26,10 @@
 	if r.speech.IsThrift() {
 		return r.nextThrift(buf)
 	}
-	whole, err := r.http.Next(buf)
+	isComplete, err := r.http.Next(buf)
 	r.begun = r.http.HasBegun()
 	r.Status, r.Body, r.after = r.http.Status, r.http.Body, r.http.Header.Get(fieldRetryAfter)
-	return whole, err
+	return isComplete, err
 }
 
 // Begun tells whether anything of the answer has come.
@@ -74,49 +74,49 @@
 }
 
 // appendCall appends a request of the application as a call.
-func (a *Application) appendCall(dst []byte, k *operation) []byte {
-	var w thrift.Writer
-	w.BeginMessage(dst, a.day.Protocol.encoding(), thrift.Call, a.day.Classes[k.class].Name, int32(k.request))
-	w.FieldHeader(thrift.String, argID)
-	w.String(string(appendID(nil, k.request)))
-	if k.idempotencyKey != 0 {
-		w.FieldHeader(thrift.String, argKey)
-		w.String(string(appendID(nil, k.idempotencyKey)))
+func (a *Application) appendCall(dst []byte, op *operation) []byte {
+	var observer thrift.Writer
+	observer.BeginMessage(dst, a.day.Protocol.encoding(), thrift.Call, a.day.Classes[op.class].Name, int32(op.request))
+	observer.FieldHeader(thrift.String, argID)
+	observer.String(string(appendID(nil, op.request)))
+	if op.idempotencyKey != 0 {
+		observer.FieldHeader(thrift.String, argKey)
+		observer.String(string(appendID(nil, op.idempotencyKey)))
 	}
-	w.FieldHeader(thrift.I64, argTimeout)
-	w.I64(max(1, int64((k.requestDeadline-a.net.Now())*1e6)))
-	if k.requests > 1 && a.spec.MarksRetries {
-		w.FieldHeader(thrift.Bool, argRetry)
-		w.Bool(true)
+	observer.FieldHeader(thrift.I64, argTimeout)
+	observer.I64(max(1, int64((op.requestDeadline-a.net.Now())*1e6)))
+	if op.requests > 1 && a.spec.MarksRetries {
+		observer.FieldHeader(thrift.Bool, argRetry)
+		observer.Bool(true)
 	}
-	w.FieldHeader(thrift.String, argBody)
-	w.Bytes(a.body[:k.bodySize])
-	return w.EndMessage()
+	observer.FieldHeader(thrift.String, argBody)
+	observer.Bytes(a.body[:op.bodySize])
+	return observer.EndMessage()
 }
 
 // bad sends what no Thrift port may take for a call, and tells whether a client of this kind has such a thing; others send it
 // what belongs to HTTP. What is hidden or half must never run: it has ids that nobody has asked with.
-func (m *HostileClients) sendMalformedCall(v *hostileConn, now float64, class string) bool {
+func (h *HostileClients) sendMalformedCall(conn *hostileConn, now float64, class string) bool {
 	call := func(dst []byte, name string, patience int64) []byte {
-		var w thrift.Writer
-		w.BeginMessage(dst, m.day.Protocol.encoding(), thrift.Call, name, 1)
-		w.FieldHeader(thrift.String, argID)
-		w.String(string(appendID(nil, m.rng.Uint64()|1)))
-		w.FieldHeader(thrift.I64, argTimeout)
-		w.I64(patience)
-		return w.EndMessage()
+		var observer thrift.Writer
+		observer.BeginMessage(dst, h.day.Protocol.encoding(), thrift.Call, name, 1)
+		observer.FieldHeader(thrift.String, argID)
+		observer.String(string(appendID(nil, h.rng.Uint64()|1)))
+		observer.FieldHeader(thrift.I64, argTimeout)
+		observer.I64(patience)
+		return observer.EndMessage()
 	}
-	out := m.out[:0]
-	switch v.kind {
+	out := h.out[:0]
+	switch conn.kind {
 	case sendsNegativeLength:
 		out = append(call(out, class, 1e6), 0xff, 0xff, 0xff, 0xff)
 		copy(out, out[len(out)-4:])
 	case sendsHugeBody:
 		out = append(out, hugeBody>>24, hugeBody>>16&0xff, hugeBody>>8&0xff, hugeBody&0xff, 0x82)
-		m.tasks.add(now, hostileTask{conn: v})
+		h.tasks.add(now, hostileTask{conn: conn})
 	case sendsEndlessHead: // a frame that goes on for as long as it may
 		out = append(out, 0, 0, 0xff, 0xff, 0x82, 0x21)
-		m.tasks.add(now, hostileTask{conn: v})
+		h.tasks.add(now, hostileTask{conn: conn})
 	case requestsUnknownClass:
 		out = call(out, "no-such-method", 1e6)
 	case requestsOddDeadline:
@@ -124,7 +124,7 @@
 	case requestsHalf:
 		out = call(out, class, 1e6)
 		out = out[:len(out)/2]
-		m.tasks.add(now+m.rng.Float64(), hostileTask{conn: v, closes: true})
+		h.tasks.add(now+h.rng.Float64(), hostileTask{conn: conn, closes: true})
 	case smugglesRequest: // in the same frame
 		out = call(out, class, 1e6)
 		out = call(out, class, 1e6)
@@ -132,7 +132,7 @@
 	default:
 		return false
 	}
-	m.out = out
-	v.conn.Write(out) // a connection that breaks here is closed by the network
+	h.out = out
+	conn.conn.Write(out) // a connection that breaks here is closed by the network
 	return true
 }
--- a/internal/environment/validrequest.go
+++ b/internal/environment/validrequest.go
@@ -6,37 +6,37 @@
 )
 
 // ask asks for something that may be served.
-func (m *HostileClients) sendValid(v *hostileConn, now float64) {
+func (h *HostileClients) sendValid(conn *hostileConn, now float64) {
 	class := 0
-	for class < len(m.day.Classes)-1 && m.day.Classes[class].Effect != checker.Safe {
+	for class < len(h.day.Classes)-1 && h.day.Classes[class].Effect != checker.Safe {
 		class++
 	}
-	v.requests++
-	v.id = m.rng.Uint64() | 1
+	conn.requests++
+	conn.id = h.rng.Uint64() | 1
 	// Danger: a parser that has read an answer takes the next one for the same answer's body.
-	v.parser = http1.NewResponseParser(messageLimits)
-	e := m.event(checker.RequestStarted, v)
-	e.FirstRequest, e.Class, e.Deadline, e.Uncounted = v.id, int32(class), now+retryTimeoutSeconds, true
-	m.observer.Observe(e)
-	out := append(append(append(m.out[:0], "GET /"...), m.day.Classes[class].Name...), " HTTP/1.1\r\nHost: h\r\nRequest-Id: "...)
-	out = append(appendID(out, v.id), "\r\nRequest-Timeout: 1000m\r\n\r\n"...)
-	m.out = out
-	conn := v.conn
-	if _, err := conn.Write(out); err == nil && v.conn == conn && conn.OutboundBuffered() == 0 {
-		e.Kind, e.Reused = checker.RequestSent, v.requests > 1
-		m.observer.Observe(e)
+	conn.parser = http1.NewResponseParser(messageLimits)
+	e := h.event(checker.RequestStarted, conn)
+	e.FirstRequest, e.Class, e.Deadline, e.Uncounted = conn.id, int32(class), now+retryTimeoutSeconds, true
+	h.observer.Observe(e)
+	out := append(append(append(h.out[:0], "GET /"...), h.day.Classes[class].Name...), " HTTP/1.1\r\nHost: h\r\nRequest-Id: "...)
+	out = append(appendID(out, conn.id), "\r\nRequest-Timeout: 1000m\r\n\r\n"...)
+	h.out = out
+	netConn := conn.conn
+	if _, err := netConn.Write(out); err == nil && conn.conn == netConn && netConn.OutboundBuffered() == 0 {
+		e.Kind, e.Reused = checker.RequestSent, conn.requests > 1
+		h.observer.Observe(e)
 	}
 }
 
-func (m *HostileClients) retryRejected(v *hostileConn) {
-	e := m.event(checker.ResponseReceived, v)
-	e.Status, e.Digest = int32(v.parser.Status), checker.Digest(v.parser.Body)
-	m.observer.Observe(e)
-	v.id = 0
-	refused := v.parser.Status == 429 || v.parser.Status == 503
-	if !refused || v.requests >= maxImmediateRetries || !v.parser.IsPersistent() {
-		m.net.Close(v.conn)
+func (h *HostileClients) retryRejected(conn *hostileConn) {
+	e := h.event(checker.ResponseReceived, conn)
+	e.Status, e.Digest = int32(conn.parser.Status), checker.Digest(conn.parser.Body)
+	h.observer.Observe(e)
+	conn.id = 0
+	refused := conn.parser.Status == 429 || conn.parser.Status == 503
+	if !refused || conn.requests >= maxImmediateRetries || !conn.parser.IsPersistent() {
+		h.net.Close(conn.conn)
 		return
 	}
-	m.sendValid(v, m.net.Now())
+	h.sendValid(conn, h.net.Now())
 }
--- a/internal/environment/wire.go
+++ b/internal/environment/wire.go
@@ -66,10 +66,10 @@
 // neighbours finds sidecars by the address that they speak from.
 type sidecarAddresses []netip.Addr
 
-func newSidecarAddresses(d *Day) sidecarAddresses {
+func newSidecarAddresses(day *Day) sidecarAddresses {
 	var all sidecarAddresses
-	for _, s := range d.Sidecars {
-		all = append(all, netip.MustParseAddr(s.IP))
+	for _, sidecar := range day.Sidecars {
+		all = append(all, netip.MustParseAddr(sidecar.IP))
 	}
 	return all
 }
