--- a/internal/environment/faultinjector.go
+++ b/internal/environment/faultinjector.go
@@ -95,134 +95,55 @@
 	return found
 }
 
-// begin begins a trouble and arranges its end.
+// faultStarters start a fault of a kind and schedule its end. Kinds are looked up; the map is never walked.
+var faultStarters = map[string]func(f *FaultInjector, fault *Fault, now float64){
+	Hang:             (*FaultInjector).hangServers,
+	Crash:            (*FaultInjector).crashServers,
+	CrashMoved:       (*FaultInjector).crashServers,
+	HalfOpen:         (*FaultInjector).crashServers,
+	SiteLoss:         (*FaultInjector).loseSite,
+	Resets:           (*FaultInjector).resetServers,
+	OneWay:           (*FaultInjector).dropOneWay,
+	LateConnect:      (*FaultInjector).delayConnects,
+	MalformedAnswers: (*FaultInjector).misbehave,
+	TrailingBytes:    (*FaultInjector).misbehave,
+	InterimResponses: (*FaultInjector).misbehave,
+	EarlyClose:       (*FaultInjector).misbehave,
+	Cordon:           (*FaultInjector).cordonServers,
+	AddressReuse:     (*FaultInjector).replaceServers,
+
+	StaleList:     (*FaultInjector).delayDiscovery,
+	DiscoveryDown: (*FaultInjector).stopDiscovery,
+	SilentWatch:   (*FaultInjector).stallWatches,
+	WatchReset:    (*FaultInjector).resetWatches,
+	FullList:      (*FaultInjector).sendFullLists,
+	Reload:        (*FaultInjector).moveDiscovery,
+
+	SlowReader:   (*FaultInjector).limitReads,
+	BadClients:   (*FaultInjector).connectHostileClients,
+	SilentFlood:  (*FaultInjector).connectHostileClients,
+	ClientsLeave: (*FaultInjector).abandonRequests,
+
+	ScaleIn:     (*FaultInjector).scaleIn,
+	ScaleOut:    (*FaultInjector).scaleOut,
+	SidecarKill: (*FaultInjector).killSidecars,
+	SidecarTerm: (*FaultInjector).terminateSidecars,
+	RestartAll:  (*FaultInjector).restartAll,
+	Suspend:     (*FaultInjector).suspend,
+	DiskFull:    (*FaultInjector).fillDisks,
+	Clock:       (*FaultInjector).setClocks,
+
+	PeerCut:        (*FaultInjector).dropPeerTraffic,
+	PeerHold:       (*FaultInjector).holdPeerTraffic,
+	PeerSlow:       (*FaultInjector).limitPeerTraffic,
+	PeerReset:      (*FaultInjector).resetPeers,
+	PeerNotReading: (*FaultInjector).queryWithoutReading,
+}
+
+// startFault starts a fault and schedules its end. A kind that is unknown is ignored.
 func (f *FaultInjector) startFault(fault *Fault, now float64) {
-	servers := f.servers(fault)
-	switch fault.Kind {
-	case Hang:
-		f.hangServers(servers, fault, now)
-	case Crash:
-		f.stopAndReturn(servers, fault, now, false, false)
-	case CrashMoved:
-		f.stopAndReturn(servers, fault, now, false, true)
-	case HalfOpen:
-		f.stopAndReturn(servers, fault, now, true, false)
-	case SiteLoss:
-		f.loseSite(fault, now)
-	case ScaleIn:
-		if fault.SidecarCount > 0 {
-			f.leaveForGood(fault, now)
-		} else {
-			f.drainServers(servers, fault, now)
-		}
-	case ScaleOut:
-		for range fault.SidecarCount {
-			f.isGone[f.firstStandby] = false
-			f.hosts.StartStandby(f.firstStandby)
-			f.firstStandby++
-		}
-	case StaleList:
-		f.environment.Discovery.DelaySeconds += fault.DelaySeconds
-		f.atEnd(fault, now, func(float64) { f.environment.Discovery.DelaySeconds -= fault.DelaySeconds })
-	case DiscoveryDown:
-		f.environment.Discovery.SetDown(true, now)
-		f.atEnd(fault, now, func(now float64) { f.environment.Discovery.SetDown(false, now) })
-	case Resets:
-		f.resetRepeatedly(servers, fault, now, f.endsAt(fault, now))
-	case OneWay:
-		f.dropOneWay(servers, fault, now)
-	case SlowReader:
-		f.limitReads(fault, now)
-	case LateConnect:
-		f.delayConnects(servers, fault, now)
-	case MalformedAnswers, TrailingBytes, InterimResponses, EarlyClose:
-		for _, server := range servers {
-			share := server.Misbehavior.shareOf(fault.Kind)
-			*share += fault.Share
-			f.atEnd(fault, now, func(float64) { *share = max(0, *share-fault.Share) })
-		}
-	case BadClients, SilentFlood:
-		for _, i := range fault.Sidecars {
-			if i >= f.firstStandby {
-				continue // its machine has not begun
-			}
-			f.environment.HostileClients[i].Connect(fault.RatePerSecond, f.endsAt(fault, now), fault.Kind == SilentFlood)
-		}
-	case SilentWatch:
-		f.environment.Discovery.StallWatches()
-	case WatchReset:
-		for i := range f.environment.Applications {
-			f.hosts.ResetConnections(f.environment.Day.Sidecars[i].IP, f.environment.Discovery.currentIP())
-		}
-	case FullList:
-		f.environment.Discovery.SendFullLists(true)
-		f.atEnd(fault, now, func(float64) { f.environment.Discovery.SendFullLists(false) })
-	case ClientsLeave:
-		for _, i := range fault.Sidecars {
-			if i < f.firstStandby { // else its machine has not begun
-				f.environment.Applications[i].AbandonEarly(fault.Share, f.endsAt(fault, now))
-			}
-		}
-	case SidecarKill:
-		for _, i := range fault.Sidecars {
-			f.killSidecar(i, f.endsAt(fault, now)-now, now)
-			f.damageState(i, fault)
-		}
-	case RestartAll:
-		for i := range f.environment.Applications {
-			f.killSidecar(i, f.endsAt(fault, now)-now, now)
-		}
-	case PeerCut:
-		f.overPeerPaths(fault, now, f.hosts.DropPeerTraffic)
-	case PeerHold:
-		f.overPeerPaths(fault, now, f.hosts.HoldPeerTraffic)
-	case PeerSlow:
-		f.limitPeerTraffic(fault, now)
-	case DiskFull:
-		for _, i := range fault.Sidecars {
-			f.whileAny(f.fullDisks, i, fault, now, f.hosts.FillDisk)
-		}
-	case Clock:
-		for _, i := range fault.Sidecars {
-			f.whileAny(f.clockFaults, i, fault, now, func(i int, enabled bool) {
-				rate := 1.0
-				if enabled {
-					rate = fault.ClockRate
-				}
-				f.hosts.SetClockRate(i, rate)
-			})
-		}
-	case PeerReset:
-		f.resetPeersRepeatedly(fault, now, f.endsAt(fault, now))
-	case PeerNotReading:
-		for _, i := range fault.Sidecars {
-			f.hosts.QueryWithoutReading(i, fault.RatePerSecond, f.endsAt(fault, now))
-		}
-	case Suspend:
-		f.suspend(fault, now)
-	case SidecarTerm:
-		for _, i := range fault.Sidecars {
-			if f.isGone[i] {
-				continue
-			}
-			f.terminate(i, now)
-			f.isTerminating[i] = true
-			// What has not ended by then is killed, as a platform does before it begins the next process.
-			f.after(now, fault.DurationSeconds, func(now float64) {
-				f.isTerminating[i] = false
-				f.killSidecar(i, 0, now)
-				f.damageState(i, fault)
-			})
-		}
-	case Reload:
-		f.moveDiscovery(now)
-	case Cordon:
-		f.cordon(servers, true)
-		f.atEnd(fault, now, func(float64) { f.cordon(servers, false) })
-	case AddressReuse:
-		for _, server := range servers {
-			f.replaceServer(server, fault, now)
-		}
+	if start := faultStarters[fault.Kind]; start != nil {
+		start(f, fault, now)
 	}
 }
 
--- a/internal/environment/peerfaults.go
+++ b/internal/environment/peerfaults.go
@@ -80,3 +80,25 @@
 	f.eachPeerPair(fault, f.hosts.ResetPeerConnections)
 	f.after(now, 1/fault.RatePerSecond, func(now float64) { f.resetPeersRepeatedly(fault, now, until) })
 }
+
+// dropPeerTraffic loses bytes between peers until the fault is over.
+func (f *FaultInjector) dropPeerTraffic(fault *Fault, now float64) {
+	f.overPeerPaths(fault, now, f.hosts.DropPeerTraffic)
+}
+
+// holdPeerTraffic delays bytes between peers until the fault is over.
+func (f *FaultInjector) holdPeerTraffic(fault *Fault, now float64) {
+	f.overPeerPaths(fault, now, f.hosts.HoldPeerTraffic)
+}
+
+// resetPeers resets connections between peers until the fault is over.
+func (f *FaultInjector) resetPeers(fault *Fault, now float64) {
+	f.resetPeersRepeatedly(fault, now, f.endsAt(fault, now))
+}
+
+// queryWithoutReading has a client query sidecars as a peer does, without reading the answers, until the fault is over.
+func (f *FaultInjector) queryWithoutReading(fault *Fault, now float64) {
+	for _, i := range fault.Sidecars {
+		f.hosts.QueryWithoutReading(i, fault.RatePerSecond, f.endsAt(fault, now))
+	}
+}
--- a/internal/environment/serverfaults.go
+++ b/internal/environment/serverfaults.go
@@ -14,8 +14,8 @@
 }
 
 // connectLate has connections to boxes come up late, at the machines where they are now.
-func (f *FaultInjector) delayConnects(servers []*Server, fault *Fault, now float64) {
-	for _, server := range servers {
+func (f *FaultInjector) delayConnects(fault *Fault, now float64) {
+	for _, server := range f.servers(fault) {
 		ip := server.currentIP()
 		f.whileAny(f.lateConnects, server.Spec.Number, fault, now, func(_ int, enabled bool) {
 			if enabled {
@@ -42,8 +42,8 @@
 }
 
 // hang counts how many troubles hold a box, so that the end of one does not end the others.
-func (f *FaultInjector) hangServers(servers []*Server, fault *Fault, now float64) {
-	for _, server := range servers {
+func (f *FaultInjector) hangServers(fault *Fault, now float64) {
+	for _, server := range f.servers(fault) {
 		n := server.Spec.Number
 		f.hangs[n]++
 		server.SetHung(true)
@@ -173,14 +173,14 @@
 	step(now)
 }
 
-func (f *FaultInjector) dropOneWay(servers []*Server, fault *Fault, now float64) {
+func (f *FaultInjector) dropOneWay(fault *Fault, now float64) {
 	sidecars := fault.Sidecars
 	if len(sidecars) == 0 {
 		for i := range f.environment.Day.Sidecars {
 			sidecars = append(sidecars, i)
 		}
 	}
-	for _, server := range servers {
+	for _, server := range f.servers(fault) {
 		for _, i := range sidecars {
 			from, to := f.environment.Day.Sidecars[i].IP, server.currentIP()
 			if !fault.ToServer {
@@ -234,3 +234,37 @@
 	ip := server.currentIP()
 	f.atEnd(fault, now, func(now float64) { f.startServer(f.environment.Servers[next], ip, false, now) })
 }
+
+// crashServers stops servers and starts them again when the fault is over: HalfOpen by their machine's loss, CrashMoved at
+// their other address.
+func (f *FaultInjector) crashServers(fault *Fault, now float64) {
+	f.stopAndReturn(f.servers(fault), fault, now, fault.Kind == HalfOpen, fault.Kind == CrashMoved)
+}
+
+// resetServers resets connections to servers until the fault is over.
+func (f *FaultInjector) resetServers(fault *Fault, now float64) {
+	f.resetRepeatedly(f.servers(fault), fault, now, f.endsAt(fault, now))
+}
+
+// misbehave has servers answer wrongly until the fault is over. Shares of faults that overlap add up.
+func (f *FaultInjector) misbehave(fault *Fault, now float64) {
+	for _, server := range f.servers(fault) {
+		share := server.Misbehavior.shareOf(fault.Kind)
+		*share += fault.Share
+		f.atEnd(fault, now, func(float64) { *share = max(0, *share-fault.Share) })
+	}
+}
+
+// cordonServers has the operators of all sidecars cordon servers until the fault is over.
+func (f *FaultInjector) cordonServers(fault *Fault, now float64) {
+	servers := f.servers(fault)
+	f.cordon(servers, true)
+	f.atEnd(fault, now, func(float64) { f.cordon(servers, false) })
+}
+
+// replaceServers stops servers and starts others at their addresses.
+func (f *FaultInjector) replaceServers(fault *Fault, now float64) {
+	for _, server := range f.servers(fault) {
+		f.replaceServer(server, fault, now)
+	}
+}
--- a/internal/environment/sidecarfaults.go
+++ b/internal/environment/sidecarfaults.go
@@ -106,7 +106,7 @@
 }
 
 // moveDiscovery has discovery go on elsewhere and tells the sidecars so by a new configuration.
-func (f *FaultInjector) moveDiscovery(now float64) {
+func (f *FaultInjector) moveDiscovery(_ *Fault, now float64) {
 	ip, ok := f.environment.Discovery.nextIP()
 	if !ok {
 		return
@@ -118,3 +118,73 @@
 		f.hosts.Reload(i, f.environment.ReloadConfiguration(i))
 	}
 }
+
+// scaleIn has sidecars leave for good if the fault counts some, and servers drain otherwise.
+func (f *FaultInjector) scaleIn(fault *Fault, now float64) {
+	if fault.SidecarCount > 0 {
+		f.leaveForGood(fault, now)
+	} else {
+		f.drainServers(f.servers(fault), fault, now)
+	}
+}
+
+// scaleOut starts the next standby sidecars.
+func (f *FaultInjector) scaleOut(fault *Fault, _ float64) {
+	for range fault.SidecarCount {
+		f.isGone[f.firstStandby] = false
+		f.hosts.StartStandby(f.firstStandby)
+		f.firstStandby++
+	}
+}
+
+// killSidecars kills sidecars, may damage what they have stored, and starts them again when the fault is over.
+func (f *FaultInjector) killSidecars(fault *Fault, now float64) {
+	for _, i := range fault.Sidecars {
+		f.killSidecar(i, f.endsAt(fault, now)-now, now)
+		f.damageState(i, fault)
+	}
+}
+
+// restartAll kills all sidecars and starts them again when the fault is over.
+func (f *FaultInjector) restartAll(fault *Fault, now float64) {
+	for i := range f.environment.Applications {
+		f.killSidecar(i, f.endsAt(fault, now)-now, now)
+	}
+}
+
+// terminateSidecars shuts sidecars down gracefully. What has not exited by the end of the fault is killed, as a platform
+// does, before the next process starts.
+func (f *FaultInjector) terminateSidecars(fault *Fault, now float64) {
+	for _, i := range fault.Sidecars {
+		if f.isGone[i] {
+			continue
+		}
+		f.terminate(i, now)
+		f.isTerminating[i] = true
+		f.after(now, fault.DurationSeconds, func(now float64) {
+			f.isTerminating[i] = false
+			f.killSidecar(i, 0, now)
+			f.damageState(i, fault)
+		})
+	}
+}
+
+// fillDisks has writes to sidecars' disks fail until the fault is over.
+func (f *FaultInjector) fillDisks(fault *Fault, now float64) {
+	for _, i := range fault.Sidecars {
+		f.whileAny(f.fullDisks, i, fault, now, f.hosts.FillDisk)
+	}
+}
+
+// setClocks has sidecars' clocks run at the fault's rate until it is over.
+func (f *FaultInjector) setClocks(fault *Fault, now float64) {
+	for _, i := range fault.Sidecars {
+		f.whileAny(f.clockFaults, i, fault, now, func(i int, enabled bool) {
+			rate := 1.0
+			if enabled {
+				rate = fault.ClockRate
+			}
+			f.hosts.SetClockRate(i, rate)
+		})
+	}
+}
