--- a/internal/frontend/thrift/clientconn.go
+++ b/internal/frontend/thrift/clientconn.go
@@ -42,7 +42,7 @@
 // answer.
 func (c *clientConn) RejectMalformed(err error) {
 	if errors.Is(err, sidecar.ErrRequestTimeout) {
-		c.CloseUnanswered("connections are closed whose calls do not arrive")
+		c.CloseUnanswered("connections closed: calls did not arrive in time")
 		return
 	}
 	c.CloseUnanswered("connections at the Thrift port are closed that speak no framed Thrift: " + err.Error())
--- a/internal/process/fleet.go
+++ b/internal/process/fleet.go
@@ -74,7 +74,7 @@
 	saved := p.stateFiles.Load()
 	if saved.Err == nil && coordination.ValidateState(saved) != nil {
 		if err := p.stateFiles.Quarantine(); err != nil {
-			p.log.Error("what was saved can't be put aside", "error", err)
+			p.log.Error("fleet state file can't be put aside", "error", err)
 		}
 	}
 	p.fleet.UseStore(p.stateFiles, saved)
@@ -88,10 +88,10 @@
 	startedAt := time.Now()
 	record := coordination.QueryMaintenance(fleetName, name, seeds, startedAt.Add(maintenanceQueryTimeout))
 	if record == nil {
-		p.log.Warn("nobody could be asked which servers are out by agreement: going by what is kept here", "after", time.Since(startedAt).Round(time.Millisecond))
+		p.log.Warn("no member could be queried for the maintenance record, using the stored one", "duration", time.Since(startedAt).Round(time.Millisecond))
 		return
 	}
-	p.log.Info("asked which servers are out by agreement", "epoch", record.Epoch, "version", record.Version, "after", time.Since(startedAt).Round(time.Millisecond))
+	p.log.Info("maintenance record queried", "epoch", record.Epoch, "version", record.Version, "duration", time.Since(startedAt).Round(time.Millisecond))
 	p.fleet.LearnMaintenance(record)
 }
 
--- a/internal/process/hotrestart.go
+++ b/internal/process/hotrestart.go
@@ -26,7 +26,7 @@
 		return fmt.Errorf("%s: %w", sidecarconfig.EnvPassed, err)
 	}
 	p.restartStore, err = hotrestart.Open(filepath.Join(os.TempDir(), stateDirName), func(err error) {
-		p.log.Error("nothing is kept for a successor", "error", err)
+		p.log.Error("hot restart state can't be saved", "error", err)
 	})
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 	p.Do(func() {
 		p.ShareLimits(others)
 		if err := p.restartStore.MarkServing(); err != nil {
-			p.log.Error("the process that is replaced can't be told", "error", err)
+			p.log.Error("replaced process can't be notified", "error", err)
 		}
 	})
 	go p.watchOtherProcesses(others)
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -13,7 +13,7 @@
 )
 
 func (p progress) String() string {
-	return [...]string{"not connected", "partly written", "written whole", "answering"}[p]
+	return [...]string{"not connected", "partly written", "fully written", "responding"}[p]
 }
 
 // cause is what ended an attempt before its response.
@@ -28,7 +28,7 @@
 )
 
 func (c cause) String() string {
-	return [...]string{"broke", "timed out", "cancelled", "overtaken", "spoilt"}[c]
+	return [...]string{"connection broken", "timed out", "cancelled", "superseded", "malformed response"}[c]
 }
 
 // attemptError is the end of an attempt without a response, with its cause and how far it had come.
@@ -102,7 +102,7 @@
 	result := policy.Result{Host: a.serverID, Attempt: a.number}
 	if err != nil {
 		result.Outcome = err.outcome()
-		s.log.Debug("attempt ended", "host", a.serverID, "probe", a.request == nil, "error", err)
+		s.log.Debug("attempt ended", "server_id", a.serverID, "probe", a.request == nil, "error", err)
 	} else {
 		result.Outcome, result.Report, _ = a.exchange.Result()
 	}
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -137,7 +137,7 @@
 	a := b.attempt
 	if a == nil {
 		b.sidecar.backends.reuseDelay.extend(b.sidecar.now())
-		b.sidecar.log.Debug("backend connection closed", "host", b.serverID, "error", errUnsolicited)
+		b.sidecar.log.Debug("backend connection closed", "server_id", b.serverID, "error", errUnsolicited)
 		b.close()
 		return
 	}
--- a/internal/sidecar/clientadmission.go
+++ b/internal/sidecar/clientadmission.go
@@ -85,7 +85,7 @@
 	switch {
 	case verdict == admission.OverLimit:
 		s.counters.ConnsOverCap++
-		s.warnLimited("connections beyond the cap of an address or prefix are refused")
+		s.warnLimited("connections rejected: cap of an address or prefix reached")
 		return false
 	case verdict == admission.TableFull && (s.clients.admission.OverflowLen() >= s.maxOverLimitClients() || !s.hasDescriptors(s.reservedClientSlots())):
 	case s.hasDescriptors(0) || s.freeDescriptors(0):
@@ -98,8 +98,8 @@
 	// Danger: the next accept would fail for want of a descriptor, and the event loop would end. Not a byte of a request has been read from
 	// this connection.
 	s.counters.ConnsWithoutDescriptor++
-	s.warnLimited("connections are refused: there is no room for them")
-	s.log.Debug("client connection refused", "client", conn.RemoteAddr(), "crowded", verdict == admission.TableFull, "links", s.clients.admission.Len())
+	s.warnLimited("connections rejected: no capacity")
+	s.log.Debug("client connection rejected", "client", conn.RemoteAddr(), "table_full", verdict == admission.TableFull, "connections", s.clients.admission.Len())
 	return false
 }
 
@@ -140,8 +140,8 @@
 	case admission.StateNew, admission.StateIdle:
 		s.counters.IdleConnsClosed++
 	}
-	s.warnLimited("connections that have no request out are closed to make room")
-	s.log.Debug("client connection given up", "client", c.conn.RemoteAddr(), "state", c.stateName())
+	s.warnLimited("connections without an open request evicted")
+	s.log.Debug("client connection evicted", "client", c.conn.RemoteAddr(), "state", c.stateName())
 	s.closeConn(c.conn)
 }
 
--- a/internal/sidecar/clientinput.go
+++ b/internal/sidecar/clientinput.go
@@ -131,7 +131,7 @@
 	s := c.sidecar
 	s.clients.admission.SetBufferedBytes(c.slot, bytes)
 	for victim := s.clients.admission.BufferVictim(); victim != nil; victim = s.clients.admission.BufferVictim() {
-		s.warnLimited("connections that hold much are closed: there is no memory for more")
+		s.warnLimited("connections closed: memory limit reached")
 		victim.Owner.(*ClientConn).evict()
 	}
 }
--- a/internal/sidecar/clientresponse.go
+++ b/internal/sidecar/clientresponse.go
@@ -137,7 +137,7 @@
 			c.finishResponse()
 		case now > c.lastReadAt+unreadTimeoutSeconds && !c.isStreamed || now > c.unreadSince+maxUnreadSeconds && !c.isStreamed || now > c.lastReadAt+peerLagTimeoutSeconds:
 			s.counters.UnreadConnsClosed++
-			s.warnLimited("connections are closed whose clients do not read their answers")
+			s.warnLimited("connections closed: responses not read")
 			s.clients.admission.RecordWasted(slot)
 			s.closeConn(c.conn)
 		}
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -60,10 +60,10 @@
 }
 
 // errSettingsChanged rejects a state that was made under other settings.
-var errSettingsChanged = errors.New("the hand-over was made under other settings")
+var errSettingsChanged = errors.New("the saved state was made under other settings")
 
 // errStateExpired rejects a state that is too old.
-var errStateExpired = errors.New("the hand-over is old")
+var errStateExpired = errors.New("the saved state is too old")
 
 // settingsHash identifies the settings, which never change while the process runs.
 func (s *Sidecar) settingsHash() string {
@@ -91,7 +91,7 @@
 	if state, ok := s.RestartState(); ok {
 		s.restart.store.Save(state)
 	} else {
-		s.warnLimited("the state for a successor is too large to be kept")
+		s.warnLimited("hot restart state too large, not saved")
 	}
 	s.timers.schedule(s.now()+max(saveIntervalSeconds, saveIntervalFactor*(s.net.Now()-startedAt)), s.saveRestartState)
 }
@@ -124,7 +124,7 @@
 func (s *Sidecar) ReconcileOperatorState() {
 	cordoned, drained, err := s.restart.store.OperatorState()
 	if err != nil {
-		s.log.Error("what operators have said can't be read", "error", err)
+		s.log.Error("operators' commands can't be read", "error", err)
 		return
 	}
 	var infos []policy.HostInfo
--- a/internal/sidecar/listrelay.go
+++ b/internal/sidecar/listrelay.go
@@ -60,7 +60,7 @@
 func (s *Sidecar) SetListObserver(observer ListObserver) { s.discovery.relay.observer = observer }
 
 // ErrStaleList rejects a list that is older than the present one.
-var ErrStaleList = errors.New("the list is older than the one that is held")
+var ErrStaleList = errors.New("the list is older than the present one")
 
 // DiscoveryAddress implements ListReceiver.
 func (s *Sidecar) DiscoveryAddress() string { return s.cfg.Discovery }
--- a/internal/sidecar/loopdelay.go
+++ b/internal/sidecar/loopdelay.go
@@ -49,7 +49,7 @@
 	d.lastStallEndedAt = now
 	s.counters.Stalls++
 	s.fitness.stalledSeconds += seconds
-	s.log.Debug("the loop stood still", "seconds", seconds)
+	s.log.Debug("event loop stalled", "seconds", seconds)
 	s.pushEvent(func(now float64) {
 		s.capture.RecordStall(now, seconds)
 		s.balancer.ObserveStall(now, seconds)
--- a/internal/sidecar/maintenance.go
+++ b/internal/sidecar/maintenance.go
@@ -133,7 +133,7 @@
 	if len(changed) == 0 {
 		return
 	}
-	s.log.Info("servers that are out by agreement", "servers", names)
+	s.log.Info("servers under maintenance changed", "servers", names)
 	if s.timers.setAlarm == nil { // before Start: the policy is given the change with the first event
 		s.pushEndpoints(policy.ListCached, changed)
 		return
--- a/internal/sidecar/operators.go
+++ b/internal/sidecar/operators.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	s.log.Info("server taken out by hand", "server", name)
+	s.log.Info("server cordoned", "server", name)
 	s.pushServerChange(info)
 	return s.restart.store.Cordon(name)
 }
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	s.log.Info("server given back by hand", "server", name)
+	s.log.Info("server uncordoned", "server", name)
 	s.pushServerChange(info)
 	return s.restart.store.Uncordon(name)
 }
@@ -68,7 +68,7 @@
 		return
 	}
 	s.lifecycle.isDrained = on
-	s.log.Info("drain by hand", "on", on, "links", len(s.clients.conns))
+	s.log.Info("operator drain changed", "drained", on, "connections", len(s.clients.conns))
 	if on {
 		s.timers.schedule(s.now()+newcomerPeriodSeconds, s.closeIdleWhileDrained)
 	}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -11,7 +11,7 @@
 func (s *Sidecar) Reload(cfg sidecarconfig.Config, err error) {
 	if err != nil {
 		s.counters.ConfigReloadsFailed++
-		s.log.Error("the configuration stays as it was", "error", err)
+		s.log.Error("configuration rejected, the present one stays in use", "error", err)
 		return
 	}
 	s.counters.ConfigReloads++
@@ -27,7 +27,7 @@
 		{"settings", !reflect.DeepEqual(cfg.Settings, old.Settings)},
 	} {
 		if setting.changed {
-			s.log.Warn("this change waits for a restart", "field", setting.field)
+			s.log.Warn("change takes effect after a restart", "field", setting.field)
 		}
 	}
 	if cfg.Limits != old.Limits {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -33,7 +33,7 @@
 		}
 	}
 	err := &attemptError{responding, connBroken, errUnsolicited}
-	assert.Equal(t, "broke, answering: unasked bytes", err.Error())
+	assert.Equal(t, "connection broken, responding: unasked bytes", err.Error())
 	assert.True(t, errors.Is(err, errUnsolicited))
 }
 
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -19,11 +19,11 @@
 func (c *ClientConn) Admit(class int) bool {
 	switch {
 	case c.isOverLimit && !c.sidecar.hasDescriptors(backendHeadroom), c.sidecar.clients.admission.IsOverBufferBudget(c.slot):
-		c.rejectRequest(class, "there is no room for them")
+		c.rejectRequest(class, "no capacity")
 		return false
 	case c.sidecar.isOverloaded() && c.sidecar.clients.admission.ExceedsFairShare(c.slot):
 		c.sidecar.clients.admission.RecordWasted(c.slot)
-		c.rejectRequest(class, "their client has more out than its part, and there is not enough for all")
+		c.rejectRequest(class, "client beyond its share under overload")
 		return false
 	}
 	return true
@@ -80,8 +80,8 @@
 	c.sidecar.counters.Requests++
 	c.sidecar.counters.countRequestEnd(class, throttled)
 	c.sidecar.counters.Rejected++
-	c.sidecar.warnLimited("requests are turned away: " + reason)
-	c.sidecar.log.Debug("request turned away", "client", c.conn.RemoteAddr(), "why", reason)
+	c.sidecar.warnLimited("requests rejected: " + reason)
+	c.sidecar.log.Debug("request rejected", "client", c.conn.RemoteAddr(), "reason", reason)
 	c.keepAlive = false
 	c.codec.Throttle(c.sidecar.cfg.Settings.Policy.MaxRetryAfterSeconds)
 }
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -27,9 +27,9 @@
 )
 
 var (
-	errWatchTimeout = errors.New("silence")
-	errWatchRefused = errors.New("refused")
-	errWatchEnded   = errors.New("ended")
+	errWatchTimeout = errors.New("watch timed out")
+	errWatchRefused = errors.New("watch refused")
+	errWatchEnded   = errors.New("watch ended")
 )
 
 // watcher is a watch of discovery's endpoint list.
