--- a/internal/frontend/http1/call.go
+++ b/internal/frontend/http1/call.go
@@ -12,7 +12,7 @@
 
 // call is a client's request, in memory of its own.
 type call struct {
-	front          *Frontend
+	frontend       *Frontend
 	method, target string
 	header         http1.Header // forwarded; Request-Timeout is written anew
 	body           sidecar.Body
@@ -26,7 +26,7 @@
 
 // newCall takes over a parsed request of a class from a remote address. Its header is rewritten here, once for all attempts.
 func newCall(f *Frontend, p *http1.RequestParser, class string, remote net.Addr) *call {
-	c := &call{front: f, method: p.Method, target: p.Target, class: class,
+	c := &call{frontend: f, method: p.Method, target: p.Target, class: class,
 		body: sidecar.Body{Buffered: p.Body, Length: p.BodyLength(), IsComplete: p.IsComplete()}}
 	header := p.Header
 	if f.rewrites.On() {
--- a/internal/frontend/http1/clientconn.go
+++ b/internal/frontend/http1/clientconn.go
@@ -12,7 +12,7 @@
 // clientConn is a client connection that speaks HTTP/1.1.
 type clientConn struct {
 	sidecar.ClientConn
-	front        *Frontend
+	frontend     *Frontend
 	parser       http1.RequestParser
 	sentContinue bool  // 100 Continue was written
 	uploading    *call // its body is still arriving; nil: none is
@@ -110,7 +110,7 @@
 	p := &c.parser
 	path, query, _ := strings.Cut(p.Target, "?")
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	class, ok := c.front.classes[name]
+	class, ok := c.frontend.classes[name]
 	faultName, armed := c.faultName(path)
 	switch {
 	case ok:
--- a/internal/frontend/http1/exchange.go
+++ b/internal/frontend/http1/exchange.go
@@ -67,7 +67,7 @@
 
 // header returns the part of a response's header that the client is sent.
 func (x *exchange) header() http1.Header {
-	if r := &x.call.front.rewrites; r.On() {
+	if r := &x.call.frontend.rewrites; r.On() {
 		return r.Answer(x.parser.Header, x.call.class, x.call.path())
 	}
 	return x.parser.Header.EndToEnd()
@@ -83,5 +83,5 @@
 	case (p.Status == 503 || p.Status == 504) && p.Header.Get(fieldNotStarted) == "1":
 		outcome = policy.Rejected
 	}
-	return outcome, x.call.front.parseReport(p.Header.Get(fieldLoad)), p.IsPersistent()
+	return outcome, x.call.frontend.parseReport(p.Header.Get(fieldLoad)), p.IsPersistent()
 }
--- a/internal/frontend/http1/fields_test.go
+++ b/internal/frontend/http1/fields_test.go
@@ -11,7 +11,7 @@
 	"hazelwheel/policy"
 )
 
-func TestReports(t *testing.T) {
+func TestParseReport(t *testing.T) {
 	var cfg sidecarconfig.Config
 	cfg.Settings.ReportFields = []string{"cpu_share", "failed_ps", "pending"}
 	f := New(cfg, rewrite.Settings{})
@@ -29,7 +29,7 @@
 
 // A request without a tenant, or of one that the settings do not name, has none. Danger: counted as the first tenant's all of them would
 // exceed its share, and go last.
-func TestTenants(t *testing.T) {
+func TestTenantIndex(t *testing.T) {
 	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Tenants = []policy.Tenant{{Name: "north"}, {Name: "south"}}
 	f := New(cfg, rewrite.Settings{})
@@ -39,7 +39,7 @@
 	assert.Equal(t, -1, New(sidecarconfig.Config{}, rewrite.Settings{}).tenantIndex("0"))
 }
 
-func TestPatience(t *testing.T) {
+func TestParseTimeout(t *testing.T) {
 	for text, want := range map[string]float64{"480m": 0.48, "250u": 0.00025, "1.5m": 0.0015, "0m": 0} {
 		s, ok := parseTimeout(text)
 		assert.True(t, ok, text)
--- a/internal/frontend/http1/frontend.go
+++ b/internal/frontend/http1/frontend.go
@@ -38,5 +38,5 @@
 
 // NewClient implements sidecar.Frontend.
 func (f *Frontend) NewClient() sidecar.ClientCodec {
-	return &clientConn{front: f, parser: http1.NewRequestParser(limits)}
+	return &clientConn{frontend: f, parser: http1.NewRequestParser(limits)}
 }
--- a/internal/frontend/http1/probe.go
+++ b/internal/frontend/http1/probe.go
@@ -15,7 +15,7 @@
 	if f.settings.Policy.ReportsOnProbe {
 		path = "/status/load"
 	}
-	c := &call{front: f, method: "GET", target: path, header: http1.Header{{Name: "Host", Value: f.sidecarName}}, body: sidecar.Body{IsComplete: true}}
+	c := &call{frontend: f, method: "GET", target: path, header: http1.Header{{Name: "Host", Value: f.sidecarName}}, body: sidecar.Body{IsComplete: true}}
 	return &probe{exchange{call: c, parser: http1.NewResponseParser(limits)}}
 }
 
@@ -26,8 +26,8 @@
 	if x.parser.Status == 503 {
 		outcome = policy.Rejected
 	}
-	if x.call.front.settings.Policy.ReportsOnProbe && x.parser.Status == 200 {
-		report = x.call.front.parseReport(string(x.parser.Body))
+	if x.call.frontend.settings.Policy.ReportsOnProbe && x.parser.Status == 200 {
+		report = x.call.frontend.parseReport(string(x.parser.Body))
 	}
 	return outcome, report, keep
 }
--- a/internal/frontend/http1/quotas.go
+++ b/internal/frontend/http1/quotas.go
@@ -28,7 +28,7 @@
 // RejectOverQuota implements sidecar.QuotaClient, with status 429.
 func (c *clientConn) RejectOverQuota(group string, retryAfterSeconds float64) {
 	h := http1.Header{textPlain}
-	if c.front.settings.RetryAfter {
+	if c.frontend.settings.RetryAfter {
 		h = append(h, http1.Field{Name: fieldRetryAfter, Value: strconv.FormatFloat(retryAfterSeconds, 'f', 3, 64)})
 	}
 	c.respond(429, h, []byte("over the quota of "+group+"\n"))
--- a/internal/frontend/http1/response.go
+++ b/internal/frontend/http1/response.go
@@ -52,7 +52,7 @@
 // Throttle implements sidecar.Responder, with status 503.
 func (c *clientConn) Throttle(retryAfterSeconds float64) {
 	h := http1.Header{textPlain}
-	if c.front.settings.RetryAfter {
+	if c.frontend.settings.RetryAfter {
 		after := strconv.FormatFloat(max(retryAfterSeconds, 0), 'f', 3, 64)
 		h = append(h, http1.Field{Name: fieldRetryAfter, Value: after})
 	}
--- a/internal/frontend/http1/submit.go
+++ b/internal/frontend/http1/submit.go
@@ -8,7 +8,7 @@
 
 // submit validates a request to a class and submits it.
 func (c *clientConn) submit(class int) {
-	p, settings := &c.parser, &c.front.settings.Policy.Classes[class]
+	p, settings := &c.parser, &c.frontend.settings.Policy.Classes[class]
 	method := "POST"
 	if settings.Effect == policy.Safe {
 		method = "GET"
@@ -32,8 +32,8 @@
 	case !ok:
 		c.rejectInvalid(class, 400, fieldTimeout+" is not a number with m or u")
 	case c.Admit(class):
-		call := newCall(c.front, p, settings.Name, c.RemoteAddr())
-		in := sidecar.IncomingRequest{ID: id, Class: class, Tenant: c.front.tenantIndex(p.Header.Get(fieldTenant)), TimeoutSeconds: timeoutSeconds, IsRetry: p.Header.Get(fieldRetry) == "1", HeldBytes: len(p.Body), Call: call}
+		call := newCall(c.frontend, p, settings.Name, c.RemoteAddr())
+		in := sidecar.IncomingRequest{ID: id, Class: class, Tenant: c.frontend.tenantIndex(p.Header.Get(fieldTenant)), TimeoutSeconds: timeoutSeconds, IsRetry: p.Header.Get(fieldRetry) == "1", HeldBytes: len(p.Body), Call: call}
 		if !p.IsComplete() {
 			c.uploading, in.Body = call, &call.body
 			p.Body = nil // owned by the call from now on
--- a/internal/frontend/thrift/call.go
+++ b/internal/frontend/thrift/call.go
@@ -9,13 +9,13 @@
 
 // call is a client's call, in memory of its own: it outlives its connection.
 type call struct {
-	front   *Frontend
-	message thrift.Message
+	frontend *Frontend
+	message  thrift.Message
 }
 
 // newCall copies a message from a connection's buffer.
 func newCall(f *Frontend, m thrift.Message) *call {
-	c := &call{front: f}
+	c := &call{frontend: f}
 	raw := append([]byte(nil), m.Raw...)
 	c.message = m.WithRaw(raw)
 	return c
--- a/internal/frontend/thrift/clientconn.go
+++ b/internal/frontend/thrift/clientconn.go
@@ -15,8 +15,8 @@
 // one at a time, like by a server of the Apache libraries.
 type clientConn struct {
 	sidecar.ClientConn
-	front   *Frontend
-	message thrift.Message // the one that was read last, or is open
+	frontend *Frontend
+	message  thrift.Message // the one that was read last, or is open
 }
 
 // ReadRequest implements sidecar.ClientCodec. The message stays in the buffer until HandleRequest, which comes before any more bytes.
@@ -56,7 +56,7 @@
 		c.rejectAndClose(thrift.InvalidKind, "a message that is no call")
 		return
 	}
-	class := c.front.methods[string(m.Name)]
+	class := c.frontend.methods[string(m.Name)]
 	var paths []thrift.Path
 	if class != nil {
 		paths = class.paths
@@ -88,7 +88,7 @@
 		return
 	}
 	if in.ID = idText(id); in.ID == "" {
-		in.ID = c.front.generateID()
+		in.ID = c.frontend.generateID()
 	}
 	if c.Sidecar().IsRequestOpen(in.ID) {
 		c.reject(thrift.InternalError, "its id is that of an open call")
@@ -97,7 +97,7 @@
 	// Without a key nothing drops a repeat, whatever the class says.
 	in.AtMostOnce = class.Effect == policy.Keyed && len(key.Bytes) == 0 && key.Int == 0
 	if c.Admit(class.index) {
-		call := newCall(c.front, c.message)
+		call := newCall(c.frontend, c.message)
 		c.message, in.Call = call.message, call
 		c.Submit(in)
 	}
--- a/internal/frontend/thrift/exchange.go
+++ b/internal/frontend/thrift/exchange.go
@@ -29,7 +29,7 @@
 // AppendRequest implements sidecar.Exchange. The call is written as it came but for the sequence number: the deadline in it is forwarded
 // unchanged.
 func (x *exchange) AppendRequest(dst []byte, _, _ float64) []byte {
-	x.sequence = x.call.front.nextSequence()
+	x.sequence = x.call.frontend.nextSequence()
 	return x.call.message.AppendWithSeq(dst, x.sequence)
 }
 
@@ -53,7 +53,7 @@
 		if err != nil {
 			return false, err
 		}
-		x.outcome = x.call.front.exceptionOutcome(text)
+		x.outcome = x.call.frontend.exceptionOutcome(text)
 	} else if err := m.Validate(); err != nil {
 		return false, err
 	}
--- a/internal/frontend/thrift/frontend.go
+++ b/internal/frontend/thrift/frontend.go
@@ -69,7 +69,7 @@
 }
 
 // NewClient implements sidecar.Frontend.
-func (f *Frontend) NewClient() sidecar.ClientCodec { return &clientConn{front: f} }
+func (f *Frontend) NewClient() sidecar.ClientCodec { return &clientConn{frontend: f} }
 
 // generateID returns an ID for a call without one, for logs and captures alone.
 func (f *Frontend) generateID() string {
--- a/internal/frontend/thrift/probe.go
+++ b/internal/frontend/thrift/probe.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		panic(err) // it was written above
 	}
-	return &probe{exchange{call: &call{front: f, message: m}}}
+	return &probe{exchange{call: &call{frontend: f, message: m}}}
 }
 
 var resultPaths = []thrift.Path{{0}}
@@ -33,7 +33,7 @@
 		if kind, _, err := x.reply.DecodeException(); err == nil && kind == thrift.UnknownMethod {
 			outcome = policy.OK
 		}
-	} else if f := x.call.front; f.settings.Policy.ReportsOnProbe && x.reply.Find(resultPaths, &found) == nil {
+	} else if f := x.call.frontend; f.settings.Policy.ReportsOnProbe && x.reply.Find(resultPaths, &found) == nil {
 		report = sidecar.ParseLoadReport(f.settings.ReportFields, string(found[0].Bytes))
 	}
 	return outcome, report, keep
--- a/internal/frontend/thrift/response.go
+++ b/internal/frontend/thrift/response.go
@@ -30,7 +30,7 @@
 // Throttle implements sidecar.Responder; the text may hold the seconds until a retry.
 func (c *clientConn) Throttle(retryAfterSeconds float64) {
 	text := throttledText
-	if c.front.settings.RetryAfter {
+	if c.frontend.settings.RetryAfter {
 		text += strconv.FormatFloat(max(retryAfterSeconds, 0), 'f', 3, 64)
 	} else {
 		text = text[:len("throttled")]
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -21,26 +21,26 @@
 	"hazelwheel/policy"
 )
 
-// stallingLog holds the event loop up where it logs one message.
+// stallingLog blocks the event loop where it logs one message.
 type stallingLog struct {
 	slog.Handler
-	at     string
-	resume chan struct{}
-	come   chan struct{}
+	at      string
+	resume  chan struct{}
+	reached chan struct{}
 }
 
 func (l stallingLog) Enabled(context.Context, slog.Level) bool { return true }
 
 func (l stallingLog) Handle(_ context.Context, r slog.Record) error {
 	if r.Message == l.at {
-		close(l.come)
+		close(l.reached)
 		<-l.resume
 	}
 	return nil
 }
 
-// The side port answers while the event loop stalls, and says so; so it must not ask the loop.
-func TestSidePortOutlivesAStall(t *testing.T) {
+// The health port responds while the event loop stalls, and reports that; so it must not call the loop.
+func TestHealthPortAnswersDuringStall(t *testing.T) {
 	free := func() int {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -73,11 +73,11 @@
 	}
 	answers("/alive", 200)
 	hangups <- syscall.SIGHUP
-	<-log.come
+	<-log.reached
 	assert.Contains(t, answers("/alive", 503), `"loop_stall_ms `)
 	assert.Contains(t, answers("/ready", 503), `"loop_stall_ms `)
 	close(log.resume)
 	answers("/alive", 200)
-	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM)) // the loop has begun, and catches it
+	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM)) // the loop runs, and catches the signal
 	assert.NoError(t, <-ended)
 }
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -10,14 +10,14 @@
 var _ policy.Actions = (*Sidecar)(nil)
 
 // Send starts the next attempt of a request at a server.
-func (s *Sidecar) Send(id, host uint32) {
-	s.recordDecision(id, capture.Decision{Action: capture.ActionSend, Host: host})
+func (s *Sidecar) Send(id, serverID uint32) {
+	s.recordDecision(id, capture.Decision{Action: capture.ActionSend, Host: serverID})
 	r := s.requests.byID[id]
 	if r == nil {
 		s.log.Error("send for an unknown request", "request", id)
 		return
 	}
-	a := &attempt{request: r, number: r.attemptsSent, serverID: host, requestedAt: s.turn.eventAt, sentAt: s.turn.eventAt,
+	a := &attempt{request: r, number: r.attemptsSent, serverID: serverID, requestedAt: s.turn.eventAt, sentAt: s.turn.eventAt,
 		deadline: r.deadline - s.responseMargin(), exchange: r.call.NewExchange(), frontend: r.frontend}
 	r.attemptsSent++
 	r.attempts = append(r.attempts, a)
@@ -40,16 +40,16 @@
 }
 
 // Probe starts a probe of a server.
-func (s *Sidecar) Probe(host uint32) {
-	s.capture.RecordDecision(capture.Decision{Action: capture.ActionProbe, Host: host})
+func (s *Sidecar) Probe(serverID uint32) {
+	s.capture.RecordDecision(capture.Decision{Action: capture.ActionProbe, Host: serverID})
 	s.counters.Probes++
-	s.startAttempt(&attempt{serverID: host, sentAt: s.turn.eventAt, deadline: s.turn.eventAt + probeTimeoutSeconds, exchange: s.prober.NewProbe(), frontend: s.prober})
+	s.startAttempt(&attempt{serverID: serverID, sentAt: s.turn.eventAt, deadline: s.turn.eventAt + probeTimeoutSeconds, exchange: s.prober.NewProbe(), frontend: s.prober})
 }
 
 // CloseIdle closes the idle connections to a server.
-func (s *Sidecar) CloseIdle(host uint32) {
-	s.capture.RecordDecision(capture.Decision{Action: capture.ActionCloseIdle, Host: host})
-	s.closeIdleConns(host)
+func (s *Sidecar) CloseIdle(serverID uint32) {
+	s.capture.RecordDecision(capture.Decision{Action: capture.ActionCloseIdle, Host: serverID})
+	s.closeIdleConns(serverID)
 }
 
 // Refuse ends a request with the response that a retry is harmless.
--- a/internal/sidecar/arrivaltimes.go
+++ b/internal/sidecar/arrivaltimes.go
@@ -7,39 +7,39 @@
 // behind another may stay in the buffer for as long as that takes.
 type arrivalTimes struct {
 	totalBytes uint64 // received in all
-	marks      []arrivalMark
+	offsets    []timestampedOffset
 }
 
 // arrivalMark is the time at which the bytes up to an offset had arrived.
-type arrivalMark struct {
-	end uint64
-	at  float64
+type timestampedOffset struct {
+	offset uint64
+	at     float64
 }
 
 // add notes that bytes have arrived.
 func (t *arrivalTimes) add(n int, now float64) {
 	t.totalBytes += uint64(n)
-	if last := len(t.marks) - 1; last >= 0 && now-t.marks[last].at < mergeArrivalsSeconds {
-		t.marks[last].end = t.totalBytes
+	if last := len(t.offsets) - 1; last >= 0 && now-t.offsets[last].at < mergeArrivalsSeconds {
+		t.offsets[last].offset = t.totalBytes
 		return
 	}
-	t.marks = append(t.marks, arrivalMark{t.totalBytes, now})
+	t.offsets = append(t.offsets, timestampedOffset{t.totalBytes, now})
 }
 
 // reset forgets all marks: nothing that is buffered waits for an earlier response.
-func (t *arrivalTimes) reset() { t.marks = t.marks[:0] }
+func (t *arrivalTimes) reset() { t.offsets = t.offsets[:0] }
 
 // arrivedAt returns when the last byte arrived that was consumed from the buffer, where unreadBytes are left, and forgets the marks before
 // it. It returns now if that is not known.
 func (t *arrivalTimes) arrivedAt(unreadBytes int, now float64) float64 {
 	consumed := t.totalBytes - uint64(unreadBytes)
 	expired := 0
-	for expired < len(t.marks)-1 && t.marks[expired].end < consumed {
+	for expired < len(t.offsets)-1 && t.offsets[expired].offset < consumed {
 		expired++
 	}
-	t.marks = append(t.marks[:0], t.marks[expired:]...)
-	if len(t.marks) == 0 {
+	t.offsets = append(t.offsets[:0], t.offsets[expired:]...)
+	if len(t.offsets) == 0 {
 		return now
 	}
-	return t.marks[0].at
+	return t.offsets[0].at
 }
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -110,21 +110,7 @@
 		s.maintenance.recordAttempt(a, err, &result, s.now())
 	}
 	if a.request == nil {
-		// A server rejects a probe at once, or after it has queued for as long as probes may. Danger: the first shows that it is alive, the
-		// second that its queue is long; mistaken for one another, or for an error, they eject servers that are merely full.
-		if result.Outcome == policy.Rejected && s.now()-a.sentAt > probeTimeoutSeconds/2 {
-			result.Outcome = policy.TimedOut
-		}
-		// A malformed response holds no load report, but its server is alive and has processed the probe.
-		if err != nil && err.cause == malformed {
-			result.Outcome = policy.OK
-		}
-		s.counters.probeOutcomes.count(result.Outcome)
-		s.pushEvent(func(now float64) {
-			result.DelaySeconds, result.LateSeconds = a.durations(now)
-			s.capture.RecordProbe(now, result)
-			s.balancer.ProbeDone(now, result)
-		})
+		s.finishProbe(a, err, result)
 		return
 	}
 	succeeded := result.Outcome == policy.OK
@@ -142,21 +128,46 @@
 		s.recordResponseCost(a)
 		s.answerRequest(r, served, func() { r.responder.ForwardResponse(a.exchange) })
 	}
-	if r.isAtMostOnce && !r.isAnswered && !result.Outcome.NeverRan() {
+	s.failUnrepeatable(r, result.Outcome)
+	result.Final = r.isAnswered
+	s.turn.events = append(s.turn.events, event{endedAttempt: a, result: result})
+}
+
+// finishProbe reports the outcome of a probe to the policy.
+func (s *Sidecar) finishProbe(a *attempt, err *attemptError, result policy.Result) {
+	// A server rejects a probe at once, or after it has queued for as long as probes may. Danger: the first shows that it is alive, the
+	// second that its queue is long; mistaken for one another, or for an error, they eject servers that are merely full.
+	if result.Outcome == policy.Rejected && s.now()-a.sentAt > probeTimeoutSeconds/2 {
+		result.Outcome = policy.TimedOut
+	}
+	// A malformed response holds no load report, but its server is alive and has processed the probe.
+	if err != nil && err.cause == malformed {
+		result.Outcome = policy.OK
+	}
+	s.counters.probeOutcomes.count(result.Outcome)
+	s.pushEvent(func(now float64) {
+		result.DelaySeconds, result.LateSeconds = a.durations(now)
+		s.capture.RecordProbe(now, result)
+		s.balancer.ProbeDone(now, result)
+	})
+}
+
+// failUnrepeatable ends a request after an attempt that did not serve it if no other attempt may be sent.
+func (s *Sidecar) failUnrepeatable(r *request, outcome policy.Outcome) {
+	fail := func() { r.responder.Fail(outcome == policy.TimedOut) }
+	if r.isAtMostOnce && !r.isAnswered && !outcome.NeverRan() {
 		// Danger: the policy goes by the class, whose requests may run again since repeats are dropped. This one has nothing that tells its
 		// repeats apart.
-		s.answerRequest(r, failed, func() { r.responder.Fail(result.Outcome == policy.TimedOut) })
+		s.answerRequest(r, failed, fail)
 	}
-	if r.body != nil && r.body.HasDropped() && !r.isAnswered && result.Outcome != policy.OK {
+	if r.body != nil && r.body.HasDropped() && !r.isAnswered && outcome != policy.OK {
 		// The part of its body that was sent is no longer buffered, so no other server can get it.
 		if r.firstRunAt == 0 {
 			s.answerRequest(r, throttled, func() { r.responder.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		} else {
-			s.answerRequest(r, failed, func() { r.responder.Fail(result.Outcome == policy.TimedOut) })
+			s.answerRequest(r, failed, fail)
 		}
 	}
-	result.Final = r.isAnswered
-	s.turn.events = append(s.turn.events, event{endedAttempt: a, result: result})
 }
 
 // expire implements timerTarget: it times the attempt out.
--- a/internal/sidecar/body.go
+++ b/internal/sidecar/body.go
@@ -10,11 +10,11 @@
 }
 
 // Next returns the next bytes for the present attempt, at most so many, and counts them as sent.
-func (b *Body) Next(most int) []byte {
-	part := b.Buffered[b.SentBytes-b.DroppedBytes:]
-	part = part[:min(len(part), most)]
-	b.SentBytes += len(part)
-	return part
+func (b *Body) Next(maxBytes int) []byte {
+	next := b.Buffered[b.SentBytes-b.DroppedBytes:]
+	next = next[:min(len(next), maxBytes)]
+	b.SentBytes += len(next)
+	return next
 }
 
 // UnsentBytes returns how many bytes that have arrived are still to be sent.
--- a/internal/sidecar/capture.go
+++ b/internal/sidecar/capture.go
@@ -17,26 +17,26 @@
 var _ capture.Source = captureSource{}
 
 // Checkpoint appends the policy's state, of at most so many bytes; false: it is larger.
-func (w captureSource) Checkpoint(dst []byte, most int) ([]byte, bool) {
-	return w.balancer.Checkpoint(dst, most)
+func (c captureSource) Checkpoint(dst []byte, maxBytes int) ([]byte, bool) {
+	return c.balancer.Checkpoint(dst, maxBytes)
 }
 
 // HostName returns a server's name, empty if it is unknown.
-func (w captureSource) HostName(id uint32) string {
-	if h := w.endpoints.Host(id); h != nil {
+func (c captureSource) HostName(id uint32) string {
+	if h := c.endpoints.Host(id); h != nil {
 		return h.Name
 	}
 	return ""
 }
 
 // HostNames iterates over all servers that are known.
-func (w captureSource) HostNames() iter.Seq2[uint32, string] { return w.endpoints.Names }
+func (c captureSource) HostNames() iter.Seq2[uint32, string] { return c.endpoints.Names }
 
 // RequestLabels iterates over the requests that the policy may still refer to, in order of their IDs.
-func (w captureSource) RequestLabels() iter.Seq2[uint32, capture.Label] {
+func (c captureSource) RequestLabels() iter.Seq2[uint32, capture.Label] {
 	return func(yield func(uint32, capture.Label) bool) {
-		for _, id := range slices.Sorted(maps.Keys(w.requests.byID)) {
-			if !yield(id, w.requests.byID[id].label()) {
+		for _, id := range slices.Sorted(maps.Keys(c.requests.byID)) {
+			if !yield(id, c.requests.byID[id].label()) {
 				return
 			}
 		}
--- a/internal/sidecar/clientresponse.go
+++ b/internal/sidecar/clientresponse.go
@@ -30,11 +30,11 @@
 }
 
 // EndResponse writes a response and prepares the connection for the next request.
-func (c *ClientConn) EndResponse(answer []byte) {
-	c.sidecar.recycleWriteBuffer(answer)
+func (c *ClientConn) EndResponse(response []byte) {
+	c.sidecar.recycleWriteBuffer(response)
 	c.hasAnswered = true
-	if len(answer) > 0 {
-		c.Write(answer)
+	if len(response) > 0 {
+		c.Write(response)
 	}
 	if c.conn == nil {
 		return
--- a/internal/sidecar/counters.go
+++ b/internal/sidecar/counters.go
@@ -31,7 +31,7 @@
 	OpenRequests    int    `json:"open"`      // of these, without a final response
 	Served          uint64 `json:"served"`    // with a server's response
 	Throttled       uint64 `json:"throttled"` // rejected; a retry is harmless
-	Shed            uint64 `json:"shed"`      // of these, after waiting for the sidecar itself for too long
+	LoadShed        uint64 `json:"shed"`      // of these, after waiting for the sidecar itself for too long
 	Failed          uint64 `json:"failed"`    // without a server's response
 	Abandoned       uint64 `json:"abandoned"` // the client closed
 	DecisionsLate   uint64 `json:"overdue"`   // failed since the policy was late
--- a/internal/sidecar/counters_form_test.go
+++ b/internal/sidecar/counters_form_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Operators' tools read /counters: with every field set the answer is that of the golden file.
+// Operators' tools read /counters: with every field set the response is that of the golden file.
 func TestCountersForm(t *testing.T) {
 	c := counters{}
-	set(reflect.ValueOf(&c).Elem())
+	setFields(reflect.ValueOf(&c).Elem())
 	for i := range c.attemptOutcomes {
 		c.attemptOutcomes[i], c.probeOutcomes[i] = uint64(i+1), uint64(i+1)
 	}
@@ -21,25 +21,25 @@
 	assert.Equal(t, string(raw), string(c.text()))
 }
 
-// set gives every exported field, and one element of every slice, a value that is not zero.
-func set(v reflect.Value) {
+// setFields gives every exported field, and one element of every slice, a value that is not zero.
+func setFields(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		set(v.Elem())
+		setFields(v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if v.Type().Field(i).IsExported() {
-				set(v.Field(i))
+				setFields(v.Field(i))
 			}
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		set(v.Index(0))
+		setFields(v.Index(0))
 	case reflect.Map:
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		set(key)
-		set(value)
+		setFields(key)
+		setFields(value)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	case reflect.Interface:
--- a/internal/sidecar/faults.go
+++ b/internal/sidecar/faults.go
@@ -57,7 +57,7 @@
 // then the request is open like any other: its client may close, and its deadline holds. Danger: what is left of its time looks like that
 // of a client's late retry, and one whose latency target has passed since its first attempt is rejected; so the policy is told how long it
 // was delayed.
-func (s *Sidecar) applyFault(r *request, class int, decide func(heldSeconds float64)) bool {
+func (s *Sidecar) applyFault(r *request, class int, submit func(heldSeconds float64)) bool {
 	now := s.now()
 	fault := s.faults.Match(now, s.cfg.Settings.Policy.Classes[class].Name)
 	if fault == nil {
@@ -70,7 +70,7 @@
 		case fault.Abort == "503": // nothing has run, which is what a throttle says
 			s.answerRequest(r, throttled, func() { r.responder.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		default:
-			decide(s.now() - now)
+			submit(s.now() - now)
 		}
 	})
 	return true
--- a/internal/sidecar/fitness.go
+++ b/internal/sidecar/fitness.go
@@ -50,9 +50,9 @@
 
 // hasNoUsableServer reports whether servers are listed and the policy avoids all of them.
 func (s *Sidecar) hasNoUsableServer(now float64) bool {
-	avoided, isAnyListed := s.balancer.Ejected(now), false
+	isAvoided, isAnyListed := s.balancer.Ejected(now), false
 	for h := range s.endpoints.Listed {
-		if isAnyListed = true; h.State == policy.Ready && !avoided(h.ID) {
+		if isAnyListed = true; h.State == policy.Ready && !isAvoided(h.ID) {
 			return false
 		}
 	}
--- a/internal/sidecar/fitness_test.go
+++ b/internal/sidecar/fitness_test.go
@@ -8,43 +8,43 @@
 	"hazelwheel/policy"
 )
 
-// tickingNet is a testNet whose clock is moved by hand.
-type tickingNet struct {
-	testNet
+// tickingLoop is a fakeLoop whose clock is moved by hand.
+type tickingLoop struct {
+	fakeLoop
 	at *float64
 }
 
-func (n tickingNet) Now() float64 { return *n.at }
+func (n tickingLoop) Now() float64 { return *n.at }
 
-// A sidecar that stands still for a third of its time, that no box answers or that is drained does not work for others; that passes.
-func TestFit(t *testing.T) {
+// A sidecar that stalls for a third of its time, that no server answers or that is drained takes no roles; that passes.
+func TestCanTakeRoles(t *testing.T) {
 	s, now := newTestSidecar(t), testNow
-	s.net = tickingNet{at: &now}
-	look := func(forS float64, each func()) (why string) {
-		for end := now + forS; now < end; now++ {
+	s.net = tickingLoop{at: &now}
+	evaluate := func(seconds float64, each func()) (reason string) {
+		for end := now + seconds; now < end; now++ {
 			each()
-			_, why = s.CanTakeRoles()
+			_, reason = s.CanTakeRoles()
 		}
-		return why
+		return reason
 	}
-	by := &s.counters.attemptOutcomes
-	answered := func() { by.count(policy.OK) }
-	assert.Empty(t, look(20, answered))
-	assert.Empty(t, look(20, func() { answered(); s.fitness.stalledSeconds += 0.2 }), "now and then is no harm")
-	assert.Equal(t, "starved of its core", look(6, func() { answered(); s.fitness.stalledSeconds += 0.5 }))
-	assert.Empty(t, look(20, answered))
-	assert.Empty(t, look(20, func() {}), "nothing to do")
-	assert.Equal(t, "cut off from boxes", look(8, func() { by.count(policy.ConnectFailed) }))
-	assert.Empty(t, look(2, answered))
-	assert.Empty(t, look(20, func() { answered(); by.count(policy.TimedOut) }), "some boxes do not answer")
+	outcomes := &s.counters.attemptOutcomes
+	respond := func() { outcomes.count(policy.OK) }
+	assert.Empty(t, evaluate(20, respond))
+	assert.Empty(t, evaluate(20, func() { respond(); s.fitness.stalledSeconds += 0.2 }), "now and then is no harm")
+	assert.Equal(t, "starved of its core", evaluate(6, func() { respond(); s.fitness.stalledSeconds += 0.5 }))
+	assert.Empty(t, evaluate(20, respond))
+	assert.Empty(t, evaluate(20, func() {}), "nothing to do")
+	assert.Equal(t, "cut off from boxes", evaluate(8, func() { outcomes.count(policy.ConnectFailed) }))
+	assert.Empty(t, evaluate(2, respond))
+	assert.Empty(t, evaluate(20, func() { respond(); outcomes.count(policy.TimedOut) }), "some boxes do not answer")
 	assert.NoError(t, s.DrainByOperator())
-	assert.Equal(t, "drained", look(2, answered))
+	assert.Equal(t, "drained", evaluate(2, respond))
 	assert.NoError(t, s.UndrainByOperator())
-	assert.Empty(t, look(2, answered))
+	assert.Empty(t, evaluate(2, respond))
 }
 
-// What is measured is told once, and filling it in costs no allocation.
-func TestMeasured(t *testing.T) {
+// Stats are returned once, and recording them does not allocate.
+func TestRequestStats(t *testing.T) {
 	s := newTestSidecar(t)
 	assert.Nil(t, s.RequestStats())
 	s.EnableRequestStats()
--- a/internal/sidecar/idleconns.go
+++ b/internal/sidecar/idleconns.go
@@ -26,8 +26,8 @@
 type reuseDelay struct{ extendedUntil float64 }
 
 // seconds returns the delay that holds at a time.
-func (s *reuseDelay) seconds(now float64) float64 {
-	if now < s.extendedUntil {
+func (d *reuseDelay) seconds(now float64) float64 {
+	if now < d.extendedUntil {
 		return extendedReuseDelaySeconds
 	}
 	return reuseDelaySeconds
@@ -35,19 +35,19 @@
 
 // extend notes that a server has sent bytes behind its response. Danger: a second copy of a response that arrives on a connection in use
 // would be taken for the response to its next request.
-func (s *reuseDelay) extend(now float64) { s.extendedUntil = now + reuseExtensionSeconds }
+func (d *reuseDelay) extend(now float64) { d.extendedUntil = now + reuseExtensionSeconds }
 
 // takeIdleConn returns the idle connection to a server that was used last and removes it from the pool, nil if there is none. The newest is
 // the least likely to have been closed by its server, and the others can grow old and be closed. Danger: bytes that a server sends a moment
 // after a response would be taken for the response to the next request; a connection within the reuse delay is taken only if no new one can
 // be opened.
-func (s *Sidecar) takeIdleConn(endpoint *endpointset.Host, front Frontend) *backendConn {
+func (s *Sidecar) takeIdleConn(endpoint *endpointset.Host, frontend Frontend) *backendConn {
 	for {
 		idle := s.backends.idle[endpoint.ID]
 		var b *backendConn
 		idleBefore := s.now() - s.backends.reuseDelay.seconds(s.now())
 		for i := len(idle) - 1; i >= 0 && (b == nil || b.idleSince > idleBefore); i-- {
-			if idle[i].frontend == front {
+			if idle[i].frontend == frontend {
 				b = idle[i]
 			}
 		}
--- a/internal/sidecar/idleconns_test.go
+++ b/internal/sidecar/idleconns_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Once a server has sent more behind an answer, connections rest for longer, for a while.
-func TestSettling(t *testing.T) {
+// After a server has sent more behind a response, connections stay idle for longer, for a while.
+func TestReuseDelayIsExtended(t *testing.T) {
 	var s reuseDelay
 	assert.Equal(t, reuseDelaySeconds, s.seconds(100))
 	s.extend(100)
--- a/internal/sidecar/maintenance.go
+++ b/internal/sidecar/maintenance.go
@@ -106,23 +106,23 @@
 // isFailing reports whether a server's connections break before it responds. Danger: the policy takes a connection that ends at once for
 // one that broke while idle, which says nothing about its server; it sends less there, and a site that breaks all connections would not
 // count as lost.
-func (t *maintenanceTracker) isFailing(host uint32, now float64) bool {
-	h := t.brokenConns[host]
+func (t *maintenanceTracker) isFailing(serverID uint32, now float64) bool {
+	h := t.brokenConns[serverID]
 	return h.count >= failingAfter && now-h.lastAt < failingSeconds
 }
 
 // openAttempts counts the abandoned attempts that may go on. A later load report without requests in flight ends all.
-func (t *maintenanceTracker) openAttempts(host uint32, now float64) (n int) {
-	abandoned := t.abandonedAt[host]
+func (t *maintenanceTracker) openAttempts(serverID uint32, now float64) (n int) {
+	abandoned := t.abandonedAt[serverID]
 	if len(abandoned) == 0 {
 		return 0
 	}
-	r, isReported := t.reports[host]
+	r, isReported := t.reports[serverID]
 	abandoned = slices.DeleteFunc(abandoned, func(at float64) bool {
 		return now-at > t.maxAttemptSeconds || isReported && r.inflight <= 0 && r.at > at
 	})
-	if t.abandonedAt[host] = abandoned; len(abandoned) == 0 {
-		delete(t.abandonedAt, host)
+	if t.abandonedAt[serverID] = abandoned; len(abandoned) == 0 {
+		delete(t.abandonedAt, serverID)
 	}
 	return len(abandoned)
 }
@@ -153,7 +153,7 @@
 			inFlight[a.serverID]++
 		}
 	}
-	avoided, tracker, settings := s.balancer.Ejected(now), s.maintenance, &s.cfg.Settings.Policy
+	isAvoided, tracker, settings := s.balancer.Ejected(now), s.maintenance, &s.cfg.Settings.Policy
 	for id := range s.endpoints.Names {
 		endpoint := s.endpoints.Host(id)
 		known := endpoint.Listing()
@@ -164,7 +164,7 @@
 			continue
 		}
 		status.IsWarmingUp = settings.SlowStartSeconds > 0 && known.StartedAt > 0 && now-known.StartedAt < settings.SlowStartSeconds
-		status.IsUnavailable = endpoint.State == policy.Ready && (avoided(id) || tracker.isFailing(id, now))
+		status.IsUnavailable = endpoint.State == policy.Ready && (isAvoided(id) || tracker.isFailing(id, now))
 		r, isReported := tracker.reports[id]
 		status.IsBusy = isReported && now-r.at < reportValidSeconds && r.inflight > 0
 		all = append(all, status)
--- a/internal/sidecar/maintenance_test.go
+++ b/internal/sidecar/maintenance_test.go
@@ -8,27 +8,27 @@
 	"hazelwheel/policy"
 )
 
-// A box that hangs up on requests fails for those who settle work on boxes, however quickly it does, until it answers one; that a client
-// left, or that a probe was answered, changes nothing.
-func TestHangUps(t *testing.T) {
+// A server that breaks connections under requests is failing until it responds, however quickly it breaks them. A client that closed, and a
+// probe that was answered, change nothing.
+func TestServerWithBrokenConnsIsFailing(t *testing.T) {
 	s := newTestSidecar(t)
 	s.EnableMaintenance()
-	w, now := s.maintenance, testNow
-	ends := func(request *request, err *attemptError) {
-		w.recordAttempt(&attempt{serverID: 7, request: request}, err, &policy.Result{}, now)
+	tracker, now := s.maintenance, testNow
+	record := func(request *request, err *attemptError) {
+		tracker.recordAttempt(&attempt{serverID: 7, request: request}, err, &policy.Result{}, now)
 	}
 	r := &request{}
-	hangsUp, left := &attemptError{fullyWritten, connBroken, errUnsolicited}, &attemptError{fullyWritten, cancelled, nil}
-	ends(r, hangsUp)
-	assert.False(t, w.isFailing(7, now), "one link may have died while idle")
-	ends(r, left)
-	ends(nil, nil)
-	ends(r, hangsUp)
-	assert.True(t, w.isFailing(7, now))
-	assert.False(t, w.isFailing(8, now))
-	assert.False(t, w.isFailing(7, now+failingSeconds), "nothing was sent there for long")
-	ends(r, nil)
-	assert.False(t, w.isFailing(7, now))
-	ends(r, hangsUp)
-	assert.False(t, w.isFailing(7, now))
+	broken, left := &attemptError{fullyWritten, connBroken, errUnsolicited}, &attemptError{fullyWritten, cancelled, nil}
+	record(r, broken)
+	assert.False(t, tracker.isFailing(7, now), "one link may have died while idle")
+	record(r, left)
+	record(nil, nil)
+	record(r, broken)
+	assert.True(t, tracker.isFailing(7, now))
+	assert.False(t, tracker.isFailing(8, now))
+	assert.False(t, tracker.isFailing(7, now+failingSeconds), "nothing was sent there for long")
+	record(r, nil)
+	assert.False(t, tracker.isFailing(7, now))
+	record(r, broken)
+	assert.False(t, tracker.isFailing(7, now))
 }
--- a/internal/sidecar/pending.go
+++ b/internal/sidecar/pending.go
@@ -65,7 +65,7 @@
 	a, now := &s.pending, s.now()
 	a.isScheduled, a.burstStartedAt, a.burst = false, now, 0
 	for a.burst < maxBurst {
-		waiting, shed, ok := a.queue.Dequeue(now)
+		waiting, isShed, ok := a.queue.Dequeue(now)
 		if !ok {
 			return
 		}
@@ -73,8 +73,8 @@
 		switch {
 		case r.isAnswered: // its client has closed since
 			continue
-		case shed:
-			s.counters.Shed++
+		case isShed:
+			s.counters.LoadShed++
 			s.answerRequest(r, throttled, func() { r.responder.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		default:
 			q.HeldBackSeconds += now - waiting.Request.enqueuedAt
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -29,14 +29,14 @@
 type QuotaCounters struct {
 	Groups           int                 `json:"groups"`
 	Served           uint64              `json:"served"`
-	Refused          uint64              `json:"refused"`
+	Rejected         uint64              `json:"refused"`
 	Exempt           uint64              `json:"exempt"` // requests of exempt classes
 	Snapshots        uint64              `json:"snapshots"`
 	SnapshotsSkipped uint64              `json:"snapshots_late"` // left out since the disk was slow
 	SnapshotErrors   uint64              `json:"snapshot_errors"`
 	Reloads          uint64              `json:"reloads"` // files of groups applied while running
 	ReloadFailed     uint64              `json:"reload_failed"`
-	MostRefused      []quota.GroupCounts `json:"most_refused"` // groups with the most rejected requests
+	TopRejected      []quota.GroupCounts `json:"most_refused"` // groups with the most rejected requests
 }
 
 // quotaCharge is what a request takes of its group's quota.
@@ -175,7 +175,7 @@
 		enforcer.counters.Served++
 		return charge, true
 	}
-	enforcer.counters.Refused++
+	enforcer.counters.Rejected++
 	s.counters.Requests++
 	s.counters.countRequestEnd(in.Class, throttled)
 	s.counters.OverQuota++
@@ -194,7 +194,7 @@
 		return
 	}
 	ok := false
-	if x, isCostReporter := a.exchange.(CostReporter); isCostReporter {
+	if x, reportsCost := a.exchange.(CostReporter); reportsCost {
 		charge.responseBytes = float64(x.ResponseBytes())
 		charge.serviceSeconds, ok = x.ServiceSeconds()
 	}
@@ -218,7 +218,7 @@
 		return nil
 	}
 	counters := &enforcer.counters
-	counters.Groups, counters.MostRefused = enforcer.limiter.Tree().Len()-1, enforcer.limiter.TopRejected(maxCountedGroups)
+	counters.Groups, counters.TopRejected = enforcer.limiter.Tree().Len()-1, enforcer.limiter.TopRejected(maxCountedGroups)
 	if enforcer.snapshots != nil {
 		counters.Snapshots, counters.SnapshotsSkipped, counters.SnapshotErrors = enforcer.snapshots.Written.Load(), enforcer.snapshots.Skipped, enforcer.snapshots.Errors.Load()
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -93,28 +93,28 @@
 // New returns a sidecar that is not started, for the protocols of the given frontends and the event loop that will call it. Probes are
 // those of the last frontend that has any. The error is that of a malformed endpoint list in cfg.Known, or of a capture that can't be
 // recorded.
-func New(cfg sidecarconfig.Config, on featureconfig.Features, fronts []Frontend, loop netio.EventLoop, log *slog.Logger) (*Sidecar, error) {
+func New(cfg sidecarconfig.Config, features featureconfig.Features, frontends []Frontend, loop netio.EventLoop, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{cfg: cfg, log: log, net: loop, logLimiter: logLimiter{}, processes: 1,
 		endpoints: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), classes: map[string]int{},
-		requests: newRequestTable(), frontends: fronts, responseSlackSeconds: cfg.Settings.AnswerSlackS,
-		faults: faultinjection.New(on.Drills)}
-	s.clients.config = on.Admission
+		requests: newRequestTable(), frontends: frontends, responseSlackSeconds: cfg.Settings.AnswerSlackS,
+		faults: faultinjection.New(features.Drills)}
+	s.clients.config = features.Admission
 	s.backends.idle = map[uint32][]*backendConn{}
 	s.restart.store = noStateStore{}
 	s.timers.currentSlot = int64(s.now() / slotSeconds)
-	for _, f := range fronts {
+	for _, f := range frontends {
 		if f.NewProbe() != nil {
 			s.prober = f
 		}
 	}
-	if s.discovery.listReadAt = s.now(); on.Health.IsEnabled() {
-		s.healthServer = health.New(on.Health, loop.Now, log)
+	if s.discovery.listReadAt = s.now(); features.Health.IsEnabled() {
+		s.healthServer = health.New(features.Health, loop.Now, log)
 		s.descriptors.reserved += health.Descriptors
 	}
 	if cfg.Ops != "" {
 		s.descriptors.reserved += AdminDescriptors
 	}
-	s.quotas = s.newQuotaEnforcer(on.Quotas)
+	s.quotas = s.newQuotaEnforcer(features.Quotas)
 	s.clients.admission = admission.NewConnTable(admission.Settings{})
 	s.clients.admission = admission.NewConnTable(s.admissionSettings(0))
 	var classes []admission.Class
@@ -125,12 +125,12 @@
 	}
 	s.pending.queue = admission.NewQueue[pendingRequest](classes)
 	s.balancer = policy.New(cfg.Settings.Policy, cfg.Seed, s)
-	if on.Capture.Enabled {
+	if features.Capture.Enabled {
 		var err error
-		if s.capture, err = capture.New(on.Capture, cfg.Settings.Policy, cfg.Seed, s.now(), captureSource{s}, log); err != nil {
+		if s.capture, err = capture.New(features.Capture, cfg.Settings.Policy, cfg.Seed, s.now(), captureSource{s}, log); err != nil {
 			return nil, err
 		}
-		if on.Capture.Dir != "" {
+		if features.Capture.Dir != "" {
 			s.descriptors.reserved += capture.WriterDescriptors
 		}
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -17,8 +17,8 @@
 	"hazelwheel/policy"
 )
 
-// A claim that nothing has run lets a request go out again: it is made only where it is certain.
-func TestOutcomes(t *testing.T) {
+// A claim that nothing has run lets a request be sent again: it is made only if it is certain.
+func TestOutcomeClaimsOnlyWhatIsCertain(t *testing.T) {
 	o := func(p progress, c cause) policy.Outcome { return (&attemptError{p, c, nil}).outcome() }
 	table := map[cause][4]policy.Outcome{
 		connBroken: {policy.ConnectFailed, policy.ConnectFailed, policy.Reset, policy.HostError},
@@ -37,52 +37,52 @@
 	assert.True(t, errors.Is(err, errUnsolicited))
 }
 
-// testNet is a loop that never turns, with a clock that stands still and connections that are no more than a flag.
-type testNet struct{ netio.EventLoop }
+// fakeLoop is an event loop that never runs, with a clock that stands still and connections that are no more than a flag.
+type fakeLoop struct{ netio.EventLoop }
 
 const testNow = 1.7e9
 
-func (testNet) Now() float64                    { return testNow }
-func (testNet) Close(netio.Conn)                {}
-func (testNet) NothingToRead(c netio.Conn) bool { return c.(*testConn).quiet }
-func (testNet) Post(func())                     {}
-func (testNet) Yield(f func())                  { f() }
-func (testNet) SetAlarm(float64)                {}
+func (fakeLoop) Now() float64                    { return testNow }
+func (fakeLoop) Close(netio.Conn)                {}
+func (fakeLoop) NothingToRead(c netio.Conn) bool { return c.(*fakeConn).isQuiet }
+func (fakeLoop) Post(func())                     {}
+func (fakeLoop) Yield(f func())                  { f() }
+func (fakeLoop) SetAlarm(float64)                {}
 
-type testConn struct {
+type fakeConn struct {
 	netio.Conn
-	quiet bool
+	isQuiet bool
 }
 
-// dialingNet keeps what dials are to be told.
-type dialingNet struct {
-	testNet
+// dialRecorder keeps the callbacks of dials.
+type dialRecorder struct {
+	fakeLoop
 	done []func(error)
 }
 
-func (n *dialingNet) Dial(_ string, _ float64, _ any, done func(error)) func() {
+func (n *dialRecorder) Dial(_ string, _ float64, _ any, done func(error)) func() {
 	n.done = append(n.done, done)
 	return func() {}
 }
 
-// listedFront is a front whose backends are reached where they are listed.
-type listedFront struct{ Frontend }
+// listedFrontend is a frontend whose backends are reached where they are listed.
+type listedFrontend struct{ Frontend }
 
-func (listedFront) BackendAddress(listed string) string { return listed }
+func (listedFrontend) BackendAddress(listed string) string { return listed }
 
-// An attempt that waits for a descriptor gets that of a dial which has failed.
-func TestFailedDialMakesRoom(t *testing.T) {
+// An attempt that waits for a descriptor gets that of a dial that has failed.
+func TestFailedDialFreesItsDescriptors(t *testing.T) {
 	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", LatencyTargetSeconds: 1, TotalTimeoutSeconds: 3}}
 	cfg.Settings.ConnectTimeoutS = 1
-	n := &dialingNet{}
+	n := &dialRecorder{}
 	s, err := New(cfg, featureconfig.Features{}, nil, n, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	require.NoError(t, s.applyListObject([]byte(`{"index":1,"snapshot":true,"endpoints":[{"name":"s-00000007","address":"a","status":"SERVING"}]}`)))
 	s.clients.config.ReservedForKnown = 1
 	s.cfg.Limits.Sockets = baseDescriptors + s.descriptors.reserved + s.reservedClientSlots() + dialDescriptors // room for one dial
 	for range 2 {
-		s.dial(s.endpoints.Host(7), &attempt{sidecar: s, serverID: 7, deadline: testNow + 10, frontend: listedFront{}, isProbeRetry: true})
+		s.dial(s.endpoints.Host(7), &attempt{sidecar: s, serverID: 7, deadline: testNow + 10, frontend: listedFrontend{}, isProbeRetry: true})
 	}
 	require.Len(t, n.done, 1)
 	require.Len(t, s.backends.waiting, 1)
@@ -94,13 +94,13 @@
 func newTestSidecar(t *testing.T) *Sidecar {
 	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", LatencyTargetSeconds: 1, TotalTimeoutSeconds: 3}}
-	s, err := New(cfg, featureconfig.Features{}, nil, testNet{}, slog.New(slog.DiscardHandler))
+	s, err := New(cfg, featureconfig.Features{}, nil, fakeLoop{}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	return s
 }
 
-// Events wait for their turn, panics cost nothing but their callback, and timers fire in order of time.
-func TestEnter(t *testing.T) {
+// Events are handled in order, a panic costs nothing but its callback, and timers fire in order of time.
+func TestCallbackHandlesEventsAndFiresTimersInOrder(t *testing.T) {
 	s := newTestSidecar(t)
 	var order []int
 	s.runCallback(func() {
@@ -122,7 +122,7 @@
 	assert.EqualValues(t, 2, s.counters.Panics)
 }
 
-func TestRequestIDsComeRound(t *testing.T) {
+func TestRequestIDsWrapAround(t *testing.T) {
 	s := newTestSidecar(t)
 	s.requests.nextID = math.MaxUint32
 	var ids []uint32
@@ -138,47 +138,47 @@
 	assert.EqualValues(t, 3, r.id, "an id that is in use is passed over")
 }
 
-// restingConn returns a link that has rested for a while.
-func restingConn(s *Sidecar, h *endpointset.Host) (*backendConn, *testConn) {
-	c := &testConn{quiet: true}
-	l := &backendConn{sidecar: s, serverID: h.ID, address: h.Address, conn: c}
-	l.makeIdle()
-	l.idleSince -= 2 * reuseDelaySeconds
-	return l, c
+// newIdleConn returns a connection that has been idle for a while.
+func newIdleConn(s *Sidecar, h *endpointset.Host) (*backendConn, *fakeConn) {
+	c := &fakeConn{isQuiet: true}
+	b := &backendConn{sidecar: s, serverID: h.ID, address: h.Address, conn: c}
+	b.makeIdle()
+	b.idleSince -= 2 * reuseDelaySeconds
+	return b, c
 }
 
-// The newest idle link is used first, and closing them all spares none: each close shortens the list.
-func TestIdleLinks(t *testing.T) {
+// The newest idle connection is used first, and closing them all leaves none: each close shortens the list.
+func TestNewestIdleConnIsTakenFirst(t *testing.T) {
 	s := newTestSidecar(t)
 	h := &endpointset.Host{ID: 7, Address: "a"}
-	var links []*backendConn
+	var conns []*backendConn
 	for range 4 {
-		l, _ := restingConn(s, h)
-		links = append(links, l)
+		b, _ := newIdleConn(s, h)
+		conns = append(conns, b)
 	}
-	assert.Same(t, links[3], s.takeIdleConn(h, nil))
+	assert.Same(t, conns[3], s.takeIdleConn(h, nil))
 	s.CloseIdle(h.ID)
 	assert.Empty(t, s.backends.idle[h.ID])
-	for i, l := range links {
-		assert.Equal(t, i < 3, l.isClosed, i)
+	for i, b := range conns {
+		assert.Equal(t, i < 3, b.isClosed, i)
 	}
-	links[3].makeIdle()
+	conns[3].makeIdle()
 	h.Address = "b"
 	assert.Nil(t, s.takeIdleConn(h, nil), "a link to where the server was is of no use")
-	assert.True(t, links[3].isClosed)
+	assert.True(t, conns[3].isClosed)
 }
 
-// What the event loop has not read yet decides, too: bytes that would answer the next request, or the link's end.
-func TestIdleLinkIsLookedAtBeforeUse(t *testing.T) {
+// Unread data decides, too: bytes that would answer the next request, or the end of the connection.
+func TestIdleConnIsCheckedBeforeUse(t *testing.T) {
 	s := newTestSidecar(t)
 	h := &endpointset.Host{ID: 7, Address: "a"}
-	sound, _ := restingConn(s, h)
-	noisy, c := restingConn(s, h)
-	c.quiet = false
-	fresh, _ := restingConn(s, h)
+	sound, _ := newIdleConn(s, h)
+	withUnreadData, c := newIdleConn(s, h)
+	c.isQuiet = false
+	fresh, _ := newIdleConn(s, h)
 	fresh.idleSince = s.now() + 1
 	assert.Same(t, sound, s.takeIdleConn(h, nil))
-	assert.True(t, noisy.isClosed)
+	assert.True(t, withUnreadData.isClosed)
 	s.cfg.Limits.Sockets = 1000
 	assert.Nil(t, s.takeIdleConn(h, nil), "more of its answer may be on the way")
 	s.cfg.Limits.Sockets = 0
@@ -186,8 +186,8 @@
 	assert.Nil(t, s.takeIdleConn(h, nil))
 }
 
-// A drill holds a request for as long as it says, and leaves a fifth of the request's time for the send.
-func TestDrillLeavesTimeForTheSend(t *testing.T) {
+// A fault delays a request for as long as it says, and leaves a fifth of the request's time for the send.
+func TestFaultLeavesTimeForTheSend(t *testing.T) {
 	for _, row := range []struct{ delayMS, leftS, want float64 }{{600, 10, 0.6}, {60_000, 15, 12}, {60_000, 1.5, 1.2}, {0, 3, 0}, {4000, 5, 4}} {
 		assert.InDelta(t, row.want, faultDelaySeconds(&faultinjection.Fault{DelayMS: row.delayMS}, row.leftS), 1e-9, "%v ms of %v s", row.delayMS, row.leftS)
 	}
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -29,18 +29,18 @@
 // publishSnapshot publishes a snapshot every snapshotIntervalSeconds.
 func (s *Sidecar) publishSnapshot() {
 	now := s.now()
-	f := &StatusSnapshot{TakenAt: now, IsShuttingDown: s.lifecycle.isShuttingDown, Classes: append([]classCounts(nil), s.counters.Classes...), RequestsWritten: s.counters.RequestsWritten,
+	snapshot := &StatusSnapshot{TakenAt: now, IsShuttingDown: s.lifecycle.isShuttingDown, Classes: append([]classCounts(nil), s.counters.Classes...), RequestsWritten: s.counters.RequestsWritten,
 		OpenRequests: s.counters.OpenRequests}
-	avoided := s.balancer.Ejected(now)
+	isAvoided := s.balancer.Ejected(now)
 	for h := range s.endpoints.Listed {
-		if f.Servers++; h.State != policy.Ready || avoided(h.ID) {
-			f.UnavailableServers++
+		if snapshot.Servers++; h.State != policy.Ready || isAvoided(h.ID) {
+			snapshot.UnavailableServers++
 		}
 	}
 	if s.fleet.metrics != nil {
-		f.FleetMetrics = s.fleet.metrics.Metrics()
+		snapshot.FleetMetrics = s.fleet.metrics.Metrics()
 	}
-	s.snapshot.Store(f)
+	s.snapshot.Store(snapshot)
 	s.timers.schedule(now+snapshotIntervalSeconds, s.publishSnapshot)
 }
 
--- a/internal/sidecar/timers_test.go
+++ b/internal/sidecar/timers_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is set and stopped, each call that is not stopped comes once, in the order of the times, not early, and as soon
-// as it is due; the alarm is never set later than the first.
-func TestTimers(t *testing.T) {
+// Whatever is set and stopped, each call that is not stopped comes once, in order of time, not early, and as soon as it is due; the alarm
+// is never set later than the first.
+func TestTimersFireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, alarm := 1.7e9+rapid.Float64Range(0, 10).Draw(t, "start"), 0.0
 		w := timers{setAlarm: func(at float64) { alarm = at }, currentSlot: int64(1.7e9 / slotSeconds)}
@@ -48,7 +48,7 @@
 					last = n.dueAt
 					delete(waiting, n)
 				}
-				w.alarmAt = 0 // as the loop does when the alarm has gone off
+				w.alarmAt = 0 // as the loop does after the alarm
 				w.arm()
 			}
 			if at := earliest(); at != 0 && (alarm > at || w.alarmAt > at) {
--- a/internal/sidecar/upload.go
+++ b/internal/sidecar/upload.go
@@ -51,12 +51,12 @@
 // forwardBody writes what has arrived of an attempt's request, as far as its server takes it.
 func (b *backendConn) forwardBody(a *attempt) {
 	for !a.exchange.IsRequestAppended() && b.conn.OutboundBuffered() < b.sidecar.streamWindow() {
-		piece := a.exchange.AppendBody(b.sidecar.writeBuffer[:0], ChunkBytes)
-		if b.sidecar.recycleWriteBuffer(piece); len(piece) == 0 {
+		part := a.exchange.AppendBody(b.sidecar.writeBuffer[:0], ChunkBytes)
+		if b.sidecar.recycleWriteBuffer(part); len(part) == 0 {
 			break
 		}
 		b.isWriting = true
-		_, err := b.conn.Write(piece)
+		_, err := b.conn.Write(part)
 		b.isWriting = false
 		if err != nil || b.attempt != a {
 			return
