--- a/cmd/hazelwheel/clients.go
+++ b/cmd/hazelwheel/clients.go
@@ -4,13 +4,10 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
-	"net/http"
 	"os"
 	"slices"
 	"strings"
 	"text/tabwriter"
-	"time"
 
 	"github.com/urfave/cli/v3"
 
@@ -62,23 +59,3 @@
 	_, err = fmt.Fprintf(c.Root().Writer, "%d links of at most %d, of which %d are for known clients alone\n", all.Links, all.Most, all.Reserve)
 	return err
 }
-
-// ask gets what the running sidecar says at a path of its own.
-func ask(ctx context.Context, listen, path string) ([]byte, error) {
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(startWithinS*time.Second))
-	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+listen+path, nil)
-	if err != nil {
-		return nil, err
-	}
-	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
-	if err != nil {
-		return nil, fmt.Errorf("the sidecar can't be reached: %w", err)
-	}
-	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
-	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("the sidecar answers %d", resp.StatusCode)
-	}
-	return raw, err
-}
--- a/cmd/hazelwheel/drill.go
+++ b/cmd/hazelwheel/faultinjection.go
@@ -18,9 +18,6 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// startWithinS is how long a running sidecar may take to answer; it answers at once or not at all.
-const startWithinS = 5
-
 // startDrill has the running sidecar start a drill. A sidecar that can't be reached is no fault of the operator's
 // word, and ends with 1; a word that it does not take ends with 2.
 func startDrill(ctx context.Context, c *cli.Command) error {
@@ -66,6 +63,3 @@
 	}
 	return text
 }
-
-// fault is an error by which the program ends with 2: what it was told is wrong.
-func fault(err error) error { return cli.Exit("hazelwheel: "+err.Error(), 2) }
--- a/cmd/hazelwheel/peers.go
+++ b/cmd/hazelwheel/peers.go
@@ -1,13 +1,9 @@
 package main
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
-	"net"
 	"strings"
 	"text/tabwriter"
 	"time"
@@ -62,36 +58,3 @@
 	_, err = fmt.Fprintf(c.Root().Writer, "fleet %s: %d live; this one is rank %d of %d%s\n", s.Fleet, s.Live, s.Rank, s.Count, kept)
 	return err
 }
-
-// errDoor is the error of a door that says no, errHeard that of a call that may have been heard without an answer.
-var (
-	errDoor  = errors.New("the sidecar says")
-	errHeard = errors.New("the sidecar did not answer")
-)
-
-// askDoor calls at a running sidecar's door.
-func askDoor(ctx context.Context, address, call string) ([]byte, error) {
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(startWithinS*time.Second))
-	defer cancel()
-	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-	if err != nil {
-		return nil, fmt.Errorf("the sidecar's door can't be reached: %w", err)
-	}
-	defer c.Close()
-	if by, ok := ctx.Deadline(); ok {
-		_ = c.SetDeadline(by) // fails only on one that is closed
-	}
-	if _, err := io.WriteString(c, call+"\n"); err != nil {
-		return nil, fmt.Errorf("%w: %w", errHeard, err)
-	}
-	raw, err := io.ReadAll(c)
-	switch {
-	case err != nil:
-		err = fmt.Errorf("%w: %w", errHeard, err)
-	case !bytes.HasSuffix(raw, []byte("\n")):
-		err = fmt.Errorf("%w: the connection ended", errHeard)
-	case bytes.HasPrefix(raw, []byte("ERR ")):
-		err = fmt.Errorf("%w: %s", errDoor, bytes.TrimSpace(raw[4:]))
-	}
-	return raw, err
-}
--- a/cmd/hazelwheel/owners.go
+++ b/cmd/hazelwheel/roles.go
@@ -71,9 +71,6 @@
 	}
 }
 
-// tokenText writes a token as its epoch and its number in it.
-func tokenText(token uint64) string { return fmt.Sprintf("%d.%d", token>>40, token&(1<<40-1)) }
-
 func writeElectors(t *tabwriter.Writer, s *coordination.LeaseStatus) {
 	fmt.Fprintln(t, "NAME\tSTATE\tADDRESS\tID\tLEADS")
 	for _, e := range s.Voters {
