--- a/cmd/hazelwheel/capture.go
+++ b/cmd/hazelwheel/capture.go
@@ -10,18 +10,25 @@
 	"hazelwheel/internal/capture"
 )
 
-// replay ends with 1 where decisions differ, and with 2 where there is nothing to replay.
-func replay(_ context.Context, c *cli.Command) error {
+func captureCommand() *cli.Command {
+	return &cli.Command{Name: "capture", Usage: "inspect recorded inputs of the decisions", Commands: []*cli.Command{
+		{Name: "replay", Usage: "replay a capture through the decisions and print what differs", Action: replayCapture, Flags: []cli.Flag{
+			&cli.StringFlag{Name: "in", Usage: "the `FILE` of the capture", Required: true}}},
+	}}
+}
+
+// replayCapture ends with 1 where decisions differ, and with 2 where the capture can't be replayed.
+func replayCapture(_ context.Context, c *cli.Command) error {
 	f, err := os.Open(c.String("in"))
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	defer func() { _ = f.Close() }() // read only
 	tally, err := capture.Replay(f, c.Root().Writer)
 	fmt.Fprintln(c.Root().Writer, tally)
 	switch {
 	case err != nil:
-		return fault(fmt.Errorf("%s: %w", c.String("in"), err))
+		return usageError(fmt.Errorf("%s: %w", c.String("in"), err))
 	case tally.Different > 0:
 		return fmt.Errorf("%d decisions differ", tally.Different)
 	}
--- a/cmd/hazelwheel/clients.go
+++ b/cmd/hazelwheel/clients.go
@@ -2,12 +2,10 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"os"
 	"slices"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/urfave/cli/v3"
 
@@ -15,13 +13,22 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// showClients prints who holds which connections at the running sidecar. One that can't be reached ends with 1.
+// clientsStatus is what the sidecar serves at /clients.
+type clientsStatus struct {
+	Conns     int                `json:"links"`
+	MaxConns  int                `json:"most"`
+	Reserved  int                `json:"reserve"` // connections that only known clients get
+	Addresses int                `json:"addresses"`
+	Clients   []admission.Client `json:"clients"` // at most so many as the sidecar lists
+}
+
+// showClients prints the client connections of the running sidecar by address. It ends with 1 where the sidecar can't be reached.
 func showClients(ctx context.Context, c *cli.Command) error {
 	cfg, err := sidecarconfig.Load(c.String("config"), os.Getenv)
 	if err != nil {
 		return err
 	}
-	raw, err := ask(ctx, cfg.Listen, "/clients")
+	raw, err := fetchStatus(ctx, cfg.Listen, "/clients")
 	if err != nil {
 		return err
 	}
@@ -29,16 +36,13 @@
 		_, err := c.Root().Writer.Write(raw)
 		return err
 	}
-	var all struct {
-		Links, Most, Reserve, Addresses int
-		Clients                         []admission.Client
-	}
-	if err := json.Unmarshal(raw, &all); err != nil {
-		return fmt.Errorf("the sidecar's answer makes no sense: %w", err)
+	var status clientsStatus
+	if err := decodeReply(raw, &status); err != nil {
+		return err
 	}
-	t := tabwriter.NewWriter(c.Root().Writer, 0, 8, 2, ' ', 0)
+	t := newTable(c.Root().Writer)
 	fmt.Fprintln(t, "ADDRESS\tKNOWN\tLINKS\tBYTES\tSTATES")
-	for _, client := range all.Clients {
+	for _, client := range status.Clients {
 		known := "no"
 		if client.IsKnown {
 			known = "yes"
@@ -53,9 +57,9 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	if more := all.Addresses - len(all.Clients); more > 0 {
-		fmt.Fprintf(c.Root().Writer, "and %d more addresses\n", more)
+	if omitted := status.Addresses - len(status.Clients); omitted > 0 {
+		fmt.Fprintf(c.Root().Writer, "and %d more addresses\n", omitted)
 	}
-	_, err = fmt.Fprintf(c.Root().Writer, "%d links of at most %d, of which %d are for known clients alone\n", all.Links, all.Most, all.Reserve)
+	_, err = fmt.Fprintf(c.Root().Writer, "%d links of at most %d, of which %d are for known clients alone\n", status.Conns, status.MaxConns, status.Reserved)
 	return err
 }
--- a/cmd/hazelwheel/configadvice.go
+++ b/cmd/hazelwheel/configadvice.go
@@ -10,61 +10,66 @@
 	"hazelwheel/internal/lint"
 )
 
-// mostServedBytes bounds the files that are checked beside serving. Danger: a text takes many times its size while it is checked,
-// and a sidecar is killed beyond its memory.
-const mostServedBytes = 1 << 20
+// maxServedBytes limits the size of files that are checked in the serving process. Danger: a check takes many times the size of the file,
+// and a sidecar that exceeds its memory is killed.
+const maxServedBytes = 1 << 20
 
-// adviser logs what the checks say of the files that a sidecar serves by, each thing once. It is advice: what serve refuses is
-// not decided here.
-type adviser struct {
-	log  *slog.Logger
-	said map[string]bool
+// findingLogger logs the findings of the checks about the files that a sidecar serves by, each finding once. They are advice: serve starts
+// whatever they say. It is not safe for concurrent use.
+type findingLogger struct {
+	log    *slog.Logger
+	logged map[string]bool // by file, code and message
 }
 
-// look checks files and logs what is new. An empty name stands for none. Danger: a fault of a check must not keep a sidecar
-// from serving.
-func (a *adviser) look(names ...string) {
+// logNew checks files and logs the findings that it has not logged before. An empty name stands for no file. Danger: a panic of a check
+// must not keep a sidecar from serving, so it is recovered.
+func (l *findingLogger) logNew(names ...string) {
 	defer func() {
 		if p := recover(); p != nil {
-			a.log.Error("the configuration could not be checked", "panic", p)
+			l.log.Error("configuration could not be checked", "panic", p)
 		}
 	}()
-	found := findings(names)
-	for i, f := range found {
-		alike := 0
-		for j, other := range found {
-			if other.Code == f.Code && other.File == f.File {
-				if j < i {
-					alike = -1
-					break
-				}
-				alike++
-			}
+	findings := lintFiles(names)
+	for i, f := range findings {
+		alike := countAlike(findings, i)
+		key := f.File + f.Code + f.Message // without the place: a finding that has moved within the file is not new
+		if alike == 0 || f.Severity == lint.Note || l.logged[key] {
+			continue
 		}
-		text := f.File + f.Code + f.Message // what has moved in the file is nothing new
-		if alike < 0 || f.Severity == lint.Note || a.said[text] {
+		l.logged[key] = true
+		l.log.Warn("configuration finding", "code", f.Code, "at", fmt.Sprintf("%s:%s", f.File, f.Place), "message", f.Message, "alike", alike)
+	}
+}
+
+// countAlike returns how many findings have the file and the code of the i-th, itself included; 0 if it isn't the first of them.
+func countAlike(findings []lint.Finding, i int) (n int) {
+	for j := range findings {
+		if findings[j].Code != findings[i].Code || findings[j].File != findings[i].File {
 			continue
 		}
-		a.said[text] = true
-		a.log.Warn("configuration", "code", f.Code, "at", fmt.Sprintf("%s:%s", f.File, f.Place), "says", f.Message, "alike", alike)
+		if j < i {
+			return 0
+		}
+		n++
 	}
+	return n
 }
 
-// findings returns what the checks say of files. Danger: what is no plain file, as a pipe, was read by the sidecar itself and may
-// never say anything again.
-func findings(names []string) []lint.Finding {
+// lintFiles returns the findings of the checks about files. It passes over files that are missing, too large or not regular. Danger: reading
+// a pipe that the sidecar has read before may block for ever.
+func lintFiles(names []string) []lint.Finding {
 	var files []*appconfig.File
 	for _, name := range names {
-		if info, err := os.Stat(name); err == nil && info.Mode().IsRegular() && info.Size() <= mostServedBytes {
+		if info, err := os.Stat(name); err == nil && info.Mode().IsRegular() && info.Size() <= maxServedBytes {
 			files = append(files, appconfig.Open(name, nil))
 		}
 	}
 	return lint.Run(files, nil)
 }
 
-// sayFindings prints warnings and errors among the findings.
-func sayFindings(w io.Writer, names ...string) {
-	for _, f := range findings(names) {
+// printFindings writes the warnings and errors among the findings, one a line.
+func printFindings(w io.Writer, names ...string) {
+	for _, f := range lintFiles(names) {
 		if f.Severity > lint.Note {
 			fmt.Fprintln(w, f.String())
 		}
--- a/cmd/hazelwheel/configcheck.go
+++ b/cmd/hazelwheel/configcheck.go
@@ -12,46 +12,49 @@
 	"hazelwheel/internal/lint"
 )
 
+// checkFiles checks the files that are named as belonging together, and prints the findings.
 func checkFiles(_ context.Context, c *cli.Command) error {
-	writers := map[string]func(io.Writer, []lint.Finding) error{"text": asText, "json": lint.WriteJSON, "sarif": lint.WriteSARIF}
+	writers := map[string]findingsWriter{"text": writeText, "json": lint.WriteJSON, "sarif": lint.WriteSARIF}
 	write := writers[c.String("format")]
 	switch {
 	case write == nil:
-		return fault(fmt.Errorf("--format: %q is none of text, json, sarif", c.String("format")))
+		return usageError(fmt.Errorf("--format: %q is none of text, json, sarif", c.String("format")))
 	case c.Args().Len() == 0:
-		return fault(errors.New("config check: no file is named"))
+		return usageError(errors.New("config check: no file is named"))
 	}
-	against, err := siteFile(c, "against")
+	against, err := openSiteFile(c, "against")
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	files, err := openFiles(c, c.Args().Slice())
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
-	return judge(c, c.Root().Writer, files, against, write)
+	return reportFindings(c, c.Root().Writer, files, against, write)
 }
 
-func explainWord(_ context.Context, c *cli.Command) error {
+// explainTerm prints the explanation of a check by its code or of a field by its path; with --page that of all checks.
+func explainTerm(_ context.Context, c *cli.Command) error {
 	if c.Bool("page") {
 		_, err := io.WriteString(c.Root().Writer, lint.Page())
 		return err
 	}
 	if c.Args().Len() != 1 {
-		return fault(errors.New("config explain: name one code, like HW041, or one field, like class.aim"))
+		return usageError(errors.New("config explain: name one code, like HW041, or one field, like class.aim"))
 	}
 	text, ok := lint.Explain(c.Args().First())
 	if !ok {
-		return fault(errors.New(text))
+		return usageError(errors.New(text))
 	}
 	_, err := io.WriteString(c.Root().Writer, text)
 	return err
 }
 
+// printSchema prints the JSON Schema of a kind of file.
 func printSchema(_ context.Context, c *cli.Command) error {
 	kind := appconfig.Kind(c.Args().First())
 	if kind != appconfig.AppFile && kind != appconfig.SiteFile || c.Args().Len() != 1 {
-		return fault(errors.New("config schema: name app or site"))
+		return usageError(errors.New("config schema: name app or site"))
 	}
 	schema, err := appconfig.Schema(kind)
 	if err != nil {
--- a/cmd/hazelwheel/configfiles.go
+++ b/cmd/hazelwheel/configfiles.go
@@ -13,13 +13,14 @@
 	"hazelwheel/internal/lint"
 )
 
-// coloured tells whether output goes to a terminal whose user has not asked for no colour.
-func coloured(w io.Writer) bool {
+// wantsColor reports whether output goes to a terminal that shows colors, and the user has not turned them off by NO_COLOR.
+func wantsColor(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	return ok && os.Getenv("NO_COLOR") == "" && os.Getenv("TERM") != "dumb" && term.IsTerminal(int(f.Fd()))
 }
 
-// openFiles reads files; standard input stands for one of them at most.
+// openFiles reads files by their names; "-" stands for standard input. A name that is given twice is an error. A file that can't be read is
+// none: it is marked as Gone.
 func openFiles(c *cli.Command, names []string) ([]*appconfig.File, error) {
 	var files []*appconfig.File
 	for i, name := range names {
@@ -31,33 +32,39 @@
 	return files, nil
 }
 
-// judge prints what is wrong with files and returns the error to end with.
-func judge(c *cli.Command, w io.Writer, files []*appconfig.File, against *appconfig.File, write func(io.Writer, []lint.Finding) error) error {
-	found := lint.Run(files, against)
-	if err := write(w, found); err != nil {
+// reportFindings checks files, writes the findings, and returns the error that ends the program with the status of the worst finding: nil
+// where the files pass. Against is the site's file that applications are checked against, or nil.
+func reportFindings(c *cli.Command, w io.Writer, files []*appconfig.File, against *appconfig.File, write findingsWriter) error {
+	findings := lint.Run(files, against)
+	if err := write(w, findings); err != nil {
 		return err
 	}
 	if slices.ContainsFunc(files, func(f *appconfig.File) bool { return f.Gone }) {
-		return cli.Exit("", 2)
+		return cli.Exit("", exitUsage)
 	}
-	worst := lint.Worst(found)
+	worst := lint.Worst(findings)
 	if worst == lint.Error || c.Bool("strict") && worst == lint.Warning {
-		return cli.Exit("", 1)
+		return cli.Exit("", exitFailure)
 	}
 	return nil
 }
 
-func asText(w io.Writer, found []lint.Finding) error { return lint.WriteText(w, found, coloured(w)) }
+// findingsWriter writes findings in one of the formats of config check.
+type findingsWriter func(w io.Writer, findings []lint.Finding) error
 
-// siteFile reads the site's file that a flag names; nil where it names none.
-func siteFile(c *cli.Command, flag string) (*appconfig.File, error) {
+func writeText(w io.Writer, findings []lint.Finding) error {
+	return lint.WriteText(w, findings, wantsColor(w))
+}
+
+// openSiteFile reads the site's file that a flag names; nil where it names none. The findings of a file that can't be used are printed.
+func openSiteFile(c *cli.Command, flag string) (*appconfig.File, error) {
 	name := c.String(flag)
 	if name == "" {
 		return nil, nil
 	}
 	f := appconfig.Open(name, c.Root().Reader)
 	if f.Site == nil || len(f.Faults) > 0 {
-		if err := asText(c.Root().ErrWriter, lint.Run([]*appconfig.File{f}, nil)); err != nil {
+		if err := writeText(c.Root().ErrWriter, lint.Run([]*appconfig.File{f}, nil)); err != nil {
 			return nil, err
 		}
 		return nil, fmt.Errorf("--%s: %s is not a site's file that can be used", flag, name)
--- a/cmd/hazelwheel/configimport.go
+++ b/cmd/hazelwheel/configimport.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"slices"
 
 	"github.com/urfave/cli/v3"
@@ -12,9 +11,10 @@
 	"hazelwheel/internal/lint"
 )
 
+// importFiles converts the platform's file, and the operators' file of features where one is named, to an application's and a site's file.
 func importFiles(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return fault(errors.New("config import: name one of the platform's files"))
+		return usageError(errors.New("config import: name one of the platform's files"))
 	}
 	names := []string{c.Args().First()}
 	if f := c.String("features"); f != "" {
@@ -22,26 +22,26 @@
 	}
 	files, err := openFiles(c, names)
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	if files[0].Kind != appconfig.PlatformFile || files[0].App == nil || len(files) > 1 && files[1].Kind != appconfig.FeaturesFile {
-		if err := judge(c, c.Root().ErrWriter, files, nil, asText); err != nil {
+		if err := reportFindings(c, c.Root().ErrWriter, files, nil, writeText); err != nil {
 			return err
 		}
-		return fault(fmt.Errorf("config import: want the platform's file, and with --features the operators'"))
+		return usageError(errors.New("config import: want the platform's file, and with --features the operators'"))
 	}
-	var extras *appconfig.File
+	var features *appconfig.File
 	if len(files) > 1 {
-		extras = files[1]
+		features = files[1]
 	}
-	found := lint.Run(files, nil)
-	if err := asText(c.Root().ErrWriter, found); err != nil {
+	findings := lint.Run(files, nil)
+	if err := writeText(c.Root().ErrWriter, findings); err != nil {
 		return err
 	}
-	if slices.ContainsFunc(found, func(f lint.Finding) bool { return f.Lost() }) {
-		return cli.Exit("", 1) // what makes no sense would be left out of what is written without a word
+	if slices.ContainsFunc(findings, func(f lint.Finding) bool { return f.Lost() }) {
+		return cli.Exit("", exitFailure) // the written files would silently lack the values that can't be read
 	}
-	app, site := appconfig.Import(files[0], extras)
+	app, site := appconfig.Import(files[0], features)
 	appText, err := appconfig.Format(app)
 	if err != nil {
 		return err
@@ -50,5 +50,5 @@
 	if err != nil {
 		return err
 	}
-	return writeFiles(c, []output{{"app.toml", appText, app.DrillSecret != ""}, {"site.toml", siteText, false}})
+	return writeFiles(c, []outputFile{{"app.toml", appText, app.DrillSecret != ""}, {"site.toml", siteText, false}})
 }
--- a/cmd/hazelwheel/configrender.go
+++ b/cmd/hazelwheel/configrender.go
@@ -10,27 +10,28 @@
 	"hazelwheel/internal/appconfig"
 )
 
+// renderFiles writes the sidecar's files of an application that passes the checks against its site.
 func renderFiles(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return fault(errors.New("config render: name one application's file"))
+		return usageError(errors.New("config render: name one application's file"))
 	}
 	if c.String("site") == "" {
-		return fault(errors.New("config render: --site is missing"))
+		return usageError(errors.New("config render: --site is missing"))
 	}
-	site, err := siteFile(c, "site")
+	site, err := openSiteFile(c, "site")
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	app := appconfig.Open(c.Args().First(), c.Root().Reader)
-	if err := judge(c, c.Root().ErrWriter, []*appconfig.File{app}, site, asText); err != nil {
-		return err // what is wrong is not rendered: it would be served
+	if err := reportFindings(c, c.Root().ErrWriter, []*appconfig.File{app}, site, writeText); err != nil {
+		return err // a file with errors is not rendered: the sidecar would serve by it
 	}
 	if app.Kind != appconfig.AppFile {
-		return fault(fmt.Errorf("%s is no application's file", app.Name))
+		return usageError(fmt.Errorf("%s is no application's file", app.Name))
 	}
 	platform, features, err := appconfig.Render(app.App, site.Site)
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
-	return writeFiles(c, []output{{"config.json", platform, false}, {"features.json", features, app.App.DrillSecret != ""}})
+	return writeFiles(c, []outputFile{{"config.json", platform, false}, {"features.json", features, app.App.DrillSecret != ""}})
 }
--- a/cmd/hazelwheel/configtext.go
+++ b/cmd/hazelwheel/configtext.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"regexp"
 	"slices"
 	"strings"
@@ -9,25 +10,68 @@
 	"hazelwheel/internal/appconfig"
 )
 
-var bare = regexp.MustCompile(`^(true|false|[0-9]+(\.[0-9]+)?)$`)
+// fileAnswers are the answers of which a new file is made.
+type fileAnswers struct {
+	kind    string            // app or site
+	fields  map[string]string // values by the paths of their fields
+	classes []string          // in the form of the flag --class
+}
+
+func newFileAnswers(kind string) fileAnswers {
+	return fileAnswers{kind: kind, fields: map[string]string{"format": kind + "/1"}}
+}
+
+// encode returns the answers as TOML that appconfig.Read parses. It is not the text that is written: that is formatFile's.
+func (a *fileAnswers) encode() string {
+	var b strings.Builder
+	for _, field := range slices.Sorted(maps.Keys(a.fields)) {
+		fmt.Fprintf(&b, "%s = %s\n", field, tomlValue(field, a.fields[field]))
+	}
+	for _, class := range a.classes {
+		words := strings.Fields(class)
+		if len(words) == 0 {
+			continue
+		}
+		fmt.Fprintf(&b, "[[class]]\nname = %s\n", tomlString(words[0]))
+		for _, word := range words[1:] {
+			key, value, _ := strings.Cut(word, "=")
+			fmt.Fprintf(&b, "%s = %s\n", key, tomlValue("class."+key, value))
+		}
+	}
+	return b.String()
+}
+
+// formatFile returns the text of a new file with its comments.
+func formatFile(kind string, f *appconfig.File) ([]byte, error) {
+	const header = "# Written by hazelwheel config new. After a change: hazelwheel config check FILE\n"
+	var content any = f.App
+	if kind == "site" {
+		content = f.Site
+	}
+	text, err := appconfig.Format(content)
+	return append([]byte(header), text...), err
+}
 
-// literal writes a value as TOML: numbers and truth as they are, lists of texts where a comma says so, else text.
-func (w *wizard) literal(field, value string) string {
+// unquotedLiteral matches the booleans and numbers of TOML that answers may hold.
+var unquotedLiteral = regexp.MustCompile(`^(true|false|[0-9]+(\.[0-9]+)?)$`)
+
+// tomlValue encodes the value of a field: places as an array of strings, booleans and numbers unquoted except in names, else a string.
+func tomlValue(field, value string) string {
 	if field == "places" {
-		var parts []string
-		for _, part := range strings.Split(value, ",") {
-			parts = append(parts, quoted(strings.TrimSpace(part)))
+		var elements []string
+		for _, element := range strings.Split(value, ",") {
+			elements = append(elements, tomlString(strings.TrimSpace(element)))
 		}
-		return "[" + strings.Join(parts, ", ") + "]"
+		return "[" + strings.Join(elements, ", ") + "]"
 	}
-	if bare.MatchString(value) && field != "name" && !strings.HasSuffix(field, ".name") {
+	if unquotedLiteral.MatchString(value) && field != "name" && !strings.HasSuffix(field, ".name") {
 		return value
 	}
-	return quoted(value)
+	return tomlString(value)
 }
 
-// quoted writes a TOML text.
-func quoted(s string) string {
+// tomlString encodes a basic string of TOML.
+func tomlString(s string) string {
 	var b strings.Builder
 	b.WriteByte('"')
 	for _, r := range s {
@@ -43,39 +87,3 @@
 	b.WriteByte('"')
 	return b.String()
 }
-
-// text is a plain TOML text of the answers, for the reader to make sense of.
-func (w *wizard) text() string {
-	var b strings.Builder
-	keys := []string{}
-	for key := range w.fields {
-		keys = append(keys, key)
-	}
-	slices.Sort(keys)
-	for _, key := range keys {
-		fmt.Fprintf(&b, "%s = %s\n", key, w.literal(key, w.fields[key]))
-	}
-	for _, class := range w.classes {
-		words := strings.Fields(class)
-		if len(words) == 0 {
-			continue
-		}
-		fmt.Fprintf(&b, "[[class]]\nname = %s\n", quoted(words[0]))
-		for _, word := range words[1:] {
-			key, value, _ := strings.Cut(word, "=")
-			fmt.Fprintf(&b, "%s = %s\n", key, w.literal("class."+key, value))
-		}
-	}
-	return b.String()
-}
-
-// formatted is the file that people will read, with comments.
-func (w *wizard) formatted(f *appconfig.File) ([]byte, error) {
-	head := "# Written by hazelwheel config new. After a change: hazelwheel config check FILE\n"
-	var v any = f.App
-	if w.kind == "site" {
-		v = f.Site
-	}
-	text, err := appconfig.Format(v)
-	return append([]byte(head), text...), err
-}
--- a/cmd/hazelwheel/configwizard.go
+++ b/cmd/hazelwheel/configwizard.go
@@ -13,61 +13,75 @@
 	"hazelwheel/internal/lint"
 )
 
-// wizard gathers the fields of a new file.
+const (
+	// maxPrompts limits how often one question is asked until its answer is valid.
+	maxPrompts = 5
+	// maxPromptedClasses limits how many classes are asked for.
+	maxPromptedClasses = 1000
+)
+
+// wizard collects the fields of a new file from flags and, at a terminal, from the user.
 type wizard struct {
-	c       *cli.Command
-	kind    string
-	asks    bool // there is somebody to ask
-	in      *bufio.Reader
-	fields  map[string]string // by their paths
-	classes []string          // as --class has them
+	fileAnswers
+	c             *cli.Command
+	in            *bufio.Reader
+	isInteractive bool // there is a terminal to ask at
 }
 
-// mostAsked bounds how often one question is asked again.
-const mostAsked = 5
-
-func (w *wizard) answer(questions []question, site *appconfig.File) error {
+// collect sets the fields that the questions name, then the classes. The site, which may be nil, has the places and classes to choose from.
+func (w *wizard) collect(questions []question, site *appconfig.File) error {
 	for _, q := range questions {
-		value := w.c.String(q.flag)
 		if q.flag == "home" && site != nil && len(site.Site.Places) > 0 {
-			q.ask += " (" + strings.Join(site.Site.Places, ", ") + ")"
-			q.usual = site.Site.Places[0]
+			q.prompt += " (" + strings.Join(site.Site.Places, ", ") + ")"
+			q.defaultValue = site.Site.Places[0]
 		}
-		switch {
-		case w.c.IsSet(q.flag):
-		case w.asks:
-			var err error
-			if value, err = w.ask(q); err != nil {
-				return err
-			}
-		case q.need && q.usual == "":
-			return fmt.Errorf("--%s is missing, and there is no terminal to ask at", q.flag)
-		default:
-			value = q.usual
+		value, err := w.answer(q)
+		if err != nil {
+			return err
 		}
 		if value != "" {
 			w.fields[q.field] = value
 		}
 	}
+	return w.collectClasses(site)
+}
+
+// answer returns the value of a question: its flag's, else the user's, else the default.
+func (w *wizard) answer(q question) (string, error) {
+	switch {
+	case w.c.IsSet(q.flag):
+		return w.c.String(q.flag), nil
+	case w.isInteractive:
+		return w.promptUntilValid(q)
+	case q.isRequired && q.defaultValue == "":
+		return "", fmt.Errorf("--%s is missing, and there is no terminal to ask at", q.flag)
+	}
+	return q.defaultValue, nil
+}
+
+// collectClasses sets the classes: those of the flags, else the user's. Without a terminal an application gets all classes of its site.
+func (w *wizard) collectClasses(site *appconfig.File) error {
 	w.classes = w.c.StringSlice("class")
-	if len(w.classes) > 0 || !w.asks {
-		if len(w.classes) == 0 && w.kind == "app" && site != nil {
+	switch {
+	case len(w.classes) > 0:
+		return nil
+	case !w.isInteractive:
+		if w.kind == "app" && site != nil {
 			w.classes = classNames(site.Site)
 		}
 		return nil
-	}
-	if site != nil {
-		q := question{ask: "Classes, with commas (" + strings.Join(classNames(site.Site), ", ") + ")", usual: strings.Join(classNames(site.Site), ",")}
-		names, err := w.line(q)
-		w.classes = strings.Split(names, ",")
+	case site != nil:
+		names := classNames(site.Site)
+		answer, err := w.prompt(question{prompt: "Classes, with commas (" + strings.Join(names, ", ") + ")", defaultValue: strings.Join(names, ",")})
+		w.classes = strings.Split(answer, ",")
 		return err
 	}
-	for range 1000 {
-		text, err := w.line(question{ask: "A class, like: raise-alert effect=keyed group=place window=12s aim=1s deadline=2500ms (nothing: no more)"})
-		if err != nil || text == "" {
+	for range maxPromptedClasses {
+		class, err := w.prompt(question{prompt: "A class, like: raise-alert effect=keyed group=place window=12s aim=1s deadline=2500ms (nothing: no more)"})
+		if err != nil || class == "" {
 			return err
 		}
-		w.classes = append(w.classes, text)
+		w.classes = append(w.classes, class)
 	}
 	return nil
 }
@@ -80,43 +94,45 @@
 	return names
 }
 
-// ask asks until the answer is one that the field takes.
-func (w *wizard) ask(q question) (string, error) {
-	for range mostAsked {
-		value, err := w.line(q)
+// promptUntilValid asks until the answer is a valid value of the field, at most maxPrompts times, and prints the findings about those that
+// aren't. An optional question may be left without an answer.
+func (w *wizard) promptUntilValid(q question) (string, error) {
+	for range maxPrompts {
+		value, err := w.prompt(q)
 		if err != nil {
 			return "", err
 		}
-		if value == "" && !q.need {
+		if value == "" && !q.isRequired {
 			return "", nil
 		}
-		trial := &wizard{kind: w.kind, fields: map[string]string{"format": w.kind + "/1", q.field: value}}
-		f := appconfig.Read("the answer", []byte(trial.text()))
+		trial := newFileAnswers(w.kind)
+		trial.fields[q.field] = value
+		f := appconfig.Read("the answer", []byte(trial.encode()))
 		if !f.Bad(w.kind + "." + q.field) {
 			return value, nil
 		}
-		for _, found := range lint.Run([]*appconfig.File{f}, nil) {
-			if strings.HasPrefix(found.Place.Field, q.field) {
-				fmt.Fprintln(w.c.Root().ErrWriter, found.Message)
+		for _, finding := range lint.Run([]*appconfig.File{f}, nil) {
+			if strings.HasPrefix(finding.Place.Field, q.field) {
+				fmt.Fprintln(w.c.Root().ErrWriter, finding.Message)
 			}
 		}
 	}
 	return "", fmt.Errorf("%s: no answer that can be used", q.field)
 }
 
-// line asks once.
-func (w *wizard) line(q question) (string, error) {
-	usual := ""
-	if q.usual != "" {
-		usual = " [" + q.usual + "]"
+// prompt asks once and returns the line that is entered without surrounding space, or the default where it is empty.
+func (w *wizard) prompt(q question) (string, error) {
+	suffix := ""
+	if q.defaultValue != "" {
+		suffix = " [" + q.defaultValue + "]"
 	}
-	fmt.Fprintf(w.c.Root().ErrWriter, "%s%s: ", q.ask, usual)
-	text, err := w.in.ReadString('\n')
-	if err != nil && !(errors.Is(err, io.EOF) && text != "") {
+	fmt.Fprintf(w.c.Root().ErrWriter, "%s%s: ", q.prompt, suffix)
+	line, err := w.in.ReadString('\n')
+	if err != nil && !(errors.Is(err, io.EOF) && line != "") {
 		return "", fmt.Errorf("no answer: %w", err)
 	}
-	if text = strings.TrimSpace(text); text == "" {
-		text = q.usual
+	if line = strings.TrimSpace(line); line == "" {
+		line = q.defaultValue
 	}
-	return text, nil
+	return line, nil
 }
--- a/cmd/hazelwheel/configwrite.go
+++ b/cmd/hazelwheel/configwrite.go
@@ -9,26 +9,26 @@
 	"github.com/urfave/cli/v3"
 )
 
-// output is a file that a command writes.
-type output struct {
-	name   string
-	text   []byte
-	secret bool // it holds the hash of one
+// outputFile is a file that a command writes.
+type outputFile struct {
+	name            string
+	text            []byte
+	hasSecretDigest bool // text holds the hash of a drill's secret
 }
 
-// mode lets the sidecar's user read what another has rendered, unless that would show a secret's hash to all.
-func (o *output) mode() os.FileMode {
-	if o.secret {
+// mode returns the permissions of the file. Other users may read it, as the sidecar may run as one of them, unless it holds the hash of a
+// secret.
+func (o *outputFile) mode() os.FileMode {
+	if o.hasSecretDigest {
 		return 0o600
 	}
 	return 0o644
 }
 
-// writeFiles puts files into the folder that --out names, or one after the other on standard output. Danger: a sidecar that is
-// told to read its file again while it is written would read a half; so each is written beside its place and moved there.
-func writeFiles(c *cli.Command, all []output) error {
+// writeFiles writes files into the folder that --out names, or one after the other to standard output. Files without text are left out.
+func writeFiles(c *cli.Command, files []outputFile) error {
 	folder := c.String("out")
-	for _, o := range all {
+	for _, o := range files {
 		if len(o.text) == 0 {
 			continue
 		}
@@ -38,15 +38,17 @@
 			}
 			continue
 		}
-		if err := writeWhole(filepath.Join(folder, o.name), o.text, o.mode()); err != nil {
-			return fault(err)
+		if err := writeFileAtomically(filepath.Join(folder, o.name), o.text, o.mode()); err != nil {
+			return usageError(err)
 		}
 		fmt.Fprintln(c.Root().ErrWriter, "written:", filepath.Join(folder, o.name))
 	}
 	return nil
 }
 
-func writeWhole(path string, text []byte, mode os.FileMode) error {
+// writeFileAtomically writes a temporary file in the same folder, syncs it and renames it to path. Danger: a sidecar that reloads its
+// configuration while a file is written in place reads part of it.
+func writeFileAtomically(path string, text []byte, mode os.FileMode) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".hazelwheel-*")
 	if err != nil {
 		return err
--- a/cmd/hazelwheel/faultinjection.go
+++ b/cmd/hazelwheel/faultinjection.go
@@ -10,7 +10,6 @@
 	"net/url"
 	"os"
 	"strings"
-	"time"
 
 	"github.com/urfave/cli/v3"
 
@@ -18,8 +17,19 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// startDrill has the running sidecar start a drill. A sidecar that can't be reached is no fault of the operator's
-// word, and ends with 1; a word that it does not take ends with 2.
+// maxDrillReplyBytes limits what is read of the sidecar's reply to the start of a drill.
+const maxDrillReplyBytes = 1 << 10
+
+func faultInjectionCommand(config cli.Flag) *cli.Command {
+	flags := []cli.Flag{config, &cli.StringFlag{Name: "name", Usage: "the drill's `NAME`", Required: true},
+		&cli.StringFlag{Name: "secret-file", Usage: "the `FILE` that holds the secret", Required: true}}
+	return &cli.Command{Name: "drill", Usage: "inject delays and failures into requests", Commands: []*cli.Command{
+		{Name: "start", Usage: "start a drill at the running sidecar", Flags: flags, Action: startDrill},
+	}}
+}
+
+// startDrill has the running sidecar start the drill that --name names. It ends with 2 where the sidecar rejects the request or the
+// secret's file can't be read, and with 1 where the sidecar can't be reached.
 func startDrill(ctx context.Context, c *cli.Command) error {
 	cfg, err := sidecarconfig.Load(c.String("config"), os.Getenv)
 	if err != nil {
@@ -27,9 +37,9 @@
 	}
 	secret, err := os.ReadFile(c.String("secret-file"))
 	if err != nil {
-		return fault(fmt.Errorf("secret file: %w", err))
+		return usageError(fmt.Errorf("secret file: %w", err))
 	}
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(startWithinS*time.Second))
+	ctx, cancel := context.WithTimeout(ctx, sidecarTimeout)
 	defer cancel()
 	address := "http://" + cfg.Listen + http1.FaultPath + url.PathEscape(c.String("name"))
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, address, nil)
@@ -37,28 +47,27 @@
 		return err
 	}
 	r.Header.Set(http1.FaultSecretField, base64.StdEncoding.EncodeToString(trimLineBreak(secret)))
-	// Danger: a proxy that the environment names would be told the secret.
-	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
+	resp, err := sendRequest(r)
 	if err != nil {
-		return fmt.Errorf("the sidecar can't be reached: %w", err)
+		return err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxDrillReplyBytes))
 	if err != nil {
-		return fmt.Errorf("the sidecar can't be reached: %w", err)
+		return fmt.Errorf("%w: %w", errUnreachable, err)
 	}
-	said := strings.TrimSpace(string(text))
+	reply := strings.TrimSpace(string(body))
 	if resp.StatusCode != http.StatusOK {
-		return fault(fmt.Errorf("drill %q: the sidecar answers %d: %s", c.String("name"), resp.StatusCode, said))
+		return usageError(fmt.Errorf("drill %q: the sidecar answers %d: %s", c.String("name"), resp.StatusCode, reply))
 	}
-	fmt.Fprintln(c.Root().Writer, said)
+	fmt.Fprintln(c.Root().Writer, reply)
 	return nil
 }
 
-// trimLineBreak takes the last line break off a file's text: editors leave one, and it is no part of the secret.
+// trimLineBreak removes one final line break, LF or CRLF: editors add it, and it is not part of the secret.
 func trimLineBreak(text []byte) []byte {
-	text, cut := bytes.CutSuffix(text, []byte("\n"))
-	if cut {
+	text, hadLineFeed := bytes.CutSuffix(text, []byte("\n"))
+	if hadLineFeed {
 		text = bytes.TrimSuffix(text, []byte("\r"))
 	}
 	return text
--- a/cmd/hazelwheel/fencingtoken.go
+++ b/cmd/hazelwheel/fencingtoken.go
@@ -6,19 +6,27 @@
 	"strings"
 )
 
-// readToken reads a token as it is written for people, or as one number.
-func readToken(text string) (uint64, error) {
-	epoch, number, dotted := strings.Cut(text, ".")
-	if !dotted {
-		epoch, number = "0", text
+// A fencing token holds the epoch above its lowest tokenNumberBits bits, and in these its number within the epoch.
+const (
+	tokenNumberBits = 40
+	tokenEpochBits  = 64 - tokenNumberBits
+)
+
+// formatToken formats a fencing token as EPOCH.NUMBER.
+func formatToken(token uint64) string {
+	return fmt.Sprintf("%d.%d", token>>tokenNumberBits, token&(1<<tokenNumberBits-1))
+}
+
+// parseToken parses a fencing token in the form of formatToken, or as one decimal number.
+func parseToken(text string) (uint64, error) {
+	epochText, numberText, hasEpoch := strings.Cut(text, ".")
+	if !hasEpoch {
+		epochText, numberText = "0", text
 	}
-	e, err := strconv.ParseUint(epoch, 10, 24)
-	n, also := strconv.ParseUint(number, 10, 64)
-	if err != nil || also != nil || dotted && n >= 1<<40 || e == 0 && n == 0 {
+	epoch, epochErr := strconv.ParseUint(epochText, 10, tokenEpochBits)
+	number, numberErr := strconv.ParseUint(numberText, 10, 64)
+	if epochErr != nil || numberErr != nil || hasEpoch && number >= 1<<tokenNumberBits || epoch == 0 && number == 0 {
 		return 0, fmt.Errorf("%.40q is not a token like 1.57", text)
 	}
-	return e<<40 | n, nil
+	return epoch<<tokenNumberBits | number, nil
 }
-
-// tokenText writes a token as its epoch and its number in it.
-func tokenText(token uint64) string { return fmt.Sprintf("%d.%d", token>>40, token&(1<<40-1)) }
--- a/cmd/hazelwheel/main.go
+++ b/cmd/hazelwheel/main.go
@@ -1,5 +1,9 @@
-// Command hazelwheel is a sidecar balancer: it takes requests from the application beside it and sends each
-// to one of the servers that discovery lists.
+// Command hazelwheel is a sidecar load balancer: it accepts requests from the application beside it and forwards each to one of the
+// backends that service discovery lists.
+//
+// The subcommand serve runs the sidecar. The subcommands clients, quota, drill, peers and fleet query or command a running one; config
+// writes and checks configurations; capture replays recorded decisions. A subcommand ends with 0 on success, with 1 when it failed or
+// was rejected, and with 2 when it was used wrongly or a file that it was given can't be used.
 package main
 
 import (
@@ -13,49 +17,46 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// fault is an error by which the program ends with 2: what it was told is wrong.
-func fault(err error) error { return cli.Exit("hazelwheel: "+err.Error(), 2) }
+// Statuses with which the program ends, other than 0.
+const (
+	exitFailure = 1
+	exitUsage   = 2
+)
 
 func main() {
 	if err := command().Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "hazelwheel:", err)
-		os.Exit(1)
+		os.Exit(exitFailure)
 	}
 }
 
+// command builds the command line of the program.
 func command() *cli.Command {
-	file := &cli.StringFlag{Name: "config", Usage: "the configuration `FILE`", Sources: cli.EnvVars(sidecarconfig.EnvFile)}
-	extras := &cli.StringFlag{Name: "features", Usage: "the operators' `FILE` of features; without it all are off"}
-	drill := []cli.Flag{file, &cli.StringFlag{Name: "name", Usage: "the drill's `NAME`", Required: true},
-		&cli.StringFlag{Name: "secret-file", Usage: "the `FILE` that holds the secret", Required: true}}
-	in := &cli.StringFlag{Name: "in", Usage: "the `FILE` that holds a capture", Required: true}
-	verbose := &cli.BoolFlag{Name: "verbose", Usage: "log every execution that ends without an answer"}
+	config := &cli.StringFlag{Name: "config", Usage: "the configuration `FILE`", Sources: cli.EnvVars(sidecarconfig.EnvFile)}
+	features := &cli.StringFlag{Name: "features", Usage: "the operators' `FILE` of optional features; without it all are off"}
+	verbose := &cli.BoolFlag{Name: "verbose", Usage: "log each attempt that ends without a response"}
 	return &cli.Command{
 		Name:  "hazelwheel",
-		Usage: "a sidecar balancer",
+		Usage: "a sidecar load balancer",
 
 		EnableShellCompletion: true,
 		Commands: []*cli.Command{
-			{Name: "serve", Usage: "serve the application beside it", Flags: []cli.Flag{file, extras, verbose}, Action: serve},
-			{Name: "check", Usage: "check a configuration and say what it holds", Flags: []cli.Flag{file, extras}, Action: check},
-			{Name: "clients", Usage: "show who holds which connections at the running sidecar", Flags: []cli.Flag{file,
-				&cli.BoolFlag{Name: "json", Usage: "as the sidecar says it"}}, Action: showClients},
-			{Name: "quota", Usage: "look into the quotas of groups", Commands: quotaCommands(file)},
-			{Name: "drill", Usage: "rehearse slow and failed requests", Commands: []*cli.Command{
-				{Name: "start", Usage: "start a drill at the running sidecar", Flags: drill, Action: startDrill},
-			}},
-			{Name: "capture", Usage: "look into what the decisions knew", Commands: []*cli.Command{
-				{Name: "replay", Usage: "feed a capture through the decisions and print what differs", Flags: []cli.Flag{in}, Action: replay},
-			}},
+			{Name: "serve", Usage: "run the sidecar", Flags: []cli.Flag{config, features, verbose}, Action: serve},
+			{Name: "check", Usage: "check a configuration and print a summary", Flags: []cli.Flag{config, features}, Action: check},
+			{Name: "clients", Usage: "show the running sidecar's client connections", Action: showClients, Flags: []cli.Flag{config,
+				&cli.BoolFlag{Name: "json", Usage: jsonUsage}}},
+			{Name: "quota", Usage: "inspect the quotas of groups", Commands: quotaCommands(config)},
+			faultInjectionCommand(config),
+			captureCommand(),
 			peersCommand(),
 			fleetCommand(),
 			configCommand(),
-			{Name: "version", Usage: "print the version", Action: version},
+			{Name: "version", Usage: "print the version", Action: printVersion},
 		},
 	}
 }
 
-func version(_ context.Context, c *cli.Command) error {
+func printVersion(_ context.Context, c *cli.Command) error {
 	text := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
 		text = info.Main.Version + " " + info.GoVersion
@@ -63,3 +64,6 @@
 	fmt.Fprintln(c.Root().Writer, "hazelwheel", text)
 	return nil
 }
+
+// usageError wraps an error so that the program ends with exitUsage: an argument, or a file that it names, can't be used.
+func usageError(err error) error { return cli.Exit("hazelwheel: "+err.Error(), exitUsage) }
--- a/cmd/hazelwheel/maintenancesubmit.go
+++ b/cmd/hazelwheel/maintenancesubmit.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"math/rand/v2"
 	"strings"
 	"time"
@@ -15,41 +16,36 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
-// workLine is a command as a door takes it.
-func workLine(w maintenance.Command) string {
-	raw, err := json.Marshal(w)
-	if err != nil { // numbers and texts always marshal
-		panic(err)
-	}
-	return "WORK " + string(raw)
-}
-
-// How often a command is repeated that is not agreed yet, and for how long.
 const (
-	sayAgain   = 200 * time.Millisecond
-	agreedIn   = 10 * time.Second
-	notAgreed  = "WAIT"
-	loopIsLate = "the event loop is late"
+	// submitRetryInterval is how often a command is repeated that is not committed yet.
+	submitRetryInterval = 200 * time.Millisecond
+	// commitTimeout limits how long a command is repeated.
+	commitTimeout = 10 * time.Second
+	// pendingPrefix begins the admin endpoint's reply to a command that is not committed yet.
+	pendingPrefix = "WAIT"
+	// loopDelayedText is part of the rejection by a sidecar whose event loop has not run the command in time. It may still run it.
+	loopDelayedText = "the event loop is late"
 )
 
-// errUnknown is that of a command which may or may not be done.
-var errUnknown = errors.New("not known whether it was done")
+// errOutcomeUnknown is wrapped by the error of a command that may or may not be done. Repeated with the same nonce, it is done once.
+var errOutcomeUnknown = errors.New("not known whether it was done")
 
-// sayWork has a command done, and says what came of it. A fleet that says no ends with 1.
-func sayWork(ctx context.Context, c *cli.Command, w maintenance.Command) error {
-	for w.Nonce == 0 {
-		w.Nonce = rand.Uint64()
+// submitCommand submits a maintenance command, waits until it is committed and prints the reply. It ends with 1 where the command is
+// rejected. Where its outcome isn't known, the error names the nonce with which to repeat it.
+func submitCommand(ctx context.Context, c *cli.Command, command maintenance.Command) error {
+	for command.Nonce == 0 {
+		command.Nonce = rand.Uint64()
 	}
-	raw, err := untilAgreed(ctx, c.String("ops"), workLine(w))
-	if errors.Is(err, errUnknown) {
-		return fmt.Errorf("it is %w; the same again with --nonce %d is done once", err, w.Nonce)
+	raw, err := submitUntilCommitted(ctx, c.String("ops"), encodeCommand(command))
+	if errors.Is(err, errOutcomeUnknown) {
+		return fmt.Errorf("it is %w; the same again with --nonce %d is done once", err, command.Nonce)
 	}
 	if err != nil {
 		return err
 	}
-	var r maintenance.Reply
-	if err := json.Unmarshal(raw, &r); err != nil {
-		return fmt.Errorf("the sidecar's answer makes no sense: %w", err)
+	var reply maintenance.Reply
+	if err := decodeReply(raw, &reply); err != nil {
+		return err
 	}
 	if c.Bool("json") {
 		if _, err := c.Root().Writer.Write(raw); err != nil {
@@ -57,58 +53,79 @@
 		}
 	}
 	switch {
-	case r.Err != "":
-		return fmt.Errorf("%w: %s", errDoor, r.Err)
+	case reply.Err != "":
+		return fmt.Errorf("%w: %s", errAdminRejected, reply.Err)
 	case c.Bool("json"):
 		return nil
-	case w.Kind == maintenance.AcquireServer && r.Server == "":
-		_, err = fmt.Fprintln(c.Root().Writer, strings.TrimSpace("- "+r.Text))
-	case w.Kind == maintenance.AcquireServer:
-		_, err = fmt.Fprintf(c.Root().Writer, "%s %s\n", r.Server, tokenText(r.Token))
-	default:
-		text := string(w.Kind)
-		if r.Plan != 0 {
-			text += fmt.Sprintf(": plan %d", r.Plan)
-		}
-		if w.Server != "" {
-			text += ": " + w.Server
-		}
-		if r.Text != "" {
-			text += ": " + r.Text
+	}
+	return writeReply(c.Root().Writer, &command, &reply)
+}
+
+// writeReply writes the reply to a command that was done.
+func writeReply(out io.Writer, command *maintenance.Command, reply *maintenance.Reply) error {
+	if command.Kind == maintenance.AcquireServer {
+		text := strings.TrimSpace("- " + reply.Text)
+		if reply.Server != "" {
+			text = reply.Server + " " + formatToken(reply.Token)
 		}
-		_, err = fmt.Fprintln(c.Root().Writer, "OK "+text)
+		_, err := fmt.Fprintln(out, text)
+		return err
+	}
+	text := string(command.Kind)
+	if reply.Plan != 0 {
+		text += fmt.Sprintf(": plan %d", reply.Plan)
+	}
+	if command.Server != "" {
+		text += ": " + command.Server
 	}
+	if reply.Text != "" {
+		text += ": " + reply.Text
+	}
+	_, err := fmt.Fprintln(out, "OK "+text)
 	return err
 }
 
-// untilAgreed says a command at a door again and again until there is an answer. What was said once may be done, whatever comes after it.
-func untilAgreed(ctx context.Context, address, line string) ([]byte, error) {
-	by := time.Now().Add(agreedIn)
-	ctx, cancel := context.WithDeadline(ctx, by)
+// encodeCommand returns the command line of the admin endpoint that submits a maintenance command.
+func encodeCommand(command maintenance.Command) string {
+	raw, err := json.Marshal(command)
+	if err != nil { // can't happen: it holds numbers and texts alone
+		panic(err)
+	}
+	return "WORK " + string(raw)
+}
+
+// submitUntilCommitted sends a command line to the admin endpoint until there is a final reply. Once it may have been received, each error
+// except a rejection wraps errOutcomeUnknown.
+func submitUntilCommitted(ctx context.Context, address, line string) ([]byte, error) {
+	deadline := time.Now().Add(commitTimeout)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	tick := time.NewTicker(sayAgain)
-	defer tick.Stop()
-	for said, last := false, ""; ; {
-		raw, err := askDoor(ctx, address, line)
+	ticker := time.NewTicker(submitRetryInterval)
+	defer ticker.Stop()
+	mayBeDone, lastProblem := false, ""
+	for {
+		raw, err := queryAdmin(ctx, address, line)
+		isRejected := errors.Is(err, errAdminRejected)
 		switch {
-		case errors.Is(err, errDoor) && strings.Contains(err.Error(), loopIsLate):
-			said, last = true, err.Error()
-		case errors.Is(err, errDoor):
-			return nil, err
-		case err != nil && !said && !errors.Is(err, errHeard):
+		case isRejected && strings.Contains(err.Error(), loopDelayedText):
+			mayBeDone, lastProblem = true, err.Error()
+		case isRejected:
 			return nil, err
-		case err != nil && last != "" && time.Until(by) < sayAgain: // it was cut short: what was said before tells more
+		case err != nil && !mayBeDone && !errors.Is(err, errNoReply):
+			return nil, err // the command was never sent
+		case err != nil && lastProblem != "" && time.Until(deadline) < submitRetryInterval:
+			// The deadline cut this attempt short: the problem of the attempt before says more.
 		case err != nil:
-			said, last = true, err.Error()
-		case bytes.HasPrefix(raw, []byte(notAgreed)):
-			said, last = true, "nobody has settled it within "+agreedIn.String()
+			mayBeDone, lastProblem = true, err.Error()
+		case bytes.HasPrefix(raw, []byte(pendingPrefix)):
+			mayBeDone, lastProblem = true, "nobody has settled it within "+commitTimeout.String()
 		default:
 			return raw, nil
 		}
 		select {
 		case <-ctx.Done():
-			return nil, fmt.Errorf("%w (%s)", errUnknown, last)
-		case <-tick.C:
+			return nil, fmt.Errorf("%w (%s)", errOutcomeUnknown, lastProblem)
+		case <-ticker.C:
 		}
 	}
 }
--- a/cmd/hazelwheel/quota.go
+++ b/cmd/hazelwheel/quota.go
@@ -2,58 +2,55 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"net/url"
 	"os"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/urfave/cli/v3"
 
 	"hazelwheel/internal/decide/quota"
 	"hazelwheel/internal/frontend/http1"
 	"hazelwheel/internal/quotas"
-	played "hazelwheel/internal/quotas/replay"
+	"hazelwheel/internal/quotas/replay"
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// quotaCommands ask the running sidecar for its quotas, or try a file of groups out.
-func quotaCommands(file cli.Flag) []*cli.Command {
-	asJSON := &cli.BoolFlag{Name: "json", Usage: "as the sidecar says it"}
+// quotaCommands query the quotas of the running sidecar, or simulate a file of groups without one. Config is the flag of its configuration.
+func quotaCommands(config cli.Flag) []*cli.Command {
+	asJSON := &cli.BoolFlag{Name: "json", Usage: jsonUsage}
 	return []*cli.Command{
-		{Name: "show", Usage: "show the groups with their use, loans, debts and refusals at the running sidecar", Flags: []cli.Flag{file, asJSON},
+		{Name: "show", Usage: "show the groups of the running sidecar with their use, loans, debts and rejections", Flags: []cli.Flag{config, asJSON},
 			Action: showQuotas},
-		{Name: "explain", Usage: "say why a group's last refusal was made", Action: explainQuota, Flags: []cli.Flag{file, asJSON,
+		{Name: "explain", Usage: "explain a group's last rejection", Action: explainQuota, Flags: []cli.Flag{config, asJSON,
 			&cli.StringFlag{Name: "group", Usage: "the `PATH` of the group, as north.city", Required: true}}},
-		{Name: "simulate", Usage: "say what a file of groups would have done to a load", Action: simulateQuotas, Flags: []cli.Flag{
+		{Name: "simulate", Usage: "simulate a load under a file of groups", Action: simulateQuotas, Flags: []cli.Flag{
 			&cli.StringFlag{Name: "quotas", Usage: "the `FILE` of groups", Required: true},
-			&cli.StringFlag{Name: "load", Usage: "the `SERIES` of what groups ask for, as CSV", Required: true},
-			&cli.StringFlag{Name: "picture", Usage: "the `FILE` for a picture, SVG"},
-			&cli.IntFlag{Name: "replicas", Usage: "of `N` sidecars, what one does with its part", Value: 1}}},
+			&cli.StringFlag{Name: "load", Usage: "the `SERIES` of the groups' demand, as CSV", Required: true},
+			&cli.StringFlag{Name: "picture", Usage: "the `FILE` to write a chart to, as SVG"},
+			&cli.IntFlag{Name: "replicas", Usage: "the number `N` of sidecars that share the quotas; one of them is simulated", Value: 1}}},
 	}
 }
 
-// askQuotas gets what the running sidecar says of its quotas. One that can't be reached, or has none, ends with 1.
-func askQuotas(ctx context.Context, c *cli.Command, query string, told any) (raw []byte, err error) {
+// fetchQuotas gets the quotas of the running sidecar, as JSON and decoded into the value that to points to. It is an error where the
+// sidecar can't be reached or has no quotas.
+func fetchQuotas(ctx context.Context, c *cli.Command, query string, to any) (raw []byte, err error) {
 	cfg, err := sidecarconfig.Load(c.String("config"), os.Getenv)
 	if err != nil {
 		return nil, err
 	}
-	if raw, err = ask(ctx, cfg.Listen, http1.QuotaPath+query); err != nil {
+	if raw, err = fetchStatus(ctx, cfg.Listen, http1.QuotaPath+query); err != nil {
 		return nil, err
 	}
-	if err := json.Unmarshal(raw, told); err != nil {
-		return nil, fmt.Errorf("the sidecar's answer makes no sense: %w", err)
-	}
-	return raw, nil
+	return raw, decodeReply(raw, to)
 }
 
+// showQuotas prints the groups of the running sidecar as a tree, with a line for each limit of a group.
 func showQuotas(ctx context.Context, c *cli.Command) error {
-	var v quota.View
-	raw, err := askQuotas(ctx, c, "", &v)
+	var view quota.View
+	raw, err := fetchQuotas(ctx, c, "", &view)
 	if err != nil {
 		return err
 	}
@@ -62,9 +59,9 @@
 		_, err := out.Write(raw)
 		return err
 	}
-	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+	t := newTable(out)
 	fmt.Fprintln(t, "GROUP\tLIMIT\tQUOTA\tHOLDS\tUSED\tOWES\tCLAIMS\tBORROWED\tREPAID\tLENT\tSERVED\tREFUSED")
-	for _, g := range v.Groups {
+	for _, g := range view.Groups {
 		name := strings.Repeat("  ", g.Depth) + g.Path[strings.LastIndexByte(g.Path, '.')+1:]
 		for i, l := range g.Limits {
 			fmt.Fprintf(t, "%s\t%s\t%.6g\t%.6g\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f", name, l.Limit, l.Quota, l.Level, l.Used, l.Debt, l.Credit, l.Borrowed,
@@ -79,15 +76,16 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	if more := v.All + 1 - len(v.Groups); more > 0 {
-		fmt.Fprintf(out, "and %d more groups\n", more)
+	if omitted := view.All + 1 - len(view.Groups); omitted > 0 {
+		fmt.Fprintf(out, "and %d more groups\n", omitted)
 	}
 	return nil
 }
 
+// explainQuota prints why the running sidecar last rejected a request of a group.
 func explainQuota(ctx context.Context, c *cli.Command) error {
 	var e quota.Explanation
-	raw, err := askQuotas(ctx, c, "?group="+url.QueryEscape(c.String("group")), &e)
+	raw, err := fetchQuotas(ctx, c, "?group="+url.QueryEscape(c.String("group")), &e)
 	if err != nil {
 		return err
 	}
@@ -96,11 +94,11 @@
 		_, err := out.Write(raw)
 		return err
 	}
-	return explain(out, &e)
+	return writeExplanation(out, &e)
 }
 
-// explain says an explanation in words.
-func explain(out io.Writer, e *quota.Explanation) error {
+// writeExplanation writes a rejection, then the present state of the limits from the group up to the root.
+func writeExplanation(out io.Writer, e *quota.Explanation) error {
 	switch {
 	case e.Limit == "":
 		fmt.Fprintf(out, "%s: no refusal is remembered\n", e.Group)
@@ -117,14 +115,14 @@
 			if e.Limit != "" && l.Limit != e.Limit {
 				continue
 			}
-			what, of := "holds", l.Depth
+			verb, capacity := "holds", l.Depth
 			if g.Path != e.Group {
-				what = "has to lend"
+				verb = "has to lend"
 			}
 			if l.Limit == "open" {
-				what, of = "are", l.Quota
+				verb, capacity = "are", l.Quota
 			}
-			fmt.Fprintf(out, "  %s: %s %s %.4g of %.4g", g.Path, l.Limit, what, l.Level, of)
+			fmt.Fprintf(out, "  %s: %s %s %.4g of %.4g", g.Path, l.Limit, verb, l.Level, capacity)
 			switch {
 			case l.Debt >= 1:
 				fmt.Fprintf(out, ", owes %.0f", l.Debt)
@@ -137,33 +135,33 @@
 	return nil
 }
 
-// simulateQuotas ends with 2 where the file or the series is at fault.
+// simulateQuotas replays a series of demand under a file of groups and prints what it leads to. It ends with 2 where either can't be used.
 func simulateQuotas(_ context.Context, c *cli.Command) error {
 	tree, err := quotas.ReadFile(c.String("quotas"))
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	replicas := c.Int("replicas")
 	if replicas < 1 {
-		return fault(errors.New("--replicas: want 1 or more"))
+		return usageError(errors.New("--replicas: want 1 or more"))
 	}
 	f, err := os.Open(c.String("load"))
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	defer func() { _ = f.Close() }() // read only
-	load, err := played.ReadSeries(f, tree)
+	load, err := replay.ReadSeries(f, tree)
 	if err != nil {
-		return fault(fmt.Errorf("%s: %w", c.String("load"), err))
+		return usageError(fmt.Errorf("%s: %w", c.String("load"), err))
 	}
-	s := quotas.Defaults()
-	r := played.Run(tree, load, s.LimiterSettings(replicas))
-	if err := r.WriteTable(c.Root().Writer); err != nil || c.String("picture") == "" {
+	defaults := quotas.Defaults()
+	result := replay.Run(tree, load, defaults.LimiterSettings(replicas))
+	if err := result.WriteTable(c.Root().Writer); err != nil || c.String("picture") == "" {
 		return err
 	}
 	out, err := os.Create(c.String("picture"))
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
-	return errors.Join(r.WriteChart(out), out.Close())
+	return errors.Join(result.WriteChart(out), out.Close())
 }
--- a/cmd/hazelwheel/roles.go
+++ b/cmd/hazelwheel/roles.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"encoding/json"
+	"errors"
 	"fmt"
 	"strings"
 	"text/tabwriter"
@@ -13,52 +13,31 @@
 )
 
 func fleetCommand() *cli.Command {
-	flags := []cli.Flag{&cli.StringFlag{Name: "ops", Usage: "the `ADDRESS` of the sidecar's door", Required: true},
-		&cli.BoolFlag{Name: "json", Usage: "as the sidecar says it"}}
-	return &cli.Command{Name: "fleet", Usage: "show and move what one sidecar does on behalf of all", Commands: []*cli.Command{
-		{Name: "owners", Usage: "show who owns which job", Flags: flags, Action: showFleet("OWNERS", writeOwners)},
-		{Name: "electors", Usage: "show who agrees on that", Flags: flags, Action: showFleet("ELECTORS", writeElectors)},
-		{Name: "report", Usage: "show how the requests of the whole fleet fare, by class", Flags: flags, Action: showFleet("REPORT", writeReport)},
-		{Name: "step-down", Usage: "have a job go to another owner", ArgsUsage: "JOB", Flags: flags[:1:1], Action: stepDown},
-		workCommand(flags),
+	flags := adminFlags()
+	return &cli.Command{Name: "fleet", Usage: "show and move the singleton roles of a fleet of sidecars", Commands: []*cli.Command{
+		{Name: "owners", Usage: "show which sidecar owns which role", Flags: flags, Action: showStatus("OWNERS", writeRoles)},
+		{Name: "electors", Usage: "show the voters that grant the roles' leases", Flags: flags, Action: showStatus("ELECTORS", writeVoters)},
+		{Name: "report", Usage: "show request counts and latencies of the whole fleet, by class", Flags: flags, Action: showStatus("REPORT", writeReport)},
+		{Name: "step-down", Usage: "have the owner of a role release it", ArgsUsage: "JOB", Flags: flags[:1:1], Action: stepDown},
+		maintenanceCommand(flags),
 	}}
 }
 
-// showFleet asks a door, and has the answer written as a table. A sidecar that can't be reached or does not know ends with 1.
-func showFleet[T any](call string, write func(t *tabwriter.Writer, v *T)) cli.ActionFunc {
-	return func(ctx context.Context, c *cli.Command) error {
-		raw, err := askDoor(ctx, c.String("ops"), call)
-		if err != nil {
-			return err
-		}
-		if c.Bool("json") {
-			_, err := c.Root().Writer.Write(raw)
-			return err
-		}
-		var v T
-		if err := json.Unmarshal(raw, &v); err != nil {
-			return fmt.Errorf("the sidecar's answer makes no sense: %w", err)
-		}
-		t := tabwriter.NewWriter(c.Root().Writer, 0, 8, 2, ' ', 0)
-		write(t, &v)
-		return t.Flush()
-	}
-}
-
-func writeOwners(t *tabwriter.Writer, s *coordination.LeaseStatus) {
+// writeRoles writes who owns each role, and why the replying sidecar or the whole fleet can't take one.
+func writeRoles(t *tabwriter.Writer, s *coordination.LeaseStatus) {
 	fmt.Fprintln(t, "JOB\tOWNER\tID\tTOKEN\tHERE\tTAKEN\tREFUSED")
-	for _, j := range s.Roles {
-		owner, here := j.HolderName, ""
-		if j.Holder == "" {
+	for _, role := range s.Roles {
+		owner, here := role.HolderName, ""
+		if role.Holder == "" {
 			owner = "nobody"
 		}
 		switch {
-		case j.HeldToken != 0:
+		case role.HeldToken != 0:
 			here = "owned"
-		case j.Capable:
+		case role.Capable:
 			here = "can"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\n", j.Role, owner, j.Holder, tokenText(j.Token), here, j.Accepted, j.Rejected)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\n", role.Role, owner, role.Holder, formatToken(role.Token), here, role.Accepted, role.Rejected)
 	}
 	switch {
 	case s.Epoch == 0:
@@ -71,14 +50,15 @@
 	}
 }
 
-func writeElectors(t *tabwriter.Writer, s *coordination.LeaseStatus) {
+// writeVoters writes the voters, then the position of the replying sidecar's log.
+func writeVoters(t *tabwriter.Writer, s *coordination.LeaseStatus) {
 	fmt.Fprintln(t, "NAME\tSTATE\tADDRESS\tID\tLEADS")
-	for _, e := range s.Voters {
+	for _, voter := range s.Voters {
 		leads := ""
-		if s.Leader != nil && s.Leader.ID == e.ID {
+		if s.Leader != nil && s.Leader.ID == voter.ID {
 			leads = "yes"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", e.Name, e.State, e.Address, e.ID, leads)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", voter.Name, voter.State, voter.Address, voter.ID, leads)
 	}
 	fmt.Fprintf(t, "epoch %d, term %d, log %d\n", s.Epoch, s.Term, s.Index)
 	if s.Local.PersistFailed {
@@ -86,6 +66,7 @@
 	}
 }
 
+// writeReport writes the fleet's requests by class, then which sidecars the report covers.
 func writeReport(t *tabwriter.Writer, r *coordination.Report) {
 	fmt.Fprintln(t, "CLASS\tPER S\tSERVED\tTHROTTLED\tFAILED\tABANDONED\tP50\tP90\tP99\tP99.9\tMAX")
 	for _, c := range r.Classes {
@@ -99,15 +80,15 @@
 	if r.OmittedMissing > 0 {
 		missing += fmt.Sprintf(" and %d more", r.OmittedMissing)
 	}
-	fmt.Fprintf(t, "%d of %d sidecars, %.1f s ago, by %s under %s%s\n", r.Answered, r.Requested, r.AgeSeconds, r.Holder, tokenText(r.Token), missing)
+	fmt.Fprintf(t, "%d of %d sidecars, %.1f s ago, by %s under %s%s\n", r.Answered, r.Requested, r.AgeSeconds, r.Holder, formatToken(r.Token), missing)
 }
 
-// stepDown asks for another owner.
+// stepDown asks the sidecar at the admin endpoint to release a role that it owns, so that another one acquires it.
 func stepDown(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return fault(fmt.Errorf("step-down: want one job"))
+		return usageError(errors.New("step-down: want one job"))
 	}
-	raw, err := askDoor(ctx, c.String("ops"), "STEPDOWN "+c.Args().First())
+	raw, err := queryAdmin(ctx, c.String("ops"), "STEPDOWN "+c.Args().First())
 	if err != nil {
 		return err
 	}
--- a/cmd/hazelwheel/serve.go
+++ b/cmd/hazelwheel/serve.go
@@ -18,35 +18,36 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// load reads the configuration and the file of features, if one is named.
-func load(c *cli.Command) (cfg sidecarconfig.Config, on featureconfig.Features, err error) {
+// loadConfig reads the file that --config names and the one that --features names, if any. Its errors are usage errors.
+func loadConfig(c *cli.Command) (cfg sidecarconfig.Config, features featureconfig.Features, err error) {
 	if cfg, err = sidecarconfig.Load(c.String("config"), os.Getenv); err != nil {
-		return cfg, on, fault(err)
+		return cfg, features, usageError(err)
 	}
 	if path := c.String("features"); path != "" {
-		if on, err = featureconfig.Load(path, &cfg); err != nil {
-			return cfg, on, fault(err)
+		if features, err = featureconfig.Load(path, &cfg); err != nil {
+			return cfg, features, usageError(err)
 		}
 	}
-	return cfg, on, nil
+	return cfg, features, nil
 }
 
-// serve ends with the counters on standard output.
+// serve runs the sidecar until it has shut down, then prints its counters on standard output. An address that can't be listened on is a
+// usage error.
 func serve(_ context.Context, c *cli.Command) error {
-	// Danger: a SIGHUP that nobody catches ends the process, also while it is still reading its configuration.
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	// The same of SIGUSR1, where there may be a capture to dump; without the file of features nothing heeds it.
-	dumps := make(chan os.Signal, 1)
+	// Danger: an uncaught SIGHUP ends the process, also while it still reads its configuration.
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	// An uncaught SIGUSR1 does, too. It is caught where the features may have a capture that it dumps.
+	dumpSignals := make(chan os.Signal, 1)
 	if c.String("features") != "" {
-		signal.Notify(dumps, syscall.SIGUSR1)
+		signal.Notify(dumpSignals, syscall.SIGUSR1)
 	}
-	cfg, on, err := load(c)
+	cfg, features, err := loadConfig(c)
 	if err != nil {
 		return err
 	}
-	if !on.Capture.Enabled {
-		signal.Stop(dumps)
+	if !features.Capture.Enabled {
+		signal.Stop(dumpSignals)
 	}
 	level := slog.LevelInfo
 	if c.Bool("verbose") {
@@ -54,39 +55,41 @@
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	for _, doubt := range cfg.Doubts {
-		log.Warn("configuration", "says", doubt)
+		log.Warn("configuration warning", "message", doubt)
 	}
-	s, err := process.New(cfg, on, log)
+	sidecar, err := process.New(cfg, features, log)
 	if err != nil {
 		return err
 	}
-	advice := adviser{log, map[string]bool{}}
-	advice.look(c.String("config"), c.String("features"))
-	err = s.Run(hangups, dumps, func() (sidecarconfig.Config, error) {
-		advice.look(c.String("config"), c.String("features"))
+	findings := findingLogger{log, map[string]bool{}}
+	findings.logNew(c.String("config"), c.String("features"))
+	err = sidecar.Run(reloadSignals, dumpSignals, func() (sidecarconfig.Config, error) {
+		findings.logNew(c.String("config"), c.String("features"))
 		return cfg.Reload(c.String("config"), os.Getenv)
 	})
 	if errors.Is(err, sockets.ErrNotListeningSocket) || errors.Is(err, admin.ErrListen) {
-		return fault(err)
+		return usageError(err)
 	}
-	fmt.Fprintf(c.Root().Writer, "%s", s.Counters())
+	fmt.Fprintf(c.Root().Writer, "%s", sidecar.Counters())
 	return err
 }
 
+// check prints the findings of the checks, and a summary of a configuration by which the sidecar would start.
 func check(_ context.Context, c *cli.Command) error {
-	sayFindings(c.Root().Writer, c.String("config"), c.String("features"))
-	cfg, on, err := load(c)
+	printFindings(c.Root().Writer, c.String("config"), c.String("features"))
+	cfg, features, err := loadConfig(c)
 	if err != nil {
 		return err
 	}
-	if _, err := process.New(cfg, on, slog.New(slog.DiscardHandler)); err != nil { // what it is told must be usable, too
+	// The files may parse and still hold what the sidecar can't start with.
+	if _, err := process.New(cfg, features, slog.New(slog.DiscardHandler)); err != nil {
 		return err
 	}
 	s := cfg.Settings.Policy
 	fmt.Fprintf(c.Root().Writer, "%s: listens at %s, discovery at %s, %d classes, instance %d of %d\n",
 		cfg.Name, cfg.Listen, cfg.Discovery, len(s.Classes), s.Self+1, s.Replicas)
 	if c.String("features") != "" {
-		fmt.Fprintf(c.Root().Writer, "%s: features: %s\n", cfg.Name, &on)
+		fmt.Fprintf(c.Root().Writer, "%s: features: %s\n", cfg.Name, &features)
 	}
 	return nil
 }
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -371,7 +371,7 @@
 				continue
 			}
 			if (open || late) && !forced {
-				assert.Fail(y, "a box in use is worked on", "%s by %s under %s: a request came %v after the work began, and was out until %v", r.Box, r.Mechanic, tokenText(r.Token),
+				assert.Fail(y, "a box in use is worked on", "%s by %s under %s: a request came %v after the work began, and was out until %v", r.Box, r.Mechanic, formatToken(r.Token),
 					v.from.Sub(r.From), v.to.Sub(r.From))
 				break
 			}
@@ -426,7 +426,7 @@
 	for i := range y.plans {
 		s = min(s, of(&y.plans[i]))
 	}
-	return seconds(s)
+	return toDuration(s)
 }
 
 // wasGone tells whether a request is of a sidecar that stood still for so long that it counted as gone.
