--- a/internal/sim/core.go
+++ b/internal/sim/core.go
@@ -55,21 +55,21 @@
 // What a sidecar at rest may hold: a few links to each box, which probes use; for each a timer, and some for the sweep, the
 // watch, the probes and the decisions.
 const (
-	restingLinks  = 64
-	linksPerBox   = 2
-	timersForRest = 32
+	idleConns          = 64
+	idleConnsPerServer = 2
+	idleTimers         = 32
 )
 
 // Held says what the sidecar holds beyond what one at rest does.
 func (c core) Leftovers() []Leftover {
 	h := c.Sidecar.ResourceUsage()
-	links := max(restingLinks, linksPerBox*h.Servers)
+	links := max(idleConns, idleConnsPerServer*h.Servers)
 	return []Leftover{{"requests", h.Requests}, {"client links", h.ClientConns}, {"bytes that are not read", h.BufferedBytes},
-		{"events", h.Events}, {"links to boxes", beyond(h.BackendConns, links)}, {"timers", beyond(h.Timers, 2*links+timersForRest)}}
+		{"events", h.Events}, {"links to boxes", excess(h.BackendConns, links)}, {"timers", excess(h.Timers, 2*links+idleTimers)}}
 }
 
-func beyond(n, most int) int {
-	if n <= most {
+func excess(n, allowed int) int {
+	if n <= allowed {
 		return 0
 	}
 	return n
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -86,7 +86,7 @@
 }
 
 // mostSeeds is how many seeds of a broken rule are listed.
-const mostSeeds = 20
+const maxListedSeeds = 20
 
 // Add adds a day.
 func (t *Tally) Add(r *Result) {
@@ -135,7 +135,7 @@
 	t.History, t.Broken = fmt.Sprintf("%016x", t.history), nil
 	for _, b := range t.byRule {
 		slices.Sort(b.Seeds)
-		b.Seeds = b.Seeds[:min(len(b.Seeds), mostSeeds)]
+		b.Seeds = b.Seeds[:min(len(b.Seeds), maxListedSeeds)]
 		t.Broken = append(t.Broken, *b)
 	}
 	slices.SortFunc(t.Broken, func(a, b BrokenRule) int {
--- a/internal/sim/mutants.go
+++ b/internal/sim/mutants.go
@@ -21,9 +21,9 @@
 
 // Names of mutants that are not played on usual days begin so.
 const (
-	ownersMutant = "owner-"      // by who owns jobs alone, package owners
-	plansMutant  = "work-"       // by work on boxes alone, package plans,
-	worksMutant  = "work-fleet-" // or on whole days with it
+	leaseMutantPrefix            = "owner-"      // by who owns jobs alone, package owners
+	maintenanceMutantPrefix      = "work-"       // by work on boxes alone, package plans,
+	fleetMaintenanceMutantPrefix = "work-fleet-" // or on whole days with it
 )
 
 // MutantsOptions say which mutants are tried, and how.
@@ -55,7 +55,7 @@
 
 // Mutants builds each mutant in a copy of the tree, plays seeds with it, and tells what came of it in the order of the
 // names. A patch that does not apply, or does not build, is an error: it breaks nothing any more.
-func RunMutants(o MutantOptions, tell func(MutantResult)) error {
+func RunMutants(o MutantOptions, report func(MutantResult)) error {
 	patches, err := filepath.Glob(filepath.Join(o.Dir, "*.patch"))
 	if err != nil {
 		return err
@@ -79,7 +79,7 @@
 		all.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			m, err := tryMutant(o, p)
+			m, err := runMutant(o, p)
 			ends[i] <- end{m, err}
 		})
 	}
@@ -88,14 +88,14 @@
 		if r := <-e; r.err != nil {
 			errs = append(errs, r.err)
 		} else {
-			tell(r.m)
+			report(r.m)
 		}
 	}
 	all.Wait()
 	return errors.Join(errs...)
 }
 
-func tryMutant(o MutantOptions, patch string) (MutantResult, error) {
+func runMutant(o MutantOptions, patch string) (MutantResult, error) {
 	m := MutantResult{Name: strings.TrimSuffix(filepath.Base(patch), ".patch")}
 	dir, err := os.MkdirTemp("", "mutant-")
 	if err != nil {
@@ -123,11 +123,11 @@
 	}
 	world := []string{"sim"}
 	switch {
-	case strings.HasPrefix(m.Name, ownersMutant):
+	case strings.HasPrefix(m.Name, leaseMutantPrefix):
 		world = []string{"owners"}
-	case strings.HasPrefix(m.Name, worksMutant):
+	case strings.HasPrefix(m.Name, fleetMaintenanceMutantPrefix):
 		world = []string{"sim", "--fleet", string(FleetWithMaintenance)}
-	case strings.HasPrefix(m.Name, plansMutant):
+	case strings.HasPrefix(m.Name, maintenanceMutantPrefix):
 		world = []string{"works"}
 	}
 	play := exec.Command(filepath.Join(dir, "mutant"), append(world, "--seeds", fmt.Sprintf("1-%d", max(o.LastSeed, 1)), "--first", "--json")...)
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -41,31 +41,31 @@
 )
 
 // on tells whether the sidecars of a seed's day know each other.
-func (t FleetMode) on(seed uint64) bool {
+func (t FleetMode) isOn(seed uint64) bool {
 	return t == FleetOn || t == FleetWithRoles || t == FleetWithMaintenance || t == FleetBySeed && seed%3 == 0
 }
 
 // known is a sidecar with its fleet, as a Program.
-type known struct {
+type fleetProgram struct {
 	core
-	host netio.Handler
-	f    *coordination.Node
+	handler netio.Handler
+	node    *coordination.Node
 }
 
-func (k known) Start()                            { k.host.Start() }
-func (k known) Open(c netio.Conn) bool            { return k.host.Open(c) }
-func (k known) Traffic(c netio.Conn, data []byte) { k.host.Traffic(c, data) }
-func (k known) Closed(c netio.Conn, err error)    { k.host.Closed(c, err) }
-func (k known) Alarm()                            { k.host.Alarm() }
+func (k fleetProgram) Start()                            { k.handler.Start() }
+func (k fleetProgram) Open(c netio.Conn) bool            { return k.handler.Open(c) }
+func (k fleetProgram) Traffic(c netio.Conn, data []byte) { k.handler.Traffic(c, data) }
+func (k fleetProgram) Closed(c netio.Conn, err error)    { k.handler.Closed(c, err) }
+func (k fleetProgram) Alarm()                            { k.handler.Alarm() }
 
 // Drain has the others told, too.
-func (k known) Drain() {
+func (k fleetProgram) Drain() {
 	k.core.Drain()
-	k.f.CheckShutdown()
+	k.node.CheckShutdown()
 }
 
 // Held leaves out the links to peers, which are none of the sidecar's.
-func (k known) Leftovers() []Leftover { return k.core.Leftovers() }
+func (k fleetProgram) Leftovers() []Leftover { return k.core.Leftovers() }
 
 const (
 	peersPort = "7946"
@@ -77,89 +77,89 @@
 
 // disk is a sidecar's disk over all its lives: what was synced stays. It answers after a while, and a process that has been
 // killed by then has written nothing.
-type disk struct {
-	s     *instance
-	proc  netio.EventLoop
-	write float64 // how long a write takes
+type simulatedDisk struct {
+	sidecar      *instance
+	loop         netio.EventLoop
+	writeSeconds float64 // how long a write takes
 }
 
-func (d disk) Save(data []byte, done func(error)) {
-	s, life := d.s, d.s.proc
+func (d simulatedDisk) Save(data []byte, done func(error)) {
+	s, life := d.sidecar, d.sidecar.process
 	kept := append([]byte(nil), data...)
-	s.d.net.Schedule(s.d.net.Now()+d.write, func() {
-		if s.proc == life && life.IsRunning() {
+	s.day.network.Schedule(s.day.network.Now()+d.writeSeconds, func() {
+		if s.process == life && life.IsRunning() {
 			var err error
-			if s.full {
-				err = errFull
+			if s.isDiskFull {
+				err = errDiskFull
 			} else {
-				if s.older = append(s.older, s.saved.Data); len(s.older) > mostOlder {
-					s.older = s.older[1:]
+				if s.oldStates = append(s.oldStates, s.state.Data); len(s.oldStates) > maxOldStates {
+					s.oldStates = s.oldStates[1:]
 				}
-				s.saved = coordination.SavedState{Data: kept}
+				s.state = coordination.SavedState{Data: kept}
 			}
-			d.proc.Post(func() { done(err) })
+			d.loop.Post(func() { done(err) })
 		}
 	})
 }
 
-var errFull = errors.New("no space left on device")
+var errDiskFull = errors.New("no space left on device")
 
 // mostOlder is how many states that a disk has held can be put back.
-const mostOlder = 8
+const maxOldStates = 8
 
 // withFleet returns the Core of a sidecar that knows the others of its day.
-func (d *day) withFleet(s *instance) Factory {
+func (d *day) fleetFactory(s *instance) Factory {
 	return func(cfg sidecarconfig.Config, loop netio.EventLoop, log *slog.Logger) (Program, error) {
 		shared := multiplex.New(loop)
 		sc, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Frontend{http1.New(cfg, rewrite.Settings{})}, shared.Core(), log)
 		if err != nil {
 			return nil, err
 		}
-		s.lives++
-		rng := rand.New(rand.NewPCG(d.spec.Seed, uint64(s.number)<<32+uint64(s.lives)))
+		s.starts++
+		rng := rand.New(rand.NewPCG(d.spec.Seed, uint64(s.number)<<32+uint64(s.starts)))
 		var join []string
 		for i := range min(3, len(d.sidecars)) {
 			join = append(join, peersAddress(&d.sidecars[i].spec))
 		}
 		links := peers.MaxLinks(d.spec.MaxDescriptors)
 		settings := coordination.Settings{Name: fleetName, Listen: peersAddress(&s.spec), Join: join}
-		if d.owners && len(join) == 3 {
+		if d.hasRoles && len(join) == 3 {
 			settings.Voters, settings.Roles = join, sidecarconfig.Jobs
 			sc.EnableRequestStats()
 			sc.EnableMaintenance()
 		}
 		f, err := coordination.New(coordination.Options{MaxLinks: links, Settings: settings, Sidecar: s.spec.Name,
-			Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas, RoleHost: sc, RankReceiver: sc, Lists: listener{sc, s}, Faults: sc, Servers: sc, MaintenanceOrder: d.workOrder, Rand: rng, EventLoop: shared.Companion(), Log: log})
+			Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas, RoleHost: sc, RankReceiver: sc, Lists: listRelay{sc, s}, Faults: sc, Servers: sc, MaintenanceOrder: d.maintenanceOrder, Rand: rng, EventLoop: shared.Companion(), Log: log})
 		if err != nil {
 			return nil, err
 		}
 		if len(settings.Roles) > 0 {
 			sc.SetListObserver(f)
 		}
-		f.UseStore(disk{s, loop, 0.02 * rng.Float64()}, s.saved)
-		if d.works != nil {
-			d.works.began(s, f)
+		f.UseStore(simulatedDisk{s, loop, 0.02 * rng.Float64()}, s.state)
+		if d.maintenance != nil {
+			d.maintenance.began(s, f)
 		}
 		sc.ReserveDescriptors(peers.Descriptors(links))
-		s.fleet = f
-		return known{core{sc}, shared.Handler(sc, f, f.OwnsConn), f}, nil
+		s.node = f
+		return fleetProgram{core{sc}, shared.Handler(sc, f, f.OwnsConn), f}, nil
 	}
 }
 
 // --- troubles between sidecars ---
 
-func (d *day) ip(sidecar int) string { return d.sidecars[sidecar].spec.IP }
+func (d *day) peerIP(sidecar int) string { return d.sidecars[sidecar].spec.IP }
 
 // PeersCut loses what goes from one sidecar to another: all that they say is said to peers.
 func (d *day) DropPeerTraffic(from, to int, on bool) {
 	if on {
-		d.DropTraffic(d.ip(from), d.ip(to))
-		d.peerCuts++
+		d.DropTraffic(d.peerIP(from), d.peerIP(to))
+		d.activePeerFaults++
 	} else {
-		d.RestoreTraffic(d.ip(from), d.ip(to))
-		d.peerCuts--
+		d.RestoreTraffic(d.peerIP(from), d.peerIP(to))
+		d.activePeerFaults--
 	}
-	d.troubledAt = d.net.Now()
+	d.lastFaultAt = d.network.Now()
 }
 
 // PeersHold is the same here: what TCP has lost on the way it sends again.
@@ -168,95 +168,95 @@
 // PeersSlow has what one sends to another go at a rate.
 func (d *day) LimitPeerTraffic(from, to int, perS float64) {
 	way := [2]int{from, to}
-	switch was := d.slow[way]; {
+	switch was := d.peerRates[way]; {
 	case was == 0 && perS > 0:
-		d.peerCuts++
+		d.activePeerFaults++
 	case was > 0 && perS == 0:
-		d.peerCuts--
+		d.activePeerFaults--
 	}
-	d.slow[way] = perS
-	d.net.SetRate(d.net.Machine(d.ip(from)), d.net.Machine(d.ip(to)), perS)
-	d.troubledAt = d.net.Now()
+	d.peerRates[way] = perS
+	d.network.SetRate(d.network.Machine(d.peerIP(from)), d.network.Machine(d.peerIP(to)), perS)
+	d.lastFaultAt = d.network.Now()
 }
 
 // Begin begins a sidecar that has stood by, with what is beside it.
 func (d *day) StartStandby(sidecar int) {
-	d.troubledAt = d.net.Now()
-	d.Start(d.ip(sidecar))
+	d.lastFaultAt = d.network.Now()
+	d.Start(d.peerIP(sidecar))
 }
 
 // DiskFull has nothing be written to a sidecar's disk, or ends that.
-func (d *day) FillDisk(sidecar int, on bool) { d.sidecars[sidecar].full = on }
+func (d *day) FillDisk(sidecar int, on bool) { d.sidecars[sidecar].isDiskFull = on }
 
 // Clock has a sidecar's clock run at a rate, over all lives of its process.
 func (d *day) SetClockRate(sidecar int, rate float64) {
 	s := d.sidecars[sidecar]
-	if s.rate = rate; s.proc != nil && s.proc.IsRunning() {
-		s.proc.SetClockRate(rate)
+	if s.clockRate = rate; s.process != nil && s.process.IsRunning() {
+		s.process.SetClockRate(rate)
 	}
 }
 
 // PeersReset breaks the links between two.
 func (d *day) ResetPeerConnections(a, b int) {
-	d.ResetConnections(d.ip(a), d.ip(b))
-	d.troubledAt = d.net.Now()
+	d.ResetConnections(d.peerIP(a), d.peerIP(b))
+	d.lastFaultAt = d.network.Now()
 }
 
 // deafPeer is a program that says hello to a sidecar as a peer does, asks what it knows again and again, and reads nothing.
-type deafPeer struct {
-	net   netio.EventLoop
-	to    string
-	perS  float64
-	until float64
-	hello []byte
-	ask   []byte
-	conn  netio.Conn
-	again bool
+type stalledPeer struct {
+	loop              netio.EventLoop
+	address           string
+	requestsPerSecond float64
+	until             float64
+	hello             []byte
+	request           []byte
+	conn              netio.Conn
+	isDialing         bool
 }
 
-func (h *deafPeer) Start() { h.Alarm() }
+func (h *stalledPeer) Start() { h.Alarm() }
 
-func (h *deafPeer) Open(c netio.Conn) bool {
+func (h *stalledPeer) Open(c netio.Conn) bool {
 	h.conn = c
 	c.Write(h.hello)
 	return true
 }
 
-func (h *deafPeer) Traffic(netio.Conn, []byte)     {}
-func (h *deafPeer) Closed(c netio.Conn, err error) { h.conn = nil }
+func (h *stalledPeer) Traffic(netio.Conn, []byte)     {}
+func (h *stalledPeer) Closed(c netio.Conn, err error) { h.conn = nil }
 
 // Alarm asks, or dials again.
-func (h *deafPeer) Alarm() {
-	now := h.net.Now()
+func (h *stalledPeer) Alarm() {
+	now := h.loop.Now()
 	if now >= h.until {
-		h.net.Stop()
+		h.loop.Stop()
 		return
 	}
-	h.net.SetAlarm(now + 1/h.perS)
+	h.loop.SetAlarm(now + 1/h.requestsPerSecond)
 	if h.conn == nil {
-		if !h.again {
-			h.again = true
-			h.net.Dial(h.to, now+1, nil, func(error) { h.again = false })
+		if !h.isDialing {
+			h.isDialing = true
+			h.loop.Dial(h.address, now+1, nil, func(error) { h.isDialing = false })
 		}
 		return
 	}
 	if h.conn.OutboundBuffered() < 1<<16 {
-		h.conn.Write(h.ask)
+		h.conn.Write(h.request)
 	}
 }
 
 // PeersDeaf begins such a program on a machine of its own.
 func (d *day) QueryWithoutReading(sidecar int, perS, until float64) {
-	d.deaf++
-	d.peerCuts++ // a trouble that goes on
-	vm := d.net.Machine(fmt.Sprintf("10.9.0.%d", d.deaf))
+	d.stalledPeers++
+	d.activePeerFaults++ // a trouble that goes on
+	vm := d.network.Machine(fmt.Sprintf("10.9.0.%d", d.stalledPeers))
 	p := vm.Process(virtual.ProcessOptions{Name: "deaf", ReadRate: -1, OnExit: func() {
-		d.peerCuts--
-		d.troubledAt = d.net.Now()
+		d.activePeerFaults--
+		d.lastFaultAt = d.network.Now()
 	}})
-	h := &deafPeer{net: p, to: peersAddress(&d.sidecars[sidecar].spec), perS: perS, until: until}
+	h := &stalledPeer{loop: p, address: peersAddress(&d.sidecars[sidecar].spec), requestsPerSecond: perS, until: until}
 	var err error
-	if h.hello, h.ask, err = stalledpeer.Frames(fleetName, h.to); err == nil {
+	if h.hello, h.request, err = stalledpeer.Frames(fleetName, h.address); err == nil {
 		err = p.Run(h)
 	}
 	if err != nil {
@@ -265,15 +265,15 @@
 }
 
 // lookAtQueues tells the judge of what waits for peers.
-func (d *day) lookAtQueues() {
+func (d *day) checkPeerQueues() {
 	for _, s := range d.sidecars {
-		if s.proc == nil || !s.proc.IsRunning() {
+		if s.process == nil || !s.process.IsRunning() {
 			continue
 		}
-		for _, c := range s.proc.Conns() {
-			if _, peer := c.Context().(*peers.Link); peer && c.OutboundBuffered() > mostQueued && !d.long {
-				d.long = true
-				d.see(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: checker.QueueInvariant,
+		for _, c := range s.process.Conns() {
+			if _, peer := c.Context().(*peers.Link); peer && c.OutboundBuffered() > maxQueuedBytes && !d.queueReported {
+				d.queueReported = true
+				d.observeNow(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: checker.QueueInvariant,
 					Text: fmt.Sprintf("%d bytes wait for a peer that does not read", c.OutboundBuffered())})
 			}
 		}
@@ -281,41 +281,41 @@
 }
 
 // mostQueued is what may wait for one peer: the bound, and a frame.
-const mostQueued = 256<<10 + frames.MaxFrameBytes
+const maxQueuedBytes = 256<<10 + frames.MaxFrameBytes
 
 // endless is long after any day.
-const endless = 1e12
+const foreverSeconds = 1e12
 
 // Freeze has a process stand still.
 func (d *day) Suspend(sidecar int, on bool) {
 	s := d.sidecars[sidecar]
-	d.troubledAt = d.net.Now()
-	if s.proc == nil || !s.proc.IsRunning() {
+	d.lastFaultAt = d.network.Now()
+	if s.process == nil || !s.process.IsRunning() {
 		return
 	}
-	if s.frozen = on; on {
-		s.proc.Stall(endless)
+	if s.isSuspended = on; on {
+		s.process.Stall(foreverSeconds)
 	} else {
-		s.proc.EndStall()
+		s.process.EndStall()
 	}
 }
 
 // Spoil changes what a sidecar's disk holds.
 func (d *day) DamageState(sidecar int, state string) {
 	s := d.sidecars[sidecar]
-	s.spoilt = s.spoilt || state != environment.StateKept
-	if d.owners && state == environment.StateTorn && s.lives%2 == 0 {
+	s.isStateDamaged = s.isStateDamaged || state != environment.StateKept
+	if d.hasRoles && state == environment.StateTorn && s.starts%2 == 0 {
 		state = environment.StateOld
 	}
 	switch {
 	case state == environment.StateLost:
-		s.saved = coordination.SavedState{}
+		s.state = coordination.SavedState{}
 	case state == environment.StateOld:
-		if len(s.older) > 0 && s.older[0] != nil {
-			s.saved = coordination.SavedState{Data: s.older[0], IsCopy: true}
+		if len(s.oldStates) > 0 && s.oldStates[0] != nil {
+			s.state = coordination.SavedState{Data: s.oldStates[0], IsCopy: true}
 		}
-	case len(s.saved.Data) > 0:
-		s.saved.Data = s.saved.Data[:len(s.saved.Data)/2]
+	case len(s.state.Data) > 0:
+		s.state.Data = s.state.Data[:len(s.state.Data)/2]
 	}
 }
 
@@ -323,42 +323,42 @@
 
 const (
 	// agreeS after the last trouble between sidecars all hold the same, which is so.
-	agreeS = 10.0
+	convergenceSeconds = 10.0
 	// livesS is how long one must have lived and been in reach to be called dead by nobody.
-	livesS = 12.0
+	minUpSeconds = 12.0
 )
 
 // lookAtFleet tells the judge of what sidecars hold that is not so.
-func (d *day) lookAtFleet() {
-	if !d.together {
+func (d *day) checkFleet() {
+	if !d.hasFleet {
 		return
 	}
-	d.lookAtQueues()
-	now := d.net.Now()
-	if d.peerCuts > 0 {
-		d.troubledAt = now
+	d.checkPeerQueues()
+	now := d.network.Now()
+	if d.activePeerFaults > 0 {
+		d.lastFaultAt = now
 	}
-	calm := now - d.troubledAt
+	calm := now - d.lastFaultAt
 	up := 0
 	byID := map[string]*instance{} // looked up, never walked
 	seen := make([]coordination.Status, len(d.sidecars))
 	for i, s := range d.sidecars {
-		if s.proc == nil || !s.proc.IsRunning() || s.termed || s.frozen {
-			if s.downAt == 0 {
-				s.downAt, d.troubledAt, calm = now, now, 0
+		if s.process == nil || !s.process.IsRunning() || s.isTerminating || s.isSuspended {
+			if s.downSince == 0 {
+				s.downSince, d.lastFaultAt, calm = now, now, 0
 			}
 			continue
 		}
-		if s.downAt != 0 || s.upAt == 0 {
-			s.downAt, s.upAt, d.troubledAt, calm = 0, now, now, 0
+		if s.downSince != 0 || s.upSince == 0 {
+			s.downSince, s.upSince, d.lastFaultAt, calm = 0, now, now, 0
 		}
 		up++
-		seen[i] = s.fleet.Status(len(d.sidecars) * 20)
+		seen[i] = s.node.Status(len(d.sidecars) * 20)
 		byID[seen[i].ID] = s
-		d.lookForRisen(s, &seen[i])
-		d.lookForOld(s, &seen[i])
+		d.checkIncarnations(s, &seen[i])
+		d.checkTokens(s, &seen[i])
 	}
-	if calm < agreeS || d.wrong {
+	if calm < convergenceSeconds || d.fleetReported {
 		return
 	}
 	ranks := map[int]int{}
@@ -367,8 +367,8 @@
 			continue
 		}
 		wrong := func(what int32, format string, args ...any) {
-			d.wrong = true
-			d.see(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: what, Text: fmt.Sprintf(format, args...)})
+			d.fleetReported = true
+			d.observeNow(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: what, Text: fmt.Sprintf(format, args...)})
 		}
 		live := 0
 		for _, m := range seen[i].Members {
@@ -377,17 +377,17 @@
 				live++
 			case m.State == "alive" || m.State == "suspected" && o == nil:
 				wrong(checker.ViewInvariant, "%s holds %s (%s) for %s, %.1f s after the last trouble, and it is not there", s.spec.Name, m.Name, m.ID, m.State, calm)
-			case o != nil && now-o.upAt > livesS:
+			case o != nil && now-o.upSince > minUpSeconds:
 				wrong(checker.DeathInvariant, "%s holds %s for %s, %.1f s after the last trouble, and it lives", s.spec.Name, m.Name, m.State, calm)
 			}
 		}
 		if live != up || seen[i].Live != up {
 			wrong(checker.ViewInvariant, "%s knows %d that live and counts %d, of %d, %.1f s after the last trouble", s.spec.Name, live, seen[i].Live, up, calm)
 		}
-		if calm > agreeS+placedS {
+		if calm > convergenceSeconds+rankConvergenceSeconds {
 			count := up
 			if up == 1 { // one alone goes by its settings
-				if count = d.told; count == 0 {
+				if count = d.configuredSidecars; count == 0 {
 					count = len(d.sidecars)
 				}
 			}
@@ -400,35 +400,35 @@
 }
 
 // lookForRisen tells the judge of one that a process held for gone and that lives again as it was.
-func (d *day) lookForRisen(s *instance, seen *coordination.Status) {
-	if s.goneLife != s.lives {
-		s.gone, s.goneLife = map[string]uint64{}, s.lives
+func (d *day) checkIncarnations(s *instance, seen *coordination.Status) {
+	if s.goneInStart != s.starts {
+		s.goneIncarnations, s.goneInStart = map[string]uint64{}, s.starts
 	}
 	for _, m := range seen.Members {
 		if m.State == "dead" || m.State == "left" {
-			s.gone[m.ID] = m.Incarnation
-		} else if was, ok := s.gone[m.ID]; ok && m.Incarnation <= was && !d.wrong {
-			d.wrong = true
-			d.see(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: checker.IncarnationInvariant,
+			s.goneIncarnations[m.ID] = m.Incarnation
+		} else if was, ok := s.goneIncarnations[m.ID]; ok && m.Incarnation <= was && !d.fleetReported {
+			d.fleetReported = true
+			d.observeNow(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: checker.IncarnationInvariant,
 				Text: fmt.Sprintf("%s holds %s for %s by the incarnation %d by which it was gone", s.spec.Name, m.Name, m.State, m.Incarnation)})
 		}
 	}
 }
 
 // lookForOld tells the judge of one that has taken an old owner's effect.
-func (d *day) lookForOld(s *instance, seen *coordination.Status) {
-	if seen.Leases == nil || d.wrong {
+func (d *day) checkTokens(s *instance, seen *coordination.Status) {
+	if seen.Leases == nil || d.fleetReported {
 		return
 	}
 	for _, j := range seen.Leases.Roles {
 		if !slices.IsSorted(j.AcceptedTokens) {
-			d.wrong = true
-			d.see(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: checker.TokenInvariant,
+			d.fleetReported = true
+			d.observeNow(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: checker.TokenInvariant,
 				Text: fmt.Sprintf("%s has taken effects of %s under the tokens %v", s.spec.Name, j.Role, j.AcceptedTokens)})
 		}
-		d.granted = max(d.granted, j.MaxToken)
+		d.maxToken = max(d.maxToken, j.MaxToken)
 	}
 }
 
 // placedS is how long a place may take to follow what is known: the dead count for a while, and a new place must hold.
-const placedS = 12.0
+const rankConvergenceSeconds = 12.0
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -18,14 +18,14 @@
 // The quotas of days: the cities have twice what they ask for on average, the ministry a twentieth of it. What the cities leave
 // it may borrow up to its cap.
 const (
-	cityTimes     = 2.0
-	ministryTimes = 0.05
-	ministryCap   = 1.5 // times its share
-	quotaWindowS  = 5.0
+	cityTimes          = 2.0
+	ministryTimes      = 0.05
+	ministryCap        = 1.5 // times its share
+	quotaWindowSeconds = 5.0
 )
 
 // batch returns a batch at so many times the ministry's share.
-func batch(d *environment.Day, times float64) *environment.BatchSpec {
+func batchSpec(d *environment.Day, times float64) *environment.BatchSpec {
 	b := &environment.BatchSpec{RatePerSecond: times * ministryTimes * d.Clients.RatePerSecond, Organisation: "ministry"}
 	for i, c := range d.Classes {
 		if c.Effect == checker.Safe {
@@ -36,10 +36,10 @@
 }
 
 // withQuotas returns the Core of the sidecar with quotas that go by what a day's clients ask for.
-func withQuotas(d *environment.Day) (Factory, error) {
+func quotaFactory(d *environment.Day) (Factory, error) {
 	const all = cityTimes + ministryTimes
 	share := 100 * ministryTimes / all
-	tree, err := quota.NewTree([]quota.Limit{{Measure: quota.Requests, WindowSeconds: quotaWindowS, Quota: all * d.Clients.RatePerSecond * quotaWindowS}},
+	tree, err := quota.NewTree([]quota.Limit{{Measure: quota.Requests, WindowSeconds: quotaWindowSeconds, Quota: all * d.Clients.RatePerSecond * quotaWindowSeconds}},
 		[]quota.Group{{Name: "cities", Share: 100 - share, Weight: 1}, {Name: "ministry", Share: share, Weight: 1, Cap: ministryCap * share}})
 	if err != nil {
 		return nil, err
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -72,12 +72,12 @@
 }
 
 // together tells whether the sidecars of a seed's day know each other.
-func (o Options) together(seed uint64) bool {
-	return o.Factory == nil && !o.Protocol.IsThrift() && !o.Quotas && o.FleetMode.on(seed)
+func (o Options) hasFleet(seed uint64) bool {
+	return o.Factory == nil && !o.Protocol.IsThrift() && !o.Quotas && o.FleetMode.isOn(seed)
 }
 
 // usualBoxes is how many boxes a day has that is not drawn with more.
-const usualBoxes = 15
+const standardServers = 15
 
 // Ranges returns what days are drawn from.
 func (o Options) Ranges() environment.Ranges {
@@ -131,7 +131,7 @@
 func (o Options) DrawScript(seed uint64) environment.Script {
 	d := environment.Draw(seed, o.Ranges())
 	s := environment.DrawScript(&d)
-	if o.together(seed) || o.FleetMode == FleetFaultsOnly {
+	if o.hasFleet(seed) || o.FleetMode == FleetFaultsOnly {
 		environment.DrawPeerFaults(&d, &s)
 	}
 	if o.FleetMode == FleetWithMaintenance {
@@ -146,7 +146,7 @@
 var ErrInvalidScript = errors.New("script")
 
 // restS is how long after the last arrival a day goes on: requests end, links grow old and are closed.
-const restS = 14.0
+const restSeconds = 14.0
 
 // Play plays a script from its beginning to its end. An error means that the day could not be played.
 func Play(s environment.Script, o Options) (*Result, error) {
@@ -159,155 +159,155 @@
 	}
 	d.run(o.StopAtRule)
 	worked := 0
-	if d.works != nil {
-		worked = d.works.worked()
+	if d.maintenance != nil {
+		worked = d.maintenance.worked()
 	}
-	return &Result{ServersMaintained: worked, Seed: s.Seed, Hash: d.net.Hash(), Steps: d.net.Steps(), Start: d.spec.Start, SimulatedSeconds: d.net.Now() - d.spec.Start,
-		Violations: d.judge.Violations(), Report: d.judge.Report(), MaxToken: d.granted}, nil
+	return &Result{ServersMaintained: worked, Seed: s.Seed, Hash: d.network.Hash(), Steps: d.network.Steps(), Start: d.spec.Start, SimulatedSeconds: d.network.Now() - d.spec.Start,
+		Violations: d.checker.Violations(), Report: d.checker.Report(), MaxToken: d.maxToken}, nil
 }
 
 // day is a day that is being played.
 type day struct {
-	script     environment.Script
-	spec       environment.Day
-	weather    weather
-	net        *virtual.Network
-	judge      *checker.Checker
-	world      *environment.Environment
-	player     *environment.FaultInjector
-	core       Factory
-	trace      func(at float64, line string)
-	machines   []*machine
-	sidecars   []*instance
-	together   bool               // sidecars know each other
-	troubledAt float64            // when anything between them was in trouble last
-	told       int                // sidecars that the configurations speak of; 0: those that there are
-	deaf       int                // programs that asked and did not read, so far
-	long       bool               // the judge has been told of a queue
-	peerCuts   int                // ways between sidecars that are cut now
-	slow       map[[2]int]float64 // by two sidecars, the bytes a second that go from one to the other; looked up, never walked
-	wrong      bool               // the judge has been told of what they hold
-	cuts       map[[2]string]int  // by two machines: cuts that have not been mended; looked up, never walked
-	owners     bool               // one does the jobs of all
-	works      *plans             // boxes are worked on; nil: they are not
-	workOrder  dworks.Order
-	granted    uint64           // the greatest token that any has seen
-	watch      checker.Observer // is told what the judge is; nil: nobody is
+	script             environment.Script
+	spec               environment.Day
+	conditions         machineConditions
+	network            *virtual.Network
+	checker            *checker.Checker
+	environment        *environment.Environment
+	faults             *environment.FaultInjector
+	factory            Factory
+	trace              func(at float64, line string)
+	machines           []*machine
+	sidecars           []*instance
+	hasFleet           bool               // sidecars know each other
+	lastFaultAt        float64            // when anything between them was in trouble last
+	configuredSidecars int                // sidecars that the configurations speak of; 0: those that there are
+	stalledPeers       int                // programs that asked and did not read, so far
+	queueReported      bool               // the judge has been told of a queue
+	activePeerFaults   int                // ways between sidecars that are cut now
+	peerRates          map[[2]int]float64 // by two sidecars, the bytes a second that go from one to the other; looked up, never walked
+	fleetReported      bool               // the judge has been told of what they hold
+	dropCounts         map[[2]string]int  // by two machines: cuts that have not been mended; looked up, never walked
+	hasRoles           bool               // one does the jobs of all
+	maintenance        *plans             // boxes are worked on; nil: they are not
+	maintenanceOrder   dworks.Order
+	maxToken           uint64           // the greatest token that any has seen
+	observer           checker.Observer // is told what the judge is; nil: nobody is
 }
 
 func newDay(s environment.Script, o Options) (*day, error) {
-	d := &day{script: s, spec: s.Day(o.Ranges()), core: o.Factory, trace: o.Trace, cuts: map[[2]string]int{}, slow: map[[2]int]float64{}}
+	d := &day{script: s, spec: s.Day(o.Ranges()), factory: o.Factory, trace: o.Trace, dropCounts: map[[2]string]int{}, peerRates: map[[2]int]float64{}}
 	if d.spec.Protocol = o.Protocol; o.Protocol.IsThrift() {
 		d.spec.ReportsInline = false
 	}
 	if o.BatchFactor > 0 {
-		d.spec.Batch = batch(&d.spec, o.BatchFactor)
+		d.spec.Batch = batchSpec(&d.spec, o.BatchFactor)
 	}
-	if d.core == nil {
-		d.core = NewSidecar
+	if d.factory == nil {
+		d.factory = NewSidecar
 		if o.Protocol.IsThrift() {
-			d.core = NewThriftSidecar
+			d.factory = NewThriftSidecar
 		}
 	}
 	if o.Quotas {
 		var err error
-		if d.core, err = withQuotas(&d.spec); err != nil {
+		if d.factory, err = quotaFactory(&d.spec); err != nil {
 			return nil, err
 		}
 	}
-	d.together, d.owners, d.troubledAt = o.together(s.Seed), o.FleetMode == FleetWithRoles || o.FleetMode == FleetWithMaintenance, d.spec.Start
-	d.weather = drawWeather(s.Seed)
+	d.hasFleet, d.hasRoles, d.lastFaultAt = o.hasFleet(s.Seed), o.FleetMode == FleetWithRoles || o.FleetMode == FleetWithMaintenance, d.spec.Start
+	d.conditions = drawConditions(s.Seed)
 	if o.Servers > 0 { // Danger: with as much more to do, loops whose calls take as long as ever never catch up
-		d.weather.callS *= usualBoxes / float64(o.Servers)
+		d.conditions.callSeconds *= standardServers / float64(o.Servers)
 	}
-	d.net = virtual.New(s.Seed^s.NetworkSeed*0x9e3779b97f4a7c15, d.spec.Start)
-	d.net.SplitProbability = d.weather.cutShare
+	d.network = virtual.New(s.Seed^s.NetworkSeed*0x9e3779b97f4a7c15, d.spec.Start)
+	d.network.SplitProbability = d.conditions.splitProbability
 	rules := d.spec.Rules()
 	// A loop that stands still may miss a deadline, and one whose clock runs slow finds it over late.
-	rules.RequiresAnswerInTime = d.weather.everyS == 0 &&
+	rules.RequiresAnswerInTime = d.conditions.stallIntervalSeconds == 0 &&
 		!slices.ContainsFunc(s.Faults, func(t environment.Fault) bool { return t.Kind == environment.Suspend || t.Kind == environment.Clock })
 	switch {
-	case d.owners:
+	case d.hasRoles:
 		rules.MaxPollIntervalSeconds = math.Inf(1)
-	case !d.together: // waits go by how many the settings say there are
+	case !d.hasFleet: // waits go by how many the settings say there are
 		rules.MaxPollIntervalSeconds = 0.75 * float64(cmp.Or(o.ConfiguredSidecars, len(d.spec.Sidecars)))
 	}
-	d.judge = checker.New(rules)
-	var witness checker.Observer = d.judge
+	d.checker = checker.New(rules)
+	var observer checker.Observer = d.checker
 	if d.trace != nil {
-		witness = &teller{d}
+		observer = &tracingObserver{d}
 		d.traceNetwork()
 	}
-	if d.told = o.ConfiguredSidecars; o.Observer != nil {
-		witness = witnesses{witness, o.Observer}
-		d.watch = o.Observer
+	if d.configuredSidecars = o.ConfiguredSidecars; o.Observer != nil {
+		observer = observerPair{observer, o.Observer}
+		d.observer = o.Observer
 	}
-	if o.FleetMode == FleetWithMaintenance && d.together {
-		if d.works = newPlans(d); o.Maintenance != nil {
-			d.workOrder = o.Maintenance.Order
-			d.works.weigh(o.Maintenance)
+	if o.FleetMode == FleetWithMaintenance && d.hasFleet {
+		if d.maintenance = newPlans(d); o.Maintenance != nil {
+			d.maintenanceOrder = o.Maintenance.Order
+			d.maintenance.weigh(o.Maintenance)
 		} else {
-			d.works.draw()
+			d.maintenance.draw()
 		}
-		witness = witnesses{witness, d.works}
+		observer = observerPair{observer, d.maintenance}
 	}
-	d.world = environment.New(&d.spec, witness)
-	d.lay()
+	d.environment = environment.New(&d.spec, observer)
+	d.createMachines()
 	var err error
-	if d.player, err = environment.NewFaultInjector(d.world, &s, d, witness); err != nil {
+	if d.faults, err = environment.NewFaultInjector(d.environment, &s, d, observer); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidScript, err)
 	}
-	return d, d.begin()
+	return d, d.startAll()
 }
 
 // witnesses are two that are told the same.
-type witnesses [2]checker.Observer
+type observerPair [2]checker.Observer
 
-func (w witnesses) Observe(e checker.Event) {
+func (w observerPair) Observe(e checker.Event) {
 	w[0].Observe(e)
 	w[1].Observe(e)
 }
 
 // run plays the day out.
 func (d *day) run(until checker.Rule) {
-	end := d.spec.Start + d.lastComingS() + restS + d.longerS()
-	for now := d.spec.Start; now < end && !d.broken(until); {
-		next := min(now+lookEveryS, end)
-		for at, ok := d.player.Next(); ok && at <= next; at, ok = d.player.Next() {
-			d.net.RunUntil(at)
-			d.player.Advance(at)
+	end := d.spec.Start + d.lastArrivalSeconds() + restSeconds + d.extraTimeoutSeconds()
+	for now := d.spec.Start; now < end && !d.hasViolated(until); {
+		next := min(now+observationIntervalSeconds, end)
+		for at, ok := d.faults.Next(); ok && at <= next; at, ok = d.faults.Next() {
+			d.network.RunUntil(at)
+			d.faults.Advance(at)
 		}
-		d.net.RunUntil(next)
+		d.network.RunUntil(next)
 		now = next
-		d.look()
-		d.lookAtFleet()
-		if d.works != nil {
-			d.works.look()
+		d.reportDescriptors()
+		d.checkFleet()
+		if d.maintenance != nil {
+			d.maintenance.look()
 		}
 	}
-	if d.works != nil {
-		d.works.over()
+	if d.maintenance != nil {
+		d.maintenance.over()
 	}
 	if until == "" {
-		d.leftovers()
+		d.reportLeftovers()
 	}
-	d.judge.Finish(d.net.Now())
+	d.checker.Finish(d.network.Now())
 }
 
 // longerS returns how much longer than on a usual day a request that came last may take.
-func (d *day) longerS() (s float64) {
+func (d *day) extraTimeoutSeconds() (s float64) {
 	for _, c := range d.spec.Classes {
-		s = max(s, c.TotalTimeoutSeconds-usualGiveUpS)
+		s = max(s, c.TotalTimeoutSeconds-standardTimeoutSeconds)
 	}
 	return s
 }
 
 // usualGiveUpS is the longest time in which a request of a usual day must be answered.
-const usualGiveUpS = 4.5
+const standardTimeoutSeconds = 4.5
 
 // lastComingS returns when the last client comes, since the day's start: hostile ones may do so when the others have
 // ceased.
-func (d *day) lastComingS() float64 {
+func (d *day) lastArrivalSeconds() float64 {
 	last := d.spec.LengthSeconds
 	for _, t := range d.script.Faults {
 		if t.Kind == environment.BadClients || t.Kind == environment.SilentFlood {
@@ -318,11 +318,11 @@
 }
 
 // broken tells whether a rule has been broken.
-func (d *day) broken(rule checker.Rule) bool {
+func (d *day) hasViolated(rule checker.Rule) bool {
 	if rule == "" {
 		return false
 	}
-	for _, f := range d.judge.Violations() {
+	for _, f := range d.checker.Violations() {
 		if rule == AnyRule || f.Rule == rule {
 			return true
 		}
@@ -331,58 +331,58 @@
 }
 
 // lookEveryS is the time between two looks at what the processes hold.
-const lookEveryS = 0.1
+const observationIntervalSeconds = 0.1
 
 // look tells the judge how many descriptors the sidecars hold, and of accepts and dials that found none.
-func (d *day) look() {
+func (d *day) reportDescriptors() {
 	for _, s := range d.sidecars {
-		if s.proc == nil || !s.proc.IsRunning() {
+		if s.process == nil || !s.process.IsRunning() {
 			continue
 		}
-		held, most := s.proc.Descriptors()
-		if denied := s.proc.DescriptorFailures(); denied > s.denied {
-			most, s.denied = d.spec.MaxDescriptors+denied-s.denied, denied
+		held, most := s.process.Descriptors()
+		if denied := s.process.DescriptorFailures(); denied > s.reportedFailures {
+			most, s.reportedFailures = d.spec.MaxDescriptors+denied-s.reportedFailures, denied
 		}
-		if most != s.told {
-			s.told = most
-			d.see(checker.Event{Kind: checker.DescriptorsCounted, Sidecar: int32(s.number), Count: int32(max(held, most))})
+		if most != s.reportedDescriptors {
+			s.reportedDescriptors = most
+			d.observeNow(checker.Event{Kind: checker.DescriptorsCounted, Sidecar: int32(s.number), Count: int32(max(held, most))})
 		}
 	}
 }
 
 // leftovers tells the judge what sidecars still hold when the day is over.
-func (d *day) leftovers() {
+func (d *day) reportLeftovers() {
 	for _, s := range d.sidecars {
-		if s.proc == nil || !s.proc.IsRunning() {
+		if s.process == nil || !s.process.IsRunning() {
 			continue
 		}
 		held := s.program.Leftovers()
 		unsent := 0
-		for _, c := range s.proc.Conns() {
+		for _, c := range s.process.Conns() {
 			if _, peer := c.Context().(*peers.Link); !peer { // they are never at rest; what waits on them is looked at all day long
 				unsent += c.OutboundBuffered()
 			}
 		}
-		held = append(held, Leftover{"dials", beyond(s.proc.Dialing(), restingLinks)}, Leftover{"bytes that are not sent", unsent})
+		held = append(held, Leftover{"dials", excess(s.process.Dialing(), idleConns)}, Leftover{"bytes that are not sent", unsent})
 		for _, h := range held {
 			if h.Count != 0 {
-				d.see(checker.Event{Kind: checker.LeftoversCounted, Sidecar: int32(s.number), Count: int32(h.Count), Text: h.Name})
+				d.observeNow(checker.Event{Kind: checker.LeftoversCounted, Sidecar: int32(s.number), Count: int32(h.Count), Text: h.Name})
 			}
 		}
 	}
 }
 
 // see tells the judge of something that happens now.
-func (d *day) see(e checker.Event) {
-	e.At, e.Server = d.net.Now(), -1
-	d.seeAs(e)
+func (d *day) observeNow(e checker.Event) {
+	e.At, e.Server = d.network.Now(), -1
+	d.observe(e)
 }
 
 // seeAs tells it of something as it is.
-func (d *day) seeAs(e checker.Event) {
+func (d *day) observe(e checker.Event) {
 	if d.trace != nil {
-		(&teller{d}).Observe(e)
+		(&tracingObserver{d}).Observe(e)
 	} else {
-		d.judge.Observe(e)
+		d.checker.Observe(e)
 	}
 }
--- a/internal/sim/trace.go
+++ b/internal/sim/trace.go
@@ -11,20 +11,20 @@
 
 // traceNetwork has what happens in the network told, one line a step.
 func (d *day) traceNetwork() {
-	d.net.Trace = func(e virtual.Event) {
+	d.network.Trace = func(e virtual.Event) {
 		if e.Kind == virtual.AlarmFired {
 			return
 		}
 		line := e.String()
 		if len(e.Data) > 0 {
-			line += "  " + glance(e.Data)
+			line += "  " + summarize(e.Data)
 		}
 		d.trace(e.At-d.spec.Start, line)
 	}
 }
 
 // glance returns the beginning of what was written, as one line.
-func glance(data []byte) string {
+func summarize(data []byte) string {
 	first, _, _ := bytes.Cut(data, []byte("\r\n"))
 	if len(first) > 60 {
 		first = first[:60]
@@ -40,16 +40,16 @@
 }
 
 // teller shows the trace what the judge is told, and what the judge makes of it.
-type teller struct{ d *day }
+type tracingObserver struct{ day *day }
 
 // See passes an event on.
-func (t *teller) Observe(e checker.Event) {
-	d := t.d
-	at := d.net.Now() - d.spec.Start
+func (t *tracingObserver) Observe(e checker.Event) {
+	d := t.day
+	at := d.network.Now() - d.spec.Start
 	d.trace(at, "  judge: "+describe(&e))
-	before := len(d.judge.Violations())
-	d.judge.Observe(e)
-	for _, f := range d.judge.Violations()[before:] {
+	before := len(d.checker.Violations())
+	d.checker.Observe(e)
+	for _, f := range d.checker.Violations()[before:] {
 		d.trace(at, fmt.Sprintf("  BROKEN %s: %s", f.Rule, f.Reason))
 	}
 }
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/troubles_test.go
@@ -16,7 +16,7 @@
 	const seed, at = 3, 6.0
 	last := func(d *day) *instance { return d.sidecars[len(d.sidecars)-1] }
 	seen := func(d *day) (of string) {
-		for _, m := range d.sidecars[0].fleet.Status(99).Members {
+		for _, m := range d.sidecars[0].node.Status(99).Members {
 			if m.Name == last(d).spec.Name {
 				of = m.State
 			}
@@ -31,20 +31,20 @@
 		does   func(d *day) bool
 	}{
 		{"peer-slow", []environment.Fault{{Kind: environment.PeerSlow, AtSeconds: at, DurationSeconds: 4, From: []int{0}, RatePerSecond: 10}}, nil, func(d *day) bool {
-			return d.sidecars[0].fleet.Status(0).View.Accusations > 0
+			return d.sidecars[0].node.Status(0).View.Accusations > 0
 		}},
 		{"disk-full", []environment.Fault{{Kind: environment.DiskFull, AtSeconds: at, DurationSeconds: 5, Sidecars: []int{0}}}, []environment.Fault{kill}, func(d *day) bool {
-			return !d.sidecars[0].fleet.Status(0).IdentityStored
+			return !d.sidecars[0].node.Status(0).IdentityStored
 		}},
 		{"clock", []environment.Fault{{Kind: environment.Clock, AtSeconds: at, DurationSeconds: 10, Sidecars: []int{0}, ClockRate: 1.05}}, nil, func(d *day) bool {
-			ahead := d.sidecars[0].proc.Now() - d.net.Now()
+			ahead := d.sidecars[0].process.Now() - d.network.Now()
 			return ahead > 0.49 && ahead < 0.51
 		}},
 		{"grow", []environment.Fault{{Kind: environment.ScaleOut, AtSeconds: at, SidecarCount: 1}}, nil, func(d *day) bool {
-			return last(d).upAt >= d.spec.Start+at && seen(d) == "alive"
+			return last(d).upSince >= d.spec.Start+at && seen(d) == "alive"
 		}},
 		{"shrink", []environment.Fault{{Kind: environment.ScaleIn, AtSeconds: at, SidecarCount: 1}}, nil, func(d *day) bool {
-			return !last(d).proc.IsRunning() && seen(d) == "left"
+			return !last(d).process.IsRunning() && seen(d) == "left"
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -57,7 +57,7 @@
 				d, err := newDay(s, Options{FleetMode: FleetOn})
 				require.NoError(t, err)
 				d.run("")
-				assert.Empty(t, d.judge.Violations())
+				assert.Empty(t, d.checker.Violations())
 				assert.Equal(t, on, c.does(d))
 			}
 		})
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -55,7 +55,7 @@
 	case way.MaxConcurrent == 0:
 	case way.Manual:
 		w.after(weighAtS, func() {
-			cfg, err := sidecarconfig.Parse(w.d.world.StartConfiguration(0, w.d.net.Now()))
+			cfg, err := sidecarconfig.Parse(w.d.environment.StartConfiguration(0, w.d.network.Now()))
 			if err != nil {
 				panic(err) // the sidecars have read it
 			}
@@ -83,7 +83,7 @@
 // byHand takes a box out at all sidecars, has it worked on, gives it back, and goes on with the next one.
 func (w *plans) byHand(i int) {
 	if i >= w.d.spec.InitialServers {
-		w.endedAt = w.d.net.Now()
+		w.endedAt = w.d.network.Now()
 		return
 	}
 	call := func(out bool) {
@@ -93,9 +93,9 @@
 	}
 	call(true)
 	w.after(scriptEmptyS, func() {
-		w.d.player.StopServer(i, w.d.net.Now())
+		w.d.faults.StopServer(i, w.d.network.Now())
 		w.after(weighTakesS, func() {
-			w.d.player.StartServer(i, w.d.net.Now())
+			w.d.faults.StartServer(i, w.d.network.Now())
 			w.after(0.2, func() {
 				call(false)
 				w.after(w.coldS, func() { w.byHand(i + 1) })
@@ -214,9 +214,9 @@
 		return nil, err
 	}
 	played.run("")
-	w := &MaintenanceResult{TotalSeconds: math.NaN(), Violations: len(played.judge.Violations()), m: m, WorstService: 1}
+	w := &MaintenanceResult{TotalSeconds: math.NaN(), Violations: len(played.checker.Violations()), m: m, WorstService: 1}
 	end := int(lengthS)
-	if at := played.works.endedAt; at > 0 {
+	if at := played.maintenance.endedAt; at > 0 {
 		w.TotalSeconds = at - d.Start - weighAtS
 		end = int(at-d.Start) + 1
 	}
--- a/internal/sim/works.go
+++ b/internal/sim/works.go
@@ -101,28 +101,28 @@
 	}
 }
 
-func (w *plans) after(s float64, do func()) { w.d.net.Schedule(w.d.net.Now()+s, do) }
+func (w *plans) after(s float64, do func()) { w.d.network.Schedule(w.d.network.Now()+s, do) }
 
 // --- the door ---
 
 // ask gives a command at one sidecar after the other until it is answered, or for a time.
 func (w *plans) ask(cmd maintenance.Command, forS float64, then func(r maintenance.Reply, answered bool)) {
 	cmd.Nonce = w.rng.Uint64() | 1
-	until, over := w.d.net.Now()+forS, false
+	until, over := w.d.network.Now()+forS, false
 	var at func(door *instance, left float64)
 	at = func(door *instance, left float64) {
 		switch {
 		case over:
 			return
-		case w.d.net.Now() > until:
+		case w.d.network.Now() > until:
 			over = true
 			then(maintenance.Reply{}, false)
 			return
-		case left <= 0 || door.proc == nil || !door.proc.IsRunning():
+		case left <= 0 || door.process == nil || !door.process.IsRunning():
 			door, left = w.d.sidecars[w.rng.IntN(len(w.d.sidecars))], workDoorS
 		}
-		if f := door.fleet; door.proc != nil && door.proc.IsRunning() && f != nil {
-			door.proc.Post(func() {
+		if f := door.node; door.process != nil && door.process.IsRunning() && f != nil {
+			door.process.Post(func() {
 				if r, answered, err := f.SubmitMaintenance(cmd); err == nil && answered && !over {
 					over = true
 					w.after(0, func() { then(r, true) })
@@ -187,7 +187,7 @@
 
 func (w *plans) tell(format string, args ...any) {
 	if w.d.trace != nil {
-		w.d.trace(w.d.net.Now()-w.d.spec.Start, "work: "+fmt.Sprintf(format, args...))
+		w.d.trace(w.d.network.Now()-w.d.spec.Start, "work: "+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -223,16 +223,16 @@
 	if m.steady {
 		lasts = w.spec.WorkSeconds
 	}
-	now := w.d.net.Now()
+	now := w.d.network.Now()
 	if m.steady || w.rng.IntN(2) == 0 {
-		w.d.player.StopServer(i, now)
+		w.d.faults.StopServer(i, now)
 	}
 	if !m.steady && w.rng.IntN(8) == 0 { // it dies, and asks again later
 		w.after(lasts/2, func() { w.after(1+5*w.rng.Float64(), m.poll) })
 		return
 	}
 	w.after(lasts, func() {
-		w.d.player.StartServer(i, w.d.net.Now())
+		w.d.faults.StartServer(i, w.d.network.Now())
 		w.after(0.2, func() {
 			has.ended, has.failed = true, !m.steady && w.rng.IntN(20) == 0
 			w.boxes[i].worker = nil
@@ -263,7 +263,7 @@
 
 // wrong tells the judge of a break. Danger: what names no sidecar it does not take.
 func (w *plans) wrong(what int32, format string, args ...any) {
-	w.d.see(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: 0, Status: what, Text: fmt.Sprintf(format, args...)})
+	w.d.observeNow(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: 0, Status: what, Text: fmt.Sprintf(format, args...)})
 }
 
 func (w *plans) box(name string) *boxSeen {
@@ -304,12 +304,12 @@
 		return true
 	}
 	s := w.d.sidecars[sidecar]
-	return s.blind || s.unheardAt > 0 && w.d.net.Now()-s.unheardAt > 0.8*workGoneS
+	return s.startedBlind || s.isolatedSince > 0 && w.d.network.Now()-s.isolatedSince > 0.8*workGoneS
 }
 
 // started takes that a mechanic begins.
 func (w *plans) started(k *boxWork) {
-	b, now := &w.boxes[k.box], w.d.net.Now()
+	b, now := &w.boxes[k.box], w.d.network.Now()
 	w.tell("%s works on %s under %d", k.mechanic, b.name, k.token)
 	for link := range b.out { // only counted
 		if to := w.links[link]; !w.excused(b, to.sidecar) {
@@ -350,9 +350,9 @@
 
 // restart has a sidecar begin again while boxes are out, late enough for nothing else to be in the way of plans.
 func (w *plans) restart(sidecar int) {
-	now := w.d.net.Now()
+	now := w.d.network.Now()
 	if now < w.d.spec.Start+0.9*w.d.spec.LengthSeconds {
-		w.d.player.RestartSidecar(sidecar, 0.2+w.rng.Float64(), now)
+		w.d.faults.RestartSidecar(sidecar, 0.2+w.rng.Float64(), now)
 	}
 }
 
@@ -368,10 +368,10 @@
 	var latest *coordination.MaintenanceRecord
 	asked := false
 	for i, o := range w.d.sidecars {
-		if i >= 3 || o == s || o.proc == nil || !o.proc.IsRunning() || o.frozen || o.fleet == nil || w.cut(s, o) {
+		if i >= 3 || o == s || o.process == nil || !o.process.IsRunning() || o.isSuspended || o.node == nil || w.cut(s, o) {
 			continue
 		}
-		k := o.fleet.MaintenanceRecord()
+		k := o.node.MaintenanceRecord()
 		asked = true
 		if k != nil && (latest == nil || k.Epoch > latest.Epoch || k.Epoch == latest.Epoch && k.Version > latest.Version) {
 			latest = k
@@ -380,35 +380,35 @@
 	if latest != nil {
 		f.LearnMaintenance(latest)
 	}
-	s.blind, s.spoilt = !asked && (s.spoilt || s.saved.Data == nil), false
+	s.startedBlind, s.isStateDamaged = !asked && (s.isStateDamaged || s.state.Data == nil), false
 }
 
 // cut tells whether two sidecars don't reach each other.
 func (w *plans) cut(a, b *instance) bool {
 	to, from := [2]string{a.spec.IP, b.spec.IP}, [2]string{b.spec.IP, a.spec.IP}
-	return w.d.cuts[to] > 0 || w.d.cuts[from] > 0
+	return w.d.dropCounts[to] > 0 || w.d.dropCounts[from] > 0
 }
 
 // look takes what is agreed now, and who is not heard.
 func (w *plans) look() {
-	now := w.d.net.Now()
+	now := w.d.network.Now()
 	for _, s := range w.d.sidecars {
 		heard := 0
 		for _, o := range w.d.sidecars {
-			if o != s && o.proc != nil && o.proc.IsRunning() && !o.frozen && !w.cut(s, o) {
+			if o != s && o.process != nil && o.process.IsRunning() && !o.isSuspended && !w.cut(s, o) {
 				heard++
 			}
 		}
-		up := s.proc != nil && s.proc.IsRunning() && !s.frozen
+		up := s.process != nil && s.process.IsRunning() && !s.isSuspended
 		if up && 2*heard >= len(w.d.sidecars)-1 {
-			s.unheardAt = 0
-		} else if s.unheardAt == 0 {
-			s.unheardAt = now
+			s.isolatedSince = 0
+		} else if s.isolatedSince == 0 {
+			s.isolatedSince = now
 		}
-		if !up || s.fleet == nil {
+		if !up || s.node == nil {
 			continue
 		}
-		if k := s.fleet.MaintenanceRecord(); k != nil && (k.Epoch > w.epoch || k.Epoch == w.epoch && k.Version > w.version) {
+		if k := s.node.MaintenanceRecord(); k != nil && (k.Epoch > w.epoch || k.Epoch == w.epoch && k.Version > w.version) {
 			if state, err := maintenance.Decode(k.Body); err == nil {
 				w.epoch, w.version, w.latest = k.Epoch, k.Version, state
 				w.counts()
@@ -423,10 +423,10 @@
 func (w *plans) counts() {
 	if w.weighed == nil && w.rng.IntN(25) == 0 { // whoever settles the order ends at one of its steps
 		for i, s := range w.d.sidecars {
-			if s.proc == nil || !s.proc.IsRunning() || s.fleet == nil {
+			if s.process == nil || !s.process.IsRunning() || s.node == nil {
 				continue
 			}
-			if seen, err := s.fleet.MaintenanceStatus(); err == nil && seen.Holder == s.spec.Name {
+			if seen, err := s.node.MaintenanceStatus(); err == nil && seen.Holder == s.spec.Name {
 				w.restart(i)
 				break
 			}
@@ -436,7 +436,7 @@
 	for i := range w.latest.Plans {
 		p := &w.latest.Plans[i]
 		if w.weighed != nil && p.Ended && w.endedAt == 0 {
-			w.endedAt = w.d.net.Now()
+			w.endedAt = w.d.network.Now()
 		}
 		at, sites := 0, map[string]int{}
 		stages := make([]byte, 0, len(p.Servers))
