--- a/internal/sim/lists.go
+++ b/internal/sim/lists.go
@@ -91,90 +91,90 @@
 const settledSeconds = 15.0
 
 // MeanWatches returns how many there were on the average, once the day had run for settledS.
-func (w *ListObserver) MeanWatches() float64 {
-	if w.lastAt <= w.startedAt+settledSeconds {
+func (l *ListObserver) MeanWatches() float64 {
+	if l.lastAt <= l.startedAt+settledSeconds {
 		return 0
 	}
-	return w.watchSeconds / (w.lastAt - w.startedAt - settledSeconds)
+	return l.watchSeconds / (l.lastAt - l.startedAt - settledSeconds)
 }
 
 // See takes an event.
-func (w *ListObserver) Observe(e checker.Event) {
-	if w.startedAt == 0 {
-		w.startedAt, w.lastAt = e.At, e.At
+func (l *ListObserver) Observe(e checker.Event) {
+	if l.startedAt == 0 {
+		l.startedAt, l.lastAt = e.At, e.At
 	}
-	if from := max(w.lastAt, w.startedAt+settledSeconds); e.At > from {
-		w.watchSeconds += float64(w.watching) * (e.At - from)
-		w.MaxWatches = max(w.MaxWatches, w.watching)
+	if from := max(l.lastAt, l.startedAt+settledSeconds); e.At > from {
+		l.watchSeconds += float64(l.watching) * (e.At - from)
+		l.MaxWatches = max(l.MaxWatches, l.watching)
 	}
-	w.lastAt = max(w.lastAt, e.At)
+	l.lastAt = max(l.lastAt, e.At)
 	switch e.Kind {
 	case checker.DiscoveryCalled:
-		w.Calls++
+		l.Calls++
 	case checker.WatchOpened:
-		w.watching++
+		l.watching++
 	case checker.WatchClosed:
-		w.watching--
+		l.watching--
 	case checker.ListChanged:
-		w.handleChange(&e)
+		l.handleChange(&e)
 	case checker.EntryDelivered, checker.EntryRelayed:
-		w.handleDelivery(&e)
+		l.handleDelivery(&e)
 	case checker.SidecarStarted:
-		p := w.recipient(e.Sidecar)
+		p := l.recipient(e.Sidecar)
 		*p = listRecipient{isUp: true}
 	case checker.SidecarKilled, checker.SidecarTerminating, checker.SidecarExited, checker.SidecarSuspended:
-		w.recipient(e.Sidecar).isUp = e.Kind == checker.SidecarSuspended
-		for i := range w.pending {
-			w.stopWaiting(i, e.Sidecar)
+		l.recipient(e.Sidecar).isUp = e.Kind == checker.SidecarSuspended
+		for i := range l.pending {
+			l.stopWaiting(i, e.Sidecar)
 		}
 	}
 }
 
-func (w *ListObserver) recipient(sidecar int32) *listRecipient {
-	for int(sidecar) >= len(w.recipients) {
-		w.recipients = append(w.recipients, listRecipient{})
+func (l *ListObserver) recipient(sidecar int32) *listRecipient {
+	for int(sidecar) >= len(l.recipients) {
+		l.recipients = append(l.recipients, listRecipient{})
 	}
-	return &w.recipients[sidecar]
+	return &l.recipients[sidecar]
 }
 
-func (w *ListObserver) handleChange(e *checker.Event) {
+func (l *ListObserver) handleChange(e *checker.Event) {
 	o := pendingList{index: e.ListIndex, changedAt: e.At}
-	for _, p := range w.recipients {
+	for _, p := range l.recipients {
 		o.isWaiting = append(o.isWaiting, p.isUp)
 		if p.isUp {
 			o.waiting++
 		}
 	}
 	if o.waiting > 0 {
-		w.pending = append(w.pending, o)
+		l.pending = append(l.pending, o)
 	}
 }
 
 // close has a sidecar not waited for any more.
-func (w *ListObserver) stopWaiting(i int, sidecar int32) bool {
-	o := &w.pending[i]
+func (l *ListObserver) stopWaiting(i int, sidecar int32) bool {
+	o := &l.pending[i]
 	if int(sidecar) >= len(o.isWaiting) || !o.isWaiting[sidecar] {
 		return false
 	}
 	o.isWaiting[sidecar] = false
 	if o.waiting--; o.waiting == 0 && o.slowest > 0 {
-		w.SlowestDelays = append(w.SlowestDelays, o.slowest)
+		l.SlowestDelays = append(l.SlowestDelays, o.slowest)
 	}
 	return true
 }
 
-func (w *ListObserver) handleDelivery(e *checker.Event) {
-	p := w.recipient(e.Sidecar)
+func (l *ListObserver) handleDelivery(e *checker.Event) {
+	p := l.recipient(e.Sidecar)
 	if e.ListIndex <= p.index {
 		return
 	}
 	p.index = e.ListIndex
-	for i := range w.pending {
-		if o := &w.pending[i]; o.index <= e.ListIndex && int(e.Sidecar) < len(o.isWaiting) && o.isWaiting[e.Sidecar] {
+	for i := range l.pending {
+		if o := &l.pending[i]; o.index <= e.ListIndex && int(e.Sidecar) < len(o.isWaiting) && o.isWaiting[e.Sidecar] {
 			o.slowest = max(o.slowest, e.At-o.changedAt)
-			w.Delays = append(w.Delays, e.At-o.changedAt)
-			w.stopWaiting(i, e.Sidecar)
+			l.Delays = append(l.Delays, e.At-o.changedAt)
+			l.stopWaiting(i, e.Sidecar)
 		}
 	}
-	w.pending = slices.DeleteFunc(w.pending, func(o pendingList) bool { return o.waiting == 0 })
+	l.pending = slices.DeleteFunc(l.pending, func(o pendingList) bool { return o.waiting == 0 })
 }
--- a/internal/sim/peers.go
+++ b/internal/sim/peers.go
@@ -52,20 +52,20 @@
 	node    *coordination.Node
 }
 
-func (k fleetProgram) Start()                            { k.handler.Start() }
-func (k fleetProgram) Open(c netio.Conn) bool            { return k.handler.Open(c) }
-func (k fleetProgram) Traffic(c netio.Conn, data []byte) { k.handler.Traffic(c, data) }
-func (k fleetProgram) Closed(c netio.Conn, err error)    { k.handler.Closed(c, err) }
-func (k fleetProgram) Alarm()                            { k.handler.Alarm() }
+func (p fleetProgram) Start()                            { p.handler.Start() }
+func (p fleetProgram) Open(c netio.Conn) bool            { return p.handler.Open(c) }
+func (p fleetProgram) Traffic(c netio.Conn, data []byte) { p.handler.Traffic(c, data) }
+func (p fleetProgram) Closed(c netio.Conn, err error)    { p.handler.Closed(c, err) }
+func (p fleetProgram) Alarm()                            { p.handler.Alarm() }
 
 // Drain has the others told, too.
-func (k fleetProgram) Drain() {
-	k.core.Drain()
-	k.node.CheckShutdown()
+func (p fleetProgram) Drain() {
+	p.core.Drain()
+	p.node.CheckShutdown()
 }
 
 // Held leaves out the links to peers, which are none of the sidecar's.
-func (k fleetProgram) Leftovers() []Leftover { return k.core.Leftovers() }
+func (p fleetProgram) Leftovers() []Leftover { return p.core.Leftovers() }
 
 const (
 	peersPort = "7946"
@@ -138,7 +138,7 @@
 		}
 		f.UseStore(simulatedDisk{s, loop, 0.02 * rng.Float64()}, s.state)
 		if d.maintenance != nil {
-			d.maintenance.began(s, f)
+			d.maintenance.restoreRecord(s, f)
 		}
 		sc.ReserveDescriptors(peers.Descriptors(links))
 		s.node = f
@@ -214,34 +214,34 @@
 	isDialing         bool
 }
 
-func (h *stalledPeer) Start() { h.Alarm() }
+func (p *stalledPeer) Start() { p.Alarm() }
 
-func (h *stalledPeer) Open(c netio.Conn) bool {
-	h.conn = c
-	c.Write(h.hello)
+func (p *stalledPeer) Open(c netio.Conn) bool {
+	p.conn = c
+	c.Write(p.hello)
 	return true
 }
 
-func (h *stalledPeer) Traffic(netio.Conn, []byte)     {}
-func (h *stalledPeer) Closed(c netio.Conn, err error) { h.conn = nil }
+func (p *stalledPeer) Traffic(netio.Conn, []byte)     {}
+func (p *stalledPeer) Closed(c netio.Conn, err error) { p.conn = nil }
 
 // Alarm asks, or dials again.
-func (h *stalledPeer) Alarm() {
-	now := h.loop.Now()
-	if now >= h.until {
-		h.loop.Stop()
+func (p *stalledPeer) Alarm() {
+	now := p.loop.Now()
+	if now >= p.until {
+		p.loop.Stop()
 		return
 	}
-	h.loop.SetAlarm(now + 1/h.requestsPerSecond)
-	if h.conn == nil {
-		if !h.isDialing {
-			h.isDialing = true
-			h.loop.Dial(h.address, now+1, nil, func(error) { h.isDialing = false })
+	p.loop.SetAlarm(now + 1/p.requestsPerSecond)
+	if p.conn == nil {
+		if !p.isDialing {
+			p.isDialing = true
+			p.loop.Dial(p.address, now+1, nil, func(error) { p.isDialing = false })
 		}
 		return
 	}
-	if h.conn.OutboundBuffered() < 1<<16 {
-		h.conn.Write(h.request)
+	if p.conn.OutboundBuffered() < 1<<16 {
+		p.conn.Write(p.request)
 	}
 }
 
--- a/internal/sim/plain.go
+++ b/internal/sim/plain.go
@@ -42,10 +42,10 @@
 // the decisions is measured against it.
 func PlainBalancer(choose Selector) Factory {
 	return func(cfg sidecarconfig.Config, net netio.EventLoop, _ *slog.Logger) (Program, error) {
-		p := &plain{cfg: cfg, net: net, choose: choose, rng: rand.New(rand.NewPCG(cfg.Seed, 0x706c61696e)),
-			hosts: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), out: map[uint32]int{}, idle: map[uint32][]*plainLink{}}
+		p := &plainBalancer{cfg: cfg, loop: net, selectServer: choose, rng: rand.New(rand.NewPCG(cfg.Seed, 0x706c61696e)),
+			endpoints: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), outstanding: map[uint32]int{}, idle: map[uint32][]*plainConn{}}
 		if len(cfg.Known) > 0 {
-			if err := p.list(cfg.Known); err != nil {
+			if err := p.applyList(cfg.Known); err != nil {
 				return nil, err
 			}
 		}
@@ -54,111 +54,111 @@
 }
 
 // plain is a plain balancer.
-type plain struct {
-	cfg      sidecarconfig.Config
-	net      netio.EventLoop
-	choose   Selector
-	rng      *rand.Rand
-	hosts    *endpointset.Set
-	serving  []uint32
-	out      map[uint32]int // looked up, never walked
-	idle     map[uint32][]*plainLink
-	clients  []*plainLink
-	due      []*plainAsk // in no order
-	scratch  []byte
-	draining bool
-	rewatch  float64 // when the watch is begun again; 0: it is up
-	leaveAt  float64
+type plainBalancer struct {
+	cfg          sidecarconfig.Config
+	loop         netio.EventLoop
+	selectServer Selector
+	rng          *rand.Rand
+	endpoints    *endpointset.Set
+	serving      []uint32
+	outstanding  map[uint32]int // looked up, never walked
+	idle         map[uint32][]*plainConn
+	clients      []*plainConn
+	pending      []*plainRequest // in no order
+	scratch      []byte
+	isDraining   bool
+	watchRetryAt float64 // when the watch is begun again; 0: it is up
+	minStopAt    float64
 }
 
 var plainLimits = http1.Limits{HeadBytes: 16 << 10, BufferedBodyBytes: 8 << 20}
 
 // plainLink is a connection of any kind.
-type plainLink struct {
-	conn   netio.Conn
-	kind   plainKind
-	buf    http1.Buffer
-	asks   http1.RequestParser
-	answer http1.ResponseParser
-	ask    *plainAsk
-	host   uint32
+type plainConn struct {
+	conn     netio.Conn
+	kind     plainConnKind
+	buf      http1.Buffer
+	request  http1.RequestParser
+	response http1.ResponseParser
+	current  *plainRequest
+	server   uint32
 }
 
-type plainKind uint8
+type plainConnKind uint8
 
 const (
-	plainClient plainKind = iota
+	plainClient plainConnKind = iota
 	plainServer
 	plainWatch
 )
 
 // plainAsk is a request that is out.
-type plainAsk struct {
-	client *plainLink
-	server *plainLink
-	cancel func()
-	host   uint32
-	until  float64
-	text   []byte
+type plainRequest struct {
+	client   *plainConn
+	server   *plainConn
+	cancel   func()
+	serverID uint32
+	deadline float64
+	text     []byte
 }
 
-func (p *plain) Start() {
-	p.watch()
-	p.net.SetAlarm(p.net.Now() + plainTickS)
+func (p *plainBalancer) Start() {
+	p.openWatch()
+	p.loop.SetAlarm(p.loop.Now() + plainTickSeconds)
 }
 
 // plainTickS is the time between two looks for requests whose time is over.
-const plainTickS = 0.01
+const plainTickSeconds = 0.01
 
-func (p *plain) Do(f func())           { p.net.Post(f) }
-func (p *plain) Leftovers() []Leftover { return nil }
+func (p *plainBalancer) Do(f func())           { p.loop.Post(f) }
+func (p *plainBalancer) Leftovers() []Leftover { return nil }
 
 // Offline and Online say no: there is no door.
-func (p *plain) CordonServer(string) error   { return errors.ErrUnsupported }
-func (p *plain) UncordonServer(string) error { return errors.ErrUnsupported }
+func (p *plainBalancer) CordonServer(string) error   { return errors.ErrUnsupported }
+func (p *plainBalancer) UncordonServer(string) error { return errors.ErrUnsupported }
 
-func (p *plain) Reload(c sidecarconfig.Config, err error) {
+func (p *plainBalancer) Reload(c sidecarconfig.Config, err error) {
 	if err == nil && c.Discovery != p.cfg.Discovery {
 		p.cfg.Discovery = c.Discovery
-		p.hosts.ForgetIndex()
-		p.rewatch = p.net.Now()
+		p.endpoints.ForgetIndex()
+		p.watchRetryAt = p.loop.Now()
 	}
 }
 
 // Drain has the balancer end once all is answered, at the earliest when clients have ceased to come.
-func (p *plain) Drain() { p.draining, p.leaveAt = true, p.net.Now()+0.6 }
+func (p *plainBalancer) Drain() { p.isDraining, p.minStopAt = true, p.loop.Now()+0.6 }
 
-func (p *plain) Alarm() {
-	now := p.net.Now()
-	for i := 0; i < len(p.due); {
-		if a := p.due[i]; a.until <= now {
+func (p *plainBalancer) Alarm() {
+	now := p.loop.Now()
+	for i := 0; i < len(p.pending); {
+		if a := p.pending[i]; a.deadline <= now {
 			p.finish(a, 504, nil, false)
 		} else {
 			i++
 		}
 	}
-	if p.rewatch > 0 && p.rewatch <= now {
-		p.watch()
+	if p.watchRetryAt > 0 && p.watchRetryAt <= now {
+		p.openWatch()
 	}
-	if p.draining && now >= p.leaveAt && len(p.due) == 0 {
-		p.net.Stop()
+	if p.isDraining && now >= p.minStopAt && len(p.pending) == 0 {
+		p.loop.Stop()
 		return
 	}
-	p.net.SetAlarm(now + plainTickS)
+	p.loop.SetAlarm(now + plainTickSeconds)
 }
 
-func (p *plain) watch() {
-	p.rewatch = 0
-	l := &plainLink{kind: plainWatch, answer: http1.NewResponseParser(plainLimits)}
-	p.net.Dial(p.cfg.Discovery, p.net.Now()+1, l, func(err error) {
+func (p *plainBalancer) openWatch() {
+	p.watchRetryAt = 0
+	l := &plainConn{kind: plainWatch, response: http1.NewResponseParser(plainLimits)}
+	p.loop.Dial(p.cfg.Discovery, p.loop.Now()+1, l, func(err error) {
 		if err != nil {
-			p.rewatch = p.net.Now() + 1
+			p.watchRetryAt = p.loop.Now() + 1
 		}
 	})
 }
 
-func (p *plain) list(raw []byte) error {
-	snapshot, infos, err := p.hosts.Apply(raw, p.net.Now())
+func (p *plainBalancer) applyList(raw []byte) error {
+	snapshot, infos, err := p.endpoints.Apply(raw, p.loop.Now())
 	if err != nil {
 		return err
 	}
@@ -177,10 +177,10 @@
 	return nil
 }
 
-func (p *plain) Open(c netio.Conn) bool {
-	l, dialed := c.Context().(*plainLink)
+func (p *plainBalancer) Open(c netio.Conn) bool {
+	l, dialed := c.Context().(*plainConn)
 	if !dialed {
-		l = &plainLink{kind: plainClient, asks: http1.NewRequestParser(plainLimits)}
+		l = &plainConn{kind: plainClient, request: http1.NewRequestParser(plainLimits)}
 		c.SetContext(l)
 	}
 	l.conn = c
@@ -190,131 +190,131 @@
 	case plainWatch:
 		_, _ = c.Write(http1.AppendRequest(nil, "GET", "/v1/endpoints?follow=1", http1.Header{{Name: "Host", Value: "discovery"}}, nil))
 	case plainServer:
-		if l.ask != nil {
-			_, _ = c.Write(l.ask.text)
+		if l.current != nil {
+			_, _ = c.Write(l.current.text)
 		}
 	}
 	return true
 }
 
-func (p *plain) Traffic(c netio.Conn, data []byte) {
-	l := c.Context().(*plainLink)
+func (p *plainBalancer) Traffic(c netio.Conn, data []byte) {
+	l := c.Context().(*plainConn)
 	l.buf.Write(data)
 	switch l.kind {
 	case plainClient:
-		p.read(l)
+		p.handleRequests(l)
 	case plainWatch:
-		done, err := l.answer.Next(&l.buf)
+		done, err := l.response.Next(&l.buf)
 		for err == nil {
-			line, rest, ok := bytes.Cut(l.answer.Body, []byte{'\n'})
+			line, rest, ok := bytes.Cut(l.response.Body, []byte{'\n'})
 			if !ok {
 				break
 			}
-			if l.answer.Body = rest; len(bytes.TrimSpace(line)) > 0 {
-				err = p.list(line)
+			if l.response.Body = rest; len(bytes.TrimSpace(line)) > 0 {
+				err = p.applyList(line)
 			}
 		}
 		if done || err != nil {
-			p.net.Close(c)
+			p.loop.Close(c)
 		}
 	case plainServer:
-		a := l.ask
+		a := l.current
 		if a == nil {
-			p.net.Close(c)
+			p.loop.Close(c)
 			return
 		}
-		if done, err := l.answer.Next(&l.buf); err != nil {
+		if done, err := l.response.Next(&l.buf); err != nil {
 			p.finish(a, 502, nil, false)
 		} else if done {
-			p.finish(a, l.answer.Status, l.answer.Body, l.answer.IsPersistent() && l.buf.Len() == 0)
+			p.finish(a, l.response.Status, l.response.Body, l.response.IsPersistent() && l.buf.Len() == 0)
 		}
 	}
 }
 
 // read takes up the next request of a client.
-func (p *plain) read(l *plainLink) {
-	for l.conn != nil && l.ask == nil {
-		whole, err := l.asks.Next(&l.buf)
+func (p *plainBalancer) handleRequests(l *plainConn) {
+	for l.conn != nil && l.current == nil {
+		whole, err := l.request.Next(&l.buf)
 		if err != nil {
-			p.net.Close(l.conn)
+			p.loop.Close(l.conn)
 			return
 		}
 		if !whole {
 			return
 		}
-		r := &l.asks
+		r := &l.request
 		if r.Target == "/ready" {
-			p.say(l, 200, nil)
+			p.respond(l, 200, nil)
 		} else if len(p.serving) == 0 {
-			p.say(l, 503, nil)
+			p.respond(l, 503, nil)
 		} else {
-			p.send(l, r)
+			p.forward(l, r)
 		}
 		r.Release()
 	}
 }
 
-func (p *plain) send(l *plainLink, r *http1.RequestParser) {
-	host := p.choose(p.rng, p.serving, func(box uint32) int { return p.out[box] })
-	a := &plainAsk{client: l, host: host, until: p.net.Now() + 3, text: http1.AppendRequest(nil, r.Method, r.Target, r.Header.EndToEnd(), r.Body)}
-	l.ask = a
-	p.out[host]++
-	p.due = append(p.due, a)
+func (p *plainBalancer) forward(l *plainConn, r *http1.RequestParser) {
+	host := p.selectServer(p.rng, p.serving, func(box uint32) int { return p.outstanding[box] })
+	a := &plainRequest{client: l, serverID: host, deadline: p.loop.Now() + 3, text: http1.AppendRequest(nil, r.Method, r.Target, r.Header.EndToEnd(), r.Body)}
+	l.current = a
+	p.outstanding[host]++
+	p.pending = append(p.pending, a)
 	for idle := p.idle[host]; len(idle) > 0; idle = p.idle[host] {
 		s := idle[len(idle)-1]
 		p.idle[host] = idle[:len(idle)-1]
-		if p.net.NothingToRead(s.conn) {
-			s.ask, a.server = a, s
-			s.answer = http1.NewResponseParser(plainLimits)
+		if p.loop.NothingToRead(s.conn) {
+			s.current, a.server = a, s
+			s.response = http1.NewResponseParser(plainLimits)
 			_, _ = s.conn.Write(a.text)
 			return
 		}
-		p.net.Close(s.conn)
+		p.loop.Close(s.conn)
 	}
-	s := &plainLink{kind: plainServer, host: host, ask: a, answer: http1.NewResponseParser(plainLimits)}
+	s := &plainConn{kind: plainServer, server: host, current: a, response: http1.NewResponseParser(plainLimits)}
 	a.server = s
-	a.cancel = p.net.Dial(p.hosts.Host(host).Address, p.net.Now()+p.cfg.Settings.ConnectTimeoutS, s, func(err error) {
-		if a.cancel = nil; err != nil && s.ask != nil {
-			p.finish(s.ask, 502, nil, false)
+	a.cancel = p.loop.Dial(p.endpoints.Host(host).Address, p.loop.Now()+p.cfg.Settings.ConnectTimeoutS, s, func(err error) {
+		if a.cancel = nil; err != nil && s.current != nil {
+			p.finish(s.current, 502, nil, false)
 		}
 	})
 }
 
 // finish ends a request with an answer. Its server's connection is kept where keep says so.
-func (p *plain) finish(a *plainAsk, status int, body []byte, keep bool) {
-	if i := slices.Index(p.due, a); i >= 0 {
-		p.due = slices.Delete(p.due, i, i+1)
+func (p *plainBalancer) finish(a *plainRequest, status int, body []byte, keep bool) {
+	if i := slices.Index(p.pending, a); i >= 0 {
+		p.pending = slices.Delete(p.pending, i, i+1)
 	}
-	p.out[a.host]--
+	p.outstanding[a.serverID]--
 	if s := a.server; s != nil {
-		s.ask = nil
+		s.current = nil
 		switch {
 		case a.cancel != nil:
 			a.cancel()
 		case s.conn == nil:
 		case keep:
-			p.idle[s.host] = append(p.idle[s.host], s)
+			p.idle[s.server] = append(p.idle[s.server], s)
 		default:
-			p.net.Close(s.conn)
+			p.loop.Close(s.conn)
 		}
 	}
 	if l := a.client; l.conn != nil {
-		l.ask = nil
-		p.say(l, status, body)
-		p.read(l)
+		l.current = nil
+		p.respond(l, status, body)
+		p.handleRequests(l)
 	}
 }
 
-func (p *plain) say(l *plainLink, status int, body []byte) {
+func (p *plainBalancer) respond(l *plainConn, status int, body []byte) {
 	p.scratch = http1.AppendResponse(p.scratch[:0], status, nil, body)
 	_, _ = l.conn.Write(p.scratch)
 }
 
-func (p *plain) Closed(c netio.Conn, err error) {
-	l := c.Context().(*plainLink)
+func (p *plainBalancer) Closed(c netio.Conn, err error) {
+	l := c.Context().(*plainConn)
 	l.conn = nil
-	a := l.ask
-	l.ask = nil
+	a := l.current
+	l.current = nil
 	switch l.kind {
 	case plainClient:
 		if i := slices.Index(p.clients, l); i >= 0 {
@@ -324,10 +324,10 @@
 			p.finish(a, 502, nil, false)
 		}
 	case plainWatch:
-		p.rewatch = p.net.Now() + 1
+		p.watchRetryAt = p.loop.Now() + 1
 	case plainServer:
-		if i := slices.Index(p.idle[l.host], l); i >= 0 {
-			p.idle[l.host] = slices.Delete(p.idle[l.host], i, i+1)
+		if i := slices.Index(p.idle[l.server], l); i >= 0 {
+			p.idle[l.server] = slices.Delete(p.idle[l.server], i, i+1)
 		}
 		if a != nil {
 			p.finish(a, 502, nil, false)
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -160,7 +160,7 @@
 	d.run(o.StopAtRule)
 	worked := 0
 	if d.maintenance != nil {
-		worked = d.maintenance.worked()
+		worked = d.maintenance.completedWorks()
 	}
 	return &Result{ServersMaintained: worked, Seed: s.Seed, Hash: d.network.Hash(), Steps: d.network.Steps(), Start: d.spec.Start, SimulatedSeconds: d.network.Now() - d.spec.Start,
 		Violations: d.checker.Violations(), Report: d.checker.Report(), MaxToken: d.maxToken}, nil
@@ -189,7 +189,7 @@
 	fleetReported      bool               // the judge has been told of what they hold
 	dropCounts         map[[2]string]int  // by two machines: cuts that have not been mended; looked up, never walked
 	hasRoles           bool               // one does the jobs of all
-	maintenance        *plans             // boxes are worked on; nil: they are not
+	maintenance        *maintenanceDriver // boxes are worked on; nil: they are not
 	maintenanceOrder   dworks.Order
 	maxToken           uint64           // the greatest token that any has seen
 	observer           checker.Observer // is told what the judge is; nil: nobody is
@@ -243,11 +243,11 @@
 		d.observer = o.Observer
 	}
 	if o.FleetMode == FleetWithMaintenance && d.hasFleet {
-		if d.maintenance = newPlans(d); o.Maintenance != nil {
+		if d.maintenance = newMaintenanceDriver(d); o.Maintenance != nil {
 			d.maintenanceOrder = o.Maintenance.Order
-			d.maintenance.weigh(o.Maintenance)
+			d.maintenance.scheduleStrategy(o.Maintenance)
 		} else {
-			d.maintenance.draw()
+			d.maintenance.scheduleRandom()
 		}
 		observer = observerPair{observer, d.maintenance}
 	}
@@ -263,9 +263,9 @@
 // witnesses are two that are told the same.
 type observerPair [2]checker.Observer
 
-func (w observerPair) Observe(e checker.Event) {
-	w[0].Observe(e)
-	w[1].Observe(e)
+func (p observerPair) Observe(e checker.Event) {
+	p[0].Observe(e)
+	p[1].Observe(e)
 }
 
 // run plays the day out.
@@ -282,11 +282,11 @@
 		d.reportDescriptors()
 		d.checkFleet()
 		if d.maintenance != nil {
-			d.maintenance.look()
+			d.maintenance.observeFleet()
 		}
 	}
 	if d.maintenance != nil {
-		d.maintenance.over()
+		d.maintenance.checkRecords()
 	}
 	if until == "" {
 		d.reportLeftovers()
--- a/internal/sim/weigh.go
+++ b/internal/sim/weigh.go
@@ -40,115 +40,115 @@
 
 // What a weighed plan is.
 const (
-	weighAtS    = 15.0 // since the day's start
-	weighTakesS = 5.0
+	planStartSeconds = 15.0 // since the day's start
+	planWorkSeconds  = 5.0
 	// A script knows nothing of what is out or cold: it waits for as long as requests may take, and as boxes are cold.
-	scriptEmptyS = 10.0
-	weighMost    = 0.4 // whoever gives a plan there knows what they refuse
-	edgeLoad     = 0.8 // part of the capacity beyond which fleets here refuse by themselves
+	manualDrainSeconds = 10.0
+	planMaxRejection   = 0.4 // whoever gives a plan there knows what they refuse
+	overloadThreshold  = 0.8 // part of the capacity beyond which fleets here refuse by themselves
 )
 
 // weigh has all boxes be worked on in one way.
-func (w *plans) weigh(way *MaintenanceStrategy) {
-	w.weighed = way
+func (d *maintenanceDriver) scheduleStrategy(strategy *MaintenanceStrategy) {
+	d.strategy = strategy
 	switch {
-	case way.MaxConcurrent == 0:
-	case way.Manual:
-		w.after(weighAtS, func() {
-			cfg, err := sidecarconfig.Parse(w.d.environment.StartConfiguration(0, w.d.network.Now()))
+	case strategy.MaxConcurrent == 0:
+	case strategy.Manual:
+		d.after(planStartSeconds, func() {
+			cfg, err := sidecarconfig.Parse(d.day.environment.StartConfiguration(0, d.day.network.Now()))
 			if err != nil {
 				panic(err) // the sidecars have read it
 			}
-			w.coldS = cfg.Settings.Policy.SlowStartSeconds
-			w.byHand(0)
+			d.slowStartSeconds = cfg.Settings.Policy.SlowStartSeconds
+			d.maintainManually(0)
 		})
 	default:
-		w.spec = maintenance.Spec{WorkSeconds: weighTakesS, QuietSeconds: 1, DeadMemberSeconds: workGoneS, RejectionBudget: 0.1, MaxRejection: weighMost, MinCapacity: 0.6}
-		for i := range way.MaxConcurrent {
-			m := &mechanic{w: w, name: fmt.Sprint("mechanic-", i), steady: true}
-			w.mechanics = append(w.mechanics, m)
-			w.after(weighAtS-1, m.poll)
+		d.spec = maintenance.Spec{WorkSeconds: planWorkSeconds, QuietSeconds: 1, DeadMemberSeconds: deadMemberSeconds, RejectionBudget: 0.1, MaxRejection: planMaxRejection, MinCapacity: 0.6}
+		for i := range strategy.MaxConcurrent {
+			m := &simulatedAgent{driver: d, name: fmt.Sprint("mechanic-", i), isReliable: true}
+			d.agents = append(d.agents, m)
+			d.after(planStartSeconds-1, m.poll)
 		}
-		w.after(weighAtS, func() {
-			s := w.spec
-			s.Name, s.MaxConcurrent, s.MaxPerSite = "all", way.MaxConcurrent, way.MaxPerSite
-			for i := range w.d.spec.InitialServers {
-				s.Servers = append(s.Servers, w.boxes[i].name)
+		d.after(planStartSeconds, func() {
+			s := d.spec
+			s.Name, s.MaxConcurrent, s.MaxPerSite = "all", strategy.MaxConcurrent, strategy.MaxPerSite
+			for i := range d.day.spec.InitialServers {
+				s.Servers = append(s.Servers, d.servers[i].name)
 			}
-			w.ask(maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &s}, 60, func(r maintenance.Reply, answered bool) { w.tell("%d %s, %t", r.Plan, r.Err, answered) })
+			d.submit(maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &s}, 60, func(r maintenance.Reply, answered bool) { d.trace("%d %s, %t", r.Plan, r.Err, answered) })
 		})
 	}
 }
 
 // byHand takes a box out at all sidecars, has it worked on, gives it back, and goes on with the next one.
-func (w *plans) byHand(i int) {
-	if i >= w.d.spec.InitialServers {
-		w.endedAt = w.d.network.Now()
+func (d *maintenanceDriver) maintainManually(i int) {
+	if i >= d.day.spec.InitialServers {
+		d.endedAt = d.day.network.Now()
 		return
 	}
 	call := func(out bool) {
-		for s := range w.d.sidecars {
-			w.d.Cordon(s, w.boxes[i].name, out, func() {})
+		for s := range d.day.sidecars {
+			d.day.Cordon(s, d.servers[i].name, out, func() {})
 		}
 	}
 	call(true)
-	w.after(scriptEmptyS, func() {
-		w.d.faults.StopServer(i, w.d.network.Now())
-		w.after(weighTakesS, func() {
-			w.d.faults.StartServer(i, w.d.network.Now())
-			w.after(0.2, func() {
+	d.after(manualDrainSeconds, func() {
+		d.day.faults.StopServer(i, d.day.network.Now())
+		d.after(planWorkSeconds, func() {
+			d.day.faults.StartServer(i, d.day.network.Now())
+			d.after(0.2, func() {
 				call(false)
-				w.after(w.coldS, func() { w.byHand(i + 1) })
+				d.after(d.slowStartSeconds, func() { d.maintainManually(i + 1) })
 			})
 		})
 	})
 }
 
 // meter measures the service from outside, second by second.
-type meter struct {
-	classes []checker.Class
-	first   map[uint64]*asked // by the id of each try
-	worth   []float64         // that was asked for, by second of the day
-	earned  []float64         // and served by the aim
-	refused []int
-	start   float64
+type serviceMeter struct {
+	classes      []checker.Class
+	requests     map[uint64]*meteredRequest // by the id of each try
+	weight       []float64                  // that was asked for, by second of the day
+	earnedWeight []float64                  // and served by the aim
+	rejected     []int
+	start        float64
 }
 
-type asked struct {
-	at     float64
-	class  int32
-	served bool
+type meteredRequest struct {
+	startedAt float64
+	class     int32
+	isServed  bool
 }
 
 // See takes an event.
-func (m *meter) Observe(e checker.Event) {
+func (m *serviceMeter) Observe(e checker.Event) {
 	switch e.Kind {
 	case checker.RequestStarted:
-		a := m.first[e.FirstRequest]
+		a := m.requests[e.FirstRequest]
 		if a == nil {
-			a = &asked{at: e.At, class: e.Class}
-			*m.second(&m.worth, e.At) += m.classes[e.Class].PriorityWeight
+			a = &meteredRequest{startedAt: e.At, class: e.Class}
+			*m.second(&m.weight, e.At) += m.classes[e.Class].PriorityWeight
 		}
-		m.first[e.FirstRequest], m.first[e.Request] = a, a
+		m.requests[e.FirstRequest], m.requests[e.Request] = a, a
 	case checker.ResponseReceived:
-		a := m.first[e.Request]
+		a := m.requests[e.Request]
 		switch {
-		case a == nil || a.served:
+		case a == nil || a.isServed:
 		case e.Status == 200:
-			if a.served = true; e.At-a.at <= m.classes[a.class].LatencyTargetSeconds {
-				*m.second(&m.earned, a.at) += m.classes[a.class].PriorityWeight
+			if a.isServed = true; e.At-a.startedAt <= m.classes[a.class].LatencyTargetSeconds {
+				*m.second(&m.earnedWeight, a.startedAt) += m.classes[a.class].PriorityWeight
 			}
 		case e.Status == 429 || e.Status == 503:
 			i := int(e.At - m.start)
-			for len(m.refused) <= i {
-				m.refused = append(m.refused, 0)
+			for len(m.rejected) <= i {
+				m.rejected = append(m.rejected, 0)
 			}
-			m.refused[i]++
+			m.rejected[i]++
 		}
 	}
 }
 
-func (m *meter) second(all *[]float64, at float64) *float64 {
+func (m *serviceMeter) second(all *[]float64, at float64) *float64 {
 	i := int(at - m.start)
 	for len(*all) <= i {
 		*all = append(*all, 0)
@@ -157,11 +157,11 @@
 }
 
 // service returns the share of the worth that was earned between two seconds.
-func (m *meter) service(from, to int) float64 {
+func (m *serviceMeter) service(from, to int) float64 {
 	worth, earned := 0.0, 0.0
-	for i := from; i < min(to, len(m.worth)); i++ {
-		if worth += m.worth[i]; i < len(m.earned) {
-			earned += m.earned[i]
+	for i := from; i < min(to, len(m.weight)); i++ {
+		if worth += m.weight[i]; i < len(m.earnedWeight) {
+			earned += m.earnedWeight[i]
 		}
 	}
 	if worth == 0 {
@@ -178,68 +178,68 @@
 	WorstAt      int     `json:"At"`      // when these began
 	Rejected     int     `json:"Refused"` // tries, meanwhile
 	Violations   int     `json:"Rules"`   // that were broken
-	m            *meter
+	meter        *serviceMeter
 }
 
 // WeighDay plays a day on which a number of boxes are worked on.
-func PlayMaintenance(seed uint64, boxes int, load float64, hang bool, way *MaintenanceStrategy) (*MaintenanceResult, error) {
-	r := environment.StandardRanges()
-	if boxes > 19 {
-		r = environment.LargeRanges(boxes)
+func PlayMaintenance(seed uint64, servers int, load float64, hang bool, strategy *MaintenanceStrategy) (*MaintenanceResult, error) {
+	ranges := environment.StandardRanges()
+	if servers > 19 {
+		ranges = environment.LargeRanges(servers)
 	}
-	r.Servers = environment.Range{Min: float64(boxes), Max: float64(boxes)}
-	r.Sites, r.Sidecars, r.OverloadedDayShare, r.Load = environment.Range{Min: 4, Max: 4}, environment.Range{Min: 5, Max: 5}, 0, environment.Range{Min: load, Max: load}
-	lengthS := weighAtS + 20 + 42*float64(boxes)
-	if way.MaxConcurrent > 1 { // a box takes that long, and there is time to wait until a trouble is over
-		lengthS = weighAtS + 150 + 36*math.Ceil(float64(boxes)/float64(way.MaxConcurrent))
+	ranges.Servers = environment.Range{Min: float64(servers), Max: float64(servers)}
+	ranges.Sites, ranges.Sidecars, ranges.OverloadedDayShare, ranges.Load = environment.Range{Min: 4, Max: 4}, environment.Range{Min: 5, Max: 5}, 0, environment.Range{Min: load, Max: load}
+	lengthSeconds := planStartSeconds + 20 + 42*float64(servers)
+	if strategy.MaxConcurrent > 1 { // a box takes that long, and there is time to wait until a trouble is over
+		lengthSeconds = planStartSeconds + 150 + 36*math.Ceil(float64(servers)/float64(strategy.MaxConcurrent))
 	}
-	if load > edgeLoad { // the fleet refuses by itself: one box is out at a time, and what it refuses is measured between two
-		lengthS = weighAtS + 120 + 75*float64(boxes)
+	if load > overloadThreshold { // the fleet refuses by itself: one box is out at a time, and what it refuses is measured between two
+		lengthSeconds = planStartSeconds + 120 + 75*float64(servers)
 	}
-	r.LengthSeconds = environment.Range{Min: lengthS, Max: lengthS}
-	o := Options{FleetMode: FleetWithMaintenance, CustomRanges: &r, Maintenance: way}
-	d := environment.Draw(seed, r)
+	ranges.LengthSeconds = environment.Range{Min: lengthSeconds, Max: lengthSeconds}
+	o := Options{FleetMode: FleetWithMaintenance, CustomRanges: &ranges, Maintenance: strategy}
+	d := environment.Draw(seed, ranges)
 	s := environment.Script{Seed: seed}
 	if hang {
 		var names []string
-		for i := range boxes / 5 {
+		for i := range servers / 5 {
 			names = append(names, d.Servers[i*5].Name)
 		}
-		s.Faults = []environment.Fault{{Kind: environment.Hang, AtSeconds: weighAtS + 20, DurationSeconds: 40, Servers: names}}
+		s.Faults = []environment.Fault{{Kind: environment.Hang, AtSeconds: planStartSeconds + 20, DurationSeconds: 40, Servers: names}}
 	}
-	m := &meter{classes: d.Rules().Classes, first: map[uint64]*asked{}, start: d.Start}
-	o.Observer = m
+	meter := &serviceMeter{classes: d.Rules().Classes, requests: map[uint64]*meteredRequest{}, start: d.Start}
+	o.Observer = meter
 	played, err := newDay(s, o)
 	if err != nil {
 		return nil, err
 	}
 	played.run("")
-	w := &MaintenanceResult{TotalSeconds: math.NaN(), Violations: len(played.checker.Violations()), m: m, WorstService: 1}
-	end := int(lengthS)
+	result := &MaintenanceResult{TotalSeconds: math.NaN(), Violations: len(played.checker.Violations()), meter: meter, WorstService: 1}
+	end := int(lengthSeconds)
 	if at := played.maintenance.endedAt; at > 0 {
-		w.TotalSeconds = at - d.Start - weighAtS
+		result.TotalSeconds = at - d.Start - planStartSeconds
 		end = int(at-d.Start) + 1
 	}
-	w.Service = m.service(int(weighAtS), end)
-	for i := int(weighAtS); i+10 <= end; i++ {
-		if s := m.service(i, i+10); s < w.WorstService {
-			w.WorstService, w.WorstAt = s, i
+	result.Service = meter.service(int(planStartSeconds), end)
+	for i := int(planStartSeconds); i+10 <= end; i++ {
+		if s := meter.service(i, i+10); s < result.WorstService {
+			result.WorstService, result.WorstAt = s, i
 		}
 	}
-	for i := int(weighAtS); i < min(end, len(m.refused)); i++ {
-		w.Rejected += m.refused[i]
+	for i := int(planStartSeconds); i < min(end, len(meter.rejected)); i++ {
+		result.Rejected += meter.rejected[i]
 	}
-	return w, nil
+	return result, nil
 }
 
 // Weigh plays days in all ways whose names hold a part (none: all), and prints a table: total time against the worst 10 s of service.
-func CompareMaintenance(out io.Writer, first, last uint64, boxes, jobs int, parts []string) error {
-	ways, named := []MaintenanceStrategy{}, func(name string) bool {
-		return len(parts) == 0 || slices.ContainsFunc(parts, func(p string) bool { return strings.Contains(name, p) })
+func CompareMaintenance(out io.Writer, first, last uint64, servers, jobs int, nameParts []string) error {
+	strategies, named := []MaintenanceStrategy{}, func(name string) bool {
+		return len(nameParts) == 0 || slices.ContainsFunc(nameParts, func(p string) bool { return strings.Contains(name, p) })
 	}
 	for i, w := range MaintenanceStrategies {
-		if i == 0 || named(w.Name) && 2*w.MaxConcurrent <= boxes {
-			ways = append(ways, w)
+		if i == 0 || named(w.Name) && 2*w.MaxConcurrent <= servers {
+			strategies = append(strategies, w)
 		}
 	}
 	type key struct {
@@ -257,12 +257,12 @@
 	slots := make(chan struct{}, max(jobs, 1))
 	var all sync.WaitGroup
 	for day := range days {
-		for way := range ways {
+		for way := range strategies {
 			for seed := first; seed <= last; seed++ {
 				all.Go(func() {
 					slots <- struct{}{}
 					defer func() { <-slots }()
-					r, err := PlayMaintenance(seed, boxes, days[day].load, days[day].hang, &ways[way])
+					r, err := PlayMaintenance(seed, servers, days[day].load, days[day].hang, &strategies[way])
 					mu.Lock()
 					defer mu.Unlock()
 					results[key{way, day, seed}] = r
@@ -289,10 +289,10 @@
 		})
 		return x[len(x)/2]
 	}
-	fmt.Fprintf(out, "%d boxes, seeds %d-%d; medians\n", boxes, first, last)
+	fmt.Fprintf(out, "%d boxes, seeds %d-%d; medians\n", servers, first, last)
 	for day := range days {
 		fmt.Fprintf(out, "\n%-26s  total s  ended  service  beside nothing  worst 10 s  beside nothing  refused  rules\n", days[day].name)
-		for way := range ways {
+		for way := range strategies {
 			var total, service, loss, worst, worse, refused []float64
 			rules, ended := 0, 0
 			for seed := first; seed <= last; seed++ {
@@ -301,15 +301,15 @@
 					ended++
 				}
 				total, service, worst, refused = append(total, r.TotalSeconds), append(service, r.Service), append(worst, r.WorstService), append(refused, float64(r.Rejected))
-				to := int(weighAtS + r.TotalSeconds)
+				to := int(planStartSeconds + r.TotalSeconds)
 				if math.IsNaN(r.TotalSeconds) {
-					to = len(none.m.worth)
+					to = len(none.meter.weight)
 				}
-				to = min(to, len(none.m.worth), len(r.m.worth))
-				loss = append(loss, none.m.service(int(weighAtS), to)-r.m.service(int(weighAtS), to))
-				worse = append(worse, none.m.service(r.WorstAt, r.WorstAt+10)-r.WorstService)
+				to = min(to, len(none.meter.weight), len(r.meter.weight))
+				loss = append(loss, none.meter.service(int(planStartSeconds), to)-r.meter.service(int(planStartSeconds), to))
+				worse = append(worse, none.meter.service(r.WorstAt, r.WorstAt+10)-r.WorstService)
 			}
-			fmt.Fprintf(out, "%-26s  %7.0f  %2d/%2d  %7.4f  %14.4f  %10.3f  %14.3f  %7.0f  %5d\n", ways[way].Name, median(total), ended, last-first+1,
+			fmt.Fprintf(out, "%-26s  %7.0f  %2d/%2d  %7.4f  %14.4f  %10.3f  %14.3f  %7.0f  %5d\n", strategies[way].Name, median(total), ended, last-first+1,
 				median(service), median(loss), median(worst), median(worse), median(refused), rules)
 		}
 	}
