--- /dev/null
+++ b/internal/lab/soak/report_form_test.go
@@ -0,0 +1,24 @@
+package soak
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// TestReportForm fixes the JSON of a report, which scripts of operators read line by line, to the bytes of testdata/report.json.
+func TestReportForm(t *testing.T) {
+	report := Result{Seed: 1, Processes: 2, Seconds: 3.5, Requests: 4, Outcomes: map[string]int{"200": 5}, Versions: 6, Added: 7,
+		Series: map[string]int{"restart": 8}, AllKilled: 9, Renewed: 10, Resumed: 11, HungUp: 12, SlowestChange: 13.5, SlowestVote: 14.5,
+		Broken: map[Rule][]string{Growth: {"a case"}}}
+	golden, err := os.ReadFile("testdata/report.json")
+	require.NoError(t, err)
+	encoded, err := json.Marshal(report)
+	require.NoError(t, err)
+	require.Equal(t, string(golden), string(encoded)+"\n")
+	var decoded Result
+	require.NoError(t, json.Unmarshal(golden, &decoded))
+	require.Equal(t, report, decoded)
+}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -22,21 +22,22 @@
 
 // Result says what was played and what came of it.
 type Result struct {
-	Seed      uint64
-	Processes int
-	Seconds   float64
-	Requests  int64
-	Outcomes  map[string]int // requests by what clients saw
-	Versions  uint64         // of the configuration, in the end
-	Added     int64          // routes, one a change
-	Series    map[string]int // by name
-	AllKilled int64
-	Renewed   int // servers that were replaced by another instance at their address
-	Resumed   int // feeds that another attempt went on with
-	HungUp    int // processes that SIGHUP ended before they can have begun
+	Seed      uint64         `json:"Seed"`
+	Processes int            `json:"Processes"`
+	Seconds   float64        `json:"Seconds"`
+	Requests  int64          `json:"Requests"`
+	Outcomes  map[string]int `json:"Outcomes"` // requests by what clients saw
+	Versions  uint64         `json:"Versions"` // of the configuration, in the end
+	Added     int64          `json:"Added"`    // routes, one a change
+	Series    map[string]int `json:"Series"`   // by name
+	AllKilled int64          `json:"AllKilled"`
+	Renewed   int            `json:"Renewed"` // servers that were replaced by another instance at their address
+	Resumed   int            `json:"Resumed"` // feeds that another attempt went on with
+	HungUp    int            `json:"HungUp"`  // processes that SIGHUP ended before they can have begun
 	// The slowest change until it was confirmed, and the slowest control machine until it voted again, in seconds.
-	SlowestChange, SlowestVote float64
-	Broken                     map[Rule][]string
+	SlowestChange float64           `json:"SlowestChange"`
+	SlowestVote   float64           `json:"SlowestVote"`
+	Broken        map[Rule][]string `json:"Broken"`
 }
 
 // Run plays a fleet and returns what came of it. Broken rules are in the report; an error says that it could not be played.
