--- a/cmd/hazellab/soak.go
+++ b/cmd/hazellab/soak.go
@@ -35,8 +35,8 @@
 }
 
 func runSoak(ctx context.Context, c *cli.Command) error {
-	settings := soak.Settings{Seed: c.Uint64("seed"), For: time.Duration(c.Float("minutes") * float64(time.Minute)), Processes: c.Int("processes"),
-		Binary: c.String("binary"), Beside: c.Bool("beside")}
+	settings := soak.Settings{Seed: c.Uint64("seed"), FaultDuration: time.Duration(c.Float("minutes") * float64(time.Minute)), Processes: c.Int("processes"),
+		Binary: c.String("binary"), ControlInAgents: c.Bool("beside")}
 	if settings.Binary == "" {
 		self, err := os.Executable()
 		if err != nil {
@@ -44,7 +44,7 @@
 		}
 		settings.Binary = filepath.Join(filepath.Dir(self), "hazelfleet")
 	}
-	if err := settings.Check(); err != nil {
+	if err := settings.Validate(); err != nil {
 		return fault(err)
 	}
 	if name := c.String("log"); name != "" {
@@ -68,7 +68,7 @@
 		if err := appendReport(c.String("report"), report); err != nil {
 			return err
 		}
-		if len(report.Broken) > 0 {
+		if len(report.Violations) > 0 {
 			broken++
 		}
 		settings.Seed++
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -43,7 +43,7 @@
 		base: lowestPort + rand.IntN(portChoices)}
 	for i := range s.controls() {
 		m := &machine{name: fmt.Sprint("core-", i), ip: fmt.Sprintf("127.0.8.%d", 10+i), disk: true}
-		if s.Beside {
+		if s.ControlInAgents {
 			f.controls = append(f.controls, f.equip(m, roleAgent, roleProxy))
 		} else {
 			f.controls = append(f.controls, f.equip(m, roleControl))
@@ -70,7 +70,7 @@
 
 // fronts are the machines that take requests.
 func (f *fleet) fronts() []*machine {
-	if f.settings.Beside {
+	if f.settings.ControlInAgents {
 		return f.machines()
 	}
 	return f.edges
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -42,26 +42,26 @@
 
 // Settings says what is played.
 type Settings struct {
-	Seed      uint64
-	For       time.Duration // how long there are faults
-	Processes int
-	Beside    bool      // control runs within agents, on machines that take requests
-	Binary    string    // hazelfleet's file
-	Dir       string    // for disks and settings; empty: a folder that is removed
-	Log       io.Writer // what the processes write
+	Seed            uint64
+	FaultDuration   time.Duration // how long there are faults
+	Processes       int
+	ControlInAgents bool      // control runs within agents, on machines that take requests
+	Binary          string    // hazelfleet's file
+	Dir             string    // for disks and settings; empty: a folder that is removed
+	Log             io.Writer // what the processes write
 }
 
 // Check tells what of the settings can't be kept, in one line that names the flag.
-func (s *Settings) Check() error {
+func (s *Settings) Validate() error {
 	switch {
 	case s.Processes < leastProcesses:
 		return Error.New("--processes %d: want %d at least (three control processes, two agents, two proxies)", s.Processes, leastProcesses)
-	case s.Beside && s.Processes < leastBeside:
+	case s.ControlInAgents && s.Processes < leastBeside:
 		return Error.New("--processes %d: want %d at least with --beside (four machines with an agent and a proxy)", s.Processes, leastBeside)
 	case s.Processes > mostProcesses:
 		return Error.New("--processes %d: want %d at most", s.Processes, mostProcesses)
-	case s.For < leastFor:
-		return Error.New("--minutes: %v are too short, want %v at least", s.For, leastFor)
+	case s.FaultDuration < leastFor:
+		return Error.New("--minutes: %v are too short, want %v at least", s.FaultDuration, leastFor)
 	}
 	memory, err := memoryMB()
 	if err != nil {
@@ -105,7 +105,7 @@
 
 // controlProcesses is the number of processes on machines that hold a part of the configuration.
 func (s *Settings) controlProcesses() int {
-	if s.Beside {
+	if s.ControlInAgents {
 		return 2 * s.controls()
 	}
 	return s.controls()
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -22,27 +22,27 @@
 
 // Result says what was played and what came of it.
 type Result struct {
-	Seed      uint64         `json:"Seed"`
-	Processes int            `json:"Processes"`
-	Seconds   float64        `json:"Seconds"`
-	Requests  int64          `json:"Requests"`
-	Outcomes  map[string]int `json:"Outcomes"` // requests by what clients saw
-	Versions  uint64         `json:"Versions"` // of the configuration, in the end
-	Added     int64          `json:"Added"`    // routes, one a change
-	Series    map[string]int `json:"Series"`   // by name
-	AllKilled int64          `json:"AllKilled"`
-	Renewed   int            `json:"Renewed"` // servers that were replaced by another instance at their address
-	Resumed   int            `json:"Resumed"` // feeds that another attempt went on with
-	HungUp    int            `json:"HungUp"`  // processes that SIGHUP ended before they can have begun
+	Seed            uint64         `json:"Seed"`
+	Processes       int            `json:"Processes"`
+	Seconds         float64        `json:"Seconds"`
+	Requests        int64          `json:"Requests"`
+	Outcomes        map[string]int `json:"Outcomes"` // requests by what clients saw
+	LastVersion     uint64         `json:"Versions"` // of the configuration, in the end
+	AddedRoutes     int64          `json:"Added"`    // routes, one a change
+	ScenarioCounts  map[string]int `json:"Series"`   // by name
+	KillAllCount    int64          `json:"AllKilled"`
+	ReplacedServers int            `json:"Renewed"` // servers that were replaced by another instance at their address
+	ResumedFeeds    int            `json:"Resumed"` // feeds that another attempt went on with
+	HungUpEarly     int            `json:"HungUp"`  // processes that SIGHUP ended before they can have begun
 	// The slowest change until it was confirmed, and the slowest control machine until it voted again, in seconds.
-	SlowestChange float64           `json:"SlowestChange"`
-	SlowestVote   float64           `json:"SlowestVote"`
-	Broken        map[Rule][]string `json:"Broken"`
+	SlowestChangeSeconds float64           `json:"SlowestChange"`
+	SlowestVoteSeconds   float64           `json:"SlowestVote"`
+	Violations           map[Rule][]string `json:"Broken"`
 }
 
 // Run plays a fleet and returns what came of it. Broken rules are in the report; an error says that it could not be played.
 func Run(ctx context.Context, s Settings) (*Result, error) {
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	if s.Log == nil {
@@ -99,7 +99,7 @@
 	work.Go(func() { r.operator.run(asking) })
 	work.Go(func() { r.sample(asking) })
 
-	troubled, stopTrouble := context.WithTimeout(ctx, r.settings.For)
+	troubled, stopTrouble := context.WithTimeout(ctx, r.settings.FaultDuration)
 	defer stopTrouble()
 	work.Go(func() { r.renewed = r.listed.renew(troubled, rand.New(rand.NewPCG(r.settings.Seed, 5))) })
 	r.player.run(troubled)
@@ -172,20 +172,20 @@
 	outcomes, hungUp, resumed := r.checker.outcomes, r.checker.hungUp, r.checker.resumed
 	r.checker.mu.Unlock()
 	return &Result{Seed: r.settings.Seed, Processes: r.settings.controlProcesses() + 2*r.settings.edges(), Seconds: lasted.Seconds(),
-		Requests: r.clients.count.Load(), Outcomes: outcomes, Versions: r.operator.version, Added: r.operator.routes.Load(), Series: r.player.played,
-		AllKilled: r.player.allKilled.Load(), Renewed: r.renewed, Resumed: resumed, HungUp: hungUp, SlowestChange: r.operator.slowest.Seconds(), SlowestVote: r.player.slowest.Seconds(),
-		Broken: r.checker.Broken()}
+		Requests: r.clients.count.Load(), Outcomes: outcomes, LastVersion: r.operator.version, AddedRoutes: r.operator.routes.Load(), ScenarioCounts: r.player.played,
+		KillAllCount: r.player.allKilled.Load(), ReplacedServers: r.renewed, ResumedFeeds: resumed, HungUpEarly: hungUp, SlowestChangeSeconds: r.operator.slowest.Seconds(), SlowestVoteSeconds: r.player.slowest.Seconds(),
+		Violations: r.checker.Broken()}
 }
 
 // String sums a result up in a line, with a line for each broken rule.
 func (r *Result) String() string {
 	series := 0
-	for _, count := range r.Series {
+	for _, count := range r.ScenarioCounts {
 		series += count
 	}
 	out := fmt.Sprintf("seed %d: %d processes, %.0f s, %d requests %v, %d changes (slowest %.1f s), %d series, all killed %d times, %d servers replaced, %d feeds resumed, %d hung up before they began, slowest vote %.1f s, %d rules broken\n",
-		r.Seed, r.Processes, r.Seconds, r.Requests, r.Outcomes, r.Added, r.SlowestChange, series, r.AllKilled, r.Renewed, r.Resumed, r.HungUp, r.SlowestVote, len(r.Broken))
-	for rule, cases := range r.Broken {
+		r.Seed, r.Processes, r.Seconds, r.Requests, r.Outcomes, r.AddedRoutes, r.SlowestChangeSeconds, series, r.KillAllCount, r.ReplacedServers, r.ResumedFeeds, r.HungUpEarly, r.SlowestVoteSeconds, len(r.Violations))
+	for rule, cases := range r.Violations {
 		for _, one := range cases {
 			out += fmt.Sprintf("  %s: %s\n", rule, one)
 		}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -273,12 +273,12 @@
 
 var _ = Describe("settings that can't be kept", func() {
 	DescribeTable("are refused in one line that names them", func(s Settings, text string) {
-		Expect(s.Check()).To(MatchError(ContainSubstring(text)))
+		Expect(s.Validate()).To(MatchError(ContainSubstring(text)))
 	},
-		Entry("too few processes", Settings{Processes: 3, For: time.Minute}, "--processes 3: want 7 at least"),
-		Entry("too many", Settings{Processes: 301, For: time.Minute}, "--processes 301: want 300 at most"),
-		Entry("too short", Settings{Processes: 9, For: time.Second}, "--minutes"),
-		Entry("no program", Settings{Processes: 9, For: time.Minute, Binary: "/none"}, "--binary"))
+		Entry("too few processes", Settings{Processes: 3, FaultDuration: time.Minute}, "--processes 3: want 7 at least"),
+		Entry("too many", Settings{Processes: 301, FaultDuration: time.Minute}, "--processes 301: want 300 at most"),
+		Entry("too short", Settings{Processes: 9, FaultDuration: time.Second}, "--minutes"),
+		Entry("no program", Settings{Processes: 9, FaultDuration: time.Minute, Binary: "/none"}, "--binary"))
 })
 
 var _ = Describe("a fleet of real processes", func() {
@@ -286,11 +286,11 @@
 		binary := filepath.Join(GinkgoT().TempDir(), "hazelfleet")
 		out, err := exec.Command("go", "build", "-o", binary, "hazelwheel/cmd/hazelfleet").CombinedOutput()
 		Expect(err).NotTo(HaveOccurred(), string(out))
-		report, err := Run(context.Background(), Settings{Seed: 52, For: 30 * time.Second, Processes: 11, Binary: binary, Log: GinkgoWriter})
+		report, err := Run(context.Background(), Settings{Seed: 52, FaultDuration: 30 * time.Second, Processes: 11, Binary: binary, Log: GinkgoWriter})
 		Expect(err).NotTo(HaveOccurred())
 		GinkgoWriter.Print(report)
-		Expect(report.Broken).To(BeEmpty(), report.String())
+		Expect(report.Violations).To(BeEmpty(), report.String())
 		Expect(report.Outcomes["200"]).To(BeNumerically(">", 500))
-		Expect(report.Added).To(BeNumerically(">", 20))
+		Expect(report.AddedRoutes).To(BeNumerically(">", 20))
 	})
 })
