--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -13,176 +13,176 @@
 
 // The checks.
 const (
-	AtMostOnce   Rule = "at-most-once"   // a request that may run once has run twice
-	OwnAnswer    Rule = "own-answer"     // a client got what no server answered to it
-	Intact       Rule = "intact"         // a server got another body than the client sent
-	Promise      Rule = "promise"        // a request was refused as not run and has run
-	Answered     Rule = "answered"       // a request neither had an answer nor its connection closed, or it was closed for no reason
-	InForce      Rule = "in-force"       // a confirmed configuration was not in force in time
-	NeverOlder   Rule = "never-older"    // a process went by an older configuration than before
-	Confirmed    Rule = "confirmed"      // a proper change was refused, or what was confirmed is not told in the end
-	AddedRoutes  Rule = "added-routes"   // routes that were added are served under a quarter as often as the first ones
-	Starved      Rule = "starved"        // a kind of request is served under a quarter as often as all
-	Recovered    Rule = "recovered"      // under a quarter is served once RecoveryS is over
-	Voters       Rule = "voters"         // a control machine does not vote CatchUpS after it has come back
-	EndsInGrace  Rule = "ends-in-grace"  // a process did not end in GraceS, or with a failure
-	EndsByItself Rule = "ends-by-itself" // a process ended though nobody ended it
-	Growth       Rule = "growth"         // memory or descriptors of a process grow
+	AtMostOnce             Rule = "at-most-once"   // a request that may run once has run twice
+	AnswerIsOwn            Rule = "own-answer"     // a client got what no server answered to it
+	BodyIntact             Rule = "intact"         // a server got another body than the client sent
+	RefusedNotExecuted     Rule = "promise"        // a request was refused as not run and has run
+	AlwaysAnswered         Rule = "answered"       // a request neither had an answer nor its connection closed, or it was closed for no reason
+	ConfigurationInForce   Rule = "in-force"       // a confirmed configuration was not in force in time
+	ConfigurationMonotonic Rule = "never-older"    // a process went by an older configuration than before
+	ConfigurationConfirmed Rule = "confirmed"      // a proper change was refused, or what was confirmed is not told in the end
+	AddedRoutesServed      Rule = "added-routes"   // routes that were added are served under a quarter as often as the first ones
+	KindsServed            Rule = "starved"        // a kind of request is served under a quarter as often as all
+	ServiceRecovered       Rule = "recovered"      // under a quarter is served once RecoveryS is over
+	VotesAfterRestart      Rule = "voters"         // a control machine does not vote CatchUpS after it has come back
+	GracefulShutdown       Rule = "ends-in-grace"  // a process did not end in GraceS, or with a failure
+	NoUnexpectedExit       Rule = "ends-by-itself" // a process ended though nobody ended it
+	ResourcesBounded       Rule = "growth"         // memory or descriptors of a process grow
 )
 
 // Kind is what may be done with a request.
-type Kind string
+type RequestKind string
 
 // The kinds of requests.
 const (
-	Once   Kind = "once"   // it may run once
-	Safe   Kind = "safe"   // it may be repeated
-	Prompt Kind = "prompt" // an answer of events
-	Feed   Kind = "feed"   // an answer of events that another server may go on with
+	NonIdempotent RequestKind = "once"   // it may run once
+	Idempotent    RequestKind = "safe"   // it may be repeated
+	Prompt        RequestKind = "prompt" // an answer of events
+	ResumableFeed RequestKind = "feed"   // an answer of events that another server may go on with
 )
 
 // Outcome is what a client saw of a request.
 type Outcome struct {
-	ID      string
-	Kind    Kind
-	Edge    string // name of the machine
-	Life    int    // of its proxy
-	Route   int    // number of an added route, 0: a first route
-	Sent    time.Time
-	Ended   time.Time
-	Status  int    // 0: no answer
-	Body    string // of a 200, as far as it came
-	Stamp   bool   // the answer has a server's stamp
-	Closed  bool   // the connection ended without a whole answer
-	Fresh   bool   // no connection could be had
-	Silent  bool   // there was no answer when the time was over
-	Trouble bool   // something was done to the machine from shortly before until the end
+	ID               string
+	Kind             RequestKind
+	Edge             string // name of the machine
+	Incarnation      int    // of its proxy
+	Route            int    // number of an added route, 0: a first route
+	SentAt           time.Time
+	EndedAt          time.Time
+	Status           int    // 0: no answer
+	Body             string // of a 200, as far as it came
+	HasStamp         bool   // the answer has a server's stamp
+	ConnectionClosed bool   // the connection ended without a whole answer
+	DialFailed       bool   // no connection could be had
+	TimedOut         bool   // there was no answer when the time was over
+	Disturbed        bool   // something was done to the machine from shortly before until the end
 }
 
 // Checker collects what was seen and says which rules were broken. It is safe for use by several goroutines.
 type Checker struct {
-	mu       sync.Mutex
-	broken   map[Rule][]string
-	runs     map[string]int // by request
-	kinds    map[string]Kind
-	refused  map[string]bool
-	highest  map[life]int // the newest added route that a proxy's life has known
-	acked    map[int]time.Time
-	counts   map[bool]served // of added routes, of first ones
-	byKind   map[Kind]served
-	outcomes map[string]int // by what clients saw
-	resumed  int            // feeds that another attempt went on with
-	hungUp   int            // processes that SIGHUP ended before they can have begun
-	since    time.Time      // from when on requests count as after the last fault; zero: not yet
-	after    served
+	mu            sync.Mutex
+	violations    map[Rule][]string
+	executions    map[string]int // by request
+	kinds         map[string]RequestKind
+	refused       map[string]bool
+	newestRoutes  map[proxyIncarnation]int // the newest added route that a proxy's life has known
+	confirmedAt   map[int]time.Time
+	byAdded       map[bool]requestCounts // of added routes, of first ones
+	byKind        map[RequestKind]requestCounts
+	outcomes      map[string]int // by what clients saw
+	resumedFeeds  int            // feeds that another attempt went on with
+	hungUpEarly   int            // processes that SIGHUP ended before they can have begun
+	recoveredFrom time.Time      // from when on requests count as after the last fault; zero: not yet
+	afterRecovery requestCounts
 }
 
-type life struct {
-	edge  string
-	count int
+type proxyIncarnation struct {
+	edge        string
+	incarnation int
 }
 
 // served counts requests.
-type served struct{ sent, ok int }
+type requestCounts struct{ sent, served int }
 
 // NewChecker returns a checker that has seen nothing.
 func NewChecker() *Checker {
-	return &Checker{broken: map[Rule][]string{}, runs: map[string]int{}, kinds: map[string]Kind{}, refused: map[string]bool{},
-		highest: map[life]int{}, acked: map[int]time.Time{}, counts: map[bool]served{}, byKind: map[Kind]served{}, outcomes: map[string]int{}}
+	return &Checker{violations: map[Rule][]string{}, executions: map[string]int{}, kinds: map[string]RequestKind{}, refused: map[string]bool{},
+		newestRoutes: map[proxyIncarnation]int{}, confirmedAt: map[int]time.Time{}, byAdded: map[bool]requestCounts{}, byKind: map[RequestKind]requestCounts{}, outcomes: map[string]int{}}
 }
 
-const mostToldOfARule = 5
+const maxDetailsPerRule = 5
 
 // Break notes that a rule was broken.
-func (c *Checker) Break(rule Rule, format string, args ...any) {
+func (c *Checker) ReportViolation(rule Rule, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.breakLocked(rule, format, args...)
+	c.reportViolationLocked(rule, format, args...)
 }
 
-func (c *Checker) breakLocked(rule Rule, format string, args ...any) {
-	c.broken[rule] = append(c.broken[rule], fmt.Sprintf(format, args...))
+func (c *Checker) reportViolationLocked(rule Rule, format string, args ...any) {
+	c.violations[rule] = append(c.violations[rule], fmt.Sprintf(format, args...))
 }
 
 // Broken returns the rules that were broken, with the first cases of each.
-func (c *Checker) Broken() map[Rule][]string {
+func (c *Checker) Violations() map[Rule][]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[Rule][]string{}
-	for rule, cases := range c.broken {
-		out[rule] = slices.Clone(cases[:min(len(cases), mostToldOfARule)])
+	for rule, details := range c.violations {
+		out[rule] = slices.Clone(details[:min(len(details), maxDetailsPerRule)])
 	}
 	return out
 }
 
 // Ran tells that a server has begun to run a request.
-func (c *Checker) Ran(id string) {
+func (c *Checker) RequestExecuted(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.runs[id]++
-	if c.kinds[id] != Once {
+	c.executions[id]++
+	if c.kinds[id] != NonIdempotent {
 		return
 	}
-	if c.runs[id] > 1 {
-		c.breakLocked(AtMostOnce, "%s has run %d times", id, c.runs[id])
+	if c.executions[id] > 1 {
+		c.reportViolationLocked(AtMostOnce, "%s has run %d times", id, c.executions[id])
 	}
 	if c.refused[id] {
-		c.breakLocked(Promise, "%s was refused and runs later", id)
+		c.reportViolationLocked(RefusedNotExecuted, "%s was refused and runs later", id)
 	}
 }
 
 // bodyOf is the body of a request.
-func bodyOf(id string) string { return "body of " + id }
+func requestBody(id string) string { return "body of " + id }
 
 // Got takes the body with which a request came to a server.
-func (c *Checker) Got(id, body string) {
-	if body != bodyOf(id) {
-		c.Break(Intact, "%s came with the body %.60q", id, body)
+func (c *Checker) RequestBodyReceived(id, body string) {
+	if body != requestBody(id) {
+		c.ReportViolation(BodyIntact, "%s came with the body %.60q", id, body)
 	}
 }
 
 // Sending tells that a client sends a request.
-func (c *Checker) Sending(id string, kind Kind) {
+func (c *Checker) RequestSent(id string, kind RequestKind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.kinds[id] = kind
 }
 
 // Acknowledged tells that a configuration was confirmed. Each adds the route of its number.
-func (c *Checker) Acknowledged(route int, at time.Time) {
+func (c *Checker) ConfigurationAcknowledged(route int, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.acked[route] = at
+	c.confirmedAt[route] = at
 }
 
 // FaultsEnded tells that requests which are sent from a time on are to be served again.
-func (c *Checker) FaultsEnded(from time.Time) {
+func (c *Checker) ExpectServiceFrom(from time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.since = from
+	c.recoveredFrom = from
 }
 
 // Resumed counts a feed that goes on after an event that its client has.
-func (c *Checker) Resumed() {
+func (c *Checker) FeedResumed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.resumed++
+	c.resumedFeeds++
 }
 
 // HungUpEarly counts a process that SIGHUP ended before it can have begun.
-func (c *Checker) HungUpEarly() {
+func (c *Checker) ProcessHungUpEarly() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hungUp++
+	c.hungUpEarly++
 }
 
 // answerTo is the body that servers answer.
-func answerTo(kind Kind, id string) string {
+func expectedAnswer(kind RequestKind, id string) string {
 	switch kind {
 	case Prompt:
-		return fmt.Sprintf(twoEvents, id)
-	case Feed:
-		return feedFrom(id, 1)
+		return fmt.Sprintf(promptAnswerFormat, id)
+	case ResumableFeed:
+		return feedEventsFrom(id, 1)
 	default:
 		return "answer to " + id
 	}
@@ -192,7 +192,7 @@
 const feedEvents = 6
 
 // feedFrom returns the events of a feed from one of them on.
-func feedFrom(id string, first int) (events string) {
+func feedEventsFrom(id string, first int) (events string) {
 	for event := first; event <= feedEvents; event++ {
 		events += feedEvent(id, event)
 	}
@@ -204,43 +204,43 @@
 }
 
 // Ended takes what a client saw of a request.
-func (c *Checker) Ended(o Outcome) {
+func (c *Checker) RequestEnded(o Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.outcomes[o.class()]++
+	c.outcomes[o.label()]++
 	c.checkAnswer(&o)
 	c.checkRoute(&o)
-	if o.Status == 503 && o.Kind == Once {
+	if o.Status == 503 && o.Kind == NonIdempotent {
 		c.refused[o.ID] = true
-		if c.runs[o.ID] > 0 {
-			c.breakLocked(Promise, "%s has run and was refused", o.ID)
+		if c.executions[o.ID] > 0 {
+			c.reportViolationLocked(RefusedNotExecuted, "%s has run and was refused", o.ID)
 		}
 	}
-	if !c.since.IsZero() && o.Sent.After(c.since) {
-		c.after = c.after.with(o.Status == 200)
+	if !c.recoveredFrom.IsZero() && o.SentAt.After(c.recoveredFrom) {
+		c.afterRecovery = c.afterRecovery.add(o.Status == 200)
 	}
-	if !o.Trouble && !o.Fresh {
-		c.counts[o.Route > 0] = c.counts[o.Route > 0].with(o.Status == 200)
-		c.byKind[o.Kind] = c.byKind[o.Kind].with(o.Status == 200)
+	if !o.Disturbed && !o.DialFailed {
+		c.byAdded[o.Route > 0] = c.byAdded[o.Route > 0].add(o.Status == 200)
+		c.byKind[o.Kind] = c.byKind[o.Kind].add(o.Status == 200)
 	}
 }
 
-func (s served) with(ok bool) served {
+func (s requestCounts) add(isServed bool) requestCounts {
 	s.sent++
-	if ok {
-		s.ok++
+	if isServed {
+		s.served++
 	}
 	return s
 }
 
 // class says in a word what a client saw.
-func (o *Outcome) class() string {
+func (o *Outcome) label() string {
 	switch {
-	case o.Fresh:
+	case o.DialFailed:
 		return "no connection"
-	case o.Silent:
+	case o.TimedOut:
 		return "silent"
-	case o.Closed:
+	case o.ConnectionClosed:
 		return "closed"
 	}
 	return fmt.Sprint(o.Status)
@@ -249,17 +249,17 @@
 // checkAnswer looks at the answer, or at the lack of one.
 func (c *Checker) checkAnswer(o *Outcome) {
 	switch {
-	case o.Status == 200 && (o.Body != answerTo(o.Kind, o.ID) || !o.Stamp):
-		c.breakLocked(OwnAnswer, "%s got %.60q, stamp %v", o.ID, o.Body, o.Stamp)
-	case o.Kind == Feed && o.Closed && o.Body != "":
+	case o.Status == 200 && (o.Body != expectedAnswer(o.Kind, o.ID) || !o.HasStamp):
+		c.reportViolationLocked(AnswerIsOwn, "%s got %.60q, stamp %v", o.ID, o.Body, o.HasStamp)
+	case o.Kind == ResumableFeed && o.ConnectionClosed && o.Body != "":
 		// A feed that breaks off more often than the route has attempts ends with what came in order.
-		if !strings.HasPrefix(answerTo(Feed, o.ID), o.Body) {
-			c.breakLocked(OwnAnswer, "%s broke off after %.80q", o.ID, o.Body)
+		if !strings.HasPrefix(expectedAnswer(ResumableFeed, o.ID), o.Body) {
+			c.reportViolationLocked(AnswerIsOwn, "%s broke off after %.80q", o.ID, o.Body)
 		}
-	case o.Silent && !o.Trouble:
-		c.breakLocked(Answered, "%s (%s) at %s: no answer and no end after %v", o.ID, o.Kind, o.Edge, o.Ended.Sub(o.Sent))
-	case o.Closed && !o.Trouble:
-		c.breakLocked(Answered, "%s (%s) at %s: closed without an answer after %v, and nothing was done to the machine", o.ID, o.Kind, o.Edge, o.Ended.Sub(o.Sent))
+	case o.TimedOut && !o.Disturbed:
+		c.reportViolationLocked(AlwaysAnswered, "%s (%s) at %s: no answer and no end after %v", o.ID, o.Kind, o.Edge, o.EndedAt.Sub(o.SentAt))
+	case o.ConnectionClosed && !o.Disturbed:
+		c.reportViolationLocked(AlwaysAnswered, "%s (%s) at %s: closed without an answer after %v, and nothing was done to the machine", o.ID, o.Kind, o.Edge, o.EndedAt.Sub(o.SentAt))
 	}
 }
 
@@ -268,48 +268,48 @@
 	if o.Route == 0 || o.Status == 0 {
 		return
 	}
-	at := life{o.Edge, o.Life}
+	proxy := proxyIncarnation{o.Edge, o.Incarnation}
 	if o.Status != 404 {
-		c.highest[at] = max(c.highest[at], o.Route)
+		c.newestRoutes[proxy] = max(c.newestRoutes[proxy], o.Route)
 		return
 	}
-	if o.Route <= c.highest[at] {
-		c.breakLocked(NeverOlder, "%s, life %d: no route %d, though it has known route %d", o.Edge, o.Life, o.Route, c.highest[at])
+	if o.Route <= c.newestRoutes[proxy] {
+		c.reportViolationLocked(ConfigurationMonotonic, "%s, life %d: no route %d, though it has known route %d", o.Edge, o.Incarnation, o.Route, c.newestRoutes[proxy])
 	}
-	acked, ok := c.acked[o.Route]
-	if late := o.Sent.Sub(acked); ok && !o.Trouble && late > time.Duration(configApplyS*float64(time.Second))+machineSlack {
-		c.breakLocked(InForce, "%s: no route %d %v after it was confirmed", o.Edge, o.Route, late)
+	confirmedAt, ok := c.confirmedAt[o.Route]
+	if age := o.SentAt.Sub(confirmedAt); ok && !o.Disturbed && age > time.Duration(configApplySeconds*float64(time.Second))+busyMachineSlack {
+		c.reportViolationLocked(ConfigurationInForce, "%s: no route %d %v after it was confirmed", o.Edge, o.Route, age)
 	}
 }
 
 // leastRequests is from how many requests on a share is judged, leastShare the part that must be served.
 const (
-	leastRequests = 20
-	leastShare    = 0.25
+	minRequestsForRatio = 20
+	minServedRatio      = 0.25
 )
 
 // Finish judges what can be judged in the end alone.
 func (c *Checker) Finish() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	added, first := c.counts[true], c.counts[false]
-	if added.sent >= leastRequests && first.sent >= leastRequests && added.share() < leastShare*first.share() {
-		c.breakLocked(AddedRoutes, "of %d requests on routes that were added %d were served; of %d on the first routes %d", added.sent, added.ok,
-			first.sent, first.ok)
+	added, first := c.byAdded[true], c.byAdded[false]
+	if added.sent >= minRequestsForRatio && first.sent >= minRequestsForRatio && added.servedRatio() < minServedRatio*first.servedRatio() {
+		c.reportViolationLocked(AddedRoutesServed, "of %d requests on routes that were added %d were served; of %d on the first routes %d", added.sent, added.served,
+			first.sent, first.served)
 	}
-	all := served{}
+	all := requestCounts{}
 	for _, kind := range c.byKind {
-		all.sent, all.ok = all.sent+kind.sent, all.ok+kind.ok
+		all.sent, all.served = all.sent+kind.sent, all.served+kind.served
 	}
 	for kind, counts := range c.byKind {
-		if counts.sent >= leastRequests && counts.share() < leastShare*all.share() {
-			c.breakLocked(Starved, "of %d requests of the kind %s %d were served, of all %d %d", counts.sent, kind, counts.ok, all.sent, all.ok)
+		if counts.sent >= minRequestsForRatio && counts.servedRatio() < minServedRatio*all.servedRatio() {
+			c.reportViolationLocked(KindsServed, "of %d requests of the kind %s %d were served, of all %d %d", counts.sent, kind, counts.served, all.sent, all.served)
 		}
 	}
-	if !c.since.IsZero() && c.after.share() < leastShare {
-		c.breakLocked(Recovered, "after the last fault %d of %d requests were served", c.after.ok, c.after.sent)
+	if !c.recoveredFrom.IsZero() && c.afterRecovery.servedRatio() < minServedRatio {
+		c.reportViolationLocked(ServiceRecovered, "after the last fault %d of %d requests were served", c.afterRecovery.served, c.afterRecovery.sent)
 	}
 }
 
 // share is 0 where nothing was sent.
-func (s served) share() float64 { return float64(s.ok) / float64(max(s.sent, 1)) }
+func (s requestCounts) servedRatio() float64 { return float64(s.served) / float64(max(s.sent, 1)) }
--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -17,45 +17,45 @@
 	// clientsPerEdge is the number of clients for each edge machine, clientPause the mean time between a client's requests.
 	clientsPerEdge = 3
 	clientPause    = 120 * time.Millisecond
-	connectWithin  = time.Second
+	connectTimeout = time.Second
 	// mischiefPart is the part of the requests on which clients send fields that are the system's, addedPart that on added routes.
-	mischiefPart = 0.1
-	addedPart    = 0.25
+	reservedFieldFraction = 0.1
+	addedRouteFraction    = 0.25
 	// piecesPart is the part of the requests whose bodies come in pieces, without a length before, piecePause the time between two pieces.
-	piecesPart = 0.15
-	piecePause = 15 * time.Millisecond
+	chunkedFraction = 0.15
+	chunkPause      = 15 * time.Millisecond
 	// newestRoutes is how many of the newest routes clients ask for.
-	newestRoutes = 10
+	newestRouteCount = 10
 )
 
 // clients ask until they are stopped.
 type clients struct {
-	fleet   *fleet
-	checker *Checker
-	routes  *atomic.Int64 // the newest added route that was confirmed
-	count   atomic.Int64
+	fleet        *fleet
+	checker      *Checker
+	newestRoute  *atomic.Int64 // the newest added route that was confirmed
+	requestCount atomic.Int64
 }
 
 // client keeps one connection to one machine for as long as that takes it.
 type client struct {
 	*clients
-	rng  *rand.Rand
-	at   *machine
-	http *http.Client
+	rng        *rand.Rand
+	machine    *machine
+	httpClient *http.Client
 }
 
 // run asks until the context ends.
 func (c *clients) run(ctx context.Context, seed uint64) {
-	one := &client{clients: c, rng: rand.New(rand.NewPCG(seed, 1))}
-	one.move()
+	sender := &client{clients: c, rng: rand.New(rand.NewPCG(seed, 1))}
+	sender.switchMachine()
 	for ctx.Err() == nil {
-		one.ask(ctx)
-		pause(ctx, time.Duration(one.rng.ExpFloat64()*float64(clientPause)))
+		sender.sendRequest(ctx)
+		sleep(ctx, time.Duration(sender.rng.ExpFloat64()*float64(clientPause)))
 	}
-	one.http.CloseIdleConnections()
+	sender.httpClient.CloseIdleConnections()
 }
 
-func pause(ctx context.Context, wait time.Duration) {
+func sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -65,121 +65,121 @@
 }
 
 // move turns to another machine.
-func (c *client) move() {
-	if c.http != nil {
-		c.http.CloseIdleConnections()
+func (c *client) switchMachine() {
+	if c.httpClient != nil {
+		c.httpClient.CloseIdleConnections()
 	}
-	c.at = c.fleet.fronts()[c.rng.IntN(len(c.fleet.fronts()))]
-	dialer := &net.Dialer{Timeout: connectWithin}
-	c.http = &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1, DisableCompression: true}}
+	c.machine = c.fleet.frontMachines()[c.rng.IntN(len(c.fleet.frontMachines()))]
+	dialer := &net.Dialer{Timeout: connectTimeout}
+	c.httpClient = &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1, DisableCompression: true}}
 }
 
 // draw makes a request.
-func (c *client) draw(ctx context.Context) (*http.Request, Outcome, error) {
+func (c *client) newRequest(ctx context.Context) (*http.Request, Outcome, error) {
 	id := fmt.Sprintf("%016x", c.rng.Uint64())
-	o := Outcome{ID: id, Kind: []Kind{Once, Safe, Prompt, Feed}[c.rng.IntN(4)], Edge: c.at.name}
+	o := Outcome{ID: id, Kind: []RequestKind{NonIdempotent, Idempotent, Prompt, ResumableFeed}[c.rng.IntN(4)], Edge: c.machine.name}
 	path := "/" + string(o.Kind) + "/x"
-	if newest := int(c.routes.Load()); newest > 0 && c.rng.Float64() < addedPart {
-		o.Kind, o.Route = Once, max(newest-c.rng.IntN(newestRoutes), 1)
-		path = addedPath(o.Route) + "x"
+	if newest := int(c.newestRoute.Load()); newest > 0 && c.rng.Float64() < addedRouteFraction {
+		o.Kind, o.Route = NonIdempotent, max(newest-c.rng.IntN(newestRouteCount), 1)
+		path = addedRoutePrefix(o.Route) + "x"
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.fleet.front(c.at)+path, c.body(id))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.fleet.frontAddress(c.machine)+path, c.newBody(id))
 	if err != nil {
 		return nil, o, err
 	}
-	request.Host = host
+	request.Host = routeHost
 	request.Header.Set(headerRequest, id)
 	request.Header.Set(headerDeadline, fmt.Sprint(requestDeadline.Milliseconds()))
 	if o.Kind == Prompt {
 		request.Header.Set(headerTokens, "12000,4")
 		request.Header.Set(headerPrefix, fmt.Sprintf("aa:500,bb%d:5000,%s:6500", c.rng.IntN(4), id))
 	}
-	if c.rng.Float64() < mischiefPart {
-		mischief := [][2]string{{headerStage, stagePrefill}, {headerVersion, "7"}, {headerExpected, "i-other"}, {"Kv-From", "127.0.0.1:1/none"}}
-		field := mischief[c.rng.IntN(len(mischief))]
+	if c.rng.Float64() < reservedFieldFraction {
+		reservedFields := [][2]string{{headerStage, stagePrefill}, {headerVersion, "7"}, {headerExpected, "i-other"}, {"Kv-From", "127.0.0.1:1/none"}}
+		field := reservedFields[c.rng.IntN(len(reservedFields))]
 		request.Header.Set(field[0], field[1])
 	}
 	return request, o, nil
 }
 
 // body returns the body of a request, of some in pieces.
-func (c *client) body(id string) io.Reader {
-	if c.rng.Float64() < piecesPart {
-		return &pieces{left: bodyOf(id)}
+func (c *client) newBody(id string) io.Reader {
+	if c.rng.Float64() < chunkedFraction {
+		return &chunkedReader{remaining: requestBody(id)}
 	}
-	return strings.NewReader(bodyOf(id))
+	return strings.NewReader(requestBody(id))
 }
 
 // pieces reads a text piece by piece, with a pause before each but the first.
-type pieces struct {
-	left  string
-	begun bool
+type chunkedReader struct {
+	remaining  string
+	hasStarted bool
 }
 
-const pieceBytes = 5
+const chunkBytes = 5
 
-func (p *pieces) Read(to []byte) (int, error) {
-	if p.left == "" {
+func (p *chunkedReader) Read(to []byte) (int, error) {
+	if p.remaining == "" {
 		return 0, io.EOF
 	}
-	if p.begun {
-		time.Sleep(piecePause)
+	if p.hasStarted {
+		time.Sleep(chunkPause)
 	}
-	p.begun = true
-	n := copy(to, p.left[:min(pieceBytes, len(p.left))])
-	p.left = p.left[n:]
+	p.hasStarted = true
+	n := copy(to, p.remaining[:min(chunkBytes, len(p.remaining))])
+	p.remaining = p.remaining[n:]
 	return n, nil
 }
 
 // ask sends a request and tells the checker what came of it.
-func (c *client) ask(ctx context.Context) {
-	waiting, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestDeadline+machineSlack)
+func (c *client) sendRequest(ctx context.Context) {
+	requestCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestDeadline+busyMachineSlack)
 	defer cancel()
-	request, o, err := c.draw(waiting)
+	request, o, err := c.newRequest(requestCtx)
 	if err != nil {
-		c.checker.Break(OwnAnswer, "a request can't be made: %v", err)
+		c.checker.ReportViolation(AnswerIsOwn, "a request can't be made: %v", err)
 		return
 	}
-	proxy := c.at.process(roleProxy)
-	o.Life = proxy.life()
-	c.checker.Sending(o.ID, o.Kind)
-	c.count.Add(1)
-	o.Sent = time.Now()
-	o.take(c.http.Do(request))
-	o.Ended = time.Now()
-	o.Trouble = c.at.troubled(o.Sent, o.Ended) || proxy.life() != o.Life
-	c.checker.Ended(o)
+	proxy := c.machine.process(roleProxy)
+	o.Incarnation = proxy.incarnation()
+	c.checker.RequestSent(o.ID, o.Kind)
+	c.requestCount.Add(1)
+	o.SentAt = time.Now()
+	o.recordResponse(c.httpClient.Do(request))
+	o.EndedAt = time.Now()
+	o.Disturbed = c.machine.wasDisturbed(o.SentAt, o.EndedAt) || proxy.incarnation() != o.Incarnation
+	c.checker.RequestEnded(o)
 	if o.Status == 0 {
-		c.move()
+		c.switchMachine()
 	}
 }
 
 // take notes the answer, or how the request ended without one.
-func (o *Outcome) take(answer *http.Response, err error) {
+func (o *Outcome) recordResponse(response *http.Response, err error) {
 	if err == nil {
-		defer answer.Body.Close()
+		defer response.Body.Close()
 		var body []byte
-		body, err = io.ReadAll(answer.Body)
+		body, err = io.ReadAll(response.Body)
 		o.Body = string(body)
 		if err == nil {
-			o.Status, o.Stamp = answer.StatusCode, answer.Header.Get(headerStamp) != ""
+			o.Status, o.HasStamp = response.StatusCode, response.Header.Get(headerStamp) != ""
 			return
 		}
 	}
-	var dialing *net.OpError
+	var operation *net.OpError
 	switch {
-	case errors.As(err, &dialing) && dialing.Op == "dial":
-		o.Fresh = true
+	case errors.As(err, &operation) && operation.Op == "dial":
+		o.DialFailed = true
 	case errors.Is(err, context.DeadlineExceeded):
-		o.Silent = true
+		o.TimedOut = true
 	default:
-		o.Closed = true
+		o.ConnectionClosed = true
 	}
 }
 
 // life counts the lives of a process.
-func (p *process) life() int {
+func (p *process) incarnation() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lives
+	return p.incarnations
 }
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -20,20 +20,20 @@
 	machine *machine
 	fleet   *fleet
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{} // closed once this life is over
-	lives   int
-	began   time.Time
-	asked   bool      // it was told to end, or was killed
-	killed  bool      // it was killed
-	termAt  time.Time // when it was told to end
-	early   bool      // it was hung up before it can have begun
-	samples []sample
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exited        chan struct{} // closed once this life is over
+	incarnations  int
+	startedAt     time.Time
+	stopRequested bool      // it was told to end, or was killed
+	killRequested bool      // it was killed
+	terminatedAt  time.Time // when it was told to end
+	hungUpEarly   bool      // it was hung up before it can have begun
+	samples       []resourceSample
 }
 
 // sample is what a process takes at a moment.
-type sample struct {
+type resourceSample struct {
 	at          time.Time
 	megabytes   float64
 	descriptors int
@@ -49,62 +49,62 @@
 		return nil
 	}
 	cmd := exec.Command(p.fleet.settings.Binary, p.role)
-	cmd.Env = []string{"HAZELWHEEL_CONFIG=" + p.machine.file, "HOME=" + p.fleet.dir, "PATH=" + os.Getenv("PATH")}
+	cmd.Env = []string{"HAZELWHEEL_CONFIG=" + p.machine.configFile, "HOME=" + p.fleet.dir, "PATH=" + os.Getenv("PATH")}
 	cmd.Stdout, cmd.Stderr = p.fleet.log, p.fleet.log
 	if err := cmd.Start(); err != nil {
 		return Error.Wrap(err)
 	}
-	p.cmd, p.ended, p.began = cmd, make(chan struct{}), time.Now()
-	p.asked, p.killed, p.early, p.termAt, p.samples = false, false, false, time.Time{}, nil
-	p.lives++
-	p.machine.note(hard)
-	go p.await(cmd, p.ended)
+	p.cmd, p.exited, p.startedAt = cmd, make(chan struct{}), time.Now()
+	p.stopRequested, p.killRequested, p.hungUpEarly, p.terminatedAt, p.samples = false, false, false, time.Time{}, nil
+	p.incarnations++
+	p.machine.recordIntervention(abrupt)
+	go p.awaitExit(cmd, p.exited)
 	return nil
 }
 
 // await notes how a life ends.
-func (p *process) await(cmd *exec.Cmd, ended chan struct{}) {
+func (p *process) awaitExit(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cmd = nil
-	p.machine.note(hard)
-	switch took := time.Since(p.termAt); {
-	case !p.asked && p.early && endedBy(err) == syscall.SIGHUP:
-		p.fleet.checker.HungUpEarly()
-	case !p.asked:
-		p.fleet.checker.Break(EndsByItself, "%s: %v", p.name(), err)
-	case p.killed:
+	p.machine.recordIntervention(abrupt)
+	switch shutdown := time.Since(p.terminatedAt); {
+	case !p.stopRequested && p.hungUpEarly && terminatingSignal(err) == syscall.SIGHUP:
+		p.fleet.checker.ProcessHungUpEarly()
+	case !p.stopRequested:
+		p.fleet.checker.ReportViolation(NoUnexpectedExit, "%s: %v", p.name(), err)
+	case p.killRequested:
 	case err != nil:
-		p.fleet.checker.Break(EndsInGrace, "%s: %v", p.name(), err)
-	case took > seconds(graceS)+machineSlack:
-		p.fleet.checker.Break(EndsInGrace, "%s took %v", p.name(), took)
+		p.fleet.checker.ReportViolation(GracefulShutdown, "%s: %v", p.name(), err)
+	case shutdown > durationOfSeconds(graceSeconds)+busyMachineSlack:
+		p.fleet.checker.ReportViolation(GracefulShutdown, "%s took %v", p.name(), shutdown)
 	}
-	close(ended)
+	close(exited)
 }
 
 // beginsWithin is the processor time that a process may take before its own code runs: 4 to 5 ms were measured. Until then SIGHUP ends it,
 // as it ends any program; what is ended so is counted and told, and started again.
-const beginsWithin = 10 * time.Millisecond
+const maxStartupCPUTime = 10 * time.Millisecond
 
 // processorTime is what the threads of a process have taken so far. One that has just ended has taken none.
-func processorTime(pid int) (sum time.Duration) {
+func cpuTime(pid int) (sum time.Duration) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
 		return 0
 	}
 	for _, thread := range threads {
 		data, err := os.ReadFile(thread)
-		var taken int64
-		if _, failed := fmt.Sscan(string(data), &taken); err == nil && failed == nil {
-			sum += time.Duration(taken)
+		var nanoseconds int64
+		if _, scanErr := fmt.Sscan(string(data), &nanoseconds); err == nil && scanErr == nil {
+			sum += time.Duration(nanoseconds)
 		}
 	}
 	return sum
 }
 
 // endedBy returns the signal that ended a process, 0 where none did.
-func endedBy(err error) syscall.Signal {
+func terminatingSignal(err error) syscall.Signal {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
 		return 0
@@ -125,20 +125,20 @@
 	}
 	switch sent {
 	case syscall.SIGTERM:
-		p.machine.note(gentle)
-		if p.termAt.IsZero() {
-			p.termAt = time.Now()
+		p.machine.recordIntervention(graceful)
+		if p.terminatedAt.IsZero() {
+			p.terminatedAt = time.Now()
 		}
-		p.asked = true
+		p.stopRequested = true
 	case syscall.SIGKILL:
-		p.machine.note(hard)
-		p.asked, p.killed = true, true
+		p.machine.recordIntervention(abrupt)
+		p.stopRequested, p.killRequested = true, true
 	case syscall.SIGHUP:
-		p.early = p.early || processorTime(p.cmd.Process.Pid) < beginsWithin
+		p.hungUpEarly = p.hungUpEarly || cpuTime(p.cmd.Process.Pid) < maxStartupCPUTime
 	case syscall.SIGSTOP, syscall.SIGCONT:
-		p.machine.note(hard)
-		if p.asked {
-			p.termAt = time.Now() // it has its time from when it goes on
+		p.machine.recordIntervention(abrupt)
+		if p.stopRequested {
+			p.terminatedAt = time.Now() // it has its time from when it goes on
 		}
 	}
 	_ = p.cmd.Process.Signal(sent) // it may just have ended
@@ -146,39 +146,39 @@
 
 // awaitEnd waits until the life that was told to end is over, and kills it once its time is. It does not wait for a life that has begun
 // since, where all were killed meanwhile.
-func (p *process) awaitEnd() {
+func (p *process) awaitShutdown() {
 	p.mu.Lock()
-	ended, ending := p.ended, p.cmd != nil && p.asked
+	exited, isStopping := p.exited, p.cmd != nil && p.stopRequested
 	p.mu.Unlock()
-	if !ending {
+	if !isStopping {
 		return
 	}
 	select {
-	case <-ended:
-	case <-time.After(seconds(graceS) + 2*machineSlack):
-		p.fleet.checker.Break(EndsInGrace, "%s has not ended", p.name())
+	case <-exited:
+	case <-time.After(durationOfSeconds(graceSeconds) + 2*busyMachineSlack):
+		p.fleet.checker.ReportViolation(GracefulShutdown, "%s has not ended", p.name())
 		p.signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 	}
 }
 
 // look takes a sample.
-func (p *process) look() {
+func (p *process) sampleResources() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return
 	}
 	pid := p.cmd.Process.Pid
-	megabytes, err := residentMB(pid)
-	entries, failed := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	if err != nil || failed != nil {
+	megabytes, err := residentMegabytes(pid)
+	entries, listErr := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	if err != nil || listErr != nil {
 		return // it has just ended
 	}
-	p.samples = append(p.samples, sample{time.Now(), megabytes, len(entries)})
+	p.samples = append(p.samples, resourceSample{time.Now(), megabytes, len(entries)})
 }
 
-func residentMB(pid int) (float64, error) {
+func residentMegabytes(pid int) (float64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0, err
@@ -194,28 +194,28 @@
 // Bounds of growth between the first and the last third of a life.
 const (
 	growthFactor      = 1.5
-	growthMB          = 12.0
+	growthMegabytes   = 12.0
 	growthDescriptors = 64
 )
 
 // checkGrowth compares the first third of a long life with its last.
-func (p *process) checkGrowth(long time.Duration) {
+func (p *process) checkGrowth(minAge time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || time.Since(p.began) < long || len(p.samples) < 9 {
+	if p.cmd == nil || time.Since(p.startedAt) < minAge || len(p.samples) < 9 {
 		return
 	}
 	third := len(p.samples) / 3
-	first, last := mean(p.samples[:third]), mean(p.samples[len(p.samples)-third:])
-	if last.megabytes > growthFactor*first.megabytes+growthMB {
-		p.fleet.checker.Break(Growth, "%s: %.0f MB, then %.0f MB", p.name(), first.megabytes, last.megabytes)
+	first, last := meanSample(p.samples[:third]), meanSample(p.samples[len(p.samples)-third:])
+	if last.megabytes > growthFactor*first.megabytes+growthMegabytes {
+		p.fleet.checker.ReportViolation(ResourcesBounded, "%s: %.0f MB, then %.0f MB", p.name(), first.megabytes, last.megabytes)
 	}
 	if float64(last.descriptors) > growthFactor*float64(first.descriptors)+growthDescriptors {
-		p.fleet.checker.Break(Growth, "%s: %d descriptors, then %d", p.name(), first.descriptors, last.descriptors)
+		p.fleet.checker.ReportViolation(ResourcesBounded, "%s: %d descriptors, then %d", p.name(), first.descriptors, last.descriptors)
 	}
 }
 
-func mean(samples []sample) (out sample) {
+func meanSample(samples []resourceSample) (out resourceSample) {
 	for _, s := range samples {
 		out.megabytes += s.megabytes / float64(len(samples))
 		out.descriptors += s.descriptors
@@ -225,55 +225,55 @@
 }
 
 // effect says what an act on a machine may do to requests there.
-type effect int
+type disruption int
 
 const (
-	gentle effect = iota // what has been read is still to be answered
-	hard                 // anything may be cut
+	graceful disruption = iota // what has been read is still to be answered
+	abrupt                     // anything may be cut
 )
 
 // act is something that was done to a machine.
-type act struct {
-	at     time.Time
-	effect effect
+type intervention struct {
+	at         time.Time
+	disruption disruption
 }
 
 // machine is one of the fleet's machines.
 type machine struct {
-	name      string
-	ip        string
-	disk      bool // it holds a part of the configuration
-	file      string
-	processes []*process
-
-	mu      sync.Mutex
-	acts    []act
-	claimed bool // a series is being played here
+	name       string
+	ip         string
+	hasDisk    bool // it holds a part of the configuration
+	configFile string
+	processes  []*process
+
+	mu            sync.Mutex
+	interventions []intervention
+	isClaimed     bool // a series is being played here
 }
 
-func (m *machine) note(e effect) {
+func (m *machine) recordIntervention(kind disruption) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.acts = append(m.acts, act{time.Now(), e})
+	m.interventions = append(m.interventions, intervention{time.Now(), kind})
 }
 
 // settled is for how long after an act a machine counts as troubled; crossed is how long a request is on its way to a process that has
 // just been told to end.
 const (
-	settled = 4 * time.Second
-	crossed = 150 * time.Millisecond
+	disturbanceDuration = 4 * time.Second
+	signalRaceWindow    = 150 * time.Millisecond
 )
 
 // troubled tells whether something was done to the machine that excuses how a request there ended.
-func (m *machine) troubled(sent, ended time.Time) bool {
+func (m *machine) wasDisturbed(sentAt, endedAt time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, a := range m.acts {
-		until := ended
-		if a.effect == gentle {
-			until = sent.Add(crossed)
+	for _, done := range m.interventions {
+		until := endedAt
+		if done.disruption == graceful {
+			until = sentAt.Add(signalRaceWindow)
 		}
-		if a.at.After(sent.Add(-settled)) && a.at.Before(until.Add(crossed)) {
+		if done.at.After(sentAt.Add(-disturbanceDuration)) && done.at.Before(until.Add(signalRaceWindow)) {
 			return true
 		}
 	}
@@ -291,17 +291,17 @@
 }
 
 // each does something to all processes of the machine, and waits for it.
-func (m *machine) each(do func(p *process)) {
-	var doing sync.WaitGroup
+func (m *machine) forEachProcess(do func(p *process)) {
+	var running sync.WaitGroup
 	for _, p := range m.processes {
-		doing.Go(func() { do(p) })
+		running.Go(func() { do(p) })
 	}
-	doing.Wait()
+	running.Wait()
 }
 
 func (m *machine) dataDir(dir string) string { return filepath.Join(dir, "data-"+m.name) }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func durationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // lockedWriter lets processes write to one place.
 type lockedWriter struct {
@@ -319,9 +319,9 @@
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	p.mu.Lock()
-	ended, running := p.ended, p.cmd != nil
+	exited, isRunning := p.exited, p.cmd != nil
 	p.mu.Unlock()
-	if running {
-		<-ended
+	if isRunning {
+		<-exited
 	}
 }
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -20,24 +20,24 @@
 
 // The bounds that the fleet's settings name, and what a busy machine adds to them before a check fails.
 const (
-	graceS          = 6.0
-	catchUpS        = 4.0
-	recoveryS       = 12.0
-	configApplyS    = 2.0
-	leaseMs         = 3000
-	machineSlack    = 3 * time.Second
-	requestDeadline = 2500 * time.Millisecond
+	graceSeconds       = 6.0
+	catchUpSeconds     = 4.0
+	recoverySeconds    = 12.0
+	configApplySeconds = 2.0
+	leaseMilliseconds  = 3000
+	busyMachineSlack   = 3 * time.Second
+	requestDeadline    = 2500 * time.Millisecond
 )
 
 const (
-	leastProcesses = 7 // three control processes, two agents and two proxies
-	leastBeside    = 8 // four machines with an agent and a proxy, three of them with a disk
-	mostProcesses  = 300
+	minProcesses         = 7 // three control processes, two agents and two proxies
+	minProcessesInAgents = 8 // four machines with an agent and a proxy, three of them with a disk
+	maxProcesses         = 300
 	// processMB is what one process takes at most, in megabytes of 2^20 bytes.
-	processMB = 32
+	maxProcessMegabytes = 32
 	// manyProcesses is from how many on the control side has five processes.
-	manyProcesses = 60
-	leastFor      = 10 * time.Second
+	largeFleetProcesses = 60
+	minFaultDuration    = 10 * time.Second
 )
 
 // Settings says what is played.
@@ -54,20 +54,20 @@
 // Check tells what of the settings can't be kept, in one line that names the flag.
 func (s *Settings) Validate() error {
 	switch {
-	case s.Processes < leastProcesses:
-		return Error.New("--processes %d: want %d at least (three control processes, two agents, two proxies)", s.Processes, leastProcesses)
-	case s.ControlInAgents && s.Processes < leastBeside:
-		return Error.New("--processes %d: want %d at least with --beside (four machines with an agent and a proxy)", s.Processes, leastBeside)
-	case s.Processes > mostProcesses:
-		return Error.New("--processes %d: want %d at most", s.Processes, mostProcesses)
-	case s.FaultDuration < leastFor:
-		return Error.New("--minutes: %v are too short, want %v at least", s.FaultDuration, leastFor)
+	case s.Processes < minProcesses:
+		return Error.New("--processes %d: want %d at least (three control processes, two agents, two proxies)", s.Processes, minProcesses)
+	case s.ControlInAgents && s.Processes < minProcessesInAgents:
+		return Error.New("--processes %d: want %d at least with --beside (four machines with an agent and a proxy)", s.Processes, minProcessesInAgents)
+	case s.Processes > maxProcesses:
+		return Error.New("--processes %d: want %d at most", s.Processes, maxProcesses)
+	case s.FaultDuration < minFaultDuration:
+		return Error.New("--minutes: %v are too short, want %v at least", s.FaultDuration, minFaultDuration)
 	}
-	memory, err := memoryMB()
+	memory, err := totalMemoryMegabytes()
 	if err != nil {
 		return err
 	}
-	if need := s.Processes * processMB; need > memory/2 {
+	if need := s.Processes * maxProcessMegabytes; need > memory/2 {
 		return Error.New("--processes %d: they may take %d MB, more than half of the memory (%d MB)", s.Processes, need, memory)
 	}
 	if _, err := os.Stat(s.Binary); err != nil {
@@ -77,7 +77,7 @@
 }
 
 // memoryMB is the machine's memory.
-func memoryMB() (int, error) {
+func totalMemoryMegabytes() (int, error) {
 	file, err := os.Open("/proc/meminfo")
 	if err != nil {
 		return 0, Error.Wrap(err)
@@ -94,27 +94,27 @@
 }
 
 // controls is the number of control processes, edges that of machines with an agent and a proxy.
-func (s *Settings) controls() int {
-	if s.Processes >= manyProcesses {
+func (s *Settings) controlMachineCount() int {
+	if s.Processes >= largeFleetProcesses {
 		return 5
 	}
 	return 3
 }
 
-func (s *Settings) edges() int { return (s.Processes - s.controlProcesses()) / 2 }
+func (s *Settings) edgeMachineCount() int { return (s.Processes - s.controlProcessCount()) / 2 }
 
 // controlProcesses is the number of processes on machines that hold a part of the configuration.
-func (s *Settings) controlProcesses() int {
+func (s *Settings) controlProcessCount() int {
 	if s.ControlInAgents {
-		return 2 * s.controls()
+		return 2 * s.controlMachineCount()
 	}
-	return s.controls()
+	return s.controlMachineCount()
 }
 
 // tolerate is how many control machines may be lost at once.
-func (s *Settings) tolerate() int { return (s.controls() - 1) / 2 }
+func (s *Settings) tolerableLosses() int { return (s.controlMachineCount() - 1) / 2 }
 
-func quoted(items []string) string {
+func yamlList(items []string) string {
 	var out strings.Builder
 	for _, item := range items {
 		fmt.Fprintf(&out, "  - %q\n", item)
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	beginWithin = 20 * time.Second
-	sampleEvery = time.Second
+	startTimeout   = 20 * time.Second
+	sampleInterval = time.Second
 	// afterFor is how long clients go on once RecoveryS is over.
-	afterFor = 4 * time.Second
+	afterRecoveryDuration = 4 * time.Second
 	// longPart is the part of the run for which a process must have lived for its growth to be judged.
-	longPart = 0.6
+	longLivedFraction = 0.6
 )
 
 // Result says what was played and what came of it.
@@ -50,144 +50,146 @@
 	}
 	dir := s.Dir
 	if dir == "" {
-		made, err := os.MkdirTemp("", "soak-")
+		temporary, err := os.MkdirTemp("", "soak-")
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
-		defer func() { _ = os.RemoveAll(made) }() // temporary
-		dir = made
+		defer func() { _ = os.RemoveAll(temporary) }() // temporary
+		dir = temporary
 	}
 	checker := NewChecker()
-	listed, err := startPlatform(checker)
+	endpoints, err := startEndpointList(checker)
 	if err != nil {
 		return nil, err
 	}
-	defer listed.close()
-	f := newFleet(&s, checker, dir, listed.address)
-	defer f.end()
-	r := &run{settings: s, fleet: f, checker: checker, listed: listed, operator: newOperator(f, checker, s.Seed), player: newPlayer(f, checker, s.Seed)}
-	return r.play(ctx)
+	defer endpoints.close()
+	processes := newFleet(&s, checker, dir, endpoints.address)
+	defer processes.killAll()
+	r := &run{settings: s, fleet: processes, checker: checker, endpoints: endpoints, operator: newOperator(processes, checker, s.Seed), faults: newFaultInjector(processes, checker, s.Seed)}
+	return r.execute(ctx)
 }
 
 // run is one run of a soak.
 type run struct {
-	settings Settings
-	fleet    *fleet
-	checker  *Checker
-	listed   *platform
-	operator *operator
-	player   *player
-	clients  *clients
-	renewed  int // servers
+	settings        Settings
+	fleet           *fleet
+	checker         *Checker
+	endpoints       *endpointList
+	operator        *operator
+	faults          *faultInjector
+	clients         *clients
+	replacedServers int // servers
 }
 
-func (r *run) play(ctx context.Context) (*Result, error) {
-	began := time.Now()
+func (r *run) execute(ctx context.Context) (*Result, error) {
+	startedAt := time.Now()
 	if err := r.fleet.start(rand.New(rand.NewPCG(r.settings.Seed, 4))); err != nil {
 		return nil, err
 	}
-	if err := r.begin(ctx); err != nil {
+	if err := r.awaitReady(ctx); err != nil {
 		return nil, err
 	}
-	asking, stopAsking := context.WithCancel(ctx)
-	defer stopAsking()
-	var work sync.WaitGroup
-	r.clients = &clients{fleet: r.fleet, checker: r.checker, routes: &r.operator.routes}
-	for i := range clientsPerEdge * len(r.fleet.fronts()) {
-		work.Go(func() { r.clients.run(asking, r.settings.Seed*1000+uint64(i)) })
+	traffic, stopTraffic := context.WithCancel(ctx)
+	defer stopTraffic()
+	var background sync.WaitGroup
+	r.clients = &clients{fleet: r.fleet, checker: r.checker, newestRoute: &r.operator.addedRoutes}
+	for i := range clientsPerEdge * len(r.fleet.frontMachines()) {
+		background.Go(func() { r.clients.run(traffic, r.settings.Seed*1000+uint64(i)) })
 	}
-	work.Go(func() { r.operator.run(asking) })
-	work.Go(func() { r.sample(asking) })
+	background.Go(func() { r.operator.run(traffic) })
+	background.Go(func() { r.sampleProcesses(traffic) })
 
-	troubled, stopTrouble := context.WithTimeout(ctx, r.settings.FaultDuration)
-	defer stopTrouble()
-	work.Go(func() { r.renewed = r.listed.renew(troubled, rand.New(rand.NewPCG(r.settings.Seed, 5))) })
-	r.player.run(troubled)
-	from := time.Now().Add(seconds(recoveryS))
-	r.checker.FaultsEnded(from)
-	pause(ctx, time.Until(from)+afterFor)
-	stopAsking()
-	work.Wait()
+	faulty, stopFaults := context.WithTimeout(ctx, r.settings.FaultDuration)
+	defer stopFaults()
+	background.Go(func() {
+		r.replacedServers = r.endpoints.replaceServers(faulty, rand.New(rand.NewPCG(r.settings.Seed, 5)))
+	})
+	r.faults.run(faulty)
+	recoveredFrom := time.Now().Add(durationOfSeconds(recoverySeconds))
+	r.checker.ExpectServiceFrom(recoveredFrom)
+	sleep(ctx, time.Until(recoveredFrom)+afterRecoveryDuration)
+	stopTraffic()
+	background.Wait()
 	if ctx.Err() != nil {
 		return nil, Error.Wrap(ctx.Err())
 	}
-	r.finish(ctx, time.Since(began))
-	return r.report(time.Since(began)), nil
+	r.finish(ctx, time.Since(startedAt))
+	return r.result(time.Since(startedAt)), nil
 }
 
 // begin waits until the first configuration is taken and all proxies are ready.
-func (r *run) begin(ctx context.Context) error {
-	starting, cancel := context.WithTimeout(ctx, beginWithin)
+func (r *run) awaitReady(ctx context.Context) error {
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	r.operator.change(starting)
-	for _, m := range r.fleet.fronts() {
-		for !r.ready(m) {
-			if starting.Err() != nil {
-				return Error.New("%s is not ready after %v", m.name, beginWithin)
+	r.operator.applyChange(startCtx)
+	for _, machine := range r.fleet.frontMachines() {
+		for !r.isReady(machine) {
+			if startCtx.Err() != nil {
+				return Error.New("%s is not ready after %v", machine.name, startTimeout)
 			}
-			pause(starting, askAgain)
+			sleep(startCtx, retryInterval)
 		}
 	}
 	return nil
 }
 
-func (r *run) ready(m *machine) bool {
-	answer, err := r.operator.http.Get("http://" + r.fleet.ready(m) + "/ready")
+func (r *run) isReady(machine *machine) bool {
+	response, err := r.operator.httpClient.Get("http://" + r.fleet.readyAddress(machine) + "/ready")
 	if err != nil {
 		return false
 	}
-	_ = answer.Body.Close()
-	return answer.StatusCode == 200
+	_ = response.Body.Close()
+	return response.StatusCode == 200
 }
 
 // sample looks at what all processes take, now and then.
-func (r *run) sample(ctx context.Context) {
+func (r *run) sampleProcesses(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, m := range r.fleet.machines() {
-			for _, p := range m.processes {
-				p.look()
+		for _, machine := range r.fleet.machines() {
+			for _, p := range machine.processes {
+				p.sampleResources()
 			}
 		}
-		pause(ctx, sampleEvery)
+		sleep(ctx, sampleInterval)
 	}
 }
 
 // finish judges what can be judged in the end alone, and ends all processes in order.
-func (r *run) finish(ctx context.Context, lasted time.Duration) {
-	r.operator.readBack(ctx)
-	for _, m := range r.fleet.machines() {
-		for _, p := range m.processes {
-			p.checkGrowth(time.Duration(longPart * float64(lasted)))
+func (r *run) finish(ctx context.Context, duration time.Duration) {
+	r.operator.checkReadBack(ctx)
+	for _, machine := range r.fleet.machines() {
+		for _, p := range machine.processes {
+			p.checkGrowth(time.Duration(longLivedFraction * float64(duration)))
 		}
 	}
-	r.player.eachMachine(func(m *machine) {
-		m.signal(syscall.SIGTERM)
-		m.each((*process).awaitEnd)
+	r.faults.forEachMachine(func(machine *machine) {
+		machine.signal(syscall.SIGTERM)
+		machine.forEachProcess((*process).awaitShutdown)
 	})
 	r.checker.Finish()
 }
 
-func (r *run) report(lasted time.Duration) *Result {
+func (r *run) result(duration time.Duration) *Result {
 	r.checker.mu.Lock()
-	outcomes, hungUp, resumed := r.checker.outcomes, r.checker.hungUp, r.checker.resumed
+	outcomes, hungUpEarly, resumedFeeds := r.checker.outcomes, r.checker.hungUpEarly, r.checker.resumedFeeds
 	r.checker.mu.Unlock()
-	return &Result{Seed: r.settings.Seed, Processes: r.settings.controlProcesses() + 2*r.settings.edges(), Seconds: lasted.Seconds(),
-		Requests: r.clients.count.Load(), Outcomes: outcomes, LastVersion: r.operator.version, AddedRoutes: r.operator.routes.Load(), ScenarioCounts: r.player.played,
-		KillAllCount: r.player.allKilled.Load(), ReplacedServers: r.renewed, ResumedFeeds: resumed, HungUpEarly: hungUp, SlowestChangeSeconds: r.operator.slowest.Seconds(), SlowestVoteSeconds: r.player.slowest.Seconds(),
-		Violations: r.checker.Broken()}
+	return &Result{Seed: r.settings.Seed, Processes: r.settings.controlProcessCount() + 2*r.settings.edgeMachineCount(), Seconds: duration.Seconds(),
+		Requests: r.clients.requestCount.Load(), Outcomes: outcomes, LastVersion: r.operator.confirmedVersion, AddedRoutes: r.operator.addedRoutes.Load(), ScenarioCounts: r.faults.scenarioCounts,
+		KillAllCount: r.faults.killAllCount.Load(), ReplacedServers: r.replacedServers, ResumedFeeds: resumedFeeds, HungUpEarly: hungUpEarly, SlowestChangeSeconds: r.operator.slowestChange.Seconds(), SlowestVoteSeconds: r.faults.slowestVote.Seconds(),
+		Violations: r.checker.Violations()}
 }
 
 // String sums a result up in a line, with a line for each broken rule.
 func (r *Result) String() string {
-	series := 0
+	scenarios := 0
 	for _, count := range r.ScenarioCounts {
-		series += count
+		scenarios += count
 	}
 	out := fmt.Sprintf("seed %d: %d processes, %.0f s, %d requests %v, %d changes (slowest %.1f s), %d series, all killed %d times, %d servers replaced, %d feeds resumed, %d hung up before they began, slowest vote %.1f s, %d rules broken\n",
-		r.Seed, r.Processes, r.Seconds, r.Requests, r.Outcomes, r.AddedRoutes, r.SlowestChangeSeconds, series, r.KillAllCount, r.ReplacedServers, r.ResumedFeeds, r.HungUpEarly, r.SlowestVoteSeconds, len(r.Violations))
-	for rule, cases := range r.Violations {
-		for _, one := range cases {
-			out += fmt.Sprintf("  %s: %s\n", rule, one)
+		r.Seed, r.Processes, r.Seconds, r.Requests, r.Outcomes, r.AddedRoutes, r.SlowestChangeSeconds, scenarios, r.KillAllCount, r.ReplacedServers, r.ResumedFeeds, r.HungUpEarly, r.SlowestVoteSeconds, len(r.Violations))
+	for rule, details := range r.Violations {
+		for _, detail := range details {
+			out += fmt.Sprintf("  %s: %s\n", rule, detail)
 		}
 	}
 	return out
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -26,91 +26,91 @@
 // sound is an outcome that breaks nothing.
 func sound() Outcome {
 	now := time.Now()
-	return Outcome{ID: "id", Kind: Once, Edge: "edge-0", Life: 1, Sent: now, Ended: now.Add(time.Millisecond), Status: 200, Body: answerTo(Once, "id"), Stamp: true}
+	return Outcome{ID: "id", Kind: NonIdempotent, Edge: "edge-0", Incarnation: 1, SentAt: now, EndedAt: now.Add(time.Millisecond), Status: 200, Body: expectedAnswer(NonIdempotent, "id"), HasStamp: true}
 }
 
 var _ = Describe("the checker", func() {
 	DescribeTable("notices a fault of each rule", func(rule Rule, happens func(c *Checker)) {
 		c := NewChecker()
-		c.Sending("id", Once)
-		c.Ran("id")
-		c.Ended(sound())
+		c.RequestSent("id", NonIdempotent)
+		c.RequestExecuted("id")
+		c.RequestEnded(sound())
 		c.Finish()
-		Expect(c.Broken()).To(BeEmpty(), "nothing is wrong yet")
+		Expect(c.Violations()).To(BeEmpty(), "nothing is wrong yet")
 		happens(c)
 		c.Finish()
-		Expect(c.Broken()).To(HaveKey(rule))
-		Expect(c.Broken()).To(HaveLen(1))
+		Expect(c.Violations()).To(HaveKey(rule))
+		Expect(c.Violations()).To(HaveLen(1))
 	},
-		Entry(nil, AtMostOnce, func(c *Checker) { c.Ran("id") }),
-		Entry(nil, OwnAnswer, func(c *Checker) { o := sound(); o.Body = answerTo(Once, "other"); c.Ended(o) }),
-		Entry(nil, OwnAnswer, func(c *Checker) { o := sound(); o.Stamp = false; c.Ended(o) }),
-		Entry(nil, Promise, func(c *Checker) { o := sound(); o.Status = 503; c.Ended(o) }),
-		Entry(nil, Promise, func(c *Checker) {
-			c.Sending("later", Once)
+		Entry(nil, AtMostOnce, func(c *Checker) { c.RequestExecuted("id") }),
+		Entry(nil, AnswerIsOwn, func(c *Checker) { o := sound(); o.Body = expectedAnswer(NonIdempotent, "other"); c.RequestEnded(o) }),
+		Entry(nil, AnswerIsOwn, func(c *Checker) { o := sound(); o.HasStamp = false; c.RequestEnded(o) }),
+		Entry(nil, RefusedNotExecuted, func(c *Checker) { o := sound(); o.Status = 503; c.RequestEnded(o) }),
+		Entry(nil, RefusedNotExecuted, func(c *Checker) {
+			c.RequestSent("later", NonIdempotent)
 			o := sound()
 			o.ID, o.Status = "later", 503
-			c.Ended(o)
-			c.Ran("later")
+			c.RequestEnded(o)
+			c.RequestExecuted("later")
 		}),
-		Entry(nil, OwnAnswer, func(c *Checker) {
+		Entry(nil, AnswerIsOwn, func(c *Checker) {
 			o := sound()
-			o.Kind, o.Status, o.Closed, o.Body = Feed, 0, true, feedEvent("id", 2)
-			c.Ended(o)
+			o.Kind, o.Status, o.ConnectionClosed, o.Body = ResumableFeed, 0, true, feedEvent("id", 2)
+			c.RequestEnded(o)
 		}),
-		Entry(nil, Intact, func(c *Checker) { c.Got("id", "body of i") }),
-		Entry(nil, Answered, func(c *Checker) { o := sound(); o.Status, o.Closed = 0, true; c.Ended(o) }),
-		Entry(nil, Answered, func(c *Checker) { o := sound(); o.Status, o.Silent = 0, true; c.Ended(o) }),
-		Entry(nil, NeverOlder, func(c *Checker) {
+		Entry(nil, BodyIntact, func(c *Checker) { c.RequestBodyReceived("id", "body of i") }),
+		Entry(nil, AlwaysAnswered, func(c *Checker) { o := sound(); o.Status, o.ConnectionClosed = 0, true; c.RequestEnded(o) }),
+		Entry(nil, AlwaysAnswered, func(c *Checker) { o := sound(); o.Status, o.TimedOut = 0, true; c.RequestEnded(o) }),
+		Entry(nil, ConfigurationMonotonic, func(c *Checker) {
 			o := sound()
 			o.Route = 7
-			c.Ended(o)
+			c.RequestEnded(o)
 			o.Route, o.Status = 6, 404
-			c.Ended(o)
+			c.RequestEnded(o)
 		}),
-		Entry(nil, InForce, func(c *Checker) {
+		Entry(nil, ConfigurationInForce, func(c *Checker) {
 			o := sound()
-			c.Acknowledged(3, o.Sent.Add(-time.Minute))
+			c.ConfigurationAcknowledged(3, o.SentAt.Add(-time.Minute))
 			o.Route, o.Status = 3, 404
-			c.Ended(o)
+			c.RequestEnded(o)
 		}),
-		Entry(nil, AddedRoutes, func(c *Checker) {
-			for range leastRequests {
+		Entry(nil, AddedRoutesServed, func(c *Checker) {
+			for range minRequestsForRatio {
 				o := sound()
-				c.Ended(o)
+				c.RequestEnded(o)
 				o.Route, o.Status = 1, 502
-				c.Ended(o)
+				c.RequestEnded(o)
 			}
 		}),
-		Entry(nil, Starved, func(c *Checker) {
-			for range leastRequests {
+		Entry(nil, KindsServed, func(c *Checker) {
+			for range minRequestsForRatio {
 				o := sound()
-				c.Ended(o)
+				c.RequestEnded(o)
 				o.Kind, o.Status = Prompt, 503
-				c.Ended(o)
+				c.RequestEnded(o)
 			}
 		}),
-		Entry(nil, Recovered, func(c *Checker) {
+		Entry(nil, ServiceRecovered, func(c *Checker) {
 			o := sound()
-			c.FaultsEnded(o.Sent.Add(-time.Second))
+			c.ExpectServiceFrom(o.SentAt.Add(-time.Second))
 			o.Status = 502
-			c.Ended(o)
+			c.RequestEnded(o)
 		}),
 	)
 
 	It("excuses what a machine's trouble explains, and nothing else", func() {
 		c := NewChecker()
 		o := sound()
-		o.Status, o.Closed, o.Trouble = 0, true, true
-		c.Ended(o)
+		o.Status, o.ConnectionClosed, o.Disturbed = 0, true, true
+		c.RequestEnded(o)
 		o = sound()
-		o.Status, o.Fresh = 0, true
-		c.Ended(o)
-		c.Acknowledged(3, time.Now())
+		o.Status, o.DialFailed = 0, true
+		c.RequestEnded(o)
+		c.ConfigurationAcknowledged(3, time.Now())
 		o = sound()
 		o.Route, o.Status = 3, 404
-		c.Ended(o)
-		Expect(c.Broken()).To(BeEmpty())
+		c.RequestEnded(o)
+		Expect(c.Violations()).To(BeEmpty())
 	})
 })
 
@@ -120,14 +120,14 @@
 	}
 
 	It("excuses what was under way when it was killed, and not what was read before it was told to end", func() {
-		killed := &machine{acts: []act{{at(10), hard}}}
-		Expect(killed.troubled(at(9), at(10.01))).To(BeTrue())
-		Expect(killed.troubled(at(9), at(9.5))).To(BeFalse())
-		Expect(killed.troubled(at(15), at(15.1))).To(BeFalse())
-		ending := &machine{acts: []act{{at(10), gentle}}}
-		Expect(ending.troubled(at(9), at(11))).To(BeFalse(), "it has been read, and is to be answered")
-		Expect(ending.troubled(at(9.95), at(11))).To(BeTrue(), "the two crossed")
-		Expect(ending.troubled(at(11), at(11.1))).To(BeTrue())
+		killed := &machine{interventions: []intervention{{at(10), abrupt}}}
+		Expect(killed.wasDisturbed(at(9), at(10.01))).To(BeTrue())
+		Expect(killed.wasDisturbed(at(9), at(9.5))).To(BeFalse())
+		Expect(killed.wasDisturbed(at(15), at(15.1))).To(BeFalse())
+		ending := &machine{interventions: []intervention{{at(10), graceful}}}
+		Expect(ending.wasDisturbed(at(9), at(11))).To(BeFalse(), "it has been read, and is to be answered")
+		Expect(ending.wasDisturbed(at(9.95), at(11))).To(BeTrue(), "the two crossed")
+		Expect(ending.wasDisturbed(at(11), at(11.1))).To(BeTrue())
 	})
 })
 
@@ -136,7 +136,7 @@
 	growing := func(megabytes float64, descriptors int) *process {
 		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: &fleet{checker: NewChecker()}, cmd: exec.Command("none")}
 		for i := range 30 {
-			p.samples = append(p.samples, sample{megabytes: 20 + megabytes*float64(i), descriptors: 40 + descriptors*i})
+			p.samples = append(p.samples, resourceSample{megabytes: 20 + megabytes*float64(i), descriptors: 40 + descriptors*i})
 		}
 		return p
 	}
@@ -144,11 +144,11 @@
 	It("that grows is noticed", func() {
 		for _, p := range []*process{growing(2, 0), growing(0, 10)} {
 			p.checkGrowth(0)
-			Expect(p.fleet.checker.Broken()).To(HaveKey(Growth))
+			Expect(p.fleet.checker.Violations()).To(HaveKey(ResourcesBounded))
 		}
 		p := growing(0.1, 0)
 		p.checkGrowth(0)
-		Expect(p.fleet.checker.Broken()).To(BeEmpty())
+		Expect(p.fleet.checker.Violations()).To(BeEmpty())
 	})
 
 	// hungUp returns what the checker has seen of a process that SIGHUP ended.
@@ -164,42 +164,42 @@
 		Expect(cmd.Start()).To(Succeed())
 		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: f, cmd: cmd}
 		p.signal(syscall.SIGHUP)
-		p.early = early
-		p.await(cmd, make(chan struct{}))
+		p.hungUpEarly = early
+		p.awaitExit(cmd, make(chan struct{}))
 		return f.checker
 	}
 
 	It("that a SIGHUP ends is excused only before it can have begun", func() {
 		early := hungUp(true)
-		Expect(early.hungUp).To(Equal(1))
-		Expect(early.Broken()).To(BeEmpty())
-		Expect(hungUp(false).Broken()).To(HaveKey(EndsByItself))
+		Expect(early.hungUpEarly).To(Equal(1))
+		Expect(early.Violations()).To(BeEmpty())
+		Expect(hungUp(false).Violations()).To(HaveKey(NoUnexpectedExit))
 		const looks = 100_000 // each takes processor time, also where this test is the first one
 		for range looks {
-			if processorTime(os.Getpid()) > beginsWithin {
+			if cpuTime(os.Getpid()) > maxStartupCPUTime {
 				break
 			}
 		}
-		Expect(processorTime(os.Getpid())).To(BeNumerically(">", beginsWithin), "a test that has run for a while")
-		Expect(processorTime(-1)).To(BeZero())
+		Expect(cpuTime(os.Getpid())).To(BeNumerically(">", maxStartupCPUTime), "a test that has run for a while")
+		Expect(cpuTime(-1)).To(BeZero())
 	})
 
 	It("that has begun anew since it was told to end is not waited for", func() {
 		f := &fleet{settings: &Settings{}, checker: NewChecker(), log: GinkgoWriter}
-		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: f, cmd: exec.Command("none"), ended: make(chan struct{})}
-		p.awaitEnd()
-		Expect(f.checker.Broken()).To(BeEmpty())
+		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: f, cmd: exec.Command("none"), exited: make(chan struct{})}
+		p.awaitShutdown()
+		Expect(f.checker.Violations()).To(BeEmpty())
 	})
 
 	It("that ends by itself, or not in its grace, is noticed", func() {
 		f := &fleet{settings: &Settings{Binary: "/bin/false"}, checker: NewChecker(), log: GinkgoWriter}
 		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: f}
 		Expect(p.start()).To(Succeed())
-		Eventually(f.checker.Broken).WithTimeout(10 * time.Second).Should(HaveKey(EndsByItself))
+		Eventually(f.checker.Violations).WithTimeout(10 * time.Second).Should(HaveKey(NoUnexpectedExit))
 		f.checker = NewChecker()
-		p.asked = true
-		p.await(exec.Command("/bin/none"), make(chan struct{}))
-		Expect(f.checker.Broken()).To(HaveKey(EndsInGrace))
+		p.stopRequested = true
+		p.awaitExit(exec.Command("/bin/none"), make(chan struct{}))
+		Expect(f.checker.Violations()).To(HaveKey(GracefulShutdown))
 	})
 })
 
@@ -215,9 +215,9 @@
 			_ = p.cmd.Wait() // it was killed
 		})
 		p.signal(syscall.SIGSTOP)
-		Expect(p.termAt).To(BeZero())
+		Expect(p.terminatedAt).To(BeZero())
 		p.signal(syscall.SIGTERM)
-		Expect(p.termAt).To(BeTemporally("~", time.Now(), time.Minute))
+		Expect(p.terminatedAt).To(BeTemporally("~", time.Now(), time.Minute))
 	})
 })
 
@@ -232,13 +232,13 @@
 			go func() { _ = told.Serve(listener) }()
 			DeferCleanup(told.Close)
 			c := NewChecker()
-			p := newPlayer(&fleet{settings: &Settings{}, base: listener.Addr().(*net.TCPAddr).Port}, c, 1)
-			p.voteWithin = 0 // its time is over at the first look
+			p := newFaultInjector(&fleet{settings: &Settings{}, basePort: listener.Addr().(*net.TCPAddr).Port}, c, 1)
+			p.voteTimeout = 0 // its time is over at the first look
 			p.awaitVote(&machine{ip: "127.0.0.1", name: "core-0"})
 			if votes {
-				Expect(c.Broken()).To(BeEmpty())
+				Expect(c.Violations()).To(BeEmpty())
 			} else {
-				Expect(c.Broken()).To(HaveKey(Voters))
+				Expect(c.Violations()).To(HaveKey(VotesAfterRestart))
 			}
 		}
 	})
@@ -248,24 +248,24 @@
 	It("does not start as one of a fleet that starts for the first time", func() {
 		s := &Settings{Processes: 7}
 		f := newFleet(s, NewChecker(), GinkgoT().TempDir(), "127.0.0.1:1")
-		m := f.controls[0]
-		Expect(f.write(m, true, rand.New(rand.NewPCG(1, 1)))).To(Succeed())
-		Expect(os.ReadFile(m.file)).To(ContainSubstring("Bootstrap: true"))
+		m := f.controlMachines[0]
+		Expect(f.writeConfig(m, true, rand.New(rand.NewPCG(1, 1)))).To(Succeed())
+		Expect(os.ReadFile(m.configFile)).To(ContainSubstring("Bootstrap: true"))
 		Expect(os.MkdirAll(m.dataDir(f.dir), 0o700)).To(Succeed())
-		Expect(newPlayer(f, f.checker, 1).removeDisk(m)).To(Succeed())
+		Expect(newFaultInjector(f, f.checker, 1).removeDisk(m)).To(Succeed())
 		Expect(m.dataDir(f.dir)).NotTo(BeADirectory())
-		Expect(os.ReadFile(m.file)).To(ContainSubstring("Bootstrap: false"))
+		Expect(os.ReadFile(m.configFile)).To(ContainSubstring("Bootstrap: false"))
 	})
 })
 
 var _ = Describe("the configuration that a control machine tells in the end", func() {
 	DescribeTable("must be the one that was confirmed last, or a later one", func(told string, broken bool) {
-		o := &operator{checker: NewChecker(), version: 7, sent: []byte(`{"Version":7}`)}
-		o.compare(&machine{name: "core-0"}, told)
+		o := &operator{checker: NewChecker(), confirmedVersion: 7, confirmedConfig: []byte(`{"Version":7}`)}
+		o.checkConfig(&machine{name: "core-0"}, told)
 		if broken {
-			Expect(o.checker.Broken()).To(HaveKey(Confirmed))
+			Expect(o.checker.Violations()).To(HaveKey(ConfigurationConfirmed))
 		} else {
-			Expect(o.checker.Broken()).To(BeEmpty())
+			Expect(o.checker.Violations()).To(BeEmpty())
 		}
 	}, Entry("the same", `{"Version":7}`, false), Entry("a later one", `{"Version":9}`, false), Entry("an older one", `{"Version":6}`, true),
 		Entry("another of that number", `{"Version":7,"Routes":[]}`, true), Entry("no configuration", `{`, true))
--- a/internal/lab/soak/standins.go
+++ b/internal/lab/soak/standins.go
@@ -16,46 +16,46 @@
 
 // The services and stages of the stand-ins.
 const (
-	plainService  = "plain"
-	modelService  = "model"
-	plainServers  = 3
-	modelServers  = 6
-	serverSlots   = 16
-	switchFor     = 300 * time.Millisecond
-	stagePrefill  = "prefill"
-	stageDecode   = "decode"
-	maxServerBody = 1 << 20
+	plainService        = "plain"
+	modelService        = "model"
+	plainServers        = 3
+	modelServers        = 6
+	serverSlots         = 16
+	stageSwitchDuration = 300 * time.Millisecond
+	stagePrefill        = "prefill"
+	stageDecode         = "decode"
+	maxServerBody       = 1 << 20
 )
 
 // renewEvery is the mean time between two replacements of servers, drainFor how long a server drains before.
 const (
-	renewEvery = 2 * time.Second
-	drainFor   = 3500 * time.Millisecond
+	meanReplaceInterval = 2 * time.Second
+	drainDuration       = 3500 * time.Millisecond
 )
 
 // The parts of requests that servers refuse as full, or break off before and after they run them.
 const (
-	partRefused     = 0.01
-	partBrokenOff   = 0.005
-	partAnswerLost  = 0.003
-	partFeedBroken  = 0.03 // before each event
-	plainWork       = 5 * time.Millisecond
-	promptWork      = 15 * time.Millisecond
-	headerRequest   = "Hazelwheel-Request-Id"
-	headerInstance  = "Hazelwheel-Instance-Id"
-	headerExpected  = "Hazelwheel-Expect-Instance"
-	headerVersion   = "Expect-Version"
-	headerStage     = "Hazelwheel-Serving-Stage"
-	headerStamp     = "Hazelwheel-Response-Stamp"
-	headerNotRun    = "Hazelwheel-Not-Executed"
-	headerDeadline  = "Hazelwheel-Deadline-Ms"
-	headerLastEvent = "Last-Event-Id"
-	headerTokens    = "Hazelwheel-Token-Counts"
-	headerPrefix    = "Hazelwheel-Prefix-Hash"
-	weightsVersion  = "1"
-	handleAnswer    = `{"KvHandle":"h-%s","Tokens":1000,"Version":1}`
-	twoEvents       = "id: 1\ndata: %s\n\nid: 2\ndata: end\n\n"
-	contentTypeJSON = "application/json"
+	refusedFraction          = 0.01
+	abortedBeforeRunFraction = 0.005
+	answerLostFraction       = 0.003
+	feedAbortedFraction      = 0.03 // before each event
+	plainServiceTime         = 5 * time.Millisecond
+	promptServiceTime        = 15 * time.Millisecond
+	headerRequest            = "Hazelwheel-Request-Id"
+	headerInstance           = "Hazelwheel-Instance-Id"
+	headerExpected           = "Hazelwheel-Expect-Instance"
+	headerVersion            = "Expect-Version"
+	headerStage              = "Hazelwheel-Serving-Stage"
+	headerStamp              = "Hazelwheel-Response-Stamp"
+	headerNotRun             = "Hazelwheel-Not-Executed"
+	headerDeadline           = "Hazelwheel-Deadline-Ms"
+	headerLastEvent          = "Last-Event-Id"
+	headerTokens             = "Hazelwheel-Token-Counts"
+	headerPrefix             = "Hazelwheel-Prefix-Hash"
+	weightsVersion           = "1"
+	prefillAnswerFormat      = `{"KvHandle":"h-%s","Tokens":1000,"Version":1}`
+	promptAnswerFormat       = "id: 1\ndata: %s\n\nid: 2\ndata: end\n\n"
+	contentTypeJSON          = "application/json"
 )
 
 // server stands in for a server. It goes by the fields of a request as the operators' pages say.
@@ -64,23 +64,23 @@
 	address string
 	checker *Checker
 
-	mu       sync.Mutex
-	id       string // of the instance that has the address now
-	stage    string
-	draining bool
+	mu         sync.Mutex
+	instanceID string // of the instance that has the address now
+	stage      string
+	draining   bool
 }
 
 // platform stands in for the list of servers.
-type platform struct {
-	address string
-	servers []*server
-	serving []*http.Server
+type endpointList struct {
+	address     string
+	servers     []*server
+	httpServers []*http.Server
 }
 
-func startPlatform(checker *Checker) (*platform, error) {
-	p := &platform{}
+func startEndpointList(checker *Checker) (*endpointList, error) {
+	p := &endpointList{}
 	for i := range plainServers + modelServers {
-		s := &server{id: fmt.Sprintf("i-%02d", i), service: plainService, checker: checker}
+		s := &server{instanceID: fmt.Sprintf("i-%02d", i), service: plainService, checker: checker}
 		if i >= plainServers {
 			s.service, s.stage = modelService, stageDecode
 			if i%2 == 0 {
@@ -94,25 +94,25 @@
 		s.address = address
 		p.servers = append(p.servers, s)
 	}
-	address, err := p.serve(http.HandlerFunc(p.list))
+	address, err := p.serve(http.HandlerFunc(p.serveList))
 	p.address = address
 	return p, err
 }
 
-func (p *platform) serve(handler http.Handler) (string, error) {
+func (p *endpointList) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", Error.Wrap(err)
 	}
-	serving := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
-	p.serving = append(p.serving, serving)
-	go func() { _ = serving.Serve(listener) }() // ends with close
+	httpServer := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
+	p.httpServers = append(p.httpServers, httpServer)
+	go func() { _ = httpServer.Serve(listener) }() // ends with close
 	return listener.Addr().String(), nil
 }
 
-func (p *platform) close() {
-	for _, serving := range p.serving {
-		_ = serving.Close()
+func (p *endpointList) close() {
+	for _, httpServer := range p.httpServers {
+		_ = httpServer.Close()
 	}
 }
 
@@ -121,7 +121,7 @@
 	Version int
 }
 
-type listedServer struct {
+type listedInstance struct {
 	ID      string `json:"Id"`
 	Service string
 	Address string
@@ -133,11 +133,11 @@
 }
 
 type listPage struct {
-	Instances     []listedServer
+	Instances     []listedInstance
 	NextPageToken *string
 }
 
-func (p *platform) list(w http.ResponseWriter, _ *http.Request) {
+func (p *endpointList) serveList(w http.ResponseWriter, _ *http.Request) {
 	var page listPage
 	for i, s := range p.servers {
 		s.mu.Lock()
@@ -145,7 +145,7 @@
 		if s.draining {
 			state = "draining"
 		}
-		page.Instances = append(page.Instances, listedServer{ID: s.id, Service: s.service, Address: s.address, Zone: fmt.Sprint("z", i%3),
+		page.Instances = append(page.Instances, listedInstance{ID: s.instanceID, Service: s.service, Address: s.address, Zone: fmt.Sprint("z", i%3),
 			Slots: serverSlots, State: state, Stage: s.stage})
 		s.mu.Unlock()
 	}
@@ -154,18 +154,18 @@
 }
 
 // renew replaces servers until the context ends, one at a time: it drains, is gone, and another instance has its address.
-func (p *platform) renew(ctx context.Context, rng *rand.Rand) (renewed int) {
+func (p *endpointList) replaceServers(ctx context.Context, rng *rand.Rand) (replaced int) {
 	for {
-		pause(ctx, time.Duration(rng.ExpFloat64()*float64(renewEvery)))
+		sleep(ctx, time.Duration(rng.ExpFloat64()*float64(meanReplaceInterval)))
 		s := p.servers[rng.IntN(len(p.servers))]
 		s.setDraining(true)
-		pause(ctx, drainFor)
+		sleep(ctx, drainDuration)
 		if ctx.Err() != nil {
 			s.setDraining(false)
-			return renewed
+			return replaced
 		}
-		renewed++
-		s.replace(fmt.Sprintf("%s-%d", s.instance(), renewed))
+		replaced++
+		s.replaceInstance(fmt.Sprintf("%s-%d", s.currentInstanceID(), replaced))
 	}
 }
 
@@ -175,16 +175,16 @@
 	s.draining = draining
 }
 
-func (s *server) replace(id string) {
+func (s *server) replaceInstance(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.id, s.draining = id, false
+	s.instanceID, s.draining = id, false
 }
 
-func (s *server) instance() string {
+func (s *server) currentInstanceID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.id
+	return s.instanceID
 }
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -194,32 +194,32 @@
 	}
 	id := r.Header.Get(headerRequest)
 	if id != "" && r.Method == http.MethodPost {
-		s.checker.Got(id, string(body))
+		s.checker.RequestBodyReceived(id, string(body))
 	}
 	w.Header().Set(headerRequest, id)
 	switch {
 	case r.URL.Path == "/health":
-		w.Header().Set(headerInstance, s.instance())
+		w.Header().Set(headerInstance, s.currentInstanceID())
 	case r.URL.Path == "/order":
-		s.order(w)
+		s.switchStage(w)
 	case r.Method == http.MethodDelete:
-	case s.misdirected(r.Header):
+	case s.isMisdirected(r.Header):
 		w.WriteHeader(http.StatusMisdirectedRequest)
-	case rand.Float64() < partRefused:
+	case rand.Float64() < refusedFraction:
 		w.Header().Set(headerNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case r.Header.Get(headerStage) == stagePrefill:
-		fmt.Fprintf(w, handleAnswer, id)
+		fmt.Fprintf(w, prefillAnswerFormat, id)
 	default:
-		s.run(w, r)
+		s.execute(w, r)
 	}
 }
 
 // misdirected tells whether a request is for another instance, stage or version.
-func (s *server) misdirected(header http.Header) bool {
+func (s *server) isMisdirected(header http.Header) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if expected := header.Get(headerExpected); expected != "" && expected != s.id {
+	if expected := header.Get(headerExpected); expected != "" && expected != s.instanceID {
 		return true
 	}
 	if s.stage == "" {
@@ -230,9 +230,9 @@
 }
 
 // order changes the stage after a while.
-func (s *server) order(w http.ResponseWriter) {
+func (s *server) switchStage(w http.ResponseWriter) {
 	w.WriteHeader(http.StatusAccepted)
-	time.AfterFunc(switchFor, func() {
+	time.AfterFunc(stageSwitchDuration, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.stage == stagePrefill {
@@ -244,49 +244,49 @@
 }
 
 // feed sends the events after the last one that a client has, and breaks off after some of them now and then.
-func (s *server) feed(w http.ResponseWriter, id, last string) {
+func (s *server) sendFeed(w http.ResponseWriter, id, last string) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	from, _ := strconv.Atoi(last) // none: from the first on
-	if from > 0 {
-		s.checker.Resumed()
+	lastSeen, _ := strconv.Atoi(last) // none: from the first on
+	if lastSeen > 0 {
+		s.checker.FeedResumed()
 	}
-	for event := from + 1; event <= feedEvents; event++ {
-		if event > from+1 && rand.Float64() < partFeedBroken {
+	for event := lastSeen + 1; event <= feedEvents; event++ {
+		if event > lastSeen+1 && rand.Float64() < feedAbortedFraction {
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := io.WriteString(w, feedEvent(id, event)); err != nil {
 			return
 		}
 		_ = http.NewResponseController(w).Flush() // a proxy that is gone needs none
-		time.Sleep(plainWork)
+		time.Sleep(plainServiceTime)
 	}
 }
 
 // run runs a request and answers it, but for some that are broken off.
-func (s *server) run(w http.ResponseWriter, r *http.Request) {
+func (s *server) execute(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headerRequest)
 	draw := rand.Float64()
-	if draw < partBrokenOff {
+	if draw < abortedBeforeRunFraction {
 		panic(http.ErrAbortHandler)
 	}
-	s.checker.Ran(id)
-	w.Header().Set(headerStamp, s.instance()+"."+id)
-	if strings.HasPrefix(r.URL.Path, "/"+string(Feed)+"/") {
-		s.feed(w, id, r.Header.Get(headerLastEvent))
+	s.checker.RequestExecuted(id)
+	w.Header().Set(headerStamp, s.currentInstanceID()+"."+id)
+	if strings.HasPrefix(r.URL.Path, "/"+string(ResumableFeed)+"/") {
+		s.sendFeed(w, id, r.Header.Get(headerLastEvent))
 		return
 	}
 	if s.service == modelService {
-		time.Sleep(promptWork)
+		time.Sleep(promptServiceTime)
 		w.Header().Set("Content-Type", "text/event-stream")
 	} else {
-		time.Sleep(plainWork)
+		time.Sleep(plainServiceTime)
 	}
-	if draw > 1-partAnswerLost {
+	if draw > 1-answerLostFraction {
 		panic(http.ErrAbortHandler)
 	}
-	kind := Once
+	kind := NonIdempotent
 	if s.service == modelService {
 		kind = Prompt
 	}
-	_, _ = io.Copy(w, strings.NewReader(answerTo(kind, id))) // a proxy that is gone needs none
+	_, _ = io.Copy(w, strings.NewReader(expectedAnswer(kind, id))) // a proxy that is gone needs none
 }
