--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -8,57 +8,6 @@
 	"time"
 )
 
-// Rule names a check.
-type Rule string
-
-// The checks.
-const (
-	AtMostOnce             Rule = "at-most-once"   // a request that may run once has run twice
-	AnswerIsOwn            Rule = "own-answer"     // a client got what no server answered to it
-	BodyIntact             Rule = "intact"         // a server got another body than the client sent
-	RefusedNotExecuted     Rule = "promise"        // a request was refused as not run and has run
-	AlwaysAnswered         Rule = "answered"       // a request neither had an answer nor its connection closed, or it was closed for no reason
-	ConfigurationInForce   Rule = "in-force"       // a confirmed configuration was not in force in time
-	ConfigurationMonotonic Rule = "never-older"    // a process went by an older configuration than before
-	ConfigurationConfirmed Rule = "confirmed"      // a proper change was refused, or what was confirmed is not told in the end
-	AddedRoutesServed      Rule = "added-routes"   // routes that were added are served under a quarter as often as the first ones
-	KindsServed            Rule = "starved"        // a kind of request is served under a quarter as often as all
-	ServiceRecovered       Rule = "recovered"      // under a quarter is served once RecoveryS is over
-	VotesAfterRestart      Rule = "voters"         // a control machine does not vote CatchUpS after it has come back
-	GracefulShutdown       Rule = "ends-in-grace"  // a process did not end in GraceS, or with a failure
-	NoUnexpectedExit       Rule = "ends-by-itself" // a process ended though nobody ended it
-	ResourcesBounded       Rule = "growth"         // memory or descriptors of a process grow
-)
-
-// Kind is what may be done with a request.
-type RequestKind string
-
-// The kinds of requests.
-const (
-	NonIdempotent RequestKind = "once"   // it may run once
-	Idempotent    RequestKind = "safe"   // it may be repeated
-	Prompt        RequestKind = "prompt" // an answer of events
-	ResumableFeed RequestKind = "feed"   // an answer of events that another server may go on with
-)
-
-// Outcome is what a client saw of a request.
-type Outcome struct {
-	ID               string
-	Kind             RequestKind
-	Edge             string // name of the machine
-	Incarnation      int    // of its proxy
-	Route            int    // number of an added route, 0: a first route
-	SentAt           time.Time
-	EndedAt          time.Time
-	Status           int    // 0: no answer
-	Body             string // of a 200, as far as it came
-	HasStamp         bool   // the answer has a server's stamp
-	ConnectionClosed bool   // the connection ended without a whole answer
-	DialFailed       bool   // no connection could be had
-	TimedOut         bool   // there was no answer when the time was over
-	Disturbed        bool   // something was done to the machine from shortly before until the end
-}
-
 // Checker collects what was seen and says which rules were broken. It is safe for use by several goroutines.
 type Checker struct {
 	mu            sync.Mutex
@@ -82,9 +31,6 @@
 	incarnation int
 }
 
-// served counts requests.
-type requestCounts struct{ sent, served int }
-
 // NewChecker returns a checker that has seen nothing.
 func NewChecker() *Checker {
 	return &Checker{violations: map[Rule][]string{}, executions: map[string]int{}, kinds: map[string]RequestKind{}, refused: map[string]bool{},
@@ -131,9 +77,6 @@
 	}
 }
 
-// bodyOf is the body of a request.
-func requestBody(id string) string { return "body of " + id }
-
 // Got takes the body with which a request came to a server.
 func (c *Checker) RequestBodyReceived(id, body string) {
 	if body != requestBody(id) {
@@ -176,33 +119,6 @@
 	c.hungUpEarly++
 }
 
-// answerTo is the body that servers answer.
-func expectedAnswer(kind RequestKind, id string) string {
-	switch kind {
-	case Prompt:
-		return fmt.Sprintf(promptAnswerFormat, id)
-	case ResumableFeed:
-		return feedEventsFrom(id, 1)
-	default:
-		return "answer to " + id
-	}
-}
-
-// feedEvents is the number of events in the answer to a feed.
-const feedEvents = 6
-
-// feedFrom returns the events of a feed from one of them on.
-func feedEventsFrom(id string, first int) (events string) {
-	for event := first; event <= feedEvents; event++ {
-		events += feedEvent(id, event)
-	}
-	return events
-}
-
-func feedEvent(id string, event int) string {
-	return fmt.Sprintf("id: %d\ndata: %s %d\n\n", event, id, event)
-}
-
 // Ended takes what a client saw of a request.
 func (c *Checker) RequestEnded(o Outcome) {
 	c.mu.Lock()
@@ -225,27 +141,6 @@
 	}
 }
 
-func (s requestCounts) add(isServed bool) requestCounts {
-	s.sent++
-	if isServed {
-		s.served++
-	}
-	return s
-}
-
-// class says in a word what a client saw.
-func (o *Outcome) label() string {
-	switch {
-	case o.DialFailed:
-		return "no connection"
-	case o.TimedOut:
-		return "silent"
-	case o.ConnectionClosed:
-		return "closed"
-	}
-	return fmt.Sprint(o.Status)
-}
-
 // checkAnswer looks at the answer, or at the lack of one.
 func (c *Checker) checkAnswer(o *Outcome) {
 	switch {
@@ -282,12 +177,6 @@
 	}
 }
 
-// leastRequests is from how many requests on a share is judged, leastShare the part that must be served.
-const (
-	minRequestsForRatio = 20
-	minServedRatio      = 0.25
-)
-
 // Finish judges what can be judged in the end alone.
 func (c *Checker) Finish() {
 	c.mu.Lock()
@@ -310,6 +199,3 @@
 		c.reportViolationLocked(ServiceRecovered, "after the last fault %d of %d requests were served", c.afterRecovery.served, c.afterRecovery.sent)
 	}
 }
-
-// share is 0 where nothing was sent.
-func (s requestCounts) servedRatio() float64 { return float64(s.served) / float64(max(s.sent, 1)) }
--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -55,15 +54,6 @@
 	sender.httpClient.CloseIdleConnections()
 }
 
-func sleep(ctx context.Context, wait time.Duration) {
-	timer := time.NewTimer(wait)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
-
 // move turns to another machine.
 func (c *client) switchMachine() {
 	if c.httpClient != nil {
@@ -110,27 +100,6 @@
 	return strings.NewReader(requestBody(id))
 }
 
-// pieces reads a text piece by piece, with a pause before each but the first.
-type chunkedReader struct {
-	remaining  string
-	hasStarted bool
-}
-
-const chunkBytes = 5
-
-func (p *chunkedReader) Read(to []byte) (int, error) {
-	if p.remaining == "" {
-		return 0, io.EOF
-	}
-	if p.hasStarted {
-		time.Sleep(chunkPause)
-	}
-	p.hasStarted = true
-	n := copy(to, p.remaining[:min(chunkBytes, len(p.remaining))])
-	p.remaining = p.remaining[n:]
-	return n, nil
-}
-
 // ask sends a request and tells the checker what came of it.
 func (c *client) sendRequest(ctx context.Context) {
 	requestCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestDeadline+busyMachineSlack)
@@ -153,33 +122,3 @@
 		c.switchMachine()
 	}
 }
-
-// take notes the answer, or how the request ended without one.
-func (o *Outcome) recordResponse(response *http.Response, err error) {
-	if err == nil {
-		defer response.Body.Close()
-		var body []byte
-		body, err = io.ReadAll(response.Body)
-		o.Body = string(body)
-		if err == nil {
-			o.Status, o.HasStamp = response.StatusCode, response.Header.Get(headerStamp) != ""
-			return
-		}
-	}
-	var operation *net.OpError
-	switch {
-	case errors.As(err, &operation) && operation.Op == "dial":
-		o.DialFailed = true
-	case errors.Is(err, context.DeadlineExceeded):
-		o.TimedOut = true
-	default:
-		o.ConnectionClosed = true
-	}
-}
-
-// life counts the lives of a process.
-func (p *process) incarnation() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.incarnations
-}
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -22,33 +22,6 @@
 	readBackTimeout     = 20 * time.Second
 )
 
-func addedRoutePrefix(route int) string { return fmt.Sprintf("/added-%d/", route) }
-
-// The operator's configuration, as it is sent.
-type (
-	configuration struct {
-		Version  uint64
-		Routes   []configuredRoute
-		Services []configuredService
-	}
-	configuredRoute struct {
-		Name, Host, PathPrefix, RouteType, Service string
-		TimeoutMs, TargetLatencyMs                 int
-		MaxAttempts, Priority                      int
-		Sticky, Resumable                          bool
-	}
-	configuredService struct {
-		Name, HealthPath string
-		MaxConnections   int
-		Engine           *configuredEngine `json:",omitempty"`
-	}
-	configuredEngine struct {
-		Slots, KvTokens, KvTokenBytes int
-		LinkMbps, SwitchS             float64
-		HandleTTLS                    float64 `json:"HandleTtlS"`
-	}
-)
-
 // operator makes one change after the other.
 type operator struct {
 	fleet            *fleet
@@ -75,12 +48,6 @@
 	body        []byte
 }
 
-// patch is what PATCH /config takes.
-type configPatch struct {
-	Version uint64
-	Upsert  struct{ Routes []configuredRoute }
-}
-
 // next makes the configuration after the one that was confirmed last: with one more route, if it is not the first. It is sent whole or as
 // a patch.
 func (o *operator) made() (change, error) {
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -1,19 +1,23 @@
 package soak
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
 )
 
+// life counts the lives of a process.
+func (p *process) incarnation() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.incarnations
+}
+
 // process is one role on one machine, over all its lives.
 type process struct {
 	role    string
@@ -32,13 +36,6 @@
 	samples       []resourceSample
 }
 
-// sample is what a process takes at a moment.
-type resourceSample struct {
-	at          time.Time
-	megabytes   float64
-	descriptors int
-}
-
 func (p *process) name() string { return p.machine.name + "/" + p.role }
 
 // start begins a life. It does nothing where one is under way.
@@ -162,159 +159,6 @@
 	}
 }
 
-// look takes a sample.
-func (p *process) sampleResources() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd == nil {
-		return
-	}
-	pid := p.cmd.Process.Pid
-	megabytes, err := residentMegabytes(pid)
-	entries, listErr := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	if err != nil || listErr != nil {
-		return // it has just ended
-	}
-	p.samples = append(p.samples, resourceSample{time.Now(), megabytes, len(entries)})
-}
-
-func residentMegabytes(pid int) (float64, error) {
-	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
-	if err != nil {
-		return 0, err
-	}
-	fields := strings.Fields(string(data))
-	if len(fields) < 2 {
-		return 0, Error.New("statm: %q", data)
-	}
-	pages, err := strconv.Atoi(fields[1])
-	return float64(pages*os.Getpagesize()) / (1 << 20), err
-}
-
-// Bounds of growth between the first and the last third of a life.
-const (
-	growthFactor      = 1.5
-	growthMegabytes   = 12.0
-	growthDescriptors = 64
-)
-
-// checkGrowth compares the first third of a long life with its last.
-func (p *process) checkGrowth(minAge time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd == nil || time.Since(p.startedAt) < minAge || len(p.samples) < 9 {
-		return
-	}
-	third := len(p.samples) / 3
-	first, last := meanSample(p.samples[:third]), meanSample(p.samples[len(p.samples)-third:])
-	if last.megabytes > growthFactor*first.megabytes+growthMegabytes {
-		p.fleet.checker.ReportViolation(ResourcesBounded, "%s: %.0f MB, then %.0f MB", p.name(), first.megabytes, last.megabytes)
-	}
-	if float64(last.descriptors) > growthFactor*float64(first.descriptors)+growthDescriptors {
-		p.fleet.checker.ReportViolation(ResourcesBounded, "%s: %d descriptors, then %d", p.name(), first.descriptors, last.descriptors)
-	}
-}
-
-func meanSample(samples []resourceSample) (out resourceSample) {
-	for _, s := range samples {
-		out.megabytes += s.megabytes / float64(len(samples))
-		out.descriptors += s.descriptors
-	}
-	out.descriptors /= max(len(samples), 1)
-	return out
-}
-
-// effect says what an act on a machine may do to requests there.
-type disruption int
-
-const (
-	graceful disruption = iota // what has been read is still to be answered
-	abrupt                     // anything may be cut
-)
-
-// act is something that was done to a machine.
-type intervention struct {
-	at         time.Time
-	disruption disruption
-}
-
-// machine is one of the fleet's machines.
-type machine struct {
-	name       string
-	ip         string
-	hasDisk    bool // it holds a part of the configuration
-	configFile string
-	processes  []*process
-
-	mu            sync.Mutex
-	interventions []intervention
-	isClaimed     bool // a series is being played here
-}
-
-func (m *machine) recordIntervention(kind disruption) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.interventions = append(m.interventions, intervention{time.Now(), kind})
-}
-
-// settled is for how long after an act a machine counts as troubled; crossed is how long a request is on its way to a process that has
-// just been told to end.
-const (
-	disturbanceDuration = 4 * time.Second
-	signalRaceWindow    = 150 * time.Millisecond
-)
-
-// troubled tells whether something was done to the machine that excuses how a request there ended.
-func (m *machine) wasDisturbed(sentAt, endedAt time.Time) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, done := range m.interventions {
-		until := endedAt
-		if done.disruption == graceful {
-			until = sentAt.Add(signalRaceWindow)
-		}
-		if done.at.After(sentAt.Add(-disturbanceDuration)) && done.at.Before(until.Add(signalRaceWindow)) {
-			return true
-		}
-	}
-	return false
-}
-
-// process returns the machine's process of a role.
-func (m *machine) process(role string) *process {
-	for _, p := range m.processes {
-		if p.role == role {
-			return p
-		}
-	}
-	return nil
-}
-
-// each does something to all processes of the machine, and waits for it.
-func (m *machine) forEachProcess(do func(p *process)) {
-	var running sync.WaitGroup
-	for _, p := range m.processes {
-		running.Go(func() { do(p) })
-	}
-	running.Wait()
-}
-
-func (m *machine) dataDir(dir string) string { return filepath.Join(dir, "data-"+m.name) }
-
-func durationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// lockedWriter lets processes write to one place.
-type lockedWriter struct {
-	mu  sync.Mutex
-	out interface{ Write([]byte) (int, error) }
-}
-
-func (w *lockedWriter) Write(data []byte) (int, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.out.Write(bytes.Clone(data))
-}
-
 // kill ends the life that is under way and waits for it.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
--- /dev/null
+++ b/internal/lab/soak/resources.go
@@ -0,0 +1,78 @@
+package soak
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// sample is what a process takes at a moment.
+type resourceSample struct {
+	at          time.Time
+	megabytes   float64
+	descriptors int
+}
+
+// look takes a sample.
+func (p *process) sampleResources() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil {
+		return
+	}
+	pid := p.cmd.Process.Pid
+	megabytes, err := residentMegabytes(pid)
+	entries, listErr := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	if err != nil || listErr != nil {
+		return // it has just ended
+	}
+	p.samples = append(p.samples, resourceSample{time.Now(), megabytes, len(entries)})
+}
+
+func residentMegabytes(pid int) (float64, error) {
+	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
+	if err != nil {
+		return 0, err
+	}
+	fields := strings.Fields(string(data))
+	if len(fields) < 2 {
+		return 0, Error.New("statm: %q", data)
+	}
+	pages, err := strconv.Atoi(fields[1])
+	return float64(pages*os.Getpagesize()) / (1 << 20), err
+}
+
+// Bounds of growth between the first and the last third of a life.
+const (
+	growthFactor      = 1.5
+	growthMegabytes   = 12.0
+	growthDescriptors = 64
+)
+
+// checkGrowth compares the first third of a long life with its last.
+func (p *process) checkGrowth(minAge time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil || time.Since(p.startedAt) < minAge || len(p.samples) < 9 {
+		return
+	}
+	third := len(p.samples) / 3
+	first, last := meanSample(p.samples[:third]), meanSample(p.samples[len(p.samples)-third:])
+	if last.megabytes > growthFactor*first.megabytes+growthMegabytes {
+		p.fleet.checker.ReportViolation(ResourcesBounded, "%s: %.0f MB, then %.0f MB", p.name(), first.megabytes, last.megabytes)
+	}
+	if float64(last.descriptors) > growthFactor*float64(first.descriptors)+growthDescriptors {
+		p.fleet.checker.ReportViolation(ResourcesBounded, "%s: %d descriptors, then %d", p.name(), first.descriptors, last.descriptors)
+	}
+}
+
+func meanSample(samples []resourceSample) (out resourceSample) {
+	for _, s := range samples {
+		out.megabytes += s.megabytes / float64(len(samples))
+		out.descriptors += s.descriptors
+	}
+	out.descriptors /= max(len(samples), 1)
+	return out
+}
