--- a/internal/lab/soak/answers.go
+++ b/internal/lab/soak/answers.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// bodyOf is the body of a request.
+// requestBody is the body of the request with an identifier.
 func requestBody(id string) string { return "body of " + id }
 
-// answerTo is the body that servers answer.
+// expectedAnswer is the complete body with which servers answer a request.
 func expectedAnswer(kind RequestKind, id string) string {
 	switch kind {
 	case Prompt:
@@ -17,10 +17,10 @@
 	}
 }
 
-// feedEvents is the number of events in the answer to a feed.
+// feedEvents is the number of events in the complete answer to a resumable feed.
 const feedEvents = 6
 
-// feedFrom returns the events of a feed from one of them on.
+// feedEventsFrom returns the events of a feed from number first, counted from 1, to the last.
 func feedEventsFrom(id string, first int) (events string) {
 	for event := first; event <= feedEvents; event++ {
 		events += feedEvent(id, event)
@@ -28,6 +28,7 @@
 	return events
 }
 
+// feedEvent is one event of a feed, in the format of server-sent events.
 func feedEvent(id string, event int) string {
 	return fmt.Sprintf("id: %d\ndata: %s %d\n\n", event, id, event)
 }
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -2,55 +2,60 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 	"sync"
 	"time"
 )
 
-// Checker collects what was seen and says which rules were broken. It is safe for use by several goroutines.
+// Checker collects observations and reports violations of the rules. It is safe for concurrent use.
 type Checker struct {
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below
 	violations    map[Rule][]string
 	executions    map[string]int // by request
 	kinds         map[string]RequestKind
-	refused       map[string]bool
-	newestRoutes  map[proxyIncarnation]int // the newest added route that a proxy's life has known
-	confirmedAt   map[int]time.Time
-	byAdded       map[bool]requestCounts // of added routes, of first ones
-	byKind        map[RequestKind]requestCounts
-	outcomes      map[string]int // by what clients saw
-	resumedFeeds  int            // feeds that another attempt went on with
-	hungUpEarly   int            // processes that SIGHUP ended before they can have begun
-	recoveredFrom time.Time      // from when on requests count as after the last fault; zero: not yet
+	refused       map[string]bool          // non-idempotent requests that were refused as not executed
+	newestRoutes  map[proxyIncarnation]int // the newest added route that it has answered for
+	confirmedAt   map[int]time.Time        // by added route
+	countsByAdded map[bool]requestCounts   // true: on added routes
+	countsByKind  map[RequestKind]requestCounts
+	outcomes      map[string]int // by label
+	resumedFeeds  int            // feeds that a further attempt resumed
+	hungUpEarly   int            // processes that SIGHUP terminated before their own code can have run
+	recoveredFrom time.Time      // requests sent later count for ServiceRecovered; zero while there are faults
 	afterRecovery requestCounts
 }
 
+// proxyIncarnation identifies an incarnation of the proxy of a machine.
 type proxyIncarnation struct {
 	edge        string
 	incarnation int
 }
 
-// NewChecker returns a checker that has seen nothing.
+// NewChecker returns a checker without observations.
 func NewChecker() *Checker {
 	return &Checker{violations: map[Rule][]string{}, executions: map[string]int{}, kinds: map[string]RequestKind{}, refused: map[string]bool{},
-		newestRoutes: map[proxyIncarnation]int{}, confirmedAt: map[int]time.Time{}, byAdded: map[bool]requestCounts{}, byKind: map[RequestKind]requestCounts{}, outcomes: map[string]int{}}
+		newestRoutes: map[proxyIncarnation]int{}, confirmedAt: map[int]time.Time{}, countsByAdded: map[bool]requestCounts{},
+		countsByKind: map[RequestKind]requestCounts{}, outcomes: map[string]int{}}
 }
 
+// maxDetailsPerRule is the number of violations of a rule that are reported in detail.
 const maxDetailsPerRule = 5
 
-// Break notes that a rule was broken.
+// ReportViolation records a violation of a rule with its details.
 func (c *Checker) ReportViolation(rule Rule, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reportViolationLocked(rule, format, args...)
 }
 
+// reportViolationLocked is ReportViolation for callers that hold mu.
 func (c *Checker) reportViolationLocked(rule Rule, format string, args ...any) {
 	c.violations[rule] = append(c.violations[rule], fmt.Sprintf(format, args...))
 }
 
-// Broken returns the rules that were broken, with the first cases of each.
+// Violations returns the violated rules, with details of the first violations of each.
 func (c *Checker) Violations() map[Rule][]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +66,7 @@
 	return out
 }
 
-// Ran tells that a server has begun to run a request.
+// RequestExecuted records that a server has started to execute a request.
 func (c *Checker) RequestExecuted(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,122 +82,126 @@
 	}
 }
 
-// Got takes the body with which a request came to a server.
+// RequestBodyReceived checks the body with which a request arrived at a server.
 func (c *Checker) RequestBodyReceived(id, body string) {
 	if body != requestBody(id) {
 		c.ReportViolation(BodyIntact, "%s came with the body %.60q", id, body)
 	}
 }
 
-// Sending tells that a client sends a request.
+// RequestSent records the kind of a request. It is called before the request is sent.
 func (c *Checker) RequestSent(id string, kind RequestKind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.kinds[id] = kind
 }
 
-// Acknowledged tells that a configuration was confirmed. Each adds the route of its number.
+// ConfigurationAcknowledged records that the configuration with added routes up to route was confirmed.
 func (c *Checker) ConfigurationAcknowledged(route int, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.confirmedAt[route] = at
 }
 
-// FaultsEnded tells that requests which are sent from a time on are to be served again.
+// ExpectServiceFrom sets the time from which requests count for ServiceRecovered.
 func (c *Checker) ExpectServiceFrom(from time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recoveredFrom = from
 }
 
-// Resumed counts a feed that goes on after an event that its client has.
+// FeedResumed counts a feed that a server resumed after an event that its client has received.
 func (c *Checker) FeedResumed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.resumedFeeds++
 }
 
-// HungUpEarly counts a process that SIGHUP ended before it can have begun.
+// ProcessHungUpEarly counts a process that SIGHUP terminated before its own code can have run.
 func (c *Checker) ProcessHungUpEarly() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hungUpEarly++
 }
 
-// Ended takes what a client saw of a request.
+// RequestEnded records and checks the outcome of a request.
 func (c *Checker) RequestEnded(o Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outcomes[o.label()]++
 	c.checkAnswer(&o)
 	c.checkRoute(&o)
-	if o.Status == 503 && o.Kind == NonIdempotent {
+	if o.Status == http.StatusServiceUnavailable && o.Kind == NonIdempotent {
 		c.refused[o.ID] = true
 		if c.executions[o.ID] > 0 {
 			c.reportViolationLocked(RefusedNotExecuted, "%s has run and was refused", o.ID)
 		}
 	}
 	if !c.recoveredFrom.IsZero() && o.SentAt.After(c.recoveredFrom) {
-		c.afterRecovery = c.afterRecovery.add(o.Status == 200)
+		c.afterRecovery = c.afterRecovery.add(o.Status == http.StatusOK)
 	}
 	if !o.Disturbed && !o.DialFailed {
-		c.byAdded[o.Route > 0] = c.byAdded[o.Route > 0].add(o.Status == 200)
-		c.byKind[o.Kind] = c.byKind[o.Kind].add(o.Status == 200)
+		c.countsByAdded[o.Route > 0] = c.countsByAdded[o.Route > 0].add(o.Status == http.StatusOK)
+		c.countsByKind[o.Kind] = c.countsByKind[o.Kind].add(o.Status == http.StatusOK)
 	}
 }
 
-// checkAnswer looks at the answer, or at the lack of one.
+// checkAnswer checks the answer, or that its lack is excused. The caller holds mu.
 func (c *Checker) checkAnswer(o *Outcome) {
 	switch {
-	case o.Status == 200 && (o.Body != expectedAnswer(o.Kind, o.ID) || !o.HasStamp):
+	case o.Status == http.StatusOK && (o.Body != expectedAnswer(o.Kind, o.ID) || !o.HasStamp):
 		c.reportViolationLocked(AnswerIsOwn, "%s got %.60q, stamp %v", o.ID, o.Body, o.HasStamp)
 	case o.Kind == ResumableFeed && o.ConnectionClosed && o.Body != "":
-		// A feed that breaks off more often than the route has attempts ends with what came in order.
+		// A feed that is aborted more often than the route allows attempts ends early, after events in their order.
 		if !strings.HasPrefix(expectedAnswer(ResumableFeed, o.ID), o.Body) {
 			c.reportViolationLocked(AnswerIsOwn, "%s broke off after %.80q", o.ID, o.Body)
 		}
 	case o.TimedOut && !o.Disturbed:
 		c.reportViolationLocked(AlwaysAnswered, "%s (%s) at %s: no answer and no end after %v", o.ID, o.Kind, o.Edge, o.EndedAt.Sub(o.SentAt))
 	case o.ConnectionClosed && !o.Disturbed:
-		c.reportViolationLocked(AlwaysAnswered, "%s (%s) at %s: closed without an answer after %v, and nothing was done to the machine", o.ID, o.Kind, o.Edge, o.EndedAt.Sub(o.SentAt))
+		c.reportViolationLocked(AlwaysAnswered, "%s (%s) at %s: closed without an answer after %v, and nothing was done to the machine", o.ID, o.Kind, o.Edge,
+			o.EndedAt.Sub(o.SentAt))
 	}
 }
 
-// checkRoute looks at what the answer tells of the configuration at the proxy.
+// checkRoute checks what an answer on an added route implies for the configuration of the proxy: a 404 means that it does not have the route. The
+// caller holds mu.
 func (c *Checker) checkRoute(o *Outcome) {
 	if o.Route == 0 || o.Status == 0 {
 		return
 	}
 	proxy := proxyIncarnation{o.Edge, o.Incarnation}
-	if o.Status != 404 {
+	if o.Status != http.StatusNotFound {
 		c.newestRoutes[proxy] = max(c.newestRoutes[proxy], o.Route)
 		return
 	}
 	if o.Route <= c.newestRoutes[proxy] {
-		c.reportViolationLocked(ConfigurationMonotonic, "%s, life %d: no route %d, though it has known route %d", o.Edge, o.Incarnation, o.Route, c.newestRoutes[proxy])
+		c.reportViolationLocked(ConfigurationMonotonic, "%s, life %d: no route %d, though it has known route %d", o.Edge, o.Incarnation, o.Route,
+			c.newestRoutes[proxy])
 	}
 	confirmedAt, ok := c.confirmedAt[o.Route]
-	if age := o.SentAt.Sub(confirmedAt); ok && !o.Disturbed && age > time.Duration(configApplySeconds*float64(time.Second))+busyMachineSlack {
+	if age := o.SentAt.Sub(confirmedAt); ok && !o.Disturbed && age > durationOfSeconds(configApplySeconds)+busyMachineSlack {
 		c.reportViolationLocked(ConfigurationInForce, "%s: no route %d %v after it was confirmed", o.Edge, o.Route, age)
 	}
 }
 
-// Finish judges what can be judged in the end alone.
+// Finish makes the checks of ratios, which are possible at the end alone.
 func (c *Checker) Finish() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	added, first := c.byAdded[true], c.byAdded[false]
+	added, first := c.countsByAdded[true], c.countsByAdded[false]
 	if added.sent >= minRequestsForRatio && first.sent >= minRequestsForRatio && added.servedRatio() < minServedRatio*first.servedRatio() {
 		c.reportViolationLocked(AddedRoutesServed, "of %d requests on routes that were added %d were served; of %d on the first routes %d", added.sent, added.served,
 			first.sent, first.served)
 	}
 	all := requestCounts{}
-	for _, kind := range c.byKind {
+	for _, kind := range c.countsByKind {
 		all.sent, all.served = all.sent+kind.sent, all.served+kind.served
 	}
-	for kind, counts := range c.byKind {
+	for kind, counts := range c.countsByKind {
 		if counts.sent >= minRequestsForRatio && counts.servedRatio() < minServedRatio*all.servedRatio() {
-			c.reportViolationLocked(KindsServed, "of %d requests of the kind %s %d were served, of all %d %d", counts.sent, kind, counts.served, all.sent, all.served)
+			c.reportViolationLocked(KindsServed, "of %d requests of the kind %s %d were served, of all %d %d", counts.sent, kind, counts.served, all.sent,
+				all.served)
 		}
 	}
 	if !c.recoveredFrom.IsZero() && c.afterRecovery.servedRatio() < minServedRatio {
--- a/internal/lab/soak/chunkedreader.go
+++ b/internal/lab/soak/chunkedreader.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// pieces reads a text piece by piece, with a pause before each but the first.
+// chunkedReader returns a text in chunks of chunkBytes, with a pause before each but the first. A request with such a body has no
+// Content-Length.
 type chunkedReader struct {
 	remaining  string
 	hasStarted bool
@@ -13,15 +14,16 @@
 
 const chunkBytes = 5
 
-func (p *chunkedReader) Read(to []byte) (int, error) {
-	if p.remaining == "" {
+// Read implements io.Reader.
+func (r *chunkedReader) Read(buffer []byte) (int, error) {
+	if r.remaining == "" {
 		return 0, io.EOF
 	}
-	if p.hasStarted {
+	if r.hasStarted {
 		time.Sleep(chunkPause)
 	}
-	p.hasStarted = true
-	n := copy(to, p.remaining[:min(chunkBytes, len(p.remaining))])
-	p.remaining = p.remaining[n:]
+	r.hasStarted = true
+	n := copy(buffer, r.remaining[:min(chunkBytes, len(r.remaining))])
+	r.remaining = r.remaining[n:]
 	return n, nil
 }
--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -12,30 +12,31 @@
 	"time"
 )
 
+// The behavior of clients.
 const (
-	// clientsPerEdge is the number of clients for each edge machine, clientPause the mean time between a client's requests.
+	// clientsPerEdge is the number of clients for each machine with a proxy, clientPause the mean time between two requests of a client.
 	clientsPerEdge = 3
 	clientPause    = 120 * time.Millisecond
 	connectTimeout = time.Second
-	// mischiefPart is the part of the requests on which clients send fields that are the system's, addedPart that on added routes.
+	// reservedFieldFraction is the fraction of requests with a header that only the system may set, addedRouteFraction that on added routes.
 	reservedFieldFraction = 0.1
 	addedRouteFraction    = 0.25
-	// piecesPart is the part of the requests whose bodies come in pieces, without a length before, piecePause the time between two pieces.
+	// chunkedFraction is the fraction of requests whose bodies are sent in chunks without a Content-Length, chunkPause the time between two chunks.
 	chunkedFraction = 0.15
 	chunkPause      = 15 * time.Millisecond
-	// newestRoutes is how many of the newest routes clients ask for.
+	// newestRouteCount is the number of newest added routes from which clients draw.
 	newestRouteCount = 10
 )
 
-// clients ask until they are stopped.
+// clients is what all clients share.
 type clients struct {
 	fleet        *fleet
 	checker      *Checker
 	newestRoute  *atomic.Int64 // the newest added route that was confirmed
-	requestCount atomic.Int64
+	requestCount atomic.Int64  // sent so far
 }
 
-// client keeps one connection to one machine for as long as that takes it.
+// client sends one request after the other on one connection to one machine, until one fails.
 type client struct {
 	*clients
 	rng        *rand.Rand
@@ -43,7 +44,7 @@
 	httpClient *http.Client
 }
 
-// run asks until the context ends.
+// run is one client: it sends requests until ctx ends.
 func (c *clients) run(ctx context.Context, seed uint64) {
 	sender := &client{clients: c, rng: rand.New(rand.NewPCG(seed, 1))}
 	sender.switchMachine()
@@ -54,7 +55,7 @@
 	sender.httpClient.CloseIdleConnections()
 }
 
-// move turns to another machine.
+// switchMachine closes the connection and draws a machine for the next one.
 func (c *client) switchMachine() {
 	if c.httpClient != nil {
 		c.httpClient.CloseIdleConnections()
@@ -64,7 +65,7 @@
 	c.httpClient = &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1, DisableCompression: true}}
 }
 
-// draw makes a request.
+// newRequest draws a request. The outcome has the fields that are known before it is sent.
 func (c *client) newRequest(ctx context.Context) (*http.Request, Outcome, error) {
 	id := fmt.Sprintf("%016x", c.rng.Uint64())
 	o := Outcome{ID: id, Kind: []RequestKind{NonIdempotent, Idempotent, Prompt, ResumableFeed}[c.rng.IntN(4)], Edge: c.machine.name}
@@ -92,7 +93,7 @@
 	return request, o, nil
 }
 
-// body returns the body of a request, of some in pieces.
+// newBody returns the body of a request; that of some is sent in chunks.
 func (c *client) newBody(id string) io.Reader {
 	if c.rng.Float64() < chunkedFraction {
 		return &chunkedReader{remaining: requestBody(id)}
@@ -100,7 +101,7 @@
 	return strings.NewReader(requestBody(id))
 }
 
-// ask sends a request and tells the checker what came of it.
+// sendRequest sends a request and reports its outcome to the checker. It waits for the answer also when ctx ends meanwhile.
 func (c *client) sendRequest(ctx context.Context) {
 	requestCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestDeadline+busyMachineSlack)
 	defer cancel()
--- a/internal/lab/soak/configuration.go
+++ b/internal/lab/soak/configuration.go
@@ -2,9 +2,7 @@
 
 import "fmt"
 
-func addedRoutePrefix(route int) string { return fmt.Sprintf("/added-%d/", route) }
-
-// The operator's configuration, as it is sent.
+// configuration is the router fleet's configuration as it is sent by PUT /config and returned by GET /config. The names of fields are its keys.
 type (
 	configuration struct {
 		Version  uint64
@@ -29,7 +27,30 @@
 	}
 )
 
-// patch is what PATCH /config takes.
+// newConfiguration returns the complete configuration of a version: both services, the first routes and addedRoutes more.
+func newConfiguration(version uint64, addedRoutes int) configuration {
+	config := configuration{Version: version, Services: []configuredService{{Name: plainService, HealthPath: "/health", MaxConnections: 2000},
+		{Name: modelService, HealthPath: "/health", MaxConnections: 2000, Engine: &configuredEngine{Slots: serverSlots, KvTokens: 600_000, KvTokenBytes: 35_000,
+			LinkMbps: 1e6, HandleTTLS: 5, SwitchS: stageSwitchDuration.Seconds()}}}}
+	add := func(name, prefix, routeType, service string) {
+		config.Routes = append(config.Routes, configuredRoute{Name: name, Host: routeHost, PathPrefix: prefix, RouteType: routeType, Service: service,
+			TimeoutMs: int(requestDeadline.Milliseconds()), TargetLatencyMs: 500, MaxAttempts: 2})
+	}
+	add("once", "/once/", "non_idempotent", plainService)
+	add("safe", "/safe/", "idempotent", plainService)
+	add("prompt", "/prompt/", "streaming", modelService)
+	add("feed", "/feed/", "streaming", plainService)
+	config.Routes[len(config.Routes)-1].Resumable = true
+	for route := 1; route <= addedRoutes; route++ {
+		add(fmt.Sprint("added-", route), addedRoutePrefix(route), "non_idempotent", plainService)
+	}
+	return config
+}
+
+// addedRoutePrefix is the path prefix of an added route, which are numbered from 1.
+func addedRoutePrefix(route int) string { return fmt.Sprintf("/added-%d/", route) }
+
+// configPatch is the body of PATCH /config.
 type configPatch struct {
 	Version uint64
 	Upsert  struct{ Routes []configuredRoute }
--- a/internal/lab/soak/endpointlist.go
+++ b/internal/lab/soak/endpointlist.go
@@ -10,15 +10,16 @@
 	"time"
 )
 
-// platform stands in for the list of servers.
+// endpointList stands in for the cloud API that lists servers, and runs the servers that it lists.
 type endpointList struct {
-	address     string
+	address     string // of the API
 	servers     []*server
-	httpServers []*http.Server
+	httpServers []*http.Server // of the API and of all servers
 }
 
+// startEndpointList starts the servers and the API, which serve until close.
 func startEndpointList(checker *Checker) (*endpointList, error) {
-	p := &endpointList{}
+	l := &endpointList{}
 	for i := range plainServers + modelServers {
 		s := &server{instanceID: fmt.Sprintf("i-%02d", i), service: plainService, checker: checker}
 		if i >= plainServers {
@@ -27,35 +28,38 @@
 				s.stage = stagePrefill
 			}
 		}
-		address, err := p.serve(s)
+		address, err := l.serve(s)
 		if err != nil {
 			return nil, err
 		}
 		s.address = address
-		p.servers = append(p.servers, s)
+		l.servers = append(l.servers, s)
 	}
-	address, err := p.serve(http.HandlerFunc(p.serveList))
-	p.address = address
-	return p, err
+	address, err := l.serve(http.HandlerFunc(l.serveList))
+	l.address = address
+	return l, err
 }
 
-func (p *endpointList) serve(handler http.Handler) (string, error) {
+// serve starts an HTTP server on a free loopback port and returns its address.
+func (l *endpointList) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", Error.Wrap(err)
 	}
 	httpServer := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
-	p.httpServers = append(p.httpServers, httpServer)
-	go func() { _ = httpServer.Serve(listener) }() // ends with close
+	l.httpServers = append(l.httpServers, httpServer)
+	go func() { _ = httpServer.Serve(listener) }() // returns ErrServerClosed after close
 	return listener.Addr().String(), nil
 }
 
-func (p *endpointList) close() {
-	for _, httpServer := range p.httpServers {
-		_ = httpServer.Close()
+// close closes all listeners and connections.
+func (l *endpointList) close() {
+	for _, httpServer := range l.httpServers {
+		_ = httpServer.Close() // its listener is given up with the run
 	}
 }
 
+// listedModel, listedInstance and listPage are the JSON of the API.
 type listedModel struct {
 	Name    string
 	Version int
@@ -77,12 +81,13 @@
 	NextPageToken *string
 }
 
-func (p *endpointList) serveList(w http.ResponseWriter, _ *http.Request) {
+// serveList answers with all servers on one page.
+func (l *endpointList) serveList(w http.ResponseWriter, _ *http.Request) {
 	var page listPage
-	for i, s := range p.servers {
+	for i, s := range l.servers {
 		s.mu.Lock()
 		state := "ready"
-		if s.draining {
+		if s.isDraining {
 			state = "draining"
 		}
 		page.Instances = append(page.Instances, listedInstance{ID: s.instanceID, Service: s.service, Address: s.address, Zone: fmt.Sprint("z", i%3),
@@ -90,14 +95,15 @@
 		s.mu.Unlock()
 	}
 	w.Header().Set("Content-Type", contentTypeJSON)
-	_ = json.NewEncoder(w).Encode(page) // who asked and is gone asks again
+	_ = json.NewEncoder(w).Encode(page) // an agent whose connection has failed repeats its request
 }
 
-// renew replaces servers until the context ends, one at a time: it drains, is gone, and another instance has its address.
-func (p *endpointList) replaceServers(ctx context.Context, rng *rand.Rand) (replaced int) {
+// replaceServers replaces servers until ctx ends, one at a time, and returns how many: a server drains, then another instance has its
+// address.
+func (l *endpointList) replaceServers(ctx context.Context, rng *rand.Rand) (replaced int) {
 	for {
 		sleep(ctx, time.Duration(rng.ExpFloat64()*float64(meanReplaceInterval)))
-		s := p.servers[rng.IntN(len(p.servers))]
+		s := l.servers[rng.IntN(len(l.servers))]
 		s.setDraining(true)
 		sleep(ctx, drainDuration)
 		if ctx.Err() != nil {
--- a/internal/lab/soak/faultinjector.go
+++ b/internal/lab/soak/faultinjector.go
@@ -8,6 +8,7 @@
 	"math/rand/v2"
 	"net/http"
 	"os"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -15,62 +16,64 @@
 )
 
 const (
-	// restPerMachine is the mean time between two series on one machine.
+	// meanRestPerMachine is the mean time between two scenarios on one machine.
 	meanRestPerMachine = 8 * time.Second
-	// controlPart is the part of the series that meets control machines, where they may be lost.
+	// controlFraction is the fraction of scenarios drawn for control machines.
 	controlFraction = 0.3
-	// allKilledEvery is the mean time between kills of all processes.
+	// meanKillAllInterval is the mean time between two kills of all processes, killAllDowntime how long none is running then.
 	meanKillAllInterval = 25 * time.Second
 	killAllDowntime     = time.Second
 	votePollInterval    = 100 * time.Millisecond
 )
 
-// player does things to machines. Series on different machines overlap, and so do the steps of one.
+// faultInjector runs scenarios on machines, which are drawn from a seed. Scenarios on different machines overlap, and so do the steps of one.
 type faultInjector struct {
-	fleet   *fleet
-	checker *Checker
-	dir     string
+	fleet    *fleet
+	checker  *Checker
+	dataRoot string
 
-	voteTimeout time.Duration // a control machine that has come back must vote
+	voteTimeout time.Duration // within which a restarted control machine must vote
 
-	lostMachines chan struct{} // has room for the control machines that may be lost at once
-	killAllCount atomic.Int64  // how often all processes were killed
-	running      sync.WaitGroup
+	lostMachines chan struct{}  // a slot for each control machine that may be unavailable at once
+	killAllCount atomic.Int64   // how often all processes were killed at once
+	running      sync.WaitGroup // scenarios, and the kills of all processes
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the fields below
 	rng            *rand.Rand
-	scenarioCounts map[string]int // series by name
-	slowestVote    time.Duration  // until a control machine voted again
+	scenarioCounts map[string]int // by name
+	slowestVote    time.Duration  // longest time from a restart of a control machine to its first vote
 }
 
-func newFaultInjector(f *fleet, checker *Checker, seed uint64) *faultInjector {
-	return &faultInjector{fleet: f, checker: checker, dir: f.dir, voteTimeout: durationOfSeconds(catchUpSeconds) + busyMachineSlack, lostMachines: make(chan struct{}, f.settings.tolerableLosses()),
-		rng: rand.New(rand.NewPCG(seed, 3)), scenarioCounts: map[string]int{}}
+// newFaultInjector returns a fault injector for a fleet that is running.
+func newFaultInjector(fleet *fleet, checker *Checker, seed uint64) *faultInjector {
+	return &faultInjector{fleet: fleet, checker: checker, dataRoot: fleet.dir, voteTimeout: durationOfSeconds(catchUpSeconds) + busyMachineSlack,
+		lostMachines: make(chan struct{}, fleet.settings.tolerableLosses()),
+		rng:          rand.New(rand.NewPCG(seed, 3)), scenarioCounts: map[string]int{}}
 }
 
-// between draws a time.
-func (p *faultInjector) drawDuration(least, most time.Duration) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return least + time.Duration(p.rng.Int64N(int64(most-least)))
+// drawDuration draws a duration of at least minimum and less than maximum.
+func (f *faultInjector) drawDuration(minimum, maximum time.Duration) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return minimum + time.Duration(f.rng.Int64N(int64(maximum-minimum)))
 }
 
-// reload writes the settings anew, with other seeds, and tells the machine's processes.
-func (p *faultInjector) reload(m *machine) {
-	p.mu.Lock()
-	err := p.fleet.writeConfig(m, false, p.rng)
-	p.mu.Unlock()
+// reload writes the configuration file with other seeds and sends SIGHUP to the machine's processes.
+func (f *faultInjector) reload(m *machine) {
+	f.mu.Lock()
+	err := f.fleet.writeConfig(m, false, f.rng)
+	f.mu.Unlock()
 	if err != nil {
-		p.checker.ReportViolation(NoUnexpectedExit, "%s: %v", m.name, err)
+		f.checker.ReportViolation(NoUnexpectedExit, "%s: %v", m.name, err)
 	}
 	m.signal(syscall.SIGHUP)
 }
 
-// wipe ends a machine's processes, removes its disk and starts it again.
-func (p *faultInjector) wipeDisk(m *machine) {
+// wipeDisk kills a machine's processes, removes its disk and starts it again.
+func (f *faultInjector) wipeDisk(m *machine) {
 	m.kill()
-	if err := p.removeDisk(m); err != nil {
-		p.checker.ReportViolation(ConfigurationConfirmed, "%s: %v", m.name, err)
+	if err := f.removeDisk(m); err != nil {
+		f.checker.ReportViolation(ConfigurationConfirmed, "%s: %v", m.name, err)
 	}
 	m.start()
 }
@@ -78,107 +81,117 @@
 // removeDisk removes what a machine has stored and has its settings say that this is no first start. Danger: with Bootstrap true an empty
 // disk makes a founder, which votes under its old identity though it has forgotten what it accepted; an acknowledged configuration can
 // then be lost. Operators set Bootstrap for the first start alone.
-func (p *faultInjector) removeDisk(m *machine) error {
-	p.mu.Lock()
-	err := p.fleet.writeConfig(m, false, p.rng)
-	p.mu.Unlock()
-	return errors.Join(err, os.RemoveAll(m.dataDir(p.dir)))
+func (f *faultInjector) removeDisk(m *machine) error {
+	f.mu.Lock()
+	err := f.fleet.writeConfig(m, false, f.rng)
+	f.mu.Unlock()
+	return errors.Join(err, os.RemoveAll(m.dataDir(f.dataRoot)))
 }
 
-// run draws series until the context ends, and returns once all are over.
-func (p *faultInjector) run(ctx context.Context) {
-	machines := len(p.fleet.machines())
-	p.running.Go(func() { p.killAllPeriodically(ctx) })
+// run starts scenarios until ctx ends, and returns when all have ended.
+func (f *faultInjector) run(ctx context.Context) {
+	machines := len(f.fleet.machines())
+	f.running.Go(func() { f.killAllPeriodically(ctx) })
 	for ctx.Err() == nil {
-		p.startScenario()
-		sleep(ctx, p.drawDuration(0, 2*meanRestPerMachine/time.Duration(machines)))
+		f.startScenario()
+		sleep(ctx, f.drawDuration(0, 2*meanRestPerMachine/time.Duration(machines)))
 	}
-	p.running.Wait()
+	f.running.Wait()
 }
 
-// begin begins a series on some machine, where that may be.
-func (p *faultInjector) startScenario() {
-	p.mu.Lock()
-	control := p.rng.Float64() < controlFraction
-	machines, choices := p.fleet.edgeMachines, append(append([]scenario(nil), commonScenarios...), edgeScenarios...)
-	if control {
-		machines, choices = p.fleet.controlMachines, append(append([]scenario(nil), commonScenarios...), controlScenarios...)
+// drawScenario draws a scenario and a machine for it.
+func (f *faultInjector) drawScenario() (onControl bool, m *machine, chosen scenario) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	onControl = f.rng.Float64() < controlFraction
+	machines, specific := f.fleet.edgeMachines, edgeScenarios
+	if onControl {
+		machines, specific = f.fleet.controlMachines, controlScenarios
 	}
-	m, s := machines[p.rng.IntN(len(machines))], choices[p.rng.IntN(len(choices))]
-	p.mu.Unlock()
-	if control {
+	scenarios := slices.Concat(commonScenarios, specific)
+	m = machines[f.rng.IntN(len(machines))]
+	return onControl, m, scenarios[f.rng.IntN(len(scenarios))]
+}
+
+// startScenario draws a scenario and a machine and starts it there, unless the machine has one or as many control machines as may be
+// unavailable are.
+func (f *faultInjector) startScenario() {
+	onControl, m, chosen := f.drawScenario()
+	if onControl {
 		select {
-		case p.lostMachines <- struct{}{}:
+		case f.lostMachines <- struct{}{}:
 		default:
-			return // as many as may be lost are
+			return
 		}
 	}
 	if !m.tryClaim() {
-		if control {
-			<-p.lostMachines
+		if onControl {
+			<-f.lostMachines
 		}
 		return
 	}
-	p.mu.Lock()
-	p.scenarioCounts[s.name]++
-	p.mu.Unlock()
-	p.running.Go(func() {
-		s.run(p, m)
+	f.mu.Lock()
+	f.scenarioCounts[chosen.name]++
+	f.mu.Unlock()
+	f.running.Go(func() {
+		chosen.run(f, m)
 		m.release()
-		if control {
-			p.awaitVote(m)
-			time.Sleep(durationOfSeconds(catchUpSeconds)) // until then the machine counts as lost
-			<-p.lostMachines
+		if onControl {
+			f.awaitVote(m)
+			time.Sleep(durationOfSeconds(catchUpSeconds)) // until it must have caught up it counts as unavailable
+			<-f.lostMachines
 		}
 	})
 }
 
-// awaitVote looks whether a control machine that has come back votes in its time. Where all were killed meanwhile its time begins anew.
-func (p *faultInjector) awaitVote(m *machine) {
-	restartedAt, killAllCount := time.Now(), p.killAllCount.Load()
-	for !p.isVoting(m) {
-		if now := p.killAllCount.Load(); now != killAllCount {
+// awaitVote waits until a restarted control machine votes and reports a violation if it does not within voteTimeout. The time counts anew when
+// all processes are killed meanwhile.
+func (f *faultInjector) awaitVote(m *machine) {
+	restartedAt, killAllCount := time.Now(), f.killAllCount.Load()
+	for !f.isVoting(m) {
+		if now := f.killAllCount.Load(); now != killAllCount {
 			restartedAt, killAllCount = time.Now().Add(killAllDowntime), now
 		}
-		if waited := time.Since(restartedAt); waited > p.voteTimeout {
-			p.checker.ReportViolation(VotesAfterRestart, "%s does not vote %v after it has come back", m.name, waited.Round(time.Millisecond))
+		if waited := time.Since(restartedAt); waited > f.voteTimeout {
+			f.checker.ReportViolation(VotesAfterRestart, "%s does not vote %v after it has come back", m.name, waited.Round(time.Millisecond))
 			return
 		}
 		time.Sleep(votePollInterval)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.slowestVote = max(p.slowestVote, time.Since(restartedAt))
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.slowestVote = max(f.slowestVote, time.Since(restartedAt))
 }
 
-// votes asks a control process whether it votes.
-func (p *faultInjector) isVoting(m *machine) bool {
-	response, err := (&http.Client{Timeout: connectTimeout}).Get(fmt.Sprintf("http://%s:%d/fleet/v1/holdings", m.ip, p.fleet.basePort))
+// isVoting asks a control process for its state and reports whether it votes.
+func (f *faultInjector) isVoting(m *machine) bool {
+	response, err := (&http.Client{Timeout: connectTimeout}).Get(fmt.Sprintf("http://%s:%d/fleet/v1/holdings", m.ip, f.fleet.basePort))
 	if err != nil {
 		return false
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // read only
 	var holdings struct{ Votes bool }
 	return json.NewDecoder(response.Body).Decode(&holdings) == nil && holdings.Votes
 }
 
-// killAllNowAndThen kills all processes at once, whatever is being done to them, and starts them again.
-func (p *faultInjector) killAllPeriodically(ctx context.Context) {
+// killAllPeriodically kills all processes at once, whatever scenarios are running, and starts them again, until ctx ends.
+func (f *faultInjector) killAllPeriodically(ctx context.Context) {
 	for {
-		sleep(ctx, p.drawDuration(meanKillAllInterval/2, meanKillAllInterval*3/2))
+		sleep(ctx, f.drawDuration(meanKillAllInterval/2, meanKillAllInterval*3/2))
 		if ctx.Err() != nil {
 			return
 		}
-		p.killAllCount.Add(1)
-		p.forEachMachine((*machine).kill)
+		f.killAllCount.Add(1)
+		f.forEachMachine((*machine).kill)
 		time.Sleep(killAllDowntime)
-		p.forEachMachine((*machine).start)
+		f.forEachMachine((*machine).start)
 	}
 }
 
-func (p *faultInjector) forEachMachine(do func(m *machine)) {
+// forEachMachine calls do for all machines at once and returns when all calls have.
+func (f *faultInjector) forEachMachine(do func(m *machine)) {
 	var running sync.WaitGroup
-	for _, m := range p.fleet.machines() {
+	for _, m := range f.fleet.machines() {
 		running.Go(func() { do(m) })
 	}
 	running.Wait()
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -6,40 +6,45 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
+	"slices"
 )
 
+// role is what a process of the router fleet does. It is the subcommand that starts it.
+type role string
+
 // The roles of processes.
 const (
-	roleControl = "control"
-	roleAgent   = "agent"
-	roleProxy   = "proxy"
+	roleControl role = "control"
+	roleAgent   role = "agent"
+	roleProxy   role = "proxy"
 )
 
-// Ports, counted from the fleet's first one. Each machine has an address of its own.
+// Ports of each machine, as offsets from the base port of the fleet. Each machine has an IP address of its own.
 const (
 	operatorPortOffset = 20
 	frontPortOffset    = 21
 	readyPortOffset    = 22
 	portsPerMachine    = 4
-	// All ports are below those that the system gives to connections by itself (32768 and above).
+	// The base port is drawn from basePortRange ports, all below the ephemeral ports (32768 and above).
 	minBasePort   = 10000
 	basePortRange = 21000
 )
 
-// fleet is all processes, with the addresses at which they are met.
+// fleet is the machines of a router fleet with their processes and addresses.
 type fleet struct {
 	settings            *Settings
 	checker             *Checker
-	dir                 string
-	log                 io.Writer
+	dir                 string    // for configuration files and disks
+	log                 io.Writer // for the output of all processes
 	basePort            int
 	endpointListAddress string
 	controlMachines     []*machine
 	edgeMachines        []*machine
 }
 
+// newFleet lays out the machines of a fleet. Nothing is written or started before start.
 func newFleet(s *Settings, checker *Checker, dir, endpointListAddress string) *fleet {
-	f := &fleet{settings: s, checker: checker, dir: dir, log: &lockedWriter{out: s.Log}, endpointListAddress: endpointListAddress,
+	f := &fleet{settings: s, checker: checker, dir: dir, log: &lockedWriter{destination: s.Log}, endpointListAddress: endpointListAddress,
 		basePort: minBasePort + rand.IntN(basePortRange)}
 	for i := range s.controlMachineCount() {
 		m := &machine{name: fmt.Sprint("core-", i), ip: fmt.Sprintf("127.0.8.%d", 10+i), hasDisk: true}
@@ -56,7 +61,8 @@
 	return f
 }
 
-func (f *fleet) addProcesses(m *machine, roles ...string) *machine {
+// addProcesses gives a machine its configuration file and a process of each role, and returns it.
+func (f *fleet) addProcesses(m *machine, roles ...role) *machine {
 	m.configFile = filepath.Join(f.dir, m.name+".yaml")
 	for _, role := range roles {
 		m.processes = append(m.processes, &process{role: role, machine: m, fleet: f})
@@ -64,11 +70,12 @@
 	return m
 }
 
+// machines returns all machines, control machines first.
 func (f *fleet) machines() []*machine {
-	return append(append([]*machine(nil), f.controlMachines...), f.edgeMachines...)
+	return slices.Concat(f.controlMachines, f.edgeMachines)
 }
 
-// fronts are the machines that take requests.
+// frontMachines returns the machines with a proxy.
 func (f *fleet) frontMachines() []*machine {
 	if f.settings.ControlInAgents {
 		return f.machines()
@@ -76,22 +83,27 @@
 	return f.edgeMachines
 }
 
+// operatorAddress is where a machine takes the configuration.
 func (f *fleet) operatorAddress(m *machine) string {
 	return fmt.Sprintf("%s:%d", m.ip, f.basePort+operatorPortOffset)
 }
+
+// frontAddress is where a machine's proxy takes requests.
 func (f *fleet) frontAddress(m *machine) string {
 	return fmt.Sprintf("%s:%d", m.ip, f.basePort+frontPortOffset)
 }
+
+// readyAddress is where a machine's proxy answers readiness checks.
 func (f *fleet) readyAddress(m *machine) string {
 	return fmt.Sprintf("%s:%d", m.ip, f.basePort+readyPortOffset)
 }
 
-// write puts a machine's settings file in place. Seeds are three control machines, other ones each time.
+// writeConfig writes a machine's configuration file. Its seeds are three control machines: the first three with bootstrap, else drawn ones.
 func (f *fleet) writeConfig(m *machine, bootstrap bool, rng *rand.Rand) error {
 	const seedCount = 3
 	order := rng.Perm(len(f.controlMachines))
 	if bootstrap {
-		order = []int{0, 1, 2} // all processes of a first start are told the same
+		order = []int{0, 1, 2} // all processes of a first start need the same seeds
 	}
 	var seeds []string
 	for _, i := range order[:seedCount] {
@@ -106,7 +118,7 @@
 	if m.process(roleProxy) != nil {
 		text += fmt.Sprintf("  Front: %q\n  Ready: %q\n", f.frontAddress(m), f.readyAddress(m))
 	}
-	// A process that begins meanwhile finds the old file or the new one, and no half of either.
+	// A process that starts meanwhile must read the old file or the new one, and never a part of one.
 	next := m.configFile + ".next"
 	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
 		return Error.Wrap(err)
@@ -114,7 +126,7 @@
 	return Error.Wrap(os.Rename(next, m.configFile))
 }
 
-// start begins all processes at once.
+// start writes all configuration files for a first start, then starts all processes.
 func (f *fleet) start(rng *rand.Rand) error {
 	for _, m := range f.machines() {
 		if err := f.writeConfig(m, true, rng); err != nil {
@@ -131,7 +143,7 @@
 	return nil
 }
 
-// end ends what is left, by its own process ids.
+// killAll kills the processes that are still running, and only those that the fleet started.
 func (f *fleet) killAll() {
 	for _, m := range f.machines() {
 		for _, p := range m.processes {
--- a/internal/lab/soak/lockedwriter.go
+++ b/internal/lab/soak/lockedwriter.go
@@ -2,17 +2,19 @@
 
 import (
 	"bytes"
+	"io"
 	"sync"
 )
 
-// lockedWriter lets processes write to one place.
+// lockedWriter serializes the writes of several processes to one destination.
 type lockedWriter struct {
-	mu  sync.Mutex
-	out interface{ Write([]byte) (int, error) }
+	mu          sync.Mutex
+	destination io.Writer
 }
 
+// Write implements io.Writer.
 func (w *lockedWriter) Write(data []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.out.Write(bytes.Clone(data))
+	return w.destination.Write(bytes.Clone(data))
 }
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -13,77 +13,64 @@
 	"time"
 )
 
+// The host of all routes, and the times and steps of the operator.
 const (
 	routeHost           = "soak.example"
 	changeInterval      = 500 * time.Millisecond
 	operatorCallTimeout = 4 * time.Second
 	retryInterval       = 100 * time.Millisecond
-	maxVersionStep      = 4 // by which a version rises
+	maxVersionStep      = 4 // by which a change raises the version
 	readBackTimeout     = 20 * time.Second
 )
 
-// operator makes one change after the other.
+// operator changes the configuration, one change after the other. Only addedRoutes may be read by other goroutines while it runs.
 type operator struct {
 	fleet            *fleet
 	checker          *Checker
 	rng              *rand.Rand
 	httpClient       *http.Client
-	confirmedVersion uint64
-	confirmedConfig  []byte // the configuration that was confirmed last
-	wasSentComplete  bool   // it was sent whole: it comes back to the letter
-	addedRoutes      atomic.Int64
-	slowestChange    time.Duration // from the first sending to the confirmation
+	confirmedVersion uint64        // of the last confirmed change, 0 before the first
+	confirmedConfig  []byte        // the complete configuration of that version
+	wasSentComplete  bool          // it was sent by PUT, so that it is returned byte by byte
+	addedRoutes      atomic.Int64  // in the confirmed configuration
+	slowestChange    time.Duration // longest time from sending a change to its confirmation
 }
 
+// newOperator returns an operator of a fleet that has no configuration yet.
 func newOperator(f *fleet, checker *Checker, seed uint64) *operator {
 	return &operator{fleet: f, checker: checker, rng: rand.New(rand.NewPCG(seed, 2)), httpClient: &http.Client{Timeout: operatorCallTimeout}}
 }
 
-// order is one change: the configuration that it makes, and what is sent for it.
+// change is one change of the configuration: its result, and the request that makes it.
 type change struct {
 	version     uint64
-	addedRoutes int // routes that were added to the first ones
-	config      []byte
-	method      string
+	addedRoutes int    // added to those of the first configuration
+	config      []byte // the complete configuration after the change
+	httpMethod  string // PUT of the complete configuration, or PATCH
 	body        []byte
 }
 
-// next makes the configuration after the one that was confirmed last: with one more route, if it is not the first. It is sent whole or as
-// a patch.
+// nextChange makes the change after the confirmed configuration: the first configuration, or one more route, by PUT or PATCH.
 func (o *operator) made() (change, error) {
 	version := o.confirmedVersion + 1 + uint64(o.rng.IntN(maxVersionStep))
 	addedRoutes := int(o.addedRoutes.Load())
 	if o.confirmedVersion > 0 {
 		addedRoutes++
 	}
-	config := configuration{Version: version, Services: []configuredService{{Name: plainService, HealthPath: "/health", MaxConnections: 2000},
-		{Name: modelService, HealthPath: "/health", MaxConnections: 2000, Engine: &configuredEngine{Slots: serverSlots, KvTokens: 600_000, KvTokenBytes: 35_000,
-			LinkMbps: 1e6, HandleTTLS: 5, SwitchS: stageSwitchDuration.Seconds()}}}}
-	add := func(name, prefix, routeType, service string) {
-		config.Routes = append(config.Routes, configuredRoute{Name: name, Host: routeHost, PathPrefix: prefix, RouteType: routeType, Service: service,
-			TimeoutMs: int(requestDeadline.Milliseconds()), TargetLatencyMs: 500, MaxAttempts: 2})
-	}
-	add("once", "/once/", "non_idempotent", plainService)
-	add("safe", "/safe/", "idempotent", plainService)
-	add("prompt", "/prompt/", "streaming", modelService)
-	add("feed", "/feed/", "streaming", plainService)
-	config.Routes[len(config.Routes)-1].Resumable = true
-	for route := 1; route <= addedRoutes; route++ {
-		add(fmt.Sprint("added-", route), addedRoutePrefix(route), "non_idempotent", plainService)
-	}
+	config := newConfiguration(version, addedRoutes)
 	data, err := json.Marshal(config)
-	made := change{version: version, addedRoutes: addedRoutes, config: data, method: http.MethodPut, body: data}
+	made := change{version: version, addedRoutes: addedRoutes, config: data, httpMethod: http.MethodPut, body: data}
 	if err != nil || o.confirmedVersion == 0 || o.rng.IntN(2) == 0 {
 		return made, err
 	}
 	partial := configPatch{Version: version}
 	partial.Upsert.Routes = config.Routes[len(config.Routes)-1:]
-	made.method = http.MethodPatch
+	made.httpMethod = http.MethodPatch
 	made.body, err = json.Marshal(partial)
 	return made, err
 }
 
-// change makes one change and sends it until it is confirmed.
+// applyChange makes one change and sends it until it is confirmed or ctx ends. That it is refused is a violation.
 func (o *operator) applyChange(ctx context.Context) {
 	next, err := o.made()
 	if err != nil {
@@ -94,25 +81,26 @@
 	for ctx.Err() == nil {
 		status, answer := o.send(ctx, &next)
 		if status == http.StatusOK {
-			o.confirmedVersion, o.confirmedConfig, o.wasSentComplete = next.version, next.config, next.method == http.MethodPut
+			o.confirmedVersion, o.confirmedConfig, o.wasSentComplete = next.version, next.config, next.httpMethod == http.MethodPut
 			o.checker.ConfigurationAcknowledged(next.addedRoutes, time.Now())
 			o.addedRoutes.Store(int64(next.addedRoutes))
 			o.slowestChange = max(o.slowestChange, time.Since(startedAt))
 			return
 		}
 		if status >= http.StatusBadRequest && status < http.StatusInternalServerError {
-			o.checker.ReportViolation(ConfigurationConfirmed, "%s of version %d on top of %d: %d %s", next.method, next.version, o.confirmedVersion, status, answer)
+			o.checker.ReportViolation(ConfigurationConfirmed, "%s of version %d on top of %d: %d %s", next.httpMethod, next.version, o.confirmedVersion, status, answer)
 			return
 		}
 		sleep(ctx, retryInterval)
 	}
 }
 
-// send sends a change to any machine and returns the status, 0 without an answer. Those without a disk redirect it.
+// send sends a change to a drawn machine and returns the status and the body of the answer; without an answer, 0 and the error. Machines without a
+// disk redirect it to a control machine.
 func (o *operator) send(ctx context.Context, change *change) (int, string) {
 	machines := o.fleet.machines()
 	target := machines[o.rng.IntN(len(machines))]
-	request, err := http.NewRequestWithContext(ctx, change.method, "http://"+o.fleet.operatorAddress(target)+"/config", bytes.NewReader(change.body))
+	request, err := http.NewRequestWithContext(ctx, change.httpMethod, "http://"+o.fleet.operatorAddress(target)+"/config", bytes.NewReader(change.body))
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -120,12 +108,13 @@
 	return o.do(request)
 }
 
+// do sends a request and returns the status and the body of the answer; without a complete answer, 0 and the error.
 func (o *operator) do(request *http.Request) (int, string) {
 	response, err := o.httpClient.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // read only
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, err.Error()
@@ -133,7 +122,7 @@
 	return response.StatusCode, string(body)
 }
 
-// run makes changes until the context ends.
+// run makes changes until ctx ends.
 func (o *operator) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		o.applyChange(ctx)
@@ -141,7 +130,7 @@
 	}
 }
 
-// readBack asks each control machine for the configuration, which must be the one that was confirmed last, or a later one that was sent.
+// checkReadBack reads the configuration from each control machine, which must be the confirmed one, or a later one that was sent.
 func (o *operator) checkReadBack(ctx context.Context) {
 	for _, m := range o.fleet.controlMachines {
 		deadline := time.Now().Add(readBackTimeout)
@@ -160,6 +149,7 @@
 	}
 }
 
+// readConfig reads the configuration from a machine; the results are those of do.
 func (o *operator) readConfig(ctx context.Context, m *machine) (int, string) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+o.fleet.operatorAddress(m)+"/config", nil)
 	if err != nil {
@@ -168,6 +158,8 @@
 	return o.do(request)
 }
 
+// checkConfig reports a violation if a configuration read from a machine is invalid, older than the confirmed one, or differs from it at the same
+// version.
 func (o *operator) checkConfig(m *machine, answer string) {
 	var config configuration
 	if err := json.Unmarshal([]byte(answer), &config); err != nil {
@@ -179,7 +171,7 @@
 	}
 }
 
-// same tells whether a configuration is the one that was confirmed last: to the letter where that was sent whole.
+// isConfirmedConfig reports whether a configuration is the confirmed one: byte by byte after a PUT, else as JSON.
 func (o *operator) isConfirmedConfig(answer string) bool {
 	if o.wasSentComplete {
 		return answer == string(o.confirmedConfig)
--- a/internal/lab/soak/outcome.go
+++ b/internal/lab/soak/outcome.go
@@ -10,36 +10,36 @@
 	"time"
 )
 
-// Kind is what may be done with a request.
+// RequestKind is a kind of requests by how they may be executed and answered. It is the first segment of the path.
 type RequestKind string
 
 // The kinds of requests.
 const (
-	NonIdempotent RequestKind = "once"   // it may run once
-	Idempotent    RequestKind = "safe"   // it may be repeated
-	Prompt        RequestKind = "prompt" // an answer of events
-	ResumableFeed RequestKind = "feed"   // an answer of events that another server may go on with
+	NonIdempotent RequestKind = "once"   // executed at most once
+	Idempotent    RequestKind = "safe"   // may be executed again after a failure
+	Prompt        RequestKind = "prompt" // for a model; answered by a stream of events
+	ResumableFeed RequestKind = "feed"   // answered by a stream of events that another server may resume
 )
 
-// Outcome is what a client saw of a request.
+// Outcome is what a client observed of a request. If Status is 0, one of ConnectionClosed, DialFailed and TimedOut is true.
 type Outcome struct {
 	ID               string
 	Kind             RequestKind
-	Edge             string // name of the machine
-	Incarnation      int    // of its proxy
-	Route            int    // number of an added route, 0: a first route
+	Edge             string // name of the machine to which it was sent
+	Incarnation      int    // of that machine's proxy when it was sent
+	Route            int    // number of the added route, 0 for a route of the first configuration
 	SentAt           time.Time
 	EndedAt          time.Time
-	Status           int    // 0: no answer
-	Body             string // of a 200, as far as it came
-	HasStamp         bool   // the answer has a server's stamp
-	ConnectionClosed bool   // the connection ended without a whole answer
-	DialFailed       bool   // no connection could be had
-	TimedOut         bool   // there was no answer when the time was over
-	Disturbed        bool   // something was done to the machine from shortly before until the end
+	Status           int    // 0 without a complete answer
+	Body             string // of the answer, as far as it was received
+	HasStamp         bool   // the answer carries a server's stamp
+	ConnectionClosed bool   // the connection was closed before the answer was complete
+	DialFailed       bool   // no connection could be made
+	TimedOut         bool   // there was no complete answer within the deadline
+	Disturbed        bool   // an intervention at the machine excuses how it ended
 }
 
-// class says in a word what a client saw.
+// label is the key under which reports count the outcome.
 func (o *Outcome) label() string {
 	switch {
 	case o.DialFailed:
@@ -52,7 +52,7 @@
 	return fmt.Sprint(o.Status)
 }
 
-// take notes the answer, or how the request ended without one.
+// recordResponse records the result of http.Client.Do: the answer after reading it to its end, or how the request failed. It closes the body.
 func (o *Outcome) recordResponse(response *http.Response, err error) {
 	if err == nil {
 		defer response.Body.Close()
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -11,41 +11,43 @@
 	"time"
 )
 
-// life counts the lives of a process.
-func (p *process) incarnation() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.incarnations
-}
-
-// process is one role on one machine, over all its lives.
+// process is one role on one machine, over all its incarnations: operating system processes that follow one another. Its methods are safe
+// for concurrent use.
 type process struct {
-	role    string
+	role    role
 	machine *machine
 	fleet   *fleet
 
-	mu            sync.Mutex
-	cmd           *exec.Cmd
-	exited        chan struct{} // closed once this life is over
-	incarnations  int
+	mu            sync.Mutex    // guards the fields below
+	cmd           *exec.Cmd     // nil while none is running
+	exited        chan struct{} // closed once this incarnation has exited
+	incarnations  int           // started so far
 	startedAt     time.Time
-	stopRequested bool      // it was told to end, or was killed
-	killRequested bool      // it was killed
-	terminatedAt  time.Time // when it was told to end
-	hungUpEarly   bool      // it was hung up before it can have begun
-	samples       []resourceSample
+	stopRequested bool             // it was sent SIGTERM or SIGKILL
+	killRequested bool             // it was sent SIGKILL
+	terminatedAt  time.Time        // when it was sent SIGTERM, or went on after a stop since
+	hungUpEarly   bool             // it was sent SIGHUP before its own code can have run
+	samples       []resourceSample // of this incarnation
 }
 
-func (p *process) name() string { return p.machine.name + "/" + p.role }
+// name is machine/role, as it stands in details of violations.
+func (p *process) name() string { return p.machine.name + "/" + string(p.role) }
+
+// incarnation returns how many incarnations were started so far, which is the number of the current one.
+func (p *process) incarnation() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.incarnations
+}
 
-// start begins a life. It does nothing where one is under way.
+// start starts the next incarnation, if none is running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return nil
 	}
-	cmd := exec.Command(p.fleet.settings.Binary, p.role)
+	cmd := exec.Command(p.fleet.settings.Binary, string(p.role))
 	cmd.Env = []string{"HAZELWHEEL_CONFIG=" + p.machine.configFile, "HOME=" + p.fleet.dir, "PATH=" + os.Getenv("PATH")}
 	cmd.Stdout, cmd.Stderr = p.fleet.log, p.fleet.log
 	if err := cmd.Start(); err != nil {
@@ -59,7 +61,8 @@
 	return nil
 }
 
-// await notes how a life ends.
+// awaitExit waits for an incarnation to exit and reports an exit that nothing asked for, that failed or that came too late. It runs in a
+// goroutine of its own and closes exited at the end.
 func (p *process) awaitExit(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
@@ -80,40 +83,7 @@
 	close(exited)
 }
 
-// beginsWithin is the processor time that a process may take before its own code runs: 4 to 5 ms were measured. Until then SIGHUP ends it,
-// as it ends any program; what is ended so is counted and told, and started again.
-const maxStartupCPUTime = 10 * time.Millisecond
-
-// processorTime is what the threads of a process have taken so far. One that has just ended has taken none.
-func cpuTime(pid int) (sum time.Duration) {
-	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
-	if err != nil {
-		return 0
-	}
-	for _, thread := range threads {
-		data, err := os.ReadFile(thread)
-		var nanoseconds int64
-		if _, scanErr := fmt.Sscan(string(data), &nanoseconds); err == nil && scanErr == nil {
-			sum += time.Duration(nanoseconds)
-		}
-	}
-	return sum
-}
-
-// endedBy returns the signal that ended a process, 0 where none did.
-func terminatingSignal(err error) syscall.Signal {
-	var exit *exec.ExitError
-	if !errors.As(err, &exit) {
-		return 0
-	}
-	status, ok := exit.Sys().(syscall.WaitStatus)
-	if !ok || !status.Signaled() {
-		return 0
-	}
-	return status.Signal()
-}
-
-// signal sends a signal to the life that is under way, if there is one.
+// signal sends a signal to the running incarnation, if there is one, and records what the checker must allow for because of it.
 func (p *process) signal(sent syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,14 +105,14 @@
 	case syscall.SIGSTOP, syscall.SIGCONT:
 		p.machine.recordIntervention(abrupt)
 		if p.stopRequested {
-			p.terminatedAt = time.Now() // it has its time from when it goes on
+			p.terminatedAt = time.Now() // the grace period counts from when it continues
 		}
 	}
-	_ = p.cmd.Process.Signal(sent) // it may just have ended
+	_ = p.cmd.Process.Signal(sent) // it may just have exited
 }
 
-// awaitEnd waits until the life that was told to end is over, and kills it once its time is. It does not wait for a life that has begun
-// since, where all were killed meanwhile.
+// awaitShutdown waits until an incarnation that was sent SIGTERM or SIGKILL has exited. After the grace period and twice the slack it reports
+// a violation and kills it. It does not wait for an incarnation that was started since, as after a kill of all processes.
 func (p *process) awaitShutdown() {
 	p.mu.Lock()
 	exited, isStopping := p.exited, p.cmd != nil && p.stopRequested
@@ -159,7 +129,7 @@
 	}
 }
 
-// kill ends the life that is under way and waits for it.
+// kill kills the running incarnation, if there is one, and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	p.mu.Lock()
@@ -169,3 +139,36 @@
 		<-exited
 	}
 }
+
+// terminatingSignal returns the signal that terminated a process, from the error of exec.Cmd.Wait; 0 if none did.
+func terminatingSignal(err error) syscall.Signal {
+	var exit *exec.ExitError
+	if !errors.As(err, &exit) {
+		return 0
+	}
+	status, ok := exit.Sys().(syscall.WaitStatus)
+	if !ok || !status.Signaled() {
+		return 0
+	}
+	return status.Signal()
+}
+
+// maxStartupCPUTime is the processor time that a process may take before its own code runs and installs its signal handlers; 4 to 5 ms were
+// measured. Until then SIGHUP terminates it, as it does any program. Such an exit is counted in the report and is no violation.
+const maxStartupCPUTime = 10 * time.Millisecond
+
+// cpuTime returns the processor time that the threads of a process have taken so far, 0 if it has exited.
+func cpuTime(pid int) (sum time.Duration) {
+	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
+	if err != nil {
+		return 0
+	}
+	for _, thread := range threads {
+		data, err := os.ReadFile(thread)
+		var nanoseconds int64
+		if _, scanErr := fmt.Sscan(string(data), &nanoseconds); err == nil && scanErr == nil {
+			sum += time.Duration(nanoseconds)
+		}
+	}
+	return sum
+}
--- a/internal/lab/soak/requestcounts.go
+++ b/internal/lab/soak/requestcounts.go
@@ -1,21 +1,23 @@
 package soak
 
-// served counts requests.
+// requestCounts counts requests, and those of them that were answered with 200.
 type requestCounts struct{ sent, served int }
 
-func (s requestCounts) add(isServed bool) requestCounts {
-	s.sent++
+// add returns the counts with one more request.
+func (c requestCounts) add(isServed bool) requestCounts {
+	c.sent++
 	if isServed {
-		s.served++
+		c.served++
 	}
-	return s
+	return c
 }
 
-// leastRequests is from how many requests on a share is judged, leastShare the part that must be served.
+// minRequestsForRatio is the number of requests from which a ratio is checked, minServedRatio the ratio that must be served: of all requests,
+// or in proportion to the ratio of others.
 const (
 	minRequestsForRatio = 20
 	minServedRatio      = 0.25
 )
 
-// share is 0 where nothing was sent.
-func (s requestCounts) servedRatio() float64 { return float64(s.served) / float64(max(s.sent, 1)) }
+// servedRatio returns served over sent, 0 if nothing was sent.
+func (c requestCounts) servedRatio() float64 { return float64(c.served) / float64(max(c.sent, 1)) }
--- a/internal/lab/soak/resources.go
+++ b/internal/lab/soak/resources.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// sample is what a process takes at a moment.
+// resourceSample is the resident memory, in megabytes of 2^20 bytes, and the open descriptors of a process at one time.
 type resourceSample struct {
 	at          time.Time
 	megabytes   float64
 	descriptors int
 }
 
-// look takes a sample.
+// sampleResources appends a sample of the running incarnation, if there is one.
 func (p *process) sampleResources() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -26,11 +26,12 @@
 	megabytes, err := residentMegabytes(pid)
 	entries, listErr := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil || listErr != nil {
-		return // it has just ended
+		return // it has just exited
 	}
 	p.samples = append(p.samples, resourceSample{time.Now(), megabytes, len(entries)})
 }
 
+// residentMegabytes reads the resident memory of a process, in megabytes of 2^20 bytes.
 func residentMegabytes(pid int) (float64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -44,18 +45,21 @@
 	return float64(pages*os.Getpagesize()) / (1 << 20), err
 }
 
-// Bounds of growth between the first and the last third of a life.
+// Bounds of growth from the first to the last third of an incarnation's samples: the last mean may be growthFactor times the first plus the
+// constant of its unit.
 const (
-	growthFactor      = 1.5
-	growthMegabytes   = 12.0
-	growthDescriptors = 64
+	minSamplesForGrowth = 9
+	growthFactor        = 1.5
+	growthMegabytes     = 12.0
+	growthDescriptors   = 64
 )
 
-// checkGrowth compares the first third of a long life with its last.
+// checkGrowth compares the means of the first and the last third of the running incarnation's samples, if it is at least minAge old, and
+// reports growth beyond the bounds.
 func (p *process) checkGrowth(minAge time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || time.Since(p.startedAt) < minAge || len(p.samples) < 9 {
+	if p.cmd == nil || time.Since(p.startedAt) < minAge || len(p.samples) < minSamplesForGrowth {
 		return
 	}
 	third := len(p.samples) / 3
@@ -68,6 +72,7 @@
 	}
 }
 
+// meanSample returns the mean of samples; descriptors are rounded down.
 func meanSample(samples []resourceSample) (out resourceSample) {
 	for _, s := range samples {
 		out.megabytes += s.megabytes / float64(len(samples))
--- a/internal/lab/soak/rule.go
+++ b/internal/lab/soak/rule.go
@@ -1,23 +1,23 @@
 package soak
 
-// Rule names a check.
+// Rule names a check. Its text is printed and written to reports.
 type Rule string
 
-// The checks.
+// The checks, each with the violation that it finds.
 const (
-	AtMostOnce             Rule = "at-most-once"   // a request that may run once has run twice
-	AnswerIsOwn            Rule = "own-answer"     // a client got what no server answered to it
-	BodyIntact             Rule = "intact"         // a server got another body than the client sent
-	RefusedNotExecuted     Rule = "promise"        // a request was refused as not run and has run
-	AlwaysAnswered         Rule = "answered"       // a request neither had an answer nor its connection closed, or it was closed for no reason
-	ConfigurationInForce   Rule = "in-force"       // a confirmed configuration was not in force in time
-	ConfigurationMonotonic Rule = "never-older"    // a process went by an older configuration than before
-	ConfigurationConfirmed Rule = "confirmed"      // a proper change was refused, or what was confirmed is not told in the end
-	AddedRoutesServed      Rule = "added-routes"   // routes that were added are served under a quarter as often as the first ones
-	KindsServed            Rule = "starved"        // a kind of request is served under a quarter as often as all
-	ServiceRecovered       Rule = "recovered"      // under a quarter is served once RecoveryS is over
-	VotesAfterRestart      Rule = "voters"         // a control machine does not vote CatchUpS after it has come back
-	GracefulShutdown       Rule = "ends-in-grace"  // a process did not end in GraceS, or with a failure
-	NoUnexpectedExit       Rule = "ends-by-itself" // a process ended though nobody ended it
-	ResourcesBounded       Rule = "growth"         // memory or descriptors of a process grow
+	AtMostOnce             Rule = "at-most-once"   // a non-idempotent request was executed twice
+	AnswerIsOwn            Rule = "own-answer"     // a client received what no server answered to its request
+	BodyIntact             Rule = "intact"         // a server received another body than the client sent
+	RefusedNotExecuted     Rule = "promise"        // a request was refused as not executed and was executed
+	AlwaysAnswered         Rule = "answered"       // a request had neither an answer nor a closed connection, or the connection was closed without cause
+	ConfigurationInForce   Rule = "in-force"       // a proxy did not apply a confirmed configuration in time
+	ConfigurationMonotonic Rule = "never-older"    // a proxy used an older configuration than before
+	ConfigurationConfirmed Rule = "confirmed"      // a valid change was refused, or the confirmed configuration is not read back at the end
+	AddedRoutesServed      Rule = "added-routes"   // added routes are served less than a quarter as often as the first ones
+	KindsServed            Rule = "starved"        // a kind of requests is served less than a quarter as often as all requests
+	ServiceRecovered       Rule = "recovered"      // less than a quarter of requests is served after the time to recover
+	VotesAfterRestart      Rule = "voters"         // a control machine does not vote in time after a restart
+	GracefulShutdown       Rule = "ends-in-grace"  // a process did not exit within its grace period after SIGTERM, or failed
+	NoUnexpectedExit       Rule = "ends-by-itself" // a process exited without a signal to do so
+	ResourcesBounded       Rule = "growth"         // memory or descriptors of a process grow beyond the bounds
 )
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// The services and stages of the stand-ins.
+// The services, their stand-in servers and the serving stages of model servers.
 const (
 	plainService        = "plain"
 	modelService        = "model"
@@ -24,13 +24,13 @@
 	maxServerBody       = 1 << 20
 )
 
-// renewEvery is the mean time between two replacements of servers, drainFor how long a server drains before.
+// meanReplaceInterval is the mean time between two replacements of servers, drainDuration how long a server drains before it is replaced.
 const (
 	meanReplaceInterval = 2 * time.Second
 	drainDuration       = 3500 * time.Millisecond
 )
 
-// The parts of requests that servers refuse as full, or break off before and after they run them.
+// The fractions of requests that servers refuse as overloaded, or abort before and after executing them, and the time that execution takes.
 const (
 	refusedFraction          = 0.01
 	abortedBeforeRunFraction = 0.005
@@ -38,53 +38,63 @@
 	feedAbortedFraction      = 0.03 // before each event
 	plainServiceTime         = 5 * time.Millisecond
 	promptServiceTime        = 15 * time.Millisecond
-	headerRequest            = "Hazelwheel-Request-Id"
-	headerInstance           = "Hazelwheel-Instance-Id"
-	headerExpected           = "Hazelwheel-Expect-Instance"
-	headerVersion            = "Expect-Version"
-	headerStage              = "Hazelwheel-Serving-Stage"
-	headerStamp              = "Hazelwheel-Response-Stamp"
-	headerNotRun             = "Hazelwheel-Not-Executed"
-	headerDeadline           = "Hazelwheel-Deadline-Ms"
-	headerLastEvent          = "Last-Event-Id"
-	headerTokens             = "Hazelwheel-Token-Counts"
-	headerPrefix             = "Hazelwheel-Prefix-Hash"
-	weightsVersion           = "1"
-	prefillAnswerFormat      = `{"KvHandle":"h-%s","Tokens":1000,"Version":1}`
-	promptAnswerFormat       = "id: 1\ndata: %s\n\nid: 2\ndata: end\n\n"
-	contentTypeJSON          = "application/json"
 )
 
-// server stands in for a server. It goes by the fields of a request as the operators' pages say.
+// The headers of requests and answers, and the values that stand-in servers send.
+const (
+	headerRequest       = "Hazelwheel-Request-Id"
+	headerInstance      = "Hazelwheel-Instance-Id"
+	headerExpected      = "Hazelwheel-Expect-Instance"
+	headerVersion       = "Expect-Version"
+	headerStage         = "Hazelwheel-Serving-Stage"
+	headerStamp         = "Hazelwheel-Response-Stamp"
+	headerNotRun        = "Hazelwheel-Not-Executed"
+	headerDeadline      = "Hazelwheel-Deadline-Ms"
+	headerLastEvent     = "Last-Event-Id"
+	headerTokens        = "Hazelwheel-Token-Counts"
+	headerPrefix        = "Hazelwheel-Prefix-Hash"
+	weightsVersion      = "1"
+	prefillAnswerFormat = `{"KvHandle":"h-%s","Tokens":1000,"Version":1}`
+	promptAnswerFormat  = "id: 1\ndata: %s\n\nid: 2\ndata: end\n\n"
+	contentTypeJSON     = "application/json"
+)
+
+// server stands in for a backend server. It obeys the headers of a request as the operators' pages specify and reports what it executes to the
+// checker. It is safe for concurrent use.
 type server struct {
 	service string
 	address string
 	checker *Checker
 
-	mu         sync.Mutex
-	instanceID string // of the instance that has the address now
-	stage      string
-	draining   bool
+	mu         sync.Mutex // guards the fields below
+	instanceID string     // of the instance that has the address now
+	stage      string     // of a model server; else empty
+	isDraining bool
 }
 
-func (s *server) setDraining(draining bool) {
+// setDraining sets whether the endpoint list shows the server as draining.
+func (s *server) setDraining(isDraining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.draining = draining
+	s.isDraining = isDraining
 }
 
+// replaceInstance gives the address to another instance, which is ready.
 func (s *server) replaceInstance(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.instanceID, s.draining = id, false
+	s.instanceID, s.isDraining = id, false
 }
 
+// currentInstanceID returns the identifier of the instance that has the address now.
 func (s *server) currentInstanceID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.instanceID
 }
 
+// ServeHTTP answers health checks, orders to switch the stage, cancellations and requests. Like a real server it refuses or aborts some of the
+// requests.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxServerBody))
 	if err != nil && r.URL.Path != "/order" {
@@ -113,7 +123,7 @@
 	}
 }
 
-// misdirected tells whether a request is for another instance, stage or version.
+// isMisdirected reports whether the headers of a request name another instance, stage or version of the weights.
 func (s *server) isMisdirected(header http.Header) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +137,7 @@
 	return version != "" && version != weightsVersion || (header.Get(headerStage) == stagePrefill) != (s.stage == stagePrefill)
 }
 
-// order changes the stage after a while.
+// switchStage accepts an order to switch between prefill and decode, and switches after stageSwitchDuration.
 func (s *server) switchStage(w http.ResponseWriter) {
 	w.WriteHeader(http.StatusAccepted)
 	time.AfterFunc(stageSwitchDuration, func() {
@@ -141,10 +151,10 @@
 	})
 }
 
-// feed sends the events after the last one that a client has, and breaks off after some of them now and then.
+// sendFeed sends the events that follow number last, all of them if it is empty, and aborts the answer after some of them.
 func (s *server) sendFeed(w http.ResponseWriter, id, last string) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	lastSeen, _ := strconv.Atoi(last) // none: from the first on
+	lastSeen, _ := strconv.Atoi(last) // without a number: 0, so that the first event is next
 	if lastSeen > 0 {
 		s.checker.FeedResumed()
 	}
@@ -155,12 +165,12 @@
 		if _, err := io.WriteString(w, feedEvent(id, event)); err != nil {
 			return
 		}
-		_ = http.NewResponseController(w).Flush() // a proxy that is gone needs none
+		_ = http.NewResponseController(w).Flush() // fails if the proxy has closed the connection, which the next write shows
 		time.Sleep(plainServiceTime)
 	}
 }
 
-// run runs a request and answers it, but for some that are broken off.
+// execute reports a request as executed and answers it. Some are aborted before that, and of some the answer is lost.
 func (s *server) execute(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headerRequest)
 	draw := rand.Float64()
@@ -186,5 +196,5 @@
 	if s.service == modelService {
 		kind = Prompt
 	}
-	_, _ = io.Copy(w, strings.NewReader(expectedAnswer(kind, id))) // a proxy that is gone needs none
+	_, _ = io.Copy(w, strings.NewReader(expectedAnswer(kind, id))) // fails if the proxy has closed the connection, which its client reports
 }
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -1,7 +1,3 @@
-// Package soak plays a router fleet of real processes on loopback addresses for minutes: clients that keep their connections, an operator
-// that keeps changing the configuration, and signals, kills, restarts and lost disks that come in series and overlap. All of it is drawn
-// from a seed. What is checked is what crossed the sockets of its own clients, servers and operator, and what the system tells of the
-// processes.
 package soak
 
 import (
@@ -18,7 +14,7 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("soak")
 
-// The bounds that the fleet's settings name, and what a busy machine adds to them before a check fails.
+// The bounds in the fleet's configuration files, and busyMachineSlack, by which a check allows more because the machine may be busy.
 const (
 	graceSeconds       = 6.0
 	catchUpSeconds     = 4.0
@@ -26,32 +22,33 @@
 	configApplySeconds = 2.0
 	leaseMilliseconds  = 3000
 	busyMachineSlack   = 3 * time.Second
-	requestDeadline    = 2500 * time.Millisecond
+	requestDeadline    = 2500 * time.Millisecond // of each client request
 )
 
+// Bounds of settings.
 const (
 	minProcesses         = 7 // three control processes, two agents and two proxies
 	minProcessesInAgents = 8 // four machines with an agent and a proxy, three of them with a disk
 	maxProcesses         = 300
-	// processMB is what one process takes at most, in megabytes of 2^20 bytes.
+	// maxProcessMegabytes is the most memory that one process needs, in megabytes of 2^20 bytes.
 	maxProcessMegabytes = 32
-	// manyProcesses is from how many on the control side has five processes.
+	// largeFleetProcesses is the number of processes from which there are five control machines.
 	largeFleetProcesses = 60
 	minFaultDuration    = 10 * time.Second
 )
 
-// Settings says what is played.
+// Settings configures a run.
 type Settings struct {
 	Seed            uint64
-	FaultDuration   time.Duration // how long there are faults
-	Processes       int
-	ControlInAgents bool      // control runs within agents, on machines that take requests
-	Binary          string    // hazelfleet's file
-	Dir             string    // for disks and settings; empty: a folder that is removed
-	Log             io.Writer // what the processes write
+	FaultDuration   time.Duration // how long faults are injected
+	Processes       int           // at most; rounded down to whole machines
+	ControlInAgents bool          // control runs within agents, on machines with a proxy
+	Binary          string        // path of the hazelfleet program
+	Dir             string        // for disks and configuration files; empty: a temporary folder, removed at the end
+	Log             io.Writer     // for the output of the processes; nil discards it
 }
 
-// Check tells what of the settings can't be kept, in one line that names the flag.
+// Validate returns an error in one line that names the flag of the first setting that this machine or the fleet can't satisfy.
 func (s *Settings) Validate() error {
 	switch {
 	case s.Processes < minProcesses:
@@ -76,7 +73,7 @@
 	return nil
 }
 
-// memoryMB is the machine's memory.
+// totalMemoryMegabytes returns the machine's memory in megabytes of 2^20 bytes.
 func totalMemoryMegabytes() (int, error) {
 	file, err := os.Open("/proc/meminfo")
 	if err != nil {
@@ -93,7 +90,7 @@
 	return 0, Error.New("/proc/meminfo tells no MemTotal")
 }
 
-// controls is the number of control processes, edges that of machines with an agent and a proxy.
+// controlMachineCount is the number of machines with a replica of the configuration.
 func (s *Settings) controlMachineCount() int {
 	if s.Processes >= largeFleetProcesses {
 		return 5
@@ -101,9 +98,10 @@
 	return 3
 }
 
+// edgeMachineCount is the number of machines that have an agent and a proxy, and no replica.
 func (s *Settings) edgeMachineCount() int { return (s.Processes - s.controlProcessCount()) / 2 }
 
-// controlProcesses is the number of processes on machines that hold a part of the configuration.
+// controlProcessCount is the number of processes on control machines.
 func (s *Settings) controlProcessCount() int {
 	if s.ControlInAgents {
 		return 2 * s.controlMachineCount()
@@ -111,9 +109,10 @@
 	return s.controlMachineCount()
 }
 
-// tolerate is how many control machines may be lost at once.
+// tolerableLosses is how many control machines may be unavailable at once without losing the quorum.
 func (s *Settings) tolerableLosses() int { return (s.controlMachineCount() - 1) / 2 }
 
+// yamlList formats items as the lines of a YAML list.
 func yamlList(items []string) string {
 	var out strings.Builder
 	for _, item := range items {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -4,22 +4,25 @@
 	"context"
 	"io"
 	"math/rand/v2"
+	"net/http"
 	"os"
 	"sync"
 	"syscall"
 	"time"
 )
 
+// Times of a run.
 const (
 	startTimeout   = 20 * time.Second
 	sampleInterval = time.Second
-	// afterFor is how long clients go on once RecoveryS is over.
+	// afterRecoveryDuration is how long clients continue when the time to recover from the last fault is over.
 	afterRecoveryDuration = 4 * time.Second
-	// longPart is the part of the run for which a process must have lived for its growth to be judged.
+	// longLivedFraction is the fraction of the run for which a process must have been running for its growth to be checked.
 	longLivedFraction = 0.6
 )
 
-// Run plays a fleet and returns what came of it. Broken rules are in the report; an error says that it could not be played.
+// Run runs a fleet under faults and returns the report, which holds the violations. An error means that the fleet could not be run to the end: a
+// setting is invalid, a process did not start, or ctx has ended. All processes that it started have exited when it returns.
 func Run(ctx context.Context, s Settings) (*Result, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -33,7 +36,7 @@
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
-		defer func() { _ = os.RemoveAll(temporary) }() // temporary
+		defer func() { _ = os.RemoveAll(temporary) }() // a leftover below the system's temporary folder harms no other run
 		dir = temporary
 	}
 	checker := NewChecker()
@@ -42,13 +45,14 @@
 		return nil, err
 	}
 	defer endpoints.close()
-	processes := newFleet(&s, checker, dir, endpoints.address)
-	defer processes.killAll()
-	r := &run{settings: s, fleet: processes, checker: checker, endpoints: endpoints, operator: newOperator(processes, checker, s.Seed), faults: newFaultInjector(processes, checker, s.Seed)}
+	fleet := newFleet(&s, checker, dir, endpoints.address)
+	defer fleet.killAll()
+	r := &run{settings: s, fleet: fleet, checker: checker, endpoints: endpoints,
+		operator: newOperator(fleet, checker, s.Seed), faults: newFaultInjector(fleet, checker, s.Seed)}
 	return r.execute(ctx)
 }
 
-// run is one run of a soak.
+// run is one run: the fleet with everything that acts on it.
 type run struct {
 	settings        Settings
 	fleet           *fleet
@@ -57,9 +61,10 @@
 	operator        *operator
 	faults          *faultInjector
 	clients         *clients
-	replacedServers int // servers
+	replacedServers int // set by execute
 }
 
+// execute starts the fleet, runs clients, operator and faults for their times, and returns the report.
 func (r *run) execute(ctx context.Context) (*Result, error) {
 	startedAt := time.Now()
 	if err := r.fleet.start(rand.New(rand.NewPCG(r.settings.Seed, 4))); err != nil {
@@ -68,22 +73,22 @@
 	if err := r.awaitReady(ctx); err != nil {
 		return nil, err
 	}
-	traffic, stopTraffic := context.WithCancel(ctx)
+	trafficCtx, stopTraffic := context.WithCancel(ctx)
 	defer stopTraffic()
 	var background sync.WaitGroup
 	r.clients = &clients{fleet: r.fleet, checker: r.checker, newestRoute: &r.operator.addedRoutes}
 	for i := range clientsPerEdge * len(r.fleet.frontMachines()) {
-		background.Go(func() { r.clients.run(traffic, r.settings.Seed*1000+uint64(i)) })
+		background.Go(func() { r.clients.run(trafficCtx, r.settings.Seed*1000+uint64(i)) })
 	}
-	background.Go(func() { r.operator.run(traffic) })
-	background.Go(func() { r.sampleProcesses(traffic) })
+	background.Go(func() { r.operator.run(trafficCtx) })
+	background.Go(func() { r.sampleProcesses(trafficCtx) })
 
-	faulty, stopFaults := context.WithTimeout(ctx, r.settings.FaultDuration)
+	faultCtx, stopFaults := context.WithTimeout(ctx, r.settings.FaultDuration)
 	defer stopFaults()
 	background.Go(func() {
-		r.replacedServers = r.endpoints.replaceServers(faulty, rand.New(rand.NewPCG(r.settings.Seed, 5)))
+		r.replacedServers = r.endpoints.replaceServers(faultCtx, rand.New(rand.NewPCG(r.settings.Seed, 5)))
 	})
-	r.faults.run(faulty)
+	r.faults.run(faultCtx)
 	recoveredFrom := time.Now().Add(durationOfSeconds(recoverySeconds))
 	r.checker.ExpectServiceFrom(recoveredFrom)
 	sleep(ctx, time.Until(recoveredFrom)+afterRecoveryDuration)
@@ -96,15 +101,15 @@
 	return r.result(time.Since(startedAt)), nil
 }
 
-// begin waits until the first configuration is taken and all proxies are ready.
+// awaitReady sends the first configuration and waits until it is confirmed and all proxies are ready.
 func (r *run) awaitReady(ctx context.Context) error {
 	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	r.operator.applyChange(startCtx)
-	for _, machine := range r.fleet.frontMachines() {
-		for !r.isReady(machine) {
+	for _, m := range r.fleet.frontMachines() {
+		for !r.isReady(m) {
 			if startCtx.Err() != nil {
-				return Error.New("%s is not ready after %v", machine.name, startTimeout)
+				return Error.New("%s is not ready after %v", m.name, startTimeout)
 			}
 			sleep(startCtx, retryInterval)
 		}
@@ -112,20 +117,21 @@
 	return nil
 }
 
-func (r *run) isReady(machine *machine) bool {
-	response, err := r.operator.httpClient.Get("http://" + r.fleet.readyAddress(machine) + "/ready")
+// isReady reports whether a machine's proxy answers its readiness check.
+func (r *run) isReady(m *machine) bool {
+	response, err := r.operator.httpClient.Get("http://" + r.fleet.readyAddress(m) + "/ready")
 	if err != nil {
 		return false
 	}
 	_ = response.Body.Close()
-	return response.StatusCode == 200
+	return response.StatusCode == http.StatusOK
 }
 
-// sample looks at what all processes take, now and then.
+// sampleProcesses samples the resources of all processes until ctx ends.
 func (r *run) sampleProcesses(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, machine := range r.fleet.machines() {
-			for _, p := range machine.processes {
+		for _, m := range r.fleet.machines() {
+			for _, p := range m.processes {
 				p.sampleResources()
 			}
 		}
@@ -133,27 +139,32 @@
 	}
 }
 
-// finish judges what can be judged in the end alone, and ends all processes in order.
+// finish makes the checks that are possible at the end alone, and shuts all processes down.
 func (r *run) finish(ctx context.Context, duration time.Duration) {
 	r.operator.checkReadBack(ctx)
-	for _, machine := range r.fleet.machines() {
-		for _, p := range machine.processes {
+	for _, m := range r.fleet.machines() {
+		for _, p := range m.processes {
 			p.checkGrowth(time.Duration(longLivedFraction * float64(duration)))
 		}
 	}
-	r.faults.forEachMachine(func(machine *machine) {
-		machine.signal(syscall.SIGTERM)
-		machine.forEachProcess((*process).awaitShutdown)
+	r.faults.forEachMachine(func(m *machine) {
+		m.signal(syscall.SIGTERM)
+		m.forEachProcess((*process).awaitShutdown)
 	})
 	r.checker.Finish()
 }
 
+// result builds the report.
 func (r *run) result(duration time.Duration) *Result {
 	r.checker.mu.Lock()
 	outcomes, hungUpEarly, resumedFeeds := r.checker.outcomes, r.checker.hungUpEarly, r.checker.resumedFeeds
 	r.checker.mu.Unlock()
-	return &Result{Seed: r.settings.Seed, Processes: r.settings.controlProcessCount() + 2*r.settings.edgeMachineCount(), Seconds: duration.Seconds(),
-		Requests: r.clients.requestCount.Load(), Outcomes: outcomes, LastVersion: r.operator.confirmedVersion, AddedRoutes: r.operator.addedRoutes.Load(), ScenarioCounts: r.faults.scenarioCounts,
-		KillAllCount: r.faults.killAllCount.Load(), ReplacedServers: r.replacedServers, ResumedFeeds: resumedFeeds, HungUpEarly: hungUpEarly, SlowestChangeSeconds: r.operator.slowestChange.Seconds(), SlowestVoteSeconds: r.faults.slowestVote.Seconds(),
-		Violations: r.checker.Violations()}
+	return &Result{
+		Seed: r.settings.Seed, Processes: r.settings.controlProcessCount() + 2*r.settings.edgeMachineCount(), Seconds: duration.Seconds(),
+		Requests: r.clients.requestCount.Load(), Outcomes: outcomes,
+		LastVersion: r.operator.confirmedVersion, AddedRoutes: r.operator.addedRoutes.Load(), SlowestChangeSeconds: r.operator.slowestChange.Seconds(),
+		ScenarioCounts: r.faults.scenarioCounts, KillAllCount: r.faults.killAllCount.Load(), SlowestVoteSeconds: r.faults.slowestVote.Seconds(),
+		ReplacedServers: r.replacedServers, ResumedFeeds: resumedFeeds, HungUpEarly: hungUpEarly,
+		Violations: r.checker.Violations(),
+	}
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -24,7 +24,7 @@
 }
 
 // sound is an outcome that breaks nothing.
-func sound() Outcome {
+func validOutcome() Outcome {
 	now := time.Now()
 	return Outcome{ID: "id", Kind: NonIdempotent, Edge: "edge-0", Incarnation: 1, SentAt: now, EndedAt: now.Add(time.Millisecond), Status: 200, Body: expectedAnswer(NonIdempotent, "id"), HasStamp: true}
 }
@@ -34,7 +34,7 @@
 		c := NewChecker()
 		c.RequestSent("id", NonIdempotent)
 		c.RequestExecuted("id")
-		c.RequestEnded(sound())
+		c.RequestEnded(validOutcome())
 		c.Finish()
 		Expect(c.Violations()).To(BeEmpty(), "nothing is wrong yet")
 		happens(c)
@@ -43,40 +43,44 @@
 		Expect(c.Violations()).To(HaveLen(1))
 	},
 		Entry(nil, AtMostOnce, func(c *Checker) { c.RequestExecuted("id") }),
-		Entry(nil, AnswerIsOwn, func(c *Checker) { o := sound(); o.Body = expectedAnswer(NonIdempotent, "other"); c.RequestEnded(o) }),
-		Entry(nil, AnswerIsOwn, func(c *Checker) { o := sound(); o.HasStamp = false; c.RequestEnded(o) }),
-		Entry(nil, RefusedNotExecuted, func(c *Checker) { o := sound(); o.Status = 503; c.RequestEnded(o) }),
+		Entry(nil, AnswerIsOwn, func(c *Checker) {
+			o := validOutcome()
+			o.Body = expectedAnswer(NonIdempotent, "other")
+			c.RequestEnded(o)
+		}),
+		Entry(nil, AnswerIsOwn, func(c *Checker) { o := validOutcome(); o.HasStamp = false; c.RequestEnded(o) }),
+		Entry(nil, RefusedNotExecuted, func(c *Checker) { o := validOutcome(); o.Status = 503; c.RequestEnded(o) }),
 		Entry(nil, RefusedNotExecuted, func(c *Checker) {
 			c.RequestSent("later", NonIdempotent)
-			o := sound()
+			o := validOutcome()
 			o.ID, o.Status = "later", 503
 			c.RequestEnded(o)
 			c.RequestExecuted("later")
 		}),
 		Entry(nil, AnswerIsOwn, func(c *Checker) {
-			o := sound()
+			o := validOutcome()
 			o.Kind, o.Status, o.ConnectionClosed, o.Body = ResumableFeed, 0, true, feedEvent("id", 2)
 			c.RequestEnded(o)
 		}),
 		Entry(nil, BodyIntact, func(c *Checker) { c.RequestBodyReceived("id", "body of i") }),
-		Entry(nil, AlwaysAnswered, func(c *Checker) { o := sound(); o.Status, o.ConnectionClosed = 0, true; c.RequestEnded(o) }),
-		Entry(nil, AlwaysAnswered, func(c *Checker) { o := sound(); o.Status, o.TimedOut = 0, true; c.RequestEnded(o) }),
+		Entry(nil, AlwaysAnswered, func(c *Checker) { o := validOutcome(); o.Status, o.ConnectionClosed = 0, true; c.RequestEnded(o) }),
+		Entry(nil, AlwaysAnswered, func(c *Checker) { o := validOutcome(); o.Status, o.TimedOut = 0, true; c.RequestEnded(o) }),
 		Entry(nil, ConfigurationMonotonic, func(c *Checker) {
-			o := sound()
+			o := validOutcome()
 			o.Route = 7
 			c.RequestEnded(o)
 			o.Route, o.Status = 6, 404
 			c.RequestEnded(o)
 		}),
 		Entry(nil, ConfigurationInForce, func(c *Checker) {
-			o := sound()
+			o := validOutcome()
 			c.ConfigurationAcknowledged(3, o.SentAt.Add(-time.Minute))
 			o.Route, o.Status = 3, 404
 			c.RequestEnded(o)
 		}),
 		Entry(nil, AddedRoutesServed, func(c *Checker) {
 			for range minRequestsForRatio {
-				o := sound()
+				o := validOutcome()
 				c.RequestEnded(o)
 				o.Route, o.Status = 1, 502
 				c.RequestEnded(o)
@@ -84,14 +88,14 @@
 		}),
 		Entry(nil, KindsServed, func(c *Checker) {
 			for range minRequestsForRatio {
-				o := sound()
+				o := validOutcome()
 				c.RequestEnded(o)
 				o.Kind, o.Status = Prompt, 503
 				c.RequestEnded(o)
 			}
 		}),
 		Entry(nil, ServiceRecovered, func(c *Checker) {
-			o := sound()
+			o := validOutcome()
 			c.ExpectServiceFrom(o.SentAt.Add(-time.Second))
 			o.Status = 502
 			c.RequestEnded(o)
@@ -100,14 +104,14 @@
 
 	It("excuses what a machine's trouble explains, and nothing else", func() {
 		c := NewChecker()
-		o := sound()
+		o := validOutcome()
 		o.Status, o.ConnectionClosed, o.Disturbed = 0, true, true
 		c.RequestEnded(o)
-		o = sound()
+		o = validOutcome()
 		o.Status, o.DialFailed = 0, true
 		c.RequestEnded(o)
 		c.ConfigurationAcknowledged(3, time.Now())
-		o = sound()
+		o = validOutcome()
 		o.Route, o.Status = 3, 404
 		c.RequestEnded(o)
 		Expect(c.Violations()).To(BeEmpty())
--- a/internal/lab/soak/time.go
+++ b/internal/lab/soak/time.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// sleep returns after wait, or when ctx ends.
 func sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -14,4 +15,5 @@
 	}
 }
 
+// durationOfSeconds converts seconds, as settings give them, to a duration.
 func durationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
