--- a/internal/environment/configuration.go
+++ b/internal/environment/configuration.go
@@ -7,11 +7,11 @@
 	"hazelwheel/internal/checker"
 )
 
-// mostKnownAgeS is how old the list in a new process's configuration may be.
+// maxKnownAgeSeconds is how old the list in a new process's configuration may be.
 const maxKnownAgeSeconds = 20.0
 
-// StartConfiguration returns the configuration that a sidecar's new process begins with. The list in it may be old. The
-// witness is told of the start and of the list.
+// StartConfiguration returns the configuration that a sidecar's new process starts with. The list in it may be old. It
+// reports the start and the list to the observer.
 func (e *Environment) StartConfiguration(sidecar int, now float64) []byte {
 	age := randomStream(e.Day.Seed, "known", sidecar).Float64() * maxKnownAgeSeconds
 	index, list := e.Discovery.asOf(max(now-age, e.Day.Start))
@@ -20,7 +20,7 @@
 	return e.configuration(sidecar, e.Discovery.formatList(index, list, 0, true))
 }
 
-// ReloadConfiguration returns what a sidecar's configuration says now to a process that is told to read it again.
+// ReloadConfiguration returns the configuration that a sidecar's process reads on a reload.
 func (e *Environment) ReloadConfiguration(sidecar int) []byte {
 	index, list := e.Discovery.asOf(e.Day.Start)
 	return e.configuration(sidecar, e.Discovery.formatList(index, list, 0, true))
@@ -35,7 +35,7 @@
 		"limits": object{"cores": 1, "memory_mb": day.MemoryMB, "sockets": day.MaxDescriptors},
 		"known":  json.RawMessage(known), "settings": day.settings(sidecar)})
 	if err != nil {
-		panic(err) // all of it is ours, and can be marshalled
+		panic(err) // all values are this package's, and can be marshalled
 	}
 	return raw
 }
@@ -45,7 +45,7 @@
 	groupText  = map[checker.Group]string{checker.GroupAll: "all", checker.GroupZone: "zone", checker.GroupCell: "cell"}
 )
 
-// settings returns the settings object that a sidecar finds in its configuration.
+// settings returns the settings object of a sidecar's configuration.
 func (d *Day) settings(sidecar int) object {
 	var classes []object
 	for _, class := range d.Classes {
--- a/internal/environment/environment.go
+++ b/internal/environment/environment.go
@@ -8,20 +8,20 @@
 	"hazelwheel/internal/netio"
 )
 
-// World holds the actors of a day.
+// Environment holds the actors of a day.
 type Environment struct {
 	Day            *Day
-	Servers        []*Server         // by number
-	Discovery      *Discovery        // discovery
+	Servers        []*Server // by number
+	Discovery      *Discovery
 	Applications   []*Application    // by sidecar
-	Batches        []*Application    // likewise; none where the day has no batch
-	HostileClients []*HostileClients // likewise: the clients that may not be served
+	Batches        []*Application    // by sidecar; none where the day has no batch
+	HostileClients []*HostileClients // by sidecar
 
 	observer   checker.Observer
-	serverByIP map[string]*Server // by IP, whose process begins there next; looked up, never walked
+	serverByIP map[string]*Server // the server whose process starts next at an IP; looked up, never walked
 }
 
-// New returns the actors of a day. They tell a witness all that crosses the wire.
+// New returns the actors of a day. They report to the observer all that crosses the wire.
 func New(day *Day, observer checker.Observer) *Environment {
 	environment := &Environment{Day: day, observer: observer, serverByIP: map[string]*Server{}}
 	memories := make([]keyMemory, len(day.Sites))
@@ -43,18 +43,18 @@
 	return environment
 }
 
-// boxPort is where boxes listen.
+// serverPort is the port on which servers listen.
 const serverPort = ":3000"
 
-// otherIP is the address at which a box returns that returns elsewhere.
+// alternateIP returns the address at which a server restarts that moves.
 func alternateIP(b *ServerSpec) string {
 	a := netip.MustParseAddr(b.IP).As4()
 	a[1] += 2
 	return netip.AddrFrom4(a).String()
 }
 
-// Machines returns what a Ground runs beside the sidecars, in the order in which they begin: boxes, discovery's
-// addresses, and for each sidecar its application and the hostile clients.
+// Machines returns what Hosts run beside the sidecars, in the order in which they start: servers, discovery's addresses,
+// and for each sidecar its application and the hostile clients.
 func (e *Environment) Machines() []Machine {
 	var all []Machine
 	for _, b := range e.Servers {
@@ -79,7 +79,7 @@
 	return all
 }
 
-// leave tells a sidecar's clients that it has been told to end.
+// notifyDraining notifies a sidecar's clients that it was told to shut down.
 func (e *Environment) notifyDraining(sidecar int, now float64) {
 	e.Applications[sidecar].SidecarDraining(now)
 	if e.Batches != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// stay tells them that there is another.
+// notifyReplaced notifies a sidecar's clients that its next process starts.
 func (e *Environment) notifyReplaced(sidecar int) {
 	e.Applications[sidecar].SidecarReplaced()
 	if e.Batches != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-// machine returns the IP of the machine that a box's present life is on, or its last one was.
+// currentIP returns the IP of the server's present process, or of the last one.
 func (s *Server) currentIP() string {
 	ip, _, _ := strings.Cut(s.Address, ":")
 	return ip
--- a/internal/environment/keymemory.go
+++ b/internal/environment/keymemory.go
@@ -1,9 +1,9 @@
 package environment
 
-// keyMemory is what the boxes of a site remember of keys: a repeat within the window is dropped.
+// keyMemory holds the idempotency keys that the servers of a site have seen: a repeat within the window is dropped.
 type keyMemory struct {
-	seen  map[string]float64 // when a key's first execution began; looked up and swept as a whole
-	order []seenKey          // in their order
+	seen  map[string]float64 // start of a key's first execution; looked up, never walked
+	order []seenKey          // by time, for expiry
 }
 
 type seenKey struct {
@@ -11,7 +11,7 @@
 	at  float64
 }
 
-// repeat tells whether a key was seen in the window before now, and notes it if not.
+// isRepeat tells whether a key was seen in the window before now, and records it if not.
 func (m *keyMemory) isRepeat(key string, now, windowSeconds float64) bool {
 	for len(m.order) > 0 && m.order[0].at < now-windowSeconds {
 		delete(m.seen, m.order[0].key)
--- a/internal/environment/loadreport.go
+++ b/internal/environment/loadreport.go
@@ -5,12 +5,12 @@
 	"strconv"
 )
 
-// loadReports are what a box says of its load: made now and then, shown some time after, and a little wrong.
+// loadReports are a server's reports of its load: made at intervals, published after a lag, and with some noise.
 type loadReports struct {
 	intervalSeconds, lagSeconds, noise float64
-	nextAt                             float64 // when one is to be made, or shown
+	nextAt                             float64 // when the next one is made, or the pending one published
 	madeAt                             float64
-	pending                            []byte // waits to be shown; empty: none does
+	pending                            []byte // made and not published; empty: none
 	published                          []byte
 	executed, failed                   int // since the last was made
 }
@@ -20,7 +20,7 @@
 	r.published = []byte("util=0.00,eps=0.00,queue=0.00\n")
 }
 
-// note counts an execution that is done.
+// countExecution counts a completed execution.
 func (r *loadReports) countExecution(failed bool) {
 	r.executed++
 	if failed {
@@ -28,7 +28,7 @@
 	}
 }
 
-// refresh makes and shows what is due by now.
+// refresh makes and publishes the reports that are due.
 func (r *loadReports) refresh(e *Engine, rng *rand.Rand, now float64) {
 	if now < r.nextAt {
 		return
--- a/internal/environment/malformed.go
+++ b/internal/environment/malformed.go
@@ -6,7 +6,7 @@
 	"hazelwheel/internal/http1"
 )
 
-// The ways to spoil an answer.
+// The kinds of malformed answers.
 const (
 	malformedNoise = iota
 	malformedHead
@@ -19,8 +19,8 @@
 	malformedKinds
 )
 
-// spoil writes an answer that nobody can take for whole, though its request has run. The connection stays open, mostly,
-// and is of no further use.
+// writeMalformed writes an answer to an executed request that can't be parsed completely. The connection mostly stays
+// open, and is unusable.
 func (p *serverProcess) writeMalformed(conn *serverConn, body []byte) {
 	p.observeResponse(conn, 0, false, true, nil)
 	conn.job, conn.isUnusable = nil, true
@@ -65,7 +65,7 @@
 	}
 }
 
-// behind appends what does not belong to an answer: a copy of it, or noise.
+// appendTrailing appends bytes that don't belong to an answer: a copy of it, or noise.
 func (p *serverProcess) appendTrailing(out []byte) (more []byte, copied bool) {
 	if p.rng.IntN(2) == 0 {
 		return append(out, out...), true
--- a/internal/environment/random.go
+++ b/internal/environment/random.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 )
 
-// Range is what a figure is drawn from, evenly.
+// Range is the interval from which a figure is drawn, uniformly.
 type Range struct{ Min, Max float64 }
 
 func (r Range) draw(rng *rand.Rand) float64 { return r.Min + (r.Max-r.Min)*rng.Float64() }
@@ -16,15 +16,17 @@
 	return int(r.Min) + rng.IntN(int(r.Max)-int(r.Min)+1)
 }
 
-// stream returns a source of chance that a seed and a purpose have to themselves. Danger: were one source shared, an
-// actor that draws once more would change the chance of all others, and a shortened script would tell another story.
+// randomStream returns a source of random numbers for one purpose of a seed.
+//
+// Danger: with a shared source, an actor that draws once more would change the draws of all others, and a shortened script
+// would reproduce another day.
 func randomStream(seed uint64, purpose string, number int) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose)) // never fails
 	return rand.New(rand.NewPCG(seed, h.Sum64()+uint64(number)*0x9e3779b97f4a7c15))
 }
 
-// spread draws a factor with mean 1 whose logarithm is normal; cv is its coefficient of variation.
+// logNormalFactor draws a log-normal factor with mean 1; cv is its coefficient of variation.
 func logNormalFactor(rng *rand.Rand, cv float64) float64 {
 	if cv <= 0 {
 		return 1
@@ -33,7 +35,7 @@
 	return math.Exp(sigma*rng.NormFloat64() - sigma*sigma/2)
 }
 
-// between draws a figure and rounds it to milliseconds, so that a script can be read and edited.
+// uniform draws a figure and rounds it to thousandths, so that a script can be read and edited.
 func uniform(rng *rand.Rand, minimum, maximum float64) float64 {
 	return math.Round((minimum+(maximum-minimum)*rng.Float64())*1e3) / 1e3
 }
--- a/internal/environment/schedule.go
+++ b/internal/environment/schedule.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// agenda holds what is due, by time and then in the order in which it was put in. What is no longer wanted stays until
-// its time; who takes it out checks.
+// schedule is a heap of values by their time, and by the order in which they were added. There is no removal: a value that
+// is obsolete stays until its time, and the caller of pop checks it.
 type schedule[T any] struct {
 	heap []scheduled[T]
 	seq  uint64
@@ -33,7 +33,7 @@
 	}
 }
 
-// next returns when something is due, +Inf where nothing is.
+// nextAt returns the time of the first value; +Inf: there is none.
 func (a *schedule[T]) nextAt() float64 {
 	if len(a.heap) == 0 {
 		return math.Inf(1)
@@ -41,7 +41,7 @@
 	return a.heap[0].at
 }
 
-// take returns the first that is due by now.
+// pop removes and returns the first value whose time has come, with that time.
 func (a *schedule[T]) pop(now float64) (what T, at float64, ok bool) {
 	h := a.heap
 	if len(h) == 0 || h[0].at > now {
--- a/internal/environment/server.go
+++ b/internal/environment/server.go
@@ -8,40 +8,41 @@
 	"hazelwheel/internal/netio"
 )
 
-// Box is a server over all lives of its process. Troubles are done to it directly; Ground ends and begins lives.
+// Server is a backend server over all incarnations of its process. Faults of its own are injected by its methods; Hosts
+// stop and start its processes.
 type Server struct {
 	Spec    ServerSpec
-	Address string // where the present life listens, or the last one did
+	Address string // where the present process listens, or the last one did
 
 	day            *Day
 	observer       checker.Observer
 	sidecars       sidecarAddresses
 	classes        map[string]int // looked up, never walked
-	keyMemory      *keyMemory     // of its site
+	keyMemory      *keyMemory     // shared by the servers of its site
 	discovery      *Discovery
 	rng            *rand.Rand
-	requestSource  rand.PCG   // seeded by a request: what it costs is the same at every box
-	requestCost    *rand.Rand // on same
-	lastConnNumber uint64     // connections so far
+	requestSource  rand.PCG   // seeded by a request: its cost is the same at every server
+	requestCost    *rand.Rand // draws from requestSource
+	lastConnNumber uint64     // number of connections so far
 	answers        int
 	process        *serverProcess // the present one; nil: none
 	incarnations   int
 
-	// Manners are how the box speaks; they outlast a life.
+	// Misbehavior is what the server answers wrongly; it outlasts a process.
 	Misbehavior Misbehavior
 }
 
-// Manners are the shares of its answers in which a box says what it should not, from 0 to 1.
+// Misbehavior holds the shares of its answers, from 0 to 1, in which a server violates the protocol.
 type Misbehavior struct {
-	Malformed        float64 // nobody can read the answer to its end
-	TrailingBytes    float64 // bytes come behind it
-	InterimResponses float64 // 1xx answers come in front
-	// EarlyClose is the share of the times that a connection is at rest in which the box closes it soon, and of those that end with
-	// a request in which it closes it on that.
+	Malformed        float64 // the answer can't be parsed completely
+	TrailingBytes    float64 // bytes follow the answer
+	InterimResponses float64 // 1xx responses precede the answer
+	// EarlyClose is the share of the idle periods of a connection in which the server closes it early, and of those that
+	// end with a request in which it closes it on that request.
 	EarlyClose float64
 }
 
-// NewBox returns a box of a day that has never run.
+// NewServer returns a server of a day that has not started yet.
 func NewServer(day *Day, number int, discovery *Discovery, keys *keyMemory, observer checker.Observer) *Server {
 	server := &Server{Spec: day.Servers[number], day: day, observer: observer, sidecars: newSidecarAddresses(day), classes: map[string]int{}, keyMemory: keys,
 		discovery: discovery}
@@ -53,7 +54,7 @@
 	return server
 }
 
-// Boot begins a life at an address. The first life of a box that stands at the day's start has been warm for long.
+// Boot returns the server's next process, at an address. The first process of a server that runs at the day's start is warm.
 func (s *Server) Boot(address string, net netio.EventLoop) netio.Handler {
 	s.Address = address
 	s.incarnations++
@@ -62,7 +63,7 @@
 	return process
 }
 
-// Ended tells a box that its process has been ended, or its machine has vanished.
+// Stopped notifies the server that its process was stopped, or that its machine has become unreachable.
 func (s *Server) Stopped(now float64) {
 	if s.process != nil {
 		s.process.isStopped = true
@@ -71,7 +72,7 @@
 	}
 }
 
-// Hang has the box stand still with all that it holds, or go on.
+// SetHung has the server make no progress with its requests, or go on.
 func (s *Server) SetHung(enabled bool) {
 	if process := s.process; process != nil {
 		process.net.Post(func() {
@@ -82,12 +83,12 @@
 	}
 }
 
-// Drain has the box turn away all that is new.
+// Drain has the server reject all new requests.
 func (s *Server) Drain() {
 	if s.process != nil {
 		s.process.isDraining = true
 	}
 }
 
-// Alive tells whether the box has a process now.
+// IsAlive tells whether the server has a process now.
 func (s *Server) IsAlive() bool { return s.process != nil }
--- a/internal/environment/serverconn.go
+++ b/internal/environment/serverconn.go
@@ -6,28 +6,28 @@
 	"hazelwheel/internal/netio"
 )
 
-// earlyClose is a connection that is to be closed if it is still at rest as it was.
+// earlyClose is a connection to be closed if it has stayed idle since idleAt.
 type earlyClose struct {
 	conn   *serverConn
 	idleAt float64
 }
 
-// boxLink is a connection from a sidecar.
+// serverConn is a connection from a sidecar.
 type serverConn struct {
 	conn        netio.Conn
 	number      uint64
 	sidecar     int32
 	buf         http1.Buffer
 	parser      http1.RequestParser
-	request     receivedRequest // the request that was read last
-	firstByteAt float64         // when the first byte of what is being read was sent; 0: there is none
-	job         *serverJob      // that is out
+	request     receivedRequest // the last one that was read
+	firstByteAt float64         // when the first byte of the request being read was sent; 0: there is none
+	job         *serverJob      // in flight; nil: none
 	isUsed      bool
-	isUnusable  bool // of no further use: a spoilt answer has gone out on it
-	isOverLimit bool // more connections than the box takes
+	isUnusable  bool // a malformed answer was written on it
+	isOverLimit bool // opened beyond the connections that the server takes
 	isIdle      bool
 	idleAt      float64
-	prev, next  *serverConn // among the idle ones
+	prev, next  *serverConn // in the list of idle connections
 }
 
 func (p *serverProcess) Open(c netio.Conn) bool {
@@ -62,7 +62,7 @@
 		conn.job = nil
 	}
 	if p.isStopped {
-		return // the machine is gone: nobody sees this
+		return // the machine is gone: nothing can be observed there
 	}
 	e := p.event(checker.ConnectionClosed, conn)
 	if e.ByServer = err == nil; !e.ByServer {
@@ -71,7 +71,7 @@
 	p.observer.Observe(e)
 }
 
-// rest notes that a link has nothing to do, unrest that it does.
+// markIdle appends a connection to the list of idle ones, and draws whether it is closed early.
 func (p *serverProcess) markIdle(conn *serverConn) {
 	conn.isIdle, conn.idleAt = true, p.net.Now()
 	conn.prev, conn.next = p.lastIdle, nil
@@ -86,9 +86,10 @@
 	}
 }
 
-// mostEarlyS is how long a box that closes connections early lets them rest at most.
+// maxEarlyCloseSeconds is the longest idle time of a connection that is closed early.
 const maxEarlyCloseSeconds = 1.0
 
+// markBusy removes a connection from the list of idle ones.
 func (p *serverProcess) markBusy(conn *serverConn) {
 	if !conn.isIdle {
 		return
@@ -113,7 +114,7 @@
 		return
 	}
 	if m := &p.Misbehavior; m.EarlyClose > 0 && conn.isIdle && conn.isUsed && p.rng.Float64() < m.EarlyClose {
-		p.net.Close(c) // as the request comes: it is not read
+		p.net.Close(c) // the request is lost unread
 		p.updateAlarm()
 		return
 	}
@@ -125,12 +126,12 @@
 	p.updateAlarm()
 }
 
-// read takes up the next request of a link that has come whole.
+// readRequests handles the complete requests of a connection, one after the other.
 func (p *serverProcess) readRequests(conn *serverConn) {
 	for conn.conn != nil && conn.job == nil && conn.buf.Len() > 0 && !conn.isUnusable {
 		isComplete, err := conn.nextRequest()
 		if err != nil {
-			p.net.Close(conn.conn) // what it cannot read is nothing to answer
+			p.net.Close(conn.conn) // an unreadable request gets no answer
 			return
 		}
 		if !isComplete {
--- a/internal/environment/serverprocess.go
+++ b/internal/environment/serverprocess.go
@@ -7,7 +7,7 @@
 	"hazelwheel/internal/netio"
 )
 
-// life is one life of a box's process: its front and its engine.
+// serverProcess is one process of a server: its connections and its engine. It implements netio.Handler.
 type serverProcess struct {
 	*Server
 	net               netio.EventLoop
@@ -16,11 +16,11 @@
 	isDraining        bool
 	isStopped         bool
 	openConns         int
-	firstIdle         *serverConn // of the idle ones, the one that has been idle for longest
+	firstIdle         *serverConn // the connection that has been idle for longest; the list goes on by next
 	lastIdle          *serverConn
 	earlyCloses       schedule[earlyClose]
 	loadReports       loadReports
-	healthChecks      int // since probesAt
+	healthChecks      int // since healthChecksSince
 	healthChecksSince float64
 	buffer            []byte
 	alarmAt           float64
@@ -69,7 +69,7 @@
 	p.updateAlarm()
 }
 
-// arm asks for the next alarm.
+// updateAlarm sets the alarm for what is due next.
 func (p *serverProcess) updateAlarm() {
 	at := min(p.engine.NextAt(), p.loadReports.nextAt, p.earlyCloses.nextAt())
 	if p.firstIdle != nil {
--- a/internal/environment/serverrequest.go
+++ b/internal/environment/serverrequest.go
@@ -5,17 +5,17 @@
 	"hazelwheel/internal/http1"
 )
 
-// boxJob is a request or a probe with what its answer needs.
+// serverJob is a request or a health check with what its answer needs.
 type serverJob struct {
 	Job
-	conn       *serverConn // nil: nobody waits any more
+	conn       *serverConn // nil: it was closed
 	request    uint64
 	class      int
 	isLiveness bool
 	fails      bool // its answer will be 500
 }
 
-// request answers what has come, or gives it to the engine.
+// handleRequest answers a request, or enqueues it at the engine.
 func (p *serverProcess) handleRequest(conn *serverConn) {
 	whole := conn.request.path
 	class, ok := p.classes[conn.request.class]
@@ -53,7 +53,7 @@
 		p.writeResponse(conn, 400, nil)
 		return
 	}
-	// Danger: who sends a request can't know that it is a heavy one; nobody is to be blamed for the weight of it.
+	// Danger: a sender can't know that a request is a heavy one; only a limited weight counts against it.
 	p.countWork(e.Work)
 	if p.isDraining || conn.isOverLimit || !p.engine.Enqueue(now, &job.Job) {
 		conn.job = job
@@ -64,17 +64,17 @@
 	conn.job = job
 }
 
-// mostCounted is how many mean requests of its class one request counts for against a cold box.
+// maxCountedRequests is how many mean requests of its class one request counts for at most against a cold server.
 const maxCountedRequests = 2
 
-// bear counts work against a cold box.
+// countWork counts work against a cold server and reports its overload.
 func (p *serverProcess) countWork(seconds float64) {
 	if now := p.net.Now(); p.engine.CountWork(now, seconds) {
 		p.observer.Observe(checker.Event{Kind: checker.ServerOverloaded, At: now, Sidecar: -1, Server: int32(p.Spec.Number)})
 	}
 }
 
-// turnAway answers that a request has not begun and never will.
+// reject answers that a request has not started and never will.
 func (p *serverProcess) reject(conn *serverConn) {
 	p.observeResponse(conn, 503, true, false, nil)
 	conn.job = nil
@@ -89,7 +89,7 @@
 	}
 }
 
-// probe answers a probe, or has it wait in turn as a request does.
+// handleHealthCheck rejects a health check, or enqueues it as a request.
 func (p *serverProcess) handleHealthCheck(conn *serverConn, health bool) {
 	now := p.net.Now()
 	job := &serverJob{conn: conn, isLiveness: health, class: -1}
@@ -109,10 +109,10 @@
 	conn.job = job
 }
 
-// probeWaitS is how long a probe may wait in line.
+// healthCheckQueueSeconds is how long a health check may be queued.
 const healthCheckQueueSeconds = 0.4
 
-// work has the engine do what is due, and answers what is done.
+// advance has the engine work up to now, and answers what is done.
 func (p *serverProcess) advance() {
 	now := p.net.Now()
 	for _, done := range p.engine.Advance(now) {
--- a/internal/environment/serverresponse.go
+++ b/internal/environment/serverresponse.go
@@ -7,7 +7,7 @@
 	"hazelwheel/internal/http1"
 )
 
-// answer writes the answer of a request that has run.
+// respond writes the answer of an executed request.
 func (p *serverProcess) respond(conn *serverConn, job *serverJob) {
 	p.answers++
 	body := append(make([]byte, 0, 160), `{"box":"`...)
@@ -36,8 +36,8 @@
 		whole := len(out)
 		var copied bool
 		if out, copied = p.appendTrailing(out); !copied && p.rng.IntN(2) == 0 {
-			// What comes a moment later meets a connection that seems to be at rest. A copy comes at once: one that meets
-			// the next request can't be told from its answer, by nobody who uses a connection twice.
+			// Noise that arrives a moment later meets an idle connection. A copy is written at once: one that met the next
+			// request could not be told from its answer by any client that reuses connections.
 			p.write(conn, out[:whole])
 			out = out[whole:]
 		}
@@ -47,20 +47,19 @@
 	}
 }
 
-// loadField returns the load report of an answer, where answers have one; a box that misbehaves may say what nobody can
-// read.
+// loadField returns the load report of an answer, where answers carry one; of a misbehaving server it may be unreadable.
 func (p *serverProcess) loadField(misbehaves bool) http1.Header {
 	if !p.day.ReportsInline {
 		return nil
 	}
-	text := string(p.loadReports.published[:len(p.loadReports.published)-1]) // without its line's end
+	text := string(p.loadReports.published[:len(p.loadReports.published)-1]) // without the newline
 	if misbehaves && p.rng.IntN(2) == 0 {
 		text = "util=many,,queue;=\t-1e999"
 	}
 	return http1.Header{{Name: fieldLoad, Value: text}}
 }
 
-// say writes an answer that no execution stands behind.
+// writeResponse writes an answer without an execution.
 func (p *serverProcess) writeResponse(conn *serverConn, status int, body []byte) {
 	p.write(conn, conn.appendResponse(p.buffer[:0], status, nil, body))
 }
--- a/internal/environment/wire.go
+++ b/internal/environment/wire.go
@@ -23,15 +23,15 @@
 
 var messageLimits = http1.Limits{HeadBytes: 16 << 10, BufferedBodyBytes: 64 << 10}
 
-// remembering is a connection of a network that knows more than what has come: when the other end did it. On others
-// the time at which something came stands for it.
+// sendTimer is a connection of a network that knows when the peer sent what has arrived. On other networks the time of
+// arrival stands for it.
 type sendTimer interface {
-	// PeerWrote returns when the peer wrote last, in Unix time; PeerEnded, when it ended the connection. 0: not yet.
+	// PeerWrote returns when the peer wrote last, in Unix time; PeerEnded, when it closed the connection. 0: not yet.
 	PeerWrote() float64
 	PeerEnded() float64
 }
 
-// sentAt returns when what has come now was sent.
+// sentAt returns when what arrives now was sent.
 func sentAt(c netio.Conn, now float64) float64 {
 	if r, ok := c.(sendTimer); ok {
 		if at := r.PeerWrote(); at > 0 {
@@ -41,7 +41,7 @@
 	return now
 }
 
-// endedAt returns when the peer ended a connection whose end has come now.
+// endedAt returns when the peer closed a connection whose close arrives now.
 func endedAt(c netio.Conn, now float64) float64 {
 	if r, ok := c.(sendTimer); ok {
 		if at := r.PeerEnded(); at > 0 {
@@ -51,19 +51,19 @@
 	return now
 }
 
-// attentive is a connection of a network that knows what the other end's process has been given of it.
+// readNotifier is a connection of a network that knows what the peer's process has read from it.
 type readNotifier interface {
-	// PeerRead tells whether that was all, when the peer ended the connection or its own direction of it.
+	// PeerRead tells whether the peer had read everything when it closed the connection or its own direction of it.
 	PeerRead() bool
 }
 
-// readByPeer tells whether a connection's peer is known to have read all that was written before it ended the connection.
+// readByPeer tells whether the peer is known to have read all that was written before it closed the connection.
 func readByPeer(c netio.Conn) bool {
 	a, ok := c.(readNotifier)
 	return ok && a.PeerRead()
 }
 
-// neighbours finds sidecars by the address that they speak from.
+// sidecarAddresses finds sidecars by the address of their connections.
 type sidecarAddresses []netip.Addr
 
 func newSidecarAddresses(day *Day) sidecarAddresses {
@@ -74,7 +74,7 @@
 	return all
 }
 
-// number returns a sidecar's number, -1 for anybody else.
+// number returns the number of the sidecar at an address; -1: there is none.
 func (n sidecarAddresses) number(from net.Addr) int32 {
 	if tcp, ok := from.(*net.TCPAddr); ok {
 		ip := tcp.AddrPort().Addr().Unmap()
@@ -89,7 +89,7 @@
 
 const hexDigits = "0123456789abcdef"
 
-// appendID appends a request's id as it stands on the wire: sixteen hexadecimal digits.
+// appendID appends a request's id in its form on the wire: sixteen hexadecimal digits.
 func appendID(dst []byte, id uint64) []byte {
 	for shift := 60; shift >= 0; shift -= 4 {
 		dst = append(dst, hexDigits[id>>shift&15])
@@ -97,7 +97,7 @@
 	return dst
 }
 
-// parseID reads an id that a client of this world may have sent; 0: none has.
+// parseID parses an id in the form of appendID; 0: it isn't one.
 func parseID(text string) uint64 {
 	if len(text) != 16 {
 		return 0
@@ -113,7 +113,7 @@
 	return id
 }
 
-// path returns a target's first part, and the target less its query.
+// splitTarget returns the first segment of a request's target, and the target without its query.
 func splitTarget(target string) (first, whole string) {
 	whole, _, _ = strings.Cut(target, "?")
 	first, _, _ = strings.Cut(strings.TrimPrefix(whole, "/"), "/")
