--- a/internal/environment/discovery.go
+++ b/internal/environment/discovery.go
@@ -8,59 +8,59 @@
 	"hazelwheel/internal/checker"
 )
 
-// Registry is discovery: one service for all sidecars, at one of its addresses after another. It knows only what boxes'
-// processes do, and that late; it works through calls in turn.
+// Discovery is the discovery service of all sidecars, at one of its addresses after another. It learns of the servers'
+// processes alone, after a delay, and serves one call at a time.
 type Discovery struct {
-	DelaySeconds float64 // further delay of all that it learns from now on
+	DelaySeconds float64 // additional delay of all that it learns from now on
 
 	day                *Day
 	spec               *DiscoverySpec
 	observer           checker.Observer
 	sidecars           sidecarAddresses
 	rng                *rand.Rand
-	entries            []entry       // by box
-	changes            []change      // all that the list has taken, oldest first
-	known              []knownServer // by box
+	entries            []entry       // by server
+	changes            []change      // of the list, oldest first
+	known              []knownServer // by server
 	pending            schedule[change]
 	index              uint64
-	nextPublishAt      float64 // when what is due is taken up next
+	nextPublishAt      float64 // when due changes are applied next
 	isDown             bool
-	refusesConnections bool // while it is down calls are not even answered
-	address            int  // the address in use
+	refusesConnections bool // while it is down connections are refused, too
+	address            int  // index of the address in use
 	endpoints          []*discoveryEndpoint
 	lastConnNumber     uint64
 
-	queuedCalls    []*discoveryConn // that wait, oldest first
+	queuedCalls    []*discoveryConn // oldest first; the first one is being served if isServingCall
 	isServingCall  bool
-	callDoneAt     float64 // when the one in hand is done
-	hasQueue       bool    // calls wait behind it
-	fullListFaults int     // troubles by which a watch begins with the whole list
+	callDoneAt     float64 // when the call being served is done
+	hasQueue       bool    // calls wait behind the one being served
+	fullListFaults int     // faults by which a watch starts with the complete list
 }
 
-// entry is what the list says of a box; a status of 0: it was never on it.
+// entry is a server's entry of the list; a status of 0: it was never listed.
 type entry struct {
 	status       int32
 	address      string
 	servingSince float64
-	index        uint64 // of the change that made it so
+	index        uint64 // of its last change
 }
 
-// change is a box's new entry, from a time on.
+// change is a server's new entry, from a time on.
 type change struct {
 	server      int
-	incarnation int // of the box; one that ended a life that has been followed by another says nothing
+	incarnation int // of the server; a change of an earlier incarnation is dropped
 	entry       entry
 	at          float64
 }
 
-// learned is what the registry has been told of a box.
+// knownServer is what discovery has learned of a server.
 type knownServer struct {
 	incarnation int
-	dueAt       float64 // of the last change: a later one does not overtake it
-	entry       entry   // what it says then. Danger: the list may not have it yet, and what follows must not undo it
+	dueAt       float64 // of the last change; a later one is not applied before it
+	entry       entry   // after the last change. Danger: the list may not have it yet, and the next change must start from it
 }
 
-// NewRegistry returns a discovery service that lists the boxes that stand at the day's start.
+// NewDiscovery returns a discovery service that lists the servers which run at the day's start.
 func NewDiscovery(day *Day, observer checker.Observer) *Discovery {
 	discovery := &Discovery{day: day, spec: &day.Discovery, observer: observer, sidecars: newSidecarAddresses(day), rng: randomStream(day.Seed, "discovery", 0),
 		entries: make([]entry, len(day.Servers)), known: make([]knownServer, len(day.Servers)), index: 40, nextPublishAt: day.Start}
@@ -71,20 +71,20 @@
 	return discovery
 }
 
-// Up tells the registry of a box's new life.
+// ServerStarted notifies discovery of a server's new process.
 func (d *Discovery) ServerStarted(server int, address string, since, now float64) {
 	d.known[server].incarnation++
 	d.scheduleChange(server, entry{status: checker.Serving, address: address, servingSince: since}, now+d.spec.StartNoticeSeconds)
 }
 
-// Drained tells it that a box drains.
+// ServerDraining notifies discovery that a server drains.
 func (d *Discovery) ServerDraining(server int, now float64) {
 	e := d.known[server].entry
 	e.status = checker.Draining
 	d.scheduleChange(server, e, now+d.spec.StartNoticeSeconds/4)
 }
 
-// Lost tells it that a box's process has gone, or that its machine has gone silent.
+// ServerStopped notifies discovery that a server's process has ended or, if silent, that its machine is unreachable.
 func (d *Discovery) ServerStopped(server int, silent bool, now float64) {
 	e := d.known[server].entry
 	e.status = checker.Deleted
@@ -102,7 +102,7 @@
 	d.updateAlarms()
 }
 
-// take puts a change into the list.
+// apply applies a change to the list.
 func (d *Discovery) apply(c change) {
 	d.index++
 	c.entry.index = d.index
@@ -116,7 +116,7 @@
 		ServingSince: e.servingSince, Address: e.address, ListIndex: index})
 }
 
-// due returns when the registry has something to do.
+// nextAt returns when discovery has something to do; +Inf: nothing is due.
 func (d *Discovery) nextAt() float64 {
 	at := math.Inf(1)
 	if !d.isDown && len(d.pending.heap) > 0 {
@@ -128,7 +128,7 @@
 	return at
 }
 
-// work does what is due by now: it takes up what it has learned and serves calls.
+// advance does what is due by now: it applies changes and serves calls.
 func (d *Discovery) advance(now float64) {
 	if !d.isDown && now >= d.nextPublishAt && d.pending.nextAt() <= now {
 		before := d.index
@@ -161,7 +161,7 @@
 	d.observeQueue(now)
 }
 
-// next takes the next call in hand, and turns away those that have waited too long.
+// startNextCall starts to serve the next call, and rejects those that have waited too long.
 func (d *Discovery) startNextCall(now float64) {
 	for !d.isServingCall && len(d.queuedCalls) > 0 {
 		conn := d.queuedCalls[0]
@@ -178,7 +178,7 @@
 	}
 }
 
-// lookAtLine tells the witness whether calls wait behind the one in hand.
+// observeQueue reports to the observer whether calls wait behind the one being served, when that changes.
 func (d *Discovery) observeQueue(now float64) {
 	waiting := false
 	for i := 1; i < len(d.queuedCalls) && !waiting; i++ {
@@ -194,14 +194,15 @@
 	d.observer.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Server: -1})
 }
 
-// Hush has all watches that are open say nothing more. Those that begin from then on speak.
+// StallWatches has nothing more be written to the watches that are open. Later ones work.
 func (d *Discovery) StallWatches() {
 	for _, endpoint := range d.endpoints {
 		endpoint.net.Post(endpoint.stallWatches)
 	}
 }
 
-// BeginWhole has each watch begin with the whole list, which leaves out servers that drain, or ends that.
+// SendFullLists has each watch start with the complete list, which leaves out draining servers, or ends that. Calls are
+// counted.
 func (d *Discovery) SendFullLists(enabled bool) {
 	if enabled {
 		d.fullListFaults++
@@ -210,7 +211,7 @@
 	}
 }
 
-// Down ends discovery's service, or brings it back. While it is down it answers 503, or ends connections at once.
+// SetDown takes discovery down, or up again. While it is down it answers 503, or refuses connections.
 func (d *Discovery) SetDown(down bool, now float64) {
 	if d.isDown == down {
 		return
@@ -229,8 +230,8 @@
 	d.updateAlarms()
 }
 
-// Move has discovery go on at its next address, whose machine must have begun; false: there is none. The present one
-// takes no new connections and ends the open ones after a while.
+// Move moves discovery to its next address, whose machine must have started; false: there is none. The present address
+// accepts no new connections, and closes the open ones after OldAddressSeconds.
 func (d *Discovery) Move() bool {
 	if d.address+1 >= len(d.spec.Addresses) {
 		return false
@@ -245,13 +246,13 @@
 	return true
 }
 
-// Address returns where discovery is now.
+// Address returns the present address.
 func (d *Discovery) Address() string { return d.spec.Addresses[d.address] }
 
 // ip returns the IP of the present address.
 func (d *Discovery) currentIP() string { return d.spec.IPs[d.address] }
 
-// nextIP returns the IP of the address that it moves to next; false: there is none.
+// nextIP returns the IP of the next address; false: there is none.
 func (d *Discovery) nextIP() (string, bool) {
 	if d.address+1 >= len(d.spec.IPs) {
 		return "", false
@@ -259,14 +260,14 @@
 	return d.spec.IPs[d.address+1], true
 }
 
-// arm has all fronts look again at what is due. It may be called from anywhere.
+// updateAlarms has all endpoints set their alarms anew. It may be called from any of the actors' loops.
 func (d *Discovery) updateAlarms() {
 	for _, endpoint := range d.endpoints {
 		endpoint.net.Post(endpoint.updateAlarm)
 	}
 }
 
-// asOf returns the entries as they stood at a time.
+// asOf returns the list as of a time, and its index.
 func (d *Discovery) asOf(at float64) (index uint64, list []entry) {
 	list = make([]entry, len(d.entries))
 	for _, c := range d.changes {
@@ -279,7 +280,7 @@
 
 var statusText = map[int32]string{checker.Serving: "SERVING", checker.Draining: "DRAINING", checker.Deleted: "DELETED"}
 
-// list writes one object of discovery: the entries that changed after an index, or the whole list.
+// formatList returns the JSON object of an update: the entries that changed after an index, or the complete list.
 func (d *Discovery) formatList(index uint64, list []entry, since uint64, snapshot bool) []byte {
 	dst := strconv.AppendUint([]byte(`{"index":`), index, 10)
 	dst = strconv.AppendBool(append(dst, `,"snapshot":`...), snapshot)
@@ -305,7 +306,8 @@
 	return append(dst, "]}"...)
 }
 
-// tells whether an object holds an entry. A whole list leaves out what is gone, and at times what drains.
+// includes tells whether an update has an entry. A complete list leaves out deleted servers, and draining ones while
+// fullListFaults is set.
 func (d *Discovery) includes(e *entry, since uint64, snapshot bool) bool {
 	if snapshot {
 		return e.status == checker.Serving || e.status == checker.Draining && d.fullListFaults == 0
@@ -313,8 +315,10 @@
 	return e.status != 0 && e.index > since
 }
 
-// tell notes that a sidecar has been written such an object. Danger: a whole list says of what it leaves out that it is
-// gone; a judge that forgot that would never blame a sidecar for using it.
+// observeDelivery reports to the observer that an update was written to a sidecar.
+//
+// Danger: a complete list says that the servers it leaves out are gone. Without an event for these the checker would accept
+// a sidecar that uses them.
 func (d *Discovery) observeDelivery(sidecar int32, index uint64, list []entry, since uint64, snapshot bool, now float64) {
 	for i := range list {
 		e := list[i]
--- a/internal/environment/discoveryendpoint.go
+++ b/internal/environment/discoveryendpoint.go
@@ -11,7 +11,7 @@
 	"hazelwheel/internal/netio"
 )
 
-// registryFront is discovery at one of its addresses.
+// discoveryEndpoint is discovery at one of its addresses. It implements netio.Handler.
 type discoveryEndpoint struct {
 	discovery *Discovery
 	number    int
@@ -22,14 +22,14 @@
 	buffer    []byte
 }
 
-// registryTask is a line to write to a watcher, or what is left to close of an address that is no longer used.
+// discoveryTask is an update or keep-alive to write to a watch, or the close of a retired address.
 type discoveryTask struct {
 	conn         *discoveryConn
 	isKeepAlive  bool
 	isRetirement bool
 }
 
-// registryLink is a connection from a sidecar.
+// discoveryConn is a connection from a sidecar.
 type discoveryConn struct {
 	endpoint   *discoveryEndpoint
 	conn       netio.Conn
@@ -39,15 +39,15 @@
 	parser     http1.RequestParser
 	hasCall    bool
 	calledAt   float64
-	wantsWatch bool   // it asks for one
-	knownIndex uint64 // the last index that it has been told
-	hasIndex   bool   // since is known
+	wantsWatch bool   // its call asks for a watch
+	knownIndex uint64 // the last index that was written to it
+	hasIndex   bool   // knownIndex is set
 	isWatch    bool
-	isStalled  bool // nothing is written to the watch any more
+	isStalled  bool // nothing is written to it any more
 	writtenAt  float64
 }
 
-// Boot returns what serves one of discovery's addresses.
+// Boot returns the boot function of one of discovery's addresses.
 func (d *Discovery) Boot(number int) func(netio.EventLoop) netio.Handler {
 	return func(net netio.EventLoop) netio.Handler {
 		endpoint := &discoveryEndpoint{discovery: d, number: number, net: net, alarmAt: math.Inf(1)}
@@ -64,7 +64,7 @@
 		parser: http1.NewRequestParser(messageLimits)}
 	c.SetContext(conn)
 	e.conns = append(e.conns, conn)
-	if e.discovery.isDown && e.discovery.refusesConnections { // nobody dials it but for the list
+	if e.discovery.isDown && e.discovery.refusesConnections { // sidecars connect for nothing but the list
 		e.observe(checker.DiscoveryCalled, conn)
 		e.observe(checker.DiscoveryCallFailed, conn)
 		return false
@@ -121,7 +121,7 @@
 	}
 }
 
-// call takes a call up.
+// handleCall parses a call and queues it.
 func (e *discoveryEndpoint) handleCall(conn *discoveryConn) {
 	target, query, _ := strings.Cut(conn.parser.Target, "?")
 	if target != "/v1/endpoints" {
@@ -156,11 +156,11 @@
 	e.write(conn, http1.AppendResponse(e.buffer[:0], 503, nil, nil))
 }
 
-// serve answers a call whose turn has come.
+// serve answers the first call of the queue.
 func (e *discoveryEndpoint) serve(conn *discoveryConn) {
 	discovery, now := e.discovery, e.net.Now()
 	conn.hasCall = false
-	// A version that nobody has had from here is no version.
+	// An index above the present one was not issued here and is ignored.
 	snapshot := !conn.wantsWatch || !conn.hasIndex || conn.knownIndex > discovery.index || discovery.fullListFaults > 0
 	out := e.buffer[:0]
 	if !conn.wantsWatch {
@@ -176,7 +176,7 @@
 	e.tasks.add(now+discovery.spec.KeepAliveSeconds, discoveryTask{conn: conn, isKeepAlive: true})
 }
 
-// line writes an object to a watcher, behind what out holds already.
+// writeUpdate writes an update to a watch, after what out holds already.
 func (e *discoveryEndpoint) writeUpdate(conn *discoveryConn, out []byte, snapshot bool) {
 	discovery, now := e.discovery, e.net.Now()
 	body := append(discovery.formatList(discovery.index, discovery.entries, conn.knownIndex, snapshot), '\n')
@@ -195,7 +195,7 @@
 	}
 }
 
-// spread has all watchers told of a change, each a little later.
+// scheduleUpdates schedules an update to each watch, after a drawn delay.
 func (e *discoveryEndpoint) scheduleUpdates(now float64) {
 	for _, conn := range e.conns {
 		if conn.isWatch {
@@ -204,7 +204,7 @@
 	}
 }
 
-// hush has nothing more be written to the watches that are open.
+// stallWatches stalls the watches that are open.
 func (e *discoveryEndpoint) stallWatches() {
 	for _, conn := range e.conns {
 		if conn.isWatch && !conn.isStalled {
@@ -214,14 +214,14 @@
 	}
 }
 
-// closeAll ends all connections.
+// closeAll closes all connections.
 func (e *discoveryEndpoint) closeAll() {
 	for len(e.conns) > 0 {
 		e.net.Close(e.conns[len(e.conns)-1].conn)
 	}
 }
 
-// leave ends service at the address.
+// retire stops listening at the address and schedules the close of its connections.
 func (e *discoveryEndpoint) retire() {
 	e.net.StopListening(func() {})
 	e.tasks.add(e.net.Now()+e.discovery.spec.OldAddressSeconds, discoveryTask{isRetirement: true})
@@ -254,7 +254,7 @@
 			e.tasks.add(at, t)
 		}
 	}
-	e.discovery.updateAlarms() // what one front has taken up, another may have to tell
+	e.discovery.updateAlarms() // a change that one endpoint has applied may be due at another
 }
 
 func (e *discoveryEndpoint) updateAlarm() {
--- a/internal/environment/engine.go
+++ b/internal/environment/engine.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// Job is what a box works on: a request or a probe.
+// Job is a unit of a server's work: a request or a health check.
 type Job struct {
-	Seconds       float64 // of the box's own time when it is warm and not crowded
+	Seconds       float64 // of the server's time when it is warm and not overloaded
 	IsHealthCheck bool
 	EnqueuedAt    float64 // when it came
 	Owner         any     // for whoever has given it
 
-	finish float64 // of one in work, where the box does not stand still; else the time that it still needs
+	finish float64 // of a running job: when it is done or, while the engine is paused, the time that it still needs
 }
 
-// Engine is a life of a box without its sockets: slots, a waiting room, and a start that may be cold. All methods are
-// told the time, which never goes back; Advance must be called before others once the time that Due names has come.
+// Engine models how a server's process executes jobs: slots, a queue, and a start that may be cold. All methods get the
+// time, which never goes back; Advance must be called before others once the time that NextAt returns has come.
 type Engine struct {
 	spec          *ServerSpec
 	rng           *rand.Rand
@@ -27,11 +27,11 @@
 	running       []*Job
 	queued        []*Job
 
-	isHung       bool // it answers nothing until it is told to go on
+	isHung       bool // it makes no progress until SetHung ends that
 	isPausing    bool
-	pauseAt      float64 // begins or ends
+	pauseAt      float64 // when the next pause starts, or the present one ends
 	isOverloaded bool
-	arrivals     []arrival // of the window in which work counts against a cold box
+	arrivals     []arrival // of the overload window
 	windowWork   float64
 	connections  int
 	done         []*Job
@@ -39,7 +39,7 @@
 
 type arrival struct{ at, seconds float64 }
 
-// NewEngine returns the engine of a box that starts now, cold or long warm.
+// NewEngine returns the engine of a server that starts now, cold or warm.
 func NewEngine(spec *ServerSpec, rng *rand.Rand, now float64, cold bool) *Engine {
 	e := &Engine{spec: spec, rng: rng, started: now, startsCold: cold, pauseAt: math.Inf(1)}
 	if spec.PauseIntervalSeconds > 0 && spec.PauseSeconds > 0 {
@@ -48,8 +48,8 @@
 	return e
 }
 
-// Warmth returns the share of its capacity that the box has. It rises evenly with the work done or with time,
-// whichever is further, and never falls.
+// Warmth returns the share of its full capacity that the server has. It rises linearly with the work done or with time,
+// whichever gives more, and never falls.
 func (e *Engine) Warmth(now float64) float64 {
 	if !e.startsCold {
 		return 1
@@ -59,13 +59,13 @@
 	return min(1, s.ColdCapacity+(1-s.ColdCapacity)*way)
 }
 
-// budget returns how much work a window may bring a box of some warmth.
+// budget returns how much work the overload window may bring at some warmth.
 func (e *Engine) budget(warmth float64) float64 {
 	f := &e.spec.Overload
 	return f.Multiple*warmth*float64(e.spec.Slots)*f.WindowSeconds + f.SlackSeconds
 }
 
-// Bear counts work that reaches the box, also such as it turns away, and tells whether that has just brought it down.
+// CountWork counts work that reaches the server, also what it rejects, and tells whether that has just overloaded it.
 func (e *Engine) CountWork(now, seconds float64) (fell bool) {
 	warmth := e.Warmth(now)
 	if warmth >= 1 || e.isOverloaded {
@@ -88,16 +88,16 @@
 	return true
 }
 
-// Fallen tells whether the box is out of service for the rest of its life.
+// IsOverloaded tells whether the process is out of service for good.
 func (e *Engine) IsOverloaded() bool { return e.isOverloaded }
 
-// Held returns how many jobs the box has.
+// InFlight returns the number of running and queued jobs.
 func (e *Engine) InFlight() int { return len(e.running) + len(e.queued) }
 
-// Waiting returns how many of them have not begun.
+// Queued returns the number of queued jobs.
 func (e *Engine) Queued() int { return len(e.queued) }
 
-// Take gives the box a job; false: it is full.
+// Enqueue gives the engine a job; false: its queue is full.
 func (e *Engine) Enqueue(now float64, job *Job) bool {
 	if len(e.queued) >= e.spec.QueueLimit && (e.isPaused() || len(e.running) >= e.spec.Slots) {
 		return false
@@ -108,7 +108,7 @@
 	return true
 }
 
-// Drop takes a job out that has not begun, where the box can; false: its work goes on.
+// Cancel removes a queued job, if the server drops cancelled ones; false: it will be executed.
 func (e *Engine) Cancel(job *Job) bool {
 	i := slices.Index(e.queued, job)
 	if i < 0 || !e.spec.DropsCancelled {
@@ -118,7 +118,7 @@
 	return true
 }
 
-// speed returns how fast the box works now, beside warm and alone.
+// speed returns how fast a job runs now, relative to a warm server without other jobs.
 func (e *Engine) speed(now float64) float64 {
 	s := e.spec
 	crowd := max(0, float64(e.InFlight())-s.ThrashThreshold*float64(s.Slots))
@@ -128,7 +128,7 @@
 
 func (e *Engine) isPaused() bool { return e.isHung || e.isPausing || e.isOverloaded }
 
-// fill begins what waits as long as a slot is free.
+// startQueued starts queued jobs as long as a slot is free.
 func (e *Engine) startQueued(now float64) {
 	for !e.isPaused() && len(e.running) < e.spec.Slots && len(e.queued) > 0 {
 		job := e.queued[0]
@@ -139,7 +139,7 @@
 	}
 }
 
-// Due returns when Advance is next to be called, +Inf: not before something else happens.
+// NextAt returns when Advance is next to be called; +Inf: not before another method is.
 func (e *Engine) NextAt() float64 {
 	if e.isOverloaded || e.isHung {
 		return math.Inf(1)
@@ -153,7 +153,7 @@
 	return at
 }
 
-// Advance does what is due by now and returns the jobs that are done, in their order; valid until the next call.
+// Advance works up to now and returns the jobs that are done, in their order. The result is valid until the next call.
 func (e *Engine) Advance(now float64) []*Job {
 	e.done = e.done[:0]
 	for at := e.NextAt(); at <= now; at = e.NextAt() {
@@ -176,7 +176,7 @@
 	return e.done
 }
 
-// turnPause begins a pause, or ends one.
+// togglePause starts a pause, or ends one.
 func (e *Engine) togglePause(at float64) {
 	if !e.isPausing {
 		e.suspend(at)
@@ -189,7 +189,7 @@
 	e.resume(at)
 }
 
-// Hang has the box stand still, or go on.
+// SetHung has the server make no progress, or go on.
 func (e *Engine) SetHung(now float64, enabled bool) {
 	switch {
 	case enabled && !e.isHung:
@@ -197,7 +197,7 @@
 		e.isHung = true
 	case !enabled && e.isHung:
 		e.isHung = false
-		if e.isPausing { // what has been missed of pauses is over with it
+		if e.isPausing { // a pause that was due to end meanwhile ends with it
 			e.isPausing = false
 			e.pauseAt = now + e.spec.PauseIntervalSeconds*e.rng.ExpFloat64()
 		}
@@ -206,8 +206,9 @@
 	}
 }
 
-// freeze turns the times of what is in work into what is left to do, thaw turns them back. Danger: done twice in a row
-// either would lose or make up time.
+// suspend converts the finish times of running jobs into the time that they still need; resume converts them back.
+//
+// Danger: two conversions in a row would lose or gain time.
 func (e *Engine) suspend(now float64) {
 	if e.isHung || e.isPausing {
 		return
@@ -227,5 +228,5 @@
 	e.startQueued(now)
 }
 
-// Connected notes how many connections the box holds.
+// SetConnections sets how many connections the server has.
 func (e *Engine) SetConnections(n int) { e.connections = n }
--- a/internal/environment/faultdraw.go
+++ b/internal/environment/faultdraw.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// DrawPeerTroubles adds troubles between sidecars to a day's others.
+// DrawPeerFaults adds faults between sidecars to a script.
 func DrawPeerFaults(day *Day, s *Script) {
 	rng := randomStream(day.Seed, "peers", 0)
 	for range rng.IntN(6) {
@@ -14,15 +14,16 @@
 		fault := Fault{Kind: kind.name, AtSeconds: uniform(rng, settleSeconds, max(day.LengthSeconds-quietSeconds, settleSeconds))}
 		kind.draw(&fault, day, rng)
 		s.AddPeerFault(fault, day)
-		if fault.Kind == DiskFull { // only a process that begins has something to keep
+		if fault.Kind == DiskFull { // only a process that starts writes what it must store
 			s.AddPeerFault(Fault{Kind: SidecarKill, AtSeconds: fault.AtSeconds + 0.5, DurationSeconds: 0.5, Sidecars: fault.Sidecars, State: StateKept}, day)
 		}
 	}
 	slices.SortStableFunc(s.Faults, byTime)
 }
 
-// DrawLags adds, on half of the days, times in which a sidecar hears late of what the others say, and is heard at once: its links break
-// again and again, and what comes to it goes at a rate, so that what it must ask for comes long after it could have heard of it.
+// DrawLags adds, on half of the days, periods in which a sidecar receives late what the others send, while they receive at
+// once: its connections are reset again and again, and what is sent to it is limited to a rate, so that an answer to its
+// query arrives long after the change that it is about.
 func DrawLags(day *Day, s *Script) {
 	rng := randomStream(day.Seed, "lags", 0)
 	if rng.IntN(2) == 0 || len(day.Sidecars) < 2 {
@@ -42,14 +43,16 @@
 	slices.SortStableFunc(s.Faults, byTime)
 }
 
-// settleS is how long a day runs before its first trouble, and quietS how long before its end the last one begins.
+// settleSeconds is how long a day runs before its first fault, and quietSeconds how long before its end the last one
+// starts.
 const (
 	settleSeconds = 3.0
 	quietSeconds  = 5.0
 )
 
-// DrawScript returns the troubles of a seed. Each day plays a mix of its own: every kind is turned off on about half
-// of the days. Danger: with all kinds on every day the loud ones hide the others.
+// DrawScript returns the script of a day's seed. Each day has a mix of its own: every kind is off on about half of the days.
+//
+// Danger: with all kinds on every day, the severe ones would hide the effects of the others.
 func DrawScript(day *Day) Script {
 	rng := randomStream(day.Seed, "script", 0)
 	s := Script{Seed: day.Seed}
@@ -60,7 +63,7 @@
 		}
 	}
 	if len(on) == 0 || rng.IntN(10) == 0 {
-		return s // a quiet day
+		return s // a day without faults
 	}
 	moves := 0
 	for range 1 + rng.IntN(7) {
@@ -74,12 +77,12 @@
 		kind.draw(&fault, day, rng)
 		s.Faults = append(s.Faults, fault)
 	}
-	drawConnectionTroubles(day, &s)
+	drawConnectionFaults(day, &s)
 	slices.SortStableFunc(s.Faults, byTime)
 	return s
 }
 
-// someSidecars draws a part of the sidecars, one at least and not all where there are more.
+// drawSidecarSubset draws some of the sidecars: at least one, and at most half of them if there are more.
 func (d *Day) drawSidecarSubset(rng *rand.Rand) []int {
 	n := 1 + rng.IntN(max(len(d.Sidecars)/2, 1))
 	some := rng.Perm(len(d.Sidecars))[:n]
@@ -91,18 +94,18 @@
 	return slices.DeleteFunc(all, func(n int) bool { return slices.Contains(some, n) })
 }
 
-func someBoxes(minimum, maximum, minSeconds, maxDelaySeconds float64) func(*Fault, *Day, *rand.Rand) {
+func drawServersFor(minimum, maximum, minSeconds, maxDelaySeconds float64) func(*Fault, *Day, *rand.Rand) {
 	return func(fault *Fault, day *Day, rng *rand.Rand) {
 		fault.Servers, fault.DurationSeconds = day.drawServerNames(rng, minimum, maximum), uniform(rng, minSeconds, maxDelaySeconds)
 	}
 }
 
-func spoils(fault *Fault, day *Day, rng *rand.Rand) {
-	someBoxes(0.1, 1, 3, 20)(fault, day, rng)
+func drawMisbehavior(fault *Fault, day *Day, rng *rand.Rand) {
+	drawServersFor(0.1, 1, 3, 20)(fault, day, rng)
 	fault.Share = uniform(rng, 0.01, 0.3)
 }
 
-// pick returns the names of a share of the boxes that stand, one at least.
+// drawServerNames returns the names of a drawn share of the servers that run at the start, at least one.
 func (d *Day) drawServerNames(rng *rand.Rand, minimum, maximum float64) []string {
 	n := max(1, int(math.Round(uniform(rng, minimum, maximum)*float64(d.InitialServers))))
 	names := make([]string, 0, n)
@@ -114,8 +117,9 @@
 
 func (d *Day) drawSidecar(rng *rand.Rand) []int { return []int{rng.IntN(len(d.Sidecars))} }
 
-// drawConnectionTroubles adds troubles of connections, watches and clients that leave, on about two thirds of the days that have any.
-func drawConnectionTroubles(day *Day, s *Script) {
+// drawConnectionFaults adds faults of connections, watches and clients that abandon requests, on about two thirds of the
+// days with faults.
+func drawConnectionFaults(day *Day, s *Script) {
 	rng := randomStream(day.Seed, "connections", 0)
 	for range rng.IntN(3) {
 		kind := &connectionFaultKinds[rng.IntN(len(connectionFaultKinds))]
--- a/internal/environment/faultinjector.go
+++ b/internal/environment/faultinjector.go
@@ -7,29 +7,29 @@
 	"hazelwheel/internal/checker"
 )
 
-// Player plays a script's troubles at their times. Those of boxes, discovery and clients it does itself, those of
-// machines, processes and paths it has the Ground do.
+// FaultInjector injects a script's faults at their times. Those of servers, discovery and clients it passes to the actors,
+// those of machines, processes and paths to Hosts.
 type FaultInjector struct {
 	environment      *Environment
 	hosts            Hosts
 	observer         checker.Observer
 	steps            schedule[func(now float64)]
-	replacementTaken []bool // by box: it is to be brought in
-	lateConnects     []int  // by box: troubles that have connections to it come up late
-	hangs            []int  // by box: troubles that hold it
-	slowReads        []int  // by application: troubles that slow it
-	isGone           []bool // by sidecar: its next process has been arranged, or there is none to come
-	firstStandby     int    // the first of the sidecars that have not come yet
-	isTerminating    []bool // by sidecar: it has been told to end, and is to begin again
-	fullDisks        []int  // by sidecar: troubles that fill its disk
-	clockFaults      []int  // by sidecar: troubles that change its clock's rate
+	replacementTaken []bool // by server: it is a replacement that was chosen already
+	lateConnects     []int  // by server: faults that delay connections to it
+	hangs            []int  // by server: faults that hang it
+	slowReads        []int  // by application: faults that limit its reading
+	isGone           []bool // by sidecar: its next process is scheduled, or there will be none
+	firstStandby     int    // the first of the sidecars that have not started yet
+	isTerminating    []bool // by sidecar: it shuts down and will start again
+	fullDisks        []int  // by sidecar: faults that fill its disk
+	clockFaults      []int  // by sidecar: faults that change its clock's rate
 	oneWayFaults     []*oneWayFault
-	isSuspended      []bool           // by sidecar: its process stands still
-	peerFaults       map[peerPath]int // troubles of a way between sidecars; looked up, never walked
+	isSuspended      []bool           // by sidecar: its process is suspended
+	peerFaults       map[peerPath]int // faults of a path between sidecars; looked up, never walked
 	peerRates        map[peerPath][]float64
 }
 
-// NewPlayer returns a player that has played nothing. A script that names what the day has not is an error.
+// NewFaultInjector returns an injector of a script's faults. A script that names what the day does not have is an error.
 func NewFaultInjector(environment *Environment, s *Script, g Hosts, observer checker.Observer) (*FaultInjector, error) {
 	injector := &FaultInjector{environment: environment, hosts: g, observer: observer, hangs: make([]int, len(environment.Servers)), slowReads: make([]int, len(environment.Applications)),
 		isGone: make([]bool, len(environment.Applications)), replacementTaken: make([]bool, len(environment.Servers)), lateConnects: make([]int, len(environment.Servers)),
@@ -49,14 +49,16 @@
 	return injector, nil
 }
 
-// Next returns when Play is next to be called; false: nothing is left.
+// Next returns when Advance is next to be called; false: nothing is left.
 func (f *FaultInjector) Next() (at float64, ok bool) {
 	at = f.steps.nextAt()
 	return at, at < math.Inf(1)
 }
 
-// Play does what is due by now. Danger: where the ground is late a step that told the time at which it was due would tell of the
-// past: of a process that was killed before it sent what has come since.
+// Advance does what is due by now.
+//
+// Danger: if the caller is late, events with the time at which a step was due would report the past: a process that was
+// killed before it sent what has arrived since. Steps therefore get the present time.
 func (f *FaultInjector) Advance(now float64) {
 	for {
 		step, _, ok := f.steps.pop(now)
@@ -67,18 +69,19 @@
 	}
 }
 
-// later arranges a step after a time.
+// after schedules a step.
 func (f *FaultInjector) after(now, afterSeconds float64, step func(now float64)) {
 	f.steps.add(now+afterSeconds, step)
 }
 
-// endsAt returns when a trouble of boxes, discovery, paths or clients is over: as the script says, and at the latest with
-// the day's arrivals. Danger: one that outlasted the day would leave dials and links that nobody could call left over.
+// endsAt returns when a fault that starts now is over: as the script says, and at the latest with the day's arrivals.
+//
+// Danger: a fault that outlasted the day would leave dials and connections that could not be told from leaked ones.
 func (f *FaultInjector) endsAt(fault *Fault, now float64) float64 {
 	return max(now, min(now+fault.DurationSeconds, f.environment.Day.Start+f.environment.Day.LengthSeconds))
 }
 
-// atEnd arranges a step for the end of a trouble that begins now.
+// atEnd schedules a step for the end of a fault that starts now.
 func (f *FaultInjector) atEnd(fault *Fault, now float64, step func(now float64)) {
 	f.steps.add(f.endsAt(fault, now), step)
 }
@@ -147,18 +150,19 @@
 	}
 }
 
-// counted has something befall a sidecar or a box until the trouble is over. Of those that overlap the last one to end ends it.
-func (f *FaultInjector) whileAny(all []int, sidecar int, fault *Fault, now float64, befall func(sidecar int, enabled bool)) {
-	all[sidecar]++
-	befall(sidecar, true)
+// whileAny applies an effect to a sidecar or a server until the fault is over. Of faults that overlap, the last one to end
+// ends the effect; active counts them.
+func (f *FaultInjector) whileAny(active []int, sidecar int, fault *Fault, now float64, apply func(sidecar int, enabled bool)) {
+	active[sidecar]++
+	apply(sidecar, true)
 	f.atEnd(fault, now, func(float64) {
-		if all[sidecar]--; all[sidecar] == 0 {
-			befall(sidecar, false)
+		if active[sidecar]--; active[sidecar] == 0 {
+			apply(sidecar, false)
 		}
 	})
 }
 
-// cut tells the witness of a way that is cut, or mended.
+// observePath reports the start or end of a path's fault to the observer.
 func (f *FaultInjector) observePath(sidecar, server int32, enabled bool, now float64) {
 	kind := checker.PathFaultEnded
 	if enabled {
--- a/internal/environment/faultkinds.go
+++ b/internal/environment/faultkinds.go
@@ -64,9 +64,9 @@
 
 // kinds are all there are, in the order in which they are drawn.
 var serverFaultKinds = []faultKind{
-	{Hang, []string{"for_s", "boxes"}, nil, someBoxes(0.05, 0.2, 5, 25)},
-	{Crash, []string{"for_s", "boxes"}, nil, someBoxes(0.05, 0.25, 1, 10)},
-	{CrashMoved, []string{"for_s", "boxes"}, nil, someBoxes(0.05, 0.25, 1, 10)},
+	{Hang, []string{"for_s", "boxes"}, nil, drawServersFor(0.05, 0.2, 5, 25)},
+	{Crash, []string{"for_s", "boxes"}, nil, drawServersFor(0.05, 0.25, 1, 10)},
+	{CrashMoved, []string{"for_s", "boxes"}, nil, drawServersFor(0.05, 0.25, 1, 10)},
 	{SiteLoss, []string{"for_s", "site"}, []string{"with_sidecars", "silent"}, func(t *Fault, d *Day, rng *rand.Rand) {
 		t.DurationSeconds, t.Site = uniform(rng, 8, 25), d.Sites[rng.IntN(len(d.Sites))]
 		t.WithSidecars, t.Silent = rng.IntN(2) == 0, rng.IntN(2) == 0
@@ -82,12 +82,12 @@
 	}},
 	{DiscoveryDown, []string{"for_s"}, nil, func(t *Fault, _ *Day, rng *rand.Rand) { t.DurationSeconds = uniform(rng, 2, 20) }},
 	{Resets, []string{"for_s", "boxes", "per_s"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
-		someBoxes(0.05, 0.4, 3, 15)(t, d, rng)
+		drawServersFor(0.05, 0.4, 3, 15)(t, d, rng)
 		t.RatePerSecond = uniform(rng, 0.5, 5)
 	}},
-	{HalfOpen, []string{"for_s", "boxes"}, nil, someBoxes(0.05, 0.2, 5, 20)},
+	{HalfOpen, []string{"for_s", "boxes"}, nil, drawServersFor(0.05, 0.2, 5, 20)},
 	{OneWay, []string{"for_s", "boxes"}, []string{"sidecars", "to_box"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		someBoxes(0.05, 0.3, 3, 15)(t, d, rng)
+		drawServersFor(0.05, 0.3, 3, 15)(t, d, rng)
 		t.ToServer = rng.IntN(2) == 0
 		if rng.IntN(2) == 0 {
 			t.Sidecars = []int{rng.IntN(len(d.Sidecars))}
@@ -96,9 +96,9 @@
 	{SlowReader, []string{"for_s", "sidecars", "share"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
 		t.DurationSeconds, t.Share, t.Sidecars = uniform(rng, 3, 15), uniform(rng, 0.2, 0.9), d.drawSidecar(rng)
 	}},
-	{MalformedAnswers, []string{"for_s", "boxes", "share"}, nil, spoils},
-	{TrailingBytes, []string{"for_s", "boxes", "share"}, nil, spoils},
-	{InterimResponses, []string{"for_s", "boxes", "share"}, nil, spoils},
+	{MalformedAnswers, []string{"for_s", "boxes", "share"}, nil, drawMisbehavior},
+	{TrailingBytes, []string{"for_s", "boxes", "share"}, nil, drawMisbehavior},
+	{InterimResponses, []string{"for_s", "boxes", "share"}, nil, drawMisbehavior},
 	{BadClients, []string{"for_s", "sidecars", "per_s"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
 		t.DurationSeconds, t.RatePerSecond, t.Sidecars = uniform(rng, 3, 20), uniform(rng, 2, 40), d.drawSidecar(rng)
 	}},
@@ -112,8 +112,8 @@
 		t.DurationSeconds, t.Sidecars = uniform(rng, 3.7, 8), d.drawSidecar(rng)
 	}},
 	{Reload, nil, nil, func(*Fault, *Day, *rand.Rand) {}},
-	{AddressReuse, []string{"for_s", "boxes"}, nil, someBoxes(0.05, 0.15, 1, 8)},
-	{Cordon, []string{"for_s", "boxes"}, nil, someBoxes(0.05, 0.3, 2, 15)},
+	{AddressReuse, []string{"for_s", "boxes"}, nil, drawServersFor(0.05, 0.15, 1, 8)},
+	{Cordon, []string{"for_s", "boxes"}, nil, drawServersFor(0.05, 0.3, 2, 15)},
 }
 
 // connectionKinds are drawn beside the others, from a stream of their own, so that what the others are on a seed does not depend on them.
@@ -122,11 +122,11 @@
 		t.DurationSeconds, t.Share, t.Sidecars = uniform(rng, 3, 15), uniform(rng, 0.05, 0.5), d.drawSidecarSubset(rng)
 	}},
 	{LateConnect, []string{"for_s", "boxes", "share", "lag_s"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
-		someBoxes(0.2, 1, 5, 20)(t, d, rng)
+		drawServersFor(0.2, 1, 5, 20)(t, d, rng)
 		t.Share, t.DelaySeconds = uniform(rng, 0.02, 0.4), uniform(rng, 0.1, 1.5)
 	}},
 	{EarlyClose, []string{"for_s", "boxes", "share"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
-		someBoxes(0.1, 1, 5, 20)(t, d, rng)
+		drawServersFor(0.1, 1, 5, 20)(t, d, rng)
 		t.Share = uniform(rng, 0.01, 0.2)
 	}},
 	{SilentWatch, nil, nil, func(*Fault, *Day, *rand.Rand) {}},
--- a/internal/environment/peerfaults.go
+++ b/internal/environment/peerfaults.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// sides calls f with each two sidecars that a trouble stands between.
+// eachPeerPair calls visit with each pair of sidecars that a fault separates.
 func (f *FaultInjector) eachPeerPair(fault *Fault, visit func(a, b int)) {
 	to := fault.To
 	if len(to) == 0 {
@@ -21,23 +21,23 @@
 	}
 }
 
-// between has something befall the ways between sidecars until the trouble is over. Troubles that overlap are counted.
-func (f *FaultInjector) overPeerPaths(fault *Fault, now float64, befall func(from, to int, enabled bool)) {
-	way := func(a, b int) {
+// overPeerPaths applies an effect to the paths between sidecars until the fault is over. Faults that overlap are counted.
+func (f *FaultInjector) overPeerPaths(fault *Fault, now float64, apply func(from, to int, enabled bool)) {
+	applyPath := func(a, b int) {
 		key := peerPath{fault.Kind, a, b}
 		if f.peerFaults[key]++; f.peerFaults[key] == 1 {
-			befall(a, b, true)
+			apply(a, b, true)
 		}
 		f.atEnd(fault, now, func(float64) {
 			if f.peerFaults[key]--; f.peerFaults[key] == 0 {
-				befall(a, b, false)
+				apply(a, b, false)
 			}
 		})
 	}
-	f.eachPeerPath(fault, way)
+	f.eachPeerPath(fault, applyPath)
 }
 
-// ways calls f with each way between two sides, both ways unless the trouble is of one alone.
+// eachPeerPath calls visit with each path that a fault separates, in both directions unless the fault is one-way.
 func (f *FaultInjector) eachPeerPath(fault *Fault, visit func(from, to int)) {
 	f.eachPeerPair(fault, func(a, b int) {
 		if visit(a, b); !fault.OneWay {
@@ -46,7 +46,7 @@
 	})
 }
 
-// slowPeers has bytes between sidecars go at a rate until the trouble is over; of several rates the least counts.
+// limitPeerTraffic limits the rate of bytes between sidecars until the fault is over; of several rates the lowest counts.
 func (f *FaultInjector) limitPeerTraffic(fault *Fault, now float64) {
 	f.eachPeerPath(fault, func(a, b int) {
 		key := peerPath{fault.Kind, a, b}
@@ -67,7 +67,7 @@
 	})
 }
 
-// peerWay is a way between two sidecars that a kind of trouble befalls.
+// peerPath is a path between two sidecars that faults of a kind affect.
 type peerPath struct {
 	kind     string
 	from, to int
--- a/internal/environment/serverfaults.go
+++ b/internal/environment/serverfaults.go
@@ -6,14 +6,14 @@
 	"hazelwheel/internal/checker"
 )
 
-// oneWayCut is a way that is cut between a sidecar and whatever boxes are at an IP meanwhile.
+// oneWayFault is a fault of the path between a sidecar and all servers that run at an IP meanwhile.
 type oneWayFault struct {
 	sidecar int32
 	ip      string
 	servers []int32
 }
 
-// connectLate has connections to boxes come up late, at the machines where they are now.
+// delayConnects delays connections to servers, at the machines where they run now, until the fault is over.
 func (f *FaultInjector) delayConnects(fault *Fault, now float64) {
 	for _, server := range f.servers(fault) {
 		ip := server.currentIP()
@@ -27,7 +27,7 @@
 	}
 }
 
-// share returns the share of answers that a trouble is about.
+// shareOf returns the share of answers that a kind of fault changes.
 func (m *Misbehavior) shareOf(kind string) *float64 {
 	switch kind {
 	case MalformedAnswers:
@@ -41,7 +41,8 @@
 	}
 }
 
-// hang counts how many troubles hold a box, so that the end of one does not end the others.
+// hangServers hangs servers until the fault is over. Faults that overlap are counted, so that the end of one does not end
+// the others.
 func (f *FaultInjector) hangServers(fault *Fault, now float64) {
 	for _, server := range f.servers(fault) {
 		n := server.Spec.Number
@@ -55,7 +56,7 @@
 	}
 }
 
-// end ends a box's process, or has its machine vanish; false: it has none.
+// stopServer kills a server's process or, if silent, makes its machine unreachable; false: it has no process.
 func (f *FaultInjector) stopServer(server *Server, silent bool, now float64) bool {
 	if !server.IsAlive() {
 		return false
@@ -63,7 +64,7 @@
 	if silent {
 		f.observePath(-1, int32(server.Spec.Number), true, now)
 	}
-	server.Stopped(now) // before its connections' ends come
+	server.Stopped(now) // before the close of its connections arrives
 	if silent {
 		f.hosts.Vanish(server.currentIP())
 	} else {
@@ -73,10 +74,10 @@
 	return true
 }
 
-// back begins a box's next life at an IP.
+// startServer starts a server's next process at an IP, unless it runs already or another one has the IP.
 func (f *FaultInjector) startServer(server *Server, ip string, silent bool, now float64) {
 	if tenant := f.environment.serverByIP[ip]; server.IsAlive() || tenant.IsAlive() && tenant.currentIP() == ip {
-		return // it is back already, or another has its place
+		return
 	}
 	if silent {
 		f.observePath(-1, int32(server.Spec.Number), false, now)
@@ -91,12 +92,12 @@
 	f.hosts.Start(ip)
 }
 
-// Down ends a server's process, as the maintenance agent does.
+// StopServer ends a server's process, as the maintenance agent does.
 func (f *FaultInjector) StopServer(number int, now float64) {
 	f.stopServer(f.environment.Servers[number], false, now)
 }
 
-// Up starts the next process of a server whose process Down has ended, unless a fault ended it as well.
+// StartServer starts the next process of a server that StopServer has stopped, unless a fault stopped it as well.
 func (f *FaultInjector) StartServer(number int, now float64) {
 	server := f.environment.Servers[number]
 	f.startServer(server, server.currentIP(), false, now)
@@ -139,7 +140,7 @@
 	}
 }
 
-// shrink has boxes drain, and ends them after their notice.
+// drainServers has servers drain, and stops them after the fault's notice.
 func (f *FaultInjector) drainServers(servers []*Server, fault *Fault, now float64) {
 	for _, server := range servers {
 		if !server.IsAlive() {
@@ -188,7 +189,7 @@
 			}
 			c := &oneWayFault{sidecar: int32(i), ip: server.currentIP(), servers: []int32{int32(server.Spec.Number)}}
 			if other := f.environment.serverByIP[c.ip]; other != server && other.IsAlive() && other.currentIP() == c.ip {
-				c.servers = append(c.servers, int32(other.Spec.Number)) // it has taken the place of the one that is meant
+				c.servers = append(c.servers, int32(other.Spec.Number)) // it runs at the former address of the server
 			}
 			f.oneWayFaults = append(f.oneWayFaults, c)
 			for _, n := range c.servers {
@@ -206,7 +207,7 @@
 	}
 }
 
-// takeOut has the operators of all sidecars take boxes out, or give them back.
+// cordon has the operators of all sidecars cordon servers, or end that.
 func (f *FaultInjector) cordon(servers []*Server, enabled bool) {
 	kind := checker.ServerUncordoned
 	if enabled {
@@ -221,8 +222,10 @@
 	}
 }
 
-// replace ends a box and begins another one at its address after a while. Danger: a sidecar that has not been told yet
-// means the old one; a box of another site there would have it break the rules of groups unwittingly.
+// replaceServer stops a server and starts another one at its address when the fault is over.
+//
+// Danger: a sidecar that was not notified yet addresses the old server; a server of another site there would make it
+// violate the rules of groups without its fault.
 func (f *FaultInjector) replaceServer(server *Server, fault *Fault, now float64) {
 	next := slices.IndexFunc(f.environment.Servers, func(o *Server) bool {
 		return o.Spec.Number >= f.environment.Day.InitialServers && o.incarnations == 0 && o.Spec.Site == server.Spec.Site && !f.replacementTaken[o.Spec.Number]
--- a/internal/environment/sidecarfaults.go
+++ b/internal/environment/sidecarfaults.go
@@ -2,17 +2,17 @@
 
 import "hazelwheel/internal/checker"
 
-// terminate tells a sidecar's process to end, and its clients so.
+// terminate tells a sidecar's process to shut down gracefully, and notifies its clients.
 func (f *FaultInjector) terminate(sidecar int, now float64) {
 	f.observeSidecar(checker.SidecarTerminating, sidecar, now)
 	f.environment.notifyDraining(sidecar, now)
 	f.hosts.Terminate(sidecar)
 }
 
-// leaveS is how long a sidecar that leaves for good is given where its trouble says nothing.
+// defaultDrainSeconds is how long a sidecar that leaves for good may take if the fault does not say.
 const defaultDrainSeconds = 8.0
 
-// leaveForGood has so many of the sidecars that are there end for good, from the last one on; the first one stays.
+// leaveForGood shuts so many of the running sidecars down for good, from the last one on; the first one stays.
 func (f *FaultInjector) leaveForGood(fault *Fault, now float64) {
 	within := fault.DrainSeconds
 	if within == 0 {
@@ -26,22 +26,22 @@
 		left--
 		f.isGone[i] = true
 		f.terminate(i, now)
-		f.after(now, within, func(now float64) { // as a platform does
+		f.after(now, within, func(now float64) { // a platform kills what has not exited
 			f.observeSidecar(checker.SidecarKilled, i, now)
 			f.hosts.Kill(f.environment.Day.Sidecars[i].IP)
 		})
 	}
 }
 
-// spoil does to the disk of a sidecar that has just been killed what a trouble says.
+// damageState damages what a sidecar that was just killed has stored, as the fault says.
 func (f *FaultInjector) damageState(sidecar int, fault *Fault) {
 	if fault.State == StateLost || fault.State == StateTorn || fault.State == StateOld {
 		f.hosts.DamageState(sidecar, fault.State)
 	}
 }
 
-// freeze has processes stand still. What they owe meanwhile is excused as for one that was killed; a process that stood still
-// and one that is killed are the same to a client.
+// suspend suspends processes until the fault is over. What they don't answer meanwhile is excused by a path fault: to a
+// client, a suspended process and a killed one are the same.
 func (f *FaultInjector) suspend(fault *Fault, now float64) {
 	for _, i := range fault.Sidecars {
 		if f.isGone[i] || f.isSuspended[i] {
@@ -62,7 +62,7 @@
 	}
 }
 
-// Restart has a sidecar be killed and begin again after a while, with what is on its disk, unless it is gone already.
+// RestartSidecar kills a sidecar and starts it again after a while, with what it has stored, unless it is stopped already.
 func (f *FaultInjector) RestartSidecar(sidecar int, afterSeconds, now float64) {
 	f.killSidecar(sidecar, afterSeconds, now)
 }
@@ -85,10 +85,10 @@
 	f.observer.Observe(checker.Event{Kind: kind, At: now, Sidecar: int32(sidecar), Server: -1})
 }
 
-// killSidecar ends a sidecar's process and begins the next one after a while.
+// killSidecar kills a sidecar's process and starts the next one after a while.
 func (f *FaultInjector) killSidecar(sidecar int, afterSeconds, now float64) {
 	if f.isGone[sidecar] {
-		return // another trouble has it
+		return // another fault has stopped it
 	}
 	f.isGone[sidecar] = true
 	if f.isSuspended[sidecar] {
@@ -105,7 +105,7 @@
 	})
 }
 
-// moveDiscovery has discovery go on elsewhere and tells the sidecars so by a new configuration.
+// moveDiscovery moves discovery to its next address and has the sidecars reload a configuration with it.
 func (f *FaultInjector) moveDiscovery(_ *Fault, now float64) {
 	ip, ok := f.environment.Discovery.nextIP()
 	if !ok {
