--- a/internal/frontend/http1/call.go
+++ b/internal/frontend/http1/call.go
@@ -19,6 +19,7 @@
 	class          string
 }
 
+// NewExchange implements sidecar.Call.
 func (c *call) NewExchange() sidecar.Exchange {
 	c.body.SentBytes = 0
 	return &exchange{call: c, parser: http1.NewResponseParser(limits)}
--- a/internal/frontend/http1/exchange.go
+++ b/internal/frontend/http1/exchange.go
@@ -15,6 +15,7 @@
 	isLastChunkAppended bool // the last one was appended
 }
 
+// AppendRequest implements sidecar.Exchange.
 func (x *exchange) AppendRequest(dst []byte, now, deadline float64) []byte {
 	c := x.call
 	dst = http1.AppendFields(http1.AppendRequestLine(dst, c.method, c.target), c.header)
@@ -33,6 +34,7 @@
 	return x.AppendBody(http1.AppendHeader(dst, nil, length), sidecar.ChunkBytes)
 }
 
+// AppendBody implements sidecar.Exchange.
 func (x *exchange) AppendBody(dst []byte, maxBytes int) []byte {
 	body := x.call.body.Next(maxBytes)
 	if !x.isChunked {
@@ -46,6 +48,7 @@
 	return dst
 }
 
+// IsRequestAppended implements sidecar.Exchange.
 func (x *exchange) IsRequestAppended() bool {
 	b := &x.call.body
 	return b.IsComplete && b.UnsentBytes() == 0 && (!x.isChunked || x.isLastChunkAppended)
@@ -57,12 +60,16 @@
 	return p.IsHeadComplete() && !p.IsComplete() && max(p.BodyLength(), p.ReceivedBodyBytes()) > sidecar.MaxBodyBytes
 }
 
+// ReadResponse implements sidecar.Exchange.
 func (x *exchange) ReadResponse(buf *buffer.Buffer) (bool, error) { return x.parser.Next(buf) }
 
+// HasResponseBegun implements sidecar.Exchange.
 func (x *exchange) HasResponseBegun() bool { return x.parser.HasBegun() }
 
+// IsOneWay implements sidecar.Exchange.
 func (x *exchange) IsOneWay() bool { return false }
 
+// HandleEOF implements sidecar.Exchange.
 func (x *exchange) HandleEOF() bool { return x.parser.HandleEOF() }
 
 // header returns the part of a response's header that the client is sent.
--- a/internal/frontend/http1/submit.go
+++ b/internal/frontend/http1/submit.go
@@ -33,7 +33,15 @@
 		c.rejectInvalid(class, 400, fieldTimeout+" is not a number with m or u")
 	case c.Admit(class):
 		call := newCall(c.frontend, p, settings.Name, c.RemoteAddr())
-		in := sidecar.IncomingRequest{ID: id, Class: class, Tenant: c.frontend.tenantIndex(p.Header.Get(fieldTenant)), TimeoutSeconds: timeoutSeconds, IsRetry: p.Header.Get(fieldRetry) == "1", HeldBytes: len(p.Body), Call: call}
+		in := sidecar.IncomingRequest{
+			ID:             id,
+			Class:          class,
+			Tenant:         c.frontend.tenantIndex(p.Header.Get(fieldTenant)),
+			TimeoutSeconds: timeoutSeconds,
+			IsRetry:        p.Header.Get(fieldRetry) == "1",
+			HeldBytes:      len(p.Body),
+			Call:           call,
+		}
 		if !p.IsComplete() {
 			c.uploading, in.Body = call, &call.body
 			p.Body = nil // owned by the call from now on
--- a/internal/frontend/thrift/call.go
+++ b/internal/frontend/thrift/call.go
@@ -23,6 +23,7 @@
 
 var _ sidecar.CostReporter = (*exchange)(nil)
 
+// NewExchange implements sidecar.Call.
 func (c *call) NewExchange() sidecar.Exchange { return &exchange{call: c} }
 
 // methodName returns a method's name without that of its service.
--- a/internal/frontend/thrift/clientconn.go
+++ b/internal/frontend/thrift/clientconn.go
@@ -75,7 +75,14 @@
 
 // submit submits a call to a class, with the values that were found in it.
 func (c *clientConn) submit(class *class, id, key, timeout thrift.Value, isRetry bool) {
-	in := sidecar.IncomingRequest{Class: class.index, Tenant: sidecar.UnknownTenant, TimeoutSeconds: class.TotalTimeoutSeconds, HeldBytes: len(c.message.Raw), IsRetry: isRetry, IsOneWay: c.message.Kind == thrift.Oneway}
+	in := sidecar.IncomingRequest{
+		Class:          class.index,
+		Tenant:         sidecar.UnknownTenant,
+		TimeoutSeconds: class.TotalTimeoutSeconds,
+		HeldBytes:      len(c.message.Raw),
+		IsRetry:        isRetry,
+		IsOneWay:       c.message.Kind == thrift.Oneway,
+	}
 	if timeout.Type != thrift.Stop {
 		var ok bool
 		if in.TimeoutSeconds, ok = parseSeconds(timeout, class.UnitS); !ok {
--- a/internal/frontend/thrift/exchange.go
+++ b/internal/frontend/thrift/exchange.go
@@ -86,15 +86,19 @@
 	return nil
 }
 
-// A call is appended completely, and submitted only when it is complete.
+// AppendBody implements sidecar.Exchange: a call is appended completely, and submitted only when it is complete.
 func (x *exchange) AppendBody(dst []byte, _ int) []byte { return dst }
 
+// IsRequestAppended implements sidecar.Exchange.
 func (x *exchange) IsRequestAppended() bool { return true }
 
+// HasResponseBegun implements sidecar.Exchange.
 func (x *exchange) HasResponseBegun() bool { return x.hasBegun }
 
+// HandleEOF implements sidecar.Exchange.
 func (x *exchange) HandleEOF() bool { return false }
 
+// IsOneWay implements sidecar.Exchange.
 func (x *exchange) IsOneWay() bool { return x.call.message.Kind == thrift.Oneway }
 
 // ResponseBytes implements sidecar.CostReporter.
--- a/internal/process/fleet.go
+++ b/internal/process/fleet.go
@@ -27,10 +27,30 @@
 // joinFleet connects the sidecar to the other members of its fleet.
 func (p *Process) joinFleet(cfg sidecarconfig.Config, config featureconfig.Fleet, shared *multiplex.SharedLoop) (err error) {
 	maxLinks := peers.MaxLinks(cfg.Limits.Sockets)
-	p.fleet, err = coordination.New(coordination.Options{MaxLinks: maxLinks,
-		Settings: coordination.Settings{Name: config.Name, Listen: config.Listen, Advertise: config.Advertise, Join: config.Join, Dir: config.Dir, Voters: config.Electors, Roles: config.Jobs}, Sidecar: cfg.Name, Self: cfg.Settings.Policy.Self, Replicas: cfg.Settings.Policy.Replicas,
-		Replaceable: cfg.Passed > 0, RoleHost: p.Sidecar, RankReceiver: p.Sidecar, Lists: p.Sidecar, Faults: p.Sidecar, Servers: p.Sidecar, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		EventLoop: shared.Companion(), Log: p.log})
+	p.fleet, err = coordination.New(coordination.Options{
+		MaxLinks: maxLinks,
+		Settings: coordination.Settings{
+			Name:      config.Name,
+			Listen:    config.Listen,
+			Advertise: config.Advertise,
+			Join:      config.Join,
+			Dir:       config.Dir,
+			Voters:    config.Electors,
+			Roles:     config.Jobs,
+		},
+		Sidecar:      cfg.Name,
+		Self:         cfg.Settings.Policy.Self,
+		Replicas:     cfg.Settings.Policy.Replicas,
+		Replaceable:  cfg.Passed > 0,
+		RoleHost:     p.Sidecar,
+		RankReceiver: p.Sidecar,
+		Lists:        p.Sidecar,
+		Faults:       p.Sidecar,
+		Servers:      p.Sidecar,
+		Rand:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		EventLoop:    shared.Companion(),
+		Log:          p.log,
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/process/hotrestart.go
+++ b/internal/process/hotrestart.go
@@ -15,7 +15,7 @@
 const (
 	// stateDirName is the directory for hot restarts, in the one for temporary files.
 	stateDirName = "hazelwheel"
-	// pollInterval is the time between two checks for operators' commands at a neighbour; every tenth also checks which processes live.
+	// pollInterval is the time between two checks for operators' commands at other processes; every tenth also checks which processes live.
 	pollInterval = 50 * time.Millisecond
 )
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// watchOtherProcesses reports to the event loop how many neighbours live, and that operators have given one of them commands.
+// watchOtherProcesses reports to the event loop how many other processes live, and that operators have given one of them commands.
 func (p *Process) watchOtherProcesses(others int) {
 	stamp := p.restartStore.OperatorStamp()
 	ticker := time.NewTicker(pollInterval)
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -51,7 +51,7 @@
 	passedSocket int
 	restartStore *hotrestart.Store // nil: no hot restarts
 
-	otherProcesses int // neighbours at the start
+	otherProcesses int // that served beside this one at the start
 	log            *slog.Logger
 	dumpLock       sync.Mutex    // held while a dump of the capture is written
 	stopped        chan struct{} // closed when the event loop has ended
@@ -97,7 +97,7 @@
 	debug.SetGCPercent(gcPercent)
 }
 
-// Run serves until the process is told to end and all its requests are answered. Each signal on reloads calls load, outside the event loop,
+// Run serves until the process is signalled to end and all its requests are answered. Each signal on reloads calls load, outside the event loop,
 // for a new configuration; each signal on dumps writes the capture to standard error.
 func (p *Process) Run(reloads, dumps <-chan os.Signal, load func() (sidecarconfig.Config, error)) error {
 	defer p.closeAfterLoop()
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -17,8 +17,16 @@
 		s.log.Error("send for an unknown request", "request", id)
 		return
 	}
-	a := &attempt{request: r, number: r.attemptsSent, serverID: serverID, requestedAt: s.turn.eventAt, sentAt: s.turn.eventAt,
-		deadline: r.deadline - s.responseMargin(), exchange: r.call.NewExchange(), frontend: r.frontend}
+	a := &attempt{
+		request:     r,
+		number:      r.attemptsSent,
+		serverID:    serverID,
+		requestedAt: s.turn.eventAt,
+		sentAt:      s.turn.eventAt,
+		deadline:    r.deadline - s.responseMargin(),
+		exchange:    r.call.NewExchange(),
+		frontend:    r.frontend,
+	}
 	r.attemptsSent++
 	r.attempts = append(r.attempts, a)
 	s.counters.Attempts++
@@ -43,7 +51,13 @@
 func (s *Sidecar) Probe(serverID uint32) {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionProbe, Host: serverID})
 	s.counters.Probes++
-	s.startAttempt(&attempt{serverID: serverID, sentAt: s.turn.eventAt, deadline: s.turn.eventAt + probeTimeoutSeconds, exchange: s.prober.NewProbe(), frontend: s.prober})
+	s.startAttempt(&attempt{
+		serverID: serverID,
+		sentAt:   s.turn.eventAt,
+		deadline: s.turn.eventAt + probeTimeoutSeconds,
+		exchange: s.prober.NewProbe(),
+		frontend: s.prober,
+	})
 }
 
 // CloseIdle closes the idle connections to a server.
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -12,6 +12,7 @@
 	responding
 )
 
+// String names the progress in log lines.
 func (p progress) String() string {
 	return [...]string{"not connected", "partly written", "fully written", "responding"}[p]
 }
@@ -27,6 +28,7 @@
 	malformed               // the response was malformed
 )
 
+// String names the cause in log lines.
 func (c cause) String() string {
 	return [...]string{"connection broken", "timed out", "cancelled", "superseded", "malformed response"}[c]
 }
@@ -38,6 +40,7 @@
 	err      error // of the network or the protocol; may be nil
 }
 
+// Error names the cause and the progress, with the error of the network.
 func (e *attemptError) Error() string {
 	text := e.cause.String() + ", " + e.progress.String()
 	if e.err != nil {
@@ -46,6 +49,7 @@
 	return text
 }
 
+// Unwrap returns the error of the network or the protocol.
 func (e *attemptError) Unwrap() error { return e.err }
 
 // outcome returns the policy's outcome of an attempt. Danger: an outcome that claims too much, namely that nothing can have run, makes a
--- a/internal/sidecar/clientresponse.go
+++ b/internal/sidecar/clientresponse.go
@@ -18,7 +18,7 @@
 	if c.request = nil; c.conn == nil {
 		return nil, false, false
 	}
-	// Danger: pipelined data was received, and is owed a response. A client that is told of the close sends it again. One that is not may
+	// Danger: pipelined data was received, and is owed a response. A client that is notified of the close sends it again. One that is not may
 	// be sending its next request by now; under a limit on connections it would find no other, so its connection is closed only when idle.
 	hasPipelined := c.input.Len() > 0
 	if canAnnounceClose {
--- a/internal/sidecar/descriptors.go
+++ b/internal/sidecar/descriptors.go
@@ -43,9 +43,9 @@
 	})
 }
 
-// ShareLimits divides descriptors and memory among this process and its neighbours on the host.
-func (s *Sidecar) ShareLimits(neighbours int) {
-	s.processes = neighbours + 1
+// ShareLimits divides descriptors and memory among this process and the others that serve beside it during a hot restart.
+func (s *Sidecar) ShareLimits(otherProcesses int) {
+	s.processes = otherProcesses + 1
 	s.log.Info("living by the limits", "processes", s.processes)
 	s.applyLimits()
 }
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -9,7 +9,7 @@
 	lastListError string  // of discovery's last object, which was malformed; empty: it was not
 }
 
-// isWatchUp reports whether the decisions count a watch as up: the sidecar's own, or a relay in its place.
+// isWatchUp reports whether the policy counts a watch as up: the sidecar's own, or a relay in its place.
 func (d *discovery) isWatchUp() bool {
 	return d.relay.isActive || d.watcher != nil && d.watcher.isUp
 }
--- a/internal/sidecar/faults.go
+++ b/internal/sidecar/faults.go
@@ -53,9 +53,9 @@
 	return min(fault.DelayMS/1000, maxDelayFraction*remainingSeconds)
 }
 
-// applyFault reports whether a fault applies to a request; then decide is called when its delay is over, or the request is aborted. Until
+// applyFault reports whether a fault applies to a request; then submit is called when its delay is over, or the request is aborted. Until
 // then the request is open like any other: its client may close, and its deadline holds. Danger: what is left of its time looks like that
-// of a client's late retry, and one whose latency target has passed since its first attempt is rejected; so the policy is told how long it
+// of a client's late retry, and one whose latency target has passed since its first attempt is rejected; so the policy is given how long it
 // was delayed.
 func (s *Sidecar) applyFault(r *request, class int, submit func(heldSeconds float64)) bool {
 	now := s.now()
--- a/internal/sidecar/fitness_test.go
+++ b/internal/sidecar/fitness_test.go
@@ -36,7 +36,7 @@
 	assert.Empty(t, evaluate(20, func() {}), "nothing to do")
 	assert.Equal(t, "cut off from boxes", evaluate(8, func() { outcomes.count(policy.ConnectFailed) }))
 	assert.Empty(t, evaluate(2, respond))
-	assert.Empty(t, evaluate(20, func() { respond(); outcomes.count(policy.TimedOut) }), "some boxes do not answer")
+	assert.Empty(t, evaluate(20, func() { respond(); outcomes.count(policy.TimedOut) }), "some servers do not respond")
 	assert.NoError(t, s.DrainByOperator())
 	assert.Equal(t, "drained", evaluate(2, respond))
 	assert.NoError(t, s.UndrainByOperator())
--- a/internal/sidecar/health.go
+++ b/internal/sidecar/health.go
@@ -13,8 +13,14 @@
 // never calls the loop.
 func (s *Sidecar) publishHealth() {
 	now := s.now()
-	s.healthServer.Publish(health.Snapshot{TakenAt: now, ListReadAt: s.discovery.listReadAt, Started: s.discovery.isListRead, Draining: s.lifecycle.closesAfterResponse(),
-		UsableServers: s.balancer.UsableHosts(now), Inflight: s.counters.OpenRequests})
+	s.healthServer.Publish(health.Snapshot{
+		TakenAt:       now,
+		ListReadAt:    s.discovery.listReadAt,
+		Started:       s.discovery.isListRead,
+		Draining:      s.lifecycle.closesAfterResponse(),
+		UsableServers: s.balancer.UsableHosts(now),
+		Inflight:      s.counters.OpenRequests,
+	})
 	s.timers.schedule(now+heartbeatIntervalSeconds, s.publishHealth)
 }
 
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -34,7 +34,7 @@
 	Cordon(server string) error
 	Uncordon(server string) error
 	SetDrained(on bool) error
-	// OperatorState returns the commands in effect, of this process and of its neighbours.
+	// OperatorState returns the commands in effect, of this process and of those that serve beside it.
 	OperatorState() (cordoned []string, drained bool, err error)
 	// Save takes a state over and returns at once.
 	Save(s hotrestart.State)
@@ -80,7 +80,11 @@
 
 // RestartState returns what the next process starts with; false: it is too large. It is for the event loop, between events.
 func (s *Sidecar) RestartState() (state hotrestart.State, ok bool) {
-	state = hotrestart.State{UnixSeconds: s.now(), SettingsHash: s.settingsHash(), EndpointList: s.endpoints.Export()}
+	state = hotrestart.State{
+		UnixSeconds:  s.now(),
+		SettingsHash: s.settingsHash(),
+		EndpointList: s.endpoints.Export(),
+	}
 	state.PolicyCheckpoint, ok = s.balancer.Checkpoint(nil, maxCheckpointBytes)
 	return state, ok
 }
@@ -120,7 +124,7 @@
 	return nil
 }
 
-// ReconcileOperatorState applies the stored commands of operators, which may have been given to a neighbour.
+// ReconcileOperatorState applies the stored commands of operators, which may have been given to another process.
 func (s *Sidecar) ReconcileOperatorState() {
 	cordoned, drained, err := s.restart.store.OperatorState()
 	if err != nil {
--- a/internal/sidecar/lifecycle.go
+++ b/internal/sidecar/lifecycle.go
@@ -3,13 +3,13 @@
 // lifecycle is how far a process is on its way to its end.
 type lifecycle struct {
 	isDrained         bool    // by operators, until they undo it
-	isShuttingDown    bool    // the process was told to end
-	shutdownStartedAt float64 // when it was
+	isShuttingDown    bool    // graceful shutdown has started
+	shutdownStartedAt float64 // valid if isShuttingDown
 	isReplaced        bool    // another process accepts connections in this one's place
-	isStopping        bool    // the event loop was told to stop
+	isStopping        bool    // the event loop is being stopped
 }
 
-// startShutdown notes that the process was told to end, and reports whether that is new.
+// startShutdown marks the start of the graceful shutdown, and reports whether that is new.
 func (l *lifecycle) startShutdown(now float64) bool {
 	if l.isShuttingDown {
 		return false
--- a/internal/sidecar/maintenance.go
+++ b/internal/sidecar/maintenance.go
@@ -74,12 +74,17 @@
 
 // EnableMaintenance makes the sidecar record what MaintainedServers returns. It comes before Start.
 func (s *Sidecar) EnableMaintenance() {
-	w := &maintenanceTracker{inflightField: slices.Index(s.cfg.Settings.Policy.ReportFields, policy.FieldInflight), attemptsEnded: map[uint32]uint64{}, reports: map[uint32]inflightReport{},
-		abandonedAt: map[uint32][]float64{}, brokenConns: map[uint32]brokenConnCount{}}
+	t := &maintenanceTracker{
+		inflightField: slices.Index(s.cfg.Settings.Policy.ReportFields, policy.FieldInflight),
+		attemptsEnded: map[uint32]uint64{},
+		reports:       map[uint32]inflightReport{},
+		abandonedAt:   map[uint32][]float64{},
+		brokenConns:   map[uint32]brokenConnCount{},
+	}
 	for _, c := range s.cfg.Settings.Policy.Classes {
-		w.maxAttemptSeconds = max(w.maxAttemptSeconds, c.TotalTimeoutSeconds)
+		t.maxAttemptSeconds = max(t.maxAttemptSeconds, c.TotalTimeoutSeconds)
 	}
-	s.maintenance = w
+	s.maintenance = t
 }
 
 // recordAttempt records the end of an attempt. Danger: a server does not know that an attempt was abandoned; maintenance would start under
@@ -107,8 +112,8 @@
 // one that broke while idle, which says nothing about its server; it sends less there, and a site that breaks all connections would not
 // count as lost.
 func (t *maintenanceTracker) isFailing(serverID uint32, now float64) bool {
-	h := t.brokenConns[serverID]
-	return h.count >= failingAfter && now-h.lastAt < failingSeconds
+	broken := t.brokenConns[serverID]
+	return broken.count >= failingAfter && now-broken.lastAt < failingSeconds
 }
 
 // openAttempts counts the abandoned attempts that may go on. A later load report without requests in flight ends all.
@@ -158,8 +163,18 @@
 		endpoint := s.endpoints.Host(id)
 		known := endpoint.Listing()
 		isOut, isKeptInUse := s.endpoints.MaintenanceState(endpoint.Name)
-		status := ServerStatus{Name: endpoint.Name, Zone: known.Zone, Type: known.Type, Weight: known.Weight, IsListed: known.IsListed, IsDraining: known.IsDraining, IsCordoned: s.endpoints.IsCordoned(endpoint.Name), IsKeptInUse: isKeptInUse,
-			InFlight: inFlight[id] + tracker.openAttempts(id, now), AttemptsEnded: tracker.attemptsEnded[id]}
+		status := ServerStatus{
+			Name:          endpoint.Name,
+			Zone:          known.Zone,
+			Type:          known.Type,
+			Weight:        known.Weight,
+			IsListed:      known.IsListed,
+			IsDraining:    known.IsDraining,
+			IsCordoned:    s.endpoints.IsCordoned(endpoint.Name),
+			IsKeptInUse:   isKeptInUse,
+			InFlight:      inFlight[id] + tracker.openAttempts(id, now),
+			AttemptsEnded: tracker.attemptsEnded[id],
+		}
 		if !status.IsListed && !isOut && !status.IsCordoned && status.InFlight == 0 {
 			continue
 		}
--- a/internal/sidecar/maintenance_test.go
+++ b/internal/sidecar/maintenance_test.go
@@ -20,7 +20,7 @@
 	r := &request{}
 	broken, left := &attemptError{fullyWritten, connBroken, errUnsolicited}, &attemptError{fullyWritten, cancelled, nil}
 	record(r, broken)
-	assert.False(t, tracker.isFailing(7, now), "one link may have died while idle")
+	assert.False(t, tracker.isFailing(7, now), "one connection may have broken while idle")
 	record(r, left)
 	record(nil, nil)
 	record(r, broken)
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -150,6 +150,7 @@
 // emptyFields is a header without fields.
 type emptyFields struct{}
 
+// Field implements quotas.FieldGetter.
 func (emptyFields) Field(string) string { return "" }
 
 // admitByQuota reports whether a request is within its group's quota, and charges it. One that is not has been rejected, finally: nothing
--- a/internal/sidecar/requeststats.go
+++ b/internal/sidecar/requeststats.go
@@ -48,8 +48,14 @@
 	}
 	for i, c := range s.counters.Classes {
 		reported, h := &s.requestStats.reported[i], s.requestStats.byClass[i]
-		all = append(all, ClassStats{Class: c.Class, Served: c.Served - reported.Served, Throttled: c.Throttled - reported.Throttled, Failed: c.Failed - reported.Failed,
-			Abandoned: c.Abandoned - reported.Abandoned, LatencyCounts: h.Export().Counts})
+		all = append(all, ClassStats{
+			Class:         c.Class,
+			Served:        c.Served - reported.Served,
+			Throttled:     c.Throttled - reported.Throttled,
+			Failed:        c.Failed - reported.Failed,
+			Abandoned:     c.Abandoned - reported.Abandoned,
+			LatencyCounts: h.Export().Counts,
+		})
 		*reported = c
 		h.Reset()
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -42,7 +42,7 @@
 
 	// The event loop.
 	timers     timers
-	wakeTimer  timer // the wake-up that the decisions asked for
+	wakeTimer  timer // the wake-up that the policy asked for
 	turn       loopTurn
 	loopDelay  loopDelay
 	fitness    fitness
@@ -94,10 +94,19 @@
 // those of the last frontend that has any. The error is that of a malformed endpoint list in cfg.Known, or of a capture that can't be
 // recorded.
 func New(cfg sidecarconfig.Config, features featureconfig.Features, frontends []Frontend, loop netio.EventLoop, log *slog.Logger) (*Sidecar, error) {
-	s := &Sidecar{cfg: cfg, log: log, net: loop, logLimiter: logLimiter{}, processes: 1,
-		endpoints: endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes), classes: map[string]int{},
-		requests: newRequestTable(), frontends: frontends, responseSlackSeconds: cfg.Settings.AnswerSlackS,
-		faults: faultinjection.New(features.Drills)}
+	s := &Sidecar{
+		cfg:                  cfg,
+		log:                  log,
+		net:                  loop,
+		logLimiter:           logLimiter{},
+		processes:            1,
+		endpoints:            endpointset.New(cfg.Settings.Zones, cfg.Settings.HostTypes),
+		classes:              map[string]int{},
+		requests:             newRequestTable(),
+		frontends:            frontends,
+		responseSlackSeconds: cfg.Settings.AnswerSlackS,
+		faults:               faultinjection.New(features.Drills),
+	}
 	s.clients.config = features.Admission
 	s.backends.idle = map[uint32][]*backendConn{}
 	s.restart.store = noStateStore{}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -164,7 +164,7 @@
 	}
 	conns[3].makeIdle()
 	h.Address = "b"
-	assert.Nil(t, s.takeIdleConn(h, nil), "a link to where the server was is of no use")
+	assert.Nil(t, s.takeIdleConn(h, nil), "a connection to the server's old address is of no use")
 	assert.True(t, conns[3].isClosed)
 }
 
@@ -180,7 +180,7 @@
 	assert.Same(t, sound, s.takeIdleConn(h, nil))
 	assert.True(t, withUnreadData.isClosed)
 	s.cfg.Limits.Sockets = 1000
-	assert.Nil(t, s.takeIdleConn(h, nil), "more of its answer may be on the way")
+	assert.Nil(t, s.takeIdleConn(h, nil), "more of its response may be on the way")
 	s.cfg.Limits.Sockets = 0
 	assert.Same(t, fresh, s.takeIdleConn(h, nil), "better than none")
 	assert.Nil(t, s.takeIdleConn(h, nil))
@@ -188,7 +188,7 @@
 
 // A fault delays a request for as long as it says, and leaves a fifth of the request's time for the send.
 func TestFaultLeavesTimeForTheSend(t *testing.T) {
-	for _, row := range []struct{ delayMS, leftS, want float64 }{{600, 10, 0.6}, {60_000, 15, 12}, {60_000, 1.5, 1.2}, {0, 3, 0}, {4000, 5, 4}} {
-		assert.InDelta(t, row.want, faultDelaySeconds(&faultinjection.Fault{DelayMS: row.delayMS}, row.leftS), 1e-9, "%v ms of %v s", row.delayMS, row.leftS)
+	for _, row := range []struct{ delayMS, remainingSeconds, want float64 }{{600, 10, 0.6}, {60_000, 15, 12}, {60_000, 1.5, 1.2}, {0, 3, 0}, {4000, 5, 4}} {
+		assert.InDelta(t, row.want, faultDelaySeconds(&faultinjection.Fault{DelayMS: row.delayMS}, row.remainingSeconds), 1e-9, "%v ms of %v s", row.delayMS, row.remainingSeconds)
 	}
 }
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -29,8 +29,13 @@
 // publishSnapshot publishes a snapshot every snapshotIntervalSeconds.
 func (s *Sidecar) publishSnapshot() {
 	now := s.now()
-	snapshot := &StatusSnapshot{TakenAt: now, IsShuttingDown: s.lifecycle.isShuttingDown, Classes: append([]classCounts(nil), s.counters.Classes...), RequestsWritten: s.counters.RequestsWritten,
-		OpenRequests: s.counters.OpenRequests}
+	snapshot := &StatusSnapshot{
+		TakenAt:         now,
+		IsShuttingDown:  s.lifecycle.isShuttingDown,
+		Classes:         append([]classCounts(nil), s.counters.Classes...),
+		RequestsWritten: s.counters.RequestsWritten,
+		OpenRequests:    s.counters.OpenRequests,
+	}
 	isAvoided := s.balancer.Ejected(now)
 	for h := range s.endpoints.Listed {
 		if snapshot.Servers++; h.State != policy.Ready || isAvoided(h.ID) {
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -105,7 +105,16 @@
 	s.timers.stop(r.faultTimer)
 	s.counters.attemptOutcomes.count(result.Outcome)
 	r.removeAttempt(a)
-	f := &stream{sidecar: s, attempt: a, backend: b, client: r.client, responder: origin, lastDataAt: now, lastReadAt: now, startedAt: now}
+	f := &stream{
+		sidecar:    s,
+		attempt:    a,
+		backend:    b,
+		client:     r.client,
+		responder:  origin,
+		lastDataAt: now,
+		lastReadAt: now,
+		startedAt:  now,
+	}
 	a.stream, r.stream, r.isAnswered, result.Final = f, f, true, true
 	s.streams.responses = append(s.streams.responses, f)
 	s.turn.events = append(s.turn.events, event{endedAttempt: a, result: result})
@@ -180,7 +189,7 @@
 	return !f.isPaused && now > f.attempt.request.deadline+lateStreamGraceSeconds && float64(f.receivedBytes) < minBytesPerSecond*(now-f.startedAt)
 }
 
-// finish ends a stream: with its last byte, or by closing the client's connection, which tells the client that the response is incomplete.
+// finish ends a stream: with its last byte, or by closing the client's connection, which marks the response as incomplete.
 func (f *stream) finish(end requestEnd) {
 	if f.isOver {
 		return
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -60,9 +60,21 @@
 	timeoutSeconds := min(in.TimeoutSeconds, maxRequestTimeoutSeconds)
 	deadline := c.sidecar.now() - waitedSeconds + timeoutSeconds
 	cutOffSeconds := max(deadline-c.sidecar.latestResponseAt(), 0)
-	r := &request{clientID: in.ID, className: c.sidecar.cfg.Settings.Policy.Classes[in.Class].Name, classIndex: in.Class, deadline: deadline - cutOffSeconds,
-		call: in.Call, responder: c.codec, client: c, body: in.Body, timeoutSeconds: timeoutSeconds, frontend: c.frontend, isAtMostOnce: in.AtMostOnce, isOneWay: in.IsOneWay,
-		quota: charge}
+	r := &request{
+		clientID:       in.ID,
+		className:      c.sidecar.cfg.Settings.Policy.Classes[in.Class].Name,
+		classIndex:     in.Class,
+		deadline:       deadline - cutOffSeconds,
+		call:           in.Call,
+		responder:      c.codec,
+		client:         c,
+		body:           in.Body,
+		timeoutSeconds: timeoutSeconds,
+		frontend:       c.frontend,
+		isAtMostOnce:   in.AtMostOnce,
+		isOneWay:       in.IsOneWay,
+		quota:          charge,
+	}
 	c.request = r
 	// Danger: the policy takes a deadline that is shorter than usual for a late retry's; what the shutdown cuts off is no sign of that.
 	q := policy.Request{Class: in.Class, Tenant: in.Tenant, HeldBackSeconds: waitedSeconds + cutOffSeconds, Repeat: in.IsRetry, Deadline: r.deadline}
--- a/internal/sidecar/usage.go
+++ b/internal/sidecar/usage.go
@@ -14,8 +14,14 @@
 
 // ResourceUsage returns what is held now. It is for the event loop, between callbacks.
 func (s *Sidecar) ResourceUsage() ResourceUsage {
-	h := ResourceUsage{Requests: s.requests.len(), ClientConns: len(s.clients.conns), BackendConns: s.descriptors.open - len(s.clients.conns),
-		Timers: s.timers.count, Events: len(s.turn.events), Servers: s.endpoints.Len()}
+	h := ResourceUsage{
+		Requests:     s.requests.len(),
+		ClientConns:  len(s.clients.conns),
+		BackendConns: s.descriptors.open - len(s.clients.conns),
+		Timers:       s.timers.count,
+		Events:       len(s.turn.events),
+		Servers:      s.endpoints.Len(),
+	}
 	if w := s.discovery.watcher; w != nil && w.conn != nil {
 		h.BackendConns--
 		h.BufferedBytes += w.input.Len()
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -47,7 +47,7 @@
 	sinceIndex       uint64 // the list's index that was asked from
 }
 
-// ensureWatch starts a watch. If one is up, the policy is told so at once.
+// ensureWatch starts a watch. If one is up, the policy is notified at once.
 func (s *Sidecar) ensureWatch() {
 	if s.discovery.relay.isActive {
 		s.pushEndpoints(policy.ListDelta, nil)
@@ -147,7 +147,7 @@
 	}
 }
 
-// handleHeartbeat handles an empty line. The first one tells the policy that the watch is up.
+// handleHeartbeat handles an empty line. The first one notifies the policy that the watch is up.
 func (w *watcher) handleHeartbeat() {
 	if !w.isUp {
 		w.isUp = true
@@ -159,7 +159,7 @@
 	}
 }
 
-// handleObject handles an object with a list or with changes. The first one tells the policy that the watch is up.
+// handleObject handles an object with a list or with changes. The first one notifies the policy that the watch is up.
 func (w *watcher) handleObject(object []byte) error {
 	if w.sidecar.discovery.relay.observer != nil {
 		return w.handleRelayedObject(object)
