--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -23,21 +23,22 @@
 	RunSpecs(t, "soak")
 }
 
-// sound is an outcome that breaks nothing.
+// validOutcome is an outcome that violates no rule.
 func validOutcome() Outcome {
 	now := time.Now()
-	return Outcome{ID: "id", Kind: NonIdempotent, Edge: "edge-0", Incarnation: 1, SentAt: now, EndedAt: now.Add(time.Millisecond), Status: 200, Body: expectedAnswer(NonIdempotent, "id"), HasStamp: true}
+	return Outcome{ID: "id", Kind: NonIdempotent, Edge: "edge-0", Incarnation: 1,
+		SentAt: now, EndedAt: now.Add(time.Millisecond), Status: 200, Body: expectedAnswer(NonIdempotent, "id"), HasStamp: true}
 }
 
-var _ = Describe("the checker", func() {
-	DescribeTable("notices a fault of each rule", func(rule Rule, happens func(c *Checker)) {
+var _ = Describe("Checker", func() {
+	DescribeTable("reports a violation of each rule", func(rule Rule, violate func(c *Checker)) {
 		c := NewChecker()
 		c.RequestSent("id", NonIdempotent)
 		c.RequestExecuted("id")
 		c.RequestEnded(validOutcome())
 		c.Finish()
-		Expect(c.Violations()).To(BeEmpty(), "nothing is wrong yet")
-		happens(c)
+		Expect(c.Violations()).To(BeEmpty(), "no violation yet")
+		violate(c)
 		c.Finish()
 		Expect(c.Violations()).To(HaveKey(rule))
 		Expect(c.Violations()).To(HaveLen(1))
@@ -102,7 +103,7 @@
 		}),
 	)
 
-	It("excuses what a machine's trouble explains, and nothing else", func() {
+	It("excuses an outcome that an intervention explains, and no other", func() {
 		c := NewChecker()
 		o := validOutcome()
 		o.Status, o.ConnectionClosed, o.Disturbed = 0, true, true
@@ -118,25 +119,25 @@
 	})
 })
 
-var _ = Describe("the trouble of a machine", func() {
+var _ = Describe("a disturbed machine", func() {
 	at := func(seconds float64) time.Time {
 		return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 	}
 
-	It("excuses what was under way when it was killed, and not what was read before it was told to end", func() {
+	It("excuses requests in flight when it was killed, and not those read before SIGTERM", func() {
 		killed := &machine{interventions: []intervention{{at(10), abrupt}}}
 		Expect(killed.wasDisturbed(at(9), at(10.01))).To(BeTrue())
 		Expect(killed.wasDisturbed(at(9), at(9.5))).To(BeFalse())
 		Expect(killed.wasDisturbed(at(15), at(15.1))).To(BeFalse())
 		ending := &machine{interventions: []intervention{{at(10), graceful}}}
-		Expect(ending.wasDisturbed(at(9), at(11))).To(BeFalse(), "it has been read, and is to be answered")
-		Expect(ending.wasDisturbed(at(9.95), at(11))).To(BeTrue(), "the two crossed")
+		Expect(ending.wasDisturbed(at(9), at(11))).To(BeFalse(), "it was read before SIGTERM and must be answered")
+		Expect(ending.wasDisturbed(at(9.95), at(11))).To(BeTrue(), "request and SIGTERM crossed")
 		Expect(ending.wasDisturbed(at(11), at(11.1))).To(BeTrue())
 	})
 })
 
 var _ = Describe("a process", func() {
-	// growing returns a process that lives, with samples that grow by so much each.
+	// growing returns a running process whose samples grow by the given amounts each.
 	growing := func(megabytes float64, descriptors int) *process {
 		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: &fleet{checker: NewChecker()}, cmd: exec.Command("none")}
 		for i := range 30 {
@@ -145,7 +146,7 @@
 		return p
 	}
 
-	It("that grows is noticed", func() {
+	It("that grows is reported", func() {
 		for _, p := range []*process{growing(2, 0), growing(0, 10)} {
 			p.checkGrowth(0)
 			Expect(p.fleet.checker.Violations()).To(HaveKey(ResourcesBounded))
@@ -155,9 +156,9 @@
 		Expect(p.fleet.checker.Violations()).To(BeEmpty())
 	})
 
-	// hungUp returns what the checker has seen of a process that SIGHUP ended.
+	// hungUp returns the checker after SIGHUP has terminated a process.
 	hungUp := func(early bool) *Checker {
-		// Danger: where these tests were begun with SIGHUP ignored, as nohup does, what they begin would ignore it too, and never end.
+		// Danger: if these tests were started with SIGHUP ignored, as by nohup, their child processes would inherit that and never exit.
 		caught := make(chan os.Signal, 1)
 		signal.Notify(caught, syscall.SIGHUP)
 		defer signal.Stop(caught)
@@ -173,29 +174,29 @@
 		return f.checker
 	}
 
-	It("that a SIGHUP ends is excused only before it can have begun", func() {
+	It("that SIGHUP terminates is excused only before its own code can have run", func() {
 		early := hungUp(true)
 		Expect(early.hungUpEarly).To(Equal(1))
 		Expect(early.Violations()).To(BeEmpty())
 		Expect(hungUp(false).Violations()).To(HaveKey(NoUnexpectedExit))
-		const looks = 100_000 // each takes processor time, also where this test is the first one
-		for range looks {
+		const readings = 100_000 // each takes processor time, also when this test is the first one
+		for range readings {
 			if cpuTime(os.Getpid()) > maxStartupCPUTime {
 				break
 			}
 		}
-		Expect(cpuTime(os.Getpid())).To(BeNumerically(">", maxStartupCPUTime), "a test that has run for a while")
+		Expect(cpuTime(os.Getpid())).To(BeNumerically(">", maxStartupCPUTime), "of a test that has run for a while")
 		Expect(cpuTime(-1)).To(BeZero())
 	})
 
-	It("that has begun anew since it was told to end is not waited for", func() {
+	It("that was started again since SIGTERM is not waited for", func() {
 		f := &fleet{settings: &Settings{}, checker: NewChecker(), log: GinkgoWriter}
 		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: f, cmd: exec.Command("none"), exited: make(chan struct{})}
 		p.awaitShutdown()
 		Expect(f.checker.Violations()).To(BeEmpty())
 	})
 
-	It("that ends by itself, or not in its grace, is noticed", func() {
+	It("that exits unasked, or not within its grace period, is reported", func() {
 		f := &fleet{settings: &Settings{Binary: "/bin/false"}, checker: NewChecker(), log: GinkgoWriter}
 		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: f}
 		Expect(p.start()).To(Succeed())
@@ -207,11 +208,11 @@
 	})
 })
 
-var _ = Describe("a process that stood still before it was told to end", func() {
-	It("has its time from then", func() {
+var _ = Describe("a process that was stopped before SIGTERM", func() {
+	It("has its grace period from SIGTERM on", func() {
 		f := &fleet{settings: &Settings{Binary: "/bin/cat"}, checker: NewChecker(), log: GinkgoWriter}
 		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: f, cmd: exec.Command("cat")}
-		_, err := p.cmd.StdinPipe() // it waits for what never comes
+		_, err := p.cmd.StdinPipe() // it waits for input that never arrives
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.cmd.Start()).To(Succeed())
 		DeferCleanup(func() {
@@ -225,19 +226,19 @@
 	})
 })
 
-var _ = Describe("a control machine that has come back", func() {
-	It("has to vote in its time", func() {
+var _ = Describe("a restarted control machine", func() {
+	It("must vote within the timeout", func() {
 		for _, votes := range []bool{true, false} {
 			listener, err := net.Listen("tcp4", "127.0.0.1:0")
 			Expect(err).NotTo(HaveOccurred())
-			told := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			server := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				fmt.Fprintf(w, `{"Votes": %v}`, votes)
 			})}
-			go func() { _ = told.Serve(listener) }()
-			DeferCleanup(told.Close)
+			go func() { _ = server.Serve(listener) }()
+			DeferCleanup(server.Close)
 			c := NewChecker()
 			p := newFaultInjector(&fleet{settings: &Settings{}, basePort: listener.Addr().(*net.TCPAddr).Port}, c, 1)
-			p.voteTimeout = 0 // its time is over at the first look
+			p.voteTimeout = 0 // over at the first poll
 			p.awaitVote(&machine{ip: "127.0.0.1", name: "core-0"})
 			if votes {
 				Expect(c.Violations()).To(BeEmpty())
@@ -248,8 +249,8 @@
 	})
 })
 
-var _ = Describe("a machine whose disk is lost", func() {
-	It("does not start as one of a fleet that starts for the first time", func() {
+var _ = Describe("a machine that has lost its disk", func() {
+	It("does not start with Bootstrap", func() {
 		s := &Settings{Processes: 7}
 		f := newFleet(s, NewChecker(), GinkgoT().TempDir(), "127.0.0.1:1")
 		m := f.controlMachines[0]
@@ -262,11 +263,11 @@
 	})
 })
 
-var _ = Describe("the configuration that a control machine tells in the end", func() {
-	DescribeTable("must be the one that was confirmed last, or a later one", func(told string, broken bool) {
+var _ = Describe("the configuration read back from a control machine", func() {
+	DescribeTable("must be the confirmed one, or a later one", func(answer string, isViolation bool) {
 		o := &operator{checker: NewChecker(), confirmedVersion: 7, confirmedConfig: []byte(`{"Version":7}`)}
-		o.checkConfig(&machine{name: "core-0"}, told)
-		if broken {
+		o.checkConfig(&machine{name: "core-0"}, answer)
+		if isViolation {
 			Expect(o.checker.Violations()).To(HaveKey(ConfigurationConfirmed))
 		} else {
 			Expect(o.checker.Violations()).To(BeEmpty())
@@ -275,8 +276,8 @@
 		Entry("another of that number", `{"Version":7,"Routes":[]}`, true), Entry("no configuration", `{`, true))
 })
 
-var _ = Describe("settings that can't be kept", func() {
-	DescribeTable("are refused in one line that names them", func(s Settings, text string) {
+var _ = Describe("invalid settings", func() {
+	DescribeTable("are rejected in one line that names the flag", func(s Settings, text string) {
 		Expect(s.Validate()).To(MatchError(ContainSubstring(text)))
 	},
 		Entry("too few processes", Settings{Processes: 3, FaultDuration: time.Minute}, "--processes 3: want 7 at least"),
@@ -286,7 +287,7 @@
 })
 
 var _ = Describe("a fleet of real processes", func() {
-	It("keeps all rules for half a minute of faults", func() {
+	It("violates no rule in half a minute of faults", func() {
 		binary := filepath.Join(GinkgoT().TempDir(), "hazelfleet")
 		out, err := exec.Command("go", "build", "-o", binary, "hazelwheel/cmd/hazelfleet").CombinedOutput()
 		Expect(err).NotTo(HaveOccurred(), string(out))
