--- /dev/null
+++ b/internal/lab/soak/checker_test.go
@@ -0,0 +1,104 @@
+package soak
+
+import (
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+)
+
+// validOutcome is an outcome that violates no rule.
+func validOutcome() Outcome {
+	now := time.Now()
+	return Outcome{ID: "id", Kind: NonIdempotent, Edge: "edge-0", Incarnation: 1,
+		SentAt: now, EndedAt: now.Add(time.Millisecond), Status: 200, Body: expectedAnswer(NonIdempotent, "id"), HasStamp: true}
+}
+
+var _ = Describe("Checker", func() {
+	DescribeTable("reports a violation of each rule", func(rule Rule, violate func(c *Checker)) {
+		c := NewChecker()
+		c.RequestSent("id", NonIdempotent)
+		c.RequestExecuted("id")
+		c.RequestEnded(validOutcome())
+		c.Finish()
+		Expect(c.Violations()).To(BeEmpty(), "no violation yet")
+		violate(c)
+		c.Finish()
+		Expect(c.Violations()).To(HaveKey(rule))
+		Expect(c.Violations()).To(HaveLen(1))
+	},
+		Entry(nil, AtMostOnce, func(c *Checker) { c.RequestExecuted("id") }),
+		Entry(nil, AnswerIsOwn, func(c *Checker) {
+			o := validOutcome()
+			o.Body = expectedAnswer(NonIdempotent, "other")
+			c.RequestEnded(o)
+		}),
+		Entry(nil, AnswerIsOwn, func(c *Checker) { o := validOutcome(); o.HasStamp = false; c.RequestEnded(o) }),
+		Entry(nil, RefusedNotExecuted, func(c *Checker) { o := validOutcome(); o.Status = 503; c.RequestEnded(o) }),
+		Entry(nil, RefusedNotExecuted, func(c *Checker) {
+			c.RequestSent("later", NonIdempotent)
+			o := validOutcome()
+			o.ID, o.Status = "later", 503
+			c.RequestEnded(o)
+			c.RequestExecuted("later")
+		}),
+		Entry(nil, AnswerIsOwn, func(c *Checker) {
+			o := validOutcome()
+			o.Kind, o.Status, o.ConnectionClosed, o.Body = ResumableFeed, 0, true, feedEvent("id", 2)
+			c.RequestEnded(o)
+		}),
+		Entry(nil, BodyIntact, func(c *Checker) { c.RequestBodyReceived("id", "body of i") }),
+		Entry(nil, AlwaysAnswered, func(c *Checker) { o := validOutcome(); o.Status, o.ConnectionClosed = 0, true; c.RequestEnded(o) }),
+		Entry(nil, AlwaysAnswered, func(c *Checker) { o := validOutcome(); o.Status, o.TimedOut = 0, true; c.RequestEnded(o) }),
+		Entry(nil, ConfigurationMonotonic, func(c *Checker) {
+			o := validOutcome()
+			o.Route = 7
+			c.RequestEnded(o)
+			o.Route, o.Status = 6, 404
+			c.RequestEnded(o)
+		}),
+		Entry(nil, ConfigurationInForce, func(c *Checker) {
+			o := validOutcome()
+			c.ConfigurationAcknowledged(3, o.SentAt.Add(-time.Minute))
+			o.Route, o.Status = 3, 404
+			c.RequestEnded(o)
+		}),
+		Entry(nil, AddedRoutesServed, func(c *Checker) {
+			for range minRequestsForRatio {
+				o := validOutcome()
+				c.RequestEnded(o)
+				o.Route, o.Status = 1, 502
+				c.RequestEnded(o)
+			}
+		}),
+		Entry(nil, KindsServed, func(c *Checker) {
+			for range minRequestsForRatio {
+				o := validOutcome()
+				c.RequestEnded(o)
+				o.Kind, o.Status = Prompt, 503
+				c.RequestEnded(o)
+			}
+		}),
+		Entry(nil, ServiceRecovered, func(c *Checker) {
+			o := validOutcome()
+			c.ExpectServiceFrom(o.SentAt.Add(-time.Second))
+			o.Status = 502
+			c.RequestEnded(o)
+		}),
+	)
+
+	It("excuses an outcome that an intervention explains, and no other", func() {
+		c := NewChecker()
+		o := validOutcome()
+		o.Status, o.ConnectionClosed, o.Disturbed = 0, true, true
+		c.RequestEnded(o)
+		o = validOutcome()
+		o.Status, o.DialFailed = 0, true
+		c.RequestEnded(o)
+		c.ConfigurationAcknowledged(3, time.Now())
+		o = validOutcome()
+		o.Route, o.Status = 3, 404
+		c.RequestEnded(o)
+		Expect(c.Violations()).To(BeEmpty())
+	})
+})
--- /dev/null
+++ b/internal/lab/soak/process_test.go
@@ -0,0 +1,102 @@
+package soak
+
+import (
+	"os"
+	"os/exec"
+	"os/signal"
+	"syscall"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+)
+
+var _ = Describe("a process", func() {
+	// growing returns a running process whose samples grow by the given amounts each.
+	growing := func(megabytes float64, descriptors int) *process {
+		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: &fleet{checker: NewChecker()}, cmd: exec.Command("none")}
+		for i := range 30 {
+			p.samples = append(p.samples, resourceSample{megabytes: 20 + megabytes*float64(i), descriptors: 40 + descriptors*i})
+		}
+		return p
+	}
+
+	It("that grows is reported", func() {
+		for _, p := range []*process{growing(2, 0), growing(0, 10)} {
+			p.checkGrowth(0)
+			Expect(p.fleet.checker.Violations()).To(HaveKey(ResourcesBounded))
+		}
+		p := growing(0.1, 0)
+		p.checkGrowth(0)
+		Expect(p.fleet.checker.Violations()).To(BeEmpty())
+	})
+
+	// hungUp returns the checker after SIGHUP has terminated a process.
+	hungUp := func(early bool) *Checker {
+		// Danger: if these tests were started with SIGHUP ignored, as by nohup, their child processes would inherit that and never exit.
+		caught := make(chan os.Signal, 1)
+		signal.Notify(caught, syscall.SIGHUP)
+		defer signal.Stop(caught)
+		f := &fleet{settings: &Settings{}, checker: NewChecker(), log: GinkgoWriter}
+		cmd := exec.Command("cat")
+		_, err := cmd.StdinPipe()
+		Expect(err).NotTo(HaveOccurred())
+		Expect(cmd.Start()).To(Succeed())
+		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: f, cmd: cmd}
+		p.signal(syscall.SIGHUP)
+		p.hungUpEarly = early
+		p.awaitExit(cmd, make(chan struct{}))
+		return f.checker
+	}
+
+	It("that SIGHUP terminates is excused only before its own code can have run", func() {
+		early := hungUp(true)
+		Expect(early.hungUpEarly).To(Equal(1))
+		Expect(early.Violations()).To(BeEmpty())
+		Expect(hungUp(false).Violations()).To(HaveKey(NoUnexpectedExit))
+		const readings = 100_000 // each takes processor time, also when this test is the first one
+		for range readings {
+			if cpuTime(os.Getpid()) > maxStartupCPUTime {
+				break
+			}
+		}
+		Expect(cpuTime(os.Getpid())).To(BeNumerically(">", maxStartupCPUTime), "of a test that has run for a while")
+		Expect(cpuTime(-1)).To(BeZero())
+	})
+
+	It("that was started again since SIGTERM is not waited for", func() {
+		f := &fleet{settings: &Settings{}, checker: NewChecker(), log: GinkgoWriter}
+		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: f, cmd: exec.Command("none"), exited: make(chan struct{})}
+		p.awaitShutdown()
+		Expect(f.checker.Violations()).To(BeEmpty())
+	})
+
+	It("that exits unasked, or not within its grace period, is reported", func() {
+		f := &fleet{settings: &Settings{Binary: "/bin/false"}, checker: NewChecker(), log: GinkgoWriter}
+		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: f}
+		Expect(p.start()).To(Succeed())
+		Eventually(f.checker.Violations).WithTimeout(10 * time.Second).Should(HaveKey(NoUnexpectedExit))
+		f.checker = NewChecker()
+		p.stopRequested = true
+		p.awaitExit(exec.Command("/bin/none"), make(chan struct{}))
+		Expect(f.checker.Violations()).To(HaveKey(GracefulShutdown))
+	})
+})
+
+var _ = Describe("a process that was stopped before SIGTERM", func() {
+	It("has its grace period from SIGTERM on", func() {
+		f := &fleet{settings: &Settings{Binary: "/bin/cat"}, checker: NewChecker(), log: GinkgoWriter}
+		p := &process{role: roleAgent, machine: &machine{name: "edge-0"}, fleet: f, cmd: exec.Command("cat")}
+		_, err := p.cmd.StdinPipe() // it waits for input that never arrives
+		Expect(err).NotTo(HaveOccurred())
+		Expect(p.cmd.Start()).To(Succeed())
+		DeferCleanup(func() {
+			Expect(p.cmd.Process.Kill()).To(Succeed())
+			_ = p.cmd.Wait() // it was killed
+		})
+		p.signal(syscall.SIGSTOP)
+		Expect(p.terminatedAt).To(BeZero())
+		p.signal(syscall.SIGTERM)
+		Expect(p.terminatedAt).To(BeTemporally("~", time.Now(), time.Minute))
+	})
+})
