--- /dev/null
+++ b/internal/lab/maintenanceagent/record_form_test.go
@@ -0,0 +1,24 @@
+package maintenanceagent
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// TestRecordForm fixes the JSON of records, which is part of printed reports, to the bytes of testdata/record.json.
+func TestRecordForm(t *testing.T) {
+	start := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
+	record := Record{Mechanic: "anna", Box: "a", Token: 7, Forced: "by force", From: start, To: start.Add(time.Minute), Said: []string{"it has ended"}}
+	golden, err := os.ReadFile("testdata/record.json")
+	require.NoError(t, err)
+	encoded, err := json.Marshal(record)
+	require.NoError(t, err)
+	require.Equal(t, string(golden), string(encoded)+"\n")
+	var decoded Record
+	require.NoError(t, json.Unmarshal(golden, &decoded))
+	require.Equal(t, record, decoded)
+}
