--- a/cmd/hazellab/mechanic.go
+++ b/cmd/hazellab/mechanic.go
@@ -42,8 +42,8 @@
 	ctx, stop := untilSignal(ctx)
 	defer stop()
 	out := c.Root().Writer
-	m := &maintenanceagent.Mechanic{Name: c.String("name"), Doors: func() []string { return doors }, Takes: func(string) time.Duration { return c.Duration("takes") },
-		Twice: c.Bool("twice"), Hands: func(box string, on bool) {
+	m := &maintenanceagent.Agent{Name: c.String("name"), AdminEndpoints: func() []string { return doors }, WorkDuration: func(string) time.Duration { return c.Duration("takes") },
+		CompletesTwice: c.Bool("twice"), OnWork: func(box string, on bool) {
 			if on {
 				fmt.Fprintln(out, "works on", box)
 			} else {
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -29,7 +29,7 @@
 type yard struct {
 	*crew
 	boxes     []*box
-	mechanics []*maintenanceagent.Mechanic
+	mechanics []*maintenanceagent.Agent
 	plans     []maintenance.Spec
 	times     map[string]int // that a box is in a plan, by name
 	serving   func()         // ends the clients and judges what they got
@@ -133,8 +133,8 @@
 }
 
 // mechanic has somebody work until the test ends or what it returns is called.
-func (y *yard) mechanic(name string, change func(m *maintenanceagent.Mechanic)) (m *maintenanceagent.Mechanic, stop func()) {
-	m = &maintenanceagent.Mechanic{Name: name, Takes: func(string) time.Duration { return takesIn }, Doors: y.doors}
+func (y *yard) mechanic(name string, change func(m *maintenanceagent.Agent)) (m *maintenanceagent.Agent, stop func()) {
+	m = &maintenanceagent.Agent{Name: name, WorkDuration: func(string) time.Duration { return takesIn }, AdminEndpoints: y.doors}
 	if change != nil {
 		change(m)
 	}
@@ -143,7 +143,7 @@
 }
 
 // runs has a mechanic begin, or begin again.
-func (y *yard) runs(m *maintenanceagent.Mechanic) (stop func()) {
+func (y *yard) runs(m *maintenanceagent.Agent) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() {
@@ -345,7 +345,7 @@
 	for _, m := range y.mechanics {
 		all = append(all, m.Records()...)
 	}
-	slices.SortFunc(all, func(a, b maintenanceagent.Record) int { return a.From.Compare(b.From) })
+	slices.SortFunc(all, func(a, b maintenanceagent.Record) int { return a.StartedAt.Compare(b.StartedAt) })
 	return all
 }
 
@@ -354,25 +354,25 @@
 func (y *yard) judge() {
 	all := y.records()
 	for _, r := range all {
-		i := slices.IndexFunc(y.boxes, func(b *box) bool { return b.name == r.Box })
-		require.GreaterOrEqual(y, i, 0, r.Box)
+		i := slices.IndexFunc(y.boxes, func(b *box) bool { return b.name == r.Server })
+		require.GreaterOrEqual(y, i, 0, r.Server)
 		b := y.boxes[i]
-		to := r.To
+		to := r.EndedAt
 		if to.IsZero() {
 			to = time.Now()
 		}
-		forced := slices.ContainsFunc(all, func(o maintenanceagent.Record) bool { return o.Token == r.Token && o.Forced != "" })
+		forced := slices.ContainsFunc(all, func(o maintenanceagent.Record) bool { return o.Token == r.Token && o.ForcedReason != "" })
 		b.mu.Lock()
 		for _, v := range b.came {
-			open := v.from.Before(to) && (v.to.IsZero() || v.to.After(r.From))
-			late := v.from.After(r.From.Add(-y.settle())) && v.from.Before(to)
+			open := v.from.Before(to) && (v.to.IsZero() || v.to.After(r.StartedAt))
+			late := v.from.After(r.StartedAt.Add(-y.settle())) && v.from.Before(to)
 			if (open || late) && y.wasGone(v) {
 				y.past++
 				continue
 			}
 			if (open || late) && !forced {
-				assert.Fail(y, "a box in use is worked on", "%s by %s under %s: a request came %v after the work began, and was out until %v", r.Box, r.Mechanic, formatToken(r.Token),
-					v.from.Sub(r.From), v.to.Sub(r.From))
+				assert.Fail(y, "a box in use is worked on", "%s by %s under %s: a request came %v after the work began, and was out until %v", r.Server, r.Agent, formatToken(r.Token),
+					v.from.Sub(r.StartedAt), v.to.Sub(r.StartedAt))
 				break
 			}
 		}
@@ -380,8 +380,8 @@
 	}
 	tokens := map[string][]uint64{}
 	for _, r := range all {
-		if !slices.Contains(tokens[r.Box], r.Token) {
-			tokens[r.Box] = append(tokens[r.Box], r.Token)
+		if !slices.Contains(tokens[r.Server], r.Token) {
+			tokens[r.Server] = append(tokens[r.Server], r.Token)
 		}
 	}
 	for name, of := range tokens {
@@ -395,9 +395,9 @@
 	for _, r := range all {
 		out := map[string]bool{}
 		for _, o := range all { // who is out or cold when the work on this one begins
-			until := o.To.Add(y.cold())
-			if !o.From.After(r.From) && (o.To.IsZero() || until.After(r.From)) {
-				out[o.Box] = true
+			until := o.EndedAt.Add(y.cold())
+			if !o.StartedAt.After(r.StartedAt) && (o.EndedAt.IsZero() || until.After(r.StartedAt)) {
+				out[o.Server] = true
 			}
 		}
 		assert.LessOrEqual(y, len(out), cmp.Or(most, 1), "%v are out or cold at once", out)
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -42,7 +42,9 @@
 // lost it, one that was killed before the box left and has never heard of it; and one reads its configuration again.
 func TestWorkSidecarsStart(t *testing.T) {
 	y := newYard(t, 6, 3, 3).open()
-	y.mechanic("anna", func(m *maintenanceagent.Mechanic) { m.Takes = func(string) time.Duration { return 12 * time.Second } })
+	y.mechanic("anna", func(m *maintenanceagent.Agent) {
+		m.WorkDuration = func(string) time.Duration { return 12 * time.Second }
+	})
 	before := y.all[5]
 	before.kill()
 	b := y.boxes[1]
@@ -248,8 +250,8 @@
 func TestWorkIsAborted(t *testing.T) {
 	y := newYard(t, 3, 3, 6).open()
 	long := make(chan struct{})
-	y.mechanic("anna", func(m *maintenanceagent.Mechanic) {
-		m.Takes = func(string) time.Duration { <-long; return 0 }
+	y.mechanic("anna", func(m *maintenanceagent.Agent) {
+		m.WorkDuration = func(string) time.Duration { <-long; return 0 }
 	})
 	b := y.hold(y.all[0], "write")
 	others := slices.DeleteFunc(slices.Clone(y.boxes), func(o *box) bool { return o == b })
@@ -280,9 +282,9 @@
 func TestWorkMechanics(t *testing.T) {
 	y := newYard(t, 3, 3, 3).open()
 	owner := y.owner(y.all...)
-	slow := func(m *maintenanceagent.Mechanic) {
-		m.Takes = func(string) time.Duration { return 4 * time.Second }
-		m.Twice = true
+	slow := func(m *maintenanceagent.Agent) {
+		m.WorkDuration = func(string) time.Duration { return 4 * time.Second }
+		m.CompletesTwice = true
 	}
 	anna, dies := y.mechanic("anna", slow)
 	y.plan(owner, "takes = \"1s\"\nlate = \"2s\"", y.boxes[:1]...)
@@ -294,10 +296,10 @@
 	again := y.runs(anna)
 	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 	again()
-	assert.Zero(t, anna.Refused())
+	assert.Zero(t, anna.RejectedGrants())
 	for _, r := range y.records() {
 		assert.Equal(t, first.Token, r.Token)
-		assert.Empty(t, r.Said, "done is done, however often it is said")
+		assert.Empty(t, r.CompletionErrors, "done is done, however often it is said")
 	}
 
 	bob, stop := y.mechanic("bob", slow)
@@ -305,8 +307,8 @@
 	p := y.ended()
 	assert.Equal(t, maintenance.Lost, p.Servers[0].Stage)
 	assert.Equal(t, "bob had it for longer than 2 s", p.Servers[0].Reason)
-	y.poll("his word came too late", func() bool { r := bob.Records(); return len(r) == 1 && len(r[0].Said) == 2 })
-	assert.Contains(t, bob.Records()[0].Said[0], "is not worked on under")
+	y.poll("his word came too late", func() bool { r := bob.Records(); return len(r) == 1 && len(r[0].CompletionErrors) == 2 })
+	assert.Contains(t, bob.Records()[0].CompletionErrors[0], "is not worked on under")
 	stop()
 	lost := y.boxes[1].got()
 	asked := owner.asked.Load()
@@ -345,8 +347,8 @@
 		t.Run(name, func(t *testing.T) {
 			y := newYard(t, 3, 3, 4).open()
 			over := make(chan struct{})
-			y.mechanic("anna", func(m *maintenanceagent.Mechanic) {
-				m.Takes = func(string) time.Duration { <-over; return 0 }
+			y.mechanic("anna", func(m *maintenanceagent.Agent) {
+				m.WorkDuration = func(string) time.Duration { <-over; return 0 }
 			})
 			b := y.boxes[0]
 			moved := &box{server: newServer(t, b.name, nil), site: b.site}
@@ -466,8 +468,8 @@
 	m.env = append(m.env, "TMPDIR="+m.tmp, "GW_PASSED_SOCKET=4")
 	y.open()
 	over := make(chan struct{})
-	y.mechanic("anna", func(m *maintenanceagent.Mechanic) {
-		m.Takes = func(string) time.Duration { <-over; return 0 }
+	y.mechanic("anna", func(m *maintenanceagent.Agent) {
+		m.WorkDuration = func(string) time.Duration { <-over; return 0 }
 	})
 	b := y.boxes[0]
 	y.plan(y.all[0], "", b)
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -123,9 +123,9 @@
 			}
 			y.open()
 			var away atomic.Bool // the mechanic is: else the plan could come to its end while somebody starts again
-			y.mechanic("anna", func(m *maintenanceagent.Mechanic) {
-				m.Takes = func(string) time.Duration { return time.Second }
-				m.Doors = func() []string {
+			y.mechanic("anna", func(m *maintenanceagent.Agent) {
+				m.WorkDuration = func(string) time.Duration { return time.Second }
+				m.AdminEndpoints = func() []string {
 					if away.Load() {
 						return nil
 					}
@@ -190,10 +190,10 @@
 			}
 			y.pollFor(6*patience, "a box is handed over", func() bool {
 				all := y.records()
-				if over() && !all[len(all)-1].From.After(from) {
+				if over() && !all[len(all)-1].StartedAt.After(from) {
 					give() // none was left
 				}
-				return len(all) > 0 && all[len(all)-1].From.After(from)
+				return len(all) > 0 && all[len(all)-1].StartedAt.After(from)
 			})
 			y.stood = append(y.stood, standing{old, from, time.Now()})
 			old.thaw()
--- a/internal/lab/maintenanceagent/mechanic.go
+++ b/internal/lab/maintenanceagent/mechanic.go
@@ -21,23 +21,23 @@
 
 // Record is one piece of work. To is the zero time while it goes on.
 type Record struct {
-	Mechanic string    `json:"mechanic"`
-	Box      string    `json:"box"`
-	Token    uint64    `json:"token"`
-	Forced   string    `json:"forced,omitempty"` // what the reply said of it
-	From     time.Time `json:"from"`
-	To       time.Time `json:"to"`
-	Said     []string  `json:"said,omitempty"` // the answers to done; empty: it was taken
+	Agent            string    `json:"mechanic"`
+	Server           string    `json:"box"`
+	Token            uint64    `json:"token"`
+	ForcedReason     string    `json:"forced,omitempty"` // what the reply said of it
+	StartedAt        time.Time `json:"from"`
+	EndedAt          time.Time `json:"to"`
+	CompletionErrors []string  `json:"said,omitempty"` // the answers to done; empty: it was taken
 }
 
 // Mechanic works on boxes, one at a time. Its fields are set before Run and not changed after.
-type Mechanic struct {
-	Name  string
-	Doors func() []string                // any of them is asked
-	Takes func(box string) time.Duration // how long the work on a box takes
-	Hands func(box string, on bool)      // does the work: called when it begins and ends; may be nil
-	Every time.Duration                  // between two questions; 0: a fifth of a second
-	Twice bool                           // it says done again, as another command
+type Agent struct {
+	Name           string
+	AdminEndpoints func() []string                // any of them is asked
+	WorkDuration   func(box string) time.Duration // how long the work on a box takes
+	OnWork         func(box string, on bool)      // does the work: called when it begins and ends; may be nil
+	PollInterval   time.Duration                  // between two questions; 0: a fifth of a second
+	CompletesTwice bool                           // it says done again, as another command
 
 	mu       sync.Mutex
 	records  []Record
@@ -47,27 +47,27 @@
 }
 
 // Records returns what was done so far.
-func (m *Mechanic) Records() []Record {
+func (m *Agent) Records() []Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.records)
 }
 
 // Refused returns how many boxes it was handed under a token that was not greater than one before.
-func (m *Mechanic) Refused() int {
+func (m *Agent) RejectedGrants() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.refused
 }
 
 // Run works until ctx ends. A box that it has then it dies with; the next Run goes on with it, if it is handed the same again.
-func (m *Mechanic) Run(ctx context.Context) {
-	every := m.Every
+func (m *Agent) Run(ctx context.Context) {
+	every := m.PollInterval
 	if every == 0 {
 		every = 200 * time.Millisecond
 	}
 	for ctx.Err() == nil {
-		r, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.AcquireServer, Agent: m.Name})
+		r, err := Execute(ctx, m.AdminEndpoints, maintenance.Command{Kind: maintenance.AcquireServer, Agent: m.Name})
 		if err != nil || r.Err != "" || r.Server == "" || !m.accept(&r) {
 			pause(ctx, every)
 			continue
@@ -78,7 +78,7 @@
 
 // accept tells whether a box that is handed over is worked on. Danger: a token that is not greater than one before is the word of who
 // was replaced meanwhile, and the box may have come back since.
-func (m *Mechanic) accept(r *maintenance.Reply) bool {
+func (m *Agent) accept(r *maintenance.Reply) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	same := r.Server == m.has.Server && r.Token == m.has.Token
@@ -90,37 +90,37 @@
 	return true
 }
 
-func (m *Mechanic) work(ctx context.Context, r *maintenance.Reply) {
+func (m *Agent) work(ctx context.Context, r *maintenance.Reply) {
 	m.mu.Lock()
-	m.records = append(m.records, Record{Mechanic: m.Name, Box: r.Server, Token: r.Token, Forced: r.Text, From: time.Now()})
+	m.records = append(m.records, Record{Agent: m.Name, Server: r.Server, Token: r.Token, ForcedReason: r.Text, StartedAt: time.Now()})
 	at := len(m.records) - 1
 	m.mu.Unlock()
-	if m.Hands != nil {
-		m.Hands(r.Server, true)
+	if m.OnWork != nil {
+		m.OnWork(r.Server, true)
 	}
-	whole := pause(ctx, m.Takes(r.Server))
-	if whole && m.Hands != nil {
-		m.Hands(r.Server, false)
+	whole := pause(ctx, m.WorkDuration(r.Server))
+	if whole && m.OnWork != nil {
+		m.OnWork(r.Server, false)
 	}
 	m.mu.Lock()
-	m.records[at].To = time.Now()
+	m.records[at].EndedAt = time.Now()
 	m.mu.Unlock()
 	if !whole {
 		return
 	}
 	times := 1
-	if m.Twice {
+	if m.CompletesTwice {
 		times = 2
 	}
 	for range times {
 		for ctx.Err() == nil {
-			said, err := Say(ctx, m.Doors, maintenance.Command{Kind: maintenance.CompleteServer, Server: r.Server, Token: r.Token})
+			said, err := Execute(ctx, m.AdminEndpoints, maintenance.Command{Kind: maintenance.CompleteServer, Server: r.Server, Token: r.Token})
 			if err != nil {
 				continue // nobody has heard it, or it is not known: it is said until somebody has
 			}
 			m.mu.Lock()
 			if m.has = (maintenance.Reply{}); said.Err != "" {
-				m.records[at].Said = append(m.records[at].Said, said.Err)
+				m.records[at].CompletionErrors = append(m.records[at].CompletionErrors, said.Err)
 			}
 			m.mu.Unlock()
 			break
@@ -146,10 +146,10 @@
 )
 
 // ErrUnknown is the fault of a command that nobody has answered: it may or may not be done.
-var ErrUnknown = errors.New("nobody has answered")
+var ErrOutcomeUnknown = errors.New("nobody has answered")
 
 // Say has a command done by any of the doors: it is said again with the same nonce, at another door where one does not answer.
-func Say(ctx context.Context, doors func() []string, c maintenance.Command) (r maintenance.Reply, err error) {
+func Execute(ctx context.Context, doors func() []string, c maintenance.Command) (r maintenance.Reply, err error) {
 	for c.Nonce == 0 {
 		c.Nonce = rand.Uint64()
 	}
@@ -165,7 +165,7 @@
 		if len(all) == 0 {
 			continue
 		}
-		answer, err := Call(ctx, all[at%len(all)], "WORK "+string(raw))
+		answer, err := SendLine(ctx, all[at%len(all)], "WORK "+string(raw))
 		switch {
 		case err != nil:
 			last = err
@@ -179,11 +179,11 @@
 			return r, json.Unmarshal(answer, &r)
 		}
 	}
-	return r, fmt.Errorf("%w: %w", ErrUnknown, last)
+	return r, fmt.Errorf("%w: %w", ErrOutcomeUnknown, last)
 }
 
 // Call says one line at a door and returns the line that it answers.
-func Call(ctx context.Context, door, line string) ([]byte, error) {
+func SendLine(ctx context.Context, door, line string) ([]byte, error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(callWithin))
 	defer cancel()
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", door)
--- a/internal/lab/maintenanceagent/mechanic_test.go
+++ b/internal/lab/maintenanceagent/mechanic_test.go
@@ -75,8 +75,8 @@
 		return handed[next-1]
 	})
 	ctx, die := context.WithCancel(context.Background())
-	m := &Mechanic{Name: "anna", Doors: func() []string { return []string{"127.0.0.1:1", address} }, Every: time.Millisecond, Twice: true,
-		Takes: func(string) time.Duration { return time.Hour }}
+	m := &Agent{Name: "anna", AdminEndpoints: func() []string { return []string{"127.0.0.1:1", address} }, PollInterval: time.Millisecond, CompletesTwice: true,
+		WorkDuration: func(string) time.Duration { return time.Hour }}
 	over := make(chan struct{})
 	go func() { m.Run(ctx); close(over) }()
 	require.Eventually(t, func() bool { return len(m.Records()) == 1 }, 10*time.Second, time.Millisecond)
@@ -84,7 +84,7 @@
 	<-over
 	assert.Empty(t, done, "it has died with the box")
 	ctx, stop := context.WithCancel(context.Background())
-	m.Takes = func(string) time.Duration { return 0 }
+	m.WorkDuration = func(string) time.Duration { return 0 }
 	over = make(chan struct{})
 	go func() { m.Run(ctx); close(over) }()
 	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return len(done) == 4 }, 10*time.Second, time.Millisecond)
@@ -92,12 +92,12 @@
 	<-over
 	all := m.Records()
 	require.Len(t, all, 3)
-	assert.Equal(t, []string{"a", "a", "b"}, []string{all[0].Box, all[1].Box, all[2].Box})
-	assert.Equal(t, 1, m.Refused())
-	assert.Equal(t, []string{"it has ended"}, all[2].Said)
+	assert.Equal(t, []string{"a", "a", "b"}, []string{all[0].Server, all[1].Server, all[2].Server})
+	assert.Equal(t, 1, m.RejectedGrants())
+	assert.Equal(t, []string{"it has ended"}, all[2].CompletionErrors)
 	for i, c := range done {
 		assert.Equal(t, all[1+i/2].Token, c.Token)
 	}
-	_, err := Say(ctx, func() []string { return nil }, maintenance.Command{Kind: maintenance.AcquireServer, Agent: "x"})
-	assert.ErrorIs(t, err, ErrUnknown)
+	_, err := Execute(ctx, func() []string { return nil }, maintenance.Command{Kind: maintenance.AcquireServer, Agent: "x"})
+	assert.ErrorIs(t, err, ErrOutcomeUnknown)
 }
--- a/internal/lab/maintenanceagent/record_form_test.go
+++ b/internal/lab/maintenanceagent/record_form_test.go
@@ -12,7 +12,7 @@
 // TestRecordForm fixes the JSON of records, which is part of printed reports, to the bytes of testdata/record.json.
 func TestRecordForm(t *testing.T) {
 	start := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
-	record := Record{Mechanic: "anna", Box: "a", Token: 7, Forced: "by force", From: start, To: start.Add(time.Minute), Said: []string{"it has ended"}}
+	record := Record{Agent: "anna", Server: "a", Token: 7, ForcedReason: "by force", StartedAt: start, EndedAt: start.Add(time.Minute), CompletionErrors: []string{"it has ended"}}
 	golden, err := os.ReadFile("testdata/record.json")
 	require.NoError(t, err)
 	encoded, err := json.Marshal(record)
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -83,7 +83,7 @@
 	over      float64
 	last      *workState
 	lookedAt  time.Time
-	mechanics []*maintenanceagent.Mechanic
+	mechanics []*maintenanceagent.Agent
 	byHand    []maintenanceagent.Record
 }
 
@@ -178,7 +178,7 @@
 	}
 	give := maintenance.Command{Nonce: p.t.s.Seed<<1 | 1, Kind: maintenance.SubmitPlan, Spec: &p.work.Spec}
 	for ctx.Err() == nil {
-		r, err := maintenanceagent.Say(ctx, p.t.doors, give)
+		r, err := maintenanceagent.Execute(ctx, p.t.doors, give)
 		if err == nil && r.Err != "" {
 			p.mu.Lock()
 			p.w.Error = r.Err
@@ -195,7 +195,7 @@
 	var working sync.WaitGroup
 	defer working.Wait()
 	for i := range p.work.Spec.MaxConcurrent {
-		m := &maintenanceagent.Mechanic{Name: fmt.Sprintf("mechanic-%d", i), Doors: p.t.doors, Takes: func(string) time.Duration { return inS(p.work.Spec.WorkSeconds) }}
+		m := &maintenanceagent.Agent{Name: fmt.Sprintf("mechanic-%d", i), AdminEndpoints: p.t.doors, WorkDuration: func(string) time.Duration { return inS(p.work.Spec.WorkSeconds) }}
 		p.mechanics = append(p.mechanics, m)
 		working.Go(func() { m.Run(ctx) })
 	}
@@ -220,7 +220,7 @@
 
 // look asks a door how far it is.
 func (p *workPlay) look(ctx context.Context, door string) {
-	raw, err := maintenanceagent.Call(ctx, door, "WORKS")
+	raw, err := maintenanceagent.SendLine(ctx, door, "WORKS")
 	var s workState
 	if err != nil || json.Unmarshal(raw, &s) != nil {
 		p.w.Untold++
@@ -262,7 +262,7 @@
 func (p *workPlay) hand(ctx context.Context) {
 	say := func(line string) {
 		for _, door := range p.t.doors() {
-			if raw, err := maintenanceagent.Call(ctx, door, line); err != nil || string(raw[:min(2, len(raw))]) != "OK" {
+			if raw, err := maintenanceagent.SendLine(ctx, door, line); err != nil || string(raw[:min(2, len(raw))]) != "OK" {
 				p.w.Unheeded++
 			}
 		}
@@ -286,13 +286,13 @@
 		}
 		come(box, maintenance.InMaintenance)
 		p.mu.Lock()
-		p.byHand = append(p.byHand, maintenanceagent.Record{Mechanic: "script", Box: box, From: time.Now()})
+		p.byHand = append(p.byHand, maintenanceagent.Record{Agent: "script", Server: box, StartedAt: time.Now()})
 		p.mu.Unlock()
 		if !rest(ctx, inS(p.work.Spec.WorkSeconds)) {
 			return
 		}
 		p.mu.Lock()
-		p.byHand[len(p.byHand)-1].To = time.Now()
+		p.byHand[len(p.byHand)-1].EndedAt = time.Now()
 		p.mu.Unlock()
 		come(box, maintenance.WarmingUp)
 		say("ONLINE " + box)
@@ -334,7 +334,7 @@
 	for _, m := range p.mechanics {
 		w.Records = append(w.Records, m.Records()...)
 	}
-	slices.SortFunc(w.Records, func(a, b maintenanceagent.Record) int { return a.From.Compare(b.From) })
+	slices.SortFunc(w.Records, func(a, b maintenanceagent.Record) int { return a.StartedAt.Compare(b.StartedAt) })
 	w.Boxes = len(p.named())
 	if p.last != nil && len(p.last.Plans) > 0 {
 		w.Waits = p.last.Waits
@@ -402,7 +402,7 @@
 
 // span returns when a piece of work began and ended; what goes on ends with the day.
 func span(r *maintenanceagent.Record) (from, to float64) {
-	if from, to = unix(r.From), unix(r.To); r.To.IsZero() {
+	if from, to = unix(r.StartedAt), unix(r.EndedAt); r.EndedAt.IsZero() {
 		to = now()
 	}
 	return from, to
@@ -413,10 +413,10 @@
 	for i := range w.Records {
 		r := &w.Records[i]
 		from, to := span(r)
-		if r.Forced != "" {
+		if r.ForcedReason != "" {
 			continue
 		}
-		for _, x := range p.came[r.Box] {
+		for _, x := range p.came[r.Server] {
 			late := x.from > from-p.work.Spec.QuietPeriodSeconds() && x.from < to
 			out := x.from < to && (x.to == 0 || x.to > from)
 			switch {
@@ -424,7 +424,7 @@
 			case p.t.wasGone(x.sidecar, x.from, cmp.Or(p.work.Spec.DeadMemberSeconds, 300)):
 				w.GoneSent++
 			default:
-				w.find(checker.MaintenanceOccupied, "%s is worked on by %s at %.3f s; a request of %s came %.3f s after the work began", r.Box, r.Mechanic, from-p.day.Start,
+				w.find(checker.MaintenanceOccupied, "%s is worked on by %s at %.3f s; a request of %s came %.3f s after the work began", r.Server, r.Agent, from-p.day.Start,
 					p.t.mates[x.sidecar].name, x.from-from)
 			}
 		}
@@ -456,8 +456,8 @@
 		out, bySite := map[string]bool{}, map[string]int{}
 		for j := range w.Records {
 			f, t := span(&w.Records[j])
-			if f <= from && t+cold > from && p.stages[w.Records[j].Box] != maintenance.Lost {
-				out[w.Records[j].Box] = true
+			if f <= from && t+cold > from && p.stages[w.Records[j].Server] != maintenance.Lost {
+				out[w.Records[j].Server] = true
 			}
 		}
 		for box := range out {
@@ -482,10 +482,10 @@
 	tokens := map[string][]uint64{}
 	done := map[string]bool{}
 	for _, r := range w.Records {
-		if !slices.Contains(tokens[r.Box], r.Token) {
-			tokens[r.Box] = append(tokens[r.Box], r.Token)
+		if !slices.Contains(tokens[r.Server], r.Token) {
+			tokens[r.Server] = append(tokens[r.Server], r.Token)
 		}
-		done[r.Box] = done[r.Box] || !r.To.IsZero()
+		done[r.Server] = done[r.Server] || !r.EndedAt.IsZero()
 	}
 	for box, of := range tokens {
 		if len(of) > 1 {
--- a/internal/lab/processcluster/works_test.go
+++ b/internal/lab/processcluster/works_test.go
@@ -18,15 +18,15 @@
 	type visit struct{ from, to float64 } // at box a, of sidecar 0; to is 0 where it never ends
 	piece := func(box string, token uint64, from, to float64) maintenanceagent.Record {
 		at := func(s float64) time.Time { return time.Unix(0, int64(s*1e9)) }
-		r := maintenanceagent.Record{Mechanic: "anna", Box: box, Token: token, From: at(from)}
+		r := maintenanceagent.Record{Agent: "anna", Server: box, Token: token, StartedAt: at(from)}
 		if to > 0 {
-			r.To = at(to)
+			r.EndedAt = at(to)
 		}
 		return r
 	}
 	usual := []maintenanceagent.Record{piece("a", 1, 1000, 1010), piece("b", 2, 1020, 1030)}
 	forced := piece("a", 1, 1000, 1010)
-	forced.Forced = "forced by an operator"
+	forced.ForcedReason = "forced by an operator"
 	done, cold := maintenance.Done, maintenance.WarmingUp
 	for name, k := range map[string]struct {
 		visits  []visit
