--- a/cmd/hazelfleet/check.go
+++ b/cmd/hazelfleet/check.go
@@ -97,3 +97,12 @@
 		fmt.Fprintf(c.errs, "hazelfleet: %s: %s\n", file, found)
 	}
 }
+
+// runCheck checks the settings file, or the files that are named.
+func runCheck(files []string) int {
+	check := checker{os.Stdout, os.Stderr}
+	if len(files) == 0 {
+		return check.settings(nodeconfig.FilePath())
+	}
+	return check.configuration(files)
+}
