--- a/cmd/hazelfleet/beside_test.go
+++ b/cmd/hazelfleet/beside_test.go
@@ -214,7 +214,7 @@
 		process.Env = append(os.Environ(), "HAZELWHEEL_CONFIG="+path)
 		out, err := process.CombinedOutput()
 		Expect(err).To(HaveOccurred())
-		Expect(process.ProcessState.ExitCode()).To(Equal(statusUsage))
+		Expect(process.ProcessState.ExitCode()).To(Equal(exitUsage))
 		Expect(string(out)).To(Equal("hazelfleet: settings: " + path + ": line 15: Listen.Control: a machine whose disk counts needs an address for the operator\n"))
 	})
 })
--- a/cmd/hazelfleet/check.go
+++ b/cmd/hazelfleet/check.go
@@ -10,74 +10,84 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// checker checks files, and tells what it finds: warnings and what is in order on out, faults on errs.
+// runCheck checks the settings file where no file is named, else a configuration and a patch. It returns the status with which to end.
+func runCheck(files []string) int {
+	c := checker{out: os.Stdout, errs: os.Stderr}
+	if len(files) == 0 {
+		return c.checkSettings(nodeconfig.FilePath())
+	}
+	return c.checkConfiguration(files)
+}
+
+// checker checks files. It writes warnings and what is valid to out, and faults to errs.
 type checker struct {
 	out, errs io.Writer
 }
 
-// settings checks a settings file. It prints each fault in one line that names the file, the line and the field, and returns the status
+// checkSettings checks a settings file. It prints each fault in one line that names the file, the line and the field, and returns the status
 // with which to end.
-func (c checker) settings(path string) int {
+func (c checker) checkSettings(path string) int {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		fmt.Fprintln(c.errs, "hazelfleet: settings:", err)
-		return statusUsage
+		return exitUsage
 	}
 	report := nodeconfig.Validate(data)
-	c.tell("settings: "+path, report.Faults, report.Unknown)
+	c.print("settings: "+path, report.Faults, report.Unknown)
 	if len(report.Faults) > 0 {
-		return statusUsage
+		return exitUsage
 	}
 	if err := report.Settings.CheckOperatorAddress(); err != nil {
 		fmt.Fprintf(c.errs, "hazelfleet: settings: %s: %v\n", path, err)
-		return statusUsage
+		return exitUsage
 	}
-	for _, doubt := range report.Settings.Warnings() {
-		fmt.Fprintf(c.out, "warning: settings: %s: %s\n", path, doubt)
+	for _, warning := range report.Settings.Warnings() {
+		fmt.Fprintf(c.out, "warning: settings: %s: %s\n", path, warning)
 	}
 	fmt.Fprintln(c.out, "the settings are in order")
-	return 0
+	return exitOK
 }
 
-// configuration checks a configuration, and a patch on top of it where a second file is named, as control would. It prints each fault in
-// one line that names the file, and returns the status with which to end.
-func (c checker) configuration(files []string) int {
+// checkConfiguration checks a configuration as control would, and a patch on top of it where a second file is named. It prints each fault
+// in one line that names the file, and returns the status with which to end.
+func (c checker) checkConfiguration(files []string) int {
 	config, err := os.ReadFile(files[0])
 	if err != nil {
 		fmt.Fprintln(c.errs, "hazelfleet:", err)
-		return statusUsage
+		return exitUsage
 	}
 	report := routeconfig.Validate(config)
-	c.tell(files[0], report.Faults, report.Unknown)
+	c.print(files[0], report.Faults, report.Unknown)
 	if len(report.Faults) > 0 {
-		return statusUsage
+		return exitUsage
 	}
 	table := report.Table
 	if len(files) > 1 {
-		if table = c.patch(config, files[1]); table == nil {
-			return statusUsage
+		if table = c.checkPatch(config, files[1]); table == nil {
+			return exitUsage
 		}
 	}
 	fmt.Fprintf(c.out, "version %d is in order: %d routes, %d services\n", table.Version, len(table.Routes), len(table.Services))
-	return 0
+	return exitOK
 }
 
-// patch returns what a patch in a file makes of a configuration, nil where it is refused.
-func (c checker) patch(config []byte, file string) *routeconfig.Table {
-	made, err := applied(config, file)
+// checkPatch returns the routing table that results from the patch in a file, or nil after printing why the patch is rejected.
+func (c checker) checkPatch(config []byte, file string) *routeconfig.Table {
+	patched, err := applyPatch(config, file)
 	if err != nil {
 		fmt.Fprintf(c.errs, "hazelfleet: %s: %v\n", file, err)
 		return nil
 	}
-	report := routeconfig.Validate(made)
+	report := routeconfig.Validate(patched)
 	for i := range report.Faults {
-		report.Faults[i].Line = 0 // of what the patch makes, which stands in no file
+		report.Faults[i].Line = 0 // it is a line of the result, which is in no file
 	}
-	c.tell(file, report.Faults, nil)
+	c.print(file, report.Faults, nil)
 	return report.Table
 }
 
-func applied(config []byte, file string) ([]byte, error) {
+// applyPatch returns the configuration that results from the patch in a file.
+func applyPatch(config []byte, file string) ([]byte, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -89,20 +99,12 @@
 	return patch.Apply(config)
 }
 
-func (c checker) tell(file string, faults, unknown []diagnostic.Finding) {
-	for _, found := range unknown {
-		fmt.Fprintf(c.out, "warning: %s: %s\n", file, found)
+// print writes the findings about a file, one a line: unknown fields as warnings, faults as errors.
+func (c checker) print(file string, faults, unknown []diagnostic.Finding) {
+	for _, finding := range unknown {
+		fmt.Fprintf(c.out, "warning: %s: %s\n", file, finding)
 	}
-	for _, found := range faults {
-		fmt.Fprintf(c.errs, "hazelfleet: %s: %s\n", file, found)
-	}
-}
-
-// runCheck checks the settings file, or the files that are named.
-func runCheck(files []string) int {
-	check := checker{os.Stdout, os.Stderr}
-	if len(files) == 0 {
-		return check.settings(nodeconfig.FilePath())
+	for _, finding := range faults {
+		fmt.Fprintf(c.errs, "hazelfleet: %s: %s\n", file, finding)
 	}
-	return check.configuration(files)
 }
--- a/cmd/hazelfleet/check_test.go
+++ b/cmd/hazelfleet/check_test.go
@@ -20,7 +20,7 @@
 	}
 	check := func(files ...string) (status int, out, errs string) {
 		var told, failed bytes.Buffer
-		status = checker{&told, &failed}.configuration(files)
+		status = checker{&told, &failed}.checkConfiguration(files)
 		return status, told.String(), failed.String()
 	}
 
@@ -40,7 +40,7 @@
  "Services":[{"Name":"s"}],
  "Tenants":[{"Name":"x","Keyz":["k"]}]}`)
 		status, out, errs := check(bad)
-		Expect(status).To(Equal(statusUsage))
+		Expect(status).To(Equal(exitUsage))
 		Expect(strings.Split(strings.TrimSpace(errs), "\n")).To(Equal([]string{
 			"hazelfleet: " + bad + ": line 1, column 12: Version: want a number above 0",
 			"hazelfleet: " + bad + `: line 2, column 38: Routes[0].PathPrefix: "/a" doesn't begin and end with a slash`,
@@ -58,7 +58,7 @@
 	It("refuses a text that is nested beyond all measure", func() {
 		deep := file(strings.Repeat("[", 100_000))
 		status, _, errs := check(deep)
-		Expect(status).To(Equal(statusUsage))
+		Expect(status).To(Equal(exitUsage))
 		Expect(errs).To(HavePrefix("hazelfleet: " + deep + ": line 1, column "))
 		Expect(errs).To(ContainSubstring("nested too deep"))
 	})
@@ -66,14 +66,14 @@
 	It("names the file and the place of a patch's fault in one line", func() {
 		config, bad := file(firstConfig), file(`{"Version":3,"Remove":{"Routes":["z"]}}`)
 		status, out, errs := check(config, bad)
-		Expect(status).To(Equal(statusUsage))
+		Expect(status).To(Equal(exitUsage))
 		Expect(out).To(BeEmpty())
 		Expect(errs).To(Equal("hazelfleet: " + bad + `: configuration: Remove.Routes: there is no "z"` + "\n"))
 		bad = file(`{"Version":0}`)
 		_, _, errs = check(bad)
 		Expect(errs).To(HavePrefix("hazelfleet: " + bad + ": line 1, column 12: Version"))
 		status, _, errs = check(filepath.Join(GinkgoT().TempDir(), "none"))
-		Expect(status).To(Equal(statusUsage))
+		Expect(status).To(Equal(exitUsage))
 		Expect(errs).To(ContainSubstring("none"))
 	})
 })
@@ -84,7 +84,7 @@
 		Expect(os.WriteFile(path, []byte("NodeId: \"\"\nIp: here\nInternalPortRange: [7720]\nSeeds: [\"10.1.0.16\"]\nOwn: 1\nBounds:\n  GraceS: 0\n  "+
 			"DrainMs: soon\n  Lease: 3\n"), 0o600)).To(Succeed())
 		var told, failed bytes.Buffer
-		Expect(checker{&told, &failed}.settings(path)).To(Equal(statusUsage))
+		Expect(checker{&told, &failed}.checkSettings(path)).To(Equal(exitUsage))
 		lines := strings.Split(strings.TrimSpace(failed.String()), "\n")
 		for i, want := range []string{"line 1, column 1: NodeId: ", "line 2, column 1: Ip: ", "line 3, column 1: InternalPortRange: ", "line 4, column 1: Seeds: ",
 			"line 7, column 3: Bounds.GraceS: ", "line 8, column 1: cannot unmarshal"} {
@@ -102,7 +102,7 @@
 },
 	Entry("asks for help", 0, "--help"),
 	Entry("asks for help of a role, and no file of that name is read", 0, "check", "--help"),
-	Entry("names nothing", statusUsage),
-	Entry("names what is not there", statusUsage, "serve"),
-	Entry("names a file too many", statusUsage, "check", "a", "b", "c"),
+	Entry("names nothing", exitUsage),
+	Entry("names what is not there", exitUsage, "serve"),
+	Entry("names a file too many", exitUsage, "check", "a", "b", "c"),
 )
--- a/cmd/hazelfleet/fleet_test.go
+++ b/cmd/hazelfleet/fleet_test.go
@@ -368,7 +368,7 @@
 			process.Env = append(os.Environ(), "HAZELWHEEL_CONFIG="+path)
 			out, err := process.CombinedOutput()
 			Expect(err).To(HaveOccurred())
-			Expect(process.ProcessState.ExitCode()).To(Equal(statusUsage))
+			Expect(process.ProcessState.ExitCode()).To(Equal(exitUsage))
 			Expect(string(out)).To(Equal("hazelfleet: settings: " + path + ": " + want))
 		}
 	})
--- a/cmd/hazelfleet/main.go
+++ b/cmd/hazelfleet/main.go
@@ -1,4 +1,7 @@
 // Command hazelfleet runs the processes of the router fleet: proxies, the agents beside them, and control.
+//
+// The first argument is the role of the process; the settings file has all else. The role check validates files and ends. The program ends
+// with 0 after a graceful shutdown, with 1 when a role failed, and with 2 when the command line or a file can't be used.
 package main
 
 import (
@@ -10,25 +13,28 @@
 	"runtime/debug"
 	"slices"
 	"syscall"
-	"time"
 
 	"github.com/sirupsen/logrus"
 
 	"hazelwheel/internal/nodeconfig"
 )
 
+// Statuses with which the program ends.
 const (
-	statusFailed = 1
-	statusUsage  = 2
-	// reloadEvery is how often the settings file is looked at. It may change without a signal.
-	reloadEvery = 2 * time.Second
-	// memoryPart is the part of the machine's memory at which the collector works harder.
-	memoryPart = 0.5
-	// collectAt is the growth of the heap, in parts of a hundred, at which it is collected. Memory is dearer than time here.
-	collectAt = 50
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
-// What the first argument may be.
+const (
+	// memoryLimitFraction is the soft memory limit of the Go runtime, as a fraction of the memory in the settings.
+	memoryLimitFraction = 0.5
+	// gcPercent is the growth of the heap, in percent, that starts a garbage collection. It is below the runtime's default of 100: memory
+	// is scarcer than processor time here.
+	gcPercent = 50
+)
+
+// Roles, which the first argument names.
 const (
 	roleProxy   = "proxy"
 	roleAgent   = "agent"
@@ -36,90 +42,102 @@
 	roleCheck   = "check"
 )
 
+// maxCheckFiles is the number of files that may follow the role check: a configuration and a patch. No other role takes files.
+const maxCheckFiles = 2
+
 const usage = `usage: hazelfleet [--log-level LEVEL] ROLE
-  proxy    takes requests from clients and passes them to servers
-  agent    keeps a proxy's link to the rest of the fleet, and is control as well on machines whose disk counts
-  control  holds the configuration and takes it from the operator
+  proxy    accepts requests from clients and forwards them to servers
+  agent    connects a proxy to the rest of the fleet, and is control as well on machines with a counted disk
+  control  replicates the configuration and accepts changes from the operator
   check    checks the settings file and ends
   check CONFIG [PATCH]
            checks a configuration, and a patch on top of it, and ends
-check names all faults at once, each with its line and column, and warns of fields that it doesn't know.
+check names all faults at once, each with its line and column, and warns of unknown fields.
 The settings file is named by ` + nodeconfig.EnvFile + `.
 `
 
 func main() { os.Exit(run(os.Args[1:])) }
 
+// commandLine holds the parsed arguments of the program.
+type commandLine struct {
+	role     string
+	files    []string // of roleCheck
+	logLevel string
+}
+
+// run runs the program and returns the status with which it ends.
 func run(arguments []string) int {
-	flags := flag.NewFlagSet("hazelfleet", flag.ContinueOnError)
-	level := flags.String("log-level", "info", "what is logged at least: debug, info, warning or error")
-	flags.Usage = func() { fmt.Fprint(os.Stderr, usage) }
-	if err := flags.Parse(arguments); err != nil {
-		return statusOfUsage(err)
-	}
-	if flags.NArg() == 0 {
-		flags.Usage()
-		return statusUsage
-	}
-	role, files := flags.Arg(0), flags.Args()[1:]
-	if slices.ContainsFunc(files, asksForHelp) {
-		fmt.Print(usage)
-		return 0
-	}
-	if !slices.Contains([]string{roleProxy, roleAgent, roleControl, roleCheck}, role) {
-		fmt.Fprintf(os.Stderr, "hazelfleet: there is no %q: proxy, agent, control or check\n", role)
-		return statusUsage
+	line, status, isComplete := parseCommandLine(arguments)
+	if !isComplete {
+		return status
 	}
-	if most := mostFiles(role); len(files) > most {
-		fmt.Fprintf(os.Stderr, "hazelfleet: %s: %q is one argument too many\n", role, files[most])
-		return statusUsage
+	if line.role == roleCheck {
+		return runCheck(line.files)
 	}
-	if role == roleCheck {
-		return runCheck(files)
-	}
-	parsed, err := logrus.ParseLevel(*level)
+	level, err := logrus.ParseLevel(line.logLevel)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "hazelfleet: --log-level:", err)
-		return statusUsage
+		return exitUsage
 	}
-	logrus.SetLevel(parsed)
-	// Danger: a SIGHUP that nobody catches ends the process, also while it is still reading its settings.
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	logrus.SetLevel(level)
+	// Danger: an uncaught SIGHUP ends the process, also while it still reads its settings.
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	settings, err := nodeconfig.Load(nodeconfig.FilePath())
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "hazelfleet:", err)
-		return statusUsage
+		return exitUsage
 	}
-	if role == roleAgent {
+	if line.role == roleAgent {
 		if err := settings.CheckOperatorAddress(); err != nil {
 			fmt.Fprintf(os.Stderr, "hazelfleet: settings: %s: %v\n", nodeconfig.FilePath(), err)
-			return statusUsage
+			return exitUsage
 		}
 	}
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if settings.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(settings.Limits.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.Limits.MemoryMB) * (1 << 20)))
 	}
-	return start(role, settings, hangups)
+	return runRole(line.role, settings, reloadSignals)
 }
 
-// statusOfUsage is the status with which to end after flags that could not be read: asking for help is no fault.
-func statusOfUsage(err error) int {
-	if errors.Is(err, flag.ErrHelp) {
-		return 0
+// parseCommandLine parses the arguments. Where the program is to end at once, after help or a usage error, it prints the text and returns the
+// status, and isComplete is false.
+func parseCommandLine(arguments []string) (line commandLine, status int, isComplete bool) {
+	flags := flag.NewFlagSet("hazelfleet", flag.ContinueOnError)
+	flags.StringVar(&line.logLevel, "log-level", "info", "the lowest level that is logged: debug, info, warning or error")
+	flags.Usage = func() { fmt.Fprint(os.Stderr, usage) }
+	err := flags.Parse(arguments)
+	switch {
+	case errors.Is(err, flag.ErrHelp):
+		return line, exitOK, false
+	case err != nil: // the flag set has printed it
+		return line, exitUsage, false
+	case flags.NArg() == 0:
+		flags.Usage()
+		return line, exitUsage, false
+	}
+	line.role, line.files = flags.Arg(0), flags.Args()[1:]
+	if slices.ContainsFunc(line.files, isHelpFlag) {
+		fmt.Print(usage)
+		return line, exitOK, false
 	}
-	return statusUsage
+	if !slices.Contains([]string{roleProxy, roleAgent, roleControl, roleCheck}, line.role) {
+		fmt.Fprintf(os.Stderr, "hazelfleet: there is no %q: proxy, agent, control or check\n", line.role)
+		return line, exitUsage, false
+	}
+	maxFiles := 0
+	if line.role == roleCheck {
+		maxFiles = maxCheckFiles
+	}
+	if len(line.files) > maxFiles {
+		fmt.Fprintf(os.Stderr, "hazelfleet: %s: %q is one argument too many\n", line.role, line.files[maxFiles])
+		return line, exitUsage, false
+	}
+	return line, exitOK, true
 }
 
-// asksForHelp tells whether an argument behind the role asks for help.
-func asksForHelp(argument string) bool {
+// isHelpFlag reports whether an argument after the role asks for help. The flag set stops at the role and doesn't see it.
+func isHelpFlag(argument string) bool {
 	return argument == "--help" || argument == "-help" || argument == "-h"
 }
-
-// mostFiles is how many files may be named behind a role.
-func mostFiles(role string) int {
-	if role == roleCheck {
-		return 2 // a configuration and a patch
-	}
-	return 0
-}
--- a/cmd/hazelfleet/reload.go
+++ b/cmd/hazelfleet/reload.go
@@ -10,29 +10,33 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// watch reads the settings file again after SIGHUP and now and then. A file that can't be used is passed over.
-func watch(ctx context.Context, hangups <-chan os.Signal, log *logrus.Entry) <-chan *nodeconfig.Settings {
-	changed := make(chan *nodeconfig.Settings)
+// reloadInterval is how often the settings file is read again. It may change without a signal.
+const reloadInterval = 2 * time.Second
+
+// watchSettings reads the settings file again on each signal and each reloadInterval, until the context ends, and sends the settings on the
+// returned channel, which is never closed. A file that can't be used is logged, and the previous settings stay in force.
+func watchSettings(ctx context.Context, reloadSignals <-chan os.Signal, log *logrus.Entry) <-chan *nodeconfig.Settings {
+	reloaded := make(chan *nodeconfig.Settings)
 	go func() {
-		ticker := time.NewTicker(reloadEvery)
+		ticker := time.NewTicker(reloadInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hangups:
+			case <-reloadSignals:
 			case <-ticker.C:
 			}
 			settings, err := nodeconfig.Load(nodeconfig.FilePath())
 			if err != nil {
-				log.WithError(err).Warn("the settings are kept")
+				log.WithError(err).Warn("settings reload failed")
 				continue
 			}
 			select {
-			case changed <- settings:
-			case <-time.After(reloadEvery): // this role heeds none
+			case reloaded <- settings:
+			case <-time.After(reloadInterval): // the role does not reload its settings
 			}
 		}
 	}()
-	return changed
+	return reloaded
 }
--- a/cmd/hazelfleet/roles.go
+++ b/cmd/hazelfleet/roles.go
@@ -15,14 +15,15 @@
 	"hazelwheel/internal/proxy"
 )
 
-func start(role string, settings *nodeconfig.Settings, hangups <-chan os.Signal) int {
+// runRole runs a role until SIGTERM or SIGINT, and its graceful shutdown after that. It returns the status with which the program ends.
+func runRole(role string, settings *nodeconfig.Settings, reloadSignals <-chan os.Signal) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	log := logrus.WithField("node", settings.NodeID).WithField("role", role)
-	for _, doubt := range settings.Warnings() {
-		log.Warn("settings: " + doubt)
+	for _, warning := range settings.Warnings() {
+		log.WithField("warning", warning).Warn("settings warning")
 	}
-	reload := watch(ctx, hangups, log)
+	reload := watchSettings(ctx, reloadSignals, log)
 	var err error
 	switch role {
 	case roleProxy:
@@ -33,41 +34,42 @@
 		err = runControl(ctx, settings, reload, log)
 	}
 	if err != nil {
-		log.WithError(err).Error("ended")
-		return statusFailed
+		log.WithError(err).Error("role failed")
+		return exitFailure
 	}
-	return 0
+	return exitOK
 }
 
-// runAgent runs an agent, and control in the same process on machines whose disk counts: no machine runs a third process.
+// runAgent runs an agent and, on machines whose disk counts, control in the same process: no machine runs a third process. Where one of
+// the two fails, the other is shut down.
 func runAgent(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	if !settings.StoresConfig() {
 		return agent.Run(ctx, settings, reload, log)
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	forAgent, forControl := make(chan *nodeconfig.Settings), make(chan *nodeconfig.Settings)
+	agentReload, controlReload := make(chan *nodeconfig.Settings), make(chan *nodeconfig.Settings)
 	go func() {
 		for changed := range reload {
-			offer(ctx, forAgent, changed)
-			offer(ctx, forControl, changed)
+			sendSettings(ctx, agentReload, changed)
+			sendSettings(ctx, controlReload, changed)
 		}
 	}()
-	group.Go(func() error { return agent.Run(ctx, settings, forAgent, log) })
-	group.Go(func() error { return control.Run(ctx, settings, forControl, log.WithField("role", "control")) })
+	group.Go(func() error { return agent.Run(ctx, settings, agentReload, log) })
+	group.Go(func() error { return control.Run(ctx, settings, controlReload, log.WithField("role", "control")) })
 	return group.Wait()
 }
 
-// runControl runs control, or where this machine's disk doesn't count what names a control process to the operator.
+// runControl runs control, or on a machine whose disk doesn't count the redirects of operators' requests to control processes elsewhere.
 func runControl(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	if settings.StoresConfig() {
 		return control.Run(ctx, settings, reload, log)
 	}
-	log.Warn("this machine's disk doesn't count: the operator is sent on to control processes of other machines")
+	log.Warn("machine stores no configuration, operator requests are redirected to other control processes")
 	return agent.RunRedirector(ctx, settings, reload, log)
 }
 
-// offer hands settings to a role, unless it has ended.
-func offer(ctx context.Context, to chan<- *nodeconfig.Settings, changed *nodeconfig.Settings) {
+// sendSettings passes settings to a role. It blocks until the role receives them or the context ends.
+func sendSettings(ctx context.Context, to chan<- *nodeconfig.Settings, changed *nodeconfig.Settings) {
 	select {
 	case to <- changed:
 	case <-ctx.Done():
