--- a/internal/environment/abandon.go
+++ b/internal/environment/abandon.go
@@ -2,21 +2,21 @@
 
 import "hazelwheel/internal/checker"
 
-// Clients that leave early do so in bursts, so far apart at least and at most.
+// The least and the longest time between two bursts of abandoned requests.
 const (
 	minAbandonBurstSeconds = 0.2
 	maxAbandonBurstSeconds = 1.2
 )
 
-// LeaveEarly has a share of the clients that begin a request until a time leave before its time is over, half of them together with
-// others. What they tell the sidecar to wait is not changed by it.
+// AbandonEarly has a share of the requests that start until a time be abandoned before their deadline, half of them in bursts.
+// The timeout that they send to the sidecar is not changed by it. It may be called from any goroutine.
 func (a *Application) AbandonEarly(share, until float64) {
 	a.net.Post(func() {
 		a.earlyShare, a.earlyUntil, a.nextAbandonBurst = share, max(a.earlyUntil, until), a.net.Now()
 	})
 }
 
-// leavesEarly draws whether the client of a try that begins now leaves early, and when.
+// drawEarlyAbandon draws whether a request that starts now is abandoned early, and when.
 func (a *Application) drawEarlyAbandon(op *operation, now float64) (at float64, leaves bool) {
 	if now >= a.earlyUntil || a.earlyAbandons.Float64() >= a.earlyShare {
 		return 0, false
@@ -30,7 +30,8 @@
 	return at, at < op.requestDeadline
 }
 
-// departEarly has a client leave before its time is over; one in four ends its direction of the connection alone and reads on.
+// abandonEarly abandons a request before its deadline; one in four clients closes its direction of the connection alone and
+// reads on.
 func (a *Application) abandonEarly(op *operation, now float64) {
 	conn := op.conn
 	if out := conn != nil && conn.conn != nil && conn.operation == op && conn.isSent; out && a.earlyAbandons.IntN(4) == 0 {
--- a/internal/environment/application.go
+++ b/internal/environment/application.go
@@ -8,59 +8,59 @@
 	"hazelwheel/internal/netio"
 )
 
-// Application is the client beside one sidecar: requests come to it whether earlier ones are answered or not, and it
-// tries them again as its kind of client does. It begins once the sidecar says that it is ready.
+// Application is the client beside one sidecar. Its operations arrive whether earlier ones are answered or not, and it
+// retries them as its ClientSpec says. It starts once the sidecar is ready. It implements netio.Handler.
 type Application struct {
 	number   int32
 	day      *Day
 	spec     *ClientSpec
 	observer checker.Observer
-	arrivals *rand.Rand // arrivals
+	arrivals *rand.Rand // of operations
 	ids      *rand.Rand
-	behavior *rand.Rand // what a request does
+	behavior *rand.Rand // of a request: its impatience, backoff and retries
 	net      netio.EventLoop
 	tasks    schedule[clientTask]
 	armed    float64
 	ready    bool
 
-	drainAt float64 // from then on no connection is opened; +Inf: it stays
+	drainAt float64 // from then on no connection is opened; +Inf: the sidecar stays
 
-	earlyAbandons    *rand.Rand // which clients leave early, and when
-	earlyShare       float64    // of the tries whose client leaves before its time is over
+	earlyAbandons    *rand.Rand // which clients abandon a request early, and when
+	earlyShare       float64    // of the requests that are abandoned before their deadline
 	earlyUntil       float64
-	nextAbandonBurst float64 // the next instant at which many leave together
+	nextAbandonBurst float64 // the next time at which many are abandoned together
 
 	burstAt, burstEnd float64
-	idleConns         []*clientConn // the one that was used last at the end
+	idleConns         []*clientConn // the last used one is at the end
 	waitingOperations []*operation  // for a connection
-	openConns         int           // open, or coming up
+	openConns         int           // open, or being dialed
 	lastConnNumber    uint64
-	batch             *BatchSpec // it is the batch beside the application; nil: it is the application
-	lastSent          *operation // that was written last
+	batch             *BatchSpec // set for the batch beside the application
+	lastSent          *operation // the operation whose request was written last
 	out               []byte
 	body              []byte
 }
 
-// ask is a request of the application, over all its tries.
+// operation is what the application wants over all its requests for it: the first one and its retries.
 type operation struct {
 	firstRequest    uint64
 	class           int
-	deadline        float64 // its whole time
+	deadline        float64 // of all its requests
 	requests        int
 	idempotencyKey  uint64
-	bodySize        int // of the body
+	bodySize        int // in bytes
 	request         uint64
-	requestDeadline float64 // of the present try
+	requestDeadline float64 // of the present request
 	conn            *clientConn
 	isResent        bool
 	isFinished      bool
-	sentAt          float64 // when the present try was written
+	sentAt          float64 // when the present request was written
 }
 
 type clientTask struct {
 	kind      clientTaskKind
 	operation *operation
-	request   uint64 // of the try that is meant
+	request   uint64 // the request that is meant; others are ignored
 }
 
 type clientTaskKind uint8
@@ -68,13 +68,13 @@
 const (
 	taskArrival clientTaskKind = iota
 	taskRetry
-	taskTimeout    // the wait for a try
-	taskAbandon    // a try's client closes its connection early, or its direction of it
-	taskProbeReady // asks whether the sidecar is
+	taskTimeout    // the deadline of a request
+	taskAbandon    // the client closes a request's connection early, or its direction of it
+	taskProbeReady // probes whether the sidecar is ready
 	taskEnd
 )
 
-// readyEveryS is the time between two questions whether the sidecar is ready.
+// readyIntervalSeconds is the time between two readiness probes.
 const readyIntervalSeconds = 0.05
 
 // NewApplication returns the application beside a sidecar.
@@ -84,8 +84,8 @@
 		body: []byte(bodyText)}
 }
 
-// NewBatch returns the batch beside a sidecar: it sends requests of one class in the name of an organisation, whatever
-// becomes of the applications. It tries again as they do. The service is not measured by it.
+// NewBatch returns the batch job beside a sidecar: it sends requests of one class in the name of an organisation, independent
+// of the applications, and retries as they do. The service is not measured by it.
 func NewBatch(day *Day, sidecar int, observer checker.Observer) *Application {
 	a := NewApplication(day, sidecar, observer)
 	a.batch, a.lastConnNumber = day.Batch, firstBatchConn
@@ -96,22 +96,22 @@
 	return a
 }
 
-// batchLinks is where the numbers of a batch's connections begin, beyond those of the application beside it.
+// firstBatchConn is the lowest number of a batch's connections, above those of the application beside it.
 const firstBatchConn = 1 << 47
 
-// Boot begins the application.
+// Boot returns the application's process.
 func (a *Application) Boot(net netio.EventLoop) netio.Handler {
 	a.net = net
 	return a
 }
 
-// Start asks whether the sidecar is ready.
+// Start schedules the first readiness probe.
 func (a *Application) Start() {
 	a.tasks.add(a.net.Now(), clientTask{kind: taskProbeReady})
 	a.arm()
 }
 
-// see tells the witness of a try.
+// event returns an event of an operation's present request and of a connection; either may be nil.
 func (a *Application) event(kind checker.Kind, op *operation, conn *clientConn) checker.Event {
 	now := a.net.Now()
 	e := checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: a.number, Server: -1, Class: -1}
@@ -183,19 +183,19 @@
 	a.tasks.add(now+readyIntervalSeconds, clientTask{kind: taskProbeReady})
 }
 
-// Leave tells the application that its sidecar has been told to end: connections are opened for a short while yet, and
-// those that there are used for as long as they stay open.
+// SidecarDraining notifies the application that its sidecar was told to shut down: new connections are opened for a short
+// while, and open ones are used as long as they stay open.
 func (a *Application) SidecarDraining(now float64) { a.drainAt = now + 0.2 + 0.2*a.behavior.Float64() }
 
-// Stay tells it that there is another sidecar.
+// SidecarReplaced notifies the application that the sidecar's next process starts.
 func (a *Application) SidecarReplaced() { a.drainAt = math.Inf(1) }
 
-// alone tells whether the application has no way to a sidecar any more.
+// isDisconnected tells whether the application can't reach a sidecar any more.
 func (a *Application) isDisconnected(now float64) bool {
 	return now >= a.drainAt && len(a.idleConns) == 0
 }
 
-// bodyText is what bodies are cut from.
+// bodyText is the text of which bodies are prefixes.
 var bodyText = func() string {
 	text := make([]byte, 0, 1024)
 	for len(text) < 1024 {
--- a/internal/environment/arrivals.go
+++ b/internal/environment/arrivals.go
@@ -6,7 +6,7 @@
 	"hazelwheel/internal/checker"
 )
 
-// rate returns how many requests a second come at a time.
+// rateAt returns the arrivals a second at a time.
 func (a *Application) rateAt(at float64) float64 {
 	s := a.spec
 	r := s.RatePerSecond * a.day.Sidecars[a.number].Share * (1 + s.Swing*math.Sin(2*math.Pi*(at-a.day.Start)/s.SwingPeriodSeconds))
@@ -20,7 +20,7 @@
 	return r
 }
 
-// nextArrival returns when the next request comes after a time.
+// nextArrival returns the time of the next arrival after a time, by thinning.
 func (a *Application) nextArrival(at float64) float64 {
 	maximum := a.spec.RatePerSecond * a.day.Sidecars[a.number].Share * (1 + a.spec.Swing) * a.spec.BurstFactor
 	for {
@@ -31,9 +31,9 @@
 	}
 }
 
-// arrive takes up a new request.
+// startOperation starts an operation and schedules the next arrival.
 func (a *Application) startOperation(due, now float64) {
-	// Danger: the next one counted from now, a late loop would have fewer come.
+	// Danger: if the next one counted from now, a late event loop would reduce the rate.
 	if at := a.nextArrival(due); at < a.day.Start+a.day.LengthSeconds {
 		a.tasks.add(at, clientTask{kind: taskArrival})
 	} else {
@@ -61,7 +61,7 @@
 	a.startRequest(op, now)
 }
 
-// longest returns the longest time that a request may have.
+// longestTimeout returns the longest time-out of an operation.
 func (a *Application) longestTimeout() float64 {
 	maximum := 0.0
 	for _, class := range a.day.Classes {
--- a/internal/environment/clientconn.go
+++ b/internal/environment/clientconn.go
@@ -8,21 +8,21 @@
 	"hazelwheel/internal/netio"
 )
 
-// appLink is a connection to the sidecar, or one that is coming up.
+// clientConn is a connection to the sidecar, open or being dialed.
 type clientConn struct {
 	app              *Application
 	conn             netio.Conn
 	number           uint64
 	buf              http1.Buffer
 	response         responseReader
-	operation        *operation // that is out, or waits for the connection
+	operation        *operation // in flight, or waiting for the connection
 	uses             int
-	isReadinessProbe bool // whether the sidecar is ready
+	isReadinessProbe bool // it carries a readiness probe
 	isSent           bool
-	isHalfClosed     bool // the client has ended its direction of it
+	isHalfClosed     bool // the client has closed its direction of it
 }
 
-// send writes a request to an idle connection, or opens one for it.
+// send writes a request to an idle connection, dials one for it, or lets it wait.
 func (a *Application) send(op *operation, now float64) {
 	if n := len(a.idleConns); n > 0 && !op.isResent {
 		conn := a.idleConns[n-1]
@@ -58,7 +58,7 @@
 	})
 }
 
-// address returns where the sidecar takes requests.
+// address returns where the sidecar accepts requests.
 func (a *Application) address() string {
 	at := a.day.Sidecars[a.number].Address
 	if a.day.Protocol.IsThrift() {
@@ -67,9 +67,9 @@
 	return at
 }
 
-// serveWaiting gives room that has come free to who waits for it.
+// sendWaiting sends waiting operations as far as connections are free.
 func (a *Application) sendWaiting() {
-	// Danger: what can't be served yet goes back to the end of the line, so one round is enough.
+	// Danger: what can't be sent yet goes back to the end of the queue, so each is looked at once.
 	for n := len(a.waitingOperations); n > 0 && (len(a.idleConns) > 0 || a.openConns < a.spec.MaxConnections && a.net.Now() < a.drainAt); n-- {
 		op := a.waitingOperations[0]
 		a.waitingOperations = a.waitingOperations[1:]
@@ -79,7 +79,7 @@
 	}
 }
 
-// Open takes a connection that has come up.
+// Open uses an established connection for what it was dialed for, or makes it idle.
 func (a *Application) Open(c netio.Conn) bool {
 	conn := c.Context().(*clientConn)
 	conn.conn = c
@@ -100,7 +100,7 @@
 // write writes a request to a connection.
 func (a *Application) write(conn *clientConn, op *operation) {
 	conn.operation, op.conn, op.sentAt, a.lastSent = op, conn, a.net.Now(), op
-	// Danger: a parser that has read an answer takes the next one for the same answer's body.
+	// Danger: a parser that has read an answer would parse the next one as the same answer's body.
 	conn.response = newResponseReader(a.day.Protocol)
 	conn.uses++
 	if a.day.Protocol.IsThrift() {
@@ -115,7 +115,7 @@
 	}
 }
 
-// appendRequest appends a request as HTTP has it.
+// appendRequest appends an operation's request in its HTTP form.
 func (a *Application) appendRequest(out []byte, op *operation) []byte {
 	class := &a.day.Classes[op.class]
 	method := "POST"
@@ -146,7 +146,7 @@
 	return append(append(out, "\r\n"...), a.body[:op.bodySize]...)
 }
 
-// taken notes that the sidecar's machine has been handed a request whole.
+// observeSent reports once that the sidecar's machine has accepted a complete request.
 func (a *Application) observeSent(conn *clientConn) {
 	if !conn.isSent && conn.conn.OutboundBuffered() == 0 {
 		conn.isSent = true
@@ -154,7 +154,7 @@
 	}
 }
 
-// Traffic takes bytes of an answer.
+// Traffic reads an answer.
 func (a *Application) Traffic(c netio.Conn, data []byte) {
 	conn := c.Context().(*clientConn)
 	if conn.operation == nil && !conn.isReadinessProbe {
@@ -190,7 +190,7 @@
 	a.tasks.add(a.nextArrival(a.net.Now()), clientTask{kind: taskArrival})
 }
 
-// answered takes a whole answer.
+// responseReceived handles a complete answer.
 func (a *Application) responseReceived(conn *clientConn) {
 	op, now := conn.operation, a.net.Now()
 	a.observeSent(conn)
@@ -200,7 +200,7 @@
 	conn.operation = nil
 	status, after := conn.response.Status, 0.0
 	if text := conn.response.after; text != "" {
-		after, _ = strconv.ParseFloat(text, 64) // what can't be read is no advice
+		after, _ = strconv.ParseFloat(text, 64) // an unreadable value is ignored
 	}
 	switch {
 	case conn.buf.Len() > 0:
@@ -222,7 +222,7 @@
 	a.sendWaiting()
 }
 
-// Closed takes the end of a connection.
+// Closed handles the close of a connection, and that of its request if one is in flight.
 func (a *Application) Closed(c netio.Conn, err error) {
 	conn := c.Context().(*clientConn)
 	a.openConns--
@@ -246,7 +246,7 @@
 		a.retryFailed(k, now, false)
 	case conn.uses > 1 && !k.isResent && now < k.requestDeadline && !conn.isHalfClosed:
 		a.observeDropped(c, k, conn)
-		k.isResent = true // its close may have crossed the request: once more, on a new connection
+		k.isResent = true // the close may have crossed the request: it is sent once more, on a new connection
 		a.send(k, now)
 	default:
 		a.observeDropped(c, k, conn)
@@ -256,15 +256,17 @@
 	a.arm()
 }
 
-// dropped tells the witness of a request whose connection the sidecar's side has ended.
+// observeDropped reports a request whose connection the sidecar's side has closed.
 func (a *Application) observeDropped(c netio.Conn, op *operation, conn *clientConn) {
 	e := a.event(checker.ConnectionDropped, op, conn)
 	e.WasRead = readByPeer(c)
 	a.observer.Observe(e)
 }
 
-// openID returns the id of a request that is out; false: there is none that is known of. Danger: one that is still on
-// its way to the sidecar could come behind who uses its id, and would then be the second.
+// pendingRequestID returns the id of a request that is in flight; false: none is known to be.
+//
+// Danger: a request that is still on its way to the sidecar could arrive after another client's request with its id, and
+// would then be the second one. Only requests sent settledS ago count.
 func (a *Application) pendingRequestID() (uint64, bool) {
 	const settledS = 0.005
 	op := a.lastSent
@@ -274,7 +276,7 @@
 	return op.request, true
 }
 
-// finish closes the connections at the day's end.
+// closeIdle closes the idle connections at the day's end.
 func (a *Application) closeIdle() {
 	for len(a.idleConns) > 0 {
 		a.net.Close(a.idleConns[len(a.idleConns)-1].conn)
--- a/internal/environment/clientretry.go
+++ b/internal/environment/clientretry.go
@@ -6,13 +6,13 @@
 	"hazelwheel/internal/checker"
 )
 
-// repeats tells whether a class is tried again after a failure that may have run.
+// mayRetryFailure tells whether a request of a class is retried after a failure that may have been executed.
 func (a *Application) mayRetryFailure(class int) bool {
 	spec := &a.day.Classes[class]
 	return spec.Effect == checker.Safe || spec.Effect == checker.Keyed && spec.Group == checker.GroupAll
 }
 
-// try begins the next try of a request.
+// startRequest starts the next request of an operation.
 func (a *Application) startRequest(op *operation, now float64) {
 	op.request, op.requests, op.isResent, op.conn = a.ids.Uint64()|1, op.requests+1, false, nil
 	if op.firstRequest == 0 {
@@ -23,10 +23,10 @@
 		op.requestDeadline = min(op.deadline, now+a.spec.AttemptTimeoutShare*a.day.Classes[op.class].TotalTimeoutSeconds)
 	}
 	if a.behavior.Float64() < a.spec.ImpatientShare {
-		op.requestDeadline = now + a.behavior.Float64()*(op.requestDeadline-now) // it goes away early
+		op.requestDeadline = now + a.behavior.Float64()*(op.requestDeadline-now) // an impatient client
 	}
 	a.observe(checker.RequestStarted, op, nil)
-	// An answer that comes a little late still counts.
+	// An answer slightly after the deadline still counts.
 	a.tasks.add(op.requestDeadline+answerSlackSeconds+socketSlackSeconds, clientTask{kind: taskTimeout, operation: op, request: op.request})
 	if at, leaves := a.drawEarlyAbandon(op, now); leaves {
 		a.tasks.add(at, clientTask{kind: taskAbandon, operation: op, request: op.request})
@@ -34,10 +34,10 @@
 	a.send(op, now)
 }
 
-// settle ends a request.
+// finishOperation ends an operation.
 func (a *Application) finishOperation(op *operation) { op.isFinished = true }
 
-// refused takes a refusal: trying again is harmless.
+// retryRejected handles a rejection, after which a retry is always safe. Some clients wait as long as the answer says.
 func (a *Application) retryRejected(op *operation, now, after float64) {
 	pause := a.backoff(op)
 	if after > 0 && a.behavior.Float64() < a.spec.RetryAfterShare {
@@ -46,7 +46,7 @@
 	a.scheduleRetry(op, now+pause)
 }
 
-// failed takes a failure; unreached ones have not even been taken.
+// retryFailed handles a failure; unreached: the request did not reach the sidecar.
 func (a *Application) retryFailed(op *operation, now float64, unreached bool) {
 	if !unreached && !a.mayRetryFailure(op.class) {
 		a.finishOperation(op)
@@ -59,7 +59,7 @@
 	return a.spec.BackoffSeconds * math.Ldexp(0.5+a.behavior.Float64(), min(op.requests-1, 8))
 }
 
-// again has a request tried once more, if it has tries and time left.
+// scheduleRetry schedules the next request of an operation, if retries and time are left.
 func (a *Application) scheduleRetry(op *operation, at float64) {
 	op.request, op.conn = 0, nil
 	if op.requests > a.spec.Retries || at >= op.deadline {
@@ -69,11 +69,11 @@
 	a.tasks.add(at, clientTask{kind: taskRetry, operation: op})
 }
 
-// giveUp ends the wait for a try.
+// abandon ends the wait for a request and closes its connection.
 func (a *Application) abandon(op *operation, now float64) {
 	a.observe(checker.RequestAbandoned, op, op.conn)
 	if conn := op.conn; conn != nil {
-		conn.operation = nil // a connection that still comes up serves another
+		conn.operation = nil // a connection that is still being dialed is used for another operation
 		if conn.conn != nil {
 			a.net.Close(conn.conn)
 		}
--- a/internal/environment/engine.go
+++ b/internal/environment/engine.go
@@ -10,8 +10,8 @@
 type Job struct {
 	Seconds       float64 // of the server's time when it is warm and not overloaded
 	IsHealthCheck bool
-	EnqueuedAt    float64 // when it came
-	Owner         any     // for whoever has given it
+	EnqueuedAt    float64 // set by Enqueue
+	Owner         any     // for the caller of Enqueue
 
 	finish float64 // of a running job: when it is done or, while the engine is paused, the time that it still needs
 }
@@ -22,7 +22,7 @@
 	spec          *ServerSpec
 	rng           *rand.Rand
 	started       float64
-	startsCold    bool // at the start
+	startsCold    bool
 	workedSeconds float64
 	running       []*Job
 	queued        []*Job
--- a/internal/environment/hostileclients.go
+++ b/internal/environment/hostileclients.go
@@ -10,8 +10,9 @@
 	"hazelwheel/internal/netio"
 )
 
-// Mischief is the clients beside one sidecar that may not be served: they send what nobody can use, or say nothing.
-// They send at full speed and read what they are sent.
+// HostileClients are the clients beside one sidecar that must not be served: they send malformed requests, or nothing. They
+// send at full speed and read what they are sent. Some kinds send valid requests in unusual ways, which may be served. It
+// implements netio.Handler.
 type HostileClients struct {
 	number     int32
 	day        *Day
@@ -20,19 +21,19 @@
 	rng        *rand.Rand
 	net        netio.EventLoop
 	tasks      schedule[hostileTask]
-	earlyWaves []*wave // told before the machine's program had begun
+	earlyWaves []*wave // of Connect calls before Start
 	armed      float64
 	lastVisit  uint64
 	out        []byte
 }
 
-// wave is a time in which such clients come.
+// wave is a period in which hostile clients connect.
 type wave struct {
 	ratePerSecond, until float64
 	isSilent             bool
 }
 
-// The ways of clients that may not be served.
+// hostileKind is what a hostile client does.
 type hostileKind uint8
 
 const (
@@ -47,28 +48,28 @@
 	requestsWithOthersID
 	requestsHalf
 	smugglesRequest
-	pipelinesRequests // several requests at once, which may be served, one after the other
-	retriesAtOnce     // what it asks may be served; it is the same once more, at once, when it is refused
+	pipelinesRequests // several valid requests at once
+	retriesAtOnce     // a valid request, sent again at once when it is rejected
 	hostileKindCount
 	staysSilent = hostileKindCount
 )
 
-// What such a client does at most.
+// Limits of what a hostile client does.
 const (
 	maxPieces            = 64   // of an endless head or body
 	pieceIntervalSeconds = 0.01 // between two
 	maxImmediateRetries  = 20
-	maxPipelined         = 4 // that are sent at once
+	maxPipelined         = 4 // requests sent at once
 	answerDueSeconds     = 3.0
 	hugeAnswerDueSeconds = 6.0
-	hostileConnSeconds   = 8.0 // then it goes by itself
+	hostileConnSeconds   = 8.0 // then it closes its connection
 	pieceBytes           = 16 << 10
 	hugeBody             = 60_000_000
-	hostileDialSeconds   = 0.5 // how long it waits for a connection
-	retryTimeoutSeconds  = 1.0 // seconds that it gives each try
+	hostileDialSeconds   = 0.5 // dial time-out
+	retryTimeoutSeconds  = 1.0 // time-out of each request
 )
 
-// visit is one such client.
+// hostileConn is one hostile client with its connection.
 type hostileConn struct {
 	kind       hostileKind
 	conn       netio.Conn
@@ -76,32 +77,32 @@
 	parser     http1.ResponseParser
 	buf        http1.Buffer
 	pieces     int
-	id         uint64   // of its request, where that may be served
-	pendingIDs []uint64 // of those that were sent at once and are not answered yet, in their order
+	id         uint64   // of its request, if that is valid
+	pendingIDs []uint64 // of pipelined requests without an answer, in their order
 	requests   int
 	isAnswered bool
-	isObserved bool // the witness knows of it
+	isObserved bool // HostileConnected was reported
 }
 
 type hostileTask struct {
-	wave   *wave        // one more is due
-	conn   *hostileConn // goes on, or away
+	wave   *wave        // its next client is due
+	conn   *hostileConn // sends its next piece, or closes
 	closes bool
 }
 
-// NewMischief returns the clients beside a sidecar that may not be served. None comes before Come is called.
+// NewHostileClients returns the hostile clients beside a sidecar. None connects before Connect is called.
 func NewHostileClients(day *Day, sidecar int, app *Application, observer checker.Observer) *HostileClients {
 	return &HostileClients{number: int32(sidecar), day: day, app: app, observer: observer, rng: randomStream(day.Seed, "mischief", sidecar),
 		armed: math.Inf(1)}
 }
 
-// Boot begins the machine's program.
+// Boot returns the clients' process.
 func (h *HostileClients) Boot(net netio.EventLoop) netio.Handler {
 	h.net = net
 	return h
 }
 
-// Start begins the waves that Come was told of before.
+// Start starts the waves of earlier Connect calls.
 func (h *HostileClients) Start() {
 	for _, w := range h.earlyWaves {
 		h.startWave(w)
@@ -109,8 +110,10 @@
 	h.earlyWaves = nil
 }
 
-// Come has so many such clients a second come until a time; silent ones say nothing. Danger: in real time a trouble can begin
-// before the machine has, and there is no loop to post to yet; its clients come from Start on.
+// Connect has so many hostile clients a second connect until a time; silent ones send nothing.
+//
+// Danger: in real time a fault can start before the machine has, and there is no event loop to post to yet; its clients
+// connect from Start on.
 func (h *HostileClients) Connect(ratePerSecond, until float64, silent bool) {
 	w := &wave{ratePerSecond, until, silent}
 	if h.net == nil {
@@ -120,7 +123,7 @@
 	h.net.Post(func() { h.startWave(w) })
 }
 
-// beginWave has the first client of a wave come at once.
+// startWave has the first client of a wave connect at once.
 func (h *HostileClients) startWave(w *wave) {
 	h.tasks.add(h.net.Now(), hostileTask{wave: w})
 	h.arm()
@@ -167,7 +170,8 @@
 	h.net.Dial(h.address(conn), now+hostileDialSeconds, conn, func(error) {})
 }
 
-// address returns where a client comes to. Where there is a Thrift port, those that may never be served come there by turns.
+// address returns the address that a client dials. Where there is a Thrift port, every other client without a valid request
+// dials that.
 func (h *HostileClients) address(conn *hostileConn) string {
 	at := h.day.Sidecars[h.number].Address
 	if h.day.Protocol.IsThrift() && !conn.isServable() && conn.kind != requestsWithOthersID && conn.number&1 == 0 {
@@ -176,7 +180,7 @@
 	return at
 }
 
-// Open begins what a client has come for.
+// Open reports a hostile client and sends its first bytes.
 func (h *HostileClients) Open(c netio.Conn) bool {
 	conn := c.Context().(*hostileConn)
 	conn.conn = c
@@ -185,7 +189,7 @@
 	if conn.kind == requestsWithOthersID {
 		var open bool
 		if conn.id, open = h.app.pendingRequestID(); !open {
-			return false // there is no id to use, so nothing to ask
+			return false // there is no id to use
 		}
 	}
 	if !conn.isServable() && conn.kind != requestsHalf {
@@ -287,12 +291,12 @@
 	return h.day.Classes[0].Name
 }
 
-// served tells whether what such a client asks may be served.
+// isServable tells whether the client's requests are valid and may be served.
 func (c *hostileConn) isServable() bool {
 	return c.kind == retriesAtOnce || c.kind == pipelinesRequests
 }
 
-// goOn sends the next piece of what never ends.
+// sendPiece sends the next piece of an endless head or body.
 func (h *HostileClients) sendPiece(conn *hostileConn, now float64) {
 	if conn.pieces++; conn.pieces > maxPieces {
 		return
@@ -318,7 +322,7 @@
 	h.tasks.add(now+pieceIntervalSeconds, hostileTask{conn: conn})
 }
 
-// Traffic takes what such a client is sent.
+// Traffic reads what the sidecar sends to a hostile client.
 func (h *HostileClients) Traffic(c netio.Conn, data []byte) {
 	conn := c.Context().(*hostileConn)
 	if conn.isAnswered {
@@ -352,7 +356,7 @@
 	h.arm()
 }
 
-// Closed takes the end of a connection.
+// Closed reports the end of a hostile client's connection.
 func (h *HostileClients) Closed(c netio.Conn, err error) {
 	conn := c.Context().(*hostileConn)
 	conn.conn = nil
--- a/internal/environment/pipeline.go
+++ b/internal/environment/pipeline.go
@@ -8,7 +8,7 @@
 	"hazelwheel/internal/netio"
 )
 
-// askAhead sends several requests that may be served at once, without waiting for the answers between.
+// sendPipelined sends several valid requests at once, without waiting for answers.
 func (h *HostileClients) sendPipelined(conn *hostileConn, now float64) {
 	class := h.classOf(checker.Safe)
 	number := slices.IndexFunc(h.day.Classes, func(spec ClassSpec) bool { return spec.Name == class })
@@ -34,8 +34,8 @@
 	}
 }
 
-// answeredAhead takes the answers of requests that were sent at once. One that says that the connection ends is the last: the client
-// goes, and is owed nothing for the others.
+// readPipelined reads the answers to pipelined requests. One that ends the connection is the last: the client closes, and no
+// answer is required for the others.
 func (h *HostileClients) readPipelined(conn *hostileConn) {
 	for conn.conn != nil && len(conn.pendingIDs) > 0 {
 		done, err := conn.parser.Next(&conn.buf)
@@ -60,7 +60,7 @@
 	}
 }
 
-// each tells the witness of all requests of a client that are not answered yet.
+// observePending reports an event for each request without an answer.
 func (h *HostileClients) observePending(conn *hostileConn, kind checker.Kind) {
 	for i, id := range conn.pendingIDs {
 		conn.id = id
@@ -71,7 +71,7 @@
 	conn.pendingIDs = nil
 }
 
-// endedAhead takes the end of the connection of requests that were sent at once.
+// pipelineClosed handles the close of a connection with pipelined requests.
 func (h *HostileClients) pipelineClosed(c netio.Conn, conn *hostileConn, err error) {
 	if err == nil {
 		h.observePending(conn, checker.RequestAbandoned)
@@ -87,7 +87,7 @@
 		e := h.event(checker.ConnectionDropped, conn)
 		e.Reused, e.WasRead = conn.requests > 0 || i > 0, readByPeer(c)
 		h.observer.Observe(e)
-		h.observer.Observe(h.event(checker.RequestAbandoned, conn)) // it does not come again
+		h.observer.Observe(h.event(checker.RequestAbandoned, conn)) // it isn't sent again
 	}
 	conn.pendingIDs = nil
 }
--- a/internal/environment/protocol.go
+++ b/internal/environment/protocol.go
@@ -6,20 +6,20 @@
 	"hazelwheel/internal/thrift"
 )
 
-// Speech is what applications, and through their sidecars boxes, speak.
+// Protocol is the protocol between applications, sidecars and servers.
 type Protocol string
 
-// The speeches. What a day means does not depend on its speech.
+// The protocols. Apart from it a day is the same with each.
 const (
 	HTTP          Protocol = "http"
 	ThriftBinary  Protocol = "binary"
 	ThriftCompact Protocol = "compact"
 )
 
-// Speeches are all there are.
+// Protocols are all protocols.
 var Protocols = []Protocol{HTTP, ThriftBinary, ThriftCompact}
 
-// Thrift tells whether it is Thrift; a day that names no speech has HTTP.
+// IsThrift tells whether it is an encoding of Thrift; the empty Protocol is HTTP.
 func (s Protocol) IsThrift() bool { return s == ThriftBinary || s == ThriftCompact }
 
 func (s Protocol) encoding() thrift.Encoding {
@@ -29,15 +29,15 @@
 	return thrift.Binary
 }
 
-// thriftPort is where sidecars listen for Thrift.
+// thriftPort is the port on which sidecars listen for Thrift.
 const thriftPort = 9090
 
-// ThriftAddress returns where a sidecar listens for Thrift that listens for HTTP at an address.
+// ThriftAddress returns the Thrift address of a sidecar that listens for HTTP at an address.
 func ThriftAddress(address string) string {
 	return netip.AddrPortFrom(netip.MustParseAddrPort(address).Addr(), thriftPort).String()
 }
 
-// ThriftProbe is the method by which sidecars probe boxes.
+// ThriftProbe is the method by which sidecars check the health of servers.
 const ThriftProbe = "status"
 
 // The fields of a call's arguments; the method's name is that of the class. A result has the answer's body in field 0.
@@ -49,7 +49,7 @@
 	argBody    = 5
 )
 
-// The paths of the same.
+// The paths of these fields, as settings name them.
 const (
 	ThriftID      = "1"
 	ThriftKey     = "2"
--- a/internal/environment/thriftclient.go
+++ b/internal/environment/thriftclient.go
@@ -7,21 +7,21 @@
 	"hazelwheel/internal/thrift"
 )
 
-// answerReader reads a sidecar's answer.
+// responseReader parses a sidecar's answers, over HTTP or Thrift.
 type responseReader struct {
 	speech Protocol
 	http   http1.ResponseParser
 	begun  bool
 	Status int // as over HTTP
 	Body   []byte
-	after  string // when to come again, in seconds; "": there is no word of it
+	after  string // when to retry, in seconds; "": not given
 }
 
 func newResponseReader(s Protocol) responseReader {
 	return responseReader{speech: s, http: http1.NewResponseParser(messageLimits)}
 }
 
-// Next reads on and tells whether the answer is whole.
+// Next parses on and tells whether the answer is complete.
 func (r *responseReader) Next(buf *http1.Buffer) (bool, error) {
 	if r.speech.IsThrift() {
 		return r.nextThrift(buf)
@@ -32,10 +32,10 @@
 	return isComplete, err
 }
 
-// Begun tells whether anything of the answer has come.
+// Begun tells whether a part of the answer has arrived.
 func (r *responseReader) Begun() bool { return r.begun }
 
-// Keep tells whether the answer lets its connection be used again.
+// Keep tells whether the connection may be used again after the answer.
 func (r *responseReader) Keep() bool { return r.speech.IsThrift() || r.http.IsPersistent() }
 
 var resultPath = []thrift.Path{{0}}
@@ -73,7 +73,7 @@
 	return true, err
 }
 
-// appendCall appends a request of the application as a call.
+// appendCall appends an operation's request in its Thrift form.
 func (a *Application) appendCall(dst []byte, op *operation) []byte {
 	var observer thrift.Writer
 	observer.BeginMessage(dst, a.day.Protocol.encoding(), thrift.Call, a.day.Classes[op.class].Name, int32(op.request))
@@ -94,8 +94,8 @@
 	return observer.EndMessage()
 }
 
-// bad sends what no Thrift port may take for a call, and tells whether a client of this kind has such a thing; others send it
-// what belongs to HTTP. What is hidden or half must never run: it has ids that nobody has asked with.
+// sendMalformedCall sends what no Thrift port may accept as a call, and tells whether a client of this kind has such bytes;
+// the other kinds send HTTP there. A smuggled or incomplete request must never be executed: its id is unknown to the checker.
 func (h *HostileClients) sendMalformedCall(conn *hostileConn, now float64, class string) bool {
 	call := func(dst []byte, name string, patience int64) []byte {
 		var observer thrift.Writer
@@ -114,7 +114,7 @@
 	case sendsHugeBody:
 		out = append(out, hugeBody>>24, hugeBody>>16&0xff, hugeBody>>8&0xff, hugeBody&0xff, 0x82)
 		h.tasks.add(now, hostileTask{conn: conn})
-	case sendsEndlessHead: // a frame that goes on for as long as it may
+	case sendsEndlessHead: // a frame of the largest size, in pieces
 		out = append(out, 0, 0, 0xff, 0xff, 0x82, 0x21)
 		h.tasks.add(now, hostileTask{conn: conn})
 	case requestsUnknownClass:
--- a/internal/environment/thriftserver.go
+++ b/internal/environment/thriftserver.go
@@ -8,20 +8,20 @@
 	"hazelwheel/internal/thrift"
 )
 
-// heard is what a box has read of a request.
+// receivedRequest is what a server has read of a request.
 type receivedRequest struct {
-	class    string // or what stands in its place
+	class    string // the first segment of the target, or the method
 	path     string
 	id       string
 	key      string
 	isThrift bool
-	message  thrift.Message // its head, of Thrift; its name lies in name
+	message  thrift.Message // the head of a Thrift call; its name is in name
 	name     string
 }
 
 var callPaths = []thrift.Path{{argID}, {argKey}}
 
-// hear reads on from what a sidecar has sent and tells whether a request is whole.
+// nextRequest parses on what a sidecar has sent and tells whether a request is complete.
 func (c *serverConn) nextRequest() (bool, error) {
 	if b := c.buf.Bytes(); len(b) > 0 && b[0] == 0 && !c.parser.HasBegun() {
 		return c.nextThriftRequest()
@@ -57,8 +57,8 @@
 	return true, nil
 }
 
-// appendAnswer appends an answer to the request that was read last. Over Thrift its header fields have no place, but for the
-// word that it has not begun.
+// appendResponse appends an answer to the last request. Thrift has no place for header fields, except for the statement that
+// the request was not started.
 func (c *serverConn) appendResponse(dst []byte, status int, h http1.Header, body []byte) []byte {
 	if !c.request.isThrift {
 		return http1.AppendResponse(dst, status, h, body)
@@ -78,7 +78,7 @@
 	}
 }
 
-// spoilThrift appends a reply that nobody can take for whole, and tells whether the connection is closed behind it.
+// appendMalformedReply appends a reply that can't be parsed completely, and tells whether the connection is closed after it.
 func (p *serverProcess) appendMalformedReply(conn *serverConn, out, body []byte) (_ []byte, closes bool) {
 	sound := conn.appendResponse(nil, 200, nil, body)
 	m := &conn.request.message
@@ -87,10 +87,10 @@
 		return p.appendNoise(out, 20+p.rng.IntN(400)), false
 	case malformedHead:
 		return append(out, 0, 0, 0, 9, 0x80, 7, 0, 2, 0, 0, 0, 0, 0), false
-	case malformedEndlessHead: // a frame above the bound that goes on
+	case malformedEndlessHead: // a frame above the size limit
 		out = append(out, 0, 1, 0, 1, 0x80)
 		return append(out, make([]byte, p.rng.IntN(40<<10))...), false
-	case malformedTooLong: // the frame names more than comes
+	case malformedTooLong: // the frame's length exceeds its bytes
 		out = append(out, sound...)
 		out[3]++
 		return out, p.rng.IntN(2) == 0
@@ -99,7 +99,7 @@
 	case malformedTwoLengths: // the reply to another call
 		m.Seq++
 		return conn.appendResponse(out, 200, nil, body), false
-	case malformedHuge: // a string that names more than the frame has
+	case malformedHuge: // a string's length exceeds the frame
 		var observer thrift.Writer
 		observer.BeginMessage(out, m.Encoding, thrift.Reply, conn.request.name, m.Seq)
 		observer.FieldHeader(thrift.String, 0)
--- a/internal/environment/validrequest.go
+++ b/internal/environment/validrequest.go
@@ -5,7 +5,7 @@
 	"hazelwheel/internal/http1"
 )
 
-// ask asks for something that may be served.
+// sendValid sends a valid request.
 func (h *HostileClients) sendValid(conn *hostileConn, now float64) {
 	class := 0
 	for class < len(h.day.Classes)-1 && h.day.Classes[class].Effect != checker.Safe {
@@ -13,7 +13,7 @@
 	}
 	conn.requests++
 	conn.id = h.rng.Uint64() | 1
-	// Danger: a parser that has read an answer takes the next one for the same answer's body.
+	// Danger: a parser that has read an answer would parse the next one as the same answer's body.
 	conn.parser = http1.NewResponseParser(messageLimits)
 	e := h.event(checker.RequestStarted, conn)
 	e.FirstRequest, e.Class, e.Deadline, e.Uncounted = conn.id, int32(class), now+retryTimeoutSeconds, true
