--- a/internal/environment/day.go
+++ b/internal/environment/day.go
@@ -1,8 +1,10 @@
-// Package environment is the model of what sidecars serve and depend on: boxes, discovery, the applications beside them, the
-// sites and the times between these, and the script of troubles. Each actor is a pure state machine that is told the
-// time, with a thin HTTP/1.1 front that is a netio.Handler: it uses its netio.EventLoop and nothing else, so the same actors run
-// in simulated time and on real sockets. Nothing here starts a goroutine, reads a clock or depends on a map's order;
-// chance comes from streams that a seed gives.
+// Package environment models what sidecars serve and depend on: servers, discovery, the applications beside the sidecars,
+// the sites and the latencies between them, and the script of faults.
+//
+// Each actor is a state machine that gets the time from its caller, behind a netio.Handler which uses its netio.EventLoop and
+// nothing else. The same actors therefore run in simulated time and on real sockets. The package starts no goroutine, reads
+// no clock and depends on no map's order; random numbers come from streams derived from a seed. A [Day] is drawn from
+// [Ranges]; a [Script] adds [Fault] values, which a [FaultInjector] injects into the actors and [Hosts].
 package environment
 
 import (
@@ -11,17 +13,17 @@
 	"hazelwheel/internal/checker"
 )
 
-// Day is one draw of a world, all that is true of it at its start.
+// Day is one draw of an environment: its complete state at the start.
 type Day struct {
 	Seed          uint64
 	Protocol      Protocol // empty: HTTP
-	Start         float64  // Unix time in seconds at which it begins
-	LengthSeconds float64  // arrivals end then
+	Start         float64  // Unix time in seconds
+	LengthSeconds float64  // arrivals end with it
 
 	Sites          []string
 	Sidecars       []SidecarSpec
-	Servers        []ServerSpec // those that stand at the start, and behind them the spare ones that troubles bring in
-	InitialServers int          // how many stand at the start
+	Servers        []ServerSpec // those that run at the start, followed by the spare ones that faults start
+	InitialServers int          // how many run at the start
 	Discovery      DiscoverySpec
 	Classes        []ClassSpec
 	ServerKinds    []string
@@ -29,14 +31,14 @@
 	Batch          *BatchSpec // nil: there is none
 
 	MeanWorkSeconds       float64     // mean work of a request, in seconds of a standard core
-	PathSeconds           [][]float64 // one way between two sites
+	PathSeconds           [][]float64 // one way, by the two sites
 	ClientPathSeconds     float64     // one way between an application and its sidecar
-	Jitter                float64     // of a way's time, as a share of it
-	ConnIdleSeconds       float64     // seconds
-	ReportsInline         bool        // load reports come with answers; else with probes alone
-	MaxDescriptors        int         // descriptors that each sidecar may hold
+	Jitter                float64     // of a path's time, as a share of it
+	ConnIdleSeconds       float64     // idle time-out of servers' connections
+	ReportsInline         bool        // load reports are sent with answers, too; otherwise by health checks alone
+	MaxDescriptors        int         // that each sidecar may hold
 	MemoryMB              int
-	OverloadWindowSeconds float64 // the window in which work brings a cold box down; 0: the usual one
+	OverloadWindowSeconds float64 // the window of work that overloads a cold server; 0: the standard one
 }
 
 // SidecarSpec is a sidecar and the application beside it, which share a machine.
@@ -70,21 +72,21 @@
 	AttemptTimeoutShare, BackoffSeconds             float64
 	RetryAfterShare, ImpatientShare                 float64
 	MaxConnections                                  int  // of one application
-	MarksRetries                                    bool // later tries say that they are
+	MarksRetries                                    bool // retries carry a mark
 	MaxRetryAfterSeconds                            float64
 }
 
-// BatchSpec is a batch that comes beside the applications' requests.
+// BatchSpec is a batch job beside the applications.
 type BatchSpec struct {
-	RatePerSecond float64 // of all sidecars together, shared out among them as the applications' requests are
+	RatePerSecond float64 // of all sidecars together, distributed as the applications' operations are
 	Class         int     // of all its requests
-	Organisation  string  // in whose name they come
+	Organisation  string  // in whose name they are sent
 }
 
-// BoxSpec is a box as drawn.
+// ServerSpec is a server as drawn.
 type ServerSpec struct {
 	Number               int
-	Name                 string // ends in eight hexadecimal digits that tell nothing
+	Name                 string // ends in eight random hexadecimal digits
 	IP                   string
 	Address              string
 	Site                 int
@@ -97,7 +99,7 @@
 	ThrashThreshold      float64
 	ColdCapacity         float64
 	WarmupSeconds        float64
-	WarmupWorkSeconds    float64 // seconds of work on each slot that make it warm
+	WarmupWorkSeconds    float64 // work on each slot that warms it up
 	PauseIntervalSeconds float64 // mean time between two pauses; 0: none
 	PauseSeconds         float64
 	ErrorShare           float64
@@ -107,25 +109,26 @@
 	IdleTimeoutSeconds                                                              float64
 	MaxConnections                                                                  int
 	ConnectionOverhead, HandshakeSeconds, HealthCheckSeconds, HealthChecksPerSecond float64
-	DropsCancelled                                                                  bool // whether waiting work is dropped where its connection ends
+	DropsCancelled                                                                  bool // whether a queued job is dropped when its connection is closed
 	Weight                                                                          float64
 }
 
-// FallSpec is when a cold box falls over: work beyond Multiple of its present capacity in any window of WindowS.
+// OverloadSpec is when a cold server is overloaded: by work beyond Multiple of its present capacity, plus SlackSeconds, in a
+// window of WindowSeconds.
 type OverloadSpec struct{ Multiple, WindowSeconds, SlackSeconds float64 }
 
-// RegistrySpec is discovery as drawn.
+// DiscoverySpec is discovery as drawn.
 type DiscoverySpec struct {
-	IPs                                                                     []string // it moves from the first on; each has Port
+	IPs                                                                     []string // it moves from one to the next
 	Addresses                                                               []string
 	FailureNoticeSeconds, SilentNoticeSeconds, StartNoticeSeconds           float64
 	PublishIntervalSeconds, DeliverySeconds, CallsPerSecond, EntriesPerCall float64
 	CallTimeoutSeconds                                                      float64
-	KeepAliveSeconds                                                        float64 // an empty line comes so often
-	OldAddressSeconds                                                       float64 // an address that was left closes what is open after this
+	KeepAliveSeconds                                                        float64 // an empty line is written to a watch so often
+	OldAddressSeconds                                                       float64 // a retired address closes its connections after this
 }
 
-// callS returns how long discovery works on a call where there are so many boxes.
+// callSeconds returns how long discovery takes to serve a call, by the number of servers.
 func (r *DiscoverySpec) callSeconds(boxes int) float64 {
 	return (1 + float64(boxes)/r.EntriesPerCall) / r.CallsPerSecond
 }
@@ -141,21 +144,21 @@
 	socketSlackSeconds    = 0.05
 	updateTimeoutSeconds  = 6.0
 	reloadGraceSeconds    = 4.0
-	minColdCapacity       = 0.14 // what sidecars are told: every box begins with this share or more
+	minColdCapacity       = 0.14 // as configured at sidecars: every server starts with this share of its capacity or more
 	maxWarmupSeconds      = 24.0
 	maxAttempts           = 3
-	// chanceRequests is how many mean requests beyond its budget a cold box bears in a window.
+	// overloadSlackRequests is how many mean requests beyond its budget a cold server can take in a window.
 	overloadSlackRequests = 2
 	connectTimeoutSeconds = 0.25
 	maxRetryAfterSeconds  = 1.5
 	tickSeconds           = 0.005
-	// discoveryMoves is how many addresses discovery can move through in a day.
+	// maxDiscoveryAddresses is how many addresses discovery can have in a day.
 	maxDiscoveryAddresses = 4
-	// startOfDays is 2027-01-15, so that a start of 0 means long ago.
+	// dayStart is 2027-01-15, so that a ServingSince of 0 means long ago.
 	dayStart = 1.8e9
 )
 
-// Rules returns what the judge of this day checks by.
+// Rules returns the rules by which a checker checks the day.
 func (d *Day) Rules() checker.Rules {
 	r := checker.Rules{
 		Sidecars: len(d.Sidecars), MaxDescriptors: d.MaxDescriptors, AnswerSlackSeconds: answerSlackSeconds, SocketSlackSeconds: socketSlackSeconds,
@@ -173,11 +176,11 @@
 	return r
 }
 
-// PathBetween returns how long bytes take one way between two sites, in seconds, before jitter.
+// PathBetween returns the one-way latency between two sites, in seconds, before jitter.
 func (d *Day) PathBetween(a, b int) float64 { return d.PathSeconds[a][b] }
 
-// Shorten leaves out sidecars, boxes and time, for whoever looks for the smallest day that still shows something; 0
-// keeps all. What stays is drawn as before.
+// Shorten reduces the sidecars, servers and length of the day; 0 keeps all. What stays is as drawn. Shrinking a script uses
+// it to find the smallest day that still shows a violation.
 func (d *Day) Shorten(sidecars, boxes int, lengthSeconds float64) {
 	if sidecars > 0 && sidecars < len(d.Sidecars) {
 		d.Sidecars = d.Sidecars[:sidecars]
--- a/internal/environment/daydraw.go
+++ b/internal/environment/daydraw.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// spareBoxes is how many boxes beyond those that stand at the start a day can bring in.
+// spareServers is how many servers can start in a day beyond those that run at its start.
 const spareServers = 8
 
 func (d *Day) drawServers(rng *rand.Rand, r Ranges) {
@@ -129,7 +129,7 @@
 		HandshakeSeconds: r.HandshakeMillis.draw(rng) / 1e3, HealthCheckSeconds: r.HealthCheckMillis.draw(rng) / 1e3,
 		HealthChecksPerSecond: r.HealthChecksPerSlot.draw(rng) * float64(slots), DropsCancelled: rng.Float64() < 0.2,
 	}
-	b.Weight = math.Round(float64(slots)*k.Speed.draw(rng)*4) / 4 // as registered: roughly the size
+	b.Weight = math.Round(float64(slots)*k.Speed.draw(rng)*4) / 4 // as registered: an estimate of the capacity
 	return b
 }
 
@@ -151,13 +151,13 @@
 	groups  = map[string]checker.Group{"": checker.GroupAll, "all": checker.GroupAll, "zone": checker.GroupZone, "cell": checker.GroupCell}
 )
 
-// standardWorkS is the mean work of a request at which the classes' times are as their ranges name them.
+// standardWorkSeconds is the mean work of a request at which the classes' times are those of their ranges.
 const standardWorkSeconds = 0.1
 
-// pace sets the size of requests so that the boxes are loaded as given, and the classes' times with it; longer is how many times as
-// long as usual they may be.
+// setPace sets the work of requests so that the servers have the given load, and scales the classes' times; longer is how many
+// times as long as usual the requests may be.
 func (d *Day) setPace(load, longer float64) {
-	d.OverloadWindowSeconds = overloadWindowSeconds * longer // or one request of usual size would be more than a box bears
+	d.OverloadWindowSeconds = overloadWindowSeconds * longer // otherwise one mean request would overload a server
 	capacity, mean := 0.0, 0.0
 	for _, b := range d.Servers[:d.InitialServers] {
 		capacity += b.Speed * float64(b.Slots)
@@ -169,15 +169,16 @@
 	for i := range d.Classes {
 		class := &d.Classes[i]
 		class.MeanWorkSeconds *= d.MeanWorkSeconds / mean
-		// Danger: times that shrink as far as the work would fall below what a tick and two ways take.
+		// Danger: times that shrink with the work without limit would fall below a tick and two path latencies.
 		pace := min(max(d.MeanWorkSeconds/standardWorkSeconds, 0.4), 1.5*longer)
 		class.LatencyTargetSeconds = math.Round(class.ClassRanges.LatencyTargetSeconds*pace*1e3) / 1e3
 		class.TotalTimeoutSeconds = math.Round(class.ClassRanges.TotalTimeoutSeconds*pace*1e3) / 1e3
 	}
 	for i := range d.Servers {
-		// What chance brings beyond the budget of a window is not held against anybody: a few requests' work. Danger:
-		// a slow box that begins at a sixth of its capacity bears two mean requests a window, and one heavy one brings
-		// it down whoever has sent it.
+		// A few requests' work beyond the budget of a window is random variation.
+		//
+		// Danger: a slow server that starts at a sixth of its capacity can take two mean requests a window, and one heavy
+		// request would overload it whichever sidecar sent it.
 		d.Servers[i].Overload.WindowSeconds = d.OverloadWindowSeconds
 		d.Servers[i].Overload.SlackSeconds = overloadSlackRequests * d.MeanWorkSeconds / d.Servers[i].Speed
 	}
--- a/internal/environment/faultdraw.go
+++ b/internal/environment/faultdraw.go
@@ -90,16 +90,19 @@
 	return some
 }
 
+// without returns the numbers of all that aren't in some. It changes all.
 func without(all, some []int) []int {
 	return slices.DeleteFunc(all, func(n int) bool { return slices.Contains(some, n) })
 }
 
-func drawServersFor(minimum, maximum, minSeconds, maxDelaySeconds float64) func(*Fault, *Day, *rand.Rand) {
+// drawServersFor returns a draw of a share of the servers, and of a duration.
+func drawServersFor(minimum, maximum, minSeconds, maxSeconds float64) func(*Fault, *Day, *rand.Rand) {
 	return func(fault *Fault, day *Day, rng *rand.Rand) {
-		fault.Servers, fault.DurationSeconds = day.drawServerNames(rng, minimum, maximum), uniform(rng, minSeconds, maxDelaySeconds)
+		fault.Servers, fault.DurationSeconds = day.drawServerNames(rng, minimum, maximum), uniform(rng, minSeconds, maxSeconds)
 	}
 }
 
+// drawMisbehavior draws servers, a duration and a share of wrong answers.
 func drawMisbehavior(fault *Fault, day *Day, rng *rand.Rand) {
 	drawServersFor(0.1, 1, 3, 20)(fault, day, rng)
 	fault.Share = uniform(rng, 0.01, 0.3)
@@ -115,6 +118,7 @@
 	return names
 }
 
+// drawSidecar draws one sidecar.
 func (d *Day) drawSidecar(rng *rand.Rand) []int { return []int{rng.IntN(len(d.Sidecars))} }
 
 // drawConnectionFaults adds faults of connections, watches and clients that abandon requests, on about two thirds of the
--- a/internal/environment/faultkinds.go
+++ b/internal/environment/faultkinds.go
@@ -5,64 +5,64 @@
 	"slices"
 )
 
-// Trouble kinds, as a script names them.
+// The kinds of faults of servers, discovery, clients and sidecars, as scripts name them.
 const (
-	Hang             = "hang"           // boxes take work and answer nothing
-	Crash            = "crash"          // boxes die and return cold, at the same address
-	CrashMoved       = "crash-moved"    // or at another
-	SiteLoss         = "site-loss"      // all boxes of a site go, with or without its sidecars, and return cold
-	ScaleIn          = "shrink"         // boxes drain and then end
-	StaleList        = "stale-list"     // discovery learns of everything later
-	DiscoveryDown    = "discovery-down" // discovery is gone
-	Resets           = "resets"         // connections to boxes are reset again and again
-	HalfOpen         = "half-open"      // boxes' machines vanish: what is open stays open and silent
-	OneWay           = "one-way"        // bytes in one direction between sidecars and boxes are lost
+	Hang             = "hang"           // servers accept requests and answer nothing
+	Crash            = "crash"          // servers are killed and restart cold, at the same address
+	CrashMoved       = "crash-moved"    // servers are killed and restart cold, at another address
+	SiteLoss         = "site-loss"      // all servers of a site stop, with or without its sidecars, and restart cold
+	ScaleIn          = "shrink"         // servers drain and then stop, or sidecars leave for good
+	StaleList        = "stale-list"     // discovery learns of everything after a further delay
+	DiscoveryDown    = "discovery-down" // discovery is down
+	Resets           = "resets"         // connections to servers are reset repeatedly
+	HalfOpen         = "half-open"      // servers' machines become unreachable: open connections stay open and silent
+	OneWay           = "one-way"        // bytes in one direction between sidecars and servers are lost
 	SlowReader       = "slow-reader"    // applications read slowly
-	MalformedAnswers = "spoilt"         // boxes spoil a share of their answers
-	TrailingBytes    = "behind"         // boxes send bytes behind a share of their answers
-	InterimResponses = "interim"        // boxes send 1xx answers in front of a share of their answers
-	BadClients       = "bad-clients"    // clients that may not be served
-	SilentFlood      = "silent-flood"   // connections that say nothing
-	SidecarKill      = "sidecar-kill"   // a sidecar is killed and begins again
-	SidecarTerm      = "sidecar-term"   // a sidecar is told to end and begins again
-	Reload           = "reload"         // discovery moves, and sidecars are told so by a new configuration
-	Cordon           = "taken-out"      // operators take boxes out at all sidecars, and give them back
-	AddressReuse     = "reuse"          // a box ends, and another one begins at its address
+	MalformedAnswers = "spoilt"         // a share of the servers' answers is malformed
+	TrailingBytes    = "behind"         // bytes follow a share of the servers' answers
+	InterimResponses = "interim"        // 1xx responses precede a share of the servers' answers
+	BadClients       = "bad-clients"    // clients that must not be served connect
+	SilentFlood      = "silent-flood"   // clients connect and send nothing
+	SidecarKill      = "sidecar-kill"   // sidecars are killed and restart
+	SidecarTerm      = "sidecar-term"   // sidecars shut down gracefully and restart
+	Reload           = "reload"         // discovery moves, and sidecars reload a configuration with its address
+	Cordon           = "taken-out"      // operators cordon servers at all sidecars, and end that
+	AddressReuse     = "reuse"          // a server stops, and another one starts at its address
 )
 
-// Faults of connections and watches, and clients that leave early.
+// The kinds of faults of connections and watches, and of clients that abandon requests.
 const (
-	ClientsLeave = "clients-leave" // clients close connections while their requests wait or are out
-	SilentWatch  = "silent-watch"  // all open watches say nothing more; new ones do
+	ClientsLeave = "clients-leave" // clients close connections while their requests are queued or in flight
+	SilentWatch  = "silent-watch"  // all open watches stall; new ones work
 	WatchReset   = "watch-reset"   // all connections to discovery are reset
-	LateConnect  = "late-connect"  // connections to boxes come up late, or not in time
-	EarlyClose   = "early-close"   // boxes close connections at rest early, some just as they are used again
-	FullList     = "whole-list"    // a watch begins with the whole list, which leaves out what drains
+	LateConnect  = "late-connect"  // connections to servers are established late, or not in time
+	EarlyClose   = "early-close"   // servers close idle connections early, some just as they are used again
+	FullList     = "whole-list"    // a watch starts with the complete list, which leaves out draining servers
 )
 
-// Troubles between sidecars that know each other.
+// The kinds of faults of days on which sidecars form a fleet.
 const (
-	PeerCut        = "peer-cut"    // bytes between sidecars are lost, both ways or one
-	PeerHold       = "peer-hold"   // bytes between sidecars wait, and links stay up
-	PeerSlow       = "peer-slow"   // bytes between sidecars go at a rate, and links stay up
-	PeerReset      = "peer-reset"  // links between sidecars are reset again and again
-	PeerNotReading = "peer-deaf"   // somebody asks sidecars again and again for what they know, as a peer does, and reads nothing
-	Suspend        = "freeze"      // sidecars' processes stand still
-	RestartAll     = "restart-all" // all sidecars are killed and begin again
-	DiskFull       = "disk-full"   // what sidecars would keep on disk can't be written
-	Clock          = "clock"       // sidecars' clocks run at another rate
-	ScaleOut       = "grow"        // so many sidecars come that have stood by; those that leave are Shrink's, by how many
+	PeerCut        = "peer-cut"    // bytes between sidecars are lost, in both directions or one
+	PeerHold       = "peer-hold"   // bytes between sidecars are held back, and connections stay up
+	PeerSlow       = "peer-slow"   // bytes between sidecars are limited to a rate, and connections stay up
+	PeerReset      = "peer-reset"  // connections between sidecars are reset repeatedly
+	PeerNotReading = "peer-deaf"   // a client queries sidecars repeatedly, as a peer does, and reads nothing
+	Suspend        = "freeze"      // sidecars' processes are suspended
+	RestartAll     = "restart-all" // all sidecars are killed and restart
+	DiskFull       = "disk-full"   // writes to sidecars' disks fail
+	Clock          = "clock"       // sidecars' clocks run at a wrong rate
+	ScaleOut       = "grow"        // standby sidecars start; ScaleIn is its counterpart
 )
 
-// kind says which fields a kind of trouble has and how one is drawn.
+// faultKind says which fields a kind of fault has and how one is drawn.
 type faultKind struct {
 	name     string
-	fields   []string // beside kind and at_s
-	optional []string // that it may leave out
+	fields   []string // required beside kind and at_s
+	optional []string // may be left out
 	draw     func(t *Fault, d *Day, rng *rand.Rand)
 }
 
-// kinds are all there are, in the order in which they are drawn.
+// serverFaultKinds are the kinds of any day. Draws depend on their order.
 var serverFaultKinds = []faultKind{
 	{Hang, []string{"for_s", "boxes"}, nil, drawServersFor(0.05, 0.2, 5, 25)},
 	{Crash, []string{"for_s", "boxes"}, nil, drawServersFor(0.05, 0.25, 1, 10)},
@@ -116,7 +116,7 @@
 	{Cordon, []string{"for_s", "boxes"}, nil, drawServersFor(0.05, 0.3, 2, 15)},
 }
 
-// connectionKinds are drawn beside the others, from a stream of their own, so that what the others are on a seed does not depend on them.
+// connectionFaultKinds are drawn from a random stream of their own, so that the other faults of a seed don't depend on them.
 var connectionFaultKinds = []faultKind{
 	{ClientsLeave, []string{"for_s", "sidecars", "share"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
 		t.DurationSeconds, t.Share, t.Sidecars = uniform(rng, 3, 15), uniform(rng, 0.05, 0.5), d.drawSidecarSubset(rng)
@@ -135,12 +135,12 @@
 	{DiscoveryDown, []string{"for_s"}, nil, func(t *Fault, _ *Day, rng *rand.Rand) { t.DurationSeconds = uniform(rng, 2, 8) }},
 }
 
-// besideIt draws what a trouble of connections comes with on half of the days, since it shows little without.
+// companionFaults draws, on half of the days, faults without which a fault of connections has little effect.
 func companionFaults(fault *Fault, day *Day, rng *rand.Rand) []Fault {
 	if rng.IntN(2) == 0 {
 		return nil
 	}
-	// Danger: a server that ends soon after its notice shows nobody who goes by an old list.
+	// Danger: a server that stops soon after its notice shows no sidecar that uses an old list.
 	drains := Fault{Kind: ScaleIn, AtSeconds: fault.AtSeconds + uniform(rng, 0, 5), DrainSeconds: uniform(rng, 12, 25), Servers: day.drawServerNames(rng, 0.05, 0.25)}
 	switch fault.Kind {
 	case SilentWatch, WatchReset:
@@ -148,24 +148,26 @@
 	case DiscoveryDown:
 		drains.AtSeconds += fault.DurationSeconds
 		return []Fault{drains}
-	case FullList: // what drains is left out of what follows an end of the watches
+	case FullList: // draining servers are missing in the lists after the reset
 		return []Fault{drains, {Kind: WatchReset, AtSeconds: drains.AtSeconds + uniform(rng, 0, 6)}}
-	case ClientsLeave: // attempts that get no answer are followed by others, and clients leave meanwhile
+	case ClientsLeave: // attempts without an answer are retried, and clients abandon meanwhile
 		return []Fault{{Kind: Hang, AtSeconds: fault.AtSeconds, DurationSeconds: fault.DurationSeconds, Servers: day.drawServerNames(rng, 0.1, 0.4)}}
-	case LateConnect: // connections that are there last, so that few are dialed
+	case LateConnect: // otherwise connections are kept, and few are dialed
 		return []Fault{{Kind: EarlyClose, AtSeconds: fault.AtSeconds, DurationSeconds: fault.DurationSeconds, Servers: fault.Servers, Share: uniform(rng, 0.05, 0.3)}}
 	}
 	return nil
 }
 
-// allKinds are the lists of all kinds.
+// faultKindLists are the lists of all kinds.
 var faultKindLists = [][]faultKind{serverFaultKinds, connectionFaultKinds, peerFaultKinds}
 
-// peerKinds are those of days on which sidecars know each other. Danger: among the others they would change what every seed is.
+// peerFaultKinds are the further kinds of days on which sidecars form a fleet.
+//
+// Danger: in serverFaultKinds they would change the draws of every seed.
 var peerFaultKinds = []faultKind{
 	{PeerCut, []string{"for_s", "from"}, []string{"to", "one_way"}, func(t *Fault, d *Day, rng *rand.Rand) {
 		t.DurationSeconds, t.From, t.OneWay = uniform(rng, 0.5, 12), d.drawSidecarSubset(rng), rng.IntN(3) == 0
-		if rng.IntN(3) == 0 { // from one or two alone: they hear each other through the others
+		if rng.IntN(3) == 0 { // some pairs alone, which still reach each other through the others
 			if t.To = without(d.drawSidecarSubset(rng), t.From); len(t.To) == 0 {
 				t.To = nil // the rest
 			}
@@ -206,11 +208,12 @@
 	}},
 }
 
+// drawSidecarCount draws how many sidecars a fault is about: at most half of them.
 func drawSidecarCount(fault *Fault, day *Day, rng *rand.Rand) {
 	fault.SidecarCount = 1 + rng.IntN(max(len(day.Sidecars)/2, 1))
 }
 
-// Kinds returns the names of all kinds of trouble.
+// FaultKinds returns the names of all kinds of faults.
 func FaultKinds() []string {
 	var names []string
 	for _, k := range slices.Concat(faultKindLists...) {
@@ -221,7 +224,7 @@
 	return names
 }
 
-// kindOf returns the kind of a name; of two that share it the one whose fields a trouble has. nil: there is none.
+// kindOf returns the kind with a name; of two with the same name, the one whose fields are given. nil: there is none.
 func kindOf(name string, has func(field string) bool) (found *faultKind) {
 	for _, all := range faultKindLists {
 		for i := range all {
@@ -233,7 +236,7 @@
 	return found
 }
 
-// given tells whether all that a kind needs is there.
+// given tells whether all required fields of the kind are given.
 func (k *faultKind) given(has func(field string) bool) bool {
 	return !slices.ContainsFunc(k.fields, func(f string) bool { return !has(f) })
 }
--- a/internal/environment/ranges.go
+++ b/internal/environment/ranges.go
@@ -1,62 +1,62 @@
 package environment
 
-// Ranges are what a day is drawn from. Lengths end in S (seconds) or MS (milliseconds), shares lie between 0 and 1.
+// Ranges are what a day is drawn from. Shares lie between 0 and 1.
 type Ranges struct {
 	LengthSeconds Range // of the day; arrivals end with it
 	Sidecars      Range
 	Servers       Range // at the start of the day
-	Sites         Range // boxes and sidecars are dealt out among so many
+	Sites         Range // over which servers and sidecars are distributed
 
-	RatePerSecond           Range   // requests a second of all sidecars together, clients' retries not counted
-	Load                    Range   // work asked for, as a share of what all boxes bear when warm
-	OverloadedDayShare      float64 // share of the days that are crowded
-	OverloadedRatePerSecond Range   // requests a second then: many small ones, since boxes that begin cold bear few large ones
-	OverloadedLoad          Range   // and their work
-	LongRequestDayShare     float64 // share of the days on which requests are few and long
-	LongRequestFactor       Range   // so many times as long then, and as few
-	Swing                   Range   // arrivals go up and down by this share
+	RatePerSecond           Range   // operations of all sidecars together, without clients' retries
+	Load                    Range   // work requested, as a share of the capacity of all servers when warm
+	OverloadedDayShare      float64 // share of the days with overload
+	OverloadedRatePerSecond Range   // then: many small requests, since cold servers can take few large ones
+	OverloadedLoad          Range   // then
+	LongRequestDayShare     float64 // share of the days with few and long requests
+	LongRequestFactor       Range   // then: how many times as long, and as few, they are
+	Swing                   Range   // amplitude of the arrival rate, as a share of it
 	SwingPeriodSeconds      Range   // of the swing
-	BurstFactor             Range   // in a burst arrivals are multiplied by this
-	BurstSeconds            Range   // a burst's length
+	BurstFactor             Range   // of the arrival rate in a burst
+	BurstSeconds            Range   // length of a burst
 	BurstIntervalSeconds    Range   // mean time between bursts
-	SidecarSkew             Range   // how unevenly sidecars are used: the spread of their shares
+	SidecarSkew             Range   // coefficient of variation of the sidecars' shares
 
 	SameSiteMillis  Range // one way within a site
 	CrossSiteMillis Range // one way between two sites
 	ClientMillis    Range // one way between an application and its sidecar
-	Jitter          Range // of a way's time, as a share of it
+	Jitter          Range // of a path's time, as a share of it
 
-	Retries             Range // of a request by its client
-	AttemptTimeoutShare Range // of a request's time that its client gives to a try that may be followed by another
+	Retries             Range // of an operation by its client
+	AttemptTimeoutShare Range // of the total time-out, for a request that may be retried
 	BackoffMillis       Range // before a client's first retry; doubled before each further one
-	RetryAfterShare     Range // share of the refused that wait as long as they are told to
-	ImpatientShare      Range // share of the clients that leave before their time is over
+	RetryAfterShare     Range // share of the rejected clients that honour Retry-After
+	ImpatientShare      Range // share of the clients that abandon a request before its deadline
 
 	FailureNoticeSeconds  Range // until discovery knows of a process that has died
-	SilentNoticeSeconds   Range // or of a machine that has gone silent
-	StartNoticeSeconds    Range // or of one that has begun
-	PublishIntervalMillis Range // how often discovery takes up what it knows
-	DeliveryMillis        Range // until a watcher is told of it
-	CallsPerSecond        Range // that discovery works through
-	EntriesPerCall        Range // lines of an answer that cost as much as the call
+	SilentNoticeSeconds   Range // or of a machine that has become unreachable
+	StartNoticeSeconds    Range // or of a process that has started
+	PublishIntervalMillis Range // between two publications of what discovery knows
+	DeliveryMillis        Range // until an update is written to a watch
+	CallsPerSecond        Range // that discovery can serve
+	EntriesPerCall        Range // entries of an answer that cost as much as the call itself
 
-	ReportIntervalMillis Range // how often a load report is made
-	ReportLagMillis      Range // how old it is when it is shown first
+	ReportIntervalMillis Range // between two load reports
+	ReportLagMillis      Range // age of a load report when it is published
 	ReportNoise          Range
-	ConnIdleSeconds      Range // a box closes a connection that has been idle for so long
-	ConnectionsPerSlot   Range // connections that a box takes for each core
-	ConnectionOverhead   Range // share of a box's capacity that a full table of connections takes
+	ConnIdleSeconds      Range // idle time-out of a server's connections
+	ConnectionsPerSlot   Range // that a server accepts
+	ConnectionOverhead   Range // share of a server's capacity that the maximum of connections takes
 	HandshakeMillis      Range // work of a new connection
-	HealthCheckMillis    Range // work of a probe
-	HealthChecksPerSlot  Range // that a box serves for each core
-	WarmupWorkSeconds    Range // seconds of work, by capacity, that make a cold box warm
+	HealthCheckMillis    Range // work of a health check
+	HealthChecksPerSlot  Range // a second
+	WarmupWorkSeconds    Range // seconds of work on each slot that warm a cold server up
 
 	Classes     []ClassRanges
 	ServerKinds []ServerKindRanges
 }
 
-// ClassRanges are those of a class of requests. Its times and work go with the day's pace: where requests come faster
-// they are smaller.
+// ClassRanges are the ranges of a class of requests. Its times and work scale with the day's pace: where requests arrive
+// faster they are smaller.
 type ClassRanges struct {
 	Name                 string
 	Effect               string // safe, keyed or unsafe
@@ -71,25 +71,25 @@
 	BodyBytes                    Range // of a request; 0: none
 }
 
-// KindRanges are those of a kind of box.
+// ServerKindRanges are the ranges of a kind of server.
 type ServerKindRanges struct {
 	Name                 string
-	Share                Range // of the boxes
-	Speed                Range // of one core beside the standard core
-	SpeedCV              Range // between boxes of the kind
-	Slots                Range // requests in work at once, each on its own core
-	QueuePerSlot         Range // room for more, for each slot
-	ThrashFactor         Range // loss of speed for each request too many, beyond ThrashAt held for each slot
+	Share                Range // of the servers
+	Speed                Range // of one core, relative to the standard core
+	SpeedCV              Range // coefficient of variation between servers of the kind
+	Slots                Range // requests executed at once, each on its own core
+	QueuePerSlot         Range // queue limit for each slot
+	ThrashFactor         Range // loss of speed for each request in flight beyond ThrashThreshold for each slot
 	ThrashThreshold      Range
 	ColdCapacity         Range // share of the capacity at the start
-	WarmupSeconds        Range // warm then at the latest
+	WarmupSeconds        Range // time after which it is warm in any case
 	PauseIntervalSeconds Range // between two pauses
 	PauseMillis          Range
-	ErrorShare           Range // share of the requests answered by 500 after they have run
+	ErrorShare           Range // share of the requests answered by 500 after their execution
 }
 
-// Large returns the usual ranges for so many boxes, with as much more traffic. Sidecars are as many as usual, so that each
-// is a busy one, whose subset is the whole fleet.
+// LargeRanges returns the standard ranges for so many servers, with traffic in proportion. The number of sidecars stays, so
+// that each has much traffic, and its subset is the whole fleet.
 func LargeRanges(boxes int) Ranges {
 	r := StandardRanges()
 	times := 2 * float64(boxes) / (r.Servers.Min + r.Servers.Max)
@@ -101,7 +101,7 @@
 	return r
 }
 
-// Usual returns the ranges of the days that the project is judged by.
+// StandardRanges returns the ranges of the days by which the project is measured.
 func StandardRanges() Ranges {
 	kind := func(name string, share, speed, waiting Range) ServerKindRanges {
 		return ServerKindRanges{Name: name, Share: share, Speed: speed, SpeedCV: Range{0.05, 0.22}, Slots: Range{1, 2},
--- a/internal/environment/scriptfile.go
+++ b/internal/environment/scriptfile.go
@@ -15,8 +15,8 @@
 // Format returns a script as TOML. ReadScript returns the same script for it.
 func (s *Script) Format() ([]byte, error) { return toml.Marshal(s) }
 
-// ReadScript reads a script's text; file is what errors call it. Every error is a *tomlfile.Error. Whether a script's day
-// has what it names is checked too.
+// ReadScript parses and checks a script, also that its day has what it names. file is its name in errors. Every error is a
+// *tomlfile.Error.
 func ReadScript(file string, text []byte, r Ranges) (*Script, error) {
 	s := &Script{}
 	read, err := tomlfile.Read(file, text, s)
@@ -26,7 +26,7 @@
 	s.normalize()
 	fault := func(table, field, why string) error {
 		e := read.Fault(table+field, why)
-		e.Field = field // its line tells the table
+		e.Field = field // the line already says which table it is
 		return e
 	}
 	for i := range s.Faults {
@@ -46,7 +46,7 @@
 	return s, nil
 }
 
-// Simulated returns why a trouble is played in simulated time alone; empty: it is played with real processes, too.
+// WhyOnlySimulated returns why a fault is injected in simulated time alone; empty: also into real processes.
 func (f *Fault) WhyOnlySimulated() string {
 	switch f.Kind {
 	case Clock:
@@ -57,7 +57,7 @@
 	return ""
 }
 
-// ReadRealScript reads a script for real processes. What is played in simulated time alone is an error.
+// ReadRealScript reads a script for real processes. A fault that is injected in simulated time alone is an error.
 func ReadRealScript(file string, text []byte, r Ranges) (*Script, error) {
 	s, err := ReadScript(file, text, r)
 	if err != nil {
@@ -79,7 +79,8 @@
 	return s, nil
 }
 
-// fault returns the first trouble and field of a script that names what a day has not.
+// unknownReference returns the first fault and field of a script that name what a day doesn't have; an empty field: there
+// is none.
 func (s *Script) unknownReference(day *Day) (i int, field, why string) {
 	come := 0
 	for i := range s.Faults {
@@ -96,7 +97,7 @@
 	return 0, "", ""
 }
 
-// tidy makes lists that are there and hold nothing the same as none.
+// normalize replaces empty lists by nil.
 func (s *Script) normalize() {
 	if len(s.Faults) == 0 {
 		s.Faults = nil
@@ -114,10 +115,10 @@
 	}
 }
 
-// trouble is how the paths of a trouble's fields begin.
+// faultPath returns the prefix of the paths of a fault's fields in a script.
 func faultPath(i int) string { return fmt.Sprintf("trouble[%d].", i) }
 
-// misshapen returns the first field of a script that is out of range, with what is wrong.
+// invalidField returns the first field of a script that is out of range, and why; an empty field: there is none.
 func (s *Script) invalidField(r Ranges) (field, why string) {
 	switch {
 	case s.Sidecars < 0 || s.Sidecars > int(r.Sidecars.Max):
@@ -130,7 +131,7 @@
 	return "", ""
 }
 
-// Most of what a script may ask for.
+// Limits of a script's figures.
 const (
 	maxFaultSeconds   = 3600.0
 	maxRatePerSecond  = 1000.0
@@ -139,8 +140,8 @@
 	maxClockRate      = 1.05
 )
 
-// misshapen returns the first field of a trouble that is missing, odd or not its kind's, with what is wrong. has tells
-// whether the text gives a field.
+// invalidField returns the first field of a fault that is missing, out of range or not its kind's, and why; an empty field:
+// there is none. has tells whether the text gives a field.
 func (f *Fault) invalidField(has func(field string) bool) (field, why string) {
 	kind := kindOf(f.Kind, has)
 	if kind == nil {
@@ -189,7 +190,8 @@
 	return "", ""
 }
 
-// fault returns the first field of a trouble that names what a day has not.
+// unknownReference returns the first field of a fault that names what a day doesn't have, and why; an empty field: there is
+// none.
 func (f *Fault) unknownReference(day *Day) (field, why string) {
 	for _, name := range f.Servers {
 		if !slices.ContainsFunc(day.Servers, func(b ServerSpec) bool { return b.Name == name }) {
