--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
-// Command adapter runs decision modules on the simulator's wire: batches of events on standard input,
-// replies on standard output.
+// Command adapter connects the decisions of package policy to an external simulator. It reads batches of events from standard input and
+// writes the reply to each, with the actions of the decisions, to standard output, in the format of package simulatorwire. One process
+// serves many instances, which the events name by number. It ends with 0 at the end of the input, and with 1 after a batch that is malformed.
 package main
 
 import (
@@ -14,19 +15,26 @@
 	"hazelwheel/policy"
 )
 
+const (
+	// gcPercent is the growth of the heap, in percent, that starts a garbage collection. Above the default of 100 it trades memory for time.
+	gcPercent = 400
+	// bufferBytes is the size of the buffers of the input and of the output.
+	bufferBytes = 1 << 16
+)
+
 func main() {
-	debug.SetGCPercent(400)
+	debug.SetGCPercent(gcPercent)
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
 }
 
-// run answers batches until the input ends.
+// run replies to each batch before it reads the next, until the input ends. An error ends it without a reply to the batch.
 func run(in io.Reader, out io.Writer) error {
-	reader := simulatorwire.NewReader(bufio.NewReaderSize(in, 1<<16))
-	writer := bufio.NewWriterSize(out, 1<<16)
-	p := &process{instances: map[uint32]*policy.Balancer{}}
+	reader := simulatorwire.NewReader(bufio.NewReaderSize(in, bufferBytes))
+	writer := bufio.NewWriterSize(out, bufferBytes)
+	a := &adapter{balancers: map[uint32]*policy.Balancer{}}
 	for {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -35,11 +43,11 @@
 		if err != nil {
 			return err
 		}
-		p.reply.Reset()
-		if err := p.handle(batch); err != nil {
+		a.reply.Reset()
+		if err := a.handleBatch(batch); err != nil {
 			return err
 		}
-		if _, err := p.reply.WriteTo(writer); err != nil {
+		if _, err := a.reply.WriteTo(writer); err != nil {
 			return err
 		}
 		if err := writer.Flush(); err != nil {
@@ -48,21 +56,22 @@
 	}
 }
 
-// process holds the instances of one process; they share the wire's tables and nothing else.
-type process struct {
-	instances map[uint32]*policy.Balancer
+// adapter holds the balancer of each instance. They share the tables of hosts and the reply, and nothing else. It is used by one goroutine.
+type adapter struct {
+	balancers map[uint32]*policy.Balancer // by instance; an instance that was shut down or has panicked has none
 	tables    simulatorwire.Tables
-	reply     simulatorwire.Reply
+	reply     simulatorwire.Reply // to the present batch
 }
 
-func (p *process) handle(b simulatorwire.Batch) error {
+// handleBatch handles the records of a batch in order and adds their actions to the reply. The error names the record at fault.
+func (a *adapter) handleBatch(b simulatorwire.Batch) error {
 	for i := range b.Count {
 		r := b.Record(i)
 		var err error
 		if r.Code() == simulatorwire.Table {
-			err = p.tables.Set(b, r)
+			err = a.tables.Set(b, r)
 		} else {
-			err = p.event(b, r)
+			err = a.handleEvent(b, r)
 		}
 		if err != nil {
 			return fmt.Errorf("record %d, code %d: %w", i, r.Code(), err)
@@ -71,13 +80,13 @@
 	return nil
 }
 
-// event hands one record to its instance. A panic of the decisions is reported as BROKEN.
-func (p *process) event(b simulatorwire.Batch, r simulatorwire.Record) (err error) {
+// handleEvent handles a record that is for one instance. A panic of the instance removes it and is reported as BROKEN; the others go on.
+func (a *adapter) handleEvent(b simulatorwire.Batch, r simulatorwire.Record) (err error) {
 	id := r.Instance()
 	defer func() {
 		if cause := recover(); cause != nil {
-			delete(p.instances, id)
-			p.reply.Broken(id, fmt.Sprint(cause))
+			delete(a.balancers, id)
+			a.reply.Broken(id, fmt.Sprint(cause))
 		}
 	}()
 	switch r.Code() {
@@ -86,50 +95,51 @@
 		if err != nil {
 			return err
 		}
-		p.instances[id] = policy.New(settings, seed, &simulatorwire.Actions{Reply: &p.reply, Instance: id})
+		a.balancers[id] = policy.New(settings, seed, &simulatorwire.Actions{Reply: &a.reply, Instance: id})
 		return nil
 	case simulatorwire.Shutdown:
-		delete(p.instances, id)
+		delete(a.balancers, id)
 		return nil
 	}
-	in := p.instances[id]
-	if in == nil {
-		return nil // events of a stopped instance
+	balancer := a.balancers[id]
+	if balancer == nil {
+		return nil // the instance was shut down before the event
 	}
-	return p.dispatch(in, b.Now, r)
+	return a.dispatch(balancer, b.Now, r)
 }
 
-func (p *process) dispatch(bal *policy.Balancer, now float64, r simulatorwire.Record) error {
+// dispatch decodes an event and passes it to a balancer. Now is the simulator's time of the batch, in seconds.
+func (a *adapter) dispatch(balancer *policy.Balancer, now float64, r simulatorwire.Record) error {
 	switch r.Code() {
 	case simulatorwire.Targets:
-		kind, list, err := simulatorwire.DecodeTargets(&p.tables, r)
+		kind, hosts, err := simulatorwire.DecodeTargets(&a.tables, r)
 		if err != nil {
 			return err
 		}
-		bal.UpdateHosts(now, kind, list)
+		balancer.UpdateHosts(now, kind, hosts)
 	case simulatorwire.Inbound:
-		bal.StartRequest(now, simulatorwire.DecodeInbound(r))
+		balancer.StartRequest(now, simulatorwire.DecodeInbound(r))
 	case simulatorwire.Streaming:
-		bal.StreamStarted(now, simulatorwire.DecodeRef(r))
+		balancer.StreamStarted(now, simulatorwire.DecodeRef(r))
 	case simulatorwire.Returned:
-		res, err := simulatorwire.DecodeReturned(r)
+		result, err := simulatorwire.DecodeReturned(r)
 		if err != nil {
 			return err
 		}
-		bal.AttemptDone(now, res)
+		balancer.AttemptDone(now, result)
 	case simulatorwire.Aborted:
-		bal.Abandoned(now, simulatorwire.DecodeRef(r))
+		balancer.Abandoned(now, simulatorwire.DecodeRef(r))
 	case simulatorwire.DeadlineHit:
-		bal.Wake(now)
+		balancer.Wake(now)
 	case simulatorwire.StatusBack:
-		res, err := simulatorwire.DecodeStatusBack(r)
+		result, err := simulatorwire.DecodeStatusBack(r)
 		if err != nil {
 			return err
 		}
-		bal.ProbeDone(now, res)
-	case simulatorwire.PeerData: // messages between proxies play no part
+		balancer.ProbeDone(now, result)
+	case simulatorwire.PeerData: // the decisions use no messages between proxies
 	default:
-		return fmt.Errorf("unknown event")
+		return errors.New("unknown event")
 	}
 	return nil
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -126,18 +126,18 @@
 }
 
 func TestPanicIsReported(t *testing.T) {
-	p := &process{}
+	a := &adapter{}
 	var b batch
 	b.configure(3, settings) // the table of instances is missing: writing to it panics
 	in, err := simulatorwire.NewReader(bytes.NewReader(b.frame(0))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := p.handle(in); err != nil {
+	if err := a.handleBatch(in); err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if _, err := p.reply.WriteTo(&out); err != nil {
+	if _, err := a.reply.WriteTo(&out); err != nil {
 		t.Fatal(err)
 	}
 	list, _ := actions(t, out.Bytes())
