--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -1,18 +1,13 @@
 package main
 
 import (
-	"bufio"
-	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"maps"
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/urfave/cli/v3"
@@ -21,8 +16,6 @@
 	"hazelwheel/internal/lab/processcluster"
 	"hazelwheel/internal/maintenanceplan"
 	"hazelwheel/internal/sidecarconfig"
-	"hazelwheel/internal/sim"
-	"hazelwheel/internal/sim/membershipsim"
 )
 
 func fleetCommand() *cli.Command {
@@ -219,108 +212,3 @@
 	}
 	return nil
 }
-
-// writeWorked says what came of a plan.
-func writeWorked(out io.Writer, w *processcluster.Worked) {
-	for _, line := range w.Wrong {
-		fmt.Fprintln(out, line)
-	}
-	for _, wait := range w.Waits {
-		fmt.Fprintf(out, "waits: %s %s %s\n", wait.Server, wait.Reason, strings.Join(wait.Members, " "))
-	}
-	goes := "ended"
-	if !w.Ended {
-		goes = "did not end"
-	}
-	fmt.Fprintf(out, "plan of %d boxes: %d done, %d skipped, %d lost; it %s within %.1f s\n", w.Boxes, w.Done, w.Skipped, w.Lost, goes, w.TotalS)
-	fmt.Fprintf(out, "meanwhile %.3f of the worth served in time in the worst ten seconds, from %.1f s on; %d of %d tries refused\n", w.WorstS10, w.WorstAtS, w.Refused, w.Asked)
-	for _, why := range slices.SortedFunc(maps.Keys(w.HeldS), func(a, b string) int { return cmp.Compare(w.HeldS[b], w.HeldS[a]) }) {
-		fmt.Fprintf(out, "%8.1f s  %s\n", w.HeldS[why], why)
-	}
-	if w.GoneSent > 0 {
-		fmt.Fprintf(out, "%d requests came to boxes that were worked on, of sidecars that had counted as gone\n", w.GoneSent)
-	}
-}
-
-// simulateFleet plays a fleet in simulated time: what both judges find is the sidecar's, what one finds alone may be the machine's.
-func simulateFleet(c *cli.Command, s *processcluster.Settings) error {
-	r := s.Ranges()
-	o := sim.Options{CustomRanges: &r, FleetMode: sim.FleetOn}
-	script := s.Troubles()
-	out := bufio.NewWriter(c.Root().Writer)
-	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
-	if c.Bool("trace") {
-		o.Trace = func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }
-	}
-	got, err := sim.Play(script, o)
-	if err != nil {
-		return wrong(err)
-	}
-	for _, f := range got.Violations {
-		fmt.Fprintf(out, "%7.2f s  %-12s n%-5d %s\n", got.SinceStart(f.At), f.Rule, f.Sidecar, f.Reason)
-	}
-	fmt.Fprintf(out, "%d troubles; %.3f of the worth served in time\n", len(script.Faults), got.Report.Service)
-	fmt.Fprintf(out, "fleet: %d sidecars, %d rules broken\n", s.Sidecars, len(got.Violations))
-	if len(got.Violations) > 0 {
-		return errBroken
-	}
-	return nil
-}
-
-// spread says a median and the greatest of some times.
-func spread(all []float64) string {
-	if len(all) == 0 {
-		return "(never)"
-	}
-	all = slices.Clone(all)
-	slices.Sort(all)
-	return fmt.Sprintf("%.1f s (median; at most %.1f s, of %d)", all[len(all)/2], all[len(all)-1], len(all))
-}
-
-func crowdCommand() *cli.Command {
-	return &cli.Command{
-		Name:  "crowd",
-		Usage: "measure in simulated time what knowing each other costs, and how soon a death is known, by the size of the fleet",
-		Flags: []cli.Flag{
-			&cli.IntSliceFlag{Name: "members", Usage: "the `SIZES`", Value: []int{5, 50, 300}},
-			&cli.Uint64Flag{Name: "seed", Value: 1},
-			&cli.StringFlag{Name: "picture", Usage: "the `FILE` for a picture of the figures by size, an SVG"},
-			&cli.BoolFlag{Name: "ways", Usage: "model the other ways that were weighed, too"},
-			&cli.FloatFlag{Name: "hours", Usage: "play drawn troubles for `N` hours in place of that, and count false deaths"},
-		},
-		Action: func(_ context.Context, c *cli.Command) error {
-			var all []membershipsim.Costs
-			for _, n := range c.IntSlice("members") {
-				if n < 2 || n > 6000 {
-					return fault(fmt.Errorf("members: %d is not 2 to 6000", n))
-				}
-				if h := c.Float("hours"); h > 0 {
-					t, err := membershipsim.PlayFaults(n, h*3600, c.Uint64("seed"))
-					for _, line := range t.Discrepancies {
-						fmt.Fprintln(c.Root().Writer, line)
-					}
-					fmt.Fprintf(c.Root().Writer, "%d members, %.2f hours, %d troubles: %d false deaths  trace %016x\n", n, t.HoursPlayed, t.Faults, t.FalseDeaths, t.Trace)
-					if err != nil {
-						return err
-					}
-					continue
-				}
-				f, err := membershipsim.Measure(n, c.Uint64("seed"))
-				if err != nil {
-					return err
-				}
-				fmt.Fprintln(c.Root().Writer, f)
-				all = append(all, f)
-				if c.Bool("ways") {
-					for _, w := range membershipsim.Alternatives(n, c.Uint64("seed")) {
-						fmt.Fprintln(c.Root().Writer, "      ", w)
-					}
-				}
-			}
-			if path := c.String("picture"); path != "" && len(all) > 1 {
-				return membershipsim.Plot(path, all)
-			}
-			return nil
-		},
-	}
-}
--- a/cmd/hazellab/seeds.go
+++ b/cmd/hazellab/seeds.go
@@ -3,10 +3,14 @@
 import (
 	"bufio"
 	"fmt"
+	"os"
 	"runtime/debug"
+	"strconv"
 	"strings"
 
+	"github.com/schollz/progressbar/v3"
 	"github.com/urfave/cli/v3"
+	"golang.org/x/term"
 
 	"hazelwheel/internal/sim/seeds"
 )
@@ -48,3 +52,24 @@
 	}
 	return days
 }
+
+// seedRange reads a range of seeds, or one.
+func seedRange(text string) (first, last uint64, err error) {
+	from, to, two := strings.Cut(text, "-")
+	if !two {
+		to = from
+	}
+	first, err1 := strconv.ParseUint(from, 10, 64)
+	last, err2 := strconv.ParseUint(to, 10, 64)
+	if err1 != nil || err2 != nil || first > last {
+		return 0, 0, fmt.Errorf("seeds: %q is not a range such as 1-10000", text)
+	}
+	return first, last, nil
+}
+
+// progressBar returns a bar on standard error, which shows nothing where that is no terminal.
+func progressBar(n int64, what string) *progressbar.ProgressBar {
+	return progressbar.NewOptions64(n, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription(what),
+		progressbar.OptionSetVisibility(term.IsTerminal(int(os.Stderr.Fd()))), progressbar.OptionShowCount(),
+		progressbar.OptionSetPredictTime(true), progressbar.OptionClearOnFinish())
+}
--- /dev/null
+++ b/cmd/hazellab/shrink.go
@@ -0,0 +1,66 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/urfave/cli/v3"
+
+	"hazelwheel/internal/checker"
+	"hazelwheel/internal/environment"
+	"hazelwheel/internal/sim"
+)
+
+func writeScript(w io.Writer, s *environment.Script) error {
+	text, err := s.Format()
+	if err != nil {
+		return err
+	}
+	_, err = w.Write(text)
+	return err
+}
+
+func shrink(_ context.Context, c *cli.Command) error {
+	o, err := options(c)
+	if err != nil {
+		return err
+	}
+	s, name, err := scriptOf(c, o)
+	if err != nil {
+		return err
+	}
+	rule := checker.Rule(c.String("rule"))
+	r, err := sim.Play(s, o)
+	if err != nil {
+		return wrong(err)
+	}
+	if rule == "" && len(r.Violations) > 0 {
+		rule = r.Violations[0].Rule
+	}
+	if !r.HasViolation(rule) {
+		return fault(fmt.Errorf("rule: %s does not break %q", name, rule))
+	}
+	small := sim.Shrink(s, rule, o, c.Int("budget"), func(s *environment.Script, played int) {
+		fmt.Fprintf(os.Stderr, "%d days played: %d troubles, %d sidecars, %d boxes, %g s\n", played, len(s.Faults), s.Sidecars, s.Servers, s.LengthSeconds)
+	})
+	if err := writeScriptTo(c.String("out"), c.Root().Writer, &small); err != nil {
+		return err
+	}
+	fmt.Fprintf(os.Stderr, "breaks %s; replay with: hazellab sim --script %s%s --trace\n", rule, c.String("out"), spoken(o))
+	return errBroken
+}
+
+// writeScriptTo writes a script to a file, or to the terminal where no file is named.
+func writeScriptTo(file string, terminal io.Writer, script *environment.Script) error {
+	if file == "" {
+		return writeScript(terminal, script)
+	}
+	f, err := os.Create(file)
+	if err != nil {
+		return err
+	}
+	return errors.Join(writeScript(f, script), f.Close())
+}
--- /dev/null
+++ b/cmd/hazellab/simulate.go
@@ -0,0 +1,163 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"runtime/debug"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/urfave/cli/v3"
+
+	"hazelwheel/internal/sim"
+)
+
+func simulate(_ context.Context, c *cli.Command) error {
+	if c.IsSet("seeds") {
+		return simulateMany(c)
+	}
+	o, err := options(c)
+	if err != nil {
+		return err
+	}
+	s, name, err := scriptOf(c, o)
+	if err != nil {
+		return err
+	}
+	out := bufio.NewWriter(c.Root().Writer)
+	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
+	if c.Bool("quiet-days") {
+		s.Faults = nil
+	}
+	if c.Bool("show-script") {
+		return writeScript(out, &s)
+	}
+	if c.Bool("trace") {
+		o.Trace = func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }
+	}
+	var seconds bySecond
+	if c.Bool("by-second") {
+		o.Observer = &seconds
+	}
+	began := time.Now()
+	r, err := sim.Play(s, o)
+	if err != nil {
+		return wrong(err)
+	}
+	if o.Observer != nil {
+		seconds.print(out, r.Start)
+	}
+	if c.Bool("json") {
+		if err := json.NewEncoder(out).Encode(r); err != nil {
+			return err
+		}
+	} else {
+		var t sim.Tally
+		t.Add(r)
+		t.Finish()
+		t.History = fmt.Sprintf("%016x", r.Hash)
+		printFindings(out, r, name)
+		printTally(out, &t, time.Since(began).Seconds(), 1)
+	}
+	if len(r.Violations) > 0 {
+		return errBroken
+	}
+	return nil
+}
+
+// mostFindings is how many findings of a day are printed.
+const mostFindings = 10
+
+func printFindings(w io.Writer, r *sim.Result, name string) {
+	for i, f := range r.Violations {
+		if i == mostFindings {
+			fmt.Fprintf(w, "and %d more\n", len(r.Violations)-i)
+			break
+		}
+		fmt.Fprintf(w, "BROKEN %s at %.6f: %s; replay with: hazellab sim %s --trace\n", f.Rule, r.SinceStart(f.At), f.Reason, name)
+	}
+}
+
+func simulateMany(c *cli.Command) error {
+	first, last, err := seedRange(c.String("seeds"))
+	if err != nil {
+		return fault(err)
+	}
+	if c.IsSet("seed") || c.IsSet("script") || c.Bool("trace") {
+		return fault(errors.New("--seeds goes without --seed, --script and --trace"))
+	}
+	o, err := options(c)
+	if err != nil {
+		return err
+	}
+	o.WithoutFaults = c.Bool("quiet-days")
+	debug.SetGCPercent(400) // days leave much behind, and little of it lives
+	out := c.Root().Writer
+	bar := progressBar(int64(last-first)+1, "days")
+	began := time.Now()
+	var t sim.Tally
+	var failed error
+	sim.PlaySeeds(first, last, c.Int("jobs"), o, func(d sim.Outcome) bool {
+		_ = bar.Add(1) // a bar that can't be drawn harms nothing
+		if d.Err != nil {
+			failed = fmt.Errorf("seed %d: %w", d.Seed, d.Err)
+			return false
+		}
+		t.Add(d.Result)
+		if c.Bool("each") {
+			fmt.Fprintf(out, "seed %d history %016x, %d events, service %.4f\n", d.Seed, d.Result.Hash, d.Result.Steps, d.Result.Report.Service)
+		}
+		if len(d.Result.Violations) > 0 && !c.Bool("json") {
+			_ = bar.Clear()
+			f := d.Result.Violations[0]
+			fmt.Fprintf(out, "BROKEN %s: %s; replay with: hazellab sim --seed %d%s --trace\n", f.Rule, f.Reason, d.Seed, spoken(o))
+		}
+		return !c.Bool("first") || len(d.Result.Violations) == 0
+	})
+	_ = bar.Finish()
+	if failed != nil {
+		return failed
+	}
+	t.Finish()
+	if c.Bool("json") {
+		if err := json.NewEncoder(out).Encode(&t); err != nil {
+			return err
+		}
+	} else {
+		printTally(out, &t, time.Since(began).Seconds(), c.Int("jobs"))
+	}
+	if len(t.Broken) > 0 {
+		return errBroken
+	}
+	return nil
+}
+
+func printTally(w io.Writer, t *sim.Tally, took float64, jobs int) {
+	fmt.Fprintf(w, "%d days, %.0f simulated s in %.1f s: %.0f simulated s a second on each of %d jobs, %d events\n",
+		t.Days, t.SimulatedSeconds, took, t.SimulatedSeconds/took/float64(max(jobs, 1)), jobs, t.Steps)
+	fmt.Fprintf(w, "history %s\nservice %.3f\n", t.History, t.Service)
+	for _, k := range t.Classes {
+		fmt.Fprintf(w, "  %-16s %.3f  asked %d, in aim %d, late %d, refused %d, failed %d\n", k.Name, k.Service, k.Requests, k.InTarget, k.Late, k.Rejected, k.Failed)
+	}
+	p := &t.Costs
+	fmt.Fprintf(w, "executions %d (%d in another site), probes %d, connections %d; hostile clients %d, owed %d\n", p.Attempts, p.CrossZoneAttempts, p.HealthChecks,
+		p.Connections, p.HostileClients, p.HostileUnclosed)
+	for _, b := range t.Broken {
+		seeds := make([]string, len(b.Seeds))
+		for i, s := range b.Seeds {
+			seeds[i] = strconv.FormatUint(s, 10)
+		}
+		fmt.Fprintf(w, "BROKEN %s on %d days, seeds %s\n", b.Rule, b.Days, strings.Join(seeds, " "))
+	}
+	if t.ServersMaintained > 0 {
+		fmt.Fprintf(w, "boxes worked on: %d\n", t.ServersMaintained)
+	}
+	if len(t.Broken) == 0 {
+		fmt.Fprintln(w, "all rules were kept")
+	}
+}
