--- a/cmd/hazellab/compare.go
+++ b/cmd/hazellab/compare.go
@@ -28,17 +28,17 @@
 
 func compareFolders(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 2 {
-		return fault(errors.New("compare: two are wanted, each FOLDER or FOLDER:BALANCER"))
+		return usageError(errors.New("compare: two are wanted, each FOLDER or FOLDER:BALANCER"))
 	}
 	var sides [2]compare.Side
 	for i, text := range c.Args().Slice() {
 		var err error
-		if sides[i], err = parseSide(text); err != nil {
-			return fault(err)
+		if sides[i], err = openSide(text); err != nil {
+			return usageError(err)
 		}
 	}
 	if (sides[0].Balancer == "") != (sides[1].Balancer == "") {
-		return fault(errors.New("compare: both or neither must name a balancer"))
+		return usageError(errors.New("compare: both or neither must name a balancer"))
 	}
 	for i, s := range sides {
 		if s.Data.Partial {
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// parseSide opens FOLDER or FOLDER:BALANCER.
-func parseSide(text string) (s compare.Side, err error) {
+// openSide opens FOLDER or FOLDER:BALANCER.
+func openSide(text string) (s compare.Side, err error) {
 	folder := text
 	if _, err := os.Stat(text); err != nil {
 		if i := strings.LastIndexByte(text, ':'); i > 0 {
--- a/cmd/hazellab/demo.go
+++ b/cmd/hazellab/demo.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// beside returns the file of the sidecar's program.
-func beside(given string) (string, error) {
+// sidecarBinary returns the file of the sidecar's program.
+func sidecarBinary(given string) (string, error) {
 	if given != "" {
 		return given, nil
 	}
@@ -36,12 +36,12 @@
 }
 
 func runDemo(ctx context.Context, c *cli.Command) error {
-	binary, err := beside(c.String("binary"))
+	binary, err := sidecarBinary(c.String("binary"))
 	if err != nil {
 		return err
 	}
 	if _, err := os.Stat(binary); err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	d := realtime.Demo{Binary: binary, Seed: c.Uint64("seed"), Out: c.Root().Writer, Screen: !c.Bool("plain") && term.IsTerminal(int(os.Stdout.Fd()))}
 	if path := c.String("log"); path != "" {
@@ -56,11 +56,11 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(d.Dir) }() // temporary
-	ctx, stop := untilSignal(ctx)
+	ctx, stop := signalContext(ctx)
 	defer stop()
 	kept, err := d.Run(ctx)
 	if err == nil && !kept {
-		err = errBroken
+		err = errRulesBroken
 	}
 	return err
 }
--- a/cmd/hazellab/endpointlists.go
+++ b/cmd/hazellab/endpointlists.go
@@ -10,16 +10,16 @@
 	"hazelwheel/internal/sim"
 )
 
-// listsCommand measures what the list costs discovery and how old it is, on the days of some seeds in turn.
-func listsCommand(flags ...cli.Flag) *cli.Command {
-	return &cli.Command{Name: "lists", Usage: "measure in simulated time what the list costs discovery, and how old it is at the sidecars", Action: measureLists,
+// endpointListsCommand measures what the list costs discovery and how old it is, on the days of some seeds in turn.
+func endpointListsCommand(flags ...cli.Flag) *cli.Command {
+	return &cli.Command{Name: "lists", Usage: "measure in simulated time what the list costs discovery, and how old it is at the sidecars", Action: measureEndpointLists,
 		Flags: append(flags,
 			&cli.IntFlag{Name: "seeds", Usage: "`N` days, of the seeds from 1 on", Value: 10},
 			&cli.BoolFlag{Name: "quiet-days", Usage: "play the days without their troubles, but for boxes that are taken out in turn and come back"})}
 }
 
-func measureLists(_ context.Context, c *cli.Command) error {
-	o, err := options(c)
+func measureEndpointLists(_ context.Context, c *cli.Command) error {
+	o, err := simOptions(c)
 	if err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 		}
 		r, err := sim.Play(script, o)
 		if err != nil {
-			return wrong(err)
+			return wrapScriptError(err)
 		}
 		calls, watches, mean, findings = calls+w.Calls, max(watches, w.MaxWatches), mean+w.MeanWatches(), findings+len(r.Violations)
 		ages, slowest = append(ages, w.Delays...), append(slowest, w.SlowestDelays...)
--- a/cmd/hazellab/experiment.go
+++ b/cmd/hazellab/experiment.go
@@ -30,11 +30,11 @@
 
 func runExperiment(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return fault(errors.New("experiment: one FILE.toml is wanted"))
+		return usageError(errors.New("experiment: one FILE.toml is wanted"))
 	}
 	spec, text, err := experiment.ReadFile(c.Args().First())
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	out := c.Root().Writer
 	if c.Bool("dry-run") {
@@ -48,8 +48,8 @@
 	if s.Self, err = os.Executable(); err != nil {
 		return err
 	}
-	watch(&s)
-	ctx, stop := untilSignal(ctx)
+	reportProgress(&s)
+	ctx, stop := signalContext(ctx)
 	defer stop()
 	unlock, err := lockCores(ctx, spec.Cores.Balancer, spec.Cores.Boxes, spec.Cores.Load)
 	if err != nil {
@@ -66,8 +66,8 @@
 	return err
 }
 
-// watch tells of the progress: a bar on a terminal, a line a run elsewhere.
-func watch(s *experiment.Settings) {
+// reportProgress tells of the progress: a bar on a terminal, a line a run elsewhere.
+func reportProgress(s *experiment.Settings) {
 	failed := func(r *experiment.Record) {
 		if r.Partial {
 			fmt.Fprintf(os.Stderr, "run %d, %s: %s\n", r.Number, r.Balancer, r.Why)
--- a/cmd/hazellab/faults.go
+++ b/cmd/hazellab/faults.go
@@ -16,13 +16,13 @@
 	"hazelwheel/internal/environment"
 )
 
-func troubleCommand() *cli.Command {
+func faultCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "trouble",
 		Usage:     "have something go wrong in the world that hazellab serve plays",
 		ArgsUsage: "KIND",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "control", Value: controlAddress, Usage: "the `ADDRESS` of hazellab serve"},
+			&cli.StringFlag{Name: "control", Value: defaultControlAddress, Usage: "the `ADDRESS` of hazellab serve"},
 			&cli.StringSliceFlag{Name: "box", Usage: "a box's `NAME` or number"},
 			&cli.StringFlag{Name: "site", Usage: "a site's `NAME`"},
 			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "how long"},
@@ -32,13 +32,13 @@
 			&cli.DurationFlag{Name: "lag", Usage: "stale-list: how much later discovery learns"},
 			&cli.BoolFlag{Name: "silent", Usage: "site-loss: machines vanish without a word"},
 		},
-		Action: askTrouble,
+		Action: requestFault,
 	}
 }
 
-func askTrouble(ctx context.Context, c *cli.Command) error {
+func requestFault(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return fault(fmt.Errorf("trouble: a KIND is wanted: %s", strings.Join(environment.FaultKinds(), ", ")))
+		return usageError(fmt.Errorf("trouble: a KIND is wanted: %s", strings.Join(environment.FaultKinds(), ", ")))
 	}
 	t := environment.Fault{Kind: c.Args().First(), DurationSeconds: c.Duration("for").Seconds(), Servers: c.StringSlice("box"), Site: c.String("site"),
 		Share: c.Float("share"), RatePerSecond: c.Float("per-second"), DrainSeconds: c.Duration("drain").Seconds(), DelaySeconds: c.Duration("lag").Seconds(),
@@ -51,7 +51,7 @@
 	defer stop()
 	r, err := http.NewRequestWithContext(ctx, "POST", "http://"+c.String("control")+"/trouble", bytes.NewReader(raw))
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -60,7 +60,7 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(resp.Body)
-		return fault(errors.New(strings.TrimSpace(string(text))))
+		return usageError(errors.New(strings.TrimSpace(string(text))))
 	}
 	return nil
 }
--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -53,7 +53,7 @@
 func runFleet(ctx context.Context, c *cli.Command) error {
 	s := processcluster.Settings{Sidecars: c.Int("sidecars"), Boxes: c.Int("boxes"), Seed: c.Uint64("seed"), For: c.Duration("for"), Draw: c.Bool("draw"),
 		Jobs: c.StringSlice("jobs"), Load: c.Float("load"), Trials: c.Int("trials"), Other: c.String("other")}
-	if err := readWork(c, &s); err != nil {
+	if err := readMaintenancePlan(c, &s); err != nil {
 		return err
 	}
 	if s.Trials > 0 && !c.IsSet("for") {
@@ -64,37 +64,37 @@
 	}
 	switch {
 	case s.Load < 0 || s.Load > 2:
-		return fault(fmt.Errorf("load: %g is not 0 to 2", s.Load))
+		return usageError(fmt.Errorf("load: %g is not 0 to 2", s.Load))
 	case s.Sidecars < 1 || s.Sidecars > 400:
-		return fault(fmt.Errorf("sidecars: %d is not 1 to 400", s.Sidecars))
+		return usageError(fmt.Errorf("sidecars: %d is not 1 to 400", s.Sidecars))
 	case s.Boxes < 3 || s.Boxes > 500:
-		return fault(fmt.Errorf("boxes: %d is not 3 to 500", s.Boxes))
+		return usageError(fmt.Errorf("boxes: %d is not 3 to 500", s.Boxes))
 	case s.For < 5*time.Second || s.For > time.Hour:
-		return fault(fmt.Errorf("for: %v is not 5s to 1h", s.For))
+		return usageError(fmt.Errorf("for: %v is not 5s to 1h", s.For))
 	case len(s.Jobs) > 0 && s.Sidecars < 3:
-		return fault(errors.New("jobs: there must be three sidecars at least, which agree on who owns them"))
+		return usageError(errors.New("jobs: there must be three sidecars at least, which agree on who owns them"))
 	case slices.ContainsFunc(s.Jobs, func(name string) bool { return !slices.Contains(sidecarconfig.Jobs, name) }):
-		return fault(fmt.Errorf("jobs: want some of %v", sidecarconfig.Jobs))
+		return usageError(fmt.Errorf("jobs: want some of %v", sidecarconfig.Jobs))
 	case s.Trials > 0 && (len(s.Jobs) == 0 || s.Draw || c.String("script") != "" || c.Bool("simulated")):
-		return fault(errors.New("trials: want --jobs, and neither --draw, --script nor --simulated"))
+		return usageError(errors.New("trials: want --jobs, and neither --draw, --script nor --simulated"))
 	case c.Int("fleets") < 1 || c.Int("fleets") > 16:
-		return fault(fmt.Errorf("fleets: %d is not 1 to 16", c.Int("fleets")))
+		return usageError(fmt.Errorf("fleets: %d is not 1 to 16", c.Int("fleets")))
 	case s.Other != "" && (s.Others < 1 || s.Others >= s.Sidecars || len(s.Jobs) > 0 && !s.OthersOwn && s.Sidecars-s.Others < 3):
-		return fault(errors.New("others: want 1 to one less than there are sidecars; three more with --jobs"))
+		return usageError(errors.New("others: want 1 to one less than there are sidecars; three more with --jobs"))
 	case s.Draw && c.String("script") != "":
-		return fault(errors.New("give one of --script and --draw"))
+		return usageError(errors.New("give one of --script and --draw"))
 	}
 	if path := c.String("script"); path != "" {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return fault(err)
+			return usageError(err)
 		}
 		read := environment.ReadRealScript
 		if c.Bool("simulated") {
 			read = environment.ReadScript
 		}
 		if s.Script, err = read(path, text, s.Ranges()); err != nil {
-			return fault(err)
+			return usageError(err)
 		}
 		s.Seed = s.Script.Seed
 	}
@@ -111,18 +111,18 @@
 		return simulateFleet(c, &s)
 	}
 	var err error
-	if s.Binary, err = beside(c.String("binary")); err != nil {
+	if s.Binary, err = sidecarBinary(c.String("binary")); err != nil {
 		return err
 	}
 	if _, err := os.Stat(s.Binary); err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	if s.Other != "" {
 		if s.Other, err = filepath.Abs(s.Other); err != nil {
 			return err
 		}
 		if _, err := os.Stat(s.Other); err != nil {
-			return fault(err)
+			return usageError(err)
 		}
 	}
 	if path := c.String("log"); path != "" {
@@ -137,7 +137,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(s.Dir) }() // temporary
-	ctx, stop := untilSignal(ctx)
+	ctx, stop := signalContext(ctx)
 	defer stop()
 	if s.Trials > 0 {
 		return runTrials(ctx, c, s)
@@ -168,40 +168,40 @@
 		}
 		fmt.Fprintf(out, "%d troubles; %.3f of the worth served in time; %d views asked for; %.0f bytes a second between peers, of each\n",
 			len(r.Troubles), r.Service, r.Views, r.PeerBytes)
-		fmt.Fprintf(out, "all agreed after %s; one that went was known after %s; the laboratory was %.2f s late at most\n", spread(r.AgreedS), spread(r.KnownS), r.LateS)
+		fmt.Fprintf(out, "all agreed after %s; one that went was known after %s; the laboratory was %.2f s late at most\n", formatSpread(r.AgreedS), formatSpread(r.KnownS), r.LateS)
 		if o := r.Owned; o != nil {
 			fmt.Fprintf(out, "%d grants; %d effects on the wire, %d of them under a token that was not the greatest any more; %d refusals\n", o.Grants, o.Effects, o.Old, o.Refused)
-			fmt.Fprintf(out, "without an owner for %s, as the doors tell each quarter of a second\n", spread(o.WithoutS))
+			fmt.Fprintf(out, "without an owner for %s, as the doors tell each quarter of a second\n", formatSpread(o.WithoutS))
 		}
 		if r.Worked != nil {
-			writeWorked(out, r.Worked)
+			printMaintenance(out, r.Worked)
 		}
 		fmt.Fprintf(out, "fleet: %d sidecars, %d rules broken\n", r.Sidecars, r.Broken)
 	}
 	if r.Worked != nil && r.Worked.Error != "" {
-		return fault(fmt.Errorf("plan: %s", r.Worked.Error))
+		return usageError(fmt.Errorf("plan: %s", r.Worked.Error))
 	}
 	if r.Broken > 0 {
-		return errBroken
+		return errRulesBroken
 	}
 	return nil
 }
 
-// readWork reads the plan, if one is named.
-func readWork(c *cli.Command, s *processcluster.Settings) error {
+// readMaintenancePlan reads the plan, if one is named.
+func readMaintenancePlan(c *cli.Command, s *processcluster.Settings) error {
 	path := c.String("plan")
 	if path == "" && c.Bool("hand") {
-		return fault(errors.New("hand: there is no plan"))
+		return usageError(errors.New("hand: there is no plan"))
 	} else if path == "" {
 		return nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	spec, err := maintenanceplan.Parse(path, text, time.Now())
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	if slices.Equal(spec.Sites, []string{"*"}) {
 		spec.Sites = environment.Draw(s.Seed, s.Ranges()).Sites
--- a/cmd/hazellab/fleetreport.go
+++ b/cmd/hazellab/fleetreport.go
@@ -11,8 +11,8 @@
 	"hazelwheel/internal/lab/processcluster"
 )
 
-// writeWorked says what came of a plan.
-func writeWorked(out io.Writer, w *processcluster.Worked) {
+// printMaintenance says what came of a plan.
+func printMaintenance(out io.Writer, w *processcluster.Worked) {
 	for _, line := range w.Wrong {
 		fmt.Fprintln(out, line)
 	}
@@ -33,8 +33,8 @@
 	}
 }
 
-// spread says a median and the greatest of some times.
-func spread(all []float64) string {
+// formatSpread says a median and the greatest of some times.
+func formatSpread(all []float64) string {
 	if len(all) == 0 {
 		return "(never)"
 	}
--- a/cmd/hazellab/fleetsim.go
+++ b/cmd/hazellab/fleetsim.go
@@ -22,7 +22,7 @@
 	}
 	got, err := sim.Play(script, o)
 	if err != nil {
-		return wrong(err)
+		return wrapScriptError(err)
 	}
 	for _, f := range got.Violations {
 		fmt.Fprintf(out, "%7.2f s  %-12s n%-5d %s\n", got.SinceStart(f.At), f.Rule, f.Sidecar, f.Reason)
@@ -30,7 +30,7 @@
 	fmt.Fprintf(out, "%d troubles; %.3f of the worth served in time\n", len(script.Faults), got.Report.Service)
 	fmt.Fprintf(out, "fleet: %d sidecars, %d rules broken\n", s.Sidecars, len(got.Violations))
 	if len(got.Violations) > 0 {
-		return errBroken
+		return errRulesBroken
 	}
 	return nil
 }
--- a/cmd/hazellab/flood.go
+++ b/cmd/hazellab/flood.go
@@ -42,20 +42,20 @@
 		For: c.Duration("for"), Ahead: c.Int("ahead"), Within: c.Duration("within"), Cycle: c.Bool("cycle"), Seed: c.Uint64("seed")}
 	var err error
 	if p.Target, err = netip.ParseAddrPort(c.String("target")); err != nil {
-		return fault(fmt.Errorf("target: %w", err))
+		return usageError(fmt.Errorf("target: %w", err))
 	}
 	if p.From, err = netip.ParseAddr(c.String("from")); err != nil {
-		return fault(fmt.Errorf("from: %w", err))
+		return usageError(fmt.Errorf("from: %w", err))
 	}
 	classes, err := parseClasses(c.String("class"))
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	p.Class = classes[0]
 	if err := p.Err(); err != nil {
-		return fault(err)
+		return usageError(err)
 	}
-	ctx, stop := untilSignal(ctx)
+	ctx, stop := signalContext(ctx)
 	defer stop()
 	f, err := flood.Run(ctx, &p)
 	if err != nil {
--- a/cmd/hazellab/leases.go
+++ b/cmd/hazellab/leases.go
@@ -14,10 +14,10 @@
 	"hazelwheel/internal/sim/seeds"
 )
 
-// ownersCommands play who owns jobs in simulated time.
-func ownersCommands() []*cli.Command {
+// leasesCommand play who owns jobs in simulated time.
+func leasesCommand() []*cli.Command {
 	return []*cli.Command{
-		{Name: "owners", Usage: "play who owns the jobs of a fleet in simulated time, and judge it", Action: playOwners, Flags: []cli.Flag{
+		{Name: "owners", Usage: "play who owns the jobs of a fleet in simulated time, and judge it", Action: simulateLeases, Flags: []cli.Flag{
 			&cli.StringFlag{Name: "seeds", Usage: "the `RANGE` of seeds, as 1-10000", Value: "1-100"},
 			&cli.Uint64Flag{Name: "seed", Usage: "the `SEED` of one day"},
 			&cli.IntFlag{Name: "jobs", Usage: "`N` days at a time", Value: 1},
@@ -28,30 +28,30 @@
 	}
 }
 
-func playOwners(_ context.Context, c *cli.Command) error {
+func simulateLeases(_ context.Context, c *cli.Command) error {
 	out := bufio.NewWriter(c.Root().Writer)
 	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
 	if c.Bool("measure") {
 		leasesim.Measure(c.Root().Writer)
 		return nil
 	}
-	first, last, err := seedsOf(c)
+	first, last, err := selectedSeeds(c)
 	if err != nil {
 		return err
 	}
 	if c.Bool("trace") {
 		if !c.IsSet("seed") {
-			return fault(errors.New("--trace goes with --seed"))
+			return usageError(errors.New("--trace goes with --seed"))
 		}
 		r := leasesim.Run(first, leasesim.Options{Trace: func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }})
 		if len(r.Findings) > 0 {
-			return errBroken
+			return errRulesBroken
 		}
 		return nil
 	}
 	began := time.Now()
 	var t leasesim.Tally
-	overSeeds(c, out, first, last, leasesim.RunSeeds, func(r *leasesim.Result) (uint64, []seeds.Finding) {
+	runSeeds(c, out, first, last, leasesim.RunSeeds, func(r *leasesim.Result) (uint64, []seeds.Finding) {
 		t.Add(r)
 		return r.Seed, r.Findings
 	})
@@ -60,14 +60,14 @@
 			return err
 		}
 	} else {
-		broken := tellBroken(out, t.Broken)
+		broken := printBroken(out, t.Broken)
 		n := t.Counts
 		fmt.Fprintf(out, "%d leases in %.0f s: %d leaders, %d electors replaced, %d states lost, %d effects taken, %d refused, %d stalls before a send\n",
 			n.Grants, time.Since(began).Seconds(), n.ElectionsWon, n.VotersReplaced, n.IdentitiesLost, n.Effects, n.Rejected, n.Stalls)
 		fmt.Fprintf(out, "history %016x\n%d seeds, %d rules broken\n", t.Hash, t.Days, broken)
 	}
 	if len(t.Broken) > 0 {
-		return errBroken
+		return errRulesBroken
 	}
 	return nil
 }
--- a/cmd/hazellab/load.go
+++ b/cmd/hazellab/load.go
@@ -52,14 +52,14 @@
 }
 
 func runLoad(ctx context.Context, c *cli.Command) error {
-	p, err := planOf(c)
+	p, err := readLoadPlan(c)
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	targets := strings.Split(c.String("target"), ",")
 	for _, p.Target = range targets {
 		if err := p.Err(); err != nil {
-			return fault(err)
+			return usageError(err)
 		}
 	}
 	if path := c.String("mark"); path != "" {
@@ -72,7 +72,7 @@
 			})
 		}
 	}
-	ctx, stop := untilSignal(ctx)
+	ctx, stop := signalContext(ctx)
 	defer stop()
 	r, err := load.RunAll(ctx, &p, targets)
 	if r == nil {
@@ -97,7 +97,7 @@
 		}
 	}
 	if err == nil && !r.Kept() {
-		err = errBroken
+		err = errRulesBroken
 	}
 	return err
 }
--- a/cmd/hazellab/loadplan.go
+++ b/cmd/hazellab/loadplan.go
@@ -15,8 +15,8 @@
 	"hazelwheel/internal/lab/stub"
 )
 
-// planOf returns what the command line asks for.
-func planOf(c *cli.Command) (p load.Plan, err error) {
+// readLoadPlan returns what the command line asks for.
+func readLoadPlan(c *cli.Command) (p load.Plan, err error) {
 	if path := c.String("plan"); path != "" {
 		raw, err := os.ReadFile(path)
 		if err != nil {
--- a/cmd/hazellab/main.go
+++ b/cmd/hazellab/main.go
@@ -23,26 +23,26 @@
 		Name:  "hazellab",
 		Usage: "play the sidecar's world and judge what comes of it",
 		Commands: append([]*cli.Command{
-			standinCommand(),
+			stubCommand(),
 			loadCommand(),
 			floodCommand(),
 			proxyCommand(),
 			sidecarCommand(),
-			pressureCommand(),
+			overloadCommand(),
 			experimentCommand(),
 			reportCommand(),
 			compareCommand(),
 			demoCommand(),
 			fleetCommand(),
-			crowdCommand(),
-			shareCommand(),
-			mechanicCommand(),
+			membershipCommand(),
+			subsetCommand(),
+			maintenanceAgentCommand(),
 			soakCommand(),
 			serveCommand(),
-			troubleCommand(),
-		}, slices.Concat(ownersCommands(), worksCommands(), simCommands())...),
+			faultCommand(),
+		}, slices.Concat(leasesCommand(), maintenanceCommand(), simCommands())...),
 	}
 }
 
-// fault is an error by which the program ends with 2: what it was told is wrong.
-func fault(err error) error { return cli.Exit("hazellab: "+err.Error(), 2) }
+// usageError is an error by which the program ends with 2: what it was told is wrong.
+func usageError(err error) error { return cli.Exit("hazellab: "+err.Error(), 2) }
--- a/cmd/hazellab/maintenance.go
+++ b/cmd/hazellab/maintenance.go
@@ -16,10 +16,10 @@
 	"hazelwheel/internal/sim/seeds"
 )
 
-// worksCommands play work on boxes in simulated time.
-func worksCommands() []*cli.Command {
+// maintenanceCommand play work on boxes in simulated time.
+func maintenanceCommand() []*cli.Command {
 	return []*cli.Command{
-		{Name: "works", Usage: "play work on the boxes of a fleet in simulated time, and judge it", Action: playWorks, Flags: []cli.Flag{
+		{Name: "works", Usage: "play work on the boxes of a fleet in simulated time, and judge it", Action: simulateMaintenance, Flags: []cli.Flag{
 			&cli.StringFlag{Name: "seeds", Usage: "the `RANGE` of seeds, as 1-10000", Value: "1-100"},
 			&cli.Uint64Flag{Name: "seed", Usage: "the `SEED` of one day"},
 			&cli.IntFlag{Name: "jobs", Usage: "`N` days at a time", Value: 1},
@@ -32,10 +32,10 @@
 	}
 }
 
-func playWorks(_ context.Context, c *cli.Command) error {
+func simulateMaintenance(_ context.Context, c *cli.Command) error {
 	out := bufio.NewWriter(c.Root().Writer)
 	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
-	first, last, err := seedsOf(c)
+	first, last, err := selectedSeeds(c)
 	if err != nil {
 		return err
 	}
@@ -45,17 +45,17 @@
 	}
 	if c.Bool("trace") {
 		if !c.IsSet("seed") {
-			return fault(errors.New("--trace goes with --seed"))
+			return usageError(errors.New("--trace goes with --seed"))
 		}
 		r := maintenancesim.Run(first, maintenancesim.Options{Trace: func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }})
 		if len(r.Findings) > 0 {
-			return errBroken
+			return errRulesBroken
 		}
 		return nil
 	}
 	began := time.Now()
 	var t maintenancesim.Tally
-	overSeeds(c, out, first, last, maintenancesim.RunSeeds, func(r *maintenancesim.Result) (uint64, []seeds.Finding) {
+	runSeeds(c, out, first, last, maintenancesim.RunSeeds, func(r *maintenancesim.Result) (uint64, []seeds.Finding) {
 		t.Add(r)
 		return r.Seed, r.Findings
 	})
@@ -64,14 +64,14 @@
 			return err
 		}
 	} else {
-		broken := tellBroken(out, t.Broken)
+		broken := printBroken(out, t.Broken)
 		n := t.Counts
 		fmt.Fprintf(out, "%d plans in %.0f s: %d boxes worked on, %d done, %d skipped, %d lost, %d forced, %d given back, %d owners, %d stopped at a step, %d writes refused\n",
 			n.Plans, time.Since(began).Seconds(), n.WorkStarted, n.Done, n.Skipped, n.Lost, n.Forced, n.GivenBack, n.Leases, n.HolderFaults, n.StaleWrites)
 		fmt.Fprintf(out, "history %016x\n%d seeds, %d rules broken\n", t.Hash, t.Days, broken)
 	}
 	if len(t.Broken) > 0 {
-		return errBroken
+		return errRulesBroken
 	}
 	return nil
 }
--- a/cmd/hazellab/maintenanceagent.go
+++ b/cmd/hazellab/maintenanceagent.go
@@ -12,7 +12,7 @@
 	"hazelwheel/internal/lab/maintenanceagent"
 )
 
-func mechanicCommand() *cli.Command {
+func maintenanceAgentCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "mechanic",
 		Usage: "stand in for somebody who works on boxes that sidecars hand over, until Ctrl-C",
@@ -22,11 +22,11 @@
 			&cli.DurationFlag{Name: "takes", Usage: "how long the work on a box takes", Value: 2 * time.Second},
 			&cli.BoolFlag{Name: "twice", Usage: "say done twice"},
 		},
-		Action: runMechanic,
+		Action: runMaintenanceAgent,
 	}
 }
 
-func runMechanic(ctx context.Context, c *cli.Command) error {
+func runMaintenanceAgent(ctx context.Context, c *cli.Command) error {
 	var doors []string
 	for door := range strings.SplitSeq(c.String("ops"), ",") {
 		if door = strings.TrimSpace(door); door != "" {
@@ -34,12 +34,12 @@
 		}
 	}
 	if len(doors) == 0 {
-		return fault(errors.New("ops: there are no addresses"))
+		return usageError(errors.New("ops: there are no addresses"))
 	}
 	if c.Duration("takes") < 0 {
-		return fault(fmt.Errorf("takes: %v is less than nothing", c.Duration("takes")))
+		return usageError(fmt.Errorf("takes: %v is less than nothing", c.Duration("takes")))
 	}
-	ctx, stop := untilSignal(ctx)
+	ctx, stop := signalContext(ctx)
 	defer stop()
 	out := c.Root().Writer
 	m := &maintenanceagent.Agent{Name: c.String("name"), AdminEndpoints: func() []string { return doors }, WorkDuration: func(string) time.Duration { return c.Duration("takes") },
--- a/cmd/hazellab/membership.go
+++ b/cmd/hazellab/membership.go
@@ -9,7 +9,7 @@
 	"hazelwheel/internal/sim/membershipsim"
 )
 
-func crowdCommand() *cli.Command {
+func membershipCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "crowd",
 		Usage: "measure in simulated time what knowing each other costs, and how soon a death is known, by the size of the fleet",
@@ -24,7 +24,7 @@
 			var all []membershipsim.Costs
 			for _, n := range c.IntSlice("members") {
 				if n < 2 || n > 6000 {
-					return fault(fmt.Errorf("members: %d is not 2 to 6000", n))
+					return usageError(fmt.Errorf("members: %d is not 2 to 6000", n))
 				}
 				if h := c.Float("hours"); h > 0 {
 					t, err := membershipsim.PlayFaults(n, h*3600, c.Uint64("seed"))
--- a/cmd/hazellab/mutants.go
+++ b/cmd/hazellab/mutants.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/sim"
 )
 
-func mutants(_ context.Context, c *cli.Command) error {
+func runMutants(_ context.Context, c *cli.Command) error {
 	out := c.Root().Writer
 	var all []sim.MutantResult
 	err := sim.RunMutants(sim.MutantOptions{Root: ".", Dir: c.String("dir"), NameParts: c.StringSlice("only"), LastSeed: c.Uint64("last"), Jobs: c.Int("jobs")},
--- a/cmd/hazellab/overload.go
+++ b/cmd/hazellab/overload.go
@@ -14,7 +14,7 @@
 	"hazelwheel/internal/lab/overload"
 )
 
-func pressureCommand() *cli.Command {
+func overloadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "pressure",
 		Usage: "measure what a sidecar does when it is pressed: floods, load beyond its core, drains, answers nobody reads",
@@ -28,26 +28,26 @@
 			&cli.StringFlag{Name: "only", Usage: "a `REGEXP` of the measurements' names"},
 			&cli.StringFlag{Name: "json", Usage: "write all values to this `FILE`, too"},
 		},
-		Action: runPressure,
+		Action: measureOverload,
 	}
 }
 
-func runPressure(ctx context.Context, c *cli.Command) error {
+func measureOverload(ctx context.Context, c *cli.Command) error {
 	s := overload.Settings{Repeats: c.Int("repeats"), Nice: c.Int("nice"), Say: os.Stderr}
 	if s.Nice < -20 || s.Nice > 19 {
-		return fault(fmt.Errorf("nice: %d, not -20 to 19", s.Nice))
+		return usageError(fmt.Errorf("nice: %d, not -20 to 19", s.Nice))
 	}
 	if s.Repeats < 1 || s.Repeats > 100 {
-		return fault(fmt.Errorf("repeats: %d, not 1 to 100", s.Repeats))
+		return usageError(fmt.Errorf("repeats: %d, not 1 to 100", s.Repeats))
 	}
 	var err error
 	if text := c.String("only"); text != "" {
 		if s.Only, err = regexp.Compile(text); err != nil {
-			return fault(fmt.Errorf("only: %w", err))
+			return usageError(fmt.Errorf("only: %w", err))
 		}
 	}
 	if s.Cores, err = parseCores(c.String("cores")); err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	for _, path := range []string{c.String("binary"), c.String("vs")} {
 		if path == "" {
@@ -57,7 +57,7 @@
 			return err
 		}
 		if _, err := os.Stat(path); err != nil {
-			return fault(err)
+			return usageError(err)
 		}
 		s.Programs = append(s.Programs, overload.Program{Name: filepath.Base(path), Path: path})
 	}
@@ -74,7 +74,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(s.Dir) }() // temporary
-	ctx, stop := untilSignal(ctx)
+	ctx, stop := signalContext(ctx)
 	defer stop()
 	unlock, err := lockCores(ctx, s.Cores.Program, s.Cores.Boxes, s.Cores.Load, s.Cores.Flood)
 	if err != nil {
--- a/cmd/hazellab/proxy.go
+++ b/cmd/hazellab/proxy.go
@@ -22,9 +22,9 @@
 		Action: func(ctx context.Context, c *cli.Command) error {
 			s := proxy.Settings{Kind: c.String("kind"), Listen: c.String("listen"), Discovery: c.String("discovery"), Retries: c.Int("retries")}
 			if err := s.Err(); err != nil {
-				return fault(err)
+				return usageError(err)
 			}
-			ctx, stop := untilSignal(ctx)
+			ctx, stop := signalContext(ctx)
 			defer stop()
 			return proxy.Serve(ctx, &s)
 		},
--- a/cmd/hazellab/report.go
+++ b/cmd/hazellab/report.go
@@ -23,21 +23,21 @@
 			&cli.StringFlag{Name: "out", Usage: "the `FOLDER` for the pages; default: the first of those that are read"},
 			&cli.BoolFlag{Name: "pictures", Usage: "write each plot as an SVG file, too"},
 		},
-		Action: writeReport,
+		Action: writeReportPages,
 	}
 }
 
-func writeReport(_ context.Context, c *cli.Command) error {
+func writeReportPages(_ context.Context, c *cli.Command) error {
 	var all []*experiment.Data
 	for _, folder := range c.Args().Slice() {
 		d, err := experiment.Open(folder)
 		if err != nil {
-			return fault(err)
+			return usageError(err)
 		}
 		all = append(all, d)
 	}
 	if len(all) == 0 {
-		return fault(errors.New("report: a FOLDER is wanted"))
+		return usageError(errors.New("report: a FOLDER is wanted"))
 	}
 	out := c.String("out")
 	if out == "" {
--- a/cmd/hazellab/seeds.go
+++ b/cmd/hazellab/seeds.go
@@ -15,19 +15,19 @@
 	"hazelwheel/internal/sim/seeds"
 )
 
-// seedsOf returns the seeds that --seeds or --seed name.
-func seedsOf(c *cli.Command) (first, last uint64, err error) {
+// selectedSeeds returns the seeds that --seeds or --seed name.
+func selectedSeeds(c *cli.Command) (first, last uint64, err error) {
 	if c.IsSet("seed") {
 		return c.Uint64("seed"), c.Uint64("seed"), nil
 	}
-	if first, last, err = seedRange(c.String("seeds")); err != nil {
-		err = fault(err)
+	if first, last, err = parseSeedRange(c.String("seeds")); err != nil {
+		err = usageError(err)
 	}
 	return first, last, err
 }
 
-// overSeeds plays days of a small world, with a bar, and tells of each that breaks a rule. Many plays them, and took takes one.
-func overSeeds[R any](c *cli.Command, out *bufio.Writer, first, last uint64, many func(first, last uint64, jobs int, told func(R) bool),
+// runSeeds plays days of a small world, with a bar, and tells of each that breaks a rule. Many plays them, and took takes one.
+func runSeeds[R any](c *cli.Command, out *bufio.Writer, first, last uint64, many func(first, last uint64, jobs int, told func(R) bool),
 	took func(R) (seed uint64, findings []seeds.Finding)) {
 	debug.SetGCPercent(400)
 	bar := progressBar(int64(last-first)+1, "days")
@@ -44,8 +44,8 @@
 	_ = bar.Finish()
 }
 
-// tellBroken tells which rules were broken, and on how many days.
-func tellBroken(out *bufio.Writer, all []seeds.Broken) (days int) {
+// printBroken tells which rules were broken, and on how many days.
+func printBroken(out *bufio.Writer, all []seeds.Broken) (days int) {
 	for _, b := range all {
 		days += b.Days
 		fmt.Fprintf(out, "BROKEN %s on %d days, seeds %s\n", b.Rule, b.Days, strings.Trim(fmt.Sprint(b.Seeds), "[]"))
@@ -53,8 +53,8 @@
 	return days
 }
 
-// seedRange reads a range of seeds, or one.
-func seedRange(text string) (first, last uint64, err error) {
+// parseSeedRange reads a range of seeds, or one.
+func parseSeedRange(text string) (first, last uint64, err error) {
 	from, to, two := strings.Cut(text, "-")
 	if !two {
 		to = from
--- a/cmd/hazellab/serve.go
+++ b/cmd/hazellab/serve.go
@@ -11,7 +11,7 @@
 	"hazelwheel/internal/lab/realtime"
 )
 
-const controlAddress = "127.0.0.1:8600"
+const defaultControlAddress = "127.0.0.1:8600"
 
 func serveCommand() *cli.Command {
 	return &cli.Command{
@@ -22,22 +22,22 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "config", Value: "sidecar.json", Usage: "write the sidecar's configuration to this `FILE`"},
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:3000", Usage: "where that sidecar is to listen"},
-			&cli.StringFlag{Name: "control", Value: controlAddress, Usage: "where hazellab trouble asks"},
+			&cli.StringFlag{Name: "control", Value: defaultControlAddress, Usage: "where hazellab trouble asks"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
-				return fault(errors.New("serve: one WORLD.toml is wanted"))
+				return usageError(errors.New("serve: one WORLD.toml is wanted"))
 			}
 			path := c.Args().First()
 			text, err := os.ReadFile(path)
 			if err != nil {
-				return fault(err)
+				return usageError(err)
 			}
 			script, err := environment.ReadRealScript(path, text, environment.StandardRanges())
 			if err != nil {
-				return fault(err)
+				return usageError(err)
 			}
-			ctx, stop := untilSignal(ctx)
+			ctx, stop := signalContext(ctx)
 			defer stop()
 			s := realtime.Server{Day: script.Day(environment.StandardRanges()), Script: *script, Listen: c.String("listen"), Config: c.String("config"),
 				Control: c.String("control"), Out: c.Root().Writer}
--- a/cmd/hazellab/shrink.go
+++ b/cmd/hazellab/shrink.go
@@ -24,24 +24,24 @@
 }
 
 func shrink(_ context.Context, c *cli.Command) error {
-	o, err := options(c)
+	o, err := simOptions(c)
 	if err != nil {
 		return err
 	}
-	s, name, err := scriptOf(c, o)
+	s, name, err := selectedScript(c, o)
 	if err != nil {
 		return err
 	}
 	rule := checker.Rule(c.String("rule"))
 	r, err := sim.Play(s, o)
 	if err != nil {
-		return wrong(err)
+		return wrapScriptError(err)
 	}
 	if rule == "" && len(r.Violations) > 0 {
 		rule = r.Violations[0].Rule
 	}
 	if !r.HasViolation(rule) {
-		return fault(fmt.Errorf("rule: %s does not break %q", name, rule))
+		return usageError(fmt.Errorf("rule: %s does not break %q", name, rule))
 	}
 	small := sim.Shrink(s, rule, o, c.Int("budget"), func(s *environment.Script, played int) {
 		fmt.Fprintf(os.Stderr, "%d days played: %d troubles, %d sidecars, %d boxes, %g s\n", played, len(s.Faults), s.Sidecars, s.Servers, s.LengthSeconds)
@@ -49,8 +49,8 @@
 	if err := writeScriptTo(c.String("out"), c.Root().Writer, &small); err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "breaks %s; replay with: hazellab sim --script %s%s --trace\n", rule, c.String("out"), spoken(o))
-	return errBroken
+	fmt.Fprintf(os.Stderr, "breaks %s; replay with: hazellab sim --script %s%s --trace\n", rule, c.String("out"), protocolFlag(o))
+	return errRulesBroken
 }
 
 // writeScriptTo writes a script to a file, or to the terminal where no file is named.
--- a/cmd/hazellab/sidecar.go
+++ b/cmd/hazellab/sidecar.go
@@ -30,7 +30,7 @@
 			path := c.String("config")
 			cfg, err := sidecarconfig.Load(path, os.Getenv)
 			if err != nil {
-				return fault(err)
+				return usageError(err)
 			}
 			s, err := process.New(cfg, featureconfig.Features{}, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 			if err != nil {
--- a/cmd/hazellab/signals.go
+++ b/cmd/hazellab/signals.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// untilSignal returns a context that ends with Ctrl-C or a word to end. A second one ends the program at once.
-func untilSignal(ctx context.Context) (context.Context, context.CancelFunc) {
+// signalContext returns a context that ends with Ctrl-C or a word to end. A second one ends the program at once.
+func signalContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	context.AfterFunc(ctx, stop)
 	return ctx, stop
--- a/cmd/hazellab/simcommands.go
+++ b/cmd/hazellab/simcommands.go
@@ -8,8 +8,8 @@
 	"hazelwheel/internal/sim"
 )
 
-// errBroken is the error of a command that has found a rule broken, and has said which.
-var errBroken = errors.New("a rule was broken")
+// errRulesBroken is the error of a command that has found a rule broken, and has said which.
+var errRulesBroken = errors.New("a rule was broken")
 
 // simCommands play the sidecar in simulated time.
 func simCommands() []*cli.Command {
@@ -36,11 +36,11 @@
 			&cli.FloatFlag{Name: "batch", Usage: "have a batch come beside the applications' requests, at `N` times its share"},
 			&cli.BoolFlag{Name: "quotas", Usage: "have the sidecars hold groups to their quotas"},
 			&cli.BoolFlag{Name: "show-script", Usage: "print the script of the seed and play nothing"}}},
-		listsCommand(sidecars, boxes, together, core, speech, told),
+		endpointListsCommand(sidecars, boxes, together, core, speech, told),
 		{Name: "shrink", Usage: "find a smaller day that breaks the same rule", Action: shrink, Flags: []cli.Flag{seed, script, core, speech, rule,
 			&cli.StringFlag{Name: "out", Usage: "the `FILE` for the smallest script; without it, standard output"},
 			&cli.IntFlag{Name: "budget", Usage: "play `N` days at most", Value: 400}}},
-		{Name: "mutants", Usage: "break the program in many ways and see whether the rules notice", Action: mutants, Flags: []cli.Flag{jobs, asJSON,
+		{Name: "mutants", Usage: "break the program in many ways and see whether the rules notice", Action: runMutants, Flags: []cli.Flag{jobs, asJSON,
 			&cli.StringFlag{Name: "dir", Usage: "the `DIR` of the patches", Value: sim.MutantsDir},
 			&cli.StringSliceFlag{Name: "only", Usage: "a `PART` of the names of those to try; may be given again"},
 			&cli.Uint64Flag{Name: "last", Usage: "the last `SEED` that is played; the first is 1", Value: 100}}},
--- a/cmd/hazellab/simoptions.go
+++ b/cmd/hazellab/simoptions.go
@@ -13,77 +13,77 @@
 	"hazelwheel/internal/sim"
 )
 
-// options returns how days are played.
-func options(c *cli.Command) (sim.Options, error) {
+// simOptions returns how days are played.
+func simOptions(c *cli.Command) (sim.Options, error) {
 	o := sim.Options{Servers: c.Int("boxes"), Sidecars: c.Int("sidecars"), FleetMode: sim.FleetMode(c.String("fleet"))}
 	if o.Sidecars != 0 && (o.Sidecars < 1 || o.Sidecars > 1000) {
-		return o, fault(fmt.Errorf("sidecars: %d is not 1 to 1000", o.Sidecars))
+		return o, usageError(fmt.Errorf("sidecars: %d is not 1 to 1000", o.Sidecars))
 	}
 	if o.ConfiguredSidecars = c.Int("told"); o.ConfiguredSidecars < 0 || o.ConfiguredSidecars > 10000 {
-		return o, fault(fmt.Errorf("told: %d is not 0 to 10000", o.ConfiguredSidecars))
+		return o, usageError(fmt.Errorf("told: %d is not 0 to 10000", o.ConfiguredSidecars))
 	}
 	if o.FleetMode != sim.FleetBySeed && o.FleetMode != sim.FleetOn && o.FleetMode != sim.FleetOff && o.FleetMode != sim.FleetFaultsOnly && o.FleetMode != sim.FleetWithRoles &&
 		o.FleetMode != sim.FleetWithMaintenance {
-		return o, fault(fmt.Errorf("fleet: %q is none of on, off, apart, owners, works", o.FleetMode))
+		return o, usageError(fmt.Errorf("fleet: %q is none of on, off, apart, owners, works", o.FleetMode))
 	}
 	if o.Servers != 0 && (o.Servers < 12 || o.Servers > 2000) {
-		return o, fault(fmt.Errorf("boxes: %d is not 12 to 2000", o.Servers))
+		return o, usageError(fmt.Errorf("boxes: %d is not 12 to 2000", o.Servers))
 	}
 	core, ok := sim.Factories[c.String("core")]
 	if !ok {
-		return o, fault(fmt.Errorf("core: %q is none of sidecar, random, least", c.String("core")))
+		return o, usageError(fmt.Errorf("core: %q is none of sidecar, random, least", c.String("core")))
 	}
 	o.Factory, o.Protocol = core, environment.Protocol(c.String("speech"))
 	switch {
 	case !slices.Contains(environment.Protocols, o.Protocol):
-		return o, fault(fmt.Errorf("speech: %q is none of http, binary, compact", o.Protocol))
+		return o, usageError(fmt.Errorf("speech: %q is none of http, binary, compact", o.Protocol))
 	case o.Protocol.IsThrift() && c.String("core") != "sidecar":
-		return o, fault(errors.New("speech: only the sidecar speaks Thrift"))
+		return o, usageError(errors.New("speech: only the sidecar speaks Thrift"))
 	case o.Protocol.IsThrift():
 		o.Factory = sim.NewThriftSidecar
 	}
 	o.BatchFactor, o.Quotas = c.Float("batch"), c.Bool("quotas")
 	if o.Protocol.IsThrift() && (o.BatchFactor > 0 || o.Quotas) {
-		return o, fault(errors.New("speech: batches and quotas are played over HTTP"))
+		return o, usageError(errors.New("speech: batches and quotas are played over HTTP"))
 	}
 	if o.BatchFactor < 0 || o.BatchFactor > 100 {
-		return o, fault(fmt.Errorf("batch: want 0 to 100, not %g", o.BatchFactor))
+		return o, usageError(fmt.Errorf("batch: want 0 to 100, not %g", o.BatchFactor))
 	}
 	return o, nil
 }
 
-// spoken returns the flag of a day's speech, "" for HTTP's, which needs none.
-func spoken(o sim.Options) string {
+// protocolFlag returns the flag of a day's speech, "" for HTTP's, which needs none.
+func protocolFlag(o sim.Options) string {
 	if o.Protocol.IsThrift() {
 		return " --speech " + string(o.Protocol)
 	}
 	return ""
 }
 
-// scriptOf returns the script of --script or --seed, and how to name it in a command.
-func scriptOf(c *cli.Command, o sim.Options) (environment.Script, string, error) {
+// selectedScript returns the script of --script or --seed, and how to name it in a command.
+func selectedScript(c *cli.Command, o sim.Options) (environment.Script, string, error) {
 	file := c.String("script")
 	switch {
 	case (file == "") == !c.IsSet("seed"):
-		return environment.Script{}, "", fault(errors.New("give one of --seed and --script"))
+		return environment.Script{}, "", usageError(errors.New("give one of --seed and --script"))
 	case file == "":
-		return o.DrawScript(c.Uint64("seed")), "--seed " + strconv.FormatUint(c.Uint64("seed"), 10) + spoken(o), nil
+		return o.DrawScript(c.Uint64("seed")), "--seed " + strconv.FormatUint(c.Uint64("seed"), 10) + protocolFlag(o), nil
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return environment.Script{}, "", fault(err)
+		return environment.Script{}, "", usageError(err)
 	}
 	s, err := environment.ReadScript(file, text, o.Ranges())
 	if err != nil {
-		return environment.Script{}, "", fault(err)
+		return environment.Script{}, "", usageError(err)
 	}
-	return *s, "--script " + file + spoken(o), nil
+	return *s, "--script " + file + protocolFlag(o), nil
 }
 
-// wrong makes the error of a bad script one that ends the program with 2.
-func wrong(err error) error {
+// wrapScriptError makes the error of a bad script one that ends the program with 2.
+func wrapScriptError(err error) error {
 	if errors.Is(err, sim.ErrInvalidScript) {
-		return fault(err)
+		return usageError(err)
 	}
 	return err
 }
--- a/cmd/hazellab/simulate.go
+++ b/cmd/hazellab/simulate.go
@@ -19,13 +19,13 @@
 
 func simulate(_ context.Context, c *cli.Command) error {
 	if c.IsSet("seeds") {
-		return simulateMany(c)
+		return simulateSeeds(c)
 	}
-	o, err := options(c)
+	o, err := simOptions(c)
 	if err != nil {
 		return err
 	}
-	s, name, err := scriptOf(c, o)
+	s, name, err := selectedScript(c, o)
 	if err != nil {
 		return err
 	}
@@ -40,14 +40,14 @@
 	if c.Bool("trace") {
 		o.Trace = func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }
 	}
-	var seconds bySecond
+	var seconds secondlyCounts
 	if c.Bool("by-second") {
 		o.Observer = &seconds
 	}
 	began := time.Now()
 	r, err := sim.Play(s, o)
 	if err != nil {
-		return wrong(err)
+		return wrapScriptError(err)
 	}
 	if o.Observer != nil {
 		seconds.print(out, r.Start)
@@ -61,21 +61,21 @@
 		t.Add(r)
 		t.Finish()
 		t.History = fmt.Sprintf("%016x", r.Hash)
-		printFindings(out, r, name)
+		printViolations(out, r, name)
 		printTally(out, &t, time.Since(began).Seconds(), 1)
 	}
 	if len(r.Violations) > 0 {
-		return errBroken
+		return errRulesBroken
 	}
 	return nil
 }
 
-// mostFindings is how many findings of a day are printed.
-const mostFindings = 10
+// maxPrintedViolations is how many findings of a day are printed.
+const maxPrintedViolations = 10
 
-func printFindings(w io.Writer, r *sim.Result, name string) {
+func printViolations(w io.Writer, r *sim.Result, name string) {
 	for i, f := range r.Violations {
-		if i == mostFindings {
+		if i == maxPrintedViolations {
 			fmt.Fprintf(w, "and %d more\n", len(r.Violations)-i)
 			break
 		}
@@ -83,15 +83,15 @@
 	}
 }
 
-func simulateMany(c *cli.Command) error {
-	first, last, err := seedRange(c.String("seeds"))
+func simulateSeeds(c *cli.Command) error {
+	first, last, err := parseSeedRange(c.String("seeds"))
 	if err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	if c.IsSet("seed") || c.IsSet("script") || c.Bool("trace") {
-		return fault(errors.New("--seeds goes without --seed, --script and --trace"))
+		return usageError(errors.New("--seeds goes without --seed, --script and --trace"))
 	}
-	o, err := options(c)
+	o, err := simOptions(c)
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 		if len(d.Result.Violations) > 0 && !c.Bool("json") {
 			_ = bar.Clear()
 			f := d.Result.Violations[0]
-			fmt.Fprintf(out, "BROKEN %s: %s; replay with: hazellab sim --seed %d%s --trace\n", f.Rule, f.Reason, d.Seed, spoken(o))
+			fmt.Fprintf(out, "BROKEN %s: %s; replay with: hazellab sim --seed %d%s --trace\n", f.Rule, f.Reason, d.Seed, protocolFlag(o))
 		}
 		return !c.Bool("first") || len(d.Result.Violations) == 0
 	})
@@ -132,7 +132,7 @@
 		printTally(out, &t, time.Since(began).Seconds(), c.Int("jobs"))
 	}
 	if len(t.Broken) > 0 {
-		return errBroken
+		return errRulesBroken
 	}
 	return nil
 }
--- a/cmd/hazellab/soak.go
+++ b/cmd/hazellab/soak.go
@@ -45,12 +45,12 @@
 		settings.Binary = filepath.Join(filepath.Dir(self), "hazelfleet")
 	}
 	if err := settings.Validate(); err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	if name := c.String("log"); name != "" {
 		file, err := os.Create(name)
 		if err != nil {
-			return fault(err)
+			return usageError(err)
 		}
 		defer func() { _ = file.Close() }() // a log, beside which nothing depends on it
 		settings.Log = file
--- a/cmd/hazellab/stub.go
+++ b/cmd/hazellab/stub.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/lab/stub"
 )
 
-func standinCommand() *cli.Command {
+func stubCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "standin",
 		Usage: "play boxes that answer alike, and their discovery, until a signal ends it",
@@ -32,20 +32,20 @@
 			&cli.IntFlag{Name: "sockets", Value: 1024, Usage: "that sidecar's limits.sockets"},
 			&cli.BoolFlag{Name: "pushed", Usage: "that sidecar watches discovery; otherwise it asks when it wants to"},
 		},
-		Action: playBoxes,
+		Action: runStub,
 	}
 }
 
-func playBoxes(ctx context.Context, c *cli.Command) error {
+func runStub(ctx context.Context, c *cli.Command) error {
 	base, err := netip.ParseAddr(c.String("base"))
 	if err != nil {
-		return fault(fmt.Errorf("base: %w", err))
+		return usageError(fmt.Errorf("base: %w", err))
 	}
 	s := stub.Settings{Boxes: c.Int("boxes"), Base: base, Port: c.Int("port"), Delay: c.Duration("delay"),
 		Body: c.Int("body"), Threads: c.Int("threads"), Zones: c.StringSlice("zone"),
 		Slots: c.Int("slots"), Waiting: c.Int("waiting")}
 	if err := s.Err(); err != nil {
-		return fault(err)
+		return usageError(err)
 	}
 	if path := c.String("config"); path != "" {
 		sidecar := stub.Sidecar{Name: "n0", Listen: c.String("listen"), Discovery: c.String("discovery"),
@@ -64,7 +64,7 @@
 		return err
 	}
 	fmt.Fprintf(c.Root().Writer, "%d boxes at %s and on, discovery at %s\n", s.Boxes, s.List()[0].Address, c.String("discovery"))
-	ctx, stop := untilSignal(ctx)
+	ctx, stop := signalContext(ctx)
 	defer stop()
 	<-ctx.Done()
 	fmt.Fprintf(c.Root().Writer, "requests taken: %d\n", boxes.Requests())
--- a/cmd/hazellab/subset.go
+++ b/cmd/hazellab/subset.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/sim/subsetsim"
 )
 
-func shareCommand() *cli.Command {
+func subsetCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "share",
 		Usage: "weigh the ways in which sidecars choose the boxes that they hold: how evenly they add up, and how much moves",
@@ -31,9 +31,9 @@
 				for _, m := range c.IntSlice("boxes") {
 					switch {
 					case n < 2 || n > 10_000:
-						return fault(fmt.Errorf("sidecars: %d is not 2 to 10000", n))
+						return usageError(fmt.Errorf("sidecars: %d is not 2 to 10000", n))
 					case m < 2 || m > 2000:
-						return fault(fmt.Errorf("boxes: %d is not 2 to 2000", m))
+						return usageError(fmt.Errorf("boxes: %d is not 2 to 2000", m))
 					}
 					for _, unequal := range []bool{false, true} {
 						for _, w := range subsetsim.Strategies() {
--- a/cmd/hazellab/trials.go
+++ b/cmd/hazellab/trials.go
@@ -58,7 +58,7 @@
 		printTrials(c, reports)
 	}
 	if broken > 0 {
-		return errBroken
+		return errRulesBroken
 	}
 	return nil
 }
@@ -91,7 +91,7 @@
 	}
 	slices.SortFunc(kinds, func(a, b [2]string) int { return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1])) })
 	for _, k := range kinds {
-		fmt.Fprintf(out, "%-14s %-18s the next owner was known after %s\n", k[0], k[1], spread(known[k]))
+		fmt.Fprintf(out, "%-14s %-18s the next owner was known after %s\n", k[0], k[1], formatSpread(known[k]))
 	}
 	fmt.Fprintf(out, "%d effects on the wire, %d under a token that was not the greatest any more, %d of these said by the old owner itself; %d refusals\n", effects, old, late, refused)
 	fmt.Fprintf(out, "%d words of leaders that a grant holds have an order with all grants; the laboratory was %.2f s late at most\n", confirms, lateS)
