--- a/internal/sidecar/clientadmission.go
+++ b/internal/sidecar/clientadmission.go
@@ -55,10 +55,10 @@
 // be, the request on this one is throttled as long as enough descriptors are left.
 func (s *Sidecar) acceptClient(conn netio.Conn) bool {
 	now := s.now()
-	front := s.frontendOf(conn)
-	codec := front.NewClient()
+	frontend := s.frontendOf(conn)
+	codec := frontend.NewClient()
 	c := codec.Base()
-	c.sidecar, c.frontend, c.codec, c.conn, c.openedAt = s, front, codec, conn, now
+	c.sidecar, c.frontend, c.codec, c.conn, c.openedAt = s, frontend, codec, conn, now
 	s.clients.add(c)
 	s.counters.AcceptedConns++
 	conn.SetContext(connHandler(c))
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -59,7 +59,7 @@
 	keepAlive       bool         // the client wants the connection kept after the response
 	isLastWritten   bool         // the last response is written
 	isWriteClosed   bool         // and sent; the connection is closed for writing
-	isOverLimit     bool         // it was accepted beyond maxClients
+	isOverLimit     bool         // it was accepted beyond the admission limit
 	lingerTimer     *timer
 	arrivalTimer    *timer  // of the request that is arriving
 	arrivalDeadline float64 // of the request that is arriving, before what its body adds
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -54,18 +54,18 @@
 }
 
 func (s *Sidecar) checkStreams() {
-	f := &s.streams
-	for _, st := range slices.Clone(f.responses) {
+	all := &s.streams
+	for _, st := range slices.Clone(all.responses) {
 		st.check()
 	}
-	lagging := f.laggingConns
-	f.laggingConns = nil
+	lagging := all.laggingConns
+	all.laggingConns = nil
 	for _, b := range lagging {
 		if a := b.attempt; a != nil && b.conn != nil && !b.isClosed {
 			b.forwardBody(a)
 		}
 	}
-	if f.isScheduled = len(f.responses)+len(f.laggingConns) > 0; f.isScheduled {
+	if all.isScheduled = len(all.responses)+len(all.laggingConns) > 0; all.isScheduled {
 		s.timers.schedule(s.now()+streamCheckIntervalSeconds, s.checkStreams)
 	}
 }
@@ -92,8 +92,8 @@
 	r, now := a.request, s.now()
 	result := policy.Result{ID: r.id, Host: a.serverID, Attempt: a.number}
 	result.Outcome, result.Report, _ = a.exchange.Result()
-	origin, can := r.responder.(StreamResponder)
-	if result.Outcome != policy.OK || r.isAnswered || !can {
+	responder, canStream := r.responder.(StreamResponder)
+	if result.Outcome != policy.OK || r.isAnswered || !canStream {
 		b.attempt = nil
 		b.close()
 		s.finishAttempt(a, nil)
@@ -105,107 +105,107 @@
 	s.timers.stop(r.faultTimer)
 	s.counters.attemptOutcomes.count(result.Outcome)
 	r.removeAttempt(a)
-	f := &stream{
+	st := &stream{
 		sidecar:    s,
 		attempt:    a,
 		backend:    b,
 		client:     r.client,
-		responder:  origin,
+		responder:  responder,
 		lastDataAt: now,
 		lastReadAt: now,
 		startedAt:  now,
 	}
-	a.stream, r.stream, r.isAnswered, result.Final = f, f, true, true
-	s.streams.responses = append(s.streams.responses, f)
+	a.stream, r.stream, r.isAnswered, result.Final = st, st, true, true
+	s.streams.responses = append(s.streams.responses, st)
 	s.turn.events = append(s.turn.events, event{endedAttempt: a, result: result})
-	origin.ForwardHead(a.exchange)
-	f.check()
+	responder.ForwardHead(a.exchange)
+	st.check()
 	s.scheduleStreamCheck()
 }
 
 // onData forwards data that has arrived.
-func (f *stream) onData(n int, done bool, err error) {
-	f.receivedBytes += n
-	if f.lastDataAt = f.sidecar.now(); err != nil {
-		f.finish(failed)
+func (st *stream) onData(n int, done bool, err error) {
+	st.receivedBytes += n
+	if st.lastDataAt = st.sidecar.now(); err != nil {
+		st.finish(failed)
 		return
 	}
-	f.responder.ForwardBody(f.attempt.exchange, done)
+	st.responder.ForwardBody(st.attempt.exchange, done)
 	switch {
-	case f.isOver: // its client has closed meanwhile
+	case st.isOver: // its client has closed meanwhile
 	case done:
-		f.finish(served)
+		st.finish(served)
 	default:
-		f.check()
+		st.check()
 	}
 }
 
 // onBackendClose handles the close of the backend connection, which may complete the response.
-func (f *stream) onBackendClose(isOrderly bool) {
-	if f.isOver {
+func (st *stream) onBackendClose(isOrderly bool) {
+	if st.isOver {
 		return
 	}
-	if isOrderly && f.attempt.exchange.HandleEOF() {
-		f.responder.ForwardBody(f.attempt.exchange, true)
-		f.finish(served)
+	if isOrderly && st.attempt.exchange.HandleEOF() {
+		st.responder.ForwardBody(st.attempt.exchange, true)
+		st.finish(served)
 		return
 	}
-	f.finish(failed)
+	st.finish(failed)
 }
 
 // check pauses the server while the client lags, and ends a stream that is stuck.
-func (f *stream) check() {
-	if f.isOver || f.client.conn == nil {
+func (st *stream) check() {
+	if st.isOver || st.client.conn == nil {
 		return
 	}
-	now, unread := f.sidecar.now(), f.client.conn.OutboundBuffered()
-	if unread < f.unreadBytes || unread == 0 {
-		f.lastReadAt = now
+	now, unread := st.sidecar.now(), st.client.conn.OutboundBuffered()
+	if unread < st.unreadBytes || unread == 0 {
+		st.lastReadAt = now
 	}
-	f.unreadBytes = unread
+	st.unreadBytes = unread
 	switch {
-	case !f.isPaused && unread >= f.sidecar.streamWindow():
-		f.isPaused, f.pausedAt = f.sidecar.net.PauseReading(f.backend.conn, netio.DeferClose), now
-	case f.isPaused && unread < f.sidecar.streamWindow()/2:
-		f.isPaused, f.lastDataAt = false, now
-		f.startedAt += now - f.pausedAt
-		f.sidecar.net.ResumeReading(f.backend.conn)
+	case !st.isPaused && unread >= st.sidecar.streamWindow():
+		st.isPaused, st.pausedAt = st.sidecar.net.PauseReading(st.backend.conn, netio.DeferClose), now
+	case st.isPaused && unread < st.sidecar.streamWindow()/2:
+		st.isPaused, st.lastDataAt = false, now
+		st.startedAt += now - st.pausedAt
+		st.sidecar.net.ResumeReading(st.backend.conn)
 	}
-	if f.isPaused {
-		f.lastDataAt = now
+	if st.isPaused {
+		st.lastDataAt = now
 	}
 	switch {
-	case now > f.lastReadAt+peerLagTimeoutSeconds:
-		f.sidecar.counters.UnreadConnsClosed++
-		f.sidecar.clients.admission.RecordWasted(f.client.slot)
-		f.finish(failed)
-	case now > f.lastDataAt+peerLagTimeoutSeconds, f.isTooSlow(now):
-		f.finish(failed)
+	case now > st.lastReadAt+peerLagTimeoutSeconds:
+		st.sidecar.counters.UnreadConnsClosed++
+		st.sidecar.clients.admission.RecordWasted(st.client.slot)
+		st.finish(failed)
+	case now > st.lastDataAt+peerLagTimeoutSeconds, st.isTooSlow(now):
+		st.finish(failed)
 	}
 }
 
 // isTooSlow reports whether the deadline has passed and the server sends too slowly for the response to end.
-func (f *stream) isTooSlow(now float64) bool {
-	return !f.isPaused && now > f.attempt.request.deadline+lateStreamGraceSeconds && float64(f.receivedBytes) < minBytesPerSecond*(now-f.startedAt)
+func (st *stream) isTooSlow(now float64) bool {
+	return !st.isPaused && now > st.attempt.request.deadline+lateStreamGraceSeconds && float64(st.receivedBytes) < minBytesPerSecond*(now-st.startedAt)
 }
 
 // finish ends a stream: with its last byte, or by closing the client's connection, which marks the response as incomplete.
-func (f *stream) finish(end requestEnd) {
-	if f.isOver {
+func (st *stream) finish(end requestEnd) {
+	if st.isOver {
 		return
 	}
-	f.isOver = true
-	s, r, b := f.sidecar, f.attempt.request, f.backend
-	if i := slices.Index(s.streams.responses, f); i >= 0 {
+	st.isOver = true
+	s, r, b := st.sidecar, st.attempt.request, st.backend
+	if i := slices.Index(s.streams.responses, st); i >= 0 {
 		s.streams.responses = slices.Delete(s.streams.responses, i, i+1)
 	}
 	r.stream = nil
 	s.countRequestEnd(r, end)
-	s.recordResponseCost(f.attempt)
+	s.recordResponseCost(st.attempt)
 	s.completeQuota(r)
 	s.requests.releaseClientID(r)
 	if !b.isClosed {
-		if b.attempt = nil; end == served && b.isReusable(f.attempt) {
+		if b.attempt = nil; end == served && b.isReusable(st.attempt) {
 			b.makeIdle()
 		} else {
 			b.close()
@@ -214,9 +214,9 @@
 	s.pushEvent(func(float64) { s.forgetRequest(r) })
 	switch {
 	case end == served:
-		f.client.finishStream()
-	case f.client.conn != nil:
-		f.client.request = nil
-		s.closeConn(f.client.conn)
+		st.client.finishStream()
+	case st.client.conn != nil:
+		st.client.request = nil
+		s.closeConn(st.client.conn)
 	}
 }
