--- a/cmd/hazellab/fleet.go
+++ b/cmd/hazellab/fleet.go
@@ -51,37 +51,37 @@
 }
 
 func runFleet(ctx context.Context, c *cli.Command) error {
-	s := processcluster.Settings{Sidecars: c.Int("sidecars"), Boxes: c.Int("boxes"), Seed: c.Uint64("seed"), For: c.Duration("for"), Draw: c.Bool("draw"),
-		Jobs: c.StringSlice("jobs"), Load: c.Float("load"), Trials: c.Int("trials"), Other: c.String("other")}
+	s := processcluster.Settings{Sidecars: c.Int("sidecars"), Servers: c.Int("boxes"), Seed: c.Uint64("seed"), Duration: c.Duration("for"), DrawFaults: c.Bool("draw"),
+		Roles: c.StringSlice("jobs"), Load: c.Float("load"), Trials: c.Int("trials"), OtherBinary: c.String("other")}
 	if err := readMaintenancePlan(c, &s); err != nil {
 		return err
 	}
 	if s.Trials > 0 && !c.IsSet("for") {
-		s.For = time.Hour
+		s.Duration = time.Hour
 	}
-	if s.Other != "" {
-		s.Others, s.OthersOwn = c.Int("others"), c.Bool("others-own")
+	if s.OtherBinary != "" {
+		s.OtherCount, s.OthersHaveRoles = c.Int("others"), c.Bool("others-own")
 	}
 	switch {
 	case s.Load < 0 || s.Load > 2:
 		return usageError(fmt.Errorf("load: %g is not 0 to 2", s.Load))
 	case s.Sidecars < 1 || s.Sidecars > 400:
 		return usageError(fmt.Errorf("sidecars: %d is not 1 to 400", s.Sidecars))
-	case s.Boxes < 3 || s.Boxes > 500:
-		return usageError(fmt.Errorf("boxes: %d is not 3 to 500", s.Boxes))
-	case s.For < 5*time.Second || s.For > time.Hour:
-		return usageError(fmt.Errorf("for: %v is not 5s to 1h", s.For))
-	case len(s.Jobs) > 0 && s.Sidecars < 3:
+	case s.Servers < 3 || s.Servers > 500:
+		return usageError(fmt.Errorf("boxes: %d is not 3 to 500", s.Servers))
+	case s.Duration < 5*time.Second || s.Duration > time.Hour:
+		return usageError(fmt.Errorf("for: %v is not 5s to 1h", s.Duration))
+	case len(s.Roles) > 0 && s.Sidecars < 3:
 		return usageError(errors.New("jobs: there must be three sidecars at least, which agree on who owns them"))
-	case slices.ContainsFunc(s.Jobs, func(name string) bool { return !slices.Contains(sidecarconfig.Jobs, name) }):
+	case slices.ContainsFunc(s.Roles, func(name string) bool { return !slices.Contains(sidecarconfig.Jobs, name) }):
 		return usageError(fmt.Errorf("jobs: want some of %v", sidecarconfig.Jobs))
-	case s.Trials > 0 && (len(s.Jobs) == 0 || s.Draw || c.String("script") != "" || c.Bool("simulated")):
+	case s.Trials > 0 && (len(s.Roles) == 0 || s.DrawFaults || c.String("script") != "" || c.Bool("simulated")):
 		return usageError(errors.New("trials: want --jobs, and neither --draw, --script nor --simulated"))
 	case c.Int("fleets") < 1 || c.Int("fleets") > 16:
 		return usageError(fmt.Errorf("fleets: %d is not 1 to 16", c.Int("fleets")))
-	case s.Other != "" && (s.Others < 1 || s.Others >= s.Sidecars || len(s.Jobs) > 0 && !s.OthersOwn && s.Sidecars-s.Others < 3):
+	case s.OtherBinary != "" && (s.OtherCount < 1 || s.OtherCount >= s.Sidecars || len(s.Roles) > 0 && !s.OthersHaveRoles && s.Sidecars-s.OtherCount < 3):
 		return usageError(errors.New("others: want 1 to one less than there are sidecars; three more with --jobs"))
-	case s.Draw && c.String("script") != "":
+	case s.DrawFaults && c.String("script") != "":
 		return usageError(errors.New("give one of --script and --draw"))
 	}
 	if path := c.String("script"); path != "" {
@@ -117,11 +117,11 @@
 	if _, err := os.Stat(s.Binary); err != nil {
 		return usageError(err)
 	}
-	if s.Other != "" {
-		if s.Other, err = filepath.Abs(s.Other); err != nil {
+	if s.OtherBinary != "" {
+		if s.OtherBinary, err = filepath.Abs(s.OtherBinary); err != nil {
 			return err
 		}
-		if _, err := os.Stat(s.Other); err != nil {
+		if _, err := os.Stat(s.OtherBinary); err != nil {
 			return usageError(err)
 		}
 	}
@@ -142,14 +142,14 @@
 	if s.Trials > 0 {
 		return runTrials(ctx, c, s)
 	}
-	r, err := processcluster.Do(ctx, s)
+	r, err := processcluster.Run(ctx, s)
 	if err != nil {
 		return err
 	}
 	if path := c.String("picture"); path != "" {
-		draw := r.Picture
-		if r.Worked != nil {
-			draw = r.WorkPicture
+		draw := r.WriteMembershipPlot
+		if r.Maintenance != nil {
+			draw = r.WriteMaintenancePlot
 		}
 		if err := draw(path); err != nil {
 			return err
@@ -163,25 +163,25 @@
 		}
 		fmt.Fprintln(out, string(raw))
 	} else {
-		for _, f := range r.Findings {
-			fmt.Fprintf(out, "%7.2f s  %-12s %-6s %s\n", f.AtS, f.Rule, f.Sidecar, f.Why)
+		for _, f := range r.Violations {
+			fmt.Fprintf(out, "%7.2f s  %-12s %-6s %s\n", f.AtSeconds, f.Rule, f.Sidecar, f.Reason)
 		}
 		fmt.Fprintf(out, "%d troubles; %.3f of the worth served in time; %d views asked for; %.0f bytes a second between peers, of each\n",
-			len(r.Troubles), r.Service, r.Views, r.PeerBytes)
-		fmt.Fprintf(out, "all agreed after %s; one that went was known after %s; the laboratory was %.2f s late at most\n", formatSpread(r.AgreedS), formatSpread(r.KnownS), r.LateS)
-		if o := r.Owned; o != nil {
-			fmt.Fprintf(out, "%d grants; %d effects on the wire, %d of them under a token that was not the greatest any more; %d refusals\n", o.Grants, o.Effects, o.Old, o.Refused)
-			fmt.Fprintf(out, "without an owner for %s, as the doors tell each quarter of a second\n", formatSpread(o.WithoutS))
+			len(r.Faults), r.Service, r.Views, r.PeerBytesPerSecond)
+		fmt.Fprintf(out, "all agreed after %s; one that went was known after %s; the laboratory was %.2f s late at most\n", formatSpread(r.AgreedSeconds), formatSpread(r.DetectedSeconds), r.LoopLateSeconds)
+		if o := r.Roles; o != nil {
+			fmt.Fprintf(out, "%d grants; %d effects on the wire, %d of them under a token that was not the greatest any more; %d refusals\n", o.Grants, o.Effects, o.Stale, o.Rejected)
+			fmt.Fprintf(out, "without an owner for %s, as the doors tell each quarter of a second\n", formatSpread(o.WithoutOwnerSeconds))
 		}
-		if r.Worked != nil {
-			printMaintenance(out, r.Worked)
+		if r.Maintenance != nil {
+			printMaintenance(out, r.Maintenance)
 		}
-		fmt.Fprintf(out, "fleet: %d sidecars, %d rules broken\n", r.Sidecars, r.Broken)
+		fmt.Fprintf(out, "fleet: %d sidecars, %d rules broken\n", r.Sidecars, r.ViolationCount)
 	}
-	if r.Worked != nil && r.Worked.Error != "" {
-		return usageError(fmt.Errorf("plan: %s", r.Worked.Error))
+	if r.Maintenance != nil && r.Maintenance.Error != "" {
+		return usageError(fmt.Errorf("plan: %s", r.Maintenance.Error))
 	}
-	if r.Broken > 0 {
+	if r.ViolationCount > 0 {
 		return errRulesBroken
 	}
 	return nil
@@ -206,9 +206,9 @@
 	if slices.Equal(spec.Sites, []string{"*"}) {
 		spec.Sites = environment.Draw(s.Seed, s.Ranges()).Sites
 	}
-	s.Work = &processcluster.Work{Spec: spec, Hand: c.Bool("hand")}
-	if !slices.Contains(s.Jobs, "works") {
-		s.Jobs = append(s.Jobs, "works")
+	s.Maintenance = &processcluster.Maintenance{Spec: spec, Scripted: c.Bool("hand")}
+	if !slices.Contains(s.Roles, "works") {
+		s.Roles = append(s.Roles, "works")
 	}
 	return nil
 }
--- a/cmd/hazellab/fleetsim.go
+++ b/cmd/hazellab/fleetsim.go
@@ -14,7 +14,7 @@
 func simulateFleet(c *cli.Command, s *processcluster.Settings) error {
 	r := s.Ranges()
 	o := sim.Options{CustomRanges: &r, FleetMode: sim.FleetOn}
-	script := s.Troubles()
+	script := s.FaultScript()
 	out := bufio.NewWriter(c.Root().Writer)
 	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
 	if c.Bool("trace") {
--- a/cmd/hazellab/trials.go
+++ b/cmd/hazellab/trials.go
@@ -34,7 +34,7 @@
 				return err
 			}
 		}
-		all.Go(func() { reports[i], errs[i] = processcluster.Do(ctx, own) })
+		all.Go(func() { reports[i], errs[i] = processcluster.Run(ctx, own) })
 	}
 	all.Wait()
 	if err := errors.Join(errs...); err != nil {
@@ -43,9 +43,9 @@
 	out := c.Root().Writer
 	broken := 0
 	for _, r := range reports {
-		broken += r.Broken
+		broken += r.ViolationCount
 		if len(r.Trials) < s.Trials/fleets { // it was ended, or gave up
-			broken += min(1, 1-min(r.Broken, 1))
+			broken += min(1, 1-min(r.ViolationCount, 1))
 		}
 	}
 	if c.Bool("json") {
@@ -69,20 +69,20 @@
 	known := map[[2]string][]float64{}
 	trials, moved, broken, confirms, late, refused, old, effects, lateS := 0, 0, 0, 0, 0, 0, 0, 0, 0.0
 	for i, r := range reports {
-		for _, f := range r.Findings {
-			fmt.Fprintf(out, "fleet %d  %7.2f s  %-12s %-6s %s\n", i, f.AtS, f.Rule, f.Sidecar, f.Why)
+		for _, f := range r.Violations {
+			fmt.Fprintf(out, "fleet %d  %7.2f s  %-12s %-6s %s\n", i, f.AtSeconds, f.Rule, f.Sidecar, f.Reason)
 		}
 		for _, t := range r.Trials {
-			k := [2]string{t.What, t.Who}
-			if trials++; t.Moved {
+			k := [2]string{t.Fault, t.Target}
+			if trials++; t.HasMoved {
 				moved++
-				known[k] = append(known[k], t.KnownS)
+				known[k] = append(known[k], t.KnownSeconds)
 			}
 		}
-		broken += r.Broken
-		lateS = max(lateS, r.LateS)
-		if o := r.Owned; o != nil {
-			confirms, late, refused, old, effects = confirms+o.Confirms, late+o.Late, refused+o.Refused, old+o.Old, effects+o.Effects
+		broken += r.ViolationCount
+		lateS = max(lateS, r.LoopLateSeconds)
+		if o := r.Roles; o != nil {
+			confirms, late, refused, old, effects = confirms+o.Confirmations, late+o.StaleByOwner, refused+o.Rejected, old+o.Stale, effects+o.Effects
 		}
 	}
 	kinds := make([][2]string, 0, len(known))
--- a/internal/lab/processcluster/owners.go
+++ b/internal/lab/processcluster/owners.go
@@ -26,15 +26,15 @@
 }
 
 // Owned is what came of the jobs.
-type Owned struct {
-	Wrong    []string  `json:"wrong,omitempty"`
-	Confirms int       `json:"confirmed"` // words of leaders that a grant holds, which have an order with the grants
-	Effects  int       `json:"effects"`   // on the wire
-	Old      int       `json:"old"`       // of these, under a token lower than one that somebody had said
-	Refused  int       `json:"refused"`   // answers to old ones
-	Late     int       `json:"late"`      // effects that their owner itself said after a greater token had been said
-	Grants   int       `json:"grants"`    // that the doors told of
-	WithoutS []float64 `json:"without_s"` // for how long no sidecar that runs held a job, each time
+type RoleReport struct {
+	Violations          []string  `json:"wrong,omitempty"`
+	Confirmations       int       `json:"confirmed"` // words of leaders that a grant holds, which have an order with the grants
+	Effects             int       `json:"effects"`   // on the wire
+	Stale               int       `json:"old"`       // of these, under a token lower than one that somebody had said
+	Rejected            int       `json:"refused"`   // answers to old ones
+	StaleByOwner        int       `json:"late"`      // effects that their owner itself said after a greater token had been said
+	Grants              int       `json:"grants"`    // that the doors told of
+	WithoutOwnerSeconds []float64 `json:"without_s"` // for how long no sidecar that runs held a job, each time
 }
 
 // owners is what a door tells of jobs, as far as it is looked at here.
@@ -81,12 +81,12 @@
 	return &jobs{names: names, effects: NewEffects(), grants: NewGrants(), tokens: map[string]map[uint64]bool{}, goneAt: map[string]time.Time{}, wellAt: map[string]time.Time{}}
 }
 
-func (j *jobs) owned() *Owned {
+func (j *jobs) owned() *RoleReport {
 	wrong, seen, refused, old := j.effects.Found()
-	o := &Owned{Wrong: append(wrong, j.wrong...), Effects: seen, Refused: refused, Old: old, Late: j.effects.Late(), WithoutS: j.without}
+	o := &RoleReport{Violations: append(wrong, j.wrong...), Effects: seen, Rejected: refused, Stale: old, StaleByOwner: j.effects.Late(), WithoutOwnerSeconds: j.without}
 	var why string
-	if o.Confirms, why = j.grants.Check(); why != "" {
-		o.Wrong = append(o.Wrong, why)
+	if o.Confirmations, why = j.grants.Check(); why != "" {
+		o.Violations = append(o.Violations, why)
 	}
 	for _, name := range j.names {
 		o.Grants += len(j.tokens[name])
@@ -95,7 +95,7 @@
 }
 
 // judgeOwners looks at one round of the doors' answers.
-func (t *Troupe) judgeOwners(all []*owners, asked time.Time) {
+func (t *Cluster) judgeOwners(all []*owners, asked time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	j, now := t.jobs, time.Now()
--- a/internal/lab/processcluster/picture.go
+++ b/internal/lab/processcluster/picture.go
@@ -13,20 +13,20 @@
 
 // Round is what one look at all doors has shown.
 type Round struct {
-	AtS   float64 `json:"at_s"`
-	There int     `json:"there"` // sidecars that were
-	Least int     `json:"least"` // that any of them held for alive
-	Most  int     `json:"most"`
+	AtSeconds float64 `json:"at_s"`
+	Running   int     `json:"there"` // sidecars that were
+	MinAlive  int     `json:"least"` // that any of them held for alive
+	MaxAlive  int     `json:"most"`
 }
 
 // Picture writes an SVG: how many sidecars there were, between the least and the most that any of them held for alive, with the
 // troubles between them shaded.
-func (r *Report) Picture(path string) error {
+func (r *Report) WriteMembershipPlot(path string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "sidecars that are there, and that others hold for alive", "s", "sidecars"
 	p.X.Min, p.Y.Min, p.Y.Max = 0, 0, float64(r.Sidecars)*1.15
 	p.Legend.Top = true
-	for _, t := range r.Troubles {
+	for _, t := range r.Faults {
 		between := len(t.From) > 0 || len(t.Sidecars) > 0 || t.Kind == environment.RestartAll
 		if !between {
 			continue
@@ -40,9 +40,9 @@
 	}
 	var there, least, most plotter.XYs
 	for _, o := range r.Rounds {
-		there = append(there, plotter.XY{X: o.AtS, Y: float64(o.There)})
-		least = append(least, plotter.XY{X: o.AtS, Y: float64(o.Least)})
-		most = append(most, plotter.XY{X: o.AtS, Y: float64(o.Most)})
+		there = append(there, plotter.XY{X: o.AtSeconds, Y: float64(o.Running)})
+		least = append(least, plotter.XY{X: o.AtSeconds, Y: float64(o.MinAlive)})
+		most = append(most, plotter.XY{X: o.AtSeconds, Y: float64(o.MaxAlive)})
 	}
 	if err := plotutil.AddLines(p, "there", there, "least that one holds for alive", least, "most", most); err != nil {
 		return err
--- a/internal/lab/processcluster/trials.go
+++ b/internal/lab/processcluster/trials.go
@@ -14,11 +14,11 @@
 
 // Trial is one time that an owner, a leader or both were taken away, from there to the next owner that all others know.
 type Trial struct {
-	What   string  `json:"what"` // the trouble
-	Who    string  `json:"who"`  // what it hit
-	AtS    float64 `json:"at_s"`
-	Moved  bool    `json:"moved"`   // the next owner has another token
-	KnownS float64 `json:"known_s"` // until then
+	Fault        string  `json:"what"` // the trouble
+	Target       string  `json:"who"`  // what it hit
+	AtSeconds    float64 `json:"at_s"`
+	HasMoved     bool    `json:"moved"`   // the next owner has another token
+	KnownSeconds float64 `json:"known_s"` // until then
 }
 
 // whole is what the doors say of the job together.
@@ -36,7 +36,7 @@
 )
 
 // look asks the doors of all but some of those that know of jobs.
-func (t *Troupe) look(but []int) (w whole, agreed bool) {
+func (t *Cluster) look(but []int) (w whole, agreed bool) {
 	all := make([]*owners, t.own())
 	var asking sync.WaitGroup
 	for i := range all {
@@ -58,7 +58,7 @@
 			w.leader = i
 		}
 		for _, j := range o.Jobs {
-			if j.Job != t.s.Jobs[0] {
+			if j.Job != t.s.Roles[0] {
 				continue
 			}
 			agreed = agreed && (w.token == 0 || w.token == j.Token)
@@ -72,7 +72,7 @@
 }
 
 // await looks until all but some agree on an owner, and more holds of it, or a time has come.
-func (t *Troupe) await(ctx context.Context, but []int, until time.Time, more func(whole) bool) (w whole, ok bool) {
+func (t *Cluster) await(ctx context.Context, but []int, until time.Time, more func(whole) bool) (w whole, ok bool) {
 	tick := time.NewTicker(time.Duration(lookS * float64(time.Second)))
 	defer tick.Stop()
 	for time.Now().Before(until) {
@@ -89,7 +89,7 @@
 }
 
 // try plays the trials, one after the other.
-func (t *Troupe) try(ctx context.Context, p *realtime.Play) {
+func (t *Cluster) try(ctx context.Context, p *realtime.Play) {
 	any := func(whole) bool { return true }
 	wait := time.Duration(mostWaitS * float64(time.Second))
 	rng := rand.New(rand.NewPCG(t.s.Seed, 0x747269616c73))
@@ -125,13 +125,13 @@
 			t.lost(ctx, "trial %d, %s of the %s (%s): no next owner is known to all", len(t.trials)+1, trouble.Kind, who, t.mates[victims[0]].name)
 			return
 		}
-		t.trials = append(t.trials, Trial{What: trouble.Kind, Who: who, AtS: trouble.AtSeconds, Moved: after.token > before.token, KnownS: known})
+		t.trials = append(t.trials, Trial{Fault: trouble.Kind, Target: who, AtSeconds: trouble.AtSeconds, HasMoved: after.token > before.token, KnownSeconds: known})
 		rest(ctx, time.Until(over))
 	}
 }
 
 // lost notes that a job has no owner, unless the play ends.
-func (t *Troupe) lost(ctx context.Context, format string, args ...any) {
+func (t *Cluster) lost(ctx context.Context, format string, args ...any) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -141,7 +141,7 @@
 }
 
 // drawTrial draws what is taken away, and how. Danger: where all leases outlive the trouble nothing is tried; most last for longer.
-func (t *Troupe) drawTrial(rng *rand.Rand, w whole) (trouble environment.Fault, victims []int, who string) {
+func (t *Cluster) drawTrial(rng *rand.Rand, w whole) (trouble environment.Fault, victims []int, who string) {
 	switch x := rng.IntN(10); {
 	case w.owner == w.leader:
 		victims, who = []int{w.owner}, "owner that leads"
--- a/internal/lab/processcluster/troupe.go
+++ b/internal/lab/processcluster/troupe.go
@@ -27,58 +27,58 @@
 
 // Settings are a fleet to be played.
 type Settings struct {
-	Binary   string // hazelwheel's file
-	Sidecars int
-	Boxes    int
-	Seed     uint64
-	For      time.Duration
-	Script   *environment.Script // nil: there are no troubles, or with Draw those that the seed draws
-	Draw     bool
-	Load     float64  // of the boxes' capacity; 0: drawn
-	Work     *Work    // on boxes; nil: none
-	Jobs     []string // that one sidecar does on behalf of all; none: there are no electors either
-	Dir      string   // for configurations, states and logs
-	Log      io.Writer
+	Binary      string // hazelwheel's file
+	Sidecars    int
+	Servers     int
+	Seed        uint64
+	Duration    time.Duration
+	Script      *environment.Script // nil: there are no troubles, or with Draw those that the seed draws
+	DrawFaults  bool
+	Load        float64      // of the boxes' capacity; 0: drawn
+	Maintenance *Maintenance // on boxes; nil: none
+	Roles       []string     // that one sidecar does on behalf of all; none: there are no electors either
+	Dir         string       // for configurations, states and logs
+	Log         io.Writer
 	// Other is another version's file, which the last Others sidecars run. They know the others, and nothing of jobs unless OthersOwn.
-	Other     string
-	Others    int
-	OthersOwn bool
-	Trials    int // so many times what owns the job, or leads the electors, is taken away, in place of drawn troubles; it ends with the last
+	OtherBinary     string
+	OtherCount      int
+	OthersHaveRoles bool
+	Trials          int // so many times what owns the job, or leads the electors, is taken away, in place of drawn troubles; it ends with the last
 }
 
 // Report is what came of it.
 type Report struct {
-	Sidecars  int                 `json:"sidecars"`
-	Seed      uint64              `json:"seed"`
-	ForS      float64             `json:"for_s"`
-	Troubles  []environment.Fault `json:"troubles,omitempty"`
-	Broken    int                 `json:"broken"`
-	Findings  []Finding           `json:"findings,omitempty"`
-	Service   float64             `json:"service"`
-	LateS     float64             `json:"loop_late_s"`        // how late the laboratory's own loop was at most
-	PeerBytes float64             `json:"peer_bytes_per_s"`   // of a sidecar
-	AgreedS   []float64           `json:"agreed_s,omitempty"` // after each calm's begin, until all held what was so
-	KnownS    []float64           `json:"known_s,omitempty"`  // of each process that was killed or stood still, until all others knew
-	Rounds    []Round             `json:"rounds,omitempty"`
-	Owned     *Owned              `json:"owned,omitempty"`
-	Worked    *Worked             `json:"worked,omitempty"`
-	Trials    []Trial             `json:"trials,omitempty"`
-	Views     int                 `json:"views"` // that were asked for and came
+	Sidecars           int                 `json:"sidecars"`
+	Seed               uint64              `json:"seed"`
+	DurationSeconds    float64             `json:"for_s"`
+	Faults             []environment.Fault `json:"troubles,omitempty"`
+	ViolationCount     int                 `json:"broken"`
+	Violations         []Violation         `json:"findings,omitempty"`
+	Service            float64             `json:"service"`
+	LoopLateSeconds    float64             `json:"loop_late_s"`        // how late the laboratory's own loop was at most
+	PeerBytesPerSecond float64             `json:"peer_bytes_per_s"`   // of a sidecar
+	AgreedSeconds      []float64           `json:"agreed_s,omitempty"` // after each calm's begin, until all held what was so
+	DetectedSeconds    []float64           `json:"known_s,omitempty"`  // of each process that was killed or stood still, until all others knew
+	Rounds             []Round             `json:"rounds,omitempty"`
+	Roles              *RoleReport         `json:"owned,omitempty"`
+	Maintenance        *MaintenanceReport  `json:"worked,omitempty"`
+	Trials             []Trial             `json:"trials,omitempty"`
+	Views              int                 `json:"views"` // that were asked for and came
 }
 
 // Finding is one break of a rule.
-type Finding struct {
-	Rule    string  `json:"rule"`
-	AtS     float64 `json:"at_s"`
-	Sidecar string  `json:"sidecar"`
-	Why     string  `json:"why"`
+type Violation struct {
+	Rule      string  `json:"rule"`
+	AtSeconds float64 `json:"at_s"`
+	Sidecar   string  `json:"sidecar"`
+	Reason    string  `json:"why"`
 }
 
 // Ranges are what fleets are drawn from.
 func (s *Settings) Ranges() environment.Ranges {
 	one := func(x float64) environment.Range { return environment.Range{Min: x, Max: x} }
 	r := environment.StandardRanges()
-	r.Sidecars, r.Servers, r.LengthSeconds = one(float64(s.Sidecars)), one(float64(s.Boxes)), one(s.For.Seconds())
+	r.Sidecars, r.Servers, r.LengthSeconds = one(float64(s.Sidecars)), one(float64(s.Servers)), one(s.Duration.Seconds())
 	r.OverloadedDayShare = 0
 	r.RatePerSecond, r.Load = one(200), environment.Range{Min: 0.3, Max: 0.6}
 	if s.Load > 0 {
@@ -91,11 +91,11 @@
 }
 
 // Troubles returns the script that is played: the one that is given, one that the seed draws, or none.
-func (s *Settings) Troubles() environment.Script {
+func (s *Settings) FaultScript() environment.Script {
 	switch {
 	case s.Script != nil:
 		return *s.Script
-	case s.Draw:
+	case s.DrawFaults:
 		return s.DrawScript()
 	}
 	return environment.Script{Seed: s.Seed}
@@ -117,7 +117,7 @@
 			// Discovery moves a few times a day at the most.
 			if t.AtSeconds += from; t.Kind != environment.Reload && t.WhyOnlySimulated() == "" {
 				t.DurationSeconds = min(t.DurationSeconds, from+part.LengthSeconds-t.AtSeconds)
-				if len(s.Jobs) > 0 && t.State == environment.StateTorn && int(t.AtSeconds*1000)%2 == 0 {
+				if len(s.Roles) > 0 && t.State == environment.StateTorn && int(t.AtSeconds*1000)%2 == 0 {
 					t.State = environment.StateOld
 				}
 				all.AddPeerFault(t, &d)
@@ -128,7 +128,7 @@
 }
 
 // Troupe is a fleet that is being played.
-type Troupe struct {
+type Cluster struct {
 	s     Settings
 	board *Switchboard
 	mates []*mate
@@ -136,7 +136,7 @@
 	work  *workPlay // nil: nothing is worked on
 
 	mu        sync.Mutex
-	wrong     []Finding
+	wrong     []Violation
 	broken    int
 	troubleAt time.Time
 	ongoing   int // troubles that go on
@@ -168,15 +168,15 @@
 }
 
 // Do plays a fleet until its day is over or ctx ends.
-func Do(ctx context.Context, s Settings) (*Report, error) {
+func Run(ctx context.Context, s Settings) (*Report, error) {
 	day := environment.Draw(s.Seed, s.Ranges())
-	script := s.Troubles()
-	t := &Troupe{s: s, board: NewSwitchboard(), began: time.Now(), troubleAt: time.Now(), rules: map[Way]Rule{}, over: make(chan struct{})}
+	script := s.FaultScript()
+	t := &Cluster{s: s, board: NewSwitchboard(), began: time.Now(), troubleAt: time.Now(), rules: map[Way]Rule{}, over: make(chan struct{})}
 	defer t.board.Close()
 	defer t.deaf.Wait()
 	defer close(t.over)
-	if len(s.Jobs) > 0 {
-		t.jobs = newJobs(s.Jobs)
+	if len(s.Roles) > 0 {
+		t.jobs = newJobs(s.Roles)
 		t.board.Tap = func(call uint64, w Way, topic frames.Topic, body []byte) {
 			t.jobs.effects.Tap(call, w, topic, body)
 			t.jobs.grants.Tap(call, w, topic, body)
@@ -204,19 +204,19 @@
 			watching.Go(func() { t.try(ctx, p); stop() })
 		}
 	}}
-	if slices.Contains(s.Jobs, "list") {
+	if slices.Contains(s.Roles, "list") {
 		played.MostAskS = math.Inf(1) // not all ask
 	}
-	if s.Others > 0 {
+	if s.OtherCount > 0 {
 		played.BinaryOf = func(sidecar int) string {
 			if t.other(sidecar) {
-				return s.Other
+				return s.OtherBinary
 			}
 			return s.Binary
 		}
 	}
-	if s.Work != nil {
-		t.work = newWorkPlay(t, *s.Work, &played.Day)
+	if s.Maintenance != nil {
+		t.work = newWorkPlay(t, *s.Maintenance, &played.Day)
 		played.Watch = t.work
 		watching.Go(func() { t.work.run(ctx) })
 	}
@@ -226,50 +226,50 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Sidecars: len(t.mates), Seed: s.Seed, ForS: s.For.Seconds(), Troubles: script.Faults, Broken: p.Judge.ViolationCount() + t.broken, Findings: t.wrong,
-		Service: p.Judge.Report().Service, LateS: p.Late(), AgreedS: t.agreedS, KnownS: t.known, Views: t.views, Rounds: t.rounds, Trials: t.trials}
+	r := &Report{Sidecars: len(t.mates), Seed: s.Seed, DurationSeconds: s.Duration.Seconds(), Faults: script.Faults, ViolationCount: p.Judge.ViolationCount() + t.broken, Violations: t.wrong,
+		Service: p.Judge.Report().Service, LoopLateSeconds: p.Late(), AgreedSeconds: t.agreedS, DetectedSeconds: t.known, Views: t.views, Rounds: t.rounds, Trials: t.trials}
 	if t.jobs != nil {
-		r.Owned = t.jobs.owned()
-		for _, why := range r.Owned.Wrong {
-			r.Broken++
-			r.Findings = append(r.Findings, Finding{Rule: oldOwner, Why: why})
+		r.Roles = t.jobs.owned()
+		for _, why := range r.Roles.Violations {
+			r.ViolationCount++
+			r.Violations = append(r.Violations, Violation{Rule: oldOwner, Reason: why})
 		}
 	}
 	if t.work != nil {
-		r.Worked = t.work.result()
-		if !s.Work.Hand { // what a script does wrong is a figure beside
-			r.Broken += r.Worked.broken
+		r.Maintenance = t.work.result()
+		if !s.Maintenance.Scripted { // what a script does wrong is a figure beside
+			r.ViolationCount += r.Maintenance.violationCount
 		}
 	}
-	r.PeerBytes = float64(t.board.Passed()) / time.Since(t.began).Seconds() / float64(len(t.mates))
+	r.PeerBytesPerSecond = float64(t.board.Passed()) / time.Since(t.began).Seconds() / float64(len(t.mates))
 	for _, f := range p.Judge.Violations() {
-		r.Findings = append(r.Findings, Finding{Rule: string(f.Rule), AtS: f.At - p.Day.Start, Sidecar: day.Sidecars[max(f.Sidecar, 0)].Name, Why: f.Reason})
+		r.Violations = append(r.Violations, Violation{Rule: string(f.Rule), AtSeconds: f.At - p.Day.Start, Sidecar: day.Sidecars[max(f.Sidecar, 0)].Name, Reason: f.Reason})
 	}
 	return r, nil
 }
 
-func (t *Troupe) begin(p *realtime.Play) {
+func (t *Cluster) begin(p *realtime.Play) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.began = time.Now().Add(time.Duration((p.Day.Start - p.Now()) * float64(time.Second)))
 }
 
 // other tells whether a sidecar runs another version, and plain whether it knows nothing of jobs.
-func (t *Troupe) other(sidecar int) bool { return sidecar >= len(t.mates)-t.s.Others }
-func (t *Troupe) plain(sidecar int) bool { return t.other(sidecar) && !t.s.OthersOwn }
+func (t *Cluster) other(sidecar int) bool { return sidecar >= len(t.mates)-t.s.OtherCount }
+func (t *Cluster) plain(sidecar int) bool { return t.other(sidecar) && !t.s.OthersHaveRoles }
 
 // own returns how many sidecars know of jobs, the first ones.
-func (t *Troupe) own() int {
-	if t.s.OthersOwn {
+func (t *Cluster) own() int {
+	if t.s.OthersHaveRoles {
 		return len(t.mates)
 	}
-	return len(t.mates) - t.s.Others
+	return len(t.mates) - t.s.OtherCount
 }
 
 const fleetName = "troupe"
 
 // add prepares a sidecar.
-func (t *Troupe) add(name string) error {
+func (t *Cluster) add(name string) error {
 	m := &mate{name: name, dir: filepath.Join(t.s.Dir, "state-"+name), features: filepath.Join(t.s.Dir, "features-"+name+".json")}
 	address := func() (string, error) {
 		port, err := process.FreePort("127.0.0.1")
@@ -292,7 +292,7 @@
 }
 
 // write writes the operators' file of a sidecar.
-func (t *Troupe) write(m *mate, plain bool) error {
+func (t *Cluster) write(m *mate, plain bool) error {
 	var join []string
 	for _, o := range t.mates[:min(3, len(t.mates))] {
 		join = append(join, o.advertise)
@@ -303,7 +303,7 @@
 		for _, o := range t.mates[:electorsOf(t.own())] {
 			electors = append(electors, o.advertise)
 		}
-		fleet["electors"], fleet["jobs"] = electors, t.s.Jobs
+		fleet["electors"], fleet["jobs"] = electors, t.s.Roles
 	}
 	raw, err := json.Marshal(map[string]any{"fleet": fleet})
 	if err != nil {
@@ -314,30 +314,30 @@
 }
 
 // Prepare returns the arguments and the environment with which the play starts a sidecar.
-func (t *Troupe) Prepare(sidecar int) (args, env []string, err error) {
+func (t *Cluster) Prepare(sidecar int) (args, env []string, err error) {
 	m := t.mates[sidecar]
 	return []string{"--features", m.features}, []string{"GW_OPS=" + m.ops}, nil
 }
 
-func (t *Troupe) way(from, to int) Way { return Way{t.mates[from].name, t.mates[to].name} }
+func (t *Cluster) way(from, to int) Way { return Way{t.mates[from].name, t.mates[to].name} }
 
 // PeersCut has the connections from one sidecar to another cut, or restored.
-func (t *Troupe) PeersCut(from, to int, on bool) {
+func (t *Cluster) PeersCut(from, to int, on bool) {
 	t.rule(from, to, func(r *Rule) { r.Cut = on })
 }
 
 // PeersHold has bytes from one sidecar to another stop while the connections stay open, or flow again.
-func (t *Troupe) PeersHold(from, to int, on bool) {
+func (t *Cluster) PeersHold(from, to int, on bool) {
 	t.rule(from, to, func(r *Rule) { r.Hold = on })
 }
 
 // PeersSlow bounds the bytes a second of each connection from one sidecar to another; 0 ends it.
-func (t *Troupe) PeersSlow(from, to int, perS float64) {
+func (t *Cluster) PeersSlow(from, to int, perS float64) {
 	t.rule(from, to, func(r *Rule) { r.PerS = perS })
 }
 
 // rule changes what befalls a way, beside what does already. It is for the play's loop, as all that befalls it.
-func (t *Troupe) rule(from, to int, change func(*Rule)) {
+func (t *Cluster) rule(from, to int, change func(*Rule)) {
 	w := t.way(from, to)
 	was := t.rules[w]
 	r := was
@@ -355,13 +355,13 @@
 }
 
 // PeersReset resets the connections between two sidecars.
-func (t *Troupe) PeersReset(a, b int) {
+func (t *Cluster) PeersReset(a, b int) {
 	t.trouble(0)
 	t.board.Reset(t.mates[a].name, t.mates[b].name)
 }
 
 // PeersDeaf has somebody call at a sidecar as a peer does, ask again and again, and read nothing.
-func (t *Troupe) PeersDeaf(sidecar int, perS float64, until time.Time) {
+func (t *Cluster) PeersDeaf(sidecar int, perS float64, until time.Time) {
 	t.trouble(1)
 	t.deaf.Go(func() {
 		defer t.trouble(-1)
@@ -406,7 +406,7 @@
 }
 
 // DiskFull has a file stand where a sidecar's folder was, so that nothing can be written there, by nobody.
-func (t *Troupe) DiskFull(sidecar int, on bool) {
+func (t *Cluster) DiskFull(sidecar int, on bool) {
 	m := t.mates[sidecar]
 	aside := m.dir + "-aside"
 	if on && !m.full {
@@ -422,7 +422,7 @@
 }
 
 // Spoil has the kept state of a sidecar that is down lost, torn or replaced by an older one.
-func (t *Troupe) Spoil(sidecar int, state string) {
+func (t *Cluster) Spoil(sidecar int, state string) {
 	file := filepath.Join(t.mates[sidecar].dir, "peer")
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -439,7 +439,7 @@
 }
 
 // Standing notes that the process of a sidecar is up, or has ended.
-func (t *Troupe) Standing(sidecar int, on bool) {
+func (t *Cluster) Standing(sidecar int, on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m, now := t.mates[sidecar], time.Now()
@@ -457,14 +457,14 @@
 }
 
 // agreedOnce tells whether all have agreed on who is there.
-func (t *Troupe) agreedOnce() bool {
+func (t *Cluster) agreedOnce() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.agreedS) > 0
 }
 
 // trouble notes that there is one between sidecars now, or one more or less that goes on.
-func (t *Troupe) trouble(more int) {
+func (t *Cluster) trouble(more int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ongoing += more
@@ -514,7 +514,7 @@
 }
 
 // watch asks all doors again and again, and holds what they say beside what is so.
-func (t *Troupe) watch(ctx context.Context) {
+func (t *Cluster) watch(ctx context.Context) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	for {
@@ -558,15 +558,15 @@
 	}
 }
 
-func (t *Troupe) find(rule checker.Rule, sidecar, format string, args ...any) {
+func (t *Cluster) find(rule checker.Rule, sidecar, format string, args ...any) {
 	t.broken++
 	if len(t.wrong) < 50 {
-		t.wrong = append(t.wrong, Finding{Rule: string(rule), AtS: time.Since(t.began).Seconds(), Sidecar: sidecar, Why: fmt.Sprintf(format, args...)})
+		t.wrong = append(t.wrong, Violation{Rule: string(rule), AtSeconds: time.Since(t.began).Seconds(), Sidecar: sidecar, Reason: fmt.Sprintf(format, args...)})
 	}
 }
 
 // judge compares one round of answers with what is so. A trouble that came meanwhile makes the round worth nothing.
-func (t *Troupe) judge(views []*seen, asked time.Time) {
+func (t *Cluster) judge(views []*seen, asked time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.troubleAt != asked {
@@ -589,7 +589,7 @@
 			byID[m.id] = m
 		}
 	}
-	round := Round{AtS: time.Since(t.began).Seconds(), There: up, Least: len(t.mates)}
+	round := Round{AtSeconds: time.Since(t.began).Seconds(), Running: up, MinAlive: len(t.mates)}
 	differs := ""
 	for i, v := range views {
 		if v == nil {
@@ -608,7 +608,7 @@
 				o.since = time.Now() // once
 			}
 		}
-		round.Least, round.Most = min(round.Least, v.Live), max(round.Most, v.Live)
+		round.MinAlive, round.MaxAlive = min(round.MinAlive, v.Live), max(round.MaxAlive, v.Live)
 		if live != up {
 			differs = fmt.Sprintf("%s knows %d that live, of %d", t.mates[i].name, live, up)
 		}
@@ -629,7 +629,7 @@
 }
 
 // noteKnown notes when all who are there know of one that went.
-func (t *Troupe) noteKnown(views []*seen) {
+func (t *Cluster) noteKnown(views []*seen) {
 	for _, m := range t.mates {
 		if m.goneAt.IsZero() || m.up {
 			m.goneAt = time.Time{}
--- a/internal/lab/processcluster/workpicture.go
+++ b/internal/lab/processcluster/workpicture.go
@@ -27,12 +27,12 @@
 }
 
 // WorkPicture writes an SVG: a row for each box, with what it did when, and the troubles behind them.
-func (r *Report) WorkPicture(path string) error {
-	w := r.Worked
+func (r *Report) WriteMaintenancePlot(path string) error {
+	w := r.Maintenance
 	var boxes []string
 	for _, c := range w.Stages {
-		if !slices.Contains(boxes, c.Box) {
-			boxes = append(boxes, c.Box)
+		if !slices.Contains(boxes, c.Server) {
+			boxes = append(boxes, c.Server)
 		}
 	}
 	slices.Sort(boxes)
@@ -40,9 +40,9 @@
 	p.Title.Text, p.X.Label.Text = "boxes of a plan", "s"
 	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, 0, -0.6, float64(len(boxes))+1.6
 	for _, c := range w.Stages {
-		p.X.Max = max(p.X.Max, c.AtS+2)
+		p.X.Max = max(p.X.Max, c.AtSeconds+2)
 	}
-	p.X.Max = max(p.X.Max, w.BeganS+w.TotalS)
+	p.X.Max = max(p.X.Max, w.StartedSeconds+w.TotalSeconds)
 	box := func(x0, x1, y0, y1 float64, c color.Color) (*plotter.Polygon, error) {
 		area, err := plotter.NewPolygon(plotter.XYs{{X: x0, Y: y0}, {X: x1, Y: y0}, {X: x1, Y: y1}, {X: x0, Y: y1}})
 		if err == nil {
@@ -50,7 +50,7 @@
 		}
 		return area, err
 	}
-	for _, t := range r.Troubles {
+	for _, t := range r.Faults {
 		if t.Kind == environment.Reload || t.AtSeconds > p.X.Max {
 			continue
 		}
@@ -65,20 +65,20 @@
 	for row, name := range boxes {
 		var changes []StageChange
 		for _, c := range w.Stages {
-			if c.Box == name {
+			if c.Server == name {
 				changes = append(changes, c)
 			}
 		}
 		for i, c := range changes {
 			until := p.X.Max
 			if i+1 < len(changes) {
-				until = changes[i+1].AtS
+				until = changes[i+1].AtSeconds
 			}
 			for _, l := range looks {
 				if !slices.Contains(l.stages, c.Stage) {
 					continue
 				}
-				area, err := box(c.AtS, until, float64(row)-0.35, float64(row)+0.35, l.color)
+				area, err := box(c.AtSeconds, until, float64(row)-0.35, float64(row)+0.35, l.color)
 				if err != nil {
 					return err
 				}
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -18,9 +18,9 @@
 )
 
 // Work is what is to be done to boxes while a fleet is played.
-type Work struct {
-	Spec maintenance.Spec
-	Hand bool // by a script that calls at every door, box by box, with fixed waits; nobody is asked for an order
+type Maintenance struct {
+	Spec     maintenance.Spec
+	Scripted bool // by a script that calls at every door, box by box, with fixed waits; nobody is asked for an order
 }
 
 // Fixed waits of who calls at every door by hand: as long as a request may take, until a box is taken for empty; and as long as boxes may
@@ -31,41 +31,41 @@
 )
 
 // Worked is what came of it.
-type Worked struct {
-	Boxes    int                       `json:"boxes"`
-	Done     int                       `json:"done"`
-	Skipped  int                       `json:"skipped"`
-	Lost     int                       `json:"lost"`
-	Ended    bool                      `json:"ended"`
-	BeganS   float64                   `json:"began_s"`
-	TotalS   float64                   `json:"total_s"`          // from when it was given to its end, or until the day's
-	WorstS10 float64                   `json:"worst_10_s"`       // least part of the worth that was served in time, of ten seconds
-	WorstAtS float64                   `json:"worst_10_s_at"`    // when they began
-	Asked    int                       `json:"asked"`            // tries, while it went on
-	Refused  int                       `json:"refused"`          // of these
-	GoneSent int                       `json:"gone_sent"`        // requests to a box that was worked on, of sidecars that had counted as gone
-	Unheeded int                       `json:"unheeded"`         // calls by hand that a door did not take
-	Error    string                    `json:"error,omitempty"`  // why it was not taken
-	Records  []maintenanceagent.Record `json:"records"`          // by whom it was worked on
-	Stages   []StageChange             `json:"stages,omitempty"` // of boxes, as doors told of them
-	Wrong    []string                  `json:"wrong,omitempty"`
-	Waits    []maintenance.Blocker     `json:"waits,omitempty"`  // what was waited for at the end
-	HeldS    map[string]float64        `json:"held_s,omitempty"` // for how long the plan, or a box, waited for what
-	Untold   int                       `json:"untold"`           // looks at the doors at which nobody said anything
-	broken   int
+type MaintenanceReport struct {
+	Servers         int                       `json:"boxes"`
+	Done            int                       `json:"done"`
+	Skipped         int                       `json:"skipped"`
+	Lost            int                       `json:"lost"`
+	Ended           bool                      `json:"ended"`
+	StartedSeconds  float64                   `json:"began_s"`
+	TotalSeconds    float64                   `json:"total_s"`          // from when it was given to its end, or until the day's
+	WorstTenSeconds float64                   `json:"worst_10_s"`       // least part of the worth that was served in time, of ten seconds
+	WorstAtSeconds  float64                   `json:"worst_10_s_at"`    // when they began
+	Attempts        int                       `json:"asked"`            // tries, while it went on
+	Rejected        int                       `json:"refused"`          // of these
+	SentByReturning int                       `json:"gone_sent"`        // requests to a box that was worked on, of sidecars that had counted as gone
+	FailedCalls     int                       `json:"unheeded"`         // calls by hand that a door did not take
+	Error           string                    `json:"error,omitempty"`  // why it was not taken
+	Records         []maintenanceagent.Record `json:"records"`          // by whom it was worked on
+	Stages          []StageChange             `json:"stages,omitempty"` // of boxes, as doors told of them
+	Violations      []string                  `json:"wrong,omitempty"`
+	Blockers        []maintenance.Blocker     `json:"waits,omitempty"`  // what was waited for at the end
+	BlockedSeconds  map[string]float64        `json:"held_s,omitempty"` // for how long the plan, or a box, waited for what
+	FailedPolls     int                       `json:"untold"`           // looks at the doors at which nobody said anything
+	violationCount  int
 }
 
 // StageChange is a box that has come to a stage.
 type StageChange struct {
-	AtS   float64           `json:"at_s"`
-	Box   string            `json:"box"`
-	Stage maintenance.Stage `json:"stage"`
+	AtSeconds float64           `json:"at_s"`
+	Server    string            `json:"box"`
+	Stage     maintenance.Stage `json:"stage"`
 }
 
 // workPlay has boxes be worked on and watches all of it. Its witness is for the play's loop.
 type workPlay struct {
-	t    *Troupe
-	work Work
+	t    *Cluster
+	work Maintenance
 	day  *environment.Day
 
 	// What the boxes and clients tell.
@@ -77,7 +77,7 @@
 	refused []float64
 
 	mu        sync.Mutex
-	w         Worked
+	w         MaintenanceReport
 	stages    map[string]maintenance.Stage
 	given     float64 // Unix time; 0: not yet
 	over      float64
@@ -105,7 +105,7 @@
 	Waits   []maintenance.Blocker `json:"waits"`
 }
 
-func newWorkPlay(t *Troupe, work Work, day *environment.Day) *workPlay {
+func newWorkPlay(t *Cluster, work Maintenance, day *environment.Day) *workPlay {
 	return &workPlay{t: t, work: work, day: day, came: map[string][]execution{}, open: map[[2]uint64]int{}, asked: map[uint64]*want{}, first: map[uint64]uint64{},
 		stages: map[string]maintenance.Stage{}}
 }
@@ -152,7 +152,7 @@
 	}
 }
 
-func (t *Troupe) doors() (all []string) {
+func (t *Cluster) doors() (all []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range t.mates {
@@ -172,7 +172,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	if p.work.Hand {
+	if p.work.Scripted {
 		p.hand(ctx)
 		return
 	}
@@ -223,7 +223,7 @@
 	raw, err := maintenanceagent.SendLine(ctx, door, "WORKS")
 	var s workState
 	if err != nil || json.Unmarshal(raw, &s) != nil {
-		p.w.Untold++
+		p.w.FailedPolls++
 		return
 	}
 	p.mu.Lock()
@@ -234,11 +234,11 @@
 	if p.last = &s; len(s.Plans) == 0 {
 		return
 	}
-	if p.w.HeldS == nil {
-		p.w.HeldS, p.lookedAt = map[string]float64{}, time.Now()
+	if p.w.BlockedSeconds == nil {
+		p.w.BlockedSeconds, p.lookedAt = map[string]float64{}, time.Now()
 	}
 	for _, w := range s.Waits {
-		p.w.HeldS[strings.TrimLeft(w.Reason, "0123456789. ")] += time.Since(p.lookedAt).Seconds()
+		p.w.BlockedSeconds[strings.TrimLeft(w.Reason, "0123456789. ")] += time.Since(p.lookedAt).Seconds()
 	}
 	p.lookedAt = time.Now()
 	plan := &s.Plans[len(s.Plans)-1]
@@ -263,7 +263,7 @@
 	say := func(line string) {
 		for _, door := range p.t.doors() {
 			if raw, err := maintenanceagent.SendLine(ctx, door, line); err != nil || string(raw[:min(2, len(raw))]) != "OK" {
-				p.w.Unheeded++
+				p.w.FailedCalls++
 			}
 		}
 	}
@@ -326,7 +326,7 @@
 }
 
 // result judges, after the play is over.
-func (p *workPlay) result() *Worked {
+func (p *workPlay) result() *MaintenanceReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	w := &p.w
@@ -335,10 +335,10 @@
 		w.Records = append(w.Records, m.Records()...)
 	}
 	slices.SortFunc(w.Records, func(a, b maintenanceagent.Record) int { return a.StartedAt.Compare(b.StartedAt) })
-	w.Boxes = len(p.named())
+	w.Servers = len(p.named())
 	if p.last != nil && len(p.last.Plans) > 0 {
-		w.Waits = p.last.Waits
-		w.Boxes = len(p.last.Plans[len(p.last.Plans)-1].Servers)
+		w.Blockers = p.last.Waits
+		w.Servers = len(p.last.Plans[len(p.last.Plans)-1].Servers)
 	}
 	for _, s := range p.stages {
 		switch s {
@@ -353,7 +353,7 @@
 	end := cmp.Or(p.over, now())
 	w.Ended = p.over > 0
 	if p.given > 0 {
-		w.BeganS, w.TotalS = p.given-p.day.Start, end-p.given
+		w.StartedSeconds, w.TotalSeconds = p.given-p.day.Start, end-p.given
 		p.service(w, max(p.given, p.day.Start+firstS), min(end, p.day.Start+p.day.LengthSeconds))
 		p.occupied(w)
 		p.many(w)
@@ -366,7 +366,7 @@
 const firstS = 5.0
 
 // service finds the worst ten seconds of a time.
-func (p *workPlay) service(w *Worked, from, to float64) {
+func (p *workPlay) service(w *MaintenanceReport, from, to float64) {
 	within := func(all []float64) (n int) {
 		for _, at := range all {
 			if at >= from && at < to {
@@ -375,7 +375,7 @@
 		}
 		return n
 	}
-	w.Asked, w.Refused, w.WorstS10 = within(p.tries), within(p.refused), 1
+	w.Attempts, w.Rejected, w.WorstTenSeconds = within(p.tries), within(p.refused), 1
 	all := slices.SortedFunc(maps.Values(p.asked), func(a, b *want) int { return cmp.Compare(a.at, b.at) })
 	for at := from; at+10 <= to; at += 0.5 {
 		served, asked := 0.0, 0.0
@@ -385,17 +385,17 @@
 				served += all[i].worth
 			}
 		}
-		if asked > 0 && served/asked < w.WorstS10 {
-			w.WorstS10, w.WorstAtS = served/asked, at-p.day.Start
+		if asked > 0 && served/asked < w.WorstTenSeconds {
+			w.WorstTenSeconds, w.WorstAtSeconds = served/asked, at-p.day.Start
 		}
 	}
 }
 
-func (w *Worked) find(rule checker.Rule, format string, args ...any) {
-	if len(w.Wrong) < 30 {
-		w.Wrong = append(w.Wrong, string(rule)+": "+fmt.Sprintf(format, args...))
+func (w *MaintenanceReport) find(rule checker.Rule, format string, args ...any) {
+	if len(w.Violations) < 30 {
+		w.Violations = append(w.Violations, string(rule)+": "+fmt.Sprintf(format, args...))
 	}
-	w.broken++
+	w.violationCount++
 }
 
 func unix(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
@@ -409,7 +409,7 @@
 }
 
 // occupied finds boxes that are worked on while something is out there, or came less than the settle time before.
-func (p *workPlay) occupied(w *Worked) {
+func (p *workPlay) occupied(w *MaintenanceReport) {
 	for i := range w.Records {
 		r := &w.Records[i]
 		from, to := span(r)
@@ -422,7 +422,7 @@
 			switch {
 			case !late && !out:
 			case p.t.wasGone(x.sidecar, x.from, cmp.Or(p.work.Spec.DeadMemberSeconds, 300)):
-				w.GoneSent++
+				w.SentByReturning++
 			default:
 				w.find(checker.MaintenanceOccupied, "%s is worked on by %s at %.3f s; a request of %s came %.3f s after the work began", r.Server, r.Agent, from-p.day.Start,
 					p.t.mates[x.sidecar].name, x.from-from)
@@ -432,7 +432,7 @@
 }
 
 // wasGone tells whether a sidecar had been away for longer than it takes to count as gone, and had come back just before a time.
-func (t *Troupe) wasGone(sidecar int, at, goneS float64) bool {
+func (t *Cluster) wasGone(sidecar int, at, goneS float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.ContainsFunc(t.aways, func(a away) bool {
@@ -445,7 +445,7 @@
 
 // many finds more boxes out or cold at once than the plan allows, whoever has handed them over. Danger: mechanics alone tell of it, and
 // the coordinator's wait for a cold box begins after the mechanic has spoken.
-func (p *workPlay) many(w *Worked) {
+func (p *workPlay) many(w *MaintenanceReport) {
 	sites := map[string]string{}
 	for _, b := range p.day.Servers {
 		sites[b.Name] = p.day.Sites[b.Site]
@@ -475,8 +475,8 @@
 }
 
 // accounts holds what mechanics did beside what is agreed of it.
-func (p *workPlay) accounts(w *Worked) {
-	if p.work.Hand {
+func (p *workPlay) accounts(w *MaintenanceReport) {
+	if p.work.Scripted {
 		return
 	}
 	tokens := map[string][]uint64{}
--- a/internal/lab/processcluster/works_test.go
+++ b/internal/lab/processcluster/works_test.go
@@ -55,8 +55,8 @@
 		"skipped":                          {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "by an operator", nil, 0},
 	} {
 		day := &environment.Day{Start: 950, LengthSeconds: 100, InitialServers: 2, Sites: []string{"x"}, Servers: []environment.ServerSpec{{Name: "a"}, {Name: "b"}}}
-		play := &Troupe{mates: []*mate{{name: "n0"}}, aways: k.away}
-		p := newWorkPlay(play, Work{Spec: maintenance.Spec{Servers: []string{"a", "b"}, MaxConcurrent: 1, MaxPerSite: 2, WarmUpSeconds: 5, DeadMemberSeconds: 100}}, day)
+		play := &Cluster{mates: []*mate{{name: "n0"}}, aways: k.away}
+		p := newWorkPlay(play, Maintenance{Spec: maintenance.Spec{Servers: []string{"a", "b"}, MaxConcurrent: 1, MaxPerSite: 2, WarmUpSeconds: 5, DeadMemberSeconds: 100}}, day)
 		for i, v := range k.visits {
 			p.Observe(checker.Event{Kind: checker.AttemptReceived, At: v.from, Connection: uint64(i)})
 			if v.to > 0 {
@@ -67,12 +67,12 @@
 		p.last = &workState{Plans: []maintenance.Plan{{Servers: []maintenance.Server{{Name: "a", Stage: k.stages[0], Reason: k.why}, {Name: "b", Stage: k.stages[1]}}}}}
 		w := p.result()
 		var got []checker.Rule
-		for _, line := range w.Wrong {
+		for _, line := range w.Violations {
 			rule, _, _ := strings.Cut(line, ":")
 			got = append(got, checker.Rule(rule))
 		}
-		assert.Equal(t, k.want, got, "%s: %v", name, w.Wrong)
-		assert.Equal(t, k.gone, w.GoneSent, name)
+		assert.Equal(t, k.want, got, "%s: %v", name, w.Violations)
+		assert.Equal(t, k.gone, w.SentByReturning, name)
 	}
 }
 
@@ -81,7 +81,7 @@
 	class := environment.ClassSpec{LatencyTargetSeconds: 1}
 	class.PriorityWeight = 2
 	day := &environment.Day{Start: 1000, LengthSeconds: 100, Classes: []environment.ClassSpec{class}}
-	p := newWorkPlay(&Troupe{}, Work{Spec: maintenance.Spec{MaxConcurrent: 1}, Hand: true}, day)
+	p := newWorkPlay(&Cluster{}, Maintenance{Spec: maintenance.Spec{MaxConcurrent: 1}, Scripted: true}, day)
 	for i := range 100 {
 		at, id := 1000+float64(i), uint64(i+1)
 		p.Observe(checker.Event{Kind: checker.RequestStarted, At: at, Request: id, FirstRequest: id})
@@ -96,8 +96,8 @@
 	}
 	p.given, p.over = 1000, 1100
 	w := p.result()
-	assert.InDelta(t, 0.5, w.WorstS10, 1e-9)
-	assert.InDelta(t, 55, w.WorstAtS, 1)
-	assert.Equal(t, 95, w.Asked, "the first five seconds do not count")
-	assert.Equal(t, 4, w.Refused)
+	assert.InDelta(t, 0.5, w.WorstTenSeconds, 1e-9)
+	assert.InDelta(t, 55, w.WorstAtSeconds, 1)
+	assert.Equal(t, 95, w.Attempts, "the first five seconds do not count")
+	assert.Equal(t, 4, w.Rejected)
 }
