--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -53,21 +53,21 @@
 	stop := c.serveAll()
 	c.agree(c.all...)
 	left, right := c.all[:4], c.all[4:]
-	ways := processcluster.Between(names(left), names(right), false)
-	c.board.Set(processcluster.Rule{Cut: true}, ways...)
+	ways := processcluster.Directions(names(left), names(right), false)
+	c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 	t.Logf("the sides part after %v", max(c.view(left, left), c.view(right, right)))
 	c.placed(left...)
 	c.placed(right...)
-	c.board.Set(processcluster.Rule{}, ways...)
+	c.board.SetFault(processcluster.LinkFault{}, ways...)
 	t.Logf("one again after %v", c.agree(c.all...))
 	c.placed(c.all...)
 
-	c.board.Set(processcluster.Rule{Cut: true}, ways...)
+	c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 	c.poll("somebody is suspected", func() bool {
 		s, _ := left[0].seen()
 		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
-	c.board.Set(processcluster.Rule{}, ways...)
+	c.board.SetFault(processcluster.LinkFault{}, ways...)
 	t.Logf("after a short cut one again after %v", c.agree(c.all...))
 	s, _ := c.all[0].seen()
 	assert.Len(t, s.Members, 7, "nobody is another than before")
@@ -80,13 +80,13 @@
 	c.ready(c.all...)
 	stop := c.serveAll()
 	c.agree(c.all...)
-	ways := processcluster.Between(names(c.all), names(c.all), false)
-	c.board.Set(processcluster.Rule{PerS: 10}, ways...)
+	ways := processcluster.Directions(names(c.all), names(c.all), false)
+	c.board.SetFault(processcluster.LinkFault{BytesPerSecond: 10}, ways...)
 	c.poll("somebody is suspected", func() bool {
 		s, _ := c.all[0].seen()
 		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
-	c.board.Set(processcluster.Rule{}, ways...)
+	c.board.SetFault(processcluster.LinkFault{}, ways...)
 	t.Logf("agree after %v", c.agree(c.all...))
 	stop()
 }
@@ -102,8 +102,8 @@
 			c.agree(c.all...)
 			stop := c.serveAll()
 			mute, watchers := c.watched(deaf)
-			ways := processcluster.Between([]string{mute.name}, names(watchers[:deaf]), true)
-			c.board.Set(processcluster.Rule{Cut: true}, ways...)
+			ways := processcluster.Directions([]string{mute.name}, names(watchers[:deaf]), true)
+			c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 			// It is accused, says no, and is accused again after a while: by then it could have been called dead.
 			refutations := uint64(0)
 			c.pollWith("it has said no twice", func() bool {
@@ -113,7 +113,7 @@
 			}, func() string {
 				return fmt.Sprintf("%s has said no %d times, watched by %v, not heard by %v", mute.name, refutations, names(watchers), names(watchers[:deaf]))
 			})
-			c.board.Set(processcluster.Rule{}, ways...)
+			c.board.SetFault(processcluster.LinkFault{}, ways...)
 			c.agree(c.all...)
 			assert.Zero(t, c.deaths(c.all...))
 			stop()
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -51,8 +51,8 @@
 	for _, m := range c.all[:electors] {
 		c.electors = append(c.electors, m.advertise)
 	}
-	c.effects = processcluster.NewEffects()
-	c.board.Tap = c.effects.Tap
+	c.effects = processcluster.NewEffectChecker()
+	c.board.OnFrame = c.effects.ObserveFrame
 	t.Cleanup(func() {
 		for _, m := range c.all {
 			if t.Failed() && !m.gone.Load() && !m.frozen.Load() {
@@ -60,7 +60,7 @@
 				t.Logf("%s: %s %v", m.name, text, err)
 			}
 		}
-		wrong, seen, refused, old := c.effects.Found()
+		wrong, seen, refused, old := c.effects.Results()
 		assert.Empty(t, wrong, "nobody passes an old owner's effect on")
 		assert.NotZero(t, seen)
 		t.Logf("%d effects on the wire, %d under a token that was not the greatest any more, %d refusals", seen, old, refused)
@@ -252,18 +252,18 @@
 // taken in the order of their tokens, and mended, all agree.
 func TestOwnerIsCut(t *testing.T) {
 	t.Parallel() // else all other tests wait until its last case is over
-	for name, cut := range map[string]func(c *crew, owner *mate, electors, others []string) []processcluster.Way{
-		"its words are lost": func(c *crew, owner *mate, _, _ []string) []processcluster.Way {
-			return processcluster.Between([]string{owner.name}, names(c.without(owner)), true)
+	for name, cut := range map[string]func(c *crew, owner *mate, electors, others []string) []processcluster.Direction{
+		"its words are lost": func(c *crew, owner *mate, _, _ []string) []processcluster.Direction {
+			return processcluster.Directions([]string{owner.name}, names(c.without(owner)), true)
 		},
-		"it hears nothing": func(c *crew, owner *mate, _, _ []string) []processcluster.Way {
-			return processcluster.Between(names(c.without(owner)), []string{owner.name}, true)
+		"it hears nothing": func(c *crew, owner *mate, _, _ []string) []processcluster.Direction {
+			return processcluster.Directions(names(c.without(owner)), []string{owner.name}, true)
 		},
-		"from electors": func(_ *crew, owner *mate, electors, _ []string) []processcluster.Way {
-			return processcluster.Between([]string{owner.name}, electors, false)
+		"from electors": func(_ *crew, owner *mate, electors, _ []string) []processcluster.Direction {
+			return processcluster.Directions([]string{owner.name}, electors, false)
 		},
-		"from all": func(c *crew, owner *mate, _, _ []string) []processcluster.Way {
-			return processcluster.Between([]string{owner.name}, names(c.without(owner)), false)
+		"from all": func(c *crew, owner *mate, _, _ []string) []processcluster.Direction {
+			return processcluster.Directions([]string{owner.name}, names(c.without(owner)), false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -274,10 +274,10 @@
 			others := names(slices.DeleteFunc(slices.Clone(c.all[3:]), func(m *mate) bool { return m == owner }))
 			electors := names(slices.DeleteFunc(slices.Clone(c.all[:3]), func(m *mate) bool { return m == owner }))
 			ways := cut(c, owner, electors, others)
-			c.board.Set(processcluster.Rule{Cut: true}, ways...)
+			c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 			_, later := c.took(name, token, c.without(owner)...)
 			c.poll("the old one has ended its job", func() bool { return owner.job().HeldToken != token })
-			c.board.Set(processcluster.Rule{}, ways...)
+			c.board.SetFault(processcluster.LinkFault{}, ways...)
 			c.owner(later-1, c.all...)
 			stop()
 		})
@@ -293,15 +293,15 @@
 	for trial := 0; trial < 5 && !held; trial++ { // on a busy machine a lease may end by itself
 		owner, token := c.owner(0, c.all...)
 		others := slices.DeleteFunc(slices.Clone(c.all[3:]), func(m *mate) bool { return m == owner })
-		ways := processcluster.Between([]string{owner.name}, names(others), false)
-		c.board.Set(processcluster.Rule{Cut: true}, ways...)
+		ways := processcluster.Directions([]string{owner.name}, names(others), false)
+		c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 		from := others[0].report()
 		c.poll("its reports go on", func() bool {
 			r, j := others[0].report(), others[0].job()
 			held = r.Token == token && (from.Token != token && r.Round >= 2 || r.Round >= from.Round+2)
 			return held || j.Token > token
 		})
-		c.board.Set(processcluster.Rule{}, ways...)
+		c.board.SetFault(processcluster.LinkFault{}, ways...)
 		c.owner(token-1, c.all...)
 	}
 	assert.True(t, held, "its reports go on")
@@ -312,16 +312,16 @@
 func TestOwnerWhoseBytesAreHeld(t *testing.T) {
 	c := newOwners(t, 5, 3)
 	recorded := &saidBefore{hello: map[string][]byte{}, effects: map[string][][]byte{}, tokens: map[string][]uint64{}}
-	judge := c.board.Tap
-	c.board.Tap = func(call uint64, w processcluster.Way, topic frames.Topic, body []byte) {
+	judge := c.board.OnFrame
+	c.board.OnFrame = func(call uint64, w processcluster.Direction, topic frames.Topic, body []byte) {
 		recorded.tap(call, w, topic, body)
 		judge(call, w, topic, body)
 	}
 	c.start().ready(c.all...)
 	stop := c.serveAll()
 	owner, token := c.owner(0, c.all...)
-	ways := processcluster.Between([]string{owner.name}, names(c.without(owner)), true)
-	c.board.Set(processcluster.Rule{Hold: true}, ways...)
+	ways := processcluster.Directions([]string{owner.name}, names(c.without(owner)), true)
+	c.board.SetFault(processcluster.LinkFault{Hold: true}, ways...)
 	_, later := c.took("held", token, c.without(owner)...)
 	c.poll("the old one has ended its job", func() bool {
 		j, told := owner.toldOf("report")
@@ -331,7 +331,7 @@
 		r := c.without(owner)[0].report()
 		return r.Token >= later && r.Round >= 2
 	})
-	c.board.Set(processcluster.Rule{}, ways...)
+	c.board.SetFault(processcluster.LinkFault{}, ways...)
 	c.owner(later-1, c.all...)
 	c.agree(c.all...)
 
@@ -380,7 +380,7 @@
 	tokens  map[string][]uint64
 }
 
-func (r *saidBefore) tap(_ uint64, w processcluster.Way, topic frames.Topic, body []byte) {
+func (r *saidBefore) tap(_ uint64, w processcluster.Direction, topic frames.Topic, body []byte) {
 	r.Lock()
 	defer r.Unlock()
 	frame, err := frames.Append(nil, topic, body)
--- a/cmd/hazelwheel/peers_test.go
+++ b/cmd/hazelwheel/peers_test.go
@@ -28,16 +28,16 @@
 // crew is several sidecars that know each other, each a process, with the switchboard between all of them.
 type crew struct {
 	*testing.T
-	board   *processcluster.Switchboard
+	board   *processcluster.FaultProxy
 	server  *server
 	all     []*mate
 	limits  map[string]any
 	replica int // what the settings say of the fleet's size
 
-	electors []string                // addresses; none: there are none, and no jobs
-	jobs     []string                // none: the report alone
-	registry *registry               // discovery for all; nil: each sidecar has one that says nothing
-	effects  *processcluster.Effects // nil: nobody looks at them
+	electors []string                      // addresses; none: there are none, and no jobs
+	jobs     []string                      // none: the report alone
+	registry *registry                     // discovery for all; nil: each sidecar has one that says nothing
+	effects  *processcluster.EffectChecker // nil: nobody looks at them
 	settings func(s map[string]any)
 }
 
@@ -72,7 +72,7 @@
 
 // newCrewIn does so for a test that has one already.
 func newCrewIn(t *testing.T, n int) *crew {
-	c := &crew{T: t, board: processcluster.NewSwitchboard(), server: newServer(t, "s-00000001", says(200, "ok")), replica: n,
+	c := &crew{T: t, board: processcluster.NewFaultProxy(), server: newServer(t, "s-00000001", says(200, "ok")), replica: n,
 		limits: map[string]any{"cores": 1, "sockets": 256}}
 	t.Cleanup(c.board.Close)
 	for range n {
@@ -86,7 +86,7 @@
 	m := &mate{c: c, name: fmt.Sprintf("m%02d", len(c.all)), dir: c.TempDir(), tmp: c.TempDir(), listen: freeAddress(c.T), ops: freeAddress(c.T), peers: freeAddress(c.T),
 		log: &syncBuffer{}}
 	var err error
-	m.advertise, err = c.board.Add(m.name, m.peers)
+	m.advertise, err = c.board.Listen(m.name, m.peers)
 	require.NoError(c, err)
 	for _, o := range c.all[:min(len(c.all), 2)] {
 		m.join = append(m.join, o.advertise)
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -157,7 +157,7 @@
 					owner := y.owner(y.all...)
 					from, token = time.Now(), owner.jobOf("works").Token
 					others := y.without(owner)
-					deaf := processcluster.Between(names(y.without(others[0])), names(others[:1]), true)
+					deaf := processcluster.Directions(names(y.without(others[0])), names(others[:1]), true)
 					switch {
 					case k.step == "" && kill:
 						owner.kill()
@@ -166,10 +166,10 @@
 						owner.freeze()
 						fell = true
 					case k.half:
-						y.board.Set(processcluster.Rule{Cut: true}, deaf...)
+						y.board.SetFault(processcluster.LinkFault{Cut: true}, deaf...)
 						go y.command("fleet", "work", "pause", "--ops", others[1].ops) // whether it hears of it is another's matter
 						fell = y.falls(owner, k.step, kill, times)
-						y.board.Set(processcluster.Rule{}, deaf...)
+						y.board.SetFault(processcluster.LinkFault{}, deaf...)
 					default:
 						fell = y.falls(owner, k.step, kill, times)
 					}
--- a/internal/lab/processcluster/effects.go
+++ b/internal/lab/processcluster/effects.go
@@ -10,7 +10,7 @@
 // Effects judges from what sidecars say whether they take old owners' effects: who takes one that is for all passes it on at once,
 // and what it says on a link comes in the order in which it was said. So on no link a token follows a greater one of its job. It
 // can be used from any goroutine.
-type Effects struct {
+type EffectChecker struct {
 	mu       sync.Mutex
 	last     map[said]uint64
 	greatest map[string]uint64
@@ -31,12 +31,12 @@
 }
 
 // NewEffects returns a judge that has seen nothing.
-func NewEffects() *Effects {
-	return &Effects{last: map[said]uint64{}, greatest: map[string]uint64{}, origins: map[grant]uint64{}, ids: map[string]uint64{}}
+func NewEffectChecker() *EffectChecker {
+	return &EffectChecker{last: map[said]uint64{}, greatest: map[string]uint64{}, origins: map[grant]uint64{}, ids: map[string]uint64{}}
 }
 
 // Tap is for a Switchboard.
-func (e *Effects) Tap(call uint64, w Way, topic frames.Topic, body []byte) {
+func (e *EffectChecker) ObserveFrame(call uint64, w Direction, topic frames.Topic, body []byte) {
 	var f frames.RoleMessage
 	if topic == frames.TopicHello {
 		var h frames.Hello
@@ -77,14 +77,14 @@
 
 // Found returns what was wrong, how many effects were said, how many refusals, and how many effects under a token lower than one that
 // somebody had said before.
-func (e *Effects) Found() (wrong []string, seen, refused, old int) {
+func (e *EffectChecker) Results() (wrong []string, seen, refused, old int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.wrong...), e.seen, e.refused, e.old
 }
 
 // Late returns how many effects their owner itself said after a greater token had been said: it had looked at its lease before.
-func (e *Effects) Late() int {
+func (e *EffectChecker) StaleByOwner() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.late
--- a/internal/lab/processcluster/grants.go
+++ b/internal/lab/processcluster/grants.go
@@ -14,7 +14,7 @@
 
 // Grants keeps the history of grants as it crosses the wire: when each token was seen first, and which grants a leader has
 // confirmed, from the question to the answer. It can be used from any goroutine.
-type Grants struct {
+type GrantHistory struct {
 	mu       sync.Mutex
 	began    time.Time
 	seen     map[grant]int64 // when, since it began
@@ -29,7 +29,7 @@
 
 // question is one renewal, by who has asked whom.
 type question struct {
-	way    Way
+	way    Direction
 	number uint64
 }
 
@@ -43,12 +43,12 @@
 const mostAsked = 10_000
 
 // NewGrants returns an empty history.
-func NewGrants() *Grants {
-	return &Grants{began: time.Now(), seen: map[grant]int64{}, asked: map[question]int64{}}
+func NewGrantHistory() *GrantHistory {
+	return &GrantHistory{began: time.Now(), seen: map[grant]int64{}, asked: map[question]int64{}}
 }
 
 // Tap is for a Switchboard.
-func (g *Grants) Tap(_ uint64, w Way, topic frames.Topic, body []byte) {
+func (g *GrantHistory) ObserveFrame(_ uint64, w Direction, topic frames.Topic, body []byte) {
 	var m lease.Message
 	var e frames.RoleMessage
 	switch {
@@ -76,7 +76,7 @@
 	if m.RenewReply == nil {
 		return
 	}
-	q := question{Way{w.To, w.From}, m.RenewReply.Number}
+	q := question{Direction{w.To, w.From}, m.RenewReply.Number}
 	from, ok := g.asked[q]
 	delete(g.asked, q)
 	for _, x := range m.RenewReply.Grants {
@@ -87,7 +87,7 @@
 	}
 }
 
-func (g *Grants) note(x grant, now int64) {
+func (g *GrantHistory) note(x grant, now int64) {
 	if _, ok := g.seen[x]; !ok && x.token != 0 {
 		g.seen[x] = now
 	}
@@ -111,7 +111,7 @@
 
 // Check looks for an order of grants and confirmations that all could have seen, and returns how many confirmations have one, or
 // why there is none. A grant lies before its token was first seen, and after the last question whose answer confirmed an earlier one.
-func (g *Grants) Check() (confirmed int, why string) {
+func (g *GrantHistory) CheckLinearizable() (confirmed int, why string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	histories := map[string][]porcupine.Operation{}
--- a/internal/lab/processcluster/grants_test.go
+++ b/internal/lab/processcluster/grants_test.go
@@ -12,10 +12,10 @@
 
 // What leaders confirm has an order with the grants, or is told.
 func TestGrantsHaveAnOrder(t *testing.T) {
-	say := func(g *Grants, from, to string, m lease.Message) {
+	say := func(g *GrantHistory, from, to string, m lease.Message) {
 		body, err := frames.Marshal(m)
 		require.NoError(t, err)
-		g.Tap(1, Way{from, to}, frames.TopicLease, body)
+		g.ObserveFrame(1, Direction{from, to}, frames.TopicLease, body)
 	}
 	renewal := func(number, token uint64) *lease.Renewal {
 		return &lease.Renewal{Number: number, Grants: []lease.Grant{{Role: "report", Holder: 7, Token: token}}}
@@ -26,7 +26,7 @@
 		holds bool
 	}{{"one after the other", false, true}, {"an old grant is confirmed after the next", true, false}} {
 		t.Run(c.name, func(t *testing.T) {
-			g := NewGrants()
+			g := NewGrantHistory()
 			say(g, "a", "leader", lease.Message{RenewRequest: renewal(1, 5)})
 			say(g, "leader", "a", lease.Message{RenewReply: renewal(1, 5)})
 			say(g, "a", "leader", lease.Message{RenewRequest: renewal(2, 5)}) // on the way while the next is granted
@@ -39,7 +39,7 @@
 			} else {
 				say(g, "leader", "a", lease.Message{RenewReply: renewal(2, 5)})
 			}
-			n, why := g.Check()
+			n, why := g.CheckLinearizable()
 			assert.Equal(t, c.holds, why == "", why)
 			assert.Equal(t, c.holds, n == 3)
 		})
@@ -48,12 +48,12 @@
 
 // Nobody does a job under another's token.
 func TestTokenOfTwo(t *testing.T) {
-	e := NewEffects()
+	e := NewEffectChecker()
 	for i, origin := range []uint64{7, 7, 8} {
 		body, err := frames.Marshal(frames.RoleMessage{Role: "report", Token: 5, Origin: origin, Sequence: uint64(i + 1), Kind: 1})
 		require.NoError(t, err)
-		e.Tap(uint64(i), Way{"a", "b"}, frames.TopicRole, body)
+		e.ObserveFrame(uint64(i), Direction{"a", "b"}, frames.TopicRole, body)
 	}
-	wrong, _, _, _ := e.Found()
+	wrong, _, _, _ := e.Results()
 	assert.Len(t, wrong, 1)
 }
--- a/internal/lab/processcluster/owners.go
+++ b/internal/lab/processcluster/owners.go
@@ -67,8 +67,8 @@
 // jobs are those that a troupe's sidecars do.
 type jobs struct {
 	names   []string
-	effects *Effects
-	grants  *Grants
+	effects *EffectChecker
+	grants  *GrantHistory
 	wrong   []string
 	tokens  map[string]map[uint64]bool
 	goneAt  map[string]time.Time // when the last that held a job was last seen to; the zero time while one does
@@ -78,14 +78,14 @@
 }
 
 func newJobs(names []string) *jobs {
-	return &jobs{names: names, effects: NewEffects(), grants: NewGrants(), tokens: map[string]map[uint64]bool{}, goneAt: map[string]time.Time{}, wellAt: map[string]time.Time{}}
+	return &jobs{names: names, effects: NewEffectChecker(), grants: NewGrantHistory(), tokens: map[string]map[uint64]bool{}, goneAt: map[string]time.Time{}, wellAt: map[string]time.Time{}}
 }
 
 func (j *jobs) owned() *RoleReport {
-	wrong, seen, refused, old := j.effects.Found()
-	o := &RoleReport{Violations: append(wrong, j.wrong...), Effects: seen, Rejected: refused, Stale: old, StaleByOwner: j.effects.Late(), WithoutOwnerSeconds: j.without}
+	wrong, seen, refused, old := j.effects.Results()
+	o := &RoleReport{Violations: append(wrong, j.wrong...), Effects: seen, Rejected: refused, Stale: old, StaleByOwner: j.effects.StaleByOwner(), WithoutOwnerSeconds: j.without}
 	var why string
-	if o.Confirmations, why = j.grants.Check(); why != "" {
+	if o.Confirmations, why = j.grants.CheckLinearizable(); why != "" {
 		o.Violations = append(o.Violations, why)
 	}
 	for _, name := range j.names {
--- a/internal/lab/processcluster/switchboard.go
+++ b/internal/lab/processcluster/switchboard.go
@@ -16,30 +16,30 @@
 )
 
 // Way is a direction between two sidecars, by their names.
-type Way struct{ From, To string }
+type Direction struct{ From, To string }
 
 // Rule is what befalls the bytes of a way. The zero value is none.
-type Rule struct {
-	Cut  bool    // they are lost; links that lost any are reset once the cut is mended, as TCP gives up
-	Hold bool    // they wait, and links stay up
-	PerS float64 // bytes a second that each link takes; 0: as many as come
+type LinkFault struct {
+	Cut            bool    // they are lost; links that lost any are reset once the cut is mended, as TCP gives up
+	Hold           bool    // they wait, and links stay up
+	BytesPerSecond float64 // bytes a second that each link takes; 0: as many as come
 }
 
 // Switchboard stands between sidecars: each is dialed at a port of it, and who speaks is read from a link's first frame. It
 // changes nothing that passes. It can be used from any goroutine.
-type Switchboard struct {
+type FaultProxy struct {
 	mu      sync.Mutex
 	changed *sync.Cond
-	rules   map[Way]Rule
+	rules   map[Direction]LinkFault
 	calls   map[*call]struct{}
 	lines   []net.Listener
-	passed  map[Way]uint64 // bytes
+	passed  map[Direction]uint64 // bytes
 	closed  bool
 
 	// Tap, if it is set, is told of each frame that a sidecar has sent, before anything befalls it; call tells links apart. It is set
 	// before the first link, and may be called from several goroutines at once.
-	Tap func(call uint64, w Way, topic frames.Topic, body []byte)
-	n   uint64 // calls so far
+	OnFrame func(call uint64, w Direction, topic frames.Topic, body []byte)
+	n       uint64 // calls so far
 }
 
 // call is one link.
@@ -51,14 +51,14 @@
 }
 
 // NewSwitchboard returns one that nobody uses yet.
-func NewSwitchboard() *Switchboard {
-	s := &Switchboard{rules: map[Way]Rule{}, calls: map[*call]struct{}{}, passed: map[Way]uint64{}}
+func NewFaultProxy() *FaultProxy {
+	s := &FaultProxy{rules: map[Direction]LinkFault{}, calls: map[*call]struct{}{}, passed: map[Direction]uint64{}}
 	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
 // Add opens a port at which a sidecar is dialed that listens elsewhere.
-func (s *Switchboard) Add(name, listens string) (advertise string, err error) {
+func (s *FaultProxy) Listen(name, listens string) (advertise string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -83,7 +83,7 @@
 }
 
 // Close ends all.
-func (s *Switchboard) Close() {
+func (s *FaultProxy) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -97,17 +97,17 @@
 }
 
 // Set has a rule hold for ways from now on.
-func (s *Switchboard) Set(r Rule, ways ...Way) {
+func (s *FaultProxy) SetFault(r LinkFault, ways ...Direction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range ways {
-		if s.rules[w] = r; r == (Rule{}) {
+		if s.rules[w] = r; r == (LinkFault{}) {
 			delete(s.rules, w)
 		}
 	}
 	if !r.Cut {
 		for c := range s.calls {
-			if c.doomed && !s.rules[Way{c.a, c.b}].Cut && !s.rules[Way{c.b, c.a}].Cut {
+			if c.doomed && !s.rules[Direction{c.a, c.b}].Cut && !s.rules[Direction{c.b, c.a}].Cut {
 				c.end()
 			}
 		}
@@ -116,7 +116,7 @@
 }
 
 // Reset breaks all links between two sidecars.
-func (s *Switchboard) Reset(a, b string) {
+func (s *FaultProxy) ResetLinks(a, b string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.calls {
@@ -127,7 +127,7 @@
 }
 
 // Passed returns how many bytes have gone each way so far, all ways together.
-func (s *Switchboard) Passed() (total uint64) {
+func (s *FaultProxy) ForwardedBytes() (total uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, n := range s.passed {
@@ -137,14 +137,14 @@
 }
 
 // Between returns the ways between two groups; both directions, or from the first to the second alone.
-func Between(from, to []string, oneWay bool) (ways []Way) {
+func Directions(from, to []string, oneWay bool) (ways []Direction) {
 	for _, a := range from {
 		for _, b := range to {
 			if a == b || slices.Contains(from, b) && slices.Contains(to, a) && a > b {
 				continue
 			}
-			if ways = append(ways, Way{a, b}); !oneWay {
-				ways = append(ways, Way{b, a})
+			if ways = append(ways, Direction{a, b}); !oneWay {
+				ways = append(ways, Direction{b, a})
 			}
 		}
 	}
@@ -165,7 +165,7 @@
 const mostHello = 10 * time.Second
 
 // serve passes one link on.
-func (s *Switchboard) serve(in net.Conn, name, listens string) {
+func (s *FaultProxy) serve(in net.Conn, name, listens string) {
 	defer in.Close()
 	_ = in.SetReadDeadline(time.Now().Add(mostHello)) // fails only on one that is closed
 	first, hello, err := readHello(bufio.NewReaderSize(in, frames.MaxFrameBytes))
@@ -177,7 +177,7 @@
 	// Danger: where either way is cut no link comes up at all; passed on, the target would see one that says nothing.
 	s.mu.Lock()
 	cut := false
-	for !s.closed && (s.rules[Way{hello.Name, name}].Cut || s.rules[Way{name, hello.Name}].Cut) {
+	for !s.closed && (s.rules[Direction{hello.Name, name}].Cut || s.rules[Direction{name, hello.Name}].Cut) {
 		cut = true
 		s.changed.Wait()
 	}
@@ -208,8 +208,8 @@
 		s.mu.Unlock()
 	}()
 	done := make(chan struct{}, 2)
-	go func() { s.pump(c, in, out, Way{c.a, c.b}, first); done <- struct{}{} }()
-	go func() { s.pump(c, out, in, Way{c.b, c.a}, nil); done <- struct{}{} }()
+	go func() { s.pump(c, in, out, Direction{c.a, c.b}, first); done <- struct{}{} }()
+	go func() { s.pump(c, out, in, Direction{c.b, c.a}, nil); done <- struct{}{} }()
 	<-done
 	c.end()
 	<-done
@@ -235,7 +235,7 @@
 }
 
 // pump passes bytes one way, as its rule says.
-func (s *Switchboard) pump(c *call, from, to net.Conn, w Way, first []byte) {
+func (s *FaultProxy) pump(c *call, from, to net.Conn, w Direction, first []byte) {
 	b := make([]byte, 32<<10)
 	var paced time.Time // until then the link takes nothing
 	var whole []byte    // frames that have not been told of
@@ -254,7 +254,7 @@
 			}
 			data = b[:n]
 		}
-		if s.Tap != nil {
+		if s.OnFrame != nil {
 			whole = s.tell(c, w, append(whole, data...))
 		}
 		for len(data) > 0 {
@@ -273,13 +273,13 @@
 }
 
 // tell tells of the whole frames, and returns what is left.
-func (s *Switchboard) tell(c *call, w Way, data []byte) []byte {
+func (s *FaultProxy) tell(c *call, w Direction, data []byte) []byte {
 	for {
 		topic, body, n, err := frames.Next(data)
 		if err != nil || n == 0 {
 			return data[:min(len(data), frames.MaxFrameBytes)]
 		}
-		s.Tap(c.number, w, topic, body)
+		s.OnFrame(c.number, w, topic, body)
 		data = data[n:]
 	}
 }
@@ -289,7 +289,7 @@
 
 // await waits until some of the bytes may pass, and tells how many of them do or are lost; 0: the link is over. paced is until
 // when a link at a rate takes nothing.
-func (s *Switchboard) await(c *call, w Way, n int, paced *time.Time) (int, bool) {
+func (s *FaultProxy) await(c *call, w Direction, n int, paced *time.Time) (int, bool) {
 	s.mu.Lock()
 	for !s.closed {
 		r := s.rules[w]
@@ -298,7 +298,7 @@
 			continue
 		}
 		left := time.Duration(0)
-		if r.PerS > 0 && paced != nil {
+		if r.BytesPerSecond > 0 && paced != nil {
 			left = time.Until(*paced)
 		}
 		if left <= 0 {
@@ -313,9 +313,9 @@
 		again.Stop()
 	}
 	r := s.rules[w]
-	if r.PerS > 0 && n > 0 {
-		n = min(n, max(int(r.PerS*paceFor.Seconds()), 1))
-		*paced = time.Now().Add(time.Duration(float64(n) / r.PerS * float64(time.Second)))
+	if r.BytesPerSecond > 0 && n > 0 {
+		n = min(n, max(int(r.BytesPerSecond*paceFor.Seconds()), 1))
+		*paced = time.Now().Add(time.Duration(float64(n) / r.BytesPerSecond * float64(time.Second)))
 	}
 	_, on := s.calls[c]
 	switch {
--- a/internal/lab/processcluster/troupe.go
+++ b/internal/lab/processcluster/troupe.go
@@ -130,7 +130,7 @@
 // Troupe is a fleet that is being played.
 type Cluster struct {
 	s     Settings
-	board *Switchboard
+	board *FaultProxy
 	mates []*mate
 	jobs  *jobs     // nil: there are none
 	work  *workPlay // nil: nothing is worked on
@@ -150,7 +150,7 @@
 
 	trials []Trial
 
-	rules map[Way]Rule // for the play's loop
+	rules map[Direction]LinkFault // for the play's loop
 	deaf  sync.WaitGroup
 	over  chan struct{} // closed when the play is over
 }
@@ -171,15 +171,15 @@
 func Run(ctx context.Context, s Settings) (*Report, error) {
 	day := environment.Draw(s.Seed, s.Ranges())
 	script := s.FaultScript()
-	t := &Cluster{s: s, board: NewSwitchboard(), began: time.Now(), troubleAt: time.Now(), rules: map[Way]Rule{}, over: make(chan struct{})}
+	t := &Cluster{s: s, board: NewFaultProxy(), began: time.Now(), troubleAt: time.Now(), rules: map[Direction]LinkFault{}, over: make(chan struct{})}
 	defer t.board.Close()
 	defer t.deaf.Wait()
 	defer close(t.over)
 	if len(s.Roles) > 0 {
 		t.jobs = newJobs(s.Roles)
-		t.board.Tap = func(call uint64, w Way, topic frames.Topic, body []byte) {
-			t.jobs.effects.Tap(call, w, topic, body)
-			t.jobs.grants.Tap(call, w, topic, body)
+		t.board.OnFrame = func(call uint64, w Direction, topic frames.Topic, body []byte) {
+			t.jobs.effects.ObserveFrame(call, w, topic, body)
+			t.jobs.grants.ObserveFrame(call, w, topic, body)
 		}
 	}
 	for _, spec := range day.Sidecars {
@@ -241,7 +241,7 @@
 			r.ViolationCount += r.Maintenance.violationCount
 		}
 	}
-	r.PeerBytesPerSecond = float64(t.board.Passed()) / time.Since(t.began).Seconds() / float64(len(t.mates))
+	r.PeerBytesPerSecond = float64(t.board.ForwardedBytes()) / time.Since(t.began).Seconds() / float64(len(t.mates))
 	for _, f := range p.Judge.Violations() {
 		r.Violations = append(r.Violations, Violation{Rule: string(f.Rule), AtSeconds: f.At - p.Day.Start, Sidecar: day.Sidecars[max(f.Sidecar, 0)].Name, Reason: f.Reason})
 	}
@@ -283,7 +283,7 @@
 	if err != nil {
 		return err
 	}
-	if m.advertise, err = t.board.Add(name, listen); err != nil {
+	if m.advertise, err = t.board.Listen(name, listen); err != nil {
 		return err
 	}
 	t.mates = append(t.mates, m)
@@ -319,31 +319,31 @@
 	return []string{"--features", m.features}, []string{"GW_OPS=" + m.ops}, nil
 }
 
-func (t *Cluster) way(from, to int) Way { return Way{t.mates[from].name, t.mates[to].name} }
+func (t *Cluster) way(from, to int) Direction { return Direction{t.mates[from].name, t.mates[to].name} }
 
 // PeersCut has the connections from one sidecar to another cut, or restored.
 func (t *Cluster) PeersCut(from, to int, on bool) {
-	t.rule(from, to, func(r *Rule) { r.Cut = on })
+	t.rule(from, to, func(r *LinkFault) { r.Cut = on })
 }
 
 // PeersHold has bytes from one sidecar to another stop while the connections stay open, or flow again.
 func (t *Cluster) PeersHold(from, to int, on bool) {
-	t.rule(from, to, func(r *Rule) { r.Hold = on })
+	t.rule(from, to, func(r *LinkFault) { r.Hold = on })
 }
 
 // PeersSlow bounds the bytes a second of each connection from one sidecar to another; 0 ends it.
 func (t *Cluster) PeersSlow(from, to int, perS float64) {
-	t.rule(from, to, func(r *Rule) { r.PerS = perS })
+	t.rule(from, to, func(r *LinkFault) { r.BytesPerSecond = perS })
 }
 
 // rule changes what befalls a way, beside what does already. It is for the play's loop, as all that befalls it.
-func (t *Cluster) rule(from, to int, change func(*Rule)) {
+func (t *Cluster) rule(from, to int, change func(*LinkFault)) {
 	w := t.way(from, to)
 	was := t.rules[w]
 	r := was
 	change(&r)
 	t.rules[w] = r
-	switch none := (Rule{}); {
+	switch none := (LinkFault{}); {
 	case was == none && r != none:
 		t.trouble(1)
 	case was != none && r == none:
@@ -351,13 +351,13 @@
 	default:
 		t.trouble(0)
 	}
-	t.board.Set(r, w)
+	t.board.SetFault(r, w)
 }
 
 // PeersReset resets the connections between two sidecars.
 func (t *Cluster) PeersReset(a, b int) {
 	t.trouble(0)
-	t.board.Reset(t.mates[a].name, t.mates[b].name)
+	t.board.ResetLinks(t.mates[a].name, t.mates[b].name)
 }
 
 // PeersDeaf has somebody call at a sidecar as a peer does, ask again and again, and read nothing.
