--- a/cmd/hazellab/leases.go
+++ b/cmd/hazellab/leases.go
@@ -14,23 +14,16 @@
 	"hazelwheel/internal/sim/seeds"
 )
 
-// leasesCommand play who owns jobs in simulated time.
-func leasesCommand() []*cli.Command {
-	return []*cli.Command{
-		{Name: "owners", Usage: "play who owns the jobs of a fleet in simulated time, and judge it", Action: simulateLeases, Flags: []cli.Flag{
-			&cli.StringFlag{Name: "seeds", Usage: "the `RANGE` of seeds, as 1-10000", Value: "1-100"},
-			&cli.Uint64Flag{Name: "seed", Usage: "the `SEED` of one day"},
-			&cli.IntFlag{Name: "jobs", Usage: "`N` days at a time", Value: 1},
-			&cli.BoolFlag{Name: "trace", Usage: "print what happens on the day of --seed"},
-			&cli.BoolFlag{Name: "first", Usage: "stop at the first day that breaks a rule"},
-			&cli.BoolFlag{Name: "measure", Usage: "print how long jobs are without an owner, and what being ready costs"},
-			&cli.BoolFlag{Name: "json", Usage: "print the result as JSON"}}},
-	}
+// leasesCommand simulates the leases of singleton roles: the decisions alone, without sidecars and sockets.
+func leasesCommand() *cli.Command {
+	return &cli.Command{Name: "owners", Usage: "run the leases of a fleet's singleton roles in simulated time and check the invariants", Action: simulateLeases,
+		Flags: daysFlags(&cli.BoolFlag{Name: "measure", Usage: "print how long roles are without an owner, and the cost of being ready"})}
 }
 
+// simulateLeases prints each violation as it is found, then the figures of all days.
 func simulateLeases(_ context.Context, c *cli.Command) error {
 	out := bufio.NewWriter(c.Root().Writer)
-	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
+	defer func() { _ = out.Flush() }() // nothing can be done for a reader that has closed the pipe
 	if c.Bool("measure") {
 		leasesim.Measure(c.Root().Writer)
 		return nil
@@ -43,30 +36,30 @@
 		if !c.IsSet("seed") {
 			return usageError(errors.New("--trace goes with --seed"))
 		}
-		r := leasesim.Run(first, leasesim.Options{Trace: func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }})
+		r := leasesim.Run(first, leasesim.Options{Trace: traceTo(out)})
 		if len(r.Findings) > 0 {
 			return errRulesBroken
 		}
 		return nil
 	}
-	began := time.Now()
-	var t leasesim.Tally
+	start := time.Now()
+	var tally leasesim.Tally
 	runSeeds(c, out, first, last, leasesim.RunSeeds, func(r *leasesim.Result) (uint64, []seeds.Finding) {
-		t.Add(r)
+		tally.Add(r)
 		return r.Seed, r.Findings
 	})
 	if c.Bool("json") {
-		if err := json.NewEncoder(out).Encode(&t); err != nil {
+		if err := json.NewEncoder(out).Encode(&tally); err != nil {
 			return err
 		}
 	} else {
-		broken := printBroken(out, t.Broken)
-		n := t.Counts
+		violations := printBroken(out, tally.Broken)
+		counts := tally.Counts
 		fmt.Fprintf(out, "%d leases in %.0f s: %d leaders, %d electors replaced, %d states lost, %d effects taken, %d refused, %d stalls before a send\n",
-			n.Grants, time.Since(began).Seconds(), n.ElectionsWon, n.VotersReplaced, n.IdentitiesLost, n.Effects, n.Rejected, n.Stalls)
-		fmt.Fprintf(out, "history %016x\n%d seeds, %d rules broken\n", t.Hash, t.Days, broken)
+			counts.Grants, time.Since(start).Seconds(), counts.ElectionsWon, counts.VotersReplaced, counts.IdentitiesLost, counts.Effects, counts.Rejected, counts.Stalls)
+		fmt.Fprintf(out, "history %016x\n%d seeds, %d rules broken\n", tally.Hash, tally.Days, violations)
 	}
-	if len(t.Broken) > 0 {
+	if len(tally.Broken) > 0 {
 		return errRulesBroken
 	}
 	return nil
--- a/cmd/hazellab/maintenance.go
+++ b/cmd/hazellab/maintenance.go
@@ -16,61 +16,55 @@
 	"hazelwheel/internal/sim/seeds"
 )
 
-// maintenanceCommand play work on boxes in simulated time.
-func maintenanceCommand() []*cli.Command {
-	return []*cli.Command{
-		{Name: "works", Usage: "play work on the boxes of a fleet in simulated time, and judge it", Action: simulateMaintenance, Flags: []cli.Flag{
-			&cli.StringFlag{Name: "seeds", Usage: "the `RANGE` of seeds, as 1-10000", Value: "1-100"},
-			&cli.Uint64Flag{Name: "seed", Usage: "the `SEED` of one day"},
-			&cli.IntFlag{Name: "jobs", Usage: "`N` days at a time", Value: 1},
-			&cli.BoolFlag{Name: "weigh", Usage: "weigh the ways to have all boxes of a day worked on, by whole days"},
-			&cli.StringSliceFlag{Name: "only", Usage: "a `PART` of the names of the ways that are weighed; may be given again"},
-			&cli.IntFlag{Name: "boxes", Usage: "`N` boxes that are weighed with", Value: 12},
-			&cli.BoolFlag{Name: "trace", Usage: "print what happens on the day of --seed"},
-			&cli.BoolFlag{Name: "first", Usage: "stop at the first day that breaks a rule"},
-			&cli.BoolFlag{Name: "json", Usage: "print the result as JSON"}}},
-	}
+// maintenanceCommand simulates the maintenance of servers: the decisions alone, or with --weigh on whole days.
+func maintenanceCommand() *cli.Command {
+	return &cli.Command{Name: "works", Usage: "run the maintenance of a fleet's servers in simulated time and check the invariants", Action: simulateMaintenance,
+		Flags: daysFlags(
+			&cli.BoolFlag{Name: "weigh", Usage: "compare strategies for the maintenance of all servers, by whole days"},
+			&cli.StringSliceFlag{Name: "only", Usage: "a `PART` of the names of the strategies to compare; may be given again"},
+			&cli.IntFlag{Name: "boxes", Usage: "`N` servers on the days of --weigh", Value: 12})}
 }
 
+// simulateMaintenance prints each violation as it is found, then the figures of all days.
 func simulateMaintenance(_ context.Context, c *cli.Command) error {
 	out := bufio.NewWriter(c.Root().Writer)
-	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
+	defer func() { _ = out.Flush() }() // nothing can be done for a reader that has closed the pipe
 	first, last, err := selectedSeeds(c)
 	if err != nil {
 		return err
 	}
 	if c.Bool("weigh") {
-		debug.SetGCPercent(400)
+		debug.SetGCPercent(simulationGCPercent)
 		return sim.CompareMaintenance(c.Root().Writer, first, last, c.Int("boxes"), c.Int("jobs"), c.StringSlice("only"))
 	}
 	if c.Bool("trace") {
 		if !c.IsSet("seed") {
 			return usageError(errors.New("--trace goes with --seed"))
 		}
-		r := maintenancesim.Run(first, maintenancesim.Options{Trace: func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }})
+		r := maintenancesim.Run(first, maintenancesim.Options{Trace: traceTo(out)})
 		if len(r.Findings) > 0 {
 			return errRulesBroken
 		}
 		return nil
 	}
-	began := time.Now()
-	var t maintenancesim.Tally
+	start := time.Now()
+	var tally maintenancesim.Tally
 	runSeeds(c, out, first, last, maintenancesim.RunSeeds, func(r *maintenancesim.Result) (uint64, []seeds.Finding) {
-		t.Add(r)
+		tally.Add(r)
 		return r.Seed, r.Findings
 	})
 	if c.Bool("json") {
-		if err := json.NewEncoder(out).Encode(&t); err != nil {
+		if err := json.NewEncoder(out).Encode(&tally); err != nil {
 			return err
 		}
 	} else {
-		broken := printBroken(out, t.Broken)
-		n := t.Counts
+		violations := printBroken(out, tally.Broken)
+		counts := tally.Counts
 		fmt.Fprintf(out, "%d plans in %.0f s: %d boxes worked on, %d done, %d skipped, %d lost, %d forced, %d given back, %d owners, %d stopped at a step, %d writes refused\n",
-			n.Plans, time.Since(began).Seconds(), n.WorkStarted, n.Done, n.Skipped, n.Lost, n.Forced, n.GivenBack, n.Leases, n.HolderFaults, n.StaleWrites)
-		fmt.Fprintf(out, "history %016x\n%d seeds, %d rules broken\n", t.Hash, t.Days, broken)
+			counts.Plans, time.Since(start).Seconds(), counts.WorkStarted, counts.Done, counts.Skipped, counts.Lost, counts.Forced, counts.GivenBack, counts.Leases, counts.HolderFaults, counts.StaleWrites)
+		fmt.Fprintf(out, "history %016x\n%d seeds, %d rules broken\n", tally.Hash, tally.Days, violations)
 	}
-	if len(t.Broken) > 0 {
+	if len(tally.Broken) > 0 {
 		return errRulesBroken
 	}
 	return nil
--- a/cmd/hazellab/secondlycounts.go
+++ b/cmd/hazellab/secondlycounts.go
@@ -7,38 +7,45 @@
 	"hazelwheel/internal/checker"
 )
 
-// secondlyCounts counts by second what boxes and discovery are asked.
+// secondlyCounts counts the load of the servers and of discovery by second of the simulated time.
 type secondlyCounts struct {
-	boxes map[int32]bool // that were probed; counted, never walked
-	all   []struct{ at, probes, calls, links, executions int }
+	servers map[int32]bool // that received a health check; only counted, as the order of a map is random
+	seconds []secondCounts // ascending; seconds without events are left out
 }
 
-// See counts an event.
-func (b *secondlyCounts) Observe(e checker.Event) {
+type secondCounts struct {
+	at                                                  int // seconds of simulated time
+	healthChecks, discoveryCalls, connections, attempts int
+}
+
+// Observe counts an event. Events come in the order of their times.
+func (c *secondlyCounts) Observe(e checker.Event) {
 	at := int(e.At)
-	if n := len(b.all); n == 0 || b.all[n-1].at < at {
-		b.all = append(b.all, struct{ at, probes, calls, links, executions int }{at: at})
+	if n := len(c.seconds); n == 0 || c.seconds[n-1].at < at {
+		c.seconds = append(c.seconds, secondCounts{at: at})
 	}
-	now := &b.all[len(b.all)-1]
+	current := &c.seconds[len(c.seconds)-1]
 	switch e.Kind {
 	case checker.HealthCheckReceived:
-		if b.boxes == nil {
-			b.boxes = map[int32]bool{}
+		if c.servers == nil {
+			c.servers = map[int32]bool{}
 		}
-		b.boxes[e.Server] = true
-		now.probes++
+		c.servers[e.Server] = true
+		current.healthChecks++
 	case checker.DiscoveryCalled:
-		now.calls++
+		current.discoveryCalls++
 	case checker.ConnectionOpened:
-		now.links++
+		current.connections++
 	case checker.AttemptReceived:
-		now.executions++
+		current.attempts++
 	}
 }
 
-func (b *secondlyCounts) print(w io.Writer, start float64) {
+// print writes a line for each second, counted from the start of the day, with the health checks as a mean over the servers.
+func (c *secondlyCounts) print(w io.Writer, start float64) {
 	fmt.Fprintln(w, "second  probes of a box  calls for the list  links opened  executions")
-	for _, s := range b.all {
-		fmt.Fprintf(w, "%6d  %15.2f  %18d  %12d  %10d\n", s.at-int(start), float64(s.probes)/float64(max(len(b.boxes), 1)), s.calls, s.links, s.executions)
+	for _, s := range c.seconds {
+		fmt.Fprintf(w, "%6d  %15.2f  %18d  %12d  %10d\n", s.at-int(start), float64(s.healthChecks)/float64(max(len(c.servers), 1)), s.discoveryCalls,
+			s.connections, s.attempts)
 	}
 }
--- a/cmd/hazellab/shrink.go
+++ b/cmd/hazellab/shrink.go
@@ -14,6 +14,7 @@
 	"hazelwheel/internal/sim"
 )
 
+// writeScript writes a script in the form in which environment.ReadScript reads it.
 func writeScript(w io.Writer, s *environment.Script) error {
 	text, err := s.Format()
 	if err != nil {
@@ -23,6 +24,7 @@
 	return err
 }
 
+// shrink finds a smaller script that violates the same invariant, and writes it. It ends with 1 as that invariant is violated.
 func shrink(_ context.Context, c *cli.Command) error {
 	o, err := simOptions(c)
 	if err != nil {
@@ -43,20 +45,20 @@
 	if !r.HasViolation(rule) {
 		return usageError(fmt.Errorf("rule: %s does not break %q", name, rule))
 	}
-	small := sim.Shrink(s, rule, o, c.Int("budget"), func(s *environment.Script, played int) {
+	smallest := sim.Shrink(s, rule, o, c.Int("budget"), func(s *environment.Script, played int) {
 		fmt.Fprintf(os.Stderr, "%d days played: %d troubles, %d sidecars, %d boxes, %g s\n", played, len(s.Faults), s.Sidecars, s.Servers, s.LengthSeconds)
 	})
-	if err := writeScriptTo(c.String("out"), c.Root().Writer, &small); err != nil {
+	if err := writeScriptTo(c.String("out"), c.Root().Writer, &smallest); err != nil {
 		return err
 	}
 	fmt.Fprintf(os.Stderr, "breaks %s; replay with: hazellab sim --script %s%s --trace\n", rule, c.String("out"), protocolFlag(o))
 	return errRulesBroken
 }
 
-// writeScriptTo writes a script to a file, or to the terminal where no file is named.
-func writeScriptTo(file string, terminal io.Writer, script *environment.Script) error {
+// writeScriptTo writes a script to a file, or to out where no file is named.
+func writeScriptTo(file string, out io.Writer, script *environment.Script) error {
 	if file == "" {
-		return writeScript(terminal, script)
+		return writeScript(out, script)
 	}
 	f, err := os.Create(file)
 	if err != nil {
--- a/cmd/hazellab/simoptions.go
+++ b/cmd/hazellab/simoptions.go
@@ -13,7 +13,7 @@
 	"hazelwheel/internal/sim"
 )
 
-// simOptions returns how days are played.
+// simOptions returns the options of the simulation that the flags give.
 func simOptions(c *cli.Command) (sim.Options, error) {
 	o := sim.Options{Servers: c.Int("boxes"), Sidecars: c.Int("sidecars"), FleetMode: sim.FleetMode(c.String("fleet"))}
 	if o.Sidecars != 0 && (o.Sidecars < 1 || o.Sidecars > 1000) {
@@ -52,7 +52,7 @@
 	return o, nil
 }
 
-// protocolFlag returns the flag of a day's speech, "" for HTTP's, which needs none.
+// protocolFlag returns the flag by which a command repeats the protocol of a day, with a space before it; "" for HTTP, the default.
 func protocolFlag(o sim.Options) string {
 	if o.Protocol.IsThrift() {
 		return " --speech " + string(o.Protocol)
@@ -60,7 +60,7 @@
 	return ""
 }
 
-// selectedScript returns the script of --script or --seed, and how to name it in a command.
+// selectedScript returns the script of --script or --seed, and the flags by which a command repeats it.
 func selectedScript(c *cli.Command, o sim.Options) (environment.Script, string, error) {
 	file := c.String("script")
 	switch {
@@ -80,7 +80,7 @@
 	return *s, "--script " + file + protocolFlag(o), nil
 }
 
-// wrapScriptError makes the error of a bad script one that ends the program with 2.
+// wrapScriptError makes the error of an invalid script a usage error.
 func wrapScriptError(err error) error {
 	if errors.Is(err, sim.ErrInvalidScript) {
 		return usageError(err)
--- a/cmd/hazellab/simulate.go
+++ b/cmd/hazellab/simulate.go
@@ -17,6 +17,7 @@
 	"hazelwheel/internal/sim"
 )
 
+// simulate runs one day and prints its violations and figures; with --seeds many days.
 func simulate(_ context.Context, c *cli.Command) error {
 	if c.IsSet("seeds") {
 		return simulateSeeds(c)
@@ -30,7 +31,7 @@
 		return err
 	}
 	out := bufio.NewWriter(c.Root().Writer)
-	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
+	defer func() { _ = out.Flush() }() // nothing can be done for a reader that has closed the pipe
 	if c.Bool("quiet-days") {
 		s.Faults = nil
 	}
@@ -38,31 +39,31 @@
 		return writeScript(out, &s)
 	}
 	if c.Bool("trace") {
-		o.Trace = func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }
+		o.Trace = traceTo(out)
 	}
-	var seconds secondlyCounts
+	var counts secondlyCounts
 	if c.Bool("by-second") {
-		o.Observer = &seconds
+		o.Observer = &counts
 	}
-	began := time.Now()
+	start := time.Now()
 	r, err := sim.Play(s, o)
 	if err != nil {
 		return wrapScriptError(err)
 	}
 	if o.Observer != nil {
-		seconds.print(out, r.Start)
+		counts.print(out, r.Start)
 	}
 	if c.Bool("json") {
 		if err := json.NewEncoder(out).Encode(r); err != nil {
 			return err
 		}
 	} else {
-		var t sim.Tally
-		t.Add(r)
-		t.Finish()
-		t.History = fmt.Sprintf("%016x", r.Hash)
+		var tally sim.Tally
+		tally.Add(r)
+		tally.Finish()
+		tally.History = fmt.Sprintf("%016x", r.Hash)
 		printViolations(out, r, name)
-		printTally(out, &t, time.Since(began).Seconds(), 1)
+		printTally(out, &tally, time.Since(start).Seconds(), 1)
 	}
 	if len(r.Violations) > 0 {
 		return errRulesBroken
@@ -70,9 +71,10 @@
 	return nil
 }
 
-// maxPrintedViolations is how many findings of a day are printed.
+// maxPrintedViolations limits how many violations of a day are printed.
 const maxPrintedViolations = 10
 
+// printViolations prints the violations of a day. Name is the flag by which a command repeats it.
 func printViolations(w io.Writer, r *sim.Result, name string) {
 	for i, f := range r.Violations {
 		if i == maxPrintedViolations {
@@ -83,6 +85,7 @@
 	}
 }
 
+// simulateSeeds runs the days of a range of seeds, prints each violation as it is found, then the figures of all days.
 func simulateSeeds(c *cli.Command) error {
 	first, last, err := parseSeedRange(c.String("seeds"))
 	if err != nil {
@@ -96,19 +99,19 @@
 		return err
 	}
 	o.WithoutFaults = c.Bool("quiet-days")
-	debug.SetGCPercent(400) // days leave much behind, and little of it lives
+	debug.SetGCPercent(simulationGCPercent)
 	out := c.Root().Writer
 	bar := progressBar(int64(last-first)+1, "days")
-	began := time.Now()
-	var t sim.Tally
-	var failed error
+	start := time.Now()
+	var tally sim.Tally
+	var dayErr error
 	sim.PlaySeeds(first, last, c.Int("jobs"), o, func(d sim.Outcome) bool {
-		_ = bar.Add(1) // a bar that can't be drawn harms nothing
+		_ = bar.Add(1) // the bar is a convenience
 		if d.Err != nil {
-			failed = fmt.Errorf("seed %d: %w", d.Seed, d.Err)
+			dayErr = fmt.Errorf("seed %d: %w", d.Seed, d.Err)
 			return false
 		}
-		t.Add(d.Result)
+		tally.Add(d.Result)
 		if c.Bool("each") {
 			fmt.Fprintf(out, "seed %d history %016x, %d events, service %.4f\n", d.Seed, d.Result.Hash, d.Result.Steps, d.Result.Report.Service)
 		}
@@ -120,26 +123,27 @@
 		return !c.Bool("first") || len(d.Result.Violations) == 0
 	})
 	_ = bar.Finish()
-	if failed != nil {
-		return failed
+	if dayErr != nil {
+		return dayErr
 	}
-	t.Finish()
+	tally.Finish()
 	if c.Bool("json") {
-		if err := json.NewEncoder(out).Encode(&t); err != nil {
+		if err := json.NewEncoder(out).Encode(&tally); err != nil {
 			return err
 		}
 	} else {
-		printTally(out, &t, time.Since(began).Seconds(), c.Int("jobs"))
+		printTally(out, &tally, time.Since(start).Seconds(), c.Int("jobs"))
 	}
-	if len(t.Broken) > 0 {
+	if len(tally.Broken) > 0 {
 		return errRulesBroken
 	}
 	return nil
 }
 
-func printTally(w io.Writer, t *sim.Tally, took float64, jobs int) {
+// printTally prints the figures of days that took so many seconds to run.
+func printTally(w io.Writer, t *sim.Tally, tookSeconds float64, jobs int) {
 	fmt.Fprintf(w, "%d days, %.0f simulated s in %.1f s: %.0f simulated s a second on each of %d jobs, %d events\n",
-		t.Days, t.SimulatedSeconds, took, t.SimulatedSeconds/took/float64(max(jobs, 1)), jobs, t.Steps)
+		t.Days, t.SimulatedSeconds, tookSeconds, t.SimulatedSeconds/tookSeconds/float64(max(jobs, 1)), jobs, t.Steps)
 	fmt.Fprintf(w, "history %s\nservice %.3f\n", t.History, t.Service)
 	for _, k := range t.Classes {
 		fmt.Fprintf(w, "  %-16s %.3f  asked %d, in aim %d, late %d, refused %d, failed %d\n", k.Name, k.Service, k.Requests, k.InTarget, k.Late, k.Rejected, k.Failed)
