--- a/internal/environment/hostileclients.go
+++ b/internal/environment/hostileclients.go
@@ -210,76 +210,82 @@
 	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: h.number, Server: -1, Class: -1, Connection: conn.number, Request: conn.id}
 }
 
+// sendFirst sends what a client has connected for.
 func (h *HostileClients) sendFirst(conn *hostileConn, now float64) {
-	class, unsafe := h.classOf(checker.Safe), h.classOf(checker.Unsafe)
-	out := h.out[:0]
-	post := func() { out = append(append(append(out, "POST /"...), unsafe...), " HTTP/1.1\r\nHost: h\r\n"...) }
-	get := func() { out = append(append(append(out, "GET /"...), class...), " HTTP/1.1\r\nHost: h\r\n"...) }
-	id := func() {
-		out = append(appendID(append(out, fieldID+": "...), h.rng.Uint64()|1), "\r\n"...)
+	usesThrift := h.address(conn) != h.day.Sidecars[h.number].Address
+	if usesThrift && h.sendMalformedCall(conn, now, h.classOf(checker.Unsafe)) {
+		return
 	}
-	if h.address(conn) != h.day.Sidecars[h.number].Address && h.sendMalformedCall(conn, now, unsafe) {
+	switch conn.kind {
+	case retriesAtOnce:
+		h.sendValid(conn, now)
 		return
+	case pipelinesRequests:
+		h.sendPipelined(conn, now)
+		return
+	}
+	h.out = h.appendHostileRequest(h.out[:0], conn)
+	switch conn.kind {
+	case sendsEndlessHead, sendsHugeBody:
+		h.tasks.add(now, hostileTask{conn: conn})
+	case requestsHalf:
+		h.tasks.add(now+h.rng.Float64(), hostileTask{conn: conn, closes: true})
 	}
+	if len(h.out) > 0 {
+		conn.conn.Write(h.out) // a connection that breaks here is closed by the network
+	}
+}
+
+// appendHostileRequest appends the first bytes of a client that must not be served.
+func (h *HostileClients) appendHostileRequest(out []byte, conn *hostileConn) []byte {
 	switch conn.kind {
 	case sendsNoise:
 		for range 20 + h.rng.IntN(300) {
 			out = append(out, byte(h.rng.Uint32()))
 		}
-		out = append(out, "\r\n\r\n"...)
+		return append(out, "\r\n\r\n"...)
 	case sendsEndlessHead:
-		get()
-		h.tasks.add(now, hostileTask{conn: conn})
+		return h.appendGet(out)
 	case sendsOddLength:
-		post()
-		id()
-		out = append(out, "Content-Length: twelve\r\n\r\nabc"...)
+		return append(h.appendPost(out), "Content-Length: twelve\r\n\r\nabc"...)
 	case sendsNegativeLength:
-		post()
-		id()
-		out = append(out, "Content-Length: -12\r\n\r\nabc"...)
+		return append(h.appendPost(out), "Content-Length: -12\r\n\r\nabc"...)
 	case sendsHugeBody:
-		post()
-		id()
-		out = append(strconv.AppendInt(append(out, "Content-Length: "...), hugeBody, 10), "\r\n\r\n"...)
-		h.tasks.add(now, hostileTask{conn: conn})
+		out = append(h.appendPost(out), "Content-Length: "...)
+		return append(strconv.AppendInt(out, hugeBody, 10), "\r\n\r\n"...)
 	case requestsUnknownClass:
 		out = append(out, "GET /no-such-class HTTP/1.1\r\nHost: h\r\n"...)
-		id()
-		out = append(out, "\r\n"...)
+		return append(h.appendNewID(out), "\r\n"...)
 	case requestsOddDeadline:
-		get()
-		id()
-		out = append(out, fieldTimeout+": soon\r\n\r\n"...)
+		return append(h.appendNewID(h.appendGet(out)), fieldTimeout+": soon\r\n\r\n"...)
 	case requestsWithoutID:
-		get()
-		out = append(out, "\r\n"...)
+		return append(h.appendGet(out), "\r\n"...)
 	case requestsWithOthersID:
-		get()
-		out = append(appendID(append(out, fieldID+": "...), conn.id), "\r\n\r\n"...)
+		out = append(h.appendGet(out), fieldID+": "...)
+		return append(appendID(out, conn.id), "\r\n\r\n"...)
 	case requestsHalf:
-		post()
-		id()
-		out = append(out, "Content-Length: 100\r\n\r\nhalf"...)
-		h.tasks.add(now+h.rng.Float64(), hostileTask{conn: conn, closes: true})
+		return append(h.appendPost(out), "Content-Length: 100\r\n\r\nhalf"...)
 	case smugglesRequest:
-		post()
-		id()
-		out = append(out, "Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"...)
-		post()
-		id()
-		out = append(out, "Content-Length: 0\r\n\r\n"...)
-	case retriesAtOnce:
-		h.sendValid(conn, now)
-		return
-	case pipelinesRequests:
-		h.sendPipelined(conn, now)
-		return
-	}
-	h.out = out
-	if len(out) > 0 {
-		conn.conn.Write(out) // a connection that breaks here is closed by the network
+		out = append(h.appendPost(out), "Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"...)
+		return append(h.appendPost(out), "Content-Length: 0\r\n\r\n"...)
 	}
+	return out
+}
+
+// appendGet appends the start of a request of a safe class, without an id.
+func (h *HostileClients) appendGet(out []byte) []byte {
+	return append(append(append(out, "GET /"...), h.classOf(checker.Safe)...), " HTTP/1.1\r\nHost: h\r\n"...)
+}
+
+// appendPost appends the start of a request of an unsafe class, with a new id.
+func (h *HostileClients) appendPost(out []byte) []byte {
+	out = append(append(append(out, "POST /"...), h.classOf(checker.Unsafe)...), " HTTP/1.1\r\nHost: h\r\n"...)
+	return h.appendNewID(out)
+}
+
+// appendNewID appends an id that no client uses.
+func (h *HostileClients) appendNewID(out []byte) []byte {
+	return append(appendID(append(out, fieldID+": "...), h.rng.Uint64()|1), "\r\n"...)
 }
 
 func (h *HostileClients) classOf(effect checker.Effect) string {
--- a/internal/environment/hosts.go
+++ b/internal/environment/hosts.go
@@ -20,33 +20,33 @@
 	// Reload has a sidecar's process read a new configuration.
 	Reload(sidecar int, configuration []byte)
 	// Cordon has a sidecar's operators cordon a server, or end that; yes is called once the sidecar has confirmed.
-	Cordon(sidecar int, box string, on bool, yes func())
+	Cordon(sidecar int, server string, enabled bool, yes func())
 	// DropTraffic loses what is sent from one machine to another, in this direction alone, until RestoreTraffic.
 	// Connections stay open.
 	DropTraffic(from, to string)
 	RestoreTraffic(from, to string)
 	// DelayConnects delays a share of the connections that are dialed to a machine by up to maxDelaySeconds; a share of 0
 	// ends that.
-	DelayConnects(ip string, share, mostS float64)
+	DelayConnects(ip string, share, maxDelaySeconds float64)
 	// ResetConnections resets all connections between two machines.
 	ResetConnections(a, b string)
 	// DropPeerTraffic loses what one sidecar sends to another, in this direction alone, or ends that; HoldPeerTraffic
 	// holds it back instead.
-	DropPeerTraffic(from, to int, on bool)
-	HoldPeerTraffic(from, to int, on bool)
+	DropPeerTraffic(from, to int, enabled bool)
+	HoldPeerTraffic(from, to int, enabled bool)
 	// LimitPeerTraffic limits what one sidecar sends to another to so many bytes a second on each connection; 0 ends that.
-	LimitPeerTraffic(from, to int, perS float64)
+	LimitPeerTraffic(from, to int, bytesPerSecond float64)
 	// ResetPeerConnections resets the connections between two sidecars.
 	ResetPeerConnections(a, b int)
 	// QueryWithoutReading has a client send a sidecar so many queries a second, as a peer does, until a time, and read no
 	// answer.
-	QueryWithoutReading(sidecar int, perS, until float64)
+	QueryWithoutReading(sidecar int, ratePerSecond, until float64)
 	// Suspend suspends a sidecar's process, or resumes it.
-	Suspend(sidecar int, on bool)
+	Suspend(sidecar int, enabled bool)
 	// StartStandby starts a standby sidecar with the actors beside it. One that has started already is left alone.
 	StartStandby(sidecar int)
 	// FillDisk makes all writes to a sidecar's disk fail, or ends that.
-	FillDisk(sidecar int, on bool)
+	FillDisk(sidecar int, enabled bool)
 	// SetClockRate has a sidecar's clock run at a rate; 1 is that of the others. An offset that it has by then stays.
 	SetClockRate(sidecar int, rate float64)
 	// DamageState loses, tears or rolls back what a stopped sidecar has on its disk; state is one of StateLost, StateTorn
