--- a/internal/environment/engine_test.go
+++ b/internal/environment/engine_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawnBox draws a box of any kind.
-func drawnBox(t *rapid.T) *ServerSpec {
+// drawServerSpec draws a server of any kind.
+func drawServerSpec(t *rapid.T) *ServerSpec {
 	between := func(name string, least, most float64) float64 { return rapid.Float64Range(least, most).Draw(t, name) }
 	return &ServerSpec{Slots: rapid.IntRange(1, 3).Draw(t, "slots"), QueueLimit: rapid.IntRange(0, 6).Draw(t, "waiting"),
 		ThrashFactor: between("thrash", 0, 0.2), ThrashThreshold: between("thrashAt", 0, 4), ColdCapacity: between("coldFrom", 0.1, 0.9),
@@ -19,28 +19,28 @@
 		MaxConnections: 100, ConnectionOverhead: between("tax", 0, 0.4), DropsCancelled: rapid.Bool().Draw(t, "cancelStops")}
 }
 
-// Whatever a box goes through: each job that it takes is done once, dropped once or still there; no slot stands empty
-// while something waits; warmth rises alone; and it falls over when a window's work is over the budget, never else.
-func TestEngine(t *testing.T) {
+// Through any operations, each job is done once, cancelled once or still in flight; no slot is empty while a job is queued;
+// warmth never falls; and the engine is overloaded exactly when a window's work exceeds the budget.
+func TestEngineKeepsItsJobsAndCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		spec := drawnBox(t)
+		spec := drawServerSpec(t)
 		cold := rapid.Bool().Draw(t, "cold")
 		now := 100.0
 		e := NewEngine(spec, randomStream(rapid.Uint64().Draw(t, "seed"), "test", 0), now, cold)
-		state := map[*Job]int{} // 1: in the box
-		var held []*Job
-		var borne []arrival
-		warmth, fallen := e.Warmth(now), false
-		take := func(j *Job) {
+		state := map[*Job]int{} // 1: in flight
+		var inFlight []*Job
+		var arrivals []arrival
+		warmth, overloaded := e.Warmth(now), false
+		enqueue := func(j *Job) {
 			state[j]++
-			held = append(held, j)
+			inFlight = append(inFlight, j)
 		}
-		leave := func(j *Job) {
+		complete := func(j *Job) {
 			require.Equal(t, 1, state[j], "done or dropped once, and only what was taken")
 			state[j]++
-			for i := range held {
-				if held[i] == j {
-					held = append(held[:i], held[i+1:]...)
+			for i := range inFlight {
+				if inFlight[i] == j {
+					inFlight = append(inFlight[:i], inFlight[i+1:]...)
 					break
 				}
 			}
@@ -50,7 +50,7 @@
 			for e.NextAt() <= until {
 				now = max(now, e.NextAt())
 				for _, j := range e.Advance(now) {
-					leave(j)
+					complete(j)
 				}
 			}
 			now = until
@@ -58,41 +58,41 @@
 			case 0, 1, 2:
 				j := &Job{Seconds: rapid.Float64Range(0, 1.5).Draw(t, "work")}
 				before := e.Warmth(now)
-				borne = append(borne, arrival{now, j.Seconds})
+				arrivals = append(arrivals, arrival{now, j.Seconds})
 				sum := 0.0
-				for _, a := range borne {
+				for _, a := range arrivals {
 					if a.at >= now-spec.Overload.WindowSeconds {
 						sum += a.seconds
 					}
 				}
-				fell := e.CountWork(now, j.Seconds)
+				hasOverloaded := e.CountWork(now, j.Seconds)
 				over := sum - 2.5*before*float64(spec.Slots) - spec.Overload.SlackSeconds
 				if math.Abs(over) > 1e-9 {
-					require.Equal(t, before < 1 && !fallen && over > 0, fell)
+					require.Equal(t, before < 1 && !overloaded && over > 0, hasOverloaded)
 				}
-				if fallen = fallen || fell; before >= 1 {
-					borne = nil
+				if overloaded = overloaded || hasOverloaded; before >= 1 {
+					arrivals = nil
 				}
-				room := e.Queued() < spec.QueueLimit || !e.isPaused() && len(e.running) < spec.Slots
+				hasRoom := e.Queued() < spec.QueueLimit || !e.isPaused() && len(e.running) < spec.Slots
 				taken := e.Enqueue(now, j)
-				require.Equal(t, room, taken)
+				require.Equal(t, hasRoom, taken)
 				if taken {
-					take(j)
+					enqueue(j)
 				}
 			case 3:
 				e.SetHung(now, rapid.Bool().Draw(t, "hang"))
 			case 4:
-				if len(held) > 0 {
-					j := held[rapid.IntRange(0, len(held)-1).Draw(t, "which")]
+				if len(inFlight) > 0 {
+					j := inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")]
 					if e.Cancel(j) {
 						require.True(t, spec.DropsCancelled)
-						leave(j)
+						complete(j)
 					}
 				}
 			case 5:
 				e.SetConnections(rapid.IntRange(0, 200).Draw(t, "connections"))
 			}
-			require.Len(t, held, e.InFlight())
+			require.Len(t, inFlight, e.InFlight())
 			require.LessOrEqual(t, len(e.running), spec.Slots)
 			require.LessOrEqual(t, e.Queued(), spec.QueueLimit)
 			if !e.isPaused() && len(e.running) < spec.Slots {
@@ -100,25 +100,25 @@
 			}
 			require.GreaterOrEqual(t, e.Warmth(now), warmth)
 			require.LessOrEqual(t, e.Warmth(now), 1.0)
-			require.Equal(t, fallen, e.IsOverloaded())
+			require.Equal(t, overloaded, e.IsOverloaded())
 			warmth = e.Warmth(now)
 			if cold && now-100 >= spec.WarmupSeconds {
 				require.Equal(t, 1.0, warmth)
 			}
 		}
-		// Left alone a box that has not fallen ends all that it has.
+		// Without further events an engine that is not overloaded completes all jobs.
 		e.SetHung(now, false)
-		for until := now + 1000; !fallen && len(held) > 0; {
+		for until := now + 1000; !overloaded && len(inFlight) > 0; {
 			require.LessOrEqual(t, e.NextAt(), until)
 			for _, j := range e.Advance(e.NextAt()) {
-				leave(j)
+				complete(j)
 			}
 		}
 	})
 }
 
-// Time that a box stands still is added to what it has in work, to the microsecond, however hang and pauses overlap.
-func TestStandingStillAddsUp(t *testing.T) {
+// The time of pauses and hangs is added to running jobs, to the microsecond, however they overlap.
+func TestPausesExtendRunningJobs(t *testing.T) {
 	spec := &ServerSpec{Slots: 1, QueueLimit: 5, PauseIntervalSeconds: 0.2, PauseSeconds: 0.1}
 	e := NewEngine(spec, randomStream(1, "test", 0), 0, false)
 	require.True(t, e.Enqueue(0, &Job{Seconds: 5}))
--- a/internal/environment/actors_test.go
+++ b/internal/environment/environment_test.go
@@ -20,12 +20,12 @@
 	"hazelwheel/policy"
 )
 
-// notes keeps what a world tells.
-type notes struct{ events []checker.Event }
+// eventRecorder keeps the events that an environment reports.
+type eventRecorder struct{ events []checker.Event }
 
-func (n *notes) Observe(e checker.Event) { n.events = append(n.events, e) }
+func (n *eventRecorder) Observe(e checker.Event) { n.events = append(n.events, e) }
 
-func (n *notes) count(kind checker.Kind) int {
+func (n *eventRecorder) count(kind checker.Kind) int {
 	count := 0
 	for _, e := range n.events {
 		if e.Kind == kind {
@@ -35,59 +35,59 @@
 	return count
 }
 
-// script is a host whose calls a test writes down.
-type script struct {
+// recordingHandler is a netio.Handler whose calls a test sets.
+type recordingHandler struct {
 	net     *virtual.Process
 	opened  func(c netio.Conn)
 	traffic func(c netio.Conn, data []byte)
 	closed  func(c netio.Conn, err error)
 }
 
-func (s *script) Start() {}
-func (s *script) Alarm() {}
-func (s *script) Open(c netio.Conn) bool {
+func (s *recordingHandler) Start() {}
+func (s *recordingHandler) Alarm() {}
+func (s *recordingHandler) Open(c netio.Conn) bool {
 	if s.opened != nil {
 		s.opened(c)
 	}
 	return true
 }
-func (s *script) Traffic(c netio.Conn, data []byte) {
+func (s *recordingHandler) Traffic(c netio.Conn, data []byte) {
 	if s.traffic != nil {
 		s.traffic(c, data)
 	}
 }
-func (s *script) Closed(c netio.Conn, err error) {
+func (s *recordingHandler) Closed(c netio.Conn, err error) {
 	if s.closed != nil {
 		s.closed(c, err)
 	}
 }
 
-// stage is a day's actors on a virtual network, with a sidecar that the test plays.
-type stage struct {
-	day   Day
-	notes notes
-	world *Environment
-	net   *virtual.Network
-	host  *script
+// testEnvironment is a day's actors on a virtual network, with a sidecar that the test implements.
+type testEnvironment struct {
+	day         Day
+	recorder    eventRecorder
+	environment *Environment
+	net         *virtual.Network
+	handler     *recordingHandler
 }
 
-func newStage(t require.TestingT, seed uint64, change func(*Day)) *stage {
-	s := &stage{day: Draw(seed, StandardRanges())}
+func newTestEnvironment(t require.TestingT, seed uint64, change func(*Day)) *testEnvironment {
+	s := &testEnvironment{day: Draw(seed, StandardRanges())}
 	if change != nil {
 		change(&s.day)
 	}
 	s.net = virtual.New(seed, s.day.Start)
-	s.world = New(&s.day, &s.notes)
+	s.environment = New(&s.day, &s.recorder)
 	side := s.day.Sidecars[0]
-	s.host = &script{}
-	s.host.net = s.net.Machine(side.IP).Process(virtual.ProcessOptions{Listen: []string{side.Address}})
-	require.NoError(t, s.host.net.Run(s.host))
+	s.handler = &recordingHandler{}
+	s.handler.net = s.net.Machine(side.IP).Process(virtual.ProcessOptions{Listen: []string{side.Address}})
+	require.NoError(t, s.handler.net.Run(s.handler))
 	return s
 }
 
-// begin begins what the world has at an address.
-func (s *stage) begin(t require.TestingT, ip string) {
-	for _, m := range s.world.Machines() {
+// start starts the environment's machine at an address.
+func (s *testEnvironment) start(t require.TestingT, ip string) {
+	for _, m := range s.environment.Machines() {
 		if m.IP == ip {
 			o := virtual.ProcessOptions{}
 			if m.Listen != "" {
@@ -99,40 +99,39 @@
 	}
 }
 
-func (s *stage) until(seconds float64) { s.net.RunUntil(s.day.Start + seconds) }
+func (s *testEnvironment) runUntil(seconds float64) { s.net.RunUntil(s.day.Start + seconds) }
 
-// request writes a request to a connection, with an id.
-func request(c netio.Conn, class string, id uint64) {
+// writeRequest writes a request with an id to a connection.
+func writeRequest(c netio.Conn, class string, id uint64) {
 	h := http1.Header{{Name: "Host", Value: "h"}, {Name: fieldID, Value: string(appendID(nil, id))}}
 	c.Write(http1.AppendRequest(nil, "GET", "/"+class, h, nil))
 }
 
-// Whatever a box does to an answer that it spoils, nobody reads it as whole; and whatever it puts in front of or behind a
-// good one, the answer itself is read.
-func TestBoxManners(t *testing.T) {
+// A malformed answer is never parsed as a complete one; a well-formed answer is parsed whatever precedes or follows it.
+func TestMisbehavingServersAnswersAreNeverTakenAsComplete(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		manners Misbehavior
 		read    bool
 	}{{"sound", Misbehavior{}, true}, {"spoilt", Misbehavior{Malformed: 1}, false}, {"behind", Misbehavior{TrailingBytes: 1}, true}, {"interim", Misbehavior{InterimResponses: 1}, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newStage(t, 3, func(d *Day) { d.ReportsInline = true })
-			b := s.world.Servers[0]
+			s := newTestEnvironment(t, 3, func(d *Day) { d.ReportsInline = true })
+			b := s.environment.Servers[0]
 			b.Spec.ErrorShare = 0
 			b.Misbehavior = c.manners
-			s.begin(t, b.Spec.IP)
+			s.start(t, b.Spec.IP)
 			const requests = 60
 			got := make([][]byte, requests)
-			s.host.opened = func(c netio.Conn) { request(c, s.day.Classes[0].Name, uint64(c.Context().(int)+1)) }
-			s.host.traffic = func(c netio.Conn, data []byte) {
+			s.handler.opened = func(c netio.Conn) { writeRequest(c, s.day.Classes[0].Name, uint64(c.Context().(int)+1)) }
+			s.handler.traffic = func(c netio.Conn, data []byte) {
 				got[c.Context().(int)] = append(got[c.Context().(int)], data...)
 			}
 			for i := range requests {
-				s.net.Schedule(s.day.Start+float64(i), func() { s.host.net.Dial(b.Spec.Address, math.Inf(1), i, func(error) {}) })
+				s.net.Schedule(s.day.Start+float64(i), func() { s.handler.net.Dial(b.Spec.Address, math.Inf(1), i, func(error) {}) })
 			}
-			s.until(requests + 30)
+			s.runUntil(requests + 30)
 			made := map[uint64]bool{}
-			for _, e := range s.notes.events {
+			for _, e := range s.recorder.events {
 				if e.Kind == checker.ResponseSent && !e.Malformed {
 					made[e.Digest] = true
 				}
@@ -150,19 +149,19 @@
 	}
 }
 
-// A watcher that asks on with the version it has, whenever its watch ends, has discovery's list in the end, through
-// changes, moves and times in which discovery is down; and discovery has told the witness of all that it wrote.
-func TestDiscoveryTellsAll(t *testing.T) {
+// A watcher that reconnects with the index it has, whenever its watch ends, has discovery's list in the end, through
+// changes, moves and outages of discovery; and discovery has reported all that it wrote to the observer.
+func TestWatchersEndUpWithDiscoverysList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newStage(t, rapid.Uint64Range(0, 1000).Draw(t, "seed"), nil)
-		r := s.world.Discovery
-		s.begin(t, r.spec.IPs[0])
-		held := map[string]string{}
+		s := newTestEnvironment(t, rapid.Uint64Range(0, 1000).Draw(t, "seed"), nil)
+		r := s.environment.Discovery
+		s.start(t, r.spec.IPs[0])
+		known := map[string]string{}
 		index, have, forget := uint64(0), false, false
 		var watch func()
 		var parser http1.ResponseParser
 		var buf http1.Buffer
-		s.host.opened = func(c netio.Conn) {
+		s.handler.opened = func(c netio.Conn) {
 			target := "/v1/endpoints?follow=1"
 			if have {
 				target += "&since=" + strconv.FormatUint(index, 10)
@@ -170,12 +169,12 @@
 			parser, buf = http1.NewResponseParser(http1.Limits{HeadBytes: 1 << 12, BufferedBodyBytes: 1 << 20}), http1.Buffer{}
 			c.Write(http1.AppendRequest(nil, "GET", target, http1.Header{{Name: "Host", Value: "d"}}, nil))
 		}
-		s.host.traffic = func(c netio.Conn, data []byte) {
+		s.handler.traffic = func(c netio.Conn, data []byte) {
 			buf.Write(data)
 			done, err := parser.Next(&buf)
 			require.NoError(t, err)
 			if parser.IsHeadComplete() && parser.Status != 200 || done {
-				s.host.net.Close(c)
+				s.handler.net.Close(c)
 				return
 			}
 			for {
@@ -192,52 +191,52 @@
 					Endpoints []struct{ Name, Address, Status string }
 				}
 				require.NoError(t, json.Unmarshal(line, &l))
-				require.Equal(t, !have, l.Snapshot, "who has no version is given the whole list")
+				require.Equal(t, !have, l.Snapshot, "without an index the complete list is sent")
 				if index, have = l.Index, true; l.Snapshot {
-					clear(held)
+					clear(known)
 				}
 				for _, e := range l.Endpoints {
-					if held[e.Name] = e.Address + e.Status; e.Status == "DELETED" {
-						delete(held, e.Name)
+					if known[e.Name] = e.Address + e.Status; e.Status == "DELETED" {
+						delete(known, e.Name)
 					}
 				}
 			}
 		}
-		s.host.closed = func(netio.Conn, error) {
+		s.handler.closed = func(netio.Conn, error) {
 			have, forget = have && !forget, false
 			s.net.Schedule(s.net.Now()+0.3, watch)
 		}
 		watch = func() {
-			s.host.net.Dial(r.Address(), s.net.Now()+1, nil, func(err error) {
+			s.handler.net.Dial(r.Address(), s.net.Now()+1, nil, func(err error) {
 				if err != nil {
 					s.net.Schedule(s.net.Now()+0.3, watch)
 				}
 			})
 		}
 		s.net.Schedule(s.day.Start, watch)
-		last := map[int]entry{} // what the boxes have done last
+		last := map[int]entry{} // the last state of each server
 		for i, b := range s.day.Servers[:s.day.InitialServers] {
 			last[i] = entry{status: checker.Serving, address: b.Address}
 		}
 		at := 1.0
 		for range rapid.IntRange(0, 12).Draw(t, "events") {
 			at += rapid.Float64Range(0, 4).Draw(t, "wait")
-			s.until(at)
-			box, now := rapid.IntRange(0, len(s.day.Servers)-1).Draw(t, "box"), s.net.Now()
-			was := last[box]
+			s.runUntil(at)
+			server, now := rapid.IntRange(0, len(s.day.Servers)-1).Draw(t, "box"), s.net.Now()
+			was := last[server]
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
-				last[box] = entry{status: checker.Serving, address: "10.9.9." + strconv.Itoa(int(at))}
-				r.ServerStarted(box, last[box].address, now, now)
+				last[server] = entry{status: checker.Serving, address: "10.9.9." + strconv.Itoa(int(at))}
+				r.ServerStarted(server, last[server].address, now, now)
 			case 1:
 				if was.status == checker.Serving {
-					last[box] = entry{status: checker.Draining, address: was.address}
-					r.ServerDraining(box, now)
+					last[server] = entry{status: checker.Draining, address: was.address}
+					r.ServerDraining(server, now)
 				}
 			case 2:
 				if was.status != 0 && was.status != checker.Deleted {
-					last[box] = entry{status: checker.Deleted, address: was.address}
-					r.ServerStopped(box, rapid.Bool().Draw(t, "silent"), now)
+					last[server] = entry{status: checker.Deleted, address: was.address}
+					r.ServerStopped(server, rapid.Bool().Draw(t, "silent"), now)
 				}
 			case 3:
 				r.DelaySeconds = rapid.Float64Range(0, 10).Draw(t, "stale")
@@ -245,20 +244,20 @@
 				r.SetDown(!r.isDown, now)
 			case 5:
 				if ip, ok := r.nextIP(); ok {
-					s.begin(t, ip)
+					s.start(t, ip)
 					r.Move()
 				}
 			case 6:
-				forget = true // it begins anew when its watch ends
+				forget = true // it reconnects without an index when its watch ends
 			}
 		}
 		r.SetDown(false, s.net.Now())
-		s.until(at + 40)
+		s.runUntil(at + 40)
 		want := map[string]string{}
-		told := map[int]checker.Event{}
-		for _, e := range s.notes.events {
+		delivered := map[int]checker.Event{}
+		for _, e := range s.recorder.events {
 			if e.Kind == checker.EntryDelivered && e.Sidecar == 0 {
-				told[int(e.Server)] = e
+				delivered[int(e.Server)] = e
 			}
 		}
 		for i, e := range r.entries {
@@ -268,23 +267,23 @@
 				want[s.day.Servers[i].Name] = e.address + statusText[e.status]
 			}
 			if e.status != 0 {
-				require.Equal(t, e.status, told[i].Status, "box %d", i)
-				require.Equal(t, e.address, told[i].Address)
+				require.Equal(t, e.status, delivered[i].Status, "box %d", i)
+				require.Equal(t, e.address, delivered[i].Address)
 			}
 		}
-		require.Equal(t, want, held)
+		require.Equal(t, want, known)
 	})
 }
 
-// A client tries again what it may: safe requests after any failure, unsafe and keyed ones of a zone only where they
-// were refused or not even taken; each try has a new id, and one that a close has crossed is sent once more as it was.
-func TestApplicationTriesAgain(t *testing.T) {
-	const most = 2
-	refuse := func(h *script, c netio.Conn, _ int) { c.Write(http1.AppendResponse(nil, 503, nil, nil)) }
-	fail := func(h *script, c netio.Conn, _ int) { c.Write(http1.AppendResponse(nil, 500, nil, nil)) }
-	hangUp := func(h *script, c netio.Conn, _ int) { h.net.Close(c) }
-	silent := func(*script, netio.Conn, int) {}
-	crossed := func(h *script, c netio.Conn, n int) { // the first is served, the next one meets a close
+// A client retries what it may: safe requests after any failure, unsafe and keyed ones of a zone only if they were rejected
+// or did not reach the sidecar. Each retry has a new id; a request that a close has crossed is sent once more as it was.
+func TestApplicationRetriesWhatItMay(t *testing.T) {
+	const maxRetries = 2
+	reject := func(h *recordingHandler, c netio.Conn, _ int) { c.Write(http1.AppendResponse(nil, 503, nil, nil)) }
+	fail := func(h *recordingHandler, c netio.Conn, _ int) { c.Write(http1.AppendResponse(nil, 500, nil, nil)) }
+	closeConn := func(h *recordingHandler, c netio.Conn, _ int) { h.net.Close(c) }
+	silent := func(*recordingHandler, netio.Conn, int) {}
+	crossed := func(h *recordingHandler, c netio.Conn, n int) { // the first is served, the next one meets a close
 		if n != 1 {
 			c.Write(http1.AppendResponse(nil, 200, nil, nil))
 			return
@@ -294,32 +293,32 @@
 	for _, c := range []struct {
 		name         string
 		class        checker.Effect
-		does         func(h *script, c netio.Conn, n int)
+		does         func(h *recordingHandler, c netio.Conn, n int)
 		tries, times int // of the most-tried request: ids, and times that it came
 	}{
-		{"safe refused", checker.Safe, refuse, 1 + most, 1}, {"safe failed", checker.Safe, fail, 1 + most, 1},
-		{"safe hung up on", checker.Safe, hangUp, 1 + most, 1}, {"safe not answered", checker.Safe, silent, 1 + most, 1},
-		{"unsafe refused", checker.Unsafe, refuse, 1 + most, 1}, {"unsafe failed", checker.Unsafe, fail, 1, 1},
-		{"unsafe hung up on", checker.Unsafe, hangUp, 1, 1}, {"unsafe not answered", checker.Unsafe, silent, 1, 1},
-		{"keyed refused", checker.Keyed, refuse, 1 + most, 1}, {"keyed failed", checker.Keyed, fail, 1, 1},
+		{"safe refused", checker.Safe, reject, 1 + maxRetries, 1}, {"safe failed", checker.Safe, fail, 1 + maxRetries, 1},
+		{"safe hung up on", checker.Safe, closeConn, 1 + maxRetries, 1}, {"safe not answered", checker.Safe, silent, 1 + maxRetries, 1},
+		{"unsafe refused", checker.Unsafe, reject, 1 + maxRetries, 1}, {"unsafe failed", checker.Unsafe, fail, 1, 1},
+		{"unsafe hung up on", checker.Unsafe, closeConn, 1, 1}, {"unsafe not answered", checker.Unsafe, silent, 1, 1},
+		{"keyed refused", checker.Keyed, reject, 1 + maxRetries, 1}, {"keyed failed", checker.Keyed, fail, 1, 1},
 		{"crossed", checker.Unsafe, crossed, 1, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newStage(t, 5, func(d *Day) {
+			s := newTestEnvironment(t, 5, func(d *Day) {
 				d.LengthSeconds = 20
 				d.Classes = slices.DeleteFunc(d.Classes, func(k ClassSpec) bool { return k.Effect != c.class })
 				d.Classes[0].Share, d.Classes[0].TotalTimeoutSeconds = 1, 3
-				d.Clients.Retries, d.Clients.AttemptTimeoutShare, d.Clients.BackoffSeconds, d.Clients.ImpatientShare, d.Clients.RetryAfterShare = most, 0.3, 0.02, 0, 0
+				d.Clients.Retries, d.Clients.AttemptTimeoutShare, d.Clients.BackoffSeconds, d.Clients.ImpatientShare, d.Clients.RetryAfterShare = maxRetries, 0.3, 0.02, 0, 0
 				d.Clients.RatePerSecond, d.Clients.BurstFactor, d.Sidecars[0].Share = 1, 1, 1
 				d.Clients.MaxConnections = 100
 			})
-			n, came := 0, map[string]int{}
+			n, arrivals := 0, map[string]int{}
 			type reader struct {
 				http1.Buffer
 				http1.RequestParser
 			}
 			readers := map[netio.Conn]*reader{}
-			s.host.traffic = func(conn netio.Conn, data []byte) {
+			s.handler.traffic = func(conn netio.Conn, data []byte) {
 				p := readers[conn]
 				if p == nil {
 					p = &reader{RequestParser: http1.NewRequestParser(messageLimits)}
@@ -333,42 +332,42 @@
 				case p.Target == "/ready":
 					conn.Write(http1.AppendResponse(nil, 200, nil, nil))
 				default:
-					came[p.Header.Get(fieldID)]++
+					arrivals[p.Header.Get(fieldID)]++
 					n++
-					c.does(s.host, conn, n-1)
+					c.does(s.handler, conn, n-1)
 				}
 			}
-			s.begin(t, s.day.Sidecars[0].IP)
-			s.until(40)
+			s.start(t, s.day.Sidecars[0].IP)
+			s.runUntil(40)
 			tries, times := map[uint64]int{}, 0
-			for _, e := range s.notes.events {
+			for _, e := range s.recorder.events {
 				if e.Kind == checker.RequestStarted {
 					tries[e.FirstRequest]++
 				}
 			}
-			for _, k := range came {
+			for _, k := range arrivals {
 				times = max(times, k)
 			}
-			most := 0
+			maxRetries := 0
 			for _, k := range tries {
-				most = max(most, k)
+				maxRetries = max(maxRetries, k)
 			}
 			require.Greater(t, len(tries), 3)
-			assert.Equal(t, c.tries, most, "tries")
+			assert.Equal(t, c.tries, maxRetries, "tries")
 			assert.Equal(t, c.times, times, "times that one id came")
-			assert.Zero(t, s.notes.count(checker.UnsolicitedBytes))
+			assert.Zero(t, s.recorder.count(checker.UnsolicitedBytes))
 		})
 	}
 }
 
-// A sidecar reads its configuration as the day means it.
-func TestConfigurationIsRead(t *testing.T) {
+// A sidecar's configuration parses to the figures of the day.
+func TestSidecarParsesItsConfiguration(t *testing.T) {
 	for seed := range uint64(20) {
-		s := newStage(t, seed, nil)
+		s := newTestEnvironment(t, seed, nil)
 		for i := range s.day.Sidecars {
-			cfg, err := sidecarconfig.Parse(s.world.StartConfiguration(i, s.day.Start))
+			cfg, err := sidecarconfig.Parse(s.environment.StartConfiguration(i, s.day.Start))
 			require.NoError(t, err)
-			assert.Equal(t, []any{s.day.Sidecars[i].Address, s.world.Discovery.Address(), s.day.MaxDescriptors, len(s.day.Sidecars), s.day.Sidecars[i].Site},
+			assert.Equal(t, []any{s.day.Sidecars[i].Address, s.environment.Discovery.Address(), s.day.MaxDescriptors, len(s.day.Sidecars), s.day.Sidecars[i].Site},
 				[]any{cfg.Listen, cfg.Discovery, cfg.Limits.Sockets, cfg.Settings.Policy.Replicas, cfg.Settings.Policy.Zone})
 			for k, c := range cfg.Settings.Policy.Classes {
 				want := s.day.Classes[k]
@@ -379,6 +378,6 @@
 			require.NoError(t, json.Unmarshal(cfg.Known, &known))
 			assert.Len(t, known.Endpoints, s.day.InitialServers)
 		}
-		assert.Equal(t, len(s.day.Sidecars)*s.day.InitialServers, s.notes.count(checker.EntryDelivered), "the witness knows what they were told")
+		assert.Equal(t, len(s.day.Sidecars)*s.day.InitialServers, s.recorder.count(checker.EntryDelivered), "the observer gets what they were sent")
 	}
 }
--- a/internal/environment/hostileclients_test.go
+++ b/internal/environment/hostileclients_test.go
@@ -8,9 +8,9 @@
 	"hazelwheel/internal/checker"
 )
 
-// In real time a trouble can begin before the machine of its clients does. Its clients come once the machine has begun, and
-// no longer than the trouble lasts.
-func TestClientsOfATroubleThatBeginsBeforeTheirMachine(t *testing.T) {
+// In real time a fault can start before the machine of its clients does. The clients connect once the machine has started,
+// and no longer than the fault lasts.
+func TestHostileClientsConnectOnceTheirMachineHasStarted(t *testing.T) {
 	const (
 		begins = 0.0
 		lasts  = 4.0
@@ -23,21 +23,21 @@
 			come         bool
 		}{{"while it lasts", 2, true}, {"once it is over", lasts, false}} {
 			t.Run(kind+" "+c.name, func(t *testing.T) {
-				s := newStage(t, 3, nil)
+				s := newTestEnvironment(t, 3, nil)
 				script := &Script{Faults: []Fault{{Kind: kind, AtSeconds: begins, DurationSeconds: lasts, Sidecars: []int{0}, RatePerSecond: perS}}}
-				player, err := NewFaultInjector(s.world, script, nil, &s.notes)
+				injector, err := NewFaultInjector(s.environment, script, nil, &s.recorder)
 				require.NoError(t, err)
-				player.Advance(s.day.Start)
-				s.until(c.machineAfter)
+				injector.Advance(s.day.Start)
+				s.runUntil(c.machineAfter)
 
-				require.Zero(t, s.notes.count(checker.HostileConnected))
-				s.begin(t, s.day.Sidecars[0].IP)
-				s.until(lasts)
-				came := s.world.HostileClients[0].lastVisit
-				require.Equal(t, c.come, came > 0)
-				require.Equal(t, c.come, s.notes.count(checker.HostileConnected) > 0)
-				s.until(lasts + 2)
-				require.Equal(t, came, s.world.HostileClients[0].lastVisit, "none comes once the trouble is over")
+				require.Zero(t, s.recorder.count(checker.HostileConnected))
+				s.start(t, s.day.Sidecars[0].IP)
+				s.runUntil(lasts)
+				connected := s.environment.HostileClients[0].lastVisit
+				require.Equal(t, c.come, connected > 0)
+				require.Equal(t, c.come, s.recorder.count(checker.HostileConnected) > 0)
+				s.runUntil(lasts + 2)
+				require.Equal(t, connected, s.environment.HostileClients[0].lastVisit, "none connects once the fault is over")
 			})
 		}
 	}
--- a/internal/environment/script_test.go
+++ b/internal/environment/script_test.go
@@ -12,8 +12,8 @@
 	"hazelwheel/internal/tomlfile"
 )
 
-// What is drawn, printed and read back is the same, and is drawn alike a second time.
-func TestScriptIsReadBackAsPrinted(t *testing.T) {
+// A drawn script is the same when formatted and read, and when drawn a second time.
+func TestScriptSurvivesFormatAndRead(t *testing.T) {
 	r := StandardRanges()
 	drawn := map[string]bool{}
 	for seed := range uint64(400) {
@@ -30,15 +30,15 @@
 		drawnAgain := DrawScript(&again)
 		DrawPeerFaults(&again, &drawnAgain)
 		require.Equal(t, s, drawnAgain)
-		for _, trouble := range s.Faults {
-			drawn[trouble.Kind] = true
+		for _, fault := range s.Faults {
+			drawn[fault.Kind] = true
 		}
 	}
 	assert.Len(t, drawn, len(FaultKinds()), "some kind is never drawn")
 }
 
-// A bad script is one line that names the file, the line, the column and the field.
-func TestBadScripts(t *testing.T) {
+// The error of an invalid script is one line with the file, the line, the column and the field.
+func TestInvalidScriptsNameTheLineAndField(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"seed = 1\nsede = 2\n", "x.toml:2:1: sede: no such field"},
 		{"seed = -1\n", "x.toml:1:8: seed: "},
@@ -74,10 +74,10 @@
 	}
 }
 
-// What real processes can't play their reader refuses, and no other.
-func TestRealScripts(t *testing.T) {
+// ReadRealScript rejects the faults that are injected in simulated time alone, and no others.
+func TestRealScriptRejectsSimulatedFaults(t *testing.T) {
 	d := Draw(1, StandardRanges())
-	box := d.Servers[0].Name
+	server := d.Servers[0].Name
 	text := "seed = 1\n\n[[trouble]]\nkind = \"shrink\"\nat_s = 5.0\nby = 1\n"
 	s, err := ReadRealScript("x.toml", []byte(text), StandardRanges())
 	require.NoError(t, err)
@@ -87,14 +87,14 @@
 	assert.EqualError(t, err, "x.toml:9:1: kind: clock is played in simulated time alone: real processes share the machine's clock")
 	_, err = ReadScript("x.toml", []byte(text), StandardRanges())
 	assert.NoError(t, err)
-	text = "seed = 1\n\n[[trouble]]\nkind = \"late-connect\"\nat_s = 5.0\nfor_s = 1.0\nboxes = [\"" + box + "\"]\nshare = 0.5\nlag_s = 1.0\n"
+	text = "seed = 1\n\n[[trouble]]\nkind = \"late-connect\"\nat_s = 5.0\nfor_s = 1.0\nboxes = [\"" + server + "\"]\nshare = 0.5\nlag_s = 1.0\n"
 	_, err = ReadScript("x.toml", []byte(text), StandardRanges())
 	require.NoError(t, err)
 	_, err = ReadRealScript("x.toml", []byte(text), StandardRanges())
 	assert.EqualError(t, err, "x.toml:4:1: kind: late-connect is played in simulated time alone: the machine's connections to itself come up at once")
 }
 
-// Whatever the text, reading it ends in a script that prints and reads alike, or in one line of error.
+// Any text is read as a script that is the same when formatted and read again, or gives an error of one line.
 func FuzzReadScript(f *testing.F) {
 	for seed := range uint64(4) {
 		d := Draw(seed, StandardRanges())
@@ -122,8 +122,8 @@
 	})
 }
 
-// What is due comes out by time, and of one time in the order in which it went in.
-func TestAgenda(t *testing.T) {
+// Values are popped by time, and those of one time in the order in which they were added.
+func TestScheduleOrdersByTimeAndInsertion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a schedule[int]
 		times := rapid.SliceOf(rapid.IntRange(0, 5)).Draw(t, "times")
--- a/internal/environment/stored_form_test.go
+++ b/internal/environment/stored_form_test.go
@@ -56,6 +56,6 @@
 // TestConfigurationFormIsKept writes the configuration that a sidecar starts with.
 func TestConfigurationFormIsKept(t *testing.T) {
 	d := Draw(7, StandardRanges())
-	w := New(&d, &notes{})
+	w := New(&d, &eventRecorder{})
 	requireGolden(t, "configuration.json", w.StartConfiguration(0, d.Start+30))
 }
