--- a/internal/environment/abandon.go
+++ b/internal/environment/abandon.go
@@ -34,7 +34,7 @@
 // reads on.
 func (a *Application) abandonEarly(op *operation, now float64) {
 	conn := op.conn
-	if out := conn != nil && conn.conn != nil && conn.operation == op && conn.isSent; out && a.earlyAbandons.IntN(4) == 0 {
+	if isInFlight := conn != nil && conn.conn != nil && conn.operation == op && conn.isSent; isInFlight && a.earlyAbandons.IntN(4) == 0 {
 		conn.isHalfClosed = true
 		a.observe(checker.RequestHalfClosed, op, conn)
 		a.net.CloseWrite(conn.conn)
--- a/internal/environment/application.go
+++ b/internal/environment/application.go
@@ -11,17 +11,17 @@
 // Application is the client beside one sidecar. Its operations arrive whether earlier ones are answered or not, and it
 // retries them as its ClientSpec says. It starts once the sidecar is ready. It implements netio.Handler.
 type Application struct {
-	number   int32
-	day      *Day
-	spec     *ClientSpec
-	observer checker.Observer
-	arrivals *rand.Rand // of operations
-	ids      *rand.Rand
-	behavior *rand.Rand // of a request: its impatience, backoff and retries
-	net      netio.EventLoop
-	tasks    schedule[clientTask]
-	armed    float64
-	ready    bool
+	number         int32
+	day            *Day
+	spec           *ClientSpec
+	observer       checker.Observer
+	arrivals       *rand.Rand // of operations
+	ids            *rand.Rand
+	behavior       *rand.Rand // of a request: its impatience, backoff and retries
+	net            netio.EventLoop
+	tasks          schedule[clientTask]
+	alarmAt        float64
+	isSidecarReady bool
 
 	drainAt float64 // from then on no connection is opened; +Inf: the sidecar stays
 
@@ -37,7 +37,7 @@
 	lastConnNumber    uint64
 	batch             *BatchSpec // set for the batch beside the application
 	lastSent          *operation // the operation whose request was written last
-	out               []byte
+	buffer            []byte
 	body              []byte
 }
 
@@ -80,7 +80,7 @@
 // NewApplication returns the application beside a sidecar.
 func NewApplication(day *Day, sidecar int, observer checker.Observer) *Application {
 	return &Application{number: int32(sidecar), day: day, spec: &day.Clients, observer: observer, arrivals: randomStream(day.Seed, "arrivals", sidecar),
-		ids: randomStream(day.Seed, "ids", sidecar), behavior: randomStream(day.Seed, "clients", sidecar), earlyAbandons: randomStream(day.Seed, "early", sidecar), armed: math.Inf(1), drainAt: math.Inf(1),
+		ids: randomStream(day.Seed, "ids", sidecar), behavior: randomStream(day.Seed, "clients", sidecar), earlyAbandons: randomStream(day.Seed, "early", sidecar), alarmAt: math.Inf(1), drainAt: math.Inf(1),
 		body: []byte(bodyText)}
 }
 
@@ -108,7 +108,7 @@
 // Start schedules the first readiness probe.
 func (a *Application) Start() {
 	a.tasks.add(a.net.Now(), clientTask{kind: taskProbeReady})
-	a.arm()
+	a.updateAlarm()
 }
 
 // event returns an event of an operation's present request and of a connection; either may be nil.
@@ -130,48 +130,48 @@
 
 // Alarm does what is due.
 func (a *Application) Alarm() {
-	a.armed = math.Inf(1)
+	a.alarmAt = math.Inf(1)
 	now := a.net.Now()
 	for {
-		t, due, ok := a.tasks.pop(now)
+		task, dueAt, ok := a.tasks.pop(now)
 		if !ok {
 			break
 		}
-		op := t.operation
-		switch t.kind {
+		op := task.operation
+		switch task.kind {
 		case taskProbeReady:
-			if !a.ready {
-				a.probeReady(now)
+			if !a.isSidecarReady {
+				a.dialReadinessProbe(now)
 			}
 		case taskArrival:
-			a.startOperation(due, now)
+			a.startOperation(dueAt, now)
 		case taskRetry:
 			if !op.isFinished && !a.isDisconnected(now) {
 				a.startRequest(op, now)
 			}
 		case taskTimeout:
-			if !op.isFinished && op.request == t.request {
+			if !op.isFinished && op.request == task.request {
 				a.abandon(op, now)
 			}
 		case taskAbandon:
-			if !op.isFinished && op.request == t.request {
+			if !op.isFinished && op.request == task.request {
 				a.abandonEarly(op, now)
 			}
 		case taskEnd:
 			a.closeIdle()
 		}
 	}
-	a.arm()
+	a.updateAlarm()
 }
 
-func (a *Application) arm() {
-	if at := a.tasks.nextAt(); at != a.armed && at < math.Inf(1) {
-		a.armed = at
+func (a *Application) updateAlarm() {
+	if at := a.tasks.nextAt(); at != a.alarmAt && at < math.Inf(1) {
+		a.alarmAt = at
 		a.net.SetAlarm(at)
 	}
 }
 
-func (a *Application) probeReady(now float64) {
+func (a *Application) dialReadinessProbe(now float64) {
 	a.lastConnNumber++
 	conn := &clientConn{app: a, number: uint64(a.number+1)<<48 | a.lastConnNumber, isReadinessProbe: true, response: newResponseReader(HTTP)}
 	a.openConns++
--- a/internal/environment/arrivals.go
+++ b/internal/environment/arrivals.go
@@ -22,19 +22,19 @@
 
 // nextArrival returns the time of the next arrival after a time, by thinning.
 func (a *Application) nextArrival(at float64) float64 {
-	maximum := a.spec.RatePerSecond * a.day.Sidecars[a.number].Share * (1 + a.spec.Swing) * a.spec.BurstFactor
+	maxRate := a.spec.RatePerSecond * a.day.Sidecars[a.number].Share * (1 + a.spec.Swing) * a.spec.BurstFactor
 	for {
-		at += a.arrivals.ExpFloat64() / maximum
-		if a.arrivals.Float64()*maximum <= a.rateAt(at) {
+		at += a.arrivals.ExpFloat64() / maxRate
+		if a.arrivals.Float64()*maxRate <= a.rateAt(at) {
 			return at
 		}
 	}
 }
 
 // startOperation starts an operation and schedules the next arrival.
-func (a *Application) startOperation(due, now float64) {
+func (a *Application) startOperation(dueAt, now float64) {
 	// Danger: if the next one counted from now, a late event loop would reduce the rate.
-	if at := a.nextArrival(due); at < a.day.Start+a.day.LengthSeconds {
+	if at := a.nextArrival(dueAt); at < a.day.Start+a.day.LengthSeconds {
 		a.tasks.add(at, clientTask{kind: taskArrival})
 	} else {
 		a.tasks.add(now+a.longestTimeout()+2, clientTask{kind: taskEnd})
@@ -63,9 +63,9 @@
 
 // longestTimeout returns the longest time-out of an operation.
 func (a *Application) longestTimeout() float64 {
-	maximum := 0.0
+	longest := 0.0
 	for _, class := range a.day.Classes {
-		maximum = max(maximum, class.TotalTimeoutSeconds)
+		longest = max(longest, class.TotalTimeoutSeconds)
 	}
-	return maximum
+	return longest
 }
--- a/internal/environment/clientconn.go
+++ b/internal/environment/clientconn.go
@@ -54,7 +54,7 @@
 			a.retryFailed(op, a.net.Now(), true)
 		}
 		a.sendWaiting()
-		a.arm()
+		a.updateAlarm()
 	})
 }
 
@@ -86,7 +86,7 @@
 	switch {
 	case conn.isReadinessProbe:
 		conn.uses++
-		c.Write(http1.AppendRequest(a.out[:0], "GET", "/ready", http1.Header{{Name: "Host", Value: "service.internal"}}, nil))
+		c.Write(http1.AppendRequest(a.buffer[:0], "GET", "/ready", http1.Header{{Name: "Host", Value: "service.internal"}}, nil))
 	case conn.operation != nil && conn.operation.conn == conn && !conn.operation.isFinished:
 		a.write(conn, conn.operation)
 	default:
@@ -104,13 +104,13 @@
 	conn.response = newResponseReader(a.day.Protocol)
 	conn.uses++
 	if a.day.Protocol.IsThrift() {
-		a.out = a.appendCall(a.out[:0], op)
+		a.buffer = a.appendCall(a.buffer[:0], op)
 	} else {
-		a.out = a.appendRequest(a.out[:0], op)
+		a.buffer = a.appendRequest(a.buffer[:0], op)
 	}
 	netConn := conn.conn
 	conn.isSent = false
-	if _, err := netConn.Write(a.out); err == nil && conn.conn == netConn && conn.operation == op {
+	if _, err := netConn.Write(a.buffer); err == nil && conn.conn == netConn && conn.operation == op {
 		a.observeSent(conn)
 	}
 }
@@ -178,15 +178,15 @@
 	case done:
 		a.responseReceived(conn)
 	}
-	a.arm()
+	a.updateAlarm()
 }
 
 func (a *Application) readyAnswered(conn *clientConn, ready bool) {
 	a.net.Close(conn.conn)
-	if !ready || a.ready {
+	if !ready || a.isSidecarReady {
 		return
 	}
-	a.ready = true
+	a.isSidecarReady = true
 	a.tasks.add(a.nextArrival(a.net.Now()), clientTask{kind: taskArrival})
 }
 
@@ -198,15 +198,15 @@
 	e.Status, e.Digest = int32(conn.response.Status), checker.Digest(conn.response.Body)
 	a.observer.Observe(e)
 	conn.operation = nil
-	status, after := conn.response.Status, 0.0
-	if text := conn.response.after; text != "" {
-		after, _ = strconv.ParseFloat(text, 64) // an unreadable value is ignored
+	status, retryAfter := conn.response.Status, 0.0
+	if text := conn.response.retryAfter; text != "" {
+		retryAfter, _ = strconv.ParseFloat(text, 64) // an unreadable value is ignored
 	}
 	switch {
 	case conn.buf.Len() > 0:
 		a.observe(checker.UnsolicitedBytes, nil, conn)
 		a.net.Close(conn.conn)
-	case !conn.response.Keep() || conn.isHalfClosed:
+	case !conn.response.IsPersistent() || conn.isHalfClosed:
 		a.net.Close(conn.conn)
 	default:
 		a.idleConns = append(a.idleConns, conn)
@@ -215,7 +215,7 @@
 	case 200:
 		a.finishOperation(op)
 	case 429, 503:
-		a.retryRejected(op, now, after)
+		a.retryRejected(op, now, retryAfter)
 	default:
 		a.retryFailed(op, now, false)
 	}
@@ -235,13 +235,13 @@
 	}
 	k := conn.operation
 	if conn.operation = nil; k == nil || k.isFinished || k.conn != conn || err == nil {
-		a.arm()
+		a.updateAlarm()
 		return
 	}
 	now := a.net.Now()
 	k.conn = nil
 	switch {
-	case conn.response.Begun():
+	case conn.response.HasBegun():
 		a.observe(checker.ResponseTruncated, k, conn)
 		a.retryFailed(k, now, false)
 	case conn.uses > 1 && !k.isResent && now < k.requestDeadline && !conn.isHalfClosed:
@@ -253,7 +253,7 @@
 		a.retryFailed(k, now, !conn.isSent)
 	}
 	a.sendWaiting()
-	a.arm()
+	a.updateAlarm()
 }
 
 // observeDropped reports a request whose connection the sidecar's side has closed.
--- a/internal/environment/clientretry.go
+++ b/internal/environment/clientretry.go
@@ -38,17 +38,17 @@
 func (a *Application) finishOperation(op *operation) { op.isFinished = true }
 
 // retryRejected handles a rejection, after which a retry is always safe. Some clients wait as long as the answer says.
-func (a *Application) retryRejected(op *operation, now, after float64) {
-	pause := a.backoff(op)
-	if after > 0 && a.behavior.Float64() < a.spec.RetryAfterShare {
-		pause = max(pause, min(after, a.spec.MaxRetryAfterSeconds))
+func (a *Application) retryRejected(op *operation, now, retryAfter float64) {
+	backoff := a.backoff(op)
+	if retryAfter > 0 && a.behavior.Float64() < a.spec.RetryAfterShare {
+		backoff = max(backoff, min(retryAfter, a.spec.MaxRetryAfterSeconds))
 	}
-	a.scheduleRetry(op, now+pause)
+	a.scheduleRetry(op, now+backoff)
 }
 
 // retryFailed handles a failure; unreached: the request did not reach the sidecar.
-func (a *Application) retryFailed(op *operation, now float64, unreached bool) {
-	if !unreached && !a.mayRetryFailure(op.class) {
+func (a *Application) retryFailed(op *operation, now float64, isUnsent bool) {
+	if !isUnsent && !a.mayRetryFailure(op.class) {
 		a.finishOperation(op)
 		return
 	}
--- a/internal/environment/configuration.go
+++ b/internal/environment/configuration.go
@@ -28,12 +28,12 @@
 
 type object = map[string]any
 
-func (e *Environment) configuration(sidecar int, known []byte) []byte {
+func (e *Environment) configuration(sidecar int, knownList []byte) []byte {
 	day, spec := e.Day, &e.Day.Sidecars[sidecar]
 	raw, err := json.Marshal(object{"name": spec.Name, "listen": spec.Address, "discovery": e.Discovery.Address(),
 		"seed":   fmt.Sprintf("%016x", spec.Seed),
 		"limits": object{"cores": 1, "memory_mb": day.MemoryMB, "sockets": day.MaxDescriptors},
-		"known":  json.RawMessage(known), "settings": day.settings(sidecar)})
+		"known":  json.RawMessage(knownList), "settings": day.settings(sidecar)})
 	if err != nil {
 		panic(err) // all values are this package's, and can be marshalled
 	}
--- a/internal/environment/discovery.go
+++ b/internal/environment/discovery.go
@@ -20,9 +20,9 @@
 	rng                *rand.Rand
 	entries            []entry       // by server
 	changes            []change      // of the list, oldest first
-	known              []knownServer // by server
-	pending            schedule[change]
-	index              uint64
+	knownServers       []knownServer // by server
+	pendingChanges     schedule[change]
+	listIndex          uint64
 	nextPublishAt      float64 // when due changes are applied next
 	isDown             bool
 	refusesConnections bool // while it is down connections are refused, too
@@ -56,37 +56,37 @@
 // knownServer is what discovery has learned of a server.
 type knownServer struct {
 	incarnation int
-	dueAt       float64 // of the last change; a later one is not applied before it
+	changeAt    float64 // of the last change; a later one is not applied before it
 	entry       entry   // after the last change. Danger: the list may not have it yet, and the next change must start from it
 }
 
 // NewDiscovery returns a discovery service that lists the servers which run at the day's start.
 func NewDiscovery(day *Day, observer checker.Observer) *Discovery {
 	discovery := &Discovery{day: day, spec: &day.Discovery, observer: observer, sidecars: newSidecarAddresses(day), rng: randomStream(day.Seed, "discovery", 0),
-		entries: make([]entry, len(day.Servers)), known: make([]knownServer, len(day.Servers)), index: 40, nextPublishAt: day.Start}
+		entries: make([]entry, len(day.Servers)), knownServers: make([]knownServer, len(day.Servers)), listIndex: 40, nextPublishAt: day.Start}
 	for i := range day.Servers[:day.InitialServers] {
-		discovery.known[i].entry = entry{status: checker.Serving, address: day.Servers[i].Address}
-		discovery.apply(change{server: i, entry: discovery.known[i].entry, at: day.Start})
+		discovery.knownServers[i].entry = entry{status: checker.Serving, address: day.Servers[i].Address}
+		discovery.apply(change{server: i, entry: discovery.knownServers[i].entry, at: day.Start})
 	}
 	return discovery
 }
 
 // ServerStarted notifies discovery of a server's new process.
 func (d *Discovery) ServerStarted(server int, address string, since, now float64) {
-	d.known[server].incarnation++
+	d.knownServers[server].incarnation++
 	d.scheduleChange(server, entry{status: checker.Serving, address: address, servingSince: since}, now+d.spec.StartNoticeSeconds)
 }
 
 // ServerDraining notifies discovery that a server drains.
 func (d *Discovery) ServerDraining(server int, now float64) {
-	e := d.known[server].entry
+	e := d.knownServers[server].entry
 	e.status = checker.Draining
 	d.scheduleChange(server, e, now+d.spec.StartNoticeSeconds/4)
 }
 
 // ServerStopped notifies discovery that a server's process has ended or, if silent, that its machine is unreachable.
 func (d *Discovery) ServerStopped(server int, silent bool, now float64) {
-	e := d.known[server].entry
+	e := d.knownServers[server].entry
 	e.status = checker.Deleted
 	at := now + d.spec.FailureNoticeSeconds
 	if silent {
@@ -96,19 +96,19 @@
 }
 
 func (d *Discovery) scheduleChange(server int, e entry, at float64) {
-	k := &d.known[server]
-	k.dueAt, k.entry = max(k.dueAt, at+d.DelaySeconds), e
-	d.pending.add(k.dueAt, change{server: server, incarnation: k.incarnation, entry: e, at: k.dueAt})
+	k := &d.knownServers[server]
+	k.changeAt, k.entry = max(k.changeAt, at+d.DelaySeconds), e
+	d.pendingChanges.add(k.changeAt, change{server: server, incarnation: k.incarnation, entry: e, at: k.changeAt})
 	d.updateAlarms()
 }
 
 // apply applies a change to the list.
 func (d *Discovery) apply(c change) {
-	d.index++
-	c.entry.index = d.index
+	d.listIndex++
+	c.entry.index = d.listIndex
 	d.entries[c.server] = c.entry
 	d.changes = append(d.changes, c)
-	d.observeEntry(checker.ListChanged, -1, c.server, c.entry, d.index, c.at)
+	d.observeEntry(checker.ListChanged, -1, c.server, c.entry, d.listIndex, c.at)
 }
 
 func (d *Discovery) observeEntry(kind checker.Kind, sidecar int32, server int, e entry, index uint64, now float64) {
@@ -119,8 +119,8 @@
 // nextAt returns when discovery has something to do; +Inf: nothing is due.
 func (d *Discovery) nextAt() float64 {
 	at := math.Inf(1)
-	if !d.isDown && len(d.pending.heap) > 0 {
-		at = max(d.nextPublishAt, d.pending.nextAt())
+	if !d.isDown && len(d.pendingChanges.heap) > 0 {
+		at = max(d.nextPublishAt, d.pendingChanges.nextAt())
 	}
 	if d.isServingCall {
 		at = min(at, d.callDoneAt)
@@ -130,19 +130,19 @@
 
 // advance does what is due by now: it applies changes and serves calls.
 func (d *Discovery) advance(now float64) {
-	if !d.isDown && now >= d.nextPublishAt && d.pending.nextAt() <= now {
-		before := d.index
+	if !d.isDown && now >= d.nextPublishAt && d.pendingChanges.nextAt() <= now {
+		before := d.listIndex
 		for {
-			c, _, ok := d.pending.pop(now)
+			c, _, ok := d.pendingChanges.pop(now)
 			if !ok {
 				break
 			}
-			if c.at = now; c.incarnation == d.known[c.server].incarnation {
+			if c.at = now; c.incarnation == d.knownServers[c.server].incarnation {
 				d.apply(c)
 			}
 		}
 		d.nextPublishAt = now + d.spec.PublishIntervalSeconds
-		if d.index > before {
+		if d.listIndex > before {
 			for _, endpoint := range d.endpoints {
 				endpoint.scheduleUpdates(now)
 			}
@@ -180,15 +180,15 @@
 
 // observeQueue reports to the observer whether calls wait behind the one being served, when that changes.
 func (d *Discovery) observeQueue(now float64) {
-	waiting := false
-	for i := 1; i < len(d.queuedCalls) && !waiting; i++ {
-		waiting = d.queuedCalls[i].conn != nil
+	isQueued := false
+	for i := 1; i < len(d.queuedCalls) && !isQueued; i++ {
+		isQueued = d.queuedCalls[i].conn != nil
 	}
-	if waiting == d.hasQueue {
+	if isQueued == d.hasQueue {
 		return
 	}
 	kind := checker.DiscoveryQueueDrained
-	if d.hasQueue = waiting; waiting {
+	if d.hasQueue = isQueued; isQueued {
 		kind = checker.DiscoveryQueueFormed
 	}
 	d.observer.Observe(checker.Event{Kind: kind, At: now, Sidecar: -1, Server: -1})
@@ -322,11 +322,11 @@
 func (d *Discovery) observeDelivery(sidecar int32, index uint64, list []entry, since uint64, snapshot bool, now float64) {
 	for i := range list {
 		e := list[i]
-		leftOut := snapshot && e.status != 0 && !d.includes(&e, since, snapshot)
-		if leftOut {
+		isLeftOut := snapshot && e.status != 0 && !d.includes(&e, since, snapshot)
+		if isLeftOut {
 			e.status = checker.Deleted
 		}
-		if leftOut || d.includes(&e, since, snapshot) {
+		if isLeftOut || d.includes(&e, since, snapshot) {
 			d.observeEntry(checker.EntryDelivered, sidecar, i, e, index, now)
 		}
 	}
--- a/internal/environment/discoveryendpoint.go
+++ b/internal/environment/discoveryendpoint.go
@@ -161,12 +161,12 @@
 	discovery, now := e.discovery, e.net.Now()
 	conn.hasCall = false
 	// An index above the present one was not issued here and is ignored.
-	snapshot := !conn.wantsWatch || !conn.hasIndex || conn.knownIndex > discovery.index || discovery.fullListFaults > 0
+	snapshot := !conn.wantsWatch || !conn.hasIndex || conn.knownIndex > discovery.listIndex || discovery.fullListFaults > 0
 	out := e.buffer[:0]
 	if !conn.wantsWatch {
-		body := append(discovery.formatList(discovery.index, discovery.entries, 0, true), '\n')
+		body := append(discovery.formatList(discovery.listIndex, discovery.entries, 0, true), '\n')
 		e.write(conn, http1.AppendResponse(out, 200, http1.Header{{Name: "Content-Type", Value: "application/json"}}, body))
-		discovery.observeDelivery(conn.sidecar, discovery.index, discovery.entries, 0, true, now)
+		discovery.observeDelivery(conn.sidecar, discovery.listIndex, discovery.entries, 0, true, now)
 		return
 	}
 	out = append(out, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"...)
@@ -179,13 +179,13 @@
 // writeUpdate writes an update to a watch, after what out holds already.
 func (e *discoveryEndpoint) writeUpdate(conn *discoveryConn, out []byte, snapshot bool) {
 	discovery, now := e.discovery, e.net.Now()
-	body := append(discovery.formatList(discovery.index, discovery.entries, conn.knownIndex, snapshot), '\n')
+	body := append(discovery.formatList(discovery.listIndex, discovery.entries, conn.knownIndex, snapshot), '\n')
 	out = append(strconv.AppendInt(out, int64(len(body)), 16), "\r\n"...)
 	out = append(append(out, body...), "\r\n"...)
 	since := conn.knownIndex
-	conn.knownIndex, conn.writtenAt = discovery.index, now
+	conn.knownIndex, conn.writtenAt = discovery.listIndex, now
 	e.write(conn, out)
-	discovery.observeDelivery(conn.sidecar, discovery.index, discovery.entries, since, snapshot, now)
+	discovery.observeDelivery(conn.sidecar, discovery.listIndex, discovery.entries, since, snapshot, now)
 }
 
 func (e *discoveryEndpoint) write(conn *discoveryConn, out []byte) {
@@ -233,25 +233,25 @@
 	now := e.net.Now()
 	e.discovery.advance(now)
 	for {
-		t, _, ok := e.tasks.pop(now)
+		task, _, ok := e.tasks.pop(now)
 		if !ok {
 			break
 		}
 		switch {
-		case t.isRetirement:
+		case task.isRetirement:
 			e.closeAll()
-		case t.conn.conn == nil || !t.conn.isWatch || t.conn.isStalled:
-		case !t.isKeepAlive:
-			if t.conn.knownIndex < e.discovery.index {
-				e.writeUpdate(t.conn, e.buffer[:0], false)
+		case task.conn.conn == nil || !task.conn.isWatch || task.conn.isStalled:
+		case !task.isKeepAlive:
+			if task.conn.knownIndex < e.discovery.listIndex {
+				e.writeUpdate(task.conn, e.buffer[:0], false)
 			}
 		default:
-			at := t.conn.writtenAt + e.discovery.spec.KeepAliveSeconds
+			at := task.conn.writtenAt + e.discovery.spec.KeepAliveSeconds
 			if at <= now {
-				e.write(t.conn, append(e.buffer[:0], "1\r\n\n\r\n"...))
-				t.conn.writtenAt, at = now, now+e.discovery.spec.KeepAliveSeconds
+				e.write(task.conn, append(e.buffer[:0], "1\r\n\n\r\n"...))
+				task.conn.writtenAt, at = now, now+e.discovery.spec.KeepAliveSeconds
 			}
-			e.tasks.add(at, t)
+			e.tasks.add(at, task)
 		}
 	}
 	e.discovery.updateAlarms() // a change that one endpoint has applied may be due at another
--- a/internal/environment/engine.go
+++ b/internal/environment/engine.go
@@ -55,18 +55,18 @@
 		return 1
 	}
 	s := e.spec
-	way := max(e.workedSeconds/(s.WarmupWorkSeconds*float64(s.Slots)), (now-e.started)/s.WarmupSeconds)
-	return min(1, s.ColdCapacity+(1-s.ColdCapacity)*way)
+	progress := max(e.workedSeconds/(s.WarmupWorkSeconds*float64(s.Slots)), (now-e.started)/s.WarmupSeconds)
+	return min(1, s.ColdCapacity+(1-s.ColdCapacity)*progress)
 }
 
 // budget returns how much work the overload window may bring at some warmth.
 func (e *Engine) budget(warmth float64) float64 {
-	f := &e.spec.Overload
-	return f.Multiple*warmth*float64(e.spec.Slots)*f.WindowSeconds + f.SlackSeconds
+	overload := &e.spec.Overload
+	return overload.Multiple*warmth*float64(e.spec.Slots)*overload.WindowSeconds + overload.SlackSeconds
 }
 
 // CountWork counts work that reaches the server, also what it rejects, and tells whether that has just overloaded it.
-func (e *Engine) CountWork(now, seconds float64) (fell bool) {
+func (e *Engine) CountWork(now, seconds float64) (overloads bool) {
 	warmth := e.Warmth(now)
 	if warmth >= 1 || e.isOverloaded {
 		e.arrivals, e.windowWork = e.arrivals[:0], 0
@@ -74,12 +74,12 @@
 	}
 	e.arrivals = append(e.arrivals, arrival{now, seconds})
 	e.windowWork += seconds
-	old := 0
-	for e.arrivals[old].at < now-e.spec.Overload.WindowSeconds {
-		e.windowWork -= e.arrivals[old].seconds
-		old++
+	expired := 0
+	for e.arrivals[expired].at < now-e.spec.Overload.WindowSeconds {
+		e.windowWork -= e.arrivals[expired].seconds
+		expired++
 	}
-	e.arrivals = slices.Delete(e.arrivals, 0, old)
+	e.arrivals = slices.Delete(e.arrivals, 0, expired)
 	if e.windowWork <= e.budget(warmth) {
 		return false
 	}
@@ -121,9 +121,9 @@
 // speed returns how fast a job runs now, relative to a warm server without other jobs.
 func (e *Engine) speed(now float64) float64 {
 	s := e.spec
-	crowd := max(0, float64(e.InFlight())-s.ThrashThreshold*float64(s.Slots))
-	tax := s.ConnectionOverhead * min(1, float64(e.connections)/float64(max(s.MaxConnections, 1)))
-	return e.Warmth(now) * (1 - tax) / (1 + s.ThrashFactor*crowd)
+	excess := max(0, float64(e.InFlight())-s.ThrashThreshold*float64(s.Slots))
+	overhead := s.ConnectionOverhead * min(1, float64(e.connections)/float64(max(s.MaxConnections, 1)))
+	return e.Warmth(now) * (1 - overhead) / (1 + s.ThrashFactor*excess)
 }
 
 func (e *Engine) isPaused() bool { return e.isHung || e.isPausing || e.isOverloaded }
--- a/internal/environment/faultinjector.go
+++ b/internal/environment/faultinjector.go
@@ -13,7 +13,7 @@
 	environment      *Environment
 	hosts            Hosts
 	observer         checker.Observer
-	steps            schedule[func(now float64)]
+	schedule         schedule[func(now float64)]
 	replacementTaken []bool // by server: it is a replacement that was chosen already
 	lateConnects     []int  // by server: faults that delay connections to it
 	hangs            []int  // by server: faults that hang it
@@ -44,14 +44,14 @@
 	}
 	for i := range s.Faults {
 		fault := &s.Faults[i]
-		injector.steps.add(environment.Day.Start+fault.AtSeconds, func(now float64) { injector.startFault(fault, now) })
+		injector.schedule.add(environment.Day.Start+fault.AtSeconds, func(now float64) { injector.startFault(fault, now) })
 	}
 	return injector, nil
 }
 
 // Next returns when Advance is next to be called; false: nothing is left.
 func (f *FaultInjector) Next() (at float64, ok bool) {
-	at = f.steps.nextAt()
+	at = f.schedule.nextAt()
 	return at, at < math.Inf(1)
 }
 
@@ -61,7 +61,7 @@
 // killed before it sent what has arrived since. Steps therefore get the present time.
 func (f *FaultInjector) Advance(now float64) {
 	for {
-		step, _, ok := f.steps.pop(now)
+		step, _, ok := f.schedule.pop(now)
 		if !ok {
 			return
 		}
@@ -71,7 +71,7 @@
 
 // after schedules a step.
 func (f *FaultInjector) after(now, afterSeconds float64, step func(now float64)) {
-	f.steps.add(now+afterSeconds, step)
+	f.schedule.add(now+afterSeconds, step)
 }
 
 // endsAt returns when a fault that starts now is over: as the script says, and at the latest with the day's arrivals.
@@ -83,7 +83,7 @@
 
 // atEnd schedules a step for the end of a fault that starts now.
 func (f *FaultInjector) atEnd(fault *Fault, now float64, step func(now float64)) {
-	f.steps.add(f.endsAt(fault, now), step)
+	f.schedule.add(f.endsAt(fault, now), step)
 }
 
 func (f *FaultInjector) servers(fault *Fault) []*Server {
--- a/internal/environment/hostileclients.go
+++ b/internal/environment/hostileclients.go
@@ -14,17 +14,17 @@
 // send at full speed and read what they are sent. Some kinds send valid requests in unusual ways, which may be served. It
 // implements netio.Handler.
 type HostileClients struct {
-	number     int32
-	day        *Day
-	app        *Application
-	observer   checker.Observer
-	rng        *rand.Rand
-	net        netio.EventLoop
-	tasks      schedule[hostileTask]
-	earlyWaves []*wave // of Connect calls before Start
-	armed      float64
-	lastVisit  uint64
-	out        []byte
+	number      int32
+	day         *Day
+	application *Application
+	observer    checker.Observer
+	rng         *rand.Rand
+	net         netio.EventLoop
+	tasks       schedule[hostileTask]
+	earlyWaves  []*wave // of Connect calls before Start
+	alarmAt     float64
+	lastVisit   uint64
+	buffer      []byte
 }
 
 // wave is a period in which hostile clients connect.
@@ -76,7 +76,7 @@
 	number     uint64
 	parser     http1.ResponseParser
 	buf        http1.Buffer
-	pieces     int
+	sentPieces int
 	id         uint64   // of its request, if that is valid
 	pendingIDs []uint64 // of pipelined requests without an answer, in their order
 	requests   int
@@ -92,8 +92,8 @@
 
 // NewHostileClients returns the hostile clients beside a sidecar. None connects before Connect is called.
 func NewHostileClients(day *Day, sidecar int, app *Application, observer checker.Observer) *HostileClients {
-	return &HostileClients{number: int32(sidecar), day: day, app: app, observer: observer, rng: randomStream(day.Seed, "mischief", sidecar),
-		armed: math.Inf(1)}
+	return &HostileClients{number: int32(sidecar), day: day, application: app, observer: observer, rng: randomStream(day.Seed, "mischief", sidecar),
+		alarmAt: math.Inf(1)}
 }
 
 // Boot returns the clients' process.
@@ -126,37 +126,37 @@
 // startWave has the first client of a wave connect at once.
 func (h *HostileClients) startWave(w *wave) {
 	h.tasks.add(h.net.Now(), hostileTask{wave: w})
-	h.arm()
+	h.updateAlarm()
 }
 
 // Alarm does what is due.
 func (h *HostileClients) Alarm() {
-	h.armed = math.Inf(1)
+	h.alarmAt = math.Inf(1)
 	now := h.net.Now()
 	for {
-		t, _, ok := h.tasks.pop(now)
+		task, _, ok := h.tasks.pop(now)
 		if !ok {
 			break
 		}
 		switch {
-		case t.wave != nil:
-			if now < t.wave.until {
-				h.connect(t.wave.isSilent, now)
-				h.tasks.add(now+h.rng.ExpFloat64()/t.wave.ratePerSecond, t)
+		case task.wave != nil:
+			if now < task.wave.until {
+				h.connect(task.wave.isSilent, now)
+				h.tasks.add(now+h.rng.ExpFloat64()/task.wave.ratePerSecond, task)
 			}
-		case t.conn.conn == nil:
-		case t.closes:
-			h.net.Close(t.conn.conn)
+		case task.conn.conn == nil:
+		case task.closes:
+			h.net.Close(task.conn.conn)
 		default:
-			h.sendPiece(t.conn, now)
+			h.sendPiece(task.conn, now)
 		}
 	}
-	h.arm()
+	h.updateAlarm()
 }
 
-func (h *HostileClients) arm() {
-	if at := h.tasks.nextAt(); at != h.armed && at < math.Inf(1) {
-		h.armed = at
+func (h *HostileClients) updateAlarm() {
+	if at := h.tasks.nextAt(); at != h.alarmAt && at < math.Inf(1) {
+		h.alarmAt = at
 		h.net.SetAlarm(at)
 	}
 }
@@ -188,7 +188,7 @@
 	h.tasks.add(now+hostileConnSeconds, hostileTask{conn: conn, closes: true})
 	if conn.kind == requestsWithOthersID {
 		var open bool
-		if conn.id, open = h.app.pendingRequestID(); !open {
+		if conn.id, open = h.application.pendingRequestID(); !open {
 			return false // there is no id to use
 		}
 	}
@@ -201,7 +201,7 @@
 		conn.isObserved = true
 	}
 	h.sendFirst(conn, now)
-	h.arm()
+	h.updateAlarm()
 	return true
 }
 
@@ -224,15 +224,15 @@
 		h.sendPipelined(conn, now)
 		return
 	}
-	h.out = h.appendHostileRequest(h.out[:0], conn)
+	h.buffer = h.appendHostileRequest(h.buffer[:0], conn)
 	switch conn.kind {
 	case sendsEndlessHead, sendsHugeBody:
 		h.tasks.add(now, hostileTask{conn: conn})
 	case requestsHalf:
 		h.tasks.add(now+h.rng.Float64(), hostileTask{conn: conn, closes: true})
 	}
-	if len(h.out) > 0 {
-		conn.conn.Write(h.out) // a connection that breaks here is closed by the network
+	if len(h.buffer) > 0 {
+		conn.conn.Write(h.buffer) // a connection that breaks here is closed by the network
 	}
 }
 
@@ -304,11 +304,11 @@
 
 // sendPiece sends the next piece of an endless head or body.
 func (h *HostileClients) sendPiece(conn *hostileConn, now float64) {
-	if conn.pieces++; conn.pieces > maxPieces {
+	if conn.sentPieces++; conn.sentPieces > maxPieces {
 		return
 	}
 	if conn.conn.OutboundBuffered() == 0 {
-		out := h.out[:0]
+		out := h.buffer[:0]
 		if conn.kind == sendsEndlessHead {
 			out = append(append(out, "X-Fill-"...), bodyText[:500]...)
 			for i := range out {
@@ -322,7 +322,7 @@
 				out = append(out, bodyText...)
 			}
 		}
-		h.out = out
+		h.buffer = out
 		conn.conn.Write(out)
 	}
 	h.tasks.add(now+pieceIntervalSeconds, hostileTask{conn: conn})
@@ -337,7 +337,7 @@
 	conn.buf.Write(data)
 	if conn.kind == pipelinesRequests {
 		h.readPipelined(conn)
-		h.arm()
+		h.updateAlarm()
 		return
 	}
 	done, err := conn.parser.Next(&conn.buf)
@@ -349,7 +349,7 @@
 		} else if done {
 			h.retryRejected(conn)
 		}
-		h.arm()
+		h.updateAlarm()
 		return
 	}
 	if err != nil || done {
@@ -359,7 +359,7 @@
 		conn.isAnswered = true
 		h.net.Close(c)
 	}
-	h.arm()
+	h.updateAlarm()
 }
 
 // Closed reports the end of a hostile client's connection.
@@ -380,5 +380,5 @@
 	case conn.kind != retriesAtOnce && conn.kind != requestsHalf && err != nil && conn.isObserved:
 		h.observer.Observe(h.event(checker.HostileClosed, conn))
 	}
-	h.arm()
+	h.updateAlarm()
 }
--- a/internal/environment/malformed.go
+++ b/internal/environment/malformed.go
@@ -66,7 +66,7 @@
 }
 
 // appendTrailing appends bytes that don't belong to an answer: a copy of it, or noise.
-func (p *serverProcess) appendTrailing(out []byte) (more []byte, copied bool) {
+func (p *serverProcess) appendTrailing(out []byte) (more []byte, isCopy bool) {
 	if p.rng.IntN(2) == 0 {
 		return append(out, out...), true
 	}
--- a/internal/environment/peerfaults.go
+++ b/internal/environment/peerfaults.go
@@ -50,7 +50,7 @@
 func (f *FaultInjector) limitPeerTraffic(fault *Fault, now float64) {
 	f.eachPeerPath(fault, func(a, b int) {
 		key := peerPath{fault.Kind, a, b}
-		tell := func() {
+		applyRate := func() {
 			if all := f.peerRates[key]; len(all) > 0 {
 				f.hosts.LimitPeerTraffic(a, b, slices.Min(all))
 			} else {
@@ -58,11 +58,11 @@
 			}
 		}
 		f.peerRates[key] = append(f.peerRates[key], fault.RatePerSecond)
-		tell()
+		applyRate()
 		f.atEnd(fault, now, func(float64) {
 			i := slices.Index(f.peerRates[key], fault.RatePerSecond)
 			f.peerRates[key] = slices.Delete(f.peerRates[key], i, i+1)
-			tell()
+			applyRate()
 		})
 	})
 }
--- a/internal/environment/pipeline.go
+++ b/internal/environment/pipeline.go
@@ -13,14 +13,14 @@
 	class := h.classOf(checker.Safe)
 	number := slices.IndexFunc(h.day.Classes, func(spec ClassSpec) bool { return spec.Name == class })
 	var out []byte
-	var asked []checker.Event
+	var sent []checker.Event
 	for range 2 + h.rng.IntN(maxPipelined-1) {
 		conn.id = h.rng.Uint64() | 1
 		conn.pendingIDs = append(conn.pendingIDs, conn.id)
 		e := h.event(checker.RequestStarted, conn)
 		e.FirstRequest, e.Class, e.Deadline, e.Uncounted = conn.id, int32(number), now+retryTimeoutSeconds, true
 		h.observer.Observe(e)
-		asked = append(asked, e)
+		sent = append(sent, e)
 		out = append(append(append(out, "GET /"...), class...), " HTTP/1.1\r\nHost: h\r\nRequest-Id: "...)
 		out = append(appendID(out, conn.id), "\r\nRequest-Timeout: 1000m\r\n\r\n"...)
 	}
@@ -28,7 +28,7 @@
 	if _, err := netConn.Write(out); err != nil || conn.conn != netConn || netConn.OutboundBuffered() > 0 {
 		return
 	}
-	for i, e := range asked {
+	for i, e := range sent {
 		e.Kind, e.Reused = checker.RequestSent, i > 0
 		h.observer.Observe(e)
 	}
--- a/internal/environment/scriptfile.go
+++ b/internal/environment/scriptfile.go
@@ -82,14 +82,14 @@
 // unknownReference returns the first fault and field of a script that name what a day doesn't have; an empty field: there
 // is none.
 func (s *Script) unknownReference(day *Day) (i int, field, why string) {
-	come := 0
+	starting := 0
 	for i := range s.Faults {
 		fault := &s.Faults[i]
 		if field, why := fault.unknownReference(day); field != "" {
 			return i, field, why
 		}
 		if fault.Kind == ScaleOut {
-			if come += fault.SidecarCount; come >= len(day.Sidecars) {
+			if starting += fault.SidecarCount; starting >= len(day.Sidecars) {
 				return i, "by", fmt.Sprintf("the day has %d sidecars, and one must stand at its start", len(day.Sidecars))
 			}
 		}
--- a/internal/environment/serverfaults.go
+++ b/internal/environment/serverfaults.go
@@ -187,20 +187,20 @@
 			if !fault.ToServer {
 				from, to = to, from
 			}
-			c := &oneWayFault{sidecar: int32(i), ip: server.currentIP(), servers: []int32{int32(server.Spec.Number)}}
-			if other := f.environment.serverByIP[c.ip]; other != server && other.IsAlive() && other.currentIP() == c.ip {
-				c.servers = append(c.servers, int32(other.Spec.Number)) // it runs at the former address of the server
+			pathFault := &oneWayFault{sidecar: int32(i), ip: server.currentIP(), servers: []int32{int32(server.Spec.Number)}}
+			if other := f.environment.serverByIP[pathFault.ip]; other != server && other.IsAlive() && other.currentIP() == pathFault.ip {
+				pathFault.servers = append(pathFault.servers, int32(other.Spec.Number)) // it runs at the former address of the server
 			}
-			f.oneWayFaults = append(f.oneWayFaults, c)
-			for _, n := range c.servers {
-				f.observePath(c.sidecar, n, true, now)
+			f.oneWayFaults = append(f.oneWayFaults, pathFault)
+			for _, n := range pathFault.servers {
+				f.observePath(pathFault.sidecar, n, true, now)
 			}
 			f.hosts.DropTraffic(from, to)
 			f.atEnd(fault, now, func(now float64) {
 				f.hosts.RestoreTraffic(from, to)
-				f.oneWayFaults = slices.DeleteFunc(f.oneWayFaults, func(other *oneWayFault) bool { return other == c })
-				for _, n := range c.servers {
-					f.observePath(c.sidecar, n, false, now)
+				f.oneWayFaults = slices.DeleteFunc(f.oneWayFaults, func(other *oneWayFault) bool { return other == pathFault })
+				for _, n := range pathFault.servers {
+					f.observePath(pathFault.sidecar, n, false, now)
 				}
 			})
 		}
@@ -227,15 +227,15 @@
 // Danger: a sidecar that was not notified yet addresses the old server; a server of another site there would make it
 // violate the rules of groups without its fault.
 func (f *FaultInjector) replaceServer(server *Server, fault *Fault, now float64) {
-	next := slices.IndexFunc(f.environment.Servers, func(o *Server) bool {
-		return o.Spec.Number >= f.environment.Day.InitialServers && o.incarnations == 0 && o.Spec.Site == server.Spec.Site && !f.replacementTaken[o.Spec.Number]
+	replacement := slices.IndexFunc(f.environment.Servers, func(candidate *Server) bool {
+		return candidate.Spec.Number >= f.environment.Day.InitialServers && candidate.incarnations == 0 && candidate.Spec.Site == server.Spec.Site && !f.replacementTaken[candidate.Spec.Number]
 	})
-	if next < 0 || !f.stopServer(server, false, now) {
+	if replacement < 0 || !f.stopServer(server, false, now) {
 		return
 	}
-	f.replacementTaken[next] = true
+	f.replacementTaken[replacement] = true
 	ip := server.currentIP()
-	f.atEnd(fault, now, func(now float64) { f.startServer(f.environment.Servers[next], ip, false, now) })
+	f.atEnd(fault, now, func(now float64) { f.startServer(f.environment.Servers[replacement], ip, false, now) })
 }
 
 // crashServers stops servers and starts them again when the fault is over: HalfOpen by their machine's loss, CrashMoved at
--- a/internal/environment/serverrequest.go
+++ b/internal/environment/serverrequest.go
@@ -90,9 +90,9 @@
 }
 
 // handleHealthCheck rejects a health check, or enqueues it as a request.
-func (p *serverProcess) handleHealthCheck(conn *serverConn, health bool) {
+func (p *serverProcess) handleHealthCheck(conn *serverConn, isLiveness bool) {
 	now := p.net.Now()
-	job := &serverJob{conn: conn, isLiveness: health, class: -1}
+	job := &serverJob{conn: conn, isLiveness: isLiveness, class: -1}
 	job.IsHealthCheck, job.Seconds = true, p.Spec.HealthCheckSeconds/p.Spec.Speed
 	e := p.event(checker.HealthCheckReceived, conn)
 	e.Work = job.Seconds
@@ -101,7 +101,7 @@
 	if now >= p.healthChecksSince+1 {
 		p.healthChecksSince, p.healthChecks = now, 0
 	}
-	if p.healthChecks++; float64(p.healthChecks) > p.Spec.HealthChecksPerSecond || health && p.isDraining || !p.engine.Enqueue(now, &job.Job) {
+	if p.healthChecks++; float64(p.healthChecks) > p.Spec.HealthChecksPerSecond || isLiveness && p.isDraining || !p.engine.Enqueue(now, &job.Job) {
 		p.writeResponse(conn, 503, nil)
 		return
 	}
--- a/internal/environment/serverresponse.go
+++ b/internal/environment/serverresponse.go
@@ -34,8 +34,8 @@
 	out = conn.appendResponse(out, status, p.loadField(misbehaves), body)
 	if misbehaves {
 		whole := len(out)
-		var copied bool
-		if out, copied = p.appendTrailing(out); !copied && p.rng.IntN(2) == 0 {
+		var isCopy bool
+		if out, isCopy = p.appendTrailing(out); !isCopy && p.rng.IntN(2) == 0 {
 			// Noise that arrives a moment later meets an idle connection. A copy is written at once: one that met the next
 			// request could not be told from its answer by any client that reuses connections.
 			p.write(conn, out[:whole])
@@ -71,9 +71,9 @@
 	}
 }
 
-func (p *serverProcess) observeResponse(conn *serverConn, status int, notStarted, spoilt bool, body []byte) {
+func (p *serverProcess) observeResponse(conn *serverConn, status int, notStarted, isMalformed bool, body []byte) {
 	e := p.event(checker.ResponseSent, conn)
-	e.Request, e.Status, e.NotStarted, e.Malformed = conn.job.request, int32(status), notStarted, spoilt
+	e.Request, e.Status, e.NotStarted, e.Malformed = conn.job.request, int32(status), notStarted, isMalformed
 	e.Class, e.Digest = int32(conn.job.class), checker.Digest(body)
 	p.observer.Observe(e)
 }
--- a/internal/environment/sidecarfaults.go
+++ b/internal/environment/sidecarfaults.go
@@ -14,19 +14,19 @@
 
 // leaveForGood shuts so many of the running sidecars down for good, from the last one on; the first one stays.
 func (f *FaultInjector) leaveForGood(fault *Fault, now float64) {
-	within := fault.DrainSeconds
-	if within == 0 {
-		within = defaultDrainSeconds
+	drainSeconds := fault.DrainSeconds
+	if drainSeconds == 0 {
+		drainSeconds = defaultDrainSeconds
 	}
-	left := fault.SidecarCount
-	for i := len(f.isGone) - 1; i > 0 && left > 0; i-- {
+	remaining := fault.SidecarCount
+	for i := len(f.isGone) - 1; i > 0 && remaining > 0; i-- {
 		if f.isGone[i] || f.isTerminating[i] || f.isSuspended[i] {
 			continue
 		}
-		left--
+		remaining--
 		f.isGone[i] = true
 		f.terminate(i, now)
-		f.after(now, within, func(now float64) { // a platform kills what has not exited
+		f.after(now, drainSeconds, func(now float64) { // a platform kills what has not exited
 			f.observeSidecar(checker.SidecarKilled, i, now)
 			f.hosts.Kill(f.environment.Day.Sidecars[i].IP)
 		})
--- a/internal/environment/thriftclient.go
+++ b/internal/environment/thriftclient.go
@@ -9,39 +9,39 @@
 
 // responseReader parses a sidecar's answers, over HTTP or Thrift.
 type responseReader struct {
-	speech Protocol
-	http   http1.ResponseParser
-	begun  bool
-	Status int // as over HTTP
-	Body   []byte
-	after  string // when to retry, in seconds; "": not given
+	protocol   Protocol
+	parser     http1.ResponseParser
+	hasBegun   bool
+	Status     int // as over HTTP
+	Body       []byte
+	retryAfter string // when to retry, in seconds; "": not given
 }
 
 func newResponseReader(s Protocol) responseReader {
-	return responseReader{speech: s, http: http1.NewResponseParser(messageLimits)}
+	return responseReader{protocol: s, parser: http1.NewResponseParser(messageLimits)}
 }
 
 // Next parses on and tells whether the answer is complete.
 func (r *responseReader) Next(buf *http1.Buffer) (bool, error) {
-	if r.speech.IsThrift() {
+	if r.protocol.IsThrift() {
 		return r.nextThrift(buf)
 	}
-	isComplete, err := r.http.Next(buf)
-	r.begun = r.http.HasBegun()
-	r.Status, r.Body, r.after = r.http.Status, r.http.Body, r.http.Header.Get(fieldRetryAfter)
+	isComplete, err := r.parser.Next(buf)
+	r.hasBegun = r.parser.HasBegun()
+	r.Status, r.Body, r.retryAfter = r.parser.Status, r.parser.Body, r.parser.Header.Get(fieldRetryAfter)
 	return isComplete, err
 }
 
 // Begun tells whether a part of the answer has arrived.
-func (r *responseReader) Begun() bool { return r.begun }
+func (r *responseReader) HasBegun() bool { return r.hasBegun }
 
 // Keep tells whether the connection may be used again after the answer.
-func (r *responseReader) Keep() bool { return r.speech.IsThrift() || r.http.IsPersistent() }
+func (r *responseReader) IsPersistent() bool { return r.protocol.IsThrift() || r.parser.IsPersistent() }
 
 var resultPath = []thrift.Path{{0}}
 
 func (r *responseReader) nextThrift(buf *http1.Buffer) (bool, error) {
-	r.begun = r.begun || buf.Len() > 0
+	r.hasBegun = r.hasBegun || buf.Len() > 0
 	payload, size, err := thrift.CutFrame(buf.Bytes(), messageLimits.BufferedBodyBytes)
 	if err != nil || size == 0 {
 		return false, err
@@ -68,7 +68,7 @@
 	case thrift.InternalError:
 		r.Status = 502
 	}
-	_, r.after, _ = strings.Cut(string(text), "retry-after=")
+	_, r.retryAfter, _ = strings.Cut(string(text), "retry-after=")
 	buf.Discard(size)
 	return true, err
 }
@@ -106,7 +106,7 @@
 		observer.I64(patience)
 		return observer.EndMessage()
 	}
-	out := h.out[:0]
+	out := h.buffer[:0]
 	switch conn.kind {
 	case sendsNegativeLength:
 		out = append(call(out, class, 1e6), 0xff, 0xff, 0xff, 0xff)
@@ -132,7 +132,7 @@
 	default:
 		return false
 	}
-	h.out = out
+	h.buffer = out
 	conn.conn.Write(out) // a connection that breaks here is closed by the network
 	return true
 }
--- a/internal/environment/validrequest.go
+++ b/internal/environment/validrequest.go
@@ -18,9 +18,9 @@
 	e := h.event(checker.RequestStarted, conn)
 	e.FirstRequest, e.Class, e.Deadline, e.Uncounted = conn.id, int32(class), now+retryTimeoutSeconds, true
 	h.observer.Observe(e)
-	out := append(append(append(h.out[:0], "GET /"...), h.day.Classes[class].Name...), " HTTP/1.1\r\nHost: h\r\nRequest-Id: "...)
+	out := append(append(append(h.buffer[:0], "GET /"...), h.day.Classes[class].Name...), " HTTP/1.1\r\nHost: h\r\nRequest-Id: "...)
 	out = append(appendID(out, conn.id), "\r\nRequest-Timeout: 1000m\r\n\r\n"...)
-	h.out = out
+	h.buffer = out
 	netConn := conn.conn
 	if _, err := netConn.Write(out); err == nil && conn.conn == netConn && netConn.OutboundBuffered() == 0 {
 		e.Kind, e.Reused = checker.RequestSent, conn.requests > 1
@@ -33,8 +33,8 @@
 	e.Status, e.Digest = int32(conn.parser.Status), checker.Digest(conn.parser.Body)
 	h.observer.Observe(e)
 	conn.id = 0
-	refused := conn.parser.Status == 429 || conn.parser.Status == 503
-	if !refused || conn.requests >= maxImmediateRetries || !conn.parser.IsPersistent() {
+	isRejected := conn.parser.Status == 429 || conn.parser.Status == 503
+	if !isRejected || conn.requests >= maxImmediateRetries || !conn.parser.IsPersistent() {
 		h.net.Close(conn.conn)
 		return
 	}
