--- a/cmd/hazellab/fleetsim.go
+++ b/cmd/hazellab/fleetsim.go
@@ -10,26 +10,27 @@
 	"hazelwheel/internal/sim"
 )
 
-// simulateFleet plays a fleet in simulated time: what both judges find is the sidecar's, what one finds alone may be the machine's.
+// simulateFleet runs the fleet and its faults in simulated time. A violation that the run of processes has as well is the sidecar's; one that
+// only the processes have may be due to the machine.
 func simulateFleet(c *cli.Command, s *processcluster.Settings) error {
-	r := s.Ranges()
-	o := sim.Options{CustomRanges: &r, FleetMode: sim.FleetOn}
+	ranges := s.Ranges()
+	options := sim.Options{CustomRanges: &ranges, FleetMode: sim.FleetOn}
 	script := s.FaultScript()
 	out := bufio.NewWriter(c.Root().Writer)
-	defer func() { _ = out.Flush() }() // a reader that is gone can't be told
+	defer func() { _ = out.Flush() }() // nothing can be done for a reader that has closed the pipe
 	if c.Bool("trace") {
-		o.Trace = func(at float64, line string) { fmt.Fprintf(out, "%11.6f %s\n", at, line) }
+		options.Trace = traceTo(out)
 	}
-	got, err := sim.Play(script, o)
+	result, err := sim.Play(script, options)
 	if err != nil {
 		return wrapScriptError(err)
 	}
-	for _, f := range got.Violations {
-		fmt.Fprintf(out, "%7.2f s  %-12s n%-5d %s\n", got.SinceStart(f.At), f.Rule, f.Sidecar, f.Reason)
+	for _, v := range result.Violations {
+		fmt.Fprintf(out, "%7.2f s  %-12s n%-5d %s\n", result.SinceStart(v.At), v.Rule, v.Sidecar, v.Reason)
 	}
-	fmt.Fprintf(out, "%d troubles; %.3f of the worth served in time\n", len(script.Faults), got.Report.Service)
-	fmt.Fprintf(out, "fleet: %d sidecars, %d rules broken\n", s.Sidecars, len(got.Violations))
-	if len(got.Violations) > 0 {
+	fmt.Fprintf(out, "%d troubles; %.3f of the worth served in time\n", len(script.Faults), result.Report.Service)
+	fmt.Fprintf(out, "fleet: %d sidecars, %d rules broken\n", s.Sidecars, len(result.Violations))
+	if len(result.Violations) > 0 {
 		return errRulesBroken
 	}
 	return nil
--- a/cmd/hazellab/soak.go
+++ b/cmd/hazellab/soak.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"os"
 	"os/signal"
-	"path/filepath"
 	"syscall"
 	"time"
 
@@ -19,30 +18,30 @@
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "play a router fleet of real processes under signals, kills, lost disks and changes that overlap, and check it from outside",
+		Usage: "run a router fleet as processes under overlapping signals, kills, lost disks and changes, and check the invariants from outside",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the first run"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the `SEED` of the first run"},
 			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "`N` runs, one after the other"},
-			&cli.FloatFlag{Name: "minutes", Value: 1, Usage: "how long there are faults"},
+			&cli.FloatFlag{Name: "minutes", Value: 1, Usage: "how long faults are injected"},
 			&cli.IntFlag{Name: "processes", Value: 15, Usage: "`N` processes at most"},
-			&cli.BoolFlag{Name: "beside", Usage: "run control within agents, on machines that take requests"},
+			&cli.BoolFlag{Name: "beside", Usage: "run control within agents, on machines with a proxy"},
 			&cli.StringFlag{Name: "binary", Usage: "hazelfleet's `FILE`; default: beside this program"},
 			&cli.StringFlag{Name: "report", Usage: "the `FILE` for the reports, one JSON object a line"},
-			&cli.StringFlag{Name: "log", Usage: "the `FILE` for what the processes say"},
+			&cli.StringFlag{Name: "log", Usage: "the `FILE` for the output of the processes"},
 		},
 		Action: runSoak,
 	}
 }
 
+// runSoak runs the seeds one after the other and prints the report of each. It fails where a run violated an invariant.
 func runSoak(ctx context.Context, c *cli.Command) error {
 	settings := soak.Settings{Seed: c.Uint64("seed"), FaultDuration: time.Duration(c.Float("minutes") * float64(time.Minute)), Processes: c.Int("processes"),
 		Binary: c.String("binary"), ControlInAgents: c.Bool("beside")}
 	if settings.Binary == "" {
-		self, err := os.Executable()
-		if err != nil {
+		var err error
+		if settings.Binary, err = siblingProgram("hazelfleet"); err != nil {
 			return err
 		}
-		settings.Binary = filepath.Join(filepath.Dir(self), "hazelfleet")
 	}
 	if err := settings.Validate(); err != nil {
 		return usageError(err)
@@ -52,13 +51,13 @@
 		if err != nil {
 			return usageError(err)
 		}
-		defer func() { _ = file.Close() }() // a log, beside which nothing depends on it
+		defer func() { _ = file.Close() }() // a lost end of the log harms nothing
 		settings.Log = file
 	}
-	// Danger: who ends this program must not leave its processes behind.
+	// Danger: an uncaught signal would end this program and leave its processes running.
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	defer stop()
-	broken := 0
+	failedRuns := 0
 	for range c.Int("seeds") {
 		report, err := soak.Run(ctx, settings)
 		if err != nil {
@@ -69,17 +68,17 @@
 			return err
 		}
 		if len(report.Violations) > 0 {
-			broken++
+			failedRuns++
 		}
 		settings.Seed++
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d of %d runs broke a rule", broken, c.Int("seeds"))
+	if failedRuns > 0 {
+		return fmt.Errorf("%d of %d runs broke a rule", failedRuns, c.Int("seeds"))
 	}
 	return nil
 }
 
-// appendReport writes a report to the end of a file, if one is named.
+// appendReport appends a report to a file as one line of JSON, if a file is named.
 func appendReport(name string, report *soak.Result) error {
 	if name == "" {
 		return nil
--- a/cmd/hazellab/trials.go
+++ b/cmd/hazellab/trials.go
@@ -3,9 +3,10 @@
 import (
 	"cmp"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
+	"maps"
 	"os"
 	"path/filepath"
 	"slices"
@@ -17,83 +18,89 @@
 	"hazelwheel/internal/lab/processcluster"
 )
 
-// runTrials plays trials in fleets beside each other, each with its part of them.
+// Sizes of the fleets that run trials where --sidecars is not given: they take turns from the least to the greatest.
+const minTrialSidecars, trialSidecarSizes = 5, 5
+
+// runTrials divides the trials among fleets that run at a time, and prints their violations and figures. A fleet that has not run all of its
+// trials fails.
 func runTrials(ctx context.Context, c *cli.Command, s processcluster.Settings) error {
 	fleets := min(c.Int("fleets"), s.Trials)
 	reports, errs := make([]*processcluster.Report, fleets), make([]error, fleets)
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range fleets {
 		own := s
 		own.Trials = s.Trials*(i+1)/fleets - s.Trials*i/fleets
 		own.Seed += uint64(i)
 		if !c.IsSet("sidecars") {
-			own.Sidecars = 5 + i%5
+			own.Sidecars = minTrialSidecars + i%trialSidecarSizes
 		}
-		if own.Dir = filepath.Join(s.Dir, strconv.Itoa(i)); fleets > 0 {
-			if err := os.Mkdir(own.Dir, 0o700); err != nil {
-				return err
-			}
+		own.Dir = filepath.Join(s.Dir, strconv.Itoa(i))
+		if err := os.Mkdir(own.Dir, 0o700); err != nil {
+			return err
 		}
-		all.Go(func() { reports[i], errs[i] = processcluster.Run(ctx, own) })
+		running.Go(func() { reports[i], errs[i] = processcluster.Run(ctx, own) })
 	}
-	all.Wait()
+	running.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
-	out := c.Root().Writer
-	broken := 0
+	hasFailed := false
 	for _, r := range reports {
-		broken += r.ViolationCount
-		if len(r.Trials) < s.Trials/fleets { // it was ended, or gave up
-			broken += min(1, 1-min(r.ViolationCount, 1))
+		if r.ViolationCount > 0 || len(r.Trials) < s.Trials/fleets {
+			hasFailed = true
 		}
 	}
 	if c.Bool("json") {
-		raw, err := json.MarshalIndent(reports, "", "  ")
-		if err != nil {
+		if err := printJSON(c.Root().Writer, reports); err != nil {
 			return err
 		}
-		fmt.Fprintln(out, string(raw))
 	} else {
-		printTrials(c, reports)
+		printTrials(c.Root().Writer, reports)
 	}
-	if broken > 0 {
+	if hasFailed {
 		return errRulesBroken
 	}
 	return nil
 }
 
-// printTrials prints what was found, and the times by what was done to whom.
-func printTrials(c *cli.Command, reports []*processcluster.Report) {
-	out := c.Root().Writer
-	known := map[[2]string][]float64{}
-	trials, moved, broken, confirms, late, refused, old, effects, lateS := 0, 0, 0, 0, 0, 0, 0, 0, 0.0
+// trialKind is a fault and the role of the process that it was injected into.
+type trialKind struct{ fault, target string }
+
+// printTrials writes the violations, then by kind of trial how long it took until the next owner was known, then the sums of all fleets.
+func printTrials(out io.Writer, reports []*processcluster.Report) {
+	knownSeconds := map[trialKind][]float64{}
+	trials, moved, violations, loopLateSeconds := 0, 0, 0, 0.0
+	confirmations, staleByOwner, rejected, stale, effects := 0, 0, 0, 0, 0
 	for i, r := range reports {
-		for _, f := range r.Violations {
-			fmt.Fprintf(out, "fleet %d  %7.2f s  %-12s %-6s %s\n", i, f.AtSeconds, f.Rule, f.Sidecar, f.Reason)
+		for _, v := range r.Violations {
+			fmt.Fprintf(out, "fleet %d  %7.2f s  %-12s %-6s %s\n", i, v.AtSeconds, v.Rule, v.Sidecar, v.Reason)
 		}
+		trials += len(r.Trials)
 		for _, t := range r.Trials {
-			k := [2]string{t.Fault, t.Target}
-			if trials++; t.HasMoved {
+			if t.HasMoved {
 				moved++
-				known[k] = append(known[k], t.KnownSeconds)
+				kind := trialKind{t.Fault, t.Target}
+				knownSeconds[kind] = append(knownSeconds[kind], t.KnownSeconds)
 			}
 		}
-		broken += r.ViolationCount
-		lateS = max(lateS, r.LoopLateSeconds)
-		if o := r.Roles; o != nil {
-			confirms, late, refused, old, effects = confirms+o.Confirmations, late+o.StaleByOwner, refused+o.Rejected, old+o.Stale, effects+o.Effects
+		violations += r.ViolationCount
+		loopLateSeconds = max(loopLateSeconds, r.LoopLateSeconds)
+		if roles := r.Roles; roles != nil {
+			confirmations += roles.Confirmations
+			staleByOwner += roles.StaleByOwner
+			rejected += roles.Rejected
+			stale += roles.Stale
+			effects += roles.Effects
 		}
 	}
-	kinds := make([][2]string, 0, len(known))
-	for k := range known {
-		kinds = append(kinds, k)
+	byName := func(a, b trialKind) int {
+		return cmp.Or(cmp.Compare(a.fault, b.fault), cmp.Compare(a.target, b.target))
 	}
-	slices.SortFunc(kinds, func(a, b [2]string) int { return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1])) })
-	for _, k := range kinds {
-		fmt.Fprintf(out, "%-14s %-18s the next owner was known after %s\n", k[0], k[1], formatSpread(known[k]))
+	for _, kind := range slices.SortedFunc(maps.Keys(knownSeconds), byName) {
+		fmt.Fprintf(out, "%-14s %-18s the next owner was known after %s\n", kind.fault, kind.target, formatSpread(knownSeconds[kind]))
 	}
-	fmt.Fprintf(out, "%d effects on the wire, %d under a token that was not the greatest any more, %d of these said by the old owner itself; %d refusals\n", effects, old, late, refused)
-	fmt.Fprintf(out, "%d words of leaders that a grant holds have an order with all grants; the laboratory was %.2f s late at most\n", confirms, lateS)
-	fmt.Fprintf(out, "trials: %d, in %d the job moved; %d rules broken\n", trials, moved, broken)
+	fmt.Fprintf(out, "%d effects on the wire, %d under a token that was not the greatest any more, %d of these said by the old owner itself; %d refusals\n",
+		effects, stale, staleByOwner, rejected)
+	fmt.Fprintf(out, "%d words of leaders that a grant holds have an order with all grants; the laboratory was %.2f s late at most\n", confirmations, loopLateSeconds)
+	fmt.Fprintf(out, "trials: %d, in %d the job moved; %d rules broken\n", trials, moved, violations)
 }
