--- a/internal/sim/agents.go
+++ b/internal/sim/agents.go
@@ -7,14 +7,16 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
+// simulatedAgent is a maintenance agent: it acquires servers, restarts them and reports the completion.
 type simulatedAgent struct {
 	driver     *maintenanceDriver
 	name       string
 	maxToken   uint64
-	current    *workRecord
-	isReliable bool // it always takes as long, and neither fails nor dies
+	current    *workRecord // the last server acquired
+	isReliable bool        // always takes the same time, never fails and never crashes
 }
 
+// poll acquires a server, and tries again until one is granted.
 func (a *simulatedAgent) poll() {
 	d := a.driver
 	d.submit(maintenance.Command{Kind: maintenance.AcquireServer, Agent: a.name}, 6, func(r maintenance.Reply, answered bool) {
@@ -29,6 +31,7 @@
 	})
 }
 
+// handleGrant maintains the server that was granted.
 func (a *simulatedAgent) handleGrant(r maintenance.Reply) {
 	d := a.driver
 	i := slices.IndexFunc(d.servers, func(b serverState) bool { return b.name == r.Server })
@@ -64,7 +67,7 @@
 	})
 }
 
-// finish says that the work has ended until that is known.
+// reportCompletion reports the end of the maintenance until that is answered.
 func (a *simulatedAgent) reportCompletion() {
 	d, has := a.driver, a.current
 	cmd := maintenance.Command{Kind: maintenance.CompleteServer, Server: d.servers[has.server].name, Token: has.token, Agent: a.name}
--- a/internal/sim/conditions.go
+++ b/internal/sim/conditions.go
@@ -2,20 +2,21 @@
 
 import "math/rand/v2"
 
-// weather is how the machines of a day are, beside its troubles. Days differ much in it: what only shows with tiny
-// sockets, or with slow loops, must not need both on most days.
+// machineConditions are the properties of a day's machines, drawn from the seed. Days differ widely: a fault that shows only
+// with small socket buffers, or only with slow loops, must not need both.
 type machineConditions struct {
-	splitProbability     float64 // of the segments that are cut
-	shuffle              bool    // what has come for one turn of a loop is handed over in any order
-	maxWakeDelaySeconds  float64 // loops turn up to so much late
-	callSeconds          float64 // a sidecar's call takes so long
-	maxStallSeconds      float64 // a sidecar's loop now and then stands still for up to so long
-	stallIntervalSeconds float64 // mean time between such stalls; 0: there are none
-	sendBuffer           int     // bytes that a sidecar's sockets take
+	splitProbability     float64 // of a segment
+	shuffle              bool    // connections ready in one turn are handled in random order
+	maxWakeDelaySeconds  float64 // of event loops
+	callSeconds          float64 // duration of each call of a sidecar's handler
+	maxStallSeconds      float64 // of a sidecar's event loop
+	stallIntervalSeconds float64 // mean time between two stalls; 0: none
+	sendBuffer           int     // of a sidecar's connections, in bytes; 0: the default
 	receiveBuffer        int
 	backlog              int
 }
 
+// drawConditions draws the conditions of a seed's day.
 func drawConditions(seed uint64) machineConditions {
 	rng := rand.New(rand.NewPCG(seed, 0x7765617468))
 	w := machineConditions{splitProbability: 0.02, backlog: 128}
--- a/internal/sim/day.go
+++ b/internal/sim/day.go
@@ -12,10 +12,10 @@
 	"hazelwheel/internal/netio/virtual"
 )
 
-// restS is how long after the last arrival a day goes on: requests end, links grow old and are closed.
+// restSeconds is how long a day goes on after the last arrival: requests end, idle connections reach their age and are closed.
 const restSeconds = 14.0
 
-// day is a day that is being played.
+// day is a day that is being played. It belongs to one goroutine.
 type day struct {
 	script             environment.Script
 	spec               environment.Day
@@ -27,23 +27,24 @@
 	factory            Factory
 	trace              func(at float64, line string)
 	machines           []*machine
-	sidecars           []*instance
-	hasFleet           bool               // sidecars know each other
-	lastFaultAt        float64            // when anything between them was in trouble last
-	configuredSidecars int                // sidecars that the configurations speak of; 0: those that there are
-	stalledPeers       int                // programs that asked and did not read, so far
-	queueReported      bool               // the judge has been told of a queue
-	activePeerFaults   int                // ways between sidecars that are cut now
-	peerRates          map[[2]int]float64 // by two sidecars, the bytes a second that go from one to the other; looked up, never walked
-	fleetReported      bool               // the judge has been told of what they hold
-	dropCounts         map[[2]string]int  // by two machines: cuts that have not been mended; looked up, never walked
-	hasRoles           bool               // one does the jobs of all
-	maintenance        *maintenanceDriver // boxes are worked on; nil: they are not
+	sidecars           []*simulatedSidecar
+	hasFleet           bool               // the sidecars form a fleet
+	lastFaultAt        float64            // the last time of a fault between sidecars
+	configuredSidecars int                // Options.ConfiguredSidecars
+	stalledPeers       int                // started so far
+	queueReported      bool               // a violation of checkPeerQueues was reported
+	activePeerFaults   int                // faults between sidecars that go on
+	peerRates          map[[2]int]float64 // by two sidecars, bytes a second from the first to the second; for lookups, never iterated
+	fleetReported      bool               // a violation of checkFleet was reported
+	dropCounts         map[[2]string]int  // by two machines, DropTraffic calls without their RestoreTraffic; for lookups, never iterated
+	hasRoles           bool               // the fleet has leases for singleton roles
+	maintenance        *maintenanceDriver // nil: no server is maintained
 	maintenanceOrder   dworks.Order
-	maxToken           uint64           // the greatest token that any has seen
-	observer           checker.Observer // is told what the judge is; nil: nobody is
+	maxToken           uint64           // largest fencing token seen
+	observer           checker.Observer // Options.Observer, may be nil
 }
 
+// newDay builds a day from a script and starts its programs. The order of the steps is that of the random draws.
 func newDay(s environment.Script, o Options) (*day, error) {
 	d := &day{script: s, spec: s.Day(o.Ranges()), factory: o.Factory, trace: o.Trace, dropCounts: map[[2]string]int{}, peerRates: map[[2]int]float64{}}
 	if d.spec.Protocol = o.Protocol; o.Protocol.IsThrift() {
@@ -109,15 +110,16 @@
 	return d, d.startAll()
 }
 
-// witnesses are two that are told the same.
+// observerPair passes each event to two observers.
 type observerPair [2]checker.Observer
 
+// Observe implements checker.Observer.
 func (p observerPair) Observe(e checker.Event) {
 	p[0].Observe(e)
 	p[1].Observe(e)
 }
 
-// run plays the day out.
+// run plays the day to its end, or until a rule is violated; the resources in use are reported only without such a rule.
 func (d *day) run(until checker.Rule) {
 	end := d.spec.Start + d.lastArrivalSeconds() + restSeconds + d.extraTimeoutSeconds()
 	for now := d.spec.Start; now < end && !d.hasViolated(until); {
@@ -143,7 +145,7 @@
 	d.checker.Finish(d.network.Now())
 }
 
-// longerS returns how much longer than on a usual day a request that came last may take.
+// extraTimeoutSeconds returns by how much the longest time-out of a request exceeds the standard one.
 func (d *day) extraTimeoutSeconds() (s float64) {
 	for _, c := range d.spec.Classes {
 		s = max(s, c.TotalTimeoutSeconds-standardTimeoutSeconds)
@@ -151,11 +153,11 @@
 	return s
 }
 
-// usualGiveUpS is the longest time in which a request of a usual day must be answered.
+// standardTimeoutSeconds is the longest time-out of a request in a day without long ones.
 const standardTimeoutSeconds = 4.5
 
-// lastComingS returns when the last client comes, since the day's start: hostile ones may do so when the others have
-// ceased.
+// lastArrivalSeconds returns when the last client arrives, since the day's start: misbehaving clients may arrive after the
+// others.
 func (d *day) lastArrivalSeconds() float64 {
 	last := d.spec.LengthSeconds
 	for _, t := range d.script.Faults {
@@ -166,7 +168,7 @@
 	return last
 }
 
-// broken tells whether a rule has been broken.
+// hasViolated reports whether the rule, or any for AnyRule, has been violated so far; false for "".
 func (d *day) hasViolated(rule checker.Rule) bool {
 	if rule == "" {
 		return false
@@ -179,13 +181,13 @@
 	return false
 }
 
-// see tells the judge of something that happens now.
+// observeNow passes an event that happens now to the checker.
 func (d *day) observeNow(e checker.Event) {
 	e.At, e.Server = d.network.Now(), -1
 	d.observe(e)
 }
 
-// seeAs tells it of something as it is.
+// observe passes an event to the checker as it is.
 func (d *day) observe(e checker.Event) {
 	if d.trace != nil {
 		(&tracingObserver{d}).Observe(e)
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -8,14 +8,15 @@
 	"hazelwheel/internal/netio"
 )
 
-// disk is a sidecar's disk over all its lives: what was synced stays. It answers after a while, and a process that has been
-// killed by then has written nothing.
+// simulatedDisk is the coordination.Store of one process of a sidecar. What was written survives the process; a write that was
+// not over when the process was killed is lost.
 type simulatedDisk struct {
-	sidecar      *instance
+	sidecar      *simulatedSidecar
 	loop         netio.EventLoop
-	writeSeconds float64 // how long a write takes
+	writeSeconds float64 // duration of a write
 }
 
+// Save implements coordination.Store.
 func (d simulatedDisk) Save(data []byte, done func(error)) {
 	s, life := d.sidecar, d.sidecar.process
 	kept := append([]byte(nil), data...)
@@ -35,15 +36,16 @@
 	})
 }
 
+// errDiskFull is the error of a write while the disk is full.
 var errDiskFull = errors.New("no space left on device")
 
-// mostOlder is how many states that a disk has held can be put back.
+// maxOldStates is the number of earlier states of a disk that can be restored.
 const maxOldStates = 8
 
-// DiskFull has nothing be written to a sidecar's disk, or ends that.
+// FillDisk implements environment.Hosts: writes to a sidecar's disk fail, or succeed again.
 func (d *day) FillDisk(sidecar int, on bool) { d.sidecars[sidecar].isDiskFull = on }
 
-// Spoil changes what a sidecar's disk holds.
+// DamageState implements environment.Hosts: it loses, truncates or replaces the state on a sidecar's disk by an earlier one.
 func (d *day) DamageState(sidecar int, state string) {
 	s := d.sidecars[sidecar]
 	s.isStateDamaged = s.isStateDamaged || state != environment.StateKept
--- a/internal/sim/fleetcheck.go
+++ b/internal/sim/fleetcheck.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// lookAtQueues tells the judge of what waits for peers.
+// checkPeerQueues reports a queue for a peer that exceeds its bound.
 func (d *day) checkPeerQueues() {
 	for _, s := range d.sidecars {
 		if s.process == nil || !s.process.IsRunning() {
@@ -26,17 +26,20 @@
 	}
 }
 
-// mostQueued is what may wait for one peer: the bound, and a frame.
+// maxQueuedBytes is what may be buffered for one peer: the bound of internal/peers, and a frame.
 const maxQueuedBytes = 256<<10 + frames.MaxFrameBytes
 
+// Times after which the fleet's views must be right.
 const (
 	// agreeS after the last trouble between sidecars all hold the same, which is so.
-	convergenceSeconds = 10.0
+	convergenceSeconds = 10.0 // after the last fault between sidecars all agree on the membership
 	// livesS is how long one must have lived and been in reach to be called dead by nobody.
-	minUpSeconds = 12.0
+	minUpSeconds = 12.0 // after its start or return nobody may consider a member dead any more
 )
 
-// lookAtFleet tells the judge of what sidecars hold that is not so.
+// checkFleet compares what the sidecars know of the fleet with what is so, once they have had the time to converge, and reports
+// the first difference. The membership must be the running sidecars, and ranks must be unique; no rule covers the time of a
+// fault.
 func (d *day) checkFleet() {
 	if !d.hasFleet {
 		return
@@ -48,7 +51,7 @@
 	}
 	calm := now - d.lastFaultAt
 	up := 0
-	byID := map[string]*instance{} // looked up, never walked
+	byID := map[string]*simulatedSidecar{} // looked up, never walked
 	seen := make([]coordination.Status, len(d.sidecars))
 	for i, s := range d.sidecars {
 		if s.process == nil || !s.process.IsRunning() || s.isTerminating || s.isSuspended {
@@ -107,8 +110,8 @@
 	}
 }
 
-// lookForRisen tells the judge of one that a process held for gone and that lives again as it was.
-func (d *day) checkIncarnations(s *instance, seen *coordination.Status) {
+// checkIncarnations reports a member that a process has seen dead or left and sees again in the same incarnation.
+func (d *day) checkIncarnations(s *simulatedSidecar, seen *coordination.Status) {
 	if s.goneInStart != s.starts {
 		s.goneIncarnations, s.goneInStart = map[string]uint64{}, s.starts
 	}
@@ -123,8 +126,8 @@
 	}
 }
 
-// lookForOld tells the judge of one that has taken an old owner's effect.
-func (d *day) checkTokens(s *instance, seen *coordination.Status) {
+// checkTokens reports a role whose effects a sidecar has accepted under a lower fencing token after a higher one.
+func (d *day) checkTokens(s *simulatedSidecar, seen *coordination.Status) {
 	if seen.Leases == nil || d.fleetReported {
 		return
 	}
@@ -138,5 +141,6 @@
 	}
 }
 
-// placedS is how long a place may take to follow what is known: the dead count for a while, and a new place must hold.
+// rankConvergenceSeconds is how much later ranks may follow the membership: dead members count for a while, and a new rank must
+// be stable.
 const rankConvergenceSeconds = 12.0
--- a/internal/sim/fleetprogram.go
+++ b/internal/sim/fleetprogram.go
@@ -17,42 +17,47 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// known is a sidecar with its fleet, as a Program.
+// fleetProgram is a sidecar with its coordination.Node as a Program.
 type fleetProgram struct {
-	core
+	sidecarProgram
 	handler netio.Handler
 	node    *coordination.Node
 }
 
+// Start implements netio.Handler.
 func (p fleetProgram) Start() { p.handler.Start() }
 
+// Open implements netio.Handler.
 func (p fleetProgram) Open(c netio.Conn) bool { return p.handler.Open(c) }
 
+// Traffic implements netio.Handler.
 func (p fleetProgram) Traffic(c netio.Conn, data []byte) { p.handler.Traffic(c, data) }
 
+// Closed implements netio.Handler.
 func (p fleetProgram) Closed(c netio.Conn, err error) { p.handler.Closed(c, err) }
 
+// Alarm implements netio.Handler.
 func (p fleetProgram) Alarm() { p.handler.Alarm() }
 
-// Drain has the others told, too.
+// Drain implements Program; the node notifies its peers.
 func (p fleetProgram) Drain() {
-	p.core.Drain()
+	p.sidecarProgram.Drain()
 	p.node.CheckShutdown()
 }
 
-// Held leaves out the links to peers, which are none of the sidecar's.
-func (p fleetProgram) Leftovers() []Leftover { return p.core.Leftovers() }
+// Leftovers implements Program. Connections to peers are not the sidecar's and don't count.
+func (p fleetProgram) Leftovers() []Leftover { return p.sidecarProgram.Leftovers() }
 
 const (
 	peersPort = "7946"
 	fleetName = "day"
 )
 
-// peersAddress is where the others of its fleet reach a sidecar.
+// peersAddress returns the address at which peers connect to a sidecar.
 func peersAddress(s *environment.SidecarSpec) string { return net.JoinHostPort(s.IP, peersPort) }
 
-// withFleet returns the Core of a sidecar that knows the others of its day.
-func (d *day) fleetFactory(s *instance) Factory {
+// fleetFactory returns the Factory of a sidecar that is a member of the day's fleet.
+func (d *day) fleetFactory(s *simulatedSidecar) Factory {
 	return func(cfg sidecarconfig.Config, loop netio.EventLoop, log *slog.Logger) (Program, error) {
 		shared := multiplex.New(loop)
 		sc, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Frontend{http1.New(cfg, rewrite.Settings{})}, shared.Core(), log)
@@ -86,6 +91,6 @@
 		}
 		sc.ReserveDescriptors(peers.Descriptors(links))
 		s.node = f
-		return fleetProgram{core{sc}, shared.Handler(sc, f, f.OwnsConn), f}, nil
+		return fleetProgram{sidecarProgram{sc}, shared.Handler(sc, f, f.OwnsConn), f}, nil
 	}
 }
--- a/internal/sim/hard_test.go
+++ b/internal/sim/hard_test.go
@@ -147,7 +147,7 @@
 	assert.NotContains(s.t, string(counters(s)), `"panics":1`)
 }
 
-func counters(s *stage) []byte { return s.sidecar.(core).Counters() }
+func counters(s *stage) []byte { return s.sidecar.(sidecarProgram).Counters() }
 
 // executions returns how many boxes have had the request whole.
 func (s *stage) executions() (n int) {
--- a/internal/sim/hosts.go
+++ b/internal/sim/hosts.go
@@ -9,16 +9,16 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// machine is one of the world's hosts on its virtual machine.
+// machine is a program of the environment on its virtual machine.
 type machine struct {
 	environment.Machine
 	vm      *virtual.Machine
-	process *virtual.Process // the last life; nil: there was none
+	process *virtual.Process // the last one; nil: none was started
 }
 
 var _ environment.Hosts = (*day)(nil)
 
-// lay puts the machines into the network, with the ways between them.
+// createMachines adds the machines to the network, with the paths between them.
 func (d *day) createMachines() {
 	sites := map[*virtual.Machine]int{} // looked up, never walked
 	var all []*virtual.Machine
@@ -31,7 +31,7 @@
 		return vm
 	}
 	for i, s := range d.spec.Sidecars {
-		d.sidecars = append(d.sidecars, &instance{day: d, number: i, spec: s, vm: place(s.IP, s.Site),
+		d.sidecars = append(d.sidecars, &simulatedSidecar{day: d, number: i, spec: s, vm: place(s.IP, s.Site),
 			stallRand: rand.New(rand.NewPCG(d.spec.Seed, uint64(i)+0x7374))})
 	}
 	for _, m := range d.environment.Machines() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// begin starts all that stands at the day's beginning.
+// startAll starts all programs that run at the day's start.
 func (d *day) startAll() error {
 	started := len(d.sidecars) - d.script.StandbySidecars()
 	standby := map[string]bool{} // looked up, never walked
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// begin begins a life of a machine's program.
+// start starts a process of the machine's program.
 func (m *machine) start(d *day) error {
 	o := virtual.ProcessOptions{Name: m.Name, Shuffle: d.conditions.shuffle}
 	if m.Listen != "" {
@@ -80,7 +80,7 @@
 	return m.process.Run(m.Boot(m.process))
 }
 
-// Kill ends the process of a machine: that of a sidecar, where there is one, and else all that is there.
+// Kill implements environment.Hosts: it kills the sidecar's process at an address, or else all programs there.
 func (d *day) Kill(ip string) {
 	if s := d.sidecarAt(ip); s != nil {
 		if s.process != nil {
@@ -95,10 +95,10 @@
 	}
 }
 
-// Vanish takes a machine away without a word, with all that runs there.
+// Vanish implements environment.Hosts.
 func (d *day) Vanish(ip string) { d.network.Machine(ip).PowerOff() }
 
-// Return begins what does not run on a machine.
+// Start implements environment.Hosts: it powers the machine on and starts what does not run there.
 func (d *day) Start(ip string) {
 	if vm := d.network.Machine(ip); vm.IsDown() {
 		vm.PowerOn()
@@ -118,7 +118,7 @@
 	}
 }
 
-// Terminate tells a sidecar's process to end in its own time.
+// Terminate implements environment.Hosts: the sidecar gets the signal of a graceful shutdown, once.
 func (d *day) Terminate(sidecar int) {
 	s := d.sidecars[sidecar]
 	if s.process == nil || !s.process.IsRunning() || s.isTerminating {
@@ -128,7 +128,7 @@
 	s.program.Do(s.program.Drain)
 }
 
-// Hangup has a sidecar's process read its configuration again.
+// Reload implements environment.Hosts.
 func (d *day) Reload(sidecar int, configuration []byte) {
 	s := d.sidecars[sidecar]
 	if s.process == nil || !s.process.IsRunning() {
@@ -138,10 +138,10 @@
 	s.program.Do(func() { s.program.Reload(cfg, err) })
 }
 
-// Now returns the network's time.
+// Now implements environment.Hosts.
 func (d *day) Now() float64 { return d.network.Now() }
 
-// TakeOut calls at a sidecar's door.
+// Cordon implements environment.Hosts by the sidecar's admin commands; yes is called if the sidecar accepts.
 func (d *day) Cordon(sidecar int, box string, on bool, yes func()) {
 	s := d.sidecars[sidecar]
 	if s.process == nil || !s.process.IsRunning() {
@@ -158,13 +158,14 @@
 	})
 }
 
-// Cut loses what is sent from one machine to another, until as many Mends as there were Cuts.
+// DropTraffic implements environment.Hosts: it loses what one machine sends to another, until RestoreTraffic has been called as
+// often.
 func (d *day) DropTraffic(from, to string) {
 	d.dropCounts[[2]string{from, to}]++
 	d.network.SetPartitioned(d.network.Machine(from), d.network.Machine(to), true)
 }
 
-// Mend ends that.
+// RestoreTraffic implements environment.Hosts.
 func (d *day) RestoreTraffic(from, to string) {
 	way := [2]string{from, to}
 	if d.dropCounts[way]--; d.dropCounts[way] == 0 {
@@ -172,12 +173,12 @@
 	}
 }
 
-// LateConnects has connections to a machine come up late.
+// DelayConnects implements environment.Hosts.
 func (d *day) DelayConnects(ip string, share, mostS float64) {
 	d.network.Machine(ip).SetHandshakeDelay(share, mostS)
 }
 
-// Reset breaks all connections between two machines.
+// ResetConnections implements environment.Hosts.
 func (d *day) ResetConnections(a, b string) {
 	far := d.network.Machine(b)
 	for _, p := range d.processes(a) {
@@ -189,11 +190,11 @@
 	}
 }
 
-// slowestRate is what an application reads of each connection in a second, in bytes, where it gives all its time to a
-// trouble of slow reading; answers are some 200 bytes.
+// slowestBytesPerSecond is the read rate of each connection of an application at a share of 1; responses have some 200 bytes.
 const slowestBytesPerSecond = 4000.0
 
-// Stall slows what a sidecar's application reads.
+// LimitReading implements environment.Hosts: the sidecar's application reads at a share of slowestBytesPerSecond; from 1 on,
+// without a limit.
 func (d *day) LimitReading(sidecar int, share float64) {
 	for _, m := range d.machines {
 		if m.vm == d.sidecars[sidecar].vm && m.process != nil {
@@ -206,7 +207,8 @@
 	}
 }
 
-func (d *day) sidecarAt(ip string) *instance {
+// sidecarAt returns the sidecar with an address, nil if there is none.
+func (d *day) sidecarAt(ip string) *simulatedSidecar {
 	for _, s := range d.sidecars {
 		if s.spec.IP == ip {
 			return s
@@ -215,7 +217,7 @@
 	return nil
 }
 
-// processes returns what runs on a machine.
+// processes returns the last processes of a machine's programs.
 func (d *day) processes(ip string) []*virtual.Process {
 	var all []*virtual.Process
 	if s := d.sidecarAt(ip); s != nil && s.process != nil {
--- a/internal/sim/listobserver.go
+++ b/internal/sim/listobserver.go
@@ -7,7 +7,8 @@
 	"hazelwheel/internal/environment"
 )
 
-// Releases are the troubles of a quiet day: one box after the other drains, ends and begins again.
+// RollingReleases returns the faults of a day on which one server after another drains, stops and starts again, and nothing
+// else happens.
 func RollingReleases(d environment.Day) (all []environment.Fault) {
 	for i, at := 0, settledSeconds+1; at < d.LengthSeconds-10; i, at = i+1, at+2.5 {
 		all = append(all, environment.Fault{Kind: environment.ScaleIn, AtSeconds: at, DurationSeconds: 4, DrainSeconds: 1.5, Servers: []string{d.Servers[i%d.InitialServers].Name}})
@@ -15,26 +16,29 @@
 	return all
 }
 
-// ListWitness measures from outside what the list costs discovery, and how old it is at the sidecars. It is an Options.Watch.
+// ListObserver measures the calls and watches that the endpoint list costs the discovery, and how long updates take to reach
+// the sidecars. Use it as Options.Observer.
 type ListObserver struct {
 	Calls      int
-	MaxWatches int // at once, at most, once the day has run for settledS
+	MaxWatches int // at once, once the day has settled
 	Sidecars   int
 	// Ages are, in seconds from when the list took a change to when a sidecar was told of it: each, and those of the slowest sidecar
 	// alone. Who was not there all along, or stood still, does not count.
 	Delays, SlowestDelays []float64
-	watchSeconds          float64 // of watches, summed
+	watchSeconds          float64 // sum of the durations of watches
 	lastAt, startedAt     float64
 	watching              int
 	recipients            []listRecipient
 	pending               []pendingList
 }
 
+// listRecipient is a sidecar's state for a ListObserver.
 type listRecipient struct {
 	index uint64
 	isUp  bool
 }
 
+// pendingList is a version of the list that some sidecars do not have yet.
 type pendingList struct {
 	index     uint64
 	changedAt float64
@@ -43,10 +47,10 @@
 	waiting   int
 }
 
-// settledS is after a day's start.
+// settledSeconds is how long after the start a day has settled.
 const settledSeconds = 15.0
 
-// MeanWatches returns how many there were on the average, once the day had run for settledS.
+// MeanWatches returns the mean number of watches once the day has settled.
 func (l *ListObserver) MeanWatches() float64 {
 	if l.lastAt <= l.startedAt+settledSeconds {
 		return 0
@@ -54,7 +58,7 @@
 	return l.watchSeconds / (l.lastAt - l.startedAt - settledSeconds)
 }
 
-// See takes an event.
+// Observe implements checker.Observer.
 func (l *ListObserver) Observe(e checker.Event) {
 	if l.startedAt == 0 {
 		l.startedAt, l.lastAt = e.At, e.At
@@ -86,6 +90,7 @@
 	}
 }
 
+// recipient returns a sidecar's state.
 func (l *ListObserver) recipient(sidecar int32) *listRecipient {
 	for int(sidecar) >= len(l.recipients) {
 		l.recipients = append(l.recipients, listRecipient{})
@@ -93,6 +98,7 @@
 	return &l.recipients[sidecar]
 }
 
+// handleChange adds a version of the list, which all running sidecars wait for.
 func (l *ListObserver) handleChange(e *checker.Event) {
 	o := pendingList{index: e.ListIndex, changedAt: e.At}
 	for _, p := range l.recipients {
@@ -106,7 +112,7 @@
 	}
 }
 
-// close has a sidecar not waited for any more.
+// stopWaiting records that a sidecar no longer waits for a pending version; false if it did not.
 func (l *ListObserver) stopWaiting(i int, sidecar int32) bool {
 	o := &l.pending[i]
 	if int(sidecar) >= len(o.isWaiting) || !o.isWaiting[sidecar] {
@@ -119,6 +125,7 @@
 	return true
 }
 
+// handleDelivery records that a sidecar has received a version of the list.
 func (l *ListObserver) handleDelivery(e *checker.Event) {
 	p := l.recipient(e.Sidecar)
 	if e.ListIndex <= p.index {
--- a/internal/sim/listrelay.go
+++ b/internal/sim/listrelay.go
@@ -7,16 +7,17 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// listener stands between a sidecar and its fleet, and has the judge see what others pass on to it.
+// listRelay passes endpoint lists relayed by the fleet to a sidecar, and reports their entries to the checker.
 type listRelay struct {
 	sidecar.ListReceiver
-	sidecar *instance
+	sidecar *simulatedSidecar
 }
 
+// statuses are the checker's codes for the status words of a list.
 var statuses = map[string]int32{"SERVING": checker.Serving, "DRAINING": checker.Draining, "DELETED": checker.Deleted}
 
-// ApplyList tells the judge of each entry before the sidecar knows it. Whether the list is as new as it should be is the judge's to
-// say.
+// ApplyList implements sidecar.ListReceiver. The checker gets each entry before the sidecar does, and decides whether the list
+// is recent enough.
 func (l listRelay) ApplyList(raw []byte) error {
 	var list struct {
 		Index     uint64
--- a/internal/sim/maintenance.go
+++ b/internal/sim/maintenance.go
@@ -8,41 +8,42 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
-// plans are a day's work on boxes: operators who give plans at sidecars' doors and meddle with them, and mechanics who take boxes,
-// restart them and say that they are done. It judges from what boxes got and what mechanics have on record.
+// maintenanceDriver is the maintenance of a day: operators who submit plans and other commands at sidecars' admin endpoints,
+// and agents that maintain servers. It checks the fleet's records against what servers received and agents did.
 type maintenanceDriver struct {
 	day              *day
 	rng              *rand.Rand
-	spec             maintenance.Spec // what the day's plans have in common
+	spec             maintenance.Spec // common settings of the day's plans
 	agents           []*simulatedAgent
 	servers          []serverState
-	attempts         map[uint64]attemptRoute // executions that are out, by link; looked up and swept by box
-	works            []*workRecord
-	lastToken        uint64
-	latest           maintenance.State // that any sidecar has gone by
+	attempts         map[uint64]attemptRoute // in flight, by connection; for lookups, never iterated
+	works            []*workRecord           // by agents so far
+	lastToken        uint64                  // of the last grant
+	latest           maintenance.State       // the latest record of any sidecar
 	epoch            uint64
 	version          uint64
 	submittedPlans   int
-	strategy         *MaintenanceStrategy // nil: what is done is drawn
+	strategy         *MaintenanceStrategy // nil: plans and commands are drawn
 	slowStartSeconds float64
-	endedAt          float64 // when all that is weighed was done
+	endedAt          float64 // when the strategy's last server was completed
 }
 
-// boxSeen is what a box has got.
+// serverState is what the driver knows of a server.
 type serverState struct {
 	name          string
 	site          string
-	lastAttemptAt float64 // when something new came last
+	lastAttemptAt float64 // of any sidecar
 	lastAttemptBy int32
-	inFlight      map[uint64]bool // links; counted, never walked
-	work          *workRecord     // who has it open
-	isExcused     bool            // an operator has said that it is to be worked on as it is, or to be given back
-	uncordonedBy  map[int32]bool  // sidecars at which it was given back by hand; looked up, never walked
+	inFlight      map[uint64]bool // connections with an attempt; iterated only where the order has no effect
+	work          *workRecord     // in progress on the server; nil: none
+	isExcused     bool            // an operator has forced its maintenance, or skipped it
+	uncordonedBy  map[int32]bool  // sidecars at which an operator has uncordoned it; for lookups, never iterated
 }
 
+// attemptRoute is where an attempt went, and which sidecar sent it.
 type attemptRoute struct{ server, sidecar int32 }
 
-// boxWork is what a mechanic has on record.
+// workRecord is an agent's maintenance of one server.
 type workRecord struct {
 	plan      uint64
 	server    int
@@ -52,16 +53,16 @@
 	hasFailed bool
 }
 
-// Lengths of what operators and mechanics do, in seconds.
+// Durations of operators' and agents' actions.
 const (
-	commandRetrySeconds   = 0.25 // between two looks for an answer
-	commandTimeoutSeconds = 2.5  // at one door, until another is tried
+	commandRetrySeconds   = 0.25 // between two attempts of a command
+	commandTimeoutSeconds = 2.5  // of a command at one sidecar, before another is tried
 	deadMemberSeconds     = 30.0
 	requestTransitSeconds = 0.05 // a request may be under way for so long
-	operatorDayShare      = 0.5  // of the days
+	operatorDayShare      = 0.5  // of the days have an operator who intervenes
 )
 
-// newPlans returns a day's work of which nothing is to be done yet.
+// newMaintenanceDriver returns a driver without any maintenance scheduled.
 func newMaintenanceDriver(d *day) *maintenanceDriver {
 	w := &maintenanceDriver{day: d, rng: rand.New(rand.NewPCG(d.spec.Seed, 0x776f726b73)), attempts: map[uint64]attemptRoute{}}
 	for _, b := range d.spec.Servers {
@@ -70,7 +71,7 @@
 	return w
 }
 
-// draw draws who does what.
+// scheduleRandom draws the day's agents, plans and commands.
 func (d *maintenanceDriver) scheduleRandom() {
 	between := func(least, most float64) float64 { return least + (most-least)*d.rng.Float64() }
 	d.spec = maintenance.Spec{WorkSeconds: between(1, 8), QuietSeconds: between(0.5, 1.5), WarmUpSeconds: between(1, 4), DeadMemberSeconds: deadMemberSeconds, RejectionBudget: between(0.1, 1)}
@@ -90,16 +91,18 @@
 	}
 }
 
+// after calls do after some seconds.
 func (d *maintenanceDriver) after(s float64, do func()) {
 	d.day.network.Schedule(d.day.network.Now()+s, do)
 }
 
-// ask gives a command at one sidecar after the other until it is answered, or for a time.
+// submit submits a command at one sidecar after another until it is answered or the time-out is over, and calls done once. All
+// attempts have the same nonce.
 func (d *maintenanceDriver) submit(cmd maintenance.Command, timeoutSeconds float64, done func(r maintenance.Reply, answered bool)) {
 	cmd.Nonce = d.rng.Uint64() | 1
 	until, finished := d.day.network.Now()+timeoutSeconds, false
-	var attempt func(target *instance, left float64)
-	attempt = func(target *instance, left float64) {
+	var attempt func(target *simulatedSidecar, left float64)
+	attempt = func(target *simulatedSidecar, left float64) {
 		switch {
 		case finished:
 			return
@@ -123,7 +126,7 @@
 	attempt(d.day.sidecars[d.rng.IntN(len(d.day.sidecars))], commandTimeoutSeconds)
 }
 
-// give gives a plan over some of the boxes.
+// submitRandomPlan submits a plan for some of the servers.
 func (d *maintenanceDriver) submitRandomPlan() {
 	s := d.spec
 	d.submittedPlans++
@@ -142,7 +145,7 @@
 	})
 }
 
-// meddle has an operator turn a plan, or say something of one of its boxes.
+// submitRandomCommand submits an operator's command for a plan in progress, or for one of its servers.
 func (d *maintenanceDriver) submitRandomCommand() {
 	kinds := []maintenance.Kind{maintenance.PausePlan, maintenance.ResumePlan, maintenance.SkipServer, maintenance.ForceDrained, maintenance.ForceDrained, maintenance.AbortPlan}
 	cmd := maintenance.Command{Kind: kinds[d.rng.IntN(len(kinds))], Agent: "operator"}
@@ -174,13 +177,15 @@
 	})
 }
 
+// trace adds a line to the trace.
 func (d *maintenanceDriver) trace(format string, args ...any) {
 	if d.day.trace != nil {
 		d.day.trace(d.day.network.Now()-d.day.spec.Start, "work: "+fmt.Sprintf(format, args...))
 	}
 }
 
-// restart has a sidecar begin again while boxes are out, late enough for nothing else to be in the way of plans.
+// restartSidecar restarts a sidecar while servers are under maintenance, unless it is so late that the plans could not go on
+// after it.
 func (d *maintenanceDriver) restartSidecar(sidecar int) {
 	now := d.day.network.Now()
 	if now < d.day.spec.Start+0.9*d.day.spec.LengthSeconds {
@@ -188,8 +193,8 @@
 	}
 }
 
-// began has a sidecar that begins ask the others what is agreed, as its process does before it listens.
-func (d *maintenanceDriver) restoreRecord(s *instance, f *coordination.Node) {
+// restoreRecord gives a starting sidecar the latest record of its peers, as its process queries it before it listens.
+func (d *maintenanceDriver) restoreRecord(s *simulatedSidecar, f *coordination.Node) {
 	var latest *coordination.MaintenanceRecord
 	asked := false
 	for i, o := range d.day.sidecars {
--- a/internal/sim/maintenancecheck.go
+++ b/internal/sim/maintenancecheck.go
@@ -8,16 +8,17 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
-// wrong tells the judge of a break. Danger: what names no sidecar it does not take.
+// reportViolation reports a violation to the checker. Danger: the checker ignores events without a sidecar.
 func (d *maintenanceDriver) reportViolation(what int32, format string, args ...any) {
 	d.day.observeNow(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: 0, Status: what, Text: fmt.Sprintf(format, args...)})
 }
 
+// serverNamed returns a server's state.
 func (d *maintenanceDriver) serverNamed(name string) *serverState {
 	return &d.servers[slices.IndexFunc(d.servers, func(b serverState) bool { return b.name == name })]
 }
 
-// See takes what boxes get.
+// Observe implements checker.Observer: it follows attempts and operators' commands.
 func (d *maintenanceDriver) Observe(e checker.Event) {
 	switch e.Kind {
 	case checker.AttemptReceived:
@@ -44,8 +45,8 @@
 	}
 }
 
-// excused tells whether a sidecar may send to a box that is out: an operator has said so, it was held for gone, or it began with
-// nothing on its disk and nobody whom it could ask.
+// mayReceive reports whether a sidecar may send to a server under maintenance: an operator has allowed it, the sidecar has been
+// isolated for so long that the fleet considers it dead, or it started without state and peers to query.
 func (d *maintenanceDriver) mayReceive(b *serverState, sidecar int32) bool {
 	if b.isExcused || sidecar < 0 || b.uncordonedBy[sidecar] {
 		return true
@@ -54,7 +55,7 @@
 	return s.startedBlind || s.isolatedSince > 0 && d.day.network.Now()-s.isolatedSince > 0.8*deadMemberSeconds
 }
 
-// started takes that a mechanic begins.
+// startWork checks that a server's maintenance may start, and records it.
 func (d *maintenanceDriver) startWork(k *workRecord) {
 	b, now := &d.servers[k.server], d.day.network.Now()
 	d.trace("%s works on %s under %d", k.agent, b.name, k.token)
@@ -95,6 +96,7 @@
 	}
 }
 
+// planNumbered returns a plan of the latest record, nil if there is none.
 func (d *maintenanceDriver) planNumbered(number uint64) *maintenance.Plan {
 	if i := slices.IndexFunc(d.latest.Plans, func(p maintenance.Plan) bool { return p.Number == number }); i >= 0 {
 		return &d.latest.Plans[i]
@@ -102,13 +104,13 @@
 	return nil
 }
 
-// cut tells whether two sidecars don't reach each other.
-func (d *maintenanceDriver) isPartitioned(a, b *instance) bool {
+// isPartitioned reports whether two sidecars can't reach each other.
+func (d *maintenanceDriver) isPartitioned(a, b *simulatedSidecar) bool {
 	to, from := [2]string{a.spec.IP, b.spec.IP}, [2]string{b.spec.IP, a.spec.IP}
 	return d.day.dropCounts[to] > 0 || d.day.dropCounts[from] > 0
 }
 
-// look takes what is agreed now, and who is not heard.
+// observeFleet updates the latest record, and which sidecars are isolated.
 func (d *maintenanceDriver) observeFleet() {
 	now := d.day.network.Now()
 	for _, s := range d.day.sidecars {
@@ -138,7 +140,7 @@
 	}
 }
 
-// counts sees that no more is out than plans allow.
+// checkBudgets checks that no more servers are out than the plans allow.
 func (d *maintenanceDriver) checkBudgets() {
 	if d.strategy == nil && d.rng.IntN(25) == 0 { // whoever settles the order ends at one of its steps
 		for i, s := range d.day.sidecars {
@@ -177,7 +179,7 @@
 	d.trace("version %d of %d:%s", d.version, d.epoch, line)
 }
 
-// over compares what was done with what is agreed.
+// checkRecords compares the final record with what agents did.
 func (d *maintenanceDriver) checkRecords() {
 	for i := range d.latest.Plans {
 		p := &d.latest.Plans[i]
@@ -192,7 +194,7 @@
 	}
 }
 
-// worked counts boxes on which work has ended.
+// completedWorks returns the number of servers whose maintenance was completed.
 func (d *maintenanceDriver) completedWorks() (n int) {
 	for _, k := range d.works {
 		if k.isDone {
--- a/internal/sim/mutants.go
+++ b/internal/sim/mutants.go
@@ -16,32 +16,33 @@
 	"hazelwheel/internal/checker"
 )
 
-// MutantsDir is where the project's mutants are: unified patches, each of which breaks one thing.
+// MutantsDir is the directory of the project's mutants: unified patches, each of which introduces one fault.
 const MutantsDir = "internal/checker/testdata/mutants"
 
-// Names of mutants that are not played on usual days begin so.
+// Prefixes of the names of mutants that aren't played on ordinary days.
 const (
-	leaseMutantPrefix            = "owner-"      // by who owns jobs alone, package owners
-	maintenanceMutantPrefix      = "work-"       // by work on boxes alone, package plans,
-	fleetMaintenanceMutantPrefix = "work-fleet-" // or on whole days with it
+	leaseMutantPrefix            = "owner-"      // by package leasesim
+	maintenanceMutantPrefix      = "work-"       // by package maintenancesim
+	fleetMaintenanceMutantPrefix = "work-fleet-" // on whole days with maintenance
 )
 
-// MutantsOptions say which mutants are tried, and how.
+// MutantOptions determine which mutants are run, and how.
 type MutantOptions struct {
-	Root      string   // of the tree
+	Root      string   // of the source tree
 	Dir       string   // of the patches
-	NameParts []string // parts of the names of those to try; none: all
-	LastSeed  uint64   // seeds from 1 to this are played, until one catches the mutant
+	NameParts []string // of the mutants to run; none: all
+	LastSeed  uint64   // seeds from 1 to this are played, until one detects the mutant
 	Jobs      int      // mutants at a time
 }
 
-// Mutant is what came of one.
+// MutantResult is the outcome of one mutant.
 type MutantResult struct {
 	Name  string         `json:"name"`
-	Seed  uint64         `json:"seed"`            // that caught it; 0: none has
-	Rules []checker.Rule `json:"rules,omitempty"` // that it broke
+	Seed  uint64         `json:"seed"`            // that detected it; 0: none
+	Rules []checker.Rule `json:"rules,omitempty"` // that it violated
 }
 
+// String returns the result as one line.
 func (m MutantResult) String() string {
 	if m.Seed == 0 {
 		return fmt.Sprintf("%-32s NOT CAUGHT", m.Name)
@@ -53,8 +54,8 @@
 	return fmt.Sprintf("%-32s caught by seed %d: %s", m.Name, m.Seed, strings.Join(rules, ", "))
 }
 
-// Mutants builds each mutant in a copy of the tree, plays seeds with it, and tells what came of it in the order of the
-// names. A patch that does not apply, or does not build, is an error: it breaks nothing any more.
+// RunMutants builds each mutant in a copy of the source tree, plays seeds with it, and reports the results in the order of the
+// names. A patch that does not apply or build is an error: it introduces no fault any more.
 func RunMutants(o MutantOptions, report func(MutantResult)) error {
 	patches, err := filepath.Glob(filepath.Join(o.Dir, "*.patch"))
 	if err != nil {
@@ -95,6 +96,7 @@
 	return errors.Join(errs...)
 }
 
+// runMutant builds and plays one mutant.
 func runMutant(o MutantOptions, patch string) (MutantResult, error) {
 	m := MutantResult{Name: strings.TrimSuffix(filepath.Base(patch), ".patch")}
 	dir, err := os.MkdirTemp("", "mutant-")
@@ -152,7 +154,7 @@
 	return m, nil
 }
 
-// copySources copies what a build needs.
+// copySources copies the files that a build needs.
 func copySources(from, to string) error {
 	for _, part := range []string{"cmd", "internal", "policy"} {
 		root := filepath.Join(from, part)
@@ -181,6 +183,7 @@
 	return nil
 }
 
+// copyFile copies a file and creates its directory.
 func copyFile(from, to string) error {
 	text, err := os.ReadFile(from)
 	if err != nil {
--- a/internal/sim/options.go
+++ b/internal/sim/options.go
@@ -7,10 +7,11 @@
 	"hazelwheel/internal/environment"
 )
 
-// Together says on which days sidecars know each other.
+// FleetMode determines on which days the sidecars form a fleet, and with which features. Its values are those of a flag of
+// hazellab.
 type FleetMode string
 
-// On a third of the seeds where nothing is said.
+// The modes. FleetBySeed has a fleet on a third of the seeds.
 const (
 	FleetBySeed FleetMode = ""
 	FleetOff    FleetMode = "off"
@@ -23,19 +24,19 @@
 	FleetFaultsOnly FleetMode = "apart"
 )
 
-// on tells whether the sidecars of a seed's day know each other.
+// isOn reports whether the sidecars of a seed's day form a fleet.
 func (t FleetMode) isOn(seed uint64) bool {
 	return t == FleetOn || t == FleetWithRoles || t == FleetWithMaintenance || t == FleetBySeed && seed%3 == 0
 }
 
-// Options are how a day is played.
+// Options are the settings of a day. The zero value is a day as its seed draws it, with the real sidecar.
 type Options struct {
-	Factory Factory                       // nil: the sidecar
-	Trace   func(at float64, line string) // told of all that happens, in seconds since the day's start; nil: nobody is
+	Factory Factory                       // nil: the sidecar, with Protocol and Quotas as set here
+	Trace   func(at float64, line string) // called with every event, at seconds since the day's start; may be nil
 	// Until stops the day at the first finding of this rule; "any" at the first of all. Danger: what the day has left
 	// at its end is then not looked at.
 	StopAtRule    checker.Rule
-	WithoutFaults bool // leave the troubles of the script out
+	WithoutFaults bool // leaves out the script's faults
 	// Speech is what applications and boxes speak; empty: HTTP. It changes nothing else of a day, but that answers over Thrift
 	// hold no load reports: those come with probes.
 	Protocol environment.Protocol
@@ -43,27 +44,27 @@
 	// Quotas the sidecars hold groups to their shares.
 	BatchFactor        float64
 	Quotas             bool
-	Servers            int                 // at the start of the day, with as much traffic; 0: as usual
-	CustomRanges       *environment.Ranges // that days are drawn from in place of all that is said here of sizes; nil: none
-	ConfiguredSidecars int                 // how many sidecars the configurations say there are; 0: as many as the day has
+	Servers            int                 // at the start of the day, with traffic in proportion; 0: as drawn
+	CustomRanges       *environment.Ranges // replaces the ranges that the sizes here determine; may be nil
+	ConfiguredSidecars int                 // number of sidecars according to their configurations; 0: the actual one
 	// Watch is told of all that the judge is told; nil: nobody is.
 	Observer checker.Observer
 	// Together says on which days sidecars know each other. Those of other cores, speeches and quotas never do.
 	FleetMode FleetMode
 	// Weigh has a day of TogetherWorks be about one plan or script, in place of drawn ones; nil: they are drawn.
 	Maintenance *MaintenanceStrategy
-	Sidecars    int // that the day has, with as much traffic each has as usual together; 0: as usual
+	Sidecars    int // of the day, with the same traffic in sum; 0: as drawn
 }
 
-// together tells whether the sidecars of a seed's day know each other.
+// hasFleet reports whether the sidecars of a seed's day form a fleet.
 func (o Options) hasFleet(seed uint64) bool {
 	return o.Factory == nil && !o.Protocol.IsThrift() && !o.Quotas && o.FleetMode.isOn(seed)
 }
 
-// usualBoxes is how many boxes a day has that is not drawn with more.
+// standardServers is the number of servers of a day without Options.Servers, on average.
 const standardServers = 15
 
-// Ranges returns what days are drawn from.
+// Ranges returns the ranges that days are drawn from.
 func (o Options) Ranges() environment.Ranges {
 	if o.CustomRanges != nil {
 		return *o.CustomRanges
@@ -82,10 +83,10 @@
 	return r
 }
 
-// Any stands for all rules in Options.Until.
+// AnyRule stands for every rule in Options.StopAtRule.
 const AnyRule checker.Rule = "any"
 
-// DrawScript returns the script of a seed for days drawn as the options say.
+// DrawScript draws the script of a seed.
 func (o Options) DrawScript(seed uint64) environment.Script {
 	d := environment.Draw(seed, o.Ranges())
 	s := environment.DrawScript(&d)
--- a/internal/sim/peerfaults.go
+++ b/internal/sim/peerfaults.go
@@ -1,8 +1,9 @@
 package sim
 
+// peerIP returns a sidecar's address.
 func (d *day) peerIP(sidecar int) string { return d.sidecars[sidecar].spec.IP }
 
-// PeersCut loses what goes from one sidecar to another: all that they say is said to peers.
+// DropPeerTraffic implements environment.Hosts: it loses what one sidecar sends to another, which are peer messages alone.
 func (d *day) DropPeerTraffic(from, to int, on bool) {
 	if on {
 		d.DropTraffic(d.peerIP(from), d.peerIP(to))
@@ -14,10 +15,10 @@
 	d.lastFaultAt = d.network.Now()
 }
 
-// PeersHold is the same here: what TCP has lost on the way it sends again.
+// HoldPeerTraffic implements environment.Hosts. Here it is DropPeerTraffic: TCP retransmits what was lost.
 func (d *day) HoldPeerTraffic(from, to int, on bool) { d.DropPeerTraffic(from, to, on) }
 
-// PeersSlow has what one sends to another go at a rate.
+// LimitPeerTraffic implements environment.Hosts.
 func (d *day) LimitPeerTraffic(from, to int, perS float64) {
 	way := [2]int{from, to}
 	switch was := d.peerRates[way]; {
@@ -31,13 +32,13 @@
 	d.lastFaultAt = d.network.Now()
 }
 
-// Begin begins a sidecar that has stood by, with what is beside it.
+// StartStandby implements environment.Hosts.
 func (d *day) StartStandby(sidecar int) {
 	d.lastFaultAt = d.network.Now()
 	d.Start(d.peerIP(sidecar))
 }
 
-// Clock has a sidecar's clock run at a rate, over all lives of its process.
+// SetClockRate implements environment.Hosts; the rate holds for later processes, too.
 func (d *day) SetClockRate(sidecar int, rate float64) {
 	s := d.sidecars[sidecar]
 	if s.clockRate = rate; s.process != nil && s.process.IsRunning() {
@@ -45,16 +46,16 @@
 	}
 }
 
-// PeersReset breaks the links between two.
+// ResetPeerConnections implements environment.Hosts.
 func (d *day) ResetPeerConnections(a, b int) {
 	d.ResetConnections(d.peerIP(a), d.peerIP(b))
 	d.lastFaultAt = d.network.Now()
 }
 
-// endless is long after any day.
+// foreverSeconds is longer than any day.
 const foreverSeconds = 1e12
 
-// Freeze has a process stand still.
+// Suspend implements environment.Hosts: the process does not run, and its connections stay open.
 func (d *day) Suspend(sidecar int, on bool) {
 	s := d.sidecars[sidecar]
 	d.lastFaultAt = d.network.Now()
--- a/internal/sim/plainbalancer.go
+++ b/internal/sim/plainbalancer.go
@@ -14,15 +14,15 @@
 	"hazelwheel/policy"
 )
 
-// Choose picks one of the boxes that serve; out says how many requests this balancer has at each.
+// Selector selects one of the servers that are ready; outstanding returns how many requests the balancer has at a server.
 type Selector func(rng *rand.Rand, boxes []uint32, out func(box uint32) int) uint32
 
-// Random picks any.
+// Random selects any server with equal probability.
 func Random(rng *rand.Rand, boxes []uint32, _ func(uint32) int) uint32 {
 	return boxes[rng.IntN(len(boxes))]
 }
 
-// LeastOutstanding picks one of those that have the fewest.
+// LeastOutstanding selects a server with the fewest outstanding requests, at random among equals.
 func LeastOutstanding(rng *rand.Rand, boxes []uint32, out func(uint32) int) uint32 {
 	best, ties := boxes[0], 1
 	for _, b := range boxes[1:] {
@@ -38,8 +38,8 @@
 	return best
 }
 
-// Plain returns the Core of a balancer that does no more than choose: one attempt, no probes, no limits. The service of
-// the decisions is measured against it.
+// PlainBalancer returns the Factory of a balancer that only selects: one attempt, no health checks, no limits. It is the
+// baseline for the service of the policy's decisions.
 func PlainBalancer(choose Selector) Factory {
 	return func(cfg sidecarconfig.Config, net netio.EventLoop, _ *slog.Logger) (Program, error) {
 		p := &plainBalancer{cfg: cfg, loop: net, selectServer: choose, rng: rand.New(rand.NewPCG(cfg.Seed, 0x706c61696e)),
@@ -53,7 +53,7 @@
 	}
 }
 
-// plain is a plain balancer.
+// plainBalancer is the baseline balancer. All its methods are for its event loop.
 type plainBalancer struct {
 	cfg          sidecarconfig.Config
 	loop         netio.EventLoop
@@ -61,19 +61,19 @@
 	rng          *rand.Rand
 	endpoints    *endpointset.Set
 	serving      []uint32
-	outstanding  map[uint32]int // looked up, never walked
+	outstanding  map[uint32]int // by server; for lookups, never iterated
 	idle         map[uint32][]*plainConn
 	clients      []*plainConn
 	pending      []*plainRequest // in no order
 	scratch      []byte
 	isDraining   bool
-	watchRetryAt float64 // when the watch is begun again; 0: it is up
-	minStopAt    float64
+	watchRetryAt float64 // when the discovery watch is opened again; 0: it is up
+	minStopAt    float64 // once draining, not before this time
 }
 
 var plainLimits = http1.Limits{HeadBytes: 16 << 10, BufferedBodyBytes: 8 << 20}
 
-// plainLink is a connection of any kind.
+// plainConn is a connection of any kind.
 type plainConn struct {
 	conn     netio.Conn
 	kind     plainConnKind
@@ -84,6 +84,7 @@
 	server   uint32
 }
 
+// plainConnKind is the kind of a connection.
 type plainConnKind uint8
 
 const (
@@ -92,7 +93,7 @@
 	plainWatch
 )
 
-// plainAsk is a request that is out.
+// plainRequest is a request that has been forwarded, or waits for its connection.
 type plainRequest struct {
 	client   *plainConn
 	server   *plainConn
@@ -102,21 +103,28 @@
 	text     []byte
 }
 
+// Start implements netio.Handler.
 func (p *plainBalancer) Start() {
 	p.openWatch()
 	p.loop.SetAlarm(p.loop.Now() + plainTickSeconds)
 }
 
-// plainTickS is the time between two looks for requests whose time is over.
+// plainTickSeconds is the time between two checks for requests past their deadline.
 const plainTickSeconds = 0.01
 
-func (p *plainBalancer) Do(f func())           { p.loop.Post(f) }
+// Do implements Program.
+func (p *plainBalancer) Do(f func()) { p.loop.Post(f) }
+
+// Leftovers implements Program; none are tracked.
 func (p *plainBalancer) Leftovers() []Leftover { return nil }
 
-// Offline and Online say no: there is no door.
-func (p *plainBalancer) CordonServer(string) error   { return errors.ErrUnsupported }
+// CordonServer implements Program; it isn't supported.
+func (p *plainBalancer) CordonServer(string) error { return errors.ErrUnsupported }
+
+// UncordonServer implements Program; it isn't supported.
 func (p *plainBalancer) UncordonServer(string) error { return errors.ErrUnsupported }
 
+// Reload implements Program; only a new address of the discovery is applied.
 func (p *plainBalancer) Reload(c sidecarconfig.Config, err error) {
 	if err == nil && c.Discovery != p.cfg.Discovery {
 		p.cfg.Discovery = c.Discovery
@@ -125,9 +133,11 @@
 	}
 }
 
-// Drain has the balancer end once all is answered, at the earliest when clients have ceased to come.
+// Drain implements Program: the balancer stops once all requests are answered, and not before clients have had the time to
+// leave.
 func (p *plainBalancer) Drain() { p.isDraining, p.minStopAt = true, p.loop.Now()+0.6 }
 
+// Alarm implements netio.Handler: it fails requests past their deadline, opens the watch again and stops when drained.
 func (p *plainBalancer) Alarm() {
 	now := p.loop.Now()
 	for i := 0; i < len(p.pending); {
@@ -147,6 +157,7 @@
 	p.loop.SetAlarm(now + plainTickSeconds)
 }
 
+// openWatch dials the discovery.
 func (p *plainBalancer) openWatch() {
 	p.watchRetryAt = 0
 	l := &plainConn{kind: plainWatch, response: http1.NewResponseParser(plainLimits)}
@@ -157,6 +168,7 @@
 	})
 }
 
+// applyList applies an update of the endpoint list.
 func (p *plainBalancer) applyList(raw []byte) error {
 	snapshot, infos, err := p.endpoints.Apply(raw, p.loop.Now())
 	if err != nil {
@@ -177,6 +189,7 @@
 	return nil
 }
 
+// Open implements netio.Handler.
 func (p *plainBalancer) Open(c netio.Conn) bool {
 	l, dialed := c.Context().(*plainConn)
 	if !dialed {
@@ -197,6 +210,7 @@
 	return true
 }
 
+// Traffic implements netio.Handler.
 func (p *plainBalancer) Traffic(c netio.Conn, data []byte) {
 	l := c.Context().(*plainConn)
 	l.buf.Write(data)
@@ -231,7 +245,7 @@
 	}
 }
 
-// read takes up the next request of a client.
+// handleRequests handles the next requests of a client, one at a time.
 func (p *plainBalancer) handleRequests(l *plainConn) {
 	for l.conn != nil && l.current == nil {
 		whole, err := l.request.Next(&l.buf)
@@ -254,6 +268,7 @@
 	}
 }
 
+// forward sends a request to a server, on an idle connection if there is one.
 func (p *plainBalancer) forward(l *plainConn, r *http1.RequestParser) {
 	host := p.selectServer(p.rng, p.serving, func(box uint32) int { return p.outstanding[box] })
 	a := &plainRequest{client: l, serverID: host, deadline: p.loop.Now() + 3, text: http1.AppendRequest(nil, r.Method, r.Target, r.Header.EndToEnd(), r.Body)}
@@ -280,7 +295,7 @@
 	})
 }
 
-// finish ends a request with an answer. Its server's connection is kept where keep says so.
+// finish ends a request with a response. The server's connection is reused if keep is set.
 func (p *plainBalancer) finish(a *plainRequest, status int, body []byte, keep bool) {
 	if i := slices.Index(p.pending, a); i >= 0 {
 		p.pending = slices.Delete(p.pending, i, i+1)
@@ -305,11 +320,13 @@
 	}
 }
 
+// respond writes a response to a client.
 func (p *plainBalancer) respond(l *plainConn, status int, body []byte) {
 	p.scratch = http1.AppendResponse(p.scratch[:0], status, nil, body)
 	_, _ = l.conn.Write(p.scratch)
 }
 
+// Closed implements netio.Handler.
 func (p *plainBalancer) Closed(c netio.Conn, err error) {
 	l := c.Context().(*plainConn)
 	l.conn = nil
--- a/internal/sim/playseeds.go
+++ b/internal/sim/playseeds.go
@@ -5,16 +5,16 @@
 	"sync/atomic"
 )
 
-// Outcome is what came of a seed: a result, or what kept it from being played.
+// Outcome is the result of a seed's day, or the error that kept it from being played.
 type Outcome struct {
 	Seed   uint64
 	Result *Result
 	Err    error
 }
 
-// Fleet plays the days of seeds from first to last, so many at a time, and calls each for each outcome, one at a time
-// but in the order in which they end. Where each returns false no more days are begun. Each day is a goroutine's own:
-// its history does not depend on how many are played beside it.
+// PlaySeeds plays the days of the seeds from first to last on jobs goroutines and calls handle for each outcome, one at a time,
+// in the order in which the days end. No further day starts once handle has returned false. A day's history does not depend on
+// the days beside it.
 func PlaySeeds(first, last uint64, jobs int, options Options, handle func(Outcome) bool) {
 	var next atomic.Uint64
 	next.Store(first)
--- a/internal/sim/program.go
+++ b/internal/sim/program.go
@@ -7,27 +7,28 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// Program is a sidecar as a day needs it.
+// Program is what a day plays as a sidecar. Its methods but Do are for its event loop; Do may be called from the simulation's
+// goroutine.
 type Program interface {
 	netio.Handler
-	// Do calls f on the program's loop, with what follows from it.
+	// Do calls f on the program's event loop and then does what follows from it.
 	Do(f func())
-	// Drain has the program end once all that it has taken is answered.
+	// Drain starts a graceful shutdown: the program stops once all accepted requests are answered.
 	Drain()
-	// Reload gives it a new configuration, or the error that came of reading it.
+	// Reload applies a new configuration, or reports the error of parsing it.
 	Reload(cfg sidecarconfig.Config, err error)
-	// Offline and Online are the operators' calls to take a server out and to give it back.
+	// CordonServer and UncordonServer are the operators' commands.
 	CordonServer(server string) error
 	UncordonServer(server string) error
-	// Held says what the program holds, by name; a program at rest holds nothing.
+	// Leftovers returns the resources in use beyond those of an idle program, by name.
 	Leftovers() []Leftover
 }
 
-// Holding is a number of things that a program holds.
+// Leftover is a number of resources of one kind that are still in use.
 type Leftover struct {
 	Name  string
 	Count int
 }
 
-// Core returns a program that has not begun, on its network.
+// Factory returns a program that has not been started, on an event loop.
 type Factory func(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error)
--- a/internal/sim/programs.go
+++ b/internal/sim/programs.go
@@ -14,23 +14,25 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// Cores are what a day can be played with, by name; nil is the sidecar, with or without a fleet as the seed says.
+// Factories are the programs that a day can be played with, by the name of a flag's value; nil is the sidecar, with the fleet
+// that Options.FleetMode determines.
 var Factories = map[string]Factory{"sidecar": nil, "random": PlainBalancer(Random), "least": PlainBalancer(LeastOutstanding)}
 
-// core is the sidecar as a Program.
-type core struct{ *sidecar.Sidecar }
+// sidecarProgram is the sidecar as a Program.
+type sidecarProgram struct{ *sidecar.Sidecar }
 
-// Sidecar is the Core of the real sidecar, without the operators' features.
-func NewSidecar(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error) {
-	s, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Frontend{http1.New(cfg, rewrite.Settings{})}, net, log)
+// NewSidecar is the Factory of the sidecar without optional features.
+func NewSidecar(cfg sidecarconfig.Config, loop netio.EventLoop, log *slog.Logger) (Program, error) {
+	s, err := sidecar.New(cfg, featureconfig.Features{}, []sidecar.Frontend{http1.New(cfg, rewrite.Settings{})}, loop, log)
 	if err != nil {
 		return nil, err
 	}
-	return core{s}, nil
+	return sidecarProgram{s}, nil
 }
 
-// OverThrift is the Core of the real sidecar with a Thrift port, as the world's applications and boxes speak it.
-func NewThriftSidecar(cfg sidecarconfig.Config, net netio.EventLoop, log *slog.Logger) (Program, error) {
+// NewThriftSidecar is the Factory of the sidecar with a Thrift listener, configured for the protocol of environment's
+// applications and servers.
+func NewThriftSidecar(cfg sidecarconfig.Config, loop netio.EventLoop, log *slog.Logger) (Program, error) {
 	var classes []map[string]any
 	for _, c := range cfg.Settings.Policy.Classes {
 		classes = append(classes, map[string]any{"class": c.Name, "methods": []string{c.Name}, "id": environment.ThriftID,
@@ -45,29 +47,30 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := sidecar.New(cfg, on, []sidecar.Frontend{http1.New(cfg, on.Rewrites), thrift.New(cfg, on.Thrift)}, net, log)
+	s, err := sidecar.New(cfg, on, []sidecar.Frontend{http1.New(cfg, on.Rewrites), thrift.New(cfg, on.Thrift)}, loop, log)
 	if err != nil {
 		return nil, err
 	}
-	return core{s}, nil
+	return sidecarProgram{s}, nil
 }
 
-// What a sidecar at rest may hold: a few links to each box, which probes use; for each a timer, and some for the sweep, the
-// watch, the probes and the decisions.
+// Resources of an idle sidecar: some connections to each server, kept by health checks; a timer for each, and some for the
+// sweep, the watch, health checks and decisions.
 const (
 	idleConns          = 64
 	idleConnsPerServer = 2
 	idleTimers         = 32
 )
 
-// Held says what the sidecar holds beyond what one at rest does.
-func (c core) Leftovers() []Leftover {
+// Leftovers implements Program.
+func (c sidecarProgram) Leftovers() []Leftover {
 	h := c.Sidecar.ResourceUsage()
 	links := max(idleConns, idleConnsPerServer*h.Servers)
 	return []Leftover{{"requests", h.Requests}, {"client links", h.ClientConns}, {"bytes that are not read", h.BufferedBytes},
 		{"events", h.Events}, {"links to boxes", excess(h.BackendConns, links)}, {"timers", excess(h.Timers, 2*links+idleTimers)}}
 }
 
+// excess returns by how much n exceeds what is allowed.
 func excess(n, allowed int) int {
 	if n <= allowed {
 		return 0
--- a/internal/sim/quotas.go
+++ b/internal/sim/quotas.go
@@ -15,8 +15,8 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// The quotas of days: the cities have twice what they ask for on average, the ministry a twentieth of it. What the cities leave
-// it may borrow up to its cap.
+// The quotas of a day, as multiples of the traffic: the cities have twice what they request on average, the ministry a
+// twentieth. The ministry may use what the cities leave up to its cap.
 const (
 	cityTimes          = 2.0
 	ministryTimes      = 0.05
@@ -24,7 +24,7 @@
 	quotaWindowSeconds = 5.0
 )
 
-// batch returns a batch at so many times the ministry's share.
+// batchSpec returns a batch of reads at factor times the ministry's quota.
 func batchSpec(d *environment.Day, times float64) *environment.BatchSpec {
 	b := &environment.BatchSpec{RatePerSecond: times * ministryTimes * d.Clients.RatePerSecond, Organisation: "ministry"}
 	for i, c := range d.Classes {
@@ -35,7 +35,7 @@
 	return b
 }
 
-// withQuotas returns the Core of the sidecar with quotas that go by what a day's clients ask for.
+// quotaFactory returns the Factory of a sidecar with quotas in proportion to the day's traffic.
 func quotaFactory(d *environment.Day) (Factory, error) {
 	const all = cityTimes + ministryTimes
 	share := 100 * ministryTimes / all
@@ -52,6 +52,6 @@
 		if err != nil {
 			return nil, err
 		}
-		return core{p}, nil
+		return sidecarProgram{p}, nil
 	}, nil
 }
--- a/internal/sim/resources.go
+++ b/internal/sim/resources.go
@@ -5,10 +5,10 @@
 	"hazelwheel/internal/peers"
 )
 
-// lookEveryS is the time between two looks at what the processes hold.
+// observationIntervalSeconds is the time between two checks of the processes' resources.
 const observationIntervalSeconds = 0.1
 
-// look tells the judge how many descriptors the sidecars hold, and of accepts and dials that found none.
+// reportDescriptors reports the sidecars' open descriptors, and accepts and dials that found none free.
 func (d *day) reportDescriptors() {
 	for _, s := range d.sidecars {
 		if s.process == nil || !s.process.IsRunning() {
@@ -25,7 +25,7 @@
 	}
 }
 
-// leftovers tells the judge what sidecars still hold when the day is over.
+// reportLeftovers reports what sidecars still hold at the day's end.
 func (d *day) reportLeftovers() {
 	for _, s := range d.sidecars {
 		if s.process == nil || !s.process.IsRunning() {
--- a/internal/sim/servicemeter.go
+++ b/internal/sim/servicemeter.go
@@ -2,23 +2,24 @@
 
 import "hazelwheel/internal/checker"
 
-// meter measures the service from outside, second by second.
+// serviceMeter measures the service second by second, as clients see it.
 type serviceMeter struct {
 	classes      []checker.Class
-	requests     map[uint64]*meteredRequest // by the id of each try
-	weight       []float64                  // that was asked for, by second of the day
-	earnedWeight []float64                  // and served by the aim
-	rejected     []int
+	requests     map[uint64]*meteredRequest // by the ID of each of their attempts
+	weight       []float64                  // requested, by second of the day
+	earnedWeight []float64                  // of requests served within the latency target, by second of the day
+	rejected     []int                      // attempts, by second of the day
 	start        float64
 }
 
+// meteredRequest is a request with all its attempts.
 type meteredRequest struct {
 	startedAt float64
 	class     int32
 	isServed  bool
 }
 
-// See takes an event.
+// Observe implements checker.Observer.
 func (m *serviceMeter) Observe(e checker.Event) {
 	switch e.Kind {
 	case checker.RequestStarted:
@@ -46,6 +47,7 @@
 	}
 }
 
+// second returns the value of a time's second, and extends values up to it.
 func (m *serviceMeter) second(all *[]float64, at float64) *float64 {
 	i := int(at - m.start)
 	for len(*all) <= i {
@@ -54,7 +56,7 @@
 	return &(*all)[i]
 }
 
-// service returns the share of the worth that was earned between two seconds.
+// service returns the earned share of the weight requested between two seconds.
 func (m *serviceMeter) service(from, to int) float64 {
 	worth, earned := 0.0, 0.0
 	for i := from; i < min(to, len(m.weight)); i++ {
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -7,9 +7,9 @@
 	"hazelwheel/internal/environment"
 )
 
-// Shrink looks for a smaller script that breaks the same rule: without some of the troubles, sidecars and boxes, with
-// fewer boxes in a trouble, shorter, and over sooner. It plays at most budget days, and tells progress of each that
-// came out smaller. A script that does not break the rule is returned as it is.
+// Shrink searches for a smaller script that violates the same rule: with fewer faults, sidecars and servers, fewer servers in a
+// fault, or a shorter day. It plays at most budget days and calls progress for each smaller script found. A script that does
+// not violate the rule is returned unchanged.
 func Shrink(s environment.Script, rule checker.Rule, o Options, budget int, progress func(s *environment.Script, played int)) environment.Script {
 	h := &shrinker{best: s, rule: rule, options: o, budget: budget, progress: progress}
 	h.options.StopAtRule = rule
@@ -26,9 +26,10 @@
 	return h.best
 }
 
+// shrinker is the state of Shrink.
 type shrinker struct {
 	best       environment.Script
-	violatedAt float64 // when the rule breaks, since the day's start
+	violatedAt float64 // when best violates the rule, in seconds since the day's start
 	rule       checker.Rule
 	options    Options
 	budget     int
@@ -36,11 +37,11 @@
 	progress   func(*environment.Script, int)
 }
 
-// lucks is how many draws of the network a smaller script is given. Danger: whatever is left out moves all instants after
-// it, and what needs two things at one instant would seem to need everything.
+// networkSeedsPerScript is the number of network seeds that a smaller script is played with. Danger: leaving anything out moves
+// all later instants, and a violation that needs a coincidence would seem to need everything.
 const networkSeedsPerScript = 4
 
-// breaks plays a script, with one luck after another, and tells when it breaks the rule.
+// playForViolation plays a script with several network seeds and returns when it violates the rule, if it does.
 func (h *shrinker) playForViolation(s *environment.Script) (at float64, ok bool) {
 	luck := s.NetworkSeed
 	for i := range uint64(networkSeedsPerScript) {
@@ -63,7 +64,7 @@
 	return 0, false
 }
 
-// try takes a script for the best one where it breaks the rule still.
+// keepIfViolating makes a script the best one if it violates the rule.
 func (h *shrinker) keepIfViolating(s environment.Script) bool {
 	at, ok := h.playForViolation(&s)
 	if ok {
@@ -75,7 +76,7 @@
 	return ok
 }
 
-// size tells how much a script holds; a round that leaves it as it was is the last.
+// size returns a measure of the best script; a pass that leaves it unchanged is the last.
 func (h *shrinker) size() int {
 	n := len(h.best.Faults)
 	for _, t := range h.best.Faults {
@@ -85,7 +86,7 @@
 	return n + len(d.Sidecars) + d.InitialServers + int(d.LengthSeconds)
 }
 
-// round tries each kind of leaving out once.
+// runPass tries each kind of reduction once.
 func (h *shrinker) runPass() {
 	for step := max(len(h.best.Faults)/2, 1); step > 0; step /= 2 {
 		for from := 0; from < len(h.best.Faults); {
@@ -112,7 +113,7 @@
 	}
 }
 
-// shorten ends the day soon after the rule has broken.
+// shortenDay ends the day soon after the violation.
 func (h *shrinker) shortenDay() {
 	d := h.best.Day(h.options.Ranges())
 	for _, more := range []float64{0.5, 2, 5} {
@@ -126,7 +127,7 @@
 	}
 }
 
-// fewer tries smaller and smaller numbers of something.
+// reduce tries smaller and smaller values of a number.
 func (h *shrinker) reduce(count func(*environment.Script) int, set func(*environment.Script, int)) {
 	for n := count(&h.best); n > 1; {
 		s := cloneScript(h.best)
@@ -143,6 +144,7 @@
 	}
 }
 
+// cloneScript returns a deep copy.
 func cloneScript(s environment.Script) environment.Script {
 	s.Faults = slices.Clone(s.Faults)
 	for i := range s.Faults {
--- a/internal/sim/sidecar.go
+++ b/internal/sim/sidecar.go
@@ -13,37 +13,37 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// instance is a sidecar, over all its lives.
-type instance struct {
+// simulatedSidecar is a sidecar of the day, across the restarts of its process.
+type simulatedSidecar struct {
 	day                 *day
 	number              int
 	spec                environment.SidecarSpec
 	vm                  *virtual.Machine
-	process             *virtual.Process // the last life; nil: there was none
+	process             *virtual.Process // the last one; nil: none was started
 	program             Program
-	isTerminating       bool
-	reportedDescriptors int // the descriptors that the judge knows of
-	reportedFailures    int
-	stallRand           *rand.Rand
+	isTerminating       bool       // Terminate was called
+	reportedDescriptors int        // that the checker knows of
+	reportedFailures    int        // to find a descriptor, that the checker knows of
+	stallRand           *rand.Rand // draws the stalls of its loop
 
-	node             *coordination.Node      // of the last life; nil: sidecars do not know each other
+	node             *coordination.Node      // of the present process; nil without a fleet
 	state            coordination.SavedState // on its disk
-	oldStates        [][]byte                // what it held before, the oldest first
-	starts           int
-	goneIncarnations map[string]uint64 // by identity, the incarnation by which the present life has held one for gone; looked up, never walked
-	goneInStart      int
+	oldStates        [][]byte                // earlier states of its disk, the oldest first
+	starts           int                     // of its process so far
+	goneIncarnations map[string]uint64       // by member ID, the incarnation in which the present process has seen it dead or left; for lookups, never iterated
+	goneInStart      int                     // value of starts that goneIncarnations belongs to
 	isSuspended      bool
-	isStateDamaged   bool    // its disk was lost, torn or put back since its last start
-	startedBlind     bool    // its present life knew nothing of boxes that are out, and could ask nobody
-	isolatedSince    float64 // since when most of the others do not reach it; 0: they do
+	isStateDamaged   bool    // its disk was lost, torn or restored since its last start
+	startedBlind     bool    // its present process knew no maintenance record and could query nobody
+	isolatedSince    float64 // since when most others can't reach it; 0: they can
 	isDiskFull       bool    // its disk takes nothing
-	clockRate        float64 // of its clock; 0: as that of the others
-	upSince          float64 // since when it has been there; 0: it has not been yet
-	downSince        float64 // since when it is not; 0: it is there
+	clockRate        float64 // 0: the network's
+	upSince          float64 // 0: not up yet
+	downSince        float64 // 0: up
 }
 
-// begin begins a life of a sidecar, with the configuration that the platform writes now.
-func (s *instance) start() error {
+// start starts a process of the sidecar with the configuration that the platform writes now.
+func (s *simulatedSidecar) start() error {
 	d := s.day
 	cfg, err := sidecarconfig.Parse(d.environment.StartConfiguration(s.number, d.network.Now()))
 	if err != nil {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// stall has the loop of a life stand still now and then.
-func (s *instance) scheduleStall(process *virtual.Process) {
+// scheduleStall stalls the event loop of a process from time to time, until that process has ended.
+func (s *simulatedSidecar) scheduleStall(process *virtual.Process) {
 	w := &s.day.conditions
 	s.day.network.Schedule(s.day.network.Now()+w.stallIntervalSeconds*s.stallRand.ExpFloat64(), func() {
 		if s.process == process && process.IsRunning() {
@@ -93,18 +93,20 @@
 	})
 }
 
-// exited takes the end of a process that has ended by itself.
-func (s *instance) exited() {
+// exited reports that the process has exited by itself.
+func (s *simulatedSidecar) exited() {
 	s.day.observeNow(checker.Event{Kind: checker.SidecarExited, Sidecar: int32(s.number)})
 }
 
-// logs is where a sidecar's log goes: to the trace; and the judge is told of its panics.
-type logHandler struct{ sidecar *instance }
+// logHandler passes a sidecar's log to the trace, and its panics to the checker.
+type logHandler struct{ sidecar *simulatedSidecar }
 
+// Enabled implements slog.Handler.
 func (l *logHandler) Enabled(_ context.Context, level slog.Level) bool {
 	return level >= slog.LevelError || l.sidecar.day.trace != nil
 }
 
+// Handle implements slog.Handler.
 func (l *logHandler) Handle(_ context.Context, r slog.Record) error {
 	d := l.sidecar.day
 	if r.Level >= slog.LevelError && r.Message == "panic" {
@@ -128,6 +130,8 @@
 	return nil
 }
 
+// WithAttrs implements slog.Handler; the sidecar does not use it.
 func (l *logHandler) WithAttrs([]slog.Attr) slog.Handler { return l }
 
+// WithGroup implements slog.Handler; the sidecar does not use it.
 func (l *logHandler) WithGroup(string) slog.Handler { return l }
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -8,23 +8,23 @@
 	"hazelwheel/internal/environment"
 )
 
-// ErrScript is wrapped by errors that a script is at fault for.
+// ErrInvalidScript is wrapped by errors whose cause is the script.
 var ErrInvalidScript = errors.New("script")
 
-// Play plays a script from its beginning to its end. An error means that the day could not be played.
-func Play(s environment.Script, o Options) (*Result, error) {
-	if o.WithoutFaults {
-		s.Faults = nil
+// Play plays a script's day to its end. An error means that the day could not be played; violations are in the result.
+func Play(script environment.Script, options Options) (*Result, error) {
+	if options.WithoutFaults {
+		script.Faults = nil
 	}
-	d, err := newDay(s, o)
+	d, err := newDay(script, options)
 	if err != nil {
 		return nil, err
 	}
-	d.run(o.StopAtRule)
+	d.run(options.StopAtRule)
 	worked := 0
 	if d.maintenance != nil {
 		worked = d.maintenance.completedWorks()
 	}
-	return &Result{ServersMaintained: worked, Seed: s.Seed, Hash: d.network.Hash(), Steps: d.network.Steps(), Start: d.spec.Start, SimulatedSeconds: d.network.Now() - d.spec.Start,
+	return &Result{ServersMaintained: worked, Seed: script.Seed, Hash: d.network.Hash(), Steps: d.network.Steps(), Start: d.spec.Start, SimulatedSeconds: d.network.Now() - d.spec.Start,
 		Violations: d.checker.Violations(), Report: d.checker.Report(), MaxToken: d.maxToken}, nil
 }
--- a/internal/sim/stall_test.go
+++ b/internal/sim/stall_test.go
@@ -17,7 +17,7 @@
 	ExecutionEnds                     map[string]uint64 `json:"execution_ends"`
 	ProbeEnds                         map[string]uint64 `json:"probe_ends"`
 }) {
-	require.NoError(s.t, json.Unmarshal(s.sidecar.(core).Counters(), &c))
+	require.NoError(s.t, json.Unmarshal(s.sidecar.(sidecarProgram).Counters(), &c))
 	return c
 }
 
--- a/internal/sim/stalledpeer.go
+++ b/internal/sim/stalledpeer.go
@@ -8,7 +8,7 @@
 	"hazelwheel/internal/peers/stalledpeer"
 )
 
-// deafPeer is a program that says hello to a sidecar as a peer does, asks what it knows again and again, and reads nothing.
+// stalledPeer is a misbehaving peer: it sends queries again and again and reads nothing.
 type stalledPeer struct {
 	loop              netio.EventLoop
 	address           string
@@ -20,19 +20,23 @@
 	isDialing         bool
 }
 
+// Start implements netio.Handler.
 func (p *stalledPeer) Start() { p.Alarm() }
 
+// Open implements netio.Handler.
 func (p *stalledPeer) Open(c netio.Conn) bool {
 	p.conn = c
 	c.Write(p.hello)
 	return true
 }
 
+// Traffic implements netio.Handler.
 func (p *stalledPeer) Traffic(netio.Conn, []byte) {}
 
+// Closed implements netio.Handler.
 func (p *stalledPeer) Closed(c netio.Conn, err error) { p.conn = nil }
 
-// Alarm asks, or dials again.
+// Alarm implements netio.Handler: it sends a query, or dials again.
 func (p *stalledPeer) Alarm() {
 	now := p.loop.Now()
 	if now >= p.until {
@@ -52,7 +56,7 @@
 	}
 }
 
-// PeersDeaf begins such a program on a machine of its own.
+// QueryWithoutReading implements environment.Hosts by a stalledPeer on a machine of its own.
 func (d *day) QueryWithoutReading(sidecar int, perS, until float64) {
 	d.stalledPeers++
 	d.activePeerFaults++ // a trouble that goes on
--- a/internal/sim/strategies.go
+++ b/internal/sim/strategies.go
@@ -14,16 +14,16 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// Weighing is one way to have all boxes of a day worked on, beside others.
+// MaintenanceStrategy is a way to maintain all servers of a day.
 type MaintenanceStrategy struct {
 	Name          string
 	Order         maintenance.Order
-	MaxConcurrent int // 0: nobody works on anything
+	MaxConcurrent int // 0: no server is maintained
 	MaxPerSite    int
-	Manual        bool // one box after the other is called out and in by hand at all sidecars, with fixed waits
+	Manual        bool // servers are cordoned and uncordoned by hand at all sidecars, one after another, with fixed waits
 }
 
-// Ways are the ways that are weighed.
+// MaintenanceStrategies are the strategies that CompareMaintenance compares; the first is the baseline.
 var MaintenanceStrategies = []MaintenanceStrategy{
 	{Name: "nothing is worked on"},
 	{Name: "script, by hand", Manual: true, MaxConcurrent: 1},
@@ -37,17 +37,17 @@
 	{Name: "looking ahead, 10 at once", Order: maintenance.LookAhead, MaxConcurrent: 10, MaxPerSite: 3},
 }
 
-// What a weighed plan is.
+// The plan of a compared strategy.
 const (
 	planStartSeconds = 15.0 // since the day's start
 	planWorkSeconds  = 5.0
 	// A script knows nothing of what is out or cold: it waits for as long as requests may take, and as boxes are cold.
-	manualDrainSeconds = 10.0
-	planMaxRejection   = 0.4 // whoever gives a plan there knows what they refuse
-	overloadThreshold  = 0.8 // part of the capacity beyond which fleets here refuse by themselves
+	manualDrainSeconds = 10.0 // a manual operator sees neither drained nor warm servers and waits as long as requests may take
+	planMaxRejection   = 0.4  // above the standard limit: the operator accepts the rejections of an overloaded fleet
+	overloadThreshold  = 0.8  // share of the capacity above which fleets reject by themselves
 )
 
-// weigh has all boxes be worked on in one way.
+// scheduleStrategy schedules the maintenance of all servers by a strategy.
 func (d *maintenanceDriver) scheduleStrategy(strategy *MaintenanceStrategy) {
 	d.strategy = strategy
 	switch {
@@ -79,7 +79,7 @@
 	}
 }
 
-// byHand takes a box out at all sidecars, has it worked on, gives it back, and goes on with the next one.
+// maintainManually cordons a server at all sidecars, maintains it, uncordons it, and goes on with the next.
 func (d *maintenanceDriver) maintainManually(i int) {
 	if i >= d.day.spec.InitialServers {
 		d.endedAt = d.day.network.Now()
@@ -103,18 +103,19 @@
 	})
 }
 
-// Weighed is what came of a day in one way.
+// MaintenanceResult is the outcome of a day with one strategy.
 type MaintenanceResult struct {
-	TotalSeconds float64 `json:"TotalS"`  // from when the plan was given to when the last box was done; NaN: it was not
-	Service      float64 `json:"Service"` // meanwhile
-	WorstService float64 `json:"Worst"`   // of 10 s
-	WorstAt      int     `json:"At"`      // when these began
-	Rejected     int     `json:"Refused"` // tries, meanwhile
-	Violations   int     `json:"Rules"`   // that were broken
+	TotalSeconds float64 `json:"TotalS"`  // from the plan's start to the completion of the last server; NaN: it was not completed
+	Service      float64 `json:"Service"` // in that time
+	WorstService float64 `json:"Worst"`   // of any 10 s of it
+	WorstAt      int     `json:"At"`      // start of these 10 s, in seconds since the day's start
+	Rejected     int     `json:"Refused"` // attempts, in that time
+	Violations   int     `json:"Rules"`   // of rules
 	meter        *serviceMeter
 }
 
-// WeighDay plays a day on which a number of boxes are worked on.
+// PlayMaintenance plays a day on which all servers are maintained by a strategy; hang makes a fifth of the servers hang for a
+// while.
 func PlayMaintenance(seed uint64, servers int, load float64, hang bool, strategy *MaintenanceStrategy) (*MaintenanceResult, error) {
 	ranges := environment.StandardRanges()
 	if servers > 19 {
@@ -165,7 +166,8 @@
 	return result, nil
 }
 
-// Weigh plays days in all ways whose names hold a part (none: all), and prints a table: total time against the worst 10 s of service.
+// CompareMaintenance plays days with all strategies whose names contain one of nameParts (none: all), and writes a table of
+// total time against the worst 10 s of service, beside the baseline without maintenance.
 func CompareMaintenance(out io.Writer, first, last uint64, servers, jobs int, nameParts []string) error {
 	strategies, named := []MaintenanceStrategy{}, func(name string) bool {
 		return len(nameParts) == 0 || slices.ContainsFunc(nameParts, func(p string) bool { return strings.Contains(name, p) })
--- a/internal/sim/tally.go
+++ b/internal/sim/tally.go
@@ -8,15 +8,15 @@
 	"hazelwheel/internal/checker"
 )
 
-// Tally adds up what came of many days.
+// Tally sums up the results of many days. Add is called for each, Finish after the last.
 type Tally struct {
 	Days              int           `json:"days"`
-	History           string        `json:"history"` // a hash of all days' histories, whatever their order
+	History           string        `json:"history"` // hash of all days' histories, independent of their order
 	SimulatedSeconds  float64       `json:"simulated_s"`
 	Steps             uint64        `json:"steps"`
 	Broken            []BrokenRule  `json:"broken,omitempty"`
-	Service           float64       `json:"service"`          // the mean of the days'
-	ServersMaintained int           `json:"worked,omitempty"` // boxes on which work has ended
+	Service           float64       `json:"service"`          // mean over the days
+	ServersMaintained int           `json:"worked,omitempty"` // servers whose maintenance was completed
 	Classes           []ClassTally  `json:"classes,omitempty"`
 	Costs             checker.Costs `json:"prices"`
 	byRule            map[checker.Rule]*BrokenRule
@@ -24,14 +24,14 @@
 	history           uint64
 }
 
-// BrokenRule is a rule with the seeds that broke it.
+// BrokenRule is a rule that was violated, with the days that violated it.
 type BrokenRule struct {
 	Rule  checker.Rule `json:"rule"`
 	Days  int          `json:"days"`
-	Seeds []uint64     `json:"seeds"` // the least of them
+	Seeds []uint64     `json:"seeds"` // the lowest of them
 }
 
-// ClassTally is the service of a class over many days.
+// ClassTally is the service of a class of requests over many days.
 type ClassTally struct {
 	Name     string  `json:"name"`
 	Requests int     `json:"asked"`
@@ -39,15 +39,15 @@
 	Late     int     `json:"late"`
 	Rejected int     `json:"refused"`
 	Failed   int     `json:"failed"`
-	Service  float64 `json:"service"` // worth earned over worth asked for
+	Service  float64 `json:"service"` // earned weight over requested weight
 	worth    float64
 	earned   float64
 }
 
-// mostSeeds is how many seeds of a broken rule are listed.
+// maxListedSeeds is the number of seeds listed for a violated rule.
 const maxListedSeeds = 20
 
-// Add adds a day.
+// Add adds a day's result.
 func (t *Tally) Add(r *Result) {
 	t.Days++
 	t.ServersMaintained += r.ServersMaintained
@@ -89,7 +89,7 @@
 	p.SlowRejectionWeight, p.HostileClients, p.HostileUnclosed = p.SlowRejectionWeight+q.SlowRejectionWeight, p.HostileClients+q.HostileClients, p.HostileUnclosed+q.HostileUnclosed
 }
 
-// Close sorts what has been added up; it is called last.
+// Finish sorts the violated rules; Add must not be called after it.
 func (t *Tally) Finish() {
 	t.History, t.Broken = fmt.Sprintf("%016x", t.history), nil
 	for _, b := range t.byRule {
--- a/internal/sim/trace.go
+++ b/internal/sim/trace.go
@@ -9,7 +9,7 @@
 	"hazelwheel/internal/netio/virtual"
 )
 
-// traceNetwork has what happens in the network told, one line a step.
+// traceNetwork passes the network's events to the trace, except alarms.
 func (d *day) traceNetwork() {
 	d.network.Trace = func(e virtual.Event) {
 		if e.Kind == virtual.AlarmFired {
@@ -23,7 +23,7 @@
 	}
 }
 
-// glance returns the beginning of what was written, as one line.
+// summarize returns the start of written bytes, and the headers of interest, as one line.
 func summarize(data []byte) string {
 	first, _, _ := bytes.Cut(data, []byte("\r\n"))
 	if len(first) > 60 {
@@ -39,10 +39,10 @@
 	return text
 }
 
-// teller shows the trace what the judge is told, and what the judge makes of it.
+// tracingObserver passes events to the checker, and events and new violations to the trace.
 type tracingObserver struct{ day *day }
 
-// See passes an event on.
+// Observe implements checker.Observer.
 func (t *tracingObserver) Observe(e checker.Event) {
 	d := t.day
 	at := d.network.Now() - d.spec.Start
@@ -54,7 +54,7 @@
 	}
 }
 
-// describe returns an event as one line.
+// describe returns an event as one line of the trace. The form is pinned by stored_form_test.go.
 func describe(e *checker.Event) string {
 	s := kindNames[e.Kind]
 	if e.Sidecar >= 0 {
@@ -87,6 +87,7 @@
 	return s
 }
 
+// kindNames are the kinds of events as traces show them.
 var kindNames = map[checker.Kind]string{
 	checker.RequestStarted: "asked", checker.RequestSent: "taken", checker.ResponseReceived: "answered", checker.ResponseTruncated: "broken", checker.ConnectionDropped: "dropped",
 	checker.RequestAbandoned: "left", checker.ConnectFailed: "unreached", checker.UnsolicitedBytes: "stray", checker.HostileConnected: "hostile", checker.RequestHalfClosed: "half closed",
--- a/internal/sim/troubles_test.go
+++ b/internal/sim/troubles_test.go
@@ -14,7 +14,7 @@
 // Each trouble between sidecars does what its word says, breaks no rule, and without it that does not come.
 func TestPeerTroubles(t *testing.T) {
 	const seed, at = 3, 6.0
-	last := func(d *day) *instance { return d.sidecars[len(d.sidecars)-1] }
+	last := func(d *day) *simulatedSidecar { return d.sidecars[len(d.sidecars)-1] }
 	seen := func(d *day) (of string) {
 		for _, m := range d.sidecars[0].node.Status(99).Members {
 			if m.Name == last(d).spec.Name {
