--- a/internal/sim/agents.go
+++ b/internal/sim/agents.go
@@ -23,7 +23,7 @@
 		switch {
 		case !answered || r.Err != "" || r.Server == "" || r.Token < a.maxToken:
 			d.after(0.5+d.rng.Float64(), a.poll)
-		case r.Token == a.maxToken && a.current != nil && a.current.isDone: // it was told nothing of its end
+		case r.Token == a.maxToken && a.current != nil && a.current.isDone: // the report of its completion was not answered
 			a.reportCompletion()
 		default:
 			a.handleGrant(r)
@@ -52,7 +52,7 @@
 	if a.isReliable || d.rng.IntN(2) == 0 {
 		d.day.faults.StopServer(i, now)
 	}
-	if !a.isReliable && d.rng.IntN(8) == 0 { // it dies, and asks again later
+	if !a.isReliable && d.rng.IntN(8) == 0 { // it crashes, and polls again later
 		d.after(lasts/2, func() { d.after(1+5*d.rng.Float64(), a.poll) })
 		return
 	}
--- a/internal/sim/day.go
+++ b/internal/sim/day.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"hazelwheel/internal/checker"
-	dworks "hazelwheel/internal/decide/maintenance"
+	"hazelwheel/internal/decide/maintenance"
 	"hazelwheel/internal/environment"
 	"hazelwheel/internal/netio/virtual"
 )
@@ -39,7 +39,7 @@
 	dropCounts         map[[2]string]int  // by two machines, DropTraffic calls without their RestoreTraffic; for lookups, never iterated
 	hasRoles           bool               // the fleet has leases for singleton roles
 	maintenance        *maintenanceDriver // nil: no server is maintained
-	maintenanceOrder   dworks.Order
+	maintenanceOrder   maintenance.Order
 	maxToken           uint64           // largest fencing token seen
 	observer           checker.Observer // Options.Observer, may be nil
 }
@@ -67,22 +67,12 @@
 	}
 	d.hasFleet, d.hasRoles, d.lastFaultAt = o.hasFleet(s.Seed), o.FleetMode == FleetWithRoles || o.FleetMode == FleetWithMaintenance, d.spec.Start
 	d.conditions = drawConditions(s.Seed)
-	if o.Servers > 0 { // Danger: with as much more to do, loops whose calls take as long as ever never catch up
+	if o.Servers > 0 { // Danger: with more traffic and calls of the same duration, loops would never catch up
 		d.conditions.callSeconds *= standardServers / float64(o.Servers)
 	}
 	d.network = virtual.New(s.Seed^s.NetworkSeed*0x9e3779b97f4a7c15, d.spec.Start)
 	d.network.SplitProbability = d.conditions.splitProbability
-	rules := d.spec.Rules()
-	// A loop that stands still may miss a deadline, and one whose clock runs slow finds it over late.
-	rules.RequiresAnswerInTime = d.conditions.stallIntervalSeconds == 0 &&
-		!slices.ContainsFunc(s.Faults, func(t environment.Fault) bool { return t.Kind == environment.Suspend || t.Kind == environment.Clock })
-	switch {
-	case d.hasRoles:
-		rules.MaxPollIntervalSeconds = math.Inf(1)
-	case !d.hasFleet: // waits go by how many the settings say there are
-		rules.MaxPollIntervalSeconds = 0.75 * float64(cmp.Or(o.ConfiguredSidecars, len(d.spec.Sidecars)))
-	}
-	d.checker = checker.New(rules)
+	d.checker = checker.New(d.checkerRules(o))
 	var observer checker.Observer = d.checker
 	if d.trace != nil {
 		observer = &tracingObserver{d}
@@ -110,6 +100,21 @@
 	return d, d.startAll()
 }
 
+// checkerRules returns the rules of the day, less what its conditions, faults and fleet make impossible.
+func (d *day) checkerRules(o Options) checker.Rules {
+	rules := d.spec.Rules()
+	// A stalled loop may miss a deadline, and one whose clock is slow notices it late.
+	rules.RequiresAnswerInTime = d.conditions.stallIntervalSeconds == 0 &&
+		!slices.ContainsFunc(d.script.Faults, func(t environment.Fault) bool { return t.Kind == environment.Suspend || t.Kind == environment.Clock })
+	switch {
+	case d.hasRoles:
+		rules.MaxPollIntervalSeconds = math.Inf(1)
+	case !d.hasFleet: // the sidecars spread their polls over the configured number of sidecars
+		rules.MaxPollIntervalSeconds = 0.75 * float64(cmp.Or(o.ConfiguredSidecars, len(d.spec.Sidecars)))
+	}
+	return rules
+}
+
 // observerPair passes each event to two observers.
 type observerPair [2]checker.Observer
 
--- a/internal/sim/fleetcheck.go
+++ b/internal/sim/fleetcheck.go
@@ -31,10 +31,8 @@
 
 // Times after which the fleet's views must be right.
 const (
-	// agreeS after the last trouble between sidecars all hold the same, which is so.
 	convergenceSeconds = 10.0 // after the last fault between sidecars all agree on the membership
-	// livesS is how long one must have lived and been in reach to be called dead by nobody.
-	minUpSeconds = 12.0 // after its start or return nobody may consider a member dead any more
+	minUpSeconds       = 12.0 // after its start or return nobody may consider a member dead any more
 )
 
 // checkFleet compares what the sidecars know of the fleet with what is so, once they have had the time to converge, and reports
@@ -51,7 +49,7 @@
 	}
 	calm := now - d.lastFaultAt
 	up := 0
-	byID := map[string]*simulatedSidecar{} // looked up, never walked
+	byID := map[string]*simulatedSidecar{} // for lookups, never iterated
 	seen := make([]coordination.Status, len(d.sidecars))
 	for i, s := range d.sidecars {
 		if s.process == nil || !s.process.IsRunning() || s.isTerminating || s.isSuspended {
@@ -77,37 +75,49 @@
 		if seen[i].ID == "" {
 			continue
 		}
-		wrong := func(what int32, format string, args ...any) {
-			d.fleetReported = true
-			d.observeNow(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: what, Text: fmt.Sprintf(format, args...)})
-		}
-		live := 0
-		for _, m := range seen[i].Members {
-			switch o := byID[m.ID]; {
-			case m.State == "alive" && o != nil:
-				live++
-			case m.State == "alive" || m.State == "suspected" && o == nil:
-				wrong(checker.ViewInvariant, "%s holds %s (%s) for %s, %.1f s after the last trouble, and it is not there", s.spec.Name, m.Name, m.ID, m.State, calm)
-			case o != nil && now-o.upSince > minUpSeconds:
-				wrong(checker.DeathInvariant, "%s holds %s for %s, %.1f s after the last trouble, and it lives", s.spec.Name, m.Name, m.State, calm)
-			}
+		d.checkView(s, &seen[i], byID, up, calm)
+		if calm > convergenceSeconds+rankConvergenceSeconds {
+			d.checkRank(s, &seen[i], ranks, up)
 		}
-		if live != up || seen[i].Live != up {
-			wrong(checker.ViewInvariant, "%s knows %d that live and counts %d, of %d, %.1f s after the last trouble", s.spec.Name, live, seen[i].Live, up, calm)
+	}
+}
+
+// reportFleet reports a violation of a rule about the fleet by a sidecar. checkFleet reports nothing after this call of it.
+func (d *day) reportFleet(s *simulatedSidecar, invariant int32, format string, args ...any) {
+	d.fleetReported = true
+	d.observeNow(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: invariant, Text: fmt.Sprintf(format, args...)})
+}
+
+// checkView compares a sidecar's membership with the running sidecars, of which there are up, calm seconds after the last fault.
+func (d *day) checkView(s *simulatedSidecar, seen *coordination.Status, byID map[string]*simulatedSidecar, up int, calm float64) {
+	live := 0
+	for _, m := range seen.Members {
+		switch o := byID[m.ID]; {
+		case m.State == "alive" && o != nil:
+			live++
+		case m.State == "alive" || m.State == "suspected" && o == nil:
+			d.reportFleet(s, checker.ViewInvariant, "%s holds %s (%s) for %s, %.1f s after the last trouble, and it is not there", s.spec.Name, m.Name, m.ID, m.State, calm)
+		case o != nil && d.network.Now()-o.upSince > minUpSeconds:
+			d.reportFleet(s, checker.DeathInvariant, "%s holds %s for %s, %.1f s after the last trouble, and it lives", s.spec.Name, m.Name, m.State, calm)
 		}
-		if calm > convergenceSeconds+rankConvergenceSeconds {
-			count := up
-			if up == 1 { // one alone goes by its settings
-				if count = d.configuredSidecars; count == 0 {
-					count = len(d.sidecars)
-				}
-			}
-			if other, twice := ranks[seen[i].Rank]; twice || seen[i].Rank >= seen[i].Count || seen[i].Count != count {
-				wrong(checker.RankInvariant, "%s has rank %d of %d, of %d that live; sidecar %d has that rank, too: %v", s.spec.Name, seen[i].Rank, seen[i].Count, up, other, twice)
-			}
-			ranks[seen[i].Rank] = s.number
+	}
+	if live != up || seen.Live != up {
+		d.reportFleet(s, checker.ViewInvariant, "%s knows %d that live and counts %d, of %d, %.1f s after the last trouble", s.spec.Name, live, seen.Live, up, calm)
+	}
+}
+
+// checkRank checks that a sidecar's rank is its alone, and that it counts the running sidecars. A single one uses its configuration.
+func (d *day) checkRank(s *simulatedSidecar, seen *coordination.Status, ranks map[int]int, up int) {
+	count := up
+	if up == 1 {
+		if count = d.configuredSidecars; count == 0 {
+			count = len(d.sidecars)
 		}
 	}
+	if other, isTaken := ranks[seen.Rank]; isTaken || seen.Rank >= seen.Count || seen.Count != count {
+		d.reportFleet(s, checker.RankInvariant, "%s has rank %d of %d, of %d that live; sidecar %d has that rank, too: %v", s.spec.Name, seen.Rank, seen.Count, up, other, isTaken)
+	}
+	ranks[seen.Rank] = s.number
 }
 
 // checkIncarnations reports a member that a process has seen dead or left and sees again in the same incarnation.
--- a/internal/sim/hosts.go
+++ b/internal/sim/hosts.go
@@ -20,7 +20,7 @@
 
 // createMachines adds the machines to the network, with the paths between them.
 func (d *day) createMachines() {
-	sites := map[*virtual.Machine]int{} // looked up, never walked
+	sites := map[*virtual.Machine]int{} // for lookups, never iterated
 	var all []*virtual.Machine
 	place := func(ip string, site int) *virtual.Machine {
 		vm := d.network.Machine(ip)
@@ -51,7 +51,7 @@
 // startAll starts all programs that run at the day's start.
 func (d *day) startAll() error {
 	started := len(d.sidecars) - d.script.StandbySidecars()
-	standby := map[string]bool{} // looked up, never walked
+	standby := map[string]bool{} // for lookups, never iterated
 	for _, s := range d.sidecars[started:] {
 		standby[s.spec.IP] = true
 	}
@@ -113,7 +113,7 @@
 		err = s.start()
 	}
 	if err != nil {
-		// Danger: a process that can't begin again would make a day easier without a word.
+		// Danger: a process that silently stays down would make the day easier.
 		panic(fmt.Sprintf("%s does not come back: %v", ip, err))
 	}
 }
--- a/internal/sim/listobserver.go
+++ b/internal/sim/listobserver.go
@@ -22,8 +22,8 @@
 	Calls      int
 	MaxWatches int // at once, once the day has settled
 	Sidecars   int
-	// Ages are, in seconds from when the list took a change to when a sidecar was told of it: each, and those of the slowest sidecar
-	// alone. Who was not there all along, or stood still, does not count.
+	// Delays are the seconds from each change of the list to its arrival at each sidecar; SlowestDelays those of the slowest sidecar of
+	// each change. Sidecars that were down or suspended meanwhile don't count.
 	Delays, SlowestDelays []float64
 	watchSeconds          float64 // sum of the durations of watches
 	lastAt, startedAt     float64
--- a/internal/sim/listrelay.go
+++ b/internal/sim/listrelay.go
@@ -31,7 +31,7 @@
 		return l.ListReceiver.ApplyList(raw)
 	}
 	d := l.sidecar.day
-	named := map[string]int{} // entries, by box; looked up, never walked
+	named := map[string]int{} // index of an entry + 1 by server; for lookups, never iterated
 	for i, e := range list.Endpoints {
 		named[e.Name] = i + 1
 	}
--- a/internal/sim/maintenancecheck.go
+++ b/internal/sim/maintenancecheck.go
@@ -59,7 +59,7 @@
 func (d *maintenanceDriver) startWork(k *workRecord) {
 	b, now := &d.servers[k.server], d.day.network.Now()
 	d.trace("%s works on %s under %d", k.agent, b.name, k.token)
-	for link := range b.inFlight { // only counted
+	for link := range b.inFlight { // the order has no effect on the outcome
 		if to := d.attempts[link]; !d.mayReceive(b, to.sidecar) {
 			d.reportViolation(checker.OccupiedInvariant, "%s is worked on with an execution out there", b.name)
 			break
@@ -142,7 +142,7 @@
 
 // checkBudgets checks that no more servers are out than the plans allow.
 func (d *maintenanceDriver) checkBudgets() {
-	if d.strategy == nil && d.rng.IntN(25) == 0 { // whoever settles the order ends at one of its steps
+	if d.strategy == nil && d.rng.IntN(25) == 0 { // the lease holder restarts at some step of a plan
 		for i, s := range d.day.sidecars {
 			if s.process == nil || !s.process.IsRunning() || s.node == nil {
 				continue
--- a/internal/sim/options.go
+++ b/internal/sim/options.go
@@ -16,11 +16,11 @@
 	FleetBySeed FleetMode = ""
 	FleetOff    FleetMode = "off"
 	FleetOn     FleetMode = "on"
-	// TogetherOwners is TogetherAll with three electors and the job report, and disks on which old states are put back.
+	// FleetWithRoles is FleetOn with three voters and leases of singleton roles, and with old states restored on disks.
 	FleetWithRoles FleetMode = "owners"
-	// TogetherWorks is TogetherOwners with longer days, on which boxes are worked on by plans.
+	// FleetWithMaintenance is FleetWithRoles with longer days, on which servers are maintained by plans.
 	FleetWithMaintenance FleetMode = "works"
-	// TogetherApart plays the days of TogetherAll, with the same troubles, for sidecars that know nothing of each other.
+	// FleetFaultsOnly plays the days of FleetOn, with the same faults, with sidecars that form no fleet.
 	FleetFaultsOnly FleetMode = "apart"
 )
 
@@ -33,25 +33,25 @@
 type Options struct {
 	Factory Factory                       // nil: the sidecar, with Protocol and Quotas as set here
 	Trace   func(at float64, line string) // called with every event, at seconds since the day's start; may be nil
-	// Until stops the day at the first finding of this rule; "any" at the first of all. Danger: what the day has left
-	// at its end is then not looked at.
+	// StopAtRule stops the day at the first violation of this rule, or of any with AnyRule. Danger: the resources in use at the end
+	// of the day are then not checked.
 	StopAtRule    checker.Rule
 	WithoutFaults bool // leaves out the script's faults
-	// Speech is what applications and boxes speak; empty: HTTP. It changes nothing else of a day, but that answers over Thrift
-	// hold no load reports: those come with probes.
+	// Protocol is that of applications and servers; empty: HTTP. It changes nothing else, but that responses over Thrift carry no load
+	// reports: health checks do.
 	Protocol environment.Protocol
-	// Batch is at how many times its share a batch of reads comes beside the applications' requests; 0: there is none. With
-	// Quotas the sidecars hold groups to their shares.
+	// BatchFactor adds a batch of reads, at a rate of so many times its quota, to the applications' requests; 0: none. With Quotas
+	// the sidecars enforce quotas.
 	BatchFactor        float64
 	Quotas             bool
 	Servers            int                 // at the start of the day, with traffic in proportion; 0: as drawn
 	CustomRanges       *environment.Ranges // replaces the ranges that the sizes here determine; may be nil
 	ConfiguredSidecars int                 // number of sidecars according to their configurations; 0: the actual one
-	// Watch is told of all that the judge is told; nil: nobody is.
+	// Observer gets the same events as the checker; may be nil.
 	Observer checker.Observer
-	// Together says on which days sidecars know each other. Those of other cores, speeches and quotas never do.
+	// FleetMode determines on which days the sidecars form a fleet; with a Factory, Thrift or Quotas none do.
 	FleetMode FleetMode
-	// Weigh has a day of TogetherWorks be about one plan or script, in place of drawn ones; nil: they are drawn.
+	// Maintenance replaces the drawn plans of FleetWithMaintenance by one strategy; nil: they are drawn.
 	Maintenance *MaintenanceStrategy
 	Sidecars    int // of the day, with the same traffic in sum; 0: as drawn
 }
@@ -95,7 +95,7 @@
 	}
 	if o.FleetMode == FleetWithMaintenance {
 		environment.DrawLags(&d, &s)
-		// What is left of the day is for plans to go on.
+		// The end of the day is without new faults, so that plans can go on.
 		s.Faults = slices.DeleteFunc(s.Faults, func(t environment.Fault) bool { return t.AtSeconds > 0.7*d.LengthSeconds })
 	}
 	return s
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -13,7 +13,7 @@
 func Shrink(s environment.Script, rule checker.Rule, o Options, budget int, progress func(s *environment.Script, played int)) environment.Script {
 	h := &shrinker{best: s, rule: rule, options: o, budget: budget, progress: progress}
 	h.options.StopAtRule = rule
-	if rule == checker.NoLeftovers { // it is seen at the day's end alone
+	if rule == checker.NoLeftovers { // it is checked only at the end of the day
 		h.options.StopAtRule = ""
 	}
 	if at, ok := h.playForViolation(&s); ok {
@@ -53,7 +53,7 @@
 		s.NetworkSeed = luck + i
 		r, err := Play(*s, h.options)
 		if err != nil {
-			return 0, false // what it names may have been left out
+			return 0, false // it may name a server that was left out
 		}
 		for _, f := range r.Violations {
 			if f.Rule == h.rule {
--- a/internal/sim/sidecar.go
+++ b/internal/sim/sidecar.go
@@ -36,7 +36,7 @@
 	isStateDamaged   bool    // its disk was lost, torn or restored since its last start
 	startedBlind     bool    // its present process knew no maintenance record and could query nobody
 	isolatedSince    float64 // since when most others can't reach it; 0: they can
-	isDiskFull       bool    // its disk takes nothing
+	isDiskFull       bool    // writes fail
 	clockRate        float64 // 0: the network's
 	upSince          float64 // 0: not up yet
 	downSince        float64 // 0: up
@@ -53,7 +53,7 @@
 		cfg.Settings.Policy.Replicas, cfg.Settings.Policy.Self = d.configuredSidecars, s.number%d.configuredSidecars
 	}
 	w := &d.conditions
-	// A process holds descriptors beside its links: standard streams, pollers, files.
+	// A process has descriptors other than connections: standard streams, pollers, files.
 	listen := []string{s.spec.Address}
 	if d.spec.Protocol.IsThrift() {
 		listen = append(listen, environment.ThriftAddress(s.spec.Address))
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -1,5 +1,10 @@
-// Package sim plays days in simulated time: the real sidecars, the world that they serve and the troubles of a script,
-// on a virtual network, with the judge looking on. A script and its seed are one history, the same on any machine.
+// Package sim plays days in simulated time: the real sidecars, the environment that they serve (clients, servers, discovery) and the
+// faults of a script, on a simulated network, with a checker that observes them from outside and reports violations of its rules. A script
+// and its seed determine the history, to the byte and on any machine.
+//
+// Play plays one day, PlaySeeds many. Shrink reduces a script that violates a rule, RunMutants checks that the rules detect known faults,
+// and CompareMaintenance and ListObserver measure. The order of random draws and events is part of a history: seeds that are kept with
+// tests or issues depend on it.
 package sim
 
 import (
--- a/internal/sim/stalledpeer.go
+++ b/internal/sim/stalledpeer.go
@@ -59,7 +59,7 @@
 // QueryWithoutReading implements environment.Hosts by a stalledPeer on a machine of its own.
 func (d *day) QueryWithoutReading(sidecar int, perS, until float64) {
 	d.stalledPeers++
-	d.activePeerFaults++ // a trouble that goes on
+	d.activePeerFaults++ // until the peer exits
 	vm := d.network.Machine(fmt.Sprintf("10.9.0.%d", d.stalledPeers))
 	p := vm.Process(virtual.ProcessOptions{Name: "deaf", ReadRate: -1, OnExit: func() {
 		d.activePeerFaults--
@@ -71,6 +71,6 @@
 		err = p.Run(h)
 	}
 	if err != nil {
-		panic(err) // numbers always pack, and it listens nowhere
+		panic(err) // the frames are constant, and it opens no listener
 	}
 }
--- a/internal/sim/strategies.go
+++ b/internal/sim/strategies.go
@@ -39,9 +39,8 @@
 
 // The plan of a compared strategy.
 const (
-	planStartSeconds = 15.0 // since the day's start
-	planWorkSeconds  = 5.0
-	// A script knows nothing of what is out or cold: it waits for as long as requests may take, and as boxes are cold.
+	planStartSeconds   = 15.0 // since the day's start
+	planWorkSeconds    = 5.0
 	manualDrainSeconds = 10.0 // a manual operator sees neither drained nor warm servers and waits as long as requests may take
 	planMaxRejection   = 0.4  // above the standard limit: the operator accepts the rejections of an overloaded fleet
 	overloadThreshold  = 0.8  // share of the capacity above which fleets reject by themselves
@@ -56,7 +55,7 @@
 		d.after(planStartSeconds, func() {
 			cfg, err := sidecarconfig.Parse(d.day.environment.StartConfiguration(0, d.day.network.Now()))
 			if err != nil {
-				panic(err) // the sidecars have read it
+				panic(err) // the sidecars have parsed it
 			}
 			d.slowStartSeconds = cfg.Settings.Policy.SlowStartSeconds
 			d.maintainManually(0)
@@ -124,10 +123,10 @@
 	ranges.Servers = environment.Range{Min: float64(servers), Max: float64(servers)}
 	ranges.Sites, ranges.Sidecars, ranges.OverloadedDayShare, ranges.Load = environment.Range{Min: 4, Max: 4}, environment.Range{Min: 5, Max: 5}, 0, environment.Range{Min: load, Max: load}
 	lengthSeconds := planStartSeconds + 20 + 42*float64(servers)
-	if strategy.MaxConcurrent > 1 { // a box takes that long, and there is time to wait until a trouble is over
+	if strategy.MaxConcurrent > 1 { // time for each server, and to wait until a fault is over
 		lengthSeconds = planStartSeconds + 150 + 36*math.Ceil(float64(servers)/float64(strategy.MaxConcurrent))
 	}
-	if load > overloadThreshold { // the fleet refuses by itself: one box is out at a time, and what it refuses is measured between two
+	if load > overloadThreshold { // the fleet rejects by itself: one server at a time, with a wait to measure the rejections
 		lengthSeconds = planStartSeconds + 120 + 75*float64(servers)
 	}
 	ranges.LengthSeconds = environment.Range{Min: lengthSeconds, Max: lengthSeconds}
@@ -166,87 +165,108 @@
 	return result, nil
 }
 
+// comparedDays are the kinds of days that CompareMaintenance plays.
+var comparedDays = []struct {
+	name string
+	load float64 // share of the capacity
+	hang bool
+}{{"quiet", 0.5, false}, {"0.9 of capacity", 0.9, false}, {"a fifth hangs for 40 s", 0.5, true}}
+
+// comparedRun is one run of CompareMaintenance: indices of a strategy and a kind of day, and a seed.
+type comparedRun struct {
+	strategy, day int
+	seed          uint64
+}
+
 // CompareMaintenance plays days with all strategies whose names contain one of nameParts (none: all), and writes a table of
 // total time against the worst 10 s of service, beside the baseline without maintenance.
 func CompareMaintenance(out io.Writer, first, last uint64, servers, jobs int, nameParts []string) error {
-	strategies, named := []MaintenanceStrategy{}, func(name string) bool {
-		return len(nameParts) == 0 || slices.ContainsFunc(nameParts, func(p string) bool { return strings.Contains(name, p) })
+	strategies := selectStrategies(servers, nameParts)
+	results, err := playStrategies(strategies, first, last, servers, jobs)
+	if err != nil {
+		return err
 	}
-	for i, w := range MaintenanceStrategies {
-		if i == 0 || named(w.Name) && 2*w.MaxConcurrent <= servers {
-			strategies = append(strategies, w)
+	fmt.Fprintf(out, "%d boxes, seeds %d-%d; medians\n", servers, first, last)
+	for day := range comparedDays {
+		fmt.Fprintf(out, "\n%-26s  total s  ended  service  beside nothing  worst 10 s  beside nothing  refused  rules\n", comparedDays[day].name)
+		for i := range strategies {
+			writeStrategyRow(out, strategies[i].Name, results, comparedRun{strategy: i, day: day}, first, last)
 		}
 	}
-	type key struct {
-		way, day int
-		seed     uint64
-	}
-	days := []struct {
-		name string
-		load float64
-		hang bool
-	}{{"quiet", 0.5, false}, {"0.9 of capacity", 0.9, false}, {"a fifth hangs for 40 s", 0.5, true}}
-	var mu sync.Mutex
-	results := map[key]*MaintenanceResult{}
+	return nil
+}
+
+// selectStrategies returns the baseline, and the strategies that are named and fit the number of servers.
+func selectStrategies(servers int, nameParts []string) (selected []MaintenanceStrategy) {
+	for i, s := range MaintenanceStrategies {
+		isNamed := len(nameParts) == 0 || slices.ContainsFunc(nameParts, func(part string) bool { return strings.Contains(s.Name, part) })
+		if i == 0 || isNamed && 2*s.MaxConcurrent <= servers {
+			selected = append(selected, s)
+		}
+	}
+	return selected
+}
+
+// playStrategies plays the seeds with all strategies on all kinds of days, so many at a time.
+func playStrategies(strategies []MaintenanceStrategy, first, last uint64, servers, jobs int) (map[comparedRun]*MaintenanceResult, error) {
+	var mu sync.Mutex // guards results and failed
+	results := map[comparedRun]*MaintenanceResult{}
 	var failed error
 	slots := make(chan struct{}, max(jobs, 1))
-	var all sync.WaitGroup
-	for day := range days {
-		for way := range strategies {
+	var runs sync.WaitGroup
+	for day := range comparedDays {
+		for strategy := range strategies {
 			for seed := first; seed <= last; seed++ {
-				all.Go(func() {
+				runs.Go(func() {
 					slots <- struct{}{}
 					defer func() { <-slots }()
-					r, err := PlayMaintenance(seed, servers, days[day].load, days[day].hang, &strategies[way])
+					r, err := PlayMaintenance(seed, servers, comparedDays[day].load, comparedDays[day].hang, &strategies[strategy])
 					mu.Lock()
 					defer mu.Unlock()
-					results[key{way, day, seed}] = r
+					results[comparedRun{strategy, day, seed}] = r
 					failed = cmp.Or(failed, err)
 				})
 			}
 		}
 	}
-	all.Wait()
-	if failed != nil {
-		return failed
-	}
-	median := func(x []float64) float64 {
-		slices.SortFunc(x, func(a, b float64) int { // what has not ended is the longest
-			switch {
-			case math.IsNaN(a) && math.IsNaN(b):
-				return 0
-			case math.IsNaN(a):
-				return 1
-			case math.IsNaN(b):
-				return -1
-			}
-			return cmp.Compare(a, b)
-		})
-		return x[len(x)/2]
-	}
-	fmt.Fprintf(out, "%d boxes, seeds %d-%d; medians\n", servers, first, last)
-	for day := range days {
-		fmt.Fprintf(out, "\n%-26s  total s  ended  service  beside nothing  worst 10 s  beside nothing  refused  rules\n", days[day].name)
-		for way := range strategies {
-			var total, service, loss, worst, worse, refused []float64
-			rules, ended := 0, 0
-			for seed := first; seed <= last; seed++ {
-				r, none := results[key{way, day, seed}], results[key{0, day, seed}]
-				if rules += r.Violations; !math.IsNaN(r.TotalSeconds) {
-					ended++
-				}
-				total, service, worst, refused = append(total, r.TotalSeconds), append(service, r.Service), append(worst, r.WorstService), append(refused, float64(r.Rejected))
-				to := int(planStartSeconds + r.TotalSeconds)
-				if math.IsNaN(r.TotalSeconds) {
-					to = len(none.meter.weight)
-				}
-				to = min(to, len(none.meter.weight), len(r.meter.weight))
-				loss = append(loss, none.meter.service(int(planStartSeconds), to)-r.meter.service(int(planStartSeconds), to))
-				worse = append(worse, none.meter.service(r.WorstAt, r.WorstAt+10)-r.WorstService)
-			}
-			fmt.Fprintf(out, "%-26s  %7.0f  %2d/%2d  %7.4f  %14.4f  %10.3f  %14.3f  %7.0f  %5d\n", strategies[way].Name, median(total), ended, last-first+1,
-				median(service), median(loss), median(worst), median(worse), median(refused), rules)
+	runs.Wait()
+	return results, failed
+}
+
+// writeStrategyRow writes a row of the table: medians over the seeds of one strategy on one kind of day.
+func writeStrategyRow(out io.Writer, name string, results map[comparedRun]*MaintenanceResult, run comparedRun, first, last uint64) {
+	var total, service, loss, worst, worstLoss, rejected []float64
+	violations, ended := 0, 0
+	for seed := first; seed <= last; seed++ {
+		r, baseline := results[comparedRun{run.strategy, run.day, seed}], results[comparedRun{0, run.day, seed}]
+		if violations += r.Violations; !math.IsNaN(r.TotalSeconds) {
+			ended++
 		}
+		total, service, worst, rejected = append(total, r.TotalSeconds), append(service, r.Service), append(worst, r.WorstService), append(rejected, float64(r.Rejected))
+		from, to := int(planStartSeconds), int(planStartSeconds+r.TotalSeconds)
+		if math.IsNaN(r.TotalSeconds) {
+			to = len(baseline.meter.weight)
+		}
+		to = min(to, len(baseline.meter.weight), len(r.meter.weight))
+		loss = append(loss, baseline.meter.service(from, to)-r.meter.service(from, to))
+		worstLoss = append(worstLoss, baseline.meter.service(r.WorstAt, r.WorstAt+10)-r.WorstService)
 	}
-	return nil
+	fmt.Fprintf(out, "%-26s  %7.0f  %2d/%2d  %7.4f  %14.4f  %10.3f  %14.3f  %7.0f  %5d\n", name, median(total), ended, last-first+1,
+		median(service), median(loss), median(worst), median(worstLoss), median(rejected), violations)
+}
+
+// median sorts values and returns their median. NaN, not completed, sorts after all others.
+func median(values []float64) float64 {
+	slices.SortFunc(values, func(a, b float64) int {
+		switch {
+		case math.IsNaN(a) && math.IsNaN(b):
+			return 0
+		case math.IsNaN(a):
+			return 1
+		case math.IsNaN(b):
+			return -1
+		}
+		return cmp.Compare(a, b)
+	})
+	return values[len(values)/2]
 }
