--- a/internal/environment/application.go
+++ b/internal/environment/application.go
@@ -124,6 +124,7 @@
 	return e
 }
 
+// observe reports an event of an operation's present request and of a connection; either may be nil.
 func (a *Application) observe(kind checker.Kind, op *operation, conn *clientConn) {
 	a.observer.Observe(a.event(kind, op, conn))
 }
@@ -164,6 +165,7 @@
 	a.updateAlarm()
 }
 
+// updateAlarm sets the alarm for what is due next.
 func (a *Application) updateAlarm() {
 	if at := a.tasks.nextAt(); at != a.alarmAt && at < math.Inf(1) {
 		a.alarmAt = at
@@ -171,6 +173,7 @@
 	}
 }
 
+// dialReadinessProbe dials a readiness probe and schedules the next one.
 func (a *Application) dialReadinessProbe(now float64) {
 	a.lastConnNumber++
 	conn := &clientConn{app: a, number: uint64(a.number+1)<<48 | a.lastConnNumber, isReadinessProbe: true, response: newResponseReader(HTTP)}
--- a/internal/environment/clientconn.go
+++ b/internal/environment/clientconn.go
@@ -37,6 +37,7 @@
 	a.dial(op)
 }
 
+// dial dials a connection for an operation's request.
 func (a *Application) dial(op *operation) {
 	a.lastConnNumber++
 	conn := &clientConn{app: a, number: uint64(a.number+1)<<48 | a.lastConnNumber, operation: op, response: newResponseReader(a.day.Protocol)}
@@ -181,6 +182,7 @@
 	a.updateAlarm()
 }
 
+// readyAnswered handles the answer to a readiness probe; the first positive one starts the arrivals.
 func (a *Application) readyAnswered(conn *clientConn, ready bool) {
 	a.net.Close(conn.conn)
 	if !ready || a.isSidecarReady {
--- a/internal/environment/clientretry.go
+++ b/internal/environment/clientretry.go
@@ -55,6 +55,7 @@
 	a.scheduleRetry(op, now+a.backoff(op))
 }
 
+// backoff returns the delay before an operation's next request.
 func (a *Application) backoff(op *operation) float64 {
 	return a.spec.BackoffSeconds * math.Ldexp(0.5+a.behavior.Float64(), min(op.requests-1, 8))
 }
--- a/internal/environment/configuration.go
+++ b/internal/environment/configuration.go
@@ -28,6 +28,7 @@
 
 type object = map[string]any
 
+// configuration returns a sidecar's configuration with a list of endpoints.
 func (e *Environment) configuration(sidecar int, knownList []byte) []byte {
 	day, spec := e.Day, &e.Day.Sidecars[sidecar]
 	raw, err := json.Marshal(object{"name": spec.Name, "listen": spec.Address, "discovery": e.Discovery.Address(),
--- a/internal/environment/daydraw.go
+++ b/internal/environment/daydraw.go
@@ -50,6 +50,7 @@
 	return d
 }
 
+// drawPaths draws the latencies between and within sites, and the limits of a sidecar.
 func (d *Day) drawPaths(rng *rand.Rand, r Ranges) {
 	d.PathSeconds = make([][]float64, len(d.Sites))
 	for i := range d.PathSeconds {
@@ -64,6 +65,7 @@
 	d.MaxDescriptors, d.MemoryMB = 256<<rng.IntN(3), 192
 }
 
+// drawSidecars draws the sidecars and their shares of the requests.
 func (d *Day) drawSidecars(rng *rand.Rand, r Ranges) {
 	skew, sum := r.SidecarSkew.draw(rng), 0.0
 	for i := range r.Sidecars.count(rng) {
@@ -81,6 +83,7 @@
 // spareServers is how many servers can start in a day beyond those that run at its start.
 const spareServers = 8
 
+// drawServers draws the servers that run at the start and the spare ones.
 func (d *Day) drawServers(rng *rand.Rand, r Ranges) {
 	var shares []float64
 	sum := 0.0
@@ -116,6 +119,7 @@
 	}
 }
 
+// drawServer draws a server of a kind.
 func drawServer(rng *rand.Rand, r Ranges, k ServerKindRanges, speedCV float64) ServerSpec {
 	slots := k.Slots.count(rng)
 	b := ServerSpec{
@@ -133,6 +137,7 @@
 	return b
 }
 
+// drawClasses draws the classes of requests and their shares.
 func (d *Day) drawClasses(rng *rand.Rand, r Ranges) {
 	sum := 0.0
 	for _, c := range r.Classes {
--- a/internal/environment/discovery.go
+++ b/internal/environment/discovery.go
@@ -95,6 +95,7 @@
 	d.scheduleChange(server, e, at)
 }
 
+// scheduleChange schedules a change of a server's entry.
 func (d *Discovery) scheduleChange(server int, e entry, at float64) {
 	k := &d.knownServers[server]
 	k.changeAt, k.entry = max(k.changeAt, at+d.DelaySeconds), e
@@ -111,6 +112,7 @@
 	d.observeEntry(checker.ListChanged, -1, c.server, c.entry, d.listIndex, c.at)
 }
 
+// observeEntry reports an event of an entry to the observer.
 func (d *Discovery) observeEntry(kind checker.Kind, sidecar int32, server int, e entry, index uint64, now float64) {
 	d.observer.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Server: int32(server), Status: e.status,
 		ServingSince: e.servingSince, Address: e.address, ListIndex: index})
@@ -249,7 +251,7 @@
 // Address returns the present address.
 func (d *Discovery) Address() string { return d.spec.Addresses[d.address] }
 
-// ip returns the IP of the present address.
+// currentIP returns the IP of the present address.
 func (d *Discovery) currentIP() string { return d.spec.IPs[d.address] }
 
 // nextIP returns the IP of the next address; false: there is none.
--- a/internal/environment/discoveryendpoint.go
+++ b/internal/environment/discoveryendpoint.go
@@ -92,6 +92,7 @@
 	}
 }
 
+// observe reports an event of a connection to the observer.
 func (e *discoveryEndpoint) observe(kind checker.Kind, conn *discoveryConn) {
 	now := e.net.Now()
 	e.discovery.observer.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: conn.sidecar, Server: checker.PathToDiscovery, Connection: conn.number})
@@ -107,6 +108,7 @@
 	e.updateAlarm()
 }
 
+// readCalls handles the complete calls of a connection, until one is queued.
 func (e *discoveryEndpoint) readCalls(conn *discoveryConn) {
 	for conn.conn != nil && !conn.hasCall && !conn.isWatch && conn.buf.Len() > 0 {
 		isComplete, err := conn.parser.Next(&conn.buf)
@@ -150,6 +152,7 @@
 	e.discovery.observeQueue(conn.calledAt)
 }
 
+// reject answers a call with 503.
 func (e *discoveryEndpoint) reject(conn *discoveryConn) {
 	conn.hasCall = false
 	e.observe(checker.DiscoveryCallFailed, conn)
@@ -188,6 +191,7 @@
 	discovery.observeDelivery(conn.sidecar, discovery.listIndex, discovery.entries, since, snapshot, now)
 }
 
+// write writes to a connection, if it is open.
 func (e *discoveryEndpoint) write(conn *discoveryConn, out []byte) {
 	e.buffer = out
 	if conn.conn != nil {
@@ -257,6 +261,7 @@
 	e.discovery.updateAlarms() // a change that one endpoint has applied may be due at another
 }
 
+// updateAlarm sets the alarm for what is due next, here or at discovery.
 func (e *discoveryEndpoint) updateAlarm() {
 	at := min(e.discovery.nextAt(), e.tasks.nextAt())
 	if at != e.alarmAt && at < math.Inf(1) {
--- a/internal/environment/engine.go
+++ b/internal/environment/engine.go
@@ -126,6 +126,7 @@
 	return e.Warmth(now) * (1 - overhead) / (1 + s.ThrashFactor*excess)
 }
 
+// isPaused tells whether jobs make no progress.
 func (e *Engine) isPaused() bool { return e.isHung || e.isPausing || e.isOverloaded }
 
 // startQueued starts queued jobs as long as a slot is free.
@@ -218,6 +219,7 @@
 	}
 }
 
+// resume ends a suspension; see suspend.
 func (e *Engine) resume(now float64) {
 	if e.isPaused() {
 		return
--- a/internal/environment/faultinjector.go
+++ b/internal/environment/faultinjector.go
@@ -86,6 +86,7 @@
 	f.schedule.add(f.endsAt(fault, now), step)
 }
 
+// servers returns the servers that a fault names.
 func (f *FaultInjector) servers(fault *Fault) []*Server {
 	var found []*Server
 	for _, name := range fault.Servers {
--- a/internal/environment/hostileclients.go
+++ b/internal/environment/hostileclients.go
@@ -154,6 +154,7 @@
 	h.updateAlarm()
 }
 
+// updateAlarm sets the alarm for what is due next.
 func (h *HostileClients) updateAlarm() {
 	if at := h.tasks.nextAt(); at != h.alarmAt && at < math.Inf(1) {
 		h.alarmAt = at
@@ -161,6 +162,7 @@
 	}
 }
 
+// connect dials a connection for a client of a drawn kind.
 func (h *HostileClients) connect(silent bool, now float64) {
 	h.lastVisit++
 	conn := &hostileConn{kind: hostileKind(h.rng.IntN(int(hostileKindCount))), number: uint64(h.number+1)<<48 | 1<<40 | h.lastVisit, parser: http1.NewResponseParser(messageLimits)}
@@ -205,6 +207,7 @@
 	return true
 }
 
+// event returns an event of a connection and its request.
 func (h *HostileClients) event(kind checker.Kind, conn *hostileConn) checker.Event {
 	now := h.net.Now()
 	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: h.number, Server: -1, Class: -1, Connection: conn.number, Request: conn.id}
@@ -288,6 +291,7 @@
 	return append(appendID(append(out, fieldID+": "...), h.rng.Uint64()|1), "\r\n"...)
 }
 
+// classOf returns the first class with an effect, or the first of all.
 func (h *HostileClients) classOf(effect checker.Effect) string {
 	for _, class := range h.day.Classes {
 		if class.Effect == effect {
--- a/internal/environment/malformed.go
+++ b/internal/environment/malformed.go
@@ -73,6 +73,7 @@
 	return p.appendNoise(out, 1+p.rng.IntN(60)), false
 }
 
+// appendNoise appends random bytes.
 func (p *serverProcess) appendNoise(out []byte, n int) []byte {
 	for range n {
 		out = append(out, byte(p.rng.Uint32()))
--- a/internal/environment/peerfaults.go
+++ b/internal/environment/peerfaults.go
@@ -73,6 +73,7 @@
 	from, to int
 }
 
+// resetPeersRepeatedly resets connections between peers now and at the fault's rate until a time.
 func (f *FaultInjector) resetPeersRepeatedly(fault *Fault, now, until float64) {
 	if now >= until {
 		return
--- a/internal/environment/protocol.go
+++ b/internal/environment/protocol.go
@@ -22,6 +22,7 @@
 // IsThrift tells whether it is an encoding of Thrift; the empty Protocol is HTTP.
 func (s Protocol) IsThrift() bool { return s == ThriftBinary || s == ThriftCompact }
 
+// encoding returns the encoding of Thrift.
 func (s Protocol) encoding() thrift.Encoding {
 	if s == ThriftCompact {
 		return thrift.Compact
--- a/internal/environment/random.go
+++ b/internal/environment/random.go
@@ -9,6 +9,7 @@
 // Range is the interval from which a figure is drawn, uniformly.
 type Range struct{ Min, Max float64 }
 
+// draw draws a figure.
 func (r Range) draw(rng *rand.Rand) float64 { return r.Min + (r.Max-r.Min)*rng.Float64() }
 
 // count draws a whole number, both ends included.
--- a/internal/environment/script.go
+++ b/internal/environment/script.go
@@ -74,4 +74,5 @@
 	s.Faults = append(s.Faults, fault)
 }
 
+// byTime compares faults by their start.
 func byTime(a, b Fault) int { return cmp.Compare(a.AtSeconds, b.AtSeconds) }
--- a/internal/environment/serverfaults.go
+++ b/internal/environment/serverfaults.go
@@ -103,6 +103,7 @@
 	f.startServer(server, server.currentIP(), false, now)
 }
 
+// stopAndReturn stops servers and starts them again when the fault is over.
 func (f *FaultInjector) stopAndReturn(servers []*Server, fault *Fault, now float64, silent, moved bool) {
 	for _, server := range servers {
 		if !f.stopServer(server, silent, now) {
@@ -120,6 +121,7 @@
 	}
 }
 
+// loseSite stops a site's servers, and its sidecars if the fault says so, until the fault is over.
 func (f *FaultInjector) loseSite(fault *Fault, now float64) {
 	for i, site := range f.environment.Day.Sites {
 		if site != fault.Site {
@@ -158,6 +160,7 @@
 	}
 }
 
+// resetRepeatedly resets connections between servers and sidecars in turn, at the fault's rate until a time.
 func (f *FaultInjector) resetRepeatedly(servers []*Server, fault *Fault, now, until float64) {
 	n := 0
 	var step func(now float64)
@@ -174,6 +177,7 @@
 	step(now)
 }
 
+// dropOneWay loses bytes in one direction between sidecars and servers until the fault is over.
 func (f *FaultInjector) dropOneWay(fault *Fault, now float64) {
 	sidecars := fault.Sidecars
 	if len(sidecars) == 0 {
--- a/internal/environment/serverprocess.go
+++ b/internal/environment/serverprocess.go
@@ -42,6 +42,7 @@
 	p.updateAlarm()
 }
 
+// event returns an event of a connection.
 func (p *serverProcess) event(kind checker.Kind, conn *serverConn) checker.Event {
 	now := p.net.Now()
 	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: conn.sidecar, Server: int32(p.Spec.Number), Connection: conn.number}
--- a/internal/environment/serverrequest.go
+++ b/internal/environment/serverrequest.go
@@ -31,6 +31,7 @@
 	}
 }
 
+// execute reports an attempt and enqueues its job at the engine, or rejects it.
 func (p *serverProcess) execute(conn *serverConn, class int) {
 	now := p.net.Now()
 	job := &serverJob{conn: conn, request: parseID(conn.request.id), class: class}
--- a/internal/environment/serverresponse.go
+++ b/internal/environment/serverresponse.go
@@ -64,6 +64,7 @@
 	p.write(conn, conn.appendResponse(p.buffer[:0], status, nil, body))
 }
 
+// write writes to a connection, if it is open.
 func (p *serverProcess) write(conn *serverConn, out []byte) {
 	p.buffer = out
 	if conn.conn != nil {
@@ -71,6 +72,7 @@
 	}
 }
 
+// observeResponse reports an answer to a connection's request.
 func (p *serverProcess) observeResponse(conn *serverConn, status int, notStarted, isMalformed bool, body []byte) {
 	e := p.event(checker.ResponseSent, conn)
 	e.Request, e.Status, e.NotStarted, e.Malformed = conn.job.request, int32(status), notStarted, isMalformed
--- a/internal/environment/sidecarfaults.go
+++ b/internal/environment/sidecarfaults.go
@@ -67,6 +67,7 @@
 	f.killSidecar(sidecar, afterSeconds, now)
 }
 
+// limitReads has applications read slowly until the fault is over.
 func (f *FaultInjector) limitReads(fault *Fault, now float64) {
 	for _, i := range fault.Sidecars {
 		f.slowReads[i]++
@@ -81,6 +82,7 @@
 	}
 }
 
+// observeSidecar reports an event of a sidecar.
 func (f *FaultInjector) observeSidecar(kind checker.Kind, sidecar int, now float64) {
 	f.observer.Observe(checker.Event{Kind: kind, At: now, Sidecar: int32(sidecar), Server: -1})
 }
--- a/internal/environment/thriftclient.go
+++ b/internal/environment/thriftclient.go
@@ -17,6 +17,7 @@
 	retryAfter string // when to retry, in seconds; "": not given
 }
 
+// newResponseReader returns a reader of one answer.
 func newResponseReader(s Protocol) responseReader {
 	return responseReader{protocol: s, parser: http1.NewResponseParser(messageLimits)}
 }
@@ -32,14 +33,15 @@
 	return isComplete, err
 }
 
-// Begun tells whether a part of the answer has arrived.
+// HasBegun tells whether a part of the answer has arrived.
 func (r *responseReader) HasBegun() bool { return r.hasBegun }
 
-// Keep tells whether the connection may be used again after the answer.
+// IsPersistent tells whether the connection may be used again after the answer.
 func (r *responseReader) IsPersistent() bool { return r.protocol.IsThrift() || r.parser.IsPersistent() }
 
 var resultPath = []thrift.Path{{0}}
 
+// nextThrift is Next for Thrift.
 func (r *responseReader) nextThrift(buf *http1.Buffer) (bool, error) {
 	r.hasBegun = r.hasBegun || buf.Len() > 0
 	payload, size, err := thrift.CutFrame(buf.Bytes(), messageLimits.BufferedBodyBytes)
--- a/internal/environment/thriftserver.go
+++ b/internal/environment/thriftserver.go
@@ -34,6 +34,7 @@
 	return isComplete, err
 }
 
+// nextThriftRequest is nextRequest for Thrift.
 func (c *serverConn) nextThriftRequest() (bool, error) {
 	payload, size, err := thrift.CutFrame(c.buf.Bytes(), messageLimits.BufferedBodyBytes)
 	if err != nil || size == 0 {
--- a/internal/environment/validrequest.go
+++ b/internal/environment/validrequest.go
@@ -28,6 +28,7 @@
 	}
 }
 
+// retryRejected handles the answer to a valid request: a rejected one is sent again at once.
 func (h *HostileClients) retryRejected(conn *hostileConn) {
 	e := h.event(checker.ResponseReceived, conn)
 	e.Status, e.Digest = int32(conn.parser.Status), checker.Digest(conn.parser.Body)
--- a/internal/environment/wire.go
+++ b/internal/environment/wire.go
@@ -66,6 +66,7 @@
 // sidecarAddresses finds sidecars by the address of their connections.
 type sidecarAddresses []netip.Addr
 
+// newSidecarAddresses returns the addresses of a day's sidecars.
 func newSidecarAddresses(day *Day) sidecarAddresses {
 	var all sidecarAddresses
 	for _, sidecar := range day.Sidecars {
