--- a/internal/environment/application.go
+++ b/internal/environment/application.go
@@ -79,9 +79,19 @@
 
 // NewApplication returns the application beside a sidecar.
 func NewApplication(day *Day, sidecar int, observer checker.Observer) *Application {
-	return &Application{number: int32(sidecar), day: day, spec: &day.Clients, observer: observer, arrivals: randomStream(day.Seed, "arrivals", sidecar),
-		ids: randomStream(day.Seed, "ids", sidecar), behavior: randomStream(day.Seed, "clients", sidecar), earlyAbandons: randomStream(day.Seed, "early", sidecar), alarmAt: math.Inf(1), drainAt: math.Inf(1),
-		body: []byte(bodyText)}
+	return &Application{
+		number:        int32(sidecar),
+		day:           day,
+		spec:          &day.Clients,
+		observer:      observer,
+		arrivals:      randomStream(day.Seed, "arrivals", sidecar),
+		ids:           randomStream(day.Seed, "ids", sidecar),
+		behavior:      randomStream(day.Seed, "clients", sidecar),
+		earlyAbandons: randomStream(day.Seed, "early", sidecar),
+		alarmAt:       math.Inf(1),
+		drainAt:       math.Inf(1),
+		body:          []byte(bodyText),
+	}
 }
 
 // NewBatch returns the batch job beside a sidecar: it sends requests of one class in the name of an organisation, independent
--- a/internal/environment/day.go
+++ b/internal/environment/day.go
@@ -161,14 +161,31 @@
 // Rules returns the rules by which a checker checks the day.
 func (d *Day) Rules() checker.Rules {
 	r := checker.Rules{
-		Sidecars: len(d.Sidecars), MaxDescriptors: d.MaxDescriptors, AnswerSlackSeconds: answerSlackSeconds, SocketSlackSeconds: socketSlackSeconds,
-		TermGraceSeconds: termGraceSeconds, DrainGraceSeconds: drainGraceSeconds, PollTimeoutSeconds: pollTimeoutSeconds, UpdateTimeoutSeconds: updateTimeoutSeconds, ReloadGraceSeconds: reloadGraceSeconds,
-		OverloadWindowSeconds: cmp.Or(d.OverloadWindowSeconds, overloadWindowSeconds), ColdLoadShare: 2.0 / 3, FailFastSeconds: 0.25, MaxAttempts: maxAttempts,
+		Sidecars:              len(d.Sidecars),
+		MaxDescriptors:        d.MaxDescriptors,
+		AnswerSlackSeconds:    answerSlackSeconds,
+		SocketSlackSeconds:    socketSlackSeconds,
+		TermGraceSeconds:      termGraceSeconds,
+		DrainGraceSeconds:     drainGraceSeconds,
+		PollTimeoutSeconds:    pollTimeoutSeconds,
+		UpdateTimeoutSeconds:  updateTimeoutSeconds,
+		ReloadGraceSeconds:    reloadGraceSeconds,
+		OverloadWindowSeconds: cmp.Or(d.OverloadWindowSeconds, overloadWindowSeconds),
+		ColdLoadShare:         2.0 / 3,
+		FailFastSeconds:       0.25,
+		MaxAttempts:           maxAttempts,
 	}
 	r.FleetCallsSeconds = float64(len(d.Sidecars)) * d.Discovery.callSeconds(len(d.Servers))
 	for _, class := range d.Classes {
-		r.Classes = append(r.Classes, checker.Class{Name: class.Name, Effect: class.Effect, Group: class.Group, DedupWindowSeconds: class.DedupWindowSeconds,
-			LatencyTargetSeconds: class.LatencyTargetSeconds, PriorityWeight: class.PriorityWeight, LateFraction: class.LateFraction})
+		r.Classes = append(r.Classes, checker.Class{
+			Name:                 class.Name,
+			Effect:               class.Effect,
+			Group:                class.Group,
+			DedupWindowSeconds:   class.DedupWindowSeconds,
+			LatencyTargetSeconds: class.LatencyTargetSeconds,
+			PriorityWeight:       class.PriorityWeight,
+			LateFraction:         class.LateFraction,
+		})
 	}
 	for _, sidecar := range d.Sidecars {
 		r.SidecarZones = append(r.SidecarZones, int32(sidecar.Site))
--- a/internal/environment/daydraw.go
+++ b/internal/environment/daydraw.go
@@ -21,10 +21,19 @@
 	d.drawServers(rng, r)
 	d.drawClasses(rng, r)
 	d.Clients = ClientSpec{
-		RatePerSecond: r.RatePerSecond.draw(rng), Swing: r.Swing.draw(rng), SwingPeriodSeconds: r.SwingPeriodSeconds.draw(rng), BurstFactor: r.BurstFactor.draw(rng),
-		BurstSeconds: r.BurstSeconds.draw(rng), BurstIntervalSeconds: r.BurstIntervalSeconds.draw(rng), Retries: r.Retries.count(rng),
-		AttemptTimeoutShare: r.AttemptTimeoutShare.draw(rng), BackoffSeconds: r.BackoffMillis.draw(rng) / 1e3, RetryAfterShare: r.RetryAfterShare.draw(rng),
-		ImpatientShare: r.ImpatientShare.draw(rng), MaxConnections: d.MaxDescriptors / 3, MaxRetryAfterSeconds: maxRetryAfterSeconds,
+		RatePerSecond:        r.RatePerSecond.draw(rng),
+		Swing:                r.Swing.draw(rng),
+		SwingPeriodSeconds:   r.SwingPeriodSeconds.draw(rng),
+		BurstFactor:          r.BurstFactor.draw(rng),
+		BurstSeconds:         r.BurstSeconds.draw(rng),
+		BurstIntervalSeconds: r.BurstIntervalSeconds.draw(rng),
+		Retries:              r.Retries.count(rng),
+		AttemptTimeoutShare:  r.AttemptTimeoutShare.draw(rng),
+		BackoffSeconds:       r.BackoffMillis.draw(rng) / 1e3,
+		RetryAfterShare:      r.RetryAfterShare.draw(rng),
+		ImpatientShare:       r.ImpatientShare.draw(rng),
+		MaxConnections:       d.MaxDescriptors / 3,
+		MaxRetryAfterSeconds: maxRetryAfterSeconds,
 	}
 	load := r.Load.draw(rng)
 	if crowd := randomStream(seed, "crowd", 0); crowd.Float64() < r.OverloadedDayShare {
@@ -37,9 +46,16 @@
 	}
 	d.setPace(load, longer)
 	d.Discovery = DiscoverySpec{
-		FailureNoticeSeconds: r.FailureNoticeSeconds.draw(rng), SilentNoticeSeconds: r.SilentNoticeSeconds.draw(rng), StartNoticeSeconds: r.StartNoticeSeconds.draw(rng),
-		PublishIntervalSeconds: r.PublishIntervalMillis.draw(rng) / 1e3, DeliverySeconds: r.DeliveryMillis.draw(rng) / 1e3, CallsPerSecond: r.CallsPerSecond.draw(rng),
-		EntriesPerCall: r.EntriesPerCall.draw(rng), CallTimeoutSeconds: 1, KeepAliveSeconds: 2, OldAddressSeconds: 1.5,
+		FailureNoticeSeconds:   r.FailureNoticeSeconds.draw(rng),
+		SilentNoticeSeconds:    r.SilentNoticeSeconds.draw(rng),
+		StartNoticeSeconds:     r.StartNoticeSeconds.draw(rng),
+		PublishIntervalSeconds: r.PublishIntervalMillis.draw(rng) / 1e3,
+		DeliverySeconds:        r.DeliveryMillis.draw(rng) / 1e3,
+		CallsPerSecond:         r.CallsPerSecond.draw(rng),
+		EntriesPerCall:         r.EntriesPerCall.draw(rng),
+		CallTimeoutSeconds:     1,
+		KeepAliveSeconds:       2,
+		OldAddressSeconds:      1.5,
 	}
 	for i := range maxDiscoveryAddresses {
 		ip := fmt.Sprintf("10.2.0.%d", i+1)
@@ -70,8 +86,14 @@
 	skew, sum := r.SidecarSkew.draw(rng), 0.0
 	for i := range r.Sidecars.count(rng) {
 		ip := fmt.Sprintf("10.0.%d.%d", (i+1)>>8, (i+1)&255)
-		sidecar := SidecarSpec{Name: "n" + strconv.Itoa(i), IP: ip, Address: ip + ":8080", Site: i % len(d.Sites),
-			Share: logNormalFactor(rng, skew), Seed: rng.Uint64()}
+		sidecar := SidecarSpec{
+			Name:    "n" + strconv.Itoa(i),
+			IP:      ip,
+			Address: ip + ":8080",
+			Site:    i % len(d.Sites),
+			Share:   logNormalFactor(rng, skew),
+			Seed:    rng.Uint64(),
+		}
 		sum += sidecar.Share
 		d.Sidecars = append(d.Sidecars, sidecar)
 	}
@@ -123,15 +145,27 @@
 func drawServer(rng *rand.Rand, r Ranges, k ServerKindRanges, speedCV float64) ServerSpec {
 	slots := k.Slots.count(rng)
 	b := ServerSpec{
-		Speed: k.Speed.draw(rng) * logNormalFactor(rng, speedCV), Slots: slots,
-		QueueLimit: int(k.QueuePerSlot.draw(rng)) * slots, ThrashFactor: k.ThrashFactor.draw(rng), ThrashThreshold: k.ThrashThreshold.draw(rng),
-		ColdCapacity: k.ColdCapacity.draw(rng), WarmupSeconds: k.WarmupSeconds.draw(rng), WarmupWorkSeconds: r.WarmupWorkSeconds.draw(rng),
-		PauseIntervalSeconds: k.PauseIntervalSeconds.draw(rng), PauseSeconds: k.PauseMillis.draw(rng) / 1e3, ErrorShare: k.ErrorShare.draw(rng),
+		Speed:                 k.Speed.draw(rng) * logNormalFactor(rng, speedCV),
+		Slots:                 slots,
+		QueueLimit:            int(k.QueuePerSlot.draw(rng)) * slots,
+		ThrashFactor:          k.ThrashFactor.draw(rng),
+		ThrashThreshold:       k.ThrashThreshold.draw(rng),
+		ColdCapacity:          k.ColdCapacity.draw(rng),
+		WarmupSeconds:         k.WarmupSeconds.draw(rng),
+		WarmupWorkSeconds:     r.WarmupWorkSeconds.draw(rng),
+		PauseIntervalSeconds:  k.PauseIntervalSeconds.draw(rng),
+		PauseSeconds:          k.PauseMillis.draw(rng) / 1e3,
+		ErrorShare:            k.ErrorShare.draw(rng),
 		Overload:              OverloadSpec{Multiple: overloadMultiple, WindowSeconds: overloadWindowSeconds},
-		ReportIntervalSeconds: r.ReportIntervalMillis.draw(rng) / 1e3, ReportLagSeconds: r.ReportLagMillis.draw(rng) / 1e3,
-		ReportNoise: r.ReportNoise.draw(rng), MaxConnections: int(r.ConnectionsPerSlot.draw(rng)) * slots, ConnectionOverhead: r.ConnectionOverhead.draw(rng),
-		HandshakeSeconds: r.HandshakeMillis.draw(rng) / 1e3, HealthCheckSeconds: r.HealthCheckMillis.draw(rng) / 1e3,
-		HealthChecksPerSecond: r.HealthChecksPerSlot.draw(rng) * float64(slots), DropsCancelled: rng.Float64() < 0.2,
+		ReportIntervalSeconds: r.ReportIntervalMillis.draw(rng) / 1e3,
+		ReportLagSeconds:      r.ReportLagMillis.draw(rng) / 1e3,
+		ReportNoise:           r.ReportNoise.draw(rng),
+		MaxConnections:        int(r.ConnectionsPerSlot.draw(rng)) * slots,
+		ConnectionOverhead:    r.ConnectionOverhead.draw(rng),
+		HandshakeSeconds:      r.HandshakeMillis.draw(rng) / 1e3,
+		HealthCheckSeconds:    r.HealthCheckMillis.draw(rng) / 1e3,
+		HealthChecksPerSecond: r.HealthChecksPerSlot.draw(rng) * float64(slots),
+		DropsCancelled:        rng.Float64() < 0.2,
 	}
 	b.Weight = math.Round(float64(slots)*k.Speed.draw(rng)*4) / 4 // as registered: an estimate of the capacity
 	return b
@@ -141,8 +175,15 @@
 func (d *Day) drawClasses(rng *rand.Rand, r Ranges) {
 	sum := 0.0
 	for _, c := range r.Classes {
-		s := ClassSpec{ClassRanges: c, Effect: effects[c.Effect], Group: groups[c.Group], Share: c.Share.draw(rng),
-			MeanWorkSeconds: c.RelativeWork.draw(rng), WorkCV: c.WorkCV.draw(rng), BodyBytes: int(c.BodyBytes.draw(rng))}
+		s := ClassSpec{
+			ClassRanges:     c,
+			Effect:          effects[c.Effect],
+			Group:           groups[c.Group],
+			Share:           c.Share.draw(rng),
+			MeanWorkSeconds: c.RelativeWork.draw(rng),
+			WorkCV:          c.WorkCV.draw(rng),
+			BodyBytes:       int(c.BodyBytes.draw(rng)),
+		}
 		sum += s.Share
 		d.Classes = append(d.Classes, s)
 	}
--- a/internal/environment/discovery.go
+++ b/internal/environment/discovery.go
@@ -62,8 +62,17 @@
 
 // NewDiscovery returns a discovery service that lists the servers which run at the day's start.
 func NewDiscovery(day *Day, observer checker.Observer) *Discovery {
-	discovery := &Discovery{day: day, spec: &day.Discovery, observer: observer, sidecars: newSidecarAddresses(day), rng: randomStream(day.Seed, "discovery", 0),
-		entries: make([]entry, len(day.Servers)), knownServers: make([]knownServer, len(day.Servers)), listIndex: 40, nextPublishAt: day.Start}
+	discovery := &Discovery{
+		day:           day,
+		spec:          &day.Discovery,
+		observer:      observer,
+		sidecars:      newSidecarAddresses(day),
+		rng:           randomStream(day.Seed, "discovery", 0),
+		entries:       make([]entry, len(day.Servers)),
+		knownServers:  make([]knownServer, len(day.Servers)),
+		listIndex:     40,
+		nextPublishAt: day.Start,
+	}
 	for i := range day.Servers[:day.InitialServers] {
 		discovery.knownServers[i].entry = entry{status: checker.Serving, address: day.Servers[i].Address}
 		discovery.apply(change{server: i, entry: discovery.knownServers[i].entry, at: day.Start})
@@ -114,8 +123,18 @@
 
 // observeEntry reports an event of an entry to the observer.
 func (d *Discovery) observeEntry(kind checker.Kind, sidecar int32, server int, e entry, index uint64, now float64) {
-	d.observer.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: sidecar, Server: int32(server), Status: e.status,
-		ServingSince: e.servingSince, Address: e.address, ListIndex: index})
+	d.observer.Observe(checker.Event{
+		Kind:         kind,
+		At:           now,
+		FirstSent:    now,
+		Sent:         now,
+		Sidecar:      sidecar,
+		Server:       int32(server),
+		Status:       e.status,
+		ServingSince: e.servingSince,
+		Address:      e.address,
+		ListIndex:    index,
+	})
 }
 
 // nextAt returns when discovery has something to do; +Inf: nothing is due.
--- a/internal/environment/discoveryendpoint.go
+++ b/internal/environment/discoveryendpoint.go
@@ -60,8 +60,13 @@
 
 func (e *discoveryEndpoint) Open(c netio.Conn) bool {
 	e.discovery.lastConnNumber++
-	conn := &discoveryConn{endpoint: e, conn: c, number: e.discovery.lastConnNumber, sidecar: e.discovery.sidecars.number(c.RemoteAddr()),
-		parser: http1.NewRequestParser(messageLimits)}
+	conn := &discoveryConn{
+		endpoint: e,
+		conn:     c,
+		number:   e.discovery.lastConnNumber,
+		sidecar:  e.discovery.sidecars.number(c.RemoteAddr()),
+		parser:   http1.NewRequestParser(messageLimits),
+	}
 	c.SetContext(conn)
 	e.conns = append(e.conns, conn)
 	if e.discovery.isDown && e.discovery.refusesConnections { // sidecars connect for nothing but the list
--- a/internal/environment/environment.go
+++ b/internal/environment/environment.go
@@ -59,9 +59,14 @@
 	var all []Machine
 	for _, b := range e.Servers {
 		for i, ip := range []string{b.Spec.IP, alternateIP(&b.Spec)} {
-			all = append(all, Machine{Name: b.Spec.Name, IP: ip, Listen: ip + serverPort, Site: b.Spec.Site,
+			all = append(all, Machine{
+				Name:        b.Spec.Name,
+				IP:          ip,
+				Listen:      ip + serverPort,
+				Site:        b.Spec.Site,
 				Boot:        func(net netio.EventLoop) netio.Handler { return e.serverByIP[ip].Boot(ip+serverPort, net) },
-				StartsLater: i > 0 || b.Spec.Number >= e.Day.InitialServers})
+				StartsLater: i > 0 || b.Spec.Number >= e.Day.InitialServers,
+			})
 		}
 	}
 	for i, ip := range e.Day.Discovery.IPs {
--- a/internal/environment/faultdraw.go
+++ b/internal/environment/faultdraw.go
@@ -37,7 +37,15 @@
 		}
 		at, lasts := uniform(rng, settleSeconds, max(day.LengthSeconds-quietSeconds, settleSeconds)), uniform(rng, 8, 25)
 		s.Faults = append(s.Faults,
-			Fault{Kind: PeerSlow, AtSeconds: at, DurationSeconds: lasts, From: without(others, who), To: who, RatePerSecond: uniform(rng, 200, 2000), OneWay: true},
+			Fault{
+				Kind:            PeerSlow,
+				AtSeconds:       at,
+				DurationSeconds: lasts,
+				From:            without(others, who),
+				To:              who,
+				RatePerSecond:   uniform(rng, 200, 2000),
+				OneWay:          true,
+			},
 			Fault{Kind: PeerReset, AtSeconds: at, DurationSeconds: lasts, From: who, RatePerSecond: uniform(rng, 0.2, 1)})
 	}
 	slices.SortStableFunc(s.Faults, byTime)
--- a/internal/environment/faultinjector.go
+++ b/internal/environment/faultinjector.go
@@ -31,10 +31,22 @@
 
 // NewFaultInjector returns an injector of a script's faults. A script that names what the day does not have is an error.
 func NewFaultInjector(environment *Environment, s *Script, g Hosts, observer checker.Observer) (*FaultInjector, error) {
-	injector := &FaultInjector{environment: environment, hosts: g, observer: observer, hangs: make([]int, len(environment.Servers)), slowReads: make([]int, len(environment.Applications)),
-		isGone: make([]bool, len(environment.Applications)), replacementTaken: make([]bool, len(environment.Servers)), lateConnects: make([]int, len(environment.Servers)),
-		isSuspended: make([]bool, len(environment.Applications)), isTerminating: make([]bool, len(environment.Applications)), fullDisks: make([]int, len(environment.Applications)), clockFaults: make([]int, len(environment.Applications)),
-		peerFaults: map[peerPath]int{}, peerRates: map[peerPath][]float64{}}
+	injector := &FaultInjector{
+		environment:      environment,
+		hosts:            g,
+		observer:         observer,
+		hangs:            make([]int, len(environment.Servers)),
+		slowReads:        make([]int, len(environment.Applications)),
+		isGone:           make([]bool, len(environment.Applications)),
+		replacementTaken: make([]bool, len(environment.Servers)),
+		lateConnects:     make([]int, len(environment.Servers)),
+		isSuspended:      make([]bool, len(environment.Applications)),
+		isTerminating:    make([]bool, len(environment.Applications)),
+		fullDisks:        make([]int, len(environment.Applications)),
+		clockFaults:      make([]int, len(environment.Applications)),
+		peerFaults:       map[peerPath]int{},
+		peerRates:        map[peerPath][]float64{},
+	}
 	if i, field, why := s.unknownReference(environment.Day); field != "" {
 		return nil, fmt.Errorf("trouble %d: %s: %s", i+1, field, why)
 	}
--- a/internal/environment/hostileclients.go
+++ b/internal/environment/hostileclients.go
@@ -92,8 +92,14 @@
 
 // NewHostileClients returns the hostile clients beside a sidecar. None connects before Connect is called.
 func NewHostileClients(day *Day, sidecar int, app *Application, observer checker.Observer) *HostileClients {
-	return &HostileClients{number: int32(sidecar), day: day, application: app, observer: observer, rng: randomStream(day.Seed, "mischief", sidecar),
-		alarmAt: math.Inf(1)}
+	return &HostileClients{
+		number:      int32(sidecar),
+		day:         day,
+		application: app,
+		observer:    observer,
+		rng:         randomStream(day.Seed, "mischief", sidecar),
+		alarmAt:     math.Inf(1),
+	}
 }
 
 // Boot returns the clients' process.
--- a/internal/environment/loadreport.go
+++ b/internal/environment/loadreport.go
@@ -17,7 +17,13 @@
 
 // start starts with a report of no load.
 func (r *loadReports) start(s *ServerSpec, now float64) {
-	*r = loadReports{intervalSeconds: s.ReportIntervalSeconds, lagSeconds: s.ReportLagSeconds, noise: s.ReportNoise, nextAt: now + s.ReportIntervalSeconds, madeAt: now}
+	*r = loadReports{
+		intervalSeconds: s.ReportIntervalSeconds,
+		lagSeconds:      s.ReportLagSeconds,
+		noise:           s.ReportNoise,
+		nextAt:          now + s.ReportIntervalSeconds,
+		madeAt:          now,
+	}
 	r.published = []byte("util=0.00,eps=0.00,queue=0.00\n")
 }
 
--- a/internal/environment/server.go
+++ b/internal/environment/server.go
@@ -44,8 +44,15 @@
 
 // NewServer returns a server of a day that has not started yet.
 func NewServer(day *Day, number int, discovery *Discovery, keys *keyMemory, observer checker.Observer) *Server {
-	server := &Server{Spec: day.Servers[number], day: day, observer: observer, sidecars: newSidecarAddresses(day), classes: map[string]int{}, keyMemory: keys,
-		discovery: discovery}
+	server := &Server{
+		Spec:      day.Servers[number],
+		day:       day,
+		observer:  observer,
+		sidecars:  newSidecarAddresses(day),
+		classes:   map[string]int{},
+		keyMemory: keys,
+		discovery: discovery,
+	}
 	server.rng = randomStream(day.Seed, "box "+server.Spec.Name, 0)
 	server.requestCost = rand.New(&server.requestSource)
 	for i, class := range day.Classes {
--- a/internal/environment/serverprocess.go
+++ b/internal/environment/serverprocess.go
@@ -34,8 +34,16 @@
 		p.servingSince = now
 	}
 	p.loadReports.start(&p.Spec, now)
-	p.observer.Observe(checker.Event{Kind: checker.ServerStarted, At: now, Sidecar: -1, Server: int32(p.Spec.Number), Zone: int32(p.Spec.Site),
-		Cell: int32(p.Spec.Cell), ServingSince: p.servingSince, Address: p.Address})
+	p.observer.Observe(checker.Event{
+		Kind:         checker.ServerStarted,
+		At:           now,
+		Sidecar:      -1,
+		Server:       int32(p.Spec.Number),
+		Zone:         int32(p.Spec.Site),
+		Cell:         int32(p.Spec.Cell),
+		ServingSince: p.servingSince,
+		Address:      p.Address,
+	})
 	if cold {
 		p.discovery.ServerStarted(p.Spec.Number, p.Address, p.servingSince, now)
 	}
