--- a/internal/lab/processcluster/owners.go
+++ b/internal/lab/processcluster/owners.go
@@ -10,12 +10,12 @@
 
 // What is judged of owners.
 const (
-	oldOwner = "old-owner" // no effect is taken under a token lower than one that was taken before
-	noOwner  = "no-owner"  // some time after the last trouble, while a majority of the electors lives, no job is for long without an owner that all know
+	staleOwnerRule = "old-owner" // no effect is taken under a token lower than one that was taken before
+	noOwnerRule    = "no-owner"  // some time after the last trouble, while a majority of the electors lives, no job is for long without an owner that all know
 )
 
 // electorsOf returns how many of so many sidecars are electors.
-func electorsOf(sidecars int) int {
+func voterCount(sidecars int) int {
 	switch {
 	case sidecars >= 15:
 		return 7
@@ -38,16 +38,16 @@
 }
 
 // owners is what a door tells of jobs, as far as it is looked at here.
-type owners struct {
+type roleView struct {
 	Here struct {
 		Elector bool `json:"elector"`
 		Leads   bool `json:"leads"`
 	} `json:"here"`
-	Unwilling string `json:"unwilling"` // why it does nothing for others
-	Electors  []struct {
+	UnwillingReason string `json:"unwilling"` // why it does nothing for others
+	Voters          []struct {
 		State string `json:"state"`
 	} `json:"electors"`
-	Jobs []struct {
+	Roles []struct {
 		Job    string   `json:"job"`
 		Token  uint64   `json:"token"`
 		Held   uint64   `json:"held"`
@@ -56,105 +56,105 @@
 	} `json:"jobs"`
 }
 
-func askOwners(address string) *owners {
-	var o owners
-	if askDoor(address, "OWNERS", &o) != nil {
+func queryRoles(address string) *roleView {
+	var view roleView
+	if queryAdmin(address, "OWNERS", &view) != nil {
 		return nil
 	}
-	return &o
+	return &view
 }
 
 // jobs are those that a troupe's sidecars do.
-type jobs struct {
-	names   []string
-	effects *EffectChecker
-	grants  *GrantHistory
-	wrong   []string
-	tokens  map[string]map[uint64]bool
-	goneAt  map[string]time.Time // when the last that held a job was last seen to; the zero time while one does
-	without []float64
-	wellAt  map[string]time.Time // when a job had an owner that all named, last
-	told    bool                 // that all is not well, in this calm
+type roles struct {
+	names               []string
+	effects             *EffectChecker
+	grants              *GrantHistory
+	violations          []string
+	tokens              map[string]map[uint64]bool
+	ownerlessSince      map[string]time.Time // when the last that held a job was last seen to; the zero time while one does
+	withoutOwnerSeconds []float64
+	ownedAt             map[string]time.Time // when a job had an owner that all named, last
+	isReported          bool                 // that all is not well, in this calm
 }
 
-func newJobs(names []string) *jobs {
-	return &jobs{names: names, effects: NewEffectChecker(), grants: NewGrantHistory(), tokens: map[string]map[uint64]bool{}, goneAt: map[string]time.Time{}, wellAt: map[string]time.Time{}}
+func newRoles(names []string) *roles {
+	return &roles{names: names, effects: NewEffectChecker(), grants: NewGrantHistory(), tokens: map[string]map[uint64]bool{}, ownerlessSince: map[string]time.Time{}, ownedAt: map[string]time.Time{}}
 }
 
-func (j *jobs) owned() *RoleReport {
-	wrong, seen, refused, old := j.effects.Results()
-	o := &RoleReport{Violations: append(wrong, j.wrong...), Effects: seen, Rejected: refused, Stale: old, StaleByOwner: j.effects.StaleByOwner(), WithoutOwnerSeconds: j.without}
-	var why string
-	if o.Confirmations, why = j.grants.CheckLinearizable(); why != "" {
-		o.Violations = append(o.Violations, why)
+func (r *roles) report() *RoleReport {
+	violations, effects, rejected, stale := r.effects.Results()
+	report := &RoleReport{Violations: append(violations, r.violations...), Effects: effects, Rejected: rejected, Stale: stale, StaleByOwner: r.effects.StaleByOwner(), WithoutOwnerSeconds: r.withoutOwnerSeconds}
+	var reason string
+	if report.Confirmations, reason = r.grants.CheckLinearizable(); reason != "" {
+		report.Violations = append(report.Violations, reason)
 	}
-	for _, name := range j.names {
-		o.Grants += len(j.tokens[name])
+	for _, name := range r.names {
+		report.Grants += len(r.tokens[name])
 	}
-	return o
+	return report
 }
 
 // judgeOwners looks at one round of the doors' answers.
-func (t *Cluster) judgeOwners(all []*owners, asked time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	j, now := t.jobs, time.Now()
-	calm := time.Since(t.troubleAt)
-	if t.troubleAt != asked || calm < ownedWithin {
-		j.told = false
+func (c *Cluster) checkOwners(views []*roleView, faultAt time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	roles, now := c.roles, time.Now()
+	calm := time.Since(c.faultAt)
+	if c.faultAt != faultAt || calm < ownerTimeout {
+		roles.isReported = false
 	}
-	for _, name := range j.names {
-		held, differs, told, majority, fit := uint64(0), "", map[uint64]bool{}, true, 0
-		for i, o := range all {
-			if o == nil {
+	for _, name := range roles.names {
+		held, difference, reported, hasMajority, willing := uint64(0), "", map[uint64]bool{}, true, 0
+		for i, view := range views {
+			if view == nil {
 				continue
 			}
-			if o.Unwilling == "" {
-				fit++
+			if view.UnwillingReason == "" {
+				willing++
 			}
 			live := 0
-			for _, e := range o.Electors {
-				if e.State == "alive" {
+			for _, voter := range view.Voters {
+				if voter.State == "alive" {
 					live++
 				}
 			}
-			majority = majority && live > len(o.Electors)/2
-			for _, k := range o.Jobs {
-				if k.Job != name {
+			hasMajority = hasMajority && live > len(view.Voters)/2
+			for _, role := range view.Roles {
+				if role.Job != name {
 					continue
 				}
-				if !slices.IsSorted(k.Tokens) && len(j.wrong) < 20 {
-					j.wrong = append(j.wrong, fmt.Sprintf("%s says that it has taken effects of %s under the tokens %v", t.mates[i].name, name, k.Tokens))
+				if !slices.IsSorted(role.Tokens) && len(roles.violations) < 20 {
+					roles.violations = append(roles.violations, fmt.Sprintf("%s says that it has taken effects of %s under the tokens %v", c.members[i].name, name, role.Tokens))
 				}
-				if held = max(held, k.Held); j.tokens[name] == nil {
-					j.tokens[name] = map[uint64]bool{}
+				if held = max(held, role.Held); roles.tokens[name] == nil {
+					roles.tokens[name] = map[uint64]bool{}
 				}
-				if told[k.Token] = true; k.Token != 0 {
-					j.tokens[name][k.Token] = true
+				if reported[role.Token] = true; role.Token != 0 {
+					roles.tokens[name][role.Token] = true
 				}
 			}
 		}
-		if len(told) > 1 || held == 0 || !told[held] {
-			differs = fmt.Sprintf("%s: held under %d, and the doors tell of %v", name, held, told)
+		if len(reported) > 1 || held == 0 || !reported[held] {
+			difference = fmt.Sprintf("%s: held under %d, and the doors tell of %v", name, held, reported)
 		}
-		was, gone := j.goneAt[name]
+		ownerlessSince, isOwnerless := roles.ownerlessSince[name]
 		switch {
-		case held != 0 && gone:
-			j.without = append(j.without, now.Sub(was).Seconds())
-			delete(j.goneAt, name)
-		case held == 0 && !gone && len(j.tokens[name]) > 0:
-			j.goneAt[name] = now
+		case held != 0 && isOwnerless:
+			roles.withoutOwnerSeconds = append(roles.withoutOwnerSeconds, now.Sub(ownerlessSince).Seconds())
+			delete(roles.ownerlessSince, name)
+		case held == 0 && !isOwnerless && len(roles.tokens[name]) > 0:
+			roles.ownerlessSince[name] = now
 		}
-		if differs == "" || !majority || fit == 0 { // where the machine starves all, nobody is to own anything
-			j.wellAt[name] = now
+		if difference == "" || !hasMajority || willing == 0 { // where the machine starves all, nobody is to own anything
+			roles.ownedAt[name] = now
 		}
 		// Danger: on a machine that stands still for a second all leases end, and the next look finds nobody.
-		if t.troubleAt.Equal(asked) && calm > ownedWithin && now.Sub(j.wellAt[name]) > ownedWithin && !j.told {
-			j.told = true
-			t.find(checker.Rule(noOwner), "", "%.1f s after the last trouble: %s; %d would do it", calm.Seconds(), differs, fit)
+		if c.faultAt.Equal(faultAt) && calm > ownerTimeout && now.Sub(roles.ownedAt[name]) > ownerTimeout && !roles.isReported {
+			roles.isReported = true
+			c.reportViolation(checker.Rule(noOwnerRule), "", "%.1f s after the last trouble: %s; %d would do it", calm.Seconds(), difference, willing)
 		}
 	}
 }
 
 // ownedWithin after the last trouble each job has an owner. Aim: 5 s; what fails is four times that, since the machine is shared.
-const ownedWithin = 20 * time.Second
+const ownerTimeout = 20 * time.Second
--- a/internal/lab/processcluster/switchboard.go
+++ b/internal/lab/processcluster/switchboard.go
@@ -28,47 +28,47 @@
 // Switchboard stands between sidecars: each is dialed at a port of it, and who speaks is read from a link's first frame. It
 // changes nothing that passes. It can be used from any goroutine.
 type FaultProxy struct {
-	mu      sync.Mutex
-	changed *sync.Cond
-	rules   map[Direction]LinkFault
-	calls   map[*call]struct{}
-	lines   []net.Listener
-	passed  map[Direction]uint64 // bytes
-	closed  bool
+	mu        sync.Mutex
+	changed   *sync.Cond
+	faults    map[Direction]LinkFault
+	links     map[*link]struct{}
+	listeners []net.Listener
+	forwarded map[Direction]uint64 // bytes
+	isClosed  bool
 
 	// Tap, if it is set, is told of each frame that a sidecar has sent, before anything befalls it; call tells links apart. It is set
 	// before the first link, and may be called from several goroutines at once.
-	OnFrame func(call uint64, w Direction, topic frames.Topic, body []byte)
-	n       uint64 // calls so far
+	OnFrame   func(call uint64, w Direction, topic frames.Topic, body []byte)
+	linkCount uint64 // calls so far
 }
 
 // call is one link.
-type call struct {
-	a, b   string // who has dialed, and who is dialed
-	conns  [2]net.Conn
-	doomed bool
-	number uint64
+type link struct {
+	dialer, target string // who has dialed, and who is dialed
+	conns          [2]net.Conn
+	hasLostBytes   bool
+	number         uint64
 }
 
 // NewSwitchboard returns one that nobody uses yet.
 func NewFaultProxy() *FaultProxy {
-	s := &FaultProxy{rules: map[Direction]LinkFault{}, calls: map[*call]struct{}{}, passed: map[Direction]uint64{}}
+	s := &FaultProxy{faults: map[Direction]LinkFault{}, links: map[*link]struct{}{}, forwarded: map[Direction]uint64{}}
 	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
 // Add opens a port at which a sidecar is dialed that listens elsewhere.
-func (s *FaultProxy) Listen(name, listens string) (advertise string, err error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func (p *FaultProxy) Listen(name, target string) (advertise string, err error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	s.mu.Lock()
-	s.lines = append(s.lines, l)
-	s.mu.Unlock()
+	p.mu.Lock()
+	p.listeners = append(p.listeners, listener)
+	p.mu.Unlock()
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
@@ -76,84 +76,84 @@
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
-			go s.serve(c, name, listens)
+			go p.serveLink(conn, name, target)
 		}
 	}()
-	return l.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
 // Close ends all.
-func (s *FaultProxy) Close() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.closed = true
-	for _, l := range s.lines {
-		l.Close()
+func (p *FaultProxy) Close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.isClosed = true
+	for _, listener := range p.listeners {
+		listener.Close()
 	}
-	for c := range s.calls {
-		c.end()
+	for l := range p.links {
+		l.reset()
 	}
-	s.changed.Broadcast()
+	p.changed.Broadcast()
 }
 
 // Set has a rule hold for ways from now on.
-func (s *FaultProxy) SetFault(r LinkFault, ways ...Direction) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, w := range ways {
-		if s.rules[w] = r; r == (LinkFault{}) {
-			delete(s.rules, w)
+func (p *FaultProxy) SetFault(fault LinkFault, directions ...Direction) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, direction := range directions {
+		if p.faults[direction] = fault; fault == (LinkFault{}) {
+			delete(p.faults, direction)
 		}
 	}
-	if !r.Cut {
-		for c := range s.calls {
-			if c.doomed && !s.rules[Direction{c.a, c.b}].Cut && !s.rules[Direction{c.b, c.a}].Cut {
-				c.end()
+	if !fault.Cut {
+		for l := range p.links {
+			if l.hasLostBytes && !p.faults[Direction{l.dialer, l.target}].Cut && !p.faults[Direction{l.target, l.dialer}].Cut {
+				l.reset()
 			}
 		}
 	}
-	s.changed.Broadcast()
+	p.changed.Broadcast()
 }
 
 // Reset breaks all links between two sidecars.
-func (s *FaultProxy) ResetLinks(a, b string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.calls {
-		if c.a == a && c.b == b || c.a == b && c.b == a {
-			c.end()
+func (p *FaultProxy) ResetLinks(a, b string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for l := range p.links {
+		if l.dialer == a && l.target == b || l.dialer == b && l.target == a {
+			l.reset()
 		}
 	}
 }
 
 // Passed returns how many bytes have gone each way so far, all ways together.
-func (s *FaultProxy) ForwardedBytes() (total uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, n := range s.passed {
+func (p *FaultProxy) ForwardedBytes() (total uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, n := range p.forwarded {
 		total += n
 	}
 	return total
 }
 
 // Between returns the ways between two groups; both directions, or from the first to the second alone.
-func Directions(from, to []string, oneWay bool) (ways []Direction) {
+func Directions(from, to []string, oneWay bool) (directions []Direction) {
 	for _, a := range from {
 		for _, b := range to {
 			if a == b || slices.Contains(from, b) && slices.Contains(to, a) && a > b {
 				continue
 			}
-			if ways = append(ways, Direction{a, b}); !oneWay {
-				ways = append(ways, Direction{b, a})
+			if directions = append(directions, Direction{a, b}); !oneWay {
+				directions = append(directions, Direction{b, a})
 			}
 		}
 	}
-	return ways
+	return directions
 }
 
 // end breaks a link: both ends are reset.
-func (c *call) end() {
-	for _, conn := range c.conns {
+func (l *link) reset() {
+	for _, conn := range l.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0) // fails only on one that is closed
 			_ = tcp.Close()      // the connection is given up
@@ -162,12 +162,12 @@
 }
 
 // mostHello bounds the wait for a first frame.
-const mostHello = 10 * time.Second
+const helloTimeout = 10 * time.Second
 
 // serve passes one link on.
-func (s *FaultProxy) serve(in net.Conn, name, listens string) {
+func (p *FaultProxy) serveLink(in net.Conn, name, target string) {
 	defer in.Close()
-	_ = in.SetReadDeadline(time.Now().Add(mostHello)) // fails only on one that is closed
+	_ = in.SetReadDeadline(time.Now().Add(helloTimeout)) // fails only on one that is closed
 	first, hello, err := readHello(bufio.NewReaderSize(in, frames.MaxFrameBytes))
 	if err != nil {
 		// Whoever speaks otherwise speaks to the sidecar itself: it must cope.
@@ -175,43 +175,43 @@
 	}
 	_ = in.SetReadDeadline(time.Time{})
 	// Danger: where either way is cut no link comes up at all; passed on, the target would see one that says nothing.
-	s.mu.Lock()
-	cut := false
-	for !s.closed && (s.rules[Direction{hello.Name, name}].Cut || s.rules[Direction{name, hello.Name}].Cut) {
-		cut = true
-		s.changed.Wait()
+	p.mu.Lock()
+	wasCut := false
+	for !p.isClosed && (p.faults[Direction{hello.Name, name}].Cut || p.faults[Direction{name, hello.Name}].Cut) {
+		wasCut = true
+		p.changed.Wait()
 	}
-	s.mu.Unlock()
-	if cut {
-		(&call{conns: [2]net.Conn{in, nil}}).end()
+	p.mu.Unlock()
+	if wasCut {
+		(&link{conns: [2]net.Conn{in, nil}}).reset()
 		return
 	}
-	out, err := net.Dial("tcp", listens)
+	out, err := net.Dial("tcp", target)
 	if err != nil {
-		(&call{conns: [2]net.Conn{in, nil}}).end()
+		(&link{conns: [2]net.Conn{in, nil}}).reset()
 		return
 	}
 	defer out.Close()
-	c := &call{a: hello.Name, b: name, conns: [2]net.Conn{in, out}}
-	s.mu.Lock()
-	if s.closed {
-		s.mu.Unlock()
+	l := &link{dialer: hello.Name, target: name, conns: [2]net.Conn{in, out}}
+	p.mu.Lock()
+	if p.isClosed {
+		p.mu.Unlock()
 		return
 	}
-	s.calls[c] = struct{}{}
-	s.n++
-	c.number = s.n
-	s.mu.Unlock()
+	p.links[l] = struct{}{}
+	p.linkCount++
+	l.number = p.linkCount
+	p.mu.Unlock()
 	defer func() {
-		s.mu.Lock()
-		delete(s.calls, c)
-		s.mu.Unlock()
+		p.mu.Lock()
+		delete(p.links, l)
+		p.mu.Unlock()
 	}()
 	done := make(chan struct{}, 2)
-	go func() { s.pump(c, in, out, Direction{c.a, c.b}, first); done <- struct{}{} }()
-	go func() { s.pump(c, out, in, Direction{c.b, c.a}, nil); done <- struct{}{} }()
+	go func() { p.forward(l, in, out, Direction{l.dialer, l.target}, first); done <- struct{}{} }()
+	go func() { p.forward(l, out, in, Direction{l.target, l.dialer}, nil); done <- struct{}{} }()
 	<-done
-	c.end()
+	l.reset()
 	<-done
 }
 
@@ -235,16 +235,16 @@
 }
 
 // pump passes bytes one way, as its rule says.
-func (s *FaultProxy) pump(c *call, from, to net.Conn, w Direction, first []byte) {
-	b := make([]byte, 32<<10)
-	var paced time.Time // until then the link takes nothing
-	var whole []byte    // frames that have not been told of
+func (p *FaultProxy) forward(l *link, from, to net.Conn, direction Direction, first []byte) {
+	buffer := make([]byte, 32<<10)
+	var pausedUntil time.Time // until then the link takes nothing
+	var frames []byte         // frames that have not been told of
 	for {
 		data := first
 		if first = nil; len(data) == 0 {
-			n, err := from.Read(b)
+			n, err := from.Read(buffer)
 			if n == 0 && err != nil {
-				s.await(c, w, 0, nil)
+				p.awaitPermission(l, direction, 0, nil)
 				if errors.Is(err, io.EOF) {
 					if tcp, ok := to.(*net.TCPConn); ok {
 						_ = tcp.CloseWrite() // fails only on one that is closed
@@ -252,13 +252,13 @@
 				}
 				return
 			}
-			data = b[:n]
+			data = buffer[:n]
 		}
-		if s.OnFrame != nil {
-			whole = s.tell(c, w, append(whole, data...))
+		if p.OnFrame != nil {
+			frames = p.notifyFrames(l, direction, append(frames, data...))
 		}
 		for len(data) > 0 {
-			n, pass := s.await(c, w, len(data), &paced)
+			n, pass := p.awaitPermission(l, direction, len(data), &pausedUntil)
 			if n == 0 {
 				return
 			}
@@ -273,60 +273,60 @@
 }
 
 // tell tells of the whole frames, and returns what is left.
-func (s *FaultProxy) tell(c *call, w Direction, data []byte) []byte {
+func (p *FaultProxy) notifyFrames(l *link, direction Direction, data []byte) []byte {
 	for {
 		topic, body, n, err := frames.Next(data)
 		if err != nil || n == 0 {
 			return data[:min(len(data), frames.MaxFrameBytes)]
 		}
-		s.OnFrame(c.number, w, topic, body)
+		p.OnFrame(l.number, direction, topic, body)
 		data = data[n:]
 	}
 }
 
 // paceFor is the time for which a paced link passes bytes at once.
-const paceFor = 50 * time.Millisecond
+const paceInterval = 50 * time.Millisecond
 
 // await waits until some of the bytes may pass, and tells how many of them do or are lost; 0: the link is over. paced is until
 // when a link at a rate takes nothing.
-func (s *FaultProxy) await(c *call, w Direction, n int, paced *time.Time) (int, bool) {
-	s.mu.Lock()
-	for !s.closed {
-		r := s.rules[w]
-		if r.Hold {
-			s.changed.Wait()
+func (p *FaultProxy) awaitPermission(l *link, direction Direction, n int, pausedUntil *time.Time) (int, bool) {
+	p.mu.Lock()
+	for !p.isClosed {
+		fault := p.faults[direction]
+		if fault.Hold {
+			p.changed.Wait()
 			continue
 		}
-		left := time.Duration(0)
-		if r.BytesPerSecond > 0 && paced != nil {
-			left = time.Until(*paced)
+		remaining := time.Duration(0)
+		if fault.BytesPerSecond > 0 && pausedUntil != nil {
+			remaining = time.Until(*pausedUntil)
 		}
-		if left <= 0 {
+		if remaining <= 0 {
 			break
 		}
-		again := time.AfterFunc(left, func() {
-			s.mu.Lock() // Danger: between the look at the clock and the wait the word would be lost
-			defer s.mu.Unlock()
-			s.changed.Broadcast()
+		wakeUp := time.AfterFunc(remaining, func() {
+			p.mu.Lock() // Danger: between the look at the clock and the wait the word would be lost
+			defer p.mu.Unlock()
+			p.changed.Broadcast()
 		})
-		s.changed.Wait()
-		again.Stop()
+		p.changed.Wait()
+		wakeUp.Stop()
 	}
-	r := s.rules[w]
-	if r.BytesPerSecond > 0 && n > 0 {
-		n = min(n, max(int(r.BytesPerSecond*paceFor.Seconds()), 1))
-		*paced = time.Now().Add(time.Duration(float64(n) / r.BytesPerSecond * float64(time.Second)))
+	fault := p.faults[direction]
+	if fault.BytesPerSecond > 0 && n > 0 {
+		n = min(n, max(int(fault.BytesPerSecond*paceInterval.Seconds()), 1))
+		*pausedUntil = time.Now().Add(time.Duration(float64(n) / fault.BytesPerSecond * float64(time.Second)))
 	}
-	_, on := s.calls[c]
+	_, isOpen := p.links[l]
 	switch {
-	case s.closed || !on:
+	case p.isClosed || !isOpen:
 		n = 0
-	case r.Cut:
-		c.doomed = true
-		s.mu.Unlock()
+	case fault.Cut:
+		l.hasLostBytes = true
+		p.mu.Unlock()
 		return n, false
 	}
-	s.passed[w] += uint64(n)
-	s.mu.Unlock()
+	p.forwarded[direction] += uint64(n)
+	p.mu.Unlock()
 	return n, true
 }
--- a/internal/lab/processcluster/trials.go
+++ b/internal/lab/processcluster/trials.go
@@ -22,7 +22,7 @@
 }
 
 // whole is what the doors say of the job together.
-type whole struct {
+type ownershipView struct {
 	token  uint64
 	owner  int // -1: none that all name
 	leader int
@@ -31,148 +31,148 @@
 
 // lookS is the time between two looks of a trial, which waits for mostWaitS at most once its trouble is over.
 const (
-	lookS     = 0.1
-	mostWaitS = 60.0
+	trialPollSeconds    = 0.1
+	trialTimeoutSeconds = 60.0
 )
 
 // look asks the doors of all but some of those that know of jobs.
-func (t *Cluster) look(but []int) (w whole, agreed bool) {
-	all := make([]*owners, t.own())
-	var asking sync.WaitGroup
-	for i := range all {
-		if !slices.Contains(but, i) {
-			asking.Go(func() { all[i] = askOwners(t.mates[i].ops) })
+func (c *Cluster) queryOwnership(excluded []int) (ownership ownershipView, agreed bool) {
+	views := make([]*roleView, c.roleMemberCount())
+	var queries sync.WaitGroup
+	for i := range views {
+		if !slices.Contains(excluded, i) {
+			queries.Go(func() { views[i] = queryRoles(c.members[i].adminAddress) })
 		}
 	}
-	asking.Wait()
-	w, agreed = whole{owner: -1, leader: -1}, true
-	for i, o := range all {
-		if slices.Contains(but, i) {
+	queries.Wait()
+	ownership, agreed = ownershipView{owner: -1, leader: -1}, true
+	for i, view := range views {
+		if slices.Contains(excluded, i) {
 			continue
 		}
-		if o == nil {
-			return w, false
+		if view == nil {
+			return ownership, false
 		}
-		w.live++
-		if o.Here.Leads {
-			w.leader = i
+		ownership.live++
+		if view.Here.Leads {
+			ownership.leader = i
 		}
-		for _, j := range o.Jobs {
-			if j.Job != t.s.Roles[0] {
+		for _, role := range view.Roles {
+			if role.Job != c.settings.Roles[0] {
 				continue
 			}
-			agreed = agreed && (w.token == 0 || w.token == j.Token)
-			if w.token = max(w.token, j.Token); j.Held != 0 && j.Held == j.Token {
-				w.owner = i
+			agreed = agreed && (ownership.token == 0 || ownership.token == role.Token)
+			if ownership.token = max(ownership.token, role.Token); role.Held != 0 && role.Held == role.Token {
+				ownership.owner = i
 			}
 		}
-		agreed = agreed && len(o.Jobs) > 0
+		agreed = agreed && len(view.Roles) > 0
 	}
-	return w, agreed && w.owner >= 0 && w.leader >= 0
+	return ownership, agreed && ownership.owner >= 0 && ownership.leader >= 0
 }
 
 // await looks until all but some agree on an owner, and more holds of it, or a time has come.
-func (t *Cluster) await(ctx context.Context, but []int, until time.Time, more func(whole) bool) (w whole, ok bool) {
-	tick := time.NewTicker(time.Duration(lookS * float64(time.Second)))
-	defer tick.Stop()
+func (c *Cluster) awaitOwner(ctx context.Context, excluded []int, until time.Time, isAccepted func(ownershipView) bool) (ownership ownershipView, ok bool) {
+	ticker := time.NewTicker(time.Duration(trialPollSeconds * float64(time.Second)))
+	defer ticker.Stop()
 	for time.Now().Before(until) {
-		if w, ok = t.look(but); ok && more(w) {
-			return w, true
+		if ownership, ok = c.queryOwnership(excluded); ok && isAccepted(ownership) {
+			return ownership, true
 		}
 		select {
 		case <-ctx.Done():
-			return w, false
-		case <-tick.C:
+			return ownership, false
+		case <-ticker.C:
 		}
 	}
-	return w, false
+	return ownership, false
 }
 
 // try plays the trials, one after the other.
-func (t *Cluster) try(ctx context.Context, p *realtime.Play) {
-	any := func(whole) bool { return true }
-	wait := time.Duration(mostWaitS * float64(time.Second))
-	rng := rand.New(rand.NewPCG(t.s.Seed, 0x747269616c73))
-	for len(t.trials) < t.s.Trials && ctx.Err() == nil {
-		before, ok := t.await(ctx, nil, time.Now().Add(wait), any)
+func (c *Cluster) runTrials(ctx context.Context, play *realtime.Play) {
+	anyOwner := func(ownershipView) bool { return true }
+	timeout := time.Duration(trialTimeoutSeconds * float64(time.Second))
+	rng := rand.New(rand.NewPCG(c.settings.Seed, 0x747269616c73))
+	for len(c.trials) < c.settings.Trials && ctx.Err() == nil {
+		before, ok := c.awaitOwner(ctx, nil, time.Now().Add(timeout), anyOwner)
 		if !ok {
-			t.lost(ctx, "before trial %d no owner is known to all", len(t.trials)+1)
+			c.reportNoOwner(ctx, "before trial %d no owner is known to all", len(c.trials)+1)
 			return
 		}
 		// At any instant of an owner's round: between two troubles there is as much again.
-		rest(ctx, inS(rng.Float64()*2))
-		trouble, victims, who := t.drawTrial(rng, before)
+		sleep(ctx, durationOfSeconds(rng.Float64()*2))
+		fault, victims, target := c.drawTrial(rng, before)
 		done := make(chan error, 1)
-		began := time.Now()
-		p.Post(func() { done <- p.Befall(trouble) })
+		startedAt := time.Now()
+		play.Post(func() { done <- play.Befall(fault) })
 		select {
 		case err := <-done:
 			if err != nil {
-				t.lost(ctx, "trial %d: %v", len(t.trials)+1, err)
+				c.reportNoOwner(ctx, "trial %d: %v", len(c.trials)+1, err)
 				return
 			}
 		case <-ctx.Done():
 			return
 		}
-		over := began.Add(time.Duration((trouble.DurationSeconds + 0.2) * float64(time.Second)))
+		faultEnd := startedAt.Add(time.Duration((fault.DurationSeconds + 0.2) * float64(time.Second)))
 		hitOwner := slices.Contains(victims, before.owner)
-		after, ok := t.await(ctx, victims, over, func(w whole) bool { return !hitOwner || w.token > before.token })
+		after, ok := c.awaitOwner(ctx, victims, faultEnd, func(ownership ownershipView) bool { return !hitOwner || ownership.token > before.token })
 		if !ok { // too short to move anything, or whom it hit holds or leads again
-			after, ok = t.await(ctx, nil, time.Now().Add(wait), any)
+			after, ok = c.awaitOwner(ctx, nil, time.Now().Add(timeout), anyOwner)
 		}
-		known := time.Since(began).Seconds()
+		knownSeconds := time.Since(startedAt).Seconds()
 		if !ok {
-			t.lost(ctx, "trial %d, %s of the %s (%s): no next owner is known to all", len(t.trials)+1, trouble.Kind, who, t.mates[victims[0]].name)
+			c.reportNoOwner(ctx, "trial %d, %s of the %s (%s): no next owner is known to all", len(c.trials)+1, fault.Kind, target, c.members[victims[0]].name)
 			return
 		}
-		t.trials = append(t.trials, Trial{Fault: trouble.Kind, Target: who, AtSeconds: trouble.AtSeconds, HasMoved: after.token > before.token, KnownSeconds: known})
-		rest(ctx, time.Until(over))
+		c.trials = append(c.trials, Trial{Fault: fault.Kind, Target: target, AtSeconds: fault.AtSeconds, HasMoved: after.token > before.token, KnownSeconds: knownSeconds})
+		sleep(ctx, time.Until(faultEnd))
 	}
 }
 
 // lost notes that a job has no owner, unless the play ends.
-func (t *Cluster) lost(ctx context.Context, format string, args ...any) {
+func (c *Cluster) reportNoOwner(ctx context.Context, format string, args ...any) {
 	if ctx.Err() != nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.find(checker.Rule(noOwner), "", format, args...)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.reportViolation(checker.Rule(noOwnerRule), "", format, args...)
 }
 
 // drawTrial draws what is taken away, and how. Danger: where all leases outlive the trouble nothing is tried; most last for longer.
-func (t *Cluster) drawTrial(rng *rand.Rand, w whole) (trouble environment.Fault, victims []int, who string) {
-	switch x := rng.IntN(10); {
-	case w.owner == w.leader:
-		victims, who = []int{w.owner}, "owner that leads"
-	case x < 6:
-		victims, who = []int{w.owner}, "owner"
-	case x < 8:
-		victims, who = []int{w.leader}, "leader"
+func (c *Cluster) drawTrial(rng *rand.Rand, ownership ownershipView) (fault environment.Fault, victims []int, target string) {
+	switch draw := rng.IntN(10); {
+	case ownership.owner == ownership.leader:
+		victims, target = []int{ownership.owner}, "owner that leads"
+	case draw < 6:
+		victims, target = []int{ownership.owner}, "owner"
+	case draw < 8:
+		victims, target = []int{ownership.leader}, "leader"
 	default:
-		victims, who = []int{w.owner, w.leader}, "owner and leader"
+		victims, target = []int{ownership.owner, ownership.leader}, "owner and leader"
 	}
-	trouble.DurationSeconds = 2.5 + 3*rng.Float64()
+	fault.DurationSeconds = 2.5 + 3*rng.Float64()
 	if rng.IntN(8) == 0 {
-		trouble.DurationSeconds = 0.2 + 2*rng.Float64()
+		fault.DurationSeconds = 0.2 + 2*rng.Float64()
 	}
 	switch rng.IntN(6) {
 	case 0, 1:
-		trouble.Kind, trouble.Sidecars = environment.Suspend, victims
+		fault.Kind, fault.Sidecars = environment.Suspend, victims
 	case 2, 3:
-		trouble.Kind, trouble.Sidecars, trouble.State = environment.SidecarKill, victims, environment.StateKept
+		fault.Kind, fault.Sidecars, fault.State = environment.SidecarKill, victims, environment.StateKept
 	default:
-		trouble.Kind = []string{environment.PeerCut, environment.PeerHold}[rng.IntN(2)]
-		var rest []int
-		for i := range t.mates {
+		fault.Kind = []string{environment.PeerCut, environment.PeerHold}[rng.IntN(2)]
+		var others []int
+		for i := range c.members {
 			if !slices.Contains(victims, i) {
-				rest = append(rest, i)
+				others = append(others, i)
 			}
 		}
-		trouble.From, trouble.To, trouble.OneWay = victims, rest, rng.IntN(3) > 0
-		if trouble.OneWay && rng.IntN(2) == 0 { // they say on, and hear nothing
-			trouble.From, trouble.To = rest, victims
+		fault.From, fault.To, fault.OneWay = victims, others, rng.IntN(3) > 0
+		if fault.OneWay && rng.IntN(2) == 0 { // they say on, and hear nothing
+			fault.From, fault.To = others, victims
 		}
 	}
-	return trouble, victims, who
+	return fault, victims, target
 }
--- a/internal/lab/processcluster/troupe.go
+++ b/internal/lab/processcluster/troupe.go
@@ -76,18 +76,18 @@
 
 // Ranges are what fleets are drawn from.
 func (s *Settings) Ranges() environment.Ranges {
-	one := func(x float64) environment.Range { return environment.Range{Min: x, Max: x} }
-	r := environment.StandardRanges()
-	r.Sidecars, r.Servers, r.LengthSeconds = one(float64(s.Sidecars)), one(float64(s.Servers)), one(s.Duration.Seconds())
-	r.OverloadedDayShare = 0
-	r.RatePerSecond, r.Load = one(200), environment.Range{Min: 0.3, Max: 0.6}
+	fixed := func(value float64) environment.Range { return environment.Range{Min: value, Max: value} }
+	ranges := environment.StandardRanges()
+	ranges.Sidecars, ranges.Servers, ranges.LengthSeconds = fixed(float64(s.Sidecars)), fixed(float64(s.Servers)), fixed(s.Duration.Seconds())
+	ranges.OverloadedDayShare = 0
+	ranges.RatePerSecond, ranges.Load = fixed(200), environment.Range{Min: 0.3, Max: 0.6}
 	if s.Load > 0 {
-		r.Load = one(s.Load)
+		ranges.Load = fixed(s.Load)
 	}
 	if s.Trials > 0 { // many such fleets are played beside each other
-		r.RatePerSecond = one(20)
+		ranges.RatePerSecond = fixed(20)
 	}
-	return r
+	return ranges
 }
 
 // Troubles returns the script that is played: the one that is given, one that the seed draws, or none.
@@ -102,551 +102,559 @@
 }
 
 // lotS is for how long a lot of troubles is drawn at a time.
-const lotS = 45.0
+const faultBatchSeconds = 45.0
 
 // DrawScript draws the troubles of a seed for as long as the fleet is played. Each lot leaves time to agree.
 func (s *Settings) DrawScript() environment.Script {
-	d := environment.Draw(s.Seed, s.Ranges())
-	all := environment.Script{Seed: s.Seed}
-	for from := 0.0; from+lotS <= d.LengthSeconds || from == 0; from += lotS {
-		part := d
-		part.Seed, part.LengthSeconds = s.Seed*1_000_003+uint64(from), min(lotS-20, d.LengthSeconds)
-		lot := environment.DrawScript(&part)
-		environment.DrawPeerFaults(&part, &lot)
-		for _, t := range lot.Faults {
+	day := environment.Draw(s.Seed, s.Ranges())
+	script := environment.Script{Seed: s.Seed}
+	for start := 0.0; start+faultBatchSeconds <= day.LengthSeconds || start == 0; start += faultBatchSeconds {
+		batchDay := day
+		batchDay.Seed, batchDay.LengthSeconds = s.Seed*1_000_003+uint64(start), min(faultBatchSeconds-20, day.LengthSeconds)
+		batch := environment.DrawScript(&batchDay)
+		environment.DrawPeerFaults(&batchDay, &batch)
+		for _, fault := range batch.Faults {
 			// Discovery moves a few times a day at the most.
-			if t.AtSeconds += from; t.Kind != environment.Reload && t.WhyOnlySimulated() == "" {
-				t.DurationSeconds = min(t.DurationSeconds, from+part.LengthSeconds-t.AtSeconds)
-				if len(s.Roles) > 0 && t.State == environment.StateTorn && int(t.AtSeconds*1000)%2 == 0 {
-					t.State = environment.StateOld
+			if fault.AtSeconds += start; fault.Kind != environment.Reload && fault.WhyOnlySimulated() == "" {
+				fault.DurationSeconds = min(fault.DurationSeconds, start+batchDay.LengthSeconds-fault.AtSeconds)
+				if len(s.Roles) > 0 && fault.State == environment.StateTorn && int(fault.AtSeconds*1000)%2 == 0 {
+					fault.State = environment.StateOld
 				}
-				all.AddPeerFault(t, &d)
+				script.AddPeerFault(fault, &day)
 			}
 		}
 	}
-	return all
+	return script
 }
 
 // Troupe is a fleet that is being played.
 type Cluster struct {
-	s     Settings
-	board *FaultProxy
-	mates []*mate
-	jobs  *jobs     // nil: there are none
-	work  *workPlay // nil: nothing is worked on
-
-	mu        sync.Mutex
-	wrong     []Violation
-	broken    int
-	troubleAt time.Time
-	ongoing   int // troubles that go on
-	agreed    bool
-	agreedS   []float64
-	known     []float64
-	views     int
-	rounds    []Round
-	aways     []away
-	began     time.Time
+	settings    Settings
+	proxy       *FaultProxy
+	members     []*member
+	roles       *roles          // nil: there are none
+	maintenance *maintenanceRun // nil: nothing is worked on
+
+	mu              sync.Mutex
+	violations      []Violation
+	violationCount  int
+	faultAt         time.Time
+	ongoingFaults   int // troubles that go on
+	isAgreed        bool
+	agreedSeconds   []float64
+	detectedSeconds []float64
+	viewCount       int
+	rounds          []Round
+	absences        []absence
+	startedAt       time.Time
 
 	trials []Trial
 
-	rules map[Direction]LinkFault // for the play's loop
-	deaf  sync.WaitGroup
-	over  chan struct{} // closed when the play is over
+	linkFaults   map[Direction]LinkFault // for the play's loop
+	stalledPeers sync.WaitGroup
+	done         chan struct{} // closed when the play is over
 }
 
 // mate is a sidecar over all lives of its process.
-type mate struct {
-	name, dir, features string
-	ops, advertise      string
-	full                bool // its disk; for the play's loop
-	up                  bool // as the laboratory itself has it
-	since               time.Time
-	id                  string    // of the last life, as its own door has said
-	goneAt              time.Time // when it went and the others do not all know yet
-	older               []byte    // its state, some writes ago
+type member struct {
+	name, stateDir, configFile     string
+	adminAddress, advertiseAddress string
+	isDiskFull                     bool // its disk; for the play's loop
+	isRunning                      bool // as the laboratory itself has it
+	changedAt                      time.Time
+	peerID                         string    // of the last life, as its own door has said
+	stoppedAt                      time.Time // when it went and the others do not all know yet
+	olderState                     []byte    // its state, some writes ago
 }
 
 // Do plays a fleet until its day is over or ctx ends.
 func Run(ctx context.Context, s Settings) (*Report, error) {
 	day := environment.Draw(s.Seed, s.Ranges())
 	script := s.FaultScript()
-	t := &Cluster{s: s, board: NewFaultProxy(), began: time.Now(), troubleAt: time.Now(), rules: map[Direction]LinkFault{}, over: make(chan struct{})}
-	defer t.board.Close()
-	defer t.deaf.Wait()
-	defer close(t.over)
+	cluster := &Cluster{settings: s, proxy: NewFaultProxy(), startedAt: time.Now(), faultAt: time.Now(), linkFaults: map[Direction]LinkFault{}, done: make(chan struct{})}
+	defer cluster.proxy.Close()
+	defer cluster.stalledPeers.Wait()
+	defer close(cluster.done)
 	if len(s.Roles) > 0 {
-		t.jobs = newJobs(s.Roles)
-		t.board.OnFrame = func(call uint64, w Direction, topic frames.Topic, body []byte) {
-			t.jobs.effects.ObserveFrame(call, w, topic, body)
-			t.jobs.grants.ObserveFrame(call, w, topic, body)
+		cluster.roles = newRoles(s.Roles)
+		cluster.proxy.OnFrame = func(call uint64, direction Direction, topic frames.Topic, body []byte) {
+			cluster.roles.effects.ObserveFrame(call, direction, topic, body)
+			cluster.roles.grants.ObserveFrame(call, direction, topic, body)
 		}
 	}
 	for _, spec := range day.Sidecars {
-		if err := t.add(spec.Name); err != nil {
+		if err := cluster.addMember(spec.Name); err != nil {
 			return nil, err
 		}
 	}
-	for i, m := range t.mates {
-		if err := t.write(m, t.plain(i)); err != nil {
+	for i, m := range cluster.members {
+		if err := cluster.writeConfig(m, cluster.knowsNoRoles(i)); err != nil {
 			return nil, err
 		}
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	var watching sync.WaitGroup
-	watching.Go(func() { t.watch(ctx) })
+	var watchers sync.WaitGroup
+	watchers.Go(func() { cluster.watchMembers(ctx) })
 	// Danger: who still looks while the processes end finds a job that nobody holds.
-	over := func() { stop(); watching.Wait() }
-	played := &realtime.Settings{Day: day, Over: over, Script: script, Binary: s.Binary, Dir: s.Dir, Log: s.Log, Crew: t, Started: func(p *realtime.Play) {
-		t.begin(p)
+	stopWatching := func() { stop(); watchers.Wait() }
+	playSettings := &realtime.Settings{Day: day, Over: stopWatching, Script: script, Binary: s.Binary, Dir: s.Dir, Log: s.Log, Crew: cluster, Started: func(play *realtime.Play) {
+		cluster.setStart(play)
 		if s.Trials > 0 {
-			watching.Go(func() { t.try(ctx, p); stop() })
+			watchers.Go(func() { cluster.runTrials(ctx, play); stop() })
 		}
 	}}
 	if slices.Contains(s.Roles, "list") {
-		played.MostAskS = math.Inf(1) // not all ask
+		playSettings.MostAskS = math.Inf(1) // not all ask
 	}
 	if s.OtherCount > 0 {
-		played.BinaryOf = func(sidecar int) string {
-			if t.other(sidecar) {
+		playSettings.BinaryOf = func(sidecar int) string {
+			if cluster.runsOtherVersion(sidecar) {
 				return s.OtherBinary
 			}
 			return s.Binary
 		}
 	}
 	if s.Maintenance != nil {
-		t.work = newWorkPlay(t, *s.Maintenance, &played.Day)
-		played.Watch = t.work
-		watching.Go(func() { t.work.run(ctx) })
+		cluster.maintenance = newMaintenanceRun(cluster, *s.Maintenance, &playSettings.Day)
+		playSettings.Watch = cluster.maintenance
+		watchers.Go(func() { cluster.maintenance.run(ctx) })
 	}
-	p, err := realtime.Do(ctx, played)
+	play, err := realtime.Do(ctx, playSettings)
 	stop()
-	watching.Wait()
+	watchers.Wait()
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Sidecars: len(t.mates), Seed: s.Seed, DurationSeconds: s.Duration.Seconds(), Faults: script.Faults, ViolationCount: p.Judge.ViolationCount() + t.broken, Violations: t.wrong,
-		Service: p.Judge.Report().Service, LoopLateSeconds: p.Late(), AgreedSeconds: t.agreedS, DetectedSeconds: t.known, Views: t.views, Rounds: t.rounds, Trials: t.trials}
-	if t.jobs != nil {
-		r.Roles = t.jobs.owned()
-		for _, why := range r.Roles.Violations {
-			r.ViolationCount++
-			r.Violations = append(r.Violations, Violation{Rule: oldOwner, Reason: why})
+	report := &Report{Sidecars: len(cluster.members), Seed: s.Seed, DurationSeconds: s.Duration.Seconds(), Faults: script.Faults, ViolationCount: play.Judge.ViolationCount() + cluster.violationCount, Violations: cluster.violations,
+		Service: play.Judge.Report().Service, LoopLateSeconds: play.Late(), AgreedSeconds: cluster.agreedSeconds, DetectedSeconds: cluster.detectedSeconds, Views: cluster.viewCount, Rounds: cluster.rounds, Trials: cluster.trials}
+	if cluster.roles != nil {
+		report.Roles = cluster.roles.report()
+		for _, reason := range report.Roles.Violations {
+			report.ViolationCount++
+			report.Violations = append(report.Violations, Violation{Rule: staleOwnerRule, Reason: reason})
 		}
 	}
-	if t.work != nil {
-		r.Maintenance = t.work.result()
+	if cluster.maintenance != nil {
+		report.Maintenance = cluster.maintenance.finish()
 		if !s.Maintenance.Scripted { // what a script does wrong is a figure beside
-			r.ViolationCount += r.Maintenance.violationCount
+			report.ViolationCount += report.Maintenance.violationCount
 		}
 	}
-	r.PeerBytesPerSecond = float64(t.board.ForwardedBytes()) / time.Since(t.began).Seconds() / float64(len(t.mates))
-	for _, f := range p.Judge.Violations() {
-		r.Violations = append(r.Violations, Violation{Rule: string(f.Rule), AtSeconds: f.At - p.Day.Start, Sidecar: day.Sidecars[max(f.Sidecar, 0)].Name, Reason: f.Reason})
+	report.PeerBytesPerSecond = float64(cluster.proxy.ForwardedBytes()) / time.Since(cluster.startedAt).Seconds() / float64(len(cluster.members))
+	for _, f := range play.Judge.Violations() {
+		report.Violations = append(report.Violations, Violation{Rule: string(f.Rule), AtSeconds: f.At - play.Day.Start, Sidecar: day.Sidecars[max(f.Sidecar, 0)].Name, Reason: f.Reason})
 	}
-	return r, nil
+	return report, nil
 }
 
-func (t *Cluster) begin(p *realtime.Play) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.began = time.Now().Add(time.Duration((p.Day.Start - p.Now()) * float64(time.Second)))
+func (c *Cluster) setStart(p *realtime.Play) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.startedAt = time.Now().Add(time.Duration((p.Day.Start - p.Now()) * float64(time.Second)))
 }
 
 // other tells whether a sidecar runs another version, and plain whether it knows nothing of jobs.
-func (t *Cluster) other(sidecar int) bool { return sidecar >= len(t.mates)-t.s.OtherCount }
-func (t *Cluster) plain(sidecar int) bool { return t.other(sidecar) && !t.s.OthersHaveRoles }
+func (c *Cluster) runsOtherVersion(sidecar int) bool {
+	return sidecar >= len(c.members)-c.settings.OtherCount
+}
+func (c *Cluster) knowsNoRoles(sidecar int) bool {
+	return c.runsOtherVersion(sidecar) && !c.settings.OthersHaveRoles
+}
 
 // own returns how many sidecars know of jobs, the first ones.
-func (t *Cluster) own() int {
-	if t.s.OthersHaveRoles {
-		return len(t.mates)
+func (c *Cluster) roleMemberCount() int {
+	if c.settings.OthersHaveRoles {
+		return len(c.members)
 	}
-	return len(t.mates) - t.s.OtherCount
+	return len(c.members) - c.settings.OtherCount
 }
 
 const fleetName = "troupe"
 
 // add prepares a sidecar.
-func (t *Cluster) add(name string) error {
-	m := &mate{name: name, dir: filepath.Join(t.s.Dir, "state-"+name), features: filepath.Join(t.s.Dir, "features-"+name+".json")}
+func (c *Cluster) addMember(name string) error {
+	m := &member{name: name, stateDir: filepath.Join(c.settings.Dir, "state-"+name), configFile: filepath.Join(c.settings.Dir, "features-"+name+".json")}
 	address := func() (string, error) {
 		port, err := process.FreePort("127.0.0.1")
 		return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)), err
 	}
 	var err error
-	if m.ops, err = address(); err != nil {
+	if m.adminAddress, err = address(); err != nil {
 		return err
 	}
 	listen, err := address()
 	if err != nil {
 		return err
 	}
-	if m.advertise, err = t.board.Listen(name, listen); err != nil {
+	if m.advertiseAddress, err = c.proxy.Listen(name, listen); err != nil {
 		return err
 	}
-	t.mates = append(t.mates, m)
-	m.id = listen // until it is known, kept here for write
+	c.members = append(c.members, m)
+	m.peerID = listen // until it is known, kept here for write
 	return nil
 }
 
 // write writes the operators' file of a sidecar.
-func (t *Cluster) write(m *mate, plain bool) error {
+func (c *Cluster) writeConfig(m *member, knowsNoRoles bool) error {
 	var join []string
-	for _, o := range t.mates[:min(3, len(t.mates))] {
-		join = append(join, o.advertise)
-	}
-	fleet := map[string]any{"name": fleetName, "listen": m.id, "advertise": m.advertise, "join": join, "dir": m.dir}
-	if t.jobs != nil && !plain {
-		var electors []string
-		for _, o := range t.mates[:electorsOf(t.own())] {
-			electors = append(electors, o.advertise)
+	for _, peer := range c.members[:min(3, len(c.members))] {
+		join = append(join, peer.advertiseAddress)
+	}
+	fleet := map[string]any{"name": fleetName, "listen": m.peerID, "advertise": m.advertiseAddress, "join": join, "dir": m.stateDir}
+	if c.roles != nil && !knowsNoRoles {
+		var voters []string
+		for _, peer := range c.members[:voterCount(c.roleMemberCount())] {
+			voters = append(voters, peer.advertiseAddress)
 		}
-		fleet["electors"], fleet["jobs"] = electors, t.s.Roles
+		fleet["electors"], fleet["jobs"] = voters, c.settings.Roles
 	}
-	raw, err := json.Marshal(map[string]any{"fleet": fleet})
+	encoded, err := json.Marshal(map[string]any{"fleet": fleet})
 	if err != nil {
 		return err
 	}
-	m.id = ""
-	return os.WriteFile(m.features, raw, 0o600)
+	m.peerID = ""
+	return os.WriteFile(m.configFile, encoded, 0o600)
 }
 
 // Prepare returns the arguments and the environment with which the play starts a sidecar.
-func (t *Cluster) Prepare(sidecar int) (args, env []string, err error) {
-	m := t.mates[sidecar]
-	return []string{"--features", m.features}, []string{"GW_OPS=" + m.ops}, nil
+func (c *Cluster) Prepare(sidecar int) (args, env []string, err error) {
+	m := c.members[sidecar]
+	return []string{"--features", m.configFile}, []string{"GW_OPS=" + m.adminAddress}, nil
 }
 
-func (t *Cluster) way(from, to int) Direction { return Direction{t.mates[from].name, t.mates[to].name} }
+func (c *Cluster) direction(from, to int) Direction {
+	return Direction{c.members[from].name, c.members[to].name}
+}
 
 // PeersCut has the connections from one sidecar to another cut, or restored.
-func (t *Cluster) PeersCut(from, to int, on bool) {
-	t.rule(from, to, func(r *LinkFault) { r.Cut = on })
+func (c *Cluster) PeersCut(from, to int, on bool) {
+	c.changeLinkFault(from, to, func(r *LinkFault) { r.Cut = on })
 }
 
 // PeersHold has bytes from one sidecar to another stop while the connections stay open, or flow again.
-func (t *Cluster) PeersHold(from, to int, on bool) {
-	t.rule(from, to, func(r *LinkFault) { r.Hold = on })
+func (c *Cluster) PeersHold(from, to int, on bool) {
+	c.changeLinkFault(from, to, func(r *LinkFault) { r.Hold = on })
 }
 
 // PeersSlow bounds the bytes a second of each connection from one sidecar to another; 0 ends it.
-func (t *Cluster) PeersSlow(from, to int, perS float64) {
-	t.rule(from, to, func(r *LinkFault) { r.BytesPerSecond = perS })
+func (c *Cluster) PeersSlow(from, to int, bytesPerSecond float64) {
+	c.changeLinkFault(from, to, func(r *LinkFault) { r.BytesPerSecond = bytesPerSecond })
 }
 
 // rule changes what befalls a way, beside what does already. It is for the play's loop, as all that befalls it.
-func (t *Cluster) rule(from, to int, change func(*LinkFault)) {
-	w := t.way(from, to)
-	was := t.rules[w]
-	r := was
-	change(&r)
-	t.rules[w] = r
+func (c *Cluster) changeLinkFault(from, to int, change func(*LinkFault)) {
+	direction := c.direction(from, to)
+	before := c.linkFaults[direction]
+	after := before
+	change(&after)
+	c.linkFaults[direction] = after
 	switch none := (LinkFault{}); {
-	case was == none && r != none:
-		t.trouble(1)
-	case was != none && r == none:
-		t.trouble(-1)
+	case before == none && after != none:
+		c.recordFault(1)
+	case before != none && after == none:
+		c.recordFault(-1)
 	default:
-		t.trouble(0)
+		c.recordFault(0)
 	}
-	t.board.SetFault(r, w)
+	c.proxy.SetFault(after, direction)
 }
 
 // PeersReset resets the connections between two sidecars.
-func (t *Cluster) PeersReset(a, b int) {
-	t.trouble(0)
-	t.board.ResetLinks(t.mates[a].name, t.mates[b].name)
+func (c *Cluster) PeersReset(a, b int) {
+	c.recordFault(0)
+	c.proxy.ResetLinks(c.members[a].name, c.members[b].name)
 }
 
 // PeersDeaf has somebody call at a sidecar as a peer does, ask again and again, and read nothing.
-func (t *Cluster) PeersDeaf(sidecar int, perS float64, until time.Time) {
-	t.trouble(1)
-	t.deaf.Go(func() {
-		defer t.trouble(-1)
-		t.mates[sidecar].deafen(perS, until, t.over)
+func (c *Cluster) PeersDeaf(sidecar int, perSecond float64, until time.Time) {
+	c.recordFault(1)
+	c.stalledPeers.Go(func() {
+		defer c.recordFault(-1)
+		c.members[sidecar].stall(perSecond, until, c.done)
 	})
 }
 
 // deafen asks until a time, or until over is closed.
-func (m *mate) deafen(perS float64, until time.Time, over <-chan struct{}) {
-	hello, ask, err := stalledpeer.Frames(fleetName, m.advertise)
+func (m *member) stall(perSecond float64, until time.Time, done <-chan struct{}) {
+	hello, request, err := stalledpeer.Frames(fleetName, m.advertiseAddress)
 	if err != nil { // numbers and names always pack
 		panic(err)
 	}
-	var c net.Conn
-	tick := time.NewTicker(time.Duration(float64(time.Second) / perS))
-	defer tick.Stop()
+	var conn net.Conn
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
+	defer ticker.Stop()
 	for time.Now().Before(until) {
 		select {
-		case <-over:
+		case <-done:
 			until = time.Time{}
 			continue
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		say := ask
-		if c == nil {
-			if c, err = net.DialTimeout("tcp", m.advertise, time.Until(until)); err != nil {
-				c = nil
+		frame := request
+		if conn == nil {
+			if conn, err = net.DialTimeout("tcp", m.advertiseAddress, time.Until(until)); err != nil {
+				conn = nil
 				continue
 			}
-			_ = c.(*net.TCPConn).SetReadBuffer(4 << 10) // fails only on one that is closed
-			say = hello
+			_ = conn.(*net.TCPConn).SetReadBuffer(4 << 10) // fails only on one that is closed
+			frame = hello
 		}
-		_ = c.SetWriteDeadline(until) // likewise
-		if _, err := c.Write(say); err != nil {
-			c.Close()
-			c = nil
+		_ = conn.SetWriteDeadline(until) // likewise
+		if _, err := conn.Write(frame); err != nil {
+			conn.Close()
+			conn = nil
 		}
 	}
-	if c != nil {
-		c.Close()
+	if conn != nil {
+		conn.Close()
 	}
 }
 
 // DiskFull has a file stand where a sidecar's folder was, so that nothing can be written there, by nobody.
-func (t *Cluster) DiskFull(sidecar int, on bool) {
-	m := t.mates[sidecar]
-	aside := m.dir + "-aside"
-	if on && !m.full {
-		if err := os.Rename(m.dir, aside); err != nil && !errors.Is(err, fs.ErrNotExist) {
+func (c *Cluster) DiskFull(sidecar int, on bool) {
+	m := c.members[sidecar]
+	asidePath := m.stateDir + "-aside"
+	if on && !m.isDiskFull {
+		if err := os.Rename(m.stateDir, asidePath); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return // the process goes on as before
 		}
-		m.full = os.WriteFile(m.dir, nil, 0o600) == nil
-	} else if !on && m.full {
-		m.full = false
-		_ = os.Remove(m.dir)        // it is ours
-		_ = os.Rename(aside, m.dir) // there may have been none
+		m.isDiskFull = os.WriteFile(m.stateDir, nil, 0o600) == nil
+	} else if !on && m.isDiskFull {
+		m.isDiskFull = false
+		_ = os.Remove(m.stateDir)            // it is ours
+		_ = os.Rename(asidePath, m.stateDir) // there may have been none
 	}
 }
 
 // Spoil has the kept state of a sidecar that is down lost, torn or replaced by an older one.
-func (t *Cluster) Spoil(sidecar int, state string) {
-	file := filepath.Join(t.mates[sidecar].dir, "peer")
-	raw, err := os.ReadFile(file)
+func (c *Cluster) Spoil(sidecar int, state string) {
+	file := filepath.Join(c.members[sidecar].stateDir, "peer")
+	current, err := os.ReadFile(file)
 	if err != nil {
 		return // it has kept nothing yet
 	}
-	switch old := t.mates[sidecar].older; {
+	switch older := c.members[sidecar].olderState; {
 	case state == environment.StateLost:
 		_ = os.Remove(file) // the next process tells what it finds
-	case state == environment.StateOld && old != nil:
-		_ = os.WriteFile(file, old, 0o600)
+	case state == environment.StateOld && older != nil:
+		_ = os.WriteFile(file, older, 0o600)
 	case state == environment.StateTorn:
-		_ = os.WriteFile(file, raw[:len(raw)/2], 0o600)
+		_ = os.WriteFile(file, current[:len(current)/2], 0o600)
 	}
 }
 
 // Standing notes that the process of a sidecar is up, or has ended.
-func (t *Cluster) Standing(sidecar int, on bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	m, now := t.mates[sidecar], time.Now()
-	if raw, err := os.ReadFile(filepath.Join(m.dir, "peer")); err == nil && m.older == nil {
-		m.older = raw
+func (c *Cluster) Standing(sidecar int, on bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	m, now := c.members[sidecar], time.Now()
+	if state, err := os.ReadFile(filepath.Join(m.stateDir, "peer")); err == nil && m.olderState == nil {
+		m.olderState = state
 	}
-	if m.up && !on {
-		m.goneAt = now
+	if m.isRunning && !on {
+		m.stoppedAt = now
 	}
-	if !m.up && on && !m.since.IsZero() {
-		t.aways = append(t.aways, away{sidecar, unix(m.since), unix(now)})
+	if !m.isRunning && on && !m.changedAt.IsZero() {
+		c.absences = append(c.absences, absence{sidecar, unixSeconds(m.changedAt), unixSeconds(now)})
 	}
-	m.up, m.since = on, now
-	t.troubleAt, t.agreed = now, false
+	m.isRunning, m.changedAt = on, now
+	c.faultAt, c.isAgreed = now, false
 }
 
 // agreedOnce tells whether all have agreed on who is there.
-func (t *Cluster) agreedOnce() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.agreedS) > 0
+func (c *Cluster) hasAgreed() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.agreedSeconds) > 0
 }
 
 // trouble notes that there is one between sidecars now, or one more or less that goes on.
-func (t *Cluster) trouble(more int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.ongoing += more
-	t.troubleAt, t.agreed = time.Now(), false
+func (c *Cluster) recordFault(change int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.ongoingFaults += change
+	c.faultAt, c.isAgreed = time.Now(), false
 }
 
 // --- what the doors say ---
 
 // seen is what a door tells, as far as it is looked at here.
-type seen struct {
+type membershipView struct {
 	ID      string `json:"id"`
 	Live    int    `json:"live"`
 	Rank    int    `json:"rank"`
 	Count   int    `json:"count"`
 	Members []struct {
-		ID    string  `json:"id"`
-		Name  string  `json:"name"`
-		State string  `json:"state"`
-		ForS  float64 `json:"for_s"`
+		ID         string  `json:"id"`
+		Name       string  `json:"name"`
+		State      string  `json:"state"`
+		ForSeconds float64 `json:"for_s"`
 	} `json:"members"`
 }
 
 const (
-	lookEvery = 250 * time.Millisecond
-	askWithin = 3 * time.Second
+	pollInterval = 250 * time.Millisecond
+	adminTimeout = 3 * time.Second
 	// agreeWithin after the last trouble all hold what is so. Aim: 10 s; what fails is twice that, since the machine is shared.
-	agreeWithin = 20 * time.Second
+	agreeTimeout = 20 * time.Second
 	// livesFor is how long one must have lived, and no trouble been between any, to be called dead by nobody.
-	livesFor = 15 * time.Second
+	minUptime = 15 * time.Second
 )
 
 // ask asks a door who is there.
-func ask(address string) (s seen, err error) { return s, askDoor(address, "PEERS", &s) }
+func queryMembership(address string) (view membershipView, err error) {
+	return view, queryAdmin(address, "PEERS", &view)
+}
 
 // askDoor asks a door for JSON.
-func askDoor(address, call string, to any) error {
-	c, err := net.DialTimeout("tcp", address, askWithin)
+func queryAdmin(address, command string, result any) error {
+	conn, err := net.DialTimeout("tcp", address, adminTimeout)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(askWithin)) // fails only on one that is closed
-	if _, err = io.WriteString(c, call+"\n"); err != nil {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(adminTimeout)) // fails only on one that is closed
+	if _, err = io.WriteString(conn, command+"\n"); err != nil {
 		return err
 	}
-	return json.NewDecoder(bufio.NewReader(c)).Decode(to)
+	return json.NewDecoder(bufio.NewReader(conn)).Decode(result)
 }
 
 // watch asks all doors again and again, and holds what they say beside what is so.
-func (t *Cluster) watch(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
-	defer tick.Stop()
+func (c *Cluster) watchMembers(ctx context.Context) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		t.mu.Lock()
-		up := make([]bool, len(t.mates))
-		for i, m := range t.mates {
-			up[i] = m.up
+		c.mu.Lock()
+		isRunning := make([]bool, len(c.members))
+		for i, m := range c.members {
+			isRunning[i] = m.isRunning
 		}
-		asked := t.troubleAt
-		t.mu.Unlock()
-		views := make([]*seen, len(t.mates))
-		var asking sync.WaitGroup
-		for i, m := range t.mates {
-			if up[i] {
-				asking.Go(func() {
-					if s, err := ask(m.ops); err == nil && s.ID != "" {
+		faultAt := c.faultAt
+		c.mu.Unlock()
+		views := make([]*membershipView, len(c.members))
+		var queries sync.WaitGroup
+		for i, m := range c.members {
+			if isRunning[i] {
+				queries.Go(func() {
+					if s, err := queryMembership(m.adminAddress); err == nil && s.ID != "" {
 						views[i] = &s
 					}
 				})
 			}
 		}
-		if t.jobs != nil {
-			owners := make([]*owners, len(t.mates))
-			for i, m := range t.mates {
-				if up[i] {
-					asking.Go(func() {
-						owners[i] = askOwners(m.ops)
+		if c.roles != nil {
+			owners := make([]*roleView, len(c.members))
+			for i, m := range c.members {
+				if isRunning[i] {
+					queries.Go(func() {
+						owners[i] = queryRoles(m.adminAddress)
 					})
 				}
 			}
-			asking.Wait()
-			t.judgeOwners(owners, asked)
+			queries.Wait()
+			c.checkOwners(owners, faultAt)
 		}
-		asking.Wait()
-		t.judge(views, asked)
+		queries.Wait()
+		c.checkViews(views, faultAt)
 	}
 }
 
-func (t *Cluster) find(rule checker.Rule, sidecar, format string, args ...any) {
-	t.broken++
-	if len(t.wrong) < 50 {
-		t.wrong = append(t.wrong, Violation{Rule: string(rule), AtSeconds: time.Since(t.began).Seconds(), Sidecar: sidecar, Reason: fmt.Sprintf(format, args...)})
+func (c *Cluster) reportViolation(rule checker.Rule, sidecar, format string, args ...any) {
+	c.violationCount++
+	if len(c.violations) < 50 {
+		c.violations = append(c.violations, Violation{Rule: string(rule), AtSeconds: time.Since(c.startedAt).Seconds(), Sidecar: sidecar, Reason: fmt.Sprintf(format, args...)})
 	}
 }
 
 // judge compares one round of answers with what is so. A trouble that came meanwhile makes the round worth nothing.
-func (t *Cluster) judge(views []*seen, asked time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.troubleAt != asked {
+func (c *Cluster) checkViews(views []*membershipView, faultAt time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.faultAt != faultAt {
 		return
 	}
-	if t.ongoing > 0 {
-		t.troubleAt = time.Now() // Danger: who is cut off is not to hold what is so
+	if c.ongoingFaults > 0 {
+		c.faultAt = time.Now() // Danger: who is cut off is not to hold what is so
 	}
-	calm := time.Since(t.troubleAt)
-	byID := map[string]*mate{}
-	up, answered := 0, 0
-	for i, m := range t.mates {
-		if m.up {
-			up++
+	calm := time.Since(c.faultAt)
+	byID := map[string]*member{}
+	running, answered := 0, 0
+	for i, m := range c.members {
+		if m.isRunning {
+			running++
 		}
 		if views[i] != nil {
 			answered++
-			t.views++
-			m.id = views[i].ID
-			byID[m.id] = m
+			c.viewCount++
+			m.peerID = views[i].ID
+			byID[m.peerID] = m
 		}
 	}
-	round := Round{AtSeconds: time.Since(t.began).Seconds(), Running: up, MinAlive: len(t.mates)}
-	differs := ""
-	for i, v := range views {
-		if v == nil {
+	round := Round{AtSeconds: time.Since(c.startedAt).Seconds(), Running: running, MinAlive: len(c.members)}
+	difference := ""
+	for i, view := range views {
+		if view == nil {
 			continue
 		}
 		live := 0
-		for _, x := range v.Members {
-			o := byID[x.ID]
+		for _, entry := range view.Members {
+			peer := byID[entry.ID]
 			switch {
-			case x.State == "alive" && o != nil:
+			case entry.State == "alive" && peer != nil:
 				live++
-			case x.State == "alive" && answered == up, x.State == "suspected":
-				differs = fmt.Sprintf("%s holds %s (%s) for %s", t.mates[i].name, x.Name, x.ID, x.State)
-			case x.State == "dead" && o != nil && o.up && time.Since(o.since) > livesFor && calm > livesFor:
-				t.find(checker.FalseDeath, t.mates[i].name, "%s is held for dead and lives, %.1f s after the last trouble", o.name, calm.Seconds())
-				o.since = time.Now() // once
+			case entry.State == "alive" && answered == running, entry.State == "suspected":
+				difference = fmt.Sprintf("%s holds %s (%s) for %s", c.members[i].name, entry.Name, entry.ID, entry.State)
+			case entry.State == "dead" && peer != nil && peer.isRunning && time.Since(peer.changedAt) > minUptime && calm > minUptime:
+				c.reportViolation(checker.FalseDeath, c.members[i].name, "%s is held for dead and lives, %.1f s after the last trouble", peer.name, calm.Seconds())
+				peer.changedAt = time.Now() // once
 			}
 		}
-		round.MinAlive, round.MaxAlive = min(round.MinAlive, v.Live), max(round.MaxAlive, v.Live)
-		if live != up {
-			differs = fmt.Sprintf("%s knows %d that live, of %d", t.mates[i].name, live, up)
+		round.MinAlive, round.MaxAlive = min(round.MinAlive, view.Live), max(round.MaxAlive, view.Live)
+		if live != running {
+			difference = fmt.Sprintf("%s knows %d that live, of %d", c.members[i].name, live, running)
 		}
 	}
 	if answered > 0 {
-		t.rounds = append(t.rounds, round)
+		c.rounds = append(c.rounds, round)
 	}
-	t.noteKnown(views)
+	c.recordDetections(views)
 	switch {
-	case t.agreed, t.ongoing > 0:
-	case differs == "" && answered == up:
-		t.agreed = true
-		t.agreedS = append(t.agreedS, calm.Seconds())
-	case calm > agreeWithin && differs != "":
-		t.agreed = true // once for each calm
-		t.find(checker.FleetView, "", "%.1f s after the last trouble: %s", calm.Seconds(), differs)
+	case c.isAgreed, c.ongoingFaults > 0:
+	case difference == "" && answered == running:
+		c.isAgreed = true
+		c.agreedSeconds = append(c.agreedSeconds, calm.Seconds())
+	case calm > agreeTimeout && difference != "":
+		c.isAgreed = true // once for each calm
+		c.reportViolation(checker.FleetView, "", "%.1f s after the last trouble: %s", calm.Seconds(), difference)
 	}
 }
 
 // noteKnown notes when all who are there know of one that went.
-func (t *Cluster) noteKnown(views []*seen) {
-	for _, m := range t.mates {
-		if m.goneAt.IsZero() || m.up {
-			m.goneAt = time.Time{}
+func (c *Cluster) recordDetections(views []*membershipView) {
+	for _, m := range c.members {
+		if m.stoppedAt.IsZero() || m.isRunning {
+			m.stoppedAt = time.Time{}
 			continue
 		}
-		known := true
-		for _, v := range views {
-			if v == nil {
+		isKnown := true
+		for _, view := range views {
+			if view == nil {
 				continue
 			}
-			for _, x := range v.Members {
-				known = known && !(x.ID == m.id && (x.State == "alive" || x.State == "suspected"))
+			for _, entry := range view.Members {
+				isKnown = isKnown && !(entry.ID == m.peerID && (entry.State == "alive" || entry.State == "suspected"))
 			}
 		}
-		if known {
-			t.known = append(t.known, time.Since(m.goneAt).Seconds())
-			m.goneAt = time.Time{}
+		if isKnown {
+			c.detectedSeconds = append(c.detectedSeconds, time.Since(m.stoppedAt).Seconds())
+			m.stoppedAt = time.Time{}
 		}
 	}
 }
--- a/internal/lab/processcluster/workpicture.go
+++ b/internal/lab/processcluster/workpicture.go
@@ -13,7 +13,7 @@
 )
 
 // looks are what a box does while it is at a stage, and its colour.
-var looks = []struct {
+var stageStyles = []struct {
 	stages []maintenance.Stage
 	says   string
 	color  color.RGBA
@@ -74,7 +74,7 @@
 			if i+1 < len(changes) {
 				until = changes[i+1].AtSeconds
 			}
-			for _, l := range looks {
+			for _, l := range stageStyles {
 				if !slices.Contains(l.stages, c.Stage) {
 					continue
 				}
--- a/internal/lab/processcluster/works.go
+++ b/internal/lab/processcluster/works.go
@@ -26,8 +26,8 @@
 // Fixed waits of who calls at every door by hand: as long as a request may take, until a box is taken for empty; and as long as boxes may
 // be cold, before the next one leaves.
 const (
-	handEmptyS = 10.0
-	handColdS  = 24.0
+	scriptDrainSeconds  = 10.0
+	scriptWarmUpSeconds = 24.0
 )
 
 // Worked is what came of it.
@@ -63,28 +63,28 @@
 }
 
 // workPlay has boxes be worked on and watches all of it. Its witness is for the play's loop.
-type workPlay struct {
-	t    *Cluster
-	work Maintenance
-	day  *environment.Day
+type maintenanceRun struct {
+	cluster  *Cluster
+	settings Maintenance
+	day      *environment.Day
 
 	// What the boxes and clients tell.
-	came    map[string][]execution // by box
-	open    map[[2]uint64]int      // of each box and link, the place of the execution that is out there
-	asked   map[uint64]*want       // by the first try
-	first   map[uint64]uint64
-	tries   []float64
-	refused []float64
-
-	mu        sync.Mutex
-	w         MaintenanceReport
-	stages    map[string]maintenance.Stage
-	given     float64 // Unix time; 0: not yet
-	over      float64
-	last      *workState
-	lookedAt  time.Time
-	mechanics []*maintenanceagent.Agent
-	byHand    []maintenanceagent.Record
+	executions     map[string][]execution // by box
+	openExecutions map[[2]uint64]int      // of each box and link, the place of the execution that is out there
+	requests       map[uint64]*request    // by the first try
+	firstRequests  map[uint64]uint64
+	attemptTimes   []float64
+	rejectionTimes []float64
+
+	mu            sync.Mutex
+	report        MaintenanceReport
+	stages        map[string]maintenance.Stage
+	submittedAt   float64 // Unix time; 0: not yet
+	endedAt       float64
+	lastState     *maintenanceState
+	polledAt      time.Time
+	agents        []*maintenanceagent.Agent
+	scriptRecords []maintenanceagent.Record
 }
 
 // execution is a request at a box. to is 0 while it is out.
@@ -93,123 +93,123 @@
 	sidecar  int
 }
 
-type want struct {
-	at, worth, aimS float64
-	served          bool
+type request struct {
+	startedAt, weight, targetSeconds float64
+	isServed                         bool
 }
 
 // workState is what a door tells of plans, as far as it is looked at here.
-type workState struct {
-	Version uint64                `json:"version"`
-	Plans   []maintenance.Plan    `json:"plans"`
-	Waits   []maintenance.Blocker `json:"waits"`
+type maintenanceState struct {
+	Version  uint64                `json:"version"`
+	Plans    []maintenance.Plan    `json:"plans"`
+	Blockers []maintenance.Blocker `json:"waits"`
 }
 
-func newWorkPlay(t *Cluster, work Maintenance, day *environment.Day) *workPlay {
-	return &workPlay{t: t, work: work, day: day, came: map[string][]execution{}, open: map[[2]uint64]int{}, asked: map[uint64]*want{}, first: map[uint64]uint64{},
+func newMaintenanceRun(cluster *Cluster, settings Maintenance, day *environment.Day) *maintenanceRun {
+	return &maintenanceRun{cluster: cluster, settings: settings, day: day, executions: map[string][]execution{}, openExecutions: map[[2]uint64]int{}, requests: map[uint64]*request{}, firstRequests: map[uint64]uint64{},
 		stages: map[string]maintenance.Stage{}}
 }
 
 // See takes an event.
-func (p *workPlay) Observe(e checker.Event) {
-	link := [2]uint64{uint64(uint32(e.Server)), e.Connection}
-	name := func() string { return p.day.Servers[e.Server].Name }
-	end := func() {
-		if i, ok := p.open[link]; ok {
-			p.came[name()][i].to = e.At
-			delete(p.open, link)
+func (r *maintenanceRun) Observe(event checker.Event) {
+	connection := [2]uint64{uint64(uint32(event.Server)), event.Connection}
+	server := func() string { return r.day.Servers[event.Server].Name }
+	endExecution := func() {
+		if i, ok := r.openExecutions[connection]; ok {
+			r.executions[server()][i].to = event.At
+			delete(r.openExecutions, connection)
 		}
 	}
-	switch e.Kind {
+	switch event.Kind {
 	case checker.AttemptReceived:
-		end()
-		p.open[link] = len(p.came[name()])
-		p.came[name()] = append(p.came[name()], execution{from: e.At, sidecar: int(e.Sidecar)})
+		endExecution()
+		r.openExecutions[connection] = len(r.executions[server()])
+		r.executions[server()] = append(r.executions[server()], execution{from: event.At, sidecar: int(event.Sidecar)})
 	case checker.ResponseSent, checker.ConnectionClosed:
-		end()
+		endExecution()
 	case checker.ServerStopped:
-		for k, i := range p.open {
-			if k[0] == link[0] {
-				p.came[name()][i].to = e.At
-				delete(p.open, k)
+		for key, i := range r.openExecutions {
+			if key[0] == connection[0] {
+				r.executions[server()][i].to = event.At
+				delete(r.openExecutions, key)
 			}
 		}
 	case checker.RequestStarted:
-		p.first[e.Request] = e.FirstRequest
-		p.tries = append(p.tries, e.At)
-		if p.asked[e.FirstRequest] == nil && int(e.Class) < len(p.day.Classes) && e.Class >= 0 && !e.Uncounted {
-			c := &p.day.Classes[e.Class]
-			p.asked[e.FirstRequest] = &want{at: e.At, worth: c.PriorityWeight, aimS: c.LatencyTargetSeconds}
+		r.firstRequests[event.Request] = event.FirstRequest
+		r.attemptTimes = append(r.attemptTimes, event.At)
+		if r.requests[event.FirstRequest] == nil && int(event.Class) < len(r.day.Classes) && event.Class >= 0 && !event.Uncounted {
+			class := &r.day.Classes[event.Class]
+			r.requests[event.FirstRequest] = &request{startedAt: event.At, weight: class.PriorityWeight, targetSeconds: class.LatencyTargetSeconds}
 		}
 	case checker.ResponseReceived:
-		w := p.asked[p.first[e.Request]]
-		if e.Status == 200 && w != nil && e.At-w.at <= w.aimS {
-			w.served = true
+		request := r.requests[r.firstRequests[event.Request]]
+		if event.Status == 200 && request != nil && event.At-request.startedAt <= request.targetSeconds {
+			request.isServed = true
 		}
-		if e.Status == 429 || e.Status == 503 {
-			p.refused = append(p.refused, e.At)
+		if event.Status == 429 || event.Status == 503 {
+			r.rejectionTimes = append(r.rejectionTimes, event.At)
 		}
 	}
 }
 
-func (t *Cluster) doors() (all []string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, m := range t.mates {
-		if m.up {
-			all = append(all, m.ops)
+func (c *Cluster) adminAddresses() (all []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, m := range c.members {
+		if m.isRunning {
+			all = append(all, m.adminAddress)
 		}
 	}
 	return all
 }
 
-func now() float64 { return float64(time.Now().UnixNano()) / 1e9 }
+func unixNow() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
 // run has the work done from some time after the fleet has begun, until it is over or ctx ends.
-func (p *workPlay) run(ctx context.Context) {
-	for rest(ctx, 100*time.Millisecond) && !p.t.agreedOnce() {
+func (r *maintenanceRun) run(ctx context.Context) {
+	for sleep(ctx, 100*time.Millisecond) && !r.cluster.hasAgreed() {
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	if p.work.Scripted {
-		p.hand(ctx)
+	if r.settings.Scripted {
+		r.runScript(ctx)
 		return
 	}
-	give := maintenance.Command{Nonce: p.t.s.Seed<<1 | 1, Kind: maintenance.SubmitPlan, Spec: &p.work.Spec}
+	submit := maintenance.Command{Nonce: r.cluster.settings.Seed<<1 | 1, Kind: maintenance.SubmitPlan, Spec: &r.settings.Spec}
 	for ctx.Err() == nil {
-		r, err := maintenanceagent.Execute(ctx, p.t.doors, give)
-		if err == nil && r.Err != "" {
-			p.mu.Lock()
-			p.w.Error = r.Err
-			p.mu.Unlock()
+		reply, err := maintenanceagent.Execute(ctx, r.cluster.adminAddresses, submit)
+		if err == nil && reply.Err != "" {
+			r.mu.Lock()
+			r.report.Error = reply.Err
+			r.mu.Unlock()
 			return
 		}
 		if err == nil {
 			break
 		}
 	}
-	p.mu.Lock()
-	p.given = now()
-	p.mu.Unlock()
-	var working sync.WaitGroup
-	defer working.Wait()
-	for i := range p.work.Spec.MaxConcurrent {
-		m := &maintenanceagent.Agent{Name: fmt.Sprintf("mechanic-%d", i), AdminEndpoints: p.t.doors, WorkDuration: func(string) time.Duration { return inS(p.work.Spec.WorkSeconds) }}
-		p.mechanics = append(p.mechanics, m)
-		working.Go(func() { m.Run(ctx) })
-	}
-	for n := 0; rest(ctx, 100*time.Millisecond); n++ {
-		if doors := p.t.doors(); len(doors) > 0 {
-			p.look(ctx, doors[n%len(doors)])
+	r.mu.Lock()
+	r.submittedAt = unixNow()
+	r.mu.Unlock()
+	var agents sync.WaitGroup
+	defer agents.Wait()
+	for i := range r.settings.Spec.MaxConcurrent {
+		agent := &maintenanceagent.Agent{Name: fmt.Sprintf("mechanic-%d", i), AdminEndpoints: r.cluster.adminAddresses, WorkDuration: func(string) time.Duration { return durationOfSeconds(r.settings.Spec.WorkSeconds) }}
+		r.agents = append(r.agents, agent)
+		agents.Go(func() { agent.Run(ctx) })
+	}
+	for n := 0; sleep(ctx, 100*time.Millisecond); n++ {
+		if addresses := r.cluster.adminAddresses(); len(addresses) > 0 {
+			r.poll(ctx, addresses[n%len(addresses)])
 		}
 	}
 }
 
-func inS(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func durationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // rest waits for a while, and tells whether the play went on until then.
-func rest(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -219,155 +219,155 @@
 }
 
 // look asks a door how far it is.
-func (p *workPlay) look(ctx context.Context, door string) {
-	raw, err := maintenanceagent.SendLine(ctx, door, "WORKS")
-	var s workState
-	if err != nil || json.Unmarshal(raw, &s) != nil {
-		p.w.FailedPolls++
+func (r *maintenanceRun) poll(ctx context.Context, address string) {
+	answer, err := maintenanceagent.SendLine(ctx, address, "WORKS")
+	var state maintenanceState
+	if err != nil || json.Unmarshal(answer, &state) != nil {
+		r.report.FailedPolls++
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.last != nil && s.Version < p.last.Version {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.lastState != nil && state.Version < r.lastState.Version {
 		return
 	}
-	if p.last = &s; len(s.Plans) == 0 {
+	if r.lastState = &state; len(state.Plans) == 0 {
 		return
 	}
-	if p.w.BlockedSeconds == nil {
-		p.w.BlockedSeconds, p.lookedAt = map[string]float64{}, time.Now()
+	if r.report.BlockedSeconds == nil {
+		r.report.BlockedSeconds, r.polledAt = map[string]float64{}, time.Now()
 	}
-	for _, w := range s.Waits {
-		p.w.BlockedSeconds[strings.TrimLeft(w.Reason, "0123456789. ")] += time.Since(p.lookedAt).Seconds()
+	for _, blocker := range state.Blockers {
+		r.report.BlockedSeconds[strings.TrimLeft(blocker.Reason, "0123456789. ")] += time.Since(r.polledAt).Seconds()
 	}
-	p.lookedAt = time.Now()
-	plan := &s.Plans[len(s.Plans)-1]
-	for _, b := range plan.Servers {
-		p.stage(b.Name, b.Stage)
+	r.polledAt = time.Now()
+	plan := &state.Plans[len(state.Plans)-1]
+	for _, server := range plan.Servers {
+		r.recordStage(server.Name, server.Stage)
 	}
-	if plan.Ended && p.over == 0 {
-		p.over = now()
+	if plan.Ended && r.endedAt == 0 {
+		r.endedAt = unixNow()
 	}
 }
 
 // stage notes a stage that a box has come to. p.mu is held.
-func (p *workPlay) stage(box string, s maintenance.Stage) {
-	if was, known := p.stages[box]; !known || was != s {
-		p.stages[box] = s
-		p.w.Stages = append(p.w.Stages, StageChange{time.Since(p.t.began).Seconds(), box, s})
+func (r *maintenanceRun) recordStage(server string, stage maintenance.Stage) {
+	if before, known := r.stages[server]; !known || before != stage {
+		r.stages[server] = stage
+		r.report.Stages = append(r.report.Stages, StageChange{time.Since(r.cluster.startedAt).Seconds(), server, stage})
 	}
 }
 
 // hand calls at all doors for one box after the other, and waits for fixed times.
-func (p *workPlay) hand(ctx context.Context) {
-	say := func(line string) {
-		for _, door := range p.t.doors() {
-			if raw, err := maintenanceagent.SendLine(ctx, door, line); err != nil || string(raw[:min(2, len(raw))]) != "OK" {
-				p.w.FailedCalls++
+func (r *maintenanceRun) runScript(ctx context.Context) {
+	sendToAll := func(line string) {
+		for _, address := range r.cluster.adminAddresses() {
+			if answer, err := maintenanceagent.SendLine(ctx, address, line); err != nil || string(answer[:min(2, len(answer))]) != "OK" {
+				r.report.FailedCalls++
 			}
 		}
 	}
-	come := func(box string, s maintenance.Stage) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.stage(box, s)
-	}
-	p.mu.Lock()
-	p.given = now()
-	p.mu.Unlock()
-	for _, box := range p.named() {
-		come(box, maintenance.Pending)
-	}
-	for _, box := range p.named() {
-		come(box, maintenance.Draining)
-		say("OFFLINE " + box)
-		if !rest(ctx, inS(handEmptyS)) {
+	setStage := func(server string, stage maintenance.Stage) {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.recordStage(server, stage)
+	}
+	r.mu.Lock()
+	r.submittedAt = unixNow()
+	r.mu.Unlock()
+	for _, server := range r.plannedServers() {
+		setStage(server, maintenance.Pending)
+	}
+	for _, server := range r.plannedServers() {
+		setStage(server, maintenance.Draining)
+		sendToAll("OFFLINE " + server)
+		if !sleep(ctx, durationOfSeconds(scriptDrainSeconds)) {
 			return
 		}
-		come(box, maintenance.InMaintenance)
-		p.mu.Lock()
-		p.byHand = append(p.byHand, maintenanceagent.Record{Agent: "script", Server: box, StartedAt: time.Now()})
-		p.mu.Unlock()
-		if !rest(ctx, inS(p.work.Spec.WorkSeconds)) {
+		setStage(server, maintenance.InMaintenance)
+		r.mu.Lock()
+		r.scriptRecords = append(r.scriptRecords, maintenanceagent.Record{Agent: "script", Server: server, StartedAt: time.Now()})
+		r.mu.Unlock()
+		if !sleep(ctx, durationOfSeconds(r.settings.Spec.WorkSeconds)) {
 			return
 		}
-		p.mu.Lock()
-		p.byHand[len(p.byHand)-1].EndedAt = time.Now()
-		p.mu.Unlock()
-		come(box, maintenance.WarmingUp)
-		say("ONLINE " + box)
-		if !rest(ctx, inS(handColdS)) {
+		r.mu.Lock()
+		r.scriptRecords[len(r.scriptRecords)-1].EndedAt = time.Now()
+		r.mu.Unlock()
+		setStage(server, maintenance.WarmingUp)
+		sendToAll("ONLINE " + server)
+		if !sleep(ctx, durationOfSeconds(scriptWarmUpSeconds)) {
 			return
 		}
-		come(box, maintenance.Done)
+		setStage(server, maintenance.Done)
 	}
-	p.mu.Lock()
-	p.over = now()
-	p.mu.Unlock()
+	r.mu.Lock()
+	r.endedAt = unixNow()
+	r.mu.Unlock()
 }
 
 // named returns the boxes that the plan names, of those that stand.
-func (p *workPlay) named() (all []string) {
-	s := &p.work.Spec
-	for _, b := range p.day.Servers[:p.day.InitialServers] {
-		group := len(s.Sites)+len(s.Types) > 0 && (len(s.Sites) == 0 || slices.Contains(s.Sites, p.day.Sites[b.Site])) &&
-			(len(s.Types) == 0 || slices.Contains(s.Types, p.day.ServerKinds[b.Kind]))
-		if group || slices.Contains(s.Servers, b.Name) {
-			all = append(all, b.Name)
+func (r *maintenanceRun) plannedServers() (names []string) {
+	spec := &r.settings.Spec
+	for _, server := range r.day.Servers[:r.day.InitialServers] {
+		isInGroup := len(spec.Sites)+len(spec.Types) > 0 && (len(spec.Sites) == 0 || slices.Contains(spec.Sites, r.day.Sites[server.Site])) &&
+			(len(spec.Types) == 0 || slices.Contains(spec.Types, r.day.ServerKinds[server.Kind]))
+		if isInGroup || slices.Contains(spec.Servers, server.Name) {
+			names = append(names, server.Name)
 		}
 	}
-	return all
+	return names
 }
 
 // away is for how long each sidecar was not there before it came back, by when it did.
-type away struct {
+type absence struct {
 	sidecar  int
 	from, to float64
 }
 
 // result judges, after the play is over.
-func (p *workPlay) result() *MaintenanceReport {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	w := &p.w
-	w.Records = slices.Clone(p.byHand)
-	for _, m := range p.mechanics {
-		w.Records = append(w.Records, m.Records()...)
-	}
-	slices.SortFunc(w.Records, func(a, b maintenanceagent.Record) int { return a.StartedAt.Compare(b.StartedAt) })
-	w.Servers = len(p.named())
-	if p.last != nil && len(p.last.Plans) > 0 {
-		w.Blockers = p.last.Waits
-		w.Servers = len(p.last.Plans[len(p.last.Plans)-1].Servers)
-	}
-	for _, s := range p.stages {
-		switch s {
+func (r *maintenanceRun) finish() *MaintenanceReport {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	report := &r.report
+	report.Records = slices.Clone(r.scriptRecords)
+	for _, agent := range r.agents {
+		report.Records = append(report.Records, agent.Records()...)
+	}
+	slices.SortFunc(report.Records, func(a, b maintenanceagent.Record) int { return a.StartedAt.Compare(b.StartedAt) })
+	report.Servers = len(r.plannedServers())
+	if r.lastState != nil && len(r.lastState.Plans) > 0 {
+		report.Blockers = r.lastState.Blockers
+		report.Servers = len(r.lastState.Plans[len(r.lastState.Plans)-1].Servers)
+	}
+	for _, stage := range r.stages {
+		switch stage {
 		case maintenance.Done:
-			w.Done++
+			report.Done++
 		case maintenance.Skipped:
-			w.Skipped++
+			report.Skipped++
 		case maintenance.Lost:
-			w.Lost++
+			report.Lost++
 		}
 	}
-	end := cmp.Or(p.over, now())
-	w.Ended = p.over > 0
-	if p.given > 0 {
-		w.StartedSeconds, w.TotalSeconds = p.given-p.day.Start, end-p.given
-		p.service(w, max(p.given, p.day.Start+firstS), min(end, p.day.Start+p.day.LengthSeconds))
-		p.occupied(w)
-		p.many(w)
-		p.accounts(w)
+	end := cmp.Or(r.endedAt, unixNow())
+	report.Ended = r.endedAt > 0
+	if r.submittedAt > 0 {
+		report.StartedSeconds, report.TotalSeconds = r.submittedAt-r.day.Start, end-r.submittedAt
+		r.measureService(report, max(r.submittedAt, r.day.Start+serviceSkipSeconds), min(end, r.day.Start+r.day.LengthSeconds))
+		r.checkOccupied(report)
+		r.checkBudget(report)
+		r.checkRecords(report)
 	}
-	return w
+	return report
 }
 
 // firstS is how long after the day's start the service says nothing yet: all is cold then.
-const firstS = 5.0
+const serviceSkipSeconds = 5.0
 
 // service finds the worst ten seconds of a time.
-func (p *workPlay) service(w *MaintenanceReport, from, to float64) {
-	within := func(all []float64) (n int) {
+func (r *maintenanceRun) measureService(report *MaintenanceReport, from, to float64) {
+	countWithin := func(all []float64) (n int) {
 		for _, at := range all {
 			if at >= from && at < to {
 				n++
@@ -375,135 +375,135 @@
 		}
 		return n
 	}
-	w.Attempts, w.Rejected, w.WorstTenSeconds = within(p.tries), within(p.refused), 1
-	all := slices.SortedFunc(maps.Values(p.asked), func(a, b *want) int { return cmp.Compare(a.at, b.at) })
+	report.Attempts, report.Rejected, report.WorstTenSeconds = countWithin(r.attemptTimes), countWithin(r.rejectionTimes), 1
+	all := slices.SortedFunc(maps.Values(r.requests), func(a, b *request) int { return cmp.Compare(a.startedAt, b.startedAt) })
 	for at := from; at+10 <= to; at += 0.5 {
-		served, asked := 0.0, 0.0
-		i, _ := slices.BinarySearchFunc(all, at, func(x *want, at float64) int { return cmp.Compare(x.at, at) })
-		for ; i < len(all) && all[i].at < at+10; i++ {
-			if asked += all[i].worth; all[i].served {
-				served += all[i].worth
+		served, requested := 0.0, 0.0
+		i, _ := slices.BinarySearchFunc(all, at, func(candidate *request, at float64) int { return cmp.Compare(candidate.startedAt, at) })
+		for ; i < len(all) && all[i].startedAt < at+10; i++ {
+			if requested += all[i].weight; all[i].isServed {
+				served += all[i].weight
 			}
 		}
-		if asked > 0 && served/asked < w.WorstTenSeconds {
-			w.WorstTenSeconds, w.WorstAtSeconds = served/asked, at-p.day.Start
+		if requested > 0 && served/requested < report.WorstTenSeconds {
+			report.WorstTenSeconds, report.WorstAtSeconds = served/requested, at-r.day.Start
 		}
 	}
 }
 
-func (w *MaintenanceReport) find(rule checker.Rule, format string, args ...any) {
-	if len(w.Violations) < 30 {
-		w.Violations = append(w.Violations, string(rule)+": "+fmt.Sprintf(format, args...))
+func (r *MaintenanceReport) reportViolation(rule checker.Rule, format string, args ...any) {
+	if len(r.Violations) < 30 {
+		r.Violations = append(r.Violations, string(rule)+": "+fmt.Sprintf(format, args...))
 	}
-	w.violationCount++
+	r.violationCount++
 }
 
-func unix(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
+func unixSeconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
 
 // span returns when a piece of work began and ended; what goes on ends with the day.
-func span(r *maintenanceagent.Record) (from, to float64) {
-	if from, to = unix(r.StartedAt), unix(r.EndedAt); r.EndedAt.IsZero() {
-		to = now()
+func workPeriod(r *maintenanceagent.Record) (from, to float64) {
+	if from, to = unixSeconds(r.StartedAt), unixSeconds(r.EndedAt); r.EndedAt.IsZero() {
+		to = unixNow()
 	}
 	return from, to
 }
 
 // occupied finds boxes that are worked on while something is out there, or came less than the settle time before.
-func (p *workPlay) occupied(w *MaintenanceReport) {
-	for i := range w.Records {
-		r := &w.Records[i]
-		from, to := span(r)
-		if r.ForcedReason != "" {
+func (r *maintenanceRun) checkOccupied(report *MaintenanceReport) {
+	for i := range report.Records {
+		record := &report.Records[i]
+		from, to := workPeriod(record)
+		if record.ForcedReason != "" {
 			continue
 		}
-		for _, x := range p.came[r.Server] {
-			late := x.from > from-p.work.Spec.QuietPeriodSeconds() && x.from < to
-			out := x.from < to && (x.to == 0 || x.to > from)
+		for _, execution := range r.executions[record.Server] {
+			isLate := execution.from > from-r.settings.Spec.QuietPeriodSeconds() && execution.from < to
+			isOpen := execution.from < to && (execution.to == 0 || execution.to > from)
 			switch {
-			case !late && !out:
-			case p.t.wasGone(x.sidecar, x.from, cmp.Or(p.work.Spec.DeadMemberSeconds, 300)):
-				w.SentByReturning++
+			case !isLate && !isOpen:
+			case r.cluster.hadCountedAsDead(execution.sidecar, execution.from, cmp.Or(r.settings.Spec.DeadMemberSeconds, 300)):
+				report.SentByReturning++
 			default:
-				w.find(checker.MaintenanceOccupied, "%s is worked on by %s at %.3f s; a request of %s came %.3f s after the work began", r.Server, r.Agent, from-p.day.Start,
-					p.t.mates[x.sidecar].name, x.from-from)
+				report.reportViolation(checker.MaintenanceOccupied, "%s is worked on by %s at %.3f s; a request of %s came %.3f s after the work began", record.Server, record.Agent, from-r.day.Start,
+					r.cluster.members[execution.sidecar].name, execution.from-from)
 			}
 		}
 	}
 }
 
 // wasGone tells whether a sidecar had been away for longer than it takes to count as gone, and had come back just before a time.
-func (t *Cluster) wasGone(sidecar int, at, goneS float64) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return slices.ContainsFunc(t.aways, func(a away) bool {
-		return a.sidecar == sidecar && a.to-a.from > goneS && at >= a.from && at < a.to+goneAwakeS
+func (c *Cluster) hadCountedAsDead(sidecar int, at, deadSeconds float64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.ContainsFunc(c.absences, func(a absence) bool {
+		return a.sidecar == sidecar && a.to-a.from > deadSeconds && at >= a.from && at < a.to+rejoinSeconds
 	})
 }
 
 // goneAwakeS is how long a sidecar that had counted as gone may take to hear what was agreed meanwhile.
-const goneAwakeS = 3.0
+const rejoinSeconds = 3.0
 
 // many finds more boxes out or cold at once than the plan allows, whoever has handed them over. Danger: mechanics alone tell of it, and
 // the coordinator's wait for a cold box begins after the mechanic has spoken.
-func (p *workPlay) many(w *MaintenanceReport) {
+func (r *maintenanceRun) checkBudget(report *MaintenanceReport) {
 	sites := map[string]string{}
-	for _, b := range p.day.Servers {
-		sites[b.Name] = p.day.Sites[b.Site]
+	for _, server := range r.day.Servers {
+		sites[server.Name] = r.day.Sites[server.Site]
 	}
-	cold := cmp.Or(p.work.Spec.WarmUpSeconds, handColdS)
-	for i := range w.Records {
-		from, _ := span(&w.Records[i])
+	warmUp := cmp.Or(r.settings.Spec.WarmUpSeconds, scriptWarmUpSeconds)
+	for i := range report.Records {
+		from, _ := workPeriod(&report.Records[i])
 		out, bySite := map[string]bool{}, map[string]int{}
-		for j := range w.Records {
-			f, t := span(&w.Records[j])
-			if f <= from && t+cold > from && p.stages[w.Records[j].Server] != maintenance.Lost {
-				out[w.Records[j].Server] = true
+		for j := range report.Records {
+			otherFrom, otherTo := workPeriod(&report.Records[j])
+			if otherFrom <= from && otherTo+warmUp > from && r.stages[report.Records[j].Server] != maintenance.Lost {
+				out[report.Records[j].Server] = true
 			}
 		}
-		for box := range out {
-			bySite[sites[box]]++
+		for server := range out {
+			bySite[sites[server]]++
 		}
-		if len(out) > p.work.Spec.MaxConcurrent {
-			w.find(checker.MaintenanceBudget, "%d boxes are worked on or cold at %.3f s, of %d that may be", len(out), from-p.day.Start, p.work.Spec.MaxConcurrent)
+		if len(out) > r.settings.Spec.MaxConcurrent {
+			report.reportViolation(checker.MaintenanceBudget, "%d boxes are worked on or cold at %.3f s, of %d that may be", len(out), from-r.day.Start, r.settings.Spec.MaxConcurrent)
 		}
 		for site, n := range bySite {
-			if n > cmp.Or(p.work.Spec.MaxPerSite, 1) {
-				w.find(checker.MaintenanceBudget, "%d boxes of %s are worked on or cold at %.3f s", n, site, from-p.day.Start)
+			if n > cmp.Or(r.settings.Spec.MaxPerSite, 1) {
+				report.reportViolation(checker.MaintenanceBudget, "%d boxes of %s are worked on or cold at %.3f s", n, site, from-r.day.Start)
 			}
 		}
 	}
 }
 
 // accounts holds what mechanics did beside what is agreed of it.
-func (p *workPlay) accounts(w *MaintenanceReport) {
-	if p.work.Scripted {
+func (r *maintenanceRun) checkRecords(report *MaintenanceReport) {
+	if r.settings.Scripted {
 		return
 	}
 	tokens := map[string][]uint64{}
-	done := map[string]bool{}
-	for _, r := range w.Records {
-		if !slices.Contains(tokens[r.Server], r.Token) {
-			tokens[r.Server] = append(tokens[r.Server], r.Token)
+	completed := map[string]bool{}
+	for _, record := range report.Records {
+		if !slices.Contains(tokens[record.Server], record.Token) {
+			tokens[record.Server] = append(tokens[record.Server], record.Token)
 		}
-		done[r.Server] = done[r.Server] || !r.EndedAt.IsZero()
+		completed[record.Server] = completed[record.Server] || !record.EndedAt.IsZero()
 	}
-	for box, of := range tokens {
-		if len(of) > 1 {
-			w.find(checker.MaintenanceRepeated, "%s is worked on under %v", box, of)
+	for server, serverTokens := range tokens {
+		if len(serverTokens) > 1 {
+			report.reportViolation(checker.MaintenanceRepeated, "%s is worked on under %v", server, serverTokens)
 		}
 	}
-	if p.last == nil || len(p.last.Plans) == 0 {
-		w.find(checker.MaintenanceRecorded, "no door tells of the plan")
+	if r.lastState == nil || len(r.lastState.Plans) == 0 {
+		report.reportViolation(checker.MaintenanceRecorded, "no door tells of the plan")
 		return
 	}
-	for _, b := range p.last.Plans[len(p.last.Plans)-1].Servers {
-		switch n := len(tokens[b.Name]); {
-		case (b.Stage == maintenance.WarmingUp || b.Stage == maintenance.Done) && !done[b.Name]:
-			w.find(checker.MaintenanceRecorded, "%s is said to be done, and nobody has worked on it to the end", b.Name)
-		case b.Stage < maintenance.InMaintenance && n > 0:
-			w.find(checker.MaintenanceRecorded, "%s was worked on, and is said to wait", b.Name)
-		case (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Reason == "":
-			w.find(checker.MaintenanceRecorded, "%s was skipped or lost for no cause", b.Name)
+	for _, server := range r.lastState.Plans[len(r.lastState.Plans)-1].Servers {
+		switch n := len(tokens[server.Name]); {
+		case (server.Stage == maintenance.WarmingUp || server.Stage == maintenance.Done) && !completed[server.Name]:
+			report.reportViolation(checker.MaintenanceRecorded, "%s is said to be done, and nobody has worked on it to the end", server.Name)
+		case server.Stage < maintenance.InMaintenance && n > 0:
+			report.reportViolation(checker.MaintenanceRecorded, "%s was worked on, and is said to wait", server.Name)
+		case (server.Stage == maintenance.Skipped || server.Stage == maintenance.Lost) && server.Reason == "":
+			report.reportViolation(checker.MaintenanceRecorded, "%s was skipped or lost for no cause", server.Name)
 		}
 	}
 }
--- a/internal/lab/processcluster/works_test.go
+++ b/internal/lab/processcluster/works_test.go
@@ -30,7 +30,7 @@
 	done, cold := maintenance.Done, maintenance.WarmingUp
 	for name, k := range map[string]struct {
 		visits  []visit
-		away    []away
+		away    []absence
 		records []maintenanceagent.Record
 		stages  [2]maintenance.Stage // of a and b
 		why     string               // of a
@@ -43,8 +43,8 @@
 		"out since long":                   {[]visit{{900, 1000.1}}, nil, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.MaintenanceOccupied}, 0},
 		"out for ever":                     {[]visit{{900, 0}}, nil, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.MaintenanceOccupied}, 0},
 		"by force":                         {[]visit{{900, 0}}, nil, []maintenanceagent.Record{forced}, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.MaintenanceRecorded}, 0},
-		"of one that had counted as gone":  {[]visit{{1005, 1005.1}}, []away{{0, 900, 1004}}, usual, [2]maintenance.Stage{done, done}, "", nil, 1},
-		"of one that was away too shortly": {[]visit{{1005, 1005.1}}, []away{{0, 950, 1004}}, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.MaintenanceOccupied}, 0},
+		"of one that had counted as gone":  {[]visit{{1005, 1005.1}}, []absence{{0, 900, 1004}}, usual, [2]maintenance.Stage{done, done}, "", nil, 1},
+		"of one that was away too shortly": {[]visit{{1005, 1005.1}}, []absence{{0, 950, 1004}}, usual, [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.MaintenanceOccupied}, 0},
 		"while the one before is cold": {nil, nil, []maintenanceagent.Record{piece("a", 1, 1000, 1010), piece("b", 2, 1014, 1030)}, [2]maintenance.Stage{done, done}, "",
 			[]checker.Rule{checker.MaintenanceBudget}, 0},
 		"twice":                            {nil, nil, append([]maintenanceagent.Record{piece("a", 7, 1040, 1050)}, usual...), [2]maintenance.Stage{done, done}, "", []checker.Rule{checker.MaintenanceRepeated}, 0},
@@ -55,17 +55,17 @@
 		"skipped":                          {nil, nil, usual[1:], [2]maintenance.Stage{maintenance.Skipped, done}, "by an operator", nil, 0},
 	} {
 		day := &environment.Day{Start: 950, LengthSeconds: 100, InitialServers: 2, Sites: []string{"x"}, Servers: []environment.ServerSpec{{Name: "a"}, {Name: "b"}}}
-		play := &Cluster{mates: []*mate{{name: "n0"}}, aways: k.away}
-		p := newWorkPlay(play, Maintenance{Spec: maintenance.Spec{Servers: []string{"a", "b"}, MaxConcurrent: 1, MaxPerSite: 2, WarmUpSeconds: 5, DeadMemberSeconds: 100}}, day)
+		play := &Cluster{members: []*member{{name: "n0"}}, absences: k.away}
+		p := newMaintenanceRun(play, Maintenance{Spec: maintenance.Spec{Servers: []string{"a", "b"}, MaxConcurrent: 1, MaxPerSite: 2, WarmUpSeconds: 5, DeadMemberSeconds: 100}}, day)
 		for i, v := range k.visits {
 			p.Observe(checker.Event{Kind: checker.AttemptReceived, At: v.from, Connection: uint64(i)})
 			if v.to > 0 {
 				p.Observe(checker.Event{Kind: checker.ResponseSent, At: v.to, Connection: uint64(i)})
 			}
 		}
-		p.given, p.over, p.byHand = 960, 1049, k.records
-		p.last = &workState{Plans: []maintenance.Plan{{Servers: []maintenance.Server{{Name: "a", Stage: k.stages[0], Reason: k.why}, {Name: "b", Stage: k.stages[1]}}}}}
-		w := p.result()
+		p.submittedAt, p.endedAt, p.scriptRecords = 960, 1049, k.records
+		p.lastState = &maintenanceState{Plans: []maintenance.Plan{{Servers: []maintenance.Server{{Name: "a", Stage: k.stages[0], Reason: k.why}, {Name: "b", Stage: k.stages[1]}}}}}
+		w := p.finish()
 		var got []checker.Rule
 		for _, line := range w.Violations {
 			rule, _, _ := strings.Cut(line, ":")
@@ -81,7 +81,7 @@
 	class := environment.ClassSpec{LatencyTargetSeconds: 1}
 	class.PriorityWeight = 2
 	day := &environment.Day{Start: 1000, LengthSeconds: 100, Classes: []environment.ClassSpec{class}}
-	p := newWorkPlay(&Cluster{}, Maintenance{Spec: maintenance.Spec{MaxConcurrent: 1}, Scripted: true}, day)
+	p := newMaintenanceRun(&Cluster{}, Maintenance{Spec: maintenance.Spec{MaxConcurrent: 1}, Scripted: true}, day)
 	for i := range 100 {
 		at, id := 1000+float64(i), uint64(i+1)
 		p.Observe(checker.Event{Kind: checker.RequestStarted, At: at, Request: id, FirstRequest: id})
@@ -94,8 +94,8 @@
 			p.Observe(checker.Event{Kind: checker.ResponseReceived, At: at + 0.5, Request: id, Status: 200})
 		}
 	}
-	p.given, p.over = 1000, 1100
-	w := p.result()
+	p.submittedAt, p.endedAt = 1000, 1100
+	w := p.finish()
 	assert.InDelta(t, 0.5, w.WorstTenSeconds, 1e-9)
 	assert.InDelta(t, 55, w.WorstAtSeconds, 1)
 	assert.Equal(t, 95, w.Attempts, "the first five seconds do not count")
