--- a/internal/lab/processcluster/switchboard.go
+++ b/internal/lab/processcluster/faultproxy.go
@@ -4,27 +4,15 @@
 
 import (
 	"bufio"
-	"encoding/binary"
 	"errors"
 	"io"
 	"net"
-	"slices"
 	"sync"
 	"time"
 
 	"hazelwheel/internal/peers/frames"
 )
 
-// Way is a direction between two sidecars, by their names.
-type Direction struct{ From, To string }
-
-// Rule is what befalls the bytes of a way. The zero value is none.
-type LinkFault struct {
-	Cut            bool    // they are lost; links that lost any are reset once the cut is mended, as TCP gives up
-	Hold           bool    // they wait, and links stay up
-	BytesPerSecond float64 // bytes a second that each link takes; 0: as many as come
-}
-
 // Switchboard stands between sidecars: each is dialed at a port of it, and who speaks is read from a link's first frame. It
 // changes nothing that passes. It can be used from any goroutine.
 type FaultProxy struct {
@@ -42,14 +30,6 @@
 	linkCount uint64 // calls so far
 }
 
-// call is one link.
-type link struct {
-	dialer, target string // who has dialed, and who is dialed
-	conns          [2]net.Conn
-	hasLostBytes   bool
-	number         uint64
-}
-
 // NewSwitchboard returns one that nobody uses yet.
 func NewFaultProxy() *FaultProxy {
 	s := &FaultProxy{faults: map[Direction]LinkFault{}, links: map[*link]struct{}{}, forwarded: map[Direction]uint64{}}
@@ -136,34 +116,6 @@
 	return total
 }
 
-// Between returns the ways between two groups; both directions, or from the first to the second alone.
-func Directions(from, to []string, oneWay bool) (directions []Direction) {
-	for _, a := range from {
-		for _, b := range to {
-			if a == b || slices.Contains(from, b) && slices.Contains(to, a) && a > b {
-				continue
-			}
-			if directions = append(directions, Direction{a, b}); !oneWay {
-				directions = append(directions, Direction{b, a})
-			}
-		}
-	}
-	return directions
-}
-
-// end breaks a link: both ends are reset.
-func (l *link) reset() {
-	for _, conn := range l.conns {
-		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // fails only on one that is closed
-			_ = tcp.Close()      // the connection is given up
-		}
-	}
-}
-
-// mostHello bounds the wait for a first frame.
-const helloTimeout = 10 * time.Second
-
 // serve passes one link on.
 func (p *FaultProxy) serveLink(in net.Conn, name, target string) {
 	defer in.Close()
@@ -215,25 +167,6 @@
 	<-done
 }
 
-// readHello reads up to the end of the first frame; what was read is returned also after an error.
-func readHello(r *bufio.Reader) (first []byte, h frames.Hello, err error) {
-	head, err := r.Peek(4)
-	if err == nil {
-		n := min(int(binary.BigEndian.Uint32(head)), frames.MaxFrameBytes-4)
-		_, err = r.Peek(4 + n)
-	}
-	first, _ = r.Peek(r.Buffered())
-	first = slices.Clone(first)
-	if err != nil {
-		return first, h, err
-	}
-	topic, body, _, err := frames.Next(first)
-	if err == nil && topic == frames.TopicHello {
-		err = frames.Unmarshal(body, &h)
-	}
-	return first, h, err
-}
-
 // pump passes bytes one way, as its rule says.
 func (p *FaultProxy) forward(l *link, from, to net.Conn, direction Direction, first []byte) {
 	buffer := make([]byte, 32<<10)
--- a/internal/lab/processcluster/picture.go
+++ b/internal/lab/processcluster/membershipplot.go
@@ -11,14 +11,6 @@
 	"hazelwheel/internal/environment"
 )
 
-// Round is what one look at all doors has shown.
-type Round struct {
-	AtSeconds float64 `json:"at_s"`
-	Running   int     `json:"there"` // sidecars that were
-	MinAlive  int     `json:"least"` // that any of them held for alive
-	MaxAlive  int     `json:"most"`
-}
-
 // Picture writes an SVG: how many sidecars there were, between the least and the most that any of them held for alive, with the
 // troubles between them shaded.
 func (r *Report) WriteMembershipPlot(path string) error {
