--- a/internal/lab/processcluster/effectchecker.go
+++ b/internal/lab/processcluster/effectchecker.go
@@ -7,35 +7,35 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// Effects judges from what sidecars say whether they take old owners' effects: who takes one that is for all passes it on at once,
-// and what it says on a link comes in the order in which it was said. So on no link a token follows a greater one of its job. It
-// can be used from any goroutine.
+// EffectChecker checks from the frames that sidecars send whether they accept effects of stale owners. A sidecar that accepts an effect for all
+// members forwards it at once, and the frames of a link are in the order in which they were sent. So on no link may a token follow a greater one of
+// the same role. It is safe for concurrent use.
 type EffectChecker struct {
 	mu                sync.Mutex
 	lastToken         map[effectSource]uint64
 	highestToken      map[string]uint64
 	violations        []string
-	origins           map[grant]uint64  // who says effects for all under a token
-	peerIDs           map[string]uint64 // of sidecars, by name, as their last hello said
+	origins           map[grant]uint64  // the sidecar whose effects under a grant are for all members
+	peerIDs           map[string]uint64 // by name of the sidecar, from its last hello
 	effectCount       int
 	rejectedCount     int
 	staleCount        int
 	staleByOwnerCount int
 }
 
-// said is what one sidecar says of a job on one link.
+// effectSource identifies the effects of a role that one sidecar sends on one link.
 type effectSource struct {
 	link   uint64
 	sender string
 	role   string
 }
 
-// NewEffects returns a judge that has seen nothing.
+// NewEffectChecker returns a checker without observations.
 func NewEffectChecker() *EffectChecker {
 	return &EffectChecker{lastToken: map[effectSource]uint64{}, highestToken: map[string]uint64{}, origins: map[grant]uint64{}, peerIDs: map[string]uint64{}}
 }
 
-// Tap is for a Switchboard.
+// ObserveFrame is for FaultProxy.OnFrame.
 func (e *EffectChecker) ObserveFrame(link uint64, direction Direction, topic frames.Topic, body []byte) {
 	var message frames.RoleMessage
 	if topic == frames.TopicHello {
@@ -62,28 +62,28 @@
 		}
 	}
 	if granted := (grant{message.Role, message.Token}); message.Sequence > 0 && e.origins[granted] != message.Origin {
-		if e.origins[granted] != 0 && len(e.violations) < 20 {
+		if e.origins[granted] != 0 && len(e.violations) < maxRoleViolations {
 			e.violations = append(e.violations, fmt.Sprintf("%s is done under token %d by %x and by %x", message.Role, message.Token, e.origins[granted], message.Origin))
 		}
 		e.origins[granted] = message.Origin
 	}
 	e.highestToken[message.Role] = max(e.highestToken[message.Role], message.Token)
 	source := effectSource{link, direction.From, message.Role}
-	if e.lastToken[source] > message.Token && len(e.violations) < 20 {
+	if e.lastToken[source] > message.Token && len(e.violations) < maxRoleViolations {
 		e.violations = append(e.violations, fmt.Sprintf("%s says an effect of %s under token %d after one under %d", direction.From, message.Role, message.Token, e.lastToken[source]))
 	}
 	e.lastToken[source] = max(e.lastToken[source], message.Token)
 }
 
-// Found returns what was wrong, how many effects were said, how many refusals, and how many effects under a token lower than one that
-// somebody had said before.
+// Results returns the first violations, the number of frames with effects and rejections, of rejections alone, and of frames under a lower token than
+// an earlier frame of any sidecar.
 func (e *EffectChecker) Results() (violations []string, effects, rejected, stale int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.violations...), e.effectCount, e.rejectedCount, e.staleCount
 }
 
-// Late returns how many effects their owner itself said after a greater token had been said: it had looked at its lease before.
+// StaleByOwner returns how many effects their owner itself sent after a frame with a greater token: it had checked its lease before that.
 func (e *EffectChecker) StaleByOwner() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/processcluster/faultproxy.go
+++ b/internal/lab/processcluster/faultproxy.go
@@ -1,5 +1,3 @@
-// Package processcluster plays fleets of real sidecars that know each other: it starts their processes, stands between all of them,
-// has troubles come between them, and judges from outside.
 package processcluster
 
 import (
@@ -13,31 +11,31 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// Switchboard stands between sidecars: each is dialed at a port of it, and who speaks is read from a link's first frame. It
-// changes nothing that passes. It can be used from any goroutine.
+// FaultProxy forwards the links between sidecars and injects faults into them. Each sidecar is dialed at a port of the proxy; the dialing sidecar is
+// read from the first frame of a link. Bytes are never changed. It is safe for concurrent use.
 type FaultProxy struct {
-	mu        sync.Mutex
-	changed   *sync.Cond
+	mu        sync.Mutex // guards the fields but OnFrame
+	changed   *sync.Cond // faults, or isClosed
 	faults    map[Direction]LinkFault
 	links     map[*link]struct{}
 	listeners []net.Listener
 	forwarded map[Direction]uint64 // bytes
 	isClosed  bool
 
-	// Tap, if it is set, is told of each frame that a sidecar has sent, before anything befalls it; call tells links apart. It is set
-	// before the first link, and may be called from several goroutines at once.
-	OnFrame   func(call uint64, w Direction, topic frames.Topic, body []byte)
-	linkCount uint64 // calls so far
+	// OnFrame, if it is set, is called with each frame that a sidecar has sent, before faults apply to it. link identifies the link. It is set before
+	// the first link, and may be called from several goroutines at once.
+	OnFrame   func(link uint64, direction Direction, topic frames.Topic, body []byte)
+	linkCount uint64 // accepted so far; the number of the last link
 }
 
-// NewSwitchboard returns one that nobody uses yet.
+// NewFaultProxy returns a proxy without ports and faults.
 func NewFaultProxy() *FaultProxy {
 	s := &FaultProxy{faults: map[Direction]LinkFault{}, links: map[*link]struct{}{}, forwarded: map[Direction]uint64{}}
 	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
-// Add opens a port at which a sidecar is dialed that listens elsewhere.
+// Listen opens a port for the sidecar name, which listens at target, and returns the address that it is to advertise.
 func (p *FaultProxy) Listen(name, target string) (advertise string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +60,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Close ends all.
+// Close closes all ports and resets all links.
 func (p *FaultProxy) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,7 +74,7 @@
 	p.changed.Broadcast()
 }
 
-// Set has a rule hold for ways from now on.
+// SetFault sets the fault of directions, in place of an earlier one. The zero fault ends it.
 func (p *FaultProxy) SetFault(fault LinkFault, directions ...Direction) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +93,7 @@
 	p.changed.Broadcast()
 }
 
-// Reset breaks all links between two sidecars.
+// ResetLinks resets all links between two sidecars.
 func (p *FaultProxy) ResetLinks(a, b string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +104,7 @@
 	}
 }
 
-// Passed returns how many bytes have gone each way so far, all ways together.
+// ForwardedBytes returns how many bytes were forwarded so far, in all directions.
 func (p *FaultProxy) ForwardedBytes() (total uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,17 +114,17 @@
 	return total
 }
 
-// serve passes one link on.
+// serveLink accepts a link to the sidecar name, dials the sidecar at target and forwards in both directions until one ends.
 func (p *FaultProxy) serveLink(in net.Conn, name, target string) {
 	defer in.Close()
-	_ = in.SetReadDeadline(time.Now().Add(helloTimeout)) // fails only on one that is closed
+	_ = in.SetReadDeadline(time.Now().Add(helloTimeout)) // fails only on a closed connection
 	first, hello, err := readHello(bufio.NewReaderSize(in, frames.MaxFrameBytes))
 	if err != nil {
-		// Whoever speaks otherwise speaks to the sidecar itself: it must cope.
+		// What is not a peer is forwarded too, without a name: the sidecar must cope with it.
 		hello.Name = ""
 	}
 	_ = in.SetReadDeadline(time.Time{})
-	// Danger: where either way is cut no link comes up at all; passed on, the target would see one that says nothing.
+	// Danger: while either direction is cut no link may be established; if it were dialed, the target would see a link that stays silent.
 	p.mu.Lock()
 	wasCut := false
 	for !p.isClosed && (p.faults[Direction{hello.Name, name}].Cut || p.faults[Direction{name, hello.Name}].Cut) {
@@ -167,11 +165,11 @@
 	<-done
 }
 
-// pump passes bytes one way, as its rule says.
+// forward forwards the bytes of one direction, subject to its fault, until an end closes or the link is reset. first has been read already.
 func (p *FaultProxy) forward(l *link, from, to net.Conn, direction Direction, first []byte) {
 	buffer := make([]byte, 32<<10)
-	var pausedUntil time.Time // until then the link takes nothing
-	var frames []byte         // frames that have not been told of
+	var pausedUntil time.Time // no bytes are accepted before, at a limited rate
+	var unparsed []byte       // bytes since the last frame given to OnFrame
 	for {
 		data := first
 		if first = nil; len(data) == 0 {
@@ -180,7 +178,7 @@
 				p.awaitPermission(l, direction, 0, nil)
 				if errors.Is(err, io.EOF) {
 					if tcp, ok := to.(*net.TCPConn); ok {
-						_ = tcp.CloseWrite() // fails only on one that is closed
+						_ = tcp.CloseWrite() // fails only on a closed connection
 					}
 				}
 				return
@@ -188,7 +186,7 @@
 			data = buffer[:n]
 		}
 		if p.OnFrame != nil {
-			frames = p.notifyFrames(l, direction, append(frames, data...))
+			unparsed = p.notifyFrames(l, direction, append(unparsed, data...))
 		}
 		for len(data) > 0 {
 			n, pass := p.awaitPermission(l, direction, len(data), &pausedUntil)
@@ -205,7 +203,7 @@
 	}
 }
 
-// tell tells of the whole frames, and returns what is left.
+// notifyFrames calls OnFrame with the complete frames in data and returns the rest.
 func (p *FaultProxy) notifyFrames(l *link, direction Direction, data []byte) []byte {
 	for {
 		topic, body, n, err := frames.Next(data)
@@ -217,11 +215,11 @@
 	}
 }
 
-// paceFor is the time for which a paced link passes bytes at once.
+// paceInterval is the time whose bytes a link at a limited rate forwards at once.
 const paceInterval = 50 * time.Millisecond
 
-// await waits until some of the bytes may pass, and tells how many of them do or are lost; 0: the link is over. paced is until
-// when a link at a rate takes nothing.
+// awaitPermission waits until the fault of a direction lets bytes pass. Of n bytes it returns how many to take, and whether to forward them or to drop
+// them because of a cut; 0 means that the link is closed. At a limited rate it waits for pausedUntil and sets it for the next call.
 func (p *FaultProxy) awaitPermission(l *link, direction Direction, n int, pausedUntil *time.Time) (int, bool) {
 	p.mu.Lock()
 	for !p.isClosed {
@@ -238,7 +236,7 @@
 			break
 		}
 		wakeUp := time.AfterFunc(remaining, func() {
-			p.mu.Lock() // Danger: between the look at the clock and the wait the word would be lost
+			p.mu.Lock() // Danger: without the lock the broadcast could come between the check and the wait, and be lost
 			defer p.mu.Unlock()
 			p.changed.Broadcast()
 		})
--- a/internal/lab/processcluster/faults.go
+++ b/internal/lab/processcluster/faults.go
@@ -11,26 +11,28 @@
 	"hazelwheel/internal/environment"
 )
 
-func (c *Cluster) direction(from, to int) Direction {
-	return Direction{c.members[from].name, c.members[to].name}
-}
-
-// PeersCut has the connections from one sidecar to another cut, or restored.
+// PeersCut starts or ends a cut of the links from one sidecar to another.
 func (c *Cluster) PeersCut(from, to int, on bool) {
 	c.changeLinkFault(from, to, func(r *LinkFault) { r.Cut = on })
 }
 
-// PeersHold has bytes from one sidecar to another stop while the connections stay open, or flow again.
+// PeersHold holds the bytes from one sidecar to another while their links stay established, or lets them pass again.
 func (c *Cluster) PeersHold(from, to int, on bool) {
 	c.changeLinkFault(from, to, func(r *LinkFault) { r.Hold = on })
 }
 
-// PeersSlow bounds the bytes a second of each connection from one sidecar to another; 0 ends it.
+// PeersSlow limits the bytes per second of each link from one sidecar to another; 0 ends the limit.
 func (c *Cluster) PeersSlow(from, to int, bytesPerSecond float64) {
 	c.changeLinkFault(from, to, func(r *LinkFault) { r.BytesPerSecond = bytesPerSecond })
 }
 
-// rule changes what befalls a way, beside what does already. It is for the play's loop, as all that befalls it.
+// PeersReset resets the links between two sidecars.
+func (c *Cluster) PeersReset(a, b int) {
+	c.recordFault(0)
+	c.proxy.ResetLinks(c.members[a].name, c.members[b].name)
+}
+
+// changeLinkFault changes the fault of a direction, which may combine several. Like all faults it is called from the play's loop alone.
 func (c *Cluster) changeLinkFault(from, to int, change func(*LinkFault)) {
 	direction := c.direction(from, to)
 	before := c.linkFaults[direction]
@@ -48,13 +50,20 @@
 	c.proxy.SetFault(after, direction)
 }
 
-// PeersReset resets the connections between two sidecars.
-func (c *Cluster) PeersReset(a, b int) {
-	c.recordFault(0)
-	c.proxy.ResetLinks(c.members[a].name, c.members[b].name)
+// direction returns the direction from one sidecar to another.
+func (c *Cluster) direction(from, to int) Direction {
+	return Direction{c.members[from].name, c.members[to].name}
+}
+
+// recordFault records a fault between sidecars now, and the change of the number of faults that last.
+func (c *Cluster) recordFault(change int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.ongoingFaults += change
+	c.faultAt, c.isAgreed = time.Now(), false
 }
 
-// PeersDeaf has somebody call at a sidecar as a peer does, ask again and again, and read nothing.
+// PeersDeaf connects a peer to a sidecar that sends requests at a rate and reads nothing, until the given time.
 func (c *Cluster) PeersDeaf(sidecar int, perSecond float64, until time.Time) {
 	c.recordFault(1)
 	c.stalledPeers.Go(func() {
@@ -63,32 +72,33 @@
 	})
 }
 
-// DiskFull has a file stand where a sidecar's folder was, so that nothing can be written there, by nobody.
+// DiskFull puts a file in place of a sidecar's folder, so that no write succeeds there for any user, or puts the folder back.
 func (c *Cluster) DiskFull(sidecar int, on bool) {
 	m := c.members[sidecar]
 	asidePath := m.stateDir + "-aside"
 	if on && !m.isDiskFull {
 		if err := os.Rename(m.stateDir, asidePath); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return // the process goes on as before
+			return // no fault is injected
 		}
 		m.isDiskFull = os.WriteFile(m.stateDir, nil, 0o600) == nil
 	} else if !on && m.isDiskFull {
 		m.isDiskFull = false
-		_ = os.Remove(m.stateDir)            // it is ours
-		_ = os.Rename(asidePath, m.stateDir) // there may have been none
+		_ = os.Remove(m.stateDir)            // the file that was put there
+		_ = os.Rename(asidePath, m.stateDir) // fails if there was no folder
 	}
 }
 
-// Spoil has the kept state of a sidecar that is down lost, torn or replaced by an older one.
+// Spoil removes, truncates or replaces by an older version the stored state of a sidecar that is not running, as environment.StateLost, StateTorn and
+// StateOld say. Errors leave the state as it is.
 func (c *Cluster) Spoil(sidecar int, state string) {
 	file := filepath.Join(c.members[sidecar].stateDir, "peer")
 	current, err := os.ReadFile(file)
 	if err != nil {
-		return // it has kept nothing yet
+		return // it has stored nothing yet
 	}
 	switch older := c.members[sidecar].olderState; {
 	case state == environment.StateLost:
-		_ = os.Remove(file) // the next process tells what it finds
+		_ = os.Remove(file) // the next incarnation starts with what is there
 	case state == environment.StateOld && older != nil:
 		_ = os.WriteFile(file, older, 0o600)
 	case state == environment.StateTorn:
@@ -96,7 +106,7 @@
 	}
 }
 
-// Standing notes that the process of a sidecar is up, or has ended.
+// Standing records that the process of a sidecar runs or goes on, or has exited or been stopped.
 func (c *Cluster) Standing(sidecar int, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,21 +124,16 @@
 	c.faultAt, c.isAgreed = now, false
 }
 
-// trouble notes that there is one between sidecars now, or one more or less that goes on.
-func (c *Cluster) recordFault(change int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.ongoingFaults += change
-	c.faultAt, c.isAgreed = time.Now(), false
-}
-
-// away is for how long each sidecar was not there before it came back, by when it did.
+// absence is a time in which a sidecar did not run, in Unix seconds.
 type absence struct {
 	sidecar  int
 	from, to float64
 }
 
-// wasGone tells whether a sidecar had been away for longer than it takes to count as gone, and had come back just before a time.
+// rejoinSeconds is how long a sidecar that had counted as dead may take to receive what was agreed meanwhile.
+const rejoinSeconds = 3.0
+
+// hadCountedAsDead reports whether a sidecar was absent for longer than deadSeconds, which makes it count as dead, and returned just before a time.
 func (c *Cluster) hadCountedAsDead(sidecar int, at, deadSeconds float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,6 +141,3 @@
 		return a.sidecar == sidecar && a.to-a.from > deadSeconds && at >= a.from && at < a.to+rejoinSeconds
 	})
 }
-
-// goneAwakeS is how long a sidecar that had counted as gone may take to hear what was agreed meanwhile.
-const rejoinSeconds = 3.0
--- a/internal/lab/processcluster/granthistory.go
+++ b/internal/lab/processcluster/granthistory.go
@@ -12,42 +12,43 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// Grants keeps the history of grants as it crosses the wire: when each token was seen first, and which grants a leader has
-// confirmed, from the question to the answer. It can be used from any goroutine.
+// GrantHistory records the history of lease grants from the frames between sidecars: when each token was first seen, and which grants a leader has
+// confirmed between a renewal request and its reply. It is safe for concurrent use.
 type GrantHistory struct {
 	mu            sync.Mutex
 	startedAt     time.Time
-	firstSeen     map[grant]int64 // when, since it began
+	firstSeen     map[grant]int64 // nanoseconds since startedAt, as all times here
 	requestedAt   map[renewal]int64
 	confirmations []confirmation
 }
 
+// grant is the grant of a role under a token.
 type grant struct {
 	role  string
 	token uint64
 }
 
-// question is one renewal, by who has asked whom.
+// renewal identifies a renewal request by the direction in which it was sent and its number.
 type renewal struct {
 	direction Direction
 	number    uint64
 }
 
-// confirm is a leader's word that a grant held at some instant between two.
+// confirmation is a leader's confirmation that a grant was valid at some time between two.
 type confirmation struct {
 	grant
 	from, to int64
 }
 
-// mostAsked bounds the questions that have no answer yet.
+// maxPendingRenewals bounds the renewal requests without a reply.
 const maxPendingRenewals = 10_000
 
-// NewGrants returns an empty history.
+// NewGrantHistory returns an empty history.
 func NewGrantHistory() *GrantHistory {
 	return &GrantHistory{startedAt: time.Now(), firstSeen: map[grant]int64{}, requestedAt: map[renewal]int64{}}
 }
 
-// Tap is for a Switchboard.
+// ObserveFrame is for FaultProxy.OnFrame.
 func (h *GrantHistory) ObserveFrame(_ uint64, direction Direction, topic frames.Topic, body []byte) {
 	var message lease.Message
 	var role frames.RoleMessage
@@ -69,7 +70,7 @@
 		}
 	}
 	if message.RenewRequest != nil && len(h.requestedAt) < maxPendingRenewals {
-		if request := (renewal{direction, message.RenewRequest.Number}); h.requestedAt[request] == 0 { // a process that began again counts anew: the first is the earliest
+		if request := (renewal{direction, message.RenewRequest.Number}); h.requestedAt[request] == 0 { // a restarted process reuses numbers: the first request is the earliest
 			h.requestedAt[request] = now
 		}
 	}
@@ -87,13 +88,14 @@
 	}
 }
 
+// recordGrant records when a grant is first seen. The caller holds mu.
 func (h *GrantHistory) recordGrant(granted grant, now int64) {
 	if _, ok := h.firstSeen[granted]; !ok && granted.token != 0 {
 		h.firstSeen[granted] = now
 	}
 }
 
-// register is a job's token: a grant raises it, and what is confirmed is the last grant's.
+// tokenRegister models the token of a role: a grant raises it, and a confirmation reads the token of the last grant.
 var tokenRegister = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, in, _ any) (bool, any) {
@@ -109,8 +111,8 @@
 	},
 }
 
-// Check looks for an order of grants and confirmations that all could have seen, and returns how many confirmations have one, or
-// why there is none. A grant lies before its token was first seen, and after the last question whose answer confirmed an earlier one.
+// CheckLinearizable checks for each role that grants and confirmations are linearizable, and returns the number of confirmations, or the reason why
+// there is no order. A grant lies before its token was first seen, and after the last request whose reply confirmed an earlier grant.
 func (h *GrantHistory) CheckLinearizable() (confirmed int, reason string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/processcluster/link.go
+++ b/internal/lab/processcluster/link.go
@@ -10,25 +10,10 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// Way is a direction between two sidecars, by their names.
+// Direction is a direction between two sidecars, by their names.
 type Direction struct{ From, To string }
 
-// Rule is what befalls the bytes of a way. The zero value is none.
-type LinkFault struct {
-	Cut            bool    // they are lost; links that lost any are reset once the cut is mended, as TCP gives up
-	Hold           bool    // they wait, and links stay up
-	BytesPerSecond float64 // bytes a second that each link takes; 0: as many as come
-}
-
-// call is one link.
-type link struct {
-	dialer, target string // who has dialed, and who is dialed
-	conns          [2]net.Conn
-	hasLostBytes   bool
-	number         uint64
-}
-
-// Between returns the ways between two groups; both directions, or from the first to the second alone.
+// Directions returns the directions between two groups of sidecars: both, or with oneWay those from the first group to the second alone.
 func Directions(from, to []string, oneWay bool) (directions []Direction) {
 	for _, a := range from {
 		for _, b := range to {
@@ -43,20 +28,35 @@
 	return directions
 }
 
-// end breaks a link: both ends are reset.
+// LinkFault is a fault of all links in a direction. The zero value is no fault.
+type LinkFault struct {
+	Cut            bool    // bytes are dropped, and no link is established; links that dropped any are reset when the cut ends, as TCP would give up
+	Hold           bool    // bytes wait, while links stay established
+	BytesPerSecond float64 // that each link forwards; 0: no limit
+}
+
+// link is one connection between two sidecars.
+type link struct {
+	dialer, target string      // names of sidecars
+	conns          [2]net.Conn // to the dialer, to the target
+	hasLostBytes   bool        // during a cut
+	number         uint64      // identifies it, from 1
+}
+
+// reset resets both connections of a link.
 func (l *link) reset() {
 	for _, conn := range l.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // fails only on one that is closed
-			_ = tcp.Close()      // the connection is given up
+			_ = tcp.SetLinger(0) // fails only on a closed connection
+			_ = tcp.Close()      // it is being given up
 		}
 	}
 }
 
-// mostHello bounds the wait for a first frame.
+// helloTimeout bounds the wait for the first frame of a link.
 const helloTimeout = 10 * time.Second
 
-// readHello reads up to the end of the first frame; what was read is returned also after an error.
+// readHello reads to the end of the first frame and decodes it as a hello. The bytes that were read are returned also with an error.
 func readHello(r *bufio.Reader) (first []byte, h frames.Hello, err error) {
 	head, err := r.Peek(4)
 	if err == nil {
--- a/internal/lab/processcluster/member.go
+++ b/internal/lab/processcluster/member.go
@@ -12,21 +12,23 @@
 	"hazelwheel/internal/peers/stalledpeer"
 )
 
-// mate is a sidecar over all lives of its process.
+// member is a sidecar over all incarnations of its process.
 type member struct {
-	name, stateDir, configFile     string
-	adminAddress, advertiseAddress string
-	isDiskFull                     bool // its disk; for the play's loop
-	isRunning                      bool // as the laboratory itself has it
-	changedAt                      time.Time
-	peerID                         string    // of the last life, as its own door has said
-	stoppedAt                      time.Time // when it went and the others do not all know yet
-	olderState                     []byte    // its state, some writes ago
+	name, stateDir, configFile  string
+	listenAddress, adminAddress string
+	advertiseAddress            string    // a port of the proxy
+	isDiskFull                  bool      // its disk rejects writes; of the play's loop alone
+	isRunning                   bool      // as the play started and stopped it; guarded by Cluster.mu, as are the fields below
+	changedAt                   time.Time // when isRunning last changed; zero before the first start
+	peerID                      string    // of its last known incarnation, as its admin endpoint reports; empty before
+	stoppedAt                   time.Time // when it stopped, until all other members know of it; else zero
+	olderState                  []byte    // an older version of its stored state
 }
 
+// fleetName is the name of the fleet in the configuration of all members.
 const fleetName = "troupe"
 
-// add prepares a sidecar.
+// addMember reserves the addresses of a sidecar.
 func (c *Cluster) addMember(name string) error {
 	m := &member{name: name, stateDir: filepath.Join(c.settings.Dir, "state-"+name), configFile: filepath.Join(c.settings.Dir, "features-"+name+".json")}
 	address := func() (string, error) {
@@ -37,25 +39,26 @@
 	if m.adminAddress, err = address(); err != nil {
 		return err
 	}
-	listen, err := address()
-	if err != nil {
+	if m.listenAddress, err = address(); err != nil {
 		return err
 	}
-	if m.advertiseAddress, err = c.proxy.Listen(name, listen); err != nil {
+	if m.advertiseAddress, err = c.proxy.Listen(name, m.listenAddress); err != nil {
 		return err
 	}
 	c.members = append(c.members, m)
-	m.peerID = listen // until it is known, kept here for write
 	return nil
 }
 
-// write writes the operators' file of a sidecar.
+// maxJoinAddresses is the number of members whose addresses a sidecar is given to join the fleet.
+const maxJoinAddresses = 3
+
+// writeConfig writes the configuration file of a sidecar.
 func (c *Cluster) writeConfig(m *member, knowsNoRoles bool) error {
 	var join []string
-	for _, peer := range c.members[:min(3, len(c.members))] {
+	for _, peer := range c.members[:min(maxJoinAddresses, len(c.members))] {
 		join = append(join, peer.advertiseAddress)
 	}
-	fleet := map[string]any{"name": fleetName, "listen": m.peerID, "advertise": m.advertiseAddress, "join": join, "dir": m.stateDir}
+	fleet := map[string]any{"name": fleetName, "listen": m.listenAddress, "advertise": m.advertiseAddress, "join": join, "dir": m.stateDir}
 	if c.roles != nil && !knowsNoRoles {
 		var voters []string
 		for _, peer := range c.members[:voterCount(c.roleMemberCount())] {
@@ -67,14 +70,14 @@
 	if err != nil {
 		return err
 	}
-	m.peerID = ""
 	return os.WriteFile(m.configFile, encoded, 0o600)
 }
 
-// deafen asks until a time, or until over is closed.
+// stall connects to the member as a peer does and sends requests at a rate without reading the answers, until the given time or until done is closed.
+// It connects again when the member closes the connection.
 func (m *member) stall(perSecond float64, until time.Time, done <-chan struct{}) {
 	hello, request, err := stalledpeer.Frames(fleetName, m.advertiseAddress)
-	if err != nil { // numbers and names always pack
+	if err != nil { // numbers and names can always be encoded
 		panic(err)
 	}
 	var conn net.Conn
@@ -93,16 +96,16 @@
 				conn = nil
 				continue
 			}
-			_ = conn.(*net.TCPConn).SetReadBuffer(4 << 10) // fails only on one that is closed
+			_ = conn.(*net.TCPConn).SetReadBuffer(4 << 10) // fails only on a closed connection
 			frame = hello
 		}
 		_ = conn.SetWriteDeadline(until) // likewise
 		if _, err := conn.Write(frame); err != nil {
-			conn.Close()
+			_ = conn.Close() // a write to it has failed
 			conn = nil
 		}
 	}
 	if conn != nil {
-		conn.Close()
+		_ = conn.Close() // nothing was read from it
 	}
 }
--- a/internal/lab/processcluster/roles.go
+++ b/internal/lab/processcluster/roles.go
@@ -8,13 +8,20 @@
 	"hazelwheel/internal/checker"
 )
 
-// What is judged of owners.
+// The rules for owners of singleton roles.
 const (
-	staleOwnerRule = "old-owner" // no effect is taken under a token lower than one that was taken before
-	noOwnerRule    = "no-owner"  // some time after the last trouble, while a majority of the electors lives, no job is for long without an owner that all know
+	staleOwnerRule = "old-owner" // no effect is accepted under a lower token than an earlier one
+	noOwnerRule    = "no-owner"  // in calm, while a majority of voters lives, each role has an owner that all members know, within ownerTimeout
 )
 
-// electorsOf returns how many of so many sidecars are electors.
+// ownerTimeout is how long after the last fault each role must have an owner. The target is 5 s; the check allows four times as much, because the
+// machine is shared.
+const ownerTimeout = 20 * time.Second
+
+// maxRoleViolations is the number of violations of roles that are reported in detail, by each checker.
+const maxRoleViolations = 20
+
+// voterCount returns how many of the given number of sidecars are voters, the first ones.
 func voterCount(sidecars int) int {
 	switch {
 	case sidecars >= 15:
@@ -25,25 +32,25 @@
 	return 3
 }
 
-// Owned is what came of the jobs.
+// RoleReport is the result for singleton roles.
 type RoleReport struct {
-	Violations          []string  `json:"wrong,omitempty"`
-	Confirmations       int       `json:"confirmed"` // words of leaders that a grant holds, which have an order with the grants
-	Effects             int       `json:"effects"`   // on the wire
-	Stale               int       `json:"old"`       // of these, under a token lower than one that somebody had said
-	Rejected            int       `json:"refused"`   // answers to old ones
-	StaleByOwner        int       `json:"late"`      // effects that their owner itself said after a greater token had been said
-	Grants              int       `json:"grants"`    // that the doors told of
-	WithoutOwnerSeconds []float64 `json:"without_s"` // for how long no sidecar that runs held a job, each time
+	Violations          []string  `json:"wrong,omitempty"` // of staleOwnerRule
+	Confirmations       int       `json:"confirmed"`       // renewals confirmed by leaders, all consistent with one order of the grants
+	Effects             int       `json:"effects"`         // frames between sidecars that carry or reject an effect
+	Stale               int       `json:"old"`             // of these, under a lower token than an earlier one
+	Rejected            int       `json:"refused"`         // of these, rejections of stale effects
+	StaleByOwner        int       `json:"late"`            // stale effects sent by their owner itself
+	Grants              int       `json:"grants"`          // that admin endpoints reported
+	WithoutOwnerSeconds []float64 `json:"without_s"`       // each time in which no running sidecar held a role
 }
 
-// owners is what a door tells of jobs, as far as it is looked at here.
+// roleView is the answer of an admin endpoint to OWNERS, as far as it is used here.
 type roleView struct {
 	Here struct {
 		Elector bool `json:"elector"`
 		Leads   bool `json:"leads"`
 	} `json:"here"`
-	UnwillingReason string `json:"unwilling"` // why it does nothing for others
+	UnwillingReason string `json:"unwilling"` // why the sidecar takes no role; empty if it would
 	Voters          []struct {
 		State string `json:"state"`
 	} `json:"electors"`
@@ -56,6 +63,7 @@
 	} `json:"jobs"`
 }
 
+// queryRoles queries an admin endpoint for roles and returns nil if it does not answer.
 func queryRoles(address string) *roleView {
 	var view roleView
 	if queryAdmin(address, "OWNERS", &view) != nil {
@@ -64,26 +72,32 @@
 	return &view
 }
 
-// jobs are those that a troupe's sidecars do.
+// roles checks the singleton roles of a cluster. Cluster.mu guards the fields below grants.
 type roles struct {
 	names               []string
 	effects             *EffectChecker
 	grants              *GrantHistory
 	violations          []string
-	tokens              map[string]map[uint64]bool
-	ownerlessSince      map[string]time.Time // when the last that held a job was last seen to; the zero time while one does
+	tokens              map[string]map[uint64]bool // by role: all that members have reported
+	ownerlessSince      map[string]time.Time       // by role: when no running sidecar was first seen to hold it; no entry while one does
 	withoutOwnerSeconds []float64
-	ownedAt             map[string]time.Time // when a job had an owner that all named, last
-	isReported          bool                 // that all is not well, in this calm
+	ownedAt             map[string]time.Time // by role: when all members last named its owner
+	isReported          bool                 // a violation of noOwnerRule was reported in this calm
 }
 
+// newRoles returns checkers of the named roles.
 func newRoles(names []string) *roles {
-	return &roles{names: names, effects: NewEffectChecker(), grants: NewGrantHistory(), tokens: map[string]map[uint64]bool{}, ownerlessSince: map[string]time.Time{}, ownedAt: map[string]time.Time{}}
+	return &roles{names: names, effects: NewEffectChecker(), grants: NewGrantHistory(), tokens: map[string]map[uint64]bool{},
+		ownerlessSince: map[string]time.Time{}, ownedAt: map[string]time.Time{}}
 }
 
+// report builds the report after the processes have exited.
 func (r *roles) report() *RoleReport {
 	violations, effects, rejected, stale := r.effects.Results()
-	report := &RoleReport{Violations: append(violations, r.violations...), Effects: effects, Rejected: rejected, Stale: stale, StaleByOwner: r.effects.StaleByOwner(), WithoutOwnerSeconds: r.withoutOwnerSeconds}
+	report := &RoleReport{
+		Violations: append(violations, r.violations...), Effects: effects, Rejected: rejected, Stale: stale, StaleByOwner: r.effects.StaleByOwner(),
+		WithoutOwnerSeconds: r.withoutOwnerSeconds,
+	}
 	var reason string
 	if report.Confirmations, reason = r.grants.CheckLinearizable(); reason != "" {
 		report.Violations = append(report.Violations, reason)
@@ -94,7 +108,15 @@
 	return report
 }
 
-// judgeOwners looks at one round of the doors' answers.
+// roleObservation is what the views of one poll say of a role together.
+type roleObservation struct {
+	held        uint64          // the greatest token that a member holds; 0: none holds the role
+	reported    map[uint64]bool // the tokens that members report as the owner's
+	hasMajority bool            // all members see a majority of the voters alive
+	willing     int             // members that would take roles
+}
+
+// checkOwners checks the views that were polled at one time; faultAt is the time of the last fault before they were.
 func (c *Cluster) checkOwners(views []*roleView, faultAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,57 +126,79 @@
 		roles.isReported = false
 	}
 	for _, name := range roles.names {
-		held, difference, reported, hasMajority, willing := uint64(0), "", map[uint64]bool{}, true, 0
-		for i, view := range views {
-			if view == nil {
+		observed := c.observeRole(name, views)
+		difference := observed.difference(name)
+		roles.recordOwnerless(name, observed.held, now)
+		if difference == "" || !observed.hasMajority || observed.willing == 0 { // on a machine so busy that no sidecar is willing, a role needs no owner
+			roles.ownedAt[name] = now
+		}
+		// Danger: if the machine stops for a second all leases expire, and the next poll finds no owner; only a lasting lack is a violation.
+		if c.faultAt.Equal(faultAt) && calm > ownerTimeout && now.Sub(roles.ownedAt[name]) > ownerTimeout && !roles.isReported {
+			roles.isReported = true
+			c.reportViolation(checker.Rule(noOwnerRule), "", "%.1f s after the last trouble: %s; %d would do it", calm.Seconds(), difference, observed.willing)
+		}
+	}
+}
+
+// observeRole combines the views of a role, and records the tokens in them. The caller holds mu.
+func (c *Cluster) observeRole(name string, views []*roleView) roleObservation {
+	roles := c.roles
+	observed := roleObservation{reported: map[uint64]bool{}, hasMajority: true}
+	for i, view := range views {
+		if view == nil {
+			continue
+		}
+		if view.UnwillingReason == "" {
+			observed.willing++
+		}
+		observed.hasMajority = observed.hasMajority && view.liveVoters() > len(view.Voters)/2
+		for _, role := range view.Roles {
+			if role.Job != name {
 				continue
 			}
-			if view.UnwillingReason == "" {
-				willing++
+			if !slices.IsSorted(role.Tokens) && len(roles.violations) < maxRoleViolations {
+				roles.violations = append(roles.violations,
+					fmt.Sprintf("%s says that it has taken effects of %s under the tokens %v", c.members[i].name, name, role.Tokens))
 			}
-			live := 0
-			for _, voter := range view.Voters {
-				if voter.State == "alive" {
-					live++
-				}
+			observed.held = max(observed.held, role.Held)
+			observed.reported[role.Token] = true
+			if roles.tokens[name] == nil {
+				roles.tokens[name] = map[uint64]bool{}
 			}
-			hasMajority = hasMajority && live > len(view.Voters)/2
-			for _, role := range view.Roles {
-				if role.Job != name {
-					continue
-				}
-				if !slices.IsSorted(role.Tokens) && len(roles.violations) < 20 {
-					roles.violations = append(roles.violations, fmt.Sprintf("%s says that it has taken effects of %s under the tokens %v", c.members[i].name, name, role.Tokens))
-				}
-				if held = max(held, role.Held); roles.tokens[name] == nil {
-					roles.tokens[name] = map[uint64]bool{}
-				}
-				if reported[role.Token] = true; role.Token != 0 {
-					roles.tokens[name][role.Token] = true
-				}
+			if role.Token != 0 {
+				roles.tokens[name][role.Token] = true
 			}
 		}
-		if len(reported) > 1 || held == 0 || !reported[held] {
-			difference = fmt.Sprintf("%s: held under %d, and the doors tell of %v", name, held, reported)
-		}
-		ownerlessSince, isOwnerless := roles.ownerlessSince[name]
-		switch {
-		case held != 0 && isOwnerless:
-			roles.withoutOwnerSeconds = append(roles.withoutOwnerSeconds, now.Sub(ownerlessSince).Seconds())
-			delete(roles.ownerlessSince, name)
-		case held == 0 && !isOwnerless && len(roles.tokens[name]) > 0:
-			roles.ownerlessSince[name] = now
-		}
-		if difference == "" || !hasMajority || willing == 0 { // where the machine starves all, nobody is to own anything
-			roles.ownedAt[name] = now
-		}
-		// Danger: on a machine that stands still for a second all leases end, and the next look finds nobody.
-		if c.faultAt.Equal(faultAt) && calm > ownerTimeout && now.Sub(roles.ownedAt[name]) > ownerTimeout && !roles.isReported {
-			roles.isReported = true
-			c.reportViolation(checker.Rule(noOwnerRule), "", "%.1f s after the last trouble: %s; %d would do it", calm.Seconds(), difference, willing)
+	}
+	return observed
+}
+
+// liveVoters returns how many voters the view holds for alive.
+func (v *roleView) liveVoters() (live int) {
+	for _, voter := range v.Voters {
+		if voter.State == "alive" {
+			live++
 		}
 	}
+	return live
 }
 
-// ownedWithin after the last trouble each job has an owner. Aim: 5 s; what fails is four times that, since the machine is shared.
-const ownerTimeout = 20 * time.Second
+// difference describes how the members differ on the owner of a role; it is empty if they agree.
+func (o *roleObservation) difference(name string) string {
+	if len(o.reported) > 1 || o.held == 0 || !o.reported[o.held] {
+		return fmt.Sprintf("%s: held under %d, and the doors tell of %v", name, o.held, o.reported)
+	}
+	return ""
+}
+
+// recordOwnerless records the times in which no member holds a role that was granted before.
+func (r *roles) recordOwnerless(name string, held uint64, now time.Time) {
+	since, isOwnerless := r.ownerlessSince[name]
+	switch {
+	case held != 0 && isOwnerless:
+		r.withoutOwnerSeconds = append(r.withoutOwnerSeconds, now.Sub(since).Seconds())
+		delete(r.ownerlessSince, name)
+	case held == 0 && !isOwnerless && len(r.tokens[name]) > 0:
+		r.ownerlessSince[name] = now
+	}
+}
--- a/internal/lab/processcluster/settings.go
+++ b/internal/lab/processcluster/settings.go
@@ -7,28 +7,29 @@
 	"hazelwheel/internal/environment"
 )
 
-// Settings are a fleet to be played.
+// Settings configures a cluster.
 type Settings struct {
-	Binary      string // hazelwheel's file
+	Binary      string // path of the hazelwheel program
 	Sidecars    int
-	Servers     int
+	Servers     int // backend servers
 	Seed        uint64
-	Duration    time.Duration
-	Script      *environment.Script // nil: there are no troubles, or with Draw those that the seed draws
+	Duration    time.Duration       // of the run
+	Script      *environment.Script // faults to inject; nil: none, or with DrawFaults those drawn from the seed
 	DrawFaults  bool
-	Load        float64      // of the boxes' capacity; 0: drawn
-	Maintenance *Maintenance // on boxes; nil: none
-	Roles       []string     // that one sidecar does on behalf of all; none: there are no electors either
-	Dir         string       // for configurations, states and logs
-	Log         io.Writer
-	// Other is another version's file, which the last Others sidecars run. They know the others, and nothing of jobs unless OthersOwn.
+	Load        float64      // fraction of the servers' capacity; 0: drawn
+	Maintenance *Maintenance // of servers; nil: none
+	Roles       []string     // singleton roles; none: there are no voters either
+	Dir         string       // for configuration files, stored states and logs
+	Log         io.Writer    // for the output of the processes
+	// OtherBinary is the program of another version, which the last OtherCount sidecars run. They are members like the rest, but are configured
+	// without roles unless OthersHaveRoles is set.
 	OtherBinary     string
 	OtherCount      int
 	OthersHaveRoles bool
-	Trials          int // so many times what owns the job, or leads the electors, is taken away, in place of drawn troubles; it ends with the last
+	Trials          int // how often the owner of the first role or the leader is made to fail, in place of drawn faults; the run ends with the last
 }
 
-// Ranges are what fleets are drawn from.
+// Ranges returns the ranges from which the environment of the cluster is drawn.
 func (s *Settings) Ranges() environment.Ranges {
 	fixed := func(value float64) environment.Range { return environment.Range{Min: value, Max: value} }
 	ranges := environment.StandardRanges()
@@ -38,13 +39,13 @@
 	if s.Load > 0 {
 		ranges.Load = fixed(s.Load)
 	}
-	if s.Trials > 0 { // many such fleets are played beside each other
+	if s.Trials > 0 { // many such clusters run at the same time
 		ranges.RatePerSecond = fixed(20)
 	}
 	return ranges
 }
 
-// Troubles returns the script that is played: the one that is given, one that the seed draws, or none.
+// FaultScript returns the faults to inject: Script, those drawn from the seed with DrawFaults, or none.
 func (s *Settings) FaultScript() environment.Script {
 	switch {
 	case s.Script != nil:
@@ -55,20 +56,23 @@
 	return environment.Script{Seed: s.Seed}
 }
 
-// lotS is for how long a lot of troubles is drawn at a time.
-const faultBatchSeconds = 45.0
+// Faults are drawn in batches of faultBatchSeconds, of which the last calmSeconds are without faults, so that the members can agree.
+const (
+	faultBatchSeconds = 45.0
+	calmSeconds       = 20
+)
 
-// DrawScript draws the troubles of a seed for as long as the fleet is played. Each lot leaves time to agree.
+// DrawScript draws the faults of the seed for the duration of the run. Faults that can only be simulated are left out.
 func (s *Settings) DrawScript() environment.Script {
 	day := environment.Draw(s.Seed, s.Ranges())
 	script := environment.Script{Seed: s.Seed}
 	for start := 0.0; start+faultBatchSeconds <= day.LengthSeconds || start == 0; start += faultBatchSeconds {
 		batchDay := day
-		batchDay.Seed, batchDay.LengthSeconds = s.Seed*1_000_003+uint64(start), min(faultBatchSeconds-20, day.LengthSeconds)
+		batchDay.Seed, batchDay.LengthSeconds = s.Seed*1_000_003+uint64(start), min(faultBatchSeconds-calmSeconds, day.LengthSeconds)
 		batch := environment.DrawScript(&batchDay)
 		environment.DrawPeerFaults(&batchDay, &batch)
 		for _, fault := range batch.Faults {
-			// Discovery moves a few times a day at the most.
+			// Reloads are left out: discovery moves a few times a day at most.
 			if fault.AtSeconds += start; fault.Kind != environment.Reload && fault.WhyOnlySimulated() == "" {
 				fault.DurationSeconds = min(fault.DurationSeconds, start+batchDay.LengthSeconds-fault.AtSeconds)
 				if len(s.Roles) > 0 && fault.State == environment.StateTorn && int(fault.AtSeconds*1000)%2 == 0 {
--- a/internal/lab/processcluster/time.go
+++ b/internal/lab/processcluster/time.go
@@ -5,11 +5,13 @@
 	"time"
 )
 
+// unixNow returns the Unix time in seconds.
 func unixNow() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
+// durationOfSeconds converts seconds to a duration.
 func durationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// rest waits for a while, and tells whether the play went on until then.
+// sleep waits for a duration and reports whether it passed before ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -19,4 +21,5 @@
 	}
 }
 
+// unixSeconds converts a time to Unix seconds.
 func unixSeconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
--- a/internal/lab/processcluster/trials.go
+++ b/internal/lab/processcluster/trials.go
@@ -12,30 +12,30 @@
 	"hazelwheel/internal/lab/realtime"
 )
 
-// Trial is one time that an owner, a leader or both were taken away, from there to the next owner that all others know.
+// Trial is one fault of the owner of the first role, the leader or both, up to the next owner that all other members know.
 type Trial struct {
-	Fault        string  `json:"what"` // the trouble
-	Target       string  `json:"who"`  // what it hit
+	Fault        string  `json:"what"` // its kind
+	Target       string  `json:"who"`  // what failed: owner, leader or both
 	AtSeconds    float64 `json:"at_s"`
-	HasMoved     bool    `json:"moved"`   // the next owner has another token
-	KnownSeconds float64 `json:"known_s"` // until then
+	HasMoved     bool    `json:"moved"`   // the next owner has a greater token
+	KnownSeconds float64 `json:"known_s"` // from the fault until all others knew the next owner
 }
 
-// whole is what the doors say of the job together.
+// ownershipView is what the admin endpoints report of the first role together.
 type ownershipView struct {
 	token  uint64
-	owner  int // -1: none that all name
-	leader int
-	live   int
+	owner  int // index of the member; -1: unknown
+	leader int // likewise
+	live   int // members that answered
 }
 
-// lookS is the time between two looks of a trial, which waits for mostWaitS at most once its trouble is over.
+// trialPollSeconds is the time between two polls of a trial, trialTimeoutSeconds how long it waits for an owner when the fault is over.
 const (
 	trialPollSeconds    = 0.1
 	trialTimeoutSeconds = 60.0
 )
 
-// look asks the doors of all but some of those that know of jobs.
+// queryOwnership polls the members that know of roles, but excluded ones, and reports whether they agree on an owner and a leader.
 func (c *Cluster) queryOwnership(excluded []int) (ownership ownershipView, agreed bool) {
 	views := make([]*roleView, c.roleMemberCount())
 	var queries sync.WaitGroup
@@ -71,7 +71,7 @@
 	return ownership, agreed && ownership.owner >= 0 && ownership.leader >= 0
 }
 
-// await looks until all but some agree on an owner, and more holds of it, or a time has come.
+// awaitOwner polls until all members but excluded ones agree on an accepted owner, and reports whether they did before the given time.
 func (c *Cluster) awaitOwner(ctx context.Context, excluded []int, until time.Time, isAccepted func(ownershipView) bool) (ownership ownershipView, ok bool) {
 	ticker := time.NewTicker(time.Duration(trialPollSeconds * float64(time.Second)))
 	defer ticker.Stop()
@@ -88,7 +88,7 @@
 	return ownership, false
 }
 
-// try plays the trials, one after the other.
+// runTrials runs the trials one after the other. It ends early when a role stays without an owner, which is a violation.
 func (c *Cluster) runTrials(ctx context.Context, play *realtime.Play) {
 	anyOwner := func(ownershipView) bool { return true }
 	timeout := time.Duration(trialTimeoutSeconds * float64(time.Second))
@@ -99,7 +99,7 @@
 			c.reportNoOwner(ctx, "before trial %d no owner is known to all", len(c.trials)+1)
 			return
 		}
-		// At any instant of an owner's round: between two troubles there is as much again.
+		// The fault comes at any time in the owner's renewal interval.
 		sleep(ctx, durationOfSeconds(rng.Float64()*2))
 		fault, victims, target := c.drawTrial(rng, before)
 		done := make(chan error, 1)
@@ -117,7 +117,7 @@
 		faultEnd := startedAt.Add(time.Duration((fault.DurationSeconds + 0.2) * float64(time.Second)))
 		hitOwner := slices.Contains(victims, before.owner)
 		after, ok := c.awaitOwner(ctx, victims, faultEnd, func(ownership ownershipView) bool { return !hitOwner || ownership.token > before.token })
-		if !ok { // too short to move anything, or whom it hit holds or leads again
+		if !ok { // the fault was too short to change the owner, or its target owns or leads again
 			after, ok = c.awaitOwner(ctx, nil, time.Now().Add(timeout), anyOwner)
 		}
 		knownSeconds := time.Since(startedAt).Seconds()
@@ -130,7 +130,7 @@
 	}
 }
 
-// lost notes that a job has no owner, unless the play ends.
+// reportNoOwner reports that a role has no owner, unless the run has ended.
 func (c *Cluster) reportNoOwner(ctx context.Context, format string, args ...any) {
 	if ctx.Err() != nil {
 		return
@@ -140,7 +140,7 @@
 	c.reportViolation(checker.Rule(noOwnerRule), "", format, args...)
 }
 
-// drawTrial draws what is taken away, and how. Danger: where all leases outlive the trouble nothing is tried; most last for longer.
+// drawTrial draws the target of a fault and the fault. Danger: a fault that all leases outlast tests nothing, so most last longer.
 func (c *Cluster) drawTrial(rng *rand.Rand, ownership ownershipView) (fault environment.Fault, victims []int, target string) {
 	switch draw := rng.IntN(10); {
 	case ownership.owner == ownership.leader:
@@ -170,7 +170,7 @@
 			}
 		}
 		fault.From, fault.To, fault.OneWay = victims, others, rng.IntN(3) > 0
-		if fault.OneWay && rng.IntN(2) == 0 { // they say on, and hear nothing
+		if fault.OneWay && rng.IntN(2) == 0 { // the victims send and receive nothing
 			fault.From, fault.To = others, victims
 		}
 	}
