--- a/internal/sim/troubles_test.go
+++ b/internal/sim/faults_test.go
@@ -11,8 +11,8 @@
 	"hazelwheel/internal/environment"
 )
 
-// Each trouble between sidecars does what its word says, breaks no rule, and without it that does not come.
-func TestPeerTroubles(t *testing.T) {
+// Each fault between sidecars has its effect, violates no rule, and the effect does not occur without it.
+func TestPeerFaults(t *testing.T) {
 	const seed, at = 3, 6.0
 	last := func(d *day) *simulatedSidecar { return d.sidecars[len(d.sidecars)-1] }
 	seen := func(d *day) (of string) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Among 300 sidecars probes are far apart, and with them the decisions' wake-ups: none that was replaced is left behind.
-func TestLargeFleetComesToRest(t *testing.T) {
+// Among 300 sidecars health checks, and so the policy's wake-ups, are far apart: no replaced timer is left.
+func TestLargeFleetLeavesNoTimers(t *testing.T) {
 	t.Parallel()
 	o := Options{Sidecars: 300, FleetMode: FleetOff}
 	r, err := Play(o.DrawScript(3), o)
@@ -73,32 +73,32 @@
 	assert.Empty(t, r.Violations)
 }
 
-// tally counts what a day's judge is told.
-type tally struct {
-	kinds     map[checker.Kind]int
-	early     int // clients that have left before their time was over
-	byBoxes   int // connections that boxes have closed
-	leftOut   int // boxes that a list has left out while they drained
-	drains    map[int32]bool
-	notInTime int // connections that were not up in time
+// eventCounter counts events of a day.
+type eventCounter struct {
+	kinds           map[checker.Kind]int
+	earlyDepartures int // clients that left before their time-out
+	closedByServers int // connections
+	omittedServers  int // left out by a list while draining
+	drains          map[int32]bool
+	lateConnects    int // connections not established in time
 }
 
-func (c *tally) Observe(e checker.Event) {
+func (c *eventCounter) Observe(e checker.Event) {
 	c.kinds[e.Kind]++
 	switch {
 	case e.Kind == checker.RequestAbandoned && e.At < e.Deadline:
-		c.early++
+		c.earlyDepartures++
 	case e.Kind == checker.ConnectionClosed && e.ByServer:
-		c.byBoxes++
+		c.closedByServers++
 	case e.Kind == checker.ListChanged:
 		c.drains[e.Server] = e.Status == checker.Draining
 	case e.Kind == checker.EntryDelivered && e.Status == checker.Deleted && c.drains[e.Server]:
-		c.leftOut++
+		c.omittedServers++
 	}
 }
 
-// Each trouble of connections, watches and clients does what its word says, breaks no rule, and without it that does not come.
-func TestConnectionTroubles(t *testing.T) {
+// Each fault of connections, watches and clients has its effect, violates no rule, and the effect does not occur without it.
+func TestConnectionFaults(t *testing.T) {
 	const seed, at = 3, 6.0
 	o := Options{FleetMode: FleetOff}
 	d := environment.Draw(seed, o.Ranges())
@@ -110,24 +110,24 @@
 		name   string
 		with   environment.Fault
 		beside []environment.Fault
-		does   func(c *tally) bool
+		does   func(c *eventCounter) bool
 	}{
-		{"silent-watch", environment.Fault{Kind: environment.SilentWatch, AtSeconds: at}, nil, func(c *tally) bool {
+		{"silent-watch", environment.Fault{Kind: environment.SilentWatch, AtSeconds: at}, nil, func(c *eventCounter) bool {
 			return c.kinds[checker.WatchStalled] == len(d.Sidecars) && c.kinds[checker.WatchOpened] == 2*len(d.Sidecars)
 		}},
-		{"watch-reset", environment.Fault{Kind: environment.WatchReset, AtSeconds: at}, nil, func(c *tally) bool {
+		{"watch-reset", environment.Fault{Kind: environment.WatchReset, AtSeconds: at}, nil, func(c *eventCounter) bool {
 			return c.kinds[checker.WatchClosed] == len(d.Sidecars) && c.kinds[checker.WatchOpened] == 2*len(d.Sidecars)
 		}},
 		{"whole-list", environment.Fault{Kind: environment.FullList, AtSeconds: at, DurationSeconds: 10},
-			[]environment.Fault{{Kind: environment.ScaleIn, AtSeconds: at, DrainSeconds: 14, Servers: boxes[:2]}, {Kind: environment.WatchReset, AtSeconds: at + 4}}, func(c *tally) bool {
-				return c.leftOut == 2*len(d.Sidecars)
+			[]environment.Fault{{Kind: environment.ScaleIn, AtSeconds: at, DrainSeconds: 14, Servers: boxes[:2]}, {Kind: environment.WatchReset, AtSeconds: at + 4}}, func(c *eventCounter) bool {
+				return c.omittedServers == 2*len(d.Sidecars)
 			}},
-		{"clients-leave", environment.Fault{Kind: environment.ClientsLeave, AtSeconds: at, DurationSeconds: 10, Sidecars: []int{0, 1}, Share: 0.5}, nil, func(c *tally) bool {
-			return c.early > 10 && c.kinds[checker.RequestHalfClosed] > 5
+		{"clients-leave", environment.Fault{Kind: environment.ClientsLeave, AtSeconds: at, DurationSeconds: 10, Sidecars: []int{0, 1}, Share: 0.5}, nil, func(c *eventCounter) bool {
+			return c.earlyDepartures > 10 && c.kinds[checker.RequestHalfClosed] > 5
 		}},
 		{"late-connect", environment.Fault{Kind: environment.LateConnect, AtSeconds: at, DurationSeconds: 10, Servers: boxes, Share: 0.5, DelaySeconds: 1.5},
-			[]environment.Fault{{Kind: environment.EarlyClose, AtSeconds: at, DurationSeconds: 10, Servers: boxes, Share: 0.2}}, func(c *tally) bool { return c.notInTime > 10 }},
-		{"early-close", environment.Fault{Kind: environment.EarlyClose, AtSeconds: at, DurationSeconds: 10, Servers: boxes, Share: 0.2}, nil, func(c *tally) bool { return c.byBoxes > 100 }},
+			[]environment.Fault{{Kind: environment.EarlyClose, AtSeconds: at, DurationSeconds: 10, Servers: boxes, Share: 0.2}}, func(c *eventCounter) bool { return c.lateConnects > 10 }},
+		{"early-close", environment.Fault{Kind: environment.EarlyClose, AtSeconds: at, DurationSeconds: 10, Servers: boxes, Share: 0.2}, nil, func(c *eventCounter) bool { return c.closedByServers > 100 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -136,12 +136,12 @@
 				if on {
 					s.Faults = append([]environment.Fault{c.with}, c.beside...)
 				}
-				seen := &tally{kinds: map[checker.Kind]int{}, drains: map[int32]bool{}}
+				seen := &eventCounter{kinds: map[checker.Kind]int{}, drains: map[int32]bool{}}
 				o := o
 				o.Observer = seen
 				o.Trace = func(_ float64, line string) {
 					if strings.Contains(line, " not up ") {
-						seen.notInTime++
+						seen.lateConnects++
 					}
 				}
 				r, err := Play(s, o)
--- a/internal/sim/quotas_test.go
+++ b/internal/sim/quotas_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A batch at ten times its share takes from the alerts of others; held to its share it does not, whatever troubles there are.
-func TestABatchIsHeldToItsShare(t *testing.T) {
+// A batch at ten times its quota reduces the service of alerts; with quotas enforced it does not, whatever the faults.
+func TestQuotaLimitsBatch(t *testing.T) {
 	const days = 8
 	alerts := func(o Options) float64 {
 		var all Tally
--- a/internal/sim/owners_test.go
+++ b/internal/sim/roles_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The real sidecars own jobs in simulated time too, over disks that lose, tear and put back old states: one is granted the job, and
-// no old owner's effect is taken.
-func TestOwnersOnADay(t *testing.T) {
+// Sidecars hold leases of roles in simulated time, over disks that lose, truncate and restore states: a lease is granted, and
+// no effect of a former owner is accepted.
+func TestRolesOnADay(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		o := Options{FleetMode: FleetWithRoles}
 		r, err := Play(o.DrawScript(seed), o)
@@ -23,8 +23,9 @@
 	}
 }
 
-// On a quiet day three of twelve watch, and the list is no older at the slowest sidecar than with a watch of each one's own.
-func TestListsArePassedOn(t *testing.T) {
+// On a day without faults three of twelve sidecars watch the discovery, and updates reach the slowest sidecar no later than
+// with a watch of each.
+func TestFleetRelaysLists(t *testing.T) {
 	play := func(together FleetMode) (w ListObserver) {
 		o := Options{FleetMode: together, Sidecars: 12, Observer: &w}
 		s := o.DrawScript(1)
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -13,13 +13,13 @@
 	"hazelwheel/internal/environment"
 )
 
-// days is how many seeds the tests play. The laboratory's command plays more.
-const days = 3
+// testedSeeds is the number of seeds that the tests play; `hazellab sim` plays more.
+const testedSeeds = 3
 
-// hashes plays the tests' days and returns their histories' hashes, by seed.
-func hashes(t *testing.T, jobs int) map[uint64]uint64 {
+// playDays plays the tested seeds and returns the hashes of their histories by seed.
+func playDays(t *testing.T, jobs int) map[uint64]uint64 {
 	all := map[uint64]uint64{}
-	PlaySeeds(1, days, jobs, Options{}, func(o Outcome) bool {
+	PlaySeeds(1, testedSeeds, jobs, Options{}, func(o Outcome) bool {
 		require.NoError(t, o.Err)
 		all[o.Seed] = o.Result.Hash
 		for _, f := range o.Result.Violations {
@@ -30,12 +30,12 @@
 	return all
 }
 
-// The rules are kept, and a seed's history is the same however many are played beside it, on however many cores.
-func TestDays(t *testing.T) {
-	wide := hashes(t, runtime.NumCPU())
-	assert.Len(t, wide, days)
+// Days violate no rule, and a seed's history does not depend on the number of days and cores beside it.
+func TestDaysKeepRulesAndHistory(t *testing.T) {
+	wide := playDays(t, runtime.NumCPU())
+	assert.Len(t, wide, testedSeeds)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	assert.Equal(t, wide, hashes(t, 1))
+	assert.Equal(t, wide, playDays(t, 1))
 	seen := map[uint64]bool{}
 	for _, h := range wide {
 		assert.False(t, seen[h], "two days are one")
@@ -43,8 +43,8 @@
 	}
 }
 
-// What was wrong once stays right: a script for each.
-func TestKeptScripts(t *testing.T) {
+// Scripts that once violated a rule violate none.
+func TestRegressionScripts(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("testdata/scripts/*.toml")
 	require.NoError(t, err)
@@ -64,8 +64,8 @@
 	}
 }
 
-// Who looks on changes nothing.
-func TestTraceChangesNothing(t *testing.T) {
+// A day with a trace has the same history as without.
+func TestTraceDoesNotChangeHistory(t *testing.T) {
 	t.Parallel()
 	lines := 0
 	short := Options{}.DrawScript(3)
@@ -78,8 +78,8 @@
 	assert.Greater(t, lines, 10_000)
 }
 
-// The plain balancers serve, and earn less than the decisions do.
-func TestPlainBalancers(t *testing.T) {
+// The plain balancers serve requests, and earn less than the policy's decisions.
+func TestPlainBalancersEarnLess(t *testing.T) {
 	t.Parallel()
 	service := func(c Factory) float64 {
 		var tally Tally
@@ -99,8 +99,8 @@
 	assert.Greater(t, decisions, random)
 }
 
-// A rule that a program breaks stays broken in what the shrinker leaves, and that is less.
-func TestShrink(t *testing.T) {
+// A shrunk script still violates the rule, and is shorter.
+func TestShrinkKeepsViolation(t *testing.T) {
 	t.Parallel()
 	s := Options{}.DrawScript(5)
 	s.LengthSeconds = 20
--- a/internal/sim/speech_test.go
+++ b/internal/sim/thrift_test.go
@@ -9,7 +9,7 @@
 	"hazelwheel/internal/environment"
 )
 
-// Days with their troubles keep the rules over Thrift, and one seed is one history.
+// Days over Thrift violate no rule, and a seed has one history.
 func TestDaysOverThrift(t *testing.T) {
 	t.Parallel()
 	play := func(seed uint64, speech environment.Protocol) *Result {
