--- a/cmd/hazellab/compare.go
+++ b/cmd/hazellab/compare.go
@@ -17,15 +17,16 @@
 func compareCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "compare",
-		Usage:     "say in which figures two balancers, or two experiments, differ by more than chance",
+		Usage:     "print in which figures two balancers, or two experiments, differ significantly",
 		ArgsUsage: "A B",
 		Description: "Each is FOLDER or FOLDER:BALANCER. Two folders alone are compared balancer by balancer. Two balancers of one\n" +
 			"folder are compared run by run, as they took turns.",
-		Flags:  []cli.Flag{&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the bootstrap"}},
+		Flags:  []cli.Flag{&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the `SEED` of the bootstrap"}},
 		Action: compareFolders,
 	}
 }
 
+// compareFolders prints the figures of two sides and which of them differ by more than chance.
 func compareFolders(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 2 {
 		return usageError(errors.New("compare: two are wanted, each FOLDER or FOLDER:BALANCER"))
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// openSide opens FOLDER or FOLDER:BALANCER.
+// openSide opens an experiment by FOLDER or FOLDER:BALANCER. A folder whose name has a colon is found, too.
 func openSide(text string) (s compare.Side, err error) {
 	folder := text
 	if _, err := os.Stat(text); err != nil {
@@ -61,8 +62,8 @@
 	if s.Data, err = experiment.Open(folder); err != nil {
 		return s, err
 	}
-	has := func(b experiment.Balancer) bool { return b.Name == s.Balancer }
-	if s.Balancer != "" && !slices.ContainsFunc(s.Data.Spec.Balancers, has) {
+	isNamed := func(b experiment.Balancer) bool { return b.Name == s.Balancer }
+	if s.Balancer != "" && !slices.ContainsFunc(s.Data.Spec.Balancers, isNamed) {
 		return s, fmt.Errorf("%s has no balancer %q", folder, s.Balancer)
 	}
 	return s, nil
--- a/cmd/hazellab/cores.go
+++ b/cmd/hazellab/cores.go
@@ -12,13 +12,14 @@
 	"hazelwheel/internal/lab/process"
 )
 
-// lockCores keeps other measurements off some cores.
+// lockCores waits until no other measurement uses the cores, and keeps others off them until unlock is called.
 func lockCores(ctx context.Context, lists ...[]int) (unlock func(), err error) {
 	return process.LockCores(ctx, slices.Concat(lists...), func(core int) {
 		fmt.Fprintf(os.Stderr, "waiting for core %d, which another measurement has\n", core)
 	})
 }
 
+// loadAverage returns the machine's load averages over 1, 5 and 15 minutes.
 func loadAverage() string {
 	raw, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -27,7 +28,10 @@
 	return strings.Join(strings.Fields(string(raw))[:3], " ")
 }
 
-// parseCores reads four lists of cores, like 2,3,4-5,6-7.
+// maxCores limits the number of a core.
+const maxCores = 1024
+
+// parseCores parses the cores of the program, the servers, the load and the flood, each one core or a range, like 2,3,4-5,6-7.
 func parseCores(text string) (c overload.Cores, err error) {
 	if text == "none" {
 		return c, nil
@@ -36,18 +40,18 @@
 	if len(parts) != 4 {
 		return c, fmt.Errorf("cores: %q is not four parts", text)
 	}
-	for i, to := range []*[]int{&c.Program, &c.Boxes, &c.Load, &c.Flood} {
-		from, end, ranged := strings.Cut(parts[i], "-")
-		if !ranged {
-			end = from
+	for i, list := range []*[]int{&c.Program, &c.Boxes, &c.Load, &c.Flood} {
+		from, to, isRange := strings.Cut(parts[i], "-")
+		if !isRange {
+			to = from
 		}
-		a, err1 := strconv.Atoi(from)
-		b, err2 := strconv.Atoi(end)
-		if err1 != nil || err2 != nil || a < 0 || b < a || b >= 1024 {
+		first, firstErr := strconv.Atoi(from)
+		last, lastErr := strconv.Atoi(to)
+		if firstErr != nil || lastErr != nil || first < 0 || last < first || last >= maxCores {
 			return c, fmt.Errorf("cores: %q is neither a core nor a range", parts[i])
 		}
-		for ; a <= b; a++ {
-			*to = append(*to, a)
+		for core := first; core <= last; core++ {
+			*list = append(*list, core)
 		}
 	}
 	return c, nil
--- a/cmd/hazellab/experiment.go
+++ b/cmd/hazellab/experiment.go
@@ -18,7 +18,7 @@
 func experimentCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "experiment",
-		Usage:     "measure balancers against each other, in turns",
+		Usage:     "compare balancers by runs in turn",
 		ArgsUsage: "FILE.toml",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "out", Usage: "the `FOLDER` for the figures; default: the experiment's name and the time"},
@@ -28,6 +28,8 @@
 	}
 }
 
+// runExperiment runs an experiment into a new folder, and prints how many of its runs are complete. Interrupted, the folder holds the runs so
+// far and is marked as partial.
 func runExperiment(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
 		return usageError(errors.New("experiment: one FILE.toml is wanted"))
@@ -66,16 +68,16 @@
 	return err
 }
 
-// reportProgress tells of the progress: a bar on a terminal, a line a run elsewhere.
+// reportProgress has the progress written to standard error: as a bar on a terminal, else as a line for each run.
 func reportProgress(s *experiment.Settings) {
-	failed := func(r *experiment.Record) {
+	printFailure := func(r *experiment.Record) {
 		if r.Partial {
 			fmt.Fprintf(os.Stderr, "run %d, %s: %s\n", r.Number, r.Balancer, r.Why)
 		}
 	}
 	if !term.IsTerminal(int(os.Stderr.Fd())) {
 		s.Ended = func(r *experiment.Record) {
-			if failed(r); !r.Partial {
+			if printFailure(r); !r.Partial {
 				fmt.Fprintf(os.Stderr, "run %d: %s, %s, %s, %s, repeat %d\n", r.Number, r.Balancer, r.Size, r.Load, r.Trouble, r.Repeat)
 			}
 		}
@@ -85,11 +87,12 @@
 		progressbar.OptionSetPredictTime(true), progressbar.OptionClearOnFinish())
 	s.Began = func(r experiment.Run) { bar.Describe(r.Balancer + ", " + r.Size + ", " + r.Load + ", " + r.Trouble) }
 	s.Ended = func(r *experiment.Record) {
-		failed(r)
-		_ = bar.Add(1) // fails only beyond its end
+		printFailure(r)
+		_ = bar.Add(1) // fails only beyond the last run
 	}
 }
 
+// printPlan prints the runs of an experiment in order, and how long they take.
 func printPlan(w io.Writer, s *experiment.Spec) {
 	for _, r := range s.Plan() {
 		fmt.Fprintf(w, "%4d  %s, %s, %s, %s, repeat %d\n", r.Number, r.Balancer, r.Size, r.Load, r.Trouble, r.Repeat)
--- a/cmd/hazellab/flood.go
+++ b/cmd/hazellab/flood.go
@@ -17,26 +17,27 @@
 func floodCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "flood",
-		Usage: "hold connections to a sidecar in a way that costs it something and brings it nothing",
+		Usage: "hold connections to a sidecar as a misbehaving client does",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "kind", Value: "half-head", Usage: "one of " + strings.Join(flood.Kinds(), ", ")},
 			&cli.StringFlag{Name: "target", Value: "127.0.0.1:3000", Usage: "the sidecar's `ADDRESS`"},
 			&cli.StringFlag{Name: "from", Value: "127.0.0.2", Usage: "the source `ADDRESS`, or the first of many"},
-			&cli.IntFlag{Name: "addresses", Value: 1, Usage: "how many source addresses, in turns; above 1 --from is best 127.1.0.0"},
+			&cli.IntFlag{Name: "addresses", Value: 1, Usage: "the number of source addresses, used in turn; above 1 --from is best 127.1.0.0"},
 			&cli.IntFlag{Name: "threads", Value: 3, Usage: "threads"},
-			&cli.IntFlag{Name: "links", Value: 2100, Usage: "connections held at once, by all threads together"},
-			&cli.BoolFlag{Name: "cycle", Usage: "beyond those, close the oldest for a new one; otherwise each is held until the sidecar ends it"},
-			&cli.DurationFlag{Name: "for", Value: 6 * time.Second, Usage: "how long"},
-			&cli.IntFlag{Name: "ahead", Value: 500, Usage: "unread: requests that each connection sends at once"},
-			&cli.DurationFlag{Name: "within", Value: 2400 * time.Millisecond, Usage: "slow-head: how long a head takes"},
-			&cli.StringFlag{Name: "class", Value: stub.KeyedClass, Usage: "what is asked for"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of ids"},
+			&cli.IntFlag{Name: "links", Value: 2100, Usage: "connections held at a time by all threads"},
+			&cli.BoolFlag{Name: "cycle", Usage: "beyond --links, close the oldest connection for a new one; default: hold each until the sidecar closes it"},
+			&cli.DurationFlag{Name: "for", Value: 6 * time.Second, Usage: "the duration"},
+			&cli.IntFlag{Name: "ahead", Value: 500, Usage: "unread: requests that each connection sends ahead"},
+			&cli.DurationFlag{Name: "within", Value: 2400 * time.Millisecond, Usage: "slow-head: the duration of a head"},
+			&cli.StringFlag{Name: "class", Value: stub.KeyedClass, Usage: "the class of the requests"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the `SEED` of request ids"},
 			&cli.BoolFlag{Name: "json", Usage: "print the figures as JSON"},
 		},
 		Action: runFlood,
 	}
 }
 
+// runFlood floods a sidecar until the time is over or a signal, and prints the figures.
 func runFlood(ctx context.Context, c *cli.Command) error {
 	p := flood.Plan{Kind: c.String("kind"), Addresses: c.Int("addresses"), Threads: c.Int("threads"), Links: c.Int("links"),
 		For: c.Duration("for"), Ahead: c.Int("ahead"), Within: c.Duration("within"), Cycle: c.Bool("cycle"), Seed: c.Uint64("seed")}
--- a/cmd/hazellab/loadplan.go
+++ b/cmd/hazellab/loadplan.go
@@ -15,7 +15,7 @@
 	"hazelwheel/internal/lab/stub"
 )
 
-// readLoadPlan returns what the command line asks for.
+// readLoadPlan returns the plan that the flags give, or that of the file which --plan names.
 func readLoadPlan(c *cli.Command) (p load.Plan, err error) {
 	if path := c.String("plan"); path != "" {
 		raw, err := os.ReadFile(path)
@@ -36,7 +36,7 @@
 		return p, err
 	}
 	if text := c.String("rate"); text != "" {
-		if path, recorded := strings.CutPrefix(text, "@"); recorded {
+		if path, isFile := strings.CutPrefix(text, "@"); isFile {
 			raw, err := os.ReadFile(path)
 			if err != nil {
 				return p, err
@@ -55,20 +55,20 @@
 	return p, nil
 }
 
-// parseClasses reads classes like raise-alert=1,other:safe=3.
+// parseClasses parses classes like raise-alert=1,other:safe=3. The effect of a stub server's class is known; that of others must be given.
 func parseClasses(text string) ([]load.Class, error) {
-	var all []load.Class
+	var classes []load.Class
 	for _, part := range strings.Split(text, ",") {
-		name, share, weighted := strings.Cut(part, "=")
+		name, share, hasShare := strings.Cut(part, "=")
 		c := load.Class{Share: 1}
-		if weighted {
+		if hasShare {
 			var err error
 			if c.Share, err = strconv.ParseFloat(share, 64); err != nil || c.Share <= 0 {
 				return nil, fmt.Errorf("class: %q has no share above 0", part)
 			}
 		}
-		name, effect, given := strings.Cut(name, ":")
-		if !given {
+		name, effect, hasEffect := strings.Cut(name, ":")
+		if !hasEffect {
 			effect = map[string]string{stub.SafeClass: "safe", stub.KeyedClass: "keyed", stub.UnsafeClass: "unsafe"}[name]
 		}
 		switch effect {
@@ -81,25 +81,25 @@
 			return nil, fmt.Errorf("class: %q is neither :safe, :keyed nor :unsafe", part)
 		}
 		c.Name = name
-		all = append(all, c)
+		classes = append(classes, c)
 	}
-	return all, nil
+	return classes, nil
 }
 
-// parseStages reads a rate, or stages like 100:5s,100-400:10s.
-func parseStages(text string, whole time.Duration) ([]load.Stage, error) {
-	var all []load.Stage
+// parseStages parses a rate, which lasts for the given duration, or stages like 100:5s,100-400:10s.
+func parseStages(text string, duration time.Duration) ([]load.Stage, error) {
+	var stages []load.Stage
 	for _, part := range strings.Split(text, ",") {
-		rates, length, staged := strings.Cut(part, ":")
-		s := load.Stage{For: whole}
+		rates, length, hasLength := strings.Cut(part, ":")
+		s := load.Stage{For: duration}
 		var err error
-		if staged {
+		if hasLength {
 			if s.For, err = time.ParseDuration(length); err != nil {
 				return nil, fmt.Errorf("rate: %q: %w", part, err)
 			}
 		}
-		from, to, ramp := strings.Cut(rates, "-")
-		if s.From, err = strconv.ParseFloat(from, 64); err == nil && ramp {
+		from, to, isRamp := strings.Cut(rates, "-")
+		if s.From, err = strconv.ParseFloat(from, 64); err == nil && isRamp {
 			s.To, err = strconv.ParseFloat(to, 64)
 		} else {
 			s.To = s.From
@@ -107,7 +107,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("rate: %q: not a rate, nor two with - between", part)
 		}
-		all = append(all, s)
+		stages = append(stages, s)
 	}
-	return all, nil
+	return stages, nil
 }
--- a/cmd/hazellab/maintenanceagent.go
+++ b/cmd/hazellab/maintenanceagent.go
@@ -15,43 +15,49 @@
 func maintenanceAgentCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "mechanic",
-		Usage: "stand in for somebody who works on boxes that sidecars hand over, until Ctrl-C",
+		Usage: "act as a maintenance agent for the servers that sidecars drain, until Ctrl-C",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "ops", Usage: "the `ADDRESSES` of sidecars' doors, any of which is asked", Required: true},
-			&cli.StringFlag{Name: "name", Usage: "its `NAME`", Required: true},
-			&cli.DurationFlag{Name: "takes", Usage: "how long the work on a box takes", Value: 2 * time.Second},
-			&cli.BoolFlag{Name: "twice", Usage: "say done twice"},
+			&cli.StringFlag{Name: "ops", Usage: "the `ADDRESSES` of sidecars' admin endpoints, tried in turn", Required: true},
+			&cli.StringFlag{Name: "name", Usage: "the agent's `NAME`", Required: true},
+			&cli.DurationFlag{Name: "takes", Usage: "the duration of the work on a server", Value: 2 * time.Second},
+			&cli.BoolFlag{Name: "twice", Usage: "report completion twice"},
 		},
 		Action: runMaintenanceAgent,
 	}
 }
 
+// runMaintenanceAgent runs a maintenance agent until a signal, and prints when it starts and ends the work on a server.
 func runMaintenanceAgent(ctx context.Context, c *cli.Command) error {
-	var doors []string
-	for door := range strings.SplitSeq(c.String("ops"), ",") {
-		if door = strings.TrimSpace(door); door != "" {
-			doors = append(doors, door)
+	var endpoints []string
+	for endpoint := range strings.SplitSeq(c.String("ops"), ",") {
+		if endpoint = strings.TrimSpace(endpoint); endpoint != "" {
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	if len(doors) == 0 {
+	if len(endpoints) == 0 {
 		return usageError(errors.New("ops: there are no addresses"))
 	}
-	if c.Duration("takes") < 0 {
-		return usageError(fmt.Errorf("takes: %v is less than nothing", c.Duration("takes")))
+	workDuration := c.Duration("takes")
+	if workDuration < 0 {
+		return usageError(fmt.Errorf("takes: %v is less than nothing", workDuration))
 	}
 	ctx, stop := signalContext(ctx)
 	defer stop()
 	out := c.Root().Writer
-	m := &maintenanceagent.Agent{Name: c.String("name"), AdminEndpoints: func() []string { return doors }, WorkDuration: func(string) time.Duration { return c.Duration("takes") },
-		CompletesTwice: c.Bool("twice"), OnWork: func(box string, on bool) {
-			if on {
-				fmt.Fprintln(out, "works on", box)
+	agent := &maintenanceagent.Agent{
+		Name:           c.String("name"),
+		AdminEndpoints: func() []string { return endpoints },
+		WorkDuration:   func(string) time.Duration { return workDuration },
+		CompletesTwice: c.Bool("twice"),
+		OnWork: func(server string, hasStarted bool) {
+			if hasStarted {
+				fmt.Fprintln(out, "works on", server)
 			} else {
-				fmt.Fprintln(out, "is done with", box)
+				fmt.Fprintln(out, "is done with", server)
 			}
-		}}
-	m.Run(ctx)
-	all := m.Records()
-	fmt.Fprintf(out, "%s: %d boxes\n", m.Name, len(all))
+		},
+	}
+	agent.Run(ctx)
+	fmt.Fprintf(out, "%s: %d boxes\n", agent.Name, len(agent.Records()))
 	return nil
 }
--- a/cmd/hazellab/membership.go
+++ b/cmd/hazellab/membership.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 
 	"github.com/urfave/cli/v3"
 
@@ -12,47 +13,60 @@
 func membershipCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "crowd",
-		Usage: "measure in simulated time what knowing each other costs, and how soon a death is known, by the size of the fleet",
+		Usage: "measure the costs of the membership, and how soon a death is detected, in simulated time by the size of the fleet",
 		Flags: []cli.Flag{
 			&cli.IntSliceFlag{Name: "members", Usage: "the `SIZES`", Value: []int{5, 50, 300}},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
-			&cli.StringFlag{Name: "picture", Usage: "the `FILE` for a picture of the figures by size, an SVG"},
-			&cli.BoolFlag{Name: "ways", Usage: "model the other ways that were weighed, too"},
-			&cli.FloatFlag{Name: "hours", Usage: "play drawn troubles for `N` hours in place of that, and count false deaths"},
+			&cli.StringFlag{Name: "picture", Usage: "the `FILE` for a plot of the figures by size, an SVG"},
+			&cli.BoolFlag{Name: "ways", Usage: "model the alternatives, too"},
+			&cli.FloatFlag{Name: "hours", Usage: "run drawn faults for `N` hours instead, and count false deaths"},
 		},
-		Action: func(_ context.Context, c *cli.Command) error {
-			var all []membershipsim.Costs
-			for _, n := range c.IntSlice("members") {
-				if n < 2 || n > 6000 {
-					return usageError(fmt.Errorf("members: %d is not 2 to 6000", n))
-				}
-				if h := c.Float("hours"); h > 0 {
-					t, err := membershipsim.PlayFaults(n, h*3600, c.Uint64("seed"))
-					for _, line := range t.Discrepancies {
-						fmt.Fprintln(c.Root().Writer, line)
-					}
-					fmt.Fprintf(c.Root().Writer, "%d members, %.2f hours, %d troubles: %d false deaths  trace %016x\n", n, t.HoursPlayed, t.Faults, t.FalseDeaths, t.Trace)
-					if err != nil {
-						return err
-					}
-					continue
-				}
-				f, err := membershipsim.Measure(n, c.Uint64("seed"))
-				if err != nil {
-					return err
-				}
-				fmt.Fprintln(c.Root().Writer, f)
-				all = append(all, f)
-				if c.Bool("ways") {
-					for _, w := range membershipsim.Alternatives(n, c.Uint64("seed")) {
-						fmt.Fprintln(c.Root().Writer, "      ", w)
-					}
-				}
+		Action: measureMembership,
+	}
+}
+
+// maxSimulatedMembers limits the size of a simulated fleet.
+const maxSimulatedMembers = 6000
+
+// measureMembership prints the costs of the membership by the size of the fleet, and writes the plot that --picture names; with --hours it
+// counts false deaths instead.
+func measureMembership(_ context.Context, c *cli.Command) error {
+	var costs []membershipsim.Costs
+	out, seed := c.Root().Writer, c.Uint64("seed")
+	for _, n := range c.IntSlice("members") {
+		if n < 2 || n > maxSimulatedMembers {
+			return usageError(fmt.Errorf("members: %d is not 2 to %d", n, maxSimulatedMembers))
+		}
+		if hours := c.Float("hours"); hours > 0 {
+			if err := countFalseDeaths(out, n, hours, seed); err != nil {
+				return err
 			}
-			if path := c.String("picture"); path != "" && len(all) > 1 {
-				return membershipsim.Plot(path, all)
+			continue
+		}
+		cost, err := membershipsim.Measure(n, seed)
+		if err != nil {
+			return err
+		}
+		fmt.Fprintln(out, cost)
+		costs = append(costs, cost)
+		if c.Bool("ways") {
+			for _, alternative := range membershipsim.Alternatives(n, seed) {
+				fmt.Fprintln(out, "      ", alternative)
 			}
-			return nil
-		},
+		}
+	}
+	if path := c.String("picture"); path != "" && len(costs) > 1 {
+		return membershipsim.Plot(path, costs)
+	}
+	return nil
+}
+
+// countFalseDeaths runs n members under drawn faults and prints how many live members were taken for dead.
+func countFalseDeaths(out io.Writer, n int, hours float64, seed uint64) error {
+	result, err := membershipsim.PlayFaults(n, hours*3600, seed)
+	for _, line := range result.Discrepancies {
+		fmt.Fprintln(out, line)
 	}
+	fmt.Fprintf(out, "%d members, %.2f hours, %d troubles: %d false deaths  trace %016x\n", n, result.HoursPlayed, result.Faults, result.FalseDeaths, result.Trace)
+	return err
 }
--- a/cmd/hazellab/overload.go
+++ b/cmd/hazellab/overload.go
@@ -17,12 +17,12 @@
 func overloadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "pressure",
-		Usage: "measure what a sidecar does when it is pressed: floods, load beyond its core, drains, answers nobody reads",
+		Usage: "measure a sidecar under overload: floods, load beyond its core, drains, responses that nobody reads",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "binary", Required: true, Usage: "the hazelwheel `FILE` to measure"},
-			&cli.StringFlag{Name: "vs", Usage: "another hazelwheel `FILE`, measured in turns with the first"},
-			&cli.StringSliceFlag{Name: "beside", Usage: "a plain balancer to measure where that makes sense: a kind of hazellab proxy"},
-			&cli.StringFlag{Name: "cores", Value: "2,3,4-5,6-7", Usage: "the cores of the program, the boxes, the load and the flood; none: left to the system"},
+			&cli.StringFlag{Name: "vs", Usage: "another hazelwheel `FILE`, measured in turn with the first"},
+			&cli.StringSliceFlag{Name: "beside", Usage: "a plain balancer to measure where it applies: a kind of hazellab proxy"},
+			&cli.StringFlag{Name: "cores", Value: "2,3,4-5,6-7", Usage: "the cores of the program, the servers, the load and the flood; none: left to the system"},
 			&cli.IntFlag{Name: "nice", Usage: "priority of all that is measured, -20 to 19; below 0 keeps others' work out of the figures, and is for root"},
 			&cli.IntFlag{Name: "repeats", Value: 1, Usage: "runs of each"},
 			&cli.StringFlag{Name: "only", Usage: "a `REGEXP` of the measurements' names"},
@@ -32,6 +32,7 @@
 	}
 }
 
+// measureOverload prints a table of the measurements by program. Interrupted, it prints those so far.
 func measureOverload(ctx context.Context, c *cli.Command) error {
 	s := overload.Settings{Repeats: c.Int("repeats"), Nice: c.Int("nice"), Say: os.Stderr}
 	if s.Nice < -20 || s.Nice > 19 {
--- a/cmd/hazellab/report.go
+++ b/cmd/hazellab/report.go
@@ -17,48 +17,48 @@
 func reportCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "report",
-		Usage:     "turn experiments' folders into report.html and report.md",
+		Usage:     "write report.html and report.md of experiments",
 		ArgsUsage: "FOLDER...",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "out", Usage: "the `FOLDER` for the pages; default: the first of those that are read"},
+			&cli.StringFlag{Name: "out", Usage: "the `FOLDER` for the pages; default: that of the first experiment"},
 			&cli.BoolFlag{Name: "pictures", Usage: "write each plot as an SVG file, too"},
 		},
 		Action: writeReportPages,
 	}
 }
 
+// writeReportPages writes report.html and report.md of experiments, and with --pictures their plots.
 func writeReportPages(_ context.Context, c *cli.Command) error {
-	var all []*experiment.Data
+	var experiments []*experiment.Data
 	for _, folder := range c.Args().Slice() {
 		d, err := experiment.Open(folder)
 		if err != nil {
 			return usageError(err)
 		}
-		all = append(all, d)
+		experiments = append(experiments, d)
 	}
-	if len(all) == 0 {
+	if len(experiments) == 0 {
 		return usageError(errors.New("report: a FOLDER is wanted"))
 	}
 	out := c.String("out")
 	if out == "" {
-		out = all[0].Folder
+		out = experiments[0].Folder
 	}
 	for name, write := range map[string]func(io.Writer, []*experiment.Data) error{"report.html": report.HTML, "report.md": report.Markdown} {
 		f, err := os.Create(filepath.Join(out, name))
 		if err != nil {
 			return err
 		}
-		err = write(f, all)
-		if err = errors.Join(err, f.Close()); err != nil { // what is not whole is no report
+		err = write(f, experiments)
+		if err = errors.Join(err, f.Close()); err != nil { // a page that is not complete is an error
 			return err
 		}
 	}
-	for _, d := range all {
-		if !c.Bool("pictures") {
-			break
-		}
-		if err := report.Pictures(out, d); err != nil {
-			return err
+	if c.Bool("pictures") {
+		for _, d := range experiments {
+			if err := report.Pictures(out, d); err != nil {
+				return err
+			}
 		}
 	}
 	fmt.Fprintf(c.Root().Writer, "%s and report.md\n", filepath.Join(out, "report.html"))
--- a/cmd/hazellab/signals.go
+++ b/cmd/hazellab/signals.go
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// signalContext returns a context that ends with Ctrl-C or a word to end. A second one ends the program at once.
+// signalContext returns a context that ends with the first SIGINT or SIGTERM. A second one ends the program at once.
 func signalContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	context.AfterFunc(ctx, stop)
--- a/cmd/hazellab/stub.go
+++ b/cmd/hazellab/stub.go
@@ -13,29 +13,30 @@
 func stubCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "standin",
-		Usage: "play boxes that answer alike, and their discovery, until a signal ends it",
+		Usage: "run stub servers that all respond alike, and their discovery, until a signal",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "boxes", Value: 3, Usage: "how many boxes"},
-			&cli.StringFlag{Name: "base", Value: "127.10.0.1", Usage: "the first box's `ADDRESS`; the others follow it"},
-			&cli.IntFlag{Name: "port", Value: 9000, Usage: "the boxes' port"},
-			&cli.DurationFlag{Name: "delay", Usage: "from a request's last byte to its answer"},
-			&cli.IntFlag{Name: "body", Value: 16, Usage: "bytes of an answer's body"},
-			&cli.IntFlag{Name: "slots", Usage: "requests that a box works on at once; 0: as many as come"},
-			&cli.IntFlag{Name: "waiting", Usage: "requests that may wait for a slot"},
+			&cli.IntFlag{Name: "boxes", Value: 3, Usage: "the number of servers"},
+			&cli.StringFlag{Name: "base", Value: "127.10.0.1", Usage: "the first server's `ADDRESS`; the others follow it"},
+			&cli.IntFlag{Name: "port", Value: 9000, Usage: "the servers' port"},
+			&cli.DurationFlag{Name: "delay", Usage: "the time from the last byte of a request to its response"},
+			&cli.IntFlag{Name: "body", Value: 16, Usage: "bytes of a response's body"},
+			&cli.IntFlag{Name: "slots", Usage: "requests that a server handles at a time; 0: without limit"},
+			&cli.IntFlag{Name: "waiting", Usage: "requests that may queue for a slot"},
 			&cli.IntFlag{Name: "threads", Value: 1, Usage: "event loops"},
-			&cli.StringSliceFlag{Name: "zone", Value: []string{"amman-north"}, Usage: "the zones, which the boxes take in turns"},
-			&cli.StringFlag{Name: "discovery", Value: "127.0.0.1:8500", Usage: "where discovery listens"},
+			&cli.StringSliceFlag{Name: "zone", Value: []string{"amman-north"}, Usage: "the zones, which are assigned to the servers in turn"},
+			&cli.StringFlag{Name: "discovery", Value: "127.0.0.1:8500", Usage: "the `ADDRESS` of discovery"},
 			&cli.StringFlag{Name: "config", Usage: "write a sidecar's configuration to this `FILE`"},
-			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:3000", Usage: "where that sidecar listens"},
+			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:3000", Usage: "the `ADDRESS` at which that sidecar listens"},
 			&cli.FloatFlag{Name: "cores", Value: 1, Usage: "that sidecar's limits.cores"},
 			&cli.IntFlag{Name: "memory", Value: 192, Usage: "that sidecar's limits.memory_mb"},
 			&cli.IntFlag{Name: "sockets", Value: 1024, Usage: "that sidecar's limits.sockets"},
-			&cli.BoolFlag{Name: "pushed", Usage: "that sidecar watches discovery; otherwise it asks when it wants to"},
+			&cli.BoolFlag{Name: "pushed", Usage: "that sidecar watches discovery; default: it polls"},
 		},
 		Action: runStub,
 	}
 }
 
+// runStub runs stub servers and their discovery until a signal, and writes the configuration of a sidecar for them.
 func runStub(ctx context.Context, c *cli.Command) error {
 	base, err := netip.ParseAddr(c.String("base"))
 	if err != nil {
