--- a/internal/lab/processcluster/effectchecker.go
+++ b/internal/lab/processcluster/effectchecker.go
@@ -63,14 +63,16 @@
 	}
 	if granted := (grant{message.Role, message.Token}); message.Sequence > 0 && e.origins[granted] != message.Origin {
 		if e.origins[granted] != 0 && len(e.violations) < maxRoleViolations {
-			e.violations = append(e.violations, fmt.Sprintf("%s is done under token %d by %x and by %x", message.Role, message.Token, e.origins[granted], message.Origin))
+			e.violations = append(e.violations,
+				fmt.Sprintf("%s is done under token %d by %x and by %x", message.Role, message.Token, e.origins[granted], message.Origin))
 		}
 		e.origins[granted] = message.Origin
 	}
 	e.highestToken[message.Role] = max(e.highestToken[message.Role], message.Token)
 	source := effectSource{link, direction.From, message.Role}
 	if e.lastToken[source] > message.Token && len(e.violations) < maxRoleViolations {
-		e.violations = append(e.violations, fmt.Sprintf("%s says an effect of %s under token %d after one under %d", direction.From, message.Role, message.Token, e.lastToken[source]))
+		e.violations = append(e.violations,
+			fmt.Sprintf("%s says an effect of %s under token %d after one under %d", direction.From, message.Role, message.Token, e.lastToken[source]))
 	}
 	e.lastToken[source] = max(e.lastToken[source], message.Token)
 }
--- a/internal/lab/processcluster/granthistory.go
+++ b/internal/lab/processcluster/granthistory.go
@@ -70,7 +70,8 @@
 		}
 	}
 	if message.RenewRequest != nil && len(h.requestedAt) < maxPendingRenewals {
-		if request := (renewal{direction, message.RenewRequest.Number}); h.requestedAt[request] == 0 { // a restarted process reuses numbers: the first request is the earliest
+		// A restarted process reuses numbers: of requests with the same number the first one counts.
+		if request := (renewal{direction, message.RenewRequest.Number}); h.requestedAt[request] == 0 {
 			h.requestedAt[request] = now
 		}
 	}
--- a/internal/lab/processcluster/granthistory_test.go
+++ b/internal/lab/processcluster/granthistory_test.go
@@ -10,8 +10,8 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// What leaders confirm has an order with the grants, or is told.
-func TestGrantsHaveAnOrder(t *testing.T) {
+// A confirmation of a stale grant, requested after the next grant is known, is not linearizable.
+func TestCheckLinearizable(t *testing.T) {
 	say := func(g *GrantHistory, from, to string, m lease.Message) {
 		body, err := frames.Marshal(m)
 		require.NoError(t, err)
@@ -22,14 +22,14 @@
 	}
 	for _, c := range []struct {
 		name  string
-		late  bool // the first owner asks again once the second one's grant is known
+		late  bool // the first owner sends a renewal after the second grant is known
 		holds bool
 	}{{"one after the other", false, true}, {"an old grant is confirmed after the next", true, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewGrantHistory()
 			say(g, "a", "leader", lease.Message{RenewRequest: renewal(1, 5)})
 			say(g, "leader", "a", lease.Message{RenewReply: renewal(1, 5)})
-			say(g, "a", "leader", lease.Message{RenewRequest: renewal(2, 5)}) // on the way while the next is granted
+			say(g, "a", "leader", lease.Message{RenewRequest: renewal(2, 5)}) // in flight while the next is granted
 			say(g, "leader", "b", lease.Message{Table: &lease.Table{Grants: []lease.Grant{{Role: "report", Holder: 8, Token: 6}}}})
 			say(g, "b", "leader", lease.Message{RenewRequest: renewal(1, 6)})
 			say(g, "leader", "b", lease.Message{RenewReply: renewal(1, 6)})
@@ -46,8 +46,8 @@
 	}
 }
 
-// Nobody does a job under another's token.
-func TestTokenOfTwo(t *testing.T) {
+// Effects of two sidecars under one token are a violation.
+func TestEffectCheckerFindsTwoOriginsOfAToken(t *testing.T) {
 	e := NewEffectChecker()
 	for i, origin := range []uint64{7, 7, 8} {
 		body, err := frames.Marshal(frames.RoleMessage{Role: "report", Token: 5, Origin: origin, Sequence: uint64(i + 1), Kind: 1})
--- a/internal/lab/processcluster/maintenance_test.go
+++ b/internal/lab/processcluster/maintenance_test.go
@@ -13,9 +13,9 @@
 	"hazelwheel/internal/lab/maintenanceagent"
 )
 
-// Each wrong of a plan is found, and what is near it and right is not.
-func TestWorkIsJudged(t *testing.T) {
-	type visit struct{ from, to float64 } // at box a, of sidecar 0; to is 0 where it never ends
+// Each violation by a maintenance run is found, and what is close to one and allowed is not.
+func TestMaintenanceViolations(t *testing.T) {
+	type visit struct{ from, to float64 } // an execution at server a, of sidecar 0; to is 0 if it never ends
 	piece := func(box string, token uint64, from, to float64) maintenanceagent.Record {
 		at := func(s float64) time.Time { return time.Unix(0, int64(s*1e9)) }
 		r := maintenanceagent.Record{Agent: "anna", Server: box, Token: token, StartedAt: at(from)}
@@ -76,8 +76,8 @@
 	}
 }
 
-// The worst ten seconds are found, of the worth that was answered within its class's aim.
-func TestWorkServiceIsMeasured(t *testing.T) {
+// The worst ten seconds are found, by the priority weight that was answered within the latency target of its class.
+func TestMaintenanceServiceIsMeasured(t *testing.T) {
 	class := environment.ClassSpec{LatencyTargetSeconds: 1}
 	class.PriorityWeight = 2
 	day := &environment.Day{Start: 1000, LengthSeconds: 100, Classes: []environment.ClassSpec{class}}
--- a/internal/lab/processcluster/maintenancecheck.go
+++ b/internal/lab/processcluster/maintenancecheck.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/lab/maintenanceagent"
 )
 
-// result judges, after the play is over.
+// finish makes the checks and returns the report, after the play and run are over.
 func (r *maintenanceRun) finish() *MaintenanceReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,10 +47,16 @@
 	return report
 }
 
-// firstS is how long after the day's start the service says nothing yet: all is cold then.
+// serviceSkipSeconds is the time after the start of the day that is not measured, because all servers are warming up.
 const serviceSkipSeconds = 5.0
 
-// service finds the worst ten seconds of a time.
+// The service is measured over windows of serviceWindowSeconds, which start every serviceStepSeconds.
+const (
+	serviceWindowSeconds = 10
+	serviceStepSeconds   = 0.5
+)
+
+// measureService counts the attempts between two times, in Unix seconds, and finds the window with the worst service.
 func (r *maintenanceRun) measureService(report *MaintenanceReport, from, to float64) {
 	countWithin := func(all []float64) (n int) {
 		for _, at := range all {
@@ -62,10 +68,10 @@
 	}
 	report.Attempts, report.Rejected, report.WorstTenSeconds = countWithin(r.attemptTimes), countWithin(r.rejectionTimes), 1
 	all := slices.SortedFunc(maps.Values(r.requests), func(a, b *request) int { return cmp.Compare(a.startedAt, b.startedAt) })
-	for at := from; at+10 <= to; at += 0.5 {
+	for at := from; at+serviceWindowSeconds <= to; at += serviceStepSeconds {
 		served, requested := 0.0, 0.0
 		i, _ := slices.BinarySearchFunc(all, at, func(candidate *request, at float64) int { return cmp.Compare(candidate.startedAt, at) })
-		for ; i < len(all) && all[i].startedAt < at+10; i++ {
+		for ; i < len(all) && all[i].startedAt < at+serviceWindowSeconds; i++ {
 			if requested += all[i].weight; all[i].isServed {
 				served += all[i].weight
 			}
@@ -76,7 +82,7 @@
 	}
 }
 
-// span returns when a piece of work began and ended; what goes on ends with the day.
+// workPeriod returns when work began and ended, in Unix seconds; work that goes on ends now.
 func workPeriod(r *maintenanceagent.Record) (from, to float64) {
 	if from, to = unixSeconds(r.StartedAt), unixSeconds(r.EndedAt); r.EndedAt.IsZero() {
 		to = unixNow()
@@ -84,7 +90,11 @@
 	return from, to
 }
 
-// occupied finds boxes that are worked on while something is out there, or came less than the settle time before.
+// defaultDeadMemberSeconds is how long a sidecar must be absent to count as dead if the plan does not say.
+const defaultDeadMemberSeconds = 300
+
+// checkOccupied finds work on a server that executes a request, or received one less than the quiet period before. Servers granted by force are
+// exempt, and requests of sidecars that had counted as dead are counted apart.
 func (r *maintenanceRun) checkOccupied(report *MaintenanceReport) {
 	for i := range report.Records {
 		record := &report.Records[i]
@@ -97,18 +107,18 @@
 			isOpen := execution.from < to && (execution.to == 0 || execution.to > from)
 			switch {
 			case !isLate && !isOpen:
-			case r.cluster.hadCountedAsDead(execution.sidecar, execution.from, cmp.Or(r.settings.Spec.DeadMemberSeconds, 300)):
+			case r.cluster.hadCountedAsDead(execution.sidecar, execution.from, cmp.Or(r.settings.Spec.DeadMemberSeconds, defaultDeadMemberSeconds)):
 				report.SentByReturning++
 			default:
-				report.reportViolation(checker.MaintenanceOccupied, "%s is worked on by %s at %.3f s; a request of %s came %.3f s after the work began", record.Server, record.Agent, from-r.day.Start,
-					r.cluster.members[execution.sidecar].name, execution.from-from)
+				report.reportViolation(checker.MaintenanceOccupied, "%s is worked on by %s at %.3f s; a request of %s came %.3f s after the work began",
+					record.Server, record.Agent, from-r.day.Start, r.cluster.members[execution.sidecar].name, execution.from-from)
 			}
 		}
 	}
 }
 
-// many finds more boxes out or cold at once than the plan allows, whoever has handed them over. Danger: mechanics alone tell of it, and
-// the coordinator's wait for a cold box begins after the mechanic has spoken.
+// checkBudget finds more servers in maintenance or warming up at once than the plan allows, whoever granted them. Danger: it goes by the records of
+// agents alone, and the coordinator's warm-up of a server starts after the agent has reported its completion.
 func (r *maintenanceRun) checkBudget(report *MaintenanceReport) {
 	sites := map[string]string{}
 	for _, server := range r.day.Servers {
@@ -128,7 +138,8 @@
 			bySite[sites[server]]++
 		}
 		if len(out) > r.settings.Spec.MaxConcurrent {
-			report.reportViolation(checker.MaintenanceBudget, "%d boxes are worked on or cold at %.3f s, of %d that may be", len(out), from-r.day.Start, r.settings.Spec.MaxConcurrent)
+			report.reportViolation(checker.MaintenanceBudget, "%d boxes are worked on or cold at %.3f s, of %d that may be", len(out),
+				from-r.day.Start, r.settings.Spec.MaxConcurrent)
 		}
 		for site, n := range bySite {
 			if n > cmp.Or(r.settings.Spec.MaxPerSite, 1) {
@@ -138,7 +149,7 @@
 	}
 }
 
-// accounts holds what mechanics did beside what is agreed of it.
+// checkRecords compares the records of agents with the last state of the plan.
 func (r *maintenanceRun) checkRecords(report *MaintenanceReport) {
 	if r.settings.Scripted {
 		return
--- a/internal/lab/processcluster/maintenanceobserve.go
+++ b/internal/lab/processcluster/maintenanceobserve.go
@@ -1,19 +1,24 @@
 package processcluster
 
-import "hazelwheel/internal/checker"
+import (
+	"net/http"
 
-// execution is a request at a box. to is 0 while it is out.
+	"hazelwheel/internal/checker"
+)
+
+// execution is the execution of an attempt at a server, in the time of events; to is 0 while it lasts.
 type execution struct {
 	from, to float64
 	sidecar  int
 }
 
+// request is a request of a client with all its attempts.
 type request struct {
 	startedAt, weight, targetSeconds float64
 	isServed                         bool
 }
 
-// See takes an event.
+// Observe records an event of a server or a client. It is called from the play's loop.
 func (r *maintenanceRun) Observe(event checker.Event) {
 	connection := [2]uint64{uint64(uint32(event.Server)), event.Connection}
 	server := func() string { return r.day.Servers[event.Server].Name }
@@ -46,10 +51,10 @@
 		}
 	case checker.ResponseReceived:
 		request := r.requests[r.firstRequests[event.Request]]
-		if event.Status == 200 && request != nil && event.At-request.startedAt <= request.targetSeconds {
+		if event.Status == http.StatusOK && request != nil && event.At-request.startedAt <= request.targetSeconds {
 			request.isServed = true
 		}
-		if event.Status == 429 || event.Status == 503 {
+		if event.Status == http.StatusTooManyRequests || event.Status == http.StatusServiceUnavailable {
 			r.rejectionTimes = append(r.rejectionTimes, event.At)
 		}
 	}
--- a/internal/lab/processcluster/maintenanceplot.go
+++ b/internal/lab/processcluster/maintenanceplot.go
@@ -12,10 +12,10 @@
 	"hazelwheel/internal/environment"
 )
 
-// looks are what a box does while it is at a stage, and its colour.
+// stageStyles are the labels and colors of stages.
 var stageStyles = []struct {
 	stages []maintenance.Stage
-	says   string
+	label  string
 	color  color.RGBA
 }{
 	{[]maintenance.Stage{maintenance.Pending, maintenance.Done, maintenance.Skipped}, "serving", color.RGBA{200, 230, 201, 255}},
@@ -26,73 +26,97 @@
 	{[]maintenance.Stage{maintenance.Lost}, "lost", color.RGBA{97, 97, 97, 255}},
 }
 
-// WorkPicture writes an SVG: a row for each box, with what it did when, and the troubles behind them.
+// minFaultWidthSeconds is the least width at which a fault is drawn, so that one without a duration is visible.
+const minFaultWidthSeconds = 0.3
+
+// WriteMaintenancePlot writes an SVG with a row for each server, which shows its stages over time, and the faults behind them.
 func (r *Report) WriteMaintenancePlot(path string) error {
-	w := r.Maintenance
-	var boxes []string
-	for _, c := range w.Stages {
-		if !slices.Contains(boxes, c.Server) {
-			boxes = append(boxes, c.Server)
+	maintained := r.Maintenance
+	var servers []string
+	for _, change := range maintained.Stages {
+		if !slices.Contains(servers, change.Server) {
+			servers = append(servers, change.Server)
 		}
 	}
-	slices.Sort(boxes)
+	slices.Sort(servers)
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = "boxes of a plan", "s"
-	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, 0, -0.6, float64(len(boxes))+1.6
-	for _, c := range w.Stages {
-		p.X.Max = max(p.X.Max, c.AtSeconds+2)
+	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, 0, -0.6, float64(len(servers))+1.6
+	for _, change := range maintained.Stages {
+		p.X.Max = max(p.X.Max, change.AtSeconds+2)
+	}
+	p.X.Max = max(p.X.Max, maintained.StartedSeconds+maintained.TotalSeconds)
+	if err := r.addFaults(p, float64(len(servers))-0.4); err != nil {
+		return err
 	}
-	p.X.Max = max(p.X.Max, w.StartedSeconds+w.TotalSeconds)
-	box := func(x0, x1, y0, y1 float64, c color.Color) (*plotter.Polygon, error) {
-		area, err := plotter.NewPolygon(plotter.XYs{{X: x0, Y: y0}, {X: x1, Y: y0}, {X: x1, Y: y1}, {X: x0, Y: y1}})
-		if err == nil {
-			area.Color, area.LineStyle.Width = c, 0
+	p.Legend.Top, p.Legend.Left = true, true
+	inLegend := map[string]bool{}
+	for row, name := range servers {
+		if err := maintained.addStages(p, name, float64(row), inLegend); err != nil {
+			return err
 		}
-		return area, err
 	}
-	for _, t := range r.Faults {
-		if t.Kind == environment.Reload || t.AtSeconds > p.X.Max {
+	ticks := make([]plot.Tick, len(servers))
+	for i, name := range servers {
+		ticks[i] = plot.Tick{Value: float64(i), Label: name}
+	}
+	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
+	return p.Save(22*vg.Centimeter, vg.Length(5+0.55*float64(len(servers)))*vg.Centimeter, path)
+}
+
+// addFaults shades the times of faults from the bottom of a plot up to top.
+func (r *Report) addFaults(p *plot.Plot, top float64) error {
+	for _, fault := range r.Faults {
+		if fault.Kind == environment.Reload || fault.AtSeconds > p.X.Max {
 			continue
 		}
-		area, err := box(t.AtSeconds, min(t.AtSeconds+max(t.DurationSeconds, 0.3), p.X.Max), p.Y.Min, float64(len(boxes))-0.4, color.RGBA{255, 235, 238, 255})
+		end := min(fault.AtSeconds+max(fault.DurationSeconds, minFaultWidthSeconds), p.X.Max)
+		area, err := newRectangle(fault.AtSeconds, end, p.Y.Min, top, color.RGBA{255, 235, 238, 255})
 		if err != nil {
 			return err
 		}
 		p.Add(area)
 	}
-	p.Legend.Top, p.Legend.Left = true, true
-	shown := map[string]bool{}
-	for row, name := range boxes {
-		var changes []StageChange
-		for _, c := range w.Stages {
-			if c.Server == name {
-				changes = append(changes, c)
-			}
+	return nil
+}
+
+// addStages draws the stages of a server in its row, and adds the labels to the legend that are not yet there.
+func (r *MaintenanceReport) addStages(p *plot.Plot, server string, row float64, inLegend map[string]bool) error {
+	var changes []StageChange
+	for _, change := range r.Stages {
+		if change.Server == server {
+			changes = append(changes, change)
+		}
+	}
+	for i, change := range changes {
+		end := p.X.Max
+		if i+1 < len(changes) {
+			end = changes[i+1].AtSeconds
 		}
-		for i, c := range changes {
-			until := p.X.Max
-			if i+1 < len(changes) {
-				until = changes[i+1].AtSeconds
+		for _, style := range stageStyles {
+			if !slices.Contains(style.stages, change.Stage) {
+				continue
 			}
-			for _, l := range stageStyles {
-				if !slices.Contains(l.stages, c.Stage) {
-					continue
-				}
-				area, err := box(c.AtSeconds, until, float64(row)-0.35, float64(row)+0.35, l.color)
-				if err != nil {
-					return err
-				}
-				if p.Add(area); !shown[l.says] {
-					shown[l.says] = true
-					p.Legend.Add(l.says, area)
-				}
+			area, err := newRectangle(change.AtSeconds, end, row-0.35, row+0.35, style.color)
+			if err != nil {
+				return err
+			}
+			p.Add(area)
+			if !inLegend[style.label] {
+				inLegend[style.label] = true
+				p.Legend.Add(style.label, area)
 			}
 		}
 	}
-	ticks := make([]plot.Tick, len(boxes))
-	for i, name := range boxes {
-		ticks[i] = plot.Tick{Value: float64(i), Label: name}
+	return nil
+}
+
+// newRectangle returns a filled rectangle without a border.
+func newRectangle(left, right, bottom, top float64, fill color.Color) (*plotter.Polygon, error) {
+	area, err := plotter.NewPolygon(plotter.XYs{{X: left, Y: bottom}, {X: right, Y: bottom}, {X: right, Y: top}, {X: left, Y: top}})
+	if err != nil {
+		return nil, err
 	}
-	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
-	return p.Save(22*vg.Centimeter, vg.Length(5+0.55*float64(len(boxes)))*vg.Centimeter, path)
+	area.Color, area.LineStyle.Width = fill, 0
+	return area, nil
 }
--- a/internal/lab/processcluster/maintenancescript.go
+++ b/internal/lab/processcluster/maintenancescript.go
@@ -9,14 +9,14 @@
 	"hazelwheel/internal/lab/maintenanceagent"
 )
 
-// Fixed waits of who calls at every door by hand: as long as a request may take, until a box is taken for empty; and as long as boxes may
-// be cold, before the next one leaves.
+// The fixed waits of the script: until a server counts as drained, which is as long as a request may take, and until the next server is drained, which
+// is as long as servers may be warming up.
 const (
 	scriptDrainSeconds  = 10.0
 	scriptWarmUpSeconds = 24.0
 )
 
-// hand calls at all doors for one box after the other, and waits for fixed times.
+// runScript takes one server after the other out of service at all admin endpoints and back, with fixed waits, until ctx ends.
 func (r *maintenanceRun) runScript(ctx context.Context) {
 	sendToAll := func(line string) {
 		for _, address := range r.cluster.adminAddresses() {
@@ -64,7 +64,7 @@
 	r.mu.Unlock()
 }
 
-// named returns the boxes that the plan names, of those that stand.
+// plannedServers returns the names of the initial servers that the plan selects.
 func (r *maintenanceRun) plannedServers() (names []string) {
 	spec := &r.settings.Spec
 	for _, server := range r.day.Servers[:r.day.InitialServers] {
