--- a/cmd/hazellab/faults.go
+++ b/cmd/hazellab/faults.go
@@ -44,7 +44,7 @@
 	if c.Args().Len() != 1 {
 		return usageError(fmt.Errorf("trouble: a KIND is wanted: %s", strings.Join(environment.FaultKinds(), ", ")))
 	}
-	fault := environment.Fault{Kind: c.Args().First(), DurationSeconds: c.Duration("for").Seconds(), Servers: c.StringSlice("box"), Site: c.String("site"),
+	fault := environment.Fault{Kind: environment.FaultKind(c.Args().First()), DurationSeconds: c.Duration("for").Seconds(), Servers: c.StringSlice("box"), Site: c.String("site"),
 		Share: c.Float("share"), RatePerSecond: c.Float("per-second"), DrainSeconds: c.Duration("drain").Seconds(), DelaySeconds: c.Duration("lag").Seconds(),
 		Silent: c.Bool("silent")}
 	raw, err := json.Marshal(fault)
--- a/internal/environment/faultinjector.go
+++ b/internal/environment/faultinjector.go
@@ -112,7 +112,7 @@
 }
 
 // faultStarters start a fault of a kind and schedule its end. Kinds are looked up; the map is never walked.
-var faultStarters = map[string]func(f *FaultInjector, fault *Fault, now float64){
+var faultStarters = map[FaultKind]func(f *FaultInjector, fault *Fault, now float64){
 	Hang:             (*FaultInjector).hangServers,
 	Crash:            (*FaultInjector).crashServers,
 	CrashMoved:       (*FaultInjector).crashServers,
--- a/internal/environment/faultkinds.go
+++ b/internal/environment/faultkinds.go
@@ -5,58 +5,61 @@
 	"slices"
 )
 
+// FaultKind is what goes wrong. Its values are words of scripts, traces and reports.
+type FaultKind string
+
 // The kinds of faults of servers, discovery, clients and sidecars, as scripts name them.
 const (
-	Hang             = "hang"           // servers accept requests and answer nothing
-	Crash            = "crash"          // servers are killed and restart cold, at the same address
-	CrashMoved       = "crash-moved"    // servers are killed and restart cold, at another address
-	SiteLoss         = "site-loss"      // all servers of a site stop, with or without its sidecars, and restart cold
-	ScaleIn          = "shrink"         // servers drain and then stop, or sidecars leave for good
-	StaleList        = "stale-list"     // discovery learns of everything after a further delay
-	DiscoveryDown    = "discovery-down" // discovery is down
-	Resets           = "resets"         // connections to servers are reset repeatedly
-	HalfOpen         = "half-open"      // servers' machines become unreachable: open connections stay open and silent
-	OneWay           = "one-way"        // bytes in one direction between sidecars and servers are lost
-	SlowReader       = "slow-reader"    // applications read slowly
-	MalformedAnswers = "spoilt"         // a share of the servers' answers is malformed
-	TrailingBytes    = "behind"         // bytes follow a share of the servers' answers
-	InterimResponses = "interim"        // 1xx responses precede a share of the servers' answers
-	BadClients       = "bad-clients"    // clients that must not be served connect
-	SilentFlood      = "silent-flood"   // clients connect and send nothing
-	SidecarKill      = "sidecar-kill"   // sidecars are killed and restart
-	SidecarTerm      = "sidecar-term"   // sidecars shut down gracefully and restart
-	Reload           = "reload"         // discovery moves, and sidecars reload a configuration with its address
-	Cordon           = "taken-out"      // operators cordon servers at all sidecars, and end that
-	AddressReuse     = "reuse"          // a server stops, and another one starts at its address
+	Hang             FaultKind = "hang"           // servers accept requests and answer nothing
+	Crash            FaultKind = "crash"          // servers are killed and restart cold, at the same address
+	CrashMoved       FaultKind = "crash-moved"    // servers are killed and restart cold, at another address
+	SiteLoss         FaultKind = "site-loss"      // all servers of a site stop, with or without its sidecars, and restart cold
+	ScaleIn          FaultKind = "shrink"         // servers drain and then stop, or sidecars leave for good
+	StaleList        FaultKind = "stale-list"     // discovery learns of everything after a further delay
+	DiscoveryDown    FaultKind = "discovery-down" // discovery is down
+	Resets           FaultKind = "resets"         // connections to servers are reset repeatedly
+	HalfOpen         FaultKind = "half-open"      // servers' machines become unreachable: open connections stay open and silent
+	OneWay           FaultKind = "one-way"        // bytes in one direction between sidecars and servers are lost
+	SlowReader       FaultKind = "slow-reader"    // applications read slowly
+	MalformedAnswers FaultKind = "spoilt"         // a share of the servers' answers is malformed
+	TrailingBytes    FaultKind = "behind"         // bytes follow a share of the servers' answers
+	InterimResponses FaultKind = "interim"        // 1xx responses precede a share of the servers' answers
+	BadClients       FaultKind = "bad-clients"    // clients that must not be served connect
+	SilentFlood      FaultKind = "silent-flood"   // clients connect and send nothing
+	SidecarKill      FaultKind = "sidecar-kill"   // sidecars are killed and restart
+	SidecarTerm      FaultKind = "sidecar-term"   // sidecars shut down gracefully and restart
+	Reload           FaultKind = "reload"         // discovery moves, and sidecars reload a configuration with its address
+	Cordon           FaultKind = "taken-out"      // operators cordon servers at all sidecars, and end that
+	AddressReuse     FaultKind = "reuse"          // a server stops, and another one starts at its address
 )
 
 // The kinds of faults of connections and watches, and of clients that abandon requests.
 const (
-	ClientsLeave = "clients-leave" // clients close connections while their requests are queued or in flight
-	SilentWatch  = "silent-watch"  // all open watches stall; new ones work
-	WatchReset   = "watch-reset"   // all connections to discovery are reset
-	LateConnect  = "late-connect"  // connections to servers are established late, or not in time
-	EarlyClose   = "early-close"   // servers close idle connections early, some just as they are used again
-	FullList     = "whole-list"    // a watch starts with the complete list, which leaves out draining servers
+	ClientsLeave FaultKind = "clients-leave" // clients close connections while their requests are queued or in flight
+	SilentWatch  FaultKind = "silent-watch"  // all open watches stall; new ones work
+	WatchReset   FaultKind = "watch-reset"   // all connections to discovery are reset
+	LateConnect  FaultKind = "late-connect"  // connections to servers are established late, or not in time
+	EarlyClose   FaultKind = "early-close"   // servers close idle connections early, some just as they are used again
+	FullList     FaultKind = "whole-list"    // a watch starts with the complete list, which leaves out draining servers
 )
 
 // The kinds of faults of days on which sidecars form a fleet.
 const (
-	PeerCut        = "peer-cut"    // bytes between sidecars are lost, in both directions or one
-	PeerHold       = "peer-hold"   // bytes between sidecars are held back, and connections stay up
-	PeerSlow       = "peer-slow"   // bytes between sidecars are limited to a rate, and connections stay up
-	PeerReset      = "peer-reset"  // connections between sidecars are reset repeatedly
-	PeerNotReading = "peer-deaf"   // a client queries sidecars repeatedly, as a peer does, and reads nothing
-	Suspend        = "freeze"      // sidecars' processes are suspended
-	RestartAll     = "restart-all" // all sidecars are killed and restart
-	DiskFull       = "disk-full"   // writes to sidecars' disks fail
-	Clock          = "clock"       // sidecars' clocks run at a wrong rate
-	ScaleOut       = "grow"        // standby sidecars start; ScaleIn is its counterpart
+	PeerCut        FaultKind = "peer-cut"    // bytes between sidecars are lost, in both directions or one
+	PeerHold       FaultKind = "peer-hold"   // bytes between sidecars are held back, and connections stay up
+	PeerSlow       FaultKind = "peer-slow"   // bytes between sidecars are limited to a rate, and connections stay up
+	PeerReset      FaultKind = "peer-reset"  // connections between sidecars are reset repeatedly
+	PeerNotReading FaultKind = "peer-deaf"   // a client queries sidecars repeatedly, as a peer does, and reads nothing
+	Suspend        FaultKind = "freeze"      // sidecars' processes are suspended
+	RestartAll     FaultKind = "restart-all" // all sidecars are killed and restart
+	DiskFull       FaultKind = "disk-full"   // writes to sidecars' disks fail
+	Clock          FaultKind = "clock"       // sidecars' clocks run at a wrong rate
+	ScaleOut       FaultKind = "grow"        // standby sidecars start; ScaleIn is its counterpart
 )
 
 // faultKind says which fields a kind of fault has and how one is drawn.
 type faultKind struct {
-	name     string
+	name     FaultKind
 	fields   []string // required beside kind and at_s
 	optional []string // may be left out
 	draw     func(t *Fault, d *Day, rng *rand.Rand)
@@ -189,10 +192,10 @@
 		t.DurationSeconds, t.Sidecars = uniform(rng, 0.3, 9), d.drawSidecar(rng)
 	}},
 	{SidecarKill, []string{"for_s", "sidecars"}, []string{"state"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.Sidecars, t.State = uniform(rng, 0.1, 8), d.drawSidecarSubset(rng), []string{StateKept, StateKept, StateLost, StateTorn}[rng.IntN(4)]
+		t.DurationSeconds, t.Sidecars, t.State = uniform(rng, 0.1, 8), d.drawSidecarSubset(rng), []StoredState{StateKept, StateKept, StateLost, StateTorn}[rng.IntN(4)]
 	}},
 	{SidecarTerm, []string{"for_s", "sidecars"}, []string{"state"}, func(t *Fault, d *Day, rng *rand.Rand) {
-		t.DurationSeconds, t.Sidecars, t.State = uniform(rng, 3.7, 8), d.drawSidecar(rng), []string{StateKept, StateKept, StateLost}[rng.IntN(3)]
+		t.DurationSeconds, t.Sidecars, t.State = uniform(rng, 3.7, 8), d.drawSidecar(rng), []StoredState{StateKept, StateKept, StateLost}[rng.IntN(3)]
 	}},
 	{RestartAll, []string{"for_s"}, nil, func(t *Fault, _ *Day, rng *rand.Rand) { t.DurationSeconds = uniform(rng, 0.1, 1) }},
 	{DiskFull, []string{"for_s", "sidecars"}, nil, func(t *Fault, d *Day, rng *rand.Rand) {
@@ -217,15 +220,15 @@
 func FaultKinds() []string {
 	var names []string
 	for _, k := range slices.Concat(faultKindLists...) {
-		if !slices.Contains(names, k.name) {
-			names = append(names, k.name)
+		if !slices.Contains(names, string(k.name)) {
+			names = append(names, string(k.name))
 		}
 	}
 	return names
 }
 
 // kindOf returns the kind with a name; of two with the same name, the one whose fields are given. nil: there is none.
-func kindOf(name string, has func(field string) bool) (found *faultKind) {
+func kindOf(name FaultKind, has func(field string) bool) (found *faultKind) {
 	for _, all := range faultKindLists {
 		for i := range all {
 			if kind := &all[i]; kind.name == name && (found == nil || !found.given(has) && kind.given(has)) {
--- a/internal/environment/hostileclients_test.go
+++ b/internal/environment/hostileclients_test.go
@@ -16,13 +16,13 @@
 		lasts  = 4.0
 		perS   = 50.0
 	)
-	for _, kind := range []string{BadClients, SilentFlood} {
+	for _, kind := range []FaultKind{BadClients, SilentFlood} {
 		for _, c := range []struct {
 			name         string
 			machineAfter float64 // when the machine begins, in seconds of the day
 			come         bool
 		}{{"while it lasts", 2, true}, {"once it is over", lasts, false}} {
-			t.Run(kind+" "+c.name, func(t *testing.T) {
+			t.Run(string(kind)+" "+c.name, func(t *testing.T) {
 				s := newTestEnvironment(t, 3, nil)
 				script := &Script{Faults: []Fault{{Kind: kind, AtSeconds: begins, DurationSeconds: lasts, Sidecars: []int{0}, RatePerSecond: perS}}}
 				injector, err := NewFaultInjector(s.environment, script, nil, &s.recorder)
--- a/internal/environment/hosts.go
+++ b/internal/environment/hosts.go
@@ -51,7 +51,7 @@
 	SetClockRate(sidecar int, rate float64)
 	// DamageState loses, tears or rolls back what a stopped sidecar has on its disk; state is one of StateLost, StateTorn
 	// and StateOld.
-	DamageState(sidecar int, state string)
+	DamageState(sidecar int, state StoredState)
 	// LimitReading has a sidecar's application read during a share of its time only, 0 to 1, until it is called with 1.
 	LimitReading(sidecar int, share float64)
 }
--- a/internal/environment/peerfaults.go
+++ b/internal/environment/peerfaults.go
@@ -69,7 +69,7 @@
 
 // peerPath is a path between two sidecars that faults of a kind affect.
 type peerPath struct {
-	kind     string
+	kind     FaultKind
 	from, to int
 }
 
--- a/internal/environment/script.go
+++ b/internal/environment/script.go
@@ -5,34 +5,37 @@
 // Fault is one fault of a script. It has the fields that its faultKind names, and no others. Its TOML and JSON forms are
 // stored and sent, and keep their keys.
 type Fault struct {
-	Kind            string   `toml:"kind" json:"Kind"`
-	AtSeconds       float64  `toml:"at_s" json:"AtS"`              // since the day's start
-	DurationSeconds float64  `toml:"for_s,omitempty" json:"ForS"`  // until it is over, or until what stopped restarts
-	Servers         []string `toml:"boxes,omitempty" json:"Boxes"` // names
-	Site            string   `toml:"site,omitempty" json:"Site"`
+	Kind            FaultKind `toml:"kind" json:"Kind"`
+	AtSeconds       float64   `toml:"at_s" json:"AtS"`              // since the day's start
+	DurationSeconds float64   `toml:"for_s,omitempty" json:"ForS"`  // until it is over, or until what stopped restarts
+	Servers         []string  `toml:"boxes,omitempty" json:"Boxes"` // names
+	Site            string    `toml:"site,omitempty" json:"Site"`
 	// Sidecars are numbered from 0.
-	Sidecars      []int   `toml:"sidecars,omitempty" json:"Sidecars"`
-	WithSidecars  bool    `toml:"with_sidecars,omitempty" json:"WithSidecars"` // a site's sidecars stop with it
-	Silent        bool    `toml:"silent,omitempty" json:"Silent"`              // machines become unreachable; otherwise processes are killed
-	Share         float64 `toml:"share,omitempty" json:"Share"`                // of the answers, requests or connections, or of the time to read
-	RatePerSecond float64 `toml:"per_s,omitempty" json:"PerS"`                 // of clients, queries, resets or bytes
-	DrainSeconds  float64 `toml:"drain_s,omitempty" json:"DrainS"`             // between the notice and the stop
-	DelaySeconds  float64 `toml:"lag_s,omitempty" json:"LagS"`                 // of what discovery learns, or of connections
-	ToServer      bool    `toml:"to_box,omitempty" json:"ToBox"`               // the direction that is lost; otherwise to the sidecar
-	From          []int   `toml:"from,omitempty" json:"From"`                  // sidecars on one side
-	To            []int   `toml:"to,omitempty" json:"To"`                      // on the other side; empty: all others
-	OneWay        bool    `toml:"one_way,omitempty" json:"OneWay"`             // the fault affects bytes of From alone
-	State         string  `toml:"state,omitempty" json:"State"`                // stored state of a process that restarts
-	SidecarCount  int     `toml:"by,omitempty" json:"By"`                      // how many sidecars start, or leave for good
-	ClockRate     float64 `toml:"rate,omitempty" json:"Rate"`                  // of a clock; 1 is right
+	Sidecars      []int       `toml:"sidecars,omitempty" json:"Sidecars"`
+	WithSidecars  bool        `toml:"with_sidecars,omitempty" json:"WithSidecars"` // a site's sidecars stop with it
+	Silent        bool        `toml:"silent,omitempty" json:"Silent"`              // machines become unreachable; otherwise processes are killed
+	Share         float64     `toml:"share,omitempty" json:"Share"`                // of the answers, requests or connections, or of the time to read
+	RatePerSecond float64     `toml:"per_s,omitempty" json:"PerS"`                 // of clients, queries, resets or bytes
+	DrainSeconds  float64     `toml:"drain_s,omitempty" json:"DrainS"`             // between the notice and the stop
+	DelaySeconds  float64     `toml:"lag_s,omitempty" json:"LagS"`                 // of what discovery learns, or of connections
+	ToServer      bool        `toml:"to_box,omitempty" json:"ToBox"`               // the direction that is lost; otherwise to the sidecar
+	From          []int       `toml:"from,omitempty" json:"From"`                  // sidecars on one side
+	To            []int       `toml:"to,omitempty" json:"To"`                      // on the other side; empty: all others
+	OneWay        bool        `toml:"one_way,omitempty" json:"OneWay"`             // the fault affects bytes of From alone
+	State         StoredState `toml:"state,omitempty" json:"State"`                // stored state of a process that restarts
+	SidecarCount  int         `toml:"by,omitempty" json:"By"`                      // how many sidecars start, or leave for good
+	ClockRate     float64     `toml:"rate,omitempty" json:"Rate"`                  // of a clock; 1 is right
 }
 
-// What becomes of a process's stored state until it restarts.
+// StoredState is what becomes of a process's stored state until it restarts. Its values are words of scripts.
+type StoredState string
+
+// The values of StoredState.
 const (
-	StateKept = "kept"
-	StateLost = "lost"
-	StateTorn = "torn"
-	StateOld  = "old" // the state some writes ago
+	StateKept StoredState = "kept"
+	StateLost StoredState = "lost"
+	StateTorn StoredState = "torn"
+	StateOld  StoredState = "old" // the state some writes ago
 )
 
 // Script is a day's faults. With its seed it is all that reproduces a day.
--- a/internal/environment/script_test.go
+++ b/internal/environment/script_test.go
@@ -15,7 +15,7 @@
 // A drawn script is the same when formatted and read, and when drawn a second time.
 func TestScriptSurvivesFormatAndRead(t *testing.T) {
 	r := StandardRanges()
-	drawn := map[string]bool{}
+	drawn := map[FaultKind]bool{}
 	for seed := range uint64(400) {
 		d := Draw(seed, r)
 		s := DrawScript(&d)
--- a/internal/environment/scriptfile.go
+++ b/internal/environment/scriptfile.go
@@ -72,7 +72,7 @@
 		if err != nil {
 			return nil, err
 		}
-		e := read.Fault(faultPath(i)+"kind", s.Faults[i].Kind+" is played in simulated time alone: "+why)
+		e := read.Fault(faultPath(i)+"kind", string(s.Faults[i].Kind)+" is played in simulated time alone: "+why)
 		e.Field = "kind"
 		return nil, e
 	}
@@ -149,7 +149,7 @@
 	}
 	for _, check := range append([]string{"at_s"}, kind.fields...) {
 		if !has(check) {
-			return check, "missing; " + f.Kind + " needs it"
+			return check, "missing; " + string(f.Kind) + " needs it"
 		}
 	}
 	v := reflect.TypeFor[Fault]()
@@ -157,7 +157,7 @@
 		name, _, _ := strings.Cut(v.Field(i).Tag.Get("toml"), ",")
 		known := name == "kind" || name == "at_s" || slices.Contains(kind.fields, name) || slices.Contains(kind.optional, name)
 		if has(name) && !known {
-			return name, f.Kind + " has no such field"
+			return name, string(f.Kind) + " has no such field"
 		}
 	}
 	ratePerSecond := maxRatePerSecond
--- a/internal/environment/serverfaults.go
+++ b/internal/environment/serverfaults.go
@@ -28,7 +28,7 @@
 }
 
 // shareOf returns the share of answers that a kind of fault changes.
-func (m *Misbehavior) shareOf(kind string) *float64 {
+func (m *Misbehavior) shareOf(kind FaultKind) *float64 {
 	switch kind {
 	case MalformedAnswers:
 		return &m.Malformed
--- a/internal/lab/processcluster/faults.go
+++ b/internal/lab/processcluster/faults.go
@@ -90,7 +90,7 @@
 
 // Spoil removes, truncates or replaces by an older version the stored state of a sidecar that is not running, as environment.StateLost, StateTorn and
 // StateOld say. Errors leave the state as it is.
-func (c *Cluster) Spoil(sidecar int, state string) {
+func (c *Cluster) Spoil(sidecar int, state environment.StoredState) {
 	file := filepath.Join(c.members[sidecar].stateDir, "peer")
 	current, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/lab/processcluster/trials.go
+++ b/internal/lab/processcluster/trials.go
@@ -125,7 +125,7 @@
 			c.reportNoOwner(ctx, "trial %d, %s of the %s (%s): no next owner is known to all", len(c.trials)+1, fault.Kind, target, c.members[victims[0]].name)
 			return
 		}
-		c.trials = append(c.trials, Trial{Fault: fault.Kind, Target: target, AtSeconds: fault.AtSeconds, HasMoved: after.token > before.token, KnownSeconds: knownSeconds})
+		c.trials = append(c.trials, Trial{Fault: string(fault.Kind), Target: target, AtSeconds: fault.AtSeconds, HasMoved: after.token > before.token, KnownSeconds: knownSeconds})
 		sleep(ctx, time.Until(faultEnd))
 	}
 }
@@ -162,7 +162,7 @@
 	case 2, 3:
 		fault.Kind, fault.Sidecars, fault.State = environment.SidecarKill, victims, environment.StateKept
 	default:
-		fault.Kind = []string{environment.PeerCut, environment.PeerHold}[rng.IntN(2)]
+		fault.Kind = []environment.FaultKind{environment.PeerCut, environment.PeerHold}[rng.IntN(2)]
 		var others []int
 		for i := range c.members {
 			if !slices.Contains(victims, i) {
--- a/internal/lab/realtime/live.go
+++ b/internal/lab/realtime/live.go
@@ -47,7 +47,7 @@
 	PeersReset(a, b int)
 	PeersDeaf(sidecar int, perS float64, until time.Time)
 	DiskFull(sidecar int, on bool)
-	Spoil(sidecar int, state string)
+	Spoil(sidecar int, state environment.StoredState)
 	// Standing tells of each process that begins, stands still, goes on or ends.
 	Standing(sidecar int, on bool)
 }
--- a/internal/lab/realtime/sidecar.go
+++ b/internal/lab/realtime/sidecar.go
@@ -214,7 +214,7 @@
 	}
 }
 
-func (l playedMachines) DamageState(sidecar int, state string) {
+func (l playedMachines) DamageState(sidecar int, state environment.StoredState) {
 	if c := l.p.settings.Crew; c != nil {
 		c.Spoil(sidecar, state)
 	}
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -46,7 +46,7 @@
 func (d *day) FillDisk(sidecar int, on bool) { d.sidecars[sidecar].isDiskFull = on }
 
 // DamageState implements environment.Hosts: it loses, truncates or replaces the state on a sidecar's disk by an earlier one.
-func (d *day) DamageState(sidecar int, state string) {
+func (d *day) DamageState(sidecar int, state environment.StoredState) {
 	s := d.sidecars[sidecar]
 	s.isStateDamaged = s.isStateDamaged || state != environment.StateKept
 	if d.hasRoles && state == environment.StateTorn && s.starts%2 == 0 {
