--- a/cmd/hazellab/overload.go
+++ b/cmd/hazellab/overload.go
@@ -34,39 +34,9 @@
 
 // measureOverload prints a table of the measurements by program. Interrupted, it prints those so far.
 func measureOverload(ctx context.Context, c *cli.Command) error {
-	s := overload.Settings{Repeats: c.Int("repeats"), Nice: c.Int("nice"), Say: os.Stderr}
-	if s.Nice < -20 || s.Nice > 19 {
-		return usageError(fmt.Errorf("nice: %d, not -20 to 19", s.Nice))
-	}
-	if s.Repeats < 1 || s.Repeats > 100 {
-		return usageError(fmt.Errorf("repeats: %d, not 1 to 100", s.Repeats))
-	}
-	var err error
-	if text := c.String("only"); text != "" {
-		if s.Only, err = regexp.Compile(text); err != nil {
-			return usageError(fmt.Errorf("only: %w", err))
-		}
-	}
-	if s.Cores, err = parseCores(c.String("cores")); err != nil {
-		return usageError(err)
-	}
-	for _, path := range []string{c.String("binary"), c.String("vs")} {
-		if path == "" {
-			continue
-		}
-		if path, err = filepath.Abs(path); err != nil {
-			return err
-		}
-		if _, err := os.Stat(path); err != nil {
-			return usageError(err)
-		}
-		s.Programs = append(s.Programs, overload.Program{Name: filepath.Base(path), Path: path})
-	}
-	if len(s.Programs) == 2 && s.Programs[0].Name == s.Programs[1].Name {
-		s.Programs[0].Name, s.Programs[1].Name = s.Programs[0].Name+" A", s.Programs[1].Name+" B"
-	}
-	for _, kind := range c.StringSlice("beside") {
-		s.Programs = append(s.Programs, overload.Program{Name: kind, Proxy: kind})
+	s, err := overloadSettings(c)
+	if err != nil {
+		return err
 	}
 	if s.Self, err = os.Executable(); err != nil {
 		return err
@@ -100,3 +70,42 @@
 	}
 	return err
 }
+
+// overloadSettings returns the settings that the flags give, without the folder and the path of this program.
+func overloadSettings(c *cli.Command) (overload.Settings, error) {
+	s := overload.Settings{Repeats: c.Int("repeats"), Nice: c.Int("nice"), Say: os.Stderr}
+	if s.Nice < -20 || s.Nice > 19 {
+		return s, usageError(fmt.Errorf("nice: %d, not -20 to 19", s.Nice))
+	}
+	if s.Repeats < 1 || s.Repeats > 100 {
+		return s, usageError(fmt.Errorf("repeats: %d, not 1 to 100", s.Repeats))
+	}
+	var err error
+	if text := c.String("only"); text != "" {
+		if s.Only, err = regexp.Compile(text); err != nil {
+			return s, usageError(fmt.Errorf("only: %w", err))
+		}
+	}
+	if s.Cores, err = parseCores(c.String("cores")); err != nil {
+		return s, usageError(err)
+	}
+	for _, path := range []string{c.String("binary"), c.String("vs")} {
+		if path == "" {
+			continue
+		}
+		if path, err = filepath.Abs(path); err != nil {
+			return s, err
+		}
+		if _, err := os.Stat(path); err != nil {
+			return s, usageError(err)
+		}
+		s.Programs = append(s.Programs, overload.Program{Name: filepath.Base(path), Path: path})
+	}
+	if len(s.Programs) == 2 && s.Programs[0].Name == s.Programs[1].Name {
+		s.Programs[0].Name, s.Programs[1].Name = s.Programs[0].Name+" A", s.Programs[1].Name+" B"
+	}
+	for _, kind := range c.StringSlice("beside") {
+		s.Programs = append(s.Programs, overload.Program{Name: kind, Proxy: kind})
+	}
+	return s, nil
+}
--- a/cmd/hazelwheel/configfiles.go
+++ b/cmd/hazelwheel/configfiles.go
@@ -13,8 +13,8 @@
 	"hazelwheel/internal/lint"
 )
 
-// wantsColor reports whether output goes to a terminal that shows colors, and the user has not turned them off by NO_COLOR.
-func wantsColor(w io.Writer) bool {
+// isColorTerminal reports whether output goes to a terminal that shows colors, and the user has not turned them off by NO_COLOR.
+func isColorTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	return ok && os.Getenv("NO_COLOR") == "" && os.Getenv("TERM") != "dumb" && term.IsTerminal(int(f.Fd()))
 }
@@ -53,7 +53,7 @@
 type findingsWriter func(w io.Writer, findings []lint.Finding) error
 
 func writeText(w io.Writer, findings []lint.Finding) error {
-	return lint.WriteText(w, findings, wantsColor(w))
+	return lint.WriteText(w, findings, isColorTerminal(w))
 }
 
 // openSiteFile reads the site's file that a flag names; nil where it names none. The findings of a file that can't be used are printed.
--- a/cmd/hazelwheel/workline_test.go
+++ b/cmd/hazelwheel/maintenancesubmit_test.go
@@ -18,19 +18,19 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
-// fakeDoor answers calls by a list, the last one again and again; an empty answer ends the connection without one.
-type fakeDoor struct {
-	mu      sync.Mutex
-	answers []string
-	heard   []string
-	address string
+// fakeAdminEndpoint replies to command lines by a list, of which it repeats the last; an empty reply closes the connection without one.
+type fakeAdminEndpoint struct {
+	mu       sync.Mutex
+	replies  []string
+	received []string
+	address  string
 }
 
-func newFakeDoor(t *testing.T, answers ...string) *fakeDoor {
+func newFakeAdminEndpoint(t *testing.T, replies ...string) *fakeAdminEndpoint {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	d := &fakeDoor{answers: answers, address: l.Addr().String()}
+	d := &fakeAdminEndpoint{replies: replies, address: l.Addr().String()}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -40,13 +40,13 @@
 			line, err := bufio.NewReader(c).ReadString('\n')
 			if err == nil {
 				d.mu.Lock()
-				d.heard = append(d.heard, strings.TrimSpace(line))
-				answer := d.answers[0]
-				if len(d.answers) > 1 {
-					d.answers = d.answers[1:]
+				d.received = append(d.received, strings.TrimSpace(line))
+				reply := d.replies[0]
+				if len(d.replies) > 1 {
+					d.replies = d.replies[1:]
 				}
 				d.mu.Unlock()
-				io.WriteString(c, answer)
+				io.WriteString(c, reply)
 			}
 			c.Close()
 		}
@@ -54,11 +54,11 @@
 	return d
 }
 
-// commands returns what was said, and how often the first nonce came.
-func (d *fakeDoor) commands(t *testing.T) (all []maintenance.Command) {
+// commands returns the commands that it has received.
+func (d *fakeAdminEndpoint) commands(t *testing.T) (all []maintenance.Command) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, line := range d.heard {
+	for _, line := range d.received {
 		var c maintenance.Command
 		require.NoError(t, json.Unmarshal([]byte(strings.TrimPrefix(line, "WORK ")), &c), line)
 		all = append(all, c)
@@ -66,8 +66,8 @@
 	return all
 }
 
-// What each command says at the door, and what it prints and ends with.
-func TestWorkLine(t *testing.T) {
+// What each command submits to the admin endpoint, what it prints, and the status with which it ends.
+func TestMaintenanceCommandLines(t *testing.T) {
 	t.Parallel()
 	c := &crew{T: t}
 	plan := filepath.Join(t.TempDir(), "plan.toml")
@@ -76,11 +76,11 @@
 	require.NoError(t, os.WriteFile(bad, []byte("name = 'n'\nboxes = ['s-00000001']\ntakes = '1s'\nat_once = 0\nkeep = 0.5\n"), 0o600))
 	token := uint64(3<<40 | 57)
 	for _, k := range []struct {
-		args   string
-		answer string
-		said   maintenance.Command
-		code   int
-		out    string
+		args      string
+		reply     string
+		submitted maintenance.Command
+		code      int
+		out       string
 	}{
 		{"plan " + plan, `{"plan":4,"text":"1 box"}`, maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &maintenance.Spec{Name: "n", Servers: []string{"s-00000001"}, WorkSeconds: 1, MaxConcurrent: 1, MinCapacity: 0.5}}, 0,
 			"OK plan: plan 4: 1 box\n"},
@@ -100,7 +100,7 @@
 		{"done s-1 3.x", "", maintenance.Command{}, 2, "hazelwheel: work done: \"3.x\" is not a token like 1.57\n"},
 		{"failed s-1 3.57 no-disk", `{}`, maintenance.Command{Kind: maintenance.FailServer, Server: "s-1", Token: token, Reason: "no-disk"}, 0, "OK failed: s-1\n"},
 	} {
-		d := newFakeDoor(t, k.answer+"\n")
+		d := newFakeAdminEndpoint(t, k.reply+"\n")
 		args := append([]string{"fleet", "work"}, strings.Fields(k.args)...)
 		if !strings.HasPrefix(k.args, "check") {
 			args = append(args, "--ops", d.address)
@@ -108,33 +108,33 @@
 		out, code := c.command(args...)
 		assert.Equal(t, k.code, code, k.args)
 		assert.Equal(t, k.out, out, k.args)
-		said := d.commands(t)
-		if k.said.Kind == "" {
-			assert.Empty(t, said, k.args)
+		submitted := d.commands(t)
+		if k.submitted.Kind == "" {
+			assert.Empty(t, submitted, k.args)
 			continue
 		}
-		require.Len(t, said, 1, k.args)
-		assert.NotZero(t, said[0].Nonce)
-		k.said.Nonce = said[0].Nonce
-		assert.Equal(t, k.said, said[0], k.args)
+		require.Len(t, submitted, 1, k.args)
+		assert.NotZero(t, submitted[0].Nonce)
+		k.submitted.Nonce = submitted[0].Nonce
+		assert.Equal(t, k.submitted, submitted[0], k.args)
 	}
 }
 
-// A command that is not agreed yet is said again with its nonce, over doors that do not answer; when nobody does, it is told how it may
-// be repeated. A door that says no, and one that was never reached, end it at once.
-func TestWorkIsSaidAgain(t *testing.T) {
+// A command that is not committed yet is submitted again with its nonce, also after lost replies; after the time-out the error names the nonce
+// with which to repeat it. A rejection, and an endpoint that was never reached, end it at once.
+func TestMaintenanceCommandIsRetriedUntilCommitted(t *testing.T) {
 	t.Parallel()
 	c := &crew{T: t}
-	d := newFakeDoor(t, "WAIT\n", "", "ERR the event loop is late: it will be done, ask again for a yes\n", "WAIT\n", `{"plan":1}`+"\n")
+	d := newFakeAdminEndpoint(t, "WAIT\n", "", "ERR the event loop is late: it will be done, ask again for a yes\n", "WAIT\n", `{"plan":1}`+"\n")
 	out, code := c.command("fleet", "work", "pause", "--nonce", "77", "--ops", d.address)
 	assert.Equal(t, "OK pause: plan 1\n", out)
 	assert.Zero(t, code)
-	said := d.commands(t)
-	assert.Len(t, said, 5)
-	for _, s := range said {
+	submitted := d.commands(t)
+	assert.Len(t, submitted, 5)
+	for _, s := range submitted {
 		assert.Equal(t, uint64(77), s.Nonce)
 	}
-	d = newFakeDoor(t, "ERR no\n")
+	d = newFakeAdminEndpoint(t, "ERR no\n")
 	out, code = c.command("fleet", "work", "pause", "--ops", d.address)
 	assert.Equal(t, "hazelwheel: the sidecar says: no\n", out)
 	assert.Equal(t, 1, code)
@@ -142,14 +142,14 @@
 	out, code = c.command("fleet", "work", "pause", "--ops", freeAddress(t))
 	assert.Contains(t, out, "can't be reached")
 	assert.Equal(t, 1, code)
-	d = newFakeDoor(t, "WAIT\n")
+	d = newFakeAdminEndpoint(t, "WAIT\n")
 	out, code = c.command("fleet", "work", "pause", "--nonce", "78", "--ops", d.address)
 	assert.Equal(t, "hazelwheel: it is not known whether it was done (nobody has settled it within 10s); the same again with --nonce 78 is done once\n", out)
 	assert.Equal(t, 1, code)
 	assert.Greater(t, len(d.commands(t)), 10)
 }
 
-func TestWorkStatus(t *testing.T) {
+func TestMaintenanceStatusTable(t *testing.T) {
 	t.Parallel()
 	c := &crew{T: t}
 	raw, err := json.Marshal(coordination.MaintenanceStatus{Version: 17, Holder: "m01", AgeSeconds: 0.3, Reinstated: []string{"s-2"},
@@ -161,7 +161,7 @@
 			{Name: "s-5", Site: "site-b"}}}},
 		Blockers: []maintenance.Blocker{{Plan: 1, Server: "s-1", Reason: "not said to be empty", Members: []string{"m02", "m03"}}, {Plan: 1, Reason: "a box is cold"}}})
 	require.NoError(t, err)
-	d := newFakeDoor(t, string(raw)+"\n")
+	d := newFakeAdminEndpoint(t, string(raw)+"\n")
 	out, code := c.command("fleet", "work", "status", "--ops", d.address)
 	assert.Zero(t, code)
 	assert.Equal(t, `PLAN  BOX  SITE    STAGE    SINCE  MECHANIC  TOKEN  WAITS FOR
